--- a/cmd/puffinlink/commands_test.go
+++ b/cmd/puffinlink/commands_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/fakes"
 	"puffinlink.example/puffinlink/internal/operators/api"
-	"puffinlink.example/puffinlink/internal/standin"
 )
 
 // said runs a command line and tells its exit code and what it printed.
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	listen, err := standin.FreeAddress()
+	listen, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"puffinlink.example/puffinlink/internal/nodesettings"
-	"puffinlink.example/puffinlink/internal/systemdemo"
+	"puffinlink.example/puffinlink/internal/tools/demo/cluster"
 )
 
 // systemDemoTime is how long the load of the demo lasts where it is not stated.
@@ -37,7 +37,7 @@
 		return err
 	}
 	defer closeLog()
-	options := systemdemo.Options{
+	options := cluster.Options{
 		For: c.For, Every: c.Every, Searchers: c.Searchers, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
 		Launcher: launcher{c.LogLevel}.functions(),
 	}
@@ -47,7 +47,7 @@
 	if c.JSON {
 		options.Out = io.Discard
 	}
-	summary, err := systemdemo.Run(ctx, options)
+	summary, err := cluster.Run(ctx, options)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func printSystemSummary(summary *systemdemo.Summary, asJSON bool) error {
+func printSystemSummary(summary *cluster.Summary, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(stdout).Encode(summary)
 	}
@@ -95,12 +95,12 @@
 // launcher starts the processes of the demo.
 type launcher struct{ logLevel string }
 
-func (l launcher) functions() systemdemo.Launcher {
-	return systemdemo.Launcher{Coordinator: l.startCoordinator, Front: l.startFront}
+func (l launcher) functions() cluster.Launcher {
+	return cluster.Launcher{Coordinator: l.startCoordinator, Front: l.startFront}
 }
 
 // startCoordinator starts a coordinator as a process of its own, so that it can be killed.
-func (l launcher) startCoordinator(settingsFile string, log io.Writer) (*systemdemo.Process, error) {
+func (l launcher) startCoordinator(settingsFile string, log io.Writer) (*cluster.Process, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 		defer close(ended)
 		command.Wait()
 	}()
-	return &systemdemo.Process{
+	return &cluster.Process{
 		Kill:  func() { command.Process.Kill() },
 		Stop:  func() { command.Process.Signal(syscall.SIGTERM) },
 		Ended: ended,
@@ -125,7 +125,7 @@
 }
 
 // startFront runs the proxy and the agent of a front machine in this process.
-func (l launcher) startFront(settingsFile, localAddress string, log io.Writer) (*systemdemo.Process, error) {
+func (l launcher) startFront(settingsFile, localAddress string, log io.Writer) (*cluster.Process, error) {
 	settings, err := nodesettings.LoadFile(settingsFile)
 	if err != nil {
 		return nil, err
@@ -134,7 +134,7 @@
 }
 
 // startInside runs processes of one machine on goroutines.
-func (l launcher) startInside(settings nodesettings.Settings, localAddress string, log io.Writer, runs ...func(context.Context, *systemNode) error) *systemdemo.Process {
+func (l launcher) startInside(settings nodesettings.Settings, localAddress string, log io.Writer, runs ...func(context.Context, *systemNode) error) *cluster.Process {
 	ctx, stop := context.WithCancel(context.Background())
 	logger := l.newLog(settings.NodeName, log)
 	var running sync.WaitGroup
@@ -154,7 +154,7 @@
 		defer close(ended)
 		running.Wait()
 	}()
-	return &systemdemo.Process{Kill: stop, Stop: stop, Ended: ended}
+	return &cluster.Process{Kill: stop, Stop: stop, Ended: ended}
 }
 
 func (l launcher) newLog(node string, log io.Writer) *zap.Logger {
--- a/cmd/puffinlink/demosystem_test.go
+++ b/cmd/puffinlink/demosystem_test.go
@@ -12,11 +12,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"puffinlink.example/puffinlink/internal/nodesettings"
-	"puffinlink.example/puffinlink/internal/systemdemo"
+	"puffinlink.example/puffinlink/internal/tools/demo/cluster"
 )
 
 // startCoordinatorInside runs a coordinator in this process; a kill is an orderly stop then.
-func startCoordinatorInside(settingsFile string, log io.Writer) (*systemdemo.Process, error) {
+func startCoordinatorInside(settingsFile string, log io.Writer) (*cluster.Process, error) {
 	settings, err := nodesettings.LoadFile(settingsFile)
 	if err != nil {
 		return nil, err
@@ -52,14 +52,14 @@
 func TestSystemDemo(t *testing.T) {
 	Convey("The demo loses and doubles nothing, and operators get their answers", t, func() {
 		shown := &shownProgress{served: make(chan string, 1)}
-		var summary systemdemo.Summary
+		var summary cluster.Summary
 		var failed error
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			summary, failed = systemdemo.Run(context.Background(), systemdemo.Options{
+			summary, failed = cluster.Run(context.Background(), cluster.Options{
 				For: 3 * time.Second, Every: 100 * time.Millisecond, Searchers: 3, PerS: 5, Directory: t.TempDir(), Out: shown, Log: io.Discard,
-				Launcher: systemdemo.Launcher{Coordinator: startCoordinatorInside, Front: launcher{"info"}.startFront},
+				Launcher: cluster.Launcher{Coordinator: startCoordinatorInside, Front: launcher{"info"}.startFront},
 			})
 		}()
 		defer func() { <-ended }()
--- a/cmd/puffinlink/main_test.go
+++ b/cmd/puffinlink/main_test.go
@@ -20,9 +20,9 @@
 
 	"go.uber.org/zap/zapcore"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixerlog"
+	"puffinlink.example/puffinlink/internal/dataplane/asynclog"
 	"puffinlink.example/puffinlink/internal/dataplane/node"
-	"puffinlink.example/puffinlink/internal/standin"
+	"puffinlink.example/puffinlink/internal/fakes"
 )
 
 const goodSettings = `{"granularityS":0.005,"azs":["a"],"models":["m"],"stats":{"how":"answers"},
@@ -84,7 +84,7 @@
 	begun, ended := make(chan bool), make(chan bool)
 	go func() {
 		defer close(ended)
-		log := mixerlog.New(zapcore.AddSync(io.Discard))
+		log := asynclog.New(zapcore.AddSync(io.Discard))
 		for i := range 1000 {
 			log.Info("connection ended")
 			if i == 0 {
@@ -135,7 +135,7 @@
 		http.NotFound(w, q)
 	}))
 	defer moved.Close()
-	listen, err := standin.FreeAddress()
+	listen, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/operators/capture"
 	"puffinlink.example/puffinlink/internal/tools/plan"
 	"puffinlink.example/puffinlink/internal/tools/planfile"
-	"puffinlink.example/puffinlink/internal/tools/prove"
+	"puffinlink.example/puffinlink/internal/tools/validate"
 )
 
 type planCmd struct {
@@ -242,15 +242,15 @@
 func (c *planProveCmd) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	var results []prove.Result
-	on := prove.Measure()
+	var results []validate.Result
+	on := validate.Measure()
 	fmt.Fprintf(stderr, "sleeps take %.2f ms longer than asked here, one alone %.2f: added to the work of parts, and to mixers' steps\n", 1000*on.Work, 1000*on.Step)
-	for _, s := range prove.Settings(c.Drawn, c.Seed, c.Seconds) {
+	for _, s := range validate.Settings(c.Drawn, c.Seed, c.Seconds) {
 		if c.Only != "" && s.Name != c.Only {
 			continue
 		}
 		fmt.Fprintln(stderr, "playing", s.Name)
-		r, err := prove.Play(ctx, s, on, c.Seed)
+		r, err := validate.Play(ctx, s, on, c.Seed)
 		if err != nil {
 			return err
 		}
@@ -259,7 +259,7 @@
 	if c.JSON {
 		return asJSON(results)
 	}
-	prove.Print(stdout, results)
+	validate.Print(stdout, results)
 	return nil
 }
 
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixerlog"
+	"puffinlink.example/puffinlink/internal/dataplane/asynclog"
 	"puffinlink.example/puffinlink/internal/dataplane/node"
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
@@ -110,9 +110,9 @@
 	limit(c)
 	// Whoever reads the log must not hold up the mixer: lines that find no room are dropped and counted.
 	count := counters.New()
-	out := mixerlog.NewWriter(os.Stdout, logLines, func() { count.Add("log", "dropped", 1) })
+	out := asynclog.NewWriter(os.Stdout, logLines, func() { count.Add("log", "dropped", 1) })
 	defer out.Close()
-	log := mixerlog.New(out).With(zap.String("mixer", c.Name))
+	log := asynclog.New(out).With(zap.String("mixer", c.Name))
 
 	n, err := start(signals, func(ctx context.Context) (*node.Node, error) { return node.Start(ctx, c, set, file, log, count) })
 	if errors.Is(err, context.Canceled) {
--- a/internal/store/store.go
+++ b/internal/aggregatorstore/store.go
@@ -1,6 +1,6 @@
-// Package store keeps the revisions of overrides on disk, in an embedded store: what holds, and an audit trail of every
+// Package aggregatorstore keeps the revisions of overrides on disk, in an embedded store: what holds, and an audit trail of every
 // change. It decides nothing. A change is kept once its transaction is on disk, and never in part.
-package store
+package aggregatorstore
 
 import (
 	"encoding/binary"
--- a/internal/store/store_test.go
+++ b/internal/aggregatorstore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package aggregatorstore
 
 import (
 	"bufio"
--- a/internal/controlplane/parts/parts.go
+++ b/internal/controlplane/chunks/chunks.go
@@ -1,9 +1,9 @@
-// Package parts cuts a content into parts that are named by their checksums. Who holds an earlier version of the content
+// Package chunks cuts a content into parts that are named by their checksums. Who holds an earlier version of the content
 // fetches only the parts that it lacks, keeps each one that arrives, and goes on with any holder of the rest.
 //
 // Cuts depend on the content nearby only, so that a small change of a large content changes few parts. The package is
 // pure: it does no input or output and knows no clock.
-package parts
+package chunks
 
 import (
 	"crypto/sha256"
--- a/internal/controlplane/parts/parts_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -1,4 +1,4 @@
-package parts
+package chunks
 
 import (
 	"bytes"
--- a/internal/controlplane/parts/collection.go
+++ b/internal/controlplane/chunks/collection.go
@@ -1,4 +1,4 @@
-package parts
+package chunks
 
 // Collection gathers the parts of one content. It belongs to one goroutine or is guarded by its owner.
 type Collection struct {
--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 const (
@@ -148,7 +148,7 @@
 // mixer that is cut off refuses nothing. A read, unlike a change, does not compete with the order that may be taken.
 func (c *Configurator) decideOld(ctx context.Context, asked order) Outcome {
 	if _, _, err := c.Read(ctx); err != nil {
-		return Outcome{Kind: Unavailable, RetryAfter: verdict.RetryAfter(err), Err: err}
+		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: err}
 	}
 	return c.known().decide(asked)
 }
@@ -185,8 +185,8 @@
 
 func failure(err error) Outcome {
 	wrapped := fmt.Errorf("change the configuration: %w", err)
-	if verdict.Of(err) == verdict.NotRun {
-		return Outcome{Kind: Unavailable, RetryAfter: verdict.RetryAfter(err), Err: wrapped}
+	if rpcerror.Of(err) == rpcerror.NotRun {
+		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: wrapped}
 	}
 	return Outcome{Kind: Unclear, Err: wrapped}
 }
--- a/internal/controlplane/configuration/modelnetwork_test.go
+++ b/internal/controlplane/configuration/modelnetwork_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // Chances and delays of messages in the model, in simulated time.
@@ -200,11 +200,11 @@
 // Call implements transport.Caller.
 func (c modelCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !c.alive() {
-		return verdict.Unexecuted(errKilled, 0)
+		return rpcerror.Unexecuted(errKilled, 0)
 	}
 	body, err := msgpack.Marshal(request)
 	if err != nil {
-		return verdict.Unexecuted(err, 0)
+		return rpcerror.Unexecuted(err, 0)
 	}
 	path := route.Path()
 	answers := make(chan *httptest.ResponseRecorder, 2)
@@ -217,11 +217,11 @@
 		case http.StatusOK:
 			return msgpack.Unmarshal(answer.Body.Bytes(), reply)
 		case http.StatusServiceUnavailable, http.StatusNotFound:
-			return verdict.Unexecuted(errRefused, 0)
+			return rpcerror.Unexecuted(errRefused, 0)
 		}
-		return verdict.Unclear(errRefused)
+		return rpcerror.Unclear(errRefused)
 	case <-ctx.Done():
-		return verdict.Unclear(context.Cause(ctx))
+		return rpcerror.Unclear(context.Cause(ctx))
 	}
 }
 
--- a/internal/controlplane/configuration/race_test.go
+++ b/internal/controlplane/configuration/race_test.go
@@ -10,12 +10,12 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/chance"
 	"puffinlink.example/puffinlink/internal/controlplane/register"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/random"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
@@ -25,7 +25,7 @@
 	loss  float64
 
 	mutex  sync.Mutex
-	random chance.PCG
+	random random.PCG
 }
 
 func (n *lossyNetwork) draw() float64 {
@@ -53,7 +53,7 @@
 	case <-time.After(delay):
 		return nil
 	case <-ctx.Done():
-		return verdict.Unclear(ctx.Err())
+		return rpcerror.Unclear(ctx.Err())
 	}
 }
 
@@ -61,7 +61,7 @@
 func newCluster(seed uint64) []*Configurator {
 	view := replicaset.View{Version: 1, Members: []string{"a:1", "b:1", "c:1"}}
 	currentView := func() replicaset.View { return view }
-	network := &lossyNetwork{muxes: make(map[string]*transport.Mux), loss: 0.03, random: chance.PCG(seed)}
+	network := &lossyNetwork{muxes: make(map[string]*transport.Mux), loss: 0.03, random: random.PCG(seed)}
 	var members []*Configurator
 	for _, address := range view.Members {
 		acceptor := register.NewAcceptor(register.AcceptorConfig{
--- a/internal/controlplane/configuration/register_test.go
+++ b/internal/controlplane/configuration/register_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 var errNoMajority = errors.New("no majority")
@@ -39,30 +39,30 @@
 		select {
 		case <-r.release:
 		case <-ctx.Done():
-			return nil, verdict.Unclear(ctx.Err())
+			return nil, rpcerror.Unclear(ctx.Err())
 		}
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes++
 	if r.refuse {
-		return nil, verdict.Unexecuted(errNoMajority, 70*time.Millisecond)
+		return nil, rpcerror.Unexecuted(errNoMajority, 70*time.Millisecond)
 	}
 	next, err := modify(r.value)
 	if err != nil {
-		return nil, verdict.Unexecuted(err, 0)
+		return nil, rpcerror.Unexecuted(err, 0)
 	}
 	if r.twice {
 		if next, err = modify(next); err != nil {
-			return nil, verdict.Unclear(err)
+			return nil, rpcerror.Unclear(err)
 		}
 	}
 	if r.lost {
-		return nil, verdict.Unclear(errNoMajority)
+		return nil, rpcerror.Unclear(errNoMajority)
 	}
 	r.value = next
 	if r.loseAnswers {
-		return nil, verdict.Unclear(errNoMajority)
+		return nil, rpcerror.Unclear(errNoMajority)
 	}
 	return next, nil
 }
@@ -72,7 +72,7 @@
 	defer r.mutex.Unlock()
 	r.reads++
 	if r.refuse {
-		return nil, verdict.Unexecuted(errNoMajority, 0)
+		return nil, rpcerror.Unexecuted(errNoMajority, 0)
 	}
 	return r.value, nil
 }
@@ -97,7 +97,7 @@
 }
 
 func unreachable(context.Context, string, transport.Route, any, any) error {
-	return verdict.Unexecuted(errNoMajority, 0)
+	return rpcerror.Unexecuted(errNoMajority, 0)
 }
 
 func newConfigurator(register Register) *Configurator {
--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -19,8 +19,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/jobs/manager"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
@@ -30,7 +30,7 @@
 // Read implements configuration.Register.
 func (u *unreadable) Read(context.Context) ([]byte, error) {
 	if u.fails {
-		return nil, verdict.Unexecuted(context.DeadlineExceeded, 0)
+		return nil, rpcerror.Unexecuted(context.DeadlineExceeded, 0)
 	}
 	return nil, nil
 }
--- a/internal/controlplane/feed/board.go
+++ b/internal/controlplane/feed/board.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
 // Board holds the newest known state of the feed and wakes those who wait for news. All methods may be called from any
@@ -113,11 +113,11 @@
 
 // Parts hands out parts of the newest configuration.
 func (b *Board) Parts(ask PartsRequest) PartsReply {
-	return PartsReply{Parts: b.catalog.Parts(parts.SumsOf(ask.Sums), ask.Room)}
+	return PartsReply{Parts: b.catalog.Parts(chunks.SumsOf(ask.Sums), ask.Room)}
 }
 
 // Part returns a part of the newest configuration. It is a parts.Holder.
-func (b *Board) Part(sum parts.Sum) (part []byte, found bool) { return b.catalog.Part(sum) }
+func (b *Board) Part(sum chunks.Sum) (part []byte, found bool) { return b.catalog.Part(sum) }
 
 // Wait returns what a reader with the digest known lacks as soon as there is something, and nil once limit has passed or
 // ctx has ended without news.
--- a/internal/controlplane/feed/catalog.go
+++ b/internal/controlplane/feed/catalog.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
 // keptEditions is how many earlier configurations a catalog can tell from the newest. A reader that knows an older one
@@ -15,14 +15,14 @@
 type Catalog struct {
 	mutex   sync.Mutex
 	version uint64
-	newest  *parts.Cut // nil before the first
-	earlier []edition  // oldest first
+	newest  *chunks.Cut // nil before the first
+	earlier []edition   // oldest first
 }
 
 // edition is an earlier version of the configuration by its parts.
 type edition struct {
 	version uint64
-	sums    []parts.Sum
+	sums    []chunks.Sum
 }
 
 // Publish makes a configuration the newest, unless one as new is there.
@@ -36,11 +36,11 @@
 		c.earlier = append(c.earlier, edition{c.version, c.newest.Sums()})
 		c.earlier = c.earlier[max(0, len(c.earlier)-keptEditions):]
 	}
-	c.version, c.newest = version, parts.NewCut(body, c.newest)
+	c.version, c.newest = version, chunks.NewCut(body, c.newest)
 }
 
 // current returns the newest configuration.
-func (c *Catalog) current() (version uint64, cut *parts.Cut) {
+func (c *Catalog) current() (version uint64, cut *chunks.Cut) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version, c.newest
@@ -52,15 +52,15 @@
 	version, cut := c.current()
 	offer = &Offer{Manifest: cut.Manifest()}
 	if held, found := c.holder(known); found {
-		offer.Parts = cut.Packed(parts.Without(cut.Sums(), held), room)
+		offer.Parts = cut.Packed(chunks.Without(cut.Sums(), held), room)
 	}
 	return version, offer
 }
 
 // holder is what a reader of an earlier version has; version 0 is a reader of nothing.
-func (c *Catalog) holder(known uint64) (parts.Holder, bool) {
-	has := make(map[parts.Sum]struct{})
-	held := func(sum parts.Sum) ([]byte, bool) {
+func (c *Catalog) holder(known uint64) (chunks.Holder, bool) {
+	has := make(map[chunks.Sum]struct{})
+	held := func(sum chunks.Sum) ([]byte, bool) {
 		_, found := has[sum]
 		return nil, found
 	}
@@ -83,7 +83,7 @@
 
 // Parts returns those parts of the newest configuration that are asked for, packed, and at most room bytes of them; but
 // always the first one that is held.
-func (c *Catalog) Parts(sums []parts.Sum, room int) [][]byte {
+func (c *Catalog) Parts(sums []chunks.Sum, room int) [][]byte {
 	_, cut := c.current()
 	if cut == nil {
 		return nil
@@ -92,7 +92,7 @@
 }
 
 // Part returns a part of the newest configuration. It is a parts.Holder.
-func (c *Catalog) Part(sum parts.Sum) (part []byte, found bool) {
+func (c *Catalog) Part(sum chunks.Sum) (part []byte, found bool) {
 	_, cut := c.current()
 	if cut == nil {
 		return nil, false
--- a/internal/controlplane/feed/catalog_test.go
+++ b/internal/controlplane/feed/catalog_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
 // body is a configuration of some kilobytes; versions differ in their first and one later line.
@@ -23,18 +23,18 @@
 }
 
 // taken gathers an offer's parts beside those of a version that the reader has.
-func taken(offer *Offer, known []byte) *parts.Collection {
-	held := make(map[parts.Sum][]byte)
-	for _, part := range parts.Split(known) {
-		held[parts.SumOf(part)] = part
+func taken(offer *Offer, known []byte) *chunks.Collection {
+	held := make(map[chunks.Sum][]byte)
+	for _, part := range chunks.Split(known) {
+		held[chunks.SumOf(part)] = part
 	}
-	collection, err := parts.NewCollection(offer.Manifest, func(sum parts.Sum) ([]byte, bool) {
+	collection, err := chunks.NewCollection(offer.Manifest, func(sum chunks.Sum) ([]byte, bool) {
 		part, found := held[sum]
 		return part, found
 	})
 	So(err, ShouldBeNil)
 	for _, packed := range offer.Parts {
-		part, err := parts.Unpack(packed)
+		part, err := chunks.Unpack(packed)
 		So(err, ShouldBeNil)
 		collection.Add(part)
 	}
@@ -75,9 +75,9 @@
 			sums := offer.Manifest.Sums()
 			So(len(catalog.Parts(sums, 0)), ShouldEqual, 1)
 			So(len(catalog.Parts(sums, 1<<20)), ShouldEqual, len(sums))
-			So(catalog.Parts([]parts.Sum{{1}}, 1<<20), ShouldBeEmpty)
-			old := parts.SumOf(parts.Split(body(1))[0])
-			So(catalog.Parts([]parts.Sum{old}, 1<<20), ShouldBeEmpty)
+			So(catalog.Parts([]chunks.Sum{{1}}, 1<<20), ShouldBeEmpty)
+			old := chunks.SumOf(chunks.Split(body(1))[0])
+			So(catalog.Parts([]chunks.Sum{old}, 1<<20), ShouldBeEmpty)
 		})
 		Convey("an older version changes nothing", func() {
 			catalog.Publish(3, body(3))
--- a/internal/controlplane/feed/feed.go
+++ b/internal/controlplane/feed/feed.go
@@ -3,7 +3,7 @@
 package feed
 
 import (
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
@@ -48,8 +48,8 @@
 
 // Offer describes a configuration by its parts, with some of those that the reader lacks. The others are asked for.
 type Offer struct {
-	Manifest parts.Manifest `msgpack:"m"`
-	Parts    [][]byte       `msgpack:"p,omitempty"` // packed
+	Manifest chunks.Manifest `msgpack:"m"`
+	Parts    [][]byte        `msgpack:"p,omitempty"` // packed
 }
 
 // PartsRequest asks for parts of a configuration.
--- a/internal/controlplane/fleet/ask.go
+++ b/internal/controlplane/fleet/ask.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 // mostAsked askings may wait for an answer.
@@ -32,7 +32,7 @@
 }
 
 // granterNow is whom to ask: who leads as far as a voter knows, who answered last, or else one voter after the other.
-func (f *Fleet) granterNow() roster.Name {
+func (f *Fleet) granterNow() membership.Name {
 	if f.council != nil && !f.failed {
 		if name := f.council.Leader(); name != "" {
 			return name
@@ -48,7 +48,7 @@
 
 // granted_ takes an answer. It counts from when we asked, however long it took: so a granter that stood still, and
 // messages that were held up, lengthen nothing.
-func (f *Fleet) granted_(from roster.Name, g *granting) {
+func (f *Fleet) granted_(from membership.Name, g *granting) {
 	i := slices.IndexFunc(f.asked, func(o out) bool { return o.no == g.No && o.to == from })
 	if i < 0 {
 		f.count.Add("fleet_dropped", "unasked", 1)
--- a/internal/controlplane/fleet/command.go
+++ b/internal/controlplane/fleet/command.go
@@ -9,11 +9,11 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
 )
 
 // Result is what became of a command.
@@ -38,8 +38,8 @@
 // command is one on its way, ours or another mixer's.
 type command struct {
 	handed
-	reply chan answer // ours
-	from  roster.Name // another's
+	reply chan answer     // ours
+	from  membership.Name // another's
 	until float64
 	again float64
 }
@@ -52,7 +52,7 @@
 }
 
 // Do gives a command to the council. An answer without an error says that it acted, or why it changed nothing.
-func (f *Fleet) Do(c council.Command) (Result, error) {
+func (f *Fleet) Do(c consensus.Command) (Result, error) {
 	a := f.wait(handed{Command: c})
 	return a.result, a.err
 }
@@ -78,7 +78,7 @@
 }
 
 // check tells what is wrong with a command, by what this mixer's settings know.
-func (f *Fleet) check(c *council.Command) error {
+func (f *Fleet) check(c *consensus.Command) error {
 	switch {
 	case c.Contract != nil && c.Contract.Contract != nil:
 		return f.set.Site.Check(c.Contract.Tenant, c.Contract.Contract)
@@ -147,7 +147,7 @@
 }
 
 // acted hears that the council has agreed on a command.
-func (f *Fleet) acted(d council.Done) {
+func (f *Fleet) acted(d consensus.Done) {
 	for _, c := range slices.Clone(f.waiting) {
 		if c.Query == nil && c.Command.ID == d.ID && f.council.Leads() {
 			f.finish(c, answer{result: Result{d.Index, d.Wrong}})
@@ -165,7 +165,7 @@
 }
 
 // handed takes another mixer's command.
-func (f *Fleet) handed(from roster.Name, h *handed) {
+func (f *Fleet) handed(from membership.Name, h *handed) {
 	if !f.leads() || len(f.waiting) >= mostWaiting {
 		return // it asks again
 	}
@@ -179,7 +179,7 @@
 	f.try(c)
 }
 
-func (f *Fleet) handedBack(_ roster.Name, h *handedBack) {
+func (f *Fleet) handedBack(_ membership.Name, h *handedBack) {
 	for _, c := range slices.Clone(f.waiting) {
 		if c.from == "" && c.No == h.No {
 			f.finish(c, answer{result: h.Result, progress: h.Progress})
@@ -210,8 +210,8 @@
 // offer gives the tables of our file to the council: what is newer there is taken.
 func (f *Fleet) offer() {
 	file := f.set.File
-	id := council.CommandID(fmt.Sprintf("file %d %d", file.ContractsVersion, file.QuotasVersion))
-	c := &command{handed: handed{Command: council.Command{ID: id, Author: string(f.set.Self), Reason: "operator's file", File: &file}}, reply: make(chan answer, 1)}
+	id := consensus.CommandID(fmt.Sprintf("file %d %d", file.ContractsVersion, file.QuotasVersion))
+	c := &command{handed: handed{Command: consensus.Command{ID: id, Author: string(f.set.Self), Reason: "operator's file", File: &file}}, reply: make(chan answer, 1)}
 	f.command(c)
 	go func() {
 		select {
--- a/internal/controlplane/fleet/council/council.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -1,10 +1,10 @@
-// Package council lets some of the mixers, the voters, agree on the little that needs agreement: contracts, quotas, who
+// Package consensus lets some of the mixers, the voters, agree on the little that needs agreement: contracts, quotas, who
 // votes by which directory, and, by who leads them, which mixer grants. Its machine is go.etcd.io/raft (Ongaro and
 // Ousterhout, 2014), which does no I/O; this package adds the founding, voters that come back with an empty directory, and
 // the state that is agreed on. Whoever runs it saves what Work hands out before it calls Done.
 //
 // One thing is not drawn from a seed: the library draws its election times itself.
-package council
+package consensus
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 const (
@@ -57,7 +57,7 @@
 
 // Out is a message to another voter.
 type Out struct {
-	To   roster.Name
+	To   membership.Name
 	Data []byte
 }
 
@@ -71,8 +71,8 @@
 
 // Machine is one voter.
 type Machine struct {
-	self        roster.Name
-	names       []roster.Name // all voters of the roster
+	self        membership.Name
+	names       []membership.Name // all voters of the roster
 	id          uint64
 	node        *raft.RawNode // nil before the founding
 	mem         *raft.MemoryStorage
@@ -81,18 +81,18 @@
 	ready       *raft.Ready
 	made        *pb.Snapshot   // waits to be saved
 	unconfirmed map[uint64]int // ticks since a snapshot went to a voter, while we lead
-	heard       map[roster.Name]uint64
+	heard       map[membership.Name]uint64
 	nonce       uint64
-	found       map[roster.Name]uint64 // of the others, that are empty as of our nonce
+	found       map[membership.Name]uint64 // of the others, that are empty as of our nonce
 }
 
 // New makes a voter from what its directory held.
-func New(self roster.Name, voters []roster.Name, kept Kept) (*Machine, error) {
+func New(self membership.Name, voters []membership.Name, kept Kept) (*Machine, error) {
 	if kept.ID == 0 {
 		return nil, errors.New("the directory has no number")
 	}
 	m := &Machine{self: self, names: slices.Sorted(slices.Values(voters)), id: kept.ID, mem: raft.NewMemoryStorage(),
-		heard: map[roster.Name]uint64{}, found: map[roster.Name]uint64{}, conf: &pb.ConfState{}, unconfirmed: map[uint64]int{}}
+		heard: map[membership.Name]uint64{}, found: map[membership.Name]uint64{}, conf: &pb.ConfState{}, unconfirmed: map[uint64]int{}}
 	if !kept.founded() {
 		return m, nil
 	}
@@ -154,14 +154,14 @@
 	return m.node.BasicStatus().GetTerm()
 }
 
-func (m *Machine) Leader() roster.Name {
+func (m *Machine) Leader() membership.Name {
 	if m.node == nil {
 		return ""
 	}
 	return m.name(m.node.BasicStatus().Lead)
 }
 
-func (m *Machine) name(id uint64) roster.Name {
+func (m *Machine) name(id uint64) membership.Name {
 	if id == m.id && id != 0 {
 		return m.self
 	}
@@ -188,7 +188,7 @@
 }
 
 // Step takes what another voter said. What can't be read changes nothing.
-func (m *Machine) Step(from roster.Name, data []byte) error {
+func (m *Machine) Step(from membership.Name, data []byte) error {
 	if m.node == nil || !slices.Contains(m.names, from) {
 		return nil
 	}
--- a/internal/controlplane/fleet/council/council_test.go
+++ b/internal/controlplane/fleet/consensus/council_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"bytes"
@@ -9,10 +9,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"puffinlink.example/puffinlink/internal/chance"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 // disk is what a voter saved, as its store would hold it.
@@ -40,7 +40,7 @@
 
 type flying struct {
 	at       int
-	from, to roster.Name
+	from, to membership.Name
 	data     []byte
 	intro    *Intro
 }
@@ -49,18 +49,18 @@
 // back with what they saved or with nothing.
 type net struct {
 	testing.TB
-	chance.PCG
-	names    []roster.Name
-	voters   map[roster.Name]*Machine
-	disks    map[roster.Name]*disk
+	random.PCG
+	names    []membership.Name
+	voters   map[membership.Name]*Machine
+	disks    map[membership.Name]*disk
 	messages []flying
 	tick     int
 	lossy    float64
 	late     int
-	cut      map[roster.Name]bool
+	cut      map[membership.Name]bool
 	applied  map[uint64]Done // by index: what any voter applied there
 	acted    map[CommandID]uint64
-	reads    map[roster.Name]int // tick of the question of a read that was confirmed
+	reads    map[membership.Name]int // tick of the question of a read that was confirmed
 	asked    map[ReadNo]int
 	readNo   ReadNo
 	crash    float64             // chance between saving and going on
@@ -69,10 +69,10 @@
 }
 
 func newNet(t testing.TB, n int, seed uint64) *net {
-	w := &net{TB: t, PCG: chance.PCG(seed), voters: map[roster.Name]*Machine{}, disks: map[roster.Name]*disk{}, cut: map[roster.Name]bool{},
-		applied: map[uint64]Done{}, acted: map[CommandID]uint64{}, reads: map[roster.Name]int{}, asked: map[ReadNo]int{}}
+	w := &net{TB: t, PCG: random.PCG(seed), voters: map[membership.Name]*Machine{}, disks: map[membership.Name]*disk{}, cut: map[membership.Name]bool{},
+		applied: map[uint64]Done{}, acted: map[CommandID]uint64{}, reads: map[membership.Name]int{}, asked: map[ReadNo]int{}}
 	for i := range n {
-		w.names = append(w.names, roster.Name(fmt.Sprintf("v%d", i)))
+		w.names = append(w.names, membership.Name(fmt.Sprintf("v%d", i)))
 	}
 	for _, name := range w.names {
 		w.lose(name)
@@ -81,13 +81,13 @@
 }
 
 // lose begins a voter with an empty directory, start with what it saved.
-func (w *net) lose(name roster.Name) {
+func (w *net) lose(name membership.Name) {
 	w.lost++
 	w.disks[name] = &disk{Kept{ID: 1000*w.lost + uint64(len(name))}}
 	w.start(name)
 }
 
-func (w *net) start(name roster.Name) {
+func (w *net) start(name membership.Name) {
 	m, err := New(name, w.names, w.disks[name].kept)
 	if err != nil {
 		w.Fatal(err)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (w *net) work(name roster.Name) {
+func (w *net) work(name membership.Name) {
 	m := w.voters[name]
 	for range 100 {
 		s, has := m.Work()
@@ -330,7 +330,7 @@
 
 // A directory that holds what can't be is an error, and ends nobody.
 func TestImpossibleDirectories(t *testing.T) {
-	names := []roster.Name{"a", "b", "c"}
+	names := []membership.Name{"a", "b", "c"}
 	for what, kept := range map[string]Kept{
 		"no number":               {},
 		"a commit beyond the log": {ID: 1, Hard: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(99)}},
@@ -347,7 +347,7 @@
 func TestFounderFails(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newNet(t, 3, seed+1)
-		var founder roster.Name
+		var founder membership.Name
 		w.eventually(100, "one has founded it, and another heard of that", func() bool {
 			n := 0
 			for _, name := range w.names {
--- a/internal/controlplane/fleet/council/founding.go
+++ b/internal/controlplane/fleet/consensus/founding.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"slices"
@@ -8,7 +8,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 // A council is founded once, by all voters of the roster, each with an empty directory. Whoever heard that of all others
@@ -42,7 +42,7 @@
 
 // Introduced takes what another voter says of itself. It tells what to answer, and, where this founds the council or
 // lets us join it, what to save before anything else is done.
-func (m *Machine) Introduced(from roster.Name, in *Intro) (answer *Intro, save Save, err error) {
+func (m *Machine) Introduced(from membership.Name, in *Intro) (answer *Intro, save Save, err error) {
 	if !slices.Contains(m.names, from) || from == m.self || in.ID == 0 || in.ID == m.id {
 		return nil, save, nil
 	}
--- a/internal/controlplane/fleet/council/snapshots.go
+++ b/internal/controlplane/fleet/consensus/snapshots.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"go.etcd.io/raft/v3"
--- a/internal/controlplane/fleet/council/snapshots_test.go
+++ b/internal/controlplane/fleet/consensus/snapshots_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"testing"
--- a/internal/controlplane/fleet/council/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"errors"
@@ -8,9 +8,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
 )
 
 // CommandID names a command, so that one sent twice acts once.
@@ -53,8 +53,8 @@
 
 // Voter is one of the council: a name of the roster, with the number of the directory that it votes by.
 type Voter struct {
-	Name roster.Name `cbor:"1,keyasint"`
-	ID   uint64      `cbor:"2,keyasint"`
+	Name membership.Name `cbor:"1,keyasint"`
+	ID   uint64          `cbor:"2,keyasint"`
 }
 
 // Floor is the sum of all mixers' floors of a quota.
--- a/internal/controlplane/fleet/members/members.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -1,18 +1,18 @@
-// Package members knows which mixers of the roster live, as SWIM does it (Das, Gupta and Motivala, 2002): each period one
+// Package failuredetector knows which mixers of the roster live, as SWIM does it (Das, Gupta and Motivala, 2002): each period one
 // other is asked, straight and then through some others; who does not answer is suspected before it is called dead, and
 // who is suspected may say otherwise by a higher incarnation. Of Lifeguard (Dadgar, Phillips and Currey, 2018) come the
 // doubt in oneself, suspicions that end sooner the more others share them, and telling the suspected one first. Unlike in
 // both, the dead are asked on: the roster is fixed, so a cut that heals is seen without anybody joining.
 //
 // It does no I/O, reads no clock and starts no goroutine.
-package members
+package failuredetector
 
 import (
 	"math"
 	"slices"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 // Status is what is held of another mixer.
@@ -65,13 +65,13 @@
 
 // member lives as long as the machine.
 type member struct {
-	name        roster.Name
+	name        membership.Name
 	status      Status
 	incarnation Incarnation
 	heardAt     float64
-	since       float64              // suspected
-	accuser     roster.Name          // who did so first
-	by          map[roster.Name]bool // who suspects it
+	since       float64                  // suspected
+	accuser     membership.Name          // who did so first
+	by          map[membership.Name]bool // who suspects it
 }
 
 // probe is the one in hand.
@@ -88,9 +88,9 @@
 // errand is a probe for another mixer.
 type errand struct {
 	seq   Seq // our own
-	for_  roster.Name
+	for_  membership.Name
 	their Seq
-	to    roster.Name
+	to    membership.Name
 	nack  float64 // when to say that there is no answer
 	over  float64
 }
@@ -103,12 +103,12 @@
 // Machine is one mixer's view.
 type Machine struct {
 	set     Settings
-	self    roster.Name
+	self    membership.Name
 	own     Incarnation
 	now     float64
-	chance  chance.PCG
+	chance  random.PCG
 	members []*member
-	byName  map[roster.Name]*member
+	byName  map[membership.Name]*member
 	round   []*member // still to be asked in this round
 	probe   probe
 	next    float64 // when the next probe begins
@@ -122,8 +122,8 @@
 }
 
 // New makes a view in which all others live, as nothing else is known.
-func New(set Settings, self roster.Name, own Incarnation, others []roster.Name, seed uint64, now float64) *Machine {
-	m := &Machine{set: set, self: self, own: own, now: now, chance: chance.PCG(seed), byName: map[roster.Name]*member{}, heard: now}
+func New(set Settings, self membership.Name, own Incarnation, others []membership.Name, seed uint64, now float64) *Machine {
+	m := &Machine{set: set, self: self, own: own, now: now, chance: random.PCG(seed), byName: map[membership.Name]*member{}, heard: now}
 	for _, name := range others {
 		x := &member{name: name, status: Alive, heardAt: now}
 		m.members, m.byName[name] = append(m.members, x), x
@@ -144,7 +144,7 @@
 func (m *Machine) Deaf() bool { return len(m.members) > 0 && m.now-m.heard >= m.set.DeafS }
 
 // Status of a mixer; of ourselves Alive, and Dead for none of the roster.
-func (m *Machine) Status(name roster.Name) Status {
+func (m *Machine) Status(name membership.Name) Status {
 	if name == m.self {
 		return Alive
 	}
@@ -155,7 +155,7 @@
 }
 
 // HeardAt is when a mixer last said anything to us.
-func (m *Machine) HeardAt(name roster.Name) float64 {
+func (m *Machine) HeardAt(name membership.Name) float64 {
 	if x := m.byName[name]; x != nil {
 		return x.heardAt
 	}
--- a/internal/controlplane/fleet/members/members_test.go
+++ b/internal/controlplane/fleet/failuredetector/members_test.go
@@ -1,23 +1,23 @@
-package members
+package failuredetector
 
 import (
 	"fmt"
 	"testing"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 // net plays a fleet in virtual time. Whatever happens, what a machine may never do is checked after each step.
 type net struct {
 	testing.TB
-	chance.PCG
-	names    []roster.Name
-	machines map[roster.Name]*Machine
-	next     map[roster.Name]float64
-	dead     map[roster.Name]bool
-	stopped  map[roster.Name]bool
-	cut      func(from, to roster.Name) bool
+	random.PCG
+	names    []membership.Name
+	machines map[membership.Name]*Machine
+	next     map[membership.Name]float64
+	dead     map[membership.Name]bool
+	stopped  map[membership.Name]bool
+	cut      func(from, to membership.Name) bool
 	lossy    float64
 	delay    float64
 	messages []flying
@@ -27,15 +27,15 @@
 
 type flying struct {
 	at       float64
-	from, to roster.Name
+	from, to membership.Name
 	Message
 }
 
 func newNet(t testing.TB, n int, seed uint64) *net {
-	w := &net{TB: t, PCG: chance.PCG(seed), machines: map[roster.Name]*Machine{}, next: map[roster.Name]float64{}, dead: map[roster.Name]bool{},
-		stopped: map[roster.Name]bool{}, cut: func(_, _ roster.Name) bool { return false }}
+	w := &net{TB: t, PCG: random.PCG(seed), machines: map[membership.Name]*Machine{}, next: map[membership.Name]float64{}, dead: map[membership.Name]bool{},
+		stopped: map[membership.Name]bool{}, cut: func(_, _ membership.Name) bool { return false }}
 	for i := range n {
-		w.names = append(w.names, roster.Name(fmt.Sprintf("m%d", i)))
+		w.names = append(w.names, membership.Name(fmt.Sprintf("m%d", i)))
 	}
 	for i := range w.names {
 		w.start(w.names[i], Incarnation(100))
@@ -43,8 +43,8 @@
 	return w
 }
 
-func (w *net) start(name roster.Name, inc Incarnation) {
-	var others []roster.Name
+func (w *net) start(name membership.Name, inc Incarnation) {
+	var others []membership.Name
 	for _, o := range w.names {
 		if o != name {
 			others = append(others, o)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (w *net) collect(from roster.Name) {
+func (w *net) collect(from membership.Name) {
 	out, changes := w.machines[from].Taken()
 	for _, c := range changes {
 		if c.Name == from || c.Was == c.Now {
@@ -98,7 +98,7 @@
 }
 
 // all tells whether everybody that runs holds a status of one.
-func (w *net) all(of roster.Name, is Status) bool {
+func (w *net) all(of membership.Name, is Status) bool {
 	for _, name := range w.names {
 		if name != of && !w.dead[name] && !w.stopped[name] && w.machines[name].Status(of) != is {
 			return false
@@ -173,7 +173,7 @@
 func TestDeaf(t *testing.T) {
 	w := newNet(t, 9, 3)
 	w.until(10)
-	w.cut = func(from, to roster.Name) bool { return from == "m0" || to == "m0" }
+	w.cut = func(from, to membership.Name) bool { return from == "m0" || to == "m0" }
 	took := w.eventually(2, "m0 knows that it hears nothing", w.machines["m0"].Deaf)
 	w.eventually(20, "m0 is dead to the others", func() bool { return w.all("m0", Dead) })
 	for _, name := range w.names[1:] {
@@ -181,12 +181,12 @@
 			t.Errorf("%s is dead to m0, which hears nothing", name)
 		}
 	}
-	w.cut = func(_, _ roster.Name) bool { return false }
+	w.cut = func(_, _ membership.Name) bool { return false }
 	healed := w.eventually(20, "m0 lives to all", func() bool { return w.all("m0", Alive) && !w.machines["m0"].Deaf() })
 	t.Logf("deaf after %.2f s, healed after %.1f s", took, healed)
-	w.cut = func(from, _ roster.Name) bool { return from == "m0" } // it hears, and is not heard
+	w.cut = func(from, _ membership.Name) bool { return from == "m0" } // it hears, and is not heard
 	w.eventually(20, "m0 doubts itself", func() bool { return w.machines["m0"].Doubt() > 2 })
-	w.cut = func(_, _ roster.Name) bool { return false }
+	w.cut = func(_, _ membership.Name) bool { return false }
 	w.eventually(30, "m0 lives to all", func() bool { return w.all("m0", Alive) })
 }
 
--- a/internal/controlplane/fleet/members/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -1,18 +1,18 @@
-package members
+package failuredetector
 
 import (
 	"math"
 	"slices"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 // News is what is passed on of a mixer.
 type News struct {
-	Name        roster.Name `cbor:"1,keyasint"`
-	Status      Status      `cbor:"2,keyasint"`
-	Incarnation Incarnation `cbor:"3,keyasint"`
-	By          roster.Name `cbor:"4,keyasint,omitempty"` // of a suspicion: whose
+	Name        membership.Name `cbor:"1,keyasint"`
+	Status      Status          `cbor:"2,keyasint"`
+	Incarnation Incarnation     `cbor:"3,keyasint"`
+	By          membership.Name `cbor:"4,keyasint,omitempty"` // of a suspicion: whose
 }
 
 // What says what a message is.
@@ -20,22 +20,22 @@
 
 // Message is what members say to each other.
 type Message struct {
-	What        What        `cbor:"1,keyasint"`
-	Seq         Seq         `cbor:"2,keyasint"`
-	Incarnation Incarnation `cbor:"3,keyasint"` // the sender's own
-	Target      roster.Name `cbor:"4,keyasint,omitempty"`
-	News        []News      `cbor:"5,keyasint,omitempty"`
+	What        What            `cbor:"1,keyasint"`
+	Seq         Seq             `cbor:"2,keyasint"`
+	Incarnation Incarnation     `cbor:"3,keyasint"` // the sender's own
+	Target      membership.Name `cbor:"4,keyasint,omitempty"`
+	News        []News          `cbor:"5,keyasint,omitempty"`
 }
 
 // Send is a message on its way out.
 type Send struct {
-	To roster.Name
+	To membership.Name
 	Message
 }
 
 // Change is what became of another mixer, to be counted and logged.
 type Change struct {
-	Name     roster.Name
+	Name     membership.Name
 	Was, Now Status
 }
 
@@ -47,7 +47,7 @@
 }
 
 // Heard notes a word of any kind: whoever speaks lives, though a suspicion is only ended by its own denial.
-func (m *Machine) Heard(now float64, from roster.Name) {
+func (m *Machine) Heard(now float64, from membership.Name) {
 	m.now = now
 	if x := m.byName[from]; x != nil {
 		x.heardAt, m.heard = now, now
@@ -55,7 +55,7 @@
 }
 
 // Hear takes a message.
-func (m *Machine) Hear(now float64, from roster.Name, msg *Message) {
+func (m *Machine) Hear(now float64, from membership.Name, msg *Message) {
 	x := m.byName[from]
 	if x == nil {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-func (m *Machine) send(to roster.Name, msg Message) {
+func (m *Machine) send(to membership.Name, msg Message) {
 	msg.Incarnation = m.own
 	if x := m.byName[to]; x != nil && x.status != Alive { // it first: so it can deny it
 		msg.News = append(msg.News, News{x.name, x.status, x.incarnation, m.self})
--- a/internal/controlplane/fleet/members/states.go
+++ b/internal/controlplane/fleet/failuredetector/states.go
@@ -1,10 +1,10 @@
-package members
+package failuredetector
 
 import (
 	"math"
 	"slices"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 // input is what may happen to a member's status.
@@ -44,14 +44,14 @@
 func (m *Machine) revive(x *member) { x.by = nil; m.tell(x, "") }
 
 func (m *Machine) suspect(x *member) {
-	x.since, x.by = m.now, map[roster.Name]bool{}
+	x.since, x.by = m.now, map[membership.Name]bool{}
 	m.tell(x, x.accuser)
 }
 
 func (m *Machine) bury(x *member) { x.by = nil; m.tell(x, "") }
 
 // tell passes on what is held of a member.
-func (m *Machine) tell(x *member, by roster.Name) {
+func (m *Machine) tell(x *member, by membership.Name) {
 	m.pass(News{x.name, x.status, x.incarnation, by})
 }
 
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -13,18 +13,18 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/link"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/members"
+	"puffinlink.example/puffinlink/internal/aggregatorstore"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/failuredetector"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/shared"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/sockets"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/udptransport"
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/eventqueue"
-	"puffinlink.example/puffinlink/internal/store"
 )
 
 const (
@@ -54,13 +54,13 @@
 type out struct {
 	no uint64
 	at float64
-	to roster.Name
+	to membership.Name
 }
 
 // Fleet is the actor.
 type Fleet struct {
 	set   Settings
-	tell  *eventqueue.Queue[mixer.Event]
+	tell  *eventqueue.Queue[aggregator.Event]
 	log   *zap.Logger
 	count *counters.Set
 	in    *eventqueue.Queue[note]
@@ -71,49 +71,49 @@
 	view atomic.Pointer[view]
 	sure atomic.Uint64 // until when contracts are sure, as bits of a float
 	// What the module's actor alone uses.
-	observed *shared.Observed
+	observed *outlier.Observed
 	cutAt    float64
 
 	// What follows belongs to the goroutine of control state.
 	now        float64
-	others     []roster.Name
+	others     []membership.Name
 	strictHash uint64
-	sockets    *sockets.Sockets
-	store      *store.Log
-	stored     store.LogContents
-	sealer     *link.Sealer
-	members    *members.Machine
-	council    *council.Machine // nil where this one does not vote
-	saving     bool             // the council's work waits for the disk
-	failed     bool             // the directory took nothing: no vote any more
+	sockets    *udptransport.Sockets
+	store      *aggregatorstore.Log
+	stored     aggregatorstore.LogContents
+	sealer     *sealedmessage.Sealer
+	members    *failuredetector.Machine
+	council    *consensus.Machine // nil where this one does not vote
+	saving     bool               // the council's work waits for the disk
+	failed     bool               // the directory took nothing: no vote any more
 	holder     *quota.Holder
 	granter    *quota.Granter
 	spread     *residency.Spread
-	store_     *shared.Store
+	store_     *outlier.Store
 	lease      *residency.Lease
 	table      *residency.Table
 	quotas     map[quota.Tenant]quota.Quota
 	has        versions
 	holds      residency.Version
-	leader     roster.Name // who is asked
+	leader     membership.Name // who is asked
 	answeredAt float64
 	asked      []out
 	askNo      uint64
-	reads      map[council.ReadNo]float64
-	readNo     council.ReadNo
+	reads      map[consensus.ReadNo]float64
+	readNo     consensus.ReadNo
 	sureTo     float64 // until when we lead for sure
 	granted    bool    // we began to grant
 	term       uint64
 	nonce      uint64
-	heard      bool                                  // the council was heard, in this process or before
-	quotaOf    map[roster.Name]council.QuotasVersion // whose floors they go by
-	floorsAt   council.QuotasVersion                 // the same of us
-	quiet      float64                               // until when one that led before may hand out older tables
-	unlike     map[roster.Name]bool                  // their file refuses other tenants where contracts are not sure
-	version    shared.Version
-	judged     map[shared.Searcher]float64
-	holders    shared.Holders
-	trouble    map[roster.Name]float64 // when a mixer was last told of its incarnation
+	heard      bool                                        // the council was heard, in this process or before
+	quotaOf    map[membership.Name]consensus.QuotasVersion // whose floors they go by
+	floorsAt   consensus.QuotasVersion                     // the same of us
+	quiet      float64                                     // until when one that led before may hand out older tables
+	unlike     map[membership.Name]bool                    // their file refuses other tenants where contracts are not sure
+	version    outlier.Version
+	judged     map[outlier.Searcher]float64
+	holders    outlier.Holders
+	trouble    map[membership.Name]float64 // when a mixer was last told of its incarnation
 	waiting    []*command
 	deaf       bool
 	opening    string // why it is not open yet, as logged
@@ -127,19 +127,19 @@
 
 // New makes the actor. Until its directory and address are open, and another process may hold both, it knows no contract
 // for sure and has neither tokens nor floors.
-func New(set Settings, tell *eventqueue.Queue[mixer.Event], log *zap.Logger, count *counters.Set) (*Fleet, error) {
+func New(set Settings, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) (*Fleet, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	f := &Fleet{set: set, tell: tell, log: log, count: count, in: eventqueue.New[note](), start: now, unix: float64(now.UnixNano()) / 1e9,
-		observed: shared.NewObserved(), others: set.Roster.Others(set.Self), granter: quota.NewGranter(set.Lease * tokenShare),
-		lease: residency.NewLease(set.Lease*contractShare, set.Longest), reads: map[council.ReadNo]float64{}, trouble: map[roster.Name]float64{},
-		judged: map[shared.Searcher]float64{}, quotaOf: map[roster.Name]council.QuotasVersion{}, unlike: map[roster.Name]bool{}, strictHash: set.strictHash(),
+		observed: outlier.NewObserved(), others: set.Roster.Others(set.Self), granter: quota.NewGranter(set.Lease * tokenShare),
+		lease: residency.NewLease(set.Lease*contractShare, set.Longest), reads: map[consensus.ReadNo]float64{}, trouble: map[membership.Name]float64{},
+		judged: map[outlier.Searcher]float64{}, quotaOf: map[membership.Name]consensus.QuotasVersion{}, unlike: map[membership.Name]bool{}, strictHash: set.strictHash(),
 		released: make(chan struct{}), stopping: make(chan struct{}), stopped: make(chan struct{})}
 	f.now = f.Now()
 	f.holder = quota.NewHolder(set.Lease*tokenShare, len(set.Roster.Members))
-	var names []roster.Name
+	var names []membership.Name
 	for _, m := range set.Roster.Members {
 		names = append(names, m.Name)
 	}
@@ -175,16 +175,16 @@
 
 func (f *Fleet) tryOpen() (err error) {
 	if f.set.Directory != "" && f.store == nil {
-		if f.store, f.stored, err = store.OpenLog(f.set.Directory, 0, f.log); err != nil {
+		if f.store, f.stored, err = aggregatorstore.OpenLog(f.set.Directory, 0, f.log); err != nil {
 			return err
 		}
 	}
 	if f.sockets == nil {
-		addresses := map[roster.Name]string{}
+		addresses := map[membership.Name]string{}
 		for _, name := range f.others {
 			addresses[name] = f.set.Roster.Find(name).Address
 		}
-		if f.sockets, err = sockets.Listen(f.set.Roster.Find(f.set.Self).Address, addresses, f.count); err != nil {
+		if f.sockets, err = udptransport.Listen(f.set.Roster.Find(f.set.Self).Address, addresses, f.count); err != nil {
 			return err
 		}
 	}
@@ -193,16 +193,16 @@
 
 // begin makes the machines from what was kept.
 func (f *Fleet) begin() (err error) {
-	incarnation := link.Incarnation(f.unix * 1e9)
+	incarnation := sealedmessage.Incarnation(f.unix * 1e9)
 	kept := f.readTables()
 	incarnation = max(incarnation, kept.Incarnation+1)
-	lim := link.Limits{BytesPerS: mostBytes, Burst: 2 * link.MostLong}
-	if f.sealer, err = link.New(f.set.Self, incarnation, f.set.Key, f.others, lim); err != nil {
+	lim := sealedmessage.Limits{BytesPerS: mostBytes, Burst: 2 * sealedmessage.MostLong}
+	if f.sealer, err = sealedmessage.New(f.set.Self, incarnation, f.set.Key, f.others, lim); err != nil {
 		return err
 	}
-	f.members = members.New(members.Defaults(), f.set.Self, members.Incarnation(incarnation), f.others, f.set.Seed, f.now)
-	f.store_ = shared.NewStore(f.set.Self, f.others, f.set.Seed^0x5bd1e995)
-	f.version = shared.Version(incarnation)
+	f.members = failuredetector.New(failuredetector.Defaults(), f.set.Self, failuredetector.Incarnation(incarnation), f.others, f.set.Seed, f.now)
+	f.store_ = outlier.NewStore(f.set.Self, f.others, f.set.Seed^0x5bd1e995)
+	f.version = outlier.Version(incarnation)
 	if kept.Table != nil {
 		f.table, f.has.Contracts = kept.Table, kept.Table.Version
 	}
@@ -214,7 +214,7 @@
 			f.mute(err)
 		}
 	}
-	f.stored = store.LogContents{ID: f.stored.ID}
+	f.stored = aggregatorstore.LogContents{ID: f.stored.ID}
 	f.publish()
 	f.rezone()
 	return nil
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -7,18 +7,18 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/link"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
 func good() Settings {
 	return Settings{Self: "a", Location: "north", Lease: 8, Longest: 2, Directory: "/nowhere",
-		Roster: roster.Roster{Version: 1, Members: []roster.Member{{Name: "a", Address: "127.0.0.1:1", Location: "north", Votes: true},
+		Roster: membership.Roster{Version: 1, Members: []membership.Member{{Name: "a", Address: "127.0.0.1:1", Location: "north", Votes: true},
 			{Name: "b", Address: "127.0.0.1:2", Location: "south", Votes: true}, {Name: "c", Address: "127.0.0.1:3", Location: "north", Votes: true}}},
 		Site:  residency.Site{Zones: []string{"north", "south"}, Indexes: []string{"reads"}, Tenants: []string{"acme"}},
 		Lines: map[string]int{LineFleet: 2, LineStrict: 9, ContractLine("x"): 11, QuotaLine("x"): 17}}
@@ -70,7 +70,7 @@
 	if change != nil {
 		change(&s)
 	}
-	f, err := New(s, eventqueue.New[mixer.Event](), zap.NewNop(), counters.New())
+	f, err := New(s, eventqueue.New[aggregator.Event](), zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 		done := make(chan struct{})
 		fl.in.Put(note{kind: asked, ask: func() {
 			defer close(done)
-			if handle := handlers[link.Kind(kind)]; handle != nil {
+			if handle := handlers[sealedmessage.Kind(kind)]; handle != nil {
 				handle(fl, "b", body)
 			}
 		}})
--- a/internal/controlplane/fleet/gate.go
+++ b/internal/controlplane/fleet/gate.go
@@ -6,19 +6,19 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/shared"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // view is what traffic goes by. It never changes; another takes its place.
 type view struct {
 	rules   *residency.Rules
-	strict  map[logic.CustomerID]bool
+	strict  map[policy.CustomerID]bool
 	all     bool // every tenant is strict
-	buckets map[logic.CustomerID]*quota.Bucket
+	buckets map[policy.CustomerID]*quota.Bucket
 }
 
 // stoodStill is how long a process may take from reading the clock to having spent a token. Beyond it the token may have
@@ -33,14 +33,14 @@
 )
 
 // Admit says whether a lookup may be taken. It never waits: it reads a view and spends from a counter.
-func (f *Fleet) Admit(customer logic.CustomerID, index logic.IndexID) (out mixer.Verdict) {
+func (f *Fleet) Admit(customer policy.CustomerID, index policy.IndexID) (out aggregator.Verdict) {
 	v, now := f.view.Load(), f.Now()
 	if sure := math.Float64frombits(f.sure.Load()); now >= sure && (v.all || v.strict[customer]) {
-		return mixer.Verdict{Refused: refusedUnsure, Wait: askEvery, Text: "which zones the contract allows is not sure here at the moment"}
+		return aggregator.Verdict{Refused: refusedUnsure, Wait: askEvery, Text: "which zones the contract allows is not sure here at the moment"}
 	}
 	rule := v.rules.Of(customer, index)
 	if !rule.Here {
-		return mixer.Verdict{Refused: refusedElsewhere, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", f.set.Location)}
+		return aggregator.Verdict{Refused: refusedElsewhere, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", f.set.Location)}
 	}
 	if out.Zones = rule.Zones; rule.Zones != nil {
 		out.Most = f.set.Longest
@@ -49,20 +49,20 @@
 		taken := p.Spend(now)
 		failpoint.Pass(failpoint.Spend)
 		if !taken || f.Now()-now > stoodStill {
-			return mixer.Verdict{Refused: refusedQuota, Wait: min(1, p.Wait(now)), Text: "the tenant's quota is used up"}
+			return aggregator.Verdict{Refused: refusedQuota, Wait: min(1, p.Wait(now)), Text: "the tenant's quota is used up"}
 		}
 	}
 	return out
 }
 
 // Called counts what a part call says of its searcher.
-func (f *Fleet) Called(at time.Time, searcher string, how logic.Outcome, elapsed float64) {
+func (f *Fleet) Called(at time.Time, searcher string, how policy.Outcome, elapsed float64) {
 	now := f.seconds(at)
 	switch how {
-	case logic.TurnedAway, logic.NotSent: // a full queue is its own word on itself, and no fault
+	case policy.TurnedAway, policy.NotSent: // a full queue is its own word on itself, and no fault
 		return
 	}
-	f.observed.Ended(now, shared.Searcher(searcher), ends[how], elapsed)
+	f.observed.Ended(now, outlier.Searcher(searcher), ends[how], elapsed)
 	if now-f.cutAt >= reportEvery {
 		f.cutAt = now
 		f.in.Put(note{kind: sawCalls, seen: f.observed.Cut(now)})
@@ -70,12 +70,12 @@
 }
 
 // ends says what an end of a part call is for what is observed.
-var ends = [...]shared.End{logic.Answered: shared.Answered, logic.Errored: shared.Failed, logic.TurnedAway: shared.GivenUp,
-	logic.TimedOut: shared.Failed, logic.NotConnected: shared.Failed, logic.Broken: shared.Failed, logic.Withdrawn: shared.GivenUp,
-	logic.NotSent: shared.GivenUp}
+var ends = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.TurnedAway: outlier.GivenUp,
+	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Withdrawn: outlier.GivenUp,
+	policy.NotSent: outlier.GivenUp}
 
 // Listed hears which searchers there are.
-func (f *Fleet) Listed(places []mixer.Place) { f.in.Put(note{kind: listed, places: places}) }
+func (f *Fleet) Listed(places []aggregator.Place) { f.in.Put(note{kind: listed, places: places}) }
 
 // held is what the module's actor calls once rules hold there; it is handed out with them.
 func (f *Fleet) held(v residency.Version) func() {
--- a/internal/controlplane/fleet/judgements.go
+++ b/internal/controlplane/fleet/judgements.go
@@ -4,31 +4,31 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/members"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/shared"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/failuredetector"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // saw takes what this mixer saw itself.
-func (f *Fleet) saw(seen []shared.Seen) {
+func (f *Fleet) saw(seen []outlier.Seen) {
 	if f.members == nil {
 		return
 	}
 	f.version++
-	r := shared.Make(f.set.Self, f.version, seen)
+	r := outlier.Make(f.set.Self, f.version, seen)
 	f.store_.Hear(f.now, &r)
 }
 
-func (f *Fleet) reported(_ roster.Name, r *reports) {
+func (f *Fleet) reported(_ membership.Name, r *reports) {
 	for i := range r.List {
 		f.store_.Hear(f.now, &r.List[i])
 	}
 }
 
 func (f *Fleet) pass() {
-	alive := func(name roster.Name) bool { return f.members.Status(name) != members.Dead }
+	alive := func(name membership.Name) bool { return f.members.Status(name) != failuredetector.Dead }
 	to, list := f.store_.Pass(f.now, alive, mostReports)
 	if len(list) == 0 {
 		return
@@ -43,11 +43,11 @@
 
 // judge hands the module what others found. A mixer that hears nothing decides as if it were alone.
 func (f *Fleet) judge() {
-	var list []shared.Judgement
+	var list []outlier.Judgement
 	if !f.members.Deaf() && !failpoint.Pass(failpoint.JudgeSearchers).Drop {
 		list = f.store_.Judge(f.now, f.holders)
 	}
-	var tell []mixer.Judged
+	var tell []aggregator.Judged
 	for _, j := range list {
 		if _, before := f.judged[j.Searcher]; !before {
 			f.count.Add("fleet", "judged", 1)
@@ -57,26 +57,26 @@
 				zap.Any("witnesses", j.Witnesses))
 		}
 		f.judged[j.Searcher] = f.now
-		tell = append(tell, mixer.Judged{Searcher: string(j.Searcher), Times: j.Times, For: shared.HeldFor})
+		tell = append(tell, aggregator.Judged{Searcher: string(j.Searcher), Times: j.Times, For: outlier.HeldFor})
 	}
 	for name, at := range f.judged {
-		if f.now-at > shared.HeldFor {
+		if f.now-at > outlier.HeldFor {
 			delete(f.judged, name)
 		}
 	}
 	if len(tell) > 0 {
-		f.tell.Put(mixer.Event{Event: logic.Event{Kind: logic.OverridesChanged}, Judged: tell})
+		f.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Judged: tell})
 	}
 }
 
 // list works out who holds which shards, by the cells.
-func (f *Fleet) list(places []mixer.Place) {
+func (f *Fleet) list(places []aggregator.Place) {
 	cells, width := max(1, f.set.Layout.Cells), max(1, f.set.Layout.Width)
-	f.holders = make(shared.Holders, cells)
+	f.holders = make(outlier.Holders, cells)
 	for _, p := range places {
 		for j := range width {
 			c := ((int(p.Cell)-j)%cells + cells) % cells
-			f.holders[c] = append(f.holders[c], shared.Searcher(p.Name))
+			f.holders[c] = append(f.holders[c], outlier.Searcher(p.Name))
 		}
 	}
 }
--- a/internal/controlplane/fleet/roster/roster.go
+++ b/internal/controlplane/fleet/membership/membership.go
@@ -1,6 +1,6 @@
-// Package roster says which mixers make a fleet: names, addresses, locations, and who votes. It does no I/O and decides
+// Package membership says which mixers make a fleet: names, addresses, locations, and who votes. It does no I/O and decides
 // nothing but whether a roster can be one.
-package roster
+package membership
 
 import (
 	"fmt"
--- a/internal/controlplane/fleet/shared/shared.go
+++ b/internal/controlplane/fleet/outlier/outlier.go
@@ -1,10 +1,10 @@
-// Package shared is what mixers tell each other of searchers, and what may be made of it. Each tells of what it saw
+// Package outlier is what mixers tell each other of searchers, and what may be made of it. Each tells of what it saw
 // itself, by origin and version, so that it may come late, twice and in any order; what it was told it only passes on.
 // It does no I/O, reads no clock and starts no goroutine.
 //
 // A judgement needs several witnesses, none of whom finds fault with nearly everybody, ends by itself, and leaves each
 // shard most of its holders. It only ever stands in for evidence that a mixer lacks: logic says where it counts.
-package shared
+package outlier
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"math"
 	"slices"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 // Searcher is one by its name in the list; Version counts the reports of one origin, across its incarnations.
@@ -32,20 +32,20 @@
 
 // Report is what one mixer saw of all. Age is how old it was when it was sent on, so that no two clocks are compared.
 type Report struct {
-	Origin  roster.Name `cbor:"1,keyasint"`
-	Version Version     `cbor:"2,keyasint"`
-	Age     float64     `cbor:"3,keyasint"`
-	Usual   float64     `cbor:"4,keyasint"` // median over searchers of Latency
-	Of      int         `cbor:"5,keyasint"` // searchers of which it saw enough
-	Bad     int         `cbor:"6,keyasint"` // of them, that it finds fault with
-	Seen    []Seen      `cbor:"7,keyasint"` // the worst first, then those called most
+	Origin  membership.Name `cbor:"1,keyasint"`
+	Version Version         `cbor:"2,keyasint"`
+	Age     float64         `cbor:"3,keyasint"`
+	Usual   float64         `cbor:"4,keyasint"` // median over searchers of Latency
+	Of      int             `cbor:"5,keyasint"` // searchers of which it saw enough
+	Bad     int             `cbor:"6,keyasint"` // of them, that it finds fault with
+	Seen    []Seen          `cbor:"7,keyasint"` // the worst first, then those called most
 }
 
 // Judgement is what is made of a searcher.
 type Judgement struct {
-	Searcher  Searcher      `json:"searcher"`
-	Times     float64       `json:"times"` // of the usual latency
-	Witnesses []roster.Name `json:"witnesses"`
+	Searcher  Searcher          `json:"searcher"`
+	Times     float64           `json:"times"` // of the usual latency
+	Witnesses []membership.Name `json:"witnesses"`
 }
 
 const (
@@ -135,7 +135,7 @@
 }
 
 // Make makes a report of what was seen.
-func Make(origin roster.Name, version Version, seen []Seen) Report {
+func Make(origin membership.Name, version Version, seen []Seen) Report {
 	r := Report{Origin: origin, Version: version}
 	var latencies []float64
 	for i := range seen {
@@ -178,15 +178,15 @@
 
 // Store keeps the newest report of each mixer.
 type Store struct {
-	self    roster.Name
-	reports map[roster.Name]*kept
-	others  []roster.Name
-	chance  chance.PCG
+	self    membership.Name
+	reports map[membership.Name]*kept
+	others  []membership.Name
+	chance  random.PCG
 }
 
 // NewStore makes one for a mixer among others.
-func NewStore(self roster.Name, others []roster.Name, seed uint64) *Store {
-	return &Store{self: self, others: others, reports: map[roster.Name]*kept{}, chance: chance.PCG(seed)}
+func NewStore(self membership.Name, others []membership.Name, seed uint64) *Store {
+	return &Store{self: self, others: others, reports: map[membership.Name]*kept{}, chance: random.PCG(seed)}
 }
 
 // Hear takes a report, ours or another's; what is old, of nobody or malformed changes nothing. The version of an origin
@@ -215,7 +215,7 @@
 
 // Pass is what to tell whom now: a report that is new goes to a few others at a time, those first that find fault with
 // somebody, and no more than so many at a time: what a mixer sends is level, whatever the fleet's size.
-func (s *Store) Pass(now float64, alive func(roster.Name) bool, most int) (to []roster.Name, list []Report) {
+func (s *Store) Pass(now float64, alive func(membership.Name) bool, most int) (to []membership.Name, list []Report) {
 	var due []*kept
 	for name, k := range s.reports {
 		if now-k.made >= ageMost {
@@ -255,7 +255,7 @@
 // most of a shard's holders judged, the worst of them are.
 func (s *Store) Judge(now float64, holders Holders) (list []Judgement) {
 	type found struct {
-		bad, fine []roster.Name
+		bad, fine []membership.Name
 		times     []float64
 	}
 	all := map[Searcher]*found{}
@@ -322,13 +322,13 @@
 
 // Heard is what a mixer told last, in short.
 type Heard struct {
-	Origin roster.Name `json:"mixer"`
-	Ago    float64     `json:"s_ago"`
-	Of     int         `json:"of"`
-	Usual  float64     `json:"usual_s"`
-	Worst  Seen        `json:"worst"`
-	Sick   bool        `json:"sick,omitempty"` // it finds fault with so many that it counts for nothing
-	Bad    []Searcher  `json:"bad,omitempty"`
+	Origin membership.Name `json:"mixer"`
+	Ago    float64         `json:"s_ago"`
+	Of     int             `json:"of"`
+	Usual  float64         `json:"usual_s"`
+	Worst  Seen            `json:"worst"`
+	Sick   bool            `json:"sick,omitempty"` // it finds fault with so many that it counts for nothing
+	Bad    []Searcher      `json:"bad,omitempty"`
 }
 
 // Heard lists what is known of each mixer's reports.
--- a/internal/controlplane/fleet/shared/shared_test.go
+++ b/internal/controlplane/fleet/outlier/shared_test.go
@@ -1,16 +1,16 @@
-package shared
+package outlier
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 var (
-	names   = []roster.Name{"a", "b", "c", "d", "e"}
+	names   = []membership.Name{"a", "b", "c", "d", "e"}
 	holders = Holders{{"s0", "s1"}, {"s1", "s2"}, {"s2", "s3"}, {"s3", "s0"}}
 )
 
@@ -58,7 +58,7 @@
 	if list := store(one, two, fine, Make("e", 1, seen())).Judge(100, holders); len(list) != 1 {
 		t.Errorf("two of four: %+v", list)
 	}
-	failing := func(origin roster.Name) Report {
+	failing := func(origin membership.Name) Report {
 		list := seen()
 		list[2].Failed, list[2].Latency = 9, 0.001
 		return Make(origin, 1, list)
@@ -71,11 +71,11 @@
 // A mixer that calls most searchers bad is sick itself and counts for nothing, and with many sick ones each shard keeps
 // half of its holders; what is old counts no more.
 func TestJudgementsAreBounded(t *testing.T) {
-	sick := func(origin roster.Name) Report { return Make(origin, 1, seen("s1", "s2")) }
+	sick := func(origin membership.Name) Report { return Make(origin, 1, seen("s1", "s2")) }
 	if list := store(sick("b"), sick("c"), sick("d")).Judge(100, holders); len(list) > 0 {
 		t.Errorf("judged by sick ones: %+v", list)
 	}
-	g := chance.PCG(5)
+	g := random.PCG(5)
 	for range 2000 {
 		var reports []Report
 		for _, origin := range names[1:] {
@@ -114,7 +114,7 @@
 
 // Reports may come late, twice, in any order and over others: all who hear of them end with the same.
 func TestReportsComeInAnyOrder(t *testing.T) {
-	g := chance.PCG(9)
+	g := random.PCG(9)
 	for range 300 {
 		var messages []Report
 		for _, origin := range names[1:] {
@@ -145,25 +145,25 @@
 
 // A report reaches all of a hundred mixers, over others, in a few rounds.
 func TestReportsSpread(t *testing.T) {
-	var all []roster.Name
+	var all []membership.Name
 	for i := range 100 {
-		all = append(all, roster.Name(fmt.Sprint("m", i)))
+		all = append(all, membership.Name(fmt.Sprint("m", i)))
 	}
-	stores, where := map[roster.Name]*Store{}, map[roster.Name]int{}
+	stores, where := map[membership.Name]*Store{}, map[membership.Name]int{}
 	for i, name := range all {
-		stores[name] = NewStore(name, slices.DeleteFunc(slices.Clone(all), func(o roster.Name) bool { return o == name }), uint64(i))
+		stores[name] = NewStore(name, slices.DeleteFunc(slices.Clone(all), func(o membership.Name) bool { return o == name }), uint64(i))
 	}
 	r := Make("m0", 1, seen("s1"))
 	stores["m0"].Hear(0, &r)
 	where["m0"] = 1
 	for round := 1; round <= 20; round++ {
 		type message struct {
-			to   roster.Name
+			to   membership.Name
 			list []Report
 		}
 		var messages []message
 		for _, name := range all {
-			to, list := stores[name].Pass(float64(round)/4, func(roster.Name) bool { return true }, 2)
+			to, list := stores[name].Pass(float64(round)/4, func(membership.Name) bool { return true }, 2)
 			for _, o := range to {
 				messages = append(messages, message{o, list})
 			}
--- a/internal/controlplane/fleet/quota/quota.go
+++ b/internal/controlplane/fleet/quota/quota.go
@@ -14,7 +14,7 @@
 	"math"
 	"slices"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 // Tenant is one by its name; GrantNo names a grant of one granter to one mixer.
@@ -89,7 +89,7 @@
 	quota  Quota
 	level  float64
 	at     float64
-	askers map[roster.Name]*asker
+	askers map[membership.Name]*asker
 }
 
 // Ask is what a mixer says of one tenant.
@@ -188,14 +188,14 @@
 
 // Take answers what a mixer asks of a tenant at a time; false where this mixer may not grant. What is told of
 // grants counts either way.
-func (g *Granter) Take(now float64, from roster.Name, ask *Ask, quota Quota, floors Floors) (Grant, bool) {
+func (g *Granter) Take(now float64, from membership.Name, ask *Ask, quota Quota, floors Floors) (Grant, bool) {
 	out := Grant{Tenant: ask.Tenant}
 	if !g.May(now) {
 		return out, false
 	}
 	b := g.buckets[ask.Tenant]
 	if b == nil {
-		b = &bucket{at: g.filling, askers: map[roster.Name]*asker{}}
+		b = &bucket{at: g.filling, askers: map[membership.Name]*asker{}}
 		g.buckets[ask.Tenant] = b
 	}
 	b.quota = quota
--- a/internal/controlplane/fleet/quota/quota_test.go
+++ b/internal/controlplane/fleet/quota/quota_test.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"testing"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/raceflag"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 // broken is a copy of the rules with one left out, which the judge has to find.
@@ -41,7 +41,7 @@
 	no        uint64
 	asked     map[uint64]float64
 	next      float64
-	name      roster.Name
+	name      membership.Name
 	sees      int     // whom it asks
 	weight    float64 // share of lookups
 	weightDue float64
@@ -51,7 +51,7 @@
 // stand still, restart and hear nothing, clocks that differ by a hundredth, and granters that change while the one before
 // still believes to be it. The judge is a bucket by true time: what it overflows by is a breach in some window.
 type sim struct {
-	chance.PCG
+	random.PCG
 	quota    Quota
 	lease    float64
 	broken   broken
@@ -73,9 +73,9 @@
 )
 
 func newSim(seed uint64, q Quota, b broken) *sim {
-	s := &sim{PCG: chance.PCG(seed), quota: q, lease: 3, broken: b, cut: map[int]float64{}, epoch: 1}
+	s := &sim{PCG: random.PCG(seed), quota: q, lease: 3, broken: b, cut: map[int]float64{}, epoch: 1}
 	for i := range 3 + int(s.Unit()*5) {
-		s.mixers = append(s.mixers, &simMixer{rate: 1 + ClockSlack/2*(2*s.Unit()-1), name: roster.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease),
+		s.mixers = append(s.mixers, &simMixer{rate: 1 + ClockSlack/2*(2*s.Unit()-1), name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease),
 			weight: s.Unit() * s.Unit()})
 	}
 	for _, m := range s.mixers {
@@ -302,7 +302,7 @@
 func calm(q Quota, weights ...float64) *sim {
 	s := &sim{calm: true, PCG: 7, quota: q, lease: 3, cut: map[int]float64{}, epoch: 1}
 	for i, w := range weights {
-		m := &simMixer{rate: 1, name: roster.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease), weight: w}
+		m := &simMixer{rate: 1, name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease), weight: w}
 		s.mixers = append(s.mixers, m)
 	}
 	for _, m := range s.mixers {
--- a/internal/controlplane/fleet/receive.go
+++ b/internal/controlplane/fleet/receive.go
@@ -4,9 +4,9 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/link"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/members"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/failuredetector"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
 // receive opens one and hands it on.
@@ -15,9 +15,9 @@
 		return
 	}
 	l, why := f.sealer.Open(f.now, sealed)
-	if why != link.Good {
+	if why != sealedmessage.Good {
 		f.count.Add("fleet_dropped", why.String(), 1)
-		if why == link.Old && f.now-f.trouble[l.From] >= 1 {
+		if why == sealedmessage.Old && f.now-f.trouble[l.From] >= 1 {
 			f.trouble[l.From] = f.now
 			f.send(l.From, messageNewer, newer{f.sealer.Known(l.From)})
 		}
@@ -36,8 +36,8 @@
 }
 
 // handled reads a body before it is handed on.
-func handled[T any](do func(*Fleet, roster.Name, *T)) func(*Fleet, roster.Name, []byte) error {
-	return func(f *Fleet, from roster.Name, body []byte) error {
+func handled[T any](do func(*Fleet, membership.Name, *T)) func(*Fleet, membership.Name, []byte) error {
+	return func(f *Fleet, from membership.Name, body []byte) error {
 		v, err := unpacked[T](body)
 		if err == nil {
 			do(f, from, &v)
@@ -46,15 +46,15 @@
 	}
 }
 
-var handlers map[link.Kind]func(*Fleet, roster.Name, []byte) error
+var handlers map[sealedmessage.Kind]func(*Fleet, membership.Name, []byte) error
 
 func init() {
-	handlers = map[link.Kind]func(*Fleet, roster.Name, []byte) error{
-		messageMembers: handled(func(f *Fleet, from roster.Name, m *members.Message) {
+	handlers = map[sealedmessage.Kind]func(*Fleet, membership.Name, []byte) error{
+		messageMembers: handled(func(f *Fleet, from membership.Name, m *failuredetector.Message) {
 			f.members.Hear(f.now, from, m)
 			f.sendMembers()
 		}),
-		messageCouncil: func(f *Fleet, from roster.Name, body []byte) error {
+		messageCouncil: func(f *Fleet, from membership.Name, body []byte) error {
 			if f.council == nil || f.failed {
 				return nil
 			}
@@ -68,7 +68,7 @@
 		messageReports: handled((*Fleet).reported),
 		messageCommand: handled((*Fleet).handed),
 		messageResult:  handled((*Fleet).handedBack),
-		messageNewer: handled(func(f *Fleet, from roster.Name, n *newer) {
+		messageNewer: handled(func(f *Fleet, from membership.Name, n *newer) {
 			f.log.Error("fleet: another process spoke under this name, or the clock went back", zap.String("from", string(from)))
 			f.sealer.Rise(n.Known)
 			f.saveTables()
@@ -76,9 +76,11 @@
 	}
 }
 
-func (f *Fleet) send(to roster.Name, kind link.Kind, v any) { f.sendBody(to, kind, packed(v)) }
+func (f *Fleet) send(to membership.Name, kind sealedmessage.Kind, v any) {
+	f.sendBody(to, kind, packed(v))
+}
 
-func (f *Fleet) sendBody(to roster.Name, kind link.Kind, body []byte) {
+func (f *Fleet) sendBody(to membership.Name, kind sealedmessage.Kind, body []byte) {
 	if f.sockets != nil {
 		f.sockets.Send(to, f.sealer.Seal(to, kind, body))
 	}
--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -8,9 +8,9 @@
 	"maps"
 	"slices"
 
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Tenant is one by its name, as quotas have it.
@@ -74,7 +74,7 @@
 
 // Rule is what holds for the lookups of one tenant and index.
 type Rule struct {
-	Zones *logic.Zones // nil where no contract speaks of them
+	Zones *policy.Zones // nil where no contract speaks of them
 	// Here tells whether this mixer may take them at all.
 	Here bool
 }
@@ -82,22 +82,22 @@
 // Rules is a table made ready for lookups: a rule by customer and index.
 type Rules struct {
 	Table *Table
-	rules map[logic.CustomerID][]Rule
+	rules map[policy.CustomerID][]Rule
 }
 
 // Compile makes the rules of a mixer that stands in a zone. Zones that the settings do not know stand in no mask, so that
 // a searcher of such a zone, or of none, is outside of all of them.
 func (s *Site) Compile(t *Table, own string) *Rules {
-	r := &Rules{Table: t, rules: map[logic.CustomerID][]Rule{}}
+	r := &Rules{Table: t, rules: map[policy.CustomerID][]Rule{}}
 	for i, tenant := range s.Tenants {
 		c, has := t.Contracts[Tenant(tenant)]
 		if !has {
 			continue
 		}
-		zones := logic.NewZones()
+		zones := policy.NewZones()
 		for j, z := range s.Zones {
 			if z != "" && slices.Contains(c.Zones, z) {
-				zones.Allow(logic.LocationID(j))
+				zones.Allow(policy.LocationID(j))
 			}
 		}
 		here := !c.Own || own != "" && slices.Contains(c.Zones, own)
@@ -107,13 +107,13 @@
 				rules[k] = Rule{zones, here}
 			}
 		}
-		r.rules[logic.CustomerID(i)] = rules
+		r.rules[policy.CustomerID(i)] = rules
 	}
 	return r
 }
 
 // Of is the rule of a lookup.
-func (r *Rules) Of(customer logic.CustomerID, index logic.IndexID) Rule {
+func (r *Rules) Of(customer policy.CustomerID, index policy.IndexID) Rule {
 	if rules := r.rules[customer]; int(index) < len(rules) {
 		return rules[index]
 	}
@@ -151,10 +151,10 @@
 
 // MixerState tells of one mixer how it stands to a version.
 type MixerState struct {
-	Mixer roster.Name `json:"mixer"`
-	State string      `json:"state"`
-	Holds Version     `json:"holds"` // that it has told of
-	InS   float64     `json:"in_s,omitempty"`
+	Mixer membership.Name `json:"mixer"`
+	State string          `json:"state"`
+	Holds Version         `json:"holds"` // that it has told of
+	InS   float64         `json:"in_s,omitempty"`
 }
 
 // How a mixer stands to a version.
@@ -174,13 +174,13 @@
 type Spread struct {
 	lease  float64 // as granted, with its slack
 	quiet  float64 // until when another leader may still hand out what it knew
-	mixers map[roster.Name]*mixer
-	names  []roster.Name
+	mixers map[membership.Name]*mixer
+	names  []membership.Name
 }
 
 // NewSpread makes one for a fleet; leases are of so many seconds at the mixers.
-func NewSpread(lease float64, names []roster.Name) *Spread {
-	return &Spread{lease: lease * quota.Longer, names: slices.Sorted(slices.Values(names)), mixers: map[roster.Name]*mixer{}}
+func NewSpread(lease float64, names []membership.Name) *Spread {
+	return &Spread{lease: lease * quota.Longer, names: slices.Sorted(slices.Values(names)), mixers: map[membership.Name]*mixer{}}
 }
 
 // Begin forgets what another leader may have known: until its authority has ended it may renew leases, and each of those
@@ -195,14 +195,14 @@
 }
 
 // Hears takes what a mixer says it holds.
-func (s *Spread) Hears(now float64, from roster.Name, holds Version) {
+func (s *Spread) Hears(now float64, from membership.Name, holds Version) {
 	if m := s.mixers[from]; m != nil && now >= s.quiet {
 		m.holds = holds // a process that begins anew holds less than the one before it
 	}
 }
 
 // Renews notes that a mixer's lease is renewed now.
-func (s *Spread) Renews(now float64, name roster.Name) {
+func (s *Spread) Renews(now float64, name membership.Name) {
 	if m := s.mixers[name]; m != nil {
 		m.lapses = max(m.lapses, now+s.lease)
 	}
--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -6,11 +6,11 @@
 	"slices"
 	"testing"
 
-	"puffinlink.example/puffinlink/internal/chance"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
 	"puffinlink.example/puffinlink/internal/raceflag"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/random"
+	"puffinlink.example/puffinlink/policy"
 )
 
 var site = Site{Zones: []string{"north", "south", ""}, Indexes: []string{"reads", "orders"}, Tenants: []string{"acme", "bolt"}}
@@ -31,7 +31,7 @@
 	if !r.Here || away.Of(0, 1).Here || site.Compile(table, "").Of(0, 1).Here {
 		t.Error("the mixers' own zone does not count")
 	}
-	for at, want := range map[logic.LocationID]bool{0: false, 1: true, 2: false, 3: false, -1: false} {
+	for at, want := range map[policy.LocationID]bool{0: false, 1: true, 2: false, 3: false, -1: false} {
 		if r.Zones.Allows(at) != want {
 			t.Errorf("location %d: allowed %t; a zone without a name, or beyond the settings', is outside", at, !want)
 		}
@@ -64,7 +64,7 @@
 
 // simMixer is one mixer. Its lookups are taken by the table that it has, and each may send part calls until it ends.
 type simMixer struct {
-	name   roster.Name
+	name   membership.Name
 	rate   float64
 	lease  *Lease
 	has    Version
@@ -90,11 +90,11 @@
 // under leaders that come and go while the one before still acts on what it was sure of. Version v allows no part call that
 // v-1 allowed, so that a call is outside where its lookup goes by an older version than must hold.
 func play(seed uint64, b broken) error {
-	g := chance.PCG(seed)
-	var names []roster.Name
+	g := random.PCG(seed)
+	var names []membership.Name
 	var mixers []*simMixer
 	for i := range 4 {
-		names = append(names, roster.Name(fmt.Sprint("m", i)))
+		names = append(names, membership.Name(fmt.Sprint("m", i)))
 	}
 	begin := func(m *simMixer) {
 		m.lease, m.has, m.holds, m.looks = NewLease(lease, longest), 0, 0, nil
@@ -215,7 +215,7 @@
 
 // A tenant that is served past its lease is never told to be held by time alone, and the mixers that are behind are named.
 func TestLenientTenantsWaitForAll(t *testing.T) {
-	s := NewSpread(lease, []roster.Name{"a", "b"})
+	s := NewSpread(lease, []membership.Name{"a", "b"})
 	s.Begin(0, authority)
 	s.Hears(50, "a", 7)
 	if p := s.Progress(100, 7, false); p.Held || p.Mixers[1].State != StateOld {
--- a/internal/controlplane/fleet/run.go
+++ b/internal/controlplane/fleet/run.go
@@ -5,11 +5,11 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/shared"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 )
 
 type noteKind uint8
@@ -30,13 +30,13 @@
 
 type note struct {
 	kind    noteKind
-	seen    []shared.Seen
-	places  []mixer.Place
+	seen    []outlier.Seen
+	places  []aggregator.Place
 	version residency.Version
 	err     error
 	command *command
 	result  Result
-	quotas  council.QuotasVersion
+	quotas  consensus.QuotasVersion
 	ask     func()
 }
 
--- a/internal/controlplane/fleet/link/link_test.go
+++ b/internal/controlplane/fleet/sealedmessage/link_test.go
@@ -1,4 +1,4 @@
-package link
+package sealedmessage
 
 import (
 	"bytes"
@@ -6,18 +6,18 @@
 
 	"pgregory.net/rapid"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 var key = [KeyBytes]byte{1, 2, 3}
 
 func sealers(t testing.TB, lim Limits) (a, s *Sealer) {
 	t.Helper()
-	a, err := New("a", 10, key, []roster.Name{"b", "c"}, lim)
+	a, err := New("a", 10, key, []membership.Name{"b", "c"}, lim)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err = New("b", 20, key, []roster.Name{"a", "c"}, lim); err != nil {
+	if s, err = New("b", 20, key, []membership.Name{"a", "c"}, lim); err != nil {
 		t.Fatal(err)
 	}
 	return a, s
@@ -38,7 +38,7 @@
 	if _, why := a.Open(1, sealed); why != Unknown { // our own, turned back
 		t.Errorf("our own letter: %v", why)
 	}
-	c, _ := New("c", 1, key, []roster.Name{"a", "b"}, wide)
+	c, _ := New("c", 1, key, []membership.Name{"a", "b"}, wide)
 	if _, why := c.Open(1, sealed); why != NotOurs {
 		t.Errorf("a letter to another: %v", why)
 	}
@@ -49,7 +49,7 @@
 			t.Errorf("byte %d altered, and opened", i)
 		}
 	}
-	other, _ := New("a", 11, [KeyBytes]byte{9}, []roster.Name{"b"}, wide)
+	other, _ := New("a", 11, [KeyBytes]byte{9}, []membership.Name{"b"}, wide)
 	if _, why := s.Open(1, other.Seal("b", 1, nil)); why != Altered {
 		t.Errorf("another key: %v", why)
 	}
@@ -66,7 +66,7 @@
 func TestIncarnations(t *testing.T) {
 	a, s := sealers(t, wide)
 	old := a.Seal("b", 1, nil)
-	next, _ := New("a", 11, key, []roster.Name{"b"}, wide)
+	next, _ := New("a", 11, key, []membership.Name{"b"}, wide)
 	if _, why := s.Open(1, next.Seal("b", 1, nil)); why != Good {
 		t.Fatal(why)
 	}
@@ -82,7 +82,7 @@
 // Whoever sends too much is not heard for a while; others are.
 func TestBytesASecond(t *testing.T) {
 	a, s := sealers(t, Limits{BytesPerS: 1000, Burst: 1000})
-	c, _ := New("c", 1, key, []roster.Name{"b"}, wide)
+	c, _ := New("c", 1, key, []membership.Name{"b"}, wide)
 	opened := 0
 	for range 100 {
 		if _, why := s.Open(5, a.Seal("b", 1, make([]byte, 50))); why == Good {
--- a/internal/controlplane/fleet/link/link.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage.go
@@ -1,10 +1,10 @@
-// Package link seals what mixers say to each other, and opens it. It does no I/O and reads no clock. What is unknown,
+// Package sealedmessage seals what mixers say to each other, and opens it. It does no I/O and reads no clock. What is unknown,
 // altered, replayed, too long, of another version, or too much, is told apart and never acted on.
 //
 // A message as it travels: version (1 byte), who it is from and for (8 bytes each, hashes of names), the sender's
 // incarnation and the message's number (8 bytes each, big endian), its kind (1 byte), the body, and a keyed hash of all
 // that (16 bytes of BLAKE3). Who it is for is under the hash too: a message to one mixer is none to another.
-package link
+package sealedmessage
 
 import (
 	"crypto/subtle"
@@ -16,7 +16,7 @@
 	"github.com/zeebo/xxh3"
 	"golang.org/x/time/rate"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
 // Incarnation is one process of a mixer; a later one's is larger.
@@ -65,7 +65,7 @@
 
 // Message is one that was opened.
 type Message struct {
-	From        roster.Name
+	From        membership.Name
 	Incarnation Incarnation
 	Number      Number
 	Kind        Kind
@@ -104,7 +104,7 @@
 
 // peer lives as long as the sealer.
 type peer struct {
-	name   roster.Name
+	name   membership.Name
 	id     uint64
 	window window
 	sent   Number
@@ -116,15 +116,15 @@
 	self        uint64
 	incarnation Incarnation
 	key         [KeyBytes]byte
-	byName      map[roster.Name]*peer
+	byName      map[membership.Name]*peer
 	byID        map[uint64]*peer
 }
 
-func id(name roster.Name) uint64 { return xxh3.HashString(string(name)) }
+func id(name membership.Name) uint64 { return xxh3.HashString(string(name)) }
 
 // New makes the sealer of a mixer and the others of its roster.
-func New(self roster.Name, incarnation Incarnation, key [KeyBytes]byte, others []roster.Name, lim Limits) (*Sealer, error) {
-	s := &Sealer{self: id(self), incarnation: incarnation, key: key, byName: map[roster.Name]*peer{}, byID: map[uint64]*peer{}}
+func New(self membership.Name, incarnation Incarnation, key [KeyBytes]byte, others []membership.Name, lim Limits) (*Sealer, error) {
+	s := &Sealer{self: id(self), incarnation: incarnation, key: key, byName: map[membership.Name]*peer{}, byID: map[uint64]*peer{}}
 	for _, name := range others {
 		p := &peer{name: name, id: id(name), allow: rate.NewLimiter(rate.Limit(lim.BytesPerS), int(lim.Burst))}
 		if other := s.byID[p.id]; other != nil || p.id == s.self {
@@ -160,7 +160,7 @@
 }
 
 // Seal makes a message ready to travel; nil if it is for none of the roster or too long.
-func (s *Sealer) Seal(to roster.Name, kind Kind, body []byte) []byte {
+func (s *Sealer) Seal(to membership.Name, kind Kind, body []byte) []byte {
 	p := s.byName[to]
 	if p == nil || len(body) > MostLong-Overhead {
 		return nil
@@ -219,7 +219,7 @@
 }
 
 // Known is the highest incarnation heard of a mixer, 0 for none.
-func (s *Sealer) Known(name roster.Name) Incarnation {
+func (s *Sealer) Known(name membership.Name) Incarnation {
 	if p := s.byName[name]; p != nil {
 		return p.window.incarnation
 	}
--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -8,29 +8,29 @@
 	"slices"
 	"strings"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/link"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Settings are what the operator's file and the mixer's config say together. Times are seconds.
 type Settings struct {
-	Self      roster.Name
+	Self      membership.Name
 	Location  string // of this mixer, by the settings' names
-	Roster    roster.Roster
-	Key       [link.KeyBytes]byte
+	Roster    membership.Roster
+	Key       [sealedmessage.KeyBytes]byte
 	Directory string // "" keeps nothing; a voter needs one
 	Lease     float64
 	Longest   float64 // hard deadline
 	Site      residency.Site
-	Layout    logic.Layout
+	Layout    policy.Layout
 	Seed      uint64
 
 	HasQuotas bool // the file has the section: until the council was heard no tenant is taken for one without a quota
-	File      council.FileTables
+	File      consensus.FileTables
 	Strict    []string       // tenants refused where contracts are not sure; "*" for all
 	Lines     map[string]int // of the file, by key
 }
--- a/internal/controlplane/fleet/show.go
+++ b/internal/controlplane/fleet/show.go
@@ -5,40 +5,40 @@
 	"fmt"
 	"slices"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/shared"
 )
 
 // Shown is what an operator sees of the fleet from one mixer.
 type Shown struct {
-	Mixer     roster.Name            `json:"mixer"`
-	Open      bool                   `json:"open"`
-	Why       string                 `json:"why_not_open,omitempty"`
-	Deaf      bool                   `json:"hears_nothing"`
-	Doubt     int                    `json:"doubt_in_itself"`
-	Votes     bool                   `json:"votes"`
-	Mute      bool                   `json:"mute,omitempty"`
-	Leader    roster.Name            `json:"leader,omitempty"`
-	Leads     bool                   `json:"leads"`
-	GrantsIn  float64                `json:"grants_in_s,omitempty"`
-	SureFor   float64                `json:"contracts_sure_for_s"`
-	Contracts residency.Table        `json:"contracts"`
-	Holds     residency.Version      `json:"contracts_held"`
-	QuotasAt  council.QuotasVersion  `json:"quotas_version"`
-	Quotas    map[string]quota.Quota `json:"quotas"`
-	Members   []ShownMember          `json:"members"`
-	Judged    []shownJudgement       `json:"judged"`
-	Reports   []shared.Heard         `json:"reports"`
+	Mixer     membership.Name         `json:"mixer"`
+	Open      bool                    `json:"open"`
+	Why       string                  `json:"why_not_open,omitempty"`
+	Deaf      bool                    `json:"hears_nothing"`
+	Doubt     int                     `json:"doubt_in_itself"`
+	Votes     bool                    `json:"votes"`
+	Mute      bool                    `json:"mute,omitempty"`
+	Leader    membership.Name         `json:"leader,omitempty"`
+	Leads     bool                    `json:"leads"`
+	GrantsIn  float64                 `json:"grants_in_s,omitempty"`
+	SureFor   float64                 `json:"contracts_sure_for_s"`
+	Contracts residency.Table         `json:"contracts"`
+	Holds     residency.Version       `json:"contracts_held"`
+	QuotasAt  consensus.QuotasVersion `json:"quotas_version"`
+	Quotas    map[string]quota.Quota  `json:"quotas"`
+	Members   []ShownMember           `json:"members"`
+	Judged    []shownJudgement        `json:"judged"`
+	Reports   []outlier.Heard         `json:"reports"`
 }
 
 // ShownMember is another mixer.
 type ShownMember struct {
-	Mixer  roster.Name `json:"mixer"`
-	Status string      `json:"status"`
-	Heard  float64     `json:"heard_s_ago"`
+	Mixer  membership.Name `json:"mixer"`
+	Status string          `json:"status"`
+	Heard  float64         `json:"heard_s_ago"`
 }
 
 type shownJudgement struct {
--- a/internal/controlplane/fleet/tables.go
+++ b/internal/controlplane/fleet/tables.go
@@ -8,20 +8,20 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
+	"puffinlink.example/puffinlink/internal/aggregatorstore"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/link"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/store"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
 // tables are what a mixer keeps of what it heard, so that it goes by that after a restart in which it hears nothing.
 type tables struct {
-	Incarnation link.Incarnation             `cbor:"1,keyasint"`
+	Incarnation sealedmessage.Incarnation    `cbor:"1,keyasint"`
 	Table       *residency.Table             `cbor:"2,keyasint"`
 	Quotas      map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
-	QuotasAt    council.QuotasVersion        `cbor:"4,keyasint"`
+	QuotasAt    consensus.QuotasVersion      `cbor:"4,keyasint"`
 	Heard       bool                         `cbor:"5,keyasint"`
 }
 
@@ -59,12 +59,12 @@
 		f.hear(&note{kind: tablesSaved, err: errFault})
 		return
 	}
-	f.store.Save(store.LogSave{Values: map[string][]byte{valueTables: packed(tables{f.sealer.Incarnation(), f.table, f.quotas, f.has.Quotas, f.heard})}},
+	f.store.Save(aggregatorstore.LogSave{Values: map[string][]byte{valueTables: packed(tables{f.sealer.Incarnation(), f.table, f.quotas, f.has.Quotas, f.heard})}},
 		func(err error) { f.in.Put(note{kind: tablesSaved, err: err, quotas: quotas}) })
 }
 
 // readCouncil reads what the council's library kept.
-func readCouncil(kept *store.LogContents) (k council.Kept, err error) {
+func readCouncil(kept *aggregatorstore.LogContents) (k consensus.Kept, err error) {
 	k.ID = kept.ID
 	if v := kept.Values[valueHard]; v != nil {
 		k.Hard = &pb.HardState{}
@@ -89,7 +89,7 @@
 }
 
 // asLog puts what the council has to save into the store's form.
-func asLog(s *council.Save) (out store.LogSave, err error) {
+func asLog(s *consensus.Save) (out aggregatorstore.LogSave, err error) {
 	out.Values = map[string][]byte{}
 	if s.Hard != nil {
 		if out.Values[valueHard], err = proto.Marshal(s.Hard); err != nil {
@@ -107,7 +107,7 @@
 		if err != nil {
 			return out, err
 		}
-		out.Entries = append(out.Entries, store.Entry{Index: e.GetIndex(), Data: data})
+		out.Entries = append(out.Entries, aggregatorstore.Entry{Index: e.GetIndex(), Data: data})
 	}
 	return out, nil
 }
--- a/internal/controlplane/fleet/sockets/sockets.go
+++ b/internal/controlplane/fleet/udptransport/udptransport.go
@@ -1,7 +1,7 @@
-// Package sockets carries sealed messages between mixers: datagrams over UDP, and what is longer over TCP, both at the one
+// Package udptransport carries sealed messages between mixers: datagrams over UDP, and what is longer over TCP, both at the one
 // address that the roster gives a mixer. It opens nothing and decides nothing. Whoever sends is never held up: what finds
 // no room is dropped, as a network drops it, and counted.
-package sockets
+package udptransport
 
 import (
 	"encoding/binary"
@@ -12,8 +12,8 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/link"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 	"puffinlink.example/puffinlink/internal/counters"
 )
 
@@ -35,8 +35,8 @@
 	udp         *net.UDPConn
 	tcp         net.Listener
 	count       *counters.Set
-	to          map[roster.Name]*net.UDPAddr
-	long        map[roster.Name]chan []byte
+	to          map[membership.Name]*net.UDPAddr
+	long        map[membership.Name]chan []byte
 	ended       chan struct{}
 	all         sync.WaitGroup
 	mu          sync.Mutex
@@ -45,8 +45,8 @@
 }
 
 // Listen opens the sockets of a mixer. Its address is a lock too: a second process under the same name gets an error.
-func Listen(self string, others map[roster.Name]string, count *counters.Set) (*Sockets, error) {
-	s := &Sockets{In: make(chan []byte, waiting), count: count, to: map[roster.Name]*net.UDPAddr{}, long: map[roster.Name]chan []byte{},
+func Listen(self string, others map[membership.Name]string, count *counters.Set) (*Sockets, error) {
+	s := &Sockets{In: make(chan []byte, waiting), count: count, to: map[membership.Name]*net.UDPAddr{}, long: map[membership.Name]chan []byte{},
 		ended: make(chan struct{}), connections: map[net.Conn]bool{}}
 	at, err := net.ResolveUDPAddr("udp", self)
 	if err != nil {
@@ -88,12 +88,12 @@
 }
 
 // Send sends a message, by datagram if it fits one.
-func (s *Sockets) Send(to roster.Name, sealed []byte) {
+func (s *Sockets) Send(to membership.Name, sealed []byte) {
 	if len(sealed) == 0 || s.to[to] == nil {
 		s.count.Add("fleet_dropped", "not_sent", 1)
 		return
 	}
-	if len(sealed) > link.MostDatagram {
+	if len(sealed) > sealedmessage.MostDatagram {
 		select {
 		case s.long[to] <- sealed:
 		default:
@@ -123,7 +123,7 @@
 }
 
 func (s *Sockets) datagrams() {
-	buffer := make([]byte, link.MostDatagram+1)
+	buffer := make([]byte, sealedmessage.MostDatagram+1)
 	for {
 		n, _, err := s.udp.ReadFromUDP(buffer)
 		switch {
@@ -229,8 +229,8 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > link.MostLong {
-			s.count.Add("fleet_dropped", link.TooLong.String(), 1)
+		if n > sealedmessage.MostLong {
+			s.count.Add("fleet_dropped", sealedmessage.TooLong.String(), 1)
 			return
 		}
 		c.SetReadDeadline(time.Now().Add(longWait))
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -8,11 +8,11 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
+	"puffinlink.example/puffinlink/internal/aggregatorstore"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
-	"puffinlink.example/puffinlink/internal/store"
 )
 
 var errFault = errors.New("a fault that a test put here")
@@ -40,7 +40,7 @@
 
 func (f *Fleet) vote() {
 	if f.now >= f.due.council {
-		f.due.council = f.now + council.TickS
+		f.due.council = f.now + consensus.TickS
 		f.council.Tick()
 	}
 	if f.now >= f.due.intro && !f.saving {
@@ -75,7 +75,7 @@
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-func (f *Fleet) introduce(to []roster.Name, in *council.Intro) {
+func (f *Fleet) introduce(to []membership.Name, in *consensus.Intro) {
 	fault := failpoint.Pass(failpoint.Introduce)
 	for _, name := range to {
 		for range fault.Times() {
@@ -86,12 +86,12 @@
 	}
 }
 
-func (f *Fleet) introduced(from roster.Name, in *council.Intro) {
+func (f *Fleet) introduced(from membership.Name, in *consensus.Intro) {
 	if f.council == nil || f.failed || f.saving {
 		return
 	}
-	var answer *council.Intro
-	var save council.Save
+	var answer *consensus.Intro
+	var save consensus.Save
 	var err error
 	if f.safely(func() { answer, save, err = f.council.Introduced(from, in) }); err != nil {
 		f.mute(err)
@@ -105,7 +105,7 @@
 		return
 	}
 	if answer != nil {
-		f.introduce([]roster.Name{from}, answer)
+		f.introduce([]membership.Name{from}, answer)
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 }
 
-func (f *Fleet) save(s *council.Save) {
+func (f *Fleet) save(s *consensus.Save) {
 	out, err := asLog(s)
 	if failpoint.Pass(failpoint.SaveCouncil).Fail {
 		err = errFault
@@ -171,17 +171,17 @@
 }
 
 // seat makes our voter from what the directory holds.
-func (f *Fleet) seat(kept *store.LogContents) error {
+func (f *Fleet) seat(kept *aggregatorstore.LogContents) error {
 	raftKept, err := readCouncil(kept)
 	if err != nil {
 		return err
 	}
-	f.council, err = council.New(f.set.Self, f.set.Roster.Voters(), raftKept)
+	f.council, err = consensus.New(f.set.Self, f.set.Roster.Voters(), raftKept)
 	return err
 }
 
 func (f *Fleet) storeClosed() {
-	store, kept, err := store.OpenLog(f.set.Directory, 0, f.log)
+	store, kept, err := aggregatorstore.OpenLog(f.set.Directory, 0, f.log)
 	if err != nil {
 		f.log.Error("fleet: the directory can't be opened, this voter stays mute", zap.String("text", err.Error()))
 		f.in.Put(note{kind: reopen})
@@ -261,14 +261,14 @@
 func (f *Fleet) leads() bool { return f.granted && f.now < f.sureTo && !f.failed }
 
 // answer answers a mixer that asks.
-func (f *Fleet) answer(from roster.Name, a *asking) {
+func (f *Fleet) answer(from membership.Name, a *asking) {
 	out := f.answered(from, a)
 	for range failpoint.Pass(failpoint.AnswerAsk).Times() {
 		f.send(from, messageGrant, out)
 	}
 }
 
-func (f *Fleet) answered(from roster.Name, a *asking) *granting {
+func (f *Fleet) answered(from membership.Name, a *asking) *granting {
 	out := &granting{No: a.No}
 	if !f.leads() {
 		if f.council != nil {
--- a/internal/controlplane/operations/answer.go
+++ b/internal/controlplane/operations/answer.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-json-experiment/json"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // retryAfter is the hint of an answer that is worth another try, in seconds.
@@ -67,7 +67,7 @@
 	switch {
 	case errors.As(err, &answer):
 		writeFailure(w, answer.status, answer.text)
-	case verdict.Of(err) == verdict.NotRun:
+	case rpcerror.Of(err) == rpcerror.NotRun:
 		writeFailure(w, http.StatusServiceUnavailable, err.Error()+"; nothing was done, try again")
 	default:
 		writeFailure(w, http.StatusGatewayTimeout, err.Error()+"; it may have been done, read the state or try again")
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -20,13 +20,13 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 var (
-	errNotLeader = verdict.Unexecuted(errors.New("this mixer does not lead the group"), 0)
-	errCut       = verdict.Unclear(errors.New("connection reset"))
+	errNotLeader = rpcerror.Unexecuted(errors.New("this mixer does not lead the group"), 0)
+	errCut       = rpcerror.Unclear(errors.New("connection reset"))
 )
 
 const (
@@ -118,7 +118,7 @@
 		select {
 		case <-c.hold:
 		case <-ctx.Done():
-			return verdict.Unclear(ctx.Err())
+			return rpcerror.Unclear(ctx.Err())
 		}
 	}
 	c.mutex.Lock()
--- a/internal/controlplane/rebuild/copies.go
+++ b/internal/controlplane/rebuild/copies.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -59,7 +59,7 @@
 	defer c.mutex.Unlock()
 	held := c.byMember[request.Member]
 	if held.number != request.Copy || request.Part >= uint32(len(held.parts)) || held.parts[request.Part] == nil {
-		return dumpReply{}, verdict.Unexecuted(errCopyGone, notReadyRetry)
+		return dumpReply{}, rpcerror.Unexecuted(errCopyGone, notReadyRetry)
 	}
 	for earlier := range held.parts[:request.Part] {
 		held.parts[earlier] = nil // was received, as a later one is asked for
--- a/internal/controlplane/rebuild/copies_test.go
+++ b/internal/controlplane/rebuild/copies_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 func TestPartsOfACopy(t *testing.T) {
@@ -33,7 +33,7 @@
 		Convey("a part of an earlier copy, of another's copy, and one that there is not are refused", func() {
 			second := begin(2)
 			for _, err := range []error{ask("x", first.Copy, 1), ask("y", second.Copy, 1), ask("x", second.Copy, 3)} {
-				So(verdict.Of(err), ShouldEqual, verdict.NotRun)
+				So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
 			}
 			So(ask("x", second.Copy, 1), ShouldBeNil)
 		})
@@ -43,7 +43,7 @@
 		})
 		Convey("one that was received already is given no more", func() {
 			So(ask("x", first.Copy, 2), ShouldBeNil)
-			So(verdict.Of(ask("x", first.Copy, 1)), ShouldEqual, verdict.NotRun)
+			So(rpcerror.Of(ask("x", first.Copy, 1)), ShouldEqual, rpcerror.NotRun)
 		})
 	})
 }
--- a/internal/controlplane/rebuild/dump.go
+++ b/internal/controlplane/rebuild/dump.go
@@ -14,8 +14,8 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // notReadyRetry is when a member that refuses a dump may be asked again.
@@ -59,10 +59,10 @@
 
 func (r *Rebuilder) dump(_ context.Context, request dumpRequest) (dumpReply, error) {
 	if !r.mayGive() {
-		return dumpReply{}, verdict.Unexecuted(errNotReady, notReadyRetry)
+		return dumpReply{}, rpcerror.Unexecuted(errNotReady, notReadyRetry)
 	}
 	if err := r.admit(request); err != nil {
-		return dumpReply{}, verdict.Unexecuted(err, notReadyRetry)
+		return dumpReply{}, rpcerror.Unexecuted(err, notReadyRetry)
 	}
 	if request.Part > 0 {
 		return r.copies.part(request)
@@ -197,7 +197,7 @@
 				ask.Reset(reaskInterval)
 			}
 		case result := <-results:
-			if result.err == nil || verdict.Of(result.err) == verdict.NotRun {
+			if result.err == nil || rpcerror.Of(result.err) == rpcerror.NotRun {
 				return result.reply, result.err
 			}
 			if failed++; failed == openFetches {
--- a/internal/controlplane/register/acceptor.go
+++ b/internal/controlplane/register/acceptor.go
@@ -9,11 +9,11 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // TablePrefix begins the names of the tables that hold registers.
@@ -54,7 +54,7 @@
 	Ballot Ballot `msgpack:"b"`
 	State  state  `msgpack:"s"`
 	// Manifest is set where the state's value is large: it is stored by parts then, and left out here.
-	Manifest *parts.Manifest `msgpack:"m,omitempty"`
+	Manifest *chunks.Manifest `msgpack:"m,omitempty"`
 }
 
 // replica is the content of a register's table.
@@ -122,7 +122,7 @@
 	}
 	if a.admits != nil {
 		if err := a.admits(request.State.Value); err != nil {
-			return reply{}, verdict.Unexecuted(err, 0)
+			return reply{}, rpcerror.Unexecuted(err, 0)
 		}
 	}
 	cut := a.cutLarge(request.State.Value)
@@ -158,7 +158,7 @@
 // member's tables without it.
 func (a *Acceptor) admit(viewVersion uint64) (reply, error) {
 	if !a.config.Ready() {
-		return reply{}, verdict.Unexecuted(ErrNotReady, notReadyRetry)
+		return reply{}, rpcerror.Unexecuted(ErrNotReady, notReadyRetry)
 	}
 	view := a.config.View()
 	if view.Version != viewVersion {
--- a/internal/controlplane/register/explorerules_test.go
+++ b/internal/controlplane/register/explorerules_test.go
@@ -9,7 +9,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // brokenRules are mistakes that the exploration must find.
@@ -249,7 +249,7 @@
 // ranNot tells whether a change that ended without success certainly had no effect.
 func ranNot(p *proposerState, err error) bool {
 	real := &proposer{register: New(Config{Name: exploredName}), sent: make([]proposal, p.sents)}
-	return verdict.Of(real.failed(err)) == verdict.NotRun
+	return rpcerror.Of(real.failed(err)) == rpcerror.NotRun
 }
 
 var errAttemptsOver = errors.New("no attempt is left")
--- a/internal/controlplane/register/history_test.go
+++ b/internal/controlplane/register/history_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // operationKind is what a client of the simulation does.
@@ -80,7 +80,7 @@
 	heard := output{value: strings.TrimPrefix(string(value), h.padding)}
 	switch {
 	case err == nil:
-	case verdict.Of(err) != verdict.NotRun:
+	case rpcerror.Of(err) != rpcerror.NotRun:
 		heard.unknown = true
 		back = math.MaxInt64
 	case errors.Is(err, errMultipleOfThree):
--- a/internal/controlplane/register/messages.go
+++ b/internal/controlplane/register/messages.go
@@ -1,7 +1,7 @@
 package register
 
 import (
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/transport"
 )
@@ -34,8 +34,8 @@
 
 // content is a large value on its way, with some of its parts.
 type content struct {
-	Manifest parts.Manifest `msgpack:"m"`
-	Parts    [][]byte       `msgpack:"p,omitempty"` // packed
+	Manifest chunks.Manifest `msgpack:"m"`
+	Parts    [][]byte        `msgpack:"p,omitempty"` // packed
 }
 
 // pushRequest brings an acceptor parts of a value that it is going to be asked to accept. They change nothing before.
@@ -66,14 +66,14 @@
 
 // reply is an acceptor's answer to each of them.
 type reply struct {
-	member   string          // who gave it, as its receiver notes
-	Outcome  outcome         `msgpack:"o"`
-	View     replicaset.View `msgpack:"w"` // the acceptor's; the members are left out where the versions match
-	Promised Ballot          `msgpack:"p"`
-	Accepted Ballot          `msgpack:"a"`
-	State    state           `msgpack:"s"`           // not in answers to accept requests, nor where the asker knows it
-	Manifest *parts.Manifest `msgpack:"m,omitempty"` // of the state's value, which is left out then
-	Missing  []byte          `msgpack:"x,omitempty"` // checksums of missing parts, one after the other
+	member   string           // who gave it, as its receiver notes
+	Outcome  outcome          `msgpack:"o"`
+	View     replicaset.View  `msgpack:"w"` // the acceptor's; the members are left out where the versions match
+	Promised Ballot           `msgpack:"p"`
+	Accepted Ballot           `msgpack:"a"`
+	State    state            `msgpack:"s"`           // not in answers to accept requests, nor where the asker knows it
+	Manifest *chunks.Manifest `msgpack:"m,omitempty"` // of the state's value, which is left out then
+	Missing  []byte           `msgpack:"x,omitempty"` // checksums of missing parts, one after the other
 	// TakesParts tells that the acceptor serves acceptPartsCall. One of an older build would take a request there is no
 	// value in for one to accept an empty value, so that it gets values whole, by acceptCall.
 	TakesParts bool `msgpack:"t,omitempty"`
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // errUnknownOutcome is the failure of a change of which nobody can tell any more whether it took effect.
@@ -54,9 +54,9 @@
 func (p *proposer) failed(err error) error {
 	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
 	if len(p.sent) > 0 && !p.resolved {
-		return verdict.Unclear(err)
+		return rpcerror.Unclear(err)
 	}
-	return verdict.Unexecuted(err, 0)
+	return rpcerror.Unexecuted(err, 0)
 }
 
 // attempt makes one prepare round and, unless the outcome rests on a committed state already, one accept round.
--- a/internal/controlplane/register/refusal_test.go
+++ b/internal/controlplane/register/refusal_test.go
@@ -10,7 +10,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 func TestAnAcceptorWhoseDiskRefusesWrites(t *testing.T) {
@@ -27,14 +27,14 @@
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(answer.Outcome, convey.ShouldEqual, granted)
 		before := store.Snapshot()
-		store.Fail(verdict.Unexecuted(errors.New("no room"), time.Second))
+		store.Fail(rpcerror.Unexecuted(errors.New("no room"), time.Second))
 
 		second := Ballot{Counter: 2, Member: "b"}
 		prepare := prepareRequest{ViewVersion: 1, Ballot: second}
 		accept := acceptRequest{ViewVersion: 1, Ballot: second, State: held.next([]byte("refused"), second)}
 		checkRefused := func(err error) {
-			convey.So(verdict.Of(err), convey.ShouldEqual, verdict.NotRun)
-			convey.So(verdict.RetryAfter(err), convey.ShouldEqual, time.Second)
+			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.RetryAfter(err), convey.ShouldEqual, time.Second)
 			convey.So(store.Snapshot(), convey.ShouldResemble, before)
 		}
 		convey.Convey("it promises nothing, and does so once there is room", func() {
@@ -56,7 +56,7 @@
 		convey.Convey("its failure is unclear when the store has failed for good", func() {
 			store.Fail(errors.New("broken"))
 			_, err := acceptor.accept(context.Background(), accept)
-			convey.So(verdict.Of(err), convey.ShouldEqual, verdict.MayHaveRun)
+			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
 		})
 	})
 }
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // Pauses between attempts; each is drawn between half of the bound and the bound, which doubles.
@@ -39,10 +39,10 @@
 	config Config
 	turn   chan struct{} // holds a token while nobody changes the register here
 
-	mutex   sync.Mutex        // guards what follows
-	counter uint64            // highest that was seen or used in a ballot
-	known   knownState        // newest that was read or accepted
-	partial *parts.Collection // of a state that has not arrived whole
+	mutex   sync.Mutex         // guards what follows
+	counter uint64             // highest that was seen or used in a ballot
+	known   knownState         // newest that was read or accepted
+	partial *chunks.Collection // of a state that has not arrived whole
 
 	// Rules of the protocol; tests replace them to show that each is needed.
 	roundLimit       time.Duration
@@ -70,7 +70,7 @@
 // will be the register's value.
 func (r *Register) Change(ctx context.Context, change func(current []byte) (next []byte, err error)) ([]byte, error) {
 	if err := r.takeTurn(ctx); err != nil {
-		return nil, verdict.Unexecuted(fmt.Errorf("change register %s: %w", r.config.Name, err), 0)
+		return nil, rpcerror.Unexecuted(fmt.Errorf("change register %s: %w", r.config.Name, err), 0)
 	}
 	defer func() { r.turn <- struct{}{} }()
 	p := &proposer{register: r, change: change}
@@ -98,7 +98,7 @@
 func (r *Register) Read(ctx context.Context) ([]byte, error) {
 	view := r.config.View()
 	if view.Version == 0 {
-		return nil, verdict.Unexecuted(fmt.Errorf("read register %s: %w", r.config.Name, ErrNoView), 0)
+		return nil, rpcerror.Unexecuted(fmt.Errorf("read register %s: %w", r.config.Name, ErrNoView), 0)
 	}
 	reading := round{view: view, limit: r.roundLimit}
 	known := r.held(view.Version)
@@ -122,7 +122,7 @@
 	}
 	state, err := r.stateUnder(ctx, reading, latest.Accepted, known)
 	if err != nil {
-		return nil, verdict.Unexecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errIncomplete, err), 0)
+		return nil, rpcerror.Unexecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errIncomplete, err), 0)
 	}
 	return state.Value, nil
 }
--- a/internal/controlplane/register/stored.go
+++ b/internal/controlplane/register/stored.go
@@ -9,7 +9,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
@@ -20,7 +20,7 @@
 // isPartsTable tells whether a table of the prefix TablePrefix holds parts and no replica.
 func isPartsTable(name string) bool { return strings.HasSuffix(name, partsSuffix) }
 
-func partKey(sum parts.Sum) string { return hex.EncodeToString(sum[:]) }
+func partKey(sum chunks.Sum) string { return hex.EncodeToString(sum[:]) }
 
 // loadedState is the state that a table held when it was last read, so that its parts need not be put together again.
 type loadedState struct {
@@ -64,12 +64,12 @@
 }
 
 // wholeValue puts a stored value together.
-func (a *Acceptor) wholeValue(name string, record []byte, manifest parts.Manifest) ([]byte, error) {
+func (a *Acceptor) wholeValue(name string, record []byte, manifest chunks.Manifest) ([]byte, error) {
 	if value, found := a.loaded.find(name, record); found {
 		return value, nil
 	}
 	stored := a.config.Store.Table(name + partsSuffix)
-	gathered, err := parts.NewCollection(manifest, func(sum parts.Sum) ([]byte, bool) {
+	gathered, err := chunks.NewCollection(manifest, func(sum chunks.Sum) ([]byte, bool) {
 		part, found := stored[partKey(sum)]
 		return part, found
 	})
@@ -86,7 +86,7 @@
 
 // storing returns the changes that store an accepted state: a small value beside its ballot, a large one by the parts that
 // are not there yet. Parts of earlier values go.
-func (a *Acceptor) storing(request acceptRequest, cut *parts.Cut) ([]storage.Change, error) {
+func (a *Acceptor) storing(request acceptRequest, cut *chunks.Cut) ([]storage.Change, error) {
 	accepted := acceptedState{Ballot: request.Ballot, State: request.State}
 	name := a.table(request.ViewVersion)
 	if cut != nil {
@@ -101,7 +101,7 @@
 }
 
 // changedParts returns what makes a table of parts that of a value; nil stands for a value that has none.
-func changedParts(table string, stored map[string][]byte, cut *parts.Cut) []storage.Change {
+func changedParts(table string, stored map[string][]byte, cut *chunks.Cut) []storage.Change {
 	wanted := make(map[string]struct{})
 	var changes []storage.Change
 	if cut != nil {
--- a/internal/controlplane/register/travel.go
+++ b/internal/controlplane/register/travel.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -30,7 +30,7 @@
 	view   uint64
 	ballot Ballot
 	state  state
-	cut    *parts.Cut // of the state's value, if it is large
+	cut    *chunks.Cut // of the state's value, if it is large
 }
 
 // held returns the newest state that is at hand of a view, known or at the own acceptor; the empty one under no ballot
@@ -72,11 +72,11 @@
 }
 
 // cutOf cuts a large value; nil stands for a small one.
-func (r *Register) cutOf(view uint64, value []byte) *parts.Cut {
+func (r *Register) cutOf(view uint64, value []byte) *chunks.Cut {
 	if len(value) <= wholeBytes {
 		return nil
 	}
-	return parts.NewCut(value, r.knownIn(view).cut)
+	return chunks.NewCut(value, r.knownIn(view).cut)
 }
 
 // complete puts the value into the newest of a round's answers, all of which leave it out where it is large or known.
@@ -122,8 +122,8 @@
 }
 
 // gather puts a value together from parts that are at hand and others, which members that have it are asked for.
-func (r *Register) gather(ctx context.Context, answered *round, ballot Ballot, manifest parts.Manifest, known knownState) ([]byte, error) {
-	collection, err := parts.NewCollection(manifest, r.holders(known)...)
+func (r *Register) gather(ctx context.Context, answered *round, ballot Ballot, manifest chunks.Manifest, known knownState) ([]byte, error) {
+	collection, err := chunks.NewCollection(manifest, r.holders(known)...)
 	if err != nil {
 		return nil, err
 	}
@@ -159,8 +159,8 @@
 
 // holders are where parts may be at hand: in what is known, what came of a state that did not arrive whole, and the own
 // acceptor.
-func (r *Register) holders(known knownState) []parts.Holder {
-	var holders []parts.Holder
+func (r *Register) holders(known knownState) []chunks.Holder {
+	var holders []chunks.Holder
 	if known.cut != nil {
 		holders = append(holders, known.cut.Part)
 	}
@@ -175,7 +175,7 @@
 	return holders
 }
 
-func (r *Register) setPartial(collection *parts.Collection) {
+func (r *Register) setPartial(collection *chunks.Collection) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.partial = collection
@@ -184,10 +184,10 @@
 var errNotHeld = errors.New("the member holds none of the parts")
 
 // fetch makes one call for parts.
-func (r *Register) fetch(ctx context.Context, member string, collection *parts.Collection) error {
+func (r *Register) fetch(ctx context.Context, member string, collection *chunks.Collection) error {
 	limited, cancel := context.WithTimeout(ctx, partsSilence)
 	defer cancel()
-	ask := fetchRequest{Sums: parts.Join(collection.Missing(mostPart / typicalPart)), Room: mostPart}
+	ask := fetchRequest{Sums: chunks.Join(collection.Missing(mostPart / typicalPart)), Room: mostPart}
 	answer, err := fetchCall(r.config.Name).Call(limited, r.config.Caller, member, ask)
 	if err != nil {
 		return err
@@ -214,13 +214,13 @@
 // is known here, on which the new one is based; parts of which a member turns out to lack are sent ahead, a few at a time.
 // Members that are known to take whole values only, as they are of an older build, get it whole.
 func (r *Register) acceptByParts(proposed knownState, wholeOnly map[string]bool) sendAccept {
-	base := func(parts.Sum) ([]byte, bool) { return nil, false }
+	base := func(chunks.Sum) ([]byte, bool) { return nil, false }
 	if known := r.knownIn(proposed.view); known.cut != nil {
 		base = known.cut.Part
 	}
 	offered := content{
 		Manifest: proposed.cut.Manifest(),
-		Parts:    proposed.cut.Packed(parts.Without(proposed.cut.Sums(), base), mostInline),
+		Parts:    proposed.cut.Packed(chunks.Without(proposed.cut.Sums(), base), mostInline),
 	}
 	return func(ctx context.Context, member string, request acceptRequest) (reply, error) {
 		if r.own(member) || wholeOnly[member] {
@@ -247,26 +247,26 @@
 type sendAccept func(ctx context.Context, member string, request acceptRequest) (reply, error)
 
 // offer sends an accept request until the member has all parts of its value.
-func (r *Register) offer(ctx context.Context, member string, request acceptRequest, cut *parts.Cut) (reply, error) {
+func (r *Register) offer(ctx context.Context, member string, request acceptRequest, cut *chunks.Cut) (reply, error) {
 	for range offers {
 		answer, err := acceptPartsCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
 		if err != nil || answer.Outcome != partsMissing {
 			return answer, err
 		}
-		if err := r.push(ctx, member, cut, parts.SumsOf(answer.Missing)); err != nil {
+		if err := r.push(ctx, member, cut, chunks.SumsOf(answer.Missing)); err != nil {
 			return reply{}, err
 		}
 		request.Content = &content{Manifest: cut.Manifest()}
 	}
-	return reply{}, verdict.Unexecuted(fmt.Errorf("%s: %w", member, errIncomplete), 0)
+	return reply{}, rpcerror.Unexecuted(fmt.Errorf("%s: %w", member, errIncomplete), 0)
 }
 
 // push sends parts to a member.
-func (r *Register) push(ctx context.Context, member string, cut *parts.Cut, sums []parts.Sum) error {
+func (r *Register) push(ctx context.Context, member string, cut *chunks.Cut, sums []chunks.Sum) error {
 	for len(sums) > 0 {
 		packed := cut.PackedSome(sums, mostPart)
 		if len(packed) == 0 {
-			return verdict.Unexecuted(fmt.Errorf("%s asks for parts of another value", member), 0)
+			return rpcerror.Unexecuted(fmt.Errorf("%s asks for parts of another value", member), 0)
 		}
 		if _, err := pushCall(r.config.Name).Call(ctx, r.config.Caller, member, pushRequest{Parts: packed}); err != nil {
 			return err
--- a/internal/controlplane/register/travel_test.go
+++ b/internal/controlplane/register/travel_test.go
@@ -12,11 +12,11 @@
 	"github.com/smartystreets/goconvey/convey"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // randomText is a text of hex digits.
@@ -133,7 +133,7 @@
 		bytes = weighing.take()
 	})
 	convey.Convey("What has arrived stays for the next attempt, and comes once", t, func() {
-		convey.So(verdict.Of(errs[0]), convey.ShouldEqual, verdict.NotRun)
+		convey.So(rpcerror.Of(errs[0]), convey.ShouldEqual, rpcerror.NotRun)
 		convey.So(errs[len(errs)-1], convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
 		convey.So(bytes, convey.ShouldBeLessThan, largeText)
@@ -160,12 +160,12 @@
 
 func TestAnAcceptorTakesOnlyWhatWasNamed(t *testing.T) {
 	text := randomText(3*wholeBytes, 1)
-	manifest := parts.NewCut([]byte(text), nil).Manifest()
+	manifest := chunks.NewCut([]byte(text), nil).Manifest()
 	spoilt := manifest
 	spoilt.Sum[0]++
 	var packed [][]byte
-	for _, part := range parts.Split([]byte(text)) {
-		packed = append(packed, parts.Pack(part))
+	for _, part := range chunks.Split([]byte(text)) {
+		packed = append(packed, chunks.Pack(part))
 	}
 	convey.Convey("Given an acceptor", t, func() {
 		store := storage.NewMemory()
@@ -182,7 +182,7 @@
 			answer, err := accept(content{Manifest: manifest, Parts: packed[1:]})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.Outcome, convey.ShouldEqual, partsMissing)
-			convey.So(answer.Missing, convey.ShouldResemble, manifest.Parts[:parts.SumBytes])
+			convey.So(answer.Missing, convey.ShouldResemble, manifest.Parts[:chunks.SumBytes])
 			convey.So(held(), convey.ShouldBeEmpty)
 			convey.Convey("once they were pushed, it is", func() {
 				_, err := acceptor.servePush(context.Background(), pushRequest{Parts: packed[:1]})
@@ -195,20 +195,20 @@
 		})
 		convey.Convey("a value that is not what its manifest names is refused as not run", func() {
 			_, err := accept(content{Manifest: spoilt, Parts: packed})
-			convey.So(verdict.Of(err), convey.ShouldEqual, verdict.NotRun)
+			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
 			convey.So(held(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("so is what is no part at all, and no manifest", func() {
 			_, err := accept(content{Manifest: manifest, Parts: [][]byte{{1, 2, 3}}})
-			convey.So(verdict.Of(err), convey.ShouldEqual, verdict.NotRun)
+			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
 			_, err = acceptor.servePush(context.Background(), pushRequest{Parts: [][]byte{{1, 2, 3}}})
-			convey.So(verdict.Of(err), convey.ShouldEqual, verdict.NotRun)
-			_, err = accept(content{Manifest: parts.Manifest{Bytes: -1}})
-			convey.So(verdict.Of(err), convey.ShouldEqual, verdict.NotRun)
+			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			_, err = accept(content{Manifest: chunks.Manifest{Bytes: -1}})
+			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
 		})
 		convey.Convey("parts that nobody asks to accept do not pile up", func() {
 			for i := range 40 {
-				part := parts.Pack([]byte(randomText(8000, uint64(i))))
+				part := chunks.Pack([]byte(randomText(8000, uint64(i))))
 				acceptor.servePush(context.Background(), pushRequest{Parts: [][]byte{part, part}})
 			}
 			convey.So(acceptor.values.pushedBytes, convey.ShouldEqual, 40*8000)
--- a/internal/controlplane/register/values.go
+++ b/internal/controlplane/register/values.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"sync"
 
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -15,7 +15,7 @@
 	wholeBytes = 4 << 10
 	// mostPushed bounds the bytes of parts that are kept for values that have not been accepted yet. They are thrown away
 	// together: whoever still needs them sends them again.
-	mostPushed = 2 * parts.MaxContent
+	mostPushed = 2 * chunks.MaxContent
 )
 
 // values holds the parts of large values at an acceptor: of the one that was accepted last, and of those that are being
@@ -25,30 +25,30 @@
 	mutex       sync.Mutex
 	ballot      Ballot // of the value that was cut
 	view        uint64
-	cut         *parts.Cut
-	pushed      map[parts.Sum][]byte
+	cut         *chunks.Cut
+	pushed      map[chunks.Sum][]byte
 	pushedBytes int
 }
 
 // cutOf returns the parts of a value that was accepted under a ballot in a view.
-func (v *values) cutOf(ballot Ballot, view uint64, value []byte) *parts.Cut {
+func (v *values) cutOf(ballot Ballot, view uint64, value []byte) *chunks.Cut {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.cut == nil || v.ballot != ballot || v.view != view {
-		v.cut, v.ballot, v.view = parts.NewCut(value, v.cut), ballot, view
+		v.cut, v.ballot, v.view = chunks.NewCut(value, v.cut), ballot, view
 	}
 	return v.cut
 }
 
 // newest returns the parts of the value that was cut last; nil if there is none.
-func (v *values) newest() *parts.Cut {
+func (v *values) newest() *chunks.Cut {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.cut
 }
 
 // part is the parts.Holder of all that is here.
-func (v *values) part(sum parts.Sum) (part []byte, found bool) {
+func (v *values) part(sum chunks.Sum) (part []byte, found bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if part, found = v.pushed[sum]; !found && v.cut != nil {
@@ -61,7 +61,7 @@
 func (v *values) keep(packed [][]byte) error {
 	unpacked := make([][]byte, 0, len(packed))
 	for _, one := range packed {
-		part, err := parts.Unpack(one)
+		part, err := chunks.Unpack(one)
 		if err != nil {
 			return err
 		}
@@ -77,9 +77,9 @@
 
 func (v *values) keepOne(part []byte) {
 	if v.pushed == nil || v.pushedBytes+len(part) > mostPushed {
-		v.pushed, v.pushedBytes = make(map[parts.Sum][]byte), 0
+		v.pushed, v.pushedBytes = make(map[chunks.Sum][]byte), 0
 	}
-	sum := parts.SumOf(part)
+	sum := chunks.SumOf(part)
 	if _, twice := v.pushed[sum]; !twice {
 		v.pushed[sum] = part
 		v.pushedBytes += len(part)
@@ -87,7 +87,7 @@
 }
 
 // settled throws away what was sent of earlier values, once one was accepted.
-func (v *values) settled(accepted *parts.Cut, ballot Ballot, view uint64) {
+func (v *values) settled(accepted *chunks.Cut, ballot Ballot, view uint64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.cut, v.ballot, v.view = accepted, ballot, view
@@ -129,38 +129,38 @@
 // serveAccept puts a value together that comes by parts. If some are missing it tells which, and nothing was done.
 func (a *Acceptor) serveAccept(ctx context.Context, request acceptRequest) (reply, error) {
 	if request.Content == nil {
-		return reply{}, verdict.Unexecuted(errNoContent, 0)
+		return reply{}, rpcerror.Unexecuted(errNoContent, 0)
 	}
 	if err := a.values.keep(request.Content.Parts); err != nil {
-		return reply{}, verdict.Unexecuted(err, 0)
+		return reply{}, rpcerror.Unexecuted(err, 0)
 	}
-	gathered, err := parts.NewCollection(request.Content.Manifest, a.values.part)
+	gathered, err := chunks.NewCollection(request.Content.Manifest, a.values.part)
 	if err != nil {
-		return reply{}, verdict.Unexecuted(err, 0)
+		return reply{}, rpcerror.Unexecuted(err, 0)
 	}
 	if !gathered.Whole() {
-		return reply{Outcome: partsMissing, Missing: parts.Join(gathered.Missing(gathered.Lacks()))}, nil
+		return reply{Outcome: partsMissing, Missing: chunks.Join(gathered.Missing(gathered.Lacks()))}, nil
 	}
 	if request.State.Value, err = gathered.Content(); err != nil {
-		return reply{}, verdict.Unexecuted(fmt.Errorf("accept in register %s: %w", a.config.Name, err), 0)
+		return reply{}, rpcerror.Unexecuted(fmt.Errorf("accept in register %s: %w", a.config.Name, err), 0)
 	}
 	return a.accept(ctx, request)
 }
 
 // cutLarge cuts a value that travels and is stored by parts; nil stands for a small one.
-func (a *Acceptor) cutLarge(value []byte) *parts.Cut {
+func (a *Acceptor) cutLarge(value []byte) *chunks.Cut {
 	if len(value) <= wholeBytes {
 		return nil
 	}
-	return parts.NewCut(value, a.values.newest())
+	return chunks.NewCut(value, a.values.newest())
 }
 
 func (a *Acceptor) servePush(_ context.Context, request pushRequest) (pushReply, error) {
 	if !a.config.Ready() {
-		return pushReply{}, verdict.Unexecuted(ErrNotReady, notReadyRetry)
+		return pushReply{}, rpcerror.Unexecuted(ErrNotReady, notReadyRetry)
 	}
 	if err := a.values.keep(request.Parts); err != nil {
-		return pushReply{}, verdict.Unexecuted(err, 0)
+		return pushReply{}, rpcerror.Unexecuted(err, 0)
 	}
 	return pushReply{}, nil
 }
@@ -170,5 +170,5 @@
 	if cut == nil {
 		return fetchReply{}, nil
 	}
-	return fetchReply{Parts: cut.PackedSome(parts.SumsOf(request.Sums), request.Room)}, nil
+	return fetchReply{Parts: cut.PackedSome(chunks.SumsOf(request.Sums), request.Room)}, nil
 }
--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // Internal calls. A goodbye that came a second time, or late, would end the membership of one that is back.
@@ -173,7 +173,7 @@
 	err := m.learnIfNewer(view)
 	switch {
 	case err == nil:
-	case verdict.Of(err) == verdict.NotRun:
+	case rpcerror.Of(err) == rpcerror.NotRun:
 		m.config.Logger.Warn("view of the replicas not taken", zap.Uint64("version", view.Version), zap.Error(err))
 	default:
 		select {
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -10,11 +10,11 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // errFull is what a full disk answers: the store is as before, and later writes may succeed.
-var errFull = verdict.Unexecuted(fmt.Errorf("%w: %w", storage.ErrRefused, syscall.ENOSPC), storage.RefusalPause)
+var errFull = rpcerror.Unexecuted(fmt.Errorf("%w: %w", storage.ErrRefused, syscall.ENOSPC), storage.RefusalPause)
 
 // A replacement comes while another member's disk is full.
 func TestAMemberWithAFullDiskMissesAViewAndLives(t *testing.T) {
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"puffinlink.example/puffinlink/internal/controlplane/register"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // operation is what a client asks of the register: to append a token, or to read where that is empty.
@@ -45,7 +45,7 @@
 	call := h.clock.Add(1)
 	value, err := do.perform(ctx, by)
 	back := h.clock.Add(1)
-	if err != nil && (verdict.Of(err) == verdict.NotRun || do.token == "") {
+	if err != nil && (rpcerror.Of(err) == rpcerror.NotRun || do.token == "") {
 		return
 	}
 	if err != nil {
--- a/internal/controlplane/replicaset/process_test.go
+++ b/internal/controlplane/replicaset/process_test.go
@@ -6,8 +6,8 @@
 	"sync"
 
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // mortalStore lets a process write to a disk until the process is killed.
@@ -50,7 +50,7 @@
 // Call implements transport.Caller.
 func (m mortalCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !m.store.alive() {
-		return verdict.Unexecuted(errDead, 0)
+		return rpcerror.Unexecuted(errDead, 0)
 	}
 	return m.Caller.Call(ctx, address, route, request, reply)
 }
--- a/internal/controlplane/replication/core.go
+++ b/internal/controlplane/replication/core.go
@@ -8,9 +8,9 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/chance"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/random"
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
@@ -53,7 +53,7 @@
 	store   tables
 	handler Handler
 	clock   Clock
-	random  chance.PCG
+	random  random.PCG
 	// enter runs a step from outside of all steps, and spawn a function on a goroutine of its own.
 	enter func(step func())
 	spawn func(func())
--- a/internal/controlplane/replication/disk.go
+++ b/internal/controlplane/replication/disk.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -18,7 +18,7 @@
 
 // writeFailed decides what a failed write means: a refused one has left the store as it was, and later ones may succeed.
 func (c *core) writeFailed(err error) {
-	if verdict.Of(err) != verdict.NotRun {
+	if rpcerror.Of(err) != rpcerror.NotRun {
 		c.fail(err)
 		return
 	}
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -7,11 +7,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // errDiskFull is how a store refuses a write that it has not done.
-var errDiskFull = verdict.Unexecuted(errors.New("no room"), 0)
+var errDiskFull = rpcerror.Unexecuted(errors.New("no room"), 0)
 
 // spoilDisks makes one disk, or now and then all, full or stalled for some time.
 func (s *simulation) spoilDisks() {
--- a/internal/controlplane/replication/explored_test.go
+++ b/internal/controlplane/replication/explored_test.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/chance"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 // The explored world is three cores without any chance: each message, write, crash and lapse of time is an action that a
@@ -106,7 +106,7 @@
 	m.core = newCore(Config{
 		Self: m.address, Handler: m, Log: zap.NewNop(), Clock: m.world, Limits: limits,
 		Timing: Timing{Round: 24 * time.Hour, Transfer: 24 * time.Hour}.withDefaults(),
-	}, chance.PCG(1))
+	}, random.PCG(1))
 	m.core.store = m.disk
 	m.core.enter = m.step
 	m.core.spawn = func(task func()) { m.tasks = append(m.tasks, task) }
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -11,12 +11,12 @@
 	"github.com/zeebo/xxh3"
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/chance"
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/random"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // Config is what a Node needs.
@@ -64,14 +64,14 @@
 	n := &Node{config: config, log: config.Log, poke: make(chan struct{}, 1)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	seed := xxh3.HashString(config.Self) ^ uint64(time.Now().UnixNano())
-	n.core = newCore(config, chance.PCG(seed))
+	n.core = newCore(config, random.PCG(seed))
 	n.core.enter = n.enter
 	n.core.spawn = n.spawn
 	n.core.restore()
 	return n, nil
 }
 
-func newCore(config Config, random chance.PCG) *core {
+func newCore(config Config, random random.PCG) *core {
 	return &core{
 		self: config.Self, timing: config.Timing, log: config.Log, store: config.Store, handler: config.Handler,
 		clock: config.Clock, random: random, now: config.Clock.Now(),
@@ -120,7 +120,7 @@
 	case <-n.ctx.Done():
 	}
 	var none Reply
-	return none, verdict.Unclear(errors.New("replication: the request was given up"))
+	return none, rpcerror.Unclear(errors.New("replication: the request was given up"))
 }
 
 // step runs one step of the core. Its effects count as tasks from then on.
--- a/internal/controlplane/replication/simulatednode_test.go
+++ b/internal/controlplane/replication/simulatednode_test.go
@@ -7,10 +7,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/chance"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 type pendingWrite struct {
@@ -44,7 +44,7 @@
 	n.terms, n.pending = make(map[string]*Term), nil
 	n.core = newCore(Config{
 		Self: n.address, Store: nil, Handler: n, Log: zap.NewNop(), Clock: s, Timing: s.timing, Limits: s.limits,
-	}, chance.PCG(s.random.Uint64()))
+	}, random.PCG(s.random.Uint64()))
 	n.core.store = n.disk
 	if s.realStores {
 		if n.files == nil {
--- a/internal/controlplane/storage/failure_test.go
+++ b/internal/controlplane/storage/failure_test.go
@@ -8,7 +8,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const logFile = directory + "/store.log"
@@ -49,7 +49,7 @@
 		err := store.Write(script(1)...)
 		convey.So(errors.Is(err, storagetest.ErrTruncate), convey.ShouldBeTrue)
 		convey.So(errors.Is(err, storage.ErrRefused), convey.ShouldBeFalse)
-		convey.So(verdict.Of(err), convey.ShouldEqual, verdict.MayHaveRun)
+		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
 		<-store.Failed()
 		disk.SetCapacity(0)
 		convey.So(errors.Is(store.Write(script(1)...), storagetest.ErrTruncate), convey.ShouldBeTrue)
--- a/internal/controlplane/storage/refusal.go
+++ b/internal/controlplane/storage/refusal.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -27,7 +27,7 @@
 }
 
 func refused(cause error) error {
-	return verdict.Unexecuted(fmt.Errorf("%w: %w", ErrRefused, cause), RefusalPause)
+	return rpcerror.Unexecuted(fmt.Errorf("%w: %w", ErrRefused, cause), RefusalPause)
 }
 
 // refusal is the newest write that the disk refused.
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
-	"puffinlink.example/puffinlink/internal/controlplane/parts"
 )
 
 const (
@@ -29,7 +29,7 @@
 type download struct {
 	mutex      sync.Mutex
 	version    uint64 // on its way; 0 for none
-	collection *parts.Collection
+	collection *chunks.Collection
 	began      time.Time // when it was first offered
 	pending    time.Time // since when a configuration is known that is newer than the one in force; zero for none
 	sources    []string  // who have it, to be asked in this order
@@ -66,7 +66,7 @@
 
 // offered takes in that a source has a configuration. An older one than the one on its way changes nothing; a newer one
 // takes its place. The error is parts.ErrManifest or parts.ErrPacked.
-func (d *download) offered(version uint64, offer *feed.Offer, source string, known parts.Holder, now time.Time) error {
+func (d *download) offered(version uint64, offer *feed.Offer, source string, known chunks.Holder, now time.Time) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if version < d.version {
@@ -85,12 +85,12 @@
 	return d.collection.AddPacked(offer.Parts)
 }
 
-func (d *download) begin(version uint64, manifest parts.Manifest, known parts.Holder, now time.Time) error {
-	holders := []parts.Holder{known}
+func (d *download) begin(version uint64, manifest chunks.Manifest, known chunks.Holder, now time.Time) error {
+	holders := []chunks.Holder{known}
 	if d.collection != nil {
 		holders = append(holders, d.collection.Part)
 	}
-	collection, err := parts.NewCollection(manifest, holders...)
+	collection, err := chunks.NewCollection(manifest, holders...)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 }
 
 // errWrongContent is the failure of a configuration whose parts do not make up what was offered.
-var errWrongContent = fmt.Errorf("configuration not taken: %w", parts.ErrContent)
+var errWrongContent = fmt.Errorf("configuration not taken: %w", chunks.ErrContent)
 
 // finished returns the configuration once all of it has come; it is then no longer on its way. A wrong one is given up.
 func (d *download) finished() (version uint64, body []byte, err error) {
@@ -156,7 +156,7 @@
 		return partsCall{}, false
 	}
 	sums := d.collection.Missing(1 + d.bytes/packedPart)
-	return partsCall{d.version, d.sources[0], feed.PartsRequest{Sums: parts.Join(sums), Room: d.bytes}}, true
+	return partsCall{d.version, d.sources[0], feed.PartsRequest{Sums: chunks.Join(sums), Room: d.bytes}}, true
 }
 
 // arrived takes in the answer to a call. A source without any of the parts is not asked again.
--- a/internal/dataplane/agent/network_test.go
+++ b/internal/dataplane/agent/network_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 var (
@@ -89,10 +89,10 @@
 	n.mutex.Unlock()
 	if n.isCut(e.address, address) {
 		<-ctx.Done()
-		return verdict.Unclear(errCut)
+		return rpcerror.Unclear(errCut)
 	}
 	if down {
-		return verdict.Unexecuted(errDown, 0)
+		return rpcerror.Unexecuted(errDown, 0)
 	}
 	if err := n.carry(ctx, e.address, address, request); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	err := serve(ctx, mux, called.Path(), request, reply)
 	if n.isCut(e.address, address) { // the answer is lost
 		<-ctx.Done()
-		return verdict.Unclear(errCut)
+		return rpcerror.Unclear(errCut)
 	}
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 		link := n.links[address]
 		n.mutex.Unlock()
 		if link != nil && !link.carry(ctx, len(content)+headerBytes) {
-			return verdict.Unclear(ctx.Err())
+			return rpcerror.Unclear(ctx.Err())
 		}
 	}
 	return nil
@@ -145,10 +145,10 @@
 	call := httptest.NewRequest(http.MethodPost, path, bytes.NewReader(body)).WithContext(ctx)
 	mux.ServeHTTP(recorder, call)
 	if ctx.Err() != nil {
-		return verdict.Unclear(ctx.Err())
+		return rpcerror.Unclear(ctx.Err())
 	}
 	if recorder.Code != http.StatusOK {
-		return verdict.Unclear(fmt.Errorf("%s answered %d", path, recorder.Code))
+		return rpcerror.Unclear(fmt.Errorf("%s answered %d", path, recorder.Code))
 	}
 	return msgpack.Unmarshal(recorder.Body.Bytes(), reply)
 }
--- a/internal/dataplane/agent/peers.go
+++ b/internal/dataplane/agent/peers.go
@@ -6,7 +6,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"puffinlink.example/puffinlink/internal/chance"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 const (
@@ -23,14 +23,14 @@
 	self string
 
 	mutex     sync.Mutex
-	random    chance.PCG
+	random    random.PCG
 	others    []string // all agents but this one
 	monitored []string // the first few of others by rendezvous hashing
 	failures  map[string]int
 }
 
 func newPeers(self string) *peers {
-	return &peers{self: self, random: chance.PCG(xxh3.HashString(self)), failures: make(map[string]int)}
+	return &peers{self: self, random: random.PCG(xxh3.HashString(self)), failures: make(map[string]int)}
 }
 
 // setFront tells which agents there are.
--- a/internal/dataplane/mixer/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -1,4 +1,4 @@
-package mixer
+package aggregator
 
 import (
 	"time"
@@ -6,60 +6,60 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/operators/capture"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // outCall is a part call that is out.
 type outCall struct {
-	to    logic.SearcherID
-	index logic.IndexID
-	owner logic.CustomerID
+	to    policy.SearcherID
+	index policy.IndexID
+	owner policy.CustomerID
 	seat  *capture.Seat // nil where nothing is captured
 	alone bool          // nothing else of ours was there when it went
 }
 
 type callKey struct {
-	part logic.PartID
-	no   logic.CallNo
+	part policy.PartID
+	no   policy.CallNo
 }
 
-func (m *Mixer) act(a *logic.Action, now time.Time) {
+func (m *Mixer) act(a *policy.Action, now time.Time) {
 	switch a.Kind {
-	case logic.Send:
+	case policy.Send:
 		m.send(a, now)
-	case logic.Withdraw:
+	case policy.Withdraw:
 		if c, out := m.out[callKey{a.Part, a.Call}]; out {
 			m.flush(c.to)
 			m.searchers.Withdraw(c.to, a.Part, a.Call)
 		}
-	case logic.Answer:
+	case policy.Answer:
 		m.finish(a.Lookup, "satisfied", Reply{End: Satisfied, Whole: a.Whole}, now)
-	case logic.Nack:
+	case policy.Nack:
 		m.finish(a.Lookup, "nacked", Reply{End: Nacked, Wait: a.Wait}, now)
-	case logic.Abort:
+	case policy.Abort:
 		m.finish(a.Lookup, "aborted", Reply{End: Aborted}, now)
-	case logic.SetTimer:
+	case policy.SetTimer:
 		m.setTimer(a, now)
-	case logic.Probe:
+	case policy.Probe:
 		m.flush(a.Searcher)
 		m.count.Add("probes", "sent", 1)
 		m.searchers.Probe(a.Searcher, a.Apart)
-	case logic.CloseIdle:
+	case policy.CloseIdle:
 		m.flush(a.Searcher)
 		m.searchers.CloseIdle(a.Searcher)
-	case logic.Subscribe:
+	case policy.Subscribe:
 		m.register.Subscribe(a.On)
-	case logic.AskWhole:
+	case policy.AskWhole:
 		m.register.AskWhole()
-	case logic.Tell:
+	case policy.Tell:
 		m.count.Add("messages", "no_way_to_mixers", 1)
-	case logic.Note:
+	case policy.Note:
 		m.log.Info("module", zap.String("note", a.Text))
 	}
 }
 
 // send puts a call on the trip to its searcher; what one step sends there shares calls, up to the number set.
-func (m *Mixer) send(a *logic.Action, now time.Time) {
+func (m *Mixer) send(a *policy.Action, now time.Time) {
 	ref, held := m.parts[a.Part]
 	if !held {
 		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(a.Part)))
@@ -92,7 +92,7 @@
 	}
 }
 
-func (m *Mixer) flush(to logic.SearcherID) {
+func (m *Mixer) flush(to policy.SearcherID) {
 	if trip := m.trips[to]; len(trip) > 0 {
 		delete(m.trips, to)
 		m.searchers.Send(to, trip)
--- a/internal/dataplane/mixer/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -1,4 +1,4 @@
-package mixer
+package aggregator
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/operators/capture"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 var recorderNames = capture.Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
@@ -16,17 +16,17 @@
 	r := newFixture(nil)
 	var got []capture.Interval
 	r.Capture(capture.New("n1", recorderNames, 0.1), func(i capture.Interval) { got = append(got, i) })
-	r.put(Event{Event: logic.Event{Kind: logic.ListChanged, Entries: []logic.Entry{{Searcher: 1}}}, Addresses: []string{"x:1"}, Names: []Name{{"s-1", "north"}}})
+	r.put(Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Searcher: 1}}}, Addresses: []string{"x:1"}, Names: []Name{{"s-1", "north"}}})
 	one, two := r.lookup("aa", 0, 2), r.lookup("bb", 1, 1)
 	r.put(one, two)
 	for _, c := range r.sent {
-		r.put(c.ends(logic.Answered, "v"))
+		r.put(c.ends(policy.Answered, "v"))
 	}
 	gone := r.lookup("cc", 0, 1)
 	r.put(gone)
-	r.put(Event{Event: logic.Event{Kind: logic.ClientGone}, Taken: gone.Taken})
+	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: gone.Taken})
 	for range 30 {
-		r.put(Event{Event: logic.Event{Kind: logic.TimerDue, Timer: 99}})
+		r.put(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
 	}
 	if len(got) == 0 {
 		t.Fatal("no interval")
@@ -61,7 +61,7 @@
 			sent := r.sent
 			var ends []Event
 			for _, c := range sent {
-				ends = append(ends, c.ends(logic.Answered, "v"))
+				ends = append(ends, c.ends(policy.Answered, "v"))
 			}
 			r.put(ends...)
 			took[i] += time.Since(began)
--- a/internal/dataplane/mixer/crossings_test.go
+++ b/internal/dataplane/aggregator/crossings_test.go
@@ -1,4 +1,4 @@
-package mixer
+package aggregator
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // orders yields each order of n things.
@@ -33,8 +33,8 @@
 // The ends of both calls, the client's leaving and the hard deadline come in one and the same step, in each order, however the calls end and
 // whatever the index allows: there is one final answer, or the client has gone, and nothing of the lookup goes out after that or stays.
 func TestAllEndsOfALookupInOneStep(t *testing.T) {
-	outcomes := []logic.Outcome{logic.Answered, logic.Errored, logic.TurnedAway, logic.TimedOut, logic.NotConnected, logic.Broken, logic.Withdrawn, logic.NotSent}
-	for index := range logic.IndexID(2) {
+	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.TurnedAway, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Withdrawn, policy.NotSent}
+	for index := range policy.IndexID(2) {
 		for _, first := range outcomes {
 			for _, second := range outcomes {
 				for _, late := range []time.Duration{0, 3 * time.Second} { // past the wait: its timers come behind
@@ -46,7 +46,7 @@
 							t.Fatalf("sent %+v", r.sent)
 						}
 						ends := []Event{r.sent[0].ends(first, "one"), r.sent[1].ends(second, "two"),
-							{Event: logic.Event{Kind: logic.ClientGone}, Taken: e.Taken}}
+							{Event: policy.Event{Kind: policy.ClientGone}, Taken: e.Taken}}
 						r.now = r.now.Add(late)
 						r.put(ends[order[0]], ends[order[1]], ends[order[2]])
 						what := fmt.Sprintf("index %d, outcomes %d and %d, order %v, %s late", index, first, second, order, late)
@@ -54,11 +54,11 @@
 						for i := range 40 {
 							for _, c := range r.sent[2:] { // a part that went again before its client was known to have left
 								if _, out := r.out[callKey{c.Part, c.No}]; out {
-									r.put(c.ends(logic.Withdrawn, ""))
+									r.put(c.ends(policy.Withdrawn, ""))
 								}
 							}
 							r.now = r.now.Add(100 * time.Millisecond)
-							r.put(Event{Event: logic.Event{Kind: logic.CallEnded, Part: 1 << 40, Call: logic.CallNo(i)}})
+							r.put(Event{Event: policy.Event{Kind: policy.CallEnded, Part: 1 << 40, Call: policy.CallNo(i)}})
 						}
 						if len(r.sent) != sent {
 							t.Fatalf("%s: %d calls after its end", what, len(r.sent)-sent)
@@ -83,14 +83,14 @@
 func TestNothingOfAClientThatLeftIsSent(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Rules.ColdShare = 0.2 })
 	e := r.lookup("aa", 0, 4)
-	r.put(e, Event{Event: logic.Event{Kind: logic.ClientGone}, Taken: e.Taken})
+	r.put(e, Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: e.Taken})
 	if len(r.sent) != 0 {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	// All searchers start anew and are cold: of many lookups some wait until they may take more.
-	list := Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListWhole}, Addresses: make([]string, 8)}
+	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}, Addresses: make([]string, 8)}
 	for i := range 8 {
-		list.Entries = append(list.Entries, logic.Entry{Searcher: logic.SearcherID(i + 20), Cell: logic.CellID(i % 4), StartedAt: r.seconds(r.now)})
+		list.Entries = append(list.Entries, policy.Entry{Searcher: policy.SearcherID(i + 20), Cell: policy.CellID(i % 4), StartedAt: r.seconds(r.now)})
 	}
 	r.put(list)
 	var crowd []Event
@@ -107,7 +107,7 @@
 	for _, e := range crowd {
 		if !begun[e.Taken] && len(e.Taken.Done) == 0 {
 			waiting++
-			leave = append(leave, Event{Event: logic.Event{Kind: logic.ClientGone}, Taken: e.Taken})
+			leave = append(leave, Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: e.Taken})
 		}
 	}
 	if waiting == 0 {
@@ -116,7 +116,7 @@
 	r.put(leave...)
 	sent := len(r.sent)
 	for i := 0; i < len(r.sent); i++ { // all that is out ends, so that there is room
-		r.put(r.sent[i].ends(logic.Answered, "v"))
+		r.put(r.sent[i].ends(policy.Answered, "v"))
 	}
 	for _, c := range r.sent[sent:] {
 		if !begun[c.Lookup] {
--- a/internal/dataplane/mixer/gate.go
+++ b/internal/dataplane/aggregator/gate.go
@@ -1,11 +1,11 @@
-package mixer
+package aggregator
 
 import (
 	"time"
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Verdict is what a gate says of a lookup that asks to be taken.
@@ -13,16 +13,16 @@
 	Refused string  // the reason's code, "" where it is taken
 	Text    string  // the same as a sentence
 	Wait    float64 // advice when to come back, 0 for none
-	Zones   *logic.Zones
+	Zones   *policy.Zones
 	Most    float64 // seconds that it may be held at the most, 0 for as long as its client waits
 }
 
 // Gate says which lookups may be taken and where their parts may go, by what mixers agree on. None of its methods may
 // block; all are called by the module's actor.
 type Gate interface {
-	Admit(customer logic.CustomerID, index logic.IndexID) Verdict
+	Admit(customer policy.CustomerID, index policy.IndexID) Verdict
 	// Called hears how a part call ended at a searcher, so many seconds after it was sent.
-	Called(at time.Time, searcher string, how logic.Outcome, elapsed float64)
+	Called(at time.Time, searcher string, how policy.Outcome, elapsed float64)
 	// Listed hears which searchers the list names.
 	Listed([]Place)
 }
@@ -30,12 +30,12 @@
 // Place is where a searcher stands, as the list has it.
 type Place struct {
 	Name string
-	Cell logic.CellID
+	Cell policy.CellID
 }
 
 // Rules are what lookups go by from here on, those that are held as well. Held is called once all that is out does.
 type Rules struct {
-	Zones func(logic.CustomerID, logic.IndexID) *logic.Zones
+	Zones func(policy.CustomerID, policy.IndexID) *policy.Zones
 	Held  func()
 }
 
@@ -50,8 +50,8 @@
 // place is what the actor remembers of a searcher where there is a gate.
 type place struct {
 	name     string
-	location logic.LocationID
-	cell     logic.CellID
+	location policy.LocationID
+	cell     policy.CellID
 	gone     bool
 	moved    bool // another location was named under its number: it may stand anywhere
 }
@@ -59,19 +59,19 @@
 // gated is what the actor keeps for a gate.
 type gated struct {
 	gate   Gate
-	places map[logic.SearcherID]place
+	places map[policy.SearcherID]place
 	rules  *Rules // not held yet
-	covers map[*logic.Zones][]bool
+	covers map[*policy.Zones][]bool
 	logged time.Time
 }
 
 // Guard puts a gate before the module. It comes before the first list.
 func (m *Mixer) Guard(g Gate) {
-	m.gated = gated{gate: g, places: map[logic.SearcherID]place{}, covers: map[*logic.Zones][]bool{}}
+	m.gated = gated{gate: g, places: map[policy.SearcherID]place{}, covers: map[*policy.Zones][]bool{}}
 }
 
 // admit asks the gate for a lookup, and answers one that is refused.
-func (m *Mixer) admit(lk *Lookup, now time.Time) (zones *logic.Zones, admitted bool) {
+func (m *Mixer) admit(lk *Lookup, now time.Time) (zones *policy.Zones, admitted bool) {
 	v := m.gated.gate.Admit(lk.Customer, lk.Index)
 	if v.Refused != "" {
 		m.count.Add("lookups", v.Refused, 1)
@@ -88,7 +88,7 @@
 }
 
 // missing logs the shards of a lookup that no holder inside its zones has: the module gives their parts up at once.
-func (m *Mixer) missing(lk *Lookup, zones *logic.Zones, now time.Time) {
+func (m *Mixer) missing(lk *Lookup, zones *policy.Zones, now time.Time) {
 	covered, width := m.gated.covers[zones], max(1, m.set.Layout.Width)
 	if covered == nil {
 		covered = make([]bool, max(1, m.set.Layout.Cells))
@@ -125,7 +125,7 @@
 func (m *Mixer) placed(e *Event) {
 	g := &m.gated
 	clear(g.covers)
-	if e.List != logic.ListPatch {
+	if e.List != policy.ListPatch {
 		for id, p := range g.places {
 			p.gone = true
 			g.places[id] = p
@@ -133,7 +133,7 @@
 	}
 	for i, r := range e.Entries {
 		p, seen := g.places[r.Searcher]
-		p = place{e.Names[i].Searcher, r.Location, r.Cell, r.Phase == logic.Gone, p.moved || seen && !p.gone && p.location != r.Location}
+		p = place{e.Names[i].Searcher, r.Location, r.Cell, r.Phase == policy.Gone, p.moved || seen && !p.gone && p.location != r.Location}
 		g.places[r.Searcher] = p
 	}
 	var list []Place
@@ -147,7 +147,7 @@
 	g.gate.Listed(list)
 }
 
-func (m *Mixer) calling(id logic.SearcherID) bool {
+func (m *Mixer) calling(id policy.SearcherID) bool {
 	for _, c := range m.out {
 		if c.to == id {
 			return true
@@ -159,20 +159,20 @@
 // agreed takes rules and judgements into the module's event.
 func (m *Mixer) agreed(e *Event, now time.Time) {
 	if e.Override == nil {
-		e.Override = &logic.Overrides{}
+		e.Override = &policy.Overrides{}
 	}
 	if e.Rules != nil {
 		m.gated.rules = e.Rules
 		clear(m.gated.covers)
 		for id, lk := range m.lookups {
 			zones := e.Rules.Zones(lk.Customer, lk.Index)
-			e.Override.Zones = append(e.Override.Zones, logic.ZonesOverride{Lookup: id, Zones: zones})
+			e.Override.Zones = append(e.Override.Zones, policy.ZonesOverride{Lookup: id, Zones: zones})
 		}
 	}
 	if len(e.Judged) == 0 {
 		return
 	}
-	ids := make(map[string]logic.SearcherID, len(m.gated.places))
+	ids := make(map[string]policy.SearcherID, len(m.gated.places))
 	for id, p := range m.gated.places {
 		if !p.gone {
 			ids[p.name] = id
@@ -180,7 +180,7 @@
 	}
 	for _, j := range e.Judged {
 		if id := ids[j.Searcher]; id != 0 {
-			e.Override.Judged = append(e.Override.Judged, logic.JudgedOverride{Searcher: id, Times: j.Times, Until: m.seconds(now) + j.For})
+			e.Override.Judged = append(e.Override.Judged, policy.JudgedOverride{Searcher: id, Times: j.Times, Until: m.seconds(now) + j.For})
 		}
 	}
 }
--- a/internal/dataplane/mixer/lookups.go
+++ b/internal/dataplane/aggregator/lookups.go
@@ -1,4 +1,4 @@
-package mixer
+package aggregator
 
 import (
 	"time"
@@ -6,7 +6,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/operators/capture"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 type partRef struct {
@@ -27,7 +27,7 @@
 		lk.Done <- Reply{End: Twice}
 		return
 	}
-	var zones *logic.Zones
+	var zones *policy.Zones
 	if m.gated.gate != nil {
 		var admitted bool
 		if zones, admitted = m.admit(lk, now); !admitted {
@@ -37,10 +37,10 @@
 	m.count.Add("lookups", "taken", 1)
 	m.count.Add("lookups", "held", 1)
 	m.lastID++
-	lk.id = logic.LookupID(m.lastID)
+	lk.id = policy.LookupID(m.lastID)
 	m.lookups[lk.id], m.names[lk.ID] = lk, lk
 	left := lk.Wait - now.Sub(lk.Arrived).Seconds()
-	e := logic.Event{Kind: logic.LookupTaken, Lookup: lk.id, No: logic.LookupNo(lk.id), Index: lk.Index,
+	e := policy.Event{Kind: policy.LookupTaken, Lookup: lk.id, No: policy.LookupNo(lk.id), Index: lk.Index,
 		Customer: lk.Customer, Key: lk.Key, HasKey: lk.HasKey, Left: left, Parts: len(lk.Parts), Resent: lk.Resent, Zones: zones}
 	for i := range lk.Parts {
 		e.Hint += lk.Parts[i].Hint
@@ -49,18 +49,18 @@
 	if m.recorder != nil {
 		m.recorder.Taken(m.seconds(now), lk.Index, lk.Customer, lk.Resent, e.Hint, lk.shards)
 	}
-	e.Kind, e.Parts = logic.PartTaken, 0
+	e.Kind, e.Parts = policy.PartTaken, 0
 	for i := range lk.Parts {
 		p := &lk.Parts[i]
 		m.lastID++
-		e.Part, e.Shard, e.Weight, e.Hint, e.Key, e.HasKey = logic.PartID(m.lastID), p.Shard, p.Weight, p.Hint, p.Key, p.HasKey
+		e.Part, e.Shard, e.Weight, e.Hint, e.Key, e.HasKey = policy.PartID(m.lastID), p.Shard, p.Weight, p.Hint, p.Key, p.HasKey
 		m.parts[e.Part] = partRef{lk, i}
 		m.events = append(m.events, e)
 	}
 }
 
 // shards yields the shard of each part.
-func (lk *Lookup) shards(yield func(logic.ShardID) bool) {
+func (lk *Lookup) shards(yield func(policy.ShardID) bool) {
 	for i := range lk.Parts {
 		if !yield(lk.Parts[i].Shard) {
 			return
@@ -86,11 +86,11 @@
 	delete(m.lookups, lk.id)
 	delete(m.names, lk.ID)
 	for i := range lk.Parts {
-		delete(m.parts, logic.PartID(uint64(lk.id)+1+uint64(i)))
+		delete(m.parts, policy.PartID(uint64(lk.id)+1+uint64(i)))
 	}
 }
 
-func (m *Mixer) finish(id logic.LookupID, reason string, reply Reply, now time.Time) {
+func (m *Mixer) finish(id policy.LookupID, reason string, reply Reply, now time.Time) {
 	lk := m.lookups[id]
 	if lk == nil {
 		m.log.Warn("answer for a lookup that is not held", zap.Uint64("lookup", uint64(id)), zap.String("end", reason))
--- a/internal/dataplane/mixer/mixer.go
+++ b/internal/dataplane/aggregator/mixer.go
@@ -1,6 +1,6 @@
-// Package mixer is the actor of the decision module: it alone calls Step. It owns the clock, the timers and the
+// Package aggregator is the actor of the decision module: it alone calls Step. It owns the clock, the timers and the
 // map of ids, and decides nothing.
-package mixer
+package aggregator
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue"
 	"puffinlink.example/puffinlink/internal/operators/capture"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Mixer is the actor.
@@ -24,26 +24,26 @@
 	count     *counters.Set
 	searchers Searchers
 	register  Discovery
-	module    *logic.Mixer
+	module    *policy.Mixer
 
 	start    time.Time // with its monotonic reading
 	unix     float64   // the same in Unix seconds
 	stepped  time.Time // last step
 	timers   timers
-	due      map[logic.TimerID]time.Time // when timers of this step were due
+	due      map[policy.TimerID]time.Time // when timers of this step were due
 	lastID   uint64
-	lookups  map[logic.LookupID]*Lookup
+	lookups  map[policy.LookupID]*Lookup
 	names    map[string]*Lookup // held, by the client's id
-	parts    map[logic.PartID]partRef
+	parts    map[policy.PartID]partRef
 	out      map[callKey]outCall
 	gated    gated
 	recorder *capture.Recorder // nil where nothing is captured
 	captured func(capture.Interval)
 	waiting  []Event
-	events   []logic.Event
-	actions  []logic.Action
-	trips    map[logic.SearcherID][]Call // calls of this step that share one
-	tripTo   []logic.SearcherID
+	events   []policy.Event
+	actions  []policy.Action
+	trips    map[policy.SearcherID][]Call // calls of this step that share one
+	tripTo   []policy.SearcherID
 	stopping chan struct{}
 	stopped  chan struct{}
 }
@@ -52,11 +52,11 @@
 func New(set settings.Settings, log *zap.Logger, count *counters.Set) *Mixer {
 	now := time.Now()
 	m := &Mixer{In: eventqueue.New[Event](), set: set, log: log, count: count, start: now,
-		unix: float64(now.UnixNano()) / 1e9, due: map[logic.TimerID]time.Time{},
-		lookups: map[logic.LookupID]*Lookup{}, names: map[string]*Lookup{}, parts: map[logic.PartID]partRef{},
-		out: map[callKey]outCall{}, trips: map[logic.SearcherID][]Call{},
+		unix: float64(now.UnixNano()) / 1e9, due: map[policy.TimerID]time.Time{},
+		lookups: map[policy.LookupID]*Lookup{}, names: map[string]*Lookup{}, parts: map[policy.PartID]partRef{},
+		out: map[callKey]outCall{}, trips: map[policy.SearcherID][]Call{},
 		stopping: make(chan struct{}), stopped: make(chan struct{})}
-	m.module = logic.New(set.Settings, m.unix)
+	m.module = policy.New(set.Settings, m.unix)
 	return m
 }
 
@@ -119,7 +119,7 @@
 	for len(m.timers) > 0 && !m.timers[0].due.After(now) {
 		t := heap.Pop(&m.timers).(timer)
 		m.due[t.id] = t.due
-		m.events = append(m.events, logic.Event{Kind: logic.TimerDue, Timer: t.id})
+		m.events = append(m.events, policy.Event{Kind: policy.TimerDue, Timer: t.id})
 	}
 	if len(m.events) == 0 {
 		return
@@ -146,10 +146,10 @@
 // take turns what an actor told into the module's events, in the order of telling.
 func (m *Mixer) take(e *Event, now time.Time) {
 	switch e.Kind {
-	case logic.LookupTaken:
+	case policy.LookupTaken:
 		m.open(e.Taken, now)
 		return
-	case logic.ClientGone:
+	case policy.ClientGone:
 		if !m.holds(e.Taken) {
 			return // answered while it left
 		}
@@ -157,7 +157,7 @@
 		m.close(e.Taken)
 		m.ended(e.Taken, capture.Gone, now)
 		m.count.Add("lookups", "gone", 1)
-	case logic.CallEnded:
+	case policy.CallEnded:
 		key := callKey{e.Part, e.Call}
 		c, out := m.out[key]
 		delete(m.out, key)
@@ -167,27 +167,27 @@
 		if out && m.gated.gate != nil {
 			m.gated.gate.Called(now, m.gated.places[c.to].name, e.Outcome, e.Elapsed)
 		}
-		if ref, held := m.parts[e.Part]; held && e.Outcome == logic.Answered {
+		if ref, held := m.parts[e.Part]; held && e.Outcome == policy.Answered {
 			if p := &ref.lookup.Parts[ref.no]; !p.In {
 				p.In, p.Value = true, e.Value
 			}
 		}
-	case logic.ListChanged:
-		if e.List == logic.ListFailed {
+	case policy.ListChanged:
+		if e.List == policy.ListFailed {
 			break
 		}
 		for i := range e.Entries {
 			m.searchers.Named(e.Entries[i], e.Addresses[i])
 			switch {
 			case m.recorder == nil:
-			case e.Entries[i].Phase == logic.Gone:
+			case e.Entries[i].Phase == policy.Gone:
 				m.recorder.Unnamed(e.Entries[i].Searcher)
 			default:
 				m.recorder.Named(e.Entries[i].Searcher, e.Names[i].Searcher, e.Names[i].Location)
 			}
 		}
-		if e.List != logic.ListPatch {
-			keep := make(map[logic.SearcherID]bool, len(e.Entries))
+		if e.List != policy.ListPatch {
+			keep := make(map[policy.SearcherID]bool, len(e.Entries))
 			for i := range e.Entries {
 				keep[e.Entries[i].Searcher] = true
 			}
@@ -196,7 +196,7 @@
 		if m.gated.gate != nil {
 			m.placed(e)
 		}
-	case logic.OverridesChanged:
+	case policy.OverridesChanged:
 		if e.Rules != nil || len(e.Judged) > 0 {
 			m.agreed(e, now)
 		}
--- a/internal/dataplane/mixer/mixer_test.go
+++ b/internal/dataplane/aggregator/mixer_test.go
@@ -1,4 +1,4 @@
-package mixer
+package aggregator
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"puffinlink.example/puffinlink/internal/counters"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // fixture is a module's actor that the test steps itself, and both of its peers.
@@ -19,46 +19,46 @@
 	now    time.Time
 	sent   []sentCall
 	trips  []int // calls that went at once
-	back   []logic.PartID
-	probes []logic.SearcherID
+	back   []policy.PartID
+	probes []policy.SearcherID
 	subs   int
 }
 
 type sentCall struct {
-	to logic.SearcherID
+	to policy.SearcherID
 	Call
 }
 
-func (r *fixture) Named(logic.Entry, string)         {}
-func (r *fixture) Unnamed(map[logic.SearcherID]bool) {}
-func (r *fixture) Probe(at logic.SearcherID, _ bool) { r.probes = append(r.probes, at) }
-func (r *fixture) CloseIdle(logic.SearcherID)        {}
-func (r *fixture) Subscribe(bool)                    { r.subs++ }
-func (r *fixture) AskWhole()                         {}
-func (r *fixture) Send(to logic.SearcherID, cs []Call) {
+func (r *fixture) Named(policy.Entry, string)         {}
+func (r *fixture) Unnamed(map[policy.SearcherID]bool) {}
+func (r *fixture) Probe(at policy.SearcherID, _ bool) { r.probes = append(r.probes, at) }
+func (r *fixture) CloseIdle(policy.SearcherID)        {}
+func (r *fixture) Subscribe(bool)                     { r.subs++ }
+func (r *fixture) AskWhole()                          {}
+func (r *fixture) Send(to policy.SearcherID, cs []Call) {
 	r.trips = append(r.trips, len(cs))
 	for _, c := range cs {
 		r.sent = append(r.sent, sentCall{to, c})
 	}
 }
-func (r *fixture) Withdraw(_ logic.SearcherID, part logic.PartID, _ logic.CallNo) {
+func (r *fixture) Withdraw(_ policy.SearcherID, part policy.PartID, _ policy.CallNo) {
 	r.back = append(r.back, part)
 }
 
 func newFixture(change func(*settings.Settings)) *fixture {
-	set := settings.Settings{Settings: logic.Settings{Seed: 5, Mixers: 2, Step: 0.005,
-		Indexes: []logic.IndexSettings{{Soft: 1, Hard: 4, Gain: 1, LateGain: 0.1}, {Soft: 1, Hard: 4, Gain: 3, Effect: logic.OnceOnly}},
-		Layout:  logic.Layout{Cells: 4, Width: 2, CallParts: 1},
-		Limits:  logic.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: 3, MaxRetryAfter: 1},
-		Rules:   logic.Rules{ColdShare: 0.2, ColdS: 8, DrainGrace: 0.25, FallMultiple: 2, FallS: 1}}}
+	set := settings.Settings{Settings: policy.Settings{Seed: 5, Mixers: 2, Step: 0.005,
+		Indexes: []policy.IndexSettings{{Soft: 1, Hard: 4, Gain: 1, LateGain: 0.1}, {Soft: 1, Hard: 4, Gain: 3, Effect: policy.OnceOnly}},
+		Layout:  policy.Layout{Cells: 4, Width: 2, CallParts: 1},
+		Limits:  policy.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: 3, MaxRetryAfter: 1},
+		Rules:   policy.Rules{ColdShare: 0.2, ColdS: 8, DrainGrace: 0.25, FallMultiple: 2, FallS: 1}}}
 	if change != nil {
 		change(&set)
 	}
 	r := &fixture{Mixer: New(set, zap.NewNop(), counters.New())}
 	r.searchers, r.register, r.now = r, r, r.start
-	list := Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListStale}, Addresses: make([]string, 8)}
+	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListStale}, Addresses: make([]string, 8)}
 	for i := range 8 {
-		list.Entries = append(list.Entries, logic.Entry{Searcher: logic.SearcherID(i + 1), Cell: logic.CellID(i % 4)})
+		list.Entries = append(list.Entries, policy.Entry{Searcher: policy.SearcherID(i + 1), Cell: policy.CellID(i % 4)})
 	}
 	r.put(list)
 	return r
@@ -73,16 +73,16 @@
 	r.step(r.now)
 }
 
-func (r *fixture) lookup(id string, index logic.IndexID, parts int) Event {
+func (r *fixture) lookup(id string, index policy.IndexID, parts int) Event {
 	lk := &Lookup{ID: id, Index: index, Arrived: r.now, Wait: 2, Done: make(chan Reply, 1)}
 	for i := range parts {
-		lk.Parts = append(lk.Parts, Part{Shard: logic.ShardID(i), Weight: 1 / float64(parts)})
+		lk.Parts = append(lk.Parts, Part{Shard: policy.ShardID(i), Weight: 1 / float64(parts)})
 	}
-	return Event{Event: logic.Event{Kind: logic.LookupTaken}, Taken: lk}
+	return Event{Event: policy.Event{Kind: policy.LookupTaken}, Taken: lk}
 }
 
-func (c sentCall) ends(how logic.Outcome, value string) Event {
-	return Event{Value: []byte(value), Event: logic.Event{Kind: logic.CallEnded, Part: c.Part, Call: c.No, Searcher: c.to,
+func (c sentCall) ends(how policy.Outcome, value string) Event {
+	return Event{Value: []byte(value), Event: policy.Event{Kind: policy.CallEnded, Part: c.Part, Call: c.No, Searcher: c.to,
 		Outcome: how, Elapsed: 0.1}}
 }
 
@@ -111,15 +111,15 @@
 			t.Fatalf("stops %v after the arrival", c.Stop.Sub(lk.Arrived))
 		}
 	}
-	r.put(r.sent[1].ends(logic.Answered, "one"), r.sent[1].ends(logic.Answered, "again"))
-	r.put(r.sent[0].ends(logic.Answered, "zero"))
+	r.put(r.sent[1].ends(policy.Answered, "one"), r.sent[1].ends(policy.Answered, "again"))
+	r.put(r.sent[0].ends(policy.Answered, "zero"))
 	if reply := lk.reply(t); reply.End != Satisfied || !reply.Whole {
 		t.Fatalf("got %+v", reply)
 	}
 	if got := string(lk.Parts[0].Value) + string(lk.Parts[1].Value); got != "zeroone" && got != "onezero" {
 		t.Fatalf("values %q", got)
 	}
-	r.put(Event{Event: logic.Event{Kind: logic.ClientGone}, Taken: lk}) // it left as the answer was on its way
+	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: lk}) // it left as the answer was on its way
 	r.checkCounters(t, map[string]int64{"taken": 1, "satisfied": 1, "gone": 0, "held": 0})
 }
 
@@ -150,7 +150,7 @@
 	if reply := third.Taken.reply(t); reply.End != Full {
 		t.Fatalf("got %+v", reply)
 	}
-	r.put(Event{Event: logic.Event{Kind: logic.ClientGone}, Taken: first.Taken})
+	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: first.Taken})
 	if len(r.back) != 2 {
 		t.Fatalf("withdrawn %v", r.back)
 	}
@@ -164,10 +164,10 @@
 
 func TestPartsOfAStepShareCalls(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) {
-		s.Layout = logic.Layout{Cells: 1, Width: 1, CallParts: 2}
+		s.Layout = policy.Layout{Cells: 1, Width: 1, CallParts: 2}
 	})
-	list := Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListWhole}, Addresses: []string{""}}
-	list.Entries = []logic.Entry{{Searcher: 1}}
+	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}, Addresses: []string{""}}
+	list.Entries = []policy.Entry{{Searcher: 1}}
 	r.put(list)
 	r.put(r.lookup("aa", 0, 5))
 	if fmt.Sprint(r.trips) != "[2 2 1]" {
@@ -246,18 +246,18 @@
 			s.Limits.SecondCopy = rng.IntN(2) == 0
 		})
 		open := map[*Lookup]bool{}
-		never := map[logic.PartID]bool{} // once-only parts all of whose calls surely never ran
+		never := map[policy.PartID]bool{} // once-only parts all of whose calls surely never ran
 		seen, pending := 0, []sentCall(nil)
 		for i := range 1500 {
 			var events []Event
 			if rng.IntN(8) == 0 && i < 900 {
-				e := r.lookup(fmt.Sprint(i), logic.IndexID(rng.IntN(2)), 1+rng.IntN(4))
+				e := r.lookup(fmt.Sprint(i), policy.IndexID(rng.IntN(2)), 1+rng.IntN(4))
 				events = append(events, e)
 				open[e.Taken] = true
 			}
 			for lk := range open {
 				if rng.IntN(800) == 0 {
-					events = append(events, Event{Event: logic.Event{Kind: logic.ClientGone}, Taken: lk})
+					events = append(events, Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: lk})
 					delete(open, lk)
 				}
 			}
@@ -267,17 +267,17 @@
 					rest = append(rest, c)
 					continue
 				}
-				how := []logic.Outcome{logic.Answered, logic.Answered, logic.Answered, logic.Errored, logic.TurnedAway,
-					logic.NotConnected, logic.Broken}[rng.IntN(7)]
+				how := []policy.Outcome{policy.Answered, policy.Answered, policy.Answered, policy.Errored, policy.TurnedAway,
+					policy.NotConnected, policy.Broken}[rng.IntN(7)]
 				if !r.now.Before(c.Stop) {
-					how = logic.TimedOut
+					how = policy.TimedOut
 				}
-				never[c.Part] = never[c.Part] && (how == logic.TurnedAway || how == logic.NotConnected)
+				never[c.Part] = never[c.Part] && (how == policy.TurnedAway || how == policy.NotConnected)
 				events = append(events, c.ends(how, c.Lookup.ID))
 			}
 			pending = rest
 			for _, at := range r.probes {
-				events = append(events, Event{Event: logic.Event{Kind: logic.ProbeEnded, Searcher: at, Outcome: logic.Answered, Elapsed: 0.01}})
+				events = append(events, Event{Event: policy.Event{Kind: policy.ProbeEnded, Searcher: at, Outcome: policy.Answered, Elapsed: 0.01}})
 			}
 			r.probes = nil
 			r.put(events...)
--- a/internal/dataplane/mixer/timers.go
+++ b/internal/dataplane/aggregator/timers.go
@@ -1,17 +1,17 @@
-package mixer
+package aggregator
 
 import (
 	"container/heap"
 	"math"
 	"time"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // timer is one that the module set.
 type timer struct {
 	due time.Time
-	id  logic.TimerID
+	id  policy.TimerID
 }
 
 type timers []timer
@@ -32,7 +32,7 @@
 
 // setTimer sets a timer. One that comes again and again counts from when it was due, not from when its step came,
 // or each step's lateness would add up.
-func (m *Mixer) setTimer(a *logic.Action, now time.Time) {
+func (m *Mixer) setTimer(a *policy.Action, now time.Time) {
 	from := now
 	wait := time.Duration(math.Ceil(a.Wait * float64(time.Second)))
 	if due, again := m.due[a.Timer]; again && due.Add(wait).After(now) {
--- a/internal/dataplane/mixer/types.go
+++ b/internal/dataplane/aggregator/types.go
@@ -1,16 +1,16 @@
-package mixer
+package aggregator
 
 import (
 	"time"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Lookup is one that a client asked for. Until its Done has an answer it is the mixer's.
 type Lookup struct {
 	ID       string // the client's; it is part of the names of part calls
-	Index    logic.IndexID
-	Customer logic.CustomerID
+	Index    policy.IndexID
+	Customer policy.CustomerID
 	Key      uint64
 	HasKey   bool
 	Resent   bool
@@ -20,19 +20,19 @@
 	Parts    []Part
 	Done     chan Reply // holds one
 
-	id logic.LookupID
+	id policy.LookupID
 }
 
 // Part is one of a lookup's; its Value is there once it is In.
 type Part struct {
-	Shard        logic.ShardID
+	Shard        policy.ShardID
 	Weight, Hint float64
 	Key          uint64
 	HasKey       bool
 	In           bool
 	Value        []byte
 
-	made logic.CallNo // part calls so far
+	made policy.CallNo // part calls so far
 }
 
 // End is how a lookup ended for its client.
@@ -57,7 +57,7 @@
 // Event is what an actor tells the module's: one of the module's own events with what it has no place for. A
 // lookup comes as one event, which brings its parts.
 type Event struct {
-	logic.Event
+	policy.Event
 	Taken     *Lookup  // LookupTaken, and ClientGone
 	Value     []byte   // CallEnded
 	Addresses []string // ListChanged: one for each entry
@@ -71,10 +71,10 @@
 
 // Call is one part call on its way to a searcher.
 type Call struct {
-	Part   logic.PartID
-	No     logic.CallNo
+	Part   policy.PartID
+	No     policy.CallNo
 	Lookup *Lookup // of which only what never changes may be read
-	Shard  logic.ShardID
+	Shard  policy.ShardID
 	Sent   time.Time
 	Stop   time.Time // when to stop waiting
 	Begin  time.Time // by when it has to be on its way, whatever held it up; after it, it is not begun
@@ -82,12 +82,12 @@
 
 // Searchers takes what goes to searchers. None of its methods may block.
 type Searchers interface {
-	Named(entry logic.Entry, address string)
-	Unnamed(keep map[logic.SearcherID]bool)
-	Send(to logic.SearcherID, calls []Call)
-	Withdraw(at logic.SearcherID, part logic.PartID, no logic.CallNo)
-	Probe(at logic.SearcherID, apart bool)
-	CloseIdle(at logic.SearcherID)
+	Named(entry policy.Entry, address string)
+	Unnamed(keep map[policy.SearcherID]bool)
+	Send(to policy.SearcherID, calls []Call)
+	Withdraw(at policy.SearcherID, part policy.PartID, no policy.CallNo)
+	Probe(at policy.SearcherID, apart bool)
+	CloseIdle(at policy.SearcherID)
 }
 
 // Discovery takes what is asked of the list. None of its methods may block.
--- a/internal/dataplane/mixerlog/mixerlog.go
+++ b/internal/dataplane/asynclog/mixerlog.go
@@ -1,6 +1,6 @@
-// Package mixerlog makes the log of a mixer: one JSON object a line, with level, time (milliseconds since 1970), mixer and message.
+// Package asynclog makes the log of a mixer: one JSON object a line, with level, time (milliseconds since 1970), mixer and message.
 // Whoever reads the log never holds up the mixer that writes it.
-package mixerlog
+package asynclog
 
 import (
 	"time"
--- a/internal/dataplane/mixerlog/writer.go
+++ b/internal/dataplane/asynclog/writer.go
@@ -1,4 +1,4 @@
-package mixerlog
+package asynclog
 
 import (
 	"io"
--- a/internal/dataplane/searchers/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -1,12 +1,12 @@
-package searchers
+package backends
 
 import (
 	"sync/atomic"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/eventqueue"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 type noteKind uint8
@@ -31,14 +31,14 @@
 type note struct {
 	kind       noteKind
 	frameType  byte
-	entry      logic.Entry
+	entry      policy.Entry
 	address    string
 	apart      bool
 	era        int
-	new        []mixer.Call
+	new        []aggregator.Call
 	calls      []*call
-	part       logic.PartID
-	no         logic.CallNo
+	part       policy.PartID
+	no         policy.CallNo
 	connection *connection
 	answer     answer
 	name       string
@@ -50,7 +50,7 @@
 // actor speaks with one searcher.
 type actor struct {
 	hub          *Hub
-	id           logic.SearcherID
+	id           policy.SearcherID
 	in           *eventqueue.Queue[note]
 	address      string
 	stopped      bool
@@ -159,10 +159,10 @@
 // named takes what the list says. Connections to another address, or older than the searcher's last start, lead to a
 // process that is no more.
 func (a *actor) named(n *note) {
-	if a.closed = n.entry.Phase != logic.Ready; a.closed {
+	if a.closed = n.entry.Phase != policy.Ready; a.closed {
 		a.unsend()
 	}
-	if a.gone = n.entry.Phase == logic.Gone; a.gone {
+	if a.gone = n.entry.Phase == policy.Gone; a.gone {
 		return
 	}
 	if n.address != a.address { // connects to the old one are no use
@@ -194,17 +194,17 @@
 	}
 	for _, c := range a.calls {
 		if !c.back && due(c.Stop) {
-			a.giveUp(c, logic.TimedOut)
+			a.giveUp(c, policy.TimedOut)
 		}
 	}
 	if p := a.pendingProbe; p != nil && due(p.since.Add(seconds(a.hub.set.Connect))) {
-		how := logic.TimedOut
+		how := policy.TimedOut
 		if p.connection == nil { // the connect that it waits for has as long, and may be told a moment later
-			how = logic.NotConnected
+			how = policy.NotConnected
 		} else if p.written {
 			a.unanswered(p.connection, p.since, now)
 		}
-		a.probed(how, now, logic.Load{})
+		a.probed(how, now, policy.Load{})
 	}
 	for _, conn := range a.connections {
 		switch {
@@ -215,7 +215,7 @@
 				a.close(conn, whySilent) // before any end on it is told
 				for _, c := range a.calls {
 					if c.connection == conn {
-						a.end(c, logic.TimedOut, now, answer{})
+						a.end(c, policy.TimedOut, now, answer{})
 					}
 				}
 			}
