--- a/internal/dataplane/searchers/call.go
+++ b/internal/dataplane/backends/call.go
@@ -1,23 +1,23 @@
-package searchers
+package backends
 
 import (
 	"sync/atomic"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // call is one part call that is out. name, the Call and its trip never change.
 type call struct {
-	mixer.Call
+	aggregator.Call
 	name       string
 	trip       *trip
 	connection *connection // nil while it waits for one
 	written    bool
-	back       bool          // given up, which its searcher is being told
-	how        logic.Outcome // then: as what
-	begun      atomic.Int32  // its actor and its connection's writer settle by it which of them comes first
+	back       bool           // given up, which its searcher is being told
+	how        policy.Outcome // then: as what
+	begun      atomic.Int32   // its actor and its connection's writer settle by it which of them comes first
 }
 
 const (
@@ -47,12 +47,12 @@
 }
 
 // outcome is that of a call whose connection can tell no more: what was never wholly written never ran.
-func (c *call) outcome() logic.Outcome {
+func (c *call) outcome() policy.Outcome {
 	switch {
 	case c.back:
 		return c.how
 	case c.written:
-		return logic.Broken
+		return policy.Broken
 	}
-	return logic.NotConnected
+	return policy.NotConnected
 }
--- a/internal/dataplane/searchers/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -1,19 +1,19 @@
-package searchers
+package backends
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // withdraw gives up a call that the module takes back.
-func (a *actor) withdraw(part logic.PartID, no logic.CallNo) {
+func (a *actor) withdraw(part policy.PartID, no policy.CallNo) {
 	for _, c := range a.calls {
 		if c.Part == part && c.No == no {
-			a.giveUp(c, logic.Withdrawn)
+			a.giveUp(c, policy.Withdrawn)
 			return
 		}
 	}
@@ -23,7 +23,7 @@
 func (a *actor) notBegun(calls []*call) {
 	for _, c := range calls {
 		if a.calls[c.name] == c {
-			a.end(c, logic.NotSent, time.Now(), answer{})
+			a.end(c, policy.NotSent, time.Now(), answer{})
 		}
 	}
 }
@@ -34,14 +34,14 @@
 	for _, c := range a.calls {
 		switch {
 		case c.takeBack():
-			a.end(c, logic.NotSent, time.Now(), answer{})
+			a.end(c, policy.NotSent, time.Now(), answer{})
 		case !c.written && c.connection.closing == "":
 			c.connection.socket.SetWriteDeadline(time.Now().Add(hurry))
 		}
 	}
 }
 
-func (a *actor) send(calls []mixer.Call) {
+func (a *actor) send(calls []aggregator.Call) {
 	t := &trip{}
 	for _, c := range calls {
 		t.calls = append(t.calls, &call{Call: c, name: partName(&c), trip: t})
@@ -49,7 +49,7 @@
 	t.live = len(t.calls)
 	for _, c := range slices.Clone(t.calls) {
 		if a.closed || a.calls[c.name] != nil { // its answer could not be told from the other's
-			a.end(c, logic.NotSent, time.Now(), answer{})
+			a.end(c, policy.NotSent, time.Now(), answer{})
 			continue
 		}
 		a.calls[c.name] = c
@@ -92,7 +92,7 @@
 }
 
 // end takes a call off the records and tells the module how it ended.
-func (a *actor) end(c *call, how logic.Outcome, at time.Time, with answer) {
+func (a *actor) end(c *call, how policy.Outcome, at time.Time, with answer) {
 	if a.calls[c.name] == c {
 		delete(a.calls, c.name)
 	}
@@ -112,7 +112,7 @@
 
 // giveUp gives up a call that nobody waits for any more. Its end is told once its searcher was: until then another call of
 // its part would be a second copy. An answer that comes before that is taken.
-func (a *actor) giveUp(c *call, how logic.Outcome) {
+func (a *actor) giveUp(c *call, how policy.Outcome) {
 	conn, now := c.connection, time.Now()
 	switch {
 	case c.back:
@@ -120,7 +120,7 @@
 	case c.takeBack() || conn.closing != "":
 		a.end(c, how, now, answer{})
 		return
-	case c.written && how == logic.TimedOut:
+	case c.written && how == policy.TimedOut:
 		a.unanswered(conn, c.Sent, now)
 	}
 	c.back, c.how = true, how
@@ -174,6 +174,6 @@
 	}
 	a.close(conn, why) // before its call's end is told, as another call of that part may go out then
 	if meant != nil {
-		a.end(meant, logic.Errored, at, answer{})
+		a.end(meant, policy.Errored, at, answer{})
 	}
 }
--- a/internal/dataplane/searchers/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -1,4 +1,4 @@
-package searchers
+package backends
 
 import (
 	"bufio"
--- a/internal/dataplane/searchers/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -1,4 +1,4 @@
-package searchers
+package backends
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/eventqueue"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func (a *actor) idle(conn *connection) bool {
@@ -165,9 +165,9 @@
 	if old || a.dials > 0 {
 		return // another may come up
 	}
-	how := logic.NotConnected
+	how := policy.NotConnected
 	if n.why == whyNoRoom { // no fault of the searcher
-		how = logic.NotSent
+		how = policy.NotSent
 	}
 	for _, t := range slices.Clone(a.waiting) {
 		for _, c := range slices.Clone(t.calls) {
@@ -175,7 +175,7 @@
 		}
 	}
 	if p := a.pendingProbe; p != nil && p.connection == nil {
-		a.probed(how, time.Now(), logic.Load{})
+		a.probed(how, time.Now(), policy.Load{})
 	}
 }
 
@@ -194,11 +194,11 @@
 		}
 	}
 	if p := a.pendingProbe; p != nil && p.connection == conn {
-		how := logic.NotConnected
+		how := policy.NotConnected
 		if p.written {
-			how = logic.Broken
+			how = policy.Broken
 		}
-		a.probed(how, now, logic.Load{})
+		a.probed(how, now, policy.Load{})
 	}
 	if !a.stopped {
 		a.assign()
--- a/internal/dataplane/searchers/crossings_test.go
+++ b/internal/dataplane/backends/crossings_test.go
@@ -1,4 +1,4 @@
-package searchers
+package backends
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue"
 	"puffinlink.example/puffinlink/internal/leaktest"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
@@ -43,7 +43,7 @@
 		p.r.Fatal(err)
 	}
 	p.say('R', "large.0 done 0 -\n") // so that it is idle, and closed where that is asked for
-	p.r.ended(1, logic.Answered)
+	p.r.ended(1, policy.Answered)
 	p.r.hub.CloseIdle(1)
 	text, _ := io.ReadAll(p.in)
 	return string(text)
@@ -55,7 +55,7 @@
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
 	r.hub.Withdraw(1, calls[0].Part, 0)
-	r.ended(calls[0].Part, logic.Withdrawn)
+	r.ended(calls[0].Part, policy.Withdrawn)
 	if text := p.rest(); text != "" {
 		t.Fatalf("%q was written", text)
 	}
@@ -66,7 +66,7 @@
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", 20*time.Millisecond, 1)
-	r.ended(calls[0].Part, logic.TimedOut)
+	r.ended(calls[0].Part, policy.TimedOut)
 	if text := p.rest(); text != "" {
 		t.Fatalf("%q was written", text)
 	}
@@ -89,14 +89,14 @@
 	r.next++
 	twin.Part = r.next
 	r.hub.Send(1, append(calls[:0:0], twin))
-	r.ended(twin.Part, logic.NotSent) // the other is still out, and its withdrawal was heard
+	r.ended(twin.Part, policy.NotSent) // the other is still out, and its withdrawal was heard
 	if _, err := io.CopyN(io.Discard, p.in, int64(4+1+len("large.0 0 d=59999 16777216\n")+16<<20)); err != nil {
 		t.Fatal(err)
 	}
 	p.expect('C', "aa.0")
-	r.ended(calls[0].Part, logic.Withdrawn)
+	r.ended(calls[0].Part, policy.Withdrawn)
 	p.say('R', "large.0 done 0 -\n")
-	r.ended(large[0].Part, logic.Answered)
+	r.ended(large[0].Part, policy.Answered)
 }
 
 // A repeat that waits for its connection, or behind a write, until it would no longer be known as one.
@@ -110,7 +110,7 @@
 	kept := r.send("cc", "q", time.Minute, 1)
 	r.hub.Send(1, append(kept[:0:0], late))
 	io.CopyN(io.Discard, p.in, 4+int64(1+len("large.0 0 d=60000 16777216\n")+16<<20)-1) // but for what its length may vary by
-	r.ended(late.Part, logic.NotSent)
+	r.ended(late.Part, policy.NotSent)
 	var text string
 	for !strings.Contains(text, "cc.0") {
 		b := make([]byte, 1<<10)
@@ -126,18 +126,18 @@
 
 // A drain, or the end, takes back at once what waits for a connect that does not come up; later calls are not begun either.
 func TestADrainTakesBackWhatWaitsForAConnect(t *testing.T) {
-	for _, phase := range []logic.Phase{logic.Draining, logic.Gone} {
+	for _, phase := range []policy.Phase{policy.Draining, policy.Gone} {
 		r := newFixture(t, func(n *settings.Net) { n.Connect = 50 })
 		address := r.deaf()
-		r.named(address, logic.Ready, 0)
+		r.named(address, policy.Ready, 0)
 		calls := r.send("aa", "q", time.Minute, 2)
 		r.named(address, phase, 0)
 		for range calls {
-			if e := r.event(); e.Kind != logic.CallEnded || e.Outcome != logic.NotSent {
+			if e := r.event(); e.Kind != policy.CallEnded || e.Outcome != policy.NotSent {
 				t.Fatalf("got %+v", e.Event)
 			}
 		}
-		r.ended(r.send("bb", "q", time.Minute, 1)[0].Part, logic.NotSent)
+		r.ended(r.send("bb", "q", time.Minute, 1)[0].Part, policy.NotSent)
 	}
 }
 
@@ -147,8 +147,8 @@
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
-	r.named(r.peer.Addr().String(), logic.Draining, 0)
-	r.ended(calls[0].Part, logic.NotSent)
+	r.named(r.peer.Addr().String(), policy.Draining, 0)
+	r.ended(calls[0].Part, policy.NotSent)
 	got, err := io.Copy(io.Discard, io.LimitReader(p.in, int64(4+1+len("large.0 0 d=59999 16777216\n")+16<<20)))
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 // A stop does not wait for connects that nobody needs any more.
 func TestAStopEndsConnects(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 3600 })
-	r.named(r.deaf(), logic.Ready, 0)
+	r.named(r.deaf(), policy.Ready, 0)
 	r.send("aa", "q", time.Hour, 1)
 	for late := time.Now().Add(patience); r.hub.count.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
@@ -291,14 +291,14 @@
 func TestALateConnectSendsNothingThatIsOver(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait time.Duration
-		do   func(*fixture, logic.PartID)
-		how  logic.Outcome
+		do   func(*fixture, policy.PartID)
+		how  policy.Outcome
 		kept bool
 	}{
-		"withdrawn": {time.Minute, func(r *fixture, part logic.PartID) { r.hub.Withdraw(1, part, 0) }, logic.Withdrawn, true},
-		"timed out": {time.Millisecond, func(*fixture, logic.PartID) {}, logic.TimedOut, true},
-		"draining":  {time.Minute, func(r *fixture, _ logic.PartID) { r.named(r.peer.Addr().String(), logic.Draining, 0) }, logic.NotSent, false},
-		"gone":      {time.Minute, func(r *fixture, _ logic.PartID) { r.named("", logic.Gone, 0) }, logic.NotSent, false},
+		"withdrawn": {time.Minute, func(r *fixture, part policy.PartID) { r.hub.Withdraw(1, part, 0) }, policy.Withdrawn, true},
+		"timed out": {time.Millisecond, func(*fixture, policy.PartID) {}, policy.TimedOut, true},
+		"draining":  {time.Minute, func(r *fixture, _ policy.PartID) { r.named(r.peer.Addr().String(), policy.Draining, 0) }, policy.NotSent, false},
+		"gone":      {time.Minute, func(r *fixture, _ policy.PartID) { r.named("", policy.Gone, 0) }, policy.NotSent, false},
 	} {
 		r := newFixture(t, func(n *settings.Net) { n.Idle, n.Connect = 60, 2 })
 		g := r.holdDials()
@@ -317,7 +317,7 @@
 		next := r.send("bb", "q", time.Minute, 1)
 		p.expect('S', "bb.0") // the first that is written on it
 		p.say('R', "bb.0 done 0 -\n")
-		r.ended(next[0].Part, logic.Answered)
+		r.ended(next[0].Part, policy.Answered)
 		if n := r.hub.count.Get("lines", "dialled"); n != 1 {
 			t.Fatalf("%s: %d connects, expected 1", name, n)
 		}
@@ -332,7 +332,7 @@
 	<-g.up
 	old := r.accept(r.peer)
 	to := r.listen()
-	r.named(to.Addr().String(), logic.Ready, 0)
+	r.named(to.Addr().String(), policy.Ready, 0)
 	<-g.up
 	close(g.let)
 	p := r.accept(to)
@@ -341,7 +341,7 @@
 		t.Fatalf("%q was written to the old address", text)
 	}
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, logic.Answered)
+	r.ended(calls[0].Part, policy.Answered)
 }
 
 // A stop comes while a connect is under way, and it comes up after that: it is closed, nothing is written, and the stop ends.
--- a/internal/dataplane/searchers/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -1,4 +1,4 @@
-package searchers
+package backends
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"time"
 	"unicode/utf8"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const (
@@ -44,13 +44,13 @@
 // answer is what frame R says of a part call.
 type answer struct {
 	name    string
-	outcome logic.Outcome
-	load    logic.Load
+	outcome policy.Outcome
+	load    policy.Load
 	value   []byte
 }
 
 var (
-	ends           = map[string]logic.Outcome{"done": logic.Answered, "failed": logic.Errored, "full": logic.TurnedAway}
+	ends           = map[string]policy.Outcome{"done": policy.Answered, "failed": policy.Errored, "full": policy.TurnedAway}
 	errNoFrameType = errors.New("frame without a letter")
 	errNotText     = errors.New("value is not UTF-8, which no answer to a client can carry unchanged")
 )
@@ -95,7 +95,7 @@
 }
 
 // partName names a part call on the wire.
-func partName(c *mixer.Call) string {
+func partName(c *aggregator.Call) string {
 	return c.Lookup.ID + "." + strconv.Itoa(int(c.Shard))
 }
 
@@ -140,7 +140,7 @@
 
 // parseLoad reads a load report. A name that is not known and a figure that can't be read are left out: the
 // answer beside them stands.
-func parseLoad(report []byte) (l logic.Load) {
+func parseLoad(report []byte) (l policy.Load) {
 	for pair := range bytes.SplitSeq(report, []byte{','}) {
 		name, value, _ := bytes.Cut(pair, []byte{'='})
 		v, err := strconv.ParseFloat(string(value), 64)
@@ -149,17 +149,17 @@
 		}
 		switch string(name) {
 		case "inflight":
-			l.Has, l.InHand = l.Has|logic.HasInHand, v
+			l.Has, l.InHand = l.Has|policy.HasInHand, v
 		case "queue":
-			l.Has, l.Waiting = l.Has|logic.HasWaiting, v
+			l.Has, l.Waiting = l.Has|policy.HasWaiting, v
 		case "util":
-			l.Has, l.Util = l.Has|logic.HasUtil, v
+			l.Has, l.Util = l.Has|policy.HasUtil, v
 		case "latency_ms":
-			l.Has, l.ServiceS = l.Has|logic.HasService, v/1000
+			l.Has, l.ServiceS = l.Has|policy.HasService, v/1000
 		case "qps":
-			l.Has, l.ServedPS = l.Has|logic.HasServed, v
+			l.Has, l.ServedPS = l.Has|policy.HasServed, v
 		case "eps":
-			l.Has, l.FailPS = l.Has|logic.HasFail, v
+			l.Has, l.FailPS = l.Has|policy.HasFail, v
 		}
 	}
 	return l
--- a/internal/dataplane/searchers/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -1,6 +1,6 @@
-// Package searchers speaks with searchers: an actor for each, with its connections, calls, probes and time-outs. What
+// Package backends speaks with searchers: an actor for each, with its connections, calls, probes and time-outs. What
 // is sent where is the module's to decide; here is only how.
-package searchers
+package backends
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // lateAnswer is how long a call given up may still be answered: above any time that a searcher goes on with work that
@@ -28,23 +28,23 @@
 // Hub hands each searcher's actor what concerns it. It belongs to the module's actor.
 type Hub struct {
 	set         settings.Net
-	tell        *eventqueue.Queue[mixer.Event]
+	tell        *eventqueue.Queue[aggregator.Event]
 	log         *zap.Logger
 	count       *counters.Set
-	actors      map[logic.SearcherID]*actor
-	gone        map[logic.SearcherID]*actor // those of actors that the list no longer names
-	descriptors chan struct{}               // one place for each descriptor in use
-	stuck       time.Duration               // that a write may take
-	dials       context.Context             // ends with all connects
+	actors      map[policy.SearcherID]*actor
+	gone        map[policy.SearcherID]*actor // those of actors that the list no longer names
+	descriptors chan struct{}                // one place for each descriptor in use
+	stuck       time.Duration                // that a write may take
+	dials       context.Context              // ends with all connects
 	dialer      func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error)
 	undial      context.CancelFunc
 	all         sync.WaitGroup
 }
 
 // New makes a hub that keeps no more than so many connections.
-func New(set settings.Net, most int, tell *eventqueue.Queue[mixer.Event], log *zap.Logger, count *counters.Set) *Hub {
-	h := &Hub{set: set, tell: tell, log: log, count: count, actors: map[logic.SearcherID]*actor{},
-		gone: map[logic.SearcherID]*actor{}, descriptors: make(chan struct{}, most), stuck: stuckWrite}
+func New(set settings.Net, most int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Hub {
+	h := &Hub{set: set, tell: tell, log: log, count: count, actors: map[policy.SearcherID]*actor{},
+		gone: map[policy.SearcherID]*actor{}, descriptors: make(chan struct{}, most), stuck: stuckWrite}
 	h.dials, h.undial = context.WithCancel(context.Background())
 	h.dialer = func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error) {
 		return (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", address)
@@ -54,8 +54,8 @@
 
 // Named takes what the list says of a searcher, and starts its actor at the first naming. An actor whose searcher is
 // gone ends with its last call; the register never names one again by the same number.
-func (h *Hub) Named(entry logic.Entry, address string) {
-	maps.DeleteFunc(h.gone, func(id logic.SearcherID, a *actor) bool {
+func (h *Hub) Named(entry policy.Entry, address string) {
+	maps.DeleteFunc(h.gone, func(id policy.SearcherID, a *actor) bool {
 		if a.over.Load() {
 			delete(h.actors, id)
 		}
@@ -63,61 +63,61 @@
 	})
 	a := h.actors[entry.Searcher]
 	switch {
-	case a == nil && entry.Phase == logic.Gone:
+	case a == nil && entry.Phase == policy.Gone:
 		return
 	case a == nil:
 		a = &actor{hub: h, id: entry.Searcher, in: eventqueue.New[note](), calls: map[string]*call{}}
 		h.actors[entry.Searcher] = a
 		h.all.Go(a.run)
-	case entry.Phase == logic.Gone:
+	case entry.Phase == policy.Gone:
 		h.gone[entry.Searcher] = a
 	}
 	a.in.Put(note{kind: named, entry: entry, address: address})
 }
 
 // Unnamed takes those that a whole list leaves out for gone.
-func (h *Hub) Unnamed(keep map[logic.SearcherID]bool) {
+func (h *Hub) Unnamed(keep map[policy.SearcherID]bool) {
 	for id := range h.actors {
 		if !keep[id] {
-			h.Named(logic.Entry{Searcher: id, Phase: logic.Gone}, "")
+			h.Named(policy.Entry{Searcher: id, Phase: policy.Gone}, "")
 		}
 	}
 }
 
-func (h *Hub) put(to logic.SearcherID, n note) {
+func (h *Hub) put(to policy.SearcherID, n note) {
 	if a := h.actors[to]; a != nil {
 		a.in.Put(n)
 	}
 }
 
 // Send sends calls that share one place on a connection.
-func (h *Hub) Send(to logic.SearcherID, calls []mixer.Call) {
+func (h *Hub) Send(to policy.SearcherID, calls []aggregator.Call) {
 	if a := h.actors[to]; a != nil && !a.over.Load() {
 		a.in.Put(note{kind: send, new: calls})
 		return
 	}
 	for i := range calls {
-		h.ended(&calls[i], to, logic.NotConnected, time.Now(), answer{})
+		h.ended(&calls[i], to, policy.NotConnected, time.Now(), answer{})
 	}
 }
 
 // ended tells the module's actor how a call ended.
-func (h *Hub) ended(c *mixer.Call, at logic.SearcherID, how logic.Outcome, when time.Time, with answer) {
+func (h *Hub) ended(c *aggregator.Call, at policy.SearcherID, how policy.Outcome, when time.Time, with answer) {
 	h.count.Add("calls", outcomeNames[how], 1)
-	h.tell.Put(mixer.Event{Value: with.value, Event: logic.Event{Kind: logic.CallEnded, Part: c.Part, Call: c.No,
+	h.tell.Put(aggregator.Event{Value: with.value, Event: policy.Event{Kind: policy.CallEnded, Part: c.Part, Call: c.No,
 		Searcher: at, Outcome: how, Elapsed: max(0, when.Sub(c.Sent).Seconds()), Load: with.load}})
 }
 
-func (h *Hub) Withdraw(at logic.SearcherID, part logic.PartID, no logic.CallNo) {
+func (h *Hub) Withdraw(at policy.SearcherID, part policy.PartID, no policy.CallNo) {
 	h.put(at, note{kind: withdraw, part: part, no: no})
 }
 
 // Probe asks a searcher whether it lives, apart from all that is out there if so wanted.
-func (h *Hub) Probe(at logic.SearcherID, apart bool) {
+func (h *Hub) Probe(at policy.SearcherID, apart bool) {
 	h.put(at, note{kind: probe, apart: apart, at: time.Now()})
 }
 
-func (h *Hub) CloseIdle(at logic.SearcherID) { h.put(at, note{kind: closeIdle}) }
+func (h *Hub) CloseIdle(at policy.SearcherID) { h.put(at, note{kind: closeIdle}) }
 
 // Stop ends all actors and their connections; the module's actor has ended before.
 func (h *Hub) Stop() {
@@ -130,6 +130,6 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-var outcomeNames = [...]string{logic.Answered: "answered", logic.Errored: "errored", logic.TurnedAway: "turned_away",
-	logic.TimedOut: "timed_out", logic.NotConnected: "not_connected", logic.Broken: "broken",
-	logic.Withdrawn: "withdrawn", logic.NotSent: "not_sent"}
+var outcomeNames = [...]string{policy.Answered: "answered", policy.Errored: "errored", policy.TurnedAway: "turned_away",
+	policy.TimedOut: "timed_out", policy.NotConnected: "not_connected", policy.Broken: "broken",
+	policy.Withdrawn: "withdrawn", policy.NotSent: "not_sent"}
--- a/internal/dataplane/searchers/probes.go
+++ b/internal/dataplane/backends/probes.go
@@ -1,10 +1,10 @@
-package searchers
+package backends
 
 import (
 	"time"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // pendingProbe is the probe that is out; the module has one at a time.
@@ -51,16 +51,16 @@
 		}
 	}
 	if n.text == probeFailed {
-		a.probed(logic.Errored, n.at, logic.Load{})
+		a.probed(policy.Errored, n.at, policy.Load{})
 	} else {
-		a.probed(logic.Answered, n.at, parseLoad([]byte(n.text)))
+		a.probed(policy.Answered, n.at, parseLoad([]byte(n.text)))
 	}
 }
 
-func (a *actor) probed(how logic.Outcome, at time.Time, load logic.Load) {
+func (a *actor) probed(how policy.Outcome, at time.Time, load policy.Load) {
 	elapsed := max(0, at.Sub(a.pendingProbe.since).Seconds())
 	a.pendingProbe = nil
 	a.hub.count.Add("probes", outcomeNames[how], 1)
-	a.hub.tell.Put(mixer.Event{Event: logic.Event{Kind: logic.ProbeEnded, Searcher: a.id, Outcome: how,
+	a.hub.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.ProbeEnded, Searcher: a.id, Outcome: how,
 		Elapsed: elapsed, Load: load}})
 }
--- a/internal/dataplane/searchers/searchers_test.go
+++ b/internal/dataplane/backends/searchers_test.go
@@ -1,4 +1,4 @@
-package searchers
+package backends
 
 import (
 	"bufio"
@@ -16,10 +16,10 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue/queuetest"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const patience = queuetest.Patience
@@ -28,9 +28,9 @@
 type fixture struct {
 	*testing.T
 	hub  *Hub
-	told *queuetest.Ear[mixer.Event]
+	told *queuetest.Ear[aggregator.Event]
 	peer net.Listener
-	next logic.PartID
+	next policy.PartID
 }
 
 func newFixture(t *testing.T, change func(*settings.Net)) *fixture {
@@ -38,11 +38,11 @@
 	if change != nil {
 		change(&set)
 	}
-	r := &fixture{T: t, told: queuetest.New[mixer.Event]()}
+	r := &fixture{T: t, told: queuetest.New[aggregator.Event]()}
 	r.hub = New(set, 100, r.told.Queue, zap.NewNop(), counters.New())
 	t.Cleanup(r.hub.Stop)
 	r.peer = r.listen()
-	r.named(r.peer.Addr().String(), logic.Ready, 0)
+	r.named(r.peer.Addr().String(), policy.Ready, 0)
 	return r
 }
 
@@ -55,17 +55,17 @@
 	return l
 }
 
-func (r *fixture) named(address string, phase logic.Phase, started float64) {
-	r.hub.Named(logic.Entry{Searcher: 1, Phase: phase, StartedAt: started}, address)
+func (r *fixture) named(address string, phase policy.Phase, started float64) {
+	r.hub.Named(policy.Entry{Searcher: 1, Phase: phase, StartedAt: started}, address)
 }
 
 // send sends parts of a lookup in one call; each part's shard is its place.
-func (r *fixture) send(id, query string, wait time.Duration, parts int) (calls []mixer.Call) {
+func (r *fixture) send(id, query string, wait time.Duration, parts int) (calls []aggregator.Call) {
 	now := time.Now()
-	lk := &mixer.Lookup{ID: id, Query: []byte(query)}
+	lk := &aggregator.Lookup{ID: id, Query: []byte(query)}
 	for i := range parts {
 		r.next++
-		calls = append(calls, mixer.Call{Part: r.next, Lookup: lk, Shard: logic.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
+		calls = append(calls, aggregator.Call{Part: r.next, Lookup: lk, Shard: policy.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
 	}
 	r.hub.Send(1, slices.Clone(calls))
 	return calls
@@ -103,16 +103,16 @@
 }
 
 // event waits for the next thing told.
-func (r *fixture) event() mixer.Event {
+func (r *fixture) event() aggregator.Event {
 	r.Helper()
 	e := r.told.Next(r.T)
 	return e
 }
 
-func (r *fixture) ended(part logic.PartID, how logic.Outcome) mixer.Event {
+func (r *fixture) ended(part policy.PartID, how policy.Outcome) aggregator.Event {
 	r.Helper()
 	e := r.event()
-	if e.Kind != logic.CallEnded || e.Part != part || e.Outcome != how {
+	if e.Kind != policy.CallEnded || e.Part != part || e.Outcome != how {
 		r.Fatalf("got %+v, expected part %d to end as %s", e.Event, part, outcomeNames[how])
 	}
 	return e
@@ -132,9 +132,9 @@
 	p.say('R', "bb.0 full 0 -\n")
 	p.say('R', "bb.0 full 0 -\n") // a second copy is no news
 	p.say('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
-	r.ended(b[0].Part, logic.TurnedAway)
-	e := r.ended(a[0].Part, logic.Answered)
-	if string(e.Value) != "va\nlue" || e.Load.Has != logic.HasWaiting|logic.HasService || e.Load.Waiting != 3 || e.Load.ServiceS != 0.02 {
+	r.ended(b[0].Part, policy.TurnedAway)
+	e := r.ended(a[0].Part, policy.Answered)
+	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasWaiting|policy.HasService || e.Load.Waiting != 3 || e.Load.ServiceS != 0.02 {
 		t.Fatalf("got %q, %+v", e.Value, e.Load)
 	}
 }
@@ -147,9 +147,9 @@
 		t.Fatalf("got %q", got)
 	}
 	p.say('R', "aa.1 failed 0 -\n")
-	r.ended(calls[1].Part, logic.Errored)
+	r.ended(calls[1].Part, policy.Errored)
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, logic.Answered)
+	r.ended(calls[0].Part, policy.Answered)
 }
 
 func TestRefusedConnectNeverRan(t *testing.T) {
@@ -157,10 +157,10 @@
 	r.peer.Close()
 	calls := r.send("aa", "q", time.Second, 2)
 	for _, c := range calls {
-		r.ended(c.Part, logic.NotConnected)
+		r.ended(c.Part, policy.NotConnected)
 	}
 	r.hub.Probe(1, false)
-	if e := r.event(); e.Kind != logic.ProbeEnded || e.Outcome != logic.NotConnected {
+	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
 		t.Fatalf("got %+v", e.Event)
 	}
 }
@@ -168,11 +168,11 @@
 // A connect that never comes up proves that nothing ran; for a probe too, however close its own time-out is.
 func TestConnectThatNeverComesUp(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.1 })
-	r.named(r.deaf(), logic.Ready, 0)
+	r.named(r.deaf(), policy.Ready, 0)
 	calls := r.send("aa", "q", time.Minute, 1)
-	r.ended(calls[0].Part, logic.NotConnected)
+	r.ended(calls[0].Part, policy.NotConnected)
 	r.hub.Probe(1, false)
-	if e := r.event(); e.Kind != logic.ProbeEnded || e.Outcome != logic.NotConnected {
+	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
 		t.Fatalf("got %+v", e.Event)
 	}
 }
@@ -180,14 +180,14 @@
 // What waits for a connect to an address that the list takes back goes to the new one.
 func TestAddressChangesWhileConnecting(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.5 })
-	r.named(r.deaf(), logic.Ready, 0)
+	r.named(r.deaf(), policy.Ready, 0)
 	calls := r.send("aa", "q", time.Minute, 1)
-	r.named(r.peer.Addr().String(), logic.Ready, 0)
+	r.named(r.peer.Addr().String(), policy.Ready, 0)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	time.Sleep(600 * time.Millisecond) // the old connect fails meanwhile
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, logic.Answered)
+	r.ended(calls[0].Part, policy.Answered)
 }
 
 // Where a connect may take all of the idle time, connections are still used.
@@ -197,7 +197,7 @@
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, logic.Answered)
+	r.ended(calls[0].Part, policy.Answered)
 }
 
 // deaf is an address where no connect is ever answered.
@@ -229,12 +229,12 @@
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	p.Close()
-	r.ended(calls[0].Part, logic.Broken)
+	r.ended(calls[0].Part, policy.Broken)
 	again := r.send("ab", "q", time.Second, 1) // on a new connection
 	p = r.accept(r.peer)
 	p.expect('S', "ab.0")
 	p.say('F', "no more")
-	r.ended(again[0].Part, logic.Broken)
+	r.ended(again[0].Part, policy.Broken)
 }
 
 // Whatever spoils an answer, the call that it was meant for has failed at once, long before its deadline, and so has
@@ -259,7 +259,7 @@
 			p.expect('S', "aa.0")
 			began := time.Now()
 			spoil(p)
-			r.ended(calls[0].Part, logic.Errored)
+			r.ended(calls[0].Part, policy.Errored)
 			if took := time.Since(began); took > 2*frameTime {
 				t.Fatalf("known after %v", took)
 			}
@@ -277,8 +277,8 @@
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.say('R', "bb.0 what 1 -\nvalue")
-	r.ended(calls[1].Part, logic.Errored)
-	r.ended(calls[0].Part, logic.Broken)
+	r.ended(calls[1].Part, policy.Errored)
+	r.ended(calls[0].Part, policy.Broken)
 }
 
 // An answer counts whatever comes behind it, and the next call on the connection is not hurt by that.
@@ -289,7 +289,7 @@
 		p := r.accept(r.peer)
 		p.expect('S', "aa.0")
 		p.Write(append(appendFrame(nil, 'R', []byte("aa.0 done 1 -\nvalue")...), behind...))
-		if e := r.ended(calls[0].Part, logic.Answered); string(e.Value) != "value" {
+		if e := r.ended(calls[0].Part, policy.Answered); string(e.Value) != "value" {
 			t.Fatalf("%q: got %q", behind, e.Value)
 		}
 		time.Sleep(20 * time.Millisecond) // the next call comes later than what follows
@@ -301,7 +301,7 @@
 			p.expect('S', "bb.0")
 		}
 		p.say('R', "bb.0 done 1 -\nown")
-		if e := r.ended(next[0].Part, logic.Answered); string(e.Value) != "own" {
+		if e := r.ended(next[0].Part, policy.Answered); string(e.Value) != "own" {
 			t.Fatalf("%q: got %q", behind, e.Value)
 		}
 	}
@@ -316,7 +316,7 @@
 	}
 	on.expect('M', "")
 	on.say('M', "-")
-	if e := r.event(); e.Kind != logic.ProbeEnded || e.Outcome != logic.Answered {
+	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Answered {
 		r.Fatalf("got %+v, expected a probe that was answered", e.Event)
 	}
 	return on
@@ -329,21 +329,21 @@
 	out := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	for _, want := range []logic.Outcome{logic.TimedOut, logic.Answered} {
+	for _, want := range []policy.Outcome{policy.TimedOut, policy.Answered} {
 		r.hub.Probe(1, false)
-		if want == logic.Answered {
+		if want == policy.Answered {
 			other := r.accept(r.peer)
 			other.expect('M', "")
 			other.say('M', "-")
 		}
-		if e := r.event(); e.Kind != logic.ProbeEnded || e.Outcome != want {
+		if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != want {
 			t.Fatalf("got %+v", e.Event)
 		}
 	}
 	p.expect('M', "")
 	p.expect('M', "") // asked by itself as well, once it had no answer in its time
 	p.say('R', "aa.0 done 1 -\nvalue")
-	r.ended(out[0].Part, logic.Answered)
+	r.ended(out[0].Part, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
@@ -363,7 +363,7 @@
 		r.apart(other)
 	}
 	p.say('R', "aa.0 done 1 -\nvalue")
-	r.ended(out[0].Part, logic.Answered)
+	r.ended(out[0].Part, policy.Answered)
 }
 
 // Asked apart, a searcher is heard at once on a connection of its own, and the one that has said nothing takes nothing new.
@@ -378,13 +378,13 @@
 	other.expect('S', "bb.0")
 	p.expect('M', "")
 	p.say('R', "aa.0 done 1 -\nvalue") // it was only slow
-	r.ended(out[0].Part, logic.Answered)
+	r.ended(out[0].Part, policy.Answered)
 	lost := r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 	r.apart(nil) // neither connection is idle
 	other.say('R', "bb.0 done 1 -\nvalue")
 	r.event()
-	r.ended(lost[0].Part, logic.TimedOut) // long before its deadline
+	r.ended(lost[0].Part, policy.TimedOut) // long before its deadline
 	p.expect('M', "")
 	if _, _, err := readFrame(p.in); err != io.EOF {
 		t.Fatalf("the silent connection goes on: %v", err)
@@ -397,9 +397,9 @@
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	r.hub.Unnamed(map[logic.SearcherID]bool{})
+	r.hub.Unnamed(map[policy.SearcherID]bool{})
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, logic.Answered)
+	r.ended(calls[0].Part, policy.Answered)
 	if _, _, err := readFrame(p.in); err != io.EOF {
 		t.Fatalf("the connection goes on: %v", err)
 	}
@@ -407,12 +407,12 @@
 		if time.Now().After(late) {
 			t.Fatal("the actor goes on")
 		}
-		r.hub.Named(logic.Entry{Searcher: 2, Phase: logic.Gone}, "")
+		r.hub.Named(policy.Entry{Searcher: 2, Phase: policy.Gone}, "")
 	}
 	if len(r.hub.gone) > 0 {
 		t.Fatalf("%v are still to end", r.hub.gone)
 	}
-	r.ended(r.send("ab", "q", time.Minute, 1)[0].Part, logic.NotConnected)
+	r.ended(r.send("ab", "q", time.Minute, 1)[0].Part, policy.NotConnected)
 }
 
 func TestConnectionsKeepToTheDescriptors(t *testing.T) {
@@ -421,9 +421,9 @@
 	first := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	r.ended(r.send("bb", "q", time.Minute, 1)[0].Part, logic.NotSent)
+	r.ended(r.send("bb", "q", time.Minute, 1)[0].Part, policy.NotSent)
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(first[0].Part, logic.Answered)
+	r.ended(first[0].Part, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
@@ -435,12 +435,12 @@
 	p := r.accept(r.peer)
 	io.ReadFull(p.in, make([]byte, 5))
 	p.Close()
-	ended := map[logic.PartID]logic.Outcome{}
+	ended := map[policy.PartID]policy.Outcome{}
 	for range 2 {
 		e := r.event()
 		ended[e.Part] = e.Outcome
 	}
-	if ended[large[0].Part] != logic.NotConnected || ended[behind[0].Part] != logic.NotConnected {
+	if ended[large[0].Part] != policy.NotConnected || ended[behind[0].Part] != policy.NotConnected {
 		t.Fatalf("got %v", ended)
 	}
 }
@@ -452,9 +452,9 @@
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
-	r.ended(slow[0].Part, logic.TimedOut)
+	r.ended(slow[0].Part, policy.TimedOut)
 	r.hub.Withdraw(1, kept[0].Part, kept[0].No)
-	r.ended(kept[0].Part, logic.Withdrawn)
+	r.ended(kept[0].Part, policy.Withdrawn)
 	p.expect('C', "bb.0")
 	// Sent again, it goes on another connection: there no answer to the first can be taken for its own.
 	kept[0].No++
@@ -464,7 +464,7 @@
 	p.say('R', "bb.0 full 0 -\n")
 	p.say('R', "aa.0 done 0 -\nlate")
 	other.say('R', "bb.0 done 0 -\nown")
-	if e := r.ended(kept[0].Part, logic.Answered); e.Call != 1 || string(e.Value) != "own" {
+	if e := r.ended(kept[0].Part, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
 		t.Fatalf("got %+v", e)
 	}
 }
@@ -473,7 +473,7 @@
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 2)
 	r.hub.Withdraw(1, calls[0].Part, 0)
-	r.ended(calls[0].Part, logic.Withdrawn)
+	r.ended(calls[0].Part, policy.Withdrawn)
 	p := r.accept(r.peer)
 	if got := p.expect('S', ""); strings.Contains(got, "aa.0") {
 		p.expect('C', "aa.0") // the connection came first
@@ -482,7 +482,7 @@
 
 func TestConnectionCarriesTheStatedNumberOfCalls(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Streams = 2 })
-	var calls []mixer.Call
+	var calls []aggregator.Call
 	for i := range 3 {
 		calls = append(calls, r.send(fmt.Sprint("a", i), "q", time.Minute, 1)...)
 	}
@@ -493,7 +493,7 @@
 	o.expect('S', "")
 	for _, c := range calls {
 		r.hub.Withdraw(1, c.Part, 0)
-		r.ended(c.Part, logic.Withdrawn)
+		r.ended(c.Part, policy.Withdrawn)
 	}
 	r.send("b0", "q", time.Minute, 1) // on a connection that is there: no third is accepted
 	r.peer.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
@@ -507,8 +507,8 @@
 	p := (*peerConnection)(nil)
 	for _, c := range []struct {
 		say  string
-		want logic.Outcome
-	}{{"queue=2", logic.Answered}, {"-", logic.Answered}, {"failed", logic.Errored}, {"", logic.TimedOut}} {
+		want policy.Outcome
+	}{{"queue=2", policy.Answered}, {"-", policy.Answered}, {"failed", policy.Errored}, {"", policy.TimedOut}} {
 		r.hub.Probe(1, false)
 		if p == nil {
 			p = r.accept(r.peer)
@@ -517,7 +517,7 @@
 		if c.say != "" {
 			p.say('M', c.say)
 		}
-		if e := r.event(); e.Kind != logic.ProbeEnded || e.Outcome != c.want {
+		if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != c.want {
 			t.Fatalf("%q: got %+v", c.say, e.Event)
 		}
 	}
@@ -525,7 +525,7 @@
 	p = r.accept(r.peer) // the other had no answer
 	p.expect('M', "")
 	p.Close()
-	if e := r.event(); e.Kind != logic.ProbeEnded || e.Outcome != logic.Broken {
+	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Broken {
 		t.Fatalf("got %+v", e.Event)
 	}
 }
@@ -542,14 +542,14 @@
 		if c.moves {
 			to = r.listen()
 		}
-		r.named(to.Addr().String(), logic.Ready, c.started)
-		r.ended(calls[0].Part, logic.Broken)
+		r.named(to.Addr().String(), policy.Ready, c.started)
+		r.ended(calls[0].Part, policy.Broken)
 		next := r.send("ab", "q", time.Minute, 1)
 		p := r.accept(to)
 		p.expect('S', "ab.0")
-		r.named("", logic.Gone, 0) // completes what it has
+		r.named("", policy.Gone, 0) // completes what it has
 		p.say('R', "ab.0 done 0 -\n")
-		if e := r.ended(next[0].Part, logic.Answered); len(r.told.Rest()) > 0 {
+		if e := r.ended(next[0].Part, policy.Answered); len(r.told.Rest()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
 		}
 	}
@@ -564,7 +564,7 @@
 	r.hub.CloseIdle(1)
 	time.Sleep(150 * time.Millisecond) // longer than it may be idle
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, logic.Answered)
+	r.ended(calls[0].Part, policy.Answered)
 	if _, _, err := readFrame(p.in); err != io.EOF {
 		t.Fatalf("got %v", err)
 	}
@@ -572,7 +572,7 @@
 	p = r.accept(r.peer)
 	p.expect('S', "ab.0")
 	p.say('R', "ab.0 done 0 -\n")
-	r.ended(calls[0].Part, logic.Answered)
+	r.ended(calls[0].Part, policy.Answered)
 	r.hub.CloseIdle(1)
 	if _, _, err := readFrame(p.in); err != io.EOF {
 		t.Fatalf("got %v", err)
--- a/internal/dataplane/clients/body.go
+++ b/internal/dataplane/clients/body.go
@@ -12,24 +12,24 @@
 	"github.com/go-json-experiment/json"
 	"github.com/go-json-experiment/json/jsontext"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // nameTable knows the settings' names by number.
 type nameTable struct {
-	indexes   map[string]logic.IndexID
-	customers map[string]logic.CustomerID
+	indexes   map[string]policy.IndexID
+	customers map[string]policy.CustomerID
 	shards    int
 }
 
 func newNameTable(set settings.Net) nameTable {
-	return nameTable{settings.Numbered[logic.IndexID](set.Indexes), settings.Numbered[logic.CustomerID](set.Customers), set.Shards}
+	return nameTable{settings.Numbered[policy.IndexID](set.Indexes), settings.Numbered[policy.CustomerID](set.Customers), set.Shards}
 }
 
 // index is the one that the first part of a path names.
-func (n *nameTable) index(path string) (logic.IndexID, bool) {
+func (n *nameTable) index(path string) (policy.IndexID, bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	id, known := n.indexes[name]
 	return id, known
@@ -75,7 +75,7 @@
 }
 
 // readHead reads what a lookup's headers and address say; the error is for the client.
-func (n *nameTable) readHead(r *http.Request, lk *mixer.Lookup) error {
+func (n *nameTable) readHead(r *http.Request, lk *aggregator.Lookup) error {
 	for name, values := range r.Header {
 		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // which one counts is anyone's guess
 			return fmt.Errorf("%s stands there twice", name)
@@ -110,7 +110,7 @@
 
 // readBody reads the parts; the query's text keeps its bytes. Names count in their own case only, and none may
 // come twice: what another reader would take for the lookup must not differ from what we do.
-func (n *nameTable) readBody(text []byte, lk *mixer.Lookup) error {
+func (n *nameTable) readBody(text []byte, lk *aggregator.Lookup) error {
 	in := body{Targets: targets{most: n.shards}}
 	if err := json.Unmarshal(text, &in); err != nil {
 		return fmt.Errorf("the body is not as expected: %v", err)
@@ -122,7 +122,7 @@
 	if len(in.Targets.list) == 0 {
 		return errors.New("targets names no part")
 	}
-	lk.Parts = make([]mixer.Part, len(in.Targets.list))
+	lk.Parts = make([]aggregator.Part, len(in.Targets.list))
 	seen := make(map[int]bool, len(in.Targets.list))
 	sum := 0.0
 	for i, t := range in.Targets.list {
@@ -138,7 +138,7 @@
 		}
 		seen[*t.Partition] = true
 		sum += *t.Share
-		p := mixer.Part{Shard: logic.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
+		p := aggregator.Part{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
 		if t.Route != "" {
 			if p.Key, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
 				return fmt.Errorf("targets[%d].route is not 16 hex digits", i)
@@ -171,7 +171,7 @@
 }
 
 // appendResults writes the answer's body from the values that are in.
-func appendResults(b []byte, lk *mixer.Lookup, whole bool) []byte {
+func appendResults(b []byte, lk *aggregator.Lookup, whole bool) []byte {
 	b = append(b, `{"whole":`...)
 	b = strconv.AppendBool(b, whole)
 	b = append(b, `,"results":[`...)
--- a/internal/dataplane/clients/clients.go
+++ b/internal/dataplane/clients/clients.go
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const (
@@ -57,7 +57,7 @@
 type Server struct {
 	http        *http.Server
 	connections *connections
-	tell        *eventqueue.Queue[mixer.Event]
+	tell        *eventqueue.Queue[aggregator.Event]
 	log         *zap.Logger
 	count       *counters.Set
 	names       nameTable
@@ -70,7 +70,7 @@
 }
 
 // New makes a server that keeps no more than so many connections, in so many bytes of memory altogether.
-func New(set settings.Settings, most, memory int, tell *eventqueue.Queue[mixer.Event], log *zap.Logger, count *counters.Set) *Server {
+func New(set settings.Settings, most, memory int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
 	s := &Server{tell: tell, log: log, count: count, names: newNameTable(set.Net), retry: set.Limits.RetryAfter, slow: slowAnswer,
 		connections: newConnections(most, memory, log, count), large: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeTakes))), stopped: make(chan error, 1)}
 	longest := 0.0
@@ -177,9 +177,9 @@
 }
 
 // lookup reads one, hands it to the module's actor and writes what that says.
-func (s *Server) lookup(w http.ResponseWriter, r *http.Request, index logic.IndexID) {
+func (s *Server) lookup(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
 	conn := r.Context().Value(connectionKey{}).(*connection)
-	lk := &mixer.Lookup{Index: index, Arrived: conn.arrived(), Done: make(chan mixer.Reply, 1)}
+	lk := &aggregator.Lookup{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
 	if err := s.names.readHead(r, lk); err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
@@ -214,7 +214,7 @@
 		lk.Wait = min(lk.Wait, max(0, time.Unix(0, ends).Sub(lk.Arrived).Seconds()))
 	}
 	conn.SetReadDeadline(time.Time{}) // that of reading; from here net/http only watches for the client's leaving
-	s.tell.Put(mixer.Event{Taken: lk, Event: logic.Event{Kind: logic.LookupTaken}})
+	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.LookupTaken}})
 	select {
 	case reply := <-lk.Done:
 		s.answer(w, r, lk, reply)
@@ -225,18 +225,18 @@
 	}
 }
 
-func (s *Server) gone(w http.ResponseWriter, r *http.Request, lk *mixer.Lookup) {
-	s.tell.Put(mixer.Event{Taken: lk, Event: logic.Event{Kind: logic.ClientGone}})
+func (s *Server) gone(w http.ResponseWriter, r *http.Request, lk *aggregator.Lookup) {
+	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.ClientGone}})
 	// Should it still listen, having closed one direction only, net/http's own answer would be an empty 200.
 	s.write(w, r, http.StatusInternalServerError, nil)
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, lk *mixer.Lookup, reply mixer.Reply) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, lk *aggregator.Lookup, reply aggregator.Reply) {
 	switch reply.End {
-	case mixer.Satisfied:
+	case aggregator.Satisfied:
 		w.Header().Set("Content-Type", "application/json")
 		s.write(w, r, http.StatusOK, appendResults(nil, lk, reply.Whole))
-	case mixer.Nacked:
+	case aggregator.Nacked:
 		if reply.Wait > 0 && s.retry {
 			w.Header().Set("Retry-After", retryAfter(reply.Wait))
 		}
@@ -246,9 +246,9 @@
 			why = []byte(reply.Text + ".\n")
 		}
 		s.write(w, r, http.StatusTooManyRequests, why)
-	case mixer.Full:
+	case aggregator.Full:
 		s.write(w, r, http.StatusServiceUnavailable, nil)
-	case mixer.Twice:
+	case aggregator.Twice:
 		s.refuse(w, r, http.StatusConflict, "a lookup of this id is already held")
 	default:
 		s.write(w, r, http.StatusInternalServerError, nil)
--- a/internal/dataplane/clients/clients_test.go
+++ b/internal/dataplane/clients/clients_test.go
@@ -16,10 +16,10 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue/queuetest"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const patience = queuetest.Patience
@@ -28,14 +28,14 @@
 type fixture struct {
 	*testing.T
 	*Server
-	told    *queuetest.Ear[mixer.Event]
+	told    *queuetest.Ear[aggregator.Event]
 	address string
 }
 
 func newFixture(t *testing.T, most int, change func(*Server)) *fixture {
 	set := settings.Settings{Net: settings.Net{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Shards: 8}}
 	set.Limits.RetryAfter = true
-	r := &fixture{T: t, told: queuetest.New[mixer.Event]()}
+	r := &fixture{T: t, told: queuetest.New[aggregator.Event]()}
 	r.Server = New(set, most, 64<<20, r.told.Queue, zap.NewNop(), counters.New())
 	if change != nil {
 		change(r.Server)
@@ -50,7 +50,7 @@
 	return r
 }
 
-func (r *fixture) event(kind logic.EventKind) *mixer.Lookup {
+func (r *fixture) event(kind policy.EventKind) *aggregator.Lookup {
 	r.Helper()
 	e := r.told.Next(r.T)
 	if e.Kind != kind {
@@ -143,21 +143,21 @@
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	for _, a := range []struct {
-		reply mixer.Reply
+		reply aggregator.Reply
 		want  int
 		after string
 		body  string
 	}{
-		{mixer.Reply{End: mixer.Satisfied, Whole: true}, 200, "", `{"whole":true,"results":[{"partition":5,"value":"a\"\\\u0009é"}]}`},
-		{mixer.Reply{End: mixer.Nacked, Wait: 0.0501}, 429, "0.051", ""},
-		{mixer.Reply{End: mixer.Nacked}, 429, "", ""},
-		{mixer.Reply{End: mixer.Full}, 503, "", ""},
-		{mixer.Reply{End: mixer.Aborted}, 500, "", ""},
-		{mixer.Reply{End: mixer.Twice}, 409, "", "a lookup of this id is already held.\n"},
+		{aggregator.Reply{End: aggregator.Satisfied, Whole: true}, 200, "", `{"whole":true,"results":[{"partition":5,"value":"a\"\\\u0009é"}]}`},
+		{aggregator.Reply{End: aggregator.Nacked, Wait: 0.0501}, 429, "0.051", ""},
+		{aggregator.Reply{End: aggregator.Nacked}, 429, "", ""},
+		{aggregator.Reply{End: aggregator.Full}, 503, "", ""},
+		{aggregator.Reply{End: aggregator.Aborted}, 500, "", ""},
+		{aggregator.Reply{End: aggregator.Twice}, 409, "", "a lookup of this id is already held.\n"},
 	} {
 		before := time.Now()
 		c.ask()
-		lk := r.event(logic.LookupTaken)
+		lk := r.event(policy.LookupTaken)
 		if lk.Arrived.Before(before) || lk.Arrived.After(time.Now()) {
 			t.Fatalf("arrived %v after it was sent", lk.Arrived.Sub(before))
 		}
@@ -260,11 +260,11 @@
 		time.Sleep(20 * time.Millisecond)
 		after := time.Now()
 		io.WriteString(c, text[1:])
-		lk := r.event(logic.LookupTaken)
+		lk := r.event(policy.LookupTaken)
 		if lk.Arrived.Before(before) || lk.Arrived.After(after) {
 			t.Fatalf("arrived %v after the first byte was sent, the rest %v after", lk.Arrived.Sub(before), after.Sub(before))
 		}
-		lk.Done <- mixer.Reply{End: mixer.Aborted}
+		lk.Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
 }
@@ -273,16 +273,16 @@
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	c.ask()
-	lk := r.event(logic.LookupTaken)
+	lk := r.event(policy.LookupTaken)
 	c.Close()
-	if r.event(logic.ClientGone) != lk {
+	if r.event(policy.ClientGone) != lk {
 		t.Fatal("another lookup's client is told to have gone")
 	}
 	c = r.dial() // one that closes its own direction only is never told that it was served
 	c.ask()
-	r.event(logic.LookupTaken)
+	r.event(policy.LookupTaken)
 	c.Conn.(*net.TCPConn).CloseWrite()
-	r.event(logic.ClientGone)
+	r.event(policy.ClientGone)
 	if status, _, _ := c.answer(); status == 200 {
 		t.Fatal("told that it was served")
 	}
@@ -295,7 +295,7 @@
 		c, other := r.dial(), r.dial()
 		io.WriteString(c, text[:stops])
 		other.ask()
-		r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		other.expect(500)
 		if status, _, _ := c.answer(); status != 0 && status != 400 {
 			t.Fatalf("got status %d", status)
@@ -305,9 +305,9 @@
 	}
 	c := r.dial() // one that is held for longer than reading may take is not taken to have left
 	c.ask()
-	lk := r.event(logic.LookupTaken)
+	lk := r.event(policy.LookupTaken)
 	time.Sleep(100 * time.Millisecond)
-	lk.Done <- mixer.Reply{End: mixer.Nacked}
+	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 	c.expect(429)
 }
 
@@ -315,15 +315,15 @@
 	r := newFixture(t, 5, nil)
 	idle := r.dial()
 	idle.ask()
-	r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
 	r.idle(idle) // until then its lookup counts as held
 	for range 4 {
 		busy := r.dial()
 		busy.ask()
-		held := r.event(logic.LookupTaken)
+		held := r.event(policy.LookupTaken)
 		defer func() {
-			held.Done <- mixer.Reply{End: mixer.Aborted}
+			held.Done <- aggregator.Reply{End: aggregator.Aborted}
 			busy.expect(500)
 		}()
 	}
@@ -342,13 +342,13 @@
 	r := newFixture(t, 10, nil)
 	held := r.dial()
 	held.ask()
-	reply := r.event(logic.LookupTaken).Done
+	reply := r.event(policy.LookupTaken).Done
 	var once []*client
 	for range 5 {
 		c := r.dial()
 		once = append(once, c)
 		c.ask()
-		r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 		r.idle(c) // else a later one may go in its place
 	}
@@ -359,10 +359,10 @@
 	}
 	for _, c := range once[2:] {
 		c.ask()
-		r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
-	reply <- mixer.Reply{End: mixer.Aborted}
+	reply <- aggregator.Reply{End: aggregator.Aborted}
 	held.expect(500)
 }
 
@@ -371,7 +371,7 @@
 	r := newFixture(t, 100, func(s *Server) { s.http.ReadTimeout, s.http.IdleTimeout = 100*time.Millisecond, 50*time.Millisecond })
 	idle, silent, endless := r.dial(), r.dial(), r.dial()
 	idle.ask()
-	r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
 	io.WriteString(endless, "POST /reads HTTP/1.1\r\nA: "+strings.Repeat("a", 4*mostHead))
 	r.ended(whyIdle)
@@ -393,13 +393,13 @@
 	for range 2 {
 		first, second := r.dial(), r.dial()
 		io.WriteString(first, request("/reads", goodHead, large))
-		held := r.event(logic.LookupTaken)
+		held := r.event(policy.LookupTaken)
 		if len(held.Query) != 2*smallBody+1 {
 			t.Fatalf("the query has %d bytes", len(held.Query))
 		}
 		io.WriteString(second, request("/reads", goodHead, large))
 		second.expect(503)
-		held.Done <- mixer.Reply{End: mixer.Aborted}
+		held.Done <- aggregator.Reply{End: aggregator.Aborted}
 		first.expect(500)
 	}
 }
@@ -408,11 +408,11 @@
 	r := newFixture(t, 100, func(s *Server) { s.slow = 100 * time.Millisecond })
 	c, other := r.dial(), r.dial()
 	c.ask()
-	lk := r.event(logic.LookupTaken)
+	lk := r.event(policy.LookupTaken)
 	lk.Parts[0].In, lk.Parts[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
-	lk.Done <- mixer.Reply{End: mixer.Satisfied}
+	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	other.ask()
-	r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	other.expect(500)
 	r.ended(whyUnwritten)
 }
@@ -423,7 +423,7 @@
 	r := newFixture(t, 8, nil)
 	served := r.dial()
 	served.ask()
-	r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 	began := time.Now()
 	half := r.dial()
@@ -436,7 +436,7 @@
 	third, fourth := r.dial(), r.dial()
 	for _, c := range []*client{third, fourth} {
 		c.ask()
-		r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
 	if time.Since(began) < unread {
@@ -448,7 +448,7 @@
 		}
 	}
 	served.ask()
-	r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Aborted}
+	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 }
 
@@ -461,8 +461,8 @@
 			select {
 			case <-r.told.Queue.Ready():
 				for _, e := range r.told.Queue.Take(nil) {
-					if e.Kind == logic.LookupTaken {
-						e.Taken.Done <- mixer.Reply{End: mixer.Nacked}
+					if e.Kind == policy.LookupTaken {
+						e.Taken.Done <- aggregator.Reply{End: aggregator.Nacked}
 					}
 				}
 			case <-done:
@@ -490,17 +490,17 @@
 	r := newFixture(t, 100, func(s *Server) { s.serveOn = 600 * time.Millisecond })
 	busy, idle := r.dial(), r.dial()
 	busy.ask()
-	held := r.event(logic.LookupTaken)
+	held := r.event(policy.LookupTaken)
 	drained := make(chan struct{})
 	go func() { r.Drain(); close(drained) }()
 	for _, c := range []*client{idle, r.dial(), idle} { // beyond the time that a front takes to notice
 		time.Sleep(180 * time.Millisecond)
 		io.WriteString(c, request("/reads", strings.Replace(goodHead, "0.480", "9", 1), goodBody))
-		lk := r.event(logic.LookupTaken)
+		lk := r.event(policy.LookupTaken)
 		if lk.Wait > 0.95 {
 			t.Fatalf("may wait %g s, longer than the mixer lives", lk.Wait)
 		}
-		lk.Done <- mixer.Reply{End: mixer.Nacked}
+		lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
 			t.Fatal("the connection closes with others perhaps not there yet")
 		}
@@ -516,7 +516,7 @@
 		t.Fatal("stopped with a lookup held")
 	default:
 	}
-	held.Done <- mixer.Reply{End: mixer.Satisfied}
+	held.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	if head, _ := busy.expect(200); head.Get("Connection") != "close" {
 		t.Fatalf("got %v", head)
 	}
@@ -536,7 +536,7 @@
 	}
 	b := newNameTable(settings.Net{Shards: 8})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var lk mixer.Lookup
+		var lk aggregator.Lookup
 		if b.readBody(text, &lk) != nil {
 			return
 		}
--- a/internal/dataplane/clients/crossings_test.go
+++ b/internal/dataplane/clients/crossings_test.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/leaktest"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
@@ -51,7 +51,7 @@
 			r := newFixture(t, 100, nil)
 			c := r.dial()
 			io.WriteString(c, again("first")+ahead)
-			lk := r.event(logic.LookupTaken)
+			lk := r.event(policy.LookupTaken)
 			switch tcp := c.Conn.(*net.TCPConn); how {
 			case "fin":
 				tcp.Close()
@@ -61,7 +61,7 @@
 				tcp.SetLinger(0)
 				tcp.Close()
 			}
-			if gone := r.event(logic.ClientGone); gone != lk {
+			if gone := r.event(policy.ClientGone); gone != lk {
 				t.Fatalf("%s, %s: lookup %q is told to have no client", name, how, gone.ID)
 			}
 			c.Close()
@@ -79,7 +79,7 @@
 	c := r.dial()
 	io.WriteString(c, again("a")+again("b"))
 	for _, id := range []string{"a", "b", "c"} {
-		lk := r.event(logic.LookupTaken)
+		lk := r.event(policy.LookupTaken)
 		if lk.ID != id {
 			t.Fatalf("got %q, expected %q", lk.ID, id)
 		}
@@ -87,7 +87,7 @@
 			io.WriteString(c, again("c")[:40])
 			io.WriteString(c, again("c")[40:])
 		}
-		lk.Done <- mixer.Reply{End: mixer.Nacked}
+		lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
 			t.Fatalf("the connection ends with the answer to %q", id)
 		}
@@ -99,15 +99,15 @@
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
 	io.WriteString(c, again("first"))
-	lk := r.event(logic.LookupTaken)
+	lk := r.event(policy.LookupTaken)
 	if _, err := io.WriteString(c, strings.Repeat(again("more"), 2*mostAhead/len(again("more")))); err != nil {
 		t.Fatal(err)
 	}
 	r.overrun()
 	other.ask()
-	r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Nacked}
+	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
 	other.expect(429)
-	lk.Done <- mixer.Reply{End: mixer.Nacked}
+	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 	if head, _ := c.expect(429); head.Get("Connection") != "close" {
 		t.Fatal("the connection stays open")
 	}
@@ -163,7 +163,7 @@
 	r := newFixture(t, 100, func(s *Server) { s.serveOn = time.Millisecond })
 	rests, half := r.dial(), r.dial()
 	rests.ask()
-	r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Nacked}
+	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
 	rests.expect(429)
 	io.WriteString(half, "POST /reads HTTP/1.1\r\nReq-Id: half")
 	drained := make(chan struct{})
@@ -197,14 +197,14 @@
 	})
 	deaf, held, head, body := r.dial(), r.dial(), r.dial(), r.dial()
 	deaf.ask()
-	lk := r.event(logic.LookupTaken)
+	lk := r.event(policy.LookupTaken)
 	lk.Parts[0].In, lk.Parts[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
-	lk.Done <- mixer.Reply{End: mixer.Satisfied}
+	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	if _, err := deaf.in.Peek(1); err != nil { // its answer is on its way
 		t.Fatal(err)
 	}
 	held.ask()
-	lk = r.event(logic.LookupTaken)
+	lk = r.event(policy.LookupTaken)
 	text := again("trickles")
 	io.WriteString(head, text[:20])
 	io.WriteString(body, text[:len(text)-20])
@@ -217,7 +217,7 @@
 		select {
 		case <-trickles.C:
 			if sent == 2 {
-				lk.Done <- mixer.Reply{End: mixer.Nacked}
+				lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 				held.expect(429)
 			}
 			if sent < 10 {
@@ -245,7 +245,7 @@
 	for range 6 {
 		c := r.dial()
 		c.ask()
-		r.event(logic.LookupTaken).Done <- mixer.Reply{End: mixer.Nacked}
+		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
 		c.expect(429)
 	}
 	r.forgotten()
@@ -386,7 +386,7 @@
 		crowd = append(crowd, c)
 	}
 	for range crowd {
-		r.event(logic.LookupTaken)
+		r.event(policy.LookupTaken)
 	}
 	for i, c := range crowd {
 		if i%2 == 0 {
@@ -395,7 +395,7 @@
 		c.Close()
 	}
 	for range crowd {
-		r.event(logic.ClientGone)
+		r.event(policy.ClientGone)
 	}
 	r.forgotten()
 }
@@ -403,23 +403,23 @@
 // A client that leaves as its answer is decided is ended once, whichever comes first: by its answer, or by word of its leaving, not by both.
 func TestAnAnswerCrossesWithItsClientsLeaving(t *testing.T) {
 	r := newFixture(t, 100, nil)
-	gone := map[*mixer.Lookup]bool{}
-	hear := func(e mixer.Event) {
-		if e.Kind != logic.ClientGone || gone[e.Taken] {
+	gone := map[*aggregator.Lookup]bool{}
+	hear := func(e aggregator.Event) {
+		if e.Kind != policy.ClientGone || gone[e.Taken] {
 			t.Fatalf("got %+v", e)
 		}
 		gone[e.Taken] = true
 	}
-	answered := map[*mixer.Lookup]bool{}
+	answered := map[*aggregator.Lookup]bool{}
 	for i := range 100 {
 		c := r.dial()
 		c.ask()
 		e := r.told.Next(t)
-		for ; e.Kind != logic.LookupTaken; e = r.told.Next(t) {
+		for ; e.Kind != policy.LookupTaken; e = r.told.Next(t) {
 			hear(e) // of the round before
 		}
 		go c.Conn.(*net.TCPConn).CloseWrite()
-		e.Taken.Done <- mixer.Reply{End: mixer.Satisfied, Whole: true}
+		e.Taken.Done <- aggregator.Reply{End: aggregator.Satisfied, Whole: true}
 		answers := 0
 		for {
 			res, err := http.ReadResponse(c.in, nil)
--- a/internal/dataplane/discovery/crossings_test.go
+++ b/internal/dataplane/discovery/crossings_test.go
@@ -14,12 +14,12 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue"
 	"puffinlink.example/puffinlink/internal/eventqueue/queuetest"
 	"puffinlink.example/puffinlink/internal/leaktest"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
@@ -28,7 +28,7 @@
 type bare struct {
 	*testing.T
 	*Client
-	told   *queuetest.Ear[mixer.Event]
+	told   *queuetest.Ear[aggregator.Event]
 	server *net.TCPListener
 }
 
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &bare{T: t, told: queuetest.New[mixer.Event](), server: l}
+	r := &bare{T: t, told: queuetest.New[aggregator.Event](), server: l}
 	set := settings.Settings{}
 	set.AskList = asked
 	r.Client, err = New(l.Addr().String(), []byte(line(41, true, searcher("s1", "SERVING"))), set, r.told.Queue, zap.NewNop(), counters.New())
@@ -106,7 +106,7 @@
 	c := r.accept("/discovery/hosts?stream=1&index=41")
 	r.nothing()
 	c.Write([]byte(chunked + chunk(list) + chunk(`{"generation":44`)))
-	if e := r.told.Next(t); e.List != logic.ListPatch || len(e.Entries) != 1 {
+	if e := r.told.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 {
 		t.Fatalf("told %+v", e)
 	}
 	reset(c)
@@ -123,7 +123,7 @@
 		c := r.accept("/discovery/hosts")
 		c.Write([]byte(text))
 		reset(c)
-		if e := r.told.Next(t); e.List != logic.ListFailed {
+		if e := r.told.Next(t); e.List != policy.ListFailed {
 			t.Fatalf("%q: told %+v", text, e)
 		}
 	}
@@ -131,7 +131,7 @@
 	c := r.accept("/discovery/hosts")
 	c.Write([]byte(noLength + list))
 	c.Close()
-	if e := r.told.Next(t); e.List != logic.ListWhole {
+	if e := r.told.Next(t); e.List != policy.ListWhole {
 		t.Fatalf("told %+v", e)
 	}
 }
@@ -151,7 +151,7 @@
 	again := other.accept("/discovery/hosts")
 	r.nothing()
 	c.Write([]byte(chunked + chunk(line(44, false, searcher("s1", "DRAINING")))))
-	if e := r.told.Next(t); e.List != logic.ListPatch || e.Entries[0].Phase != logic.Draining {
+	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
 	again.Write([]byte(noLength + line(41, true, searcher("s1", "SERVING")))) // as it was before the drain
@@ -160,7 +160,7 @@
 	r.nothing()
 	third.Write([]byte(noLength + line(45, true, searcher("s1", "DRAINING"))))
 	third.Close()
-	if e := r.told.Next(t); e.List != logic.ListWhole || e.Entries[0].Phase != logic.Draining {
+	if e := r.told.Next(t); e.List != policy.ListWhole || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
 }
@@ -181,7 +181,7 @@
 		o.Write([]byte(chunked + chunk(list)))
 	}
 	c.Write([]byte(chunked + chunk(line(44, false, searcher("s1", "DRAINING")))))
-	if e := r.told.Next(t); e.List != logic.ListPatch || len(e.Entries) != 1 || e.Entries[0].Searcher != 1 {
+	if e := r.told.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 || e.Entries[0].Searcher != 1 {
 		t.Fatalf("told %+v", e)
 	}
 	r.accept("/discovery/hosts?stream=1&index=44")
@@ -191,7 +191,7 @@
 // A register that comes back after a while is heard at once: of what it has, the first line counts, drains above all. The waits between
 // tries have grown by then, and go back with the first heartbeat: the next silence has 6 s of its own.
 func TestAHeartbeatEndsTheBackOff(t *testing.T) {
-	queue := eventqueue.New[mixer.Event]()
+	queue := eventqueue.New[aggregator.Event]()
 	r, err := New("127.0.0.1:1", []byte(line(41, true)), settings.Settings{}, queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
@@ -238,7 +238,7 @@
 	defer r.server.Close()
 	c = r.accept("/discovery/hosts?stream=1&index=41")
 	c.Write([]byte(chunked + chunk(line(50, false, searcher("s1", "DRAINING")))))
-	if e := r.told.Next(t); e.List != logic.ListPatch || e.Entries[0].Phase != logic.Draining {
+	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
 }
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const (
@@ -56,7 +56,7 @@
 }
 
 // Listener hears of the list: the module's actor, or one that stands before it. Put may not block.
-type Listener interface{ Put(...mixer.Event) }
+type Listener interface{ Put(...aggregator.Event) }
 
 // Client is the actor.
 type Client struct {
@@ -70,8 +70,8 @@
 	client   *http.Client
 	places   map[string]int
 	kinds    map[string]int
-	ids      map[string]logic.SearcherID // of those named now
-	lastID   logic.SearcherID
+	ids      map[string]policy.SearcherID // of those named now
+	lastID   policy.SearcherID
 	version  int64
 	on       bool
 	watch    int // number of the watch that counts
@@ -93,7 +93,7 @@
 		url: listURL(address), silence: time.Duration(silentHeartbeats * float64(heartbeatInterval)), asked: set.AskList, on: !set.AskList,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: heartbeatInterval}).DialContext}},
-		places: settings.Numbered[int](set.Net.Locations), kinds: settings.Numbered[int](set.Net.Kinds), ids: map[string]logic.SearcherID{},
+		places: settings.Numbered[int](set.Net.Locations), kinds: settings.Numbered[int](set.Net.Kinds), ids: map[string]policy.SearcherID{},
 		finished: make(chan struct{})}
 	if err := r.take(known, true); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
@@ -197,7 +197,7 @@
 		}
 		if err != nil {
 			r.log.Info("connection ended", zap.String("peer", "register"), zap.String("reason", "whole_list_failed"), zap.String("text", err.Error()))
-			r.tell.Put(mixer.Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListFailed}})
+			r.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 		}
 	}
 }
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -14,11 +14,11 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/eventqueue"
 	"puffinlink.example/puffinlink/internal/eventqueue/queuetest"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const patience = queuetest.Patience
@@ -28,7 +28,7 @@
 type fixture struct {
 	*testing.T
 	*Client
-	told   *queuetest.Ear[mixer.Event]
+	told   *queuetest.Ear[aggregator.Event]
 	asks   chan ask
 	server string // its address
 }
@@ -50,7 +50,7 @@
 }
 
 func newFixture(t *testing.T, asked bool, change func(*Client)) *fixture {
-	r := &fixture{T: t, told: queuetest.New[mixer.Event](), asks: make(chan ask, 100)}
+	r := &fixture{T: t, told: queuetest.New[aggregator.Event](), asks: make(chan ask, 100)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		ctx, end := context.WithCancel(q.Context())
 		out := make(chan string, 10)
@@ -79,7 +79,7 @@
 	}
 	go r.Client.Run()
 	t.Cleanup(func() { r.Stop(); server.CloseClientConnections(); server.Close() })
-	r.expect(logic.ListStale, "s1:0")
+	r.expect(policy.ListStale, "s1:0")
 	return r
 }
 
@@ -98,7 +98,7 @@
 }
 
 // expect waits for a list event with these searchers and phases.
-func (r *fixture) expect(kind logic.ListKind, entries ...string) mixer.Event {
+func (r *fixture) expect(kind policy.ListKind, entries ...string) aggregator.Event {
 	r.Helper()
 	e := r.told.Next(r.T)
 	var got []string
@@ -106,7 +106,7 @@
 		name := strings.TrimSuffix(strings.TrimPrefix(e.Addresses[i], "h-"), ":1")
 		got = append(got, fmt.Sprintf("%s:%d", name, x.Phase))
 	}
-	if e.Kind != logic.ListChanged || e.List != kind || fmt.Sprint(got) != fmt.Sprint(entries) {
+	if e.Kind != policy.ListChanged || e.List != kind || fmt.Sprint(got) != fmt.Sprint(entries) {
 		r.Fatalf("told kind %d of %v, expected %d of %v", e.List, got, kind, entries)
 	}
 	return e
@@ -116,15 +116,15 @@
 	r := newFixture(t, false, nil)
 	w := r.ask("/discovery/hosts?stream=1&index=41")
 	w.write("\n" + line(43, false, searcher("s2", "DRAINING")) + line(44, false, searcher("s2", "DELETED")))
-	e := r.expect(logic.ListPatch, "s2:1")
+	e := r.expect(policy.ListPatch, "s2:1")
 	if x := e.Entries[0]; x.Searcher != 2 || x.Location != 1 || x.Cell != 3 || x.Share != 2 || x.StartedAt != 1.5 {
 		t.Fatalf("got %+v", x)
 	}
-	r.expect(logic.ListPatch, "s2:2")
+	r.expect(policy.ListPatch, "s2:2")
 	w.end()
 	w = r.ask("/discovery/hosts?stream=1&index=44")
 	w.write(line(50, true, searcher("s3", "SERVING"), searcher("s1", "SERVING")))
-	if e = r.expect(logic.ListWhole, "s3:0", "s1:0"); e.Entries[1].Searcher != 1 {
+	if e = r.expect(policy.ListWhole, "s3:0", "s1:0"); e.Entries[1].Searcher != 1 {
 		t.Fatalf("s1 became %d", e.Entries[1].Searcher)
 	}
 }
@@ -135,16 +135,16 @@
 	w := r.ask("/discovery/hosts?stream=1&index=41")
 	w.write(line(42, false, searcher("s2", "SERVING"), searcher("s7", "DELETED")) + line(43, false, searcher("s2", "DELETED")) +
 		line(44, false, searcher("s2", "SERVING")))
-	r.expect(logic.ListPatch, "s2:0")
-	if e := r.expect(logic.ListPatch, "s2:2"); e.Entries[0].Searcher != 2 {
+	r.expect(policy.ListPatch, "s2:0")
+	if e := r.expect(policy.ListPatch, "s2:2"); e.Entries[0].Searcher != 2 {
 		t.Fatalf("s2 is gone as %d", e.Entries[0].Searcher)
 	}
-	if e := r.expect(logic.ListPatch, "s2:0"); e.Entries[0].Searcher != 3 {
+	if e := r.expect(policy.ListPatch, "s2:0"); e.Entries[0].Searcher != 3 {
 		t.Fatalf("the new s2 is %d", e.Entries[0].Searcher)
 	}
 	w.write(line(45, true, searcher("s4", "SERVING")) + line(46, true, searcher("s1", "SERVING")))
-	r.expect(logic.ListWhole, "s4:0")
-	if e := r.expect(logic.ListWhole, "s1:0"); e.Entries[0].Searcher != 5 || len(r.ids) != 1 {
+	r.expect(policy.ListWhole, "s4:0")
+	if e := r.expect(policy.ListWhole, "s1:0"); e.Entries[0].Searcher != 5 || len(r.ids) != 1 {
 		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Searcher, r.ids)
 	}
 }
@@ -155,7 +155,7 @@
 	other.ask("/discovery/hosts?stream=1&index=41").end()
 	old := r.ask("/discovery/hosts?stream=1&index=41")
 	old.write(line(47, false, searcher("s2", "SERVING")))
-	r.expect(logic.ListPatch, "s2:0")
+	r.expect(policy.ListPatch, "s2:0")
 	for _, address := range []string{"nowhere", "127.0.0.1:none", ""} {
 		if r.MoveTo(address) == nil {
 			t.Fatalf("%q was taken for an address", address)
@@ -174,7 +174,7 @@
 		t.Fatal("the old watch stays open")
 	}
 	w.write(line(48, false, searcher("s2", "DRAINING")))
-	r.expect(logic.ListPatch, "s2:1")
+	r.expect(policy.ListPatch, "s2:1")
 }
 
 func TestAnUnknownStateEndsTheWatchAndTellsNothingOfIt(t *testing.T) {
@@ -183,8 +183,8 @@
 	w.write(line(42, false, searcher("s1", "DELETED"), searcher("s4", "ASLEEP")) + line(43, false, searcher("s5", "SERVING")))
 	w2 := r.ask("/discovery/hosts?stream=1&index=41")
 	w2.write(line(43, false, searcher("s6", "SERVING")) + line(44, false, searcher("s1", "DRAINING")))
-	r.expect(logic.ListPatch, "s6:0")
-	if e := r.expect(logic.ListPatch, "s1:1"); e.Entries[0].Searcher != 1 { // it was never told to be gone
+	r.expect(policy.ListPatch, "s6:0")
+	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Searcher != 1 { // it was never told to be gone
 		t.Fatalf("s1 became %d", e.Entries[0].Searcher)
 	}
 	select {
@@ -199,7 +199,7 @@
 	r := newFixture(t, false, nil)
 	w := r.ask("/discovery/hosts?stream=1&index=41")
 	w.write(line(42, false, strings.Replace(searcher("s4", "SERVING"), `"weight":2`, `"weight":0`, 1), searcher("s1", "DRAINING")))
-	if e := r.expect(logic.ListPatch, "s4:0", "s1:1"); e.Entries[0].Share != 1 || e.Entries[1].Share != 2 {
+	if e := r.expect(policy.ListPatch, "s4:0", "s1:1"); e.Entries[0].Share != 1 || e.Entries[1].Share != 2 {
 		t.Fatalf("got shares %v and %v, expected 1 and 2", e.Entries[0].Share, e.Entries[1].Share)
 	}
 }
@@ -215,7 +215,7 @@
 		t.Fatal("a watch with beats was given up")
 	}
 	r.ask("/discovery/hosts?stream=1&index=41").write(line(42, false, searcher("s2", "SERVING")))
-	r.expect(logic.ListPatch, "s2:0")
+	r.expect(policy.ListPatch, "s2:0")
 	w.write(line(42, false, searcher("s9", "SERVING"))) // the old one is heard no more
 	r.ask("/discovery/hosts?stream=1&index=42")
 	if rest := r.told.Rest(); len(rest) > 0 {
@@ -235,12 +235,12 @@
 		return out.String()
 	}
 	w.write(indented(line(42, false, searcher("s{2", "SERVING"))) + "\n\n" + line(43, false, searcher("s3", "SERVING")))
-	r.expect(logic.ListPatch, "s{2:0")
-	r.expect(logic.ListPatch, "s3:0")
+	r.expect(policy.ListPatch, "s{2:0")
+	r.expect(policy.ListPatch, "s3:0")
 	whole := indented(line(44, true, searcher("s3", "DRAINING")))
 	w.write(whole[:len(whole)/2])
 	w.write(whole[len(whole)/2:] + "\n")
-	r.expect(logic.ListWhole, "s3:1")
+	r.expect(policy.ListWhole, "s3:1")
 	w.write(whole[:strings.LastIndex(whole, "}")] + "\n\n")
 	r.ask("/discovery/hosts?stream=1&index=44")
 	if rest := r.told.Rest(); len(rest) > 0 {
@@ -265,9 +265,9 @@
 			}
 		}
 	}()
-	r.expect(logic.ListPatch, "s1:1")
+	r.expect(policy.ListPatch, "s1:1")
 	for _, e := range r.told.Rest() { // told again at most
-		if e.List != logic.ListPatch {
+		if e.List != policy.ListPatch {
 			t.Fatalf("told %+v", e)
 		}
 	}
@@ -282,15 +282,15 @@
 	r.Subscribe(true)
 	w := r.ask("/discovery/hosts?stream=1&index=41")
 	w.end()
-	r.expect(logic.ListFailed)
+	r.expect(policy.ListFailed)
 	r.AskWhole()
 	w = r.ask("/discovery/hosts")
 	w.write(line(60, true, searcher("s8", "SERVING")))
 	w.end()
-	r.expect(logic.ListWhole, "s8:0")
+	r.expect(policy.ListWhole, "s8:0")
 	r.AskWhole()
 	r.ask("/discovery/hosts").end()
-	r.expect(logic.ListFailed)
+	r.expect(policy.ListFailed)
 	r.Subscribe(true)
 	r.ask("/discovery/hosts?stream=1&index=60")
 }
@@ -302,9 +302,9 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		queue := eventqueue.New[mixer.Event]()
+		queue := eventqueue.New[aggregator.Event]()
 		r := &Client{tell: queue, places: map[string]int{}, kinds: map[string]int{},
-			ids: map[string]logic.SearcherID{}, version: -7}
+			ids: map[string]policy.SearcherID{}, version: -7}
 		err := r.take(text, false)
 		told := queue.Take(nil)
 		if err != nil {
@@ -317,7 +317,7 @@
 			t.Fatalf("%q: told %+v", text, told)
 		}
 		for i, e := range told[0].Entries {
-			if e.Searcher == 0 || e.Cell < 0 || e.Phase != logic.Gone && told[0].Addresses[i] == "" {
+			if e.Searcher == 0 || e.Cell < 0 || e.Phase != policy.Gone && told[0].Addresses[i] == "" {
 				t.Fatalf("%q: told %+v", text, e)
 			}
 		}
--- a/internal/dataplane/discovery/entries.go
+++ b/internal/dataplane/discovery/entries.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // entry and page are the register's form.
@@ -35,7 +35,7 @@
 	Instances []entry `json:"instances"`
 }
 
-var phases = map[string]logic.Phase{"SERVING": logic.Ready, "DRAINING": logic.Draining, "DELETED": logic.Gone}
+var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone}
 
 // take reads a line of the register's and tells the module, unless anything in it can't be read: half a list
 // would be worse than an old one.
@@ -47,12 +47,12 @@
 	if p.Version == nil {
 		return errors.New("no generation")
 	}
-	e := mixer.Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListPatch}}
+	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
 	switch {
 	case known:
-		e.List = logic.ListStale
+		e.List = policy.ListStale
 	case p.Whole:
-		e.List = logic.ListWhole
+		e.List = policy.ListWhole
 	}
 	for i := range p.Instances { // all of them, before the first one counts
 		in := &p.Instances[i]
@@ -62,7 +62,7 @@
 			return fmt.Errorf("searcher %q: unknown state %q", in.ID, in.State)
 		case in.ID == "":
 			return errors.New("searcher without an id")
-		case phase != logic.Gone && in.Address == "":
+		case phase != policy.Gone && in.Address == "":
 			return fmt.Errorf("searcher %q without an address", in.ID)
 		case in.Cell < 0:
 			return fmt.Errorf("searcher %q: cell %d", in.ID, in.Cell)
@@ -72,8 +72,8 @@
 		}
 	}
 	before := r.ids
-	if e.List != logic.ListPatch { // those that it leaves out are gone
-		r.ids = make(map[string]logic.SearcherID, len(p.Instances))
+	if e.List != policy.ListPatch { // those that it leaves out are gone
+		r.ids = make(map[string]policy.SearcherID, len(p.Instances))
 	}
 	for i := range p.Instances {
 		in := &p.Instances[i]
@@ -83,22 +83,22 @@
 			id, seen = before[in.ID]
 		}
 		switch {
-		case !seen && phase == logic.Gone:
+		case !seen && phase == policy.Gone:
 			continue
 		case !seen:
 			r.lastID++
 			id = r.lastID
 		}
-		if phase == logic.Gone { // should the name come again, it is another searcher's
+		if phase == policy.Gone { // should the name come again, it is another searcher's
 			delete(r.ids, in.ID)
 		} else {
 			r.ids[in.ID] = id
 		}
-		e.Entries = append(e.Entries, logic.Entry{Searcher: id, Location: logic.LocationID(number(r.places, in.Zone)),
-			Kind: number(r.kinds, in.Kind), Cell: logic.CellID(in.Cell), Phase: phase, Share: in.weight(),
+		e.Entries = append(e.Entries, policy.Entry{Searcher: id, Location: policy.LocationID(number(r.places, in.Zone)),
+			Kind: number(r.kinds, in.Kind), Cell: policy.CellID(in.Cell), Phase: phase, Share: in.weight(),
 			StartedAt: in.StartedMs / 1000})
 		e.Addresses = append(e.Addresses, in.Address)
-		e.Names = append(e.Names, mixer.Name{Searcher: in.ID, Location: in.Zone})
+		e.Names = append(e.Names, aggregator.Name{Searcher: in.ID, Location: in.Zone})
 	}
 	r.version = *p.Version
 	r.tell.Put(e)
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -13,8 +13,8 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // silent is when the watch in hand counts as silent. A new one that has said nothing at all gets half as long, in which a
@@ -83,7 +83,7 @@
 	r.again = time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(r.wait)))
 	if r.asked { // the module says when to ask again
 		r.on = false
-		r.tell.Put(mixer.Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListFailed}})
+		r.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 	}
 }
 
--- a/internal/dataplane/node/crossings_test.go
+++ b/internal/dataplane/node/crossings_test.go
@@ -24,7 +24,7 @@
 
 // Work that a stand-in has begun goes on for its time, as a searcher's would; nothing of a mixer may.
 func TestMain(m *testing.M) {
-	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/standin.(*Searcher).work"))
+	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Searcher).work"))
 }
 
 // peer is a searcher whose every call the test decides on.
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -17,21 +17,21 @@
 
 	"go.uber.org/zap"
 
+	"puffinlink.example/puffinlink/internal/aggregatorstore"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
 	"puffinlink.example/puffinlink/internal/counters"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/internal/dataplane/backends"
 	"puffinlink.example/puffinlink/internal/dataplane/clients"
 	"puffinlink.example/puffinlink/internal/dataplane/discovery"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
-	"puffinlink.example/puffinlink/internal/dataplane/searchers"
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
 	"puffinlink.example/puffinlink/internal/operators/api"
 	"puffinlink.example/puffinlink/internal/operators/capture"
 	"puffinlink.example/puffinlink/internal/operators/controller"
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
-	"puffinlink.example/puffinlink/internal/store"
 )
 
 const (
@@ -149,13 +149,13 @@
 type Node struct {
 	log        *zap.Logger
 	count      *counters.Set
-	mixer      *mixer.Mixer
+	mixer      *aggregator.Mixer
 	discovery  *discovery.Client
-	hub        *searchers.Hub
+	hub        *backends.Hub
 	server     *clients.Server
 	fleet      *fleet.Fleet           // nil where the operator's file has none
 	controller *controller.Controller // nil where the operator's file has neither overrides nor a listener
-	store      *store.Store
+	store      *aggregatorstore.Store
 	operators  *api.Server
 	captures   *capture.Writer
 	drained    chan struct{}
@@ -167,7 +167,7 @@
 func Start(ctx context.Context, c Config, set settings.Settings, file operatorfile.File, log *zap.Logger, count *counters.Set) (n *Node, err error) {
 	clientConnections, searcherConnections, memory := c.connectionLimits()
 	n = &Node{log: log, count: count, drained: make(chan struct{})}
-	n.mixer = mixer.New(set, log, count)
+	n.mixer = aggregator.New(set, log, count)
 	if file.Capture.Directory != "" {
 		if err := n.capture(c.Name, set, file.Capture); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
@@ -206,7 +206,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.hub = searchers.New(set.Net, searcherConnections, n.mixer.In, log, count)
+	n.hub = backends.New(set.Net, searcherConnections, n.mixer.In, log, count)
 	n.server = clients.New(set, clientConnections, memory, n.mixer.In, log, count)
 	n.drain = sync.OnceFunc(func() {
 		if n.fleet != nil {
@@ -235,11 +235,11 @@
 func (n *Node) openController(set settings.Settings, file operatorfile.File) {
 	lim := file.Overrides.Limits
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
-	var kept store.Contents
+	var kept aggregatorstore.Contents
 	persistent, in := controller.Store(nil), ""
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
-		if n.store, kept, err = store.Open(dir, n.log); err != nil {
+		if n.store, kept, err = aggregatorstore.Open(dir, n.log); err != nil {
 			n.log.Error("overrides can't be kept, commands are refused", zap.String("text", err.Error()))
 		}
 		persistent, in = n.store, dir
@@ -254,7 +254,7 @@
 	if err != nil {
 		return fmt.Errorf("fleet.key_file: %w", err)
 	}
-	s := fleet.Settings{Self: roster.Name(c.Name), Roster: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
+	s := fleet.Settings{Self: membership.Name(c.Name), Roster: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
 		Lease: file.Fleet.Lease, Layout: set.Layout, Seed: set.Seed, HasQuotas: file.Quotas.On, Strict: file.Contracts.Strict,
 		Site:  residency.Site{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
 		Lines: map[string]int{fleet.LineFleet: file.Fleet.Line, fleet.LineStrict: file.Contracts.Line}}
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -17,9 +17,9 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
+	"puffinlink.example/puffinlink/internal/fakes"
 	"puffinlink.example/puffinlink/internal/operators/api"
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
-	"puffinlink.example/puffinlink/internal/standin"
 )
 
 // patience bounds what a test waits for, which comes soon unless something is broken.
@@ -31,27 +31,27 @@
 // world is a site on loopback: a register, searchers, one mixer with overrides, and a load on it.
 type world struct {
 	*testing.T
-	site     standin.Site
-	register *standin.Register
-	fleet    []*standin.Searcher
+	site     fakes.Site
+	register *fakes.Register
+	fleet    []*fakes.Searcher
 	file     operatorfile.File
 	listen   string
 	node     *Node
 	client   *api.Client
-	load     *standin.Load
-	asked    standin.Tally
+	load     *fakes.Load
+	asked    fakes.Tally
 }
 
 func newWorld(t *testing.T, perS float64, service time.Duration) *world {
-	w := &world{T: t, site: standin.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Mixers: 1,
-		Indexes: []standin.Index{{Name: "reads", Effect: "repeatable", Soft: 2, Hard: 8, Gain: 1}, {Name: "orders", Effect: "once", Soft: 2, Hard: 8, Gain: 3}}}}
+	w := &world{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Mixers: 1,
+		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 2, Hard: 8, Gain: 1}, {Name: "orders", Effect: "once", Soft: 2, Hard: 8, Gain: 3}}}}
 	var err error
-	if w.register, err = standin.NewRegister(); err != nil {
+	if w.register, err = fakes.NewRegister(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.register.Close)
 	for i := range 8 {
-		s, err := standin.NewSearcher(fmt.Sprintf("s-%d", i), w.site.Zones[i/2%2], i, 8, service)
+		s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i), w.site.Zones[i/2%2], i, 8, service)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 		w.fleet = append(w.fleet, s)
 		w.register.Set(s.Entry("SERVING", true))
 	}
-	if w.listen, err = standin.FreeAddress(); err != nil {
+	if w.listen, err = fakes.FreeAddress(); err != nil {
 		t.Fatal(err)
 	}
 	w.file = operatorfile.Defaults()
@@ -76,7 +76,7 @@
 	if w.client, err = api.NewClient(w.file.Operators.Listen, ""); err != nil {
 		t.Fatal(err)
 	}
-	w.load = &standin.Load{Mixers: []string{w.listen}, Site: w.site, PerS: perS, Mixes: []standin.Mix{
+	w.load = &fakes.Load{Mixers: []string{w.listen}, Site: w.site, PerS: perS, Mixes: []fakes.Mix{
 		{Index: "reads", Share: 0.9, Parts: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Parts: 2, Deadline: 8 * time.Second}}}
 	if perS > 0 {
 		w.load.Run()
@@ -94,7 +94,7 @@
 }
 
 // take adds what came of the load.
-func (w *world) take() standin.Tally {
+func (w *world) take() fakes.Tally {
 	t := w.load.Take()
 	w.asked.Add(t)
 	return t
@@ -166,7 +166,7 @@
 }
 
 // eachAnswered checks that each lookup had exactly one final answer, and some of them what they asked for.
-func eachAnswered(t *testing.T, a standin.Tally) {
+func eachAnswered(t *testing.T, a fakes.Tally) {
 	t.Helper()
 	if a.Lost > 0 || a.Asked != a.Satisfied+a.Nacked+a.Aborted || a.Satisfied == 0 {
 		t.Fatalf("not each lookup had its answer: %+v", a)
@@ -174,7 +174,7 @@
 }
 
 // ranOnce checks that no once-only part ran twice, and tells how many ran.
-func ranOnce(t *testing.T, fleet []*standin.Searcher) int {
+func ranOnce(t *testing.T, fleet []*fakes.Searcher) int {
 	t.Helper()
 	ran := map[string]int64{}
 	for _, s := range fleet {
@@ -392,7 +392,7 @@
 	if measure {
 		lookups = 1500
 	}
-	tail := func() standin.Tally {
+	tail := func() fakes.Tally {
 		w.take()
 		w.until("lookups", func() bool { return w.load.Answered() >= lookups })
 		return w.take()
--- a/internal/dataplane/node/shapes_test.go
+++ b/internal/dataplane/node/shapes_test.go
@@ -10,16 +10,16 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
+	"puffinlink.example/puffinlink/internal/fakes"
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
-	"puffinlink.example/puffinlink/internal/standin"
 )
 
 // shape is one of two shapes of a deployment: its site, the mixers that run in it, and the clients before those.
 type shape struct {
-	site  standin.Site
+	site  fakes.Site
 	nodes []*Node
-	load  *standin.Load
-	asked standin.Tally
+	load  *fakes.Load
+	asked fakes.Tally
 	alone float64 // share satisfied while the other shape was asked for nothing
 }
 
@@ -34,23 +34,23 @@
 // the mixers of one shape turn all away.
 func TestOldAndNewShapeBeforeTheSameSearchers(t *testing.T) {
 	const cells, service = 6, 50 * time.Millisecond
-	index := func(name, effect string, gain, floor float64) standin.Index {
-		return standin.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Gain: gain, Floor: floor, RepeatS: 0.05}
+	index := func(name, effect string, gain, floor float64) fakes.Index {
+		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Gain: gain, Floor: floor, RepeatS: 0.05}
 	}
-	register, err := standin.NewRegister()
+	register, err := fakes.NewRegister()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(register.Close)
 	shapes := map[string]*shape{
-		"old": {site: standin.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 2, Shards: 2 * cells, Mixers: 4, ColdS: 2,
-			Indexes: []standin.Index{index("reads", "repeatable", 1, 0), index("orders", "once", 3, 0)}}},
-		"new": {site: standin.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 1, Shards: 2 * cells, Mixers: 4, ColdS: 2, CallParts: 8, CallCostS: 0.002,
-			Indexes: []standin.Index{index("maps", "repeatable", 5, 0.7), index("notes", "by_key", 1, 0)}}},
+		"old": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 2, Shards: 2 * cells, Mixers: 4, ColdS: 2,
+			Indexes: []fakes.Index{index("reads", "repeatable", 1, 0), index("orders", "once", 3, 0)}}},
+		"new": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 1, Shards: 2 * cells, Mixers: 4, ColdS: 2, CallParts: 8, CallCostS: 0.002,
+			Indexes: []fakes.Index{index("maps", "repeatable", 5, 0.7), index("notes", "by_key", 1, 0)}}},
 	}
-	var fleet []*standin.Searcher
+	var fleet []*fakes.Searcher
 	for i := range 2 * cells { // each cell in both locations, so that either shape has two holders at the least
-		s, err := standin.NewSearcher(fmt.Sprintf("s-%d", i), []string{"a", "b"}[i%2], i/2, 2, service)
+		s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i), []string{"a", "b"}[i%2], i/2, 2, service)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +61,7 @@
 	for name, sh := range shapes {
 		var mixers []string
 		for i := range 2 {
-			listen, err := standin.FreeAddress()
+			listen, err := fakes.FreeAddress()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,12 +71,12 @@
 			}
 			mixers, sh.nodes = append(mixers, listen), append(sh.nodes, n)
 		}
-		var mixes []standin.Mix
+		var mixes []fakes.Mix
 		for i, x := range sh.site.Indexes {
-			mixes = append(mixes, standin.Mix{Index: x.Name, Share: []float64{0.6, 0.4}[i], Parts: []int{6, 2}[i], Deadline: 3 * time.Second})
+			mixes = append(mixes, fakes.Mix{Index: x.Name, Share: []float64{0.6, 0.4}[i], Parts: []int{6, 2}[i], Deadline: 3 * time.Second})
 		}
 		// 12 searchers with two slots of 50 ms do 480 parts a second: each shape asks for 220, and for a while a fourth of them is gone.
-		sh.load = &standin.Load{Mixers: mixers, Site: sh.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
+		sh.load = &fakes.Load{Mixers: mixers, Site: sh.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
 	}
 	take := func() {
 		for _, sh := range shapes {
@@ -97,7 +97,7 @@
 			}
 		}
 		stop(name, sh)
-		sh.alone, sh.asked = sh.satisfied(), standin.Tally{}
+		sh.alone, sh.asked = sh.satisfied(), fakes.Tally{}
 	}
 	for _, sh := range shapes {
 		sh.load.Run()
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -10,11 +10,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/chance"
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
+	"puffinlink.example/puffinlink/internal/random"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
@@ -92,7 +92,7 @@
 // is refused only if all its tries have certainly not run.
 func TestCertaintyOfCalls(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		random := chance.PCG(7)
+		random := random.PCG(7)
 		for round := range 2000 {
 			anyUnclear, lastErr, epoch := false, error(nil), uint64(1)
 			var c *leaderCaller
@@ -102,7 +102,7 @@
 					lead(c.feed, "next", epoch)
 				}
 				lastErr = randomFailure(ctx, &random)
-				anyUnclear = anyUnclear || (lastErr != nil && verdict.Of(lastErr) != verdict.NotRun)
+				anyUnclear = anyUnclear || (lastErr != nil && rpcerror.Of(lastErr) != rpcerror.NotRun)
 				return lastErr
 			})
 			allowed := time.Duration(random.Unit() * float64(testAllowed))
@@ -121,7 +121,7 @@
 	})
 }
 
-func randomFailure(ctx context.Context, random *chance.PCG) error {
+func randomFailure(ctx context.Context, random *random.PCG) error {
 	switch draw := random.Unit(); {
 	case draw < 0.1:
 		return nil
@@ -130,7 +130,7 @@
 	case draw < 0.6:
 		return notRun("full", time.Duration(random.Exp()*float64(time.Second)))
 	case draw < 0.8:
-		return verdict.Unclear(errors.New("broken off"))
+		return rpcerror.Unclear(errors.New("broken off"))
 	default:
 		<-ctx.Done()
 		return ctx.Err()
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -13,11 +13,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 func notRun(text string, pause time.Duration) error {
-	return verdict.Unexecuted(errors.New(text), pause)
+	return rpcerror.Unexecuted(errors.New(text), pause)
 }
 
 func jobState(text string) job.State { return job.State(text) }
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // This file decides what follows a try at a leader. It does no I/O and reads no clock.
@@ -50,10 +50,10 @@
 	switch {
 	case err == nil:
 		return attempt{result: answered}
-	case verdict.Of(err) != verdict.NotRun:
+	case rpcerror.Of(err) != rpcerror.NotRun:
 		return attempt{result: unclear}
-	case verdict.RetryAfter(err) > 0:
-		return attempt{result: overloaded, pause: verdict.RetryAfter(err)}
+	case rpcerror.RetryAfter(err) > 0:
+		return attempt{result: overloaded, pause: rpcerror.RetryAfter(err)}
 	default:
 		return attempt{result: refused}
 	}
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -8,8 +8,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/random"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const testAllowed = 3 * time.Second
@@ -120,14 +120,14 @@
 		cause := errors.New("x")
 		So(attemptOf(nil).result, ShouldEqual, answered)
 		So(attemptOf(cause).result, ShouldEqual, unclear)
-		So(attemptOf(verdict.Unclear(cause)).result, ShouldEqual, unclear)
-		So(attemptOf(verdict.Unexecuted(cause, 0)).result, ShouldEqual, refused)
-		So(attemptOf(verdict.Unexecuted(cause, ms(7))), ShouldResemble, attempt{overloaded, ms(7)})
+		So(attemptOf(rpcerror.Unclear(cause)).result, ShouldEqual, unclear)
+		So(attemptOf(rpcerror.Unexecuted(cause, 0)).result, ShouldEqual, refused)
+		So(attemptOf(rpcerror.Unexecuted(cause, ms(7))), ShouldResemble, attempt{overloaded, ms(7)})
 	})
 }
 
 // randomAttempt draws a try's result.
-func randomAttempt(random *chance.PCG) attempt {
+func randomAttempt(random *random.PCG) attempt {
 	switch draw := random.Unit(); {
 	case draw < 0.05:
 		return attempt{result: answered}
@@ -143,7 +143,7 @@
 // TestCertainty plays random sequences of tries: a request is refused only if none of its tries was unclear, succeeds
 // only by an answer, and ends in time.
 func TestCertainty(t *testing.T) {
-	random := chance.PCG(20261202)
+	random := random.PCG(20261202)
 	for range 20_000 {
 		kind := operation(random.Unit() * 3)
 		allowed := time.Duration(random.Unit() * float64(4*time.Second))
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -6,12 +6,12 @@
 	"encoding/json"
 	"fmt"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Settings are what the module is told, with what only sockets need.
 type Settings struct {
-	logic.Settings
+	policy.Settings
 	Net Net
 }
 
@@ -64,8 +64,8 @@
 	}
 }
 
-var effects = map[string]logic.Effect{
-	"repeatable": logic.Idempotent, "by_key": logic.Fingerprinted, "once": logic.OnceOnly,
+var effects = map[string]policy.Effect{
+	"repeatable": policy.Idempotent, "by_key": policy.Fingerprinted, "once": policy.OnceOnly,
 }
 
 // Read takes the object as text. Every figure that is stated is checked, so that a slip in a site's files
@@ -78,17 +78,17 @@
 	sp, li, in, pr := &w.Specifics, &w.Limits, &w.Invariants, &w.Prices
 	s := Settings{Net: Net{Locations: w.Azs, Kinds: w.Models, Shards: sp.Slices, Streams: li.Multiplex,
 		Idle: li.IdleCloseS, Connect: li.ConnectTimeoutS, Loads: w.Stats.How == "answers" || w.Stats.How == "probe"}}
-	s.Settings = logic.Settings{
-		Seed: seed, Self: logic.MixerNo(w.Ordinal), Mixers: w.Siblings, Location: logic.LocationID(w.Zone),
+	s.Settings = policy.Settings{
+		Seed: seed, Self: policy.MixerNo(w.Ordinal), Mixers: w.Siblings, Location: policy.LocationID(w.Zone),
 		Step: w.GranularityS, OverShare: w.OverShareWorth, AskList: w.MembershipMode == "subscribe",
-		Layout: logic.Layout{Cells: sp.Places, Width: sp.Width, CallParts: sp.PerCall, CallCost: sp.CallCostS},
-		Limits: logic.Limits{Cancel: li.Cancel, Probe: li.Probing, Tell: li.MayTell, SecondCopy: li.MayDuplicate,
+		Layout: policy.Layout{Cells: sp.Places, Width: sp.Width, CallParts: sp.PerCall, CallCost: sp.CallCostS},
+		Limits: policy.Limits{Cancel: li.Cancel, Probe: li.Probing, Tell: li.MayTell, SecondCopy: li.MayDuplicate,
 			RetryAfter: li.RetryAfter, MaxTries: li.MostTries, MaxHeld: li.MostHeld,
 			MaxRetryAfter: li.MaxRetryAfterS, ConnectTimeout: li.ConnectTimeoutS},
-		Rules: logic.Rules{AnswerSlack: in.AnswerSlackS, AskEvery: in.AskEveryS, ColdShare: in.ColdShare,
+		Rules: policy.Rules{AnswerSlack: in.AnswerSlackS, AskEvery: in.AskEveryS, ColdShare: in.ColdShare,
 			ColdS: in.ColdS, DrainGrace: in.DrainGraceS, FallMultiple: in.FallMultiple, FallS: in.FallS,
 			BudgetFree: in.FreeResends},
-		Prices: logic.Prices{CrossLocation: pr.CrossZone, Waste: pr.Waste, Probe: pr.Probe, LateFail: pr.LateFail,
+		Prices: policy.Prices{CrossLocation: pr.CrossZone, Waste: pr.Waste, Probe: pr.Probe, LateFail: pr.LateFail,
 			Handshake: pr.Handshake, Connection: pr.Connection, Peer: pr.Peer, Lists: pr.MembershipMode},
 	}
 	if in.ExtraShare != nil && in.BudgetSpanS != nil {
@@ -99,7 +99,7 @@
 		if !known {
 			return s, fmt.Errorf("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, c.Effect)
 		}
-		x := logic.IndexSettings{Soft: c.PromiseS, Hard: c.GiveUpS, Gain: c.Worth, LateGain: c.LateWorth,
+		x := policy.IndexSettings{Soft: c.PromiseS, Hard: c.GiveUpS, Gain: c.Worth, LateGain: c.LateWorth,
 			Effect: effect, RepeatS: c.RepeatWindowS}
 		x.Need, x.Floor, x.ShortGain = at(sp.ClassNeed, i), at(sp.FloorByClass, i), at(sp.ShortWorth, i)
 		if i < len(sp.SecondStep) {
@@ -109,7 +109,7 @@
 		s.Net.Indexes = append(s.Net.Indexes, c.Name)
 	}
 	for _, c := range w.Tenants {
-		s.Customers = append(s.Customers, logic.CustomerSettings{Share: c.Portion, QuotaPerS: c.QuotaPerS})
+		s.Customers = append(s.Customers, policy.CustomerSettings{Share: c.Portion, QuotaPerS: c.QuotaPerS})
 		s.Net.Customers = append(s.Net.Customers, c.Name)
 	}
 	return s, check(&w)
--- a/internal/dataplane/settings/settings_test.go
+++ b/internal/dataplane/settings/settings_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func TestModuleAndSocketsReadTheSameObject(t *testing.T) {
@@ -22,7 +22,7 @@
 		t.Fatalf("got %+v", s.Net)
 	}
 	if x := s.Indexes[0]; s.Seed != 7 || !s.AskList || s.Layout.CallParts != 2 || s.Limits.MaxHeld != 9 ||
-		x.Effect != logic.Fingerprinted || x.Need != 0.9 || x.RepeatS != 5 || s.Customers[0].QuotaPerS != 2 {
+		x.Effect != policy.Fingerprinted || x.Need != 0.9 || x.RepeatS != 5 || s.Customers[0].QuotaPerS != 2 {
 		t.Fatalf("got %+v", s.Settings)
 	}
 	for _, bad := range []string{`{"limits":{"multiplex":-1}}`, `{"limits":{"idleCloseS":-1}}`, `{"specifics":{"slices":-1}}`,
--- a/internal/standin/register.go
+++ b/internal/fakes/register.go
@@ -1,6 +1,6 @@
-// Package standin is a register, searchers and clients on loopback, for the demo and for tests. They speak the operators'
+// Package fakes is a register, searchers and clients on loopback, for the demo and for tests. They speak the operators'
 // protocol from its pages and share no code with the mixer, so that a mistake there is not made on both sides.
-package standin
+package fakes
 
 import (
 	"cmp"
--- a/internal/jobs/inventory/inventory_test.go
+++ b/internal/jobs/inventory/inventory_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/worker"
 	"puffinlink.example/puffinlink/internal/leaktest"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
--- a/internal/jobs/manager/again_test.go
+++ b/internal/jobs/manager/again_test.go
@@ -19,8 +19,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
@@ -47,7 +47,7 @@
 
 // Call implements transport.Caller.
 func (soleMember) Call(context.Context, string, transport.Route, any, any) error {
-	return verdict.Unexecuted(errNobody, 0)
+	return rpcerror.Unexecuted(errNobody, 0)
 }
 
 var _ transport.Caller = soleMember{}
@@ -119,8 +119,8 @@
 		request := jobreport.DrainRequest{Group: soleGroup, Searcher: "i-1", Draining: true}
 		Convey("A searcher is not called unknown before the platform's list was read", t, func() {
 			_, err := m.drain(ctx, request)
-			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
-			So(verdict.RetryAfter(err), ShouldEqual, noListRetry)
+			So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+			So(rpcerror.RetryAfter(err), ShouldEqual, noListRetry)
 			m.Inventory(nil)
 			reply, err := m.drain(ctx, request)
 			So(err, ShouldBeNil)
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -19,11 +19,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
 	"puffinlink.example/puffinlink/internal/jobs/worker"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
 	"puffinlink.example/puffinlink/internal/jobs/worker"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -206,7 +206,7 @@
 	l.mu.Lock()
 	if l.ctx.Err() != nil {
 		l.mu.Unlock()
-		return verdict.Unexecuted(errNotLeader, 0)
+		return rpcerror.Unexecuted(errNotLeader, 0)
 	}
 	event(steady())
 	l.dispatch()
@@ -221,9 +221,9 @@
 	case <-done:
 		return nil
 	case <-l.term.Ended():
-		return verdict.Unclear(errEnded)
+		return rpcerror.Unclear(errEnded)
 	case <-ctx.Done():
-		return verdict.Unclear(ctx.Err())
+		return rpcerror.Unclear(ctx.Err())
 	}
 }
 
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -84,7 +84,7 @@
 				leader.clock.standStill()
 				err := question.ask(leader.manager)
 				So(err, ShouldNotBeNil)
-				So(verdict.Of(err), ShouldEqual, verdict.NotRun)
+				So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
 			})
 		})
 	}
@@ -123,7 +123,7 @@
 			for range cap(failures) {
 				err := <-failures
 				So(err, ShouldNotBeNil)
-				So(verdict.Of(err), ShouldEqual, verdict.MayHaveRun)
+				So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
 			}
 		})
 		Convey("The next leader has never heard of it", t, func() {
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -10,8 +10,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
 	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // noListRetry is when a leader that has not read the platform's list of searchers may be asked again.
@@ -54,7 +54,7 @@
 	defer led.mu.Unlock()
 	look(steady(), led.scheduler)
 	if !led.term.Valid() {
-		return verdict.Unexecuted(errNotLeader, 0)
+		return rpcerror.Unexecuted(errNotLeader, 0)
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 		reply.Searcher = led.reportDrained(now, id)
 	})
 	if err == nil && !reply.Known && !m.hasList() {
-		return reply, verdict.Unexecuted(errNoList, noListRetry)
+		return reply, rpcerror.Unexecuted(errNoList, noListRetry)
 	}
 	if err == nil && reply.Known {
 		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("searcher", request.Searcher),
--- a/internal/jobs/worker/client.go
+++ b/internal/jobs/worker/client.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 const (
@@ -65,15 +65,15 @@
 	}}
 	response, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
 	if err != nil && (permit.unsent() || sending.Unsent()) {
-		return answer{}, verdict.Unexecuted(err, 0)
+		return answer{}, rpcerror.Unexecuted(err, 0)
 	}
 	if err != nil {
-		return answer{}, verdict.Unclear(err)
+		return answer{}, rpcerror.Unclear(err)
 	}
 	defer response.Body.Close()
 	result, err := readAnswer(response)
 	if err != nil {
-		return answer{}, verdict.Unclear(fmt.Errorf("%s: %w", target, err))
+		return answer{}, rpcerror.Unclear(fmt.Errorf("%s: %w", target, err))
 	}
 	return result, nil
 }
--- a/internal/jobs/worker/connections_test.go
+++ b/internal/jobs/worker/connections_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
--- a/internal/jobs/worker/failure_test.go
+++ b/internal/jobs/worker/failure_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 // givenRunningTask plays a Convey scope at a searcher that runs one task.
--- a/internal/jobs/worker/hold.go
+++ b/internal/jobs/worker/hold.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -239,7 +239,7 @@
 	case g == nil:
 	case err == nil:
 		l.grants.answered(g, received, l.clock.untilPassed(validUntil, received))
-	case verdict.Of(err) == verdict.NotRun:
+	case rpcerror.Of(err) == rpcerror.NotRun:
 		l.grants.withdrawn(g)
 	default:
 		l.grants.unanswered(g, received)
--- a/internal/jobs/worker/lapse_test.go
+++ b/internal/jobs/worker/lapse_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 var errSilent = errors.New("no answer")
@@ -79,7 +79,7 @@
 			w.carriedOut(validUntil, left, at, rapid.Bool().Draw(w.t, "from arrival"))
 		}
 		w.flights = append(w.flights, flight{sent.Add(timeout), func(received time.Time) {
-			settle(answer{}, verdict.Unclear(errSilent), received)
+			settle(answer{}, rpcerror.Unclear(errSilent), received)
 		}})
 		return
 	}
--- a/internal/jobs/worker/lease_test.go
+++ b/internal/jobs/worker/lease_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/standin/cluster"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
--- a/internal/jobs/worker/link_test.go
+++ b/internal/jobs/worker/link_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 // needsCores is a cluster whose tasks need one core each, or more by their index.
--- a/internal/jobs/worker/orders.go
+++ b/internal/jobs/worker/orders.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -217,7 +217,7 @@
 	defer l.mu.Unlock()
 	l.observe(a, c.sentAt, received)
 	l.settle(c.grant, c.validUntil, err, received)
-	if err == nil || verdict.Of(err) != verdict.NotRun {
+	if err == nil || rpcerror.Of(err) != rpcerror.NotRun {
 		l.roundTrips.startEnded(err == nil)
 	}
 	if err != nil {
--- a/internal/jobs/worker/outcome.go
+++ b/internal/jobs/worker/outcome.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // answerOutcome is the outcome of a start order by the searcher's answer.
@@ -39,7 +39,7 @@
 
 // failureOutcome is the outcome of a start order without an answer.
 func failureOutcome(err error) StartOutcome {
-	if verdict.Of(err) == verdict.NotRun {
+	if rpcerror.Of(err) == rpcerror.NotRun {
 		return NotSent
 	}
 	return Unclear
--- a/internal/jobs/worker/permit_test.go
+++ b/internal/jobs/worker/permit_test.go
@@ -11,7 +11,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // slowDial is a client whose connections wait until they are released.
@@ -52,7 +52,7 @@
 			release <- struct{}{}
 			err := <-failures
 			So(err, ShouldNotBeNil)
-			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
+			So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
 			So(calls.Load(), ShouldEqual, 0)
 
 			over.Store(0)
@@ -61,7 +61,7 @@
 			So(calls.Load(), ShouldEqual, 1)
 			over.Store(1)
 			close(release)
-			So(verdict.Of(post()), ShouldEqual, verdict.NotRun)
+			So(rpcerror.Of(post()), ShouldEqual, rpcerror.NotRun)
 			So(calls.Load(), ShouldEqual, 1)
 		})
 		Convey("one whose lease holds is sent", func() {
--- a/internal/jobs/worker/recorder_test.go
+++ b/internal/jobs/worker/recorder_test.go
@@ -12,9 +12,9 @@
 
 	"go.uber.org/goleak"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/leaktest"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 func TestMain(m *testing.M) { leaktest.Main(m, goleak.IgnoreCurrent()) }
--- a/internal/jobs/worker/repeat_test.go
+++ b/internal/jobs/worker/repeat_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/standin/cluster"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
 // usualAnswer is more than a calm searcher takes to answer, and far less than any time-out.
--- a/internal/jobs/worker/reset_test.go
+++ b/internal/jobs/worker/reset_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport/resettest"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // startCounter is a searcher that counts how often each start was carried out.
@@ -72,7 +72,7 @@
 				for after := range lengths[cut] {
 					execution++
 					body, err := send(execution, cut, after)
-					if err == nil || verdict.Of(err) != verdict.MayHaveRun {
+					if err == nil || rpcerror.Of(err) != rpcerror.MayHaveRun {
 						wrong++
 						t.Errorf("reset after byte %d of way %d: %v", after, cut, err)
 					}
@@ -115,7 +115,7 @@
 		order := order(0, 1)
 		body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
 		_, err = searcher.post(context.Background(), searcher.start, body, patience)
-		convey.So(verdict.Of(err), convey.ShouldEqual, verdict.MayHaveRun)
+		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
 		convey.So(counter.count(body), convey.ShouldEqual, 1)
 	})
 }
--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -17,12 +17,12 @@
 	"golang.org/x/time/rate"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/eventqueue"
 	"puffinlink.example/puffinlink/internal/operators/controller"
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 	"puffinlink.example/puffinlink/internal/operators/override"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 type fixture struct {
@@ -30,18 +30,18 @@
 	*Server
 	address string
 	client  *Client
-	box     *eventqueue.Queue[mixer.Event]
+	box     *eventqueue.Queue[aggregator.Event]
 }
 
 func newFixture(t *testing.T, set operatorfile.Operators, token string) *fixture {
 	lim := override.Defaults()
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads"}, 4, 2, 2
-	r := &fixture{T: t, box: eventqueue.New[mixer.Event]()}
+	r := &fixture{T: t, box: eventqueue.New[aggregator.Event]()}
 	d := controller.New(lim, r.box, nil, "", zap.NewNop(), counters.New())
-	list := mixer.Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListWhole}}
+	list := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}}
 	for i := range 4 {
-		list.Entries = append(list.Entries, logic.Entry{Searcher: logic.SearcherID(i + 1), Cell: logic.CellID(i % 2)})
-		list.Addresses, list.Names = append(list.Addresses, "x:1"), append(list.Names, mixer.Name{Searcher: fmt.Sprint("s-", i), Location: "north"})
+		list.Entries = append(list.Entries, policy.Entry{Searcher: policy.SearcherID(i + 1), Cell: policy.CellID(i % 2)})
+		list.Addresses, list.Names = append(list.Addresses, "x:1"), append(list.Names, aggregator.Name{Searcher: fmt.Sprint("s-", i), Location: "north"})
 	}
 	d.Put(list)
 	d.Settle()
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
@@ -43,13 +43,13 @@
 }
 
 // command checks a command and puts it into the fleet's terms.
-func (c *FleetCommand) command() (out council.Command, err error) {
+func (c *FleetCommand) command() (out consensus.Command, err error) {
 	if c.ID == "" {
 		id := make([]byte, 16)
 		rand.Read(id)
 		c.ID = hex.EncodeToString(id)
 	}
-	out = council.Command{ID: council.CommandID(c.ID), Author: c.Author, Reason: c.Reason}
+	out = consensus.Command{ID: consensus.CommandID(c.ID), Author: c.Author, Reason: c.Reason}
 	set := 0
 	for _, is := range []bool{c.Contract != nil, c.Quota != nil, c.Clear != ""} {
 		if is {
@@ -64,14 +64,14 @@
 	case c.Tenant == "" || set != 1:
 		return out, errors.New("expected a tenant, and one of contract, quota and clear")
 	case c.Contract != nil:
-		out.Contract = &council.ContractChange{Tenant: quota.Tenant(c.Tenant),
+		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant),
 			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.MixersToo, Indexes: c.Contract.Indexes}}
 	case c.Quota != nil:
-		out.Quota = &council.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.PerS, Burst: c.Quota.Burst, Floor: c.Quota.Floor}}
+		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.PerS, Burst: c.Quota.Burst, Floor: c.Quota.Floor}}
 	case c.Clear == "contract":
-		out.Contract = &council.ContractChange{Tenant: quota.Tenant(c.Tenant)}
+		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant)}
 	case c.Clear == "quota":
-		out.Quota = &council.QuotaChange{Tenant: quota.Tenant(c.Tenant)}
+		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant)}
 	default:
 		return out, errors.New(`clear is ` + strconv.Quote(c.Clear) + `, expected "contract" or "quota"`)
 	}
--- a/internal/operators/api/handlers.go
+++ b/internal/operators/api/handlers.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/operators/override"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func (s *Server) list(w http.ResponseWriter, _ *http.Request, _ string) {
@@ -55,7 +55,7 @@
 		s.fail(w, http.StatusBadRequest, "invalid", fmt.Sprintf("shard is %.20q, expected a number", r.FormValue("shard")))
 		return
 	}
-	e, err := s.controller.Explain(logic.ShardID(shard), r.FormValue("index"), r.FormValue("searcher"))
+	e, err := s.controller.Explain(policy.ShardID(shard), r.FormValue("index"), r.FormValue("searcher"))
 	if err != nil {
 		s.refused(w, err)
 		return
--- a/internal/operators/api/wire.go
+++ b/internal/operators/api/wire.go
@@ -8,7 +8,7 @@
 	"math"
 
 	"puffinlink.example/puffinlink/internal/operators/override"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Override is one that holds, or held.
@@ -136,8 +136,8 @@
 	if err != nil {
 		return out, err
 	}
-	out.Spec = override.Spec{Kind: kind, Searcher: c.Searcher, Location: c.Location, From: logic.ShardID(c.From),
-		To: logic.ShardID(c.To), Index: c.Index, Factor: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
+	out.Spec = override.Spec{Kind: kind, Searcher: c.Searcher, Location: c.Location, From: policy.ShardID(c.From),
+		To: policy.ShardID(c.To), Index: c.Index, Factor: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
 		UntilRestart: c.UntilRestart}
 	out.Lasts = c.For
 	return out, nil
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -4,7 +4,7 @@
 package capture
 
 import (
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Caps of what one interval holds, each with its reason.
@@ -42,7 +42,7 @@
 	parts   []map[int]int64
 	latency []Hist
 	shards  [][]int64
-	seats   map[logic.SearcherID]*Seat
+	seats   map[policy.SearcherID]*Seat
 	kept    int // rows
 	held    meter
 	out     meter
@@ -71,7 +71,7 @@
 
 // New makes a recorder of a mixer with intervals of span seconds.
 func New(mixer string, names Names, span float64) *Recorder {
-	rec := &Recorder{mixer: mixer, names: names, span: span, seats: map[logic.SearcherID]*Seat{}}
+	rec := &Recorder{mixer: mixer, names: names, span: span, seats: map[policy.SearcherID]*Seat{}}
 	rec.clear()
 	return rec
 }
@@ -87,19 +87,19 @@
 }
 
 // Named notes a searcher's name and location.
-func (rec *Recorder) Named(id logic.SearcherID, name, location string) {
+func (rec *Recorder) Named(id policy.SearcherID, name, location string) {
 	s := rec.seat(id)
 	s.name, s.location, s.unnamed = name, location, false
 }
 
 // Unnamed lets go of a searcher that the list no longer names, with the interval in hand.
-func (rec *Recorder) Unnamed(id logic.SearcherID) {
+func (rec *Recorder) Unnamed(id policy.SearcherID) {
 	if s := rec.seats[id]; s != nil {
 		s.unnamed = true
 	}
 }
 
-func (rec *Recorder) seat(id logic.SearcherID) *Seat {
+func (rec *Recorder) seat(id policy.SearcherID) *Seat {
 	s := rec.seats[id]
 	if s == nil {
 		s = &Seat{rows: make([]*SearcherLoad, len(rec.names.Indexes))}
@@ -108,16 +108,16 @@
 	return s
 }
 
-func (rec *Recorder) load(k logic.IndexID, c logic.CustomerID) *Load {
+func (rec *Recorder) load(k policy.IndexID, c policy.CustomerID) *Load {
 	list := rec.loads[k]
 	if int(c) < 0 || int(c) >= len(list) {
-		c = logic.CustomerID(len(list) - 1)
+		c = policy.CustomerID(len(list) - 1)
 	}
 	return &list[c]
 }
 
 // Taken counts a lookup with its parts; the hint is of all of them, seconds.
-func (rec *Recorder) Taken(now float64, k logic.IndexID, c logic.CustomerID, resent bool, hint float64, shards func(yield func(logic.ShardID) bool)) {
+func (rec *Recorder) Taken(now float64, k policy.IndexID, c policy.CustomerID, resent bool, hint float64, shards func(yield func(policy.ShardID) bool)) {
 	l := rec.load(k, c)
 	l.Lookups++
 	l.Hint += hint
@@ -148,7 +148,7 @@
 )
 
 // Ended counts the end of a lookup, so many seconds after it came.
-func (rec *Recorder) Ended(now float64, k logic.IndexID, c logic.CustomerID, how End, took float64) {
+func (rec *Recorder) Ended(now float64, k policy.IndexID, c policy.CustomerID, how End, took float64) {
 	e := &rec.load(k, c).Ends
 	switch how {
 	case Answered:
@@ -172,14 +172,14 @@
 }
 
 // Sent counts a part call that goes out, and tells where it sits and whether it found nothing else of this mixer there.
-func (rec *Recorder) Sent(now float64, id logic.SearcherID) (s *Seat, alone bool) {
+func (rec *Recorder) Sent(now float64, id policy.SearcherID) (s *Seat, alone bool) {
 	rec.out.move(now, 1)
 	s = rec.seat(id)
 	s.out++
 	return s, s.out == 1
 }
 
-func (rec *Recorder) row(s *Seat, k logic.IndexID) *SearcherLoad {
+func (rec *Recorder) row(s *Seat, k policy.IndexID) *SearcherLoad {
 	if s.rows[k] == nil {
 		s.rows[k] = &SearcherLoad{Searcher: s.name, Location: s.location, Index: rec.names.Indexes[k]}
 		if rec.kept++; rec.kept > mostRows {
@@ -190,13 +190,13 @@
 }
 
 // Called counts the end of a part call: its outcome, how long it took, and whether it was alone there when it went.
-func (rec *Recorder) Called(now float64, s *Seat, k logic.IndexID, outcome logic.Outcome, elapsed float64, alone bool, load logic.Load) {
+func (rec *Recorder) Called(now float64, s *Seat, k policy.IndexID, outcome policy.Outcome, elapsed float64, alone bool, load policy.Load) {
 	rec.out.move(now, -1)
 	s.out--
 	r := rec.row(s, k)
 	r.Calls++
 	switch outcome {
-	case logic.Answered:
+	case policy.Answered:
 		if r.Latency.of == nil {
 			r.Latency, r.Alone = newHist(1), newHist(1)
 		}
@@ -204,13 +204,13 @@
 		if alone {
 			r.Alone.Add(elapsed, 1)
 		}
-	case logic.TurnedAway:
+	case policy.TurnedAway:
 		r.TurnedAway++
-	case logic.Withdrawn, logic.NotSent: // ours
+	case policy.Withdrawn, policy.NotSent: // ours
 	default:
 		r.Failed++
 	}
-	if load.Has&(logic.HasService|logic.HasUtil) != 0 {
+	if load.Has&(policy.HasService|policy.HasUtil) != 0 {
 		r.Reports++
 		r.Service += load.ServiceS
 		r.Util += load.Util
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 var names = Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
@@ -26,7 +26,7 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	rec := New(mixer, names, 1)
 	for s := range 4 {
-		rec.Named(logic.SearcherID(s+1), fmt.Sprint("s-", s), "north")
+		rec.Named(policy.SearcherID(s+1), fmt.Sprint("s-", s), "north")
 	}
 	type out struct {
 		s     *Seat
@@ -37,19 +37,19 @@
 		if rec.Due(now) {
 			list = append(list, rec.Cut(now))
 		}
-		k, n := logic.IndexID(rng.IntN(2)), 1+rng.IntN(3)
-		rec.Taken(now, k, logic.CustomerID(rng.IntN(2)), rng.IntN(9) == 0, 0.01*float64(n), func(yield func(logic.ShardID) bool) {
+		k, n := policy.IndexID(rng.IntN(2)), 1+rng.IntN(3)
+		rec.Taken(now, k, policy.CustomerID(rng.IntN(2)), rng.IntN(9) == 0, 0.01*float64(n), func(yield func(policy.ShardID) bool) {
 			for s := range n {
-				yield(logic.ShardID(s))
+				yield(policy.ShardID(s))
 			}
 		})
 		lookups, parts = lookups+1, parts+int64(n)
 		rec.Ended(now, k, 0, End(rng.IntN(4)), 2*rng.Float64())
-		s := logic.SearcherID(1 + rng.IntN(4))
+		s := policy.SearcherID(1 + rng.IntN(4))
 		seat, alone := rec.Sent(now, s)
 		open = append(open, out{seat, alone})
 		if len(open) > 5 {
-			rec.Called(now, open[0].s, k, logic.Outcome(rng.IntN(8)), 0.02, open[0].alone, logic.Load{})
+			rec.Called(now, open[0].s, k, policy.Outcome(rng.IntN(8)), 0.02, open[0].alone, policy.Load{})
 			open, calls = open[1:], calls+1
 		}
 	}
@@ -81,7 +81,7 @@
 	}
 	b := *New("n1", names, 1)
 	b.Due(0)
-	b.Taken(0, 0, 0, false, 0, func(func(logic.ShardID) bool) {})
+	b.Taken(0, 0, 0, false, 0, func(func(policy.ShardID) bool) {})
 	b.Ended(0.5, 0, 0, Answered, 0.5)
 	if got := b.Cut(1).Held; math.Abs(got.Mean-0.5) > 1e-9 || got.Most != 1 {
 		t.Fatalf("held %+v", got)
--- a/internal/operators/capture/synth.go
+++ b/internal/operators/capture/synth.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"puffinlink.example/puffinlink/internal/chance"
+	"puffinlink.example/puffinlink/internal/random"
 )
 
 // Synth is a load that nobody has captured, as it is stated. Times are seconds.
@@ -37,7 +37,7 @@
 
 // around draws a count about a mean, as arrivals that know nothing of one another come: by the normal approximation
 // of Poisson's distribution.
-func around(g *chance.PCG, mean float64) int64 {
+func around(g *random.PCG, mean float64) int64 {
 	if *g == 0 || mean <= 0 {
 		return int64(math.Round(mean))
 	}
@@ -112,7 +112,7 @@
 	if err := s.check(); err != nil {
 		return err
 	}
-	g := chance.PCG(s.Seed)
+	g := random.PCG(s.Seed)
 	popular := Popularity(s.Shards, s.Skew)
 	left := make([][]float64, len(s.Indexes)) // what rounding owes each shard
 	for k := range left {
--- a/internal/operators/controller/controller.go
+++ b/internal/operators/controller/controller.go
@@ -11,10 +11,10 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/eventqueue"
 	"puffinlink.example/puffinlink/internal/operators/override"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const (
@@ -60,7 +60,7 @@
 
 type note struct {
 	kind    noteKind
-	events  []mixer.Event
+	events  []aggregator.Event
 	command override.Command
 	reply   chan Result
 	err     error
@@ -71,7 +71,7 @@
 // Controller is the actor.
 type Controller struct {
 	in       *eventqueue.Queue[note]
-	tell     *eventqueue.Queue[mixer.Event]
+	tell     *eventqueue.Queue[aggregator.Event]
 	table    *override.Table
 	store    Store
 	storedIn string
@@ -88,7 +88,7 @@
 }
 
 // New makes the actor before the first list. A nil keeper keeps nothing beyond the process.
-func New(lim override.Limits, tell *eventqueue.Queue[mixer.Event], store Store, storedIn string, log *zap.Logger, count *counters.Set) *Controller {
+func New(lim override.Limits, tell *eventqueue.Queue[aggregator.Event], store Store, storedIn string, log *zap.Logger, count *counters.Set) *Controller {
 	now := time.Now()
 	if storedIn == "" {
 		storedIn = "memory"
@@ -107,7 +107,7 @@
 func (c *Controller) Now() float64 { return c.unix + time.Since(c.start).Seconds() }
 
 // Put takes what the register tells. What is known at the start may be taken before Run, by Settle.
-func (c *Controller) Put(events ...mixer.Event) { c.in.Put(note{kind: listCame, events: events}) }
+func (c *Controller) Put(events ...aggregator.Event) { c.in.Put(note{kind: listCame, events: events}) }
 
 // Settle does at once all that waits, so that the module hears of what holds before its first lookup. Run has not begun.
 func (c *Controller) Settle() { c.work(nil) }
@@ -140,7 +140,7 @@
 }
 
 // Explain says why parts of a shard go to a searcher or not.
-func (c *Controller) Explain(s logic.ShardID, index, searcher string) (e override.Explanation, err error) {
+func (c *Controller) Explain(s policy.ShardID, index, searcher string) (e override.Explanation, err error) {
 	c.asks(func(c *Controller) { e, err = c.table.Explain(s, index, searcher) })
 	return e, err
 }
@@ -225,8 +225,8 @@
 }
 
 // listed takes the list to the table, and on to the module together with what changes by it.
-func (c *Controller) listed(e *mixer.Event) {
-	if e.Kind != logic.ListChanged || e.List == logic.ListFailed {
+func (c *Controller) listed(e *aggregator.Event) {
+	if e.Kind != policy.ListChanged || e.List == policy.ListFailed {
 		c.tell.Put(*e)
 		return
 	}
@@ -235,7 +235,7 @@
 		members[i] = override.Member{Name: e.Names[i].Searcher, ID: r.Searcher, Location: e.Names[i].Location, Cell: r.Cell,
 			Phase: r.Phase, Share: r.Share, Started: r.StartedAt}
 	}
-	c.ends(c.table.List(c.Now(), e.List != logic.ListPatch, members))
+	c.ends(c.table.List(c.Now(), e.List != policy.ListPatch, members))
 	if patch := c.table.Patch(c.Now()); patch != nil {
 		c.tell.Put(*e, overridden(patch))
 		return
@@ -243,8 +243,8 @@
 	c.tell.Put(*e)
 }
 
-func overridden(patch *logic.Overrides) mixer.Event {
-	return mixer.Event{Event: logic.Event{Kind: logic.OverridesChanged, Override: patch}}
+func overridden(patch *policy.Overrides) aggregator.Event {
+	return aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged, Override: patch}}
 }
 
 func (c *Controller) patch() {
--- a/internal/operators/controller/controller_test.go
+++ b/internal/operators/controller/controller_test.go
@@ -9,10 +9,10 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixer"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/internal/eventqueue/queuetest"
 	"puffinlink.example/puffinlink/internal/operators/override"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const patience = queuetest.Patience
@@ -25,36 +25,36 @@
 type fixture struct {
 	*testing.T
 	*Controller
-	told *queuetest.Ear[mixer.Event]
+	told *queuetest.Ear[aggregator.Event]
 }
 
 func newFixture(t *testing.T, keeper Store) *fixture {
 	lim := override.Defaults()
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads"}, 4, 2, 2
-	r := &fixture{T: t, told: queuetest.New[mixer.Event]()}
+	r := &fixture{T: t, told: queuetest.New[aggregator.Event]()}
 	r.Controller = New(lim, r.told.Queue, keeper, "", zap.NewNop(), counters.New())
-	r.list(logic.Ready)
+	r.list(policy.Ready)
 	r.Settle()
-	r.event(logic.ListChanged)
+	r.event(policy.ListChanged)
 	go r.Controller.Run()
 	t.Cleanup(r.Stop)
 	return r
 }
 
-func (r *fixture) list(phase logic.Phase) {
-	e := mixer.Event{Event: logic.Event{Kind: logic.ListChanged, List: logic.ListWhole}}
+func (r *fixture) list(phase policy.Phase) {
+	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}}
 	for i := range 4 {
-		entry := logic.Entry{Searcher: logic.SearcherID(i + 1), Cell: logic.CellID(i % 2)}
+		entry := policy.Entry{Searcher: policy.SearcherID(i + 1), Cell: policy.CellID(i % 2)}
 		if i == 0 {
 			entry.Phase = phase
 		}
 		e.Entries = append(e.Entries, entry)
-		e.Addresses, e.Names = append(e.Addresses, "x:1"), append(e.Names, mixer.Name{Searcher: fmt.Sprint("s-", i), Location: "north"})
+		e.Addresses, e.Names = append(e.Addresses, "x:1"), append(e.Names, aggregator.Name{Searcher: fmt.Sprint("s-", i), Location: "north"})
 	}
 	r.Put(e)
 }
 
-func (r *fixture) event(kind logic.EventKind) mixer.Event {
+func (r *fixture) event(kind policy.EventKind) aggregator.Event {
 	r.Helper()
 	e := r.told.Next(r.T)
 	if e.Kind != kind {
@@ -73,8 +73,8 @@
 	r := newFixture(t, k)
 	first, second := r.Do(out(0)), r.Do(out(0))
 	done := <-k.asked
-	r.list(logic.Draining)
-	if e := r.event(logic.ListChanged); e.Entries[0].Phase != logic.Draining {
+	r.list(policy.Draining)
+	if e := r.event(policy.ListChanged); e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("got %+v", e)
 	}
 	if v := r.View(); len(v.Overrides) > 0 || v.Revision != 1 {
@@ -92,7 +92,7 @@
 	if res := <-third; res.Err != nil || res.Change.Revision != 2 {
 		t.Fatalf("got %+v", res)
 	}
-	if e := r.event(logic.OverridesChanged); len(e.Override.Searchers) != 1 || !e.Override.Searchers[0].Out {
+	if e := r.event(policy.OverridesChanged); len(e.Override.Searchers) != 1 || !e.Override.Searchers[0].Out {
 		t.Fatalf("got %+v", e.Override)
 	}
 }
@@ -103,17 +103,17 @@
 	if res := <-r.Do(out(0)); res.Err != nil {
 		t.Fatal(res.Err)
 	}
-	r.event(logic.OverridesChanged)
-	r.list(logic.Gone)
-	r.event(logic.ListChanged)
-	e := mixer.Event{Event: logic.Event{Kind: logic.ListChanged, Entries: []logic.Entry{{Searcher: 9}}}, Addresses: []string{"x:2"},
-		Names: []mixer.Name{{Searcher: "s-0", Location: "north"}}}
+	r.event(policy.OverridesChanged)
+	r.list(policy.Gone)
+	r.event(policy.ListChanged)
+	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Searcher: 9}}}, Addresses: []string{"x:2"},
+		Names: []aggregator.Name{{Searcher: "s-0", Location: "north"}}}
 	r.Put(e)
-	r.event(logic.ListChanged)
+	r.event(policy.ListChanged)
 	if len(r.told.Rest()) == 0 {
 		t.Fatal("the list came alone")
 	}
-	if e := r.event(logic.OverridesChanged); e.Override.Searchers[0].Searcher != 9 || !e.Override.Searchers[0].Out {
+	if e := r.event(policy.OverridesChanged); e.Override.Searchers[0].Searcher != 9 || !e.Override.Searchers[0].Out {
 		t.Fatalf("got %+v", e.Override)
 	}
 }
--- a/internal/operators/operatorfile/fleet.go
+++ b/internal/operators/operatorfile/fleet.go
@@ -1,15 +1,15 @@
 package operatorfile
 
 import (
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
 )
 
 // Roster is that of the file.
-func (f *Fleet) Roster() roster.Roster {
-	r := roster.Roster{Version: f.Version}
+func (f *Fleet) Roster() membership.Roster {
+	r := membership.Roster{Version: f.Version}
 	for _, m := range f.Mixers {
-		r.Members = append(r.Members, roster.Member{Name: roster.Name(m.Name), Address: m.Address, Location: m.Location, Votes: m.Votes})
+		r.Members = append(r.Members, membership.Member{Name: membership.Name(m.Name), Address: m.Address, Location: m.Location, Votes: m.Votes})
 	}
 	return r
 }
--- a/internal/operators/override/bench_test.go
+++ b/internal/operators/override/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // fleet is a table of 1,000 searchers with so many overrides: weights, outs and pins by turns.
@@ -16,7 +16,7 @@
 	b := New(lim)
 	var list []Member
 	for i := range 1000 {
-		list = append(list, Member{Name: name(i), ID: logic.SearcherID(i + 1), Location: name(i % 10), Cell: logic.CellID(i % 500)})
+		list = append(list, Member{Name: name(i), ID: policy.SearcherID(i + 1), Location: name(i % 10), Cell: policy.CellID(i % 500)})
 	}
 	b.List(0, true, list)
 	for i := range overrides {
@@ -27,7 +27,7 @@
 		case 1:
 			s.Kind, s.Index = Out, "orders"
 		case 2:
-			s.Kind, s.From = Pin, logic.ShardID(i%5000)
+			s.Kind, s.From = Pin, policy.ShardID(i%5000)
 			s.To = s.From
 		}
 		set(tb, b, s)
--- a/internal/operators/override/decide.go
+++ b/internal/operators/override/decide.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"math"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // longestText bounds author and reason: a line of a log.
@@ -148,11 +148,11 @@
 			concerned[name] = m
 		}
 	}
-	starts, places := map[logic.ShardID]bool{}, map[string]bool{}
+	starts, places := map[policy.ShardID]bool{}, map[string]bool{}
 	for _, m := range concerned {
 		places[m.Location] = true
 		for j := range min(t.lim.Width, t.lim.Cells) { // shards that begin at these cells
-			starts[logic.ShardID(((int(m.Cell)-j)%t.lim.Cells+t.lim.Cells)%t.lim.Cells)] = true
+			starts[policy.ShardID(((int(m.Cell)-j)%t.lim.Cells+t.lim.Cells)%t.lim.Cells)] = true
 		}
 	}
 	worst := map[Code]struct {
@@ -160,13 +160,13 @@
 		text string
 	}{}
 	for k := range t.lim.Indexes {
-		k := logic.IndexID(k)
+		k := policy.IndexID(k)
 		if !t.covers(o, k) {
 			continue
 		}
 		var sum tally
 		add := func(m *member) {
-			if m.Phase == logic.Ready {
+			if m.Phase == policy.Ready {
 				before, _ := t.target(m, k, nil)
 				after := before
 				if concerned[m.Name] != nil {
--- a/internal/operators/override/members.go
+++ b/internal/operators/override/members.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func (t *Table) member(name string) *member {
 	m := t.members[name]
 	if m == nil {
-		m = &member{Member: Member{Name: name, Phase: logic.Gone}, levels: make([]share, len(t.lim.Indexes))}
+		m = &member{Member: Member{Name: name, Phase: policy.Gone}, levels: make([]share, len(t.lim.Indexes))}
 		for k := range m.levels {
 			m.levels[k] = share{level{1, 1}, 1}
 		}
@@ -49,8 +49,8 @@
 
 // unlist takes a searcher off the list. Its overrides stand and wait for its name.
 func (t *Table) unlist(m *member) {
-	m.drained = m.Phase == logic.Draining && len(m.pins) > 0
-	m.listed, m.Phase = false, logic.Gone
+	m.drained = m.Phase == policy.Draining && len(m.pins) > 0
+	m.listed, m.Phase = false, policy.Gone
 	t.listed--
 	t.out(m)
 	t.touchMember(m)
@@ -63,7 +63,7 @@
 
 func (t *Table) named(now float64, e *Member) (ended []Change) {
 	m := t.members[e.Name]
-	if e.Phase == logic.Gone {
+	if e.Phase == policy.Gone {
 		if m != nil && m.listed {
 			t.unlist(m)
 		}
@@ -107,16 +107,16 @@
 }
 
 // holders lists the listed searchers that hold a shard.
-func (t *Table) holders(s logic.ShardID, each func(*member)) {
+func (t *Table) holders(s policy.ShardID, each func(*member)) {
 	for j := range min(t.lim.Width, t.lim.Cells) {
-		for _, m := range t.byCell[logic.CellID((int(s)+j)%t.lim.Cells)] {
+		for _, m := range t.byCell[policy.CellID((int(s)+j)%t.lim.Cells)] {
 			each(m)
 		}
 	}
 }
 
 // holds tells whether a searcher holds a shard.
-func (t *Table) holds(m *member, s logic.ShardID) bool {
+func (t *Table) holds(m *member, s policy.ShardID) bool {
 	behind := (int(m.Cell) - int(s)) % t.lim.Cells
 	return m.listed && (behind+t.lim.Cells)%t.lim.Cells < t.lim.Width
 }
--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -9,7 +9,7 @@
 import (
 	"fmt"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Revision counts the changes of a table, from 1. An override is named by the revision that set it.
@@ -45,11 +45,11 @@
 type Spec struct {
 	Kind         Kind
 	Searcher     string
-	Location     string        // instead of a searcher: all there; not for a pin
-	From, To     logic.ShardID // Pin: the first and the last shard
-	Index        string        // of which alone; "" for every one
-	Factor       float64       // Weight: over 0 and up to 1
-	Strict       bool          // Pin: refused, not given to siblings, while its searcher is dead
+	Location     string         // instead of a searcher: all there; not for a pin
+	From, To     policy.ShardID // Pin: the first and the last shard
+	Index        string         // of which alone; "" for every one
+	Factor       float64        // Weight: over 0 and up to 1
+	Strict       bool           // Pin: refused, not given to siblings, while its searcher is dead
 	Author       string
 	Reason       string
 	End          float64 // when it ends by itself
@@ -146,10 +146,10 @@
 // Member is a searcher as the list names it, in the list's own names.
 type Member struct {
 	Name     string
-	ID       logic.SearcherID
+	ID       policy.SearcherID
 	Location string
-	Cell     logic.CellID
-	Phase    logic.Phase
+	Cell     policy.CellID
+	Phase    policy.Phase
 	Share    float64 // its capacity against others', 0 for not stated
 	Started  float64
 }
--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"puffinlink.example/puffinlink/internal/raceflag"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // model is a second, plain reading of the rules: lists, no index, no memory of what was told.
@@ -54,7 +54,7 @@
 
 const cells, width = 3, 2
 
-func holdsShard(cell logic.CellID, s logic.ShardID) bool {
+func holdsShard(cell policy.CellID, s policy.ShardID) bool {
 	for j := range width {
 		if (int(s)+j)%cells == int(cell) {
 			return true
@@ -64,7 +64,7 @@
 }
 
 // pin is the searcher that a shard is pinned to; "" for none that acts.
-func (m *model) pin(s logic.ShardID, index string) (to string) {
+func (m *model) pin(s policy.ShardID, index string) (to string) {
 	o := m.best(Pin, index, func(o Override) bool { return o.From <= s && s <= o.To })
 	if o == nil {
 		return ""
@@ -73,7 +73,7 @@
 	switch {
 	case !listed && m.drops[o.Searcher], !listed && !o.Strict:
 		return ""
-	case listed && (e.Phase == logic.Draining || !holdsShard(e.Cell, s) || m.factor(o.Searcher, index) == 0):
+	case listed && (e.Phase == policy.Draining || !holdsShard(e.Cell, s) || m.factor(o.Searcher, index) == 0):
 		return ""
 	}
 	return o.Searcher
@@ -88,10 +88,10 @@
 	}
 }
 
-func (m *model) goes(name string, s logic.ShardID, index string) bool {
+func (m *model) goes(name string, s policy.ShardID, index string) bool {
 	e, listed := m.list[name]
 	pin := m.pin(s, index)
-	return listed && e.Phase == logic.Ready && holdsShard(e.Cell, s) && m.factor(name, index) > 0 && (pin == "" || pin == name)
+	return listed && e.Phase == policy.Ready && holdsShard(e.Cell, s) && m.factor(name, index) > 0 && (pin == "" || pin == name)
 }
 
 // world is a table beside the model, and what a module would know by the patches alone.
@@ -100,9 +100,9 @@
 	model
 	now     float64
 	indexes []string
-	told    map[logic.SearcherID]map[logic.IndexID]logic.SearcherOverride
-	pins    map[spot]logic.PinOverride
-	nextID  logic.SearcherID
+	told    map[policy.SearcherID]map[policy.IndexID]policy.SearcherOverride
+	pins    map[spot]policy.PinOverride
+	nextID  policy.SearcherID
 	err     error
 }
 
@@ -110,30 +110,30 @@
 	lim := Defaults()
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads", "orders"}, 4, cells, width
 	lim.MostTime, lim.Most = 100, 6
-	w := &world{Table: New(lim), now: 1000, indexes: lim.Indexes, told: map[logic.SearcherID]map[logic.IndexID]logic.SearcherOverride{},
-		pins: map[spot]logic.PinOverride{}, model: model{list: map[string]Member{}, drops: map[string]bool{}}}
+	w := &world{Table: New(lim), now: 1000, indexes: lim.Indexes, told: map[policy.SearcherID]map[policy.IndexID]policy.SearcherOverride{},
+		pins: map[spot]policy.PinOverride{}, model: model{list: map[string]Member{}, drops: map[string]bool{}}}
 	for i := range 4 {
-		w.phase(i, logic.Ready)
+		w.phase(i, policy.Ready)
 	}
 	return w
 }
 
 func name(i int) string { return fmt.Sprintf("s-%d", i) }
 
-func (w *world) phase(i int, phase logic.Phase) {
+func (w *world) phase(i int, phase policy.Phase) {
 	e, listed := w.list[name(i)]
 	switch {
-	case phase == logic.Gone:
+	case phase == policy.Gone:
 		if listed {
-			w.drops[name(i)] = e.Phase == logic.Draining
+			w.drops[name(i)] = e.Phase == policy.Draining
 			w.forgetDrops()
 			delete(w.list, name(i))
 		}
-		w.heard(w.List(w.now, false, []Member{{Name: name(i), Phase: logic.Gone}}))
+		w.heard(w.List(w.now, false, []Member{{Name: name(i), Phase: policy.Gone}}))
 		return
 	case !listed:
 		w.nextID++
-		e = Member{Name: name(i), ID: w.nextID, Location: []string{"north", "south"}[i%2], Cell: logic.CellID(i % cells)}
+		e = Member{Name: name(i), ID: w.nextID, Location: []string{"north", "south"}[i%2], Cell: policy.CellID(i % cells)}
 	}
 	e.Phase = phase
 	w.list[e.Name] = e
@@ -198,13 +198,13 @@
 	}
 }
 
-func (w *world) take(patch *logic.Overrides) {
+func (w *world) take(patch *policy.Overrides) {
 	if patch == nil {
 		return
 	}
 	for _, s := range patch.Searchers {
 		if w.told[s.Searcher] == nil {
-			w.told[s.Searcher] = map[logic.IndexID]logic.SearcherOverride{}
+			w.told[s.Searcher] = map[policy.IndexID]policy.SearcherOverride{}
 		}
 		was, known := w.told[s.Searcher][s.Index]
 		if !known {
@@ -231,14 +231,14 @@
 				continue
 			}
 			want := w.factor(e.Name, index)
-			got, known := w.told[e.ID][logic.IndexID(k)]
+			got, known := w.told[e.ID][policy.IndexID(k)]
 			if !known {
 				got.Weight = 1
 			}
 			if got.Out != (want == 0) || !got.Out && got.Weight > want+1e-9 {
 				w.fail("%s, %s: told %+v, wanted %g", e.Name, index, got, want)
 			}
-			for s := range logic.ShardID(4) {
+			for s := range policy.ShardID(4) {
 				x, err := w.Explain(s, index, e.Name)
 				if err != nil || x.Goes != w.goes(e.Name, s, index) {
 					w.fail("shard %d, %s, %s: explained as %+v, %v; expected %t", s, index, e.Name, x, err, w.goes(e.Name, s, index))
@@ -246,13 +246,13 @@
 			}
 		}
 	}
-	for s := range logic.ShardID(4) {
+	for s := range policy.ShardID(4) {
 		for k, index := range w.indexes {
-			want, got := w.pin(s, index), w.pins[spot{s, logic.IndexID(k)}]
+			want, got := w.pin(s, index), w.pins[spot{s, policy.IndexID(k)}]
 			to := w.list[want].ID
 			if e, listed := w.list[want]; want != "" && !listed {
 				to = nobody
-			} else if listed && e.Phase == logic.Gone {
+			} else if listed && e.Phase == policy.Gone {
 				to = 0
 			}
 			if want != "" && got.Searcher != 0 && got.Searcher != to {
@@ -266,15 +266,15 @@
 func (w *world) settled() {
 	for _, e := range w.list {
 		for k, index := range w.indexes {
-			got, known := w.told[e.ID][logic.IndexID(k)]
+			got, known := w.told[e.ID][policy.IndexID(k)]
 			if want := w.factor(e.Name, index); known && !got.Out && math.Abs(got.Weight-want) > 1e-9 {
 				w.fail("%s, %s: settled at %g, wanted %g", e.Name, index, got.Weight, want)
 			}
 		}
 	}
-	for s := range logic.ShardID(4) {
+	for s := range policy.ShardID(4) {
 		for k, index := range w.indexes {
-			got, pin := w.pins[spot{s, logic.IndexID(k)}], w.pin(s, index)
+			got, pin := w.pins[spot{s, policy.IndexID(k)}], w.pin(s, index)
 			if (pin != "") != (got.Searcher != 0) || pin != "" && got.Share != 1 {
 				w.fail("shard %d, %s: settled at %+v, wanted %q", s, index, got, pin)
 			}
@@ -307,13 +307,13 @@
 	case 7:
 		spec.Kind, spec.UntilRestart = Out, true
 	case 8:
-		w.phase(i, logic.Draining)
+		w.phase(i, policy.Draining)
 		return
 	case 9:
-		w.phase(i, logic.Gone)
+		w.phase(i, policy.Gone)
 		return
 	case 10:
-		w.phase(i, logic.Ready)
+		w.phase(i, policy.Ready)
 		return
 	case 11:
 		w.restart(i)
@@ -416,8 +416,8 @@
 		"does not name \"s-9\"":   {Absent, func(s *Spec, _ *world) { s.Searcher = "s-9" }},
 		"holds no shard 1":        {NoHolder, func(s *Spec, _ *world) { s.Kind, s.Factor, s.From, s.To = Pin, 0, 0, 1 }},
 		"no listed searcher":      {Absent, func(s *Spec, _ *world) { s.Searcher, s.Location = "", "west" }},
-		"nobody who serves":       {LastHolder, func(s *Spec, w *world) { w.phase(2, logic.Draining); s.Kind, s.Factor, s.Searcher = Out, 0, "s-1" }},
-		"of shard":                {ShardShare, func(s *Spec, w *world) { w.phase(2, logic.Draining); s.Factor, s.Searcher = 0.3, "s-1" }},
+		"nobody who serves":       {LastHolder, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Kind, s.Factor, s.Searcher = Out, 0, "s-1" }},
+		"of shard":                {ShardShare, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Factor, s.Searcher = 0.3, "s-1" }},
 		"of location":             {PlaceShare, func(s *Spec, w *world) { s.Searcher, s.Location, s.Factor = "", "north", 0.4 }},
 		"needs one searcher":      {Invalid, func(s *Spec, _ *world) { s.Searcher, s.UntilRestart = "s-9", true }},
 	} {
@@ -480,7 +480,7 @@
 	b := New(lim)
 	var list []Member
 	for i := range 300 {
-		list = append(list, Member{Name: name(i), ID: logic.SearcherID(i + 1), Cell: logic.CellID(i)})
+		list = append(list, Member{Name: name(i), ID: policy.SearcherID(i + 1), Cell: policy.CellID(i)})
 	}
 	b.List(0, true, list)
 	for i := range 200 {
@@ -542,13 +542,13 @@
 	pin := set(Spec{Kind: Pin, Searcher: "s-0", From: 0, To: 0})
 	weight := set(Spec{Kind: Weight, Searcher: "s-0", Factor: 0.5})
 	shows(pin, "acts")
-	w.phase(0, logic.Draining)
+	w.phase(0, policy.Draining)
 	shows(pin, "suspended: its searcher drains")
 	shows(weight, "suspended: its searcher drains")
-	w.phase(0, logic.Gone)
+	w.phase(0, policy.Gone)
 	shows(pin, "suspended: its searcher has drained and left")
 	shows(weight, "waits")
-	w.phase(0, logic.Ready)
+	w.phase(0, policy.Ready)
 	shows(pin, "acts")
 	out := set(Spec{Kind: Out, Searcher: "s-0", Index: "reads"})
 	shows(out, "acts")
--- a/internal/operators/override/patch.go
+++ b/internal/operators/override/patch.go
@@ -5,13 +5,13 @@
 	"maps"
 	"slices"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Patch tells the decision module what has changed by now, nil for nothing. What comes back moves on by the time since
 // the last call.
-func (t *Table) Patch(now float64) *logic.Overrides {
-	var patch logic.Overrides
+func (t *Table) Patch(now float64) *policy.Overrides {
+	var patch policy.Overrides
 	dt := max(0, now-t.movedAt)
 	t.movedAt = now
 	t.move(min(dt, 1)) // a late caller is no reason for a blow
@@ -37,7 +37,7 @@
 	for _, m := range t.dirtyMembers {
 		for k := range m.levels {
 			l := &m.levels[k]
-			l.want, _ = t.target(m, logic.IndexID(k), nil)
+			l.want, _ = t.target(m, policy.IndexID(k), nil)
 			if l.now >= l.want {
 				l.now = l.want
 			} else {
@@ -68,7 +68,7 @@
 	case o == nil:
 		p.want = 0
 		m := t.members[p.to]
-		if m == nil || !m.listed || m.Phase != logic.Ready || m.ID != p.id {
+		if m == nil || !m.listed || m.Phase != policy.Ready || m.ID != p.id {
 			p.now = 0
 		}
 		p.strict, p.by = false, 0
@@ -142,7 +142,7 @@
 	return dt * min(each, max(t.lim.Together*float64(all), each)/float64(moving))
 }
 
-func (t *Table) tellMember(m *member, patch *logic.Overrides) {
+func (t *Table) tellMember(m *member, patch *policy.Overrides) {
 	if !m.listed {
 		t.forgotten(m)
 		return
@@ -153,7 +153,7 @@
 			continue
 		}
 		l.told = l.now
-		w := logic.SearcherOverride{Searcher: m.ID, Index: logic.IndexID(k), Weight: l.now}
+		w := policy.SearcherOverride{Searcher: m.ID, Index: policy.IndexID(k), Weight: l.now}
 		if l.now == 0 {
 			w.Out, w.Weight = true, 1
 		}
@@ -161,12 +161,12 @@
 	}
 }
 
-func (t *Table) tellSpot(at spot, patch *logic.Overrides) {
+func (t *Table) tellSpot(at spot, patch *policy.Overrides) {
 	p := t.spots[at]
 	if p == nil {
 		return
 	}
-	tell := logic.PinOverride{Shard: at.shard, Index: at.index}
+	tell := policy.PinOverride{Shard: at.shard, Index: at.index}
 	if p.now > 0 {
 		tell.Searcher, tell.Strict, tell.Share = p.id, p.strict, p.now
 	}
--- a/internal/operators/override/precedence.go
+++ b/internal/operators/override/precedence.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // claim is one that a row of the precedence has found.
@@ -18,7 +18,7 @@
 // these share out among several.
 var precedence = []struct {
 	rule string
-	asks func(t *Table, m *member, s logic.ShardID, k logic.IndexID) *claim
+	asks func(t *Table, m *member, s policy.ShardID, k policy.IndexID) *claim
 }{
 	{"list", (*Table).notServing},
 	{"out", (*Table).takenOut},
@@ -26,24 +26,24 @@
 	{"weight", (*Table).weighed},
 }
 
-func (t *Table) notServing(m *member, _ logic.ShardID, _ logic.IndexID) *claim {
+func (t *Table) notServing(m *member, _ policy.ShardID, _ policy.IndexID) *claim {
 	switch {
 	case !m.listed:
 		return &claim{text: "the list does not name it"}
-	case m.Phase == logic.Draining:
+	case m.Phase == policy.Draining:
 		return &claim{text: "it drains"}
 	}
 	return nil
 }
 
-func (t *Table) takenOut(m *member, _ logic.ShardID, k logic.IndexID) *claim {
+func (t *Table) takenOut(m *member, _ policy.ShardID, k policy.IndexID) *claim {
 	if _, by := t.target(m, k, nil); by != nil && by.Kind == Out {
 		return &claim{by: by, text: "it is out of service"}
 	}
 	return nil
 }
 
-func (t *Table) pinnedThere(m *member, s logic.ShardID, k logic.IndexID) *claim {
+func (t *Table) pinnedThere(m *member, s policy.ShardID, k policy.IndexID) *claim {
 	o, why := t.pinOf(spot{s, k})
 	switch {
 	case o == nil || why != "":
@@ -55,7 +55,7 @@
 	}
 }
 
-func (t *Table) weighed(m *member, _ logic.ShardID, k logic.IndexID) *claim {
+func (t *Table) weighed(m *member, _ policy.ShardID, k policy.IndexID) *claim {
 	if factor, by := t.target(m, k, nil); by != nil {
 		return &claim{by: by, text: fmt.Sprintf("its share is weighed by %.3g", factor)}
 	}
@@ -72,7 +72,7 @@
 }
 
 // strongest finds the override of a kind that holds in a list for an index, with one more that is thought of.
-func (t *Table) strongest(list []*Override, kind Kind, k logic.IndexID, more *Override) (found *Override) {
+func (t *Table) strongest(list []*Override, kind Kind, k policy.IndexID, more *Override) (found *Override) {
 	for _, o := range list {
 		if o.Kind == kind && t.covers(o, k) && (found == nil || stronger(o, found)) {
 			found = o
@@ -86,7 +86,7 @@
 
 // target is what a searcher's share of an index comes to, 0 for out, and the override that says so, nil for none. Out
 // at either the searcher or its location is out; weights at both multiply.
-func (t *Table) target(m *member, k logic.IndexID, more *Override) (factor float64, by *Override) {
+func (t *Table) target(m *member, k policy.IndexID, more *Override) (factor float64, by *Override) {
 	here, there := (*Override)(nil), (*Override)(nil)
 	if more != nil && more.Searcher == m.Name {
 		here = more
@@ -116,7 +116,7 @@
 	m := t.member(o.Searcher)
 	factor, _ := t.target(m, at.index, nil)
 	switch {
-	case m.listed && m.Phase == logic.Draining:
+	case m.listed && m.Phase == policy.Draining:
 		return o, "suspended: its searcher drains"
 	case !m.listed && m.drained:
 		return o, "suspended: its searcher has drained and left"
--- a/internal/operators/override/table.go
+++ b/internal/operators/override/table.go
@@ -5,14 +5,14 @@
 	"container/heap"
 	"slices"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // keysRemembered is how many commands are remembered by their keys: far more than are sent while a sender still tries again.
 const keysRemembered = 4096
 
 // nobody is a number that no searcher has: what is pinned to it strictly goes nowhere.
-const nobody = ^logic.SearcherID(0)
+const nobody = ^policy.SearcherID(0)
 
 // member lives while the list names a searcher, and on while an override or a return concerns its name.
 type member struct {
@@ -44,17 +44,17 @@
 
 // spot is a shard of an index that is pinned, or was a moment ago.
 type spot struct {
-	shard logic.ShardID
-	index logic.IndexID
+	shard policy.ShardID
+	index policy.IndexID
 }
 
 type pinState struct {
 	level
 	to     string   // whose it is, or was while it wanes
 	by     Revision // the pin that holds
-	id     logic.SearcherID
+	id     policy.SearcherID
 	strict bool
-	told   logic.PinOverride
+	told   policy.PinOverride
 }
 
 type keyed struct {
@@ -65,15 +65,15 @@
 // Table is what one mixer knows of overrides. One goroutine alone uses it.
 type Table struct {
 	lim      Limits
-	indexes  map[string]logic.IndexID
+	indexes  map[string]policy.IndexID
 	revision Revision
 	live     map[Revision]*Override
 	ends     ends
 	pinned   int // shards of all pins
 	members  map[string]*member
-	byCell   map[logic.CellID]map[string]*member
+	byCell   map[policy.CellID]map[string]*member
 	places   map[string]*place
-	byShard  map[logic.ShardID][]*Override
+	byShard  map[policy.ShardID][]*Override
 	spots    map[spot]*pinState
 	keys     map[Key]keyed
 	keyOrder []Key
@@ -89,12 +89,12 @@
 // New makes an empty table.
 func New(lim Limits) *Table {
 	lim.Cells, lim.Width = max(1, lim.Cells), max(1, lim.Width)
-	t := &Table{lim: lim, indexes: map[string]logic.IndexID{}, live: map[Revision]*Override{}, members: map[string]*member{},
-		byCell: map[logic.CellID]map[string]*member{}, places: map[string]*place{}, byShard: map[logic.ShardID][]*Override{},
+	t := &Table{lim: lim, indexes: map[string]policy.IndexID{}, live: map[Revision]*Override{}, members: map[string]*member{},
+		byCell: map[policy.CellID]map[string]*member{}, places: map[string]*place{}, byShard: map[policy.ShardID][]*Override{},
 		spots: map[spot]*pinState{}, keys: map[Key]keyed{}, dirtyMembers: map[string]*member{}, dirtySpots: map[spot]bool{},
 		rising: map[*member]bool{}, waning: map[spot]bool{}}
 	for i, name := range lim.Indexes {
-		t.indexes[name] = logic.IndexID(i)
+		t.indexes[name] = policy.IndexID(i)
 	}
 	return t
 }
@@ -211,7 +211,7 @@
 func (t *Table) touchPin(o *Override) {
 	for s := o.From; s <= o.To; s++ {
 		for k := range t.lim.Indexes {
-			if k := logic.IndexID(k); t.covers(o, k) {
+			if k := policy.IndexID(k); t.covers(o, k) {
 				t.dirtySpots[spot{s, k}] = true
 			}
 		}
@@ -227,7 +227,7 @@
 }
 
 // covers tells whether an override concerns an index.
-func (t *Table) covers(o *Override, k logic.IndexID) bool {
+func (t *Table) covers(o *Override, k policy.IndexID) bool {
 	return o.Index == "" || t.indexes[o.Index] == k
 }
 
--- a/internal/operators/override/view.go
+++ b/internal/operators/override/view.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 const (
@@ -46,7 +46,7 @@
 		if !m.listed {
 			return "waits: the list does not name its searcher"
 		}
-		if m.Phase == logic.Draining {
+		if m.Phase == policy.Draining {
 			return "suspended: its searcher drains"
 		}
 	} else if len(t.place(o.Location).members) == 0 {
@@ -56,7 +56,7 @@
 	var above *Override
 	covered := 0
 	for k := range t.lim.Indexes {
-		k := logic.IndexID(k)
+		k := policy.IndexID(k)
 		if !t.covers(o, k) {
 			continue
 		}
@@ -80,7 +80,7 @@
 	hindered := ""
 	for s := o.From; s <= o.To; s++ {
 		for k := range t.lim.Indexes {
-			k := logic.IndexID(k)
+			k := policy.IndexID(k)
 			if !t.covers(o, k) {
 				continue
 			}
@@ -115,7 +115,7 @@
 // Return is a searcher that comes back, or a shard that a pin lets go.
 type Return struct {
 	Searcher string
-	Shard    logic.ShardID // of a pin
+	Shard    policy.ShardID // of a pin
 	Pin      bool
 	Index    string
 	Level    float64 // share of its usual part calls now
@@ -158,7 +158,7 @@
 }
 
 // Explain asks the precedence row by row. Its error is a *Refusal.
-func (t *Table) Explain(s logic.ShardID, index, searcher string) (e Explanation, err error) {
+func (t *Table) Explain(s policy.ShardID, index, searcher string) (e Explanation, err error) {
 	k, known := t.indexes[index]
 	m := t.members[searcher]
 	switch {
--- a/internal/chance/chance.go
+++ b/internal/random/random.go
@@ -1,6 +1,6 @@
-// Package chance is a generator for pure modules: what it draws hangs on its seed alone. The decision module has its own,
+// Package random is a generator for pure modules: what it draws hangs on its seed alone. The decision module has its own,
 // as it is one file by itself.
-package chance
+package random
 
 import "math"
 
--- a/internal/verdict/verdict.go
+++ b/internal/rpcerror/rpcerror.go
@@ -1,6 +1,6 @@
-// Package verdict classifies the failures of remote requests by the one fact a caller needs before it repeats one:
+// Package rpcerror classifies the failures of remote requests by the one fact a caller needs before it repeats one:
 // whether the request may already have been carried out.
-package verdict
+package rpcerror
 
 import (
 	"errors"
--- a/internal/systemtest/account_test.go
+++ b/internal/systemtest/account_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/systemtest/judge"
+	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
 // summary counts what a history holds, to see that there was something to judge.
@@ -18,7 +18,7 @@
 	Answers                                                                 map[int]int    // to clients, by status
 }
 
-func summarize(h judge.History) summary {
+func summarize(h checker.History) summary {
 	result := summary{
 		Runs: len(h.Runs), Lapses: len(h.Lapses), Checkpoints: len(h.Checkpoints), Lists: len(h.Lists), Requests: len(h.Requests),
 		Orders: len(h.Orders), Cuts: len(h.Cuts), Ends: map[string]int{}, Answers: map[int]int{},
@@ -39,7 +39,7 @@
 }
 
 // writeAccount writes all that was seen of the subjects of broken rules, by time.
-func (s *system) writeAccount(h judge.History, result outcome) {
+func (s *system) writeAccount(h checker.History, result outcome) {
 	if len(result.violations) == 0 {
 		return
 	}
@@ -65,7 +65,7 @@
 }
 
 // subjects are the jobs that broken rules are about.
-func subjects(violations []judge.Violation) []string {
+func subjects(violations []checker.Violation) []string {
 	var found []string
 	for _, violation := range violations {
 		id, _, _ := strings.Cut(violation.Subject, ".")
@@ -77,7 +77,7 @@
 }
 
 // about gathers what was seen of a job.
-func (s *system) about(h judge.History, id string) []accountLine {
+func (s *system) about(h checker.History, id string) []accountLine {
 	var lines []accountLine
 	for _, trouble := range h.Troubles {
 		lines = append(lines, accountLine{trouble.From, "trouble with " + trouble.Machine + " until " + trouble.To.Format("15:04:05.000")})
--- a/internal/systemtest/judge/judge.go
+++ b/internal/systemtest/checker/checker.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"cmp"
--- a/internal/systemtest/judge/history.go
+++ b/internal/systemtest/checker/history.go
@@ -1,7 +1,7 @@
-// Package judge checks histories of a running system against its rules. A history holds only what could be seen from
+// Package checker checks histories of a running system against its rules. A history holds only what could be seen from
 // outside: the calls of clients and operators, the platform's answers, and what searchers were told and did. The package
 // shares no code with the system. Only tests import it.
-package judge
+package checker
 
 import "time"
 
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/systemtest/judge"
+	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
 const (
@@ -21,10 +21,10 @@
 )
 
 // ask makes one call of a client and records it.
-func (s *system) ask(ctx context.Context, front *machine, method, path string, body []byte) judge.Request {
+func (s *system) ask(ctx context.Context, front *machine, method, path string, body []byte) checker.Request {
 	ctx, cancel := context.WithTimeout(ctx, clientDeadline+time.Second)
 	defer cancel()
-	record := judge.Request{Machine: front.name, Incarnation: front.incarnation(), Method: method, Host: routeHost, Path: path, Body: body, SentAt: time.Now()}
+	record := checker.Request{Machine: front.name, Incarnation: front.incarnation(), Method: method, Host: routeHost, Path: path, Body: body, SentAt: time.Now()}
 	record.Status, record.Answer = s.send(ctx, method, "http://"+front.address(frontOffset)+path, body)
 	record.AnsweredAt = time.Now()
 	s.mu.Lock()
@@ -72,7 +72,7 @@
 }
 
 // eventually asks one front after the other until an answer serves.
-func (s *system) eventually(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (judge.Request, error) {
+func (s *system) eventually(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientPatience)
 	defer cancel()
 	for try := random.IntN(len(s.fronts)); ; try++ {
--- a/internal/systemtest/controlmodel/judge_test.go
+++ b/internal/systemtest/controlmodel/judge_test.go
@@ -10,8 +10,8 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/configuration"
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 // slack covers the ways and the gathering of changes between a check and its answer's arrival.
--- a/internal/systemtest/controlmodel/network_test.go
+++ b/internal/systemtest/controlmodel/network_test.go
@@ -16,8 +16,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/zeebo/xxh3"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 var (
@@ -107,11 +107,11 @@
 	path := route.Path()
 	body, err := msgpack.Marshal(request)
 	if err != nil {
-		return verdict.Unexecuted(err, 0)
+		return rpcerror.Unexecuted(err, 0)
 	}
 	e.from.standStill()
 	if !e.from.lives(e.life) {
-		return verdict.Unexecuted(errDown, 0)
+		return rpcerror.Unexecuted(errDown, 0)
 	}
 	answers := make(chan *httptest.ResponseRecorder, 2)
 	sent := e.network.draw(e.from.address, address, path, len(body))
@@ -127,7 +127,7 @@
 		return decode(answer, reply)
 	case <-ctx.Done():
 		e.from.standStill()
-		return verdict.Unclear(errLost)
+		return rpcerror.Unclear(errLost)
 	}
 }
 
@@ -162,9 +162,9 @@
 		return msgpack.Unmarshal(answer.Body.Bytes(), reply)
 	case http.StatusServiceUnavailable, http.StatusNotFound:
 		pause, _ := strconv.Atoi(answer.Header().Get(transport.RetryAfterHeader))
-		return verdict.Unexecuted(errors.New(answer.Body.String()), time.Duration(pause)*time.Millisecond)
+		return rpcerror.Unexecuted(errors.New(answer.Body.String()), time.Duration(pause)*time.Millisecond)
 	}
-	return verdict.Unclear(errors.New(answer.Body.String()))
+	return rpcerror.Unclear(errors.New(answer.Body.String()))
 }
 
 // request is an internal call as it arrives.
--- a/internal/systemtest/controlmodel/orders_test.go
+++ b/internal/systemtest/controlmodel/orders_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
 // witness passes leaderships on to a mixer's jobs, and tells the judge of them.
--- a/internal/systemtest/controlmodel/world_test.go
+++ b/internal/systemtest/controlmodel/world_test.go
@@ -10,9 +10,9 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/configuration"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/worker"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 const (
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/standin/cluster"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
 const (
--- a/internal/systemtest/plans_test.go
+++ b/internal/systemtest/plans_test.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 // jobPlan is one job of the load: what the client sends, and what its tasks do.
--- a/internal/systemtest/points_test.go
+++ b/internal/systemtest/points_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 // The paths of internal calls at which faults strike.
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/standin/cluster"
-	"puffinlink.example/puffinlink/internal/systemtest/judge"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
+	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
 const holdMax = 6 * time.Second // the longest time for which a searcher holds its runs
@@ -30,9 +30,9 @@
 	ends        map[endName]runName
 	noted       map[runName]time.Time
 	heldUntil   map[string]time.Time
-	lapses      []judge.Lapse
-	checkpoints map[judge.Checkpoint]bool
-	lists       []judge.List
+	lapses      []checker.Lapse
+	checkpoints map[checker.Checkpoint]bool
+	lists       []checker.List
 	lines       []line
 	leaders     map[string]string // the machine that last held, by a searcher's address
 }
@@ -46,7 +46,7 @@
 func newRecorder() *recorder {
 	return &recorder{
 		senders: map[runName]string{}, ends: map[endName]runName{}, noted: map[runName]time.Time{}, heldUntil: map[string]time.Time{},
-		checkpoints: map[judge.Checkpoint]bool{}, leaders: map[string]string{},
+		checkpoints: map[checker.Checkpoint]bool{}, leaders: map[string]string{},
 	}
 }
 
@@ -104,7 +104,7 @@
 func (r *recorder) hold(life string, validUntil, clock int64, now time.Time) {
 	until := r.heldUntil[life]
 	if !until.IsZero() && now.After(until) {
-		r.lapses = append(r.lapses, judge.Lapse{Searcher: life, At: until})
+		r.lapses = append(r.lapses, checker.Lapse{Searcher: life, At: until})
 		delete(r.heldUntil, life)
 	}
 	if validUntil <= clock {
@@ -132,12 +132,12 @@
 func (r *recorder) list(life string, a report) {
 	const task, execution, how, saved = 0, 1, 2, 3 // columns
 	for _, entry := range a.Running {
-		r.checkpoints[judge.Checkpoint{Task: textOf(entry[task]), Text: textOf(entry[how])}] = true
+		r.checkpoints[checker.Checkpoint{Task: textOf(entry[task]), Text: textOf(entry[how])}] = true
 	}
 	for _, entry := range a.Finished {
 		number, row := numberOf(entry[0]), entry[1:]
 		r.ends[endName{life, number}] = runName{life, textOf(row[task]), numberOf(row[execution])}
-		r.checkpoints[judge.Checkpoint{Task: textOf(row[task]), Text: textOf(row[saved])}] = true
+		r.checkpoints[checker.Checkpoint{Task: textOf(row[task]), Text: textOf(row[saved])}] = true
 	}
 }
 
@@ -159,7 +159,7 @@
 	if json.Unmarshal(c.answer, &list) != nil {
 		return
 	}
-	seen := judge.List{Machine: c.from, At: time.Now()}
+	seen := checker.List{Machine: c.from, At: time.Now()}
 	for _, instance := range list.Instances {
 		if instance.State == "draining" {
 			seen.Draining = append(seen.Draining, instance.Identifier)
@@ -180,12 +180,12 @@
 }
 
 // fill adds what was recorded to a history.
-func (r *recorder) fill(h *judge.History, runs []cluster.RunRecord) {
+func (r *recorder) fill(h *checker.History, runs []cluster.RunRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, record := range runs {
 		name := runName{record.Searcher, record.Task.String(), record.Execution}
-		run := judge.Run{
+		run := checker.Run{
 			Searcher: record.Searcher, Task: name.task, Execution: record.Execution, Specification: record.Specification,
 			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[name], StartedAt: record.StartedAt,
 			EndedAt: record.EndedAt, How: string(record.How),
@@ -200,7 +200,7 @@
 	}
 	for life, until := range r.heldUntil {
 		if until.Before(h.SeenUntil) {
-			r.lapses = append(r.lapses, judge.Lapse{Searcher: life, At: until})
+			r.lapses = append(r.lapses, checker.Lapse{Searcher: life, At: until})
 		}
 	}
 	for checkpoint := range r.checkpoints {
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/standin/cluster"
-	"puffinlink.example/puffinlink/internal/systemtest/judge"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
+	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
 // scenario is a load with faults in its midst.
@@ -36,7 +36,7 @@
 
 // outcome is what came of a scenario.
 type outcome struct {
-	violations []judge.Violation
+	violations []checker.Violation
 	failures   []error       // of the test itself, or of processes
 	accepted   int           // jobs
 	took       time.Duration // from the start of the first process
@@ -183,7 +183,7 @@
 // judged judges what was seen, and writes an account of each broken rule into the system's folder.
 func (s *system) judged(result outcome) outcome {
 	h := s.history(s.endedAt)
-	result.violations = judge.Check(h)
+	result.violations = checker.Check(h)
 	result.seen = summarize(h)
 	result.failures = append(result.failures, s.failures...)
 	for _, m := range s.machines() {
--- a/internal/systemtest/searchers_test.go
+++ b/internal/systemtest/searchers_test.go
@@ -5,16 +5,16 @@
 	"fmt"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
-	"puffinlink.example/puffinlink/internal/systemtest/judge"
+	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
 // searcher is a stand-in with the relay before it.
 type searcher struct {
 	*cluster.Searcher
 	relay *relay
-	fact  judge.Searcher
+	fact  checker.Searcher
 	lives int
 }
 
@@ -42,9 +42,9 @@
 		labels[0] = "big"
 	}
 	capacity := job.Resources{Processors: 4000, MemoryMB: 4000}
-	added := &searcher{fact: judge.Searcher{
+	added := &searcher{fact: checker.Searcher{
 		Service: plan.service, Labels: labels, Guards: plan.guards,
-		Capacity: judge.Resources{Processors: capacity.Processors, MemoryMB: capacity.MemoryMB},
+		Capacity: checker.Resources{Processors: capacity.Processors, MemoryMB: capacity.MemoryMB},
 	}}
 	added.Searcher = s.cluster.AddSearcher(cluster.SearcherConfig{
 		ID: name + "-life-1", Service: plan.service, Zone: "north", Version: "v1", Slots: 8, Capacity: capacity, Labels: labels, Guards: plan.guards,
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/standin/cluster"
-	"puffinlink.example/puffinlink/internal/systemtest/judge"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
+	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
 // The bounds of the deployment, and how much later a busy machine may be.
@@ -70,11 +70,11 @@
 	repairs      sync.WaitGroup
 
 	mu       sync.Mutex
-	troubles []judge.Trouble
-	requests []judge.Request
-	orders   []judge.Order
-	cuts     []judge.Cut
-	lives    map[string]judge.Searcher // by identifier
+	troubles []checker.Trouble
+	requests []checker.Request
+	orders   []checker.Order
+	cuts     []checker.Cut
+	lives    map[string]checker.Searcher // by identifier
 	failures []error
 	jobs     []jobPlan
 	endedAt  time.Time
@@ -85,7 +85,7 @@
 // newSystem makes a system; nothing runs yet.
 func newSystem(folder string, of size) (*system, error) {
 	s := &system{
-		folder: folder, network: newNetwork(), recorder: newRecorder(), lives: map[string]judge.Searcher{},
+		folder: folder, network: newNetwork(), recorder: newRecorder(), lives: map[string]checker.Searcher{},
 		subnet:  fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, systems.Add(1)),
 		clients: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}},
 	}
@@ -221,14 +221,14 @@
 }
 
 // begin notes that trouble with a machine begins.
-func (s *system) begin(machine string) { s.addTrouble(judge.Trouble{Machine: machine}) }
+func (s *system) begin(machine string) { s.addTrouble(checker.Trouble{Machine: machine}) }
 
 // beginSearcher notes that trouble with a searcher begins.
 func (s *system) beginSearcher(one *searcher) {
-	s.addTrouble(judge.Trouble{Kind: judge.SearcherTrouble, Machine: one.relay.to})
+	s.addTrouble(checker.Trouble{Kind: checker.SearcherTrouble, Machine: one.relay.to})
 }
 
-func (s *system) addTrouble(trouble judge.Trouble) {
+func (s *system) addTrouble(trouble checker.Trouble) {
 	trouble.From = time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,7 +239,7 @@
 func (s *system) noteCut(c call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cuts = append(s.cuts, judge.Cut{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
+	s.cuts = append(s.cuts, checker.Cut{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
 }
 
 // finish notes that all trouble with a machine or a searcher is over.
@@ -264,8 +264,8 @@
 }
 
 // bounds are those that the judge holds the system to.
-func (s *system) bounds() judge.Bounds {
-	return judge.Bounds{
+func (s *system) bounds() checker.Bounds {
+	return checker.Bounds{
 		Contact: 3*time.Second + busySlack, ConfigurationApply: 2*time.Second + busySlack, RollbackSlack: 250*time.Millisecond + busySlack,
 		Drain: drainTime + busySlack, Cancel: 3*time.Second + busySlack, Stop: stopTime + busySlack, Visible: 3*time.Second + busySlack,
 		Early: 250 * time.Millisecond, Note: time.Second + busySlack, LossSlack: lossSlack, Grace: gracePeriod,
@@ -273,10 +273,10 @@
 }
 
 // history is what was seen until now.
-func (s *system) history(endedAt time.Time) judge.History {
+func (s *system) history(endedAt time.Time) checker.History {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := judge.History{
+	h := checker.History{
 		Bounds:   s.bounds(),
 		Troubles: s.troubles, Requests: s.requests, Orders: s.orders, Cuts: s.cuts, EndedAt: endedAt, SeenUntil: time.Now(),
 	}
--- a/internal/tools/drill/drill.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -1,5 +1,5 @@
-// Package drill carries the bench's wire to and from the decision module. It decides nothing.
-package drill
+// Package benchadapter carries the bench's wire to and from the decision module. It decides nothing.
+package benchadapter
 
 import (
 	"bufio"
@@ -11,26 +11,26 @@
 	"strings"
 
 	"puffinlink.example/puffinlink/internal/dataplane/settings"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 var (
-	outcomes = map[string]logic.Outcome{
-		"delivered": logic.Answered, "app_error": logic.Errored, "shed": logic.TurnedAway,
-		"expired": logic.TimedOut, "dial_failed": logic.NotConnected, "dropped": logic.Broken,
-		"revoked": logic.Withdrawn, "unused": logic.NotSent,
+	outcomes = map[string]policy.Outcome{
+		"delivered": policy.Answered, "app_error": policy.Errored, "shed": policy.TurnedAway,
+		"expired": policy.TimedOut, "dial_failed": policy.NotConnected, "dropped": policy.Broken,
+		"revoked": policy.Withdrawn, "unused": policy.NotSent,
 	}
-	phases = map[string]logic.Phase{"ready": logic.Ready, "draining": logic.Draining, "gone": logic.Gone}
-	lists  = map[string]logic.ListKind{
-		"patch": logic.ListPatch, "whole": logic.ListWhole, "stale_copy": logic.ListStale, "broken": logic.ListFailed,
+	phases = map[string]policy.Phase{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
+	lists  = map[string]policy.ListKind{
+		"patch": policy.ListPatch, "whole": policy.ListWhole, "stale_copy": policy.ListStale, "broken": policy.ListFailed,
 	}
 )
 
 // host is one instance of the module with the events of the batch in hand.
 type host struct {
 	no     int64
-	mixer  *logic.Mixer
-	events []logic.Event
+	mixer  *policy.Mixer
+	events []policy.Event
 	acted  bool
 }
 
@@ -42,8 +42,8 @@
 	hosts   map[int64]*host
 	turn    []*host // instances with events in this batch, in the order of their first
 	current *host
-	pages   [16][]logic.Entry
-	actions []logic.Action
+	pages   [16][]policy.Entry
+	actions []policy.Action
 	buf     []byte
 }
 
@@ -178,7 +178,7 @@
 		h.acted = true
 		s.turn = append(s.turn, h)
 	}
-	var e logic.Event
+	var e policy.Event
 	switch name {
 	case "SPAWN":
 		seed := f.unsigned("rngSeed")
@@ -189,7 +189,7 @@
 		if err != nil {
 			return err
 		}
-		h.mixer, h.events = logic.New(set.Settings, now), h.events[:0]
+		h.mixer, h.events = policy.New(set.Settings, now), h.events[:0]
 		return nil
 	case "HALT":
 		h.mixer, h.events = nil, h.events[:0]
@@ -200,8 +200,8 @@
 		if e.List, known = lists[string(kind)]; !known {
 			f.fail("kind", "patch, whole, stale_copy or broken", kind)
 		}
-		e.Kind = logic.ListChanged
-		if e.List != logic.ListFailed {
+		e.Kind = policy.ListChanged
+		if e.List != policy.ListFailed {
 			if no, err := strconv.Atoi(string(page)); err != nil || no < 0 || no >= len(s.pages) {
 				f.fail("setId", "0 to 15", page)
 			} else {
@@ -210,35 +210,35 @@
 		}
 	case "REQUEST":
 		id := f.unsigned("req")
-		e.Index, e.Customer = logic.IndexID(f.integer("cls")), logic.CustomerID(f.optional("owner"))
+		e.Index, e.Customer = policy.IndexID(f.integer("cls")), policy.CustomerID(f.optional("owner"))
 		e.Key, e.HasKey = f.hex("object")
 		e.Left, e.Hint = f.number("timeBudgetS"), f.optional("costS")
-		e.No = logic.LookupNo(f.integer("queryNo"))
+		e.No = policy.LookupNo(f.integer("queryNo"))
 		shard, amount := f.integer("shard"), f.number("amount")
 		e.Resent = f.optional("resent") != 0
 		f.optional("isWrite")
 		if shard < 0 {
-			e.Kind, e.Lookup, e.Parts = logic.LookupTaken, logic.LookupID(id), int(amount)
+			e.Kind, e.Lookup, e.Parts = policy.LookupTaken, policy.LookupID(id), int(amount)
 		} else {
-			e.Kind, e.Part, e.Shard, e.Weight = logic.PartTaken, logic.PartID(id), logic.ShardID(shard), amount
+			e.Kind, e.Part, e.Shard, e.Weight = policy.PartTaken, policy.PartID(id), policy.ShardID(shard), amount
 		}
 	case "ESTABLISHED":
-		e.Kind, e.Part, e.Searcher = logic.CallBegan, logic.PartID(f.unsigned("req")), f.searcher()
-		e.Call, e.Elapsed = logic.CallNo(f.integer("copy")), f.number("costTimeS")
+		e.Kind, e.Part, e.Searcher = policy.CallBegan, policy.PartID(f.unsigned("req")), f.searcher()
+		e.Call, e.Elapsed = policy.CallNo(f.integer("copy")), f.number("costTimeS")
 	case "ATTEMPT_END":
-		e.Kind, e.Part, e.Call = logic.CallEnded, logic.PartID(f.unsigned("req")), logic.CallNo(f.integer("copy"))
+		e.Kind, e.Part, e.Call = policy.CallEnded, policy.PartID(f.unsigned("req")), policy.CallNo(f.integer("copy"))
 		e.Searcher, e.Outcome, e.Elapsed = f.searcher(), f.outcome(), f.number("costTimeS")
 		f.integer("complete")
 		e.Load = f.load()
 	case "PING_RESULT":
-		e.Kind, e.Elapsed, e.Outcome = logic.ProbeEnded, f.number("costTimeS"), f.outcome()
+		e.Kind, e.Elapsed, e.Outcome = policy.ProbeEnded, f.number("costTimeS"), f.outcome()
 		e.Searcher, e.Load = f.searcher(), f.load()
 	case "CLIENT_GONE":
-		e.Kind, e.Lookup = logic.ClientGone, logic.LookupID(f.unsigned("req"))
+		e.Kind, e.Lookup = policy.ClientGone, policy.LookupID(f.unsigned("req"))
 	case "TICK_DUE":
-		e.Kind, e.Timer = logic.TimerDue, logic.TimerID(f.integer("ctx"))
+		e.Kind, e.Timer = policy.TimerDue, policy.TimerID(f.integer("ctx"))
 	case "PEER_DATA":
-		e.Kind, e.Peer = logic.MessageArrived, logic.MixerNo(f.integer("originPeer"))
+		e.Kind, e.Peer = policy.MessageArrived, policy.MixerNo(f.integer("originPeer"))
 		e.Message = f.bytes("blob")
 	default:
 		return fmt.Errorf("unknown message %q", name)
@@ -259,7 +259,7 @@
 		return fmt.Errorf("expected a list number from 0 to 15 and a count, found %d and %d", no, n)
 	}
 	// A list may be superseded within one batch while events still hold the older one: never write over it.
-	entries := make([]logic.Entry, 0, min(n, 1<<16))
+	entries := make([]policy.Entry, 0, min(n, 1<<16))
 	for range n {
 		if err := s.next(); err != nil {
 			return fmt.Errorf("expected %d ROW lines: %w", n, err)
@@ -268,8 +268,8 @@
 		if name := f.word("ROW"); string(name) != "ROW" {
 			return fmt.Errorf("expected ROW, found %q", name)
 		}
-		e := logic.Entry{Searcher: f.searcher(), Location: logic.LocationID(f.integer("site")),
-			Kind: int(f.integer("type")), Cell: logic.CellID(f.integer("cell"))}
+		e := policy.Entry{Searcher: f.searcher(), Location: policy.LocationID(f.integer("site")),
+			Kind: int(f.integer("type")), Cell: policy.CellID(f.integer("cell"))}
 		known := false
 		phase := f.word("phase")
 		if e.Phase, known = phases[string(phase)]; !known {
@@ -285,7 +285,7 @@
 	return nil
 }
 
-func write(b []byte, a *logic.Action) []byte {
+func write(b []byte, a *policy.Action) []byte {
 	verb := func(name string, id uint64) {
 		b = append(append(b, name...), ' ')
 		b = strconv.AppendUint(b, id, 10)
@@ -302,32 +302,32 @@
 		}
 	}
 	switch a.Kind {
-	case logic.Send:
+	case policy.Send:
 		verb("SEND", uint64(a.Part))
 		b = strconv.AppendUint(append(b, ' '), uint64(a.Searcher), 10)
 		num(a.StopAt)
-	case logic.Withdraw:
+	case policy.Withdraw:
 		verb("ABANDON", uint64(a.Part))
 		b = strconv.AppendInt(append(b, ' '), int64(a.Call), 10)
-	case logic.Answer:
+	case policy.Answer:
 		verb("WRAP_UP", uint64(a.Lookup))
 		yes(a.Whole)
-	case logic.Nack:
+	case policy.Nack:
 		verb("SAY_NO", uint64(a.Lookup))
 		num(a.Wait)
-	case logic.Abort:
+	case policy.Abort:
 		verb("RESPOND_ERROR", uint64(a.Lookup))
-	case logic.SetTimer:
+	case policy.SetTimer:
 		b = append(b, "WAKE_ME"...)
 		num(a.Wait)
 		b = strconv.AppendInt(append(b, ' '), int64(a.Timer), 10)
-	case logic.Probe:
+	case policy.Probe:
 		verb("HEALTH_CHECK", uint64(a.Searcher))
-	case logic.CloseIdle:
+	case policy.CloseIdle:
 		verb("FREE_LINKS", uint64(a.Searcher))
-	case logic.Tell:
+	case policy.Tell:
 		b = append(b, "PUBLISH "...)
-		if a.Peer == logic.AllPeers {
+		if a.Peer == policy.AllPeers {
 			b = append(b, '*')
 		} else {
 			b = strconv.AppendInt(b, int64(a.Peer), 10)
@@ -337,12 +337,12 @@
 			b = append(b, '-')
 		}
 		b = base64.StdEncoding.AppendEncode(b, a.Message)
-	case logic.Subscribe:
+	case policy.Subscribe:
 		b = append(b, "LISTEN"...)
 		yes(a.On)
-	case logic.AskWhole:
+	case policy.AskWhole:
 		b = append(b, "LOOKUP"...)
-	case logic.Note:
+	case policy.Note:
 		b = append(append(b, "PRINT "...), strings.ReplaceAll(a.Text, "\n", " ")...)
 	default:
 		panic(fmt.Sprintf("action kind %d has no word on the wire", a.Kind))
--- a/internal/tools/drill/drill_test.go
+++ b/internal/tools/benchadapter/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package benchadapter
 
 import (
 	"strings"
--- a/internal/tools/drill/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -1,4 +1,4 @@
-package drill
+package benchadapter
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strconv"
 	"unsafe"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // fields takes the values of one line in turn and keeps the first thing that was wrong.
@@ -60,13 +60,13 @@
 	return v
 }
 
-func (f *fields) searcher() logic.SearcherID {
+func (f *fields) searcher() policy.SearcherID {
 	w := f.word("searcher")
 	v, err := strconv.ParseUint(text(w), 10, 32)
 	if err != nil {
 		f.fail("searcher", "a number below 2^32", w)
 	}
-	return logic.SearcherID(v)
+	return policy.SearcherID(v)
 }
 
 func (f *fields) parse(name string, w []byte) float64 {
@@ -112,7 +112,7 @@
 	return v
 }
 
-func (f *fields) outcome() logic.Outcome {
+func (f *fields) outcome() policy.Outcome {
 	w := f.word("status")
 	o, known := outcomes[string(w)]
 	if !known {
@@ -122,7 +122,7 @@
 }
 
 // load reads a report. Names that are not known are left out: sites may add some.
-func (f *fields) load() (l logic.Load) {
+func (f *fields) load() (l policy.Load) {
 	w := f.word("usage")
 	if len(w) == 1 && w[0] == '-' {
 		return l
@@ -138,17 +138,17 @@
 		v := f.parse("usage", value)
 		switch string(name) {
 		case "busy_reqs":
-			l.Has, l.InHand = l.Has|logic.HasInHand, v
+			l.Has, l.InHand = l.Has|policy.HasInHand, v
 		case "pending":
-			l.Has, l.Waiting = l.Has|logic.HasWaiting, v
+			l.Has, l.Waiting = l.Has|policy.HasWaiting, v
 		case "cpu_share":
-			l.Has, l.Util = l.Has|logic.HasUtil, v
+			l.Has, l.Util = l.Has|policy.HasUtil, v
 		case "svc_ms":
-			l.Has, l.ServiceS = l.Has|logic.HasService, v/1000
+			l.Has, l.ServiceS = l.Has|policy.HasService, v/1000
 		case "served_ps":
-			l.Has, l.ServedPS = l.Has|logic.HasServed, v
+			l.Has, l.ServedPS = l.Has|policy.HasServed, v
 		case "failed_ps":
-			l.Has, l.FailPS = l.Has|logic.HasFail, v
+			l.Has, l.FailPS = l.Has|policy.HasFail, v
 		}
 	}
 	return l
--- a/internal/systemdemo/systemdemo.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -1,7 +1,7 @@
-// Package systemdemo runs the whole cluster scheduler on the loopback addresses of one machine: three core machines, two
+// Package cluster runs the whole cluster scheduler on the loopback addresses of one machine: three core machines, two
 // front machines, stand-in searchers and a stand-in platform. It hands in jobs, kills a searcher and the leader of a
 // service's jobs on the way, and counts what became of the jobs.
-package systemdemo
+package cluster
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/operatorclient"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 const (
--- a/internal/systemdemo/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -1,4 +1,4 @@
-package systemdemo
+package cluster
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 const (
--- a/internal/systemdemo/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -1,4 +1,4 @@
-package systemdemo
+package cluster
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"github.com/go-json-experiment/json"
 
 	"puffinlink.example/puffinlink/internal/controlplane/operations"
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/operatorclient"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 const (
--- a/internal/systemdemo/site.go
+++ b/internal/tools/demo/cluster/site.go
@@ -1,4 +1,4 @@
-package systemdemo
+package cluster
 
 import (
 	"errors"
--- a/internal/systemdemo/summary.go
+++ b/internal/tools/demo/cluster/summary.go
@@ -1,11 +1,11 @@
-package systemdemo
+package cluster
 
 import (
 	"fmt"
 	"io"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 // Summary counts what became of the jobs.
--- a/internal/systemdemo/summary_test.go
+++ b/internal/tools/demo/cluster/summary_test.go
@@ -1,4 +1,4 @@
-package systemdemo
+package cluster
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/standin/cluster"
 )
 
 var begin = time.Unix(1_700_000_000, 0)
