--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -15,10 +15,10 @@
 	"go.uber.org/zap/zapcore"
 
 	"puffinlink.example/puffinlink/internal/counters"
-	"puffinlink.example/puffinlink/internal/dataplane/mixerlog"
+	"puffinlink.example/puffinlink/internal/dataplane/asynclog"
 	"puffinlink.example/puffinlink/internal/dataplane/node"
+	"puffinlink.example/puffinlink/internal/fakes"
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
-	"puffinlink.example/puffinlink/internal/standin"
 )
 
 // Options are what a demo is made of.
@@ -51,22 +51,22 @@
 const width, shardsACell = 2, 2
 
 // site is the demo's deployment.
-func site(o Options) standin.Site {
-	return standin.Site{Zones: []string{"north", "south"}, Cells: o.Searchers, Width: min(width, o.Searchers), Shards: shardsACell * o.Searchers,
-		Mixers: o.Mixers, Indexes: []standin.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1},
+func site(o Options) fakes.Site {
+	return fakes.Site{Zones: []string{"north", "south"}, Cells: o.Searchers, Width: min(width, o.Searchers), Shards: shardsACell * o.Searchers,
+		Mixers: o.Mixers, Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1},
 			{Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Gain: 3}}}
 }
 
 type demo struct {
 	Options
-	site     standin.Site
-	register *standin.Register
-	fleet    []*standin.Searcher
+	site     fakes.Site
+	register *fakes.Register
+	fleet    []*fakes.Searcher
 	nodes    []*node.Node
 	sockets  []string
-	load     *standin.Load
+	load     *fakes.Load
 	dir      string
-	all      standin.Tally
+	all      fakes.Tally
 	last     map[string]int64
 }
 
@@ -114,11 +114,11 @@
 	if d.dir, err = os.MkdirTemp("", "puffinlink-demo-"); err != nil {
 		return err
 	}
-	if d.register, err = standin.NewRegister(); err != nil {
+	if d.register, err = fakes.NewRegister(); err != nil {
 		return err
 	}
 	for i := range d.Searchers {
-		s, err := standin.NewSearcher(fmt.Sprintf("s-%d", i+1), d.site.Zones[i%len(d.site.Zones)], i, 8, d.Service)
+		s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i+1), d.site.Zones[i%len(d.site.Zones)], i, 8, d.Service)
 		if err != nil {
 			return err
 		}
@@ -127,9 +127,9 @@
 	}
 	log := zap.NewNop()
 	if d.Log != nil {
-		log = mixerlog.New(zapcore.Lock(zapcore.AddSync(d.Log)))
+		log = asynclog.New(zapcore.Lock(zapcore.AddSync(d.Log)))
 	}
-	d.load = &standin.Load{Site: d.site, PerS: d.PerS, Mixes: []standin.Mix{{Index: "reads", Share: 0.9, Parts: 4, Deadline: 2 * time.Second},
+	d.load = &fakes.Load{Site: d.site, PerS: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Parts: 4, Deadline: 2 * time.Second},
 		{Index: "orders", Share: 0.1, Parts: 2, Deadline: 2 * time.Second}}}
 	for i := range d.Mixers {
 		n, address, err := d.mixer(i, log)
@@ -144,7 +144,7 @@
 
 // mixer starts one as it would be started alone, on a port that was free a moment ago.
 func (d *demo) mixer(i int, log *zap.Logger) (*node.Node, string, error) {
-	address, err := standin.FreeAddress()
+	address, err := fakes.FreeAddress()
 	if err != nil {
 		return nil, "", err
 	}
@@ -173,7 +173,7 @@
 }
 
 // take adds what came of lookups since the last time.
-func (d *demo) take() standin.Tally {
+func (d *demo) take() fakes.Tally {
 	t := d.load.Take()
 	d.all.Add(t)
 	return t
--- a/internal/tools/fleettest/broken_test.go
+++ b/internal/tools/fleettest/broken_test.go
@@ -48,7 +48,7 @@
 	})
 	t.Run("a judgement of one sick witness", func(t *testing.T) {
 		t.Parallel()
-		w := Start(t, Options{Mixers: 4, Binary: Broken(t, "internal/controlplane/fleet/shared/shared.go", "	witnesses  = 2 ", "	witnesses  = 1 ")})
+		w := Start(t, Options{Mixers: 4, Binary: Broken(t, "internal/controlplane/fleet/outlier/outlier.go", "	witnesses  = 2 ", "	witnesses  = 1 ")})
 		w.grants()
 		stop := w.Load(60, "cato", "reads", func(int) *Mixer { return w.Mixers[3] })
 		time.Sleep(1500 * time.Millisecond)
--- a/internal/tools/fleettest/fleettest_test.go
+++ b/internal/tools/fleettest/fleettest_test.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
+	"puffinlink.example/puffinlink/internal/fakes"
 	"puffinlink.example/puffinlink/internal/operators/api"
-	"puffinlink.example/puffinlink/internal/standin"
 )
 
 // Patience bounds what is waited for, which comes soon unless something is broken.
@@ -48,9 +48,9 @@
 type World struct {
 	testing.TB
 	Options
-	Site      standin.Site
+	Site      fakes.Site
 	Mixers    []*Mixer
-	Searchers []*standin.Searcher
+	Searchers []*fakes.Searcher
 	Judge     *Judge
 	relays    map[[2]int]*Relay // from one mixer to another
 	dir       string
@@ -69,7 +69,7 @@
 	no       int
 	twin     string // sets a second process of one name apart
 	address  string // of its own fleet's sockets
-	register *standin.Register
+	register *fakes.Register
 	before   []*Relay // of each searcher
 	dir      string
 	env      []string
@@ -124,8 +124,8 @@
 	o.LeaseS, o.Service = cmp.Or(o.LeaseS, usualLeaseS), cmp.Or(o.Service, usualService)
 	w := &World{TB: t, Options: o, relays: map[[2]int]*Relay{}, Judge: NewJudge(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
-		Site: standin.Site{Zones: []string{"a", "b", "c"}, Cells: o.Searchers, Width: 2, Shards: o.Searchers, Mixers: o.Mixers, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
-			Indexes: []standin.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1, Floor: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Gain: 3}}}}
+		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Searchers, Width: 2, Shards: o.Searchers, Mixers: o.Mixers, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
+			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1, Floor: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Gain: 3}}}}
 	var err error
 	w.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
 	w.must(err)
@@ -141,7 +141,7 @@
 // addSearcher starts a stand-in for a searcher, whose calls the judge notes.
 func (w *World) addSearcher(i int) {
 	w.Helper()
-	s, err := standin.NewSearcher(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
+	s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
 	w.must(err)
 	s.Heard = func(query string, shard int) { w.Judge.Called(s.Name, s.Zone, query) }
 	w.Cleanup(s.Kill)
@@ -154,7 +154,7 @@
 	m := &Mixer{world: w, no: i, Name: fmt.Sprintf("m%d", i), Zone: w.Site.Zones[i%3], dir: w.path(fmt.Sprintf("d%d", i))}
 	m.Listen, m.address = w.port(), w.port()
 	var err error
-	m.register, err = standin.NewRegister()
+	m.register, err = fakes.NewRegister()
 	w.must(err)
 	w.Cleanup(m.register.Close)
 	for j, s := range w.Searchers {
--- a/internal/tools/fleettest/judgements_test.go
+++ b/internal/tools/fleettest/judgements_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/shared"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 )
 
 // slowAt makes some searchers crawl for some mixers alone.
@@ -18,7 +18,7 @@
 }
 
 // reportsIn are the reports that a mixer shows to have heard of others.
-func reportsIn(shown map[string]any) (list []shared.Heard) {
+func reportsIn(shown map[string]any) (list []outlier.Heard) {
 	text, _ := json.Marshal(shown["reports"])
 	json.Unmarshal(text, &list)
 	return list
@@ -55,12 +55,12 @@
 	}
 	// look reads what the third mixer has heard: whom the sick one blames while no other has for as long as a judgement stands, and
 	// whether both others have called s-1 of late without fault.
-	othersBlamed, called := map[shared.Searcher]time.Time{}, map[string]time.Time{}
-	look := func() (shown map[string]any, alone []shared.Searcher, sound bool) {
+	othersBlamed, called := map[outlier.Searcher]time.Time{}, map[string]time.Time{}
+	look := func() (shown map[string]any, alone []outlier.Searcher, sound bool) {
 		if shown = w.Mixers[2].Show(); shown == nil {
 			return nil, nil, false
 		}
-		var sick []shared.Searcher
+		var sick []outlier.Searcher
 		for _, r := range reportsIn(shown) {
 			if r.Origin == "m3" {
 				sick = r.Bad
@@ -74,7 +74,7 @@
 			}
 		}
 		for _, name := range sick {
-			if time.Since(othersBlamed[name]).Seconds() > shared.HeldFor {
+			if time.Since(othersBlamed[name]).Seconds() > outlier.HeldFor {
 				alone = append(alone, name)
 			}
 		}
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -4,8 +4,8 @@
 	"container/heap"
 	"slices"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/random"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Outcome is what an emulation comes to.
@@ -69,14 +69,14 @@
 }
 
 func newWorld(f *Site, a *Ask, seed uint64) *world {
-	w := &world{f: f, a: a, g: pcg{chance.PCG(seed*2 + 1)}, byID: map[logic.SearcherID]*station{}}
+	w := &world{f: f, a: a, g: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.SearcherID]*station{}}
 	w.got.Lookups, w.got.ByIndex = make([]int64, len(f.Indexes)), make([]float64, len(f.Indexes))
-	list := logic.Event{Kind: logic.ListChanged, List: logic.ListWhole}
+	list := policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}
 	for i, s := range f.Searchers {
-		st := &station{Searcher: s, id: logic.SearcherID(i + 1)}
+		st := &station{Searcher: s, id: policy.SearcherID(i + 1)}
 		w.stations = append(w.stations, st)
 		w.byID[st.id] = st
-		list.Entries = append(list.Entries, logic.Entry{Searcher: st.id, Location: logic.LocationID(slices.Index(f.Locations, s.Location)), Cell: logic.CellID(s.Cell), Share: 1})
+		list.Entries = append(list.Entries, policy.Entry{Searcher: st.id, Location: policy.LocationID(slices.Index(f.Locations, s.Location)), Cell: policy.CellID(s.Cell), Share: 1})
 	}
 	sum := 0.0
 	for s := range f.Shards {
@@ -88,15 +88,15 @@
 		w.popular = append(w.popular, sum)
 	}
 	for i := range f.Mixers {
-		set := logic.Settings{Seed: seed + uint64(i)*7919, Self: logic.MixerNo(i), Mixers: f.Mixers, Location: logic.LocationID(i % max(1, len(f.Locations))),
-			Step: f.Step, Layout: logic.Layout{Cells: f.Cells, Width: f.Width, CallParts: 1},
-			Limits: logic.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: max(1, f.MostTries), MaxHeld: f.MostHeld, MaxRetryAfter: 1, ConnectTimeout: 0.25},
-			Rules:  logic.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: logic.Prices{CrossLocation: 0.02}}
+		set := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.MixerNo(i), Mixers: f.Mixers, Location: policy.LocationID(i % max(1, len(f.Locations))),
+			Step: f.Step, Layout: policy.Layout{Cells: f.Cells, Width: f.Width, CallParts: 1},
+			Limits: policy.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: max(1, f.MostTries), MaxHeld: f.MostHeld, MaxRetryAfter: 1, ConnectTimeout: 0.25},
+			Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
 		for _, x := range f.Indexes {
-			set.Indexes = append(set.Indexes, logic.IndexSettings{Soft: x.Soft, Hard: x.Hard, Gain: max(x.Gain, 1e-9), LateGain: x.Late, Effect: x.Effect, Need: 1, Floor: 1})
+			set.Indexes = append(set.Indexes, policy.IndexSettings{Soft: x.Soft, Hard: x.Hard, Gain: max(x.Gain, 1e-9), LateGain: x.Late, Effect: x.Effect, Need: 1, Floor: 1})
 		}
-		m := &mixer{m: logic.New(set, 0), lookups: map[logic.LookupID]*taken{}, parts: map[logic.PartID]logic.IndexID{},
-			made: map[logic.PartID]logic.CallNo{}, out: map[callKey]*work{}, stepped: -1}
+		m := &mixer{m: policy.New(set, 0), lookups: map[policy.LookupID]*taken{}, parts: map[policy.PartID]policy.IndexID{},
+			made: map[policy.PartID]policy.CallNo{}, out: map[callKey]*work{}, stepped: -1}
 		w.mixers = append(w.mixers, m)
 		w.tell(m, list)
 	}
@@ -164,16 +164,16 @@
 	k := w.a.Mix[q.share].Index
 	x := &w.f.Indexes[k]
 	m.lastID++
-	id, t := logic.LookupID(m.lastID), &taken{of: q}
+	id, t := policy.LookupID(m.lastID), &taken{of: q}
 	m.lookups[id] = t
-	e := logic.Event{Kind: logic.LookupTaken, Lookup: id, No: logic.LookupNo(id), Index: logic.IndexID(k), Left: x.Hard - (w.now - q.began), Parts: len(q.shards), Resent: q.tries > 1}
-	events := []logic.Event{e}
-	e.Kind, e.Parts = logic.PartTaken, 0
+	e := policy.Event{Kind: policy.LookupTaken, Lookup: id, No: policy.LookupNo(id), Index: policy.IndexID(k), Left: x.Hard - (w.now - q.began), Parts: len(q.shards), Resent: q.tries > 1}
+	events := []policy.Event{e}
+	e.Kind, e.Parts = policy.PartTaken, 0
 	for _, s := range q.shards {
 		m.lastID++
-		e.Part, e.Shard, e.Weight = logic.PartID(m.lastID), logic.ShardID(s), 1/float64(len(q.shards))
+		e.Part, e.Shard, e.Weight = policy.PartID(m.lastID), policy.ShardID(s), 1/float64(len(q.shards))
 		t.parts = append(t.parts, e.Part)
-		m.parts[e.Part] = logic.IndexID(k)
+		m.parts[e.Part] = policy.IndexID(k)
 		events = append(events, e)
 	}
 	m.mostHeld = max(m.mostHeld, len(m.lookups)+len(m.parts))
@@ -181,7 +181,7 @@
 }
 
 // tell hands events to a mixer, which steps no sooner after its last step than it may.
-func (w *world) tell(m *mixer, events ...logic.Event) {
+func (w *world) tell(m *mixer, events ...policy.Event) {
 	m.events = append(m.events, events...)
 	if !m.waiting {
 		m.waiting = true
@@ -200,9 +200,9 @@
 	m.mostOut = max(m.mostOut, len(m.out))
 }
 
-func (w *world) act(m *mixer, a *logic.Action) {
+func (w *world) act(m *mixer, a *policy.Action) {
 	switch a.Kind {
-	case logic.Send:
+	case policy.Send:
 		k, held := m.parts[a.Part]
 		if !held {
 			return
@@ -213,35 +213,35 @@
 		m.out[callKey{a.Part, no}] = c
 		to := w.byID[a.Searcher]
 		w.at(w.now+w.f.Network, func() { w.reach(to, c) })
-		w.at(a.StopAt, func() { w.finish(c, to, logic.TimedOut) })
-	case logic.Withdraw:
+		w.at(a.StopAt, func() { w.finish(c, to, policy.TimedOut) })
+	case policy.Withdraw:
 		if c := m.out[callKey{a.Part, a.Call}]; c != nil {
-			w.finish(c, nil, logic.Withdrawn)
+			w.finish(c, nil, policy.Withdrawn)
 		}
-	case logic.Answer:
+	case policy.Answer:
 		w.answered(m, a.Lookup)
-	case logic.Nack, logic.Abort:
-		if t := w.close(m, a.Lookup); t != nil && a.Kind == logic.Nack {
+	case policy.Nack, policy.Abort:
+		if t := w.close(m, a.Lookup); t != nil && a.Kind == policy.Nack {
 			w.nacked(t.of, a.Wait)
 		} else if t != nil && t.of.counts {
 			w.got.Aborted++
 		}
-	case logic.SetTimer:
+	case policy.SetTimer:
 		timer := a.Timer
 		w.at(w.now+a.Wait, func() {
 			if w.now < w.end+60 {
-				w.tell(m, logic.Event{Kind: logic.TimerDue, Timer: timer})
+				w.tell(m, policy.Event{Kind: policy.TimerDue, Timer: timer})
 			}
 		})
-	case logic.Probe:
+	case policy.Probe:
 		id := a.Searcher
 		w.at(w.now+2*w.f.Network, func() {
-			w.tell(m, logic.Event{Kind: logic.ProbeEnded, Searcher: id, Outcome: logic.Answered, Elapsed: 2 * w.f.Network})
+			w.tell(m, policy.Event{Kind: policy.ProbeEnded, Searcher: id, Outcome: policy.Answered, Elapsed: 2 * w.f.Network})
 		})
 	}
 }
 
-func (w *world) close(m *mixer, id logic.LookupID) *taken {
+func (w *world) close(m *mixer, id policy.LookupID) *taken {
 	t := m.lookups[id]
 	if t == nil {
 		return nil
@@ -253,7 +253,7 @@
 	return t
 }
 
-func (w *world) answered(m *mixer, id logic.LookupID) {
+func (w *world) answered(m *mixer, id policy.LookupID) {
 	t := w.close(m, id)
 	if t == nil || !t.of.counts {
 		return
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"puffinlink.example/puffinlink/internal/raceflag"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 func fleet(searchers, cores int) Site {
@@ -267,7 +267,7 @@
 // An emulation keeps the modules' rules: a once-only part is never called twice where a call may have run.
 func TestEmulationOfOnceOnly(t *testing.T) {
 	f, a := fleet(6, 2), ask(400, 3)
-	f.Indexes[0].Effect = logic.OnceOnly
+	f.Indexes[0].Effect = policy.OnceOnly
 	f.Searchers[2].Queue = 2
 	o := Emulate(&f, &a, 4, 3000)
 	if o.Calls > 1.05 {
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Searcher is one of a fleet.
@@ -27,7 +27,7 @@
 // Index is one index of a fleet. Times are seconds.
 type Index struct {
 	Name       string
-	Effect     logic.Effect
+	Effect     policy.Effect
 	Soft, Hard float64
 	Gain, Late float64   // of a lookup, and the share of it after the soft deadline
 	Work       float64   // of a part, in the mean
--- a/internal/tools/plan/stations.go
+++ b/internal/tools/plan/stations.go
@@ -1,7 +1,7 @@
 package plan
 
 import (
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // reach puts a call on a core, into the queue, or turns it away.
@@ -12,7 +12,7 @@
 		w.serve(s, c)
 	case s.Queue > 0 && len(s.queue) >= s.Queue:
 		s.refused++
-		w.at(w.now+w.f.Network, func() { w.finish(c, s, logic.TurnedAway) })
+		w.at(w.now+w.f.Network, func() { w.finish(c, s, policy.TurnedAway) })
 	default:
 		s.queue = append(s.queue, c)
 		s.most = max(s.most, len(s.queue))
@@ -27,7 +27,7 @@
 	}
 	w.at(w.now+took, func() {
 		s.busy--
-		w.at(w.now+w.f.Network, func() { w.finish(c, s, logic.Answered) })
+		w.at(w.now+w.f.Network, func() { w.finish(c, s, policy.Answered) })
 		for len(s.queue) > 0 && s.busy < s.Cores {
 			next := s.queue[0]
 			s.queue = s.queue[1:]
@@ -39,16 +39,16 @@
 }
 
 // finish tells a mixer once how a call ended.
-func (w *world) finish(c *work, s *station, how logic.Outcome) {
+func (w *world) finish(c *work, s *station, how policy.Outcome) {
 	key := callKey{c.part, c.no}
 	if c.gone || c.mixer.out[key] != c {
 		return
 	}
 	c.gone = true
 	delete(c.mixer.out, key)
-	id := logic.SearcherID(0)
+	id := policy.SearcherID(0)
 	if s != nil {
 		id = s.id
 	}
-	w.tell(c.mixer, logic.Event{Kind: logic.CallEnded, Part: c.part, Call: c.no, Searcher: id, Outcome: how, Elapsed: w.now - c.sent})
+	w.tell(c.mixer, policy.Event{Kind: policy.CallEnded, Part: c.part, Call: c.no, Searcher: id, Outcome: how, Elapsed: w.now - c.sent})
 }
--- a/internal/tools/plan/world.go
+++ b/internal/tools/plan/world.go
@@ -3,12 +3,12 @@
 import (
 	"math"
 
-	"puffinlink.example/puffinlink/internal/chance"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/internal/random"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // pcg draws what an emulation needs beside what every generator draws.
-type pcg struct{ chance.PCG }
+type pcg struct{ random.PCG }
 
 // about draws a positive figure of this mean and squared coefficient of variation, lognormal: work has a long tail, and
 // two figures fix it.
@@ -58,9 +58,9 @@
 // work is a part call at a searcher.
 type work struct {
 	mixer *mixer
-	part  logic.PartID
-	no    logic.CallNo
-	k     logic.IndexID
+	part  policy.PartID
+	no    policy.CallNo
+	k     policy.IndexID
 	sent  float64
 	gone  bool // its mixer waits no more
 }
@@ -68,7 +68,7 @@
 // station is a searcher: so many cores, and a queue before them.
 type station struct {
 	Searcher
-	id      logic.SearcherID
+	id      policy.SearcherID
 	busy    int
 	queue   []*work
 	most    int
@@ -89,19 +89,19 @@
 // taken is a try that a mixer holds.
 type taken struct {
 	of    *query
-	parts []logic.PartID
+	parts []policy.PartID
 }
 
 // mixer is one decision module in the emulated world.
 type mixer struct {
-	m        *logic.Mixer
-	events   []logic.Event
-	actions  []logic.Action
+	m        *policy.Mixer
+	events   []policy.Event
+	actions  []policy.Action
 	stepped  float64
 	waiting  bool // a step is on the agenda
-	lookups  map[logic.LookupID]*taken
-	parts    map[logic.PartID]logic.IndexID
-	made     map[logic.PartID]logic.CallNo
+	lookups  map[policy.LookupID]*taken
+	parts    map[policy.PartID]policy.IndexID
+	made     map[policy.PartID]policy.CallNo
 	out      map[callKey]*work
 	lastID   uint64
 	mostHeld int
@@ -109,8 +109,8 @@
 }
 
 type callKey struct {
-	part logic.PartID
-	no   logic.CallNo
+	part policy.PartID
+	no   policy.CallNo
 }
 
 // world is a fleet under a load.
@@ -122,7 +122,7 @@
 	agenda   agenda
 	no       int
 	stations []*station
-	byID     map[logic.SearcherID]*station
+	byID     map[policy.SearcherID]*station
 	mixers   []*mixer
 	popular  []float64 // sums up to each shard
 	warm     float64
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/jsonc"
 	"puffinlink.example/puffinlink/internal/operators/capture"
 	"puffinlink.example/puffinlink/internal/tools/plan"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // file is the form. Times are seconds.
@@ -64,7 +64,7 @@
 	Price       float64 `json:"price"`
 }
 
-var effects = map[string]logic.Effect{"": logic.Idempotent, "idempotent": logic.Idempotent, "fingerprinted": logic.Fingerprinted, "once-only": logic.OnceOnly}
+var effects = map[string]policy.Effect{"": policy.Idempotent, "idempotent": policy.Idempotent, "fingerprinted": policy.Fingerprinted, "once-only": policy.OnceOnly}
 
 // mostSearchers is ten times the largest fleet that a plan is made for.
 const mostSearchers = 10000
--- a/internal/tools/prove/prove_test.go
+++ b/internal/tools/validate/prove_test.go
@@ -1,4 +1,4 @@
-package prove
+package validate
 
 import (
 	"bytes"
--- a/internal/tools/prove/prove.go
+++ b/internal/tools/validate/validate.go
@@ -1,6 +1,6 @@
-// Package prove holds the planner to what happens: it plays settings through real mixers against stand-in searchers with
+// Package validate holds the planner to what happens: it plays settings through real mixers against stand-in searchers with
 // known limits, and shows what was predicted, what happened and the error side by side. It decides nothing.
-package prove
+package validate
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 
 	"puffinlink.example/puffinlink/internal/counters"
 	"puffinlink.example/puffinlink/internal/dataplane/node"
+	"puffinlink.example/puffinlink/internal/fakes"
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
-	"puffinlink.example/puffinlink/internal/standin"
 	"puffinlink.example/puffinlink/internal/tools/plan"
-	"puffinlink.example/puffinlink/logic"
+	"puffinlink.example/puffinlink/policy"
 )
 
 // Setting is one that is played.
@@ -61,7 +61,7 @@
 	base := func(name string) Setting {
 		f := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Mixers: 2, Step: 0.005, Network: loop, MostTries: 3, Multiplex: 100,
 			Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Gain: 1, Late: 0.1, Work: 0.01, Shape: evenly, Goal: 0.99},
-				{Name: "orders", Effect: logic.OnceOnly, Soft: 0.5, Hard: 2, Gain: 3, Late: 0.1, Work: 0.01, Shape: evenly, Goal: 0.99}}}
+				{Name: "orders", Effect: policy.OnceOnly, Soft: 0.5, Hard: 2, Gain: 3, Late: 0.1, Work: 0.01, Shape: evenly, Goal: 0.99}}}
 		for i := range 6 {
 			f.Searchers = append(f.Searchers, plan.Searcher{Name: fmt.Sprint("s-", i+1), Location: f.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
 		}
@@ -209,34 +209,34 @@
 }
 
 // happen plays a setting on sockets: real mixers, stand-ins for the rest.
-func happen(ctx context.Context, s Setting) (t standin.Tally, err error) {
-	site := standin.Site{Zones: s.Site.Locations, Cells: s.Site.Cells, Width: s.Site.Width, Shards: s.Site.Shards, Mixers: s.Site.Mixers}
-	effects := map[logic.Effect]string{logic.Idempotent: "repeatable", logic.Fingerprinted: "by_key", logic.OnceOnly: "once"}
+func happen(ctx context.Context, s Setting) (t fakes.Tally, err error) {
+	site := fakes.Site{Zones: s.Site.Locations, Cells: s.Site.Cells, Width: s.Site.Width, Shards: s.Site.Shards, Mixers: s.Site.Mixers}
+	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Fingerprinted: "by_key", policy.OnceOnly: "once"}
 	for _, x := range s.Site.Indexes {
-		site.Indexes = append(site.Indexes, standin.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Gain: x.Gain})
+		site.Indexes = append(site.Indexes, fakes.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Gain: x.Gain})
 	}
-	register, err := standin.NewRegister()
+	register, err := fakes.NewRegister()
 	if err != nil {
 		return t, err
 	}
 	defer register.Close()
 	for _, x := range s.Site.Searchers {
 		service := time.Duration(s.Site.Indexes[0].Work / x.Speed * float64(time.Second))
-		h, err := standin.NewSearcher(x.Name, x.Location, x.Cell, x.Cores, service)
+		h, err := fakes.NewSearcher(x.Name, x.Location, x.Cell, x.Cores, service)
 		if err != nil {
 			return t, err
 		}
 		defer h.Kill()
 		register.Set(h.Entry("SERVING", true))
 	}
-	load := &standin.Load{Site: site, PerS: s.Ask.PerS, Popular: s.Ask.Popular, Retries: s.Site.Retries, Backoff: time.Duration(s.Site.Backoff * float64(time.Second))}
+	load := &fakes.Load{Site: site, PerS: s.Ask.PerS, Popular: s.Ask.Popular, Retries: s.Site.Retries, Backoff: time.Duration(s.Site.Backoff * float64(time.Second))}
 	for _, m := range s.Ask.Mix {
 		x := s.Site.Indexes[m.Index]
-		load.Mixes = append(load.Mixes, standin.Mix{Index: x.Name, Share: m.Of, Parts: m.Parts, Deadline: time.Duration(x.Hard * float64(time.Second)),
+		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Of, Parts: m.Parts, Deadline: time.Duration(x.Hard * float64(time.Second)),
 			Soft: time.Duration(x.Soft * float64(time.Second)), Gain: x.Gain})
 	}
 	for i := range s.Site.Mixers {
-		address, err := standin.FreeAddress()
+		address, err := fakes.FreeAddress()
 		if err != nil {
 			return t, err
 		}
--- a/internal/transport/model_test.go
+++ b/internal/transport/model_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
@@ -108,7 +108,7 @@
 		call := w.calls[request.Token]
 		call.ranAt = append(call.ranAt, self)
 		if request.Token.Number%5 == 4 { // so that refusals by a handler occur as well, and after the run
-			return modelReply{}, verdict.Unclear(errors.New("broke down midway"))
+			return modelReply{}, rpcerror.Unclear(errors.New("broke down midway"))
 		}
 		return modelReply{Token: request.Token, By: self, Bulk: request.Bulk}, nil
 	}
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -13,7 +13,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"puffinlink.example/puffinlink/internal/verdict"
+	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 // Mux serves internal calls by path, for one process.
@@ -100,7 +100,7 @@
 			return
 		}
 		if !repeats && m.late(r) {
-			writeError(w, verdict.Unexecuted(errLate, 0))
+			writeError(w, rpcerror.Unexecuted(errLate, 0))
 			return
 		}
 		if !repeats && !m.first(r) {
@@ -132,11 +132,11 @@
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	if verdict.Of(err) != verdict.NotRun {
+	if rpcerror.Of(err) != rpcerror.NotRun {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	w.Header().Set(RetryAfterHeader, strconv.FormatInt(verdict.RetryAfter(err).Milliseconds(), 10))
+	w.Header().Set(RetryAfterHeader, strconv.FormatInt(rpcerror.RetryAfter(err).Milliseconds(), 10))
 	http.Error(w, err.Error(), http.StatusServiceUnavailable)
 }
 
--- a/internal/transport/offsets_test.go
+++ b/internal/transport/offsets_test.go
@@ -8,9 +8,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
 	"puffinlink.example/puffinlink/internal/transport/resettest"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // tally counts at the callee how often each request ran.
@@ -132,8 +132,8 @@
 		return false
 	}
 	if kind.asksFirst {
-		return runs == 0 || verdict.Of(r.err) == verdict.MayHaveRun
+		return runs == 0 || rpcerror.Of(r.err) == rpcerror.MayHaveRun
 	}
 	ranBefore := r.cut == resettest.Answers // the call had arrived, and all of an answer comes after the run
-	return verdict.Of(r.err) == verdict.MayHaveRun && (runs == 1) == ranBefore
+	return rpcerror.Of(r.err) == rpcerror.MayHaveRun && (runs == 1) == ranBefore
 }
--- a/internal/transport/sending_test.go
+++ b/internal/transport/sending_test.go
@@ -14,8 +14,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
-	"puffinlink.example/puffinlink/internal/verdict"
 )
 
 // breaker serves requests whole, but resets each connection when its second request has been read. It counts those that
@@ -105,7 +105,7 @@
 				So(err, ShouldBeNil)
 				_, err = repeatable.Call(t.Context(), client, address, echo{})
 				So(err, ShouldNotBeNil)
-				So(verdict.Of(err), ShouldEqual, verdict.MayHaveRun)
+				So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
 				So(counted.runs.Load(), ShouldEqual, 2*pair+2)
 			}
 		})
@@ -119,7 +119,7 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		cancel(errors.New("a newer leader is known"))
 		_, err := echoCall.Call(ctx, client, "127.0.0.1:1", sample)
-		So(verdict.Of(err), ShouldEqual, verdict.NotRun)
+		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
 	})
 	Convey("One that is given up at any moment is not said to have not run, if it has", t, func() {
 		counted := counting(transport.NewIdentity(testCluster, "node-a"))
@@ -131,7 +131,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			stop := time.AfterFunc(time.Duration(i)*time.Microsecond, cancel)
 			_, err := repeatable.Call(ctx, client, address, echo{})
-			if verdict.Of(err) == verdict.NotRun && err != nil {
+			if rpcerror.Of(err) == rpcerror.NotRun && err != nil {
 				notRun++
 			}
 			stop.Stop()
--- a/logic/policy.go
+++ b/policy/policy.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // Tuned values, all of them. What a setting states is taken from the settings instead.
 const (
--- a/logic/state.go
+++ b/policy/state.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // What an instance remembers: its records, by how long they live, and how their states change by the tables.
 
--- a/logic/state_lookups.go
+++ b/policy/state_lookups.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"slices"
--- a/logic/types.go
+++ b/policy/types.go
@@ -1,11 +1,11 @@
-// Package logic decides what a mixer does with its lookups. New starts an instance from its settings; Step takes
+// Package policy decides what a mixer does with its lookups. New starts an instance from its settings; Step takes
 // the clock and all that happened since the last call, in order, and appends what to do. Between two calls nothing
 // moves: no I/O, no clock, no goroutine, nothing shared.
 //
 // This file is the package's interface. Every decision, table and tuned value stands in the files policy_*.go; what an
 // instance remembers, and the counting that keeps it whole, stands in the files state_*.go, which decide nothing. The
 // ordinary path is the scheduling rule SWAG; docs/design.md says when each exception to it acts.
-package logic
+package policy
 
 // Each kind of id is a type of its own. Ids carry no meaning beyond identity.
 type (
