--- /dev/null
+++ b/internal/controlplane/configuration/wire_test.go
@@ -0,0 +1,23 @@
+package configuration
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.MessagePack,
+		goldentest.Form{Name: "learn", Value: new(Learn)},
+		goldentest.Form{Name: "learn reply", Value: new(LearnReply)},
+		goldentest.Form{Name: "taken", Value: new(Taken)},
+		goldentest.Form{Name: "state", Value: new(State)},
+	)
+	goldentest.Check(t, goldentest.JSONExperiment,
+		goldentest.Form{Name: "configuration", Value: new(Configuration)},
+		goldentest.Form{Name: "route", Value: new(Route)},
+		goldentest.Form{Name: "service", Value: new(Service)},
+		goldentest.Form{Name: "limits", Value: new(Limits)},
+	)
+}
--- /dev/null
+++ b/internal/controlplane/control/wire_test.go
@@ -0,0 +1,15 @@
+package control
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.JSONExperiment,
+		goldentest.Form{Name: "accepted", Value: new(accepted)},
+		goldentest.Form{Name: "failure", Value: new(failure)},
+	)
+}
--- /dev/null
+++ b/internal/controlplane/fleet/quota/wire_test.go
@@ -0,0 +1,20 @@
+package quota
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.CBOR,
+		goldentest.Form{Name: "quota", Value: new(Quota)},
+		goldentest.Form{Name: "ask", Value: new(Ask)},
+		goldentest.Form{Name: "spent", Value: new(Spent)},
+		goldentest.Form{Name: "grant", Value: new(Grant)},
+	)
+	goldentest.Check(t, goldentest.JSON,
+		goldentest.Form{Name: "quota", Value: new(Quota)},
+	)
+}
--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -144,17 +144,17 @@
 
 // Progress is how far a version got, mixer by mixer.
 type Progress struct {
-	Version Version      `json:"version"`
-	Held    bool         `json:"held"`
-	Mixers  []MixerState `json:"mixers"`
+	Version Version      `cbor:"version" json:"version"`
+	Held    bool         `cbor:"held" json:"held"`
+	Mixers  []MixerState `cbor:"mixers" json:"mixers"`
 }
 
 // MixerState tells of one mixer how it stands to a version.
 type MixerState struct {
-	Mixer roster.Name `json:"mixer"`
-	State string      `json:"state"`
-	Holds Version     `json:"holds"` // that it has told of
-	InS   float64     `json:"in_s,omitempty"`
+	Mixer roster.Name `cbor:"mixer" json:"mixer"`
+	State string      `cbor:"state" json:"state"`
+	Holds Version     `cbor:"holds" json:"holds"` // that it has told of
+	InS   float64     `cbor:"in_s,omitempty" json:"in_s,omitempty"`
 }
 
 // How a mixer stands to a version.
--- a/internal/controlplane/fleet/shared/shared.go
+++ b/internal/controlplane/fleet/shared/shared.go
@@ -24,10 +24,10 @@
 
 // Seen is what one mixer saw of one searcher of late.
 type Seen struct {
-	Searcher Searcher `cbor:"1,keyasint"`
-	Calls    int      `cbor:"2,keyasint"`
-	Failed   int      `cbor:"3,keyasint,omitempty"` // as many of them as fail of late
-	Latency  float64  `cbor:"4,keyasint,omitempty"` // smoothed, of how long its calls took, however they ended
+	Searcher Searcher `cbor:"1,keyasint" json:"Searcher"`
+	Calls    int      `cbor:"2,keyasint" json:"Calls"`
+	Failed   int      `cbor:"3,keyasint,omitempty" json:"Failed"`  // as many of them as fail of late
+	Latency  float64  `cbor:"4,keyasint,omitempty" json:"Latency"` // smoothed, of how long its calls took, however they ended
 }
 
 // Report is what one mixer saw of all. Age is how old it was when it was sent on, so that no two clocks are compared.
--- /dev/null
+++ b/internal/controlplane/fleet/shared/wire_test.go
@@ -0,0 +1,19 @@
+package shared
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.CBOR,
+		goldentest.Form{Name: "seen", Value: new(Seen)},
+		goldentest.Form{Name: "report", Value: new(Report)},
+	)
+	goldentest.Check(t, goldentest.JSON,
+		goldentest.Form{Name: "judgement", Value: new(Judgement)},
+		goldentest.Form{Name: "heard", Value: new(Heard)},
+	)
+}
--- /dev/null
+++ b/internal/controlplane/rebuild/wire_test.go
@@ -0,0 +1,16 @@
+package rebuild
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.MessagePack,
+		goldentest.Form{Name: "dump request", Value: new(dumpRequest)},
+		goldentest.Form{Name: "dump reply", Value: new(dumpReply)},
+		goldentest.Form{Name: "ready reply", Value: new(readyReply)},
+	)
+}
--- /dev/null
+++ b/internal/controlplane/replicaset/wire_test.go
@@ -0,0 +1,18 @@
+package replicaset
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.MessagePack,
+		goldentest.Form{Name: "view request", Value: new(viewRequest)},
+		goldentest.Form{Name: "announce request", Value: new(announceRequest)},
+		goldentest.Form{Name: "view reply", Value: new(viewReply)},
+		goldentest.Form{Name: "leave request", Value: new(leaveRequest)},
+		goldentest.Form{Name: "view", Value: new(View)},
+	)
+}
--- /dev/null
+++ b/internal/dataplane/node/wire_test.go
@@ -0,0 +1,26 @@
+package node
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+)
+
+// TestWireForms pins the keys of the file that tells a mixer its configuration, in both directions.
+func TestWireForms(t *testing.T) {
+	text := `{"name":"text 1","listen":"text 2","discovery":"text 3","seed":"text 4",` +
+		`"limits":{"cores":5.5,"memory_mb":6.5,"sockets":7},"known":{"a":8},"settings":{"b":9}}`
+	want := Config{Name: "text 1", Listen: "text 2", Discovery: "text 3", Seed: "text 4",
+		Known: json.RawMessage(`{"a":8}`), Settings: json.RawMessage(`{"b":9}`)}
+	want.Limits.Cores, want.Limits.MemoryMB, want.Limits.Sockets = 5.5, 6.5, 7
+	var read Config
+	if err := json.Unmarshal([]byte(text), &read); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, want) {
+		t.Errorf("read as %+v, want %+v", read, want)
+	}
+	if written, err := json.Marshal(want); err != nil || string(written) != text {
+		t.Errorf("written as %s: %v", written, err)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/proxy/wire_test.go
@@ -0,0 +1,16 @@
+package proxy
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.JSON,
+		goldentest.Form{Name: "state answer", Value: new(stateAnswer)},
+		goldentest.Form{Name: "pending answer", Value: new(pendingAnswer)},
+		goldentest.Form{Name: "error answer", Value: new(errorAnswer)},
+	)
+}
--- /dev/null
+++ b/internal/goldentest/fill.go
@@ -0,0 +1,160 @@
+package goldentest
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"time"
+)
+
+var timeType = reflect.TypeFor[time.Time]()
+
+// Fill sets every exported field below a pointer to a value other than zero. The values depend on the fields' order only.
+// Fields that the tag key leaves out, by "-", stay as they are. A field that can't be set is an error.
+func Fill(pointer any, tagKey string) error {
+	filler := filler{tagKey: tagKey}
+	value := reflect.ValueOf(pointer).Elem()
+	return filler.fill(value, value.Type().String())
+}
+
+// filler counts the values that it has set, so that no two of them are alike.
+type filler struct {
+	tagKey string
+	count  int
+}
+
+func (f *filler) fill(value reflect.Value, path string) error {
+	if !value.CanSet() {
+		return fmt.Errorf("%s can't be set", path)
+	}
+	if value.Type() == timeType {
+		f.count++
+		value.Set(reflect.ValueOf(time.Unix(1700000000+int64(f.count), 0).UTC()))
+		return nil
+	}
+	switch value.Kind() {
+	case reflect.Struct:
+		return f.fillStruct(value, path)
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		return f.fill(value.Elem(), path)
+	case reflect.Slice:
+		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
+		return f.fillElements(value, path)
+	case reflect.Array:
+		return f.fillElements(value, path)
+	case reflect.Map:
+		return f.fillMap(value, path)
+	}
+	return f.fillPlain(value, path)
+}
+
+func (f *filler) fillStruct(value reflect.Value, path string) error {
+	exported := 0
+	for i := range value.NumField() {
+		field := value.Type().Field(i)
+		if !field.IsExported() || field.Tag.Get(f.tagKey) == "-" {
+			continue
+		}
+		exported++
+		if err := f.fill(value.Field(i), path+"."+field.Name); err != nil {
+			return err
+		}
+	}
+	if exported == 0 && value.NumField() > 0 {
+		return fmt.Errorf("%s has no field that can be set", path)
+	}
+	return nil
+}
+
+func (f *filler) fillElements(value reflect.Value, path string) error {
+	for i := range value.Len() {
+		if err := f.fill(value.Index(i), path+"[]"); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// fillMap makes one entry, as the order of more is not the same in each encoding.
+func (f *filler) fillMap(value reflect.Value, path string) error {
+	key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+	if err := f.fill(key, path+"[key]"); err != nil {
+		return err
+	}
+	if err := f.fill(element, path+"[]"); err != nil {
+		return err
+	}
+	value.Set(reflect.MakeMap(value.Type()))
+	value.SetMapIndex(key, element)
+	return nil
+}
+
+func (f *filler) fillPlain(value reflect.Value, path string) error {
+	f.count++
+	switch {
+	case value.Kind() == reflect.Bool:
+		value.SetBool(true)
+	case value.Kind() == reflect.String:
+		value.SetString(fmt.Sprintf("text %d", f.count))
+	case value.CanInt():
+		value.SetInt(int64(f.count))
+	case value.CanUint():
+		value.SetUint(uint64(f.count))
+	case value.CanFloat():
+		value.SetFloat(float64(f.count) + 0.5)
+	default:
+		return fmt.Errorf("%s has the kind %s, which can't be filled", path, value.Kind())
+	}
+	return nil
+}
+
+// tagTester is the part of testing.T that checkTags needs.
+type tagTester interface {
+	Helper()
+	Errorf(format string, arguments ...any)
+}
+
+// checkTags fails for each exported field, of a type and of those below it, whose name on the wire is its Go name.
+func checkTags(t tagTester, tagKey string, root reflect.Type) {
+	t.Helper()
+	visited := make(map[reflect.Type]bool)
+	var visit func(reflect.Type)
+	visit = func(current reflect.Type) {
+		if visited[current] || current == timeType {
+			return
+		}
+		visited[current] = true
+		switch current.Kind() {
+		case reflect.Pointer, reflect.Slice, reflect.Array:
+			visit(current.Elem())
+		case reflect.Map:
+			visit(current.Key())
+			visit(current.Elem())
+		case reflect.Struct:
+			for _, field := range reflect.VisibleFields(current) {
+				if len(field.Index) > 1 || !field.IsExported() || field.Tag.Get(tagKey) == "-" {
+					continue
+				}
+				name, _, _ := strings.Cut(field.Tag.Get(tagKey), ",")
+				if name == "" && !field.Anonymous && !isArray(current, tagKey) {
+					t.Errorf("%s.%s has no name in a tag %q", current, field.Name, tagKey)
+				}
+				visit(field.Type)
+			}
+		}
+	}
+	visit(root)
+}
+
+// isArray tells whether a struct is encoded without its fields' names: by as_array or toarray in the tag of a blank or
+// unexported marker field.
+func isArray(structure reflect.Type, tagKey string) bool {
+	for _, name := range []string{"_msgpack", "_"} {
+		marker, found := structure.FieldByName(name)
+		if found && strings.Contains(marker.Tag.Get(tagKey), "array") {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/jobs/scheduler/wire_test.go
@@ -0,0 +1,21 @@
+package scheduler
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.MessagePack,
+		goldentest.Form{Name: "operator drain record", Value: new(operatorDrainRecord)},
+		goldentest.Form{Name: "job record", Value: new(jobRecord)},
+		goldentest.Form{Name: "task record", Value: new(taskRecord)},
+		goldentest.Form{Name: "repetition record", Value: new(repetitionRecord)},
+		goldentest.Form{Name: "ended record", Value: new(endedRecord)},
+	)
+	goldentest.Check(t, goldentest.JSON,
+		goldentest.Form{Name: "summary", Value: new(Summary)},
+	)
+}
--- /dev/null
+++ b/internal/operators/api/wire_test.go
@@ -0,0 +1,24 @@
+package api
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.JSON,
+		goldentest.Form{Name: "fleet command", Value: new(FleetCommand)},
+		goldentest.Form{Name: "contract", Value: new(Contract)},
+		goldentest.Form{Name: "quota", Value: new(Quota)},
+		goldentest.Form{Name: "override", Value: new(Override)},
+		goldentest.Form{Name: "view", Value: new(View)},
+		goldentest.Form{Name: "return", Value: new(Return)},
+		goldentest.Form{Name: "change", Value: new(Change)},
+		goldentest.Form{Name: "command", Value: new(Command)},
+		goldentest.Form{Name: "why", Value: new(Why)},
+		goldentest.Form{Name: "rule", Value: new(Rule)},
+		goldentest.Form{Name: "failure", Value: new(Failure)},
+	)
+}
