--- a/internal/goldentest/fill.go
+++ b/internal/goldentest/fill.go
@@ -10,17 +10,17 @@
 var timeType = reflect.TypeFor[time.Time]()
 
 // Fill sets every exported field below a pointer to a value other than zero. The values depend on the fields' order only.
-// Fields that the tag key leaves out, by "-", stay as they are. A field that can't be set is an error.
-func Fill(pointer any, tagKey string) error {
-	filler := filler{tagKey: tagKey}
+// Fields that the codec's tag leaves out, by "-", stay as they are. A field that can't be set is an error.
+func (c Codec) Fill(pointer any) error {
+	filler := filler{codec: c}
 	value := reflect.ValueOf(pointer).Elem()
 	return filler.fill(value, value.Type().String())
 }
 
 // filler counts the values that it has set, so that no two of them are alike.
 type filler struct {
-	tagKey string
-	count  int
+	codec Codec
+	count int
 }
 
 func (f *filler) fill(value reflect.Value, path string) error {
@@ -32,6 +32,10 @@
 		value.Set(reflect.ValueOf(time.Unix(1700000000+int64(f.count), 0).UTC()))
 		return nil
 	}
+	if known, found := f.codec.Values[value.Type()]; found {
+		value.Set(reflect.ValueOf(known))
+		return nil
+	}
 	switch value.Kind() {
 	case reflect.Struct:
 		return f.fillStruct(value, path)
@@ -53,7 +57,7 @@
 	exported := 0
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
-		if !field.IsExported() || field.Tag.Get(f.tagKey) == "-" {
+		if !field.IsExported() || field.Tag.Get(f.codec.Tag) == "-" {
 			continue
 		}
 		exported++
@@ -116,12 +120,12 @@
 }
 
 // checkTags fails for each exported field, of a type and of those below it, whose name on the wire is its Go name.
-func checkTags(t tagTester, tagKey string, root reflect.Type) {
+func checkTags(t tagTester, codec Codec, root reflect.Type) {
 	t.Helper()
 	visited := make(map[reflect.Type]bool)
 	var visit func(reflect.Type)
 	visit = func(current reflect.Type) {
-		if visited[current] || current == timeType {
+		if _, own := codec.Values[current]; own || visited[current] || current == timeType {
 			return
 		}
 		visited[current] = true
@@ -133,12 +137,12 @@
 			visit(current.Elem())
 		case reflect.Struct:
 			for _, field := range reflect.VisibleFields(current) {
-				if len(field.Index) > 1 || !field.IsExported() || field.Tag.Get(tagKey) == "-" {
+				if len(field.Index) > 1 || !field.IsExported() || field.Tag.Get(codec.Tag) == "-" {
 					continue
 				}
-				name, _, _ := strings.Cut(field.Tag.Get(tagKey), ",")
-				if name == "" && !field.Anonymous && !isArray(current, tagKey) {
-					t.Errorf("%s.%s has no name in a tag %q", current, field.Name, tagKey)
+				name, _, _ := strings.Cut(field.Tag.Get(codec.Tag), ",")
+				if name == "" && !field.Anonymous && !isArray(current, codec.Tag) {
+					t.Errorf("%s.%s has no name in a tag %q", current, field.Name, codec.Tag)
 				}
 				visit(field.Type)
 			}
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -22,6 +22,8 @@
 	Text   bool   // the encoded form is one line of text
 	Encode func(value any) ([]byte, error)
 	Decode func(encoded []byte, value any) error
+	// Values are those of types that have an encoding of their own and no fields that Fill could set.
+	Values map[reflect.Type]any
 }
 
 // Form is a type with the name that it has in the golden file. The name does not follow the type's Go name.
@@ -46,7 +48,7 @@
 	}
 	for i, form := range forms {
 		t.Run(codec.Name+"/"+form.Name, func(t *testing.T) {
-			checkTags(t, codec.Tag, reflect.TypeOf(form.Value).Elem())
+			checkTags(t, codec, reflect.TypeOf(form.Value).Elem())
 			compare(t, codec, form, encoded[i], golden[form.Name])
 		})
 	}
@@ -56,7 +58,7 @@
 	t.Helper()
 	var encoded [][]byte
 	for _, form := range forms {
-		if err := Fill(form.Value, codec.Tag); err != nil {
+		if err := codec.Fill(form.Value); err != nil {
 			t.Fatalf("%s: %v", form.Name, err)
 		}
 		one, err := codec.Encode(form.Value)
@@ -131,3 +133,25 @@
 	}
 	return golden
 }
+
+// Constant is a constant that goes over the wire or to disk: a header, a path, a key of a record, or a number.
+type Constant struct {
+	Have any // the constant, of any type based on a string or an integer
+	Want any // its value as a literal: a string or an int
+}
+
+// CheckConstants compares constants with the literal values that they had before.
+func CheckConstants(t *testing.T, constants ...Constant) {
+	t.Helper()
+	for _, constant := range constants {
+		have := reflect.ValueOf(constant.Have)
+		want := reflect.ValueOf(constant.Want)
+		if !have.CanConvert(want.Type()) || want.Kind() == reflect.String && have.Kind() != reflect.String {
+			t.Errorf("%v can't be compared with %v", constant.Have, constant.Want)
+			continue
+		}
+		if have := have.Convert(want.Type()).Interface(); have != constant.Want {
+			t.Errorf("%v was %v on the wire", have, constant.Want)
+		}
+	}
+}
--- a/internal/operators/capture/load.go
+++ b/internal/operators/capture/load.go
@@ -7,12 +7,12 @@
 
 // Ends counts how lookups ended.
 type Ends struct {
-	Satisfied int64 // within the soft deadline
-	Late      int64 // answered after it
-	Nacked    int64
-	Aborted   int64
-	Gone      int64 // the client left
-	Full      int64 // the most held was held
+	Satisfied int64 `json:"Satisfied"` // within the soft deadline
+	Late      int64 `json:"Late"`      // answered after it
+	Nacked    int64 `json:"Nacked"`
+	Aborted   int64 `json:"Aborted"`
+	Gone      int64 `json:"Gone"` // the client left
+	Full      int64 `json:"Full"` // the most held was held
 }
 
 func (e *Ends) add(o Ends) {
@@ -26,56 +26,61 @@
 
 // Load is what one customer asked of one index.
 type Load struct {
-	Index, Customer string
-	Lookups         int64
-	Resent          int64 // marked as tries again by their clients
-	Parts           int64
-	Hint            float64 // work hinted at, seconds in all
-	Ends            Ends
+	Index    string  `json:"Index"`
+	Customer string  `json:"Customer"`
+	Lookups  int64   `json:"Lookups"`
+	Resent   int64   `json:"Resent"` // marked as tries again by their clients
+	Parts    int64   `json:"Parts"`
+	Hint     float64 `json:"Hint"` // work hinted at, seconds in all
+	Ends     Ends    `json:"Ends"`
 }
 
 // IndexLoad is what came of an index.
 type IndexLoad struct {
-	Index   string
-	Parts   map[int]int64 // lookups by their number of parts
-	Latency Hist          // of answered lookups
+	Index   string        `json:"Index"`
+	Parts   map[int]int64 `json:"Parts"`   // lookups by their number of parts
+	Latency Hist          `json:"Latency"` // of answered lookups
 }
 
 // ShardLoad is how often a shard was asked for.
 type ShardLoad struct {
-	Index string
-	Shard int
-	Parts int64
+	Index string `json:"Index"`
+	Shard int    `json:"Shard"`
+	Parts int64  `json:"Parts"`
 }
 
 // SearcherLoad is what came of the part calls of one index to one searcher.
 type SearcherLoad struct {
-	Searcher, Location, Index string
-	Calls                     int64
-	Failed                    int64 // errors, broken and lost calls
-	TurnedAway                int64
-	Latency                   Hist
-	Alone                     Hist    // of calls that found nothing else of this mixer there: near the work of a part
-	Reports                   int64   // load reports heard
-	Service                   float64 // sum of the service times that they told, seconds
-	Util                      float64 // sum of the use that they told
+	Searcher   string  `json:"Searcher"`
+	Location   string  `json:"Location"`
+	Index      string  `json:"Index"`
+	Calls      int64   `json:"Calls"`
+	Failed     int64   `json:"Failed"` // errors, broken and lost calls
+	TurnedAway int64   `json:"TurnedAway"`
+	Latency    Hist    `json:"Latency"`
+	Alone      Hist    `json:"Alone"`   // of calls that found nothing else of this mixer there: near the work of a part
+	Reports    int64   `json:"Reports"` // load reports heard
+	Service    float64 `json:"Service"` // sum of the service times that they told, seconds
+	Util       float64 `json:"Util"`    // sum of the use that they told
 }
 
 // Level is a figure over time.
 type Level struct {
-	Mean float64
-	Most int64
+	Mean float64 `json:"Mean"`
+	Most int64   `json:"Most"`
 }
 
 // Interval is what one or several mixers saw in a span of time.
 type Interval struct {
-	At, Span  float64 // Unix seconds, seconds
-	Mixers    []string
-	Loads     []Load
-	Indexes   []IndexLoad
-	Shards    []ShardLoad
-	Searchers []SearcherLoad
-	Held, Out Level // lookups and part calls
+	At        float64        `json:"At"`   // Unix seconds
+	Span      float64        `json:"Span"` // seconds
+	Mixers    []string       `json:"Mixers"`
+	Loads     []Load         `json:"Loads"`
+	Indexes   []IndexLoad    `json:"Indexes"`
+	Shards    []ShardLoad    `json:"Shards"`
+	Searchers []SearcherLoad `json:"Searchers"`
+	Held      Level          `json:"Held"` // lookups
+	Out       Level          `json:"Out"`  // part calls
 }
 
 func (i *Interval) sort() {
--- /dev/null
+++ b/internal/operators/capture/wire_test.go
@@ -0,0 +1,19 @@
+package capture
+
+import (
+	"reflect"
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the intervals of a capture's file.
+func TestWireForms(t *testing.T) {
+	var times Hist
+	times.Add(0.002, 3)
+	times.Add(0.25, 1)
+	codec := goldentest.JSON
+	codec.Values = map[reflect.Type]any{reflect.TypeFor[Hist](): times}
+	goldentest.Check(t, codec, goldentest.Form{Name: "interval", Value: new(Interval)})
+	goldentest.CheckConstants(t, goldentest.Constant{Have: head, Want: "puffinlink capture 1\n"})
+}
--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -43,25 +43,26 @@
 
 // Spec is what an operator wants. Exactly one of Searcher and Location is stated; times are the clock's seconds.
 type Spec struct {
-	Kind         Kind
-	Searcher     string
-	Location     string        // instead of a searcher: all there; not for a pin
-	From, To     logic.ShardID // Pin: the first and the last shard
-	Index        string        // of which alone; "" for every one
-	Factor       float64       // Weight: over 0 and up to 1
-	Strict       bool          // Pin: refused, not given to siblings, while its searcher is dead
-	Author       string
-	Reason       string
-	End          float64 // when it ends by itself
-	UntilRestart bool    // it ends earlier, with the next start of its searcher
+	Kind         Kind          `json:"Kind"`
+	Searcher     string        `json:"Searcher"`
+	Location     string        `json:"Location"` // instead of a searcher: all there; not for a pin
+	From         logic.ShardID `json:"From"`     // Pin: the first shard
+	To           logic.ShardID `json:"To"`       // Pin: the last shard
+	Index        string        `json:"Index"`    // of which alone; "" for every one
+	Factor       float64       `json:"Factor"`   // Weight: over 0 and up to 1
+	Strict       bool          `json:"Strict"`   // Pin: refused, not given to siblings, while its searcher is dead
+	Author       string        `json:"Author"`
+	Reason       string        `json:"Reason"`
+	End          float64       `json:"End"`          // when it ends by itself
+	UntilRestart bool          `json:"UntilRestart"` // it ends earlier, with the next start of its searcher
 }
 
 // Override is one that holds.
 type Override struct {
 	Spec
-	ID      Revision
-	Since   float64
-	Started float64 // UntilRestart: the start known when it was set
+	ID      Revision `json:"ID"`
+	Since   float64  `json:"Since"`
+	Started float64  `json:"Started"` // UntilRestart: the start known when it was set
 }
 
 // Op is what a command does.
@@ -101,15 +102,15 @@
 
 // Change is one revision, as it is kept and as it is told to who watches.
 type Change struct {
-	Revision Revision
-	At       float64
-	What     What
-	Override Override // WasSet: what holds from now on; else what held
-	Author   string
-	Reason   string
-	Key      Key
-	Digest   uint64   // of the command, against a key used for another
-	Forced   []string // guard rails that were overruled
+	Revision Revision `json:"Revision"`
+	At       float64  `json:"At"`
+	What     What     `json:"What"`
+	Override Override `json:"Override"` // WasSet: what holds from now on; else what held
+	Author   string   `json:"Author"`
+	Reason   string   `json:"Reason"`
+	Key      Key      `json:"Key"`
+	Digest   uint64   `json:"Digest"` // of the command, against a key used for another
+	Forced   []string `json:"Forced"` // guard rails that were overruled
 }
 
 // Code is why a command is refused.
