--- a/internal/jobs/worker/wire_test.go
+++ b/internal/jobs/worker/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"reflect"
 	"testing"
 	"unicode/utf8"
 
@@ -80,3 +81,23 @@
 		goldentest.Constant{Have: reasonRoom, Want: "room"},
 	)
 }
+
+// TestWireForms pins the keys of a searcher's answer, which this package only reads.
+func TestWireForms(t *testing.T) {
+	text := `{"clockMs":5,"reason":"fence","running":[["a.1.2.3",4,"text 1",50]],"finished":[[6,"b.7.8.9",10,"done","text 2"]]}`
+	read, err := decodeReply([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	clock := int64(5)
+	want := reply{
+		ClockMS: &clock, Reason: reasonFence,
+		Running: []runningEntry{{task: RunningTask{
+			Task: job.TaskID{Job: "a", Repetition: 1, Stage: 2, Index: 3}, Execution: 4, Checkpoint: "text 1", Percent: 50}}},
+		Finished: []finishedEntry{{task: FinishedTask{
+			Number: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, Execution: 10, How: job.Done, Checkpoint: "text 2"}}},
+	}
+	if !reflect.DeepEqual(read, want) {
+		t.Errorf("read as %+v, want %+v", read, want)
+	}
+}
--- a/internal/store/wire_test.go
+++ b/internal/store/wire_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"puffinlink.example/puffinlink/internal/goldentest"
+	"puffinlink.example/puffinlink/internal/operators/override"
 )
 
 // TestWireConstants pins the constants that leave the process.
@@ -26,3 +27,12 @@
 		goldentest.Constant{Have: logVersion, Want: 1},
 	)
 }
+
+// TestWireForms pins a record of the audit trail, behind its checksum.
+func TestWireForms(t *testing.T) {
+	codec := goldentest.JSON
+	codec.Name, codec.Text = "sealed", false
+	codec.Encode = seal
+	codec.Decode = unseal
+	goldentest.Check(t, codec, goldentest.Form{Name: "change", Value: new(override.Change)})
+}
--- a/internal/transport/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -21,3 +21,17 @@
 		goldentest.Constant{Have: identityCall.Path(), Want: "/transport/identity"},
 	)
 }
+
+// TestWireForms pins the bodies of the call that asks for an identity, and the texts of headers.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.MessagePack,
+		goldentest.Form{Name: "identity request", Value: new(identityRequest)},
+		goldentest.Form{Name: "identity reply", Value: new(identityReply)},
+	)
+	identity := Identity{Cluster: "a/b", Node: "c", Incarnation: 71}
+	goldentest.CheckConstants(t,
+		goldentest.Constant{Have: identity.String(), Want: "a%2Fb/c/1z"},
+		goldentest.Constant{Have: FirstContact{"a/b"}.text(), Want: "a%2Fb/*/*"},
+		goldentest.Constant{Have: Process{identity}.text(), Want: "a%2Fb/c/1z"},
+	)
+}
