--- a/cmd/puffinlink/wire_test.go
+++ b/cmd/puffinlink/wire_test.go
@@ -4,6 +4,9 @@
 	"testing"
 
 	"puffinlink.example/puffinlink/internal/goldentest"
+	"puffinlink.example/puffinlink/internal/operators/operatorfile"
+	"puffinlink.example/puffinlink/internal/systemdemo"
+	"puffinlink.example/puffinlink/internal/tools/demo"
 )
 
 // TestWireConstants pins the constants that leave the process.
@@ -18,3 +21,17 @@
 		goldentest.Constant{Have: exitUnreachable, Want: 5},
 	)
 }
+
+// TestWireForms pins what commands print with --json, and the files that they read.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.JSON,
+		goldentest.Form{Name: "applied", Value: new(applied)},
+		goldentest.Form{Name: "plan report", Value: new(reported)},
+		goldentest.Form{Name: "plan side", Value: new(side)},
+		goldentest.Form{Name: "synth file", Value: new(synthFile)},
+		goldentest.Form{Name: "operators' file token", Value: new(opfileToken)},
+		goldentest.Form{Name: "operators' file", Value: new(operatorfile.File)},
+		goldentest.Form{Name: "system demo summary", Value: new(systemdemo.Summary)},
+		goldentest.Form{Name: "demo summary", Value: new(demo.Summary)},
+	)
+}
--- /dev/null
+++ b/internal/controlplane/fleet/link/wire_test.go
@@ -0,0 +1,30 @@
+package link
+
+import (
+	"encoding/hex"
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+)
+
+// TestWireForms pins a sealed message, in both directions.
+func TestWireForms(t *testing.T) {
+	limits := Limits{BytesPerS: 1 << 20, Burst: 1 << 20}
+	sender, err := New("a", 5, [KeyBytes]byte{1, 2, 3}, []roster.Name{"b"}, limits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	receiver, err := New("b", 6, [KeyBytes]byte{1, 2, 3}, []roster.Name{"a"}, limits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = "01e6c632b61e964e1f575a0b1c44d8843f000000000000000500000000000000010774657874064a8b4314daf2a3f3928071df7a3d6b"
+	if have := hex.EncodeToString(sender.Seal("b", 7, []byte("text"))); have != want {
+		t.Errorf("sealed as %s, want %s", have, want)
+	}
+	sealed, _ := hex.DecodeString(want)
+	message, why := receiver.Open(0, sealed)
+	if why != Good || message.From != "a" || message.Incarnation != 5 || message.Number != 1 || message.Kind != 7 || string(message.Body) != "text" {
+		t.Errorf("opened as %+v, %d", message, why)
+	}
+}
--- a/internal/operators/operatorfile/operatorfile.go
+++ b/internal/operators/operatorfile/operatorfile.go
@@ -13,89 +13,95 @@
 
 // File is what an operator's file states.
 type File struct {
-	Overrides Overrides
-	Operators Operators
-	Capture   Capture
-	Fleet     Fleet
-	Quotas    Quotas
-	Contracts Contracts
+	Overrides Overrides `json:"Overrides"`
+	Operators Operators `json:"Operators"`
+	Capture   Capture   `json:"Capture"`
+	Fleet     Fleet     `json:"Fleet"`
+	Quotas    Quotas    `json:"Quotas"`
+	Contracts Contracts `json:"Contracts"`
 }
 
 // Fleet sets how mixers act together. Times are seconds.
 type Fleet struct {
-	On        bool
-	Line      int
-	KeyFile   string
-	Directory string
-	Lease     float64
-	Version   int // of the roster
-	Mixers    []Mixer
+	On        bool    `json:"On"`
+	Line      int     `json:"Line"`
+	KeyFile   string  `json:"KeyFile"`
+	Directory string  `json:"Directory"`
+	Lease     float64 `json:"Lease"`
+	Version   int     `json:"Version"` // of the roster
+	Mixers    []Mixer `json:"Mixers"`
 }
 
 // Mixer is one of the roster.
 type Mixer struct {
-	Name, Address, Location string
-	Votes                   bool
+	Name     string `json:"Name"`
+	Address  string `json:"Address"`
+	Location string `json:"Location"`
+	Votes    bool   `json:"Votes"`
 }
 
 // Quotas are those of tenants, as of a version that rises with each change.
 type Quotas struct {
-	On      bool
-	Line    int
-	Version int
-	Tenants []Quota
+	On      bool    `json:"On"`
+	Line    int     `json:"Line"`
+	Version int     `json:"Version"`
+	Tenants []Quota `json:"Tenants"`
 }
 
 // Quota is one tenant's over all mixers: lookups a second, and at once.
 type Quota struct {
-	Line               int
-	Tenant             string
-	PerS, Burst, Floor float64
+	Line   int     `json:"Line"`
+	Tenant string  `json:"Tenant"`
+	PerS   float64 `json:"PerS"`
+	Burst  float64 `json:"Burst"`
+	Floor  float64 `json:"Floor"`
 }
 
 // Contracts say in which zones tenants' lookups are kept, as of a version that rises with each change.
 type Contracts struct {
-	On      bool
-	Line    int
-	Version int
-	Strict  []string // tenants that are refused where contracts are not sure; "*" for all
-	Tenants []Contract
+	On      bool       `json:"On"`
+	Line    int        `json:"Line"`
+	Version int        `json:"Version"`
+	Strict  []string   `json:"Strict"` // tenants that are refused where contracts are not sure; "*" for all
+	Tenants []Contract `json:"Tenants"`
 }
 
 // Contract is one tenant's.
 type Contract struct {
-	Line           int
-	Tenant         string
-	Zones, Indexes []string
-	Own            bool
+	Line    int      `json:"Line"`
+	Tenant  string   `json:"Tenant"`
+	Zones   []string `json:"Zones"`
+	Indexes []string `json:"Indexes"`
+	Own     bool     `json:"Own"`
 }
 
 // Capture sets what is recorded of the load. Times are seconds.
 type Capture struct {
-	Directory string // "" for none
-	Interval  float64
-	MostBytes int64 // of all files there
-	MostAge   float64
+	Directory string  `json:"Directory"` // "" for none
+	Interval  float64 `json:"Interval"`
+	MostBytes int64   `json:"MostBytes"` // of all files there
+	MostAge   float64 `json:"MostAge"`
 }
 
 // Overrides set the table of overrides. Times are seconds.
 type Overrides struct {
-	On        bool   // the file has the section
-	Directory string // where revisions are kept; "" for memory alone
-	Limits    override.Limits
+	On        bool            `json:"On"`        // the file has the section
+	Directory string          `json:"Directory"` // where revisions are kept; "" for memory alone
+	Limits    override.Limits `json:"Limits"`
 }
 
 // Operators set the operators' listener.
 type Operators struct {
-	Listen  string // "unix:PATH" or a loopback "HOST:PORT"; "" for none
-	KeyFile string // holds the key of the tokens' hashes
-	Tokens  []Token
+	Listen  string  `json:"Listen"`  // "unix:PATH" or a loopback "HOST:PORT"; "" for none
+	KeyFile string  `json:"KeyFile"` // holds the key of the tokens' hashes
+	Tokens  []Token `json:"Tokens"`
 }
 
 // Token is one that an operator may show.
 type Token struct {
-	Name, Hash string // the hash is hex
-	Write      bool
+	Name  string `json:"Name"`
+	Hash  string `json:"Hash"` // in hex
+	Write bool   `json:"Write"`
 }
 
 // mostFile is far more than a file with every key and a hundred tokens needs.
--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -157,17 +157,17 @@
 
 // Limits are a table's caps and figures. Times are seconds.
 type Limits struct {
-	Indexes   []string
-	Shards    int
-	Cells     int
-	Width     int
-	MostTime  float64 // the longest that an override may hold
-	Most      int     // overrides at once
-	MostPins  int     // shards pinned at once, each counted as often as it is
-	ShardGone float64 // share of a shard's capacity that overrides may take together
-	PlaceGone float64 // the same of a location's
-	Ramp      float64 // how long one searcher alone takes to come back from nothing
-	Together  float64 // share of all searchers, and of all shards, that may come back in a second
+	Indexes   []string `json:"Indexes"`
+	Shards    int      `json:"Shards"`
+	Cells     int      `json:"Cells"`
+	Width     int      `json:"Width"`
+	MostTime  float64  `json:"MostTime"`  // the longest that an override may hold
+	Most      int      `json:"Most"`      // overrides at once
+	MostPins  int      `json:"MostPins"`  // shards pinned at once, each counted as often as it is
+	ShardGone float64  `json:"ShardGone"` // share of a shard's capacity that overrides may take together
+	PlaceGone float64  `json:"PlaceGone"` // the same of a location's
+	Ramp      float64  `json:"Ramp"`      // how long one searcher alone takes to come back from nothing
+	Together  float64  `json:"Together"`  // share of all searchers, and of all shards, that may come back in a second
 }
 
 // Defaults are what holds where the operator's file says nothing. A working day is the longest for which whoever set
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -9,11 +9,11 @@
 
 // Limit is one thing that may break, with how much more load it bears.
 type Limit struct {
-	What   string  // cores, queue, most held, connections, descriptors
-	Where  string  // a searcher, a location, or "each mixer"
-	Used   float64 // at this load, in the limit's own unit
-	Most   float64
-	Margin float64 // most / used: 1 is at the limit
+	What   string  `json:"What"`  // cores, queue, most held, connections, descriptors
+	Where  string  `json:"Where"` // a searcher, a location, or "each mixer"
+	Used   float64 `json:"Used"`  // at this load, in the limit's own unit
+	Most   float64 `json:"Most"`
+	Margin float64 `json:"Margin"` // most / used: 1 is at the limit
 }
 
 // Limits lists what may break, the nearest first. What has no limit is left out.
@@ -70,11 +70,11 @@
 
 // Breaking is where the goals break as a load grows.
 type Breaking struct {
-	PerS     float64 // the most that keeps them, lookups a second
-	Fails    float64 // the least that was seen to break them
-	Index    string  // whose goal breaks first
-	First    Limit   // what was nearest its limit there
-	Searched int     // emulations
+	PerS     float64 `json:"PerS"`     // the most that keeps them, lookups a second
+	Fails    float64 `json:"Fails"`    // the least that was seen to break them
+	Index    string  `json:"Index"`    // whose goal breaks first
+	First    Limit   `json:"First"`    // what was nearest its limit there
+	Searched int     `json:"Searched"` // emulations
 }
 
 const (
