--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -27,41 +27,77 @@
 
 // wire holds the keys that either has a place for; others are ignored.
 type wire struct {
-	GranularityS   float64
-	Ordinal        int
-	Siblings       int
-	Zone           int
-	Azs, Models    []string
-	Stats          struct{ How string }
-	MembershipMode string
-	OverShareWorth float64
+	GranularityS float64  `json:"granularityS"`
+	Ordinal      int      `json:"ordinal"`
+	Siblings     int      `json:"siblings"`
+	Zone         int      `json:"zone"`
+	Azs          []string `json:"azs"`
+	Models       []string `json:"models"`
+	Stats        struct {
+		How string `json:"how"`
+	} `json:"stats"`
+	MembershipMode string  `json:"membershipMode"`
+	OverShareWorth float64 `json:"overShareWorth"`
 	RequestClasses []struct {
-		PromiseS, GiveUpS, Worth, LateWorth, RepeatWindowS float64
-		Effect, Name                                       string
-	}
+		PromiseS      float64 `json:"promiseS"`
+		GiveUpS       float64 `json:"giveUpS"`
+		Worth         float64 `json:"worth"`
+		LateWorth     float64 `json:"lateWorth"`
+		RepeatWindowS float64 `json:"repeatWindowS"`
+		Effect        string  `json:"effect"`
+		Name          string  `json:"name"`
+	} `json:"requestClasses"`
 	Tenants []struct {
-		Name               string
-		Portion, QuotaPerS float64
-	}
+		Name      string  `json:"name"`
+		Portion   float64 `json:"portion"`
+		QuotaPerS float64 `json:"quotaPerS"`
+	} `json:"tenants"`
 	Specifics struct {
-		Places, Width, PerCall, Slices      int
-		CallCostS                           float64
-		ClassNeed, FloorByClass, ShortWorth []float64
-		SecondStep                          []int
-	}
+		Places       int       `json:"places"`
+		Width        int       `json:"width"`
+		PerCall      int       `json:"perCall"`
+		Slices       int       `json:"slices"`
+		CallCostS    float64   `json:"callCostS"`
+		ClassNeed    []float64 `json:"classNeed"`
+		FloorByClass []float64 `json:"floorByClass"`
+		ShortWorth   []float64 `json:"shortWorth"`
+		SecondStep   []int     `json:"secondStep"`
+	} `json:"specifics"`
 	Limits struct {
-		Cancel, Probing, MayTell, MayDuplicate, RetryAfter bool
-		MostTries, MostHeld, Multiplex                     int
-		MaxRetryAfterS, ConnectTimeoutS, IdleCloseS        float64
-	}
+		Cancel          bool    `json:"cancel"`
+		Probing         bool    `json:"probing"`
+		MayTell         bool    `json:"mayTell"`
+		MayDuplicate    bool    `json:"mayDuplicate"`
+		RetryAfter      bool    `json:"retryAfter"`
+		MostTries       int     `json:"mostTries"`
+		MostHeld        int     `json:"mostHeld"`
+		Multiplex       int     `json:"multiplex"`
+		MaxRetryAfterS  float64 `json:"maxRetryAfterS"`
+		ConnectTimeoutS float64 `json:"connectTimeoutS"`
+		IdleCloseS      float64 `json:"idleCloseS"`
+	} `json:"limits"`
 	Invariants struct {
-		AnswerSlackS, AskEveryS, ColdS, ColdShare, DrainGraceS, FallMultiple, FallS float64
-		ExtraShare, BudgetSpanS                                                     *float64
-		FreeResends                                                                 float64
-	}
+		AnswerSlackS float64  `json:"answerSlackS"`
+		AskEveryS    float64  `json:"askEveryS"`
+		ColdS        float64  `json:"coldS"`
+		ColdShare    float64  `json:"coldShare"`
+		DrainGraceS  float64  `json:"drainGraceS"`
+		FallMultiple float64  `json:"fallMultiple"`
+		FallS        float64  `json:"fallS"`
+		ExtraShare   *float64 `json:"extraShare"`
+		BudgetSpanS  *float64 `json:"budgetSpanS"`
+		FreeResends  float64  `json:"freeResends"`
+	} `json:"invariants"`
 	Prices struct {
-		CrossZone, Waste, Probe, LateFail, Handshake, Connection, Peer, MembershipMode float64
-	}
+		CrossZone      float64 `json:"crossZone"`
+		Waste          float64 `json:"waste"`
+		Probe          float64 `json:"probe"`
+		LateFail       float64 `json:"lateFail"`
+		Handshake      float64 `json:"handshake"`
+		Connection     float64 `json:"connection"`
+		Peer           float64 `json:"peer"`
+		MembershipMode float64 `json:"membershipMode"`
+	} `json:"prices"`
 }
 
 var effects = map[string]logic.Effect{
--- /dev/null
+++ b/internal/dataplane/settings/wire_test.go
@@ -0,0 +1,12 @@
+package settings
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the keys of the settings, which this package only reads.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.JSON, goldentest.Form{Name: "settings", Value: new(wire)})
+}
