--- a/cmd/puffinlink/metrics_test.go
+++ b/cmd/puffinlink/metrics_test.go
@@ -37,9 +37,17 @@
 		run  func(context.Context, *systemNode) error
 		has  []string
 	}{
-		{"agent", runAgent, []string{"puffinlink_in_contact 0", "puffinlink_known_leaders 0"}},
-		{"proxy", runProxy, []string{"puffinlink_ready 0", "puffinlink_connections 0"}},
-		{"coordinator", runCoordinator, []string{"puffinlink_in_contact 0", "puffinlink_disk_complete 1", "puffinlink_configuration_version 0", "puffinlink_live_members 1"}},
+		{"agent", runAgent, []string{"puffinlink_in_contact 0", "puffinlink_known_leaders 0",
+			"# TYPE puffinlink_configuration_version gauge",
+			"# TYPE puffinlink_known_core gauge",
+			"# TYPE puffinlink_known_agents gauge"}},
+		{"proxy", runProxy, []string{"puffinlink_ready 0", "puffinlink_connections 0",
+			"# TYPE puffinlink_busy_connections gauge"}},
+		{"coordinator", runCoordinator, []string{"puffinlink_in_contact 0", "puffinlink_disk_complete 1", "puffinlink_configuration_version 0", "puffinlink_live_members 1",
+			"# TYPE puffinlink_view_members gauge",
+			"# TYPE puffinlink_agents gauge",
+			"# TYPE puffinlink_searcher_connections gauge",
+			"# TYPE puffinlink_searcher_calls_waiting gauge"}},
 	}
 	for _, c := range cases {
 		Convey("Metrics of the "+c.name, t, func() {
--- a/internal/controlplane/rebuild/wire_test.go
+++ b/internal/controlplane/rebuild/wire_test.go
@@ -12,6 +12,7 @@
 		goldentest.Form{Name: "dump request", Value: new(dumpRequest)},
 		goldentest.Form{Name: "dump reply", Value: new(dumpReply)},
 		goldentest.Form{Name: "ready reply", Value: new(readyReply)},
+		goldentest.Form{Name: "ready request", Value: new(readyRequest)},
 	)
 }
 
--- a/internal/controlplane/register/wire_test.go
+++ b/internal/controlplane/register/wire_test.go
@@ -20,6 +20,7 @@
 		goldentest.Form{Name: "read request", Value: new(readRequest)},
 		goldentest.Form{Name: "reply", Value: new(reply)},
 		goldentest.Form{Name: "state", Value: new(state)},
+		goldentest.Form{Name: "push reply", Value: new(pushReply)},
 	)
 }
 
--- a/internal/controlplane/replicaset/wire_test.go
+++ b/internal/controlplane/replicaset/wire_test.go
@@ -14,6 +14,7 @@
 		goldentest.Form{Name: "view reply", Value: new(viewReply)},
 		goldentest.Form{Name: "leave request", Value: new(leaveRequest)},
 		goldentest.Form{Name: "view", Value: new(View)},
+		goldentest.Form{Name: "leave reply", Value: new(leaveReply)},
 	)
 }
 
--- a/internal/controlplane/replication/wire_test.go
+++ b/internal/controlplane/replication/wire_test.go
@@ -21,6 +21,7 @@
 		goldentest.Form{Name: "ping request", Value: new(pingRequest)},
 		goldentest.Form{Name: "ping reply", Value: new(pingReply)},
 		goldentest.Form{Name: "resign request", Value: new(resignRequest)},
+		goldentest.Form{Name: "resign reply", Value: new(resignReply)},
 	)
 }
 
--- a/internal/jobs/jobapi/wire_test.go
+++ b/internal/jobs/jobapi/wire_test.go
@@ -17,6 +17,7 @@
 		goldentest.Form{Name: "cancelled", Value: new(Cancelled)},
 		goldentest.Form{Name: "pending", Value: new(Pending)},
 		goldentest.Form{Name: "pending reply", Value: new(PendingReply)},
+		goldentest.Form{Name: "submitted", Value: new(Submitted)},
 	)
 }
 
