--- /dev/null
+++ b/internal/jobs/jobapi/wire_test.go
@@ -0,0 +1,32 @@
+package jobapi
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.MessagePack,
+		goldentest.Form{Name: "queue", Value: new(Queue)},
+		goldentest.Form{Name: "submit", Value: new(Submit)},
+		goldentest.Form{Name: "status", Value: new(Status)},
+		goldentest.Form{Name: "status reply", Value: new(StatusReply)},
+		goldentest.Form{Name: "cancel", Value: new(Cancel)},
+		goldentest.Form{Name: "cancelled", Value: new(Cancelled)},
+		goldentest.Form{Name: "pending", Value: new(Pending)},
+		goldentest.Form{Name: "pending reply", Value: new(PendingReply)},
+		goldentest.Form{Name: "submitted", Value: new(Submitted)},
+	)
+}
+
+// TestWireConstants pins the constants that leave the process.
+func TestWireConstants(t *testing.T) {
+	goldentest.CheckConstants(t,
+		goldentest.Constant{Have: SubmitCall.Path(), Want: "/jobs/submit"},
+		goldentest.Constant{Have: StatusCall.Path(), Want: "/jobs/status"},
+		goldentest.Constant{Have: CancelCall.Path(), Want: "/jobs/cancel"},
+		goldentest.Constant{Have: PendingCall.Path(), Want: "/jobs/pending"},
+	)
+}
