--- /dev/null
+++ b/internal/jobs/scheduler/stored_test.go
@@ -0,0 +1,354 @@
+package scheduler
+
+import (
+	"cmp"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/jobs/job"
+	"puffinlink.example/puffinlink/internal/jobs/jobapi"
+	"puffinlink.example/puffinlink/internal/jobs/worker"
+)
+
+const (
+	storedFolder   = "testdata/stored"
+	storedDump     = "testdata/stored.json"  // the tables' bytes in hex
+	storedAccount  = "testdata/restored.txt" // what schedulers make of them
+	updateVariable = "GOLDEN_UPDATE"         // set to 1, the stored data is made anew
+	storedRender   = "group/jobs/render"
+	storedMail     = "group/jobs/mail"
+)
+
+var (
+	storedSettings = Settings{FarFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
+		HoldMax: 6 * time.Second, DrainTime: 3 * time.Second, StatusKept: time.Hour}
+	storedBegin = time.UnixMilli(1_700_000_000_000).UTC()
+)
+
+// storedGroup plays the leadership of one group whose records are kept in a table.
+type storedGroup struct {
+	table     string
+	store     storage.Store
+	scheduler *Scheduler
+	now       time.Time
+	at        map[job.TaskID]worker.SearcherID
+	execution map[job.TaskID]uint64
+	ends      map[worker.SearcherID]uint64
+}
+
+func newStoredGroup(table string, store storage.Store, workers ...string) *storedGroup {
+	g := &storedGroup{table: table, store: store, now: storedBegin, at: map[job.TaskID]worker.SearcherID{},
+		execution: map[job.TaskID]uint64{}, ends: map[worker.SearcherID]uint64{}}
+	var err error
+	if g.scheduler, err = New(storedSettings, g.clock(), nil); err != nil {
+		panic(err) // nothing is there to be decoded
+	}
+	var instances []worker.Instance
+	for i, id := range workers {
+		instances = append(instances, worker.Instance{ID: worker.SearcherID(id), Service: "x",
+			Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4}, Labels: []string{"kind", fmt.Sprint("rack-", i)}})
+	}
+	g.scheduler.Inventory(g.clock(), instances)
+	for _, id := range workers {
+		g.scheduler.Listing(g.clock(), &worker.Listing{Searcher: worker.SearcherID(id), SentAt: g.now, First: true})
+	}
+	g.proceed()
+	return g
+}
+
+func (g *storedGroup) clock() Now { return Now{Steady: g.now, WallMS: g.now.UnixMilli()} }
+
+// proceed stores the records of what was decided, and answers all starts.
+func (g *storedGroup) proceed() {
+	g.scheduler.Dispatch(g.clock())
+	effects := g.scheduler.Take()
+	var changes []storage.Change
+	for _, entry := range effects.Entries {
+		changes = append(changes, storage.Change{Table: g.table, Key: entry.Key, Value: entry.Value})
+	}
+	if err := g.store.Write(changes...); err != nil {
+		panic(err)
+	}
+	for _, order := range effects.Orders {
+		if order.Start == nil {
+			continue
+		}
+		g.at[order.Start.Task], g.execution[order.Start.Task] = order.Searcher, order.Start.Execution
+		g.scheduler.StartResult(g.clock(), &worker.StartResult{Searcher: order.Searcher, Order: *order.Start, Outcome: worker.Started, At: g.now})
+	}
+}
+
+func (g *storedGroup) pass(length time.Duration) {
+	g.now = g.now.Add(length)
+	g.scheduler.Tick(g.clock())
+	g.proceed()
+}
+
+func (g *storedGroup) submit(id job.ID, queue jobapi.Queue, specification job.Specification) {
+	g.scheduler.Submit(g.clock(), &jobapi.Submit{ID: id, Queue: queue, Specification: specification})
+	g.proceed()
+}
+
+// end reports that a task's newest run has ended.
+func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.How, checkpoint string) {
+	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
+	at := g.at[task]
+	g.ends[at]++
+	g.scheduler.Listing(g.clock(), &worker.Listing{Searcher: at, SentAt: g.now, Stale: true, Finished: []worker.FinishedTask{
+		{Number: g.ends[at], Task: task, Execution: g.execution[task], How: how, Checkpoint: checkpoint},
+	}})
+	g.proceed()
+}
+
+const (
+	waitingJob   = job.ID("0000000000000001")
+	runningJob   = job.ID("0000000000000002")
+	gangJob      = job.ID("0000000000000003")
+	repeatedJob  = job.ID("0000000000000004")
+	lastingJob   = job.ID("0000000000000005")
+	stagesJob    = job.ID("0000000000000006")
+	copiesJob    = job.ID("0000000000000007")
+	completedJob = job.ID("0000000000000008")
+	failedJob    = job.ID("0000000000000009")
+	cancelledJob = job.ID("000000000000000a")
+)
+
+// writeStoredJobs brings jobs into all of their states.
+func writeStoredJobs(store storage.Store) {
+	queue := jobapi.Queue{Route: "render", Service: "render", Priority: 2, MaxAttempts: 3, Extension: 1.5, TargetLatencyMS: 700, Guards: true}
+	one := job.Stage{Count: 1, EstimatedDurationMS: 500, Resources: job.Resources{Processors: 1000, MemoryMB: 100}}
+	staged := func(stages ...job.Stage) job.Specification {
+		return job.Specification{Text: "do \"it\"\n", Stages: stages}
+	}
+	g := newStoredGroup(storedRender, store, "w-1", "w-2", "w-3")
+	waiting := job.Stage{Count: 2, Resources: job.Resources{Processors: 9000, MemoryMB: 70000, Accelerators: 5}, EstimatedDurationMS: 90000,
+		Checkpoints: true, GangScheduled: true, SameRack: true, Requirements: job.Labels{"none", "kind"}, Affinity: "rack-1", AntiAffinity: 1,
+		AtLeastOnce: true, LongRunning: true}
+	waitingToo := waiting
+	waitingToo.DependsOn = []int{0}
+	g.submit(waitingJob, queue, staged(waiting, waitingToo))
+	saving := one
+	saving.Count, saving.Checkpoints = 2, true
+	g.submit(runningJob, queue, staged(saving))
+	g.end(runningJob, 0, 0, 0, job.Failure, "save-1")
+	g.pass(time.Second)
+	gang := one
+	gang.Count, gang.GangScheduled, gang.Checkpoints = 2, true, true
+	g.submit(gangJob, queue, staged(gang))
+	repeated := staged(one)
+	repeated.Repetitions, repeated.FirstRunMS, repeated.IntervalMS = 4, g.now.UnixMilli(), 1000
+	g.submit(repeatedJob, queue, repeated)
+	g.end(repeatedJob, 0, 0, 0, job.Done, "")
+	g.pass(time.Second)
+	lasting := one
+	lasting.LongRunning = true
+	g.submit(lastingJob, queue, staged(lasting))
+	g.end(lastingJob, 0, 0, 0, job.Done, "")
+	second := one
+	second.DependsOn, second.Affinity = []int{0}, "rack-2"
+	g.submit(stagesJob, queue, staged(one, second))
+	g.end(stagesJob, 0, 0, 0, job.Done, "")
+	g.scheduler.SetOperatorDrain(g.clock(), "w-3", true)
+	g.scheduler.SetOperatorDrain(g.clock(), "w-2", true)
+	g.scheduler.SetOperatorDrain(g.clock(), "w-2", false)
+	g.proceed()
+
+	g = newStoredGroup(storedMail, store, "w-8", "w-9")
+	queue = jobapi.Queue{Route: "mail", Service: "mail", MaxAttempts: 1}
+	copies := one
+	copies.AtLeastOnce = true
+	g.submit(copiesJob, queue, staged(copies))
+	g.submit(completedJob, queue, staged(one))
+	g.submit(failedJob, queue, staged(one))
+	g.submit(cancelledJob, queue, staged(one))
+	g.pass(300 * time.Millisecond)
+	g.end(completedJob, 0, 0, 0, job.Done, "")
+	g.end(failedJob, 0, 0, 0, job.Failure, "")
+	g.scheduler.Cancel(g.clock(), cancelledJob)
+	g.proceed()
+}
+
+// account writes down all that a scheduler has made of its records, in words that do not depend on names in the code.
+func account(s *Scheduler) string {
+	var text strings.Builder
+	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
+	line("arrivals %d, next due %d", s.arrivals, s.NextDue())
+	for _, route := range slices.Sorted(maps.Keys(s.pending)) {
+		line("route %s: %d jobs", route, s.Pending(route))
+	}
+	for _, j := range s.jobsByArrival() {
+		specification, err := json.Marshal(j.Specification)
+		if err != nil {
+			panic(err) // it can be written
+		}
+		state, _ := s.Status(j.id)
+		q := j.Queue
+		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.left, j.nextDue)
+		line("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
+			q.Route, q.Service, q.Priority, q.MaxAttempts, q.Extension, q.TargetLatencyMS, q.Guards)
+		line("  specification: %s", specification)
+		for number, r := range j.times {
+			if r == nil {
+				line("  repetition %d: complete", number)
+				continue
+			}
+			accountOfRepetition(line, r)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
+		line("job %s: ended as %s at %d", id, s.ended[id].State, s.ended[id].EndedMS)
+	}
+	for _, w := range s.list {
+		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", w.ID, len(w.runs), w.used.Processors, w.used.MemoryMB, w.used.Accelerators)
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
+		d := s.operatorDrains[id]
+		line("drain of %s: since %d, version %d, history %b", id, d.SinceMS, d.Version, d.History)
+	}
+	return text.String()
+}
+
+func accountOfRepetition(line func(format string, values ...any), r *repetition) {
+	line("  repetition %d: stages left %d", r.number, r.left)
+	for _, stage := range r.stages {
+		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.left, len(stage.waiting))
+		for _, t := range stage.tasks {
+			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", t.id, t.execution, t.failed, t.checkpoint, t.done)
+			for _, run := range slices.SortedFunc(slices.Values(t.runs), func(a, b *run) int { return cmp.Compare(a.execution, b.execution) }) {
+				line("        run %d at %s, inherited %v", run.execution, run.at.ID, run.inherited)
+			}
+		}
+	}
+}
+
+// accountOfTables is the account of the schedulers of both groups, some time after the records were written.
+func accountOfTables(tables storage.Tables) (string, error) {
+	text := ""
+	for _, table := range []string{storedRender, storedMail} {
+		later := storedBegin.Add(2500 * time.Millisecond)
+		s, err := New(storedSettings, Now{Steady: later, WallMS: later.UnixMilli()}, tables[table])
+		if err != nil {
+			return "", err
+		}
+		text += "# " + table + "\n" + account(s)
+	}
+	return text, nil
+}
+
+// dumpTables writes tables down, each value in hex.
+func dumpTables(tables storage.Tables) string {
+	values := make(map[string]map[string]string)
+	for name, table := range tables {
+		values[name] = make(map[string]string)
+		for key, value := range table {
+			values[name][key] = hex.EncodeToString(value)
+		}
+	}
+	text, err := json.MarshalIndent(values, "", " ")
+	if err != nil {
+		panic(err) // maps of texts can be written
+	}
+	return string(text) + "\n"
+}
+
+// encodedAgain decodes a record and encodes it again, as this build does.
+func encodedAgain(key string, value []byte) []byte {
+	record := map[string]any{
+		jobPrefix: &jobRecord{}, taskPrefix: &taskRecord{}, repetitionPrefix: &repetitionRecord{},
+		endedPrefix: &endedRecord{}, operatorDrainPrefix: &operatorDrainRecord{},
+	}[key[:2]]
+	if err := decode(key, value, record); err != nil {
+		panic(err) // schedulers have decoded it
+	}
+	var s Scheduler
+	s.write(key, reflect.ValueOf(record).Elem().Interface())
+	return s.effects.Entries[0].Value
+}
+
+func openStored(t *testing.T, folder string) *storage.FileStore {
+	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { store.Close() })
+	return store
+}
+
+func makeStoredJobs(t *testing.T) {
+	os.RemoveAll(storedFolder)
+	store := openStored(t, storedFolder)
+	writeStoredJobs(store)
+	text, err := accountOfTables(store.Snapshot())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for path, content := range map[string]string{storedDump: dumpTables(store.Snapshot()), storedAccount: text} {
+		if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func readGolden(t *testing.T, path string) string {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(content)
+}
+
+func TestReadsStoredDataOfJobs(t *testing.T) {
+	if os.Getenv(updateVariable) == "1" {
+		makeStoredJobs(t)
+	}
+	records, restored := readGolden(t, storedDump), readGolden(t, storedAccount)
+	Convey("Given the records of two groups that an earlier build stored", t, func() {
+		folder := t.TempDir()
+		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
+		store := openStored(t, folder)
+		So(dumpTables(store.Snapshot()), ShouldEqual, records)
+
+		Convey("schedulers restore all of them", func() {
+			text, err := accountOfTables(store.Snapshot())
+			So(err, ShouldBeNil)
+			So(text, ShouldEqual, restored)
+		})
+		Convey("there is a record of each kind, and a job in each state", func() {
+			for _, kind := range []string{jobPrefix, taskPrefix, repetitionPrefix, endedPrefix, operatorDrainPrefix} {
+				So(records, ShouldContainSubstring, `"`+kind)
+			}
+			for _, state := range []job.State{job.Queued, job.Running, job.Completed, job.Failed, job.Cancelled} {
+				So(restored, ShouldContainSubstring, string(state))
+			}
+		})
+		Convey("this build writes the same, so that the earlier one can read it", func() {
+			again := make(storage.Tables)
+			for name, table := range store.Snapshot() {
+				again[name] = make(map[string][]byte)
+				for key, value := range table {
+					again[name][key] = encodedAgain(key, value)
+				}
+			}
+			So(dumpTables(again), ShouldEqual, records)
+		})
+		Convey("this build names the records in the same way", func() {
+			task := job.TaskID{Job: repeatedJob, Repetition: 1, Stage: 2, Index: 3}
+			So(jobKey(waitingJob), ShouldEqual, "j/0000000000000001")
+			So(endedKey(waitingJob), ShouldEqual, "e/0000000000000001")
+			So(taskKey(task), ShouldEqual, "t/0000000000000004/1.2.3")
+			So(repetitionKey(repeatedJob, 1), ShouldEqual, "k/0000000000000004/1")
+			So(operatorDrainKey("w-1"), ShouldEqual, "d/w-1")
+		})
+	})
+}
