--- /dev/null
+++ b/internal/controlplane/fleet/stored_test.go
@@ -0,0 +1,218 @@
+package fleet
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	. "github.com/smartystreets/goconvey/convey"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"go.uber.org/zap"
+	"google.golang.org/protobuf/proto"
+
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/council"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/roster"
+	"puffinlink.example/puffinlink/internal/store"
+)
+
+const (
+	storedFolder   = "testdata/stored"
+	storedDump     = "testdata/stored.json" // the log's bytes in hex
+	updateVariable = "GOLDEN_UPDATE"        // set to 1, the stored data is made anew
+	storedSelf     = roster.Name("a")
+)
+
+var (
+	storedNames    = []roster.Name{"a", "b", "c"}
+	storedFounders = []council.Voter{{Name: "a", ID: 0x11}, {Name: "b", ID: 0x22}, {Name: "c", ID: 0x33}}
+	storedQuota    = quota.Quota{PerS: 100, Burst: 50, Floor: 0.25}
+	storedContract = residency.Contract{Zones: []string{"north", "south"}, Own: true, Indexes: []string{"reads"}}
+	// storedState is that of the snapshot.
+	storedState = council.State{
+		Index:     7,
+		Contracts: residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
+		Quotas:    map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasAt: 6,
+		Floors:        map[quota.Tenant]council.Floor{"acme": {PerS: 30, Burst: 15}},
+		FileContracts: 2, FileQuotas: 3, Voters: storedFounders,
+		Done:     []council.Done{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Wrong: "nothing"}},
+		Founders: storedFounders,
+	}
+	storedTables = tables{
+		Incarnation: 0xabcdef, Table: &residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
+		Quotas: map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasAt: 6, Heard: true,
+	}
+	// storedCommands are in the log after the snapshot, from index 8 on.
+	storedCommands = []council.Command{
+		{ID: "c-3", Author: "ann", Reason: "new", Contract: &council.ContractChange{Tenant: "beta", Contract: &residency.Contract{Zones: []string{"west"}}}},
+		{ID: "c-4", Author: "ann", Reason: "more", Quota: &council.QuotaChange{Tenant: "beta", Quota: &quota.Quota{PerS: 8, Burst: 4, Floor: 0.5}}},
+		{ID: "c-5", Author: "file", File: &council.FileTables{
+			ContractsVersion: 2, Contracts: map[residency.Tenant]residency.Contract{"late": {Zones: []string{"east"}}},
+			QuotasVersion: 4, Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, Floor: 0.25}},
+		}},
+	}
+	// storedAgreed is the state after the commands that the vote record says are agreed on.
+	storedAgreed = council.State{
+		Index: 10,
+		Contracts: residency.Table{Version: 8, Contracts: map[residency.Tenant]residency.Contract{
+			"acme": storedContract, "beta": {Zones: []string{"west"}}}},
+		Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, Floor: 0.25}}, QuotasAt: 10,
+		Floors:        map[quota.Tenant]council.Floor{"acme": {PerS: 50, Burst: 15}, "beta": {PerS: 4, Burst: 2}},
+		FileContracts: 2, FileQuotas: 4, Voters: storedFounders,
+		Done: []council.Done{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Wrong: "nothing"}, {ID: "c-3", Index: 8}, {ID: "c-4", Index: 9},
+			{ID: "c-5", Index: 10, Wrong: "contracts: version 2 is not above 2, which is held"}},
+		Founders: storedFounders,
+	}
+)
+
+// canonical encodes as the council does.
+func canonical(value any) []byte {
+	mode, err := cbor.CanonicalEncOptions().EncMode()
+	if err != nil {
+		panic(err) // the options are constants
+	}
+	encoded, err := mode.Marshal(value)
+	if err != nil {
+		panic(err) // plain structures
+	}
+	return encoded
+}
+
+// storedSave is what a voter has saved: votes, a snapshot, three commands that are agreed on, and one that is not.
+func storedSave() *council.Save {
+	save := &council.Save{
+		Hard: &pb.HardState{Term: proto.Uint64(4), Vote: proto.Uint64(0x22), Commit: proto.Uint64(10)},
+		Snapshot: &pb.Snapshot{Data: canonical(&storedState), Metadata: &pb.SnapshotMetadata{
+			ConfState: &pb.ConfState{Voters: []uint64{0x11, 0x22, 0x33}}, Index: proto.Uint64(7), Term: proto.Uint64(3)}},
+	}
+	normal := pb.EntryNormal
+	add := func(term uint64, command council.Command) {
+		index := 8 + uint64(len(save.Entries))
+		save.Entries = append(save.Entries, &pb.Entry{Type: &normal, Term: proto.Uint64(term), Index: proto.Uint64(index), Data: canonical(&command)})
+	}
+	for _, command := range storedCommands {
+		add(3, command)
+	}
+	add(4, council.Command{ID: "c-6", Contract: &council.ContractChange{Tenant: "acme"}})
+	return save
+}
+
+func openStoredLog(t *testing.T, folder string) (*store.Log, store.LogContents) {
+	log, contents, err := store.OpenLog(folder, time.Second, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return log, contents
+}
+
+func saveNow(t *testing.T, log *store.Log, save store.LogSave) {
+	saved := make(chan error, 1)
+	log.Save(save, func(err error) { saved <- err })
+	if err := <-saved; err != nil {
+		t.Fatal(err)
+	}
+}
+
+// dumpLog writes what a log held down, in hex.
+func dumpLog(contents store.LogContents) string {
+	dump := map[string]map[string]string{"values": {}, "entries": {}, "of the file": {"id": strconv.FormatUint(contents.ID, 16)}}
+	for name, value := range contents.Values {
+		dump["values"][name] = hex.EncodeToString(value)
+	}
+	for _, entry := range contents.Entries {
+		dump["entries"][strconv.FormatUint(entry.Index, 10)] = hex.EncodeToString(entry.Data)
+	}
+	text, err := json.MarshalIndent(dump, "", " ")
+	if err != nil {
+		panic(err) // maps of texts can be written
+	}
+	return string(text) + "\n"
+}
+
+func makeStoredLog(t *testing.T) {
+	os.RemoveAll(storedFolder)
+	log, _ := openStoredLog(t, storedFolder)
+	saveNow(t, log, store.LogSave{Entries: []store.Entry{{Index: 7, Data: []byte("cut off")}, {Index: 8, Data: []byte("replaced")}}})
+	out, err := asLog(storedSave())
+	if err != nil {
+		t.Fatal(err)
+	}
+	saveNow(t, log, out)
+	saveNow(t, log, store.LogSave{Values: map[string][]byte{valueTables: canonical(&storedTables)}})
+	log.Stop()
+	log, contents := openStoredLog(t, storedFolder)
+	log.Stop()
+	if err := os.WriteFile(storedDump, []byte(dumpLog(contents)), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// agreed applies what a voter knows to be agreed on.
+func agreed(t *testing.T, machine *council.Machine) council.State {
+	for {
+		if _, has := machine.Work(); !has {
+			return *machine.State()
+		}
+		if _, err := machine.Done(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestReadsStoredDataOfTheFleet(t *testing.T) {
+	if os.Getenv(updateVariable) == "1" {
+		makeStoredLog(t)
+	}
+	golden, err := os.ReadFile(storedDump)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Convey("Given a log that an earlier build wrote", t, func() {
+		folder := t.TempDir()
+		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
+		log, contents := openStoredLog(t, folder)
+		defer log.Stop()
+		So(contents.Aside, ShouldBeEmpty)
+		So(dumpLog(contents), ShouldEqual, string(golden))
+
+		Convey("the tables of the mixer are read", func() {
+			f := &Fleet{stored: contents, log: zap.NewNop()}
+			So(f.readTables(), ShouldResemble, storedTables)
+			So(f.heard, ShouldBeTrue)
+		})
+		Convey("the votes, the snapshot and the entries are read", func() {
+			kept, err := readCouncil(&contents)
+			So(err, ShouldBeNil)
+			want := storedSave()
+			So(kept.ID, ShouldEqual, contents.ID)
+			So(proto.Equal(kept.Hard, want.Hard), ShouldBeTrue)
+			So(proto.Equal(kept.Snapshot, want.Snapshot), ShouldBeTrue)
+			So(len(kept.Entries), ShouldEqual, len(want.Entries))
+			for i := range want.Entries {
+				So(proto.Equal(kept.Entries[i], want.Entries[i]), ShouldBeTrue)
+			}
+		})
+		Convey("a voter goes on from the snapshot to what is agreed on", func() {
+			kept, err := readCouncil(&contents)
+			So(err, ShouldBeNil)
+			kept.ID = storedFounders[0].ID
+			machine, err := council.New(storedSelf, storedNames, kept)
+			So(err, ShouldBeNil)
+			So(*machine.State(), ShouldResemble, storedState)
+			So(agreed(t, machine), ShouldResemble, storedAgreed)
+			So(machine.Term(), ShouldEqual, 4)
+		})
+		Convey("this build writes the same, so that the earlier one can read it", func() {
+			out, err := asLog(storedSave())
+			So(err, ShouldBeNil)
+			again := store.LogContents{ID: contents.ID, Values: out.Values, Entries: out.Entries}
+			again.Values[valueTables] = canonical(&storedTables)
+			So(dumpLog(again), ShouldEqual, string(golden))
+		})
+	})
+}
--- /dev/null
+++ b/internal/operators/capture/stored_test.go
@@ -0,0 +1,85 @@
+package capture
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+const (
+	storedCapture  = "testdata/stored/earlier.capture"
+	storedDump     = "testdata/stored.json" // the intervals' texts
+	updateVariable = "GOLDEN_UPDATE"        // set to 1, the stored data is made anew
+)
+
+func histogramOf(bars map[float64]int64) (h Hist) {
+	for seconds, count := range bars {
+		h.Add(seconds, count)
+	}
+	return h
+}
+
+// storedIntervals fill each field.
+func storedIntervals() []Interval {
+	return []Interval{
+		{
+			At: 1000.5, Span: 2.5, Mixers: []string{"n1", "n2"},
+			Loads: []Load{
+				{Index: "orders", Customer: "acme", Lookups: 11, Resent: 2, Parts: 33, Hint: 0.75,
+					Ends: Ends{Satisfied: 1, Late: 2, Nacked: 3, Aborted: 4, Gone: 5, Full: 6}},
+				{Index: "reads", Lookups: 1},
+			},
+			Indexes: []IndexLoad{{Index: "orders", Parts: map[int]int64{1: 4, 3: 7}, Latency: histogramOf(map[float64]int64{0.01: 3, 0.5: 1})}},
+			Shards:  []ShardLoad{{Index: "orders", Shard: 7, Parts: 20}, {Index: "orders", Shard: 8, Parts: 13}},
+			Searchers: []SearcherLoad{{Searcher: "s-1", Location: "north", Index: "orders", Calls: 9, Failed: 1, TurnedAway: 2,
+				Latency: histogramOf(map[float64]int64{0.02: 5}), Alone: histogramOf(map[float64]int64{0.001: 2}), Reports: 8, Service: 0.125, Util: 4.5}},
+			Held: Level{Mean: 1.5, Most: 4}, Out: Level{Mean: 2.25, Most: 9},
+		},
+		{At: 1003, Span: 2.5, Mixers: []string{"n1", "n2"}},
+	}
+}
+
+// textsOf writes intervals down as their blocks hold them.
+func textsOf(list []Interval) string {
+	text, err := json.MarshalIndent(list, "", " ")
+	if err != nil {
+		panic(err) // intervals can be written
+	}
+	return string(text) + "\n"
+}
+
+func makeStoredCapture(t *testing.T) {
+	if err := os.MkdirAll(filepath.Dir(storedCapture), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := Save(storedCapture, Capture{storedIntervals()}); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(storedDump, []byte(textsOf(storedIntervals())), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestReadsStoredDataOfACapture(t *testing.T) {
+	if os.Getenv(updateVariable) == "1" {
+		makeStoredCapture(t)
+	}
+	golden, err := os.ReadFile(storedDump)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Convey("Given a capture that an earlier build saved", t, func() {
+		for _, path := range []string{storedCapture, filepath.Dir(storedCapture)} {
+			Convey("all of it is read from "+path, func() {
+				c, cuts, err := Open(path)
+				So(err, ShouldBeNil)
+				So(cuts, ShouldBeEmpty)
+				So(c.Intervals, ShouldResemble, storedIntervals())
+				So(textsOf(c.Intervals), ShouldEqual, string(golden))
+			})
+		}
+	})
+}
--- /dev/null
+++ b/internal/store/stored_test.go
@@ -0,0 +1,174 @@
+package store
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+	bolt "go.etcd.io/bbolt"
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/operators/override"
+)
+
+const (
+	storedOverrides = "testdata/overrides"
+	storedLog       = "testdata/log"
+	storedDump      = "testdata/overrides.json" // the records' texts, by bucket and key
+	updateVariable  = "GOLDEN_UPDATE"           // set to 1, the stored data is made anew
+)
+
+// storedHeld are overrides of all kinds, by the changes that set them.
+var storedHeld = []override.Override{
+	{ID: 1, Since: 1000.5, Spec: override.Spec{Kind: override.Weight, Location: "north", Index: "reads", Factor: 0.25, Author: "ann", Reason: "slow", End: 5000}},
+	{ID: 2, Since: 1001, Started: 900.25, Spec: override.Spec{Kind: override.Out, Searcher: "s-1", Author: "bob", Reason: "ill", End: 6000, UntilRestart: true}},
+	{ID: 4, Since: 1003, Spec: override.Spec{Kind: override.Pin, Searcher: "s-2", From: 3, To: 70000, Strict: true, Author: "ann", Reason: "hot", End: 7000}},
+}
+
+// storedChanges are all changes that were made, of all kinds.
+func storedChanges() []override.Change {
+	set := func(revision override.Revision, held override.Override, key override.Key) override.Change {
+		return override.Change{Revision: revision, At: held.Since, What: override.WasSet, Override: held, Author: held.Author, Reason: held.Reason,
+			Key: key, Digest: 0xfedcba9876543210, Forced: nil}
+	}
+	short := override.Override{ID: 3, Since: 1002, Spec: override.Spec{Kind: override.Out, Location: "south", Author: "bob", Reason: "works", End: 1004}}
+	cleared := override.Override{ID: 6, Since: 1005, Spec: override.Spec{Kind: override.Weight, Searcher: "s-3", Factor: 1, Author: "ann", Reason: "try", End: 9000}}
+	restarted := override.Override{ID: 7, Since: 1006, Started: 7, Spec: override.Spec{Kind: override.Out, Searcher: "s-4", Author: "ann", End: 9000, UntilRestart: true}}
+	forced := set(2, storedHeld[1], "k-2")
+	forced.Forced = []string{"last_holder", "shard_capacity"}
+	return []override.Change{
+		set(1, storedHeld[0], "k-1"), forced, set(3, short, ""), set(4, storedHeld[2], "k-4"),
+		{Revision: 5, At: 1004, What: override.HasEnded, Override: short},
+		set(6, cleared, "k-6"), set(7, restarted, "k-7"),
+		{Revision: 8, At: 1007, What: override.WasCleared, Override: cleared, Author: "bob", Reason: "done", Key: "k-8", Digest: 1},
+		{Revision: 9, At: 1008, What: override.HasRestarted, Override: restarted},
+	}
+}
+
+// storedLogContents are what the log holds.
+var storedLogContents = LogContents{
+	Values:  map[string][]byte{"tables": {0xa1, 1, 2}, "empty": {}, "hard": []byte("second")},
+	Entries: []Entry{{3, []byte("three")}, {4, []byte("four, again")}, {5, []byte{}}},
+}
+
+func makeStoredOverrides(t *testing.T) {
+	os.RemoveAll(storedOverrides)
+	s, _, err := Open(storedOverrides, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	changes := storedChanges()
+	for _, part := range [][]override.Change{changes[:2], changes[2:]} {
+		if err := keepNow(s, part...); err != nil {
+			t.Fatal(err)
+		}
+	}
+	s.Stop()
+	if err := os.WriteFile(storedDump, []byte(dumpOverrides(t, storedOverrides)), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func makeStoredLog(t *testing.T) {
+	os.RemoveAll(storedLog)
+	l, _, err := OpenLog(storedLog, time.Second, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, save := range []LogSave{
+		{Values: map[string][]byte{"hard": []byte("first"), "tables": {0xa1, 1, 2}}, Entries: []Entry{{1, []byte("one")}, {2, []byte("two")}, {3, []byte("three")}}},
+		{CutTo: 2, Entries: []Entry{{4, []byte("four")}}},
+		{Values: map[string][]byte{"hard": []byte("second"), "empty": {}}, Entries: storedLogContents.Entries[1:]},
+	} {
+		done := make(chan error, 1)
+		l.Save(save, func(err error) { done <- err })
+		if err := <-done; err != nil {
+			t.Fatal(err)
+		}
+	}
+	l.Stop()
+}
+
+// dumpOverrides writes all records of a file down, as the texts that they are.
+func dumpOverrides(t *testing.T, folder string) string {
+	db, err := bolt.Open(folder+"/"+fileName, 0o600, &bolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	dump := map[string]map[uint64]json.RawMessage{"held": {}, "audit": {}}
+	numbers := map[string]uint64{}
+	err = db.View(func(tx *bolt.Tx) error {
+		for bucket, records := range dump {
+			err := tx.Bucket([]byte(bucket)).ForEach(func(key, value []byte) error {
+				text, err := checked(value)
+				records[stated(key)] = text
+				return err
+			})
+			if err != nil {
+				return err
+			}
+		}
+		return tx.Bucket([]byte("meta")).ForEach(func(key, value []byte) error {
+			numbers[string(key)] = stated(value)
+			return nil
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.MarshalIndent(map[string]any{"records": dump, "meta": numbers}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text) + "\n"
+}
+
+func TestReadsStoredDataOfOverrides(t *testing.T) {
+	if os.Getenv(updateVariable) == "1" {
+		makeStoredOverrides(t)
+	}
+	golden, err := os.ReadFile(storedDump)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Convey("Given the overrides that an earlier build kept", t, func() {
+		folder := t.TempDir()
+		So(os.CopyFS(folder, os.DirFS(storedOverrides)), ShouldBeNil)
+		So(dumpOverrides(t, folder), ShouldEqual, string(golden))
+
+		Convey("all of them are read, and all changes", func() {
+			s, kept, err := Open(folder, zap.NewNop())
+			So(err, ShouldBeNil)
+			defer s.Stop()
+			So(kept, ShouldResemble, Contents{Revision: 9, Held: storedHeld, Recent: storedChanges()})
+		})
+		Convey("this build writes the same, so that the earlier one can read it", func() {
+			other := t.TempDir()
+			s, _, err := Open(other, zap.NewNop())
+			So(err, ShouldBeNil)
+			So(keepNow(s, storedChanges()...), ShouldBeNil)
+			s.Stop()
+			So(dumpOverrides(t, other), ShouldEqual, string(golden))
+		})
+	})
+}
+
+func TestReadsStoredDataOfTheLog(t *testing.T) {
+	if os.Getenv(updateVariable) == "1" {
+		makeStoredLog(t)
+	}
+	Convey("Given a log that an earlier build kept, all of it is read", t, func() {
+		folder := t.TempDir()
+		So(os.CopyFS(folder, os.DirFS(storedLog)), ShouldBeNil)
+		l, kept, err := OpenLog(folder, time.Second, zap.NewNop())
+		So(err, ShouldBeNil)
+		defer l.Stop()
+		So(kept.ID, ShouldNotEqual, 0)
+		want := storedLogContents
+		want.ID = kept.ID // drawn
+		So(kept, ShouldResemble, want)
+	})
+}
