--- /dev/null
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -0,0 +1,169 @@
+package coordinator
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/controlplane/configuration"
+	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/jobs/job"
+	"puffinlink.example/puffinlink/internal/jobs/jobapi"
+	"puffinlink.example/puffinlink/internal/nodesettings"
+)
+
+const (
+	storedFolder   = "testdata/stored"
+	updateVariable = "GOLDEN_UPDATE"     // set to 1, the stored data is made anew
+	storedSelf     = "127.201.17.5:7660" // stands in the stored view
+	storedControl  = "127.201.17.5:7664"
+	storedPatience = 30 * time.Second
+
+	queuedJob    = job.ID("00000000000000a1")
+	cancelledJob = job.ID("00000000000000a2")
+	mailJob      = job.ID("00000000000000a3")
+)
+
+// storedConfiguration is of a length that is stored by parts.
+func storedConfiguration(version int) []byte {
+	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
+	for i := range 30 {
+		if i > 0 {
+			text = append(text, ',')
+		}
+		text = fmt.Appendf(text, `{"name":"r-%d","host":"jobs.example","pathPrefix":"/%d/","kind":"non_idempotent",`+
+			`"timeoutMs":3000,"targetLatencyMs":1000,"priority":1,"service":%q,"maxAttempts":3,"extension":2.5}`, i, i*i, []string{"render", "mail"}[i%2])
+	}
+	return fmt.Append(text, `],"services":[{"name":"render","healthCheckPath":"/health","maxConnections":64,"protocol":"h1","guards":true},`+
+		`{"name":"mail","healthCheckPath":"/health","maxConnections":64,"protocol":"h1","guards":false}],`+
+		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`)
+}
+
+// runStored runs a coordinator on a folder while something is done with it.
+func runStored(t *testing.T, folder string, firstStart bool, do func(ctx context.Context, c *Coordinator)) {
+	ctx, cancel := context.WithTimeout(t.Context(), storedPatience)
+	defer cancel()
+	settings, err := nodesettings.Parse(fmt.Appendf(nil, "nodeName=core-1\nipAddress=127.201.17.5\nzone=north\nregion=east\nzones.north=east\n"+
+		"internalPortRange=7660,7675\nseedNodes=%s\nfirstStart=%v\nfaultTolerance.machines=0\nlimits.memoryMb=284\nlimits.fileDescriptors=4100\n"+
+		"bounds.gracePeriodS=4\nbounds.holdMaxMs=2000\nbounds.stop_ms=400\ncloudApi.address=127.201.17.5:7670\ncloudApi.ratePerS=30\n"+
+		"dataDirectory=%s\ncountsForQuorum=true\n", storedControl, firstStart, folder))
+	if err != nil {
+		t.Fatal(err)
+	}
+	listen := func(address string) net.Listener {
+		listener, err := net.Listen("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return listener
+	}
+	listeners := Listeners{Internal: listen(storedSelf), Control: listen(storedControl)}
+	c, err := New(settings, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	running, stop := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- c.Run(running, listeners) }()
+	defer func() { // also where the test fails midway
+		stop()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}()
+	do(ctx, c)
+}
+
+// untilDone repeats an attempt until it succeeds.
+func untilDone(ctx context.Context, t *testing.T, attempt func() error) {
+	for {
+		err := attempt()
+		if err == nil {
+			return
+		}
+		if !pause(ctx, 50*time.Millisecond) {
+			t.Fatal(err)
+		}
+	}
+}
+
+func makeStoredCoordinator(t *testing.T) {
+	os.RemoveAll(storedFolder)
+	runStored(t, storedFolder, true, func(ctx context.Context, c *Coordinator) {
+		for version := 1; version <= 2; version++ {
+			untilDone(ctx, t, func() error {
+				outcome := c.configurator.Put(ctx, uint64(version-1), storedConfiguration(version))
+				if outcome.Kind == configuration.Accepted {
+					return nil
+				}
+				return fmt.Errorf("configuration %d: %+v", version, outcome)
+			})
+		}
+		submit := func(id job.ID, service string) {
+			request := jobapi.Submit{Group: feed.GroupOf(service), ID: id,
+				Queue:         jobapi.Queue{Route: "r-0", Service: service, Priority: 1, MaxAttempts: 3, Extension: 2.5, TargetLatencyMS: 1000, Guards: true},
+				Specification: job.Specification{Text: "do it", Stages: []job.Stage{{Count: 2, Resources: job.Resources{Processors: 500}}}}}
+			untilDone(ctx, t, func() error { _, err := jobapi.SubmitCall.Call(ctx, c.caller, storedSelf, request); return err })
+		}
+		submit(queuedJob, "render")
+		submit(cancelledJob, "render")
+		submit(mailJob, "mail")
+		untilDone(ctx, t, func() error {
+			_, err := jobapi.CancelCall.Call(ctx, c.caller, storedSelf, jobapi.Cancel{Group: feed.GroupOf("render"), ID: cancelledJob})
+			return err
+		})
+	})
+}
+
+// TestReadsStoredDataOfACoordinator starts a coordinator on the disk of an earlier build. What each table holds is compared
+// by the packages that it belongs to; here they work together.
+func TestReadsStoredDataOfACoordinator(t *testing.T) {
+	if os.Getenv(updateVariable) == "1" {
+		makeStoredCoordinator(t)
+	}
+	folder := t.TempDir()
+	if err := os.CopyFS(folder, os.DirFS(storedFolder)); err != nil {
+		t.Fatal(err)
+	}
+	states := map[job.ID]jobapi.StatusReply{}
+	pending := map[string]int{}
+	var view replicaset.View
+	var version uint64
+	var body []byte
+	var tables []string
+	runStored(t, folder, false, func(ctx context.Context, c *Coordinator) {
+		tables, view = c.store.Tables(), c.views.View()
+		untilDone(ctx, t, func() (err error) { version, body, err = c.configurator.Read(ctx); return err })
+		for id, service := range map[job.ID]string{queuedJob: "render", cancelledJob: "render", mailJob: "mail"} {
+			untilDone(ctx, t, func() (err error) {
+				states[id], err = jobapi.StatusCall.Call(ctx, c.caller, storedSelf, jobapi.Status{Group: feed.GroupOf(service), ID: id})
+				return err
+			})
+			untilDone(ctx, t, func() error {
+				reply, err := jobapi.PendingCall.Call(ctx, c.caller, storedSelf, jobapi.Pending{Group: feed.GroupOf(service), Route: "r-0"})
+				pending[service] = reply.Count
+				return err
+			})
+		}
+	})
+	Convey("A coordinator starts on the disk of an earlier build and knows all that was there", t, func() {
+		So(tables, ShouldResemble, []string{
+			"group-meta/jobs/mail", "group-meta/jobs/render", "group/jobs/mail", "group/jobs/render", "rebuild",
+			"register/configuration", "register/configuration/parts", "register/replicaset/founding", "replicaset",
+		})
+		So(view, ShouldResemble, replicaset.View{Version: 1, Members: []string{storedSelf}, Zones: map[string]string{storedSelf: "north"}})
+		So(version, ShouldEqual, 2)
+		So(string(body), ShouldEqual, string(storedConfiguration(2)))
+		So(states, ShouldResemble, map[job.ID]jobapi.StatusReply{
+			queuedJob: {Known: true, State: job.Queued}, cancelledJob: {Known: true, State: job.Cancelled}, mailJob: {Known: true, State: job.Queued},
+		})
+		So(pending, ShouldResemble, map[string]int{"render": 1, "mail": 1})
+	})
+}
