--- /dev/null
+++ b/internal/systemtest/builds_test.go
@@ -0,0 +1,370 @@
+package systemtest
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"puffinlink.example/puffinlink/internal/nodesettings"
+)
+
+// otherVariable names a puffinlink program of another build.
+const otherVariable = "PUFFINLINK_OTHER_BUILD"
+
+// useOther lets processes of a machine be started from the other build, if there is one. That listens where its settings
+// say, without relays. Its agent and its proxy meet at the loopback address of the standard port, which is the same for all
+// machines: a system can have one such front.
+func (m *machine) useOther(roles ...role) {
+	program := os.Getenv(otherVariable)
+	if program == "" {
+		return
+	}
+	for _, p := range m.processes {
+		if slices.Contains(roles, p.spec.Role) {
+			p.other, p.listen, p.reached = program, m.listenLines(p.spec.Role), m.relays[p][0].address
+		}
+		switch p.spec.Role {
+		case agentRole:
+			p.spec.Second = m.loopback()
+		case proxyRole:
+			p.spec.Agent = m.loopback()
+		}
+	}
+}
+
+// useThis lets all processes of a machine be started from this build again.
+func (m *machine) useThis() {
+	for _, p := range m.processes {
+		p.other = ""
+	}
+}
+
+// loopback is where the agent and the proxy of a machine meet by the standard.
+func (m *machine) loopback() string { return fmt.Sprintf("127.0.0.1:%d", m.system.port+localOffset) }
+
+// listenLines are the settings of the addresses at which a process listens.
+func (m *machine) listenLines(of role) string {
+	switch of {
+	case coordinatorRole:
+		return "listenAddresses.control=" + m.address(controlOffset) + "\n"
+	case proxyRole:
+		return "listenAddresses.front=" + m.address(frontOffset) + "\nlistenAddresses.readiness=" + m.address(readinessOffset) + "\n"
+	}
+	return ""
+}
+
+// newOtherCommand is the command that starts the process from the other build.
+func (p *process) newOtherCommand() (*exec.Cmd, error) {
+	path := strings.TrimSuffix(p.log.Name(), ".log") + ".conf"
+	if err := os.WriteFile(path, []byte(p.spec.Settings+p.listen), 0o600); err != nil {
+		return nil, err
+	}
+	command := exec.Command(p.other, string(p.spec.Role), "--log-level", "debug")
+	command.Env = append(os.Environ(), nodesettings.PathVariable+"="+path, "GOMAXPROCS=2")
+	return command, nil
+}
+
+// awaitListening closes ready once a process of the other build takes connections.
+func (p *process) awaitListening(ready, ended chan struct{}) {
+	for {
+		connection, err := net.Dial("tcp", p.reached)
+		if err == nil {
+			connection.Close()
+			close(ready)
+			return
+		}
+		select {
+		case <-ended:
+			return
+		case <-time.After(pollPause):
+		}
+	}
+}
+
+// mixedScenarios play a scenario with the processes of both builds side by side: by machines, and within machines.
+var mixedScenarios = []scenario{
+	{name: "mixed-machines", seed: 31, faults: killLeader(false), prepare: func(s *system) {
+		s.core[1].useOther(coordinatorRole)
+		s.fronts[0].useOther(agentRole, proxyRole)
+	}},
+	{name: "mixed-agent", seed: 32, faults: killLeader(false), prepare: func(s *system) {
+		s.core[0].useOther(coordinatorRole)
+		s.core[2].useOther(coordinatorRole)
+		s.fronts[0].useOther(agentRole)
+	}},
+	{name: "mixed-proxy", seed: 33, faults: killFollower(true), prepare: func(s *system) {
+		s.core[0].useOther(coordinatorRole)
+		s.fronts[1].useOther(proxyRole)
+	}},
+}
+
+// logBuilds tells which builds take part.
+func logBuilds(t *testing.T) {
+	if program := os.Getenv(otherVariable); program != "" {
+		t.Logf("the other build is %s", program)
+		return
+	}
+	t.Logf("%s is not set: this build takes the place of the other one", otherVariable)
+}
+
+// TestTwoBuildsAtOnce plays scenarios with coordinators, agents and proxies of two builds in one system.
+func TestTwoBuildsAtOnce(t *testing.T) {
+	t.Parallel()
+	logBuilds(t)
+	outcomes := make([]outcome, len(mixedScenarios))
+	var all sync.WaitGroup
+	for i, sc := range mixedScenarios {
+		folder := scenarioFolder(t, sc.name)
+		all.Go(func() { outcomes[i] = sc.run(folder) })
+	}
+	all.Wait()
+	for i, sc := range mixedScenarios {
+		result := outcomes[i]
+		t.Logf("%s: %d jobs accepted, %v, seen %+v", sc.name, result.accepted, result.took, result.seen)
+		Convey("No rule is broken: "+sc.name, t, func() {
+			So(result.failures, ShouldBeEmpty)
+			So(result.violations, ShouldBeEmpty)
+			So(result.accepted, ShouldBeGreaterThan, 0)
+		})
+	}
+}
+
+const upgradePatience = 3 * time.Minute
+
+var oneFront = size{fronts: 1, searchers: usualSize.searchers}
+
+// upgrade is a system that runs on the other build first and on this one afterwards, with the same disks.
+type upgrade struct {
+	*system
+	random *rand.Rand
+	jobs   []jobPlan
+	before map[string]string // states of the jobs when the other build was told to stop, by identifier
+}
+
+// TestThisBuildGoesOnFromTheOther starts a whole system on the other build, hands work in, stops all of it, starts this build
+// on the same disks, and compares what is known.
+func TestThisBuildGoesOnFromTheOther(t *testing.T) {
+	t.Parallel()
+	logBuilds(t)
+	ctx, s := startSystem(t, "upgraded", oneFront, upgradePatience)
+	u := &upgrade{system: s, random: rand.New(rand.NewPCG(41, 1)), before: map[string]string{}}
+	failure := u.run(ctx)
+	s.stop()
+	t.Logf("states before: %v", u.before)
+	Convey("What was known before is known after", t, func() {
+		So(failure, ShouldBeNil)
+		So(s.failures, ShouldBeEmpty)
+		So(s.processProblems(), ShouldBeEmpty)
+		So(u.before, ShouldNotBeEmpty)
+	})
+}
+
+func (u *upgrade) run(ctx context.Context) error {
+	for _, m := range u.machines() {
+		m.useOther(coordinatorRole, agentRole, proxyRole)
+	}
+	if err := u.bringUp(ctx); err != nil {
+		return err
+	}
+	if !u.configured.set(ctx, 0, renderRoute, mailRoute, routePlan{"/second/", guardedService}) {
+		return errors.New("the second configuration was not acknowledged")
+	}
+	if err := u.handIn(ctx); err != nil {
+		return err
+	}
+	if err := u.noteStates(ctx); err != nil {
+		return err
+	}
+	u.stopAll()
+	disks, err := u.readDisks()
+	if err != nil {
+		return err
+	}
+	for _, m := range u.machines() {
+		m.useThis()
+	}
+	if err := u.startAgain(); err != nil {
+		return err
+	}
+	return u.check(ctx, disks)
+}
+
+// handIn hands in two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
+func (u *upgrade) handIn(ctx context.Context) error {
+	for kind := range jobKinds {
+		for _, route := range []routePlan{renderRoute, mailRoute} {
+			plan := makePlan(u.random, kind, route)
+			if kind == timedJob { // some repetitions are due after the change only
+				plan.body.Repetitions, plan.body.IntervalMS = 4, 6000
+			}
+			u.plans.add(plan)
+			u.jobs = append(u.jobs, plan)
+			if _, err := u.eventually(ctx, u.random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
+				return fmt.Errorf("job %s was not accepted: %w", plan.id, err)
+			}
+			if kind == cancelledJob {
+				u.cancel(ctx, u.random, plan.path())
+			}
+		}
+	}
+	return pause(ctx, 2*time.Second)
+}
+
+func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
+
+// noteStates asks for all jobs' states.
+func (u *upgrade) noteStates(ctx context.Context) error {
+	for _, plan := range u.jobs {
+		answer, err := u.eventually(ctx, u.random, http.MethodGet, plan.path(), nil, isSuccess)
+		if err != nil {
+			return fmt.Errorf("job %s is not known: %w", plan.id, err)
+		}
+		u.before[string(plan.id)] = stateOf(answer.Answer)
+	}
+	return nil
+}
+
+func stateOf(answer []byte) string {
+	var content struct{ State string }
+	json.Unmarshal(answer, &content)
+	return content.State
+}
+
+// stopAll stops all machines in order, the fronts first.
+func (u *upgrade) stopAll() {
+	for _, machines := range [][]*machine{u.fronts, u.core} {
+		var all sync.WaitGroup
+		for _, m := range machines {
+			all.Go(m.shutDown)
+		}
+		all.Wait()
+	}
+}
+
+// readDisks checks that each core machine has a store.
+func (u *upgrade) readDisks() (lengths map[string]int64, err error) {
+	lengths = map[string]int64{}
+	for _, m := range u.core {
+		info, err := os.Stat(filepath.Join(m.data, "store.log"))
+		if err != nil {
+			return nil, err
+		}
+		lengths[m.name] = info.Size()
+	}
+	return lengths, nil
+}
+
+func (u *upgrade) startAgain() error {
+	failures := make(chan error)
+	for _, m := range u.machines() {
+		go func() { failures <- m.restart(true) }()
+	}
+	var joined error
+	for range u.machines() {
+		joined = errors.Join(joined, <-failures)
+	}
+	return joined
+}
+
+// check compares what is known now with what was known before, lets the jobs end, and hands in a further one.
+func (u *upgrade) check(ctx context.Context, disks map[string]int64) error {
+	for _, core := range u.core {
+		if err := u.awaitVersion(ctx, core); err != nil {
+			return err
+		}
+		if disks[core.name] == 0 {
+			return fmt.Errorf("the disk of %s was empty", core.name)
+		}
+	}
+	if err := u.awaitRoute(ctx, u.fronts[0], routePlan{"/second/", guardedService}); err != nil {
+		return err
+	}
+	for _, plan := range u.jobs {
+		if err := u.checkJob(ctx, plan); err != nil {
+			return err
+		}
+	}
+	further := makePlan(u.random, plainJob, renderRoute)
+	u.plans.add(further)
+	if _, err := u.eventually(ctx, u.random, http.MethodPost, further.path(), further.encode(), isSuccess); err != nil {
+		return err
+	}
+	return u.awaitState(ctx, further, "completed")
+}
+
+// awaitVersion waits until a core machine tells the configuration that was acknowledged last, all of it.
+func (u *upgrade) awaitVersion(ctx context.Context, core *machine) error {
+	want := encodeConfiguration(u.configured.newest, u.configured.routes)
+	for {
+		read := u.order(ctx, core, http.MethodGet, 0, nil)
+		if read.Status == http.StatusOK {
+			if string(read.Answer) != string(want) {
+				return fmt.Errorf("%s tells the configuration %s, and %s was acknowledged", core.name, read.Answer, want)
+			}
+			return nil
+		}
+		if err := pause(ctx, retryPause); err != nil {
+			return fmt.Errorf("%s does not tell the configuration: %w", core.name, err)
+		}
+	}
+}
+
+// checkJob checks that a job has not gone back in its life, and goes on to the end that it should have.
+func (u *upgrade) checkJob(ctx context.Context, plan jobPlan) error {
+	answer, err := u.eventually(ctx, u.random, http.MethodGet, plan.path(), nil, func(status int) bool { return isClear(status) })
+	if err != nil || answer.Status != http.StatusOK {
+		return fmt.Errorf("job %s was known, and the front tells %d %s (%w)", plan.id, answer.Status, answer.Answer, err)
+	}
+	before, after := u.before[string(plan.id)], stateOf(answer.Answer)
+	rank := map[string]int{"queued": 0, "running": 1, "completed": 2, "failed": 2, "cancelled": 2}
+	if rank[after] < rank[before] || rank[before] == 2 && after != before {
+		return fmt.Errorf("job %s was %s before and is %s now", plan.id, before, after)
+	}
+	switch plan.kind {
+	case lastingJob:
+		if after != "running" {
+			return fmt.Errorf("lasting job %s was %s before and is %s now", plan.id, before, after)
+		}
+		u.cancel(ctx, u.random, plan.path())
+		return u.awaitState(ctx, plan, "cancelled")
+	case poisonJob:
+		return u.awaitState(ctx, plan, "failed")
+	case cancelledJob:
+		return u.awaitState(ctx, plan, "cancelled")
+	}
+	return u.awaitState(ctx, plan, "completed")
+}
+
+// awaitState waits until a job has ended as it should.
+func (u *upgrade) awaitState(ctx context.Context, plan jobPlan, want string) error {
+	ctx, cancel := context.WithTimeout(ctx, finishPatience)
+	defer cancel()
+	state := ""
+	for state != want {
+		answer := u.ask(ctx, u.fronts[0], http.MethodGet, plan.path(), nil)
+		if answer.Status == http.StatusOK {
+			state = stateOf(answer.Answer)
+		}
+		if finalState(answer.Answer) && state != want {
+			return fmt.Errorf("job %s has ended as %s, expected %s", plan.id, state, want)
+		}
+		if err := pause(ctx, retryPause); err != nil {
+			return fmt.Errorf("job %s is %s, expected %s: %w", plan.id, state, want, err)
+		}
+	}
+	return nil
+}
--- a/internal/systemtest/doc.go
+++ b/internal/systemtest/doc.go
@@ -8,4 +8,6 @@
 //   - PUFFINLINK_SYSTEMTEST_SEED is the seed of the pairs.
 //   - PUFFINLINK_SYSTEMTEST_ONLY plays those whose names match one of the patterns, joined by commas.
 //   - PUFFINLINK_SYSTEMTEST_KEEP is a folder for the processes' logs and disks, and for the account of each broken rule.
+//   - PUFFINLINK_OTHER_BUILD is the path of a puffinlink program of another build, which the tests of two builds at once
+//     start beside this one; without it they start this build in its place.
 package systemtest
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -74,6 +74,9 @@
 	if err := p.start(); err != nil {
 		return err
 	}
+	if p.other != "" { // it listens where callers look for it
+		return nil
+	}
 	for _, r := range m.relays[p] {
 		if err := r.open(); err != nil {
 			return err
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"strings"
@@ -21,6 +22,9 @@
 	name string // of its machine and its role
 	spec partSpec
 	log  *os.File
+	// other is a program of another build that is started in place of this one; empty for this build. It has no relays
+	// before it: listen are the settings that tell it where to listen, and reached is where callers find it.
+	other, listen, reached string
 
 	mu       sync.Mutex
 	command  *exec.Cmd
@@ -31,12 +35,10 @@
 
 // start starts the process and waits until it listens.
 func (p *process) start() error {
-	text, err := json.Marshal(p.spec)
+	command, err := p.newCommand()
 	if err != nil {
 		return err
 	}
-	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), partVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
 	command.Stderr = p.log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	output, err := command.StdoutPipe()
@@ -52,6 +54,10 @@
 	p.mu.Unlock()
 	ready := make(chan struct{})
 	go func() {
+		if p.other != "" {
+			go p.awaitListening(ready, ended)
+			io.Copy(p.log, output)
+		}
 		lines := bufio.NewScanner(output)
 		if lines.Scan() && lines.Text() == readyLine {
 			close(ready)
@@ -70,6 +76,20 @@
 	}
 }
 
+// newCommand is the command that starts the process.
+func (p *process) newCommand() (*exec.Cmd, error) {
+	if p.other != "" {
+		return p.newOtherCommand()
+	}
+	text, err := json.Marshal(p.spec)
+	if err != nil {
+		return nil, err
+	}
+	command := exec.Command(os.Args[0])
+	command.Env = append(os.Environ(), partVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
+	return command, nil
+}
+
 func (p *process) wait(command *exec.Cmd, ended chan struct{}) {
 	err := command.Wait()
 	p.mu.Lock()
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -25,6 +25,8 @@
 	seed uint64
 	// faults strike while the load runs. It returns once all that it made is over.
 	faults func(ctx context.Context, s *system) error
+	// prepare changes the system before it starts; nil for nothing.
+	prepare func(s *system)
 }
 
 const (
@@ -59,6 +61,9 @@
 	if err != nil {
 		return outcome{failures: []error{err}}
 	}
+	if sc.prepare != nil {
+		sc.prepare(s)
+	}
 	var result outcome
 	began := time.Now()
 	func() {
