--- a/internal/systemtest/againrun_test.go
+++ b/internal/systemtest/againrun_test.go
@@ -255,11 +255,14 @@
 
 // compareDrain waits until each core machine tells that a searcher is drained by an operator.
 func (a *againTest) compareDrain(ctx context.Context, id string) error {
-	return a.awaitTold(ctx, searchersPath, func(answer string) bool {
-		_, of, found := strings.Cut(answer, `"id":"`+id+`"`)
-		of, _, _ = strings.Cut(of, `"id":`)
-		return found && strings.Contains(of, `"operatorDraining":true`)
-	})
+	return a.awaitTold(ctx, searchersPath, func(answer string) bool { return tellsDrained(answer, id) })
+}
+
+// tellsDrained tells whether a list of searchers has one as drained by an operator.
+func tellsDrained(answer, id string) bool {
+	_, of, found := strings.Cut(answer, `"id":"`+id+`"`)
+	of, _, _ = strings.Cut(of, `"id":`)
+	return found && strings.Contains(of, `"operatorDraining":true`)
 }
 
 func (a *againTest) awaitTold(ctx context.Context, path string, serves func(answer string) bool) error {
--- a/internal/systemtest/builds_test.go
+++ b/internal/systemtest/builds_test.go
@@ -1,6 +1,7 @@
 package systemtest
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -95,18 +96,23 @@
 	}
 }
 
+// withBuilds checks that each process runs its build, and makes a fault then.
+func withBuilds(fault faultFunc) faultFunc {
+	return together(func(_ context.Context, s *system) error { return s.checkBuilds() }, fault)
+}
+
 // mixedScenarios play a scenario with the processes of both builds side by side: by machines, and within machines.
 var mixedScenarios = []scenario{
-	{name: "mixed-machines", seed: 31, faults: killLeader(false), prepare: func(s *system) {
+	{name: "mixed-machines", seed: 31, faults: withBuilds(killLeader(false)), prepare: func(s *system) {
 		s.core[1].useOther(coordinatorRole)
 		s.fronts[0].useOther(agentRole, proxyRole)
 	}},
-	{name: "mixed-agent", seed: 32, faults: killLeader(false), prepare: func(s *system) {
+	{name: "mixed-agent", seed: 32, faults: withBuilds(killLeader(false)), prepare: func(s *system) {
 		s.core[0].useOther(coordinatorRole)
 		s.core[2].useOther(coordinatorRole)
 		s.fronts[0].useOther(agentRole)
 	}},
-	{name: "mixed-proxy", seed: 33, faults: killFollower(true), prepare: func(s *system) {
+	{name: "mixed-proxy", seed: 33, faults: withBuilds(killFollower(true)), prepare: func(s *system) {
 		s.core[0].useOther(coordinatorRole)
 		s.fronts[1].useOther(proxyRole)
 	}},
@@ -186,12 +192,17 @@
 	if err := u.handIn(ctx); err != nil {
 		return err
 	}
+	if err := u.awaitOperations(ctx, http.MethodPost, searchersPath+"/"+u.drained()+"/drain", func(string) bool { return true }); err != nil {
+		return err
+	}
+	if err := u.checkBuilds(); err != nil {
+		return err
+	}
 	if err := u.noteStates(ctx); err != nil {
 		return err
 	}
 	u.stopAll()
-	disks, err := u.readDisks()
-	if err != nil {
+	if err := u.checkDisks(); err != nil {
 		return err
 	}
 	for _, m := range u.machines() {
@@ -200,7 +211,10 @@
 	if err := u.startAgain(); err != nil {
 		return err
 	}
-	return u.check(ctx, disks)
+	if err := u.checkBuilds(); err != nil {
+		return err
+	}
+	return u.check(ctx)
 }
 
 // handIn hands in two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
@@ -238,6 +252,43 @@
 	return nil
 }
 
+// drained names the worker that an operator drains: one that no job needs.
+func (u *upgrade) drained() string { return u.searchers[2].ID() }
+
+// awaitOperations makes an operator's call until each core machine has answered it as it should.
+func (u *upgrade) awaitOperations(ctx context.Context, method, path string, serves func(answer string) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, resendPatience)
+	defer cancel()
+	for _, core := range u.core {
+		for {
+			status, answer := u.sendWith(ctx, http.Header{}, method, "http://"+core.address(controlOffset)+path, nil)
+			if status == http.StatusOK && serves(string(answer)) {
+				break
+			}
+			if err := pause(ctx, retryPause); err != nil {
+				return fmt.Errorf("%s answers %s %s by %d %s: %w", core.name, method, path, status, answer, err)
+			}
+		}
+	}
+	return nil
+}
+
+// checkBuilds checks that the processes run the program that they should.
+func (s *system) checkBuilds() error {
+	for _, m := range s.machines() {
+		for _, p := range m.processes {
+			program, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", p.pid()))
+			if err != nil {
+				return err
+			}
+			if want := cmp.Or(p.other, os.Args[0]); filepath.Base(program) != filepath.Base(want) {
+				return fmt.Errorf("%s runs %s, not %s", p.name, program, want)
+			}
+		}
+	}
+	return nil
+}
+
 func stateOf(answer []byte) string {
 	var content struct{ State string }
 	json.Unmarshal(answer, &content)
@@ -255,19 +306,21 @@
 	}
 }
 
-// readDisks checks that each core machine has a store.
-func (u *upgrade) readDisks() (lengths map[string]int64, err error) {
-	lengths = map[string]int64{}
+// checkDisks checks that each core machine has a store.
+func (u *upgrade) checkDisks() error {
 	for _, m := range u.core {
 		info, err := os.Stat(filepath.Join(m.data, "store.log"))
 		if err != nil {
-			return nil, err
+			return err
+		}
+		if info.Size() == 0 {
+			return fmt.Errorf("the disk of %s is empty", m.name)
 		}
-		lengths[m.name] = info.Size()
 	}
-	return lengths, nil
+	return nil
 }
 
+// startAgain starts all machines on the disks that they have.
 func (u *upgrade) startAgain() error {
 	failures := make(chan error)
 	for _, m := range u.machines() {
@@ -281,18 +334,18 @@
 }
 
 // check compares what is known now with what was known before, lets the jobs end, and hands in a further one.
-func (u *upgrade) check(ctx context.Context, disks map[string]int64) error {
+func (u *upgrade) check(ctx context.Context) error {
 	for _, core := range u.core {
 		if err := u.awaitVersion(ctx, core); err != nil {
 			return err
 		}
-		if disks[core.name] == 0 {
-			return fmt.Errorf("the disk of %s was empty", core.name)
-		}
 	}
 	if err := u.awaitRoute(ctx, u.fronts[0], routePlan{"/second/", guardedService}); err != nil {
 		return err
 	}
+	if err := u.awaitOperations(ctx, http.MethodGet, searchersPath, func(answer string) bool { return tellsDrained(answer, u.drained()) }); err != nil {
+		return err
+	}
 	for _, plan := range u.jobs {
 		if err := u.checkJob(ctx, plan); err != nil {
 			return err
