--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 
 lint:
 	test -z "$$(gofmt -l .)" && go vet ./...
+	go tool -modfile=tools/go.mod golangci-lint run ./...
 
 run: build
 	LB_CONFIG=$(CONFIG) bin/puffinlink
