--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -66,7 +66,7 @@
 		r.address = l.Addr().String()
 	}
 	go r.Serve(l)
-	t.Cleanup(func() { r.Server.Stop(); d.Stop() })
+	t.Cleanup(func() { r.Stop(); d.Stop() })
 	if r.client, err = NewClient(r.address, token); err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 	if _, why := r.send(0, large); why != "invalid" {
 		t.Errorf("a body of %d bytes: %s", mostBody, why)
 	}
-	r.Server.limit = rate.NewLimiter(0, 3)
+	r.limit = rate.NewLimiter(0, 3)
 	got := map[string]int{}
 	for range 10 {
 		got[r.get("/v1/overrides", &v)]++
@@ -240,7 +240,7 @@
 	}
 	var v View
 	r.get("/v1/overrides", &v) // it serves, or closing it would come too early to be heard
-	r.Server.http.Close()
+	r.http.Close()
 	l, err := Listen(r.address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operators/api/auth.go
+++ b/internal/operators/api/auth.go
@@ -5,7 +5,6 @@
 	"crypto/subtle"
 	"encoding/hex"
 	"errors"
-	"fmt"
 	"strings"
 
 	"github.com/zeebo/blake3"
@@ -53,7 +52,7 @@
 	for _, t := range set.Tokens {
 		hash, err := hex.DecodeString(t.Hash)
 		if err != nil || len(hash) != keyBytes {
-			return nil, fmt.Errorf("token %q: expected a hash of %d hex digits", t.Name, 2*keyBytes)
+			return nil, invalid("token %q: expected a hash of %d hex digits", t.Name, 2*keyBytes)
 		}
 		d.hashes = append(d.hashes, hash)
 	}
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -5,7 +5,6 @@
 	"crypto/rand"
 	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -58,11 +57,11 @@
 	}
 	switch {
 	case len(c.ID) > 128 || len(c.Author) > 64 || len(c.Reason) > 512:
-		return out, errors.New("id, author or reason is too long, expected at most 128, 64 and 512 bytes")
+		return out, invalid("id, author or reason is too long, expected at most 128, 64 and 512 bytes")
 	case c.Author == "" || c.Reason == "":
-		return out, errors.New("expected author and reason")
+		return out, invalid("expected author and reason")
 	case c.Tenant == "" || set != 1:
-		return out, errors.New("expected a tenant, and one of contract, quota and clear")
+		return out, invalid("expected a tenant, and one of contract, quota and clear")
 	case c.Contract != nil:
 		out.Contract = &council.ContractChange{Tenant: quota.Tenant(c.Tenant),
 			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.MixersToo, Indexes: c.Contract.Indexes}}
@@ -73,7 +72,7 @@
 	case c.Clear == "quota":
 		out.Quota = &council.QuotaChange{Tenant: quota.Tenant(c.Tenant)}
 	default:
-		return out, errors.New(`clear is ` + strconv.Quote(c.Clear) + `, expected "contract" or "quota"`)
+		return out, invalid(`clear is %q, expected "contract" or "quota"`, c.Clear)
 	}
 	return out, nil
 }
--- a/internal/operators/api/listener.go
+++ b/internal/operators/api/listener.go
@@ -60,10 +60,10 @@
 	}
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("%s: another process listens there", path)
+		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		os.Remove(path)
+		_ = os.Remove(path) // the rename below replaces what stays, or says why it cannot
 	}
 	// It is made under a name in a directory that nobody else may enter, and takes its own name once its mode is set:
 	// at no moment may others connect.
@@ -71,12 +71,12 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
-	l, err := net.Listen("unix", dir+"/s")
+	defer func() { _ = os.RemoveAll(dir) }() // an empty directory that stays does not hinder the listener
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: dir + "/s", Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false)
+	l.SetUnlinkOnClose(false)
 	if err = os.Chmod(dir+"/s", 0o600); err == nil {
 		err = os.Rename(dir+"/s", path)
 	}
@@ -147,7 +147,7 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(body)
+	_ = json.NewEncoder(w).Encode(body) // the status is sent: an operator who has left is told nothing
 }
 
 type handler func(w http.ResponseWriter, r *http.Request, who string)
--- a/internal/operators/api/wire.go
+++ b/internal/operators/api/wire.go
@@ -4,7 +4,6 @@
 package api
 
 import (
-	"fmt"
 	"math"
 
 	"puffinlink.example/puffinlink/internal/operators/override"
@@ -122,11 +121,11 @@
 // command reads what an operator sent. Only its form is checked here.
 func (c *Command) command() (override.Command, error) {
 	if c.Revision == nil {
-		return override.Command{}, fmt.Errorf("expected revision, of what the command was made for")
+		return override.Command{}, invalid("expected revision, of what the command was made for")
 	}
 	out := override.Command{Key: override.Key(c.Key), For: override.Revision(*c.Revision), Force: c.Force}
 	if len(c.Key) > 64 {
-		return out, fmt.Errorf("key has %d bytes, expected 64 at most", len(c.Key))
+		return out, invalid("key has %d bytes, expected 64 at most", len(c.Key))
 	}
 	if c.Clear != 0 {
 		out.Op, out.ID, out.Author, out.Reason = override.Clear, override.Revision(c.Clear), c.Author, c.Reason
--- a/internal/operators/capture/block.go
+++ b/internal/operators/capture/block.go
@@ -44,11 +44,18 @@
 		return b, err
 	}
 	var small bytes.Buffer
-	w, _ := flate.NewWriter(&small, flate.BestSpeed)
-	w.Write(text)
-	w.Close()
+	w, err := flate.NewWriter(&small, flate.BestSpeed)
+	if err != nil {
+		return b, err
+	}
+	if _, err := w.Write(text); err != nil {
+		return b, err
+	}
+	if err := w.Close(); err != nil {
+		return b, err
+	}
 	if small.Len() > mostBlock {
-		return b, fmt.Errorf("an interval of %d bytes, %d at most", small.Len(), mostBlock)
+		return b, invalid("an interval of %d bytes, %d at most", small.Len(), mostBlock)
 	}
 	b = binary.BigEndian.AppendUint32(b, uint32(small.Len()))
 	b = binary.BigEndian.AppendUint64(b, xxh3.Hash(small.Bytes()))
@@ -63,15 +70,15 @@
 	n, err := io.ReadFull(r, got)
 	switch {
 	case err != nil && !bytes.HasPrefix([]byte(head), got[:n]):
-		return errors.New("is no capture")
+		return ErrNotCapture
 	case err != nil:
 		return &CutError{0, int64(n), "in its head"}
 	case string(got) == head:
 	case bytes.HasPrefix(got, []byte("puffinlink capture ")):
-		return fmt.Errorf("is a capture of another version (%q), expected %q: cut it with the version that wrote it",
+		return invalid("is a capture of another version (%q), expected %q: cut it with the version that wrote it",
 			bytes.TrimSpace(got), head[:len(head)-1])
 	default:
-		return errors.New("is no capture")
+		return ErrNotCapture
 	}
 	at := int64(len(head))
 	var buf []byte
@@ -80,7 +87,7 @@
 		var front [blockHead]byte
 		n, err := io.ReadFull(r, front[:])
 		switch {
-		case err == io.EOF && n == 0:
+		case errors.Is(err, io.EOF) && n == 0:
 			return nil
 		case err != nil:
 			return cut("in the head of an interval")
@@ -118,16 +125,16 @@
 // check refuses what no recorder would have written.
 func (i *Interval) check() error {
 	if !(i.Span > 0) || !(i.At >= 0) {
-		return fmt.Errorf("an interval of %g s at %g", i.Span, i.At)
+		return invalid("an interval of %g s at %g", i.Span, i.At)
 	}
 	for _, l := range i.Loads {
 		if l.Lookups < 0 || l.Parts < 0 || l.Index == "" {
-			return fmt.Errorf("a load of %d lookups of index %q", l.Lookups, l.Index)
+			return invalid("a load of %d lookups of index %q", l.Lookups, l.Index)
 		}
 	}
 	for _, s := range i.Shards {
 		if s.Shard < 0 || s.Parts < 0 {
-			return fmt.Errorf("shard %d asked for %d times", s.Shard, s.Parts)
+			return invalid("shard %d asked for %d times", s.Shard, s.Parts)
 		}
 	}
 	return nil
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -139,6 +139,7 @@
 // End is how a lookup ended.
 type End uint8
 
+// The ends of a lookup.
 const (
 	Answered End = iota
 	Nacked
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -22,7 +22,7 @@
 var names = Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
 
 // played is a recorder's intervals of a random load, and what was asked and answered in all.
-func played(t *testing.T, mixer string, seed uint64, seconds float64) (list []Interval, lookups, parts, calls int64) {
+func played(mixer string, seed uint64, seconds float64) (list []Interval, lookups, parts, calls int64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	rec := New(mixer, names, 1)
 	for s := range 4 {
@@ -71,7 +71,7 @@
 }
 
 func TestARecorderCountsAllOnce(t *testing.T) {
-	list, lookups, parts, calls := played(t, "n1", 1, 10)
+	list, lookups, parts, calls := played("n1", 1, 10)
 	gotLookups, gotParts, gotCalls, ends := total(list)
 	if gotLookups != lookups || gotParts != parts || gotCalls != calls || ends != lookups {
 		t.Fatalf("counted %d lookups, %d parts, %d calls, %d ends; there were %d, %d, %d, %d", gotLookups, gotParts, gotCalls, ends, lookups, parts, calls, lookups)
@@ -103,7 +103,7 @@
 
 // A capture that is cut off anywhere reads up to the cut, and says so; one with a spoilt byte too, and gives nothing spoilt.
 func TestCutAnywhere(t *testing.T) {
-	list, _, _, _ := played(t, "n1", 2, 4)
+	list, _, _, _ := played("n1", 2, 4)
 	text := encoded(t, list)
 	whole, err := decoded(text)
 	if err != nil || len(whole) != len(list) {
@@ -146,12 +146,12 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(head))
 	f.Add([]byte(head + "\x00\x00\x00\x01aaaaaaaab"))
-	f.Fuzz(func(t *testing.T, in []byte) { decoded(in) })
+	f.Fuzz(func(_ *testing.T, in []byte) { decoded(in) })
 }
 
 func TestMergeAndCut(t *testing.T) {
-	one, l1, p1, c1 := played(t, "n1", 5, 6)
-	two, l2, p2, c2 := played(t, "n2", 6, 6)
+	one, l1, p1, c1 := played("n1", 5, 6)
+	two, l2, p2, c2 := played("n2", 6, 6)
 	both, err := Merge(2, Capture{one}, Capture{two})
 	if err != nil {
 		t.Fatal(err)
@@ -218,7 +218,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, _, _, _ := played(t, "n1", 7, 1)
+	one, _, _, _ := played("n1", 7, 1)
 	for n := range 400 {
 		i := one[0]
 		i.At = 1000 + float64(n)
--- a/internal/operators/capture/files.go
+++ b/internal/operators/capture/files.go
@@ -77,8 +77,8 @@
 		list = w.in.Take(list)
 		for _, i := range list {
 			if i == nil {
-				if w.file != nil {
-					w.file.Close()
+				if err := w.end(); err != nil {
+					w.log.Error("capture not written", zap.String("text", err.Error()))
 				}
 				return
 			}
@@ -94,14 +94,25 @@
 	}
 }
 
-func (w *Writer) write(i *Interval) error {
+// end closes the file, if there is one. A failed close means that intervals may be missing from it.
+func (w *Writer) end() error {
+	if w.file == nil {
+		return nil
+	}
+	f := w.file
+	w.file = nil
+	return f.Close()
+}
+
+// write appends an interval, in a new file where the last one is full. Its error is also that of closing the full one.
+func (w *Writer) write(i *Interval) (err error) {
 	block, err := AppendBlock(nil, i)
 	if err != nil {
 		return err
 	}
 	if w.file != nil && w.size+int64(len(block)) > w.store.MostBytes/files {
-		w.file.Close()
-		w.file = nil
+		closed := w.end()
+		defer func() { err = errors.Join(err, closed) }()
 	}
 	if w.file == nil {
 		if err := w.begin(i.At); err != nil {
@@ -110,10 +121,9 @@
 	}
 	n, err := w.file.Write(block)
 	if w.size += int64(n); err != nil { // what stands there in part is where the file ends for whoever reads it
-		w.file.Close()
-		w.file = nil
+		return errors.Join(err, w.end())
 	}
-	return err
+	return nil
 }
 
 // begin opens a new file, after the oldest ones have gone.
@@ -127,9 +137,7 @@
 		return err
 	}
 	if _, err := f.Write(Head()); err != nil {
-		f.Close()
-		os.Remove(path)
-		return err
+		return errors.Join(err, f.Close(), os.Remove(path))
 	}
 	w.file, w.size = f, int64(len(head))
 	return nil
@@ -188,7 +196,7 @@
 			return c, nil, err
 		}
 		if paths = nil; len(all) == 0 {
-			return c, nil, fmt.Errorf("%s: no captures (*%s) there", path, ending)
+			return c, nil, invalid("%s: no captures (*%s) there", path, ending)
 		}
 		for _, f := range all {
 			paths = append(paths, f.path)
@@ -200,7 +208,7 @@
 			return c, cuts, err
 		}
 		err = Read(f, func(i *Interval) error { c.Intervals = append(c.Intervals, *i); return nil })
-		f.Close()
+		_ = f.Close() // it was only read
 		if cut := (*CutError)(nil); errors.As(err, &cut) {
 			cuts = append(cuts, p+": "+cut.Error())
 		} else if err != nil {
@@ -217,17 +225,19 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // gone already where all went well
 	if err = c.write(f); err == nil {
 		err = f.Sync()
 	}
 	if e := f.Close(); err == nil {
 		err = e
 	}
+	if err == nil {
+		err = os.Rename(f.Name(), path)
+	}
 	if err != nil {
-		return err
+		_ = os.Remove(f.Name()) // what stays has a temporary name; the error that is returned is the cause
 	}
-	return os.Rename(f.Name(), path)
+	return err
 }
 
 func (c Capture) write(out io.Writer) error {
--- a/internal/operators/capture/histogram.go
+++ b/internal/operators/capture/histogram.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -27,7 +26,8 @@
 	if h.of == nil {
 		*h = newHist(2)
 	}
-	h.of.RecordValues(min(max(1, int64(seconds/unit+0.5)), int64(longest/unit)), n)
+	// A value between the histogram's bounds, as this one is, is always recorded.
+	_ = h.of.RecordValues(min(max(1, int64(seconds/unit+0.5)), int64(longest/unit)), n)
 }
 
 // Count is how many times it holds.
@@ -95,7 +95,7 @@
 	*h = Hist{}
 	for _, b := range list {
 		if b[0] < 1 || b[0] > 2*longest/unit || b[1] < 1 {
-			return fmt.Errorf("histogram bar %v, expected a time of %g s at most and a count", b, float64(longest))
+			return invalid("histogram bar %v, expected a time of %g s at most and a count", b, float64(longest))
 		}
 		h.Add(float64(b[0])*unit, b[1])
 	}
--- a/internal/operators/capture/merge.go
+++ b/internal/operators/capture/merge.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
-	"fmt"
 	"slices"
 )
 
@@ -14,7 +12,7 @@
 // summed; what crosses a border counts where it begins. The error says that a mixer's time is in two captures.
 func Merge(span float64, captures ...Capture) (Capture, error) {
 	if !(span > 0) {
-		return Capture{}, fmt.Errorf("intervals of %g s, expected more than none", span)
+		return Capture{}, invalid("intervals of %g s, expected more than none", span)
 	}
 	type key struct {
 		mixer string
@@ -26,11 +24,11 @@
 		for n := range c.Intervals {
 			i := &c.Intervals[n]
 			for _, m := range i.Mixers {
-				if k := (key{m, i.At}); seen[k] {
-					return Capture{}, fmt.Errorf("mixer %s has two intervals at %.3f: the same capture was given twice", m, i.At)
-				} else {
-					seen[k] = true
+				k := key{m, i.At}
+				if seen[k] {
+					return Capture{}, invalid("mixer %s has two intervals at %.3f: the same capture was given twice", m, i.At)
 				}
+				seen[k] = true
 			}
 			slot := int64(i.At / span)
 			into := byTime[slot]
@@ -132,7 +130,7 @@
 		}
 	}
 	if len(out.Intervals) == 0 {
-		return out, errors.New("nothing was captured in that time")
+		return out, invalid("nothing was captured in that time")
 	}
 	return out, nil
 }
--- a/internal/operators/capture/synth.go
+++ b/internal/operators/capture/synth.go
@@ -1,8 +1,6 @@
 package capture
 
 import (
-	"errors"
-	"fmt"
 	"math"
 
 	"puffinlink.example/puffinlink/internal/chance"
@@ -48,28 +46,28 @@
 	total := 0.0
 	for i, x := range s.Indexes {
 		if x.Index == "" || !(x.Share > 0) || x.Parts < 1 || x.Parts > s.Shards || !(x.Hint >= 0) {
-			return fmt.Errorf("index %d (%q): share %g, %d parts, hint %g; expected a name, more than none, 1 to %d parts, and 0 or more", i, x.Index, x.Share, x.Parts, x.Hint, s.Shards)
+			return invalid("index %d (%q): share %g, %d parts, hint %g; expected a name, more than none, 1 to %d parts, and 0 or more", i, x.Index, x.Share, x.Parts, x.Hint, s.Shards)
 		}
 		total += x.Share
 	}
 	switch {
 	case len(s.Indexes) == 0:
-		return errors.New("expected at least one index")
+		return invalid("expected at least one index")
 	case math.Abs(total-1) > 1e-6:
-		return fmt.Errorf("shares of the indexes sum to %g, expected 1", total)
+		return invalid("shares of the indexes sum to %g, expected 1", total)
 	case !(s.PerS > 0) || !(s.For > 0) || !(s.Span > 0) || s.Shards < 1 || !(s.Skew >= 0) || s.At < 0:
-		return fmt.Errorf("%g lookups a second for %g s by %g s over %d shards of skew %g, expected more than none of each, and a skew of 0 or more", s.PerS, s.For, s.Span, s.Shards, s.Skew)
+		return invalid("%g lookups a second for %g s by %g s over %d shards of skew %g, expected more than none of each, and a skew of 0 or more", s.PerS, s.For, s.Span, s.Shards, s.Skew)
 	case s.For/s.Span > mostIntervals:
-		return fmt.Errorf("%g intervals, %d at most", s.For/s.Span, mostIntervals)
+		return invalid("%g intervals, %d at most", s.For/s.Span, mostIntervals)
 	}
 	for _, f := range s.Day {
 		if !(f >= 0) {
-			return fmt.Errorf("a factor of %g over the day, expected 0 or more", f)
+			return invalid("a factor of %g over the day, expected 0 or more", f)
 		}
 	}
 	for _, b := range s.Bursts {
 		if !(b.Factor >= 0) || !(b.For > 0) {
-			return fmt.Errorf("a burst of %g times for %g s, expected 0 or more for more than none", b.Factor, b.For)
+			return invalid("a burst of %g times for %g s, expected 0 or more for more than none", b.Factor, b.For)
 		}
 	}
 	return nil
--- a/internal/operators/operatorfile/key.go
+++ b/internal/operators/operatorfile/key.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/hex"
-	"fmt"
 	"os"
 	"strings"
 )
@@ -17,7 +16,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: others than its owner may use it (mode %#o), expected 0600", path, info.Mode().Perm())
+		return nil, invalid("%s: others than its owner may use it (mode %#o), expected 0600", path, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,7 +24,7 @@
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(key) != KeyBytes {
-		return nil, fmt.Errorf("%s: expected %d hex digits", path, 2*KeyBytes)
+		return nil, invalid("%s: expected %d hex digits", path, 2*KeyBytes)
 	}
 	return key, nil
 }
--- a/internal/operators/operatorfile/keys.go
+++ b/internal/operators/operatorfile/keys.go
@@ -1,7 +1,6 @@
 package operatorfile
 
 import (
-	"fmt"
 	"net"
 	"slices"
 	"strings"
@@ -25,7 +24,7 @@
 func word(to func(*File) *string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		if *to(f) = l.String(); l.String() == "" || len(l.String()) > 64 {
-			return fmt.Errorf("has %d bytes, expected 1 to 64", len(l.String()))
+			return invalid("has %d bytes, expected 1 to 64", len(l.String()))
 		}
 		return nil
 	}
@@ -36,10 +35,10 @@
 	return func(f *File, l hujson.Literal) error {
 		list := to(f)
 		if l.String() == "" || len(l.String()) > 64 {
-			return fmt.Errorf("has a string of %d bytes, expected 1 to 64", len(l.String()))
+			return invalid("has a string of %d bytes, expected 1 to 64", len(l.String()))
 		}
 		if slices.Contains(*list, l.String()) {
-			return fmt.Errorf("names %q twice", l.String())
+			return invalid("names %q twice", l.String())
 		}
 		*list = append(*list, l.String())
 		return nil
@@ -58,7 +57,7 @@
 	return func(f *File, l hujson.Literal) error {
 		v := l.Float()
 		if !(v >= low && v <= high) {
-			return fmt.Errorf("is %g, expected %g to %g", v, low, high)
+			return invalid("is %g, expected %g to %g", v, low, high)
 		}
 		*to(f) = v
 		return nil
@@ -75,12 +74,12 @@
 	}
 }
 
-// count takes a whole number from low to high.
-func count(to func(*File) *int, low, high int) func(*File, hujson.Literal) error {
+// count takes a whole number from 1 to high.
+func count(to func(*File) *int, high int) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		v := l.Float()
-		if v != float64(int(v)) || int(v) < low || int(v) > high {
-			return fmt.Errorf("is %s, expected a whole number from %d to %d", l, low, high)
+		if v != float64(int(v)) || int(v) < 1 || int(v) > high {
+			return invalid("is %s, expected a whole number from 1 to %d", l, high)
 		}
 		*to(f) = int(v)
 		return nil
@@ -90,7 +89,7 @@
 func path(to func(*File) *string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		if !strings.HasPrefix(l.String(), "/") {
-			return fmt.Errorf("is %q, expected a path from the root", l.String())
+			return invalid("is %q, expected a path from the root", l.String())
 		}
 		*to(f) = l.String()
 		return nil
@@ -104,8 +103,8 @@
 	{name: "overrides", kind: object, begin: func(f *File, _ int) { f.Overrides.On = true }, keys: []key{
 		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Overrides.Directory })},
 		{name: "most_hours", kind: number, take: scaled(func(f *File, v float64) { f.Overrides.Limits.MostTime = 3600 * v }, 0.01, mostHours)},
-		{name: "most", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.Most }, 1, most)},
-		{name: "most_pinned_shards", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.MostPins }, 1, 10*most)},
+		{name: "most", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.Most }, most)},
+		{name: "most_pinned_shards", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.MostPins }, 10*most)},
 		{name: "shard_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.ShardGone }, 0, 1)},
 		{name: "location_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.PlaceGone }, 0, 1)},
 		{name: "ramp_s", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.Ramp }, 1, mostRamp)},
@@ -121,7 +120,7 @@
 		{name: "key_file", kind: text, take: path(func(f *File) *string { return &f.Fleet.KeyFile })},
 		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Fleet.Directory })},
 		{name: "lease_s", kind: number, take: within(func(f *File) *float64 { return &f.Fleet.Lease }, leastLease, mostLease)},
-		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Fleet.Version }, 1, 1<<30)},
+		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Fleet.Version }, 1<<30)},
 		{name: "mixers", kind: listing, begin: func(f *File, _ int) { f.Fleet.Mixers = append(f.Fleet.Mixers, Mixer{}) }, keys: []key{
 			{name: "name", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Mixers).Name })},
 			{name: "address", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Mixers).Address })},
@@ -130,7 +129,7 @@
 		}},
 	}},
 	{name: "quotas", kind: object, begin: func(f *File, line int) { f.Quotas.On, f.Quotas.Line = true, line }, keys: []key{
-		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Quotas.Version }, 1, 1<<30)},
+		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Quotas.Version }, 1<<30)},
 		{name: "tenants", kind: listing, begin: func(f *File, line int) {
 			f.Quotas.Tenants = append(f.Quotas.Tenants, Quota{Line: line, Floor: floorShare})
 		}, keys: []key{
@@ -141,7 +140,7 @@
 		}},
 	}},
 	{name: "contracts", kind: object, begin: func(f *File, line int) { f.Contracts.On, f.Contracts.Line = true, line }, keys: []key{
-		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Contracts.Version }, 1, 1<<30)},
+		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Contracts.Version }, 1<<30)},
 		{name: "strict", kind: texts, take: words(func(f *File) *[]string { return &f.Contracts.Strict })},
 		{name: "tenants", kind: listing, begin: func(f *File, line int) { f.Contracts.Tenants = append(f.Contracts.Tenants, Contract{Line: line}) }, keys: []key{
 			{name: "tenant", kind: text, take: word(func(f *File) *string { return &last(f.Contracts.Tenants).Tenant })},
@@ -160,14 +159,14 @@
 			{name: "name", kind: text, take: word(func(f *File) *string { return &token(f).Name })},
 			{name: "role", kind: text, take: func(f *File, l hujson.Literal) error {
 				if token(f).Write = l.String() == "write"; !token(f).Write && l.String() != "read" {
-					return fmt.Errorf(`is %q, expected "read" or "write"`, l.String())
+					return invalid(`is %q, expected "read" or "write"`, l.String())
 				}
 				return nil
 			}},
 			{name: "hash", kind: text, take: func(f *File, l hujson.Literal) error {
 				token(f).Hash = l.String()
 				if len(l.String()) != 64 || strings.Trim(l.String(), "0123456789abcdef") != "" {
-					return fmt.Errorf("expected 64 hex digits, as `puffinlink token` prints them")
+					return invalid("expected 64 hex digits, as `puffinlink token` prints them")
 				}
 				return nil
 			}},
@@ -179,13 +178,13 @@
 func listens(address string) error {
 	if at, is := strings.CutPrefix(address, "unix:"); is {
 		if !strings.HasPrefix(at, "/") || len(at) > 100 {
-			return fmt.Errorf("is %q, expected unix: and a path from the root of 100 bytes at most", address)
+			return invalid("is %q, expected unix: and a path from the root of 100 bytes at most", address)
 		}
 		return nil
 	}
 	host, _, err := net.SplitHostPort(address)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf(`is %q, expected "unix:/PATH" or a loopback address as "127.0.0.1:7070"`, address)
+		return invalid(`is %q, expected "unix:/PATH" or a loopback address as "127.0.0.1:7070"`, address)
 	}
 	return nil
 }
--- a/internal/operators/operatorfile/operatorfile.go
+++ b/internal/operators/operatorfile/operatorfile.go
@@ -3,7 +3,6 @@
 package operatorfile
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -108,7 +107,7 @@
 		return Defaults(), err
 	}
 	if info.Size() > mostFile {
-		return Defaults(), fmt.Errorf("%s: has %d bytes, at most %d are read", path, info.Size(), mostFile)
+		return Defaults(), invalid("%s: has %d bytes, at most %d are read", path, info.Size(), mostFile)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -123,7 +122,7 @@
 
 // indented puts the path before each further mistake.
 func indented(err error, path string) error {
-	return errors.New(strings.ReplaceAll(err.Error(), "\n", "\n"+path+":"))
+	return ValidationError(strings.ReplaceAll(err.Error(), "\n", "\n"+path+":"))
 }
 
 // Defaults is a file that states nothing.
--- a/internal/operators/operatorfile/parse.go
+++ b/internal/operators/operatorfile/parse.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -16,7 +15,7 @@
 	f := Defaults()
 	root, err := hujson.Parse(in)
 	if err != nil {
-		return f, fmt.Errorf("%s", strings.TrimPrefix(err.Error(), "hujson: "))
+		return f, ValidationError(strings.TrimPrefix(err.Error(), "hujson: "))
 	}
 	r := reader{text: in, file: &f}
 	r.object("", root, keys)
@@ -24,7 +23,7 @@
 		r.whole(root)
 	}
 	if len(r.wrong) > 0 {
-		return f, errors.New(strings.Join(r.wrong, "\n"))
+		return f, ValidationError(strings.Join(r.wrong, "\n"))
 	}
 	return f, nil
 }
@@ -87,6 +86,20 @@
 	return false
 }
 
+// literal is a value that is has found to be a text, a number or a flag, or the name of a member, which always is a text.
+func literal(v hujson.Value) hujson.Literal {
+	l, _ := v.Value.(hujson.Literal)
+	return l
+}
+
+// elements are those of a value that is has found to be a list.
+func elements(v hujson.Value) []hujson.Value {
+	if list, isList := v.Value.(*hujson.Array); isList {
+		return list.Elements
+	}
+	return nil
+}
+
 func (r *reader) object(under string, v hujson.Value, known []key) {
 	o, isObject := v.Value.(*hujson.Object)
 	if !isObject {
@@ -95,7 +108,7 @@
 	}
 	seen := map[string]bool{}
 	for _, m := range o.Members {
-		name := m.Name.Value.(hujson.Literal).String()
+		name := literal(m.Name).String()
 		full := strings.TrimPrefix(under+"."+name, ".")
 		i := slices.IndexFunc(known, func(k key) bool { return k.name == name })
 		switch {
@@ -127,18 +140,18 @@
 		}
 		r.object(full, v, k.keys)
 	case listing:
-		for i, e := range v.Value.(*hujson.Array).Elements {
+		for i, e := range elements(v) {
 			k.begin(r.file, r.line(e.StartOffset))
 			r.object(fmt.Sprintf("%s[%d]", full, i), e, k.keys)
 		}
 	case texts:
-		for _, e := range v.Value.(*hujson.Array).Elements {
-			if err := k.take(r.file, e.Value.(hujson.Literal)); err != nil {
+		for _, e := range elements(v) {
+			if err := k.take(r.file, literal(e)); err != nil {
 				r.fail(e.StartOffset, "%s %v", full, err)
 			}
 		}
 	default:
-		if err := k.take(r.file, v.Value.(hujson.Literal)); err != nil {
+		if err := k.take(r.file, literal(v)); err != nil {
 			r.fail(v.StartOffset, "%s %v", full, err)
 		}
 	}
--- a/internal/operators/override/ends.go
+++ b/internal/operators/override/ends.go
@@ -15,7 +15,8 @@
 // Due ends what has come to its end, and tells it, to be kept.
 func (t *Table) Due(now float64) (ended []Change) {
 	for len(t.ends) > 0 && (t.ends[0].End <= now || t.live[t.ends[0].ID] != t.ends[0]) {
-		o := heap.Pop(&t.ends).(*Override)
+		o := t.ends[0]
+		heap.Pop(&t.ends)
 		if t.live[o.ID] == o {
 			ended = append(ended, t.end(now, o, HasEnded, "its time is over"))
 		}
@@ -44,7 +45,7 @@
 
 func (e ends) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *ends) Push(x any) { *e = append(*e, x.(*Override)) }
+func (e *ends) Push(x any) { *e = append(*e, x.(*Override)) } //nolint:forcetypeassert // heap.Interface takes any, and only overrides are pushed
 
 func (e *ends) Pop() any {
 	last := len(*e) - 1
--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -21,6 +21,7 @@
 // Kind is what an override does.
 type Kind uint8
 
+// The kinds of overrides.
 const (
 	Weight Kind = iota // a factor on the share of a searcher or of all at a location
 	Out                // no new part call there
@@ -31,6 +32,13 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
+// UnknownKindError is a kind's name that there is not.
+type UnknownKindError string
+
+func (e UnknownKindError) Error() string {
+	return fmt.Sprintf("kind is %q, expected weight, out or pin", string(e))
+}
+
 // KindOf reads a kind's name.
 func KindOf(name string) (Kind, error) {
 	for i, n := range kindNames {
@@ -38,7 +46,7 @@
 			return Kind(i), nil
 		}
 	}
-	return 0, fmt.Errorf("kind is %q, expected weight, out or pin", name)
+	return 0, UnknownKindError(name)
 }
 
 // Spec is what an operator wants. Exactly one of Searcher and Location is stated; times are the clock's seconds.
@@ -67,6 +75,7 @@
 // Op is what a command does.
 type Op uint8
 
+// The operations of commands.
 const (
 	Set Op = iota
 	Clear
@@ -88,6 +97,7 @@
 // What is what a change did.
 type What uint8
 
+// What changes did.
 const (
 	WasSet What = iota
 	WasCleared
@@ -115,6 +125,7 @@
 // Code is why a command is refused.
 type Code string
 
+// The codes of refusals.
 const (
 	Invalid    Code = "invalid"        // it can't be meant; force changes nothing
 	Conflict   Code = "conflict"       // made for another revision
--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -418,7 +418,7 @@
 		"no listed searcher":      {Absent, func(s *Spec, _ *world) { s.Searcher, s.Location = "", "west" }},
 		"nobody who serves":       {LastHolder, func(s *Spec, w *world) { w.phase(2, logic.Draining); s.Kind, s.Factor, s.Searcher = Out, 0, "s-1" }},
 		"of shard":                {ShardShare, func(s *Spec, w *world) { w.phase(2, logic.Draining); s.Factor, s.Searcher = 0.3, "s-1" }},
-		"of location":             {PlaceShare, func(s *Spec, w *world) { s.Searcher, s.Location, s.Factor = "", "north", 0.4 }},
+		"of location":             {PlaceShare, func(s *Spec, _ *world) { s.Searcher, s.Location, s.Factor = "", "north", 0.4 }},
 		"needs one searcher":      {Invalid, func(s *Spec, _ *world) { s.Searcher, s.UntilRestart = "s-9", true }},
 	} {
 		w, spec := newWorld(), good
