--- a/cmd/puffinlink/capture.go
+++ b/cmd/puffinlink/capture.go
@@ -25,7 +25,7 @@
 		fmt.Fprintln(stderr, "puffinlink:", cut)
 	}
 	if err == nil && len(c.Intervals) == 0 {
-		err = fmt.Errorf("%s: no interval of it can be read", path)
+		err = fmt.Errorf("%s: %w", path, errNoInterval)
 	}
 	return c, err
 }
--- a/cmd/puffinlink/demo.go
+++ b/cmd/puffinlink/demo.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"io"
 	"os"
 	"os/signal"
@@ -27,7 +28,7 @@
 	LogLevel  string        `long:"log-level" value-name:"STRING" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"With --system: least level of the lines in the file of --log."`
 }
 
-func (c *demoCmd) Execute([]string) error {
+func (c *demoCmd) Execute([]string) (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.System {
@@ -43,7 +44,7 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer func() { err = errors.Join(err, f.Close()) }()
 		o.Log = io.Writer(f)
 	}
 	sum, err := demo.Run(ctx, o)
--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"os/exec"
@@ -26,17 +25,17 @@
 var errDemoFailed = errors.New("the demo did not end as it should: see the counts above")
 
 // runSystem runs the demo of the cluster scheduler.
-func (c *demoCmd) runSystem(ctx context.Context) error {
+func (c *demoCmd) runSystem(ctx context.Context) (err error) {
 	directory, remove, err := c.workDirectory()
 	if err != nil {
 		return err
 	}
-	defer remove()
+	defer func() { err = errors.Join(err, remove()) }()
 	log, closeLog, err := c.openLog()
 	if err != nil {
 		return err
 	}
-	defer closeLog()
+	defer func() { err = errors.Join(err, closeLog()) }()
 	options := systemdemo.Options{
 		For: c.For, Every: c.Every, Searchers: c.Searchers, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
 		Launcher: launcher{c.LogLevel}.functions(),
@@ -69,27 +68,30 @@
 }
 
 // workDirectory is the directory that was named, or one that is removed at the end.
-func (c *demoCmd) workDirectory() (directory string, remove func(), err error) {
+func (c *demoCmd) workDirectory() (directory string, remove func() error, err error) {
 	if c.Directory != "" {
 		entries, err := os.ReadDir(c.Directory)
 		if err == nil && len(entries) > 0 {
-			err = fmt.Errorf("--directory %s is not empty: name an empty one, or none", c.Directory)
+			err = unusable("--directory %s is not empty: name an empty one, or none", c.Directory)
 		}
-		return c.Directory, func() {}, err
+		return c.Directory, nothing, err
 	}
 	directory, err = os.MkdirTemp("", "puffinlink-demo-")
-	return directory, func() { os.RemoveAll(directory) }, err
+	return directory, func() error { return os.RemoveAll(directory) }, err
 }
 
-func (c *demoCmd) openLog() (log io.Writer, closeLog func(), err error) {
+// nothing ends what needs no end.
+func nothing() error { return nil }
+
+func (c *demoCmd) openLog() (log io.Writer, closeLog func() error, err error) {
 	if c.Log == "" {
-		return io.Discard, func() {}, nil
+		return io.Discard, nothing, nil
 	}
 	file, err := os.Create(c.Log)
 	if err != nil {
 		return nil, nil, err
 	}
-	return file, func() { file.Close() }, nil
+	return file, file.Close, nil
 }
 
 // launcher starts the processes of the demo.
@@ -115,11 +117,12 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		command.Wait()
+		_ = command.Wait() // the demo kills processes: how one ended is in its log
 	}()
 	return &systemdemo.Process{
-		Kill:  func() { command.Process.Kill() },
-		Stop:  func() { command.Process.Signal(syscall.SIGTERM) },
+		// Both fail only where the process has ended already, which Ended tells.
+		Kill:  func() { _ = command.Process.Kill() },
+		Stop:  func() { _ = command.Process.Signal(syscall.SIGTERM) },
 		Ended: ended,
 	}, nil
 }
--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -115,7 +115,7 @@
 		return nil
 	}
 	progress(&p)
-	return fmt.Errorf("not held everywhere after %s; `puffinlink fleet held %d %s` shows how far it gets", c.Wait, res.Version, c.Arguments.Tenant)
+	return notHeldError{c.Wait, res.Version, c.Arguments.Tenant}
 }
 
 // heldPause is the time between two questions how far a version got.
--- a/cmd/puffinlink/internalserver.go
+++ b/cmd/puffinlink/internalserver.go
@@ -54,6 +54,6 @@
 		IdleTimeout:       internalIdleTimeout,
 		ErrorLog:          zap.NewStdLog(log),
 	}
-	go server.Serve(listener)
+	go func() { _ = server.Serve(listener) }() // it ends with the server's Close or Shutdown, which its caller calls
 	return server
 }
--- a/cmd/puffinlink/main_test.go
+++ b/cmd/puffinlink/main_test.go
@@ -147,7 +147,7 @@
 		res, err := http.Get("http://" + listen + "/up")
 		if err == nil {
 			res.Body.Close()
-			if res.StatusCode == 200 {
+			if res.StatusCode == http.StatusOK {
 				break
 			}
 		}
@@ -158,7 +158,7 @@
 	ask := func(id string) chan string {
 		got := make(chan string, 1)
 		go func() {
-			req, _ := http.NewRequest("POST", "http://"+listen+"/reads", strings.NewReader(`{"targets":[{"partition":2,"share":1}],"query":"q1"}`))
+			req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/reads", strings.NewReader(`{"targets":[{"partition":2,"share":1}],"query":"q1"}`))
 			req.Header = http.Header{"Req-Id": {id}, "Req-Kind": {"reads"}, "Req-Deadline": {"4"}}
 			res, err := http.DefaultClient.Do(req)
 			if err != nil {
--- a/cmd/puffinlink/mixercommands.go
+++ b/cmd/puffinlink/mixercommands.go
@@ -93,7 +93,7 @@
 	rest, err := parser.ParseArgs(args)
 	var number *strconv.NumError // of an argument; for flags the parser names them
 	if errors.As(err, &number) {
-		return nil, fmt.Errorf("expected a number but got %q", number.Num)
+		return nil, unusable("expected a number but got %q", number.Num)
 	}
 	var usage *flags.Error
 	if !errors.As(err, &usage) {
@@ -104,13 +104,13 @@
 		return nil, unexpected(rest[0])
 	case flags.ErrRequired:
 		if missing := missingFlags(parser.Command); len(missing) > 0 {
-			return nil, fmt.Errorf("missing flags: %s", strings.Join(missing, ", "))
+			return nil, unusable("missing flags: %s", strings.Join(missing, ", "))
 		}
 	}
 	return nil, err
 }
 
-func unexpected(argument string) error { return fmt.Errorf("unexpected argument %s", argument) }
+func unexpected(argument string) error { return unusable("unexpected argument %s", argument) }
 
 // missingFlags lists the flags that the chosen command needs and the line lacks.
 func missingFlags(chosen *flags.Command) []string {
--- a/cmd/puffinlink/mixercommands_test.go
+++ b/cmd/puffinlink/mixercommands_test.go
@@ -112,7 +112,7 @@
 		})
 		Convey("of plans", func() {
 			compare := parsed("plan", "compare", "a", "b", "--capture", "c").(*planCompareCmd)
-			So(compare.planned.Arguments.Fleet, ShouldEqual, "a")
+			So(compare.Arguments.Fleet, ShouldEqual, "a")
 			So(compare.Second.Other, ShouldEqual, "b")
 			So(compare.Times, ShouldEqual, 1)
 			So(compare.Seed, ShouldEqual, 1)
--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -114,7 +114,7 @@
 
 // order sends an order on the searcher's drain on top of the version that is in force, so that a copy of it that arrives late, after a
 // later order, changes nothing. A searcher that no leader lists is ordered without a version.
-func (o *drainOptions) order(method string, print func(report *jobreport.Searcher)) error {
+func (o *drainOptions) order(method string, printReport func(report *jobreport.Searcher)) error {
 	var list control.Searchers
 	if _, err := o.call(operatorclient.Request{Method: http.MethodGet, Path: control.SearchersPath, Query: o.query()}, &list); err != nil {
 		return err
@@ -127,7 +127,7 @@
 		}
 	}
 	var report jobreport.Searcher
-	return o.show(request, &report, func() { print(&report) })
+	return o.show(request, &report, func() { printReport(&report) })
 }
 
 type drainCommand struct{ drainOptions }
--- a/cmd/puffinlink/operations.go
+++ b/cmd/puffinlink/operations.go
@@ -142,13 +142,13 @@
 }
 
 // show sends a request and prints the answer, as JSON or by a function that reads the report.
-func (o *controlOptions) show(request operatorclient.Request, report any, print func()) error {
+func (o *controlOptions) show(request operatorclient.Request, report any, printReport func()) error {
 	body, err := o.call(request, report)
 	if err != nil {
 		return err
 	}
 	if !o.JSON {
-		print()
+		printReport()
 		return nil
 	}
 	text := jsontext.Value(body)
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -117,7 +117,7 @@
 		to, err = strconv.Atoi(last)
 	}
 	if err != nil {
-		return 0, 0, fmt.Errorf("shards are %q, expected one as 7 or a range as 7-9", s)
+		return 0, 0, unusable("shards are %q, expected one as 7 or a range as 7-9", s)
 	}
 	return from, to, nil
 }
@@ -136,7 +136,7 @@
 			return err
 		}
 	} else if c.Arguments.Kind == overridePin {
-		return errors.New("a pin needs --shards")
+		return unusable("a pin needs --shards")
 	}
 	return c.send(cmd, c.Revision)
 }
@@ -204,7 +204,7 @@
 
 func (c *clearCmd) Execute([]string) error {
 	if c.Arguments.ID == 0 {
-		return errors.New("override 0, expected an id as `override list` shows it")
+		return unusable("override 0, expected an id as `override list` shows it")
 	}
 	return c.send(api.Command{Clear: c.Arguments.ID, Author: c.Author, Reason: c.Reason, Key: c.Key}, c.Revision)
 }
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math"
 	"os"
@@ -56,7 +55,7 @@
 	}
 	notes = append(notes, more...)
 	if !(p.Times > 0) {
-		return f, a, notes, fmt.Errorf("times is %g, expected more than none", p.Times)
+		return f, a, notes, unusable("times is %g, expected more than none", p.Times)
 	}
 	a = a.Scaled(p.Times)
 	if seen := busiest(c); a.PerS > seen*1.001 {
@@ -118,7 +117,7 @@
 	r.LookupsPerS, r.Notes = a.PerS, notes
 	for _, w := range plan.WhatIfs(&f, &a) {
 		if ctx.Err() != nil {
-			return errors.New("interrupted")
+			return errInterrupted
 		}
 		o := plan.Emulate(&w.Site, &w.Ask, c.Seed, 0)
 		if w.Name == "as it is" {
--- a/cmd/puffinlink/system.go
+++ b/cmd/puffinlink/system.go
@@ -123,7 +123,7 @@
 		return 0, true
 	}
 	if err == nil && len(rest) > 0 {
-		err = fmt.Errorf("unexpected argument %s", rest[0])
+		err = unusable("unexpected argument %s", rest[0])
 	}
 	if err != nil {
 		fmt.Fprintf(stderr, "puffinlink %s: %v; see puffinlink %s --help\n", process.name, err, process.name)
--- a/cmd/puffinlink/values.go
+++ b/cmd/puffinlink/values.go
@@ -11,6 +11,8 @@
 // commaList is a flag's list: comma-separated, and the flag may be repeated.
 type commaList []string
 
+var _ flags.Unmarshaler = (*commaList)(nil)
+
 // UnmarshalFlag adds what one flag lists.
 func (l *commaList) UnmarshalFlag(value string) error {
 	*l = append(*l, strings.Split(value, ",")...)
@@ -46,5 +48,5 @@
 		*k = kind
 		return nil
 	}
-	return fmt.Errorf("<kind> must be one of %q,%q,%q but got %q", overrideWeight, overrideOut, overridePin, value)
+	return unusable("<kind> must be one of %q,%q,%q but got %q", overrideWeight, overrideOut, overridePin, value)
 }
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -60,6 +60,7 @@
 	in     *eventqueue.Queue[logJob]
 	ended  chan struct{}
 	failed error
+	log    *zap.Logger
 }
 
 type logJob struct {
@@ -71,7 +72,7 @@
 // OpenLog opens the file of a directory, or makes it. A corrupt one is put aside: whoever kept it begins anew, as if the
 // directory were lost. It waits so long for a process that still holds the directory.
 func OpenLog(dir string, wait time.Duration, log *zap.Logger) (*Log, LogContents, error) {
-	l, kept := &Log{in: eventqueue.New[logJob](), ended: make(chan struct{})}, LogContents{}
+	l, kept := &Log{in: eventqueue.New[logJob](), ended: make(chan struct{}), log: log}, LogContents{}
 	var err error
 	if l.lock, err = locked(dir, logLockName, wait); err != nil {
 		return nil, kept, err
@@ -93,8 +94,10 @@
 		err = l.db.View(kept.read)
 	}
 	if corrupt := (*corruptError)(nil); errors.As(err, &corrupt) {
-		l.db.Close()
-		l.lock.Close()
+		if err := l.db.Close(); err != nil { // what is put aside is for whoever looks into it
+			log.Error("spoilt file not closed", zap.String("text", err.Error()))
+		}
+		_ = l.lock.Close() // which holds nothing but the lock
 		path := filepath.Join(dir, logName)
 		if err = os.Rename(path, fmt.Sprintf("%s.spoilt-%x", path, kept.ID)); err == nil {
 			log.Error("spoilt file put aside, nothing of it holds", zap.String("file", path), zap.String("text", corrupt.Error()))
@@ -102,7 +105,7 @@
 		}
 	}
 	if err != nil {
-		l.lock.Close()
+		_ = l.lock.Close() // which holds nothing but the lock
 		return nil, kept, err
 	}
 	kept.Aside = aside
@@ -115,9 +118,9 @@
 	meta, values, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketValues), tx.Bucket(bucketLog)
 	switch {
 	case meta == nil || values == nil || entries == nil || len(meta.Get(keyID)) != 8:
-		return &corruptError{errors.New("no number, or a bucket is missing")}
+		return &corruptError{contents("no number, or a bucket is missing")}
 	case stated(meta.Get(keyVersion)) != logVersion:
-		return fmt.Errorf("is of version %d, expected %d", stated(meta.Get(keyVersion)), logVersion)
+		return versionError{stated(meta.Get(keyVersion)), logVersion}
 	}
 	k.ID = stated(meta.Get(keyID))
 	err := values.ForEach(func(name, v []byte) error {
@@ -131,7 +134,7 @@
 	return entries.ForEach(func(index, v []byte) error {
 		data, err := checked(v)
 		if n := len(k.Entries); n > 0 && stated(index) != k.Entries[n-1].Index+1 {
-			return &corruptError{fmt.Errorf("entry %d follows %d", stated(index), k.Entries[n-1].Index)}
+			return &corruptError{contents("entry %d follows %d", stated(index), k.Entries[n-1].Index)}
 		}
 		k.Entries = append(k.Entries, Entry{stated(index), data})
 		return err
@@ -143,7 +146,7 @@
 
 func checked(b []byte) ([]byte, error) {
 	if len(b) < 8 || xxh3.Hash(b[8:]) != binary.BigEndian.Uint64(b) {
-		return nil, &corruptError{errors.New("a record's checksum is wrong")}
+		return nil, &corruptError{contents("a record's checksum is wrong")}
 	}
 	return append([]byte{}, b[8:]...), nil
 }
@@ -166,10 +169,8 @@
 		jobs = l.in.Take(jobs)
 		for i := range jobs {
 			if jobs[i].stop {
-				if l.db != nil {
-					l.db.Close()
-				}
-				l.lock.Close()
+				closeFile(l.db, l.log)
+				_ = l.lock.Close() // which holds nothing but the lock
 				return
 			}
 			jobs[i].done(l.write(&jobs[i].save))
@@ -183,7 +184,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%v", p)
+			err = panicError{p}
 			l.failed, l.db = err, nil
 		}
 	}()
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"hash/fnv"
 	"io"
 	"os"
@@ -48,7 +47,7 @@
 	} else if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	info, err := f.Stat()
 	if err != nil || info.Size() == 0 {
 		return err
@@ -74,7 +73,7 @@
 	for i := range uint64(2) {
 		b := make([]byte, pageHead+metaSize)
 		if _, err := p.file.ReadAt(b, int64(i*size)); err != nil {
-			return last, fmt.Errorf("cut off in meta page %d", i)
+			return last, contents("cut off in meta page %d", i)
 		}
 		b = b[pageHead:]
 		sum := fnv.New64a()
@@ -84,14 +83,14 @@
 			continue
 		}
 		if m.page != size {
-			return last, fmt.Errorf("pages of %d bytes, expected %d", m.page, size)
+			return last, contents("pages of %d bytes, expected %d", m.page, size)
 		}
 		if last.page == 0 || m.turn > last.turn {
 			last = m
 		}
 	}
 	if last.page == 0 {
-		return last, errors.New("no meta page is good")
+		return last, contents("no meta page is good")
 	}
 	return last, nil
 }
@@ -100,18 +99,18 @@
 func (p *pages) read(id uint64) (b []byte, flags, count uint16, err error) {
 	head := make([]byte, pageHead)
 	if id < 2 || id >= p.most || int64((id+1)*p.page) > p.size {
-		return nil, 0, 0, fmt.Errorf("page %d is beyond the %d there are", id, p.most)
+		return nil, 0, 0, contents("page %d is beyond the %d there are", id, p.most)
 	}
 	if _, err := p.file.ReadAt(head, int64(id*p.page)); err != nil {
 		return nil, 0, 0, err
 	}
 	over := uint64(native.Uint32(head[12:]))
 	if native.Uint64(head) != id || over >= p.most || id+over >= p.most || int64((id+over+1)*p.page) > p.size {
-		return nil, 0, 0, fmt.Errorf("page %d calls itself %d, with %d more", id, native.Uint64(head), over)
+		return nil, 0, 0, contents("page %d calls itself %d, with %d more", id, native.Uint64(head), over)
 	}
 	for i := id; i <= id+over; i++ {
 		if p.reached[i] {
-			return nil, 0, 0, fmt.Errorf("page %d is led to twice", i)
+			return nil, 0, 0, contents("page %d is led to twice", i)
 		}
 		p.reached[i] = true
 	}
@@ -123,7 +122,7 @@
 // tree checks a page and all below it.
 func (p *pages) tree(id uint64, depth int) error {
 	if depth > mostDepth {
-		return fmt.Errorf("page %d lies deeper than %d", id, mostDepth)
+		return contents("page %d lies deeper than %d", id, mostDepth)
 	}
 	b, flags, count, err := p.read(id)
 	if err != nil {
@@ -134,20 +133,20 @@
 
 func (p *pages) elements(b []byte, flags, count uint16, id uint64, depth int) error {
 	if flags != branchPage && flags != leafPage || flags == branchPage && count == 0 {
-		return fmt.Errorf("page %d is of kind %#x with %d elements", id, flags, count)
+		return contents("page %d is of kind %#x with %d elements", id, flags, count)
 	}
 	var before []byte
 	for i := range int(count) {
 		at := pageHead + i*elementSize
 		if at+elementSize > len(b) {
-			return fmt.Errorf("page %d has %d elements", id, count)
+			return contents("page %d has %d elements", id, count)
 		}
 		e := b[at:]
 		if flags == branchPage {
 			pos, size := uint64(native.Uint32(e)), uint64(native.Uint32(e[4:]))
 			key, err := span(b, uint64(at), pos, size)
 			if err != nil || i > 0 && bytes.Compare(before, key) >= 0 {
-				return fmt.Errorf("page %d, element %d: a key out of order or place", id, i)
+				return contents("page %d, element %d: a key out of order or place", id, i)
 			}
 			before = key
 			if err := p.tree(native.Uint64(e[8:]), depth+1); err != nil {
@@ -158,25 +157,25 @@
 		pos, keySize, valueSize := uint64(native.Uint32(e[4:])), uint64(native.Uint32(e[8:])), uint64(native.Uint32(e[12:]))
 		key, err := span(b, uint64(at), pos, keySize)
 		if err != nil || i > 0 && bytes.Compare(before, key) >= 0 {
-			return fmt.Errorf("page %d, element %d: a key out of order or place", id, i)
+			return contents("page %d, element %d: a key out of order or place", id, i)
 		}
 		before = key
 		value, err := span(b, uint64(at), pos+keySize, valueSize)
 		if err != nil {
-			return fmt.Errorf("page %d, element %d: a value out of place", id, i)
+			return contents("page %d, element %d: a value out of place", id, i)
 		}
 		if native.Uint32(e)&bucketLeaf == 0 {
 			continue
 		}
 		if len(value) < 16 {
-			return fmt.Errorf("page %d, element %d: a bucket of %d bytes", id, i, len(value))
+			return contents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
 		}
 		root := native.Uint64(value)
 		switch {
 		case root != 0:
 			err = p.tree(root, depth+1)
 		case len(value) < 16+pageHead:
-			err = fmt.Errorf("page %d, element %d: a bucket of %d bytes", id, i, len(value))
+			err = contents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
 		default: // small enough to stand in its own element
 			in := value[16:]
 			err = p.elements(in, native.Uint16(in[8:]), native.Uint16(in[10:]), id, depth+1)
@@ -206,19 +205,19 @@
 		return err
 	}
 	if flags != freePage {
-		return fmt.Errorf("page %d is of kind %#x, expected the list of free ones", id, flags)
+		return contents("page %d is of kind %#x, expected the list of free ones", id, flags)
 	}
 	n, from := uint64(count), uint64(pageHead)
 	if count == 0xFFFF {
 		n, from = native.Uint64(b[pageHead:]), pageHead+8
 	}
 	if n > uint64(len(b))/8 || from+8*n > uint64(len(b)) {
-		return fmt.Errorf("page %d lists %d free ones", id, n)
+		return contents("page %d lists %d free ones", id, n)
 	}
 	for i := range n {
 		f := native.Uint64(b[from+8*i:])
 		if f < 2 || f >= p.most || p.reached[f] {
-			return fmt.Errorf("page %d is free and in use", f)
+			return contents("page %d is free and in use", f)
 		}
 		p.reached[f] = true
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -65,6 +65,7 @@
 	in     *eventqueue.Queue[job]
 	ended  chan struct{}
 	failed error // opened without a file: every change is refused with it
+	log    *zap.Logger
 }
 
 // Open opens the file in a directory, or makes it. A corrupt one is put aside under another name and a new one begun. Its
@@ -74,7 +75,7 @@
 }
 
 func openWithin(dir string, wait time.Duration, log *zap.Logger) (s *Store, kept Contents, err error) {
-	s = &Store{in: eventqueue.New[job](), ended: make(chan struct{})}
+	s = &Store{in: eventqueue.New[job](), ended: make(chan struct{}), log: log}
 	defer func() {
 		s.failed = err
 		go s.run()
@@ -83,7 +84,7 @@
 		return s, kept, err
 	}
 	aside := ""
-	s.db, aside, err = openAside(filepath.Join(dir, fileName), log, prepare, func(tx *bolt.Tx) error { return kept.read(tx) })
+	s.db, aside, err = openAside(filepath.Join(dir, fileName), log, prepare, kept.read)
 	if aside != "" || err != nil { // what was read of it before the fault counts no more
 		kept = Contents{Aside: aside}
 	}
@@ -124,7 +125,7 @@
 			return f, nil
 		}
 		if time.Now().After(until) {
-			f.Close()
+			_ = f.Close() // nothing was written
 			return nil, fmt.Errorf("%s: another process has held it for %s: %w", dir, wait, err)
 		}
 	}
@@ -141,12 +142,12 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = &corruptError{fmt.Errorf("%v", p)}
+			err = &corruptError{panicError{p}}
 		}
 		if err != nil && db != nil {
 			func() {
-				defer func() { recover() }() // the file is given up
-				db.Close()
+				defer func() { _ = recover() }() // the file is given up
+				_ = db.Close()                   // the error that is returned is the cause
 			}()
 			db = nil
 		}
@@ -217,9 +218,9 @@
 func (k *Contents) read(tx *bolt.Tx) error {
 	switch had := tx.Bucket(bucketMeta).Get(keyVersion); {
 	case len(had) != 8 || tx.Bucket(bucketHeld) == nil || tx.Bucket(bucketAudit) == nil:
-		return &corruptError{errors.New("no version, or a bucket is missing")}
+		return &corruptError{contents("no version, or a bucket is missing")}
 	case stated(had) != version:
-		return fmt.Errorf("is of version %d, expected %d", stated(had), version)
+		return versionError{stated(had), version}
 	}
 	k.Revision = override.Revision(stated(tx.Bucket(bucketMeta).Get(keyRevision)))
 	err := tx.Bucket(bucketHeld).ForEach(func(id, v []byte) error {
@@ -228,7 +229,7 @@
 			return err
 		}
 		if stated(id) != uint64(o.ID) {
-			return &corruptError{fmt.Errorf("override %d stands under %d", o.ID, stated(id))}
+			return &corruptError{contents("override %d stands under %d", o.ID, stated(id))}
 		}
 		k.Held = append(k.Held, o)
 		return nil
@@ -243,13 +244,13 @@
 			return err
 		}
 		if stated(key) != uint64(change.Revision) {
-			return &corruptError{fmt.Errorf("revision %d stands under %d", change.Revision, stated(key))}
+			return &corruptError{contents("revision %d stands under %d", change.Revision, stated(key))}
 		}
 		k.Recent = append(k.Recent, change)
 	}
 	slices.Reverse(k.Recent)
 	if n := len(k.Recent); n > 0 && k.Recent[n-1].Revision != k.Revision {
-		return &corruptError{fmt.Errorf("revision is %d, the last change %d", k.Revision, k.Recent[n-1].Revision)}
+		return &corruptError{contents("revision is %d, the last change %d", k.Revision, k.Recent[n-1].Revision)}
 	}
 	return nil
 }
@@ -274,10 +275,8 @@
 		jobs = s.in.Take(jobs)
 		for i := range jobs {
 			if jobs[i].stop {
-				if s.db != nil {
-					s.db.Close()
-				}
-				s.lock.Close() // nil where there is none
+				closeFile(s.db, s.log)
+				_ = s.lock.Close() // which holds nothing but the lock, and is nil where there is none
 				return
 			}
 			jobs[i].done(s.write(jobs[i].changes))
@@ -285,13 +284,23 @@
 	}
 }
 
+// closeFile closes a file where there is one. What was written is on the disk by then: each transaction waits for that.
+func closeFile(db *bolt.DB, log *zap.Logger) {
+	if db == nil {
+		return
+	}
+	if err := db.Close(); err != nil {
+		log.Error("file not closed", zap.String("file", db.Path()), zap.String("text", err.Error()))
+	}
+}
+
 func (s *Store) write(changes []override.Change) (err error) {
 	if s.failed != nil {
 		return s.failed
 	}
 	defer func() {
 		if p := recover(); p != nil { // a file corrupt under us: from here on nothing is kept
-			err = fmt.Errorf("%v", p)
+			err = panicError{p}
 			s.failed, s.db = err, nil
 		}
 	}()
