--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -94,9 +94,7 @@
 		err = l.db.View(kept.read)
 	}
 	if corrupt := (*corruptError)(nil); errors.As(err, &corrupt) {
-		if err := l.db.Close(); err != nil { // what is put aside is for whoever looks into it
-			log.Error("spoilt file not closed", zap.String("text", err.Error()))
-		}
+		closeFile(l.db, log)
 		_ = l.lock.Close() // which holds nothing but the lock
 		path := filepath.Join(dir, logName)
 		if err = os.Rename(path, fmt.Sprintf("%s.spoilt-%x", path, kept.ID)); err == nil {
@@ -105,6 +103,7 @@
 		}
 	}
 	if err != nil {
+		closeFile(l.db, log)
 		_ = l.lock.Close() // which holds nothing but the lock
 		return nil, kept, err
 	}
