--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -139,6 +139,7 @@
 // End is how a lookup ended.
 type End uint8
 
+// The ends of a lookup.
 const (
 	Answered End = iota
 	Nacked
