--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -37,7 +37,7 @@
 	}
 	defer func() { err = errors.Join(err, closeLog()) }()
 	options := cluster.Options{
-		For: c.For, Every: c.Every, Searchers: c.Searchers, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
+		For: c.For, Every: c.Every, Workers: c.Searchers, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
 		Launcher: launcher{c.LogLevel}.functions(),
 	}
 	if options.For == 0 {
--- a/cmd/puffinlink/demosystem_test.go
+++ b/cmd/puffinlink/demosystem_test.go
@@ -58,7 +58,7 @@
 		go func() {
 			defer close(ended)
 			summary, failed = cluster.Run(context.Background(), cluster.Options{
-				For: 3 * time.Second, Every: 100 * time.Millisecond, Searchers: 3, PerS: 5, Directory: t.TempDir(), Out: shown, Log: io.Discard,
+				For: 3 * time.Second, Every: 100 * time.Millisecond, Workers: 3, PerS: 5, Directory: t.TempDir(), Out: shown, Log: io.Discard,
 				Launcher: cluster.Launcher{Coordinator: startCoordinatorInside, Front: launcher{"info"}.startFront},
 			})
 		}()
--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -28,16 +28,16 @@
 	return c.show(operatorclient.Request{Method: http.MethodGet, Path: control.StatusPath}, &report, func() { printStatus(&report) })
 }
 
-type searchersCommand struct {
+type workersCommand struct {
 	controlOptions
 	serviceOption
 }
 
 // Execute implements flags.Commander.
-func (c *searchersCommand) Execute([]string) error {
-	var report control.Searchers
-	request := operatorclient.Request{Method: http.MethodGet, Path: control.SearchersPath, Query: c.query()}
-	return c.show(request, &report, func() { printSearchers(&report) })
+func (c *workersCommand) Execute([]string) error {
+	var report control.Workers
+	request := operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: c.query()}
+	return c.show(request, &report, func() { printWorkers(&report) })
 }
 
 type jobsCommand struct {
@@ -114,19 +114,19 @@
 
 // order sends an order on the searcher's drain on top of the version that is in force, so that a copy of it that arrives late, after a
 // later order, changes nothing. A searcher that no leader lists is ordered without a version.
-func (o *drainOptions) order(method string, printReport func(report *jobreport.Searcher)) error {
-	var list control.Searchers
-	if _, err := o.call(operatorclient.Request{Method: http.MethodGet, Path: control.SearchersPath, Query: o.query()}, &list); err != nil {
+func (o *drainOptions) order(method string, printReport func(report *jobreport.Worker)) error {
+	var list control.Workers
+	if _, err := o.call(operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: o.query()}, &list); err != nil {
 		return err
 	}
-	path := control.SearchersPath + "/" + url.PathEscape(o.Arguments.ID) + control.DrainSuffix
+	path := control.WorkersPath + "/" + url.PathEscape(o.Arguments.ID) + control.DrainSuffix
 	request := operatorclient.Request{Method: method, Path: path, Query: o.query()}
-	for _, searcher := range list.Searchers {
+	for _, searcher := range list.Workers {
 		if searcher.ID == o.Arguments.ID {
 			request.IfMatch = entitytag.Format(searcher.DrainVersion)
 		}
 	}
-	var report jobreport.Searcher
+	var report jobreport.Worker
 	return o.show(request, &report, func() { printReport(&report) })
 }
 
@@ -134,7 +134,7 @@
 
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
-	return c.order(http.MethodPost, func(report *jobreport.Searcher) {
+	return c.order(http.MethodPost, func(report *jobreport.Worker) {
 		fmt.Fprintf(stdout, "searcher %s gets no new starts; runs that go on there: %d\n", report.ID, report.Runs)
 	})
 }
@@ -143,7 +143,7 @@
 
 // Execute implements flags.Commander.
 func (c *undrainCommand) Execute([]string) error {
-	return c.order(http.MethodDelete, func(report *jobreport.Searcher) {
+	return c.order(http.MethodDelete, func(report *jobreport.Worker) {
 		fmt.Fprintf(stdout, "searcher %s gets starts again; it is %s\n", report.ID, report.State)
 	})
 }
--- a/cmd/puffinlink/operations.go
+++ b/cmd/puffinlink/operations.go
@@ -33,7 +33,7 @@
 		"Shows the mixer that answers, the members it hears, who schedules the jobs of which service, and the configuration's version.",
 		"status --at 10.1.0.15:8146", func() flags.Commander { return new(statusCommand) }},
 	{"searchers", "List the searchers", "Lists the searchers with state, window, latency, faults, runs and capacity.",
-		"searchers --at 10.1.0.15:8146 --service kursmotor", func() flags.Commander { return new(searchersCommand) }},
+		"searchers --at 10.1.0.15:8146 --service kursmotor", func() flags.Commander { return new(workersCommand) }},
 	{"jobs", "List jobs", "Lists the newest jobs, those first that have not ended.",
 		"jobs --at 10.1.0.15:8146 --state queued --limit 20", func() flags.Commander { return new(jobsCommand) }},
 	{"job", "Show one job", "Shows a job with its stages, tasks by state, runs and failures.",
--- a/cmd/puffinlink/operationsprint.go
+++ b/cmd/puffinlink/operationsprint.go
@@ -22,7 +22,7 @@
 }
 
 func printStatus(s *control.Status) {
-	fmt.Fprintf(stdout, "mixer %s (%s, zone %s): up %v, %s, contact to a majority: %s\n", s.Mixer.Name, s.Mixer.Address, orNone(s.Mixer.Zone),
+	fmt.Fprintf(stdout, "mixer %s (%s, zone %s): up %v, %s, contact to a majority: %s\n", s.Node.Name, s.Node.Address, orNone(s.Node.Zone),
 		milliseconds(s.UptimeMS).Round(time.Second), part(s), yesNo(s.InContact))
 	fmt.Fprintf(stdout, "configuration: version %d\n", s.ConfigurationVersion)
 	fmt.Fprintf(stdout, "view of the replicas: version %d, %s\n", s.View.Version, strings.Join(s.View.Members, " "))
@@ -46,7 +46,7 @@
 		}
 		rows = append(rows, append(row, fmt.Sprint(group.Summary.Queued), fmt.Sprint(group.Summary.Running), fmt.Sprint(group.Summary.Ended),
 			fmt.Sprint(group.Summary.WaitingTasks), fmt.Sprint(group.Summary.Runs),
-			fmt.Sprintf("%d of %d answer", group.Summary.ReachableSearchers, group.Summary.Searchers)))
+			fmt.Sprintf("%d of %d answer", group.Summary.ReachableWorkers, group.Summary.Workers)))
 	}
 	printTable(rows)
 }
@@ -54,7 +54,7 @@
 // part is the part that the answering mixer has among the replicas.
 func part(s *control.Status) string {
 	switch {
-	case s.View.Version > 0 && !slices.Contains(s.View.Members, s.Mixer.Address):
+	case s.View.Version > 0 && !slices.Contains(s.View.Members, s.Node.Address):
 		return "stands by as no member of the view"
 	case !s.Rebuilt:
 		return "its disk is being rebuilt"
@@ -62,9 +62,9 @@
 	return "its disk is complete"
 }
 
-func printSearchers(s *control.Searchers) {
+func printWorkers(s *control.Workers) {
 	rows := [][]string{{"SEARCHER", "SERVICE", "STATE", "ZONE", "RACK", "RUNS", "WINDOW", "LATENCY", "FAULTS", "FREE", "CAPACITY"}}
-	for _, one := range s.Searchers {
+	for _, one := range s.Workers {
 		rows = append(rows, []string{one.ID, one.Service, string(one.State), orNone(one.Zone), orNone(one.Rack), fmt.Sprint(one.Runs), fmt.Sprint(one.Window),
 			choose(one.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", one.LatencyMS)), fmt.Sprintf("%.0f%%", 100*one.FaultShare), resources(one.Free), resources(one.Capacity)})
 	}
@@ -126,7 +126,7 @@
 		if run.Stopping {
 			state = "stopping"
 		}
-		rows = append(rows, []string{run.Task, fmt.Sprint(run.Execution), run.Searcher, milliseconds(run.AgeMS).String(), fmt.Sprintf("%d%%", run.Percent), state})
+		rows = append(rows, []string{run.Task, fmt.Sprint(run.Execution), run.Worker, milliseconds(run.AgeMS).String(), fmt.Sprintf("%d%%", run.Percent), state})
 	}
 	printTable(rows)
 }
--- a/cmd/puffinlink/whyprint.go
+++ b/cmd/puffinlink/whyprint.go
@@ -9,13 +9,13 @@
 
 // reasonTexts say why tasks wait.
 var reasonTexts = map[jobreport.Reason]string{
-	jobreport.ReasonDependsOn:  "earlier stages are not complete",
-	jobreport.ReasonNotDue:     "the repetition is not due yet",
-	jobreport.ReasonGangParts:  "runs of members of the gang are not over yet",
-	jobreport.ReasonGangRoom:   "there is no room for all members of the gang at once",
-	jobreport.ReasonPause:      "a short pause after a start that went wrong",
-	jobreport.ReasonNoSearcher: "every searcher is ruled out",
-	jobreport.ReasonTurn:       "searchers could take it; its turn has not come",
+	jobreport.ReasonDependsOn: "earlier stages are not complete",
+	jobreport.ReasonNotDue:    "the repetition is not due yet",
+	jobreport.ReasonGangParts: "runs of members of the gang are not over yet",
+	jobreport.ReasonGangRoom:  "there is no room for all members of the gang at once",
+	jobreport.ReasonPause:     "a short pause after a start that went wrong",
+	jobreport.ReasonNoWorker:  "every searcher is ruled out",
+	jobreport.ReasonTurn:      "searchers could take it; its turn has not come",
 }
 
 // causeTexts say what rules a searcher out.
@@ -63,11 +63,11 @@
 	if len(w.Open) > 0 {
 		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(w.Open, " "))
 	}
-	if w.Reason == jobreport.ReasonNoSearcher && len(w.RuledOut) == 0 {
+	if w.Reason == jobreport.ReasonNoWorker && len(w.RuledOut) == 0 {
 		fmt.Fprintln(stdout, "  no searcher of the service is known: look at the platform's list")
 	}
 	for _, ruled := range w.RuledOut {
-		more := choose(ruled.Count > len(ruled.Searchers), " ...", "")
-		fmt.Fprintf(stdout, "  %d %s (%s): %s%s\n", ruled.Count, causeTexts[ruled.Cause], ruled.Cause, strings.Join(ruled.Searchers, " "), more)
+		more := choose(ruled.Count > len(ruled.Workers), " ...", "")
+		fmt.Fprintf(stdout, "  %d %s (%s): %s%s\n", ruled.Count, causeTexts[ruled.Cause], ruled.Cause, strings.Join(ruled.Workers, " "), more)
 	}
 }
--- a/internal/controlplane/chunks/chunks.go
+++ b/internal/controlplane/chunks/chunks.go
@@ -24,10 +24,10 @@
 }
 
 const (
-	// minPart and maxPart bound the length of a part, in bytes. Parts of some kilobytes keep both costs of a change low for
+	// minChunk and maxChunk bound the length of a part, in bytes. Parts of some kilobytes keep both costs of a change low for
 	// contents of 50 KB to 1 MB: the manifest, 16 bytes a part, and the parts around the change.
-	minPart = 512
-	maxPart = 8 << 10
+	minChunk = 512
+	maxChunk = 8 << 10
 	// cutMask is compared with the rolling checksum: a place is a cut with a chance of 1 in 2,048. Configurations have fewer
 	// different places than bytes, so that their parts have 4 KB in the mean.
 	cutMask = (1<<11 - 1) << 40
@@ -62,9 +62,9 @@
 
 // cut returns the length of the first part.
 func cut(content []byte) int {
-	most := min(len(content), maxPart)
+	most := min(len(content), maxChunk)
 	rolling := uint64(0)
-	for i := minPart; i < most; i++ {
+	for i := minChunk; i < most; i++ {
 		rolling = rolling<<1 + gear[content[i]]
 		if rolling&cutMask == 0 {
 			return i
@@ -75,18 +75,18 @@
 
 // Manifest names a content and its parts in their order.
 type Manifest struct {
-	Sum   Sum    `msgpack:"s"`
-	Bytes int    `msgpack:"n"`
-	Parts []byte `msgpack:"p"` // checksums, one after the other
+	Sum    Sum    `msgpack:"s"`
+	Bytes  int    `msgpack:"n"`
+	Chunks []byte `msgpack:"p"` // checksums, one after the other
 }
 
 // NewManifest makes the manifest of a content that was split.
 func NewManifest(content []byte, split [][]byte) Manifest {
 	sums := make([]Sum, 0, len(split))
-	for _, part := range split {
-		sums = append(sums, SumOf(part))
+	for _, chunk := range split {
+		sums = append(sums, SumOf(chunk))
 	}
-	return Manifest{Sum: SumOf(content), Bytes: len(content), Parts: Join(sums)}
+	return Manifest{Sum: SumOf(content), Bytes: len(content), Chunks: Join(sums)}
 }
 
 // Errors of contents that do not arrive as they were sent.
@@ -99,16 +99,16 @@
 
 // Check refuses a manifest that cannot be one; the error is ErrManifest.
 func (m Manifest) Check() error {
-	count := len(m.Parts) / SumBytes
+	count := len(m.Chunks) / SumBytes
 	switch {
-	case len(m.Parts)%SumBytes != 0, m.Bytes < 0, m.Bytes > MaxContent, count > m.Bytes:
-		return fmt.Errorf("%w: %d bytes in %d bytes of checksums", ErrManifest, m.Bytes, len(m.Parts))
+	case len(m.Chunks)%SumBytes != 0, m.Bytes < 0, m.Bytes > MaxContent, count > m.Bytes:
+		return fmt.Errorf("%w: %d bytes in %d bytes of checksums", ErrManifest, m.Bytes, len(m.Chunks))
 	}
 	return nil
 }
 
 // Sums lists the parts' checksums in order.
-func (m Manifest) Sums() []Sum { return SumsOf(m.Parts) }
+func (m Manifest) Sums() []Sum { return SumsOf(m.Chunks) }
 
 // SumsOf reads checksums that stand one after the other. An incomplete one at the end is left out.
 func SumsOf(joined []byte) []Sum {
--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -30,10 +30,10 @@
 		content := routes(rapid.IntRange(0, 300).Draw(t, "routes"), 1)
 		content = append(content, rapid.SliceOfN(rapid.Byte(), 0, 20000).Draw(t, "bytes")...)
 		split := Split(content)
-		for i, part := range split {
+		for i, chunk := range split {
 			last := i == len(split)-1
-			if len(part) > maxPart || len(part) < minPart && !last {
-				t.Fatalf("part %d of %d has %d bytes", i, len(split), len(part))
+			if len(chunk) > maxChunk || len(chunk) < minChunk && !last {
+				t.Fatalf("part %d of %d has %d bytes", i, len(split), len(chunk))
 			}
 		}
 		collection, err := NewCollection(NewManifest(content, split))
@@ -59,34 +59,34 @@
 	return list
 }
 
-func TestASmallChangeChangesFewParts(t *testing.T) {
+func TestASmallChangeChangesFewChunks(t *testing.T) {
 	Convey("Given a large content and a version of it with one more route in the middle", t, func() {
 		before := routes(1830, 41)
 		after := bytes.Replace(routes(1830, 42), []byte(`"timeoutMs":3004`), []byte(`"timeoutMs":35000`), 1)
 		held := make(map[Sum][]byte)
-		for _, part := range Split(before) {
-			held[SumOf(part)] = part
+		for _, chunk := range Split(before) {
+			held[SumOf(chunk)] = chunk
 		}
 		collection, err := NewCollection(manifestOf(after), func(sum Sum) ([]byte, bool) {
-			part, found := held[sum]
-			return part, found
+			chunk, found := held[sum]
+			return chunk, found
 		})
 		So(err, ShouldBeNil)
 		So(collection.Lacks(), ShouldBeBetweenOrEqual, 1, 4)
 		Convey("the manifest costs a hundredth of the content", func() {
-			So(len(manifestOf(after).Parts), ShouldBeLessThan, len(after)/80)
+			So(len(manifestOf(after).Chunks), ShouldBeLessThan, len(after)/80)
 		})
 		Convey("packed parts cost a third of the content at most", func() {
 			sum := 0
-			for _, part := range Split(after) {
-				sum += len(Pack(part))
+			for _, chunk := range Split(after) {
+				sum += len(Pack(chunk))
 			}
 			So(sum, ShouldBeLessThan, len(after)/3)
 		})
 	})
 }
 
-func TestPartsThatAreWrong(t *testing.T) {
+func TestChunksThatAreWrong(t *testing.T) {
 	Convey("Given a collection that lacks all", t, func() {
 		content := routes(100, 3)
 		split := Split(content)
@@ -122,23 +122,23 @@
 		manifest.Sum[0]++
 		collection, err := NewCollection(manifest)
 		So(err, ShouldBeNil)
-		for _, part := range Split(content) {
-			collection.Add(part)
+		for _, chunk := range Split(content) {
+			collection.Add(chunk)
 		}
 		_, err = collection.Content()
 		So(err, ShouldWrap, ErrContent)
 		manifest = manifestOf(content)
 		manifest.Bytes++
 		collection, _ = NewCollection(manifest)
-		for _, part := range Split(content) {
-			collection.Add(part)
+		for _, chunk := range Split(content) {
+			collection.Add(chunk)
 		}
 		_, err = collection.Content()
 		So(err, ShouldWrap, ErrContent)
 	})
 	Convey("Manifests that cannot be one are refused", t, func() {
 		for _, manifest := range []Manifest{
-			{Bytes: -1}, {Bytes: MaxContent + 1}, {Bytes: 5, Parts: make([]byte, SumBytes+1)}, {Bytes: 1, Parts: make([]byte, 2*SumBytes)},
+			{Bytes: -1}, {Bytes: MaxContent + 1}, {Bytes: 5, Chunks: make([]byte, SumBytes+1)}, {Bytes: 1, Chunks: make([]byte, 2*SumBytes)},
 		} {
 			_, err := NewCollection(manifest)
 			So(err, ShouldWrap, ErrManifest)
@@ -148,14 +148,14 @@
 
 func TestPacking(t *testing.T) {
 	Convey("What is packed is unpacked", t, func() {
-		for _, part := range [][]byte{nil, []byte("x"), []byte(strings.Repeat("route", 1000))} {
-			unpacked, err := Unpack(Pack(part))
+		for _, chunk := range [][]byte{nil, []byte("x"), []byte(strings.Repeat("route", 1000))} {
+			unpacked, err := Unpack(Pack(chunk))
 			So(err, ShouldBeNil)
-			So(bytes.Equal(unpacked, part), ShouldBeTrue)
+			So(bytes.Equal(unpacked, chunk), ShouldBeTrue)
 		}
 	})
 	Convey("What is longer than a part is refused, and so is what is cut short", t, func() {
-		_, err := Unpack(Pack(make([]byte, maxPart+1)))
+		_, err := Unpack(Pack(make([]byte, maxChunk+1)))
 		So(err, ShouldWrap, ErrPacked)
 		packed := Pack(routes(5, 1))
 		_, err = Unpack(packed[:len(packed)-3])
@@ -172,21 +172,21 @@
 	f.Add(Pack([]byte(`{"version":3}`)))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, packed []byte) {
-		part, err := Unpack(packed)
-		if err == nil && len(part) > maxPart {
-			t.Fatalf("%d bytes", len(part))
+		chunk, err := Unpack(packed)
+		if err == nil && len(chunk) > maxChunk {
+			t.Fatalf("%d bytes", len(chunk))
 		}
 	})
 }
 
 func FuzzManifest(f *testing.F) {
 	f.Add(3, []byte("0123456789abcdef"), []byte("abc"))
-	f.Fuzz(func(t *testing.T, size int, sums, part []byte) {
-		collection, err := NewCollection(Manifest{Bytes: size, Parts: sums})
+	f.Fuzz(func(t *testing.T, size int, sums, chunk []byte) {
+		collection, err := NewCollection(Manifest{Bytes: size, Chunks: sums})
 		if err != nil {
 			return
 		}
-		collection.Add(part)
+		collection.Add(chunk)
 		collection.Missing(3)
 		if content, err := collection.Content(); err == nil && SumOf(content) != (Sum{}) {
 			t.Fatal("a content without its checksum")
--- a/internal/controlplane/chunks/collection.go
+++ b/internal/controlplane/chunks/collection.go
@@ -9,7 +9,7 @@
 }
 
 // Holder returns a part that is at hand.
-type Holder func(Sum) (part []byte, found bool)
+type Holder func(Sum) (chunk []byte, found bool)
 
 // NewCollection begins to gather a content. Parts that a holder has are not gathered again. The error is ErrManifest.
 func NewCollection(manifest Manifest, holders ...Holder) (*Collection, error) {
@@ -31,28 +31,28 @@
 // find takes a part from the first holder that has it.
 func (c *Collection) find(sum Sum, holders []Holder) {
 	for _, holder := range holders {
-		if part, found := holder(sum); found {
-			c.held[sum] = part
+		if chunk, found := holder(sum); found {
+			c.held[sum] = chunk
 			return
 		}
 	}
 	c.missing[sum] = struct{}{}
 }
 
-// Part is the Holder of the parts that have arrived.
-func (c *Collection) Part(sum Sum) (part []byte, found bool) {
-	part, found = c.held[sum]
-	return part, found
+// Chunk is the Holder of the parts that have arrived.
+func (c *Collection) Chunk(sum Sum) (chunk []byte, found bool) {
+	chunk, found = c.held[sum]
+	return chunk, found
 }
 
 // Add takes a part and tells whether it was missing. Any other changes nothing.
-func (c *Collection) Add(part []byte) bool {
-	sum := SumOf(part)
+func (c *Collection) Add(chunk []byte) bool {
+	sum := SumOf(chunk)
 	if _, wanted := c.missing[sum]; !wanted {
 		return false
 	}
 	delete(c.missing, sum)
-	c.held[sum] = part
+	c.held[sum] = chunk
 	return true
 }
 
@@ -60,18 +60,18 @@
 // one are taken.
 func (c *Collection) AddPacked(packed [][]byte) error {
 	for _, one := range packed {
-		part, err := Unpack(one)
+		chunk, err := Unpack(one)
 		if err != nil {
 			return err
 		}
-		c.Add(part)
+		c.Add(chunk)
 	}
 	return nil
 }
 
 // Missing lists at most a number of parts that are still to come, in the content's order.
 func (c *Collection) Missing(most int) []Sum {
-	missing := Without(c.order, c.Part)
+	missing := Without(c.order, c.Chunk)
 	return missing[:min(most, len(missing))]
 }
 
--- a/internal/controlplane/chunks/cut.go
+++ b/internal/controlplane/chunks/cut.go
@@ -22,8 +22,8 @@
 		content:  make(map[Sum][]byte, len(split)),
 		packed:   make(map[Sum][]byte, len(split)),
 	}
-	for i, part := range split {
-		c.content[c.order[i]] = part
+	for i, chunk := range split {
+		c.content[c.order[i]] = chunk
 	}
 	c.takePacked(earlier)
 	return c
@@ -48,10 +48,10 @@
 // Sums lists the parts' checksums in order. The caller must not modify the list.
 func (c *Cut) Sums() []Sum { return c.order }
 
-// Part returns a part. It is a Holder.
-func (c *Cut) Part(sum Sum) (part []byte, found bool) {
-	part, found = c.content[sum]
-	return part, found
+// Chunk returns a part. It is a Holder.
+func (c *Cut) Chunk(sum Sum) (chunk []byte, found bool) {
+	chunk, found = c.content[sum]
+	return chunk, found
 }
 
 // Packed returns those of the parts that are held, packed, as long as they fit into a number of bytes.
@@ -63,11 +63,11 @@
 		if _, found := c.content[sum]; !found {
 			continue
 		}
-		part := c.packedPart(sum)
-		if room -= len(part); room < 0 {
+		chunk := c.packedChunk(sum)
+		if room -= len(chunk); room < 0 {
 			break
 		}
-		packed = append(packed, part)
+		packed = append(packed, chunk)
 	}
 	return packed
 }
@@ -81,14 +81,14 @@
 	defer c.mutex.Unlock()
 	for _, sum := range sums {
 		if _, found := c.content[sum]; found {
-			return [][]byte{c.packedPart(sum)}
+			return [][]byte{c.packedChunk(sum)}
 		}
 	}
 	return nil
 }
 
-// packedPart is called with the mutex held, for a part that is held.
-func (c *Cut) packedPart(sum Sum) []byte {
+// packedChunk is called with the mutex held, for a part that is held.
+func (c *Cut) packedChunk(sum Sum) []byte {
 	packed, found := c.packed[sum]
 	if !found {
 		packed = Pack(c.content[sum])
--- a/internal/controlplane/chunks/pack.go
+++ b/internal/controlplane/chunks/pack.go
@@ -29,12 +29,12 @@
 }}
 
 // Pack compresses a part.
-func Pack(part []byte) []byte {
+func Pack(chunk []byte) []byte {
 	writer := writers.Get().(*flate.Writer)
 	defer writers.Put(writer)
 	var packed bytes.Buffer
 	writer.Reset(&packed) // keeps the dictionary
-	writer.Write(part)    // a bytes.Buffer takes all
+	writer.Write(chunk)   // a bytes.Buffer takes all
 	writer.Close()
 	return packed.Bytes()
 }
@@ -48,12 +48,12 @@
 	if err := reader.(flate.Resetter).Reset(bytes.NewReader(packed), []byte(dictionary)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
 	}
-	var part bytes.Buffer
-	if _, err := part.ReadFrom(io.LimitReader(reader, maxPart+1)); err != nil {
+	var chunk bytes.Buffer
+	if _, err := chunk.ReadFrom(io.LimitReader(reader, maxChunk+1)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrPacked, err)
 	}
-	if part.Len() > maxPart {
-		return nil, fmt.Errorf("%w: longer than %d bytes", ErrPacked, maxPart)
+	if chunk.Len() > maxChunk {
+		return nil, fmt.Errorf("%w: longer than %d bytes", ErrPacked, maxChunk)
 	}
-	return part.Bytes(), nil
+	return chunk.Bytes(), nil
 }
--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -46,7 +46,7 @@
 	Caller transport.Caller
 	// Members returns the set of replicas.
 	Members func() replicaset.View
-	// Address is this mixer's own internal address.
+	// Address is this node's own internal address.
 	Address string
 	Logger  *zap.Logger
 }
@@ -145,7 +145,7 @@
 
 // decideOld answers an order on top of a version that was replaced. Versions only rise: it cannot be taken any more, and the
 // history shows whether it was. The state comes from a majority after the order has arrived, as every refusal does: a
-// mixer that is cut off refuses nothing. A read, unlike a change, does not compete with the order that may be taken.
+// node that is cut off refuses nothing. A read, unlike a change, does not compete with the order that may be taken.
 func (c *Configurator) decideOld(ctx context.Context, asked order) Outcome {
 	if _, _, err := c.Read(ctx); err != nil {
 		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: err}
--- a/internal/controlplane/configuration/learn.go
+++ b/internal/controlplane/configuration/learn.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// LearnCall is served by core mixers: another one tells that a majority holds a newer configuration.
+// LearnCall is served by core nodes: another one tells that a majority holds a newer configuration.
 var LearnCall = transport.NewRepeatable[Learn, LearnReply]("/configuration/learn")
 
 // learnTimeout bounds one such call. A member that misses it finds the change by its own quorum reads.
--- a/internal/controlplane/configuration/model_test.go
+++ b/internal/controlplane/configuration/model_test.go
@@ -29,12 +29,12 @@
 
 // Extent of a schedule, in simulated time.
 const (
-	operators       = 3
-	troubleTime     = 6 * time.Second
-	betweenTroubles = 700 * time.Millisecond // upper bound
-	troubleLasts    = 2500 * time.Millisecond
-	healingTime     = 30 * time.Second // from the end of all faults, until the last answer
-	aftermath       = 10 * time.Second
+	operators     = 3
+	faultTime     = 6 * time.Second
+	betweenFaults = 700 * time.Millisecond // upper bound
+	faultLasts    = 2500 * time.Millisecond
+	healingTime   = 30 * time.Second // from the end of all faults, until the last answer
+	aftermath     = 10 * time.Second
 )
 
 // schedule is one play of the model.
@@ -52,16 +52,16 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		size := 3 + int(seed%2)*2
 		s = &schedule{cluster: newModelCluster(t, seed, size), judge: newJudge(), random: rand.New(rand.NewPCG(seed, 0)), machines: size}
-		ctx, cancel := context.WithTimeout(context.Background(), troubleTime)
-		last, stop := context.WithTimeout(context.Background(), troubleTime+healingTime)
+		ctx, cancel := context.WithTimeout(context.Background(), faultTime)
+		last, stop := context.WithTimeout(context.Background(), faultTime+healingTime)
 		var working sync.WaitGroup
 		for number := range operators {
 			o := &operator{number: number, cluster: s.cluster, judge: s.judge, random: rand.New(rand.NewPCG(seed, uint64(number)+1))}
 			working.Go(func() { o.work(ctx, last) })
 		}
 		for ctx.Err() == nil {
-			<-time.After(s.below(betweenTroubles))
-			s.trouble()
+			<-time.After(s.below(betweenFaults))
+			s.fault()
 		}
 		s.ends.Wait()
 		s.cluster.network.heal()
@@ -79,13 +79,13 @@
 	return time.Duration(s.random.Int64N(int64(bound))) + 1
 }
 
-// trouble lets one thing happen to a member.
-func (s *schedule) trouble() {
+// fault lets one thing happen to a member.
+func (s *schedule) fault() {
 	members := s.cluster.newest().Members
 	address := members[s.random.IntN(len(members))]
 	other := members[s.random.IntN(len(members))]
 	m := s.cluster.at(address)
-	kind, lasts, down := s.random.IntN(8), s.below(troubleLasts), s.below(300*time.Millisecond)
+	kind, lasts, down := s.random.IntN(8), s.below(faultLasts), s.below(300*time.Millisecond)
 	switch {
 	case m == nil:
 	case kind == 0:
--- a/internal/controlplane/configuration/outcome.go
+++ b/internal/controlplane/configuration/outcome.go
@@ -54,7 +54,7 @@
 var ErrForgotten = errors.New("the version in If-Match is so old that nobody can tell any more whether this change was taken; read the configuration and send the change on top of it")
 
 // ErrNotInForce is why an order is unclear that builds on a version above the one in force. Versions only rise, so that one may
-// still come into force; a refusal would be wrong if the order, on its way to another mixer as well, were taken after it.
+// still come into force; a refusal would be wrong if the order, on its way to another node as well, were taken after it.
 var ErrNotInForce = errors.New("the version in If-Match is not in force yet; send it again, or read the configuration and send the change on top of it")
 
 // ConflictError tells which version an order should have been built on.
--- a/internal/controlplane/configuration/put_test.go
+++ b/internal/controlplane/configuration/put_test.go
@@ -145,7 +145,7 @@
 func TestPutOfManyOperatorsAtOnce(t *testing.T) {
 	Convey("Of the orders on top of one version exactly one is accepted, and the others conflict", t, func() {
 		register := &fakeRegister{}
-		mixers := []*Configurator{newConfigurator(register), newConfigurator(register), newConfigurator(register)}
+		nodes := []*Configurator{newConfigurator(register), newConfigurator(register), newConfigurator(register)}
 		current := uint64(0)
 		for range 20 {
 			outcomes := make([]Outcome, 8)
@@ -153,7 +153,7 @@
 			for i := range outcomes {
 				racing.Go(func() {
 					body := bodyOf(int(current)+1+i%2, 1000+i)
-					outcomes[i] = mixers[i%len(mixers)].Put(context.Background(), current, body)
+					outcomes[i] = nodes[i%len(nodes)].Put(context.Background(), current, body)
 				})
 			}
 			racing.Wait()
--- a/internal/controlplane/configuration/state.go
+++ b/internal/controlplane/configuration/state.go
@@ -83,7 +83,7 @@
 		return Outcome{}
 	case s.forgot(asked):
 		return Outcome{Kind: Unclear, Err: ErrForgotten}
-	case asked.ifMatch > s.Version: // it may come into force, and an earlier attempt at a slow mixer may then be taken
+	case asked.ifMatch > s.Version: // it may come into force, and an earlier attempt at a slow node may then be taken
 		return Outcome{Kind: Unclear, Err: ErrNotInForce}
 	}
 	return conflict(s.Version)
--- a/internal/controlplane/configuration/types.go
+++ b/internal/controlplane/configuration/types.go
@@ -35,14 +35,14 @@
 // TargetLatency is the latency that the route's requests aim for.
 func (r Route) TargetLatency() time.Duration { return duration(r.TargetLatencyMS) }
 
-// Service is a kind of searcher that runs the tasks of routes.
+// Service is a kind of worker that runs the tasks of routes.
 type Service struct {
 	Name              string `json:"name" validate:"required"`
 	HealthCheckPath   string `json:"healthCheckPath" validate:"omitempty,startswith=/"`
-	MaxConnections    int    `json:"maxConnections" validate:"gte=0"` // to one searcher; 0 when left out
+	MaxConnections    int    `json:"maxConnections" validate:"gte=0"` // to one worker; 0 when left out
 	Protocol          string `json:"protocol"`                        // such as "h1"
 	TransportSecurity bool   `json:"transportSecurity"`
-	Guards            bool   `json:"guards"` // its searchers reject what does not fit
+	Guards            bool   `json:"guards"` // its workers reject what does not fit
 }
 
 // Limits bound the requests of clients; 0 means that the operator set none.
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -20,7 +20,7 @@
 const Path = "/-/configuration"
 
 const (
-	// answerTime is how long a call waits for its end; callers turn to another mixer after a second.
+	// answerTime is how long a call waits for its end; callers turn to another node after a second.
 	answerTime = 900 * time.Millisecond
 	// orderTime bounds an order, which goes on after its call was answered as unclear.
 	orderTime = 3 * time.Second
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -1,5 +1,5 @@
-// Package coordinator puts a core mixer together: the durable store, the replicated control state, the operator's API,
-// the feed for the data plane, and the schedulers of the groups that this mixer leads.
+// Package coordinator puts a core node together: the durable store, the replicated control state, the operator's API,
+// the feed for the data plane, and the schedulers of the groups that this node leads.
 package coordinator
 
 import (
@@ -24,7 +24,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/inventory"
 	"puffinlink.example/puffinlink/internal/jobs/manager"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 	"puffinlink.example/puffinlink/internal/nodesettings"
 	"puffinlink.example/puffinlink/internal/transport"
 )
@@ -43,11 +43,11 @@
 
 // Listeners are the sockets that a coordinator serves. Run closes them.
 type Listeners struct {
-	Internal net.Listener // calls of other mixers
+	Internal net.Listener // calls of other nodes
 	Control  net.Listener // the operator's API
 }
 
-// Coordinator is one core mixer.
+// Coordinator is one core node.
 type Coordinator struct {
 	settings     nodesettings.Settings
 	log          *zap.Logger
@@ -59,8 +59,8 @@
 	configurator *configuration.Configurator
 	feed         *feedserver.Server
 	jobs         *manager.Manager
-	searchers    *worker.Connections
-	orders       *http.Client // to searchers, within that budget
+	workers      *workerclient.Connections
+	orders       *http.Client // to workers, within that budget
 	platform     *http.Client
 	mux          *transport.Mux
 }
@@ -77,10 +77,10 @@
 	log.Info("store opened", zap.Any("opened", opened))
 	c := &Coordinator{
 		settings: settings, log: log, store: store, caller: transport.NewClientFor(settings.Cluster),
-		searchers: worker.NewConnections(searcherLimits(&settings.Limits)), platform: newPlatformClient(),
+		workers: workerclient.NewConnections(workerLimits(&settings.Limits)), platform: newPlatformClient(),
 		mux: transport.NewMuxFor(transport.NewIdentity(settings.Cluster, settings.NodeName)),
 	}
-	c.orders = c.searchers.HTTPClient()
+	c.orders = c.workers.HTTPClient()
 	if err := c.assemble(); err != nil {
 		store.Close()
 		return nil, err
@@ -164,7 +164,7 @@
 	c.configurator.Mount(c.mux)
 }
 
-// current tells whether what this mixer tells others is of late: a majority has answered its pings, and has confirmed the
+// current tells whether what this node tells others is of late: a majority has answered its pings, and has confirmed the
 // configuration. Pings may be answered where quorum reads fail, as when members are being rebuilt or know another view.
 func (c *Coordinator) current() bool {
 	return c.node.InContact() && c.configurator.Fresh(configuration.FreshAge)
@@ -179,7 +179,7 @@
 func (c *Coordinator) assembleJobs(self string) error {
 	bounds := &c.settings.Bounds
 	c.jobs = manager.New(manager.Config{
-		HTTP: c.orders, Connections: c.searchers, Log: c.log,
+		HTTP: c.orders, Connections: c.workers, Log: c.log,
 		Settings: scheduler.Settings{
 			FarFactor: bounds.FarFactor, StopTime: bounds.Stop, RestoreTime: bounds.Restore,
 			HoldMax: bounds.HoldMax, DrainTime: bounds.Drain, StatusKept: bounds.Status + statusMargin,
@@ -285,7 +285,7 @@
 	}
 }
 
-// readInventory reads the platform's list while this mixer leads a group.
+// readInventory reads the platform's list while this node leads a group.
 func (c *Coordinator) readInventory(ctx context.Context) {
 	reader := inventory.Reader{
 		Address: c.settings.CloudAPI.Address, RatePerS: c.settings.CloudAPI.RatePerS, HTTP: c.platform, Log: c.log,
--- a/internal/controlplane/coordinator/metrics.go
+++ b/internal/controlplane/coordinator/metrics.go
@@ -12,20 +12,20 @@
 
 const serviceLabel = "service"
 
-// Descriptions of the metrics of the groups that this mixer leads.
+// Descriptions of the metrics of the groups that this node leads.
 var (
-	epochMetric     = groupMetric("puffinlink_group_epoch", "Epoch of this mixer's leadership of a service's jobs; absent where another leads.")
-	jobsMetric      = groupMetric("puffinlink_jobs", "Jobs by state; ended ones are those still remembered.", "state")
-	waitingMetric   = groupMetric("puffinlink_waiting_tasks", "Tasks whose turn has come and that are not assigned.")
-	runsMetric      = groupMetric("puffinlink_runs", "Runs that may be under way.")
-	searchersMetric = groupMetric("puffinlink_searchers", "Known lives of searchers, by whether they answer.", "reachable")
+	epochMetric   = groupMetric("puffinlink_group_epoch", "Epoch of this mixer's leadership of a service's jobs; absent where another leads.")
+	jobsMetric    = groupMetric("puffinlink_jobs", "Jobs by state; ended ones are those still remembered.", "state")
+	waitingMetric = groupMetric("puffinlink_waiting_tasks", "Tasks whose turn has come and that are not assigned.")
+	runsMetric    = groupMetric("puffinlink_runs", "Runs that may be under way.")
+	workersMetric = groupMetric("puffinlink_searchers", "Known lives of searchers, by whether they answer.", "reachable")
 )
 
 func groupMetric(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(name, help, append([]string{serviceLabel}, labels...), nil)
 }
 
-// Metrics are what this mixer reports. They are worked out when they are read.
+// Metrics are what this node reports. They are worked out when they are read.
 func (c *Coordinator) Metrics() []prometheus.Collector {
 	return []prometheus.Collector{
 		metrics.Flag("puffinlink_in_contact", "Whether a majority has answered this mixer of late.", c.node.InContact),
@@ -38,9 +38,9 @@
 		}),
 		metrics.Gauge("puffinlink_agents", "Agents of front machines heard lately.", func() float64 { return float64(len(c.feed.Agents())) }),
 		metrics.Gauge("puffinlink_searcher_connections", "Connections to searchers, those being opened included.",
-			func() float64 { return float64(c.searchers.Usage().Open) }),
+			func() float64 { return float64(c.workers.Usage().Open) }),
 		metrics.Gauge("puffinlink_searcher_calls_waiting", "Calls to searchers that wait for a connection of the budget.",
-			func() float64 { return float64(c.searchers.Usage().Waiting) }),
+			func() float64 { return float64(c.workers.Usage().Waiting) }),
 		groupCollector{c},
 	}
 }
@@ -55,12 +55,12 @@
 	return float64(alive)
 }
 
-// groupCollector reports the groups that a mixer leads.
+// groupCollector reports the groups that a node leads.
 type groupCollector struct{ coordinator *Coordinator }
 
 // Describe implements prometheus.Collector.
 func (g groupCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{epochMetric, jobsMetric, waitingMetric, runsMetric, searchersMetric} {
+	for _, description := range []*prometheus.Desc{epochMetric, jobsMetric, waitingMetric, runsMetric, workersMetric} {
 		descriptions <- description
 	}
 }
@@ -84,6 +84,6 @@
 	report(jobsMetric, float64(summary.Ended), "ended")
 	report(waitingMetric, float64(summary.WaitingTasks))
 	report(runsMetric, float64(summary.Runs))
-	report(searchersMetric, float64(summary.ReachableSearchers), "true")
-	report(searchersMetric, float64(summary.Searchers-summary.ReachableSearchers), "false")
+	report(workersMetric, float64(summary.ReachableWorkers), "true")
+	report(workersMetric, float64(summary.Workers-summary.ReachableWorkers), "false")
 }
--- a/internal/controlplane/coordinator/operations.go
+++ b/internal/controlplane/coordinator/operations.go
@@ -16,7 +16,7 @@
 // operations serves operators beside the configuration, which the next handler serves.
 func (c *Coordinator) operations(next http.Handler) http.Handler {
 	return operations.New(operations.Options{
-		Mixer: operations.Identity{
+		Node: operations.Identity{
 			Name: c.settings.NodeName, Zone: c.settings.Zone, Address: c.settings.InternalAddress(0),
 		},
 		Sources: operations.Sources{
--- a/internal/controlplane/coordinator/stop.go
+++ b/internal/controlplane/coordinator/stop.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// finish answers what was asked already, and tells callers a little longer that this mixer leads no more.
+// finish answers what was asked already, and tells callers a little longer that this node leads no more.
 func (c *Coordinator) finish(internal, operator *http.Server) {
 	patience, cancel := context.WithTimeout(context.Background(), stopPatience)
 	defer cancel()
@@ -40,7 +40,7 @@
 }
 
 // leave tells the other members that this process stops. One that was told to stop first hands over: it serves on until
-// no other member is being rebuilt and a newcomer, if one waits, has its place and has been rebuilt; or until the rest of
+// no other member is being rebuilt and a joining member, if one waits, has its place and has been rebuilt; or until the rest of
 // the grace period is needed.
 func (c *Coordinator) leave(ctx context.Context, told bool) {
 	if !told {
--- a/internal/controlplane/feed/board.go
+++ b/internal/controlplane/feed/board.go
@@ -99,9 +99,9 @@
 	return &news
 }
 
-// ByParts returns news with an offer in the place of the configuration, for a reader with the digest known and room for
+// ByChunks returns news with an offer in the place of the configuration, for a reader with the digest known and room for
 // some parts. A reader without room gets them whole.
-func (b *Board) ByParts(news *Snapshot, known Digest, room int) *Snapshot {
+func (b *Board) ByChunks(news *Snapshot, known Digest, room int) *Snapshot {
 	if news == nil || room <= 0 || len(news.Configuration) == 0 {
 		return news
 	}
@@ -111,13 +111,13 @@
 	return &offered
 }
 
-// Parts hands out parts of the newest configuration.
-func (b *Board) Parts(ask PartsRequest) PartsReply {
-	return PartsReply{Parts: b.catalog.Parts(chunks.SumsOf(ask.Sums), ask.Room)}
+// Chunks hands out parts of the newest configuration.
+func (b *Board) Chunks(ask ChunksRequest) ChunksReply {
+	return ChunksReply{Chunks: b.catalog.Chunks(chunks.SumsOf(ask.Sums), ask.Room)}
 }
 
-// Part returns a part of the newest configuration. It is a parts.Holder.
-func (b *Board) Part(sum chunks.Sum) (part []byte, found bool) { return b.catalog.Part(sum) }
+// Chunk returns a part of the newest configuration. It is a parts.Holder.
+func (b *Board) Chunk(sum chunks.Sum) (chunk []byte, found bool) { return b.catalog.Chunk(sum) }
 
 // Wait returns what a reader with the digest known lacks as soon as there is something, and nil once limit has passed or
 // ctx has ended without news.
--- a/internal/controlplane/feed/catalog.go
+++ b/internal/controlplane/feed/catalog.go
@@ -52,7 +52,7 @@
 	version, cut := c.current()
 	offer = &Offer{Manifest: cut.Manifest()}
 	if held, found := c.holder(known); found {
-		offer.Parts = cut.Packed(chunks.Without(cut.Sums(), held), room)
+		offer.Chunks = cut.Packed(chunks.Without(cut.Sums(), held), room)
 	}
 	return version, offer
 }
@@ -81,9 +81,9 @@
 	return nil, false
 }
 
-// Parts returns those parts of the newest configuration that are asked for, packed, and at most room bytes of them; but
+// Chunks returns those parts of the newest configuration that are asked for, packed, and at most room bytes of them; but
 // always the first one that is held.
-func (c *Catalog) Parts(sums []chunks.Sum, room int) [][]byte {
+func (c *Catalog) Chunks(sums []chunks.Sum, room int) [][]byte {
 	_, cut := c.current()
 	if cut == nil {
 		return nil
@@ -91,11 +91,11 @@
 	return cut.PackedSome(sums, room)
 }
 
-// Part returns a part of the newest configuration. It is a parts.Holder.
-func (c *Catalog) Part(sum chunks.Sum) (part []byte, found bool) {
+// Chunk returns a part of the newest configuration. It is a parts.Holder.
+func (c *Catalog) Chunk(sum chunks.Sum) (chunk []byte, found bool) {
 	_, cut := c.current()
 	if cut == nil {
 		return nil, false
 	}
-	return cut.Part(sum)
+	return cut.Chunk(sum)
 }
--- a/internal/controlplane/feed/catalog_test.go
+++ b/internal/controlplane/feed/catalog_test.go
@@ -25,18 +25,18 @@
 // taken gathers an offer's parts beside those of a version that the reader has.
 func taken(offer *Offer, known []byte) *chunks.Collection {
 	held := make(map[chunks.Sum][]byte)
-	for _, part := range chunks.Split(known) {
-		held[chunks.SumOf(part)] = part
+	for _, chunk := range chunks.Split(known) {
+		held[chunks.SumOf(chunk)] = chunk
 	}
 	collection, err := chunks.NewCollection(offer.Manifest, func(sum chunks.Sum) ([]byte, bool) {
-		part, found := held[sum]
-		return part, found
+		chunk, found := held[sum]
+		return chunk, found
 	})
 	So(err, ShouldBeNil)
-	for _, packed := range offer.Parts {
-		part, err := chunks.Unpack(packed)
+	for _, packed := range offer.Chunks {
+		chunk, err := chunks.Unpack(packed)
 		So(err, ShouldBeNil)
-		collection.Add(part)
+		collection.Add(chunk)
 	}
 	return collection
 }
@@ -52,20 +52,20 @@
 		Convey("a reader of a recent version gets the parts that differ, and needs no other", func() {
 			version, offer := catalog.Offer(keptEditions, 64<<10)
 			So(version, ShouldEqual, keptEditions+5)
-			So(len(offer.Parts), ShouldBeLessThanOrEqualTo, 4)
+			So(len(offer.Chunks), ShouldBeLessThanOrEqualTo, 4)
 			content, err := taken(offer, body(keptEditions)).Content()
 			So(err, ShouldBeNil)
 			So(bytes.Equal(content, newest), ShouldBeTrue)
 		})
 		Convey("a reader of an old version gets the manifest alone", func() {
 			_, offer := catalog.Offer(2, 64<<10)
-			So(offer.Parts, ShouldBeEmpty)
+			So(offer.Chunks, ShouldBeEmpty)
 			So(offer.Manifest.Bytes, ShouldEqual, len(newest))
 		})
 		Convey("a reader of nothing gets as many parts as there is room for", func() {
 			_, offer := catalog.Offer(0, 4<<10)
 			sum := 0
-			for _, packed := range offer.Parts {
+			for _, packed := range offer.Chunks {
 				sum += len(packed)
 			}
 			So(sum, ShouldBeBetween, 1<<10, 4<<10+1)
@@ -73,11 +73,11 @@
 		Convey("parts are handed out by name: one even without room, and none that are not held", func() {
 			_, offer := catalog.Offer(2, 0)
 			sums := offer.Manifest.Sums()
-			So(len(catalog.Parts(sums, 0)), ShouldEqual, 1)
-			So(len(catalog.Parts(sums, 1<<20)), ShouldEqual, len(sums))
-			So(catalog.Parts([]chunks.Sum{{1}}, 1<<20), ShouldBeEmpty)
+			So(len(catalog.Chunks(sums, 0)), ShouldEqual, 1)
+			So(len(catalog.Chunks(sums, 1<<20)), ShouldEqual, len(sums))
+			So(catalog.Chunks([]chunks.Sum{{1}}, 1<<20), ShouldBeEmpty)
 			old := chunks.SumOf(chunks.Split(body(1))[0])
-			So(catalog.Parts([]chunks.Sum{old}, 1<<20), ShouldBeEmpty)
+			So(catalog.Chunks([]chunks.Sum{old}, 1<<20), ShouldBeEmpty)
 		})
 		Convey("an older version changes nothing", func() {
 			catalog.Publish(3, body(3))
@@ -87,13 +87,13 @@
 	})
 }
 
-func TestBoardOffersParts(t *testing.T) {
+func TestBoardOffersChunks(t *testing.T) {
 	Convey("Given a board with a configuration", t, func() {
 		board := NewBoard()
 		board.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: body(5), Core: []string{"a:1"}})
 		news, _ := board.Since(Digest{})
 		Convey("a reader with room gets it by parts", func() {
-			offered := board.ByParts(news, Digest{}, 1<<20)
+			offered := board.ByChunks(news, Digest{}, 1<<20)
 			So(offered.Configuration, ShouldBeEmpty)
 			So(offered.ConfigurationVersion, ShouldEqual, 5)
 			So(offered.Core, ShouldResemble, []string{"a:1"})
@@ -103,13 +103,13 @@
 			So(news.Configuration, ShouldNotBeEmpty)
 		})
 		Convey("a reader without room, as of an older build, gets it whole", func() {
-			So(board.ByParts(news, Digest{}, 0), ShouldEqual, news)
+			So(board.ByChunks(news, Digest{}, 0), ShouldEqual, news)
 		})
 		Convey("a reader that has it gets no offer", func() {
 			known := Digest{ConfigurationVersion: 5}
 			members, _ := board.Since(known)
-			So(board.ByParts(members, known, 1<<20).Offer, ShouldBeNil)
-			So(board.ByParts(nil, known, 1<<20), ShouldBeNil)
+			So(board.ByChunks(members, known, 1<<20).Offer, ShouldBeNil)
+			So(board.ByChunks(nil, known, 1<<20), ShouldBeNil)
 		})
 		Convey("known members are not sent again", func() {
 			known := Digest{MembersSum: board.Digest().MembersSum}
--- a/internal/controlplane/feed/feed.go
+++ b/internal/controlplane/feed/feed.go
@@ -1,5 +1,5 @@
 // Package feed holds what the control plane tells the data plane: the configuration in force, who leads which group,
-// and which mixers exist. A Digest names one state of it, so that a reader fetches only what it lacks.
+// and which nodes exist. A Digest names one state of it, so that a reader fetches only what it lacks.
 package feed
 
 import (
@@ -9,15 +9,15 @@
 
 // Internal calls. What they tell has versions, epochs or ages, and changes nothing when it comes again.
 var (
-	// WatchCall is served by core mixers: it answers once something differs from the reader's digest.
+	// WatchCall is served by core nodes: it answers once something differs from the reader's digest.
 	WatchCall = transport.NewRepeatable[Watch, WatchReply]("/feed/watch")
 	// ExchangeCall is served by agents: digests first, then what the other lacks (epidemic reconciliation).
 	ExchangeCall = transport.NewRepeatable[Exchange, Exchange]("/feed/exchange")
-	// PartsCall is served by core mixers and agents: it hands out parts of the configuration that they hold.
-	PartsCall = transport.NewRepeatable[PartsRequest, PartsReply]("/feed/parts")
+	// ChunksCall is served by core nodes and agents: it hands out parts of the configuration that they hold.
+	ChunksCall = transport.NewRepeatable[ChunksRequest, ChunksReply]("/feed/parts")
 	// LocalCall is served by an agent on its own machine, to the proxy beside it.
 	LocalCall = transport.NewRepeatable[Watch, WatchReply]("/feed/local")
-	// FrontCall is served by core mixers: they tell each other which agents asked them for news.
+	// FrontCall is served by core nodes: they tell each other which agents asked them for news.
 	FrontCall = transport.NewRepeatable[Front, Front]("/feed/front")
 )
 
@@ -32,7 +32,7 @@
 	ConfigurationVersion uint64            `msgpack:"c"`
 	LeaderEpochs         map[string]uint64 `msgpack:"l"` // by group
 	MembersSum           uint64            `msgpack:"m"` // checksum of the members' addresses
-	// MembersAgeMS is how long ago a core mixer confirmed the members, in milliseconds. Only agents fill it in.
+	// MembersAgeMS is how long ago a core node confirmed the members, in milliseconds. Only agents fill it in.
 	MembersAgeMS int64 `msgpack:"g,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 	ConfigurationVersion uint64            `msgpack:"c"`
 	Configuration        []byte            `msgpack:"b"`           // as the operator sent it; empty before the first, where the reader has it, and beside an offer
 	Leaders              map[string]Leader `msgpack:"l"`           // by group
-	Core                 []string          `msgpack:"k"`           // internal addresses of core mixers
+	Core                 []string          `msgpack:"k"`           // internal addresses of core nodes
 	Front                []string          `msgpack:"f"`           // internal addresses of the agents on front machines
 	Offer                *Offer            `msgpack:"o,omitempty"` // the configuration by parts, to readers that take it so
 }
@@ -49,21 +49,21 @@
 // Offer describes a configuration by its parts, with some of those that the reader lacks. The others are asked for.
 type Offer struct {
 	Manifest chunks.Manifest `msgpack:"m"`
-	Parts    [][]byte        `msgpack:"p,omitempty"` // packed
+	Chunks   [][]byte        `msgpack:"p,omitempty"` // packed
 }
 
-// PartsRequest asks for parts of a configuration.
-type PartsRequest struct {
+// ChunksRequest asks for parts of a configuration.
+type ChunksRequest struct {
 	Sums []byte `msgpack:"s"` // checksums, one after the other
 	Room int    `msgpack:"r"` // about how many bytes the answer may have; one part comes in any case
 }
 
-// PartsReply is the answer.
-type PartsReply struct {
-	Parts [][]byte `msgpack:"p"` // packed, those that are held
+// ChunksReply is the answer.
+type ChunksReply struct {
+	Chunks [][]byte `msgpack:"p"` // packed, those that are held
 }
 
-// Watch asks a core mixer for news.
+// Watch asks a core node for news.
 type Watch struct {
 	Known  Digest `msgpack:"k"`
 	WaitMS int64  `msgpack:"w"` // answer after that long even without news
@@ -76,7 +76,7 @@
 	Room int `msgpack:"r,omitempty"`
 }
 
-// WatchReply is the answer. A core mixer without contact to a majority answers with Current false, and its reader turns to another.
+// WatchReply is the answer. A core node without contact to a majority answers with Current false, and its reader turns to another.
 type WatchReply struct {
 	Current  bool      `msgpack:"u"`
 	Changed  bool      `msgpack:"h"`
@@ -91,13 +91,13 @@
 	Room     int       `msgpack:"r,omitempty"` // as in Watch
 }
 
-// Heard is an agent that has asked a core mixer for news.
+// Heard is an agent that has asked a core node for news.
 type Heard struct {
 	Address string `msgpack:"a"` // internal address
 	AgeMS   int64  `msgpack:"g"` // milliseconds since then
 }
 
-// Front is what one core mixer tells another, and the reply: the agents that asked it lately.
+// Front is what one core node tells another, and the reply: the agents that asked it lately.
 type Front struct {
 	Agents []Heard `msgpack:"a"`
 }
--- a/internal/controlplane/feedserver/feedserver.go
+++ b/internal/controlplane/feedserver/feedserver.go
@@ -1,4 +1,4 @@
-// Package feedserver is the core mixers' side of the feed: it answers the agents' calls for news and remembers which
+// Package feedserver is the core nodes' side of the feed: it answers the agents' calls for news and remembers which
 // agents there are.
 package feedserver
 
@@ -21,7 +21,7 @@
 	gatherFrontTime = 500 * time.Millisecond
 	// tickInterval is the pause between looks for agents that have fallen silent.
 	tickInterval = time.Second
-	// shareInterval is the pause between calls that tell another core mixer of the agents heard here.
+	// shareInterval is the pause between calls that tell another core node of the agents heard here.
 	shareInterval = time.Second
 	// shareTimeout bounds one such call.
 	shareTimeout = 800 * time.Millisecond
@@ -33,9 +33,9 @@
 	Configuration func() (version uint64, body []byte)
 	// Leaders returns the leaders by group.
 	Leaders func() map[string]feed.Leader
-	// Core returns the internal addresses of the core mixers.
+	// Core returns the internal addresses of the core nodes.
 	Core func() []string
-	// InContact tells whether this core mixer is in contact with a majority, which has lately confirmed what it knows.
+	// InContact tells whether this core node is in contact with a majority, which has lately confirmed what it knows.
 	InContact func() bool
 	// Changed holds one function per source of changes. Each returns a channel that is closed at the source's next change.
 	Changed []func() <-chan struct{}
@@ -44,9 +44,9 @@
 // Options are what a Server needs.
 type Options struct {
 	Sources Sources
-	// Caller tells other core mixers which agents were heard.
+	// Caller tells other core nodes which agents were heard.
 	Caller transport.Caller
-	// Address is this core mixer's internal address.
+	// Address is this core node's internal address.
 	Address string
 	Logger  *zap.Logger
 }
@@ -84,10 +84,10 @@
 // Agents lists the internal addresses of the agents that have asked for news lately, sorted.
 func (s *Server) Agents() []string { return s.front.agents(time.Now()) }
 
-// Mount serves the calls of agents and of other core mixers.
+// Mount serves the calls of agents and of other core nodes.
 func (s *Server) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.WatchCall, s.watch)
-	transport.Handle(mux, feed.PartsCall, s.parts)
+	transport.Handle(mux, feed.ChunksCall, s.chunks)
 	transport.Handle(mux, feed.FrontCall, s.share)
 }
 
@@ -103,15 +103,15 @@
 		s.publish()
 		news, _ = s.board.Since(ask.Known)
 	}
-	return feed.WatchReply{Current: current, Changed: news != nil, Snapshot: s.board.ByParts(news, ask.Known, ask.Room)}, nil
+	return feed.WatchReply{Current: current, Changed: news != nil, Snapshot: s.board.ByChunks(news, ask.Known, ask.Room)}, nil
 }
 
-func (s *Server) parts(_ context.Context, ask feed.PartsRequest) (feed.PartsReply, error) {
-	return s.board.Parts(ask), nil
+func (s *Server) chunks(_ context.Context, ask feed.ChunksRequest) (feed.ChunksReply, error) {
+	return s.board.Chunks(ask), nil
 }
 
 // behind tells whether the board lacks the configuration that is known here, as changes are gathered before they are
-// published. A mixer that comes back into contact learns at the same moment that it is current and what it has missed.
+// published. A node that comes back into contact learns at the same moment that it is current and what it has missed.
 func (s *Server) behind() bool {
 	version, _ := s.options.Sources.Configuration()
 	return version > s.board.Digest().ConfigurationVersion
--- a/internal/controlplane/feedserver/front.go
+++ b/internal/controlplane/feedserver/front.go
@@ -15,7 +15,7 @@
 	silenceBeforeDrop = 3 * time.Second
 )
 
-// front knows which agents have asked for news lately, here or at another core mixer.
+// front knows which agents have asked for news lately, here or at another core node.
 type front struct {
 	mutex   sync.Mutex
 	heard   map[string]time.Time
@@ -77,7 +77,7 @@
 	}
 }
 
-// ages is what other core mixers are told.
+// ages is what other core nodes are told.
 func (f *front) ages(now time.Time) feed.Front {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -88,7 +88,7 @@
 	return told
 }
 
-// learn takes over what another core mixer told, and tells whether an agent is new.
+// learn takes over what another core node told, and tells whether an agent is new.
 func (f *front) learn(told feed.Front, now time.Time) bool {
 	isNew := false
 	for _, agent := range told.Agents {
--- a/internal/controlplane/feedserver/run.go
+++ b/internal/controlplane/feedserver/run.go
@@ -78,7 +78,7 @@
 	})
 }
 
-// shareRegularly exchanges the agents heard with one other core mixer after the other.
+// shareRegularly exchanges the agents heard with one other core node after the other.
 func (s *Server) shareRegularly(ctx context.Context) {
 	ticker := time.NewTicker(shareInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -35,21 +35,21 @@
 	bothJob   = "00000000000000cc"
 )
 
-// core plays the other mixers: it answers calls as the leaders would, and knows who leads.
+// core plays the other nodes: it answers calls as the leaders would, and knows who leads.
 type core struct {
-	mutex    sync.Mutex
-	leaders  map[string]feed.Leader
-	changed  chan struct{}
-	jobs     map[string][]string // IDs by group
-	searcher map[string]string   // ID by group
-	fail     func(address, path string) error
-	calls    []string // address and path
-	drains   []jobreport.DrainRequest
+	mutex   sync.Mutex
+	leaders map[string]feed.Leader
+	changed chan struct{}
+	jobs    map[string][]string // IDs by group
+	worker  map[string]string   // ID by group
+	fail    func(address, path string) error
+	calls   []string // address and path
+	drains  []jobreport.DrainRequest
 
 	drainVersion uint64
 	drainOutcome jobreport.DrainOutcome
 	version      uint64       // of the configuration
-	alone        bool         // the mixer has no contact to a majority
+	alone        bool         // the node has no contact to a majority
 	confirm      func() error // a quorum read
 	cancels      []jobapi.Cancel
 	// found is the state that leaders report of jobs, and cancelled what they answer to a cancellation, if set.
@@ -65,8 +65,8 @@
 			"jobs/pricing": {Address: "10.0.0.1:7660", Epoch: 3}, "jobs/stress": {Address: "10.0.0.2:7660", Epoch: 5},
 		},
 		changed: make(chan struct{}), version: 7, confirm: func() error { return nil },
-		jobs:     map[string][]string{"jobs/pricing": {priceJob, bothJob}, "jobs/stress": {stressJob, bothJob}},
-		searcher: map[string]string{"jobs/pricing": "i-price", "jobs/stress": "i-stress"},
+		jobs:   map[string][]string{"jobs/pricing": {priceJob, bothJob}, "jobs/stress": {stressJob, bothJob}},
+		worker: map[string]string{"jobs/pricing": "i-price", "jobs/stress": "i-stress"},
 	}
 }
 
@@ -141,13 +141,13 @@
 	switch asked := request.(type) {
 	case jobreport.SummaryRequest:
 		return jobreport.SummaryReply{Summary: jobreport.Summary{Running: 2}}, nil
-	case jobreport.SearchersRequest:
-		return jobreport.SearchersReply{Searchers: []jobreport.Searcher{{ID: c.searcher[asked.Group], State: jobreport.SearcherReady}}}, nil
+	case jobreport.WorkersRequest:
+		return jobreport.WorkersReply{Workers: []jobreport.Worker{{ID: c.worker[asked.Group], State: jobreport.WorkerReady}}}, nil
 	case jobreport.DrainRequest:
 		c.drains = append(c.drains, asked)
-		known := c.searcher[asked.Group] == asked.Searcher
-		searcher := jobreport.Searcher{ID: asked.Searcher, OperatorDraining: asked.Draining, DrainVersion: c.drainVersion}
-		return jobreport.DrainReply{Known: known, Outcome: c.drainOutcome, Searcher: searcher}, nil
+		known := c.worker[asked.Group] == asked.Worker
+		worker := jobreport.Worker{ID: asked.Worker, OperatorDraining: asked.Draining, DrainVersion: c.drainVersion}
+		return jobreport.DrainReply{Known: known, Outcome: c.drainOutcome, Worker: worker}, nil
 	case jobreport.JobsRequest:
 		return c.list(asked), nil
 	case jobreport.JobRequest:
@@ -175,7 +175,7 @@
 
 func (c *core) handler() *Handler {
 	next := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { http.Error(w, "next "+r.URL.Path, http.StatusTeapot) })
-	return New(Options{Mixer: Identity{Name: "core-1"}, Sources: c.sources(), Caller: c, Next: next, Logger: zap.NewNop()})
+	return New(Options{Node: Identity{Name: "core-1"}, Sources: c.sources(), Caller: c, Next: next, Logger: zap.NewNop()})
 }
 
 // ask makes one request and reads the answer into a report, if there is one to read.
--- a/internal/controlplane/operations/jobs_test.go
+++ b/internal/controlplane/operations/jobs_test.go
@@ -137,7 +137,7 @@
 			delete(c.leaders, "jobs/stress")
 			begin := time.Now()
 			time.AfterFunc(leaderPause/4, func() { c.lead("jobs/stress", "10.0.0.3:7660") })
-			So(ask(c.handler(), "GET", SearchersPath+"?service=stress", nil).Code, ShouldEqual, http.StatusOK)
+			So(ask(c.handler(), "GET", WorkersPath+"?service=stress", nil).Code, ShouldEqual, http.StatusOK)
 			So(time.Since(begin), ShouldEqual, leaderPause/4)
 		})
 		Convey("an unclear failure is tried again, as a repetition does no harm", func() {
@@ -148,13 +148,13 @@
 				}
 				return nil
 			}
-			So(ask(c.handler(), "POST", SearchersPath+"/i-stress/drain?service=stress", nil).Code, ShouldEqual, http.StatusOK)
+			So(ask(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", nil).Code, ShouldEqual, http.StatusOK)
 			So(c.drains, ShouldHaveLength, 1)
 		})
 		Convey("one that stays unclear is reported as such", func() {
 			c.fail = func(string, string) error { return errCut }
 			var failure Failure
-			answer := ask(c.handler(), "POST", SearchersPath+"/i-stress/drain?service=stress", &failure)
+			answer := ask(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", &failure)
 			So(answer.Code, ShouldEqual, http.StatusGatewayTimeout)
 			So(failure.Error, ShouldContainSubstring, "it may have been done")
 		})
--- a/internal/controlplane/operations/operations.go
+++ b/internal/controlplane/operations/operations.go
@@ -1,4 +1,4 @@
-// Package operations serves operators beside the configuration: the status of the mixers, the searchers and the jobs, why
+// Package operations serves operators beside the configuration: the status of the nodes, the workers and the jobs, why
 // a job waits, drains and cancellations. Any coordinator answers; what only the leader of a service's jobs knows is
 // asked there by an internal call.
 //
@@ -40,7 +40,7 @@
 
 // Options are what a Handler needs.
 type Options struct {
-	Mixer   Identity
+	Node    Identity
 	Sources Sources
 	Caller  transport.Caller // to the leaders
 	Next    http.Handler     // serves the configuration and all other paths
@@ -59,9 +59,9 @@
 func New(options Options) *Handler {
 	h := &Handler{options: options, start: time.Now(), mux: http.NewServeMux(), requests: make(chan struct{}, maxRequests)}
 	h.handle("GET "+StatusPath, h.status)
-	h.handle("GET "+SearchersPath, h.searchers)
-	h.handle("POST "+SearchersPath+"/{id}"+DrainSuffix, h.drain)
-	h.handle("DELETE "+SearchersPath+"/{id}"+DrainSuffix, h.undrain)
+	h.handle("GET "+WorkersPath, h.workers)
+	h.handle("POST "+WorkersPath+"/{id}"+DrainSuffix, h.drain)
+	h.handle("DELETE "+WorkersPath+"/{id}"+DrainSuffix, h.undrain)
 	h.handle("GET "+JobsPath, h.jobs)
 	h.handle("GET "+JobsPath+"/{id}", h.job)
 	h.handle("GET "+JobsPath+"/{id}"+WhySuffix, h.why)
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -21,7 +21,7 @@
 
 		Convey("its status has members, leaders and summaries", func() {
 			So(ask(c.handler(), "GET", StatusPath, &status).Code, ShouldEqual, http.StatusOK)
-			So(status.Mixer.Name, ShouldEqual, "core-1")
+			So(status.Node.Name, ShouldEqual, "core-1")
 			So(status.ConfigurationVersion, ShouldEqual, 7)
 			So(status.View.Members, ShouldHaveLength, 3)
 			So(status.Members[0].Alive, ShouldBeTrue)
@@ -54,40 +54,40 @@
 	})
 }
 
-func TestSearchers(t *testing.T) { virtualtime.Test(t, checkSearchers) }
+func TestWorkers(t *testing.T) { virtualtime.Test(t, checkWorkers) }
 
-func checkSearchers(t *testing.T) {
+func checkWorkers(t *testing.T) {
 	Convey("Given two services", t, func() {
 		c := newCore()
-		var list Searchers
+		var list Workers
 
 		Convey("all searchers are listed", func() {
-			So(ask(c.handler(), "GET", SearchersPath, &list).Code, ShouldEqual, http.StatusOK)
-			So(list.Searchers, ShouldHaveLength, 2)
+			So(ask(c.handler(), "GET", WorkersPath, &list).Code, ShouldEqual, http.StatusOK)
+			So(list.Workers, ShouldHaveLength, 2)
 			So(list.Unanswered, ShouldBeEmpty)
 		})
 		Convey("or those of one service", func() {
-			ask(c.handler(), "GET", SearchersPath+"?service=stress", &list)
-			So(list.Searchers, ShouldHaveLength, 1)
-			So(list.Searchers[0].ID, ShouldEqual, "i-stress")
+			ask(c.handler(), "GET", WorkersPath+"?service=stress", &list)
+			So(list.Workers, ShouldHaveLength, 1)
+			So(list.Workers[0].ID, ShouldEqual, "i-stress")
 		})
 		Convey("an unknown service is refused with the names of those that exist", func() {
 			var failure Failure
-			So(ask(c.handler(), "GET", SearchersPath+"?service=x", &failure).Code, ShouldEqual, http.StatusNotFound)
+			So(ask(c.handler(), "GET", WorkersPath+"?service=x", &failure).Code, ShouldEqual, http.StatusNotFound)
 			So(failure.Error, ShouldContainSubstring, "pricing, stress")
 		})
 		Convey("a drain reaches the leader that knows the searcher", func() {
-			var searcher jobreport.Searcher
-			So(ask(c.handler(), "POST", SearchersPath+"/i-stress/drain", &searcher).Code, ShouldEqual, http.StatusOK)
-			So(searcher.OperatorDraining, ShouldBeTrue)
+			var worker jobreport.Worker
+			So(ask(c.handler(), "POST", WorkersPath+"/i-stress/drain", &worker).Code, ShouldEqual, http.StatusOK)
+			So(worker.OperatorDraining, ShouldBeTrue)
 			So(c.drains, ShouldHaveLength, 2)
-			So(ask(c.handler(), "DELETE", SearchersPath+"/i-stress/drain?service=stress", &searcher).Code, ShouldEqual, http.StatusOK)
-			So(searcher.OperatorDraining, ShouldBeFalse)
-			So(c.drains[2], ShouldResemble, jobreport.DrainRequest{Group: "jobs/stress", Searcher: "i-stress"})
+			So(ask(c.handler(), "DELETE", WorkersPath+"/i-stress/drain?service=stress", &worker).Code, ShouldEqual, http.StatusOK)
+			So(worker.OperatorDraining, ShouldBeFalse)
+			So(c.drains[2], ShouldResemble, jobreport.DrainRequest{Group: "jobs/stress", Worker: "i-stress"})
 		})
 		Convey("a drain on top of a version is judged by the leader", func() {
 			request := func(method, version string) *httptest.ResponseRecorder {
-				r := httptest.NewRequest(method, SearchersPath+"/i-stress/drain?service=stress", nil)
+				r := httptest.NewRequest(method, WorkersPath+"/i-stress/drain?service=stress", nil)
 				r.Header.Set("If-Match", version)
 				recorder := httptest.NewRecorder()
 				c.handler().ServeHTTP(recorder, r)
@@ -108,11 +108,11 @@
 			So(c.drains, ShouldHaveLength, 3)
 		})
 		Convey("a searcher that nobody knows is not found", func() {
-			So(ask(c.handler(), "POST", SearchersPath+"/i-none/drain", nil).Code, ShouldEqual, http.StatusNotFound)
+			So(ask(c.handler(), "POST", WorkersPath+"/i-none/drain", nil).Code, ShouldEqual, http.StatusNotFound)
 		})
 		Convey("unless a leader that may know it gives no answer", func() {
 			c.fail = failAt("10.0.0.1:7660", errNotLeader)
-			answer := ask(c.handler(), "POST", SearchersPath+"/i-none/drain", nil)
+			answer := ask(c.handler(), "POST", WorkersPath+"/i-none/drain", nil)
 			So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfter)
 		})
@@ -123,7 +123,7 @@
 				}
 				return errNotLeader
 			}
-			So(ask(c.handler(), "POST", SearchersPath+"/i-price/drain", nil).Code, ShouldEqual, http.StatusGatewayTimeout)
+			So(ask(c.handler(), "POST", WorkersPath+"/i-price/drain", nil).Code, ShouldEqual, http.StatusGatewayTimeout)
 		})
 	})
 }
@@ -152,7 +152,7 @@
 		for range maxRequests {
 			go func() {
 				recorder := httptest.NewRecorder()
-				handler.ServeHTTP(recorder, httptest.NewRequest("GET", SearchersPath+"?service=stress", nil))
+				handler.ServeHTTP(recorder, httptest.NewRequest("GET", WorkersPath+"?service=stress", nil))
 				answers <- recorder.Code
 			}()
 		}
--- a/internal/controlplane/operations/refusal_test.go
+++ b/internal/controlplane/operations/refusal_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// refusal is a request that is refused on what the mixer and the leaders know.
+// refusal is a request that is refused on what the node and the leaders know.
 type refusal struct {
 	name, method, path string
 	status             int
@@ -25,9 +25,9 @@
 		{"a cancellation of an unknown job", "DELETE", JobsPath + "/" + none, http.StatusNotFound},
 		{"a cancellation of a job that has ended", "DELETE", JobsPath + "/" + priceJob, http.StatusConflict},
 		{"a job that two services know", "GET", JobsPath + "/" + bothJob, http.StatusConflict},
-		{"an unknown searcher", "POST", SearchersPath + "/i-none/drain", http.StatusNotFound},
-		{"the end of an unknown searcher's drain", "DELETE", SearchersPath + "/i-none/drain", http.StatusNotFound},
-		{"an unknown service's searchers", "GET", SearchersPath + "?service=x", http.StatusNotFound},
+		{"an unknown searcher", "POST", WorkersPath + "/i-none/drain", http.StatusNotFound},
+		{"the end of an unknown searcher's drain", "DELETE", WorkersPath + "/i-none/drain", http.StatusNotFound},
+		{"an unknown service's searchers", "GET", WorkersPath + "?service=x", http.StatusNotFound},
 		{"an unknown service's jobs", "GET", JobsPath + "?service=x", http.StatusNotFound},
 	}
 }
--- a/internal/controlplane/operations/searchers.go
+++ b/internal/controlplane/operations/searchers.go
@@ -8,21 +8,21 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-func (h *Handler) searchers(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) workers(w http.ResponseWriter, r *http.Request) {
 	groups, err := h.groups(r.URL.Query())
 	if err != nil {
 		h.writeError(w, r, err)
 		return
 	}
-	answers := askAll[jobreport.SearchersReply](r.Context(), h, groups, jobreport.SearchersCall.Route(),
-		func(group string) any { return jobreport.SearchersRequest{Group: group} })
-	var list Searchers
+	answers := askAll[jobreport.WorkersReply](r.Context(), h, groups, jobreport.WorkersCall.Route(),
+		func(group string) any { return jobreport.WorkersRequest{Group: group} })
+	var list Workers
 	if list.Unanswered, err = unanswered(answers); err != nil {
 		h.writeError(w, r, err)
 		return
 	}
 	for _, one := range answers {
-		list.Searchers = append(list.Searchers, one.reply.Searchers...)
+		list.Workers = append(list.Workers, one.reply.Workers...)
 	}
 	write(w, http.StatusOK, list)
 }
@@ -30,7 +30,7 @@
 func (h *Handler) drain(w http.ResponseWriter, r *http.Request)   { h.setDrain(w, r, true) }
 func (h *Handler) undrain(w http.ResponseWriter, r *http.Request) { h.setDrain(w, r, false) }
 
-// setDrain tells the leaders of all groups in question; the one that knows the searcher acts.
+// setDrain tells the leaders of all groups in question; the one that knows the worker acts.
 func (h *Handler) setDrain(w http.ResponseWriter, r *http.Request, draining bool) {
 	groups, err := h.groups(r.URL.Query())
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	id := r.PathValue("id")
 	answers := askAll[jobreport.DrainReply](r.Context(), h, groups, jobreport.DrainCall.Route(), func(group string) any {
-		return jobreport.DrainRequest{Group: group, Searcher: id, Draining: draining, OnTopOf: onTopOf}
+		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, OnTopOf: onTopOf}
 	})
 	var failure error
 	for _, one := range answers {
@@ -57,12 +57,12 @@
 		}
 	}
 	if failure == nil {
-		failure = failed(http.StatusNotFound, fmt.Sprintf("no searcher %q is known; list them at %s", id, SearchersPath))
+		failure = failed(http.StatusNotFound, fmt.Sprintf("no searcher %q is known; list them at %s", id, WorkersPath))
 	}
 	h.writeError(w, r, failure)
 }
 
-// drainVersion reads which version of a searcher's drain an order builds on; nil where it goes by none.
+// drainVersion reads which version of a worker's drain an order builds on; nil where it goes by none.
 func drainVersion(r *http.Request) (*uint64, error) {
 	header := r.Header.Get("If-Match")
 	if header == "" {
@@ -70,18 +70,18 @@
 	}
 	version, err := entitytag.Parse(header)
 	if err != nil {
-		return nil, failed(http.StatusBadRequest, "If-Match is not a version; give the searcher's drainVersion, as "+SearchersPath+" lists it")
+		return nil, failed(http.StatusBadRequest, "If-Match is not a version; give the searcher's drainVersion, as "+WorkersPath+" lists it")
 	}
 	return &version, nil
 }
 
-// writeDrain answers an order on a drain that the searcher's leader has judged.
+// writeDrain answers an order on a drain that the worker's leader has judged.
 func (h *Handler) writeDrain(w http.ResponseWriter, r *http.Request, reply jobreport.DrainReply) {
-	now := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Searcher.DrainVersion, reply.Searcher.OperatorDraining)
+	now := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Worker.DrainVersion, reply.Worker.OperatorDraining)
 	switch reply.Outcome {
 	case jobreport.DrainTaken:
-		w.Header().Set("ETag", entitytag.Format(reply.Searcher.DrainVersion))
-		write(w, http.StatusOK, reply.Searcher)
+		w.Header().Set("ETag", entitytag.Format(reply.Worker.DrainVersion))
+		write(w, http.StatusOK, reply.Worker)
 	case jobreport.DrainSuperseded:
 		h.writeError(w, r, failed(http.StatusPreconditionFailed, "another order was taken on top of that version: "+now))
 	default:
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -14,7 +14,7 @@
 	version, _ := sources.Configuration()
 	view := sources.View()
 	write(w, http.StatusOK, Status{
-		Mixer:                h.options.Mixer,
+		Node:                 h.options.Node,
 		UptimeMS:             time.Since(h.start).Milliseconds(),
 		Rebuilt:              sources.Rebuilt(),
 		InContact:            sources.InContact(),
--- a/internal/controlplane/operations/types.go
+++ b/internal/controlplane/operations/types.go
@@ -2,14 +2,14 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/jobreport"
 
-// Paths of the operators' endpoint. Names of searchers and jobs are appended to the last two.
+// Paths of the operators' endpoint. Names of workers and jobs are appended to the last two.
 const (
-	StatusPath    = "/-/status"
-	SearchersPath = "/-/searchers"
-	JobsPath      = "/-/jobs"
+	StatusPath  = "/-/status"
+	WorkersPath = "/-/searchers"
+	JobsPath    = "/-/jobs"
 )
 
-// Names appended to the path of one searcher or one job.
+// Names appended to the path of one worker or one job.
 const (
 	DrainSuffix = "/drain"
 	WhySuffix   = "/why"
@@ -22,7 +22,7 @@
 	LimitParameter   = "limit"
 )
 
-// Identity names the mixer that answers.
+// Identity names the node that answers.
 type Identity struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -35,12 +35,12 @@
 	Members []string `json:"members"`
 }
 
-// Member is another replica as the answering mixer hears it.
+// Member is another replica as the answering node hears it.
 type Member struct {
 	Address    string `json:"address"`
 	Alive      bool   `json:"alive"`
 	Ready      bool   `json:"ready"`      // it may vote; false while its disk is being rebuilt
-	Heard      bool   `json:"heard"`      // at all since the answering mixer started
+	Heard      bool   `json:"heard"`      // at all since the answering node started
 	HeardAgoMS int64  `json:"heardAgoMs"` // meaningless unless heard
 }
 
@@ -48,14 +48,14 @@
 type Group struct {
 	Service string             `json:"service"`
 	Leader  string             `json:"leader"` // internal address; empty while none is known
-	Epoch   uint64             `json:"epoch"`  // of the leader; it is the fencing token at searchers
+	Epoch   uint64             `json:"epoch"`  // of the leader; it is the fencing token at workers
 	Summary *jobreport.Summary `json:"summary,omitempty"`
 	Error   string             `json:"error,omitempty"` // why the leader gave no summary
 }
 
 // Status is the answer of StatusPath.
 type Status struct {
-	Mixer                Identity `json:"mixer"`
+	Node                 Identity `json:"mixer"`
 	UptimeMS             int64    `json:"uptimeMs"`
 	Rebuilt              bool     `json:"rebuilt"`   // its disk is complete, so that it votes
 	InContact            bool     `json:"inContact"` // a majority of the view has answered it of late
@@ -72,10 +72,10 @@
 	Error   string `json:"error"`
 }
 
-// Searchers is the answer of SearchersPath.
-type Searchers struct {
-	Searchers  []jobreport.Searcher `json:"searchers"`
-	Unanswered []Unanswered         `json:"unanswered,omitempty"`
+// Workers is the answer of WorkersPath.
+type Workers struct {
+	Workers    []jobreport.Worker `json:"searchers"`
+	Unanswered []Unanswered       `json:"unanswered,omitempty"`
 }
 
 // Jobs is the answer of JobsPath.
--- a/internal/controlplane/operations/wire_test.go
+++ b/internal/controlplane/operations/wire_test.go
@@ -15,7 +15,7 @@
 		goldentest.Form{Name: "group", Value: new(Group)},
 		goldentest.Form{Name: "status", Value: new(Status)},
 		goldentest.Form{Name: "unanswered", Value: new(Unanswered)},
-		goldentest.Form{Name: "searchers", Value: new(Searchers)},
+		goldentest.Form{Name: "searchers", Value: new(Workers)},
 		goldentest.Form{Name: "jobs", Value: new(Jobs)},
 		goldentest.Form{Name: "cancelled", Value: new(Cancelled)},
 		goldentest.Form{Name: "failure", Value: new(Failure)},
@@ -26,7 +26,7 @@
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: StatusPath, Want: "/-/status"},
-		goldentest.Constant{Have: SearchersPath, Want: "/-/searchers"},
+		goldentest.Constant{Have: WorkersPath, Want: "/-/searchers"},
 		goldentest.Constant{Have: JobsPath, Want: "/-/jobs"},
 		goldentest.Constant{Have: DrainSuffix, Want: "/drain"},
 		goldentest.Constant{Have: WhySuffix, Want: "/why"},
--- a/internal/controlplane/rebuild/copies.go
+++ b/internal/controlplane/rebuild/copies.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// partBytes is about the most that one message carries of a copy; only a single entry may be larger. It takes 0.7 s on
+	// chunkBytes is about the most that one message carries of a copy; only a single entry may be larger. It takes 0.7 s on
 	// a link of 3 Mbit/s.
-	partBytes = 256 << 10
-	// partLimit bounds all calls for a part, until the copy is begun anew.
-	partLimit = 10 * time.Second
+	chunkBytes = 256 << 10
+	// chunkLimit bounds all calls for a part, until the copy is begun anew.
+	chunkLimit = 10 * time.Second
 	// entryBytes is what an entry costs beside its names and value, roughly.
 	entryBytes = 16
 )
@@ -27,14 +27,14 @@
 // copies holds what this member is giving to others that rebuild, one copy each.
 type copies struct {
 	mutex    sync.Mutex
-	byMember map[string]copyInParts
+	byMember map[string]copyInChunks
 }
 
-// copyInParts is a copy of all tables as of one moment.
-type copyInParts struct {
+// copyInChunks is a copy of all tables as of one moment.
+type copyInChunks struct {
 	attempt uint64 // the asker's number
 	number  uint64 // this process's, so that no part of another process's copy is taken for one
-	parts   [][]storage.Change
+	chunks  [][]storage.Change
 }
 
 // first returns the first part of a copy for a member. The copy is made where this is a new attempt of the member's, and
@@ -43,49 +43,49 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	held, found := c.byMember[request.Member]
-	if !found || held.attempt != request.Attempt || held.parts[0] == nil {
-		held = copyInParts{attempt: request.Attempt, number: rand.Uint64(), parts: split(snapshot(), partBytes)}
+	if !found || held.attempt != request.Attempt || held.chunks[0] == nil {
+		held = copyInChunks{attempt: request.Attempt, number: rand.Uint64(), chunks: split(snapshot(), chunkBytes)}
 		if c.byMember == nil {
-			c.byMember = make(map[string]copyInParts)
+			c.byMember = make(map[string]copyInChunks)
 		}
 		c.byMember[request.Member] = held
 	}
 	return held.reply(0)
 }
 
-// part returns a later part. The last one stays until the next copy, as its answer may be lost.
-func (c *copies) part(request dumpRequest) (dumpReply, error) {
+// chunk returns a later part. The last one stays until the next copy, as its answer may be lost.
+func (c *copies) chunk(request dumpRequest) (dumpReply, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	held := c.byMember[request.Member]
-	if held.number != request.Copy || request.Part >= uint32(len(held.parts)) || held.parts[request.Part] == nil {
+	if held.number != request.Copy || request.Chunk >= uint32(len(held.chunks)) || held.chunks[request.Chunk] == nil {
 		return dumpReply{}, rpcerror.Unexecuted(errCopyGone, notReadyRetry)
 	}
-	for earlier := range held.parts[:request.Part] {
-		held.parts[earlier] = nil // was received, as a later one is asked for
+	for earlier := range held.chunks[:request.Chunk] {
+		held.chunks[earlier] = nil // was received, as a later one is asked for
 	}
-	return held.reply(request.Part), nil
+	return held.reply(request.Chunk), nil
 }
 
-func (c copyInParts) reply(part uint32) dumpReply {
-	return dumpReply{Copy: c.number, Parts: uint32(len(c.parts)), Entries: c.parts[part]}
+func (c copyInChunks) reply(chunk uint32) dumpReply {
+	return dumpReply{Copy: c.number, Chunks: uint32(len(c.chunks)), Entries: c.chunks[chunk]}
 }
 
 // split cuts tables into parts of about a number of bytes. There is always one part, which may be empty.
 func split(tables storage.Tables, most int) [][]storage.Change {
-	parts, sum := [][]storage.Change{nil}, 0
+	chunks, sum := [][]storage.Change{nil}, 0
 	for name, table := range tables {
 		for key, value := range table {
 			size := entryBytes + len(name) + len(key) + len(value)
-			last := len(parts) - 1
-			if sum+size > most && len(parts[last]) > 0 {
-				parts, last, sum = append(parts, nil), last+1, 0
+			last := len(chunks) - 1
+			if sum+size > most && len(chunks[last]) > 0 {
+				chunks, last, sum = append(chunks, nil), last+1, 0
 			}
-			parts[last] = append(parts[last], storage.Change{Table: name, Key: key, Value: value})
+			chunks[last] = append(chunks[last], storage.Change{Table: name, Key: key, Value: value})
 			sum += size
 		}
 	}
-	return parts
+	return chunks
 }
 
 // addEntries puts a part's entries into the copy of the one who asked.
--- a/internal/controlplane/rebuild/copies_test.go
+++ b/internal/controlplane/rebuild/copies_test.go
@@ -10,18 +10,18 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-func TestPartsOfACopy(t *testing.T) {
+func TestChunksOfACopy(t *testing.T) {
 	Convey("Given a copy in several parts", t, func() {
-		value := []byte(strings.Repeat("v", partBytes/2))
+		value := []byte(strings.Repeat("v", chunkBytes/2))
 		tables := storage.Tables{"data/a": {"1": value, "2": value, "3": value}}
 		var c copies
 		begin := func(attempt uint64) dumpReply {
 			return c.first(dumpRequest{Member: "x", Attempt: attempt}, func() storage.Tables { return tables })
 		}
 		first := begin(1)
-		So(first.Parts, ShouldEqual, 3)
-		ask := func(member string, number uint64, part uint32) error {
-			_, err := c.part(dumpRequest{Member: member, Copy: number, Part: part})
+		So(first.Chunks, ShouldEqual, 3)
+		ask := func(member string, number uint64, chunk uint32) error {
+			_, err := c.chunk(dumpRequest{Member: member, Copy: number, Chunk: chunk})
 			return err
 		}
 		Convey("a part may be asked for again", func() {
--- a/internal/controlplane/rebuild/dump.go
+++ b/internal/controlplane/rebuild/dump.go
@@ -35,7 +35,7 @@
 	View    replicaset.View `msgpack:"v"` // that it works with
 	Attempt uint64          `msgpack:"a"` // a number of the asker's for all parts
 	Copy    uint64          `msgpack:"c"` // as the answer to part 0 named it; 0 with part 0
-	Part    uint32          `msgpack:"p"`
+	Chunk   uint32          `msgpack:"p"`
 }
 
 // Internal calls. Both only read: the copy is as of when it is made, and a part of it stays the same.
@@ -47,7 +47,7 @@
 // dumpReply is that part. The whole copy is of one moment after its giver learned the view.
 type dumpReply struct {
 	Copy    uint64           `msgpack:"c"`
-	Parts   uint32           `msgpack:"n"`
+	Chunks  uint32           `msgpack:"n"`
 	Entries []storage.Change `msgpack:"e"`
 }
 
@@ -64,8 +64,8 @@
 	if err := r.admit(request); err != nil {
 		return dumpReply{}, rpcerror.Unexecuted(err, notReadyRetry)
 	}
-	if request.Part > 0 {
-		return r.copies.part(request)
+	if request.Chunk > 0 {
+		return r.copies.chunk(request)
 	}
 	return r.copies.first(request, func() storage.Tables {
 		tables := r.config.Store.Snapshot()
@@ -158,31 +158,31 @@
 func (r *Rebuilder) fetch(ctx context.Context, member string, view replicaset.View) (storage.Tables, error) {
 	request := dumpRequest{Member: r.config.Self, View: view, Attempt: rand.Uint64()}
 	tables := make(storage.Tables)
-	for parts := uint32(1); request.Part < parts; request.Part++ {
-		reply, err := r.fetchPart(ctx, member, request)
+	for chunks := uint32(1); request.Chunk < chunks; request.Chunk++ {
+		reply, err := r.fetchChunk(ctx, member, request)
 		if err != nil {
 			return nil, err
 		}
-		request.Copy, parts = reply.Copy, reply.Parts
+		request.Copy, chunks = reply.Copy, reply.Chunks
 		addEntries(tables, reply.Entries)
 	}
 	return tables, nil
 }
 
-// partResult is how one call for a part ended.
-type partResult struct {
+// chunkResult is how one call for a part ended.
+type chunkResult struct {
 	reply dumpReply
 	err   error
 }
 
-// fetchPart gets one part. A request or an answer may have been lost without a sign, so another is asked for after a while,
+// fetchChunk gets one part. A request or an answer may have been lost without a sign, so another is asked for after a while,
 // though the first may still be on its way. A refusal is final.
-func (r *Rebuilder) fetchPart(ctx context.Context, member string, request dumpRequest) (dumpReply, error) {
+func (r *Rebuilder) fetchChunk(ctx context.Context, member string, request dumpRequest) (dumpReply, error) {
 	var open sync.WaitGroup
 	defer open.Wait()
-	ctx, cancel := context.WithTimeout(ctx, partLimit)
+	ctx, cancel := context.WithTimeout(ctx, chunkLimit)
 	defer cancel()
-	results := make(chan partResult, openFetches)
+	results := make(chan chunkResult, openFetches)
 	ask := time.NewTimer(0)
 	defer ask.Stop()
 	for asked, failed := 0, 0; ; {
@@ -191,7 +191,7 @@
 			asked++
 			open.Go(func() {
 				reply, err := dumpCall.Call(ctx, r.config.Caller, member, request)
-				results <- partResult{reply, err}
+				results <- chunkResult{reply, err}
 			})
 			if asked < openFetches {
 				ask.Reset(reaskInterval)
--- a/internal/controlplane/rebuild/handover.go
+++ b/internal/controlplane/rebuild/handover.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	readyInterval = 100 * time.Millisecond // between questions whether a newcomer has been rebuilt
+	readyInterval = 100 * time.Millisecond // between questions whether a joining member has been rebuilt
 	readyLimit    = 500 * time.Millisecond // for one question
 	// rebuildingLimit is the same where members that are down are to hold up nothing.
 	rebuildingLimit = 200 * time.Millisecond
@@ -29,18 +29,18 @@
 	return readyReply{Ready: r.Ready() && r.config.Views.View().Has(r.config.Self)}, nil
 }
 
-// HandOver waits for members that are being rebuilt, and then lets a newcomer take this member's place before this process
-// stops: leave says goodbye until another has the place, and then the newcomer is awaited. It tells whether the newcomer has been rebuilt; if so, nothing is left that
+// HandOver waits for members that are being rebuilt, and then lets a joining member take this member's place before this process
+// stops: leave says goodbye until another has the place, and then the joining member is awaited. It tells whether the joining member has been rebuilt; if so, nothing is left that
 // only this process holds.
 func (r *Rebuilder) HandOver(ctx context.Context, leave func(ctx context.Context) (replaced bool)) bool {
 	for {
 		r.awaitRebuilds(ctx)
 		earlier := r.config.Views.View()
 		if leave(ctx) {
-			return r.awaitNewcomers(ctx, earlier)
+			return r.awaitJoiningMembers(ctx, earlier)
 		}
 		if !r.someRebuild(ctx) {
-			return false // a newcomer that waited may have another's place by now, and be rebuilt
+			return false // a joining member that waited may have another's place by now, and be rebuilt
 		}
 	}
 }
@@ -69,10 +69,10 @@
 	return rebuilding.Load()
 }
 
-// awaitNewcomers waits until each member of the current view that was none in an earlier view may vote, or the context
+// awaitJoiningMembers waits until each member of the current view that was none in an earlier view may vote, or the context
 // ends. It tells whether they may.
-func (r *Rebuilder) awaitNewcomers(ctx context.Context, earlier replicaset.View) bool {
-	for !r.newcomersReady(ctx, earlier) {
+func (r *Rebuilder) awaitJoiningMembers(ctx context.Context, earlier replicaset.View) bool {
+	for !r.joiningMembersReady(ctx, earlier) {
 		if sleep(ctx, readyInterval) != nil {
 			return false
 		}
@@ -80,8 +80,8 @@
 	return true
 }
 
-// newcomersReady asks all those members at once.
-func (r *Rebuilder) newcomersReady(ctx context.Context, earlier replicaset.View) bool {
+// joiningMembersReady asks all those members at once.
+func (r *Rebuilder) joiningMembersReady(ctx context.Context, earlier replicaset.View) bool {
 	var questions sync.WaitGroup
 	var missing atomic.Int32
 	for _, member := range r.config.Views.View().Members {
--- a/internal/controlplane/rebuild/membership_test.go
+++ b/internal/controlplane/rebuild/membership_test.go
@@ -189,7 +189,7 @@
 	withoutGone = replicaset.View{Version: 2, Members: []string{"a", "b", "new"}, Replaced: "gone", Entered: 7}
 )
 
-// copyOfTheReplaced tells whether a newcomer is rebuilt while of the members of its view only one can be reached, beside the
+// copyOfTheReplaced tells whether a joining member is rebuilt while of the members of its view only one can be reached, beside the
 // one that it replaces.
 func copyOfTheReplaced(t *testing.T, incarnation uint64, prepare func(views *changingViews, store *storage.Memory)) (ready bool) {
 	virtualtime.Test(t, func(t *testing.T) {
--- a/internal/controlplane/rebuild/merge.go
+++ b/internal/controlplane/rebuild/merge.go
@@ -18,20 +18,20 @@
 const installInterval = 250 * time.Millisecond
 
 // mergers are the registered mergers by the prefix of the tables' names.
-type mergers struct{ parts []part }
+type mergers struct{ chunks []chunk }
 
-// part is a set of tables that are merged together.
-type part struct {
+// chunk is a set of tables that are merged together.
+type chunk struct {
 	prefixes []string
 	merge    Merger
 }
 
-func (p part) has(table string) bool {
+func (p chunk) has(table string) bool {
 	return slices.ContainsFunc(p.prefixes, func(prefix string) bool { return strings.HasPrefix(table, prefix) })
 }
 
 // selectFrom returns the part's tables of one copy.
-func (p part) selectFrom(tables storage.Tables) storage.Tables {
+func (p chunk) selectFrom(tables storage.Tables) storage.Tables {
 	selected := make(storage.Tables)
 	for name, table := range tables {
 		if p.has(name) {
@@ -42,7 +42,7 @@
 }
 
 func (m *mergers) add(merge Merger, prefixes []string) {
-	m.parts = append(m.parts, part{prefixes, merge})
+	m.chunks = append(m.chunks, chunk{prefixes, merge})
 }
 
 // merge makes one set of tables from the copies of several members.
@@ -51,12 +51,12 @@
 		return nil, err
 	}
 	merged := make(storage.Tables)
-	for _, part := range m.parts {
+	for _, chunk := range m.chunks {
 		var selected []storage.Tables
 		for _, tables := range copies {
-			selected = append(selected, part.selectFrom(tables))
+			selected = append(selected, chunk.selectFrom(tables))
 		}
-		tables, err := part.merge(selected)
+		tables, err := chunk.merge(selected)
 		if err != nil {
 			return nil, err
 		}
@@ -69,8 +69,8 @@
 func (m *mergers) checkAll(copies []storage.Tables) error {
 	for _, tables := range copies {
 		for name := range tables {
-			known := func(p part) bool { return p.has(name) }
-			if !slices.ContainsFunc(m.parts, known) {
+			known := func(p chunk) bool { return p.has(name) }
+			if !slices.ContainsFunc(m.chunks, known) {
 				return fmt.Errorf("%w: %s", ErrNoMerger, name)
 			}
 		}
--- a/internal/controlplane/rebuild/parts_test.go
+++ b/internal/controlplane/rebuild/parts_test.go
@@ -84,7 +84,7 @@
 	return store, givers, ready
 }
 
-func TestCopiesTravelInParts(t *testing.T) {
+func TestCopiesTravelInChunks(t *testing.T) {
 	store, givers, ready := rebuilt(t, func(*members, []*storage.Memory, []*largest) {})
 	convey.Convey("Tables larger than a message are rebuilt, and no message carries more than a part", t, func() {
 		convey.So(ready, convey.ShouldBeTrue)
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestPartsThatAreLostOrDoubled(t *testing.T) {
+func TestChunksThatAreLostOrDoubled(t *testing.T) {
 	store, _, ready := rebuilt(t, func(m *members, _ []*storage.Memory, _ []*largest) {
 		m.network.SetFaults(networktest.Faults{Lose: 0.1, Double: 0.3, Delay: 50 * time.Millisecond, Late: 0.1, LateBy: 4 * time.Second})
 	})
--- a/internal/controlplane/rebuild/rebuild.go
+++ b/internal/controlplane/rebuild/rebuild.go
@@ -1,11 +1,11 @@
-// Package rebuild brings back a core mixer that lost its disk. Until then the mixer must not vote, promise or answer
+// Package rebuild brings back a core node that lost its disk. Until then the node must not vote, promise or answer
 // reads, as it does not know any more what it has promised.
 //
-// The mixer waits, and then merges what a majority of the other members holds. Every quorum round counts
+// The node waits, and then merges what a majority of the other members holds. Every quorum round counts
 // an answer only within register.RoundLimit of the round's start. So when the copies are taken, each round that counted
 // an answer of the lost disk is over, and one of the members that are asked has stored what that round decided.
 //
-// A newcomer that took a dead member's place is rebuilt in the same way; package replicaset says why that is safe. What
+// A joining member that took a dead member's place is rebuilt in the same way; package replicaset says why that is safe. What
 // makes a disk complete is therefore bound to the membership: a process that was replaced is incomplete until it has
 // become a member again and was rebuilt, though its disk was kept.
 package rebuild
@@ -43,7 +43,7 @@
 	// ErrNoMerger is the failure of a rebuild that finds a table nobody knows how to merge.
 	ErrNoMerger = errors.New("no merger is registered for the table")
 	// ErrReplaced ends a process that is not, or no more, a member: what it holds is of no use, and started again it offers
-	// itself as a newcomer.
+	// itself as a joining member.
 	ErrReplaced = errors.New("another has this member's place among the replicas; the process is to start over as a newcomer")
 )
 
@@ -206,7 +206,7 @@
 }
 
 // CopiesNeeded is how many other members a rebuild asks, given how often this process was no member. One that lost its
-// disk asks as many as meet each majority that it was part of. A newcomer asks a quorum, which is one more where the
+// disk asks as many as meet each majority that it was part of. A joining member asks a quorum, which is one more where the
 // number of members is even: until it has been rebuilt, too few members may have learned of its view to keep the others
 // from deciding in the view before.
 func CopiesNeeded(view replicaset.View, absences uint64) int {
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -34,7 +34,7 @@
 func (v *views) Learn(replicaset.View) error { return nil }
 func (v *views) Absences() uint64            { return 0 }
 
-// members are core mixers on a network in memory, to be run in simulated time.
+// members are core nodes on a network in memory, to be run in simulated time.
 type members struct {
 	t       *testing.T
 	network *networktest.Network
--- a/internal/controlplane/register/acceptor.go
+++ b/internal/controlplane/register/acceptor.go
@@ -49,17 +49,17 @@
 	loaded loadedState
 }
 
-// acceptedState is a state with the ballot under which it was accepted.
+// acceptedState is a state with the proposal number under which it was accepted.
 type acceptedState struct {
-	Ballot Ballot `msgpack:"b"`
-	State  state  `msgpack:"s"`
+	ProposalNumber ProposalNumber `msgpack:"b"`
+	State          state          `msgpack:"s"`
 	// Manifest is set where the state's value is large: it is stored by parts then, and left out here.
 	Manifest *chunks.Manifest `msgpack:"m,omitempty"`
 }
 
 // replica is the content of a register's table.
 type replica struct {
-	promised Ballot
+	promised ProposalNumber
 	accepted acceptedState
 }
 
@@ -73,13 +73,13 @@
 func (a *Acceptor) Serve(mux *transport.Mux) {
 	transport.Handle(mux, prepareCall(a.config.Name), a.servePrepare)
 	transport.Handle(mux, acceptCall(a.config.Name), a.accept)
-	transport.Handle(mux, acceptPartsCall(a.config.Name), a.serveAccept)
+	transport.Handle(mux, acceptChunksCall(a.config.Name), a.serveAccept)
 	transport.Handle(mux, readCall(a.config.Name), a.serveRead)
 	transport.Handle(mux, pushCall(a.config.Name), a.servePush)
 	transport.Handle(mux, fetchCall(a.config.Name), a.serveFetch)
 }
 
-// prepare promises to refuse lower ballots. A ballot is promised once only, so that two proposers never share one.
+// prepare promises to refuse lower proposal numbers. A proposal number is promised once only, so that two proposers never share one.
 func (a *Acceptor) prepare(_ context.Context, request prepareRequest) (reply, error) {
 	a.voting.Lock()
 	defer a.voting.Unlock()
@@ -87,11 +87,11 @@
 	if err != nil || answer.Outcome != granted {
 		return answer, err
 	}
-	if !held.promised.Less(request.Ballot) {
+	if !held.promised.Less(request.ProposalNumber) {
 		answer.Outcome = conflict
 		return answer, nil
 	}
-	promise, err := a.encode(request.ViewVersion, promisedKey, request.Ballot)
+	promise, err := a.encode(request.ViewVersion, promisedKey, request.ProposalNumber)
 	if err != nil {
 		return reply{}, err
 	}
@@ -101,14 +101,14 @@
 	if now, err := a.admit(request.ViewVersion); err != nil || now.Outcome != granted {
 		return now, err
 	}
-	answer.Promised = request.Ballot
-	if held.accepted.Ballot != request.Known {
+	answer.Promised = request.ProposalNumber
+	if held.accepted.ProposalNumber != request.Known {
 		answer.State = held.accepted.State
 	}
 	return answer, nil
 }
 
-// accept stores a state unless a higher ballot was promised.
+// accept stores a state unless a higher proposal number was promised.
 func (a *Acceptor) accept(_ context.Context, request acceptRequest) (reply, error) {
 	a.voting.Lock()
 	defer a.voting.Unlock()
@@ -116,7 +116,7 @@
 	if err != nil || answer.Outcome != granted {
 		return answer, err
 	}
-	if request.Ballot.Less(held.promised) {
+	if request.ProposalNumber.Less(held.promised) {
 		answer.Outcome = conflict
 		return answer, nil
 	}
@@ -126,7 +126,7 @@
 		}
 	}
 	cut := a.cutLarge(request.State.Value)
-	promise, promiseErr := a.encode(request.ViewVersion, promisedKey, request.Ballot)
+	promise, promiseErr := a.encode(request.ViewVersion, promisedKey, request.ProposalNumber)
 	accepted, acceptedErr := a.storing(request, cut)
 	if err := errors.Join(promiseErr, acceptedErr); err != nil {
 		return reply{}, err
@@ -137,24 +137,24 @@
 	if now, err := a.admit(request.ViewVersion); err != nil || now.Outcome != granted {
 		return now, err
 	}
-	answer.Promised = request.Ballot
-	answer.Accepted = request.Ballot
+	answer.Promised = request.ProposalNumber
+	answer.Accepted = request.ProposalNumber
 	a.keepLoaded(request.ViewVersion, accepted, request.State.Value)
-	a.values.settled(cut, request.Ballot, request.ViewVersion)
+	a.values.committed(cut, request.ProposalNumber, request.ViewVersion)
 	return answer, nil
 }
 
 // read answers with what is stored; a vote that is being written is not waited for.
 func (a *Acceptor) read(_ context.Context, request readRequest) (reply, error) {
 	answer, held, err := a.begin(request.ViewVersion)
-	if err == nil && answer.Outcome == granted && held.accepted.Ballot != request.Known {
+	if err == nil && answer.Outcome == granted && held.accepted.ProposalNumber != request.Known {
 		answer.State = held.accepted.State
 	}
 	return answer, err
 }
 
 // admit checks that this member may answer a proposer that works with a view. It is called again once a vote is stored:
-// a vote that was stored after this member learned the next view counts for nothing, as newcomers may have copied this
+// a vote that was stored after this member learned the next view counts for nothing, as joining members may have copied this
 // member's tables without it.
 func (a *Acceptor) admit(viewVersion uint64) (reply, error) {
 	if !a.config.Ready() {
@@ -177,7 +177,7 @@
 	if err != nil {
 		return reply{}, replica{}, fmt.Errorf("register %s: %w", a.config.Name, err)
 	}
-	answer.Promised, answer.Accepted = held.promised, held.accepted.Ballot
+	answer.Promised, answer.Accepted = held.promised, held.accepted.ProposalNumber
 	return answer, held, nil
 }
 
--- a/internal/controlplane/register/ballot.go
+++ b/internal/controlplane/register/ballot.go
@@ -1,5 +1,5 @@
 // Package register implements a compare-and-swap register that is replicated on the members of a view. A change takes two
-// quorum rounds, prepare and accept, and may be made by any mixer; there is no log and no leader (the protocol is known
+// quorum rounds, prepare and accept, and may be made by any node; there is no log and no leader (the protocol is known
 // as CASPaxos).
 //
 // Safety rests on three facts. Acceptors make a promise or a value durable before they answer. Two majorities of a view
@@ -12,19 +12,19 @@
 	"fmt"
 )
 
-// Ballot numbers a proposal. Higher ballots win; no two proposals have the same one.
-type Ballot struct {
-	Counter uint64 `msgpack:"c"` // 0 in the zero ballot, below all others
+// ProposalNumber numbers a proposal. Higher proposal numbers win; no two proposals have the same one.
+type ProposalNumber struct {
+	Counter uint64 `msgpack:"c"` // 0 in the zero proposal number, below all others
 	Member  string `msgpack:"m"` // internal address of the proposer
 }
 
-// Compare orders ballots: negative if b is lower than other, 0 if equal, positive if higher.
-func (b Ballot) Compare(other Ballot) int {
+// Compare orders proposal numbers: negative if b is lower than other, 0 if equal, positive if higher.
+func (b ProposalNumber) Compare(other ProposalNumber) int {
 	return cmp.Or(cmp.Compare(b.Counter, other.Counter), cmp.Compare(b.Member, other.Member))
 }
 
 // Less tells whether b is lower than other.
-func (b Ballot) Less(other Ballot) bool { return b.Compare(other) < 0 }
+func (b ProposalNumber) Less(other ProposalNumber) bool { return b.Compare(other) < 0 }
 
-// String returns the ballot for logs.
-func (b Ballot) String() string { return fmt.Sprintf("%d@%s", b.Counter, b.Member) }
+// String returns the proposal number for logs.
+func (b ProposalNumber) String() string { return fmt.Sprintf("%d@%s", b.Counter, b.Member) }
--- a/internal/controlplane/register/explore_test.go
+++ b/internal/controlplane/register/explore_test.go
@@ -88,7 +88,7 @@
 }
 
 func (l lateRequest) key() int64 {
-	return int64(l.to)<<48 | int64(l.proposer)<<40 | int64(l.phase)<<36 | int64(l.ballot)<<28 | int64(l.view)<<24 | int64(l.proposed)
+	return int64(l.to)<<48 | int64(l.proposer)<<40 | int64(l.phase)<<36 | int64(l.proposalNumber)<<28 | int64(l.view)<<24 | int64(l.proposed)
 }
 
 // explorations are the parts of the world that are visited, and how deep.
@@ -126,15 +126,15 @@
 // the proposers return is one history, and nothing is in it that they reported as not run.
 func TestEveryOrderOfStepsIsLinearizable(t *testing.T) {
 	more := deeper(t)
-	for _, part := range explorations {
-		t.Run(part.name, func(t *testing.T) {
+	for _, chunk := range explorations {
+		t.Run(chunk.name, func(t *testing.T) {
 			t.Parallel()
-			depth := part.depth + more
+			depth := chunk.depth + more
 			if raceflag.On {
 				depth -= 4 // nothing is concurrent within an exploration
 			}
 			began := time.Now()
-			e := explore(part.allowed, brokenRules{}, depth)
+			e := explore(chunk.allowed, brokenRules{}, depth)
 			t.Logf("%d states, %d steps, depth %d, %v", len(e.visited), e.steps, e.depth, time.Since(began).Round(time.Millisecond))
 			if e.problem != "" || e.depth != depth {
 				t.Errorf("found at depth %d of %d: %s", e.depth, depth, e.problem)
--- a/internal/controlplane/register/exploreproposer_test.go
+++ b/internal/controlplane/register/exploreproposer_test.go
@@ -42,7 +42,7 @@
 func (x *explorer) beginAttempt(w *world, p int) {
 	pr := &w.proposers[p]
 	pr.counter++
-	pr.ballot, pr.view = pr.counter, w.members[proposerHome(p)].view
+	pr.proposalNumber, pr.view = pr.counter, w.members[proposerHome(p)].view
 	pr.proposed, pr.value = 0, 0
 	x.openRound(w, p, preparing)
 }
@@ -65,7 +65,7 @@
 	}
 	for i := range w.late {
 		if w.late[i].to == 0 {
-			w.late[i] = lateRequest{uint8(p), pr.phase, pr.ballot, pr.view, pr.proposed, left}
+			w.late[i] = lateRequest{uint8(p), pr.phase, pr.proposalNumber, pr.view, pr.proposed, left}
 			return
 		}
 	}
@@ -92,14 +92,14 @@
 	pr, member := &w.proposers[p], &w.members[m]
 	in := voteInput{
 		held: member.held, view: member.view, ready: member.ready(), phase: pr.phase,
-		proposer: uint8(p), ballot: pr.ballot, asked: pr.view, proposed: pr.proposed,
+		proposer: uint8(p), proposalNumber: pr.proposalNumber, asked: pr.view, proposed: pr.proposed,
 	}
 	if kind == stepCallLearns || kind == stepCallCopies {
 		in.learns = 2
 		x.learn(w, m, 2)
 	}
 	if kind == stepCallCopies {
-		x.copyFrom(w, newcomerMember, m)
+		x.copyFrom(w, joiningMember, m)
 	}
 	out := x.rules.vote(in)
 	member.held = out.held
@@ -120,7 +120,7 @@
 	pr := &w.proposers[p]
 	view := exploredViews[pr.view]
 	counted := &round{view: view, granted: make([]reply, pr.granted), refused: int(pr.refused), newer: exploredViews[pr.newer]}
-	next := answer{reply: reply{Outcome: out.outcome, View: exploredViews[out.view], Promised: Ballot{Counter: uint64(out.promised)}}}
+	next := answer{reply: reply{Outcome: out.outcome, View: exploredViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
 	if out.failed {
 		next = answer{err: errNoAnswer}
 	}
@@ -151,13 +151,13 @@
 	}
 	made := x.rules.decide(decisionInput{
 		grants: pr.grants, granted: pr.granted, sent: pr.sent, sents: pr.sents,
-		proposer: uint8(p), operation: pr.operation, ballot: pr.ballot, view: pr.view,
+		proposer: uint8(p), operation: pr.operation, proposalNumber: pr.proposalNumber, view: pr.view,
 	})
 	x.closeRound(w, p)
 	switch {
 	case made.err != nil:
 		return x.fails(w, p, made.err)
-	case made.settled:
+	case made.committed:
 		return x.returns(w, p, made.value)
 	case made.proposes:
 		pr.sent[pr.sents] = made.proposed
@@ -173,7 +173,7 @@
 	late, member := &w.late[i], &w.members[m]
 	out := x.rules.vote(voteInput{
 		held: member.held, view: member.view, ready: member.ready(), phase: late.phase,
-		proposer: late.proposer, ballot: late.ballot, asked: late.view, proposed: late.proposed,
+		proposer: late.proposer, proposalNumber: late.proposalNumber, asked: late.view, proposed: late.proposed,
 	})
 	member.held = out.held
 	if late.to = late.to.without(m); late.to == 0 {
--- a/internal/controlplane/register/explorerules_test.go
+++ b/internal/controlplane/register/explorerules_test.go
@@ -22,7 +22,7 @@
 	appliesAgain     bool // a proposer applies its function again without asking whether it took effect
 	oneCopy          bool // one copy is enough for a rebuild
 	ignoresTheView   bool // an acceptor answers proposers of any view
-	rebuiltOfOldView bool // members that have not learned the newcomer's view give it copies
+	rebuiltOfOldView bool // members that have not learned the joining member's view give it copies
 }
 
 // rules runs the real cores of acceptors, proposers, merger and membership, and remembers what they did with the same
@@ -95,7 +95,7 @@
 
 // Table implements storage.Store; the explored values are small and have no parts.
 func (s *oneTable) Table(name string) map[string][]byte {
-	if isPartsTable(name) {
+	if isChunksTable(name) {
 		return nil
 	}
 	return s.table
@@ -114,15 +114,15 @@
 
 // voteInput is what an acceptor's answer depends on.
 type voteInput struct {
-	held     replicaState
-	view     uint8 // of the acceptor
-	learns   uint8 // the view that it learns once the vote is stored and before it is answered; 0 for none
-	ready    bool
-	phase    phase
-	proposer uint8
-	ballot   uint8
-	asked    uint8 // view of the proposer
-	proposed text
+	held           replicaState
+	view           uint8 // of the acceptor
+	learns         uint8 // the view that it learns once the vote is stored and before it is answered; 0 for none
+	ready          bool
+	phase          phase
+	proposer       uint8
+	proposalNumber uint8
+	asked          uint8 // view of the proposer
+	proposed       text
 }
 
 type voteOutput struct {
@@ -130,7 +130,7 @@
 	failed   bool
 	outcome  outcome
 	view     uint8
-	promised uint8 // counter of the ballot
+	promised uint8 // counter of the proposal number
 	accepted text  // what a granted prepare reports
 }
 
@@ -168,32 +168,32 @@
 }
 
 func (r *rules) ask(acceptor *Acceptor, in voteInput) (reply, error) {
-	ballot := Ballot{Counter: uint64(in.ballot), Member: proposerName(int(in.proposer))}
+	proposalNumber := ProposalNumber{Counter: uint64(in.proposalNumber), Member: proposerName(int(in.proposer))}
 	if in.phase == preparing {
-		return acceptor.prepare(context.Background(), prepareRequest{ViewVersion: uint64(in.asked), Ballot: ballot})
+		return acceptor.prepare(context.Background(), prepareRequest{ViewVersion: uint64(in.asked), ProposalNumber: proposalNumber})
 	}
 	state := r.accepted(in.proposed).State
-	return acceptor.accept(context.Background(), acceptRequest{ViewVersion: uint64(in.asked), Ballot: ballot, State: state})
+	return acceptor.accept(context.Background(), acceptRequest{ViewVersion: uint64(in.asked), ProposalNumber: proposalNumber, State: state})
 }
 
 // decisionInput is what a proposer's decision after a prepare round depends on.
 type decisionInput struct {
-	grants    [3]text
-	granted   uint8
-	sent      [mostAttempts]text
-	sents     uint8
-	proposer  uint8
-	operation uint8
-	ballot    uint8
-	view      uint8
+	grants         [3]text
+	granted        uint8
+	sent           [mostAttempts]text
+	sents          uint8
+	proposer       uint8
+	operation      uint8
+	proposalNumber uint8
+	view           uint8
 }
 
 type decisionOutput struct {
-	err      error
-	settled  bool
-	proposes bool
-	proposed text
-	value    text
+	err       error
+	committed bool
+	proposes  bool
+	proposed  text
+	value     text
 }
 
 // decide lets the real proposer decide.
@@ -209,18 +209,18 @@
 	p := &proposer{register: register, change: operationOf(int(in.proposer), int(in.operation), r.once)}
 	for _, sent := range in.sent[:in.sents] {
 		earlier := r.accepted(sent)
-		p.sent = append(p.sent, proposal{earlier.Ballot, earlier.State})
+		p.sent = append(p.sent, proposal{earlier.ProposalNumber, earlier.State})
 	}
 	majority := &round{view: exploredViews[in.view]}
 	for _, grant := range in.grants[:in.granted] {
 		held := r.accepted(grant)
-		majority.count(answer{reply: reply{Outcome: granted, Accepted: held.Ballot, State: held.State}})
+		majority.count(answer{reply: reply{Outcome: granted, Accepted: held.ProposalNumber, State: held.State}})
 	}
-	ballot := Ballot{Counter: uint64(in.ballot), Member: proposerName(int(in.proposer))}
-	made, settled, err := p.prepared(majority, ballot)
-	out := decisionOutput{err: err, settled: settled, proposes: made.proposes, value: r.intern(made.value)}
+	proposalNumber := ProposalNumber{Counter: uint64(in.proposalNumber), Member: proposerName(int(in.proposer))}
+	made, committed, err := p.prepared(majority, proposalNumber)
+	out := decisionOutput{err: err, committed: committed, proposes: made.proposes, value: r.intern(made.value)}
 	if err == nil {
-		out.proposed = r.encode(acceptedState{Ballot: ballot, State: made.state})
+		out.proposed = r.encode(acceptedState{ProposalNumber: proposalNumber, State: made.state})
 	}
 	r.decisions[in] = out
 	return out
--- a/internal/controlplane/register/exploresteps_test.go
+++ b/internal/controlplane/register/exploresteps_test.go
@@ -18,11 +18,11 @@
 	stepCall                        // a member takes an open round's request, and its answer arrives
 	stepCallLost                    // the same, and the answer is lost
 	stepCallLearns                  // the same, and the member learns the next view while its vote is being stored
-	stepCallCopies                  // the same, and it also gives the newcomer a copy that lacks the vote
+	stepCallCopies                  // the same, and it also gives the joining member a copy that lacks the vote
 	stepTimeout                     // a round ends without a majority
 	stepRestart                     // a proposer's process is killed and started again, with its disk
 	stepLoseDisk                    // a member starts again with an empty disk
-	stepSettle                      // the next view is settled; one member knows of it
+	stepCommit                      // the next view is settled; one member knows of it
 	stepLearn                       // a member learns a view
 	stepCopy                        // a member that is rebuilt gets a copy from another one
 	stepLateRequest                 // a request of a round that is over arrives
@@ -72,12 +72,12 @@
 	absences uint8
 }
 
-// initial is the state in which the founders know the first view, and the newcomer knows it as well.
+// initial is the state in which the founders know the first view, and the joining member knows it as well.
 func (x *explorer) initial() world {
 	var w world
 	for member := range w.members {
 		x.learn(&w, member, 1)
-		w.members[member].complete = member != newcomerMember
+		w.members[member].complete = member != joiningMember
 	}
 	if x.budget.oneReads {
 		w.proposers[1].operation = firstRead
@@ -165,9 +165,9 @@
 		if m != home && x.budget.lostAnswers {
 			kinds = append(kinds, stepCallLost)
 		}
-		if w.settled && w.members[m].view == 1 {
+		if w.committed && w.members[m].view == 1 {
 			kinds = append(kinds, stepCallLearns)
-			if x.mayCopy(w, newcomerMember, m) {
+			if x.mayCopy(w, joiningMember, m) {
 				kinds = append(kinds, stepCallCopies)
 			}
 		}
@@ -179,12 +179,12 @@
 
 func (x *explorer) eachOfMember(w *world, m int, try tryStep) {
 	member := &w.members[m]
-	if w.losses < x.budget.losses && m != newcomerMember && (x.budget.losable == 0 || x.budget.losable.has(m)) {
+	if w.losses < x.budget.losses && m != joiningMember && (x.budget.losable == 0 || x.budget.losable.has(m)) {
 		try(step{stepLoseDisk, uint8(m), 0}, func(after *world) string { x.loseDisk(after, m); return "" })
 	}
-	if x.budget.replacement && !w.settled && m != replacedMember && m != newcomerMember && x.maySettle(w) {
-		try(step{stepSettle, uint8(m), 0}, func(after *world) string {
-			after.settled = true
+	if x.budget.replacement && !w.committed && m != replacedMember && m != joiningMember && x.mayCommit(w) {
+		try(step{stepCommit, uint8(m), 0}, func(after *world) string {
+			after.committed = true
 			x.learn(after, m, 2)
 			return ""
 		})
@@ -201,8 +201,8 @@
 	}
 }
 
-// maySettle tells whether the members that stay can settle the next view: no member accepts one without itself.
-func (x *explorer) maySettle(w *world) bool {
+// mayCommit tells whether the members that stay can settle the next view: no member accepts one without itself.
+func (x *explorer) mayCommit(w *world) bool {
 	for m := range w.members {
 		if inView(1, m) && m != replacedMember && (!w.members[m].ready() || w.members[m].view != 1) {
 			return false
@@ -213,7 +213,7 @@
 
 // hearsOf tells whether somebody can tell a member of a view. Those that settled it bring it to its end.
 func (x *explorer) hearsOf(w *world, m int, view uint8) bool {
-	if view == 2 && w.settled && w.members[m].view == 1 && inView(1, m) && m != replacedMember {
+	if view == 2 && w.committed && w.members[m].view == 1 && inView(1, m) && m != replacedMember {
 		return true
 	}
 	for other := range w.members {
--- a/internal/controlplane/register/exploreworld_test.go
+++ b/internal/controlplane/register/exploreworld_test.go
@@ -7,22 +7,22 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// Extent of the explored world. Member 3 is the newcomer, which takes the place of member 0.
+// Extent of the explored world. Member 3 is the joining member, which takes the place of member 0.
 const (
 	exploredMembers   = 4
 	exploredProposers = 2
-	newcomerMember    = 3
+	joiningMember     = 3
 	replacedMember    = 0
 	mostAttempts      = 2 // of one change
 	mostLate          = 4 // requests of earlier rounds that are still under way; older ones are dropped
 	exploredName      = "explored"
 )
 
-// exploredViews are the views by version: none, the founders, and with the newcomer.
+// exploredViews are the views by version: none, the founders, and with the joining member.
 var exploredViews = [...]replicaset.View{
 	{},
 	{Version: 1, Members: []string{memberName(0), memberName(1), memberName(2)}},
-	{Version: 2, Members: []string{memberName(1), memberName(2), memberName(newcomerMember)}},
+	{Version: 2, Members: []string{memberName(1), memberName(2), memberName(joiningMember)}},
 }
 
 func memberName(member int) string { return "member-" + strconv.Itoa(member) }
@@ -76,34 +76,34 @@
 
 // proposerState is a process that carries out its operations one after the other.
 type proposerState struct {
-	operation uint8 // number of the current or the next one
-	phase     phase
-	attempt   uint8
-	counter   uint8 // highest seen in a ballot
-	ballot    uint8 // counter of the attempt
-	view      uint8 // of the attempt
-	called    set   // members that have taken the open round's request
-	answered  set   // those whose answers arrived
-	refused   uint8
-	newer     uint8 // view
-	grants    [3]text
-	granted   uint8
-	lost      set  // members that lost their disks while the round is open
-	proposed  text // what the accept round is to store
-	sent      [mostAttempts]text
-	sents     uint8
-	value     text // outcome of the change if the accept round succeeds
-	floor     text // longest value that anybody had returned when the operation began
+	operation      uint8 // number of the current or the next one
+	phase          phase
+	attempt        uint8
+	counter        uint8 // highest seen in a proposal number
+	proposalNumber uint8 // counter of the attempt
+	view           uint8 // of the attempt
+	called         set   // members that have taken the open round's request
+	answered       set   // those whose answers arrived
+	refused        uint8
+	newer          uint8 // view
+	grants         [3]text
+	granted        uint8
+	lost           set  // members that lost their disks while the round is open
+	proposed       text // what the accept round is to store
+	sent           [mostAttempts]text
+	sents          uint8
+	value          text // outcome of the change if the accept round succeeds
+	floor          text // longest value that anybody had returned when the operation began
 }
 
 // lateRequest is a request of a round that is over, still under way to some members.
 type lateRequest struct {
-	proposer uint8
-	phase    phase
-	ballot   uint8
-	view     uint8
-	proposed text
-	to       set
+	proposer       uint8
+	phase          phase
+	proposalNumber uint8
+	view           uint8
+	proposed       text
+	to             set
 }
 
 // world is one state of everything. It can be compared and hashed.
@@ -111,7 +111,7 @@
 	members   [exploredMembers]memberState
 	proposers [exploredProposers]proposerState
 	late      [mostLate]lateRequest
-	settled   bool // the second view
+	committed bool // the second view
 	losses    uint8
 	restarts  uint8
 	longest   text // value that was returned
--- a/internal/controlplane/register/founding.go
+++ b/internal/controlplane/register/founding.go
@@ -47,8 +47,8 @@
 // Serve registers the internal calls.
 func (f *Founding) Serve(mux *transport.Mux) { f.acceptor.Serve(mux) }
 
-// Settle proposes the first view and returns the one that was settled, by this or an earlier proposal.
-func (f *Founding) Settle(ctx context.Context, view replicaset.View) (replicaset.View, error) {
+// Commit proposes the first view and returns the one that was settled, by this or an earlier proposal.
+func (f *Founding) Commit(ctx context.Context, view replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(view)
 	if err != nil {
 		return replicaset.View{}, fmt.Errorf("encode first view: %w", err)
--- a/internal/controlplane/register/founding_test.go
+++ b/internal/controlplane/register/founding_test.go
@@ -15,9 +15,9 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func TestTwoFoundersSettleOneView(t *testing.T) {
+func TestTwoFoundersCommitOneView(t *testing.T) {
 	founders := []string{"a", "b", "c"}
-	settled := make([]replicaset.View, len(founders))
+	committed := make([]replicaset.View, len(founders))
 	errs := make([]error, len(founders))
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
@@ -37,7 +37,7 @@
 			running.Go(func() {
 				<-time.After(time.Millisecond) // all are served
 				proposed := replicaset.View{Version: 1, Members: append([]string{"of " + self}, founders...)}
-				settled[i], errs[i] = founding.Settle(context.Background(), proposed)
+				committed[i], errs[i] = founding.Commit(context.Background(), proposed)
 			})
 		}
 		running.Wait()
@@ -45,8 +45,8 @@
 	})
 	convey.Convey("Founders that propose different views at once learn the same one", t, func() {
 		convey.So(errs, convey.ShouldResemble, make([]error, len(founders)))
-		convey.So(settled[0].Members, convey.ShouldHaveLength, 4)
-		convey.So(settled[1], convey.ShouldResemble, settled[0])
-		convey.So(settled[2], convey.ShouldResemble, settled[0])
+		convey.So(committed[0].Members, convey.ShouldHaveLength, 4)
+		convey.So(committed[1], convey.ShouldResemble, committed[0])
+		convey.So(committed[2], convey.ShouldResemble, committed[0])
 	})
 }
--- a/internal/controlplane/register/merge.go
+++ b/internal/controlplane/register/merge.go
@@ -8,15 +8,15 @@
 )
 
 // Merge makes the tables of all registers for a member that lost its disk, from those of a majority of the others: the
-// highest promise, and what was accepted under the highest ballot. Parts of values are gathered from all of them; the next
+// highest promise, and what was accepted under the highest proposal number. Parts of values are gathered from all of them; the next
 // vote removes those that do not belong to it. The tables' names begin with TablePrefix.
 func Merge(copies []storage.Tables) (storage.Tables, error) {
 	highest := make(map[string]*replica)
 	merged := make(storage.Tables)
 	for _, tables := range copies {
 		for name, table := range tables {
-			if isPartsTable(name) {
-				gatherParts(merged, name, table)
+			if isChunksTable(name) {
+				gatherChunks(merged, name, table)
 				continue
 			}
 			held, err := decodeReplica(table)
@@ -32,7 +32,7 @@
 	return merged, nil
 }
 
-func gatherParts(merged storage.Tables, name string, table map[string][]byte) {
+func gatherChunks(merged storage.Tables, name string, table map[string][]byte) {
 	if merged[name] == nil {
 		merged[name] = make(map[string][]byte)
 	}
@@ -45,7 +45,7 @@
 		r.promised = other.promised
 		merged[promisedKey] = encoded[promisedKey]
 	}
-	if r.accepted.Ballot.Less(other.accepted.Ballot) {
+	if r.accepted.ProposalNumber.Less(other.accepted.ProposalNumber) {
 		r.accepted = other.accepted
 		merged[acceptedKey] = encoded[acceptedKey]
 	}
--- a/internal/controlplane/register/messages.go
+++ b/internal/controlplane/register/messages.go
@@ -10,37 +10,37 @@
 type outcome uint8
 
 const (
-	granted      outcome = iota + 1 // done, and durable
-	conflict                        // a higher ballot was promised to another proposer
-	viewMismatch                    // the proposer works with another view
-	partsMissing                    // nothing was done, as the value that came by parts is not whole here
+	granted       outcome = iota + 1 // done, and durable
+	conflict                         // a higher proposal number was promised to another proposer
+	viewMismatch                     // the proposer works with another view
+	chunksMissing                    // nothing was done, as the value that came by parts is not whole here
 )
 
-// prepareRequest asks an acceptor to refuse lower ballots from now on.
+// prepareRequest asks an acceptor to refuse lower proposal numbers from now on.
 type prepareRequest struct {
-	ViewVersion uint64 `msgpack:"w"`
-	Ballot      Ballot `msgpack:"b"`
-	Known       Ballot `msgpack:"k"`           // as in readRequest
-	ByParts     bool   `msgpack:"y,omitempty"` // as in readRequest
+	ViewVersion    uint64         `msgpack:"w"`
+	ProposalNumber ProposalNumber `msgpack:"b"`
+	Known          ProposalNumber `msgpack:"k"`           // as in readRequest
+	ByChunks       bool           `msgpack:"y,omitempty"` // as in readRequest
 }
 
 // acceptRequest asks an acceptor to store a state.
 type acceptRequest struct {
-	ViewVersion uint64   `msgpack:"w"`
-	Ballot      Ballot   `msgpack:"b"`
-	State       state    `msgpack:"s"`
-	Content     *content `msgpack:"c,omitempty"` // the state's value, if it travels by parts
+	ViewVersion    uint64         `msgpack:"w"`
+	ProposalNumber ProposalNumber `msgpack:"b"`
+	State          state          `msgpack:"s"`
+	Content        *content       `msgpack:"c,omitempty"` // the state's value, if it travels by parts
 }
 
 // content is a large value on its way, with some of its parts.
 type content struct {
 	Manifest chunks.Manifest `msgpack:"m"`
-	Parts    [][]byte        `msgpack:"p,omitempty"` // packed
+	Chunks   [][]byte        `msgpack:"p,omitempty"` // packed
 }
 
 // pushRequest brings an acceptor parts of a value that it is going to be asked to accept. They change nothing before.
 type pushRequest struct {
-	Parts [][]byte `msgpack:"p"` // packed
+	Chunks [][]byte `msgpack:"p"` // packed
 }
 
 type pushReply struct{}
@@ -52,16 +52,16 @@
 }
 
 type fetchReply struct {
-	Parts [][]byte `msgpack:"p"` // packed, those that are held
+	Chunks [][]byte `msgpack:"p"` // packed, those that are held
 }
 
 // readRequest asks an acceptor for its state, without a promise. A state is left out of the answer where the asker knows it:
-// a ballot stands for one state within a view.
+// a proposal number stands for one state within a view.
 type readRequest struct {
-	ViewVersion uint64 `msgpack:"w"`
-	Known       Ballot `msgpack:"k"` // under which the newest state that the asker holds was accepted
-	// ByParts asks for the manifest of a large value in its place. Askers of older builds leave it out.
-	ByParts bool `msgpack:"y,omitempty"`
+	ViewVersion uint64         `msgpack:"w"`
+	Known       ProposalNumber `msgpack:"k"` // under which the newest state that the asker holds was accepted
+	// ByChunks asks for the manifest of a large value in its place. Askers of older builds leave it out.
+	ByChunks bool `msgpack:"y,omitempty"`
 }
 
 // reply is an acceptor's answer to each of them.
@@ -69,17 +69,17 @@
 	member   string           // who gave it, as its receiver notes
 	Outcome  outcome          `msgpack:"o"`
 	View     replicaset.View  `msgpack:"w"` // the acceptor's; the members are left out where the versions match
-	Promised Ballot           `msgpack:"p"`
-	Accepted Ballot           `msgpack:"a"`
+	Promised ProposalNumber   `msgpack:"p"`
+	Accepted ProposalNumber   `msgpack:"a"`
 	State    state            `msgpack:"s"`           // not in answers to accept requests, nor where the asker knows it
 	Manifest *chunks.Manifest `msgpack:"m,omitempty"` // of the state's value, which is left out then
 	Missing  []byte           `msgpack:"x,omitempty"` // checksums of missing parts, one after the other
-	// TakesParts tells that the acceptor serves acceptPartsCall. One of an older build would take a request there is no
+	// TakesChunks tells that the acceptor serves acceptChunksCall. One of an older build would take a request there is no
 	// value in for one to accept an empty value, so that it gets values whole, by acceptCall.
-	TakesParts bool `msgpack:"t,omitempty"`
+	TakesChunks bool `msgpack:"t,omitempty"`
 }
 
-// Internal calls of the register of a name. Votes under one ballot are alike whenever and however often they are given.
+// Internal calls of the register of a name. Votes under one proposal number are alike whenever and however often they are given.
 func prepareCall(name string) transport.Repeatable[prepareRequest, reply] {
 	return transport.NewRepeatable[prepareRequest, reply]("/register/" + name + "/prepare")
 }
@@ -88,8 +88,8 @@
 	return transport.NewRepeatable[acceptRequest, reply]("/register/" + name + "/accept")
 }
 
-// acceptPartsCall is an accept request whose value travels by parts.
-func acceptPartsCall(name string) transport.Repeatable[acceptRequest, reply] {
+// acceptChunksCall is an accept request whose value travels by parts.
+func acceptChunksCall(name string) transport.Repeatable[acceptRequest, reply] {
 	return transport.NewRepeatable[acceptRequest, reply]("/register/" + name + "/accept-parts")
 }
 
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -13,8 +13,8 @@
 
 // proposal is a result of the function that was sent to acceptors.
 type proposal struct {
-	ballot Ballot
-	state  state
+	proposalNumber ProposalNumber
+	state          state
 }
 
 // proposer carries out one change, in as many attempts as it takes.
@@ -66,9 +66,9 @@
 		return nil, ErrNoView
 	}
 	preparing := &round{view: view, limit: p.register.roundLimit}
-	ballot := p.register.nextBallot()
+	proposalNumber := p.register.nextProposalNumber()
 	known := p.register.held(view.Version)
-	request := prepareRequest{ViewVersion: view.Version, Ballot: ballot, Known: known.ballot, ByParts: true}
+	request := prepareRequest{ViewVersion: view.Version, ProposalNumber: proposalNumber, Known: known.proposalNumber, ByChunks: true}
 	err := preparing.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return p.register.prepare(ctx, member, request)
 	})
@@ -79,12 +79,12 @@
 	if err := p.register.complete(ctx, preparing, known); err != nil {
 		return nil, err
 	}
-	decision, settled, err := p.prepared(preparing, ballot)
+	decision, committed, err := p.prepared(preparing, proposalNumber)
 	if err != nil {
 		return nil, err
 	}
-	if !settled {
-		request := acceptRequest{ViewVersion: view.Version, Ballot: ballot, State: decision.state}
+	if !committed {
+		request := acceptRequest{ViewVersion: view.Version, ProposalNumber: proposalNumber, State: decision.state}
 		if err := p.accept(ctx, request, preparing); err != nil {
 			return nil, err
 		}
@@ -95,14 +95,14 @@
 
 // prepared decides what to commit after a prepare round, and whether that is settled already: then it rests on a
 // committed state, and none of this change's proposals is open.
-func (p *proposer) prepared(preparing *round, ballot Ballot) (decided decision, settled bool, err error) {
+func (p *proposer) prepared(preparing *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
 	latest, committed := p.register.committed(preparing)
-	decided, err = p.decide(latest.State, ballot)
+	decided, err = p.decide(latest.State, proposalNumber)
 	if err != nil {
 		return decision{}, false, err
 	}
 	if decided.proposes {
-		p.sent = append(p.sent, proposal{ballot, decided.state})
+		p.sent = append(p.sent, proposal{proposalNumber, decided.state})
 		return decided, false, nil
 	}
 	return decided, committed && len(p.sent) == 0, nil
@@ -117,12 +117,12 @@
 }
 
 // decide applies the function to the current state, unless an earlier proposal of this change is part of it.
-func (p *proposer) decide(current state, ballot Ballot) (decision, error) {
+func (p *proposer) decide(current state, proposalNumber ProposalNumber) (decision, error) {
 	for _, earlier := range p.sent {
 		if p.register.forgetsProposals {
 			break
 		}
-		contained, known := current.contains(earlier.ballot, earlier.state.Sequence)
+		contained, known := current.contains(earlier.proposalNumber, earlier.state.Sequence)
 		if contained {
 			return decision{state: current, value: earlier.state.Value}, nil
 		}
@@ -137,7 +137,7 @@
 	case unchanged(current.Value, next):
 		return decision{state: current, value: current.Value}, nil
 	}
-	made := current.next(next, ballot)
+	made := current.next(next, proposalNumber)
 	return decision{state: made, proposes: true, value: next}, nil
 }
 
@@ -148,7 +148,7 @@
 	proposed := p.register.proposed(view.Version, request)
 	send := p.register.accept
 	if proposed.cut != nil {
-		send = p.register.acceptByParts(proposed, prepared.takeWholeOnly())
+		send = p.register.acceptByChunks(proposed, prepared.takeWholeOnly())
 	}
 	err := accepting.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return send(ctx, member, request)
--- a/internal/controlplane/register/refusal_test.go
+++ b/internal/controlplane/register/refusal_test.go
@@ -21,17 +21,17 @@
 			Ready: func() bool { return true },
 			View:  func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"a"}} },
 		})
-		first := Ballot{Counter: 1, Member: "a"}
+		first := ProposalNumber{Counter: 1, Member: "a"}
 		held := state{}.next([]byte("held"), first)
-		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, Ballot: first, State: held})
+		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: first, State: held})
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(answer.Outcome, convey.ShouldEqual, granted)
 		before := store.Snapshot()
 		store.Fail(rpcerror.Unexecuted(errors.New("no room"), time.Second))
 
-		second := Ballot{Counter: 2, Member: "b"}
-		prepare := prepareRequest{ViewVersion: 1, Ballot: second}
-		accept := acceptRequest{ViewVersion: 1, Ballot: second, State: held.next([]byte("refused"), second)}
+		second := ProposalNumber{Counter: 2, Member: "b"}
+		prepare := prepareRequest{ViewVersion: 1, ProposalNumber: second}
+		accept := acceptRequest{ViewVersion: 1, ProposalNumber: second, State: held.next([]byte("refused"), second)}
 		checkRefused := func(err error) {
 			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
 			convey.So(rpcerror.RetryAfter(err), convey.ShouldEqual, time.Second)
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -40,7 +40,7 @@
 	turn   chan struct{} // holds a token while nobody changes the register here
 
 	mutex   sync.Mutex         // guards what follows
-	counter uint64             // highest that was seen or used in a ballot
+	counter uint64             // highest that was seen or used in a proposal number
 	known   knownState         // newest that was read or accepted
 	partial *chunks.Collection // of a state that has not arrived whole
 
@@ -102,7 +102,7 @@
 	}
 	reading := round{view: view, limit: r.roundLimit}
 	known := r.held(view.Version)
-	request := readRequest{ViewVersion: view.Version, Known: known.ballot, ByParts: true}
+	request := readRequest{ViewVersion: view.Version, Known: known.proposalNumber, ByChunks: true}
 	err := reading.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return r.read(ctx, member, request)
 	})
@@ -117,7 +117,7 @@
 
 // valueOf returns the value of an answer on which a majority agrees.
 func (r *Register) valueOf(ctx context.Context, reading *round, latest reply, known knownState) ([]byte, error) {
-	if latest.Accepted == (Ballot{}) {
+	if latest.Accepted == (ProposalNumber{}) {
 		return latest.State.Value, nil
 	}
 	state, err := r.stateUnder(ctx, reading, latest.Accepted, known)
@@ -127,18 +127,18 @@
 	return state.Value, nil
 }
 
-// nextBallot returns a ballot above all that this proposer has seen.
-func (r *Register) nextBallot() Ballot {
+// nextProposalNumber returns a proposal number above all that this proposer has seen.
+func (r *Register) nextProposalNumber() ProposalNumber {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counter++
-	return Ballot{Counter: r.counter, Member: r.config.Self}
+	return ProposalNumber{Counter: r.counter, Member: r.config.Self}
 }
 
-func (r *Register) saw(ballot Ballot) {
+func (r *Register) saw(proposalNumber ProposalNumber) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.counter = max(r.counter, ballot.Counter)
+	r.counter = max(r.counter, proposalNumber.Counter)
 }
 
 // learn passes on a newer view that made a round fail.
@@ -156,7 +156,7 @@
 
 func (r *Register) prepare(ctx context.Context, member string, request prepareRequest) (reply, error) {
 	if r.own(member) {
-		request.Known = Ballot{}
+		request.Known = ProposalNumber{}
 		return r.config.Acceptor.prepare(ctx, request)
 	}
 	return prepareCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -240,13 +240,13 @@
 
 func TestHistoryTellsWhatAStateContains(t *testing.T) {
 	convey.Convey("A state after more changes than its history keeps", t, func() {
-		proposal := func(i int) Ballot { return Ballot{Counter: uint64(i), Member: "m"} }
+		proposal := func(i int) ProposalNumber { return ProposalNumber{Counter: uint64(i), Member: "m"} }
 		var current state
 		for i := 1; i <= historyLength+3; i++ {
 			current = current.next([]byte{byte(i)}, proposal(i))
 		}
 		convey.So(current.History, convey.ShouldHaveLength, historyLength)
-		check := func(proposal Ballot, sequence int, expectContained, expectKnown bool) {
+		check := func(proposal ProposalNumber, sequence int, expectContained, expectKnown bool) {
 			contained, known := current.contains(proposal, uint64(sequence))
 			convey.So(contained, convey.ShouldEqual, expectContained)
 			convey.So(known, convey.ShouldEqual, expectKnown)
@@ -254,7 +254,7 @@
 		check(proposal(historyLength+3), historyLength+3, true, true)
 		check(proposal(4), 4, true, true)
 		check(proposal(3), 3, false, false)
-		check(Ballot{Counter: 4, Member: "other"}, 4, false, true)
+		check(ProposalNumber{Counter: 4, Member: "other"}, 4, false, true)
 		check(proposal(historyLength+4), historyLength+4, false, true)
 	})
 }
@@ -265,8 +265,8 @@
 			store := storage.NewMemory()
 			view := func() replicaset.View { return replicaset.View{} }
 			acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: view})
-			acceptor.accept(context.Background(), acceptRequest{Ballot: Ballot{Counter: accepted}, State: state{Value: []byte(value)}})
-			acceptor.prepare(context.Background(), prepareRequest{Ballot: Ballot{Counter: promised}})
+			acceptor.accept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: accepted}, State: state{Value: []byte(value)}})
+			acceptor.prepare(context.Background(), prepareRequest{ProposalNumber: ProposalNumber{Counter: promised}})
 			return store.Snapshot()
 		}
 		merged, err := Merge([]storage.Tables{replicaOf(9, 2, "old"), {}, replicaOf(5, 3, "new")})
--- a/internal/controlplane/register/restart_test.go
+++ b/internal/controlplane/register/restart_test.go
@@ -69,8 +69,8 @@
 			}
 			before := acceptor(store)
 			for number := 1; number <= changes; number++ {
-				ballot := Ballot{Counter: uint64(number), Member: "a"}
-				answer, err := before.accept(context.Background(), acceptRequest{ViewVersion: 1, Ballot: ballot, State: stateAfter(number)})
+				proposalNumber := ProposalNumber{Counter: uint64(number), Member: "a"}
+				answer, err := before.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: proposalNumber, State: stateAfter(number)})
 				if err != nil || answer.Outcome != granted {
 					t.Fatal(answer, err)
 				}
--- a/internal/controlplane/register/round.go
+++ b/internal/controlplane/register/round.go
@@ -19,7 +19,7 @@
 	ErrNoQuorum = errors.New("too few members answered")
 	// ErrNoView is the failure of a proposer that knows no members.
 	ErrNoView = errors.New("the replicas are not known")
-	// errConflict is the failure of a round that lost against a higher ballot.
+	// errConflict is the failure of a round that lost against a higher proposal number.
 	errConflict = errors.New("a higher ballot was promised")
 )
 
@@ -46,7 +46,7 @@
 	granted  []reply
 	refused  int
 	failures []error
-	highest  Ballot // promised to anyone
+	highest  ProposalNumber // promised to anyone
 	newer    replicaset.View
 }
 
@@ -129,7 +129,7 @@
 	return errors.Join(append([]error{err}, r.failures...)...)
 }
 
-// latest returns the answer with the highest accepted ballot, and whether all have that one: then it is committed, as a
+// latest returns the answer with the highest accepted proposal number, and whether all have that one: then it is committed, as a
 // majority holds it.
 func (r *round) latest() (reply, bool) {
 	latest := r.granted[0]
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -145,8 +145,8 @@
 	convey.Convey("An acceptor that is not ready refuses everything and stores nothing", t, func() {
 		store := storage.NewMemory()
 		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return false }, View: (&cluster{}).View})
-		_, prepareErr := acceptor.prepare(context.Background(), prepareRequest{Ballot: Ballot{Counter: 1}})
-		_, acceptErr := acceptor.accept(context.Background(), acceptRequest{Ballot: Ballot{Counter: 1}})
+		_, prepareErr := acceptor.prepare(context.Background(), prepareRequest{ProposalNumber: ProposalNumber{Counter: 1}})
+		_, acceptErr := acceptor.accept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: 1}})
 		_, readErr := acceptor.read(context.Background(), readRequest{})
 		for _, err := range []error{prepareErr, acceptErr, readErr} {
 			convey.So(err, convey.ShouldWrap, ErrNotReady)
--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -19,11 +19,11 @@
 
 // Extent of a simulation, in simulated time.
 const (
-	clients         = 3
-	simulationTime  = 12 * time.Second
-	operationLimit  = 4 * time.Second
-	betweenClients  = 150 * time.Millisecond // upper bound of the time between a client's operations
-	betweenTroubles = 900 * time.Millisecond
+	clients        = 3
+	simulationTime = 12 * time.Second
+	operationLimit = 4 * time.Second
+	betweenClients = 150 * time.Millisecond // upper bound of the time between a client's operations
+	betweenFaults  = 900 * time.Millisecond
 )
 
 var schedules = flag.Int("schedules", 4, "number of simulated schedules of the register")
@@ -54,7 +54,7 @@
 		for client, address := range c.view.Members[:clients] {
 			running.Go(func() { c.runClient(ctx, recorded, client, address, seed) })
 		}
-		running.Go(func() { c.makeTrouble(ctx, rand.New(rand.NewPCG(seed, 1))) })
+		running.Go(func() { c.makeFault(ctx, rand.New(rand.NewPCG(seed, 1))) })
 		running.Wait()
 		c.end()
 	})
@@ -75,9 +75,9 @@
 	}
 }
 
-func (c *cluster) makeTrouble(ctx context.Context, random *rand.Rand) {
+func (c *cluster) makeFault(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		wait(random, betweenTroubles)
+		wait(random, betweenFaults)
 		address := c.view.Members[random.IntN(len(c.view.Members))]
 		down := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
 		switch random.IntN(4) {
--- a/internal/controlplane/register/state.go
+++ b/internal/controlplane/register/state.go
@@ -8,24 +8,24 @@
 // state is what a register holds: a value, and by which proposals it came about. The history lets a proposer whose accept
 // round had no clear outcome find out whether its change is part of the current value.
 type state struct {
-	Value    []byte   `msgpack:"v"`
-	Sequence uint64   `msgpack:"s"` // number of changes that made the value
-	History  []Ballot `msgpack:"h"` // proposals of the last changes, newest first
+	Value    []byte           `msgpack:"v"`
+	Sequence uint64           `msgpack:"s"` // number of changes that made the value
+	History  []ProposalNumber `msgpack:"h"` // proposals of the last changes, newest first
 }
 
 // next is the state after a change by a proposal.
-func (s state) next(value []byte, proposal Ballot) state {
+func (s state) next(value []byte, proposal ProposalNumber) state {
 	kept := s.History[:min(len(s.History), historyLength-1)]
 	return state{
 		Value:    value,
 		Sequence: s.Sequence + 1,
-		History:  append([]Ballot{proposal}, kept...),
+		History:  append([]ProposalNumber{proposal}, kept...),
 	}
 }
 
 // contains tells whether the proposal is among those that made the state, and whether its history reaches back to the
 // proposal's place in the sequence; without that the answer is unknown.
-func (s state) contains(proposal Ballot, sequence uint64) (contained, known bool) {
+func (s state) contains(proposal ProposalNumber, sequence uint64) (contained, known bool) {
 	if slices.Contains(s.History, proposal) {
 		return true, true
 	}
--- a/internal/controlplane/register/stored.go
+++ b/internal/controlplane/register/stored.go
@@ -13,14 +13,14 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// partsSuffix ends the name of the table that holds the parts of a register's large value, by their checksums in hex. So
+// chunksSuffix ends the name of the table that holds the parts of a register's large value, by their checksums in hex. So
 // a change of such a value writes the parts that differ, in the same atomic write as the vote.
-const partsSuffix = "/parts"
+const chunksSuffix = "/parts"
 
-// isPartsTable tells whether a table of the prefix TablePrefix holds parts and no replica.
-func isPartsTable(name string) bool { return strings.HasSuffix(name, partsSuffix) }
+// isChunksTable tells whether a table of the prefix TablePrefix holds parts and no replica.
+func isChunksTable(name string) bool { return strings.HasSuffix(name, chunksSuffix) }
 
-func partKey(sum chunks.Sum) string { return hex.EncodeToString(sum[:]) }
+func chunkKey(sum chunks.Sum) string { return hex.EncodeToString(sum[:]) }
 
 // loadedState is the state that a table held when it was last read, so that its parts need not be put together again.
 type loadedState struct {
@@ -68,10 +68,10 @@
 	if value, found := a.loaded.find(name, record); found {
 		return value, nil
 	}
-	stored := a.config.Store.Table(name + partsSuffix)
+	stored := a.config.Store.Table(name + chunksSuffix)
 	gathered, err := chunks.NewCollection(manifest, func(sum chunks.Sum) ([]byte, bool) {
-		part, found := stored[partKey(sum)]
-		return part, found
+		chunk, found := stored[chunkKey(sum)]
+		return chunk, found
 	})
 	if err != nil {
 		return nil, fmt.Errorf("stored value: %w", err)
@@ -84,10 +84,10 @@
 	return value, nil
 }
 
-// storing returns the changes that store an accepted state: a small value beside its ballot, a large one by the parts that
+// storing returns the changes that store an accepted state: a small value beside its proposal number, a large one by the parts that
 // are not there yet. Parts of earlier values go.
 func (a *Acceptor) storing(request acceptRequest, cut *chunks.Cut) ([]storage.Change, error) {
-	accepted := acceptedState{Ballot: request.Ballot, State: request.State}
+	accepted := acceptedState{ProposalNumber: request.ProposalNumber, State: request.State}
 	name := a.table(request.ViewVersion)
 	if cut != nil {
 		manifest := cut.Manifest()
@@ -97,21 +97,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(changedParts(name+partsSuffix, a.config.Store.Table(name+partsSuffix), cut), change), nil
+	return append(changedChunks(name+chunksSuffix, a.config.Store.Table(name+chunksSuffix), cut), change), nil
 }
 
-// changedParts returns what makes a table of parts that of a value; nil stands for a value that has none.
-func changedParts(table string, stored map[string][]byte, cut *chunks.Cut) []storage.Change {
+// changedChunks returns what makes a table of parts that of a value; nil stands for a value that has none.
+func changedChunks(table string, stored map[string][]byte, cut *chunks.Cut) []storage.Change {
 	wanted := make(map[string]struct{})
 	var changes []storage.Change
 	if cut != nil {
 		for _, sum := range cut.Sums() {
-			key := partKey(sum)
+			key := chunkKey(sum)
 			_, listed := wanted[key]
 			wanted[key] = struct{}{}
 			if _, found := stored[key]; !found && !listed {
-				part, _ := cut.Part(sum)
-				changes = append(changes, storage.Change{Table: table, Key: key, Value: part})
+				chunk, _ := cut.Chunk(sum)
+				changes = append(changes, storage.Change{Table: table, Key: key, Value: chunk})
 			}
 		}
 	}
--- a/internal/controlplane/register/stored_test.go
+++ b/internal/controlplane/register/stored_test.go
@@ -29,7 +29,7 @@
 	return written
 }
 
-func TestALargeValueIsStoredByParts(t *testing.T) {
+func TestALargeValueIsStoredByChunks(t *testing.T) {
 	const name = TablePrefix + testRegister
 	text := randomText(largeText, 1)
 	Convey("Given an acceptor that has accepted a large value", t, func() {
@@ -39,8 +39,8 @@
 		}
 		acceptor := acceptorOn(store)
 		accept := func(acceptor *Acceptor, counter uint64, value string) {
-			ballot := Ballot{Counter: counter}
-			answer, err := acceptor.accept(context.Background(), acceptRequest{Ballot: ballot, State: state{Value: []byte(value), Sequence: counter}})
+			proposalNumber := ProposalNumber{Counter: counter}
+			answer, err := acceptor.accept(context.Background(), acceptRequest{ProposalNumber: proposalNumber, State: state{Value: []byte(value), Sequence: counter}})
 			So(err, ShouldBeNil)
 			So(answer.Outcome, ShouldEqual, granted)
 		}
@@ -59,13 +59,13 @@
 			holds(acceptor, edited(text, "more"))
 		})
 		Convey("parts of earlier values go", func() {
-			before := len(store.Table(name + partsSuffix))
+			before := len(store.Table(name + chunksSuffix))
 			for counter := uint64(2); counter < 12; counter++ {
 				accept(acceptor, counter, edited(text, randomText(50, counter)))
 			}
-			So(len(store.Table(name+partsSuffix)), ShouldBeBetween, before-4, before+4)
+			So(len(store.Table(name+chunksSuffix)), ShouldBeBetween, before-4, before+4)
 			accept(acceptor, 12, "small")
-			So(store.Table(name+partsSuffix), ShouldBeEmpty)
+			So(store.Table(name+chunksSuffix), ShouldBeEmpty)
 			holds(acceptor, "small")
 		})
 		Convey("it is there after a restart", func() { holds(acceptorOn(store), text) })
@@ -85,11 +85,11 @@
 			holds(acceptor, edited(text, "newer"))
 			accept(acceptor, 3, text)
 			holds(acceptorOn(rebuilt), text)
-			So(len(rebuilt.Table(name+partsSuffix)), ShouldEqual, len(store.Table(name+partsSuffix)))
+			So(len(rebuilt.Table(name+chunksSuffix)), ShouldEqual, len(store.Table(name+chunksSuffix)))
 		})
 		Convey("a lost part is told, and not taken for an empty value", func() {
-			for key := range store.Table(name + partsSuffix) {
-				So(store.Write(storage.Change{Table: name + partsSuffix, Key: key}), ShouldBeNil)
+			for key := range store.Table(name + chunksSuffix) {
+				So(store.Write(storage.Change{Table: name + chunksSuffix, Key: key}), ShouldBeNil)
 				break
 			}
 			_, err := acceptorOn(store).load(0)
@@ -97,7 +97,7 @@
 		})
 		Convey("what older builds have stored whole is read", func() {
 			older := storage.NewMemory()
-			change, err := acceptor.encode(0, acceptedKey, acceptedState{Ballot: Ballot{Counter: 1}, State: state{Value: []byte(text)}})
+			change, err := acceptor.encode(0, acceptedKey, acceptedState{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Value: []byte(text)}})
 			So(err, ShouldBeNil)
 			So(older.Write(change), ShouldBeNil)
 			holds(acceptorOn(older), text)
--- a/internal/controlplane/register/storeddata_test.go
+++ b/internal/controlplane/register/storeddata_test.go
@@ -70,25 +70,25 @@
 // writeStoredRegisters makes the votes of one member.
 func writeStoredRegisters(t *testing.T, store storage.Store) {
 	acceptors := acceptorsOn(store)
-	accept := func(acceptor *Acceptor, view uint64, ballot Ballot, value state) {
-		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: view, Ballot: ballot, State: value})
+	accept := func(acceptor *Acceptor, view uint64, proposalNumber ProposalNumber, value state) {
+		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: view, ProposalNumber: proposalNumber, State: value})
 		if err != nil || answer.Outcome != granted {
 			t.Fatalf("%+v, %v", answer, err)
 		}
 	}
-	promise := func(acceptor *Acceptor, view uint64, ballot Ballot) {
-		answer, err := acceptor.prepare(context.Background(), prepareRequest{ViewVersion: view, Ballot: ballot})
+	promise := func(acceptor *Acceptor, view uint64, proposalNumber ProposalNumber) {
+		answer, err := acceptor.prepare(context.Background(), prepareRequest{ViewVersion: view, ProposalNumber: proposalNumber})
 		if err != nil || answer.Outcome != granted {
 			t.Fatalf("%+v, %v", answer, err)
 		}
 	}
-	first := state{Value: []byte(storedText(1)), Sequence: 1, History: []Ballot{{1, storedSelf}}}
-	accept(acceptors.configuration, 3, Ballot{1, storedSelf}, first)
-	accept(acceptors.configuration, 3, Ballot{2, storedOther}, first.next([]byte(storedText(2)), Ballot{2, storedOther}))
-	promise(acceptors.configuration, 3, Ballot{300, storedSelf})
-	accept(acceptors.small, 3, Ballot{70000, storedOther}, state{Value: []byte("small"), Sequence: 9, History: []Ballot{{70000, storedOther}, {7, storedSelf}}})
-	accept(acceptors.founding.acceptor, 1, Ballot{1, storedOther}, state{Value: encodeView(t, storedFirst), Sequence: 1, History: []Ballot{{1, storedOther}}})
-	accept(acceptors.succession.acceptor, 3, Ballot{5, storedSelf}, state{Value: encodeView(t, storedNext), Sequence: 1, History: []Ballot{{5, storedSelf}}})
+	first := state{Value: []byte(storedText(1)), Sequence: 1, History: []ProposalNumber{{1, storedSelf}}}
+	accept(acceptors.configuration, 3, ProposalNumber{1, storedSelf}, first)
+	accept(acceptors.configuration, 3, ProposalNumber{2, storedOther}, first.next([]byte(storedText(2)), ProposalNumber{2, storedOther}))
+	promise(acceptors.configuration, 3, ProposalNumber{300, storedSelf})
+	accept(acceptors.small, 3, ProposalNumber{70000, storedOther}, state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{{70000, storedOther}, {7, storedSelf}}})
+	accept(acceptors.founding.acceptor, 1, ProposalNumber{1, storedOther}, state{Value: encodeView(t, storedFirst), Sequence: 1, History: []ProposalNumber{{1, storedOther}}})
+	accept(acceptors.succession.acceptor, 3, ProposalNumber{5, storedSelf}, state{Value: encodeView(t, storedNext), Sequence: 1, History: []ProposalNumber{{5, storedSelf}}})
 }
 
 func encodeView(t *testing.T, view replicaset.View) []byte {
@@ -156,33 +156,33 @@
 		Convey("the large value is put together from its parts", func() {
 			held, err := acceptors.configuration.load(3)
 			So(err, ShouldBeNil)
-			So(held.promised, ShouldResemble, Ballot{Counter: 300, Member: storedSelf})
-			So(held.accepted.Ballot, ShouldResemble, Ballot{Counter: 2, Member: storedOther})
-			So(held.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []Ballot{{2, storedOther}, {1, storedSelf}}})
+			So(held.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelf})
+			So(held.accepted.ProposalNumber, ShouldResemble, ProposalNumber{Counter: 2, Member: storedOther})
+			So(held.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []ProposalNumber{{2, storedOther}, {1, storedSelf}}})
 			So(held.accepted.Manifest.Bytes, ShouldEqual, len(storedText(2)))
 			So(held.accepted.Manifest.Sum, ShouldEqual, chunks.SumOf([]byte(storedText(2))))
 			var sums []string
 			for _, sum := range held.accepted.Manifest.Sums() {
-				sums = append(sums, partKey(sum))
+				sums = append(sums, chunkKey(sum))
 			}
 			So(sums, ShouldResemble, storedSums)
 		})
 		Convey("a small value stands whole", func() {
-			ballot := Ballot{Counter: 70000, Member: storedOther}
-			value := state{Value: []byte("small"), Sequence: 9, History: []Ballot{ballot, {Counter: 7, Member: storedSelf}}}
-			holds(acceptors.small, 3, replica{promised: ballot, accepted: acceptedState{Ballot: ballot, State: value}})
+			proposalNumber := ProposalNumber{Counter: 70000, Member: storedOther}
+			value := state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{proposalNumber, {Counter: 7, Member: storedSelf}}}
+			holds(acceptors.small, 3, replica{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("the first view and the next one are read", func() {
-			ballot := Ballot{Counter: 1, Member: storedOther}
-			value := state{Value: encodeView(t, storedFirst), Sequence: 1, History: []Ballot{ballot}}
-			holds(acceptors.founding.acceptor, 1, replica{promised: ballot, accepted: acceptedState{Ballot: ballot, State: value}})
+			proposalNumber := ProposalNumber{Counter: 1, Member: storedOther}
+			value := state{Value: encodeView(t, storedFirst), Sequence: 1, History: []ProposalNumber{proposalNumber}}
+			holds(acceptors.founding.acceptor, 1, replica{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 			next, found, err := acceptors.succession.Pending(replicaset.View{Version: 3})
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
 			So(next, ShouldResemble, storedNext)
-			ballot = Ballot{Counter: 5, Member: storedSelf}
-			value = state{Value: encodeView(t, storedNext), Sequence: 1, History: []Ballot{ballot}}
-			holds(acceptors.succession.acceptor, 3, replica{promised: ballot, accepted: acceptedState{Ballot: ballot, State: value}})
+			proposalNumber = ProposalNumber{Counter: 5, Member: storedSelf}
+			value = state{Value: encodeView(t, storedNext), Sequence: 1, History: []ProposalNumber{proposalNumber}}
+			holds(acceptors.succession.acceptor, 3, replica{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
 			memory := storage.NewMemory()
--- a/internal/controlplane/register/succession.go
+++ b/internal/controlplane/register/succession.go
@@ -24,8 +24,8 @@
 
 // Succession settles which view follows the current one, in a write-once register for each version. Its acceptors are
 // the members of the current view, so that two of them cannot settle different ones. None of them accepts a view without
-// itself, unless it is about to stop and stays to give the newcomer its copy. So a quorum of members that may vote gives
-// copies in the next view, and newcomers can be rebuilt from it. It implements replicaset.Succession.
+// itself, unless it is about to stop and stays to give the joining member its copy. So a quorum of members that may vote gives
+// copies in the next view, and joining members can be rebuilt from it. It implements replicaset.Succession.
 type Succession struct {
 	config   SuccessionConfig
 	acceptor *Acceptor
@@ -86,9 +86,9 @@
 // Serve registers the internal calls.
 func (s *Succession) Serve(mux *transport.Mux) { s.acceptor.Serve(mux) }
 
-// Settle proposes the view that follows current and returns the one that was settled, by this or an earlier proposal. It
+// Commit proposes the view that follows current and returns the one that was settled, by this or an earlier proposal. It
 // fails with ErrNoView once this process knows a newer view than current.
-func (s *Succession) Settle(ctx context.Context, current, next replicaset.View) (replicaset.View, error) {
+func (s *Succession) Commit(ctx context.Context, current, next replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(next)
 	if err != nil {
 		return replicaset.View{}, fmt.Errorf("encode view %d: %w", next.Version, err)
@@ -111,11 +111,11 @@
 	if err != nil {
 		return replicaset.View{}, fmt.Errorf("settle view %d: %w", next.Version, err)
 	}
-	var settled replicaset.View
-	if err := msgpack.Unmarshal(value, &settled); err != nil {
+	var committed replicaset.View
+	if err := msgpack.Unmarshal(value, &committed); err != nil {
 		return replicaset.View{}, fmt.Errorf("decode view %d: %w", next.Version, err)
 	}
-	return settled, nil
+	return committed, nil
 }
 
 // writeOnce leaves a value that is there.
--- a/internal/controlplane/register/succession_test.go
+++ b/internal/controlplane/register/succession_test.go
@@ -51,18 +51,18 @@
 		holder := &viewHolder{}
 		store := movingStore{storage.NewMemory(), func() { holder.set(next) }}
 		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: holder.get})
-		ballot := Ballot{Counter: 1, Member: "a"}
+		proposalNumber := ProposalNumber{Counter: 1, Member: "a"}
 		expected := reply{Outcome: viewMismatch, View: next}
 
 		convey.Convey("and does not give its promise", func() {
 			holder.set(replicaset.View{Version: 1, Members: []string{"a"}})
-			answer, err := acceptor.prepare(context.Background(), prepareRequest{ViewVersion: 1, Ballot: ballot})
+			answer, err := acceptor.prepare(context.Background(), prepareRequest{ViewVersion: 1, ProposalNumber: proposalNumber})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer, convey.ShouldResemble, expected)
 		})
 		convey.Convey("and does not say that it accepted", func() {
 			holder.set(replicaset.View{Version: 1, Members: []string{"a"}})
-			answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, Ballot: ballot})
+			answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: proposalNumber})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer, convey.ShouldResemble, expected)
 		})
@@ -85,9 +85,9 @@
 	return made
 }
 
-func TestMembersThatProposeDifferentViewsSettleOne(t *testing.T) {
+func TestMembersThatProposeDifferentViewsCommitOne(t *testing.T) {
 	current := replicaset.View{Version: 4, Members: []string{"a", "b", "c"}}
-	settled := make([]replicaset.View, len(current.Members))
+	committed := make([]replicaset.View, len(current.Members))
 	errs := make([]error, len(current.Members))
 	var late replicaset.View
 	var lateErr, nextErr error
@@ -100,25 +100,25 @@
 		for i, self := range current.Members {
 			running.Go(func() {
 				next := replicaset.View{Version: 5, Members: append([]string{"entering at " + self}, current.Members...)}
-				settled[i], errs[i] = made[self].Settle(context.Background(), current, next)
+				committed[i], errs[i] = made[self].Commit(context.Background(), current, next)
 			})
 		}
 		running.Wait()
-		holders["b"].set(settled[0])
-		holders["c"].set(settled[0])
-		late, lateErr = made["a"].Settle(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
-		_, nextErr = made["b"].Settle(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
+		holders["b"].set(committed[0])
+		holders["c"].set(committed[0])
+		late, lateErr = made["a"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
+		_, nextErr = made["b"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
 		<-time.After(aftermath)
 	})
 	convey.Convey("Members that propose different views at once learn the same one", t, func() {
 		convey.So(errs, convey.ShouldResemble, make([]error, len(errs)))
-		convey.So(settled[0].Version, convey.ShouldEqual, 5)
-		convey.So(settled[1], convey.ShouldResemble, settled[0])
-		convey.So(settled[2], convey.ShouldResemble, settled[0])
+		convey.So(committed[0].Version, convey.ShouldEqual, 5)
+		convey.So(committed[1], convey.ShouldResemble, committed[0])
+		convey.So(committed[2], convey.ShouldResemble, committed[0])
 	})
 	convey.Convey("A member that has not heard of it is told when it proposes another", t, func() {
 		convey.So(lateErr, convey.ShouldBeNil)
-		convey.So(late, convey.ShouldResemble, settled[0])
+		convey.So(late, convey.ShouldResemble, committed[0])
 	})
 	convey.Convey("A member that works with the next view proposes nothing for the one before", t, func() {
 		convey.So(nextErr, convey.ShouldWrap, ErrNoView)
@@ -128,7 +128,7 @@
 func TestAMemberAcceptsNoViewWithoutItself(t *testing.T) {
 	current := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
 	next := replicaset.View{Version: 2, Members: []string{"a", "b", "new"}}
-	var refused, settled error
+	var refused, committed error
 	var pending bool
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
@@ -136,15 +136,15 @@
 		network.Cut("b", true)
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, refused = made["a"].Settle(ctx, current, next)
+		_, refused = made["a"].Commit(ctx, current, next)
 		_, pending, _ = made["a"].Pending(current)
 		network.Cut("b", false)
-		_, settled = made["b"].Settle(context.Background(), current, next)
+		_, committed = made["b"].Commit(context.Background(), current, next)
 		<-time.After(aftermath)
 	})
 	convey.Convey("The one that is to be replaced does not help to make the majority", t, func() {
 		convey.So(refused, convey.ShouldNotBeNil)
 		convey.So(pending, convey.ShouldBeTrue)
-		convey.So(settled, convey.ShouldBeNil)
+		convey.So(committed, convey.ShouldBeNil)
 	})
 }
--- a/internal/controlplane/register/travel_test.go
+++ b/internal/controlplane/register/travel_test.go
@@ -58,7 +58,7 @@
 
 func (w *weighingCaller) take() int64 { return w.bytes.Swap(0) }
 
-func TestALargeValueTravelsByParts(t *testing.T) {
+func TestALargeValueTravelsByChunks(t *testing.T) {
 	var first, second, third, most int64
 	var read string
 	text := randomText(largeText, 1)
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestAMemberThatLacksParts(t *testing.T) {
+func TestAMemberThatLacksChunks(t *testing.T) {
 	text := randomText(largeText, 1)
 	var value []byte
 	var err error
@@ -164,14 +164,14 @@
 	spoilt := manifest
 	spoilt.Sum[0]++
 	var packed [][]byte
-	for _, part := range chunks.Split([]byte(text)) {
-		packed = append(packed, chunks.Pack(part))
+	for _, chunk := range chunks.Split([]byte(text)) {
+		packed = append(packed, chunks.Pack(chunk))
 	}
 	convey.Convey("Given an acceptor", t, func() {
 		store := storage.NewMemory()
 		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: (&cluster{}).View})
 		accept := func(sent content) (reply, error) {
-			return acceptor.serveAccept(context.Background(), acceptRequest{Ballot: Ballot{Counter: 1}, State: state{Sequence: 1}, Content: &sent})
+			return acceptor.serveAccept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Sequence: 1}, Content: &sent})
 		}
 		held := func() string {
 			replica, err := acceptor.load(1)
@@ -179,13 +179,13 @@
 			return string(replica.accepted.State.Value)
 		}
 		convey.Convey("a value whose parts are missing is not stored, and the missing ones are named", func() {
-			answer, err := accept(content{Manifest: manifest, Parts: packed[1:]})
+			answer, err := accept(content{Manifest: manifest, Chunks: packed[1:]})
 			convey.So(err, convey.ShouldBeNil)
-			convey.So(answer.Outcome, convey.ShouldEqual, partsMissing)
-			convey.So(answer.Missing, convey.ShouldResemble, manifest.Parts[:chunks.SumBytes])
+			convey.So(answer.Outcome, convey.ShouldEqual, chunksMissing)
+			convey.So(answer.Missing, convey.ShouldResemble, manifest.Chunks[:chunks.SumBytes])
 			convey.So(held(), convey.ShouldBeEmpty)
 			convey.Convey("once they were pushed, it is", func() {
-				_, err := acceptor.servePush(context.Background(), pushRequest{Parts: packed[:1]})
+				_, err := acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
 				convey.So(err, convey.ShouldBeNil)
 				answer, err := accept(content{Manifest: manifest})
 				convey.So(err, convey.ShouldBeNil)
@@ -194,26 +194,26 @@
 			})
 		})
 		convey.Convey("a value that is not what its manifest names is refused as not run", func() {
-			_, err := accept(content{Manifest: spoilt, Parts: packed})
+			_, err := accept(content{Manifest: spoilt, Chunks: packed})
 			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
 			convey.So(held(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("so is what is no part at all, and no manifest", func() {
-			_, err := accept(content{Manifest: manifest, Parts: [][]byte{{1, 2, 3}}})
+			_, err := accept(content{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
 			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
-			_, err = acceptor.servePush(context.Background(), pushRequest{Parts: [][]byte{{1, 2, 3}}})
+			_, err = acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{{1, 2, 3}}})
 			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
 			_, err = accept(content{Manifest: chunks.Manifest{Bytes: -1}})
 			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
 		})
 		convey.Convey("parts that nobody asks to accept do not pile up", func() {
 			for i := range 40 {
-				part := chunks.Pack([]byte(randomText(8000, uint64(i))))
-				acceptor.servePush(context.Background(), pushRequest{Parts: [][]byte{part, part}})
+				chunk := chunks.Pack([]byte(randomText(8000, uint64(i))))
+				acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{chunk, chunk}})
 			}
 			convey.So(acceptor.values.pushedBytes, convey.ShouldEqual, 40*8000)
 			acceptor.values.pushedBytes = mostPushed
-			acceptor.servePush(context.Background(), pushRequest{Parts: packed[:1]})
+			acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
 			convey.So(len(acceptor.values.pushed), convey.ShouldEqual, 1)
 		})
 	})
--- a/internal/controlplane/register/values.go
+++ b/internal/controlplane/register/values.go
@@ -19,23 +19,23 @@
 )
 
 // values holds the parts of large values at an acceptor: of the one that was accepted last, and of those that are being
-// sent. Parts are named by their content, so that it does not matter who sent them and for which ballot; a vote depends
+// sent. Parts are named by their content, so that it does not matter who sent them and for which proposal number; a vote depends
 // on them in no other way than that a value is put together from them, which its checksum proves. Nothing here is durable.
 type values struct {
-	mutex       sync.Mutex
-	ballot      Ballot // of the value that was cut
-	view        uint64
-	cut         *chunks.Cut
-	pushed      map[chunks.Sum][]byte
-	pushedBytes int
+	mutex          sync.Mutex
+	proposalNumber ProposalNumber // of the value that was cut
+	view           uint64
+	cut            *chunks.Cut
+	pushed         map[chunks.Sum][]byte
+	pushedBytes    int
 }
 
-// cutOf returns the parts of a value that was accepted under a ballot in a view.
-func (v *values) cutOf(ballot Ballot, view uint64, value []byte) *chunks.Cut {
+// cutOf returns the parts of a value that was accepted under a proposal number in a view.
+func (v *values) cutOf(proposalNumber ProposalNumber, view uint64, value []byte) *chunks.Cut {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if v.cut == nil || v.ballot != ballot || v.view != view {
-		v.cut, v.ballot, v.view = chunks.NewCut(value, v.cut), ballot, view
+	if v.cut == nil || v.proposalNumber != proposalNumber || v.view != view {
+		v.cut, v.proposalNumber, v.view = chunks.NewCut(value, v.cut), proposalNumber, view
 	}
 	return v.cut
 }
@@ -47,50 +47,50 @@
 	return v.cut
 }
 
-// part is the parts.Holder of all that is here.
-func (v *values) part(sum chunks.Sum) (part []byte, found bool) {
+// chunk is the parts.Holder of all that is here.
+func (v *values) chunk(sum chunks.Sum) (chunk []byte, found bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if part, found = v.pushed[sum]; !found && v.cut != nil {
-		part, found = v.cut.Part(sum)
+	if chunk, found = v.pushed[sum]; !found && v.cut != nil {
+		chunk, found = v.cut.Chunk(sum)
 	}
-	return part, found
+	return chunk, found
 }
 
 // keep takes packed parts of a value that is being sent. The error is parts.ErrPacked.
 func (v *values) keep(packed [][]byte) error {
 	unpacked := make([][]byte, 0, len(packed))
 	for _, one := range packed {
-		part, err := chunks.Unpack(one)
+		chunk, err := chunks.Unpack(one)
 		if err != nil {
 			return err
 		}
-		unpacked = append(unpacked, part)
+		unpacked = append(unpacked, chunk)
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	for _, part := range unpacked {
-		v.keepOne(part)
+	for _, chunk := range unpacked {
+		v.keepOne(chunk)
 	}
 	return nil
 }
 
-func (v *values) keepOne(part []byte) {
-	if v.pushed == nil || v.pushedBytes+len(part) > mostPushed {
+func (v *values) keepOne(chunk []byte) {
+	if v.pushed == nil || v.pushedBytes+len(chunk) > mostPushed {
 		v.pushed, v.pushedBytes = make(map[chunks.Sum][]byte), 0
 	}
-	sum := chunks.SumOf(part)
+	sum := chunks.SumOf(chunk)
 	if _, twice := v.pushed[sum]; !twice {
-		v.pushed[sum] = part
-		v.pushedBytes += len(part)
+		v.pushed[sum] = chunk
+		v.pushedBytes += len(chunk)
 	}
 }
 
-// settled throws away what was sent of earlier values, once one was accepted.
-func (v *values) settled(accepted *chunks.Cut, ballot Ballot, view uint64) {
+// committed throws away what was sent of earlier values, once one was accepted.
+func (v *values) committed(accepted *chunks.Cut, proposalNumber ProposalNumber, view uint64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.cut, v.ballot, v.view = accepted, ballot, view
+	v.cut, v.proposalNumber, v.view = accepted, proposalNumber, view
 	v.pushed, v.pushedBytes = nil, 0
 }
 
@@ -100,8 +100,8 @@
 // servePrepare and serveRead answer other processes: a large value is named there, and not sent.
 func (a *Acceptor) servePrepare(ctx context.Context, request prepareRequest) (reply, error) {
 	answer, err := a.prepare(ctx, request)
-	answer.TakesParts = true
-	if err != nil || !request.ByParts {
+	answer.TakesChunks = true
+	if err != nil || !request.ByChunks {
 		return answer, err
 	}
 	return a.named(answer, request.ViewVersion), nil
@@ -109,7 +109,7 @@
 
 func (a *Acceptor) serveRead(ctx context.Context, request readRequest) (reply, error) {
 	answer, err := a.read(ctx, request)
-	if err != nil || !request.ByParts {
+	if err != nil || !request.ByChunks {
 		return answer, err
 	}
 	return a.named(answer, request.ViewVersion), nil
@@ -131,15 +131,15 @@
 	if request.Content == nil {
 		return reply{}, rpcerror.Unexecuted(errNoContent, 0)
 	}
-	if err := a.values.keep(request.Content.Parts); err != nil {
+	if err := a.values.keep(request.Content.Chunks); err != nil {
 		return reply{}, rpcerror.Unexecuted(err, 0)
 	}
-	gathered, err := chunks.NewCollection(request.Content.Manifest, a.values.part)
+	gathered, err := chunks.NewCollection(request.Content.Manifest, a.values.chunk)
 	if err != nil {
 		return reply{}, rpcerror.Unexecuted(err, 0)
 	}
 	if !gathered.Whole() {
-		return reply{Outcome: partsMissing, Missing: chunks.Join(gathered.Missing(gathered.Lacks()))}, nil
+		return reply{Outcome: chunksMissing, Missing: chunks.Join(gathered.Missing(gathered.Lacks()))}, nil
 	}
 	if request.State.Value, err = gathered.Content(); err != nil {
 		return reply{}, rpcerror.Unexecuted(fmt.Errorf("accept in register %s: %w", a.config.Name, err), 0)
@@ -159,7 +159,7 @@
 	if !a.config.Ready() {
 		return pushReply{}, rpcerror.Unexecuted(ErrNotReady, notReadyRetry)
 	}
-	if err := a.values.keep(request.Parts); err != nil {
+	if err := a.values.keep(request.Chunks); err != nil {
 		return pushReply{}, rpcerror.Unexecuted(err, 0)
 	}
 	return pushReply{}, nil
@@ -170,5 +170,5 @@
 	if cut == nil {
 		return fetchReply{}, nil
 	}
-	return fetchReply{Parts: cut.PackedSome(chunks.SumsOf(request.Sums), request.Room)}, nil
+	return fetchReply{Chunks: cut.PackedSome(chunks.SumsOf(request.Sums), request.Room)}, nil
 }
--- a/internal/controlplane/replicaset/core_test.go
+++ b/internal/controlplane/replicaset/core_test.go
@@ -31,7 +31,7 @@
 // mutant breaks one rule in a test; the zero value breaks none.
 type mutant struct {
 	name           string
-	noRebuild      bool // a newcomer votes before it is rebuilt
+	noRebuild      bool // a joining member votes before it is rebuilt
 	servesOld      bool // a member votes for a while in the view before the one that it has learned
 	dumpsOld       bool // a member gives a copy of its tables without having learned the view of the one who asks
 	keepsOldVotes  bool // a member that was replaced and comes back votes by what its disk holds
@@ -41,7 +41,7 @@
 	takesItsCopy   bool // a member that was replaced gives no copy
 }
 
-// cluster is a set of core mixers on a network in memory, each with all that takes part in the change of members, and with
+// cluster is a set of core nodes on a network in memory, each with all that takes part in the change of members, and with
 // a register that they replicate. It is to be run in simulated time.
 type cluster struct {
 	t       *testing.T
@@ -57,7 +57,7 @@
 	ending  bool
 }
 
-// core is one incarnation of a core mixer.
+// core is one incarnation of a core node.
 type core struct {
 	address   string
 	zone      string
@@ -262,7 +262,7 @@
 // handOverTime is what a coordinator takes of a grace period of six seconds.
 const handOverTime = 3 * time.Second
 
-// tellToStop lets a process hand over to a newcomer if one waits, and then ends it, as a coordinator does.
+// tellToStop lets a process hand over to a joining member if one waits, and then ends it, as a coordinator does.
 func (c *cluster) tellToStop(p *core) {
 	limited, cancel := context.WithTimeout(p.ctx, handOverTime)
 	defer cancel()
--- a/internal/controlplane/replicaset/departure.go
+++ b/internal/controlplane/replicaset/departure.go
@@ -14,12 +14,12 @@
 )
 
 // Departing tells whether this process is about to stop. Only then it accepts a view without itself: it then votes for
-// its own replacement where another member is down, and stays until the newcomer has been rebuilt.
+// its own replacement where another member is down, and stays until the joining member has been rebuilt.
 func (m *Manager) Departing() bool { return m.departing.Load() }
 
-// Leave tells the other members that this process is about to stop, so that a newcomer takes its place at once if there
-// is one. While a newcomer waits it says so again and again, until a view without this process is known or the context
-// ends. It tells whether this process has been replaced. Where no newcomer waits it says goodbye once.
+// Leave tells the other members that this process is about to stop, so that a joining member takes its place at once if there
+// is one. While a joining member waits it says so again and again, until a view without this process is known or the context
+// ends. It tells whether this process has been replaced. Where no joining member waits it says goodbye once.
 func (m *Manager) Leave(ctx context.Context) (replaced bool) {
 	m.departing.Store(true)
 	for {
@@ -29,7 +29,7 @@
 			return view.Version > 0
 		}
 		m.sayGoodbye(ctx, view)
-		if !m.NewcomersWait() {
+		if !m.JoiningMembersWait() {
 			return !m.View().Has(m.config.Self)
 		}
 		select {
--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -27,7 +27,7 @@
 	View View `msgpack:"v"`
 }
 
-// announceRequest tells that the sender is a core mixer: before the first view one that may become a replica, later one
+// announceRequest tells that the sender is a core node: before the first view one that may become a replica, later one
 // that is no member of the view.
 type announceRequest struct {
 	Address     string `msgpack:"a"`
@@ -86,13 +86,13 @@
 	case m.view.Version == 0:
 		m.announcements.add(request.Address, request.Zone, now)
 	case request.View.Version == m.view.Version && !m.view.Has(request.Address):
-		m.newcomers.add(newcomer{address: request.Address, zone: request.Zone, incarnation: request.Incarnation}, now)
+		m.joiningMembers.add(joiningMember{address: request.Address, zone: request.Zone, incarnation: request.Incarnation}, now)
 		m.signal()
 	}
 	return viewReply{View: m.view}, nil
 }
 
-// signal lets Run look at the newcomers.
+// signal lets Run look at the joining members.
 func (m *Manager) signal() {
 	select {
 	case m.wake <- struct{}{}:
--- a/internal/controlplane/replicaset/founding.go
+++ b/internal/controlplane/replicaset/founding.go
@@ -15,10 +15,10 @@
 	foundingQuiet    = 700 * time.Millisecond  // without a new announcement
 	founderSilence   = 3 * time.Second         // after which the next founder acts
 	foundingPatience = 8 * time.Second         // after which any founder acts
-	settleLimit      = 2 * time.Second
+	commitLimit      = 2 * time.Second
 )
 
-// announcements are what a founder heard of core mixers.
+// announcements are what a founder heard of core nodes.
 type announcements struct {
 	start   time.Time
 	lastNew time.Time            // when an address was heard for the first time
@@ -78,14 +78,14 @@
 	if !due {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleLimit)
+	ctx, cancel := context.WithTimeout(ctx, commitLimit)
 	defer cancel()
-	settled, err := m.config.Founding.Settle(ctx, proposed)
+	committed, err := m.config.Founding.Commit(ctx, proposed)
 	if err != nil {
 		m.config.Logger.Warn("settle the first view", zap.Error(err))
 		return
 	}
-	m.learned(settled)
+	m.learned(committed)
 }
 
 // firstView returns the view to propose and whether it is time to.
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -52,8 +52,8 @@
 func TestANewcomerWithAFullDiskWaitsForRoom(t *testing.T) {
 	cases := []struct {
 		name   string
-		before time.Duration // from the newcomer's start to the loss of a member
-		full   time.Duration // from the loss until the newcomer's disk is full
+		before time.Duration // from the joining member's start to the loss of a member
+		full   time.Duration // from the loss until the joining member's disk is full
 	}{
 		{"it learns the view in which it is a member", time.Second, 500 * time.Millisecond},
 		{"it is rebuilt", 0, 1800 * time.Millisecond},
@@ -65,16 +65,16 @@
 		var value string
 		inCluster(t, 1, mutant{}, members, func(c *cluster) {
 			c.write(members[1], written)
-			newcomer := c.start("new", "elsewhere", storage.NewMemory(), false)
+			joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 			<-time.After(one.before)
 			c.stop(c.at(members[0]))
 			<-time.After(one.full)
-			newcomer.disk.Fail(errFull)
+			joiningMember.disk.Fail(errFull)
 			<-time.After(2 * catchUp)
-			early, ended = newcomer.rebuilder.Ready(), newcomer.ended()
-			newcomer.disk.Fail(nil)
+			early, ended = joiningMember.rebuilder.Ready(), joiningMember.ended()
+			joiningMember.disk.Fail(nil)
 			room := time.Now()
-			newcomer.member(time.Minute)
+			joiningMember.member(time.Minute)
 			took = time.Since(room)
 			c.stop(c.at(members[1]))
 			value = c.read("new")
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -23,11 +23,11 @@
 // whole tells whether nothing is lost and writes go on.
 func (o outcome) whole() bool { return o.value == written && o.written == nil }
 
-// replaceWhileDown writes a value, lets the last members fail, and replaces the first by a newcomer that came before. Then
+// replaceWhileDown writes a value, lets the last members fail, and replaces the first by a joining member that came before. Then
 // those that failed are back, without their disks, and once they have had the time to catch up, as many others fail.
 func replaceWhileDown(c *cluster, members []string, failing int) (seen outcome) {
 	leaving, staying, down := members[0], members[1], members[len(members)-failing:]
-	newcomer := c.start("new", "elsewhere", storage.NewMemory(), false)
+	joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 	<-time.After(catchUp)
 	c.write(staying, old)
 	c.network.Cut(staying, true) // so only those that go have the newest value
@@ -49,8 +49,8 @@
 	}
 	<-time.After(catchUp)
 	for range failing {
-		c.stop(newcomer)
-		newcomer = c.at(staying)
+		c.stop(joiningMember)
+		joiningMember = c.at(staying)
 	}
 	seen.value = c.read(down[0])
 	seen.written = c.write(down[0], "after")
@@ -134,7 +134,7 @@
 	})
 }
 
-// A replaced process that still runs must not offer itself as a newcomer.
+// A replaced process that still runs must not offer itself as a joining member.
 func TestAMemberThatStopsOffersItselfNoMore(t *testing.T) {
 	members := addresses(3)
 	var view replicaset.View
@@ -181,7 +181,7 @@
 	})
 }
 
-// The newcomer that waits takes the place of a third member, which has just failed, as no goodbye arrives.
+// The joining member that waits takes the place of a third member, which has just failed, as no goodbye arrives.
 func TestAMemberThatStopsWaitsForANewcomerInAnothersPlace(t *testing.T) {
 	members := addresses(3)
 	var value string
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -33,14 +33,14 @@
 
 // Founding settles the first view once and for all, on the founders.
 type Founding interface {
-	// Settle proposes the first view and returns the settled one, which may be another.
-	Settle(ctx context.Context, view View) (View, error)
+	// Commit proposes the first view and returns the settled one, which may be another.
+	Commit(ctx context.Context, view View) (View, error)
 }
 
 // Succession settles the view after the current one once and for all, on the members of the current one.
 type Succession interface {
-	// Settle proposes the view that follows current and returns the settled one, which may be another.
-	Settle(ctx context.Context, current, next View) (View, error)
+	// Commit proposes the view that follows current and returns the settled one, which may be another.
+	Commit(ctx context.Context, current, next View) (View, error)
 	// Pending returns the view after current that this member has accepted, as far as there is one. It must be brought to
 	// its end: as long as it is neither settled nor known to the others, the members cannot settle any other.
 	Pending(current View) (next View, found bool, err error)
@@ -58,10 +58,10 @@
 	Zone            string   // of this process; may be empty
 	Seeds           []string // internal addresses of the seeds
 	FirstStart      bool     // whether the system starts for the very first time
-	CountsForQuorum bool     // whether this process is a core mixer, which announces itself as a replica
+	CountsForQuorum bool     // whether this process is a core node, which announces itself as a replica
 	Store           storage.Store
 	Caller          transport.Caller
-	Founding        Founding        // nil at processes that are no core mixers
+	Founding        Founding        // nil at processes that are no core nodes
 	Succession      Succession      // nil where no member is ever replaced
 	Contacts        func() Contacts // needed with Succession
 	Logger          *zap.Logger
@@ -75,32 +75,32 @@
 	incarnation uint64        // of this process, drawn at its start
 	departing   atomic.Bool   // this process is about to stop
 	founders    []string      // sorted; empty where this process may not found
-	wake        chan struct{} // a newcomer was heard
+	wake        chan struct{} // a joining member was heard
 	failures    chan error    // of the store
 	observed    observation   // belongs to Run, as do the next two
 	touched     time.Time     // newest look at the contact with a majority
 	wasSilent   bool          // there was none then, or this process may have been frozen before
 	exchanges   int           // made by Run
 
-	mutex         sync.Mutex // guards what follows
-	view          View
-	entered       map[string]time.Time // when each member was first seen in the view
-	absences      uint64               // views learned that this process left, or was not part of at first
-	changed       chan struct{}        // closed and replaced at each change of the view
-	announcements announcements
-	newcomers     newcomers
-	leaving       map[string]time.Time // when members said goodbye
+	mutex          sync.Mutex // guards what follows
+	view           View
+	entered        map[string]time.Time // when each member was first seen in the view
+	absences       uint64               // views learned that this process left, or was not part of at first
+	changed        chan struct{}        // closed and replaced at each change of the view
+	announcements  announcements
+	joiningMembers joiningMembers
+	leaving        map[string]time.Time // when members said goodbye
 
 	storing sync.Mutex // held while a view is stored
 }
 
-// NewManager loads the view from the store. At the first start of a core mixer it also stores who the founders are, so
+// NewManager loads the view from the store. At the first start of a core node it also stores who the founders are, so
 // that the founding goes on if the process is killed in its midst.
 func NewManager(config Config) (*Manager, error) {
 	m := &Manager{
 		config: config, start: time.Now(), incarnation: max(1, rand.Uint64()), wake: make(chan struct{}, 1), failures: make(chan error, 1),
 		entered: make(map[string]time.Time), changed: make(chan struct{}),
-		newcomers: make(newcomers), leaving: make(map[string]time.Time),
+		joiningMembers: make(joiningMembers), leaving: make(map[string]time.Time),
 	}
 	if err := m.load(); err != nil {
 		return nil, err
@@ -227,7 +227,7 @@
 	defer m.mutex.Unlock()
 	m.view, m.absences = view, absences
 	m.noteEntered(time.Now())
-	clear(m.newcomers)
+	clear(m.joiningMembers)
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/internal/controlplane/replicaset/manager_test.go
+++ b/internal/controlplane/replicaset/manager_test.go
@@ -53,7 +53,7 @@
 	return all
 }
 
-// start starts a core mixer, or another process where it does not count for the quorum.
+// start starts a core node, or another process where it does not count for the quorum.
 func (f *fleet) start(self string, store *storage.Memory, firstStart, core bool) *process {
 	var manager *replicaset.Manager
 	founding := register.NewFounding(register.FoundingConfig{
@@ -192,7 +192,7 @@
 	})
 }
 
-func TestFoundersThatDoNotHearEachOtherSettleOneView(t *testing.T) {
+func TestFoundersThatDoNotHearEachOtherCommitOneView(t *testing.T) {
 	all := addresses(3)
 	var views []replicaset.View
 	inFleet(t, all, func(f *fleet, start time.Time) {
--- a/internal/controlplane/replicaset/model_test.go
+++ b/internal/controlplane/replicaset/model_test.go
@@ -110,7 +110,7 @@
 	running.Go(func() { m.watchViews(ctx) })
 	for ctx.Err() == nil {
 		<-time.After(time.Duration(m.random.Int64N(int64(modelPause))))
-		m.trouble()
+		m.fault()
 	}
 	m.faults.Wait()
 	running.Wait()
--- a/internal/controlplane/replicaset/modelfaults_test.go
+++ b/internal/controlplane/replicaset/modelfaults_test.go
@@ -11,8 +11,8 @@
 // foreverLost is until when a machine counts as lost that is not back yet.
 const foreverLost = 24 * time.Hour
 
-// trouble begins one fault, if no more than the tolerated number of machines is then lost. Faults overlap.
-func (m *model) trouble() {
+// fault begins one fault, if no more than the tolerated number of machines is then lost. Faults overlap.
+func (m *model) fault() {
 	kind, span := m.random.IntN(10), time.Duration(m.random.Int64N(int64(3*time.Second)))
 	if kind >= 7 {
 		m.replaceOne(kind, span)
@@ -76,9 +76,9 @@
 	m.faults.Go(func() {
 		defer m.endReplacement()
 		if planned {
-			m.newcomer()
+			m.joiningMember()
 			<-time.After(catchUp + span/4)
-			m.tell("%s is told to stop, newcomers wait %v, view %v", p.address, p.manager.NewcomersWait(), p.manager.View().Members)
+			m.tell("%s is told to stop, newcomers wait %v, view %v", p.address, p.manager.JoiningMembersWait(), p.manager.View().Members)
 			if aim == 1 {
 				m.loseDisk(p, place, span)
 			}
@@ -91,7 +91,7 @@
 		}
 		m.stop(p)
 		<-time.After(span)
-		m.newcomer()
+		m.joiningMember()
 		m.back(p.address)
 		<-time.After(catchUp)
 	})
@@ -136,7 +136,7 @@
 	m.replacing = false
 }
 
-func (m *model) newcomer() {
+func (m *model) joiningMember() {
 	m.state.Lock()
 	address := fmt.Sprintf("core-%d", m.machines)
 	m.machines++
--- a/internal/controlplane/replicaset/mutantparts_test.go
+++ b/internal/controlplane/replicaset/mutantparts_test.go
@@ -11,8 +11,8 @@
 // ownSuccession decides alone.
 type ownSuccession struct{}
 
-// Settle implements replicaset.Succession.
-func (ownSuccession) Settle(_ context.Context, _, next replicaset.View) (replicaset.View, error) {
+// Commit implements replicaset.Succession.
+func (ownSuccession) Commit(_ context.Context, _, next replicaset.View) (replicaset.View, error) {
 	return next, nil
 }
 
--- a/internal/controlplane/replicaset/mutants_test.go
+++ b/internal/controlplane/replicaset/mutants_test.go
@@ -23,7 +23,7 @@
 	c.network.AddRule(networktest.Rule{From: b, To: a, Path: path, Lose: true})
 }
 
-// writtenInTheOldView lets a member that was replaced, and did not hear of it, write at the end of the newcomer's rebuild
+// writtenInTheOldView lets a member that was replaced, and did not hear of it, write at the end of the joining member's rebuild
 // together with a member that the others can do without, and that settles no view itself. It tells whether the value is
 // there afterwards.
 func writtenInTheOldView(c *cluster, members []string) bool {
@@ -45,9 +45,9 @@
 	return c.read(proposer) == written
 }
 
-// newcomerFillsAMajority lets a value be written without one member, of which one of the two that know of it is then
+// joiningMemberFillsAMajority lets a value be written without one member, of which one of the two that know of it is then
 // replaced, and the other is cut off. It tells whether the value is there afterwards.
-func newcomerFillsAMajority(c *cluster, members []string) bool {
+func joiningMemberFillsAMajority(c *cluster, members []string) bool {
 	c.write(members[0], old)
 	c.network.Cut(members[0], true)
 	c.write(members[1], written)
@@ -86,7 +86,7 @@
 	return c.read(members[2]) == written
 }
 
-// twoProposers lets two members, of which neither hears the other, replace it by another newcomer. It tells whether there
+// twoProposers lets two members, of which neither hears the other, replace it by another joining member. It tells whether there
 // is one view of each version.
 func twoProposers(c *cluster, members []string) bool {
 	c.part(members[0], members[1], "")
@@ -120,7 +120,7 @@
 		broken   mutant
 		scenario func(c *cluster, members []string) bool
 	}{
-		{mutant{name: "a newcomer votes only after it is rebuilt", noRebuild: true}, newcomerFillsAMajority},
+		{mutant{name: "a newcomer votes only after it is rebuilt", noRebuild: true}, joiningMemberFillsAMajority},
 		{mutant{name: "a member that has learned a view refuses the rounds of the one before", servesOld: true}, writtenInTheOldView},
 		{mutant{name: "only a member that has learned the newcomer's view gives it a copy", dumpsOld: true}, writtenInTheOldView},
 		{mutant{name: "a member that was replaced is empty when it comes back", keepsOldVotes: true}, replacedMemberComesBack},
--- a/internal/controlplane/replicaset/newcomers.go
+++ b/internal/controlplane/replicaset/newcomers.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	newcomerDelay = 300 * time.Millisecond // from a newcomer's first announcement until it may become a member
-	newcomerFresh = time.Second            // an announcement counts no longer
+	joiningMemberDelay = 300 * time.Millisecond // from a joining member's first announcement until it may become a member
+	joiningMemberFresh = time.Second            // an announcement counts no longer
 )
 
-// newcomer is a core mixer that is no member and announces itself.
-type newcomer struct {
+// joiningMember is a core node that is no member and announces itself.
+type joiningMember struct {
 	address     string
 	zone        string
 	incarnation uint64    // of the process that announced itself last
@@ -20,10 +20,10 @@
 	last        time.Time
 }
 
-// newcomers are those that announced themselves with the current view, by address.
-type newcomers map[string]newcomer
+// joiningMembers are those that announced themselves with the current view, by address.
+type joiningMembers map[string]joiningMember
 
-func (n newcomers) add(one newcomer, now time.Time) {
+func (n joiningMembers) add(one joiningMember, now time.Time) {
 	one.first, one.last = now, now
 	if known, found := n[one.address]; found {
 		one.first = known.first
@@ -32,23 +32,23 @@
 }
 
 // forget drops those that have fallen silent.
-func (n newcomers) forget(now time.Time) {
+func (n joiningMembers) forget(now time.Time) {
 	for address, one := range n {
-		if now.Sub(one.last) > newcomerFresh {
+		if now.Sub(one.last) > joiningMemberFresh {
 			delete(n, address)
 		}
 	}
 }
 
 // due lists those that have announced themselves for long enough, the longest first.
-func (n newcomers) due(now time.Time) []newcomer {
-	var due []newcomer
+func (n joiningMembers) due(now time.Time) []joiningMember {
+	var due []joiningMember
 	for _, one := range n {
-		if now.Sub(one.first) >= newcomerDelay {
+		if now.Sub(one.first) >= joiningMemberDelay {
 			due = append(due, one)
 		}
 	}
-	slices.SortFunc(due, func(a, b newcomer) int {
+	slices.SortFunc(due, func(a, b joiningMember) int {
 		return cmp.Or(a.first.Compare(b.first), cmp.Compare(a.address, b.address))
 	})
 	return due
