--- a/internal/controlplane/replicaset/replacement.go
+++ b/internal/controlplane/replicaset/replacement.go
@@ -45,12 +45,12 @@
 	return now.Sub(o.due)
 }
 
-// NewcomersWait tells whether this process is a member, and somebody waits to become one.
-func (m *Manager) NewcomersWait() bool {
+// JoiningMembersWait tells whether this process is a member, and somebody waits to become one.
+func (m *Manager) JoiningMembersWait() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.newcomers.forget(time.Now())
-	return m.config.Succession != nil && m.view.Has(m.config.Self) && len(m.newcomers) > 0
+	m.joiningMembers.forget(time.Now())
+	return m.config.Succession != nil && m.view.Has(m.config.Self) && len(m.joiningMembers) > 0
 }
 
 // finishPending settles the next view if one was begun that this member knows of.
@@ -87,8 +87,8 @@
 	m.replace(ctx, current, next)
 }
 
-// situation returns the view, its members that may be replaced, and the newcomers that may enter.
-func (m *Manager) situation(now time.Time, observed time.Duration, heard map[string]time.Duration) (View, []silentMember, []newcomer) {
+// situation returns the view, its members that may be replaced, and the joining members that may enter.
+func (m *Manager) situation(now time.Time, observed time.Duration, heard map[string]time.Duration) (View, []silentMember, []joiningMember) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var silent []silentMember
@@ -102,7 +102,7 @@
 			silent = append(silent, silentMember{address, silence, leaving})
 		}
 	}
-	return m.view, silent, m.newcomers.due(now)
+	return m.view, silent, m.joiningMembers.due(now)
 }
 
 // left tells whether a member said goodbye and was not heard since. The caller holds the mutex.
@@ -120,16 +120,16 @@
 
 // replace settles the next view, and tells it to all whom it concerns.
 func (m *Manager) replace(ctx context.Context, current, next View) {
-	limited, cancel := context.WithTimeout(ctx, settleLimit)
+	limited, cancel := context.WithTimeout(ctx, commitLimit)
 	defer cancel()
-	settled, err := m.config.Succession.Settle(limited, current, next)
+	committed, err := m.config.Succession.Commit(limited, current, next)
 	if err != nil {
 		m.config.Logger.Warn("settle the next view of the replicas", zap.Error(err))
 		m.tell(ctx, current.Members)
 		return
 	}
-	m.learned(settled)
-	m.tell(ctx, slices.Concat(current.Members, settled.Members))
+	m.learned(committed)
+	m.tell(ctx, slices.Concat(current.Members, committed.Members))
 }
 
 // tell exchanges views with several processes at once. It returns when all have answered, or after the limit.
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// catchUp is how long a newcomer may take from its start until it is a full member.
+// catchUp is how long a joining member may take from its start until it is a full member.
 const catchUp = 4 * time.Second
 
 // viewOf returns the view that a process works with: its version and members.
@@ -23,7 +23,7 @@
 	return replicaset.View{Version: view.Version, Members: view.Members}
 }
 
-// enter starts a newcomer and returns how long it takes to become a full member.
+// enter starts a joining member and returns how long it takes to become a full member.
 func (c *cluster) enter(address, zone string) time.Duration {
 	return c.start(address, zone, storage.NewMemory(), false).member(time.Minute)
 }
@@ -103,13 +103,13 @@
 	var before, after replicaset.View
 	var took time.Duration
 	inCluster(t, 1, mutant{}, members, func(c *cluster) {
-		newcomer := c.start("new", "elsewhere", storage.NewMemory(), false)
+		joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(20 * time.Second)
 		before = c.viewOf(members[0])
 		leaving := c.at(members[0])
 		told := time.Now()
 		leaving.manager.Leave(leaving.ctx)
-		newcomer.member(time.Minute)
+		joiningMember.member(time.Minute)
 		took = time.Since(told)
 		after = c.viewOf(members[2])
 	})
@@ -172,7 +172,7 @@
 	})
 }
 
-func TestTwoNewcomersAtOnce(t *testing.T) {
+func TestTwoJoiningMembersAtOnce(t *testing.T) {
 	members := addresses(5)
 	var views []replicaset.View
 	var first, second time.Duration
@@ -231,9 +231,9 @@
 	members := addresses(3)
 	var version uint64
 	inCluster(t, 1, mutant{}, members, func(c *cluster) {
-		newcomer := c.start("new", "elsewhere", storage.NewMemory(), false)
+		joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(time.Second)
-		// The newcomer and one member reach each other, and nobody else.
+		// The joining member and one member reach each other, and nobody else.
 		c.network.AddRule(networktest.Rule{From: members[0], To: members[1], Lose: true})
 		c.network.AddRule(networktest.Rule{From: members[0], To: members[2], Lose: true})
 		c.network.AddRule(networktest.Rule{From: members[1], To: members[0], Lose: true})
@@ -241,15 +241,15 @@
 		c.network.AddRule(networktest.Rule{From: "new", To: members[1], Lose: true})
 		c.network.AddRule(networktest.Rule{From: "new", To: members[2], Lose: true})
 		<-time.After(20 * time.Second)
-		version = newcomer.manager.View().Version
+		version = joiningMember.manager.View().Version
 	})
 	convey.Convey("Without a majority there is no next view", t, func() {
 		convey.So(version, convey.ShouldEqual, 1)
 	})
 }
 
-// A next view was accepted by single members when the one that it replaces came back. Many newcomers wait.
-func TestAViewThatWasBegunIsFinishedWhileNewcomersWait(t *testing.T) {
+// A next view was accepted by single members when the one that it replaces came back. Many joining members wait.
+func TestAViewThatWasBegunIsFinishedWhileJoiningMembersWait(t *testing.T) {
 	members := addresses(3)
 	var before, after uint64
 	inCluster(t, 1, mutant{}, members, func(c *cluster) {
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -9,15 +9,15 @@
 
 const (
 	askInterval      = 200 * time.Millisecond  // between calls to one process, to learn the view or to become a member
-	considerInterval = 100 * time.Millisecond  // between looks at the members while a newcomer waits
-	finishInterval   = 300 * time.Millisecond  // between looks for a next view that was begun, while newcomers wait
+	considerInterval = 100 * time.Millisecond  // between looks at the members while a joining member waits
+	finishInterval   = 300 * time.Millisecond  // between looks for a next view that was begun, while joining members wait
 	contactInterval  = 300 * time.Millisecond  // between looks whether this process is in contact with a majority
 	exchangeInterval = 1500 * time.Millisecond // between exchanges with the next member
 	exchangeLimit    = 500 * time.Millisecond
 )
 
 // Run learns the view, or takes part in founding the first one; then it exchanges the view now and then, announces this
-// process while it is no member, and replaces dead members by newcomers, until the context ends. It returns an error only
+// process while it is no member, and replaces dead members by joining members, until the context ends. It returns an error only
 // if the store fails.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -91,8 +91,8 @@
 	}
 }
 
-// keepMembership exchanges views now and then. While there are newcomers, it looks for a member to replace instead. What was
-// begun is finished in either case, however often newcomers are heard.
+// keepMembership exchanges views now and then. While there are joining members, it looks for a member to replace instead. What was
+// begun is finished in either case, however often joining members are heard.
 func (m *Manager) keepMembership(ctx context.Context, changed <-chan struct{}) error {
 	contact := time.NewTimer(0)
 	defer contact.Stop()
@@ -114,18 +114,18 @@
 			m.exchangeAfterSilence(ctx)
 			contact.Reset(contactInterval)
 		case <-finish.C:
-			if m.NewcomersWait() {
+			if m.JoiningMembersWait() {
 				m.finishPending(ctx)
 			}
 		case <-exchange.C:
 			m.finishPending(ctx)
-			if !m.NewcomersWait() {
+			if !m.JoiningMembersWait() {
 				m.exchangeWithNext(ctx)
 			}
 		case <-m.wake:
 		case <-consider.C:
 		}
-		if m.NewcomersWait() {
+		if m.JoiningMembersWait() {
 			m.considerReplacing(ctx)
 			consider.Reset(considerInterval)
 		}
--- a/internal/controlplane/replicaset/simulation_test.go
+++ b/internal/controlplane/replicaset/simulation_test.go
@@ -21,12 +21,12 @@
 
 // Extent of a simulation, in simulated time.
 const (
-	clients         = 3
-	simulationTime  = 60 * time.Second
-	operationLimit  = 3 * time.Second
-	betweenClients  = 400 * time.Millisecond // upper bound of the time between a client's operations
-	betweenTroubles = 8 * time.Second
-	healing         = 10 * time.Second // from the end of all faults
+	clients        = 3
+	simulationTime = 60 * time.Second
+	operationLimit = 3 * time.Second
+	betweenClients = 400 * time.Millisecond // upper bound of the time between a client's operations
+	betweenFaults  = 8 * time.Second
+	healing        = 10 * time.Second // from the end of all faults
 )
 
 var schedules = flag.Int("schedules", 1, "number of simulated schedules for each number of members")
@@ -72,8 +72,8 @@
 			running.Go(func() { s.runClient(ctx, client, rand.New(rand.NewPCG(seed, uint64(client)+2))) })
 		}
 		for ctx.Err() == nil {
-			s.wait(betweenTroubles)
-			s.trouble()
+			s.wait(betweenFaults)
+			s.fault()
 			s.calm = time.Now()
 			s.look()
 		}
@@ -130,8 +130,8 @@
 	}
 }
 
-// trouble lets one thing happen to a member.
-func (s *simulation) trouble() {
+// fault lets one thing happen to a member.
+func (s *simulation) fault() {
 	s.look()
 	address := s.newest.Members[s.random.IntN(len(s.newest.Members))]
 	p := s.at(address)
@@ -160,7 +160,7 @@
 	}
 }
 
-// enter starts a newcomer unless some wait already.
+// enter starts a joining member unless some wait already.
 func (s *simulation) enter() {
 	if waiting := len(s.all()) - len(s.newest.Members); waiting > 0 {
 		return
@@ -170,7 +170,7 @@
 	s.start(fmt.Sprintf("core-%d", s.machines), "elsewhere", storage.NewMemory(), false)
 }
 
-// cutOff cuts a process off for some time, while a newcomer may come.
+// cutOff cuts a process off for some time, while a joining member may come.
 func (s *simulation) cutOff(address string) {
 	s.cut[address] = true
 	s.network.Cut(address, true)
--- a/internal/controlplane/replicaset/successor.go
+++ b/internal/controlplane/replicaset/successor.go
@@ -10,7 +10,7 @@
 
 const (
 	deadAfter     = 1200 * time.Millisecond // silence of a member that may be replaced
-	deadElsewhere = 3 * time.Second         // the same where several are silent, and none in the newcomer's zone
+	deadElsewhere = 3 * time.Second         // the same where several are silent, and none in the joining member's zone
 	rankDelay     = 500 * time.Millisecond  // for each live member that is to act before this one
 )
 
@@ -21,10 +21,10 @@
 	leaving bool // it said goodbye
 }
 
-// successor chooses which newcomer takes the place of which silent member: that of the newcomer's zone, or one that said
+// successor chooses which joining member takes the place of which silent member: that of the joining member's zone, or one that said
 // goodbye, or the only silent one, or else the one that has been silent for the longest time. One that said goodbye comes
 // before those that may come back, as it goes within its grace period.
-func successor(view View, entering []newcomer, silent []silentMember) (next View, found bool) {
+func successor(view View, entering []joiningMember, silent []silentMember) (next View, found bool) {
 	for _, one := range entering {
 		if member, found := placeFor(one, view, silent); found {
 			return view.replace(member, one), true
@@ -33,7 +33,7 @@
 	return View{}, false
 }
 
-func placeFor(entering newcomer, view View, silent []silentMember) (address string, found bool) {
+func placeFor(entering joiningMember, view View, silent []silentMember) (address string, found bool) {
 	if len(silent) == 0 {
 		return "", false
 	}
--- a/internal/controlplane/replicaset/successor_test.go
+++ b/internal/controlplane/replicaset/successor_test.go
@@ -9,8 +9,8 @@
 
 func TestWhosePlaceANewcomerTakes(t *testing.T) {
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
-	south := []newcomer{{address: "new", zone: "south"}}
-	elsewhere := []newcomer{{address: "new", zone: "elsewhere", incarnation: 9}}
+	south := []joiningMember{{address: "new", zone: "south"}}
+	elsewhere := []joiningMember{{address: "new", zone: "elsewhere", incarnation: 9}}
 	short, long := 1300*time.Millisecond, 4*time.Second
 
 	convey.Convey("Nobody is silent: nothing happens", t, func() {
@@ -45,12 +45,12 @@
 	silent := []silentMember{{address: "a", silence: 10 * time.Second}, {address: "b", leaving: true}}
 
 	convey.Convey("One is silent, another goes: the newcomer takes the place of the one that goes, without a wait", t, func() {
-		next, found := successor(view, []newcomer{{address: "new", zone: "elsewhere"}}, silent)
+		next, found := successor(view, []joiningMember{{address: "new", zone: "elsewhere"}}, silent)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "b")
 	})
 	convey.Convey("A newcomer in the zone of the silent one takes that one's place all the same", t, func() {
-		next, found := successor(view, []newcomer{{address: "new", zone: "north"}}, silent)
+		next, found := successor(view, []joiningMember{{address: "new", zone: "north"}}, silent)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "a")
 	})
--- a/internal/controlplane/replicaset/view.go
+++ b/internal/controlplane/replicaset/view.go
@@ -11,8 +11,8 @@
 	Members []string          `msgpack:"m"`           // internal addresses, sorted
 	Zones   map[string]string `msgpack:"z,omitempty"` // zones of the members, as far as known
 
-	Replaced string `msgpack:"r,omitempty"` // member of the view before that gave its place to a newcomer; empty in the first view
-	Entered  uint64 `msgpack:"e,omitempty"` // incarnation of the newcomer's process
+	Replaced string `msgpack:"r,omitempty"` // member of the view before that gave its place to a joining member; empty in the first view
+	Entered  uint64 `msgpack:"e,omitempty"` // incarnation of the joining member's process
 }
 
 // Quorum is the number of members of every majority.
@@ -21,8 +21,8 @@
 // Has tells whether an address is a member.
 func (v View) Has(address string) bool { return slices.Contains(v.Members, address) }
 
-// replace returns the next view, in which one member has given its place to a newcomer.
-func (v View) replace(member string, entering newcomer) View {
+// replace returns the next view, in which one member has given its place to a joining member.
+func (v View) replace(member string, entering joiningMember) View {
 	members := slices.DeleteFunc(slices.Clone(v.Members), func(address string) bool { return address == member })
 	members = append(members, entering.address)
 	slices.Sort(members)
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -87,7 +87,7 @@
 	count, sum := 1, h.batches[first].bytes
 	for _, b := range h.batches[first+1:] {
 		sum += b.bytes
-		if sum > h.limits.PartBytes {
+		if sum > h.limits.ChunkBytes {
 			break
 		}
 		count++
--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -8,11 +8,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// part sends the machine one part of a snapshot of the leader "x", each with the entry "key N", and returns the answer.
-func (n *simulatedNode) part(epoch, sequence uint64, number, parts uint32) (answer appendReply) {
+// chunk sends the machine one part of a snapshot of the leader "x", each with the entry "key N", and returns the answer.
+func (n *simulatedNode) chunk(epoch, sequence uint64, number, chunks uint32) (answer appendReply) {
 	request := appendRequest{
 		Group: "jobs/a", Epoch: epoch, Leader: "x", View: 1, Snapshot: true, Position: Position{epoch, sequence},
-		Part: number, Parts: parts, Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(epoch), byte(sequence)}}},
+		Chunk: number, Chunks: chunks, Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(epoch), byte(sequence)}}},
 	}
 	n.step(func() { n.core.append(request, func(reply appendReply) { answer = reply }) })
 	So(n.simulation.run(50*time.Millisecond), ShouldBeNil)
@@ -25,10 +25,10 @@
 	So(n.disk.Table("group/jobs/a"), ShouldBeEmpty)
 }
 
-func TestPartsOfASnapshot(t *testing.T) {
-	whole := func(n *simulatedNode, epoch, sequence byte, parts int) {
+func TestChunksOfASnapshot(t *testing.T) {
+	whole := func(n *simulatedNode, epoch, sequence byte, chunks int) {
 		state := map[string][]byte{}
-		for number := range parts {
+		for number := range chunks {
 			state[fmt.Sprintf("key %d", number)] = []byte{epoch, sequence}
 		}
 		So(n.disk.Table("group/jobs/a"), ShouldResemble, state)
@@ -36,64 +36,64 @@
 	Convey("Given a replica without a state", t, func() {
 		s, n := lone(defects{})
 		Convey("nothing is changed before the last part, and all with it", func() {
-			n.wants(n.part(7, 3, 0, 3), 1)
-			n.wants(n.part(7, 3, 1, 3), 2)
-			answer := n.part(7, 3, 2, 3)
+			n.wants(n.chunk(7, 3, 0, 3), 1)
+			n.wants(n.chunk(7, 3, 1, 3), 2)
+			answer := n.chunk(7, 3, 2, 3)
 			So(answer.Outcome, ShouldEqual, accepted)
 			So(answer.Position, ShouldResemble, Position{7, 3})
 			whole(n, 7, 3, 3)
 		})
 		Convey("a part that comes twice changes nothing", func() {
-			n.part(7, 3, 0, 3)
-			n.wants(n.part(7, 3, 0, 3), 1)
-			n.wants(n.part(7, 3, 1, 3), 2)
-			n.wants(n.part(7, 3, 1, 3), 2)
-			n.part(7, 3, 2, 3)
+			n.chunk(7, 3, 0, 3)
+			n.wants(n.chunk(7, 3, 0, 3), 1)
+			n.wants(n.chunk(7, 3, 1, 3), 2)
+			n.wants(n.chunk(7, 3, 1, 3), 2)
+			n.chunk(7, 3, 2, 3)
 			whole(n, 7, 3, 3)
 		})
 		Convey("where a part is lost, the answer to the next one names it", func() {
-			n.part(7, 3, 0, 3)
-			n.wants(n.part(7, 3, 2, 3), 1)
-			n.part(7, 3, 1, 3)
-			n.part(7, 3, 2, 3)
+			n.chunk(7, 3, 0, 3)
+			n.wants(n.chunk(7, 3, 2, 3), 1)
+			n.chunk(7, 3, 1, 3)
+			n.chunk(7, 3, 2, 3)
 			whole(n, 7, 3, 3)
 		})
 		Convey("the last part alone, or first, is nothing", func() {
-			n.wants(n.part(7, 3, 2, 3), 0)
-			n.wants(n.part(7, 3, 1, 3), 0)
+			n.wants(n.chunk(7, 3, 2, 3), 0)
+			n.wants(n.chunk(7, 3, 1, 3), 0)
 		})
 		Convey("parts of a newer snapshot take the place of an older one's, and are not mixed with them", func() {
-			n.part(7, 3, 0, 2)
-			n.wants(n.part(7, 5, 0, 2), 1)
-			n.wants(n.part(7, 3, 1, 2), 0)
-			n.wants(n.part(7, 3, 0, 2), 0)
-			n.part(7, 5, 1, 2)
+			n.chunk(7, 3, 0, 2)
+			n.wants(n.chunk(7, 5, 0, 2), 1)
+			n.wants(n.chunk(7, 3, 1, 2), 0)
+			n.wants(n.chunk(7, 3, 0, 2), 0)
+			n.chunk(7, 5, 1, 2)
 			whole(n, 7, 5, 2)
 		})
 		Convey("parts of an older leader are refused, and its gathered ones are gone", func() {
-			n.part(7, 3, 0, 2)
-			n.wants(n.part(8, 1, 0, 2), 1)
-			So(n.part(7, 3, 1, 2).Outcome, ShouldEqual, superseded)
-			n.part(8, 1, 1, 2)
+			n.chunk(7, 3, 0, 2)
+			n.wants(n.chunk(8, 1, 0, 2), 1)
+			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, superseded)
+			n.chunk(8, 1, 1, 2)
 			whole(n, 8, 1, 2)
 		})
 		Convey("a vote for another leader in between ends the snapshot", func() {
-			n.part(7, 3, 0, 2)
+			n.chunk(7, 3, 0, 2)
 			So(s.run(2*s.timing.ReplicaLease), ShouldBeNil)
 			So(n.vote("y", 8).Granted, ShouldBeTrue)
-			So(n.part(7, 3, 1, 2).Outcome, ShouldEqual, superseded)
+			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, superseded)
 			So(n.core.group("jobs/a").replica.assembly == nil, ShouldBeTrue)
 		})
 		Convey("after a restart the parts begin anew", func() {
-			n.part(7, 3, 0, 2)
+			n.chunk(7, 3, 0, 2)
 			n.restart()
-			n.wants(n.part(7, 3, 1, 2), 0)
-			n.part(7, 3, 0, 2)
-			n.part(7, 3, 1, 2)
+			n.wants(n.chunk(7, 3, 1, 2), 0)
+			n.chunk(7, 3, 0, 2)
+			n.chunk(7, 3, 1, 2)
 			whole(n, 7, 3, 2)
 		})
 		Convey("the vote that a first part asks for is durable when it is answered", func() {
-			n.part(7, 3, 0, 2)
+			n.chunk(7, 3, 0, 2)
 			n.restart()
 			So(s.run(2*s.timing.ReplicaLease), ShouldBeNil)
 			So(n.vote("y", 7).Granted, ShouldBeFalse)
@@ -113,7 +113,7 @@
 			for at != (Position{1, 10}) {
 				next, found := h.since(at)
 				So(found, ShouldBeTrue)
-				So(next.bytes, ShouldBeLessThanOrEqualTo, narrow.PartBytes)
+				So(next.bytes, ShouldBeLessThanOrEqualTo, narrow.ChunkBytes)
 				at, messages = next.position, messages+1
 			}
 			So(messages, ShouldBeGreaterThan, 1)
@@ -185,7 +185,7 @@
 		}
 		groups = append(groups, "jobs/a")
 		whole := narrow
-		whole.PartBytes = 4000
+		whole.ChunkBytes = 4000
 		s := calmWith(4, whole, groups...)
 		_, follower := lagBehind(s)
 		s.busy = false
@@ -270,7 +270,7 @@
 			n.step(func() {
 				g := n.core.group("jobs/a")
 				g.fetch("x", position)
-				g.fetching.take(stateReply{Parts: 1, Entries: []Entry{{"key", []byte{99}}}}, nil)
+				g.fetching.take(stateReply{Chunks: 1, Entries: []Entry{{"key", []byte{99}}}}, nil)
 			})
 			So(s.run(50*time.Millisecond), ShouldBeNil)
 			return n.disk.Table("group/jobs/a")["key"][0]
@@ -283,16 +283,16 @@
 	Convey("A member gives its state as of the position that was asked for, and no other", t, func() {
 		_, n := lone(defects{})
 		So(n.take(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
-		given := func(position Position, part uint32) (answer stateReply) {
-			request := stateRequest{Group: "jobs/a", View: 1, Position: position, Part: part}
+		given := func(position Position, chunk uint32) (answer stateReply) {
+			request := stateRequest{Group: "jobs/a", View: 1, Position: position, Chunk: chunk}
 			n.step(func() { n.core.state(request, func(reply stateReply) { answer = reply }) })
 			return answer
 		}
-		So(given(Position{7, 3}, 0), ShouldResemble, stateReply{Parts: 1, Entries: []Entry{{"key", []byte{3}}}})
-		So(given(Position{7, 3}, 1).Parts, ShouldEqual, 0)
-		So(given(Position{7, 2}, 0).Parts, ShouldEqual, 0)
+		So(given(Position{7, 3}, 0), ShouldResemble, stateReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
+		So(given(Position{7, 3}, 1).Chunks, ShouldEqual, 0)
+		So(given(Position{7, 2}, 0).Chunks, ShouldEqual, 0)
 		So(n.take(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
-		So(given(Position{7, 3}, 0).Parts, ShouldEqual, 0)
+		So(given(Position{7, 3}, 0).Chunks, ShouldEqual, 0)
 	})
 	Convey("One that is given another position's parts, or none, begins again", t, func() {
 		s, n := lone(defects{})
--- a/internal/controlplane/replication/chaos_test.go
+++ b/internal/controlplane/replication/chaos_test.go
@@ -11,8 +11,8 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-// trouble brings one random fault and ends it some time later.
-func (s *simulation) trouble() {
+// fault brings one random fault and ends it some time later.
+func (s *simulation) fault() {
 	if s.badDisks && s.random.IntN(4) == 0 {
 		s.spoilDisks()
 		return
@@ -133,7 +133,7 @@
 		return err
 	}
 	for end := s.now + span; s.now < end; {
-		s.trouble()
+		s.fault()
 		if err := s.run(s.between(0, 1200*time.Millisecond)); err != nil {
 			return err
 		}
--- a/internal/controlplane/replication/core.go
+++ b/internal/controlplane/replication/core.go
@@ -44,7 +44,7 @@
 	writes []write
 }
 
-// core is the whole protocol on one mixer, free of goroutines and input or output. It advances in steps, one at a
+// core is the whole protocol on one node, free of goroutines and input or output. It advances in steps, one at a
 // time; a step may leave effects, whose results are steps again.
 type core struct {
 	self    string
@@ -69,7 +69,7 @@
 	members      *members
 	nextBeat     time.Duration
 	limits       Limits
-	receiving    map[string]bool // members to which this mixer is sending a snapshot
+	receiving    map[string]bool // members to which this node is sending a snapshot
 	replan       bool            // something may be due earlier than planned
 	effects      effects
 }
--- a/internal/controlplane/replication/disk.go
+++ b/internal/controlplane/replication/disk.go
@@ -27,7 +27,7 @@
 	c.resignAll(false)
 }
 
-// fail ends this mixer's part: a store that failed for good takes no more writes.
+// fail ends this node's part: a store that failed for good takes no more writes.
 func (c *core) fail(err error) {
 	if c.failed {
 		return
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -54,12 +54,12 @@
 	same(n, s.leader("jobs/a"), "jobs/a")
 }
 
-func TestDiskOfALeaderInTrouble(t *testing.T) {
-	troubles := map[string]func(*simulation, *simulatedNode){
+func TestDiskOfALeaderInFault(t *testing.T) {
+	faults := map[string]func(*simulation, *simulatedNode){
 		"is full":    func(s *simulation, n *simulatedNode) { s.fullDisks[n.address] = true },
 		"is stalled": func(s *simulation, n *simulatedNode) { s.stalls[n.address] = s.now + time.Minute },
 	}
-	for name, begin := range troubles {
+	for name, begin := range faults {
 		Convey("When the disk of a leader "+name+" another takes over, and the first stays a follower", t, func() {
 			var worst time.Duration
 			for seed := range seeds(25) {
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestDiskOfAFollowerInTrouble(t *testing.T) {
+func TestDiskOfAFollowerInFault(t *testing.T) {
 	Convey("When the disk of a follower is full or stalled for a while the leaders stay, and it catches up", t, func() {
 		const length = 5 * time.Second
 		for seed := range seeds(25) {
--- a/internal/controlplane/replication/fetch.go
+++ b/internal/controlplane/replication/fetch.go
@@ -2,7 +2,7 @@
 
 import "puffinlink.example/puffinlink/internal/controlplane/storage"
 
-// fetch copies a newer state from a member in parts, before this mixer stands for election. What is fetched is a state
+// fetch copies a newer state from a member in parts, before this node stands for election. What is fetched is a state
 // that a leader made and that the member holds, under the leader's own position; so holding it as well takes nothing
 // back, whether it is committed or not. It is no answer to that leader, so it counts in no majority by itself.
 type fetch struct {
@@ -25,7 +25,7 @@
 
 func (f *fetch) ask() {
 	core := f.group.core
-	request := stateRequest{Group: f.group.name, View: core.view.Version, Position: f.position, Part: f.next}
+	request := stateRequest{Group: f.group.name, View: core.view.Version, Position: f.position, Chunk: f.next}
 	reply := new(stateReply)
 	core.call(f.from, stateCall.Route(), core.timing.Transfer, request, reply, func(err error) { f.take(*reply, err) })
 }
@@ -41,12 +41,12 @@
 			return
 		}
 		f.ask()
-	case f.next >= reply.Parts: // the member is elsewhere by now
+	case f.next >= reply.Chunks: // the member is elsewhere by now
 		f.end()
 	default:
 		f.entries = append(f.entries, reply.Entries...)
 		f.next, f.tries = f.next+1, 0
-		if f.next < reply.Parts {
+		if f.next < reply.Chunks {
 			f.ask()
 			return
 		}
@@ -83,7 +83,7 @@
 	}, f.end)
 }
 
-// end lets this mixer campaign again.
+// end lets this node campaign again.
 func (f *fetch) end() {
 	f.group.fetching = nil
 	f.group.retryLater()
@@ -92,7 +92,7 @@
 // givenState is a copy of the state that others are fetching.
 type givenState struct {
 	position Position
-	parts    [][]Entry
+	chunks   [][]Entry
 }
 
 // give answers one who fetches the state of a position.
@@ -103,17 +103,17 @@
 			reply(stateReply{})
 			return
 		}
-		if r.given.position != r.position || len(r.given.parts) == 0 {
-			r.given = givenState{r.position, split(entriesOf(r.state()), r.core.limits.PartBytes)}
+		if r.given.position != r.position || len(r.given.chunks) == 0 {
+			r.given = givenState{r.position, split(entriesOf(r.state()), r.core.limits.ChunkBytes)}
 		}
-		parts := r.given.parts
-		if request.Part >= uint32(len(parts)) {
+		chunks := r.given.chunks
+		if request.Chunk >= uint32(len(chunks)) {
 			reply(stateReply{})
 			return
 		}
-		if int(request.Part) == len(parts)-1 {
+		if int(request.Chunk) == len(chunks)-1 {
 			r.given = givenState{} // asked for again, it is made again
 		}
-		reply(stateReply{Parts: uint32(len(parts)), Entries: parts[request.Part]})
+		reply(stateReply{Chunks: uint32(len(chunks)), Entries: chunks[request.Chunk]})
 	})
 }
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -6,13 +6,13 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// group is one replication group as this mixer sees it.
+// group is one replication group as this node sees it.
 type group struct {
 	core        *core
 	name        string
 	replica     replica
 	campaigning *campaign
-	fetching    *fetch // of a newer state than the one here, before this mixer stands
+	fetching    *fetch // of a newer state than the one here, before this node stands
 	leading     *leadership
 	ensured     bool          // campaign although nothing is stored
 	heardAt     time.Duration // of the newest sign of life of a leader
@@ -47,7 +47,7 @@
 // exists tells whether anything is known that is worth a leader.
 func (g *group) exists() bool { return g.ensured || g.replica.promised > 0 }
 
-// returned tells whether this mixer led the group when its process ended, and nobody has led since.
+// returned tells whether this node led the group when its process ended, and nobody has led since.
 func (g *group) returned() bool {
 	return g.replica.candidate == g.core.self && g.replica.lease.epoch == 0 && g.replica.mute > 0
 }
--- a/internal/controlplane/replication/hugestate_test.go
+++ b/internal/controlplane/replication/hugestate_test.go
@@ -36,18 +36,18 @@
 
 // Numbers of parts at which faults strike; the first snapshot is given up in its midst.
 const (
-	lostPart       = 2  // it does not arrive
-	unansweredPart = 4  // it arrives, and its answer does not
-	doubledPart    = 6  // it arrives twice
-	latePart       = 8  // an older one arrives before it once more
-	earlyPart      = 10 // the one after the next arrives before it
-	oldPart        = 12 // one of the leader before arrives before it
+	lostChunk       = 2  // it does not arrive
+	unansweredChunk = 4  // it arrives, and its answer does not
+	doubledChunk    = 6  // it arrives twice
+	lateChunk       = 8  // an older one arrives before it once more
+	earlyChunk      = 10 // the one after the next arrives before it
+	oldChunk        = 12 // one of the leader before arrives before it
 )
 
 var errOnTheWay = errors.New("lost on the way")
 
-// partFaults harms the parts of snapshots on their way to one member.
-type partFaults struct {
+// chunkFaults harms the parts of snapshots on their way to one member.
+type chunkFaults struct {
 	target string
 
 	mu      sync.Mutex
@@ -55,109 +55,109 @@
 	first   appendRequest          // the first part of the first leader's snapshot
 	midway  chan uint64            // gets the epoch of the first snapshot once half of it has arrived
 	stopped uint64                 // that snapshot's epoch, of which nothing passes any more; 0 before
-	parts   uint32                 // of the newest snapshot
+	chunks  uint32                 // of the newest snapshot
 	largest int                    // bytes of entries in one message
 	odd     map[uint32]appendReply // answers to parts that were not in their turn, by the part that was
 }
 
-func newPartFaults(target string) *partFaults {
-	return &partFaults{
+func newChunkFaults(target string) *chunkFaults {
+	return &chunkFaults{
 		target: target, struck: make(map[uint32]bool), midway: make(chan uint64, 1), odd: make(map[uint32]appendReply),
 	}
 }
 
 // carry passes a call on, with what harms it.
-func (f *partFaults) carry(address string, request any, deliver func(request any, reply *appendReply) error) error {
-	part, isAppend := request.(appendRequest)
-	if !isAppend || address != f.target || !part.Snapshot || part.Parts < 2 {
+func (f *chunkFaults) carry(address string, request any, deliver func(request any, reply *appendReply) error) error {
+	chunk, isAppend := request.(appendRequest)
+	if !isAppend || address != f.target || !chunk.Snapshot || chunk.Chunks < 2 {
 		return deliver(request, nil)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if part.Epoch == f.stopped || f.stopsAt(part) {
+	if chunk.Epoch == f.stopped || f.stopsAt(chunk) {
 		return errOnTheWay
 	}
-	f.note(part)
-	if part.Epoch != f.first.Epoch {
-		if err := f.strike(part, deliver); err != nil {
+	f.note(chunk)
+	if chunk.Epoch != f.first.Epoch {
+		if err := f.strike(chunk, deliver); err != nil {
 			return err
 		}
 	}
-	return deliver(part, nil)
+	return deliver(chunk, nil)
 }
 
 // note counts a part, and keeps the first one of all.
-func (f *partFaults) note(part appendRequest) {
-	f.parts = part.Parts
+func (f *chunkFaults) note(chunk appendRequest) {
+	f.chunks = chunk.Chunks
 	sum := 0
-	for _, entry := range part.Entries {
+	for _, entry := range chunk.Entries {
 		sum += entry.bytes()
 	}
 	f.largest = max(f.largest, sum)
-	if f.first.Parts == 0 {
-		f.first = part
+	if f.first.Chunks == 0 {
+		f.first = chunk
 	}
 }
 
 // stopsAt ends the first snapshot in its midst.
-func (f *partFaults) stopsAt(part appendRequest) bool {
-	if f.stopped != 0 || f.first.Parts == 0 || part.Part < part.Parts/2 {
+func (f *chunkFaults) stopsAt(chunk appendRequest) bool {
+	if f.stopped != 0 || f.first.Chunks == 0 || chunk.Chunk < chunk.Chunks/2 {
 		return false
 	}
-	f.stopped = part.Epoch
-	f.midway <- part.Epoch
+	f.stopped = chunk.Epoch
+	f.midway <- chunk.Epoch
 	return true
 }
 
 // strike harms a part of a later snapshot once, by its number.
-func (f *partFaults) strike(part appendRequest, deliver func(request any, reply *appendReply) error) error {
-	if f.struck[part.Part] {
+func (f *chunkFaults) strike(chunk appendRequest, deliver func(request any, reply *appendReply) error) error {
+	if f.struck[chunk.Chunk] {
 		return nil
 	}
-	f.struck[part.Part] = true
-	switch part.Part {
-	case lostPart:
+	f.struck[chunk.Chunk] = true
+	switch chunk.Chunk {
+	case lostChunk:
 		return errOnTheWay
-	case unansweredPart:
-		deliver(part, new(appendReply))
+	case unansweredChunk:
+		deliver(chunk, new(appendReply))
 		return errOnTheWay
-	case doubledPart:
-		return f.deliverOdd(part, part, deliver)
-	case latePart:
-		older := part
-		older.Part, older.Entries = 1, f.first.Entries
-		return f.deliverOdd(part, older, deliver)
-	case earlyPart:
-		later := part
-		later.Part += 2
-		return f.deliverOdd(part, later, deliver)
-	case oldPart:
-		return f.deliverOdd(part, f.first, deliver)
+	case doubledChunk:
+		return f.deliverOdd(chunk, chunk, deliver)
+	case lateChunk:
+		older := chunk
+		older.Chunk, older.Entries = 1, f.first.Entries
+		return f.deliverOdd(chunk, older, deliver)
+	case earlyChunk:
+		later := chunk
+		later.Chunk += 2
+		return f.deliverOdd(chunk, later, deliver)
+	case oldChunk:
+		return f.deliverOdd(chunk, f.first, deliver)
 	}
 	return nil
 }
 
 // deliverOdd delivers a part that is not in its turn, and notes the answer. Where there is none, as on a busy machine, the
 // part in turn is lost as well, and the fault strikes when that is sent again.
-func (f *partFaults) deliverOdd(inTurn, odd appendRequest, deliver func(request any, reply *appendReply) error) error {
+func (f *chunkFaults) deliverOdd(inTurn, odd appendRequest, deliver func(request any, reply *appendReply) error) error {
 	var reply appendReply
 	err := deliver(odd, &reply)
 	if err != nil {
-		delete(f.struck, inTurn.Part)
+		delete(f.struck, inTurn.Chunk)
 		return err
 	}
-	f.odd[inTurn.Part] = reply
+	f.odd[inTurn.Chunk] = reply
 	return nil
 }
 
 // check looks whether no message was larger than a part, each fault has struck, and no part counted that was not in its turn.
-func (f *partFaults) check() {
+func (f *chunkFaults) check() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	So(f.largest, ShouldBeLessThanOrEqualTo, DefaultLimits.PartBytes)
-	So(f.struck[lostPart] && f.struck[unansweredPart], ShouldBeTrue)
-	So(f.odd[oldPart].Outcome, ShouldEqual, superseded)
-	for inTurn, wanted := range map[uint32]uint32{doubledPart: doubledPart + 1, latePart: latePart, earlyPart: earlyPart} {
+	So(f.largest, ShouldBeLessThanOrEqualTo, DefaultLimits.ChunkBytes)
+	So(f.struck[lostChunk] && f.struck[unansweredChunk], ShouldBeTrue)
+	So(f.odd[oldChunk].Outcome, ShouldEqual, superseded)
+	for inTurn, wanted := range map[uint32]uint32{doubledChunk: doubledChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
 		So(f.odd[inTurn].Outcome, ShouldEqual, gathering)
 		So(f.odd[inTurn].Wanted, ShouldEqual, wanted)
 	}
@@ -180,7 +180,7 @@
 		away := c.notLeading(leader)
 		away.stop()
 		leader = c.proposeHuge(leader)
-		faults := newPartFaults(away.address)
+		faults := newChunkFaults(away.address)
 		c.faults.Store(faults)
 		listener, err := net.Listen("tcp", away.address)
 		So(err, ShouldBeNil)
@@ -193,7 +193,7 @@
 		leader.node.kill()
 		c.awaitHuge(stores[away.address])
 		t.Logf("%d entries of %d KB, %d parts, the largest of %d bytes: caught up after %v",
-			hugeCount(), hugeValue>>10, faults.parts, faults.largest, time.Since(began).Round(time.Millisecond))
+			hugeCount(), hugeValue>>10, faults.chunks, faults.largest, time.Since(began).Round(time.Millisecond))
 
 		state := stores[away.address].Table(stateTable("jobs/x"))
 		So(wrongEntries(state), ShouldBeEmpty)
@@ -273,7 +273,7 @@
 
 // callHarmed makes a call through the faults. The member that is harmed does not stand for election, as it would then fetch
 // the state and not be sent it.
-func (r *running) callHarmed(ctx context.Context, faults *partFaults, address string, route transport.Route, request, reply any) error {
+func (r *running) callHarmed(ctx context.Context, faults *chunkFaults, address string, route transport.Route, request, reply any) error {
 	if r.address == faults.target && route == prepareCall.Route() {
 		return errOnTheWay
 	}
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// leadership is this mixer's term as leader of a group: it gathers proposals into batches, sends them to the
+// leadership is this node's term as leader of a group: it gathers proposals into batches, sends them to the
 // followers, counts their answers, and keeps the lease.
 type leadership struct {
 	core      *core
@@ -228,7 +228,7 @@
 	l.history.forget(least)
 }
 
-// check ends a term whose lease has run out, or whose mixer has left the view or has a stalled disk.
+// check ends a term whose lease has run out, or whose node has left the view or has a stalled disk.
 func (l *leadership) check() {
 	switch {
 	case !l.core.view.Has(l.core.self), l.core.stalled():
--- a/internal/controlplane/replication/members.go
+++ b/internal/controlplane/replication/members.go
@@ -13,7 +13,7 @@
 // never is a moment before every other.
 const never = -1 << 62 * time.Nanosecond
 
-// member is what is known of another core mixer.
+// member is what is known of another core node.
 type member struct {
 	heard    time.Duration // its newest ping arrived then
 	ready    bool          // it may vote, as its newest ping says
@@ -21,7 +21,7 @@
 	pings    int           // calls under way
 }
 
-// members tells which core mixers are alive and in contact.
+// members tells which core nodes are alive and in contact.
 type members struct {
 	self  string
 	alive time.Duration
@@ -56,7 +56,7 @@
 	return address == m.self || one != nil && one.ready && now-one.heard <= m.alive
 }
 
-// inContact tells whether a majority, with this mixer, has answered of late.
+// inContact tells whether a majority, with this node, has answered of late.
 func (m *members) inContact(view replicaset.View, now time.Duration) bool {
 	count := 0
 	for _, address := range view.Members {
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -1,4 +1,4 @@
-// Package replication keeps replicated key/value states, one per group, on the core mixers. A group has at most one
+// Package replication keeps replicated key/value states, one per group, on the core nodes. A group has at most one
 // acting leader. The leader gathers changes into batches, and a batch is committed once a majority of the replicas has
 // synced it to disk. There is no log: each replica holds the state as of one Position, a batch moves it from one
 // Position to the next, and a replica that is elsewhere gets a whole snapshot.
@@ -68,12 +68,12 @@
 	Group    string   `msgpack:"g"`
 	View     uint64   `msgpack:"w"`
 	Position Position `msgpack:"p"`
-	Part     uint32   `msgpack:"a"` // from 0
+	Chunk    uint32   `msgpack:"a"` // from 0
 }
 
 // stateReply is that part. Parts is zero where the replica is not at the position, or may not vote.
 type stateReply struct {
-	Parts   uint32  `msgpack:"n"`
+	Chunks  uint32  `msgpack:"n"`
 	Entries []Entry `msgpack:"t"`
 }
 
@@ -88,8 +88,8 @@
 	Previous Position `msgpack:"q"`
 	Position Position `msgpack:"p"`
 	Entries  []Entry  `msgpack:"t"`
-	Part     uint32   `msgpack:"a,omitempty"` // from 0
-	Parts    uint32   `msgpack:"m,omitempty"` // how many there are; 0 and 1 both stand for one
+	Chunk    uint32   `msgpack:"a,omitempty"` // from 0
+	Chunks   uint32   `msgpack:"m,omitempty"` // how many there are; 0 and 1 both stand for one
 }
 
 // outcome is a replica's answer to its leader.
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -33,7 +33,7 @@
 	Limits  Limits
 }
 
-// Node is one core mixer's part in all replication groups.
+// Node is one core node's part in all replication groups.
 type Node struct {
 	config Config
 	log    *zap.Logger
@@ -216,7 +216,7 @@
 	<-ended
 }
 
-// Ensure tells that a group exists, so that this mixer campaigns for it when due.
+// Ensure tells that a group exists, so that this node campaigns for it when due.
 func (n *Node) Ensure(group string) { n.enter(func() { n.core.ensure(group) }) }
 
 // Groups lists all groups known, sorted.
@@ -247,7 +247,7 @@
 	return n.core.leaders.changed
 }
 
-// InContact tells whether a majority of the view, this mixer included, has answered of late.
+// InContact tells whether a majority of the view, this node included, has answered of late.
 func (n *Node) InContact() bool {
 	view := n.config.View()
 	n.mu.Lock()
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -38,7 +38,7 @@
 	elected chan election
 	deposed chan *Term
 	open    func(address string) storage.Store // makes a node's store
-	faults  atomic.Pointer[partFaults]         // what harms calls on their way; nil for nothing
+	faults  atomic.Pointer[chunkFaults]        // what harms calls on their way; nil for nothing
 }
 
 type election struct {
--- a/internal/controlplane/replication/parts.go
+++ b/internal/controlplane/replication/parts.go
@@ -9,8 +9,8 @@
 // Limits bound what one message carries and what is kept for replicas that lag. The zero value of a field stands for its
 // default.
 type Limits struct {
-	// PartBytes is about the most that one message carries of a state or of batches; only a single entry may be larger.
-	PartBytes int
+	// ChunkBytes is about the most that one message carries of a state or of batches; only a single entry may be larger.
+	ChunkBytes int
 	// KeptBatches and KeptBytes bound the newest batches that a leader keeps for replicas that lag a little.
 	KeptBatches, KeptBytes int
 	// HeldBytes takes the place of KeptBytes while a replica catches up from a snapshot, and KeptBatches does not hold
@@ -20,10 +20,10 @@
 
 // DefaultLimits are the limits used in service. A part of 256 KB takes 0.7 s on a link of 3 Mbit/s, which is less than a
 // leader's lease, so that the heartbeats that wait behind it still come in time.
-var DefaultLimits = Limits{PartBytes: 256 << 10, KeptBatches: 4096, KeptBytes: 4 << 20, HeldBytes: 32 << 20}
+var DefaultLimits = Limits{ChunkBytes: 256 << 10, KeptBatches: 4096, KeptBytes: 4 << 20, HeldBytes: 32 << 20}
 
 func (l Limits) withDefaults() Limits {
-	l.PartBytes = cmp.Or(l.PartBytes, DefaultLimits.PartBytes)
+	l.ChunkBytes = cmp.Or(l.ChunkBytes, DefaultLimits.ChunkBytes)
 	l.KeptBatches = cmp.Or(l.KeptBatches, DefaultLimits.KeptBatches)
 	l.KeptBytes = cmp.Or(l.KeptBytes, DefaultLimits.KeptBytes)
 	l.HeldBytes = cmp.Or(l.HeldBytes, DefaultLimits.HeldBytes)
@@ -53,16 +53,16 @@
 
 // split cuts entries into parts of about a number of bytes. There is always one part, which may be empty.
 func split(entries []Entry, most int) [][]Entry {
-	var parts [][]Entry
+	var chunks [][]Entry
 	start, sum := 0, 0
 	for i, entry := range entries {
 		if i > start && sum+entry.bytes() > most {
-			parts = append(parts, entries[start:i])
+			chunks = append(chunks, entries[start:i])
 			start, sum = i, 0
 		}
 		sum += entry.bytes()
 	}
-	return append(parts, entries[start:])
+	return append(chunks, entries[start:])
 }
 
 // assembly gathers the parts of a batch or snapshot that one leader sends in several messages. It is in memory only: what
@@ -72,7 +72,7 @@
 	snapshot bool
 	previous Position
 	position Position
-	parts    uint32
+	chunks   uint32
 	entries  []Entry
 	next     uint32 // the part that is missing
 }
@@ -80,7 +80,7 @@
 // begins tells whether a part opens an assembly in the place of the present one, which may be nil. Positions only rise
 // within a term, so that an older one comes from a message that was late.
 func (a *assembly) begins(request appendRequest) bool {
-	if request.Part != 0 {
+	if request.Chunk != 0 {
 		return false
 	}
 	return a == nil || a.epoch < request.Epoch || a.epoch == request.Epoch && a.position.Before(request.Position)
@@ -89,7 +89,7 @@
 // continues tells whether a part is the one that is missing.
 func (a *assembly) continues(request appendRequest) bool {
 	return a != nil && a.epoch == request.Epoch && a.snapshot == request.Snapshot && a.previous == request.Previous &&
-		a.position == request.Position && a.parts == request.Parts && a.next == request.Part
+		a.position == request.Position && a.chunks == request.Chunks && a.next == request.Chunk
 }
 
 // gather takes a part of a batch or snapshot. It returns all entries once none is missing. A part that comes twice, too
@@ -98,7 +98,7 @@
 	if r.assembly.begins(request) {
 		r.assembly = &assembly{
 			epoch: request.Epoch, snapshot: request.Snapshot, previous: request.Previous,
-			position: request.Position, parts: request.Parts,
+			position: request.Position, chunks: request.Chunks,
 		}
 	}
 	if !r.assembly.continues(request) {
@@ -106,7 +106,7 @@
 	}
 	r.assembly.entries = append(r.assembly.entries, request.Entries...)
 	r.assembly.next++
-	if r.assembly.next < r.assembly.parts {
+	if r.assembly.next < r.assembly.chunks {
 		return nil, false
 	}
 	entries = r.assembly.entries
--- a/internal/controlplane/replication/parts_test.go
+++ b/internal/controlplane/replication/parts_test.go
@@ -15,7 +15,7 @@
 
 // traffic counts what the messages of a simulation carried.
 type traffic struct {
-	parts   int // of batches and snapshots in several parts
+	chunks  int // of batches and snapshots in several parts
 	fetched int // parts of states that candidates asked for
 	largest int // bytes of entries in one message with more than one
 	// snapshots counts the parts of snapshots that were sent, by receiver
@@ -34,8 +34,8 @@
 	switch m := message.(type) {
 	case appendRequest:
 		add(m.Entries)
-		if m.Parts > 1 {
-			s.traffic.parts++
+		if m.Chunks > 1 {
+			s.traffic.chunks++
 		}
 	case prepareReply:
 		add(entriesOf(m.State))
@@ -46,7 +46,7 @@
 	if count > 1 {
 		s.traffic.largest = max(s.traffic.largest, sum)
 	}
-	if most := s.limits.withDefaults().PartBytes; count > 1 && sum > most {
+	if most := s.limits.withDefaults().ChunkBytes; count > 1 && sum > most {
 		s.history.failf("a %T carries %d bytes of entries, more than a part of %d", message, sum, most)
 	}
 }
@@ -69,8 +69,8 @@
 // sentSnapshots counts the snapshots of which a receiver was sent more than one part. One part is sent of a snapshot whose
 // first parts came before the receiver went down: its answer tells that they are gone.
 func (t *traffic) sentSnapshots(receiver string) (count int) {
-	for _, parts := range t.snapshots[receiver] {
-		if parts > 1 {
+	for _, chunks := range t.snapshots[receiver] {
+		if chunks > 1 {
 			count++
 		}
 	}
@@ -78,22 +78,22 @@
 }
 
 // narrow limits make every state and many batches travel in parts, and lose the batches that a replica lacks soon.
-var narrow = Limits{PartBytes: 300, KeptBatches: 3, KeptBytes: 600, HeldBytes: 20_000}
+var narrow = Limits{ChunkBytes: 300, KeptBatches: 3, KeptBytes: 600, HeldBytes: 20_000}
 
 // catchUp is how long a replica may take, once all troubles are over, until it is near a busy leader. Up to 2 s of it pass until
 // a call whose answer was lost in the troubles is given up.
 const catchUp = 5 * time.Second
 
 var (
-	partSchedules = flag.Int("schedules", 0, "schedules of the model test of states in parts; 0 for the usual number")
-	partSeed      = flag.Int64("schedule", -1, "the one schedule of the model test of states in parts to run; -1 for all")
+	chunkSchedules = flag.Int("schedules", 0, "schedules of the model test of states in parts; 0 for the usual number")
+	chunkSeed      = flag.Int64("schedule", -1, "the one schedule of the model test of states in parts to run; -1 for all")
 )
 
-// partScheduleCount is how many schedules there are; fewer under the race detector, which has little to find in them.
-func partScheduleCount() uint64 {
+// chunkScheduleCount is how many schedules there are; fewer under the race detector, which has little to find in them.
+func chunkScheduleCount() uint64 {
 	switch {
-	case *partSchedules > 0:
-		return uint64(*partSchedules)
+	case *chunkSchedules > 0:
+		return uint64(*chunkSchedules)
 	case raceflag.On || testing.Short():
 		return 100
 	}
@@ -117,9 +117,9 @@
 	return behind
 }
 
-// partsSchedule runs one schedule: faults under a busy leader, with every state in parts and stores that rewrite their
+// chunksSchedule runs one schedule: faults under a busy leader, with every state in parts and stores that rewrite their
 // file every few writes, and then a time in which all must catch up.
-func partsSchedule(seed uint64, wrong defects, limits Limits) (traffic, error) {
+func chunksSchedule(seed uint64, wrong defects, limits Limits) (traffic, error) {
 	s := newSimulation(seed, 3, wrong, Timing{})
 	s.limits, s.realStores, s.groups = limits, true, []string{"jobs/a"}
 	s.history = newChecker(s)
@@ -129,7 +129,7 @@
 		return s.traffic, err
 	}
 	for range 6 {
-		s.partsTrouble()
+		s.chunksFault()
 		if err := s.run(s.between(0, 900*time.Millisecond)); err != nil {
 			return s.traffic, err
 		}
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// partsTrouble prefers what leaves a replica behind.
-func (s *simulation) partsTrouble() {
+// chunksFault prefers what leaves a replica behind.
+func (s *simulation) chunksFault() {
 	switch s.random.IntN(4) {
 	case 0: // away for a while, and another one after it
 		s.restart(s.anyone(), s.between(0, 1500*time.Millisecond), false)
@@ -188,21 +188,21 @@
 			})
 		}
 	default:
-		s.trouble()
+		s.fault()
 	}
 }
 
 // Replicas that lag behind a busy leader catch up, and candidates with an old state take over the newest, in parts, over
 // links that lose, double and reorder them and from leaders that are not in office any more; stores are rewritten all the
 // time and lose power in the midst of a write.
-func TestStatesInParts(t *testing.T) {
-	if *partSeed >= 0 {
-		if _, err := partsSchedule(uint64(*partSeed), defects{}, narrow); err != nil {
-			t.Errorf("schedule %d: %v", *partSeed, err)
+func TestStatesInChunks(t *testing.T) {
+	if *chunkSeed >= 0 {
+		if _, err := chunksSchedule(uint64(*chunkSeed), defects{}, narrow); err != nil {
+			t.Errorf("schedule %d: %v", *chunkSeed, err)
 		}
 		return
 	}
-	count := partScheduleCount()
+	count := chunkScheduleCount()
 	var mutex sync.Mutex
 	var all traffic
 	t.Run("schedules", func(t *testing.T) {
@@ -211,21 +211,21 @@
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				for seed := shard; seed < count; seed += shards {
-					seen, err := partsSchedule(seed, defects{}, narrow)
+					seen, err := chunksSchedule(seed, defects{}, narrow)
 					if err != nil {
 						t.Errorf("schedule %d (go test -run TestStatesInParts -schedule=%d): %v", seed, seed, err)
 					}
 					mutex.Lock()
-					all.parts += seen.parts
+					all.chunks += seen.chunks
 					all.fetched += seen.fetched
 					mutex.Unlock()
 				}
 			})
 		}
 	})
-	t.Logf("%d schedules: %d parts sent, %d fetched", count, all.parts, all.fetched)
+	t.Logf("%d schedules: %d parts sent, %d fetched", count, all.chunks, all.fetched)
 	Convey("The schedules send and fetch states in parts", t, func() {
-		So(all.parts, ShouldBeGreaterThan, count)
+		So(all.chunks, ShouldBeGreaterThan, count)
 		So(all.fetched, ShouldBeGreaterThan, 0)
 	})
 }
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -70,8 +70,8 @@
 }
 
 // free tells whether the replica may vote for a candidate as far as leases go. A lease that was forgotten in a restart
-// can only be that of the mixer to which the newest promise was given. If that mixer is the candidate, it leads no more:
-// a mixer campaigns only after its own term has ended, or in a new process.
+// can only be that of the node to which the newest promise was given. If that node is the candidate, it leads no more:
+// a node campaigns only after its own term has ended, or in a new process.
 func (r *replica) free(candidate string) bool {
 	now := r.core.now
 	remembers := now >= r.mute || r.candidate == candidate && candidate != ""
@@ -126,7 +126,7 @@
 
 // large tells whether a state does not fit into one message.
 func (r *replica) large(state map[string][]byte) bool {
-	return stateBytes(state) > r.core.limits.PartBytes
+	return stateBytes(state) > r.core.limits.ChunkBytes
 }
 
 // raise promises to follow no lower epoch; a leader on this machine with a lower one ends.
@@ -200,7 +200,7 @@
 		r.answerSynced(request.View, behind, reply)
 		return
 	}
-	if request.Parts > 1 {
+	if request.Chunks > 1 {
 		entries, whole := r.gather(request)
 		if !whole {
 			r.answerGathering(request, reply)
--- a/internal/controlplane/replication/sending.go
+++ b/internal/controlplane/replication/sending.go
@@ -5,28 +5,28 @@
 // transfer is a batch or a snapshot on its way to one follower, in one part or several.
 type transfer struct {
 	request appendRequest // without entries
-	parts   [][]Entry
+	chunks  [][]Entry
 	next    uint32 // the part to send
 }
 
-func (l *leadership) newTransfer(snapshot bool, previous, position Position, parts [][]Entry) *transfer {
+func (l *leadership) newTransfer(snapshot bool, previous, position Position, chunks [][]Entry) *transfer {
 	request := l.request()
 	request.Snapshot, request.Previous, request.Position = snapshot, previous, position
-	return &transfer{request: request, parts: parts}
+	return &transfer{request: request, chunks: chunks}
 }
 
-// part is the message that carries the next part.
-func (t *transfer) part(view uint64) appendRequest {
+// chunk is the message that carries the next part.
+func (t *transfer) chunk(view uint64) appendRequest {
 	request := t.request
 	request.View = view
-	request.Part, request.Parts = t.next, uint32(len(t.parts))
-	request.Entries = t.parts[t.next]
+	request.Chunk, request.Chunks = t.next, uint32(len(t.chunks))
+	request.Entries = t.chunks[t.next]
 	return request
 }
 
 // limit is how long the call of a part may take. A batch that cannot be answered within a round counts for nothing.
 func (t *transfer) limit(timing Timing) time.Duration {
-	if t.request.Snapshot || len(t.parts) > 1 {
+	if t.request.Snapshot || len(t.chunks) > 1 {
 		return timing.Transfer
 	}
 	return timing.Round
@@ -68,13 +68,13 @@
 func (l *leadership) beginTransfer(address string, follower *follower) {
 	next, found := l.history.since(follower.position)
 	if found {
-		follower.transfer = l.newTransfer(false, next.previous, next.position, split(next.entries, l.core.limits.PartBytes))
+		follower.transfer = l.newTransfer(false, next.previous, next.position, split(next.entries, l.core.limits.ChunkBytes))
 		return
 	}
 	l.beginSnapshot(address, follower)
 }
 
-// beginSnapshot takes a copy of the state for a follower. Each member gets one snapshot of this mixer at a time, whatever
+// beginSnapshot takes a copy of the state for a follower. Each member gets one snapshot of this node at a time, whatever
 // the group, and the next one follows at once; a member that does not answer holds up no other. A large state takes longer
 // to sort and cut than a lease lasts where the processor is busy, so that is not done within a step.
 func (l *leadership) beginSnapshot(address string, follower *follower) {
@@ -92,21 +92,21 @@
 		}
 		follower.lagging = true
 		position, state := replica.position, replica.state()
-		var parts [][]Entry
-		l.core.aside(func() { parts = split(entriesOf(state), l.core.limits.PartBytes) }, func() {
-			l.sendSnapshot(address, follower, position, parts)
+		var chunks [][]Entry
+		l.core.aside(func() { chunks = split(entriesOf(state), l.core.limits.ChunkBytes) }, func() {
+			l.sendSnapshot(address, follower, position, chunks)
 		})
 	})
 }
 
 // sendSnapshot begins to send a snapshot that has been cut into parts, unless nobody wants it any more.
-func (l *leadership) sendSnapshot(address string, follower *follower, position Position, parts [][]Entry) {
+func (l *leadership) sendSnapshot(address string, follower *follower, position Position, chunks [][]Entry) {
 	follower.sending = false
 	if l.ended || l.followers[address] != follower {
 		l.core.released(address)
 		return
 	}
-	follower.transfer = l.newTransfer(true, Position{}, position, parts)
+	follower.transfer = l.newTransfer(true, Position{}, position, chunks)
 	l.send(address, follower)
 }
 
@@ -143,27 +143,27 @@
 func (l *leadership) dispatch(address string, follower *follower) {
 	follower.sending = true
 	sent, sending := l.core.now, follower.transfer
-	request, reply := sending.part(l.core.view.Version), new(appendReply)
+	request, reply := sending.chunk(l.core.view.Version), new(appendReply)
 	l.core.call(address, appendCall.Route(), sending.limit(l.core.timing), request, reply, func(err error) {
 		follower.sending = false
 		follower.settled = l.core.now
 		follower.known = false
 		if err == nil {
-			l.partAnswered(follower, sending, *reply)
+			l.chunkAnswered(follower, sending, *reply)
 			l.answered(follower, *reply, sent)
 		}
 		l.pump()
 	})
 }
 
-// partAnswered notes where the follower is, and which part it wants.
-func (l *leadership) partAnswered(follower *follower, sending *transfer, reply appendReply) {
+// chunkAnswered notes where the follower is, and which part it wants.
+func (l *leadership) chunkAnswered(follower *follower, sending *transfer, reply appendReply) {
 	follower.position = reply.Position
 	if l.history.near(reply.Position) {
 		follower.lagging = false
 	}
 	follower.known = reply.Outcome == accepted || reply.Outcome == behind || reply.Outcome == gathering
-	if reply.Outcome == gathering && reply.Wanted < uint32(len(sending.parts)) {
+	if reply.Outcome == gathering && reply.Wanted < uint32(len(sending.chunks)) {
 		sending.next = reply.Wanted
 	}
 }
--- a/internal/controlplane/replication/term.go
+++ b/internal/controlplane/replication/term.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Handler acts as leader of the groups of which this mixer is elected. Its methods are called on one goroutine per term.
+// Handler acts as leader of the groups of which this node is elected. Its methods are called on one goroutine per term.
 type Handler interface {
 	// Elected is called once a majority holds the adopted state under the new epoch. The state is the handler's to
 	// keep; the values in it must not be modified.
--- a/internal/controlplane/storage/store.go
+++ b/internal/controlplane/storage/store.go
@@ -1,4 +1,4 @@
-// Package storage keeps a core mixer's durable state: named tables of keys and values, changed by atomic writes that
+// Package storage keeps a core node's durable state: named tables of keys and values, changed by atomic writes that
 // return once they are synced.
 package storage
 
--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent is the process beside each proxy that keeps the link to the control plane. It follows one core mixer's
+// Package agent is the process beside each proxy that keeps the link to the control plane. It follows one core node's
 // feed, exchanges what it knows with the agents of other machines, and feeds the proxy over loopback.
 package agent
 
@@ -15,9 +15,9 @@
 
 // Config is what an Agent needs.
 type Config struct {
-	// Address is this agent's internal address, by which core mixers and other agents know it.
+	// Address is this agent's internal address, by which core nodes and other agents know it.
 	Address string
-	// Seeds are internal addresses of core mixers to begin with.
+	// Seeds are internal addresses of core nodes to begin with.
 	Seeds  []string
 	Caller transport.Caller
 	Logger *zap.Logger
@@ -34,7 +34,7 @@
 
 	mutex sync.Mutex
 	seeds []string
-	// membersConfirmed is when a core mixer last confirmed the lists of members, here or at the agent that passed them on.
+	// membersConfirmed is when a core node last confirmed the lists of members, here or at the agent that passed them on.
 	membersConfirmed time.Time
 }
 
@@ -56,7 +56,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { a.follow(ctx) })
 	running.Go(func() { a.exchangeRegularly(ctx) })
-	running.Go(func() { a.fetchParts(ctx) })
+	running.Go(func() { a.fetchChunks(ctx) })
 	running.Wait()
 	return nil
 }
@@ -71,21 +71,21 @@
 // Snapshot returns what the agent knows. The caller must not modify it.
 func (a *Agent) Snapshot() feed.Snapshot { return a.board.Snapshot() }
 
-// InContact tells whether a core mixer has lately confirmed that the agent is up to date.
+// InContact tells whether a core node has lately confirmed that the agent is up to date.
 func (a *Agent) InContact() bool { return a.contact.left(time.Now()) > 0 }
 
 // Mount serves the calls of other agents.
 func (a *Agent) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.ExchangeCall, a.handleExchange)
-	transport.Handle(mux, feed.PartsCall, func(_ context.Context, ask feed.PartsRequest) (feed.PartsReply, error) {
-		return a.board.Parts(ask), nil
+	transport.Handle(mux, feed.ChunksCall, func(_ context.Context, ask feed.ChunksRequest) (feed.ChunksReply, error) {
+		return a.board.Chunks(ask), nil
 	})
 }
 
 // MountLocal serves the calls of the proxy on the same machine.
 func (a *Agent) MountLocal(mux *transport.Mux) { transport.Handle(mux, feed.LocalCall, a.handleLocal) }
 
-// candidates lists the core mixers to follow: those that the feed names, and then the seeds.
+// candidates lists the core nodes to follow: those that the feed names, and then the seeds.
 func (a *Agent) candidates() []string {
 	members := rank(a.config.Address, a.board.Snapshot().Core)
 	a.mutex.Lock()
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// settled is long enough for all agents to be heard of at every core mixer and back at every agent.
+// settled is long enough for all agents to be heard of at every core node and back at every agent.
 const settled = 10 * time.Second
 
 // inWorld runs a test in virtual time on a fleet that has settled.
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestAgentsSpreadOverCoreMixers(t *testing.T) {
+func TestAgentsSpreadOverCoreNodes(t *testing.T) {
 	inWorld(t, 3, 30, func(w *world) {
 		Convey("Every core mixer is followed by a fair share", t, func() {
 			w.network.countCalls()
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestCoreMixersThatFail(t *testing.T) {
+func TestCoreNodesThatFail(t *testing.T) {
 	inWorld(t, 3, 8, func(w *world) {
 		allInContact := func() {
 			for _, a := range w.agents {
--- a/internal/dataplane/agent/contact.go
+++ b/internal/dataplane/agent/contact.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// contactLimit is how long a core mixer's answer counts as contact with the control plane.
+// contactLimit is how long a core node's answer counts as contact with the control plane.
 const contactLimit = 1500 * time.Millisecond
 
-// contact knows when a core mixer in contact with a majority last answered.
+// contact knows when a core node in contact with a majority last answered.
 type contact struct {
 	mutex    sync.Mutex
 	last     time.Time     // zero before the first answer
--- a/internal/dataplane/agent/cores.go
+++ b/internal/dataplane/agent/cores.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// minPenalty is how long a core mixer is passed over after its first failure; it doubles with each further one.
+	// minPenalty is how long a core node is passed over after its first failure; it doubles with each further one.
 	minPenalty = 250 * time.Millisecond
 	maxPenalty = 8 * time.Second
 )
 
-// cores remembers which core mixers have failed lately. It belongs to one goroutine.
+// cores remembers which core nodes have failed lately. It belongs to one goroutine.
 type cores struct{ penalties map[string]penalty }
 
 type penalty struct {
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -20,8 +20,8 @@
 	// Between them a call holds up the clients' packets on the same link only a little.
 	quickCall = 40 * time.Millisecond
 	slowCall  = 160 * time.Millisecond
-	// packedPart is about the length of a packed part, by which the parts to ask for are counted.
-	packedPart = 256
+	// packedChunk is about the length of a packed part, by which the parts to ask for are counted.
+	packedChunk = 256
 )
 
 // download gathers a newer configuration by parts, from those who have offered it. Parts stay when a call ends, when a
@@ -54,7 +54,7 @@
 	return d.version
 }
 
-// currentUntil is until when what is in force is known to have been the newest, if a core mixer confirms it at a time.
+// currentUntil is until when what is in force is known to have been the newest, if a core node confirms it at a time.
 func (d *download) currentUntil(now time.Time) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -82,13 +82,13 @@
 	}
 	d.asked = slices.DeleteFunc(d.asked, func(address string) bool { return address == source })
 	signalWake(d.wake)
-	return d.collection.AddPacked(offer.Parts)
+	return d.collection.AddPacked(offer.Chunks)
 }
 
 func (d *download) begin(version uint64, manifest chunks.Manifest, known chunks.Holder, now time.Time) error {
 	holders := []chunks.Holder{known}
 	if d.collection != nil {
-		holders = append(holders, d.collection.Part)
+		holders = append(holders, d.collection.Chunk)
 	}
 	collection, err := chunks.NewCollection(manifest, holders...)
 	if err != nil {
@@ -131,20 +131,20 @@
 	}
 }
 
-// partsCall is the next call that a download needs.
-type partsCall struct {
+// chunksCall is the next call that a download needs.
+type chunksCall struct {
 	version uint64
 	source  string
-	ask     feed.PartsRequest
+	ask     feed.ChunksRequest
 }
 
 // next returns the next call, if there is one to make. Once no source is left that offered the configuration, the
 // others are tried once each, and then the download is given up: whoever has the configuration offers it again.
-func (d *download) next(others []string) (call partsCall, ok bool) {
+func (d *download) next(others []string) (call chunksCall, ok bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.version == 0 {
-		return partsCall{}, false
+		return chunksCall{}, false
 	}
 	if len(d.sources) == 0 {
 		d.sources = slices.DeleteFunc(slices.Clone(others), func(address string) bool {
@@ -153,14 +153,14 @@
 	}
 	if len(d.sources) == 0 {
 		d.version = 0 // what has arrived stays for the next offer
-		return partsCall{}, false
+		return chunksCall{}, false
 	}
-	sums := d.collection.Missing(1 + d.bytes/packedPart)
-	return partsCall{d.version, d.sources[0], feed.PartsRequest{Sums: chunks.Join(sums), Room: d.bytes}}, true
+	sums := d.collection.Missing(1 + d.bytes/packedChunk)
+	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.Join(sums), Room: d.bytes}}, true
 }
 
 // arrived takes in the answer to a call. A source without any of the parts is not asked again.
-func (d *download) arrived(call partsCall, reply feed.PartsReply, elapsed time.Duration) error {
+func (d *download) arrived(call chunksCall, reply feed.ChunksReply, elapsed time.Duration) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.measured(elapsed)
@@ -168,7 +168,7 @@
 		return nil
 	}
 	before := d.collection.Lacks()
-	err := d.collection.AddPacked(reply.Parts)
+	err := d.collection.AddPacked(reply.Chunks)
 	if d.collection.Lacks() == before {
 		d.drop(call)
 	}
@@ -176,14 +176,14 @@
 }
 
 // failed takes in that a call got no answer.
-func (d *download) failed(call partsCall) {
+func (d *download) failed(call chunksCall) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.bytes = max(leastRoom, d.bytes/2)
 	d.drop(call)
 }
 
-func (d *download) drop(call partsCall) {
+func (d *download) drop(call chunksCall) {
 	if call.version != d.version {
 		return
 	}
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// exchangeInterval is the pause between exchanges with other agents without contact to a core mixer, or while it is
+	// exchangeInterval is the pause between exchanges with other agents without contact to a core node, or while it is
 	// open whether a peer is gone.
 	exchangeInterval = 500 * time.Millisecond
 	// calmExchangeInterval is the pause otherwise. An agent that is cut off asks by itself, so that it waits for nobody.
@@ -19,7 +19,7 @@
 	exchangeTimeout = 450 * time.Millisecond
 	// oldMembers is the age from which lists of members are taken over from other agents.
 	oldMembers = 3 * time.Second
-	// unknownAge stands for members that no core mixer has confirmed yet.
+	// unknownAge stands for members that no core node has confirmed yet.
 	unknownAge = 24 * time.Hour
 )
 
@@ -105,9 +105,9 @@
 	theirs := time.Duration(known.MembersAgeMS) * time.Millisecond
 	if theirs > oldMembers && a.membersAge(time.Now()) < theirs {
 		news, _ := a.board.Since(known)
-		return a.board.ByParts(news, known, peer.Room)
+		return a.board.ByChunks(news, known, peer.Room)
 	}
-	return a.board.ByParts(a.board.Newer(known), known, peer.Room)
+	return a.board.ByChunks(a.board.Newer(known), known, peer.Room)
 }
 
 // takeFromPeer merges what a peer told. Its members are taken over only if they are newer and the own ones are old.
--- a/internal/dataplane/agent/fetch.go
+++ b/internal/dataplane/agent/fetch.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// partsSilence bounds one call for parts. It bounds no transfer as a whole: a call brings few parts, and they stay.
-	partsSilence = 1500 * time.Millisecond
+	// chunksSilence bounds one call for parts. It bounds no transfer as a whole: a call brings few parts, and they stay.
+	chunksSilence = 1500 * time.Millisecond
 	// longestYield bounds the pause after a call for parts.
 	longestYield = 250 * time.Millisecond
 )
@@ -29,7 +29,7 @@
 	if told.Offer == nil || told.ConfigurationVersion <= a.board.Digest().ConfigurationVersion {
 		return false, nil
 	}
-	if err := a.download.offered(told.ConfigurationVersion, told.Offer, source, a.board.Part, time.Now()); err != nil {
+	if err := a.download.offered(told.ConfigurationVersion, told.Offer, source, a.board.Chunk, time.Now()); err != nil {
 		return false, err
 	}
 	return true, a.finishDownload()
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// fetchParts makes the calls that downloads need until ctx ends.
-func (a *Agent) fetchParts(ctx context.Context) {
+// fetchChunks makes the calls that downloads need until ctx ends.
+func (a *Agent) fetchChunks(ctx context.Context) {
 	for ctx.Err() == nil {
 		call, ok := a.download.next(a.candidates())
 		if !ok {
@@ -63,11 +63,11 @@
 
 // fetchOnce makes one call for parts. It returns a pause as long as the call has taken, up to a bound: control takes half
 // of the link at most, and less where clients' packets made the call slow.
-func (a *Agent) fetchOnce(ctx context.Context, call partsCall) (pause time.Duration) {
-	bounded, cancel := context.WithTimeout(ctx, partsSilence)
+func (a *Agent) fetchOnce(ctx context.Context, call chunksCall) (pause time.Duration) {
+	bounded, cancel := context.WithTimeout(ctx, chunksSilence)
 	defer cancel()
 	began := time.Now()
-	reply, err := feed.PartsCall.Call(bounded, a.config.Caller, call.source, call.ask)
+	reply, err := feed.ChunksCall.Call(bounded, a.config.Caller, call.source, call.ask)
 	elapsed := time.Since(began)
 	if err != nil {
 		a.download.failed(call)
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// pollWait is how long a core mixer may hold a call without news. Together with answerSlack it stays below
-	// contactLimit, so that the failure of one core mixer does not end contact.
+	// pollWait is how long a core node may hold a call without news. Together with answerSlack it stays below
+	// contactLimit, so that the failure of one core node does not end contact.
 	pollWait = 700 * time.Millisecond
 	// answerSlack is how much later than asked an answer may come.
 	answerSlack = 600 * time.Millisecond
-	// returnLimit bounds the look at a preferred core mixer while another one is followed, which waits meanwhile.
+	// returnLimit bounds the look at a preferred core node while another one is followed, which waits meanwhile.
 	returnLimit = 400 * time.Millisecond
-	// minPause and maxPause bound the pause before a core mixer is asked that has failed lately, where all have. The
+	// minPause and maxPause bound the pause before a core node is asked that has failed lately, where all have. The
 	// upper bound is shared by the candidates, so that each is asked about once in that time.
 	minPause = 50 * time.Millisecond
 	maxPause = time.Second
@@ -29,15 +29,15 @@
 	errLate       = errors.New("the answer came too late")
 )
 
-// follower asks core mixers for news, one at a time. It belongs to one goroutine.
+// follower asks core nodes for news, one at a time. It belongs to one goroutine.
 type follower struct {
 	agent    *Agent
 	cores    *cores
-	followed string // the core mixer that last answered; "" if none has, or it failed since
+	followed string // the core node that last answered; "" if none has, or it failed since
 	pause    time.Duration
 }
 
-// follow asks core mixers for news until ctx ends.
+// follow asks core nodes for news until ctx ends.
 func (a *Agent) follow(ctx context.Context) {
 	follower := &follower{agent: a, cores: newCores(), pause: minPause}
 	for ctx.Err() == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// hold lets the followed core mixer hold the call until it has news.
+// hold lets the followed core node hold the call until it has news.
 func (f *follower) hold(ctx context.Context, core string) {
 	progress, err := f.agent.poll(ctx, core, pollWait, pollWait+answerSlack)
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// probe asks another core mixer for an answer at once, and follows it if that comes.
+// probe asks another core node for an answer at once, and follows it if that comes.
 func (f *follower) probe(ctx context.Context, core string) {
 	limit := answerSlack
 	if f.followed != "" {
@@ -99,7 +99,7 @@
 	f.agent.config.Logger.Debug("core mixer passed over", zap.String("core", core), zap.Error(err))
 }
 
-// poll makes one call for news, which the core mixer may hold for wait and must answer within limit, and takes over what
+// poll makes one call for news, which the core node may hold for wait and must answer within limit, and takes over what
 // it brings. A call is without progress if it told of news that were known already, which may come again at once.
 func (a *Agent) poll(ctx context.Context, core string, wait, limit time.Duration) (progress bool, err error) {
 	began := time.Now()
@@ -132,7 +132,7 @@
 	return progress || !reply.Changed, nil
 }
 
-// take merges a core mixer's answer. Configurations and leaders hold whoever tells of them; the lists of members count
+// take merges a core node's answer. Configurations and leaders hold whoever tells of them; the lists of members count
 // only if they are current.
 func (a *Agent) take(reply feed.WatchReply, core string) (changed bool, err error) {
 	if reply.Snapshot == nil {
@@ -148,7 +148,7 @@
 	return a.board.Merge(reply.Snapshot) || offered, nil
 }
 
-// confirm records that a core mixer in contact answered. While a newer configuration is on its way, contact is as old as
+// confirm records that a core node in contact answered. While a newer configuration is on its way, contact is as old as
 // the news of it: until then, what is in force here was the newest.
 func (a *Agent) confirm(now time.Time) {
 	a.contact.confirm(a.download.currentUntil(now))
--- a/internal/dataplane/agent/stale_test.go
+++ b/internal/dataplane/agent/stale_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// alone is who hears of the core mixers only in another way than the others.
+// alone is who hears of the core nodes only in another way than the others.
 const alone = "agent-1"
 
 func TestAnAgentThatHearsOnlyOtherAgents(t *testing.T) {
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestAnAgentThatReachesOnlyACoreMixerThatIsCutOff(t *testing.T) {
+func TestAnAgentThatReachesOnlyACoreNodeThatIsCutOff(t *testing.T) {
 	inWorld(t, 3, 1, func(w *world) {
 		const only, agent = "core-0", "agent-0"
 		Convey("It is in contact until the core mixer is cut off itself, and not after", t, func() {
--- a/internal/dataplane/agent/transfer_test.go
+++ b/internal/dataplane/agent/transfer_test.go
@@ -228,8 +228,8 @@
 		Convey("Spoilt parts are not taken", t, func() {
 			spoilt := rank("agent-c", []string{"core-0", "core-1", "core-2"})[0]
 			w.network.setSpoil(func(from string, reply any) {
-				if answer, ok := reply.(*feed.PartsReply); ok && from == spoilt && len(answer.Parts) > 0 {
-					answer.Parts[0] = []byte(strings.Repeat("x", 40))
+				if answer, ok := reply.(*feed.ChunksReply); ok && from == spoilt && len(answer.Chunks) > 0 {
+					answer.Chunks[0] = []byte(strings.Repeat("x", 40))
 				}
 			})
 			a := fresh(w, "agent-c")
@@ -252,11 +252,11 @@
 		Convey("An agent that cannot get a newer configuration is not in contact for long, though core mixers answer", t, func() {
 			w.network.setSpoil(func(_ string, reply any) {
 				switch answer := reply.(type) {
-				case *feed.PartsReply:
-					answer.Parts = nil
+				case *feed.ChunksReply:
+					answer.Chunks = nil
 				case *feed.WatchReply:
 					if answer.Snapshot != nil && answer.Snapshot.Offer != nil {
-						answer.Snapshot.Offer.Parts = nil
+						answer.Snapshot.Offer.Chunks = nil
 					}
 				}
 			})
--- a/internal/dataplane/agent/world_test.go
+++ b/internal/dataplane/agent/world_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feedserver"
 )
 
-// core is a core mixer whose news tests set.
+// core is a core node whose news tests set.
 type core struct {
 	mutex     sync.Mutex
 	version   uint64
@@ -61,7 +61,7 @@
 	}
 }
 
-// world is a fleet of core mixers and agents on one network in memory.
+// world is a fleet of core nodes and agents on one network in memory.
 type world struct {
 	network *network
 	cores   map[string]*core
@@ -115,7 +115,7 @@
 	w.running.Wait()
 }
 
-// setVersion puts a configuration in force at every core mixer.
+// setVersion puts a configuration in force at every core node.
 func (w *world) setVersion(version uint64) {
 	for _, c := range w.cores {
 		c.update(func(c *core) { c.version = version })
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -32,7 +32,7 @@
 	version uint64 // of the configuration; 0 before the first
 	router  Router // nil before the first configuration
 	leaders map[string]feed.Leader
-	members uint64 // checksum of the mixers' addresses, which the proxy itself does not use
+	members uint64 // checksum of the nodes' addresses, which the proxy itself does not use
 	changed chan struct{}
 }
 
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,5 +1,5 @@
 // Package proxy serves the clients of a front machine: it takes jobs, their states and their cancellations over HTTP,
-// and carries each request to the mixer that leads the jobs of the route's service. What it knows of routes and leaders
+// and carries each request to the node that leads the jobs of the route's service. What it knows of routes and leaders
 // comes from the agent on the same machine. A client is told that a request was refused only when no try of it can
 // have run.
 package proxy
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -76,7 +76,7 @@
 	return testConfiguration{Prefix: testPrefix, Service: testService, TimeoutMS: timeoutMS}
 }
 
-// standInLeader answers as a test says. A method that is nil refuses, as a mixer that does not lead does.
+// standInLeader answers as a test says. A method that is nil refuses, as a node that does not lead does.
 type standInLeader struct {
 	server *httptest.Server
 	ended  context.Context // ends with the test, for answers that stay out
--- a/internal/fakes/cluster/calls.go
+++ b/internal/fakes/cluster/calls.go
@@ -39,7 +39,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Searcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -68,7 +68,7 @@
 }
 
 // receive counts a call and decides what goes wrong with it.
-func (s *Searcher) receive(call Call) Fault {
+func (s *Worker) receive(call Call) Fault {
 	s.calls[call]++
 	if s.faults == nil {
 		return Fault{}
@@ -77,7 +77,7 @@
 }
 
 // known tells whether a call makes sense, and reads its task's name.
-func (s *Searcher) known(call Call, q *request) bool {
+func (s *Worker) known(call Call, q *request) bool {
 	if call == HoldCall {
 		return q.WaitMS <= longestWait.Milliseconds() && q.WaitMS >= 0
 	}
@@ -86,7 +86,7 @@
 	return err == nil && (call == StartCall || call == StopCall) && (call == StopCall || q.ValidUntilMS != nil)
 }
 
-func (s *Searcher) fail(w http.ResponseWriter, r *http.Request, of *life, q request, fault Fault) {
+func (s *Worker) fail(w http.ResponseWriter, r *http.Request, of *life, q request, fault Fault) {
 	switch fault.Kind {
 	case Refuse:
 		w.WriteHeader(fault.Status)
@@ -106,7 +106,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Searcher) carryOutLate(of *life, call Call, q request, fault Fault) {
+func (s *Worker) carryOutLate(of *life, call Call, q request, fault Fault) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	arrived := s.clockNow()
@@ -123,7 +123,7 @@
 }
 
 // answer carries a call out and answers it, a hold perhaps once a run has ended. The answer is on its way for a while.
-func (s *Searcher) answer(w http.ResponseWriter, r *http.Request, of *life, q request, way time.Duration) {
+func (s *Worker) answer(w http.ResponseWriter, r *http.Request, of *life, q request, way time.Duration) {
 	call := Call(r.URL.Path)
 	status, answer := s.carryOut(of, call, q)
 	if call == HoldCall && status == http.StatusOK {
@@ -143,7 +143,7 @@
 }
 
 // delay waits for a while; it tells whether the caller is still there then.
-func (s *Searcher) delay(r *http.Request, of *life, way time.Duration) bool {
+func (s *Worker) delay(r *http.Request, of *life, way time.Duration) bool {
 	over := make(chan struct{})
 	cancel := s.cluster.clock.AfterFunc(way, func() { close(over) })
 	defer cancel()
@@ -158,7 +158,7 @@
 }
 
 // carryOut does what a call asks for, unless that life is over.
-func (s *Searcher) carryOut(of *life, call Call, q request) (int, response) {
+func (s *Worker) carryOut(of *life, call Call, q request) (int, response) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	if s.life != of {
@@ -182,11 +182,11 @@
 	return http.StatusOK, response{ClockMS: s.clockNow().Milliseconds()}
 }
 
-func (s *Searcher) reject(reason string) (int, response) {
+func (s *Worker) reject(reason string) (int, response) {
 	return http.StatusConflict, response{ClockMS: s.clockNow().Milliseconds(), Reason: reason}
 }
 
-func (s *Searcher) start(q request) (int, response) {
+func (s *Worker) start(q request) (int, response) {
 	accepted := response{ClockMS: s.clockNow().Milliseconds()}
 	validUntil := time.Duration(*q.ValidUntilMS) * time.Millisecond
 	if validUntil <= s.clockNow() {
@@ -210,24 +210,24 @@
 	return http.StatusOK, accepted
 }
 
-func (s *Searcher) profile(q request) Profile {
+func (s *Worker) profile(q request) Profile {
 	if s.cluster.settings.Describe == nil {
 		return Profile{}
 	}
 	return s.cluster.settings.Describe(q.task, q.Specification)
 }
 
-func (s *Searcher) begin(q request, profile Profile, overCapacity bool) {
-	r := &run{searcher: s, life: s.life, profile: profile}
+func (s *Worker) begin(q request, profile Profile, overCapacity bool) {
+	r := &run{worker: s, life: s.life, profile: profile}
 	r.record = RunRecord{
-		Searcher: s.life.id, Task: q.task, Execution: q.Execution, FencingToken: q.FencingToken,
+		Worker: s.life.id, Task: q.task, Execution: q.Execution, FencingToken: q.FencingToken,
 		Specification: q.Specification, Checkpoint: q.Checkpointed, Late: q.late,
 		StartedAt: s.cluster.clock.Now(), OverCapacity: overCapacity,
 	}
 	r.begin()
 }
 
-func (s *Searcher) stop(q request) {
+func (s *Worker) stop(q request) {
 	s.life.barred[q.task] = max(s.life.barred[q.task], q.Execution)
 	for _, r := range slices.Clone(s.life.running) {
 		if r.record.Task == q.task && r.record.Execution == q.Execution {
@@ -237,7 +237,7 @@
 }
 
 // acknowledge forgets the ends up to a number.
-func (s *Searcher) acknowledge(lastSeen *uint64) {
+func (s *Worker) acknowledge(lastSeen *uint64) {
 	if lastSeen == nil {
 		return
 	}
@@ -251,7 +251,7 @@
 }
 
 // awaitEnd waits until an end is listed, for as long as the caller wants.
-func (s *Searcher) awaitEnd(r *http.Request, of *life, wait time.Duration) {
+func (s *Worker) awaitEnd(r *http.Request, of *life, wait time.Duration) {
 	if wait == 0 {
 		return
 	}
@@ -279,7 +279,7 @@
 }
 
 // lists is a hold's answer.
-func (s *Searcher) lists(of *life) response {
+func (s *Worker) lists(of *life) response {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	answer := response{ClockMS: s.clockNow().Milliseconds(), Running: [][]any{}, Finished: [][]any{}}
--- a/internal/fakes/cluster/cluster.go
+++ b/internal/fakes/cluster/cluster.go
@@ -1,4 +1,4 @@
-// Package cluster has in-process stand-ins for what surrounds the system: searchers that run tasks, the platform's list of
+// Package cluster has in-process stand-ins for what surrounds the system: workers that run tasks, the platform's list of
 // them, and an operator. Only tests and the demo import it.
 package cluster
 
@@ -18,26 +18,26 @@
 	Checkpoints bool
 }
 
-// Settings are common to all searchers of a cluster. A time of 0 means at once, and never for SaveEvery.
+// Settings are common to all workers of a cluster. A time of 0 means at once, and never for SaveEvery.
 type Settings struct {
-	HoldMax   time.Duration // on a searcher's clock
+	HoldMax   time.Duration // on a worker's clock
 	GangWait  time.Duration
 	StopTime  time.Duration
 	SaveEvery time.Duration
 	Restore   time.Duration
-	// InMemory searchers have no sockets; MemoryClient reaches them.
+	// InMemory workers have no sockets; MemoryClient reaches them.
 	InMemory bool
 	// Describe tells what a task needs; nil for tasks that need nothing and work until Finish is called.
 	Describe func(task job.TaskID, specification string) Profile
 }
 
-// Cluster is a set of searchers and the platform that lists them.
+// Cluster is a set of workers and the platform that lists them.
 type Cluster struct {
 	clock    Clock
 	settings Settings
 
-	mu        sync.Mutex // guards the state of all searchers, as gangs reach over several of them
-	searchers []*Searcher
+	mu        sync.Mutex // guards the state of all workers, as gangs reach over several of them
+	workers   []*Worker
 	runs      []*run // all that ever were
 	platforms []*Platform
 	closed    chan struct{}
@@ -52,10 +52,10 @@
 func (c *Cluster) Close() {
 	close(c.closed)
 	c.mu.Lock()
-	searchers, platforms := c.searchers, c.platforms
+	workers, platforms := c.workers, c.platforms
 	c.mu.Unlock()
-	for _, searcher := range searchers {
-		searcher.server.close()
+	for _, worker := range workers {
+		worker.server.close()
 	}
 	for _, platform := range platforms {
 		platform.server.close()
@@ -64,7 +64,7 @@
 
 // RunRecord is the history of one run.
 type RunRecord struct {
-	Searcher      string // the identifier of its life
+	Worker        string // the identifier of its life
 	Task          job.TaskID
 	Execution     uint64
 	FencingToken  uint64
@@ -73,7 +73,7 @@
 	Late          bool   // carried out after its call had been left unanswered
 	StartedAt     time.Time
 	EndedAt       time.Time // the zero time while it runs
-	How           job.How   // empty while it runs, and when its searcher crashed
+	How           job.How   // empty while it runs, and when its worker crashed
 	Acknowledged  bool      // a later hold's lastSeen has reached its end
 	OverCapacity  bool      // it was started without room for it
 }
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -20,7 +20,7 @@
 
 const holdMax = 6 * time.Second
 
-// client calls searchers.
+// client calls workers.
 type client struct {
 	t    testing.TB
 	http *http.Client
@@ -33,7 +33,7 @@
 }
 
 // call returns the status and, with 200 and 409, the answer.
-func (c client) call(s *Searcher, kind Call, body string) (int, response) {
+func (c client) call(s *Worker, kind Call, body string) (int, response) {
 	c.t.Helper()
 	request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(kind), bytes.NewReader([]byte(body)))
 	request.Header.Set("Expect-Instance", s.ID())
@@ -77,7 +77,7 @@
 				return Profile{Duration: 2 * time.Second, Checkpoints: true, Resources: job.Resources{Processors: 1000}}
 			},
 		})
-		s := c.AddSearcher(SearcherConfig{ID: "i-1", Guards: true, Capacity: job.Resources{Processors: 2000}})
+		s := c.AddWorker(WorkerConfig{ID: "i-1", Guards: true, Capacity: job.Resources{Processors: 2000}})
 		calls := newClient(t)
 		status, _ := calls.call(s, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
 		convey.So(status, convey.ShouldEqual, http.StatusOK)
@@ -152,7 +152,7 @@
 func TestLapse(t *testing.T) {
 	convey.Convey("A slow clock keeps a run longer", t, func() {
 		clock, c := virtual(Settings{})
-		s := c.AddSearcher(SearcherConfig{ID: "i-1", ClockRate: 0.98})
+		s := c.AddWorker(WorkerConfig{ID: "i-1", ClockRate: 0.98})
 		newClient(t).call(s, StartCall, startBody("0", `,"execution":1`))
 		clock.Advance(5050 * time.Millisecond)
 		convey.So(c.Runs()[0].How, convey.ShouldBeEmpty)
@@ -167,7 +167,7 @@
 			GangWait: 3 * time.Second,
 			Describe: func(job.TaskID, string) Profile { return Profile{Gang: 2, Duration: time.Second} },
 		})
-		one, two := c.AddSearcher(SearcherConfig{ID: "i-1"}), c.AddSearcher(SearcherConfig{ID: "i-2"})
+		one, two := c.AddWorker(WorkerConfig{ID: "i-1"}), c.AddWorker(WorkerConfig{ID: "i-2"})
 		calls := newClient(t)
 		calls.call(one, StartCall, startBody("0", `,"execution":3`))
 		convey.Convey("a member waits for the other in vain", func() {
@@ -195,7 +195,7 @@
 func TestFaults(t *testing.T) {
 	convey.Convey("An order may be carried out long after its caller has given up", t, func() {
 		clock, c := virtual(Settings{})
-		s := c.AddSearcher(SearcherConfig{ID: "i-1"})
+		s := c.AddWorker(WorkerConfig{ID: "i-1"})
 		s.SetFaults(Only(StartCall, Fault{Kind: Late, Delay: 7 * time.Second, FromArrival: true}))
 		ctx, cancel := context.WithCancel(t.Context())
 		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Address()+string(StartCall),
@@ -239,8 +239,8 @@
 	convey.Convey("Given a platform whose list lags and whose rate is low", t, func() {
 		clock, c := virtual(Settings{})
 		p := c.AddPlatform(PlatformConfig{PageSize: 1, RatePerS: 2, Lag: 800 * time.Millisecond})
-		c.AddSearcher(SearcherConfig{ID: "i-1", Zone: "a"})
-		s := c.AddSearcher(SearcherConfig{ID: "i-2", Zone: "b"})
+		c.AddWorker(WorkerConfig{ID: "i-1", Zone: "a"})
+		s := c.AddWorker(WorkerConfig{ID: "i-2", Zone: "b"})
 		calls := newClient(t)
 		list := func(query string) (int, listPage) {
 			answer, err := calls.http.Get("http://" + p.Address() + "/instances" + query)
--- a/internal/fakes/cluster/faults.go
+++ b/internal/fakes/cluster/faults.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Call is a kind of call to a searcher, named by its path.
+// Call is a kind of call to a worker, named by its path.
 type Call string
 
-// The calls to a searcher.
+// The calls to a worker.
 const (
 	StartCall Call = "/-/run-start"
 	StopCall  Call = "/-/run-stop"
@@ -55,7 +55,7 @@
 }
 
 // SetFaults decides from now on about every call; nil lets all pass. The function is called under the cluster's lock.
-func (s *Searcher) SetFaults(decide func(Call) Fault) {
+func (s *Worker) SetFaults(decide func(Call) Fault) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	s.faults = decide
--- a/internal/fakes/cluster/memory.go
+++ b/internal/fakes/cluster/memory.go
@@ -14,13 +14,13 @@
 	errReset   = errors.New("connection reset")
 )
 
-// MemoryClient makes a client that reaches the searchers without sockets, so that it can be used under synctest. Each call
+// MemoryClient makes a client that reaches the workers without sockets, so that it can be used under synctest. Each call
 // takes the given time to get there; its answer is back at once.
 func (c *Cluster) MemoryClient(way time.Duration) *http.Client {
 	return &http.Client{Transport: &memoryTransport{c, way}}
 }
 
-// memoryTransport hands calls to the searchers themselves.
+// memoryTransport hands calls to the workers themselves.
 type memoryTransport struct {
 	cluster *Cluster
 	way     time.Duration
@@ -28,8 +28,8 @@
 
 // RoundTrip implements http.RoundTripper.
 func (t *memoryTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	searcher := t.cluster.searcherAt(request.URL.Host)
-	if searcher == nil {
+	worker := t.cluster.workerAt(request.URL.Host)
+	if worker == nil {
 		return nil, errRefused
 	}
 	ctx := request.Context()
@@ -39,17 +39,17 @@
 	if err := sleep(ctx, t.way); err != nil {
 		return nil, err
 	}
-	return answerOf(searcher, request)
+	return answerOf(worker, request)
 }
 
-// answerOf waits for a searcher's answer, or until the caller gives up.
-func answerOf(searcher *Searcher, request *http.Request) (*http.Response, error) {
+// answerOf waits for a worker's answer, or until the caller gives up.
+func answerOf(worker *Worker, request *http.Request) (*http.Response, error) {
 	answered := make(chan *http.Response, 1)
 	go func() {
 		defer close(answered)
 		defer recoverAbort()
 		recorder := httptest.NewRecorder()
-		searcher.ServeHTTP(recorder, request)
+		worker.ServeHTTP(recorder, request)
 		answered <- recorder.Result()
 	}()
 	select {
@@ -82,11 +82,11 @@
 	}
 }
 
-// searcherAt finds the searcher with an address; nil if there is none.
-func (c *Cluster) searcherAt(address string) *Searcher {
+// workerAt finds the worker with an address; nil if there is none.
+func (c *Cluster) workerAt(address string) *Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.searchers {
+	for _, s := range c.workers {
 		if s.Address() == address {
 			return s
 		}
--- a/internal/fakes/cluster/memory_test.go
+++ b/internal/fakes/cluster/memory_test.go
@@ -15,7 +15,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		c := New(RealClock{}, Settings{HoldMax: holdMax, InMemory: true})
 		defer c.Close()
-		s := c.AddSearcher(SearcherConfig{ID: "i-1"})
+		s := c.AddWorker(WorkerConfig{ID: "i-1"})
 		client := c.MemoryClient(3 * time.Millisecond)
 		look := func() (*http.Response, error) {
 			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(HoldCall), strings.NewReader(`{}`))
--- a/internal/fakes/cluster/operator.go
+++ b/internal/fakes/cluster/operator.go
@@ -17,7 +17,7 @@
 	redirectsFollowed = 2
 )
 
-// Operator brings configurations to the mixers that serve control.
+// Operator brings configurations to the nodes that serve control.
 type Operator struct {
 	Addresses []string // control addresses, tried in turn
 	HTTP      *http.Client
@@ -53,7 +53,7 @@
 	return 0, nil, errors.Join(failures...)
 }
 
-// isClear tells whether an operator takes a status as an answer, and does not ask another mixer.
+// isClear tells whether an operator takes a status as an answer, and does not ask another node.
 func isClear(status int) bool {
 	return status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
--- a/internal/fakes/cluster/platform.go
+++ b/internal/fakes/cluster/platform.go
@@ -17,7 +17,7 @@
 	Lag      time.Duration // how far the list runs behind
 }
 
-// Platform serves the list of a cluster's searchers.
+// Platform serves the list of a cluster's workers.
 type Platform struct {
 	cluster *Cluster
 	server  *server
@@ -37,7 +37,7 @@
 	entries []listEntry
 }
 
-// listEntry is one searcher as it is listed.
+// listEntry is one worker as it is listed.
 type listEntry struct {
 	Service         string        `json:"service"`
 	Address         string        `json:"address"`
@@ -104,8 +104,8 @@
 }
 
 func (c *Cluster) list() []listEntry {
-	entries := make([]listEntry, 0, len(c.searchers))
-	for _, s := range c.searchers {
+	entries := make([]listEntry, 0, len(c.workers))
+	for _, s := range c.workers {
 		if s.life.id != "" {
 			entries = append(entries, s.listEntry())
 		}
@@ -113,12 +113,12 @@
 	return entries
 }
 
-func (c *Cluster) removeSearcher(s *Searcher) {
-	c.searchers = slices.DeleteFunc(c.searchers, func(other *Searcher) bool { return other == s })
+func (c *Cluster) removeWorker(s *Worker) {
+	c.workers = slices.DeleteFunc(c.workers, func(other *Worker) bool { return other == s })
 	c.listChanged()
 }
 
-func (s *Searcher) listEntry() listEntry {
+func (s *Worker) listEntry() listEntry {
 	entry := listEntry{
 		Service: s.config.Service, Address: s.server.address, Zone: s.config.Zone, Version: s.config.Version,
 		Slots: s.config.Slots, State: "ready", Capacity: s.config.Capacity, Labels: s.config.Labels, Identifier: s.life.id,
--- a/internal/fakes/cluster/runs.go
+++ b/internal/fakes/cluster/runs.go
@@ -10,13 +10,13 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// run is one run of a task at a searcher. It is guarded by the cluster's lock.
+// run is one run of a task at a worker. It is guarded by the cluster's lock.
 type run struct {
-	searcher *Searcher
-	life     *life
-	record   RunRecord
-	profile  Profile
-	number   uint64 // of its end
+	worker  *Worker
+	life    *life
+	record  RunRecord
+	profile Profile
+	number  uint64 // of its end
 
 	working  bool
 	workFrom time.Time     // when it began to make progress
@@ -25,10 +25,10 @@
 	cancel   func()        // the timer of its next change
 }
 
-// begin adds a run to its searcher.
+// begin adds a run to its worker.
 func (r *run) begin() {
 	r.life.running = append(r.life.running, r)
-	r.searcher.cluster.runs = append(r.searcher.cluster.runs, r)
+	r.worker.cluster.runs = append(r.worker.cluster.runs, r)
 	r.base, r.saved = progressOf(r.record.Checkpoint), r.record.Checkpoint
 	if r.profile.Gang == 0 {
 		r.work()
@@ -36,7 +36,7 @@
 	}
 	members := r.gang()
 	if len(members) < r.profile.Gang {
-		r.after(r.searcher.cluster.settings.GangWait, func() { r.end(job.Alone) })
+		r.after(r.worker.cluster.settings.GangWait, func() { r.end(job.Alone) })
 		return
 	}
 	for _, member := range members {
@@ -48,10 +48,10 @@
 func (r *run) work() {
 	restore := time.Duration(0)
 	if r.record.Checkpoint != "" {
-		restore = r.searcher.cluster.settings.Restore
+		restore = r.worker.cluster.settings.Restore
 	}
 	r.working = true
-	r.workFrom = r.searcher.cluster.clock.Now().Add(restore)
+	r.workFrom = r.worker.cluster.clock.Now().Add(restore)
 	r.setTimer(nil)
 	if r.profile.Duration > 0 {
 		r.after(restore+max(0, r.profile.Duration-r.base), func() { r.finish(r.ownEnd()) })
@@ -67,7 +67,7 @@
 
 // after replaces the run's timer.
 func (r *run) after(delay time.Duration, f func()) {
-	c := r.searcher.cluster
+	c := r.worker.cluster
 	cancel := c.clock.AfterFunc(delay, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -96,14 +96,14 @@
 	}
 }
 
-// end takes a run off its searcher and lists its end.
+// end takes a run off its worker and lists its end.
 func (r *run) end(how job.How) {
 	if !r.record.EndedAt.IsZero() {
 		return
 	}
 	r.saved = r.checkpoint(how == job.Stopped)
 	r.remove()
-	r.record.EndedAt, r.record.How = r.searcher.cluster.clock.Now(), how
+	r.record.EndedAt, r.record.How = r.worker.cluster.clock.Now(), how
 	r.life.number++
 	r.number = r.life.number
 	r.life.ends = append(r.life.ends, r)
@@ -135,8 +135,8 @@
 // gang is the members of its gang that are there now.
 func (r *run) gang() []*run {
 	var members []*run
-	for _, searcher := range r.searcher.cluster.searchers {
-		for _, other := range searcher.life.running {
+	for _, worker := range r.worker.cluster.workers {
+		for _, other := range worker.life.running {
 			a, b := other.record, r.record
 			a.Task.Index, b.Task.Index = 0, 0
 			if a.Task == b.Task && a.Execution == b.Execution {
@@ -149,11 +149,11 @@
 
 // stop ends a run after the time that a stop takes.
 func (r *run) stop() {
-	if r.searcher.cluster.settings.StopTime == 0 {
+	if r.worker.cluster.settings.StopTime == 0 {
 		r.end(job.Stopped)
 		return
 	}
-	r.after(r.searcher.cluster.settings.StopTime, func() { r.end(job.Stopped) })
+	r.after(r.worker.cluster.settings.StopTime, func() { r.end(job.Stopped) })
 }
 
 // progress is the work done so far, that of earlier runs included.
@@ -161,7 +161,7 @@
 	if !r.working {
 		return r.base
 	}
-	return r.base + max(0, r.searcher.cluster.clock.Now().Sub(r.workFrom))
+	return r.base + max(0, r.worker.cluster.clock.Now().Sub(r.workFrom))
 }
 
 func (r *run) percent() int {
@@ -173,7 +173,7 @@
 
 // checkpoint is the newest one: of the last time to save, or of this moment.
 func (r *run) checkpoint(now bool) string {
-	every := r.searcher.cluster.settings.SaveEvery
+	every := r.worker.cluster.settings.SaveEvery
 	if !r.profile.Checkpoints || !r.working || every == 0 && !now {
 		return r.saved
 	}
--- a/internal/fakes/cluster/searcher.go
+++ b/internal/fakes/cluster/searcher.go
@@ -7,8 +7,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// SearcherConfig describes one searcher.
-type SearcherConfig struct {
+// WorkerConfig describes one worker.
+type WorkerConfig struct {
 	ID        string
 	Service   string
 	Zone      string
@@ -21,12 +21,12 @@
 	ClockZero time.Duration // what its clock shows when it starts
 }
 
-// Searcher runs tasks. Its state is guarded by the cluster's lock.
-type Searcher struct {
+// Worker runs tasks. Its state is guarded by the cluster's lock.
+type Worker struct {
 	cluster *Cluster
 	server  *server
 
-	config    SearcherConfig
+	config    WorkerConfig
 	startedAt time.Time
 	faults    func(Call) Fault
 	life      *life
@@ -35,11 +35,11 @@
 	leavesAt  time.Time
 }
 
-// life is what a searcher forgets when it crashes.
+// life is what a worker forgets when it crashes.
 type life struct {
 	id        string
 	fence     uint64
-	heldUntil time.Duration // on the searcher's clock
+	heldUntil time.Duration // on the worker's clock
 	running   []*run
 	barred    map[job.TaskID]uint64 // the highest execution that was stopped or has ended
 	ends      []*run                // not acknowledged yet
@@ -54,12 +54,12 @@
 	}
 }
 
-// AddSearcher starts a searcher.
-func (c *Cluster) AddSearcher(config SearcherConfig) *Searcher {
+// AddWorker starts a worker.
+func (c *Cluster) AddWorker(config WorkerConfig) *Worker {
 	if config.ClockRate == 0 {
 		config.ClockRate = 1
 	}
-	s := &Searcher{
+	s := &Worker{
 		cluster: c, config: config, startedAt: c.clock.Now(), life: newLife(config.ID), calls: make(map[Call]int),
 	}
 	s.server = &server{address: config.ID}
@@ -68,40 +68,40 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.searchers = append(c.searchers, s)
+	c.workers = append(c.workers, s)
 	c.listChanged()
 	return s
 }
 
-// Address is where the searcher listens, or where MemoryClient finds it.
-func (s *Searcher) Address() string { return s.server.address }
+// Address is where the worker listens, or where MemoryClient finds it.
+func (s *Worker) Address() string { return s.server.address }
 
 // ID is the identifier of its present life.
-func (s *Searcher) ID() string {
+func (s *Worker) ID() string {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	return s.life.id
 }
 
 // Connections is how many connections it has accepted so far.
-func (s *Searcher) Connections() int { return s.server.acceptedConnections() }
+func (s *Worker) Connections() int { return s.server.acceptedConnections() }
 
 // Calls is how many calls of a kind have come so far.
-func (s *Searcher) Calls(kind Call) int {
+func (s *Worker) Calls(kind Call) int {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	return s.calls[kind]
 }
 
-// HeldUntil is the time up to which its runs are held, in the cluster's time and on the searcher's own clock's pace.
-func (s *Searcher) HeldUntil() time.Time {
+// HeldUntil is the time up to which its runs are held, in the cluster's time and on the worker's own clock's pace.
+func (s *Worker) HeldUntil() time.Time {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	return s.cluster.clock.Now().Add(s.delayUntil(s.life.heldUntil))
 }
 
 // Finish ends the run of a task that is at work, as if by itself.
-func (s *Searcher) Finish(task job.TaskID, how job.How) error {
+func (s *Worker) Finish(task job.TaskID, how job.How) error {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	for _, r := range s.life.running {
@@ -114,7 +114,7 @@
 }
 
 // Crash kills all that runs, cuts the connections and begins a new life.
-func (s *Searcher) Crash(newID string) {
+func (s *Worker) Crash(newID string) {
 	s.cluster.mu.Lock()
 	old := s.life
 	for _, r := range append([]*run(nil), old.running...) {
@@ -130,17 +130,17 @@
 	s.server.cut()
 }
 
-// Leave ends the searcher for good, with all that runs there, and takes it off the list.
-func (s *Searcher) Leave() {
+// Leave ends the worker for good, with all that runs there, and takes it off the list.
+func (s *Worker) Leave() {
 	s.server.close()
 	s.Crash("")
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	s.cluster.removeSearcher(s)
+	s.cluster.removeWorker(s)
 }
 
-// Drain lists the searcher as draining, with the given least time left.
-func (s *Searcher) Drain(remaining time.Duration) {
+// Drain lists the worker as draining, with the given least time left.
+func (s *Worker) Drain(remaining time.Duration) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	s.draining = true
@@ -148,19 +148,19 @@
 	s.cluster.listChanged()
 }
 
-// clockNow is what the searcher's steady clock shows.
-func (s *Searcher) clockNow() time.Duration {
+// clockNow is what the worker's steady clock shows.
+func (s *Worker) clockNow() time.Duration {
 	passed := s.cluster.clock.Now().Sub(s.startedAt)
 	return s.config.ClockZero + time.Duration(float64(passed)*s.config.ClockRate)
 }
 
-// delayUntil is how long it takes, in the cluster's time, until the searcher's clock shows a time.
-func (s *Searcher) delayUntil(clock time.Duration) time.Duration {
+// delayUntil is how long it takes, in the cluster's time, until the worker's clock shows a time.
+func (s *Worker) delayUntil(clock time.Duration) time.Duration {
 	return time.Duration(float64(clock-s.clockNow()) / s.config.ClockRate)
 }
 
 // hold takes in a validUntil, which never shortens what was granted.
-func (s *Searcher) hold(validUntil time.Duration) {
+func (s *Worker) hold(validUntil time.Duration) {
 	now := s.clockNow()
 	if most := now + s.cluster.settings.HoldMax; validUntil > most {
 		validUntil = most
@@ -173,7 +173,7 @@
 }
 
 // awaitLapse kills all that runs once the hold is over.
-func (s *Searcher) awaitLapse(of *life) {
+func (s *Worker) awaitLapse(of *life) {
 	heldUntil := of.heldUntil
 	s.cluster.clock.AfterFunc(max(0, s.delayUntil(heldUntil))+time.Millisecond, func() {
 		s.cluster.mu.Lock()
@@ -188,7 +188,7 @@
 }
 
 // used is the capacity taken by what runs, that being stopped included.
-func (s *Searcher) used() job.Resources {
+func (s *Worker) used() job.Resources {
 	var sum job.Resources
 	for _, r := range s.life.running {
 		sum = sum.Add(r.profile.Resources)
--- a/internal/jobs/inventory/inventory.go
+++ b/internal/jobs/inventory/inventory.go
@@ -1,4 +1,4 @@
-// Package inventory reads the platform's list of searchers.
+// Package inventory reads the platform's list of workers.
 package inventory
 
 import (
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 const (
@@ -40,14 +40,14 @@
 	RatePerS float64      // how many calls a second the platform accepts from all machines together; 0 when unknown
 	HTTP     *http.Client // http.DefaultClient when nil
 	Log      *zap.Logger  // may be nil
-	// Found takes the searchers of each page until a whole list was read; nil for none. A long list takes seconds.
-	Found func([]worker.Instance)
+	// Found takes the workers of each page until a whole list was read; nil for none. A long list takes seconds.
+	Found func([]workerclient.Instance)
 	whole bool // one was read
 }
 
 // Run reads the list every interval and delivers each one that came whole, until the context ends. The interval grows with
 // the number of pages, so that the reader stays within its share of the rate.
-func (r *Reader) Run(ctx context.Context, interval time.Duration, deliver func([]worker.Instance)) {
+func (r *Reader) Run(ctx context.Context, interval time.Duration, deliver func([]workerclient.Instance)) {
 	log := r.Log
 	if log == nil {
 		log = zap.NewNop()
@@ -89,8 +89,8 @@
 )
 
 // Read reads all pages once and tells how many there were. A list that breaks off is an error.
-func (r *Reader) Read(ctx context.Context) ([]worker.Instance, int, error) {
-	var instances []worker.Instance
+func (r *Reader) Read(ctx context.Context) ([]workerclient.Instance, int, error) {
+	var instances []workerclient.Instance
 	var token string
 	seen := make(map[string]bool)
 	for pages := 1; pages <= maxPages; pages++ {
@@ -122,7 +122,7 @@
 	NextPageToken *string  `json:"nextPageToken"`
 }
 
-// entry is one searcher on the list.
+// entry is one worker on the list.
 type entry struct {
 	Identifier      string        `json:"identifier"`
 	Service         string        `json:"service"`
@@ -137,13 +137,13 @@
 	Labels          job.Labels    `json:"labels"`
 }
 
-func (p page) appendTo(instances []worker.Instance) []worker.Instance {
+func (p page) appendTo(instances []workerclient.Instance) []workerclient.Instance {
 	for _, e := range *p.Instances {
 		if e.Identifier == "" || e.Address == "" {
 			continue // nothing could be sent there
 		}
-		instances = append(instances, worker.Instance{
-			ID: worker.SearcherID(e.Identifier), Service: e.Service, Address: e.Address, Zone: e.Zone, Version: e.Version,
+		instances = append(instances, workerclient.Instance{
+			ID: workerclient.WorkerID(e.Identifier), Service: e.Service, Address: e.Address, Zone: e.Zone, Version: e.Version,
 			Slots: e.Slots, Draining: e.State == stateDraining, RemainingMS: int64(e.RemainingMS),
 			ColdRemainingMS: int64(e.ColdRemainingMS), Capacity: e.Capacity, Labels: e.Labels,
 		})
@@ -151,9 +151,9 @@
 	return instances
 }
 
-// unique keeps the first entry of each searcher: one may move between pages while they are read.
-func unique(instances []worker.Instance) []worker.Instance {
-	seen := make(map[worker.SearcherID]bool, len(instances))
+// unique keeps the first entry of each worker: one may move between pages while they are read.
+func unique(instances []workerclient.Instance) []workerclient.Instance {
+	seen := make(map[workerclient.WorkerID]bool, len(instances))
 	kept := instances[:0]
 	for _, instance := range instances {
 		if !seen[instance.ID] {
--- a/internal/jobs/inventory/inventory_test.go
+++ b/internal/jobs/inventory/inventory_test.go
@@ -13,7 +13,7 @@
 
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 	"puffinlink.example/puffinlink/internal/leaktest"
 )
 
@@ -21,11 +21,11 @@
 
 const patience = 20 * time.Second
 
-// given is a cluster with a number of searchers and a reader of its list.
-func given(searchers int, config cluster.PlatformConfig) (*cluster.Cluster, *cluster.Platform, *Reader) {
+// given is a cluster with a number of workers and a reader of its list.
+func given(workers int, config cluster.PlatformConfig) (*cluster.Cluster, *cluster.Platform, *Reader) {
 	c := cluster.New(cluster.RealClock{}, cluster.Settings{})
-	for i := range searchers {
-		c.AddSearcher(cluster.SearcherConfig{
+	for i := range workers {
+		c.AddWorker(cluster.WorkerConfig{
 			ID: fmt.Sprintf("i-%d", i), Service: "kursmotor", Zone: "hal-nord", Version: "v1", Slots: 8,
 			Capacity: job.Resources{Processors: 32000, MemoryMB: 65536}, Labels: []string{"a", "r1-3"},
 		})
@@ -50,13 +50,13 @@
 			convey.So(instances, convey.ShouldHaveLength, 7)
 			address := instances[6].Address
 			convey.So(address, convey.ShouldNotBeEmpty)
-			convey.So(instances[6], convey.ShouldResemble, worker.Instance{
+			convey.So(instances[6], convey.ShouldResemble, workerclient.Instance{
 				ID: "i-6", Service: "kursmotor", Address: address, Zone: "hal-nord", Version: "v1", Slots: 8,
 				Capacity: job.Resources{Processors: 32000, MemoryMB: 65536}, Labels: []string{"a", "r1-3"},
 			})
 		})
 		convey.Convey("a draining searcher is marked with the time it has left", func() {
-			draining := c.AddSearcher(cluster.SearcherConfig{ID: "i-7"})
+			draining := c.AddWorker(cluster.WorkerConfig{ID: "i-7"})
 			draining.Drain(time.Hour)
 			instances, _, err := reader.Read(t.Context())
 			convey.So(err, convey.ShouldBeNil)
@@ -65,7 +65,7 @@
 		})
 		convey.Convey("the searchers of each page are found at once, until the first list was read whole", func() {
 			var found []int
-			reader.Found = func(instances []worker.Instance) { found = append(found, len(instances)) }
+			reader.Found = func(instances []workerclient.Instance) { found = append(found, len(instances)) }
 			reader.Read(t.Context())
 			reader.Read(t.Context())
 			convey.So(found, convey.ShouldResemble, []int{3, 3, 1})
@@ -121,12 +121,12 @@
 func TestRun(t *testing.T) {
 	convey.Convey("Given a reader that runs", t, func() {
 		_, platform, reader := given(2, cluster.PlatformConfig{})
-		lists := make(chan []worker.Instance)
+		lists := make(chan []workerclient.Instance)
 		ctx, cancel := context.WithCancel(t.Context())
 		returned := make(chan struct{})
 		run := func(interval time.Duration) {
 			go func() {
-				reader.Run(ctx, interval, func(instances []worker.Instance) {
+				reader.Run(ctx, interval, func(instances []workerclient.Instance) {
 					select {
 					case lists <- instances:
 					case <-ctx.Done():
@@ -139,7 +139,7 @@
 			cancel()
 			<-returned
 		})
-		next := func() []worker.Instance {
+		next := func() []workerclient.Instance {
 			select {
 			case list := <-lists:
 				return list
--- a/internal/jobs/inventory/refusal_test.go
+++ b/internal/jobs/inventory/refusal_test.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// pages is a platform in memory: a list of one searcher a page.
+// pages is a platform in memory: a list of one worker a page.
 type pages struct {
 	count   int
 	calls   int
--- a/internal/jobs/job/job.go
+++ b/internal/jobs/job/job.go
@@ -55,7 +55,7 @@
 	return TaskID{ID(parts[0]), numbers[0], numbers[1], numbers[2]}, nil
 }
 
-// Resources are what a task asks for and what a searcher offers.
+// Resources are what a task asks for and what a worker offers.
 type Resources struct {
 	Processors   int64 `json:"processors" msgpack:"p"`      // thousandths of a core
 	MemoryMB     int64 `json:"memoryRequestMb" msgpack:"m"` // megabytes
@@ -205,7 +205,7 @@
 // Final tells whether the state never changes again.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// How a run of a task ended, as searchers list it.
+// How a run of a task ended, as workers list it.
 type How string
 
 // The endings of a run.
--- a/internal/jobs/jobapi/jobapi.go
+++ b/internal/jobs/jobapi/jobapi.go
@@ -1,4 +1,4 @@
-// Package jobapi holds the internal requests by which any mixer reaches the scheduler that leads a service's jobs.
+// Package jobapi holds the internal requests by which any node reaches the scheduler that leads a service's jobs.
 package jobapi
 
 import (
@@ -22,7 +22,7 @@
 	MaxAttempts     int     `msgpack:"a"`
 	Extension       float64 `msgpack:"e"`
 	TargetLatencyMS int64   `msgpack:"t"`
-	Guards          bool    `msgpack:"g"` // the service's searchers reject what does not fit
+	Guards          bool    `msgpack:"g"` // the service's workers reject what does not fit
 }
 
 // Submit hands a job in. The same ID again is the same job.
--- a/internal/jobs/jobreport/calls.go
+++ b/internal/jobs/jobreport/calls.go
@@ -18,14 +18,14 @@
 	Summary Summary `msgpack:"s"`
 }
 
-// SearchersRequest asks for the searchers of a group's service.
-type SearchersRequest struct {
+// WorkersRequest asks for the workers of a group's service.
+type WorkersRequest struct {
 	Group string `msgpack:"g"`
 }
 
-// SearchersReply lists them by ID.
-type SearchersReply struct {
-	Searchers []Searcher `msgpack:"s"`
+// WorkersReply lists them by ID.
+type WorkersReply struct {
+	Workers []Worker `msgpack:"s"`
 }
 
 // JobsRequest asks for a group's jobs.
@@ -65,16 +65,16 @@
 	Why   Why  `msgpack:"w"`
 }
 
-// DrainRequest sets or ends an operator's drain of a searcher.
+// DrainRequest sets or ends an operator's drain of a worker.
 type DrainRequest struct {
 	Group    string `msgpack:"g"`
-	Searcher string `msgpack:"s"`
+	Worker   string `msgpack:"s"`
 	Draining bool   `msgpack:"d"`
 	// OnTopOf is the drain version that the order builds on; nil for one that goes by no version.
 	OnTopOf *uint64 `msgpack:"v,omitempty"`
 }
 
-// DrainOutcome is what an order on a searcher's drain came to.
+// DrainOutcome is what an order on a worker's drain came to.
 type DrainOutcome int
 
 // The outcomes. One that goes by no version is always taken.
@@ -82,12 +82,12 @@
 	DrainTaken      DrainOutcome = iota // by this call or by an earlier one of the same order; 0, as a leader of an earlier release answers
 	DrainSuperseded                     // another was taken on top of that version; this one never will be
 	DrainUnclear                        // the version is not in force yet, or older than what is remembered
-	DrainUnknown                        // the searcher is not known
+	DrainUnknown                        // the worker is not known
 )
 
 // DrainReply is sent once the change is durable.
 type DrainReply struct {
-	Known    bool         `msgpack:"k"` // the group knows the searcher
-	Outcome  DrainOutcome `msgpack:"o"`
-	Searcher Searcher     `msgpack:"s"`
+	Known   bool         `msgpack:"k"` // the group knows the worker
+	Outcome DrainOutcome `msgpack:"o"`
+	Worker  Worker       `msgpack:"s"`
 }
--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -1,5 +1,5 @@
 // Package jobreport holds what operators may ask the scheduler of a service's jobs, and the reports that answer. The types
-// travel between mixers as msgpack and to operators as JSON.
+// travel between nodes as msgpack and to operators as JSON.
 package jobreport
 
 import (
@@ -7,43 +7,43 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Only the leader of a group answers them; any other mixer refuses with the verdict NotRun. A drain that
+// Internal calls. Only the leader of a group answers them; any other node refuses with the verdict NotRun. A drain that
 // is set or ended again stays as it is.
 var (
-	SummaryCall   = transport.NewRepeatable[SummaryRequest, SummaryReply]("/jobs/report/summary")
-	SearchersCall = transport.NewRepeatable[SearchersRequest, SearchersReply]("/jobs/report/searchers")
-	JobsCall      = transport.NewRepeatable[JobsRequest, JobsReply]("/jobs/report/jobs")
-	JobCall       = transport.NewRepeatable[JobRequest, JobReply]("/jobs/report/job")
-	WhyCall       = transport.NewRepeatable[WhyRequest, WhyReply]("/jobs/report/why")
-	DrainCall     = transport.NewRepeatable[DrainRequest, DrainReply]("/jobs/report/drain")
+	SummaryCall = transport.NewRepeatable[SummaryRequest, SummaryReply]("/jobs/report/summary")
+	WorkersCall = transport.NewRepeatable[WorkersRequest, WorkersReply]("/jobs/report/searchers")
+	JobsCall    = transport.NewRepeatable[JobsRequest, JobsReply]("/jobs/report/jobs")
+	JobCall     = transport.NewRepeatable[JobRequest, JobReply]("/jobs/report/job")
+	WhyCall     = transport.NewRepeatable[WhyRequest, WhyReply]("/jobs/report/why")
+	DrainCall   = transport.NewRepeatable[DrainRequest, DrainReply]("/jobs/report/drain")
 )
 
-// Summary counts the jobs and searchers of one group.
+// Summary counts the jobs and workers of one group.
 type Summary struct {
-	Queued             int `msgpack:"q" json:"queued"`             // jobs without a task assigned so far
-	Running            int `msgpack:"r" json:"running"`            // jobs with one
-	Ended              int `msgpack:"e" json:"ended"`              // jobs whose end is still remembered
-	WaitingTasks       int `msgpack:"w" json:"waitingTasks"`       // tasks whose turn has come and that are not assigned
-	Runs               int `msgpack:"x" json:"runs"`               // runs that may be under way
-	Searchers          int `msgpack:"s" json:"searchers"`          // known lives of searchers
-	ReachableSearchers int `msgpack:"h" json:"reachableSearchers"` // of those, the ones that answer
+	Queued           int `msgpack:"q" json:"queued"`             // jobs without a task assigned so far
+	Running          int `msgpack:"r" json:"running"`            // jobs with one
+	Ended            int `msgpack:"e" json:"ended"`              // jobs whose end is still remembered
+	WaitingTasks     int `msgpack:"w" json:"waitingTasks"`       // tasks whose turn has come and that are not assigned
+	Runs             int `msgpack:"x" json:"runs"`               // runs that may be under way
+	Workers          int `msgpack:"s" json:"searchers"`          // known lives of workers
+	ReachableWorkers int `msgpack:"h" json:"reachableSearchers"` // of those, the ones that answer
 }
 
-// SearcherState says whether a searcher takes starts.
-type SearcherState string
+// WorkerState says whether a worker takes starts.
+type WorkerState string
 
-// The states of a searcher; the first that applies is reported.
+// The states of a worker; the first that applies is reported.
 const (
-	SearcherUnreachable      SearcherState = "unreachable"      // the last call was not answered
-	SearcherDraining         SearcherState = "draining"         // the platform is about to take it away
-	SearcherOperatorDraining SearcherState = "operatorDraining" // an operator allows no new starts
-	SearcherNotFenced        SearcherState = "notFenced"        // it has not confirmed this leader's fencing token yet
-	SearcherResting          SearcherState = "resting"          // no starts for a moment after it refused one or a run stood still
-	SearcherReady            SearcherState = "ready"
+	WorkerUnreachable      WorkerState = "unreachable"      // the last call was not answered
+	WorkerDraining         WorkerState = "draining"         // the platform is about to take it away
+	WorkerOperatorDraining WorkerState = "operatorDraining" // an operator allows no new starts
+	WorkerNotFenced        WorkerState = "notFenced"        // it has not confirmed this leader's fencing token yet
+	WorkerResting          WorkerState = "resting"          // no starts for a moment after it refused one or a run stood still
+	WorkerReady            WorkerState = "ready"
 )
 
-// Searcher is one life of a searcher as the leader of its service's jobs sees it.
-type Searcher struct {
+// Worker is one life of a worker as the leader of its service's jobs sees it.
+type Worker struct {
 	ID               string        `msgpack:"i" json:"id"`
 	Service          string        `msgpack:"s" json:"service"`
 	Address          string        `msgpack:"a" json:"address"`
@@ -51,7 +51,7 @@
 	Version          string        `msgpack:"v" json:"version"`
 	Rack             string        `msgpack:"k" json:"rack"`
 	Labels           []string      `msgpack:"l" json:"labels"`
-	State            SearcherState `msgpack:"t" json:"state"`
+	State            WorkerState   `msgpack:"t" json:"state"`
 	Reachable        bool          `msgpack:"h" json:"reachable"`
 	Draining         bool          `msgpack:"d" json:"draining"`
 	OperatorDraining bool          `msgpack:"o" json:"operatorDraining"`
@@ -60,11 +60,11 @@
 	LatencyMS        float64       `msgpack:"m" json:"latencyMs"`      // smoothed duration of its runs; 0 before the first
 	FaultShare       float64       `msgpack:"f" json:"faultShare"`     // smoothed share of its runs that fail, 0 to 1
 	Runs             int           `msgpack:"r" json:"runs"`           // that may be under way there
-	WaitingTasks     int           `msgpack:"b" json:"waitingTasks"`   // that prefer this searcher
+	WaitingTasks     int           `msgpack:"b" json:"waitingTasks"`   // that prefer this worker
 	UnwantedRuns     int           `msgpack:"y" json:"unwantedRuns"`   // being stopped, as nobody wants them
 	Used             job.Resources `msgpack:"u" json:"used"`           // by runs
-	Free             job.Resources `msgpack:"e" json:"free"`           // parts may be below 0 at a searcher that does not guard
-	Capacity         job.Resources `msgpack:"c" json:"capacity"`       // of the whole searcher
+	Free             job.Resources `msgpack:"e" json:"free"`           // parts may be below 0 at a worker that does not guard
+	Capacity         job.Resources `msgpack:"c" json:"capacity"`       // of the whole worker
 	RemainingMS      int64         `msgpack:"n" json:"remainingMs"`    // least time left to one that the platform drains
 	MissingLists     int           `msgpack:"g" json:"missingInLists"` // platform's lists in a row without it
 }
@@ -73,7 +73,7 @@
 type TaskCounts struct {
 	Blocked int `msgpack:"b" json:"blocked"` // their turn has not come: an earlier stage or the due time is ahead
 	Waiting int `msgpack:"w" json:"waiting"` // to be started
-	Running int `msgpack:"r" json:"running"` // assigned to a searcher
+	Running int `msgpack:"r" json:"running"` // assigned to a worker
 	Done    int `msgpack:"d" json:"done"`
 }
 
@@ -101,7 +101,7 @@
 type Run struct {
 	Task      string `msgpack:"t" json:"task"`
 	Execution uint64 `msgpack:"x" json:"execution"`
-	Searcher  string `msgpack:"s" json:"searcher"`
+	Worker    string `msgpack:"s" json:"searcher"`
 	AgeMS     int64  `msgpack:"a" json:"ageMs"` // since it was assigned, or since this leader took over
 	Confirmed bool   `msgpack:"c" json:"confirmed"`
 	Stopping  bool   `msgpack:"o" json:"stopping"`
--- a/internal/jobs/jobreport/why.go
+++ b/internal/jobs/jobreport/why.go
@@ -2,13 +2,13 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/job"
 
-// Cause is why a searcher does not take a task.
+// Cause is why a worker does not take a task.
 type Cause string
 
-// The causes that rule a searcher out, in the order in which they are looked for.
+// The causes that rule a worker out, in the order in which they are looked for.
 const (
 	CauseLabel            Cause = "label"            // it lacks a label that the task requires
-	CauseSize             Cause = "size"             // the task does not fit even when the searcher is empty
+	CauseSize             Cause = "size"             // the task does not fit even when the worker is empty
 	CauseDraining         Cause = "draining"         // the platform is about to take it away
 	CauseOperatorDraining Cause = "operatorDraining" // an operator allows no new starts
 	CauseUnlisted         Cause = "unlisted"         // the platform has not listed it since this leader took over
@@ -27,20 +27,20 @@
 
 // The reasons for which tasks wait.
 const (
-	ReasonDependsOn  Reason = "dependsOn"  // earlier stages are not complete
-	ReasonNotDue     Reason = "notDue"     // the repetition's time has not come
-	ReasonGangParts  Reason = "gangParts"  // runs of members of the gang are not over yet
-	ReasonGangRoom   Reason = "gangRoom"   // there is no room for all members of the gang at once
-	ReasonPause      Reason = "pause"      // a short pause after a start that went wrong
-	ReasonNoSearcher Reason = "noSearcher" // every searcher is ruled out
-	ReasonTurn       Reason = "turn"       // a searcher could take it; others go first
+	ReasonDependsOn Reason = "dependsOn"  // earlier stages are not complete
+	ReasonNotDue    Reason = "notDue"     // the repetition's time has not come
+	ReasonGangParts Reason = "gangParts"  // runs of members of the gang are not over yet
+	ReasonGangRoom  Reason = "gangRoom"   // there is no room for all members of the gang at once
+	ReasonPause     Reason = "pause"      // a short pause after a start that went wrong
+	ReasonNoWorker  Reason = "noSearcher" // every worker is ruled out
+	ReasonTurn      Reason = "turn"       // a worker could take it; others go first
 )
 
-// RuledOut is the searchers that one cause rules out.
+// RuledOut is the workers that one cause rules out.
 type RuledOut struct {
-	Cause     Cause    `msgpack:"c" json:"cause"`
-	Count     int      `msgpack:"n" json:"count"`
-	Searchers []string `msgpack:"s" json:"searchers"` // the first few
+	Cause   Cause    `msgpack:"c" json:"cause"`
+	Count   int      `msgpack:"n" json:"count"`
+	Workers []string `msgpack:"s" json:"searchers"` // the first few
 }
 
 // Waiting is the tasks of one stage that wait.
@@ -54,7 +54,7 @@
 	AgeMS      int64         `msgpack:"a" json:"ageMs,omitzero"`      // since the first of them has waited
 	Ahead      int           `msgpack:"h" json:"ahead,omitzero"`      // stages that come before this one in the present order
 	Request    job.Resources `msgpack:"q" json:"request"`             // of one task
-	Open       []string      `msgpack:"o" json:"open,omitempty"`      // the first few searchers that could take one
+	Open       []string      `msgpack:"o" json:"open,omitempty"`      // the first few workers that could take one
 	RuledOut   []RuledOut    `msgpack:"x" json:"ruledOut,omitempty"`
 }
 
--- a/internal/jobs/manager/again_test.go
+++ b/internal/jobs/manager/again_test.go
@@ -52,7 +52,7 @@
 
 var _ transport.Caller = soleMember{}
 
-// leadAlone runs a test with a manager that leads the group as the only member, in simulated time. Its searchers' list
+// leadAlone runs a test with a manager that leads the group as the only member, in simulated time. Its workers' list
 // has not been read.
 func leadAlone(t *testing.T, test func(m *Manager, disk *slowDisk)) {
 	virtualtime.Test(t, func(t *testing.T) {
@@ -116,7 +116,7 @@
 func TestDrainBeforeTheListIsRead(t *testing.T) {
 	leadAlone(t, func(m *Manager, _ *slowDisk) {
 		ctx := context.Background()
-		request := jobreport.DrainRequest{Group: soleGroup, Searcher: "i-1", Draining: true}
+		request := jobreport.DrainRequest{Group: soleGroup, Worker: "i-1", Draining: true}
 		Convey("A searcher is not called unknown before the platform's list was read", t, func() {
 			_, err := m.drain(ctx, request)
 			So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
@@ -177,7 +177,7 @@
 		So(err, ShouldBeNil)
 		l := &lead{scheduler: jobs}
 		order := func(draining bool, onTopOf uint64) jobreport.DrainOutcome {
-			known, outcome := l.orderDrain(steady(), jobreport.DrainRequest{Searcher: "i-1", Draining: draining, OnTopOf: &onTopOf})
+			known, outcome := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, OnTopOf: &onTopOf})
 			So(known, ShouldBeTrue)
 			return outcome
 		}
@@ -193,7 +193,7 @@
 		})
 		Convey("an unknown searcher stays unknown", func() {
 			version := uint64(0)
-			known, _ := l.orderDrain(steady(), jobreport.DrainRequest{Searcher: "i-2", Draining: true, OnTopOf: &version})
+			known, _ := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-2", Draining: true, OnTopOf: &version})
 			So(known, ShouldBeFalse)
 		})
 	})
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -23,16 +23,16 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
 const (
-	fleetVariable  = "PUFFINLINK_TEST_FLEET" // how many searchers the test binary stands in for, as a process of its own
+	fleetVariable  = "PUFFINLINK_TEST_FLEET" // how many workers the test binary stands in for, as a process of its own
 	fleetService   = "s"
 	fleetTask      = time.Second            // how long each task works
 	fleetHoldMax   = 6 * time.Second        //
-	fleetSettling  = 9 * time.Second        // until all searchers are held
+	fleetSettling  = 9 * time.Second        // until all workers are held
 	fleetMeasured  = 8 * time.Second        // for which the processor time is taken
 	fleetPause     = 50 * time.Millisecond  // between two hand-ins
 	fleetTasksEach = 4                      // of a job
@@ -40,17 +40,17 @@
 	fleetPatience  = 100 * time.Millisecond // between two looks for the leadership
 )
 
-// serveFleet stands in for searchers until its standard input ends; it prints the list of them.
+// serveFleet stands in for workers until its standard input ends; it prints the list of them.
 func serveFleet(count int) {
-	searchers := cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: fleetHoldMax, Describe: func(job.TaskID, string) cluster.Profile {
+	workers := cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: fleetHoldMax, Describe: func(job.TaskID, string) cluster.Profile {
 		return cluster.Profile{Duration: fleetTask, Resources: fleetNeed}
 	}})
-	instances := make([]worker.Instance, 0, count)
+	instances := make([]workerclient.Instance, 0, count)
 	for i := range count {
 		id := fmt.Sprintf("i-%05d", i)
 		capacity := job.Resources{Processors: 32000, MemoryMB: 65536}
-		searcher := searchers.AddSearcher(cluster.SearcherConfig{ID: id, Service: fleetService, Capacity: capacity})
-		instances = append(instances, worker.Instance{ID: worker.SearcherID(id), Service: fleetService, Address: searcher.Address(),
+		worker := workers.AddWorker(cluster.WorkerConfig{ID: id, Service: fleetService, Capacity: capacity})
+		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(id), Service: fleetService, Address: worker.Address(),
 			Slots: 8, Capacity: capacity, Labels: []string{"a", fmt.Sprint("r", i/8)}})
 	}
 	json.NewEncoder(os.Stdout).Encode(instances)
@@ -60,7 +60,7 @@
 var fleetNeed = job.Resources{Processors: 3000, MemoryMB: 6000}
 
 // startFleet runs stand-ins in a process of their own, so that their processor time is not the leader's.
-func startFleet(b *testing.B, count int) []worker.Instance {
+func startFleet(b *testing.B, count int) []workerclient.Instance {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), fleetVariable+"="+strconv.Itoa(count))
 	input, err := command.StdinPipe()
@@ -75,7 +75,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { input.Close(); command.Wait() })
-	var instances []worker.Instance
+	var instances []workerclient.Instance
 	if err := json.NewDecoder(output).Decode(&instances); err != nil {
 		b.Fatal(err)
 	}
@@ -83,10 +83,10 @@
 }
 
 // startLeader makes a group of one replica that leads.
-func startLeader(b *testing.B, instances []worker.Instance) *Manager {
+func startLeader(b *testing.B, instances []workerclient.Instance) *Manager {
 	const self = "127.0.0.1:1"
-	connections := worker.NewConnections(worker.Limits{
-		Connections: 2700, DialsPerS: 544, DialsAtOnce: 256, LooksPerS: 600, SearchersHeld: 600,
+	connections := workerclient.NewConnections(workerclient.Limits{
+		Connections: 2700, DialsPerS: 544, DialsAtOnce: 256, LooksPerS: 600, WorkersHeld: 600,
 	})
 	m := New(Config{
 		Settings: scheduler.Settings{FarFactor: 1.5, HoldMax: fleetHoldMax, StatusKept: 5 * time.Minute},
@@ -117,12 +117,12 @@
 	return m
 }
 
-// BenchmarkFleet measures what share of a core a leader uses for a service of many searchers. Run it with -benchtime=1x.
+// BenchmarkFleet measures what share of a core a leader uses for a service of many workers. Run it with -benchtime=1x.
 func BenchmarkFleet(b *testing.B) {
-	for _, load := range []struct{ searchers, tasksPerS int }{{250, 0}, {2100, 0}, {250, 160}, {2100, 160}, {2100, 640}, {2100, 960}} {
-		b.Run(fmt.Sprintf("%d searchers, %d tasks a second", load.searchers, load.tasksPerS), func(b *testing.B) {
+	for _, load := range []struct{ workers, tasksPerS int }{{250, 0}, {2100, 0}, {250, 160}, {2100, 160}, {2100, 640}, {2100, 960}} {
+		b.Run(fmt.Sprintf("%d searchers, %d tasks a second", load.workers, load.tasksPerS), func(b *testing.B) {
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-			m := startLeader(b, startFleet(b, load.searchers))
+			m := startLeader(b, startFleet(b, load.workers))
 			for b.Loop() {
 				playFleet(b, m, load.tasksPerS)
 			}
@@ -154,7 +154,7 @@
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	summary := led.scheduler.Summary()
-	b.ReportMetric(float64(summary.ReachableSearchers), "reachable")
+	b.ReportMetric(float64(summary.ReachableWorkers), "reachable")
 	b.ReportMetric(float64(summary.Ended), "ended")
 }
 
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -9,7 +9,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
@@ -27,11 +27,11 @@
 	stop         context.CancelFunc
 	mu           sync.Mutex
 	scheduler    *scheduler.Scheduler
-	links        map[worker.SearcherID]*worker.Link
-	unheard      map[worker.SearcherID]bool // links whose last call failed
-	proposed     uint64                     // number of proposals so far
-	committed    uint64                     // and of those that are durable
-	nextDispatch time.Time                  // no dispatch before
+	links        map[workerclient.WorkerID]*workerclient.Link
+	unheard      map[workerclient.WorkerID]bool // links whose last call failed
+	proposed     uint64                         // number of proposals so far
+	committed    uint64                         // and of those that are durable
+	nextDispatch time.Time                      // no dispatch before
 	ticked       time.Time
 	planned      int64 // next due time that the loop knows, milliseconds since 1970; 0 for none
 	reported     time.Time
@@ -46,7 +46,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	return &lead{
 		config: config, term: term, ctx: ctx, stop: stop, scheduler: jobs,
-		links: map[worker.SearcherID]*worker.Link{}, unheard: map[worker.SearcherID]bool{}, wake: make(chan struct{}, 1),
+		links: map[workerclient.WorkerID]*workerclient.Link{}, unheard: map[workerclient.WorkerID]bool{}, wake: make(chan struct{}, 1),
 	}, nil
 }
 
@@ -57,7 +57,7 @@
 	for _, link := range l.links {
 		link.Close()
 	}
-	l.links = map[worker.SearcherID]*worker.Link{}
+	l.links = map[workerclient.WorkerID]*workerclient.Link{}
 }
 
 // run drives what is due by time until the leadership ends.
@@ -178,14 +178,14 @@
 		l.order(&effects.Orders[i])
 	}
 	for _, noted := range effects.Noted {
-		if link := l.links[noted.Searcher]; link != nil {
+		if link := l.links[noted.Worker]; link != nil {
 			link.Acknowledge(noted.Number)
 		}
 	}
 }
 
 func (l *lead) order(order *scheduler.Order) {
-	link := l.links[order.Searcher]
+	link := l.links[order.Worker]
 	if link == nil {
 		return
 	}
@@ -194,7 +194,7 @@
 		link.Stop(*order.Stop)
 		return
 	}
-	if l.scheduler.Wanted(order.Searcher, order.Start) {
+	if l.scheduler.Wanted(order.Worker, order.Start) {
 		l.traceOrder(order)
 		link.Start(*order.Start)
 	}
@@ -235,8 +235,8 @@
 	}
 }
 
-// inventory takes the searchers of the group's service and keeps a link to each.
-func (l *lead) inventory(instances []worker.Instance) {
+// inventory takes the workers of the group's service and keeps a link to each.
+func (l *lead) inventory(instances []workerclient.Instance) {
 	l.step(func(now scheduler.Now) {
 		for i := range instances {
 			l.connect(&instances[i])
@@ -250,8 +250,8 @@
 	})
 }
 
-// found takes some searchers of the group's service, before the whole list is known.
-func (l *lead) found(instances []worker.Instance) {
+// found takes some workers of the group's service, before the whole list is known.
+func (l *lead) found(instances []workerclient.Instance) {
 	l.step(func(now scheduler.Now) {
 		for i := range instances {
 			l.connect(&instances[i])
@@ -260,11 +260,11 @@
 	})
 }
 
-func (l *lead) connect(instance *worker.Instance) {
+func (l *lead) connect(instance *workerclient.Instance) {
 	if l.links[instance.ID] != nil || l.scheduler.Over(instance.ID) {
 		return
 	}
-	link := worker.NewLink(worker.Config{
+	link := workerclient.NewLink(workerclient.Config{
 		Instance: *instance, FencingToken: l.term.Epoch(), HoldMax: l.config.Settings.HoldMax,
 		Valid: l.term.Valid, Events: events{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
 		Log: l.config.Log, Now: time.Now,
@@ -274,7 +274,7 @@
 	go link.Run(l.ctx)
 }
 
-func (l *lead) disconnect(id worker.SearcherID, link *worker.Link) {
+func (l *lead) disconnect(id workerclient.WorkerID, link *workerclient.Link) {
 	link.Close()
 	delete(l.links, id)
 	delete(l.unheard, id)
@@ -284,21 +284,21 @@
 type events struct{ lead *lead }
 
 // Listing implements worker.Events.
-func (e events) Listing(report worker.Listing) {
+func (e events) Listing(report workerclient.Listing) {
 	e.lead.traceEnds(&report)
 	e.lead.step(func(now scheduler.Now) {
-		delete(e.lead.unheard, report.Searcher)
+		delete(e.lead.unheard, report.Worker)
 		e.lead.scheduler.Listing(now, &report)
 	})
 }
 
 // StartResult implements worker.Events.
-func (e events) StartResult(result worker.StartResult) {
-	if result.Outcome != worker.Started {
+func (e events) StartResult(result workerclient.StartResult) {
+	if result.Outcome != workerclient.Started {
 		e.lead.config.Log.Debug("start not confirmed", zap.Stringer("task", result.Order.Task),
-			zap.String("searcher", string(result.Searcher)), zap.Stringer("outcome", result.Outcome))
+			zap.String("searcher", string(result.Worker)), zap.Stringer("outcome", result.Outcome))
 	}
-	if result.Outcome == worker.RejectedFence {
+	if result.Outcome == workerclient.RejectedFence {
 		e.lead.term.Resign()
 		return
 	}
@@ -306,31 +306,31 @@
 }
 
 // StopResult implements worker.Events.
-func (e events) StopResult(result worker.StopResult) {
+func (e events) StopResult(result workerclient.StopResult) {
 	e.lead.step(func(now scheduler.Now) { e.lead.scheduler.StopResult(now, &result) })
 }
 
 // Gone implements worker.Events.
-func (e events) Gone(gone worker.Gone) {
+func (e events) Gone(gone workerclient.Gone) {
 	e.lead.step(func(now scheduler.Now) {
-		e.lead.scheduler.Gone(now, gone.Searcher)
-		if link := e.lead.links[gone.Searcher]; link != nil {
-			e.lead.disconnect(gone.Searcher, link)
+		e.lead.scheduler.Gone(now, gone.Worker)
+		if link := e.lead.links[gone.Worker]; link != nil {
+			e.lead.disconnect(gone.Worker, link)
 		}
 	})
 }
 
 // Fenced implements worker.Events.
-func (e events) Fenced(worker.Fenced) { e.lead.term.Resign() }
+func (e events) Fenced(workerclient.Fenced) { e.lead.term.Resign() }
 
 // Reachability implements worker.Events.
-func (e events) Reachability(change worker.Reachability) {
+func (e events) Reachability(change workerclient.Reachability) {
 	e.lead.step(func(now scheduler.Now) {
 		if change.Reachable {
-			delete(e.lead.unheard, change.Searcher)
+			delete(e.lead.unheard, change.Worker)
 		} else {
-			e.lead.unheard[change.Searcher] = true
+			e.lead.unheard[change.Worker] = true
 		}
-		e.lead.scheduler.Reachable(now, change.Searcher, change.Reachable)
+		e.lead.scheduler.Reachable(now, change.Worker, change.Reachable)
 	})
 }
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -53,7 +53,7 @@
 			return err
 		}},
 		{"searchers", func(m *Manager) error {
-			_, err := m.searchers(ctx, jobreport.SearchersRequest{Group: testGroup})
+			_, err := m.workers(ctx, jobreport.WorkersRequest{Group: testGroup})
 			return err
 		}},
 		{"jobs", func(m *Manager) error { _, err := m.jobs(ctx, jobreport.JobsRequest{Group: testGroup}); return err }},
@@ -66,7 +66,7 @@
 			return err
 		}},
 		{"drain", func(m *Manager) error {
-			_, err := m.drain(ctx, jobreport.DrainRequest{Group: testGroup, Searcher: "i-1"})
+			_, err := m.drain(ctx, jobreport.DrainRequest{Group: testGroup, Worker: "i-1"})
 			return err
 		}},
 	}
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -1,4 +1,4 @@
-// Package manager runs the schedulers of the groups that this mixer leads: it feeds them with jobs, searchers' reports
+// Package manager runs the schedulers of the groups that this node leads: it feeds them with jobs, workers' reports
 // and time, makes their records durable, and carries out their orders once that is done.
 package manager
 
@@ -17,7 +17,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
 )
@@ -30,26 +30,26 @@
 // Config is what a Manager is made of.
 type Config struct {
 	Settings scheduler.Settings
-	HTTP     *http.Client // for calls to searchers
+	HTTP     *http.Client // for calls to workers
 	// Connections is the budget of HTTP; nil for none.
-	Connections *worker.Connections
+	Connections *workerclient.Connections
 	Log         *zap.Logger
 }
 
-// Manager implements replication.Handler: it runs a scheduler for each group while this mixer leads it.
+// Manager implements replication.Handler: it runs a scheduler for each group while this node leads it.
 type Manager struct {
 	config    Config
 	mu        sync.Mutex
 	leads     map[string]*lead // by group
-	instances []worker.Instance
-	listed    bool                                  // a whole list was read
-	found     map[worker.SearcherID]worker.Instance // on the pages read before the first whole list
+	instances []workerclient.Instance
+	listed    bool                                            // a whole list was read
+	found     map[workerclient.WorkerID]workerclient.Instance // on the pages read before the first whole list
 	changed   chan struct{}
 }
 
 // New makes a Manager that leads nothing.
 func New(config Config) *Manager {
-	return &Manager{config: config, leads: map[string]*lead{}, found: map[worker.SearcherID]worker.Instance{}, changed: make(chan struct{})}
+	return &Manager{config: config, leads: map[string]*lead{}, found: map[workerclient.WorkerID]workerclient.Instance{}, changed: make(chan struct{})}
 }
 
 // Elected implements replication.Handler.
@@ -99,15 +99,15 @@
 	m.changed = make(chan struct{})
 }
 
-// Leading tells whether this mixer leads any group, and returns a channel that is closed at the next change.
+// Leading tells whether this node leads any group, and returns a channel that is closed at the next change.
 func (m *Manager) Leading() (bool, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.leads) > 0, m.changed
 }
 
-// Found takes a part of a list of searchers that is being read, so that a leadership need not wait for all of a long list.
-func (m *Manager) Found(instances []worker.Instance) {
+// Found takes a part of a list of workers that is being read, so that a leadership need not wait for all of a long list.
+func (m *Manager) Found(instances []workerclient.Instance) {
 	m.mu.Lock()
 	if !m.listed {
 		for _, instance := range instances {
@@ -123,8 +123,8 @@
 	}
 }
 
-// Inventory takes a whole list of searchers.
-func (m *Manager) Inventory(instances []worker.Instance) {
+// Inventory takes a whole list of workers.
+func (m *Manager) Inventory(instances []workerclient.Instance) {
 	m.mu.Lock()
 	m.instances, m.listed, m.found = instances, true, nil
 	leads := slices.Collect(maps.Values(m.leads))
@@ -134,8 +134,8 @@
 	}
 }
 
-func serviceInstances(instances []worker.Instance, group string) []worker.Instance {
-	var own []worker.Instance
+func serviceInstances(instances []workerclient.Instance, group string) []workerclient.Instance {
+	var own []workerclient.Instance
 	for _, instance := range instances {
 		if feed.GroupOf(instance.Service) == group {
 			own = append(own, instance)
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -9,21 +9,21 @@
 
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// noListRetry is when a leader that has not read the platform's list of searchers may be asked again.
+// noListRetry is when a leader that has not read the platform's list of workers may be asked again.
 const noListRetry = 500 * time.Millisecond
 
-// errNoList is the refusal to call a searcher unknown before the platform's list was read.
+// errNoList is the refusal to call a worker unknown before the platform's list was read.
 var errNoList = errors.New("the list of searchers has not been read yet")
 
-// ServeReports registers the internal calls by which operators read and steer the groups that this mixer leads.
+// ServeReports registers the internal calls by which operators read and steer the groups that this node leads.
 func (m *Manager) ServeReports(mux *transport.Mux) {
 	transport.Handle(mux, jobreport.SummaryCall, m.summary)
-	transport.Handle(mux, jobreport.SearchersCall, m.searchers)
+	transport.Handle(mux, jobreport.WorkersCall, m.workers)
 	transport.Handle(mux, jobreport.JobsCall, m.jobs)
 	transport.Handle(mux, jobreport.JobCall, m.job)
 	transport.Handle(mux, jobreport.WhyCall, m.why)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Summaries returns the summaries of the groups that this mixer leads now.
+// Summaries returns the summaries of the groups that this node leads now.
 func (m *Manager) Summaries() map[string]jobreport.Summary {
 	summaries := map[string]jobreport.Summary{}
 	for _, group := range m.ledGroups() {
@@ -85,8 +85,8 @@
 	return reply, err
 }
 
-func (m *Manager) searchers(ctx context.Context, request jobreport.SearchersRequest) (reply jobreport.SearchersReply, err error) {
-	err = m.read(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) { reply.Searchers = jobs.Searchers(now) })
+func (m *Manager) workers(ctx context.Context, request jobreport.WorkersRequest) (reply jobreport.WorkersReply, err error) {
+	err = m.read(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) { reply.Workers = jobs.Workers(now) })
 	return reply, err
 }
 
@@ -112,19 +112,19 @@
 	return reply, err
 }
 
-// hasList tells whether this mixer has read a whole list of searchers.
+// hasList tells whether this node has read a whole list of workers.
 func (m *Manager) hasList() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listed
 }
 
-// reportDrained reports a searcher, as far as it is known. The lock is held.
-func (l *lead) reportDrained(now scheduler.Now, id worker.SearcherID) jobreport.Searcher {
-	report, known := l.scheduler.Searcher(now, id)
+// reportDrained reports a worker, as far as it is known. The lock is held.
+func (l *lead) reportDrained(now scheduler.Now, id workerclient.WorkerID) jobreport.Worker {
+	report, known := l.scheduler.Worker(now, id)
 	if !known {
-		return jobreport.Searcher{
-			ID: string(id), State: jobreport.SearcherUnreachable, OperatorDraining: l.scheduler.OperatorDrains(id),
+		return jobreport.Worker{
+			ID: string(id), State: jobreport.WorkerUnreachable, OperatorDraining: l.scheduler.OperatorDrains(id),
 			DrainVersion: l.scheduler.DrainVersion(id),
 		}
 	}
@@ -133,7 +133,7 @@
 
 // orderDrain hands an order to the scheduler. The lock is held.
 func (l *lead) orderDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
-	id := worker.SearcherID(request.Searcher)
+	id := workerclient.WorkerID(request.Worker)
 	if request.OnTopOf == nil {
 		return l.scheduler.SetOperatorDrain(now, id, request.Draining), jobreport.DrainTaken
 	}
@@ -147,17 +147,17 @@
 	if err != nil {
 		return reply, err
 	}
-	id := worker.SearcherID(request.Searcher)
+	id := workerclient.WorkerID(request.Worker)
 	err = led.durably(ctx, func(now scheduler.Now) {
 		reply.Known, reply.Outcome = led.orderDrain(now, request)
-		reply.Searcher = led.reportDrained(now, id)
+		reply.Worker = led.reportDrained(now, id)
 	})
 	if err == nil && !reply.Known && !m.hasList() {
 		return reply, rpcerror.Unexecuted(errNoList, noListRetry)
 	}
 	if err == nil && reply.Known {
-		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("searcher", request.Searcher),
-			zap.Bool("draining", request.Draining), zap.Uint64("version", reply.Searcher.DrainVersion),
+		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("searcher", request.Worker),
+			zap.Bool("draining", request.Draining), zap.Uint64("version", reply.Worker.DrainVersion),
 			zap.Bool("taken", reply.Outcome == jobreport.DrainTaken))
 	}
 	return reply, err
--- a/internal/jobs/manager/trace.go
+++ b/internal/jobs/manager/trace.go
@@ -6,7 +6,7 @@
 
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // The lines below follow single jobs and tasks. They are written at the level debug alone, and cost next to nothing
@@ -28,22 +28,22 @@
 	}
 	if order.Stop != nil {
 		l.config.Log.Debug("stop ordered", zap.Stringer("task", order.Stop.Task), zap.Uint64("run", order.Stop.Execution),
-			zap.String("searcher", string(order.Searcher)))
+			zap.String("searcher", string(order.Worker)))
 		return
 	}
 	l.config.Log.Debug("start ordered", zap.Stringer("task", order.Start.Task), zap.Uint64("run", order.Start.Execution),
-		zap.String("searcher", string(order.Searcher)), zap.Uint64("epoch", l.term.Epoch()))
+		zap.String("searcher", string(order.Worker)), zap.Uint64("epoch", l.term.Epoch()))
 }
 
-// traceEnds notes the ends that a searcher reports.
-func (l *lead) traceEnds(report *worker.Listing) {
+// traceEnds notes the ends that a worker reports.
+func (l *lead) traceEnds(report *workerclient.Listing) {
 	if !l.traces() {
 		return
 	}
 	for i := range report.Finished {
 		end := &report.Finished[i]
 		l.config.Log.Debug("run ended", zap.Stringer("task", end.Task), zap.Uint64("run", end.Execution),
-			zap.String("how", string(end.How)), zap.String("searcher", string(report.Searcher)))
+			zap.String("how", string(end.How)), zap.String("searcher", string(report.Worker)))
 	}
 }
 
--- a/internal/jobs/manager/trace_test.go
+++ b/internal/jobs/manager/trace_test.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // trace writes one line of each kind at a level, and returns what was logged.
@@ -22,9 +22,9 @@
 	id := job.ID("00000000000000aa")
 	task := job.TaskID{Job: id, Stage: 1, Index: 2}
 	l.traceSubmit(&jobapi.Submit{ID: id})
-	l.traceOrder(&scheduler.Order{Searcher: "i-1", Start: &worker.StartOrder{Task: task, Execution: 1}})
-	l.traceOrder(&scheduler.Order{Searcher: "i-1", Stop: &worker.StopOrder{Task: task, Execution: 1}})
-	l.traceEnds(&worker.Listing{Searcher: "i-1", Finished: []worker.FinishedTask{{Task: task, Execution: 1, How: job.Done}}})
+	l.traceOrder(&scheduler.Order{Worker: "i-1", Start: &workerclient.StartOrder{Task: task, Execution: 1}})
+	l.traceOrder(&scheduler.Order{Worker: "i-1", Stop: &workerclient.StopOrder{Task: task, Execution: 1}})
+	l.traceEnds(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, Execution: 1, How: job.Done}}})
 	jobs, err := scheduler.New(scheduler.Settings{}, scheduler.Now{}, nil)
 	So(err, ShouldBeNil)
 	jobs.Submit(scheduler.Now{}, &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
--- a/internal/jobs/manager/world_test.go
+++ b/internal/jobs/manager/world_test.go
@@ -37,7 +37,7 @@
 
 func (c *clock) standStill() { c.stood.Add(int64(standing)) }
 
-// member is one core mixer's part in the jobs.
+// member is one core node's part in the jobs.
 type member struct {
 	address string
 	clock   *clock
@@ -45,7 +45,7 @@
 	node    *replication.Node
 }
 
-// world is some core mixers on a network in memory, in virtual time.
+// world is some core nodes on a network in memory, in virtual time.
 type world struct {
 	network *networktest.Network
 	members []*member
@@ -53,7 +53,7 @@
 	cancel  context.CancelFunc
 }
 
-// inWorld runs a test in virtual time with three core mixers of which one leads.
+// inWorld runs a test in virtual time with three core nodes of which one leads.
 func inWorld(t *testing.T, test func(t *testing.T, w *world, leader *member)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		w := &world{network: networktest.New(1)}
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	m.node = node
-	m.manager.Inventory(nil) // the list of searchers has been read
+	m.manager.Inventory(nil) // the list of workers has been read
 	mux := transport.NewMux()
 	node.Serve(mux)
 	w.network.Serve(address, mux)
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -7,22 +7,22 @@
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// loaded is a scheduler with many searchers, all of them full, and many jobs that wait.
-func loaded(searchers, jobs int) (*Scheduler, Now, map[string][]byte) {
+// loaded is a scheduler with many workers, all of them full, and many jobs that wait.
+func loaded(workers, jobs int) (*Scheduler, Now, map[string][]byte) {
 	now := Now{Steady: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 	s, _ := New(Settings{FarFactor: 2, HoldMax: 6 * time.Second}, now, nil)
-	var instances []worker.Instance
-	for i := range searchers {
-		instances = append(instances, worker.Instance{ID: worker.SearcherID(fmt.Sprintf("s%03d", i)), Labels: []string{"a", fmt.Sprint("r", i/8)},
+	var instances []workerclient.Instance
+	for i := range workers {
+		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(fmt.Sprintf("s%03d", i)), Labels: []string{"a", fmt.Sprint("r", i/8)},
 			Capacity: job.Resources{Processors: 32000, MemoryMB: 65536}})
 	}
 	s.Inventory(now, instances)
 	for _, instance := range instances {
-		s.Listing(now, &worker.Listing{Searcher: instance.ID, First: true})
-		s.searchers[instance.ID].window = windowMost
+		s.Listing(now, &workerclient.Listing{Worker: instance.ID, First: true})
+		s.workers[instance.ID].window = windowMost
 	}
 	for number := range jobs {
 		s.Submit(now, &jobapi.Submit{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, Priority: number % 3},
@@ -42,14 +42,14 @@
 	number := uint64(0)
 	for b.Loop() {
 		sr := s.list[int(number)%len(s.list)]
-		report := worker.Listing{Searcher: sr.ID, SentAt: now.Steady}
+		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Steady}
 		for _, r := range sr.sortedRuns() {
-			report.Running = append(report.Running, worker.RunningTask{Task: r.task.id, Execution: r.execution})
+			report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
 		}
 		if len(report.Running) > 0 {
 			ended := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []worker.FinishedTask{{Number: sr.noted + 1, Task: ended.Task, Execution: ended.Execution, How: job.Stopped}}
+			report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: ended.Task, Execution: ended.Execution, How: job.Stopped}}
 		}
 		number++
 		s.Listing(now, &report)
@@ -65,15 +65,15 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		var instances []worker.Instance
+		var instances []workerclient.Instance
 		for _, sr := range previous.list {
 			instances = append(instances, sr.Instance)
 		}
 		s.Inventory(now, instances)
 		for _, instance := range instances {
-			report := worker.Listing{Searcher: instance.ID, First: true, SentAt: now.Steady}
-			for _, r := range previous.searchers[instance.ID].sortedRuns() {
-				report.Running = append(report.Running, worker.RunningTask{Task: r.task.id, Execution: r.execution})
+			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Steady}
+			for _, r := range previous.workers[instance.ID].sortedRuns() {
+				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
 			}
 			s.Listing(now, &report)
 		}
--- a/internal/jobs/scheduler/cost.go
+++ b/internal/jobs/scheduler/cost.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// cost ranks searchers for a task: smoothed latency times one plus our runs and waiting tasks there.
-func (s *Scheduler) cost(stage *stageRun, sr *searcher) float64 {
+// cost ranks workers for a task: smoothed latency times one plus our runs and waiting tasks there.
+func (s *Scheduler) cost(stage *stageRun, sr *worker) float64 {
 	return s.unitCost(stage, sr) * sr.load()
 }
 
-// unitCost is the cost of a searcher without load.
-func (s *Scheduler) unitCost(stage *stageRun, sr *searcher) float64 {
+// unitCost is the cost of a worker without load.
+func (s *Scheduler) unitCost(stage *stageRun, sr *worker) float64 {
 	return s.latency(stage.job, sr) * s.distance(stage, sr) * (1 + faultCost*sr.faults) * s.slowdown(sr)
 }
 
-// load is one plus our runs and waiting tasks at a searcher.
-func (sr *searcher) load() float64 { return 1 + float64(len(sr.runs)+sr.held) }
+// load is one plus our runs and waiting tasks at a worker.
+func (sr *worker) load() float64 { return 1 + float64(len(sr.runs)+sr.held) }
 
-// unitCosts are the searchers that may take a stage's tasks, with their costs without load. All new tasks of a stage are
+// unitCosts are the workers that may take a stage's tasks, with their costs without load. All new tasks of a stage are
 // alike, so that these are worked out once for all of them.
 type unitCosts []unitCost
 
 type unitCost struct {
-	at   *searcher
+	at   *worker
 	cost float64
 }
 
@@ -35,9 +35,9 @@
 	return costs
 }
 
-// bind chooses the searcher where a new task waits: the least cost.
+// bind chooses the worker where a new task waits: the least cost.
 func (u unitCosts) bind(t *task) {
-	var best *searcher
+	var best *worker
 	bestCost := math.Inf(1)
 	for i := range u {
 		if cost := u[i].cost * u[i].at.load(); cost < bestCost {
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -6,21 +6,21 @@
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // The reports below read the state and change nothing, but for the order of the stages that wait, which is brought up
 // to date.
 
 const (
-	fewSearchers = 8   // searchers that a report names for one cause
-	mostWaiting  = 40  // stages that one report explains
-	mostDetails  = 500 // stages, runs and failures that one report lists, each
+	fewWorkers  = 8   // workers that a report names for one cause
+	mostWaiting = 40  // stages that one report explains
+	mostDetails = 500 // stages, runs and failures that one report lists, each
 )
 
-// Summary counts jobs and searchers.
+// Summary counts jobs and workers.
 func (s *Scheduler) Summary() jobreport.Summary {
-	summary := jobreport.Summary{Ended: len(s.ended), Searchers: len(s.list)}
+	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.list)}
 	for _, j := range s.jobs {
 		if j.started {
 			summary.Running++
@@ -34,59 +34,59 @@
 	for _, sr := range s.list {
 		summary.Runs += len(sr.runs)
 		if sr.reachable {
-			summary.ReachableSearchers++
+			summary.ReachableWorkers++
 		}
 	}
 	return summary
 }
 
-// Searchers reports all known searchers by ID.
-func (s *Scheduler) Searchers(now Now) []jobreport.Searcher {
-	reports := make([]jobreport.Searcher, 0, len(s.list))
+// Workers reports all known workers by ID.
+func (s *Scheduler) Workers(now Now) []jobreport.Worker {
+	reports := make([]jobreport.Worker, 0, len(s.list))
 	for _, sr := range s.list {
-		reports = append(reports, s.reportSearcher(now, sr))
+		reports = append(reports, s.reportWorker(now, sr))
 	}
 	return reports
 }
 
-// Searcher reports one searcher.
-func (s *Scheduler) Searcher(now Now, id worker.SearcherID) (report jobreport.Searcher, known bool) {
-	sr := s.searchers[id]
+// Worker reports one worker.
+func (s *Scheduler) Worker(now Now, id workerclient.WorkerID) (report jobreport.Worker, known bool) {
+	sr := s.workers[id]
 	if sr == nil {
 		return report, false
 	}
-	return s.reportSearcher(now, sr), true
+	return s.reportWorker(now, sr), true
 }
 
-func (s *Scheduler) reportSearcher(now Now, sr *searcher) jobreport.Searcher {
-	return jobreport.Searcher{
+func (s *Scheduler) reportWorker(now Now, sr *worker) jobreport.Worker {
+	return jobreport.Worker{
 		ID: string(sr.ID), Service: sr.Service, Address: sr.Address, Zone: sr.Zone, Version: sr.Version,
 		Rack: sr.rack, Labels: sr.Labels,
-		State: s.searcherState(now, sr), Reachable: sr.reachable,
+		State: s.workerState(now, sr), Reachable: sr.reachable,
 		Draining: sr.Draining, OperatorDraining: s.operatorDrains.has(sr.ID), DrainVersion: s.DrainVersion(sr.ID), RemainingMS: sr.RemainingMS,
 		Window: int(sr.window), LatencyMS: sr.latency, FaultShare: sr.faults,
-		Runs: len(sr.runs), WaitingTasks: sr.held, UnwantedRuns: len(sr.strays),
+		Runs: len(sr.runs), WaitingTasks: sr.held, UnwantedRuns: len(sr.orphans),
 		Used: sr.used, Free: sr.free(), Capacity: sr.Capacity, MissingLists: sr.missingLists,
 	}
 }
 
-func (s *Scheduler) searcherState(now Now, sr *searcher) jobreport.SearcherState {
+func (s *Scheduler) workerState(now Now, sr *worker) jobreport.WorkerState {
 	switch {
 	case !sr.reachable:
-		return jobreport.SearcherUnreachable
+		return jobreport.WorkerUnreachable
 	case sr.Draining:
-		return jobreport.SearcherDraining
+		return jobreport.WorkerDraining
 	case s.operatorDrains.has(sr.ID):
-		return jobreport.SearcherOperatorDraining
+		return jobreport.WorkerOperatorDraining
 	case sr.fencedAt.IsZero():
-		return jobreport.SearcherNotFenced
+		return jobreport.WorkerNotFenced
 	case s.resting(now, sr):
-		return jobreport.SearcherResting
+		return jobreport.WorkerResting
 	}
-	return jobreport.SearcherReady
+	return jobreport.WorkerReady
 }
 
-func (s *Scheduler) resting(now Now, sr *searcher) bool {
+func (s *Scheduler) resting(now Now, sr *worker) bool {
 	return now.Steady.Before(sr.restUntil) || now.Steady.Before(sr.fullUntil)
 }
 
@@ -212,7 +212,7 @@
 
 func reportRun(now Now, r *run) jobreport.Run {
 	return jobreport.Run{
-		Task: r.task.id.String(), Execution: r.execution, Searcher: string(r.at.ID), AgeMS: now.Steady.Sub(r.orderedAt).Milliseconds(),
+		Task: r.task.id.String(), Execution: r.execution, Worker: string(r.at.ID), AgeMS: now.Steady.Sub(r.orderedAt).Milliseconds(),
 		Confirmed: r.seen || !r.answeredAt.IsZero(), Stopping: r.stopping, Percent: r.percent,
 	}
 }
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // steps moves a world on by so many steps.
@@ -41,7 +41,7 @@
 	return why.Waiting[0]
 }
 
-// countOf is how many searchers a cause rules out.
+// countOf is how many workers a cause rules out.
 func countOf(waiting jobreport.Waiting, cause jobreport.Cause) int {
 	for _, ruled := range waiting.RuledOut {
 		if ruled.Cause == cause {
@@ -60,7 +60,7 @@
 			stage := small(2)
 			stage.Requirements = job.Labels{"none"}
 			waiting := whyOf(w, w.submitStages(1, stage))
-			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoSearcher)
+			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(waiting.Tasks, ShouldEqual, 2)
 			So(countOf(waiting, jobreport.CauseLabel), ShouldEqual, 9)
 		})
@@ -68,7 +68,7 @@
 			stage := small(1)
 			stage.Processors = 9000
 			waiting := whyOf(w, w.submitStages(1, stage))
-			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoSearcher)
+			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(countOf(waiting, jobreport.CauseSize), ShouldEqual, 9)
 		})
 		Convey("the first causes are those that load does not change", func() {
@@ -99,9 +99,9 @@
 			whole.Processors = 8000
 			w.submitStages(1, whole)
 			waiting := whyOf(w, w.submitStages(2, small(1)))
-			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoSearcher)
+			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(countOf(waiting, jobreport.CauseRoom), ShouldEqual, 9)
-			So(len(waiting.RuledOut[0].Searchers), ShouldEqual, fewSearchers)
+			So(len(waiting.RuledOut[0].Workers), ShouldEqual, fewWorkers)
 		})
 		Convey("antiAffinity rules out searchers that have a task of the stage", func() {
 			stage := small(12)
@@ -123,7 +123,7 @@
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := whyOf(w, w.submitStages(1, gang))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangRoom)
-			So(len(waiting.Open), ShouldEqual, fewSearchers)
+			So(len(waiting.Open), ShouldEqual, fewWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
 			facts := &jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
@@ -136,21 +136,21 @@
 		Convey("a searcher rests after it called itself unhealthy, and takes nothing beside runs that nobody wants", func() {
 			id := w.submitStages(1, small(1))
 			report, _ := w.scheduler.Job(w.clock(), id)
-			unhealthy := worker.SearcherID(report.Runs[0].Searcher)
-			unwanted := []worker.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, Execution: 1}}
+			unhealthy := workerclient.WorkerID(report.Runs[0].Worker)
+			unwanted := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, Execution: 1}}
 			for _, m := range w.machines {
 				if m.ID != unhealthy {
-					w.scheduler.Listing(w.clock(), &worker.Listing{Searcher: m.ID, SentAt: w.clock().Steady, Running: unwanted})
+					w.scheduler.Listing(w.clock(), &workerclient.Listing{Worker: m.ID, SentAt: w.clock().Steady, Running: unwanted})
 				}
 			}
-			order := worker.StartOrder{Task: job.TaskID{Job: id}, Execution: 1}
-			w.scheduler.StartResult(w.clock(), &worker.StartResult{Searcher: unhealthy, Order: order, Outcome: worker.Unhealthy, At: w.clock().Steady})
+			order := workerclient.StartOrder{Task: job.TaskID{Job: id}, Execution: 1}
+			w.scheduler.StartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Order: order, Outcome: workerclient.Unhealthy, At: w.clock().Steady})
 			waiting := whyOf(w, id)
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonPause)
 			So(countOf(waiting, jobreport.CauseUnwantedRuns), ShouldEqual, 8)
 			So(countOf(waiting, jobreport.CauseResting), ShouldEqual, 1)
-			resting, _ := w.scheduler.Searcher(w.clock(), unhealthy)
-			So(resting.State, ShouldEqual, jobreport.SearcherResting)
+			resting, _ := w.scheduler.Worker(w.clock(), unhealthy)
+			So(resting.State, ShouldEqual, jobreport.WorkerResting)
 		})
 		Convey("an unknown job has no answer, and one that has ended waits for nothing", func() {
 			_, known := w.scheduler.Why(w.clock(), "ffffffffffffffff")
@@ -222,13 +222,13 @@
 		})
 		Convey("the searchers' reports add up", func() {
 			runs := 0
-			for _, one := range w.scheduler.Searchers(w.clock()) {
-				So(one.State, ShouldEqual, jobreport.SearcherReady)
+			for _, one := range w.scheduler.Workers(w.clock()) {
+				So(one.State, ShouldEqual, jobreport.WorkerReady)
 				So(one.Used.Add(one.Free), ShouldResemble, one.Capacity)
 				runs += one.Runs
 			}
 			So(runs, ShouldEqual, 2)
-			So(w.scheduler.Summary(), ShouldResemble, jobreport.Summary{Running: 1, Runs: 2, Searchers: 3, ReachableSearchers: 3})
+			So(w.scheduler.Summary(), ShouldResemble, jobreport.Summary{Running: 1, Runs: 2, Workers: 3, ReachableWorkers: 3})
 		})
 		Convey("lists are filtered, sorted and bounded", func() {
 			for number := 2; number <= 5; number++ {
@@ -280,7 +280,7 @@
 }
 
 // startsAt counts the runs that machines have under way, and those of one of them.
-func startsAt(w *world, id worker.SearcherID) (there, all int) {
+func startsAt(w *world, id workerclient.WorkerID) (there, all int) {
 	for _, m := range w.machines {
 		all += len(m.running)
 		if m.ID == id {
@@ -306,8 +306,8 @@
 			there, all := startsAt(w, "s00")
 			So(there, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
-			report, _ := w.scheduler.Searcher(w.clock(), "s00")
-			So(report.State, ShouldEqual, jobreport.SearcherOperatorDraining)
+			report, _ := w.scheduler.Worker(w.clock(), "s00")
+			So(report.State, ShouldEqual, jobreport.WorkerOperatorDraining)
 		})
 		Convey("a successor keeps to it", func() {
 			w.elect()
@@ -335,10 +335,10 @@
 		Convey("tasks that waited for it wait for others", func() {
 			stage.Count = 200
 			w.submitStages(1, stage)
-			before, _ := w.scheduler.Searcher(w.clock(), "s01")
+			before, _ := w.scheduler.Worker(w.clock(), "s01")
 			So(before.WaitingTasks, ShouldBeGreaterThan, 0)
 			w.scheduler.SetOperatorDrain(w.clock(), "s01", true)
-			after, _ := w.scheduler.Searcher(w.clock(), "s01")
+			after, _ := w.scheduler.Worker(w.clock(), "s01")
 			So(after.WaitingTasks, ShouldEqual, 0)
 		})
 		Convey("the same order again writes nothing", func() {
--- a/internal/jobs/scheduler/found_test.go
+++ b/internal/jobs/scheduler/found_test.go
@@ -6,15 +6,15 @@
 
 	"github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-func TestFoundSearchers(t *testing.T) {
+func TestFoundWorkers(t *testing.T) {
 	convey.Convey("Given a list that is read page by page", t, func() {
 		now := Now{Steady: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 		s, err := New(Settings{HoldMax: 6 * time.Second}, now, nil)
 		convey.So(err, convey.ShouldBeNil)
-		first, second := []worker.Instance{{ID: "i-1"}}, []worker.Instance{{ID: "i-2"}}
+		first, second := []workerclient.Instance{{ID: "i-1"}}, []workerclient.Instance{{ID: "i-2"}}
 		s.Found(now, first)
 		convey.Convey("the searchers of each page are known at once, and no page makes those of others missing", func() {
 			convey.So(s.Knows("i-1"), convey.ShouldBeTrue)
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	windowStart   = 4.0   // runs that one searcher may have at first
+	windowStart   = 4.0   // runs that one worker may have at first
 	windowMost    = 256.0 // its capacity is what bounds it then
 	windowLeast   = 1.0
-	latencyWeight = 0.2  // weight of a new duration in a searcher's smoothed latency
-	faultWeight   = 0.25 // weight of a new end in a searcher's share of faults
+	latencyWeight = 0.2  // weight of a new duration in a worker's smoothed latency
+	faultWeight   = 0.25 // weight of a new end in a worker's share of faults
 	usualUpTo     = 3.0  // times the expected duration: an end within widens the window
 
 	stallLeast   = 800 * time.Millisecond // a run that makes no progress for so long may have stalled
 	stallOfGang  = 2 * time.Second        // more where the run may not have begun
 	stallShare   = 0.24                   // and for this share of its expected duration
-	restOfStalls = 4 * time.Second        // no starts at a searcher on which a run has stalled
+	restOfStalls = 4 * time.Second        // no starts at a worker on which a run has stalled
 )
 
-// learn takes a run's end into its searcher's window, latency and share of faults.
+// learn takes a run's end into its worker's window, latency and share of faults.
 func (s *Scheduler) learn(now Now, r *run, how job.How) {
 	sr := r.at
 	switch how {
@@ -43,8 +43,8 @@
 	}
 }
 
-// hear takes a duration in milliseconds into a searcher's smoothed latency.
-func (s *Scheduler) hear(sr *searcher, took float64) {
+// hear takes a duration in milliseconds into a worker's smoothed latency.
+func (s *Scheduler) hear(sr *worker, took float64) {
 	if sr.latency == 0 {
 		sr.latency = max(1, took)
 		s.heard++
@@ -56,8 +56,8 @@
 	s.heardSum += change
 }
 
-// unhear forgets a searcher's latency.
-func (s *Scheduler) unhear(sr *searcher) {
+// unhear forgets a worker's latency.
+func (s *Scheduler) unhear(sr *worker) {
 	if sr.latency > 0 {
 		s.heard--
 		s.heardSum -= sr.latency
@@ -65,13 +65,13 @@
 	}
 }
 
-// expectedMS is how long a run of a stage takes at a searcher, by the client's estimate.
-func (s *Scheduler) expectedMS(stage *stageRun, sr *searcher) float64 {
+// expectedMS is how long a run of a stage takes at a worker, by the client's estimate.
+func (s *Scheduler) expectedMS(stage *stageRun, sr *worker) float64 {
 	return max(1, float64(stage.EstimatedDurationMS)) * s.distance(stage, sr)
 }
 
 // distance is the factor by which a task takes longer away from its data.
-func (s *Scheduler) distance(stage *stageRun, sr *searcher) float64 {
+func (s *Scheduler) distance(stage *stageRun, sr *worker) float64 {
 	if stage.Affinity == "" || stage.Affinity == sr.rack || sr.hasLabel(stage.Affinity) {
 		return 1
 	}
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -5,15 +5,15 @@
 	"slices"
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// missingLists is after how many whole lists without it an unreachable searcher's life counts as over.
+// missingLists is after how many whole lists without it an unreachable worker's life counts as over.
 const missingLists = 2
 
-// Inventory takes the service's searchers as the platform lists them, all of them.
-func (s *Scheduler) Inventory(now Now, instances []worker.Instance) {
-	present := make(map[worker.SearcherID]bool, len(instances))
+// Inventory takes the service's workers as the platform lists them, all of them.
+func (s *Scheduler) Inventory(now Now, instances []workerclient.Instance) {
+	present := make(map[workerclient.WorkerID]bool, len(instances))
 	for i := range instances {
 		present[instances[i].ID] = true
 		s.learnOf(now, &instances[i])
@@ -32,27 +32,27 @@
 	s.unplaced = true
 }
 
-// Found takes some of the service's searchers, while the platform's list has not been read whole yet.
-func (s *Scheduler) Found(now Now, instances []worker.Instance) {
+// Found takes some of the service's workers, while the platform's list has not been read whole yet.
+func (s *Scheduler) Found(now Now, instances []workerclient.Instance) {
 	for i := range instances {
 		s.learnOf(now, &instances[i])
 	}
 	s.unplaced = true
 }
 
-// Knows tells whether a searcher's life is going on as far as is known.
-func (s *Scheduler) Knows(id worker.SearcherID) bool { return s.searchers[id] != nil }
+// Knows tells whether a worker's life is going on as far as is known.
+func (s *Scheduler) Knows(id workerclient.WorkerID) bool { return s.workers[id] != nil }
 
-// Over tells whether a searcher's life is known to be over although the platform may still list it.
-func (s *Scheduler) Over(id worker.SearcherID) bool { return s.gone[id] }
+// Over tells whether a worker's life is known to be over although the platform may still list it.
+func (s *Scheduler) Over(id workerclient.WorkerID) bool { return s.gone[id] }
 
-func (s *Scheduler) learnOf(now Now, instance *worker.Instance) {
+func (s *Scheduler) learnOf(now Now, instance *workerclient.Instance) {
 	if s.gone[instance.ID] {
 		return
 	}
-	sr := s.searchers[instance.ID]
+	sr := s.workers[instance.ID]
 	if sr == nil {
-		sr = s.addSearcher(instance.ID)
+		sr = s.addWorker(instance.ID)
 	}
 	drains := instance.Draining && !sr.Draining
 	sr.Instance = *instance
@@ -63,16 +63,16 @@
 	}
 }
 
-func (s *Scheduler) addSearcher(id worker.SearcherID) *searcher {
-	sr := &searcher{Instance: worker.Instance{ID: id}, runs: map[job.TaskID]*run{}, window: windowStart}
-	s.searchers[id] = sr
-	at, _ := slices.BinarySearchFunc(s.list, sr, func(a, b *searcher) int { return cmp.Compare(a.ID, b.ID) })
+func (s *Scheduler) addWorker(id workerclient.WorkerID) *worker {
+	sr := &worker{Instance: workerclient.Instance{ID: id}, runs: map[job.TaskID]*run{}, window: windowStart}
+	s.workers[id] = sr
+	at, _ := slices.BinarySearchFunc(s.list, sr, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 	s.list = slices.Insert(s.list, at, sr)
 	return sr
 }
 
-// drain moves away what cannot end before the searcher may leave.
-func (s *Scheduler) drain(now Now, sr *searcher) {
+// drain moves away what cannot end before the worker may leave.
+func (s *Scheduler) drain(now Now, sr *worker) {
 	stays := float64(sr.RemainingMS)
 	if sr.RemainingMS == 0 {
 		stays = float64(s.settings.DrainTime.Milliseconds())
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -6,20 +6,20 @@
 	"strings"
 
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// operatorDrainPrefix is the prefix of the durable records of searchers that operators have drained or undrained:
+// operatorDrainPrefix is the prefix of the durable records of workers that operators have drained or undrained:
 //
-//	d/SEARCHER  operatorDrainRecord
+//	d/Worker  operatorDrainRecord
 const operatorDrainPrefix = "d/"
 
-// operatorDrainRecord says whether an operator allows a searcher no new starts, and which orders were taken before. It stays after
-// the end of a drain, for as long as the searcher lives: an order that comes late is told by its version.
+// operatorDrainRecord says whether an operator allows a worker no new starts, and which orders were taken before. It stays after
+// the end of a drain, for as long as the worker lives: an order that comes late is told by its version.
 type operatorDrainRecord struct {
 	SinceMS int64  `msgpack:"t"` // of the newest change, milliseconds since 1970
 	Version uint64 `msgpack:"v"` // the number of orders taken
-	// History has a bit for each of the newest versions, the lowest for the newest one: whether the searcher was drained then.
+	// History has a bit for each of the newest versions, the lowest for the newest one: whether the worker was drained then.
 	History uint64 `msgpack:"h"`
 }
 
@@ -53,24 +53,24 @@
 	return jobreport.DrainSuperseded
 }
 
-// DrainOrder is an operator's order to drain a searcher, or to end that, on top of the version that the operator has read.
+// DrainOrder is an operator's order to drain a worker, or to end that, on top of the version that the operator has read.
 type DrainOrder struct {
 	Draining bool
 	OnTopOf  uint64
 }
 
-// operatorDrain is one such searcher.
+// operatorDrain is one such worker.
 type operatorDrain struct {
 	operatorDrainRecord
 	missingLists int // the platform's lists in a row while its life is not known
 }
 
-func operatorDrainKey(id worker.SearcherID) string { return operatorDrainPrefix + string(id) }
+func operatorDrainKey(id workerclient.WorkerID) string { return operatorDrainPrefix + string(id) }
 
-// SetOperatorDrain lets a searcher get no new starts, or allows them again; what runs there goes on. It tells whether
-// the searcher is known. The same order again changes nothing; a drain that was taken is known also while the searcher is
+// SetOperatorDrain lets a worker get no new starts, or allows them again; what runs there goes on. It tells whether
+// the worker is known. The same order again changes nothing; a drain that was taken is known also while the worker is
 // not, as after a change of leaders.
-func (s *Scheduler) SetOperatorDrain(now Now, id worker.SearcherID, draining bool) bool {
+func (s *Scheduler) SetOperatorDrain(now Now, id workerclient.WorkerID, draining bool) bool {
 	if !s.knowsDrained(id) {
 		return false
 	}
@@ -81,7 +81,7 @@
 }
 
 // OrderOperatorDrain does the same on top of a version, so that an order that comes late does not undo a later one.
-func (s *Scheduler) OrderOperatorDrain(now Now, id worker.SearcherID, order DrainOrder) jobreport.DrainOutcome {
+func (s *Scheduler) OrderOperatorDrain(now Now, id workerclient.WorkerID, order DrainOrder) jobreport.DrainOutcome {
 	if !s.knowsDrained(id) {
 		return jobreport.DrainUnknown
 	}
@@ -93,13 +93,13 @@
 	return outcome
 }
 
-// knowsDrained tells whether an operator may drain or undrain a searcher.
-func (s *Scheduler) knowsDrained(id worker.SearcherID) bool {
-	return s.searchers[id] != nil || s.operatorDrains[id] != nil
+// knowsDrained tells whether an operator may drain or undrain a worker.
+func (s *Scheduler) knowsDrained(id workerclient.WorkerID) bool {
+	return s.workers[id] != nil || s.operatorDrains[id] != nil
 }
 
 // takeDrain carries out an order.
-func (s *Scheduler) takeDrain(now Now, id worker.SearcherID, draining bool) {
+func (s *Scheduler) takeDrain(now Now, id workerclient.WorkerID, draining bool) {
 	was := s.operatorDrains.record(id)
 	record := was.next(now, draining)
 	s.operatorDrains[id] = &operatorDrain{operatorDrainRecord: record}
@@ -108,41 +108,41 @@
 	case draining == was.draining():
 		return
 	case draining:
-		s.rebind(now, s.searchers[id])
+		s.rebind(now, s.workers[id])
 	default:
 		s.bindAll(now)
 	}
 	s.unplaced = true
 }
 
-// DrainVersion is the number of operators' orders on the drain of a searcher that were taken in its life.
-func (s *Scheduler) DrainVersion(id worker.SearcherID) uint64 {
+// DrainVersion is the number of operators' orders on the drain of a worker that were taken in its life.
+func (s *Scheduler) DrainVersion(id workerclient.WorkerID) uint64 {
 	return s.operatorDrains.record(id).Version
 }
 
-// OperatorDrains tells whether an operator allows a searcher no new starts.
-func (s *Scheduler) OperatorDrains(id worker.SearcherID) bool { return s.operatorDrains.has(id) }
+// OperatorDrains tells whether an operator allows a worker no new starts.
+func (s *Scheduler) OperatorDrains(id workerclient.WorkerID) bool { return s.operatorDrains.has(id) }
 
-// operatorDrains are the searchers that operators have drained or undrained.
-type operatorDrains map[worker.SearcherID]*operatorDrain
+// operatorDrains are the workers that operators have drained or undrained.
+type operatorDrains map[workerclient.WorkerID]*operatorDrain
 
-// has tells whether an operator allows a searcher no new starts now.
-func (d operatorDrains) has(id worker.SearcherID) bool { return d.record(id).draining() }
+// has tells whether an operator allows a worker no new starts now.
+func (d operatorDrains) has(id workerclient.WorkerID) bool { return d.record(id).draining() }
 
-// record is that of a searcher; its zero value stands for one that no operator has drained.
-func (d operatorDrains) record(id worker.SearcherID) operatorDrainRecord {
+// record is that of a worker; its zero value stands for one that no operator has drained.
+func (d operatorDrains) record(id workerclient.WorkerID) operatorDrainRecord {
 	if drain := d[id]; drain != nil {
 		return drain.operatorDrainRecord
 	}
 	return operatorDrainRecord{}
 }
 
-func (s *Scheduler) forgetOperatorDrain(id worker.SearcherID) {
+func (s *Scheduler) forgetOperatorDrain(id workerclient.WorkerID) {
 	delete(s.operatorDrains, id)
 	s.erase(operatorDrainKey(id))
 }
 
-// pruneOperatorDrains forgets the records of searchers whose lives are over. It is called after each whole list.
+// pruneOperatorDrains forgets the records of workers whose lives are over. It is called after each whole list.
 func (s *Scheduler) pruneOperatorDrains() {
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		drain := s.operatorDrains[id]
@@ -172,7 +172,7 @@
 		if drain.Version == 0 { // written by a release whose records were drains alone
 			drain.operatorDrainRecord = operatorDrainRecord{SinceMS: drain.SinceMS, Version: 1, History: 1}
 		}
-		drains[worker.SearcherID(id)] = drain
+		drains[workerclient.WorkerID(id)] = drain
 	}
 	return drains, nil
 }
--- a/internal/jobs/scheduler/order.go
+++ b/internal/jobs/scheduler/order.go
@@ -9,9 +9,9 @@
 // mostOrdered bounds the jobs that one recomputation ranks by makespan; the rest follow in order of arrival.
 const mostOrdered = 64
 
-// subjob is the tasks of one job that wait at one searcher.
+// subjob is the tasks of one job that wait at one worker.
 type subjob struct {
-	at   *searcher
+	at   *worker
 	size int
 }
 
@@ -25,8 +25,8 @@
 	size     int      // by divide
 }
 
-// reorder sorts the stages that wait: by level, and within a level by SWAG's greedy order. Each searcher's queue
-// begins at our runs there. Each step picks the job whose largest makespan over its searchers is least (ties: the
+// reorder sorts the stages that wait: by level, and within a level by SWAG's greedy order. Each worker's queue
+// begins at our runs there. Each step picks the job whose largest makespan over its workers is least (ties: the
 // smaller job), and adds its tasks to the queues.
 func (s *Scheduler) reorder(now Now) {
 	if !s.unsorted {
@@ -87,7 +87,7 @@
 	return candidates
 }
 
-// divide counts the tasks that wait, all and at each searcher, and lets the queues of these searchers begin at our runs there.
+// divide counts the tasks that wait, all and at each worker, and lets the queues of these workers begin at our runs there.
 // It is done for those candidates alone that are ranked by makespan: the others may be thousands.
 func (c *candidate) divide() {
 	c.size, c.parts = 0, c.parts[:0]
@@ -102,8 +102,8 @@
 	}
 }
 
-// addPart counts one task at the searcher that it is bound to; nil for none.
-func (c *candidate) addPart(bound *searcher) {
+// addPart counts one task at the worker that it is bound to; nil for none.
+func (c *candidate) addPart(bound *worker) {
 	if bound == nil {
 		return
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-// makespan is a job's slowest sub-job: queue and own tasks times the searcher's latency. One that exceeds the bound is
+// makespan is a job's slowest sub-job: queue and own tasks times the worker's latency. One that exceeds the bound is
 // not worked out further.
 func (s *Scheduler) makespan(c *candidate, bound float64) float64 {
 	longest := 0.0
@@ -152,9 +152,9 @@
 	return longest
 }
 
-// latency is a searcher's smoothed latency in milliseconds. An unheard one counts as average, and where all are
+// latency is a worker's smoothed latency in milliseconds. An unheard one counts as average, and where all are
 // unheard latency starts from the objective of the job's queue.
-func (s *Scheduler) latency(j *jobState, sr *searcher) float64 {
+func (s *Scheduler) latency(j *jobState, sr *worker) float64 {
 	if sr.latency > 0 {
 		return sr.latency
 	}
--- a/internal/jobs/scheduler/order_test.go
+++ b/internal/jobs/scheduler/order_test.go
@@ -11,7 +11,7 @@
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // modelCandidate is a repetition that waits, as modelOrder sees it.
@@ -19,7 +19,7 @@
 	level  int
 	job    *jobState
 	stages []*stageRun
-	parts  map[*searcher]int
+	parts  map[*worker]int
 	size   int
 }
 
@@ -33,7 +33,7 @@
 		}
 		c := of[stage.repetition]
 		if c == nil {
-			c = &modelCandidate{level: stage.repetition.level(now, stage.job), job: stage.job, parts: map[*searcher]int{}}
+			c = &modelCandidate{level: stage.repetition.level(now, stage.job), job: stage.job, parts: map[*worker]int{}}
 			of[stage.repetition] = c
 			all = append(all, c)
 		}
@@ -48,7 +48,7 @@
 	slices.SortFunc(all, func(a, b *modelCandidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.job.Arrival, b.job.Arrival))
 	})
-	queues := map[*searcher]float64{}
+	queues := map[*worker]float64{}
 	for _, sr := range s.list {
 		queues[sr] = float64(len(sr.runs))
 	}
@@ -64,7 +64,7 @@
 	return order
 }
 
-func modelRank(s *Scheduler, queues map[*searcher]float64, level []*modelCandidate) []*stageRun {
+func modelRank(s *Scheduler, queues map[*worker]float64, level []*modelCandidate) []*stageRun {
 	var order []*stageRun
 	left, rest := slices.Clone(level[:min(len(level), mostOrdered)]), level[min(len(level), mostOrdered):]
 	for len(left) > 0 {
@@ -90,18 +90,18 @@
 	return order
 }
 
-// endSome ends some runs at searchers, so that room, queues and latencies change.
+// endSome ends some runs at workers, so that room, queues and latencies change.
 func endSome(s *Scheduler, now Now, round int) {
 	for i, sr := range s.list {
 		if (i+round)%3 != 0 {
 			continue
 		}
-		report := worker.Listing{Searcher: sr.ID, SentAt: now.Steady}
+		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Steady}
 		for at, r := range sr.sortedRuns() {
 			if at == 0 {
-				report.Finished = []worker.FinishedTask{{Number: sr.noted + 1, Task: r.task.id, Execution: r.execution, How: job.Done}}
+				report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: r.task.id, Execution: r.execution, How: job.Done}}
 			} else {
-				report.Running = append(report.Running, worker.RunningTask{Task: r.task.id, Execution: r.execution})
+				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
 			}
 		}
 		s.Listing(now, &report)
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestDispatchLooksAtNoOtherSearcher(t *testing.T) {
+func TestDispatchLooksAtNoOtherWorker(t *testing.T) {
 	s, now, _ := loaded(30, 0)
 	submit := func(number, count int) {
 		s.Submit(now, &jobapi.Submit{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3},
