--- a/internal/jobs/scheduler/pace.go
+++ b/internal/jobs/scheduler/pace.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	paceWeight    = 0.25                   // weight of a new observation in a searcher's drag
+	paceWeight    = 0.25                   // weight of a new observation in a worker's drag
 	paceLeast     = 500 * time.Millisecond // a run is watched for so long before its pace counts
-	dragNormal    = 2.5                    // times the usual drag: above, a searcher counts as slow
+	dragNormal    = 2.5                    // times the usual drag: above, a worker counts as slow
 	crawlFactor   = 2.0                    // a run moves if it would end so many times later than elsewhere
 	moveCost      = 300.0                  // milliseconds that a move takes besides its stop
 	mostMoves     = 2                      // of one task
-	dragForgotten = 0.05                   // share of a searcher's drag that fades with each inspection
+	dragForgotten = 0.05                   // share of a worker's drag that fades with each inspection
 )
 
-// observe takes the pace of a searcher's runs into its drag: how many times longer than expected they take.
+// observe takes the pace of a worker's runs into its drag: how many times longer than expected they take.
 func (s *Scheduler) observe(now Now, r *run) {
 	pace, known := r.pace(now)
 	if !known {
@@ -40,15 +40,15 @@
 	return float64(watched.Milliseconds()) * 100 / float64(r.percent-r.pacePercent), true
 }
 
-// slowdown is how much slower than usual a searcher is; 1 for the usual.
-func (s *Scheduler) slowdown(sr *searcher) float64 {
+// slowdown is how much slower than usual a worker is; 1 for the usual.
+func (s *Scheduler) slowdown(sr *worker) float64 {
 	if sr.drag == 0 || s.usualDrag == 0 {
 		return 1
 	}
 	return max(1, sr.drag/s.usualDrag)
 }
 
-// settleDrag works out the usual drag of searchers, which is their median.
+// settleDrag works out the usual drag of workers, which is their median.
 func (s *Scheduler) settleDrag() {
 	s.drags = s.drags[:0]
 	for _, sr := range s.list {
--- a/internal/jobs/scheduler/place.go
+++ b/internal/jobs/scheduler/place.go
@@ -6,17 +6,17 @@
 	"slices"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 const (
-	faultCost     = 8.0             // how much costlier a searcher is all of whose runs fail
+	faultCost     = 8.0             // how much costlier a worker is all of whose runs fail
 	patienceShare = 0.7             // of the time lost by running far from the data or across racks
 	mostPatience  = 2 * time.Second // wait for room near the data
 )
 
-// suits tells whether a searcher may ever take tasks of a stage: the label, the size, and that it stays.
-func (s *Scheduler) suits(stage *stageRun, sr *searcher) bool {
+// suits tells whether a worker may ever take tasks of a stage: the label, the size, and that it stays.
+func (s *Scheduler) suits(stage *stageRun, sr *worker) bool {
 	if sr.Draining || !sr.listed || s.operatorDrains.has(sr.ID) || !sr.Capacity.Fits(stage.Resources) {
 		return false
 	}
@@ -28,10 +28,10 @@
 	return true
 }
 
-// bind chooses the searcher where a task waits: the least cost among the eligible.
+// bind chooses the worker where a task waits: the least cost among the eligible.
 func (s *Scheduler) bind(now Now, t *task) {
 	s.unbind(t)
-	var best *searcher
+	var best *worker
 	bestCost := math.Inf(1)
 	for _, sr := range s.list {
 		if !sr.reachable || !s.suits(t.stage, sr) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// rebind binds the tasks anew that wait at a searcher which cannot take them any more.
-func (s *Scheduler) rebind(now Now, sr *searcher) {
+// rebind binds the tasks anew that wait at a worker which cannot take them any more.
+func (s *Scheduler) rebind(now Now, sr *worker) {
 	for _, stage := range s.stages {
 		for _, t := range stage.waiting {
 			if t.bound == sr {
@@ -70,7 +70,7 @@
 	s.unsorted = true
 }
 
-// bindAll binds the tasks that found no eligible searcher before.
+// bindAll binds the tasks that found no eligible worker before.
 func (s *Scheduler) bindAll(now Now) {
 	for _, stage := range s.stages {
 		for _, t := range stage.waiting {
@@ -82,9 +82,9 @@
 	s.unsorted = true
 }
 
-// isOpen tells whether a searcher takes starts right now.
-func (s *Scheduler) isOpen(now Now, sr *searcher) bool {
-	if !sr.reachable || !sr.listed || sr.Draining || s.operatorDrains.has(sr.ID) || sr.fencedAt.IsZero() || len(sr.strays) > 0 {
+// isOpen tells whether a worker takes starts right now.
+func (s *Scheduler) isOpen(now Now, sr *worker) bool {
+	if !sr.reachable || !sr.listed || sr.Draining || s.operatorDrains.has(sr.ID) || sr.fencedAt.IsZero() || len(sr.orphans) > 0 {
 		return false
 	}
 	if float64(len(sr.runs)) >= sr.window {
@@ -93,8 +93,8 @@
 	return !now.Steady.Before(sr.restUntil) && !now.Steady.Before(sr.fullUntil)
 }
 
-// admits tells whether an open searcher can take one more task of a stage, beside so many more that are planned there.
-func (s *Scheduler) admits(stage *stageRun, sr *searcher, planned int) bool {
+// admits tells whether an open worker can take one more task of a stage, beside so many more that are planned there.
+func (s *Scheduler) admits(stage *stageRun, sr *worker, planned int) bool {
 	if float64(len(sr.runs)+planned) >= sr.window {
 		return false
 	}
@@ -108,8 +108,8 @@
 	return stage.AntiAffinity == 0 || sr.tasksOf(stage)+planned < stage.AntiAffinity
 }
 
-// tasksOf counts a stage's runs at a searcher.
-func (sr *searcher) tasksOf(stage *stageRun) int {
+// tasksOf counts a stage's runs at a worker.
+func (sr *worker) tasksOf(stage *stageRun) int {
 	count := 0
 	for _, r := range sr.runs {
 		if r.task.stage == stage {
@@ -140,9 +140,9 @@
 	}
 }
 
-// openSearchers lists the searchers that take starts. They are looked for once a dispatch, and only where a task has no room
-// at the searcher that it is bound to.
-func (s *Scheduler) openSearchers(now Now) []*searcher {
+// openWorkers lists the workers that take starts. They are looked for once a dispatch, and only where a task has no room
+// at the worker that it is bound to.
+func (s *Scheduler) openWorkers(now Now) []*worker {
 	if s.opened {
 		return s.open
 	}
@@ -195,14 +195,14 @@
 	return false
 }
 
-// choose picks an open searcher with room: the one where the task is bound, else the least costly sibling.
-func (s *Scheduler) choose(now Now, t *task, near bool) *searcher {
+// choose picks an open worker with room: the one where the task is bound, else the least costly sibling.
+func (s *Scheduler) choose(now Now, t *task, near bool) *worker {
 	if bound := t.bound; bound != nil && s.isOpen(now, bound) && s.mayTake(t, bound, near) && !slices.Contains(t.avoid, bound.ID) {
 		return bound
 	}
-	var best *searcher
+	var best *worker
 	bestCost := math.Inf(1)
-	for _, sr := range s.openSearchers(now) {
+	for _, sr := range s.openWorkers(now) {
 		if !s.mayTake(t, sr, near) {
 			continue
 		}
@@ -217,16 +217,16 @@
 	return best
 }
 
-// mayTake tells whether an open searcher can take a task, near its data if it stays there.
-func (s *Scheduler) mayTake(t *task, sr *searcher, near bool) bool {
+// mayTake tells whether an open worker can take a task, near its data if it stays there.
+func (s *Scheduler) mayTake(t *task, sr *worker, near bool) bool {
 	if near && s.distance(t.stage, sr) > 1 {
 		return false
 	}
 	return s.admits(t.stage, sr, 0) && sr.runs[t.id] == nil
 }
 
-// assign gives a task to a searcher.
-func (s *Scheduler) assign(now Now, t *task, sr *searcher, execution uint64) {
+// assign gives a task to a worker.
+func (s *Scheduler) assign(now Now, t *task, sr *worker, execution uint64) {
 	s.unwait(t)
 	t.execution = execution
 	r := &run{task: t, at: sr, execution: execution, orderedAt: now.Steady}
@@ -235,8 +235,8 @@
 	sr.used = sr.used.Add(t.stage.Resources)
 	t.stage.job.started = true
 	s.writeTask(t)
-	order := &worker.StartOrder{Task: t.id, Execution: execution, Specification: t.stage.job.Specification.Text, Checkpoint: t.checkpoint}
-	s.effects.Orders = append(s.effects.Orders, Order{Searcher: sr.ID, Start: order})
+	order := &workerclient.StartOrder{Task: t.id, Execution: execution, Specification: t.stage.job.Specification.Text, Checkpoint: t.checkpoint}
+	s.effects.Orders = append(s.effects.Orders, Order{Worker: sr.ID, Start: order})
 }
 
 // startGang starts all members at once or none.
@@ -261,7 +261,7 @@
 }
 
 // planGang finds room for all members: on one rack if they want that and one has room, else anywhere.
-func (s *Scheduler) planGang(now Now, stage *stageRun) []*searcher {
+func (s *Scheduler) planGang(now Now, stage *stageRun) []*worker {
 	if stage.SameRack {
 		for _, rack := range s.racks(now) {
 			if placed := s.planOn(now, stage, rack); placed != nil {
@@ -291,10 +291,10 @@
 	return false
 }
 
-// racks lists the racks of open searchers.
+// racks lists the racks of open workers.
 func (s *Scheduler) racks(now Now) []string {
 	var racks []string
-	for _, sr := range s.openSearchers(now) {
+	for _, sr := range s.openWorkers(now) {
 		if sr.rack != "" && !slices.Contains(racks, sr.rack) {
 			racks = append(racks, sr.rack)
 		}
@@ -302,16 +302,16 @@
 	return racks
 }
 
-// planOn places a gang on a rack ("" for all of them), filling the least costly searchers first.
-func (s *Scheduler) planOn(now Now, stage *stageRun, rack string) []*searcher {
-	var candidates []*searcher
-	for _, sr := range s.openSearchers(now) {
+// planOn places a gang on a rack ("" for all of them), filling the least costly workers first.
+func (s *Scheduler) planOn(now Now, stage *stageRun, rack string) []*worker {
+	var candidates []*worker
+	for _, sr := range s.openWorkers(now) {
 		if (rack == "" || sr.rack == rack) && s.admits(stage, sr, 0) {
 			candidates = append(candidates, sr)
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b *searcher) int { return cmp.Compare(s.cost(stage, a), s.cost(stage, b)) })
-	var placed []*searcher
+	slices.SortStableFunc(candidates, func(a, b *worker) int { return cmp.Compare(s.cost(stage, a), s.cost(stage, b)) })
+	var placed []*worker
 	for _, sr := range candidates {
 		for planned := 0; len(placed) < stage.Count && s.admits(stage, sr, planned); planned++ {
 			placed = append(placed, sr)
--- a/internal/jobs/scheduler/progress.go
+++ b/internal/jobs/scheduler/progress.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // advance begins the repetitions that are due.
@@ -212,8 +212,8 @@
 		return
 	}
 	r.stopping = true
-	order := &worker.StopOrder{Task: r.task.id, Execution: r.execution}
-	s.effects.Orders = append(s.effects.Orders, Order{Searcher: r.at.ID, Stop: order})
+	order := &workerclient.StopOrder{Task: r.task.id, Execution: r.execution}
+	s.effects.Orders = append(s.effects.Orders, Order{Worker: r.at.ID, Stop: order})
 }
 
 // forgetEnded drops the states of jobs that ended long ago. The time of day, which may be set, is believed only together
--- a/internal/jobs/scheduler/records.go
+++ b/internal/jobs/scheduler/records.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // Durable records, by key:
@@ -19,7 +19,7 @@
 //	t/ID/K.S.I    taskRecord        a task that was assigned at least once
 //	k/ID/K        repetitionRecord  a repetition that is complete; its tasks' records are gone
 //	e/ID          endedRecord       a job that has ended; its other records are gone
-//	d/SEARCHER    operatorDrainRecord  see operatordrain.go
+//	d/Worker    operatorDrainRecord  see operatordrain.go
 const (
 	jobPrefix        = "j/"
 	taskPrefix       = "t/"
@@ -35,11 +35,11 @@
 }
 
 type taskRecord struct {
-	Execution  uint64            `msgpack:"x"`           // highest run ever assigned
-	Searcher   worker.SearcherID `msgpack:"s,omitempty"` // where that run was assigned; empty once it is over
-	Failed     []uint64          `msgpack:"f,omitempty"` // runs that ended failed, each once
-	Checkpoint string            `msgpack:"c,omitempty"`
-	Done       bool              `msgpack:"d,omitempty"`
+	Execution  uint64                `msgpack:"x"`           // highest run ever assigned
+	Worker     workerclient.WorkerID `msgpack:"s,omitempty"` // where that run was assigned; empty once it is over
+	Failed     []uint64              `msgpack:"f,omitempty"` // runs that ended failed, each once
+	Checkpoint string                `msgpack:"c,omitempty"`
+	Done       bool                  `msgpack:"d,omitempty"`
 }
 
 type repetitionRecord struct {
@@ -78,7 +78,7 @@
 	record := taskRecord{Execution: t.execution, Failed: t.failed, Checkpoint: t.checkpoint, Done: t.done}
 	for _, r := range t.runs {
 		if r.execution == t.execution {
-			record.Searcher = r.at.ID
+			record.Worker = r.at.ID
 		}
 	}
 	t.recorded = true
--- a/internal/jobs/scheduler/refusals.go
+++ b/internal/jobs/scheduler/refusals.go
@@ -4,7 +4,7 @@
 
 // refusals are requests that found no room during one dispatch: whoever asks for as much finds none either.
 type refusals struct {
-	anywhere []job.Resources            // of stages that any searcher may take
+	anywhere []job.Resources            // of stages that any worker may take
 	labelled map[string][]job.Resources // of those that need a label
 }
 
--- a/internal/jobs/scheduler/reports.go
+++ b/internal/jobs/scheduler/reports.go
@@ -5,23 +5,23 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // LateOrders is how long after it was sent an unanswered order may still be carried out.
 const LateOrders = 12500 * time.Millisecond
 
 const (
-	restAfterUnhealthy = time.Second            // no starts at a searcher that turned one away as unhealthy
+	restAfterUnhealthy = time.Second            // no starts at a worker that turned one away as unhealthy
 	restAfterFull      = 300 * time.Millisecond // nor at one that had less room than we thought
 	restAfterMisstart  = 100 * time.Millisecond // of a task whose start went wrong
-	mostAvoided        = 4                      // searchers that a task avoids
+	mostAvoided        = 4                      // workers that a task avoids
 	brokenPatience     = 700 * time.Millisecond // until the members of a broken gang are stopped by order
 )
 
-// Listing takes a searcher's report of what runs there and what has ended.
-func (s *Scheduler) Listing(now Now, report *worker.Listing) {
-	sr := s.searchers[report.Searcher]
+// Listing takes a worker's report of what runs there and what has ended.
+func (s *Scheduler) Listing(now Now, report *workerclient.Listing) {
+	sr := s.workers[report.Worker]
 	if sr == nil {
 		return
 	}
@@ -46,13 +46,13 @@
 }
 
 // listRunning matches the running list with our runs and stops what nobody wants.
-func (s *Scheduler) listRunning(now Now, sr *searcher, report *worker.Listing) map[job.TaskID]bool {
+func (s *Scheduler) listRunning(now Now, sr *worker, report *workerclient.Listing) map[job.TaskID]bool {
 	if len(report.Running) == 0 {
-		sr.strays = nil
+		sr.orphans = nil
 		return nil
 	}
 	listed := make(map[job.TaskID]bool, len(report.Running))
-	var strays map[stray]bool
+	var orphans map[orphan]bool
 	for i := range report.Running {
 		entry := &report.Running[i]
 		r := sr.runs[entry.Task]
@@ -61,21 +61,21 @@
 			s.progressed(now, r, entry)
 			continue
 		}
-		key := stray{entry.Task, entry.Execution}
-		if strays == nil {
-			strays = map[stray]bool{}
+		key := orphan{entry.Task, entry.Execution}
+		if orphans == nil {
+			orphans = map[orphan]bool{}
 		}
-		strays[key] = true
-		if !sr.strays[key] {
-			order := &worker.StopOrder{Task: entry.Task, Execution: entry.Execution}
-			s.effects.Orders = append(s.effects.Orders, Order{Searcher: sr.ID, Stop: order})
+		orphans[key] = true
+		if !sr.orphans[key] {
+			order := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
+			s.effects.Orders = append(s.effects.Orders, Order{Worker: sr.ID, Stop: order})
 		}
 	}
-	sr.strays = strays
+	sr.orphans = orphans
 	return listed
 }
 
-func (s *Scheduler) progressed(now Now, r *run, entry *worker.RunningTask) {
+func (s *Scheduler) progressed(now Now, r *run, entry *workerclient.RunningTask) {
 	if !r.seen {
 		r.seen = true
 		r.paceFrom, r.pacePercent = now.Steady, entry.Percent
@@ -92,7 +92,7 @@
 }
 
 // missing settles the runs that a report should have listed and did not.
-func (s *Scheduler) missing(now Now, sr *searcher, report *worker.Listing, listed map[job.TaskID]bool) {
+func (s *Scheduler) missing(now Now, sr *worker, report *workerclient.Listing, listed map[job.TaskID]bool) {
 	if len(sr.runs) == len(listed) {
 		return // each one of listed is one of ours
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// noteEnd takes one entry of a searcher's list of ends.
-func (s *Scheduler) noteEnd(now Now, sr *searcher, end *worker.FinishedTask) {
+// noteEnd takes one entry of a worker's list of ends.
+func (s *Scheduler) noteEnd(now Now, sr *worker, end *workerclient.FinishedTask) {
 	if end.Number <= sr.noted {
 		return
 	}
@@ -145,14 +145,14 @@
 	}
 }
 
-func (s *Scheduler) noteLast(sr *searcher) {
+func (s *Scheduler) noteLast(sr *worker) {
 	for i := range s.effects.Noted {
-		if s.effects.Noted[i].Searcher == sr.ID {
+		if s.effects.Noted[i].Worker == sr.ID {
 			s.effects.Noted[i].Number = sr.noted
 			return
 		}
 	}
-	s.effects.Noted = append(s.effects.Noted, Noted{Searcher: sr.ID, Number: sr.noted})
+	s.effects.Noted = append(s.effects.Noted, Noted{Worker: sr.ID, Number: sr.noted})
 }
 
 // keepCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
@@ -180,7 +180,7 @@
 }
 
 // fail counts a run that ended failed; the job fails with the last attempt.
-func (s *Scheduler) fail(now Now, t *task, sr *searcher, execution uint64) {
+func (s *Scheduler) fail(now Now, t *task, sr *worker, execution uint64) {
 	counter := t
 	if t.stage.GangScheduled {
 		counter = t.stage.tasks[0]
@@ -200,7 +200,7 @@
 }
 
 // shun lets a task start elsewhere rather than where it has just failed.
-func (t *task) shun(sr *searcher) {
+func (t *task) shun(sr *worker) {
 	t.avoid = append(t.avoid, sr.ID)
 	if len(t.avoid) > mostAvoided {
 		t.avoid = t.avoid[1:]
@@ -259,8 +259,8 @@
 }
 
 // StartResult takes what became of a start.
-func (s *Scheduler) StartResult(now Now, result *worker.StartResult) {
-	sr := s.searchers[result.Searcher]
+func (s *Scheduler) StartResult(now Now, result *workerclient.StartResult) {
+	sr := s.workers[result.Worker]
 	if sr == nil {
 		return
 	}
@@ -269,21 +269,21 @@
 		return
 	}
 	switch result.Outcome {
-	case worker.Started:
+	case workerclient.Started:
 		r.answeredAt = result.At
 		sr.window = min(windowMost, sr.window+1)
 		return
-	case worker.Unclear:
+	case workerclient.Unclear:
 		r.unclearAt = result.At
 		return
-	case worker.RejectedFence:
+	case workerclient.RejectedFence:
 		return // this leadership is over
-	case worker.RejectedRoom:
+	case workerclient.RejectedRoom:
 		sr.fullUntil = now.Steady.Add(restAfterFull)
-	case worker.Unhealthy:
+	case workerclient.Unhealthy:
 		sr.restUntil = now.Steady.Add(restAfterUnhealthy)
 		sr.faults += faultWeight * (1 - sr.faults)
-	case worker.RejectedInvalid:
+	case workerclient.RejectedInvalid:
 		r.task.shun(sr)
 	}
 	r.task.notBefore = now.Steady.Add(restAfterMisstart)
@@ -292,8 +292,8 @@
 }
 
 // StopResult takes that a stop was answered: the run has ended or is ending, or will never begin.
-func (s *Scheduler) StopResult(now Now, result *worker.StopResult) {
-	sr := s.searchers[result.Searcher]
+func (s *Scheduler) StopResult(now Now, result *workerclient.StopResult) {
+	sr := s.workers[result.Worker]
 	if sr == nil || !result.Answered {
 		return
 	}
@@ -302,9 +302,9 @@
 	}
 }
 
-// Reachable takes whether a searcher answers.
-func (s *Scheduler) Reachable(now Now, id worker.SearcherID, reachable bool) {
-	sr := s.searchers[id]
+// Reachable takes whether a worker answers.
+func (s *Scheduler) Reachable(now Now, id workerclient.WorkerID, reachable bool) {
+	sr := s.workers[id]
 	if sr == nil {
 		return
 	}
@@ -327,25 +327,25 @@
 	s.again(now, r.task, r.execution)
 }
 
-// Gone takes that a searcher's life is over: nothing runs there any more.
-func (s *Scheduler) Gone(now Now, id worker.SearcherID) {
-	sr := s.searchers[id]
+// Gone takes that a worker's life is over: nothing runs there any more.
+func (s *Scheduler) Gone(now Now, id workerclient.WorkerID) {
+	sr := s.workers[id]
 	if sr == nil {
 		return
 	}
 	s.clear(now, sr)
 	s.gone[id] = true
 	s.unhear(sr)
-	delete(s.searchers, id)
-	s.list = slices.DeleteFunc(s.list, func(other *searcher) bool { return other == sr })
+	delete(s.workers, id)
+	s.list = slices.DeleteFunc(s.list, func(other *worker) bool { return other == sr })
 	sr.reachable = false
 	s.rebind(now, sr)
 	s.unplaced = true
 }
 
-// Lapsed takes that everything granted to an unreachable searcher under this leadership has run out.
-func (s *Scheduler) Lapsed(now Now, id worker.SearcherID) {
-	sr := s.searchers[id]
+// Lapsed takes that everything granted to an unreachable worker under this leadership has run out.
+func (s *Scheduler) Lapsed(now Now, id workerclient.WorkerID) {
+	sr := s.workers[id]
 	if sr == nil || sr.reachable || now.Steady.Before(s.inheritedUntil(sr)) {
 		return
 	}
@@ -355,8 +355,8 @@
 	}
 }
 
-// inheritedUntil is when everything that earlier leaderships granted to a searcher has run out.
-func (s *Scheduler) inheritedUntil(sr *searcher) time.Time {
+// inheritedUntil is when everything that earlier leaderships granted to a worker has run out.
+func (s *Scheduler) inheritedUntil(sr *worker) time.Time {
 	hold := s.settings.HoldMax + s.settings.HoldMax/20 // its clock may run 2% slow
 	if !sr.fencedAt.IsZero() {
 		return sr.fencedAt.Add(hold)
@@ -364,16 +364,16 @@
 	return s.startedAt.Add(LateOrders + hold)
 }
 
-// clear ends all runs at a searcher.
-func (s *Scheduler) clear(now Now, sr *searcher) {
+// clear ends all runs at a worker.
+func (s *Scheduler) clear(now Now, sr *worker) {
 	for _, r := range sr.sortedRuns() {
 		s.over(now, r)
 	}
-	sr.strays = nil
+	sr.orphans = nil
 }
 
 // sortedRuns lists the runs in a stable order, so that the same events give the same effects.
-func (sr *searcher) sortedRuns() []*run {
+func (sr *worker) sortedRuns() []*run {
 	runs := make([]*run, 0, len(sr.runs))
 	for _, r := range sr.runs {
 		runs = append(runs, r)
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -150,10 +150,10 @@
 		}
 		return nil
 	}
-	if record.Searcher != "" {
-		sr := s.searchers[record.Searcher]
+	if record.Worker != "" {
+		sr := s.workers[record.Worker]
 		if sr == nil {
-			sr = s.addSearcher(record.Searcher)
+			sr = s.addWorker(record.Worker)
 		}
 		r := &run{task: t, at: sr, execution: record.Execution, inherited: true, orderedAt: s.startedAt}
 		t.runs = append(t.runs, r)
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -1,5 +1,5 @@
 // Package scheduler holds every decision on the jobs of one service: which task starts where and when, what a
-// searcher's report means, and when a job has ended. It is a pure state machine without I/O, clock or goroutine.
+// worker's report means, and when a job has ended. It is a pure state machine without I/O, clock or goroutine.
 //
 // Each call takes the time and one event, changes the state and gathers Effects. The caller makes the gathered entries
 // durable on a majority of replicas first and carries out the orders only then; so whatever a successor reads covers
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // Settings are a deployment's bounds, from the settings file of the process.
@@ -22,8 +22,8 @@
 	FarFactor   float64       // how much longer a task takes away from its data or across racks
 	StopTime    time.Duration // a stop takes at most this long
 	RestoreTime time.Duration // a start from a checkpoint takes this much longer
-	HoldMax     time.Duration // longest time that a searcher keeps tasks without renewal
-	DrainTime   time.Duration // a draining searcher stays at least this long
+	HoldMax     time.Duration // longest time that a worker keeps tasks without renewal
+	DrainTime   time.Duration // a draining worker stays at least this long
 	StatusKept  time.Duration // how long an ended job's state is kept
 }
 
@@ -33,17 +33,17 @@
 	WallMS int64     // milliseconds since 1970, for due times; may jump
 }
 
-// Order is a start or a stop for one searcher.
+// Order is a start or a stop for one worker.
 type Order struct {
-	Searcher worker.SearcherID
-	Start    *worker.StartOrder // nil for a stop
-	Stop     *worker.StopOrder
+	Worker workerclient.WorkerID
+	Start  *workerclient.StartOrder // nil for a stop
+	Stop   *workerclient.StopOrder
 }
 
-// Noted says that all of a searcher's ends up to Number are covered by the entries gathered so far.
+// Noted says that all of a worker's ends up to Number are covered by the entries gathered so far.
 type Noted struct {
-	Searcher worker.SearcherID
-	Number   uint64
+	Worker workerclient.WorkerID
+	Number uint64
 }
 
 // Effects are what the calls since the last Take want done: first the entries made durable, then the rest.
@@ -64,23 +64,23 @@
 	startedAt  time.Time // when this leadership began
 	jobs       map[job.ID]*jobState
 	ended      map[job.ID]endedRecord
-	searchers  map[worker.SearcherID]*searcher
-	list       []*searcher                // the same, in a stable order
-	gone       map[worker.SearcherID]bool // lives that are over
-	scheduled  map[*jobState]bool         // jobs with repetitions that have not begun
-	nextDue    int64                      // the earliest of them, milliseconds since 1970; 0 for none
-	dueChanged bool                       // nextDue must be worked out anew
-	stages     []*stageRun                // with tasks that wait for a start
+	workers    map[workerclient.WorkerID]*worker
+	list       []*worker                      // the same, in a stable order
+	gone       map[workerclient.WorkerID]bool // lives that are over
+	scheduled  map[*jobState]bool             // jobs with repetitions that have not begun
+	nextDue    int64                          // the earliest of them, milliseconds since 1970; 0 for none
+	dueChanged bool                           // nextDue must be worked out anew
+	stages     []*stageRun                    // with tasks that wait for a start
 	pending    map[string]int
 	arrivals   uint64
 	unsorted   bool // the order of stages must be computed anew
 	unplaced   bool // waiting tasks may find room
-	heard      int  // searchers with a smoothed latency
+	heard      int  // workers with a smoothed latency
 	heardSum   float64
-	usualDrag  float64   // median of the searchers
+	usualDrag  float64   // median of the workers
 	drags      []float64 // scratch of settleDrag
 	effects    Effects
-	open       []*searcher  // scratch of Dispatch: those that take starts, once they were looked for
+	open       []*worker    // scratch of Dispatch: those that take starts, once they were looked for
 	opened     bool         // they were, in the current dispatch
 	ordering   uint64       // number of the current ordering
 	waiting    []*candidate // scratch of the ordering
@@ -96,9 +96,9 @@
 		startedAt: now.Steady,
 		jobs:      map[job.ID]*jobState{},
 		ended:     map[job.ID]endedRecord{},
-		searchers: map[worker.SearcherID]*searcher{},
+		workers:   map[workerclient.WorkerID]*worker{},
 		pending:   map[string]int{},
-		gone:      map[worker.SearcherID]bool{},
+		gone:      map[workerclient.WorkerID]bool{},
 		scheduled: map[*jobState]bool{},
 	}
 	var err error
@@ -161,8 +161,8 @@
 func (s *Scheduler) Pending(route string) int { return s.pending[route] }
 
 // Wanted tells whether a start that has become durable is still to be sent.
-func (s *Scheduler) Wanted(id worker.SearcherID, order *worker.StartOrder) bool {
-	sr := s.searchers[id]
+func (s *Scheduler) Wanted(id workerclient.WorkerID, order *workerclient.StartOrder) bool {
+	sr := s.workers[id]
 	if sr == nil {
 		return false
 	}
--- a/internal/jobs/scheduler/scheduler_test.go
+++ b/internal/jobs/scheduler/scheduler_test.go
@@ -10,8 +10,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// trouble is what happens to a world at a moment, besides jobs.
-type trouble func(w *world, step int)
+// fault is what happens to a world at a moment, besides jobs.
+type fault func(w *world, step int)
 
 const (
 	arrivalSteps = 500  // of 20 ms, in which jobs arrive
@@ -19,7 +19,7 @@
 )
 
 // play lets jobs arrive under troubles and then waits for the end of all of them.
-func play(seed uint64, jobs int, troubles ...trouble) *world {
+func play(seed uint64, jobs int, faults ...fault) *world {
 	w := newWorld(seed, 9)
 	sent := 0
 	for step := range endSteps {
@@ -28,7 +28,7 @@
 				sent++
 				w.submit(w.randomJob(sent))
 			}
-			for _, disturb := range troubles {
+			for _, disturb := range faults {
 				disturb(w, step)
 			}
 		}
@@ -128,29 +128,29 @@
 	}
 }
 
-func TestPromisesUnderTroubles(t *testing.T) {
+func TestPromisesUnderFaults(t *testing.T) {
 	cases := []struct {
-		name     string
-		troubles []trouble
+		name   string
+		faults []fault
 	}{
 		{"calm", nil},
-		{"takeovers", []trouble{takeovers}},
-		{"late orders", []trouble{lateOrders}},
-		{"crashes", []trouble{crashes}},
-		{"cuts", []trouble{cuts}},
-		{"cancels", []trouble{cancels}},
-		{"failures", []trouble{failures}},
-		{"stalls", []trouble{stalls}},
-		{"drains", []trouble{drains}},
-		{"late orders and takeovers", []trouble{lateOrders, takeovers}},
-		{"cuts and takeovers", []trouble{cuts, takeovers}},
-		{"everything", []trouble{takeovers, lateOrders, crashes, cuts, cancels, stalls, drains}},
+		{"takeovers", []fault{takeovers}},
+		{"late orders", []fault{lateOrders}},
+		{"crashes", []fault{crashes}},
+		{"cuts", []fault{cuts}},
+		{"cancels", []fault{cancels}},
+		{"failures", []fault{failures}},
+		{"stalls", []fault{stalls}},
+		{"drains", []fault{drains}},
+		{"late orders and takeovers", []fault{lateOrders, takeovers}},
+		{"cuts and takeovers", []fault{cuts, takeovers}},
+		{"everything", []fault{takeovers, lateOrders, crashes, cuts, cancels, stalls, drains}},
 	}
 	const seeds = 20
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				w := play(seed, 60, c.troubles...)
+				w := play(seed, 60, c.faults...)
 				if broken := w.verdicts(); len(broken) > 0 {
 					t.Fatalf("seed %d: %d broken, first %q", seed, len(broken), broken[:min(len(broken), 5)])
 				}
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 // jobState is a job that has not ended.
@@ -53,17 +53,17 @@
 	checkpoint string
 	done       bool
 	recorded   bool
-	runs       []*run    // runs that may be under way; more than one only for at-least-once stages
-	bound      *searcher // where the task waits
-	avoid      []worker.SearcherID
+	runs       []*run  // runs that may be under way; more than one only for at-least-once stages
+	bound      *worker // where the task waits
+	avoid      []workerclient.WorkerID
 	notBefore  time.Time // pause before the next start after it failed to start
-	moves      int       // times it was moved off a slow searcher
+	moves      int       // times it was moved off a slow worker
 }
 
-// run is one execution of a task at a searcher that may be under way.
+// run is one execution of a task at a worker that may be under way.
 type run struct {
 	task        *task
-	at          *searcher
+	at          *worker
 	execution   uint64
 	inherited   bool      // assigned under an earlier leadership
 	orderedAt   time.Time // when it was assigned
@@ -81,11 +81,11 @@
 	released    bool      // the task waits again while this run may be under way (at-least-once stages)
 }
 
-// searcher is one life of a searcher.
-type searcher struct {
-	worker.Instance
+// worker is one life of a worker.
+type worker struct {
+	workerclient.Instance
 	runs         map[job.TaskID]*run
-	strays       map[stray]bool // listed runs that nobody wants, being stopped
+	orphans      map[orphan]bool // listed runs that nobody wants, being stopped
 	used         job.Resources
 	reachable    bool
 	fencedAt     time.Time // when our fencing token was raised there: nothing of an earlier leadership begins any more
@@ -103,7 +103,7 @@
 	queue        float64 // scratch of the ordering: our runs, and tasks that were ranked before
 }
 
-type stray struct {
+type orphan struct {
 	task      job.TaskID
 	execution uint64
 }
@@ -120,9 +120,9 @@
 	return j.Specification.FirstRunMS + int64(number)*j.Specification.IntervalMS
 }
 
-func (sr *searcher) free() job.Resources { return sr.Capacity.Subtract(sr.used) }
+func (sr *worker) free() job.Resources { return sr.Capacity.Subtract(sr.used) }
 
-func (sr *searcher) hasLabel(label string) bool {
+func (sr *worker) hasLabel(label string) bool {
 	for _, own := range sr.Labels {
 		if own == label {
 			return true
@@ -131,8 +131,8 @@
 	return false
 }
 
-// rackOf is a searcher's rack: labels name its kind first and its rack last.
-func rackOf(instance *worker.Instance) string {
+// rackOf is a worker's rack: labels name its kind first and its rack last.
+func rackOf(instance *workerclient.Instance) string {
 	if len(instance.Labels) < 2 {
 		return ""
 	}
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -18,7 +18,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 const (
@@ -42,26 +42,26 @@
 	store     storage.Store
 	scheduler *Scheduler
 	now       time.Time
-	at        map[job.TaskID]worker.SearcherID
+	at        map[job.TaskID]workerclient.WorkerID
 	execution map[job.TaskID]uint64
-	ends      map[worker.SearcherID]uint64
+	ends      map[workerclient.WorkerID]uint64
 }
 
 func newStoredGroup(table string, store storage.Store, workers ...string) *storedGroup {
-	g := &storedGroup{table: table, store: store, now: storedBegin, at: map[job.TaskID]worker.SearcherID{},
-		execution: map[job.TaskID]uint64{}, ends: map[worker.SearcherID]uint64{}}
+	g := &storedGroup{table: table, store: store, now: storedBegin, at: map[job.TaskID]workerclient.WorkerID{},
+		execution: map[job.TaskID]uint64{}, ends: map[workerclient.WorkerID]uint64{}}
 	var err error
 	if g.scheduler, err = New(storedSettings, g.clock(), nil); err != nil {
 		panic(err) // nothing is there to be decoded
 	}
-	var instances []worker.Instance
+	var instances []workerclient.Instance
 	for i, id := range workers {
-		instances = append(instances, worker.Instance{ID: worker.SearcherID(id), Service: "x",
+		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x",
 			Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4}, Labels: []string{"kind", fmt.Sprint("rack-", i)}})
 	}
 	g.scheduler.Inventory(g.clock(), instances)
 	for _, id := range workers {
-		g.scheduler.Listing(g.clock(), &worker.Listing{Searcher: worker.SearcherID(id), SentAt: g.now, First: true})
+		g.scheduler.Listing(g.clock(), &workerclient.Listing{Worker: workerclient.WorkerID(id), SentAt: g.now, First: true})
 	}
 	g.proceed()
 	return g
@@ -84,8 +84,8 @@
 		if order.Start == nil {
 			continue
 		}
-		g.at[order.Start.Task], g.execution[order.Start.Task] = order.Searcher, order.Start.Execution
-		g.scheduler.StartResult(g.clock(), &worker.StartResult{Searcher: order.Searcher, Order: *order.Start, Outcome: worker.Started, At: g.now})
+		g.at[order.Start.Task], g.execution[order.Start.Task] = order.Worker, order.Start.Execution
+		g.scheduler.StartResult(g.clock(), &workerclient.StartResult{Worker: order.Worker, Order: *order.Start, Outcome: workerclient.Started, At: g.now})
 	}
 }
 
@@ -105,7 +105,7 @@
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
 	at := g.at[task]
 	g.ends[at]++
-	g.scheduler.Listing(g.clock(), &worker.Listing{Searcher: at, SentAt: g.now, Stale: true, Finished: []worker.FinishedTask{
+	g.scheduler.Listing(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
 		{Number: g.ends[at], Task: task, Execution: g.execution[task], How: how, Checkpoint: checkpoint},
 	}})
 	g.proceed()
--- a/internal/jobs/scheduler/summary.go
+++ b/internal/jobs/scheduler/summary.go
@@ -9,11 +9,11 @@
 	Gangs       int           `json:"gangs"`     // gangs whose turn has come
 	Running     int           `json:"running"`   // runs that may be under way
 	Stopping    int           `json:"stopping"`  // and of those, runs that are being stopped
-	Searchers   int           `json:"searchers"` // that take starts
+	Workers     int           `json:"searchers"` // that take starts
 	Unreachable int           `json:"unreachable"`
-	Capacity    job.Resources `json:"capacity"` // of searchers that take starts
+	Capacity    job.Resources `json:"capacity"` // of workers that take starts
 	Used        job.Resources `json:"used"`
-	Windows     int           `json:"windows"` // searchers that are full by their window alone
+	Windows     int           `json:"windows"` // workers that are full by their window alone
 }
 
 // summaryPriorities is how many priorities a Summary tells apart; the rest count as the last.
@@ -35,7 +35,7 @@
 	return summary
 }
 
-func (summary *Summary) add(s *Scheduler, now Now, sr *searcher) {
+func (summary *Summary) add(s *Scheduler, now Now, sr *worker) {
 	summary.Running += len(sr.runs)
 	for _, r := range sr.runs {
 		if r.stopping {
@@ -52,7 +52,7 @@
 	summary.Capacity = summary.Capacity.Add(sr.Capacity)
 	summary.Used = summary.Used.Add(sr.used)
 	if s.isOpen(now, sr) {
-		summary.Searchers++
+		summary.Workers++
 	}
 	if float64(len(sr.runs)) >= sr.window {
 		summary.Windows++
--- a/internal/jobs/scheduler/why.go
+++ b/internal/jobs/scheduler/why.go
@@ -7,8 +7,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// Why tells why a job's tasks wait. It follows the decisions of Dispatch: a task may start at a searcher exactly if no
-// cause rules the searcher out.
+// Why tells why a job's tasks wait. It follows the decisions of Dispatch: a task may start at a worker exactly if no
+// cause rules the worker out.
 func (s *Scheduler) Why(now Now, id job.ID) (why jobreport.Why, known bool) {
 	state, known := s.Status(id)
 	if !known {
@@ -76,7 +76,7 @@
 			continue
 		}
 		open++
-		if len(waiting.Open) < fewSearchers {
+		if len(waiting.Open) < fewWorkers {
 			waiting.Open = append(waiting.Open, string(sr.ID))
 		}
 	}
@@ -91,7 +91,7 @@
 	case pausing(now, stage):
 		return jobreport.ReasonPause
 	case open == 0:
-		return jobreport.ReasonNoSearcher
+		return jobreport.ReasonNoWorker
 	case stage.GangScheduled && s.roomForMembers(now, stage) < stage.Count:
 		return jobreport.ReasonGangRoom
 	}
@@ -124,8 +124,8 @@
 	return members
 }
 
-// ruledOut is the first cause for which a searcher does not take a task of a stage now; empty if it could.
-func (s *Scheduler) ruledOut(now Now, stage *stageRun, sr *searcher) jobreport.Cause {
+// ruledOut is the first cause for which a worker does not take a task of a stage now; empty if it could.
+func (s *Scheduler) ruledOut(now Now, stage *stageRun, sr *worker) jobreport.Cause {
 	if s.isOpen(now, sr) && s.admits(stage, sr, 0) {
 		return ""
 	}
@@ -139,7 +139,7 @@
 		return jobreport.CauseUnreachable
 	case sr.fencedAt.IsZero():
 		return jobreport.CauseNotFenced
-	case len(sr.strays) > 0:
+	case len(sr.orphans) > 0:
 		return jobreport.CauseUnwantedRuns
 	case s.resting(now, sr):
 		return jobreport.CauseResting
@@ -153,8 +153,8 @@
 	return jobreport.CauseOther
 }
 
-// neverTakes is why a searcher does not suit a stage whatever its load.
-func (s *Scheduler) neverTakes(stage *stageRun, sr *searcher) jobreport.Cause {
+// neverTakes is why a worker does not suit a stage whatever its load.
+func (s *Scheduler) neverTakes(stage *stageRun, sr *worker) jobreport.Cause {
 	for _, label := range stage.Requirements {
 		if !sr.hasLabel(label) {
 			return jobreport.CauseLabel
@@ -171,15 +171,15 @@
 	return ""
 }
 
-func addRuledOut(list []jobreport.RuledOut, cause jobreport.Cause, searcher string) []jobreport.RuledOut {
+func addRuledOut(list []jobreport.RuledOut, cause jobreport.Cause, worker string) []jobreport.RuledOut {
 	at := slices.IndexFunc(list, func(one jobreport.RuledOut) bool { return one.Cause == cause })
 	if at < 0 {
 		list = append(list, jobreport.RuledOut{Cause: cause})
 		at = len(list) - 1
 	}
 	list[at].Count++
-	if len(list[at].Searchers) < fewSearchers {
-		list[at].Searchers = append(list[at].Searchers, searcher)
+	if len(list[at].Workers) < fewWorkers {
+		list[at].Workers = append(list[at].Workers, worker)
 	}
 	return list
 }
--- a/internal/jobs/scheduler/world_test.go
+++ b/internal/jobs/scheduler/world_test.go
@@ -10,10 +10,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// world plays searchers, a replicated state and a leadership that may be replaced, in virtual time, and judges every
+// world plays workers, a replicated state and a leadership that may be replaced, in virtual time, and judges every
 // start against the promises that jobs have. It knows nothing of the scheduler's state.
 type world struct {
 	random    *rand.Rand
@@ -44,12 +44,12 @@
 	do func()
 }
 
-// machine is one life of a searcher.
+// machine is one life of a worker.
 type machine struct {
-	worker.Instance
+	workerclient.Instance
 	fence     uint64
 	running   map[job.TaskID]*execution
-	ends      []worker.FinishedTask
+	ends      []workerclient.FinishedTask
 	lastSeen  uint64
 	closed    map[job.TaskID]uint64 // highest run that was stopped or has ended here
 	holdUntil time.Duration
@@ -101,7 +101,7 @@
 
 func (w *world) addMachine(id string, number int) *machine {
 	m := &machine{
-		Instance: worker.Instance{ID: worker.SearcherID(id), Service: "x", Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4},
+		Instance: workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x", Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4},
 			Labels: []string{[]string{"a", "b"}[number%2], fmt.Sprintf("rack%d", number/3)}},
 		running: map[job.TaskID]*execution{}, closed: map[job.TaskID]uint64{}, up: true,
 	}
@@ -132,7 +132,7 @@
 }
 
 func (w *world) inventory() {
-	var instances []worker.Instance
+	var instances []workerclient.Instance
 	for _, m := range w.machines {
 		if m.up {
 			instances = append(instances, m.Instance)
@@ -151,7 +151,7 @@
 	}
 }
 
-func (w *world) machine(id worker.SearcherID) *machine {
+func (w *world) machine(id workerclient.WorkerID) *machine {
 	at := slices.IndexFunc(w.machines, func(m *machine) bool { return m.ID == id })
 	if at < 0 {
 		return nil
@@ -191,7 +191,7 @@
 		w.apply(effects.Entries)
 	}
 	for _, order := range effects.Orders {
-		m := w.machine(order.Searcher)
+		m := w.machine(order.Worker)
 		if m == nil {
 			continue
 		}
@@ -199,12 +199,12 @@
 			w.sendStop(m, *order.Stop, w.epoch, w.scheduler)
 			continue
 		}
-		if w.scheduler.Wanted(order.Searcher, order.Start) {
+		if w.scheduler.Wanted(order.Worker, order.Start) {
 			w.sendStart(m, *order.Start, w.epoch, w.scheduler)
 		}
 	}
 	for _, noted := range effects.Noted {
-		m := w.machine(noted.Searcher)
+		m := w.machine(noted.Worker)
 		if m != nil && !m.cut && m.up {
 			w.acknowledge(m, noted.Number)
 		}
@@ -233,7 +233,7 @@
 		}
 	}
 	m.lastSeen = max(m.lastSeen, number)
-	m.ends = slices.DeleteFunc(m.ends, func(end worker.FinishedTask) bool { return end.Number <= m.lastSeen })
+	m.ends = slices.DeleteFunc(m.ends, func(end workerclient.FinishedTask) bool { return end.Number <= m.lastSeen })
 }
 
 func (w *world) facts(id job.TaskID) *taskFacts {
@@ -243,8 +243,8 @@
 	return w.tasks[id]
 }
 
-func (w *world) sendStart(m *machine, order worker.StartOrder, epoch uint64, sender *Scheduler) {
-	result := worker.StartResult{Searcher: m.ID, Order: order, Outcome: worker.Unclear}
+func (w *world) sendStart(m *machine, order workerclient.StartOrder, epoch uint64, sender *Scheduler) {
+	result := workerclient.StartResult{Worker: m.ID, Order: order, Outcome: workerclient.Unclear}
 	wait := time.Duration(w.random.IntN(30)) * time.Millisecond
 	if m.cut || !m.up {
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
@@ -263,7 +263,7 @@
 	})
 }
 
-func (w *world) startResult(result worker.StartResult, sender *Scheduler) {
+func (w *world) startResult(result workerclient.StartResult, sender *Scheduler) {
 	if sender != w.scheduler {
 		return
 	}
@@ -276,33 +276,33 @@
 	w.events = append(w.events, timed{w.now + pause, do})
 }
 
-// carryOut carries a start out at a machine, as a searcher does.
-func (w *world) carryOut(m *machine, order worker.StartOrder, epoch uint64, validUntil time.Duration, late bool) worker.StartOutcome {
+// carryOut carries a start out at a machine, as a worker does.
+func (w *world) carryOut(m *machine, order workerclient.StartOrder, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
 	if !m.up {
-		return worker.Unclear
+		return workerclient.Unclear
 	}
 	if epoch < m.fence {
-		return worker.RejectedFence
+		return workerclient.RejectedFence
 	}
 	m.fence = epoch
 	if m.holdUntil = max(m.holdUntil, min(validUntil, w.now+w.settings.HoldMax)); validUntil <= w.now {
-		return worker.RejectedLate
+		return workerclient.RejectedLate
 	}
 	if order.Execution <= m.closed[order.Task] {
-		return worker.RejectedOld
+		return workerclient.RejectedOld
 	}
 	if already := m.running[order.Task]; already != nil {
-		return worker.Started
+		return workerclient.Started
 	}
 	facts := w.jobs[order.Task.Job]
 	if facts == nil {
 		w.violation("UNASKED %v", order.Task)
-		return worker.RejectedInvalid
+		return workerclient.RejectedInvalid
 	}
 	stage := &facts.request.Specification.Stages[order.Task.Stage]
 	if !m.free(w).Fits(stage.Resources) {
 		w.violation("LIMIT %v at %s", order.Task, m.ID)
-		return worker.RejectedRoom
+		return workerclient.RejectedRoom
 	}
 	w.judge(m, order, facts, stage, late)
 	length := facts.lengths[order.Task]
@@ -314,7 +314,7 @@
 		run.ends = w.now + time.Hour
 	}
 	m.running[order.Task] = run
-	return worker.Started
+	return workerclient.Started
 }
 
 func (m *machine) free(w *world) job.Resources {
@@ -329,8 +329,8 @@
 	w.broken = append(w.broken, fmt.Sprintf("at %v: ", w.now)+fmt.Sprintf(format, values...))
 }
 
-// judge checks one start. Promises with a time bound do not cover starts that a searcher carried out late.
-func (w *world) judge(m *machine, order worker.StartOrder, facts *jobFacts, stage *job.Stage, late bool) {
+// judge checks one start. Promises with a time bound do not cover starts that a worker carried out late.
+func (w *world) judge(m *machine, order workerclient.StartOrder, facts *jobFacts, stage *job.Stage, late bool) {
 	id := order.Task
 	own := w.facts(id)
 	if !stage.AtLeastOnce {
@@ -379,7 +379,7 @@
 	own.executions = max(own.executions, order.Execution)
 }
 
-func (w *world) sendStop(m *machine, order worker.StopOrder, epoch uint64, sender *Scheduler) {
+func (w *world) sendStop(m *machine, order workerclient.StopOrder, epoch uint64, sender *Scheduler) {
 	w.after(10*time.Millisecond, func() {
 		if sender != w.scheduler {
 			return
@@ -395,12 +395,12 @@
 			}
 			m.closed[order.Task] = max(m.closed[order.Task], order.Execution)
 		}
-		w.scheduler.StopResult(w.clock(), &worker.StopResult{Searcher: m.ID, Order: order, Answered: true, At: w.clock().Steady})
+		w.scheduler.StopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Order: order, Answered: true, At: w.clock().Steady})
 		w.propose()
 	})
 }
 
-// end ends a run and, as its searchers do, the other members of its gang.
+// end ends a run and, as its workers do, the other members of its gang.
 func (w *world) end(m *machine, id job.TaskID, how job.How) {
 	run := m.running[id]
 	delete(m.running, id)
@@ -409,7 +409,7 @@
 	if len(m.ends) > 0 {
 		number = m.ends[len(m.ends)-1].Number + 1
 	}
-	m.ends = append(m.ends, worker.FinishedTask{Number: number, Task: id, Execution: run.number, How: how})
+	m.ends = append(m.ends, workerclient.FinishedTask{Number: number, Task: id, Execution: run.number, How: how})
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if how == job.Done {
 		w.facts(id).done = true
@@ -487,7 +487,7 @@
 	m.fence = max(m.fence, w.epoch)
 	m.holdUntil = max(m.holdUntil, w.now+w.settings.HoldMax)
 	m.grantedBy = m.holdUntil
-	listing := worker.Listing{Searcher: m.ID, SentAt: w.clock().Steady, First: m.fenced != w.epoch, Finished: slices.Clone(m.ends)}
+	listing := workerclient.Listing{Worker: m.ID, SentAt: w.clock().Steady, First: m.fenced != w.epoch, Finished: slices.Clone(m.ends)}
 	m.fenced = w.epoch
 	for _, id := range sortedTasks(m.running) {
 		run := m.running[id]
@@ -495,7 +495,7 @@
 		if run.stuck {
 			percent = 0
 		}
-		listing.Running = append(listing.Running, worker.RunningTask{Task: id, Execution: run.number, Percent: min(percent, 99)})
+		listing.Running = append(listing.Running, workerclient.RunningTask{Task: id, Execution: run.number, Percent: min(percent, 99)})
 	}
 	w.scheduler.Listing(w.clock(), &listing)
 	w.propose()
--- a/internal/jobs/worker/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"bytes"
@@ -18,9 +18,9 @@
 
 const (
 	// at most: a hold, a look, the orders, copies of looks and stops, and one in place of a connection that is being given up
-	connectionsPerSearcher = startSlots + copiesAtOnce + 3
-	maxAnswerBytes         = 16 << 20
-	ordinaryAnswerBytes    = 64 << 10 // larger buffers are not kept
+	connectionsPerWorker = startSlots + copiesAtOnce + 3
+	maxAnswerBytes       = 16 << 20
+	ordinaryAnswerBytes  = 64 << 10 // larger buffers are not kept
 )
 
 // NewHTTPClient makes a client without a budget.
@@ -32,7 +32,7 @@
 	reply  reply
 }
 
-// caller sends calls to one life of a searcher.
+// caller sends calls to one life of a worker.
 type caller struct {
 	http    http.RoundTripper // redirects are not followed
 	valid   func() bool       // whether a call may be sent at this moment
@@ -42,7 +42,7 @@
 	headers http.Header // shared by all calls, never changed
 }
 
-func newCaller(client *http.Client, address string, id SearcherID, valid func() bool) *caller {
+func newCaller(client *http.Client, address string, id WorkerID, valid func() bool) *caller {
 	target := func(path string) *url.URL { return &url.URL{Scheme: "http", Host: address, Path: path} }
 	return &caller{
 		http: client.Transport, valid: valid, start: target(startPath), stop: target(stopPath), hold: target(holdPath),
--- a/internal/jobs/worker/clock.go
+++ b/internal/jobs/workerclient/clock.go
@@ -1,27 +1,27 @@
-package worker
+package workerclient
 
 import "time"
 
-// The searcher's steady clock runs at this rate of the local one at the least, and at the same rate at the most.
+// The worker's steady clock runs at this rate of the local one at the least, and at the same rate at the most.
 const slowestClockRate = 0.98
 
 // clockGranularity is how far the whole milliseconds of an answer may be from the clock's reading.
 const clockGranularity = time.Millisecond
 
-// reading ties a time on the searcher's clock to a local time.
+// reading ties a time on the worker's clock to a local time.
 type reading struct {
 	at    time.Time
-	clock time.Duration // since the zero of the searcher's clock
+	clock time.Duration // since the zero of the worker's clock
 }
 
-// clockBounds knows between which bounds the searcher's clock lies. The zero value knows nothing.
+// clockBounds knows between which bounds the worker's clock lies. The zero value knows nothing.
 type clockBounds struct {
 	known bool
 	lower reading // the clock reads at least this, and goes on at the slowest rate
 	upper reading // the clock reads at most this, and goes on at the local rate
 }
 
-// observe takes in the clock of an answer. The searcher read its clock between the two local times.
+// observe takes in the clock of an answer. The worker read its clock between the two local times.
 func (b *clockBounds) observe(sent, received time.Time, clockMS int64) {
 	clock := time.Duration(clockMS) * time.Millisecond
 	lowest, highest := clock-clockGranularity, clock+clockGranularity
--- a/internal/jobs/worker/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"maps"
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Limits bound what one process opens towards searchers.
+// Limits bound what one process opens towards workers.
 type Limits struct {
-	Connections   int     // open at once, those being opened included
-	DialsPerS     float64 // new connections a second in the long run
-	DialsAtOnce   int     // and so many more at once
-	LooksPerS     float64 // looks a second at idle searchers, of all links together
-	SearchersHeld int     // up to so many links each searcher is held by a call that waits, whatever it does
+	Connections int     // open at once, those being opened included
+	DialsPerS   float64 // new connections a second in the long run
+	DialsAtOnce int     // and so many more at once
+	LooksPerS   float64 // looks a second at idle workers, of all links together
+	WorkersHeld int     // up to so many links each worker is held by a call that waits, whatever it does
 }
 
-// Connections is the budget of connections to searchers that all links of a process share. A call needs a connection of
-// its searcher that is idle, or a place for a new one. Where none is free an idle connection of another searcher is
+// Connections is the budget of connections to workers that all links of a process share. A call needs a connection of
+// its worker that is idle, or a place for a new one. Where none is free an idle connection of another worker is
 // closed; where none is idle the call waits for its turn, in order of arrival, before its time-out begins.
 type Connections struct {
 	limits Limits
@@ -46,7 +46,7 @@
 // unlimited is a budget that never makes a call wait.
 func unlimited() *Connections {
 	c := NewConnections(Limits{
-		Connections: math.MaxInt, DialsPerS: math.Inf(1), LooksPerS: math.Inf(1), SearchersHeld: math.MaxInt,
+		Connections: math.MaxInt, DialsPerS: math.Inf(1), LooksPerS: math.Inf(1), WorkersHeld: math.MaxInt,
 	})
 	c.work = nil
 	return c
@@ -176,7 +176,7 @@
 	c.serve()
 }
 
-// reuse takes a connection of the searcher that no other call needs. The caller holds the lock.
+// reuse takes a connection of the worker that no other call needs. The caller holds the lock.
 func (l *lane) reuse() bool {
 	if l.calls >= l.places {
 		return false
@@ -216,8 +216,8 @@
 
 func (c *Connections) noteDial() { c.nextDial = later(c.nextDial, c.now()).Add(c.dialInterval()) }
 
-// closeIdle closes a connection that no call needs, if there is one: that of a searcher that has another one, before the
-// only one of a searcher, which its next look would open again. The caller holds the lock.
+// closeIdle closes a connection that no call needs, if there is one: that of a worker that has another one, before the
+// only one of a worker, which its next look would open again. The caller holds the lock.
 func (c *Connections) closeIdle() bool {
 	for _, lanes := range []map[*lane]bool{c.surplus, c.spare} {
 		for l := range lanes {
@@ -332,13 +332,13 @@
 	}
 }
 
-// mayWait tells whether a hold may wait at the searcher, and notes that it does: it keeps its connection, and orders need
-// another one for the moment that they take, from a few that are left besides one for each searcher.
+// mayWait tells whether a hold may wait at the worker, and notes that it does: it keeps its connection, and orders need
+// another one for the moment that they take, from a few that are left besides one for each worker.
 func (l *lane) mayWait() bool {
 	c := l.owner
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links > c.limits.SearchersHeld && c.links > c.limits.Connections-c.limits.Connections/sparePart {
+	if c.links > c.limits.WorkersHeld && c.links > c.limits.Connections-c.limits.Connections/sparePart {
 		return false
 	}
 	c.holding++
@@ -355,18 +355,18 @@
 	c.holding--
 }
 
-// crowded tells whether there are so many searchers that idle ones are not held by calls that wait.
+// crowded tells whether there are so many workers that idle ones are not held by calls that wait.
 func (c *Connections) crowded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.links > c.limits.SearchersHeld
+	return c.links > c.limits.WorkersHeld
 }
 
-// idlePause is how long an idle searcher is left alone between two looks; 0 where it is held by a call that waits.
+// idlePause is how long an idle worker is left alone between two looks; 0 where it is held by a call that waits.
 func (c *Connections) idlePause(longest time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links <= c.limits.SearchersHeld {
+	if c.links <= c.limits.WorkersHeld {
 		return 0
 	}
 	return min(longest, time.Duration(float64(c.links)/c.limits.LooksPerS*float64(time.Second)))
--- a/internal/jobs/worker/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// budgeted are many searchers with a link to each, all within one budget.
+// budgeted are many workers with a link to each, all within one budget.
 type budgeted struct {
 	t           *testing.T
 	connections *Connections
 	cluster     *cluster.Cluster
-	searchers   []*cluster.Searcher
+	workers     []*cluster.Worker
 	links       []*Link
 	events      *recorder
 	most        atomic.Int64 // connections seen open at once
@@ -35,7 +35,7 @@
 	budgetedTimeout = 2 * time.Second // of a call at least, as the machine may be busy
 )
 
-func newBudgeted(t *testing.T, searchers int, limits Limits) *budgeted {
+func newBudgeted(t *testing.T, workers int, limits Limits) *budgeted {
 	b := &budgeted{
 		t: t, connections: NewConnections(limits), events: newRecorder(),
 		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: budgetedHold}),
@@ -43,20 +43,20 @@
 	b.events.onListing = func(Listing) { b.look() }
 	client := b.connections.HTTPClient()
 	ctx, cancel := context.WithCancel(context.Background())
-	returned := make(chan struct{}, searchers)
-	for i := range searchers {
-		searcher := b.cluster.AddSearcher(cluster.SearcherConfig{ID: fmt.Sprint("i-", i)})
+	returned := make(chan struct{}, workers)
+	for i := range workers {
+		worker := b.cluster.AddWorker(cluster.WorkerConfig{ID: fmt.Sprint("i-", i)})
 		link := NewLink(Config{
-			Instance:     Instance{ID: SearcherID(searcher.ID()), Address: searcher.Address()},
+			Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
 			FencingToken: 1, HoldMax: budgetedHold, Valid: func() bool { return true },
 			Events: oneByOne{b.events}, HTTP: client, Connections: b.connections, MinimumTimeout: budgetedTimeout,
 		})
-		b.searchers, b.links = append(b.searchers, searcher), append(b.links, link)
+		b.workers, b.links = append(b.workers, worker), append(b.links, link)
 		go func() { link.Run(ctx); returned <- struct{}{} }()
 	}
 	b.end = func() {
 		cancel()
-		for range searchers {
+		for range workers {
 			<-returned
 		}
 		client.CloseIdleConnections()
@@ -76,16 +76,16 @@
 
 func (b *budgeted) awaitEach(condition func(i int, l Listing) bool) {
 	b.t.Helper()
-	for i := range b.searchers {
-		id := SearcherID(fmt.Sprint("i-", i))
-		await(b.t, b.events, func(l Listing) bool { return l.Searcher == id && condition(i, l) })
+	for i := range b.workers {
+		id := WorkerID(fmt.Sprint("i-", i))
+		await(b.t, b.events, func(l Listing) bool { return l.Worker == id && condition(i, l) })
 	}
 }
 
-func TestSearchersOutnumberTheBudget(t *testing.T) {
-	const searchers, most = 40, 9
+func TestWorkersOutnumberTheBudget(t *testing.T) {
+	const workers, most = 40, 9
 	convey.Convey("With far fewer connections than searchers", t, func() {
-		b := newBudgeted(t, searchers, Limits{Connections: most, DialsPerS: math.Inf(1), LooksPerS: 1000})
+		b := newBudgeted(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), LooksPerS: 1000})
 		defer b.end()
 		convey.Convey("each is held by turns, starts are sent and ends are noted", func() {
 			b.awaitEach(func(int, Listing) bool { return true })
@@ -100,8 +100,8 @@
 			b.awaitEach(func(_ int, l Listing) bool {
 				return l.SentAt.Sub(started) > budgetedHold+budgetedHold/2 && len(l.Running) == 1
 			})
-			for i, searcher := range b.searchers {
-				convey.So(searcher.Finish(task(i), job.Done), convey.ShouldBeNil)
+			for i, worker := range b.workers {
+				convey.So(worker.Finish(task(i), job.Done), convey.ShouldBeNil)
 			}
 			b.awaitEach(func(_ int, l Listing) bool { return len(l.Finished) == 1 && l.Finished[0].How == job.Done })
 			for _, link := range b.links {
@@ -113,28 +113,28 @@
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
 			convey.So(b.most.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
-			convey.So(eventsOf[Reachability](b.events), convey.ShouldHaveLength, searchers) // each became reachable, and stayed so
+			convey.So(eventsOf[Reachability](b.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
 			convey.So(b.connections.Usage().Holding, convey.ShouldBeZeroValue)
 		})
 	})
 }
 
-func TestOneConnectionForAnIdleSearcher(t *testing.T) {
-	const searchers = 20
+func TestOneConnectionForAnIdleWorker(t *testing.T) {
+	const workers = 20
 	convey.Convey("Where not each searcher can be held by a call that waits, an idle one takes one connection", t, func() {
-		b := newBudgeted(t, searchers, Limits{Connections: 30, DialsPerS: math.Inf(1), LooksPerS: 1000})
+		b := newBudgeted(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), LooksPerS: 1000})
 		defer b.end()
 		began := time.Now()
 		b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetedHold })
-		convey.So(b.most.Load(), convey.ShouldEqual, searchers)
+		convey.So(b.most.Load(), convey.ShouldEqual, workers)
 		convey.Convey("and one with a run is held by a call that waits", func() {
 			b.links[0].Start(order(0, 1))
 			await(t, b.events, func(l Listing) bool { return len(l.Running) == 1 })
 			for b.connections.Usage().Holding != 1 {
 				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), any1[Listing])
 			}
-			for _, searcher := range b.searchers {
-				convey.So(searcher.Connections(), convey.ShouldBeLessThanOrEqualTo, 2)
+			for _, worker := range b.workers {
+				convey.So(worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 2)
 			}
 		})
 	})
@@ -156,43 +156,43 @@
 	}
 }
 
-// allIdle tells whether each of so many searchers has one connection, which no call uses.
-func allIdle(searchers int) func(*Connections) bool {
-	return func(c *Connections) bool { return len(c.spare) == searchers }
+// allIdle tells whether each of so many workers has one connection, which no call uses.
+func allIdle(workers int) func(*Connections) bool {
+	return func(c *Connections) bool { return len(c.spare) == workers }
 }
 
-func TestOrderTakesTheConnectionOfAnIdleSearcher(t *testing.T) {
-	const searchers = 20
+func TestOrderTakesTheConnectionOfAnIdleWorker(t *testing.T) {
+	const workers = 20
 	convey.Convey("Where an idle searcher takes one connection", t, func() {
-		b := newBudgeted(t, searchers, Limits{Connections: 2 * searchers, DialsPerS: math.Inf(1), LooksPerS: 1})
+		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), LooksPerS: 1})
 		defer b.end()
 		b.awaitEach(func(_ int, l Listing) bool { return !l.First })
-		awaitState(t, b.connections, allIdle(searchers))
+		awaitState(t, b.connections, allIdle(workers))
 		for i, link := range b.links {
 			link.Start(order(i, 1))
 		}
 		b.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
 		convey.Convey("a start and the hold after it share that one", func() {
-			convey.So(b.connections.Usage().Opened, convey.ShouldEqual, searchers)
+			convey.So(b.connections.Usage().Opened, convey.ShouldEqual, workers)
 		})
 		convey.Convey("no call waits for an end any more once all ends are acknowledged", func() {
-			for i, searcher := range b.searchers {
-				convey.So(searcher.Finish(task(i), job.Done), convey.ShouldBeNil)
+			for i, worker := range b.workers {
+				convey.So(worker.Finish(task(i), job.Done), convey.ShouldBeNil)
 			}
 			var holds uint64
 			for i, link := range b.links {
-				id := SearcherID(b.searchers[i].ID())
-				await(t, b.events, func(l Listing) bool { return l.Searcher == id && len(l.Finished) == 1 })
+				id := WorkerID(b.workers[i].ID())
+				await(t, b.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
 				holds += link.Counts().Holds
 				link.Acknowledge(1)
 			}
 			awaitState(t, b.connections, func(c *Connections) bool { return c.holding == 0 })
-			awaitState(t, b.connections, allIdle(searchers))
+			awaitState(t, b.connections, allIdle(workers))
 			after := uint64(0)
 			for _, link := range b.links {
 				after += link.Counts().Holds
 			}
-			convey.So(after-holds, convey.ShouldBeLessThan, searchers)
+			convey.So(after-holds, convey.ShouldBeLessThan, workers)
 		})
 	})
 }
@@ -260,13 +260,13 @@
 		})
 	})
 	convey.Convey("An idle connection beside another one is closed before the only one of a searcher", t, func() {
-		const searchers = 40
-		c := NewConnections(Limits{Connections: searchers + 1, DialsPerS: math.Inf(1)})
+		const workers = 40
+		c := NewConnections(Limits{Connections: workers + 1, DialsPerS: math.Inf(1)})
 		c.work = nil
 		var lanes []*lane
-		for i := range searchers {
+		for i := range workers {
 			l := c.join(fmt.Sprint(i))
-			for range 1 + i/(searchers-1) { // two for the last
+			for range 1 + i/(workers-1) { // two for the last
 				convey.So(l.await(never), convey.ShouldBeTrue)
 				l.promised--
 				l.idle = append(l.idle, &connection{Conn: stubConnection{}, lane: l})
@@ -283,11 +283,11 @@
 		}
 		convey.Convey("which is closed where there is no other", func() {
 			convey.So(another.await(closed), convey.ShouldBeTrue)
-			convey.So(c.open, convey.ShouldEqual, searchers+1)
+			convey.So(c.open, convey.ShouldEqual, workers+1)
 		})
 	})
 	convey.Convey("Holds may wait only while there is a connection for each searcher and some for orders", t, func() {
-		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), SearchersHeld: 10})
+		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), WorkersHeld: 10})
 		var lanes []*lane
 		for i := range 36 {
 			lanes = append(lanes, c.join(fmt.Sprint(i)))
--- a/internal/jobs/worker/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"bufio"
@@ -24,7 +24,7 @@
 	}
 }
 
-// connection is an open connection to a searcher.
+// connection is an open connection to a worker.
 type connection struct {
 	net.Conn
 	lane   *lane
--- a/internal/jobs/worker/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"bufio"
@@ -47,8 +47,8 @@
 	})
 }
 
-// strayServer answers each call with more than it announces, and counts its connections.
-func strayServer(t *testing.T) (address string, accepted *atomic.Int64) {
+// orphanServer answers each call with more than it announces, and counts its connections.
+func orphanServer(t *testing.T) (address string, accepted *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 }
 
 func answerTooMuch(connection net.Conn) {
-	const stray = "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\n\r\n{\"reason\":\"fence\"}"
+	const orphan = "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\n\r\n{\"reason\":\"fence\"}"
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -80,13 +80,13 @@
 			return
 		}
 		io.Copy(io.Discard, request.Body)
-		io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"+stray)
+		io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"+orphan)
 	}
 }
 
 func TestAnswersNobodyAskedFor(t *testing.T) {
 	convey.Convey("What comes after an answer is not taken for that of the next call", t, func() {
-		address, accepted := strayServer(t)
+		address, accepted := orphanServer(t)
 		connections, caller := budgetedCaller(address)
 		defer connections.closeAllIdle()
 		for range 3 {
@@ -130,13 +130,13 @@
 }
 
 func TestWaitingHoldsKeepNobodyFromWorking(t *testing.T) {
-	const searchers = 40
+	const workers = 40
 	convey.Convey("Holds that wait are outside of the turnstile, however few may work at once", t, func() {
-		b := newBudgeted(t, searchers, Limits{Connections: 2 * searchers, DialsPerS: math.Inf(1), LooksPerS: 1000, SearchersHeld: searchers})
+		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), LooksPerS: 1000, WorkersHeld: workers})
 		defer b.end()
-		convey.So(cap(b.connections.work), convey.ShouldBeLessThan, searchers)
+		convey.So(cap(b.connections.work), convey.ShouldBeLessThan, workers)
 		limit := time.After(patience)
-		for b.connections.Usage().Holding < searchers {
+		for b.connections.Usage().Holding < workers {
 			select {
 			case <-limit:
 				t.Fatalf("%+v", b.connections.Usage())
--- a/internal/jobs/worker/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"testing"
@@ -10,11 +10,11 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// givenRunningTask plays a Convey scope at a searcher that runs one task.
+// givenRunningTask plays a Convey scope at a worker that runs one task.
 func givenRunningTask(t *testing.T, scope func(b *bench)) {
 	t.Helper()
 	convey.Convey("Given a searcher that runs a task", t, func() {
-		b := newBench(t, cluster.Settings{}, cluster.SearcherConfig{})
+		b := newBench(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.connect(1)
 		convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
@@ -27,23 +27,23 @@
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("an unanswered start is unclear, and nothing goes out until the searcher answers", func() {
 			silence, unheard := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
-			b.searcher.SetFaults(silence)
+			b.worker.SetFaults(silence)
 			<-unheard // no hold is under way that will be answered
-			b.searcher.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+			b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
 			convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
 			await(t, b.events, func(r Reachability) bool { return !r.Reachable })
 			convey.So(b.link.LapsedBy(), convey.ShouldHappenAfter, before.Add(lateLimit))
 			convey.So(b.start(order(2, 1)), convey.ShouldEqual, NotSent)
-			held := b.searcher.HeldUntil()
+			held := b.worker.HeldUntil()
 
 			convey.Convey("looks find it again", func() {
-				b.searcher.SetFaults(nil)
+				b.worker.SetFaults(nil)
 				awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable })
 				convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
-				convey.So(b.searcher.Finish(task(2), job.Done), convey.ShouldBeNil)
+				convey.So(b.worker.Finish(task(2), job.Done), convey.ShouldBeNil)
 				await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a hold after the look
-				convey.So(b.searcher.HeldUntil(), convey.ShouldHappenAfter, held)
+				convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, held)
 			})
 		})
 	})
@@ -54,7 +54,7 @@
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("a start that is carried out late is unclear, and listed in the end", func() {
 			late := cluster.Fault{Kind: cluster.Late, Delay: 1200 * time.Millisecond}
-			b.searcher.SetFaults(cluster.Only(cluster.StartCall, late))
+			b.worker.SetFaults(cluster.Only(cluster.StartCall, late))
 			convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
 			await(t, b.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(b.cluster.Runs()[1].Late, convey.ShouldBeTrue)
@@ -67,11 +67,11 @@
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("a stop is repeated until it is answered", func() {
 			refusal, refused := signalled(cluster.StopCall, cluster.Fault{Kind: cluster.Refuse, Status: 503})
-			b.searcher.SetFaults(refusal)
+			b.worker.SetFaults(refusal)
 			b.link.Stop(StopOrder{task(0), 1})
 			<-refused
 			<-refused
-			b.searcher.SetFaults(nil)
+			b.worker.SetFaults(nil)
 			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 			ended := await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(ended.Finished[0].How, convey.ShouldEqual, job.Stopped)
@@ -83,17 +83,17 @@
 	t.Parallel()
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("a connection that breaks makes the start unclear", func() {
-			b.searcher.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reset}))
+			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reset}))
 			convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
 		})
 	})
 }
 
-func TestDeadSearcher(t *testing.T) {
+func TestDeadWorker(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("a dead searcher gets nothing", func() {
-			b.searcher.Leave()
+			b.worker.Leave()
 			await(t, b.events, func(r Reachability) bool { return !r.Reachable })
 			convey.So(b.start(order(1, 1)), convey.ShouldEqual, NotSent)
 		})
@@ -104,9 +104,9 @@
 	t.Parallel()
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("a single refused hold says nothing, more do", func() {
-			b.searcher.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+			b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			await(t, b.events, func(r Reachability) bool { return !r.Reachable })
-			b.searcher.SetFaults(nil)
+			b.worker.SetFaults(nil)
 			awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable })
 		})
 	})
--- a/internal/jobs/worker/grants.go
+++ b/internal/jobs/workerclient/grants.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"slices"
@@ -11,7 +11,7 @@
 	lateMargin = 500 * time.Millisecond
 )
 
-// grant is a time up to which the runs on a searcher are held, on a call whose end is not known yet.
+// grant is a time up to which the runs on a worker are held, on a call whose end is not known yet.
 type grant struct {
 	span     time.Duration // the longest it may last once it is carried out, in local time
 	lapsesBy time.Time
--- a/internal/jobs/worker/hold.go
+++ b/internal/jobs/workerclient/hold.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	firstPause        = 150 * time.Millisecond // after a look that failed
 	longestPause      = 600 * time.Millisecond
 	earlyAnswerPause  = 100 * time.Millisecond // after a hold that was answered early without an end
-	refusalsTolerated = 1                      // holds refused in a row before a searcher counts as unreachable
+	refusalsTolerated = 1                      // holds refused in a row before a worker counts as unreachable
 
 	acknowledgePatience = 60 * time.Millisecond  // how long the hold after new ends waits for their acknowledgement
 	repeatedHoldPause   = 150 * time.Millisecond // and how long the one after ends that are listed again
@@ -27,7 +27,7 @@
 	sentAt     time.Time
 	hedgeAfter time.Duration // 0 for a call that is not hedged
 	timeout    time.Duration
-	validUntil time.Duration // of the grant that it carries, on the searcher's clock; 0 for none
+	validUntil time.Duration // of the grant that it carries, on the worker's clock; 0 for none
 	grant      *grant        // nil for none
 }
 
@@ -42,7 +42,7 @@
 	superseded bool // a look was answered instead
 }
 
-// Run looks at the searcher and then holds what runs there, until the link is closed, the context ends, the searcher's life
+// Run looks at the worker and then holds what runs there, until the link is closed, the context ends, the worker's life
 // is over or a higher fencing token was seen. It returns once everything was reported.
 func (l *Link) Run(ctx context.Context) {
 	defer l.lane.leave()
@@ -173,7 +173,7 @@
 	return l.caller.post(ctx, l.caller.hold, c.body(), c.timeout)
 }
 
-// hedge looks at a searcher that has left a hold without an answer.
+// hedge looks at a worker that has left a hold without an answer.
 func (l *Link) hedge(pending *pendingHold) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,7 +216,7 @@
 	return pending.superseded
 }
 
-// settleHold takes in what an answer, or its absence, says about the searcher's clock and about the grant.
+// settleHold takes in what an answer, or its absence, says about the worker's clock and about the grant.
 func (l *Link) settleHold(c holdCall, a answer, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,7 +225,7 @@
 	if err != nil {
 		return
 	}
-	if trip := received.Sub(c.sentAt) - c.wait(); trip >= 0 { // otherwise the searcher did not wait to the end
+	if trip := received.Sub(c.sentAt) - c.wait(); trip >= 0 { // otherwise the worker did not wait to the end
 		l.roundTrips.observe(trip)
 	}
 	if c.grant != nil && a.status == http.StatusOK {
@@ -260,7 +260,7 @@
 	}
 }
 
-// pauseAfter waits before the next hold where the searcher would answer it at once: after ends, as it lists them until they
+// pauseAfter waits before the next hold where the worker would answer it at once: after ends, as it lists them until they
 // are acknowledged, and after an answer that came early for no reason known.
 func (l *Link) pauseAfter(last answered) {
 	if newest := last.answer.newestEnd(); newest > 0 {
@@ -300,7 +300,7 @@
 	}
 }
 
-// noteAcknowledged notes that a searcher is idle if its last answer lists nothing but ends that are durable by now. The next
+// noteAcknowledged notes that a worker is idle if its last answer lists nothing but ends that are durable by now. The next
 // call acknowledges them, however late it is.
 func (l *Link) noteAcknowledged(last answered, newest uint64) {
 	reply := &last.answer.reply
--- a/internal/jobs/worker/hold_test.go
+++ b/internal/jobs/workerclient/hold_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"net/http"
--- a/internal/jobs/worker/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -1,14 +1,14 @@
-package worker
+package workerclient
 
 import "time"
 
 // ordersFirst is how long a hold lets orders go first that are under way.
 const ordersFirst = 100 * time.Millisecond
 
-// pollPause is the time between two looks at a searcher with runs, where no connection is left for a hold that waits.
+// pollPause is the time between two looks at a worker with runs, where no connection is left for a hold that waits.
 const pollPause = 250 * time.Millisecond
 
-// restWhileIdle leaves a searcher alone that has nothing to tell, where there are so many that not each can be held by a
+// restWhileIdle leaves a worker alone that has nothing to tell, where there are so many that not each can be held by a
 // call that waits. An order ends the rest.
 func (l *Link) restWhileIdle() {
 	pause := l.config.Connections.idlePause(l.pace.longestIdle)
@@ -31,7 +31,7 @@
 	}
 }
 
-// awaitOrders lets orders that are under way go before the next hold, where there are so many searchers that an idle one has
+// awaitOrders lets orders that are under way go before the next hold, where there are so many workers that an idle one has
 // one connection: the order takes it and the hold after it, instead of both at once, for which one must be opened.
 func (l *Link) awaitOrders() {
 	if !l.config.Connections.crowded() {
@@ -55,7 +55,7 @@
 	}
 }
 
-// restFor is how long the hold loop rests before its next call, if an idle searcher may be left alone for a while.
+// restFor is how long the hold loop rests before its next call, if an idle worker may be left alone for a while.
 func (l *Link) restFor(idle time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,7 @@
 	return max(earlyAnswerPause, min(pause, lead))
 }
 
-// mayWait tells whether the searcher may wait for an end before it answers: the grant lasts, and there is a connection for
+// mayWait tells whether the worker may wait for an end before it answers: the grant lasts, and there is a connection for
 // its orders besides. The caller holds the lock.
 func (l *Link) mayWait(sentAt time.Time) bool {
 	if !l.listed || l.granted.validUntil-l.clock.highest(sentAt) < l.pace.minimumLead+l.pace.holdWait {
--- a/internal/jobs/worker/lapse_test.go
+++ b/internal/jobs/workerclient/lapse_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 	t       *rapid.T
 	link    *Link
 	now     time.Time
-	zero    time.Time     // when the searcher's clock showed its first reading
+	zero    time.Time     // when the worker's clock showed its first reading
 	first   time.Duration // that reading
 	rate    float64
 	lapsed  time.Time // the truth about all calls sent so far, whatever is still to become of them
--- a/internal/jobs/worker/lease_test.go
+++ b/internal/jobs/workerclient/lease_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"testing"
@@ -23,7 +23,7 @@
 		convey.Convey("a start after the lease is not sent, and certainly did nothing", t, func() {
 			b.invalid.Store(true)
 			convey.So(b.start(order(1, 1)), convey.ShouldEqual, NotSent)
-			convey.So(b.searcher.Calls(cluster.StartCall), convey.ShouldEqual, 1)
+			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
 			convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 1)
 			b.invalid.Store(false)
 		})
@@ -32,7 +32,7 @@
 			b.invalid.Store(true)
 			b.link.Stop(StopOrder{task(2), 1})
 			<-time.After(meanwhile)
-			convey.So(b.searcher.Calls(cluster.StopCall), convey.ShouldEqual, 0)
+			convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 0)
 			b.invalid.Store(false)
 			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 		})
--- a/internal/jobs/worker/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"context"
@@ -11,15 +11,15 @@
 
 // The pace of a link. Those that depend on how long runs may be held are shares of that time where it is short.
 const (
-	holdWait     = time.Second            // how long a searcher may wait for an end before it answers a hold
+	holdWait     = time.Second            // how long a worker may wait for an end before it answers a hold
 	renewalAge   = 900 * time.Millisecond // a grant that was asked for longer ago is renewed
 	minimumLead  = 1500 * time.Millisecond
 	shortestLead = 4                      // minimumLead and holdWait are at most this part of the longest hold
 	newestGrant  = 6                      // renewalAge is at most this part of the longest hold
-	longestIdle  = 3 * time.Second        // between two looks at an idle searcher
+	longestIdle  = 3 * time.Second        // between two looks at an idle worker
 	idleLook     = 2                      // longestIdle is at most this part of the longest hold
 	startSlots   = 5                      // orders under way at once; the hold and the out-of-band look have connections besides
-	lookTimeout  = 600 * time.Millisecond // of the hold loop's looks while the searcher is unreachable
+	lookTimeout  = 600 * time.Millisecond // of the hold loop's looks while the worker is unreachable
 
 	// abandonMargin is how much longer than its hedge a hold may last: usually the look's end decides about the hold.
 	abandonMargin = 100 * time.Millisecond
@@ -29,7 +29,7 @@
 type Config struct {
 	Instance     Instance
 	FencingToken uint64
-	HoldMax      time.Duration // the longest time for which a searcher holds its runs
+	HoldMax      time.Duration // the longest time for which a worker holds its runs
 	Valid        func() bool   // whether this process may send orders at this moment; asked right before each call
 	Events       Events
 	HTTP         *http.Client // shared by all links, from NewHTTPClient or of the budget
@@ -59,8 +59,8 @@
 	unreachable
 )
 
-// Link is the connection to one life of one searcher under one fencing token. Its methods may be called from any goroutine;
-// none of them waits for the searcher but Run.
+// Link is the connection to one life of one worker under one fencing token. Its methods may be called from any goroutine;
+// none of them waits for the worker but Run.
 type Link struct {
 	config Config
 	caller *caller
@@ -85,7 +85,7 @@
 	contact      contact
 	suspended    bool // no call may be sent at present
 	doubtful     bool // a call got no answer, and none was answered since: no start is sent
-	suspected    bool // likewise, and the call was a hold or a look: a look that fails now makes the searcher unreachable
+	suspected    bool // likewise, and the call was a hold or a look: a look that fails now makes the worker unreachable
 	refusals     int  // holds in a row that were answered but refused
 	listed       bool
 	occupied     bool // it may have runs, or ends that are not acknowledged
@@ -115,7 +115,7 @@
 
 // granted is the newest grant that was answered.
 type granted struct {
-	validUntil time.Duration // on the searcher's clock; 0 when there is none
+	validUntil time.Duration // on the worker's clock; 0 when there is none
 	askedAt    time.Time
 }
 
@@ -158,7 +158,7 @@
 	return l
 }
 
-// Acknowledge says that the ends up to a number are durable: the searcher may forget them.
+// Acknowledge says that the ends up to a number are durable: the worker may forget them.
 func (l *Link) Acknowledge(number uint64) {
 	l.mu.Lock()
 	l.acknowledged = max(l.acknowledged, number)
@@ -237,7 +237,7 @@
 	return true
 }
 
-// setContact notes what a call has shown, and reports a change. While a searcher is unreachable it gets no orders and no
+// setContact notes what a call has shown, and reports a change. While a worker is unreachable it gets no orders and no
 // grants.
 func (l *Link) setContact(now contact) {
 	l.mu.Lock()
@@ -249,14 +249,14 @@
 		l.doubtful, l.suspected = false, false
 	}
 	if changed && now == unreachable && l.pending != nil {
-		l.pending.abandon() // the hold loop looks for the searcher
+		l.pending.abandon() // the hold loop looks for the worker
 	}
 	l.dispatch()
 	l.mu.Unlock()
 	if !changed {
 		return
 	}
-	report := Reachability{Searcher: l.config.Instance.ID, Reachable: now == reachable}
+	report := Reachability{Worker: l.config.Instance.ID, Reachable: now == reachable}
 	l.log.Debug("contact changed", zap.Bool("reachable", report.Reachable))
 	l.out.post(func(e Events) { e.Reachability(report) })
 }
--- a/internal/jobs/worker/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"net/http"
@@ -22,7 +22,7 @@
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a searcher of four cores that guards its capacity", t, func() {
-		b := newBench(t, needsCores(), cluster.SearcherConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
+		b := newBench(t, needsCores(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
 		convey.Reset(b.close)
 		awaitReturn := b.connect(7)
 		first := await(t, b.events, any1[Listing])
@@ -48,26 +48,26 @@
 			convey.So(b.start(StartOrder{Task: job.TaskID{Job: "a.b"}, Execution: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
 		convey.Convey("an unhealthy searcher did nothing", func() {
-			b.searcher.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Unhealthy)
-			b.searcher.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
+			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Unhealthy)
 			convey.So(b.cluster.Runs(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("any other status is unclear", func() {
-			b.searcher.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 500}))
+			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 500}))
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Unclear)
 		})
 		convey.Convey("a start that never leaves is not sent", func() {
 			b.invalid.Store(true)
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, NotSent)
-			convey.So(b.searcher.Calls(cluster.StartCall), convey.ShouldEqual, 0)
+			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
 			b.link.Stop(StopOrder{task(1), 1})
 			b.invalid.Store(false)
 			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 		convey.Convey("a crash ends the link", func() {
-			b.searcher.Crash("i-2")
+			b.worker.Crash("i-2")
 			await(t, b.events, any1[Gone])
 			awaitReturn()
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, LifeOver)
@@ -108,7 +108,7 @@
 func TestListings(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given runs at a searcher", t, func() {
-		b := newBench(t, needsCores(), cluster.SearcherConfig{})
+		b := newBench(t, needsCores(), cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.connect(1)
 		const text = "quotes \" and \\ and \n and <ü> \u2028"
@@ -126,7 +126,7 @@
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
 			convey.So(both.Running[1].Execution, convey.ShouldEqual, 5)
 			convey.So(both.Running[0].Checkpoint, convey.ShouldEqual, "00000bb8")
-			convey.So(b.searcher.Finish(task(1), job.Failure), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(1), job.Failure), convey.ShouldBeNil)
 			listed := await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(listed.Finished[0].Number, convey.ShouldEqual, 1)
 			convey.So(listed.Finished[0].How, convey.ShouldEqual, job.Failure)
@@ -162,7 +162,7 @@
 func TestManyEnds(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given more ends than one answer lists", t, func() {
-		b := newBench(t, cluster.Settings{}, cluster.SearcherConfig{})
+		b := newBench(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.events.onListing = func(l Listing) {
 			if ends := len(l.Finished); ends > 0 {
@@ -177,11 +177,11 @@
 		for i := range runs {
 			await(t, b.events, func(r StartResult) bool { return r.Order.Task == task(i) && r.Outcome == Started })
 		}
-		b.searcher.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 		for i := range runs {
-			convey.So(b.searcher.Finish(task(i), job.Done), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(i), job.Done), convey.ShouldBeNil)
 		}
-		b.searcher.SetFaults(nil)
+		b.worker.SetFaults(nil)
 		convey.Convey("all are heard, and a full page is marked", func() {
 			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].Number == runs }
 			await(t, b.events, last)
@@ -195,7 +195,7 @@
 			convey.So(heard, convey.ShouldHaveLength, runs)
 		})
 		convey.Convey("few connections are used", func() {
-			convey.So(b.searcher.Connections(), convey.ShouldBeLessThanOrEqualTo, connectionsPerSearcher)
+			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, connectionsPerWorker)
 		})
 	})
 }
@@ -203,23 +203,23 @@
 func TestLink(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a link to an idle searcher", t, func() {
-		b := newBench(t, cluster.Settings{}, cluster.SearcherConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
+		b := newBench(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
 		convey.Reset(b.close)
 		convey.Convey("nothing is granted before the first listing, and then the runs are held", func() {
 			b.connect(1)
 			await(t, b.events, any1[Listing])
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
-			granted := b.searcher.HeldUntil()
+			granted := b.worker.HeldUntil()
 			awaitAfter(t, b.events, len(eventsOf[Listing](b.events))+2, any1[Listing])
-			convey.So(b.searcher.HeldUntil(), convey.ShouldHappenAfter, granted)
-			convey.So(b.link.LapsedBy(), convey.ShouldHappenOnOrAfter, b.searcher.HeldUntil())
+			convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, granted)
+			convey.So(b.link.LapsedBy(), convey.ShouldHappenOnOrAfter, b.worker.HeldUntil())
 		})
 		convey.Convey("one connection is made for holds and few for orders", func() {
 			b.connect(1)
 			for i := range 50 {
 				convey.So(b.start(order(i, 1)), convey.ShouldEqual, Started)
 			}
-			convey.So(b.searcher.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
+			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
 		convey.Convey("a start that waits for a grant is given back when the lease ends before", func() {
 			b.events.onListing = func(Listing) { b.invalid.Store(true) }
@@ -234,7 +234,7 @@
 			b.link.Close()
 			awaitReturn()
 			convey.So(await(t, b.events, any1[StartResult]).Outcome, convey.ShouldEqual, NotSent)
-			convey.So(b.searcher.Calls(cluster.HoldCall), convey.ShouldEqual, 0)
+			convey.So(b.worker.Calls(cluster.HoldCall), convey.ShouldEqual, 0)
 			convey.So(b.link.LapsedBy().IsZero(), convey.ShouldBeTrue)
 		})
 	})
--- a/internal/jobs/worker/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"time"
@@ -32,7 +32,7 @@
 
 func (l *Link) listing(c holdCall, a answer) Listing {
 	listing := Listing{
-		Searcher: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(a.reply.Finished) >= finishedPerAnswer,
+		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(a.reply.Finished) >= finishedPerAnswer,
 		Running:  make([]RunningTask, 0, len(a.reply.Running)),
 		Finished: make([]FinishedTask, 0, len(a.reply.Finished)),
 	}
@@ -68,7 +68,7 @@
 type history struct {
 	any     bool
 	sentAt  time.Time // the latest of all
-	clockMS int64     // the searcher's clock in the newest one
+	clockMS int64     // the worker's clock in the newest one
 	ends    uint64    // the number of the newest end
 	endsAt  time.Time // when ends were delivered last
 }
@@ -85,8 +85,8 @@
 	h.dropRepeated(listing, now)
 }
 
-// stale tells whether the searcher may have listed its runs before it did so for a listing delivered already. Answers on
-// different connections may pass one another; the searcher's clock tells in which order they were written.
+// stale tells whether the worker may have listed its runs before it did so for a listing delivered already. Answers on
+// different connections may pass one another; the worker's clock tells in which order they were written.
 func (h *history) stale(sentAt time.Time, clockMS *int64) bool {
 	if clockMS == nil || *clockMS == h.clockMS {
 		return sentAt.Before(h.sentAt)
--- a/internal/jobs/worker/look.go
+++ b/internal/jobs/workerclient/look.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"net/http"
@@ -17,7 +17,7 @@
 }
 
 // requestLook asks for a look that begins after the delay, or for another one after that under way. It grants nothing. While
-// the searcher is unreachable the hold loop looks anyway. The caller holds the lock.
+// the worker is unreachable the hold loop looks anyway. The caller holds the lock.
 func (l *Link) requestLook(delay time.Duration) {
 	if l.ending != open || l.suspended || l.contact == unreachable {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-// lookFailed repeats a look that got no answer, unless a hold or a look before it did not get one either: then the searcher
+// lookFailed repeats a look that got no answer, unless a hold or a look before it did not get one either: then the worker
 // is unreachable.
 func (l *Link) lookFailed() {
 	l.mu.Lock()
@@ -111,7 +111,7 @@
 	l.look.wanted = true
 }
 
-// doubt notes an order without an answer: no start is sent until a look has shown whether the searcher still answers.
+// doubt notes an order without an answer: no start is sent until a look has shown whether the worker still answers.
 func (l *Link) doubt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +119,7 @@
 	l.requestLook(0)
 }
 
-// suspect notes a hold without an answer: the searcher is unreachable unless it answers a look. The caller holds the lock.
+// suspect notes a hold without an answer: the worker is unreachable unless it answers a look. The caller holds the lock.
 func (l *Link) suspect() {
 	l.doubtful, l.suspected = true, true
 	l.requestLook(0)
--- a/internal/jobs/worker/look_test.go
+++ b/internal/jobs/workerclient/look_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"testing"
@@ -14,7 +14,7 @@
 
 const calmWay = 3 * time.Millisecond
 
-// simulate runs a test in virtual time with a link whose searcher runs task 0 and holds the first waiting hold.
+// simulate runs a test in virtual time with a link whose worker runs task 0 and holds the first waiting hold.
 func simulate(t *testing.T, way time.Duration, test func(t *testing.T, b *bench)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		b := newMemoryBench(t, way)
@@ -31,11 +31,11 @@
 
 // awaitHold waits until a hold is under way that was sent after this call.
 func (b *bench) awaitHold() {
-	calls := b.searcher.Calls(cluster.HoldCall)
-	for b.searcher.Calls(cluster.HoldCall) == calls {
+	calls := b.worker.Calls(cluster.HoldCall)
+	for b.worker.Calls(cluster.HoldCall) == calls {
 		time.Sleep(time.Millisecond)
 	}
-	synctest.Wait() // until the searcher has carried it out
+	synctest.Wait() // until the worker has carried it out
 }
 
 // acknowledgeAll acknowledges every end as soon as it is heard.
@@ -86,7 +86,7 @@
 
 func TestOverdueHold(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
+		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
 		b.awaitHold()
 		lost := time.Now()
 		look := await(t, b.events, outOfBand)
@@ -98,8 +98,8 @@
 
 		b.awaitHold() // the next one follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
-		convey.So(b.searcher.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(holdMax-100*time.Millisecond))
-		convey.So(b.searcher.Finish(task(0), job.Done), convey.ShouldBeNil)
+		convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(holdMax-100*time.Millisecond))
+		convey.So(b.worker.Finish(task(0), job.Done), convey.ShouldBeNil)
 		ended := time.Now()
 		await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 		convey.So(time.Since(ended), convey.ShouldBeLessThan, 10*time.Millisecond)
@@ -114,7 +114,7 @@
 		b := newMemoryBench(t, calmWay)
 		defer b.close()
 		convey.Convey("Given a searcher that leaves the first call without an answer", t, func() {
-			b.searcher.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+			b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 			began := time.Now()
 			b.connect(1)
 			listing := await(t, b.events, any1[Listing])
@@ -129,11 +129,11 @@
 
 func TestHedgeWithoutAnswer(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 		b.awaitHold()
 		lost := time.Now()
 		await(t, b.events, func(r Reachability) bool { return !r.Reachable })
-		b.searcher.SetFaults(nil)
+		b.worker.SetFaults(nil)
 		convey.So(time.Since(lost), convey.ShouldBeBetween, 1550*time.Millisecond, 1650*time.Millisecond)
 		convey.So(b.link.Counts().Looks, convey.ShouldEqual, 1)
 		awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable })
@@ -144,7 +144,7 @@
 func TestLookAfterUnclearStart(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}
-		b.searcher.SetFaults(first(1, cluster.StartCall, late))
+		b.worker.SetFaults(first(1, cluster.StartCall, late))
 		holds := b.link.Counts().Holds
 		sent := time.Now()
 		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
@@ -169,17 +169,17 @@
 
 func TestSilenceAfterAStart(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+		b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 		b.awaitHold()
 		silent := time.Now()
-		starts := b.searcher.Calls(cluster.StartCall)
+		starts := b.worker.Calls(cluster.StartCall)
 		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
 		convey.So(b.start(order(2, 1)), convey.ShouldEqual, NotSent) // waited for a look's answer
-		convey.So(b.searcher.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
+		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(unheardSince(b), convey.ShouldBeTrue)
 		looks := shortestOrderLimit + 2*shortestLookLimit // those after the start
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+10*time.Millisecond)
-		b.searcher.SetFaults(nil)
+		b.worker.SetFaults(nil)
 		awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable }) // the hold was given up
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+firstPause+20*time.Millisecond)
 	})
@@ -187,7 +187,7 @@
 
 func TestLostLookIsRepeated(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 		b.link.Stop(StopOrder{task(5), 1})
 		stopped := await(t, b.events, any1[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
@@ -216,11 +216,11 @@
 func TestStaleListing(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		b.acknowledgeAll()
-		b.searcher.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
+		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
 		b.awaitHold()
 		sent := time.Now()
 		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Started)
-		convey.So(b.searcher.Finish(task(0), job.Done), convey.ShouldBeNil) // the hold is answered slowly
+		convey.So(b.worker.Finish(task(0), job.Done), convey.ShouldBeNil) // the hold is answered slowly
 		time.Sleep(2 * time.Millisecond)
 		convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
 		b.link.Stop(StopOrder{task(5), 1})
@@ -242,7 +242,7 @@
 			convey.So(b.start(order(i, 1)), convey.ShouldEqual, Started)
 		}
 		for i := range 5 { // none of them is acknowledged
-			convey.So(b.searcher.Finish(task(i), job.Done), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(i), job.Done), convey.ShouldBeNil)
 			ended := time.Now()
 			await(t, b.events, func(l Listing) bool { return len(l.Finished) == i+1 })
 			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedHoldPause+2*calmWay)
@@ -268,20 +268,20 @@
 	const seconds, ends = 60, 12
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		b.acknowledgeAll()
-		before := b.searcher.Calls(cluster.HoldCall)
+		before := b.worker.Calls(cluster.HoldCall)
 		for i := range ends {
 			time.Sleep(seconds / ends * time.Second)
 			convey.So(b.start(order(i+1, 1)), convey.ShouldEqual, Started)
-			convey.So(b.searcher.Finish(task(i+1), job.Done), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(i+1), job.Done), convey.ShouldBeNil)
 		}
-		calls := b.searcher.Calls(cluster.HoldCall) - before
+		calls := b.worker.Calls(cluster.HoldCall) - before
 		convey.So(calls, convey.ShouldBeBetween, seconds-ends, seconds+ends)
 		counts := b.link.Counts()
 		convey.So(counts.Looks+counts.Hedges+counts.Repeats, convey.ShouldEqual, 0)
 	})
 }
 
-func TestSlowSearcherIsNotHedged(t *testing.T) {
+func TestSlowWorkerIsNotHedged(t *testing.T) {
 	simulate(t, 150*time.Millisecond, func(t *testing.T, b *bench) {
 		time.Sleep(10 * time.Second)
 		before := b.link.Counts()
@@ -301,7 +301,7 @@
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
 		holds, starts := every(lost, cluster.HoldCall, late), every(lost, cluster.StartCall, late)
-		b.searcher.SetFaults(func(call cluster.Call) cluster.Fault {
+		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call == cluster.HoldCall {
 				return holds(call)
 			}
@@ -314,6 +314,6 @@
 		}
 		convey.So(outcomes, convey.ShouldResemble, map[StartOutcome]int{Started: 190, Unclear: 10})
 		convey.So(unheardSince(b), convey.ShouldBeFalse)
-		convey.So(b.searcher.Calls(cluster.HoldCall), convey.ShouldBeLessThan, 250)
+		convey.So(b.worker.Calls(cluster.HoldCall), convey.ShouldBeLessThan, 250)
 	})
 }
--- a/internal/jobs/worker/orders.go
+++ b/internal/jobs/workerclient/orders.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"net/http"
@@ -33,7 +33,7 @@
 	pause time.Duration // until the next try, should this one fail
 }
 
-// Start sends a start order as soon as its turn has come; its outcome is reported. While the searcher is unreachable it is
+// Start sends a start order as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
 // not sent.
 func (l *Link) Start(order StartOrder) {
 	l.mu.Lock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// Stop sends a stop order, again and again until it is answered or the link ends. While the searcher is unreachable the
+// Stop sends a stop order, again and again until it is answered or the link ends. While the worker is unreachable the
 // order waits.
 func (l *Link) Stop(order StopOrder) {
 	l.mu.Lock()
@@ -200,7 +200,7 @@
 type startCall struct {
 	sentAt     time.Time
 	timeout    time.Duration
-	validUntil time.Duration // on the searcher's clock
+	validUntil time.Duration // on the worker's clock
 	grant      *grant
 }
 
--- a/internal/jobs/worker/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"net/http"
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// answerOutcome is the outcome of a start order by the searcher's answer.
+// answerOutcome is the outcome of a start order by the worker's answer.
 func answerOutcome(a answer) StartOutcome {
 	switch a.status {
 	case http.StatusOK:
--- a/internal/jobs/worker/recorder_test.go
+++ b/internal/jobs/workerclient/recorder_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"context"
@@ -102,34 +102,34 @@
 
 func any1[T any](T) bool { return true }
 
-// bench is a searcher with links to it.
+// bench is a worker with links to it.
 type bench struct {
-	t        testing.TB
-	cluster  *cluster.Cluster
-	searcher *cluster.Searcher
-	events   *recorder
-	invalid  atomic.Bool // the lease is over
-	link     *Link       // the newest one
-	client   *http.Client
-	timeout  time.Duration // the least of a call
-	closers  []func()
+	t       testing.TB
+	cluster *cluster.Cluster
+	worker  *cluster.Worker
+	events  *recorder
+	invalid atomic.Bool // the lease is over
+	link    *Link       // the newest one
+	client  *http.Client
+	timeout time.Duration // the least of a call
+	closers []func()
 }
 
 const holdMax = 6 * time.Second
 
-func newBench(t testing.TB, settings cluster.Settings, config cluster.SearcherConfig) *bench {
+func newBench(t testing.TB, settings cluster.Settings, config cluster.WorkerConfig) *bench {
 	settings.HoldMax = holdMax
 	config.ID = "i-1"
 	b := &bench{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
 	b.client, b.timeout = NewHTTPClient(), longestOrderLimit // as the machine may be busy
-	b.searcher = b.cluster.AddSearcher(config)
+	b.worker = b.cluster.AddWorker(config)
 	b.closers = append(b.closers, b.cluster.Close, b.client.CloseIdleConnections)
 	return b
 }
 
 // newMemoryBench is for use under synctest. Each call takes the given time to get there.
 func newMemoryBench(t testing.TB, way time.Duration) *bench {
-	b := newBench(t, cluster.Settings{InMemory: true}, cluster.SearcherConfig{})
+	b := newBench(t, cluster.Settings{InMemory: true}, cluster.WorkerConfig{})
 	b.client, b.timeout = b.cluster.MemoryClient(way), 0
 	return b
 }
@@ -144,7 +144,7 @@
 // connect makes a link under a fencing token and runs it. The function returned waits until Run has returned.
 func (b *bench) connect(token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
-		Instance:     Instance{ID: SearcherID(b.searcher.ID()), Address: b.searcher.Address()},
+		Instance:     Instance{ID: WorkerID(b.worker.ID()), Address: b.worker.Address()},
 		FencingToken: token, HoldMax: holdMax, Valid: func() bool { return !b.invalid.Load() },
 		Events: b.events, HTTP: b.client, MinimumTimeout: b.timeout,
 	})
--- a/internal/jobs/worker/repeat.go
+++ b/internal/jobs/workerclient/repeat.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 	err      error     // of the copy that failed last
 }
 
-// postRepeatable makes a repeatable call. While no answer has come within what is usual at this searcher, a further copy is
+// postRepeatable makes a repeatable call. While no answer has come within what is usual at this worker, a further copy is
 // sent on another connection if one is free. It returns the first answer, and when the copy was sent that was answered. The
 // caller holds a turn of the lane, which the first copy uses.
 func (l *Link) postRepeatable(call repeatableCall) (a answer, sentAt time.Time, err error) {
--- a/internal/jobs/worker/repeat_test.go
+++ b/internal/jobs/workerclient/repeat_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"runtime"
@@ -11,13 +11,13 @@
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
-// usualAnswer is more than a calm searcher takes to answer, and far less than any time-out.
+// usualAnswer is more than a calm worker takes to answer, and far less than any time-out.
 const usualAnswer = repeatMargin + 50*time.Millisecond
 
 func TestALookWithoutAnswerIsSentAgainSoon(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		before := b.link.Counts()
-		b.searcher.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		b.link.Stop(StopOrder{task(5), 1})
 		stopped := await(t, b.events, any1[StopResult])
 		look := await(t, b.events, outOfBand)
@@ -33,12 +33,12 @@
 
 func TestAStopWithoutAnswerIsSentAgainSoon(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		b.worker.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		ordered := time.Now()
 		b.link.Stop(StopOrder{task(0), 1})
 		convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(ordered), convey.ShouldBeLessThan, usualAnswer)
-		convey.So(b.searcher.Calls(cluster.StopCall), convey.ShouldEqual, 2)
+		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
 		time.Sleep(6 * time.Second) // the first one is carried out, too
 		convey.So(b.start(order(0, 2)), convey.ShouldEqual, Started)
 		convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 2)
@@ -47,18 +47,18 @@
 
 func TestAStartWithoutAnswerIsNotSentAgain(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		starts, copies := b.searcher.Calls(cluster.StartCall), b.link.Counts().Copies
-		b.searcher.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		starts, copies := b.worker.Calls(cluster.StartCall), b.link.Counts().Copies
+		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
 		time.Sleep(5 * time.Second)
-		convey.So(b.searcher.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
+		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(b.link.Counts().Copies, convey.ShouldEqual, copies)
 	})
 }
 
 func TestStartsAreGivenLessTimeWhereManyGetNoAnswer(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		b.worker.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		took := func(index int) time.Duration {
 			ordered := time.Now()
 			convey.So(b.start(order(index, 1)), convey.ShouldEqual, Unclear)
@@ -70,34 +70,34 @@
 		for i := range 10 {
 			convey.So(b.start(order(4+i, 1)), convey.ShouldEqual, Started)
 		}
-		b.searcher.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(took(20), convey.ShouldBeGreaterThanOrEqualTo, shortestOrderLimit)
-		convey.So(b.searcher.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each one once
+		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each one once
 	})
 }
 
 func TestNoCopyIsSentAfterTheLease(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
+		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		b.link.Stop(StopOrder{task(0), 1})
 		time.Sleep(repeatMargin / 2)
 		b.invalid.Store(true)
 		time.Sleep(time.Second)
-		convey.So(b.searcher.Calls(cluster.StopCall), convey.ShouldEqual, 1)
+		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 1)
 		convey.So(b.link.Counts().Copies, convey.ShouldEqual, 0)
 	})
 }
 
 func TestCopiesAreFew(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		b.searcher.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
+		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		for i := range 3 * startSlots {
 			b.link.Stop(StopOrder{task(i), 1})
 		}
 		time.Sleep(shortestOrderLimit - time.Millisecond) // before the first ones are given up
 		synctest.Wait()
-		convey.So(b.searcher.Calls(cluster.StopCall), convey.ShouldEqual, startSlots+copiesAtOnce)
-		convey.So(b.searcher.Connections(), convey.ShouldBeLessThanOrEqualTo, connectionsPerSearcher)
+		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, startSlots+copiesAtOnce)
+		convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, connectionsPerWorker)
 		b.link.Close() // gives up the copies, too: Run returns
 	})
 }
@@ -105,7 +105,7 @@
 func TestACopyThatFailsLeavesTheCallToTheOthers(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		calls := 0
-		b.searcher.SetFaults(func(call cluster.Call) cluster.Fault {
+		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call != cluster.StopCall {
 				return cluster.Fault{}
 			}
--- a/internal/jobs/worker/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/internal/transport/resettest"
 )
 
-// startCounter is a searcher that counts how often each start was carried out.
+// startCounter is a worker that counts how often each start was carried out.
 type startCounter struct {
 	mutex sync.Mutex
 	runs  map[string]int // by the call's body
@@ -50,16 +50,16 @@
 			send := func(execution uint64, cut resettest.Way, after int) ([]byte, error) {
 				client := NewHTTPClient()
 				defer client.CloseIdleConnections()
-				searcher := newCaller(client, relay.Address(), "i-1", func() bool { return true })
+				worker := newCaller(client, relay.Address(), "i-1", func() bool { return true })
 				relay.Arm(cut, resettest.Never)
 				if usedBefore {
-					_, err := searcher.post(context.Background(), searcher.hold, []byte("{}"), patience)
+					_, err := worker.post(context.Background(), worker.hold, []byte("{}"), patience)
 					convey.So(err, convey.ShouldBeNil)
 				}
 				relay.Arm(cut, after)
 				order := order(0, execution)
 				body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
-				_, err := searcher.post(context.Background(), searcher.start, body, patience)
+				_, err := worker.post(context.Background(), worker.start, body, patience)
 				return body, err
 			}
 			const firstExecution = 1000 // so that all calls have one length
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestStartsAreNotSentAgain lets a searcher break off a connection that was used before, after it has carried out a start.
+// TestStartsAreNotSentAgain lets a worker break off a connection that was used before, after it has carried out a start.
 func TestStartsAreNotSentAgain(t *testing.T) {
 	t.Parallel()
 	convey.Convey("A start whose answer is broken off is not sent again by net/http, whatever its headers say", t, func() {
@@ -108,13 +108,13 @@
 		defer server.Close()
 		client := NewHTTPClient()
 		defer client.CloseIdleConnections()
-		searcher := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return true })
-		searcher.headers.Set("Idempotency-Key", "1") // by which net/http repeats
-		_, err := searcher.post(context.Background(), searcher.hold, []byte("{}"), patience)
+		worker := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return true })
+		worker.headers.Set("Idempotency-Key", "1") // by which net/http repeats
+		_, err := worker.post(context.Background(), worker.hold, []byte("{}"), patience)
 		convey.So(err, convey.ShouldBeNil)
 		order := order(0, 1)
 		body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
-		_, err = searcher.post(context.Background(), searcher.start, body, patience)
+		_, err = worker.post(context.Background(), worker.start, body, patience)
 		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
 		convey.So(counter.count(body), convey.ShouldEqual, 1)
 	})
--- a/internal/jobs/worker/roundtrip.go
+++ b/internal/jobs/workerclient/roundtrip.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import "time"
 
@@ -22,7 +22,7 @@
 	usualLoss           = 0.2   // more is not one start that was lost: it takes two of them in a short time
 )
 
-// roundTrips estimates how long calls to a searcher take, from those that were answered. The zero value knows nothing.
+// roundTrips estimates how long calls to a worker take, from those that were answered. The zero value knows nothing.
 type roundTrips struct {
 	minimum   time.Duration // of all limits below
 	measured  bool
--- a/internal/jobs/worker/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -1,13 +1,13 @@
-// Package worker speaks to one searcher: it keeps the tasks there alive, hears which runs it has and which have ended, and
+// Package worker speaks to one worker: it keeps the tasks there alive, hears which runs it has and which have ended, and
 // passes on orders to start and to stop runs.
 //
-// A hold waits at the searcher for an end, and usually one is under way at any time. Looks, which do not wait, are made
+// A hold waits at the worker for an end, and usually one is under way at any time. Looks, which do not wait, are made
 // beside it where its answer is overdue and where the state of a run is to be known at once. Time-outs follow the round trips
 // measured. A look or a stop that is left without an answer is sent again before its time-out, a start never is.
 //
-// A Link is made for one life of one searcher under one fencing token. It reports through Events; what the reports mean for
+// A Link is made for one life of one worker under one fencing token. It reports through Events; what the reports mean for
 // jobs is decided elsewhere.
-package worker
+package workerclient
 
 import (
 	"time"
@@ -15,25 +15,25 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// SearcherID is the platform's identifier of one life of a searcher.
-type SearcherID string
+// WorkerID is the platform's identifier of one life of a worker.
+type WorkerID string
 
-// Instance is what the platform's list says about one searcher.
+// Instance is what the platform's list says about one worker.
 type Instance struct {
-	ID              SearcherID
+	ID              WorkerID
 	Service         string
 	Address         string
 	Zone            string
 	Version         string
 	Slots           int
 	Draining        bool
-	RemainingMS     int64 // the least time that a draining searcher has left, in milliseconds; 0 when unknown
-	ColdRemainingMS int64 // how long a new searcher stays slow, in milliseconds
+	RemainingMS     int64 // the least time that a draining worker has left, in milliseconds; 0 when unknown
+	ColdRemainingMS int64 // how long a new worker stays slow, in milliseconds
 	Capacity        job.Resources
 	Labels          []string
 }
 
-// RunningTask is one entry of a searcher's list of runs.
+// RunningTask is one entry of a worker's list of runs.
 type RunningTask struct {
 	Task       job.TaskID
 	Execution  uint64
@@ -41,9 +41,9 @@
 	Percent    int
 }
 
-// FinishedTask is one entry of a searcher's list of ends.
+// FinishedTask is one entry of a worker's list of ends.
 type FinishedTask struct {
-	Number     uint64 // counts the ends of one life of a searcher from 1
+	Number     uint64 // counts the ends of one life of a worker from 1
 	Task       job.TaskID
 	Execution  uint64
 	How        job.How
@@ -72,21 +72,21 @@
 	Unclear StartOutcome = iota
 	// Started means that the run is there.
 	Started
-	// RejectedFence means that the searcher has seen a higher fencing token.
+	// RejectedFence means that the worker has seen a higher fencing token.
 	RejectedFence
 	// RejectedOld means that the execution is not above one that was stopped or has ended there.
 	RejectedOld
 	// RejectedLate means that the time up to which the run was to be held was over.
 	RejectedLate
-	// RejectedRoom means that the searcher has no capacity left for the task.
+	// RejectedRoom means that the worker has no capacity left for the task.
 	RejectedRoom
-	// RejectedInvalid means that the searcher could not make sense of the order.
+	// RejectedInvalid means that the worker could not make sense of the order.
 	RejectedInvalid
-	// Unhealthy means that the searcher refused to do anything at present.
+	// Unhealthy means that the worker refused to do anything at present.
 	Unhealthy
 	// NotSent means that the order never left this process.
 	NotSent
-	// LifeOver means that the searcher's life is over.
+	// LifeOver means that the worker's life is over.
 	LifeOver
 )
 
@@ -104,14 +104,14 @@
 	return "unknown"
 }
 
-// Listing is a searcher's account of its runs and of the ends that were not acknowledged yet. The listings of one link come
+// Listing is a worker's account of its runs and of the ends that were not acknowledged yet. The listings of one link come
 // one at a time, and in the order in which they were asked for but for those of out-of-band looks, which may overtake holds.
 type Listing struct {
-	Searcher SearcherID
+	Worker WorkerID
 	// SentAt is the local time just before the listing was asked for. A run may only be taken to be absent if its start
 	// was answered before that time.
 	SentAt time.Time
-	// First marks the first listing under the link's fencing token: from now on the searcher ignores lower tokens.
+	// First marks the first listing under the link's fencing token: from now on the worker ignores lower tokens.
 	First bool
 	// Partial means that further ends are waiting, so a run missing here may be among those.
 	Partial bool
@@ -127,30 +127,30 @@
 
 // StartResult reports what became of a start order.
 type StartResult struct {
-	Searcher SearcherID
-	Order    StartOrder
-	Outcome  StartOutcome
-	At       time.Time // local time of the answer, or of giving up
+	Worker  WorkerID
+	Order   StartOrder
+	Outcome StartOutcome
+	At      time.Time // local time of the answer, or of giving up
 }
 
-// StopResult reports that a searcher has taken a stop order, or that the link ended before it did.
+// StopResult reports that a worker has taken a stop order, or that the link ended before it did.
 type StopResult struct {
-	Searcher SearcherID
+	Worker   WorkerID
 	Order    StopOrder
 	Answered bool
 	At       time.Time
 }
 
-// Gone reports that the searcher's life is over: another one answers at its address.
-type Gone struct{ Searcher SearcherID }
+// Gone reports that the worker's life is over: another one answers at its address.
+type Gone struct{ Worker WorkerID }
 
-// Fenced reports that the searcher has seen a higher fencing token; the link has ended.
-type Fenced struct{ Searcher SearcherID }
+// Fenced reports that the worker has seen a higher fencing token; the link has ended.
+type Fenced struct{ Worker WorkerID }
 
-// Reachability reports a change. A searcher is unreachable once two calls for the lists in a row, with all copies of
+// Reachability reports a change. A worker is unreachable once two calls for the lists in a row, with all copies of
 // them, were left without an answer, or were refused; an answer makes it reachable again.
 type Reachability struct {
-	Searcher  SearcherID
+	Worker    WorkerID
 	Reachable bool
 }
 
--- a/internal/jobs/worker/wire.go
+++ b/internal/jobs/workerclient/wire.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// The paths of a searcher's calls.
+// The paths of a worker's calls.
 const (
 	startPath = "/-/run-start"
 	stopPath  = "/-/run-stop"
@@ -18,7 +18,7 @@
 // finishedPerAnswer is how many ends one answer lists at most.
 const finishedPerAnswer = 500
 
-// reason says why a searcher rejected a call.
+// reason says why a worker rejected a call.
 type reason string
 
 const (
--- a/internal/jobs/worker/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerclient
 
 import (
 	"encoding/json"
@@ -82,7 +82,7 @@
 	)
 }
 
-// TestWireForms pins the keys of a searcher's answer, which this package only reads.
+// TestWireForms pins the keys of a worker's answer, which this package only reads.
 func TestWireForms(t *testing.T) {
 	text := `{"clockMs":5,"reason":"fence","running":[["a.1.2.3",4,"text 1",50]],"finished":[[6,"b.7.8.9",10,"done","text 2"]]}`
 	read, err := decodeReply([]byte(text))
--- a/internal/nodesettings/budget.go
+++ b/internal/nodesettings/budget.go
@@ -10,15 +10,15 @@
 // The parts of the connections of a coordinator, in hundredths. Together they are all of them: whoever stays within its part
 // never takes a connection from another.
 const (
-	shareOfSearchers = 70 // to searchers
-	shareOfMixers    = 22 // from other mixers: core peers, agents, proxies
+	shareOfWorkers   = 70 // to workers
+	shareOfNodes     = 22 // from other nodes: core peers, agents, proxies
 	shareOfOperators = 3
-	shareOfOwnCalls  = 5 // to other mixers and the platform
+	shareOfOwnCalls  = 5 // to other nodes and the platform
 	allShares        = 100
 	leastOfShare     = 4
 )
 
-// The pace of new connections to searchers and of looks at idle ones, for a whole core. Opening a connection takes about
+// The pace of new connections to workers and of looks at idle ones, for a whole core. Opening a connection takes about
 // 0.25 ms of a core and a look 0.08 ms.
 const (
 	dialsPerSOfCore = 1000
@@ -27,10 +27,10 @@
 
 // ConnectionBudget says how many connections a coordinator may have open for each purpose.
 type ConnectionBudget struct {
-	Searchers int // to searchers
-	Mixers    int // from other mixers
+	Workers   int // to workers
+	Nodes     int // from other nodes
 	Operators int // from operators and the platform
-	OwnCalls  int // to other mixers and the platform
+	OwnCalls  int // to other nodes and the platform
 }
 
 // ConnectionBudget divides the descriptors of a coordinator's process.
@@ -38,13 +38,13 @@
 	all := l.FileDescriptors - descriptorsForFiles - descriptorsOfOwn
 	part := func(share int) int { return max(leastOfShare, all*share/allShares) }
 	return ConnectionBudget{
-		Searchers: part(shareOfSearchers), Mixers: part(shareOfMixers),
+		Workers: part(shareOfWorkers), Nodes: part(shareOfNodes),
 		Operators: part(shareOfOperators), OwnCalls: part(shareOfOwnCalls),
 	}
 }
 
-// DialsPerS is how many connections to searchers a coordinator may open a second in the long run.
+// DialsPerS is how many connections to workers a coordinator may open a second in the long run.
 func (l *Limits) DialsPerS() float64 { return dialsPerSOfCore * l.ProcessorShare }
 
-// LooksPerS is how many looks at idle searchers a coordinator may make a second.
+// LooksPerS is how many looks at idle workers a coordinator may make a second.
 func (l *Limits) LooksPerS() float64 { return looksPerSOfCore * l.ProcessorShare }
--- a/internal/nodesettings/budget_test.go
+++ b/internal/nodesettings/budget_test.go
@@ -11,13 +11,13 @@
 		for _, descriptors := range []int{300, 512, 1000, 1024, 4096, 4100, 65536} {
 			limits := Limits{FileDescriptors: descriptors}
 			b := limits.ConnectionBudget()
-			convey.So(b.Searchers+b.Mixers+b.Operators+b.OwnCalls, convey.ShouldBeLessThanOrEqualTo, descriptors-descriptorsForFiles-descriptorsOfOwn)
-			convey.So(min(b.Searchers, b.Mixers, b.Operators, b.OwnCalls), convey.ShouldBeGreaterThanOrEqualTo, leastOfShare)
+			convey.So(b.Workers+b.Nodes+b.Operators+b.OwnCalls, convey.ShouldBeLessThanOrEqualTo, descriptors-descriptorsForFiles-descriptorsOfOwn)
+			convey.So(min(b.Workers, b.Nodes, b.Operators, b.OwnCalls), convey.ShouldBeGreaterThanOrEqualTo, leastOfShare)
 		}
 	})
 	convey.Convey("At 4,096 descriptors", t, func() {
 		limits := Limits{FileDescriptors: 4096, ProcessorShare: 0.5}
-		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{Searchers: 2716, Mixers: 853, Operators: 116, OwnCalls: 194})
+		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{Workers: 2716, Nodes: 853, Operators: 116, OwnCalls: 194})
 		convey.So(limits.DialsPerS(), convey.ShouldEqual, dialsPerSOfCore/2)
 		convey.So(limits.LooksPerS(), convey.ShouldEqual, looksPerSOfCore/2)
 	})
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -99,10 +99,10 @@
 	Restore            time.Duration `property:"bounds.restore_ms" unit:"ms" default:"250" validate:"gte=0"`
 }
 
-// CloudAPI says how the platform's list of searchers is reached.
+// CloudAPI says how the platform's list of workers is reached.
 type CloudAPI struct {
 	Address  string        `property:"cloudApi.address" validate:"omitempty,hostname_port"`
-	RatePerS float64       `property:"cloudApi.ratePerS" default:"10" validate:"gt=0"` // calls a second of all mixers together
+	RatePerS float64       `property:"cloudApi.ratePerS" default:"10" validate:"gt=0"` // calls a second of all nodes together
 	Duties   []string      `property:"cloudApi.duties"`
 	MaxLag   time.Duration `property:"cloudApi.maxLagMs" unit:"ms" default:"1000" validate:"gte=0"`
 }
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -1,4 +1,4 @@
-// Package operatorclient is the operators' side of the control addresses: it asks one mixer after the other until one
+// Package operatorclient is the operators' side of the control addresses: it asks one node after the other until one
 // gives a clear answer.
 package operatorclient
 
@@ -19,7 +19,7 @@
 )
 
 const (
-	tryTime         = 4 * time.Second // for one answer; a mixer may ask another one for it
+	tryTime         = 4 * time.Second // for one answer; a node may ask another one for it
 	dialTime        = 2 * time.Second
 	firstPause      = 200 * time.Millisecond
 	longestPause    = time.Second
@@ -29,7 +29,7 @@
 	contentTypeJSON = "application/json"
 )
 
-// Client asks mixers.
+// Client asks nodes.
 type Client struct {
 	Addresses []string // control addresses, host:port, tried in turn
 	HTTP      *http.Client
@@ -49,7 +49,7 @@
 	Status  int
 	Version string // of the configuration, from the answer's ETag
 	Body    []byte
-	Address string // of the mixer that answered
+	Address string // of the node that answered
 }
 
 // RefusedError is a clear answer that says no.
@@ -61,7 +61,7 @@
 // Error implements the error interface.
 func (e *RefusedError) Error() string { return e.Text }
 
-// UnreachableError means that no mixer gave a clear answer in time.
+// UnreachableError means that no node gave a clear answer in time.
 type UnreachableError struct {
 	Failures []error // the newest of each address
 	Unclear  bool    // the request may have been carried out
@@ -79,7 +79,7 @@
 // Unwrap returns the failures.
 func (e *UnreachableError) Unwrap() []error { return e.Failures }
 
-// Do sends a request to one mixer after the other, with growing pauses between the rounds, until one gives a clear answer
+// Do sends a request to one node after the other, with growing pauses between the rounds, until one gives a clear answer
 // or the context ends. The error is a *RefusedError or an *UnreachableError.
 func (c *Client) Do(ctx context.Context, request Request) (Answer, error) {
 	failures := make([]error, len(c.Addresses))
@@ -140,7 +140,7 @@
 	case http.StatusServiceUnavailable: // an order that changes the configuration is so answered also when its end is unclear
 		return method == http.MethodPut
 	}
-	return refused.Status >= http.StatusInternalServerError // a mixer that failed may have failed after it had acted
+	return refused.Status >= http.StatusInternalServerError // a node that failed may have failed after it had acted
 }
 
 // neverSent tells whether no connection came up, so that nothing was sent.
@@ -149,7 +149,7 @@
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// NewHTTPClient makes the client for Client.HTTP: without proxies, as mixers are asked directly, and without following
+// NewHTTPClient makes the client for Client.HTTP: without proxies, as nodes are asked directly, and without following
 // redirects by itself.
 func NewHTTPClient() *http.Client {
 	return &http.Client{
--- a/internal/operatorclient/client_test.go
+++ b/internal/operatorclient/client_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// mixer serves a handler until the Convey scope ends, and returns its address.
-func mixer(handler http.HandlerFunc) string {
+// node serves a handler until the Convey scope ends, and returns its address.
+func node(handler http.HandlerFunc) string {
 	server := httptest.NewServer(handler)
 	Reset(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -50,16 +50,16 @@
 	little = 50 * time.Millisecond
 )
 
-func TestTriesMixersInTurn(t *testing.T) {
+func TestTriesNodesInTurn(t *testing.T) {
 	read := Request{Method: http.MethodGet, Path: "/-/status", Query: url.Values{"service": {"a b"}}}
 	Convey("The next mixer is asked after a failure, and after an answer that settles nothing", t, func() {
-		good := mixer(func(w http.ResponseWriter, r *http.Request) {
+		good := node(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("ETag", `"7"`)
 			io.WriteString(w, r.URL.Path+" "+r.URL.Query().Get("service"))
 		})
 		for _, bad := range []string{
-			closedAddress, mixer(says(503, "")), mixer(says(500, "")), mixer(says(408, "")), mixer(says(429, "")),
-			mixer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }),
+			closedAddress, node(says(503, "")), node(says(500, "")), node(says(408, "")), node(says(429, "")),
+			node(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }),
 		} {
 			answer, err := do(enough, read, bad, good)
 			So(err, ShouldBeNil)
@@ -70,7 +70,7 @@
 	})
 	Convey("All are asked again while there is time", t, func() {
 		var calls atomic.Int32
-		late := mixer(func(w http.ResponseWriter, _ *http.Request) {
+		late := node(func(w http.ResponseWriter, _ *http.Request) {
 			if calls.Add(1) < 3 {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
@@ -80,9 +80,9 @@
 		So(calls.Load(), ShouldEqual, 3)
 	})
 	Convey("Redirects are followed twice", t, func() {
-		good := mixer(says(200, "there"))
+		good := node(says(200, "there"))
 		redirects := func(to string) string {
-			return mixer(func(w http.ResponseWriter, r *http.Request) {
+			return node(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Location", "http://"+to+r.URL.RequestURI())
 				w.WriteHeader(http.StatusTemporaryRedirect)
 			})
@@ -100,9 +100,9 @@
 func TestRefusals(t *testing.T) {
 	Convey("A clear refusal ends the request, with the mixer's text", t, func() {
 		var asked atomic.Int32
-		other := mixer(func(http.ResponseWriter, *http.Request) { asked.Add(1) })
+		other := node(func(http.ResponseWriter, *http.Request) { asked.Add(1) })
 		for _, status := range []int{400, 404, 409, 412, 422} {
-			_, err := do(enough, Request{Method: http.MethodDelete, Path: "/"}, mixer(says(status, `{"error":"no"}`)), other)
+			_, err := do(enough, Request{Method: http.MethodDelete, Path: "/"}, node(says(status, `{"error":"no"}`)), other)
 			var refused *RefusedError
 			So(errors.As(err, &refused), ShouldBeTrue)
 			So(refused.Status, ShouldEqual, status)
@@ -111,7 +111,7 @@
 		So(asked.Load(), ShouldEqual, 0)
 	})
 	Convey("A text that is not the mixer's form of an error is shown as it is", t, func() {
-		_, err := do(enough, Request{Method: http.MethodGet, Path: "/"}, mixer(says(404, "page not found\n")))
+		_, err := do(enough, Request{Method: http.MethodGet, Path: "/"}, node(says(404, "page not found\n")))
 		So(err.Error(), ShouldEqual, "answered 404: page not found")
 	})
 }
@@ -125,14 +125,14 @@
 		unclear bool
 	}{
 		{"nobody listens", http.MethodPost, func() string { return closedAddress }, false},
-		{"a read", http.MethodGet, func() string { return mixer(mute) }, false},
-		{"a drain without an answer", http.MethodPost, func() string { return mixer(mute) }, true},
-		{"a drain that was not done", http.MethodPost, func() string { return mixer(says(503, "")) }, false},
-		{"a drain that may have been done", http.MethodPost, func() string { return mixer(says(504, "")) }, true},
-		{"a drain during which the mixer failed", http.MethodPost, func() string { return mixer(says(500, "")) }, true},
-		{"a drain that was not read", http.MethodPost, func() string { return mixer(says(408, "")) }, false},
-		{"a drain that was turned away", http.MethodPost, func() string { return mixer(says(429, "")) }, false},
-		{"a configuration that may have been taken", http.MethodPut, func() string { return mixer(says(503, "")) }, true},
+		{"a read", http.MethodGet, func() string { return node(mute) }, false},
+		{"a drain without an answer", http.MethodPost, func() string { return node(mute) }, true},
+		{"a drain that was not done", http.MethodPost, func() string { return node(says(503, "")) }, false},
+		{"a drain that may have been done", http.MethodPost, func() string { return node(says(504, "")) }, true},
+		{"a drain during which the mixer failed", http.MethodPost, func() string { return node(says(500, "")) }, true},
+		{"a drain that was not read", http.MethodPost, func() string { return node(says(408, "")) }, false},
+		{"a drain that was turned away", http.MethodPost, func() string { return node(says(429, "")) }, false},
+		{"a configuration that may have been taken", http.MethodPut, func() string { return node(says(503, "")) }, true},
 	}
 	for _, c := range cases {
 		Convey("It is said whether the request may have been carried out: "+c.name, t, func() {
--- a/internal/systemtest/account_test.go
+++ b/internal/systemtest/account_test.go
@@ -79,8 +79,8 @@
 // about gathers what was seen of a job.
 func (s *system) about(h checker.History, id string) []accountLine {
 	var lines []accountLine
-	for _, trouble := range h.Troubles {
-		lines = append(lines, accountLine{trouble.From, "trouble with " + trouble.Machine + " until " + trouble.To.Format("15:04:05.000")})
+	for _, fault := range h.Faults {
+		lines = append(lines, accountLine{fault.From, "trouble with " + fault.Machine + " until " + fault.To.Format("15:04:05.000")})
 	}
 	for _, request := range h.Requests {
 		if strings.Contains(request.Path, id) {
--- a/internal/systemtest/againrun_test.go
+++ b/internal/systemtest/againrun_test.go
@@ -22,11 +22,11 @@
 	changeRounds  = 9 // in which two operators change the configuration at once
 	sameEach      = 3 // in each third round both send the same body
 	againPatience = 4 * time.Minute
-	searchersPath = "/-/searchers"
+	workersPath   = "/-/searchers"
 )
 
 // againSize is a small system, as the load is that of operators.
-var againSize = size{fronts: 1, searchers: []searcherPlan{{guardedService, 2, true}, {unguardedService, 1, false}}}
+var againSize = size{fronts: 1, workers: []workerPlan{{guardedService, 2, true}, {unguardedService, 1, false}}}
 
 // againTest is a system under operators whose answers are lost.
 type againTest struct {
@@ -39,7 +39,7 @@
 	lost int // orders that were sent again after their confirmation was swallowed
 }
 
-// Two operators change the configuration at once through different core machines, cancel one job and drain one searcher,
+// Two operators change the configuration at once through different core machines, cancel one job and drain one worker,
 // behind relays that swallow the first confirmation of each order and deliver copies of requests seconds later. What was
 // taken is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
 // bodies; and what each core machine tells and holds at the end is what was confirmed.
@@ -171,7 +171,7 @@
 	return status
 }
 
-// cancelAndDrain hands in a job that lasts, and lets both operators cancel it and drain a searcher at once.
+// cancelAndDrain hands in a job that lasts, and lets both operators cancel it and drain a worker at once.
 func (a *againTest) cancelAndDrain(ctx context.Context) (cancelled, drained string, err error) {
 	random := rand.New(rand.NewPCG(8, 1))
 	plan := makePlan(random, lastingJob, renderRoute)
@@ -179,10 +179,10 @@
 	if _, err := a.eventually(ctx, random, http.MethodPost, plan.route.prefix+string(plan.id), plan.encode(), isSuccess); err != nil {
 		return "", "", fmt.Errorf("the job was not accepted: %w", err)
 	}
-	drained = a.searchers[0].ID()
+	drained = a.workers[0].ID()
 	orders := []attempt{
 		{method: http.MethodDelete, path: jobsPath + string(plan.id)},
-		{method: http.MethodPost, path: searchersPath + "/" + drained + "/drain"},
+		{method: http.MethodPost, path: workersPath + "/" + drained + "/drain"},
 	}
 	statuses := make([]int, 2*len(orders))
 	var all sync.WaitGroup
@@ -253,12 +253,12 @@
 	return a.awaitTold(ctx, jobsPath+id, func(answer string) bool { return strings.Contains(answer, `"state":"cancelled"`) })
 }
 
-// compareDrain waits until each core machine tells that a searcher is drained by an operator.
+// compareDrain waits until each core machine tells that a worker is drained by an operator.
 func (a *againTest) compareDrain(ctx context.Context, id string) error {
-	return a.awaitTold(ctx, searchersPath, func(answer string) bool { return tellsDrained(answer, id) })
+	return a.awaitTold(ctx, workersPath, func(answer string) bool { return tellsDrained(answer, id) })
 }
 
-// tellsDrained tells whether a list of searchers has one as drained by an operator.
+// tellsDrained tells whether a list of workers has one as drained by an operator.
 func tellsDrained(answer, id string) bool {
 	_, of, found := strings.Cut(answer, `"id":"`+id+`"`)
 	of, _, _ = strings.Cut(of, `"id":`)
--- a/internal/systemtest/builds_test.go
+++ b/internal/systemtest/builds_test.go
@@ -151,7 +151,7 @@
 
 const upgradePatience = 3 * time.Minute
 
-var oneFront = size{fronts: 1, searchers: usualSize.searchers}
+var oneFront = size{fronts: 1, workers: usualSize.workers}
 
 // upgrade is a system that runs on the other build first and on this one afterwards, with the same disks.
 type upgrade struct {
@@ -192,7 +192,7 @@
 	if err := u.handIn(ctx); err != nil {
 		return err
 	}
-	if err := u.awaitOperations(ctx, http.MethodPost, searchersPath+"/"+u.drained()+"/drain", func(string) bool { return true }); err != nil {
+	if err := u.awaitOperations(ctx, http.MethodPost, workersPath+"/"+u.drained()+"/drain", func(string) bool { return true }); err != nil {
 		return err
 	}
 	if err := u.checkBuilds(); err != nil {
@@ -253,7 +253,7 @@
 }
 
 // drained names the worker that an operator drains: one that no job needs.
-func (u *upgrade) drained() string { return u.searchers[2].ID() }
+func (u *upgrade) drained() string { return u.workers[2].ID() }
 
 // awaitOperations makes an operator's call until each core machine has answered it as it should.
 func (u *upgrade) awaitOperations(ctx context.Context, method, path string, serves func(answer string) bool) error {
@@ -343,7 +343,7 @@
 	if err := u.awaitRoute(ctx, u.fronts[0], routePlan{"/second/", guardedService}); err != nil {
 		return err
 	}
-	if err := u.awaitOperations(ctx, http.MethodGet, searchersPath, func(answer string) bool { return tellsDrained(answer, u.drained()) }); err != nil {
+	if err := u.awaitOperations(ctx, http.MethodGet, workersPath, func(answer string) bool { return tellsDrained(answer, u.drained()) }); err != nil {
 		return err
 	}
 	for _, plan := range u.jobs {
--- a/internal/systemtest/checker/checker.go
+++ b/internal/systemtest/checker/checker.go
@@ -12,9 +12,9 @@
 	core       map[string]bool
 	jobs       map[string]*jobRecord
 	changes    []*configuration // by version
-	searchers  map[string]*Searcher
+	workers    map[string]*Worker
 	byTask     map[task][]*placedRun
-	bySearcher map[string][]*placedRun
+	byWorker   map[string][]*placedRun
 	runs       []*placedRun
 	violations []Violation
 }
@@ -41,14 +41,14 @@
 // Check returns the broken rules of a history, by time.
 func Check(history History) []Violation {
 	c := &checker{
-		History: history, core: map[string]bool{}, jobs: map[string]*jobRecord{}, searchers: map[string]*Searcher{},
-		byTask: map[task][]*placedRun{}, bySearcher: map[string][]*placedRun{},
+		History: history, core: map[string]bool{}, jobs: map[string]*jobRecord{}, workers: map[string]*Worker{},
+		byTask: map[task][]*placedRun{}, byWorker: map[string][]*placedRun{},
 	}
 	for _, machine := range history.Core {
 		c.core[machine] = true
 	}
-	for i := range history.Searchers {
-		c.searchers[history.Searchers[i].ID] = &history.Searchers[i]
+	for i := range history.Workers {
+		c.workers[history.Workers[i].ID] = &history.Workers[i]
 	}
 	slices.SortStableFunc(c.Requests, func(a, b Request) int { return a.SentAt.Compare(b.SentAt) })
 	c.takeRequests()
@@ -85,7 +85,7 @@
 	slices.SortStableFunc(c.runs, func(a, b *placedRun) int { return a.StartedAt.Compare(b.StartedAt) })
 	for _, r := range c.runs {
 		c.byTask[r.task] = append(c.byTask[r.task], r)
-		c.bySearcher[r.Searcher] = append(c.bySearcher[r.Searcher], r)
+		c.byWorker[r.Worker] = append(c.byWorker[r.Worker], r)
 	}
 }
 
--- a/internal/systemtest/checker/checker_test.go
+++ b/internal/systemtest/checker/checker_test.go
@@ -67,9 +67,9 @@
 }
 
 // ran is a run of the job's task (time.step.index) from one moment to another, noted half a second later.
-func ran(name string, execution uint64, searcher string, from, to float64, how string) Run {
+func ran(name string, execution uint64, worker string, from, to float64, how string) Run {
 	run := Run{
-		Searcher: searcher, Task: jobName + "." + name, Execution: execution, Specification: "text", Sender: "core-1",
+		Worker: worker, Task: jobName + "." + name, Execution: execution, Specification: "text", Sender: "core-1",
 		StartedAt: at(from), How: how,
 	}
 	if to > 0 {
@@ -93,7 +93,7 @@
 	return History{
 		Bounds: testBounds,
 		Core:   []string{"core-1", "core-2", "core-3"},
-		Searchers: []Searcher{
+		Workers: []Worker{
 			{ID: "s-1", Service: "render", Labels: []string{"big", "rack-1"}, Capacity: Resources{2000, 1000, 0}},
 			{ID: "s-2", Service: "render", Labels: []string{"rack-2"}, Capacity: Resources{2000, 1000, 0}},
 			{ID: "s-3", Service: "other", Capacity: Resources{2000, 1000, 0}},
@@ -182,7 +182,7 @@
 		{"A guarded one is not judged", func(h *History) {
 			tasksOf(`{"count":3,`+plainStage+`}`, ran("0.0.0", 1, "s-1", 11, 13, "done"),
 				ran("0.0.1", 1, "s-1", 11, 13, "done"), ran("0.0.2", 1, "s-1", 12, 13, "done"))(h)
-			h.Searchers[0].Guards = true
+			h.Workers[0].Guards = true
 		}, ""},
 		{"One after the other keep to the capacity", tasksOf(`{"count":3,`+plainStage+`}`, ran("0.0.0", 1, "s-1", 11, 13, "done"),
 			ran("0.0.1", 1, "s-1", 11, 13, "done"), ran("0.0.2", 1, "s-1", 13, 14, "done")), ""},
@@ -218,10 +218,10 @@
 			h.Runs = []Run{ran("0.0.0", 1, "s-1", 12, 13, "done"), ran("1.0.0", 1, "s-1", 16.8, 18, "done")}
 		}, ""},
 
-		{"A searcher of another service", func(h *History) { h.Runs[0].Searcher = "s-3" }, OnRoute},
+		{"A searcher of another service", func(h *History) { h.Runs[0].Worker = "s-3" }, OnRoute},
 		{"A searcher without the label", tasksOf(one+`,"requirements":"big"}`, ran("0.0.0", 1, "s-2", 11, 12, "done")), OnRoute},
 		{"A searcher with the label", tasksOf(one+`,"requirements":["big"]}`, ran("0.0.0", 1, "s-1", 11, 12, "done")), ""},
-		{"Too many tasks of a step at one searcher", func(h *History) { h.Runs[1].Searcher = "s-1" }, OnRoute},
+		{"Too many tasks of a step at one searcher", func(h *History) { h.Runs[1].Worker = "s-1" }, OnRoute},
 
 		{"A run after the last attempt", tasksOf(one+`}`, ran("0.0.0", 1, "s-1", 11, 12, "failed"), ran("0.0.0", 2, "s-1", 13, 14, "failed"), ran("0.0.0", 3, "s-1", 15, 16, "done")), Budget},
 		{"A copy soon after the last attempt", tasksOf(one+`,"atLeastOnce":true}`, ran("0.0.0", 1, "s-1", 11, 12, "failed"), ran("0.0.0", 2, "s-1", 13, 14, "failed"), ran("0.0.0", 3, "s-1", 15, 16, "done")), ""},
@@ -232,10 +232,10 @@
 		{"A member without its gang", tasksOf(gang, ran("0.0.0", 1, "s-1", 11, 14, "alone")), Gang},
 		{"A member without its gang in trouble", func(h *History) {
 			tasksOf(gang, ran("0.0.0", 1, "s-1", 11, 14, "alone"))(h)
-			h.Troubles = []Trouble{{Kind: SearcherTrouble, Machine: "s-2", From: at(12), To: at(13)}}
+			h.Faults = []Fault{{Kind: WorkerFault, Machine: "s-2", From: at(12), To: at(13)}}
 		}, ""},
 
-		{"A task of no job", addRuns(Run{Searcher: "s-1", Task: otherJob + ".0.0.0", Execution: 1, Specification: "text", StartedAt: at(11)}), Unasked},
+		{"A task of no job", addRuns(Run{Worker: "s-1", Task: otherJob + ".0.0.0", Execution: 1, Specification: "text", StartedAt: at(11)}), Unasked},
 		{"A task beyond the count", addRuns(ran("0.1.1", 1, "s-2", 18, 19, "done")), Unasked},
 		{"Another specification", func(h *History) { h.Runs[0].Specification = "other" }, Unasked},
 		{"A checkpoint that nobody has listed", func(h *History) { h.Runs[2].Checkpoint = "c1" }, Unasked},
@@ -281,7 +281,7 @@
 		{"A start soon after it began to drain", func(h *History) { h.Lists = []List{{"core-2", []string{"s-1"}, at(12.5)}} }, ""},
 		{"A start by a machine out of touch", func(h *History) {
 			h.Lists = []List{{"core-2", []string{"s-1"}, at(11)}}
-			h.Troubles = []Trouble{{Machine: "core-1", From: at(13), To: at(14)}}
+			h.Faults = []Fault{{Machine: "core-1", From: at(13), To: at(14)}}
 		}, ""},
 	})
 }
@@ -297,7 +297,7 @@
 		{"A job that is not known yet", func(h *History) { h.Requests = append(h.Requests, asked(jobName, 11, 410, "")) }, ""},
 		{"A job that is not known at a machine out of touch", func(h *History) {
 			h.Requests = append(h.Requests, asked(jobName, 26, 410, ""), asked(jobName, 31, 200, "completed"))
-			h.Troubles = []Trouble{{Machine: "front-1", From: at(24), To: at(25)}}
+			h.Faults = []Fault{{Machine: "front-1", From: at(24), To: at(25)}}
 		}, ""},
 		{"Failed without cause", func(h *History) { h.Requests[2] = asked(jobName, 30, 200, "failed") }, Lost},
 		{"Failed after the last attempt", func(h *History) {
@@ -309,19 +309,19 @@
 		{"Not ended at the end", func(h *History) { h.Requests[2] = asked(jobName, 30, 200, "running") }, Lost},
 		{"Not known at the end", func(h *History) { h.Requests[2] = asked(jobName, 30, 410, "") }, Lost},
 		{"A request cut by a stop in order", func(h *History) {
-			h.Troubles = []Trouble{{Machine: "front-1", From: at(20), To: at(25), Planned: true}}
+			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25), Planned: true}}
 			h.Cuts = []Cut{{"front-1", prefix + jobName, at(20), at(21)}}
 		}, Lost},
 		{"A request cut by a stop in order before it was read", func(h *History) {
-			h.Troubles = []Trouble{{Machine: "front-1", From: at(20), To: at(25), Planned: true}}
+			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25), Planned: true}}
 			h.Cuts = []Cut{{"front-1", prefix + jobName, at(20), at(20.1)}}
 		}, ""},
 		{"A request cut by a stop in order and by trouble", func(h *History) {
-			h.Troubles = []Trouble{{Machine: "front-1", From: at(20), To: at(25), Planned: true}, {Machine: "core-1", From: at(19)}}
+			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25), Planned: true}, {Machine: "core-1", From: at(19)}}
 			h.Cuts = []Cut{{"front-1", prefix + jobName, at(20), at(21)}}
 		}, ""},
 		{"A request cut by a kill", func(h *History) {
-			h.Troubles = []Trouble{{Machine: "front-1", From: at(20), To: at(25)}}
+			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25)}}
 			h.Cuts = []Cut{{"front-1", prefix + jobName, at(20), at(21)}}
 		}, ""},
 		{"No answer at the end", func(h *History) { h.Requests[2].Status = 0 }, Lost},
--- a/internal/systemtest/checker/configurations_test.go
+++ b/internal/systemtest/checker/configurations_test.go
@@ -28,15 +28,15 @@
 		{"A dropped route served too long", requests(counted(oldPrefix, 22.5, 200)), Config},
 		{"A new route not applied in time by a machine out of touch", with(func(h *History) {
 			h.Requests = append(h.Requests, counted(newPrefix, 22.5, 404))
-			h.Troubles = []Trouble{{Machine: "front-1", From: at(10), To: at(20)}}
+			h.Faults = []Fault{{Machine: "front-1", From: at(10), To: at(20)}}
 		}), ""},
 		{"A new route not applied in time while the core is unstable", with(func(h *History) {
 			h.Requests = append(h.Requests, counted(newPrefix, 22.5, 404))
-			h.Troubles = []Trouble{{Machine: "core-3", From: at(20)}}
+			h.Faults = []Fault{{Machine: "core-3", From: at(20)}}
 		}), ""},
 		{"A new route not applied while a core machine is long gone", with(func(h *History) {
 			h.Requests = append(h.Requests, counted(newPrefix, 25, 404))
-			h.Troubles = []Trouble{{Machine: "core-3", From: at(20)}}
+			h.Faults = []Fault{{Machine: "core-3", From: at(20)}}
 		}), Config},
 		{"A machine that goes back", requests(counted(newPrefix, 20.2, 200), counted(newPrefix, 21, 404)), Config},
 		{"A machine that goes back after its restart", requests(counted(newPrefix, 20.2, 200), restarted(counted(newPrefix, 21, 404))), ""},
--- a/internal/systemtest/checker/ends.go
+++ b/internal/systemtest/checker/ends.go
@@ -116,9 +116,9 @@
 			continue
 		}
 		stopped, unplanned := false, false
-		for _, trouble := range c.Troubles {
-			unplanned = unplanned || !trouble.Planned && trouble.over(cut.SentAt.Add(-c.Bounds.Contact), cut.At)
-			stopped = stopped || trouble.Planned && trouble.Machine == cut.Machine && within(cut.At, trouble.From, trouble.From.Add(c.Bounds.Grace+forceSlack))
+		for _, fault := range c.Faults {
+			unplanned = unplanned || !fault.Planned && fault.over(cut.SentAt.Add(-c.Bounds.Contact), cut.At)
+			stopped = stopped || fault.Planned && fault.Machine == cut.Machine && within(cut.At, fault.From, fault.From.Add(c.Bounds.Grace+forceSlack))
 		}
 		if stopped && !unplanned {
 			c.report(Lost, cut.Path, cut.At, cut.Machine+" closed the connection of a request that it had read")
--- a/internal/systemtest/checker/history.go
+++ b/internal/systemtest/checker/history.go
@@ -1,5 +1,5 @@
 // Package checker checks histories of a running system against its rules. A history holds only what could be seen from
-// outside: the calls of clients and operators, the platform's answers, and what searchers were told and did. The package
+// outside: the calls of clients and operators, the platform's answers, and what workers were told and did. The package
 // shares no code with the system. Only tests import it.
 package checker
 
@@ -24,8 +24,8 @@
 type History struct {
 	Bounds      Bounds
 	Core        []string // machines that hold the control state
-	Troubles    []Trouble
-	Searchers   []Searcher
+	Faults      []Fault
+	Workers     []Worker
 	Runs        []Run
 	Checkpoints []Checkpoint
 	Lapses      []Lapse
@@ -37,34 +37,34 @@
 	SeenUntil   time.Time // when the history ends
 }
 
-// TroubleKind says what trouble was made.
-type TroubleKind uint8
+// FaultKind says what trouble was made.
+type FaultKind uint8
 
 const (
-	// MachineTrouble is a kill, start, freeze or cut of a machine of the system.
-	MachineTrouble TroubleKind = iota
-	// SearcherTrouble is a crash, silence, late order, drain or loss of a searcher.
-	SearcherTrouble
+	// MachineFault is a kill, start, freeze or cut of a machine of the system.
+	MachineFault FaultKind = iota
+	// WorkerFault is a crash, silence, late order, drain or loss of a worker.
+	WorkerFault
 )
 
-// Trouble is one fault that was made.
-type Trouble struct {
-	Kind    TroubleKind
-	Machine string // or the searcher's identifier
+// Fault is one fault that was made.
+type Fault struct {
+	Kind    FaultKind
+	Machine string // or the worker's identifier
 	From    time.Time
 	To      time.Time // the zero time while it lasts
 	Planned bool      // a stop in order, and the start after it
 }
 
-// Resources are what a task asks for and what a searcher has.
+// Resources are what a task asks for and what a worker has.
 type Resources struct {
 	Processors   int64 `json:"processors"`
 	MemoryMB     int64 `json:"memoryRequestMb"`
 	Accelerators int64 `json:"accelerators"`
 }
 
-// Searcher is one life of a searcher.
-type Searcher struct {
+// Worker is one life of a worker.
+type Worker struct {
 	ID       string
 	Service  string
 	Labels   []string
@@ -72,9 +72,9 @@
 	Guards   bool
 }
 
-// Run is one run that a searcher has begun on an order.
+// Run is one run that a worker has begun on an order.
 type Run struct {
-	Searcher      string // the identifier of its life
+	Worker        string // the identifier of its life
 	Task          string // as on the wire
 	Execution     uint64
 	Specification string
@@ -83,23 +83,23 @@
 	Sender        string // the machine that ordered it; empty where that is not known
 	StartedAt     time.Time
 	EndedAt       time.Time // the zero time while it runs
-	How           string    // empty while it runs, and when its searcher crashed
+	How           string    // empty while it runs, and when its worker crashed
 	NotedAt       time.Time // when a hold's lastSeen reached its end; the zero time before
 }
 
-// Checkpoint is one that a searcher has listed for a task.
+// Checkpoint is one that a worker has listed for a task.
 type Checkpoint struct {
 	Task string
 	Text string
 }
 
-// Lapse is a moment at which nothing was granted to a searcher any more.
+// Lapse is a moment at which nothing was granted to a worker any more.
 type Lapse struct {
-	Searcher string
-	At       time.Time
+	Worker string
+	At     time.Time
 }
 
-// List is an answer of the platform that shows a searcher as draining.
+// List is an answer of the platform that shows a worker as draining.
 type List struct {
 	Machine  string // that asked
 	Draining []string
@@ -143,7 +143,7 @@
 // Violation is a broken rule.
 type Violation struct {
 	Rule    string
-	Subject string // the task, job, searcher or version
+	Subject string // the task, job, worker or version
 	Detail  string
 	At      time.Time
 }
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -19,7 +19,7 @@
 	LongRunning   bool            `json:"longRunning"`
 }
 
-// labels are those that a searcher must have: written as one text or as a list.
+// labels are those that a worker must have: written as one text or as a list.
 func (s stage) labels() []string {
 	var one string
 	if json.Unmarshal(s.Requirements, &one) == nil {
--- a/internal/systemtest/checker/starts.go
+++ b/internal/systemtest/checker/starts.go
@@ -25,7 +25,7 @@
 	return true
 }
 
-// ownCheckpoint tells whether a searcher has listed the checkpoint for the task, or for any member of its gang.
+// ownCheckpoint tells whether a worker has listed the checkpoint for the task, or for any member of its gang.
 func (c *checker) ownCheckpoint(r *placedRun) bool {
 	for _, checkpoint := range c.Checkpoints {
 		of, ok := parseTask(checkpoint.Task)
@@ -52,23 +52,23 @@
 	}
 }
 
-// checkLimit adds up what a searcher that does not guard itself had running.
+// checkLimit adds up what a worker that does not guard itself had running.
 func (c *checker) checkLimit(r *placedRun) {
-	searcher := c.searchers[r.Searcher]
-	if searcher == nil || searcher.Guards {
+	worker := c.workers[r.Worker]
+	if worker == nil || worker.Guards {
 		return
 	}
 	used := r.stage.Resources
-	for _, other := range c.bySearcher[r.Searcher] {
+	for _, other := range c.byWorker[r.Worker] {
 		if other != r && other.known && !other.StartedAt.After(r.StartedAt) && other.ends().After(r.StartedAt) {
 			used.Processors += other.stage.Processors
 			used.MemoryMB += other.stage.MemoryMB
 			used.Accelerators += other.stage.Accelerators
 		}
 	}
-	capacity := searcher.Capacity
+	capacity := worker.Capacity
 	if used.Processors > capacity.Processors || used.MemoryMB > capacity.MemoryMB || used.Accelerators > capacity.Accelerators {
-		c.report(Limit, r.Task, r.StartedAt, fmt.Sprintf("brings %s to %+v of %+v", r.Searcher, used, capacity))
+		c.report(Limit, r.Task, r.StartedAt, fmt.Sprintf("brings %s to %+v of %+v", r.Worker, used, capacity))
 	}
 }
 
@@ -84,17 +84,17 @@
 		if other.StartedAt.Equal(r.StartedAt) && other.Execution > r.Execution {
 			continue // counted from the other side
 		}
-		c.report(Twice, r.Task, r.StartedAt, fmt.Sprintf("run %d starts at %s while run %d is there at %s", r.Execution, r.Searcher, other.Execution, other.Searcher))
+		c.report(Twice, r.Task, r.StartedAt, fmt.Sprintf("run %d starts at %s while run %d is there at %s", r.Execution, r.Worker, other.Execution, other.Worker))
 	}
 }
 
-// noted tells whether an end was taken note of before the searcher's hold lapsed.
+// noted tells whether an end was taken note of before the worker's hold lapsed.
 func (c *checker) noted(r *placedRun) bool {
 	if r.NotedAt.IsZero() {
 		return false
 	}
 	for _, lapse := range c.Lapses {
-		if lapse.Searcher == r.Searcher && within(lapse.At, r.EndedAt, r.NotedAt) {
+		if lapse.Worker == r.Worker && within(lapse.At, r.EndedAt, r.NotedAt) {
 			return false
 		}
 	}
@@ -151,27 +151,27 @@
 
 // checkRoute checks service, label and antiAffinity.
 func (c *checker) checkRoute(r *placedRun) {
-	searcher := c.searchers[r.Searcher]
-	if searcher == nil {
+	worker := c.workers[r.Worker]
+	if worker == nil {
 		return
 	}
-	if !c.serviceOf(r.job, searcher.Service) {
-		c.report(OnRoute, r.Task, r.StartedAt, "no configuration sends its queue to service "+searcher.Service)
+	if !c.serviceOf(r.job, worker.Service) {
+		c.report(OnRoute, r.Task, r.StartedAt, "no configuration sends its queue to service "+worker.Service)
 	}
 	for _, label := range r.stage.labels() {
-		if !slices.Contains(searcher.Labels, label) {
-			c.report(OnRoute, r.Task, r.StartedAt, "searcher "+searcher.ID+" lacks label "+label)
+		if !slices.Contains(worker.Labels, label) {
+			c.report(OnRoute, r.Task, r.StartedAt, "searcher "+worker.ID+" lacks label "+label)
 		}
 	}
 	if r.stage.AntiAffinity > 0 && c.besides(r)+1 > r.stage.AntiAffinity {
-		c.report(OnRoute, r.Task, r.StartedAt, fmt.Sprintf("more than %d tasks of the step at %s", r.stage.AntiAffinity, searcher.ID))
+		c.report(OnRoute, r.Task, r.StartedAt, fmt.Sprintf("more than %d tasks of the step at %s", r.stage.AntiAffinity, worker.ID))
 	}
 }
 
-// besides counts the step's other tasks at the searcher when a run started.
+// besides counts the step's other tasks at the worker when a run started.
 func (c *checker) besides(r *placedRun) int {
 	count := 0
-	for _, other := range c.bySearcher[r.Searcher] {
+	for _, other := range c.byWorker[r.Worker] {
 		if other.task != r.task && other.task.first() == r.task.first() && !other.StartedAt.After(r.StartedAt) && other.ends().After(r.StartedAt) {
 			count++
 		}
@@ -262,14 +262,14 @@
 	}
 }
 
-// checkDrained looks for starts at a searcher long after a machine in touch had learned that it drains.
+// checkDrained looks for starts at a worker long after a machine in touch had learned that it drains.
 func (c *checker) checkDrained(r *placedRun) {
 	if r.Late || !c.inTouch(r.Sender, r.StartedAt) {
 		return
 	}
 	for _, list := range c.Lists {
-		if slices.Contains(list.Draining, r.Searcher) && list.At.Add(c.Bounds.Drain).Before(r.StartedAt) && c.inTouch(list.Machine, list.At) {
-			c.report(Drained, r.Task, r.StartedAt, "starts at "+r.Searcher+", which drains since "+strings.TrimSpace(list.At.Format("15:04:05.000")))
+		if slices.Contains(list.Draining, r.Worker) && list.At.Add(c.Bounds.Drain).Before(r.StartedAt) && c.inTouch(list.Machine, list.At) {
+			c.report(Drained, r.Task, r.StartedAt, "starts at "+r.Worker+", which drains since "+strings.TrimSpace(list.At.Format("15:04:05.000")))
 			return
 		}
 	}
--- a/internal/systemtest/checker/touch.go
+++ b/internal/systemtest/checker/touch.go
@@ -3,7 +3,7 @@
 import "time"
 
 // over tells whether a trouble touches the time from one moment to another, both included.
-func (t Trouble) over(from, to time.Time) bool {
+func (t Fault) over(from, to time.Time) bool {
 	return !t.From.After(to) && (t.To.IsZero() || !t.To.Before(from))
 }
 
@@ -15,8 +15,8 @@
 // inTouch tells whether the rules that are bound by time hold for a machine at a moment.
 func (c *checker) inTouch(machine string, at time.Time) bool {
 	from := at.Add(-c.Bounds.Contact)
-	for _, trouble := range c.Troubles {
-		if trouble.Kind == MachineTrouble && trouble.Machine == machine && trouble.over(from, at) {
+	for _, fault := range c.Faults {
+		if fault.Kind == MachineFault && fault.Machine == machine && fault.over(from, at) {
 			return false
 		}
 	}
@@ -27,15 +27,15 @@
 func (c *checker) coreStable(at time.Time) bool {
 	from := at.Add(-c.Bounds.Contact)
 	down := map[string]bool{}
-	for _, trouble := range c.Troubles {
-		if trouble.Kind != MachineTrouble || !c.core[trouble.Machine] {
+	for _, fault := range c.Faults {
+		if fault.Kind != MachineFault || !c.core[fault.Machine] {
 			continue
 		}
-		if within(trouble.From, from, at) || within(trouble.To, from, at) {
+		if within(fault.From, from, at) || within(fault.To, from, at) {
 			return false
 		}
-		if trouble.over(at, at) {
-			down[trouble.Machine] = true
+		if fault.over(at, at) {
+			down[fault.Machine] = true
 		}
 	}
 	return 2*(len(c.core)-len(down)) > len(c.core)
@@ -43,8 +43,8 @@
 
 // troubled tells whether there was any trouble in a span.
 func (c *checker) troubled(from, to time.Time) bool {
-	for _, trouble := range c.Troubles {
-		if trouble.over(from, to) {
+	for _, fault := range c.Faults {
+		if fault.over(from, to) {
 			return true
 		}
 	}
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -86,7 +86,7 @@
 	body   string
 }
 
-// call makes one call to a mixer, which answers whoever reaches it; operators do.
+// call makes one call to a node, which answers whoever reaches it; operators do.
 func (o *operator) call(m *machine, request *http.Request) answer {
 	answers := make(chan answer, 1)
 	go func() {
@@ -126,7 +126,7 @@
 	return version, got.status == http.StatusOK || got.status == http.StatusNotFound
 }
 
-// put sends an order to one mixer after the other until the answer is clear.
+// put sends an order to one node after the other until the answer is clear.
 func (o *operator) put(asked order) (taken bool) {
 	for range operatorTries {
 		m, sent := o.pick(), time.Now()
@@ -174,7 +174,7 @@
 	}
 }
 
-// call asks whom an agent names as the leader, or any mixer, as a proxy with an old feed would.
+// call asks whom an agent names as the leader, or any node, as a proxy with an old feed would.
 func (c *client) call(route transport.Route, request, reply any) (member string, err error) {
 	leader := c.world.agents[c.random.IntN(agentCount)].agentNow().Snapshot().Leaders[group]
 	member = leader.Address
@@ -223,7 +223,7 @@
 	}
 }
 
-// read asks a core mixer as an agent does, or an agent as its proxy does, and judges what calls itself current.
+// read asks a core node as an agent does, or an agent as its proxy does, and judges what calls itself current.
 func (w *world) read(ctx context.Context, m *machine) {
 	random := rand.New(rand.NewPCG(w.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
 	route, age := feed.WatchCall.Route(), feedAge
--- a/internal/systemtest/controlmodel/judge_test.go
+++ b/internal/systemtest/controlmodel/judge_test.go
@@ -18,9 +18,9 @@
 const slack = 100 * time.Millisecond
 
 const (
-	// feedAge is how old the configuration may be that a core mixer calls current.
+	// feedAge is how old the configuration may be that a core node calls current.
 	feedAge = configuration.FreshAge + slack
-	// agentAge is the same for an agent: the core mixer's answer takes 1.3 s at the most, and counts for 1.5 s.
+	// agentAge is the same for an agent: the core node's answer takes 1.3 s at the most, and counts for 1.5 s.
 	agentAge = feedAge + 1300*time.Millisecond + 1500*time.Millisecond
 )
 
@@ -50,7 +50,7 @@
 	terms    map[leadership]*replication.Term
 	ended    map[leadership]time.Time
 	late     []lateOrder
-	tokens   map[string]uint64 // the highest that a searcher has taken
+	tokens   map[string]uint64 // the highest that a worker has taken
 	seen     map[string]int    // what was judged, by kind
 }
 
@@ -194,7 +194,7 @@
 	at    time.Time
 }
 
-// sending looks at an order at the moment at which a mixer hands it to its connection.
+// sending looks at an order at the moment at which a node hands it to its connection.
 func (j *judge) sending(member string, kind cluster.Call, token uint64) {
 	if kind == cluster.HoldCall {
 		return
@@ -219,17 +219,17 @@
 	}
 }
 
-// answered judges what a searcher has taken.
-func (j *judge) answered(searcher string, kind cluster.Call, token uint64, status int) {
+// answered judges what a worker has taken.
+func (j *judge) answered(worker string, kind cluster.Call, token uint64, status int) {
 	if status != http.StatusOK {
 		return
 	}
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if kind != cluster.HoldCall && token < j.tokens[searcher] {
-		j.failf("%s took %s under token %d after token %d", searcher, kind, token, j.tokens[searcher])
+	if kind != cluster.HoldCall && token < j.tokens[worker] {
+		j.failf("%s took %s under token %d after token %d", worker, kind, token, j.tokens[worker])
 	}
-	j.tokens[searcher] = max(j.tokens[searcher], token)
+	j.tokens[worker] = max(j.tokens[worker], token)
 }
 
 // ran judges all runs at the end: one of a task at a time.
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -29,7 +29,7 @@
 
 var group = feed.GroupOf(service)
 
-// machine is a core mixer or an agent, with one process.
+// machine is a core node or an agent, with one process.
 type machine struct {
 	world   *world
 	address string
@@ -143,7 +143,7 @@
 	return err
 }
 
-// startCore starts a core mixer on the disk that the machine has.
+// startCore starts a core node on the disk that the machine has.
 func (m *machine) startCore() {
 	ctx, end := context.WithCancel(context.Background())
 	m.mutex.Lock()
--- a/internal/systemtest/controlmodel/orders_test.go
+++ b/internal/systemtest/controlmodel/orders_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
-// witness passes leaderships on to a mixer's jobs, and tells the judge of them.
+// witness passes leaderships on to a node's jobs, and tells the judge of them.
 type witness struct {
 	replication.Handler
 	judge  *judge
@@ -24,7 +24,7 @@
 	h.Handler.Elected(term, state)
 }
 
-// orders carries a mixer's calls to the searchers, and tells the judge of them.
+// orders carries a node's calls to the workers, and tells the judge of them.
 type orders struct {
 	world *world
 	from  *machine
@@ -43,26 +43,26 @@
 	if err := json.Unmarshal(body, &content); err != nil {
 		return nil, err
 	}
-	kind, searcher, token := cluster.Call(request.URL.Path), request.URL.Host, content.FencingToken
+	kind, worker, token := cluster.Call(request.URL.Path), request.URL.Host, content.FencingToken
 	o.world.judge.sending(o.from.address, kind, token)
 	o.from.standStill()
 	if !o.from.lives(o.life) {
 		return nil, errDown
 	}
 	ctx := request.Context()
-	sent := o.world.network.draw(o.from.address, searcher, request.URL.Path, 0)
+	sent := o.world.network.draw(o.from.address, worker, request.URL.Path, 0)
 	if sent.lost {
 		<-ctx.Done()
 		return nil, errLost
 	}
 	copied := request.Clone(ctx)
 	copied.Body = io.NopCloser(bytes.NewReader(body))
-	answer, err := o.world.searchers.MemoryClient(sent.delay).Transport.RoundTrip(copied)
+	answer, err := o.world.workers.MemoryClient(sent.delay).Transport.RoundTrip(copied)
 	if err != nil {
 		return nil, err
 	}
-	o.world.judge.answered(searcher, kind, token, answer.StatusCode)
-	back := o.world.network.draw(searcher, o.from.address, request.URL.Path, 0)
+	o.world.judge.answered(worker, kind, token, answer.StatusCode)
+	back := o.world.network.draw(worker, o.from.address, request.URL.Path, 0)
 	if back.lost {
 		<-ctx.Done()
 		return nil, errLost
--- a/internal/systemtest/controlmodel/troubles_test.go
+++ b/internal/systemtest/controlmodel/troubles_test.go
@@ -13,14 +13,14 @@
 	doubts   = 4                      // questions that wait for it then
 )
 
-// trouble is one kind of what may happen to a machine.
-type trouble struct {
+// fault is one kind of what may happen to a machine.
+type fault struct {
 	name string
 	// strike begins it, and returns what ends it.
 	strike func(w *world, m *machine, length time.Duration) (end func())
 }
 
-var coreTroubles = []trouble{
+var coreFaults = []fault{
 	{"cut from the core", func(w *world, m *machine, _ time.Duration) func() { return w.cut(m, w.cores, true, true) }},
 	{"cut out of the core", func(w *world, m *machine, _ time.Duration) func() { return w.cut(m, w.cores, true, false) }},
 	{"cut into the core", func(w *world, m *machine, _ time.Duration) func() { return w.cut(m, w.cores, false, true) }},
@@ -41,7 +41,7 @@
 	}},
 }
 
-var agentTroubles = []trouble{
+var agentFaults = []fault{
 	{"frozen", freeze},
 	{"cut from the core", func(w *world, m *machine, _ time.Duration) func() { return w.cut(m, w.cores, true, true) }},
 }
@@ -58,7 +58,7 @@
 	return func() {}
 }
 
-// doubt asks a mixer for the jobs that were accepted last, wherever that was.
+// doubt asks a node for the jobs that were accepted last, wherever that was.
 func (w *world) doubt(m *machine) {
 	asked := client{world: w, caller: endpoint{w.network, w.outside, 0}}
 	for _, id := range w.judge.newestJobs(doubts) {
@@ -90,33 +90,33 @@
 	return func() { set(false) }
 }
 
-// trouble lets troubles strike, one after the other or at the same time, at any two machines at most.
-func (w *world) trouble() {
+// fault lets troubles strike, one after the other or at the same time, at any two machines at most.
+func (w *world) fault() {
 	background := []float64{0, 0, 0.01, 0.05}[w.random.IntN(4)]
 	w.network.set(func(n *network) { n.loss, n.double, n.late = background, background, background })
 	w.log = append(w.log, fmt.Sprintf("%.2f of messages lost, doubled, late", background))
 	if w.random.IntN(4) == 0 { // what the model is most about, alone: a leader wakes beside its successor
 		at, length := time.Duration(w.random.Int64N(int64(troubled))), longest-time.Duration(w.random.Int64N(int64(time.Second)))
 		w.log = append(w.log, fmt.Sprintf("after %v the leader frozen for %v", at, length))
-		w.troubles.Go(func() { w.strike(trouble{"frozen", freeze}, w.cores[0], true, at, length) })
+		w.faults.Go(func() { w.strike(fault{"frozen", freeze}, w.cores[0], true, at, length) })
 		return
 	}
 	for range 1 + w.random.IntN(3) {
 		at := time.Duration(w.random.Int64N(int64(troubled)))
 		length := shortest + time.Duration(w.random.Int64N(int64(longest-shortest)))
-		kinds, machines := coreTroubles, w.cores
+		kinds, machines := coreFaults, w.cores
 		if w.random.IntN(6) == 0 {
-			kinds, machines = agentTroubles, w.agents
+			kinds, machines = agentFaults, w.agents
 		}
 		kind, m := kinds[w.random.IntN(len(kinds))], machines[w.random.IntN(len(machines))]
 		toLeader := w.random.IntN(2) == 0
 		w.log = append(w.log, fmt.Sprintf("after %v %s (or the leader: %v) %s for %v", at, m.address, toLeader, kind.name, length))
-		w.troubles.Go(func() { w.strike(kind, m, toLeader, at, length) })
+		w.faults.Go(func() { w.strike(kind, m, toLeader, at, length) })
 	}
 }
 
 // strike lets one trouble happen, unless the machine has another one.
-func (w *world) strike(kind trouble, m *machine, toLeader bool, at, length time.Duration) {
+func (w *world) strike(kind fault, m *machine, toLeader bool, at, length time.Duration) {
 	<-time.After(at)
 	if leader := w.leader(); toLeader && leader != nil && m.disk != nil {
 		m = leader
@@ -130,7 +130,7 @@
 	end()
 }
 
-// leader is the core mixer that the others name; nil if none does.
+// leader is the core node that the others name; nil if none does.
 func (w *world) leader() *machine {
 	for _, m := range w.cores {
 		if m.running() {
@@ -154,7 +154,7 @@
 	m.taken = false
 }
 
-// add makes a machine; core mixers have a disk.
+// add makes a machine; core nodes have a disk.
 func (w *world) add(address string) *machine {
 	m := &machine{world: w, address: address}
 	if address[0] == 'c' {
--- a/internal/systemtest/controlmodel/world_test.go
+++ b/internal/systemtest/controlmodel/world_test.go
@@ -12,13 +12,13 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/worker"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 const (
-	coreCount     = 3
-	agentCount    = 2
-	searcherCount = 2
+	coreCount   = 3
+	agentCount  = 2
+	workerCount = 2
 
 	settling  = 1200 * time.Millisecond // until the first troubles
 	troubled  = 2 * time.Second         // until the last ones have begun
@@ -38,11 +38,11 @@
 	cores     []*machine
 	agents    []*machine
 	outside   *machine // where clients are, whom nothing happens to
-	searchers *cluster.Cluster
-	instances []worker.Instance
+	workers   *cluster.Cluster
+	instances []workerclient.Instance
 	judge     *judge
 	actors    sync.WaitGroup
-	troubles  sync.WaitGroup
+	faults    sync.WaitGroup
 	log       []string // of the schedule
 }
 
@@ -51,19 +51,19 @@
 		seed: seed, begin: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), network: newNetwork(seed), judge: newJudge(),
 		view: replicaset.View{Version: 1},
 	}
-	w.searchers = cluster.New(cluster.RealClock{}, cluster.Settings{
+	w.workers = cluster.New(cluster.RealClock{}, cluster.Settings{
 		InMemory: true, HoldMax: holdMax, StopTime: 200 * time.Millisecond,
 		Describe: func(task job.TaskID, _ string) cluster.Profile {
 			length := time.Duration(100+100*(len(task.Job)+task.Index)%1200) * time.Millisecond
 			return cluster.Profile{Resources: job.Resources{Processors: 500}, Duration: length}
 		},
 	})
-	for i := range searcherCount {
-		searcher := w.searchers.AddSearcher(cluster.SearcherConfig{
+	for i := range workerCount {
+		worker := w.workers.AddWorker(cluster.WorkerConfig{
 			ID: fmt.Sprintf("i-%d", i), Service: service, Capacity: job.Resources{Processors: 4000}, Slots: 8,
 		})
-		w.instances = append(w.instances, worker.Instance{
-			ID: worker.SearcherID(searcher.ID()), Address: searcher.Address(), Service: service, Slots: 8,
+		w.instances = append(w.instances, workerclient.Instance{
+			ID: workerclient.WorkerID(worker.ID()), Address: worker.Address(), Service: service, Slots: 8,
 			Capacity: job.Resources{Processors: 4000},
 		})
 	}
@@ -85,8 +85,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w.act(ctx)
 	<-time.After(settling)
-	w.trouble()
-	w.troubles.Wait()
+	w.fault()
+	w.faults.Wait()
 	w.network.set(func(n *network) { n.loss, n.double, n.late = 0, 0, 0 })
 	<-time.After(healed)
 	stop()
@@ -97,7 +97,7 @@
 
 // finish judges what is left when all is calm, and ends the system.
 func (w *world) finish() {
-	w.judge.ran(w.searchers.Runs())
+	w.judge.ran(w.workers.Runs())
 	ctx, cancel := context.WithTimeout(context.Background(), finishing)
 	defer cancel()
 	value, err := w.cores[0].register.Read(ctx)
@@ -113,7 +113,7 @@
 	for _, m := range append(w.agents, w.cores...) {
 		m.kill()
 	}
-	w.searchers.Close()
+	w.workers.Close()
 	<-time.After(finishing) // calls that were lost have ended
 	w.judge.lateOrders()
 }
--- a/internal/systemtest/doc.go
+++ b/internal/systemtest/doc.go
@@ -1,6 +1,6 @@
 // Package systemtest runs the whole system, one process for each part, on loopback addresses before stand-ins for
-// searchers, the platform, clients and operators. A relay stands between every two parts: it can cut, delay and drop, and
-// strikes at numbered calls. What clients, operators and searchers have seen is judged afterwards. It has only tests.
+// workers, the platform, clients and operators. A relay stands between every two parts: it can cut, delay and drop, and
+// strikes at numbered calls. What clients, operators and workers have seen is judged afterwards. It has only tests.
 //
 // An ordinary run plays a few telling scenarios. These variables of the environment change that:
 //
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -76,13 +76,13 @@
 	return nil
 }
 
-// breakGang crashes a searcher on which a member of a gang has worked for long enough to have saved.
+// breakGang crashes a worker on which a member of a gang has worked for long enough to have saved.
 func breakGang(ctx context.Context, s *system) error {
 	for {
 		for _, run := range s.cluster.Runs() {
 			kind := s.plans.kindOf(string(run.Task.Job))
 			if kind == gangJob && run.EndedAt.IsZero() && time.Since(run.StartedAt) > 2*saveEvery {
-				s.crashLife(run.Searcher)
+				s.crashLife(run.Worker)
 				return nil
 			}
 		}
@@ -92,29 +92,29 @@
 	}
 }
 
-// searcherTrouble crashes one searcher, lets another carry orders out late, a third be silent, and a fourth drain and leave.
-func searcherTrouble(ctx context.Context, s *system) error {
+// workerFault crashes one worker, lets another carry orders out late, a third be silent, and a fourth drain and leave.
+func workerFault(ctx context.Context, s *system) error {
 	if err := breakGang(ctx, s); err != nil {
 		return err
 	}
 	const lateBy, upset = 2 * time.Second, 3 * time.Second
-	s.disturb(s.searchers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: lateBy, FromArrival: true}))
-	s.disturb(s.searchers[2], cluster.Always(cluster.Fault{Kind: cluster.Silent}))
-	s.drain(s.searchers[3])
+	s.disturb(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: lateBy, FromArrival: true}))
+	s.disturb(s.workers[2], cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+	s.drain(s.workers[3])
 	if err := pause(ctx, upset); err != nil {
 		return err
 	}
-	s.calm(s.searchers[1])
-	s.calm(s.searchers[2])
-	s.searchers[3].Leave()
-	s.crash(s.searchers[4])
+	s.calm(s.workers[1])
+	s.calm(s.workers[2])
+	s.workers[3].Leave()
+	s.crash(s.workers[4])
 	return nil
 }
 
-// drainLong lists a searcher of each service as draining, lets them stay, and hands more jobs in much later.
+// drainLong lists a worker of each service as draining, lets them stay, and hands more jobs in much later.
 func drainLong(ctx context.Context, s *system) error {
-	s.drain(s.searchers[1])
-	s.drain(s.searchers[len(s.searchers)-1])
+	s.drain(s.workers[1])
+	s.drain(s.workers[len(s.workers)-1])
 	if err := pause(ctx, s.bounds().Drain+shortly); err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 	{name: "leader-frozen", seed: 3, faults: freezeLeader},
 	{name: "leader-cut", seed: 4, faults: together(cutLeader(true), killFronts)},
 	{name: "core-killed", seed: 5, faults: killCore},
-	{name: "searchers", seed: 6, faults: searcherTrouble},
+	{name: "searchers", seed: 6, faults: workerFault},
 	{name: "configuration-and-wiped-disk", seed: 7, faults: together(killFollower(true), changeConfiguration)},
 }
 
@@ -234,8 +234,8 @@
 	{name: "configuration", seed: 14, faults: changeConfiguration},
 	{name: "configuration-and-killed-leader", seed: 15, faults: together(killLeader(false), changeConfiguration)},
 	{name: "configuration-and-cut-leader", seed: 16, faults: together(cutLeader(true), changeConfiguration)},
-	{name: "searchers-and-killed-leader", seed: 17, faults: together(killLeader(false), searcherTrouble)},
-	{name: "searchers-and-frozen-leader", seed: 18, faults: together(freezeLeader, searcherTrouble)},
+	{name: "searchers-and-killed-leader", seed: 17, faults: together(killLeader(false), workerFault)},
+	{name: "searchers-and-frozen-leader", seed: 18, faults: together(freezeLeader, workerFault)},
 	{name: "leaders-killed-in-turn", seed: 19, faults: together(killLeader(false), afterRepair(killLeader(false)), afterRepair(killLeader(true)))},
 	{name: "rolled", seed: 21, faults: rollAll},
 	{name: "slow-core", seed: 22, faults: slowCore},
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -32,17 +32,17 @@
 // handOver is a system of three core machines of which one is told to stop while a fourth waits for a place.
 type handOver struct {
 	*system
-	leaving, lagging, failing, newcomer *machine
+	leaving, lagging, failing, joiningMember *machine
 
 	mu        sync.Mutex
-	announced map[string][2]time.Time // the newcomer's first and last announcement, by who heard it
-	rebuilt   time.Time               // when the newcomer first told the leaving member that it may vote
+	announced map[string][2]time.Time // the joining member's first and last announcement, by who heard it
+	rebuilt   time.Time               // when the joining member first told the leaving member that it may vote
 	ended     time.Time               // when the leaving member's process had ended
 	told      time.Time               // when it was told to stop
 }
 
 // A member leads a group and holds its newest batch and the newest configuration together with one other, which fails in
-// that moment; the third member got neither. The first is told to stop while a newcomer waits. It stays until the newcomer
+// that moment; the third member got neither. The first is told to stop while a joining member waits. It stays until the joining member
 // has been rebuilt and may vote, within its grace period, and what was acknowledged is there at the two that are left.
 func TestAMemberThatIsToldToStopHandsOver(t *testing.T) {
 	t.Parallel()
@@ -70,11 +70,11 @@
 	if err := h.bringUp(ctx); err != nil {
 		return err
 	}
-	if err := h.addNewcomer(); err != nil {
+	if err := h.addJoiningMember(); err != nil {
 		return err
 	}
 	h.chooseRoles()
-	if err := h.awaitNewcomer(ctx); err != nil {
+	if err := h.awaitJoiningMember(ctx); err != nil {
 		return err
 	}
 	random := rand.New(rand.NewPCG(9, 1))
@@ -102,28 +102,28 @@
 	}
 }
 
-// see notes the newcomer's announcements, and its word that it may vote.
+// see notes the joining member's announcements, and its word that it may vote.
 func (h *handOver) see(c call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	switch {
-	case c.path == announcePath && h.newcomer != nil && c.from == h.newcomer.name && c.status == http.StatusOK:
+	case c.path == announcePath && h.joiningMember != nil && c.from == h.joiningMember.name && c.status == http.StatusOK:
 		times := h.announced[c.to]
 		if times[0].IsZero() {
 			times[0] = now
 		}
 		times[1] = now
 		h.announced[c.to] = times
-	case c.path == readyPath && h.newcomer != nil && c.to == h.newcomer.name && c.from == h.leaving.name && bytes.Contains(c.answer, tellsReady):
+	case c.path == readyPath && h.joiningMember != nil && c.to == h.joiningMember.name && c.from == h.leaving.name && bytes.Contains(c.answer, tellsReady):
 		if h.rebuilt.IsZero() {
 			h.rebuilt = now
 		}
 	}
 }
 
-// addNewcomer starts a fourth core machine.
-func (h *handOver) addNewcomer() error {
+// addJoiningMember starts a fourth core machine.
+func (h *handOver) addJoiningMember() error {
 	m, err := h.newMachine("core-4")
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 	}
 	h.prepare(m)
 	h.mu.Lock()
-	h.newcomer = m
+	h.joiningMember = m
 	h.mu.Unlock()
 	h.core = append(h.core, m)
 	machines := h.machines()
@@ -155,7 +155,7 @@
 	h.leaving = h.leaderOf(guardedService)
 	for _, core := range h.core {
 		switch {
-		case core == h.leaving || core == h.newcomer:
+		case core == h.leaving || core == h.joiningMember:
 		case h.lagging == nil:
 			h.lagging = core
 		default:
@@ -164,8 +164,8 @@
 	}
 }
 
-// awaitNewcomer waits until the members that will vote on its place have heard the newcomer for long enough.
-func (h *handOver) awaitNewcomer(ctx context.Context) error {
+// awaitJoiningMember waits until the members that will vote on its place have heard the joining member for long enough.
+func (h *handOver) awaitJoiningMember(ctx context.Context) error {
 	for !h.waits(h.leaving) || !h.waits(h.lagging) {
 		if err := pause(ctx, pollPause); err != nil {
 			return fmt.Errorf("the newcomer does not announce itself: %w", err)
@@ -221,7 +221,7 @@
 	}
 }
 
-// checkLog looks whether the member wrote, before it ended, that its newcomer may vote.
+// checkLog looks whether the member wrote, before it ended, that its joining member may vote.
 func (h *handOver) checkLog() error {
 	log, err := os.ReadFile(h.leaving.processes[0].log.Name())
 	if err != nil {
@@ -235,7 +235,7 @@
 
 // checkWhatIsLeft asks the two members that are left for what was acknowledged, and lets them take more.
 func (h *handOver) checkWhatIsLeft(ctx context.Context, random *rand.Rand, acknowledged jobPlan, version int64) error {
-	for _, core := range []*machine{h.lagging, h.newcomer} {
+	for _, core := range []*machine{h.lagging, h.joiningMember} {
 		if err := h.awaitConfiguration(ctx, core, version); err != nil {
 			return err
 		}
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -88,7 +88,7 @@
 // startAll starts the machine's processes; planned tells whether they had been stopped in order.
 func (m *machine) startAll(planned bool) error {
 	var failures []error
-	m.system.addTrouble(checker.Trouble{Machine: m.name, Planned: planned})
+	m.system.addFault(checker.Fault{Machine: m.name, Planned: planned})
 	m.addLife()
 	for _, p := range m.processes {
 		failures = append(failures, m.start(p))
@@ -122,7 +122,7 @@
 
 // shutDown ends all processes of the machine in order, and by force after the grace period.
 func (m *machine) shutDown() {
-	m.system.addTrouble(checker.Trouble{Machine: m.name, Planned: true})
+	m.system.addFault(checker.Fault{Machine: m.name, Planned: true})
 	var all sync.WaitGroup
 	for _, p := range m.processes {
 		all.Go(func() {
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -10,7 +10,7 @@
 type call struct {
 	from, to string // machines; outside for clients, operators and stand-ins
 	path     string
-	life     string // of a searcher: the life that is meant
+	life     string // of a worker: the life that is meant
 	body     []byte
 	sentAt   time.Time
 	status   int // of the answer
--- a/internal/systemtest/points_test.go
+++ b/internal/systemtest/points_test.go
@@ -73,13 +73,13 @@
 	{"core-killed", true, func(ctx context.Context, s *system, _ call) { killCore(ctx, s) }},
 }
 
-// crashNamed kills a machine; only a core machine has a disk to lose, and a searcher loses its life.
+// crashNamed kills a machine; only a core machine has a disk to lose, and a worker loses its life.
 func (s *system) crashNamed(ctx context.Context, name string, wipe bool) {
 	if m := s.machineNamed(name); m != nil {
 		s.crashMachine(ctx, m, shortly, wipe && m.data != "")
 		return
 	}
-	for _, one := range s.searchers {
+	for _, one := range s.workers {
 		if one.relay.to == name {
 			s.crash(one)
 		}
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -9,9 +9,9 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-const holdMax = 6 * time.Second // the longest time for which a searcher holds its runs
+const holdMax = 6 * time.Second // the longest time for which a worker holds its runs
 
-// runName names a run across all lives of searchers.
+// runName names a run across all lives of workers.
 type runName struct {
 	life, task string
 	execution  uint64
@@ -23,7 +23,7 @@
 	number uint64
 }
 
-// recorder reads what passes between machines and searchers.
+// recorder reads what passes between machines and workers.
 type recorder struct {
 	mu          sync.Mutex
 	senders     map[runName]string
@@ -34,7 +34,7 @@
 	checkpoints map[checker.Checkpoint]bool
 	lists       []checker.List
 	lines       []line
-	leaders     map[string]string // the machine that last held, by a searcher's address
+	leaders     map[string]string // the machine that last held, by a worker's address
 }
 
 // line is one call for the account of a broken rule.
@@ -50,7 +50,7 @@
 	}
 }
 
-// order is what the recorder reads of a call to a searcher.
+// order is what the recorder reads of a call to a worker.
 type order struct {
 	Task         string `json:"task"`
 	Execution    uint64 `json:"execution"`
@@ -65,7 +65,7 @@
 	Finished [][]json.RawMessage `json:"finished"`
 }
 
-// delivered takes a call to a searcher on its way there.
+// delivered takes a call to a worker on its way there.
 func (r *recorder) delivered(c call) {
 	var o order
 	if json.Unmarshal(c.body, &o) != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// answered takes a call to a searcher with its answer.
+// answered takes a call to a worker with its answer.
 func (r *recorder) answered(c call) {
 	var o order
 	var a report
@@ -104,7 +104,7 @@
 func (r *recorder) hold(life string, validUntil, clock int64, now time.Time) {
 	until := r.heldUntil[life]
 	if !until.IsZero() && now.After(until) {
-		r.lapses = append(r.lapses, checker.Lapse{Searcher: life, At: until})
+		r.lapses = append(r.lapses, checker.Lapse{Worker: life, At: until})
 		delete(r.heldUntil, life)
 	}
 	if validUntil <= clock {
@@ -172,11 +172,11 @@
 	}
 }
 
-// leader is the machine that last told a searcher anything.
-func (r *recorder) leader(searcher string) string {
+// leader is the machine that last told a worker anything.
+func (r *recorder) leader(worker string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leaders[searcher]
+	return r.leaders[worker]
 }
 
 // fill adds what was recorded to a history.
@@ -184,9 +184,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, record := range runs {
-		name := runName{record.Searcher, record.Task.String(), record.Execution}
+		name := runName{record.Worker, record.Task.String(), record.Execution}
 		run := checker.Run{
-			Searcher: record.Searcher, Task: name.task, Execution: record.Execution, Specification: record.Specification,
+			Worker: record.Worker, Task: name.task, Execution: record.Execution, Specification: record.Specification,
 			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[name], StartedAt: record.StartedAt,
 			EndedAt: record.EndedAt, How: string(record.How),
 		}
@@ -200,7 +200,7 @@
 	}
 	for life, until := range r.heldUntil {
 		if until.Before(h.SeenUntil) {
-			r.lapses = append(r.lapses, checker.Lapse{Searcher: life, At: until})
+			r.lapses = append(r.lapses, checker.Lapse{Worker: life, At: until})
 		}
 	}
 	for checkpoint := range r.checkpoints {
