--- a/internal/systemtest/repair_test.go
+++ b/internal/systemtest/repair_test.go
@@ -93,7 +93,7 @@
 	})
 }
 
-// cutOff cuts a machine off from the other core machines for a while. Searchers, platform and operators still reach it.
+// cutOff cuts a machine off from the other core machines for a while. Workers, platform and operators still reach it.
 func (s *system) cutOff(ctx context.Context, m *machine, away time.Duration, bothWays bool) {
 	if m == nil || !m.take() {
 		return
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -202,7 +202,7 @@
 	return result
 }
 
-// awaitLeader waits until a core machine has told a service's searchers something.
+// awaitLeader waits until a core machine has told a service's workers something.
 func (s *system) awaitLeader(ctx context.Context, service string) error {
 	for s.leaderOf(service) == nil {
 		if err := pause(ctx, retryPause); err != nil {
@@ -212,9 +212,9 @@
 	return nil
 }
 
-// leaderOf is the core machine that last told a service's searchers anything.
+// leaderOf is the core machine that last told a service's workers anything.
 func (s *system) leaderOf(service string) *machine {
-	for _, one := range s.searchers {
+	for _, one := range s.workers {
 		if one.fact.Service != service {
 			continue
 		}
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -32,12 +32,12 @@
 
 // size is how large a system is.
 type size struct {
-	fronts    int
-	searchers []searcherPlan
+	fronts  int
+	workers []workerPlan
 }
 
-// searcherPlan is some searchers of one service.
-type searcherPlan struct {
+// workerPlan is some workers of one service.
+type workerPlan struct {
 	service string
 	count   int
 	guards  bool
@@ -48,7 +48,7 @@
 	unguardedService = "mail"
 )
 
-var usualSize = size{fronts: 2, searchers: []searcherPlan{{guardedService, 4, true}, {unguardedService, 3, false}}}
+var usualSize = size{fronts: 2, workers: []workerPlan{{guardedService, 4, true}, {unguardedService, 3, false}}}
 
 // system is a whole system with what surrounds it.
 type system struct {
@@ -62,7 +62,7 @@
 	machineCount int
 	cluster      *cluster.Cluster
 	platform     *relay
-	searchers    []*searcher
+	workers      []*worker
 	plans        plans
 	clients      *http.Client
 	logs         []*os.File
@@ -70,11 +70,11 @@
 	repairs      sync.WaitGroup
 
 	mu       sync.Mutex
-	troubles []checker.Trouble
+	faults   []checker.Fault
 	requests []checker.Request
 	orders   []checker.Order
 	cuts     []checker.Cut
-	lives    map[string]checker.Searcher // by identifier
+	lives    map[string]checker.Worker // by identifier
 	failures []error
 	jobs     []jobPlan
 	endedAt  time.Time
@@ -85,7 +85,7 @@
 // newSystem makes a system; nothing runs yet.
 func newSystem(folder string, of size) (*system, error) {
 	s := &system{
-		folder: folder, network: newNetwork(), recorder: newRecorder(), lives: map[string]checker.Searcher{},
+		folder: folder, network: newNetwork(), recorder: newRecorder(), lives: map[string]checker.Worker{},
 		subnet:  fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, systems.Add(1)),
 		clients: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}},
 	}
@@ -209,7 +209,7 @@
 			m.end(p, syscall.SIGKILL)
 		}
 	}
-	for _, one := range s.searchers {
+	for _, one := range s.workers {
 		one.relay.close()
 	}
 	s.platform.close()
@@ -221,18 +221,18 @@
 }
 
 // begin notes that trouble with a machine begins.
-func (s *system) begin(machine string) { s.addTrouble(checker.Trouble{Machine: machine}) }
+func (s *system) begin(machine string) { s.addFault(checker.Fault{Machine: machine}) }
 
-// beginSearcher notes that trouble with a searcher begins.
-func (s *system) beginSearcher(one *searcher) {
-	s.addTrouble(checker.Trouble{Kind: checker.SearcherTrouble, Machine: one.relay.to})
+// beginWorker notes that trouble with a worker begins.
+func (s *system) beginWorker(one *worker) {
+	s.addFault(checker.Fault{Kind: checker.WorkerFault, Machine: one.relay.to})
 }
 
-func (s *system) addTrouble(trouble checker.Trouble) {
-	trouble.From = time.Now()
+func (s *system) addFault(fault checker.Fault) {
+	fault.From = time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubles = append(s.troubles, trouble)
+	s.faults = append(s.faults, fault)
 }
 
 // noteCut notes a client's request that a machine has given up.
@@ -242,13 +242,13 @@
 	s.cuts = append(s.cuts, checker.Cut{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
 }
 
-// finish notes that all trouble with a machine or a searcher is over.
+// finish notes that all trouble with a machine or a worker is over.
 func (s *system) finish(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.troubles {
-		if s.troubles[i].Machine == name && s.troubles[i].To.IsZero() {
-			s.troubles[i].To = time.Now()
+	for i := range s.faults {
+		if s.faults[i].Machine == name && s.faults[i].To.IsZero() {
+			s.faults[i].To = time.Now()
 		}
 	}
 }
@@ -277,14 +277,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := checker.History{
-		Bounds:   s.bounds(),
-		Troubles: s.troubles, Requests: s.requests, Orders: s.orders, Cuts: s.cuts, EndedAt: endedAt, SeenUntil: time.Now(),
+		Bounds: s.bounds(),
+		Faults: s.faults, Requests: s.requests, Orders: s.orders, Cuts: s.cuts, EndedAt: endedAt, SeenUntil: time.Now(),
 	}
 	for _, m := range s.core {
 		h.Core = append(h.Core, m.name)
 	}
 	for _, life := range s.lives {
-		h.Searchers = append(h.Searchers, life)
+		h.Workers = append(h.Workers, life)
 	}
 	s.recorder.fill(&h, s.cluster.Runs())
 	return h
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -1,5 +1,5 @@
 // Package cluster runs the whole cluster scheduler on the loopback addresses of one machine: three core machines, two
-// front machines, stand-in searchers and a stand-in platform. It hands in jobs, kills a searcher and the leader of a
+// front machines, stand-in workers and a stand-in platform. It hands in jobs, kills a worker and the leader of a
 // service's jobs on the way, and counts what became of the jobs.
 package cluster
 
@@ -29,7 +29,7 @@
 type Options struct {
 	For       time.Duration // of the load
 	Every     time.Duration // between two lines of progress
-	Searchers int           // of each service
+	Workers   int           // of each service
 	PerS      float64       // jobs handed in a second
 	Directory string        // for settings files and the coordinators' disks; it must be empty
 	Launcher  Launcher
@@ -56,8 +56,8 @@
 	switch {
 	case o.For <= 0 || o.Every <= 0:
 		return errors.New("times must be above 0; give --for and --every as in 20s")
-	case o.Searchers < 2 || o.Searchers > 64:
-		return fmt.Errorf("%d searchers: give 2 to 64, as one is killed on the way", o.Searchers)
+	case o.Workers < 2 || o.Workers > 64:
+		return fmt.Errorf("%d searchers: give 2 to 64, as one is killed on the way", o.Workers)
 	case o.PerS <= 0 || o.PerS > 200:
 		return fmt.Errorf("%g jobs a second: give more than 0 and at most 200", o.PerS)
 	}
@@ -70,7 +70,7 @@
 	began    time.Time
 	site     *site
 	cluster  *cluster.Cluster
-	searcher []*cluster.Searcher
+	worker   []*cluster.Worker
 	load     *load
 	http     *http.Client
 	printing sync.Mutex // held while a line is printed
@@ -120,7 +120,7 @@
 // start starts all machines and puts the configuration in force.
 func (d *demo) start(ctx context.Context) error {
 	d.load = newLoad(d.http)
-	d.startSearchers()
+	d.startWorkers()
 	var err error
 	if d.site, err = newSite(d.options.Directory, d.cluster.AddPlatform(cluster.PlatformConfig{}).Address()); err != nil {
 		return err
@@ -136,7 +136,7 @@
 		}
 	}
 	d.load.targets = d.site.frontAddresses()
-	d.say("started %d coordinators, %d fronts and %d searchers", coreMachines, frontMachines, len(d.searcher))
+	d.say("started %d coordinators, %d fronts and %d searchers", coreMachines, frontMachines, len(d.worker))
 	d.say("operators reach it at: %s", d.site.operatorFlags())
 	starting, cancel := context.WithTimeout(ctx, startTime)
 	defer cancel()
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -72,7 +72,7 @@
 
 func newLoad(client *http.Client) *load { return &load{http: client, jobs: make(map[job.ID]*handedIn)} }
 
-// describe tells a stand-in searcher what a task needs and does.
+// describe tells a stand-in worker what a task needs and does.
 func (l *load) describe(task job.TaskID, _ string) cluster.Profile {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/tools/demo/cluster/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	holdMax          = 6 * time.Second
-	searchersPerRack = 3
-	searcherFault    = 0.3 // when a searcher is killed, as a share of the load's time
-	leaderFault      = 0.55
-	victimTime       = 2 * time.Second // for a searcher to be at work
-	victimPause      = 50 * time.Millisecond
-	leaderTime       = 10 * time.Second // for the jobs of a service to have a leader
+	holdMax        = 6 * time.Second
+	workersPerRack = 3
+	workerFault    = 0.3 // when a worker is killed, as a share of the load's time
+	leaderFault    = 0.55
+	victimTime     = 2 * time.Second // for a worker to be at work
+	victimPause    = 50 * time.Millisecond
+	leaderTime     = 10 * time.Second // for the jobs of a service to have a leader
 )
 
-func (d *demo) startSearchers() {
+func (d *demo) startWorkers() {
 	d.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
 		HoldMax: holdMax, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
 		Restore: 100 * time.Millisecond, Describe: d.load.describe,
 	})
 	for _, service := range services {
-		for number := range d.options.Searchers {
-			d.searcher = append(d.searcher, d.cluster.AddSearcher(cluster.SearcherConfig{
+		for number := range d.options.Workers {
+			d.worker = append(d.worker, d.cluster.AddWorker(cluster.WorkerConfig{
 				ID: fmt.Sprintf("%s-%d", service, number), Service: service, Zone: "demo", Version: "v1", Slots: 8,
 				Capacity: job.Resources{Processors: 8000, MemoryMB: 16000, Accelerators: 2},
-				Labels:   []string{"standard", fmt.Sprintf("rack-%d", number/searchersPerRack)}, Guards: true,
+				Labels:   []string{"standard", fmt.Sprintf("rack-%d", number/workersPerRack)}, Guards: true,
 			}))
 		}
 	}
@@ -83,13 +83,13 @@
 	}
 }
 
-// playFaults kills a searcher and later the leader of a service's jobs, which it starts again.
+// playFaults kills a worker and later the leader of a service's jobs, which it starts again.
 func (d *demo) playFaults(ctx context.Context) {
-	if !pause(ctx, time.Duration(searcherFault*float64(d.options.For))) {
+	if !pause(ctx, time.Duration(workerFault*float64(d.options.For))) {
 		return
 	}
-	d.killSearcher(ctx)
-	if !pause(ctx, time.Duration((leaderFault-searcherFault)*float64(d.options.For))) {
+	d.killWorker(ctx)
+	if !pause(ctx, time.Duration((leaderFault-workerFault)*float64(d.options.For))) {
 		return
 	}
 	number, err := d.awaitLeader(ctx)
@@ -103,8 +103,8 @@
 	}
 }
 
-// killSearcher kills one that is at work, with all that runs there.
-func (d *demo) killSearcher(ctx context.Context) {
+// killWorker kills one that is at work, with all that runs there.
+func (d *demo) killWorker(ctx context.Context) {
 	waiting, cancel := context.WithTimeout(ctx, victimTime)
 	defer cancel()
 	victim, runs := d.busiest()
@@ -116,18 +116,18 @@
 	d.note("killed searcher %s with %d runs; it is back as %s", id, runs, victim.ID())
 }
 
-// busiest is the searcher with the most runs under way.
-func (d *demo) busiest() (victim *cluster.Searcher, runs int) {
+// busiest is the worker with the most runs under way.
+func (d *demo) busiest() (victim *cluster.Worker, runs int) {
 	busy := map[string]int{}
 	for _, record := range d.cluster.Runs() {
 		if record.EndedAt.IsZero() {
-			busy[record.Searcher]++
+			busy[record.Worker]++
 		}
 	}
-	victim = d.searcher[0]
-	for _, searcher := range d.searcher {
-		if busy[searcher.ID()] > busy[victim.ID()] {
-			victim = searcher
+	victim = d.worker[0]
+	for _, worker := range d.worker {
+		if busy[worker.ID()] > busy[victim.ID()] {
+			victim = worker
 		}
 	}
 	return victim, busy[victim.ID()]
--- a/internal/tools/demo/cluster/summary.go
+++ b/internal/tools/demo/cluster/summary.go
@@ -63,7 +63,7 @@
 	return summary
 }
 
-// count compares the jobs as their clients saw them with the runs as the searchers saw them.
+// count compares the jobs as their clients saw them with the runs as the workers saw them.
 func count(jobs []handedIn, records []cluster.RunRecord) Summary {
 	summary := Summary{Jobs: len(jobs), Runs: len(records), DoubledTasks: len(doubled(records))}
 	done := map[job.TaskID]bool{}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,4 +1,4 @@
-// Package transport carries the mixers' internal protocol: typed requests and replies as msgpack bodies of HTTP/1.1
+// Package transport carries the nodes' internal protocol: typed requests and replies as msgpack bodies of HTTP/1.1
 // POST calls. It moves bytes and classifies failures; retries, routing and timeouts belong to its callers.
 //
 // A call means a process and not only an address, as an address may be another machine's soon after its own was lost.
