--- a/internal/controlplane/chunks/assembler.go
+++ b/internal/controlplane/chunks/assembler.go
@@ -1,38 +1,38 @@
 package chunks
 
-// Collection gathers the parts of one content. It belongs to one goroutine or is guarded by its owner.
-type Collection struct {
+// Assembler gathers the parts of one content. It belongs to one goroutine or is guarded by its owner.
+type Assembler struct {
 	manifest Manifest
 	order    []Sum
-	held     map[Sum][]byte
+	present  map[Sum][]byte
 	missing  map[Sum]struct{}
 }
 
-// Holder returns a part that is at hand.
-type Holder func(Sum) (chunk []byte, found bool)
+// Source returns a part that is at hand.
+type Source func(Sum) (chunk []byte, found bool)
 
-// NewCollection begins to gather a content. Parts that a holder has are not gathered again. The error is ErrManifest.
-func NewCollection(manifest Manifest, holders ...Holder) (*Collection, error) {
-	if err := manifest.Check(); err != nil {
+// NewAssembler begins to gather a content. Parts that a holder has are not gathered again. The error is ErrManifest.
+func NewAssembler(manifest Manifest, sources ...Source) (*Assembler, error) {
+	if err := manifest.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Collection{
+	c := &Assembler{
 		manifest: manifest,
 		order:    manifest.Sums(),
-		held:     make(map[Sum][]byte),
+		present:  make(map[Sum][]byte),
 		missing:  make(map[Sum]struct{}),
 	}
 	for _, sum := range c.order {
-		c.find(sum, holders)
+		c.take(sum, sources)
 	}
 	return c, nil
 }
 
-// find takes a part from the first holder that has it.
-func (c *Collection) find(sum Sum, holders []Holder) {
-	for _, holder := range holders {
-		if chunk, found := holder(sum); found {
-			c.held[sum] = chunk
+// take takes a part from the first holder that has it.
+func (c *Assembler) take(sum Sum, sources []Source) {
+	for _, source := range sources {
+		if chunk, found := source(sum); found {
+			c.present[sum] = chunk
 			return
 		}
 	}
@@ -40,27 +40,27 @@
 }
 
 // Chunk is the Holder of the parts that have arrived.
-func (c *Collection) Chunk(sum Sum) (chunk []byte, found bool) {
-	chunk, found = c.held[sum]
+func (c *Assembler) Chunk(sum Sum) (chunk []byte, found bool) {
+	chunk, found = c.present[sum]
 	return chunk, found
 }
 
 // Add takes a part and tells whether it was missing. Any other changes nothing.
-func (c *Collection) Add(chunk []byte) bool {
+func (c *Assembler) Add(chunk []byte) bool {
 	sum := SumOf(chunk)
-	if _, wanted := c.missing[sum]; !wanted {
+	if _, missing := c.missing[sum]; !missing {
 		return false
 	}
 	delete(c.missing, sum)
-	c.held[sum] = chunk
+	c.present[sum] = chunk
 	return true
 }
 
 // AddPacked takes packed parts; those that are not missing change nothing. The error is ErrPacked; parts before the wrong
 // one are taken.
-func (c *Collection) AddPacked(packed [][]byte) error {
-	for _, one := range packed {
-		chunk, err := Unpack(one)
+func (c *Assembler) AddPacked(packed [][]byte) error {
+	for _, compressed := range packed {
+		chunk, err := Unpack(compressed)
 		if err != nil {
 			return err
 		}
@@ -70,28 +70,28 @@
 }
 
 // Missing lists at most a number of parts that are still to come, in the content's order.
-func (c *Collection) Missing(most int) []Sum {
-	missing := Without(c.order, c.Chunk)
-	return missing[:min(most, len(missing))]
+func (c *Assembler) Missing(limit int) []Sum {
+	missing := MissingFrom(c.order, c.Chunk)
+	return missing[:min(limit, len(missing))]
 }
 
-// Lacks is how many parts are missing.
-func (c *Collection) Lacks() int { return len(c.missing) }
+// MissingCount is how many parts are missing.
+func (c *Assembler) MissingCount() int { return len(c.missing) }
 
-// Whole tells whether no part is missing.
-func (c *Collection) Whole() bool { return len(c.missing) == 0 }
+// Complete tells whether no part is missing.
+func (c *Assembler) Complete() bool { return len(c.missing) == 0 }
 
 // Content puts the parts together and checks them against the manifest. The error is ErrContent.
-func (c *Collection) Content() ([]byte, error) {
-	if !c.Whole() {
+func (c *Assembler) Content() ([]byte, error) {
+	if !c.Complete() {
 		return nil, ErrContent
 	}
 	content := make([]byte, 0, c.manifest.Bytes)
 	for _, sum := range c.order {
-		if len(content)+len(c.held[sum]) > c.manifest.Bytes {
+		if len(content)+len(c.present[sum]) > c.manifest.Bytes {
 			return nil, ErrContent
 		}
-		content = append(content, c.held[sum]...)
+		content = append(content, c.present[sum]...)
 	}
 	if len(content) != c.manifest.Bytes || SumOf(content) != c.manifest.Sum {
 		return nil, ErrContent
--- a/internal/controlplane/chunks/chunks.go
+++ b/internal/controlplane/chunks/chunks.go
@@ -19,8 +19,8 @@
 
 // SumOf returns the checksum of a content.
 func SumOf(content []byte) Sum {
-	whole := sha256.Sum256(content)
-	return Sum(whole[:SumBytes])
+	digest := sha256.Sum256(content)
+	return Sum(digest[:SumBytes])
 }
 
 const (
@@ -28,9 +28,9 @@
 	// contents of 50 KB to 1 MB: the manifest, 16 bytes a part, and the parts around the change.
 	minChunk = 512
 	maxChunk = 8 << 10
-	// cutMask is compared with the rolling checksum: a place is a cut with a chance of 1 in 2,048. Configurations have fewer
+	// boundaryMask is compared with the rolling checksum: a place is a cut with a chance of 1 in 2,048. Configurations have fewer
 	// different places than bytes, so that their parts have 4 KB in the mean.
-	cutMask = (1<<11 - 1) << 40
+	boundaryMask = (1<<11 - 1) << 40
 )
 
 // MaxContent bounds the length of a content, in bytes, so that a manifest cannot claim all of a receiver's memory.
@@ -53,20 +53,20 @@
 func Split(content []byte) [][]byte {
 	var split [][]byte
 	for len(content) > 0 {
-		length := cut(content)
+		length := firstBoundary(content)
 		split = append(split, content[:length:length])
 		content = content[length:]
 	}
 	return split
 }
 
-// cut returns the length of the first part.
-func cut(content []byte) int {
+// firstBoundary returns the length of the first part.
+func firstBoundary(content []byte) int {
 	most := min(len(content), maxChunk)
 	rolling := uint64(0)
 	for i := minChunk; i < most; i++ {
 		rolling = rolling<<1 + gear[content[i]]
-		if rolling&cutMask == 0 {
+		if rolling&boundaryMask == 0 {
 			return i
 		}
 	}
@@ -86,7 +86,7 @@
 	for _, chunk := range split {
 		sums = append(sums, SumOf(chunk))
 	}
-	return Manifest{Sum: SumOf(content), Bytes: len(content), Chunks: Join(sums)}
+	return Manifest{Sum: SumOf(content), Bytes: len(content), Chunks: JoinSums(sums)}
 }
 
 // Errors of contents that do not arrive as they were sent.
@@ -97,8 +97,8 @@
 	ErrContent = errors.New("the parts do not make up the content that was named")
 )
 
-// Check refuses a manifest that cannot be one; the error is ErrManifest.
-func (m Manifest) Check() error {
+// Validate refuses a manifest that cannot be one; the error is ErrManifest.
+func (m Manifest) Validate() error {
 	count := len(m.Chunks) / SumBytes
 	switch {
 	case len(m.Chunks)%SumBytes != 0, m.Bytes < 0, m.Bytes > MaxContent, count > m.Bytes:
@@ -108,19 +108,19 @@
 }
 
 // Sums lists the parts' checksums in order.
-func (m Manifest) Sums() []Sum { return SumsOf(m.Chunks) }
+func (m Manifest) Sums() []Sum { return ParseSums(m.Chunks) }
 
-// SumsOf reads checksums that stand one after the other. An incomplete one at the end is left out.
-func SumsOf(joined []byte) []Sum {
+// ParseSums reads checksums that stand one after the other. An incomplete one at the end is left out.
+func ParseSums(joined []byte) []Sum {
 	sums := make([]Sum, 0, len(joined)/SumBytes)
-	for rest := joined; len(rest) >= SumBytes; rest = rest[SumBytes:] {
-		sums = append(sums, Sum(rest[:SumBytes]))
+	for remaining := joined; len(remaining) >= SumBytes; remaining = remaining[SumBytes:] {
+		sums = append(sums, Sum(remaining[:SumBytes]))
 	}
 	return sums
 }
 
-// Join is the inverse of SumsOf.
-func Join(sums []Sum) []byte {
+// JoinSums is the inverse of ParseSums.
+func JoinSums(sums []Sum) []byte {
 	joined := make([]byte, 0, SumBytes*len(sums))
 	for _, sum := range sums {
 		joined = append(joined, sum[:]...)
--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -36,7 +36,7 @@
 				t.Fatalf("part %d of %d has %d bytes", i, len(split), len(chunk))
 			}
 		}
-		collection, err := NewCollection(NewManifest(content, split))
+		collection, err := NewAssembler(NewManifest(content, split))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,12 +67,12 @@
 		for _, chunk := range Split(before) {
 			held[SumOf(chunk)] = chunk
 		}
-		collection, err := NewCollection(manifestOf(after), func(sum Sum) ([]byte, bool) {
+		collection, err := NewAssembler(manifestOf(after), func(sum Sum) ([]byte, bool) {
 			chunk, found := held[sum]
 			return chunk, found
 		})
 		So(err, ShouldBeNil)
-		So(collection.Lacks(), ShouldBeBetweenOrEqual, 1, 4)
+		So(collection.MissingCount(), ShouldBeBetweenOrEqual, 1, 4)
 		Convey("the manifest costs a hundredth of the content", func() {
 			So(len(manifestOf(after).Chunks), ShouldBeLessThan, len(after)/80)
 		})
@@ -90,12 +90,12 @@
 	Convey("Given a collection that lacks all", t, func() {
 		content := routes(100, 3)
 		split := Split(content)
-		collection, err := NewCollection(manifestOf(content))
+		collection, err := NewAssembler(manifestOf(content))
 		So(err, ShouldBeNil)
 
 		Convey("a part of another content is not taken", func() {
 			So(collection.Add([]byte("other")), ShouldBeFalse)
-			So(collection.Lacks(), ShouldEqual, len(split))
+			So(collection.MissingCount(), ShouldEqual, len(split))
 		})
 		Convey("a changed part is not taken", func() {
 			changed := bytes.Clone(split[0])
@@ -105,7 +105,7 @@
 		Convey("a part counts once", func() {
 			So(collection.Add(split[0]), ShouldBeTrue)
 			So(collection.Add(split[0]), ShouldBeFalse)
-			So(collection.Lacks(), ShouldEqual, len(split)-1)
+			So(collection.MissingCount(), ShouldEqual, len(split)-1)
 		})
 		Convey("what is incomplete has no content", func() {
 			_, err := collection.Content()
@@ -120,7 +120,7 @@
 		content := routes(20, 3)
 		manifest := manifestOf(content)
 		manifest.Sum[0]++
-		collection, err := NewCollection(manifest)
+		collection, err := NewAssembler(manifest)
 		So(err, ShouldBeNil)
 		for _, chunk := range Split(content) {
 			collection.Add(chunk)
@@ -129,7 +129,7 @@
 		So(err, ShouldWrap, ErrContent)
 		manifest = manifestOf(content)
 		manifest.Bytes++
-		collection, _ = NewCollection(manifest)
+		collection, _ = NewAssembler(manifest)
 		for _, chunk := range Split(content) {
 			collection.Add(chunk)
 		}
@@ -140,7 +140,7 @@
 		for _, manifest := range []Manifest{
 			{Bytes: -1}, {Bytes: MaxContent + 1}, {Bytes: 5, Chunks: make([]byte, SumBytes+1)}, {Bytes: 1, Chunks: make([]byte, 2*SumBytes)},
 		} {
-			_, err := NewCollection(manifest)
+			_, err := NewAssembler(manifest)
 			So(err, ShouldWrap, ErrManifest)
 		}
 	})
@@ -163,8 +163,8 @@
 	})
 	Convey("Names are joined and read", t, func() {
 		sums := []Sum{SumOf([]byte("a")), SumOf([]byte("b"))}
-		So(SumsOf(Join(sums)), ShouldResemble, sums)
-		So(SumsOf(append(Join(sums), 1, 2)), ShouldResemble, sums)
+		So(ParseSums(JoinSums(sums)), ShouldResemble, sums)
+		So(ParseSums(append(JoinSums(sums), 1, 2)), ShouldResemble, sums)
 	})
 }
 
@@ -182,7 +182,7 @@
 func FuzzManifest(f *testing.F) {
 	f.Add(3, []byte("0123456789abcdef"), []byte("abc"))
 	f.Fuzz(func(t *testing.T, size int, sums, chunk []byte) {
-		collection, err := NewCollection(Manifest{Bytes: size, Chunks: sums})
+		collection, err := NewAssembler(Manifest{Bytes: size, Chunks: sums})
 		if err != nil {
 			return
 		}
--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -120,9 +120,9 @@
 	caller := modelCaller{c.network, m.address, m.store.alive}
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: m.address, Store: m.store, Caller: caller,
-		Ready: m.ready,
-		View:  func() replicaset.View { return m.manager.View() },
-		Draw:  func(bound time.Duration) time.Duration { return c.pause(m, bound) },
+		Ready:       m.ready,
+		View:        func() replicaset.View { return m.manager.View() },
+		RandomBelow: func(bound time.Duration) time.Duration { return c.pause(m, bound) },
 	})
 	manager, err := replicaset.NewManager(replicaset.Config{
 		Self: m.address, Seeds: c.first.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
@@ -158,8 +158,8 @@
 	m.configurator = configuration.New(configuration.Options{
 		Register: register.New(register.Config{
 			Name: registerName, Self: m.address, Acceptor: acceptor, View: m.manager.View, Caller: caller,
-			Newer: func(view replicaset.View) { m.manager.Learn(view) },
-			Draw:  func(bound time.Duration) time.Duration { return c.pause(m, bound) },
+			OnNewerView: func(view replicaset.View) { m.manager.Learn(view) },
+			RandomBelow: func(bound time.Duration) time.Duration { return c.pause(m, bound) },
 		}),
 		Caller: caller, Members: m.manager.View, Address: m.address, Logger: zap.NewNop(),
 	})
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -156,7 +156,7 @@
 	acceptor.Serve(c.mux)
 	replicated := register.New(register.Config{
 		Name: configurationRegister, Self: self, Acceptor: acceptor, View: c.views.View, Caller: c.caller,
-		Newer: func(view replicaset.View) { c.learnView(view) },
+		OnNewerView: func(view replicaset.View) { c.learnView(view) },
 	})
 	c.configurator = configuration.New(configuration.Options{
 		Register: replicated, Caller: c.caller, Members: c.views.View, Address: self, Logger: c.log,
--- a/internal/controlplane/feed/board.go
+++ b/internal/controlplane/feed/board.go
@@ -113,7 +113,7 @@
 
 // Chunks hands out parts of the newest configuration.
 func (b *Board) Chunks(ask ChunksRequest) ChunksReply {
-	return ChunksReply{Chunks: b.catalog.Chunks(chunks.SumsOf(ask.Sums), ask.Room)}
+	return ChunksReply{Chunks: b.catalog.Chunks(chunks.ParseSums(ask.Sums), ask.Room)}
 }
 
 // Chunk returns a part of the newest configuration. It is a parts.Holder.
--- a/internal/controlplane/feed/catalog.go
+++ b/internal/controlplane/feed/catalog.go
@@ -15,8 +15,8 @@
 type Catalog struct {
 	mutex   sync.Mutex
 	version uint64
-	newest  *chunks.Cut // nil before the first
-	earlier []edition   // oldest first
+	newest  *chunks.Chunking // nil before the first
+	earlier []edition        // oldest first
 }
 
 // edition is an earlier version of the configuration by its parts.
@@ -36,11 +36,11 @@
 		c.earlier = append(c.earlier, edition{c.version, c.newest.Sums()})
 		c.earlier = c.earlier[max(0, len(c.earlier)-keptEditions):]
 	}
-	c.version, c.newest = version, chunks.NewCut(body, c.newest)
+	c.version, c.newest = version, chunks.NewChunking(body, c.newest)
 }
 
 // current returns the newest configuration.
-func (c *Catalog) current() (version uint64, cut *chunks.Cut) {
+func (c *Catalog) current() (version uint64, cut *chunks.Chunking) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version, c.newest
@@ -52,13 +52,13 @@
 	version, cut := c.current()
 	offer = &Offer{Manifest: cut.Manifest()}
 	if held, found := c.holder(known); found {
-		offer.Chunks = cut.Packed(chunks.Without(cut.Sums(), held), room)
+		offer.Chunks = cut.Packed(chunks.MissingFrom(cut.Sums(), held), room)
 	}
 	return version, offer
 }
 
 // holder is what a reader of an earlier version has; version 0 is a reader of nothing.
-func (c *Catalog) holder(known uint64) (chunks.Holder, bool) {
+func (c *Catalog) holder(known uint64) (chunks.Source, bool) {
 	has := make(map[chunks.Sum]struct{})
 	held := func(sum chunks.Sum) ([]byte, bool) {
 		_, found := has[sum]
@@ -88,7 +88,7 @@
 	if cut == nil {
 		return nil
 	}
-	return cut.PackedSome(sums, room)
+	return cut.PackedAtLeastOne(sums, room)
 }
 
 // Chunk returns a part of the newest configuration. It is a parts.Holder.
--- a/internal/controlplane/feed/catalog_test.go
+++ b/internal/controlplane/feed/catalog_test.go
@@ -23,12 +23,12 @@
 }
 
 // taken gathers an offer's parts beside those of a version that the reader has.
-func taken(offer *Offer, known []byte) *chunks.Collection {
+func taken(offer *Offer, known []byte) *chunks.Assembler {
 	held := make(map[chunks.Sum][]byte)
 	for _, chunk := range chunks.Split(known) {
 		held[chunks.SumOf(chunk)] = chunk
 	}
-	collection, err := chunks.NewCollection(offer.Manifest, func(sum chunks.Sum) ([]byte, bool) {
+	collection, err := chunks.NewAssembler(offer.Manifest, func(sum chunks.Sum) ([]byte, bool) {
 		chunk, found := held[sum]
 		return chunk, found
 	})
--- a/internal/controlplane/register/acceptor.go
+++ b/internal/controlplane/register/acceptor.go
@@ -41,12 +41,12 @@
 
 // Acceptor is one member's replica of a register.
 type Acceptor struct {
-	config AcceptorConfig
-	table  func(viewVersion uint64) string // the store's table for a round in a view
-	admits func(value []byte) error        // refuses values that this member must not accept; nil where there are none
-	voting sync.Mutex                      // held while a vote is decided and stored
-	values values                          // large ones, by parts
-	loaded loadedState
+	config        AcceptorConfig
+	table         func(viewVersion uint64) string // the store's table for a round in a view
+	validateValue func(value []byte) error        // refuses values that this member must not accept; nil where there are none
+	voteMutex     sync.Mutex                      // held while a vote is decided and stored
+	chunks        chunkCache                      // large ones, by parts
+	lastLoaded    loadedState
 }
 
 // acceptedState is a state with the proposal number under which it was accepted.
@@ -57,8 +57,8 @@
 	Manifest *chunks.Manifest `msgpack:"m,omitempty"`
 }
 
-// replica is the content of a register's table.
-type replica struct {
+// acceptorState is the content of a register's table.
+type acceptorState struct {
 	promised ProposalNumber
 	accepted acceptedState
 }
@@ -81,13 +81,13 @@
 
 // prepare promises to refuse lower proposal numbers. A proposal number is promised once only, so that two proposers never share one.
 func (a *Acceptor) prepare(_ context.Context, request prepareRequest) (reply, error) {
-	a.voting.Lock()
-	defer a.voting.Unlock()
-	answer, held, err := a.begin(request.ViewVersion)
+	a.voteMutex.Lock()
+	defer a.voteMutex.Unlock()
+	answer, stored, err := a.loadForRound(request.ViewVersion)
 	if err != nil || answer.Outcome != granted {
 		return answer, err
 	}
-	if !held.promised.Less(request.ProposalNumber) {
+	if !stored.promised.Less(request.ProposalNumber) {
 		answer.Outcome = conflict
 		return answer, nil
 	}
@@ -98,65 +98,65 @@
 	if err := a.config.Store.Write(promise); err != nil {
 		return reply{}, fmt.Errorf("promise in register %s: %w", a.config.Name, err)
 	}
-	if now, err := a.admit(request.ViewVersion); err != nil || now.Outcome != granted {
+	if now, err := a.checkMayVote(request.ViewVersion); err != nil || now.Outcome != granted {
 		return now, err
 	}
 	answer.Promised = request.ProposalNumber
-	if held.accepted.ProposalNumber != request.Known {
-		answer.State = held.accepted.State
+	if stored.accepted.ProposalNumber != request.Known {
+		answer.State = stored.accepted.State
 	}
 	return answer, nil
 }
 
 // accept stores a state unless a higher proposal number was promised.
 func (a *Acceptor) accept(_ context.Context, request acceptRequest) (reply, error) {
-	a.voting.Lock()
-	defer a.voting.Unlock()
-	answer, held, err := a.begin(request.ViewVersion)
+	a.voteMutex.Lock()
+	defer a.voteMutex.Unlock()
+	answer, stored, err := a.loadForRound(request.ViewVersion)
 	if err != nil || answer.Outcome != granted {
 		return answer, err
 	}
-	if request.ProposalNumber.Less(held.promised) {
+	if request.ProposalNumber.Less(stored.promised) {
 		answer.Outcome = conflict
 		return answer, nil
 	}
-	if a.admits != nil {
-		if err := a.admits(request.State.Value); err != nil {
+	if a.validateValue != nil {
+		if err := a.validateValue(request.State.Value); err != nil {
 			return reply{}, rpcerror.Unexecuted(err, 0)
 		}
 	}
-	cut := a.cutLarge(request.State.Value)
+	chunking := a.chunkLarge(request.State.Value)
 	promise, promiseErr := a.encode(request.ViewVersion, promisedKey, request.ProposalNumber)
-	accepted, acceptedErr := a.storing(request, cut)
+	accepted, acceptedErr := a.encodeAccepted(request, chunking)
 	if err := errors.Join(promiseErr, acceptedErr); err != nil {
 		return reply{}, err
 	}
 	if err := a.config.Store.Write(append([]storage.Change{promise}, accepted...)...); err != nil {
 		return reply{}, fmt.Errorf("accept in register %s: %w", a.config.Name, err)
 	}
-	if now, err := a.admit(request.ViewVersion); err != nil || now.Outcome != granted {
+	if now, err := a.checkMayVote(request.ViewVersion); err != nil || now.Outcome != granted {
 		return now, err
 	}
 	answer.Promised = request.ProposalNumber
 	answer.Accepted = request.ProposalNumber
-	a.keepLoaded(request.ViewVersion, accepted, request.State.Value)
-	a.values.committed(cut, request.ProposalNumber, request.ViewVersion)
+	a.cacheLoaded(request.ViewVersion, accepted, request.State.Value)
+	a.chunks.replace(chunking, request.ProposalNumber, request.ViewVersion)
 	return answer, nil
 }
 
 // read answers with what is stored; a vote that is being written is not waited for.
 func (a *Acceptor) read(_ context.Context, request readRequest) (reply, error) {
-	answer, held, err := a.begin(request.ViewVersion)
-	if err == nil && answer.Outcome == granted && held.accepted.ProposalNumber != request.Known {
-		answer.State = held.accepted.State
+	answer, stored, err := a.loadForRound(request.ViewVersion)
+	if err == nil && answer.Outcome == granted && stored.accepted.ProposalNumber != request.Known {
+		answer.State = stored.accepted.State
 	}
 	return answer, err
 }
 
-// admit checks that this member may answer a proposer that works with a view. It is called again once a vote is stored:
+// checkMayVote checks that this member may answer a proposer that works with a view. It is called again once a vote is stored:
 // a vote that was stored after this member learned the next view counts for nothing, as joining members may have copied this
 // member's tables without it.
-func (a *Acceptor) admit(viewVersion uint64) (reply, error) {
+func (a *Acceptor) checkMayVote(viewVersion uint64) (reply, error) {
 	if !a.config.Ready() {
 		return reply{}, rpcerror.Unexecuted(ErrNotReady, notReadyRetry)
 	}
@@ -167,18 +167,18 @@
 	return reply{Outcome: granted, View: replicaset.View{Version: view.Version}}, nil
 }
 
-// begin checks that this member may answer a proposer and loads what it holds.
-func (a *Acceptor) begin(viewVersion uint64) (reply, replica, error) {
-	answer, err := a.admit(viewVersion)
+// loadForRound checks that this member may answer a proposer and loads what it holds.
+func (a *Acceptor) loadForRound(viewVersion uint64) (reply, acceptorState, error) {
+	answer, err := a.checkMayVote(viewVersion)
 	if err != nil || answer.Outcome != granted {
-		return answer, replica{}, err
+		return answer, acceptorState{}, err
 	}
-	held, err := a.load(viewVersion)
+	stored, err := a.load(viewVersion)
 	if err != nil {
-		return reply{}, replica{}, fmt.Errorf("register %s: %w", a.config.Name, err)
+		return reply{}, acceptorState{}, fmt.Errorf("register %s: %w", a.config.Name, err)
 	}
-	answer.Promised, answer.Accepted = held.promised, held.accepted.ProposalNumber
-	return answer, held, nil
+	answer.Promised, answer.Accepted = stored.promised, stored.accepted.ProposalNumber
+	return answer, stored, nil
 }
 
 func (a *Acceptor) encode(viewVersion uint64, key string, value any) (storage.Change, error) {
--- a/internal/controlplane/register/acceptorstorage.go
+++ b/internal/controlplane/register/acceptorstorage.go
@@ -37,7 +37,7 @@
 	return l.value, l.table == table && bytes.Equal(l.record, record)
 }
 
-func (l *loadedState) keep(table string, record, value []byte) {
+func (l *loadedState) set(table string, record, value []byte) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.table, l.record, l.value = table, record, value
@@ -45,101 +45,101 @@
 
 // load reads what is stored for a round in a view. A vote that is stored meanwhile may take away parts of the state before
 // it; then the newer one is read.
-func (a *Acceptor) load(viewVersion uint64) (replica, error) {
+func (a *Acceptor) load(viewVersion uint64) (acceptorState, error) {
 	name := a.table(viewVersion)
 	for {
 		table := a.config.Store.Table(name)
-		held, err := decodeReplica(table)
-		if err != nil || held.accepted.Manifest == nil {
-			return held, err
+		stored, err := decodeAcceptorState(table)
+		if err != nil || stored.accepted.Manifest == nil {
+			return stored, err
 		}
-		held.accepted.State.Value, err = a.wholeValue(name, table[acceptedKey], *held.accepted.Manifest)
+		stored.accepted.State.Value, err = a.assembleValue(name, table[acceptedKey], *stored.accepted.Manifest)
 		if err == nil {
-			return held, nil
+			return stored, nil
 		}
 		if bytes.Equal(a.config.Store.Table(name)[acceptedKey], table[acceptedKey]) {
-			return replica{}, err
+			return acceptorState{}, err
 		}
 	}
 }
 
-// wholeValue puts a stored value together.
-func (a *Acceptor) wholeValue(name string, record []byte, manifest chunks.Manifest) ([]byte, error) {
-	if value, found := a.loaded.find(name, record); found {
+// assembleValue puts a stored value together.
+func (a *Acceptor) assembleValue(name string, record []byte, manifest chunks.Manifest) ([]byte, error) {
+	if value, found := a.lastLoaded.find(name, record); found {
 		return value, nil
 	}
 	stored := a.config.Store.Table(name + chunksSuffix)
-	gathered, err := chunks.NewCollection(manifest, func(sum chunks.Sum) ([]byte, bool) {
+	assembler, err := chunks.NewAssembler(manifest, func(sum chunks.Sum) ([]byte, bool) {
 		chunk, found := stored[chunkKey(sum)]
 		return chunk, found
 	})
 	if err != nil {
 		return nil, fmt.Errorf("stored value: %w", err)
 	}
-	value, err := gathered.Content()
+	value, err := assembler.Content()
 	if err != nil {
 		return nil, fmt.Errorf("stored value: %w", err)
 	}
-	a.loaded.keep(name, record, value)
+	a.lastLoaded.set(name, record, value)
 	return value, nil
 }
 
-// storing returns the changes that store an accepted state: a small value beside its proposal number, a large one by the parts that
+// encodeAccepted returns the changes that store an accepted state: a small value beside its proposal number, a large one by the parts that
 // are not there yet. Parts of earlier values go.
-func (a *Acceptor) storing(request acceptRequest, cut *chunks.Cut) ([]storage.Change, error) {
+func (a *Acceptor) encodeAccepted(request acceptRequest, chunking *chunks.Chunking) ([]storage.Change, error) {
 	accepted := acceptedState{ProposalNumber: request.ProposalNumber, State: request.State}
 	name := a.table(request.ViewVersion)
-	if cut != nil {
-		manifest := cut.Manifest()
+	if chunking != nil {
+		manifest := chunking.Manifest()
 		accepted.State.Value, accepted.Manifest = nil, &manifest
 	}
 	change, err := a.encode(request.ViewVersion, acceptedKey, accepted)
 	if err != nil {
 		return nil, err
 	}
-	return append(changedChunks(name+chunksSuffix, a.config.Store.Table(name+chunksSuffix), cut), change), nil
+	return append(chunkChanges(name+chunksSuffix, a.config.Store.Table(name+chunksSuffix), chunking), change), nil
 }
 
-// changedChunks returns what makes a table of parts that of a value; nil stands for a value that has none.
-func changedChunks(table string, stored map[string][]byte, cut *chunks.Cut) []storage.Change {
+// chunkChanges returns what makes a table of parts that of a value; nil stands for a value that has none.
+func chunkChanges(table string, stored map[string][]byte, chunking *chunks.Chunking) []storage.Change {
 	wanted := make(map[string]struct{})
 	var changes []storage.Change
-	if cut != nil {
-		for _, sum := range cut.Sums() {
+	if chunking != nil {
+		for _, sum := range chunking.Sums() {
 			key := chunkKey(sum)
-			_, listed := wanted[key]
+			_, duplicate := wanted[key]
 			wanted[key] = struct{}{}
-			if _, found := stored[key]; !found && !listed {
-				chunk, _ := cut.Chunk(sum)
+			if _, found := stored[key]; !found && !duplicate {
+				chunk, _ := chunking.Chunk(sum)
 				changes = append(changes, storage.Change{Table: table, Key: key, Value: chunk})
 			}
 		}
 	}
 	for key := range stored {
-		if _, keep := wanted[key]; !keep {
+		if _, stays := wanted[key]; !stays {
 			changes = append(changes, storage.Change{Table: table, Key: key})
 		}
 	}
 	return changes
 }
 
-// keepLoaded notes the value of a vote that was just stored.
-func (a *Acceptor) keepLoaded(viewVersion uint64, changes []storage.Change, value []byte) {
+// cacheLoaded notes the value of a vote that was just stored.
+func (a *Acceptor) cacheLoaded(viewVersion uint64, changes []storage.Change, value []byte) {
 	record := changes[len(changes)-1].Value // storing puts the accepted state last
-	a.loaded.keep(a.table(viewVersion), record, value)
+	a.lastLoaded.set(a.table(viewVersion), record, value)
 }
 
-func decodeReplica(table map[string][]byte) (replica, error) {
-	var held replica
+func decodeAcceptorState(table map[string][]byte) (acceptorState, error) {
+	var decoded acceptorState
 	if encoded, found := table[promisedKey]; found {
-		if err := msgpack.Unmarshal(encoded, &held.promised); err != nil {
-			return replica{}, fmt.Errorf("decode %s: %w", promisedKey, err)
+		if err := msgpack.Unmarshal(encoded, &decoded.promised); err != nil {
+			return acceptorState{}, fmt.Errorf("decode %s: %w", promisedKey, err)
 		}
 	}
 	if encoded, found := table[acceptedKey]; found {
-		if err := msgpack.Unmarshal(encoded, &held.accepted); err != nil {
-			return replica{}, fmt.Errorf("decode %s: %w", acceptedKey, err)
+		if err := msgpack.Unmarshal(encoded, &decoded.accepted); err != nil {
+			return acceptorState{}, fmt.Errorf("decode %s: %w", acceptedKey, err)
 		}
 	}
-	return held, nil
+	return decoded, nil
 }
--- a/internal/controlplane/register/diskloss_test.go
+++ b/internal/controlplane/register/diskloss_test.go
@@ -102,7 +102,7 @@
 // Two disks are lost at the moment of an acknowledgement that rests on the smallest majority, both of them among it, and
 // all processes end at that moment.
 func TestTwoDisksAreLostAndAllPowerToo(t *testing.T) {
-	text := randomText(3*wholeBytes, 1)
+	text := randomText(3*inlineValueBytes, 1)
 	for _, size := range []int{5, 9} {
 		for second := 1; second < (size+1)/2; second++ {
 			Convey(fmt.Sprintf("What %d members have acknowledged stands without disks 0 and %d and with nothing in memory", size, second), t, func() {
--- a/internal/controlplane/register/messages.go
+++ b/internal/controlplane/register/messages.go
@@ -47,8 +47,8 @@
 
 // fetchRequest asks an acceptor for parts of the value that it has accepted.
 type fetchRequest struct {
-	Sums []byte `msgpack:"s"` // checksums, one after the other
-	Room int    `msgpack:"r"` // about how many bytes the answer may have; one part comes in any case
+	Sums     []byte `msgpack:"s"` // checksums, one after the other
+	MaxBytes int    `msgpack:"r"` // about how many bytes the answer may have; one part comes in any case
 }
 
 type fetchReply struct {
--- a/internal/controlplane/register/modelproposer_test.go
+++ b/internal/controlplane/register/modelproposer_test.go
@@ -32,7 +32,7 @@
 	*pr = proposerState{operation: operation}
 }
 
-// begin begins a proposer's next operation.
+// loadForRound begins a proposer's next operation.
 func (x *explorer) begin(w *world, p int) {
 	pr := &w.proposers[p]
 	*pr = proposerState{operation: pr.operation, counter: pr.counter, floor: w.longest}
@@ -119,15 +119,15 @@
 func (x *explorer) answered(w *world, p, m int, out voteOutput) string {
 	pr := &w.proposers[p]
 	view := exploredViews[pr.view]
-	counted := &round{view: view, granted: make([]reply, pr.granted), refused: int(pr.refused), newer: exploredViews[pr.newer]}
+	counted := &round{view: view, granted: make([]reply, pr.granted), conflicts: int(pr.refused), newer: exploredViews[pr.newer]}
 	next := answer{reply: reply{Outcome: out.outcome, View: exploredViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
 	if out.failed {
 		next = answer{err: errNoAnswer}
 	}
 	counted.count(next)
 	pr.answered = pr.answered.with(m)
-	pr.refused, pr.newer = uint8(counted.refused), uint8(counted.newer.Version)
-	pr.counter = max(pr.counter, uint8(counted.highest.Counter))
+	pr.refused, pr.newer = uint8(counted.conflicts), uint8(counted.newer.Version)
+	pr.counter = max(pr.counter, uint8(counted.highestPromised.Counter))
 	if len(counted.granted) > int(pr.granted) {
 		pr.grants[pr.granted] = out.accepted
 		pr.granted++
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -209,7 +209,7 @@
 	p := &proposer{register: register, change: operationOf(int(in.proposer), int(in.operation), r.once)}
 	for _, sent := range in.sent[:in.sents] {
 		earlier := r.accepted(sent)
-		p.sent = append(p.sent, proposal{earlier.ProposalNumber, earlier.State})
+		p.proposals = append(p.proposals, proposal{earlier.ProposalNumber, earlier.State})
 	}
 	majority := &round{view: exploredViews[in.view]}
 	for _, grant := range in.grants[:in.granted] {
@@ -217,8 +217,8 @@
 		majority.count(answer{reply: reply{Outcome: granted, Accepted: held.ProposalNumber, State: held.State}})
 	}
 	proposalNumber := ProposalNumber{Counter: uint64(in.proposalNumber), Member: proposerName(int(in.proposer))}
-	made, committed, err := p.prepared(majority, proposalNumber)
-	out := decisionOutput{err: err, committed: committed, proposes: made.proposes, value: r.intern(made.value)}
+	made, committed, err := p.afterPrepare(majority, proposalNumber)
+	out := decisionOutput{err: err, committed: committed, proposes: made.isProposal, value: r.intern(made.value)}
 	if err == nil {
 		out.proposed = r.encode(acceptedState{ProposalNumber: proposalNumber, State: made.state})
 	}
@@ -248,8 +248,8 @@
 
 // ranNot tells whether a change that ended without success certainly had no effect.
 func ranNot(p *proposerState, err error) bool {
-	real := &proposer{register: New(Config{Name: exploredName}), sent: make([]proposal, p.sents)}
-	return rpcerror.Of(real.failed(err)) == rpcerror.NotRun
+	real := &proposer{register: New(Config{Name: exploredName}), proposals: make([]proposal, p.sents)}
+	return rpcerror.Of(real.changeError(err)) == rpcerror.NotRun
 }
 
 var errAttemptsOver = errors.New("no attempt is left")
--- a/internal/controlplane/register/modelsteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -85,7 +85,7 @@
 	return w
 }
 
-// learn lets the real manager of a member take a view.
+// reportNewerView lets the real manager of a member take a view.
 func (x *explorer) learn(w *world, member int, view uint8) {
 	m := &w.members[member]
 	in := learnInput{m.manager, member, view}
--- a/internal/controlplane/register/proposalnumber.go
+++ b/internal/controlplane/register/proposalnumber.go
@@ -19,12 +19,12 @@
 }
 
 // Compare orders proposal numbers: negative if b is lower than other, 0 if equal, positive if higher.
-func (b ProposalNumber) Compare(other ProposalNumber) int {
-	return cmp.Or(cmp.Compare(b.Counter, other.Counter), cmp.Compare(b.Member, other.Member))
+func (n ProposalNumber) Compare(other ProposalNumber) int {
+	return cmp.Or(cmp.Compare(n.Counter, other.Counter), cmp.Compare(n.Member, other.Member))
 }
 
 // Less tells whether b is lower than other.
-func (b ProposalNumber) Less(other ProposalNumber) bool { return b.Compare(other) < 0 }
+func (n ProposalNumber) Less(other ProposalNumber) bool { return n.Compare(other) < 0 }
 
 // String returns the proposal number for logs.
-func (b ProposalNumber) String() string { return fmt.Sprintf("%d@%s", b.Counter, b.Member) }
+func (n ProposalNumber) String() string { return fmt.Sprintf("%d@%s", n.Counter, n.Member) }
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -19,10 +19,10 @@
 
 // proposer carries out one change, in as many attempts as it takes.
 type proposer struct {
-	register *Register
-	change   func(current []byte) (next []byte, err error)
-	sent     []proposal // whose outcome is open
-	resolved bool       // whether none of those took or can take effect
+	register         *Register
+	change           func(current []byte) (next []byte, err error)
+	proposals        []proposal // whose outcome is open
+	proposalsSettled bool       // whether none of those took or can take effect
 }
 
 // functionError is an error of the caller's function, which ends the change.
@@ -38,9 +38,9 @@
 		if err == nil || !retryable(err) {
 			return value, err
 		}
-		p.register.learn(err)
-		if pauseErr := p.register.pause(ctx, attempt); pauseErr != nil {
-			return nil, fmt.Errorf("%w (%w)", pauseErr, err)
+		p.register.reportNewerView(err)
+		if backoffErr := p.register.backOff(ctx, attempt); backoffErr != nil {
+			return nil, fmt.Errorf("%w (%w)", backoffErr, err)
 		}
 	}
 }
@@ -50,10 +50,10 @@
 	return !errors.As(err, &refusal) && !errors.Is(err, errUnknownOutcome) && !errors.Is(err, ErrNoView)
 }
 
-// failed adds the verdict to the error that ended the change.
-func (p *proposer) failed(err error) error {
+// changeError adds the verdict to the error that ended the change.
+func (p *proposer) changeError(err error) error {
 	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
-	if len(p.sent) > 0 && !p.resolved {
+	if len(p.proposals) > 0 && !p.proposalsSettled {
 		return rpcerror.Unclear(err)
 	}
 	return rpcerror.Unexecuted(err, 0)
@@ -67,19 +67,19 @@
 	}
 	preparing := &round{view: view, limit: p.register.roundLimit}
 	proposalNumber := p.register.nextProposalNumber()
-	known := p.register.held(view.Version)
-	request := prepareRequest{ViewVersion: view.Version, ProposalNumber: proposalNumber, Known: known.proposalNumber, ByChunks: true}
+	cached := p.register.newestAvailable(view.Version)
+	request := prepareRequest{ViewVersion: view.Version, ProposalNumber: proposalNumber, Known: cached.proposalNumber, ByChunks: true}
 	err := preparing.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return p.register.prepare(ctx, member, request)
 	})
-	p.register.saw(preparing.highest)
+	p.register.observe(preparing.highestPromised)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.register.complete(ctx, preparing, known); err != nil {
+	if err := p.register.completeValue(ctx, preparing, cached); err != nil {
 		return nil, err
 	}
-	decision, committed, err := p.prepared(preparing, proposalNumber)
+	decision, committed, err := p.afterPrepare(preparing, proposalNumber)
 	if err != nil {
 		return nil, err
 	}
@@ -88,45 +88,45 @@
 		if err := p.accept(ctx, request, preparing); err != nil {
 			return nil, err
 		}
-		p.resolved = !decision.proposes
+		p.proposalsSettled = !decision.isProposal
 	}
 	return decision.value, decision.refusal
 }
 
-// prepared decides what to commit after a prepare round, and whether that is settled already: then it rests on a
+// afterPrepare decides what to commit after a prepare round, and whether that is settled already: then it rests on a
 // committed state, and none of this change's proposals is open.
-func (p *proposer) prepared(preparing *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
+func (p *proposer) afterPrepare(preparing *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
 	latest, committed := p.register.committed(preparing)
 	decided, err = p.decide(latest.State, proposalNumber)
 	if err != nil {
 		return decision{}, false, err
 	}
-	if decided.proposes {
-		p.sent = append(p.sent, proposal{proposalNumber, decided.state})
+	if decided.isProposal {
+		p.proposals = append(p.proposals, proposal{proposalNumber, decided.state})
 		return decided, false, nil
 	}
-	return decided, committed && len(p.sent) == 0, nil
+	return decided, committed && len(p.proposals) == 0, nil
 }
 
 // decision is what an attempt is to commit, and what then is the outcome of the change.
 type decision struct {
-	state    state
-	proposes bool // whether the state is a result of the function; else it is the current one, to be confirmed
-	value    []byte
-	refusal  error
+	state      state
+	isProposal bool // whether the state is a result of the function; else it is the current one, to be confirmed
+	value      []byte
+	refusal    error
 }
 
 // decide applies the function to the current state, unless an earlier proposal of this change is part of it.
 func (p *proposer) decide(current state, proposalNumber ProposalNumber) (decision, error) {
-	for _, earlier := range p.sent {
+	for _, earlier := range p.proposals {
 		if p.register.forgetsProposals {
 			break
 		}
-		contained, known := current.contains(earlier.proposalNumber, earlier.state.Sequence)
+		contained, cached := current.contains(earlier.proposalNumber, earlier.state.Sequence)
 		if contained {
 			return decision{state: current, value: earlier.state.Value}, nil
 		}
-		if !known {
+		if !cached {
 			return decision{}, errUnknownOutcome
 		}
 	}
@@ -138,24 +138,24 @@
 		return decision{state: current, value: current.Value}, nil
 	}
 	made := current.next(next, proposalNumber)
-	return decision{state: made, proposes: true, value: next}, nil
+	return decision{state: made, isProposal: true, value: next}, nil
 }
 
 // accept makes the accept round that follows a prepare round.
 func (p *proposer) accept(ctx context.Context, request acceptRequest, prepared *round) error {
 	view := prepared.view
 	accepting := &round{view: view, limit: p.register.roundLimit}
-	proposed := p.register.proposed(view.Version, request)
+	proposed := p.register.stateToCache(view.Version, request)
 	send := p.register.accept
-	if proposed.cut != nil {
-		send = p.register.acceptByChunks(proposed, prepared.takeWholeOnly())
+	if proposed.chunking != nil {
+		send = p.register.chunkedAccept(proposed, prepared.withoutChunkSupport())
 	}
 	err := accepting.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return send(ctx, member, request)
 	})
-	p.register.saw(accepting.highest)
+	p.register.observe(accepting.highestPromised)
 	if err == nil {
-		p.register.know(proposed)
+		p.register.cache(proposed)
 	}
 	return err
 }
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -17,32 +17,32 @@
 
 // Pauses between attempts; each is drawn between half of the bound and the bound, which doubles.
 const (
-	firstPause = 20 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 )
 
 // Config names what a register works with.
 type Config struct {
-	Name     string                 // the same at all members
-	Self     string                 // this process's internal address
-	Acceptor *Acceptor              // this member's own, which is called directly; nil where there is none
-	View     func() replicaset.View // the current view
-	Newer    func(replicaset.View)  // told of a newer view that a member works with; may be nil
-	Caller   transport.Caller
-	// Draw returns a random duration below a bound; nil draws from the process's source. A simulation gives its own, so that
+	Name        string                 // the same at all members
+	Self        string                 // this process's internal address
+	Acceptor    *Acceptor              // this member's own, which is called directly; nil where there is none
+	View        func() replicaset.View // the current view
+	OnNewerView func(replicaset.View)  // told of a newer view that a member works with; may be nil
+	Caller      transport.Caller
+	// RandomBelow returns a random duration below a bound; nil draws from the process's source. A simulation gives its own, so that
 	// its seed replays it.
-	Draw func(bound time.Duration) time.Duration
+	RandomBelow func(bound time.Duration) time.Duration
 }
 
 // Register is a proposer: it reads and changes the register's value. Its changes follow each other.
 type Register struct {
-	config Config
-	turn   chan struct{} // holds a token while nobody changes the register here
+	config   Config
+	changing chan struct{} // holds a token while nobody changes the register here
 
-	mutex   sync.Mutex         // guards what follows
-	counter uint64             // highest that was seen or used in a proposal number
-	known   knownState         // newest that was read or accepted
-	partial *chunks.Collection // of a state that has not arrived whole
+	mutex   sync.Mutex        // guards what follows
+	counter uint64            // highest that was seen or used in a proposal number
+	cached  cachedState       // newest that was read or accepted
+	partial *chunks.Assembler // of a state that has not arrived whole
 
 	// Rules of the protocol; tests replace them to show that each is needed.
 	roundLimit       time.Duration
@@ -54,11 +54,11 @@
 func New(config Config) *Register {
 	r := &Register{
 		config:     config,
-		turn:       make(chan struct{}, 1),
+		changing:   make(chan struct{}, 1),
 		roundLimit: RoundLimit,
 		committed:  (*round).latest,
 	}
-	r.turn <- struct{}{}
+	r.changing <- struct{}{}
 	return r
 }
 
@@ -69,24 +69,24 @@
 // Errors carry a verdict; the function's own error is in their chain. NotRun means that no result of the function was or
 // will be the register's value.
 func (r *Register) Change(ctx context.Context, change func(current []byte) (next []byte, err error)) ([]byte, error) {
-	if err := r.takeTurn(ctx); err != nil {
+	if err := r.waitTurn(ctx); err != nil {
 		return nil, rpcerror.Unexecuted(fmt.Errorf("change register %s: %w", r.config.Name, err), 0)
 	}
-	defer func() { r.turn <- struct{}{} }()
+	defer func() { r.changing <- struct{}{} }()
 	p := &proposer{register: r, change: change}
 	value, err := p.run(ctx)
 	if err != nil {
-		return nil, p.failed(err)
+		return nil, p.changeError(err)
 	}
 	return value, nil
 }
 
-// takeTurn waits until no other change of this proposer is under way. A change that was given up gets no turn: its
+// waitTurn waits until no other change of this proposer is under way. A change that was given up gets no turn: its
 // proposals would only get in the way of others'.
-func (r *Register) takeTurn(ctx context.Context) error {
+func (r *Register) waitTurn(ctx context.Context) error {
 	if ctx.Err() == nil {
 		select {
-		case <-r.turn:
+		case <-r.changing:
 			return nil
 		case <-ctx.Done():
 		}
@@ -101,26 +101,26 @@
 		return nil, rpcerror.Unexecuted(fmt.Errorf("read register %s: %w", r.config.Name, ErrNoView), 0)
 	}
 	reading := round{view: view, limit: r.roundLimit}
-	known := r.held(view.Version)
-	request := readRequest{ViewVersion: view.Version, Known: known.proposalNumber, ByChunks: true}
+	cached := r.newestAvailable(view.Version)
+	request := readRequest{ViewVersion: view.Version, Known: cached.proposalNumber, ByChunks: true}
 	err := reading.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return r.read(ctx, member, request)
 	})
 	if err == nil {
 		if latest, committed := r.committed(&reading); committed {
-			return r.valueOf(ctx, &reading, latest, known)
+			return r.resolveValue(ctx, &reading, latest, cached)
 		}
 	}
-	r.learn(err)
+	r.reportNewerView(err)
 	return r.Change(ctx, func(current []byte) ([]byte, error) { return current, nil })
 }
 
-// valueOf returns the value of an answer on which a majority agrees.
-func (r *Register) valueOf(ctx context.Context, reading *round, latest reply, known knownState) ([]byte, error) {
+// resolveValue returns the value of an answer on which a majority agrees.
+func (r *Register) resolveValue(ctx context.Context, reading *round, latest reply, cached cachedState) ([]byte, error) {
 	if latest.Accepted == (ProposalNumber{}) {
 		return latest.State.Value, nil
 	}
-	state, err := r.stateUnder(ctx, reading, latest.Accepted, known)
+	state, err := r.stateAccepted(ctx, reading, latest.Accepted, cached)
 	if err != nil {
 		return nil, rpcerror.Unexecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errIncomplete, err), 0)
 	}
@@ -135,27 +135,27 @@
 	return ProposalNumber{Counter: r.counter, Member: r.config.Self}
 }
 
-func (r *Register) saw(proposalNumber ProposalNumber) {
+func (r *Register) observe(proposalNumber ProposalNumber) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counter = max(r.counter, proposalNumber.Counter)
 }
 
-// learn passes on a newer view that made a round fail.
-func (r *Register) learn(err error) {
+// reportNewerView passes on a newer view that made a round fail.
+func (r *Register) reportNewerView(err error) {
 	var mismatch *viewError
-	if errors.As(err, &mismatch) && mismatch.view.Version > r.config.View().Version && r.config.Newer != nil {
-		r.config.Newer(mismatch.view)
+	if errors.As(err, &mismatch) && mismatch.view.Version > r.config.View().Version && r.config.OnNewerView != nil {
+		r.config.OnNewerView(mismatch.view)
 	}
 }
 
-// own tells whether a member's acceptor is in this process.
-func (r *Register) own(member string) bool {
+// isLocal tells whether a member's acceptor is in this process.
+func (r *Register) isLocal(member string) bool {
 	return member == r.config.Self && r.config.Acceptor != nil
 }
 
 func (r *Register) prepare(ctx context.Context, member string, request prepareRequest) (reply, error) {
-	if r.own(member) {
+	if r.isLocal(member) {
 		request.Known = ProposalNumber{}
 		return r.config.Acceptor.prepare(ctx, request)
 	}
@@ -163,14 +163,14 @@
 }
 
 func (r *Register) accept(ctx context.Context, member string, request acceptRequest) (reply, error) {
-	if r.own(member) {
+	if r.isLocal(member) {
 		return r.config.Acceptor.accept(ctx, request)
 	}
 	return acceptCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
 }
 
 func (r *Register) read(ctx context.Context, member string, request readRequest) (reply, error) {
-	if r.own(member) {
+	if r.isLocal(member) {
 		return r.config.Acceptor.read(ctx, readRequest{ViewVersion: request.ViewVersion})
 	}
 	return readCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
@@ -181,13 +181,13 @@
 	return (current == nil) == (next == nil) && bytes.Equal(current, next)
 }
 
-// pause waits a random time before the next attempt.
-func (r *Register) pause(ctx context.Context, attempt int) error {
-	draw := r.config.Draw
+// backOff waits a random time before the next attempt.
+func (r *Register) backOff(ctx context.Context, attempt int) error {
+	draw := r.config.RandomBelow
 	if draw == nil {
 		draw = rand.N[time.Duration]
 	}
-	bound := min(firstPause<<min(attempt, 10), lastPause)
+	bound := min(minBackoff<<min(attempt, 10), maxBackoff)
 	timer := time.NewTimer(bound/2 + draw(bound/2))
 	defer timer.Stop()
 	select {
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -201,8 +201,8 @@
 		change := func(view replicaset.View) error {
 			proposer := New(Config{
 				Name: testRegister, Self: outsider, Caller: c.network.Caller(outsider),
-				View:  func() replicaset.View { return view },
-				Newer: func(view replicaset.View) { learned = view },
+				View:        func() replicaset.View { return view },
+				OnNewerView: func(view replicaset.View) { learned = view },
 			})
 			_, err := proposer.Change(ctx, to("a"))
 			return err
@@ -247,9 +247,9 @@
 		}
 		convey.So(current.History, convey.ShouldHaveLength, historyLength)
 		check := func(proposal ProposalNumber, sequence int, expectContained, expectKnown bool) {
-			contained, known := current.contains(proposal, uint64(sequence))
+			contained, cached := current.contains(proposal, uint64(sequence))
 			convey.So(contained, convey.ShouldEqual, expectContained)
-			convey.So(known, convey.ShouldEqual, expectKnown)
+			convey.So(cached, convey.ShouldEqual, expectKnown)
 		}
 		check(proposal(historyLength+3), historyLength+3, true, true)
 		check(proposal(4), 4, true, true)
@@ -271,7 +271,7 @@
 		}
 		merged, err := Merge([]storage.Tables{replicaOf(9, 2, "old"), {}, replicaOf(5, 3, "new")})
 		convey.So(err, convey.ShouldBeNil)
-		held, err := decodeReplica(merged[TablePrefix+testRegister])
+		held, err := decodeAcceptorState(merged[TablePrefix+testRegister])
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(held.promised.Counter, convey.ShouldEqual, 9)
 		convey.So(string(held.accepted.State.Value), convey.ShouldEqual, "new")
--- a/internal/controlplane/register/round.go
+++ b/internal/controlplane/register/round.go
@@ -41,13 +41,13 @@
 
 // round collects the answers to one request that went to all members of a view.
 type round struct {
-	view     replicaset.View
-	limit    time.Duration
-	granted  []reply
-	refused  int
-	failures []error
-	highest  ProposalNumber // promised to anyone
-	newer    replicaset.View
+	view            replicaset.View
+	limit           time.Duration
+	granted         []reply
+	conflicts       int
+	failures        []error
+	highestPromised ProposalNumber // promised to anyone
+	newer           replicaset.View
 }
 
 // run sends a request to all members at once and returns at the first majority, or once there can be none. Requests that
@@ -64,11 +64,11 @@
 		select {
 		case next := <-answers:
 			if time.Since(start) > r.limit {
-				return r.tooFew()
+				return r.noQuorum()
 			}
 			r.count(next)
 		case <-limit.C:
-			return r.tooFew()
+			return r.noQuorum()
 		case <-ctx.Done():
 			return fmt.Errorf("%w: %w", ErrNoQuorum, context.Cause(ctx))
 		}
@@ -97,14 +97,14 @@
 		r.failures = append(r.failures, next.err)
 		return
 	}
-	if r.highest.Less(next.reply.Promised) {
-		r.highest = next.reply.Promised
+	if r.highestPromised.Less(next.reply.Promised) {
+		r.highestPromised = next.reply.Promised
 	}
 	switch next.reply.Outcome {
 	case granted:
 		r.granted = append(r.granted, next.reply)
 	case conflict:
-		r.refused++
+		r.conflicts++
 	case viewMismatch:
 		if next.reply.View.Version > r.newer.Version {
 			r.newer = next.reply.View
@@ -118,13 +118,13 @@
 	switch {
 	case r.newer.Version > r.view.Version:
 		return &viewError{r.newer}
-	case r.refused > 0:
+	case r.conflicts > 0:
 		return errConflict
 	}
-	return r.tooFew()
+	return r.noQuorum()
 }
 
-func (r *round) tooFew() error {
+func (r *round) noQuorum() error {
 	err := fmt.Errorf("%w: %d of %d within %v", ErrNoQuorum, len(r.granted), len(r.view.Members), r.limit)
 	return errors.Join(append([]error{err}, r.failures...)...)
 }
--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -109,7 +109,7 @@
 
 // Large values travel by parts.
 func TestTheRegisterOfLargeValuesIsLinearizable(t *testing.T) {
-	checkSchedules(t, randomText(5*wholeBytes, 1))
+	checkSchedules(t, randomText(5*inlineValueBytes, 1))
 }
 
 func checkSchedules(t *testing.T, padding string) {
--- a/internal/controlplane/register/state.go
+++ b/internal/controlplane/register/state.go
@@ -15,17 +15,17 @@
 
 // next is the state after a change by a proposal.
 func (s state) next(value []byte, proposal ProposalNumber) state {
-	kept := s.History[:min(len(s.History), historyLength-1)]
+	history := s.History[:min(len(s.History), historyLength-1)]
 	return state{
 		Value:    value,
 		Sequence: s.Sequence + 1,
-		History:  append([]ProposalNumber{proposal}, kept...),
+		History:  append([]ProposalNumber{proposal}, history...),
 	}
 }
 
 // contains tells whether the proposal is among those that made the state, and whether its history reaches back to the
 // proposal's place in the sequence; without that the answer is unknown.
-func (s state) contains(proposal ProposalNumber, sequence uint64) (contained, known bool) {
+func (s state) contains(proposal ProposalNumber, sequence uint64) (contained, cached bool) {
 	if slices.Contains(s.History, proposal) {
 		return true, true
 	}
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -147,7 +147,7 @@
 		store := openStored(t, folder)
 		So(dumpTables(store.Snapshot()), ShouldEqual, string(golden))
 		acceptors := acceptorsOn(store)
-		holds := func(acceptor *Acceptor, view uint64, want replica) {
+		holds := func(acceptor *Acceptor, view uint64, want acceptorState) {
 			held, err := acceptor.load(view)
 			So(err, ShouldBeNil)
 			So(held, ShouldResemble, want)
@@ -170,19 +170,19 @@
 		Convey("a small value stands whole", func() {
 			proposalNumber := ProposalNumber{Counter: 70000, Member: storedOther}
 			value := state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{proposalNumber, {Counter: 7, Member: storedSelf}}}
-			holds(acceptors.small, 3, replica{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			holds(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("the first view and the next one are read", func() {
 			proposalNumber := ProposalNumber{Counter: 1, Member: storedOther}
 			value := state{Value: encodeView(t, storedFirst), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			holds(acceptors.founding.acceptor, 1, replica{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			holds(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 			next, found, err := acceptors.succession.Pending(replicaset.View{Version: 3})
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
 			So(next, ShouldResemble, storedNext)
 			proposalNumber = ProposalNumber{Counter: 5, Member: storedSelf}
 			value = state{Value: encodeView(t, storedNext), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			holds(acceptors.succession.acceptor, 3, replica{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			holds(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
 			memory := storage.NewMemory()
--- a/internal/controlplane/register/succession.go
+++ b/internal/controlplane/register/succession.go
@@ -19,8 +19,8 @@
 	successionTable = TablePrefix + "replicaset/"
 )
 
-// errOwnPlace is the refusal of a view in which the member that is asked has no place.
-var errOwnPlace = errors.New("a member that is not about to stop accepts no view without itself")
+// errExcludesSelf is the refusal of a view in which the member that is asked has no place.
+var errExcludesSelf = errors.New("a member that is not about to stop accepts no view without itself")
 
 // Succession settles which view follows the current one, in a write-once register for each version. Its acceptors are
 // the members of the current view, so that two of them cannot settle different ones. None of them accepts a view without
@@ -39,8 +39,8 @@
 	View   func() replicaset.View // the current view
 	Caller transport.Caller
 	// Departing tells whether this process is about to stop and waits to be replaced; nil where it never does.
-	Departing func() bool
-	Draw      func(bound time.Duration) time.Duration // as in Config; may be nil
+	Departing   func() bool
+	RandomBelow func(bound time.Duration) time.Duration // as in Config; may be nil
 }
 
 // NewSuccession makes the acceptor and the proposer of the next view.
@@ -50,11 +50,11 @@
 		return successionTable + strconv.FormatUint(viewVersion+1, 10)
 	}
 	s := &Succession{config: config, acceptor: acceptor}
-	acceptor.admits = s.admits
+	acceptor.validateValue = s.validateNextView
 	return s
 }
 
-func (s *Succession) admits(value []byte) error {
+func (s *Succession) validateNextView(value []byte) error {
 	if value == nil {
 		return nil
 	}
@@ -63,7 +63,7 @@
 		return fmt.Errorf("decode the next view: %w", err)
 	}
 	if !next.Has(s.config.Self) && !s.departing() {
-		return errOwnPlace
+		return errExcludesSelf
 	}
 	return nil
 }
@@ -73,11 +73,11 @@
 // Pending returns the view after current that this member has accepted, as far as there is one; whether it is settled is
 // not known.
 func (s *Succession) Pending(current replicaset.View) (next replicaset.View, found bool, err error) {
-	held, err := decodeReplica(s.config.Store.Table(s.acceptor.table(current.Version)))
-	if err != nil || held.accepted.State.Value == nil {
+	stored, err := decodeAcceptorState(s.config.Store.Table(s.acceptor.table(current.Version)))
+	if err != nil || stored.accepted.State.Value == nil {
 		return replicaset.View{}, false, err
 	}
-	if err := msgpack.Unmarshal(held.accepted.State.Value, &next); err != nil {
+	if err := msgpack.Unmarshal(stored.accepted.State.Value, &next); err != nil {
 		return replicaset.View{}, false, fmt.Errorf("decode view %d: %w", current.Version+1, err)
 	}
 	return next, true, nil
@@ -95,14 +95,14 @@
 	}
 	var newer replicaset.View
 	register := New(Config{
-		Name: successionName, Self: s.config.Self, Acceptor: s.acceptor, Caller: s.config.Caller, Draw: s.config.Draw,
+		Name: successionName, Self: s.config.Self, Acceptor: s.acceptor, Caller: s.config.Caller, RandomBelow: s.config.RandomBelow,
 		View: func() replicaset.View {
 			if newer.Version > current.Version || s.config.View().Version != current.Version {
 				return replicaset.View{}
 			}
 			return current
 		},
-		Newer: func(view replicaset.View) { newer = view },
+		OnNewerView: func(view replicaset.View) { newer = view },
 	})
 	value, err := register.Change(ctx, writeOnce(proposed))
 	if newer.Version > current.Version {
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -81,7 +81,7 @@
 	})
 	convey.Convey("The first change sends it once to each member, by messages of a bounded size", t, func() {
 		convey.So(first, convey.ShouldBeBetween, 3*largeText/2, 3*largeText*3/4)
-		convey.So(most, convey.ShouldBeLessThan, mostInline+mostInline/2)
+		convey.So(most, convey.ShouldBeLessThan, maxInlineChunkBytes+maxInlineChunkBytes/2)
 	})
 	convey.Convey("Later ones send what has changed", t, func() {
 		convey.So(second, convey.ShouldBeLessThan, 3*largeText/10)
@@ -159,8 +159,8 @@
 }
 
 func TestAnAcceptorTakesOnlyWhatWasNamed(t *testing.T) {
-	text := randomText(3*wholeBytes, 1)
-	manifest := chunks.NewCut([]byte(text), nil).Manifest()
+	text := randomText(3*inlineValueBytes, 1)
+	manifest := chunks.NewChunking([]byte(text), nil).Manifest()
 	spoilt := manifest
 	spoilt.Sum[0]++
 	var packed [][]byte
@@ -211,10 +211,10 @@
 				chunk := chunks.Pack([]byte(randomText(8000, uint64(i))))
 				acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{chunk, chunk}})
 			}
-			convey.So(acceptor.values.pushedBytes, convey.ShouldEqual, 40*8000)
-			acceptor.values.pushedBytes = mostPushed
+			convey.So(acceptor.chunks.pushedBytes, convey.ShouldEqual, 40*8000)
+			acceptor.chunks.pushedBytes = maxPushedBytes
 			acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
-			convey.So(len(acceptor.values.pushed), convey.ShouldEqual, 1)
+			convey.So(len(acceptor.chunks.pushed), convey.ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/controlplane/replicaset/core_test.go
+++ b/internal/controlplane/replicaset/core_test.go
@@ -199,7 +199,7 @@
 	acceptor.Serve(mux)
 	p.register = register.New(register.Config{
 		Name: testRegister, Self: p.address, Acceptor: acceptor, View: p.manager.View, Caller: p.caller,
-		Newer: func(view replicaset.View) { p.manager.Learn(view) },
+		OnNewerView: func(view replicaset.View) { p.manager.Learn(view) },
 	})
 }
 
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -29,7 +29,7 @@
 type download struct {
 	mutex      sync.Mutex
 	version    uint64 // on its way; 0 for none
-	collection *chunks.Collection
+	collection *chunks.Assembler
 	began      time.Time // when it was first offered
 	pending    time.Time // since when a configuration is known that is newer than the one in force; zero for none
 	sources    []string  // who have it, to be asked in this order
@@ -66,7 +66,7 @@
 
 // offered takes in that a source has a configuration. An older one than the one on its way changes nothing; a newer one
 // takes its place. The error is parts.ErrManifest or parts.ErrPacked.
-func (d *download) offered(version uint64, offer *feed.Offer, source string, known chunks.Holder, now time.Time) error {
+func (d *download) offered(version uint64, offer *feed.Offer, source string, known chunks.Source, now time.Time) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if version < d.version {
@@ -85,12 +85,12 @@
 	return d.collection.AddPacked(offer.Chunks)
 }
 
-func (d *download) begin(version uint64, manifest chunks.Manifest, known chunks.Holder, now time.Time) error {
-	holders := []chunks.Holder{known}
+func (d *download) begin(version uint64, manifest chunks.Manifest, known chunks.Source, now time.Time) error {
+	holders := []chunks.Source{known}
 	if d.collection != nil {
 		holders = append(holders, d.collection.Chunk)
 	}
-	collection, err := chunks.NewCollection(manifest, holders...)
+	collection, err := chunks.NewAssembler(manifest, holders...)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 func (d *download) finished() (version uint64, body []byte, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.version == 0 || !d.collection.Whole() {
+	if d.version == 0 || !d.collection.Complete() {
 		return 0, nil, nil
 	}
 	body, err = d.collection.Content()
@@ -156,7 +156,7 @@
 		return chunksCall{}, false
 	}
 	sums := d.collection.Missing(1 + d.bytes/packedChunk)
-	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.Join(sums), Room: d.bytes}}, true
+	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.JoinSums(sums), Room: d.bytes}}, true
 }
 
 // arrived takes in the answer to a call. A source without any of the parts is not asked again.
@@ -167,9 +167,9 @@
 	if d.collection == nil {
 		return nil
 	}
-	before := d.collection.Lacks()
+	before := d.collection.MissingCount()
 	err := d.collection.AddPacked(reply.Chunks)
-	if d.collection.Lacks() == before {
+	if d.collection.MissingCount() == before {
 		d.drop(call)
 	}
 	return err
