--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -185,7 +185,7 @@
 
 func failure(err error) Outcome {
 	wrapped := fmt.Errorf("change the configuration: %w", err)
-	if rpcerror.Of(err) == rpcerror.NotRun {
+	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: wrapped}
 	}
 	return Outcome{Kind: Unclear, Err: wrapped}
--- a/internal/controlplane/configuration/modelnetwork_test.go
+++ b/internal/controlplane/configuration/modelnetwork_test.go
@@ -200,11 +200,11 @@
 // Call implements transport.Caller.
 func (c modelCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !c.alive() {
-		return rpcerror.Unexecuted(errKilled, 0)
+		return rpcerror.WrapNotExecuted(errKilled, 0)
 	}
 	body, err := msgpack.Marshal(request)
 	if err != nil {
-		return rpcerror.Unexecuted(err, 0)
+		return rpcerror.WrapNotExecuted(err, 0)
 	}
 	path := route.Path()
 	answers := make(chan *httptest.ResponseRecorder, 2)
@@ -217,11 +217,11 @@
 		case http.StatusOK:
 			return msgpack.Unmarshal(answer.Body.Bytes(), reply)
 		case http.StatusServiceUnavailable, http.StatusNotFound:
-			return rpcerror.Unexecuted(errRefused, 0)
+			return rpcerror.WrapNotExecuted(errRefused, 0)
 		}
-		return rpcerror.Unclear(errRefused)
+		return rpcerror.WrapMayHaveExecuted(errRefused)
 	case <-ctx.Done():
-		return rpcerror.Unclear(context.Cause(ctx))
+		return rpcerror.WrapMayHaveExecuted(context.Cause(ctx))
 	}
 }
 
--- a/internal/controlplane/configuration/race_test.go
+++ b/internal/controlplane/configuration/race_test.go
@@ -53,7 +53,7 @@
 	case <-time.After(delay):
 		return nil
 	case <-ctx.Done():
-		return rpcerror.Unclear(ctx.Err())
+		return rpcerror.WrapMayHaveExecuted(ctx.Err())
 	}
 }
 
--- a/internal/controlplane/configuration/register_test.go
+++ b/internal/controlplane/configuration/register_test.go
@@ -39,30 +39,30 @@
 		select {
 		case <-r.release:
 		case <-ctx.Done():
-			return nil, rpcerror.Unclear(ctx.Err())
+			return nil, rpcerror.WrapMayHaveExecuted(ctx.Err())
 		}
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes++
 	if r.refuse {
-		return nil, rpcerror.Unexecuted(errNoMajority, 70*time.Millisecond)
+		return nil, rpcerror.WrapNotExecuted(errNoMajority, 70*time.Millisecond)
 	}
 	next, err := modify(r.value)
 	if err != nil {
-		return nil, rpcerror.Unexecuted(err, 0)
+		return nil, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if r.twice {
 		if next, err = modify(next); err != nil {
-			return nil, rpcerror.Unclear(err)
+			return nil, rpcerror.WrapMayHaveExecuted(err)
 		}
 	}
 	if r.lost {
-		return nil, rpcerror.Unclear(errNoMajority)
+		return nil, rpcerror.WrapMayHaveExecuted(errNoMajority)
 	}
 	r.value = next
 	if r.loseAnswers {
-		return nil, rpcerror.Unclear(errNoMajority)
+		return nil, rpcerror.WrapMayHaveExecuted(errNoMajority)
 	}
 	return next, nil
 }
@@ -72,7 +72,7 @@
 	defer r.mutex.Unlock()
 	r.reads++
 	if r.refuse {
-		return nil, rpcerror.Unexecuted(errNoMajority, 0)
+		return nil, rpcerror.WrapNotExecuted(errNoMajority, 0)
 	}
 	return r.value, nil
 }
@@ -97,7 +97,7 @@
 }
 
 func unreachable(context.Context, string, transport.Route, any, any) error {
-	return rpcerror.Unexecuted(errNoMajority, 0)
+	return rpcerror.WrapNotExecuted(errNoMajority, 0)
 }
 
 func newConfigurator(register Register) *Configurator {
--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -30,7 +30,7 @@
 // Read implements configuration.Register.
 func (u *unreadable) Read(context.Context) ([]byte, error) {
 	if u.fails {
-		return nil, rpcerror.Unexecuted(context.DeadlineExceeded, 0)
+		return nil, rpcerror.WrapNotExecuted(context.DeadlineExceeded, 0)
 	}
 	return nil, nil
 }
--- a/internal/controlplane/operations/answer.go
+++ b/internal/controlplane/operations/answer.go
@@ -67,7 +67,7 @@
 	switch {
 	case errors.As(err, &answer):
 		writeFailure(w, answer.status, answer.text)
-	case rpcerror.Of(err) == rpcerror.NotRun:
+	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
 		writeFailure(w, http.StatusServiceUnavailable, err.Error()+"; nothing was done, try again")
 	default:
 		writeFailure(w, http.StatusGatewayTimeout, err.Error()+"; it may have been done, read the state or try again")
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -25,8 +25,8 @@
 )
 
 var (
-	errNotLeader = rpcerror.Unexecuted(errors.New("this mixer does not lead the group"), 0)
-	errCut       = rpcerror.Unclear(errors.New("connection reset"))
+	errNotLeader = rpcerror.WrapNotExecuted(errors.New("this mixer does not lead the group"), 0)
+	errCut       = rpcerror.WrapMayHaveExecuted(errors.New("connection reset"))
 )
 
 const (
@@ -118,7 +118,7 @@
 		select {
 		case <-c.hold:
 		case <-ctx.Done():
-			return rpcerror.Unclear(ctx.Err())
+			return rpcerror.WrapMayHaveExecuted(ctx.Err())
 		}
 	}
 	c.mutex.Lock()
--- a/internal/controlplane/operations/forward.go
+++ b/internal/controlplane/operations/forward.go
@@ -51,7 +51,7 @@
 func (h *Handler) ask(ctx context.Context, group string, route transport.RepeatableRoute, request, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, forwardTime)
 	defer cancel()
-	worst := rpcerror.Unexecuted(errNoLeader, 0)
+	worst := rpcerror.WrapNotExecuted(errNoLeader, 0)
 	for {
 		changed := h.options.Sources.Changed()
 		if leader := h.options.Sources.Leaders()[group]; leader.Address != "" {
@@ -76,7 +76,7 @@
 // worse is the error to report of two tries, or of the tries at two leaders: one that may have been carried out outweighs
 // all others, else the later.
 func worse(earlier, later error) error {
-	if earlier != nil && rpcerror.Of(earlier) == rpcerror.MayHaveRun {
+	if earlier != nil && rpcerror.ExecutionOf(earlier) == rpcerror.MayHaveExecuted {
 		return earlier
 	}
 	return later
--- a/internal/controlplane/rebuild/copies.go
+++ b/internal/controlplane/rebuild/copies.go
@@ -59,7 +59,7 @@
 	defer c.mutex.Unlock()
 	held := c.byMember[request.Member]
 	if held.number != request.Copy || request.Chunk >= uint32(len(held.chunks)) || held.chunks[request.Chunk] == nil {
-		return dumpReply{}, rpcerror.Unexecuted(errCopyGone, notReadyRetry)
+		return dumpReply{}, rpcerror.WrapNotExecuted(errCopyGone, notReadyRetry)
 	}
 	for earlier := range held.chunks[:request.Chunk] {
 		held.chunks[earlier] = nil // was received, as a later one is asked for
--- a/internal/controlplane/rebuild/copies_test.go
+++ b/internal/controlplane/rebuild/copies_test.go
@@ -33,7 +33,7 @@
 		Convey("a part of an earlier copy, of another's copy, and one that there is not are refused", func() {
 			second := begin(2)
 			for _, err := range []error{ask("x", first.Copy, 1), ask("y", second.Copy, 1), ask("x", second.Copy, 3)} {
-				So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			}
 			So(ask("x", second.Copy, 1), ShouldBeNil)
 		})
@@ -43,7 +43,7 @@
 		})
 		Convey("one that was received already is given no more", func() {
 			So(ask("x", first.Copy, 2), ShouldBeNil)
-			So(rpcerror.Of(ask("x", first.Copy, 1)), ShouldEqual, rpcerror.NotRun)
+			So(rpcerror.ExecutionOf(ask("x", first.Copy, 1)), ShouldEqual, rpcerror.NotExecuted)
 		})
 	})
 }
--- a/internal/controlplane/rebuild/dump.go
+++ b/internal/controlplane/rebuild/dump.go
@@ -59,10 +59,10 @@
 
 func (r *Rebuilder) dump(_ context.Context, request dumpRequest) (dumpReply, error) {
 	if !r.mayGive() {
-		return dumpReply{}, rpcerror.Unexecuted(errNotReady, notReadyRetry)
+		return dumpReply{}, rpcerror.WrapNotExecuted(errNotReady, notReadyRetry)
 	}
 	if err := r.admit(request); err != nil {
-		return dumpReply{}, rpcerror.Unexecuted(err, notReadyRetry)
+		return dumpReply{}, rpcerror.WrapNotExecuted(err, notReadyRetry)
 	}
 	if request.Chunk > 0 {
 		return r.copies.chunk(request)
@@ -197,7 +197,7 @@
 				ask.Reset(reaskInterval)
 			}
 		case result := <-results:
-			if result.err == nil || rpcerror.Of(result.err) == rpcerror.NotRun {
+			if result.err == nil || rpcerror.ExecutionOf(result.err) == rpcerror.NotExecuted {
 				return result.reply, result.err
 			}
 			if failed++; failed == openFetches {
--- a/internal/controlplane/register/acceptor.go
+++ b/internal/controlplane/register/acceptor.go
@@ -122,7 +122,7 @@
 	}
 	if a.admits != nil {
 		if err := a.admits(request.State.Value); err != nil {
-			return reply{}, rpcerror.Unexecuted(err, 0)
+			return reply{}, rpcerror.WrapNotExecuted(err, 0)
 		}
 	}
 	cut := a.cutLarge(request.State.Value)
@@ -158,7 +158,7 @@
 // member's tables without it.
 func (a *Acceptor) admit(viewVersion uint64) (reply, error) {
 	if !a.config.Ready() {
-		return reply{}, rpcerror.Unexecuted(ErrNotReady, notReadyRetry)
+		return reply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetry)
 	}
 	view := a.config.View()
 	if view.Version != viewVersion {
--- a/internal/controlplane/register/explorerules_test.go
+++ b/internal/controlplane/register/explorerules_test.go
@@ -249,7 +249,7 @@
 // ranNot tells whether a change that ended without success certainly had no effect.
 func ranNot(p *proposerState, err error) bool {
 	real := &proposer{register: New(Config{Name: exploredName}), sent: make([]proposal, p.sents)}
-	return rpcerror.Of(real.failed(err)) == rpcerror.NotRun
+	return rpcerror.ExecutionOf(real.failed(err)) == rpcerror.NotExecuted
 }
 
 var errAttemptsOver = errors.New("no attempt is left")
--- a/internal/controlplane/register/given_up_test.go
+++ b/internal/controlplane/register/given_up_test.go
@@ -21,7 +21,7 @@
 // Call implements transport.Caller.
 func (c *deafCaller) Call(context.Context, string, transport.Route, any, any) error {
 	c.calls.Add(1)
-	return rpcerror.Unexecuted(errNobodyThere, 0)
+	return rpcerror.WrapNotExecuted(errNobodyThere, 0)
 }
 
 func TestAChangeThatWasGivenUpSendsNothing(t *testing.T) {
@@ -35,7 +35,7 @@
 	convey.Convey("A change whose context is over before its turn proposes nothing", t, func() {
 		for range tries {
 			_, err := register.Change(ended, func(current []byte) ([]byte, error) { ran = true; return current, nil })
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(errors.Is(err, context.Canceled), convey.ShouldBeTrue)
 		}
 		convey.So(caller.calls.Load(), convey.ShouldEqual, 0)
--- a/internal/controlplane/register/history_test.go
+++ b/internal/controlplane/register/history_test.go
@@ -80,7 +80,7 @@
 	heard := output{value: strings.TrimPrefix(string(value), h.padding)}
 	switch {
 	case err == nil:
-	case rpcerror.Of(err) != rpcerror.NotRun:
+	case rpcerror.ExecutionOf(err) != rpcerror.NotExecuted:
 		heard.unknown = true
 		back = math.MaxInt64
 	case errors.Is(err, errMultipleOfThree):
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -54,9 +54,9 @@
 func (p *proposer) failed(err error) error {
 	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
 	if len(p.sent) > 0 && !p.resolved {
-		return rpcerror.Unclear(err)
+		return rpcerror.WrapMayHaveExecuted(err)
 	}
-	return rpcerror.Unexecuted(err, 0)
+	return rpcerror.WrapNotExecuted(err, 0)
 }
 
 // attempt makes one prepare round and, unless the outcome rests on a committed state already, one accept round.
--- a/internal/controlplane/register/refusal_test.go
+++ b/internal/controlplane/register/refusal_test.go
@@ -27,13 +27,13 @@
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(answer.Outcome, convey.ShouldEqual, granted)
 		before := store.Snapshot()
-		store.Fail(rpcerror.Unexecuted(errors.New("no room"), time.Second))
+		store.Fail(rpcerror.WrapNotExecuted(errors.New("no room"), time.Second))
 
 		second := ProposalNumber{Counter: 2, Member: "b"}
 		prepare := prepareRequest{ViewVersion: 1, ProposalNumber: second}
 		accept := acceptRequest{ViewVersion: 1, ProposalNumber: second, State: held.next([]byte("refused"), second)}
 		checkRefused := func(err error) {
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(rpcerror.RetryAfter(err), convey.ShouldEqual, time.Second)
 			convey.So(store.Snapshot(), convey.ShouldResemble, before)
 		}
@@ -56,7 +56,7 @@
 		convey.Convey("its failure is unclear when the store has failed for good", func() {
 			store.Fail(errors.New("broken"))
 			_, err := acceptor.accept(context.Background(), accept)
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		})
 	})
 }
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -70,7 +70,7 @@
 // will be the register's value.
 func (r *Register) Change(ctx context.Context, change func(current []byte) (next []byte, err error)) ([]byte, error) {
 	if err := r.takeTurn(ctx); err != nil {
-		return nil, rpcerror.Unexecuted(fmt.Errorf("change register %s: %w", r.config.Name, err), 0)
+		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("change register %s: %w", r.config.Name, err), 0)
 	}
 	defer func() { r.turn <- struct{}{} }()
 	p := &proposer{register: r, change: change}
@@ -98,7 +98,7 @@
 func (r *Register) Read(ctx context.Context) ([]byte, error) {
 	view := r.config.View()
 	if view.Version == 0 {
-		return nil, rpcerror.Unexecuted(fmt.Errorf("read register %s: %w", r.config.Name, ErrNoView), 0)
+		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("read register %s: %w", r.config.Name, ErrNoView), 0)
 	}
 	reading := round{view: view, limit: r.roundLimit}
 	known := r.held(view.Version)
@@ -122,7 +122,7 @@
 	}
 	state, err := r.stateUnder(ctx, reading, latest.Accepted, known)
 	if err != nil {
-		return nil, rpcerror.Unexecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errIncomplete, err), 0)
+		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errIncomplete, err), 0)
 	}
 	return state.Value, nil
 }
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -72,19 +72,19 @@
 	})
 	convey.Convey("A change that had nothing accepted anywhere has not run", t, func() {
 		convey.So(beforeAccept, convey.ShouldNotBeNil)
-		convey.So(rpcerror.Of(beforeAccept), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(beforeAccept), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
 	convey.Convey("A change that was sent to be accepted may have run", t, func() {
 		convey.So(afterAccept, convey.ShouldNotBeNil)
-		convey.So(rpcerror.Of(afterAccept), convey.ShouldEqual, rpcerror.MayHaveRun)
+		convey.So(rpcerror.ExecutionOf(afterAccept), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 	convey.Convey("A change that its function refuses has not run", t, func() {
 		convey.So(refused, convey.ShouldWrap, refusal)
-		convey.So(rpcerror.Of(refused), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(refused), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
 	convey.Convey("Nor has one that is refused at a later attempt, as the earlier one is superseded then", t, func() {
 		convey.So(refusedLater, convey.ShouldWrap, refusal)
-		convey.So(rpcerror.Of(refusedLater), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(refusedLater), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
@@ -130,7 +130,7 @@
 	})
 	convey.Convey("The change may have run", t, func() {
 		convey.So(err, convey.ShouldWrap, errUnknownOutcome)
-		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
+		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 }
 
@@ -215,12 +215,12 @@
 		newerErr = change(replicaset.View{Version: 3, Members: c.view.Members})
 	})
 	convey.Convey("A proposer with an older view is refused and told the newer one", t, func() {
-		convey.So(rpcerror.Of(olderErr), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(olderErr), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(learned.Version, convey.ShouldEqual, 2)
 		convey.So(learned.Members, convey.ShouldHaveLength, 3)
 	})
 	convey.Convey("A proposer with a newer view, or none, is refused too", t, func() {
-		convey.So(rpcerror.Of(newerErr), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(newerErr), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(noneErr, convey.ShouldWrap, ErrNoView)
 	})
 }
--- a/internal/controlplane/register/travel.go
+++ b/internal/controlplane/register/travel.go
@@ -258,7 +258,7 @@
 		}
 		request.Content = &content{Manifest: cut.Manifest()}
 	}
-	return reply{}, rpcerror.Unexecuted(fmt.Errorf("%s: %w", member, errIncomplete), 0)
+	return reply{}, rpcerror.WrapNotExecuted(fmt.Errorf("%s: %w", member, errIncomplete), 0)
 }
 
 // push sends parts to a member.
@@ -266,7 +266,7 @@
 	for len(sums) > 0 {
 		packed := cut.PackedSome(sums, mostChunk)
 		if len(packed) == 0 {
-			return rpcerror.Unexecuted(fmt.Errorf("%s asks for parts of another value", member), 0)
+			return rpcerror.WrapNotExecuted(fmt.Errorf("%s asks for parts of another value", member), 0)
 		}
 		if _, err := pushCall(r.config.Name).Call(ctx, r.config.Caller, member, pushRequest{Chunks: packed}); err != nil {
 			return err
--- a/internal/controlplane/register/travel_test.go
+++ b/internal/controlplane/register/travel_test.go
@@ -133,7 +133,7 @@
 		bytes = weighing.take()
 	})
 	convey.Convey("What has arrived stays for the next attempt, and comes once", t, func() {
-		convey.So(rpcerror.Of(errs[0]), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(errs[0]), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(errs[len(errs)-1], convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
 		convey.So(bytes, convey.ShouldBeLessThan, largeText)
@@ -195,16 +195,16 @@
 		})
 		convey.Convey("a value that is not what its manifest names is refused as not run", func() {
 			_, err := accept(content{Manifest: spoilt, Chunks: packed})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(held(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("so is what is no part at all, and no manifest", func() {
 			_, err := accept(content{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			_, err = acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{{1, 2, 3}}})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			_, err = accept(content{Manifest: chunks.Manifest{Bytes: -1}})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		})
 		convey.Convey("parts that nobody asks to accept do not pile up", func() {
 			for i := range 40 {
--- a/internal/controlplane/register/values.go
+++ b/internal/controlplane/register/values.go
@@ -129,20 +129,20 @@
 // serveAccept puts a value together that comes by parts. If some are missing it tells which, and nothing was done.
 func (a *Acceptor) serveAccept(ctx context.Context, request acceptRequest) (reply, error) {
 	if request.Content == nil {
-		return reply{}, rpcerror.Unexecuted(errNoContent, 0)
+		return reply{}, rpcerror.WrapNotExecuted(errNoContent, 0)
 	}
 	if err := a.values.keep(request.Content.Chunks); err != nil {
-		return reply{}, rpcerror.Unexecuted(err, 0)
+		return reply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	gathered, err := chunks.NewCollection(request.Content.Manifest, a.values.chunk)
 	if err != nil {
-		return reply{}, rpcerror.Unexecuted(err, 0)
+		return reply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if !gathered.Whole() {
 		return reply{Outcome: chunksMissing, Missing: chunks.Join(gathered.Missing(gathered.Lacks()))}, nil
 	}
 	if request.State.Value, err = gathered.Content(); err != nil {
-		return reply{}, rpcerror.Unexecuted(fmt.Errorf("accept in register %s: %w", a.config.Name, err), 0)
+		return reply{}, rpcerror.WrapNotExecuted(fmt.Errorf("accept in register %s: %w", a.config.Name, err), 0)
 	}
 	return a.accept(ctx, request)
 }
@@ -157,10 +157,10 @@
 
 func (a *Acceptor) servePush(_ context.Context, request pushRequest) (pushReply, error) {
 	if !a.config.Ready() {
-		return pushReply{}, rpcerror.Unexecuted(ErrNotReady, notReadyRetry)
+		return pushReply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetry)
 	}
 	if err := a.values.keep(request.Chunks); err != nil {
-		return pushReply{}, rpcerror.Unexecuted(err, 0)
+		return pushReply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	return pushReply{}, nil
 }
--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -173,7 +173,7 @@
 	err := m.learnIfNewer(view)
 	switch {
 	case err == nil:
-	case rpcerror.Of(err) == rpcerror.NotRun:
+	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
 		m.config.Logger.Warn("view of the replicas not taken", zap.Uint64("version", view.Version), zap.Error(err))
 	default:
 		select {
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -45,7 +45,7 @@
 	call := h.clock.Add(1)
 	value, err := do.perform(ctx, by)
 	back := h.clock.Add(1)
-	if err != nil && (rpcerror.Of(err) == rpcerror.NotRun || do.token == "") {
+	if err != nil && (rpcerror.ExecutionOf(err) == rpcerror.NotExecuted || do.token == "") {
 		return
 	}
 	if err != nil {
--- a/internal/controlplane/replicaset/process_test.go
+++ b/internal/controlplane/replicaset/process_test.go
@@ -50,7 +50,7 @@
 // Call implements transport.Caller.
 func (m mortalCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !m.store.alive() {
-		return rpcerror.Unexecuted(errDead, 0)
+		return rpcerror.WrapNotExecuted(errDead, 0)
 	}
 	return m.Caller.Call(ctx, address, route, request, reply)
 }
--- a/internal/controlplane/replication/disk.go
+++ b/internal/controlplane/replication/disk.go
@@ -18,7 +18,7 @@
 
 // writeFailed decides what a failed write means: a refused one has left the store as it was, and later ones may succeed.
 func (c *core) writeFailed(err error) {
-	if rpcerror.Of(err) != rpcerror.NotRun {
+	if rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		c.fail(err)
 		return
 	}
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -11,7 +11,7 @@
 )
 
 // errDiskFull is how a store refuses a write that it has not done.
-var errDiskFull = rpcerror.Unexecuted(errors.New("no room"), 0)
+var errDiskFull = rpcerror.WrapNotExecuted(errors.New("no room"), 0)
 
 // spoilDisks makes one disk, or now and then all, full or stalled for some time.
 func (s *simulation) spoilDisks() {
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -120,7 +120,7 @@
 	case <-n.ctx.Done():
 	}
 	var none Reply
-	return none, rpcerror.Unclear(errors.New("replication: the request was given up"))
+	return none, rpcerror.WrapMayHaveExecuted(errors.New("replication: the request was given up"))
 }
 
 // step runs one step of the core. Its effects count as tasks from then on.
--- a/internal/controlplane/storage/failure_test.go
+++ b/internal/controlplane/storage/failure_test.go
@@ -49,7 +49,7 @@
 		err := store.Write(script(1)...)
 		convey.So(errors.Is(err, storagetest.ErrTruncate), convey.ShouldBeTrue)
 		convey.So(errors.Is(err, storage.ErrRefused), convey.ShouldBeFalse)
-		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
+		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		<-store.Failed()
 		disk.SetCapacity(0)
 		convey.So(errors.Is(store.Write(script(1)...), storagetest.ErrTruncate), convey.ShouldBeTrue)
--- a/internal/controlplane/storage/full_test.go
+++ b/internal/controlplane/storage/full_test.go
@@ -22,7 +22,7 @@
 
 func checkRefused(t *testing.T, err error) {
 	t.Helper()
-	if !errors.Is(err, storage.ErrRefused) || rpcerror.Of(err) != rpcerror.NotRun || !storage.IsFull(err) {
+	if !errors.Is(err, storage.ErrRefused) || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted || !storage.IsFull(err) {
 		t.Fatalf("the write of a full disk failed with %v", err)
 	}
 }
--- a/internal/controlplane/storage/refusal.go
+++ b/internal/controlplane/storage/refusal.go
@@ -27,7 +27,7 @@
 }
 
 func refused(cause error) error {
-	return rpcerror.Unexecuted(fmt.Errorf("%w: %w", ErrRefused, cause), RefusalPause)
+	return rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", ErrRefused, cause), RefusalPause)
 }
 
 // refusal is the newest write that the disk refused.
--- a/internal/dataplane/agent/network_test.go
+++ b/internal/dataplane/agent/network_test.go
@@ -89,10 +89,10 @@
 	n.mutex.Unlock()
 	if n.isCut(e.address, address) {
 		<-ctx.Done()
-		return rpcerror.Unclear(errCut)
+		return rpcerror.WrapMayHaveExecuted(errCut)
 	}
 	if down {
-		return rpcerror.Unexecuted(errDown, 0)
+		return rpcerror.WrapNotExecuted(errDown, 0)
 	}
 	if err := n.carry(ctx, e.address, address, request); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	err := serve(ctx, mux, called.Path(), request, reply)
 	if n.isCut(e.address, address) { // the answer is lost
 		<-ctx.Done()
-		return rpcerror.Unclear(errCut)
+		return rpcerror.WrapMayHaveExecuted(errCut)
 	}
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 		link := n.links[address]
 		n.mutex.Unlock()
 		if link != nil && !link.carry(ctx, len(content)+headerBytes) {
-			return rpcerror.Unclear(ctx.Err())
+			return rpcerror.WrapMayHaveExecuted(ctx.Err())
 		}
 	}
 	return nil
@@ -145,10 +145,10 @@
 	call := httptest.NewRequest(http.MethodPost, path, bytes.NewReader(body)).WithContext(ctx)
 	mux.ServeHTTP(recorder, call)
 	if ctx.Err() != nil {
-		return rpcerror.Unclear(ctx.Err())
+		return rpcerror.WrapMayHaveExecuted(ctx.Err())
 	}
 	if recorder.Code != http.StatusOK {
-		return rpcerror.Unclear(fmt.Errorf("%s answered %d", path, recorder.Code))
+		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s answered %d", path, recorder.Code))
 	}
 	return msgpack.Unmarshal(recorder.Body.Bytes(), reply)
 }
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -59,7 +59,7 @@
 	defer cancel()
 	ctx, leader, end, known := c.feed.begin(ctx, call.group)
 	if !known {
-		return 0, rpcerror.Unexecuted(errNoLeader, 0)
+		return 0, rpcerror.WrapNotExecuted(errNoLeader, 0)
 	}
 	defer end()
 	return leader.Epoch, c.caller.Call(ctx, leader.Address, call.route, call.request, reply)
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -102,7 +102,7 @@
 					lead(c.feed, "next", epoch)
 				}
 				lastErr = randomFailure(ctx, &random)
-				anyUnclear = anyUnclear || (lastErr != nil && rpcerror.Of(lastErr) != rpcerror.NotRun)
+				anyUnclear = anyUnclear || (lastErr != nil && rpcerror.ExecutionOf(lastErr) != rpcerror.NotExecuted)
 				return lastErr
 			})
 			allowed := time.Duration(random.Unit() * float64(testAllowed))
@@ -130,7 +130,7 @@
 	case draw < 0.6:
 		return notRun("full", time.Duration(random.Exp()*float64(time.Second)))
 	case draw < 0.8:
-		return rpcerror.Unclear(errors.New("broken off"))
+		return rpcerror.WrapMayHaveExecuted(errors.New("broken off"))
 	default:
 		<-ctx.Done()
 		return ctx.Err()
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -17,7 +17,7 @@
 )
 
 func notRun(text string, pause time.Duration) error {
-	return rpcerror.Unexecuted(errors.New(text), pause)
+	return rpcerror.WrapNotExecuted(errors.New(text), pause)
 }
 
 func jobState(text string) job.State { return job.State(text) }
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -50,7 +50,7 @@
 	switch {
 	case err == nil:
 		return attempt{result: answered}
-	case rpcerror.Of(err) != rpcerror.NotRun:
+	case rpcerror.ExecutionOf(err) != rpcerror.NotExecuted:
 		return attempt{result: unclear}
 	case rpcerror.RetryAfter(err) > 0:
 		return attempt{result: overloaded, pause: rpcerror.RetryAfter(err)}
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -120,9 +120,9 @@
 		cause := errors.New("x")
 		So(attemptOf(nil).result, ShouldEqual, answered)
 		So(attemptOf(cause).result, ShouldEqual, unclear)
-		So(attemptOf(rpcerror.Unclear(cause)).result, ShouldEqual, unclear)
-		So(attemptOf(rpcerror.Unexecuted(cause, 0)).result, ShouldEqual, refused)
-		So(attemptOf(rpcerror.Unexecuted(cause, ms(7))), ShouldResemble, attempt{overloaded, ms(7)})
+		So(attemptOf(rpcerror.WrapMayHaveExecuted(cause)).result, ShouldEqual, unclear)
+		So(attemptOf(rpcerror.WrapNotExecuted(cause, 0)).result, ShouldEqual, refused)
+		So(attemptOf(rpcerror.WrapNotExecuted(cause, ms(7))), ShouldResemble, attempt{overloaded, ms(7)})
 	})
 }
 
--- a/internal/jobs/manager/again_test.go
+++ b/internal/jobs/manager/again_test.go
@@ -47,7 +47,7 @@
 
 // Call implements transport.Caller.
 func (soleMember) Call(context.Context, string, transport.Route, any, any) error {
-	return rpcerror.Unexecuted(errNobody, 0)
+	return rpcerror.WrapNotExecuted(errNobody, 0)
 }
 
 var _ transport.Caller = soleMember{}
@@ -119,7 +119,7 @@
 		request := jobreport.DrainRequest{Group: soleGroup, Worker: "i-1", Draining: true}
 		Convey("A searcher is not called unknown before the platform's list was read", t, func() {
 			_, err := m.drain(ctx, request)
-			So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			So(rpcerror.RetryAfter(err), ShouldEqual, noListRetry)
 			m.Inventory(nil)
 			reply, err := m.drain(ctx, request)
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -206,7 +206,7 @@
 	l.mu.Lock()
 	if l.ctx.Err() != nil {
 		l.mu.Unlock()
-		return rpcerror.Unexecuted(errNotLeader, 0)
+		return rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
 	event(steady())
 	l.dispatch()
@@ -221,9 +221,9 @@
 	case <-done:
 		return nil
 	case <-l.term.Ended():
-		return rpcerror.Unclear(errEnded)
+		return rpcerror.WrapMayHaveExecuted(errEnded)
 	case <-ctx.Done():
-		return rpcerror.Unclear(ctx.Err())
+		return rpcerror.WrapMayHaveExecuted(ctx.Err())
 	}
 }
 
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -84,7 +84,7 @@
 				leader.clock.standStill()
 				err := question.ask(leader.manager)
 				So(err, ShouldNotBeNil)
-				So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			})
 		})
 	}
@@ -123,7 +123,7 @@
 			for range cap(failures) {
 				err := <-failures
 				So(err, ShouldNotBeNil)
-				So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 			}
 		})
 		Convey("The next leader has never heard of it", t, func() {
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -158,17 +158,17 @@
 	defer m.mu.Unlock()
 	led := m.leads[group]
 	if led == nil || !led.term.Valid() {
-		return nil, rpcerror.Unexecuted(errNotLeader, 0)
+		return nil, rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
 	return led, nil
 }
 
 func (m *Manager) submit(ctx context.Context, request jobapi.Submit) (jobapi.Submitted, error) {
 	if !request.ID.Valid() {
-		return jobapi.Submitted{}, rpcerror.Unexecuted(errors.New("job ID: want 16 hexadecimal digits"), 0)
+		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(errors.New("job ID: want 16 hexadecimal digits"), 0)
 	}
 	if err := request.Specification.Check(); err != nil {
-		return jobapi.Submitted{}, rpcerror.Unexecuted(err, 0)
+		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	led, err := m.lead(request.Group)
 	if err != nil {
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -54,7 +54,7 @@
 	defer led.mu.Unlock()
 	look(steady(), led.scheduler)
 	if !led.term.Valid() {
-		return rpcerror.Unexecuted(errNotLeader, 0)
+		return rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 		reply.Worker = led.reportDrained(now, id)
 	})
 	if err == nil && !reply.Known && !m.hasList() {
-		return reply, rpcerror.Unexecuted(errNoList, noListRetry)
+		return reply, rpcerror.WrapNotExecuted(errNoList, noListRetry)
 	}
 	if err == nil && reply.Known {
 		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("searcher", request.Worker),
--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -65,15 +65,15 @@
 	}}
 	response, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
 	if err != nil && (permit.unsent() || sending.Unsent()) {
-		return answer{}, rpcerror.Unexecuted(err, 0)
+		return answer{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if err != nil {
-		return answer{}, rpcerror.Unclear(err)
+		return answer{}, rpcerror.WrapMayHaveExecuted(err)
 	}
 	defer response.Body.Close()
 	result, err := readAnswer(response)
 	if err != nil {
-		return answer{}, rpcerror.Unclear(fmt.Errorf("%s: %w", target, err))
+		return answer{}, rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s: %w", target, err))
 	}
 	return result, nil
 }
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -115,7 +115,7 @@
 		giveUp()
 		err := <-failed
 		convey.So(err, convey.ShouldWrap, context.Canceled)
-		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
+		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		convey.So(connections.Usage().Open, convey.ShouldBeZeroValue)
 	})
 	convey.Convey("One that could not connect has not run", t, func() {
@@ -124,7 +124,7 @@
 		listener.Close()
 		connections, caller := budgetedCaller(listener.Addr().String())
 		_, err = caller.post(context.Background(), caller.start, []byte(`{}`), patience)
-		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(connections.Usage().Open, convey.ShouldBeZeroValue)
 	})
 }
--- a/internal/jobs/workerclient/hold.go
+++ b/internal/jobs/workerclient/hold.go
@@ -239,7 +239,7 @@
 	case g == nil:
 	case err == nil:
 		l.grants.answered(g, received, l.clock.untilPassed(validUntil, received))
-	case rpcerror.Of(err) == rpcerror.NotRun:
+	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
 		l.grants.withdrawn(g)
 	default:
 		l.grants.unanswered(g, received)
--- a/internal/jobs/workerclient/hold_test.go
+++ b/internal/jobs/workerclient/hold_test.go
@@ -55,7 +55,7 @@
 				convey.Convey("a call without an answer is followed by a look", func() {
 					now = now.Add(2 * time.Second)
 					hold := link.beginHold()
-					link.settleHold(hold, answer{}, rpcerror.Unclear(errSilent), now)
+					link.settleHold(hold, answer{}, rpcerror.WrapMayHaveExecuted(errSilent), now)
 					link.setContact(unreachable)
 					look := link.beginHold()
 					convey.So(look.request.waitMS, convey.ShouldEqual, 0)
@@ -68,7 +68,7 @@
 					before := link.LapsedBy()
 					hold := link.beginHold()
 					convey.So(link.LapsedBy(), convey.ShouldHappenAfter, before)
-					link.settleHold(hold, answer{}, rpcerror.Unexecuted(errSilent, 0), now)
+					link.settleHold(hold, answer{}, rpcerror.WrapNotExecuted(errSilent, 0), now)
 					convey.So(link.LapsedBy(), convey.ShouldEqual, before)
 				})
 				convey.Convey("without renewal no start goes out in the end", func() {
--- a/internal/jobs/workerclient/lapse_test.go
+++ b/internal/jobs/workerclient/lapse_test.go
@@ -79,7 +79,7 @@
 			w.carriedOut(validUntil, left, at, rapid.Bool().Draw(w.t, "from arrival"))
 		}
 		w.flights = append(w.flights, flight{sent.Add(timeout), func(received time.Time) {
-			settle(answer{}, rpcerror.Unclear(errSilent), received)
+			settle(answer{}, rpcerror.WrapMayHaveExecuted(errSilent), received)
 		}})
 		return
 	}
--- a/internal/jobs/workerclient/orders.go
+++ b/internal/jobs/workerclient/orders.go
@@ -217,7 +217,7 @@
 	defer l.mu.Unlock()
 	l.observe(a, c.sentAt, received)
 	l.settle(c.grant, c.validUntil, err, received)
-	if err == nil || rpcerror.Of(err) != rpcerror.NotRun {
+	if err == nil || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		l.roundTrips.startEnded(err == nil)
 	}
 	if err != nil {
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -39,7 +39,7 @@
 
 // failureOutcome is the outcome of a start order without an answer.
 func failureOutcome(err error) StartOutcome {
-	if rpcerror.Of(err) == rpcerror.NotRun {
+	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return NotSent
 	}
 	return Unclear
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -52,7 +52,7 @@
 			release <- struct{}{}
 			err := <-failures
 			So(err, ShouldNotBeNil)
-			So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			So(calls.Load(), ShouldEqual, 0)
 
 			over.Store(0)
@@ -61,7 +61,7 @@
 			So(calls.Load(), ShouldEqual, 1)
 			over.Store(1)
 			close(release)
-			So(rpcerror.Of(post()), ShouldEqual, rpcerror.NotRun)
+			So(rpcerror.ExecutionOf(post()), ShouldEqual, rpcerror.NotExecuted)
 			So(calls.Load(), ShouldEqual, 1)
 		})
 		Convey("one whose lease holds is sent", func() {
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -72,7 +72,7 @@
 				for after := range lengths[cut] {
 					execution++
 					body, err := send(execution, cut, after)
-					if err == nil || rpcerror.Of(err) != rpcerror.MayHaveRun {
+					if err == nil || rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
 						wrong++
 						t.Errorf("reset after byte %d of way %d: %v", after, cut, err)
 					}
@@ -115,7 +115,7 @@
 		order := order(0, 1)
 		body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
 		_, err = worker.post(context.Background(), worker.start, body, patience)
-		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
+		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		convey.So(counter.count(body), convey.ShouldEqual, 1)
 	})
 }
--- a/internal/rpcerror/rpcerror.go
+++ b/internal/rpcerror/rpcerror.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Verdict says whether a failed request may have run.
-type Verdict uint8
+// Execution says whether a failed request may have run.
+type Execution uint8
 
 const (
-	// MayHaveRun is the verdict on every failure that does not prove otherwise, and so the zero value.
-	MayHaveRun Verdict = iota
-	// NotRun means that the request was not carried out and never will be; it may be sent elsewhere.
-	NotRun
+	// MayHaveExecuted is the verdict on every failure that does not prove otherwise, and so the zero value.
+	MayHaveExecuted Execution = iota
+	// NotExecuted means that the request was not carried out and never will be; it may be sent elsewhere.
+	NotExecuted
 )
 
 // String returns the verdict's name for logs.
-func (v Verdict) String() string {
-	if v == NotRun {
+func (v Execution) String() string {
+	if v == NotExecuted {
 		return "not run"
 	}
 	return "may have run"
@@ -28,33 +28,33 @@
 
 // Error is a failed request together with its verdict.
 type Error struct {
-	Verdict Verdict
+	Execution Execution
 	// RetryAfter is how long the caller should wait before it tries again; 0 when the callee gave no hint.
 	RetryAfter time.Duration
 	Cause      error
 }
 
 // Error implements the error interface.
-func (e *Error) Error() string { return fmt.Sprintf("%v (request %v)", e.Cause, e.Verdict) }
+func (e *Error) Error() string { return fmt.Sprintf("%v (request %v)", e.Cause, e.Execution) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Unexecuted wraps a failure of a request that did not run.
-func Unexecuted(cause error, retryAfter time.Duration) error {
-	return &Error{Verdict: NotRun, RetryAfter: retryAfter, Cause: cause}
+// WrapNotExecuted wraps a failure of a request that did not run.
+func WrapNotExecuted(cause error, retryAfter time.Duration) error {
+	return &Error{Execution: NotExecuted, RetryAfter: retryAfter, Cause: cause}
 }
 
-// Unclear wraps a failure of a request that may have run.
-func Unclear(cause error) error { return &Error{Verdict: MayHaveRun, Cause: cause} }
+// WrapMayHaveExecuted wraps a failure of a request that may have run.
+func WrapMayHaveExecuted(cause error) error { return &Error{Execution: MayHaveExecuted, Cause: cause} }
 
-// Of returns the verdict on an error; an error without one may have run.
-func Of(err error) Verdict {
+// ExecutionOf returns the verdict on an error; an error without one may have run.
+func ExecutionOf(err error) Execution {
 	var failure *Error
 	if errors.As(err, &failure) {
-		return failure.Verdict
+		return failure.Execution
 	}
-	return MayHaveRun
+	return MayHaveExecuted
 }
 
 // RetryAfter returns the pause that the callee asked for; 0 when there is none.
--- a/internal/systemtest/controlmodel/network_test.go
+++ b/internal/systemtest/controlmodel/network_test.go
@@ -107,11 +107,11 @@
 	path := route.Path()
 	body, err := msgpack.Marshal(request)
 	if err != nil {
-		return rpcerror.Unexecuted(err, 0)
+		return rpcerror.WrapNotExecuted(err, 0)
 	}
 	e.from.standStill()
 	if !e.from.lives(e.life) {
-		return rpcerror.Unexecuted(errDown, 0)
+		return rpcerror.WrapNotExecuted(errDown, 0)
 	}
 	answers := make(chan *httptest.ResponseRecorder, 2)
 	sent := e.network.draw(e.from.address, address, path, len(body))
@@ -127,7 +127,7 @@
 		return decode(answer, reply)
 	case <-ctx.Done():
 		e.from.standStill()
-		return rpcerror.Unclear(errLost)
+		return rpcerror.WrapMayHaveExecuted(errLost)
 	}
 }
 
@@ -162,9 +162,9 @@
 		return msgpack.Unmarshal(answer.Body.Bytes(), reply)
 	case http.StatusServiceUnavailable, http.StatusNotFound:
 		pause, _ := strconv.Atoi(answer.Header().Get(transport.RetryAfterHeader))
-		return rpcerror.Unexecuted(errors.New(answer.Body.String()), time.Duration(pause)*time.Millisecond)
+		return rpcerror.WrapNotExecuted(errors.New(answer.Body.String()), time.Duration(pause)*time.Millisecond)
 	}
-	return rpcerror.Unclear(errors.New(answer.Body.String()))
+	return rpcerror.WrapMayHaveExecuted(errors.New(answer.Body.String()))
 }
 
 // request is an internal call as it arrives.
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -84,7 +84,7 @@
 					change.Store(wrong)
 					reply, err := endpoint.Call(t.Context(), client, address, sample)
 					So(err, ShouldNotBeNil)
-					So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+					So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 					So(reply, ShouldResemble, echo{})
 				}
 			})
@@ -96,7 +96,7 @@
 			return transport.NewIdentity("another", "node-a").String() + "/" + call
 		}))
 		_, err := echoCall.Call(t.Context(), client, address, sample)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 }
 
@@ -112,7 +112,7 @@
 		counted := counting(transport.NewIdentity(testCluster, "node-a"))
 		client, address := answering(t, altered(counted, func(string) string { return "" }))
 		_, err := countCall.Call(t.Context(), client, address, echo{})
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		So(counted.runs.Load(), ShouldEqual, 0)
 	})
 	Convey("A call without an addressee is taken", t, func() {
@@ -143,7 +143,7 @@
 				w.WriteHeader(status)
 			}))
 			_, err := echoCall.Call(t.Context(), client, address, echo{})
-			So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 			So(elsewhere.Load(), ShouldEqual, 0)
 		}
 	})
@@ -189,7 +189,7 @@
 		time.Sleep(time.Hour) // the clock that was learned stays good
 		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, Times: 1})
 		network.AddRule(networktest.Rule{Path: repeatable.Path(), Delay: 20 * time.Second, Times: 1})
-		if err := send(countCall); rpcerror.Of(err) != rpcerror.MayHaveRun {
+		if err := send(countCall); rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
 			t.Error("a call that has not arrived was said to have not run:", err)
 		}
 		time.Sleep(time.Minute)
@@ -216,7 +216,7 @@
 		client, address := answering(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(whole[:len(whole)-1]) }))
 		reply := echo{Text: "before"}
 		err = client.Call(t.Context(), address, echoCall.Route(), sample, &reply)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 		So(errors.Unwrap(err), ShouldNotBeNil)
 		So(reply, ShouldResemble, echo{Text: "before"})
 	})
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -74,7 +74,7 @@
 func (c *Client) Call(ctx context.Context, address string, route Route, request, reply any) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
-		return rpcerror.Unexecuted(fmt.Errorf("encode %s: %w", route.Path(), err), 0)
+		return rpcerror.WrapNotExecuted(fmt.Errorf("encode %s: %w", route.Path(), err), 0)
 	}
 	if !route.mayRepeat() {
 		return c.callOnce(ctx, address, route, body, reply)
@@ -97,12 +97,12 @@
 func (c *Client) callOnce(ctx context.Context, address string, route Route, body []byte, reply any) error {
 	if _, known := c.directory.find(address); !known {
 		if _, err := identityCall.Call(ctx, c, address, identityRequest{}); err != nil {
-			return rpcerror.Unexecuted(fmt.Errorf("%s not sent: who serves the address: %w", route.Path(), err), rpcerror.RetryAfter(err))
+			return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: who serves the address: %w", route.Path(), err), rpcerror.RetryAfter(err))
 		}
 	}
 	one := c.addressed(address, route, body)
 	if _, known := one.to.(Process); !known {
-		return rpcerror.Unexecuted(fmt.Errorf("%s not sent: nobody is known to serve %s", route.Path(), address), 0)
+		return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: nobody is known to serve %s", route.Path(), address), 0)
 	}
 	return c.send(ctx, one, reply)
 }
@@ -167,10 +167,10 @@
 	}
 	content, err := io.ReadAll(io.LimitReader(answer.Body, maxBodyBytes+1))
 	if err != nil {
-		return rpcerror.Unclear(fmt.Errorf("read %s: %w", one, err))
+		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("read %s: %w", one, err))
 	}
 	if err := decode(content, reply); err != nil {
-		return rpcerror.Unclear(fmt.Errorf("decode %s: %w", one, err))
+		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("decode %s: %w", one, err))
 	}
 	return nil
 }
@@ -191,9 +191,9 @@
 	err = fmt.Errorf("call %s: %w", one, err)
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" || c.sockets && sending.Unsent() {
-		return rpcerror.Unexecuted(err, 0)
+		return rpcerror.WrapNotExecuted(err, 0)
 	}
-	return rpcerror.Unclear(err)
+	return rpcerror.WrapMayHaveExecuted(err)
 }
 
 var (
@@ -213,15 +213,15 @@
 	}
 	if callName(header) != one.call {
 		c.Close() // the connection is out of step
-		return rpcerror.Unclear(fmt.Errorf("call %s: %w", one, errOtherCall))
+		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("call %s: %w", one, errOtherCall))
 	}
 	meant, known := one.to.(Process)
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		c.learnRefusal(one.address, meant, one.met(from, answer))
-		return rpcerror.Unexecuted(&MisdirectedError{Address: one.address, Meant: one.to, Found: from}, 0)
+		return rpcerror.WrapNotExecuted(&MisdirectedError{Address: one.address, Meant: one.to, Found: from}, 0)
 	}
 	if !one.to.means(from) {
-		return rpcerror.Unclear(fmt.Errorf("call %s: %w: %s", one, errOtherProcess, from))
+		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("call %s: %w: %s", one, errOtherProcess, from))
 	}
 	if !known {
 		c.directory.learn(one.address, one.met(from, answer))
@@ -242,7 +242,7 @@
 		return nil
 	}
 	c.directory.forget(one.address, meant.Identity)
-	return rpcerror.Unclear(fmt.Errorf("call %s: %w: it has no name", one, errOtherProcess))
+	return rpcerror.WrapMayHaveExecuted(fmt.Errorf("call %s: %w: it has no name", one, errOtherProcess))
 }
 
 // learnRefusal notes who refused a call: the same node started again, or one that has to be met anew.
@@ -258,8 +258,8 @@
 	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxErrorBytes))
 	err := fmt.Errorf("%s answered %d: %s", one, answer.StatusCode, bytes.TrimSpace(text))
 	if answer.StatusCode != http.StatusServiceUnavailable && answer.StatusCode != http.StatusNotFound {
-		return rpcerror.Unclear(err)
+		return rpcerror.WrapMayHaveExecuted(err)
 	}
 	milliseconds, _ := strconv.Atoi(answer.Header.Get(RetryAfterHeader))
-	return rpcerror.Unexecuted(err, time.Duration(milliseconds)*time.Millisecond)
+	return rpcerror.WrapNotExecuted(err, time.Duration(milliseconds)*time.Millisecond)
 }
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -47,7 +47,7 @@
 	mux := transport.NewMuxFor(self)
 	transport.Handle(mux, echoCall, func(_ context.Context, request echo) (echo, error) { return request, nil })
 	transport.Handle(mux, refuseCall, func(context.Context, echo) (echo, error) {
-		return echo{}, rpcerror.Unexecuted(errors.New("not the leader"), retryAfter)
+		return echo{}, rpcerror.WrapNotExecuted(errors.New("not the leader"), retryAfter)
 	})
 	transport.Handle(mux, failCall, func(context.Context, echo) (echo, error) { return echo{}, errors.New("broke down midway") })
 	transport.Handle(mux, hangCall, func(ctx context.Context, _ echo) (echo, error) {
@@ -91,31 +91,31 @@
 	})
 	Convey("a refusal has not run, and says when to come back", func() {
 		_, err := s.call(t.Context(), s.served, refuseCall)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		So(rpcerror.RetryAfter(err), ShouldEqual, retryAfter)
 		So(err.Error(), ShouldContainSubstring, "not the leader")
 	})
 	Convey("a failure of the callee may have run", func() {
 		_, err := s.call(t.Context(), s.served, failCall)
 		So(err, ShouldNotBeNil)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 	Convey("a call that is given up may have run", func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 		defer cancel()
 		_, err := s.call(ctx, s.served, hangCall)
 		So(err, ShouldNotBeNil)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 	Convey("a call to nobody has not run", func() {
 		_, err := s.call(t.Context(), s.nowhere, echoCall)
 		So(err, ShouldNotBeNil)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 	Convey("a path that nobody serves has not run", func() {
 		_, err := s.call(t.Context(), s.served, unknownCall)
 		So(err, ShouldNotBeNil)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
@@ -136,7 +136,7 @@
 		other := transport.NewIdentity(first.Cluster, "node-b")
 		s.replace(handlers(other))
 		_, err := s.call(t.Context(), s.served, echoCall)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		var misdirected *transport.MisdirectedError
 		So(errors.As(err, &misdirected), ShouldBeTrue)
 		So(misdirected.Meant, ShouldResemble, transport.Process{Identity: first})
@@ -147,7 +147,7 @@
 		s.replace(handlers(transport.NewIdentity("another", first.Node)))
 		for range 3 {
 			_, err := s.call(t.Context(), s.served, echoCall)
-			So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			So(err.Error(), ShouldContainSubstring, "another/node-a/")
 		}
 	})
@@ -171,7 +171,7 @@
 		s.replace(before)
 		So(send(), ShouldBeNil)
 		s.replace(after)
-		So(rpcerror.Of(send()), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(send()), ShouldEqual, rpcerror.NotExecuted)
 		So(before.runs.Load(), ShouldEqual, 1)
 		So(after.runs.Load(), ShouldEqual, 0)
 		So(send(), ShouldBeNil)
@@ -179,7 +179,7 @@
 	})
 	Convey("where nobody tells who serves the address, it is not sent", func() {
 		_, err := countCall.Call(t.Context(), s.caller, s.nowhere, echo{})
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
@@ -283,7 +283,7 @@
 			client.Close()
 			server.Close()
 			So(err, ShouldNotBeNil)
-			So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 		}
 	})
 }
--- a/internal/transport/model_test.go
+++ b/internal/transport/model_test.go
@@ -108,7 +108,7 @@
 		call := w.calls[request.Token]
 		call.ranAt = append(call.ranAt, self)
 		if request.Token.Number%5 == 4 { // so that refusals by a handler occur as well, and after the run
-			return modelReply{}, rpcerror.Unclear(errors.New("broke down midway"))
+			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("broke down midway"))
 		}
 		return modelReply{Token: request.Token, By: self, Bulk: request.Bulk}, nil
 	}
--- a/internal/transport/modeljudge_test.go
+++ b/internal/transport/modeljudge_test.go
@@ -35,7 +35,7 @@
 		w.fault("call %v got the answer to %v", call.token, call.reply.Token)
 	case call.err == nil && !slices.Contains(call.ranAt, call.reply.By):
 		w.fault("call %v got the answer of %v, but ran at %v", call.token, call.reply.By, call.ranAt)
-	case call.err != nil && rpcerror.Of(call.err) == rpcerror.NotRun && !w.doubles && len(call.ranAt) > 0:
+	case call.err != nil && rpcerror.ExecutionOf(call.err) == rpcerror.NotExecuted && !w.doubles && len(call.ranAt) > 0:
 		w.fault("call %v ran at %v and is said to have not run: %v", call.token, call.ranAt, call.err)
 	}
 }
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -100,7 +100,7 @@
 			return
 		}
 		if !repeats && m.late(r) {
-			writeError(w, rpcerror.Unexecuted(errLate, 0))
+			writeError(w, rpcerror.WrapNotExecuted(errLate, 0))
 			return
 		}
 		if !repeats && !m.first(r) {
@@ -132,7 +132,7 @@
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	if rpcerror.Of(err) != rpcerror.NotRun {
+	if rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
--- a/internal/transport/offsets_test.go
+++ b/internal/transport/offsets_test.go
@@ -132,8 +132,8 @@
 		return false
 	}
 	if kind.asksFirst {
-		return runs == 0 || rpcerror.Of(r.err) == rpcerror.MayHaveRun
+		return runs == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
 	}
 	ranBefore := r.cut == resettest.Answers // the call had arrived, and all of an answer comes after the run
-	return rpcerror.Of(r.err) == rpcerror.MayHaveRun && (runs == 1) == ranBefore
+	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (runs == 1) == ranBefore
 }
--- a/internal/transport/sending_test.go
+++ b/internal/transport/sending_test.go
@@ -105,7 +105,7 @@
 				So(err, ShouldBeNil)
 				_, err = repeatable.Call(t.Context(), client, address, echo{})
 				So(err, ShouldNotBeNil)
-				So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 				So(counted.runs.Load(), ShouldEqual, 2*pair+2)
 			}
 		})
@@ -119,7 +119,7 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		cancel(errors.New("a newer leader is known"))
 		_, err := echoCall.Call(ctx, client, "127.0.0.1:1", sample)
-		So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 	Convey("One that is given up at any moment is not said to have not run, if it has", t, func() {
 		counted := counting(transport.NewIdentity(testCluster, "node-a"))
@@ -131,7 +131,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			stop := time.AfterFunc(time.Duration(i)*time.Microsecond, cancel)
 			_, err := repeatable.Call(ctx, client, address, echo{})
-			if rpcerror.Of(err) == rpcerror.NotRun && err != nil {
+			if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted && err != nil {
 				notRun++
 			}
 			stop.Stop()
