--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -32,7 +32,7 @@
 	// Change replaces the value by what modify makes of it, in quorum rounds, and returns what modify made once a
 	// majority holds it. The value is empty before the first change, and nobody modifies it in place. Change may call
 	// modify several times, each time with the value that it found; where modify returns that value unchanged, it must
-	// be one that a majority holds. An error with the verdict verdict.NotRun means that no change was made; any other,
+	// be one that a majority holds. An rpcerror.NotExecuted error means that no change was made; any other,
 	// that it may have been.
 	Change(ctx context.Context, modify func(current []byte) ([]byte, error)) ([]byte, error)
 	// Read returns a value that a majority holds, at least as new as every change that ended before the call.
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -50,7 +50,7 @@
 	return !errors.As(err, &refusal) && !errors.Is(err, errUnknownOutcome) && !errors.Is(err, ErrNoView)
 }
 
-// failed adds the verdict to the error that ended the change.
+// failed adds whether the change may have been executed to the error that ended the change.
 func (p *proposer) failed(err error) error {
 	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
 	if len(p.sent) > 0 && !p.resolved {
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -66,8 +66,8 @@
 // made. The function may be called several times, but at most one result takes effect; it must not modify its argument.
 // Where it returns the value unchanged, or an error, that rests on a committed value.
 //
-// Errors carry a verdict; the function's own error is in their chain. NotRun means that no result of the function was or
-// will be the register's value.
+// Errors carry an rpcerror.Error; the function's own error is in their chain. NotExecuted means that no result of
+// the function was or will be the register's value.
 func (r *Register) Change(ctx context.Context, change func(current []byte) (next []byte, err error)) ([]byte, error) {
 	if err := r.takeTurn(ctx); err != nil {
 		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("change register %s: %w", r.config.Name, err), 0)
--- a/internal/controlplane/storage/store.go
+++ b/internal/controlplane/storage/store.go
@@ -15,8 +15,8 @@
 	Tables() []string
 	// Table returns a copy of a table; its values must not be modified.
 	Table(name string) map[string][]byte
-	// Write applies changes in order, all or none, and returns once they will survive a loss of power. An error with the
-	// verdict verdict.NotRun means that the store is as it was before, and that later writes are tried. After any other
+	// Write applies changes in order, all or none, and returns once they will survive a loss of power. An
+	// rpcerror.NotExecuted error means that the store is as it was before, and that later writes are tried. After any other
 	// error the changes may or may not be there, and the store accepts no more writes.
 	Write(changes ...Change) error
 }
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -116,7 +116,7 @@
 }
 
 func TestErrorsAsAttempts(t *testing.T) {
-	Convey("A try's error is judged by its verdict", t, func() {
+	Convey("The result of an attempt follows from what its error says of the execution", t, func() {
 		cause := errors.New("x")
 		So(attemptOf(nil).result, ShouldEqual, answered)
 		So(attemptOf(cause).result, ShouldEqual, unclear)
--- a/internal/jobs/jobapi/jobapi.go
+++ b/internal/jobs/jobapi/jobapi.go
@@ -33,7 +33,7 @@
 	Specification job.Specification `msgpack:"s"`
 }
 
-// Submitted is the reply to Submit: the job is durable. A refusal is an error with the verdict NotRun.
+// Submitted is the reply to Submit: the job is durable. A refusal is an rpcerror.NotExecuted error.
 type Submitted struct{}
 
 // Status asks for a job's state.
--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Only the leader of a group answers them; any other node refuses with the verdict NotRun. A drain that
+// Internal calls. Only the leader of a group answers them; any other node refuses as rpcerror.NotExecuted. A drain that
 // is set or ended again stays as it is.
 var (
 	SummaryCall = transport.NewRepeatable[SummaryRequest, SummaryReply]("/jobs/report/summary")
--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -53,7 +53,7 @@
 var answerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // post sends one call, once, and reads its answer. An error means that there was
-// no whole answer in time; it carries a verdict.
+// no whole answer in time; it carries an rpcerror.Error.
 func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- /dev/null
+++ b/internal/rpcerror/rpcerror_test.go
@@ -0,0 +1,32 @@
+package rpcerror
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestErrorsSayWhetherARequestMayHaveBeenExecuted(t *testing.T) {
+	cause := errors.New("connection refused")
+
+	Convey("A wrapped error keeps its cause, what it says of the execution and the hint, also in a longer chain", t, func() {
+		err := fmt.Errorf("call worker: %w", WrapNotExecuted(cause, time.Second))
+		So(errors.Is(err, cause), ShouldBeTrue)
+		So(ExecutionOf(err), ShouldEqual, NotExecuted)
+		So(RetryAfter(err), ShouldEqual, time.Second)
+		So(err.Error(), ShouldEqual, "call worker: connection refused (request not run)")
+	})
+	Convey("A request that may have been executed has no hint", t, func() {
+		err := WrapMayHaveExecuted(cause)
+		So(ExecutionOf(err), ShouldEqual, MayHaveExecuted)
+		So(RetryAfter(err), ShouldEqual, 0)
+		So(err.Error(), ShouldEqual, "connection refused (request may have run)")
+	})
+	Convey("An error of another package may belong to a request that was executed", t, func() {
+		So(ExecutionOf(cause), ShouldEqual, MayHaveExecuted)
+		So(RetryAfter(cause), ShouldEqual, 0)
+	})
+}
