--- a/internal/controlplane/register/acceptortransfer.go
+++ b/internal/controlplane/register/acceptortransfer.go
@@ -129,20 +129,20 @@
 // serveAccept puts a value together that comes by parts. If some are missing it tells which, and nothing was done.
 func (a *Acceptor) serveAccept(ctx context.Context, request acceptRequest) (reply, error) {
 	if request.Content == nil {
-		return reply{}, rpcerror.Unexecuted(errNoContent, 0)
+		return reply{}, rpcerror.WrapNotExecuted(errNoContent, 0)
 	}
 	if err := a.chunks.addPacked(request.Content.Chunks); err != nil {
-		return reply{}, rpcerror.Unexecuted(err, 0)
+		return reply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	assembler, err := chunks.NewAssembler(request.Content.Manifest, a.chunks.chunk)
 	if err != nil {
-		return reply{}, rpcerror.Unexecuted(err, 0)
+		return reply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if !assembler.Complete() {
 		return reply{Outcome: chunksMissing, Missing: chunks.JoinSums(assembler.Missing(assembler.MissingCount()))}, nil
 	}
 	if request.State.Value, err = assembler.Content(); err != nil {
-		return reply{}, rpcerror.Unexecuted(fmt.Errorf("accept in register %s: %w", a.config.Name, err), 0)
+		return reply{}, rpcerror.WrapNotExecuted(fmt.Errorf("accept in register %s: %w", a.config.Name, err), 0)
 	}
 	return a.accept(ctx, request)
 }
@@ -157,10 +157,10 @@
 
 func (a *Acceptor) servePush(_ context.Context, request pushRequest) (pushReply, error) {
 	if !a.config.Ready() {
-		return pushReply{}, rpcerror.Unexecuted(ErrNotReady, notReadyRetry)
+		return pushReply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetry)
 	}
 	if err := a.chunks.addPacked(request.Chunks); err != nil {
-		return pushReply{}, rpcerror.Unexecuted(err, 0)
+		return pushReply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	return pushReply{}, nil
 }
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -50,13 +50,13 @@
 	return !errors.As(err, &refusal) && !errors.Is(err, errUnknownOutcome) && !errors.Is(err, ErrNoView)
 }
 
-// changeError adds the verdict to the error that ended the change.
+// changeError adds whether the change may have been executed to the error that ended the change.
 func (p *proposer) changeError(err error) error {
 	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
 	if len(p.proposals) > 0 && !p.proposalsSettled {
-		return rpcerror.Unclear(err)
+		return rpcerror.WrapMayHaveExecuted(err)
 	}
-	return rpcerror.Unexecuted(err, 0)
+	return rpcerror.WrapNotExecuted(err, 0)
 }
 
 // attempt makes one prepare round and, unless the outcome rests on a committed state already, one accept round.
