--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -135,7 +135,7 @@
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
 	return c.order(http.MethodPost, func(report *jobreport.Worker) {
-		fmt.Fprintf(stdout, "searcher %s gets no new starts; runs that go on there: %d\n", report.ID, report.Runs)
+		fmt.Fprintf(stdout, "searcher %s gets no new starts; runs that go on there: %d\n", report.ID, report.Attempts)
 	})
 }
 
--- a/cmd/puffinlink/operationsprint.go
+++ b/cmd/puffinlink/operationsprint.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		rows = append(rows, append(row, fmt.Sprint(group.Summary.Queued), fmt.Sprint(group.Summary.Running), fmt.Sprint(group.Summary.Ended),
-			fmt.Sprint(group.Summary.WaitingTasks), fmt.Sprint(group.Summary.Runs),
+			fmt.Sprint(group.Summary.WaitingTasks), fmt.Sprint(group.Summary.Attempts),
 			fmt.Sprintf("%d of %d answer", group.Summary.ReachableWorkers, group.Summary.Workers)))
 	}
 	printTable(rows)
@@ -65,8 +65,8 @@
 func printWorkers(s *control.Workers) {
 	rows := [][]string{{"SEARCHER", "SERVICE", "STATE", "ZONE", "RACK", "RUNS", "WINDOW", "LATENCY", "FAULTS", "FREE", "CAPACITY"}}
 	for _, one := range s.Workers {
-		rows = append(rows, []string{one.ID, one.Service, string(one.State), orNone(one.Zone), orNone(one.Rack), fmt.Sprint(one.Runs), fmt.Sprint(one.Window),
-			choose(one.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", one.LatencyMS)), fmt.Sprintf("%.0f%%", 100*one.FaultShare), resources(one.Free), resources(one.Capacity)})
+		rows = append(rows, []string{one.ID, one.Service, string(one.State), orNone(one.Zone), orNone(one.Rack), fmt.Sprint(one.Attempts), fmt.Sprint(one.Window),
+			choose(one.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", one.LatencyMS)), fmt.Sprintf("%.0f%%", 100*one.FailureRate), resources(one.Free), resources(one.Capacity)})
 	}
 	printTable(rows)
 	printUnanswered(s.Unanswered)
@@ -107,9 +107,9 @@
 		rows = append(rows, append(row, counts(stage.Tasks)...))
 	}
 	printTable(rows)
-	if len(j.Runs) > 0 {
+	if len(j.Attempts) > 0 {
 		fmt.Fprintln(stdout)
-		printRuns(j.Runs)
+		printRuns(j.Attempts)
 	}
 	for _, failure := range j.Failures {
 		fmt.Fprintf(stdout, "task %s has failed %d times (runs %v)\n", failure.Task, len(failure.Attempts), failure.Attempts)
@@ -119,7 +119,7 @@
 	}
 }
 
-func printRuns(runs []jobreport.Run) {
+func printRuns(runs []jobreport.Attempt) {
 	rows := [][]string{{"TASK", "RUN", "SEARCHER", "AGE", "PROGRESS", "STATE"}}
 	for _, run := range runs {
 		state := choose(run.Confirmed, "running", "ordered")
--- a/cmd/puffinlink/whyprint.go
+++ b/cmd/puffinlink/whyprint.go
@@ -9,13 +9,13 @@
 
 // reasonTexts say why tasks wait.
 var reasonTexts = map[jobreport.Reason]string{
-	jobreport.ReasonDependsOn: "earlier stages are not complete",
-	jobreport.ReasonNotDue:    "the repetition is not due yet",
-	jobreport.ReasonGangParts: "runs of members of the gang are not over yet",
-	jobreport.ReasonGangRoom:  "there is no room for all members of the gang at once",
-	jobreport.ReasonPause:     "a short pause after a start that went wrong",
-	jobreport.ReasonNoWorker:  "every searcher is ruled out",
-	jobreport.ReasonTurn:      "searchers could take it; its turn has not come",
+	jobreport.ReasonDependsOn:    "earlier stages are not complete",
+	jobreport.ReasonNotDue:       "the repetition is not due yet",
+	jobreport.ReasonGangActive:   "runs of members of the gang are not over yet",
+	jobreport.ReasonGangCapacity: "there is no room for all members of the gang at once",
+	jobreport.ReasonBackoff:      "a short pause after a start that went wrong",
+	jobreport.ReasonNoWorker:     "every searcher is ruled out",
+	jobreport.ReasonTurn:         "searchers could take it; its turn has not come",
 }
 
 // causeTexts say what rules a searcher out.
@@ -27,10 +27,10 @@
 	jobreport.CauseUnlisted:         "are not in the platform's list",
 	jobreport.CauseUnreachable:      "do not answer",
 	jobreport.CauseNotFenced:        "have not confirmed the leader's fencing token yet",
-	jobreport.CauseUnwantedRuns:     "have runs that are being stopped as nobody wants them",
-	jobreport.CauseResting:          "rest for a moment after a refusal or a run that stood still",
+	jobreport.CauseOrphans:          "have runs that are being stopped as nobody wants them",
+	jobreport.CauseBackoff:          "rest for a moment after a refusal or a run that stood still",
 	jobreport.CauseWindow:           "have as many runs as their window allows",
-	jobreport.CauseRoom:             "have too little free",
+	jobreport.CauseCapacity:         "have too little free",
 	jobreport.CauseAntiAffinity:     "have as many tasks of the stage as antiAffinity allows",
 	jobreport.CauseOther:            "are ruled out by something else",
 }
@@ -63,10 +63,10 @@
 	if len(w.Open) > 0 {
 		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(w.Open, " "))
 	}
-	if w.Reason == jobreport.ReasonNoWorker && len(w.RuledOut) == 0 {
+	if w.Reason == jobreport.ReasonNoWorker && len(w.Excluded) == 0 {
 		fmt.Fprintln(stdout, "  no searcher of the service is known: look at the platform's list")
 	}
-	for _, ruled := range w.RuledOut {
+	for _, ruled := range w.Excluded {
 		more := choose(ruled.Count > len(ruled.Workers), " ...", "")
 		fmt.Fprintf(stdout, "  %d %s (%s): %s%s\n", ruled.Count, causeTexts[ruled.Cause], ruled.Cause, strings.Join(ruled.Workers, " "), more)
 	}
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -181,8 +181,8 @@
 	c.jobs = manager.New(manager.Config{
 		HTTP: c.orders, Connections: c.workers, Log: c.log,
 		Settings: scheduler.Settings{
-			FarFactor: bounds.FarFactor, StopTime: bounds.Stop, RestoreTime: bounds.Restore,
-			HoldMax: bounds.HoldMax, DrainTime: bounds.Drain, StatusKept: bounds.Status + statusMargin,
+			RemoteFactor: bounds.FarFactor, StopTime: bounds.Stop, RestoreTime: bounds.Restore,
+			MaxLease: bounds.HoldMax, DrainTime: bounds.Drain, StatusRetention: bounds.Status + statusMargin,
 		},
 	})
 	var err error
@@ -288,8 +288,8 @@
 // readInventory reads the platform's list while this node leads a group.
 func (c *Coordinator) readInventory(ctx context.Context) {
 	reader := inventory.Reader{
-		Address: c.settings.CloudAPI.Address, RatePerS: c.settings.CloudAPI.RatePerS, HTTP: c.platform, Log: c.log,
-		Found: c.jobs.Found,
+		Address: c.settings.CloudAPI.Address, RatePerSecond: c.settings.CloudAPI.RatePerS, HTTP: c.platform, Log: c.log,
+		OnPage: c.jobs.Found,
 	}
 	for ctx.Err() == nil {
 		leading, changed := c.jobs.Leading()
--- a/internal/controlplane/coordinator/metrics.go
+++ b/internal/controlplane/coordinator/metrics.go
@@ -83,7 +83,7 @@
 	report(jobsMetric, float64(summary.Running), "running")
 	report(jobsMetric, float64(summary.Ended), "ended")
 	report(waitingMetric, float64(summary.WaitingTasks))
-	report(runsMetric, float64(summary.Runs))
+	report(runsMetric, float64(summary.Attempts))
 	report(workersMetric, float64(summary.ReachableWorkers), "true")
 	report(workersMetric, float64(summary.Workers-summary.ReachableWorkers), "false")
 }
--- a/internal/controlplane/coordinator/metrics_test.go
+++ b/internal/controlplane/coordinator/metrics_test.go
@@ -14,7 +14,7 @@
 
 // Collect implements prometheus.Collector.
 func (groupsOnly) Collect(collected chan<- prometheus.Metric) {
-	collectGroup(collected, "pricing", 3, jobreport.Summary{Queued: 1, Running: 2, Ended: 4, WaitingTasks: 5, Runs: 6, Workers: 9, ReachableWorkers: 7})
+	collectGroup(collected, "pricing", 3, jobreport.Summary{Queued: 1, Running: 2, Ended: 4, WaitingTasks: 5, Attempts: 6, Workers: 9, ReachableWorkers: 7})
 }
 
 func TestGroupMetrics(t *testing.T) {
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -77,8 +77,8 @@
 		return jobreport.DefaultJobs, nil
 	}
 	limit, err := strconv.Atoi(text)
-	if err != nil || limit < 1 || limit > jobreport.MostJobs {
-		return 0, failed(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MostJobs))
+	if err != nil || limit < 1 || limit > jobreport.MaxJobs {
+		return 0, failed(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MaxJobs))
 	}
 	return limit, nil
 }
--- a/internal/controlplane/operations/jobs_test.go
+++ b/internal/controlplane/operations/jobs_test.go
@@ -40,7 +40,7 @@
 			So(list.Jobs[1].ID, ShouldEqual, job.ID(stressJob))
 		})
 		Convey("a state or a limit that is not one is refused", func() {
-			for _, query := range []string{"state=none", "limit=0", "limit=x", fmt.Sprint("limit=", jobreport.MostJobs+1)} {
+			for _, query := range []string{"state=none", "limit=0", "limit=x", fmt.Sprint("limit=", jobreport.MaxJobs+1)} {
 				So(ask(c.handler(), "GET", JobsPath+"?"+query, nil).Code, ShouldEqual, http.StatusBadRequest)
 			}
 		})
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -97,7 +97,7 @@
 			taken := request("POST", `"7"`)
 			So(taken.Code, ShouldEqual, http.StatusOK)
 			So(taken.Header().Get("ETag"), ShouldEqual, `"8"`)
-			So(*c.drains[0].OnTopOf, ShouldEqual, 7)
+			So(*c.drains[0].BaseVersion, ShouldEqual, 7)
 			c.drainOutcome = jobreport.DrainSuperseded
 			refused := request("DELETE", "7")
 			So(refused.Code, ShouldEqual, http.StatusPreconditionFailed)
--- a/internal/controlplane/operations/searchers.go
+++ b/internal/controlplane/operations/searchers.go
@@ -44,7 +44,7 @@
 	}
 	id := r.PathValue("id")
 	answers := askAll[jobreport.DrainReply](r.Context(), h, groups, jobreport.DrainCall.Route(), func(group string) any {
-		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, OnTopOf: onTopOf}
+		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, BaseVersion: onTopOf}
 	})
 	var failure error
 	for _, one := range answers {
--- a/internal/fakes/cluster/cluster.go
+++ b/internal/fakes/cluster/cluster.go
@@ -13,7 +13,7 @@
 type Profile struct {
 	Resources   job.Resources
 	Duration    time.Duration // how long it works; 0 to work until Finish is called
-	Ends        job.How       // how it ends by itself; job.Done when empty
+	Ends        job.Outcome   // how it ends by itself; job.Done when empty
 	Gang        int           // how many members work together; 0 when it works alone
 	Checkpoints bool
 }
@@ -72,10 +72,10 @@
 	Checkpoint    string // that it was started with
 	Late          bool   // carried out after its call had been left unanswered
 	StartedAt     time.Time
-	EndedAt       time.Time // the zero time while it runs
-	How           job.How   // empty while it runs, and when its worker crashed
-	Acknowledged  bool      // a later hold's lastSeen has reached its end
-	OverCapacity  bool      // it was started without room for it
+	EndedAt       time.Time   // the zero time while it runs
+	How           job.Outcome // empty while it runs, and when its worker crashed
+	Acknowledged  bool        // a later hold's lastSeen has reached its end
+	OverCapacity  bool        // it was started without room for it
 }
 
 // Runs returns the records of all runs so far, in the order of their starts.
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -100,7 +100,7 @@
 			clock.Advance(1090 * time.Millisecond)
 			convey.So(c.Runs()[1].How, convey.ShouldBeEmpty)
 			clock.Advance(10 * time.Millisecond)
-			convey.So(c.Runs()[1].How, convey.ShouldEqual, job.Done)
+			convey.So(c.Runs()[1].How, convey.ShouldEqual, job.OutcomeDone)
 		})
 		convey.Convey("a stop takes its time, saves, and bars the run and those below", func() {
 			clock.Advance(700 * time.Millisecond)
@@ -108,7 +108,7 @@
 			clock.Advance(300 * time.Millisecond)
 			convey.So(c.Runs()[0].How, convey.ShouldBeEmpty)
 			clock.Advance(100 * time.Millisecond)
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.Stopped)
+			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeStopped)
 			status, answer := calls.call(s, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
 			convey.So(status, convey.ShouldEqual, http.StatusConflict)
 			convey.So(answer.Reason, convey.ShouldEqual, "old")
@@ -157,7 +157,7 @@
 		clock.Advance(5050 * time.Millisecond)
 		convey.So(c.Runs()[0].How, convey.ShouldBeEmpty)
 		clock.Advance(100 * time.Millisecond)
-		convey.So(c.Runs()[0].How, convey.ShouldEqual, job.Lapsed)
+		convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeLeaseExpired)
 	})
 }
 
@@ -173,7 +173,7 @@
 		convey.Convey("a member waits for the other in vain", func() {
 			calls.call(two, StartCall, startBody("1", `,"execution":2`))
 			clock.Advance(3 * time.Second)
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.Alone)
+			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeGangIncomplete)
 		})
 		convey.Convey("both end together", func() {
 			clock.Advance(time.Second)
@@ -181,13 +181,13 @@
 			clock.Advance(999 * time.Millisecond)
 			convey.So(c.Runs()[0].How, convey.ShouldBeEmpty)
 			clock.Advance(time.Millisecond)
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.Done)
-			convey.So(c.Runs()[1].How, convey.ShouldEqual, job.Done)
+			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeDone)
+			convey.So(c.Runs()[1].How, convey.ShouldEqual, job.OutcomeDone)
 		})
 		convey.Convey("one breaks when the other fails or crashes", func() {
 			calls.call(two, StartCall, startBody("1", `,"execution":3`))
 			two.Crash("i-3")
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.Broken)
+			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeGangBroken)
 		})
 	})
 }
--- a/internal/fakes/cluster/runs.go
+++ b/internal/fakes/cluster/runs.go
@@ -36,7 +36,7 @@
 	}
 	members := r.gang()
 	if len(members) < r.profile.Gang {
-		r.after(r.worker.cluster.settings.GangWait, func() { r.end(job.Alone) })
+		r.after(r.worker.cluster.settings.GangWait, func() { r.end(job.OutcomeGangIncomplete) })
 		return
 	}
 	for _, member := range members {
@@ -58,9 +58,9 @@
 	}
 }
 
-func (r *run) ownEnd() job.How {
+func (r *run) ownEnd() job.Outcome {
 	if r.profile.Ends == "" {
-		return job.Done
+		return job.OutcomeDone
 	}
 	return r.profile.Ends
 }
@@ -86,9 +86,9 @@
 }
 
 // finish ends a run by itself; the members of a gang end done together.
-func (r *run) finish(how job.How) {
+func (r *run) finish(how job.Outcome) {
 	members := []*run{r}
-	if how == job.Done && r.profile.Gang > 0 {
+	if how == job.OutcomeDone && r.profile.Gang > 0 {
 		members = r.gang()
 	}
 	for _, member := range members {
@@ -97,11 +97,11 @@
 }
 
 // end takes a run off its worker and lists its end.
-func (r *run) end(how job.How) {
+func (r *run) end(how job.Outcome) {
 	if !r.record.EndedAt.IsZero() {
 		return
 	}
-	r.saved = r.checkpoint(how == job.Stopped)
+	r.saved = r.checkpoint(how == job.OutcomeStopped)
 	r.remove()
 	r.record.EndedAt, r.record.How = r.worker.cluster.clock.Now(), how
 	r.life.number++
@@ -112,7 +112,7 @@
 		close(waiter)
 		delete(r.life.waiters, waiter)
 	}
-	if how != job.Done {
+	if how != job.OutcomeDone {
 		r.breakGang()
 	}
 }
@@ -123,7 +123,7 @@
 		return
 	}
 	for _, member := range r.gang() {
-		member.end(job.Broken)
+		member.end(job.OutcomeGangBroken)
 	}
 }
 
@@ -150,10 +150,10 @@
 // stop ends a run after the time that a stop takes.
 func (r *run) stop() {
 	if r.worker.cluster.settings.StopTime == 0 {
-		r.end(job.Stopped)
+		r.end(job.OutcomeStopped)
 		return
 	}
-	r.after(r.worker.cluster.settings.StopTime, func() { r.end(job.Stopped) })
+	r.after(r.worker.cluster.settings.StopTime, func() { r.end(job.OutcomeStopped) })
 }
 
 // progress is the work done so far, that of earlier runs included.
--- a/internal/fakes/cluster/searcher.go
+++ b/internal/fakes/cluster/searcher.go
@@ -101,7 +101,7 @@
 }
 
 // Finish ends the run of a task that is at work, as if by itself.
-func (s *Worker) Finish(task job.TaskID, how job.How) error {
+func (s *Worker) Finish(task job.TaskID, how job.Outcome) error {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	for _, r := range s.life.running {
@@ -182,7 +182,7 @@
 			return
 		}
 		for _, r := range append([]*run(nil), of.running...) {
-			r.end(job.Lapsed)
+			r.end(job.OutcomeLeaseExpired)
 		}
 	})
 }
--- a/internal/jobs/inventory/inventory.go
+++ b/internal/jobs/inventory/inventory.go
@@ -36,13 +36,13 @@
 
 // Reader reads the list at the platform's address.
 type Reader struct {
-	Address  string       // host and port
-	RatePerS float64      // how many calls a second the platform accepts from all machines together; 0 when unknown
-	HTTP     *http.Client // http.DefaultClient when nil
-	Log      *zap.Logger  // may be nil
-	// Found takes the workers of each page until a whole list was read; nil for none. A long list takes seconds.
-	Found func([]workerclient.Instance)
-	whole bool // one was read
+	Address       string       // host and port
+	RatePerSecond float64      // how many calls a second the platform accepts from all machines together; 0 when unknown
+	HTTP          *http.Client // http.DefaultClient when nil
+	Log           *zap.Logger  // may be nil
+	// OnPage takes the workers of each page until a whole list was read; nil for none. A long list takes seconds.
+	OnPage func([]workerclient.Instance)
+	whole  bool // one was read
 }
 
 // Run reads the list every interval and delivers each one that came whole, until the context ends. The interval grows with
@@ -74,10 +74,10 @@
 
 // spacing is the time from the start of one read to the start of the next.
 func (r *Reader) spacing(interval time.Duration, pages int) time.Duration {
-	if r.RatePerS <= 0 {
+	if r.RatePerSecond <= 0 {
 		return interval
 	}
-	perPage := time.Duration(float64(time.Second) / (r.RatePerS * shareOfRate))
+	perPage := time.Duration(float64(time.Second) / (r.RatePerSecond * shareOfRate))
 	return max(interval, time.Duration(pages)*perPage)
 }
 
@@ -100,8 +100,8 @@
 		}
 		before := len(instances)
 		instances = page.appendTo(instances)
-		if !r.whole && r.Found != nil {
-			r.Found(slices.Clone(instances[before:]))
+		if !r.whole && r.OnPage != nil {
+			r.OnPage(slices.Clone(instances[before:]))
 		}
 		if page.NextPageToken == nil || *page.NextPageToken == "" {
 			r.whole = true
@@ -124,17 +124,17 @@
 
 // entry is one worker on the list.
 type entry struct {
-	Identifier      string        `json:"identifier"`
-	Service         string        `json:"service"`
-	Address         string        `json:"address"`
-	Zone            string        `json:"zone"`
-	Version         string        `json:"version"`
-	Slots           int           `json:"slots"`
-	State           string        `json:"state"`
-	ColdRemainingMS float64       `json:"coldRemainingMs"`
-	RemainingMS     float64       `json:"remainingMs"`
-	Capacity        job.Resources `json:"capacity"`
-	Labels          job.Labels    `json:"labels"`
+	Identifier        string        `json:"identifier"`
+	Service           string        `json:"service"`
+	Address           string        `json:"address"`
+	Zone              string        `json:"zone"`
+	Version           string        `json:"version"`
+	Slots             int           `json:"slots"`
+	State             string        `json:"state"`
+	WarmupRemainingMS float64       `json:"coldRemainingMs"`
+	RemainingMS       float64       `json:"remainingMs"`
+	Capacity          job.Resources `json:"capacity"`
+	Labels            job.Labels    `json:"labels"`
 }
 
 func (p page) appendTo(instances []workerclient.Instance) []workerclient.Instance {
@@ -145,7 +145,7 @@
 		instances = append(instances, workerclient.Instance{
 			ID: workerclient.WorkerID(e.Identifier), Service: e.Service, Address: e.Address, Zone: e.Zone, Version: e.Version,
 			Slots: e.Slots, Draining: e.State == stateDraining, RemainingMS: int64(e.RemainingMS),
-			ColdRemainingMS: int64(e.ColdRemainingMS), Capacity: e.Capacity, Labels: e.Labels,
+			WarmupRemainingMS: int64(e.WarmupRemainingMS), Capacity: e.Capacity, Labels: e.Labels,
 		})
 	}
 	return instances
@@ -190,10 +190,10 @@
 
 // pagePause is the time between two calls that stays within this reader's share of the rate.
 func (r *Reader) pagePause() time.Duration {
-	if r.RatePerS <= 0 {
+	if r.RatePerSecond <= 0 {
 		return firstBackoff
 	}
-	return max(leastPagePause, time.Duration(float64(time.Second)/(r.RatePerS*shareOfRate)))
+	return max(leastPagePause, time.Duration(float64(time.Second)/(r.RatePerSecond*shareOfRate)))
 }
 
 func (r *Reader) page(ctx context.Context, token string) (page, error) {
--- a/internal/jobs/inventory/inventory_test.go
+++ b/internal/jobs/inventory/inventory_test.go
@@ -36,7 +36,7 @@
 		client.CloseIdleConnections()
 		c.Close()
 	})
-	return c, platform, &Reader{Address: platform.Address(), RatePerS: config.RatePerS, HTTP: client}
+	return c, platform, &Reader{Address: platform.Address(), RatePerSecond: config.RatePerS, HTTP: client}
 }
 
 func TestRead(t *testing.T) {
@@ -65,7 +65,7 @@
 		})
 		convey.Convey("the searchers of each page are found at once, until the first list was read whole", func() {
 			var found []int
-			reader.Found = func(instances []workerclient.Instance) { found = append(found, len(instances)) }
+			reader.OnPage = func(instances []workerclient.Instance) { found = append(found, len(instances)) }
 			reader.Read(t.Context())
 			reader.Read(t.Context())
 			convey.So(found, convey.ShouldResemble, []int{3, 3, 1})
@@ -79,7 +79,7 @@
 				platform.ServeHTTP(w, r)
 			}))
 			convey.Reset(flaky.Close)
-			reader.Address, reader.RatePerS = flaky.Listener.Addr().String(), 0
+			reader.Address, reader.RatePerSecond = flaky.Listener.Addr().String(), 0
 			instances, _, err := reader.Read(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(instances, convey.ShouldHaveLength, 7)
@@ -181,7 +181,7 @@
 
 func TestSpacing(t *testing.T) {
 	convey.Convey("Reads of many pages come less often", t, func() {
-		reader := &Reader{RatePerS: 30}
+		reader := &Reader{RatePerSecond: 30}
 		convey.So(reader.spacing(time.Second, 1), convey.ShouldEqual, time.Second)
 		convey.So(reader.spacing(time.Second, 60), convey.ShouldBeBetween, 3900*time.Millisecond, 4100*time.Millisecond)
 		convey.So((&Reader{}).spacing(time.Second, 60), convey.ShouldEqual, time.Second)
--- a/internal/jobs/inventory/refusal_test.go
+++ b/internal/jobs/inventory/refusal_test.go
@@ -44,7 +44,7 @@
 func TestListBeyondTheRate(t *testing.T) {
 	read := func(p *pages) (count int, err error) {
 		virtualtime.Test(t, func(t *testing.T) {
-			reader := Reader{Address: "platform:1", RatePerS: 4, HTTP: &http.Client{Transport: p}}
+			reader := Reader{Address: "platform:1", RatePerSecond: 4, HTTP: &http.Client{Transport: p}}
 			instances, _, failed := reader.Read(t.Context())
 			count, err = len(instances), failed
 		})
--- a/internal/jobs/job/job.go
+++ b/internal/jobs/job/job.go
@@ -77,13 +77,13 @@
 	return Resources{r.Processors - o.Processors, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Times returns a multiple.
+// RepetitionCount returns a multiple.
 func (r Resources) Times(n int64) Resources {
 	return Resources{r.Processors * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// Holds is how many such requests fit in at once.
-func (r Resources) Holds(request Resources) int64 {
+// FitCount is how many such requests fit in at once.
+func (r Resources) FitCount(request Resources) int64 {
 	count := int64(math.MaxInt32)
 	for _, pair := range [][2]int64{{r.Processors, request.Processors}, {r.MemoryMB, request.MemoryMB}, {r.Accelerators, request.Accelerators}} {
 		if pair[1] > 0 {
@@ -141,10 +141,10 @@
 
 // Limits that a specification must keep.
 const (
-	maxTextBytes = 64 << 10
-	maxStages    = 1000
-	maxTasks     = 100_000
-	maxTimes     = 100_000
+	maxTextBytes   = 64 << 10
+	maxStages      = 1000
+	maxTasks       = 100_000
+	maxRepetitions = 100_000
 )
 
 // ParseSpecification reads and checks a job's body.
@@ -153,18 +153,18 @@
 	if err := json.Unmarshal(body, &s); err != nil {
 		return s, fmt.Errorf("job: %w", err)
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
-// Check tells what is wrong with a specification.
-func (s *Specification) Check() error {
+// Validate tells what is wrong with a specification.
+func (s *Specification) Validate() error {
 	if len(s.Text) > maxTextBytes {
 		return fmt.Errorf("specification: %d bytes, at most %d", len(s.Text), maxTextBytes)
 	}
 	if len(s.Stages) == 0 || len(s.Stages) > maxStages {
 		return fmt.Errorf("stages: %d, want 1 to %d", len(s.Stages), maxStages)
 	}
-	if s.Repetitions < 0 || s.Repetitions > maxTimes || s.IntervalMS < 0 {
+	if s.Repetitions < 0 || s.Repetitions > maxRepetitions || s.IntervalMS < 0 {
 		return fmt.Errorf("repetitions: %d every %d ms", s.Repetitions, s.IntervalMS)
 	}
 	tasks := 0
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// Times is how often the stages run.
-func (s *Specification) Times() int { return max(1, s.Repetitions) }
+// RepetitionCount is how often the stages run.
+func (s *Specification) RepetitionCount() int { return max(1, s.Repetitions) }
 
 // State is a job's state as clients see it.
 type State string
@@ -205,15 +205,15 @@
 // Final tells whether the state never changes again.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// How a run of a task ended, as workers list it.
-type How string
+// Outcome a run of a task ended, as workers list it.
+type Outcome string
 
 // The endings of a run.
 const (
-	Done    How = "done"
-	Failure How = "failed"
-	Stopped How = "stopped"
-	Lapsed  How = "lapsed"
-	Broken  How = "broken"
-	Alone   How = "alone"
+	OutcomeDone           Outcome = "done"
+	OutcomeFailed         Outcome = "failed"
+	OutcomeStopped        Outcome = "stopped"
+	OutcomeLeaseExpired   Outcome = "lapsed"
+	OutcomeGangBroken     Outcome = "broken"
+	OutcomeGangIncomplete Outcome = "alone"
 )
--- a/internal/jobs/job/job_test.go
+++ b/internal/jobs/job/job_test.go
@@ -14,7 +14,7 @@
 			"estimatedDurationMs":900,"affinity":"r1-3","requirements":"a"},{"count":20,"accelerators":2,"dependsOn":[0],"checkpoints":true,
 			"gangScheduled":true,"sameRack":true,"antiAffinity":3}],"repetitions":3,"firstRunMs":1700000000000,"intervalMs":500,"other":1}`))
 		So(err, ShouldBeNil)
-		So(s.Times(), ShouldEqual, 3)
+		So(s.RepetitionCount(), ShouldEqual, 3)
 		So(s.Stages[0].Requirements, ShouldResemble, Labels{"a"})
 		So(s.Stages[0].Resources, ShouldResemble, Resources{Processors: 500, MemoryMB: 256})
 		So(s.Stages[1].DependsOn, ShouldResemble, []int{0})
@@ -70,7 +70,7 @@
 		room := Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}
 		So(room.Fits(Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}), ShouldBeTrue)
 		So(room.Fits(Resources{Accelerators: 2}), ShouldBeFalse)
-		So(room.Holds(Resources{Processors: 300, MemoryMB: 300}), ShouldEqual, 2)
+		So(room.FitCount(Resources{Processors: 300, MemoryMB: 300}), ShouldEqual, 2)
 		So(room.Subtract(room), ShouldResemble, Resources{})
 		So(room.Times(3), ShouldResemble, room.Add(room).Add(room))
 	})
--- a/internal/jobs/job/wire_test.go
+++ b/internal/jobs/job/wire_test.go
@@ -29,11 +29,11 @@
 		goldentest.Constant{Have: Completed, Want: "completed"},
 		goldentest.Constant{Have: Failed, Want: "failed"},
 		goldentest.Constant{Have: Cancelled, Want: "cancelled"},
-		goldentest.Constant{Have: Done, Want: "done"},
-		goldentest.Constant{Have: Failure, Want: "failed"},
-		goldentest.Constant{Have: Stopped, Want: "stopped"},
-		goldentest.Constant{Have: Lapsed, Want: "lapsed"},
-		goldentest.Constant{Have: Broken, Want: "broken"},
-		goldentest.Constant{Have: Alone, Want: "alone"},
+		goldentest.Constant{Have: OutcomeDone, Want: "done"},
+		goldentest.Constant{Have: OutcomeFailed, Want: "failed"},
+		goldentest.Constant{Have: OutcomeStopped, Want: "stopped"},
+		goldentest.Constant{Have: OutcomeLeaseExpired, Want: "lapsed"},
+		goldentest.Constant{Have: OutcomeGangBroken, Want: "broken"},
+		goldentest.Constant{Have: OutcomeGangIncomplete, Want: "alone"},
 	)
 }
--- a/internal/jobs/jobreport/calls.go
+++ b/internal/jobs/jobreport/calls.go
@@ -5,7 +5,7 @@
 // Limits of a list of jobs.
 const (
 	DefaultJobs = 100
-	MostJobs    = 1000
+	MaxJobs     = 1000
 )
 
 // SummaryRequest asks for a group's Summary.
@@ -32,7 +32,7 @@
 type JobsRequest struct {
 	Group string    `msgpack:"g"`
 	State job.State `msgpack:"s"` // empty for all
-	Limit int       `msgpack:"l"` // 1 to MostJobs
+	Limit int       `msgpack:"l"` // 1 to MaxJobs
 }
 
 // JobsReply lists the newest of them.
@@ -70,8 +70,8 @@
 	Group    string `msgpack:"g"`
 	Worker   string `msgpack:"s"`
 	Draining bool   `msgpack:"d"`
-	// OnTopOf is the drain version that the order builds on; nil for one that goes by no version.
-	OnTopOf *uint64 `msgpack:"v,omitempty"`
+	// BaseVersion is the drain version that the order builds on; nil for one that goes by no version.
+	BaseVersion *uint64 `msgpack:"v,omitempty"`
 }
 
 // DrainOutcome is what an order on a worker's drain came to.
--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -24,7 +24,7 @@
 	Running          int `msgpack:"r" json:"running"`            // jobs with one
 	Ended            int `msgpack:"e" json:"ended"`              // jobs whose end is still remembered
 	WaitingTasks     int `msgpack:"w" json:"waitingTasks"`       // tasks whose turn has come and that are not assigned
-	Runs             int `msgpack:"x" json:"runs"`               // runs that may be under way
+	Attempts         int `msgpack:"x" json:"runs"`               // runs that may be under way
 	Workers          int `msgpack:"s" json:"searchers"`          // known lives of workers
 	ReachableWorkers int `msgpack:"h" json:"reachableSearchers"` // of those, the ones that answer
 }
@@ -38,7 +38,7 @@
 	WorkerDraining         WorkerState = "draining"         // the platform is about to take it away
 	WorkerOperatorDraining WorkerState = "operatorDraining" // an operator allows no new starts
 	WorkerNotFenced        WorkerState = "notFenced"        // it has not confirmed this leader's fencing token yet
-	WorkerResting          WorkerState = "resting"          // no starts for a moment after it refused one or a run stood still
+	WorkerBackoff          WorkerState = "resting"          // no starts for a moment after it refused one or a run stood still
 	WorkerReady            WorkerState = "ready"
 )
 
@@ -58,10 +58,10 @@
 	DrainVersion     uint64        `msgpack:"q" json:"drainVersion"`   // operators' orders to drain or undrain it that were taken
 	Window           int           `msgpack:"w" json:"window"`         // runs that it may have at the same time
 	LatencyMS        float64       `msgpack:"m" json:"latencyMs"`      // smoothed duration of its runs; 0 before the first
-	FaultShare       float64       `msgpack:"f" json:"faultShare"`     // smoothed share of its runs that fail, 0 to 1
-	Runs             int           `msgpack:"r" json:"runs"`           // that may be under way there
+	FailureRate      float64       `msgpack:"f" json:"faultShare"`     // smoothed share of its runs that fail, 0 to 1
+	Attempts         int           `msgpack:"r" json:"runs"`           // that may be under way there
 	WaitingTasks     int           `msgpack:"b" json:"waitingTasks"`   // that prefer this worker
-	UnwantedRuns     int           `msgpack:"y" json:"unwantedRuns"`   // being stopped, as nobody wants them
+	Orphans          int           `msgpack:"y" json:"unwantedRuns"`   // being stopped, as nobody wants them
 	Used             job.Resources `msgpack:"u" json:"used"`           // by runs
 	Free             job.Resources `msgpack:"e" json:"free"`           // parts may be below 0 at a worker that does not guard
 	Capacity         job.Resources `msgpack:"c" json:"capacity"`       // of the whole worker
@@ -97,8 +97,8 @@
 	EndedMS  int64      `msgpack:"e" json:"endedMs,omitzero"` // milliseconds since 1970
 }
 
-// Run is one run of a task that may be under way.
-type Run struct {
+// Attempt is one run of a task that may be under way.
+type Attempt struct {
 	Task      string `msgpack:"t" json:"task"`
 	Execution uint64 `msgpack:"x" json:"execution"`
 	Worker    string `msgpack:"s" json:"searcher"`
@@ -132,7 +132,7 @@
 	CompleteRepetitions int       `msgpack:"c" json:"completeRepetitions"` // and how often they did
 	NextDueMS           int64     `msgpack:"d" json:"nextDueMs,omitzero"`  // when the next repetition begins, milliseconds since 1970
 	Stages              []Stage   `msgpack:"l" json:"stages,omitempty"`
-	Runs                []Run     `msgpack:"u" json:"runs,omitempty"`
+	Attempts            []Attempt `msgpack:"u" json:"runs,omitempty"`
 	Failures            []Failure `msgpack:"b" json:"failures,omitempty"`
 	Truncated           bool      `msgpack:"y" json:"truncated,omitzero"` // the lists are cut off at their limits
 }
--- a/internal/jobs/jobreport/why.go
+++ b/internal/jobs/jobreport/why.go
@@ -14,10 +14,10 @@
 	CauseUnlisted         Cause = "unlisted"         // the platform has not listed it since this leader took over
 	CauseUnreachable      Cause = "unreachable"      // the last call was not answered
 	CauseNotFenced        Cause = "notFenced"        // it has not confirmed this leader's fencing token yet
-	CauseUnwantedRuns     Cause = "unwantedRuns"     // runs that nobody wants are being stopped there
-	CauseResting          Cause = "resting"          // no starts for a moment after it refused one or a run stood still
+	CauseOrphans          Cause = "unwantedRuns"     // runs that nobody wants are being stopped there
+	CauseBackoff          Cause = "resting"          // no starts for a moment after it refused one or a run stood still
 	CauseWindow           Cause = "window"           // it has as many runs as its window allows
-	CauseRoom             Cause = "room"             // what is free there is too little
+	CauseCapacity         Cause = "room"             // what is free there is too little
 	CauseAntiAffinity     Cause = "antiAffinity"     // it has as many tasks of the stage as the job allows
 	CauseOther            Cause = "other"
 )
@@ -27,17 +27,17 @@
 
 // The reasons for which tasks wait.
 const (
-	ReasonDependsOn Reason = "dependsOn"  // earlier stages are not complete
-	ReasonNotDue    Reason = "notDue"     // the repetition's time has not come
-	ReasonGangParts Reason = "gangParts"  // runs of members of the gang are not over yet
-	ReasonGangRoom  Reason = "gangRoom"   // there is no room for all members of the gang at once
-	ReasonPause     Reason = "pause"      // a short pause after a start that went wrong
-	ReasonNoWorker  Reason = "noSearcher" // every worker is ruled out
-	ReasonTurn      Reason = "turn"       // a worker could take it; others go first
+	ReasonDependsOn    Reason = "dependsOn"  // earlier stages are not complete
+	ReasonNotDue       Reason = "notDue"     // the repetition's time has not come
+	ReasonGangActive   Reason = "gangParts"  // runs of members of the gang are not over yet
+	ReasonGangCapacity Reason = "gangRoom"   // there is no room for all members of the gang at once
+	ReasonBackoff      Reason = "pause"      // a short pause after a start that went wrong
+	ReasonNoWorker     Reason = "noSearcher" // every worker is ruled out
+	ReasonTurn         Reason = "turn"       // a worker could take it; others go first
 )
 
-// RuledOut is the workers that one cause rules out.
-type RuledOut struct {
+// Excluded is the workers that one cause rules out.
+type Excluded struct {
 	Cause   Cause    `msgpack:"c" json:"cause"`
 	Count   int      `msgpack:"n" json:"count"`
 	Workers []string `msgpack:"s" json:"searchers"` // the first few
@@ -55,7 +55,7 @@
 	Ahead      int           `msgpack:"h" json:"ahead,omitzero"`      // stages that come before this one in the present order
 	Request    job.Resources `msgpack:"q" json:"request"`             // of one task
 	Open       []string      `msgpack:"o" json:"open,omitempty"`      // the first few workers that could take one
-	RuledOut   []RuledOut    `msgpack:"x" json:"ruledOut,omitempty"`
+	Excluded   []Excluded    `msgpack:"x" json:"ruledOut,omitempty"`
 }
 
 // Why tells why a job's tasks wait.
--- a/internal/jobs/manager/again_test.go
+++ b/internal/jobs/manager/again_test.go
@@ -177,23 +177,23 @@
 		So(err, ShouldBeNil)
 		l := &lead{scheduler: jobs}
 		order := func(draining bool, onTopOf uint64) jobreport.DrainOutcome {
-			known, outcome := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, OnTopOf: &onTopOf})
+			known, outcome := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, BaseVersion: &onTopOf})
 			So(known, ShouldBeTrue)
 			return outcome
 		}
 		Convey("a copy of that drain that comes after the order that ended it is confirmed, and changes nothing", func() {
 			So(order(false, 1), ShouldEqual, jobreport.DrainTaken)
 			So(order(true, 0), ShouldEqual, jobreport.DrainTaken)
-			So(jobs.OperatorDrains("i-1"), ShouldBeFalse)
+			So(jobs.IsOperatorDraining("i-1"), ShouldBeFalse)
 		})
 		Convey("another order on top of the same version is refused, one on top of a version to come is not judged", func() {
 			So(order(false, 0), ShouldEqual, jobreport.DrainSuperseded)
 			So(order(false, 2), ShouldEqual, jobreport.DrainUnclear)
-			So(jobs.OperatorDrains("i-1"), ShouldBeTrue)
+			So(jobs.IsOperatorDraining("i-1"), ShouldBeTrue)
 		})
 		Convey("an unknown searcher stays unknown", func() {
 			version := uint64(0)
-			known, _ := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-2", Draining: true, OnTopOf: &version})
+			known, _ := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-2", Draining: true, BaseVersion: &version})
 			So(known, ShouldBeFalse)
 		})
 	})
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -89,7 +89,7 @@
 		Connections: 2700, DialsPerS: 544, DialsAtOnce: 256, LooksPerS: 600, WorkersHeld: 600,
 	})
 	m := New(Config{
-		Settings: scheduler.Settings{FarFactor: 1.5, HoldMax: fleetHoldMax, StatusKept: 5 * time.Minute},
+		Settings: scheduler.Settings{RemoteFactor: 1.5, MaxLease: fleetHoldMax, StatusRetention: 5 * time.Minute},
 		HTTP:     connections.HTTPClient(), Connections: connections, Log: zap.NewNop(),
 	})
 	node, err := replication.NewNode(replication.Config{
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -80,12 +80,12 @@
 
 // report logs the load now and then.
 func (l *lead) report(now scheduler.Now) {
-	if now.Steady.Sub(l.reported) < reportInterval {
+	if now.Monotonic.Sub(l.reported) < reportInterval {
 		return
 	}
-	l.reported = now.Steady
+	l.reported = now.Monotonic
 	if entry := l.config.Log.Check(zap.DebugLevel, "load"); entry != nil {
-		entry.Write(zap.String("group", l.term.Group()), zap.Any("load", l.scheduler.Summarize(now)))
+		entry.Write(zap.String("group", l.term.Group()), zap.Any("load", l.scheduler.CurrentLoad(now)))
 	}
 }
 
@@ -94,7 +94,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pause := time.Until(l.ticked.Add(tickInterval)) // a wake-up must not put the tick off
-	if l.scheduler.Unplaced() {
+	if l.scheduler.NeedsDispatch() {
 		pause = min(pause, time.Until(l.nextDispatch))
 	}
 	if l.planned = l.scheduler.NextDue(); l.planned != 0 {
@@ -108,14 +108,14 @@
 func (l *lead) tick() {
 	l.step(func(now scheduler.Now) {
 		due := l.scheduler.NextDue()
-		if now.Steady.Sub(l.ticked) < tickInterval && (due == 0 || due > now.WallMS) {
+		if now.Monotonic.Sub(l.ticked) < tickInterval && (due == 0 || due > now.WallMS) {
 			return
 		}
-		l.ticked = now.Steady
+		l.ticked = now.Monotonic
 		for id := range l.unheard {
 			link := l.links[id]
-			if link != nil && now.Steady.After(link.LapsedBy()) {
-				l.scheduler.Lapsed(now, id)
+			if link != nil && now.Monotonic.After(link.LapsedBy()) {
+				l.scheduler.ExpireLease(now, id)
 			}
 		}
 		l.scheduler.Tick(now)
@@ -142,7 +142,7 @@
 		l.planned = due
 		l.hasten()
 	}
-	if !l.scheduler.Unplaced() {
+	if !l.scheduler.NeedsDispatch() {
 		return
 	}
 	begin := time.Now()
@@ -156,7 +156,7 @@
 
 // propose makes the gathered effects durable; the lock is held.
 func (l *lead) propose() {
-	effects := l.scheduler.Take()
+	effects := l.scheduler.TakeEffects()
 	if effects.Empty() {
 		return
 	}
@@ -174,17 +174,17 @@
 		return
 	}
 	l.traceJobs(&effects)
-	for i := range effects.Orders {
-		l.order(&effects.Orders[i])
+	for i := range effects.Commands {
+		l.order(&effects.Commands[i])
 	}
-	for _, noted := range effects.Noted {
+	for _, noted := range effects.Acknowledgements {
 		if link := l.links[noted.Worker]; link != nil {
 			link.Acknowledge(noted.Number)
 		}
 	}
 }
 
-func (l *lead) order(order *scheduler.Order) {
+func (l *lead) order(order *scheduler.Command) {
 	link := l.links[order.Worker]
 	if link == nil {
 		return
@@ -194,7 +194,7 @@
 		link.Stop(*order.Stop)
 		return
 	}
-	if l.scheduler.Wanted(order.Worker, order.Start) {
+	if l.scheduler.StillWanted(order.Worker, order.Start) {
 		l.traceOrder(order)
 		link.Start(*order.Start)
 	}
@@ -241,9 +241,9 @@
 		for i := range instances {
 			l.connect(&instances[i])
 		}
-		l.scheduler.Inventory(now, instances)
+		l.scheduler.SetInventory(now, instances)
 		for id, link := range l.links {
-			if !l.scheduler.Knows(id) {
+			if !l.scheduler.KnowsWorker(id) {
 				l.disconnect(id, link)
 			}
 		}
@@ -256,16 +256,16 @@
 		for i := range instances {
 			l.connect(&instances[i])
 		}
-		l.scheduler.Found(now, instances)
+		l.scheduler.AddInventoryPage(now, instances)
 	})
 }
 
 func (l *lead) connect(instance *workerclient.Instance) {
-	if l.links[instance.ID] != nil || l.scheduler.Over(instance.ID) {
+	if l.links[instance.ID] != nil || l.scheduler.WasRemoved(instance.ID) {
 		return
 	}
 	link := workerclient.NewLink(workerclient.Config{
-		Instance: *instance, FencingToken: l.term.Epoch(), HoldMax: l.config.Settings.HoldMax,
+		Instance: *instance, FencingToken: l.term.Epoch(), HoldMax: l.config.Settings.MaxLease,
 		Valid: l.term.Valid, Events: events{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
 		Log: l.config.Log, Now: time.Now,
 	})
@@ -288,7 +288,7 @@
 	e.lead.traceEnds(&report)
 	e.lead.step(func(now scheduler.Now) {
 		delete(e.lead.unheard, report.Worker)
-		e.lead.scheduler.Listing(now, &report)
+		e.lead.scheduler.HandleReport(now, &report)
 	})
 }
 
@@ -302,18 +302,18 @@
 		e.lead.term.Resign()
 		return
 	}
-	e.lead.step(func(now scheduler.Now) { e.lead.scheduler.StartResult(now, &result) })
+	e.lead.step(func(now scheduler.Now) { e.lead.scheduler.HandleStartResult(now, &result) })
 }
 
 // StopResult implements worker.Events.
 func (e events) StopResult(result workerclient.StopResult) {
-	e.lead.step(func(now scheduler.Now) { e.lead.scheduler.StopResult(now, &result) })
+	e.lead.step(func(now scheduler.Now) { e.lead.scheduler.HandleStopResult(now, &result) })
 }
 
 // Gone implements worker.Events.
 func (e events) Gone(gone workerclient.Gone) {
 	e.lead.step(func(now scheduler.Now) {
-		e.lead.scheduler.Gone(now, gone.Worker)
+		e.lead.scheduler.RemoveWorker(now, gone.Worker)
 		if link := e.lead.links[gone.Worker]; link != nil {
 			e.lead.disconnect(gone.Worker, link)
 		}
@@ -331,6 +331,6 @@
 		} else {
 			e.lead.unheard[change.Worker] = true
 		}
-		e.lead.scheduler.Reachable(now, change.Worker, change.Reachable)
+		e.lead.scheduler.SetReachable(now, change.Worker, change.Reachable)
 	})
 }
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -167,7 +167,7 @@
 	if !request.ID.Valid() {
 		return jobapi.Submitted{}, rpcerror.Unexecuted(errors.New("job ID: want 16 hexadecimal digits"), 0)
 	}
-	if err := request.Specification.Check(); err != nil {
+	if err := request.Specification.Validate(); err != nil {
 		return jobapi.Submitted{}, rpcerror.Unexecuted(err, 0)
 	}
 	led, err := m.lead(request.Group)
@@ -219,5 +219,5 @@
 // steady is the clock of leaderships.
 func steady() scheduler.Now {
 	now := time.Now()
-	return scheduler.Now{Steady: now, WallMS: now.UnixMilli()}
+	return scheduler.Now{Monotonic: now, WallMS: now.UnixMilli()}
 }
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -91,7 +91,7 @@
 }
 
 func (m *Manager) jobs(ctx context.Context, request jobreport.JobsRequest) (reply jobreport.JobsReply, err error) {
-	limit := min(max(1, request.Limit), jobreport.MostJobs)
+	limit := min(max(1, request.Limit), jobreport.MaxJobs)
 	err = m.read(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) {
 		reply.Jobs, reply.Total = jobs.Jobs(request.State, limit)
 	})
@@ -124,7 +124,7 @@
 	report, known := l.scheduler.Worker(now, id)
 	if !known {
 		return jobreport.Worker{
-			ID: string(id), State: jobreport.WorkerUnreachable, OperatorDraining: l.scheduler.OperatorDrains(id),
+			ID: string(id), State: jobreport.WorkerUnreachable, OperatorDraining: l.scheduler.IsOperatorDraining(id),
 			DrainVersion: l.scheduler.DrainVersion(id),
 		}
 	}
@@ -134,10 +134,10 @@
 // orderDrain hands an order to the scheduler. The lock is held.
 func (l *lead) orderDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
 	id := workerclient.WorkerID(request.Worker)
-	if request.OnTopOf == nil {
+	if request.BaseVersion == nil {
 		return l.scheduler.SetOperatorDrain(now, id, request.Draining), jobreport.DrainTaken
 	}
-	outcome = l.scheduler.OrderOperatorDrain(now, id, scheduler.DrainOrder{Draining: request.Draining, OnTopOf: *request.OnTopOf})
+	outcome = l.scheduler.ChangeOperatorDrain(now, id, scheduler.DrainChange{Draining: request.Draining, OnTopOf: *request.BaseVersion})
 	return outcome != jobreport.DrainUnknown, outcome
 }
 
--- a/internal/jobs/manager/trace.go
+++ b/internal/jobs/manager/trace.go
@@ -22,7 +22,7 @@
 }
 
 // traceOrder notes an order that is about to be sent.
-func (l *lead) traceOrder(order *scheduler.Order) {
+func (l *lead) traceOrder(order *scheduler.Command) {
 	if !l.traces() {
 		return
 	}
--- a/internal/jobs/manager/world_test.go
+++ b/internal/jobs/manager/world_test.go
@@ -77,7 +77,7 @@
 
 func (w *world) add(t *testing.T, ctx context.Context, address string, view replicaset.View) {
 	m := &member{address: address, clock: &clock{begin: time.Now()}}
-	m.manager = New(Config{Settings: scheduler.Settings{HoldMax: 6 * time.Second, StatusKept: time.Hour}, Log: zap.NewNop()})
+	m.manager = New(Config{Settings: scheduler.Settings{MaxLease: 6 * time.Second, StatusRetention: time.Hour}, Log: zap.NewNop()})
 	m.manager.Inventory(nil) // the platform's list was read and is empty
 	node, err := replication.NewNode(replication.Config{
 		Self: address, Store: storage.NewMemory(), Caller: w.network.Caller(address), Handler: m.manager, Clock: m.clock,
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -12,16 +12,16 @@
 
 // loaded is a scheduler with many workers, all of them full, and many jobs that wait.
 func loaded(workers, jobs int) (*Scheduler, Now, map[string][]byte) {
-	now := Now{Steady: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
-	s, _ := New(Settings{FarFactor: 2, HoldMax: 6 * time.Second}, now, nil)
+	now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
+	s, _ := New(Settings{RemoteFactor: 2, MaxLease: 6 * time.Second}, now, nil)
 	var instances []workerclient.Instance
 	for i := range workers {
 		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(fmt.Sprintf("s%03d", i)), Labels: []string{"a", fmt.Sprint("r", i/8)},
 			Capacity: job.Resources{Processors: 32000, MemoryMB: 65536}})
 	}
-	s.Inventory(now, instances)
+	s.SetInventory(now, instances)
 	for _, instance := range instances {
-		s.Listing(now, &workerclient.Listing{Worker: instance.ID, First: true})
+		s.HandleReport(now, &workerclient.Listing{Worker: instance.ID, First: true})
 		s.workers[instance.ID].window = windowMost
 	}
 	for number := range jobs {
@@ -31,7 +31,7 @@
 	}
 	s.Dispatch(now)
 	state := map[string][]byte{}
-	for _, entry := range s.Take().Entries {
+	for _, entry := range s.TakeEffects().Entries {
 		state[entry.Key] = entry.Value
 	}
 	return s, now, state
@@ -42,19 +42,19 @@
 	number := uint64(0)
 	for b.Loop() {
 		sr := s.list[int(number)%len(s.list)]
-		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Steady}
+		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Monotonic}
 		for _, r := range sr.sortedRuns() {
 			report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
 		}
 		if len(report.Running) > 0 {
 			ended := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: ended.Task, Execution: ended.Execution, How: job.Stopped}}
+			report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: ended.Task, Execution: ended.Execution, How: job.OutcomeStopped}}
 		}
 		number++
-		s.Listing(now, &report)
+		s.HandleReport(now, &report)
 		s.Dispatch(now)
-		s.Take()
+		s.TakeEffects()
 	}
 }
 
@@ -69,15 +69,15 @@
 		for _, sr := range previous.list {
 			instances = append(instances, sr.Instance)
 		}
-		s.Inventory(now, instances)
+		s.SetInventory(now, instances)
 		for _, instance := range instances {
-			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Steady}
+			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Monotonic}
 			for _, r := range previous.workers[instance.ID].sortedRuns() {
 				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
 			}
-			s.Listing(now, &report)
+			s.HandleReport(now, &report)
 		}
 		s.Dispatch(now)
-		s.Take()
+		s.TakeEffects()
 	}
 }
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -18,7 +18,7 @@
 	mostDetails = 500 // stages, runs and failures that one report lists, each
 )
 
-// Summary counts jobs and workers.
+// Load counts jobs and workers.
 func (s *Scheduler) Summary() jobreport.Summary {
 	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.list)}
 	for _, j := range s.jobs {
@@ -32,7 +32,7 @@
 		summary.WaitingTasks += len(stage.waiting)
 	}
 	for _, sr := range s.list {
-		summary.Runs += len(sr.runs)
+		summary.Attempts += len(sr.runs)
 		if sr.reachable {
 			summary.ReachableWorkers++
 		}
@@ -64,8 +64,8 @@
 		Rack: sr.rack, Labels: sr.Labels,
 		State: s.workerState(now, sr), Reachable: sr.reachable,
 		Draining: sr.Draining, OperatorDraining: s.operatorDrains.has(sr.ID), DrainVersion: s.DrainVersion(sr.ID), RemainingMS: sr.RemainingMS,
-		Window: int(sr.window), LatencyMS: sr.latency, FaultShare: sr.faults,
-		Runs: len(sr.runs), WaitingTasks: sr.held, UnwantedRuns: len(sr.orphans),
+		Window: int(sr.window), LatencyMS: sr.latency, FailureRate: sr.faults,
+		Attempts: len(sr.runs), WaitingTasks: sr.held, Orphans: len(sr.orphans),
 		Used: sr.used, Free: sr.free(), Capacity: sr.Capacity, MissingLists: sr.missingLists,
 	}
 }
@@ -81,13 +81,13 @@
 	case sr.fencedAt.IsZero():
 		return jobreport.WorkerNotFenced
 	case s.resting(now, sr):
-		return jobreport.WorkerResting
+		return jobreport.WorkerBackoff
 	}
 	return jobreport.WorkerReady
 }
 
 func (s *Scheduler) resting(now Now, sr *worker) bool {
-	return now.Steady.Before(sr.restUntil) || now.Steady.Before(sr.fullUntil)
+	return now.Monotonic.Before(sr.restUntil) || now.Monotonic.Before(sr.fullUntil)
 }
 
 // Jobs lists the newest jobs of a state, or of all states if it is empty: first those that have not ended, the latest
@@ -167,7 +167,7 @@
 	}
 	report = jobreport.JobDetail{
 		Job: s.reportJob(j), Specification: j.Specification.Text, MaxAttempts: j.Queue.MaxAttempts,
-		Repetitions: j.Specification.Times(), NextDueMS: j.nextDue,
+		Repetitions: j.Specification.RepetitionCount(), NextDueMS: j.nextDue,
 	}
 	for _, r := range j.times {
 		if r == nil {
@@ -195,8 +195,8 @@
 			report.Failures = append(report.Failures, jobreport.Failure{Task: t.id.String(), Attempts: slices.Clone(t.failed)})
 		}
 		for _, r := range t.runs {
-			if !full(len(report.Runs), report) {
-				report.Runs = append(report.Runs, reportRun(now, r))
+			if !full(len(report.Attempts), report) {
+				report.Attempts = append(report.Attempts, reportRun(now, r))
 			}
 		}
 	}
@@ -210,9 +210,9 @@
 	return true
 }
 
-func reportRun(now Now, r *run) jobreport.Run {
-	return jobreport.Run{
-		Task: r.task.id.String(), Execution: r.execution, Worker: string(r.at.ID), AgeMS: now.Steady.Sub(r.orderedAt).Milliseconds(),
+func reportRun(now Now, r *run) jobreport.Attempt {
+	return jobreport.Attempt{
+		Task: r.task.id.String(), Execution: r.execution, Worker: string(r.at.ID), AgeMS: now.Monotonic.Sub(r.orderedAt).Milliseconds(),
 		Confirmed: r.seen || !r.answeredAt.IsZero(), Stopping: r.stopping, Percent: r.percent,
 	}
 }
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -43,7 +43,7 @@
 
 // countOf is how many workers a cause rules out.
 func countOf(waiting jobreport.Waiting, cause jobreport.Cause) int {
-	for _, ruled := range waiting.RuledOut {
+	for _, ruled := range waiting.Excluded {
 		if ruled.Cause == cause {
 			return ruled.Count
 		}
@@ -75,7 +75,7 @@
 			w.machines[0].Draining = true
 			w.inventory()
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
-			w.scheduler.Reachable(w.clock(), "s02", false)
+			w.scheduler.SetReachable(w.clock(), "s02", false)
 			stage := small(1)
 			stage.Requirements = job.Labels{"none"}
 			w.submitStages(1, stage)
@@ -100,8 +100,8 @@
 			w.submitStages(1, whole)
 			waiting := whyOf(w, w.submitStages(2, small(1)))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
-			So(countOf(waiting, jobreport.CauseRoom), ShouldEqual, 9)
-			So(len(waiting.RuledOut[0].Workers), ShouldEqual, fewWorkers)
+			So(countOf(waiting, jobreport.CauseCapacity), ShouldEqual, 9)
+			So(len(waiting.Excluded[0].Workers), ShouldEqual, fewWorkers)
 		})
 		Convey("antiAffinity rules out searchers that have a task of the stage", func() {
 			stage := small(12)
@@ -122,7 +122,7 @@
 			gang := small(10)
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := whyOf(w, w.submitStages(1, gang))
-			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangRoom)
+			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangCapacity)
 			So(len(waiting.Open), ShouldEqual, fewWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
@@ -136,21 +136,21 @@
 		Convey("a searcher rests after it called itself unhealthy, and takes nothing beside runs that nobody wants", func() {
 			id := w.submitStages(1, small(1))
 			report, _ := w.scheduler.Job(w.clock(), id)
-			unhealthy := workerclient.WorkerID(report.Runs[0].Worker)
+			unhealthy := workerclient.WorkerID(report.Attempts[0].Worker)
 			unwanted := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, Execution: 1}}
 			for _, m := range w.machines {
 				if m.ID != unhealthy {
-					w.scheduler.Listing(w.clock(), &workerclient.Listing{Worker: m.ID, SentAt: w.clock().Steady, Running: unwanted})
+					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, Running: unwanted})
 				}
 			}
 			order := workerclient.StartOrder{Task: job.TaskID{Job: id}, Execution: 1}
-			w.scheduler.StartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Order: order, Outcome: workerclient.Unhealthy, At: w.clock().Steady})
+			w.scheduler.HandleStartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Order: order, Outcome: workerclient.Unhealthy, At: w.clock().Monotonic})
 			waiting := whyOf(w, id)
-			So(waiting.Reason, ShouldEqual, jobreport.ReasonPause)
-			So(countOf(waiting, jobreport.CauseUnwantedRuns), ShouldEqual, 8)
-			So(countOf(waiting, jobreport.CauseResting), ShouldEqual, 1)
+			So(waiting.Reason, ShouldEqual, jobreport.ReasonBackoff)
+			So(countOf(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
+			So(countOf(waiting, jobreport.CauseBackoff), ShouldEqual, 1)
 			resting, _ := w.scheduler.Worker(w.clock(), unhealthy)
-			So(resting.State, ShouldEqual, jobreport.WorkerResting)
+			So(resting.State, ShouldEqual, jobreport.WorkerBackoff)
 		})
 		Convey("an unknown job has no answer, and one that has ended waits for nothing", func() {
 			_, known := w.scheduler.Why(w.clock(), "ffffffffffffffff")
@@ -166,7 +166,7 @@
 	Convey("Before a searcher has confirmed the fencing token it takes nothing", t, func() {
 		w := newWorld(1, 2)
 		for _, m := range w.machines {
-			w.scheduler.Reachable(w.clock(), m.ID, true)
+			w.scheduler.SetReachable(w.clock(), m.ID, true)
 		}
 		waiting := whyOf(w, w.submitStages(1, small(1)))
 		So(countOf(waiting, jobreport.CauseNotFenced), ShouldEqual, 2)
@@ -215,9 +215,9 @@
 			So(report.State, ShouldEqual, job.Running)
 			So(report.Tasks, ShouldResemble, jobreport.TaskCounts{Done: 1, Running: 2, Blocked: 1})
 			So(len(report.Stages), ShouldEqual, 3)
-			So(len(report.Runs), ShouldEqual, 2)
-			So(report.Runs[0].Task, ShouldEqual, string(id)+".0.1.0")
-			So(report.Runs[0].Confirmed, ShouldBeTrue)
+			So(len(report.Attempts), ShouldEqual, 2)
+			So(report.Attempts[0].Task, ShouldEqual, string(id)+".0.1.0")
+			So(report.Attempts[0].Confirmed, ShouldBeTrue)
 			So(report.Truncated, ShouldBeFalse)
 		})
 		Convey("the searchers' reports add up", func() {
@@ -225,10 +225,10 @@
 			for _, one := range w.scheduler.Workers(w.clock()) {
 				So(one.State, ShouldEqual, jobreport.WorkerReady)
 				So(one.Used.Add(one.Free), ShouldResemble, one.Capacity)
-				runs += one.Runs
+				runs += one.Attempts
 			}
 			So(runs, ShouldEqual, 2)
-			So(w.scheduler.Summary(), ShouldResemble, jobreport.Summary{Running: 1, Runs: 2, Workers: 3, ReachableWorkers: 3})
+			So(w.scheduler.Summary(), ShouldResemble, jobreport.Summary{Running: 1, Attempts: 2, Workers: 3, ReachableWorkers: 3})
 		})
 		Convey("lists are filtered, sorted and bounded", func() {
 			for number := 2; number <= 5; number++ {
@@ -342,9 +342,9 @@
 			So(after.WaitingTasks, ShouldEqual, 0)
 		})
 		Convey("the same order again writes nothing", func() {
-			w.scheduler.Take()
+			w.scheduler.TakeEffects()
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
-			effects := w.scheduler.Take()
+			effects := w.scheduler.TakeEffects()
 			So(effects.Empty(), ShouldBeTrue)
 		})
 		Convey("an unknown searcher is not drained", func() {
--- a/internal/jobs/scheduler/forget_test.go
+++ b/internal/jobs/scheduler/forget_test.go
@@ -12,12 +12,12 @@
 
 func TestAnEndedJobIsKeptByBothClocks(t *testing.T) {
 	const kept = time.Minute
-	settings := Settings{StatusKept: kept, HoldMax: time.Second}
+	settings := Settings{StatusRetention: kept, MaxLease: time.Second}
 	id := job.ID("00000000000000aa")
 	submit := &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}}
-	start := Now{Steady: time.Unix(1000, 0), WallMS: 1_000_000}
+	start := Now{Monotonic: time.Unix(1000, 0), WallMS: 1_000_000}
 	later := func(steady, wall time.Duration) Now {
-		return Now{Steady: start.Steady.Add(steady), WallMS: start.WallMS + wall.Milliseconds()}
+		return Now{Monotonic: start.Monotonic.Add(steady), WallMS: start.WallMS + wall.Milliseconds()}
 	}
 	Convey("Given a job that was cancelled", t, func() {
 		jobs, err := New(settings, start, nil)
@@ -39,7 +39,7 @@
 		})
 		Convey("also under a successor whose time of day is ahead", func() {
 			durable := map[string][]byte{}
-			for _, entry := range jobs.Take().Entries {
+			for _, entry := range jobs.TakeEffects().Entries {
 				if entry.Value == nil {
 					delete(durable, entry.Key)
 				} else {
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -21,11 +21,11 @@
 )
 
 // learn takes a run's end into its worker's window, latency and share of faults.
-func (s *Scheduler) learn(now Now, r *run, how job.How) {
+func (s *Scheduler) learn(now Now, r *run, how job.Outcome) {
 	sr := r.at
 	switch how {
-	case job.Done:
-		took := float64(now.Steady.Sub(r.orderedAt).Milliseconds())
+	case job.OutcomeDone:
+		took := float64(now.Monotonic.Sub(r.orderedAt).Milliseconds())
 		if r.inherited {
 			return
 		}
@@ -34,7 +34,7 @@
 		if took <= usualUpTo*s.expectedMS(r.task.stage, sr) {
 			sr.window = min(windowMost, sr.window+1)
 		}
-	case job.Failure:
+	case job.OutcomeFailed:
 		if len(r.task.failed) > 0 || r.stopping {
 			return // the task itself may be at fault
 		}
@@ -75,13 +75,13 @@
 	if stage.Affinity == "" || stage.Affinity == sr.rack || sr.hasLabel(stage.Affinity) {
 		return 1
 	}
-	return max(1, s.settings.FarFactor)
+	return max(1, s.settings.RemoteFactor)
 }
 
 // remainingMS estimates how long a run still takes.
 func (s *Scheduler) remainingMS(now Now, r *run) float64 {
 	expected := s.expectedMS(r.task.stage, r.at)
-	elapsed := float64(now.Steady.Sub(r.orderedAt).Milliseconds())
+	elapsed := float64(now.Monotonic.Sub(r.orderedAt).Milliseconds())
 	if r.percent > 0 && r.percent < 100 {
 		return elapsed * float64(100-r.percent) / float64(r.percent)
 	}
@@ -98,7 +98,7 @@
 			}
 		}
 		if !sr.reachable && sr.fencedAt.IsZero() {
-			s.Lapsed(now, sr.ID)
+			s.ExpireLease(now, sr.ID)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		s.stop(r)
 		return
 	}
-	if stage.GangScheduled && r.execution <= stage.broken && now.Steady.Sub(stage.brokenAt) > brokenPatience {
+	if stage.GangScheduled && r.execution <= stage.broken && now.Monotonic.Sub(stage.brokenAt) > brokenPatience {
 		s.stop(r)
 		return
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	if s.stalled(r) {
-		r.at.restUntil = now.Steady.Add(restOfStalls)
+		r.at.restUntil = now.Monotonic.Add(restOfStalls)
 		r.at.window = max(windowLeast, r.at.window/2)
 		s.stop(r)
 	}
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -11,8 +11,8 @@
 // missingLists is after how many whole lists without it an unreachable worker's life counts as over.
 const missingLists = 2
 
-// Inventory takes the service's workers as the platform lists them, all of them.
-func (s *Scheduler) Inventory(now Now, instances []workerclient.Instance) {
+// SetInventory takes the service's workers as the platform lists them, all of them.
+func (s *Scheduler) SetInventory(now Now, instances []workerclient.Instance) {
 	present := make(map[workerclient.WorkerID]bool, len(instances))
 	for i := range instances {
 		present[instances[i].ID] = true
@@ -25,26 +25,26 @@
 		}
 		sr.missingLists++
 		if !sr.reachable && sr.missingLists >= missingLists {
-			s.Gone(now, sr.ID)
+			s.RemoveWorker(now, sr.ID)
 		}
 	}
 	s.pruneOperatorDrains()
 	s.unplaced = true
 }
 
-// Found takes some of the service's workers, while the platform's list has not been read whole yet.
-func (s *Scheduler) Found(now Now, instances []workerclient.Instance) {
+// AddInventoryPage takes some of the service's workers, while the platform's list has not been read whole yet.
+func (s *Scheduler) AddInventoryPage(now Now, instances []workerclient.Instance) {
 	for i := range instances {
 		s.learnOf(now, &instances[i])
 	}
 	s.unplaced = true
 }
 
-// Knows tells whether a worker's life is going on as far as is known.
-func (s *Scheduler) Knows(id workerclient.WorkerID) bool { return s.workers[id] != nil }
+// KnowsWorker tells whether a worker's life is going on as far as is known.
+func (s *Scheduler) KnowsWorker(id workerclient.WorkerID) bool { return s.workers[id] != nil }
 
-// Over tells whether a worker's life is known to be over although the platform may still list it.
-func (s *Scheduler) Over(id workerclient.WorkerID) bool { return s.gone[id] }
+// WasRemoved tells whether a worker's life is known to be over although the platform may still list it.
+func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.gone[id] }
 
 func (s *Scheduler) learnOf(now Now, instance *workerclient.Instance) {
 	if s.gone[instance.ID] {
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -39,7 +39,7 @@
 
 // judge tells what an order comes to that builds on a version. What was taken stays taken: the order that made version N+1 is the one
 // that asked on top of N for what N+1 is.
-func (r operatorDrainRecord) judge(order DrainOrder) jobreport.DrainOutcome {
+func (r operatorDrainRecord) judge(order DrainChange) jobreport.DrainOutcome {
 	if order.OnTopOf == r.Version {
 		return jobreport.DrainTaken
 	}
@@ -53,8 +53,8 @@
 	return jobreport.DrainSuperseded
 }
 
-// DrainOrder is an operator's order to drain a worker, or to end that, on top of the version that the operator has read.
-type DrainOrder struct {
+// DrainChange is an operator's order to drain a worker, or to end that, on top of the version that the operator has read.
+type DrainChange struct {
 	Draining bool
 	OnTopOf  uint64
 }
@@ -80,8 +80,8 @@
 	return true
 }
 
-// OrderOperatorDrain does the same on top of a version, so that an order that comes late does not undo a later one.
-func (s *Scheduler) OrderOperatorDrain(now Now, id workerclient.WorkerID, order DrainOrder) jobreport.DrainOutcome {
+// ChangeOperatorDrain does the same on top of a version, so that an order that comes late does not undo a later one.
+func (s *Scheduler) ChangeOperatorDrain(now Now, id workerclient.WorkerID, order DrainChange) jobreport.DrainOutcome {
 	if !s.knowsDrained(id) {
 		return jobreport.DrainUnknown
 	}
@@ -120,8 +120,10 @@
 	return s.operatorDrains.record(id).Version
 }
 
-// OperatorDrains tells whether an operator allows a worker no new starts.
-func (s *Scheduler) OperatorDrains(id workerclient.WorkerID) bool { return s.operatorDrains.has(id) }
+// IsOperatorDraining tells whether an operator allows a worker no new starts.
+func (s *Scheduler) IsOperatorDraining(id workerclient.WorkerID) bool {
+	return s.operatorDrains.has(id)
+}
 
 // operatorDrains are the workers that operators have drained or undrained.
 type operatorDrains map[workerclient.WorkerID]*operatorDrain
@@ -146,12 +148,12 @@
 func (s *Scheduler) pruneOperatorDrains() {
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		drain := s.operatorDrains[id]
-		if s.Knows(id) {
+		if s.KnowsWorker(id) {
 			drain.missingLists = 0
 			continue
 		}
 		drain.missingLists++
-		if s.Over(id) || drain.missingLists >= missingLists {
+		if s.WasRemoved(id) || drain.missingLists >= missingLists {
 			s.forgetOperatorDrain(id)
 		}
 	}
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -19,18 +19,18 @@
 		w.steps(5)
 		successor, err := New(w.scheduler.settings, w.clock(), w.durable)
 		So(err, ShouldBeNil)
-		So(successor.Knows("s00"), ShouldBeFalse)
+		So(successor.KnowsWorker("s00"), ShouldBeFalse)
 
 		Convey("the drain is known when it comes again, and changes nothing", func() {
 			So(successor.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
-			effects := successor.Take()
+			effects := successor.TakeEffects()
 			So(effects.Empty(), ShouldBeTrue)
-			So(successor.OperatorDrains("s00"), ShouldBeTrue)
+			So(successor.IsOperatorDraining("s00"), ShouldBeTrue)
 		})
 		Convey("its end is taken as well", func() {
 			So(successor.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
-			So(successor.OperatorDrains("s00"), ShouldBeFalse)
-			entries := successor.Take().Entries
+			So(successor.IsOperatorDraining("s00"), ShouldBeFalse)
+			entries := successor.TakeEffects().Entries
 			So(entries, ShouldHaveLength, 1)
 			So(entries[0].Key, ShouldEqual, operatorDrainKey("s00"))
 			var record operatorDrainRecord // it stays, so that an order that comes late is known to be one
@@ -46,17 +46,19 @@
 }
 
 func TestDrainOrdersOnTopOfVersions(t *testing.T) {
-	drain := func(version uint64) DrainOrder { return DrainOrder{Draining: true, OnTopOf: version} }
-	undrain := func(version uint64) DrainOrder { return DrainOrder{OnTopOf: version} }
+	drain := func(version uint64) DrainChange { return DrainChange{Draining: true, OnTopOf: version} }
+	undrain := func(version uint64) DrainChange { return DrainChange{OnTopOf: version} }
 	Convey("Given a searcher that nobody has drained", t, func() {
 		w := newWorld(1, 3)
 		w.steps(20)
-		order := func(o DrainOrder) jobreport.DrainOutcome { return w.scheduler.OrderOperatorDrain(w.clock(), "s00", o) }
+		order := func(o DrainChange) jobreport.DrainOutcome {
+			return w.scheduler.ChangeOperatorDrain(w.clock(), "s00", o)
+		}
 
 		Convey("a drain that comes after the order that ended it changes nothing", func() {
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainTaken) // the operator gave up the drain, which is still on its way
 			So(order(drain(0)), ShouldEqual, jobreport.DrainSuperseded)
-			So(w.scheduler.OperatorDrains("s00"), ShouldBeFalse)
+			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
 		Convey("an order that was taken is confirmed again, also after later ones", func() {
 			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
@@ -64,19 +66,19 @@
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 1)
 			So(order(undrain(1)), ShouldEqual, jobreport.DrainTaken)
 			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
-			So(w.scheduler.OperatorDrains("s00"), ShouldBeFalse)
+			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 2)
 		})
 		Convey("one of two orders on top of one version is taken", func() {
 			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
-			So(w.scheduler.OperatorDrains("s00"), ShouldBeTrue)
+			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeTrue)
 		})
 		Convey("nothing is said of an order on top of a version that is not in force, or of one that is forgotten", func() {
 			So(order(drain(1)), ShouldEqual, jobreport.DrainUnclear)
 			So(order(undrain(math.MaxUint64)), ShouldEqual, jobreport.DrainUnclear)
 			for version := range uint64(drainHistory + 1) {
-				So(order(DrainOrder{Draining: version%3 == 0, OnTopOf: version}), ShouldEqual, jobreport.DrainTaken)
+				So(order(DrainChange{Draining: version%3 == 0, OnTopOf: version}), ShouldEqual, jobreport.DrainTaken)
 			}
 			So(order(drain(0)), ShouldEqual, jobreport.DrainUnclear)
 			So(order(undrain(1)), ShouldEqual, jobreport.DrainTaken)
@@ -89,7 +91,7 @@
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 		})
 		Convey("an unknown searcher is not ordered", func() {
-			So(w.scheduler.OrderOperatorDrain(w.clock(), "nobody", drain(0)), ShouldEqual, jobreport.DrainUnknown)
+			So(w.scheduler.ChangeOperatorDrain(w.clock(), "nobody", drain(0)), ShouldEqual, jobreport.DrainUnknown)
 		})
 		Convey("a successor knows all of it", func() {
 			order(drain(0))
@@ -99,9 +101,9 @@
 			successor, err := New(w.scheduler.settings, w.clock(), w.durable)
 			So(err, ShouldBeNil)
 			So(successor.DrainVersion("s00"), ShouldEqual, 2)
-			So(successor.OrderOperatorDrain(w.clock(), "s00", drain(0)), ShouldEqual, jobreport.DrainTaken)
-			So(successor.OrderOperatorDrain(w.clock(), "s00", undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
-			So(successor.OperatorDrains("s00"), ShouldBeFalse)
+			So(successor.ChangeOperatorDrain(w.clock(), "s00", drain(0)), ShouldEqual, jobreport.DrainTaken)
+			So(successor.ChangeOperatorDrain(w.clock(), "s00", undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
+			So(successor.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
 		Convey("a record of a release without versions is a drain", func() {
 			type oldRecord struct {
--- a/internal/jobs/scheduler/order_test.go
+++ b/internal/jobs/scheduler/order_test.go
@@ -96,15 +96,15 @@
 		if (i+round)%3 != 0 {
 			continue
 		}
-		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Steady}
+		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Monotonic}
 		for at, r := range sr.sortedRuns() {
 			if at == 0 {
-				report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: r.task.id, Execution: r.execution, How: job.Done}}
+				report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: r.task.id, Execution: r.execution, How: job.OutcomeDone}}
 			} else {
 				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
 			}
 		}
-		s.Listing(now, &report)
+		s.HandleReport(now, &report)
 	}
 }
 
@@ -114,14 +114,14 @@
 		for round := range 20 {
 			endSome(s, now, round)
 			now.WallMS += 400 // jobs become late, and worthless
-			now.Steady = now.Steady.Add(400e6)
+			now.Monotonic = now.Monotonic.Add(400e6)
 			s.unsorted = true
 			want := modelOrder(s, now)
 			s.reorder(now)
 			So(len(s.stages), ShouldBeGreaterThan, mostOrdered)
 			So(slices.Equal(s.stages, want), ShouldBeTrue)
 			s.Dispatch(now)
-			s.Take()
+			s.TakeEffects()
 		}
 	})
 	Convey("An ordering takes no memory for each job that waits", t, func() {
--- a/internal/jobs/scheduler/place.go
+++ b/internal/jobs/scheduler/place.go
@@ -90,7 +90,7 @@
 	if float64(len(sr.runs)) >= sr.window {
 		return false
 	}
-	return !now.Steady.Before(sr.restUntil) && !now.Steady.Before(sr.fullUntil)
+	return !now.Monotonic.Before(sr.restUntil) && !now.Monotonic.Before(sr.fullUntil)
 }
 
 // admits tells whether an open worker can take one more task of a stage, beside so many more that are planned there.
@@ -159,7 +159,7 @@
 func (s *Scheduler) startTasks(now Now, stage *stageRun, refused *refusals) {
 	near := s.staysNear(now, stage)
 	for _, t := range slices.Clone(stage.waiting) {
-		if now.Steady.Before(t.notBefore) {
+		if now.Monotonic.Before(t.notBefore) {
 			continue
 		}
 		sr := s.choose(now, t, near)
@@ -178,13 +178,13 @@
 
 // patience is how long tasks wait for room near their data rather than run elsewhere: a part of what that would cost.
 func (s *Scheduler) patience(stage *stageRun) time.Duration {
-	extra := (max(1, s.settings.FarFactor) - 1) * float64(stage.EstimatedDurationMS)
+	extra := (max(1, s.settings.RemoteFactor) - 1) * float64(stage.EstimatedDurationMS)
 	return min(mostPatience, time.Duration(patienceShare*extra)*time.Millisecond)
 }
 
 // staysNear tells whether a stage still waits for room near its data. It does not where nothing near could take it.
 func (s *Scheduler) staysNear(now Now, stage *stageRun) bool {
-	if stage.Affinity == "" || now.Steady.Sub(stage.readyAt) >= s.patience(stage) {
+	if stage.Affinity == "" || now.Monotonic.Sub(stage.readyAt) >= s.patience(stage) {
 		return false
 	}
 	for _, sr := range s.list {
@@ -229,14 +229,14 @@
 func (s *Scheduler) assign(now Now, t *task, sr *worker, execution uint64) {
 	s.unwait(t)
 	t.execution = execution
-	r := &run{task: t, at: sr, execution: execution, orderedAt: now.Steady}
+	r := &run{task: t, at: sr, execution: execution, orderedAt: now.Monotonic}
 	t.runs = append(t.runs, r)
 	sr.runs[t.id] = r
 	sr.used = sr.used.Add(t.stage.Resources)
 	t.stage.job.started = true
 	s.writeTask(t)
 	order := &workerclient.StartOrder{Task: t.id, Execution: execution, Specification: t.stage.job.Specification.Text, Checkpoint: t.checkpoint}
-	s.effects.Orders = append(s.effects.Orders, Order{Worker: sr.ID, Start: order})
+	s.effects.Commands = append(s.effects.Commands, Command{Worker: sr.ID, Start: order})
 }
 
 // startGang starts all members at once or none.
@@ -247,7 +247,7 @@
 	execution := uint64(0)
 	for _, t := range stage.tasks {
 		execution = max(execution, t.execution)
-		if now.Steady.Before(t.notBefore) {
+		if now.Monotonic.Before(t.notBefore) {
 			return
 		}
 	}
@@ -268,7 +268,7 @@
 				return placed
 			}
 		}
-		if now.Steady.Sub(stage.readyAt) < s.patience(stage) && s.fitsOneRack(stage) {
+		if now.Monotonic.Sub(stage.readyAt) < s.patience(stage) && s.fitsOneRack(stage) {
 			return nil
 		}
 	}
@@ -280,7 +280,7 @@
 	room := map[string]int64{}
 	for _, sr := range s.list {
 		if sr.reachable && s.suits(stage, sr) {
-			room[sr.rack] += sr.Capacity.Holds(stage.Resources)
+			room[sr.rack] += sr.Capacity.FitCount(stage.Resources)
 		}
 	}
 	for rack, count := range room {
--- a/internal/jobs/scheduler/progress.go
+++ b/internal/jobs/scheduler/progress.go
@@ -9,7 +9,7 @@
 
 // advance begins the repetitions that are due.
 func (s *Scheduler) advance(now Now, j *jobState) {
-	for len(j.times) < j.Specification.Times() {
+	for len(j.times) < j.Specification.RepetitionCount() {
 		due := j.dueMS(len(j.times))
 		if due > now.WallMS {
 			s.schedule(j, due)
@@ -93,7 +93,7 @@
 		return false
 	}
 	if len(stage.waiting) == 0 {
-		stage.readyAt = now.Steady
+		stage.readyAt = now.Monotonic
 	}
 	stage.waiting = append(stage.waiting, t)
 	if !stage.listed {
@@ -184,7 +184,7 @@
 	s.erase(jobKey(j.id))
 	record := endedRecord{State: state, EndedMS: now.WallMS}
 	s.write(endedKey(j.id), record)
-	record.since = now.Steady
+	record.since = now.Monotonic
 	s.ended[j.id] = record
 	delete(s.jobs, j.id)
 	if s.pending[j.Queue.Route]--; s.pending[j.Queue.Route] <= 0 {
@@ -213,15 +213,15 @@
 	}
 	r.stopping = true
 	order := &workerclient.StopOrder{Task: r.task.id, Execution: r.execution}
-	s.effects.Orders = append(s.effects.Orders, Order{Worker: r.at.ID, Stop: order})
+	s.effects.Commands = append(s.effects.Commands, Command{Worker: r.at.ID, Stop: order})
 }
 
 // forgetEnded drops the states of jobs that ended long ago. The time of day, which may be set, is believed only together
 // with the steady clock: a job that is forgotten too early would run once more if it were handed in again.
 func (s *Scheduler) forgetEnded(now Now) {
-	oldest := now.WallMS - s.settings.StatusKept.Milliseconds()
+	oldest := now.WallMS - s.settings.StatusRetention.Milliseconds()
 	for id, record := range s.ended {
-		if now.Steady.Sub(record.since) < s.settings.StatusKept {
+		if now.Monotonic.Sub(record.since) < s.settings.StatusRetention {
 			continue
 		}
 		if record.EndedMS < oldest || record.EndedMS > now.WallMS {
--- a/internal/jobs/scheduler/reports.go
+++ b/internal/jobs/scheduler/reports.go
@@ -19,8 +19,8 @@
 	brokenPatience     = 700 * time.Millisecond // until the members of a broken gang are stopped by order
 )
 
-// Listing takes a worker's report of what runs there and what has ended.
-func (s *Scheduler) Listing(now Now, report *workerclient.Listing) {
+// HandleReport takes a worker's report of what runs there and what has ended.
+func (s *Scheduler) HandleReport(now Now, report *workerclient.Listing) {
 	sr := s.workers[report.Worker]
 	if sr == nil {
 		return
@@ -30,7 +30,7 @@
 		s.bindAll(now)
 	}
 	if sr.fencedAt.IsZero() {
-		sr.fencedAt = now.Steady
+		sr.fencedAt = now.Monotonic
 	}
 	sr.fullUntil = time.Time{}
 	for i := range report.Finished {
@@ -68,7 +68,7 @@
 		orphans[key] = true
 		if !sr.orphans[key] {
 			order := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
-			s.effects.Orders = append(s.effects.Orders, Order{Worker: sr.ID, Stop: order})
+			s.effects.Commands = append(s.effects.Commands, Command{Worker: sr.ID, Stop: order})
 		}
 	}
 	sr.orphans = orphans
@@ -78,12 +78,12 @@
 func (s *Scheduler) progressed(now Now, r *run, entry *workerclient.RunningTask) {
 	if !r.seen {
 		r.seen = true
-		r.paceFrom, r.pacePercent = now.Steady, entry.Percent
+		r.paceFrom, r.pacePercent = now.Monotonic, entry.Percent
 	}
-	r.listedAt = now.Steady
+	r.listedAt = now.Monotonic
 	if entry.Percent > r.percent || r.percentAt.IsZero() {
 		r.percent = entry.Percent
-		r.percentAt = now.Steady
+		r.percentAt = now.Monotonic
 	}
 	if entry.Checkpoint != "" {
 		r.checkpoint = entry.Checkpoint
@@ -136,9 +136,9 @@
 	switch {
 	case t.stage.LongRunning:
 		s.again(now, t, end.Execution) // started again however it ends
-	case end.How == job.Done && (r != nil || len(t.runs) == 0 || t.stage.AtLeastOnce):
+	case end.How == job.OutcomeDone && (r != nil || len(t.runs) == 0 || t.stage.AtLeastOnce):
 		s.succeed(now, t)
-	case end.How == job.Failure:
+	case end.How == job.OutcomeFailed:
 		s.fail(now, t, sr, end.Execution)
 	case r != nil:
 		s.again(now, t, end.Execution)
@@ -146,13 +146,13 @@
 }
 
 func (s *Scheduler) noteLast(sr *worker) {
-	for i := range s.effects.Noted {
-		if s.effects.Noted[i].Worker == sr.ID {
-			s.effects.Noted[i].Number = sr.noted
+	for i := range s.effects.Acknowledgements {
+		if s.effects.Acknowledgements[i].Worker == sr.ID {
+			s.effects.Acknowledgements[i].Number = sr.noted
 			return
 		}
 	}
-	s.effects.Noted = append(s.effects.Noted, Noted{Worker: sr.ID, Number: sr.noted})
+	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: sr.ID, Number: sr.noted})
 }
 
 // keepCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
@@ -230,7 +230,7 @@
 		return
 	}
 	stage.broken = execution
-	stage.brokenAt = now.Steady
+	stage.brokenAt = now.Monotonic
 }
 
 // over ends a run that is certainly not under way any more, without an end listed.
@@ -258,8 +258,8 @@
 	s.unsorted = true
 }
 
-// StartResult takes what became of a start.
-func (s *Scheduler) StartResult(now Now, result *workerclient.StartResult) {
+// HandleStartResult takes what became of a start.
+func (s *Scheduler) HandleStartResult(now Now, result *workerclient.StartResult) {
 	sr := s.workers[result.Worker]
 	if sr == nil {
 		return
@@ -279,20 +279,20 @@
 	case workerclient.RejectedFence:
 		return // this leadership is over
 	case workerclient.RejectedRoom:
-		sr.fullUntil = now.Steady.Add(restAfterFull)
+		sr.fullUntil = now.Monotonic.Add(restAfterFull)
 	case workerclient.Unhealthy:
-		sr.restUntil = now.Steady.Add(restAfterUnhealthy)
+		sr.restUntil = now.Monotonic.Add(restAfterUnhealthy)
 		sr.faults += faultWeight * (1 - sr.faults)
 	case workerclient.RejectedInvalid:
 		r.task.shun(sr)
 	}
-	r.task.notBefore = now.Steady.Add(restAfterMisstart)
+	r.task.notBefore = now.Monotonic.Add(restAfterMisstart)
 	s.over(now, r)
 	s.unplaced = true
 }
 
-// StopResult takes that a stop was answered: the run has ended or is ending, or will never begin.
-func (s *Scheduler) StopResult(now Now, result *workerclient.StopResult) {
+// HandleStopResult takes that a stop was answered: the run has ended or is ending, or will never begin.
+func (s *Scheduler) HandleStopResult(now Now, result *workerclient.StopResult) {
 	sr := s.workers[result.Worker]
 	if sr == nil || !result.Answered {
 		return
@@ -302,8 +302,8 @@
 	}
 }
 
-// Reachable takes whether a worker answers.
-func (s *Scheduler) Reachable(now Now, id workerclient.WorkerID, reachable bool) {
+// SetReachable takes whether a worker answers.
+func (s *Scheduler) SetReachable(now Now, id workerclient.WorkerID, reachable bool) {
 	sr := s.workers[id]
 	if sr == nil {
 		return
@@ -327,8 +327,8 @@
 	s.again(now, r.task, r.execution)
 }
 
-// Gone takes that a worker's life is over: nothing runs there any more.
-func (s *Scheduler) Gone(now Now, id workerclient.WorkerID) {
+// RemoveWorker takes that a worker's life is over: nothing runs there any more.
+func (s *Scheduler) RemoveWorker(now Now, id workerclient.WorkerID) {
 	sr := s.workers[id]
 	if sr == nil {
 		return
@@ -343,10 +343,10 @@
 	s.unplaced = true
 }
 
-// Lapsed takes that everything granted to an unreachable worker under this leadership has run out.
-func (s *Scheduler) Lapsed(now Now, id workerclient.WorkerID) {
+// ExpireLease takes that everything granted to an unreachable worker under this leadership has run out.
+func (s *Scheduler) ExpireLease(now Now, id workerclient.WorkerID) {
 	sr := s.workers[id]
-	if sr == nil || sr.reachable || now.Steady.Before(s.inheritedUntil(sr)) {
+	if sr == nil || sr.reachable || now.Monotonic.Before(s.inheritedUntil(sr)) {
 		return
 	}
 	if len(sr.runs) > 0 {
@@ -357,7 +357,7 @@
 
 // inheritedUntil is when everything that earlier leaderships granted to a worker has run out.
 func (s *Scheduler) inheritedUntil(sr *worker) time.Time {
-	hold := s.settings.HoldMax + s.settings.HoldMax/20 // its clock may run 2% slow
+	hold := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
 	if !sr.fencedAt.IsZero() {
 		return sr.fencedAt.Add(hold)
 	}
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -41,7 +41,7 @@
 			if err := decode(key, value, &record); err != nil {
 				return err
 			}
-			record.since = now.Steady
+			record.since = now.Monotonic
 			s.ended[job.ID(key[len(endedPrefix):])] = record
 		}
 	}
@@ -87,7 +87,7 @@
 		}
 		j.times = append(j.times, newRepetition(j, number))
 	}
-	for len(j.times) < j.Specification.Times() && j.dueMS(len(j.times)) <= now.WallMS {
+	for len(j.times) < j.Specification.RepetitionCount() && j.dueMS(len(j.times)) <= now.WallMS {
 		j.times = append(j.times, newRepetition(j, len(j.times)))
 	}
 	s.advance(now, j) // sets when the next one begins
@@ -126,7 +126,7 @@
 	if j == nil {
 		return fmt.Errorf("task %v: its job has no record", id)
 	}
-	for id.Repetition >= len(j.times) && len(j.times) < j.Specification.Times() {
+	for id.Repetition >= len(j.times) && len(j.times) < j.Specification.RepetitionCount() {
 		j.times = append(j.times, newRepetition(j, len(j.times))) // begun by a clock ahead of ours
 	}
 	if id.Repetition >= len(j.times) || j.times[id.Repetition] == nil || id.Stage >= len(j.Specification.Stages) {
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -19,43 +19,43 @@
 
 // Settings are a deployment's bounds, from the settings file of the process.
 type Settings struct {
-	FarFactor   float64       // how much longer a task takes away from its data or across racks
-	StopTime    time.Duration // a stop takes at most this long
-	RestoreTime time.Duration // a start from a checkpoint takes this much longer
-	HoldMax     time.Duration // longest time that a worker keeps tasks without renewal
-	DrainTime   time.Duration // a draining worker stays at least this long
-	StatusKept  time.Duration // how long an ended job's state is kept
+	RemoteFactor    float64       // how much longer a task takes away from its data or across racks
+	StopTime        time.Duration // a stop takes at most this long
+	RestoreTime     time.Duration // a start from a checkpoint takes this much longer
+	MaxLease        time.Duration // longest time that a worker keeps tasks without renewal
+	DrainTime       time.Duration // a draining worker stays at least this long
+	StatusRetention time.Duration // how long an ended job's state is kept
 }
 
 // Now is the time of a call on both clocks.
 type Now struct {
-	Steady time.Time // for intervals
-	WallMS int64     // milliseconds since 1970, for due times; may jump
+	Monotonic time.Time // for intervals
+	WallMS    int64     // milliseconds since 1970, for due times; may jump
 }
 
-// Order is a start or a stop for one worker.
-type Order struct {
+// Command is a start or a stop for one worker.
+type Command struct {
 	Worker workerclient.WorkerID
 	Start  *workerclient.StartOrder // nil for a stop
 	Stop   *workerclient.StopOrder
 }
 
 // Noted says that all of a worker's ends up to Number are covered by the entries gathered so far.
-type Noted struct {
+type Acknowledgement struct {
 	Worker workerclient.WorkerID
 	Number uint64
 }
 
 // Effects are what the calls since the last Take want done: first the entries made durable, then the rest.
 type Effects struct {
-	Entries []replication.Entry
-	Orders  []Order
-	Noted   []Noted
+	Entries          []replication.Entry
+	Commands         []Command
+	Acknowledgements []Acknowledgement
 }
 
 // Empty tells whether there is nothing to do.
 func (e *Effects) Empty() bool {
-	return len(e.Entries) == 0 && len(e.Orders) == 0 && len(e.Noted) == 0
+	return len(e.Entries) == 0 && len(e.Commands) == 0 && len(e.Acknowledgements) == 0
 }
 
 // Scheduler is the state of one service's jobs under one leadership.
@@ -93,7 +93,7 @@
 func New(settings Settings, now Now, state map[string][]byte) (*Scheduler, error) {
 	s := &Scheduler{
 		settings:  settings,
-		startedAt: now.Steady,
+		startedAt: now.Monotonic,
 		jobs:      map[job.ID]*jobState{},
 		ended:     map[job.ID]endedRecord{},
 		workers:   map[workerclient.WorkerID]*worker{},
@@ -111,15 +111,15 @@
 	return s, nil
 }
 
-// Take returns the effects gathered since the last call.
-func (s *Scheduler) Take() Effects {
+// TakeEffects returns the effects gathered since the last call.
+func (s *Scheduler) TakeEffects() Effects {
 	effects := s.effects
 	s.effects = Effects{}
 	return effects
 }
 
-// Unplaced tells whether something has happened since the last Dispatch that may let waiting tasks start.
-func (s *Scheduler) Unplaced() bool { return s.unplaced }
+// NeedsDispatch tells whether something has happened since the last Dispatch that may let waiting tasks start.
+func (s *Scheduler) NeedsDispatch() bool { return s.unplaced }
 
 // Submit takes a job in; the same ID again is the same job.
 func (s *Scheduler) Submit(now Now, request *jobapi.Submit) {
@@ -160,8 +160,8 @@
 // Pending counts a route's jobs that have not ended.
 func (s *Scheduler) Pending(route string) int { return s.pending[route] }
 
-// Wanted tells whether a start that has become durable is still to be sent.
-func (s *Scheduler) Wanted(id workerclient.WorkerID, order *workerclient.StartOrder) bool {
+// StillWanted tells whether a start that has become durable is still to be sent.
+func (s *Scheduler) StillWanted(id workerclient.WorkerID, order *workerclient.StartOrder) bool {
 	sr := s.workers[id]
 	if sr == nil {
 		return false
--- a/internal/jobs/scheduler/scheduler_test.go
+++ b/internal/jobs/scheduler/scheduler_test.go
@@ -122,7 +122,7 @@
 		w.after(4*time.Second, func() {
 			w.machines[1].up = false
 			w.inventory()
-			w.scheduler.Gone(w.clock(), w.machines[1].ID)
+			w.scheduler.RemoveWorker(w.clock(), w.machines[1].ID)
 			w.propose()
 		})
 	}
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -109,7 +109,7 @@
 }
 
 func newJob(id job.ID, record jobRecord) *jobState {
-	return &jobState{jobRecord: record, id: id, left: record.Specification.Times(), nextDue: record.Specification.FirstRunMS}
+	return &jobState{jobRecord: record, id: id, left: record.Specification.RepetitionCount(), nextDue: record.Specification.FirstRunMS}
 }
 
 // dueMS is when a repetition begins, milliseconds since 1970; 0 for jobs without a schedule.
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -31,8 +31,8 @@
 )
 
 var (
-	storedSettings = Settings{FarFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-		HoldMax: 6 * time.Second, DrainTime: 3 * time.Second, StatusKept: time.Hour}
+	storedSettings = Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
+		MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour}
 	storedBegin = time.UnixMilli(1_700_000_000_000).UTC()
 )
 
@@ -59,20 +59,20 @@
 		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x",
 			Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4}, Labels: []string{"kind", fmt.Sprint("rack-", i)}})
 	}
-	g.scheduler.Inventory(g.clock(), instances)
+	g.scheduler.SetInventory(g.clock(), instances)
 	for _, id := range workers {
-		g.scheduler.Listing(g.clock(), &workerclient.Listing{Worker: workerclient.WorkerID(id), SentAt: g.now, First: true})
+		g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: workerclient.WorkerID(id), SentAt: g.now, First: true})
 	}
 	g.proceed()
 	return g
 }
 
-func (g *storedGroup) clock() Now { return Now{Steady: g.now, WallMS: g.now.UnixMilli()} }
+func (g *storedGroup) clock() Now { return Now{Monotonic: g.now, WallMS: g.now.UnixMilli()} }
 
 // proceed stores the records of what was decided, and answers all starts.
 func (g *storedGroup) proceed() {
 	g.scheduler.Dispatch(g.clock())
-	effects := g.scheduler.Take()
+	effects := g.scheduler.TakeEffects()
 	var changes []storage.Change
 	for _, entry := range effects.Entries {
 		changes = append(changes, storage.Change{Table: g.table, Key: entry.Key, Value: entry.Value})
@@ -80,12 +80,12 @@
 	if err := g.store.Write(changes...); err != nil {
 		panic(err)
 	}
-	for _, order := range effects.Orders {
+	for _, order := range effects.Commands {
 		if order.Start == nil {
 			continue
 		}
 		g.at[order.Start.Task], g.execution[order.Start.Task] = order.Worker, order.Start.Execution
-		g.scheduler.StartResult(g.clock(), &workerclient.StartResult{Worker: order.Worker, Order: *order.Start, Outcome: workerclient.Started, At: g.now})
+		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: order.Worker, Order: *order.Start, Outcome: workerclient.Started, At: g.now})
 	}
 }
 
@@ -101,11 +101,11 @@
 }
 
 // end reports that a task's newest run has ended.
-func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.How, checkpoint string) {
+func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
 	at := g.at[task]
 	g.ends[at]++
-	g.scheduler.Listing(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
+	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
 		{Number: g.ends[at], Task: task, Execution: g.execution[task], How: how, Checkpoint: checkpoint},
 	}})
 	g.proceed()
@@ -141,7 +141,7 @@
 	saving := one
 	saving.Count, saving.Checkpoints = 2, true
 	g.submit(runningJob, queue, staged(saving))
-	g.end(runningJob, 0, 0, 0, job.Failure, "save-1")
+	g.end(runningJob, 0, 0, 0, job.OutcomeFailed, "save-1")
 	g.pass(time.Second)
 	gang := one
 	gang.Count, gang.GangScheduled, gang.Checkpoints = 2, true, true
@@ -149,16 +149,16 @@
 	repeated := staged(one)
 	repeated.Repetitions, repeated.FirstRunMS, repeated.IntervalMS = 4, g.now.UnixMilli(), 1000
 	g.submit(repeatedJob, queue, repeated)
-	g.end(repeatedJob, 0, 0, 0, job.Done, "")
+	g.end(repeatedJob, 0, 0, 0, job.OutcomeDone, "")
 	g.pass(time.Second)
 	lasting := one
 	lasting.LongRunning = true
 	g.submit(lastingJob, queue, staged(lasting))
-	g.end(lastingJob, 0, 0, 0, job.Done, "")
+	g.end(lastingJob, 0, 0, 0, job.OutcomeDone, "")
 	second := one
 	second.DependsOn, second.Affinity = []int{0}, "rack-2"
 	g.submit(stagesJob, queue, staged(one, second))
-	g.end(stagesJob, 0, 0, 0, job.Done, "")
+	g.end(stagesJob, 0, 0, 0, job.OutcomeDone, "")
 	g.scheduler.SetOperatorDrain(g.clock(), "w-3", true)
 	g.scheduler.SetOperatorDrain(g.clock(), "w-2", true)
 	g.scheduler.SetOperatorDrain(g.clock(), "w-2", false)
@@ -173,8 +173,8 @@
 	g.submit(failedJob, queue, staged(one))
 	g.submit(cancelledJob, queue, staged(one))
 	g.pass(300 * time.Millisecond)
-	g.end(completedJob, 0, 0, 0, job.Done, "")
-	g.end(failedJob, 0, 0, 0, job.Failure, "")
+	g.end(completedJob, 0, 0, 0, job.OutcomeDone, "")
+	g.end(failedJob, 0, 0, 0, job.OutcomeFailed, "")
 	g.scheduler.Cancel(g.clock(), cancelledJob)
 	g.proceed()
 }
@@ -237,7 +237,7 @@
 	text := ""
 	for _, table := range []string{storedRender, storedMail} {
 		later := storedBegin.Add(2500 * time.Millisecond)
-		s, err := New(storedSettings, Now{Steady: later, WallMS: later.UnixMilli()}, tables[table])
+		s, err := New(storedSettings, Now{Monotonic: later, WallMS: later.UnixMilli()}, tables[table])
 		if err != nil {
 			return "", err
 		}
--- a/internal/jobs/scheduler/summary.go
+++ b/internal/jobs/scheduler/summary.go
@@ -2,8 +2,8 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/job"
 
-// Summary is a scheduler's load at one moment.
-type Summary struct {
+// Load is a scheduler's load at one moment.
+type Load struct {
 	Jobs        int           `json:"jobs"`      // that have not ended
 	Waiting     []int         `json:"waiting"`   // tasks whose turn has come, by priority
 	Gangs       int           `json:"gangs"`     // gangs whose turn has come
@@ -19,9 +19,9 @@
 // summaryPriorities is how many priorities a Summary tells apart; the rest count as the last.
 const summaryPriorities = 4
 
-// Summarize tells the load.
-func (s *Scheduler) Summarize(now Now) Summary {
-	summary := Summary{Jobs: len(s.jobs), Waiting: make([]int, summaryPriorities)}
+// CurrentLoad tells the load.
+func (s *Scheduler) CurrentLoad(now Now) Load {
+	summary := Load{Jobs: len(s.jobs), Waiting: make([]int, summaryPriorities)}
 	for _, stage := range s.stages {
 		priority := max(0, min(stage.job.Queue.Priority, summaryPriorities-1))
 		summary.Waiting[priority] += len(stage.waiting)
@@ -35,7 +35,7 @@
 	return summary
 }
 
-func (summary *Summary) add(s *Scheduler, now Now, sr *worker) {
+func (summary *Load) add(s *Scheduler, now Now, sr *worker) {
 	summary.Running += len(sr.runs)
 	for _, r := range sr.runs {
 		if r.stopping {
--- a/internal/jobs/scheduler/why.go
+++ b/internal/jobs/scheduler/why.go
@@ -66,13 +66,13 @@
 func (s *Scheduler) explainWaiting(now Now, stage *stageRun) jobreport.Waiting {
 	waiting := jobreport.Waiting{
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: len(stage.waiting), Request: stage.Resources,
-		AgeMS: now.Steady.Sub(stage.readyAt).Milliseconds(), Ahead: max(0, slices.Index(s.stages, stage)),
+		AgeMS: now.Monotonic.Sub(stage.readyAt).Milliseconds(), Ahead: max(0, slices.Index(s.stages, stage)),
 	}
 	open := 0
 	for _, sr := range s.list {
 		cause := s.ruledOut(now, stage, sr)
 		if cause != "" {
-			waiting.RuledOut = addRuledOut(waiting.RuledOut, cause, string(sr.ID))
+			waiting.Excluded = addRuledOut(waiting.Excluded, cause, string(sr.ID))
 			continue
 		}
 		open++
@@ -87,13 +87,13 @@
 func (s *Scheduler) reason(now Now, stage *stageRun, open int) jobreport.Reason {
 	switch {
 	case stage.GangScheduled && len(stage.waiting) < max(stage.left, stage.Count):
-		return jobreport.ReasonGangParts
+		return jobreport.ReasonGangActive
 	case pausing(now, stage):
-		return jobreport.ReasonPause
+		return jobreport.ReasonBackoff
 	case open == 0:
 		return jobreport.ReasonNoWorker
 	case stage.GangScheduled && s.roomForMembers(now, stage) < stage.Count:
-		return jobreport.ReasonGangRoom
+		return jobreport.ReasonGangCapacity
 	}
 	return jobreport.ReasonTurn
 }
@@ -103,7 +103,7 @@
 func pausing(now Now, stage *stageRun) bool {
 	paused := 0
 	for _, t := range stage.waiting {
-		if now.Steady.Before(t.notBefore) {
+		if now.Monotonic.Before(t.notBefore) {
 			paused++
 		}
 	}
@@ -140,13 +140,13 @@
 	case sr.fencedAt.IsZero():
 		return jobreport.CauseNotFenced
 	case len(sr.orphans) > 0:
-		return jobreport.CauseUnwantedRuns
+		return jobreport.CauseOrphans
 	case s.resting(now, sr):
-		return jobreport.CauseResting
+		return jobreport.CauseBackoff
 	case float64(len(sr.runs)) >= sr.window:
 		return jobreport.CauseWindow
 	case !sr.free().Fits(stage.Resources):
-		return jobreport.CauseRoom
+		return jobreport.CauseCapacity
 	case stage.AntiAffinity > 0 && sr.tasksOf(stage) >= stage.AntiAffinity:
 		return jobreport.CauseAntiAffinity
 	}
@@ -171,10 +171,10 @@
 	return ""
 }
 
-func addRuledOut(list []jobreport.RuledOut, cause jobreport.Cause, worker string) []jobreport.RuledOut {
-	at := slices.IndexFunc(list, func(one jobreport.RuledOut) bool { return one.Cause == cause })
+func addRuledOut(list []jobreport.Excluded, cause jobreport.Cause, worker string) []jobreport.Excluded {
+	at := slices.IndexFunc(list, func(one jobreport.Excluded) bool { return one.Cause == cause })
 	if at < 0 {
-		list = append(list, jobreport.RuledOut{Cause: cause})
+		list = append(list, jobreport.Excluded{Cause: cause})
 		at = len(list) - 1
 	}
 	list[at].Count++
--- a/internal/jobs/scheduler/wire_test.go
+++ b/internal/jobs/scheduler/wire_test.go
@@ -16,7 +16,7 @@
 		goldentest.Form{Name: "ended record", Value: new(endedRecord)},
 	)
 	goldentest.Check(t, goldentest.JSON,
-		goldentest.Form{Name: "summary", Value: new(Summary)},
+		goldentest.Form{Name: "summary", Value: new(Load)},
 	)
 }
 
--- a/internal/jobs/scheduler/world_test.go
+++ b/internal/jobs/scheduler/world_test.go
@@ -65,7 +65,7 @@
 type execution struct {
 	number uint64
 	ends   time.Duration
-	how    job.How
+	how    job.Outcome
 	began  time.Duration
 	length time.Duration
 	stuck  bool
@@ -89,8 +89,8 @@
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 1)), begin: time.Unix(1_700_000_000, 0), durable: map[string][]byte{},
 		tasks: map[job.TaskID]*taskFacts{}, jobs: map[job.ID]*jobFacts{}, epoch: 1,
-		settings: Settings{FarFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-			HoldMax: 6 * time.Second, DrainTime: 3 * time.Second, StatusKept: time.Hour},
+		settings: Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
+			MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour},
 	}
 	for i := range machines {
 		w.addMachine(fmt.Sprintf("s%02d", i), i)
@@ -111,7 +111,7 @@
 
 func (w *world) clock() Now {
 	at := w.begin.Add(w.now)
-	return Now{Steady: at, WallMS: at.UnixMilli()}
+	return Now{Monotonic: at, WallMS: at.UnixMilli()}
 }
 
 // elect begins a new leadership from what is durable; what was not is lost.
@@ -138,14 +138,14 @@
 			instances = append(instances, m.Instance)
 		}
 	}
-	w.scheduler.Inventory(w.clock(), instances)
+	w.scheduler.SetInventory(w.clock(), instances)
 	w.propose()
 }
 
 // propose takes what the scheduler wants done; it is durable a little later.
 func (w *world) propose() {
 	w.scheduler.Dispatch(w.clock())
-	effects := w.scheduler.Take()
+	effects := w.scheduler.TakeEffects()
 	if !effects.Empty() {
 		w.flight = append(w.flight, batch{w.now + 15*time.Millisecond, effects})
 	}
@@ -190,7 +190,7 @@
 	if !w.lostRecord {
 		w.apply(effects.Entries)
 	}
-	for _, order := range effects.Orders {
+	for _, order := range effects.Commands {
 		m := w.machine(order.Worker)
 		if m == nil {
 			continue
@@ -199,11 +199,11 @@
 			w.sendStop(m, *order.Stop, w.epoch, w.scheduler)
 			continue
 		}
-		if w.scheduler.Wanted(order.Worker, order.Start) {
+		if w.scheduler.StillWanted(order.Worker, order.Start) {
 			w.sendStart(m, *order.Start, w.epoch, w.scheduler)
 		}
 	}
-	for _, noted := range effects.Noted {
+	for _, noted := range effects.Acknowledgements {
 		m := w.machine(noted.Worker)
 		if m != nil && !m.cut && m.up {
 			w.acknowledge(m, noted.Number)
@@ -227,8 +227,8 @@
 			continue
 		}
 		facts := w.facts(end.Task)
-		facts.doneNoted = facts.doneNoted || end.How == job.Done
-		if end.How == job.Failure {
+		facts.doneNoted = facts.doneNoted || end.How == job.OutcomeDone
+		if end.How == job.OutcomeFailed {
 			facts.failNoted[end.Execution] = true
 		}
 	}
@@ -250,7 +250,7 @@
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
 		return
 	}
-	validUntil := w.now + w.settings.HoldMax
+	validUntil := w.now + w.settings.MaxLease
 	if w.random.Float64() < w.lateShare {
 		late := 2*time.Second + time.Duration(w.random.Int64N(int64(10*time.Second)))
 		w.after(late, func() { w.carryOut(m, order, epoch, validUntil, true) })
@@ -267,8 +267,8 @@
 	if sender != w.scheduler {
 		return
 	}
-	result.At = w.clock().Steady
-	w.scheduler.StartResult(w.clock(), &result)
+	result.At = w.clock().Monotonic
+	w.scheduler.HandleStartResult(w.clock(), &result)
 	w.propose()
 }
 
@@ -285,7 +285,7 @@
 		return workerclient.RejectedFence
 	}
 	m.fence = epoch
-	if m.holdUntil = max(m.holdUntil, min(validUntil, w.now+w.settings.HoldMax)); validUntil <= w.now {
+	if m.holdUntil = max(m.holdUntil, min(validUntil, w.now+w.settings.MaxLease)); validUntil <= w.now {
 		return workerclient.RejectedLate
 	}
 	if order.Execution <= m.closed[order.Task] {
@@ -306,9 +306,9 @@
 	}
 	w.judge(m, order, facts, stage, late)
 	length := facts.lengths[order.Task]
-	run := &execution{number: order.Execution, how: job.Done, began: w.now, length: length, ends: w.now + length}
+	run := &execution{number: order.Execution, how: job.OutcomeDone, began: w.now, length: length, ends: w.now + length}
 	if facts.poison || m.failing {
-		run.how, run.ends = job.Failure, w.now+length/2
+		run.how, run.ends = job.OutcomeFailed, w.now+length/2
 	}
 	if stage.LongRunning {
 		run.ends = w.now + time.Hour
@@ -391,17 +391,17 @@
 		if epoch >= m.fence {
 			m.fence = epoch
 			if run := m.running[order.Task]; run != nil && run.number <= order.Execution {
-				w.end(m, order.Task, job.Stopped)
+				w.end(m, order.Task, job.OutcomeStopped)
 			}
 			m.closed[order.Task] = max(m.closed[order.Task], order.Execution)
 		}
-		w.scheduler.StopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Order: order, Answered: true, At: w.clock().Steady})
+		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Order: order, Answered: true, At: w.clock().Monotonic})
 		w.propose()
 	})
 }
 
 // end ends a run and, as its workers do, the other members of its gang.
-func (w *world) end(m *machine, id job.TaskID, how job.How) {
+func (w *world) end(m *machine, id job.TaskID, how job.Outcome) {
 	run := m.running[id]
 	delete(m.running, id)
 	m.closed[id] = max(m.closed[id], run.number)
@@ -411,15 +411,15 @@
 	}
 	m.ends = append(m.ends, workerclient.FinishedTask{Number: number, Task: id, Execution: run.number, How: how})
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
-	if how == job.Done {
+	if how == job.OutcomeDone {
 		w.facts(id).done = true
 	}
 	if !stage.GangScheduled {
 		return
 	}
-	others := job.Broken
-	if how == job.Done {
-		others = job.Done
+	others := job.OutcomeGangBroken
+	if how == job.OutcomeDone {
+		others = job.OutcomeDone
 	}
 	for _, other := range w.machines {
 		for _, member := range sortedTasks(other.running) {
@@ -441,7 +441,7 @@
 	if w.now >= m.holdUntil {
 		for _, id := range sortedTasks(m.running) {
 			if m.running[id] != nil {
-				w.end(m, id, job.Lapsed)
+				w.end(m, id, job.OutcomeLeaseExpired)
 			}
 		}
 		return
@@ -485,9 +485,9 @@
 	}
 	m.told = true
 	m.fence = max(m.fence, w.epoch)
-	m.holdUntil = max(m.holdUntil, w.now+w.settings.HoldMax)
+	m.holdUntil = max(m.holdUntil, w.now+w.settings.MaxLease)
 	m.grantedBy = m.holdUntil
-	listing := workerclient.Listing{Worker: m.ID, SentAt: w.clock().Steady, First: m.fenced != w.epoch, Finished: slices.Clone(m.ends)}
+	listing := workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, First: m.fenced != w.epoch, Finished: slices.Clone(m.ends)}
 	m.fenced = w.epoch
 	for _, id := range sortedTasks(m.running) {
 		run := m.running[id]
@@ -497,7 +497,7 @@
 		}
 		listing.Running = append(listing.Running, workerclient.RunningTask{Task: id, Execution: run.number, Percent: min(percent, 99)})
 	}
-	w.scheduler.Listing(w.clock(), &listing)
+	w.scheduler.HandleReport(w.clock(), &listing)
 	w.propose()
 }
 
@@ -505,9 +505,9 @@
 	if !m.told {
 		return
 	}
-	w.scheduler.Reachable(w.clock(), m.ID, false)
+	w.scheduler.SetReachable(w.clock(), m.ID, false)
 	if w.now > m.grantedBy+LateOrders+7*time.Second {
-		w.scheduler.Lapsed(w.clock(), m.ID)
+		w.scheduler.ExpireLease(w.clock(), m.ID)
 	}
 	w.propose()
 }
@@ -516,7 +516,7 @@
 	m.up = false
 	w.addMachine(successor, len(w.machines))
 	w.after(time.Second, func() {
-		w.scheduler.Gone(w.clock(), m.ID)
+		w.scheduler.RemoveWorker(w.clock(), m.ID)
 		w.propose()
 		w.inventory()
 	})
@@ -525,7 +525,7 @@
 func (w *world) submit(facts *jobFacts) {
 	w.jobs[facts.request.ID] = facts
 	facts.lengths = map[job.TaskID]time.Duration{}
-	for repetition := range facts.request.Specification.Times() {
+	for repetition := range facts.request.Specification.RepetitionCount() {
 		for number, stage := range facts.request.Specification.Stages {
 			for index := range stage.Count {
 				length := time.Duration(100+w.random.IntN(900)) * time.Millisecond
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -101,9 +101,9 @@
 				return l.SentAt.Sub(started) > budgetedHold+budgetedHold/2 && len(l.Running) == 1
 			})
 			for i, worker := range b.workers {
-				convey.So(worker.Finish(task(i), job.Done), convey.ShouldBeNil)
+				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
-			b.awaitEach(func(_ int, l Listing) bool { return len(l.Finished) == 1 && l.Finished[0].How == job.Done })
+			b.awaitEach(func(_ int, l Listing) bool { return len(l.Finished) == 1 && l.Finished[0].How == job.OutcomeDone })
 			for _, link := range b.links {
 				link.Acknowledge(1)
 			}
@@ -177,7 +177,7 @@
 		})
 		convey.Convey("no call waits for an end any more once all ends are acknowledged", func() {
 			for i, worker := range b.workers {
-				convey.So(worker.Finish(task(i), job.Done), convey.ShouldBeNil)
+				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
 			var holds uint64
 			for i, link := range b.links {
--- a/internal/jobs/workerclient/entries.go
+++ b/internal/jobs/workerclient/entries.go
@@ -40,7 +40,7 @@
 	e.task.Number = r.count()
 	name := r.text()
 	e.task.Execution = r.count()
-	e.task.How = job.How(r.text())
+	e.task.How = job.Outcome(r.text())
 	e.task.Checkpoint = r.text()
 	e.task.Task, e.bad = job.ParseTaskID(name)
 	return r.err
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -41,7 +41,7 @@
 				b.worker.SetFaults(nil)
 				awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable })
 				convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
-				convey.So(b.worker.Finish(task(2), job.Done), convey.ShouldBeNil)
+				convey.So(b.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
 				await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a hold after the look
 				convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, held)
 			})
@@ -74,7 +74,7 @@
 			b.worker.SetFaults(nil)
 			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 			ended := await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
-			convey.So(ended.Finished[0].How, convey.ShouldEqual, job.Stopped)
+			convey.So(ended.Finished[0].How, convey.ShouldEqual, job.OutcomeStopped)
 		})
 	})
 }
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -126,10 +126,10 @@
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
 			convey.So(both.Running[1].Execution, convey.ShouldEqual, 5)
 			convey.So(both.Running[0].Checkpoint, convey.ShouldEqual, "00000bb8")
-			convey.So(b.worker.Finish(task(1), job.Failure), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(1), job.OutcomeFailed), convey.ShouldBeNil)
 			listed := await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(listed.Finished[0].Number, convey.ShouldEqual, 1)
-			convey.So(listed.Finished[0].How, convey.ShouldEqual, job.Failure)
+			convey.So(listed.Finished[0].How, convey.ShouldEqual, job.OutcomeFailed)
 			convey.So(listed.Partial, convey.ShouldBeFalse)
 
 			convey.Convey("again and again until it is acknowledged", func() {
@@ -179,7 +179,7 @@
 		}
 		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 		for i := range runs {
-			convey.So(b.worker.Finish(task(i), job.Done), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 		}
 		b.worker.SetFaults(nil)
 		convey.Convey("all are heard, and a full page is marked", func() {
--- a/internal/jobs/workerclient/look_test.go
+++ b/internal/jobs/workerclient/look_test.go
@@ -99,7 +99,7 @@
 		b.awaitHold() // the next one follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
 		convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(holdMax-100*time.Millisecond))
-		convey.So(b.worker.Finish(task(0), job.Done), convey.ShouldBeNil)
+		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
 		ended := time.Now()
 		await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 		convey.So(time.Since(ended), convey.ShouldBeLessThan, 10*time.Millisecond)
@@ -220,7 +220,7 @@
 		b.awaitHold()
 		sent := time.Now()
 		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Started)
-		convey.So(b.worker.Finish(task(0), job.Done), convey.ShouldBeNil) // the hold is answered slowly
+		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the hold is answered slowly
 		time.Sleep(2 * time.Millisecond)
 		convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
 		b.link.Stop(StopOrder{task(5), 1})
@@ -242,7 +242,7 @@
 			convey.So(b.start(order(i, 1)), convey.ShouldEqual, Started)
 		}
 		for i := range 5 { // none of them is acknowledged
-			convey.So(b.worker.Finish(task(i), job.Done), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			ended := time.Now()
 			await(t, b.events, func(l Listing) bool { return len(l.Finished) == i+1 })
 			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedHoldPause+2*calmWay)
@@ -272,7 +272,7 @@
 		for i := range ends {
 			time.Sleep(seconds / ends * time.Second)
 			convey.So(b.start(order(i+1, 1)), convey.ShouldEqual, Started)
-			convey.So(b.worker.Finish(task(i+1), job.Done), convey.ShouldBeNil)
+			convey.So(b.worker.Finish(task(i+1), job.OutcomeDone), convey.ShouldBeNil)
 		}
 		calls := b.worker.Calls(cluster.HoldCall) - before
 		convey.So(calls, convey.ShouldBeBetween, seconds-ends, seconds+ends)
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -20,17 +20,17 @@
 
 // Instance is what the platform's list says about one worker.
 type Instance struct {
-	ID              WorkerID
-	Service         string
-	Address         string
-	Zone            string
-	Version         string
-	Slots           int
-	Draining        bool
-	RemainingMS     int64 // the least time that a draining worker has left, in milliseconds; 0 when unknown
-	ColdRemainingMS int64 // how long a new worker stays slow, in milliseconds
-	Capacity        job.Resources
-	Labels          []string
+	ID                WorkerID
+	Service           string
+	Address           string
+	Zone              string
+	Version           string
+	Slots             int
+	Draining          bool
+	RemainingMS       int64 // the least time that a draining worker has left, in milliseconds; 0 when unknown
+	WarmupRemainingMS int64 // how long a new worker stays slow, in milliseconds
+	Capacity          job.Resources
+	Labels            []string
 }
 
 // RunningTask is one entry of a worker's list of runs.
@@ -46,7 +46,7 @@
 	Number     uint64 // counts the ends of one life of a worker from 1
 	Task       job.TaskID
 	Execution  uint64
-	How        job.How
+	How        job.Outcome
 	Checkpoint string
 }
 
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -53,7 +53,7 @@
 			convey.So(r.Running[1].task.Execution, convey.ShouldEqual, 1)
 			convey.So(r.Running[2].task.Checkpoint, convey.ShouldEqual, "a\\\",\u00fcb")
 			convey.So(r.Finished[0].task, convey.ShouldResemble, FinishedTask{
-				58, job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 9}, 1, job.Done, ""})
+				58, job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 9}, 1, job.OutcomeDone, ""})
 		})
 		convey.Convey("a name that cannot be read is marked", func() {
 			convey.So(r.Finished[0].bad, convey.ShouldBeNil)
@@ -95,7 +95,7 @@
 		Running: []runningEntry{{task: RunningTask{
 			Task: job.TaskID{Job: "a", Repetition: 1, Stage: 2, Index: 3}, Execution: 4, Checkpoint: "text 1", Percent: 50}}},
 		Finished: []finishedEntry{{task: FinishedTask{
-			Number: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, Execution: 10, How: job.Done, Checkpoint: "text 2"}}},
+			Number: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, Execution: 10, How: job.OutcomeDone, Checkpoint: "text 2"}}},
 	}
 	if !reflect.DeepEqual(read, want) {
 		t.Errorf("read as %+v, want %+v", read, want)
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -166,8 +166,8 @@
 	jobs := manager.New(manager.Config{
 		HTTP: &http.Client{Transport: &orders{w, m, life}}, Log: zap.NewNop(),
 		Settings: scheduler.Settings{
-			FarFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-			HoldMax: holdMax, DrainTime: 3 * time.Second, StatusKept: time.Hour,
+			RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
+			MaxLease: holdMax, DrainTime: 3 * time.Second, StatusRetention: time.Hour,
 		},
 	})
 	jobs.Inventory(w.instances)
--- a/internal/systemtest/plans_test.go
+++ b/internal/systemtest/plans_test.go
@@ -73,7 +73,7 @@
 		profile.Duration = 0
 	}
 	if plan.hopeless {
-		profile.Ends = job.Failure
+		profile.Ends = job.OutcomeFailed
 	}
 	return profile
 }
--- a/internal/tools/demo/cluster/summary.go
+++ b/internal/tools/demo/cluster/summary.go
@@ -70,7 +70,7 @@
 	runs := map[job.ID]int{}
 	for _, record := range records {
 		runs[record.Task.Job]++
-		if record.How == job.Done {
+		if record.How == job.OutcomeDone {
 			done[record.Task] = true
 		}
 	}
@@ -119,7 +119,7 @@
 	for _, record := range records { // in the order of their starts
 		for _, earlier := range byTask[record.Task] {
 			overlaps := earlier.EndedAt.IsZero() || earlier.EndedAt.After(record.StartedAt)
-			if overlaps || earlier.How == job.Done && earlier.Acknowledged {
+			if overlaps || earlier.How == job.OutcomeDone && earlier.Acknowledged {
 				found[record.Task] = true
 			}
 		}
