--- a/cmd/puffinlink/operationsprint.go
+++ b/cmd/puffinlink/operationsprint.go
@@ -126,7 +126,7 @@
 		if run.Stopping {
 			state = "stopping"
 		}
-		rows = append(rows, []string{run.Task, fmt.Sprint(run.Execution), run.Worker, milliseconds(run.AgeMS).String(), fmt.Sprintf("%d%%", run.Percent), state})
+		rows = append(rows, []string{run.Task, fmt.Sprint(run.Number), run.Worker, milliseconds(run.AgeMS).String(), fmt.Sprintf("%d%%", run.Percent), state})
 	}
 	printTable(rows)
 }
--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -100,7 +100,7 @@
 // Attempt is one run of a task that may be under way.
 type Attempt struct {
 	Task      string `msgpack:"t" json:"task"`
-	Execution uint64 `msgpack:"x" json:"execution"`
+	Number    uint64 `msgpack:"x" json:"execution"`
 	Worker    string `msgpack:"s" json:"searcher"`
 	AgeMS     int64  `msgpack:"a" json:"ageMs"` // since it was assigned, or since this leader took over
 	Confirmed bool   `msgpack:"c" json:"confirmed"`
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -179,7 +179,7 @@
 	}
 	for _, noted := range effects.Acknowledgements {
 		if link := l.links[noted.Worker]; link != nil {
-			link.Acknowledge(noted.Number)
+			link.Acknowledge(noted.CompletionNumber)
 		}
 	}
 }
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -137,7 +137,7 @@
 	if request.BaseVersion == nil {
 		return l.scheduler.SetOperatorDrain(now, id, request.Draining), jobreport.DrainTaken
 	}
-	outcome = l.scheduler.ChangeOperatorDrain(now, id, scheduler.DrainChange{Draining: request.Draining, OnTopOf: *request.BaseVersion})
+	outcome = l.scheduler.ChangeOperatorDrain(now, id, scheduler.DrainChange{Draining: request.Draining, BaseVersion: *request.BaseVersion})
 	return outcome != jobreport.DrainUnknown, outcome
 }
 
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -212,7 +212,7 @@
 
 func reportRun(now Now, r *run) jobreport.Attempt {
 	return jobreport.Attempt{
-		Task: r.task.id.String(), Execution: r.execution, Worker: string(r.at.ID), AgeMS: now.Monotonic.Sub(r.orderedAt).Milliseconds(),
+		Task: r.task.id.String(), Number: r.execution, Worker: string(r.at.ID), AgeMS: now.Monotonic.Sub(r.orderedAt).Milliseconds(),
 		Confirmed: r.seen || !r.answeredAt.IsZero(), Stopping: r.stopping, Percent: r.percent,
 	}
 }
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -40,12 +40,12 @@
 // judge tells what an order comes to that builds on a version. What was taken stays taken: the order that made version N+1 is the one
 // that asked on top of N for what N+1 is.
 func (r operatorDrainRecord) judge(order DrainChange) jobreport.DrainOutcome {
-	if order.OnTopOf == r.Version {
+	if order.BaseVersion == r.Version {
 		return jobreport.DrainTaken
 	}
-	since := r.Version - order.OnTopOf - 1 // versions after the one that was made on top of it
+	since := r.Version - order.BaseVersion - 1 // versions after the one that was made on top of it
 	switch {
-	case order.OnTopOf > r.Version || since >= drainHistory:
+	case order.BaseVersion > r.Version || since >= drainHistory:
 		return jobreport.DrainUnclear
 	case (r.History>>since&1 == 1) == order.Draining:
 		return jobreport.DrainTaken
@@ -55,8 +55,8 @@
 
 // DrainChange is an operator's order to drain a worker, or to end that, on top of the version that the operator has read.
 type DrainChange struct {
-	Draining bool
-	OnTopOf  uint64
+	Draining    bool
+	BaseVersion uint64
 }
 
 // operatorDrain is one such worker.
@@ -87,7 +87,7 @@
 	}
 	record := s.operatorDrains.record(id)
 	outcome := record.judge(order)
-	if order.OnTopOf == record.Version {
+	if order.BaseVersion == record.Version {
 		s.takeDrain(now, id, order.Draining)
 	}
 	return outcome
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -46,8 +46,8 @@
 }
 
 func TestDrainOrdersOnTopOfVersions(t *testing.T) {
-	drain := func(version uint64) DrainChange { return DrainChange{Draining: true, OnTopOf: version} }
-	undrain := func(version uint64) DrainChange { return DrainChange{OnTopOf: version} }
+	drain := func(version uint64) DrainChange { return DrainChange{Draining: true, BaseVersion: version} }
+	undrain := func(version uint64) DrainChange { return DrainChange{BaseVersion: version} }
 	Convey("Given a searcher that nobody has drained", t, func() {
 		w := newWorld(1, 3)
 		w.steps(20)
@@ -78,7 +78,7 @@
 			So(order(drain(1)), ShouldEqual, jobreport.DrainUnclear)
 			So(order(undrain(math.MaxUint64)), ShouldEqual, jobreport.DrainUnclear)
 			for version := range uint64(drainHistory + 1) {
-				So(order(DrainChange{Draining: version%3 == 0, OnTopOf: version}), ShouldEqual, jobreport.DrainTaken)
+				So(order(DrainChange{Draining: version%3 == 0, BaseVersion: version}), ShouldEqual, jobreport.DrainTaken)
 			}
 			So(order(drain(0)), ShouldEqual, jobreport.DrainUnclear)
 			So(order(undrain(1)), ShouldEqual, jobreport.DrainTaken)
--- a/internal/jobs/scheduler/reports.go
+++ b/internal/jobs/scheduler/reports.go
@@ -148,11 +148,11 @@
 func (s *Scheduler) noteLast(sr *worker) {
 	for i := range s.effects.Acknowledgements {
 		if s.effects.Acknowledgements[i].Worker == sr.ID {
-			s.effects.Acknowledgements[i].Number = sr.noted
+			s.effects.Acknowledgements[i].CompletionNumber = sr.noted
 			return
 		}
 	}
-	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: sr.ID, Number: sr.noted})
+	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: sr.ID, CompletionNumber: sr.noted})
 }
 
 // keepCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -42,8 +42,8 @@
 
 // Noted says that all of a worker's ends up to Number are covered by the entries gathered so far.
 type Acknowledgement struct {
-	Worker workerclient.WorkerID
-	Number uint64
+	Worker           workerclient.WorkerID
+	CompletionNumber uint64
 }
 
 // Effects are what the calls since the last Take want done: first the entries made durable, then the rest.
--- a/internal/jobs/scheduler/world_test.go
+++ b/internal/jobs/scheduler/world_test.go
@@ -206,7 +206,7 @@
 	for _, noted := range effects.Acknowledgements {
 		m := w.machine(noted.Worker)
 		if m != nil && !m.cut && m.up {
-			w.acknowledge(m, noted.Number)
+			w.acknowledge(m, noted.CompletionNumber)
 		}
 	}
 }
