--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -116,13 +116,13 @@
 }
 
 func TestErrorsAsAttempts(t *testing.T) {
-	Convey("A try's error is judged by its verdict", t, func() {
+	Convey("The result of an attempt follows from what its error says of the execution", t, func() {
 		cause := errors.New("x")
 		So(attemptOf(nil).result, ShouldEqual, answered)
 		So(attemptOf(cause).result, ShouldEqual, unclear)
-		So(attemptOf(rpcerror.Unclear(cause)).result, ShouldEqual, unclear)
-		So(attemptOf(rpcerror.Unexecuted(cause, 0)).result, ShouldEqual, refused)
-		So(attemptOf(rpcerror.Unexecuted(cause, ms(7))), ShouldResemble, attempt{overloaded, ms(7)})
+		So(attemptOf(rpcerror.WrapMayHaveExecuted(cause)).result, ShouldEqual, unclear)
+		So(attemptOf(rpcerror.WrapNotExecuted(cause, 0)).result, ShouldEqual, refused)
+		So(attemptOf(rpcerror.WrapNotExecuted(cause, ms(7))), ShouldResemble, attempt{overloaded, ms(7)})
 	})
 }
 
