--- a/cmd/puffinlink/proxy.go
+++ b/cmd/puffinlink/proxy.go
@@ -74,7 +74,7 @@
 }
 
 // configurationRouter adapts a table of the configuration for the proxy.
-type configurationRouter struct{ table *configuration.Table }
+type configurationRouter struct{ table *configuration.RoutingTable }
 
 // buildRouter reads a configuration as the operator sent it.
 func buildRouter(raw []byte) (proxy.Router, error) {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return configurationRouter{configuration.NewTable(parsed)}, nil
+	return configurationRouter{configuration.NewRoutingTable(parsed)}, nil
 }
 
 // Match implements proxy.Router.
--- a/internal/controlplane/configuration/announce.go
+++ b/internal/controlplane/configuration/announce.go
@@ -9,50 +9,50 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// LearnCall is served by core nodes: another one tells that a majority holds a newer configuration.
-var LearnCall = transport.NewRepeatable[Learn, LearnReply]("/configuration/learn")
+// AnnounceCall is served by core nodes: another one tells that a majority holds a newer configuration.
+var AnnounceCall = transport.NewRepeatable[Announcement, AnnouncementReply]("/configuration/learn")
 
-// learnTimeout bounds one such call. A member that misses it finds the change by its own quorum reads.
-const learnTimeout = time.Second
+// announceTimeout bounds one such call. A member that misses it finds the change by its own quorum reads.
+const announceTimeout = time.Second
 
-// Learn names a version that a majority holds. The receiver reads it from a majority, most often out of its own replica of
+// Announcement names a version that a majority holds. The receiver reads it from a majority, most often out of its own replica of
 // the register, so that the configuration itself is sent to each member once, when the member accepts it.
-type Learn struct {
+type Announcement struct {
 	Version uint64 `msgpack:"n"`
 	Value   []byte `msgpack:"v,omitempty"` // the register's value in its place, from builds that send it
 }
 
-// LearnReply tells which version the receiver knows so far.
-type LearnReply struct {
+// AnnouncementReply tells which version the receiver knows so far.
+type AnnouncementReply struct {
 	Version uint64 `msgpack:"v"`
 }
 
 // Mount serves the calls of other members.
 func (c *Configurator) Mount(mux *transport.Mux) {
-	transport.Handle(mux, LearnCall, func(_ context.Context, learn Learn) (LearnReply, error) {
-		if len(learn.Value) > 0 {
-			if err := c.learn(learn.Value); err != nil {
-				return LearnReply{}, err
+	transport.Handle(mux, AnnounceCall, func(_ context.Context, announcement Announcement) (AnnouncementReply, error) {
+		if len(announcement.Value) > 0 {
+			if err := c.adoptEncoded(announcement.Value); err != nil {
+				return AnnouncementReply{}, err
 			}
 		}
-		known := c.known().Version
-		if learn.Version > known {
-			c.readSoon()
+		cachedVersion := c.cached().Version
+		if announcement.Version > cachedVersion {
+			c.triggerRead()
 		}
-		return LearnReply{Version: known}, nil
+		return AnnouncementReply{Version: cachedVersion}, nil
 	})
 }
 
-// readSoon makes Run read at once, or again if it is reading.
-func (c *Configurator) readSoon() {
+// triggerRead makes Run read at once, or again if it is reading.
+func (c *Configurator) triggerRead() {
 	select {
-	case c.toldNewer <- struct{}{}:
+	case c.newerAnnounced <- struct{}{}:
 	default:
 	}
 }
 
-// tellMembers tells every other member of a version that a majority holds, without waiting for them.
-func (c *Configurator) tellMembers(version uint64) {
+// announceToMembers tells every other member of a version that a majority holds, without waiting for them.
+func (c *Configurator) announceToMembers(version uint64) {
 	members := c.options.Members().Members
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -63,14 +63,14 @@
 		if member == c.options.Address {
 			continue
 		}
-		c.announce.Go(func() { c.tell(member, version) })
+		c.announcements.Go(func() { c.announceTo(member, version) })
 	}
 }
 
-func (c *Configurator) tell(member string, version uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), learnTimeout)
+func (c *Configurator) announceTo(member string, version uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
-	if _, err := LearnCall.Call(ctx, c.options.Caller, member, Learn{Version: version}); err != nil {
+	if _, err := AnnounceCall.Call(ctx, c.options.Caller, member, Announcement{Version: version}); err != nil {
 		c.options.Logger.Debug("member not told of the configuration", zap.String("member", member), zap.Error(err))
 	}
 }
--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -55,10 +55,10 @@
 type Configurator struct {
 	options Options
 	// changing admits one change of this process at a time, so that its own proposals do not compete.
-	changing chan struct{}
-	announce sync.WaitGroup // calls that tell other members
-	// toldNewer holds a token while another member has told of a version that was not known here.
-	toldNewer chan struct{}
+	changing      chan struct{}
+	announcements sync.WaitGroup // calls that tell other members
+	// newerAnnounced holds a token while another member has told of a version that was not known here.
+	newerAnnounced chan struct{}
 
 	mutex    sync.Mutex
 	value    []byte // the register's value that state was decoded from
@@ -75,14 +75,14 @@
 		changing: make(chan struct{}, 1),
 		changed:  make(chan struct{}),
 
-		toldNewer: make(chan struct{}, 1),
+		newerAnnounced: make(chan struct{}, 1),
 	}
 }
 
 // Current returns the newest version known to be held by a majority, with its body as the operator sent it; version 0
 // before the first. It does not ask other members.
 func (c *Configurator) Current() (version uint64, body []byte) {
-	state := c.known()
+	state := c.cached()
 	return state.Version, state.Body
 }
 
@@ -108,10 +108,10 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	if err := c.learn(value); err != nil {
+	if err := c.adoptEncoded(value); err != nil {
 		return 0, nil, err
 	}
-	c.confirm(began)
+	c.recordRead(began)
 	version, body = c.Current()
 	return version, body, nil
 }
@@ -119,17 +119,17 @@
 // Put takes an order: the body replaces the configuration if version ifMatch is current. An order that was taken
 // before is accepted again, also after later changes.
 func (c *Configurator) Put(ctx context.Context, ifMatch uint64, body []byte) Outcome {
-	asked := newOrder(ifMatch, body)
-	if taken, found := c.known().find(asked); found {
-		return accepted(taken.Version) // before the checks: those of an earlier release may have let it pass
+	request := newUpdateRequest(ifMatch, body)
+	if applied, found := c.cached().findApplied(request); found {
+		return acceptedOutcome(applied.Version) // before the checks: those of an earlier release may have let it pass
 	}
 	parsed, err := Parse(body)
 	if err != nil {
-		return refused(err)
+		return invalidOutcome(err)
 	}
-	asked.version = parsed.Version
-	if asked.version <= ifMatch {
-		return refused(notAbove(asked.version, ifMatch))
+	request.version = parsed.Version
+	if request.version <= ifMatch {
+		return invalidOutcome(versionNotAbove(request.version, ifMatch))
 	}
 	select {
 	case c.changing <- struct{}{}:
@@ -137,53 +137,53 @@
 	case <-ctx.Done():
 		return Outcome{Kind: Unavailable, Err: fmt.Errorf("wait for earlier changes: %w", ctx.Err())}
 	}
-	if ifMatch < c.known().Version {
-		return c.decideOld(ctx, asked)
+	if ifMatch < c.cached().Version {
+		return c.evaluateOutdated(ctx, request)
 	}
-	return c.change(ctx, asked)
+	return c.applyThroughRegister(ctx, request)
 }
 
-// decideOld answers an order on top of a version that was replaced. Versions only rise: it cannot be taken any more, and the
+// evaluateOutdated answers an order on top of a version that was replaced. Versions only rise: it cannot be taken any more, and the
 // history shows whether it was. The state comes from a majority after the order has arrived, as every refusal does: a
 // node that is cut off refuses nothing. A read, unlike a change, does not compete with the order that may be taken.
-func (c *Configurator) decideOld(ctx context.Context, asked order) Outcome {
+func (c *Configurator) evaluateOutdated(ctx context.Context, request updateRequest) Outcome {
 	if _, _, err := c.Read(ctx); err != nil {
 		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: err}
 	}
-	return c.known().decide(asked)
+	return c.cached().evaluate(request)
 }
 
-// change runs an order through the register. A refusal leaves the value as it is instead of ending the change with an
+// applyThroughRegister runs an order through the register. A refusal leaves the value as it is instead of ending the change with an
 // error, so that it rests on a value that a majority holds and not on a change that may still be lost.
-func (c *Configurator) change(ctx context.Context, asked order) Outcome {
+func (c *Configurator) applyThroughRegister(ctx context.Context, request updateRequest) Outcome {
 	began := time.Now()
-	before := c.known().Version
+	before := c.cached().Version
 	value, err := c.options.Register.Change(ctx, func(current []byte) ([]byte, error) {
 		state, err := DecodeState(current)
 		if err != nil {
 			return nil, err
 		}
-		if state.decide(asked).Kind != Undecided {
+		if state.evaluate(request).Kind != Undecided {
 			return current, nil
 		}
-		return state.after(asked).Encode()
+		return state.apply(request).Encode()
 	})
 	if err != nil {
-		return failure(err)
+		return registerFailure(err)
 	}
 	committed, err := DecodeState(value)
 	if err != nil {
 		return Outcome{Kind: Unclear, Err: err}
 	}
 	c.adopt(value, committed)
-	c.confirm(began)
+	c.recordRead(began)
 	if committed.Version > before {
-		c.tellMembers(committed.Version)
+		c.announceToMembers(committed.Version)
 	}
-	return committed.decide(asked)
+	return committed.evaluate(request)
 }
 
-func failure(err error) Outcome {
+func registerFailure(err error) Outcome {
 	wrapped := fmt.Errorf("change the configuration: %w", err)
 	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: wrapped}
@@ -191,22 +191,22 @@
 	return Outcome{Kind: Unclear, Err: wrapped}
 }
 
-func (c *Configurator) known() State {
+func (c *Configurator) cached() State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state
 }
 
-// isKnown tells whether value is the one last adopted, so that it need not be decoded again.
-func (c *Configurator) isKnown(value []byte) bool {
+// isCached tells whether value is the one last adopted, so that it need not be decoded again.
+func (c *Configurator) isCached(value []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return bytes.Equal(value, c.value)
 }
 
 // learn adopts an encoded state that a majority holds.
-func (c *Configurator) learn(value []byte) error {
-	if c.isKnown(value) {
+func (c *Configurator) adoptEncoded(value []byte) error {
+	if c.isCached(value) {
 		return nil
 	}
 	state, err := DecodeState(value)
@@ -230,7 +230,7 @@
 	c.options.Logger.Info("configuration in force", zap.Uint64("version", state.Version))
 }
 
-func (c *Configurator) confirm(began time.Time) {
+func (c *Configurator) recordRead(began time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if began.After(c.lastRead) {
@@ -249,9 +249,9 @@
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-c.toldNewer:
+		case <-c.newerAnnounced:
 		}
-		timer.Reset(c.readOnce(ctx))
+		timer.Reset(c.readBounded(ctx))
 	}
 }
 
@@ -259,11 +259,11 @@
 	c.mutex.Lock()
 	c.closed = true
 	c.mutex.Unlock()
-	c.announce.Wait()
+	c.announcements.Wait()
 }
 
-// readOnce does one quorum read and returns the pause until the next.
-func (c *Configurator) readOnce(ctx context.Context) time.Duration {
+// readBounded does one quorum read and returns the pause until the next.
+func (c *Configurator) readBounded(ctx context.Context) time.Duration {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	_, _, err := c.Read(bounded)
--- a/internal/controlplane/configuration/export_test.go
+++ b/internal/controlplane/configuration/export_test.go
@@ -4,4 +4,4 @@
 func (c *Configurator) Close() { c.close() }
 
 // State returns what the Configurator knows, for the model of several operators.
-func (c *Configurator) State() State { return c.known() }
+func (c *Configurator) State() State { return c.cached() }
--- a/internal/controlplane/configuration/lossynetwork_test.go
+++ b/internal/controlplane/configuration/lossynetwork_test.go
@@ -35,16 +35,16 @@
 }
 
 func (n *lossyNetwork) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
-	if err := n.travel(ctx); err != nil {
+	if err := n.transmit(ctx); err != nil {
 		return err
 	}
 	if err := callMux(n.muxes[address], route, request, reply); err != nil {
 		return err
 	}
-	return n.travel(ctx)
+	return n.transmit(ctx)
 }
 
-func (n *lossyNetwork) travel(ctx context.Context) error {
+func (n *lossyNetwork) transmit(ctx context.Context) error {
 	delay := time.Duration(n.draw() * float64(5*time.Millisecond))
 	if n.draw() < n.loss {
 		delay = time.Minute
@@ -57,8 +57,8 @@
 	}
 }
 
-// newCluster makes the members of a register on a lossy network.
-func newCluster(seed uint64) []*Configurator {
+// newLossyCluster makes the members of a register on a lossy network.
+func newLossyCluster(seed uint64) []*Configurator {
 	view := replicaset.View{Version: 1, Members: []string{"a:1", "b:1", "c:1"}}
 	currentView := func() replicaset.View { return view }
 	network := &lossyNetwork{muxes: make(map[string]*transport.Mux), loss: 0.03, random: random.PCG(seed)}
@@ -83,10 +83,10 @@
 }
 
 // sendUntilClear sends an order to one member after the other, as operators do, until its end is clear.
-func sendUntilClear(members []*Configurator, first int, asked sentOrder) Outcome {
+func sendUntilClear(members []*Configurator, first int, request sentUpdate) Outcome {
 	for try := first; ; try++ {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		outcome := members[try%len(members)].Put(ctx, asked.ifMatch, asked.body)
+		outcome := members[try%len(members)].Put(ctx, request.ifMatch, request.body)
 		cancel()
 		if outcome.Kind != Unclear && outcome.Kind != Unavailable {
 			return outcome
@@ -94,17 +94,17 @@
 	}
 }
 
-type sentOrder struct {
+type sentUpdate struct {
 	ifMatch uint64
 	body    []byte
 }
 
 // Operators race for every version on a network that loses messages. However their orders fare on the way, one change
 // per version is accepted, and every accepted one is accepted again later, at any member.
-func TestOperatorsRaceOnALossyNetwork(t *testing.T) {
+func TestOperatorsRaceOverALossyNetwork(t *testing.T) {
 	for seed := range uint64(5) {
 		virtualtime.Test(t, func(t *testing.T) {
-			if err := race(newCluster(seed)); err != nil {
+			if err := raceOperators(newLossyCluster(seed)); err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
 			<-time.After(register.RoundLimit) // calls that were lost have ended
@@ -112,23 +112,23 @@
 	}
 }
 
-func race(members []*Configurator) error {
+func raceOperators(members []*Configurator) error {
 	defer func() {
 		for _, member := range members {
 			member.close()
 		}
 	}()
-	var won []sentOrder
+	var won []sentUpdate
 	current := uint64(0)
 	for range 10 {
-		orders, outcomes := make([]sentOrder, 8), make([]Outcome, 8)
+		orders, outcomes := make([]sentUpdate, 8), make([]Outcome, 8)
 		var racing sync.WaitGroup
 		for i := range orders {
-			orders[i] = sentOrder{ifMatch: current, body: bodyOf(int(current)+1+i/2, 1000+i)}
+			orders[i] = sentUpdate{ifMatch: current, body: bodyOf(int(current)+1+i/2, 1000+i)}
 			racing.Go(func() { outcomes[i] = sendUntilClear(members, i, orders[i]) })
 		}
 		racing.Wait()
-		winner, err := onlyAccepted(outcomes)
+		winner, err := onlyAcceptedIndex(outcomes)
 		if err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func onlyAccepted(outcomes []Outcome) (int, error) {
+func onlyAcceptedIndex(outcomes []Outcome) (int, error) {
 	winner := -1
 	for i, outcome := range outcomes {
 		switch {
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -25,7 +25,7 @@
 	return "invalid configuration: " + strings.Join(lines, "; ")
 }
 
-func invalid(key, format string, arguments ...any) *InvalidError {
+func newInvalidError(key, format string, arguments ...any) *InvalidError {
 	return &InvalidError{Problems: []Problem{{Key: key, Remedy: fmt.Sprintf(format, arguments...)}}}
 }
 
@@ -33,11 +33,11 @@
 // repeated keys, and whatever Validate refuses; the error is an *InvalidError.
 func Parse(body []byte) (*Configuration, error) {
 	if len(body) > MaxBodyBytes {
-		return nil, invalid("body", "is %d bytes long; send at most %d", len(body), MaxBodyBytes)
+		return nil, newInvalidError("body", "is %d bytes long; send at most %d", len(body), MaxBodyBytes)
 	}
 	var parsed Configuration
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return nil, invalid("body", "cannot be read (%v); send one whole JSON object", err)
+		return nil, newInvalidError("body", "cannot be read (%v); send one whole JSON object", err)
 	}
 	if err := parsed.Validate(); err != nil {
 		return nil, err
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -24,7 +24,7 @@
 		version, timeoutMS)
 }
 
-func TestParseReadsAWholeConfiguration(t *testing.T) {
+func TestParseReadsAllFields(t *testing.T) {
 	Convey("All fields are read, and unknown ones are skipped", t, func() {
 		parsed, err := Parse([]byte(example))
 		So(err, ShouldBeNil)
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestParseRefusesWhatIsCutShort(t *testing.T) {
+func TestParseRefusesTruncatedBodies(t *testing.T) {
 	Convey("No proper prefix of a valid body is valid", t, func() {
 		for length := range example {
 			if _, err := Parse([]byte(example[:length])); err == nil {
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestParseNamesTheKeyAndTheRemedy(t *testing.T) {
+func TestParseErrorsNameKeyAndRemedy(t *testing.T) {
 	replaced := func(old, new string) string {
 		if !strings.Contains(example, old) {
 			t.Fatalf("the example lacks %s", old)
@@ -122,7 +122,7 @@
 			}
 			return
 		}
-		table := NewTable(parsed)
+		table := NewRoutingTable(parsed)
 		for _, route := range parsed.Routes {
 			found, rest, ok := table.Match(route.Host, route.PathPrefix+"x")
 			if !ok || len(rest) > 1 || len(found.PathPrefix) < len(route.PathPrefix) {
--- a/internal/controlplane/configuration/put_test.go
+++ b/internal/controlplane/configuration/put_test.go
@@ -28,7 +28,7 @@
 			So(configurator.Fresh(time.Hour), ShouldBeTrue)
 		})
 		Convey("An order on top of a version that is not in force is neither taken nor refused, and leaves a readable register", func() {
-			So(put(3, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Unclear, Err: ErrNotInForce})
+			So(put(3, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Unclear, Err: ErrBaseNotInForce})
 			version, _, err := configurator.Read(ctx)
 			So(err, ShouldBeNil)
 			So(version, ShouldEqual, 0)
@@ -61,18 +61,18 @@
 				So(version, ShouldEqual, 12)
 			})
 			Convey("another body under the same number conflicts", func() {
-				So(put(0, bodyOf(5, 2000)), ShouldResemble, conflict(5))
+				So(put(0, bodyOf(5, 2000)), ShouldResemble, conflictOutcome(5))
 			})
 			Convey("an older If-Match conflicts after a quorum read, without a change of the register", func() {
 				So(put(5, bodyOf(9, 1000)).Kind, ShouldEqual, Accepted)
 				before, reads := register.changeCount(), register.reads
-				So(put(5, bodyOf(11, 1000)), ShouldResemble, conflict(9))
+				So(put(5, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(9))
 				So(register.changeCount(), ShouldEqual, before)
 				So(register.reads, ShouldEqual, reads+1)
 			})
 			Convey("an older If-Match conflicts with the version that a majority holds, not with the one known here", func() {
 				So(newConfigurator(register).Put(ctx, 5, bodyOf(9, 1000)).Kind, ShouldEqual, Accepted)
-				So(put(0, bodyOf(11, 1000)), ShouldResemble, conflict(9))
+				So(put(0, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(9))
 			})
 			Convey("a mixer without a majority refuses nothing, and confirms what it knows to be taken", func() {
 				register.refuse = true
@@ -82,7 +82,7 @@
 				So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			})
 			Convey("an older If-Match conflicts at a mixer that does not know yet", func() {
-				So(newConfigurator(register).Put(ctx, 0, bodyOf(11, 1000)), ShouldResemble, conflict(5))
+				So(newConfigurator(register).Put(ctx, 0, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(5))
 			})
 			Convey("an invalid order is refused without the register, whatever its If-Match", func() {
 				for _, ifMatch := range []uint64{0, 5, 77} {
@@ -113,11 +113,11 @@
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
 			register.loseAnswers = false
-			So(newConfigurator(register).Put(ctx, 0, bodyOf(6, 1000)), ShouldResemble, conflict(5))
+			So(newConfigurator(register).Put(ctx, 0, bodyOf(6, 1000)), ShouldResemble, conflictOutcome(5))
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			state, err := DecodeState(register.value)
 			So(err, ShouldBeNil)
-			So(len(state.Taken), ShouldEqual, 1)
+			So(len(state.Applied), ShouldEqual, 1)
 		})
 		Convey("An order that was lost without effect is unclear, and taken when it is sent again", func() {
 			register.lost = true
@@ -130,7 +130,7 @@
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			state, err := DecodeState(register.value)
 			So(err, ShouldBeNil)
-			So(len(state.Taken), ShouldEqual, 1)
+			So(len(state.Applied), ShouldEqual, 1)
 		})
 		Convey("A register that cannot be read is left alone", func() {
 			register.value = []byte("\xc1 no state")
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestPutOfManyOperatorsAtOnce(t *testing.T) {
+func TestConcurrentPutsAcceptOnePerVersion(t *testing.T) {
 	Convey("Of the orders on top of one version exactly one is accepted, and the others conflict", t, func() {
 		register := &fakeRegister{}
 		nodes := []*Configurator{newConfigurator(register), newConfigurator(register), newConfigurator(register)}
@@ -157,7 +157,7 @@
 				})
 			}
 			racing.Wait()
-			counts := make(map[Kind]int)
+			counts := make(map[OutcomeKind]int)
 			next := current
 			for _, outcome := range outcomes {
 				counts[outcome.Kind]++
@@ -165,7 +165,7 @@
 					next = outcome.Version
 				}
 			}
-			So(counts, ShouldResemble, map[Kind]int{Accepted: 1, Conflict: 7})
+			So(counts, ShouldResemble, map[OutcomeKind]int{Accepted: 1, Conflict: 7})
 			current = next
 		}
 	})
@@ -199,26 +199,26 @@
 	})
 }
 
-func TestHistoryIsBounded(t *testing.T) {
+func TestAppliedHistoryIsBounded(t *testing.T) {
 	Convey("The newest changes are recognised after many", t, func() {
 		state := State{}
-		for version := range maxTaken + 10 {
-			asked := newOrder(uint64(version), fmt.Appendf(nil, "body %d", version))
-			asked.version = uint64(version) + 1
-			state = state.after(asked)
+		for version := range maxAppliedHistory + 10 {
+			request := newUpdateRequest(uint64(version), fmt.Appendf(nil, "body %d", version))
+			request.version = uint64(version) + 1
+			state = state.apply(request)
 		}
-		So(len(state.Taken), ShouldEqual, maxTaken)
-		So(state.Taken[0].Version, ShouldEqual, 11)
+		So(len(state.Applied), ShouldEqual, maxAppliedHistory)
+		So(state.Applied[0].Version, ShouldEqual, 11)
 		value, err := state.Encode()
 		So(err, ShouldBeNil)
 		decoded, err := DecodeState(value)
 		So(err, ShouldBeNil)
 		So(decoded, ShouldResemble, state)
-		_, found := decoded.find(newOrder(10, []byte("body 10")))
+		_, found := decoded.findApplied(newUpdateRequest(10, []byte("body 10")))
 		So(found, ShouldBeTrue)
-		_, found = decoded.find(newOrder(9, []byte("body 9")))
+		_, found = decoded.findApplied(newUpdateRequest(9, []byte("body 9")))
 		So(found, ShouldBeFalse)
-		_, found = decoded.find(newOrder(11, []byte("body 10")))
+		_, found = decoded.findApplied(newUpdateRequest(11, []byte("body 10")))
 		So(found, ShouldBeFalse)
 	})
 }
--- a/internal/controlplane/configuration/resentupdate_test.go
+++ b/internal/controlplane/configuration/resentupdate_test.go
@@ -8,22 +8,22 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// manyChanges is the state after a number of changes, of which version n+1 was built on version n.
-func manyChanges(count int) State {
+// stateAfterUpdates is the state after a number of changes, of which version n+1 was built on version n.
+func stateAfterUpdates(count int) State {
 	state := State{}
 	for version := range uint64(count) {
-		asked := newOrder(version, bodyOf(int(version)+1, 1000))
-		asked.version = version + 1
-		state = state.after(asked)
+		request := newUpdateRequest(version, bodyOf(int(version)+1, 1000))
+		request.version = version + 1
+		state = state.apply(request)
 	}
 	return state
 }
 
-func TestAnOrderOlderThanTheHistory(t *testing.T) {
+func TestUpdateOlderThanHistoryIsUnclear(t *testing.T) {
 	ctx := context.Background()
 	Convey("Given a history of which the oldest part has been cut", t, func() {
 		const cut = 10
-		state := manyChanges(maxTaken + cut)
+		state := stateAfterUpdates(maxAppliedHistory + cut)
 		value, err := state.Encode()
 		So(err, ShouldBeNil)
 		register := &fakeRegister{value: value}
@@ -34,15 +34,15 @@
 
 		Convey("a taken order within the history is confirmed again, and another on top of its version is refused", func() {
 			for _, member := range []*Configurator{informed, restarted} {
-				So(member.Put(ctx, cut, bodyOf(cut+1, 1000)), ShouldResemble, accepted(cut+1))
-				So(member.Put(ctx, cut, bodyOf(cut+1, 2000)), ShouldResemble, conflict(state.Version))
+				So(member.Put(ctx, cut, bodyOf(cut+1, 1000)), ShouldResemble, acceptedOutcome(cut+1))
+				So(member.Put(ctx, cut, bodyOf(cut+1, 2000)), ShouldResemble, conflictOutcome(state.Version))
 			}
 		})
 		Convey("a taken order that the history has lost is not refused, at no member", func() {
 			for _, member := range []*Configurator{informed, restarted} {
 				for _, ifMatch := range []int{0, 1, cut - 1} {
 					outcome := member.Put(ctx, uint64(ifMatch), bodyOf(ifMatch+1, 1000))
-					So(outcome, ShouldResemble, Outcome{Kind: Unclear, Err: ErrForgotten})
+					So(outcome, ShouldResemble, Outcome{Kind: Unclear, Err: ErrOlderThanHistory})
 				}
 			}
 			So(register.changeCount()-before, ShouldEqual, 1) // the restarted one asked a majority, once
@@ -50,18 +50,18 @@
 		})
 	})
 	Convey("An old order is refused as long as the history reaches back to the first change", t, func() {
-		value, err := manyChanges(maxTaken).Encode()
+		value, err := stateAfterUpdates(maxAppliedHistory).Encode()
 		So(err, ShouldBeNil)
 		member := newConfigurator(&fakeRegister{value: value})
-		So(member.Put(ctx, 0, bodyOf(1, 2000)), ShouldResemble, conflict(maxTaken))
+		So(member.Put(ctx, 0, bodyOf(1, 2000)), ShouldResemble, conflictOutcome(maxAppliedHistory))
 	})
 }
 
-func TestATakenOrderThatThisReleaseWouldNotTake(t *testing.T) {
+func TestAppliedUpdateIsConfirmedThoughValidationRefusesIt(t *testing.T) {
 	ctx := context.Background()
 	// An earlier release may have taken what the checks of this one refuse; both run side by side during an update.
-	takenElsewhere := func(asked order) *Configurator {
-		value, err := State{}.after(asked).Encode()
+	takenElsewhere := func(request updateRequest) *Configurator {
+		value, err := State{}.apply(request).Encode()
 		So(err, ShouldBeNil)
 		member := newConfigurator(&fakeRegister{value: value})
 		_, _, err = member.Read(ctx)
@@ -73,10 +73,10 @@
 		"a text that is no JSON":     fmt.Appendf(nil, "version 5"),
 	} {
 		Convey("An order that was taken is confirmed again though the checks refuse it: "+name, t, func() {
-			asked := newOrder(0, body)
-			asked.version = 5
-			member := takenElsewhere(asked)
-			So(member.Put(ctx, 0, body), ShouldResemble, accepted(5))
+			request := newUpdateRequest(0, body)
+			request.version = 5
+			member := takenElsewhere(request)
+			So(member.Put(ctx, 0, body), ShouldResemble, acceptedOutcome(5))
 			So(member.Put(ctx, 5, body).Kind, ShouldEqual, Invalid)
 		})
 	}
--- a/internal/controlplane/configuration/routingtable.go
+++ b/internal/controlplane/configuration/routingtable.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is immutable and safe for use from any goroutine.
-type Table struct {
+// RoutingTable finds the route of a request. It is immutable and safe for use from any goroutine.
+type RoutingTable struct {
 	version  uint64
 	hosts    map[string]hostRoutes
 	services map[string]Service
@@ -21,9 +21,9 @@
 	lengths  []int
 }
 
-// NewTable builds the lookup table of a valid configuration.
-func NewTable(c *Configuration) *Table {
-	table := &Table{
+// NewRoutingTable builds the lookup table of a valid configuration.
+func NewRoutingTable(c *Configuration) *RoutingTable {
+	table := &RoutingTable{
 		version:  c.Version,
 		hosts:    make(map[string]hostRoutes),
 		services: make(map[string]Service, len(c.Services)),
@@ -39,7 +39,7 @@
 	return table
 }
 
-func (t *Table) addRoute(route Route) {
+func (t *RoutingTable) addRoute(route Route) {
 	name := normalHost(route.Host)
 	host, known := t.hosts[name]
 	if !known {
@@ -55,11 +55,11 @@
 }
 
 // Version is the configuration's version.
-func (t *Table) Version() uint64 { return t.version }
+func (t *RoutingTable) Version() uint64 { return t.version }
 
 // Match finds the route of the host with the longest prefix of path, and what follows that prefix. The host is compared
 // without its port and without regard to case.
-func (t *Table) Match(host, path string) (route Route, rest string, ok bool) {
+func (t *RoutingTable) Match(host, path string) (route Route, remainder string, ok bool) {
 	routes, known := t.hosts[normalHost(host)]
 	if !known {
 		return Route{}, "", false
@@ -76,13 +76,13 @@
 }
 
 // Service finds a service by name.
-func (t *Table) Service(name string) (Service, bool) {
+func (t *RoutingTable) Service(name string) (Service, bool) {
 	service, ok := t.services[name]
 	return service, ok
 }
 
 // Services lists the services' names, sorted.
-func (t *Table) Services() []string {
+func (t *RoutingTable) Services() []string {
 	names := make([]string, 0, len(t.services))
 	for name := range t.services {
 		names = append(names, name)
@@ -92,10 +92,10 @@
 }
 
 // Routes lists the routes in the operator's order. The caller must not modify the list.
-func (t *Table) Routes() []Route { return t.routes }
+func (t *RoutingTable) Routes() []Route { return t.routes }
 
 // Limits are the bounds on clients' requests.
-func (t *Table) Limits() Limits { return t.limits }
+func (t *RoutingTable) Limits() Limits { return t.limits }
 
 // normalHost strips the port and lowers the case. A colon inside brackets belongs to an IPv6 address.
 func normalHost(host string) string {
--- a/internal/controlplane/configuration/routingtable_test.go
+++ b/internal/controlplane/configuration/routingtable_test.go
@@ -10,7 +10,7 @@
 	Convey("Given a table", t, func() {
 		parsed, err := Parse([]byte(example))
 		So(err, ShouldBeNil)
-		table := NewTable(parsed)
+		table := NewRoutingTable(parsed)
 		cases := []struct{ host, path, route, rest string }{
 			{"prices.example", "/nav/5c0e", "r-1", "5c0e"},
 			{"prices.example", "/nav/daily/5c0e", "r-2", "5c0e"},
@@ -31,7 +31,7 @@
 	Convey("Services, routes and limits are those of the configuration", t, func() {
 		parsed, err := Parse([]byte(example))
 		So(err, ShouldBeNil)
-		table := NewTable(parsed)
+		table := NewRoutingTable(parsed)
 		So(table.Version(), ShouldEqual, 7)
 		So(table.Services(), ShouldResemble, []string{"pricing", "stress"})
 		So(table.Routes(), ShouldResemble, parsed.Routes)
--- a/internal/controlplane/configuration/run_test.go
+++ b/internal/controlplane/configuration/run_test.go
@@ -19,7 +19,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func TestRunFindsChangesOfOthers(t *testing.T) {
+func TestRunReadsUpdatesOfOtherMembers(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		register := &fakeRegister{}
 		here, elsewhere := newConfigurator(register), newConfigurator(register)
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestMembersAreToldAtOnce(t *testing.T) {
+func TestMembersReadAnAnnouncedVersionAtOnce(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		register := &fakeRegister{}
 		view := replicaset.View{Version: 1, Members: []string{"a:1", "b:1", "c:1"}}
@@ -72,9 +72,9 @@
 			running.Go(func() { member.Run(ctx) })
 		}
 		synctest.Wait()
-		learn := func(told Learn) (LearnReply, error) {
-			var reply LearnReply
-			err := caller(context.Background(), "b:1", LearnCall.Route(), told, &reply)
+		learn := func(told Announcement) (AnnouncementReply, error) {
+			var reply AnnouncementReply
+			err := caller(context.Background(), "b:1", AnnounceCall.Route(), told, &reply)
 			return reply, err
 		}
 
@@ -95,14 +95,14 @@
 		Convey("A version that is known already makes nobody read", t, func() {
 			before := members["b:1"].lastReadAt()
 			<-time.After(time.Millisecond)
-			reply, err := learn(Learn{Version: 5})
+			reply, err := learn(Announcement{Version: 5})
 			So(err, ShouldBeNil)
 			So(reply.Version, ShouldEqual, 5)
 			synctest.Wait()
 			So(members["b:1"].lastReadAt(), ShouldEqual, before)
 		})
 		Convey("What a member is told of but no majority holds is not taken", t, func() {
-			_, err := learn(Learn{Version: 6})
+			_, err := learn(Announcement{Version: 6})
 			So(err, ShouldBeNil)
 			synctest.Wait()
 			version, _ := members["b:1"].Current()
@@ -113,12 +113,12 @@
 			So(err, ShouldBeNil)
 			newer, err := State{Version: 7, Body: bodyOf(7, 1000)}.Encode()
 			So(err, ShouldBeNil)
-			_, err = learn(Learn{Value: newer})
+			_, err = learn(Announcement{Value: newer})
 			So(err, ShouldBeNil)
-			reply, err := learn(Learn{Value: older})
+			reply, err := learn(Announcement{Value: older})
 			So(err, ShouldBeNil)
 			So(reply.Version, ShouldEqual, 7)
-			_, err = learn(Learn{Value: []byte("\xc1")})
+			_, err = learn(Announcement{Value: []byte("\xc1")})
 			So(err, ShouldNotBeNil)
 			version, _ := members["b:1"].Current()
 			So(version, ShouldEqual, 7)
--- a/internal/controlplane/configuration/simulation_test.go
+++ b/internal/controlplane/configuration/simulation_test.go
@@ -29,77 +29,77 @@
 
 // Extent of a schedule, in simulated time.
 const (
-	operators     = 3
-	faultTime     = 6 * time.Second
-	betweenFaults = 700 * time.Millisecond // upper bound
-	faultLasts    = 2500 * time.Millisecond
-	healingTime   = 30 * time.Second // from the end of all faults, until the last answer
-	aftermath     = 10 * time.Second
+	operators        = 3
+	faultTime        = 6 * time.Second
+	maxFaultInterval = 700 * time.Millisecond // upper bound
+	maxFaultDuration = 2500 * time.Millisecond
+	healingTime      = 30 * time.Second // from the end of all faults, until the last answer
+	drainTime        = 10 * time.Second
 )
 
-// schedule is one play of the model.
-type schedule struct {
-	cluster  *modelCluster
-	judge    *judge
-	random   *rand.Rand
-	machines int // started so far
-	replaced uint64
-	ends     sync.WaitGroup // of troubles
+// simulation is one play of the model.
+type simulation struct {
+	cluster        *simulatedCluster
+	checker        *checker
+	random         *rand.Rand
+	membersStarted int // started so far
+	replacements   uint64
+	faultEnds      sync.WaitGroup // of troubles
 }
 
-// play lets operators work while machines are in trouble, and judges every answer.
-func play(t *testing.T, seed uint64) (s *schedule) {
+// simulate lets operators work while machines are in trouble, and judges every answer.
+func simulate(t *testing.T, seed uint64) (s *simulation) {
 	virtualtime.Test(t, func(t *testing.T) {
 		size := 3 + int(seed%2)*2
-		s = &schedule{cluster: newModelCluster(t, seed, size), judge: newJudge(), random: rand.New(rand.NewPCG(seed, 0)), machines: size}
+		s = &simulation{cluster: newSimulatedCluster(t, seed, size), checker: newChecker(), random: rand.New(rand.NewPCG(seed, 0)), membersStarted: size}
 		ctx, cancel := context.WithTimeout(context.Background(), faultTime)
 		last, stop := context.WithTimeout(context.Background(), faultTime+healingTime)
 		var working sync.WaitGroup
 		for number := range operators {
-			o := &operator{number: number, cluster: s.cluster, judge: s.judge, random: rand.New(rand.NewPCG(seed, uint64(number)+1))}
+			o := &operator{number: number, cluster: s.cluster, checker: s.checker, random: rand.New(rand.NewPCG(seed, uint64(number)+1))}
 			working.Go(func() { o.work(ctx, last) })
 		}
 		for ctx.Err() == nil {
-			<-time.After(s.below(betweenFaults))
+			<-time.After(s.randomBelow(maxFaultInterval))
 			s.fault()
 		}
-		s.ends.Wait()
+		s.faultEnds.Wait()
 		s.cluster.network.heal()
 		working.Wait()
-		s.look()
+		s.checkFinalState()
 		cancel()
 		stop()
 		s.cluster.end()
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 	return s
 }
 
-func (s *schedule) below(bound time.Duration) time.Duration {
+func (s *simulation) randomBelow(bound time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(bound))) + 1
 }
 
 // fault lets one thing happen to a member.
-func (s *schedule) fault() {
+func (s *simulation) fault() {
 	members := s.cluster.newest().Members
 	address := members[s.random.IntN(len(members))]
 	other := members[s.random.IntN(len(members))]
-	m := s.cluster.at(address)
-	kind, lasts, down := s.random.IntN(8), s.below(faultLasts), s.below(300*time.Millisecond)
+	m := s.cluster.process(address)
+	kind, lasts, down := s.random.IntN(8), s.randomBelow(maxFaultDuration), s.randomBelow(300*time.Millisecond)
 	switch {
 	case m == nil:
 	case kind == 0:
-		s.during(lasts, func(on bool) { s.cluster.network.cut(address, other, on) })
+		s.during(lasts, func(on bool) { s.cluster.network.partition(address, other, on) })
 	case kind == 1:
 		s.during(lasts, func(on bool) { s.isolate(address, members, on) })
 	case kind == 2 || kind == 3:
 		s.cluster.network.freeze(address)
-		s.ends.Go(func() { <-time.After(lasts); s.cluster.network.unfreeze(address) })
+		s.faultEnds.Go(func() { <-time.After(lasts); s.cluster.network.unfreeze(address) })
 	case kind == 4:
 		s.restart(m, down, m.disk)
-	case kind == 5 && s.cluster.allWell():
+	case kind == 5 && s.cluster.allHealthy():
 		s.restart(m, down, storage.NewMemory())
-	case kind == 6 && s.cluster.allWell():
+	case kind == 6 && s.cluster.allHealthy():
 		s.replace(m)
 	case kind == 7:
 		s.powerLoss(members, down)
@@ -107,21 +107,21 @@
 }
 
 // during switches a fault on, and off again after a time.
-func (s *schedule) during(lasts time.Duration, fault func(on bool)) {
+func (s *simulation) during(lasts time.Duration, fault func(on bool)) {
 	fault(true)
-	s.ends.Go(func() { <-time.After(lasts); fault(false) })
+	s.faultEnds.Go(func() { <-time.After(lasts); fault(false) })
 }
 
 // isolate cuts a member off from the other machines, though not from operators.
-func (s *schedule) isolate(address string, members []string, on bool) {
+func (s *simulation) isolate(address string, members []string, on bool) {
 	for _, member := range members {
-		s.cluster.network.cut(address, member, on)
-		s.cluster.network.cut(member, address, on)
+		s.cluster.network.partition(address, member, on)
+		s.cluster.network.partition(member, address, on)
 	}
 }
 
 // restart kills a process and starts it again on a disk.
-func (s *schedule) restart(m *machine, down time.Duration, disk *storage.Memory) {
+func (s *simulation) restart(m *memberProcess, down time.Duration, disk *storage.Memory) {
 	if s.cluster.stop(m) {
 		<-time.After(down)
 		s.cluster.start(m.address, disk, false)
@@ -129,18 +129,18 @@
 }
 
 // replace loses a machine for good, and starts one that can take its place.
-func (s *schedule) replace(m *machine) {
+func (s *simulation) replace(m *memberProcess) {
 	if s.cluster.stop(m) {
-		s.machines++
-		s.cluster.start(fmt.Sprintf("core-%d", s.machines), storage.NewMemory(), false)
+		s.membersStarted++
+		s.cluster.start(fmt.Sprintf("core-%d", s.membersStarted), storage.NewMemory(), false)
 	}
 }
 
 // powerLoss kills all members at once; their disks are kept.
-func (s *schedule) powerLoss(members []string, down time.Duration) {
-	var lost []*machine
+func (s *simulation) powerLoss(members []string, down time.Duration) {
+	var lost []*memberProcess
 	for _, address := range members {
-		if m := s.cluster.at(address); s.cluster.stop(m) {
+		if m := s.cluster.process(address); s.cluster.stop(m) {
 			lost = append(lost, m)
 		}
 	}
@@ -150,28 +150,28 @@
 	}
 }
 
-// look judges the end: what each member reads, and the history that a majority holds.
-func (s *schedule) look() {
-	reader := &operator{cluster: s.cluster, judge: s.judge, random: s.random}
+// checkFinalState judges the end: what each member reads, and the history that a majority holds.
+func (s *simulation) checkFinalState() {
+	reader := &operator{cluster: s.cluster, checker: s.checker, random: s.random}
 	view := s.cluster.newest()
-	s.replaced = view.Version - 1
+	s.replacements = view.Version - 1
 	for _, address := range view.Members {
 		reader.readOnce(address)
 	}
-	s.judge.final(s.history(view.Members))
+	s.checker.checkHistory(s.history(view.Members))
 }
 
 // history is the newest state that a member holds.
-func (s *schedule) history(members []string) []configuration.Taken {
+func (s *simulation) history(members []string) []configuration.AppliedUpdate {
 	var newest configuration.State
 	for _, address := range members {
-		if m := s.cluster.at(address); m != nil {
+		if m := s.cluster.process(address); m != nil {
 			if state := m.configurator.State(); state.Version > newest.Version {
 				newest = state
 			}
 		}
 	}
-	return newest.Taken
+	return newest.Applied
 }
 
 // seeds lists the schedules to play.
@@ -198,22 +198,22 @@
 }
 
 // report prints what a schedule found, and how to play it again.
-func (s *schedule) report(t *testing.T, seed uint64) {
-	if len(s.judge.problems) == 0 {
+func (s *simulation) report(t *testing.T, seed uint64) {
+	if len(s.checker.violations) == 0 {
 		return
 	}
 	t.Errorf("play it again with %s=%d", seedVariable, seed)
-	for _, problem := range s.judge.problems {
+	for _, problem := range s.checker.violations {
 		t.Error(problem)
 	}
-	for _, line := range s.judge.trace {
+	for _, line := range s.checker.trace {
 		t.Log(line)
 	}
 }
 
 // However the machines fare, no two orders are confirmed on top of one version or under one number, nothing that was
 // confirmed is refused or lost, nothing that was refused comes into force, and no reader gets what is out of date.
-func TestOrdersOfSeveralOperators(t *testing.T) {
+func TestSimulatedOperatorsUpdateLinearizably(t *testing.T) {
 	usual := 2000
 	if raceflag.On {
 		usual = 100 // little is concurrent in simulated time
@@ -229,14 +229,14 @@
 			t.Run(fmt.Sprintf("lane %d", lane), func(t *testing.T) {
 				t.Parallel()
 				for place := lane; place < len(all) && !broken.Load(); place += lanes {
-					s := play(t, all[place])
+					s := simulate(t, all[place])
 					s.report(t, all[place])
 					if t.Failed() {
 						broken.Store(true) // one is enough to look into
 					}
 					mutex.Lock()
-					answers += s.judge.answers
-					replaced += s.replaced
+					answers += s.checker.answers
+					replaced += s.replacements
 					mutex.Unlock()
 				}
 			})
@@ -249,10 +249,10 @@
 	t.Logf("%d clear answers, %d machines replaced", answers, replaced)
 }
 
-func TestASeedReplaysItsSchedule(t *testing.T) {
+func TestSeedReplaysItsSimulation(t *testing.T) {
 	convey.Convey("Two plays of a seed have the same answers at the same times", t, func() {
 		for seed := range uint64(8) {
-			convey.So(play(t, seed).judge.fingerprint(), convey.ShouldEqual, play(t, seed).judge.fingerprint())
+			convey.So(simulate(t, seed).checker.fingerprint(), convey.ShouldEqual, simulate(t, seed).checker.fingerprint())
 		}
 	})
 }
--- a/internal/controlplane/configuration/simulationchecker_test.go
+++ b/internal/controlplane/configuration/simulationchecker_test.go
@@ -11,77 +11,77 @@
 	"puffinlink.example/puffinlink/internal/controlplane/configuration"
 )
 
-// sentOrder is an order of an operator. Two operators may send the same one.
-type sentOrder struct {
+// sentUpdate is an order of an operator. Two operators may send the same one.
+type sentUpdate struct {
 	ifMatch uint64
 	version uint64
 	body    string
 }
 
-func newOrder(ifMatch, version uint64, timeoutMS int) sentOrder {
-	return sentOrder{ifMatch, version, fmt.Sprintf(
+func newUpdateRequest(ifMatch, version uint64, timeoutMS int) sentUpdate {
+	return sentUpdate{ifMatch, version, fmt.Sprintf(
 		`{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/","timeoutMs":%d,"service":"s"}],"services":[{"name":"s"}]}`,
 		version, timeoutMS)}
 }
 
-// fate is what the machines have answered to an order.
-type fate struct{ confirmed, refused bool }
+// answersSeen is what the machines have answered to an order.
+type answersSeen struct{ confirmed, refused bool }
 
-// judge hears every answer that a machine gave, also those that the operator never got.
-type judge struct {
+// checker hears every answer that a machine gave, also those that the operator never got.
+type checker struct {
 	began time.Time
 
-	mutex    sync.Mutex // guards what follows
-	fates    map[sentOrder]*fate
-	orders   []sentOrder          // in the order in which they were first sent
-	onTop    map[uint64]sentOrder // confirmed, by the version that they were built on
-	numbered map[uint64]sentOrder // the same by their own version
-	highest  uint64               // version that was confirmed or read
-	answers  int
-	problems []string
-	trace    []string
+	mutex              sync.Mutex // guards what follows
+	answersByRequest   map[sentUpdate]*answersSeen
+	requests           []sentUpdate          // in the order in which they were first sent
+	confirmedByBase    map[uint64]sentUpdate // confirmed, by the version that they were built on
+	confirmedByVersion map[uint64]sentUpdate // the same by their own version
+	highest            uint64                // version that was confirmed or read
+	answers            int
+	violations         []string
+	trace              []string
 }
 
-func newJudge() *judge {
-	return &judge{
-		began: time.Now(), fates: make(map[sentOrder]*fate), onTop: make(map[uint64]sentOrder), numbered: make(map[uint64]sentOrder),
+func newChecker() *checker {
+	return &checker{
+		began: time.Now(), answersByRequest: make(map[sentUpdate]*answersSeen), confirmedByBase: make(map[uint64]sentUpdate), confirmedByVersion: make(map[uint64]sentUpdate),
 	}
 }
 
-// problem notes what must not be. The caller holds the mutex.
-func (j *judge) problem(format string, arguments ...any) {
-	j.problems = append(j.problems, fmt.Sprintf("after %v: ", time.Since(j.began))+fmt.Sprintf(format, arguments...))
+// violation notes what must not be. The caller holds the mutex.
+func (j *checker) violation(format string, arguments ...any) {
+	j.violations = append(j.violations, fmt.Sprintf("after %v: ", time.Since(j.began))+fmt.Sprintf(format, arguments...))
 }
 
-func (j *judge) note(format string, arguments ...any) {
+func (j *checker) record(format string, arguments ...any) {
 	j.trace = append(j.trace, time.Since(j.began).String()+" "+fmt.Sprintf(format, arguments...))
 }
 
 // sent notes an order before it is sent for the first time.
-func (j *judge) sent(order sentOrder) {
+func (j *checker) sent(order sentUpdate) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if j.fates[order] == nil {
-		j.fates[order] = &fate{}
-		j.orders = append(j.orders, order)
+	if j.answersByRequest[order] == nil {
+		j.answersByRequest[order] = &answersSeen{}
+		j.requests = append(j.requests, order)
 	}
 }
 
 // earlier returns an order that was sent before; false while there is none.
-func (j *judge) earlier(pick func(count int) int) (sentOrder, bool) {
+func (j *checker) earlier(pick func(count int) int) (sentUpdate, bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if len(j.orders) == 0 {
-		return sentOrder{}, false
+	if len(j.requests) == 0 {
+		return sentUpdate{}, false
 	}
-	return j.orders[pick(len(j.orders))], true
+	return j.requests[pick(len(j.requests))], true
 }
 
 // answered judges a machine's answer to an order, and tells whether it is a clear one.
-func (j *judge) answered(address string, order sentOrder, status int) bool {
+func (j *checker) answered(address string, order sentUpdate, status int) bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.note("%s answers %d to %d on top of %d", address, status, order.version, order.ifMatch)
+	j.record("%s answers %d to %d on top of %d", address, status, order.version, order.ifMatch)
 	switch {
 	case status == http.StatusOK:
 		j.answers++
@@ -89,57 +89,57 @@
 		return true
 	case status >= 400 && status < 500:
 		j.answers++
-		if j.fates[order].confirmed {
-			j.problem("%s refuses with %d what was confirmed: %+v", address, status, order)
+		if j.answersByRequest[order].confirmed {
+			j.violation("%s refuses with %d what was confirmed: %+v", address, status, order)
 		}
-		j.fates[order].refused = true
+		j.answersByRequest[order].refused = true
 		return true
 	}
 	return false
 }
 
-func (j *judge) confirm(address string, order sentOrder) {
-	if j.fates[order].refused {
-		j.problem("%s confirms what was refused: %+v", address, order)
+func (j *checker) confirm(address string, order sentUpdate) {
+	if j.answersByRequest[order].refused {
+		j.violation("%s confirms what was refused: %+v", address, order)
 	}
-	if other, found := j.onTop[order.ifMatch]; found && other != order {
-		j.problem("%s confirms %+v, and %+v was confirmed on top of the same version", address, order, other)
+	if other, found := j.confirmedByBase[order.ifMatch]; found && other != order {
+		j.violation("%s confirms %+v, and %+v was confirmed on top of the same version", address, order, other)
 	}
-	if other, found := j.numbered[order.version]; found && other != order {
-		j.problem("%s confirms %+v, and %+v was confirmed under the same number", address, order, other)
+	if other, found := j.confirmedByVersion[order.version]; found && other != order {
+		j.violation("%s confirms %+v, and %+v was confirmed under the same number", address, order, other)
 	}
-	j.fates[order].confirmed = true
-	j.onTop[order.ifMatch], j.numbered[order.version] = order, order
+	j.answersByRequest[order].confirmed = true
+	j.confirmedByBase[order.ifMatch], j.confirmedByVersion[order.version] = order, order
 	j.highest = max(j.highest, order.version)
 }
 
 // newest is the highest version that anybody was told of.
-func (j *judge) newest() uint64 {
+func (j *checker) newest() uint64 {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.highest
 }
 
-// read judges an answer to a reader who came when newest was the highest version that anybody knew.
-func (j *judge) read(address string, newest, version uint64, body string) {
+// readAnswered judges an answer to a reader who came when newest was the highest version that anybody knew.
+func (j *checker) readAnswered(address string, newest, version uint64, body string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.note("%s is read: %d", address, version)
+	j.record("%s is read: %d", address, version)
 	j.answers++
 	if version < newest {
-		j.problem("%s is read at version %d after version %d was in force", address, version, newest)
+		j.violation("%s is read at version %d after version %d was in force", address, version, newest)
 	}
 	j.highest = max(j.highest, version)
-	for order, fate := range j.fates {
-		if order.version == version && order.body == body && fate.refused && !fate.confirmed && !j.mayBeTwin(order) {
-			j.problem("%s is read: in force is what was refused: %+v", address, order)
+	for order, fate := range j.answersByRequest {
+		if order.version == version && order.body == body && fate.refused && !fate.confirmed && !j.hasSameBodyElsewhere(order) {
+			j.violation("%s is read: in force is what was refused: %+v", address, order)
 		}
 	}
 }
 
-// mayBeTwin tells whether the same body was also sent on top of another version. The caller holds the mutex.
-func (j *judge) mayBeTwin(order sentOrder) bool {
-	for other := range j.fates {
+// hasSameBodyElsewhere tells whether the same body was also sent on top of another version. The caller holds the mutex.
+func (j *checker) hasSameBodyElsewhere(order sentUpdate) bool {
+	for other := range j.answersByRequest {
 		if other.body == order.body && other != order {
 			return true
 		}
@@ -147,34 +147,34 @@
 	return false
 }
 
-// final judges the history of taken changes at the end.
-func (j *judge) final(taken []configuration.Taken) {
+// checkHistory judges the history of taken changes at the end.
+func (j *checker) checkHistory(taken []configuration.AppliedUpdate) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	version := uint64(0)
 	inForce := make(map[[2]uint64]bool)
 	for _, change := range taken {
 		if change.IfMatch != version {
-			j.problem("the change to %d was made on top of %d, not of %d", change.Version, change.IfMatch, version)
+			j.violation("the change to %d was made on top of %d, not of %d", change.Version, change.IfMatch, version)
 		}
 		version = change.Version
 		inForce[[2]uint64{change.IfMatch, change.Version}] = true
 	}
 	if version < j.highest {
-		j.problem("version %d is in force at the end, and %d was", version, j.highest)
+		j.violation("version %d is in force at the end, and %d was", version, j.highest)
 	}
-	for order, fate := range j.fates {
+	for order, fate := range j.answersByRequest {
 		if fate.confirmed && !inForce[[2]uint64{order.ifMatch, order.version}] {
-			j.problem("confirmed and not in the history: %+v", order)
+			j.violation("confirmed and not in the history: %+v", order)
 		}
 		if fate.refused && order.ifMatch == version && order.version > version {
-			j.problem("refused although the version that it was built on is in force: %+v", order)
+			j.violation("refused although the version that it was built on is in force: %+v", order)
 		}
 	}
 }
 
 // fingerprint is equal for two runs with the same answers at the same times. Answers of one moment have no order.
-func (j *judge) fingerprint() uint64 {
+func (j *checker) fingerprint() uint64 {
 	hash := fnv.New64a()
 	for _, line := range slices.Sorted(slices.Values(j.trace)) {
 		hash.Write([]byte(line))
--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	registerName = "configuration"
-	againAfter   = 200 * time.Millisecond // until a process that ended by itself is started again
-	readEvery    = 900 * time.Millisecond
-	readBound    = 1490 * time.Millisecond
-	contactFresh = time.Second // a member counts as in contact for as long after it was heard
+	registerName        = "configuration"
+	processRestartDelay = 200 * time.Millisecond // until a process that ended by itself is started again
+	readPause           = 900 * time.Millisecond
+	readLimit           = 1490 * time.Millisecond
+	contactTimeout      = time.Second // a member counts as in contact for as long after it was heard
 )
 
-// machine is one incarnation of a core process with all that takes part in the operators' orders.
-type machine struct {
+// memberProcess is one incarnation of a core process with all that takes part in the operators' orders.
+type memberProcess struct {
 	address      string
 	disk         *storage.Memory
-	store        *machineStore
+	store        *memberStore
 	manager      *replicaset.Manager
 	rebuilder    *rebuild.Rebuilder
 	configurator *configuration.Configurator
@@ -41,8 +41,8 @@
 	kill         context.CancelFunc
 }
 
-// machineStore is a disk that a killed process writes to no more.
-type machineStore struct {
+// memberStore is a disk that a killed process writes to no more.
+type memberStore struct {
 	*storage.Memory
 	mutex sync.Mutex
 	dead  bool
@@ -51,7 +51,7 @@
 var errKilled = errors.New("the process was killed")
 
 // Write implements storage.Store.
-func (s *machineStore) Write(changes ...storage.Change) error {
+func (s *memberStore) Write(changes ...storage.Change) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.dead {
@@ -60,32 +60,32 @@
 	return s.Memory.Write(changes...)
 }
 
-func (s *machineStore) end() {
+func (s *memberStore) end() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.dead = true
 }
 
-func (s *machineStore) alive() bool {
+func (s *memberStore) alive() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.dead
 }
 
-// modelCluster is the core machines.
-type modelCluster struct {
+// simulatedCluster is the core machines.
+type simulatedCluster struct {
 	t       *testing.T
-	network *modelNetwork
+	network *simulatedNetwork
 	first   replicaset.View
 	tasks   sync.WaitGroup
 
-	mutex   sync.Mutex // guards what follows
-	running map[string]*machine
-	ending  bool
+	mutex     sync.Mutex // guards what follows
+	processes map[string]*memberProcess
+	ending    bool
 }
 
-func newModelCluster(t *testing.T, seed uint64, size int) *modelCluster {
-	c := &modelCluster{t: t, network: newModelNetwork(seed), first: replicaset.View{Version: 1}, running: make(map[string]*machine)}
+func newSimulatedCluster(t *testing.T, seed uint64, size int) *simulatedCluster {
+	c := &simulatedCluster{t: t, network: newSimulatedNetwork(seed), first: replicaset.View{Version: 1}, processes: make(map[string]*memberProcess)}
 	for i := range size {
 		c.first.Members = append(c.first.Members, fmt.Sprintf("core-%d", i))
 	}
@@ -96,33 +96,33 @@
 }
 
 // start starts a process unless there is one at the address. The founders know the first view.
-func (c *modelCluster) start(address string, disk *storage.Memory, founder bool) {
-	m := &machine{address: address, disk: disk, store: &machineStore{Memory: disk}}
+func (c *simulatedCluster) start(address string, disk *storage.Memory, founder bool) {
+	m := &memberProcess{address: address, disk: disk, store: &memberStore{Memory: disk}}
 	m.ctx, m.kill = context.WithCancel(context.Background())
 	mux := transport.NewMux()
 	c.assembleMembership(m, mux, founder)
 	c.assembleConfigurator(m, mux)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.ending || c.running[address] != nil {
+	if c.ending || c.processes[address] != nil {
 		m.kill()
 		return
 	}
-	c.running[address] = m
+	c.processes[address] = m
 	c.network.serve(address, mux)
 	c.tasks.Go(func() { m.manager.Run(m.ctx) })
 	c.tasks.Go(func() { m.rebuilder.Run(m.ctx) })
-	c.tasks.Go(func() { c.keepReading(m) })
-	c.tasks.Go(func() { c.watch(m) })
+	c.tasks.Go(func() { c.readPeriodically(m) })
+	c.tasks.Go(func() { c.restartWhenReplaced(m) })
 }
 
-func (c *modelCluster) assembleMembership(m *machine, mux *transport.Mux, founder bool) {
-	caller := modelCaller{c.network, m.address, m.store.alive}
+func (c *simulatedCluster) assembleMembership(m *memberProcess, mux *transport.Mux, founder bool) {
+	caller := simulatedCaller{c.network, m.address, m.store.alive}
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: m.address, Store: m.store, Caller: caller,
 		Ready:       m.ready,
 		View:        func() replicaset.View { return m.manager.View() },
-		RandomBelow: func(bound time.Duration) time.Duration { return c.pause(m, bound) },
+		RandomBelow: func(bound time.Duration) time.Duration { return c.randomBackoff(m, bound) },
 	})
 	manager, err := replicaset.NewManager(replicaset.Config{
 		Self: m.address, Seeds: c.first.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
@@ -150,8 +150,8 @@
 	m.rebuilder.Serve(mux)
 }
 
-func (c *modelCluster) assembleConfigurator(m *machine, mux *transport.Mux) {
-	caller := modelCaller{c.network, m.address, m.store.alive}
+func (c *simulatedCluster) assembleConfigurator(m *memberProcess, mux *transport.Mux) {
+	caller := simulatedCaller{c.network, m.address, m.store.alive}
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
 		Name: registerName, Store: m.store, Ready: m.ready, View: m.manager.View,
 	})
@@ -159,7 +159,7 @@
 		Register: register.New(register.Config{
 			Name: registerName, Self: m.address, Acceptor: acceptor, View: m.manager.View, Caller: caller,
 			OnNewerView: func(view replicaset.View) { m.manager.Learn(view) },
-			RandomBelow: func(bound time.Duration) time.Duration { return c.pause(m, bound) },
+			RandomBelow: func(bound time.Duration) time.Duration { return c.randomBackoff(m, bound) },
 		}),
 		Caller: caller, Members: m.manager.View, Address: m.address, Logger: zap.NewNop(),
 	})
@@ -168,27 +168,27 @@
 	m.configurator.Mount(mux)
 }
 
-// pause draws a proposer's pause; a killed process must not take from the chances of the next one.
-func (c *modelCluster) pause(m *machine, bound time.Duration) time.Duration {
+// randomBackoff draws a proposer's pause; a killed process must not take from the chances of the next one.
+func (c *simulatedCluster) randomBackoff(m *memberProcess, bound time.Duration) time.Duration {
 	if !m.store.alive() {
 		return 0
 	}
 	return c.network.draw("pauses of "+m.address, bound)
 }
 
-func (m *machine) ready() bool { return m.store.alive() && m.rebuilder.Ready() }
+func (m *memberProcess) ready() bool { return m.store.alive() && m.rebuilder.Ready() }
 
 // contacts is what a machine knows of the others by the messages that it has heard.
-func (c *modelCluster) contacts(m *machine) replicaset.Contacts {
+func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Contacts {
 	view := m.manager.View()
 	contacts, heard := replicaset.Contacts{Silence: make(map[string]time.Duration)}, 1
 	for _, member := range view.Members {
-		silence, found := c.network.silence(m.address, member)
+		silence, found := c.network.sinceLastReceived(m.address, member)
 		if member == m.address || !found {
 			continue
 		}
 		contacts.Silence[member] = silence
-		if silence < contactFresh {
+		if silence < contactTimeout {
 			heard++
 		}
 	}
@@ -196,38 +196,38 @@
 	return contacts
 }
 
-// keepReading does what Configurator.Run does, with times that coincide with no other bound: of two timers of one moment
+// readPeriodically does what Configurator.Run does, with times that coincide with no other bound: of two timers of one moment
 // either may be heard first, and a seed would replay nothing.
-func (c *modelCluster) keepReading(m *machine) {
+func (c *simulatedCluster) readPeriodically(m *memberProcess) {
 	defer m.configurator.Close()
 	for m.ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(m.ctx, readBound)
+		bounded, cancel := context.WithTimeout(m.ctx, readLimit)
 		m.configurator.Read(bounded)
 		cancel()
 		select {
 		case <-m.ctx.Done():
-		case <-time.After(readEvery):
+		case <-time.After(readPause):
 		}
 	}
 }
 
-// watch starts a process again, on its disk, when it has ended because it was replaced.
-func (c *modelCluster) watch(m *machine) {
+// restartWhenReplaced starts a process again, on its disk, when it has ended because it was replaced.
+func (c *simulatedCluster) restartWhenReplaced(m *memberProcess) {
 	if err := m.rebuilder.Watch(m.ctx); !errors.Is(err, rebuild.ErrReplaced) || !c.stop(m) {
 		return
 	}
-	<-time.After(againAfter)
+	<-time.After(processRestartDelay)
 	c.start(m.address, m.disk, false)
 }
 
 // stop kills a process; false if it was dead already.
-func (c *modelCluster) stop(m *machine) bool {
+func (c *simulatedCluster) stop(m *memberProcess) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if m == nil || c.running[m.address] != m {
+	if m == nil || c.processes[m.address] != m {
 		return false
 	}
-	delete(c.running, m.address)
+	delete(c.processes, m.address)
 	c.network.serve(m.address, nil)
 	m.store.end()
 	m.kill()
@@ -235,19 +235,19 @@
 	return true
 }
 
-// at returns the process at an address; nil while there is none.
-func (c *modelCluster) at(address string) *machine {
+// process returns the process at an address; nil while there is none.
+func (c *simulatedCluster) process(address string) *memberProcess {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.running[address]
+	return c.processes[address]
 }
 
 // newest is the newest view that any running machine knows.
-func (c *modelCluster) newest() replicaset.View {
+func (c *simulatedCluster) newest() replicaset.View {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	newest := c.first
-	for _, m := range c.running {
+	for _, m := range c.processes {
 		if view := m.manager.View(); view.Version > newest.Version {
 			newest = view
 		}
@@ -255,11 +255,11 @@
 	return newest
 }
 
-// allWell tells whether one more member may be lost for good: all are there, work with the newest view and may vote.
-func (c *modelCluster) allWell() bool {
+// allHealthy tells whether one more member may be lost for good: all are there, work with the newest view and may vote.
+func (c *simulatedCluster) allHealthy() bool {
 	newest := c.newest()
 	for _, address := range newest.Members {
-		m := c.at(address)
+		m := c.process(address)
 		if m == nil || !m.rebuilder.Ready() || m.manager.View().Version != newest.Version {
 			return false
 		}
@@ -267,11 +267,11 @@
 	return true
 }
 
-func (c *modelCluster) end() {
+func (c *simulatedCluster) end() {
 	c.mutex.Lock()
 	c.ending = true
-	var left []*machine
-	for _, m := range c.running {
+	var left []*memberProcess
+	for _, m := range c.processes {
 		left = append(left, m)
 	}
 	c.mutex.Unlock()
--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -21,11 +21,11 @@
 
 // Chances and delays of messages in the model, in simulated time.
 const (
-	loseChance   = 0.04
-	doubleChance = 0.05
-	lateChance   = 0.05
-	usualDelay   = 15 * time.Millisecond
-	lateDelay    = 2500 * time.Millisecond
+	lossProbability               = 0.04
+	messageDuplicationProbability = 0.05
+	delayProbability              = 0.05
+	maxUsualDelay                 = 15 * time.Millisecond
+	maxLongDelay                  = 2500 * time.Millisecond
 )
 
 var (
@@ -36,79 +36,79 @@
 // direction is a way from one machine to another.
 type direction struct{ from, to string }
 
-// modelNetwork carries the internal calls of the machines in memory. Each way has its own source of chances, so that a
+// simulatedNetwork carries the internal calls of the machines in memory. Each way has its own source of chances, so that a
 // seed replays a schedule however the goroutines of one moment are run.
-type modelNetwork struct {
+type simulatedNetwork struct {
 	seed uint64
 
-	mutex    sync.Mutex // guards what follows
-	calm     bool       // no message is lost, doubled or late
-	handlers map[string]http.Handler
-	cuts     map[direction]bool
-	thaw     map[string]chan struct{} // of frozen machines; closed when they go on
-	heard    map[direction]time.Time  // when the latest message arrived
-	chances  map[string]*rand.Rand
+	mutex         sync.Mutex // guards what follows
+	calm          bool       // no message is lost, doubled or late
+	handlers      map[string]http.Handler
+	partitions    map[direction]bool
+	frozen        map[string]chan struct{} // of frozen machines; closed when they go on
+	lastReceived  map[direction]time.Time  // when the latest message arrived
+	randomSources map[string]*rand.Rand
 }
 
-func newModelNetwork(seed uint64) *modelNetwork {
-	return &modelNetwork{
-		seed: seed, handlers: make(map[string]http.Handler), cuts: make(map[direction]bool),
-		thaw: make(map[string]chan struct{}), heard: make(map[direction]time.Time), chances: make(map[string]*rand.Rand),
+func newSimulatedNetwork(seed uint64) *simulatedNetwork {
+	return &simulatedNetwork{
+		seed: seed, handlers: make(map[string]http.Handler), partitions: make(map[direction]bool),
+		frozen: make(map[string]chan struct{}), lastReceived: make(map[direction]time.Time), randomSources: make(map[string]*rand.Rand),
 	}
 }
 
 // source returns the source of chances of a name. The caller holds the mutex.
-func (n *modelNetwork) source(name string) *rand.Rand {
-	if n.chances[name] == nil {
+func (n *simulatedNetwork) source(name string) *rand.Rand {
+	if n.randomSources[name] == nil {
 		hash := fnv.New64a()
 		hash.Write([]byte(name))
-		n.chances[name] = rand.New(rand.NewPCG(n.seed, hash.Sum64()))
+		n.randomSources[name] = rand.New(rand.NewPCG(n.seed, hash.Sum64()))
 	}
-	return n.chances[name]
+	return n.randomSources[name]
 }
 
 // draw returns a random duration below a bound, from the source of a name.
-func (n *modelNetwork) draw(name string, bound time.Duration) time.Duration {
+func (n *simulatedNetwork) draw(name string, bound time.Duration) time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return time.Duration(n.source(name).Int64N(int64(bound)))
 }
 
-func (n *modelNetwork) serve(address string, handler http.Handler) {
+func (n *simulatedNetwork) serve(address string, handler http.Handler) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.handlers[address] = handler
 }
 
-func (n *modelNetwork) cut(from, to string, cut bool) {
+func (n *simulatedNetwork) partition(from, to string, partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cuts[direction{from, to}] = cut
+	n.partitions[direction{from, to}] = partitioned
 }
 
 // freeze stops a machine until it is thawed: its messages and its writes wait.
-func (n *modelNetwork) freeze(address string) {
+func (n *simulatedNetwork) freeze(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.thaw[address] == nil {
-		n.thaw[address] = make(chan struct{})
+	if n.frozen[address] == nil {
+		n.frozen[address] = make(chan struct{})
 	}
 }
 
-func (n *modelNetwork) unfreeze(address string) {
+func (n *simulatedNetwork) unfreeze(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if frozen := n.thaw[address]; frozen != nil {
+	if frozen := n.frozen[address]; frozen != nil {
 		close(frozen)
-		delete(n.thaw, address)
+		delete(n.frozen, address)
 	}
 }
 
 // awake waits while a machine is frozen. What waited goes on one after the other, each after a time of its own, as a seed
 // would not replay what goes on at one moment.
-func (n *modelNetwork) awake(address string, after time.Duration) {
+func (n *simulatedNetwork) waitWhileFrozen(address string, after time.Duration) {
 	n.mutex.Lock()
-	frozen := n.thaw[address]
+	frozen := n.frozen[address]
 	n.mutex.Unlock()
 	if frozen != nil {
 		<-frozen
@@ -117,88 +117,88 @@
 }
 
 // heal ends all faults.
-func (n *modelNetwork) heal() {
+func (n *simulatedNetwork) heal() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.calm = true
-	clear(n.cuts)
+	clear(n.partitions)
 }
 
-// passes tells whether a message gets through now, and notes that it was heard.
-func (n *modelNetwork) passes(way direction) bool {
+// deliverable tells whether a message gets through now, and notes that it was heard.
+func (n *simulatedNetwork) deliverable(way direction) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.cuts[way] {
+	if n.partitions[way] {
 		return false
 	}
-	n.heard[way] = time.Now()
+	n.lastReceived[way] = time.Now()
 	return true
 }
 
-// silence is how long a machine has heard nothing of another; false if it never has.
-func (n *modelNetwork) silence(at, of string) (time.Duration, bool) {
+// sinceLastReceived is how long a machine has heard nothing of another; false if it never has.
+func (n *simulatedNetwork) sinceLastReceived(at, of string) (time.Duration, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	heard, found := n.heard[direction{of, at}]
+	heard, found := n.lastReceived[direction{of, at}]
 	return time.Since(heard), found
 }
 
-// journey is how one message and its answer fare.
-type journey struct {
-	lost, answerLost bool
-	there, back      time.Duration
-	awake            [4]time.Duration // after the end of a freeze: at the caller, twice at the callee, at the caller
+// delivery is how one message and its answer fare.
+type delivery struct {
+	lost, answerLost          bool
+	requestDelay, answerDelay time.Duration
+	resumeDelays              [4]time.Duration // after the end of a freeze: at the caller, twice at the callee, at the caller
 }
 
-// journeys draws how a request fares: once or, where it is doubled, twice.
-func (n *modelNetwork) journeys(from, to, path string) []journey {
+// drawDeliveries draws how a request fares: once or, where it is doubled, twice.
+func (n *simulatedNetwork) drawDeliveries(from, to, path string) []delivery {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	source := n.source(from + ">" + to + path)
 	if n.calm {
-		calm := journey{there: delay(source, usualDelay), back: delay(source, usualDelay)}
-		return []journey{calm.drawAwake(source)}
+		calm := delivery{requestDelay: randomDelay(source, maxUsualDelay), answerDelay: randomDelay(source, maxUsualDelay)}
+		return []delivery{calm.withResumeDelays(source)}
 	}
-	ways := []journey{drawJourney(source)}
-	if source.Float64() < doubleChance {
-		ways = append(ways, drawJourney(source))
+	ways := []delivery{drawDelivery(source)}
+	if source.Float64() < messageDuplicationProbability {
+		ways = append(ways, drawDelivery(source))
 	}
 	return ways
 }
 
-func drawJourney(source *rand.Rand) journey {
-	way := journey{lost: source.Float64() < loseChance, answerLost: source.Float64() < loseChance}
-	there, back := usualDelay, usualDelay
-	if source.Float64() < lateChance {
-		there = lateDelay
+func drawDelivery(source *rand.Rand) delivery {
+	way := delivery{lost: source.Float64() < lossProbability, answerLost: source.Float64() < lossProbability}
+	there, back := maxUsualDelay, maxUsualDelay
+	if source.Float64() < delayProbability {
+		there = maxLongDelay
 	}
-	if source.Float64() < lateChance {
-		back = lateDelay
+	if source.Float64() < delayProbability {
+		back = maxLongDelay
 	}
-	way.there, way.back = delay(source, there), delay(source, back)
-	return way.drawAwake(source)
+	way.requestDelay, way.answerDelay = randomDelay(source, there), randomDelay(source, back)
+	return way.withResumeDelays(source)
 }
 
-func (j journey) drawAwake(source *rand.Rand) journey {
-	for i := range j.awake {
-		j.awake[i] = delay(source, time.Millisecond)
+func (j delivery) withResumeDelays(source *rand.Rand) delivery {
+	for i := range j.resumeDelays {
+		j.resumeDelays[i] = randomDelay(source, time.Millisecond)
 	}
 	return j
 }
 
-func delay(source *rand.Rand, bound time.Duration) time.Duration {
+func randomDelay(source *rand.Rand, bound time.Duration) time.Duration {
 	return time.Duration(source.Int64N(int64(bound))) + 1
 }
 
-// modelCaller is the transport.Caller of one process, which sends nothing once it was killed.
-type modelCaller struct {
-	network *modelNetwork
+// simulatedCaller is the transport.Caller of one process, which sends nothing once it was killed.
+type simulatedCaller struct {
+	network *simulatedNetwork
 	from    string
 	alive   func() bool
 }
 
 // Call implements transport.Caller.
-func (c modelCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+func (c simulatedCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !c.alive() {
 		return rpcerror.WrapNotExecuted(errKilled, 0)
 	}
@@ -208,8 +208,8 @@
 	}
 	path := route.Path()
 	answers := make(chan *httptest.ResponseRecorder, 2)
-	for _, way := range c.network.journeys(c.from, address, path) {
-		go c.network.carry(way, direction{c.from, address}, path, body, answers)
+	for _, way := range c.network.drawDeliveries(c.from, address, path) {
+		go c.network.deliver(way, direction{c.from, address}, path, body, answers)
 	}
 	select {
 	case answer := <-answers:
@@ -225,23 +225,23 @@
 	}
 }
 
-var _ transport.Caller = modelCaller{}
+var _ transport.Caller = simulatedCaller{}
 
-// carry takes a request to its handler and the answer back.
-func (n *modelNetwork) carry(how journey, way direction, path string, body []byte, answers chan<- *httptest.ResponseRecorder) {
-	n.awake(way.from, how.awake[0])
-	<-time.After(how.there)
-	if how.lost || !n.passes(way) {
+// deliver takes a request to its handler and the answer back.
+func (n *simulatedNetwork) deliver(how delivery, way direction, path string, body []byte, answers chan<- *httptest.ResponseRecorder) {
+	n.waitWhileFrozen(way.from, how.resumeDelays[0])
+	<-time.After(how.requestDelay)
+	if how.lost || !n.deliverable(way) {
 		return
 	}
-	n.awake(way.to, how.awake[1])
+	n.waitWhileFrozen(way.to, how.resumeDelays[1])
 	answer := n.handle(way.to, path, body)
-	n.awake(way.to, how.awake[2])
-	<-time.After(how.back)
-	if how.answerLost || !n.passes(direction{way.to, way.from}) {
+	n.waitWhileFrozen(way.to, how.resumeDelays[2])
+	<-time.After(how.answerDelay)
+	if how.answerLost || !n.deliverable(direction{way.to, way.from}) {
 		return
 	}
-	n.awake(way.from, how.awake[3])
+	n.waitWhileFrozen(way.from, how.resumeDelays[3])
 	answers <- answer
 }
 
@@ -253,7 +253,7 @@
 	}
 }
 
-func (n *modelNetwork) handle(to, path string, body []byte) *httptest.ResponseRecorder {
+func (n *simulatedNetwork) handle(to, path string, body []byte) *httptest.ResponseRecorder {
 	n.mutex.Lock()
 	handler := n.handlers[to]
 	n.mutex.Unlock()
--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -16,97 +16,97 @@
 
 // What operators and the relays before them do, in simulated time.
 const (
-	answerPatience = time.Second            // after which an operator turns to another machine
-	betweenTries   = 150 * time.Millisecond // upper bounds
-	betweenOrders  = 250 * time.Millisecond
-	relayDelay     = 20 * time.Millisecond
-	awakeDelay     = time.Millisecond
-	copyDelay      = 4 * time.Second // of the copies that relays make
-	swallowChance  = 0.15
-	copyChance     = 0.1
-	againChance    = 0.3 // that an operator sends an earlier order once more
-	twinChance     = 0.15
-	staleChance    = 0.15
-	readChance     = 0.2
-	twinTimeout    = 777
+	answerTimeout         = time.Second            // after which an operator turns to another machine
+	maxRetryInterval      = 150 * time.Millisecond // upper bounds
+	maxUpdateInterval     = 250 * time.Millisecond
+	maxRelayDelay         = 20 * time.Millisecond
+	maxResumeDelay        = time.Millisecond
+	maxDuplicateDelay     = 4 * time.Second // of the copies that relays make
+	dropAnswerProbability = 0.15
+	duplicateProbability  = 0.1
+	resendProbability     = 0.3 // that an operator sends an earlier order once more
+	sameBodyProbability   = 0.15
+	staleBaseProbability  = 0.15
+	readProbability       = 0.2
+	sharedTimeoutMS       = 777
 )
 
 // operator sends orders through relays that swallow, delay and double.
 type operator struct {
-	number  int
-	cluster *modelCluster
-	judge   *judge
-	random  *rand.Rand
-	known   uint64 // newest version that it was told of
-	before  uint64 // the one before that
-	made    int    // orders so far
+	number       int
+	cluster      *simulatedCluster
+	checker      *checker
+	random       *rand.Rand
+	newestSeen   uint64 // newest version that it was told of
+	previousSeen uint64 // the one before that
+	updatesSent  int    // orders so far
 }
 
 // work lasts until the context ends; an order that is under way then is brought to its end, or until the last moment.
 func (o *operator) work(ctx, last context.Context) {
 	for ctx.Err() == nil {
-		<-time.After(o.below(betweenOrders))
-		if o.random.Float64() < readChance || o.known == 0 && o.judge.newest() > 0 {
+		<-time.After(o.randomBelow(maxUpdateInterval))
+		if o.random.Float64() < readProbability || o.newestSeen == 0 && o.checker.newest() > 0 {
 			o.read(last)
 			continue
 		}
-		o.sendUntilClear(last, o.next())
+		o.sendUntilClear(last, o.nextUpdate())
 	}
 }
 
-func (o *operator) below(bound time.Duration) time.Duration {
+func (o *operator) randomBelow(bound time.Duration) time.Duration {
 	return time.Duration(o.random.Int64N(int64(bound))) + 1
 }
 
-// next is an order: a new one, one that another operator may make as well, or an earlier one.
-func (o *operator) next() sentOrder {
-	if earlier, found := o.judge.earlier(o.random.IntN); found && o.random.Float64() < againChance {
+// nextUpdate is an order: a new one, one that another operator may make as well, or an earlier one.
+func (o *operator) nextUpdate() sentUpdate {
+	if earlier, found := o.checker.earlier(o.random.IntN); found && o.random.Float64() < resendProbability {
 		return earlier
 	}
-	base := o.known
-	if o.random.Float64() < staleChance {
-		base = o.before
+	base := o.newestSeen
+	if o.random.Float64() < staleBaseProbability {
+		base = o.previousSeen
 	}
-	o.made++
-	timeout := 1000*(o.number+1) + o.made
-	if o.random.Float64() < twinChance {
-		return newOrder(base, base+1, twinTimeout)
+	o.updatesSent++
+	timeout := 1000*(o.number+1) + o.updatesSent
+	if o.random.Float64() < sameBodyProbability {
+		return newUpdateRequest(base, base+1, sharedTimeoutMS)
 	}
-	return newOrder(base, base+1+uint64(o.random.IntN(3)), timeout)
+	return newUpdateRequest(base, base+1+uint64(o.random.IntN(3)), timeout)
 }
 
-func (o *operator) told(version uint64) {
-	if version > o.known {
-		o.before, o.known = o.known, version
+func (o *operator) observe(version uint64) {
+	if version > o.newestSeen {
+		o.previousSeen, o.newestSeen = o.newestSeen, version
 	}
 }
 
 // sendUntilClear sends an order to one machine after the other until the answer is clear.
-func (o *operator) sendUntilClear(last context.Context, order sentOrder) {
-	o.judge.sent(order)
+func (o *operator) sendUntilClear(last context.Context, order sentUpdate) {
+	o.checker.sent(order)
 	for last.Err() == nil {
 		clear, status := o.sendOnce(order)
 		if clear {
 			if status == http.StatusOK {
-				o.told(order.version)
+				o.observe(order.version)
 			} else {
 				o.read(last)
 			}
 			return
 		}
-		<-time.After(o.below(betweenTries))
+		<-time.After(o.randomBelow(maxRetryInterval))
 	}
-	o.judge.mutex.Lock()
-	defer o.judge.mutex.Unlock()
-	o.judge.problem("no clear answer after the end of all faults to %+v", order)
+	o.checker.mutex.Lock()
+	defer o.checker.mutex.Unlock()
+	o.checker.violation("no clear answer after the end of all faults to %+v", order)
 }
 
 // sendOnce sends an order to one machine. Its relay may swallow the answer, or send a copy to another machine later.
-func (o *operator) sendOnce(order sentOrder) (clear bool, status int) {
-	address, swallowed := o.pick(), o.random.Float64() < swallowChance
-	there, back, awake := o.below(relayDelay), o.below(relayDelay), o.below(awakeDelay)
-	if o.random.Float64() < copyChance {
-		o.cluster.tasks.Go(o.copyLater(order, o.pick(), o.below(copyDelay), o.below(awakeDelay)))
+func (o *operator) sendOnce(order sentUpdate) (clear bool, status int) {
+	address, swallowed := o.pick(), o.random.Float64() < dropAnswerProbability
+	there, back, awake := o.randomBelow(maxRelayDelay), o.randomBelow(maxRelayDelay), o.randomBelow(maxResumeDelay)
+	if o.random.Float64() < duplicateProbability {
+		o.cluster.tasks.Go(o.copyLater(order, o.pick(), o.randomBelow(maxDuplicateDelay), o.randomBelow(maxResumeDelay)))
 	}
 	statuses := make(chan int, 1)
 	o.cluster.tasks.Go(func() {
@@ -120,12 +120,12 @@
 	select {
 	case status = <-statuses:
 		return status >= 200 && status < 500, status
-	case <-time.After(answerPatience):
+	case <-time.After(answerTimeout):
 		return false, 0
 	}
 }
 
-func (o *operator) copyLater(order sentOrder, address string, after, awake time.Duration) func() {
+func (o *operator) copyLater(order sentUpdate, address string, after, awake time.Duration) func() {
 	return func() {
 		<-time.After(after)
 		o.put(address, order, awake)
@@ -133,44 +133,44 @@
 }
 
 // put lets a machine answer an order, and the judge hear of it.
-func (o *operator) put(address string, order sentOrder, awake time.Duration) int {
+func (o *operator) put(address string, order sentUpdate, awake time.Duration) int {
 	put := request(http.MethodPut, control.Path, []byte(order.body))
 	put.Header.Set("If-Match", strconv.FormatUint(order.ifMatch, 10))
 	answer, sent := o.exchange(address, put, awake)
 	if !sent {
 		return http.StatusBadGateway
 	}
-	o.judge.answered(address, order, answer.Code)
+	o.checker.answered(address, order, answer.Code)
 	return answer.Code
 }
 
 // exchange is one request at a machine; false where the process is gone before its answer.
 func (o *operator) exchange(address string, request *http.Request, awake time.Duration) (*httptest.ResponseRecorder, bool) {
-	o.cluster.network.awake(address, awake)
-	m := o.cluster.at(address)
+	o.cluster.network.waitWhileFrozen(address, awake)
+	m := o.cluster.process(address)
 	if m == nil {
 		return nil, false
 	}
 	answer := httptest.NewRecorder()
 	m.control.ServeHTTP(answer, request)
-	o.cluster.network.awake(address, awake)
+	o.cluster.network.waitWhileFrozen(address, awake)
 	return answer, m.store.alive()
 }
 
-// read asks machines for the configuration until one answers.
+// readAnswered asks machines for the configuration until one answers.
 func (o *operator) read(last context.Context) {
 	for last.Err() == nil {
 		if version, read := o.readOnce(o.pick()); read {
-			o.told(version)
+			o.observe(version)
 			return
 		}
-		<-time.After(o.below(betweenTries))
+		<-time.After(o.randomBelow(maxRetryInterval))
 	}
 }
 
 func (o *operator) readOnce(address string) (version uint64, read bool) {
-	newest := o.judge.newest()
-	answer, sent := o.exchange(address, request(http.MethodGet, control.Path, nil), o.below(awakeDelay))
+	newest := o.checker.newest()
+	answer, sent := o.exchange(address, request(http.MethodGet, control.Path, nil), o.randomBelow(maxResumeDelay))
 	if !sent || answer.Code != http.StatusOK && answer.Code != http.StatusNotFound {
 		return 0, false
 	}
@@ -186,7 +186,7 @@
 			version = 0 // the judge finds it too old
 		}
 	}
-	o.judge.read(address, newest, version, body)
+	o.checker.readAnswered(address, newest, version, body)
 	return version, true
 }
 
@@ -195,7 +195,7 @@
 	o.cluster.mutex.Lock()
 	defer o.cluster.mutex.Unlock()
 	var addresses []string
-	for address := range o.cluster.running {
+	for address := range o.cluster.processes {
 		addresses = append(addresses, address)
 	}
 	if len(addresses) == 0 {
--- a/internal/controlplane/configuration/storedcompatibility_test.go
+++ b/internal/controlplane/configuration/storedcompatibility_test.go
@@ -19,7 +19,7 @@
 
 var storedState = configuration.State{
 	Version: 300, Body: []byte(`{"version":300}`),
-	Taken: []configuration.Taken{{Version: 41, IfMatch: 0, Sum: [16]byte{1, 2, 3}}, {Version: 300, IfMatch: 41, Sum: [16]byte{0xff, 15: 0xfe}}},
+	Applied: []configuration.AppliedUpdate{{Version: 41, IfMatch: 0, Sum: [16]byte{1, 2, 3}}, {Version: 300, IfMatch: 41, Sum: [16]byte{0xff, 15: 0xfe}}},
 }
 
 func TestReadsStoredDataOfTheConfiguration(t *testing.T) {
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -12,7 +12,7 @@
 // maxProblems bounds how many problems one error lists.
 const maxProblems = 8
 
-var tags = newValidator()
+var structValidator = newValidator()
 
 func newValidator() *validator.Validate {
 	validate := validator.New(validator.WithRequiredStructEnabled())
@@ -27,20 +27,20 @@
 // *InvalidError.
 func (c *Configuration) Validate() error {
 	if problems := c.fieldProblems(); len(problems) > 0 {
-		return &InvalidError{Problems: shortened(problems)}
+		return &InvalidError{Problems: firstProblems(problems)}
 	}
 	problems := c.serviceProblems()
 	problems = append(problems, c.routeProblems()...)
 	if len(problems) > 0 {
-		return &InvalidError{Problems: shortened(problems)}
+		return &InvalidError{Problems: firstProblems(problems)}
 	}
 	return nil
 }
 
-func shortened(problems []Problem) []Problem { return problems[:min(len(problems), maxProblems)] }
+func firstProblems(problems []Problem) []Problem { return problems[:min(len(problems), maxProblems)] }
 
 func (c *Configuration) fieldProblems() []Problem {
-	err := tags.Struct(c)
+	err := structValidator.Struct(c)
 	if err == nil {
 		return nil
 	}
@@ -85,8 +85,8 @@
 	return problems
 }
 
-// place is what no two routes may share.
-type place struct{ host, pathPrefix string }
+// routeKey is what no two routes may share.
+type routeKey struct{ host, pathPrefix string }
 
 func (c *Configuration) routeProblems() []Problem {
 	var problems []Problem
@@ -95,7 +95,7 @@
 		services[service.Name] = true
 	}
 	names := make(map[string]bool, len(c.Routes))
-	places := make(map[place]string, len(c.Routes))
+	routesByKey := make(map[routeKey]string, len(c.Routes))
 	for i, route := range c.Routes {
 		report := func(field, format string, arguments ...any) {
 			key := fmt.Sprintf("routes[%d].%s", i, field)
@@ -108,11 +108,11 @@
 			report("name", "repeats %q; give each route its own name", route.Name)
 		}
 		names[route.Name] = true
-		where := place{host: normalHost(route.Host), pathPrefix: route.PathPrefix}
-		if other, taken := places[where]; taken {
+		key := routeKey{host: normalHost(route.Host), pathPrefix: route.PathPrefix}
+		if other, taken := routesByKey[key]; taken {
 			report("pathPrefix", "route %q has the same host and prefix; change one of them", other)
 		}
-		places[where] = route.Name
+		routesByKey[key] = route.Name
 	}
 	return problems
 }
--- a/internal/controlplane/configuration/wire_test.go
+++ b/internal/controlplane/configuration/wire_test.go
@@ -9,9 +9,9 @@
 // TestWireForms pins the encoded forms of the types that leave the process.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
-		goldentest.Form{Name: "learn", Value: new(Learn)},
-		goldentest.Form{Name: "learn reply", Value: new(LearnReply)},
-		goldentest.Form{Name: "taken", Value: new(Taken)},
+		goldentest.Form{Name: "learn", Value: new(Announcement)},
+		goldentest.Form{Name: "learn reply", Value: new(AnnouncementReply)},
+		goldentest.Form{Name: "taken", Value: new(AppliedUpdate)},
 		goldentest.Form{Name: "state", Value: new(State)},
 	)
 	goldentest.Check(t, goldentest.JSONExperiment,
@@ -25,6 +25,6 @@
 // TestWireConstants pins the constants that leave the process.
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
-		goldentest.Constant{Have: LearnCall.Path(), Want: "/configuration/learn"},
+		goldentest.Constant{Have: AnnounceCall.Path(), Want: "/configuration/learn"},
 	)
 }
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -148,7 +148,7 @@
 
 // unclearText is what the operator is to do about an order without a clear end.
 func unclearText(err error) string {
-	if errors.Is(err, configuration.ErrForgotten) || errors.Is(err, configuration.ErrNotInForce) {
+	if errors.Is(err, configuration.ErrOlderThanHistory) || errors.Is(err, configuration.ErrBaseNotInForce) {
 		return err.Error()
 	}
 	return errUnclear.Error()
--- a/internal/controlplane/control/control_test.go
+++ b/internal/controlplane/control/control_test.go
@@ -105,8 +105,8 @@
 				{configuration.Outcome{Kind: configuration.Conflict, Err: &configuration.ConflictError{Current: 9}}, 412, "version 9 is current"},
 				{configuration.Outcome{Kind: configuration.Unclear, Err: errNoMajority}, 503, "send it again"},
 				{configuration.Outcome{Kind: configuration.Unavailable, Err: errNoMajority}, 503, "send it again"},
-				{configuration.Outcome{Kind: configuration.Unclear, Err: configuration.ErrForgotten}, 503, "read the configuration"},
-				{configuration.Outcome{Kind: configuration.Unclear, Err: configuration.ErrNotInForce}, 503, "not in force yet"},
+				{configuration.Outcome{Kind: configuration.Unclear, Err: configuration.ErrOlderThanHistory}, 503, "read the configuration"},
+				{configuration.Outcome{Kind: configuration.Unclear, Err: configuration.ErrBaseNotInForce}, 503, "not in force yet"},
 				{configuration.Outcome{}, 503, "send it again"},
 			}
 			for _, c := range cases {
--- a/internal/systemtest/againjudge_test.go
+++ b/internal/systemtest/againjudge_test.go
@@ -104,11 +104,11 @@
 // agrees tells what in a history speaks against what was confirmed: it must hold each confirmed change, under its number
 // and on top of its version, and nothing that was refused.
 func agrees(state configuration.State, attempts []attempt) (broken []string) {
-	recorded := map[uint64]configuration.Taken{}
-	for i, one := range state.Taken {
+	recorded := map[uint64]configuration.AppliedUpdate{}
+	for i, one := range state.Applied {
 		recorded[one.Version] = one
-		if i > 0 && one.IfMatch != state.Taken[i-1].Version {
-			broken = append(broken, fmt.Sprintf("version %d builds on %d, not on %d before it", one.Version, one.IfMatch, state.Taken[i-1].Version))
+		if i > 0 && one.IfMatch != state.Applied[i-1].Version {
+			broken = append(broken, fmt.Sprintf("version %d builds on %d, not on %d before it", one.Version, one.IfMatch, state.Applied[i-1].Version))
 		}
 	}
 	confirmed := confirmedChanges(attempts)
--- a/internal/systemtest/againrun_test.go
+++ b/internal/systemtest/againrun_test.go
@@ -303,7 +303,7 @@
 		return broken
 	}
 	for i, state := range states {
-		if known := max(len(state.Taken)-1, 0); known > len(whole[0].Taken) || !slices.Equal(state.Taken[:known], whole[0].Taken[:known]) {
+		if known := max(len(state.Applied)-1, 0); known > len(whole[0].Applied) || !slices.Equal(state.Applied[:known], whole[0].Applied[:known]) {
 			return append(broken, fmt.Sprintf("%s holds another history than a majority", a.core[i].name))
 		}
 	}
--- a/internal/systemtest/controlmodel/judge_test.go
+++ b/internal/systemtest/controlmodel/judge_test.go
@@ -250,9 +250,9 @@
 func (j *judge) history(state configuration.State) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	taken := map[configuration.Taken]bool{}
+	taken := map[configuration.AppliedUpdate]bool{}
 	on := uint64(0)
-	for _, one := range state.Taken {
+	for _, one := range state.Applied {
 		if one.IfMatch != on {
 			j.failf("version %d was taken on %d, after %d", one.Version, one.IfMatch, on)
 		}
@@ -272,8 +272,8 @@
 }
 
 // record is how a change is remembered once it is taken.
-func (o order) record() configuration.Taken {
-	record := configuration.Taken{Version: o.version, IfMatch: o.builtOn}
+func (o order) record() configuration.AppliedUpdate {
+	record := configuration.AppliedUpdate{Version: o.version, IfMatch: o.builtOn}
 	sum := sha256.Sum256([]byte(o.body))
 	copy(record.Sum[:], sum[:])
 	return record
--- a/internal/systemtest/part_test.go
+++ b/internal/systemtest/part_test.go
@@ -130,14 +130,14 @@
 }
 
 // router adapts a table of the configuration for the proxy, as the program does.
-type router struct{ table *configuration.Table }
+type router struct{ table *configuration.RoutingTable }
 
 func buildRouter(raw []byte) (proxy.Router, error) {
 	parsed, err := configuration.Parse(raw)
 	if err != nil {
 		return nil, err
 	}
-	return router{configuration.NewTable(parsed)}, nil
+	return router{configuration.NewRoutingTable(parsed)}, nil
 }
 
 // Match implements proxy.Router.
