--- a/cmd/puffinlink/system_test.go
+++ b/cmd/puffinlink/system_test.go
@@ -201,7 +201,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		mux := transport.NewMux()
-		echo := transport.NewRepeatable[string, string]("/echo")
+		echo := transport.NewIdempotent[string, string]("/echo")
 		transport.Handle(mux, echo, func(_ context.Context, text string) (string, error) { return text, nil })
 		server := serveInternal(listener, mux, zap.NewNop())
 		defer server.Close()
--- a/internal/controlplane/configuration/learn.go
+++ b/internal/controlplane/configuration/learn.go
@@ -10,7 +10,7 @@
 )
 
 // LearnCall is served by core nodes: another one tells that a majority holds a newer configuration.
-var LearnCall = transport.NewRepeatable[Learn, LearnReply]("/configuration/learn")
+var LearnCall = transport.NewIdempotent[Learn, LearnReply]("/configuration/learn")
 
 // learnTimeout bounds one such call. A member that misses it finds the change by its own quorum reads.
 const learnTimeout = time.Second
--- a/internal/controlplane/coordinator/budget.go
+++ b/internal/controlplane/coordinator/budget.go
@@ -28,8 +28,8 @@
 
 // boundListeners keeps the servers within their parts of the connections.
 func boundListeners(listeners Listeners, budget nodesettings.ConnectionBudget, internal, operator *http.Server) Listeners {
-	nodes := transport.NewInbound(listeners.Internal, budget.Nodes)
-	operators := transport.NewInbound(listeners.Control, budget.Operators)
+	nodes := transport.NewBoundedListener(listeners.Internal, budget.Nodes)
+	operators := transport.NewBoundedListener(listeners.Control, budget.Operators)
 	internal.ConnState, operator.ConnState = nodes.ConnState, operators.ConnState
 	return Listeners{Internal: nodes, Control: operators}
 }
@@ -37,6 +37,6 @@
 // newPlatformClient makes the client for the platform's list, whose connections are not those of the workers.
 func newPlatformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext: transport.Dialer().DialContext, MaxConnsPerHost: platformConnections, IdleConnTimeout: idleTimeout, DisableCompression: true,
+		DialContext: transport.NewDialer().DialContext, MaxConnsPerHost: platformConnections, IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}
 }
--- a/internal/controlplane/feed/feed.go
+++ b/internal/controlplane/feed/feed.go
@@ -10,15 +10,15 @@
 // Internal calls. What they tell has versions, epochs or ages, and changes nothing when it comes again.
 var (
 	// WatchCall is served by core nodes: it answers once something differs from the reader's digest.
-	WatchCall = transport.NewRepeatable[Watch, WatchReply]("/feed/watch")
+	WatchCall = transport.NewIdempotent[Watch, WatchReply]("/feed/watch")
 	// ExchangeCall is served by agents: digests first, then what the other lacks (epidemic reconciliation).
-	ExchangeCall = transport.NewRepeatable[Exchange, Exchange]("/feed/exchange")
+	ExchangeCall = transport.NewIdempotent[Exchange, Exchange]("/feed/exchange")
 	// ChunksCall is served by core nodes and agents: it hands out parts of the configuration that they hold.
-	ChunksCall = transport.NewRepeatable[ChunksRequest, ChunksReply]("/feed/parts")
+	ChunksCall = transport.NewIdempotent[ChunksRequest, ChunksReply]("/feed/parts")
 	// LocalCall is served by an agent on its own machine, to the proxy beside it.
-	LocalCall = transport.NewRepeatable[Watch, WatchReply]("/feed/local")
+	LocalCall = transport.NewIdempotent[Watch, WatchReply]("/feed/local")
 	// FrontCall is served by core nodes: they tell each other which agents asked them for news.
-	FrontCall = transport.NewRepeatable[Front, Front]("/feed/front")
+	FrontCall = transport.NewIdempotent[Front, Front]("/feed/front")
 )
 
 // Leader is who leads a replication group. The higher epoch is the newer one.
--- a/internal/controlplane/operations/forward.go
+++ b/internal/controlplane/operations/forward.go
@@ -48,7 +48,7 @@
 
 // ask calls the leader of a group, and whoever leads it next, until there is an answer or the time is over. All requests
 // of operators may be carried out twice.
-func (h *Handler) ask(ctx context.Context, group string, route transport.RepeatableRoute, request, reply any) error {
+func (h *Handler) ask(ctx context.Context, group string, route transport.IdempotentRoute, request, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, forwardTime)
 	defer cancel()
 	worst := rpcerror.WrapNotExecuted(errNoLeader, 0)
@@ -67,7 +67,7 @@
 	}
 }
 
-func (h *Handler) try(ctx context.Context, leader string, route transport.RepeatableRoute, request, reply any) error {
+func (h *Handler) try(ctx context.Context, leader string, route transport.IdempotentRoute, request, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, tryTime)
 	defer cancel()
 	return h.options.Caller.Call(ctx, leader, route, request, reply)
@@ -102,7 +102,7 @@
 }
 
 // askAll asks the leaders of several groups at the same time. The answers have the order of the groups.
-func askAll[Reply any](ctx context.Context, h *Handler, groups []string, route transport.RepeatableRoute, request func(group string) any) []answer[Reply] {
+func askAll[Reply any](ctx context.Context, h *Handler, groups []string, route transport.IdempotentRoute, request func(group string) any) []answer[Reply] {
 	answers := make([]answer[Reply], len(groups))
 	var calls sync.WaitGroup
 	for i, group := range groups {
--- a/internal/controlplane/rebuild/dump.go
+++ b/internal/controlplane/rebuild/dump.go
@@ -40,8 +40,8 @@
 
 // Internal calls. Both only read: the copy is as of when it is made, and a part of it stays the same.
 var (
-	dumpCall  = transport.NewRepeatable[dumpRequest, dumpReply]("/rebuild/dump")
-	readyCall = transport.NewRepeatable[readyRequest, readyReply]("/rebuild/ready")
+	dumpCall  = transport.NewIdempotent[dumpRequest, dumpReply]("/rebuild/dump")
+	readyCall = transport.NewIdempotent[readyRequest, readyReply]("/rebuild/ready")
 )
 
 // dumpReply is that part. The whole copy is of one moment after its giver learned the view.
--- a/internal/controlplane/register/messages.go
+++ b/internal/controlplane/register/messages.go
@@ -80,27 +80,27 @@
 }
 
 // Internal calls of the register of a name. Votes under one proposal number are alike whenever and however often they are given.
-func prepareCall(name string) transport.Repeatable[prepareRequest, reply] {
-	return transport.NewRepeatable[prepareRequest, reply]("/register/" + name + "/prepare")
+func prepareCall(name string) transport.Idempotent[prepareRequest, reply] {
+	return transport.NewIdempotent[prepareRequest, reply]("/register/" + name + "/prepare")
 }
 
-func acceptCall(name string) transport.Repeatable[acceptRequest, reply] {
-	return transport.NewRepeatable[acceptRequest, reply]("/register/" + name + "/accept")
+func acceptCall(name string) transport.Idempotent[acceptRequest, reply] {
+	return transport.NewIdempotent[acceptRequest, reply]("/register/" + name + "/accept")
 }
 
 // acceptChunksCall is an accept request whose value travels by parts.
-func acceptChunksCall(name string) transport.Repeatable[acceptRequest, reply] {
-	return transport.NewRepeatable[acceptRequest, reply]("/register/" + name + "/accept-parts")
+func acceptChunksCall(name string) transport.Idempotent[acceptRequest, reply] {
+	return transport.NewIdempotent[acceptRequest, reply]("/register/" + name + "/accept-parts")
 }
 
-func readCall(name string) transport.Repeatable[readRequest, reply] {
-	return transport.NewRepeatable[readRequest, reply]("/register/" + name + "/read")
+func readCall(name string) transport.Idempotent[readRequest, reply] {
+	return transport.NewIdempotent[readRequest, reply]("/register/" + name + "/read")
 }
 
-func pushCall(name string) transport.Repeatable[pushRequest, pushReply] {
-	return transport.NewRepeatable[pushRequest, pushReply]("/register/" + name + "/push")
+func pushCall(name string) transport.Idempotent[pushRequest, pushReply] {
+	return transport.NewIdempotent[pushRequest, pushReply]("/register/" + name + "/push")
 }
 
-func fetchCall(name string) transport.Repeatable[fetchRequest, fetchReply] {
-	return transport.NewRepeatable[fetchRequest, fetchReply]("/register/" + name + "/fetch")
+func fetchCall(name string) transport.Idempotent[fetchRequest, fetchReply] {
+	return transport.NewIdempotent[fetchRequest, fetchReply]("/register/" + name + "/fetch")
 }
--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -14,9 +14,9 @@
 
 // Internal calls. A goodbye that came a second time, or late, would end the membership of one that is back.
 var (
-	viewCall     = transport.NewRepeatable[viewRequest, viewReply]("/replicaset/view")
-	announceCall = transport.NewRepeatable[announceRequest, viewReply]("/replicaset/announce")
-	leaveCall    = transport.NewOnce[leaveRequest, leaveReply]("/replicaset/leave")
+	viewCall     = transport.NewIdempotent[viewRequest, viewReply]("/replicaset/view")
+	announceCall = transport.NewIdempotent[announceRequest, viewReply]("/replicaset/announce")
+	leaveCall    = transport.NewAtMostOnce[leaveRequest, leaveReply]("/replicaset/leave")
 )
 
 // callLimit bounds each of the internal calls.
--- a/internal/controlplane/replicaset/networktest/network.go
+++ b/internal/controlplane/replicaset/networktest/network.go
@@ -114,7 +114,7 @@
 
 // CallerOf returns the Caller of the process at an address, which is of a cluster.
 func (n *Network) CallerOf(cluster, from string) transport.Caller {
-	return transport.NewClientOver(cluster, &carrier{n, from})
+	return transport.NewClientWithTransport(cluster, &carrier{n, from})
 }
 
 // carrier brings one process's requests to their addresses.
--- a/internal/controlplane/replication/endpoints_test.go
+++ b/internal/controlplane/replication/endpoints_test.go
@@ -11,7 +11,7 @@
 func TestWhichCallsRunOnce(t *testing.T) {
 	Convey("A resignation runs once: a late copy would make a process that is back count as gone", t, func() {
 		var route transport.Route = resignCall.Route()
-		_, once := route.(transport.OnceRoute)
+		_, once := route.(transport.AtMostOnceRoute)
 		So(once, ShouldBeTrue)
 	})
 }
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -15,11 +15,11 @@
 // Internal calls. Votes, batches and heartbeats have epochs and positions, so that one that comes again changes nothing.
 // A resignation that came late would make a process that is back count as gone.
 var (
-	prepareCall = transport.NewRepeatable[prepareRequest, prepareReply]("/replication/prepare")
-	appendCall  = transport.NewRepeatable[appendRequest, appendReply]("/replication/append")
-	pingCall    = transport.NewRepeatable[pingRequest, pingReply]("/replication/ping")
-	resignCall  = transport.NewOnce[resignRequest, resignReply]("/replication/resign")
-	stateCall   = transport.NewRepeatable[stateRequest, stateReply]("/replication/state")
+	prepareCall = transport.NewIdempotent[prepareRequest, prepareReply]("/replication/prepare")
+	appendCall  = transport.NewIdempotent[appendRequest, appendReply]("/replication/append")
+	pingCall    = transport.NewIdempotent[pingRequest, pingReply]("/replication/ping")
+	resignCall  = transport.NewAtMostOnce[resignRequest, resignReply]("/replication/resign")
+	stateCall   = transport.NewIdempotent[stateRequest, stateReply]("/replication/state")
 )
 
 // Entry sets one key of a group's state. A nil Value deletes the key. The empty key is not allowed.
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -17,7 +17,7 @@
 type leaderCall struct {
 	kind    operation
 	group   string
-	route   transport.RepeatableRoute // as a try that may have run is followed by others
+	route   transport.IdempotentRoute // as a try that may have run is followed by others
 	request any
 	allowed time.Duration // by the client and the route
 }
--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -50,7 +50,7 @@
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		relay := resettest.New(t, strings.TrimPrefix(f.url, "http://"))
 		number := 0
-		send := func(cut resettest.Way, after int) error {
+		send := func(cut resettest.Direction, after int) error {
 			number++
 			client := &http.Transport{}
 			defer client.CloseIdleConnections()
@@ -65,21 +65,21 @@
 			_, err = io.ReadAll(answer.Body)
 			return err
 		}
-		So(send(resettest.Calls, resettest.Never), ShouldBeNil)
-		lengths := [2]int{relay.Passed(resettest.Calls), relay.Passed(resettest.Answers)}
+		So(send(resettest.Requests, resettest.NoReset), ShouldBeNil)
+		lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
 		Convey("a job that did not arrive whole is not handed in; one whose answer is lost is, once", func() {
 			wrong := 0
-			for after := range lengths[resettest.Calls] {
-				So(send(resettest.Calls, after), ShouldNotBeNil)
+			for after := range lengths[resettest.Requests] {
+				So(send(resettest.Requests, after), ShouldNotBeNil)
 			}
 			cutInCall := number
-			for after := range lengths[resettest.Answers] {
-				So(send(resettest.Answers, after), ShouldNotBeNil)
+			for after := range lengths[resettest.Responses] {
+				So(send(resettest.Responses, after), ShouldNotBeNil)
 				if handed.count(number) != 1 {
 					wrong++
 				}
 			}
-			So(send(resettest.Calls, resettest.Never), ShouldBeNil)
+			So(send(resettest.Requests, resettest.NoReset), ShouldBeNil)
 			for cut := 2; cut <= cutInCall; cut++ {
 				if handed.count(cut) != 0 {
 					wrong++
--- a/internal/jobs/jobapi/jobapi.go
+++ b/internal/jobs/jobapi/jobapi.go
@@ -8,10 +8,10 @@
 
 // Internal calls. The same job handed in or cancelled again stays one job with one end.
 var (
-	SubmitCall  = transport.NewRepeatable[Submit, Submitted]("/jobs/submit")
-	StatusCall  = transport.NewRepeatable[Status, StatusReply]("/jobs/status")
-	CancelCall  = transport.NewRepeatable[Cancel, Cancelled]("/jobs/cancel")
-	PendingCall = transport.NewRepeatable[Pending, PendingReply]("/jobs/pending")
+	SubmitCall  = transport.NewIdempotent[Submit, Submitted]("/jobs/submit")
+	StatusCall  = transport.NewIdempotent[Status, StatusReply]("/jobs/status")
+	CancelCall  = transport.NewIdempotent[Cancel, Cancelled]("/jobs/cancel")
+	PendingCall = transport.NewIdempotent[Pending, PendingReply]("/jobs/pending")
 )
 
 // Queue is what the configuration says of a job's route at the moment the job is handed in.
--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -10,12 +10,12 @@
 // Internal calls. Only the leader of a group answers them; any other node refuses as rpcerror.NotExecuted. A drain that
 // is set or ended again stays as it is.
 var (
-	SummaryCall = transport.NewRepeatable[SummaryRequest, SummaryReply]("/jobs/report/summary")
-	WorkersCall = transport.NewRepeatable[WorkersRequest, WorkersReply]("/jobs/report/searchers")
-	JobsCall    = transport.NewRepeatable[JobsRequest, JobsReply]("/jobs/report/jobs")
-	JobCall     = transport.NewRepeatable[JobRequest, JobReply]("/jobs/report/job")
-	WhyCall     = transport.NewRepeatable[WhyRequest, WhyReply]("/jobs/report/why")
-	DrainCall   = transport.NewRepeatable[DrainRequest, DrainReply]("/jobs/report/drain")
+	SummaryCall = transport.NewIdempotent[SummaryRequest, SummaryReply]("/jobs/report/summary")
+	WorkersCall = transport.NewIdempotent[WorkersRequest, WorkersReply]("/jobs/report/searchers")
+	JobsCall    = transport.NewIdempotent[JobsRequest, JobsReply]("/jobs/report/jobs")
+	JobCall     = transport.NewIdempotent[JobRequest, JobReply]("/jobs/report/job")
+	WhyCall     = transport.NewIdempotent[WhyRequest, WhyReply]("/jobs/report/why")
+	DrainCall   = transport.NewIdempotent[DrainRequest, DrainReply]("/jobs/report/drain")
 )
 
 // Summary counts the jobs and workers of one group.
--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	permit := &permit{valid: c.valid}
-	var sending transport.Sending
+	var sending transport.SendTracker
 	trace := httptrace.ClientTrace{WroteHeaders: permit.check, GotConn: func(got httptrace.GotConnInfo) {
 		permit.connected(got)
 		sending.Connected(got)
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -19,7 +19,7 @@
 // reset, so that nothing they still hold arrives later.
 func (c *Connections) HTTPClient() *http.Client {
 	return &http.Client{
-		Transport:     &exchanger{connections: c, dial: transport.Dial(transport.Dialer())},
+		Transport:     &exchanger{connections: c, dial: transport.DialFunc(transport.NewDialer())},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -47,11 +47,11 @@
 			counter := &startCounter{runs: map[string]int{}}
 			server := httptest.NewServer(counter)
 			relay := resettest.New(t, server.Listener.Addr().String())
-			send := func(execution uint64, cut resettest.Way, after int) ([]byte, error) {
+			send := func(execution uint64, cut resettest.Direction, after int) ([]byte, error) {
 				client := NewHTTPClient()
 				defer client.CloseIdleConnections()
 				worker := newCaller(client, relay.Address(), "i-1", func() bool { return true })
-				relay.Arm(cut, resettest.Never)
+				relay.Arm(cut, resettest.NoReset)
 				if usedBefore {
 					_, err := worker.post(context.Background(), worker.hold, []byte("{}"), patience)
 					convey.So(err, convey.ShouldBeNil)
@@ -63,12 +63,12 @@
 				return body, err
 			}
 			const firstExecution = 1000 // so that all calls have one length
-			_, err := send(firstExecution, resettest.Calls, resettest.Never)
+			_, err := send(firstExecution, resettest.Requests, resettest.NoReset)
 			convey.So(err, convey.ShouldBeNil)
-			lengths := [2]int{relay.Passed(resettest.Calls), relay.Passed(resettest.Answers)}
+			lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
 			execution, wrong := uint64(firstExecution), 0
 			var cutInCall [][]byte
-			for _, cut := range []resettest.Way{resettest.Calls, resettest.Answers} {
+			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
 				for after := range lengths[cut] {
 					execution++
 					body, err := send(execution, cut, after)
@@ -76,7 +76,7 @@
 						wrong++
 						t.Errorf("reset after byte %d of way %d: %v", after, cut, err)
 					}
-					if cut == resettest.Calls {
+					if cut == resettest.Requests {
 						cutInCall = append(cutInCall, body)
 					} else if counter.count(body) != 1 {
 						wrong++
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -78,7 +78,7 @@
 		} {
 			Convey(name+" is not taken, and the call may have run", func() {
 				change.Store(wrong)
-				for _, endpoint := range []transport.Repeatable[echo, echo]{echoCall, refuseCall, failCall} {
+				for _, endpoint := range []transport.Idempotent[echo, echo]{echoCall, refuseCall, failCall} {
 					change.Store(same)
 					_, _ = echoCall.Call(t.Context(), client, address, sample) // so that the process is known
 					change.Store(wrong)
@@ -170,7 +170,7 @@
 func TestCallsThatComeLate(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		counted := counting(transport.NewIdentity(testCluster, "node-a"))
-		repeatable := transport.NewRepeatable[echo, echo]("/other")
+		repeatable := transport.NewIdempotent[echo, echo]("/other")
 		transport.Handle(counted.Mux, repeatable, func(context.Context, echo) (echo, error) { return echo{Number: uint64(counted.runs.Add(1))}, nil })
 		network := networktest.New(1)
 		network.Serve("served:1", counted)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -25,12 +25,12 @@
 
 // Endpoints of the tests: one for each way in which a call may end, and one that nobody serves.
 var (
-	echoCall    = transport.NewRepeatable[echo, echo]("/echo")
-	refuseCall  = transport.NewRepeatable[echo, echo]("/refuse")
-	failCall    = transport.NewRepeatable[echo, echo]("/fail")
-	hangCall    = transport.NewRepeatable[echo, echo]("/hang")
-	unknownCall = transport.NewRepeatable[echo, echo]("/unknown")
-	countCall   = transport.NewOnce[echo, echo]("/count")
+	echoCall    = transport.NewIdempotent[echo, echo]("/echo")
+	refuseCall  = transport.NewIdempotent[echo, echo]("/refuse")
+	failCall    = transport.NewIdempotent[echo, echo]("/fail")
+	hangCall    = transport.NewIdempotent[echo, echo]("/hang")
+	unknownCall = transport.NewIdempotent[echo, echo]("/unknown")
+	countCall   = transport.NewAtMostOnce[echo, echo]("/count")
 )
 
 type echo struct {
@@ -66,7 +66,7 @@
 
 var sample = echo{Text: "text", Number: 1 << 60, State: map[string][]byte{"a": {}, "b": {1, 0, 255}}}
 
-func (s site) call(ctx context.Context, address string, endpoint transport.Repeatable[echo, echo]) (echo, error) {
+func (s site) call(ctx context.Context, address string, endpoint transport.Idempotent[echo, echo]) (echo, error) {
 	return endpoint.Call(ctx, s.caller, address, sample)
 }
 
@@ -139,8 +139,8 @@
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		var misdirected *transport.MisdirectedError
 		So(errors.As(err, &misdirected), ShouldBeTrue)
-		So(misdirected.Meant, ShouldResemble, transport.Process{Identity: first})
-		So(misdirected.Found, ShouldResemble, other)
+		So(misdirected.Intended, ShouldResemble, transport.Process{Identity: first})
+		So(misdirected.Actual, ShouldResemble, other)
 		met()
 	})
 	Convey("a process of another cluster refuses every time, also on first contact", func() {
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -7,38 +7,38 @@
 
 // directory remembers who serves which address. What it says may be out of date, and is then refused by who is there.
 type directory struct {
-	mutex sync.RWMutex
-	known map[string]knownProcess
+	mutex     sync.RWMutex
+	processes map[string]knownProcess
 }
 
 // knownProcess is an identity with its text, which each call needs, and a reading of the process's clock.
 type knownProcess struct {
-	identity Identity
-	text     string
-	clock    time.Duration // since the process's start
-	asked    time.Time     // when the call was sent by whose answer the clock is known
+	identity     Identity
+	headerText   string
+	clock        time.Duration // since the process's start
+	clockAskedAt time.Time     // when the call was sent by whose answer the clock is known
 }
 
-// until is the process's clock, or a little more, when so much time has gone from now on.
-func (p knownProcess) until(now time.Time, from time.Duration) time.Duration {
-	return p.clock + now.Sub(p.asked) + from
+// clockAfter is the process's clock, or a little more, when so much time has gone from now on.
+func (p knownProcess) clockAfter(now time.Time, from time.Duration) time.Duration {
+	return p.clock + now.Sub(p.clockAskedAt) + from
 }
 
-func newDirectory() *directory { return &directory{known: make(map[string]knownProcess)} }
+func newDirectory() *directory { return &directory{processes: make(map[string]knownProcess)} }
 
-func (d *directory) find(address string) (knownProcess, bool) {
+func (d *directory) lookup(address string) (knownProcess, bool) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	process, known := d.known[address]
+	process, known := d.processes[address]
 	return process, known
 }
 
-// learn notes who serves an address that nobody was known to serve. What another call has learned meanwhile stays.
-func (d *directory) learn(address string, found knownProcess) {
+// add notes who serves an address that nobody was known to serve. What another call has learned meanwhile stays.
+func (d *directory) add(address string, found knownProcess) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if _, known := d.known[address]; !known {
-		d.known[address] = found
+	if _, known := d.processes[address]; !known {
+		d.processes[address] = found
 	}
 }
 
@@ -46,16 +46,16 @@
 func (d *directory) replace(address string, meant Identity, found knownProcess) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.known[address].identity == meant {
-		d.known[address] = found
+	if d.processes[address].identity == meant {
+		d.processes[address] = found
 	}
 }
 
-// forget drops a process that is not at the address any more; the next call is a first contact.
-func (d *directory) forget(address string, meant Identity) {
+// remove drops a process that is not at the address any more; the next call is a first contact.
+func (d *directory) remove(address string, meant Identity) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.known[address].identity == meant {
-		delete(d.known, address)
+	if d.processes[address].identity == meant {
+		delete(d.processes, address)
 	}
 }
--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -26,9 +26,9 @@
 
 const (
 	separator       = "/"
-	anyone          = "*" // stands for node and incarnation on first contact; escaped names hold no such sign
+	wildcard        = "*" // stands for node and incarnation on first contact; escaped names hold no such sign
 	incarnationBase = 36
-	headerParts     = 4 // cluster, node, incarnation, call
+	headerFields    = 4 // cluster, node, incarnation, call
 )
 
 // String returns the identity as it stands in headers.
@@ -43,53 +43,53 @@
 
 // Addressee is whom a call means: a FirstContact or a Process.
 type Addressee interface {
-	text() string
-	// means tells whether a process is meant.
-	means(process Identity) bool
+	headerText() string
+	// matches tells whether a process is meant.
+	matches(process Identity) bool
 }
 
 // FirstContact means whoever serves an address for a cluster. It is for callers who do not know the process yet.
 type FirstContact struct{ Cluster string }
 
-func (f FirstContact) text() string {
-	return url.PathEscape(f.Cluster) + separator + anyone + separator + anyone
+func (f FirstContact) headerText() string {
+	return url.PathEscape(f.Cluster) + separator + wildcard + separator + wildcard
 }
 
-func (f FirstContact) means(process Identity) bool { return f.Cluster == process.Cluster }
+func (f FirstContact) matches(process Identity) bool { return f.Cluster == process.Cluster }
 
 // Process means one process and no other.
 type Process struct{ Identity }
 
-func (p Process) text() string { return p.String() }
+func (p Process) headerText() string { return p.String() }
 
-func (p Process) means(process Identity) bool { return p.Identity == process }
+func (p Process) matches(process Identity) bool { return p.Identity == process }
 
 var errNoIdentity = errors.New("header names no process")
 
-// processText returns all but the call of either header.
-func processText(header string) string { return header[:max(0, strings.LastIndex(header, separator))] }
+// processOf returns all but the call of either header.
+func processOf(header string) string { return header[:max(0, strings.LastIndex(header, separator))] }
 
-// clockText writes milliseconds for ClockHeader and UntilHeader, so that all calls of a kind have one length.
-func clockText(milliseconds int64) string { return fmt.Sprintf("%013d", milliseconds) }
+// formatClock writes milliseconds for ClockHeader and UntilHeader, so that all calls of a kind have one length.
+func formatClock(milliseconds int64) string { return fmt.Sprintf("%013d", milliseconds) }
 
-// callName returns the name of the call in either header.
-func callName(header string) string { return header[strings.LastIndex(header, separator)+1:] }
+// callIDOf returns the name of the call in either header.
+func callIDOf(header string) string { return header[strings.LastIndex(header, separator)+1:] }
 
-// parseTo reads ToHeader, but for the call.
-func parseTo(header string) (Addressee, error) {
+// parseToHeader reads ToHeader, but for the call.
+func parseToHeader(header string) (Addressee, error) {
 	parts := strings.Split(header, separator)
-	if len(parts) == headerParts && parts[1] == anyone && parts[2] == anyone {
+	if len(parts) == headerFields && parts[1] == wildcard && parts[2] == wildcard {
 		cluster, err := url.PathUnescape(parts[0])
 		return FirstContact{cluster}, err
 	}
-	process, err := parseFrom(header)
+	process, err := parseFromHeader(header)
 	return Process{process}, err
 }
 
-// parseFrom reads FromHeader, but for the call.
-func parseFrom(header string) (Identity, error) {
+// parseFromHeader reads FromHeader, but for the call.
+func parseFromHeader(header string) (Identity, error) {
 	parts := strings.Split(header, separator)
-	if len(parts) != headerParts {
+	if len(parts) != headerFields {
 		return Identity{}, errNoIdentity
 	}
 	cluster, clusterErr := url.PathUnescape(parts[0])
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// Inbound bounds how many connections a server has open. Where a new one exceeds the bound, the one that has been idle for
+// BoundedListener bounds how many connections a server has open. Where a new one exceeds the bound, the one that has been idle for
 // longest is closed; where none is idle, new ones wait in the listener's queue.
-type Inbound struct {
+type BoundedListener struct {
 	net.Listener
 	most int
 
@@ -20,15 +20,15 @@
 	ended bool
 }
 
-// NewInbound bounds a listener. The server must call ConnState as its hook of that name.
-func NewInbound(listener net.Listener, most int) *Inbound {
-	l := &Inbound{Listener: listener, most: most, open: make(map[net.Conn]*list.Element)}
+// NewBoundedListener bounds a listener. The server must call ConnState as its hook of that name.
+func NewBoundedListener(listener net.Listener, most int) *BoundedListener {
+	l := &BoundedListener{Listener: listener, most: most, open: make(map[net.Conn]*list.Element)}
 	l.room.L = &l.mu
 	return l
 }
 
 // Accept implements net.Listener.
-func (l *Inbound) Accept() (net.Conn, error) {
+func (l *BoundedListener) Accept() (net.Conn, error) {
 	l.awaitRoom()
 	connection, err := l.Listener.Accept()
 	if err == nil {
@@ -40,7 +40,7 @@
 }
 
 // Close implements net.Listener.
-func (l *Inbound) Close() error {
+func (l *BoundedListener) Close() error {
 	l.mu.Lock()
 	l.ended = true
 	l.room.Broadcast()
@@ -49,7 +49,7 @@
 }
 
 // awaitRoom waits until one more connection may be open, or the listener is closed.
-func (l *Inbound) awaitRoom() {
+func (l *BoundedListener) awaitRoom() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.open) >= l.most && !l.ended {
@@ -65,7 +65,7 @@
 }
 
 // ConnState notes which connections are idle. It is the hook of an http.Server.
-func (l *Inbound) ConnState(connection net.Conn, state http.ConnState) {
+func (l *BoundedListener) ConnState(connection net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	element, known := l.open[connection]
@@ -87,8 +87,8 @@
 	l.room.Signal()
 }
 
-// forget takes a connection off the count. The caller holds the lock.
-func (l *Inbound) forget(connection net.Conn) {
+// remove takes a connection off the count. The caller holds the lock.
+func (l *BoundedListener) forget(connection net.Conn) {
 	if element := l.open[connection]; element != nil {
 		l.idle.Remove(element)
 	}
@@ -96,7 +96,7 @@
 }
 
 // Open is how many connections are open.
-func (l *Inbound) Open() int {
+func (l *BoundedListener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
--- a/internal/transport/inbound_test.go
+++ b/internal/transport/inbound_test.go
@@ -15,7 +15,7 @@
 const inboundPatience = 20 * time.Second
 
 // boundedServer serves on a loopback address; calls of /wait are answered once the channel is closed.
-func boundedServer(t *testing.T, most int) (inbound *transport.Inbound, waiting chan struct{}, letGo chan struct{}) {
+func boundedServer(t *testing.T, most int) (inbound *transport.BoundedListener, waiting chan struct{}, letGo chan struct{}) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("/wait", func(http.ResponseWriter, *http.Request) { waiting <- struct{}{}; <-letGo })
-	inbound = transport.NewInbound(listener, most)
+	inbound = transport.NewBoundedListener(listener, most)
 	server := &http.Server{Handler: mux, ConnState: inbound.ConnState}
 	served := make(chan struct{})
 	go func() { server.Serve(inbound); close(served) }()
--- a/internal/transport/model_test.go
+++ b/internal/transport/model_test.go
@@ -57,8 +57,8 @@
 }
 
 var (
-	modelOnce   = transport.NewOnce[modelRequest, modelReply]("/model/once")
-	modelRepeat = transport.NewRepeatable[modelRequest, modelReply]("/model/repeat")
+	modelOnce   = transport.NewAtMostOnce[modelRequest, modelReply]("/model/once")
+	modelRepeat = transport.NewIdempotent[modelRequest, modelReply]("/model/repeat")
 )
 
 // modelCall is one call with all that is known of it.
@@ -170,29 +170,29 @@
 // call makes one call and notes how it ended.
 func (c *modelCaller) call(address string, once bool, limit time.Duration, bulk int) *modelCall {
 	c.number++
-	one := &modelCall{token: token{c.index, c.number}, once: once, meant: c.met[address]}
+	call := &modelCall{token: token{c.index, c.number}, once: once, meant: c.met[address]}
 	c.world.mutex.Lock()
-	c.world.calls[one.token] = one
+	c.world.calls[call.token] = call
 	c.world.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	request := modelRequest{Token: one.token, Bulk: make([]byte, bulk)}
+	request := modelRequest{Token: call.token, Bulk: make([]byte, bulk)}
 	if once {
-		one.reply, one.err = modelOnce.Call(ctx, c.caller, address, request)
+		call.reply, call.err = modelOnce.Call(ctx, c.caller, address, request)
 	} else {
-		one.reply, one.err = modelRepeat.Call(ctx, c.caller, address, request)
+		call.reply, call.err = modelRepeat.Call(ctx, c.caller, address, request)
 	}
-	c.learn(address, one)
-	return one
+	c.learn(address, call)
+	return call
 }
 
-// learn notes what the caller may conclude of who serves the address.
-func (c *modelCaller) learn(address string, one *modelCall) {
+// add notes what the caller may conclude of who serves the address.
+func (c *modelCaller) learn(address string, call *modelCall) {
 	var misdirected *transport.MisdirectedError
 	switch {
-	case one.err == nil:
-		c.met[address] = one.reply.By
-	case errors.As(one.err, &misdirected) && misdirected.Found.Node != c.met[address].Node:
+	case call.err == nil:
+		c.met[address] = call.reply.By
+	case errors.As(call.err, &misdirected) && misdirected.Actual.Node != c.met[address].Node:
 		delete(c.met, address)
 	}
 }
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -18,16 +18,16 @@
 
 // Mux serves internal calls by path, for one process.
 type Mux struct {
-	self     Identity
-	selfText string
-	started  time.Time
-	mux      *http.ServeMux
-	once     onceMemory
+	identity      Identity
+	identityText  string
+	started       time.Time
+	mux           *http.ServeMux
+	receivedCalls callIDSet
 }
 
 // NewMuxFor makes an empty Mux of a process.
 func NewMuxFor(self Identity) *Mux {
-	m := &Mux{self: self, selfText: self.String(), started: time.Now(), mux: http.NewServeMux()}
+	m := &Mux{identity: self, identityText: self.String(), started: time.Now(), mux: http.NewServeMux()}
 	Handle(m, identityCall, func(context.Context, identityRequest) (identityReply, error) { return identityReply{}, nil })
 	return m
 }
@@ -36,7 +36,7 @@
 func NewMux() *Mux { return NewMuxFor(NewIdentity("", "")) }
 
 // identityCall asks who serves an address; the answer's header says it.
-var identityCall = NewRepeatable[identityRequest, identityReply]("/transport/identity")
+var identityCall = NewIdempotent[identityRequest, identityReply]("/transport/identity")
 
 type (
 	identityRequest struct{}
@@ -46,11 +46,11 @@
 // ServeHTTP implements http.Handler. It refuses calls that mean another process.
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	header := r.Header.Get(ToHeader)
-	w.Header().Set(FromHeader, m.selfText+separator+callName(header))
-	if processText(header) != m.selfText { // the caller does not know this process yet
-		w.Header().Set(ClockHeader, clockText(m.clock()))
+	w.Header().Set(FromHeader, m.identityText+separator+callIDOf(header))
+	if processOf(header) != m.identityText { // the caller does not know this process yet
+		w.Header().Set(ClockHeader, formatClock(m.clock()))
 	}
-	if err := m.meant(header); err != nil {
+	if err := m.checkAddressee(header); err != nil {
 		http.Error(w, err.Error(), http.StatusMisdirectedRequest)
 		return
 	}
@@ -60,25 +60,25 @@
 // clock is how long ago this process started, in milliseconds. It counts the time in which the process was frozen.
 func (m *Mux) clock() int64 { return time.Since(m.started).Milliseconds() }
 
-// meant checks that a call means this process. One without the header comes from an older build, and is taken.
-func (m *Mux) meant(header string) error {
-	if header == "" || processText(header) == m.selfText {
+// checkAddressee checks that a call means this process. One without the header comes from an older build, and is taken.
+func (m *Mux) checkAddressee(header string) error {
+	if header == "" || processOf(header) == m.identityText {
 		return nil
 	}
-	to, err := parseTo(header)
+	to, err := parseToHeader(header)
 	if err != nil {
 		return err
 	}
-	if !to.means(m.self) {
-		return fmt.Errorf("the call means %s, this is %s", to.text(), m.selfText)
+	if !to.matches(m.identity) {
+		return fmt.Errorf("the call means %s, this is %s", to.headerText(), m.identityText)
 	}
 	return nil
 }
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// errRunBefore refuses the copy of a call. It has no verdict: the first one may have run.
-var errRunBefore = errors.New("this call was received before and is not carried out again")
+// errDuplicateCall refuses the copy of a call. It has no verdict: the first one may have run.
+var errDuplicateCall = errors.New("this call was received before and is not carried out again")
 
 // Handle serves an endpoint. A handler's error with the verdict NotRun reaches the caller as such; any other error as unclear.
 func Handle[Request, Reply any](m *Mux, endpoint Endpoint[Request, Reply], handler func(context.Context, Request) (Reply, error)) {
@@ -86,7 +86,7 @@
 		noRequest Request
 		noReply   Reply
 		path      = endpoint.Path()
-		repeats   = endpoint.endpoint(noRequest, noReply).mayRepeat()
+		repeats   = endpoint.endpoint(noRequest, noReply).idempotent()
 	)
 	m.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -99,12 +99,12 @@
 			http.Error(w, "decode "+path+": "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !repeats && m.late(r) {
-			writeError(w, rpcerror.WrapNotExecuted(errLate, 0))
+		if !repeats && m.startsTooLate(r) {
+			writeError(w, rpcerror.WrapNotExecuted(errLateCall, 0))
 			return
 		}
-		if !repeats && !m.first(r) {
-			writeError(w, errRunBefore)
+		if !repeats && !m.firstReceipt(r) {
+			writeError(w, errDuplicateCall)
 			return
 		}
 		reply, err := handler(r.Context(), request)
@@ -116,19 +116,19 @@
 	})
 }
 
-// errLate refuses a call that its caller has given up long ago.
-var errLate = errors.New("this call came too late and is not carried out")
+// errLateCall refuses a call that its caller has given up long ago.
+var errLateCall = errors.New("this call came too late and is not carried out")
 
-// late tells whether the time is over in which a call might begin. Calls of older builds have none.
-func (m *Mux) late(r *http.Request) bool {
+// startsTooLate tells whether the time is over in which a call might begin. Calls of older builds have none.
+func (m *Mux) startsTooLate(r *http.Request) bool {
 	until, err := strconv.ParseInt(r.Header.Get(UntilHeader), 10, 64)
 	return err == nil && m.clock() > until
 }
 
-// first tells whether a call was not received before. Calls of older builds have no name.
-func (m *Mux) first(r *http.Request) bool {
-	call := callName(r.Header.Get(ToHeader))
-	return call == "" || m.once.first(call)
+// firstReceipt tells whether a call was not received before. Calls of older builds have no name.
+func (m *Mux) firstReceipt(r *http.Request) bool {
+	call := callIDOf(r.Header.Get(ToHeader))
+	return call == "" || m.receivedCalls.first(call)
 }
 
 func writeError(w http.ResponseWriter, err error) {
--- a/internal/transport/offsets_test.go
+++ b/internal/transport/offsets_test.go
@@ -41,14 +41,14 @@
 }
 
 var (
-	runOnceCall  = transport.NewOnce[echo, echo]("/run-once")
-	runAgainCall = transport.NewRepeatable[echo, echo]("/run-again")
+	runOnceCall  = transport.NewAtMostOnce[echo, echo]("/run-once")
+	runAgainCall = transport.NewIdempotent[echo, echo]("/run-again")
 )
 
 // result is how one call ended, before all that was sent has been received.
 type result struct {
 	number uint64
-	cut    resettest.Way
+	cut    resettest.Direction
 	after  int
 	err    error
 }
@@ -77,10 +77,10 @@
 }
 
 // call makes one call whose connection is reset after so many bytes.
-func (b *resetBench) call(t *testing.T, kind kind, cut resettest.Way, after int) result {
+func (b *resetBench) call(t *testing.T, kind kind, cut resettest.Direction, after int) result {
 	client := transport.NewClientFor(testCluster)
 	defer client.Close()
-	b.relay.Arm(cut, resettest.Never)
+	b.relay.Arm(cut, resettest.NoReset)
 	if kind.reused {
 		if _, err := sendAgain(t.Context(), client, b.relay.Address(), echo{}); err != nil {
 			t.Fatal(err)
@@ -101,15 +101,15 @@
 	for _, kind := range kinds {
 		Convey("A call that is "+kind.name, t, func() {
 			b := newResetBench(t)
-			So(b.call(t, kind, resettest.Calls, resettest.Never).err, ShouldBeNil)
-			lengths := [2]int{b.relay.Passed(resettest.Calls), b.relay.Passed(resettest.Answers)}
+			So(b.call(t, kind, resettest.Requests, resettest.NoReset).err, ShouldBeNil)
+			lengths := [2]int{b.relay.Passed(resettest.Requests), b.relay.Passed(resettest.Responses)}
 			var results []result
-			for _, cut := range []resettest.Way{resettest.Calls, resettest.Answers} {
+			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
 				for after := range lengths[cut] {
 					results = append(results, b.call(t, kind, cut, after))
 				}
 			}
-			last := b.call(t, kind, resettest.Answers, lengths[resettest.Answers])
+			last := b.call(t, kind, resettest.Responses, lengths[resettest.Responses])
 			So(last.err, ShouldBeNil)
 			b.server.Close() // returns when all that was received has run
 			faults := 0
@@ -134,6 +134,6 @@
 	if kind.asksFirst {
 		return runs == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
 	}
-	ranBefore := r.cut == resettest.Answers // the call had arrived, and all of an answer comes after the run
+	ranBefore := r.cut == resettest.Responses // the call had arrived, and all of an answer comes after the run
 	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (runs == 1) == ranBefore
 }
--- a/internal/transport/resettest/relay.go
+++ b/internal/transport/resettest/relay.go
@@ -7,26 +7,26 @@
 	"testing"
 )
 
-// Way is one of the two directions of a connection.
-type Way int
+// Direction is one of the two directions of a connection.
+type Direction int
 
 const (
-	Calls   Way = iota // from the caller
-	Answers            // to the caller
+	Requests  Direction = iota // from the caller
+	Responses                  // to the caller
 )
 
-// Never is the place of a reset that does not come.
-const Never = -1
+// NoReset is the place of a reset that does not come.
+const NoReset = -1
 
 // Relay passes bytes on, counts them, and resets the connection after so many of one way.
 type Relay struct {
 	listener net.Listener
 	target   string
 
-	mutex  sync.Mutex
-	passed [2]int // since the last arming
-	cut    Way
-	after  int // bytes; Never for none
+	mutex          sync.Mutex
+	passed         [2]int // since the last arming
+	resetDirection Direction
+	resetOffset    int // bytes; Never for none
 }
 
 // New makes a relay to an address. It ends with the test.
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	r := &Relay{listener: listener, target: target, after: Never}
+	r := &Relay{listener: listener, target: target, resetOffset: NoReset}
 	go r.run()
 	return r
 }
@@ -45,29 +45,29 @@
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
 // Arm counts anew, and resets the connection once so many bytes went that way and another one wants to.
-func (r *Relay) Arm(cut Way, after int) {
+func (r *Relay) Arm(direction Direction, offset int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.passed, r.cut, r.after = [2]int{}, cut, after
+	r.passed, r.resetDirection, r.resetOffset = [2]int{}, direction, offset
 }
 
 // Passed is how many bytes went a way since the last arming.
-func (r *Relay) Passed(way Way) int {
+func (r *Relay) Passed(direction Direction) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.passed[way]
+	return r.passed[direction]
 }
 
 // allow tells how many of some bytes may pass, and whether the connection is reset then.
-func (r *Relay) allow(way Way, bytes int) (pass int, reset bool) {
+func (r *Relay) allow(direction Direction, bytes int) (pass int, reset bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	pass = bytes
-	if r.after != Never && way == r.cut {
-		pass = min(bytes, r.after-r.passed[way])
+	if r.resetOffset != NoReset && direction == r.resetDirection {
+		pass = min(bytes, r.resetOffset-r.passed[direction])
 		reset = pass < bytes
 	}
-	r.passed[way] += pass
+	r.passed[direction] += pass
 	return pass, reset
 }
 
@@ -83,18 +83,18 @@
 			return
 		}
 		both := [2]*net.TCPConn{caller.(*net.TCPConn), callee.(*net.TCPConn)}
-		go r.pass(Calls, both[0], both[1])
-		go r.pass(Answers, both[1], both[0])
+		go r.pass(Requests, both[0], both[1])
+		go r.pass(Responses, both[1], both[0])
 	}
 }
 
-func (r *Relay) pass(way Way, from, to *net.TCPConn) {
+func (r *Relay) pass(direction Direction, from, to *net.TCPConn) {
 	defer from.Close()
 	defer to.Close()
 	buffer := make([]byte, 4096)
 	for {
 		read, err := from.Read(buffer)
-		pass, reset := r.allow(way, read)
+		pass, reset := r.allow(direction, read)
 		if pass > 0 {
 			if _, err := to.Write(buffer[:pass]); err != nil {
 				return
--- a/internal/transport/sending.go
+++ b/internal/transport/sending.go
@@ -20,8 +20,8 @@
 	keepAlivePeriod = time.Second
 )
 
-// Dialer makes connections that end soon after the peer has fallen silent.
-func Dialer() *net.Dialer {
+// NewDialer makes connections that end soon after the peer has fallen silent.
+func NewDialer() *net.Dialer {
 	return &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod, Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(descriptor uintptr) {
@@ -31,9 +31,9 @@
 	}}
 }
 
-// Dial makes connections for an http.Transport whose requests a Sending watches. A connection that is given up is reset,
+// DialFunc makes connections for an http.Transport whose requests a Sending watches. A connection that is given up is reset,
 // so that nothing it still holds arrives later.
-func Dial(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
+func DialFunc(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
@@ -42,19 +42,19 @@
 		if tcp, ok := connection.(*net.TCPConn); ok {
 			tcp.SetLinger(0) // where the system knows no such option, the close sends what is left
 		}
-		return &countedConnection{Conn: connection}, nil
+		return &writeCountingConn{Conn: connection}, nil
 	}
 }
 
-// countedConnection counts the writings that left it, or may be leaving it at this moment.
-type countedConnection struct {
+// writeCountingConn counts the writings that left it, or may be leaving it at this moment.
+type writeCountingConn struct {
 	net.Conn
 	writings atomic.Int64
 }
 
 // Write implements net.Conn. The writing counts before it begins: one that is seen not to count while the connection is
 // closed will never send a byte.
-func (c *countedConnection) Write(content []byte) (int, error) {
+func (c *writeCountingConn) Write(content []byte) (int, error) {
 	c.writings.Add(1)
 	sent, err := c.Conn.Write(content)
 	if sent == 0 && err != nil {
@@ -66,35 +66,35 @@
 var errNoSystemConnection = errors.New("not a connection of the system")
 
 // SyscallConn implements syscall.Conn.
-func (c *countedConnection) SyscallConn() (syscall.RawConn, error) {
+func (c *writeCountingConn) SyscallConn() (syscall.RawConn, error) {
 	if holder, ok := c.Conn.(syscall.Conn); ok {
 		return holder.SyscallConn()
 	}
 	return nil, errNoSystemConnection
 }
 
-// Sending watches one request on its way through net/http. That package repeats some requests by itself when a connection
+// SendTracker watches one request on its way through net/http. That package repeats some requests by itself when a connection
 // that was used before turns out to be broken; a Sending lets it do so only where not one byte of the request has been
 // handed to that connection, whatever the request's method and headers are.
-type Sending struct {
+type SendTracker struct {
 	mutex      sync.Mutex
 	gone       bool               // an earlier connection, or one that cannot be watched, was handed bytes
-	connection *countedConnection // the newest
+	connection *writeCountingConn // the newest
 	before     int64              // its writings before the request
 }
 
 // Watch returns a context for the request.
-func (s *Sending) Watch(ctx context.Context) context.Context {
+func (s *SendTracker) Watch(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.Connected})
 }
 
 // Connected notes the connection that the request goes out on. It is for callers with a trace of their own, who need no Watch:
 // net/http joins two traces of one request by reflection.
-func (s *Sending) Connected(got httptrace.GotConnInfo) {
+func (s *SendTracker) Connected(got httptrace.GotConnInfo) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.gone = s.mayHaveLeft()
-	counted, ok := got.Conn.(*countedConnection)
+	counted, ok := got.Conn.(*writeCountingConn)
 	if !ok {
 		s.gone = true
 		return
@@ -103,25 +103,25 @@
 }
 
 // mayHaveLeft is called with the mutex held.
-func (s *Sending) mayHaveLeft() bool {
+func (s *SendTracker) mayHaveLeft() bool {
 	return s.gone || s.connection != nil && s.connection.writings.Load() != s.before
 }
 
 // Unsent tells, once the request has failed, that no byte of it was or will be sent.
-func (s *Sending) Unsent() bool {
+func (s *SendTracker) Unsent() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.mayHaveLeft()
 }
 
-// errSentBefore keeps net/http from sending a request again.
-var errSentBefore = errors.New("the request may have been sent already")
+// errAlreadySent keeps net/http from sending a request again.
+var errAlreadySent = errors.New("the request may have been sent already")
 
 // Again returns a value for http.Request.GetBody: the body is given again only while the request is unsent.
-func (s *Sending) Again(body []byte) func() (io.ReadCloser, error) {
+func (s *SendTracker) Again(body []byte) func() (io.ReadCloser, error) {
 	return func() (io.ReadCloser, error) {
 		if !s.Unsent() {
-			return nil, errSentBefore
+			return nil, errAlreadySent
 		}
 		return io.NopCloser(bytes.NewReader(body)), nil
 	}
--- a/internal/transport/sending_test.go
+++ b/internal/transport/sending_test.go
@@ -56,7 +56,7 @@
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/", bytes.NewReader(body))
 		So(err, ShouldBeNil)
 		change(request)
-		var sending transport.Sending
+		var sending transport.SendTracker
 		if guarded {
 			request = request.WithContext(sending.Watch(request.Context()))
 			request.GetBody = sending.Again(body)
@@ -73,7 +73,7 @@
 		Convey("Given a connection that was used before and breaks after a request "+name, t, func() {
 			var broken breaker
 			address := broken.serve(t)
-			client := &http.Transport{DialContext: transport.Dial(transport.Dialer())}
+			client := &http.Transport{DialContext: transport.DialFunc(transport.NewDialer())}
 			defer client.CloseIdleConnections()
 			So(send(client, address, change, true), ShouldBeNil)
 			Convey("net/http sends it again", func() {
@@ -98,7 +98,7 @@
 				panic(http.ErrAbortHandler) // the answer is still in the server's buffer
 			}
 		}))
-		repeatable := transport.NewRepeatable[echo, echo](countCall.Path())
+		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
 		Convey("a call runs once, and is said to may have run", func() {
 			for pair := range int64(4) {
 				_, err := repeatable.Call(t.Context(), client, address, echo{})
@@ -124,7 +124,7 @@
 	Convey("One that is given up at any moment is not said to have not run, if it has", t, func() {
 		counted := counting(transport.NewIdentity(testCluster, "node-a"))
 		client, address := answering(t, counted)
-		repeatable := transport.NewRepeatable[echo, echo](countCall.Path())
+		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
 		notRun := int64(0)
 		const calls = 400
 		for i := range calls {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -43,7 +43,7 @@
 	keptBufferBytes   = 256 << 10 // larger buffers are not kept for later answers
 	idleTimeout       = 30 * time.Second
 	idlePerAddress    = 8
-	onceLateness      = 2 * time.Second // how late a Once call may begin
+	maxStartDelay     = 2 * time.Second // how late a Once call may begin
 )
 
 // Caller sends one request to a peer and decodes its reply. Errors carry a verdict. Only endpoints and the few that
--- a/internal/transport/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -10,7 +10,7 @@
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: separator, Want: "/"},
-		goldentest.Constant{Have: anyone, Want: "*"},
+		goldentest.Constant{Have: wildcard, Want: "*"},
 		goldentest.Constant{Have: ToHeader, Want: "Puffinlink-To"},
 		goldentest.Constant{Have: FromHeader, Want: "Puffinlink-From"},
 		goldentest.Constant{Have: ClockHeader, Want: "Puffinlink-Clock"},
@@ -31,7 +31,7 @@
 	identity := Identity{Cluster: "a/b", Node: "c", Incarnation: 71}
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: identity.String(), Want: "a%2Fb/c/1z"},
-		goldentest.Constant{Have: FirstContact{"a/b"}.text(), Want: "a%2Fb/*/*"},
-		goldentest.Constant{Have: Process{identity}.text(), Want: "a%2Fb/c/1z"},
+		goldentest.Constant{Have: FirstContact{"a/b"}.headerText(), Want: "a%2Fb/*/*"},
+		goldentest.Constant{Have: Process{identity}.headerText(), Want: "a%2Fb/c/1z"},
 	)
 }
