--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -61,10 +61,10 @@
 	var sending transport.SendTracker
 	trace := httptrace.ClientTrace{WroteHeaders: permit.check, GotConn: func(got httptrace.GotConnInfo) {
 		permit.connected(got)
-		sending.Connected(got)
+		sending.GotConn(got)
 	}}
 	response, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
-	if err != nil && (permit.unsent() || sending.Unsent()) {
+	if err != nil && (permit.unsent() || sending.NothingSent()) {
 		return answer{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if err != nil {
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -20,8 +20,8 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// answering serves a handler and makes a client for it.
-func answering(t *testing.T, handler http.Handler) (client *transport.Client, address string) {
+// serveAndDial serves a handler and makes a client for it.
+func serveAndDial(t *testing.T, handler http.Handler) (client *transport.Client, address string) {
 	server := httptest.NewServer(handler)
 	client = transport.NewClientFor(testCluster)
 	t.Cleanup(func() {
@@ -31,8 +31,8 @@
 	return client, server.Listener.Addr().String()
 }
 
-// altered serves a mux and changes the header by which its answers name who gives them.
-func altered(mux http.Handler, change func(from string) string) http.Handler {
+// withFromHeader serves a mux and changes the header by which its answers name who gives them.
+func withFromHeader(mux http.Handler, change func(from string) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
 		mux.ServeHTTP(recorder, r)
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestAnswersThatAreNotTaken(t *testing.T) {
+func TestResponsesOfOtherProcessesAreRejected(t *testing.T) {
 	self := transport.NewIdentity(testCluster, "node-a")
 	cut := func(from string) (process, call string) {
 		at := strings.LastIndex(from, "/")
@@ -59,7 +59,7 @@
 		var change atomic.Value
 		same := func(from string) string { return from }
 		change.Store(same)
-		client, address := answering(t, altered(handlers(self), func(from string) string { return change.Load().(func(string) string)(from) }))
+		client, address := serveAndDial(t, withFromHeader(handlers(self), func(from string) string { return change.Load().(func(string) string)(from) }))
 		_, err := echoCall.Call(t.Context(), client, address, sample)
 		So(err, ShouldBeNil)
 
@@ -91,7 +91,7 @@
 		}
 	})
 	Convey("On first contact another cluster's answer is not taken", t, func() {
-		client, address := answering(t, altered(handlers(self), func(from string) string {
+		client, address := serveAndDial(t, withFromHeader(handlers(self), func(from string) string {
 			_, call := cut(from)
 			return transport.NewIdentity("another", "node-a").String() + "/" + call
 		}))
@@ -102,18 +102,18 @@
 
 func TestOlderBuilds(t *testing.T) {
 	Convey("An answer without a name is taken on first contact, each time", t, func() {
-		client, address := answering(t, altered(handlers(transport.NewIdentity(testCluster, "node-a")), func(string) string { return "" }))
+		client, address := serveAndDial(t, withFromHeader(handlers(transport.NewIdentity(testCluster, "node-a")), func(string) string { return "" }))
 		for range 2 {
 			_, err := echoCall.Call(t.Context(), client, address, sample)
 			So(err, ShouldBeNil)
 		}
 	})
 	Convey("But a call that may not be repeated is not sent to who has no name", t, func() {
-		counted := counting(transport.NewIdentity(testCluster, "node-a"))
-		client, address := answering(t, altered(counted, func(string) string { return "" }))
+		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
+		client, address := serveAndDial(t, withFromHeader(countingConn, func(string) string { return "" }))
 		_, err := countCall.Call(t.Context(), client, address, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
-		So(counted.runs.Load(), ShouldEqual, 0)
+		So(countingConn.executions.Load(), ShouldEqual, 0)
 	})
 	Convey("A call without an addressee is taken", t, func() {
 		body, err := msgpack.Marshal(sample)
@@ -133,12 +133,12 @@
 	})
 }
 
-func TestCallsAreNotLedElsewhere(t *testing.T) {
+func TestRedirectsAreNotFollowed(t *testing.T) {
 	Convey("A redirect is not followed, as the call would run at another process", t, func() {
 		var elsewhere atomic.Int64
-		_, target := answering(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
+		_, target := serveAndDial(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
 		for _, status := range []int{http.StatusTemporaryRedirect, http.StatusPermanentRedirect, http.StatusSeeOther} {
-			client, address := answering(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Location", "http://"+target+r.URL.Path)
 				w.WriteHeader(status)
 			}))
@@ -149,31 +149,33 @@
 	})
 }
 
-func TestCopiesOfACall(t *testing.T) {
+func TestDuplicateAtMostOnceCallsAreRejected(t *testing.T) {
 	Convey("A call that may not be repeated is not carried out a second time when a copy arrives", t, func() {
-		counted := counting(transport.NewIdentity(testCluster, "node-a"))
+		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
 		deliver := func(call string) int {
 			request := httptest.NewRequest(http.MethodPost, countCall.Path(), strings.NewReader("\x80"))
 			request.Header.Set(transport.ToHeader, "cluster%20%2A%2F1/*/*/"+call)
 			recorder := httptest.NewRecorder()
-			counted.ServeHTTP(recorder, request)
+			countingConn.ServeHTTP(recorder, request)
 			return recorder.Code
 		}
 		So(deliver("a"), ShouldEqual, http.StatusOK)
 		So(deliver("b"), ShouldEqual, http.StatusOK)
 		So(deliver("a"), ShouldEqual, http.StatusInternalServerError) // unclear to the caller: the first one ran
-		So(counted.runs.Load(), ShouldEqual, 2)
+		So(countingConn.executions.Load(), ShouldEqual, 2)
 	})
 }
 
-// TestCallsThatComeLate lets calls arrive when their callers have given them up, as at a callee that was frozen.
-func TestCallsThatComeLate(t *testing.T) {
+// TestLateAtMostOnceCallsAreRejected lets calls arrive when their callers have given them up, as at a callee that was frozen.
+func TestLateAtMostOnceCallsAreRejected(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		counted := counting(transport.NewIdentity(testCluster, "node-a"))
+		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
 		repeatable := transport.NewIdempotent[echo, echo]("/other")
-		transport.Handle(counted.Mux, repeatable, func(context.Context, echo) (echo, error) { return echo{Number: uint64(counted.runs.Add(1))}, nil })
+		transport.Handle(countingConn.Mux, repeatable, func(context.Context, echo) (echo, error) {
+			return echo{Number: uint64(countingConn.executions.Add(1))}, nil
+		})
 		network := networktest.New(1)
-		network.Serve("served:1", counted)
+		network.Serve("served:1", countingConn)
 		caller := network.CallerOf(testCluster, "caller:1")
 		send := func(endpoint interface {
 			Call(context.Context, transport.Caller, string, echo) (echo, error)
@@ -183,8 +185,8 @@
 			_, err := endpoint.Call(ctx, caller, "served:1", echo{})
 			return err
 		}
-		if err := send(countCall); err != nil || counted.runs.Load() != 1 {
-			t.Fatal(err, counted.runs.Load())
+		if err := send(countCall); err != nil || countingConn.executions.Load() != 1 {
+			t.Fatal(err, countingConn.executions.Load())
 		}
 		time.Sleep(time.Hour) // the clock that was learned stays good
 		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, Times: 1})
@@ -193,27 +195,27 @@
 			t.Error("a call that has not arrived was said to have not run:", err)
 		}
 		time.Sleep(time.Minute)
-		if runs := counted.runs.Load(); runs != 1 {
+		if runs := countingConn.executions.Load(); runs != 1 {
 			t.Errorf("a call that came 19 s after it was given up ran: %d runs", runs)
 		}
 		if err := send(repeatable); err == nil {
 			t.Error("answered in time")
 		}
 		time.Sleep(time.Minute)
-		if runs := counted.runs.Load(); runs != 2 {
+		if runs := countingConn.executions.Load(); runs != 2 {
 			t.Errorf("a repeatable call may come late: %d runs", runs)
 		}
-		if err := send(countCall); err != nil || counted.runs.Load() != 3 {
+		if err := send(countCall); err != nil || countingConn.executions.Load() != 3 {
 			t.Error("a call in time was refused:", err)
 		}
 	})
 }
 
-func TestRepliesAreWholeOrAbsent(t *testing.T) {
+func TestRepliesAreDecodedWhollyOrNotAtAll(t *testing.T) {
 	Convey("An answer that breaks off within a field leaves nothing in the reply", t, func() {
 		whole, err := msgpack.Marshal(sample)
 		So(err, ShouldBeNil)
-		client, address := answering(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(whole[:len(whole)-1]) }))
+		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(whole[:len(whole)-1]) }))
 		reply := echo{Text: "before"}
 		err = client.Call(t.Context(), address, echoCall.Route(), sample, &reply)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -47,8 +47,8 @@
 
 // NewClientWithTransport makes a client whose requests another carrier brings to their addresses. A failure to reach anybody is a
 // *net.OpError of "dial".
-func NewClientWithTransport(cluster string, carrier http.RoundTripper) *Client {
-	return &Client{cluster: cluster, roundTripper: carrier, directory: newDirectory(), callIDPrefix: rand.Text() + "."}
+func NewClientWithTransport(cluster string, roundTripper http.RoundTripper) *Client {
+	return &Client{cluster: cluster, roundTripper: roundTripper, directory: newDirectory(), callIDPrefix: rand.Text() + "."}
 }
 
 // Close ends idle connections.
@@ -89,8 +89,8 @@
 
 // isRestart tells whether the process that refused is a later life of the one that was meant.
 func (e *MisdirectedError) isRestart() bool {
-	meant, ok := e.Intended.(Process)
-	return ok && meant.sameNode(e.Actual)
+	intended, ok := e.Intended.(Process)
+	return ok && intended.sameNode(e.Actual)
 }
 
 // callAtMostOnce sends a call to a known process only: on first contact it asks for the process first.
@@ -101,7 +101,7 @@
 		}
 	}
 	call := c.newOutgoingCall(address, route, body)
-	if _, known := call.to.(Process); !known {
+	if _, known := call.addressee.(Process); !known {
 		return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: nobody is known to serve %s", route.Path(), address), 0)
 	}
 	return c.roundTrip(ctx, call, reply)
@@ -109,63 +109,63 @@
 
 // outgoingCall is one sending of a call.
 type outgoingCall struct {
-	address string
-	path    string
-	to      Addressee
-	header  string // value of ToHeader
-	call    string
-	body    []byte
-	asked   time.Time
-	until   string // value of UntilHeader, for a Once call
+	address     string
+	path        string
+	addressee   Addressee
+	toHeader    string // value of ToHeader
+	id          string
+	body        []byte
+	sentAt      time.Time
+	latestStart string // value of UntilHeader, for a Once call
 }
 
 // newOutgoingCall names whom a call means, by what is known now.
 func (c *Client) newOutgoingCall(address string, route Route, body []byte) *outgoingCall {
-	call := &outgoingCall{address: address, path: route.Path(), body: body, asked: time.Now()}
-	call.call = c.callIDPrefix + strconv.FormatUint(c.callCount.Add(1), incarnationBase)
+	call := &outgoingCall{address: address, path: route.Path(), body: body, sentAt: time.Now()}
+	call.id = c.callIDPrefix + strconv.FormatUint(c.callCount.Add(1), incarnationBase)
 	if known, ok := c.directory.lookup(address); ok {
-		call.to, call.header = Process{known.identity}, known.headerText+separator+call.call
+		call.addressee, call.toHeader = Process{known.identity}, known.headerText+separator+call.id
 		if !route.idempotent() {
-			call.until = formatClock(known.clockAfter(call.asked, maxStartDelay).Milliseconds())
+			call.latestStart = formatClock(known.clockAfter(call.sentAt, maxStartDelay).Milliseconds())
 		}
 		return call
 	}
-	call.to = FirstContact{c.cluster}
-	call.header = call.to.headerText() + separator + call.call
+	call.addressee = FirstContact{c.cluster}
+	call.toHeader = call.addressee.headerText() + separator + call.id
 	return call
 }
 
 func (e *outgoingCall) String() string { return e.address + e.path }
 
-func (e *outgoingCall) request(ctx context.Context, sending *SendTracker) *http.Request {
+func (e *outgoingCall) httpRequest(ctx context.Context, tracker *SendTracker) *http.Request {
 	request := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: e.address, Path: e.path}, Host: e.address,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: http.Header{contentTypeHeader: {contentType}, ToHeader: {e.header}},
+		Header: http.Header{contentTypeHeader: {contentType}, ToHeader: {e.toHeader}},
 		Body:   io.NopCloser(bytes.NewReader(e.body)), ContentLength: int64(len(e.body)),
-		GetBody: sending.Again(e.body),
+		GetBody: tracker.GetBody(e.body),
 	}
-	if e.until != "" {
-		request.Header.Set(UntilHeader, e.until)
+	if e.latestStart != "" {
+		request.Header.Set(UntilHeader, e.latestStart)
 	}
-	return request.WithContext(sending.Watch(ctx))
+	return request.WithContext(tracker.WithTrace(ctx))
 }
 
 // roundTrip sends a call by one writing, and takes the answer if it is that process's to this call.
 func (c *Client) roundTrip(ctx context.Context, call *outgoingCall, reply any) error {
-	var sending SendTracker
-	answer, err := c.roundTripper.RoundTrip(call.request(ctx, &sending))
+	var tracker SendTracker
+	response, err := c.roundTripper.RoundTrip(call.httpRequest(ctx, &tracker))
 	if err != nil {
-		return c.classify(call, err, &sending)
+		return c.classify(call, err, &tracker)
 	}
-	defer answer.Body.Close()
-	if err := c.checkResponder(call, answer); err != nil {
+	defer response.Body.Close()
+	if err := c.checkResponder(call, response); err != nil {
 		return err
 	}
-	if answer.StatusCode != http.StatusOK {
-		return responseError(call, answer)
+	if response.StatusCode != http.StatusOK {
+		return responseError(call, response)
 	}
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxBodyBytes+1))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
 	if err != nil {
 		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("read %s: %w", call, err))
 	}
@@ -187,10 +187,10 @@
 }
 
 // classify classifies a call without an answer: nothing ran where no connection came up, or no byte was sent on it.
-func (c *Client) classify(call *outgoingCall, err error, sending *SendTracker) error {
+func (c *Client) classify(call *outgoingCall, err error, tracker *SendTracker) error {
 	err = fmt.Errorf("call %s: %w", call, err)
 	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" || c.countsWrites && sending.Unsent() {
+	if errors.As(err, &operation) && operation.Op == "dial" || c.countsWrites && tracker.NothingSent() {
 		return rpcerror.WrapNotExecuted(err, 0)
 	}
 	return rpcerror.WrapMayHaveExecuted(err)
@@ -202,64 +202,64 @@
 )
 
 // checkResponder tells whether an answer is the meant process's to this call, and learns who serves the address.
-func (c *Client) checkResponder(call *outgoingCall, answer *http.Response) error {
-	header := answer.Header.Get(FromHeader)
-	if header == call.header { // the usual case: a known process, and this call
+func (c *Client) checkResponder(call *outgoingCall, response *http.Response) error {
+	header := response.Header.Get(FromHeader)
+	if header == call.toHeader { // the usual case: a known process, and this call
 		return nil
 	}
 	from, err := parseFromHeader(header)
 	if err != nil {
 		return c.checkUnnamedResponder(call)
 	}
-	if callIDOf(header) != call.call {
+	if callIDOf(header) != call.id {
 		c.Close() // the connection is out of step
 		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("call %s: %w", call, errWrongCall))
 	}
-	meant, known := call.to.(Process)
-	if answer.StatusCode == http.StatusMisdirectedRequest {
-		c.updateDirectory(call.address, meant, call.met(from, answer))
-		return rpcerror.WrapNotExecuted(&MisdirectedError{Address: call.address, Intended: call.to, Actual: from}, 0)
+	intended, known := call.addressee.(Process)
+	if response.StatusCode == http.StatusMisdirectedRequest {
+		c.updateDirectory(call.address, intended, call.knownProcess(from, response))
+		return rpcerror.WrapNotExecuted(&MisdirectedError{Address: call.address, Intended: call.addressee, Actual: from}, 0)
 	}
-	if !call.to.matches(from) {
+	if !call.addressee.matches(from) {
 		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("call %s: %w: %s", call, errWrongProcess, from))
 	}
 	if !known {
-		c.directory.add(call.address, call.met(from, answer))
+		c.directory.add(call.address, call.knownProcess(from, response))
 	}
 	return nil
 }
 
 // met is what an answer tells of the process that gave it.
-func (e *outgoingCall) met(from Identity, answer *http.Response) knownProcess {
-	milliseconds, _ := strconv.ParseInt(answer.Header.Get(ClockHeader), 10, 64)
-	return knownProcess{from, from.String(), time.Duration(milliseconds) * time.Millisecond, e.asked}
+func (e *outgoingCall) knownProcess(from Identity, response *http.Response) knownProcess {
+	milliseconds, _ := strconv.ParseInt(response.Header.Get(ClockHeader), 10, 64)
+	return knownProcess{from, from.String(), time.Duration(milliseconds) * time.Millisecond, e.sentAt}
 }
 
 // checkUnnamedResponder judges an answer that names no process: an older build's, which is taken on first contact only.
 func (c *Client) checkUnnamedResponder(call *outgoingCall) error {
-	meant, known := call.to.(Process)
+	intended, known := call.addressee.(Process)
 	if !known {
 		return nil
 	}
-	c.directory.remove(call.address, meant.Identity)
+	c.directory.remove(call.address, intended.Identity)
 	return rpcerror.WrapMayHaveExecuted(fmt.Errorf("call %s: %w: it has no name", call, errWrongProcess))
 }
 
 // updateDirectory notes who refused a call: the same node started again, or one that has to be met anew.
-func (c *Client) updateDirectory(address string, meant Process, found knownProcess) {
-	if meant.sameNode(found.identity) {
-		c.directory.replace(address, meant.Identity, found)
+func (c *Client) updateDirectory(address string, intended Process, actual knownProcess) {
+	if intended.sameNode(actual.identity) {
+		c.directory.replace(address, intended.Identity, actual)
 		return
 	}
-	c.directory.remove(address, meant.Identity)
+	c.directory.remove(address, intended.Identity)
 }
 
-func responseError(call *outgoingCall, answer *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxErrorBytes))
-	err := fmt.Errorf("%s answered %d: %s", call, answer.StatusCode, bytes.TrimSpace(text))
-	if answer.StatusCode != http.StatusServiceUnavailable && answer.StatusCode != http.StatusNotFound {
+func responseError(call *outgoingCall, response *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+	err := fmt.Errorf("%s answered %d: %s", call, response.StatusCode, bytes.TrimSpace(text))
+	if response.StatusCode != http.StatusServiceUnavailable && response.StatusCode != http.StatusNotFound {
 		return rpcerror.WrapMayHaveExecuted(err)
 	}
-	milliseconds, _ := strconv.Atoi(answer.Header.Get(RetryAfterHeader))
+	milliseconds, _ := strconv.Atoi(response.Header.Get(RetryAfterHeader))
 	return rpcerror.WrapNotExecuted(err, time.Duration(milliseconds)*time.Millisecond)
 }
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -57,33 +57,33 @@
 	return mux
 }
 
-// site is a transport with a served address and one where nobody listens.
-type site struct {
-	caller          transport.Caller
-	served, nowhere string
-	replace         func(http.Handler) // another process takes the served address
+// fixture is a transport with a served address and one where nobody listens.
+type fixture struct {
+	caller           transport.Caller
+	served, unserved string
+	replace          func(http.Handler) // another process takes the served address
 }
 
 var sample = echo{Text: "text", Number: 1 << 60, State: map[string][]byte{"a": {}, "b": {1, 0, 255}}}
 
-func (s site) call(ctx context.Context, address string, endpoint transport.Idempotent[echo, echo]) (echo, error) {
+func (s fixture) call(ctx context.Context, address string, endpoint transport.Idempotent[echo, echo]) (echo, error) {
 	return endpoint.Call(ctx, s.caller, address, sample)
 }
 
 // runContract checks what every transport promises to its callers. Processes are of the cluster that the caller is of.
-func runContract(t *testing.T, open func(t *testing.T, handler http.Handler) site) {
+func runContract(t *testing.T, open func(t *testing.T, handler http.Handler) fixture) {
 	Convey("Given a transport", t, func() {
 		first := transport.NewIdentity(testCluster, "node-a")
 		s := open(t, handlers(first))
-		checkEnds(t, s)
+		checkOutcomes(t, s)
 		checkIdentities(t, s, first)
 		checkOnce(t, s, first)
 		Convey("an answer reaches its own call among many that are given up", func() { checkCancellations(t, s) })
 	})
 }
 
-// checkEnds checks the ways in which a call may end.
-func checkEnds(t *testing.T, s site) {
+// checkOutcomes checks the ways in which a call may end.
+func checkOutcomes(t *testing.T, s fixture) {
 	Convey("a reply comes back as it was sent", func() {
 		reply, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
@@ -108,7 +108,7 @@
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 	Convey("a call to nobody has not run", func() {
-		_, err := s.call(t.Context(), s.nowhere, echoCall)
+		_, err := s.call(t.Context(), s.unserved, echoCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
@@ -120,7 +120,7 @@
 }
 
 // checkIdentities checks that a call reaches the process that is meant, or nobody.
-func checkIdentities(t *testing.T, s site, first transport.Identity) {
+func checkIdentities(t *testing.T, s fixture, first transport.Identity) {
 	met := func() {
 		_, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
@@ -154,37 +154,37 @@
 }
 
 // checkOnce checks calls that may not be repeated.
-func checkOnce(t *testing.T, s site, first transport.Identity) {
+func checkOnce(t *testing.T, s fixture, first transport.Identity) {
 	send := func() error {
 		_, err := countCall.Call(t.Context(), s.caller, s.served, echo{})
 		return err
 	}
 	Convey("a call that may not be repeated is carried out once, also on first contact", func() {
-		counted := counting(first)
-		s.replace(counted)
+		countingConn := newCountingProcess(first)
+		s.replace(countingConn)
 		So(send(), ShouldBeNil)
 		So(send(), ShouldBeNil)
-		So(counted.runs.Load(), ShouldEqual, 2)
+		So(countingConn.executions.Load(), ShouldEqual, 2)
 	})
 	Convey("a process that was started again does not get it by itself, but the next one", func() {
-		before, after := counting(first), counting(transport.NewIdentity(first.Cluster, first.Node))
+		before, after := newCountingProcess(first), newCountingProcess(transport.NewIdentity(first.Cluster, first.Node))
 		s.replace(before)
 		So(send(), ShouldBeNil)
 		s.replace(after)
 		So(rpcerror.ExecutionOf(send()), ShouldEqual, rpcerror.NotExecuted)
-		So(before.runs.Load(), ShouldEqual, 1)
-		So(after.runs.Load(), ShouldEqual, 0)
+		So(before.executions.Load(), ShouldEqual, 1)
+		So(after.executions.Load(), ShouldEqual, 0)
 		So(send(), ShouldBeNil)
-		So(after.runs.Load(), ShouldEqual, 1)
+		So(after.executions.Load(), ShouldEqual, 1)
 	})
 	Convey("where nobody tells who serves the address, it is not sent", func() {
-		_, err := countCall.Call(t.Context(), s.caller, s.nowhere, echo{})
+		_, err := countCall.Call(t.Context(), s.caller, s.unserved, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
 // checkCancellations makes many calls at once, of which many are given up at any moment.
-func checkCancellations(t *testing.T, s site) {
+func checkCancellations(t *testing.T, s fixture) {
 	const callers, callsEach = 16, 60
 	var wrong, answered atomic.Int64
 	var calling sync.WaitGroup
@@ -214,34 +214,34 @@
 	So(answered.Load(), ShouldBeGreaterThan, callers*callsEach/2)
 }
 
-// counter serves countCall and counts how often it is carried out.
-type counter struct {
+// countingProcess serves countCall and counts how often it is carried out.
+type countingProcess struct {
 	*transport.Mux
-	runs atomic.Int64
+	executions atomic.Int64
 }
 
-func counting(self transport.Identity) *counter {
-	c := &counter{Mux: transport.NewMuxFor(self)}
+func newCountingProcess(self transport.Identity) *countingProcess {
+	c := &countingProcess{Mux: transport.NewMuxFor(self)}
 	transport.Handle(c.Mux, countCall, func(context.Context, echo) (echo, error) {
-		return echo{Number: uint64(c.runs.Add(1))}, nil
+		return echo{Number: uint64(c.executions.Add(1))}, nil
 	})
 	return c
 }
 
-// swapped serves one handler after the other.
-type swapped struct{ handler atomic.Value }
+// swappableHandler serves one handler after the other.
+type swappableHandler struct{ handler atomic.Value }
 
-func (s *swapped) set(handler http.Handler) { s.handler.Store(&handler) }
+func (s *swappableHandler) set(handler http.Handler) { s.handler.Store(&handler) }
 
 // ServeHTTP implements http.Handler.
-func (s *swapped) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *swappableHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	(*s.handler.Load().(*http.Handler)).ServeHTTP(w, r)
 }
 
-// TestSocketsKeepTheContract lets processes follow each other on connections that stay open.
-func TestSocketsKeepTheContract(t *testing.T) {
-	runContract(t, func(t *testing.T, handler http.Handler) site {
-		var serving swapped
+// TestClientKeepsTheContractOverTCP lets processes follow each other on connections that stay open.
+func TestClientKeepsTheContractOverTCP(t *testing.T) {
+	runContract(t, func(t *testing.T, handler http.Handler) fixture {
+		var serving swappableHandler
 		serving.set(handler)
 		server := httptest.NewServer(&serving)
 		unused, err := net.Listen("tcp", "127.0.0.1:0")
@@ -253,21 +253,21 @@
 			server.CloseClientConnections()
 			server.Close()
 		})
-		return site{caller: client, served: server.Listener.Addr().String(), nowhere: unused.Addr().String(), replace: serving.set}
+		return fixture{caller: client, served: server.Listener.Addr().String(), unserved: unused.Addr().String(), replace: serving.set}
 	})
 }
 
-func TestMemoryKeepsTheContract(t *testing.T) {
-	runContract(t, func(_ *testing.T, handler http.Handler) site {
+func TestClientKeepsTheContractInMemory(t *testing.T) {
+	runContract(t, func(_ *testing.T, handler http.Handler) fixture {
 		network := networktest.New(1)
 		network.Serve("served:1", handler)
 		network.Serve("nowhere:1", nil)
 		replace := func(handler http.Handler) { network.Serve("served:1", handler) }
-		return site{caller: network.CallerOf(testCluster, "caller:1"), served: "served:1", nowhere: "nowhere:1", replace: replace}
+		return fixture{caller: network.CallerOf(testCluster, "caller:1"), served: "served:1", unserved: "nowhere:1", replace: replace}
 	})
 }
 
-func TestAnswersThatAreNoReplies(t *testing.T) {
+func TestUnreadableResponsesMayHaveBeenExecuted(t *testing.T) {
 	Convey("An answer that breaks off, or cannot be read, may have run", t, func() {
 		for _, handler := range []http.HandlerFunc{
 			func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("no msgpack")) },
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -34,28 +34,28 @@
 }
 
 // add notes who serves an address that nobody was known to serve. What another call has learned meanwhile stays.
-func (d *directory) add(address string, found knownProcess) {
+func (d *directory) add(address string, actual knownProcess) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if _, known := d.processes[address]; !known {
-		d.processes[address] = found
+		d.processes[address] = actual
 	}
 }
 
 // replace notes that a process was started again, unless another call has learned of a later one.
-func (d *directory) replace(address string, meant Identity, found knownProcess) {
+func (d *directory) replace(address string, intended Identity, actual knownProcess) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.processes[address].identity == meant {
-		d.processes[address] = found
+	if d.processes[address].identity == intended {
+		d.processes[address] = actual
 	}
 }
 
 // remove drops a process that is not at the address any more; the next call is a first contact.
-func (d *directory) remove(address string, meant Identity) {
+func (d *directory) remove(address string, intended Identity) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.processes[address].identity == meant {
+	if d.processes[address].identity == intended {
 		delete(d.processes, address)
 	}
 }
--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -19,9 +19,9 @@
 
 // NewIdentity names a process that starts now. Incarnations are random: a clock that was set back repeats none.
 func NewIdentity(cluster, node string) Identity {
-	var drawn [8]byte
-	rand.Read(drawn[:]) // never fails, as documented
-	return Identity{Cluster: cluster, Node: node, Incarnation: binary.BigEndian.Uint64(drawn[:])}
+	var random [8]byte
+	rand.Read(random[:]) // never fails, as documented
+	return Identity{Cluster: cluster, Node: node, Incarnation: binary.BigEndian.Uint64(random[:])}
 }
 
 const (
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -11,25 +11,25 @@
 // longest is closed; where none is idle, new ones wait in the listener's queue.
 type BoundedListener struct {
 	net.Listener
-	most int
+	limit int
 
-	mu    sync.Mutex
-	room  sync.Cond
-	open  map[net.Conn]*list.Element // an element while the connection is idle
-	idle  list.List                  // of net.Conn, the longest idle one first
-	ended bool
+	mu           sync.Mutex
+	stateChanged sync.Cond
+	open         map[net.Conn]*list.Element // an element while the connection is idle
+	idle         list.List                  // of net.Conn, the longest idle one first
+	closed       bool
 }
 
 // NewBoundedListener bounds a listener. The server must call ConnState as its hook of that name.
-func NewBoundedListener(listener net.Listener, most int) *BoundedListener {
-	l := &BoundedListener{Listener: listener, most: most, open: make(map[net.Conn]*list.Element)}
-	l.room.L = &l.mu
+func NewBoundedListener(listener net.Listener, limit int) *BoundedListener {
+	l := &BoundedListener{Listener: listener, limit: limit, open: make(map[net.Conn]*list.Element)}
+	l.stateChanged.L = &l.mu
 	return l
 }
 
 // Accept implements net.Listener.
 func (l *BoundedListener) Accept() (net.Conn, error) {
-	l.awaitRoom()
+	l.waitBelowLimit()
 	connection, err := l.Listener.Accept()
 	if err == nil {
 		l.mu.Lock()
@@ -42,24 +42,24 @@
 // Close implements net.Listener.
 func (l *BoundedListener) Close() error {
 	l.mu.Lock()
-	l.ended = true
-	l.room.Broadcast()
+	l.closed = true
+	l.stateChanged.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
 
-// awaitRoom waits until one more connection may be open, or the listener is closed.
-func (l *BoundedListener) awaitRoom() {
+// waitBelowLimit waits until one more connection may be open, or the listener is closed.
+func (l *BoundedListener) waitBelowLimit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.open) >= l.most && !l.ended {
+	for len(l.open) >= l.limit && !l.closed {
 		longest := l.idle.Front()
 		if longest == nil {
-			l.room.Wait()
+			l.stateChanged.Wait()
 			continue
 		}
 		connection := longest.Value.(net.Conn)
-		l.forget(connection)
+		l.remove(connection)
 		connection.Close()
 	}
 }
@@ -80,15 +80,15 @@
 	case http.StateIdle:
 		l.open[connection] = l.idle.PushBack(connection)
 	case http.StateClosed, http.StateHijacked:
-		l.forget(connection)
+		l.remove(connection)
 	default:
 		return
 	}
-	l.room.Signal()
+	l.stateChanged.Signal()
 }
 
 // remove takes a connection off the count. The caller holds the lock.
-func (l *BoundedListener) forget(connection net.Conn) {
+func (l *BoundedListener) remove(connection net.Conn) {
 	if element := l.open[connection]; element != nil {
 		l.idle.Remove(element)
 	}
--- a/internal/transport/inbound_test.go
+++ b/internal/transport/inbound_test.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-const inboundPatience = 20 * time.Second
+const listenerTimeout = 20 * time.Second
 
 // boundedServer serves on a loopback address; calls of /wait are answered once the channel is closed.
 func boundedServer(t *testing.T, most int) (inbound *transport.BoundedListener, waiting chan struct{}, letGo chan struct{}) {
@@ -35,19 +35,19 @@
 // callOn sends a request on a connection and tells whether it was answered.
 func callOn(t *testing.T, connection net.Conn, path string) error {
 	t.Helper()
-	connection.SetDeadline(time.Now().Add(inboundPatience))
+	connection.SetDeadline(time.Now().Add(listenerTimeout))
 	if _, err := io.WriteString(connection, "GET "+path+" HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		return err
 	}
-	const answer = "HTTP/1.1 200 OK\r\n"
-	_, err := io.ReadFull(connection, make([]byte, len(answer)))
+	const response = "HTTP/1.1 200 OK\r\n"
+	_, err := io.ReadFull(connection, make([]byte, len(response)))
 	return err
 }
 
 // dialOne opens a connection.
 func dialOne(t *testing.T, address string) net.Conn {
 	t.Helper()
-	connection, err := net.DialTimeout("tcp", address, inboundPatience)
+	connection, err := net.DialTimeout("tcp", address, listenerTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	return connection
 }
 
-func TestInbound(t *testing.T) {
+func TestBoundedListener(t *testing.T) {
 	convey.Convey("A server with three connections", t, func() {
 		inbound, waiting, letGo := boundedServer(t, 3)
 		address := inbound.Addr().String()
@@ -66,7 +66,7 @@
 				convey.So(callOn(t, dialOne(t, address), "/"), convey.ShouldBeNil)
 				convey.So(inbound.Open(), convey.ShouldBeLessThanOrEqualTo, 3)
 			}
-			oldest.SetDeadline(time.Now().Add(inboundPatience))
+			oldest.SetDeadline(time.Now().Add(listenerTimeout))
 			_, err := io.Copy(io.Discard, oldest)
 			convey.So(err, convey.ShouldBeNil) // its end
 		})
--- a/internal/transport/model_test.go
+++ b/internal/transport/model_test.go
@@ -36,8 +36,8 @@
 	modelEvents    = 8  // restarts and replacements
 	modelPause     = 60 * time.Millisecond
 	modelLimit     = 250 * time.Millisecond // of a call, at most
-	modelLate      = 600 * time.Millisecond
-	modelSettled   = 2 * modelLate // after which nothing is under way
+	modelLateDelay = 600 * time.Millisecond
+	modelSettled   = 2 * modelLateDelay // after which nothing is under way
 )
 
 // token names one call of the model.
@@ -51,112 +51,112 @@
 }
 
 type modelReply struct {
-	Token token
-	By    transport.Identity
-	Bulk  []byte
+	Token     token
+	Responder transport.Identity
+	Bulk      []byte
 }
 
 var (
-	modelOnce   = transport.NewAtMostOnce[modelRequest, modelReply]("/model/once")
-	modelRepeat = transport.NewIdempotent[modelRequest, modelReply]("/model/repeat")
+	modelAtMostOnceCall = transport.NewAtMostOnce[modelRequest, modelReply]("/model/once")
+	modelIdempotentCall = transport.NewIdempotent[modelRequest, modelReply]("/model/repeat")
 )
 
 // modelCall is one call with all that is known of it.
 type modelCall struct {
-	token token
-	once  bool
-	meant transport.Identity // the process that the caller had met at the address; zero for none
-	reply modelReply
-	err   error
-	ranAt []transport.Identity // in order
+	token      token
+	atMostOnce bool
+	intended   transport.Identity // the process that the caller had met at the address; zero for none
+	reply      modelReply
+	err        error
+	executedAt []transport.Identity // in order
 }
 
-// world is one schedule: callers, and processes that follow each other at a few addresses.
-type world struct {
-	seed    uint64
-	doubles bool // requests may arrive twice
-	network *networktest.Network
+// simulation is one schedule: callers, and processes that follow each other at a few addresses.
+type simulation struct {
+	seed       uint64
+	duplicates bool // requests may arrive twice
+	network    *networktest.Network
 
-	mutex   sync.Mutex
-	calls   map[token]*modelCall
-	serving map[string]transport.Identity
-	faults  []string
+	mutex      sync.Mutex
+	calls      map[token]*modelCall
+	serving    map[string]transport.Identity
+	violations []string
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{seed: seed, doubles: seed%2 == 0, network: networktest.New(seed), calls: map[token]*modelCall{}, serving: map[string]transport.Identity{}}
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{seed: seed, duplicates: seed%2 == 0, network: networktest.New(seed), calls: map[token]*modelCall{}, serving: map[string]transport.Identity{}}
 	for i := range modelAddresses {
-		w.begin(modelAddress(i), fmt.Sprintf("node-%d", i))
+		s.startProcess(modelAddress(i), fmt.Sprintf("node-%d", i))
 	}
-	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: modelLate}
-	if w.doubles {
+	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: modelLateDelay}
+	if s.duplicates {
 		faults.Double = 0.3
 	}
-	w.network.SetFaults(faults)
-	return w
+	s.network.SetFaults(faults)
+	return s
 }
 
 func modelAddress(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-// begin starts a process at an address, in place of the one there.
-func (w *world) begin(address, node string) {
+// startProcess starts a process at an address, in place of the one there.
+func (s *simulation) startProcess(address, node string) {
 	self := transport.NewIdentity(testCluster, node)
 	mux := transport.NewMuxFor(self)
 	run := func(_ context.Context, request modelRequest) (modelReply, error) {
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
-		call := w.calls[request.Token]
-		call.ranAt = append(call.ranAt, self)
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		call := s.calls[request.Token]
+		call.executedAt = append(call.executedAt, self)
 		if request.Token.Number%5 == 4 { // so that refusals by a handler occur as well, and after the run
 			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("broke down midway"))
 		}
-		return modelReply{Token: request.Token, By: self, Bulk: request.Bulk}, nil
+		return modelReply{Token: request.Token, Responder: self, Bulk: request.Bulk}, nil
 	}
-	transport.Handle(mux, modelOnce, run)
-	transport.Handle(mux, modelRepeat, run)
-	w.network.Serve(address, mux)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.serving[address] = self
+	transport.Handle(mux, modelAtMostOnceCall, run)
+	transport.Handle(mux, modelIdempotentCall, run)
+	s.network.Serve(address, mux)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.serving[address] = self
 }
 
-// end stops the process at an address.
-func (w *world) end(address string) { w.network.Serve(address, nil) }
+// stopProcess stops the process at an address.
+func (s *simulation) stopProcess(address string) { s.network.Serve(address, nil) }
 
-func (w *world) servedBy(address string) transport.Identity {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.serving[address]
+func (s *simulation) servedBy(address string) transport.Identity {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.serving[address]
 }
 
-func (w *world) fault(format string, arguments ...any) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf(format, arguments...))
+func (s *simulation) violation(format string, arguments ...any) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.violations = append(s.violations, fmt.Sprintf(format, arguments...))
 }
 
-// disturb restarts processes and lets other machines take addresses.
-func (w *world) disturb(random *rand.Rand) {
+// restartProcesses restarts processes and lets other machines take addresses.
+func (s *simulation) restartProcesses(random *rand.Rand) {
 	for event := range modelEvents {
 		time.Sleep(time.Duration(random.Int64N(int64(2 * modelPause))))
 		address := modelAddress(random.IntN(modelAddresses))
-		node := w.servedBy(address).Node
+		node := s.servedBy(address).Node
 		if random.IntN(2) == 0 {
 			node = fmt.Sprintf("node-new-%d", event)
 		}
-		w.end(address)
+		s.stopProcess(address)
 		time.Sleep(time.Duration(random.Int64N(int64(modelPause))))
-		w.begin(address, node)
+		s.startProcess(address, node)
 	}
 }
 
 // modelCaller is one process that calls.
 type modelCaller struct {
-	world  *world
+	world  *simulation
 	index  int
 	number int
 	caller transport.Caller
-	met    map[string]transport.Identity // by address
+	known  map[string]transport.Identity // by address
 }
 
 func (c *modelCaller) run(random *rand.Rand) {
@@ -167,10 +167,10 @@
 	}
 }
 
-// call makes one call and notes how it ended.
+// id makes one call and notes how it ended.
 func (c *modelCaller) call(address string, once bool, limit time.Duration, bulk int) *modelCall {
 	c.number++
-	call := &modelCall{token: token{c.index, c.number}, once: once, meant: c.met[address]}
+	call := &modelCall{token: token{c.index, c.number}, atMostOnce: once, intended: c.known[address]}
 	c.world.mutex.Lock()
 	c.world.calls[call.token] = call
 	c.world.mutex.Unlock()
@@ -178,52 +178,52 @@
 	defer cancel()
 	request := modelRequest{Token: call.token, Bulk: make([]byte, bulk)}
 	if once {
-		call.reply, call.err = modelOnce.Call(ctx, c.caller, address, request)
+		call.reply, call.err = modelAtMostOnceCall.Call(ctx, c.caller, address, request)
 	} else {
-		call.reply, call.err = modelRepeat.Call(ctx, c.caller, address, request)
+		call.reply, call.err = modelIdempotentCall.Call(ctx, c.caller, address, request)
 	}
-	c.learn(address, call)
+	c.noteResponder(address, call)
 	return call
 }
 
 // add notes what the caller may conclude of who serves the address.
-func (c *modelCaller) learn(address string, call *modelCall) {
+func (c *modelCaller) noteResponder(address string, call *modelCall) {
 	var misdirected *transport.MisdirectedError
 	switch {
 	case call.err == nil:
-		c.met[address] = call.reply.By
-	case errors.As(call.err, &misdirected) && misdirected.Actual.Node != c.met[address].Node:
-		delete(c.met, address)
+		c.known[address] = call.reply.Responder
+	case errors.As(call.err, &misdirected) && misdirected.Actual.Node != c.known[address].Node:
+		delete(c.known, address)
 	}
 }
 
-// play runs the schedule in simulated time.
-func (w *world) play() {
-	random := rand.New(rand.NewPCG(w.seed, 1))
+// run runs the schedule in simulated time.
+func (s *simulation) run() {
+	random := rand.New(rand.NewPCG(s.seed, 1))
 	var running sync.WaitGroup
 	var callers []*modelCaller
 	for i := range modelCallers {
-		caller := &modelCaller{world: w, index: i, met: map[string]transport.Identity{}}
-		caller.caller = w.network.CallerOf(testCluster, fmt.Sprintf("10.1.0.%d:1", i))
+		caller := &modelCaller{world: s, index: i, known: map[string]transport.Identity{}}
+		caller.caller = s.network.CallerOf(testCluster, fmt.Sprintf("10.1.0.%d:1", i))
 		callers = append(callers, caller)
 		own := rand.New(rand.NewPCG(random.Uint64(), 2))
 		running.Go(func() { caller.run(own) })
 	}
-	running.Go(func() { w.disturb(rand.New(rand.NewPCG(random.Uint64(), 3))) })
+	running.Go(func() { s.restartProcesses(rand.New(rand.NewPCG(random.Uint64(), 3))) })
 	running.Wait()
 	time.Sleep(modelSettled)
 	synctest.Wait()
-	w.judge()
-	w.network.SetFaults(networktest.Faults{})
+	s.check()
+	s.network.SetFaults(networktest.Faults{})
 	for _, caller := range callers {
 		for i := range modelAddresses {
-			w.judgeContact(caller, modelAddress(i))
+			s.checkReachability(caller, modelAddress(i))
 		}
 	}
 }
 
-// TestModelOfCalls plays seeded schedules of calls while processes and machines follow each other at the addresses.
-func TestModelOfCalls(t *testing.T) {
+// TestCallsInSimulatedSchedules plays seeded schedules of calls while processes and machines follow each other at the addresses.
+func TestCallsInSimulatedSchedules(t *testing.T) {
 	first, schedules := uint64(1), usualSchedules
 	if text := os.Getenv(schedulesVariable); text != "" {
 		schedules, _ = strconv.Atoi(text)
@@ -245,15 +245,15 @@
 	t.Logf("%d schedules from seed %d", schedules, first)
 }
 
-// TestModelReplays plays schedules twice: a seed that is printed would be worth little otherwise.
-func TestModelReplays(t *testing.T) {
+// TestSchedulesReplayFromTheirSeed plays schedules twice: a seed that is printed would be worth little otherwise.
+func TestSchedulesReplayFromTheirSeed(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		ends := [2]string{}
 		for i := range ends {
 			virtualtime.Test(t, func(*testing.T) {
-				w := newWorld(seed)
-				w.play()
-				ends[i] = w.summary()
+				s := newSimulation(seed)
+				s.run()
+				ends[i] = s.outcomes()
 			})
 		}
 		if ends[0] != ends[1] {
@@ -262,11 +262,11 @@
 	}
 }
 
-// summary tells how each call ended and how often it ran.
-func (w *world) summary() string {
+// outcomes tells how each call ended and how often it ran.
+func (s *simulation) outcomes() string {
 	var lines []string
-	for token, call := range w.calls {
-		lines = append(lines, fmt.Sprintf("%v ran %d times, answered %v", token, len(call.ranAt), call.err == nil))
+	for token, call := range s.calls {
+		lines = append(lines, fmt.Sprintf("%v ran %d times, answered %v", token, len(call.executedAt), call.err == nil))
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "; ")
@@ -274,9 +274,9 @@
 
 func playSeed(t *testing.T, seed uint64) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newWorld(seed)
-		w.play()
-		for _, fault := range w.faults {
+		s := newSimulation(seed)
+		s.run()
+		for _, fault := range s.violations {
 			t.Errorf("%s (replay: %s=%d)", fault, seedVariable, seed)
 		}
 	})
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -83,10 +83,10 @@
 // Handle serves an endpoint. A handler's error with the verdict NotRun reaches the caller as such; any other error as unclear.
 func Handle[Request, Reply any](m *Mux, endpoint Endpoint[Request, Reply], handler func(context.Context, Request) (Reply, error)) {
 	var (
-		noRequest Request
-		noReply   Reply
-		path      = endpoint.Path()
-		repeats   = endpoint.endpoint(noRequest, noReply).idempotent()
+		zeroRequest Request
+		zeroReply   Reply
+		path        = endpoint.Path()
+		idempotent  = endpoint.endpoint(zeroRequest, zeroReply).idempotent()
 	)
 	m.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -99,11 +99,11 @@
 			http.Error(w, "decode "+path+": "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !repeats && m.startsTooLate(r) {
+		if !idempotent && m.startsTooLate(r) {
 			writeError(w, rpcerror.WrapNotExecuted(errLateCall, 0))
 			return
 		}
-		if !repeats && !m.firstReceipt(r) {
+		if !idempotent && !m.firstReceipt(r) {
 			writeError(w, errDuplicateCall)
 			return
 		}
@@ -128,7 +128,7 @@
 // firstReceipt tells whether a call was not received before. Calls of older builds have no name.
 func (m *Mux) firstReceipt(r *http.Request) bool {
 	call := callIDOf(r.Header.Get(ToHeader))
-	return call == "" || m.receivedCalls.first(call)
+	return call == "" || m.receivedCalls.add(call)
 }
 
 func writeError(w http.ResponseWriter, err error) {
--- a/internal/transport/offsets_test.go
+++ b/internal/transport/offsets_test.go
@@ -14,35 +14,35 @@
 )
 
 // tally counts at the callee how often each request ran.
-type tally struct {
+type executionCounter struct {
 	*transport.Mux
-	runs [1 << 13]atomic.Int32 // by the request's number
+	executions [1 << 13]atomic.Int32 // by the request's number
 }
 
-// resetBench is a callee behind a relay.
-type resetBench struct {
-	tally  *tally
+// resetFixture is a callee behind a relay.
+type resetFixture struct {
+	callee *executionCounter
 	server *httptest.Server
 	relay  *resettest.Relay
 	number uint64
 }
 
-func newResetBench(t *testing.T) *resetBench {
-	b := &resetBench{tally: &tally{Mux: transport.NewMuxFor(transport.NewIdentity(testCluster, "node-a"))}}
+func newResetFixture(t *testing.T) *resetFixture {
+	b := &resetFixture{callee: &executionCounter{Mux: transport.NewMuxFor(transport.NewIdentity(testCluster, "node-a"))}}
 	run := func(_ context.Context, request echo) (echo, error) {
-		b.tally.runs[request.Number].Add(1)
+		b.callee.executions[request.Number].Add(1)
 		return request, nil
 	}
-	transport.Handle(b.tally.Mux, runOnceCall, run)
-	transport.Handle(b.tally.Mux, runAgainCall, run)
-	b.server = httptest.NewServer(b.tally)
+	transport.Handle(b.callee.Mux, atMostOnceCall, run)
+	transport.Handle(b.callee.Mux, idempotentCall, run)
+	b.server = httptest.NewServer(b.callee)
 	b.relay = resettest.New(t, b.server.Listener.Addr().String())
 	return b
 }
 
 var (
-	runOnceCall  = transport.NewAtMostOnce[echo, echo]("/run-once")
-	runAgainCall = transport.NewIdempotent[echo, echo]("/run-again")
+	atMostOnceCall = transport.NewAtMostOnce[echo, echo]("/run-once")
+	idempotentCall = transport.NewIdempotent[echo, echo]("/run-again")
 )
 
 // result is how one call ended, before all that was sent has been received.
@@ -62,27 +62,27 @@
 }
 
 var kinds = []kind{
-	{"repeatable, on a new connection", false, false, sendAgain},
-	{"repeatable, on a connection used before", true, false, sendAgain},
-	{"once, on a new connection", false, true, sendOnce},
-	{"once, on a connection used before", true, false, sendOnce},
+	{"repeatable, on a new connection", false, false, sendIdempotent},
+	{"repeatable, on a connection used before", true, false, sendIdempotent},
+	{"once, on a new connection", false, true, sendAtMostOnce},
+	{"once, on a connection used before", true, false, sendAtMostOnce},
 }
 
-func sendOnce(ctx context.Context, client *transport.Client, address string, request echo) (echo, error) {
-	return runOnceCall.Call(ctx, client, address, request)
+func sendAtMostOnce(ctx context.Context, client *transport.Client, address string, request echo) (echo, error) {
+	return atMostOnceCall.Call(ctx, client, address, request)
 }
 
-func sendAgain(ctx context.Context, client *transport.Client, address string, request echo) (echo, error) {
-	return runAgainCall.Call(ctx, client, address, request)
+func sendIdempotent(ctx context.Context, client *transport.Client, address string, request echo) (echo, error) {
+	return idempotentCall.Call(ctx, client, address, request)
 }
 
-// call makes one call whose connection is reset after so many bytes.
-func (b *resetBench) call(t *testing.T, kind kind, cut resettest.Direction, after int) result {
+// id makes one call whose connection is reset after so many bytes.
+func (b *resetFixture) call(t *testing.T, kind kind, cut resettest.Direction, after int) result {
 	client := transport.NewClientFor(testCluster)
 	defer client.Close()
 	b.relay.Arm(cut, resettest.NoReset)
 	if kind.reused {
-		if _, err := sendAgain(t.Context(), client, b.relay.Address(), echo{}); err != nil {
+		if _, err := sendIdempotent(t.Context(), client, b.relay.Address(), echo{}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -96,11 +96,11 @@
 	return result{b.number, cut, after, err}
 }
 
-// TestResetsAtEachByte resets a connection at each byte of a call and of its answer.
-func TestResetsAtEachByte(t *testing.T) {
+// TestConnectionsResetAtEachByte resets a connection at each byte of a call and of its answer.
+func TestConnectionsResetAtEachByte(t *testing.T) {
 	for _, kind := range kinds {
 		Convey("A call that is "+kind.name, t, func() {
-			b := newResetBench(t)
+			b := newResetFixture(t)
 			So(b.call(t, kind, resettest.Requests, resettest.NoReset).err, ShouldBeNil)
 			lengths := [2]int{b.relay.Passed(resettest.Requests), b.relay.Passed(resettest.Responses)}
 			var results []result
@@ -114,20 +114,20 @@
 			b.server.Close() // returns when all that was received has run
 			faults := 0
 			for _, r := range results {
-				if !b.right(kind, r) {
+				if !b.satisfies(kind, r) {
 					faults++
-					t.Errorf("%s, reset after byte %d of way %d: ran %d times, error %v", kind.name, r.after, r.cut, b.tally.runs[r.number].Load(), r.err)
+					t.Errorf("%s, reset after byte %d of way %d: ran %d times, error %v", kind.name, r.after, r.cut, b.callee.executions[r.number].Load(), r.err)
 				}
 			}
 			So(faults, ShouldEqual, 0)
-			So(b.tally.runs[last.number].Load(), ShouldEqual, 1)
+			So(b.callee.executions[last.number].Load(), ShouldEqual, 1)
 		})
 	}
 }
 
-// right judges a call whose connection was reset.
-func (b *resetBench) right(kind kind, r result) bool {
-	runs := b.tally.runs[r.number].Load()
+// satisfies judges a call whose connection was reset.
+func (b *resetFixture) satisfies(kind kind, r result) bool {
+	runs := b.callee.executions[r.number].Load()
 	if r.err == nil || runs > 1 {
 		return false
 	}
--- a/internal/transport/once.go
+++ b/internal/transport/once.go
@@ -13,7 +13,7 @@
 }
 
 // firstReceipt notes a call, and tells whether it was not there before.
-func (m *callIDSet) first(call string) bool {
+func (m *callIDSet) add(call string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if _, known := m.older[call]; known {
--- a/internal/transport/sending.go
+++ b/internal/transport/sending.go
@@ -39,8 +39,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if tcp, ok := connection.(*net.TCPConn); ok {
-			tcp.SetLinger(0) // where the system knows no such option, the close sends what is left
+		if tcpConn, ok := connection.(*net.TCPConn); ok {
+			tcpConn.SetLinger(0) // where the system knows no such option, the close sends what is left
 		}
 		return &writeCountingConn{Conn: connection}, nil
 	}
@@ -49,16 +49,16 @@
 // writeCountingConn counts the writings that left it, or may be leaving it at this moment.
 type writeCountingConn struct {
 	net.Conn
-	writings atomic.Int64
+	writes atomic.Int64
 }
 
 // Write implements net.Conn. The writing counts before it begins: one that is seen not to count while the connection is
 // closed will never send a byte.
 func (c *writeCountingConn) Write(content []byte) (int, error) {
-	c.writings.Add(1)
+	c.writes.Add(1)
 	sent, err := c.Conn.Write(content)
 	if sent == 0 && err != nil {
-		c.writings.Add(-1)
+		c.writes.Add(-1)
 	}
 	return sent, err
 }
@@ -67,8 +67,8 @@
 
 // SyscallConn implements syscall.Conn.
 func (c *writeCountingConn) SyscallConn() (syscall.RawConn, error) {
-	if holder, ok := c.Conn.(syscall.Conn); ok {
-		return holder.SyscallConn()
+	if syscallConn, ok := c.Conn.(syscall.Conn); ok {
+		return syscallConn.SyscallConn()
 	}
 	return nil, errNoSystemConnection
 }
@@ -77,50 +77,50 @@
 // that was used before turns out to be broken; a Sending lets it do so only where not one byte of the request has been
 // handed to that connection, whatever the request's method and headers are.
 type SendTracker struct {
-	mutex      sync.Mutex
-	gone       bool               // an earlier connection, or one that cannot be watched, was handed bytes
-	connection *writeCountingConn // the newest
-	before     int64              // its writings before the request
+	mutex         sync.Mutex
+	sentElsewhere bool               // an earlier connection, or one that cannot be watched, was handed bytes
+	connection    *writeCountingConn // the newest
+	writesBefore  int64              // its writings before the request
 }
 
-// Watch returns a context for the request.
-func (s *SendTracker) Watch(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.Connected})
+// WithTrace returns a context for the request.
+func (s *SendTracker) WithTrace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.GotConn})
 }
 
-// Connected notes the connection that the request goes out on. It is for callers with a trace of their own, who need no Watch:
+// GotConn notes the connection that the request goes out on. It is for callers with a trace of their own, who need no Watch:
 // net/http joins two traces of one request by reflection.
-func (s *SendTracker) Connected(got httptrace.GotConnInfo) {
+func (s *SendTracker) GotConn(got httptrace.GotConnInfo) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.gone = s.mayHaveLeft()
-	counted, ok := got.Conn.(*writeCountingConn)
+	s.sentElsewhere = s.mayHaveSent()
+	countingConn, ok := got.Conn.(*writeCountingConn)
 	if !ok {
-		s.gone = true
+		s.sentElsewhere = true
 		return
 	}
-	s.connection, s.before = counted, counted.writings.Load()
+	s.connection, s.writesBefore = countingConn, countingConn.writes.Load()
 }
 
-// mayHaveLeft is called with the mutex held.
-func (s *SendTracker) mayHaveLeft() bool {
-	return s.gone || s.connection != nil && s.connection.writings.Load() != s.before
+// mayHaveSent is called with the mutex held.
+func (s *SendTracker) mayHaveSent() bool {
+	return s.sentElsewhere || s.connection != nil && s.connection.writes.Load() != s.writesBefore
 }
 
-// Unsent tells, once the request has failed, that no byte of it was or will be sent.
-func (s *SendTracker) Unsent() bool {
+// NothingSent tells, once the request has failed, that no byte of it was or will be sent.
+func (s *SendTracker) NothingSent() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.mayHaveLeft()
+	return !s.mayHaveSent()
 }
 
 // errAlreadySent keeps net/http from sending a request again.
 var errAlreadySent = errors.New("the request may have been sent already")
 
-// Again returns a value for http.Request.GetBody: the body is given again only while the request is unsent.
-func (s *SendTracker) Again(body []byte) func() (io.ReadCloser, error) {
+// GetBody returns a value for http.Request.GetBody: the body is given again only while the request is unsent.
+func (s *SendTracker) GetBody(body []byte) func() (io.ReadCloser, error) {
 	return func() (io.ReadCloser, error) {
-		if !s.Unsent() {
+		if !s.NothingSent() {
 			return nil, errAlreadySent
 		}
 		return io.NopCloser(bytes.NewReader(body)), nil
--- a/internal/transport/sending_test.go
+++ b/internal/transport/sending_test.go
@@ -18,11 +18,11 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// breaker serves requests whole, but resets each connection when its second request has been read. It counts those that
+// resettingServer serves requests whole, but resets each connection when its second request has been read. It counts those that
 // were read.
-type breaker struct{ read atomic.Int64 }
+type resettingServer struct{ read atomic.Int64 }
 
-func (b *breaker) serve(t *testing.T) (address string) {
+func (b *resettingServer) serve(t *testing.T) (address string) {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		b.read.Add(1)
@@ -45,7 +45,7 @@
 
 type servedKey struct{}
 
-func TestNothingIsSentAgainByItself(t *testing.T) {
+func TestNetHTTPDoesNotRetryTrackedRequests(t *testing.T) {
 	body := []byte("body")
 	// The two kinds of request that net/http repeats on its own when a connection that was used before breaks without an answer.
 	kinds := map[string]func(*http.Request){
@@ -56,22 +56,22 @@
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/", bytes.NewReader(body))
 		So(err, ShouldBeNil)
 		change(request)
-		var sending transport.SendTracker
+		var tracker transport.SendTracker
 		if guarded {
-			request = request.WithContext(sending.Watch(request.Context()))
-			request.GetBody = sending.Again(body)
+			request = request.WithContext(tracker.WithTrace(request.Context()))
+			request.GetBody = tracker.GetBody(body)
 		}
-		answer, err := client.RoundTrip(request)
+		response, err := client.RoundTrip(request)
 		if err != nil {
-			So(!guarded || !sending.Unsent(), ShouldBeTrue)
+			So(!guarded || !tracker.NothingSent(), ShouldBeTrue)
 			return err
 		}
-		io.Copy(io.Discard, answer.Body)
-		return answer.Body.Close()
+		io.Copy(io.Discard, response.Body)
+		return response.Body.Close()
 	}
 	for name, change := range kinds {
 		Convey("Given a connection that was used before and breaks after a request "+name, t, func() {
-			var broken breaker
+			var broken resettingServer
 			address := broken.serve(t)
 			client := &http.Transport{DialContext: transport.DialFunc(transport.NewDialer())}
 			defer client.CloseIdleConnections()
@@ -88,12 +88,12 @@
 	}
 }
 
-func TestACallOnABrokenConnectionIsSentOnce(t *testing.T) {
+func TestACallOnABrokenConnectionIsNotRetried(t *testing.T) {
 	Convey("Given a callee that breaks off each second call on a connection once it has run", t, func() {
-		counted := counting(transport.NewIdentity(testCluster, "node-a"))
+		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
 		var calls atomic.Int64
-		client, address := answering(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			counted.ServeHTTP(w, r)
+		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			countingConn.ServeHTTP(w, r)
 			if calls.Add(1)%2 == 0 {
 				panic(http.ErrAbortHandler) // the answer is still in the server's buffer
 			}
@@ -106,13 +106,13 @@
 				_, err = repeatable.Call(t.Context(), client, address, echo{})
 				So(err, ShouldNotBeNil)
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
-				So(counted.runs.Load(), ShouldEqual, 2*pair+2)
+				So(countingConn.executions.Load(), ShouldEqual, 2*pair+2)
 			}
 		})
 	})
 }
 
-func TestUnsentCallsHaveNotRun(t *testing.T) {
+func TestUnsentCallsAreNotExecuted(t *testing.T) {
 	Convey("A call that is given up while it waits for a connection has not run", t, func() {
 		client := transport.NewClientFor(testCluster)
 		defer client.Close()
@@ -122,8 +122,8 @@
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 	Convey("One that is given up at any moment is not said to have not run, if it has", t, func() {
-		counted := counting(transport.NewIdentity(testCluster, "node-a"))
-		client, address := answering(t, counted)
+		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
+		client, address := serveAndDial(t, countingConn)
 		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
 		notRun := int64(0)
 		const calls = 400
@@ -141,6 +141,6 @@
 		defer server.Close()
 		_, err := repeatable.Call(t.Context(), server, address, echo{})
 		So(err, ShouldBeNil)
-		So(counted.runs.Load(), ShouldBeLessThanOrEqualTo, calls+1-notRun)
+		So(countingConn.executions.Load(), ShouldBeLessThanOrEqualTo, calls+1-notRun)
 	})
 }
