--- a/internal/transport/boundedlistener.go
+++ b/internal/transport/boundedlistener.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// BoundedListener bounds how many connections a server has open. Where a new one exceeds the bound, the one that has been idle for
-// longest is closed; where none is idle, new ones wait in the listener's queue.
+// BoundedListener limits how many connections a server has open. At the limit, a new connection closes the one that has been
+// idle for longest; while none is idle, new ones wait in the listen queue of the system.
 type BoundedListener struct {
 	net.Listener
 	limit int
 
 	mu           sync.Mutex
 	stateChanged sync.Cond
-	open         map[net.Conn]*list.Element // an element while the connection is idle
-	idle         list.List                  // of net.Conn, the longest idle one first
+	open         map[net.Conn]*list.Element // of idle, while the connection is idle; else nil
+	idle         list.List                  // of net.Conn, least recently used first
 	closed       bool
 }
 
-// NewBoundedListener bounds a listener. The server must call ConnState as its hook of that name.
+// NewBoundedListener makes a BoundedListener. The http.Server that accepts from it must have its ConnState as ConnState hook.
 func NewBoundedListener(listener net.Listener, limit int) *BoundedListener {
 	l := &BoundedListener{Listener: listener, limit: limit, open: make(map[net.Conn]*list.Element)}
 	l.stateChanged.L = &l.mu
@@ -53,24 +53,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.open) >= l.limit && !l.closed {
-		longest := l.idle.Front()
-		if longest == nil {
+		oldest := l.idle.Front()
+		if oldest == nil {
 			l.stateChanged.Wait()
 			continue
 		}
-		connection := longest.Value.(net.Conn)
+		connection := oldest.Value.(net.Conn)
 		l.remove(connection)
 		connection.Close()
 	}
 }
 
-// ConnState notes which connections are idle. It is the hook of an http.Server.
+// ConnState notes which connections are idle or closed. It is for http.Server.ConnState.
 func (l *BoundedListener) ConnState(connection net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	element, known := l.open[connection]
 	if !known {
-		return // closed by us
+		return // closed by waitBelowLimit
 	}
 	if element != nil {
 		l.idle.Remove(element)
@@ -87,7 +87,7 @@
 	l.stateChanged.Signal()
 }
 
-// remove takes a connection off the count. The caller holds the lock.
+// remove takes a connection off the count. It needs the mutex.
 func (l *BoundedListener) remove(connection net.Conn) {
 	if element := l.open[connection]; element != nil {
 		l.idle.Remove(element)
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// directory remembers who serves which address. What it says may be out of date, and is then refused by who is there.
+// directory caches which process serves which address. An entry may be stale: the process that is there then rejects the call.
 type directory struct {
 	mutex     sync.RWMutex
 	processes map[string]knownProcess
 }
 
-// knownProcess is an identity with its text, which each call needs, and a reading of the process's clock.
+// knownProcess is an entry: an identity, and a reading of the process's clock.
 type knownProcess struct {
 	identity     Identity
-	headerText   string
+	headerText   string        // of identity, as each call needs it
 	clock        time.Duration // since the process's start
-	clockAskedAt time.Time     // when the call was sent by whose answer the clock is known
+	clockAskedAt time.Time     // when the call was sent whose response gave clock
 }
 
-// clockAfter is the process's clock, or a little more, when so much time has gone from now on.
-func (p knownProcess) clockAfter(now time.Time, from time.Duration) time.Duration {
-	return p.clock + now.Sub(p.clockAskedAt) + from
+// clockAfter is the process's clock at now plus delay. It may be ahead by the time that the call took which read the clock.
+func (p knownProcess) clockAfter(now time.Time, delay time.Duration) time.Duration {
+	return p.clock + now.Sub(p.clockAskedAt) + delay
 }
 
 func newDirectory() *directory { return &directory{processes: make(map[string]knownProcess)} }
@@ -33,7 +33,7 @@
 	return process, known
 }
 
-// add notes who serves an address that nobody was known to serve. What another call has learned meanwhile stays.
+// add inserts an entry for an address without one. An entry that another call has added in the meantime stays.
 func (d *directory) add(address string, actual knownProcess) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// replace notes that a process was started again, unless another call has learned of a later one.
+// replace updates the entry of a restarted process, unless another call has changed it in the meantime.
 func (d *directory) replace(address string, intended Identity, actual knownProcess) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// remove drops a process that is not at the address any more; the next call is a first contact.
+// remove deletes the entry of a process that is not at the address any more; the next call is a first contact.
 func (d *directory) remove(address string, intended Identity) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -1,22 +1,14 @@
 package transport
 
 import (
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"strconv"
-	"sync"
 	"time"
-
-	"github.com/vmihailenco/msgpack/v5"
-
-	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// Mux serves internal calls by path, for one process.
+// Mux is the http.Handler of the internal calls that one process serves. Endpoints are added by Handle.
 type Mux struct {
 	identity      Identity
 	identityText  string
@@ -32,10 +24,10 @@
 	return m
 }
 
-// NewMux makes an empty Mux of a process without a name, which each Mux then is.
+// NewMux makes an empty Mux of a process of its own, of no cluster.
 func NewMux() *Mux { return NewMuxFor(NewIdentity("", "")) }
 
-// identityCall asks who serves an address; the answer's header says it.
+// identityCall asks who serves an address; the headers of the response say it.
 var identityCall = NewIdempotent[identityRequest, identityReply]("/transport/identity")
 
 type (
@@ -43,7 +35,7 @@
 	identityReply   struct{}
 )
 
-// ServeHTTP implements http.Handler. It refuses calls that mean another process.
+// ServeHTTP implements http.Handler. It rejects calls to another process, by 421 and before it reads their body.
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	header := r.Header.Get(ToHeader)
 	w.Header().Set(FromHeader, m.identityText+separator+callIDOf(header))
@@ -57,102 +49,32 @@
 	m.mux.ServeHTTP(w, r)
 }
 
-// clock is how long ago this process started, in milliseconds. It counts the time in which the process was frozen.
+// clock is how long ago this process started, in milliseconds, including the time in which it was suspended.
 func (m *Mux) clock() int64 { return time.Since(m.started).Milliseconds() }
 
-// checkAddressee checks that a call means this process. One without the header comes from an older build, and is taken.
+// checkAddressee checks that a call is to this process. One without the header comes from an older build and is accepted.
 func (m *Mux) checkAddressee(header string) error {
 	if header == "" || processOf(header) == m.identityText {
 		return nil
 	}
-	to, err := parseToHeader(header)
+	addressee, err := parseToHeader(header)
 	if err != nil {
 		return err
 	}
-	if !to.matches(m.identity) {
-		return fmt.Errorf("the call means %s, this is %s", to.headerText(), m.identityText)
+	if !addressee.matches(m.identity) {
+		return fmt.Errorf("the call means %s, this is %s", addressee.headerText(), m.identityText)
 	}
 	return nil
 }
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
-
-// errDuplicateCall refuses the copy of a call. It has no verdict: the first one may have run.
-var errDuplicateCall = errors.New("this call was received before and is not carried out again")
-
-// Handle serves an endpoint. A handler's error with the verdict NotRun reaches the caller as such; any other error as unclear.
-func Handle[Request, Reply any](m *Mux, endpoint Endpoint[Request, Reply], handler func(context.Context, Request) (Reply, error)) {
-	var (
-		zeroRequest Request
-		zeroReply   Reply
-		path        = endpoint.Path()
-		idempotent  = endpoint.endpoint(zeroRequest, zeroReply).idempotent()
-	)
-	m.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		var request Request
-		if err := msgpack.Unmarshal(body, &request); err != nil {
-			http.Error(w, "decode "+path+": "+err.Error(), http.StatusBadRequest)
-			return
-		}
-		if !idempotent && m.startsTooLate(r) {
-			writeError(w, rpcerror.WrapNotExecuted(errLateCall, 0))
-			return
-		}
-		if !idempotent && !m.firstReceipt(r) {
-			writeError(w, errDuplicateCall)
-			return
-		}
-		reply, err := handler(r.Context(), request)
-		if err != nil {
-			writeError(w, err)
-			return
-		}
-		writeReply(w, reply)
-	})
-}
-
-// errLateCall refuses a call that its caller has given up long ago.
-var errLateCall = errors.New("this call came too late and is not carried out")
-
-// startsTooLate tells whether the time is over in which a call might begin. Calls of older builds have none.
+// startsTooLate tells whether the latest start of a call has passed. Calls of older builds have none.
 func (m *Mux) startsTooLate(r *http.Request) bool {
-	until, err := strconv.ParseInt(r.Header.Get(UntilHeader), 10, 64)
-	return err == nil && m.clock() > until
+	latestStart, err := strconv.ParseInt(r.Header.Get(UntilHeader), 10, 64)
+	return err == nil && m.clock() > latestStart
 }
 
-// firstReceipt tells whether a call was not received before. Calls of older builds have no name.
+// firstReceipt tells whether a call was not received before. Calls of older builds have no ID.
 func (m *Mux) firstReceipt(r *http.Request) bool {
-	call := callIDOf(r.Header.Get(ToHeader))
-	return call == "" || m.receivedCalls.add(call)
-}
-
-func writeError(w http.ResponseWriter, err error) {
-	if rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set(RetryAfterHeader, strconv.FormatInt(rpcerror.RetryAfter(err).Milliseconds(), 10))
-	http.Error(w, err.Error(), http.StatusServiceUnavailable)
-}
-
-func writeReply(w http.ResponseWriter, reply any) {
-	buffer := buffers.Get().(*bytes.Buffer)
-	defer func() {
-		if buffer.Cap() <= keptBufferBytes {
-			buffers.Put(buffer)
-		}
-	}()
-	buffer.Reset()
-	if err := msgpack.NewEncoder(buffer).Encode(reply); err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set(contentTypeHeader, contentType)
-	w.Header().Set("Content-Length", strconv.Itoa(buffer.Len()))
-	w.Write(buffer.Bytes())
+	id := callIDOf(r.Header.Get(ToHeader))
+	return id == "" || m.receivedCalls.add(id)
 }
--- a/internal/transport/protocol.go
+++ b/internal/transport/protocol.go
@@ -1,18 +1,3 @@
-// Package transport carries the nodes' internal protocol: typed requests and replies as msgpack bodies of HTTP/1.1
-// POST calls. It moves bytes and classifies failures; retries, routing and timeouts belong to its callers.
-//
-// A call means a process and not only an address, as an address may be another machine's soon after its own was lost.
-// Each call names its Addressee in the header ToHeader, each answer the process that gave it in FromHeader, and both the
-// call they belong to. A process that is not meant refuses as not run (421) and says who it is; an answer of another
-// process, or to another call, is not taken. A Client learns who serves an address from the first answer (FirstContact),
-// and from a refusal where the process was restarted.
-//
-// Each internal call is declared once, as Repeatable or Once, beside its path. A Once call is sent to a known process
-// only, on one connection, by one writing, and is never sent again; a copy of it that arrives is not run, nor is one that
-// arrives late by the callee's own clock, as when the callee was frozen with the call in its socket.
-//
-// Rolling upgrades: a call without ToHeader comes from an older build and is taken; an answer without FromHeader is taken
-// on first contact only.
 package transport
 
 import (
@@ -22,16 +7,16 @@
 
 // Headers of the protocol.
 const (
-	// ToHeader names whom a call means, and the call: cluster/node/incarnation/call.
+	// ToHeader names the addressee of a call, and the call: cluster/node/incarnation/call.
 	ToHeader = "Puffinlink-To"
-	// FromHeader names who answers, and the call that is answered.
+	// FromHeader names the responding process, and the call, in the same form.
 	FromHeader = "Puffinlink-From"
-	// ClockHeader is the answering process's clock, in milliseconds since its start. Answers have it by which a caller
-	// learns of the process.
+	// ClockHeader is the responding process's clock, in milliseconds since its start. Responses to callers who do not know
+	// the process yet have it.
 	ClockHeader = "Puffinlink-Clock"
-	// UntilHeader is by when, on the clock of the process that is meant, a Once call may begin.
+	// UntilHeader is the latest time, on the addressee's clock, at which an at-most-once call may start.
 	UntilHeader = "Puffinlink-Until"
-	// RetryAfterHeader carries, in milliseconds, when a refused caller should come back.
+	// RetryAfterHeader is how long, in milliseconds, a rejected caller should wait before it retries.
 	RetryAfterHeader = "Retry-After-Ms"
 )
 
@@ -40,14 +25,15 @@
 	contentTypeHeader = "Content-Type"
 	maxBodyBytes      = 64 << 20
 	maxErrorBytes     = 4 << 10
-	keptBufferBytes   = 256 << 10 // larger buffers are not kept for later answers
+	keptBufferBytes   = 256 << 10 // larger buffers are not kept for later replies
 	idleTimeout       = 30 * time.Second
 	idlePerAddress    = 8
-	maxStartDelay     = 2 * time.Second // how late a Once call may begin
+	maxStartDelay     = 2 * time.Second // how long after it was sent an at-most-once call may start
 )
 
-// Caller sends one request to a peer and decodes its reply. Errors carry a verdict. Only endpoints and the few that
-// choose among several of them use it directly.
+// Caller sends one request to a node, at an address host:port, and decodes its response into reply, a pointer. It does not
+// retry at another process, and has no time-out but that of the context. Each error carries an rpcerror.Error. Most code
+// calls Idempotent.Call and AtMostOnce.Call instead, which have types for the request and the reply.
 type Caller interface {
 	Call(ctx context.Context, address string, route Route, request, reply any) error
 }
--- a/internal/transport/resettest/relay.go
+++ b/internal/transport/resettest/relay.go
@@ -1,4 +1,5 @@
-// Package resettest is a relay on the loopback for tests that reset connections at each byte of a call and of its answer.
+// Package resettest relays TCP connections on the loopback interface, for tests that reset a connection at each byte of a
+// request and of its response.
 package resettest
 
 import (
@@ -10,26 +11,27 @@
 // Direction is one of the two directions of a connection.
 type Direction int
 
+// The directions.
 const (
-	Requests  Direction = iota // from the caller
-	Responses                  // to the caller
+	Requests  Direction = iota // from the client
+	Responses                  // to the client
 )
 
-// NoReset is the place of a reset that does not come.
+// NoReset is the offset for Arm by which connections are not reset.
 const NoReset = -1
 
-// Relay passes bytes on, counts them, and resets the connection after so many of one way.
+// Relay forwards and counts bytes, and resets the connection at an offset of one direction.
 type Relay struct {
 	listener net.Listener
 	target   string
 
 	mutex          sync.Mutex
-	passed         [2]int // since the last arming
+	passed         [2]int // bytes by Direction since the last Arm
 	resetDirection Direction
-	resetOffset    int // bytes; Never for none
+	resetOffset    int // in bytes, or NoReset
 }
 
-// New makes a relay to an address. It ends with the test.
+// New makes a relay to an address. It is closed at the end of the test.
 func New(t testing.TB, target string) *Relay {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,24 +43,24 @@
 	return r
 }
 
-// Address is where the relay listens.
+// Address is where the relay listens, host:port.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Arm counts anew, and resets the connection once so many bytes went that way and another one wants to.
+// Arm starts to count from 0, and has the connection reset when a byte beyond the offset is to be forwarded in that direction.
 func (r *Relay) Arm(direction Direction, offset int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.passed, r.resetDirection, r.resetOffset = [2]int{}, direction, offset
 }
 
-// Passed is how many bytes went a way since the last arming.
+// Passed is how many bytes were forwarded in a direction since the last Arm.
 func (r *Relay) Passed(direction Direction) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.passed[direction]
 }
 
-// allow tells how many of some bytes may pass, and whether the connection is reset then.
+// allow tells how many of some bytes are forwarded, and whether the connection is reset then.
 func (r *Relay) allow(direction Direction, bytes int) (pass int, reset bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
