--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -97,7 +97,7 @@
 	if l.scheduler.NeedsDispatch() {
 		pause = min(pause, time.Until(l.nextDispatch))
 	}
-	if l.planned = l.scheduler.NextDue(); l.planned != 0 {
+	if l.planned = l.scheduler.NextDueMS(); l.planned != 0 {
 		due := l.planned
 		pause = min(pause, time.Duration(due-time.Now().UnixMilli())*time.Millisecond)
 	}
@@ -107,7 +107,7 @@
 // tick does what is due by time, and a dispatch that was put off.
 func (l *lead) tick() {
 	l.step(func(now scheduler.Now) {
-		due := l.scheduler.NextDue()
+		due := l.scheduler.NextDueMS()
 		if now.Monotonic.Sub(l.ticked) < tickInterval && (due == 0 || due > now.WallMS) {
 			return
 		}
@@ -138,7 +138,7 @@
 // dispatch lets waiting tasks start. It rests for a multiple of what it takes, so that it leaves most of the processor to
 // the rest; the loop then comes back to it. The lock is held.
 func (l *lead) dispatch() {
-	if due := l.scheduler.NextDue(); due != 0 && (l.planned == 0 || due < l.planned) {
+	if due := l.scheduler.NextDueMS(); due != 0 && (l.planned == 0 || due < l.planned) {
 		l.planned = due
 		l.hasten()
 	}
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -22,7 +22,7 @@
 	s.SetInventory(now, instances)
 	for _, instance := range instances {
 		s.HandleReport(now, &workerclient.Listing{Worker: instance.ID, First: true})
-		s.workers[instance.ID].window = windowMost
+		s.workers[instance.ID].window = maxWindow
 	}
 	for number := range jobs {
 		s.Submit(now, &jobapi.Submit{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, Priority: number % 3},
@@ -41,15 +41,15 @@
 	s, now, _ := loaded(250, 2000)
 	number := uint64(0)
 	for b.Loop() {
-		sr := s.list[int(number)%len(s.list)]
+		sr := s.sortedWorkers[int(number)%len(s.sortedWorkers)]
 		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Monotonic}
-		for _, r := range sr.sortedRuns() {
-			report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
+		for _, r := range sr.sortedAttempts() {
+			report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.number})
 		}
 		if len(report.Running) > 0 {
 			ended := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: ended.Task, Execution: ended.Execution, How: job.OutcomeStopped}}
+			report.Finished = []workerclient.FinishedTask{{Number: sr.lastCompletion + 1, Task: ended.Task, Execution: ended.Execution, How: job.OutcomeStopped}}
 		}
 		number++
 		s.HandleReport(now, &report)
@@ -66,14 +66,14 @@
 			b.Fatal(err)
 		}
 		var instances []workerclient.Instance
-		for _, sr := range previous.list {
+		for _, sr := range previous.sortedWorkers {
 			instances = append(instances, sr.Instance)
 		}
 		s.SetInventory(now, instances)
 		for _, instance := range instances {
 			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Monotonic}
-			for _, r := range previous.workers[instance.ID].sortedRuns() {
-				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
+			for _, r := range previous.workers[instance.ID].sortedAttempts() {
+				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.number})
 			}
 			s.HandleReport(now, &report)
 		}
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -13,14 +13,14 @@
 // to date.
 
 const (
-	fewWorkers  = 8   // workers that a report names for one cause
-	mostWaiting = 40  // stages that one report explains
-	mostDetails = 500 // stages, runs and failures that one report lists, each
+	maxNamedWorkers    = 8   // workers that a report names for one cause
+	maxExplainedStages = 40  // stages that one report explains
+	maxReportDetails   = 500 // stages, runs and failures that one report lists, each
 )
 
 // Load counts jobs and workers.
 func (s *Scheduler) Summary() jobreport.Summary {
-	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.list)}
+	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.sortedWorkers)}
 	for _, j := range s.jobs {
 		if j.started {
 			summary.Running++
@@ -28,11 +28,11 @@
 			summary.Queued++
 		}
 	}
-	for _, stage := range s.stages {
+	for _, stage := range s.waitingStages {
 		summary.WaitingTasks += len(stage.waiting)
 	}
-	for _, sr := range s.list {
-		summary.Attempts += len(sr.runs)
+	for _, sr := range s.sortedWorkers {
+		summary.Attempts += len(sr.attempts)
 		if sr.reachable {
 			summary.ReachableWorkers++
 		}
@@ -42,8 +42,8 @@
 
 // Workers reports all known workers by ID.
 func (s *Scheduler) Workers(now Now) []jobreport.Worker {
-	reports := make([]jobreport.Worker, 0, len(s.list))
-	for _, sr := range s.list {
+	reports := make([]jobreport.Worker, 0, len(s.sortedWorkers))
+	for _, sr := range s.sortedWorkers {
 		reports = append(reports, s.reportWorker(now, sr))
 	}
 	return reports
@@ -58,36 +58,36 @@
 	return s.reportWorker(now, sr), true
 }
 
-func (s *Scheduler) reportWorker(now Now, sr *worker) jobreport.Worker {
+func (s *Scheduler) reportWorker(now Now, sr *workerState) jobreport.Worker {
 	return jobreport.Worker{
 		ID: string(sr.ID), Service: sr.Service, Address: sr.Address, Zone: sr.Zone, Version: sr.Version,
 		Rack: sr.rack, Labels: sr.Labels,
 		State: s.workerState(now, sr), Reachable: sr.reachable,
-		Draining: sr.Draining, OperatorDraining: s.operatorDrains.has(sr.ID), DrainVersion: s.DrainVersion(sr.ID), RemainingMS: sr.RemainingMS,
-		Window: int(sr.window), LatencyMS: sr.latency, FailureRate: sr.faults,
-		Attempts: len(sr.runs), WaitingTasks: sr.held, Orphans: len(sr.orphans),
-		Used: sr.used, Free: sr.free(), Capacity: sr.Capacity, MissingLists: sr.missingLists,
+		Draining: sr.Draining, OperatorDraining: s.operatorDrains.isDraining(sr.ID), DrainVersion: s.DrainVersion(sr.ID), RemainingMS: sr.RemainingMS,
+		Window: int(sr.window), LatencyMS: sr.latencyMS, FailureRate: sr.failureRate,
+		Attempts: len(sr.attempts), WaitingTasks: sr.boundTasks, Orphans: len(sr.orphans),
+		Used: sr.used, Free: sr.free(), Capacity: sr.Capacity, MissingLists: sr.missedInventories,
 	}
 }
 
-func (s *Scheduler) workerState(now Now, sr *worker) jobreport.WorkerState {
+func (s *Scheduler) workerState(now Now, sr *workerState) jobreport.WorkerState {
 	switch {
 	case !sr.reachable:
 		return jobreport.WorkerUnreachable
 	case sr.Draining:
 		return jobreport.WorkerDraining
-	case s.operatorDrains.has(sr.ID):
+	case s.operatorDrains.isDraining(sr.ID):
 		return jobreport.WorkerOperatorDraining
 	case sr.fencedAt.IsZero():
 		return jobreport.WorkerNotFenced
-	case s.resting(now, sr):
+	case s.isBackingOff(now, sr):
 		return jobreport.WorkerBackoff
 	}
 	return jobreport.WorkerReady
 }
 
-func (s *Scheduler) resting(now Now, sr *worker) bool {
-	return now.Monotonic.Before(sr.restUntil) || now.Monotonic.Before(sr.fullUntil)
+func (s *Scheduler) isBackingOff(now Now, sr *workerState) bool {
+	return now.Monotonic.Before(sr.backoffUntil) || now.Monotonic.Before(sr.fullUntil)
 }
 
 // Jobs lists the newest jobs of a state, or of all states if it is empty: first those that have not ended, the latest
@@ -123,7 +123,7 @@
 	report := jobreport.Job{
 		ID: j.id, Service: j.Queue.Service, Route: j.Queue.Route, Priority: j.Queue.Priority, State: state, Arrival: j.Arrival,
 	}
-	for _, r := range j.times {
+	for _, r := range j.repetitions {
 		if r == nil {
 			continue
 		}
@@ -138,7 +138,7 @@
 	return jobreport.Job{ID: id, State: s.ended[id].State, EndedMS: s.ended[id].EndedMS}
 }
 
-func (stage *stageRun) counts() jobreport.TaskCounts {
+func (stage *stageState) counts() jobreport.TaskCounts {
 	if stage.tasks == nil {
 		return jobreport.TaskCounts{Blocked: stage.Count}
 	}
@@ -147,7 +147,7 @@
 		switch {
 		case t.done:
 			counts.Done++
-		case len(t.runs) > 0:
+		case len(t.attempts) > 0:
 			counts.Running++
 		default:
 			counts.Waiting++
@@ -167,9 +167,9 @@
 	}
 	report = jobreport.JobDetail{
 		Job: s.reportJob(j), Specification: j.Specification.Text, MaxAttempts: j.Queue.MaxAttempts,
-		Repetitions: j.Specification.RepetitionCount(), NextDueMS: j.nextDue,
+		Repetitions: j.Specification.RepetitionCount(), NextDueMS: j.nextDueMS,
 	}
-	for _, r := range j.times {
+	for _, r := range j.repetitions {
 		if r == nil {
 			report.CompleteRepetitions++
 			continue
@@ -181,8 +181,8 @@
 	return report, true
 }
 
-func addStage(now Now, report *jobreport.JobDetail, stage *stageRun) {
-	if len(report.Stages) >= mostDetails {
+func addStage(now Now, report *jobreport.JobDetail, stage *stageState) {
+	if len(report.Stages) >= maxReportDetails {
 		report.Truncated = true
 		return
 	}
@@ -191,28 +191,28 @@
 		Request: stage.Resources, Tasks: stage.counts(),
 	})
 	for _, t := range stage.tasks {
-		if len(t.failed) > 0 && !full(len(report.Failures), report) {
-			report.Failures = append(report.Failures, jobreport.Failure{Task: t.id.String(), Attempts: slices.Clone(t.failed)})
+		if len(t.failedAttempts) > 0 && !atLimit(len(report.Failures), report) {
+			report.Failures = append(report.Failures, jobreport.Failure{Task: t.id.String(), Attempts: slices.Clone(t.failedAttempts)})
 		}
-		for _, r := range t.runs {
-			if !full(len(report.Attempts), report) {
+		for _, r := range t.attempts {
+			if !atLimit(len(report.Attempts), report) {
 				report.Attempts = append(report.Attempts, reportRun(now, r))
 			}
 		}
 	}
 }
 
-func full(listed int, report *jobreport.JobDetail) bool {
-	if listed < mostDetails {
+func atLimit(listed int, report *jobreport.JobDetail) bool {
+	if listed < maxReportDetails {
 		return false
 	}
 	report.Truncated = true
 	return true
 }
 
-func reportRun(now Now, r *run) jobreport.Attempt {
+func reportRun(now Now, r *attemptState) jobreport.Attempt {
 	return jobreport.Attempt{
-		Task: r.task.id.String(), Number: r.execution, Worker: string(r.at.ID), AgeMS: now.Monotonic.Sub(r.orderedAt).Milliseconds(),
-		Confirmed: r.seen || !r.answeredAt.IsZero(), Stopping: r.stopping, Percent: r.percent,
+		Task: r.task.id.String(), Number: r.number, Worker: string(r.worker.ID), AgeMS: now.Monotonic.Sub(r.assignedAt).Milliseconds(),
+		Confirmed: r.reported || !r.confirmedAt.IsZero(), Stopping: r.stopping, Percent: r.percent,
 	}
 }
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -101,7 +101,7 @@
 			waiting := whyOf(w, w.submitStages(2, small(1)))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(countOf(waiting, jobreport.CauseCapacity), ShouldEqual, 9)
-			So(len(waiting.Excluded[0].Workers), ShouldEqual, fewWorkers)
+			So(len(waiting.Excluded[0].Workers), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("antiAffinity rules out searchers that have a task of the stage", func() {
 			stage := small(12)
@@ -123,7 +123,7 @@
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := whyOf(w, w.submitStages(1, gang))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangCapacity)
-			So(len(waiting.Open), ShouldEqual, fewWorkers)
+			So(len(waiting.Open), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
 			facts := &jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
@@ -180,9 +180,9 @@
 		if step%25 != 0 {
 			return
 		}
-		for _, stage := range w.scheduler.stages {
-			for _, sr := range w.scheduler.list {
-				cause := w.scheduler.ruledOut(w.clock(), stage, sr)
+		for _, stage := range w.scheduler.waitingStages {
+			for _, sr := range w.scheduler.sortedWorkers {
+				cause := w.scheduler.exclusionCause(w.clock(), stage, sr)
 				takes := w.scheduler.isOpen(w.clock(), sr) && w.scheduler.admits(stage, sr, 0)
 				if takes != (cause == "") {
 					t.Fatalf("searcher %s takes a task: %t, cause %q", sr.ID, takes, cause)
@@ -264,17 +264,17 @@
 func TestReportsAreBounded(t *testing.T) {
 	Convey("A very large job's report is cut off and says so", t, func() {
 		w := newWorld(1, 3)
-		stages := make([]job.Stage, mostDetails+1)
+		stages := make([]job.Stage, maxReportDetails+1)
 		for i := range stages {
 			stages[i] = small(1)
 			stages[i].Requirements = job.Labels{"none"}
 		}
 		id := w.submitStages(1, stages...)
 		report, _ := w.scheduler.Job(w.clock(), id)
-		So(len(report.Stages), ShouldEqual, mostDetails)
+		So(len(report.Stages), ShouldEqual, maxReportDetails)
 		So(report.Truncated, ShouldBeTrue)
 		why, _ := w.scheduler.Why(w.clock(), id)
-		So(len(why.Waiting), ShouldEqual, mostWaiting)
+		So(len(why.Waiting), ShouldEqual, maxExplainedStages)
 		So(why.Truncated, ShouldBeTrue)
 	})
 }
@@ -323,7 +323,7 @@
 			w.propose()
 			w.steps(5)
 			var record operatorDrainRecord // it stays for orders that come late
-			So(decode("", w.durable[operatorDrainKey("s00")], &record), ShouldBeNil)
+			So(decodeRecord("", w.durable[operatorDrainKey("s00")], &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
 			w.elect()
 			w.steps(20)
@@ -372,7 +372,7 @@
 		Convey("and also where the life ended while nobody led", func() {
 			w.machines[0].up = false
 			w.elect()
-			for range missingLists {
+			for range maxMissedInventories {
 				w.inventory()
 			}
 			w.steps(5)
--- a/internal/jobs/scheduler/found_test.go
+++ b/internal/jobs/scheduler/found_test.go
@@ -18,14 +18,14 @@
 		s.AddInventoryPage(now, first)
 		convey.Convey("the searchers of each page are known at once, and no page makes those of others missing", func() {
 			convey.So(s.KnowsWorker("i-1"), convey.ShouldBeTrue)
-			for range missingLists + 1 {
+			for range maxMissedInventories + 1 {
 				s.AddInventoryPage(now, second)
 			}
 			convey.So(s.KnowsWorker("i-1"), convey.ShouldBeTrue)
 			convey.So(s.KnowsWorker("i-2"), convey.ShouldBeTrue)
 		})
 		convey.Convey("whole lists without one end its life", func() {
-			for range missingLists {
+			for range maxMissedInventories {
 				s.SetInventory(now, second)
 			}
 			convey.So(s.KnowsWorker("i-1"), convey.ShouldBeFalse)
@@ -38,17 +38,17 @@
 		now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 		s, err := New(Settings{MaxLease: 6 * time.Second}, now, nil)
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(s.NextDue(), convey.ShouldBeZeroValue)
+		convey.So(s.NextDueMS(), convey.ShouldBeZeroValue)
 		late, early := newJob("0000000000000001", jobRecord{}), newJob("0000000000000002", jobRecord{})
-		s.schedule(late, now.WallMS+2000)
-		convey.So(s.NextDue(), convey.ShouldEqual, now.WallMS+2000)
-		s.schedule(early, now.WallMS+1000)
-		convey.So(s.NextDue(), convey.ShouldEqual, now.WallMS+1000)
-		s.schedule(early, now.WallMS+3000)
-		convey.So(s.NextDue(), convey.ShouldEqual, now.WallMS+2000)
-		s.unschedule(late)
-		convey.So(s.NextDue(), convey.ShouldEqual, now.WallMS+3000)
-		s.unschedule(early)
-		convey.So(s.NextDue(), convey.ShouldBeZeroValue)
+		s.scheduleRepetition(late, now.WallMS+2000)
+		convey.So(s.NextDueMS(), convey.ShouldEqual, now.WallMS+2000)
+		s.scheduleRepetition(early, now.WallMS+1000)
+		convey.So(s.NextDueMS(), convey.ShouldEqual, now.WallMS+1000)
+		s.scheduleRepetition(early, now.WallMS+3000)
+		convey.So(s.NextDueMS(), convey.ShouldEqual, now.WallMS+2000)
+		s.unscheduleRepetition(late)
+		convey.So(s.NextDueMS(), convey.ShouldEqual, now.WallMS+3000)
+		s.unscheduleRepetition(early)
+		convey.So(s.NextDueMS(), convey.ShouldBeZeroValue)
 	})
 }
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -9,45 +9,45 @@
 )
 
 // missingLists is after how many whole lists without it an unreachable worker's life counts as over.
-const missingLists = 2
+const maxMissedInventories = 2
 
 // SetInventory takes the service's workers as the platform lists them, all of them.
 func (s *Scheduler) SetInventory(now Now, instances []workerclient.Instance) {
 	present := make(map[workerclient.WorkerID]bool, len(instances))
 	for i := range instances {
 		present[instances[i].ID] = true
-		s.learnOf(now, &instances[i])
+		s.updateInstance(now, &instances[i])
 	}
-	for _, sr := range slices.Clone(s.list) {
+	for _, sr := range slices.Clone(s.sortedWorkers) {
 		if present[sr.ID] {
-			sr.missingLists = 0
+			sr.missedInventories = 0
 			continue
 		}
-		sr.missingLists++
-		if !sr.reachable && sr.missingLists >= missingLists {
+		sr.missedInventories++
+		if !sr.reachable && sr.missedInventories >= maxMissedInventories {
 			s.RemoveWorker(now, sr.ID)
 		}
 	}
 	s.pruneOperatorDrains()
-	s.unplaced = true
+	s.dispatchNeeded = true
 }
 
 // AddInventoryPage takes some of the service's workers, while the platform's list has not been read whole yet.
 func (s *Scheduler) AddInventoryPage(now Now, instances []workerclient.Instance) {
 	for i := range instances {
-		s.learnOf(now, &instances[i])
+		s.updateInstance(now, &instances[i])
 	}
-	s.unplaced = true
+	s.dispatchNeeded = true
 }
 
 // KnowsWorker tells whether a worker's life is going on as far as is known.
 func (s *Scheduler) KnowsWorker(id workerclient.WorkerID) bool { return s.workers[id] != nil }
 
 // WasRemoved tells whether a worker's life is known to be over although the platform may still list it.
-func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.gone[id] }
+func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.removed[id] }
 
-func (s *Scheduler) learnOf(now Now, instance *workerclient.Instance) {
-	if s.gone[instance.ID] {
+func (s *Scheduler) updateInstance(now Now, instance *workerclient.Instance) {
+	if s.removed[instance.ID] {
 		return
 	}
 	sr := s.workers[instance.ID]
@@ -56,35 +56,35 @@
 	}
 	drains := instance.Draining && !sr.Draining
 	sr.Instance = *instance
-	sr.listed = true
+	sr.inInventory = true
 	sr.rack = rackOf(instance)
 	if drains {
-		s.drain(now, sr)
+		s.drainWorker(now, sr)
 	}
 }
 
-func (s *Scheduler) addWorker(id workerclient.WorkerID) *worker {
-	sr := &worker{Instance: workerclient.Instance{ID: id}, runs: map[job.TaskID]*run{}, window: windowStart}
+func (s *Scheduler) addWorker(id workerclient.WorkerID) *workerState {
+	sr := &workerState{Instance: workerclient.Instance{ID: id}, attempts: map[job.TaskID]*attemptState{}, window: initialWindow}
 	s.workers[id] = sr
-	at, _ := slices.BinarySearchFunc(s.list, sr, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
-	s.list = slices.Insert(s.list, at, sr)
+	at, _ := slices.BinarySearchFunc(s.sortedWorkers, sr, func(a, b *workerState) int { return cmp.Compare(a.ID, b.ID) })
+	s.sortedWorkers = slices.Insert(s.sortedWorkers, at, sr)
 	return sr
 }
 
-// drain moves away what cannot end before the worker may leave.
-func (s *Scheduler) drain(now Now, sr *worker) {
+// drainWorker moves away what cannot end before the worker may leave.
+func (s *Scheduler) drainWorker(now Now, sr *workerState) {
 	stays := float64(sr.RemainingMS)
 	if sr.RemainingMS == 0 {
 		stays = float64(s.settings.DrainTime.Milliseconds())
 	}
-	for _, r := range sr.sortedRuns() {
+	for _, r := range sr.sortedAttempts() {
 		if r.task.stage.LongRunning || s.remainingMS(now, r) > stays {
-			s.stop(r)
+			s.stopAttempt(r)
 		}
 	}
-	s.rebind(now, sr)
+	s.rebindTasks(now, sr)
 }
 
-func compareTasks(a, b job.TaskID) int {
+func compareTaskIDs(a, b job.TaskID) int {
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Repetition, b.Repetition), cmp.Compare(a.Stage, b.Stage), cmp.Compare(a.Index, b.Index))
 }
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -37,9 +37,9 @@
 	return after
 }
 
-// judge tells what an order comes to that builds on a version. What was taken stays taken: the order that made version N+1 is the one
+// outcomeOf tells what an order comes to that builds on a version. What was taken stays taken: the order that made version N+1 is the one
 // that asked on top of N for what N+1 is.
-func (r operatorDrainRecord) judge(order DrainChange) jobreport.DrainOutcome {
+func (r operatorDrainRecord) outcomeOf(order DrainChange) jobreport.DrainOutcome {
 	if order.BaseVersion == r.Version {
 		return jobreport.DrainTaken
 	}
@@ -62,7 +62,7 @@
 // operatorDrain is one such worker.
 type operatorDrain struct {
 	operatorDrainRecord
-	missingLists int // the platform's lists in a row while its life is not known
+	missedInventories int // the platform's lists in a row while its life is not known
 }
 
 func operatorDrainKey(id workerclient.WorkerID) string { return operatorDrainPrefix + string(id) }
@@ -71,48 +71,48 @@
 // the worker is known. The same order again changes nothing; a drain that was taken is known also while the worker is
 // not, as after a change of leaders.
 func (s *Scheduler) SetOperatorDrain(now Now, id workerclient.WorkerID, draining bool) bool {
-	if !s.knowsDrained(id) {
+	if !s.mayDrain(id) {
 		return false
 	}
-	if draining != s.operatorDrains.has(id) {
-		s.takeDrain(now, id, draining)
+	if draining != s.operatorDrains.isDraining(id) {
+		s.applyDrain(now, id, draining)
 	}
 	return true
 }
 
 // ChangeOperatorDrain does the same on top of a version, so that an order that comes late does not undo a later one.
 func (s *Scheduler) ChangeOperatorDrain(now Now, id workerclient.WorkerID, order DrainChange) jobreport.DrainOutcome {
-	if !s.knowsDrained(id) {
+	if !s.mayDrain(id) {
 		return jobreport.DrainUnknown
 	}
 	record := s.operatorDrains.record(id)
-	outcome := record.judge(order)
+	outcome := record.outcomeOf(order)
 	if order.BaseVersion == record.Version {
-		s.takeDrain(now, id, order.Draining)
+		s.applyDrain(now, id, order.Draining)
 	}
 	return outcome
 }
 
-// knowsDrained tells whether an operator may drain or undrain a worker.
-func (s *Scheduler) knowsDrained(id workerclient.WorkerID) bool {
+// mayDrain tells whether an operator may drain or undrain a worker.
+func (s *Scheduler) mayDrain(id workerclient.WorkerID) bool {
 	return s.workers[id] != nil || s.operatorDrains[id] != nil
 }
 
-// takeDrain carries out an order.
-func (s *Scheduler) takeDrain(now Now, id workerclient.WorkerID, draining bool) {
+// applyDrain carries out an order.
+func (s *Scheduler) applyDrain(now Now, id workerclient.WorkerID, draining bool) {
 	was := s.operatorDrains.record(id)
 	record := was.next(now, draining)
 	s.operatorDrains[id] = &operatorDrain{operatorDrainRecord: record}
-	s.write(operatorDrainKey(id), record)
+	s.writeRecord(operatorDrainKey(id), record)
 	switch {
 	case draining == was.draining():
 		return
 	case draining:
-		s.rebind(now, s.workers[id])
+		s.rebindTasks(now, s.workers[id])
 	default:
-		s.bindAll(now)
+		s.bindUnboundTasks(now)
 	}
-	s.unplaced = true
+	s.dispatchNeeded = true
 }
 
 // DrainVersion is the number of operators' orders on the drain of a worker that were taken in its life.
@@ -122,14 +122,14 @@
 
 // IsOperatorDraining tells whether an operator allows a worker no new starts.
 func (s *Scheduler) IsOperatorDraining(id workerclient.WorkerID) bool {
-	return s.operatorDrains.has(id)
+	return s.operatorDrains.isDraining(id)
 }
 
 // operatorDrains are the workers that operators have drained or undrained.
 type operatorDrains map[workerclient.WorkerID]*operatorDrain
 
-// has tells whether an operator allows a worker no new starts now.
-func (d operatorDrains) has(id workerclient.WorkerID) bool { return d.record(id).draining() }
+// isDraining tells whether an operator allows a worker no new starts now.
+func (d operatorDrains) isDraining(id workerclient.WorkerID) bool { return d.record(id).draining() }
 
 // record is that of a worker; its zero value stands for one that no operator has drained.
 func (d operatorDrains) record(id workerclient.WorkerID) operatorDrainRecord {
@@ -141,7 +141,7 @@
 
 func (s *Scheduler) forgetOperatorDrain(id workerclient.WorkerID) {
 	delete(s.operatorDrains, id)
-	s.erase(operatorDrainKey(id))
+	s.eraseRecord(operatorDrainKey(id))
 }
 
 // pruneOperatorDrains forgets the records of workers whose lives are over. It is called after each whole list.
@@ -149,11 +149,11 @@
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		drain := s.operatorDrains[id]
 		if s.KnowsWorker(id) {
-			drain.missingLists = 0
+			drain.missedInventories = 0
 			continue
 		}
-		drain.missingLists++
-		if s.WasRemoved(id) || drain.missingLists >= missingLists {
+		drain.missedInventories++
+		if s.WasRemoved(id) || drain.missedInventories >= maxMissedInventories {
 			s.forgetOperatorDrain(id)
 		}
 	}
@@ -168,7 +168,7 @@
 			continue
 		}
 		drain := &operatorDrain{}
-		if err := decode(key, value, &drain.operatorDrainRecord); err != nil {
+		if err := decodeRecord(key, value, &drain.operatorDrainRecord); err != nil {
 			return nil, err
 		}
 		if drain.Version == 0 { // written by a release whose records were drains alone
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -34,7 +34,7 @@
 			So(entries, ShouldHaveLength, 1)
 			So(entries[0].Key, ShouldEqual, operatorDrainKey("s00"))
 			var record operatorDrainRecord // it stays, so that an order that comes late is known to be one
-			So(decode(entries[0].Key, entries[0].Value, &record), ShouldBeNil)
+			So(decodeRecord(entries[0].Key, entries[0].Value, &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
 			So(record.Version, ShouldEqual, 2)
 		})
@@ -113,7 +113,7 @@
 			So(err, ShouldBeNil)
 			drains, err := restoreOperatorDrains(map[string][]byte{operatorDrainKey("s00"): value})
 			So(err, ShouldBeNil)
-			So(drains.has("s00"), ShouldBeTrue)
+			So(drains.isDraining("s00"), ShouldBeTrue)
 			So(drains.record("s00").Version, ShouldEqual, 1)
 		})
 	})
--- a/internal/jobs/scheduler/order.go
+++ b/internal/jobs/scheduler/order.go
@@ -6,42 +6,42 @@
 	"slices"
 )
 
-// mostOrdered bounds the jobs that one recomputation ranks by makespan; the rest follow in order of arrival.
-const mostOrdered = 64
+// maxRanked bounds the jobs that one recomputation ranks by makespan; the rest follow in order of arrival.
+const maxRanked = 64
 
 // subjob is the tasks of one job that wait at one worker.
 type subjob struct {
-	at   *worker
-	size int
+	worker *workerState
+	size   int
 }
 
 // candidate is one repetition of a job with tasks that wait. It is kept from one ordering to the next.
 type candidate struct {
-	level    int // the lower goes first
-	job      *jobState
-	ordering uint64 // the newest that it is part of
-	stages   []*stageRun
-	parts    []subjob // by divide
-	size     int      // by divide
+	level          int // the lower goes first
+	job            *jobState
+	orderingNumber uint64 // the newest that it is part of
+	stages         []*stageState
+	subjobs        []subjob // by divide
+	size           int      // by divide
 }
 
-// reorder sorts the stages that wait: by level, and within a level by SWAG's greedy order. Each worker's queue
+// orderQueue sorts the stages that wait: by level, and within a level by SWAG's greedy order. Each worker's queue
 // begins at our runs there. Each step picks the job whose largest makespan over its workers is least (ties: the
 // smaller job), and adds its tasks to the queues.
-func (s *Scheduler) reorder(now Now) {
-	if !s.unsorted {
+func (s *Scheduler) orderQueue(now Now) {
+	if !s.orderStale {
 		return
 	}
-	s.unsorted = false
-	levels := byLevel(s.candidates(now))
+	s.orderStale = false
+	levels := byLevel(s.waitingCandidates(now))
 	for _, level := range levels {
-		for _, c := range level[:min(len(level), mostOrdered)] {
-			c.divide()
+		for _, c := range level[:min(len(level), maxRanked)] {
+			c.splitSubjobs()
 		}
 	}
-	s.stages = s.stages[:0]
+	s.waitingStages = s.waitingStages[:0]
 	for _, level := range levels {
-		s.rank(level)
+		s.rankLevel(level)
 	}
 }
 
@@ -59,66 +59,66 @@
 	return levels
 }
 
-// candidates lists the repetitions that wait by level and arrival, and drops stages without a waiting task.
-func (s *Scheduler) candidates(now Now) []*candidate {
-	s.ordering++
-	candidates := s.waiting[:0]
-	for _, stage := range s.stages {
+// waitingCandidates lists the repetitions that wait by level and arrival, and drops stages without a waiting task.
+func (s *Scheduler) waitingCandidates(now Now) []*candidate {
+	s.orderingNumber++
+	candidates := s.candidateScratch[:0]
+	for _, stage := range s.waitingStages {
 		if len(stage.waiting) == 0 {
-			stage.listed = false
+			stage.queued = false
 			continue
 		}
-		c := stage.repetition.ranked
+		c := stage.repetition.candidate
 		if c == nil {
 			c = &candidate{job: stage.job}
-			stage.repetition.ranked = c
+			stage.repetition.candidate = c
 		}
-		if c.ordering != s.ordering {
-			c.ordering, c.level, c.stages = s.ordering, stage.repetition.level(now, stage.job), c.stages[:0]
+		if c.orderingNumber != s.orderingNumber {
+			c.orderingNumber, c.level, c.stages = s.orderingNumber, stage.repetition.orderingLevel(now, stage.job), c.stages[:0]
 			candidates = append(candidates, c)
 		}
 		c.stages = append(c.stages, stage)
 	}
 	clear(candidates[len(candidates):cap(candidates)]) // those of earlier orderings may have ended
-	s.waiting = candidates
+	s.candidateScratch = candidates
 	slices.SortFunc(candidates, func(a, b *candidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.job.Arrival, b.job.Arrival))
 	})
 	return candidates
 }
 
-// divide counts the tasks that wait, all and at each worker, and lets the queues of these workers begin at our runs there.
+// splitSubjobs counts the tasks that wait, all and at each worker, and lets the queues of these workers begin at our runs there.
 // It is done for those candidates alone that are ranked by makespan: the others may be thousands.
-func (c *candidate) divide() {
-	c.size, c.parts = 0, c.parts[:0]
+func (c *candidate) splitSubjobs() {
+	c.size, c.subjobs = 0, c.subjobs[:0]
 	for _, stage := range c.stages {
 		c.size += len(stage.waiting)
 		for _, t := range stage.waiting {
-			c.addPart(t.bound)
+			c.addSubjob(t.boundTo)
 		}
 	}
-	for _, part := range c.parts {
-		part.at.queue = float64(len(part.at.runs))
+	for _, part := range c.subjobs {
+		part.worker.queueLength = float64(len(part.worker.attempts))
 	}
 }
 
-// addPart counts one task at the worker that it is bound to; nil for none.
-func (c *candidate) addPart(bound *worker) {
+// addSubjob counts one task at the worker that it is bound to; nil for none.
+func (c *candidate) addSubjob(bound *workerState) {
 	if bound == nil {
 		return
 	}
-	at := slices.IndexFunc(c.parts, func(p subjob) bool { return p.at == bound })
+	at := slices.IndexFunc(c.subjobs, func(p subjob) bool { return p.worker == bound })
 	if at < 0 {
-		c.parts = append(c.parts, subjob{at: bound})
-		at = len(c.parts) - 1
+		c.subjobs = append(c.subjobs, subjob{worker: bound})
+		at = len(c.subjobs) - 1
 	}
-	c.parts[at].size++
+	c.subjobs[at].size++
 }
 
-// rank appends the stages of jobs of one level in their order.
-func (s *Scheduler) rank(left []*candidate) {
-	rest := left[min(len(left), mostOrdered):]
-	left = slices.Clone(left[:min(len(left), mostOrdered)])
+// rankLevel appends the stages of jobs of one level in their order.
+func (s *Scheduler) rankLevel(left []*candidate) {
+	rest := left[min(len(left), maxRanked):]
+	left = slices.Clone(left[:min(len(left), maxRanked)])
 	for len(left) > 0 {
 		best, bestSpan := 0, math.Inf(1)
 		for i, c := range left {
@@ -128,14 +128,14 @@
 			}
 		}
 		chosen := left[best]
-		for _, part := range chosen.parts {
-			part.at.queue += float64(part.size)
+		for _, part := range chosen.subjobs {
+			part.worker.queueLength += float64(part.size)
 		}
-		s.stages = append(s.stages, chosen.stages...)
+		s.waitingStages = append(s.waitingStages, chosen.stages...)
 		left = slices.Delete(left, best, best+1)
 	}
 	for _, c := range rest {
-		s.stages = append(s.stages, c.stages...)
+		s.waitingStages = append(s.waitingStages, c.stages...)
 	}
 }
 
@@ -143,23 +143,23 @@
 // not worked out further.
 func (s *Scheduler) makespan(c *candidate, bound float64) float64 {
 	longest := 0.0
-	for _, part := range c.parts {
+	for _, part := range c.subjobs {
 		if longest > bound {
 			break
 		}
-		longest = max(longest, (part.at.queue+float64(part.size))*s.latency(c.job, part.at))
+		longest = max(longest, (part.worker.queueLength+float64(part.size))*s.latencyMS(c.job, part.worker))
 	}
 	return longest
 }
 
-// latency is a worker's smoothed latency in milliseconds. An unheard one counts as average, and where all are
+// latencyMS is a worker's smoothed latency in milliseconds. An unheard one counts as average, and where all are
 // unheard latency starts from the objective of the job's queue.
-func (s *Scheduler) latency(j *jobState, sr *worker) float64 {
-	if sr.latency > 0 {
-		return sr.latency
+func (s *Scheduler) latencyMS(j *jobState, sr *workerState) float64 {
+	if sr.latencyMS > 0 {
+		return sr.latencyMS
 	}
-	if s.heard > 0 {
-		return s.heardSum / float64(s.heard)
+	if s.latencyCount > 0 {
+		return s.latencySumMS / float64(s.latencyCount)
 	}
 	return max(1, float64(j.Queue.TargetLatencyMS))
 }
--- a/internal/jobs/scheduler/order_test.go
+++ b/internal/jobs/scheduler/order_test.go
@@ -18,41 +18,41 @@
 type modelCandidate struct {
 	level  int
 	job    *jobState
-	stages []*stageRun
-	parts  map[*worker]int
+	stages []*stageState
+	parts  map[*workerState]int
 	size   int
 }
 
 // modelOrder works out the order of the stages that wait from nothing but the state of the scheduler.
-func modelOrder(s *Scheduler, now Now) []*stageRun {
+func modelOrder(s *Scheduler, now Now) []*stageState {
 	var all []*modelCandidate
-	of := map[*repetition]*modelCandidate{}
-	for _, stage := range s.stages {
+	of := map[*repetitionState]*modelCandidate{}
+	for _, stage := range s.waitingStages {
 		if len(stage.waiting) == 0 {
 			continue
 		}
 		c := of[stage.repetition]
 		if c == nil {
-			c = &modelCandidate{level: stage.repetition.level(now, stage.job), job: stage.job, parts: map[*worker]int{}}
+			c = &modelCandidate{level: stage.repetition.orderingLevel(now, stage.job), job: stage.job, parts: map[*workerState]int{}}
 			of[stage.repetition] = c
 			all = append(all, c)
 		}
 		c.stages = append(c.stages, stage)
 		c.size += len(stage.waiting)
 		for _, t := range stage.waiting {
-			if t.bound != nil {
-				c.parts[t.bound]++
+			if t.boundTo != nil {
+				c.parts[t.boundTo]++
 			}
 		}
 	}
 	slices.SortFunc(all, func(a, b *modelCandidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.job.Arrival, b.job.Arrival))
 	})
-	queues := map[*worker]float64{}
-	for _, sr := range s.list {
-		queues[sr] = float64(len(sr.runs))
+	queues := map[*workerState]float64{}
+	for _, sr := range s.sortedWorkers {
+		queues[sr] = float64(len(sr.attempts))
 	}
-	var order []*stageRun
+	var order []*stageState
 	for len(all) > 0 {
 		level := all
 		if end := slices.IndexFunc(all, func(c *modelCandidate) bool { return c.level != all[0].level }); end > 0 {
@@ -64,15 +64,15 @@
 	return order
 }
 
-func modelRank(s *Scheduler, queues map[*worker]float64, level []*modelCandidate) []*stageRun {
-	var order []*stageRun
-	left, rest := slices.Clone(level[:min(len(level), mostOrdered)]), level[min(len(level), mostOrdered):]
+func modelRank(s *Scheduler, queues map[*workerState]float64, level []*modelCandidate) []*stageState {
+	var order []*stageState
+	left, rest := slices.Clone(level[:min(len(level), maxRanked)]), level[min(len(level), maxRanked):]
 	for len(left) > 0 {
 		best, bestSpan := 0, math.Inf(1)
 		for i, c := range left {
 			span := 0.0
 			for at, size := range c.parts {
-				span = max(span, (queues[at]+float64(size))*s.latency(c.job, at))
+				span = max(span, (queues[at]+float64(size))*s.latencyMS(c.job, at))
 			}
 			if span < bestSpan || span == bestSpan && c.size < left[best].size {
 				best, bestSpan = i, span
@@ -92,16 +92,16 @@
 
 // endSome ends some runs at workers, so that room, queues and latencies change.
 func endSome(s *Scheduler, now Now, round int) {
-	for i, sr := range s.list {
+	for i, sr := range s.sortedWorkers {
 		if (i+round)%3 != 0 {
 			continue
 		}
 		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Monotonic}
-		for at, r := range sr.sortedRuns() {
+		for at, r := range sr.sortedAttempts() {
 			if at == 0 {
-				report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: r.task.id, Execution: r.execution, How: job.OutcomeDone}}
+				report.Finished = []workerclient.FinishedTask{{Number: sr.lastCompletion + 1, Task: r.task.id, Execution: r.number, How: job.OutcomeDone}}
 			} else {
-				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
+				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.number})
 			}
 		}
 		s.HandleReport(now, &report)
@@ -115,11 +115,11 @@
 			endSome(s, now, round)
 			now.WallMS += 400 // jobs become late, and worthless
 			now.Monotonic = now.Monotonic.Add(400e6)
-			s.unsorted = true
+			s.orderStale = true
 			want := modelOrder(s, now)
-			s.reorder(now)
-			So(len(s.stages), ShouldBeGreaterThan, mostOrdered)
-			So(slices.Equal(s.stages, want), ShouldBeTrue)
+			s.orderQueue(now)
+			So(len(s.waitingStages), ShouldBeGreaterThan, maxRanked)
+			So(slices.Equal(s.waitingStages, want), ShouldBeTrue)
 			s.Dispatch(now)
 			s.TakeEffects()
 		}
@@ -127,9 +127,9 @@
 	Convey("An ordering takes no memory for each job that waits", t, func() {
 		const jobs = 1000
 		s, now, _ := loaded(30, jobs)
-		So(len(s.stages), ShouldBeGreaterThan, jobs/2)
+		So(len(s.waitingStages), ShouldBeGreaterThan, jobs/2)
 		allocated := testing.AllocsPerRun(5, func() {
-			s.unsorted = true
+			s.orderStale = true
 			s.Dispatch(now)
 		})
 		So(allocated, ShouldBeLessThan, jobs/10)
@@ -146,16 +146,16 @@
 	}
 	Convey("Where each task has room at the searcher that it is bound to, the others are not looked at", t, func() {
 		submit(1, 60)
-		So(s.opened, ShouldBeFalse)
-		So(s.stages[0].waiting, ShouldBeEmpty)
+		So(s.openCached, ShouldBeFalse)
+		So(s.waitingStages[0].waiting, ShouldBeEmpty)
 		Convey("and otherwise any that takes starts is found, or none", func() {
 			submit(2, 1)
-			So(s.opened, ShouldBeTrue)
-			So(s.open, ShouldHaveLength, 30)
-			freed := s.list[7]
-			s.clear(now, freed) // its two tasks wait again, bound anywhere
+			So(s.openCached, ShouldBeTrue)
+			So(s.openCache, ShouldHaveLength, 30)
+			freed := s.sortedWorkers[7]
+			s.endAllAttempts(now, freed) // its two tasks wait again, bound anywhere
 			s.Dispatch(now)
-			So(freed.runs, ShouldHaveLength, 2)
+			So(freed.attempts, ShouldHaveLength, 2)
 		})
 	})
 }
--- a/internal/jobs/scheduler/place.go
+++ b/internal/jobs/scheduler/place.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	faultCost     = 8.0             // how much costlier a worker is all of whose runs fail
-	patienceShare = 0.7             // of the time lost by running far from the data or across racks
-	mostPatience  = 2 * time.Second // wait for room near the data
+	failureCost       = 8.0             // how much costlier a worker is all of whose runs fail
+	localityWaitShare = 0.7             // of the time lost by running far from the data or across racks
+	maxLocalityWait   = 2 * time.Second // wait for room near the data
 )
 
-// suits tells whether a worker may ever take tasks of a stage: the label, the size, and that it stays.
-func (s *Scheduler) suits(stage *stageRun, sr *worker) bool {
-	if sr.Draining || !sr.listed || s.operatorDrains.has(sr.ID) || !sr.Capacity.Fits(stage.Resources) {
+// isEligible tells whether a worker may ever take tasks of a stage: the label, the size, and that it stays.
+func (s *Scheduler) isEligible(stage *stageState, sr *workerState) bool {
+	if sr.Draining || !sr.inInventory || s.operatorDrains.isDraining(sr.ID) || !sr.Capacity.Fits(stage.Resources) {
 		return false
 	}
 	for _, label := range stage.Requirements {
@@ -29,89 +29,89 @@
 }
 
 // bind chooses the worker where a task waits: the least cost among the eligible.
-func (s *Scheduler) bind(now Now, t *task) {
-	s.unbind(t)
-	var best *worker
+func (s *Scheduler) bindTask(now Now, t *taskState) {
+	s.unbindTask(t)
+	var best *workerState
 	bestCost := math.Inf(1)
-	for _, sr := range s.list {
-		if !sr.reachable || !s.suits(t.stage, sr) {
+	for _, sr := range s.sortedWorkers {
+		if !sr.reachable || !s.isEligible(t.stage, sr) {
 			continue
 		}
 		cost := s.cost(t.stage, sr)
-		if slices.Contains(t.avoid, sr.ID) {
-			cost *= 1 + faultCost
+		if slices.Contains(t.avoidedWorkers, sr.ID) {
+			cost *= 1 + failureCost
 		}
 		if cost < bestCost {
 			best, bestCost = sr, cost
 		}
 	}
 	if best != nil {
-		t.bound = best
-		best.held++
+		t.boundTo = best
+		best.boundTasks++
 	}
 }
 
-func (s *Scheduler) unbind(t *task) {
-	if t.bound != nil {
-		t.bound.held--
-		t.bound = nil
+func (s *Scheduler) unbindTask(t *taskState) {
+	if t.boundTo != nil {
+		t.boundTo.boundTasks--
+		t.boundTo = nil
 	}
 }
 
-// rebind binds the tasks anew that wait at a worker which cannot take them any more.
-func (s *Scheduler) rebind(now Now, sr *worker) {
-	for _, stage := range s.stages {
+// rebindTasks binds the tasks anew that wait at a worker which cannot take them any more.
+func (s *Scheduler) rebindTasks(now Now, sr *workerState) {
+	for _, stage := range s.waitingStages {
 		for _, t := range stage.waiting {
-			if t.bound == sr {
-				s.bind(now, t)
+			if t.boundTo == sr {
+				s.bindTask(now, t)
 			}
 		}
 	}
-	s.unsorted = true
+	s.orderStale = true
 }
 
-// bindAll binds the tasks that found no eligible worker before.
-func (s *Scheduler) bindAll(now Now) {
-	for _, stage := range s.stages {
+// bindUnboundTasks binds the tasks that found no eligible worker before.
+func (s *Scheduler) bindUnboundTasks(now Now) {
+	for _, stage := range s.waitingStages {
 		for _, t := range stage.waiting {
-			if t.bound == nil {
-				s.bind(now, t)
+			if t.boundTo == nil {
+				s.bindTask(now, t)
 			}
 		}
 	}
-	s.unsorted = true
+	s.orderStale = true
 }
 
 // isOpen tells whether a worker takes starts right now.
-func (s *Scheduler) isOpen(now Now, sr *worker) bool {
-	if !sr.reachable || !sr.listed || sr.Draining || s.operatorDrains.has(sr.ID) || sr.fencedAt.IsZero() || len(sr.orphans) > 0 {
+func (s *Scheduler) isOpen(now Now, sr *workerState) bool {
+	if !sr.reachable || !sr.inInventory || sr.Draining || s.operatorDrains.isDraining(sr.ID) || sr.fencedAt.IsZero() || len(sr.orphans) > 0 {
 		return false
 	}
-	if float64(len(sr.runs)) >= sr.window {
+	if float64(len(sr.attempts)) >= sr.window {
 		return false
 	}
-	return !now.Monotonic.Before(sr.restUntil) && !now.Monotonic.Before(sr.fullUntil)
+	return !now.Monotonic.Before(sr.backoffUntil) && !now.Monotonic.Before(sr.fullUntil)
 }
 
 // admits tells whether an open worker can take one more task of a stage, beside so many more that are planned there.
-func (s *Scheduler) admits(stage *stageRun, sr *worker, planned int) bool {
-	if float64(len(sr.runs)+planned) >= sr.window {
+func (s *Scheduler) admits(stage *stageState, sr *workerState, planned int) bool {
+	if float64(len(sr.attempts)+planned) >= sr.window {
 		return false
 	}
 	free := sr.free()
 	if planned > 0 {
 		free = free.Subtract(stage.Resources.Times(int64(planned)))
 	}
-	if !free.Fits(stage.Resources) || !s.suits(stage, sr) {
+	if !free.Fits(stage.Resources) || !s.isEligible(stage, sr) {
 		return false
 	}
-	return stage.AntiAffinity == 0 || sr.tasksOf(stage)+planned < stage.AntiAffinity
+	return stage.AntiAffinity == 0 || sr.attemptsOfStage(stage)+planned < stage.AntiAffinity
 }
 
-// tasksOf counts a stage's runs at a worker.
-func (sr *worker) tasksOf(stage *stageRun) int {
+// attemptsOfStage counts a stage's runs at a worker.
+func (sr *workerState) attemptsOfStage(stage *stageState) int {
 	count := 0
-	for _, r := range sr.runs {
+	for _, r := range sr.attempts {
 		if r.task.stage == stage {
 			count++
 		}
@@ -121,12 +121,12 @@
 
 // Dispatch starts waiting tasks in their order, wherever there is room.
 func (s *Scheduler) Dispatch(now Now) {
-	s.unplaced = false
-	s.reorder(now)
-	s.open, s.opened = s.open[:0], false
-	var refused refusals
-	for _, stage := range s.stages {
-		if s.opened && len(s.open) == 0 {
+	s.dispatchNeeded = false
+	s.orderQueue(now)
+	s.openCache, s.openCached = s.openCache[:0], false
+	var refused unplaceableRequests
+	for _, stage := range s.waitingStages {
+		if s.openCached && len(s.openCache) == 0 {
 			return
 		}
 		if len(stage.waiting) == 0 || refused.covers(stage) {
@@ -142,32 +142,32 @@
 
 // openWorkers lists the workers that take starts. They are looked for once a dispatch, and only where a task has no room
 // at the worker that it is bound to.
-func (s *Scheduler) openWorkers(now Now) []*worker {
-	if s.opened {
-		return s.open
+func (s *Scheduler) openWorkers(now Now) []*workerState {
+	if s.openCached {
+		return s.openCache
 	}
-	s.opened = true
-	for _, sr := range s.list {
+	s.openCached = true
+	for _, sr := range s.sortedWorkers {
 		if s.isOpen(now, sr) {
-			s.open = append(s.open, sr)
+			s.openCache = append(s.openCache, sr)
 		}
 	}
-	return s.open
+	return s.openCache
 }
 
 // startTasks starts as many of a stage's tasks as there is room for.
-func (s *Scheduler) startTasks(now Now, stage *stageRun, refused *refusals) {
-	near := s.staysNear(now, stage)
+func (s *Scheduler) startTasks(now Now, stage *stageState, refused *unplaceableRequests) {
+	near := s.waitsForLocality(now, stage)
 	for _, t := range slices.Clone(stage.waiting) {
-		if now.Monotonic.Before(t.notBefore) {
+		if now.Monotonic.Before(t.backoffUntil) {
 			continue
 		}
-		sr := s.choose(now, t, near)
+		sr := s.chooseWorker(now, t, near)
 		if sr != nil {
-			s.assign(now, t, sr, t.execution+1)
+			s.assign(now, t, sr, t.attemptNumber+1)
 			continue
 		}
-		if len(t.runs) == 0 {
+		if len(t.attempts) == 0 {
 			if !near {
 				refused.add(stage)
 			}
@@ -176,39 +176,39 @@
 	}
 }
 
-// patience is how long tasks wait for room near their data rather than run elsewhere: a part of what that would cost.
-func (s *Scheduler) patience(stage *stageRun) time.Duration {
+// localityWait is how long tasks wait for room near their data rather than run elsewhere: a part of what that would cost.
+func (s *Scheduler) localityWait(stage *stageState) time.Duration {
 	extra := (max(1, s.settings.RemoteFactor) - 1) * float64(stage.EstimatedDurationMS)
-	return min(mostPatience, time.Duration(patienceShare*extra)*time.Millisecond)
+	return min(maxLocalityWait, time.Duration(localityWaitShare*extra)*time.Millisecond)
 }
 
-// staysNear tells whether a stage still waits for room near its data. It does not where nothing near could take it.
-func (s *Scheduler) staysNear(now Now, stage *stageRun) bool {
-	if stage.Affinity == "" || now.Monotonic.Sub(stage.readyAt) >= s.patience(stage) {
+// waitsForLocality tells whether a stage still waits for room near its data. It does not where nothing near could take it.
+func (s *Scheduler) waitsForLocality(now Now, stage *stageState) bool {
+	if stage.Affinity == "" || now.Monotonic.Sub(stage.waitingSince) >= s.localityWait(stage) {
 		return false
 	}
-	for _, sr := range s.list {
-		if sr.reachable && s.suits(stage, sr) && s.distance(stage, sr) == 1 {
+	for _, sr := range s.sortedWorkers {
+		if sr.reachable && s.isEligible(stage, sr) && s.distanceFactor(stage, sr) == 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// choose picks an open worker with room: the one where the task is bound, else the least costly sibling.
-func (s *Scheduler) choose(now Now, t *task, near bool) *worker {
-	if bound := t.bound; bound != nil && s.isOpen(now, bound) && s.mayTake(t, bound, near) && !slices.Contains(t.avoid, bound.ID) {
+// chooseWorker picks an open worker with room: the one where the task is bound, else the least costly sibling.
+func (s *Scheduler) chooseWorker(now Now, t *taskState, near bool) *workerState {
+	if bound := t.boundTo; bound != nil && s.isOpen(now, bound) && s.canPlace(t, bound, near) && !slices.Contains(t.avoidedWorkers, bound.ID) {
 		return bound
 	}
-	var best *worker
+	var best *workerState
 	bestCost := math.Inf(1)
 	for _, sr := range s.openWorkers(now) {
-		if !s.mayTake(t, sr, near) {
+		if !s.canPlace(t, sr, near) {
 			continue
 		}
 		cost := s.cost(t.stage, sr)
-		if slices.Contains(t.avoid, sr.ID) {
-			cost *= 1 + faultCost
+		if slices.Contains(t.avoidedWorkers, sr.ID) {
+			cost *= 1 + failureCost
 		}
 		if cost < bestCost {
 			best, bestCost = sr, cost
@@ -217,37 +217,37 @@
 	return best
 }
 
-// mayTake tells whether an open worker can take a task, near its data if it stays there.
-func (s *Scheduler) mayTake(t *task, sr *worker, near bool) bool {
-	if near && s.distance(t.stage, sr) > 1 {
+// canPlace tells whether an open worker can take a task, near its data if it stays there.
+func (s *Scheduler) canPlace(t *taskState, sr *workerState, near bool) bool {
+	if near && s.distanceFactor(t.stage, sr) > 1 {
 		return false
 	}
-	return s.admits(t.stage, sr, 0) && sr.runs[t.id] == nil
+	return s.admits(t.stage, sr, 0) && sr.attempts[t.id] == nil
 }
 
 // assign gives a task to a worker.
-func (s *Scheduler) assign(now Now, t *task, sr *worker, execution uint64) {
-	s.unwait(t)
-	t.execution = execution
-	r := &run{task: t, at: sr, execution: execution, orderedAt: now.Monotonic}
-	t.runs = append(t.runs, r)
-	sr.runs[t.id] = r
+func (s *Scheduler) assign(now Now, t *taskState, sr *workerState, execution uint64) {
+	s.dequeue(t)
+	t.attemptNumber = execution
+	r := &attemptState{task: t, worker: sr, number: execution, assignedAt: now.Monotonic}
+	t.attempts = append(t.attempts, r)
+	sr.attempts[t.id] = r
 	sr.used = sr.used.Add(t.stage.Resources)
 	t.stage.job.started = true
-	s.writeTask(t)
+	s.writeTaskRecord(t)
 	order := &workerclient.StartOrder{Task: t.id, Execution: execution, Specification: t.stage.job.Specification.Text, Checkpoint: t.checkpoint}
 	s.effects.Commands = append(s.effects.Commands, Command{Worker: sr.ID, Start: order})
 }
 
 // startGang starts all members at once or none.
-func (s *Scheduler) startGang(now Now, stage *stageRun) {
-	if len(stage.waiting) < stage.left || len(stage.waiting) < stage.Count {
+func (s *Scheduler) startGang(now Now, stage *stageState) {
+	if len(stage.waiting) < stage.incompleteTasks || len(stage.waiting) < stage.Count {
 		return // a member's last run is not over yet
 	}
 	execution := uint64(0)
 	for _, t := range stage.tasks {
-		execution = max(execution, t.execution)
-		if now.Monotonic.Before(t.notBefore) {
+		execution = max(execution, t.attemptNumber)
+		if now.Monotonic.Before(t.backoffUntil) {
 			return
 		}
 	}
@@ -261,25 +261,25 @@
 }
 
 // planGang finds room for all members: on one rack if they want that and one has room, else anywhere.
-func (s *Scheduler) planGang(now Now, stage *stageRun) []*worker {
+func (s *Scheduler) planGang(now Now, stage *stageState) []*workerState {
 	if stage.SameRack {
-		for _, rack := range s.racks(now) {
-			if placed := s.planOn(now, stage, rack); placed != nil {
+		for _, rack := range s.openRacks(now) {
+			if placed := s.planOnRack(now, stage, rack); placed != nil {
 				return placed
 			}
 		}
-		if now.Monotonic.Sub(stage.readyAt) < s.patience(stage) && s.fitsOneRack(stage) {
+		if now.Monotonic.Sub(stage.waitingSince) < s.localityWait(stage) && s.fitsOneRack(stage) {
 			return nil
 		}
 	}
-	return s.planOn(now, stage, "")
+	return s.planOnRack(now, stage, "")
 }
 
 // fitsOneRack tells whether some rack could take a whole gang if it were idle.
-func (s *Scheduler) fitsOneRack(stage *stageRun) bool {
+func (s *Scheduler) fitsOneRack(stage *stageState) bool {
 	room := map[string]int64{}
-	for _, sr := range s.list {
-		if sr.reachable && s.suits(stage, sr) {
+	for _, sr := range s.sortedWorkers {
+		if sr.reachable && s.isEligible(stage, sr) {
 			room[sr.rack] += sr.Capacity.FitCount(stage.Resources)
 		}
 	}
@@ -291,8 +291,8 @@
 	return false
 }
 
-// racks lists the racks of open workers.
-func (s *Scheduler) racks(now Now) []string {
+// openRacks lists the racks of open workers.
+func (s *Scheduler) openRacks(now Now) []string {
 	var racks []string
 	for _, sr := range s.openWorkers(now) {
 		if sr.rack != "" && !slices.Contains(racks, sr.rack) {
@@ -302,16 +302,16 @@
 	return racks
 }
 
-// planOn places a gang on a rack ("" for all of them), filling the least costly workers first.
-func (s *Scheduler) planOn(now Now, stage *stageRun, rack string) []*worker {
-	var candidates []*worker
+// planOnRack places a gang on a rack ("" for all of them), filling the least costly workers first.
+func (s *Scheduler) planOnRack(now Now, stage *stageState, rack string) []*workerState {
+	var candidates []*workerState
 	for _, sr := range s.openWorkers(now) {
 		if (rack == "" || sr.rack == rack) && s.admits(stage, sr, 0) {
 			candidates = append(candidates, sr)
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b *worker) int { return cmp.Compare(s.cost(stage, a), s.cost(stage, b)) })
-	var placed []*worker
+	slices.SortStableFunc(candidates, func(a, b *workerState) int { return cmp.Compare(s.cost(stage, a), s.cost(stage, b)) })
+	var placed []*workerState
 	for _, sr := range candidates {
 		for planned := 0; len(placed) < stage.Count && s.admits(stage, sr, planned); planned++ {
 			placed = append(placed, sr)
--- a/internal/jobs/scheduler/progress.go
+++ b/internal/jobs/scheduler/progress.go
@@ -7,161 +7,161 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// advance begins the repetitions that are due.
-func (s *Scheduler) advance(now Now, j *jobState) {
-	for len(j.times) < j.Specification.RepetitionCount() {
-		due := j.dueMS(len(j.times))
+// beginDueRepetitions begins the repetitions that are due.
+func (s *Scheduler) beginDueRepetitions(now Now, j *jobState) {
+	for len(j.repetitions) < j.Specification.RepetitionCount() {
+		due := j.dueMS(len(j.repetitions))
 		if due > now.WallMS {
-			s.schedule(j, due)
+			s.scheduleRepetition(j, due)
 			return
 		}
-		repetition := newRepetition(j, len(j.times))
-		j.times = append(j.times, repetition)
-		s.openStages(now, repetition)
+		repetition := newRepetitionState(j, len(j.repetitions))
+		j.repetitions = append(j.repetitions, repetition)
+		s.beginReadyStages(now, repetition)
 	}
-	j.nextDue = 0
-	s.unschedule(j)
+	j.nextDueMS = 0
+	s.unscheduleRepetition(j)
 }
 
-func newRepetition(j *jobState, number int) *repetition {
-	r := &repetition{number: number, left: len(j.Specification.Stages)}
-	defer r.aim(j)
+func newRepetitionState(j *jobState, number int) *repetitionState {
+	r := &repetitionState{number: number, incompleteStages: len(j.Specification.Stages)}
+	defer r.setDeadlines(j)
 	for i := range j.Specification.Stages {
 		stage := &j.Specification.Stages[i]
-		r.stages = append(r.stages, &stageRun{Stage: stage, job: j, repetition: r, number: i, left: stage.Count})
+		r.stages = append(r.stages, &stageState{Stage: stage, job: j, repetition: r, number: i, incompleteTasks: stage.Count})
 	}
 	return r
 }
 
-// openStages lets the tasks wait of each stage whose turn has come.
-func (s *Scheduler) openStages(now Now, r *repetition) {
+// beginReadyStages lets the tasks wait of each stage whose turn has come.
+func (s *Scheduler) beginReadyStages(now Now, r *repetitionState) {
 	for _, stage := range r.stages {
-		if stage.tasks != nil || !r.complete(stage.DependsOn) {
+		if stage.tasks != nil || !r.areComplete(stage.DependsOn) {
 			continue
 		}
-		stage.makeTasks()
-		costs := s.costsOf(stage)
+		stage.createTasks()
+		costs := s.unitCostsFor(stage)
 		for _, t := range stage.tasks {
 			if s.enqueue(now, t) {
-				costs.bind(t)
+				costs.bindLeastCost(t)
 			}
 		}
 	}
 }
 
-func (r *repetition) complete(stages []int) bool {
+func (r *repetitionState) areComplete(stages []int) bool {
 	for _, number := range stages {
-		if r.stages[number].left > 0 {
+		if r.stages[number].incompleteTasks > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (stage *stageRun) makeTasks() {
-	stage.tasks = make([]*task, stage.Count)
+func (stage *stageState) createTasks() {
+	stage.tasks = make([]*taskState, stage.Count)
 	for i := range stage.tasks {
 		id := job.TaskID{Job: stage.job.id, Repetition: stage.repetition.number, Stage: stage.number, Index: i}
-		stage.tasks[i] = &task{id: id, stage: stage}
+		stage.tasks[i] = &taskState{id: id, stage: stage}
 	}
 }
 
-// find returns a task of a job that has not ended; nil if there is none whose turn has come.
-func (s *Scheduler) find(id job.TaskID) *task {
+// findTask returns a task of a job that has not ended; nil if there is none whose turn has come.
+func (s *Scheduler) findTask(id job.TaskID) *taskState {
 	j := s.jobs[id.Job]
-	if j == nil || id.Repetition >= len(j.times) || j.times[id.Repetition] == nil {
+	if j == nil || id.Repetition >= len(j.repetitions) || j.repetitions[id.Repetition] == nil {
 		return nil
 	}
-	stages := j.times[id.Repetition].stages
+	stages := j.repetitions[id.Repetition].stages
 	if id.Stage >= len(stages) || id.Index >= len(stages[id.Stage].tasks) {
 		return nil
 	}
 	return stages[id.Stage].tasks[id.Index]
 }
 
-// wait puts a task among those to be started.
-func (s *Scheduler) wait(now Now, t *task) {
+// enqueueAndBind puts a task among those to be started.
+func (s *Scheduler) enqueueAndBind(now Now, t *taskState) {
 	if s.enqueue(now, t) {
-		s.bind(now, t)
+		s.bindTask(now, t)
 	}
 }
 
 // enqueue puts a task among those to be started, unless it is there or needs no start, and leaves it unbound.
-func (s *Scheduler) enqueue(now Now, t *task) bool {
+func (s *Scheduler) enqueue(now Now, t *taskState) bool {
 	stage := t.stage
-	if t.done || stage.job.over || slices.Contains(stage.waiting, t) {
+	if t.done || stage.job.ended || slices.Contains(stage.waiting, t) {
 		return false
 	}
 	if len(stage.waiting) == 0 {
-		stage.readyAt = now.Monotonic
+		stage.waitingSince = now.Monotonic
 	}
 	stage.waiting = append(stage.waiting, t)
-	if !stage.listed {
-		stage.listed = true
-		s.stages = append(s.stages, stage)
+	if !stage.queued {
+		stage.queued = true
+		s.waitingStages = append(s.waitingStages, stage)
 	}
-	s.unsorted = true
+	s.orderStale = true
 	return true
 }
 
-// unwait takes a task from those to be started.
-func (s *Scheduler) unwait(t *task) {
+// dequeue takes a task from those to be started.
+func (s *Scheduler) dequeue(t *taskState) {
 	stage := t.stage
 	at := slices.Index(stage.waiting, t)
 	if at < 0 {
 		return
 	}
 	stage.waiting = slices.Delete(stage.waiting, at, at+1)
-	s.unbind(t)
-	s.unsorted = true
+	s.unbindTask(t)
+	s.orderStale = true
 }
 
-// finish notes that a task has ended done.
-func (s *Scheduler) finish(now Now, t *task) {
+// completeTask notes that a task has ended done.
+func (s *Scheduler) completeTask(now Now, t *taskState) {
 	if t.done {
 		return
 	}
 	t.done = true
-	s.unwait(t)
-	s.writeTask(t)
-	for _, r := range t.runs {
+	s.dequeue(t)
+	s.writeTaskRecord(t)
+	for _, r := range t.attempts {
 		if !t.stage.GangScheduled { // members of a gang end together by themselves
-			s.stop(r)
+			s.stopAttempt(r)
 		}
 	}
 	stage := t.stage
-	stage.left--
-	if stage.left > 0 {
+	stage.incompleteTasks--
+	if stage.incompleteTasks > 0 {
 		return
 	}
 	if stage.GangScheduled {
-		s.breakGang(now, stage, t.execution) // whoever has not ended by itself soon is stopped
+		s.abandonGangAttempt(now, stage, t.attemptNumber) // whoever has not ended by itself soon is stopped
 	}
-	stage.repetition.left--
-	if stage.repetition.left == 0 {
-		s.finishRepetition(now, stage.job, stage.repetition)
+	stage.repetition.incompleteStages--
+	if stage.repetition.incompleteStages == 0 {
+		s.completeRepetition(now, stage.job, stage.repetition)
 		return
 	}
-	stage.repetition.remaining = stage.repetition.chain()
-	s.openStages(now, stage.repetition)
+	stage.repetition.remainingMS = stage.repetition.criticalPathMS()
+	s.beginReadyStages(now, stage.repetition)
 }
 
-func (s *Scheduler) finishRepetition(now Now, j *jobState, r *repetition) {
-	j.left--
-	if j.left == 0 {
+func (s *Scheduler) completeRepetition(now Now, j *jobState, r *repetitionState) {
+	j.incompleteRepetitions--
+	if j.incompleteRepetitions == 0 {
 		s.endJob(now, j, job.Completed)
 		return
 	}
-	s.eraseTasks(r)
-	j.times[r.number] = nil
-	s.write(repetitionKey(j.id, r.number), repetitionRecord{Complete: true})
+	s.eraseTaskRecords(r)
+	j.repetitions[r.number] = nil
+	s.writeRecord(repetitionKey(j.id, r.number), repetitionRecord{Complete: true})
 }
 
-func (s *Scheduler) eraseTasks(r *repetition) {
+func (s *Scheduler) eraseTaskRecords(r *repetitionState) {
 	for _, stage := range r.stages {
 		for _, t := range stage.tasks {
-			if t.recorded {
-				s.erase(taskKey(t.id))
+			if t.hasRecord {
+				s.eraseRecord(taskKey(t.id))
 			}
 		}
 	}
@@ -169,64 +169,64 @@
 
 // endJob ends a job for good and stops what still runs of it.
 func (s *Scheduler) endJob(now Now, j *jobState, state job.State) {
-	j.over = true
-	s.unschedule(j)
-	for number, r := range j.times {
+	j.ended = true
+	s.unscheduleRepetition(j)
+	for number, r := range j.repetitions {
 		if r == nil {
-			s.erase(repetitionKey(j.id, number))
+			s.eraseRecord(repetitionKey(j.id, number))
 			continue
 		}
-		s.eraseTasks(r)
+		s.eraseTaskRecords(r)
 		for _, stage := range r.stages {
-			s.abandon(stage)
+			s.abandonStage(stage)
 		}
 	}
-	s.erase(jobKey(j.id))
+	s.eraseRecord(jobKey(j.id))
 	record := endedRecord{State: state, EndedMS: now.WallMS}
-	s.write(endedKey(j.id), record)
-	record.since = now.Monotonic
+	s.writeRecord(endedKey(j.id), record)
+	record.endedAt = now.Monotonic
 	s.ended[j.id] = record
 	delete(s.jobs, j.id)
-	if s.pending[j.Queue.Route]--; s.pending[j.Queue.Route] <= 0 {
-		delete(s.pending, j.Queue.Route)
+	if s.pendingByRoute[j.Queue.Route]--; s.pendingByRoute[j.Queue.Route] <= 0 {
+		delete(s.pendingByRoute, j.Queue.Route)
 	}
 }
 
-// abandon forgets a stage's waiting tasks and stops the runs of those that are not done.
-func (s *Scheduler) abandon(stage *stageRun) {
+// abandonStage forgets a stage's waiting tasks and stops the runs of those that are not done.
+func (s *Scheduler) abandonStage(stage *stageState) {
 	for len(stage.waiting) > 0 {
-		s.unwait(stage.waiting[0])
+		s.dequeue(stage.waiting[0])
 	}
 	for _, t := range stage.tasks {
-		for _, r := range t.runs {
+		for _, r := range t.attempts {
 			if !t.done || !stage.GangScheduled {
-				s.stop(r)
+				s.stopAttempt(r)
 			}
 		}
 	}
 }
 
-// stop orders a run stopped, once.
-func (s *Scheduler) stop(r *run) {
+// stopAttempt orders a run stopped, once.
+func (s *Scheduler) stopAttempt(r *attemptState) {
 	if r.stopping {
 		return
 	}
 	r.stopping = true
-	order := &workerclient.StopOrder{Task: r.task.id, Execution: r.execution}
-	s.effects.Commands = append(s.effects.Commands, Command{Worker: r.at.ID, Stop: order})
+	order := &workerclient.StopOrder{Task: r.task.id, Execution: r.number}
+	s.effects.Commands = append(s.effects.Commands, Command{Worker: r.worker.ID, Stop: order})
 }
 
-// forgetEnded drops the states of jobs that ended long ago. The time of day, which may be set, is believed only together
+// pruneEndedJobs drops the states of jobs that ended long ago. The time of day, which may be set, is believed only together
 // with the steady clock: a job that is forgotten too early would run once more if it were handed in again.
-func (s *Scheduler) forgetEnded(now Now) {
+func (s *Scheduler) pruneEndedJobs(now Now) {
 	oldest := now.WallMS - s.settings.StatusRetention.Milliseconds()
 	for id, record := range s.ended {
-		if now.Monotonic.Sub(record.since) < s.settings.StatusRetention {
+		if now.Monotonic.Sub(record.endedAt) < s.settings.StatusRetention {
 			continue
 		}
 		if record.EndedMS < oldest || record.EndedMS > now.WallMS {
 			delete(s.ended, id)
-			s.erase(endedKey(id))
+			s.eraseRecord(endedKey(id))
 		}
 	}
 }
--- a/internal/jobs/scheduler/records.go
+++ b/internal/jobs/scheduler/records.go
@@ -35,11 +35,11 @@
 }
 
 type taskRecord struct {
-	Execution  uint64                `msgpack:"x"`           // highest run ever assigned
-	Worker     workerclient.WorkerID `msgpack:"s,omitempty"` // where that run was assigned; empty once it is over
-	Failed     []uint64              `msgpack:"f,omitempty"` // runs that ended failed, each once
-	Checkpoint string                `msgpack:"c,omitempty"`
-	Done       bool                  `msgpack:"d,omitempty"`
+	AttemptNumber  uint64                `msgpack:"x"`           // highest run ever assigned
+	Worker         workerclient.WorkerID `msgpack:"s,omitempty"` // where that run was assigned; empty once it is over
+	FailedAttempts []uint64              `msgpack:"f,omitempty"` // runs that ended failed, each once
+	Checkpoint     string                `msgpack:"c,omitempty"`
+	Done           bool                  `msgpack:"d,omitempty"`
 }
 
 type repetitionRecord struct {
@@ -49,7 +49,7 @@
 type endedRecord struct {
 	State   job.State `msgpack:"s"`
 	EndedMS int64     `msgpack:"t"` // milliseconds since 1970
-	since   time.Time // of the steady clock: when this leadership ended the job or learned of its end; not stored
+	endedAt time.Time // of the steady clock: when this leadership ended the job or learned of its end; not stored
 }
 
 func jobKey(id job.ID) string   { return jobPrefix + string(id) }
@@ -61,8 +61,8 @@
 	return fmt.Sprintf("%s%s/%d", repetitionPrefix, id, repetition)
 }
 
-// write gathers a record to be made durable.
-func (s *Scheduler) write(key string, record any) {
+// writeRecord gathers a record to be made durable.
+func (s *Scheduler) writeRecord(key string, record any) {
 	value, err := msgpack.Marshal(record)
 	if err != nil {
 		panic(fmt.Sprintf("encode %T: %v", record, err)) // the record types above always encode
@@ -70,17 +70,17 @@
 	s.effects.Entries = append(s.effects.Entries, replication.Entry{Key: key, Value: value})
 }
 
-func (s *Scheduler) erase(key string) {
+func (s *Scheduler) eraseRecord(key string) {
 	s.effects.Entries = append(s.effects.Entries, replication.Entry{Key: key})
 }
 
-func (s *Scheduler) writeTask(t *task) {
-	record := taskRecord{Execution: t.execution, Failed: t.failed, Checkpoint: t.checkpoint, Done: t.done}
-	for _, r := range t.runs {
-		if r.execution == t.execution {
-			record.Worker = r.at.ID
+func (s *Scheduler) writeTaskRecord(t *taskState) {
+	record := taskRecord{AttemptNumber: t.attemptNumber, FailedAttempts: t.failedAttempts, Checkpoint: t.checkpoint, Done: t.done}
+	for _, r := range t.attempts {
+		if r.number == t.attemptNumber {
+			record.Worker = r.worker.ID
 		}
 	}
-	t.recorded = true
-	s.write(taskKey(t.id), record)
+	t.hasRecord = true
+	s.writeRecord(taskKey(t.id), record)
 }
--- a/internal/jobs/scheduler/refusals.go
+++ b/internal/jobs/scheduler/refusals.go
@@ -2,29 +2,29 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/job"
 
-// refusals are requests that found no room during one dispatch: whoever asks for as much finds none either.
-type refusals struct {
-	anywhere []job.Resources            // of stages that any worker may take
-	labelled map[string][]job.Resources // of those that need a label
+// unplaceableRequests are requests that found no room during one dispatch: whoever asks for as much finds none either.
+type unplaceableRequests struct {
+	unlabelled []job.Resources            // of stages that any worker may take
+	labelled   map[string][]job.Resources // of those that need a label
 }
 
-func (r *refusals) covers(stage *stageRun) bool {
-	if dominated(r.anywhere, stage.Resources) {
+func (r *unplaceableRequests) covers(stage *stageState) bool {
+	if isDominated(r.unlabelled, stage.Resources) {
 		return true
 	}
 	for _, label := range stage.Requirements {
-		if dominated(r.labelled[label], stage.Resources) {
+		if isDominated(r.labelled[label], stage.Resources) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *refusals) add(stage *stageRun) {
+func (r *unplaceableRequests) add(stage *stageState) {
 	switch {
 	case stage.AntiAffinity > 0:
 	case len(stage.Requirements) == 0:
-		r.anywhere = append(r.anywhere, stage.Resources)
+		r.unlabelled = append(r.unlabelled, stage.Resources)
 	case len(stage.Requirements) == 1:
 		if r.labelled == nil {
 			r.labelled = map[string][]job.Resources{}
@@ -34,8 +34,8 @@
 	}
 }
 
-// dominated tells whether a request is at least as large as one of those refused.
-func dominated(refused []job.Resources, request job.Resources) bool {
+// isDominated tells whether a request is at least as large as one of those refused.
+func isDominated(refused []job.Resources, request job.Resources) bool {
 	for _, smaller := range refused {
 		if request.Fits(smaller) {
 			return true
--- a/internal/jobs/scheduler/reports.go
+++ b/internal/jobs/scheduler/reports.go
@@ -8,15 +8,15 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// LateOrders is how long after it was sent an unanswered order may still be carried out.
-const LateOrders = 12500 * time.Millisecond
+// LateCommandWindow is how long after it was sent an unanswered order may still be carried out.
+const LateCommandWindow = 12500 * time.Millisecond
 
 const (
-	restAfterUnhealthy = time.Second            // no starts at a worker that turned one away as unhealthy
-	restAfterFull      = 300 * time.Millisecond // nor at one that had less room than we thought
-	restAfterMisstart  = 100 * time.Millisecond // of a task whose start went wrong
-	mostAvoided        = 4                      // workers that a task avoids
-	brokenPatience     = 700 * time.Millisecond // until the members of a broken gang are stopped by order
+	backoffAfterUnhealthy   = time.Second            // no starts at a worker that turned one away as unhealthy
+	backoffAfterFull        = 300 * time.Millisecond // nor at one that had less room than we thought
+	backoffAfterFailedStart = 100 * time.Millisecond // of a task whose start went wrong
+	maxAvoidedWorkers       = 4                      // workers that a task avoids
+	gangStopDelay           = 700 * time.Millisecond // until the members of a broken gang are stopped by order
 )
 
 // HandleReport takes a worker's report of what runs there and what has ended.
@@ -27,43 +27,43 @@
 	}
 	if sr.fencedAt.IsZero() || !sr.reachable {
 		sr.reachable = true
-		s.bindAll(now)
+		s.bindUnboundTasks(now)
 	}
 	if sr.fencedAt.IsZero() {
 		sr.fencedAt = now.Monotonic
 	}
 	sr.fullUntil = time.Time{}
 	for i := range report.Finished {
-		s.noteEnd(now, sr, &report.Finished[i])
+		s.handleCompletion(now, sr, &report.Finished[i])
 	}
 	if !report.Stale { // a newer report has said what runs there
-		listed := s.listRunning(now, sr, report)
+		listed := s.matchRunning(now, sr, report)
 		if !report.Partial {
-			s.missing(now, sr, report, listed)
+			s.handleMissing(now, sr, report, listed)
 		}
 	}
-	s.unplaced = true
+	s.dispatchNeeded = true
 }
 
-// listRunning matches the running list with our runs and stops what nobody wants.
-func (s *Scheduler) listRunning(now Now, sr *worker, report *workerclient.Listing) map[job.TaskID]bool {
+// matchRunning matches the running list with our runs and stops what nobody wants.
+func (s *Scheduler) matchRunning(now Now, sr *workerState, report *workerclient.Listing) map[job.TaskID]bool {
 	if len(report.Running) == 0 {
 		sr.orphans = nil
 		return nil
 	}
 	listed := make(map[job.TaskID]bool, len(report.Running))
-	var orphans map[orphan]bool
+	var orphans map[orphanAttempt]bool
 	for i := range report.Running {
 		entry := &report.Running[i]
-		r := sr.runs[entry.Task]
-		if r != nil && r.execution == entry.Execution {
+		r := sr.attempts[entry.Task]
+		if r != nil && r.number == entry.Execution {
 			listed[entry.Task] = true
-			s.progressed(now, r, entry)
+			s.recordProgress(now, r, entry)
 			continue
 		}
-		key := orphan{entry.Task, entry.Execution}
+		key := orphanAttempt{entry.Task, entry.Execution}
 		if orphans == nil {
-			orphans = map[orphan]bool{}
+			orphans = map[orphanAttempt]bool{}
 		}
 		orphans[key] = true
 		if !sr.orphans[key] {
@@ -75,88 +75,88 @@
 	return listed
 }
 
-func (s *Scheduler) progressed(now Now, r *run, entry *workerclient.RunningTask) {
-	if !r.seen {
-		r.seen = true
-		r.paceFrom, r.pacePercent = now.Monotonic, entry.Percent
+func (s *Scheduler) recordProgress(now Now, r *attemptState, entry *workerclient.RunningTask) {
+	if !r.reported {
+		r.reported = true
+		r.paceSince, r.pacePercent = now.Monotonic, entry.Percent
 	}
-	r.listedAt = now.Monotonic
-	if entry.Percent > r.percent || r.percentAt.IsZero() {
+	r.reportedAt = now.Monotonic
+	if entry.Percent > r.percent || r.progressedAt.IsZero() {
 		r.percent = entry.Percent
-		r.percentAt = now.Monotonic
+		r.progressedAt = now.Monotonic
 	}
 	if entry.Checkpoint != "" {
 		r.checkpoint = entry.Checkpoint
 	}
-	s.observe(now, r)
+	s.observePace(now, r)
 }
 
-// missing settles the runs that a report should have listed and did not.
-func (s *Scheduler) missing(now Now, sr *worker, report *workerclient.Listing, listed map[job.TaskID]bool) {
-	if len(sr.runs) == len(listed) {
+// handleMissing settles the runs that a report should have listed and did not.
+func (s *Scheduler) handleMissing(now Now, sr *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
+	if len(sr.attempts) == len(listed) {
 		return // each one of listed is one of ours
 	}
-	for _, r := range sr.sortedRuns() {
+	for _, r := range sr.sortedAttempts() {
 		if listed[r.task.id] {
 			continue
 		}
-		answered := !r.answeredAt.IsZero() && r.answeredAt.Before(report.SentAt)
-		stopped := !r.stoppedAt.IsZero() && r.stoppedAt.Before(report.SentAt)
+		answered := !r.confirmedAt.IsZero() && r.confirmedAt.Before(report.SentAt)
+		stopped := !r.stopConfirmedAt.IsZero() && r.stopConfirmedAt.Before(report.SentAt)
 		switch {
 		case r.inherited, answered, stopped:
-			s.over(now, r)
-		case !r.unclearAt.IsZero() && r.unclearAt.Before(report.SentAt):
-			s.stop(r) // from then on a start that comes late is rejected
+			s.endAttempt(now, r)
+		case !r.startUnclearAt.IsZero() && r.startUnclearAt.Before(report.SentAt):
+			s.stopAttempt(r) // from then on a start that comes late is rejected
 		}
 	}
 }
 
-// noteEnd takes one entry of a worker's list of ends.
-func (s *Scheduler) noteEnd(now Now, sr *worker, end *workerclient.FinishedTask) {
-	if end.Number <= sr.noted {
+// handleCompletion takes one entry of a worker's list of ends.
+func (s *Scheduler) handleCompletion(now Now, sr *workerState, end *workerclient.FinishedTask) {
+	if end.Number <= sr.lastCompletion {
 		return
 	}
-	sr.noted = end.Number
-	s.noteLast(sr)
-	r := sr.runs[end.Task]
-	if r != nil && r.execution != end.Execution {
+	sr.lastCompletion = end.Number
+	s.acknowledgeCompletions(sr)
+	r := sr.attempts[end.Task]
+	if r != nil && r.number != end.Execution {
 		r = nil
 	}
 	if r != nil {
-		s.learn(now, r, end.How)
-		s.remove(r)
+		s.recordOutcome(now, r, end.How)
+		s.removeAttempt(r)
 	}
-	t := s.find(end.Task)
+	t := s.findTask(end.Task)
 	if t == nil || t.done {
 		return
 	}
 	if end.Checkpoint != "" {
-		t.keepCheckpoint(end.Checkpoint)
+		t.recordCheckpoint(end.Checkpoint)
 	}
 	switch {
 	case t.stage.LongRunning:
-		s.again(now, t, end.Execution) // started again however it ends
-	case end.How == job.OutcomeDone && (r != nil || len(t.runs) == 0 || t.stage.AtLeastOnce):
-		s.succeed(now, t)
+		s.retry(now, t, end.Execution) // started again however it ends
+	case end.How == job.OutcomeDone && (r != nil || len(t.attempts) == 0 || t.stage.AtLeastOnce):
+		s.handleSuccess(now, t)
 	case end.How == job.OutcomeFailed:
-		s.fail(now, t, sr, end.Execution)
+		s.handleFailure(now, t, sr, end.Execution)
 	case r != nil:
-		s.again(now, t, end.Execution)
+		s.retry(now, t, end.Execution)
 	}
 }
 
-func (s *Scheduler) noteLast(sr *worker) {
+func (s *Scheduler) acknowledgeCompletions(sr *workerState) {
 	for i := range s.effects.Acknowledgements {
 		if s.effects.Acknowledgements[i].Worker == sr.ID {
-			s.effects.Acknowledgements[i].CompletionNumber = sr.noted
+			s.effects.Acknowledgements[i].CompletionNumber = sr.lastCompletion
 			return
 		}
 	}
-	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: sr.ID, CompletionNumber: sr.noted})
+	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: sr.ID, CompletionNumber: sr.lastCompletion})
 }
 
-// keepCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
-func (t *task) keepCheckpoint(checkpoint string) {
+// recordCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
+func (t *taskState) recordCheckpoint(checkpoint string) {
 	if !t.stage.Checkpoints {
 		return
 	}
@@ -169,93 +169,93 @@
 	}
 }
 
-func (s *Scheduler) succeed(now Now, t *task) {
+func (s *Scheduler) handleSuccess(now Now, t *taskState) {
 	if !t.stage.GangScheduled {
-		s.finish(now, t)
+		s.completeTask(now, t)
 		return
 	}
 	for _, member := range t.stage.tasks { // one such end counts for all members
-		s.finish(now, member)
+		s.completeTask(now, member)
 	}
 }
 
-// fail counts a run that ended failed; the job fails with the last attempt.
-func (s *Scheduler) fail(now Now, t *task, sr *worker, execution uint64) {
+// handleFailure counts a run that ended failed; the job fails with the last attempt.
+func (s *Scheduler) handleFailure(now Now, t *taskState, sr *workerState, execution uint64) {
 	counter := t
 	if t.stage.GangScheduled {
 		counter = t.stage.tasks[0]
 	}
-	if !slices.Contains(counter.failed, execution) {
-		counter.failed = append(counter.failed, execution)
+	if !slices.Contains(counter.failedAttempts, execution) {
+		counter.failedAttempts = append(counter.failedAttempts, execution)
 	}
-	if !t.stage.LongRunning && len(counter.failed) >= max(1, t.stage.job.Queue.MaxAttempts) {
+	if !t.stage.LongRunning && len(counter.failedAttempts) >= max(1, t.stage.job.Queue.MaxAttempts) {
 		s.endJob(now, t.stage.job, job.Failed)
 		return
 	}
 	if counter != t {
-		s.writeTask(counter)
+		s.writeTaskRecord(counter)
 	}
-	t.shun(sr)
-	s.again(now, t, execution)
+	t.avoidWorker(sr)
+	s.retry(now, t, execution)
 }
 
-// shun lets a task start elsewhere rather than where it has just failed.
-func (t *task) shun(sr *worker) {
-	t.avoid = append(t.avoid, sr.ID)
-	if len(t.avoid) > mostAvoided {
-		t.avoid = t.avoid[1:]
+// avoidWorker lets a task start elsewhere rather than where it has just failed.
+func (t *taskState) avoidWorker(sr *workerState) {
+	t.avoidedWorkers = append(t.avoidedWorkers, sr.ID)
+	if len(t.avoidedWorkers) > maxAvoidedWorkers {
+		t.avoidedWorkers = t.avoidedWorkers[1:]
 	}
 }
 
-// again lets a task wait for another run once no run of it is under way.
-func (s *Scheduler) again(now Now, t *task, execution uint64) {
-	if t.done || t.stage.job.over {
+// retry lets a task wait for another run once no run of it is under way.
+func (s *Scheduler) retry(now Now, t *taskState, execution uint64) {
+	if t.done || t.stage.job.ended {
 		return
 	}
-	s.writeTask(t)
+	s.writeTaskRecord(t)
 	if t.stage.GangScheduled {
-		s.breakGang(now, t.stage, execution)
+		s.abandonGangAttempt(now, t.stage, execution)
 	}
-	for _, r := range t.runs {
+	for _, r := range t.attempts {
 		if !r.released {
 			return
 		}
 	}
-	s.wait(now, t)
+	s.enqueueAndBind(now, t)
 }
 
-// breakGang notes that one run of a gang is given up. Its members end by themselves; inspectRuns stops those that do not.
-func (s *Scheduler) breakGang(now Now, stage *stageRun, execution uint64) {
-	if execution <= stage.broken {
+// abandonGangAttempt notes that one run of a gang is given up. Its members end by themselves; inspectAttempts stops those that do not.
+func (s *Scheduler) abandonGangAttempt(now Now, stage *stageState, execution uint64) {
+	if execution <= stage.abandonedAttempt {
 		return
 	}
-	stage.broken = execution
-	stage.brokenAt = now.Monotonic
+	stage.abandonedAttempt = execution
+	stage.abandonedAt = now.Monotonic
 }
 
 // over ends a run that is certainly not under way any more, without an end listed.
-func (s *Scheduler) over(now Now, r *run) {
+func (s *Scheduler) endAttempt(now Now, r *attemptState) {
 	t := r.task
-	s.remove(r)
-	if t.done || t.stage.job.over {
+	s.removeAttempt(r)
+	if t.done || t.stage.job.ended {
 		return
 	}
 	if r.checkpoint != "" {
-		t.keepCheckpoint(r.checkpoint)
+		t.recordCheckpoint(r.checkpoint)
 	}
-	s.again(now, t, r.execution)
+	s.retry(now, t, r.number)
 }
 
-// remove forgets a run.
-func (s *Scheduler) remove(r *run) {
-	sr := r.at
-	if sr.runs[r.task.id] != r {
+// removeAttempt forgets a run.
+func (s *Scheduler) removeAttempt(r *attemptState) {
+	sr := r.worker
+	if sr.attempts[r.task.id] != r {
 		return
 	}
-	delete(sr.runs, r.task.id)
+	delete(sr.attempts, r.task.id)
 	sr.used = sr.used.Subtract(r.task.stage.Resources)
-	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
-	s.unsorted = true
+	r.task.attempts = slices.DeleteFunc(r.task.attempts, func(other *attemptState) bool { return other == r })
+	s.orderStale = true
 }
 
 // HandleStartResult takes what became of a start.
@@ -264,31 +264,31 @@
 	if sr == nil {
 		return
 	}
-	r := sr.runs[result.Order.Task]
-	if r == nil || r.execution != result.Order.Execution {
+	r := sr.attempts[result.Order.Task]
+	if r == nil || r.number != result.Order.Execution {
 		return
 	}
 	switch result.Outcome {
 	case workerclient.Started:
-		r.answeredAt = result.At
-		sr.window = min(windowMost, sr.window+1)
+		r.confirmedAt = result.At
+		sr.window = min(maxWindow, sr.window+1)
 		return
 	case workerclient.Unclear:
-		r.unclearAt = result.At
+		r.startUnclearAt = result.At
 		return
 	case workerclient.RejectedFence:
 		return // this leadership is over
 	case workerclient.RejectedRoom:
-		sr.fullUntil = now.Monotonic.Add(restAfterFull)
+		sr.fullUntil = now.Monotonic.Add(backoffAfterFull)
 	case workerclient.Unhealthy:
-		sr.restUntil = now.Monotonic.Add(restAfterUnhealthy)
-		sr.faults += faultWeight * (1 - sr.faults)
+		sr.backoffUntil = now.Monotonic.Add(backoffAfterUnhealthy)
+		sr.failureRate += failureWeight * (1 - sr.failureRate)
 	case workerclient.RejectedInvalid:
-		r.task.shun(sr)
+		r.task.avoidWorker(sr)
 	}
-	r.task.notBefore = now.Monotonic.Add(restAfterMisstart)
-	s.over(now, r)
-	s.unplaced = true
+	r.task.backoffUntil = now.Monotonic.Add(backoffAfterFailedStart)
+	s.endAttempt(now, r)
+	s.dispatchNeeded = true
 }
 
 // HandleStopResult takes that a stop was answered: the run has ended or is ending, or will never begin.
@@ -297,8 +297,8 @@
 	if sr == nil || !result.Answered {
 		return
 	}
-	if r := sr.runs[result.Order.Task]; r != nil && r.execution == result.Order.Execution {
-		r.stoppedAt = result.At
+	if r := sr.attempts[result.Order.Task]; r != nil && r.number == result.Order.Execution {
+		r.stopConfirmedAt = result.At
 	}
 }
 
@@ -310,21 +310,21 @@
 	}
 	sr.reachable = reachable
 	if !reachable {
-		for _, r := range sr.sortedRuns() {
-			s.release(now, r)
+		for _, r := range sr.sortedAttempts() {
+			s.releaseTask(now, r)
 		}
-		s.rebind(now, sr)
+		s.rebindTasks(now, sr)
 	}
-	s.unplaced = true
+	s.dispatchNeeded = true
 }
 
-// release lets the task of an unreachable run start elsewhere at once, where copies may run side by side.
-func (s *Scheduler) release(now Now, r *run) {
+// releaseTask lets the task of an unreachable run start elsewhere at once, where copies may run side by side.
+func (s *Scheduler) releaseTask(now Now, r *attemptState) {
 	if !r.task.stage.AtLeastOnce || r.released || r.stopping || r.task.done || r.task.stage.GangScheduled {
 		return
 	}
 	r.released = true
-	s.again(now, r.task, r.execution)
+	s.retry(now, r.task, r.number)
 }
 
 // RemoveWorker takes that a worker's life is over: nothing runs there any more.
@@ -333,51 +333,51 @@
 	if sr == nil {
 		return
 	}
-	s.clear(now, sr)
-	s.gone[id] = true
-	s.unhear(sr)
+	s.endAllAttempts(now, sr)
+	s.removed[id] = true
+	s.forgetLatency(sr)
 	delete(s.workers, id)
-	s.list = slices.DeleteFunc(s.list, func(other *worker) bool { return other == sr })
+	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == sr })
 	sr.reachable = false
-	s.rebind(now, sr)
-	s.unplaced = true
+	s.rebindTasks(now, sr)
+	s.dispatchNeeded = true
 }
 
 // ExpireLease takes that everything granted to an unreachable worker under this leadership has run out.
 func (s *Scheduler) ExpireLease(now Now, id workerclient.WorkerID) {
 	sr := s.workers[id]
-	if sr == nil || sr.reachable || now.Monotonic.Before(s.inheritedUntil(sr)) {
+	if sr == nil || sr.reachable || now.Monotonic.Before(s.inheritedLeaseEnd(sr)) {
 		return
 	}
-	if len(sr.runs) > 0 {
-		s.clear(now, sr)
-		s.unplaced = true
+	if len(sr.attempts) > 0 {
+		s.endAllAttempts(now, sr)
+		s.dispatchNeeded = true
 	}
 }
 
-// inheritedUntil is when everything that earlier leaderships granted to a worker has run out.
-func (s *Scheduler) inheritedUntil(sr *worker) time.Time {
+// inheritedLeaseEnd is when everything that earlier leaderships granted to a worker has run out.
+func (s *Scheduler) inheritedLeaseEnd(sr *workerState) time.Time {
 	hold := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
 	if !sr.fencedAt.IsZero() {
 		return sr.fencedAt.Add(hold)
 	}
-	return s.startedAt.Add(LateOrders + hold)
+	return s.startedAt.Add(LateCommandWindow + hold)
 }
 
-// clear ends all runs at a worker.
-func (s *Scheduler) clear(now Now, sr *worker) {
-	for _, r := range sr.sortedRuns() {
-		s.over(now, r)
+// endAllAttempts ends all runs at a worker.
+func (s *Scheduler) endAllAttempts(now Now, sr *workerState) {
+	for _, r := range sr.sortedAttempts() {
+		s.endAttempt(now, r)
 	}
 	sr.orphans = nil
 }
 
-// sortedRuns lists the runs in a stable order, so that the same events give the same effects.
-func (sr *worker) sortedRuns() []*run {
-	runs := make([]*run, 0, len(sr.runs))
-	for _, r := range sr.runs {
+// sortedAttempts lists the runs in a stable order, so that the same events give the same effects.
+func (sr *workerState) sortedAttempts() []*attemptState {
+	runs := make([]*attemptState, 0, len(sr.attempts))
+	for _, r := range sr.attempts {
 		runs = append(runs, r)
 	}
-	slices.SortFunc(runs, func(a, b *run) int { return compareTasks(a.task.id, b.task.id) })
+	slices.SortFunc(runs, func(a, b *attemptState) int { return compareTaskIDs(a.task.id, b.task.id) })
 	return runs
 }
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -16,12 +16,12 @@
 	if err := s.restoreJobs(now, state); err != nil {
 		return err
 	}
-	complete, err := restoreRepetitions(state)
+	complete, err := readCompleteRepetitions(state)
 	if err != nil {
 		return err
 	}
 	for _, j := range s.jobsByArrival() {
-		s.resume(now, j, complete[j.id])
+		s.restoreRepetitions(now, j, complete[j.id])
 	}
 	return s.restoreTasks(now, state)
 }
@@ -31,24 +31,24 @@
 		switch {
 		case strings.HasPrefix(key, jobPrefix):
 			var record jobRecord
-			if err := decode(key, value, &record); err != nil {
+			if err := decodeRecord(key, value, &record); err != nil {
 				return err
 			}
 			s.addJob(newJob(job.ID(key[len(jobPrefix):]), record))
-			s.arrivals = max(s.arrivals, record.Arrival)
+			s.lastArrival = max(s.lastArrival, record.Arrival)
 		case strings.HasPrefix(key, endedPrefix):
 			var record endedRecord
-			if err := decode(key, value, &record); err != nil {
+			if err := decodeRecord(key, value, &record); err != nil {
 				return err
 			}
-			record.since = now.Monotonic
+			record.endedAt = now.Monotonic
 			s.ended[job.ID(key[len(endedPrefix):])] = record
 		}
 	}
 	return nil
 }
 
-func restoreRepetitions(state map[string][]byte) (map[job.ID][]int, error) {
+func readCompleteRepetitions(state map[string][]byte) (map[job.ID][]int, error) {
 	complete := map[job.ID][]int{}
 	for key := range state {
 		if !strings.HasPrefix(key, repetitionPrefix) {
@@ -73,24 +73,24 @@
 	return jobs
 }
 
-// resume makes the repetitions of a job: all that were complete, and those that are due.
-func (s *Scheduler) resume(now Now, j *jobState, complete []int) {
+// restoreRepetitions makes the repetitions of a job: all that were complete, and those that are due.
+func (s *Scheduler) restoreRepetitions(now Now, j *jobState, complete []int) {
 	begun := 0
 	for _, number := range complete {
 		begun = max(begun, number+1)
 	}
 	for number := range begun {
 		if slices.Contains(complete, number) {
-			j.times = append(j.times, nil)
-			j.left--
+			j.repetitions = append(j.repetitions, nil)
+			j.incompleteRepetitions--
 			continue
 		}
-		j.times = append(j.times, newRepetition(j, number))
+		j.repetitions = append(j.repetitions, newRepetitionState(j, number))
 	}
-	for len(j.times) < j.Specification.RepetitionCount() && j.dueMS(len(j.times)) <= now.WallMS {
-		j.times = append(j.times, newRepetition(j, len(j.times)))
+	for len(j.repetitions) < j.Specification.RepetitionCount() && j.dueMS(len(j.repetitions)) <= now.WallMS {
+		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions)))
 	}
-	s.advance(now, j) // sets when the next one begins
+	s.beginDueRepetitions(now, j) // sets when the next one begins
 }
 
 // restoreTasks takes the tasks' records and lets the rest wait.
@@ -104,7 +104,7 @@
 			return fmt.Errorf("record %q: %w", key, err)
 		}
 		var record taskRecord
-		if err := decode(key, value, &record); err != nil {
+		if err := decodeRecord(key, value, &record); err != nil {
 			return err
 		}
 		if err := s.restoreTask(id, record); err != nil {
@@ -112,9 +112,9 @@
 		}
 	}
 	for _, j := range s.jobsByArrival() {
-		for _, r := range j.times {
+		for _, r := range j.repetitions {
 			if r != nil {
-				s.reopen(now, r)
+				s.requeueTasks(now, r)
 			}
 		}
 	}
@@ -126,27 +126,27 @@
 	if j == nil {
 		return fmt.Errorf("task %v: its job has no record", id)
 	}
-	for id.Repetition >= len(j.times) && len(j.times) < j.Specification.RepetitionCount() {
-		j.times = append(j.times, newRepetition(j, len(j.times))) // begun by a clock ahead of ours
+	for id.Repetition >= len(j.repetitions) && len(j.repetitions) < j.Specification.RepetitionCount() {
+		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions))) // begun by a clock ahead of ours
 	}
-	if id.Repetition >= len(j.times) || j.times[id.Repetition] == nil || id.Stage >= len(j.Specification.Stages) {
+	if id.Repetition >= len(j.repetitions) || j.repetitions[id.Repetition] == nil || id.Stage >= len(j.Specification.Stages) {
 		return fmt.Errorf("task %v: its job has no such stage", id)
 	}
-	stage := j.times[id.Repetition].stages[id.Stage]
+	stage := j.repetitions[id.Repetition].stages[id.Stage]
 	if stage.tasks == nil {
-		stage.makeTasks()
+		stage.createTasks()
 	}
 	if id.Index >= len(stage.tasks) {
 		return fmt.Errorf("task %v: its stage has no such task", id)
 	}
 	t := stage.tasks[id.Index]
-	t.execution, t.failed, t.checkpoint, t.recorded = record.Execution, record.Failed, record.Checkpoint, true
+	t.attemptNumber, t.failedAttempts, t.checkpoint, t.hasRecord = record.AttemptNumber, record.FailedAttempts, record.Checkpoint, true
 	j.started = true
 	if record.Done {
 		t.done = true
-		stage.left--
-		if stage.left == 0 {
-			stage.repetition.left--
+		stage.incompleteTasks--
+		if stage.incompleteTasks == 0 {
+			stage.repetition.incompleteStages--
 		}
 		return nil
 	}
@@ -155,32 +155,32 @@
 		if sr == nil {
 			sr = s.addWorker(record.Worker)
 		}
-		r := &run{task: t, at: sr, execution: record.Execution, inherited: true, orderedAt: s.startedAt}
-		t.runs = append(t.runs, r)
-		sr.runs[t.id] = r
+		r := &attemptState{task: t, worker: sr, number: record.AttemptNumber, inherited: true, assignedAt: s.startedAt}
+		t.attempts = append(t.attempts, r)
+		sr.attempts[t.id] = r
 		sr.used = sr.used.Add(stage.Resources)
 	}
 	return nil
 }
 
-// reopen lets the tasks wait of stages whose turn has come and that have no run under way.
-func (s *Scheduler) reopen(now Now, r *repetition) {
+// requeueTasks lets the tasks wait of stages whose turn has come and that have no run under way.
+func (s *Scheduler) requeueTasks(now Now, r *repetitionState) {
 	for _, stage := range r.stages {
-		if !r.complete(stage.DependsOn) {
+		if !r.areComplete(stage.DependsOn) {
 			continue
 		}
 		if stage.tasks == nil {
-			stage.makeTasks()
+			stage.createTasks()
 		}
 		for _, t := range stage.tasks {
-			if len(t.runs) == 0 {
-				s.wait(now, t)
+			if len(t.attempts) == 0 {
+				s.enqueueAndBind(now, t)
 			}
 		}
 	}
 }
 
-func decode(key string, value []byte, record any) error {
+func decodeRecord(key string, value []byte, record any) error {
 	if err := msgpack.Unmarshal(value, record); err != nil {
 		return fmt.Errorf("record %q: %w", key, err)
 	}
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -60,31 +60,31 @@
 
 // Scheduler is the state of one service's jobs under one leadership.
 type Scheduler struct {
-	settings   Settings
-	startedAt  time.Time // when this leadership began
-	jobs       map[job.ID]*jobState
-	ended      map[job.ID]endedRecord
-	workers    map[workerclient.WorkerID]*worker
-	list       []*worker                      // the same, in a stable order
-	gone       map[workerclient.WorkerID]bool // lives that are over
-	scheduled  map[*jobState]bool             // jobs with repetitions that have not begun
-	nextDue    int64                          // the earliest of them, milliseconds since 1970; 0 for none
-	dueChanged bool                           // nextDue must be worked out anew
-	stages     []*stageRun                    // with tasks that wait for a start
-	pending    map[string]int
-	arrivals   uint64
-	unsorted   bool // the order of stages must be computed anew
-	unplaced   bool // waiting tasks may find room
-	heard      int  // workers with a smoothed latency
-	heardSum   float64
-	usualDrag  float64   // median of the workers
-	drags      []float64 // scratch of settleDrag
-	effects    Effects
-	open       []*worker    // scratch of Dispatch: those that take starts, once they were looked for
-	opened     bool         // they were, in the current dispatch
-	ordering   uint64       // number of the current ordering
-	waiting    []*candidate // scratch of the ordering
-	unitCosts  unitCosts    // scratch of costsOf
+	settings         Settings
+	startedAt        time.Time // when this leadership began
+	jobs             map[job.ID]*jobState
+	ended            map[job.ID]endedRecord
+	workers          map[workerclient.WorkerID]*workerState
+	sortedWorkers    []*workerState                 // the same, in a stable order
+	removed          map[workerclient.WorkerID]bool // lives that are over
+	scheduled        map[*jobState]bool             // jobs with repetitions that have not begun
+	nextDueMS        int64                          // the earliest of them, milliseconds since 1970; 0 for none
+	nextDueStale     bool                           // nextDueMS must be worked out anew
+	waitingStages    []*stageState                  // with tasks that wait for a start
+	pendingByRoute   map[string]int
+	lastArrival      uint64
+	orderStale       bool // the order of stages must be computed anew
+	dispatchNeeded   bool // waiting tasks may find room
+	latencyCount     int  // workers with a smoothed latency
+	latencySumMS     float64
+	medianPaceRatio  float64   // median of the workers
+	paceRatios       []float64 // scratch of updatePaceRatios
+	effects          Effects
+	openCache        []*workerState // scratch of Dispatch: those that take starts, once they were looked for
+	openCached       bool           // they were, in the current dispatch
+	orderingNumber   uint64         // number of the current ordering
+	candidateScratch []*candidate   // scratch of the ordering
+	unitCostScratch  unitCosts      // scratch of unitCostsFor
 
 	operatorDrains operatorDrains
 }
@@ -92,14 +92,14 @@
 // New makes the scheduler of a leadership from the replicated state.
 func New(settings Settings, now Now, state map[string][]byte) (*Scheduler, error) {
 	s := &Scheduler{
-		settings:  settings,
-		startedAt: now.Monotonic,
-		jobs:      map[job.ID]*jobState{},
-		ended:     map[job.ID]endedRecord{},
-		workers:   map[workerclient.WorkerID]*worker{},
-		pending:   map[string]int{},
-		gone:      map[workerclient.WorkerID]bool{},
-		scheduled: map[*jobState]bool{},
+		settings:       settings,
+		startedAt:      now.Monotonic,
+		jobs:           map[job.ID]*jobState{},
+		ended:          map[job.ID]endedRecord{},
+		workers:        map[workerclient.WorkerID]*workerState{},
+		pendingByRoute: map[string]int{},
+		removed:        map[workerclient.WorkerID]bool{},
+		scheduled:      map[*jobState]bool{},
 	}
 	var err error
 	if s.operatorDrains, err = restoreOperatorDrains(state); err != nil {
@@ -119,19 +119,19 @@
 }
 
 // NeedsDispatch tells whether something has happened since the last Dispatch that may let waiting tasks start.
-func (s *Scheduler) NeedsDispatch() bool { return s.unplaced }
+func (s *Scheduler) NeedsDispatch() bool { return s.dispatchNeeded }
 
 // Submit takes a job in; the same ID again is the same job.
 func (s *Scheduler) Submit(now Now, request *jobapi.Submit) {
-	if s.known(request.ID) {
+	if s.isKnown(request.ID) {
 		return
 	}
-	s.arrivals++
-	j := newJob(request.ID, jobRecord{Queue: request.Queue, Specification: request.Specification, Arrival: s.arrivals, ArrivedMS: now.WallMS})
+	s.lastArrival++
+	j := newJob(request.ID, jobRecord{Queue: request.Queue, Specification: request.Specification, Arrival: s.lastArrival, ArrivedMS: now.WallMS})
 	s.addJob(j)
-	s.write(jobKey(j.id), j.jobRecord)
-	s.advance(now, j)
-	s.unplaced = true
+	s.writeRecord(jobKey(j.id), j.jobRecord)
+	s.beginDueRepetitions(now, j)
+	s.dispatchNeeded = true
 }
 
 // Status tells a job's state.
@@ -150,7 +150,7 @@
 func (s *Scheduler) Cancel(now Now, id job.ID) bool {
 	if j, live := s.jobs[id]; live {
 		s.endJob(now, j, job.Cancelled)
-		s.unplaced = true
+		s.dispatchNeeded = true
 		return true
 	}
 	_, known := s.ended[id]
@@ -158,7 +158,7 @@
 }
 
 // Pending counts a route's jobs that have not ended.
-func (s *Scheduler) Pending(route string) int { return s.pending[route] }
+func (s *Scheduler) Pending(route string) int { return s.pendingByRoute[route] }
 
 // StillWanted tells whether a start that has become durable is still to be sent.
 func (s *Scheduler) StillWanted(id workerclient.WorkerID, order *workerclient.StartOrder) bool {
@@ -166,25 +166,25 @@
 	if sr == nil {
 		return false
 	}
-	r := sr.runs[order.Task]
-	return r != nil && r.execution == order.Execution && !r.stopping
+	r := sr.attempts[order.Task]
+	return r != nil && r.number == order.Execution && !r.stopping
 }
 
 // Tick does what is due by time alone.
 func (s *Scheduler) Tick(now Now) {
-	s.forgetEnded(now)
+	s.pruneEndedJobs(now)
 	for _, j := range s.dueJobs(now) {
-		s.advance(now, j)
+		s.beginDueRepetitions(now, j)
 	}
-	s.inspectRuns(now)
-	s.unplaced = true
+	s.inspectAttempts(now)
+	s.dispatchNeeded = true
 }
 
 // dueJobs lists the jobs with a repetition that is due, in order of arrival, so that the same events give the same effects.
 func (s *Scheduler) dueJobs(now Now) []*jobState {
 	var due []*jobState
 	for j := range s.scheduled {
-		if j.nextDue <= now.WallMS {
+		if j.nextDueMS <= now.WallMS {
 			due = append(due, j)
 		}
 	}
@@ -192,36 +192,36 @@
 	return due
 }
 
-// NextDue is the earliest time (milliseconds since 1970) at which a scheduled repetition begins; 0 when none waits.
-func (s *Scheduler) NextDue() int64 {
-	if !s.dueChanged {
-		return s.nextDue
+// NextDueMS is the earliest time (milliseconds since 1970) at which a scheduled repetition begins; 0 when none waits.
+func (s *Scheduler) NextDueMS() int64 {
+	if !s.nextDueStale {
+		return s.nextDueMS
 	}
-	s.nextDue, s.dueChanged = 0, false
+	s.nextDueMS, s.nextDueStale = 0, false
 	for j := range s.scheduled {
-		if s.nextDue == 0 || j.nextDue < s.nextDue {
-			s.nextDue = j.nextDue
+		if s.nextDueMS == 0 || j.nextDueMS < s.nextDueMS {
+			s.nextDueMS = j.nextDueMS
 		}
 	}
-	return s.nextDue
+	return s.nextDueMS
 }
 
-// schedule notes when a job's next repetition begins.
-func (s *Scheduler) schedule(j *jobState, due int64) {
-	j.nextDue = due
+// scheduleRepetition notes when a job's next repetition begins.
+func (s *Scheduler) scheduleRepetition(j *jobState, due int64) {
+	j.nextDueMS = due
 	s.scheduled[j] = true
-	s.dueChanged = true
+	s.nextDueStale = true
 }
 
-// unschedule notes that a job has no repetition left to begin.
-func (s *Scheduler) unschedule(j *jobState) {
+// unscheduleRepetition notes that a job has no repetition left to begin.
+func (s *Scheduler) unscheduleRepetition(j *jobState) {
 	if s.scheduled[j] {
 		delete(s.scheduled, j)
-		s.dueChanged = true
+		s.nextDueStale = true
 	}
 }
 
-func (s *Scheduler) known(id job.ID) bool {
+func (s *Scheduler) isKnown(id job.ID) bool {
 	_, live := s.jobs[id]
 	_, ended := s.ended[id]
 	return live || ended
@@ -229,5 +229,5 @@
 
 func (s *Scheduler) addJob(j *jobState) {
 	s.jobs[j.id] = j
-	s.pending[j.Queue.Route]++
+	s.pendingByRoute[j.Queue.Route]++
 }
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -183,8 +183,8 @@
 func account(s *Scheduler) string {
 	var text strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
-	line("arrivals %d, next due %d", s.arrivals, s.NextDue())
-	for _, route := range slices.Sorted(maps.Keys(s.pending)) {
+	line("arrivals %d, next due %d", s.lastArrival, s.NextDueMS())
+	for _, route := range slices.Sorted(maps.Keys(s.pendingByRoute)) {
 		line("route %s: %d jobs", route, s.Pending(route))
 	}
 	for _, j := range s.jobsByArrival() {
@@ -194,11 +194,11 @@
 		}
 		state, _ := s.Status(j.id)
 		q := j.Queue
-		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.left, j.nextDue)
+		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.incompleteRepetitions, j.nextDueMS)
 		line("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
 			q.Route, q.Service, q.Priority, q.MaxAttempts, q.Extension, q.TargetLatencyMS, q.Guards)
 		line("  specification: %s", specification)
-		for number, r := range j.times {
+		for number, r := range j.repetitions {
 			if r == nil {
 				line("  repetition %d: complete", number)
 				continue
@@ -209,8 +209,8 @@
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
 		line("job %s: ended as %s at %d", id, s.ended[id].State, s.ended[id].EndedMS)
 	}
-	for _, w := range s.list {
-		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", w.ID, len(w.runs), w.used.Processors, w.used.MemoryMB, w.used.Accelerators)
+	for _, w := range s.sortedWorkers {
+		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", w.ID, len(w.attempts), w.used.Processors, w.used.MemoryMB, w.used.Accelerators)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		d := s.operatorDrains[id]
@@ -219,14 +219,14 @@
 	return text.String()
 }
 
-func accountOfRepetition(line func(format string, values ...any), r *repetition) {
-	line("  repetition %d: stages left %d", r.number, r.left)
+func accountOfRepetition(line func(format string, values ...any), r *repetitionState) {
+	line("  repetition %d: stages left %d", r.number, r.incompleteStages)
 	for _, stage := range r.stages {
-		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.left, len(stage.waiting))
+		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
 		for _, t := range stage.tasks {
-			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", t.id, t.execution, t.failed, t.checkpoint, t.done)
-			for _, run := range slices.SortedFunc(slices.Values(t.runs), func(a, b *run) int { return cmp.Compare(a.execution, b.execution) }) {
-				line("        run %d at %s, inherited %v", run.execution, run.at.ID, run.inherited)
+			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", t.id, t.attemptNumber, t.failedAttempts, t.checkpoint, t.done)
+			for _, run := range slices.SortedFunc(slices.Values(t.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
+				line("        run %d at %s, inherited %v", run.number, run.worker.ID, run.inherited)
 			}
 		}
 	}
@@ -268,11 +268,11 @@
 		jobPrefix: &jobRecord{}, taskPrefix: &taskRecord{}, repetitionPrefix: &repetitionRecord{},
 		endedPrefix: &endedRecord{}, operatorDrainPrefix: &operatorDrainRecord{},
 	}[key[:2]]
-	if err := decode(key, value, record); err != nil {
+	if err := decodeRecord(key, value, record); err != nil {
 		panic(err) // schedulers have decoded it
 	}
 	var s Scheduler
-	s.write(key, reflect.ValueOf(record).Elem().Interface())
+	s.writeRecord(key, reflect.ValueOf(record).Elem().Interface())
 	return s.effects.Entries[0].Value
 }
 
--- a/internal/jobs/scheduler/summary.go
+++ b/internal/jobs/scheduler/summary.go
@@ -22,22 +22,22 @@
 // CurrentLoad tells the load.
 func (s *Scheduler) CurrentLoad(now Now) Load {
 	summary := Load{Jobs: len(s.jobs), Waiting: make([]int, summaryPriorities)}
-	for _, stage := range s.stages {
+	for _, stage := range s.waitingStages {
 		priority := max(0, min(stage.job.Queue.Priority, summaryPriorities-1))
 		summary.Waiting[priority] += len(stage.waiting)
 		if stage.GangScheduled && len(stage.waiting) > 0 {
 			summary.Gangs++
 		}
 	}
-	for _, sr := range s.list {
+	for _, sr := range s.sortedWorkers {
 		summary.add(s, now, sr)
 	}
 	return summary
 }
 
-func (summary *Load) add(s *Scheduler, now Now, sr *worker) {
-	summary.Running += len(sr.runs)
-	for _, r := range sr.runs {
+func (summary *Load) add(s *Scheduler, now Now, sr *workerState) {
+	summary.Running += len(sr.attempts)
+	for _, r := range sr.attempts {
 		if r.stopping {
 			summary.Stopping++
 		}
@@ -54,7 +54,7 @@
 	if s.isOpen(now, sr) {
 		summary.Workers++
 	}
-	if float64(len(sr.runs)) >= sr.window {
+	if float64(len(sr.attempts)) >= sr.window {
 		summary.Windows++
 	}
 }
--- a/internal/jobs/scheduler/trace.go
+++ b/internal/jobs/scheduler/trace.go
@@ -14,7 +14,7 @@
 		return "", "", false
 	}
 	var record endedRecord
-	if err := decode(entry.Key, entry.Value, &record); err != nil {
+	if err := decodeRecord(entry.Key, entry.Value, &record); err != nil {
 		return "", "", false
 	}
 	return job.ID(text), record.State, true
--- a/internal/jobs/scheduler/why.go
+++ b/internal/jobs/scheduler/why.go
@@ -19,8 +19,8 @@
 	if j == nil {
 		return why, true
 	}
-	s.reorder(now)
-	for _, r := range j.times {
+	s.orderQueue(now)
+	for _, r := range j.repetitions {
 		if r == nil {
 			continue
 		}
@@ -28,17 +28,17 @@
 			s.explainStage(now, &why, stage)
 		}
 	}
-	if j.nextDue != 0 && j.nextDue > now.WallMS {
-		why.Waiting = append(why.Waiting, jobreport.Waiting{Repetition: len(j.times), Reason: jobreport.ReasonNotDue, DueMS: j.nextDue})
+	if j.nextDueMS != 0 && j.nextDueMS > now.WallMS {
+		why.Waiting = append(why.Waiting, jobreport.Waiting{Repetition: len(j.repetitions), Reason: jobreport.ReasonNotDue, DueMS: j.nextDueMS})
 	}
 	return why, true
 }
 
-func (s *Scheduler) explainStage(now Now, why *jobreport.Why, stage *stageRun) {
-	if stage.left == 0 || stage.tasks != nil && len(stage.waiting) == 0 {
+func (s *Scheduler) explainStage(now Now, why *jobreport.Why, stage *stageState) {
+	if stage.incompleteTasks == 0 || stage.tasks != nil && len(stage.waiting) == 0 {
 		return
 	}
-	if len(why.Waiting) >= mostWaiting {
+	if len(why.Waiting) >= maxExplainedStages {
 		why.Truncated = true
 		return
 	}
@@ -50,70 +50,70 @@
 }
 
 // explainBlocked explains a stage whose turn has not come.
-func explainBlocked(stage *stageRun) jobreport.Waiting {
+func explainBlocked(stage *stageState) jobreport.Waiting {
 	waiting := jobreport.Waiting{
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: stage.Count, Request: stage.Resources,
 		Reason: jobreport.ReasonDependsOn,
 	}
 	for _, number := range stage.DependsOn {
-		if stage.repetition.stages[number].left > 0 {
+		if stage.repetition.stages[number].incompleteTasks > 0 {
 			waiting.DependsOn = append(waiting.DependsOn, number)
 		}
 	}
 	return waiting
 }
 
-func (s *Scheduler) explainWaiting(now Now, stage *stageRun) jobreport.Waiting {
+func (s *Scheduler) explainWaiting(now Now, stage *stageState) jobreport.Waiting {
 	waiting := jobreport.Waiting{
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: len(stage.waiting), Request: stage.Resources,
-		AgeMS: now.Monotonic.Sub(stage.readyAt).Milliseconds(), Ahead: max(0, slices.Index(s.stages, stage)),
+		AgeMS: now.Monotonic.Sub(stage.waitingSince).Milliseconds(), Ahead: max(0, slices.Index(s.waitingStages, stage)),
 	}
 	open := 0
-	for _, sr := range s.list {
-		cause := s.ruledOut(now, stage, sr)
+	for _, sr := range s.sortedWorkers {
+		cause := s.exclusionCause(now, stage, sr)
 		if cause != "" {
-			waiting.Excluded = addRuledOut(waiting.Excluded, cause, string(sr.ID))
+			waiting.Excluded = addExcluded(waiting.Excluded, cause, string(sr.ID))
 			continue
 		}
 		open++
-		if len(waiting.Open) < fewWorkers {
+		if len(waiting.Open) < maxNamedWorkers {
 			waiting.Open = append(waiting.Open, string(sr.ID))
 		}
 	}
-	waiting.Reason = s.reason(now, stage, open)
+	waiting.Reason = s.waitingReason(now, stage, open)
 	return waiting
 }
 
-func (s *Scheduler) reason(now Now, stage *stageRun, open int) jobreport.Reason {
+func (s *Scheduler) waitingReason(now Now, stage *stageState, open int) jobreport.Reason {
 	switch {
-	case stage.GangScheduled && len(stage.waiting) < max(stage.left, stage.Count):
+	case stage.GangScheduled && len(stage.waiting) < max(stage.incompleteTasks, stage.Count):
 		return jobreport.ReasonGangActive
-	case pausing(now, stage):
+	case isBackingOff(now, stage):
 		return jobreport.ReasonBackoff
 	case open == 0:
 		return jobreport.ReasonNoWorker
-	case stage.GangScheduled && s.roomForMembers(now, stage) < stage.Count:
+	case stage.GangScheduled && s.placeableMembers(now, stage) < stage.Count:
 		return jobreport.ReasonGangCapacity
 	}
 	return jobreport.ReasonTurn
 }
 
-// pausing tells whether no task of the stage may start right now after starts that went wrong. A gang pauses with any
+// isBackingOff tells whether no task of the stage may start right now after starts that went wrong. A gang pauses with any
 // of its members.
-func pausing(now Now, stage *stageRun) bool {
+func isBackingOff(now Now, stage *stageState) bool {
 	paused := 0
 	for _, t := range stage.waiting {
-		if now.Monotonic.Before(t.notBefore) {
+		if now.Monotonic.Before(t.backoffUntil) {
 			paused++
 		}
 	}
 	return paused == len(stage.waiting) || stage.GangScheduled && paused > 0
 }
 
-// roomForMembers counts the members of a gang that could start at once.
-func (s *Scheduler) roomForMembers(now Now, stage *stageRun) int {
+// placeableMembers counts the members of a gang that could start at once.
+func (s *Scheduler) placeableMembers(now Now, stage *stageState) int {
 	members := 0
-	for _, sr := range s.list {
+	for _, sr := range s.sortedWorkers {
 		if !s.isOpen(now, sr) {
 			continue
 		}
@@ -124,16 +124,16 @@
 	return members
 }
 
-// ruledOut is the first cause for which a worker does not take a task of a stage now; empty if it could.
-func (s *Scheduler) ruledOut(now Now, stage *stageRun, sr *worker) jobreport.Cause {
+// exclusionCause is the first cause for which a worker does not take a task of a stage now; empty if it could.
+func (s *Scheduler) exclusionCause(now Now, stage *stageState, sr *workerState) jobreport.Cause {
 	if s.isOpen(now, sr) && s.admits(stage, sr, 0) {
 		return ""
 	}
-	if cause := s.neverTakes(stage, sr); cause != "" {
+	if cause := s.ineligibilityCause(stage, sr); cause != "" {
 		return cause
 	}
 	switch {
-	case !sr.listed:
+	case !sr.inInventory:
 		return jobreport.CauseUnlisted
 	case !sr.reachable:
 		return jobreport.CauseUnreachable
@@ -141,20 +141,20 @@
 		return jobreport.CauseNotFenced
 	case len(sr.orphans) > 0:
 		return jobreport.CauseOrphans
-	case s.resting(now, sr):
+	case s.isBackingOff(now, sr):
 		return jobreport.CauseBackoff
-	case float64(len(sr.runs)) >= sr.window:
+	case float64(len(sr.attempts)) >= sr.window:
 		return jobreport.CauseWindow
 	case !sr.free().Fits(stage.Resources):
 		return jobreport.CauseCapacity
-	case stage.AntiAffinity > 0 && sr.tasksOf(stage) >= stage.AntiAffinity:
+	case stage.AntiAffinity > 0 && sr.attemptsOfStage(stage) >= stage.AntiAffinity:
 		return jobreport.CauseAntiAffinity
 	}
 	return jobreport.CauseOther
 }
 
-// neverTakes is why a worker does not suit a stage whatever its load.
-func (s *Scheduler) neverTakes(stage *stageRun, sr *worker) jobreport.Cause {
+// ineligibilityCause is why a worker does not suit a stage whatever its load.
+func (s *Scheduler) ineligibilityCause(stage *stageState, sr *workerState) jobreport.Cause {
 	for _, label := range stage.Requirements {
 		if !sr.hasLabel(label) {
 			return jobreport.CauseLabel
@@ -165,20 +165,20 @@
 		return jobreport.CauseSize
 	case sr.Draining:
 		return jobreport.CauseDraining
-	case s.operatorDrains.has(sr.ID):
+	case s.operatorDrains.isDraining(sr.ID):
 		return jobreport.CauseOperatorDraining
 	}
 	return ""
 }
 
-func addRuledOut(list []jobreport.Excluded, cause jobreport.Cause, worker string) []jobreport.Excluded {
+func addExcluded(list []jobreport.Excluded, cause jobreport.Cause, worker string) []jobreport.Excluded {
 	at := slices.IndexFunc(list, func(one jobreport.Excluded) bool { return one.Cause == cause })
 	if at < 0 {
 		list = append(list, jobreport.Excluded{Cause: cause})
 		at = len(list) - 1
 	}
 	list[at].Count++
-	if len(list[at].Workers) < fewWorkers {
+	if len(list[at].Workers) < maxNamedWorkers {
 		list[at].Workers = append(list[at].Workers, worker)
 	}
 	return list
--- a/internal/jobs/scheduler/world_test.go
+++ b/internal/jobs/scheduler/world_test.go
@@ -329,7 +329,7 @@
 	w.broken = append(w.broken, fmt.Sprintf("at %v: ", w.now)+fmt.Sprintf(format, values...))
 }
 
-// judge checks one start. Promises with a time bound do not cover starts that a worker carried out late.
+// outcomeOf checks one start. Promises with a time bound do not cover starts that a worker carried out late.
 func (w *world) judge(m *machine, order workerclient.StartOrder, facts *jobFacts, stage *job.Stage, late bool) {
 	id := order.Task
 	own := w.facts(id)
@@ -431,7 +431,7 @@
 }
 
 func sortedTasks(running map[job.TaskID]*execution) []job.TaskID {
-	return slices.SortedFunc(maps.Keys(running), compareTasks)
+	return slices.SortedFunc(maps.Keys(running), compareTaskIDs)
 }
 
 func (w *world) work(m *machine) {
@@ -506,7 +506,7 @@
 		return
 	}
 	w.scheduler.SetReachable(w.clock(), m.ID, false)
-	if w.now > m.grantedBy+LateOrders+7*time.Second {
+	if w.now > m.grantedBy+LateCommandWindow+7*time.Second {
 		w.scheduler.ExpireLease(w.clock(), m.ID)
 	}
 	w.propose()
