--- a/internal/jobs/job/job.go
+++ b/internal/jobs/job/job.go
@@ -68,18 +68,18 @@
 }
 
 // Add returns the sum.
-func (r Resources) Add(o Resources) Resources {
-	return Resources{r.Processors + o.Processors, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
+func (r Resources) Add(other Resources) Resources {
+	return Resources{r.Processors + other.Processors, r.MemoryMB + other.MemoryMB, r.Accelerators + other.Accelerators}
 }
 
 // Subtract returns the difference; parts of it may be negative.
-func (r Resources) Subtract(o Resources) Resources {
-	return Resources{r.Processors - o.Processors, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
+func (r Resources) Subtract(other Resources) Resources {
+	return Resources{r.Processors - other.Processors, r.MemoryMB - other.MemoryMB, r.Accelerators - other.Accelerators}
 }
 
 // RepetitionCount returns a multiple.
-func (r Resources) Times(n int64) Resources {
-	return Resources{r.Processors * n, r.MemoryMB * n, r.Accelerators * n}
+func (r Resources) Times(factor int64) Resources {
+	return Resources{r.Processors * factor, r.MemoryMB * factor, r.Accelerators * factor}
 }
 
 // FitCount is how many such requests fit in at once.
--- a/internal/jobs/job/job_test.go
+++ b/internal/jobs/job/job_test.go
@@ -22,13 +22,13 @@
 		Convey("and survives the internal protocol", func() {
 			body, err := msgpack.Marshal(s)
 			So(err, ShouldBeNil)
-			var again Specification
-			So(msgpack.Unmarshal(body, &again), ShouldBeNil)
-			So(again, ShouldResemble, s)
+			var decoded Specification
+			So(msgpack.Unmarshal(body, &decoded), ShouldBeNil)
+			So(decoded, ShouldResemble, s)
 		})
 	})
 	Convey("What is wrong is named", t, func() {
-		for body, says := range map[string]string{
+		for body, wantText := range map[string]string{
 			`{"stages":[{"count":1}`:                                "job:",
 			`{"stages":[]}`:                                         "stages: 0",
 			`{"stages":[{"count":0}]}`:                              "stages[0].count",
@@ -40,7 +40,7 @@
 		} {
 			_, err := ParseSpecification([]byte(body))
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldContainSubstring, says)
+			So(err.Error(), ShouldContainSubstring, wantText)
 		}
 	})
 }
@@ -48,9 +48,9 @@
 func TestTaskNames(t *testing.T) {
 	Convey("A task's name is read back", t, func() {
 		id := TaskID{Job: "5c0e7a21d94b36f8", Repetition: 2, Stage: 1, Index: 17}
-		again, err := ParseTaskID(id.String())
+		parsed, err := ParseTaskID(id.String())
 		So(err, ShouldBeNil)
-		So(again, ShouldResemble, id)
+		So(parsed, ShouldResemble, id)
 	})
 	Convey("Other texts are no names", t, func() {
 		for _, text := range []string{"", "5c0e7a21d94b36f8.0.1", "5c0e7a21d94b36f8.0.1.-1", "5c0e7a21d94b36f8.0.1.x", "a.0.1.2.3"} {
@@ -67,12 +67,12 @@
 
 func TestResources(t *testing.T) {
 	Convey("Requests fit and count by each part", t, func() {
-		room := Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}
-		So(room.Fits(Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}), ShouldBeTrue)
-		So(room.Fits(Resources{Accelerators: 2}), ShouldBeFalse)
-		So(room.FitCount(Resources{Processors: 300, MemoryMB: 300}), ShouldEqual, 2)
-		So(room.Subtract(room), ShouldResemble, Resources{})
-		So(room.Times(3), ShouldResemble, room.Add(room).Add(room))
+		capacity := Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}
+		So(capacity.Fits(Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}), ShouldBeTrue)
+		So(capacity.Fits(Resources{Accelerators: 2}), ShouldBeFalse)
+		So(capacity.FitCount(Resources{Processors: 300, MemoryMB: 300}), ShouldEqual, 2)
+		So(capacity.Subtract(capacity), ShouldResemble, Resources{})
+		So(capacity.Times(3), ShouldResemble, capacity.Add(capacity).Add(capacity))
 	})
 }
 
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -147,13 +147,13 @@
 	b.ReportMetric(100*(used()-before).Seconds()/time.Since(began).Seconds(), "%core")
 	b.ReportMetric(float64(m.config.Connections.Usage().Open), "connections")
 	b.ReportMetric(float64(m.config.Connections.Usage().Opened-opened)/time.Since(began).Seconds(), "opened/s")
-	led, err := m.lead(feed.GroupOf(fleetService))
+	leadership, err := m.lead(feed.GroupOf(fleetService))
 	if err != nil {
 		b.Fatal(err)
 	}
-	led.mu.Lock()
-	defer led.mu.Unlock()
-	summary := led.scheduler.Summary()
+	leadership.mu.Lock()
+	defer leadership.mu.Unlock()
+	summary := leadership.scheduler.Summary()
 	b.ReportMetric(float64(summary.ReachableWorkers), "reachable")
 	b.ReportMetric(float64(summary.Ended), "ended")
 }
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -98,8 +98,8 @@
 		pause = min(pause, time.Until(l.nextDispatch))
 	}
 	if l.planned = l.scheduler.NextDueMS(); l.planned != 0 {
-		due := l.planned
-		pause = min(pause, time.Duration(due-time.Now().UnixMilli())*time.Millisecond)
+		dueMS := l.planned
+		pause = min(pause, time.Duration(dueMS-time.Now().UnixMilli())*time.Millisecond)
 	}
 	return max(time.Millisecond, pause)
 }
@@ -107,8 +107,8 @@
 // tick does what is due by time, and a dispatch that was put off.
 func (l *lead) tick() {
 	l.step(func(now scheduler.Now) {
-		due := l.scheduler.NextDueMS()
-		if now.Monotonic.Sub(l.ticked) < tickInterval && (due == 0 || due > now.WallMS) {
+		dueMS := l.scheduler.NextDueMS()
+		if now.Monotonic.Sub(l.ticked) < tickInterval && (dueMS == 0 || dueMS > now.WallMS) {
 			return
 		}
 		l.ticked = now.Monotonic
@@ -138,8 +138,8 @@
 // dispatch lets waiting tasks start. It rests for a multiple of what it takes, so that it leaves most of the processor to
 // the rest; the loop then comes back to it. The lock is held.
 func (l *lead) dispatch() {
-	if due := l.scheduler.NextDueMS(); due != 0 && (l.planned == 0 || due < l.planned) {
-		l.planned = due
+	if dueMS := l.scheduler.NextDueMS(); dueMS != 0 && (l.planned == 0 || dueMS < l.planned) {
+		l.planned = dueMS
 		l.hasten()
 	}
 	if !l.scheduler.NeedsDispatch() {
@@ -177,26 +177,26 @@
 	for i := range effects.Commands {
 		l.order(&effects.Commands[i])
 	}
-	for _, noted := range effects.Acknowledgements {
-		if link := l.links[noted.Worker]; link != nil {
-			link.Acknowledge(noted.CompletionNumber)
+	for _, acknowledgement := range effects.Acknowledgements {
+		if link := l.links[acknowledgement.Worker]; link != nil {
+			link.Acknowledge(acknowledgement.CompletionNumber)
 		}
 	}
 }
 
-func (l *lead) order(order *scheduler.Command) {
-	link := l.links[order.Worker]
+func (l *lead) order(command *scheduler.Command) {
+	link := l.links[command.Worker]
 	if link == nil {
 		return
 	}
-	if order.Stop != nil {
-		l.traceOrder(order)
-		link.Stop(*order.Stop)
+	if command.Stop != nil {
+		l.traceOrder(command)
+		link.Stop(*command.Stop)
 		return
 	}
-	if l.scheduler.StillWanted(order.Worker, order.Start) {
-		l.traceOrder(order)
-		link.Start(*order.Start)
+	if l.scheduler.StillWanted(command.Worker, command.Start) {
+		l.traceOrder(command)
+		link.Start(*command.Start)
 	}
 }
 
@@ -311,11 +311,11 @@
 }
 
 // Gone implements worker.Events.
-func (e events) Gone(gone workerclient.Gone) {
+func (e events) Gone(removed workerclient.Gone) {
 	e.lead.step(func(now scheduler.Now) {
-		e.lead.scheduler.RemoveWorker(now, gone.Worker)
-		if link := e.lead.links[gone.Worker]; link != nil {
-			e.lead.disconnect(gone.Worker, link)
+		e.lead.scheduler.RemoveWorker(now, removed.Worker)
+		if link := e.lead.links[removed.Worker]; link != nil {
+			e.lead.disconnect(removed.Worker, link)
 		}
 	})
 }
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -54,14 +54,14 @@
 
 // Elected implements replication.Handler.
 func (m *Manager) Elected(term *replication.Term, state map[string][]byte) {
-	led, err := newLead(m.config, term, state)
+	leadership, err := newLead(m.config, term, state)
 	if err != nil {
 		m.config.Log.Error("state of the group cannot be read, leadership given up", zap.String("group", term.Group()), zap.Error(err))
 		term.Resign()
 		return
 	}
 	m.mu.Lock()
-	m.leads[term.Group()] = led
+	m.leads[term.Group()] = leadership
 	instances, listed := m.instances, m.listed
 	if !listed {
 		instances = slices.Collect(maps.Values(m.found))
@@ -71,25 +71,25 @@
 	own := serviceInstances(instances, term.Group())
 	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Epoch()))
 	if listed {
-		led.inventory(own)
+		leadership.inventory(own)
 	} else if len(own) > 0 {
-		led.found(own)
+		leadership.found(own)
 	}
-	go led.run()
+	go leadership.run()
 }
 
 // Deposed implements replication.Handler.
 func (m *Manager) Deposed(term *replication.Term) {
 	m.mu.Lock()
-	led := m.leads[term.Group()]
-	if led == nil || led.term != term {
+	leadership := m.leads[term.Group()]
+	if leadership == nil || leadership.term != term {
 		m.mu.Unlock()
 		return
 	}
 	delete(m.leads, term.Group())
 	m.signal()
 	m.mu.Unlock()
-	led.close()
+	leadership.close()
 	m.config.Log.Info("no longer leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Epoch()))
 }
 
@@ -116,9 +116,9 @@
 	}
 	leads := slices.Collect(maps.Values(m.leads))
 	m.mu.Unlock()
-	for _, led := range leads {
-		if own := serviceInstances(instances, led.term.Group()); len(own) > 0 {
-			led.found(own)
+	for _, leadership := range leads {
+		if own := serviceInstances(instances, leadership.term.Group()); len(own) > 0 {
+			leadership.found(own)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 	m.instances, m.listed, m.found = instances, true, nil
 	leads := slices.Collect(maps.Values(m.leads))
 	m.mu.Unlock()
-	for _, led := range leads {
-		led.inventory(serviceInstances(instances, led.term.Group()))
+	for _, leadership := range leads {
+		leadership.inventory(serviceInstances(instances, leadership.term.Group()))
 	}
 }
 
@@ -156,11 +156,11 @@
 func (m *Manager) lead(group string) (*lead, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	led := m.leads[group]
-	if led == nil || !led.term.Valid() {
+	leadership := m.leads[group]
+	if leadership == nil || !leadership.term.Valid() {
 		return nil, rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
-	return led, nil
+	return leadership, nil
 }
 
 func (m *Manager) submit(ctx context.Context, request jobapi.Submit) (jobapi.Submitted, error) {
@@ -170,32 +170,32 @@
 	if err := request.Specification.Validate(); err != nil {
 		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(err, 0)
 	}
-	led, err := m.lead(request.Group)
+	leadership, err := m.lead(request.Group)
 	if err != nil {
 		return jobapi.Submitted{}, err
 	}
-	led.traceSubmit(&request)
-	return jobapi.Submitted{}, led.durably(ctx, func(now scheduler.Now) { led.scheduler.Submit(now, &request) })
+	leadership.traceSubmit(&request)
+	return jobapi.Submitted{}, leadership.durably(ctx, func(now scheduler.Now) { leadership.scheduler.Submit(now, &request) })
 }
 
 func (m *Manager) cancel(ctx context.Context, request jobapi.Cancel) (reply jobapi.Cancelled, err error) {
-	led, err := m.lead(request.Group)
+	leadership, err := m.lead(request.Group)
 	if err != nil {
 		return reply, err
 	}
-	err = led.durably(ctx, func(now scheduler.Now) {
-		reply.Known = led.scheduler.Cancel(now, request.ID)
-		reply.State, _ = led.scheduler.Status(request.ID)
+	err = leadership.durably(ctx, func(now scheduler.Now) {
+		reply.Known = leadership.scheduler.Cancel(now, request.ID)
+		reply.State, _ = leadership.scheduler.Status(request.ID)
 	})
 	return reply, err
 }
 
 func (m *Manager) status(ctx context.Context, request jobapi.Status) (reply jobapi.StatusReply, err error) {
-	led, err := m.lead(request.Group)
+	leadership, err := m.lead(request.Group)
 	if err != nil {
 		return reply, err
 	}
-	err = led.durably(ctx, func(scheduler.Now) { reply.State, reply.Known = led.scheduler.Status(request.ID) })
+	err = leadership.durably(ctx, func(scheduler.Now) { reply.State, reply.Known = leadership.scheduler.Status(request.ID) })
 	return reply, err
 }
 
@@ -211,8 +211,8 @@
 	m.leads = map[string]*lead{}
 	m.signal()
 	m.mu.Unlock()
-	for _, led := range leads {
-		led.close()
+	for _, leadership := range leads {
+		leadership.close()
 	}
 }
 
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -35,25 +35,25 @@
 
 // read reads the scheduler of a group, and returns once what was seen is durable and it is certain that no other leader had
 // been elected then: an operator's order may be refused on it.
-func (m *Manager) read(ctx context.Context, group string, look reading) error {
-	led, err := m.lead(group)
+func (m *Manager) read(ctx context.Context, group string, read reading) error {
+	leadership, err := m.lead(group)
 	if err != nil {
 		return err
 	}
-	return led.durably(ctx, func(now scheduler.Now) { look(now, led.scheduler) })
+	return leadership.durably(ctx, func(now scheduler.Now) { read(now, leadership.scheduler) })
 }
 
 // glance reads counts, which may not be durable yet. The lease is looked at again after that: the process may have stood
 // still in between, and another leader's counts may be others.
-func (m *Manager) glance(group string, look reading) error {
-	led, err := m.lead(group)
+func (m *Manager) glance(group string, read reading) error {
+	leadership, err := m.lead(group)
 	if err != nil {
 		return err
 	}
-	led.mu.Lock()
-	defer led.mu.Unlock()
-	look(steady(), led.scheduler)
-	if !led.term.Valid() {
+	leadership.mu.Lock()
+	defer leadership.mu.Unlock()
+	read(steady(), leadership.scheduler)
+	if !leadership.term.Valid() {
 		return rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
 	return nil
@@ -143,14 +143,14 @@
 
 // drain sets or ends an operator's drain, and answers once that is durable.
 func (m *Manager) drain(ctx context.Context, request jobreport.DrainRequest) (reply jobreport.DrainReply, err error) {
-	led, err := m.lead(request.Group)
+	leadership, err := m.lead(request.Group)
 	if err != nil {
 		return reply, err
 	}
 	id := workerclient.WorkerID(request.Worker)
-	err = led.durably(ctx, func(now scheduler.Now) {
-		reply.Known, reply.Outcome = led.orderDrain(now, request)
-		reply.Worker = led.reportDrained(now, id)
+	err = leadership.durably(ctx, func(now scheduler.Now) {
+		reply.Known, reply.Outcome = leadership.orderDrain(now, request)
+		reply.Worker = leadership.reportDrained(now, id)
 	})
 	if err == nil && !reply.Known && !m.hasList() {
 		return reply, rpcerror.WrapNotExecuted(errNoList, noListRetry)
--- a/internal/jobs/manager/trace.go
+++ b/internal/jobs/manager/trace.go
@@ -22,17 +22,17 @@
 }
 
 // traceOrder notes an order that is about to be sent.
-func (l *lead) traceOrder(order *scheduler.Command) {
+func (l *lead) traceOrder(command *scheduler.Command) {
 	if !l.traces() {
 		return
 	}
-	if order.Stop != nil {
-		l.config.Log.Debug("stop ordered", zap.Stringer("task", order.Stop.Task), zap.Uint64("run", order.Stop.Execution),
-			zap.String("searcher", string(order.Worker)))
+	if command.Stop != nil {
+		l.config.Log.Debug("stop ordered", zap.Stringer("task", command.Stop.Task), zap.Uint64("run", command.Stop.Execution),
+			zap.String("searcher", string(command.Worker)))
 		return
 	}
-	l.config.Log.Debug("start ordered", zap.Stringer("task", order.Start.Task), zap.Uint64("run", order.Start.Execution),
-		zap.String("searcher", string(order.Worker)), zap.Uint64("epoch", l.term.Epoch()))
+	l.config.Log.Debug("start ordered", zap.Stringer("task", command.Start.Task), zap.Uint64("run", command.Start.Execution),
+		zap.String("searcher", string(command.Worker)), zap.Uint64("epoch", l.term.Epoch()))
 }
 
 // traceEnds notes the ends that a worker reports.
@@ -41,9 +41,9 @@
 		return
 	}
 	for i := range report.Finished {
-		end := &report.Finished[i]
-		l.config.Log.Debug("run ended", zap.Stringer("task", end.Task), zap.Uint64("run", end.Execution),
-			zap.String("how", string(end.How)), zap.String("searcher", string(report.Worker)))
+		completion := &report.Finished[i]
+		l.config.Log.Debug("run ended", zap.Stringer("task", completion.Task), zap.Uint64("run", completion.Execution),
+			zap.String("how", string(completion.How)), zap.String("searcher", string(report.Worker)))
 	}
 }
 
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -41,15 +41,15 @@
 	s, now, _ := loaded(250, 2000)
 	number := uint64(0)
 	for b.Loop() {
-		sr := s.sortedWorkers[int(number)%len(s.sortedWorkers)]
-		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Monotonic}
-		for _, r := range sr.sortedAttempts() {
-			report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.number})
+		worker := s.sortedWorkers[int(number)%len(s.sortedWorkers)]
+		report := workerclient.Listing{Worker: worker.ID, SentAt: now.Monotonic}
+		for _, attempt := range worker.sortedAttempts() {
+			report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
 		}
 		if len(report.Running) > 0 {
 			ended := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []workerclient.FinishedTask{{Number: sr.lastCompletion + 1, Task: ended.Task, Execution: ended.Execution, How: job.OutcomeStopped}}
+			report.Finished = []workerclient.FinishedTask{{Number: worker.lastCompletion + 1, Task: ended.Task, Execution: ended.Execution, How: job.OutcomeStopped}}
 		}
 		number++
 		s.HandleReport(now, &report)
@@ -66,14 +66,14 @@
 			b.Fatal(err)
 		}
 		var instances []workerclient.Instance
-		for _, sr := range previous.sortedWorkers {
-			instances = append(instances, sr.Instance)
+		for _, worker := range previous.sortedWorkers {
+			instances = append(instances, worker.Instance)
 		}
 		s.SetInventory(now, instances)
 		for _, instance := range instances {
 			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Monotonic}
-			for _, r := range previous.workers[instance.ID].sortedAttempts() {
-				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.number})
+			for _, attempt := range previous.workers[instance.ID].sortedAttempts() {
+				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
 			}
 			s.HandleReport(now, &report)
 		}
--- a/internal/jobs/scheduler/cost.go
+++ b/internal/jobs/scheduler/cost.go
@@ -3,17 +3,17 @@
 import "math"
 
 // cost ranks workers for a task: smoothed latency times one plus our runs and waiting tasks there.
-func (s *Scheduler) cost(stage *stageState, sr *workerState) float64 {
-	return s.unitCost(stage, sr) * sr.load()
+func (s *Scheduler) cost(stage *stageState, worker *workerState) float64 {
+	return s.unitCost(stage, worker) * worker.load()
 }
 
 // unitCost is the cost of a worker without load.
-func (s *Scheduler) unitCost(stage *stageState, sr *workerState) float64 {
-	return s.latencyMS(stage.job, sr) * s.distanceFactor(stage, sr) * (1 + failureCost*sr.failureRate) * s.slowdown(sr)
+func (s *Scheduler) unitCost(stage *stageState, worker *workerState) float64 {
+	return s.latencyMS(stage.job, worker) * s.distanceFactor(stage, worker) * (1 + failureCost*worker.failureRate) * s.slowdown(worker)
 }
 
 // load is one plus our runs and waiting tasks at a worker.
-func (sr *workerState) load() float64 { return 1 + float64(len(sr.attempts)+sr.boundTasks) }
+func (worker *workerState) load() float64 { return 1 + float64(len(worker.attempts)+worker.boundTasks) }
 
 // unitCostScratch are the workers that may take a stage's tasks, with their costs without load. All new tasks of a stage are
 // alike, so that these are worked out once for all of them.
@@ -26,9 +26,9 @@
 
 func (s *Scheduler) unitCostsFor(stage *stageState) unitCosts {
 	costs := s.unitCostScratch[:0]
-	for _, sr := range s.sortedWorkers {
-		if sr.reachable && s.isEligible(stage, sr) {
-			costs = append(costs, unitCost{sr, s.unitCost(stage, sr)})
+	for _, worker := range s.sortedWorkers {
+		if worker.reachable && s.isEligible(stage, worker) {
+			costs = append(costs, unitCost{worker, s.unitCost(stage, worker)})
 		}
 	}
 	s.unitCostScratch = costs
@@ -36,7 +36,7 @@
 }
 
 // bind chooses the worker where a new task waits: the least cost.
-func (u unitCosts) bindLeastCost(t *taskState) {
+func (u unitCosts) bindLeastCost(task *taskState) {
 	var best *workerState
 	bestCost := math.Inf(1)
 	for i := range u {
@@ -45,7 +45,7 @@
 		}
 	}
 	if best != nil {
-		t.boundTo = best
+		task.boundTo = best
 		best.boundTasks++
 	}
 }
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -31,9 +31,9 @@
 	for _, stage := range s.waitingStages {
 		summary.WaitingTasks += len(stage.waiting)
 	}
-	for _, sr := range s.sortedWorkers {
-		summary.Attempts += len(sr.attempts)
-		if sr.reachable {
+	for _, worker := range s.sortedWorkers {
+		summary.Attempts += len(worker.attempts)
+		if worker.reachable {
 			summary.ReachableWorkers++
 		}
 	}
@@ -43,51 +43,51 @@
 // Workers reports all known workers by ID.
 func (s *Scheduler) Workers(now Now) []jobreport.Worker {
 	reports := make([]jobreport.Worker, 0, len(s.sortedWorkers))
-	for _, sr := range s.sortedWorkers {
-		reports = append(reports, s.reportWorker(now, sr))
+	for _, worker := range s.sortedWorkers {
+		reports = append(reports, s.reportWorker(now, worker))
 	}
 	return reports
 }
 
 // Worker reports one worker.
 func (s *Scheduler) Worker(now Now, id workerclient.WorkerID) (report jobreport.Worker, known bool) {
-	sr := s.workers[id]
-	if sr == nil {
+	worker := s.workers[id]
+	if worker == nil {
 		return report, false
 	}
-	return s.reportWorker(now, sr), true
+	return s.reportWorker(now, worker), true
 }
 
-func (s *Scheduler) reportWorker(now Now, sr *workerState) jobreport.Worker {
+func (s *Scheduler) reportWorker(now Now, worker *workerState) jobreport.Worker {
 	return jobreport.Worker{
-		ID: string(sr.ID), Service: sr.Service, Address: sr.Address, Zone: sr.Zone, Version: sr.Version,
-		Rack: sr.rack, Labels: sr.Labels,
-		State: s.workerState(now, sr), Reachable: sr.reachable,
-		Draining: sr.Draining, OperatorDraining: s.operatorDrains.isDraining(sr.ID), DrainVersion: s.DrainVersion(sr.ID), RemainingMS: sr.RemainingMS,
-		Window: int(sr.window), LatencyMS: sr.latencyMS, FailureRate: sr.failureRate,
-		Attempts: len(sr.attempts), WaitingTasks: sr.boundTasks, Orphans: len(sr.orphans),
-		Used: sr.used, Free: sr.free(), Capacity: sr.Capacity, MissingLists: sr.missedInventories,
+		ID: string(worker.ID), Service: worker.Service, Address: worker.Address, Zone: worker.Zone, Version: worker.Version,
+		Rack: worker.rack, Labels: worker.Labels,
+		State: s.workerState(now, worker), Reachable: worker.reachable,
+		Draining: worker.Draining, OperatorDraining: s.operatorDrains.isDraining(worker.ID), DrainVersion: s.DrainVersion(worker.ID), RemainingMS: worker.RemainingMS,
+		Window: int(worker.window), LatencyMS: worker.latencyMS, FailureRate: worker.failureRate,
+		Attempts: len(worker.attempts), WaitingTasks: worker.boundTasks, Orphans: len(worker.orphans),
+		Used: worker.used, Free: worker.free(), Capacity: worker.Capacity, MissingLists: worker.missedInventories,
 	}
 }
 
-func (s *Scheduler) workerState(now Now, sr *workerState) jobreport.WorkerState {
+func (s *Scheduler) workerState(now Now, worker *workerState) jobreport.WorkerState {
 	switch {
-	case !sr.reachable:
+	case !worker.reachable:
 		return jobreport.WorkerUnreachable
-	case sr.Draining:
+	case worker.Draining:
 		return jobreport.WorkerDraining
-	case s.operatorDrains.isDraining(sr.ID):
+	case s.operatorDrains.isDraining(worker.ID):
 		return jobreport.WorkerOperatorDraining
-	case sr.fencedAt.IsZero():
+	case worker.fencedAt.IsZero():
 		return jobreport.WorkerNotFenced
-	case s.isBackingOff(now, sr):
+	case s.isBackingOff(now, worker):
 		return jobreport.WorkerBackoff
 	}
 	return jobreport.WorkerReady
 }
 
-func (s *Scheduler) isBackingOff(now Now, sr *workerState) bool {
-	return now.Monotonic.Before(sr.backoffUntil) || now.Monotonic.Before(sr.fullUntil)
+func (s *Scheduler) isBackingOff(now Now, worker *workerState) bool {
+	return now.Monotonic.Before(worker.backoffUntil) || now.Monotonic.Before(worker.fullUntil)
 }
 
 // Jobs lists the newest jobs of a state, or of all states if it is empty: first those that have not ended, the latest
@@ -123,11 +123,11 @@
 	report := jobreport.Job{
 		ID: j.id, Service: j.Queue.Service, Route: j.Queue.Route, Priority: j.Queue.Priority, State: state, Arrival: j.Arrival,
 	}
-	for _, r := range j.repetitions {
-		if r == nil {
+	for _, repetition := range j.repetitions {
+		if repetition == nil {
 			continue
 		}
-		for _, stage := range r.stages {
+		for _, stage := range repetition.stages {
 			report.Tasks.Add(stage.counts())
 		}
 	}
@@ -143,11 +143,11 @@
 		return jobreport.TaskCounts{Blocked: stage.Count}
 	}
 	counts := jobreport.TaskCounts{}
-	for _, t := range stage.tasks {
+	for _, task := range stage.tasks {
 		switch {
-		case t.done:
+		case task.done:
 			counts.Done++
-		case len(t.attempts) > 0:
+		case len(task.attempts) > 0:
 			counts.Running++
 		default:
 			counts.Waiting++
@@ -169,12 +169,12 @@
 		Job: s.reportJob(j), Specification: j.Specification.Text, MaxAttempts: j.Queue.MaxAttempts,
 		Repetitions: j.Specification.RepetitionCount(), NextDueMS: j.nextDueMS,
 	}
-	for _, r := range j.repetitions {
-		if r == nil {
+	for _, repetition := range j.repetitions {
+		if repetition == nil {
 			report.CompleteRepetitions++
 			continue
 		}
-		for _, stage := range r.stages {
+		for _, stage := range repetition.stages {
 			addStage(now, &report, stage)
 		}
 	}
@@ -190,13 +190,13 @@
 		Repetition: stage.repetition.number, Stage: stage.number, Gang: stage.GangScheduled,
 		Request: stage.Resources, Tasks: stage.counts(),
 	})
-	for _, t := range stage.tasks {
-		if len(t.failedAttempts) > 0 && !atLimit(len(report.Failures), report) {
-			report.Failures = append(report.Failures, jobreport.Failure{Task: t.id.String(), Attempts: slices.Clone(t.failedAttempts)})
+	for _, task := range stage.tasks {
+		if len(task.failedAttempts) > 0 && !atLimit(len(report.Failures), report) {
+			report.Failures = append(report.Failures, jobreport.Failure{Task: task.id.String(), Attempts: slices.Clone(task.failedAttempts)})
 		}
-		for _, r := range t.attempts {
+		for _, attempt := range task.attempts {
 			if !atLimit(len(report.Attempts), report) {
-				report.Attempts = append(report.Attempts, reportRun(now, r))
+				report.Attempts = append(report.Attempts, reportRun(now, attempt))
 			}
 		}
 	}
@@ -210,9 +210,9 @@
 	return true
 }
 
-func reportRun(now Now, r *attemptState) jobreport.Attempt {
+func reportRun(now Now, attempt *attemptState) jobreport.Attempt {
 	return jobreport.Attempt{
-		Task: r.task.id.String(), Number: r.number, Worker: string(r.worker.ID), AgeMS: now.Monotonic.Sub(r.assignedAt).Milliseconds(),
-		Confirmed: r.reported || !r.confirmedAt.IsZero(), Stopping: r.stopping, Percent: r.percent,
+		Task: attempt.task.id.String(), Number: attempt.number, Worker: string(attempt.worker.ID), AgeMS: now.Monotonic.Sub(attempt.assignedAt).Milliseconds(),
+		Confirmed: attempt.reported || !attempt.confirmedAt.IsZero(), Stopping: attempt.stopping, Percent: attempt.percent,
 	}
 }
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -43,9 +43,9 @@
 
 // countOf is how many workers a cause rules out.
 func countOf(waiting jobreport.Waiting, cause jobreport.Cause) int {
-	for _, ruled := range waiting.Excluded {
-		if ruled.Cause == cause {
-			return ruled.Count
+	for _, excluded := range waiting.Excluded {
+		if excluded.Cause == cause {
+			return excluded.Count
 		}
 	}
 	return 0
@@ -143,8 +143,8 @@
 					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, Running: unwanted})
 				}
 			}
-			order := workerclient.StartOrder{Task: job.TaskID{Job: id}, Execution: 1}
-			w.scheduler.HandleStartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Order: order, Outcome: workerclient.Unhealthy, At: w.clock().Monotonic})
+			command := workerclient.StartOrder{Task: job.TaskID{Job: id}, Execution: 1}
+			w.scheduler.HandleStartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Order: command, Outcome: workerclient.Unhealthy, At: w.clock().Monotonic})
 			waiting := whyOf(w, id)
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonBackoff)
 			So(countOf(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
@@ -181,11 +181,11 @@
 			return
 		}
 		for _, stage := range w.scheduler.waitingStages {
-			for _, sr := range w.scheduler.sortedWorkers {
-				cause := w.scheduler.exclusionCause(w.clock(), stage, sr)
-				takes := w.scheduler.isOpen(w.clock(), sr) && w.scheduler.admits(stage, sr, 0)
+			for _, worker := range w.scheduler.sortedWorkers {
+				cause := w.scheduler.exclusionCause(w.clock(), stage, worker)
+				takes := w.scheduler.isOpen(w.clock(), worker) && w.scheduler.admits(stage, worker, 0)
 				if takes != (cause == "") {
-					t.Fatalf("searcher %s takes a task: %t, cause %q", sr.ID, takes, cause)
+					t.Fatalf("searcher %s takes a task: %t, cause %q", worker.ID, takes, cause)
 				}
 				if cause == jobreport.CauseOther {
 					other++
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -21,69 +21,69 @@
 )
 
 // recordOutcome takes a run's end into its worker's window, latency and share of faults.
-func (s *Scheduler) recordOutcome(now Now, r *attemptState, how job.Outcome) {
-	sr := r.worker
+func (s *Scheduler) recordOutcome(now Now, attempt *attemptState, how job.Outcome) {
+	worker := attempt.worker
 	switch how {
 	case job.OutcomeDone:
-		took := float64(now.Monotonic.Sub(r.assignedAt).Milliseconds())
-		if r.inherited {
+		durationMS := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
+		if attempt.inherited {
 			return
 		}
-		s.recordLatency(sr, took)
-		sr.failureRate -= failureWeight * sr.failureRate
-		if took <= normalDurationFactor*s.expectedMS(r.task.stage, sr) {
-			sr.window = min(maxWindow, sr.window+1)
+		s.recordLatency(worker, durationMS)
+		worker.failureRate -= failureWeight * worker.failureRate
+		if durationMS <= normalDurationFactor*s.expectedMS(attempt.task.stage, worker) {
+			worker.window = min(maxWindow, worker.window+1)
 		}
 	case job.OutcomeFailed:
-		if len(r.task.failedAttempts) > 0 || r.stopping {
+		if len(attempt.task.failedAttempts) > 0 || attempt.stopping {
 			return // the task itself may be at fault
 		}
-		sr.failureRate += failureWeight * (1 - sr.failureRate)
-		sr.window = max(minWindow, sr.window/2)
+		worker.failureRate += failureWeight * (1 - worker.failureRate)
+		worker.window = max(minWindow, worker.window/2)
 	}
 }
 
 // recordLatency takes a duration in milliseconds into a worker's smoothed latency.
-func (s *Scheduler) recordLatency(sr *workerState, took float64) {
-	if sr.latencyMS == 0 {
-		sr.latencyMS = max(1, took)
+func (s *Scheduler) recordLatency(worker *workerState, durationMS float64) {
+	if worker.latencyMS == 0 {
+		worker.latencyMS = max(1, durationMS)
 		s.latencyCount++
-		s.latencySumMS += sr.latencyMS
+		s.latencySumMS += worker.latencyMS
 		return
 	}
-	change := latencyWeight * (took - sr.latencyMS)
-	sr.latencyMS += change
+	change := latencyWeight * (durationMS - worker.latencyMS)
+	worker.latencyMS += change
 	s.latencySumMS += change
 }
 
 // forgetLatency forgets a worker's latency.
-func (s *Scheduler) forgetLatency(sr *workerState) {
-	if sr.latencyMS > 0 {
+func (s *Scheduler) forgetLatency(worker *workerState) {
+	if worker.latencyMS > 0 {
 		s.latencyCount--
-		s.latencySumMS -= sr.latencyMS
-		sr.latencyMS = 0
+		s.latencySumMS -= worker.latencyMS
+		worker.latencyMS = 0
 	}
 }
 
 // expectedMS is how long a run of a stage takes at a worker, by the client's estimate.
-func (s *Scheduler) expectedMS(stage *stageState, sr *workerState) float64 {
-	return max(1, float64(stage.EstimatedDurationMS)) * s.distanceFactor(stage, sr)
+func (s *Scheduler) expectedMS(stage *stageState, worker *workerState) float64 {
+	return max(1, float64(stage.EstimatedDurationMS)) * s.distanceFactor(stage, worker)
 }
 
 // distanceFactor is the factor by which a task takes longer away from its data.
-func (s *Scheduler) distanceFactor(stage *stageState, sr *workerState) float64 {
-	if stage.Affinity == "" || stage.Affinity == sr.rack || sr.hasLabel(stage.Affinity) {
+func (s *Scheduler) distanceFactor(stage *stageState, worker *workerState) float64 {
+	if stage.Affinity == "" || stage.Affinity == worker.rack || worker.hasLabel(stage.Affinity) {
 		return 1
 	}
 	return max(1, s.settings.RemoteFactor)
 }
 
 // remainingMS estimates how long a run still takes.
-func (s *Scheduler) remainingMS(now Now, r *attemptState) float64 {
-	expected := s.expectedMS(r.task.stage, r.worker)
-	elapsed := float64(now.Monotonic.Sub(r.assignedAt).Milliseconds())
-	if r.percent > 0 && r.percent < 100 {
-		return elapsed * float64(100-r.percent) / float64(r.percent)
+func (s *Scheduler) remainingMS(now Now, attempt *attemptState) float64 {
+	expected := s.expectedMS(attempt.task.stage, attempt.worker)
+	elapsed := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
+	if attempt.percent > 0 && attempt.percent < 100 {
+		return elapsed * float64(100-attempt.percent) / float64(attempt.percent)
 	}
 	return max(0, expected-elapsed)
 }
@@ -91,52 +91,52 @@
 // inspectAttempts stops runs that stand still, and members of gangs that were given up.
 func (s *Scheduler) inspectAttempts(now Now) {
 	s.updatePaceRatios()
-	for _, sr := range s.sortedWorkers {
-		if len(sr.attempts) > 0 {
-			for _, r := range sr.sortedAttempts() {
-				s.inspectAttempt(now, r)
+	for _, worker := range s.sortedWorkers {
+		if len(worker.attempts) > 0 {
+			for _, attempt := range worker.sortedAttempts() {
+				s.inspectAttempt(now, attempt)
 			}
 		}
-		if !sr.reachable && sr.fencedAt.IsZero() {
-			s.ExpireLease(now, sr.ID)
+		if !worker.reachable && worker.fencedAt.IsZero() {
+			s.ExpireLease(now, worker.ID)
 		}
 	}
 }
 
-func (s *Scheduler) inspectAttempt(now Now, r *attemptState) {
-	stage := r.task.stage
-	if r.stopping {
+func (s *Scheduler) inspectAttempt(now Now, attempt *attemptState) {
+	stage := attempt.task.stage
+	if attempt.stopping {
 		return
 	}
-	if r.task.stage.job.ended && !stage.GangScheduled {
-		s.stopAttempt(r)
+	if attempt.task.stage.job.ended && !stage.GangScheduled {
+		s.stopAttempt(attempt)
 		return
 	}
-	if stage.GangScheduled && r.number <= stage.abandonedAttempt && now.Monotonic.Sub(stage.abandonedAt) > gangStopDelay {
-		s.stopAttempt(r)
+	if stage.GangScheduled && attempt.number <= stage.abandonedAttempt && now.Monotonic.Sub(stage.abandonedAt) > gangStopDelay {
+		s.stopAttempt(attempt)
 		return
 	}
-	if s.shouldMigrate(now, r) {
-		r.task.avoidWorker(r.worker)
-		s.stopAttempt(r)
+	if s.shouldMigrate(now, attempt) {
+		attempt.task.avoidWorker(attempt.worker)
+		s.stopAttempt(attempt)
 		return
 	}
-	if s.isStalled(r) {
-		r.worker.backoffUntil = now.Monotonic.Add(backoffAfterStall)
-		r.worker.window = max(minWindow, r.worker.window/2)
-		s.stopAttempt(r)
+	if s.isStalled(attempt) {
+		attempt.worker.backoffUntil = now.Monotonic.Add(backoffAfterStall)
+		attempt.worker.window = max(minWindow, attempt.worker.window/2)
+		s.stopAttempt(attempt)
 	}
 }
 
 // isStalled tells whether a run makes no progress.
-func (s *Scheduler) isStalled(r *attemptState) bool {
-	stage := r.task.stage
-	if !r.reported || r.progressedAt.IsZero() || stage.LongRunning || r.task.done {
+func (s *Scheduler) isStalled(attempt *attemptState) bool {
+	stage := attempt.task.stage
+	if !attempt.reported || attempt.progressedAt.IsZero() || stage.LongRunning || attempt.task.done {
 		return false
 	}
-	patience := max(minStallTime, time.Duration(stallShare*s.expectedMS(stage, r.worker))*time.Millisecond)
-	if stage.GangScheduled && r.percent == 0 {
+	patience := max(minStallTime, time.Duration(stallShare*s.expectedMS(stage, attempt.worker))*time.Millisecond)
+	if stage.GangScheduled && attempt.percent == 0 {
 		patience += gangStallAllowance // it begins once all members are there
 	}
-	return r.reportedAt.Sub(r.progressedAt) > patience
+	return attempt.reportedAt.Sub(attempt.progressedAt) > patience
 }
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -18,14 +18,14 @@
 		present[instances[i].ID] = true
 		s.updateInstance(now, &instances[i])
 	}
-	for _, sr := range slices.Clone(s.sortedWorkers) {
-		if present[sr.ID] {
-			sr.missedInventories = 0
+	for _, worker := range slices.Clone(s.sortedWorkers) {
+		if present[worker.ID] {
+			worker.missedInventories = 0
 			continue
 		}
-		sr.missedInventories++
-		if !sr.reachable && sr.missedInventories >= maxMissedInventories {
-			s.RemoveWorker(now, sr.ID)
+		worker.missedInventories++
+		if !worker.reachable && worker.missedInventories >= maxMissedInventories {
+			s.RemoveWorker(now, worker.ID)
 		}
 	}
 	s.pruneOperatorDrains()
@@ -50,39 +50,39 @@
 	if s.removed[instance.ID] {
 		return
 	}
-	sr := s.workers[instance.ID]
-	if sr == nil {
-		sr = s.addWorker(instance.ID)
+	worker := s.workers[instance.ID]
+	if worker == nil {
+		worker = s.addWorker(instance.ID)
 	}
-	drains := instance.Draining && !sr.Draining
-	sr.Instance = *instance
-	sr.inInventory = true
-	sr.rack = rackOf(instance)
+	drains := instance.Draining && !worker.Draining
+	worker.Instance = *instance
+	worker.inInventory = true
+	worker.rack = rackOf(instance)
 	if drains {
-		s.drainWorker(now, sr)
+		s.drainWorker(now, worker)
 	}
 }
 
 func (s *Scheduler) addWorker(id workerclient.WorkerID) *workerState {
-	sr := &workerState{Instance: workerclient.Instance{ID: id}, attempts: map[job.TaskID]*attemptState{}, window: initialWindow}
-	s.workers[id] = sr
-	at, _ := slices.BinarySearchFunc(s.sortedWorkers, sr, func(a, b *workerState) int { return cmp.Compare(a.ID, b.ID) })
-	s.sortedWorkers = slices.Insert(s.sortedWorkers, at, sr)
-	return sr
+	worker := &workerState{Instance: workerclient.Instance{ID: id}, attempts: map[job.TaskID]*attemptState{}, window: initialWindow}
+	s.workers[id] = worker
+	at, _ := slices.BinarySearchFunc(s.sortedWorkers, worker, func(a, b *workerState) int { return cmp.Compare(a.ID, b.ID) })
+	s.sortedWorkers = slices.Insert(s.sortedWorkers, at, worker)
+	return worker
 }
 
 // drainWorker moves away what cannot end before the worker may leave.
-func (s *Scheduler) drainWorker(now Now, sr *workerState) {
-	stays := float64(sr.RemainingMS)
-	if sr.RemainingMS == 0 {
-		stays = float64(s.settings.DrainTime.Milliseconds())
+func (s *Scheduler) drainWorker(now Now, worker *workerState) {
+	remainingMS := float64(worker.RemainingMS)
+	if worker.RemainingMS == 0 {
+		remainingMS = float64(s.settings.DrainTime.Milliseconds())
 	}
-	for _, r := range sr.sortedAttempts() {
-		if r.task.stage.LongRunning || s.remainingMS(now, r) > stays {
-			s.stopAttempt(r)
+	for _, attempt := range worker.sortedAttempts() {
+		if attempt.task.stage.LongRunning || s.remainingMS(now, attempt) > remainingMS {
+			s.stopAttempt(attempt)
 		}
 	}
-	s.rebindTasks(now, sr)
+	s.rebindTasks(now, worker)
 }
 
 func compareTaskIDs(a, b job.TaskID) int {
--- a/internal/jobs/scheduler/objective.go
+++ b/internal/jobs/scheduler/objective.go
@@ -10,49 +10,49 @@
 )
 
 // setDeadlines sets when a repetition should be complete, from its queue's objective and its longest chain of stages.
-func (r *repetitionState) setDeadlines(j *jobState) {
-	r.remainingMS = r.criticalPathMS()
-	begins := float64(j.ArrivedMS)
-	if due := j.dueMS(r.number); due > 0 {
-		begins = float64(due)
+func (repetition *repetitionState) setDeadlines(j *jobState) {
+	repetition.remainingMS = repetition.criticalPathMS()
+	beginMS := float64(j.ArrivedMS)
+	if dueMS := j.dueMS(repetition.number); dueMS > 0 {
+		beginMS = float64(dueMS)
 	}
-	objective := max(1, j.Queue.Extension)*r.remainingMS + float64(j.Queue.TargetLatencyMS)
-	r.targetMS = begins + objective
-	r.worthlessAfterMS = begins + estimateTolerance*lateFactor*objective
+	objective := max(1, j.Queue.Extension)*repetition.remainingMS + float64(j.Queue.TargetLatencyMS)
+	repetition.targetMS = beginMS + objective
+	repetition.worthlessAfterMS = beginMS + estimateTolerance*lateFactor*objective
 }
 
 // criticalPathMS is the longest chain of stages that are not complete, by the client's estimates, in milliseconds.
-func (r *repetitionState) criticalPathMS() float64 {
+func (repetition *repetitionState) criticalPathMS() float64 {
 	longest := 0.0
-	ends := make([]float64, len(r.stages))
-	for number, stage := range r.stages {
+	finishMS := make([]float64, len(repetition.stages))
+	for number, stage := range repetition.stages {
 		for _, earlier := range stage.DependsOn {
-			ends[number] = max(ends[number], ends[earlier])
+			finishMS[number] = max(finishMS[number], finishMS[earlier])
 		}
 		if stage.incompleteTasks > 0 {
-			ends[number] += float64(stage.EstimatedDurationMS)
+			finishMS[number] += float64(stage.EstimatedDurationMS)
 		}
-		longest = max(longest, ends[number])
+		longest = max(longest, finishMS[number])
 	}
 	return longest
 }
 
 // orderingLevel is a repetition's rank among those that wait: by priority, then what can be in time, then what is late.
-func (r *repetitionState) orderingLevel(now Now, j *jobState) int {
-	at := float64(now.WallMS)
+func (repetition *repetitionState) orderingLevel(now Now, j *jobState) int {
+	nowMS := float64(now.WallMS)
 	level := j.Queue.Priority * levelsPerPriority
 	switch {
-	case at > r.worthlessAfterMS && !r.isLongRunning():
+	case nowMS > repetition.worthlessAfterMS && !repetition.isLongRunning():
 		return worthlessLevel + level
-	case at+r.remainingMS > r.targetMS && !r.isLongRunning():
+	case nowMS+repetition.remainingMS > repetition.targetMS && !repetition.isLongRunning():
 		return level + 1
 	}
 	return level
 }
 
 // isLongRunning tells whether the repetition has a stage that never completes; its worth is not bound to a time.
-func (r *repetitionState) isLongRunning() bool {
-	for _, stage := range r.stages {
+func (repetition *repetitionState) isLongRunning() bool {
+	for _, stage := range repetition.stages {
 		if stage.LongRunning {
 			return true
 		}
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -39,15 +39,15 @@
 
 // outcomeOf tells what an order comes to that builds on a version. What was taken stays taken: the order that made version N+1 is the one
 // that asked on top of N for what N+1 is.
-func (r operatorDrainRecord) outcomeOf(order DrainChange) jobreport.DrainOutcome {
-	if order.BaseVersion == r.Version {
+func (r operatorDrainRecord) outcomeOf(change DrainChange) jobreport.DrainOutcome {
+	if change.BaseVersion == r.Version {
 		return jobreport.DrainTaken
 	}
-	since := r.Version - order.BaseVersion - 1 // versions after the one that was made on top of it
+	newerVersions := r.Version - change.BaseVersion - 1 // versions after the one that was made on top of it
 	switch {
-	case order.BaseVersion > r.Version || since >= drainHistory:
+	case change.BaseVersion > r.Version || newerVersions >= drainHistory:
 		return jobreport.DrainUnclear
-	case (r.History>>since&1 == 1) == order.Draining:
+	case (r.History>>newerVersions&1 == 1) == change.Draining:
 		return jobreport.DrainTaken
 	}
 	return jobreport.DrainSuperseded
@@ -81,14 +81,14 @@
 }
 
 // ChangeOperatorDrain does the same on top of a version, so that an order that comes late does not undo a later one.
-func (s *Scheduler) ChangeOperatorDrain(now Now, id workerclient.WorkerID, order DrainChange) jobreport.DrainOutcome {
+func (s *Scheduler) ChangeOperatorDrain(now Now, id workerclient.WorkerID, change DrainChange) jobreport.DrainOutcome {
 	if !s.mayDrain(id) {
 		return jobreport.DrainUnknown
 	}
 	record := s.operatorDrains.record(id)
-	outcome := record.outcomeOf(order)
-	if order.BaseVersion == record.Version {
-		s.applyDrain(now, id, order.Draining)
+	outcome := record.outcomeOf(change)
+	if change.BaseVersion == record.Version {
+		s.applyDrain(now, id, change.Draining)
 	}
 	return outcome
 }
@@ -100,12 +100,12 @@
 
 // applyDrain carries out an order.
 func (s *Scheduler) applyDrain(now Now, id workerclient.WorkerID, draining bool) {
-	was := s.operatorDrains.record(id)
-	record := was.next(now, draining)
+	previous := s.operatorDrains.record(id)
+	record := previous.next(now, draining)
 	s.operatorDrains[id] = &operatorDrain{operatorDrainRecord: record}
 	s.writeRecord(operatorDrainKey(id), record)
 	switch {
-	case draining == was.draining():
+	case draining == previous.draining():
 		return
 	case draining:
 		s.rebindTasks(now, s.workers[id])
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -51,8 +51,8 @@
 	Convey("Given a searcher that nobody has drained", t, func() {
 		w := newWorld(1, 3)
 		w.steps(20)
-		order := func(o DrainChange) jobreport.DrainOutcome {
-			return w.scheduler.ChangeOperatorDrain(w.clock(), "s00", o)
+		order := func(change DrainChange) jobreport.DrainOutcome {
+			return w.scheduler.ChangeOperatorDrain(w.clock(), "s00", change)
 		}
 
 		Convey("a drain that comes after the order that ended it changes nothing", func() {
--- a/internal/jobs/scheduler/order.go
+++ b/internal/jobs/scheduler/order.go
@@ -93,8 +93,8 @@
 	c.size, c.subjobs = 0, c.subjobs[:0]
 	for _, stage := range c.stages {
 		c.size += len(stage.waiting)
-		for _, t := range stage.waiting {
-			c.addSubjob(t.boundTo)
+		for _, task := range stage.waiting {
+			c.addSubjob(task.boundTo)
 		}
 	}
 	for _, part := range c.subjobs {
@@ -116,23 +116,23 @@
 }
 
 // rankLevel appends the stages of jobs of one level in their order.
-func (s *Scheduler) rankLevel(left []*candidate) {
-	rest := left[min(len(left), maxRanked):]
-	left = slices.Clone(left[:min(len(left), maxRanked)])
-	for len(left) > 0 {
+func (s *Scheduler) rankLevel(remaining []*candidate) {
+	rest := remaining[min(len(remaining), maxRanked):]
+	remaining = slices.Clone(remaining[:min(len(remaining), maxRanked)])
+	for len(remaining) > 0 {
 		best, bestSpan := 0, math.Inf(1)
-		for i, c := range left {
+		for i, c := range remaining {
 			span := s.makespan(c, bestSpan)
-			if span < bestSpan || span == bestSpan && c.size < left[best].size {
+			if span < bestSpan || span == bestSpan && c.size < remaining[best].size {
 				best, bestSpan = i, span
 			}
 		}
-		chosen := left[best]
+		chosen := remaining[best]
 		for _, part := range chosen.subjobs {
 			part.worker.queueLength += float64(part.size)
 		}
 		s.waitingStages = append(s.waitingStages, chosen.stages...)
-		left = slices.Delete(left, best, best+1)
+		remaining = slices.Delete(remaining, best, best+1)
 	}
 	for _, c := range rest {
 		s.waitingStages = append(s.waitingStages, c.stages...)
@@ -154,9 +154,9 @@
 
 // latencyMS is a worker's smoothed latency in milliseconds. An unheard one counts as average, and where all are
 // unheard latency starts from the objective of the job's queue.
-func (s *Scheduler) latencyMS(j *jobState, sr *workerState) float64 {
-	if sr.latencyMS > 0 {
-		return sr.latencyMS
+func (s *Scheduler) latencyMS(j *jobState, worker *workerState) float64 {
+	if worker.latencyMS > 0 {
+		return worker.latencyMS
 	}
 	if s.latencyCount > 0 {
 		return s.latencySumMS / float64(s.latencyCount)
--- a/internal/jobs/scheduler/order_test.go
+++ b/internal/jobs/scheduler/order_test.go
@@ -39,9 +39,9 @@
 		}
 		c.stages = append(c.stages, stage)
 		c.size += len(stage.waiting)
-		for _, t := range stage.waiting {
-			if t.boundTo != nil {
-				c.parts[t.boundTo]++
+		for _, task := range stage.waiting {
+			if task.boundTo != nil {
+				c.parts[task.boundTo]++
 			}
 		}
 	}
@@ -49,8 +49,8 @@
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.job.Arrival, b.job.Arrival))
 	})
 	queues := map[*workerState]float64{}
-	for _, sr := range s.sortedWorkers {
-		queues[sr] = float64(len(sr.attempts))
+	for _, worker := range s.sortedWorkers {
+		queues[worker] = float64(len(worker.attempts))
 	}
 	var order []*stageState
 	for len(all) > 0 {
@@ -92,16 +92,16 @@
 
 // endSome ends some runs at workers, so that room, queues and latencies change.
 func endSome(s *Scheduler, now Now, round int) {
-	for i, sr := range s.sortedWorkers {
+	for i, worker := range s.sortedWorkers {
 		if (i+round)%3 != 0 {
 			continue
 		}
-		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Monotonic}
-		for at, r := range sr.sortedAttempts() {
+		report := workerclient.Listing{Worker: worker.ID, SentAt: now.Monotonic}
+		for at, attempt := range worker.sortedAttempts() {
 			if at == 0 {
-				report.Finished = []workerclient.FinishedTask{{Number: sr.lastCompletion + 1, Task: r.task.id, Execution: r.number, How: job.OutcomeDone}}
+				report.Finished = []workerclient.FinishedTask{{Number: worker.lastCompletion + 1, Task: attempt.task.id, Execution: attempt.number, How: job.OutcomeDone}}
 			} else {
-				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.number})
+				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
 			}
 		}
 		s.HandleReport(now, &report)
--- a/internal/jobs/scheduler/pace.go
+++ b/internal/jobs/scheduler/pace.go
@@ -16,50 +16,50 @@
 )
 
 // observePace takes the pace of a worker's runs into its drag: how many times longer than expected they take.
-func (s *Scheduler) observePace(now Now, r *attemptState) {
-	pace, known := r.paceMS(now)
+func (s *Scheduler) observePace(now Now, attempt *attemptState) {
+	pace, known := attempt.paceMS(now)
 	if !known {
 		return
 	}
-	drag := pace / s.expectedMS(r.task.stage, r.worker)
-	if r.worker.paceRatio == 0 {
-		r.worker.paceRatio = drag
+	ratio := pace / s.expectedMS(attempt.task.stage, attempt.worker)
+	if attempt.worker.paceRatio == 0 {
+		attempt.worker.paceRatio = ratio
 	}
-	r.worker.paceRatio += paceWeight * (drag - r.worker.paceRatio)
+	attempt.worker.paceRatio += paceWeight * (ratio - attempt.worker.paceRatio)
 }
 
 // paceMS is how long a whole run takes at the speed seen so far, in milliseconds.
-func (r *attemptState) paceMS(now Now) (float64, bool) {
-	if !r.reported || r.inherited || r.stopping || r.task.stage.LongRunning {
+func (attempt *attemptState) paceMS(now Now) (float64, bool) {
+	if !attempt.reported || attempt.inherited || attempt.stopping || attempt.task.stage.LongRunning {
 		return 0, false
 	}
-	watched := r.reportedAt.Sub(r.paceSince)
-	if watched < minPaceObservation || r.percent <= r.pacePercent || r.progressedAt.Before(r.reportedAt) {
+	watched := attempt.reportedAt.Sub(attempt.paceSince)
+	if watched < minPaceObservation || attempt.percent <= attempt.pacePercent || attempt.progressedAt.Before(attempt.reportedAt) {
 		return 0, false
 	}
-	return float64(watched.Milliseconds()) * 100 / float64(r.percent-r.pacePercent), true
+	return float64(watched.Milliseconds()) * 100 / float64(attempt.percent-attempt.pacePercent), true
 }
 
 // slowdown is how much slower than usual a worker is; 1 for the usual.
-func (s *Scheduler) slowdown(sr *workerState) float64 {
-	if sr.paceRatio == 0 || s.medianPaceRatio == 0 {
+func (s *Scheduler) slowdown(worker *workerState) float64 {
+	if worker.paceRatio == 0 || s.medianPaceRatio == 0 {
 		return 1
 	}
-	return max(1, sr.paceRatio/s.medianPaceRatio)
+	return max(1, worker.paceRatio/s.medianPaceRatio)
 }
 
 // updatePaceRatios works out the usual drag of workers, which is their median.
 func (s *Scheduler) updatePaceRatios() {
 	s.paceRatios = s.paceRatios[:0]
-	for _, sr := range s.sortedWorkers {
-		if sr.paceRatio > 0 && sr.reachable {
-			s.paceRatios = append(s.paceRatios, sr.paceRatio)
+	for _, worker := range s.sortedWorkers {
+		if worker.paceRatio > 0 && worker.reachable {
+			s.paceRatios = append(s.paceRatios, worker.paceRatio)
 		}
 	}
 	s.medianPaceRatio = median(s.paceRatios)
-	for _, sr := range s.sortedWorkers {
-		if sr.paceRatio > 0 {
-			sr.paceRatio += paceRatioDecay * (s.medianPaceRatio - sr.paceRatio)
+	for _, worker := range s.sortedWorkers {
+		if worker.paceRatio > 0 {
+			worker.paceRatio += paceRatioDecay * (s.medianPaceRatio - worker.paceRatio)
 		}
 	}
 }
@@ -74,23 +74,23 @@
 }
 
 // shouldMigrate tells whether a run is so slow that it ends sooner if it is stopped and started elsewhere.
-func (s *Scheduler) shouldMigrate(now Now, r *attemptState) bool {
-	stage := r.task.stage
-	if stage.GangScheduled || r.task.done || len(r.task.attempts) > 1 || r.task.migrations >= maxMigrations {
+func (s *Scheduler) shouldMigrate(now Now, attempt *attemptState) bool {
+	stage := attempt.task.stage
+	if stage.GangScheduled || attempt.task.done || len(attempt.task.attempts) > 1 || attempt.task.migrations >= maxMigrations {
 		return false
 	}
-	pace, known := r.paceMS(now)
-	if !known || s.slowdown(r.worker) < slowWorkerFactor {
+	pace, known := attempt.paceMS(now)
+	if !known || s.slowdown(attempt.worker) < slowWorkerFactor {
 		return false
 	}
-	rest := pace * float64(100-r.percent) / 100
-	anew := s.expectedMS(stage, r.worker)*max(1, s.medianPaceRatio) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
-	if stage.Checkpoints && r.checkpoint != "" {
-		anew = anew*float64(100-r.percent)/100 + float64(s.settings.RestoreTime.Milliseconds())
+	restMS := pace * float64(100-attempt.percent) / 100
+	restartMS := s.expectedMS(stage, attempt.worker)*max(1, s.medianPaceRatio) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
+	if stage.Checkpoints && attempt.checkpoint != "" {
+		restartMS = restartMS*float64(100-attempt.percent)/100 + float64(s.settings.RestoreTime.Milliseconds())
 	}
-	if rest < migrationGainFactor*anew {
+	if restMS < migrationGainFactor*restartMS {
 		return false
 	}
-	r.task.migrations++
+	attempt.task.migrations++
 	return true
 }
--- a/internal/jobs/scheduler/place.go
+++ b/internal/jobs/scheduler/place.go
@@ -16,12 +16,12 @@
 )
 
 // isEligible tells whether a worker may ever take tasks of a stage: the label, the size, and that it stays.
-func (s *Scheduler) isEligible(stage *stageState, sr *workerState) bool {
-	if sr.Draining || !sr.inInventory || s.operatorDrains.isDraining(sr.ID) || !sr.Capacity.Fits(stage.Resources) {
+func (s *Scheduler) isEligible(stage *stageState, worker *workerState) bool {
+	if worker.Draining || !worker.inInventory || s.operatorDrains.isDraining(worker.ID) || !worker.Capacity.Fits(stage.Resources) {
 		return false
 	}
 	for _, label := range stage.Requirements {
-		if !sr.hasLabel(label) {
+		if !worker.hasLabel(label) {
 			return false
 		}
 	}
@@ -29,41 +29,41 @@
 }
 
 // bind chooses the worker where a task waits: the least cost among the eligible.
-func (s *Scheduler) bindTask(now Now, t *taskState) {
-	s.unbindTask(t)
+func (s *Scheduler) bindTask(now Now, task *taskState) {
+	s.unbindTask(task)
 	var best *workerState
 	bestCost := math.Inf(1)
-	for _, sr := range s.sortedWorkers {
-		if !sr.reachable || !s.isEligible(t.stage, sr) {
+	for _, worker := range s.sortedWorkers {
+		if !worker.reachable || !s.isEligible(task.stage, worker) {
 			continue
 		}
-		cost := s.cost(t.stage, sr)
-		if slices.Contains(t.avoidedWorkers, sr.ID) {
+		cost := s.cost(task.stage, worker)
+		if slices.Contains(task.avoidedWorkers, worker.ID) {
 			cost *= 1 + failureCost
 		}
 		if cost < bestCost {
-			best, bestCost = sr, cost
+			best, bestCost = worker, cost
 		}
 	}
 	if best != nil {
-		t.boundTo = best
+		task.boundTo = best
 		best.boundTasks++
 	}
 }
 
-func (s *Scheduler) unbindTask(t *taskState) {
-	if t.boundTo != nil {
-		t.boundTo.boundTasks--
-		t.boundTo = nil
+func (s *Scheduler) unbindTask(task *taskState) {
+	if task.boundTo != nil {
+		task.boundTo.boundTasks--
+		task.boundTo = nil
 	}
 }
 
 // rebindTasks binds the tasks anew that wait at a worker which cannot take them any more.
-func (s *Scheduler) rebindTasks(now Now, sr *workerState) {
+func (s *Scheduler) rebindTasks(now Now, worker *workerState) {
 	for _, stage := range s.waitingStages {
-		for _, t := range stage.waiting {
-			if t.boundTo == sr {
-				s.bindTask(now, t)
+		for _, task := range stage.waiting {
+			if task.boundTo == worker {
+				s.bindTask(now, task)
 			}
 		}
 	}
@@ -73,9 +73,9 @@
 // bindUnboundTasks binds the tasks that found no eligible worker before.
 func (s *Scheduler) bindUnboundTasks(now Now) {
 	for _, stage := range s.waitingStages {
-		for _, t := range stage.waiting {
-			if t.boundTo == nil {
-				s.bindTask(now, t)
+		for _, task := range stage.waiting {
+			if task.boundTo == nil {
+				s.bindTask(now, task)
 			}
 		}
 	}
@@ -83,36 +83,36 @@
 }
 
 // isOpen tells whether a worker takes starts right now.
-func (s *Scheduler) isOpen(now Now, sr *workerState) bool {
-	if !sr.reachable || !sr.inInventory || sr.Draining || s.operatorDrains.isDraining(sr.ID) || sr.fencedAt.IsZero() || len(sr.orphans) > 0 {
+func (s *Scheduler) isOpen(now Now, worker *workerState) bool {
+	if !worker.reachable || !worker.inInventory || worker.Draining || s.operatorDrains.isDraining(worker.ID) || worker.fencedAt.IsZero() || len(worker.orphans) > 0 {
 		return false
 	}
-	if float64(len(sr.attempts)) >= sr.window {
+	if float64(len(worker.attempts)) >= worker.window {
 		return false
 	}
-	return !now.Monotonic.Before(sr.backoffUntil) && !now.Monotonic.Before(sr.fullUntil)
+	return !now.Monotonic.Before(worker.backoffUntil) && !now.Monotonic.Before(worker.fullUntil)
 }
 
 // admits tells whether an open worker can take one more task of a stage, beside so many more that are planned there.
-func (s *Scheduler) admits(stage *stageState, sr *workerState, planned int) bool {
-	if float64(len(sr.attempts)+planned) >= sr.window {
+func (s *Scheduler) admits(stage *stageState, worker *workerState, planned int) bool {
+	if float64(len(worker.attempts)+planned) >= worker.window {
 		return false
 	}
-	free := sr.free()
+	free := worker.free()
 	if planned > 0 {
 		free = free.Subtract(stage.Resources.Times(int64(planned)))
 	}
-	if !free.Fits(stage.Resources) || !s.isEligible(stage, sr) {
+	if !free.Fits(stage.Resources) || !s.isEligible(stage, worker) {
 		return false
 	}
-	return stage.AntiAffinity == 0 || sr.attemptsOfStage(stage)+planned < stage.AntiAffinity
+	return stage.AntiAffinity == 0 || worker.attemptsOfStage(stage)+planned < stage.AntiAffinity
 }
 
 // attemptsOfStage counts a stage's runs at a worker.
-func (sr *workerState) attemptsOfStage(stage *stageState) int {
+func (worker *workerState) attemptsOfStage(stage *stageState) int {
 	count := 0
-	for _, r := range sr.attempts {
-		if r.task.stage == stage {
+	for _, attempt := range worker.attempts {
+		if attempt.task.stage == stage {
 			count++
 		}
 	}
@@ -124,19 +124,19 @@
 	s.dispatchNeeded = false
 	s.orderQueue(now)
 	s.openCache, s.openCached = s.openCache[:0], false
-	var refused unplaceableRequests
+	var unplaceable unplaceableRequests
 	for _, stage := range s.waitingStages {
 		if s.openCached && len(s.openCache) == 0 {
 			return
 		}
-		if len(stage.waiting) == 0 || refused.covers(stage) {
+		if len(stage.waiting) == 0 || unplaceable.covers(stage) {
 			continue
 		}
 		if stage.GangScheduled {
 			s.startGang(now, stage)
 			continue
 		}
-		s.startTasks(now, stage, &refused)
+		s.startTasks(now, stage, &unplaceable)
 	}
 }
 
@@ -147,29 +147,29 @@
 		return s.openCache
 	}
 	s.openCached = true
-	for _, sr := range s.sortedWorkers {
-		if s.isOpen(now, sr) {
-			s.openCache = append(s.openCache, sr)
+	for _, worker := range s.sortedWorkers {
+		if s.isOpen(now, worker) {
+			s.openCache = append(s.openCache, worker)
 		}
 	}
 	return s.openCache
 }
 
 // startTasks starts as many of a stage's tasks as there is room for.
-func (s *Scheduler) startTasks(now Now, stage *stageState, refused *unplaceableRequests) {
-	near := s.waitsForLocality(now, stage)
-	for _, t := range slices.Clone(stage.waiting) {
-		if now.Monotonic.Before(t.backoffUntil) {
+func (s *Scheduler) startTasks(now Now, stage *stageState, unplaceable *unplaceableRequests) {
+	localOnly := s.waitsForLocality(now, stage)
+	for _, task := range slices.Clone(stage.waiting) {
+		if now.Monotonic.Before(task.backoffUntil) {
 			continue
 		}
-		sr := s.chooseWorker(now, t, near)
-		if sr != nil {
-			s.assign(now, t, sr, t.attemptNumber+1)
+		worker := s.chooseWorker(now, task, localOnly)
+		if worker != nil {
+			s.assign(now, task, worker, task.attemptNumber+1)
 			continue
 		}
-		if len(t.attempts) == 0 {
-			if !near {
-				refused.add(stage)
+		if len(task.attempts) == 0 {
+			if !localOnly {
+				unplaceable.add(stage)
 			}
 			return // its siblings ask for the same
 		}
@@ -187,8 +187,8 @@
 	if stage.Affinity == "" || now.Monotonic.Sub(stage.waitingSince) >= s.localityWait(stage) {
 		return false
 	}
-	for _, sr := range s.sortedWorkers {
-		if sr.reachable && s.isEligible(stage, sr) && s.distanceFactor(stage, sr) == 1 {
+	for _, worker := range s.sortedWorkers {
+		if worker.reachable && s.isEligible(stage, worker) && s.distanceFactor(stage, worker) == 1 {
 			return true
 		}
 	}
@@ -196,47 +196,47 @@
 }
 
 // chooseWorker picks an open worker with room: the one where the task is bound, else the least costly sibling.
-func (s *Scheduler) chooseWorker(now Now, t *taskState, near bool) *workerState {
-	if bound := t.boundTo; bound != nil && s.isOpen(now, bound) && s.canPlace(t, bound, near) && !slices.Contains(t.avoidedWorkers, bound.ID) {
+func (s *Scheduler) chooseWorker(now Now, task *taskState, localOnly bool) *workerState {
+	if bound := task.boundTo; bound != nil && s.isOpen(now, bound) && s.canPlace(task, bound, localOnly) && !slices.Contains(task.avoidedWorkers, bound.ID) {
 		return bound
 	}
 	var best *workerState
 	bestCost := math.Inf(1)
-	for _, sr := range s.openWorkers(now) {
-		if !s.canPlace(t, sr, near) {
+	for _, worker := range s.openWorkers(now) {
+		if !s.canPlace(task, worker, localOnly) {
 			continue
 		}
-		cost := s.cost(t.stage, sr)
-		if slices.Contains(t.avoidedWorkers, sr.ID) {
+		cost := s.cost(task.stage, worker)
+		if slices.Contains(task.avoidedWorkers, worker.ID) {
 			cost *= 1 + failureCost
 		}
 		if cost < bestCost {
-			best, bestCost = sr, cost
+			best, bestCost = worker, cost
 		}
 	}
 	return best
 }
 
 // canPlace tells whether an open worker can take a task, near its data if it stays there.
-func (s *Scheduler) canPlace(t *taskState, sr *workerState, near bool) bool {
-	if near && s.distanceFactor(t.stage, sr) > 1 {
+func (s *Scheduler) canPlace(task *taskState, worker *workerState, localOnly bool) bool {
+	if localOnly && s.distanceFactor(task.stage, worker) > 1 {
 		return false
 	}
-	return s.admits(t.stage, sr, 0) && sr.attempts[t.id] == nil
+	return s.admits(task.stage, worker, 0) && worker.attempts[task.id] == nil
 }
 
 // assign gives a task to a worker.
-func (s *Scheduler) assign(now Now, t *taskState, sr *workerState, execution uint64) {
-	s.dequeue(t)
-	t.attemptNumber = execution
-	r := &attemptState{task: t, worker: sr, number: execution, assignedAt: now.Monotonic}
-	t.attempts = append(t.attempts, r)
-	sr.attempts[t.id] = r
-	sr.used = sr.used.Add(t.stage.Resources)
-	t.stage.job.started = true
-	s.writeTaskRecord(t)
-	order := &workerclient.StartOrder{Task: t.id, Execution: execution, Specification: t.stage.job.Specification.Text, Checkpoint: t.checkpoint}
-	s.effects.Commands = append(s.effects.Commands, Command{Worker: sr.ID, Start: order})
+func (s *Scheduler) assign(now Now, task *taskState, worker *workerState, number uint64) {
+	s.dequeue(task)
+	task.attemptNumber = number
+	attempt := &attemptState{task: task, worker: worker, number: number, assignedAt: now.Monotonic}
+	task.attempts = append(task.attempts, attempt)
+	worker.attempts[task.id] = attempt
+	worker.used = worker.used.Add(task.stage.Resources)
+	task.stage.job.started = true
+	s.writeTaskRecord(task)
+	command := &workerclient.StartOrder{Task: task.id, Execution: number, Specification: task.stage.job.Specification.Text, Checkpoint: task.checkpoint}
+	s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Start: command})
 }
 
 // startGang starts all members at once or none.
@@ -244,10 +244,10 @@
 	if len(stage.waiting) < stage.incompleteTasks || len(stage.waiting) < stage.Count {
 		return // a member's last run is not over yet
 	}
-	execution := uint64(0)
-	for _, t := range stage.tasks {
-		execution = max(execution, t.attemptNumber)
-		if now.Monotonic.Before(t.backoffUntil) {
+	number := uint64(0)
+	for _, task := range stage.tasks {
+		number = max(number, task.attemptNumber)
+		if now.Monotonic.Before(task.backoffUntil) {
 			return
 		}
 	}
@@ -255,8 +255,8 @@
 	if placed == nil {
 		return
 	}
-	for i, t := range stage.tasks {
-		s.assign(now, t, placed[i], execution+1)
+	for i, task := range stage.tasks {
+		s.assign(now, task, placed[i], number+1)
 	}
 }
 
@@ -277,13 +277,13 @@
 
 // fitsOneRack tells whether some rack could take a whole gang if it were idle.
 func (s *Scheduler) fitsOneRack(stage *stageState) bool {
-	room := map[string]int64{}
-	for _, sr := range s.sortedWorkers {
-		if sr.reachable && s.isEligible(stage, sr) {
-			room[sr.rack] += sr.Capacity.FitCount(stage.Resources)
+	capacityByRack := map[string]int64{}
+	for _, worker := range s.sortedWorkers {
+		if worker.reachable && s.isEligible(stage, worker) {
+			capacityByRack[worker.rack] += worker.Capacity.FitCount(stage.Resources)
 		}
 	}
-	for rack, count := range room {
+	for rack, count := range capacityByRack {
 		if rack != "" && count >= int64(stage.Count) {
 			return true
 		}
@@ -294,9 +294,9 @@
 // openRacks lists the racks of open workers.
 func (s *Scheduler) openRacks(now Now) []string {
 	var racks []string
-	for _, sr := range s.openWorkers(now) {
-		if sr.rack != "" && !slices.Contains(racks, sr.rack) {
-			racks = append(racks, sr.rack)
+	for _, worker := range s.openWorkers(now) {
+		if worker.rack != "" && !slices.Contains(racks, worker.rack) {
+			racks = append(racks, worker.rack)
 		}
 	}
 	return racks
@@ -305,16 +305,16 @@
 // planOnRack places a gang on a rack ("" for all of them), filling the least costly workers first.
 func (s *Scheduler) planOnRack(now Now, stage *stageState, rack string) []*workerState {
 	var candidates []*workerState
-	for _, sr := range s.openWorkers(now) {
-		if (rack == "" || sr.rack == rack) && s.admits(stage, sr, 0) {
-			candidates = append(candidates, sr)
+	for _, worker := range s.openWorkers(now) {
+		if (rack == "" || worker.rack == rack) && s.admits(stage, worker, 0) {
+			candidates = append(candidates, worker)
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b *workerState) int { return cmp.Compare(s.cost(stage, a), s.cost(stage, b)) })
 	var placed []*workerState
-	for _, sr := range candidates {
-		for planned := 0; len(placed) < stage.Count && s.admits(stage, sr, planned); planned++ {
-			placed = append(placed, sr)
+	for _, worker := range candidates {
+		for planned := 0; len(placed) < stage.Count && s.admits(stage, worker, planned); planned++ {
+			placed = append(placed, worker)
 		}
 	}
 	if len(placed) < stage.Count {
--- a/internal/jobs/scheduler/progress.go
+++ b/internal/jobs/scheduler/progress.go
@@ -10,9 +10,9 @@
 // beginDueRepetitions begins the repetitions that are due.
 func (s *Scheduler) beginDueRepetitions(now Now, j *jobState) {
 	for len(j.repetitions) < j.Specification.RepetitionCount() {
-		due := j.dueMS(len(j.repetitions))
-		if due > now.WallMS {
-			s.scheduleRepetition(j, due)
+		dueMS := j.dueMS(len(j.repetitions))
+		if dueMS > now.WallMS {
+			s.scheduleRepetition(j, dueMS)
 			return
 		}
 		repetition := newRepetitionState(j, len(j.repetitions))
@@ -24,34 +24,34 @@
 }
 
 func newRepetitionState(j *jobState, number int) *repetitionState {
-	r := &repetitionState{number: number, incompleteStages: len(j.Specification.Stages)}
-	defer r.setDeadlines(j)
+	repetition := &repetitionState{number: number, incompleteStages: len(j.Specification.Stages)}
+	defer repetition.setDeadlines(j)
 	for i := range j.Specification.Stages {
 		stage := &j.Specification.Stages[i]
-		r.stages = append(r.stages, &stageState{Stage: stage, job: j, repetition: r, number: i, incompleteTasks: stage.Count})
+		repetition.stages = append(repetition.stages, &stageState{Stage: stage, job: j, repetition: repetition, number: i, incompleteTasks: stage.Count})
 	}
-	return r
+	return repetition
 }
 
 // beginReadyStages lets the tasks wait of each stage whose turn has come.
-func (s *Scheduler) beginReadyStages(now Now, r *repetitionState) {
-	for _, stage := range r.stages {
-		if stage.tasks != nil || !r.areComplete(stage.DependsOn) {
+func (s *Scheduler) beginReadyStages(now Now, repetition *repetitionState) {
+	for _, stage := range repetition.stages {
+		if stage.tasks != nil || !repetition.areComplete(stage.DependsOn) {
 			continue
 		}
 		stage.createTasks()
 		costs := s.unitCostsFor(stage)
-		for _, t := range stage.tasks {
-			if s.enqueue(now, t) {
-				costs.bindLeastCost(t)
+		for _, task := range stage.tasks {
+			if s.enqueue(now, task) {
+				costs.bindLeastCost(task)
 			}
 		}
 	}
 }
 
-func (r *repetitionState) areComplete(stages []int) bool {
+func (repetition *repetitionState) areComplete(stages []int) bool {
 	for _, number := range stages {
-		if r.stages[number].incompleteTasks > 0 {
+		if repetition.stages[number].incompleteTasks > 0 {
 			return false
 		}
 	}
@@ -80,22 +80,22 @@
 }
 
 // enqueueAndBind puts a task among those to be started.
-func (s *Scheduler) enqueueAndBind(now Now, t *taskState) {
-	if s.enqueue(now, t) {
-		s.bindTask(now, t)
+func (s *Scheduler) enqueueAndBind(now Now, task *taskState) {
+	if s.enqueue(now, task) {
+		s.bindTask(now, task)
 	}
 }
 
 // enqueue puts a task among those to be started, unless it is there or needs no start, and leaves it unbound.
-func (s *Scheduler) enqueue(now Now, t *taskState) bool {
-	stage := t.stage
-	if t.done || stage.job.ended || slices.Contains(stage.waiting, t) {
+func (s *Scheduler) enqueue(now Now, task *taskState) bool {
+	stage := task.stage
+	if task.done || stage.job.ended || slices.Contains(stage.waiting, task) {
 		return false
 	}
 	if len(stage.waiting) == 0 {
 		stage.waitingSince = now.Monotonic
 	}
-	stage.waiting = append(stage.waiting, t)
+	stage.waiting = append(stage.waiting, task)
 	if !stage.queued {
 		stage.queued = true
 		s.waitingStages = append(s.waitingStages, stage)
@@ -105,37 +105,37 @@
 }
 
 // dequeue takes a task from those to be started.
-func (s *Scheduler) dequeue(t *taskState) {
-	stage := t.stage
-	at := slices.Index(stage.waiting, t)
+func (s *Scheduler) dequeue(task *taskState) {
+	stage := task.stage
+	at := slices.Index(stage.waiting, task)
 	if at < 0 {
 		return
 	}
 	stage.waiting = slices.Delete(stage.waiting, at, at+1)
-	s.unbindTask(t)
+	s.unbindTask(task)
 	s.orderStale = true
 }
 
 // completeTask notes that a task has ended done.
-func (s *Scheduler) completeTask(now Now, t *taskState) {
-	if t.done {
+func (s *Scheduler) completeTask(now Now, task *taskState) {
+	if task.done {
 		return
 	}
-	t.done = true
-	s.dequeue(t)
-	s.writeTaskRecord(t)
-	for _, r := range t.attempts {
-		if !t.stage.GangScheduled { // members of a gang end together by themselves
-			s.stopAttempt(r)
+	task.done = true
+	s.dequeue(task)
+	s.writeTaskRecord(task)
+	for _, attempt := range task.attempts {
+		if !task.stage.GangScheduled { // members of a gang end together by themselves
+			s.stopAttempt(attempt)
 		}
 	}
-	stage := t.stage
+	stage := task.stage
 	stage.incompleteTasks--
 	if stage.incompleteTasks > 0 {
 		return
 	}
 	if stage.GangScheduled {
-		s.abandonGangAttempt(now, stage, t.attemptNumber) // whoever has not ended by itself soon is stopped
+		s.abandonGangAttempt(now, stage, task.attemptNumber) // whoever has not ended by itself soon is stopped
 	}
 	stage.repetition.incompleteStages--
 	if stage.repetition.incompleteStages == 0 {
@@ -146,22 +146,22 @@
 	s.beginReadyStages(now, stage.repetition)
 }
 
-func (s *Scheduler) completeRepetition(now Now, j *jobState, r *repetitionState) {
+func (s *Scheduler) completeRepetition(now Now, j *jobState, repetition *repetitionState) {
 	j.incompleteRepetitions--
 	if j.incompleteRepetitions == 0 {
 		s.endJob(now, j, job.Completed)
 		return
 	}
-	s.eraseTaskRecords(r)
-	j.repetitions[r.number] = nil
-	s.writeRecord(repetitionKey(j.id, r.number), repetitionRecord{Complete: true})
+	s.eraseTaskRecords(repetition)
+	j.repetitions[repetition.number] = nil
+	s.writeRecord(repetitionKey(j.id, repetition.number), repetitionRecord{Complete: true})
 }
 
-func (s *Scheduler) eraseTaskRecords(r *repetitionState) {
-	for _, stage := range r.stages {
-		for _, t := range stage.tasks {
-			if t.hasRecord {
-				s.eraseRecord(taskKey(t.id))
+func (s *Scheduler) eraseTaskRecords(repetition *repetitionState) {
+	for _, stage := range repetition.stages {
+		for _, task := range stage.tasks {
+			if task.hasRecord {
+				s.eraseRecord(taskKey(task.id))
 			}
 		}
 	}
@@ -171,13 +171,13 @@
 func (s *Scheduler) endJob(now Now, j *jobState, state job.State) {
 	j.ended = true
 	s.unscheduleRepetition(j)
-	for number, r := range j.repetitions {
-		if r == nil {
+	for number, repetition := range j.repetitions {
+		if repetition == nil {
 			s.eraseRecord(repetitionKey(j.id, number))
 			continue
 		}
-		s.eraseTaskRecords(r)
-		for _, stage := range r.stages {
+		s.eraseTaskRecords(repetition)
+		for _, stage := range repetition.stages {
 			s.abandonStage(stage)
 		}
 	}
@@ -197,34 +197,34 @@
 	for len(stage.waiting) > 0 {
 		s.dequeue(stage.waiting[0])
 	}
-	for _, t := range stage.tasks {
-		for _, r := range t.attempts {
-			if !t.done || !stage.GangScheduled {
-				s.stopAttempt(r)
+	for _, task := range stage.tasks {
+		for _, attempt := range task.attempts {
+			if !task.done || !stage.GangScheduled {
+				s.stopAttempt(attempt)
 			}
 		}
 	}
 }
 
 // stopAttempt orders a run stopped, once.
-func (s *Scheduler) stopAttempt(r *attemptState) {
-	if r.stopping {
+func (s *Scheduler) stopAttempt(attempt *attemptState) {
+	if attempt.stopping {
 		return
 	}
-	r.stopping = true
-	order := &workerclient.StopOrder{Task: r.task.id, Execution: r.number}
-	s.effects.Commands = append(s.effects.Commands, Command{Worker: r.worker.ID, Stop: order})
+	attempt.stopping = true
+	command := &workerclient.StopOrder{Task: attempt.task.id, Execution: attempt.number}
+	s.effects.Commands = append(s.effects.Commands, Command{Worker: attempt.worker.ID, Stop: command})
 }
 
 // pruneEndedJobs drops the states of jobs that ended long ago. The time of day, which may be set, is believed only together
 // with the steady clock: a job that is forgotten too early would run once more if it were handed in again.
 func (s *Scheduler) pruneEndedJobs(now Now) {
-	oldest := now.WallMS - s.settings.StatusRetention.Milliseconds()
+	oldestMS := now.WallMS - s.settings.StatusRetention.Milliseconds()
 	for id, record := range s.ended {
 		if now.Monotonic.Sub(record.endedAt) < s.settings.StatusRetention {
 			continue
 		}
-		if record.EndedMS < oldest || record.EndedMS > now.WallMS {
+		if record.EndedMS < oldestMS || record.EndedMS > now.WallMS {
 			delete(s.ended, id)
 			s.eraseRecord(endedKey(id))
 		}
--- a/internal/jobs/scheduler/records.go
+++ b/internal/jobs/scheduler/records.go
@@ -74,13 +74,13 @@
 	s.effects.Entries = append(s.effects.Entries, replication.Entry{Key: key})
 }
 
-func (s *Scheduler) writeTaskRecord(t *taskState) {
-	record := taskRecord{AttemptNumber: t.attemptNumber, FailedAttempts: t.failedAttempts, Checkpoint: t.checkpoint, Done: t.done}
-	for _, r := range t.attempts {
-		if r.number == t.attemptNumber {
-			record.Worker = r.worker.ID
+func (s *Scheduler) writeTaskRecord(task *taskState) {
+	record := taskRecord{AttemptNumber: task.attemptNumber, FailedAttempts: task.failedAttempts, Checkpoint: task.checkpoint, Done: task.done}
+	for _, attempt := range task.attempts {
+		if attempt.number == task.attemptNumber {
+			record.Worker = attempt.worker.ID
 		}
 	}
-	t.hasRecord = true
-	s.writeRecord(taskKey(t.id), record)
+	task.hasRecord = true
+	s.writeRecord(taskKey(task.id), record)
 }
--- a/internal/jobs/scheduler/refusals.go
+++ b/internal/jobs/scheduler/refusals.go
@@ -35,8 +35,8 @@
 }
 
 // isDominated tells whether a request is at least as large as one of those refused.
-func isDominated(refused []job.Resources, request job.Resources) bool {
-	for _, smaller := range refused {
+func isDominated(requests []job.Resources, request job.Resources) bool {
+	for _, smaller := range requests {
 		if request.Fits(smaller) {
 			return true
 		}
--- a/internal/jobs/scheduler/reports.go
+++ b/internal/jobs/scheduler/reports.go
@@ -21,44 +21,44 @@
 
 // HandleReport takes a worker's report of what runs there and what has ended.
 func (s *Scheduler) HandleReport(now Now, report *workerclient.Listing) {
-	sr := s.workers[report.Worker]
-	if sr == nil {
+	worker := s.workers[report.Worker]
+	if worker == nil {
 		return
 	}
-	if sr.fencedAt.IsZero() || !sr.reachable {
-		sr.reachable = true
+	if worker.fencedAt.IsZero() || !worker.reachable {
+		worker.reachable = true
 		s.bindUnboundTasks(now)
 	}
-	if sr.fencedAt.IsZero() {
-		sr.fencedAt = now.Monotonic
+	if worker.fencedAt.IsZero() {
+		worker.fencedAt = now.Monotonic
 	}
-	sr.fullUntil = time.Time{}
+	worker.fullUntil = time.Time{}
 	for i := range report.Finished {
-		s.handleCompletion(now, sr, &report.Finished[i])
+		s.handleCompletion(now, worker, &report.Finished[i])
 	}
 	if !report.Stale { // a newer report has said what runs there
-		listed := s.matchRunning(now, sr, report)
+		listed := s.matchRunning(now, worker, report)
 		if !report.Partial {
-			s.handleMissing(now, sr, report, listed)
+			s.handleMissing(now, worker, report, listed)
 		}
 	}
 	s.dispatchNeeded = true
 }
 
 // matchRunning matches the running list with our runs and stops what nobody wants.
-func (s *Scheduler) matchRunning(now Now, sr *workerState, report *workerclient.Listing) map[job.TaskID]bool {
+func (s *Scheduler) matchRunning(now Now, worker *workerState, report *workerclient.Listing) map[job.TaskID]bool {
 	if len(report.Running) == 0 {
-		sr.orphans = nil
+		worker.orphans = nil
 		return nil
 	}
 	listed := make(map[job.TaskID]bool, len(report.Running))
 	var orphans map[orphanAttempt]bool
 	for i := range report.Running {
 		entry := &report.Running[i]
-		r := sr.attempts[entry.Task]
-		if r != nil && r.number == entry.Execution {
+		attempt := worker.attempts[entry.Task]
+		if attempt != nil && attempt.number == entry.Execution {
 			listed[entry.Task] = true
-			s.recordProgress(now, r, entry)
+			s.recordProgress(now, attempt, entry)
 			continue
 		}
 		key := orphanAttempt{entry.Task, entry.Execution}
@@ -66,318 +66,318 @@
 			orphans = map[orphanAttempt]bool{}
 		}
 		orphans[key] = true
-		if !sr.orphans[key] {
-			order := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
-			s.effects.Commands = append(s.effects.Commands, Command{Worker: sr.ID, Stop: order})
+		if !worker.orphans[key] {
+			command := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
+			s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
 		}
 	}
-	sr.orphans = orphans
+	worker.orphans = orphans
 	return listed
 }
 
-func (s *Scheduler) recordProgress(now Now, r *attemptState, entry *workerclient.RunningTask) {
-	if !r.reported {
-		r.reported = true
-		r.paceSince, r.pacePercent = now.Monotonic, entry.Percent
+func (s *Scheduler) recordProgress(now Now, attempt *attemptState, entry *workerclient.RunningTask) {
+	if !attempt.reported {
+		attempt.reported = true
+		attempt.paceSince, attempt.pacePercent = now.Monotonic, entry.Percent
 	}
-	r.reportedAt = now.Monotonic
-	if entry.Percent > r.percent || r.progressedAt.IsZero() {
-		r.percent = entry.Percent
-		r.progressedAt = now.Monotonic
+	attempt.reportedAt = now.Monotonic
+	if entry.Percent > attempt.percent || attempt.progressedAt.IsZero() {
+		attempt.percent = entry.Percent
+		attempt.progressedAt = now.Monotonic
 	}
 	if entry.Checkpoint != "" {
-		r.checkpoint = entry.Checkpoint
+		attempt.checkpoint = entry.Checkpoint
 	}
-	s.observePace(now, r)
+	s.observePace(now, attempt)
 }
 
 // handleMissing settles the runs that a report should have listed and did not.
-func (s *Scheduler) handleMissing(now Now, sr *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
-	if len(sr.attempts) == len(listed) {
+func (s *Scheduler) handleMissing(now Now, worker *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
+	if len(worker.attempts) == len(listed) {
 		return // each one of listed is one of ours
 	}
-	for _, r := range sr.sortedAttempts() {
-		if listed[r.task.id] {
+	for _, attempt := range worker.sortedAttempts() {
+		if listed[attempt.task.id] {
 			continue
 		}
-		answered := !r.confirmedAt.IsZero() && r.confirmedAt.Before(report.SentAt)
-		stopped := !r.stopConfirmedAt.IsZero() && r.stopConfirmedAt.Before(report.SentAt)
+		answered := !attempt.confirmedAt.IsZero() && attempt.confirmedAt.Before(report.SentAt)
+		stopped := !attempt.stopConfirmedAt.IsZero() && attempt.stopConfirmedAt.Before(report.SentAt)
 		switch {
-		case r.inherited, answered, stopped:
-			s.endAttempt(now, r)
-		case !r.startUnclearAt.IsZero() && r.startUnclearAt.Before(report.SentAt):
-			s.stopAttempt(r) // from then on a start that comes late is rejected
+		case attempt.inherited, answered, stopped:
+			s.endAttempt(now, attempt)
+		case !attempt.startUnclearAt.IsZero() && attempt.startUnclearAt.Before(report.SentAt):
+			s.stopAttempt(attempt) // from then on a start that comes late is rejected
 		}
 	}
 }
 
 // handleCompletion takes one entry of a worker's list of ends.
-func (s *Scheduler) handleCompletion(now Now, sr *workerState, end *workerclient.FinishedTask) {
-	if end.Number <= sr.lastCompletion {
+func (s *Scheduler) handleCompletion(now Now, worker *workerState, completion *workerclient.FinishedTask) {
+	if completion.Number <= worker.lastCompletion {
 		return
 	}
-	sr.lastCompletion = end.Number
-	s.acknowledgeCompletions(sr)
-	r := sr.attempts[end.Task]
-	if r != nil && r.number != end.Execution {
-		r = nil
+	worker.lastCompletion = completion.Number
+	s.acknowledgeCompletions(worker)
+	attempt := worker.attempts[completion.Task]
+	if attempt != nil && attempt.number != completion.Execution {
+		attempt = nil
 	}
-	if r != nil {
-		s.recordOutcome(now, r, end.How)
-		s.removeAttempt(r)
+	if attempt != nil {
+		s.recordOutcome(now, attempt, completion.How)
+		s.removeAttempt(attempt)
 	}
-	t := s.findTask(end.Task)
-	if t == nil || t.done {
+	task := s.findTask(completion.Task)
+	if task == nil || task.done {
 		return
 	}
-	if end.Checkpoint != "" {
-		t.recordCheckpoint(end.Checkpoint)
+	if completion.Checkpoint != "" {
+		task.recordCheckpoint(completion.Checkpoint)
 	}
 	switch {
-	case t.stage.LongRunning:
-		s.retry(now, t, end.Execution) // started again however it ends
-	case end.How == job.OutcomeDone && (r != nil || len(t.attempts) == 0 || t.stage.AtLeastOnce):
-		s.handleSuccess(now, t)
-	case end.How == job.OutcomeFailed:
-		s.handleFailure(now, t, sr, end.Execution)
-	case r != nil:
-		s.retry(now, t, end.Execution)
+	case task.stage.LongRunning:
+		s.retry(now, task, completion.Execution) // started again however it ends
+	case completion.How == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
+		s.handleSuccess(now, task)
+	case completion.How == job.OutcomeFailed:
+		s.handleFailure(now, task, worker, completion.Execution)
+	case attempt != nil:
+		s.retry(now, task, completion.Execution)
 	}
 }
 
-func (s *Scheduler) acknowledgeCompletions(sr *workerState) {
+func (s *Scheduler) acknowledgeCompletions(worker *workerState) {
 	for i := range s.effects.Acknowledgements {
-		if s.effects.Acknowledgements[i].Worker == sr.ID {
-			s.effects.Acknowledgements[i].CompletionNumber = sr.lastCompletion
+		if s.effects.Acknowledgements[i].Worker == worker.ID {
+			s.effects.Acknowledgements[i].CompletionNumber = worker.lastCompletion
 			return
 		}
 	}
-	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: sr.ID, CompletionNumber: sr.lastCompletion})
+	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: worker.ID, CompletionNumber: worker.lastCompletion})
 }
 
 // recordCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
-func (t *taskState) recordCheckpoint(checkpoint string) {
-	if !t.stage.Checkpoints {
+func (task *taskState) recordCheckpoint(checkpoint string) {
+	if !task.stage.Checkpoints {
 		return
 	}
-	if !t.stage.GangScheduled {
-		t.checkpoint = checkpoint
+	if !task.stage.GangScheduled {
+		task.checkpoint = checkpoint
 		return
 	}
-	for _, member := range t.stage.tasks {
+	for _, member := range task.stage.tasks {
 		member.checkpoint = checkpoint
 	}
 }
 
-func (s *Scheduler) handleSuccess(now Now, t *taskState) {
-	if !t.stage.GangScheduled {
-		s.completeTask(now, t)
+func (s *Scheduler) handleSuccess(now Now, task *taskState) {
+	if !task.stage.GangScheduled {
+		s.completeTask(now, task)
 		return
 	}
-	for _, member := range t.stage.tasks { // one such end counts for all members
+	for _, member := range task.stage.tasks { // one such end counts for all members
 		s.completeTask(now, member)
 	}
 }
 
 // handleFailure counts a run that ended failed; the job fails with the last attempt.
-func (s *Scheduler) handleFailure(now Now, t *taskState, sr *workerState, execution uint64) {
-	counter := t
-	if t.stage.GangScheduled {
-		counter = t.stage.tasks[0]
+func (s *Scheduler) handleFailure(now Now, task *taskState, worker *workerState, number uint64) {
+	counter := task
+	if task.stage.GangScheduled {
+		counter = task.stage.tasks[0]
 	}
-	if !slices.Contains(counter.failedAttempts, execution) {
-		counter.failedAttempts = append(counter.failedAttempts, execution)
+	if !slices.Contains(counter.failedAttempts, number) {
+		counter.failedAttempts = append(counter.failedAttempts, number)
 	}
-	if !t.stage.LongRunning && len(counter.failedAttempts) >= max(1, t.stage.job.Queue.MaxAttempts) {
-		s.endJob(now, t.stage.job, job.Failed)
+	if !task.stage.LongRunning && len(counter.failedAttempts) >= max(1, task.stage.job.Queue.MaxAttempts) {
+		s.endJob(now, task.stage.job, job.Failed)
 		return
 	}
-	if counter != t {
+	if counter != task {
 		s.writeTaskRecord(counter)
 	}
-	t.avoidWorker(sr)
-	s.retry(now, t, execution)
+	task.avoidWorker(worker)
+	s.retry(now, task, number)
 }
 
 // avoidWorker lets a task start elsewhere rather than where it has just failed.
-func (t *taskState) avoidWorker(sr *workerState) {
-	t.avoidedWorkers = append(t.avoidedWorkers, sr.ID)
-	if len(t.avoidedWorkers) > maxAvoidedWorkers {
-		t.avoidedWorkers = t.avoidedWorkers[1:]
+func (task *taskState) avoidWorker(worker *workerState) {
+	task.avoidedWorkers = append(task.avoidedWorkers, worker.ID)
+	if len(task.avoidedWorkers) > maxAvoidedWorkers {
+		task.avoidedWorkers = task.avoidedWorkers[1:]
 	}
 }
 
 // retry lets a task wait for another run once no run of it is under way.
-func (s *Scheduler) retry(now Now, t *taskState, execution uint64) {
-	if t.done || t.stage.job.ended {
+func (s *Scheduler) retry(now Now, task *taskState, number uint64) {
+	if task.done || task.stage.job.ended {
 		return
 	}
-	s.writeTaskRecord(t)
-	if t.stage.GangScheduled {
-		s.abandonGangAttempt(now, t.stage, execution)
+	s.writeTaskRecord(task)
+	if task.stage.GangScheduled {
+		s.abandonGangAttempt(now, task.stage, number)
 	}
-	for _, r := range t.attempts {
-		if !r.released {
+	for _, attempt := range task.attempts {
+		if !attempt.released {
 			return
 		}
 	}
-	s.enqueueAndBind(now, t)
+	s.enqueueAndBind(now, task)
 }
 
 // abandonGangAttempt notes that one run of a gang is given up. Its members end by themselves; inspectAttempts stops those that do not.
-func (s *Scheduler) abandonGangAttempt(now Now, stage *stageState, execution uint64) {
-	if execution <= stage.abandonedAttempt {
+func (s *Scheduler) abandonGangAttempt(now Now, stage *stageState, number uint64) {
+	if number <= stage.abandonedAttempt {
 		return
 	}
-	stage.abandonedAttempt = execution
+	stage.abandonedAttempt = number
 	stage.abandonedAt = now.Monotonic
 }
 
 // over ends a run that is certainly not under way any more, without an end listed.
-func (s *Scheduler) endAttempt(now Now, r *attemptState) {
-	t := r.task
-	s.removeAttempt(r)
-	if t.done || t.stage.job.ended {
+func (s *Scheduler) endAttempt(now Now, attempt *attemptState) {
+	task := attempt.task
+	s.removeAttempt(attempt)
+	if task.done || task.stage.job.ended {
 		return
 	}
-	if r.checkpoint != "" {
-		t.recordCheckpoint(r.checkpoint)
+	if attempt.checkpoint != "" {
+		task.recordCheckpoint(attempt.checkpoint)
 	}
-	s.retry(now, t, r.number)
+	s.retry(now, task, attempt.number)
 }
 
 // removeAttempt forgets a run.
-func (s *Scheduler) removeAttempt(r *attemptState) {
-	sr := r.worker
-	if sr.attempts[r.task.id] != r {
+func (s *Scheduler) removeAttempt(attempt *attemptState) {
+	worker := attempt.worker
+	if worker.attempts[attempt.task.id] != attempt {
 		return
 	}
-	delete(sr.attempts, r.task.id)
-	sr.used = sr.used.Subtract(r.task.stage.Resources)
-	r.task.attempts = slices.DeleteFunc(r.task.attempts, func(other *attemptState) bool { return other == r })
+	delete(worker.attempts, attempt.task.id)
+	worker.used = worker.used.Subtract(attempt.task.stage.Resources)
+	attempt.task.attempts = slices.DeleteFunc(attempt.task.attempts, func(other *attemptState) bool { return other == attempt })
 	s.orderStale = true
 }
 
 // HandleStartResult takes what became of a start.
 func (s *Scheduler) HandleStartResult(now Now, result *workerclient.StartResult) {
-	sr := s.workers[result.Worker]
-	if sr == nil {
+	worker := s.workers[result.Worker]
+	if worker == nil {
 		return
 	}
-	r := sr.attempts[result.Order.Task]
-	if r == nil || r.number != result.Order.Execution {
+	attempt := worker.attempts[result.Order.Task]
+	if attempt == nil || attempt.number != result.Order.Execution {
 		return
 	}
 	switch result.Outcome {
 	case workerclient.Started:
-		r.confirmedAt = result.At
-		sr.window = min(maxWindow, sr.window+1)
+		attempt.confirmedAt = result.At
+		worker.window = min(maxWindow, worker.window+1)
 		return
 	case workerclient.Unclear:
-		r.startUnclearAt = result.At
+		attempt.startUnclearAt = result.At
 		return
 	case workerclient.RejectedFence:
 		return // this leadership is over
 	case workerclient.RejectedRoom:
-		sr.fullUntil = now.Monotonic.Add(backoffAfterFull)
+		worker.fullUntil = now.Monotonic.Add(backoffAfterFull)
 	case workerclient.Unhealthy:
-		sr.backoffUntil = now.Monotonic.Add(backoffAfterUnhealthy)
-		sr.failureRate += failureWeight * (1 - sr.failureRate)
+		worker.backoffUntil = now.Monotonic.Add(backoffAfterUnhealthy)
+		worker.failureRate += failureWeight * (1 - worker.failureRate)
 	case workerclient.RejectedInvalid:
-		r.task.avoidWorker(sr)
+		attempt.task.avoidWorker(worker)
 	}
-	r.task.backoffUntil = now.Monotonic.Add(backoffAfterFailedStart)
-	s.endAttempt(now, r)
+	attempt.task.backoffUntil = now.Monotonic.Add(backoffAfterFailedStart)
+	s.endAttempt(now, attempt)
 	s.dispatchNeeded = true
 }
 
 // HandleStopResult takes that a stop was answered: the run has ended or is ending, or will never begin.
 func (s *Scheduler) HandleStopResult(now Now, result *workerclient.StopResult) {
-	sr := s.workers[result.Worker]
-	if sr == nil || !result.Answered {
+	worker := s.workers[result.Worker]
+	if worker == nil || !result.Answered {
 		return
 	}
-	if r := sr.attempts[result.Order.Task]; r != nil && r.number == result.Order.Execution {
-		r.stopConfirmedAt = result.At
+	if attempt := worker.attempts[result.Order.Task]; attempt != nil && attempt.number == result.Order.Execution {
+		attempt.stopConfirmedAt = result.At
 	}
 }
 
 // SetReachable takes whether a worker answers.
 func (s *Scheduler) SetReachable(now Now, id workerclient.WorkerID, reachable bool) {
-	sr := s.workers[id]
-	if sr == nil {
+	worker := s.workers[id]
+	if worker == nil {
 		return
 	}
-	sr.reachable = reachable
+	worker.reachable = reachable
 	if !reachable {
-		for _, r := range sr.sortedAttempts() {
-			s.releaseTask(now, r)
+		for _, attempt := range worker.sortedAttempts() {
+			s.releaseTask(now, attempt)
 		}
-		s.rebindTasks(now, sr)
+		s.rebindTasks(now, worker)
 	}
 	s.dispatchNeeded = true
 }
 
 // releaseTask lets the task of an unreachable run start elsewhere at once, where copies may run side by side.
-func (s *Scheduler) releaseTask(now Now, r *attemptState) {
-	if !r.task.stage.AtLeastOnce || r.released || r.stopping || r.task.done || r.task.stage.GangScheduled {
+func (s *Scheduler) releaseTask(now Now, attempt *attemptState) {
+	if !attempt.task.stage.AtLeastOnce || attempt.released || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
 		return
 	}
-	r.released = true
-	s.retry(now, r.task, r.number)
+	attempt.released = true
+	s.retry(now, attempt.task, attempt.number)
 }
 
 // RemoveWorker takes that a worker's life is over: nothing runs there any more.
 func (s *Scheduler) RemoveWorker(now Now, id workerclient.WorkerID) {
-	sr := s.workers[id]
-	if sr == nil {
+	worker := s.workers[id]
+	if worker == nil {
 		return
 	}
-	s.endAllAttempts(now, sr)
+	s.endAllAttempts(now, worker)
 	s.removed[id] = true
-	s.forgetLatency(sr)
+	s.forgetLatency(worker)
 	delete(s.workers, id)
-	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == sr })
-	sr.reachable = false
-	s.rebindTasks(now, sr)
+	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == worker })
+	worker.reachable = false
+	s.rebindTasks(now, worker)
 	s.dispatchNeeded = true
 }
 
 // ExpireLease takes that everything granted to an unreachable worker under this leadership has run out.
 func (s *Scheduler) ExpireLease(now Now, id workerclient.WorkerID) {
-	sr := s.workers[id]
-	if sr == nil || sr.reachable || now.Monotonic.Before(s.inheritedLeaseEnd(sr)) {
+	worker := s.workers[id]
+	if worker == nil || worker.reachable || now.Monotonic.Before(s.inheritedLeaseEnd(worker)) {
 		return
 	}
-	if len(sr.attempts) > 0 {
-		s.endAllAttempts(now, sr)
+	if len(worker.attempts) > 0 {
+		s.endAllAttempts(now, worker)
 		s.dispatchNeeded = true
 	}
 }
 
 // inheritedLeaseEnd is when everything that earlier leaderships granted to a worker has run out.
-func (s *Scheduler) inheritedLeaseEnd(sr *workerState) time.Time {
-	hold := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
-	if !sr.fencedAt.IsZero() {
-		return sr.fencedAt.Add(hold)
+func (s *Scheduler) inheritedLeaseEnd(worker *workerState) time.Time {
+	lease := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
+	if !worker.fencedAt.IsZero() {
+		return worker.fencedAt.Add(lease)
 	}
-	return s.startedAt.Add(LateCommandWindow + hold)
+	return s.startedAt.Add(LateCommandWindow + lease)
 }
 
 // endAllAttempts ends all runs at a worker.
-func (s *Scheduler) endAllAttempts(now Now, sr *workerState) {
-	for _, r := range sr.sortedAttempts() {
-		s.endAttempt(now, r)
+func (s *Scheduler) endAllAttempts(now Now, worker *workerState) {
+	for _, attempt := range worker.sortedAttempts() {
+		s.endAttempt(now, attempt)
 	}
-	sr.orphans = nil
+	worker.orphans = nil
 }
 
 // sortedAttempts lists the runs in a stable order, so that the same events give the same effects.
-func (sr *workerState) sortedAttempts() []*attemptState {
-	runs := make([]*attemptState, 0, len(sr.attempts))
-	for _, r := range sr.attempts {
-		runs = append(runs, r)
+func (worker *workerState) sortedAttempts() []*attemptState {
+	attempts := make([]*attemptState, 0, len(worker.attempts))
+	for _, attempt := range worker.attempts {
+		attempts = append(attempts, attempt)
 	}
-	slices.SortFunc(runs, func(a, b *attemptState) int { return compareTaskIDs(a.task.id, b.task.id) })
-	return runs
+	slices.SortFunc(attempts, func(a, b *attemptState) int { return compareTaskIDs(a.task.id, b.task.id) })
+	return attempts
 }
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -112,9 +112,9 @@
 		}
 	}
 	for _, j := range s.jobsByArrival() {
-		for _, r := range j.repetitions {
-			if r != nil {
-				s.requeueTasks(now, r)
+		for _, repetition := range j.repetitions {
+			if repetition != nil {
+				s.requeueTasks(now, repetition)
 			}
 		}
 	}
@@ -139,11 +139,11 @@
 	if id.Index >= len(stage.tasks) {
 		return fmt.Errorf("task %v: its stage has no such task", id)
 	}
-	t := stage.tasks[id.Index]
-	t.attemptNumber, t.failedAttempts, t.checkpoint, t.hasRecord = record.AttemptNumber, record.FailedAttempts, record.Checkpoint, true
+	task := stage.tasks[id.Index]
+	task.attemptNumber, task.failedAttempts, task.checkpoint, task.hasRecord = record.AttemptNumber, record.FailedAttempts, record.Checkpoint, true
 	j.started = true
 	if record.Done {
-		t.done = true
+		task.done = true
 		stage.incompleteTasks--
 		if stage.incompleteTasks == 0 {
 			stage.repetition.incompleteStages--
@@ -151,30 +151,30 @@
 		return nil
 	}
 	if record.Worker != "" {
-		sr := s.workers[record.Worker]
-		if sr == nil {
-			sr = s.addWorker(record.Worker)
+		worker := s.workers[record.Worker]
+		if worker == nil {
+			worker = s.addWorker(record.Worker)
 		}
-		r := &attemptState{task: t, worker: sr, number: record.AttemptNumber, inherited: true, assignedAt: s.startedAt}
-		t.attempts = append(t.attempts, r)
-		sr.attempts[t.id] = r
-		sr.used = sr.used.Add(stage.Resources)
+		attempt := &attemptState{task: task, worker: worker, number: record.AttemptNumber, inherited: true, assignedAt: s.startedAt}
+		task.attempts = append(task.attempts, attempt)
+		worker.attempts[task.id] = attempt
+		worker.used = worker.used.Add(stage.Resources)
 	}
 	return nil
 }
 
 // requeueTasks lets the tasks wait of stages whose turn has come and that have no run under way.
-func (s *Scheduler) requeueTasks(now Now, r *repetitionState) {
-	for _, stage := range r.stages {
-		if !r.areComplete(stage.DependsOn) {
+func (s *Scheduler) requeueTasks(now Now, repetition *repetitionState) {
+	for _, stage := range repetition.stages {
+		if !repetition.areComplete(stage.DependsOn) {
 			continue
 		}
 		if stage.tasks == nil {
 			stage.createTasks()
 		}
-		for _, t := range stage.tasks {
-			if len(t.attempts) == 0 {
-				s.enqueueAndBind(now, t)
+		for _, task := range stage.tasks {
+			if len(task.attempts) == 0 {
+				s.enqueueAndBind(now, task)
 			}
 		}
 	}
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -161,13 +161,13 @@
 func (s *Scheduler) Pending(route string) int { return s.pendingByRoute[route] }
 
 // StillWanted tells whether a start that has become durable is still to be sent.
-func (s *Scheduler) StillWanted(id workerclient.WorkerID, order *workerclient.StartOrder) bool {
-	sr := s.workers[id]
-	if sr == nil {
+func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartOrder) bool {
+	worker := s.workers[id]
+	if worker == nil {
 		return false
 	}
-	r := sr.attempts[order.Task]
-	return r != nil && r.number == order.Execution && !r.stopping
+	attempt := worker.attempts[command.Task]
+	return attempt != nil && attempt.number == command.Execution && !attempt.stopping
 }
 
 // Tick does what is due by time alone.
@@ -207,8 +207,8 @@
 }
 
 // scheduleRepetition notes when a job's next repetition begins.
-func (s *Scheduler) scheduleRepetition(j *jobState, due int64) {
-	j.nextDueMS = due
+func (s *Scheduler) scheduleRepetition(j *jobState, dueMS int64) {
+	j.nextDueMS = dueMS
 	s.scheduled[j] = true
 	s.nextDueStale = true
 }
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -120,10 +120,10 @@
 	return j.Specification.FirstRunMS + int64(number)*j.Specification.IntervalMS
 }
 
-func (sr *workerState) free() job.Resources { return sr.Capacity.Subtract(sr.used) }
+func (worker *workerState) free() job.Resources { return worker.Capacity.Subtract(worker.used) }
 
-func (sr *workerState) hasLabel(label string) bool {
-	for _, own := range sr.Labels {
+func (worker *workerState) hasLabel(label string) bool {
+	for _, own := range worker.Labels {
 		if own == label {
 			return true
 		}
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -80,12 +80,12 @@
 	if err := g.store.Write(changes...); err != nil {
 		panic(err)
 	}
-	for _, order := range effects.Commands {
-		if order.Start == nil {
+	for _, command := range effects.Commands {
+		if command.Start == nil {
 			continue
 		}
-		g.at[order.Start.Task], g.execution[order.Start.Task] = order.Worker, order.Start.Execution
-		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: order.Worker, Order: *order.Start, Outcome: workerclient.Started, At: g.now})
+		g.at[command.Start.Task], g.execution[command.Start.Task] = command.Worker, command.Start.Execution
+		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: command.Worker, Order: *command.Start, Outcome: workerclient.Started, At: g.now})
 	}
 }
 
@@ -100,7 +100,7 @@
 	g.proceed()
 }
 
-// end reports that a task's newest run has ended.
+// completion reports that a task's newest run has ended.
 func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
 	at := g.at[task]
@@ -198,19 +198,19 @@
 		line("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
 			q.Route, q.Service, q.Priority, q.MaxAttempts, q.Extension, q.TargetLatencyMS, q.Guards)
 		line("  specification: %s", specification)
-		for number, r := range j.repetitions {
-			if r == nil {
+		for number, repetition := range j.repetitions {
+			if repetition == nil {
 				line("  repetition %d: complete", number)
 				continue
 			}
-			accountOfRepetition(line, r)
+			accountOfRepetition(line, repetition)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
 		line("job %s: ended as %s at %d", id, s.ended[id].State, s.ended[id].EndedMS)
 	}
-	for _, w := range s.sortedWorkers {
-		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", w.ID, len(w.attempts), w.used.Processors, w.used.MemoryMB, w.used.Accelerators)
+	for _, worker := range s.sortedWorkers {
+		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", worker.ID, len(worker.attempts), worker.used.Processors, worker.used.MemoryMB, worker.used.Accelerators)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		d := s.operatorDrains[id]
@@ -219,13 +219,13 @@
 	return text.String()
 }
 
-func accountOfRepetition(line func(format string, values ...any), r *repetitionState) {
-	line("  repetition %d: stages left %d", r.number, r.incompleteStages)
-	for _, stage := range r.stages {
+func accountOfRepetition(line func(format string, values ...any), repetition *repetitionState) {
+	line("  repetition %d: stages left %d", repetition.number, repetition.incompleteStages)
+	for _, stage := range repetition.stages {
 		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
-		for _, t := range stage.tasks {
-			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", t.id, t.attemptNumber, t.failedAttempts, t.checkpoint, t.done)
-			for _, run := range slices.SortedFunc(slices.Values(t.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
+		for _, task := range stage.tasks {
+			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", task.id, task.attemptNumber, task.failedAttempts, task.checkpoint, task.done)
+			for _, run := range slices.SortedFunc(slices.Values(task.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
 				line("        run %d at %s, inherited %v", run.number, run.worker.ID, run.inherited)
 			}
 		}
--- a/internal/jobs/scheduler/summary.go
+++ b/internal/jobs/scheduler/summary.go
@@ -29,32 +29,32 @@
 			summary.Gangs++
 		}
 	}
-	for _, sr := range s.sortedWorkers {
-		summary.add(s, now, sr)
+	for _, worker := range s.sortedWorkers {
+		summary.add(s, now, worker)
 	}
 	return summary
 }
 
-func (summary *Load) add(s *Scheduler, now Now, sr *workerState) {
-	summary.Running += len(sr.attempts)
-	for _, r := range sr.attempts {
-		if r.stopping {
+func (summary *Load) add(s *Scheduler, now Now, worker *workerState) {
+	summary.Running += len(worker.attempts)
+	for _, attempt := range worker.attempts {
+		if attempt.stopping {
 			summary.Stopping++
 		}
 	}
-	if !sr.reachable {
+	if !worker.reachable {
 		summary.Unreachable++
 		return
 	}
-	if sr.Draining {
+	if worker.Draining {
 		return
 	}
-	summary.Capacity = summary.Capacity.Add(sr.Capacity)
-	summary.Used = summary.Used.Add(sr.used)
-	if s.isOpen(now, sr) {
+	summary.Capacity = summary.Capacity.Add(worker.Capacity)
+	summary.Used = summary.Used.Add(worker.used)
+	if s.isOpen(now, worker) {
 		summary.Workers++
 	}
-	if float64(len(sr.attempts)) >= sr.window {
+	if float64(len(worker.attempts)) >= worker.window {
 		summary.Windows++
 	}
 }
--- a/internal/jobs/scheduler/why.go
+++ b/internal/jobs/scheduler/why.go
@@ -20,11 +20,11 @@
 		return why, true
 	}
 	s.orderQueue(now)
-	for _, r := range j.repetitions {
-		if r == nil {
+	for _, repetition := range j.repetitions {
+		if repetition == nil {
 			continue
 		}
-		for _, stage := range r.stages {
+		for _, stage := range repetition.stages {
 			s.explainStage(now, &why, stage)
 		}
 	}
@@ -69,15 +69,15 @@
 		AgeMS: now.Monotonic.Sub(stage.waitingSince).Milliseconds(), Ahead: max(0, slices.Index(s.waitingStages, stage)),
 	}
 	open := 0
-	for _, sr := range s.sortedWorkers {
-		cause := s.exclusionCause(now, stage, sr)
+	for _, worker := range s.sortedWorkers {
+		cause := s.exclusionCause(now, stage, worker)
 		if cause != "" {
-			waiting.Excluded = addExcluded(waiting.Excluded, cause, string(sr.ID))
+			waiting.Excluded = addExcluded(waiting.Excluded, cause, string(worker.ID))
 			continue
 		}
 		open++
 		if len(waiting.Open) < maxNamedWorkers {
-			waiting.Open = append(waiting.Open, string(sr.ID))
+			waiting.Open = append(waiting.Open, string(worker.ID))
 		}
 	}
 	waiting.Reason = s.waitingReason(now, stage, open)
@@ -102,8 +102,8 @@
 // of its members.
 func isBackingOff(now Now, stage *stageState) bool {
 	paused := 0
-	for _, t := range stage.waiting {
-		if now.Monotonic.Before(t.backoffUntil) {
+	for _, task := range stage.waiting {
+		if now.Monotonic.Before(task.backoffUntil) {
 			paused++
 		}
 	}
@@ -113,11 +113,11 @@
 // placeableMembers counts the members of a gang that could start at once.
 func (s *Scheduler) placeableMembers(now Now, stage *stageState) int {
 	members := 0
-	for _, sr := range s.sortedWorkers {
-		if !s.isOpen(now, sr) {
+	for _, worker := range s.sortedWorkers {
+		if !s.isOpen(now, worker) {
 			continue
 		}
-		for planned := 0; members < stage.Count && s.admits(stage, sr, planned); planned++ {
+		for planned := 0; members < stage.Count && s.admits(stage, worker, planned); planned++ {
 			members++
 		}
 	}
@@ -125,47 +125,47 @@
 }
 
 // exclusionCause is the first cause for which a worker does not take a task of a stage now; empty if it could.
-func (s *Scheduler) exclusionCause(now Now, stage *stageState, sr *workerState) jobreport.Cause {
-	if s.isOpen(now, sr) && s.admits(stage, sr, 0) {
+func (s *Scheduler) exclusionCause(now Now, stage *stageState, worker *workerState) jobreport.Cause {
+	if s.isOpen(now, worker) && s.admits(stage, worker, 0) {
 		return ""
 	}
-	if cause := s.ineligibilityCause(stage, sr); cause != "" {
+	if cause := s.ineligibilityCause(stage, worker); cause != "" {
 		return cause
 	}
 	switch {
-	case !sr.inInventory:
+	case !worker.inInventory:
 		return jobreport.CauseUnlisted
-	case !sr.reachable:
+	case !worker.reachable:
 		return jobreport.CauseUnreachable
-	case sr.fencedAt.IsZero():
+	case worker.fencedAt.IsZero():
 		return jobreport.CauseNotFenced
-	case len(sr.orphans) > 0:
+	case len(worker.orphans) > 0:
 		return jobreport.CauseOrphans
-	case s.isBackingOff(now, sr):
+	case s.isBackingOff(now, worker):
 		return jobreport.CauseBackoff
-	case float64(len(sr.attempts)) >= sr.window:
+	case float64(len(worker.attempts)) >= worker.window:
 		return jobreport.CauseWindow
-	case !sr.free().Fits(stage.Resources):
+	case !worker.free().Fits(stage.Resources):
 		return jobreport.CauseCapacity
-	case stage.AntiAffinity > 0 && sr.attemptsOfStage(stage) >= stage.AntiAffinity:
+	case stage.AntiAffinity > 0 && worker.attemptsOfStage(stage) >= stage.AntiAffinity:
 		return jobreport.CauseAntiAffinity
 	}
 	return jobreport.CauseOther
 }
 
 // ineligibilityCause is why a worker does not suit a stage whatever its load.
-func (s *Scheduler) ineligibilityCause(stage *stageState, sr *workerState) jobreport.Cause {
+func (s *Scheduler) ineligibilityCause(stage *stageState, worker *workerState) jobreport.Cause {
 	for _, label := range stage.Requirements {
-		if !sr.hasLabel(label) {
+		if !worker.hasLabel(label) {
 			return jobreport.CauseLabel
 		}
 	}
 	switch {
-	case !sr.Capacity.Fits(stage.Resources):
+	case !worker.Capacity.Fits(stage.Resources):
 		return jobreport.CauseSize
-	case sr.Draining:
+	case worker.Draining:
 		return jobreport.CauseDraining
-	case s.operatorDrains.isDraining(sr.ID):
+	case s.operatorDrains.isDraining(worker.ID):
 		return jobreport.CauseOperatorDraining
 	}
 	return ""
--- a/internal/jobs/scheduler/world_test.go
+++ b/internal/jobs/scheduler/world_test.go
@@ -190,23 +190,23 @@
 	if !w.lostRecord {
 		w.apply(effects.Entries)
 	}
-	for _, order := range effects.Commands {
-		m := w.machine(order.Worker)
+	for _, command := range effects.Commands {
+		m := w.machine(command.Worker)
 		if m == nil {
 			continue
 		}
-		if order.Stop != nil {
-			w.sendStop(m, *order.Stop, w.epoch, w.scheduler)
+		if command.Stop != nil {
+			w.sendStop(m, *command.Stop, w.epoch, w.scheduler)
 			continue
 		}
-		if w.scheduler.StillWanted(order.Worker, order.Start) {
-			w.sendStart(m, *order.Start, w.epoch, w.scheduler)
+		if w.scheduler.StillWanted(command.Worker, command.Start) {
+			w.sendStart(m, *command.Start, w.epoch, w.scheduler)
 		}
 	}
-	for _, noted := range effects.Acknowledgements {
-		m := w.machine(noted.Worker)
+	for _, acknowledgement := range effects.Acknowledgements {
+		m := w.machine(acknowledgement.Worker)
 		if m != nil && !m.cut && m.up {
-			w.acknowledge(m, noted.CompletionNumber)
+			w.acknowledge(m, acknowledgement.CompletionNumber)
 		}
 	}
 }
@@ -222,18 +222,18 @@
 }
 
 func (w *world) acknowledge(m *machine, number uint64) {
-	for _, end := range m.ends {
-		if end.Number > number || end.Number <= m.lastSeen {
+	for _, completion := range m.ends {
+		if completion.Number > number || completion.Number <= m.lastSeen {
 			continue
 		}
-		facts := w.facts(end.Task)
-		facts.doneNoted = facts.doneNoted || end.How == job.OutcomeDone
-		if end.How == job.OutcomeFailed {
-			facts.failNoted[end.Execution] = true
+		facts := w.facts(completion.Task)
+		facts.doneNoted = facts.doneNoted || completion.How == job.OutcomeDone
+		if completion.How == job.OutcomeFailed {
+			facts.failNoted[completion.Execution] = true
 		}
 	}
 	m.lastSeen = max(m.lastSeen, number)
-	m.ends = slices.DeleteFunc(m.ends, func(end workerclient.FinishedTask) bool { return end.Number <= m.lastSeen })
+	m.ends = slices.DeleteFunc(m.ends, func(completion workerclient.FinishedTask) bool { return completion.Number <= m.lastSeen })
 }
 
 func (w *world) facts(id job.TaskID) *taskFacts {
@@ -243,8 +243,8 @@
 	return w.tasks[id]
 }
 
-func (w *world) sendStart(m *machine, order workerclient.StartOrder, epoch uint64, sender *Scheduler) {
-	result := workerclient.StartResult{Worker: m.ID, Order: order, Outcome: workerclient.Unclear}
+func (w *world) sendStart(m *machine, command workerclient.StartOrder, epoch uint64, sender *Scheduler) {
+	result := workerclient.StartResult{Worker: m.ID, Order: command, Outcome: workerclient.Unclear}
 	wait := time.Duration(w.random.IntN(30)) * time.Millisecond
 	if m.cut || !m.up {
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
@@ -253,12 +253,12 @@
 	validUntil := w.now + w.settings.MaxLease
 	if w.random.Float64() < w.lateShare {
 		late := 2*time.Second + time.Duration(w.random.Int64N(int64(10*time.Second)))
-		w.after(late, func() { w.carryOut(m, order, epoch, validUntil, true) })
+		w.after(late, func() { w.carryOut(m, command, epoch, validUntil, true) })
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
 		return
 	}
 	w.after(wait, func() {
-		result.Outcome = w.carryOut(m, order, epoch, validUntil, false)
+		result.Outcome = w.carryOut(m, command, epoch, validUntil, false)
 		w.after(5*time.Millisecond, func() { w.startResult(result, sender) })
 	})
 }
@@ -277,7 +277,7 @@
 }
 
 // carryOut carries a start out at a machine, as a worker does.
-func (w *world) carryOut(m *machine, order workerclient.StartOrder, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
+func (w *world) carryOut(m *machine, command workerclient.StartOrder, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
 	if !m.up {
 		return workerclient.Unclear
 	}
@@ -288,32 +288,32 @@
 	if m.holdUntil = max(m.holdUntil, min(validUntil, w.now+w.settings.MaxLease)); validUntil <= w.now {
 		return workerclient.RejectedLate
 	}
-	if order.Execution <= m.closed[order.Task] {
+	if command.Execution <= m.closed[command.Task] {
 		return workerclient.RejectedOld
 	}
-	if already := m.running[order.Task]; already != nil {
+	if already := m.running[command.Task]; already != nil {
 		return workerclient.Started
 	}
-	facts := w.jobs[order.Task.Job]
+	facts := w.jobs[command.Task.Job]
 	if facts == nil {
-		w.violation("UNASKED %v", order.Task)
+		w.violation("UNASKED %v", command.Task)
 		return workerclient.RejectedInvalid
 	}
-	stage := &facts.request.Specification.Stages[order.Task.Stage]
+	stage := &facts.request.Specification.Stages[command.Task.Stage]
 	if !m.free(w).Fits(stage.Resources) {
-		w.violation("LIMIT %v at %s", order.Task, m.ID)
+		w.violation("LIMIT %v at %s", command.Task, m.ID)
 		return workerclient.RejectedRoom
 	}
-	w.judge(m, order, facts, stage, late)
-	length := facts.lengths[order.Task]
-	run := &execution{number: order.Execution, how: job.OutcomeDone, began: w.now, length: length, ends: w.now + length}
+	w.judge(m, command, facts, stage, late)
+	length := facts.lengths[command.Task]
+	run := &execution{number: command.Execution, how: job.OutcomeDone, began: w.now, length: length, ends: w.now + length}
 	if facts.poison || m.failing {
 		run.how, run.ends = job.OutcomeFailed, w.now+length/2
 	}
 	if stage.LongRunning {
 		run.ends = w.now + time.Hour
 	}
-	m.running[order.Task] = run
+	m.running[command.Task] = run
 	return workerclient.Started
 }
 
@@ -330,8 +330,8 @@
 }
 
 // outcomeOf checks one start. Promises with a time bound do not cover starts that a worker carried out late.
-func (w *world) judge(m *machine, order workerclient.StartOrder, facts *jobFacts, stage *job.Stage, late bool) {
-	id := order.Task
+func (w *world) judge(m *machine, command workerclient.StartOrder, facts *jobFacts, stage *job.Stage, late bool) {
+	id := command.Task
 	own := w.facts(id)
 	if !stage.AtLeastOnce {
 		for _, other := range w.machines {
@@ -353,7 +353,7 @@
 			}
 		}
 	}
-	if due := facts.request.Specification.FirstRunMS + int64(id.Repetition)*facts.request.Specification.IntervalMS; due > w.clock().WallMS+250 {
+	if dueMS := facts.request.Specification.FirstRunMS + int64(id.Repetition)*facts.request.Specification.IntervalMS; dueMS > w.clock().WallMS+250 {
 		w.violation("ORDER %v starts before its time", id)
 	}
 	for _, label := range stage.Requirements {
@@ -373,34 +373,34 @@
 	if !late && facts.cancelledAt > 0 && w.now > facts.cancelledAt+3*time.Second {
 		w.violation("UNASKED %v starts after it was cancelled", id)
 	}
-	if order.Execution <= own.executions && !stage.AtLeastOnce {
-		w.violation("execution %d of %v does not rise", order.Execution, id)
+	if command.Execution <= own.executions && !stage.AtLeastOnce {
+		w.violation("execution %d of %v does not rise", command.Execution, id)
 	}
-	own.executions = max(own.executions, order.Execution)
+	own.executions = max(own.executions, command.Execution)
 }
 
-func (w *world) sendStop(m *machine, order workerclient.StopOrder, epoch uint64, sender *Scheduler) {
+func (w *world) sendStop(m *machine, command workerclient.StopOrder, epoch uint64, sender *Scheduler) {
 	w.after(10*time.Millisecond, func() {
 		if sender != w.scheduler {
 			return
 		}
 		if m.cut || !m.up {
-			w.sendStop(m, order, epoch, sender) // until it is answered
+			w.sendStop(m, command, epoch, sender) // until it is answered
 			return
 		}
 		if epoch >= m.fence {
 			m.fence = epoch
-			if run := m.running[order.Task]; run != nil && run.number <= order.Execution {
-				w.end(m, order.Task, job.OutcomeStopped)
+			if run := m.running[command.Task]; run != nil && run.number <= command.Execution {
+				w.end(m, command.Task, job.OutcomeStopped)
 			}
-			m.closed[order.Task] = max(m.closed[order.Task], order.Execution)
+			m.closed[command.Task] = max(m.closed[command.Task], command.Execution)
 		}
-		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Order: order, Answered: true, At: w.clock().Monotonic})
+		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Order: command, Answered: true, At: w.clock().Monotonic})
 		w.propose()
 	})
 }
 
-// end ends a run and, as its workers do, the other members of its gang.
+// completion ends a run and, as its workers do, the other members of its gang.
 func (w *world) end(m *machine, id job.TaskID, how job.Outcome) {
 	run := m.running[id]
 	delete(m.running, id)
