--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -127,7 +127,7 @@
 	manager, err := replicaset.NewManager(replicaset.Config{
 		Self: m.address, Seeds: c.first.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
 		Succession: succession, Logger: zap.NewNop(),
-		Contacts: func() replicaset.Contacts { return c.contacts(m) },
+		Liveness: func() replicaset.Liveness { return c.contacts(m) },
 	})
 	if err != nil {
 		c.t.Error(err)
@@ -179,20 +179,20 @@
 func (m *machine) ready() bool { return m.store.alive() && m.rebuilder.Ready() }
 
 // contacts is what a machine knows of the others by the messages that it has heard.
-func (c *modelCluster) contacts(m *machine) replicaset.Contacts {
+func (c *modelCluster) contacts(m *machine) replicaset.Liveness {
 	view := m.manager.View()
-	contacts, heard := replicaset.Contacts{Silence: make(map[string]time.Duration)}, 1
+	contacts, heard := replicaset.Liveness{SinceHeard: make(map[string]time.Duration)}, 1
 	for _, member := range view.Members {
 		silence, found := c.network.silence(m.address, member)
 		if member == m.address || !found {
 			continue
 		}
-		contacts.Silence[member] = silence
+		contacts.SinceHeard[member] = silence
 		if silence < contactFresh {
 			heard++
 		}
 	}
-	contacts.Majority = heard >= view.Quorum()
+	contacts.QuorumReachable = heard >= view.Quorum()
 	return contacts
 }
 
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -127,7 +127,7 @@
 	c.views, err = replicaset.NewManager(replicaset.Config{
 		Self: self, Zone: c.settings.Zone, Seeds: c.settings.SeedInternalAddresses(), FirstStart: c.settings.FirstStart,
 		CountsForQuorum: true, Store: c.store, Caller: c.caller, Logger: c.log,
-		Founding: founding, Succession: succession, Contacts: c.contacts,
+		Founding: founding, Succession: succession, Liveness: c.contacts,
 	})
 	if err != nil {
 		return fmt.Errorf("replica set: %w", err)
@@ -139,11 +139,11 @@
 }
 
 // contacts tells how long the other members have been silent.
-func (c *Coordinator) contacts() replicaset.Contacts {
-	contacts := replicaset.Contacts{Majority: c.node.InContact(), Silence: make(map[string]time.Duration)}
+func (c *Coordinator) contacts() replicaset.Liveness {
+	contacts := replicaset.Liveness{QuorumReachable: c.node.InContact(), SinceHeard: make(map[string]time.Duration)}
 	for _, member := range c.node.Members() {
 		if member.Heard {
-			contacts.Silence[member.Address] = member.HeardAgo
+			contacts.SinceHeard[member.Address] = member.HeardAgo
 		}
 	}
 	return contacts
--- a/internal/controlplane/rebuild/copies.go
+++ b/internal/controlplane/rebuild/copies.go
@@ -14,24 +14,24 @@
 	// chunkBytes is about the most that one message carries of a copy; only a single entry may be larger. It takes 0.7 s on
 	// a link of 3 Mbit/s.
 	chunkBytes = 256 << 10
-	// chunkLimit bounds all calls for a part, until the copy is begun anew.
-	chunkLimit = 10 * time.Second
-	// entryBytes is what an entry costs beside its names and value, roughly.
-	entryBytes = 16
+	// chunkTimeout bounds all calls for a part, until the copy is begun anew.
+	chunkTimeout = 10 * time.Second
+	// entryOverheadBytes is what an entry costs beside its names and value, roughly.
+	entryOverheadBytes = 16
 )
 
-// errCopyGone is the refusal of a part of a copy that this process does not hold: it was given to the end, or was made by
+// errNoSnapshot is the refusal of a part of a copy that this process does not hold: it was given to the end, or was made by
 // an earlier process.
-var errCopyGone = errors.New("there is no such copy any more")
+var errNoSnapshot = errors.New("there is no such copy any more")
 
 // copies holds what this member is giving to others that rebuild, one copy each.
-type copies struct {
-	mutex    sync.Mutex
-	byMember map[string]copyInChunks
+type outgoingSnapshots struct {
+	mutex      sync.Mutex
+	byReceiver map[string]chunkedSnapshot
 }
 
-// copyInChunks is a copy of all tables as of one moment.
-type copyInChunks struct {
+// chunkedSnapshot is a copy of all tables as of one moment.
+type chunkedSnapshot struct {
 	attempt uint64 // the asker's number
 	number  uint64 // this process's, so that no part of another process's copy is taken for one
 	chunks  [][]storage.Change
@@ -39,44 +39,44 @@
 
 // first returns the first part of a copy for a member. The copy is made where this is a new attempt of the member's, and
 // takes the place of that for the earlier one.
-func (c *copies) first(request dumpRequest, snapshot func() storage.Tables) dumpReply {
+func (c *outgoingSnapshots) first(request dumpRequest, take func() storage.Tables) dumpReply {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held, found := c.byMember[request.Member]
-	if !found || held.attempt != request.Attempt || held.chunks[0] == nil {
-		held = copyInChunks{attempt: request.Attempt, number: rand.Uint64(), chunks: split(snapshot(), chunkBytes)}
-		if c.byMember == nil {
-			c.byMember = make(map[string]copyInChunks)
+	snapshot, found := c.byReceiver[request.Member]
+	if !found || snapshot.attempt != request.Attempt || snapshot.chunks[0] == nil {
+		snapshot = chunkedSnapshot{attempt: request.Attempt, number: rand.Uint64(), chunks: splitIntoChunks(take(), chunkBytes)}
+		if c.byReceiver == nil {
+			c.byReceiver = make(map[string]chunkedSnapshot)
 		}
-		c.byMember[request.Member] = held
+		c.byReceiver[request.Member] = snapshot
 	}
-	return held.reply(0)
+	return snapshot.reply(0)
 }
 
 // chunk returns a later part. The last one stays until the next copy, as its answer may be lost.
-func (c *copies) chunk(request dumpRequest) (dumpReply, error) {
+func (c *outgoingSnapshots) chunk(request dumpRequest) (dumpReply, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held := c.byMember[request.Member]
-	if held.number != request.Copy || request.Chunk >= uint32(len(held.chunks)) || held.chunks[request.Chunk] == nil {
-		return dumpReply{}, rpcerror.WrapNotExecuted(errCopyGone, notReadyRetry)
+	snapshot := c.byReceiver[request.Member]
+	if snapshot.number != request.Snapshot || request.Chunk >= uint32(len(snapshot.chunks)) || snapshot.chunks[request.Chunk] == nil {
+		return dumpReply{}, rpcerror.WrapNotExecuted(errNoSnapshot, notReadyRetryAfter)
 	}
-	for earlier := range held.chunks[:request.Chunk] {
-		held.chunks[earlier] = nil // was received, as a later one is asked for
+	for earlier := range snapshot.chunks[:request.Chunk] {
+		snapshot.chunks[earlier] = nil // was received, as a later one is asked for
 	}
-	return held.reply(request.Chunk), nil
+	return snapshot.reply(request.Chunk), nil
 }
 
-func (c copyInChunks) reply(chunk uint32) dumpReply {
-	return dumpReply{Copy: c.number, Chunks: uint32(len(c.chunks)), Entries: c.chunks[chunk]}
+func (c chunkedSnapshot) reply(chunk uint32) dumpReply {
+	return dumpReply{Snapshot: c.number, Chunks: uint32(len(c.chunks)), Entries: c.chunks[chunk]}
 }
 
-// split cuts tables into parts of about a number of bytes. There is always one part, which may be empty.
-func split(tables storage.Tables, most int) [][]storage.Change {
+// splitIntoChunks cuts tables into parts of about a number of bytes. There is always one part, which may be empty.
+func splitIntoChunks(tables storage.Tables, most int) [][]storage.Change {
 	chunks, sum := [][]storage.Change{nil}, 0
 	for name, table := range tables {
 		for key, value := range table {
-			size := entryBytes + len(name) + len(key) + len(value)
+			size := entryOverheadBytes + len(name) + len(key) + len(value)
 			last := len(chunks) - 1
 			if sum+size > most && len(chunks[last]) > 0 {
 				chunks, last, sum = append(chunks, nil), last+1, 0
--- a/internal/controlplane/rebuild/dump.go
+++ b/internal/controlplane/rebuild/dump.go
@@ -18,8 +18,8 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// notReadyRetry is when a member that refuses a dump may be asked again.
-const notReadyRetry = 250 * time.Millisecond
+// notReadyRetryAfter is when a member that refuses a dump may be asked again.
+const notReadyRetryAfter = 250 * time.Millisecond
 
 var (
 	// errNotReady is the refusal of a member that is itself incomplete.
@@ -31,11 +31,11 @@
 
 // dumpRequest asks for a part of a copy of all replicated tables. Part 0 has the copy made, once for each attempt.
 type dumpRequest struct {
-	Member  string          `msgpack:"m"` // who asks
-	View    replicaset.View `msgpack:"v"` // that it works with
-	Attempt uint64          `msgpack:"a"` // a number of the asker's for all parts
-	Copy    uint64          `msgpack:"c"` // as the answer to part 0 named it; 0 with part 0
-	Chunk   uint32          `msgpack:"p"`
+	Member   string          `msgpack:"m"` // who asks
+	View     replicaset.View `msgpack:"v"` // that it works with
+	Attempt  uint64          `msgpack:"a"` // a number of the asker's for all parts
+	Snapshot uint64          `msgpack:"c"` // as the answer to part 0 named it; 0 with part 0
+	Chunk    uint32          `msgpack:"p"`
 }
 
 // Internal calls. Both only read: the copy is as of when it is made, and a part of it stays the same.
@@ -46,28 +46,28 @@
 
 // dumpReply is that part. The whole copy is of one moment after its giver learned the view.
 type dumpReply struct {
-	Copy    uint64           `msgpack:"c"`
-	Chunks  uint32           `msgpack:"n"`
-	Entries []storage.Change `msgpack:"e"`
+	Snapshot uint64           `msgpack:"c"`
+	Chunks   uint32           `msgpack:"n"`
+	Entries  []storage.Change `msgpack:"e"`
 }
 
 // Serve registers the internal calls by which others rebuild, and learn that this member is.
 func (r *Rebuilder) Serve(mux *transport.Mux) {
-	transport.Handle(mux, dumpCall, r.dump)
-	transport.Handle(mux, readyCall, r.tellReady)
+	transport.Handle(mux, dumpCall, r.handleDump)
+	transport.Handle(mux, readyCall, r.handleReady)
 }
 
-func (r *Rebuilder) dump(_ context.Context, request dumpRequest) (dumpReply, error) {
-	if !r.mayGive() {
-		return dumpReply{}, rpcerror.WrapNotExecuted(errNotReady, notReadyRetry)
+func (r *Rebuilder) handleDump(_ context.Context, request dumpRequest) (dumpReply, error) {
+	if !r.mayDonate() {
+		return dumpReply{}, rpcerror.WrapNotExecuted(errNotReady, notReadyRetryAfter)
 	}
 	if err := r.admit(request); err != nil {
-		return dumpReply{}, rpcerror.WrapNotExecuted(err, notReadyRetry)
+		return dumpReply{}, rpcerror.WrapNotExecuted(err, notReadyRetryAfter)
 	}
 	if request.Chunk > 0 {
-		return r.copies.chunk(request)
+		return r.outgoing.chunk(request)
 	}
-	return r.copies.first(request, func() storage.Tables {
+	return r.outgoing.first(request, func() storage.Tables {
 		tables := r.config.Store.Snapshot()
 		delete(tables, TableName)
 		delete(tables, replicaset.TableName)
@@ -83,74 +83,74 @@
 		}
 	}
 	view := r.config.Views.View()
-	if view.Version != request.View.Version || !view.Has(request.Member) || !r.mayGive() {
+	if view.Version != request.View.Version || !view.Has(request.Member) || !r.mayDonate() {
 		return fmt.Errorf("%w: version %d", errOtherView, view.Version)
 	}
 	return nil
 }
 
-// mayGive tells whether this process may give its copy: as a complete member, or as the complete member that the newest
+// mayDonate tells whether this process may give its copy: as a complete member, or as the complete member that the newest
 // view has replaced. The latter votes no more, so that its copy has all that it ever voted for.
-func (r *Rebuilder) mayGive() bool { return r.Ready() || r.gavePlace() }
+func (r *Rebuilder) mayDonate() bool { return r.Ready() || r.wasReplaced() }
 
-// gavePlace tells whether this process was complete in the view before the current one and gave its place in this.
-func (r *Rebuilder) gavePlace() bool {
+// wasReplaced tells whether this process was complete in the view before the current one and gave its place in this.
+func (r *Rebuilder) wasReplaced() bool {
 	view := r.config.Views.View()
 	absences := r.config.Views.Absences()
 	if absences == 0 || view.Replaced != r.config.Self || view.Has(r.config.Self) {
 		return false
 	}
-	mark := r.config.Store.Table(TableName)[completeKey]
-	return bytes.Equal(mark, completeMark(absences-1))
+	marker := r.config.Store.Table(TableName)[completeKey]
+	return bytes.Equal(marker, completeMarker(absences-1))
 }
 
-// givers are those that this member asks for copies: the other members, and the one whose place this very process took
+// donors are those that this member asks for copies: the other members, and the one whose place this very process took
 // with the view. A later process at the same address may have voted in the view and have lost that, which the replaced
 // member's copy would lack; so it asks the members alone.
-func (r *Rebuilder) givers(view replicaset.View) []string {
-	givers := slices.DeleteFunc(slices.Clone(view.Members), func(member string) bool { return member == r.config.Self })
-	if view.Replaced != "" && r.config.Incarnation != 0 && view.Entered == r.config.Incarnation {
-		givers = append(givers, view.Replaced)
+func (r *Rebuilder) donors(view replicaset.View) []string {
+	donors := slices.DeleteFunc(slices.Clone(view.Members), func(member string) bool { return member == r.config.Self })
+	if view.Replaced != "" && r.config.Incarnation != 0 && view.JoinedIncarnation == r.config.Incarnation {
+		donors = append(donors, view.Replaced)
 	}
-	return givers
+	return donors
 }
 
 // collectFrom asks the other members of a view until there are enough copies. It returns nil when the view changes or the
 // context ends before. A member that does not answer holds up no other.
 func (r *Rebuilder) collectFrom(ctx context.Context, view replicaset.View, changed <-chan struct{}, needed int) []storage.Tables {
 	ctx, cancel := context.WithCancel(ctx)
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var fetching sync.WaitGroup
+	defer fetching.Wait()
 	defer cancel()
-	givers := r.givers(view)
-	answers := make(chan storage.Tables, len(givers))
-	for _, giver := range givers {
-		asking.Go(func() { r.fetchUntilDone(ctx, giver, view, answers) })
+	donors := r.donors(view)
+	snapshots := make(chan storage.Tables, len(donors))
+	for _, donor := range donors {
+		fetching.Go(func() { r.fetchUntilDone(ctx, donor, view, snapshots) })
 	}
-	copies := make([]storage.Tables, 0, needed)
-	for len(copies) < needed {
+	collected := make([]storage.Tables, 0, needed)
+	for len(collected) < needed {
 		select {
-		case tables := <-answers:
-			copies = append(copies, tables)
+		case tables := <-snapshots:
+			collected = append(collected, tables)
 		case <-changed:
 			return nil
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	return copies
+	return collected
 }
 
 // fetchUntilDone asks one member until it gives a copy.
-func (r *Rebuilder) fetchUntilDone(ctx context.Context, member string, view replicaset.View, answers chan<- storage.Tables) {
+func (r *Rebuilder) fetchUntilDone(ctx context.Context, member string, view replicaset.View, snapshots chan<- storage.Tables) {
 	for ctx.Err() == nil {
 		tables, err := r.fetch(ctx, member, view)
 		if err == nil {
-			answers <- tables
+			snapshots <- tables
 			return
 		}
 		r.config.Logger.Debug("copy of a member's tables", zap.String("member", member), zap.Error(err))
-		sleep(ctx, askInterval)
+		sleep(ctx, fetchRetryInterval)
 	}
 }
 
@@ -163,7 +163,7 @@
 		if err != nil {
 			return nil, err
 		}
-		request.Copy, chunks = reply.Copy, reply.Chunks
+		request.Snapshot, chunks = reply.Snapshot, reply.Chunks
 		addEntries(tables, reply.Entries)
 	}
 	return tables, nil
@@ -178,29 +178,29 @@
 // fetchChunk gets one part. A request or an answer may have been lost without a sign, so another is asked for after a while,
 // though the first may still be on its way. A refusal is final.
 func (r *Rebuilder) fetchChunk(ctx context.Context, member string, request dumpRequest) (dumpReply, error) {
-	var open sync.WaitGroup
-	defer open.Wait()
-	ctx, cancel := context.WithTimeout(ctx, chunkLimit)
+	var calls sync.WaitGroup
+	defer calls.Wait()
+	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
-	results := make(chan chunkResult, openFetches)
-	ask := time.NewTimer(0)
-	defer ask.Stop()
-	for asked, failed := 0, 0; ; {
+	results := make(chan chunkResult, maxChunkCalls)
+	nextCall := time.NewTimer(0)
+	defer nextCall.Stop()
+	for sent, failed := 0, 0; ; {
 		select {
-		case <-ask.C:
-			asked++
-			open.Go(func() {
+		case <-nextCall.C:
+			sent++
+			calls.Go(func() {
 				reply, err := dumpCall.Call(ctx, r.config.Caller, member, request)
 				results <- chunkResult{reply, err}
 			})
-			if asked < openFetches {
-				ask.Reset(reaskInterval)
+			if sent < maxChunkCalls {
+				nextCall.Reset(hedgeDelay)
 			}
 		case result := <-results:
 			if result.err == nil || rpcerror.ExecutionOf(result.err) == rpcerror.NotExecuted {
 				return result.reply, result.err
 			}
-			if failed++; failed == openFetches {
+			if failed++; failed == maxChunkCalls {
 				return dumpReply{}, result.err
 			}
 		case <-ctx.Done():
--- a/internal/controlplane/rebuild/handover.go
+++ b/internal/controlplane/rebuild/handover.go
@@ -13,9 +13,9 @@
 
 const (
 	readyInterval = 100 * time.Millisecond // between questions whether a joining member has been rebuilt
-	readyLimit    = 500 * time.Millisecond // for one question
-	// rebuildingLimit is the same where members that are down are to hold up nothing.
-	rebuildingLimit = 200 * time.Millisecond
+	readyTimeout  = 500 * time.Millisecond // for one question
+	// rebuildingTimeout is the same where members that are down are to hold up nothing.
+	rebuildingTimeout = 200 * time.Millisecond
 )
 
 // readyRequest asks whether a process may vote as a member of the replicas.
@@ -25,7 +25,7 @@
 	Ready bool `msgpack:"r"`
 }
 
-func (r *Rebuilder) tellReady(context.Context, readyRequest) (readyReply, error) {
+func (r *Rebuilder) handleReady(context.Context, readyRequest) (readyReply, error) {
 	return readyReply{Ready: r.Ready() && r.config.Views.View().Has(r.config.Self)}, nil
 }
 
@@ -39,7 +39,7 @@
 		if leave(ctx) {
 			return r.awaitJoiningMembers(ctx, earlier)
 		}
-		if !r.someRebuild(ctx) {
+		if !r.anyRebuilding(ctx) {
 			return false // a joining member that waited may have another's place by now, and be rebuilt
 		}
 	}
@@ -48,24 +48,24 @@
 // awaitRebuilds waits while another member says that it is being rebuilt, as that one may need the copy of this. Members
 // that do not answer are not waited for.
 func (r *Rebuilder) awaitRebuilds(ctx context.Context) {
-	for r.someRebuild(ctx) && sleep(ctx, readyInterval) == nil {
+	for r.anyRebuilding(ctx) && sleep(ctx, readyInterval) == nil {
 	}
 }
 
-func (r *Rebuilder) someRebuild(ctx context.Context) bool {
-	var questions sync.WaitGroup
+func (r *Rebuilder) anyRebuilding(ctx context.Context) bool {
+	var calls sync.WaitGroup
 	var rebuilding atomic.Bool
 	for _, member := range r.config.Views.View().Members {
 		if member == r.config.Self {
 			continue
 		}
-		questions.Go(func() {
-			if ready, err := r.askReady(ctx, member, rebuildingLimit); err == nil && !ready {
+		calls.Go(func() {
+			if ready, err := r.requestReady(ctx, member, rebuildingTimeout); err == nil && !ready {
 				rebuilding.Store(true)
 			}
 		})
 	}
-	questions.Wait()
+	calls.Wait()
 	return rebuilding.Load()
 }
 
@@ -82,23 +82,23 @@
 
 // joiningMembersReady asks all those members at once.
 func (r *Rebuilder) joiningMembersReady(ctx context.Context, earlier replicaset.View) bool {
-	var questions sync.WaitGroup
+	var calls sync.WaitGroup
 	var missing atomic.Int32
 	for _, member := range r.config.Views.View().Members {
 		if earlier.Has(member) {
 			continue
 		}
-		questions.Go(func() {
-			if ready, _ := r.askReady(ctx, member, readyLimit); !ready {
+		calls.Go(func() {
+			if ready, _ := r.requestReady(ctx, member, readyTimeout); !ready {
 				missing.Add(1)
 			}
 		})
 	}
-	questions.Wait()
+	calls.Wait()
 	return missing.Load() == 0
 }
 
-func (r *Rebuilder) askReady(ctx context.Context, member string, limit time.Duration) (bool, error) {
+func (r *Rebuilder) requestReady(ctx context.Context, member string, limit time.Duration) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	reply, err := readyCall.Call(ctx, r.config.Caller, member, readyRequest{})
--- a/internal/controlplane/rebuild/membership_test.go
+++ b/internal/controlplane/rebuild/membership_test.go
@@ -19,11 +19,11 @@
 
 // changingViews is a view that a test changes.
 type changingViews struct {
-	mutex    sync.Mutex
-	view     replicaset.View
-	changed  chan struct{}
-	absences uint64
-	stubborn bool // takes no view from others
+	mutex          sync.Mutex
+	view           replicaset.View
+	changed        chan struct{}
+	absences       uint64
+	ignoresLearned bool // takes no view from others
 }
 
 func newChangingViews(view replicaset.View, absences uint64) *changingViews {
@@ -53,7 +53,7 @@
 
 // Learn implements rebuild.Views.
 func (v *changingViews) Learn(view replicaset.View) error {
-	if !v.stubborn {
+	if !v.ignoresLearned {
 		v.set(view, v.Absences())
 	}
 	return nil
@@ -81,7 +81,7 @@
 	return rebuilder
 }
 
-func TestANewcomerIsRebuiltOnlyByMembersOfItsView(t *testing.T) {
+func TestAJoiningMemberIsRebuiltOnlyByMembersOfItsView(t *testing.T) {
 	before := replicaset.View{Version: 1, Members: []string{"a", "b", "gone"}}
 	after := replicaset.View{Version: 2, Members: []string{"a", "b", "new"}}
 	var outside, stubborn, ready bool
@@ -90,7 +90,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		network := networktest.New(1)
 		a, b, views := newChangingViews(before, 0), newChangingViews(before, 0), newChangingViews(before, 1)
-		b.stubborn = true
+		b.ignoresLearned = true
 		startWith(t, network, "a", a, storage.NewMemory(), true)
 		startWith(t, network, "b", b, storage.NewMemory(), true)
 		rebuilder := startWith(t, network, "new", views, storage.NewMemory(), false)
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestANewcomerAmongAnEvenNumberAsksAQuorum(t *testing.T) {
+func TestAJoiningMemberOfAnEvenViewFetchesAQuorumOfSnapshots(t *testing.T) {
 	view := replicaset.View{Version: 2, Members: []string{"a", "b", "c", "new"}}
 	ready := make(map[uint64]bool)
 	for absences := range uint64(2) {
@@ -140,7 +140,7 @@
 	})
 }
 
-func TestAMemberThatIsReplacedIsCompleteNoMore(t *testing.T) {
+func TestAReplacedMemberIsCompleteNoMore(t *testing.T) {
 	with := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
 	without := replicaset.View{Version: 2, Members: []string{"b", "c", "new"}}
 	var before, after, again bool
@@ -185,21 +185,21 @@
 
 // A view in which "new" took the place of "gone".
 var (
-	withGone    = replicaset.View{Version: 1, Members: []string{"a", "b", "gone"}}
-	withoutGone = replicaset.View{Version: 2, Members: []string{"a", "b", "new"}, Replaced: "gone", Entered: 7}
+	viewWithReplaced = replicaset.View{Version: 1, Members: []string{"a", "b", "gone"}}
+	viewWithJoined   = replicaset.View{Version: 2, Members: []string{"a", "b", "new"}, Replaced: "gone", JoinedIncarnation: 7}
 )
 
-// copyOfTheReplaced tells whether a joining member is rebuilt while of the members of its view only one can be reached, beside the
+// rebuiltFromReplaced tells whether a joining member is rebuilt while of the members of its view only one can be reached, beside the
 // one that it replaces.
-func copyOfTheReplaced(t *testing.T, incarnation uint64, prepare func(views *changingViews, store *storage.Memory)) (ready bool) {
+func rebuiltFromReplaced(t *testing.T, incarnation uint64, prepare func(views *changingViews, store *storage.Memory)) (ready bool) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		network := networktest.New(1)
-		startWith(t, network, "a", newChangingViews(withGone, 0), storage.NewMemory(), true)
-		views, store := newChangingViews(withGone, 0), storage.NewMemory()
+		startWith(t, network, "a", newChangingViews(viewWithReplaced, 0), storage.NewMemory(), true)
+		views, store := newChangingViews(viewWithReplaced, 0), storage.NewMemory()
 		prepare(views, store)
 		startWith(t, network, "gone", views, store, false)
-		rebuilder := startAs(t, network, "new", incarnation, newChangingViews(withoutGone, 1), storage.NewMemory())
+		rebuilder := startAs(t, network, "new", incarnation, newChangingViews(viewWithJoined, 1), storage.NewMemory())
 		go rebuilder.Run(ctx)
 		<-time.After(time.Minute)
 		ready = rebuilder.Ready()
@@ -209,10 +209,10 @@
 	return ready
 }
 
-func TestTheCopyOfAMemberThatWasReplaced(t *testing.T) {
+func TestTheSnapshotOfAReplacedMember(t *testing.T) {
 	complete := func(views *changingViews, store *storage.Memory) {
 		store.Write(set(rebuild.TableName, "complete", "1"))
-		views.set(withoutGone, 1)
+		views.set(viewWithJoined, 1)
 	}
 	cases := []struct {
 		name        string
@@ -222,24 +222,24 @@
 	}{
 		{"of a complete one", 7, complete, true},
 		{"for a later process at the newcomer's address", 8, complete, false},
-		{"of one that was incomplete itself", 7, func(views *changingViews, _ *storage.Memory) { views.set(withoutGone, 1) }, false},
+		{"of one that was incomplete itself", 7, func(views *changingViews, _ *storage.Memory) { views.set(viewWithJoined, 1) }, false},
 		{"of one that was replaced earlier", 7, func(views *changingViews, store *storage.Memory) {
 			store.Write(set(rebuild.TableName, "complete", "1"))
-			views.set(withoutGone, 2)
+			views.set(viewWithJoined, 2)
 		}, false},
 		{"of one that still works with the view before", 7, func(views *changingViews, store *storage.Memory) {
 			store.Write(set(rebuild.TableName, "complete", "1"))
-			views.stubborn = true
+			views.ignoresLearned = true
 		}, false},
 	}
 	for _, one := range cases {
-		ready := copyOfTheReplaced(t, one.incarnation, one.prepare)
+		ready := rebuiltFromReplaced(t, one.incarnation, one.prepare)
 		convey.Convey("The copy "+one.name, t, func() { convey.So(ready, convey.ShouldEqual, one.counts) })
 	}
 }
 
-func TestANewcomerIsNeverRebuiltFromNothing(t *testing.T) {
-	alone := replicaset.View{Version: 2, Members: []string{"new"}, Replaced: "gone", Entered: 7}
+func TestAJoiningMemberIsNeverRebuiltFromNothing(t *testing.T) {
+	alone := replicaset.View{Version: 2, Members: []string{"new"}, Replaced: "gone", JoinedIncarnation: 7}
 	var early, late bool
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/rebuild/merge.go
+++ b/internal/controlplane/rebuild/merge.go
@@ -18,20 +18,20 @@
 const installInterval = 250 * time.Millisecond
 
 // mergers are the registered mergers by the prefix of the tables' names.
-type mergers struct{ chunks []chunk }
+type mergers struct{ groups []tableGroup }
 
 // chunk is a set of tables that are merged together.
-type chunk struct {
+type tableGroup struct {
 	prefixes []string
 	merge    Merger
 }
 
-func (p chunk) has(table string) bool {
+func (p tableGroup) has(table string) bool {
 	return slices.ContainsFunc(p.prefixes, func(prefix string) bool { return strings.HasPrefix(table, prefix) })
 }
 
 // selectFrom returns the part's tables of one copy.
-func (p chunk) selectFrom(tables storage.Tables) storage.Tables {
+func (p tableGroup) selectFrom(tables storage.Tables) storage.Tables {
 	selected := make(storage.Tables)
 	for name, table := range tables {
 		if p.has(name) {
@@ -42,21 +42,21 @@
 }
 
 func (m *mergers) add(merge Merger, prefixes []string) {
-	m.chunks = append(m.chunks, chunk{prefixes, merge})
+	m.groups = append(m.groups, tableGroup{prefixes, merge})
 }
 
 // merge makes one set of tables from the copies of several members.
-func (m *mergers) merge(copies []storage.Tables) (storage.Tables, error) {
-	if err := m.checkAll(copies); err != nil {
+func (m *mergers) merge(snapshots []storage.Tables) (storage.Tables, error) {
+	if err := m.checkAll(snapshots); err != nil {
 		return nil, err
 	}
 	merged := make(storage.Tables)
-	for _, chunk := range m.chunks {
+	for _, group := range m.groups {
 		var selected []storage.Tables
-		for _, tables := range copies {
-			selected = append(selected, chunk.selectFrom(tables))
+		for _, tables := range snapshots {
+			selected = append(selected, group.selectFrom(tables))
 		}
-		tables, err := chunk.merge(selected)
+		tables, err := group.merge(selected)
 		if err != nil {
 			return nil, err
 		}
@@ -66,11 +66,11 @@
 }
 
 // checkAll fails where a table would be left out.
-func (m *mergers) checkAll(copies []storage.Tables) error {
-	for _, tables := range copies {
+func (m *mergers) checkAll(snapshots []storage.Tables) error {
+	for _, tables := range snapshots {
 		for name := range tables {
-			known := func(p chunk) bool { return p.has(name) }
-			if !slices.ContainsFunc(m.chunks, known) {
+			known := func(p tableGroup) bool { return p.has(name) }
+			if !slices.ContainsFunc(m.groups, known) {
 				return fmt.Errorf("%w: %s", ErrNoMerger, name)
 			}
 		}
@@ -82,8 +82,8 @@
 // leaves it incomplete, and it starts over. absences is this process's number of them when the copies were taken. A full
 // disk is asked again until it takes the write: this member votes for nothing before, so the copies lack no vote of its
 // own.
-func (r *Rebuilder) install(ctx context.Context, copies []storage.Tables, absences uint64) error {
-	merged, err := r.mergers.merge(copies)
+func (r *Rebuilder) install(ctx context.Context, snapshots []storage.Tables, absences uint64) error {
+	merged, err := r.mergers.merge(snapshots)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/rebuild/rebuild.go
+++ b/internal/controlplane/rebuild/rebuild.go
@@ -27,16 +27,16 @@
 )
 
 const (
-	// settleTime is how long after its start a member asks for copies. It exceeds the limit of a quorum round.
-	settleTime = 2200 * time.Millisecond
+	// openRoundsWait is how long after its start a member asks for copies. It exceeds the limit of a quorum round.
+	openRoundsWait = 2200 * time.Millisecond
 	// TableName is the store's table of the mark that this member is complete. It is the member's own.
-	TableName   = "rebuild"
-	completeKey = "complete"
-	askInterval = 250 * time.Millisecond
-	// reaskInterval is how long a part of a copy is waited for before it is asked for again; openFetches calls for it are
+	TableName          = "rebuild"
+	completeKey        = "complete"
+	fetchRetryInterval = 250 * time.Millisecond
+	// hedgeDelay is how long a part of a copy is waited for before it is asked for again; maxChunkCalls calls for it are
 	// made at most.
-	reaskInterval = time.Second
-	openFetches   = 3
+	hedgeDelay    = time.Second
+	maxChunkCalls = 3
 )
 
 var (
@@ -52,8 +52,8 @@
 type Merger func(copies []storage.Tables) (storage.Tables, error)
 
 // Infallible makes a Merger of a function that cannot fail.
-func Infallible(merge func(copies []storage.Tables) storage.Tables) Merger {
-	return func(copies []storage.Tables) (storage.Tables, error) { return merge(copies), nil }
+func Infallible(merge func(snapshots []storage.Tables) storage.Tables) Merger {
+	return func(snapshots []storage.Tables) (storage.Tables, error) { return merge(snapshots), nil }
 }
 
 // Views knows the current view of the replicas; *replicaset.Manager is one.
@@ -81,10 +81,10 @@
 
 // Rebuilder decides whether this member is complete, and makes it so.
 type Rebuilder struct {
-	config  Config
-	start   time.Time
-	mergers mergers
-	copies  copies // that others are fetching
+	config   Config
+	start    time.Time
+	mergers  mergers
+	outgoing outgoingSnapshots // that others are fetching
 
 	membership uint64        // for which this member is complete, as a number of absences; set before complete is closed
 	complete   chan struct{} // closed once this member may take part
@@ -95,26 +95,26 @@
 // one that starts with the whole system for the first time.
 func New(config Config) (*Rebuilder, error) {
 	r := &Rebuilder{config: config, start: time.Now(), complete: make(chan struct{})}
-	mark, marked := config.Store.Table(TableName)[completeKey]
+	marker, marked := config.Store.Table(TableName)[completeKey]
 	absences := config.Views.Absences()
 	switch {
-	case marked && bytes.Equal(mark, completeMark(absences)):
-		r.finish(absences)
+	case marked && bytes.Equal(marker, completeMarker(absences)):
+		r.markComplete(absences)
 	case !marked && config.FirstStart:
 		if err := config.Store.Write(completeChange(absences)); err != nil {
 			return nil, fmt.Errorf("mark a new disk: %w", err)
 		}
-		r.finish(absences)
+		r.markComplete(absences)
 	}
 	return r, nil
 }
 
 func completeChange(absences uint64) storage.Change {
-	return storage.Change{Table: TableName, Key: completeKey, Value: completeMark(absences)}
+	return storage.Change{Table: TableName, Key: completeKey, Value: completeMarker(absences)}
 }
 
-// completeMark names the membership that a disk is complete for; the first one is 1.
-func completeMark(absences uint64) []byte { return strconv.AppendUint(nil, absences+1, 10) }
+// completeMarker names the membership that a disk is complete for; the first one is 1.
+func completeMarker(absences uint64) []byte { return strconv.AppendUint(nil, absences+1, 10) }
 
 // Register adds a merger for the tables whose names begin with one of the prefixes. No table may belong to two mergers,
 // and all must be registered before Run.
@@ -133,7 +133,7 @@
 // Complete is closed once Ready is true.
 func (r *Rebuilder) Complete() <-chan struct{} { return r.complete }
 
-func (r *Rebuilder) finish(membership uint64) {
+func (r *Rebuilder) markComplete(membership uint64) {
 	r.finished.Do(func() {
 		r.membership = membership
 		close(r.complete)
@@ -169,18 +169,18 @@
 		return nil
 	}
 	r.config.Logger.Warn("this disk is empty or incomplete; it is rebuilt from the other members")
-	if err := sleep(ctx, settleTime-time.Since(r.start)); err != nil {
+	if err := sleep(ctx, openRoundsWait-time.Since(r.start)); err != nil {
 		return err
 	}
-	copies, absences, err := r.collect(ctx)
+	snapshots, absences, err := r.collect(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.install(ctx, copies, absences); err != nil {
+	if err := r.install(ctx, snapshots, absences); err != nil {
 		return fmt.Errorf("rebuild: %w", err)
 	}
-	r.finish(absences)
-	r.config.Logger.Info("the disk is rebuilt", zap.Int("copies", len(copies)))
+	r.markComplete(absences)
+	r.config.Logger.Info("the disk is rebuilt", zap.Int("copies", len(snapshots)))
 	return nil
 }
 
@@ -192,12 +192,12 @@
 		changed := views.Changed()
 		absences := views.Absences()
 		if view := views.View(); view.Has(r.config.Self) {
-			copies := r.collectFrom(ctx, view, changed, CopiesNeeded(view, absences))
-			if copies != nil && views.View().Version == view.Version {
-				return copies, absences, nil
+			snapshots := r.collectFrom(ctx, view, changed, SnapshotsNeeded(view, absences))
+			if snapshots != nil && views.View().Version == view.Version {
+				return snapshots, absences, nil
 			}
 		} else {
-			wait(ctx, changed)
+			waitForChange(ctx, changed)
 		}
 		if ctx.Err() != nil {
 			return nil, 0, context.Cause(ctx)
@@ -205,18 +205,18 @@
 	}
 }
 
-// CopiesNeeded is how many other members a rebuild asks, given how often this process was no member. One that lost its
+// SnapshotsNeeded is how many other members a rebuild asks, given how often this process was no member. One that lost its
 // disk asks as many as meet each majority that it was part of. A joining member asks a quorum, which is one more where the
 // number of members is even: until it has been rebuilt, too few members may have learned of its view to keep the others
 // from deciding in the view before.
-func CopiesNeeded(view replicaset.View, absences uint64) int {
+func SnapshotsNeeded(view replicaset.View, absences uint64) int {
 	if absences > 0 {
 		return max(1, min(view.Quorum(), len(view.Members)-1))
 	}
 	return len(view.Members) - view.Quorum() + 1
 }
 
-func wait(ctx context.Context, changed <-chan struct{}) {
+func waitForChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-changed:
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -26,26 +26,26 @@
 
 const aftermath = 20 * time.Second
 
-// views is a fixed view.
-type views struct{ view replicaset.View }
+// fixedViews is a fixed view.
+type fixedViews struct{ view replicaset.View }
 
-func (v *views) View() replicaset.View       { return v.view }
-func (v *views) Changed() <-chan struct{}    { return nil }
-func (v *views) Learn(replicaset.View) error { return nil }
-func (v *views) Absences() uint64            { return 0 }
+func (v *fixedViews) View() replicaset.View       { return v.view }
+func (v *fixedViews) Changed() <-chan struct{}    { return nil }
+func (v *fixedViews) Learn(replicaset.View) error { return nil }
+func (v *fixedViews) Absences() uint64            { return 0 }
 
 // members are core nodes on a network in memory, to be run in simulated time.
 type members struct {
 	t       *testing.T
 	network *networktest.Network
-	views   *views
+	views   *fixedViews
 	ctx     context.Context
 }
 
 func inMembers(t *testing.T, count int, test func(m *members)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		m := &members{t, networktest.New(1), &views{replicaset.View{Version: 1}}, ctx}
+		m := &members{t, networktest.New(1), &fixedViews{replicaset.View{Version: 1}}, ctx}
 		for i := range count {
 			m.views.view.Members = append(m.views.view.Members, fmt.Sprintf("member-%d", i))
 		}
@@ -123,7 +123,7 @@
 	return stores
 }
 
-func TestADiskIsRebuilt(t *testing.T) {
+func TestALostDiskIsRebuilt(t *testing.T) {
 	var took time.Duration
 	var content storage.Tables
 	var readyBefore, readyAfter, readyAgain bool
@@ -166,13 +166,13 @@
 		inMembers(t, sizes.members, func(m *members) {
 			m.startOthers()
 			for _, self := range m.views.view.Members[:sizes.cut] {
-				m.network.Cut(self, true)
+				m.network.Partition(self, true)
 			}
 			rebuilder := m.start(m.views.view.Members[sizes.members-1], storage.NewMemory(), false)
 			m.run(rebuilder)
 			<-time.After(time.Minute)
 			early = rebuilder.Ready()
-			m.network.Cut("member-0", false)
+			m.network.Partition("member-0", false)
 			<-time.After(time.Minute)
 			late = rebuilder.Ready()
 		})
@@ -183,11 +183,11 @@
 	}
 }
 
-func TestAMemberThatIsDownHoldsNoRebuildUp(t *testing.T) {
+func TestAFailedMemberDelaysNoRebuild(t *testing.T) {
 	var took time.Duration
 	inMembers(t, 5, func(m *members) {
 		m.startOthers()
-		m.network.Cut("member-0", true)
+		m.network.Partition("member-0", true)
 		start := time.Now()
 		rebuilder := m.start("member-4", storage.NewMemory(), false)
 		m.run(rebuilder)
@@ -200,7 +200,7 @@
 }
 
 // A question or an answer is lost without a sign, as in a cut.
-func TestACopyThatIsLostOnTheWayIsAskedForAgain(t *testing.T) {
+func TestALostChunkIsRequestedAgain(t *testing.T) {
 	var took time.Duration
 	inMembers(t, 3, func(m *members) {
 		m.startOthers()
@@ -216,7 +216,7 @@
 	})
 }
 
-func TestMembersThatAreRebuiltGiveNoCopies(t *testing.T) {
+func TestMembersThatAreBeingRebuiltGiveNoSnapshots(t *testing.T) {
 	var ready bool
 	inMembers(t, 3, func(m *members) {
 		m.start("member-0", storage.NewMemory(), true)
@@ -232,7 +232,7 @@
 	})
 }
 
-func TestARebuildThatFailsStartsOver(t *testing.T) {
+func TestAFailedRebuildStartsOver(t *testing.T) {
 	broken := errors.New("broken")
 	var err error
 	var ready, readyLater bool
@@ -275,7 +275,7 @@
 }
 
 // Power is lost at each operation of a rebuild on a disk in turn. Afterwards the member is either incomplete or has all.
-func TestALossOfPowerDuringARebuild(t *testing.T) {
+func TestAPowerLossDuringARebuild(t *testing.T) {
 	complete, incomplete := 0, 0
 	inMembers(t, 3, func(m *members) {
 		m.startOthers()
--- a/internal/controlplane/register/modelsteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -246,7 +246,7 @@
 	}
 	member.copied = member.copied.with(giver)
 	member.copies[giver] = other.held
-	needed := rebuild.CopiesNeeded(exploredViews[member.view], uint64(member.absences))
+	needed := rebuild.SnapshotsNeeded(exploredViews[member.view], uint64(member.absences))
 	if x.rules.broken.oneCopy {
 		needed = 1
 	}
--- a/internal/controlplane/register/rebuildwait_test.go
+++ b/internal/controlplane/register/rebuildwait_test.go
@@ -33,7 +33,7 @@
 		c.restart("member-1", 0, true)
 		<-done
 		<-c.process("member-1").rebuilder.Complete()
-		c.network.Cut("member-0", true)
+		c.network.Partition("member-0", true)
 		ctx, cancel := context.WithTimeout(c.ctx, 10*time.Second)
 		read, readErr = c.proposer("reader", nil).Read(ctx)
 		cancel()
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -146,13 +146,13 @@
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 		defer cancel()
 		p.register.Change(ctx, to("half"))
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		c.proposer(outsider, nil).Change(c.ctx, func(current []byte) ([]byte, error) {
 			refusedAt = string(current)
 			return nil, errors.New("refused")
 		})
-		c.network.Cut("member-2", false)
-		c.network.Cut("member-0", true)
+		c.network.Partition("member-2", false)
+		c.network.Partition("member-0", true)
 		value, _ = c.process("member-1").register.Read(c.ctx)
 	})
 	convey.Convey("What a change was refused at is the value, though only one member had accepted it before", t, func() {
@@ -178,11 +178,11 @@
 			calls = append(calls, counting.calls.Load()-before)
 		}
 		read()
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		c.process("member-0").register.Change(c.ctx, to("a"))
 		read()
-		c.network.Cut("member-2", false)
-		c.network.Cut("member-0", true)
+		c.network.Partition("member-2", false)
+		c.network.Partition("member-0", true)
 		read() // members 1 and 2 disagree
 		read()
 	})
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -36,7 +36,7 @@
 		c.restart("member-2", 0, true)
 		acknowledged = <-changed == nil
 		<-c.process("member-2").rebuilder.Complete()
-		c.network.Cut("member-0", true)
+		c.network.Partition("member-0", true)
 		value, err := c.process("member-1").register.Read(c.ctx)
 		kept = err == nil && string(value) == "value"
 		c.end()
@@ -113,7 +113,7 @@
 	var err error
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		start := time.Now()
 		_, err = c.process("member-0").register.Change(c.ctx, to("value"))
 		took = time.Since(start)
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -39,7 +39,7 @@
 	storedFirst = replicaset.View{Version: 1, Members: []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}}
 	storedNext  = replicaset.View{
 		Version: 4, Members: []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.4:7000"},
-		Zones: map[string]string{"10.0.0.4:7000": "north"}, Replaced: "10.0.0.2:7000", Entered: 1 << 63,
+		Zones: map[string]string{"10.0.0.4:7000": "north"}, Replaced: "10.0.0.2:7000", JoinedIncarnation: 1 << 63,
 	}
 	// The sums of the parts of the newest large value, in order; two are the same.
 	storedSums = []string{
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -96,11 +96,11 @@
 	var err error
 	inCluster(t, func(c *cluster) {
 		proposer := c.process("member-0").register
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		proposer.Change(c.ctx, to(text))
 		synctest.Wait()
-		c.network.Cut("member-2", false)
-		c.network.Cut("member-1", true)
+		c.network.Partition("member-2", false)
+		c.network.Partition("member-1", true)
 		_, err = proposer.Change(c.ctx, to(edited(text, "more")))
 		value, _ = c.process("member-2").register.Read(c.ctx)
 	})
@@ -229,7 +229,7 @@
 			c.serveAsOlderBuild(member)
 		}
 		_, err = c.process("member-2").register.Change(c.ctx, to(text))
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		read, _ = c.process("member-1").register.Read(c.ctx)
 	})
 	convey.Convey("A majority of them holds the value", t, func() {
--- a/internal/controlplane/replicaset/core_test.go
+++ b/internal/controlplane/replicaset/core_test.go
@@ -28,17 +28,17 @@
 	firstViewIn  = 2500 * time.Millisecond
 )
 
-// mutant breaks one rule in a test; the zero value breaks none.
-type mutant struct {
-	name           string
-	noRebuild      bool // a joining member votes before it is rebuilt
-	servesOld      bool // a member votes for a while in the view before the one that it has learned
-	dumpsOld       bool // a member gives a copy of its tables without having learned the view of the one who asks
-	keepsOldVotes  bool // a member that was replaced and comes back votes by what its disk holds
-	ownSuccessions bool // the next view is what a single member decides
-	goesAtOnce     bool // a member that is told to stop does not wait for its successor
-	keepsItsPlace  bool // a member that is told to stop does not vote for its own replacement
-	takesItsCopy   bool // a member that was replaced gives no copy
+// ruleMutant breaks one rule in a test; the zero value breaks none.
+type ruleMutant struct {
+	name                    string
+	noRebuild               bool // a joining member votes before it is rebuilt
+	votesInOldView          bool // a member votes for a while in the view before the one that it has learned
+	dumpsInOldView          bool // a member gives a copy of its tables without having learned the view of the one who asks
+	keepsOldVotes           bool // a member that was replaced and comes back votes by what its disk holds
+	decidesAlone            bool // the next view is what a single member decides
+	stopsAtOnce             bool // a member that is told to stop does not wait for its successor
+	refusesOwnReplacement   bool // a member that is told to stop does not vote for its own replacement
+	replacedGivesNoSnapshot bool // a member that was replaced gives no copy
 }
 
 // cluster is a set of core nodes on a network in memory, each with all that takes part in the change of members, and with
@@ -47,7 +47,7 @@
 	t       *testing.T
 	network *networktest.Network
 	seeds   []string
-	mutant  mutant
+	mutant  ruleMutant
 	tasks   sync.WaitGroup
 	log     *zap.Logger                       // of the parts that lead; nil for none
 	leads   func(p *core) replication.Handler // of a group on the members' disks; nil for none
@@ -63,7 +63,7 @@
 	zone      string
 	start     time.Time
 	disk      *storage.Memory
-	store     *mortalStore
+	store     *killableStore
 	caller    transport.Caller
 	manager   *replicaset.Manager
 	rebuilder *rebuild.Rebuilder
@@ -78,14 +78,14 @@
 func (p *core) ended() bool { return p.failed.Load() }
 
 // part runs a part of the process.
-func (p *core) part(run func(ctx context.Context) error) {
+func (p *core) runPart(run func(ctx context.Context) error) {
 	if err := run(p.ctx); err != nil && p.ctx.Err() == nil {
 		p.failed.Store(true)
 	}
 }
 
 // inCluster runs a test in simulated time, after the given members have founded the first view.
-func inCluster(t *testing.T, seed uint64, broken mutant, members []string, test func(c *cluster)) {
+func inCluster(t *testing.T, seed uint64, broken ruleMutant, members []string, test func(c *cluster)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, network: networktest.New(seed), seeds: members, mutant: broken, running: make(map[string]*core)}
 		c.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
@@ -100,8 +100,8 @@
 
 // start starts a process unless there is one at the address.
 func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *core {
-	p := &core{address: address, zone: zone, start: time.Now(), disk: disk, store: &mortalStore{Memory: disk}}
-	p.caller = mortalCaller{c.network.Caller(address), p.store}
+	p := &core{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
+	p.caller = killableCaller{c.network.Caller(address), p.store}
 	p.ctx, p.kill = context.WithCancel(context.Background())
 	mux := transport.NewMux()
 	c.assembleViews(p, mux, firstStart)
@@ -116,8 +116,8 @@
 	}
 	c.running[address] = p
 	c.network.Serve(address, mux)
-	c.tasks.Go(func() { p.part(p.manager.Run) })
-	c.tasks.Go(func() { p.part(p.rebuilder.Run) })
+	c.tasks.Go(func() { p.runPart(p.manager.Run) })
+	c.tasks.Go(func() { p.runPart(p.rebuilder.Run) })
 	c.tasks.Go(func() { p.node.Run(p.ctx) })
 	c.tasks.Go(func() { c.watch(p) })
 	return p
@@ -132,15 +132,15 @@
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
 		View:      func() replicaset.View { return p.manager.View() },
-		Departing: func() bool { return !c.mutant.keepsItsPlace && p.manager.Departing() },
+		Departing: func() bool { return !c.mutant.refusesOwnReplacement && p.manager.Departing() },
 	})
 	config := replicaset.Config{
 		Self: p.address, Zone: p.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
 		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
-		Founding: founding, Succession: succession, Contacts: p.contacts,
+		Founding: founding, Succession: succession, Liveness: p.contacts,
 	}
-	if c.mutant.ownSuccessions {
-		config.Succession = ownSuccession{}
+	if c.mutant.decidesAlone {
+		config.Succession = unilateralSuccession{}
 	}
 	manager, err := replicaset.NewManager(config)
 	if err != nil {
@@ -152,11 +152,11 @@
 	manager.Serve(mux)
 }
 
-func (p *core) contacts() replicaset.Contacts {
-	contacts := replicaset.Contacts{Majority: p.node.InContact(), Silence: make(map[string]time.Duration)}
+func (p *core) contacts() replicaset.Liveness {
+	contacts := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceHeard: make(map[string]time.Duration)}
 	for _, member := range p.node.Members() {
 		if member.Heard {
-			contacts.Silence[member.Address] = member.HeardAgo
+			contacts.SinceHeard[member.Address] = member.HeardAgo
 		}
 	}
 	return contacts
@@ -164,14 +164,14 @@
 
 func (c *cluster) assembleRebuilder(p *core, mux *transport.Mux, firstStart bool) {
 	var views rebuild.Views = p.manager
-	if c.mutant.dumpsOld {
+	if c.mutant.dumpsInOldView {
 		views = &creditingViews{Manager: p.manager}
 	}
 	if c.mutant.keepsOldVotes {
 		views = forgetfulViews{p.manager}
 	}
 	incarnation := p.manager.Incarnation()
-	if c.mutant.takesItsCopy {
+	if c.mutant.replacedGivesNoSnapshot {
 		incarnation = 0
 	}
 	rebuilder, err := rebuild.New(rebuild.Config{
@@ -189,8 +189,8 @@
 
 func (c *cluster) assembleRegister(p *core, mux *transport.Mux) {
 	acceptorView := p.manager.View
-	if c.mutant.servesOld {
-		acceptorView = laggingView(p.manager.View)
+	if c.mutant.votesInOldView {
+		acceptorView = staleView(p.manager.View)
 	}
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
 		Name: testRegister, Store: p.store, View: acceptorView,
@@ -221,7 +221,7 @@
 		c.t.Fatal(err)
 	}
 	if c.leads != nil {
-		node.Ensure(modelGroup)
+		node.Ensure(scheduleGroup)
 	}
 	node.Serve(mux)
 	p.node = node
@@ -254,19 +254,19 @@
 	}
 	delete(c.running, p.address)
 	c.network.Serve(p.address, nil)
-	p.store.end()
+	p.store.kill()
 	p.kill()
 	return true
 }
 
-// handOverTime is what a coordinator takes of a grace period of six seconds.
-const handOverTime = 3 * time.Second
+// handoverTimeout is what a coordinator takes of a grace period of six seconds.
+const handoverTimeout = 3 * time.Second
 
-// tellToStop lets a process hand over to a joining member if one waits, and then ends it, as a coordinator does.
-func (c *cluster) tellToStop(p *core) {
-	limited, cancel := context.WithTimeout(p.ctx, handOverTime)
+// stopGracefully lets a process hand over to a joining member if one waits, and then ends it, as a coordinator does.
+func (c *cluster) stopGracefully(p *core) {
+	limited, cancel := context.WithTimeout(p.ctx, handoverTimeout)
 	defer cancel()
-	if c.mutant.goesAtOnce {
+	if c.mutant.stopsAtOnce {
 		limited, cancel = context.WithTimeout(p.ctx, time.Millisecond)
 		defer cancel()
 	}
--- a/internal/controlplane/replicaset/departure.go
+++ b/internal/controlplane/replicaset/departure.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	goodbyeInterval = 200 * time.Millisecond // between goodbyes while this member waits to be replaced
-	goodbyeLimit    = 200 * time.Millisecond // for one goodbye; with the interval it stays below leaveGrace
+	leaveInterval = 200 * time.Millisecond // between goodbyes while this member waits to be replaced
+	leaveTimeout  = 200 * time.Millisecond // for one goodbye; with the interval it stays below leaveGracePeriod
 )
 
 // Departing tells whether this process is about to stop. Only then it accepts a view without itself: it then votes for
@@ -28,25 +28,25 @@
 		if !view.Has(m.config.Self) {
 			return view.Version > 0
 		}
-		m.sayGoodbye(ctx, view)
-		if !m.JoiningMembersWait() {
+		m.broadcastLeave(ctx, view)
+		if !m.HasJoiningMembers() {
 			return !m.View().Has(m.config.Self)
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return false
-		case <-time.After(goodbyeInterval):
+		case <-time.After(leaveInterval):
 		}
 	}
 }
 
-// sayGoodbye tells all other members once. It returns when all have answered, or after a while.
-func (m *Manager) sayGoodbye(ctx context.Context, view View) {
-	ctx, cancel := context.WithTimeout(ctx, goodbyeLimit)
+// broadcastLeave tells all other members once. It returns when all have answered, or after a while.
+func (m *Manager) broadcastLeave(ctx context.Context, view View) {
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
-	for _, address := range m.without(view.Members) {
+	for _, address := range m.others(view.Members) {
 		calls.Go(func() {
 			if _, err := leaveCall.Call(ctx, m.config.Caller, address, leaveRequest{Address: m.config.Self}); err != nil {
 				m.config.Logger.Debug("goodbye", zap.String("to", address), zap.Error(err))
--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -19,8 +19,8 @@
 	leaveCall    = transport.NewOnce[leaveRequest, leaveReply]("/replicaset/leave")
 )
 
-// callLimit bounds each of the internal calls.
-const callLimit = time.Second
+// callTimeout bounds each of the internal calls.
+const callTimeout = time.Second
 
 // viewRequest asks for the receiver's view and tells it the sender's.
 type viewRequest struct {
@@ -48,12 +48,12 @@
 
 type leaveReply struct{}
 
-// Ask returns the view that another process knows; its version is 0 while it knows none.
-func Ask(ctx context.Context, caller transport.Caller, address string) (View, error) {
-	return exchange(ctx, caller, address, View{})
+// FetchView returns the view that another process knows; its version is 0 while it knows none.
+func FetchView(ctx context.Context, caller transport.Caller, address string) (View, error) {
+	return exchangeViews(ctx, caller, address, View{})
 }
 
-func exchange(ctx context.Context, caller transport.Caller, address string, known View) (View, error) {
+func exchangeViews(ctx context.Context, caller transport.Caller, address string, known View) (View, error) {
 	reply, err := viewCall.Call(ctx, caller, address, viewRequest{View: known})
 	if err != nil {
 		return View{}, fmt.Errorf("ask for the replicas: %w", err)
@@ -87,13 +87,13 @@
 		m.announcements.add(request.Address, request.Zone, now)
 	case request.View.Version == m.view.Version && !m.view.Has(request.Address):
 		m.joiningMembers.add(joiningMember{address: request.Address, zone: request.Zone, incarnation: request.Incarnation}, now)
-		m.signal()
+		m.wakeRun()
 	}
 	return viewReply{View: m.view}, nil
 }
 
-// signal lets Run look at the joining members.
-func (m *Manager) signal() {
+// wakeRun lets Run look at the joining members.
+func (m *Manager) wakeRun() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -104,8 +104,8 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.view.Has(request.Address) {
-		m.leaving[request.Address] = time.Now()
-		m.signal()
+		m.leaveReceived[request.Address] = time.Now()
+		m.wakeRun()
 	}
 	return leaveReply{}, nil
 }
@@ -119,41 +119,41 @@
 
 // exchangeWith exchanges views with another process, so that each learns a newer one.
 func (m *Manager) exchangeWith(ctx context.Context, address string) {
-	theirs, err := exchange(ctx, m.config.Caller, address, m.View())
+	theirs, err := exchangeViews(ctx, m.config.Caller, address, m.View())
 	if err != nil {
 		m.config.Logger.Debug("exchange of views", zap.Error(err))
 		return
 	}
-	m.learned(theirs)
+	m.learnReceived(theirs)
 }
 
 // exchangeWithNext exchanges views with the other members in turn. So one that was cut off, or lost its disk, hears of the
 // view soon, though it reaches no seed.
 func (m *Manager) exchangeWithNext(ctx context.Context) {
-	others := m.without(m.View().Members)
+	others := m.others(m.View().Members)
 	if len(others) == 0 {
 		return
 	}
-	m.exchanges++
-	limited, cancel := context.WithTimeout(ctx, exchangeLimit)
+	m.exchangeCount++
+	limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	m.exchangeWith(limited, others[m.exchanges%len(others)])
+	m.exchangeWith(limited, others[m.exchangeCount%len(others)])
 }
 
-// exchangeAfterSilence exchanges views with all other members while this process is out of contact with a majority, and once
+// exchangeAfterDisconnection exchanges views with all other members while this process is out of contact with a majority, and once
 // more when it is back: after its start, a cut or a freeze it may have been replaced, and is to hear of that at once, as it
 // then has to start over and to be rebuilt within the time that it is given to catch up.
-func (m *Manager) exchangeAfterSilence(ctx context.Context) {
-	if m.config.Contacts == nil {
+func (m *Manager) exchangeAfterDisconnection(ctx context.Context) {
+	if m.config.Liveness == nil {
 		return
 	}
 	now := time.Now()
-	silent := !m.config.Contacts().Majority || now.Sub(m.touched) > observationGap
-	m.touched = now
-	if silent || m.wasSilent {
-		m.tell(ctx, m.View().Members)
+	disconnected := !m.config.Liveness().QuorumReachable || now.Sub(m.lastLivenessCheck) > maxObservationGap
+	m.lastLivenessCheck = now
+	if disconnected || m.wasDisconnected {
+		m.broadcastView(ctx, m.View().Members)
 	}
-	m.wasSilent = silent
+	m.wasDisconnected = disconnected
 }
 
 // announceTo tells another process of this one, and takes its view.
@@ -164,12 +164,12 @@
 		m.config.Logger.Debug("announce", zap.String("to", address), zap.Error(err))
 		return
 	}
-	m.learned(reply.View)
+	m.learnReceived(reply.View)
 }
 
-// learned takes a view from an answer. A failure of the store ends Run; one that only refuses the write, as a full disk
+// learnReceived takes a view from an answer. A failure of the store ends Run; one that only refuses the write, as a full disk
 // does, leaves this process with the view that it has, and it hears of the newer one again.
-func (m *Manager) learned(view View) {
+func (m *Manager) learnReceived(view View) {
 	err := m.learnIfNewer(view)
 	switch {
 	case err == nil:
@@ -177,14 +177,14 @@
 		m.config.Logger.Warn("view of the replicas not taken", zap.Uint64("version", view.Version), zap.Error(err))
 	default:
 		select {
-		case m.failures <- err:
+		case m.storeFailures <- err:
 		default:
 		}
 	}
 }
 
-// without returns the addresses that are not this process's own, sorted, each once.
-func (m *Manager) without(addresses []string) []string {
+// others returns the addresses that are not this process's own, sorted, each once.
+func (m *Manager) others(addresses []string) []string {
 	others := slices.Sorted(slices.Values(addresses))
 	others = slices.Compact(others)
 	return slices.DeleteFunc(others, func(address string) bool { return address == m.config.Self })
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -17,22 +17,22 @@
 var errFull = rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", storage.ErrRefused, syscall.ENOSPC), storage.RefusalPause)
 
 // A replacement comes while another member's disk is full.
-func TestAMemberWithAFullDiskMissesAViewAndLives(t *testing.T) {
+func TestAMemberWithAFullDiskMissesAViewAndKeepsRunning(t *testing.T) {
 	members := addresses(5)
 	var during, after replicaset.View
 	var ended bool
 	var value string
 	var err error
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		full := c.at(members[1])
 		full.disk.Fail(errFull)
 		c.stop(c.at(members[0]))
 		c.enter("new", "elsewhere")
 		c.write(members[2], written)
-		<-time.After(catchUp)
+		<-time.After(catchUpTime)
 		during, ended = full.manager.View(), full.ended()
 		full.disk.Fail(nil)
-		<-time.After(catchUp)
+		<-time.After(catchUpTime)
 		after = full.manager.View()
 		c.stop(c.at(members[2]))
 		c.stop(c.at(members[3]))
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestANewcomerWithAFullDiskWaitsForRoom(t *testing.T) {
+func TestAJoiningMemberWithAFullDiskIsRebuiltOnceWritesSucceed(t *testing.T) {
 	cases := []struct {
 		name   string
 		before time.Duration // from the joining member's start to the loss of a member
@@ -63,14 +63,14 @@
 		var early, ended bool
 		var took time.Duration
 		var value string
-		inCluster(t, 1, mutant{}, members, func(c *cluster) {
+		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 			c.write(members[1], written)
 			joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 			<-time.After(one.before)
 			c.stop(c.at(members[0]))
 			<-time.After(one.full)
 			joiningMember.disk.Fail(errFull)
-			<-time.After(2 * catchUp)
+			<-time.After(2 * catchUpTime)
 			early, ended = joiningMember.rebuilder.Ready(), joiningMember.ended()
 			joiningMember.disk.Fail(nil)
 			room := time.Now()
@@ -82,7 +82,7 @@
 		convey.Convey("A newcomer's disk is full before "+one.name, t, func() {
 			convey.So(early, convey.ShouldBeFalse)
 			convey.So(ended, convey.ShouldBeFalse)
-			convey.So(took, convey.ShouldBeLessThan, catchUp)
+			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
 			convey.So(value, convey.ShouldEqual, written)
 		})
 	}
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -20,34 +20,34 @@
 	version   uint64
 }
 
-// whole tells whether nothing is lost and writes go on.
-func (o outcome) whole() bool { return o.value == written && o.written == nil }
+// complete tells whether nothing is lost and writes go on.
+func (o outcome) complete() bool { return o.value == written && o.written == nil }
 
 // replaceWhileDown writes a value, lets the last members fail, and replaces the first by a joining member that came before. Then
 // those that failed are back, without their disks, and once they have had the time to catch up, as many others fail.
 func replaceWhileDown(c *cluster, members []string, failing int) (seen outcome) {
 	leaving, staying, down := members[0], members[1], members[len(members)-failing:]
 	joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
-	<-time.After(catchUp)
+	<-time.After(catchUpTime)
 	c.write(staying, old)
-	c.network.Cut(staying, true) // so only those that go have the newest value
+	c.network.Partition(staying, true) // so only those that go have the newest value
 	if err := c.write(leaving, written); err != nil {
 		seen.written = err
 		return seen
 	}
-	<-time.After(messagesUnderWay)
-	c.network.Cut(staying, false)
-	<-time.After(catchUp)
+	<-time.After(messagesInFlightTime)
+	c.network.Partition(staying, false)
+	<-time.After(catchUpTime)
 	for _, address := range down {
 		c.stop(c.at(address))
 	}
 	told := time.Now()
-	c.tellToStop(c.at(leaving))
+	c.stopGracefully(c.at(leaving))
 	seen.stoppedIn = time.Since(told)
 	for _, address := range down {
 		c.start(address, "zone of "+address, storage.NewMemory(), false)
 	}
-	<-time.After(catchUp)
+	<-time.After(catchUpTime)
 	for range failing {
 		c.stop(joiningMember)
 		joiningMember = c.at(staying)
@@ -60,45 +60,45 @@
 
 // A machine that is replaced as planned does not count as lost once its successor has had the time to catch up. So others
 // may be down when it goes, up to the tolerated number, and it may be the only one besides them that holds what is newest.
-func TestAMemberThatStopsHandsOver(t *testing.T) {
+func TestADepartingMemberHandsOver(t *testing.T) {
 	for _, size := range []int{3, 4, 5, 6} {
 		members := addresses(size)
 		var seen outcome
-		inCluster(t, 1, mutant{}, members, func(c *cluster) { seen = replaceWhileDown(c, members, (size-1)/2) })
+		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) { seen = replaceWhileDown(c, members, (size-1)/2) })
 		convey.Convey(fmt.Sprintf("One of %d members stops while %d are down", size, (size-1)/2), t, func() {
 			convey.So(seen.written, convey.ShouldBeNil)
 			convey.So(seen.value, convey.ShouldEqual, written)
 			convey.So(seen.version, convey.ShouldEqual, 2)
-			convey.So(seen.stoppedIn, convey.ShouldBeLessThan, handOverTime)
+			convey.So(seen.stoppedIn, convey.ShouldBeLessThan, handoverTimeout)
 		})
 	}
 }
 
-func TestEachRuleOfTheHandOverIsNeeded(t *testing.T) {
+func TestEachRuleOfTheHandoverIsNeeded(t *testing.T) {
 	members := addresses(3)
-	for _, broken := range []mutant{
-		{name: "a member that is told to stop waits for its successor", goesAtOnce: true},
-		{name: "a member that is told to stop votes for its own replacement", keepsItsPlace: true},
-		{name: "a member that was replaced gives its copy to its successor", takesItsCopy: true},
+	for _, broken := range []ruleMutant{
+		{name: "a member that is told to stop waits for its successor", stopsAtOnce: true},
+		{name: "a member that is told to stop votes for its own replacement", refusesOwnReplacement: true},
+		{name: "a member that was replaced gives its copy to its successor", replacedGivesNoSnapshot: true},
 	} {
 		var seen outcome
 		inCluster(t, 1, broken, members, func(c *cluster) { seen = replaceWhileDown(c, members, 1) })
 		convey.Convey("Shown to be needed: "+broken.name, t, func() {
-			convey.So(seen.whole(), convey.ShouldBeFalse)
+			convey.So(seen.complete(), convey.ShouldBeFalse)
 		})
 	}
 }
 
 // The second loss comes right after the member has stopped.
-func TestALossRightAfterAPlannedReplacementIsBorne(t *testing.T) {
-	lossAfter := func(broken mutant, lost int) (value string, err error) {
+func TestALossRightAfterAPlannedReplacementIsTolerated(t *testing.T) {
+	lossAfter := func(broken ruleMutant, lost int) (value string, err error) {
 		members := addresses(3)
 		inCluster(t, 1, broken, members, func(c *cluster) {
 			c.start("new", "elsewhere", storage.NewMemory(), false)
-			<-time.After(catchUp)
+			<-time.After(catchUpTime)
 			c.write(members[1], written)
 			c.network.AddRule(networktest.Rule{Path: "/rebuild/dump", Delay: 300 * time.Millisecond})
-			c.tellToStop(c.at(members[0]))
+			c.stopGracefully(c.at(members[0]))
 			c.stop(c.at(members[lost]))
 			value, err = c.read(members[3-lost]), c.write(members[3-lost], "after")
 		})
@@ -106,26 +106,26 @@
 	}
 	convey.Convey("Either of the members that stay may be lost at once", t, func() {
 		for _, lost := range []int{1, 2} {
-			value, err := lossAfter(mutant{}, lost)
+			value, err := lossAfter(ruleMutant{}, lost)
 			convey.So(value, convey.ShouldEqual, written)
 			convey.So(err, convey.ShouldBeNil)
 		}
 	})
 	convey.Convey("If the member went without waiting for its successor, no majority would be left", t, func() {
-		_, err := lossAfter(mutant{goesAtOnce: true}, 1)
+		_, err := lossAfter(ruleMutant{stopsAtOnce: true}, 1)
 		convey.So(err, convey.ShouldNotBeNil)
 	})
 }
 
-func TestAMemberThatStopsWithoutASuccessorGoesAtOnce(t *testing.T) {
+func TestADepartingMemberWithoutASuccessorStopsAtOnce(t *testing.T) {
 	members := addresses(3)
 	var took time.Duration
 	var view replicaset.View
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		told := time.Now()
-		c.tellToStop(c.at(members[0]))
+		c.stopGracefully(c.at(members[0]))
 		took = time.Since(told)
-		<-time.After(catchUp)
+		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
 	})
 	convey.Convey("Nobody waits to take its place", t, func() {
@@ -135,16 +135,16 @@
 }
 
 // A replaced process that still runs must not offer itself as a joining member.
-func TestAMemberThatStopsOffersItselfNoMore(t *testing.T) {
+func TestADepartingMemberAnnouncesItselfNoMore(t *testing.T) {
 	members := addresses(3)
 	var view replicaset.View
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		c.start("new", "elsewhere", storage.NewMemory(), false)
-		<-time.After(catchUp)
+		<-time.After(catchUpTime)
 		leaving := c.at(members[0])
 		leaving.manager.Leave(leaving.ctx)
 		c.stop(c.at(members[1]))
-		<-time.After(catchUp)
+		<-time.After(catchUpTime)
 		view = c.viewOf(members[2])
 	})
 	convey.Convey("Another member fails before it has gone: that one's place stays free", t, func() {
@@ -153,8 +153,8 @@
 }
 
 // A member that lost its disk has just come back when another is told to stop.
-func TestAMemberThatStopsWaitsForARebuild(t *testing.T) {
-	stopDuring := func(broken mutant) (took time.Duration, value string, err error) {
+func TestADepartingMemberWaitsForARebuild(t *testing.T) {
+	stopDuring := func(broken ruleMutant) (took time.Duration, value string, err error) {
 		members := addresses(3)
 		inCluster(t, 1, broken, members, func(c *cluster) {
 			c.write(members[1], written)
@@ -162,17 +162,17 @@
 			c.start(members[2], "zone of "+members[2], storage.NewMemory(), false)
 			<-time.After(500 * time.Millisecond)
 			told := time.Now()
-			c.tellToStop(c.at(members[0]))
+			c.stopGracefully(c.at(members[0]))
 			took = time.Since(told)
-			<-time.After(catchUp)
+			<-time.After(catchUpTime)
 			value, err = c.read(members[2]), c.write(members[2], "after")
 		})
 		return took, value, err
 	}
-	took, value, err := stopDuring(mutant{})
-	_, _, atOnce := stopDuring(mutant{goesAtOnce: true})
+	took, value, err := stopDuring(ruleMutant{})
+	_, _, atOnce := stopDuring(ruleMutant{stopsAtOnce: true})
 	convey.Convey("It goes once that one has been rebuilt, within its grace period", t, func() {
-		convey.So(took, convey.ShouldBeBetween, time.Second, handOverTime)
+		convey.So(took, convey.ShouldBeBetween, time.Second, handoverTimeout)
 		convey.So(value, convey.ShouldEqual, written)
 		convey.So(err, convey.ShouldBeNil)
 	})
@@ -182,19 +182,19 @@
 }
 
 // The joining member that waits takes the place of a third member, which has just failed, as no goodbye arrives.
-func TestAMemberThatStopsWaitsForANewcomerInAnothersPlace(t *testing.T) {
+func TestADepartingMemberWaitsForAJoiningMemberThatReplacesAnother(t *testing.T) {
 	members := addresses(3)
 	var value string
 	var err error
 	var view replicaset.View
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		c.write(members[1], written)
 		c.network.AddRule(networktest.Rule{Path: "/replicaset/leave", Lose: true})
 		c.stop(c.at(members[2]))
 		c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(time.Second)
-		c.tellToStop(c.at(members[0]))
-		<-time.After(catchUp)
+		c.stopGracefully(c.at(members[0]))
+		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
 		value, err = c.read(members[1]), c.write(members[1], "after")
 	})
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -16,18 +16,18 @@
 // operation is what a client asks of the register: to append a token, or to read where that is empty.
 type operation struct{ token string }
 
-// result is what the client heard.
-type result struct {
+// operationResult is what the client heard.
+type operationResult struct {
 	unknown bool // whether the operation ran
 	value   string
 }
 
-// appending is the register as porcupine checks it: the state is the value.
-var appending = porcupine.Model{
+// appendRegisterModel is the register as porcupine checks it: the state is the value.
+var appendRegisterModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
 		next := state.(string) + in.(operation).token
-		heard := out.(result)
+		heard := out.(operationResult)
 		return heard.unknown || heard.value == next, next
 	},
 }
@@ -57,7 +57,7 @@
 		h.succeeded++
 	}
 	h.operations = append(h.operations, porcupine.Operation{
-		ClientId: client, Input: do, Output: result{unknown: err != nil, value: string(value)}, Call: call, Return: back,
+		ClientId: client, Input: do, Output: operationResult{unknown: err != nil, value: string(value)}, Call: call, Return: back,
 	})
 }
 
@@ -70,5 +70,5 @@
 
 // check tells whether the history is linearizable.
 func (h *history) check() porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(appending, h.operations, 20*time.Second)
+	return porcupine.CheckOperationsTimeout(appendRegisterModel, h.operations, 20*time.Second)
 }
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -46,10 +46,10 @@
 	Pending(current View) (next View, found bool, err error)
 }
 
-// Contacts is what this process knows of the other members by its own contact with them.
-type Contacts struct {
-	Majority bool                     // a majority of the view, this process included, has answered of late
-	Silence  map[string]time.Duration // by address, since a member was heard; absent where it never was
+// Liveness is what this process knows of the other members by its own contact with them.
+type Liveness struct {
+	QuorumReachable bool                     // a majority of the view, this process included, has answered of late
+	SinceHeard      map[string]time.Duration // by address, since a member was heard; absent where it never was
 }
 
 // Config names what a Manager works with.
@@ -63,33 +63,33 @@
 	Caller          transport.Caller
 	Founding        Founding        // nil at processes that are no core nodes
 	Succession      Succession      // nil where no member is ever replaced
-	Contacts        func() Contacts // needed with Succession
+	Liveness        func() Liveness // needed with Succession
 	Logger          *zap.Logger
 }
 
 // Manager knows the current view: it takes part in founding the first one and in replacing members, keeps the view in
 // the store, and exchanges it with other processes.
 type Manager struct {
-	config      Config
-	start       time.Time
-	incarnation uint64        // of this process, drawn at its start
-	departing   atomic.Bool   // this process is about to stop
-	founders    []string      // sorted; empty where this process may not found
-	wake        chan struct{} // a joining member was heard
-	failures    chan error    // of the store
-	observed    observation   // belongs to Run, as do the next two
-	touched     time.Time     // newest look at the contact with a majority
-	wasSilent   bool          // there was none then, or this process may have been frozen before
-	exchanges   int           // made by Run
+	config            Config
+	start             time.Time
+	incarnation       uint64        // of this process, drawn at its start
+	departing         atomic.Bool   // this process is about to stop
+	founders          []string      // sorted; empty where this process may not found
+	wake              chan struct{} // a joining member was heard
+	storeFailures     chan error    // of the store
+	observation       observation   // belongs to Run, as do the next two
+	lastLivenessCheck time.Time     // newest look at the contact with a majority
+	wasDisconnected   bool          // there was none then, or this process may have been frozen before
+	exchangeCount     int           // made by Run
 
 	mutex          sync.Mutex // guards what follows
 	view           View
-	entered        map[string]time.Time // when each member was first seen in the view
+	memberSince    map[string]time.Time // when each member was first seen in the view
 	absences       uint64               // views learned that this process left, or was not part of at first
 	changed        chan struct{}        // closed and replaced at each change of the view
 	announcements  announcements
 	joiningMembers joiningMembers
-	leaving        map[string]time.Time // when members said goodbye
+	leaveReceived  map[string]time.Time // when members said goodbye
 
 	storing sync.Mutex // held while a view is stored
 }
@@ -98,9 +98,9 @@
 // that the founding goes on if the process is killed in its midst.
 func NewManager(config Config) (*Manager, error) {
 	m := &Manager{
-		config: config, start: time.Now(), incarnation: max(1, rand.Uint64()), wake: make(chan struct{}, 1), failures: make(chan error, 1),
-		entered: make(map[string]time.Time), changed: make(chan struct{}),
-		joiningMembers: make(joiningMembers), leaving: make(map[string]time.Time),
+		config: config, start: time.Now(), incarnation: max(1, rand.Uint64()), wake: make(chan struct{}, 1), storeFailures: make(chan error, 1),
+		memberSince: make(map[string]time.Time), changed: make(chan struct{}),
+		joiningMembers: make(joiningMembers), leaveReceived: make(map[string]time.Time),
 	}
 	if err := m.load(); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 		}
 	}
 	m.announcements = newAnnouncements(m.start)
-	m.noteEntered(m.start)
+	m.updateMemberSince(m.start)
 	return m, nil
 }
 
@@ -201,7 +201,7 @@
 	if err := m.storeView(view, absences); err != nil {
 		return err
 	}
-	m.adopt(view, absences)
+	m.setView(view, absences)
 	m.config.Logger.Info("view of the replicas", zap.Uint64("version", view.Version), zap.Strings("members", view.Members))
 	return nil
 }
@@ -222,24 +222,24 @@
 	return nil
 }
 
-func (m *Manager) adopt(view View, absences uint64) {
+func (m *Manager) setView(view View, absences uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.view, m.absences = view, absences
-	m.noteEntered(time.Now())
+	m.updateMemberSince(time.Now())
 	clear(m.joiningMembers)
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// noteEntered remembers since when each member has been in the view. The caller holds the mutex.
-func (m *Manager) noteEntered(now time.Time) {
+// updateMemberSince remembers since when each member has been in the view. The caller holds the mutex.
+func (m *Manager) updateMemberSince(now time.Time) {
 	entered := make(map[string]time.Time, len(m.view.Members))
 	for _, address := range m.view.Members {
 		entered[address] = now
-		if before, found := m.entered[address]; found {
+		if before, found := m.memberSince[address]; found {
 			entered[address] = before
 		}
 	}
-	m.entered = entered
+	m.memberSince = entered
 }
--- a/internal/controlplane/replicaset/manager_test.go
+++ b/internal/controlplane/replicaset/manager_test.go
@@ -24,23 +24,23 @@
 // aftermath is how long messages may still be under way at the end of a test, in simulated time.
 const aftermath = 10 * time.Second
 
-// fleet is a set of processes on a network in memory, to be run in simulated time.
-type fleet struct {
+// managerCluster is a set of processes on a network in memory, to be run in simulated time.
+type managerCluster struct {
 	t       *testing.T
 	network *networktest.Network
 	seeds   []string
-	running map[string]*process
+	running map[string]*managerProcess
 }
 
-type process struct {
+type managerProcess struct {
 	manager *replicaset.Manager
 	store   *storage.Memory
 	stop    context.CancelFunc
 	ended   chan error
 }
 
-func newFleet(t *testing.T, seeds ...string) *fleet {
-	f := &fleet{t: t, network: networktest.New(1), seeds: seeds, running: make(map[string]*process)}
+func newManagerCluster(t *testing.T, seeds ...string) *managerCluster {
+	f := &managerCluster{t: t, network: networktest.New(1), seeds: seeds, running: make(map[string]*managerProcess)}
 	f.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
 	return f
 }
@@ -54,7 +54,7 @@
 }
 
 // start starts a core node, or another process where it does not count for the quorum.
-func (f *fleet) start(self string, store *storage.Memory, firstStart, core bool) *process {
+func (f *managerCluster) start(self string, store *storage.Memory, firstStart, core bool) *managerProcess {
 	var manager *replicaset.Manager
 	founding := register.NewFounding(register.FoundingConfig{
 		Self:     self,
@@ -81,20 +81,20 @@
 	founding.Serve(mux)
 	f.network.Serve(self, mux)
 	ctx, stop := context.WithCancel(context.Background())
-	p := &process{manager, store, stop, make(chan error, 1)}
+	p := &managerProcess{manager, store, stop, make(chan error, 1)}
 	go func() { p.ended <- manager.Run(ctx) }()
 	f.running[self] = p
 	return p
 }
 
-func (f *fleet) startAll(all []string) {
+func (f *managerCluster) startAll(all []string) {
 	for _, self := range all {
 		f.start(self, storage.NewMemory(), true, true)
 	}
 }
 
 // kill ends a process and returns its disk.
-func (f *fleet) kill(self string) *storage.Memory {
+func (f *managerCluster) kill(self string) *storage.Memory {
 	p := f.running[self]
 	f.network.Serve(self, nil)
 	p.stop()
@@ -105,7 +105,7 @@
 	return p.store
 }
 
-func (f *fleet) end() {
+func (f *managerCluster) end() {
 	for self := range f.running {
 		f.kill(self)
 	}
@@ -113,7 +113,7 @@
 }
 
 // view waits until a process knows a view, and returns it with the time since a start.
-func (p *process) view(start time.Time) (replicaset.View, time.Duration) {
+func (p *managerProcess) view(start time.Time) (replicaset.View, time.Duration) {
 	for limit := time.After(time.Minute); ; {
 		changed := p.manager.Changed()
 		if view := p.manager.View(); view.Version > 0 {
@@ -127,10 +127,10 @@
 	}
 }
 
-// inFleet runs a test in simulated time.
-func inFleet(t *testing.T, seeds []string, test func(f *fleet, start time.Time)) {
+// inManagerCluster runs a test in simulated time.
+func inManagerCluster(t *testing.T, seeds []string, test func(f *managerCluster, start time.Time)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		f := newFleet(t, seeds...)
+		f := newManagerCluster(t, seeds...)
 		test(f, time.Now())
 		f.end()
 	})
@@ -140,7 +140,7 @@
 	all := addresses(5)
 	views := make(map[string]replicaset.View)
 	var slowest time.Duration
-	inFleet(t, all[1:4], func(f *fleet, start time.Time) {
+	inManagerCluster(t, all[1:4], func(f *managerCluster, start time.Time) {
 		f.startAll(all)
 		agent := f.start("front", storage.NewMemory(), true, false)
 		for _, self := range all {
@@ -159,11 +159,11 @@
 	})
 }
 
-func TestFoundingWaitsForThoseThatStartLater(t *testing.T) {
+func TestFoundingWaitsForLaterAnnouncements(t *testing.T) {
 	all := addresses(4)
 	var view replicaset.View
 	var took time.Duration
-	inFleet(t, all[:3], func(f *fleet, start time.Time) {
+	inManagerCluster(t, all[:3], func(f *managerCluster, start time.Time) {
 		f.startAll(all[:3])
 		<-time.After(1300 * time.Millisecond)
 		f.start(all[3], storage.NewMemory(), true, true)
@@ -179,7 +179,7 @@
 	all := addresses(4)
 	var view, late replicaset.View
 	var took time.Duration
-	inFleet(t, all[:3], func(f *fleet, start time.Time) {
+	inManagerCluster(t, all[:3], func(f *managerCluster, start time.Time) {
 		f.startAll(all[1:])
 		view, took = f.running[all[3]].view(start)
 		first := f.start(all[0], storage.NewMemory(), false, true)
@@ -192,10 +192,10 @@
 	})
 }
 
-func TestFoundersThatDoNotHearEachOtherCommitOneView(t *testing.T) {
+func TestPartitionedFoundersCommitOneView(t *testing.T) {
 	all := addresses(3)
 	var views []replicaset.View
-	inFleet(t, all, func(f *fleet, start time.Time) {
+	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
 		f.network.AddRule(networktest.Rule{From: all[0], To: all[1], Path: "/replicaset/", Lose: true})
 		f.network.AddRule(networktest.Rule{From: all[1], To: all[0], Path: "/replicaset/", Lose: true})
 		f.startAll(all)
@@ -211,10 +211,10 @@
 	})
 }
 
-func TestAFoundingThatIsKilledGoesOn(t *testing.T) {
+func TestFoundingResumesAfterARestart(t *testing.T) {
 	all := addresses(3)
 	var before, after []replicaset.View
-	inFleet(t, all, func(f *fleet, start time.Time) {
+	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
 		f.startAll(all)
 		<-time.After(time.Second)
 		disks := make(map[string]*storage.Memory)
@@ -238,10 +238,10 @@
 	})
 }
 
-func TestAMemberThatComesBack(t *testing.T) {
+func TestARestartedMemberLearnsTheView(t *testing.T) {
 	all := addresses(3)
 	var kept, lost, unreached replicaset.View
-	inFleet(t, all, func(f *fleet, start time.Time) {
+	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
 		f.startAll(all)
 		for _, self := range all {
 			f.running[self].view(start)
@@ -264,10 +264,10 @@
 	})
 }
 
-func TestAnEmptyMemberNeverFounds(t *testing.T) {
+func TestAMemberWithoutItsDiskNeverFounds(t *testing.T) {
 	all := addresses(3)
 	var view replicaset.View
-	inFleet(t, all, func(f *fleet, start time.Time) {
+	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
 		for _, self := range all {
 			f.start(self, storage.NewMemory(), false, true)
 		}
@@ -283,7 +283,7 @@
 	all := addresses(3)
 	newer := replicaset.View{Version: 2, Members: all[:2]}
 	var learned []replicaset.View
-	inFleet(t, all, func(f *fleet, start time.Time) {
+	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
 		f.startAll(all)
 		for _, self := range all {
 			f.running[self].view(start)
@@ -304,15 +304,15 @@
 	})
 }
 
-func TestAskAnyProcess(t *testing.T) {
+func TestFetchViewFromAnyProcess(t *testing.T) {
 	all := addresses(1)
 	var before, after replicaset.View
 	var invalid error
-	inFleet(t, all, func(f *fleet, start time.Time) {
+	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
 		p := f.start(all[0], storage.NewMemory(), true, true)
-		before, _ = replicaset.Ask(context.Background(), f.network.Caller("any"), all[0])
+		before, _ = replicaset.FetchView(context.Background(), f.network.Caller("any"), all[0])
 		p.view(start)
-		after, _ = replicaset.Ask(context.Background(), f.network.Caller("any"), all[0])
+		after, _ = replicaset.FetchView(context.Background(), f.network.Caller("any"), all[0])
 		invalid = p.manager.Learn(replicaset.View{Version: 9})
 	})
 	convey.Convey("The answer has version 0 until a view is known", t, func() {
--- a/internal/controlplane/replicaset/modelleader_test.go
+++ b/internal/controlplane/replicaset/modelleader_test.go
@@ -15,19 +15,19 @@
 // proposeInterval is between two proposals of a leader in the model.
 const proposeInterval = 400 * time.Millisecond
 
-// modelLeader leads the model's group for one process.
-type modelLeader struct {
-	model *model
-	core  *core
+// proposingLeader leads the model's group for one process.
+type proposingLeader struct {
+	schedule *faultSchedule
+	core     *core
 }
 
 // Elected implements replication.Handler: the state has all that was confirmed, and from now on the leader proposes.
-func (l *modelLeader) Elected(term *replication.Term, state map[string][]byte) {
-	m := l.model
+func (l *proposingLeader) Elected(term *replication.Term, state map[string][]byte) {
+	m := l.schedule
 	m.state.Lock()
-	for key := range m.groupAcked {
+	for key := range m.groupAcknowledged {
 		if _, found := state[key]; !found {
-			m.wrong = append(m.wrong, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was confirmed",
+			m.violations = append(m.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was confirmed",
 				time.Since(m.start), term.Epoch(), l.core.address, key))
 			break
 		}
@@ -37,12 +37,12 @@
 }
 
 // Deposed implements replication.Handler.
-func (l *modelLeader) Deposed(*replication.Term) {}
+func (l *proposingLeader) Deposed(*replication.Term) {}
 
-func (l *modelLeader) lead(term *replication.Term) {
+func (l *proposingLeader) lead(term *replication.Term) {
 	for i := 0; ; i++ {
 		key := fmt.Sprintf("%d-%d", term.Epoch(), i)
-		term.Propose([]replication.Entry{{Key: key, Value: []byte{1}}}, func() { l.model.groupConfirmed(key) })
+		term.Propose([]replication.Entry{{Key: key, Value: []byte{1}}}, func() { l.schedule.groupCommitted(key) })
 		select {
 		case <-term.Ended():
 			return
@@ -53,12 +53,12 @@
 	}
 }
 
-func (m *model) groupConfirmed(key string) {
+func (m *faultSchedule) groupCommitted(key string) {
 	m.state.Lock()
 	defer m.state.Unlock()
-	m.groupAcked[key] = true
-	m.slowest = max(m.slowest, time.Since(m.groupMoved))
-	m.groupMoved = time.Now()
+	m.groupAcknowledged[key] = true
+	m.slowest = max(m.slowest, time.Since(m.groupLastAcknowledged))
+	m.groupLastAcknowledged = time.Now()
 }
 
 // disksOf are the disks of members that have founded the first view, by size and address.
@@ -67,8 +67,8 @@
 	disksMutex sync.Mutex
 )
 
-// founded returns the disks of members that have founded the first view, by address.
-func founded(t *testing.T, size int) map[string]storage.Tables {
+// foundedDisks returns the disks of members that have founded the first view, by address.
+func foundedDisks(t *testing.T, size int) map[string]storage.Tables {
 	disksMutex.Lock()
 	defer disksMutex.Unlock()
 	if disks, found := disksOf[size]; found {
@@ -78,7 +78,7 @@
 	disksOf[size] = disks
 	virtualtime.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, network: networktest.New(1), seeds: addresses(size), running: make(map[string]*core)}
-		c.network.SetFaults(quietFaults)
+		c.network.SetFaults(reliableNetwork)
 		for _, address := range addresses(size) {
 			c.start(address, "zone of "+address, storage.NewMemory(), true)
 		}
--- a/internal/controlplane/replicaset/mutantparts_test.go
+++ b/internal/controlplane/replicaset/mutantparts_test.go
@@ -8,16 +8,16 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// ownSuccession decides alone.
-type ownSuccession struct{}
+// unilateralSuccession decides alone.
+type unilateralSuccession struct{}
 
 // Commit implements replicaset.Succession.
-func (ownSuccession) Commit(_ context.Context, _, next replicaset.View) (replicaset.View, error) {
+func (unilateralSuccession) Commit(_ context.Context, _, next replicaset.View) (replicaset.View, error) {
 	return next, nil
 }
 
 // Pending implements replicaset.Succession.
-func (ownSuccession) Pending(replicaset.View) (replicaset.View, bool, error) {
+func (unilateralSuccession) Pending(replicaset.View) (replicaset.View, bool, error) {
 	return replicaset.View{}, false, nil
 }
 
@@ -30,15 +30,15 @@
 // creditingViews answers as if each view that it was told were learned.
 type creditingViews struct {
 	*replicaset.Manager
-	mutex sync.Mutex
-	told  replicaset.View
+	mutex    sync.Mutex
+	received replicaset.View
 }
 
 // Learn implements rebuild.Views.
 func (v *creditingViews) Learn(view replicaset.View) error {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.told = view
+	v.received = view
 	return nil
 }
 
@@ -46,17 +46,17 @@
 func (v *creditingViews) View() replicaset.View {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if known := v.Manager.View(); known.Version >= v.told.Version {
+	if known := v.Manager.View(); known.Version >= v.received.Version {
 		return known
 	}
-	return v.told
+	return v.received
 }
 
-// lag is how long a member serves the old view in a mutant.
-const lag = 4 * time.Second
+// staleViewTime is how long a member serves the old view in a mutant.
+const staleViewTime = 4 * time.Second
 
-// laggingView returns a view some time after it became the current one.
-func laggingView(current func() replicaset.View) func() replicaset.View {
+// staleView returns a view some time after it became the current one.
+func staleView(current func() replicaset.View) func() replicaset.View {
 	var mutex sync.Mutex
 	var served, newest replicaset.View
 	var since time.Time
@@ -66,7 +66,7 @@
 		if view := current(); view.Version != newest.Version {
 			served, newest, since = newest, view, time.Now()
 		}
-		if served.Version == 0 || time.Since(since) >= lag {
+		if served.Version == 0 || time.Since(since) >= staleViewTime {
 			served = newest
 		}
 		return served
--- a/internal/controlplane/replicaset/mutants_test.go
+++ b/internal/controlplane/replicaset/mutants_test.go
@@ -14,11 +14,11 @@
 	old     = "the value before"
 	written = "the value that was written"
 
-	messagesUnderWay = time.Second // at most
+	messagesInFlightTime = time.Second // at most
 )
 
 // part lets no message pass between two processes, or only none of some paths.
-func (c *cluster) part(a, b, path string) {
+func (c *cluster) dropBetween(a, b, path string) {
 	c.network.AddRule(networktest.Rule{From: a, To: b, Path: path, Lose: true})
 	c.network.AddRule(networktest.Rule{From: b, To: a, Path: path, Lose: true})
 }
@@ -29,71 +29,71 @@
 func writtenInTheOldView(c *cluster, members []string) bool {
 	replaced, common, proposer := members[0], members[1], members[2]
 	c.write(proposer, old)
-	c.part(replaced, proposer, "")
-	c.part("new", replaced, "/replicaset/announce")
-	c.part("new", replaced, "/rebuild/dump")
+	c.dropBetween(replaced, proposer, "")
+	c.dropBetween("new", replaced, "/replicaset/announce")
+	c.dropBetween("new", replaced, "/rebuild/dump")
 	for _, address := range []string{replaced, proposer, "new"} {
-		c.part(address, common, "/replicaset/view")
-		c.part(address, common, "/replicaset/announce")
+		c.dropBetween(address, common, "/replicaset/view")
+		c.dropBetween(address, common, "/replicaset/announce")
 	}
 	c.network.AddRule(networktest.Rule{From: common, Path: "/register/replicaset/next", Lose: true})
 	c.enter("new", "elsewhere")
 	if c.write(replaced, written) != nil {
 		return true
 	}
-	c.network.Cut(common, true)
+	c.network.Partition(common, true)
 	return c.read(proposer) == written
 }
 
-// joiningMemberFillsAMajority lets a value be written without one member, of which one of the two that know of it is then
+// joiningMemberCompletesAMajority lets a value be written without one member, of which one of the two that know of it is then
 // replaced, and the other is cut off. It tells whether the value is there afterwards.
-func joiningMemberFillsAMajority(c *cluster, members []string) bool {
+func joiningMemberCompletesAMajority(c *cluster, members []string) bool {
 	c.write(members[0], old)
-	c.network.Cut(members[0], true)
+	c.network.Partition(members[0], true)
 	c.write(members[1], written)
-	<-time.After(messagesUnderWay)
-	c.network.Cut(members[0], false)
+	<-time.After(messagesInFlightTime)
+	c.network.Partition(members[0], false)
 	c.stop(c.at(members[1]))
 	c.start("new", "elsewhere", storage.NewMemory(), false)
 	for !c.at("new").manager.View().Has("new") {
 		<-time.After(10 * time.Millisecond)
 	}
-	c.network.Cut(members[2], true)
+	c.network.Partition(members[2], true)
 	if value := c.read(members[0]); value == old {
 		return false
 	}
-	c.network.Cut(members[2], false)
+	c.network.Partition(members[2], false)
 	<-time.After(5 * time.Second)
 	return c.read(members[0]) == written
 }
 
-// replacedMemberComesBack lets a value be written without a member that was replaced, and without another one. Then the
+// replacedMemberRejoins lets a value be written without a member that was replaced, and without another one. Then the
 // replaced one takes the place of one that knows of the value, and the last that does is cut off. It tells whether the
 // value is there afterwards.
-func replacedMemberComesBack(c *cluster, members []string) bool {
+func replacedMemberRejoins(c *cluster, members []string) bool {
 	c.write(members[0], old)
-	c.network.Cut(members[0], true)
+	c.network.Partition(members[0], true)
 	c.enter("new", "elsewhere")
-	c.network.Cut(members[2], true)
+	c.network.Partition(members[2], true)
 	c.write(members[1], written)
-	<-time.After(messagesUnderWay)
-	c.network.Cut(members[2], false)
-	c.network.Cut(members[0], false)
+	<-time.After(messagesInFlightTime)
+	c.network.Partition(members[2], false)
+	c.network.Partition(members[0], false)
 	<-time.After(3 * time.Second)
 	c.stop(c.at(members[1]))
 	c.at(members[0]).member(time.Minute)
-	c.network.Cut("new", true)
+	c.network.Partition("new", true)
 	return c.read(members[2]) == written
 }
 
 // twoProposers lets two members, of which neither hears the other, replace it by another joining member. It tells whether there
 // is one view of each version.
 func twoProposers(c *cluster, members []string) bool {
-	c.part(members[0], members[1], "")
-	c.part("new-0", members[1], "")
-	c.part("new-1", members[0], "")
-	c.part("new-0", members[2], "")
-	c.part("new-1", members[2], "")
+	c.dropBetween(members[0], members[1], "")
+	c.dropBetween("new-0", members[1], "")
+	c.dropBetween("new-1", members[0], "")
+	c.dropBetween("new-0", members[2], "")
+	c.dropBetween("new-1", members[2], "")
 	c.start("new-0", "zone of "+members[1], storage.NewMemory(), false)
 	c.start("new-1", "zone of "+members[0], storage.NewMemory(), false)
 	views := make(map[uint64]string)
@@ -117,19 +117,19 @@
 // Each rule is needed: what holds with it does not hold without it.
 func TestEachRuleIsNeeded(t *testing.T) {
 	rules := []struct {
-		broken   mutant
+		broken   ruleMutant
 		scenario func(c *cluster, members []string) bool
 	}{
-		{mutant{name: "a newcomer votes only after it is rebuilt", noRebuild: true}, joiningMemberFillsAMajority},
-		{mutant{name: "a member that has learned a view refuses the rounds of the one before", servesOld: true}, writtenInTheOldView},
-		{mutant{name: "only a member that has learned the newcomer's view gives it a copy", dumpsOld: true}, writtenInTheOldView},
-		{mutant{name: "a member that was replaced is empty when it comes back", keepsOldVotes: true}, replacedMemberComesBack},
-		{mutant{name: "a majority settles the next view", ownSuccessions: true}, twoProposers},
+		{ruleMutant{name: "a newcomer votes only after it is rebuilt", noRebuild: true}, joiningMemberCompletesAMajority},
+		{ruleMutant{name: "a member that has learned a view refuses the rounds of the one before", votesInOldView: true}, writtenInTheOldView},
+		{ruleMutant{name: "only a member that has learned the newcomer's view gives it a copy", dumpsInOldView: true}, writtenInTheOldView},
+		{ruleMutant{name: "a member that was replaced is empty when it comes back", keepsOldVotes: true}, replacedMemberRejoins},
+		{ruleMutant{name: "a majority settles the next view", decidesAlone: true}, twoProposers},
 	}
 	members := addresses(3)
 	for _, rule := range rules {
 		var with, without bool
-		inCluster(t, 1, mutant{}, members, func(c *cluster) { with = rule.scenario(c, members) })
+		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) { with = rule.scenario(c, members) })
 		inCluster(t, 1, rule.broken, members, func(c *cluster) { without = rule.scenario(c, members) })
 		convey.Convey("Shown to be needed: "+rule.broken.name, t, func() {
 			convey.So(with, convey.ShouldBeTrue)
--- a/internal/controlplane/replicaset/networktest/network.go
+++ b/internal/controlplane/replicaset/networktest/network.go
@@ -21,11 +21,11 @@
 
 // Faults are what a network does to each request and each reply on its own.
 type Faults struct {
-	Lose   float64       // probability of being lost; the caller then waits for its context
-	Double float64       // probability that a request arrives a second time, at another moment
-	Delay  time.Duration // upper bound of the usual delay
-	Late   float64       // probability of a delay up to LateBy instead
-	LateBy time.Duration
+	Lose      float64       // probability of being lost; the caller then waits for its context
+	Duplicate float64       // probability that a request arrives a second time, at another moment
+	Delay     time.Duration // upper bound of the usual delay
+	Late      float64       // probability of a delay up to LateBy instead
+	LateBy    time.Duration
 }
 
 // errUnreachable is the failure of a call to an address that nobody serves.
@@ -33,14 +33,14 @@
 
 // Network connects handlers by address.
 type Network struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	faults   Faults
-	handlers map[string]http.Handler
-	mute     map[string]bool      // from which nothing passes
-	deaf     map[string]bool      // to which nothing passes
-	held     map[string]time.Time // until when messages from and to an address wait
-	rules    []Rule
+	mutex        sync.Mutex
+	random       *rand.Rand
+	faults       Faults
+	handlers     map[string]http.Handler
+	dropFrom     map[string]bool      // from which nothing passes
+	dropTo       map[string]bool      // to which nothing passes
+	delayedUntil map[string]time.Time // until when messages from and to an address wait
+	rules        []Rule
 }
 
 // Rule decides on single requests, for directed tests.
@@ -50,17 +50,17 @@
 	Delay          time.Duration // the request arrives that much later
 	Times          int           // how often the rule applies; 0 for always
 
-	taken int
+	applied int
 }
 
 // New makes a network without faults. The seed drives its chances.
 func New(seed uint64) *Network {
 	return &Network{
-		random:   rand.New(rand.NewPCG(seed, 0)),
-		handlers: make(map[string]http.Handler),
-		mute:     make(map[string]bool),
-		deaf:     make(map[string]bool),
-		held:     make(map[string]time.Time),
+		random:       rand.New(rand.NewPCG(seed, 0)),
+		handlers:     make(map[string]http.Handler),
+		dropFrom:     make(map[string]bool),
+		dropTo:       make(map[string]bool),
+		delayedUntil: make(map[string]time.Time),
 	}
 }
 
@@ -92,21 +92,23 @@
 	n.handlers[address] = handler
 }
 
-// Cut lets nothing pass to or from an address until it is joined again.
-func (n *Network) Cut(address string, cut bool) { n.CutOneWay(address, cut, cut) }
+// Partition lets nothing pass to or from an address until it is joined again.
+func (n *Network) Partition(address string, partitioned bool) {
+	n.PartitionOneWay(address, partitioned, partitioned)
+}
 
-// CutOneWay lets nothing pass from an address, or to it, until that is taken back.
-func (n *Network) CutOneWay(address string, from, to bool) {
+// PartitionOneWay lets nothing pass from an address, or to it, until that is taken back.
+func (n *Network) PartitionOneWay(address string, from, to bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.mute[address], n.deaf[address] = from, to
+	n.dropFrom[address], n.dropTo[address] = from, to
 }
 
-// Hold keeps all messages from and to an address for a time, and then lets them go on.
-func (n *Network) Hold(address string, span time.Duration) {
+// Delay keeps all messages from and to an address for a time, and then lets them go on.
+func (n *Network) Delay(address string, duration time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.held[address] = time.Now().Add(span)
+	n.delayedUntil[address] = time.Now().Add(duration)
 }
 
 // Caller returns the Caller of the process at an address. It keeps what it learns of others like that of a real process.
@@ -114,31 +116,31 @@
 
 // CallerOf returns the Caller of the process at an address, which is of a cluster.
 func (n *Network) CallerOf(cluster, from string) transport.Caller {
-	return transport.NewClientOver(cluster, &carrier{n, from})
+	return transport.NewClientOver(cluster, &roundTripper{n, from})
 }
 
-// carrier brings one process's requests to their addresses.
-type carrier struct {
+// roundTripper brings one process's requests to their addresses.
+type roundTripper struct {
 	network *Network
 	from    string
 }
 
-// message is one way of a call.
-type message struct {
+// transmission is one way of a call.
+type transmission struct {
 	lost  bool
 	delay time.Duration
 }
 
 // RoundTrip implements http.RoundTripper.
-func (c *carrier) RoundTrip(request *http.Request) (*http.Response, error) {
+func (c *roundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, err
 	}
 	ctx, address, path := request.Context(), request.URL.Host, request.URL.Path
-	replies := make(chan arrival, 2)
-	for _, way := range c.network.requests(c.from, address, path) {
-		go c.network.deliver(ctx, way, c.from, address, path, request.Header, body, replies)
+	replies := make(chan outcome, 2)
+	for _, sent := range c.network.drawRequests(c.from, address, path) {
+		go c.network.deliver(ctx, sent, c.from, address, path, request.Header, body, replies)
 	}
 	select {
 	case answer := <-replies:
@@ -148,103 +150,103 @@
 	}
 }
 
-// arrival is an answer, or the failure to reach anybody.
-type arrival struct {
+// outcome is an answer, or the failure to reach anybody.
+type outcome struct {
 	response *http.Response
 	err      error
 }
 
-// requests draws how a request fares: once or, where it is doubled, twice.
-func (n *Network) requests(from, to, path string) []message {
+// drawRequests draws how a request fares: once or, where it is doubled, twice.
+func (n *Network) drawRequests(from, to, path string) []transmission {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	ways := []message{n.draw()}
-	if n.random.Float64() < n.faults.Double {
-		ways = append(ways, n.draw())
+	transmissions := []transmission{n.draw()}
+	if n.random.Float64() < n.faults.Duplicate {
+		transmissions = append(transmissions, n.draw())
 	}
 	for i := range n.rules {
-		if n.rules[i].takes(from, to, path) {
-			ways[0].lost = ways[0].lost || n.rules[i].Lose
-			ways[0].delay += n.rules[i].Delay
+		if n.rules[i].applies(from, to, path) {
+			transmissions[0].lost = transmissions[0].lost || n.rules[i].Lose
+			transmissions[0].delay += n.rules[i].Delay
 		}
 	}
-	return ways
+	return transmissions
 }
 
-func (r *Rule) takes(from, to, path string) bool {
+func (r *Rule) applies(from, to, path string) bool {
 	if !strings.Contains(from, r.From) || !strings.Contains(to, r.To) || !strings.Contains(path, r.Path) {
 		return false
 	}
-	if r.Times > 0 && r.taken == r.Times {
+	if r.Times > 0 && r.applied == r.Times {
 		return false
 	}
-	r.taken++
+	r.applied++
 	return true
 }
 
 // draw draws one way of a call. The caller holds the mutex.
-func (n *Network) draw() message {
+func (n *Network) draw() transmission {
 	bound := n.faults.Delay
 	if n.random.Float64() < n.faults.Late {
 		bound = n.faults.LateBy
 	}
-	way := message{lost: n.random.Float64() < n.faults.Lose}
+	sent := transmission{lost: n.random.Float64() < n.faults.Lose}
 	if bound > 0 {
-		way.delay = time.Duration(n.random.Int64N(int64(bound)))
+		sent.delay = time.Duration(n.random.Int64N(int64(bound)))
 	}
-	return way
+	return sent
 }
 
-func (n *Network) answer() message {
+func (n *Network) drawReply() transmission {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.draw()
 }
 
 // deliver carries a request to its handler and the reply back.
-func (n *Network) deliver(ctx context.Context, way message, from, to, path string, header http.Header, body []byte, replies chan<- arrival) {
-	travel(way.delay)
-	n.wait(from, to)
-	if way.lost || n.separated(from, to) {
+func (n *Network) deliver(ctx context.Context, sent transmission, from, to, path string, header http.Header, body []byte, replies chan<- outcome) {
+	sleep(sent.delay)
+	n.awaitDelay(from, to)
+	if sent.lost || n.partitioned(from, to) {
 		return
 	}
-	answer := n.handle(to, path, header, body)
-	back := n.answer()
-	travel(back.delay)
-	n.wait(from, to)
-	if back.lost || n.separated(to, from) || ctx.Err() != nil {
+	answer := n.serve(to, path, header, body)
+	reply := n.drawReply()
+	sleep(reply.delay)
+	n.awaitDelay(from, to)
+	if reply.lost || n.partitioned(to, from) || ctx.Err() != nil {
 		return
 	}
 	replies <- answer
 }
 
-// travel takes a time of the simulation.
-func travel(delay time.Duration) {
+// sleep takes a time of the simulation.
+func sleep(delay time.Duration) {
 	if delay > 0 {
 		<-time.After(delay)
 	}
 }
 
-func (n *Network) separated(from, to string) bool {
+func (n *Network) partitioned(from, to string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.mute[from] || n.deaf[to]
+	return n.dropFrom[from] || n.dropTo[to]
 }
 
-// wait waits while messages of either address are held.
-func (n *Network) wait(one, other string) {
+// awaitDelay waits while messages of either address are held.
+func (n *Network) awaitDelay(one, other string) {
 	n.mutex.Lock()
-	span := max(time.Until(n.held[one]), time.Until(n.held[other]))
+	remaining := max(time.Until(n.delayedUntil[one]), time.Until(n.delayedUntil[other]))
 	n.mutex.Unlock()
-	travel(span)
+	sleep(remaining)
 }
 
-func (n *Network) handle(to, path string, header http.Header, body []byte) arrival {
+func (n *Network) serve(to, path string, header http.Header, body []byte) outcome {
 	n.mutex.Lock()
 	handler := n.handlers[to]
 	n.mutex.Unlock()
 	if handler == nil {
-		return arrival{err: &net.OpError{Op: "dial", Net: "memory", Err: errUnreachable}}
+		return outcome{err: &net.OpError{Op: "dial", Net: "memory", Err: errUnreachable}}
 	}
 	request := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Path: path}, Host: to, RequestURI: path,
@@ -253,5 +255,5 @@
 	}
 	answer := httptest.NewRecorder()
 	handler.ServeHTTP(answer, request)
-	return arrival{response: answer.Result()}
+	return outcome{response: answer.Result()}
 }
--- a/internal/controlplane/replicaset/newcomers.go
+++ b/internal/controlplane/replicaset/newcomers.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	joiningMemberDelay = 300 * time.Millisecond // from a joining member's first announcement until it may become a member
-	joiningMemberFresh = time.Second            // an announcement counts no longer
+	joiningMemberDelay  = 300 * time.Millisecond // from a joining member's first announcement until it may become a member
+	announcementTimeout = time.Second            // an announcement counts no longer
 )
 
-// joiningMember is a core node that is no member and announces itself.
+// startJoiningMember is a core node that is no member and announces itself.
 type joiningMember struct {
-	address     string
-	zone        string
-	incarnation uint64    // of the process that announced itself last
-	first       time.Time // announcement
-	last        time.Time
+	address        string
+	zone           string
+	incarnation    uint64    // of the process that announced itself last
+	firstAnnounced time.Time // announcement
+	lastAnnounced  time.Time
 }
 
 // joiningMembers are those that announced themselves with the current view, by address.
 type joiningMembers map[string]joiningMember
 
 func (n joiningMembers) add(one joiningMember, now time.Time) {
-	one.first, one.last = now, now
+	one.firstAnnounced, one.lastAnnounced = now, now
 	if known, found := n[one.address]; found {
-		one.first = known.first
+		one.firstAnnounced = known.firstAnnounced
 	}
 	n[one.address] = one
 }
 
-// forget drops those that have fallen silent.
-func (n joiningMembers) forget(now time.Time) {
+// removeExpired drops those that have fallen silent.
+func (n joiningMembers) removeExpired(now time.Time) {
 	for address, one := range n {
-		if now.Sub(one.last) > joiningMemberFresh {
+		if now.Sub(one.lastAnnounced) > announcementTimeout {
 			delete(n, address)
 		}
 	}
 }
 
-// due lists those that have announced themselves for long enough, the longest first.
+// dueSince lists those that have announced themselves for long enough, the longest first.
 func (n joiningMembers) due(now time.Time) []joiningMember {
 	var due []joiningMember
 	for _, one := range n {
-		if now.Sub(one.first) >= joiningMemberDelay {
+		if now.Sub(one.firstAnnounced) >= joiningMemberDelay {
 			due = append(due, one)
 		}
 	}
 	slices.SortFunc(due, func(a, b joiningMember) int {
-		return cmp.Or(a.first.Compare(b.first), cmp.Compare(a.address, b.address))
+		return cmp.Or(a.firstAnnounced.Compare(b.firstAnnounced), cmp.Compare(a.address, b.address))
 	})
 	return due
 }
--- a/internal/controlplane/replicaset/process_test.go
+++ b/internal/controlplane/replicaset/process_test.go
@@ -10,47 +10,47 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// mortalStore lets a process write to a disk until the process is killed.
-type mortalStore struct {
+// killableStore lets a process write to a disk until the process is killed.
+type killableStore struct {
 	*storage.Memory
 	mutex sync.Mutex
 	dead  bool
 }
 
-var errDead = errors.New("the process was killed")
+var errKilled = errors.New("the process was killed")
 
 // Write implements storage.Store.
-func (s *mortalStore) Write(changes ...storage.Change) error {
+func (s *killableStore) Write(changes ...storage.Change) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.dead {
-		return errDead
+		return errKilled
 	}
 	return s.Memory.Write(changes...)
 }
 
-func (s *mortalStore) end() {
+func (s *killableStore) kill() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.dead = true
 }
 
-func (s *mortalStore) alive() bool {
+func (s *killableStore) alive() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.dead
 }
 
-// mortalCaller lets a process send until the process is killed.
-type mortalCaller struct {
+// killableCaller lets a process send until the process is killed.
+type killableCaller struct {
 	transport.Caller
-	store *mortalStore
+	store *killableStore
 }
 
 // Call implements transport.Caller.
-func (m mortalCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+func (m killableCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !m.store.alive() {
-		return rpcerror.WrapNotExecuted(errDead, 0)
+		return rpcerror.WrapNotExecuted(errKilled, 0)
 	}
 	return m.Caller.Call(ctx, address, route, request, reply)
 }
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -14,8 +14,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// catchUp is how long a joining member may take from its start until it is a full member.
-const catchUp = 4 * time.Second
+// catchUpTime is how long a joining member may take from its start until it is a full member.
+const catchUpTime = 4 * time.Second
 
 // viewOf returns the view that a process works with: its version and members.
 func (c *cluster) viewOf(address string) replicaset.View {
@@ -45,13 +45,13 @@
 	return string(value)
 }
 
-func TestADeadMemberIsReplaced(t *testing.T) {
+func TestAFailedMemberIsReplaced(t *testing.T) {
 	members := addresses(3)
 	for _, gone := range []time.Duration{0, time.Second, 10 * time.Second} {
 		var took time.Duration
 		var views []replicaset.View
 		var value string
-		inCluster(t, 1, mutant{}, members, func(c *cluster) {
+		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 			if err := c.write(members[0], "kept"); err != nil {
 				t.Error(err)
 			}
@@ -65,7 +65,7 @@
 			value = c.read(members[2])
 		})
 		convey.Convey(fmt.Sprintf("A newcomer comes %v after a member is gone", gone), t, func() {
-			convey.So(took, convey.ShouldBeLessThan, catchUp)
+			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
 			expected := replicaset.View{Version: 2, Members: []string{members[0], members[2], "new"}}
 			convey.So(views, convey.ShouldResemble, []replicaset.View{expected, expected, expected})
 			convey.So(value, convey.ShouldEqual, "kept")
@@ -78,7 +78,7 @@
 	var slowest time.Duration
 	var last replicaset.View
 	var value string
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		if err := c.write(members[0], "kept"); err != nil {
 			t.Error(err)
 		}
@@ -92,17 +92,17 @@
 		value = c.read("new-0")
 	})
 	convey.Convey("After all members were replaced in turn, the newcomers hold what the first ones did", t, func() {
-		convey.So(slowest, convey.ShouldBeLessThan, catchUp)
+		convey.So(slowest, convey.ShouldBeLessThan, catchUpTime)
 		convey.So(last, convey.ShouldResemble, replicaset.View{Version: 4, Members: []string{"new-0", "new-1", "new-2"}})
 		convey.So(value, convey.ShouldEqual, "kept")
 	})
 }
 
-func TestANewcomerWaitsWhileAllMembersLive(t *testing.T) {
+func TestAJoiningMemberWaitsWhileAllMembersAreLive(t *testing.T) {
 	members := addresses(3)
 	var before, after replicaset.View
 	var took time.Duration
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(20 * time.Second)
 		before = c.viewOf(members[0])
@@ -122,10 +122,10 @@
 	})
 }
 
-func TestAMemberThatComesBackAfterItsGoodbyeStays(t *testing.T) {
+func TestAMemberThatRestartsAfterItsLeaveRequestStays(t *testing.T) {
 	members := addresses(3)
 	var view replicaset.View
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		leaving := c.at(members[0])
 		leaving.manager.Leave(leaving.ctx)
 		c.stop(leaving)
@@ -141,17 +141,17 @@
 	})
 }
 
-func TestAReplacedMemberComesBack(t *testing.T) {
+func TestAReplacedMemberRejoins(t *testing.T) {
 	members := addresses(3)
 	var outside, inside replicaset.View
 	var ready bool
 	var value string
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		c.write(members[0], "old")
-		c.network.Cut(members[0], true)
+		c.network.Partition(members[0], true)
 		c.enter("new", "elsewhere")
 		c.write(members[1], "young")
-		c.network.Cut(members[0], false)
+		c.network.Partition(members[0], false)
 		<-time.After(5 * time.Second)
 		outside, ready = c.viewOf(members[0]), c.at(members[0]).rebuilder.Ready()
 		c.stop(c.at(members[1]))
@@ -176,7 +176,7 @@
 	members := addresses(5)
 	var views []replicaset.View
 	var first, second time.Duration
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		c.stop(c.at(members[0]))
 		c.stop(c.at(members[1]))
 		<-time.After(time.Second)
@@ -192,17 +192,17 @@
 		for _, view := range views {
 			convey.So(view, convey.ShouldResemble, replicaset.View{Version: 3, Members: append(slices.Clone(members[2:]), "new-0", "new-1")})
 		}
-		convey.So(first, convey.ShouldBeLessThan, catchUp)
-		convey.So(second, convey.ShouldBeLessThan, catchUp)
+		convey.So(first, convey.ShouldBeLessThan, catchUpTime)
+		convey.So(second, convey.ShouldBeLessThan, catchUpTime)
 	})
 }
 
 // The member that settles the next view is killed with its proposal at one other member only.
-func TestAProposerDiesMidway(t *testing.T) {
+func TestAProposerFailsMidway(t *testing.T) {
 	members := addresses(5)
 	for _, proposer := range members[1:] {
 		var views []replicaset.View
-		inCluster(t, 1, mutant{}, members, func(c *cluster) {
+		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 			c.network.AddRule(networktest.Rule{From: proposer, To: members[0], Path: "/register/replicaset/next/accept"})
 			for _, address := range members[2:] {
 				c.network.AddRule(networktest.Rule{From: proposer, To: address, Path: "/register/replicaset/next/accept", Lose: true})
@@ -227,10 +227,10 @@
 	}
 }
 
-func TestAMemberThatIsCutOffReplacesNobody(t *testing.T) {
+func TestAMemberInAMinorityPartitionReplacesNobody(t *testing.T) {
 	members := addresses(3)
 	var version uint64
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(time.Second)
 		// The joining member and one member reach each other, and nobody else.
@@ -249,22 +249,22 @@
 }
 
 // A next view was accepted by single members when the one that it replaces came back. Many joining members wait.
-func TestAViewThatWasBegunIsFinishedWhileJoiningMembersWait(t *testing.T) {
+func TestAPendingViewIsCompletedWhileJoiningMembersWait(t *testing.T) {
 	members := addresses(3)
 	var before, after uint64
-	inCluster(t, 1, mutant{}, members, func(c *cluster) {
+	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		for i := range 6 {
 			c.start(fmt.Sprintf("new-%d", i), "elsewhere", storage.NewMemory(), false)
 			<-time.After(33 * time.Millisecond)
 		}
 		c.network.AddRule(networktest.Rule{Path: "/register/replicaset/next/accept", Lose: true})
-		c.network.Cut(members[0], true)
+		c.network.Partition(members[0], true)
 		<-time.After(2500 * time.Millisecond)
-		c.network.Cut(members[0], false)
+		c.network.Partition(members[0], false)
 		<-time.After(2 * time.Second)
 		before = c.viewOf(members[0]).Version
 		c.network.ClearRules()
-		<-time.After(catchUp)
+		<-time.After(catchUpTime)
 		after = c.viewOf(members[1]).Version
 	})
 	convey.Convey("Though nobody is silent any more, the view is settled", t, func() {
@@ -275,7 +275,7 @@
 
 // A member was replaced while it was down or cut off. Once it is back it may count after the time to catch up, so the next
 // loss may come then.
-func TestAMemberThatIsBackAndWasReplacedCatchesUpInTime(t *testing.T) {
+func TestAReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
 	members := addresses(3)
 	away := map[string]func(c *cluster, p *core){
 		"down": func(c *cluster, p *core) {
@@ -284,24 +284,24 @@
 			c.start(p.address, p.zone, p.disk, false)
 		},
 		"cut off": func(c *cluster, p *core) {
-			c.network.Cut(p.address, true)
+			c.network.Partition(p.address, true)
 			<-time.After(2600 * time.Millisecond)
-			c.network.Cut(p.address, false)
+			c.network.Partition(p.address, false)
 		},
 	}
 	for how, goAway := range away {
 		for phase := range 5 {
 			var value string
 			var err error
-			inCluster(t, 1, mutant{}, members, func(c *cluster) {
+			inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 				c.write(members[0], written)
 				c.start("new", "elsewhere", storage.NewMemory(), false)
-				<-time.After(catchUp + time.Duration(phase)*300*time.Millisecond)
+				<-time.After(catchUpTime + time.Duration(phase)*300*time.Millisecond)
 				goAway(c, c.at(members[1]))
 				back := time.Now()
 				<-time.After(600 * time.Millisecond)
-				c.tellToStop(c.at(members[2])) // its place is free for the one that is back
-				<-time.After(time.Until(back.Add(catchUp)))
+				c.stopGracefully(c.at(members[2])) // its place is free for the one that is back
+				<-time.After(time.Until(back.Add(catchUpTime)))
 				c.stop(c.at("new"))
 				value, err = c.read(members[0]), c.write(members[0], "after")
 			})
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	askInterval      = 200 * time.Millisecond  // between calls to one process, to learn the view or to become a member
-	considerInterval = 100 * time.Millisecond  // between looks at the members while a joining member waits
-	finishInterval   = 300 * time.Millisecond  // between looks for a next view that was begun, while joining members wait
-	contactInterval  = 300 * time.Millisecond  // between looks whether this process is in contact with a majority
-	exchangeInterval = 1500 * time.Millisecond // between exchanges with the next member
-	exchangeLimit    = 500 * time.Millisecond
+	pollInterval        = 200 * time.Millisecond  // between calls to one process, to learn the view or to become a member
+	replacementInterval = 100 * time.Millisecond  // between looks at the members while a joining member waits
+	pendingViewInterval = 300 * time.Millisecond  // between looks for a next view that was begun, while joining members wait
+	livenessInterval    = 300 * time.Millisecond  // between looks whether this process is in contact with a majority
+	exchangeInterval    = 1500 * time.Millisecond // between exchanges with the next member
+	exchangeTimeout     = 500 * time.Millisecond
 )
 
 // Run learns the view, or takes part in founding the first one; then it exchanges the view now and then, announces this
@@ -21,15 +21,15 @@
 // if the store fails.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := m.untilChanged(ctx); err != nil {
+		if err := m.runUntilViewChange(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// untilChanged does what the current view asks for until there is another.
-func (m *Manager) untilChanged(ctx context.Context) error {
+// runUntilViewChange does what the current view asks for until there is another.
+func (m *Manager) runUntilViewChange(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	changed := m.Changed()
@@ -40,33 +40,33 @@
 	step, interval := m.exchangeWithNext, exchangeInterval
 	switch {
 	case view.Version == 0:
-		m.callAll(ctx, &calls, m.without(slices.Concat(m.founders, m.config.Seeds)), m.firstCall())
-		step, interval = m.found, askInterval
+		m.pollAll(ctx, &calls, m.others(slices.Concat(m.founders, m.config.Seeds)), m.discoveryCall())
+		step, interval = m.commitFirstView, pollInterval
 	case m.config.CountsForQuorum && !view.Has(m.config.Self) && !m.departing.Load():
-		m.callAll(ctx, &calls, view.Members, m.announceTo)
+		m.pollAll(ctx, &calls, view.Members, m.announceTo)
 	default:
 		return m.keepMembership(ctx, changed)
 	}
 	return m.every(ctx, changed, interval, step)
 }
 
-// firstCall is how a process without a view asks for it.
-func (m *Manager) firstCall() func(ctx context.Context, address string) {
+// discoveryCall is how a process without a view asks for it.
+func (m *Manager) discoveryCall() func(ctx context.Context, address string) {
 	if len(m.founders) > 0 {
 		return m.announceTo
 	}
 	return m.exchangeWith
 }
 
-// callAll calls each process again and again until the context ends. One that does not answer holds up no other.
-func (m *Manager) callAll(ctx context.Context, calls *sync.WaitGroup, addresses []string, call func(context.Context, string)) {
+// pollAll calls each process again and again until the context ends. One that does not answer holds up no other.
+func (m *Manager) pollAll(ctx context.Context, calls *sync.WaitGroup, addresses []string, call func(context.Context, string)) {
 	for _, address := range addresses {
 		calls.Go(func() {
 			for ctx.Err() == nil {
-				limited, cancel := context.WithTimeout(ctx, callLimit)
+				limited, cancel := context.WithTimeout(ctx, callTimeout)
 				call(limited, address)
 				cancel()
-				pause(ctx, askInterval)
+				sleep(ctx, pollInterval)
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 			return nil
 		case <-changed:
 			return nil
-		case err := <-m.failures:
+		case err := <-m.storeFailures:
 			return err
 		case <-timer.C:
 		}
@@ -96,11 +96,11 @@
 func (m *Manager) keepMembership(ctx context.Context, changed <-chan struct{}) error {
 	contact := time.NewTimer(0)
 	defer contact.Stop()
-	finish := time.NewTicker(finishInterval)
+	finish := time.NewTicker(pendingViewInterval)
 	defer finish.Stop()
 	exchange := time.NewTicker(exchangeInterval)
 	defer exchange.Stop()
-	consider := time.NewTimer(considerInterval)
+	consider := time.NewTimer(replacementInterval)
 	defer consider.Stop()
 	for {
 		select {
@@ -108,32 +108,32 @@
 			return nil
 		case <-changed:
 			return nil
-		case err := <-m.failures:
+		case err := <-m.storeFailures:
 			return err
 		case <-contact.C:
-			m.exchangeAfterSilence(ctx)
-			contact.Reset(contactInterval)
+			m.exchangeAfterDisconnection(ctx)
+			contact.Reset(livenessInterval)
 		case <-finish.C:
-			if m.JoiningMembersWait() {
-				m.finishPending(ctx)
+			if m.HasJoiningMembers() {
+				m.completePendingView(ctx)
 			}
 		case <-exchange.C:
-			m.finishPending(ctx)
-			if !m.JoiningMembersWait() {
+			m.completePendingView(ctx)
+			if !m.HasJoiningMembers() {
 				m.exchangeWithNext(ctx)
 			}
 		case <-m.wake:
 		case <-consider.C:
 		}
-		if m.JoiningMembersWait() {
-			m.considerReplacing(ctx)
-			consider.Reset(considerInterval)
+		if m.HasJoiningMembers() {
+			m.replaceDueMember(ctx)
+			consider.Reset(replacementInterval)
 		}
 	}
 }
 
-// pause waits unless the context ends before.
-func pause(ctx context.Context, duration time.Duration) {
+// sleep waits unless the context ends before.
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/controlplane/replicaset/simulation_test.go
+++ b/internal/controlplane/replicaset/simulation_test.go
@@ -26,41 +26,41 @@
 	operationLimit = 3 * time.Second
 	betweenClients = 400 * time.Millisecond // upper bound of the time between a client's operations
 	betweenFaults  = 8 * time.Second
-	healing        = 10 * time.Second // from the end of all faults
+	healingTime    = 10 * time.Second // from the end of all faults
 )
 
 var schedules = flag.Int("schedules", 1, "number of simulated schedules for each number of members")
 
 var simulationFaults = networktest.Faults{
-	Lose:   0.03,
-	Double: 0.05,
-	Delay:  20 * time.Millisecond,
-	Late:   0.04,
-	LateBy: 2500 * time.Millisecond,
+	Lose:      0.03,
+	Duplicate: 0.05,
+	Delay:     20 * time.Millisecond,
+	Late:      0.04,
+	LateBy:    2500 * time.Millisecond,
 }
 
 // simulation is a cluster in trouble.
 type simulation struct {
 	*cluster
-	random   *rand.Rand
-	history  *history
-	machines int // started so far
-	cut      map[string]bool
-	calm     time.Time // since when nothing has happened
-	newest   replicaset.View
-	views    map[uint64][]string // members of each view seen
-
-	twoOfOneVersion bool // views were seen
-	healed          bool // the register could be written at the end
-	final           string
+	random      *rand.Rand
+	history     *history
+	machines    int // started so far
+	partitioned map[string]bool
+	lastFault   time.Time // since when nothing has happened
+	newest      replicaset.View
+	views       map[uint64][]string // members of each view seen
+
+	twoOfOneVersion      bool // views were seen
+	writableAfterHealing bool // the register could be written at the end
+	final                string
 }
 
 // simulate runs clients at all processes while messages are lost, doubled and late, and members are killed, cut off and
 // replaced.
-func simulate(t *testing.T, seed uint64, size int, broken mutant) *simulation {
+func simulate(t *testing.T, seed uint64, size int, broken ruleMutant) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), history: &history{}, machines: size,
-		cut: make(map[string]bool), views: make(map[uint64][]string),
+		partitioned: make(map[string]bool), views: make(map[uint64][]string),
 	}
 	inCluster(t, seed, broken, addresses(size), func(c *cluster) {
 		s.cluster = c
@@ -73,27 +73,27 @@
 		}
 		for ctx.Err() == nil {
 			s.wait(betweenFaults)
-			s.fault()
-			s.calm = time.Now()
-			s.look()
+			s.injectFault()
+			s.lastFault = time.Now()
+			s.observeViews()
 		}
 		running.Wait()
-		s.heal()
+		s.healAll()
 	})
 	return s
 }
 
-// heal ends all faults, and notes whether the register can be written then.
-func (s *simulation) heal() {
+// healAll ends all faults, and notes whether the register can be written then.
+func (s *simulation) healAll() {
 	s.network.SetFaults(networktest.Faults{})
-	<-time.After(healing)
-	s.look()
+	<-time.After(healingTime)
+	s.observeViews()
 	all := s.sorted()
 	for _, p := range all {
 		view := p.manager.View()
 		s.final += fmt.Sprintf("%s: version %d %v, votes %v; ", p.address, view.Version, view.Members, p.rebuilder.Ready())
 	}
-	s.healed = len(all) > 0 && s.write(all[0].address, "healed") == nil
+	s.writableAfterHealing = len(all) > 0 && s.write(all[0].address, "healed") == nil
 }
 
 func (s *simulation) wait(bound time.Duration) {
@@ -117,7 +117,7 @@
 }
 
 // look notes the views of all processes.
-func (s *simulation) look() {
+func (s *simulation) observeViews() {
 	for _, p := range s.all() {
 		view := p.manager.View()
 		if known, found := s.views[view.Version]; found && view.Version > 0 && !slices.Equal(known, view.Members) {
@@ -130,24 +130,24 @@
 	}
 }
 
-// fault lets one thing happen to a member.
-func (s *simulation) fault() {
-	s.look()
+// injectFault lets one thing happen to a member.
+func (s *simulation) injectFault() {
+	s.observeViews()
 	address := s.newest.Members[s.random.IntN(len(s.newest.Members))]
 	p := s.at(address)
 	if p == nil {
 		return
 	}
 	switch kind := s.random.IntN(8); {
-	case kind < 3 && s.allWell():
+	case kind < 3 && s.allHealthy():
 		s.stop(p)
 		s.wait(1500 * time.Millisecond)
 		s.enter()
-	case kind == 3 && s.allWell():
+	case kind == 3 && s.allHealthy():
 		s.enter()
 		s.wait(3 * time.Second)
-		s.tellToStop(p)
-	case kind == 4 && s.allWell():
+		s.stopGracefully(p)
+	case kind == 4 && s.allHealthy():
 		s.stop(p)
 		s.wait(300 * time.Millisecond)
 		s.start(address, p.zone, storage.NewMemory(), false)
@@ -155,8 +155,8 @@
 		s.stop(p)
 		s.wait(time.Second)
 		s.start(address, p.zone, p.disk, false)
-	case !s.cut[address]:
-		s.cutOff(address)
+	case !s.partitioned[address]:
+		s.partition(address)
 	}
 }
 
@@ -170,27 +170,27 @@
 	s.start(fmt.Sprintf("core-%d", s.machines), "elsewhere", storage.NewMemory(), false)
 }
 
-// cutOff cuts a process off for some time, while a joining member may come.
-func (s *simulation) cutOff(address string) {
-	s.cut[address] = true
-	s.network.Cut(address, true)
+// partition cuts a process off for some time, while a joining member may come.
+func (s *simulation) partition(address string) {
+	s.partitioned[address] = true
+	s.network.Partition(address, true)
 	if s.random.IntN(2) == 0 {
 		s.enter()
 	}
 	s.wait(5 * time.Second)
-	s.network.Cut(address, false)
-	delete(s.cut, address)
+	s.network.Partition(address, false)
+	delete(s.partitioned, address)
 }
 
-// allWell tells whether one more member may be lost for good: all others are there, have had the time to catch up, and may
+// allHealthy tells whether one more member may be lost for good: all others are there, have had the time to catch up, and may
 // vote.
-func (s *simulation) allWell() bool {
-	if time.Since(s.calm) < catchUp {
+func (s *simulation) allHealthy() bool {
+	if time.Since(s.lastFault) < catchUpTime {
 		return false
 	}
 	for _, address := range s.newest.Members {
 		p := s.at(address)
-		if p == nil || s.cut[address] || !p.rebuilder.Ready() {
+		if p == nil || s.partitioned[address] || !p.rebuilder.Ready() {
 			return false
 		}
 	}
@@ -209,14 +209,14 @@
 	succeeded, replaced := 0, uint64(0)
 	for _, size := range sizes() {
 		for seed := range uint64(*schedules) {
-			s := simulate(t, seed, size, mutant{})
+			s := simulate(t, seed, size, ruleMutant{})
 			if checked := s.history.check(); checked != porcupine.Ok {
 				t.Fatalf("%d members, seed %d: %d operations are %v", size, seed, len(s.history.operations), checked)
 			}
 			if s.twoOfOneVersion {
 				t.Errorf("%d members, seed %d: two views of one version", size, seed)
 			}
-			if !s.healed {
+			if !s.writableAfterHealing {
 				t.Errorf("%d members, seed %d: no progress after the end of all faults: %s", size, seed, s.final)
 			}
 			succeeded += s.history.succeeded
--- a/internal/controlplane/replicaset/stored_test.go
+++ b/internal/controlplane/replicaset/stored_test.go
@@ -23,7 +23,7 @@
 	storedView      = View{
 		Version: 4, Members: []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.4:7000"},
 		Zones:    map[string]string{"10.0.0.4:7000": "north"},
-		Replaced: storedSelf, Entered: 0xfedcba9876543210,
+		Replaced: storedSelf, JoinedIncarnation: 0xfedcba9876543210,
 	}
 	// storedReplicaSet is the table, byte for byte.
 	storedReplicaSet = map[string][]byte{
--- a/internal/controlplane/replicaset/successor.go
+++ b/internal/controlplane/replicaset/successor.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	deadAfter     = 1200 * time.Millisecond // silence of a member that may be replaced
-	deadElsewhere = 3 * time.Second         // the same where several are silent, and none in the joining member's zone
-	rankDelay     = 500 * time.Millisecond  // for each live member that is to act before this one
+	failureTimeout          = 1200 * time.Millisecond // silence of a member that may be replaced
+	crossZoneFailureTimeout = 3 * time.Second         // the same where several are silent, and none in the joining member's zone
+	proposerDelay           = 500 * time.Millisecond  // for each live member that is to act before this one
 )
 
-// silentMember is a member that may be replaced.
-type silentMember struct {
-	address string
-	silence time.Duration
-	leaving bool // it said goodbye
+// replaceableMember is a member that may be replaced.
+type replaceableMember struct {
+	address    string
+	sinceHeard time.Duration
+	leaving    bool // it said goodbye
 }
 
-// successor chooses which joining member takes the place of which silent member: that of the joining member's zone, or one that said
+// nextView chooses which joining member takes the place of which silent member: that of the joining member's zone, or one that said
 // goodbye, or the only silent one, or else the one that has been silent for the longest time. One that said goodbye comes
 // before those that may come back, as it goes within its grace period.
-func successor(view View, entering []joiningMember, silent []silentMember) (next View, found bool) {
-	for _, one := range entering {
-		if member, found := placeFor(one, view, silent); found {
-			return view.replace(member, one), true
+func nextView(view View, joining []joiningMember, replaceable []replaceableMember) (next View, found bool) {
+	for _, one := range joining {
+		if member, found := memberToReplace(one, view, replaceable); found {
+			return view.replaceMember(member, one), true
 		}
 	}
 	return View{}, false
 }
 
-func placeFor(entering joiningMember, view View, silent []silentMember) (address string, found bool) {
-	if len(silent) == 0 {
+func memberToReplace(joining joiningMember, view View, replaceable []replaceableMember) (address string, found bool) {
+	if len(replaceable) == 0 {
 		return "", false
 	}
-	silent = slices.Clone(silent)
-	slices.SortStableFunc(silent, leavingFirst)
-	for _, member := range silent {
-		if zone := view.Zones[member.address]; zone != "" && zone == entering.zone {
+	replaceable = slices.Clone(replaceable)
+	slices.SortStableFunc(replaceable, leavingFirst)
+	for _, member := range replaceable {
+		if zone := view.Zones[member.address]; zone != "" && zone == joining.zone {
 			return member.address, true
 		}
 	}
-	if silent[0].leaving {
-		return silent[0].address, true
+	if replaceable[0].leaving {
+		return replaceable[0].address, true
 	}
-	longest := slices.MaxFunc(silent, func(a, b silentMember) int {
-		return cmp.Or(cmp.Compare(a.silence, b.silence), cmp.Compare(b.address, a.address))
+	longest := slices.MaxFunc(replaceable, func(a, b replaceableMember) int {
+		return cmp.Or(cmp.Compare(a.sinceHeard, b.sinceHeard), cmp.Compare(b.address, a.address))
 	})
-	return longest.address, len(silent) == 1 || longest.silence >= deadElsewhere
+	return longest.address, len(replaceable) == 1 || longest.sinceHeard >= crossZoneFailureTimeout
 }
 
 // leavingFirst orders those that said goodbye before the others.
-func leavingFirst(a, b silentMember) int {
+func leavingFirst(a, b replaceableMember) int {
 	switch {
 	case a.leaving == b.leaving:
 		return 0
@@ -64,15 +64,15 @@
 	return 1
 }
 
-// rank is the number of live members that come before this process in the order in which members replace others.
-func rank(view View, self string, silent []silentMember) int {
+// proposerRank is the number of live members that come before this process in the order in which members replace others.
+func proposerRank(view View, self string, replaceable []replaceableMember) int {
 	rank := 0
 	for _, address := range rendezvousOrder(view.Members) {
 		if address == self {
 			break
 		}
-		isAddress := func(member silentMember) bool { return member.address == address }
-		if !slices.ContainsFunc(silent, isAddress) {
+		isAddress := func(member replaceableMember) bool { return member.address == address }
+		if !slices.ContainsFunc(replaceable, isAddress) {
 			rank++
 		}
 	}
--- a/internal/controlplane/replicaset/successor_test.go
+++ b/internal/controlplane/replicaset/successor_test.go
@@ -7,68 +7,68 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestWhosePlaceANewcomerTakes(t *testing.T) {
+func TestWhichMemberAJoiningMemberReplaces(t *testing.T) {
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
 	south := []joiningMember{{address: "new", zone: "south"}}
 	elsewhere := []joiningMember{{address: "new", zone: "elsewhere", incarnation: 9}}
 	short, long := 1300*time.Millisecond, 4*time.Second
 
 	convey.Convey("Nobody is silent: nothing happens", t, func() {
-		_, found := successor(view, south, nil)
+		_, found := nextView(view, south, nil)
 		convey.So(found, convey.ShouldBeFalse)
 	})
 	convey.Convey("One is silent: that one's, in whichever zone", t, func() {
-		next, found := successor(view, elsewhere, []silentMember{{address: "a", silence: short}})
+		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceHeard: short}})
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next, convey.ShouldResemble, View{
 			Version: 8, Members: []string{"b", "c", "new"}, Zones: map[string]string{"b": "south", "c": "west", "new": "elsewhere"},
-			Replaced: "a", Entered: 9,
+			Replaced: "a", JoinedIncarnation: 9,
 		})
 		convey.So(view.Zones, convey.ShouldContainKey, "a")
 	})
 	convey.Convey("Several are silent: that of the newcomer's zone", t, func() {
-		next, found := successor(view, south, []silentMember{{address: "a", silence: long}, {address: "b", silence: short}})
+		next, found := nextView(view, south, []replaceableMember{{address: "a", sinceHeard: long}, {address: "b", sinceHeard: short}})
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Members, convey.ShouldResemble, []string{"a", "c", "new"})
 	})
 	convey.Convey("Several are silent, none in the zone: the longest, but only after a while", t, func() {
-		_, early := successor(view, elsewhere, []silentMember{{address: "a", silence: short}, {address: "b", silence: short + 1}})
-		next, found := successor(view, elsewhere, []silentMember{{address: "a", silence: short}, {address: "b", silence: long}})
+		_, early := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceHeard: short}, {address: "b", sinceHeard: short + 1}})
+		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceHeard: short}, {address: "b", sinceHeard: long}})
 		convey.So(early, convey.ShouldBeFalse)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Members, convey.ShouldResemble, []string{"a", "c", "new"})
 	})
 }
 
-func TestWhoSaidGoodbyeIsReplacedFirst(t *testing.T) {
+func TestADepartingMemberIsReplacedFirst(t *testing.T) {
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
-	silent := []silentMember{{address: "a", silence: 10 * time.Second}, {address: "b", leaving: true}}
+	silent := []replaceableMember{{address: "a", sinceHeard: 10 * time.Second}, {address: "b", leaving: true}}
 
 	convey.Convey("One is silent, another goes: the newcomer takes the place of the one that goes, without a wait", t, func() {
-		next, found := successor(view, []joiningMember{{address: "new", zone: "elsewhere"}}, silent)
+		next, found := nextView(view, []joiningMember{{address: "new", zone: "elsewhere"}}, silent)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "b")
 	})
 	convey.Convey("A newcomer in the zone of the silent one takes that one's place all the same", t, func() {
-		next, found := successor(view, []joiningMember{{address: "new", zone: "north"}}, silent)
+		next, found := nextView(view, []joiningMember{{address: "new", zone: "north"}}, silent)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "a")
 	})
 }
 
-func TestAProcessThatWasFrozenObservesAnew(t *testing.T) {
+func TestAFrozenProcessStartsItsObservationAnew(t *testing.T) {
 	convey.Convey("Contact counts from its newest beginning", t, func() {
 		start := time.Now()
 		at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 		var observed observation
-		observed.look(at(0), true)
-		observed.look(at(100), true)
-		convey.So(observed.since, convey.ShouldEqual, at(0))
-		observed.look(at(5000), true)
-		convey.So(observed.since, convey.ShouldEqual, at(5000))
-		observed.look(at(5100), false)
-		convey.So(observed.since.IsZero(), convey.ShouldBeTrue)
-		observed.look(at(5200), true)
-		convey.So(observed.since, convey.ShouldEqual, at(5200))
+		observed.observe(at(0), true)
+		observed.observe(at(100), true)
+		convey.So(observed.connectedSince, convey.ShouldEqual, at(0))
+		observed.observe(at(5000), true)
+		convey.So(observed.connectedSince, convey.ShouldEqual, at(5000))
+		observed.observe(at(5100), false)
+		convey.So(observed.connectedSince.IsZero(), convey.ShouldBeTrue)
+		observed.observe(at(5200), true)
+		convey.So(observed.connectedSince, convey.ShouldEqual, at(5200))
 	})
 }
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -109,7 +109,7 @@
 func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world, leader *member) {
 		Convey("A leader that is cut off tells nobody of a job that only it has", t, func() {
-			w.network.Cut(leader.address, true)
+			w.network.Partition(leader.address, true)
 			failures := make(chan error, 2)
 			go func() {
 				_, err := leader.manager.submit(context.Background(), submission(knownJob))
--- a/internal/transport/model_test.go
+++ b/internal/transport/model_test.go
@@ -90,7 +90,7 @@
 	}
 	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: modelLate}
 	if w.doubles {
-		faults.Double = 0.3
+		faults.Duplicate = 0.3
 	}
 	w.network.SetFaults(faults)
 	return w
