--- a/internal/operators/override/decide.go
+++ b/internal/operators/override/decide.go
@@ -11,11 +11,19 @@
 // longestText bounds author and reason: a line of a log.
 const longestText = 200
 
-// digest tells commands apart that come under one key; force counts, as it changes what is asked.
+// specDigestFormat is the text of a Spec that digests are taken over. Digests are kept on disk, so the names in it stay as
+// they were first written, whatever the Go type and its fields are called.
+const specDigestFormat = "override.Spec{Kind:%#v, Searcher:%#v, Location:%#v, From:%#v, To:%#v, Index:%#v, Factor:%#v, " +
+	"Strict:%#v, Author:%#v, Reason:%#v, End:%#v, UntilRestart:%#v}"
+
+// digest tells commands apart that come under one key; force counts, as it changes what is requested.
 func digest(c *Command) uint64 {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %d %d %q %q %t %g %#v", c.Op, c.For, c.ID, c.Author, c.Reason, c.Force, c.Lasts, c.Spec)
-	return h.Sum64()
+	spec := &c.Spec
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%d %d %d %q %q %t %g ", c.Op, c.For, c.ID, c.Author, c.Reason, c.Force, c.Lasts)
+	fmt.Fprintf(hash, specDigestFormat, spec.Kind, spec.Searcher, spec.Location, spec.From, spec.To, spec.Index, spec.Factor,
+		spec.Strict, spec.Author, spec.Reason, spec.End, spec.UntilRestart)
+	return hash.Sum64()
 }
 
 // Decide tells what a command would change, without changing anything. Its error is a *Refusal. A command that has
--- a/internal/operators/override/wire_test.go
+++ b/internal/operators/override/wire_test.go
@@ -39,8 +39,8 @@
 	)
 }
 
-// TestWireDigest pins the digest of a command, which is kept on disk beside the command's key. It is taken over the text
-// of a Spec with the names of its Go type and fields: those can't be renamed without the digests of before.
+// TestWireDigest pins the digest of a command, which is kept on disk beside the command's key. It is taken over a text with
+// the names that the Go type and its fields had first, so that these can be renamed.
 func TestWireDigest(t *testing.T) {
 	var command Command
 	if err := goldentest.JSON.Fill(&command); err != nil {
