--- a/internal/controlplane/configuration/modelcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -120,14 +120,14 @@
 	caller := modelCaller{c.network, m.address, m.store.alive}
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: m.address, Store: m.store, Caller: caller,
-		Ready: m.ready,
-		View:  func() replicaset.View { return m.manager.View() },
-		Draw:  func(bound time.Duration) time.Duration { return c.pause(m, bound) },
+		Ready:       m.ready,
+		View:        func() replicaset.View { return m.manager.View() },
+		RandomBelow: func(bound time.Duration) time.Duration { return c.pause(m, bound) },
 	})
 	manager, err := replicaset.NewManager(replicaset.Config{
 		Self: m.address, Seeds: c.first.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
 		Succession: succession, Logger: zap.NewNop(),
-		Contacts: func() replicaset.Contacts { return c.contacts(m) },
+		Liveness: func() replicaset.Liveness { return c.contacts(m) },
 	})
 	if err != nil {
 		c.t.Error(err)
@@ -158,8 +158,8 @@
 	m.configurator = configuration.New(configuration.Options{
 		Register: register.New(register.Config{
 			Name: registerName, Self: m.address, Acceptor: acceptor, View: m.manager.View, Caller: caller,
-			Newer: func(view replicaset.View) { m.manager.Learn(view) },
-			Draw:  func(bound time.Duration) time.Duration { return c.pause(m, bound) },
+			OnNewerView: func(view replicaset.View) { m.manager.Learn(view) },
+			RandomBelow: func(bound time.Duration) time.Duration { return c.pause(m, bound) },
 		}),
 		Caller: caller, Members: m.manager.View, Address: m.address, Logger: zap.NewNop(),
 	})
@@ -179,20 +179,20 @@
 func (m *machine) ready() bool { return m.store.alive() && m.rebuilder.Ready() }
 
 // contacts is what a machine knows of the others by the messages that it has heard.
-func (c *modelCluster) contacts(m *machine) replicaset.Contacts {
+func (c *modelCluster) contacts(m *machine) replicaset.Liveness {
 	view := m.manager.View()
-	contacts, heard := replicaset.Contacts{Silence: make(map[string]time.Duration)}, 1
+	contacts, heard := replicaset.Liveness{SinceHeard: make(map[string]time.Duration)}, 1
 	for _, member := range view.Members {
 		silence, found := c.network.silence(m.address, member)
 		if member == m.address || !found {
 			continue
 		}
-		contacts.Silence[member] = silence
+		contacts.SinceHeard[member] = silence
 		if silence < contactFresh {
 			heard++
 		}
 	}
-	contacts.Majority = heard >= view.Quorum()
+	contacts.QuorumReachable = heard >= view.Quorum()
 	return contacts
 }
 
--- a/internal/controlplane/register/exploresteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -85,7 +85,7 @@
 	return w
 }
 
-// learn lets the real manager of a member take a view.
+// reportNewerView lets the real manager of a member take a view.
 func (x *explorer) learn(w *world, member int, view uint8) {
 	m := &w.members[member]
 	in := learnInput{m.manager, member, view}
@@ -246,7 +246,7 @@
 	}
 	member.copied = member.copied.with(giver)
 	member.copies[giver] = other.held
-	needed := rebuild.CopiesNeeded(exploredViews[member.view], uint64(member.absences))
+	needed := rebuild.SnapshotsNeeded(exploredViews[member.view], uint64(member.absences))
 	if x.rules.broken.oneCopy {
 		needed = 1
 	}
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -89,7 +89,7 @@
 		Connections: 2700, DialsPerS: 544, DialsAtOnce: 256, LooksPerS: 600, WorkersHeld: 600,
 	})
 	m := New(Config{
-		Settings: scheduler.Settings{FarFactor: 1.5, HoldMax: fleetHoldMax, StatusKept: 5 * time.Minute},
+		Settings: scheduler.Settings{RemoteFactor: 1.5, MaxLease: fleetHoldMax, StatusRetention: 5 * time.Minute},
 		HTTP:     connections.HTTPClient(), Connections: connections, Log: zap.NewNop(),
 	})
 	node, err := replication.NewNode(replication.Config{
@@ -147,13 +147,13 @@
 	b.ReportMetric(100*(used()-before).Seconds()/time.Since(began).Seconds(), "%core")
 	b.ReportMetric(float64(m.config.Connections.Usage().Open), "connections")
 	b.ReportMetric(float64(m.config.Connections.Usage().Opened-opened)/time.Since(began).Seconds(), "opened/s")
-	led, err := m.lead(feed.GroupOf(fleetService))
+	leadership, err := m.lead(feed.GroupOf(fleetService))
 	if err != nil {
 		b.Fatal(err)
 	}
-	led.mu.Lock()
-	defer led.mu.Unlock()
-	summary := led.scheduler.Summary()
+	leadership.mu.Lock()
+	defer leadership.mu.Unlock()
+	summary := leadership.scheduler.Summary()
 	b.ReportMetric(float64(summary.ReachableWorkers), "reachable")
 	b.ReportMetric(float64(summary.Ended), "ended")
 }
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -35,25 +35,25 @@
 
 // read reads the scheduler of a group, and returns once what was seen is durable and it is certain that no other leader had
 // been elected then: an operator's order may be refused on it.
-func (m *Manager) read(ctx context.Context, group string, look reading) error {
-	led, err := m.lead(group)
+func (m *Manager) read(ctx context.Context, group string, read reading) error {
+	leadership, err := m.lead(group)
 	if err != nil {
 		return err
 	}
-	return led.durably(ctx, func(now scheduler.Now) { look(now, led.scheduler) })
+	return leadership.durably(ctx, func(now scheduler.Now) { read(now, leadership.scheduler) })
 }
 
 // glance reads counts, which may not be durable yet. The lease is looked at again after that: the process may have stood
 // still in between, and another leader's counts may be others.
-func (m *Manager) glance(group string, look reading) error {
-	led, err := m.lead(group)
+func (m *Manager) glance(group string, read reading) error {
+	leadership, err := m.lead(group)
 	if err != nil {
 		return err
 	}
-	led.mu.Lock()
-	defer led.mu.Unlock()
-	look(steady(), led.scheduler)
-	if !led.term.Valid() {
+	leadership.mu.Lock()
+	defer leadership.mu.Unlock()
+	read(steady(), leadership.scheduler)
+	if !leadership.term.Valid() {
 		return rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
 	return nil
@@ -91,7 +91,7 @@
 }
 
 func (m *Manager) jobs(ctx context.Context, request jobreport.JobsRequest) (reply jobreport.JobsReply, err error) {
-	limit := min(max(1, request.Limit), jobreport.MostJobs)
+	limit := min(max(1, request.Limit), jobreport.MaxJobs)
 	err = m.read(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) {
 		reply.Jobs, reply.Total = jobs.Jobs(request.State, limit)
 	})
@@ -124,7 +124,7 @@
 	report, known := l.scheduler.Worker(now, id)
 	if !known {
 		return jobreport.Worker{
-			ID: string(id), State: jobreport.WorkerUnreachable, OperatorDraining: l.scheduler.OperatorDrains(id),
+			ID: string(id), State: jobreport.WorkerUnreachable, OperatorDraining: l.scheduler.IsOperatorDraining(id),
 			DrainVersion: l.scheduler.DrainVersion(id),
 		}
 	}
@@ -134,23 +134,23 @@
 // orderDrain hands an order to the scheduler. The lock is held.
 func (l *lead) orderDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
 	id := workerclient.WorkerID(request.Worker)
-	if request.OnTopOf == nil {
+	if request.BaseVersion == nil {
 		return l.scheduler.SetOperatorDrain(now, id, request.Draining), jobreport.DrainTaken
 	}
-	outcome = l.scheduler.OrderOperatorDrain(now, id, scheduler.DrainOrder{Draining: request.Draining, OnTopOf: *request.OnTopOf})
+	outcome = l.scheduler.ChangeOperatorDrain(now, id, scheduler.DrainChange{Draining: request.Draining, BaseVersion: *request.BaseVersion})
 	return outcome != jobreport.DrainUnknown, outcome
 }
 
 // drain sets or ends an operator's drain, and answers once that is durable.
 func (m *Manager) drain(ctx context.Context, request jobreport.DrainRequest) (reply jobreport.DrainReply, err error) {
-	led, err := m.lead(request.Group)
+	leadership, err := m.lead(request.Group)
 	if err != nil {
 		return reply, err
 	}
 	id := workerclient.WorkerID(request.Worker)
-	err = led.durably(ctx, func(now scheduler.Now) {
-		reply.Known, reply.Outcome = led.orderDrain(now, request)
-		reply.Worker = led.reportDrained(now, id)
+	err = leadership.durably(ctx, func(now scheduler.Now) {
+		reply.Known, reply.Outcome = leadership.orderDrain(now, request)
+		reply.Worker = leadership.reportDrained(now, id)
 	})
 	if err == nil && !reply.Known && !m.hasList() {
 		return reply, rpcerror.WrapNotExecuted(errNoList, noListRetry)
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -12,17 +12,17 @@
 
 // loaded is a scheduler with many workers, all of them full, and many jobs that wait.
 func loaded(workers, jobs int) (*Scheduler, Now, map[string][]byte) {
-	now := Now{Steady: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
-	s, _ := New(Settings{FarFactor: 2, HoldMax: 6 * time.Second}, now, nil)
+	now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
+	s, _ := New(Settings{RemoteFactor: 2, MaxLease: 6 * time.Second}, now, nil)
 	var instances []workerclient.Instance
 	for i := range workers {
 		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(fmt.Sprintf("s%03d", i)), Labels: []string{"a", fmt.Sprint("r", i/8)},
 			Capacity: job.Resources{Processors: 32000, MemoryMB: 65536}})
 	}
-	s.Inventory(now, instances)
+	s.SetInventory(now, instances)
 	for _, instance := range instances {
-		s.Listing(now, &workerclient.Listing{Worker: instance.ID, First: true})
-		s.workers[instance.ID].window = windowMost
+		s.HandleReport(now, &workerclient.Listing{Worker: instance.ID, First: true})
+		s.workers[instance.ID].window = maxWindow
 	}
 	for number := range jobs {
 		s.Submit(now, &jobapi.Submit{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, Priority: number % 3},
@@ -31,7 +31,7 @@
 	}
 	s.Dispatch(now)
 	state := map[string][]byte{}
-	for _, entry := range s.Take().Entries {
+	for _, entry := range s.TakeEffects().Entries {
 		state[entry.Key] = entry.Value
 	}
 	return s, now, state
@@ -41,20 +41,20 @@
 	s, now, _ := loaded(250, 2000)
 	number := uint64(0)
 	for b.Loop() {
-		sr := s.list[int(number)%len(s.list)]
-		report := workerclient.Listing{Worker: sr.ID, SentAt: now.Steady}
-		for _, r := range sr.sortedRuns() {
-			report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
+		worker := s.sortedWorkers[int(number)%len(s.sortedWorkers)]
+		report := workerclient.Listing{Worker: worker.ID, SentAt: now.Monotonic}
+		for _, attempt := range worker.sortedAttempts() {
+			report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
 		}
 		if len(report.Running) > 0 {
 			ended := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []workerclient.FinishedTask{{Number: sr.noted + 1, Task: ended.Task, Execution: ended.Execution, How: job.Stopped}}
+			report.Finished = []workerclient.FinishedTask{{Number: worker.lastCompletion + 1, Task: ended.Task, Execution: ended.Execution, How: job.OutcomeStopped}}
 		}
 		number++
-		s.Listing(now, &report)
+		s.HandleReport(now, &report)
 		s.Dispatch(now)
-		s.Take()
+		s.TakeEffects()
 	}
 }
 
@@ -66,18 +66,18 @@
 			b.Fatal(err)
 		}
 		var instances []workerclient.Instance
-		for _, sr := range previous.list {
-			instances = append(instances, sr.Instance)
+		for _, worker := range previous.sortedWorkers {
+			instances = append(instances, worker.Instance)
 		}
-		s.Inventory(now, instances)
+		s.SetInventory(now, instances)
 		for _, instance := range instances {
-			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Steady}
-			for _, r := range previous.workers[instance.ID].sortedRuns() {
-				report.Running = append(report.Running, workerclient.RunningTask{Task: r.task.id, Execution: r.execution})
+			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Monotonic}
+			for _, attempt := range previous.workers[instance.ID].sortedAttempts() {
+				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
 			}
-			s.Listing(now, &report)
+			s.HandleReport(now, &report)
 		}
 		s.Dispatch(now)
-		s.Take()
+		s.TakeEffects()
 	}
 }
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -31,8 +31,8 @@
 )
 
 var (
-	storedSettings = Settings{FarFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-		HoldMax: 6 * time.Second, DrainTime: 3 * time.Second, StatusKept: time.Hour}
+	storedSettings = Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
+		MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour}
 	storedBegin = time.UnixMilli(1_700_000_000_000).UTC()
 )
 
@@ -59,20 +59,20 @@
 		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x",
 			Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4}, Labels: []string{"kind", fmt.Sprint("rack-", i)}})
 	}
-	g.scheduler.Inventory(g.clock(), instances)
+	g.scheduler.SetInventory(g.clock(), instances)
 	for _, id := range workers {
-		g.scheduler.Listing(g.clock(), &workerclient.Listing{Worker: workerclient.WorkerID(id), SentAt: g.now, First: true})
+		g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: workerclient.WorkerID(id), SentAt: g.now, First: true})
 	}
 	g.proceed()
 	return g
 }
 
-func (g *storedGroup) clock() Now { return Now{Steady: g.now, WallMS: g.now.UnixMilli()} }
+func (g *storedGroup) clock() Now { return Now{Monotonic: g.now, WallMS: g.now.UnixMilli()} }
 
 // proceed stores the records of what was decided, and answers all starts.
 func (g *storedGroup) proceed() {
 	g.scheduler.Dispatch(g.clock())
-	effects := g.scheduler.Take()
+	effects := g.scheduler.TakeEffects()
 	var changes []storage.Change
 	for _, entry := range effects.Entries {
 		changes = append(changes, storage.Change{Table: g.table, Key: entry.Key, Value: entry.Value})
@@ -80,12 +80,12 @@
 	if err := g.store.Write(changes...); err != nil {
 		panic(err)
 	}
-	for _, order := range effects.Orders {
-		if order.Start == nil {
+	for _, command := range effects.Commands {
+		if command.Start == nil {
 			continue
 		}
-		g.at[order.Start.Task], g.execution[order.Start.Task] = order.Worker, order.Start.Execution
-		g.scheduler.StartResult(g.clock(), &workerclient.StartResult{Worker: order.Worker, Order: *order.Start, Outcome: workerclient.Started, At: g.now})
+		g.at[command.Start.Task], g.execution[command.Start.Task] = command.Worker, command.Start.Execution
+		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: command.Worker, Order: *command.Start, Outcome: workerclient.Started, At: g.now})
 	}
 }
 
@@ -100,12 +100,12 @@
 	g.proceed()
 }
 
-// end reports that a task's newest run has ended.
-func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.How, checkpoint string) {
+// completion reports that a task's newest run has ended.
+func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
 	at := g.at[task]
 	g.ends[at]++
-	g.scheduler.Listing(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
+	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
 		{Number: g.ends[at], Task: task, Execution: g.execution[task], How: how, Checkpoint: checkpoint},
 	}})
 	g.proceed()
@@ -141,7 +141,7 @@
 	saving := one
 	saving.Count, saving.Checkpoints = 2, true
 	g.submit(runningJob, queue, staged(saving))
-	g.end(runningJob, 0, 0, 0, job.Failure, "save-1")
+	g.end(runningJob, 0, 0, 0, job.OutcomeFailed, "save-1")
 	g.pass(time.Second)
 	gang := one
 	gang.Count, gang.GangScheduled, gang.Checkpoints = 2, true, true
@@ -149,16 +149,16 @@
 	repeated := staged(one)
 	repeated.Repetitions, repeated.FirstRunMS, repeated.IntervalMS = 4, g.now.UnixMilli(), 1000
 	g.submit(repeatedJob, queue, repeated)
-	g.end(repeatedJob, 0, 0, 0, job.Done, "")
+	g.end(repeatedJob, 0, 0, 0, job.OutcomeDone, "")
 	g.pass(time.Second)
 	lasting := one
 	lasting.LongRunning = true
 	g.submit(lastingJob, queue, staged(lasting))
-	g.end(lastingJob, 0, 0, 0, job.Done, "")
+	g.end(lastingJob, 0, 0, 0, job.OutcomeDone, "")
 	second := one
 	second.DependsOn, second.Affinity = []int{0}, "rack-2"
 	g.submit(stagesJob, queue, staged(one, second))
-	g.end(stagesJob, 0, 0, 0, job.Done, "")
+	g.end(stagesJob, 0, 0, 0, job.OutcomeDone, "")
 	g.scheduler.SetOperatorDrain(g.clock(), "w-3", true)
 	g.scheduler.SetOperatorDrain(g.clock(), "w-2", true)
 	g.scheduler.SetOperatorDrain(g.clock(), "w-2", false)
@@ -173,8 +173,8 @@
 	g.submit(failedJob, queue, staged(one))
 	g.submit(cancelledJob, queue, staged(one))
 	g.pass(300 * time.Millisecond)
-	g.end(completedJob, 0, 0, 0, job.Done, "")
-	g.end(failedJob, 0, 0, 0, job.Failure, "")
+	g.end(completedJob, 0, 0, 0, job.OutcomeDone, "")
+	g.end(failedJob, 0, 0, 0, job.OutcomeFailed, "")
 	g.scheduler.Cancel(g.clock(), cancelledJob)
 	g.proceed()
 }
@@ -183,8 +183,8 @@
 func account(s *Scheduler) string {
 	var text strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
-	line("arrivals %d, next due %d", s.arrivals, s.NextDue())
-	for _, route := range slices.Sorted(maps.Keys(s.pending)) {
+	line("arrivals %d, next due %d", s.lastArrival, s.NextDueMS())
+	for _, route := range slices.Sorted(maps.Keys(s.pendingByRoute)) {
 		line("route %s: %d jobs", route, s.Pending(route))
 	}
 	for _, j := range s.jobsByArrival() {
@@ -194,23 +194,23 @@
 		}
 		state, _ := s.Status(j.id)
 		q := j.Queue
-		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.left, j.nextDue)
+		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.incompleteRepetitions, j.nextDueMS)
 		line("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
 			q.Route, q.Service, q.Priority, q.MaxAttempts, q.Extension, q.TargetLatencyMS, q.Guards)
 		line("  specification: %s", specification)
-		for number, r := range j.times {
-			if r == nil {
+		for number, repetition := range j.repetitions {
+			if repetition == nil {
 				line("  repetition %d: complete", number)
 				continue
 			}
-			accountOfRepetition(line, r)
+			accountOfRepetition(line, repetition)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
 		line("job %s: ended as %s at %d", id, s.ended[id].State, s.ended[id].EndedMS)
 	}
-	for _, w := range s.list {
-		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", w.ID, len(w.runs), w.used.Processors, w.used.MemoryMB, w.used.Accelerators)
+	for _, worker := range s.sortedWorkers {
+		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", worker.ID, len(worker.attempts), worker.used.Processors, worker.used.MemoryMB, worker.used.Accelerators)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		d := s.operatorDrains[id]
@@ -219,14 +219,14 @@
 	return text.String()
 }
 
-func accountOfRepetition(line func(format string, values ...any), r *repetition) {
-	line("  repetition %d: stages left %d", r.number, r.left)
-	for _, stage := range r.stages {
-		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.left, len(stage.waiting))
-		for _, t := range stage.tasks {
-			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", t.id, t.execution, t.failed, t.checkpoint, t.done)
-			for _, run := range slices.SortedFunc(slices.Values(t.runs), func(a, b *run) int { return cmp.Compare(a.execution, b.execution) }) {
-				line("        run %d at %s, inherited %v", run.execution, run.at.ID, run.inherited)
+func accountOfRepetition(line func(format string, values ...any), repetition *repetitionState) {
+	line("  repetition %d: stages left %d", repetition.number, repetition.incompleteStages)
+	for _, stage := range repetition.stages {
+		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
+		for _, task := range stage.tasks {
+			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", task.id, task.attemptNumber, task.failedAttempts, task.checkpoint, task.done)
+			for _, run := range slices.SortedFunc(slices.Values(task.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
+				line("        run %d at %s, inherited %v", run.number, run.worker.ID, run.inherited)
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 	text := ""
 	for _, table := range []string{storedRender, storedMail} {
 		later := storedBegin.Add(2500 * time.Millisecond)
-		s, err := New(storedSettings, Now{Steady: later, WallMS: later.UnixMilli()}, tables[table])
+		s, err := New(storedSettings, Now{Monotonic: later, WallMS: later.UnixMilli()}, tables[table])
 		if err != nil {
 			return "", err
 		}
@@ -268,11 +268,11 @@
 		jobPrefix: &jobRecord{}, taskPrefix: &taskRecord{}, repetitionPrefix: &repetitionRecord{},
 		endedPrefix: &endedRecord{}, operatorDrainPrefix: &operatorDrainRecord{},
 	}[key[:2]]
-	if err := decode(key, value, record); err != nil {
+	if err := decodeRecord(key, value, record); err != nil {
 		panic(err) // schedulers have decoded it
 	}
 	var s Scheduler
-	s.write(key, reflect.ValueOf(record).Elem().Interface())
+	s.writeRecord(key, reflect.ValueOf(record).Elem().Interface())
 	return s.effects.Entries[0].Value
 }
 
--- a/internal/jobs/scheduler/summary.go
+++ b/internal/jobs/scheduler/summary.go
@@ -2,8 +2,8 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/job"
 
-// Summary is a scheduler's load at one moment.
-type Summary struct {
+// Load is a scheduler's load at one moment.
+type Load struct {
 	Jobs        int           `json:"jobs"`      // that have not ended
 	Waiting     []int         `json:"waiting"`   // tasks whose turn has come, by priority
 	Gangs       int           `json:"gangs"`     // gangs whose turn has come
@@ -19,42 +19,42 @@
 // summaryPriorities is how many priorities a Summary tells apart; the rest count as the last.
 const summaryPriorities = 4
 
-// Summarize tells the load.
-func (s *Scheduler) Summarize(now Now) Summary {
-	summary := Summary{Jobs: len(s.jobs), Waiting: make([]int, summaryPriorities)}
-	for _, stage := range s.stages {
+// CurrentLoad tells the load.
+func (s *Scheduler) CurrentLoad(now Now) Load {
+	summary := Load{Jobs: len(s.jobs), Waiting: make([]int, summaryPriorities)}
+	for _, stage := range s.waitingStages {
 		priority := max(0, min(stage.job.Queue.Priority, summaryPriorities-1))
 		summary.Waiting[priority] += len(stage.waiting)
 		if stage.GangScheduled && len(stage.waiting) > 0 {
 			summary.Gangs++
 		}
 	}
-	for _, sr := range s.list {
-		summary.add(s, now, sr)
+	for _, worker := range s.sortedWorkers {
+		summary.add(s, now, worker)
 	}
 	return summary
 }
 
-func (summary *Summary) add(s *Scheduler, now Now, sr *worker) {
-	summary.Running += len(sr.runs)
-	for _, r := range sr.runs {
-		if r.stopping {
+func (summary *Load) add(s *Scheduler, now Now, worker *workerState) {
+	summary.Running += len(worker.attempts)
+	for _, attempt := range worker.attempts {
+		if attempt.stopping {
 			summary.Stopping++
 		}
 	}
-	if !sr.reachable {
+	if !worker.reachable {
 		summary.Unreachable++
 		return
 	}
-	if sr.Draining {
+	if worker.Draining {
 		return
 	}
-	summary.Capacity = summary.Capacity.Add(sr.Capacity)
-	summary.Used = summary.Used.Add(sr.used)
-	if s.isOpen(now, sr) {
+	summary.Capacity = summary.Capacity.Add(worker.Capacity)
+	summary.Used = summary.Used.Add(worker.used)
+	if s.isOpen(now, worker) {
 		summary.Workers++
 	}
-	if float64(len(sr.runs)) >= sr.window {
+	if float64(len(worker.attempts)) >= worker.window {
 		summary.Windows++
 	}
 }
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -90,7 +90,7 @@
 	}
 	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: modelLateDelay}
 	if s.duplicates {
-		faults.Double = 0.3
+		faults.Duplicate = 0.3
 	}
 	s.network.SetFaults(faults)
 	return s
