--- a/internal/controlplane/configuration/announce.go
+++ b/internal/controlplane/configuration/announce.go
@@ -10,7 +10,7 @@
 )
 
 // AnnounceCall is served by core nodes: another one tells that a majority holds a newer configuration.
-var AnnounceCall = transport.NewRepeatable[Announcement, AnnouncementReply]("/configuration/learn")
+var AnnounceCall = transport.NewIdempotent[Announcement, AnnouncementReply]("/configuration/learn")
 
 // announceTimeout bounds one such call. A member that misses it finds the change by its own quorum reads.
 const announceTimeout = time.Second
--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -127,7 +127,7 @@
 	manager, err := replicaset.NewManager(replicaset.Config{
 		Self: m.address, Seeds: c.first.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
 		Succession: succession, Logger: zap.NewNop(),
-		Contacts: func() replicaset.Contacts { return c.contacts(m) },
+		Liveness: func() replicaset.Liveness { return c.contacts(m) },
 	})
 	if err != nil {
 		c.t.Error(err)
@@ -179,20 +179,20 @@
 func (m *memberProcess) ready() bool { return m.store.alive() && m.rebuilder.Ready() }
 
 // contacts is what a machine knows of the others by the messages that it has heard.
-func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Contacts {
+func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Liveness {
 	view := m.manager.View()
-	contacts, heard := replicaset.Contacts{Silence: make(map[string]time.Duration)}, 1
+	contacts, heard := replicaset.Liveness{SinceHeard: make(map[string]time.Duration)}, 1
 	for _, member := range view.Members {
 		silence, found := c.network.sinceLastReceived(m.address, member)
 		if member == m.address || !found {
 			continue
 		}
-		contacts.Silence[member] = silence
+		contacts.SinceHeard[member] = silence
 		if silence < contactTimeout {
 			heard++
 		}
 	}
-	contacts.Majority = heard >= view.Quorum()
+	contacts.QuorumReachable = heard >= view.Quorum()
 	return contacts
 }
 
--- a/internal/jobs/scheduler/reports.go
+++ b/internal/jobs/scheduler/reports.go
@@ -8,376 +8,376 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// LateOrders is how long after it was sent an unanswered order may still be carried out.
-const LateOrders = 12500 * time.Millisecond
+// LateCommandWindow is how long after it was sent an unanswered order may still be carried out.
+const LateCommandWindow = 12500 * time.Millisecond
 
 const (
-	restAfterUnhealthy = time.Second            // no starts at a worker that turned one away as unhealthy
-	restAfterFull      = 300 * time.Millisecond // nor at one that had less room than we thought
-	restAfterMisstart  = 100 * time.Millisecond // of a task whose start went wrong
-	mostAvoided        = 4                      // workers that a task avoids
-	brokenPatience     = 700 * time.Millisecond // until the members of a broken gang are stopped by order
+	backoffAfterUnhealthy   = time.Second            // no starts at a worker that turned one away as unhealthy
+	backoffAfterFull        = 300 * time.Millisecond // nor at one that had less room than we thought
+	backoffAfterFailedStart = 100 * time.Millisecond // of a task whose start went wrong
+	maxAvoidedWorkers       = 4                      // workers that a task avoids
+	gangStopDelay           = 700 * time.Millisecond // until the members of a broken gang are stopped by order
 )
 
 // HandleReport takes a worker's report of what runs there and what has ended.
 func (s *Scheduler) HandleReport(now Now, report *workerclient.Listing) {
-	sr := s.workers[report.Worker]
-	if sr == nil {
+	worker := s.workers[report.Worker]
+	if worker == nil {
 		return
 	}
-	if sr.fencedAt.IsZero() || !sr.reachable {
-		sr.reachable = true
-		s.bindAll(now)
+	if worker.fencedAt.IsZero() || !worker.reachable {
+		worker.reachable = true
+		s.bindUnboundTasks(now)
 	}
-	if sr.fencedAt.IsZero() {
-		sr.fencedAt = now.Monotonic
+	if worker.fencedAt.IsZero() {
+		worker.fencedAt = now.Monotonic
 	}
-	sr.fullUntil = time.Time{}
+	worker.fullUntil = time.Time{}
 	for i := range report.Finished {
-		s.noteEnd(now, sr, &report.Finished[i])
+		s.handleCompletion(now, worker, &report.Finished[i])
 	}
 	if !report.Stale { // a newer report has said what runs there
-		listed := s.listRunning(now, sr, report)
+		listed := s.matchRunning(now, worker, report)
 		if !report.Partial {
-			s.missing(now, sr, report, listed)
+			s.handleMissing(now, worker, report, listed)
 		}
 	}
-	s.unplaced = true
+	s.dispatchNeeded = true
 }
 
-// listRunning matches the running list with our runs and stops what nobody wants.
-func (s *Scheduler) listRunning(now Now, sr *worker, report *workerclient.Listing) map[job.TaskID]bool {
+// matchRunning matches the running list with our runs and stops what nobody wants.
+func (s *Scheduler) matchRunning(now Now, worker *workerState, report *workerclient.Listing) map[job.TaskID]bool {
 	if len(report.Running) == 0 {
-		sr.orphans = nil
+		worker.orphans = nil
 		return nil
 	}
 	listed := make(map[job.TaskID]bool, len(report.Running))
-	var orphans map[orphan]bool
+	var orphans map[orphanAttempt]bool
 	for i := range report.Running {
 		entry := &report.Running[i]
-		r := sr.runs[entry.Task]
-		if r != nil && r.execution == entry.Execution {
+		attempt := worker.attempts[entry.Task]
+		if attempt != nil && attempt.number == entry.Execution {
 			listed[entry.Task] = true
-			s.progressed(now, r, entry)
+			s.recordProgress(now, attempt, entry)
 			continue
 		}
-		key := orphan{entry.Task, entry.Execution}
+		key := orphanAttempt{entry.Task, entry.Execution}
 		if orphans == nil {
-			orphans = map[orphan]bool{}
+			orphans = map[orphanAttempt]bool{}
 		}
 		orphans[key] = true
-		if !sr.orphans[key] {
-			order := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
-			s.effects.Commands = append(s.effects.Commands, Command{Worker: sr.ID, Stop: order})
+		if !worker.orphans[key] {
+			command := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
+			s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
 		}
 	}
-	sr.orphans = orphans
+	worker.orphans = orphans
 	return listed
 }
 
-func (s *Scheduler) progressed(now Now, r *run, entry *workerclient.RunningTask) {
-	if !r.seen {
-		r.seen = true
-		r.paceFrom, r.pacePercent = now.Monotonic, entry.Percent
+func (s *Scheduler) recordProgress(now Now, attempt *attemptState, entry *workerclient.RunningTask) {
+	if !attempt.reported {
+		attempt.reported = true
+		attempt.paceSince, attempt.pacePercent = now.Monotonic, entry.Percent
 	}
-	r.listedAt = now.Monotonic
-	if entry.Percent > r.percent || r.percentAt.IsZero() {
-		r.percent = entry.Percent
-		r.percentAt = now.Monotonic
+	attempt.reportedAt = now.Monotonic
+	if entry.Percent > attempt.percent || attempt.progressedAt.IsZero() {
+		attempt.percent = entry.Percent
+		attempt.progressedAt = now.Monotonic
 	}
 	if entry.Checkpoint != "" {
-		r.checkpoint = entry.Checkpoint
+		attempt.checkpoint = entry.Checkpoint
 	}
-	s.observe(now, r)
+	s.observePace(now, attempt)
 }
 
-// missing settles the runs that a report should have listed and did not.
-func (s *Scheduler) missing(now Now, sr *worker, report *workerclient.Listing, listed map[job.TaskID]bool) {
-	if len(sr.runs) == len(listed) {
+// handleMissing settles the runs that a report should have listed and did not.
+func (s *Scheduler) handleMissing(now Now, worker *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
+	if len(worker.attempts) == len(listed) {
 		return // each one of listed is one of ours
 	}
-	for _, r := range sr.sortedRuns() {
-		if listed[r.task.id] {
+	for _, attempt := range worker.sortedAttempts() {
+		if listed[attempt.task.id] {
 			continue
 		}
-		answered := !r.answeredAt.IsZero() && r.answeredAt.Before(report.SentAt)
-		stopped := !r.stoppedAt.IsZero() && r.stoppedAt.Before(report.SentAt)
+		answered := !attempt.confirmedAt.IsZero() && attempt.confirmedAt.Before(report.SentAt)
+		stopped := !attempt.stopConfirmedAt.IsZero() && attempt.stopConfirmedAt.Before(report.SentAt)
 		switch {
-		case r.inherited, answered, stopped:
-			s.over(now, r)
-		case !r.unclearAt.IsZero() && r.unclearAt.Before(report.SentAt):
-			s.stop(r) // from then on a start that comes late is rejected
+		case attempt.inherited, answered, stopped:
+			s.endAttempt(now, attempt)
+		case !attempt.startUnclearAt.IsZero() && attempt.startUnclearAt.Before(report.SentAt):
+			s.stopAttempt(attempt) // from then on a start that comes late is rejected
 		}
 	}
 }
 
-// noteEnd takes one entry of a worker's list of ends.
-func (s *Scheduler) noteEnd(now Now, sr *worker, end *workerclient.FinishedTask) {
-	if end.Number <= sr.noted {
+// handleCompletion takes one entry of a worker's list of ends.
+func (s *Scheduler) handleCompletion(now Now, worker *workerState, completion *workerclient.FinishedTask) {
+	if completion.Number <= worker.lastCompletion {
 		return
 	}
-	sr.noted = end.Number
-	s.noteLast(sr)
-	r := sr.runs[end.Task]
-	if r != nil && r.execution != end.Execution {
-		r = nil
+	worker.lastCompletion = completion.Number
+	s.acknowledgeCompletions(worker)
+	attempt := worker.attempts[completion.Task]
+	if attempt != nil && attempt.number != completion.Execution {
+		attempt = nil
 	}
-	if r != nil {
-		s.learn(now, r, end.How)
-		s.remove(r)
+	if attempt != nil {
+		s.recordOutcome(now, attempt, completion.How)
+		s.removeAttempt(attempt)
 	}
-	t := s.find(end.Task)
-	if t == nil || t.done {
+	task := s.findTask(completion.Task)
+	if task == nil || task.done {
 		return
 	}
-	if end.Checkpoint != "" {
-		t.keepCheckpoint(end.Checkpoint)
+	if completion.Checkpoint != "" {
+		task.recordCheckpoint(completion.Checkpoint)
 	}
 	switch {
-	case t.stage.LongRunning:
-		s.again(now, t, end.Execution) // started again however it ends
-	case end.How == job.OutcomeDone && (r != nil || len(t.runs) == 0 || t.stage.AtLeastOnce):
-		s.succeed(now, t)
-	case end.How == job.OutcomeFailed:
-		s.fail(now, t, sr, end.Execution)
-	case r != nil:
-		s.again(now, t, end.Execution)
+	case task.stage.LongRunning:
+		s.retry(now, task, completion.Execution) // started again however it ends
+	case completion.How == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
+		s.handleSuccess(now, task)
+	case completion.How == job.OutcomeFailed:
+		s.handleFailure(now, task, worker, completion.Execution)
+	case attempt != nil:
+		s.retry(now, task, completion.Execution)
 	}
 }
 
-func (s *Scheduler) noteLast(sr *worker) {
+func (s *Scheduler) acknowledgeCompletions(worker *workerState) {
 	for i := range s.effects.Acknowledgements {
-		if s.effects.Acknowledgements[i].Worker == sr.ID {
-			s.effects.Acknowledgements[i].CompletionNumber = sr.noted
+		if s.effects.Acknowledgements[i].Worker == worker.ID {
+			s.effects.Acknowledgements[i].CompletionNumber = worker.lastCompletion
 			return
 		}
 	}
-	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: sr.ID, CompletionNumber: sr.noted})
+	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: worker.ID, CompletionNumber: worker.lastCompletion})
 }
 
-// keepCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
-func (t *task) keepCheckpoint(checkpoint string) {
-	if !t.stage.Checkpoints {
+// recordCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
+func (task *taskState) recordCheckpoint(checkpoint string) {
+	if !task.stage.Checkpoints {
 		return
 	}
-	if !t.stage.GangScheduled {
-		t.checkpoint = checkpoint
+	if !task.stage.GangScheduled {
+		task.checkpoint = checkpoint
 		return
 	}
-	for _, member := range t.stage.tasks {
+	for _, member := range task.stage.tasks {
 		member.checkpoint = checkpoint
 	}
 }
 
-func (s *Scheduler) succeed(now Now, t *task) {
-	if !t.stage.GangScheduled {
-		s.finish(now, t)
+func (s *Scheduler) handleSuccess(now Now, task *taskState) {
+	if !task.stage.GangScheduled {
+		s.completeTask(now, task)
 		return
 	}
-	for _, member := range t.stage.tasks { // one such end counts for all members
-		s.finish(now, member)
+	for _, member := range task.stage.tasks { // one such end counts for all members
+		s.completeTask(now, member)
 	}
 }
 
-// fail counts a run that ended failed; the job fails with the last attempt.
-func (s *Scheduler) fail(now Now, t *task, sr *worker, execution uint64) {
-	counter := t
-	if t.stage.GangScheduled {
-		counter = t.stage.tasks[0]
+// handleFailure counts a run that ended failed; the job fails with the last attempt.
+func (s *Scheduler) handleFailure(now Now, task *taskState, worker *workerState, number uint64) {
+	counter := task
+	if task.stage.GangScheduled {
+		counter = task.stage.tasks[0]
 	}
-	if !slices.Contains(counter.failed, execution) {
-		counter.failed = append(counter.failed, execution)
+	if !slices.Contains(counter.failedAttempts, number) {
+		counter.failedAttempts = append(counter.failedAttempts, number)
 	}
-	if !t.stage.LongRunning && len(counter.failed) >= max(1, t.stage.job.Queue.MaxAttempts) {
-		s.endJob(now, t.stage.job, job.Failed)
+	if !task.stage.LongRunning && len(counter.failedAttempts) >= max(1, task.stage.job.Queue.MaxAttempts) {
+		s.endJob(now, task.stage.job, job.Failed)
 		return
 	}
-	if counter != t {
-		s.writeTask(counter)
+	if counter != task {
+		s.writeTaskRecord(counter)
 	}
-	t.shun(sr)
-	s.again(now, t, execution)
+	task.avoidWorker(worker)
+	s.retry(now, task, number)
 }
 
-// shun lets a task start elsewhere rather than where it has just failed.
-func (t *task) shun(sr *worker) {
-	t.avoid = append(t.avoid, sr.ID)
-	if len(t.avoid) > mostAvoided {
-		t.avoid = t.avoid[1:]
+// avoidWorker lets a task start elsewhere rather than where it has just failed.
+func (task *taskState) avoidWorker(worker *workerState) {
+	task.avoidedWorkers = append(task.avoidedWorkers, worker.ID)
+	if len(task.avoidedWorkers) > maxAvoidedWorkers {
+		task.avoidedWorkers = task.avoidedWorkers[1:]
 	}
 }
 
-// again lets a task wait for another run once no run of it is under way.
-func (s *Scheduler) again(now Now, t *task, execution uint64) {
-	if t.done || t.stage.job.over {
+// retry lets a task wait for another run once no run of it is under way.
+func (s *Scheduler) retry(now Now, task *taskState, number uint64) {
+	if task.done || task.stage.job.ended {
 		return
 	}
-	s.writeTask(t)
-	if t.stage.GangScheduled {
-		s.breakGang(now, t.stage, execution)
+	s.writeTaskRecord(task)
+	if task.stage.GangScheduled {
+		s.abandonGangAttempt(now, task.stage, number)
 	}
-	for _, r := range t.runs {
-		if !r.released {
+	for _, attempt := range task.attempts {
+		if !attempt.released {
 			return
 		}
 	}
-	s.wait(now, t)
+	s.enqueueAndBind(now, task)
 }
 
-// breakGang notes that one run of a gang is given up. Its members end by themselves; inspectRuns stops those that do not.
-func (s *Scheduler) breakGang(now Now, stage *stageRun, execution uint64) {
-	if execution <= stage.broken {
+// abandonGangAttempt notes that one run of a gang is given up. Its members end by themselves; inspectAttempts stops those that do not.
+func (s *Scheduler) abandonGangAttempt(now Now, stage *stageState, number uint64) {
+	if number <= stage.abandonedAttempt {
 		return
 	}
-	stage.broken = execution
-	stage.brokenAt = now.Monotonic
+	stage.abandonedAttempt = number
+	stage.abandonedAt = now.Monotonic
 }
 
 // over ends a run that is certainly not under way any more, without an end listed.
-func (s *Scheduler) over(now Now, r *run) {
-	t := r.task
-	s.remove(r)
-	if t.done || t.stage.job.over {
+func (s *Scheduler) endAttempt(now Now, attempt *attemptState) {
+	task := attempt.task
+	s.removeAttempt(attempt)
+	if task.done || task.stage.job.ended {
 		return
 	}
-	if r.checkpoint != "" {
-		t.keepCheckpoint(r.checkpoint)
+	if attempt.checkpoint != "" {
+		task.recordCheckpoint(attempt.checkpoint)
 	}
-	s.again(now, t, r.execution)
+	s.retry(now, task, attempt.number)
 }
 
-// remove forgets a run.
-func (s *Scheduler) remove(r *run) {
-	sr := r.at
-	if sr.runs[r.task.id] != r {
+// removeAttempt forgets a run.
+func (s *Scheduler) removeAttempt(attempt *attemptState) {
+	worker := attempt.worker
+	if worker.attempts[attempt.task.id] != attempt {
 		return
 	}
-	delete(sr.runs, r.task.id)
-	sr.used = sr.used.Subtract(r.task.stage.Resources)
-	r.task.runs = slices.DeleteFunc(r.task.runs, func(other *run) bool { return other == r })
-	s.unsorted = true
+	delete(worker.attempts, attempt.task.id)
+	worker.used = worker.used.Subtract(attempt.task.stage.Resources)
+	attempt.task.attempts = slices.DeleteFunc(attempt.task.attempts, func(other *attemptState) bool { return other == attempt })
+	s.orderStale = true
 }
 
 // HandleStartResult takes what became of a start.
 func (s *Scheduler) HandleStartResult(now Now, result *workerclient.StartResult) {
-	sr := s.workers[result.Worker]
-	if sr == nil {
+	worker := s.workers[result.Worker]
+	if worker == nil {
 		return
 	}
-	r := sr.runs[result.Order.Task]
-	if r == nil || r.execution != result.Order.Execution {
+	attempt := worker.attempts[result.Order.Task]
+	if attempt == nil || attempt.number != result.Order.Execution {
 		return
 	}
 	switch result.Outcome {
 	case workerclient.Started:
-		r.answeredAt = result.At
-		sr.window = min(windowMost, sr.window+1)
+		attempt.confirmedAt = result.At
+		worker.window = min(maxWindow, worker.window+1)
 		return
 	case workerclient.Unclear:
-		r.unclearAt = result.At
+		attempt.startUnclearAt = result.At
 		return
 	case workerclient.RejectedFence:
 		return // this leadership is over
 	case workerclient.RejectedRoom:
-		sr.fullUntil = now.Monotonic.Add(restAfterFull)
+		worker.fullUntil = now.Monotonic.Add(backoffAfterFull)
 	case workerclient.Unhealthy:
-		sr.restUntil = now.Monotonic.Add(restAfterUnhealthy)
-		sr.faults += faultWeight * (1 - sr.faults)
+		worker.backoffUntil = now.Monotonic.Add(backoffAfterUnhealthy)
+		worker.failureRate += failureWeight * (1 - worker.failureRate)
 	case workerclient.RejectedInvalid:
-		r.task.shun(sr)
+		attempt.task.avoidWorker(worker)
 	}
-	r.task.notBefore = now.Monotonic.Add(restAfterMisstart)
-	s.over(now, r)
-	s.unplaced = true
+	attempt.task.backoffUntil = now.Monotonic.Add(backoffAfterFailedStart)
+	s.endAttempt(now, attempt)
+	s.dispatchNeeded = true
 }
 
 // HandleStopResult takes that a stop was answered: the run has ended or is ending, or will never begin.
 func (s *Scheduler) HandleStopResult(now Now, result *workerclient.StopResult) {
-	sr := s.workers[result.Worker]
-	if sr == nil || !result.Answered {
+	worker := s.workers[result.Worker]
+	if worker == nil || !result.Answered {
 		return
 	}
-	if r := sr.runs[result.Order.Task]; r != nil && r.execution == result.Order.Execution {
-		r.stoppedAt = result.At
+	if attempt := worker.attempts[result.Order.Task]; attempt != nil && attempt.number == result.Order.Execution {
+		attempt.stopConfirmedAt = result.At
 	}
 }
 
 // SetReachable takes whether a worker answers.
 func (s *Scheduler) SetReachable(now Now, id workerclient.WorkerID, reachable bool) {
-	sr := s.workers[id]
-	if sr == nil {
+	worker := s.workers[id]
+	if worker == nil {
 		return
 	}
-	sr.reachable = reachable
+	worker.reachable = reachable
 	if !reachable {
-		for _, r := range sr.sortedRuns() {
-			s.release(now, r)
+		for _, attempt := range worker.sortedAttempts() {
+			s.releaseTask(now, attempt)
 		}
-		s.rebind(now, sr)
+		s.rebindTasks(now, worker)
 	}
-	s.unplaced = true
+	s.dispatchNeeded = true
 }
 
-// release lets the task of an unreachable run start elsewhere at once, where copies may run side by side.
-func (s *Scheduler) release(now Now, r *run) {
-	if !r.task.stage.AtLeastOnce || r.released || r.stopping || r.task.done || r.task.stage.GangScheduled {
+// releaseTask lets the task of an unreachable run start elsewhere at once, where copies may run side by side.
+func (s *Scheduler) releaseTask(now Now, attempt *attemptState) {
+	if !attempt.task.stage.AtLeastOnce || attempt.released || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
 		return
 	}
-	r.released = true
-	s.again(now, r.task, r.execution)
+	attempt.released = true
+	s.retry(now, attempt.task, attempt.number)
 }
 
 // RemoveWorker takes that a worker's life is over: nothing runs there any more.
 func (s *Scheduler) RemoveWorker(now Now, id workerclient.WorkerID) {
-	sr := s.workers[id]
-	if sr == nil {
+	worker := s.workers[id]
+	if worker == nil {
 		return
 	}
-	s.clear(now, sr)
-	s.gone[id] = true
-	s.unhear(sr)
+	s.endAllAttempts(now, worker)
+	s.removed[id] = true
+	s.forgetLatency(worker)
 	delete(s.workers, id)
-	s.list = slices.DeleteFunc(s.list, func(other *worker) bool { return other == sr })
-	sr.reachable = false
-	s.rebind(now, sr)
-	s.unplaced = true
+	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == worker })
+	worker.reachable = false
+	s.rebindTasks(now, worker)
+	s.dispatchNeeded = true
 }
 
 // ExpireLease takes that everything granted to an unreachable worker under this leadership has run out.
 func (s *Scheduler) ExpireLease(now Now, id workerclient.WorkerID) {
-	sr := s.workers[id]
-	if sr == nil || sr.reachable || now.Monotonic.Before(s.inheritedUntil(sr)) {
+	worker := s.workers[id]
+	if worker == nil || worker.reachable || now.Monotonic.Before(s.inheritedLeaseEnd(worker)) {
 		return
 	}
-	if len(sr.runs) > 0 {
-		s.clear(now, sr)
-		s.unplaced = true
+	if len(worker.attempts) > 0 {
+		s.endAllAttempts(now, worker)
+		s.dispatchNeeded = true
 	}
 }
 
-// inheritedUntil is when everything that earlier leaderships granted to a worker has run out.
-func (s *Scheduler) inheritedUntil(sr *worker) time.Time {
-	hold := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
-	if !sr.fencedAt.IsZero() {
-		return sr.fencedAt.Add(hold)
+// inheritedLeaseEnd is when everything that earlier leaderships granted to a worker has run out.
+func (s *Scheduler) inheritedLeaseEnd(worker *workerState) time.Time {
+	lease := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
+	if !worker.fencedAt.IsZero() {
+		return worker.fencedAt.Add(lease)
 	}
-	return s.startedAt.Add(LateOrders + hold)
+	return s.startedAt.Add(LateCommandWindow + lease)
 }
 
-// clear ends all runs at a worker.
-func (s *Scheduler) clear(now Now, sr *worker) {
-	for _, r := range sr.sortedRuns() {
-		s.over(now, r)
+// endAllAttempts ends all runs at a worker.
+func (s *Scheduler) endAllAttempts(now Now, worker *workerState) {
+	for _, attempt := range worker.sortedAttempts() {
+		s.endAttempt(now, attempt)
 	}
-	sr.orphans = nil
+	worker.orphans = nil
 }
 
-// sortedRuns lists the runs in a stable order, so that the same events give the same effects.
-func (sr *worker) sortedRuns() []*run {
-	runs := make([]*run, 0, len(sr.runs))
-	for _, r := range sr.runs {
-		runs = append(runs, r)
-	}
-	slices.SortFunc(runs, func(a, b *run) int { return compareTasks(a.task.id, b.task.id) })
-	return runs
+// sortedAttempts lists the runs in a stable order, so that the same events give the same effects.
+func (worker *workerState) sortedAttempts() []*attemptState {
+	attempts := make([]*attemptState, 0, len(worker.attempts))
+	for _, attempt := range worker.attempts {
+		attempts = append(attempts, attempt)
+	}
+	slices.SortFunc(attempts, func(a, b *attemptState) int { return compareTaskIDs(a.task.id, b.task.id) })
+	return attempts
 }
--- /dev/null
+++ b/internal/transport/simulation_test.go
@@ -0,0 +1,283 @@
+package transport_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"runtime"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
+	"puffinlink.example/puffinlink/internal/rpcerror"
+	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/virtualtime"
+)
+
+// Settings of the model test. A schedule that fails names its seed.
+const (
+	schedulesVariable = "PUFFINLINK_TRANSPORT_SCHEDULES" // how many schedules, instead of the usual number
+	seedVariable      = "PUFFINLINK_TRANSPORT_SEED"      // replays one schedule
+	usualSchedules    = 2100
+)
+
+// Size of a schedule.
+const (
+	modelAddresses = 3
+	modelCallers   = 3
+	modelCalls     = 10 // of each caller
+	modelEvents    = 8  // restarts and replacements
+	modelPause     = 60 * time.Millisecond
+	modelLimit     = 250 * time.Millisecond // of a call, at most
+	modelLateDelay = 600 * time.Millisecond
+	modelSettled   = 2 * modelLateDelay // after which nothing is under way
+)
+
+// token names one call of the model.
+type token struct {
+	Caller, Number int
+}
+
+type modelRequest struct {
+	Token token
+	Bulk  []byte
+}
+
+type modelReply struct {
+	Token     token
+	Responder transport.Identity
+	Bulk      []byte
+}
+
+var (
+	modelAtMostOnceCall = transport.NewAtMostOnce[modelRequest, modelReply]("/model/once")
+	modelIdempotentCall = transport.NewIdempotent[modelRequest, modelReply]("/model/repeat")
+)
+
+// modelCall is one call with all that is known of it.
+type modelCall struct {
+	token      token
+	atMostOnce bool
+	intended   transport.Identity // the process that the caller had met at the address; zero for none
+	reply      modelReply
+	err        error
+	executedAt []transport.Identity // in order
+}
+
+// simulation is one schedule: callers, and processes that follow each other at a few addresses.
+type simulation struct {
+	seed       uint64
+	duplicates bool // requests may arrive twice
+	network    *networktest.Network
+
+	mutex      sync.Mutex
+	calls      map[token]*modelCall
+	serving    map[string]transport.Identity
+	violations []string
+}
+
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{seed: seed, duplicates: seed%2 == 0, network: networktest.New(seed), calls: map[token]*modelCall{}, serving: map[string]transport.Identity{}}
+	for i := range modelAddresses {
+		s.startProcess(modelAddress(i), fmt.Sprintf("node-%d", i))
+	}
+	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: modelLateDelay}
+	if s.duplicates {
+		faults.Duplicate = 0.3
+	}
+	s.network.SetFaults(faults)
+	return s
+}
+
+func modelAddress(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
+
+// startProcess starts a process at an address, in place of the one there.
+func (s *simulation) startProcess(address, node string) {
+	self := transport.NewIdentity(testCluster, node)
+	mux := transport.NewMuxFor(self)
+	run := func(_ context.Context, request modelRequest) (modelReply, error) {
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		call := s.calls[request.Token]
+		call.executedAt = append(call.executedAt, self)
+		if request.Token.Number%5 == 4 { // so that refusals by a handler occur as well, and after the run
+			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("broke down midway"))
+		}
+		return modelReply{Token: request.Token, Responder: self, Bulk: request.Bulk}, nil
+	}
+	transport.Handle(mux, modelAtMostOnceCall, run)
+	transport.Handle(mux, modelIdempotentCall, run)
+	s.network.Serve(address, mux)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.serving[address] = self
+}
+
+// stopProcess stops the process at an address.
+func (s *simulation) stopProcess(address string) { s.network.Serve(address, nil) }
+
+func (s *simulation) servedBy(address string) transport.Identity {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.serving[address]
+}
+
+func (s *simulation) violation(format string, arguments ...any) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.violations = append(s.violations, fmt.Sprintf(format, arguments...))
+}
+
+// restartProcesses restarts processes and lets other machines take addresses.
+func (s *simulation) restartProcesses(random *rand.Rand) {
+	for event := range modelEvents {
+		time.Sleep(time.Duration(random.Int64N(int64(2 * modelPause))))
+		address := modelAddress(random.IntN(modelAddresses))
+		node := s.servedBy(address).Node
+		if random.IntN(2) == 0 {
+			node = fmt.Sprintf("node-new-%d", event)
+		}
+		s.stopProcess(address)
+		time.Sleep(time.Duration(random.Int64N(int64(modelPause))))
+		s.startProcess(address, node)
+	}
+}
+
+// modelCaller is one process that calls.
+type modelCaller struct {
+	world  *simulation
+	index  int
+	number int
+	caller transport.Caller
+	known  map[string]transport.Identity // by address
+}
+
+func (c *modelCaller) run(random *rand.Rand) {
+	for range modelCalls {
+		time.Sleep(1 + time.Duration(random.Int64N(int64(modelPause))))
+		limit := time.Duration(1 + random.Int64N(int64(modelLimit)))
+		c.call(modelAddress(random.IntN(modelAddresses)), random.IntN(2) == 0, limit, random.IntN(200))
+	}
+}
+
+// id makes one call and notes how it ended.
+func (c *modelCaller) call(address string, once bool, limit time.Duration, bulk int) *modelCall {
+	c.number++
+	call := &modelCall{token: token{c.index, c.number}, atMostOnce: once, intended: c.known[address]}
+	c.world.mutex.Lock()
+	c.world.calls[call.token] = call
+	c.world.mutex.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	defer cancel()
+	request := modelRequest{Token: call.token, Bulk: make([]byte, bulk)}
+	if once {
+		call.reply, call.err = modelAtMostOnceCall.Call(ctx, c.caller, address, request)
+	} else {
+		call.reply, call.err = modelIdempotentCall.Call(ctx, c.caller, address, request)
+	}
+	c.noteResponder(address, call)
+	return call
+}
+
+// add notes what the caller may conclude of who serves the address.
+func (c *modelCaller) noteResponder(address string, call *modelCall) {
+	var misdirected *transport.MisdirectedError
+	switch {
+	case call.err == nil:
+		c.known[address] = call.reply.Responder
+	case errors.As(call.err, &misdirected) && misdirected.Actual.Node != c.known[address].Node:
+		delete(c.known, address)
+	}
+}
+
+// run runs the schedule in simulated time.
+func (s *simulation) run() {
+	random := rand.New(rand.NewPCG(s.seed, 1))
+	var running sync.WaitGroup
+	var callers []*modelCaller
+	for i := range modelCallers {
+		caller := &modelCaller{world: s, index: i, known: map[string]transport.Identity{}}
+		caller.caller = s.network.CallerOf(testCluster, fmt.Sprintf("10.1.0.%d:1", i))
+		callers = append(callers, caller)
+		own := rand.New(rand.NewPCG(random.Uint64(), 2))
+		running.Go(func() { caller.run(own) })
+	}
+	running.Go(func() { s.restartProcesses(rand.New(rand.NewPCG(random.Uint64(), 3))) })
+	running.Wait()
+	time.Sleep(modelSettled)
+	synctest.Wait()
+	s.check()
+	s.network.SetFaults(networktest.Faults{})
+	for _, caller := range callers {
+		for i := range modelAddresses {
+			s.checkReachability(caller, modelAddress(i))
+		}
+	}
+}
+
+// TestCallsInSimulatedSchedules plays seeded schedules of calls while processes and machines follow each other at the addresses.
+func TestCallsInSimulatedSchedules(t *testing.T) {
+	first, schedules := uint64(1), usualSchedules
+	if text := os.Getenv(schedulesVariable); text != "" {
+		schedules, _ = strconv.Atoi(text)
+	}
+	if text := os.Getenv(seedVariable); text != "" {
+		first, _ = strconv.ParseUint(text, 10, 64)
+		schedules = 1
+	}
+	var worlds sync.WaitGroup
+	parts := uint64(runtime.GOMAXPROCS(0))
+	for part := range parts {
+		worlds.Go(func() {
+			for seed := first + part; seed < first+uint64(schedules); seed += parts {
+				playSeed(t, seed)
+			}
+		})
+	}
+	worlds.Wait()
+	t.Logf("%d schedules from seed %d", schedules, first)
+}
+
+// TestSchedulesReplayFromTheirSeed plays schedules twice: a seed that is printed would be worth little otherwise.
+func TestSchedulesReplayFromTheirSeed(t *testing.T) {
+	for seed := uint64(1); seed <= 30; seed++ {
+		ends := [2]string{}
+		for i := range ends {
+			virtualtime.Test(t, func(*testing.T) {
+				s := newSimulation(seed)
+				s.run()
+				ends[i] = s.outcomes()
+			})
+		}
+		if ends[0] != ends[1] {
+			t.Errorf("seed %d ends in two ways:\n%s\n%s", seed, ends[0], ends[1])
+		}
+	}
+}
+
+// outcomes tells how each call ended and how often it ran.
+func (s *simulation) outcomes() string {
+	var lines []string
+	for token, call := range s.calls {
+		lines = append(lines, fmt.Sprintf("%v ran %d times, answered %v", token, len(call.executedAt), call.err == nil))
+	}
+	slices.Sort(lines)
+	return strings.Join(lines, "; ")
+}
+
+func playSeed(t *testing.T, seed uint64) {
+	virtualtime.Test(t, func(*testing.T) {
+		s := newSimulation(seed)
+		s.run()
+		for _, fault := range s.violations {
+			t.Errorf("%s (replay: %s=%d)", fault, seedVariable, seed)
+		}
+	})
+}
