--- a/internal/controlplane/coordinator/budget.go
+++ b/internal/controlplane/coordinator/budget.go
@@ -21,8 +21,8 @@
 func workerLimits(limits *nodesettings.Limits) workerclient.Limits {
 	connections := limits.ConnectionBudget().Workers
 	return workerclient.Limits{
-		Connections: connections, DialsPerS: limits.DialsPerS(), DialsAtOnce: dialsAtOnce,
-		LooksPerS: limits.LooksPerS(), WorkersHeld: connections / workersHeldPart,
+		Connections: connections, DialsPerS: limits.DialsPerS(), DialBurst: dialsAtOnce,
+		PollsPerS: limits.LooksPerS(), MaxLongPolls: connections / workersHeldPart,
 	}
 }
 
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -86,7 +86,7 @@
 func startLeader(b *testing.B, instances []workerclient.Instance) *Manager {
 	const self = "127.0.0.1:1"
 	connections := workerclient.NewConnections(workerclient.Limits{
-		Connections: 2700, DialsPerS: 544, DialsAtOnce: 256, LooksPerS: 600, WorkersHeld: 600,
+		Connections: 2700, DialsPerS: 544, DialBurst: 256, PollsPerS: 600, MaxLongPolls: 600,
 	})
 	m := New(Config{
 		Settings: scheduler.Settings{RemoteFactor: 1.5, MaxLease: fleetHoldMax, StatusRetention: 5 * time.Minute},
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -114,7 +114,7 @@
 		l.ticked = now.Monotonic
 		for id := range l.unheard {
 			link := l.links[id]
-			if link != nil && now.Monotonic.After(link.LapsedBy()) {
+			if link != nil && now.Monotonic.After(link.LeasesExpiredBy()) {
 				l.scheduler.ExpireLease(now, id)
 			}
 		}
@@ -265,8 +265,8 @@
 		return
 	}
 	link := workerclient.NewLink(workerclient.Config{
-		Instance: *instance, FencingToken: l.term.Epoch(), HoldMax: l.config.Settings.MaxLease,
-		Valid: l.term.Valid, Events: events{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
+		Instance: *instance, FencingToken: l.term.Epoch(), MaxLease: l.config.Settings.MaxLease,
+		LeaderLeaseValid: l.term.Valid, Events: events{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
 		Log: l.config.Log, Now: time.Now,
 	})
 	l.links[instance.ID] = link
@@ -295,10 +295,10 @@
 // StartResult implements worker.Events.
 func (e events) StartResult(result workerclient.StartResult) {
 	if result.Outcome != workerclient.Started {
-		e.lead.config.Log.Debug("start not confirmed", zap.Stringer("task", result.Order.Task),
+		e.lead.config.Log.Debug("start not confirmed", zap.Stringer("task", result.Command.Task),
 			zap.String("searcher", string(result.Worker)), zap.Stringer("outcome", result.Outcome))
 	}
-	if result.Outcome == workerclient.RejectedFence {
+	if result.Outcome == workerclient.RejectedFencingToken {
 		e.lead.term.Resign()
 		return
 	}
@@ -324,7 +324,7 @@
 func (e events) Fenced(workerclient.Fenced) { e.lead.term.Resign() }
 
 // Reachability implements worker.Events.
-func (e events) Reachability(change workerclient.Reachability) {
+func (e events) Reachability(change workerclient.ReachabilityChange) {
 	e.lead.step(func(now scheduler.Now) {
 		if change.Reachable {
 			delete(e.lead.unheard, change.Worker)
--- a/internal/jobs/manager/trace.go
+++ b/internal/jobs/manager/trace.go
@@ -27,11 +27,11 @@
 		return
 	}
 	if command.Stop != nil {
-		l.config.Log.Debug("stop ordered", zap.Stringer("task", command.Stop.Task), zap.Uint64("run", command.Stop.Execution),
+		l.config.Log.Debug("stop ordered", zap.Stringer("task", command.Stop.Task), zap.Uint64("run", command.Stop.AttemptNumber),
 			zap.String("searcher", string(command.Worker)))
 		return
 	}
-	l.config.Log.Debug("start ordered", zap.Stringer("task", command.Start.Task), zap.Uint64("run", command.Start.Execution),
+	l.config.Log.Debug("start ordered", zap.Stringer("task", command.Start.Task), zap.Uint64("run", command.Start.AttemptNumber),
 		zap.String("searcher", string(command.Worker)), zap.Uint64("epoch", l.term.Epoch()))
 }
 
@@ -42,7 +42,7 @@
 	}
 	for i := range report.Finished {
 		completion := &report.Finished[i]
-		l.config.Log.Debug("run ended", zap.Stringer("task", completion.Task), zap.Uint64("run", completion.Execution),
+		l.config.Log.Debug("run ended", zap.Stringer("task", completion.Task), zap.Uint64("run", completion.AttemptNumber),
 			zap.String("how", string(completion.How)), zap.String("searcher", string(report.Worker)))
 	}
 }
--- a/internal/jobs/manager/trace_test.go
+++ b/internal/jobs/manager/trace_test.go
@@ -22,9 +22,9 @@
 	id := job.ID("00000000000000aa")
 	task := job.TaskID{Job: id, Stage: 1, Index: 2}
 	l.traceSubmit(&jobapi.Submit{ID: id})
-	l.traceOrder(&scheduler.Command{Worker: "i-1", Start: &workerclient.StartOrder{Task: task, Execution: 1}})
-	l.traceOrder(&scheduler.Command{Worker: "i-1", Stop: &workerclient.StopOrder{Task: task, Execution: 1}})
-	l.traceEnds(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, Execution: 1, How: job.OutcomeDone}}})
+	l.traceOrder(&scheduler.Command{Worker: "i-1", Start: &workerclient.StartCommand{Task: task, AttemptNumber: 1}})
+	l.traceOrder(&scheduler.Command{Worker: "i-1", Stop: &workerclient.StopCommand{Task: task, AttemptNumber: 1}})
+	l.traceEnds(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, AttemptNumber: 1, How: job.OutcomeDone}}})
 	jobs, err := scheduler.New(scheduler.Settings{}, scheduler.Now{}, nil)
 	So(err, ShouldBeNil)
 	jobs.Submit(scheduler.Now{}, &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -44,12 +44,12 @@
 		worker := s.sortedWorkers[int(number)%len(s.sortedWorkers)]
 		report := workerclient.Listing{Worker: worker.ID, SentAt: now.Monotonic}
 		for _, attempt := range worker.sortedAttempts() {
-			report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
+			report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, AttemptNumber: attempt.number})
 		}
 		if len(report.Running) > 0 {
 			ended := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []workerclient.FinishedTask{{Number: worker.lastCompletion + 1, Task: ended.Task, Execution: ended.Execution, How: job.OutcomeStopped}}
+			report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: ended.Task, AttemptNumber: ended.AttemptNumber, How: job.OutcomeStopped}}
 		}
 		number++
 		s.HandleReport(now, &report)
@@ -73,7 +73,7 @@
 		for _, instance := range instances {
 			report := workerclient.Listing{Worker: instance.ID, First: true, SentAt: now.Monotonic}
 			for _, attempt := range previous.workers[instance.ID].sortedAttempts() {
-				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
+				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, AttemptNumber: attempt.number})
 			}
 			s.HandleReport(now, &report)
 		}
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -137,14 +137,14 @@
 			id := w.submitStages(1, small(1))
 			report, _ := w.scheduler.Job(w.clock(), id)
 			unhealthy := workerclient.WorkerID(report.Attempts[0].Worker)
-			unwanted := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, Execution: 1}}
+			unwanted := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, AttemptNumber: 1}}
 			for _, m := range w.machines {
 				if m.ID != unhealthy {
 					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, Running: unwanted})
 				}
 			}
-			command := workerclient.StartOrder{Task: job.TaskID{Job: id}, Execution: 1}
-			w.scheduler.HandleStartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Order: command, Outcome: workerclient.Unhealthy, At: w.clock().Monotonic})
+			command := workerclient.StartCommand{Task: job.TaskID{Job: id}, AttemptNumber: 1}
+			w.scheduler.HandleStartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Command: command, Outcome: workerclient.RejectedUnhealthy, At: w.clock().Monotonic})
 			waiting := whyOf(w, id)
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonBackoff)
 			So(countOf(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
--- a/internal/jobs/scheduler/order_test.go
+++ b/internal/jobs/scheduler/order_test.go
@@ -99,9 +99,9 @@
 		report := workerclient.Listing{Worker: worker.ID, SentAt: now.Monotonic}
 		for at, attempt := range worker.sortedAttempts() {
 			if at == 0 {
-				report.Finished = []workerclient.FinishedTask{{Number: worker.lastCompletion + 1, Task: attempt.task.id, Execution: attempt.number, How: job.OutcomeDone}}
+				report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: attempt.task.id, AttemptNumber: attempt.number, How: job.OutcomeDone}}
 			} else {
-				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, Execution: attempt.number})
+				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, AttemptNumber: attempt.number})
 			}
 		}
 		s.HandleReport(now, &report)
--- a/internal/jobs/scheduler/place.go
+++ b/internal/jobs/scheduler/place.go
@@ -235,7 +235,7 @@
 	worker.used = worker.used.Add(task.stage.Resources)
 	task.stage.job.started = true
 	s.writeTaskRecord(task)
-	command := &workerclient.StartOrder{Task: task.id, Execution: number, Specification: task.stage.job.Specification.Text, Checkpoint: task.checkpoint}
+	command := &workerclient.StartCommand{Task: task.id, AttemptNumber: number, Specification: task.stage.job.Specification.Text, Checkpoint: task.checkpoint}
 	s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Start: command})
 }
 
--- a/internal/jobs/scheduler/progress.go
+++ b/internal/jobs/scheduler/progress.go
@@ -212,7 +212,7 @@
 		return
 	}
 	attempt.stopping = true
-	command := &workerclient.StopOrder{Task: attempt.task.id, Execution: attempt.number}
+	command := &workerclient.StopCommand{Task: attempt.task.id, AttemptNumber: attempt.number}
 	s.effects.Commands = append(s.effects.Commands, Command{Worker: attempt.worker.ID, Stop: command})
 }
 
--- a/internal/jobs/scheduler/reports.go
+++ b/internal/jobs/scheduler/reports.go
@@ -56,18 +56,18 @@
 	for i := range report.Running {
 		entry := &report.Running[i]
 		attempt := worker.attempts[entry.Task]
-		if attempt != nil && attempt.number == entry.Execution {
+		if attempt != nil && attempt.number == entry.AttemptNumber {
 			listed[entry.Task] = true
 			s.recordProgress(now, attempt, entry)
 			continue
 		}
-		key := orphanAttempt{entry.Task, entry.Execution}
+		key := orphanAttempt{entry.Task, entry.AttemptNumber}
 		if orphans == nil {
 			orphans = map[orphanAttempt]bool{}
 		}
 		orphans[key] = true
 		if !worker.orphans[key] {
-			command := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
+			command := &workerclient.StopCommand{Task: entry.Task, AttemptNumber: entry.AttemptNumber}
 			s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
 		}
 	}
@@ -113,13 +113,13 @@
 
 // handleCompletion takes one entry of a worker's list of ends.
 func (s *Scheduler) handleCompletion(now Now, worker *workerState, completion *workerclient.FinishedTask) {
-	if completion.Number <= worker.lastCompletion {
+	if completion.CompletionNumber <= worker.lastCompletion {
 		return
 	}
-	worker.lastCompletion = completion.Number
+	worker.lastCompletion = completion.CompletionNumber
 	s.acknowledgeCompletions(worker)
 	attempt := worker.attempts[completion.Task]
-	if attempt != nil && attempt.number != completion.Execution {
+	if attempt != nil && attempt.number != completion.AttemptNumber {
 		attempt = nil
 	}
 	if attempt != nil {
@@ -135,13 +135,13 @@
 	}
 	switch {
 	case task.stage.LongRunning:
-		s.retry(now, task, completion.Execution) // started again however it ends
+		s.retry(now, task, completion.AttemptNumber) // started again however it ends
 	case completion.How == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
 		s.handleSuccess(now, task)
 	case completion.How == job.OutcomeFailed:
-		s.handleFailure(now, task, worker, completion.Execution)
+		s.handleFailure(now, task, worker, completion.AttemptNumber)
 	case attempt != nil:
-		s.retry(now, task, completion.Execution)
+		s.retry(now, task, completion.AttemptNumber)
 	}
 }
 
@@ -264,8 +264,8 @@
 	if worker == nil {
 		return
 	}
-	attempt := worker.attempts[result.Order.Task]
-	if attempt == nil || attempt.number != result.Order.Execution {
+	attempt := worker.attempts[result.Command.Task]
+	if attempt == nil || attempt.number != result.Command.AttemptNumber {
 		return
 	}
 	switch result.Outcome {
@@ -276,11 +276,11 @@
 	case workerclient.Unclear:
 		attempt.startUnclearAt = result.At
 		return
-	case workerclient.RejectedFence:
+	case workerclient.RejectedFencingToken:
 		return // this leadership is over
-	case workerclient.RejectedRoom:
+	case workerclient.RejectedCapacity:
 		worker.fullUntil = now.Monotonic.Add(backoffAfterFull)
-	case workerclient.Unhealthy:
+	case workerclient.RejectedUnhealthy:
 		worker.backoffUntil = now.Monotonic.Add(backoffAfterUnhealthy)
 		worker.failureRate += failureWeight * (1 - worker.failureRate)
 	case workerclient.RejectedInvalid:
@@ -297,7 +297,7 @@
 	if worker == nil || !result.Answered {
 		return
 	}
-	if attempt := worker.attempts[result.Order.Task]; attempt != nil && attempt.number == result.Order.Execution {
+	if attempt := worker.attempts[result.Command.Task]; attempt != nil && attempt.number == result.Command.AttemptNumber {
 		attempt.stopConfirmedAt = result.At
 	}
 }
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -36,8 +36,8 @@
 // Command is a start or a stop for one worker.
 type Command struct {
 	Worker workerclient.WorkerID
-	Start  *workerclient.StartOrder // nil for a stop
-	Stop   *workerclient.StopOrder
+	Start  *workerclient.StartCommand // nil for a stop
+	Stop   *workerclient.StopCommand
 }
 
 // Noted says that all of a worker's ends up to Number are covered by the entries gathered so far.
@@ -161,13 +161,13 @@
 func (s *Scheduler) Pending(route string) int { return s.pendingByRoute[route] }
 
 // StillWanted tells whether a start that has become durable is still to be sent.
-func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartOrder) bool {
+func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartCommand) bool {
 	worker := s.workers[id]
 	if worker == nil {
 		return false
 	}
 	attempt := worker.attempts[command.Task]
-	return attempt != nil && attempt.number == command.Execution && !attempt.stopping
+	return attempt != nil && attempt.number == command.AttemptNumber && !attempt.stopping
 }
 
 // Tick does what is due by time alone.
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -84,8 +84,8 @@
 		if command.Start == nil {
 			continue
 		}
-		g.at[command.Start.Task], g.execution[command.Start.Task] = command.Worker, command.Start.Execution
-		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: command.Worker, Order: *command.Start, Outcome: workerclient.Started, At: g.now})
+		g.at[command.Start.Task], g.execution[command.Start.Task] = command.Worker, command.Start.AttemptNumber
+		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: command.Worker, Command: *command.Start, Outcome: workerclient.Started, At: g.now})
 	}
 }
 
@@ -106,7 +106,7 @@
 	at := g.at[task]
 	g.ends[at]++
 	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
-		{Number: g.ends[at], Task: task, Execution: g.execution[task], How: how, Checkpoint: checkpoint},
+		{CompletionNumber: g.ends[at], Task: task, AttemptNumber: g.execution[task], How: how, Checkpoint: checkpoint},
 	}})
 	g.proceed()
 }
--- a/internal/jobs/scheduler/world_test.go
+++ b/internal/jobs/scheduler/world_test.go
@@ -223,17 +223,17 @@
 
 func (w *world) acknowledge(m *machine, number uint64) {
 	for _, completion := range m.ends {
-		if completion.Number > number || completion.Number <= m.lastSeen {
+		if completion.CompletionNumber > number || completion.CompletionNumber <= m.lastSeen {
 			continue
 		}
 		facts := w.facts(completion.Task)
 		facts.doneNoted = facts.doneNoted || completion.How == job.OutcomeDone
 		if completion.How == job.OutcomeFailed {
-			facts.failNoted[completion.Execution] = true
+			facts.failNoted[completion.AttemptNumber] = true
 		}
 	}
 	m.lastSeen = max(m.lastSeen, number)
-	m.ends = slices.DeleteFunc(m.ends, func(completion workerclient.FinishedTask) bool { return completion.Number <= m.lastSeen })
+	m.ends = slices.DeleteFunc(m.ends, func(completion workerclient.FinishedTask) bool { return completion.CompletionNumber <= m.lastSeen })
 }
 
 func (w *world) facts(id job.TaskID) *taskFacts {
@@ -243,8 +243,8 @@
 	return w.tasks[id]
 }
 
-func (w *world) sendStart(m *machine, command workerclient.StartOrder, epoch uint64, sender *Scheduler) {
-	result := workerclient.StartResult{Worker: m.ID, Order: command, Outcome: workerclient.Unclear}
+func (w *world) sendStart(m *machine, command workerclient.StartCommand, epoch uint64, sender *Scheduler) {
+	result := workerclient.StartResult{Worker: m.ID, Command: command, Outcome: workerclient.Unclear}
 	wait := time.Duration(w.random.IntN(30)) * time.Millisecond
 	if m.cut || !m.up {
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
@@ -277,19 +277,19 @@
 }
 
 // carryOut carries a start out at a machine, as a worker does.
-func (w *world) carryOut(m *machine, command workerclient.StartOrder, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
+func (w *world) carryOut(m *machine, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
 	if !m.up {
 		return workerclient.Unclear
 	}
 	if epoch < m.fence {
-		return workerclient.RejectedFence
+		return workerclient.RejectedFencingToken
 	}
 	m.fence = epoch
 	if m.holdUntil = max(m.holdUntil, min(validUntil, w.now+w.settings.MaxLease)); validUntil <= w.now {
-		return workerclient.RejectedLate
+		return workerclient.RejectedLeaseExpired
 	}
-	if command.Execution <= m.closed[command.Task] {
-		return workerclient.RejectedOld
+	if command.AttemptNumber <= m.closed[command.Task] {
+		return workerclient.RejectedStaleAttempt
 	}
 	if already := m.running[command.Task]; already != nil {
 		return workerclient.Started
@@ -302,11 +302,11 @@
 	stage := &facts.request.Specification.Stages[command.Task.Stage]
 	if !m.free(w).Fits(stage.Resources) {
 		w.violation("LIMIT %v at %s", command.Task, m.ID)
-		return workerclient.RejectedRoom
+		return workerclient.RejectedCapacity
 	}
 	w.judge(m, command, facts, stage, late)
 	length := facts.lengths[command.Task]
-	run := &execution{number: command.Execution, how: job.OutcomeDone, began: w.now, length: length, ends: w.now + length}
+	run := &execution{number: command.AttemptNumber, how: job.OutcomeDone, began: w.now, length: length, ends: w.now + length}
 	if facts.poison || m.failing {
 		run.how, run.ends = job.OutcomeFailed, w.now+length/2
 	}
@@ -330,7 +330,7 @@
 }
 
 // outcomeOf checks one start. Promises with a time bound do not cover starts that a worker carried out late.
-func (w *world) judge(m *machine, command workerclient.StartOrder, facts *jobFacts, stage *job.Stage, late bool) {
+func (w *world) judge(m *machine, command workerclient.StartCommand, facts *jobFacts, stage *job.Stage, late bool) {
 	id := command.Task
 	own := w.facts(id)
 	if !stage.AtLeastOnce {
@@ -373,13 +373,13 @@
 	if !late && facts.cancelledAt > 0 && w.now > facts.cancelledAt+3*time.Second {
 		w.violation("UNASKED %v starts after it was cancelled", id)
 	}
-	if command.Execution <= own.executions && !stage.AtLeastOnce {
-		w.violation("execution %d of %v does not rise", command.Execution, id)
+	if command.AttemptNumber <= own.executions && !stage.AtLeastOnce {
+		w.violation("execution %d of %v does not rise", command.AttemptNumber, id)
 	}
-	own.executions = max(own.executions, command.Execution)
+	own.executions = max(own.executions, command.AttemptNumber)
 }
 
-func (w *world) sendStop(m *machine, command workerclient.StopOrder, epoch uint64, sender *Scheduler) {
+func (w *world) sendStop(m *machine, command workerclient.StopCommand, epoch uint64, sender *Scheduler) {
 	w.after(10*time.Millisecond, func() {
 		if sender != w.scheduler {
 			return
@@ -390,12 +390,12 @@
 		}
 		if epoch >= m.fence {
 			m.fence = epoch
-			if run := m.running[command.Task]; run != nil && run.number <= command.Execution {
+			if run := m.running[command.Task]; run != nil && run.number <= command.AttemptNumber {
 				w.end(m, command.Task, job.OutcomeStopped)
 			}
-			m.closed[command.Task] = max(m.closed[command.Task], command.Execution)
+			m.closed[command.Task] = max(m.closed[command.Task], command.AttemptNumber)
 		}
-		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Order: command, Answered: true, At: w.clock().Monotonic})
+		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Command: command, Answered: true, At: w.clock().Monotonic})
 		w.propose()
 	})
 }
@@ -407,9 +407,9 @@
 	m.closed[id] = max(m.closed[id], run.number)
 	number := m.lastSeen + 1
 	if len(m.ends) > 0 {
-		number = m.ends[len(m.ends)-1].Number + 1
+		number = m.ends[len(m.ends)-1].CompletionNumber + 1
 	}
-	m.ends = append(m.ends, workerclient.FinishedTask{Number: number, Task: id, Execution: run.number, How: how})
+	m.ends = append(m.ends, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: run.number, How: how})
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if how == job.OutcomeDone {
 		w.facts(id).done = true
@@ -495,7 +495,7 @@
 		if run.stuck {
 			percent = 0
 		}
-		listing.Running = append(listing.Running, workerclient.RunningTask{Task: id, Execution: run.number, Percent: min(percent, 99)})
+		listing.Running = append(listing.Running, workerclient.RunningTask{Task: id, AttemptNumber: run.number, Percent: min(percent, 99)})
 	}
 	w.scheduler.HandleReport(w.clock(), &listing)
 	w.propose()
--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -61,20 +61,20 @@
 
 type nothing struct{ started chan StartOutcome }
 
-func (nothing) Listing(Listing)             {}
-func (n nothing) StartResult(r StartResult) { n.started <- r.Outcome }
-func (nothing) StopResult(StopResult)       {}
-func (nothing) Gone(Gone)                   {}
-func (nothing) Fenced(Fenced)               {}
-func (nothing) Reachability(Reachability)   {}
+func (nothing) Listing(Listing)                 {}
+func (n nothing) StartResult(r StartResult)     { n.started <- r.Outcome }
+func (nothing) StopResult(StopResult)           {}
+func (nothing) Gone(Gone)                       {}
+func (nothing) Fenced(Fenced)                   {}
+func (nothing) Reachability(ReachabilityChange) {}
 
 func benchLink(b *testing.B, body string) (*Link, nothing) {
 	client := NewHTTPClient()
 	b.Cleanup(client.CloseIdleConnections)
 	events := nothing{make(chan StartOutcome, 1)}
 	return NewLink(Config{
-		Instance: Instance{ID: "i-1", Address: cannedServer(b, body)}, FencingToken: 1, HoldMax: holdMax,
-		Valid: func() bool { return true }, Events: events, HTTP: client,
+		Instance: Instance{ID: "i-1", Address: cannedServer(b, body)}, FencingToken: 1, MaxLease: holdMax,
+		LeaderLeaseValid: func() bool { return true }, Events: events, HTTP: client,
 	}), events
 }
 
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -10,11 +10,11 @@
 
 // Limits bound what one process opens towards workers.
 type Limits struct {
-	Connections int     // open at once, those being opened included
-	DialsPerS   float64 // new connections a second in the long run
-	DialsAtOnce int     // and so many more at once
-	LooksPerS   float64 // looks a second at idle workers, of all links together
-	WorkersHeld int     // up to so many links each worker is held by a call that waits, whatever it does
+	Connections  int     // open at once, those being opened included
+	DialsPerS    float64 // new connections a second in the long run
+	DialBurst    int     // and so many more at once
+	PollsPerS    float64 // looks a second at idle workers, of all links together
+	MaxLongPolls int     // up to so many links each worker is held by a call that waits, whatever it does
 }
 
 // Connections is the budget of connections to workers that all links of a process share. A call needs a connection of
@@ -46,7 +46,7 @@
 // unlimited is a budget that never makes a call wait.
 func unlimited() *Connections {
 	c := NewConnections(Limits{
-		Connections: math.MaxInt, DialsPerS: math.Inf(1), LooksPerS: math.Inf(1), WorkersHeld: math.MaxInt,
+		Connections: math.MaxInt, DialsPerS: math.Inf(1), PollsPerS: math.Inf(1), MaxLongPolls: math.MaxInt,
 	})
 	c.work = nil
 	return c
@@ -54,18 +54,18 @@
 
 // Usage is the state of a budget.
 type Usage struct {
-	Open    int // connections, those being opened included
-	Links   int
-	Holding int    // holds that wait
-	Waiting int    // calls that wait for a connection
-	Opened  uint64 // connections opened so far
+	Open      int // connections, those being opened included
+	Links     int
+	LongPolls int    // holds that wait
+	Waiting   int    // calls that wait for a connection
+	Opened    uint64 // connections opened so far
 }
 
 // Usage returns the state of the budget.
 func (c *Connections) Usage() Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Usage{Open: c.open, Links: c.links, Holding: c.holding, Waiting: len(c.waiting), Opened: c.opened}
+	return Usage{Open: c.open, Links: c.links, LongPolls: c.holding, Waiting: len(c.waiting), Opened: c.opened}
 }
 
 // lane is the part of a budget that one address uses.
@@ -206,7 +206,7 @@
 	if math.IsInf(c.limits.DialsPerS, 1) {
 		return 0
 	}
-	allowance := time.Duration(float64(c.limits.DialsAtOnce) * float64(c.dialInterval()))
+	allowance := time.Duration(float64(c.limits.DialBurst) * float64(c.dialInterval()))
 	return c.nextDial.Add(-allowance).Sub(c.now())
 }
 
@@ -338,7 +338,7 @@
 	c := l.owner
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links > c.limits.WorkersHeld && c.links > c.limits.Connections-c.limits.Connections/sparePart {
+	if c.links > c.limits.MaxLongPolls && c.links > c.limits.Connections-c.limits.Connections/sparePart {
 		return false
 	}
 	c.holding++
@@ -359,15 +359,15 @@
 func (c *Connections) crowded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.links > c.limits.WorkersHeld
+	return c.links > c.limits.MaxLongPolls
 }
 
 // idlePause is how long an idle worker is left alone between two looks; 0 where it is held by a call that waits.
 func (c *Connections) idlePause(longest time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links <= c.limits.WorkersHeld {
+	if c.links <= c.limits.MaxLongPolls {
 		return 0
 	}
-	return min(longest, time.Duration(float64(c.links)/c.limits.LooksPerS*float64(time.Second)))
+	return min(longest, time.Duration(float64(c.links)/c.limits.PollsPerS*float64(time.Second)))
 }
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -48,8 +48,8 @@
 		worker := b.cluster.AddWorker(cluster.WorkerConfig{ID: fmt.Sprint("i-", i)})
 		link := NewLink(Config{
 			Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
-			FencingToken: 1, HoldMax: budgetedHold, Valid: func() bool { return true },
-			Events: oneByOne{b.events}, HTTP: client, Connections: b.connections, MinimumTimeout: budgetedTimeout,
+			FencingToken: 1, MaxLease: budgetedHold, LeaderLeaseValid: func() bool { return true },
+			Events: oneByOne{b.events}, HTTP: client, Connections: b.connections, MinTimeout: budgetedTimeout,
 		})
 		b.workers, b.links = append(b.workers, worker), append(b.links, link)
 		go func() { link.Run(ctx); returned <- struct{}{} }()
@@ -85,7 +85,7 @@
 func TestWorkersOutnumberTheBudget(t *testing.T) {
 	const workers, most = 40, 9
 	convey.Convey("With far fewer connections than searchers", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), LooksPerS: 1000})
+		b := newBudgeted(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer b.end()
 		convey.Convey("each is held by turns, starts are sent and ends are noted", func() {
 			b.awaitEach(func(int, Listing) bool { return true })
@@ -93,7 +93,7 @@
 				link.Start(order(i, 1))
 			}
 			for i := range b.links {
-				result := await(t, b.events, func(r StartResult) bool { return r.Order.Task == task(i) })
+				result := await(t, b.events, func(r StartResult) bool { return r.Command.Task == task(i) })
 				convey.So(result.Outcome, convey.ShouldEqual, Started)
 			}
 			started := time.Now()
@@ -113,8 +113,8 @@
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
 			convey.So(b.most.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
-			convey.So(eventsOf[Reachability](b.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
-			convey.So(b.connections.Usage().Holding, convey.ShouldBeZeroValue)
+			convey.So(eventsOf[ReachabilityChange](b.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
+			convey.So(b.connections.Usage().LongPolls, convey.ShouldBeZeroValue)
 		})
 	})
 }
@@ -122,7 +122,7 @@
 func TestOneConnectionForAnIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where not each searcher can be held by a call that waits, an idle one takes one connection", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), LooksPerS: 1000})
+		b := newBudgeted(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer b.end()
 		began := time.Now()
 		b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetedHold })
@@ -130,7 +130,7 @@
 		convey.Convey("and one with a run is held by a call that waits", func() {
 			b.links[0].Start(order(0, 1))
 			await(t, b.events, func(l Listing) bool { return len(l.Running) == 1 })
-			for b.connections.Usage().Holding != 1 {
+			for b.connections.Usage().LongPolls != 1 {
 				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), any1[Listing])
 			}
 			for _, worker := range b.workers {
@@ -164,7 +164,7 @@
 func TestOrderTakesTheConnectionOfAnIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where an idle searcher takes one connection", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), LooksPerS: 1})
+		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
 		defer b.end()
 		b.awaitEach(func(_ int, l Listing) bool { return !l.First })
 		awaitState(t, b.connections, allIdle(workers))
@@ -183,14 +183,14 @@
 			for i, link := range b.links {
 				id := WorkerID(b.workers[i].ID())
 				await(t, b.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
-				holds += link.Counts().Holds
+				holds += link.Counts().Renewals
 				link.Acknowledge(1)
 			}
 			awaitState(t, b.connections, func(c *Connections) bool { return c.holding == 0 })
 			awaitState(t, b.connections, allIdle(workers))
 			after := uint64(0)
 			for _, link := range b.links {
-				after += link.Counts().Holds
+				after += link.Counts().Renewals
 			}
 			convey.So(after-holds, convey.ShouldBeLessThan, workers)
 		})
@@ -201,7 +201,7 @@
 	convey.Convey("New connections are paced", t, func() {
 		virtualtime.Test(t, func(t *testing.T) {
 			const wanted = 40
-			c := NewConnections(Limits{Connections: wanted, DialsPerS: 10, DialsAtOnce: 5})
+			c := NewConnections(Limits{Connections: wanted, DialsPerS: 10, DialBurst: 5})
 			var granted atomic.Int64
 			done := make(chan struct{})
 			for i := range wanted {
@@ -287,15 +287,15 @@
 		})
 	})
 	convey.Convey("Holds may wait only while there is a connection for each searcher and some for orders", t, func() {
-		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), WorkersHeld: 10})
+		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), MaxLongPolls: 10})
 		var lanes []*lane
 		for i := range 36 {
 			lanes = append(lanes, c.join(fmt.Sprint(i)))
 		}
 		convey.So(lanes[0].mayWait(), convey.ShouldBeTrue)
-		convey.So(c.Usage().Holding, convey.ShouldEqual, 1)
+		convey.So(c.Usage().LongPolls, convey.ShouldEqual, 1)
 		lanes[0].endWait()
-		convey.So(c.Usage().Holding, convey.ShouldBeZeroValue)
+		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
 		lanes = append(lanes, c.join("one more"))
 		convey.So(lanes[0].mayWait(), convey.ShouldBeFalse)
 		convey.Convey("while few searchers are held as they are", func() {
--- a/internal/jobs/workerclient/entries.go
+++ b/internal/jobs/workerclient/entries.go
@@ -21,7 +21,7 @@
 func (e *runningEntry) UnmarshalJSON(data []byte) error {
 	r := newEntryReader(data)
 	name := r.text()
-	e.task.Execution = r.count()
+	e.task.AttemptNumber = r.count()
 	e.task.Checkpoint = r.text()
 	e.task.Percent = r.percent()
 	e.task.Task, e.bad = job.ParseTaskID(name)
@@ -37,9 +37,9 @@
 // UnmarshalJSON implements json.Unmarshaler.
 func (e *finishedEntry) UnmarshalJSON(data []byte) error {
 	r := newEntryReader(data)
-	e.task.Number = r.count()
+	e.task.CompletionNumber = r.count()
 	name := r.text()
-	e.task.Execution = r.count()
+	e.task.AttemptNumber = r.count()
 	e.task.How = job.Outcome(r.text())
 	e.task.Checkpoint = r.text()
 	e.task.Task, e.bad = job.ParseTaskID(name)
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -132,11 +132,11 @@
 func TestWaitingHoldsKeepNobodyFromWorking(t *testing.T) {
 	const workers = 40
 	convey.Convey("Holds that wait are outside of the turnstile, however few may work at once", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), LooksPerS: 1000, WorkersHeld: workers})
+		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
 		defer b.end()
 		convey.So(cap(b.connections.work), convey.ShouldBeLessThan, workers)
 		limit := time.After(patience)
-		for b.connections.Usage().Holding < workers {
+		for b.connections.Usage().LongPolls < workers {
 			select {
 			case <-limit:
 				t.Fatalf("%+v", b.connections.Usage())
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -32,14 +32,14 @@
 			b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
 			convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
-			await(t, b.events, func(r Reachability) bool { return !r.Reachable })
-			convey.So(b.link.LapsedBy(), convey.ShouldHappenAfter, before.Add(lateLimit))
+			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
+			convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, before.Add(lateLimit))
 			convey.So(b.start(order(2, 1)), convey.ShouldEqual, NotSent)
 			held := b.worker.HeldUntil()
 
 			convey.Convey("looks find it again", func() {
 				b.worker.SetFaults(nil)
-				awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable })
+				awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 				convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
 				convey.So(b.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
 				await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a hold after the look
@@ -68,7 +68,7 @@
 		convey.Convey("a stop is repeated until it is answered", func() {
 			refusal, refused := signalled(cluster.StopCall, cluster.Fault{Kind: cluster.Refuse, Status: 503})
 			b.worker.SetFaults(refusal)
-			b.link.Stop(StopOrder{task(0), 1})
+			b.link.Stop(StopCommand{task(0), 1})
 			<-refused
 			<-refused
 			b.worker.SetFaults(nil)
@@ -94,7 +94,7 @@
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("a dead searcher gets nothing", func() {
 			b.worker.Leave()
-			await(t, b.events, func(r Reachability) bool { return !r.Reachable })
+			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(b.start(order(1, 1)), convey.ShouldEqual, NotSent)
 		})
 	})
@@ -105,9 +105,9 @@
 	givenRunningTask(t, func(b *bench) {
 		convey.Convey("a single refused hold says nothing, more do", func() {
 			b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
-			await(t, b.events, func(r Reachability) bool { return !r.Reachable })
+			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			b.worker.SetFaults(nil)
-			awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable })
+			awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 		})
 	})
 }
--- a/internal/jobs/workerclient/hold.go
+++ b/internal/jobs/workerclient/hold.go
@@ -78,7 +78,7 @@
 		return false, answered{}
 	}
 	defer l.lane.end()
-	valid := l.config.Valid()
+	valid := l.config.LeaderLeaseValid()
 	l.setSuspended(!valid)
 	if !valid {
 		return false, answered{}
@@ -130,7 +130,7 @@
 func (l *Link) beginHold() holdCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts.Holds++
+	l.counts.Renewals++
 	if l.contact == unreachable {
 		return l.beginLook(lookTimeout)
 	}
@@ -149,7 +149,7 @@
 
 // addGrant makes the call hold what runs there as long as is certainly not cut short. The caller holds the lock.
 func (l *Link) addGrant(c *holdCall) {
-	validUntil := (l.clock.lowest(c.sentAt) + l.config.HoldMax).Truncate(time.Millisecond)
+	validUntil := (l.clock.lowest(c.sentAt) + l.config.MaxLease).Truncate(time.Millisecond)
 	if validUntil <= l.granted.validUntil {
 		return
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	pending.overdue = true
-	l.counts.Hedges++
+	l.counts.OverdueRenewals++
 	l.suspect()
 }
 
@@ -317,7 +317,7 @@
 func (l *Link) countRepeat() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts.Repeats++
+	l.counts.RepeatedCompletions++
 }
 
 // sleep waits for a while, or until the link ends.
--- a/internal/jobs/workerclient/hold_test.go
+++ b/internal/jobs/workerclient/hold_test.go
@@ -14,7 +14,7 @@
 	convey.Convey("Given a link whose searcher's clock is known by answers only", t, func() {
 		now := time.Unix(1000, 0)
 		link := NewLink(Config{
-			HoldMax: holdMax, Events: newRecorder(), HTTP: http.DefaultClient, Now: func() time.Time { return now },
+			MaxLease: holdMax, Events: newRecorder(), HTTP: http.DefaultClient, Now: func() time.Time { return now },
 		})
 		clockMS := func() *int64 {
 			reading := now.Sub(time.Unix(0, 0)).Milliseconds()
@@ -61,15 +61,15 @@
 					convey.So(look.request.waitMS, convey.ShouldEqual, 0)
 					convey.So(look.grant, convey.ShouldBeNil)
 					convey.So(look.timeout, convey.ShouldEqual, lookTimeout)
-					convey.So(link.LapsedBy(), convey.ShouldHappenAfter, now.Add(lateLimit+holdMax-time.Second))
+					convey.So(link.LeasesExpiredBy(), convey.ShouldHappenAfter, now.Add(lateLimit+holdMax-time.Second))
 				})
 				convey.Convey("a call that never left grants nothing", func() {
 					now = now.Add(2 * time.Second)
-					before := link.LapsedBy()
+					before := link.LeasesExpiredBy()
 					hold := link.beginHold()
-					convey.So(link.LapsedBy(), convey.ShouldHappenAfter, before)
+					convey.So(link.LeasesExpiredBy(), convey.ShouldHappenAfter, before)
 					link.settleHold(hold, answer{}, rpcerror.WrapNotExecuted(errSilent, 0), now)
-					convey.So(link.LapsedBy(), convey.ShouldEqual, before)
+					convey.So(link.LeasesExpiredBy(), convey.ShouldEqual, before)
 				})
 				convey.Convey("without renewal no start goes out in the end", func() {
 					now = now.Add(holdMax - minimumLead)
--- a/internal/jobs/workerclient/lapse_test.go
+++ b/internal/jobs/workerclient/lapse_test.go
@@ -36,8 +36,8 @@
 	w.first = time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "first reading"))
 	w.rate = rapid.Float64Range(0.98, 1).Draw(t, "rate")
 	w.link = NewLink(Config{
-		HoldMax: holdMax, Events: newRecorder(), HTTP: http.DefaultClient,
-		Now: func() time.Time { return w.now }, Valid: func() bool { return true },
+		MaxLease: holdMax, Events: newRecorder(), HTTP: http.DefaultClient,
+		Now: func() time.Time { return w.now }, LeaderLeaseValid: func() bool { return true },
 	})
 	return w
 }
@@ -154,7 +154,7 @@
 }
 
 func (w *world) check() {
-	if lapsedBy := w.link.LapsedBy(); lapsedBy.Before(w.lapsed) {
+	if lapsedBy := w.link.LeasesExpiredBy(); lapsedBy.Before(w.lapsed) {
 		w.t.Fatalf("LapsedBy is %v before the truth", w.lapsed.Sub(lapsedBy))
 	}
 	if !w.link.clock.known {
--- a/internal/jobs/workerclient/lease_test.go
+++ b/internal/jobs/workerclient/lease_test.go
@@ -30,7 +30,7 @@
 		convey.Convey("a stop after the lease waits until there is one again", t, func() {
 			convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
 			b.invalid.Store(true)
-			b.link.Stop(StopOrder{task(2), 1})
+			b.link.Stop(StopCommand{task(2), 1})
 			<-time.After(meanwhile)
 			convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 0)
 			b.invalid.Store(false)
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -27,17 +27,17 @@
 
 // Config describes a link.
 type Config struct {
-	Instance     Instance
-	FencingToken uint64
-	HoldMax      time.Duration // the longest time for which a worker holds its runs
-	Valid        func() bool   // whether this process may send orders at this moment; asked right before each call
-	Events       Events
-	HTTP         *http.Client // shared by all links, from NewHTTPClient or of the budget
-	Connections  *Connections // the budget of all links; nil for none
-	// MinimumTimeout is how long a call is given at least beyond the wait that it asks for; 0 to let the round trips decide.
-	MinimumTimeout time.Duration
-	Log            *zap.Logger      // may be nil
-	Now            func() time.Time // the local steady clock; time.Now when nil
+	Instance         Instance
+	FencingToken     uint64
+	MaxLease         time.Duration // the longest time for which a worker holds its runs
+	LeaderLeaseValid func() bool   // whether this process may send orders at this moment; asked right before each call
+	Events           Events
+	HTTP             *http.Client // shared by all links, from NewHTTPClient or of the budget
+	Connections      *Connections // the budget of all links; nil for none
+	// MinTimeout is how long a call is given at least beyond the wait that it asks for; 0 to let the round trips decide.
+	MinTimeout time.Duration
+	Log        *zap.Logger      // may be nil
+	Now        func() time.Time // the local steady clock; time.Now when nil
 }
 
 // ending says why a link has ended.
@@ -106,11 +106,11 @@
 
 // Counts says how many calls for the lists a link has made so far.
 type Counts struct {
-	Holds   uint64 // by the hold loop, its looks included
-	Looks   uint64 // out of band
-	Hedges  uint64 // holds whose answer was overdue
-	Repeats uint64 // holds whose newest end had been listed before, as it was not acknowledged yet
-	Copies  uint64 // of looks and stops whose answer was overdue
+	Renewals            uint64 // by the hold loop, its looks included
+	Polls               uint64 // out of band
+	OverdueRenewals     uint64 // holds whose answer was overdue
+	RepeatedCompletions uint64 // holds whose newest end had been listed before, as it was not acknowledged yet
+	HedgedRequests      uint64 // of looks and stops whose answer was overdue
 }
 
 // granted is the newest grant that was answered.
@@ -134,7 +134,7 @@
 // NewLink makes a link; Run sets it to work.
 func NewLink(config Config) *Link {
 	l := &Link{
-		config: config, log: config.Log, now: config.Now, pace: paceFor(config.HoldMax),
+		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
 		out:  delivery{events: config.Events},
 		done: make(chan struct{}),
 		wake: make(chan struct{}, 1),
@@ -144,8 +144,8 @@
 		l.config.Connections = unlimited()
 	}
 	l.lane = l.config.Connections.join(config.Instance.Address)
-	l.caller = newCaller(config.HTTP, config.Instance.Address, config.Instance.ID, config.Valid)
-	l.roundTrips.minimum = config.MinimumTimeout
+	l.caller = newCaller(config.HTTP, config.Instance.Address, config.Instance.ID, config.LeaderLeaseValid)
+	l.roundTrips.minimum = config.MinTimeout
 	if l.log == nil {
 		l.log = zap.NewNop()
 	}
@@ -169,9 +169,9 @@
 	}
 }
 
-// LapsedBy is the local time by which everything that this link has ever granted there has certainly lapsed, provided that
+// LeasesExpiredBy is the local time by which everything that this link has ever granted there has certainly lapsed, provided that
 // nothing more is granted. It is the zero time when nothing was granted.
-func (l *Link) LapsedBy() time.Time {
+func (l *Link) LeasesExpiredBy() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.grants.lapsedBy()
@@ -256,7 +256,7 @@
 	if !changed {
 		return
 	}
-	report := Reachability{Worker: l.config.Instance.ID, Reachable: now == reachable}
+	report := ReachabilityChange{Worker: l.config.Instance.ID, Reachable: now == reachable}
 	l.log.Debug("contact changed", zap.Bool("reachable", report.Reachable))
 	l.out.post(func(e Events) { e.Reachability(report) })
 }
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -35,23 +35,23 @@
 			convey.So(b.cluster.Runs()[0].FencingToken, convey.ShouldEqual, 7)
 		})
 		convey.Convey("what does not fit is rejected", func() {
-			convey.So(b.start(order(4, 1)), convey.ShouldEqual, RejectedRoom)
+			convey.So(b.start(order(4, 1)), convey.ShouldEqual, RejectedCapacity)
 		})
 		convey.Convey("a run that was stopped before it came is rejected as old", func() {
-			b.link.Stop(StopOrder{task(1), 3})
+			b.link.Stop(StopCommand{task(1), 3})
 			stopped := await(t, b.events, any1[StopResult])
 			convey.So(stopped.Answered, convey.ShouldBeTrue)
-			convey.So(b.start(order(1, 3)), convey.ShouldEqual, RejectedOld)
+			convey.So(b.start(order(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
 			convey.So(b.start(order(1, 4)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("an order that the searcher cannot read is invalid", func() {
-			convey.So(b.start(StartOrder{Task: job.TaskID{Job: "a.b"}, Execution: 1}), convey.ShouldEqual, RejectedInvalid)
+			convey.So(b.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
 		convey.Convey("an unhealthy searcher did nothing", func() {
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Unhealthy)
+			convey.So(b.start(order(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Unhealthy)
+			convey.So(b.start(order(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			convey.So(b.cluster.Runs(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("any other status is unclear", func() {
@@ -62,7 +62,7 @@
 			b.invalid.Store(true)
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, NotSent)
 			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
-			b.link.Stop(StopOrder{task(1), 1})
+			b.link.Stop(StopCommand{task(1), 1})
 			b.invalid.Store(false)
 			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 		})
@@ -70,7 +70,7 @@
 			b.worker.Crash("i-2")
 			await(t, b.events, any1[Gone])
 			awaitReturn()
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, LifeOver)
+			convey.So(b.start(order(0, 1)), convey.ShouldEqual, IncarnationOver)
 		})
 		convey.Convey("a higher token deposes the link", func() {
 			old := b.link
@@ -78,7 +78,7 @@
 			await(t, b.events, any1[Fenced])
 			convey.So(len(eventsOf[Fenced](b.events)), convey.ShouldEqual, 1)
 			b.link, old = old, b.link
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, RejectedFence)
+			convey.So(b.start(order(0, 1)), convey.ShouldEqual, RejectedFencingToken)
 			b.link = old
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
 		})
@@ -86,7 +86,7 @@
 			b.link.Close()
 			awaitReturn()
 			convey.So(b.start(order(0, 1)), convey.ShouldEqual, NotSent)
-			b.link.Stop(StopOrder{task(0), 1})
+			b.link.Stop(StopCommand{task(0), 1})
 			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeFalse)
 		})
 	})
@@ -96,12 +96,12 @@
 	t.Parallel()
 	convey.Convey("Every answer to a start has its outcome", t, func() {
 		conflict := func(why reason) answer { return answer{http.StatusConflict, reply{Reason: why}} }
-		convey.So(answerOutcome(conflict(reasonLate)), convey.ShouldEqual, RejectedLate)
-		convey.So(answerOutcome(conflict(reasonFence)), convey.ShouldEqual, RejectedFence)
+		convey.So(answerOutcome(conflict(reasonLate)), convey.ShouldEqual, RejectedLeaseExpired)
+		convey.So(answerOutcome(conflict(reasonFence)), convey.ShouldEqual, RejectedFencingToken)
 		convey.So(answerOutcome(conflict("new")), convey.ShouldEqual, Unclear)
-		convey.So(answerOutcome(answer{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, LifeOver)
+		convey.So(answerOutcome(answer{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, IncarnationOver)
 		convey.So(StartOutcome(200).String(), convey.ShouldEqual, "unknown")
-		convey.So(RejectedRoom.String(), convey.ShouldEqual, "rejected: room")
+		convey.So(RejectedCapacity.String(), convey.ShouldEqual, "rejected: room")
 	})
 }
 
@@ -112,7 +112,7 @@
 		convey.Reset(b.close)
 		b.connect(1)
 		const text = "quotes \" and \\ and \n and <ü> \u2028"
-		started := StartOrder{task(0), 1, text, "00000bb8"}
+		started := StartCommand{task(0), 1, text, "00000bb8"}
 		convey.So(b.start(started), convey.ShouldEqual, Started)
 		convey.So(b.start(order(1, 5)), convey.ShouldEqual, Started)
 
@@ -124,11 +124,11 @@
 		convey.Convey("they are listed, and an end is at once", func() {
 			both := await(t, b.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
-			convey.So(both.Running[1].Execution, convey.ShouldEqual, 5)
+			convey.So(both.Running[1].AttemptNumber, convey.ShouldEqual, 5)
 			convey.So(both.Running[0].Checkpoint, convey.ShouldEqual, "00000bb8")
 			convey.So(b.worker.Finish(task(1), job.OutcomeFailed), convey.ShouldBeNil)
 			listed := await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
-			convey.So(listed.Finished[0].Number, convey.ShouldEqual, 1)
+			convey.So(listed.Finished[0].CompletionNumber, convey.ShouldEqual, 1)
 			convey.So(listed.Finished[0].How, convey.ShouldEqual, job.OutcomeFailed)
 			convey.So(listed.Partial, convey.ShouldBeFalse)
 
@@ -145,7 +145,7 @@
 		convey.Convey("they come in the order in which they were asked for, but for looks, and one event at a time", func() {
 			for range 3 {
 				await(t, b.events, any1[Listing])
-				b.link.Stop(StopOrder{task(0), 1})
+				b.link.Stop(StopCommand{task(0), 1})
 			}
 			awaitAfter(t, b.events, 3, any1[Listing])
 			listings := eventsOf[Listing](b.events)
@@ -166,7 +166,7 @@
 		convey.Reset(b.close)
 		b.events.onListing = func(l Listing) {
 			if ends := len(l.Finished); ends > 0 {
-				b.link.Acknowledge(l.Finished[ends-1].Number)
+				b.link.Acknowledge(l.Finished[ends-1].CompletionNumber)
 			}
 		}
 		b.connect(1)
@@ -175,7 +175,7 @@
 			b.link.Start(order(i, 1))
 		}
 		for i := range runs {
-			await(t, b.events, func(r StartResult) bool { return r.Order.Task == task(i) && r.Outcome == Started })
+			await(t, b.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
 		}
 		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 		for i := range runs {
@@ -183,13 +183,13 @@
 		}
 		b.worker.SetFaults(nil)
 		convey.Convey("all are heard, and a full page is marked", func() {
-			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].Number == runs }
+			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].CompletionNumber == runs }
 			await(t, b.events, last)
 			heard := map[uint64]bool{}
 			for _, listing := range eventsOf[Listing](b.events) {
 				convey.So(listing.Partial, convey.ShouldEqual, len(listing.Finished) == finishedPerAnswer)
 				for _, end := range listing.Finished {
-					heard[end.Number] = true
+					heard[end.CompletionNumber] = true
 				}
 			}
 			convey.So(heard, convey.ShouldHaveLength, runs)
@@ -212,7 +212,7 @@
 			granted := b.worker.HeldUntil()
 			awaitAfter(t, b.events, len(eventsOf[Listing](b.events))+2, any1[Listing])
 			convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, granted)
-			convey.So(b.link.LapsedBy(), convey.ShouldHappenOnOrAfter, b.worker.HeldUntil())
+			convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, b.worker.HeldUntil())
 		})
 		convey.Convey("one connection is made for holds and few for orders", func() {
 			b.connect(1)
@@ -235,7 +235,7 @@
 			awaitReturn()
 			convey.So(await(t, b.events, any1[StartResult]).Outcome, convey.ShouldEqual, NotSent)
 			convey.So(b.worker.Calls(cluster.HoldCall), convey.ShouldEqual, 0)
-			convey.So(b.link.LapsedBy().IsZero(), convey.ShouldBeTrue)
+			convey.So(b.link.LeasesExpiredBy().IsZero(), convey.ShouldBeTrue)
 		})
 	})
 }
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -58,7 +58,7 @@
 	newest := uint64(0)
 	for i := range a.reply.Finished {
 		if entry := &a.reply.Finished[i]; entry.bad == nil {
-			newest = max(newest, entry.task.Number)
+			newest = max(newest, entry.task.CompletionNumber)
 		}
 	}
 	return newest
@@ -100,7 +100,7 @@
 	if len(listing.Finished) == 0 {
 		return
 	}
-	newest := listing.Finished[len(listing.Finished)-1].Number
+	newest := listing.Finished[len(listing.Finished)-1].CompletionNumber
 	if newest <= h.ends && now.Sub(h.endsAt) < repeatAge {
 		listing.Finished = listing.Finished[:0]
 		return
--- a/internal/jobs/workerclient/look.go
+++ b/internal/jobs/workerclient/look.go
@@ -42,7 +42,7 @@
 	if begun {
 		defer l.lane.end()
 	}
-	c, due := l.nextLook(begun && l.config.Valid())
+	c, due := l.nextLook(begun && l.config.LeaderLeaseValid())
 	if due {
 		l.lookOnce(c)
 	}
@@ -59,7 +59,7 @@
 		return holdCall{}, false
 	}
 	l.look.wanted = false
-	l.counts.Looks++
+	l.counts.Polls++
 	return l.beginLook(l.roundTrips.lookLimit()), true
 }
 
--- a/internal/jobs/workerclient/look_test.go
+++ b/internal/jobs/workerclient/look_test.go
@@ -42,7 +42,7 @@
 func (b *bench) acknowledgeAll() {
 	b.events.onListing = func(l Listing) {
 		if ends := len(l.Finished); ends > 0 {
-			b.link.Acknowledge(l.Finished[ends-1].Number)
+			b.link.Acknowledge(l.Finished[ends-1].CompletionNumber)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 func unheardSince(b *bench) bool {
-	for _, change := range eventsOf[Reachability](b.events) {
+	for _, change := range eventsOf[ReachabilityChange](b.events) {
 		if !change.Reachable {
 			return true
 		}
@@ -94,7 +94,7 @@
 		convey.So(look.SentAt.Sub(lost), convey.ShouldBeBetween, holdWait, holdWait+shortestHedgeDelay+time.Millisecond)
 		abandoned := time.Now()
 		synctest.Wait()
-		convey.So(b.link.LapsedBy(), convey.ShouldHappenAfter, abandoned.Add(lateLimit+holdMax-2*time.Second))
+		convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, abandoned.Add(lateLimit+holdMax-2*time.Second))
 
 		b.awaitHold() // the next one follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
@@ -104,8 +104,8 @@
 		await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 		convey.So(time.Since(ended), convey.ShouldBeLessThan, 10*time.Millisecond)
 		convey.So(unheardSince(b), convey.ShouldBeFalse)
-		convey.So(b.link.Counts().Hedges, convey.ShouldEqual, 1)
-		convey.So(b.link.Counts().Looks, convey.ShouldEqual, 1)
+		convey.So(b.link.Counts().OverdueRenewals, convey.ShouldEqual, 1)
+		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
 }
 
@@ -132,11 +132,11 @@
 		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 		b.awaitHold()
 		lost := time.Now()
-		await(t, b.events, func(r Reachability) bool { return !r.Reachable })
+		await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
 		b.worker.SetFaults(nil)
 		convey.So(time.Since(lost), convey.ShouldBeBetween, 1550*time.Millisecond, 1650*time.Millisecond)
-		convey.So(b.link.Counts().Looks, convey.ShouldEqual, 1)
-		awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable })
+		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
+		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 		convey.So(time.Since(lost), convey.ShouldBeLessThan, 1850*time.Millisecond)
 	})
 }
@@ -145,7 +145,7 @@
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}
 		b.worker.SetFaults(first(1, cluster.StartCall, late))
-		holds := b.link.Counts().Holds
+		holds := b.link.Counts().Renewals
 		sent := time.Now()
 		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
 		convey.So(time.Since(sent), convey.ShouldBeLessThanOrEqualTo, shortestOrderLimit)
@@ -155,7 +155,7 @@
 		convey.So(look.SentAt, convey.ShouldHappenAfter, result.At)
 		convey.So(look.Running, convey.ShouldHaveLength, 1)
 		convey.So(look.Stale, convey.ShouldBeFalse)
-		convey.So(b.link.Counts().Holds, convey.ShouldEqual, holds) // the hold goes on meanwhile
+		convey.So(b.link.Counts().Renewals, convey.ShouldEqual, holds) // the hold goes on meanwhile
 		convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
 
 		hold := await(t, b.events, func(l Listing) bool {
@@ -180,7 +180,7 @@
 		looks := shortestOrderLimit + 2*shortestLookLimit // those after the start
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+10*time.Millisecond)
 		b.worker.SetFaults(nil)
-		awaitAfter(t, b.events, 2, func(r Reachability) bool { return r.Reachable }) // the hold was given up
+		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the hold was given up
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+firstPause+20*time.Millisecond)
 	})
 }
@@ -188,7 +188,7 @@
 func TestLostLookIsRepeated(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
-		b.link.Stop(StopOrder{task(5), 1})
+		b.link.Stop(StopCommand{task(5), 1})
 		stopped := await(t, b.events, any1[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
 		look := await(t, b.events, outOfBand)
@@ -200,16 +200,16 @@
 func TestStopsShareALook(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		for i := range 10 {
-			b.link.Stop(StopOrder{task(5 + i), 1})
+			b.link.Stop(StopCommand{task(5 + i), 1})
 		}
 		for i := range 10 {
-			await(t, b.events, func(r StopResult) bool { return r.Order.Task == task(5+i) })
+			await(t, b.events, func(r StopResult) bool { return r.Command.Task == task(5+i) })
 		}
 		last := time.Now()
 		look := await(t, b.events, outOfBand)
 		convey.So(look.SentAt, convey.ShouldHappenWithin, 2*mergeDelay, last)
 		time.Sleep(time.Second)
-		convey.So(b.link.Counts().Looks, convey.ShouldEqual, 1)
+		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
 }
 
@@ -223,7 +223,7 @@
 		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the hold is answered slowly
 		time.Sleep(2 * time.Millisecond)
 		convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
-		b.link.Stop(StopOrder{task(5), 1})
+		b.link.Stop(StopCommand{task(5), 1})
 		look := await(t, b.events, outOfBand)
 		convey.So(look.Running, convey.ShouldHaveLength, 2)
 		convey.So(look.Finished, convey.ShouldHaveLength, 1)
@@ -252,8 +252,8 @@
 		listings := len(eventsOf[Listing](b.events))
 		time.Sleep(900 * time.Millisecond)
 		after := b.link.Counts()
-		convey.So(after.Repeats-before.Repeats, convey.ShouldBeBetween, 2, 8)
-		convey.So(after.Holds-before.Holds, convey.ShouldBeBetween, 2, 8)
+		convey.So(after.RepeatedCompletions-before.RepeatedCompletions, convey.ShouldBeBetween, 2, 8)
+		convey.So(after.Renewals-before.Renewals, convey.ShouldBeBetween, 2, 8)
 		for _, listing := range eventsOf[Listing](b.events)[listings:] {
 			convey.So(listing.Finished, convey.ShouldBeEmpty)
 		}
@@ -277,7 +277,7 @@
 		calls := b.worker.Calls(cluster.HoldCall) - before
 		convey.So(calls, convey.ShouldBeBetween, seconds-ends, seconds+ends)
 		counts := b.link.Counts()
-		convey.So(counts.Looks+counts.Hedges+counts.Repeats, convey.ShouldEqual, 0)
+		convey.So(counts.Polls+counts.OverdueRenewals+counts.RepeatedCompletions, convey.ShouldEqual, 0)
 	})
 }
 
@@ -290,8 +290,8 @@
 		}
 		time.Sleep(20 * time.Second)
 		after := b.link.Counts()
-		convey.So(after.Looks, convey.ShouldEqual, before.Looks)
-		convey.So(after.Hedges, convey.ShouldEqual, before.Hedges)
+		convey.So(after.Polls, convey.ShouldEqual, before.Polls)
+		convey.So(after.OverdueRenewals, convey.ShouldEqual, before.OverdueRenewals)
 		convey.So(unheardSince(b), convey.ShouldBeFalse)
 	})
 }
--- a/internal/jobs/workerclient/orders.go
+++ b/internal/jobs/workerclient/orders.go
@@ -23,19 +23,19 @@
 }
 
 type waitingStart struct {
-	order  StartOrder
+	order  StartCommand
 	queued time.Time
 }
 
 type waitingStop struct {
-	order StopOrder
+	order StopCommand
 	due   time.Time
 	pause time.Duration // until the next try, should this one fail
 }
 
 // Start sends a start order as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
 // not sent.
-func (l *Link) Start(order StartOrder) {
+func (l *Link) Start(order StartCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.orders.starts = append(l.orders.starts, waitingStart{order, l.now()})
@@ -54,7 +54,7 @@
 
 // Stop sends a stop order, again and again until it is answered or the link ends. While the worker is unreachable the
 // order waits.
-func (l *Link) Stop(order StopOrder) {
+func (l *Link) Stop(order StopCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.orders.stops = append(l.orders.stops, waitingStop{order, l.now(), firstStopPause})
@@ -168,21 +168,21 @@
 func (l *Link) endOutcome(otherwise StartOutcome) StartOutcome {
 	switch {
 	case l.ending == gone:
-		return LifeOver
+		return IncarnationOver
 	case l.ending == fenced && otherwise == NotSent:
-		return RejectedFence
+		return RejectedFencingToken
 	}
 	return otherwise
 }
 
 // sendStart makes one start call. It extends no grant: its runs are held as long as those already there.
-func (l *Link) sendStart(order StartOrder) {
+func (l *Link) sendStart(order StartCommand) {
 	if !l.lane.begin(l.done) {
 		l.reportStart(order, NotSent)
 		return
 	}
 	defer l.lane.end()
-	if !l.config.Valid() || !l.stillStartable() {
+	if !l.config.LeaderLeaseValid() || !l.stillStartable() {
 		l.reportStart(order, NotSent)
 		return
 	}
@@ -228,7 +228,7 @@
 }
 
 // startBytes is about how long a start call's body is.
-func startBytes(order *StartOrder) int {
+func startBytes(order *StartCommand) int {
 	const others = 192
 	return len(order.Specification) + len(order.Checkpoint) + others
 }
@@ -243,15 +243,15 @@
 	}
 	if l.endedBy(a) {
 		if a.status == http.StatusMisdirectedRequest {
-			return LifeOver
+			return IncarnationOver
 		}
-		return RejectedFence
+		return RejectedFencingToken
 	}
 	l.setContact(reachable)
 	return answerOutcome(a)
 }
 
-func (l *Link) reportStart(order StartOrder, outcome StartOutcome) {
+func (l *Link) reportStart(order StartCommand, outcome StartOutcome) {
 	result := StartResult{l.config.Instance.ID, order, outcome, l.resultTime()}
 	l.out.post(func(e Events) { e.StartResult(result) })
 }
@@ -263,7 +263,7 @@
 		return
 	}
 	defer l.lane.end()
-	if !l.config.Valid() {
+	if !l.config.LeaderLeaseValid() {
 		l.requeueStop(stop)
 		return
 	}
@@ -286,7 +286,7 @@
 	l.requestLook(mergeDelay) // shows whether the run is there
 }
 
-func (l *Link) postStop(order StopOrder) (answer, error) {
+func (l *Link) postStop(order StopCommand) (answer, error) {
 	l.mu.Lock()
 	timeout := l.roundTrips.orderLimit()
 	l.mu.Unlock()
@@ -308,7 +308,7 @@
 	l.orders.stops = append(l.orders.stops, stop)
 }
 
-func (l *Link) reportStop(order StopOrder, answered bool) {
+func (l *Link) reportStop(order StopCommand, answered bool) {
 	result := StopResult{l.config.Instance.ID, order, answered, l.resultTime()}
 	l.out.post(func(e Events) { e.StopResult(result) })
 }
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -16,9 +16,9 @@
 	case http.StatusBadRequest:
 		return RejectedInvalid
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return Unhealthy
+		return RejectedUnhealthy
 	case http.StatusMisdirectedRequest:
-		return LifeOver
+		return IncarnationOver
 	}
 	return Unclear
 }
@@ -26,13 +26,13 @@
 func rejection(why reason) StartOutcome {
 	switch why {
 	case reasonFence:
-		return RejectedFence
+		return RejectedFencingToken
 	case reasonOld:
-		return RejectedOld
+		return RejectedStaleAttempt
 	case reasonLate:
-		return RejectedLate
+		return RejectedLeaseExpired
 	case reasonRoom:
-		return RejectedRoom
+		return RejectedCapacity
 	}
 	return Unclear
 }
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -38,7 +38,7 @@
 		client := slowDial(dialling, release)
 		Reset(client.CloseIdleConnections)
 		caller := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return over.Load() == 0 })
-		body := appendStop(nil, StopOrder{task(0), 1}, 1)
+		body := appendStop(nil, StopCommand{task(0), 1}, 1)
 		post := func() error {
 			_, err := caller.post(context.Background(), caller.stop, body, time.Minute)
 			return err
--- a/internal/jobs/workerclient/recorder_test.go
+++ b/internal/jobs/workerclient/recorder_test.go
@@ -54,11 +54,11 @@
 		r.onListing(e)
 	}
 }
-func (r *recorder) StartResult(e StartResult)   { r.add(e) }
-func (r *recorder) StopResult(e StopResult)     { r.add(e) }
-func (r *recorder) Gone(e Gone)                 { r.add(e) }
-func (r *recorder) Fenced(e Fenced)             { r.add(e) }
-func (r *recorder) Reachability(e Reachability) { r.add(e) }
+func (r *recorder) StartResult(e StartResult)         { r.add(e) }
+func (r *recorder) StopResult(e StopResult)           { r.add(e) }
+func (r *recorder) Gone(e Gone)                       { r.add(e) }
+func (r *recorder) Fenced(e Fenced)                   { r.add(e) }
+func (r *recorder) Reachability(e ReachabilityChange) { r.add(e) }
 
 // eventsOf returns the events of one type so far.
 func eventsOf[T any](r *recorder) []T {
@@ -145,8 +145,8 @@
 func (b *bench) connect(token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(b.worker.ID()), Address: b.worker.Address()},
-		FencingToken: token, HoldMax: holdMax, Valid: func() bool { return !b.invalid.Load() },
-		Events: b.events, HTTP: b.client, MinimumTimeout: b.timeout,
+		FencingToken: token, MaxLease: holdMax, LeaderLeaseValid: func() bool { return !b.invalid.Load() },
+		Events: b.events, HTTP: b.client, MinTimeout: b.timeout,
 	})
 	b.link = link
 	returned := make(chan struct{})
@@ -166,11 +166,11 @@
 }
 
 // start orders a run and waits for its outcome.
-func (b *bench) start(order StartOrder) StartOutcome {
+func (b *bench) start(order StartCommand) StartOutcome {
 	b.t.Helper()
 	before := len(eventsOf[StartResult](b.events))
 	b.link.Start(order)
-	result := awaitAfter(b.t, b.events, before, func(r StartResult) bool { return r.Order == order })
+	result := awaitAfter(b.t, b.events, before, func(r StartResult) bool { return r.Command == order })
 	return result.Outcome
 }
 
@@ -188,6 +188,6 @@
 
 func task(index int) job.TaskID { return job.TaskID{Job: "00000000000000aa", Index: index} }
 
-func order(index int, execution uint64) StartOrder {
-	return StartOrder{Task: task(index), Execution: execution, Specification: "sleep"}
+func order(index int, execution uint64) StartCommand {
+	return StartCommand{Task: task(index), AttemptNumber: execution, Specification: "sleep"}
 }
--- a/internal/jobs/workerclient/repeat.go
+++ b/internal/jobs/workerclient/repeat.go
@@ -154,7 +154,7 @@
 
 // beginCopy takes what a further copy of a call needs, without waiting for it, and tells whether the copy may be sent.
 func (l *Link) beginCopy() bool {
-	if !l.config.Valid() || !l.countCopy() {
+	if !l.config.LeaderLeaseValid() || !l.countCopy() {
 		return false
 	}
 	if !l.lane.take() {
@@ -178,7 +178,7 @@
 		return false
 	}
 	l.copies++
-	l.counts.Copies++
+	l.counts.HedgedRequests++
 	return true
 }
 
--- a/internal/jobs/workerclient/repeat_test.go
+++ b/internal/jobs/workerclient/repeat_test.go
@@ -18,15 +18,15 @@
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		before := b.link.Counts()
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
-		b.link.Stop(StopOrder{task(5), 1})
+		b.link.Stop(StopCommand{task(5), 1})
 		stopped := await(t, b.events, any1[StopResult])
 		look := await(t, b.events, outOfBand)
 		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualAnswer)
 		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, repeatMargin) // of the copy that was answered
 		convey.So(time.Since(look.SentAt), convey.ShouldBeGreaterThanOrEqualTo, calmWay) // and not of its answer
 		after := b.link.Counts()
-		convey.So(after.Looks-before.Looks, convey.ShouldEqual, 1)
-		convey.So(after.Copies-before.Copies, convey.ShouldEqual, 1)
+		convey.So(after.Polls-before.Polls, convey.ShouldEqual, 1)
+		convey.So(after.HedgedRequests-before.HedgedRequests, convey.ShouldEqual, 1)
 		convey.So(unheardSince(b), convey.ShouldBeFalse)
 	})
 }
@@ -35,7 +35,7 @@
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		b.worker.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		ordered := time.Now()
-		b.link.Stop(StopOrder{task(0), 1})
+		b.link.Stop(StopCommand{task(0), 1})
 		convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(ordered), convey.ShouldBeLessThan, usualAnswer)
 		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
@@ -47,12 +47,12 @@
 
 func TestAStartWithoutAnswerIsNotSentAgain(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
-		starts, copies := b.worker.Calls(cluster.StartCall), b.link.Counts().Copies
+		starts, copies := b.worker.Calls(cluster.StartCall), b.link.Counts().HedgedRequests
 		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
 		time.Sleep(5 * time.Second)
 		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
-		convey.So(b.link.Counts().Copies, convey.ShouldEqual, copies)
+		convey.So(b.link.Counts().HedgedRequests, convey.ShouldEqual, copies)
 	})
 }
 
@@ -79,12 +79,12 @@
 func TestNoCopyIsSentAfterTheLease(t *testing.T) {
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
-		b.link.Stop(StopOrder{task(0), 1})
+		b.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(repeatMargin / 2)
 		b.invalid.Store(true)
 		time.Sleep(time.Second)
 		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 1)
-		convey.So(b.link.Counts().Copies, convey.ShouldEqual, 0)
+		convey.So(b.link.Counts().HedgedRequests, convey.ShouldEqual, 0)
 	})
 }
 
@@ -92,7 +92,7 @@
 	simulate(t, calmWay, func(t *testing.T, b *bench) {
 		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		for i := range 3 * startSlots {
-			b.link.Stop(StopOrder{task(i), 1})
+			b.link.Stop(StopCommand{task(i), 1})
 		}
 		time.Sleep(shortestOrderLimit - time.Millisecond) // before the first ones are given up
 		synctest.Wait()
@@ -118,16 +118,16 @@
 			}
 		})
 		ordered := time.Now()
-		b.link.Stop(StopOrder{task(0), 1})
+		b.link.Stop(StopCommand{task(0), 1})
 		convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(ordered), convey.ShouldBeBetween, 2*spareMargin, 2*spareMargin+50*time.Millisecond)
-		convey.So(b.link.Counts().Copies, convey.ShouldBeGreaterThan, 0)
+		convey.So(b.link.Counts().HedgedRequests, convey.ShouldBeGreaterThan, 0)
 	})
 }
 
 func TestCopiesWaitForNothing(t *testing.T) {
 	convey.Convey("Given a budget of one connection that is in use", t, func() {
-		connections := NewConnections(Limits{Connections: 1, DialsPerS: 100, DialsAtOnce: 10})
+		connections := NewConnections(Limits{Connections: 1, DialsPerS: 100, DialBurst: 10})
 		busy, other := connections.join("a"), connections.join("b")
 		convey.So(busy.begin(nil), convey.ShouldBeTrue)
 		convey.So(other.take(), convey.ShouldBeFalse)
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -35,33 +35,33 @@
 
 // RunningTask is one entry of a worker's list of runs.
 type RunningTask struct {
-	Task       job.TaskID
-	Execution  uint64
-	Checkpoint string // the last one saved; empty when there is none
-	Percent    int
+	Task          job.TaskID
+	AttemptNumber uint64
+	Checkpoint    string // the last one saved; empty when there is none
+	Percent       int
 }
 
 // FinishedTask is one entry of a worker's list of ends.
 type FinishedTask struct {
-	Number     uint64 // counts the ends of one life of a worker from 1
-	Task       job.TaskID
-	Execution  uint64
-	How        job.Outcome
-	Checkpoint string
+	CompletionNumber uint64 // counts the ends of one life of a worker from 1
+	Task             job.TaskID
+	AttemptNumber    uint64
+	How              job.Outcome
+	Checkpoint       string
 }
 
-// StartOrder asks for one run of a task.
-type StartOrder struct {
+// StartCommand asks for one run of a task.
+type StartCommand struct {
 	Task          job.TaskID
-	Execution     uint64
+	AttemptNumber uint64
 	Specification string
 	Checkpoint    string // where the run goes on from; empty for the beginning
 }
 
-// StopOrder asks for the end of one run; a run that is not there yet will be rejected once stopped.
-type StopOrder struct {
-	Task      job.TaskID
-	Execution uint64
+// StopCommand asks for the end of one run; a run that is not there yet will be rejected once stopped.
+type StopCommand struct {
+	Task          job.TaskID
+	AttemptNumber uint64
 }
 
 // StartOutcome says what became of a start order.
@@ -72,28 +72,28 @@
 	Unclear StartOutcome = iota
 	// Started means that the run is there.
 	Started
-	// RejectedFence means that the worker has seen a higher fencing token.
-	RejectedFence
-	// RejectedOld means that the execution is not above one that was stopped or has ended there.
-	RejectedOld
-	// RejectedLate means that the time up to which the run was to be held was over.
-	RejectedLate
-	// RejectedRoom means that the worker has no capacity left for the task.
-	RejectedRoom
+	// RejectedFencingToken means that the worker has seen a higher fencing token.
+	RejectedFencingToken
+	// RejectedStaleAttempt means that the execution is not above one that was stopped or has ended there.
+	RejectedStaleAttempt
+	// RejectedLeaseExpired means that the time up to which the run was to be held was over.
+	RejectedLeaseExpired
+	// RejectedCapacity means that the worker has no capacity left for the task.
+	RejectedCapacity
 	// RejectedInvalid means that the worker could not make sense of the order.
 	RejectedInvalid
-	// Unhealthy means that the worker refused to do anything at present.
-	Unhealthy
+	// RejectedUnhealthy means that the worker refused to do anything at present.
+	RejectedUnhealthy
 	// NotSent means that the order never left this process.
 	NotSent
-	// LifeOver means that the worker's life is over.
-	LifeOver
+	// IncarnationOver means that the worker's life is over.
+	IncarnationOver
 )
 
 var outcomeNames = [...]string{
-	Unclear: "unclear", Started: "started", RejectedFence: "rejected: fence", RejectedOld: "rejected: old",
-	RejectedLate: "rejected: late", RejectedRoom: "rejected: room", RejectedInvalid: "rejected: invalid",
-	Unhealthy: "unhealthy", NotSent: "not sent", LifeOver: "life over",
+	Unclear: "unclear", Started: "started", RejectedFencingToken: "rejected: fence", RejectedStaleAttempt: "rejected: old",
+	RejectedLeaseExpired: "rejected: late", RejectedCapacity: "rejected: room", RejectedInvalid: "rejected: invalid",
+	RejectedUnhealthy: "unhealthy", NotSent: "not sent", IncarnationOver: "life over",
 }
 
 // String returns the outcome's name for logs.
@@ -128,7 +128,7 @@
 // StartResult reports what became of a start order.
 type StartResult struct {
 	Worker  WorkerID
-	Order   StartOrder
+	Command StartCommand
 	Outcome StartOutcome
 	At      time.Time // local time of the answer, or of giving up
 }
@@ -136,7 +136,7 @@
 // StopResult reports that a worker has taken a stop order, or that the link ended before it did.
 type StopResult struct {
 	Worker   WorkerID
-	Order    StopOrder
+	Command  StopCommand
 	Answered bool
 	At       time.Time
 }
@@ -147,9 +147,9 @@
 // Fenced reports that the worker has seen a higher fencing token; the link has ended.
 type Fenced struct{ Worker WorkerID }
 
-// Reachability reports a change. A worker is unreachable once two calls for the lists in a row, with all copies of
+// ReachabilityChange reports a change. A worker is unreachable once two calls for the lists in a row, with all copies of
 // them, were left without an answer, or were refused; an answer makes it reachable again.
-type Reachability struct {
+type ReachabilityChange struct {
 	Worker    WorkerID
 	Reachable bool
 }
@@ -162,5 +162,5 @@
 	StopResult(StopResult)
 	Gone(Gone)
 	Fenced(Fenced)
-	Reachability(Reachability)
+	Reachability(ReachabilityChange)
 }
--- a/internal/jobs/workerclient/wire.go
+++ b/internal/jobs/workerclient/wire.go
@@ -53,11 +53,11 @@
 	return append(to, '}')
 }
 
-func appendStart(to []byte, order *StartOrder, validUntilMS int64, fencingToken uint64) []byte {
+func appendStart(to []byte, order *StartCommand, validUntilMS int64, fencingToken uint64) []byte {
 	to = append(to, `{"task":"`...)
 	to = appendTask(to, order.Task)
 	to = append(to, `","execution":`...)
-	to = strconv.AppendUint(to, order.Execution, 10)
+	to = strconv.AppendUint(to, order.AttemptNumber, 10)
 	to = append(to, `,"specification":`...)
 	to = appendText(to, order.Specification)
 	to = append(to, `,"validUntilMs":`...)
@@ -71,11 +71,11 @@
 	return append(to, '}')
 }
 
-func appendStop(to []byte, order StopOrder, fencingToken uint64) []byte {
+func appendStop(to []byte, order StopCommand, fencingToken uint64) []byte {
 	to = append(to, `{"task":"`...)
 	to = appendTask(to, order.Task)
 	to = append(to, `","execution":`...)
-	to = strconv.AppendUint(to, order.Execution, 10)
+	to = strconv.AppendUint(to, order.AttemptNumber, 10)
 	to = append(to, `,"fencingToken":`...)
 	to = strconv.AppendUint(to, fencingToken, 10)
 	return append(to, '}')
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -26,12 +26,12 @@
 func TestRequests(t *testing.T) {
 	convey.Convey("Calls are written as the protocol has them", t, func() {
 		one := job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 17}
-		start := StartOrder{one, 2, "(text)", "00000bb87a21d94b"}
+		start := StartCommand{one, 2, "(text)", "00000bb87a21d94b"}
 		convey.So(string(appendStart(nil, &start, 486000, 7)), convey.ShouldEqual, `{"task":"5c0e7a21d94b36f8.0.1.17",`+
 			`"execution":2,"specification":"(text)","validUntilMs":486000,"fencingToken":7,"checkpointed":"00000bb87a21d94b"}`)
 		start.Checkpoint = ""
 		convey.So(string(appendStart(nil, &start, 1, 7)), convey.ShouldEndWith, `"fencingToken":7}`)
-		convey.So(string(appendStop(nil, StopOrder{one, 2}, 7)), convey.ShouldEqual,
+		convey.So(string(appendStop(nil, StopCommand{one, 2}, 7)), convey.ShouldEqual,
 			`{"task":"5c0e7a21d94b36f8.0.1.17","execution":2,"fencingToken":7}`)
 		convey.So(string(holdRequest{7, 57, 1000, 486000}.append(nil)), convey.ShouldEqual,
 			`{"fencingToken":7,"lastSeen":57,"waitMs":1000,"validUntilMs":486000}`)
@@ -50,7 +50,7 @@
 			convey.So(r.Running[0].task, convey.ShouldResemble, RunningTask{
 				job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 17}, 2, "00000bb87a21d94b", 41})
 			convey.So(r.Running[1].task.Checkpoint, convey.ShouldBeEmpty)
-			convey.So(r.Running[1].task.Execution, convey.ShouldEqual, 1)
+			convey.So(r.Running[1].task.AttemptNumber, convey.ShouldEqual, 1)
 			convey.So(r.Running[2].task.Checkpoint, convey.ShouldEqual, "a\\\",\u00fcb")
 			convey.So(r.Finished[0].task, convey.ShouldResemble, FinishedTask{
 				58, job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 9}, 1, job.OutcomeDone, ""})
@@ -93,9 +93,9 @@
 	want := reply{
 		ClockMS: &clock, Reason: reasonFence,
 		Running: []runningEntry{{task: RunningTask{
-			Task: job.TaskID{Job: "a", Repetition: 1, Stage: 2, Index: 3}, Execution: 4, Checkpoint: "text 1", Percent: 50}}},
+			Task: job.TaskID{Job: "a", Repetition: 1, Stage: 2, Index: 3}, AttemptNumber: 4, Checkpoint: "text 1", Percent: 50}}},
 		Finished: []finishedEntry{{task: FinishedTask{
-			Number: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, Execution: 10, How: job.OutcomeDone, Checkpoint: "text 2"}}},
+			CompletionNumber: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, AttemptNumber: 10, How: job.OutcomeDone, Checkpoint: "text 2"}}},
 	}
 	if !reflect.DeepEqual(read, want) {
 		t.Errorf("read as %+v, want %+v", read, want)
