--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -25,7 +25,7 @@
 
 func manifestOf(content []byte) Manifest { return NewManifest(content, Split(content)) }
 
-func TestAnyContentIsGatheredInAnyOrder(t *testing.T) {
+func TestAnyContentIsAssembledInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		content := routes(rapid.IntRange(0, 300).Draw(t, "routes"), 1)
 		content = append(content, rapid.SliceOfN(rapid.Byte(), 0, 20000).Draw(t, "bytes")...)
@@ -59,7 +59,7 @@
 	return list
 }
 
-func TestASmallChangeChangesFewChunks(t *testing.T) {
+func TestSmallEditChangesFewChunks(t *testing.T) {
 	Convey("Given a large content and a version of it with one more route in the middle", t, func() {
 		before := routes(1830, 41)
 		after := bytes.Replace(routes(1830, 42), []byte(`"timeoutMs":3004`), []byte(`"timeoutMs":35000`), 1)
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestChunksThatAreWrong(t *testing.T) {
+func TestWrongChunksAndManifestsAreRefused(t *testing.T) {
 	Convey("Given a collection that lacks all", t, func() {
 		content := routes(100, 3)
 		split := Split(content)
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestPacking(t *testing.T) {
+func TestUnpackInvertsPack(t *testing.T) {
 	Convey("What is packed is unpacked", t, func() {
 		for _, chunk := range [][]byte{nil, []byte("x"), []byte(strings.Repeat("route", 1000))} {
 			unpacked, err := Unpack(Pack(chunk))
--- a/internal/controlplane/entitytag/entitytag_test.go
+++ b/internal/controlplane/entitytag/entitytag_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestVersions(t *testing.T) {
+func TestParseInvertsFormat(t *testing.T) {
 	for header, version := range map[string]uint64{`7`: 7, `"7"`: 7, ` "0" `: 0, Format(1 << 63): 1 << 63} {
 		if got, err := Parse(header); err != nil || got != version {
 			t.Errorf("%q: got %d, %v, expected %d", header, got, err, version)
--- a/internal/controlplane/register/acceptordiskfull_test.go
+++ b/internal/controlplane/register/acceptordiskfull_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-func TestAnAcceptorWhoseDiskRefusesWrites(t *testing.T) {
+func TestAcceptorWhoseDiskRefusesWrites(t *testing.T) {
 	convey.Convey("Given an acceptor that has accepted a state, and whose disk then refuses writes", t, func() {
 		store := storage.NewMemory()
 		acceptor := NewAcceptor(AcceptorConfig{
--- a/internal/controlplane/register/acceptorstorage_test.go
+++ b/internal/controlplane/register/acceptorstorage_test.go
@@ -9,31 +9,31 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// weighingStore counts the bytes that are written.
-type weighingStore struct {
+// byteCountingStore counts the bytes that are written.
+type byteCountingStore struct {
 	*storage.Memory
 	written int
 }
 
 // Write implements storage.Store.
-func (w *weighingStore) Write(changes ...storage.Change) error {
+func (w *byteCountingStore) Write(changes ...storage.Change) error {
 	for _, change := range changes {
 		w.written += len(change.Key) + len(change.Value)
 	}
 	return w.Memory.Write(changes...)
 }
 
-func (w *weighingStore) take() int {
+func (w *byteCountingStore) take() int {
 	written := w.written
 	w.written = 0
 	return written
 }
 
-func TestALargeValueIsStoredByChunks(t *testing.T) {
+func TestLargeValueIsStoredInChunks(t *testing.T) {
 	const name = TablePrefix + testRegister
 	text := randomText(largeText, 1)
 	Convey("Given an acceptor that has accepted a large value", t, func() {
-		store := &weighingStore{Memory: storage.NewMemory()}
+		store := &byteCountingStore{Memory: storage.NewMemory()}
 		acceptorOn := func(store storage.Store) *Acceptor {
 			return NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: (&cluster{}).View})
 		}
--- a/internal/controlplane/register/cachedstate_test.go
+++ b/internal/controlplane/register/cachedstate_test.go
@@ -12,17 +12,17 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// direct calls acceptors in this process as they serve others, and counts the bytes of the answers to reads and of the
+// acceptorCaller calls acceptors in this process as they serve others, and counts the bytes of the answers to reads and of the
 // parts that were fetched.
-type direct struct {
-	acceptors map[string]*Acceptor
-	answered  chan int
-	accepted  chan struct{}
-	fetched   int
+type acceptorCaller struct {
+	acceptors       map[string]*Acceptor
+	readAnswerBytes chan int
+	accepted        chan struct{}
+	fetchedBytes    int
 }
 
 // Call implements transport.Caller.
-func (d *direct) Call(ctx context.Context, address string, _ transport.Route, request, answer any) error {
+func (d *acceptorCaller) Call(ctx context.Context, address string, _ transport.Route, request, answer any) error {
 	acceptor := d.acceptors[address]
 	var err error
 	switch asked := request.(type) {
@@ -38,12 +38,12 @@
 	case fetchRequest:
 		result, failed := acceptor.serveFetch(ctx, asked)
 		encoded, _ := msgpack.Marshal(result)
-		d.fetched += len(encoded)
+		d.fetchedBytes += len(encoded)
 		*answer.(*fetchReply), err = result, failed
 	case readRequest:
 		result, failed := acceptor.serveRead(ctx, asked)
 		encoded, _ := msgpack.Marshal(result)
-		d.answered <- len(encoded)
+		d.readAnswerBytes <- len(encoded)
 		*answer.(*reply), err = result, failed
 	}
 	return err
@@ -58,23 +58,23 @@
 }
 
 // readBytes is how many bytes the answers to one read have, with the parts that it fetches.
-func (d *direct) readBytes(reads func()) (sum int) {
-	before := d.fetched
+func (d *acceptorCaller) readBytes(reads func()) (sum int) {
+	before := d.fetchedBytes
 	reads()
 	for range d.acceptors {
-		sum += <-d.answered
+		sum += <-d.readAnswerBytes
 	}
-	return sum + d.fetched - before
+	return sum + d.fetchedBytes - before
 }
 
-func TestAReadCarriesNoStateThatIsKnown(t *testing.T) {
+func TestReadTransfersNoCachedState(t *testing.T) {
 	const size = 90 << 10
 	// A text of hex digits takes half of its length, and the names of its parts a hundredth.
 	atLeast, atMost := size/2, size/2+size/5
 	Convey("Given a register of 90 KB on three members", t, func() {
 		view := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
 		current := func() replicaset.View { return view }
-		d := &direct{acceptors: make(map[string]*Acceptor), answered: make(chan int, 16), accepted: make(chan struct{}, 16)}
+		d := &acceptorCaller{acceptors: make(map[string]*Acceptor), readAnswerBytes: make(chan int, 16), accepted: make(chan struct{}, 16)}
 		for _, member := range view.Members {
 			d.acceptors[member] = NewAcceptor(AcceptorConfig{
 				Name: "test", Store: storage.NewMemory(), Ready: func() bool { return true }, View: current,
@@ -83,7 +83,7 @@
 		writer := New(Config{Name: "test", Self: "outside", View: current, Caller: d})
 		r := New(Config{Name: "test", Self: "reader", View: current, Caller: d})
 		set := func(value string) string {
-			_, err := writer.Change(context.Background(), to(value))
+			_, err := writer.Change(context.Background(), replaceBy(value))
 			So(err, ShouldBeNil)
 			for range view.Members {
 				<-d.accepted
--- a/internal/controlplane/register/cancelledchange_test.go
+++ b/internal/controlplane/register/cancelledchange_test.go
@@ -13,21 +13,21 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// deafCaller fails every call.
-type deafCaller struct{ calls atomic.Int64 }
+// failingCaller fails every call.
+type failingCaller struct{ calls atomic.Int64 }
 
-var errNobodyThere = errors.New("nobody is there")
+var errUnreachable = errors.New("nobody is there")
 
 // Call implements transport.Caller.
-func (c *deafCaller) Call(context.Context, string, transport.Route, any, any) error {
+func (c *failingCaller) Call(context.Context, string, transport.Route, any, any) error {
 	c.calls.Add(1)
-	return rpcerror.WrapNotExecuted(errNobodyThere, 0)
+	return rpcerror.WrapNotExecuted(errUnreachable, 0)
 }
 
-func TestAChangeThatWasGivenUpSendsNothing(t *testing.T) {
+func TestCancelledChangeSendsNothing(t *testing.T) {
 	const tries = 64 // of two that are ready, a choice at random takes either
 	view := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
-	caller := &deafCaller{}
+	caller := &failingCaller{}
 	register := New(Config{Name: "test", Self: "elsewhere", Caller: caller, View: func() replicaset.View { return view }})
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/controlplane/register/cluster_test.go
+++ b/internal/controlplane/register/cluster_test.go
@@ -22,7 +22,7 @@
 )
 
 // mutant breaks one rule of the protocol in a test; nil breaks none.
-type mutant struct {
+type brokenRule struct {
 	name      string
 	acceptor  func(*storage.Memory) storage.Store                                 // replaces the acceptors' store
 	accept    func(*Acceptor) func(context.Context, acceptRequest) (reply, error) // replaces what serves accept
@@ -34,7 +34,7 @@
 type cluster struct {
 	network *networktest.Network
 	view    replicaset.View
-	mutant  *mutant
+	broken  *brokenRule
 	ctx     context.Context // ends a test that hangs
 	cancel  context.CancelFunc
 
@@ -92,15 +92,15 @@
 func (c *cluster) Learn(replicaset.View) error { return nil }
 func (c *cluster) Absences() uint64            { return 0 }
 
-func newCluster(seed uint64, size int, broken *mutant) *cluster {
+func newCluster(seed uint64, size int, broken *brokenRule) *cluster {
 	c := &cluster{
 		network: networktest.New(seed),
 		view:    replicaset.View{Version: 1},
-		mutant:  broken,
+		broken:  broken,
 		members: make(map[string]*process),
 	}
-	if c.mutant == nil {
-		c.mutant = &mutant{}
+	if c.broken == nil {
+		c.broken = &brokenRule{}
 	}
 	c.ctx, c.cancel = context.WithTimeout(context.Background(), testLimit)
 	for i := range size {
@@ -118,7 +118,7 @@
 	p.ctx, p.kill = context.WithCancel(context.Background())
 	p.rebuilder, _ = rebuild.New(rebuild.Config{
 		Self:       address,
-		FirstStart: firstStart || c.mutant.noRebuild,
+		FirstStart: firstStart || c.broken.noRebuild,
 		Views:      c,
 		Store:      p.store,
 		Caller:     c.network.Caller(address),
@@ -139,8 +139,8 @@
 
 func (c *cluster) acceptor(p *process) *Acceptor {
 	var store storage.Store = p.store
-	if c.mutant.acceptor != nil {
-		p.store.Store = c.mutant.acceptor(p.disk)
+	if c.broken.acceptor != nil {
+		p.store.Store = c.broken.acceptor(p.disk)
 	}
 	return NewAcceptor(AcceptorConfig{
 		Name:  testRegister,
@@ -151,12 +151,12 @@
 }
 
 func (c *cluster) serve(mux *transport.Mux, acceptor *Acceptor) {
-	if c.mutant.accept == nil {
+	if c.broken.accept == nil {
 		acceptor.Serve(mux)
 		return
 	}
 	transport.Handle(mux, prepareCall(testRegister), acceptor.prepare)
-	transport.Handle(mux, acceptCall(testRegister), c.mutant.accept(acceptor))
+	transport.Handle(mux, acceptCall(testRegister), c.broken.accept(acceptor))
 	transport.Handle(mux, readCall(testRegister), acceptor.read)
 }
 
@@ -169,8 +169,8 @@
 		View:     c.View,
 		Caller:   c.network.Caller(address),
 	})
-	if c.mutant.register != nil {
-		c.mutant.register(register)
+	if c.broken.register != nil {
+		c.broken.register(register)
 	}
 	return register
 }
@@ -211,14 +211,14 @@
 	return lost <= len(c.view.Members)-c.view.Quorum()
 }
 
-// aftermath is how long messages may still be under way at the end of a test, in simulated time.
-const aftermath = 30 * time.Second
+// drainTime is how long messages may still be under way at the end of a test, in simulated time.
+const drainTime = 30 * time.Second
 
 // end kills all members and lets all messages arrive.
 func (c *cluster) end() {
 	for _, address := range c.view.Members {
 		c.stop(address)
 	}
-	<-time.After(aftermath)
+	<-time.After(drainTime)
 	c.cancel()
 }
--- a/internal/controlplane/register/diskloss_test.go
+++ b/internal/controlplane/register/diskloss_test.go
@@ -14,18 +14,18 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-var errDownHere = errors.New("the member is down")
+var errMemberDown = errors.New("the member is down")
 
 // fileMembers are acceptors on real files.
 type fileMembers struct {
 	view   replicaset.View
 	stores map[string]*storage.FileStore
-	calls  life
+	caller memberCaller
 	folder string
 }
 
-// life calls acceptors in this process, until they are started again. Those that are down answer nothing.
-type life struct {
+// memberCaller calls acceptors in this process, until they are started again. Those that are down answer nothing.
+type memberCaller struct {
 	acceptors map[string]*Acceptor
 	down      map[string]bool
 }
@@ -41,17 +41,17 @@
 
 // start opens the files of all members anew; those of the lost disks, given by member, are in an empty folder.
 func (m *fileMembers) start(lost map[string]string) {
-	m.calls = life{acceptors: make(map[string]*Acceptor), down: make(map[string]bool)}
+	m.caller = memberCaller{acceptors: make(map[string]*Acceptor), down: make(map[string]bool)}
 	m.stores = make(map[string]*storage.FileStore)
 	for _, member := range m.view.Members {
 		folder := filepath.Join(m.folder, member)
 		if other, is := lost[member]; is {
 			folder = filepath.Join(m.folder, other)
 		}
-		store, _, err := storage.Open(unsynced{}, folder, storage.Options{})
+		store, _, err := storage.Open(unsyncedFileSystem{}, folder, storage.Options{})
 		So(err, ShouldBeNil)
 		m.stores[member] = store
-		m.calls.acceptors[member] = NewAcceptor(AcceptorConfig{
+		m.caller.acceptors[member] = NewAcceptor(AcceptorConfig{
 			Name: testRegister, Store: store, Ready: func() bool { return true }, View: func() replicaset.View { return m.view },
 		})
 	}
@@ -75,9 +75,9 @@
 }
 
 // Call implements transport.Caller.
-func (l life) Call(ctx context.Context, address string, _ transport.Route, request, answer any) (err error) {
+func (l memberCaller) Call(ctx context.Context, address string, _ transport.Route, request, answer any) (err error) {
 	if l.down[address] {
-		return errDownHere
+		return errMemberDown
 	}
 	acceptor := l.acceptors[address]
 	switch asked := request.(type) {
@@ -96,21 +96,21 @@
 }
 
 func (m *fileMembers) register() *Register {
-	return New(Config{Name: testRegister, Self: "operator", View: func() replicaset.View { return m.view }, Caller: m.calls})
+	return New(Config{Name: testRegister, Self: "operator", View: func() replicaset.View { return m.view }, Caller: m.caller})
 }
 
 // Two disks are lost at the moment of an acknowledgement that rests on the smallest majority, both of them among it, and
 // all processes end at that moment.
-func TestTwoDisksAreLostAndAllPowerToo(t *testing.T) {
+func TestAcknowledgedValueSurvivesTwoLostDisksAndPowerLoss(t *testing.T) {
 	text := randomText(3*inlineValueBytes, 1)
 	for _, size := range []int{5, 9} {
 		for second := 1; second < (size+1)/2; second++ {
 			Convey(fmt.Sprintf("What %d members have acknowledged stands without disks 0 and %d and with nothing in memory", size, second), t, func() {
 				members := newFileMembers(t.TempDir(), size)
 				for _, member := range members.view.Members[(size+1)/2:] {
-					members.calls.down[member] = true
+					members.caller.down[member] = true
 				}
-				_, err := members.register().Change(context.Background(), to(text))
+				_, err := members.register().Change(context.Background(), replaceBy(text))
 				So(err, ShouldBeNil)
 				for _, store := range members.stores {
 					So(store.Close(), ShouldBeNil)
--- a/internal/controlplane/register/founding_test.go
+++ b/internal/controlplane/register/founding_test.go
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func TestTwoFoundersCommitOneView(t *testing.T) {
+func TestConcurrentFoundersCommitOneView(t *testing.T) {
 	founders := []string{"a", "b", "c"}
 	committed := make([]replicaset.View, len(founders))
 	errs := make([]error, len(founders))
@@ -41,7 +41,7 @@
 			})
 		}
 		running.Wait()
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 	convey.Convey("Founders that propose different views at once learn the same one", t, func() {
 		convey.So(errs, convey.ShouldResemble, make([]error, len(founders)))
--- a/internal/controlplane/register/history_test.go
+++ b/internal/controlplane/register/history_test.go
@@ -25,14 +25,14 @@
 	operationKinds
 )
 
-// input is an operation.
-type input struct {
+// clientInput is an operation.
+type clientInput struct {
 	kind  operationKind
 	token string
 }
 
-// output is what the client heard.
-type output struct {
+// clientOutput is what the client heard.
+type clientOutput struct {
 	unknown bool // whether the operation ran
 	refused bool
 	value   string
@@ -40,18 +40,18 @@
 
 var errMultipleOfThree = errors.New("the number of tokens is a multiple of three")
 
-func refuses(value string) bool { return strings.Count(value, ".")%3 == 0 }
+func refusesAt(value string) bool { return strings.Count(value, ".")%3 == 0 }
 
-// model is the register as porcupine checks it: the state is the value.
-var model = porcupine.Model{
+// linearizableRegister is the register as porcupine checks it: the state is the value.
+var linearizableRegister = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(stateNow, in, out any) (bool, any) {
-		value, do, heard := stateNow.(string), in.(input), out.(output)
+		value, do, heard := stateNow.(string), in.(clientInput), out.(clientOutput)
 		next := value
 		switch {
 		case do.kind == readValue:
 			return heard.unknown || heard.value == value, value
-		case do.kind == appendUnlessAt && refuses(value):
+		case do.kind == appendUnlessAt && refusesAt(value):
 			return heard.unknown || heard.refused, value
 		}
 		next += do.token + "."
@@ -73,11 +73,11 @@
 }
 
 // run carries out one operation by a register and records it.
-func (h *history) run(ctx context.Context, client int, register *Register, do input) {
+func (h *history) run(ctx context.Context, client int, register *Register, do clientInput) {
 	call := h.clock.Add(1)
 	value, err := h.perform(ctx, register, do)
 	back := h.clock.Add(1)
-	heard := output{value: strings.TrimPrefix(string(value), h.padding)}
+	heard := clientOutput{value: strings.TrimPrefix(string(value), h.padding)}
 	switch {
 	case err == nil:
 	case rpcerror.ExecutionOf(err) != rpcerror.NotExecuted:
@@ -96,12 +96,12 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: do, Output: heard, Call: call, Return: back})
 }
 
-func (h *history) perform(ctx context.Context, register *Register, do input) ([]byte, error) {
+func (h *history) perform(ctx context.Context, register *Register, do clientInput) ([]byte, error) {
 	if do.kind == readValue {
 		return register.Read(ctx)
 	}
 	return register.Change(ctx, func(current []byte) ([]byte, error) {
-		if do.kind == appendUnlessAt && refuses(string(current)) {
+		if do.kind == appendUnlessAt && refusesAt(string(current)) {
 			return nil, errMultipleOfThree
 		}
 		if len(current) == 0 {
@@ -113,5 +113,5 @@
 
 // check tells whether the history is linearizable.
 func (h *history) check() porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(model, h.operations, 20*time.Second)
+	return porcupine.CheckOperationsTimeout(linearizableRegister, h.operations, 20*time.Second)
 }
--- a/internal/controlplane/register/modelproposer_test.go
+++ b/internal/controlplane/register/modelproposer_test.go
@@ -8,12 +8,12 @@
 )
 
 // loseDisk starts a member again with an empty disk.
-func (x *explorer) loseDisk(w *world, m int) {
-	w.losses++
-	w.members[m] = memberState{}
+func (x *transitions) loseDisk(w *modelState, m int) {
+	w.diskLosses++
+	w.members[m] = memberModel{}
 	for p := range w.proposers {
-		if pr := &w.proposers[p]; pr.phase != resting {
-			pr.lost = pr.lost.with(m)
+		if state := &w.proposers[p]; state.phase != idle {
+			state.diskLost = state.diskLost.with(m)
 		}
 		if proposerHome(p) == m {
 			x.restart(w, p)
@@ -22,65 +22,65 @@
 }
 
 // restart kills a proposer's process; what became of its operation is not known.
-func (x *explorer) restart(w *world, p int) {
-	pr := &w.proposers[p]
-	operation := pr.operation
-	if pr.phase != resting {
+func (x *transitions) restart(w *modelState, p int) {
+	state := &w.proposers[p]
+	operation := state.operation
+	if state.phase != idle {
 		x.closeRound(w, p)
 		operation++
 	}
-	*pr = proposerState{operation: operation}
+	*state = proposerModel{operation: operation}
 }
 
 // loadForRound begins a proposer's next operation.
-func (x *explorer) begin(w *world, p int) {
-	pr := &w.proposers[p]
-	*pr = proposerState{operation: pr.operation, counter: pr.counter, floor: w.longest}
+func (x *transitions) begin(w *modelState, p int) {
+	state := &w.proposers[p]
+	*state = proposerModel{operation: state.operation, counter: state.counter, longestAtBegin: w.longestReturned}
 	x.beginAttempt(w, p)
 }
 
-func (x *explorer) beginAttempt(w *world, p int) {
-	pr := &w.proposers[p]
-	pr.counter++
-	pr.proposalNumber, pr.view = pr.counter, w.members[proposerHome(p)].view
-	pr.proposed, pr.value = 0, 0
+func (x *transitions) beginAttempt(w *modelState, p int) {
+	state := &w.proposers[p]
+	state.counter++
+	state.proposalNumber, state.view = state.counter, w.members[proposerHome(p)].view
+	state.proposed, state.value = 0, 0
 	x.openRound(w, p, preparing)
 }
 
-func (x *explorer) openRound(w *world, p int, phase phase) {
-	pr := &w.proposers[p]
-	pr.phase, pr.called, pr.answered, pr.refused, pr.newer, pr.lost = phase, 0, 0, 0, 0, 0
-	pr.grants, pr.granted = [3]text{}, 0
+func (x *transitions) openRound(w *modelState, p int, phase proposerPhase) {
+	state := &w.proposers[p]
+	state.phase, state.called, state.answered, state.conflicts, state.newer, state.diskLost = phase, 0, 0, 0, 0, 0
+	state.grants, state.granted = [3]textID{}, 0
 }
 
 // closeRound ends a round; requests that nobody has taken stay under way.
-func (x *explorer) closeRound(w *world, p int) {
-	pr := &w.proposers[p]
-	left := viewSet(pr.view) &^ pr.called
-	if x.budget.doubles {
-		left = viewSet(pr.view)
+func (x *transitions) closeRound(w *modelState, p int) {
+	state := &w.proposers[p]
+	pending := viewSet(state.view) &^ state.called
+	if x.budget.duplicates {
+		pending = viewSet(state.view)
 	}
-	if left == 0 || pr.phase == preparing && !x.budget.latePrepare {
+	if pending == 0 || state.phase == preparing && !x.budget.latePrepare {
 		return
 	}
 	for i := range w.late {
 		if w.late[i].to == 0 {
-			w.late[i] = lateRequest{uint8(p), pr.phase, pr.proposalNumber, pr.view, pr.proposed, left}
+			w.late[i] = lateRequest{uint8(p), state.phase, state.proposalNumber, state.view, state.proposed, pending}
 			return
 		}
 	}
 }
 
 // nextAttempt gives an attempt up.
-func (x *explorer) nextAttempt(w *world, p int, err error) string {
-	pr := &w.proposers[p]
+func (x *transitions) nextAttempt(w *modelState, p int, err error) string {
+	state := &w.proposers[p]
 	x.closeRound(w, p)
 	var mismatch *viewError
 	if errors.As(err, &mismatch) {
 		x.learn(w, proposerHome(p), uint8(mismatch.view.Version))
 	}
-	pr.attempt++
-	if pr.attempt == x.budget.attempts || w.members[proposerHome(p)].view == 0 {
+	state.attempt++
+	if state.attempt == x.budget.attempts || w.members[proposerHome(p)].view == 0 {
 		return x.fails(w, p, err)
 	}
 	x.beginAttempt(w, p)
@@ -88,11 +88,11 @@
 }
 
 // call lets a member take the request of an open round.
-func (x *explorer) call(w *world, p, m int, kind stepKind) string {
-	pr, member := &w.proposers[p], &w.members[m]
+func (x *transitions) call(w *modelState, p, m int, kind stepKind) string {
+	state, member := &w.proposers[p], &w.members[m]
 	in := voteInput{
-		held: member.held, view: member.view, ready: member.ready(), phase: pr.phase,
-		proposer: uint8(p), proposalNumber: pr.proposalNumber, asked: pr.view, proposed: pr.proposed,
+		stored: member.stored, view: member.view, ready: member.ready(), phase: state.phase,
+		proposer: uint8(p), proposalNumber: state.proposalNumber, requestView: state.view, proposed: state.proposed,
 	}
 	if kind == stepCallLearns || kind == stepCallCopies {
 		in.learns = 2
@@ -101,12 +101,12 @@
 	if kind == stepCallCopies {
 		x.copyFrom(w, joiningMember, m)
 	}
-	out := x.rules.vote(in)
-	member.held = out.held
-	if pr.called == 0 {
-		pr.lost = 0
+	out := x.protocol.vote(in)
+	member.stored = out.stored
+	if state.called == 0 {
+		state.diskLost = 0
 	}
-	pr.called = pr.called.with(m)
+	state.called = state.called.with(m)
 	if kind == stepCallLost {
 		return ""
 	}
@@ -115,25 +115,25 @@
 
 var errNoAnswer = errors.New("the member answered with an error")
 
-// answered lets the real round count an answer.
-func (x *explorer) answered(w *world, p, m int, out voteOutput) string {
-	pr := &w.proposers[p]
-	view := exploredViews[pr.view]
-	counted := &round{view: view, granted: make([]reply, pr.granted), conflicts: int(pr.refused), newer: exploredViews[pr.newer]}
-	next := answer{reply: reply{Outcome: out.outcome, View: exploredViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
+// readAnswerBytes lets the real round count an answer.
+func (x *transitions) answered(w *modelState, p, m int, out voteOutput) string {
+	state := &w.proposers[p]
+	view := modelViews[state.view]
+	counted := &round{view: view, granted: make([]reply, state.granted), conflicts: int(state.conflicts), newer: modelViews[state.newer]}
+	next := answer{reply: reply{Outcome: out.outcome, View: modelViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
 	if out.failed {
 		next = answer{err: errNoAnswer}
 	}
 	counted.count(next)
-	pr.answered = pr.answered.with(m)
-	pr.refused, pr.newer = uint8(counted.conflicts), uint8(counted.newer.Version)
-	pr.counter = max(pr.counter, uint8(counted.highestPromised.Counter))
-	if len(counted.granted) > int(pr.granted) {
-		pr.grants[pr.granted] = out.accepted
-		pr.granted++
-		slices.Sort(pr.grants[:pr.granted])
-	}
-	switch open := len(view.Members) - pr.answered.count(); {
+	state.answered = state.answered.with(m)
+	state.conflicts, state.newer = uint8(counted.conflicts), uint8(counted.newer.Version)
+	state.counter = max(state.counter, uint8(counted.highestPromised.Counter))
+	if len(counted.granted) > int(state.granted) {
+		state.grants[state.granted] = out.accepted
+		state.granted++
+		slices.Sort(state.grants[:state.granted])
+	}
+	switch open := len(view.Members) - state.answered.count(); {
 	case len(counted.granted) >= view.Quorum():
 		return x.majority(w, p)
 	case len(counted.granted)+open < view.Quorum():
@@ -143,15 +143,15 @@
 }
 
 // majority goes on after a round that a majority has granted.
-func (x *explorer) majority(w *world, p int) string {
-	pr := &w.proposers[p]
-	if pr.phase == accepting {
+func (x *transitions) majority(w *modelState, p int) string {
+	state := &w.proposers[p]
+	if state.phase == accepting {
 		x.closeRound(w, p)
-		return x.returns(w, p, pr.value)
+		return x.returns(w, p, state.value)
 	}
-	made := x.rules.decide(decisionInput{
-		grants: pr.grants, granted: pr.granted, sent: pr.sent, sents: pr.sents,
-		proposer: uint8(p), operation: pr.operation, proposalNumber: pr.proposalNumber, view: pr.view,
+	made := x.protocol.decide(decisionInput{
+		grants: state.grants, granted: state.granted, sent: state.proposals, sents: state.proposalCount,
+		proposer: uint8(p), operation: state.operation, proposalNumber: state.proposalNumber, view: state.view,
 	})
 	x.closeRound(w, p)
 	switch {
@@ -160,22 +160,22 @@
 	case made.committed:
 		return x.returns(w, p, made.value)
 	case made.proposes:
-		pr.sent[pr.sents] = made.proposed
-		pr.sents++
+		state.proposals[state.proposalCount] = made.proposed
+		state.proposalCount++
 	}
-	pr.proposed, pr.value = made.proposed, made.value
+	state.proposed, state.value = made.proposed, made.value
 	x.openRound(w, p, accepting)
 	return ""
 }
 
 // arrive lets a member take a late request; nobody waits for the answer.
-func (x *explorer) arrive(w *world, i, m int) string {
+func (x *transitions) arrive(w *modelState, i, m int) string {
 	late, member := &w.late[i], &w.members[m]
-	out := x.rules.vote(voteInput{
-		held: member.held, view: member.view, ready: member.ready(), phase: late.phase,
-		proposer: late.proposer, proposalNumber: late.proposalNumber, asked: late.view, proposed: late.proposed,
+	out := x.protocol.vote(voteInput{
+		stored: member.stored, view: member.view, ready: member.ready(), phase: late.phase,
+		proposer: late.proposer, proposalNumber: late.proposalNumber, requestView: late.view, proposed: late.proposed,
 	})
-	member.held = out.held
+	member.stored = out.stored
 	if late.to = late.to.without(m); late.to == 0 {
 		*late = lateRequest{}
 	}
@@ -183,32 +183,32 @@
 }
 
 // returns ends an operation with a value, and checks it against all that was returned before.
-func (x *explorer) returns(w *world, p int, value text) string {
-	pr := &w.proposers[p]
-	operation, floor := pr.operation, x.rules.texts[pr.floor]
-	*pr = proposerState{operation: max(operation+1, firstRead), counter: pr.counter}
-	got, longest := x.rules.texts[value], x.rules.texts[w.longest]
+func (x *transitions) returns(w *modelState, p int, value textID) string {
+	state := &w.proposers[p]
+	operation, longestAtBegin := state.operation, x.protocol.texts[state.longestAtBegin]
+	*state = proposerModel{operation: max(operation+1, firstRead), counter: state.counter}
+	got, longest := x.protocol.texts[value], x.protocol.texts[w.longestReturned]
 	if len(got) > len(longest) {
-		w.longest = value
+		w.longestReturned = value
 	}
 	switch {
-	case operation < firstRead && !x.rules.once && !strings.Contains(got, string(tokenOf(p, int(operation)))):
+	case operation < firstRead && !x.protocol.writeOnce && !strings.Contains(got, string(tokenOf(p, int(operation)))):
 		return fmt.Sprintf("the change of proposer %d returns %q", p, got)
 	case !strings.HasPrefix(got, longest) && !strings.HasPrefix(longest, got):
 		return fmt.Sprintf("%q is returned after %q", got, longest)
-	case !strings.HasPrefix(got, floor):
-		return fmt.Sprintf("%q is returned to an operation that began after %q was", got, floor)
+	case !strings.HasPrefix(got, longestAtBegin):
+		return fmt.Sprintf("%q is returned to an operation that began after %q was", got, longestAtBegin)
 	}
 	return x.checkTokens(w, got)
 }
 
 // checkTokens checks that a value has each token once at most, and none of a change that did not run.
-func (x *explorer) checkTokens(w *world, value string) string {
+func (x *transitions) checkTokens(w *modelState, value string) string {
 	for p := range w.proposers {
 		for operation := range firstRead {
 			count := strings.Count(value, string(tokenOf(p, operation)))
-			if count > 1 || count > 0 && operation == 0 && w.notRun.has(p) {
-				return fmt.Sprintf("%q has change %d of proposer %d; of these changes %b did not run", value, operation, p, w.notRun)
+			if count > 1 || count > 0 && operation == 0 && w.notExecuted.has(p) {
+				return fmt.Sprintf("%q has change %d of proposer %d; of these changes %b did not run", value, operation, p, w.notExecuted)
 			}
 		}
 	}
@@ -216,11 +216,11 @@
 }
 
 // fails ends an operation without a value.
-func (x *explorer) fails(w *world, p int, err error) string {
-	pr := &w.proposers[p]
-	if pr.operation == 0 && ranNot(pr, err) {
-		w.notRun = w.notRun.with(p)
+func (x *transitions) fails(w *modelState, p int, err error) string {
+	state := &w.proposers[p]
+	if state.operation == 0 && certainlyNotExecuted(state, err) {
+		w.notExecuted = w.notExecuted.with(p)
 	}
-	*pr = proposerState{operation: max(pr.operation+1, firstRead), counter: pr.counter}
-	return x.checkTokens(w, x.rules.texts[w.longest])
+	*state = proposerModel{operation: max(state.operation+1, firstRead), counter: state.counter}
+	return x.checkTokens(w, x.protocol.texts[w.longestReturned])
 }
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -12,51 +12,51 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// brokenRules are mistakes that the exploration must find.
-type brokenRules struct {
-	forgetsPromises  bool // an acceptor loses its promises at once
-	ignoresPromises  bool // an acceptor accepts below its promise
-	votesIncomplete  bool // a member votes before it is rebuilt
-	copiesEarly      bool // a member that lost its disk does not wait for the end of open rounds
-	anyIsCommitted   bool // a majority that disagrees counts as agreed
-	appliesAgain     bool // a proposer applies its function again without asking whether it took effect
-	oneCopy          bool // one copy is enough for a rebuild
-	ignoresTheView   bool // an acceptor answers proposers of any view
-	rebuiltOfOldView bool // members that have not learned the joining member's view give it copies
+// omittedRules are mistakes that the exploration must find.
+type omittedRules struct {
+	forgetsPromises          bool // an acceptor loses its promises at once
+	ignoresPromises          bool // an acceptor accepts below its promise
+	votesBeforeRebuilt       bool // a member votes before it is rebuilt
+	copiesDuringOpenRounds   bool // a member that lost its disk does not wait for the end of open rounds
+	anyIsCommitted           bool // a majority that disagrees counts as agreed
+	reappliesUnclearChange   bool // a proposer applies its function again without asking whether it took effect
+	rebuildsFromOneCopy      bool // one copy is enough for a rebuild
+	ignoresTheView           bool // an acceptor answers proposers of any view
+	copiesBeforeLearningView bool // members that have not learned the joining member's view give it copies
 }
 
 // rules runs the real cores of acceptors, proposers, merger and membership, and remembers what they did with the same
 // input before.
-type rules struct {
-	broken    brokenRules
-	once      bool // the register is written once
+type protocolRules struct {
+	omitted   omittedRules
+	writeOnce bool // the register is written once
 	texts     []string
-	numbers   map[string]text
+	numbers   map[string]textID
 	votes     map[voteInput]voteOutput
 	decisions map[decisionInput]decisionOutput
-	merges    map[[3]replicaState]replicaState
+	merges    map[[3]storedTexts]storedTexts
 	learned   map[learnInput]learnOutput
 }
 
-func newRules(broken brokenRules, once bool) *rules {
-	return &rules{
-		broken: broken, once: once, texts: []string{""}, numbers: map[string]text{"": 0},
+func newProtocolRules(broken omittedRules, once bool) *protocolRules {
+	return &protocolRules{
+		omitted: broken, writeOnce: once, texts: []string{""}, numbers: map[string]textID{"": 0},
 		votes: make(map[voteInput]voteOutput), decisions: make(map[decisionInput]decisionOutput),
-		merges: make(map[[3]replicaState]replicaState), learned: make(map[learnInput]learnOutput),
+		merges: make(map[[3]storedTexts]storedTexts), learned: make(map[learnInput]learnOutput),
 	}
 }
 
-func (r *rules) intern(encoded []byte) text {
+func (r *protocolRules) intern(encoded []byte) textID {
 	if number, found := r.numbers[string(encoded)]; found {
 		return number
 	}
-	number := text(len(r.texts))
+	number := textID(len(r.texts))
 	r.texts = append(r.texts, string(encoded))
 	r.numbers[string(encoded)] = number
 	return number
 }
 
-func (r *rules) encode(value any) text {
+func (r *protocolRules) encode(value any) textID {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
 		panic(err) // the types of the register always encode
@@ -64,7 +64,7 @@
 	return r.intern(encoded)
 }
 
-func (r *rules) accepted(number text) (decoded acceptedState) {
+func (r *protocolRules) accepted(number textID) (decoded acceptedState) {
 	if number != 0 {
 		if err := msgpack.Unmarshal([]byte(r.texts[number]), &decoded); err != nil {
 			panic(err)
@@ -73,13 +73,13 @@
 	return decoded
 }
 
-func (r *rules) table(held replicaState) map[string][]byte {
+func (r *protocolRules) table(stored storedTexts) map[string][]byte {
 	table := make(map[string][]byte)
-	if held.promised != 0 {
-		table[promisedKey] = []byte(r.texts[held.promised])
+	if stored.promised != 0 {
+		table[promisedKey] = []byte(r.texts[stored.promised])
 	}
-	if held.accepted != 0 {
-		table[acceptedKey] = []byte(r.texts[held.accepted])
+	if stored.accepted != 0 {
+		table[acceptedKey] = []byte(r.texts[stored.accepted])
 	}
 	return table
 }
@@ -114,73 +114,73 @@
 
 // voteInput is what an acceptor's answer depends on.
 type voteInput struct {
-	held           replicaState
+	stored         storedTexts
 	view           uint8 // of the acceptor
 	learns         uint8 // the view that it learns once the vote is stored and before it is answered; 0 for none
 	ready          bool
-	phase          phase
+	phase          proposerPhase
 	proposer       uint8
 	proposalNumber uint8
-	asked          uint8 // view of the proposer
-	proposed       text
+	requestView    uint8 // view of the proposer
+	proposed       textID
 }
 
 type voteOutput struct {
-	held     replicaState
+	stored   storedTexts
 	failed   bool
 	outcome  outcome
 	view     uint8
-	promised uint8 // counter of the proposal number
-	accepted text  // what a granted prepare reports
+	promised uint8  // counter of the proposal number
+	accepted textID // what a granted prepare reports
 }
 
 // vote lets the real acceptor answer a request.
-func (r *rules) vote(in voteInput) voteOutput {
+func (r *protocolRules) vote(in voteInput) voteOutput {
 	if out, found := r.votes[in]; found {
 		return out
 	}
-	view := exploredViews[in.view]
-	store := &oneTable{table: r.table(in.held), forgets: r.broken.forgetsPromises, written: func() {}}
+	view := modelViews[in.view]
+	store := &oneTable{table: r.table(in.stored), forgets: r.omitted.forgetsPromises, written: func() {}}
 	if in.learns != 0 {
-		store.written = func() { view = exploredViews[in.learns] }
+		store.written = func() { view = modelViews[in.learns] }
 	}
 	acceptor := NewAcceptor(AcceptorConfig{
-		Name: exploredName, Store: store,
-		Ready: func() bool { return in.ready || r.broken.votesIncomplete && in.view != 0 },
+		Name: modelRegister, Store: store,
+		Ready: func() bool { return in.ready || r.omitted.votesBeforeRebuilt && in.view != 0 },
 		View: func() replicaset.View {
-			if r.broken.ignoresTheView {
-				return exploredViews[in.asked]
+			if r.omitted.ignoresTheView {
+				return modelViews[in.requestView]
 			}
 			return view
 		},
 	})
-	if r.broken.ignoresPromises && in.phase == accepting {
+	if r.omitted.ignoresPromises && in.phase == accepting {
 		delete(store.table, promisedKey)
 	}
-	answer, err := r.ask(acceptor, in)
-	out := voteOutput{held: in.held, failed: err != nil, outcome: answer.Outcome, view: uint8(answer.View.Version), promised: uint8(answer.Promised.Counter)}
-	out.held = replicaState{r.intern(store.table[promisedKey]), r.intern(store.table[acceptedKey])}
+	answer, err := r.callAcceptor(acceptor, in)
+	out := voteOutput{stored: in.stored, failed: err != nil, outcome: answer.Outcome, view: uint8(answer.View.Version), promised: uint8(answer.Promised.Counter)}
+	out.stored = storedTexts{r.intern(store.table[promisedKey]), r.intern(store.table[acceptedKey])}
 	if err == nil && answer.Outcome == granted && in.phase == preparing {
-		out.accepted = in.held.accepted
+		out.accepted = in.stored.accepted
 	}
 	r.votes[in] = out
 	return out
 }
 
-func (r *rules) ask(acceptor *Acceptor, in voteInput) (reply, error) {
+func (r *protocolRules) callAcceptor(acceptor *Acceptor, in voteInput) (reply, error) {
 	proposalNumber := ProposalNumber{Counter: uint64(in.proposalNumber), Member: proposerName(int(in.proposer))}
 	if in.phase == preparing {
-		return acceptor.prepare(context.Background(), prepareRequest{ViewVersion: uint64(in.asked), ProposalNumber: proposalNumber})
+		return acceptor.prepare(context.Background(), prepareRequest{ViewVersion: uint64(in.requestView), ProposalNumber: proposalNumber})
 	}
 	state := r.accepted(in.proposed).State
-	return acceptor.accept(context.Background(), acceptRequest{ViewVersion: uint64(in.asked), ProposalNumber: proposalNumber, State: state})
+	return acceptor.accept(context.Background(), acceptRequest{ViewVersion: uint64(in.requestView), ProposalNumber: proposalNumber, State: state})
 }
 
 // decisionInput is what a proposer's decision after a prepare round depends on.
 type decisionInput struct {
-	grants         [3]text
+	grants         [3]textID
 	granted        uint8
-	sent           [mostAttempts]text
+	sent           [maxModelAttempts]textID
 	sents          uint8
 	proposer       uint8
 	operation      uint8
@@ -192,29 +192,29 @@
 	err       error
 	committed bool
 	proposes  bool
-	proposed  text
-	value     text
+	proposed  textID
+	value     textID
 }
 
 // decide lets the real proposer decide.
-func (r *rules) decide(in decisionInput) decisionOutput {
+func (r *protocolRules) decide(in decisionInput) decisionOutput {
 	if out, found := r.decisions[in]; found {
 		return out
 	}
-	register := New(Config{Name: exploredName, Self: proposerName(int(in.proposer))})
-	register.forgetsProposals = r.broken.appliesAgain
-	if r.broken.anyIsCommitted {
-		register.committed = always
+	register := New(Config{Name: modelRegister, Self: proposerName(int(in.proposer))})
+	register.forgetsProposals = r.omitted.reappliesUnclearChange
+	if r.omitted.anyIsCommitted {
+		register.committed = alwaysCommitted
 	}
-	p := &proposer{register: register, change: operationOf(int(in.proposer), int(in.operation), r.once)}
+	p := &proposer{register: register, change: operationOf(int(in.proposer), int(in.operation), r.writeOnce)}
 	for _, sent := range in.sent[:in.sents] {
 		earlier := r.accepted(sent)
 		p.proposals = append(p.proposals, proposal{earlier.ProposalNumber, earlier.State})
 	}
-	majority := &round{view: exploredViews[in.view]}
+	majority := &round{view: modelViews[in.view]}
 	for _, grant := range in.grants[:in.granted] {
-		held := r.accepted(grant)
-		majority.count(answer{reply: reply{Outcome: granted, Accepted: held.ProposalNumber, State: held.State}})
+		grantedState := r.accepted(grant)
+		majority.count(answer{reply: reply{Outcome: granted, Accepted: grantedState.ProposalNumber, State: grantedState.State}})
 	}
 	proposalNumber := ProposalNumber{Counter: uint64(in.proposalNumber), Member: proposerName(int(in.proposer))}
 	made, committed, err := p.afterPrepare(majority, proposalNumber)
@@ -227,35 +227,35 @@
 }
 
 // merge lets the real merger rebuild a member.
-func (r *rules) merge(copies []replicaState) replicaState {
-	var key [3]replicaState
+func (r *protocolRules) merge(copies []storedTexts) storedTexts {
+	var key [3]storedTexts
 	copy(key[:], copies)
 	if out, found := r.merges[key]; found {
 		return out
 	}
 	var tables []storage.Tables
 	for _, one := range copies {
-		tables = append(tables, storage.Tables{exploredName: r.table(one)})
+		tables = append(tables, storage.Tables{modelRegister: r.table(one)})
 	}
 	merged, err := Merge(tables)
 	if err != nil {
 		panic(err)
 	}
-	out := replicaState{r.intern(merged[exploredName][promisedKey]), r.intern(merged[exploredName][acceptedKey])}
+	out := storedTexts{r.intern(merged[modelRegister][promisedKey]), r.intern(merged[modelRegister][acceptedKey])}
 	r.merges[key] = out
 	return out
 }
 
-// ranNot tells whether a change that ended without success certainly had no effect.
-func ranNot(p *proposerState, err error) bool {
-	real := &proposer{register: New(Config{Name: exploredName}), proposals: make([]proposal, p.sents)}
-	return rpcerror.ExecutionOf(real.changeError(err)) == rpcerror.NotExecuted
+// certainlyNotExecuted tells whether a change that ended without success certainly had no effect.
+func certainlyNotExecuted(p *proposerModel, err error) bool {
+	change := &proposer{register: New(Config{Name: modelRegister}), proposals: make([]proposal, p.proposalCount)}
+	return rpcerror.ExecutionOf(change.changeError(err)) == rpcerror.NotExecuted
 }
 
 var errAttemptsOver = errors.New("no attempt is left")
 
 // managerTable and internTable carry the real manager's table in one interned text.
-func (r *rules) managerTable(number text) (table map[string][]byte) {
+func (r *protocolRules) managerTable(number textID) (table map[string][]byte) {
 	if number != 0 {
 		if err := msgpack.Unmarshal([]byte(r.texts[number]), &table); err != nil {
 			panic(err)
@@ -264,7 +264,7 @@
 	return table
 }
 
-func (r *rules) internTable(table map[string][]byte) text {
+func (r *protocolRules) internTable(table map[string][]byte) textID {
 	var encoded bytes.Buffer
 	encoder := msgpack.NewEncoder(&encoded)
 	encoder.SetSortMapKeys(true)
--- a/internal/controlplane/register/modelstate_test.go
+++ b/internal/controlplane/register/modelstate_test.go
@@ -9,17 +9,17 @@
 
 // Extent of the explored world. Member 3 is the joining member, which takes the place of member 0.
 const (
-	exploredMembers   = 4
-	exploredProposers = 2
-	joiningMember     = 3
-	replacedMember    = 0
-	mostAttempts      = 2 // of one change
-	mostLate          = 4 // requests of earlier rounds that are still under way; older ones are dropped
-	exploredName      = "explored"
+	modelMembers     = 4
+	modelProposers   = 2
+	joiningMember    = 3
+	replacedMember   = 0
+	maxModelAttempts = 2 // of one change
+	maxLateRequests  = 4 // requests of earlier rounds that are still under way; older ones are dropped
+	modelRegister    = "explored"
 )
 
-// exploredViews are the views by version: none, the founders, and with the joining member.
-var exploredViews = [...]replicaset.View{
+// modelViews are the views by version: none, the founders, and with the joining member.
+var modelViews = [...]replicaset.View{
 	{},
 	{Version: 1, Members: []string{memberName(0), memberName(1), memberName(2)}},
 	{Version: 2, Members: []string{memberName(1), memberName(2), memberName(joiningMember)}},
@@ -27,17 +27,17 @@
 
 func memberName(member int) string { return "member-" + strconv.Itoa(member) }
 
-func inView(view uint8, member int) bool { return exploredViews[view].Has(memberName(member)) }
+func inView(view uint8, member int) bool { return modelViews[view].Has(memberName(member)) }
 
-// set is a set of members.
-type set uint8
+// memberSet is a set of members.
+type memberSet uint8
 
-func (s set) has(member int) bool    { return s&(1<<member) != 0 }
-func (s set) with(member int) set    { return s | 1<<member }
-func (s set) without(member int) set { return s &^ (1 << member) }
-func (s set) count() int             { return bits.OnesCount8(uint8(s)) }
-func viewSet(view uint8) (members set) {
-	for member := range exploredMembers {
+func (s memberSet) has(member int) bool          { return s&(1<<member) != 0 }
+func (s memberSet) with(member int) memberSet    { return s | 1<<member }
+func (s memberSet) without(member int) memberSet { return s &^ (1 << member) }
+func (s memberSet) count() int                   { return bits.OnesCount8(uint8(s)) }
+func viewSet(view uint8) (members memberSet) {
+	for member := range modelMembers {
 		if inView(view, member) {
 			members = members.with(member)
 		}
@@ -45,77 +45,77 @@
 	return members
 }
 
-// text stands for an encoded value in a world's interned texts; 0 is none.
-type text uint16
+// textID stands for an encoded value in a world's interned texts; 0 is none.
+type textID uint16
 
-// replicaState is what a member has stored of the register, encoded.
-type replicaState struct{ promised, accepted text }
+// storedTexts is what a member has stored of the register, encoded.
+type storedTexts struct{ promised, accepted textID }
 
-// memberState is a core machine.
-type memberState struct {
-	held       replicaState
-	manager    text // table of the real replicaset.Manager
+// memberModel is a core machine.
+type memberModel struct {
+	stored     storedTexts
+	manager    textID // table of the real replicaset.Manager
 	view       uint8
 	absences   uint8
 	complete   bool
-	membership uint8 // for which it is complete
-	copied     set   // members whose copies it has for its rebuild
-	copies     [exploredMembers]replicaState
+	membership uint8     // for which it is complete
+	copied     memberSet // members whose copies it has for its rebuild
+	copies     [modelMembers]storedTexts
 }
 
-func (m *memberState) ready() bool { return m.complete && m.absences == m.membership }
+func (m *memberModel) ready() bool { return m.complete && m.absences == m.membership }
 
-// phase is where a proposer is in its change.
-type phase uint8
+// proposerPhase is where a proposer is in its change.
+type proposerPhase uint8
 
 const (
-	resting phase = iota
+	idle proposerPhase = iota
 	preparing
 	accepting
 )
 
-// proposerState is a process that carries out its operations one after the other.
-type proposerState struct {
+// proposerModel is a process that carries out its operations one after the other.
+type proposerModel struct {
 	operation      uint8 // number of the current or the next one
-	phase          phase
+	phase          proposerPhase
 	attempt        uint8
-	counter        uint8 // highest seen in a proposal number
-	proposalNumber uint8 // counter of the attempt
-	view           uint8 // of the attempt
-	called         set   // members that have taken the open round's request
-	answered       set   // those whose answers arrived
-	refused        uint8
+	counter        uint8     // highest seen in a proposal number
+	proposalNumber uint8     // counter of the attempt
+	view           uint8     // of the attempt
+	called         memberSet // members that have taken the open round's request
+	answered       memberSet // those whose answers arrived
+	conflicts      uint8
 	newer          uint8 // view
-	grants         [3]text
+	grants         [3]textID
 	granted        uint8
-	lost           set  // members that lost their disks while the round is open
-	proposed       text // what the accept round is to store
-	sent           [mostAttempts]text
-	sents          uint8
-	value          text // outcome of the change if the accept round succeeds
-	floor          text // longest value that anybody had returned when the operation began
+	diskLost       memberSet // members that lost their disks while the round is open
+	proposed       textID    // what the accept round is to store
+	proposals      [maxModelAttempts]textID
+	proposalCount  uint8
+	value          textID // outcome of the change if the accept round succeeds
+	longestAtBegin textID // longest value that anybody had returned when the operation began
 }
 
 // lateRequest is a request of a round that is over, still under way to some members.
 type lateRequest struct {
 	proposer       uint8
-	phase          phase
+	phase          proposerPhase
 	proposalNumber uint8
 	view           uint8
-	proposed       text
-	to             set
+	proposed       textID
+	to             memberSet
 }
 
-// world is one state of everything. It can be compared and hashed.
-type world struct {
-	members   [exploredMembers]memberState
-	proposers [exploredProposers]proposerState
-	late      [mostLate]lateRequest
-	committed bool // the second view
-	losses    uint8
-	restarts  uint8
-	longest   text // value that was returned
-	notRun    set  // proposers whose first change certainly is no part of any value
+// modelState is one state of everything. It can be compared and hashed.
+type modelState struct {
+	members         [modelMembers]memberModel
+	proposers       [modelProposers]proposerModel
+	late            [maxLateRequests]lateRequest
+	committed       bool // the second view
+	diskLosses      uint8
+	restarts        uint8
+	longestReturned textID    // value that was returned
+	notExecuted     memberSet // proposers whose first change certainly is no part of any value
 }
 
 func proposerName(proposer int) string { return memberName(proposerHome(proposer)) }
@@ -140,7 +140,7 @@
 }
 
 // tokenOf is what a change appends; it differs after a restart.
-func tokenOf(proposer, operation int) byte { return byte('a' + proposer + operation*exploredProposers) }
+func tokenOf(proposer, operation int) byte { return byte('a' + proposer + operation*modelProposers) }
 
 // Numbers of operations: one change, another one if the process was restarted during the first, and then reads.
 const (
--- a/internal/controlplane/register/rebuildwait_test.go
+++ b/internal/controlplane/register/rebuildwait_test.go
@@ -13,7 +13,7 @@
 
 // A member that lost its disk must not be rebuilt while a round is open that counted one of its former answers: the
 // others may take what that round decides only after they gave their copies.
-func TestALostDiskAndOpenRounds(t *testing.T) {
+func TestRebuildWaitsForOpenRounds(t *testing.T) {
 	const (
 		slow  = RoundLimit - 200*time.Millisecond // on its way to a member, and still in time
 		taken = 100 * time.Millisecond            // by then the others have answered
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -19,12 +19,12 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func to(value string) func([]byte) ([]byte, error) {
+func replaceBy(value string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(value), nil }
 }
 
-// inCluster runs a test in simulated time at three members.
-func inCluster(t *testing.T, test func(*cluster)) {
+// runInCluster runs a test in simulated time at three members.
+func runInCluster(t *testing.T, test func(*cluster)) {
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
 		test(c)
@@ -44,23 +44,23 @@
 	return c.Caller.Call(ctx, address, route, request, reply)
 }
 
-func TestErrorsCarryAVerdict(t *testing.T) {
+func TestErrorsSayWhetherTheChangeMayHaveBeenExecuted(t *testing.T) {
 	var beforeAccept, afterAccept, refused, refusedLater error
 	refusal := errors.New("refused")
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 		defer cancel()
 		c.network.AddRule(networktest.Rule{From: "preparing", Lose: true})
-		_, beforeAccept = c.proposer("preparing", nil).Change(ctx, to("a"))
+		_, beforeAccept = c.proposer("preparing", nil).Change(ctx, replaceBy("a"))
 		_, refused = c.proposer("refusing", nil).Change(c.ctx, func([]byte) ([]byte, error) { return nil, refusal })
 	})
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 		defer cancel()
 		c.network.AddRule(networktest.Rule{From: "accepting", Path: "/accept", Lose: true})
-		_, afterAccept = c.proposer("accepting", nil).Change(ctx, to("a"))
+		_, afterAccept = c.proposer("accepting", nil).Change(ctx, replaceBy("a"))
 	})
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		c.network.AddRule(networktest.Rule{From: "later", Path: "/accept", Lose: true, Times: 3})
 		attempts := 0
 		_, refusedLater = c.proposer("later", nil).Change(c.ctx, func([]byte) ([]byte, error) {
@@ -89,11 +89,11 @@
 }
 
 // A change whose accept round reached a single member takes effect once, though the function is not idempotent.
-func TestAnUnclearAttemptIsNotRepeated(t *testing.T) {
+func TestUnclearAttemptIsNotReapplied(t *testing.T) {
 	var value []byte
 	var err error
 	calls := 0
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		for _, member := range []string{"member-1", "member-2"} {
 			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Lose: true, Times: 1})
 		}
@@ -111,18 +111,18 @@
 }
 
 // While an accept round is lost, the others change the register more often than its history reaches back.
-func TestAnOutcomeThatNobodyKnowsIsUnclear(t *testing.T) {
+func TestUnknownOutcomeIsUnclear(t *testing.T) {
 	var err error
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		c.network.AddRule(networktest.Rule{From: outsider, Path: "/accept", Lose: true, Times: 3})
 		ended := make(chan error, 1)
 		go func() {
-			_, err := c.proposer(outsider, nil).Change(c.ctx, to("a"))
+			_, err := c.proposer(outsider, nil).Change(c.ctx, replaceBy("a"))
 			ended <- err
 		}()
 		synctest.Wait() // the accept round is open
 		for i := range historyLength + 2 {
-			if _, err := c.process("member-0").register.Change(c.ctx, to(fmt.Sprint(i))); err != nil {
+			if _, err := c.process("member-0").register.Change(c.ctx, replaceBy(fmt.Sprint(i))); err != nil {
 				t.Error(err)
 			}
 		}
@@ -134,10 +134,10 @@
 	})
 }
 
-func TestARefusalRestsOnACommittedValue(t *testing.T) {
+func TestRefusalRestsOnACommittedValue(t *testing.T) {
 	var refusedAt string
 	var value []byte
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		// Only member 0 accepts "half"; its proposer is killed before it can repeat the round.
 		for _, member := range []string{"member-1", "member-2"} {
 			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Lose: true, Times: 1})
@@ -145,7 +145,7 @@
 		p := c.process("member-0")
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 		defer cancel()
-		p.register.Change(ctx, to("half"))
+		p.register.Change(ctx, replaceBy("half"))
 		c.network.Partition("member-2", true)
 		c.proposer(outsider, nil).Change(c.ctx, func(current []byte) ([]byte, error) {
 			refusedAt = string(current)
@@ -161,10 +161,10 @@
 	})
 }
 
-func TestReading(t *testing.T) {
+func TestReadTakesOneRoundWhereAMajorityAgrees(t *testing.T) {
 	var calls []int32
 	var values []string
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		counting := &countingCaller{Caller: c.network.Caller(outsider)}
 		reader := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: counting})
 		read := func() {
@@ -179,7 +179,7 @@
 		}
 		read()
 		c.network.Partition("member-2", true)
-		c.process("member-0").register.Change(c.ctx, to("a"))
+		c.process("member-0").register.Change(c.ctx, replaceBy("a"))
 		read()
 		c.network.Partition("member-2", false)
 		c.network.Partition("member-0", true)
@@ -192,10 +192,10 @@
 	})
 }
 
-func TestAnotherViewIsRefused(t *testing.T) {
+func TestProposerOfAnotherViewIsRefused(t *testing.T) {
 	var learned replicaset.View
 	var newerErr, olderErr, noneErr error
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(c.ctx, 2*time.Second)
 		defer cancel()
 		change := func(view replicaset.View) error {
@@ -204,7 +204,7 @@
 				View:        func() replicaset.View { return view },
 				OnNewerView: func(view replicaset.View) { learned = view },
 			})
-			_, err := proposer.Change(ctx, to("a"))
+			_, err := proposer.Change(ctx, replaceBy("a"))
 			return err
 		}
 		noneErr = change(replicaset.View{})
@@ -225,12 +225,12 @@
 	})
 }
 
-func TestTheOwnAcceptorIsCalledDirectly(t *testing.T) {
+func TestLocalAcceptorIsCalledDirectly(t *testing.T) {
 	convey.Convey("A register whose only member is its own process needs no network", t, func() {
 		view := func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"self"}} }
 		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: storage.NewMemory(), Ready: func() bool { return true }, View: view})
 		register := New(Config{Name: testRegister, Self: "self", Acceptor: acceptor, View: view})
-		_, err := register.Change(context.Background(), to("a"))
+		_, err := register.Change(context.Background(), replaceBy("a"))
 		convey.So(err, convey.ShouldBeNil)
 		value, err := register.Read(context.Background())
 		convey.So(err, convey.ShouldBeNil)
@@ -238,7 +238,7 @@
 	})
 }
 
-func TestHistoryTellsWhatAStateContains(t *testing.T) {
+func TestStateHistoryTellsWhichProposalsItContains(t *testing.T) {
 	convey.Convey("A state after more changes than its history keeps", t, func() {
 		proposal := func(i int) ProposalNumber { return ProposalNumber{Counter: uint64(i), Member: "m"} }
 		var current state
@@ -259,7 +259,7 @@
 	})
 }
 
-func TestMergeTakesTheHighest(t *testing.T) {
+func TestMergeTakesHighestPromiseAndAcceptedState(t *testing.T) {
 	convey.Convey("Merged replicas have the highest promise and the state of the highest ballot", t, func() {
 		replicaOf := func(promised, accepted uint64, value string) storage.Tables {
 			store := storage.NewMemory()
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	takenBytes   = 45      // of an order that is remembered
-	takenMost    = 2000    // orders that are remembered
-	bodyBytes    = 8 << 10 // of the configuration itself
-	fileMost     = 8 << 20 // of the file after any number of changes: the usual 4 MB, and what is written meanwhile
-	restartBound = 4 * time.Second
+	appliedBytes   = 45      // of an order that is remembered
+	appliedMax     = 2000    // orders that are remembered
+	bodyBytes      = 8 << 10 // of the configuration itself
+	maxFileBytes   = 8 << 20 // of the file after any number of changes: the usual 4 MB, and what is written meanwhile
+	maxRestartTime = 4 * time.Second
 )
 
-// unsynced is the machine's files without the wait for the disk; the process here only ends, and the power stays.
-type unsynced struct{ storage.OperatingSystem }
+// unsyncedFileSystem is the machine's files without the wait for the disk; the process here only ends, and the power stays.
+type unsyncedFileSystem struct{ storage.OperatingSystem }
 
 type unsyncedFile struct{ storage.File }
 
@@ -31,24 +31,24 @@
 func (unsyncedFile) Sync() error { return nil }
 
 // Create implements storage.FileSystem.
-func (u unsynced) Create(name string) (storage.File, error) {
+func (u unsyncedFileSystem) Create(name string) (storage.File, error) {
 	file, err := u.OperatingSystem.Create(name)
 	return unsyncedFile{file}, err
 }
 
 // SyncFolder implements storage.FileSystem.
-func (unsynced) SyncFolder(string) error { return nil }
+func (unsyncedFileSystem) SyncFolder(string) error { return nil }
 
-// history20k is what the orders of all changes amount to, one after the other.
-var history20k = randomText(bodyBytes+takenBytes*(20_000+takenMost), 7)
+// appliedHistory is what the orders of all changes amount to, one after the other.
+var appliedHistory = randomText(bodyBytes+appliedBytes*(20_000+appliedMax), 7)
 
 // stateAfter is as long as the configuration's state after a number of changes, and differs from the one before as that
 // does: a new body, and one more order behind the others, of which the oldest goes.
 func stateAfter(changes int) state {
-	body := history20k[changes : changes+bodyBytes]
-	newest := takenBytes * changes
-	oldest := takenBytes * max(0, changes-takenMost)
-	return state{Value: []byte(body + history20k[oldest:newest]), Sequence: uint64(changes)}
+	body := appliedHistory[changes : changes+bodyBytes]
+	newest := appliedBytes * changes
+	oldest := appliedBytes * max(0, changes-appliedMax)
+	return state{Value: []byte(body + appliedHistory[oldest:newest]), Sequence: uint64(changes)}
 }
 
 // A member starts again as fast after 20,000 changes of the configuration as after 2,000: its file is rewritten all the time.
@@ -59,7 +59,7 @@
 		}
 		Convey("Given a member that has accepted many changes", t, func() {
 			directory := t.TempDir()
-			store, _, err := storage.Open(unsynced{}, directory, storage.Options{})
+			store, _, err := storage.Open(unsyncedFileSystem{}, directory, storage.Options{})
 			So(err, ShouldBeNil)
 			acceptor := func(store storage.Store) *Acceptor {
 				return NewAcceptor(AcceptorConfig{
@@ -78,7 +78,7 @@
 			So(store.Close(), ShouldBeNil)
 			file, err := os.Stat(filepath.Join(directory, "store.log"))
 			So(err, ShouldBeNil)
-			So(file.Size(), ShouldBeLessThan, fileMost)
+			So(file.Size(), ShouldBeLessThan, maxFileBytes)
 
 			began := time.Now()
 			again, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
@@ -88,7 +88,7 @@
 			answer, err := acceptor(again).read(context.Background(), readRequest{ViewVersion: 1})
 			So(err, ShouldBeNil)
 			So(answer.State.Sequence, ShouldEqual, changes)
-			So(took, ShouldBeLessThan, restartBound)
+			So(took, ShouldBeLessThan, maxRestartTime)
 			t.Logf("%d changes: a file of %d KB, open after %v", changes, file.Size()>>10, took)
 		})
 	}
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -17,10 +17,10 @@
 
 const outsider = "outsider"
 
-// lostInTheMiddle lets a proposer have its state accepted by member 2 at once and by member 0 very late. In between,
+// loseDiskDuringRound lets a proposer have its state accepted by member 2 at once and by member 0 very late. In between,
 // member 2 loses its disk and is rebuilt. It tells whether the change was acknowledged, and whether the value is still
 // there when member 0 is cut off.
-func lostInTheMiddle(t *testing.T, limit time.Duration) (acknowledged, kept bool) {
+func loseDiskDuringRound(t *testing.T, limit time.Duration) (acknowledged, stillThere bool) {
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
 		c.network.AddRule(networktest.Rule{From: outsider, To: "member-1", Path: acceptCall(testRegister).Path(), Lose: true, Times: 1})
@@ -29,7 +29,7 @@
 		proposer.roundLimit = limit
 		changed := make(chan error, 1)
 		go func() {
-			_, err := proposer.Change(c.ctx, to("value"))
+			_, err := proposer.Change(c.ctx, replaceBy("value"))
 			changed <- err
 		}()
 		synctest.Wait() // the accept round is open, and member 2 has answered
@@ -38,15 +38,15 @@
 		<-c.process("member-2").rebuilder.Complete()
 		c.network.Partition("member-0", true)
 		value, err := c.process("member-1").register.Read(c.ctx)
-		kept = err == nil && string(value) == "value"
+		stillThere = err == nil && string(value) == "value"
 		c.end()
 	})
-	return acknowledged, kept
+	return acknowledged, stillThere
 }
 
-func TestADiskIsLostInTheMiddleOfARound(t *testing.T) {
-	acknowledged, kept := lostInTheMiddle(t, RoundLimit)
-	longAcknowledged, longKept := lostInTheMiddle(t, 10*time.Second)
+func TestDiskLossDuringARound(t *testing.T) {
+	acknowledged, kept := loseDiskDuringRound(t, RoundLimit)
+	longAcknowledged, longKept := loseDiskDuringRound(t, 10*time.Second)
 	convey.Convey("A disk is lost in the middle of an accept round that counted its answer", t, func() {
 		convey.Convey("the round's limit keeps it from being acknowledged and then lost", func() {
 			convey.So(acknowledged, convey.ShouldBeTrue)
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestALateAnswerDoesNotCount(t *testing.T) {
+func TestLateAnswerDoesNotCount(t *testing.T) {
 	var err error
 	var took time.Duration
 	virtualtime.Test(t, func(*testing.T) {
@@ -69,7 +69,7 @@
 		ctx, cancel := context.WithTimeout(c.ctx, 20*time.Second)
 		defer cancel()
 		start := time.Now()
-		_, err = c.proposer(outsider, nil).Change(ctx, to("value"))
+		_, err = c.proposer(outsider, nil).Change(ctx, replaceBy("value"))
 		took = time.Since(start)
 		c.end()
 	})
@@ -89,7 +89,7 @@
 }
 
 // A proposer that was frozen finds the end of the round and answers at the same time, and may see the answers first.
-func TestAnAnswerThatIsSeenLateDoesNotCount(t *testing.T) {
+func TestAnswerReadAfterTheLimitDoesNotCount(t *testing.T) {
 	const rounds = 30
 	failed := 0
 	virtualtime.Test(t, func(*testing.T) {
@@ -108,14 +108,14 @@
 	})
 }
 
-func TestAMemberThatIsDownHoldsNobodyUp(t *testing.T) {
+func TestChangeNeedsOnlyAMajority(t *testing.T) {
 	var took time.Duration
 	var err error
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
 		c.network.Partition("member-2", true)
 		start := time.Now()
-		_, err = c.process("member-0").register.Change(c.ctx, to("value"))
+		_, err = c.process("member-0").register.Change(c.ctx, replaceBy("value"))
 		took = time.Since(start)
 		c.end()
 	})
@@ -125,12 +125,12 @@
 	})
 }
 
-func TestAllMembersLosePowerAtOnce(t *testing.T) {
+func TestValueSurvivesPowerLossOfAllMembers(t *testing.T) {
 	var value []byte
 	var err error
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
-		c.process("member-0").register.Change(c.ctx, to("value"))
+		c.process("member-0").register.Change(c.ctx, replaceBy("value"))
 		c.restartAll(time.Second)
 		value, err = c.process("member-1").register.Read(c.ctx)
 		c.end()
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestAMemberThatIsNotReadyDoesNotAnswer(t *testing.T) {
+func TestAcceptorThatIsNotReadyRefusesAll(t *testing.T) {
 	convey.Convey("An acceptor that is not ready refuses everything and stores nothing", t, func() {
 		store := storage.NewMemory()
 		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return false }, View: (&cluster{}).View})
--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -19,11 +19,11 @@
 
 // Extent of a simulation, in simulated time.
 const (
-	clients        = 3
-	simulationTime = 12 * time.Second
-	operationLimit = 4 * time.Second
-	betweenClients = 150 * time.Millisecond // upper bound of the time between a client's operations
-	betweenFaults  = 900 * time.Millisecond
+	simulatedClients     = 3
+	simulationTime       = 12 * time.Second
+	operationLimit       = 4 * time.Second
+	maxOperationInterval = 150 * time.Millisecond // upper bound of the time between a client's operations
+	maxFaultInterval     = 900 * time.Millisecond
 )
 
 var schedules = flag.Int("schedules", 4, "number of simulated schedules of the register")
@@ -38,12 +38,12 @@
 
 // simulate runs clients at all members while messages are lost, doubled and delayed, members are killed, all of them lose
 // power at once, and single disks are lost.
-func simulate(t *testing.T, seed uint64, size int, broken *mutant) *history {
+func simulate(t *testing.T, seed uint64, size int, broken *brokenRule) *history {
 	return simulatePadded(t, seed, size, broken, "")
 }
 
 // simulatePadded does as simulate, with values that begin with a padding.
-func simulatePadded(t *testing.T, seed uint64, size int, broken *mutant, padding string) *history {
+func simulatePadded(t *testing.T, seed uint64, size int, broken *brokenRule, padding string) *history {
 	recorded := &history{padding: padding}
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(seed, size, broken)
@@ -51,17 +51,17 @@
 		ctx, cancel := context.WithTimeout(context.Background(), simulationTime)
 		defer cancel()
 		var running sync.WaitGroup
-		for client, address := range c.view.Members[:clients] {
+		for client, address := range c.view.Members[:simulatedClients] {
 			running.Go(func() { c.runClient(ctx, recorded, client, address, seed) })
 		}
-		running.Go(func() { c.makeFault(ctx, rand.New(rand.NewPCG(seed, 1))) })
+		running.Go(func() { c.injectFaults(ctx, rand.New(rand.NewPCG(seed, 1))) })
 		running.Wait()
 		c.end()
 	})
 	return recorded
 }
 
-func wait(random *rand.Rand, bound time.Duration) { <-time.After(rand.N(bound)) }
+func waitBelow(random *rand.Rand, bound time.Duration) { <-time.After(rand.N(bound)) }
 
 func (c *cluster) runClient(ctx context.Context, recorded *history, client int, address string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)+2))
@@ -69,15 +69,15 @@
 		p := c.process(address)
 		limited, cancel := context.WithTimeout(p.ctx, operationLimit)
 		kind := operationKind(random.IntN(int(operationKinds)))
-		recorded.run(limited, client, p.register, input{kind, fmt.Sprintf("%d-%d", client, i)})
+		recorded.run(limited, client, p.register, clientInput{kind, fmt.Sprintf("%d-%d", client, i)})
 		cancel()
-		wait(random, betweenClients)
+		waitBelow(random, maxOperationInterval)
 	}
 }
 
-func (c *cluster) makeFault(ctx context.Context, random *rand.Rand) {
+func (c *cluster) injectFaults(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		wait(random, betweenFaults)
+		waitBelow(random, maxFaultInterval)
 		address := c.view.Members[random.IntN(len(c.view.Members))]
 		down := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
 		switch random.IntN(4) {
@@ -105,10 +105,10 @@
 	}
 }
 
-func TestTheRegisterIsLinearizable(t *testing.T) { checkSchedules(t, "") }
+func TestRegisterIsLinearizable(t *testing.T) { checkSchedules(t, "") }
 
 // Large values travel by parts.
-func TestTheRegisterOfLargeValuesIsLinearizable(t *testing.T) {
+func TestRegisterOfLargeValuesIsLinearizable(t *testing.T) {
 	checkSchedules(t, randomText(5*inlineValueBytes, 1))
 }
 
--- a/internal/controlplane/register/succession_test.go
+++ b/internal/controlplane/register/succession_test.go
@@ -15,41 +15,41 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// viewHolder is a member's current view.
-type viewHolder struct {
+// mutableView is a member's current view.
+type mutableView struct {
 	mutex sync.Mutex
 	view  replicaset.View
 }
 
-func (h *viewHolder) get() replicaset.View {
+func (h *mutableView) get() replicaset.View {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.view
 }
 
-func (h *viewHolder) set(view replicaset.View) {
+func (h *mutableView) set(view replicaset.View) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.view = view
 }
 
-// movingStore moves to another view whenever something is written.
-type movingStore struct {
+// viewChangingStore moves to another view whenever something is written.
+type viewChangingStore struct {
 	*storage.Memory
-	move func()
+	changeView func()
 }
 
 // Write implements storage.Store.
-func (s movingStore) Write(changes ...storage.Change) error {
-	s.move()
+func (s viewChangingStore) Write(changes ...storage.Change) error {
+	s.changeView()
 	return s.Memory.Write(changes...)
 }
 
-func TestAVoteThatIsStoredAfterTheViewHasChangedCountsForNothing(t *testing.T) {
+func TestVoteStoredAfterAViewChangeDoesNotCount(t *testing.T) {
 	convey.Convey("A member learns the next view while it stores a vote", t, func() {
 		next := replicaset.View{Version: 2, Members: []string{"b"}}
-		holder := &viewHolder{}
-		store := movingStore{storage.NewMemory(), func() { holder.set(next) }}
+		holder := &mutableView{}
+		store := viewChangingStore{storage.NewMemory(), func() { holder.set(next) }}
 		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: holder.get})
 		proposalNumber := ProposalNumber{Counter: 1, Member: "a"}
 		expected := reply{Outcome: viewMismatch, View: next}
@@ -70,10 +70,10 @@
 }
 
 // successions makes the Succession of each member of a view on a network.
-func successions(network *networktest.Network, view replicaset.View, holders map[string]*viewHolder) map[string]*Succession {
+func successions(network *networktest.Network, view replicaset.View, holders map[string]*mutableView) map[string]*Succession {
 	made := make(map[string]*Succession)
 	for _, self := range view.Members {
-		holders[self] = &viewHolder{view: view}
+		holders[self] = &mutableView{view: view}
 		made[self] = NewSuccession(SuccessionConfig{
 			Self: self, Store: storage.NewMemory(), Ready: func() bool { return true }, View: holders[self].get,
 			Caller: network.Caller(self),
@@ -94,7 +94,7 @@
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
 		network.SetFaults(networktest.Faults{Delay: 20 * time.Millisecond})
-		holders := make(map[string]*viewHolder)
+		holders := make(map[string]*mutableView)
 		made := successions(network, current, holders)
 		var running sync.WaitGroup
 		for i, self := range current.Members {
@@ -108,7 +108,7 @@
 		holders["c"].set(committed[0])
 		late, lateErr = made["a"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
 		_, nextErr = made["b"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 	convey.Convey("Members that propose different views at once learn the same one", t, func() {
 		convey.So(errs, convey.ShouldResemble, make([]error, len(errs)))
@@ -125,14 +125,14 @@
 	})
 }
 
-func TestAMemberAcceptsNoViewWithoutItself(t *testing.T) {
+func TestMemberAcceptsNoViewWithoutItself(t *testing.T) {
 	current := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
 	next := replicaset.View{Version: 2, Members: []string{"a", "b", "new"}}
 	var refused, committed error
 	var pending bool
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
-		made := successions(network, current, make(map[string]*viewHolder))
+		made := successions(network, current, make(map[string]*mutableView))
 		network.Partition("b", true)
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
@@ -140,7 +140,7 @@
 		_, pending, _ = made["a"].Pending(current)
 		network.Partition("b", false)
 		_, committed = made["b"].Commit(context.Background(), current, next)
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 	convey.Convey("The one that is to be replaced does not help to make the majority", t, func() {
 		convey.So(refused, convey.ShouldNotBeNil)
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -35,38 +35,38 @@
 // edited is a text with a small change in its middle.
 func edited(text, change string) string { return text[:len(text)/2] + change + text[len(text)/2:] }
 
-// weighingCaller counts the bytes of calls and answers.
-type weighingCaller struct {
+// byteCountingCaller counts the bytes of calls and answers.
+type byteCountingCaller struct {
 	transport.Caller
-	bytes atomic.Int64
-	most  atomic.Int64 // of one message
+	bytes   atomic.Int64
+	largest atomic.Int64 // of one message
 }
 
 // Call implements transport.Caller.
-func (w *weighingCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
-	w.weigh(request)
+func (w *byteCountingCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+	w.count(request)
 	err := w.Caller.Call(ctx, address, route, request, reply)
-	w.weigh(reply)
+	w.count(reply)
 	return err
 }
 
-func (w *weighingCaller) weigh(message any) {
+func (w *byteCountingCaller) count(message any) {
 	content, _ := msgpack.Marshal(message)
 	w.bytes.Add(int64(len(content)))
-	w.most.Store(max(w.most.Load(), int64(len(content))))
+	w.largest.Store(max(w.largest.Load(), int64(len(content))))
 }
 
-func (w *weighingCaller) take() int64 { return w.bytes.Swap(0) }
+func (w *byteCountingCaller) take() int64 { return w.bytes.Swap(0) }
 
-func TestALargeValueTravelsByChunks(t *testing.T) {
+func TestLargeValueIsTransferredInChunks(t *testing.T) {
 	var first, second, third, most int64
 	var read string
 	text := randomText(largeText, 1)
-	inCluster(t, func(c *cluster) {
-		weighing := &weighingCaller{Caller: c.network.Caller(outsider)}
+	runInCluster(t, func(c *cluster) {
+		weighing := &byteCountingCaller{Caller: c.network.Caller(outsider)}
 		register := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: weighing})
 		change := func(value string) int64 {
-			if _, err := register.Change(c.ctx, to(value)); err != nil {
+			if _, err := register.Change(c.ctx, replaceBy(value)); err != nil {
 				t.Error(err)
 			}
 			synctest.Wait()
@@ -75,7 +75,7 @@
 		first = change(text)
 		second = change(edited(text, "second"))
 		third = change(edited(text, "third"))
-		most = weighing.most.Load()
+		most = weighing.largest.Load()
 		value, _ := c.process("member-1").register.Read(c.ctx)
 		read = string(value)
 	})
@@ -90,18 +90,18 @@
 	})
 }
 
-func TestAMemberThatLacksChunks(t *testing.T) {
+func TestMemberIsSentMissingChunksWithinTheRound(t *testing.T) {
 	text := randomText(largeText, 1)
 	var value []byte
 	var err error
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		proposer := c.process("member-0").register
 		c.network.Partition("member-2", true)
-		proposer.Change(c.ctx, to(text))
+		proposer.Change(c.ctx, replaceBy(text))
 		synctest.Wait()
 		c.network.Partition("member-2", false)
 		c.network.Partition("member-1", true)
-		_, err = proposer.Change(c.ctx, to(edited(text, "more")))
+		_, err = proposer.Change(c.ctx, replaceBy(edited(text, "more")))
 		value, _ = c.process("member-2").register.Read(c.ctx)
 	})
 	convey.Convey("A member that missed a change is sent what it lacks, within the same round", t, func() {
@@ -110,14 +110,14 @@
 	})
 }
 
-func TestAValueThatArrivesInSeveralAttempts(t *testing.T) {
+func TestPartialTransferIsResumed(t *testing.T) {
 	text := randomText(largeText, 1)
 	var errs []error
 	var value []byte
 	var bytes int64
-	inCluster(t, func(c *cluster) {
-		c.process("member-0").register.Change(c.ctx, to(text))
-		weighing := &weighingCaller{Caller: c.network.Caller(outsider)}
+	runInCluster(t, func(c *cluster) {
+		c.process("member-0").register.Change(c.ctx, replaceBy(text))
+		weighing := &byteCountingCaller{Caller: c.network.Caller(outsider)}
 		reader := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: weighing})
 		// Each call takes most of the time that a read has.
 		c.network.AddRule(networktest.Rule{From: outsider, Path: fetchCall(testRegister).Path(), Delay: 700 * time.Millisecond})
@@ -140,12 +140,12 @@
 	})
 }
 
-func TestAReaderGoesOnAtAnotherMember(t *testing.T) {
+func TestReaderFetchesFromAnotherMember(t *testing.T) {
 	text := randomText(largeText, 1)
 	var value []byte
 	var err error
-	inCluster(t, func(c *cluster) {
-		c.process("member-0").register.Change(c.ctx, to(text))
+	runInCluster(t, func(c *cluster) {
+		c.process("member-0").register.Change(c.ctx, replaceBy(text))
 		synctest.Wait()
 		for _, member := range []string{"member-0", "member-1"} {
 			c.network.AddRule(networktest.Rule{From: outsider, To: member, Path: fetchCall(testRegister).Path(), Lose: true})
@@ -158,7 +158,7 @@
 	})
 }
 
-func TestAnAcceptorTakesOnlyWhatWasNamed(t *testing.T) {
+func TestAcceptorStoresOnlyWhatTheManifestNames(t *testing.T) {
 	text := randomText(3*inlineValueBytes, 1)
 	manifest := chunks.NewChunking([]byte(text), nil).Manifest()
 	spoilt := manifest
@@ -220,15 +220,15 @@
 }
 
 // A member of an older build serves no accept requests by parts, and would take one without a value for an empty value.
-func TestMembersOfOlderBuildsGetValuesWhole(t *testing.T) {
+func TestMembersOfOlderBuildsGetInlineValues(t *testing.T) {
 	text := randomText(largeText, 1)
 	var read []byte
 	var err error
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		for _, member := range []string{"member-0", "member-1"} {
 			c.serveAsOlderBuild(member)
 		}
-		_, err = c.process("member-2").register.Change(c.ctx, to(text))
+		_, err = c.process("member-2").register.Change(c.ctx, replaceBy(text))
 		c.network.Partition("member-2", true)
 		read, _ = c.process("member-1").register.Read(c.ctx)
 	})
@@ -249,16 +249,16 @@
 }
 
 // Several proposers change a large value while a member comes and goes.
-func TestLargeValuesOfSeveralProposers(t *testing.T) {
+func TestConcurrentChangesOfLargeValues(t *testing.T) {
 	text := randomText(largeText, 1)
 	ended := 0
-	inCluster(t, func(c *cluster) {
+	runInCluster(t, func(c *cluster) {
 		var running sync.WaitGroup
 		var mutex sync.Mutex
 		for _, member := range c.view.Members {
 			running.Go(func() {
 				for i := range 6 {
-					_, err := c.process(member).register.Change(c.ctx, to(edited(text, randomText(20, uint64(i)))))
+					_, err := c.process(member).register.Change(c.ctx, replaceBy(edited(text, randomText(20, uint64(i)))))
 					mutex.Lock()
 					if err == nil {
 						ended++
