--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -63,7 +63,7 @@
 
 // callsItselfCurrent asks as an agent does.
 func callsItselfCurrent(c *Coordinator) bool {
-	body, err := msgpack.Marshal(feed.Watch{})
+	body, err := msgpack.Marshal(feed.WatchRequest{})
 	So(err, ShouldBeNil)
 	recorder := httptest.NewRecorder()
 	c.mux.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, feed.WatchCall.Path(), bytes.NewReader(body)))
--- a/internal/controlplane/feed/board.go
+++ b/internal/controlplane/feed/board.go
@@ -8,123 +8,123 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// Board holds the newest known state of the feed and wakes those who wait for news. All methods may be called from any
+// SnapshotStore holds the newest known state of the feed and wakes those who wait for news. All methods may be called from any
 // goroutine; nobody may modify the snapshots and digests that it hands out.
-type Board struct {
+type SnapshotStore struct {
 	mutex    sync.Mutex
 	snapshot Snapshot
 	digest   Digest
-	changed  chan struct{} // closed at the next change
-	catalog  Catalog       // the configuration of snapshot
+	changed  chan struct{}        // closed at the next change
+	catalog  ConfigurationCatalog // the configuration of snapshot
 }
 
-// NewBoard makes an empty Board.
-func NewBoard() *Board { return &Board{changed: make(chan struct{})} }
+// NewSnapshotStore makes an empty Board.
+func NewSnapshotStore() *SnapshotStore { return &SnapshotStore{changed: make(chan struct{})} }
 
 // Snapshot returns the state.
-func (b *Board) Snapshot() Snapshot {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.snapshot
+func (s *SnapshotStore) Snapshot() Snapshot {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.snapshot
 }
 
 // Digest names the state.
-func (b *Board) Digest() Digest {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.digest
+func (s *SnapshotStore) Digest() Digest {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.digest
 }
 
 // Merge takes over a newer configuration and newer leaders, and tells whether the state changed.
-func (b *Board) Merge(news *Snapshot) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if !b.digest.Lacks(news.Digest()) {
+func (s *SnapshotStore) Merge(update *Snapshot) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !s.digest.Lacks(update.Digest()) {
 		return false
 	}
-	return b.replace(b.snapshot.merged(news))
+	return s.setSnapshot(s.snapshot.mergedWith(update))
 }
 
 // MergeWithMembers does as Merge and replaces the members as well, unless news has none.
-func (b *Board) MergeWithMembers(news *Snapshot) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.replace(b.snapshot.merged(news).withMembers(news))
+func (s *SnapshotStore) MergeWithMembers(update *Snapshot) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.setSnapshot(s.snapshot.mergedWith(update).withMembersOf(update))
 }
 
-func (b *Board) replace(snapshot Snapshot) bool {
+func (s *SnapshotStore) setSnapshot(snapshot Snapshot) bool {
 	digest := snapshot.Digest()
-	if !b.digest.Lacks(digest) && !b.digest.differsInMembers(digest) {
+	if !s.digest.Lacks(digest) && !s.digest.differsInMembers(digest) {
 		return false
 	}
-	b.snapshot, b.digest = snapshot, digest
-	b.catalog.Publish(snapshot.ConfigurationVersion, snapshot.Configuration)
-	close(b.changed)
-	b.changed = make(chan struct{})
+	s.snapshot, s.digest = snapshot, digest
+	s.catalog.Publish(snapshot.ConfigurationVersion, snapshot.Configuration)
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return true
 }
 
-// Since returns what a reader with the digest known lacks, or nil, and a channel that is closed at the next change.
+// UpdateSince returns what a reader with the digest known lacks, or nil, and a channel that is closed at the next change.
 // Other members than those of known count as news.
-func (b *Board) Since(known Digest) (news *Snapshot, changed <-chan struct{}) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if !known.Lacks(b.digest) && !known.differsInMembers(b.digest) {
-		return nil, b.changed
+func (s *SnapshotStore) UpdateSince(known Digest) (update *Snapshot, changed <-chan struct{}) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !known.Lacks(s.digest) && !known.differsInMembers(s.digest) {
+		return nil, s.changed
 	}
-	return b.trimmed(known), b.changed
+	return s.updateFor(known), s.changed
 }
 
-// Newer returns the configuration and the leaders where a reader with the digest known lacks some of them, else nil.
-func (b *Board) Newer(known Digest) *Snapshot {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if !known.Lacks(b.digest) {
+// NewerThan returns the configuration and the leaders where a reader with the digest known lacks some of them, else nil.
+func (s *SnapshotStore) NewerThan(known Digest) *Snapshot {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !known.Lacks(s.digest) {
 		return nil
 	}
-	news := b.trimmed(known)
-	news.Core, news.Front = nil, nil
-	return news
+	update := s.updateFor(known)
+	update.Core, update.Agents = nil, nil
+	return update
 }
 
-// trimmed is the snapshot without a configuration and members that the reader has.
-func (b *Board) trimmed(known Digest) *Snapshot {
-	news := b.snapshot
-	if known.ConfigurationVersion >= news.ConfigurationVersion {
-		news.Configuration = nil
+// updateFor is the snapshot without a configuration and members that the reader has.
+func (s *SnapshotStore) updateFor(known Digest) *Snapshot {
+	update := s.snapshot
+	if known.ConfigurationVersion >= update.ConfigurationVersion {
+		update.Configuration = nil
 	}
-	if known.MembersSum == b.digest.MembersSum {
-		news.Core, news.Front = nil, nil
+	if known.MembersSum == s.digest.MembersSum {
+		update.Core, update.Agents = nil, nil
 	}
-	return &news
+	return &update
 }
 
-// ByChunks returns news with an offer in the place of the configuration, for a reader with the digest known and room for
+// AsOffer returns news with an offer in the place of the configuration, for a reader with the digest known and room for
 // some parts. A reader without room gets them whole.
-func (b *Board) ByChunks(news *Snapshot, known Digest, room int) *Snapshot {
-	if news == nil || room <= 0 || len(news.Configuration) == 0 {
-		return news
+func (s *SnapshotStore) AsOffer(update *Snapshot, known Digest, maxBytes int) *Snapshot {
+	if update == nil || maxBytes <= 0 || len(update.Configuration) == 0 {
+		return update
 	}
-	offered := *news
+	offered := *update
 	offered.Configuration = nil
-	offered.ConfigurationVersion, offered.Offer = b.catalog.Offer(known.ConfigurationVersion, room)
+	offered.ConfigurationVersion, offered.Offer = s.catalog.Offer(known.ConfigurationVersion, maxBytes)
 	return &offered
 }
 
 // Chunks hands out parts of the newest configuration.
-func (b *Board) Chunks(ask ChunksRequest) ChunksReply {
-	return ChunksReply{Chunks: b.catalog.Chunks(chunks.ParseSums(ask.Sums), ask.Room)}
+func (s *SnapshotStore) Chunks(request ChunksRequest) ChunksReply {
+	return ChunksReply{Chunks: s.catalog.Chunks(chunks.ParseSums(request.Sums), request.MaxBytes)}
 }
 
 // Chunk returns a part of the newest configuration. It is a parts.Holder.
-func (b *Board) Chunk(sum chunks.Sum) (chunk []byte, found bool) { return b.catalog.Chunk(sum) }
+func (s *SnapshotStore) Chunk(sum chunks.Sum) (chunk []byte, found bool) { return s.catalog.Chunk(sum) }
 
 // Wait returns what a reader with the digest known lacks as soon as there is something, and nil once limit has passed or
 // ctx has ended without news.
-func (b *Board) Wait(ctx context.Context, known Digest, limit time.Duration) *Snapshot {
-	news, changed := b.Since(known)
-	if news != nil || limit <= 0 {
-		return news
+func (s *SnapshotStore) Wait(ctx context.Context, known Digest, limit time.Duration) *Snapshot {
+	update, changed := s.UpdateSince(known)
+	if update != nil || limit <= 0 {
+		return update
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -136,8 +136,8 @@
 			return nil
 		case <-changed:
 		}
-		if news, changed = b.Since(known); news != nil {
-			return news
+		if update, changed = s.UpdateSince(known); update != nil {
+			return update
 		}
 	}
 }
--- a/internal/controlplane/feed/board_test.go
+++ b/internal/controlplane/feed/board_test.go
@@ -20,100 +20,100 @@
 	}
 }
 
-func TestBoardOnlyMovesForward(t *testing.T) {
+func TestSnapshotsNeverGoBack(t *testing.T) {
 	Convey("Given a board with a state", t, func() {
-		board := NewBoard()
-		So(board.MergeWithMembers(snapshotOf(5, 3, "a:1")), ShouldBeTrue)
+		store := NewSnapshotStore()
+		So(store.MergeWithMembers(snapshotOf(5, 3, "a:1")), ShouldBeTrue)
 
 		Convey("older configurations and leaders are not taken over", func() {
-			So(board.Merge(snapshotOf(4, 2)), ShouldBeFalse)
-			So(board.MergeWithMembers(snapshotOf(4, 2, "a:1")), ShouldBeFalse)
-			So(board.Snapshot(), ShouldResemble, *snapshotOf(5, 3, "a:1"))
+			So(store.Merge(snapshotOf(4, 2)), ShouldBeFalse)
+			So(store.MergeWithMembers(snapshotOf(4, 2, "a:1")), ShouldBeFalse)
+			So(store.Snapshot(), ShouldResemble, *snapshotOf(5, 3, "a:1"))
 		})
 		Convey("newer ones are, each for itself", func() {
-			So(board.Merge(snapshotOf(6, 2)), ShouldBeTrue)
-			So(board.Snapshot(), ShouldResemble, *snapshotOf(6, 3, "a:1"))
-			So(board.Merge(snapshotOf(1, 4)), ShouldBeTrue)
-			So(board.Snapshot(), ShouldResemble, *snapshotOf(6, 4, "a:1"))
-			So(board.Digest(), ShouldResemble, board.snapshot.Digest())
+			So(store.Merge(snapshotOf(6, 2)), ShouldBeTrue)
+			So(store.Snapshot(), ShouldResemble, *snapshotOf(6, 3, "a:1"))
+			So(store.Merge(snapshotOf(1, 4)), ShouldBeTrue)
+			So(store.Snapshot(), ShouldResemble, *snapshotOf(6, 4, "a:1"))
+			So(store.Digest(), ShouldResemble, store.snapshot.Digest())
 		})
 		Convey("a version without its configuration is not taken over", func() {
-			So(board.Merge(&Snapshot{ConfigurationVersion: 9}), ShouldBeFalse)
-			So(board.Snapshot().ConfigurationVersion, ShouldEqual, 5)
+			So(store.Merge(&Snapshot{ConfigurationVersion: 9}), ShouldBeFalse)
+			So(store.Snapshot().ConfigurationVersion, ShouldEqual, 5)
 		})
 		Convey("leaders of other groups are kept", func() {
-			So(board.Merge(&Snapshot{Leaders: map[string]Leader{"h": {Epoch: 1}}}), ShouldBeTrue)
-			So(board.Digest().LeaderEpochs, ShouldResemble, map[string]uint64{"g": 3, "h": 1})
+			So(store.Merge(&Snapshot{Leaders: map[string]Leader{"h": {Epoch: 1}}}), ShouldBeTrue)
+			So(store.Digest().LeaderEpochs, ShouldResemble, map[string]uint64{"g": 3, "h": 1})
 		})
 		Convey("members are replaced only by members, and only where they count", func() {
-			So(board.Merge(snapshotOf(5, 3, "b:1")), ShouldBeFalse)
-			So(board.MergeWithMembers(snapshotOf(5, 3)), ShouldBeFalse)
-			So(board.MergeWithMembers(snapshotOf(5, 3, "b:1")), ShouldBeTrue)
-			So(board.Snapshot().Core, ShouldResemble, []string{"b:1"})
+			So(store.Merge(snapshotOf(5, 3, "b:1")), ShouldBeFalse)
+			So(store.MergeWithMembers(snapshotOf(5, 3)), ShouldBeFalse)
+			So(store.MergeWithMembers(snapshotOf(5, 3, "b:1")), ShouldBeTrue)
+			So(store.Snapshot().Core, ShouldResemble, []string{"b:1"})
 		})
 	})
 }
 
-func TestBoardTellsWhatIsLacking(t *testing.T) {
+func TestUpdatesHoldWhatADigestLacks(t *testing.T) {
 	Convey("Given a board with a state", t, func() {
-		board := NewBoard()
-		board.MergeWithMembers(snapshotOf(5, 3, "a:1"))
-		digest := board.Digest()
+		store := NewSnapshotStore()
+		store.MergeWithMembers(snapshotOf(5, 3, "a:1"))
+		digest := store.Digest()
 
 		Convey("an empty digest lacks all", func() {
-			news, _ := board.Since(Digest{})
-			So(news, ShouldResemble, snapshotOf(5, 3, "a:1"))
-			So(board.Newer(Digest{}), ShouldResemble, snapshotOf(5, 3))
+			update, _ := store.UpdateSince(Digest{})
+			So(update, ShouldResemble, snapshotOf(5, 3, "a:1"))
+			So(store.NewerThan(Digest{}), ShouldResemble, snapshotOf(5, 3))
 		})
 		Convey("the same digest lacks nothing, nor does a newer one", func() {
 			newer := snapshotOf(6, 4, "a:1").Digest()
 			for _, known := range []Digest{digest, newer} {
-				news, _ := board.Since(known)
-				So(news, ShouldBeNil)
-				So(board.Newer(known), ShouldBeNil)
+				update, _ := store.UpdateSince(known)
+				So(update, ShouldBeNil)
+				So(store.NewerThan(known), ShouldBeNil)
 			}
 		})
 		Convey("a known configuration is not sent again", func() {
-			news, _ := board.Since(snapshotOf(5, 2, "a:1").Digest())
-			So(news.Configuration, ShouldBeNil)
-			So(news.Leaders["g"].Epoch, ShouldEqual, 3)
+			update, _ := store.UpdateSince(snapshotOf(5, 2, "a:1").Digest())
+			So(update.Configuration, ShouldBeNil)
+			So(update.Leaders["g"].Epoch, ShouldEqual, 3)
 		})
 		Convey("other members are news, except where leaders and configuration alone are asked for", func() {
 			known := snapshotOf(5, 3, "b:1").Digest()
-			news, _ := board.Since(known)
-			So(news.Core, ShouldResemble, []string{"a:1"})
-			So(board.Newer(known), ShouldBeNil)
+			update, _ := store.UpdateSince(known)
+			So(update.Core, ShouldResemble, []string{"a:1"})
+			So(store.NewerThan(known), ShouldBeNil)
 		})
 		Convey("a board without members has no news of them", func() {
-			empty := NewBoard()
-			news, _ := empty.Since(digest)
-			So(news, ShouldBeNil)
+			empty := NewSnapshotStore()
+			update, _ := empty.UpdateSince(digest)
+			So(update, ShouldBeNil)
 		})
 	})
 }
 
-func TestWaitEndsWithNewsOrTime(t *testing.T) {
+func TestWaitEndsWithAnUpdateOrATimeout(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		Convey("Without news it lasts as long as asked", t, func() {
 			began := time.Now()
-			So(NewBoard().Wait(context.Background(), Digest{}, time.Second), ShouldBeNil)
+			So(NewSnapshotStore().Wait(context.Background(), Digest{}, time.Second), ShouldBeNil)
 			So(time.Since(began), ShouldEqual, time.Second)
 		})
 		Convey("News end it at once, other changes do not", t, func() {
-			board := NewBoard()
-			board.Merge(snapshotOf(5, 3))
+			store := NewSnapshotStore()
+			store.Merge(snapshotOf(5, 3))
 			ended := make(chan *Snapshot)
-			go func() { ended <- board.Wait(context.Background(), snapshotOf(7, 3).Digest(), time.Hour) }()
+			go func() { ended <- store.Wait(context.Background(), snapshotOf(7, 3).Digest(), time.Hour) }()
 			synctest.Wait()
-			board.Merge(snapshotOf(6, 3))
+			store.Merge(snapshotOf(6, 3))
 			synctest.Wait()
-			board.Merge(snapshotOf(6, 4))
+			store.Merge(snapshotOf(6, 4))
 			So((<-ended).Leaders["g"].Epoch, ShouldEqual, 4)
 		})
 		Convey("It ends with its context", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			So(NewBoard().Wait(ctx, Digest{}, time.Hour), ShouldBeNil)
+			So(NewSnapshotStore().Wait(ctx, Digest{}, time.Hour), ShouldBeNil)
 		})
 	})
 }
--- a/internal/controlplane/feed/catalog_test.go
+++ b/internal/controlplane/feed/catalog_test.go
@@ -22,8 +22,8 @@
 	return text
 }
 
-// taken gathers an offer's parts beside those of a version that the reader has.
-func taken(offer *Offer, known []byte) *chunks.Assembler {
+// assembled gathers an offer's parts beside those of a version that the reader has.
+func assembled(offer *Offer, known []byte) *chunks.Assembler {
 	held := make(map[chunks.Sum][]byte)
 	for _, chunk := range chunks.Split(known) {
 		held[chunks.SumOf(chunk)] = chunk
@@ -41,19 +41,19 @@
 	return collection
 }
 
-func TestCatalogOffersWhatIsLacking(t *testing.T) {
+func TestCatalogOffersMissingChunks(t *testing.T) {
 	Convey("Given a catalog with some versions", t, func() {
-		var catalog Catalog
-		for version := uint64(1); version <= keptEditions+5; version++ {
+		var catalog ConfigurationCatalog
+		for version := uint64(1); version <= maxPreviousVersions+5; version++ {
 			catalog.Publish(version, body(version))
 		}
-		newest := body(keptEditions + 5)
+		newest := body(maxPreviousVersions + 5)
 
 		Convey("a reader of a recent version gets the parts that differ, and needs no other", func() {
-			version, offer := catalog.Offer(keptEditions, 64<<10)
-			So(version, ShouldEqual, keptEditions+5)
+			version, offer := catalog.Offer(maxPreviousVersions, 64<<10)
+			So(version, ShouldEqual, maxPreviousVersions+5)
 			So(len(offer.Chunks), ShouldBeLessThanOrEqualTo, 4)
-			content, err := taken(offer, body(keptEditions)).Content()
+			content, err := assembled(offer, body(maxPreviousVersions)).Content()
 			So(err, ShouldBeNil)
 			So(bytes.Equal(content, newest), ShouldBeTrue)
 		})
@@ -82,40 +82,40 @@
 		Convey("an older version changes nothing", func() {
 			catalog.Publish(3, body(3))
 			version, _ := catalog.Offer(2, 0)
-			So(version, ShouldEqual, keptEditions+5)
+			So(version, ShouldEqual, maxPreviousVersions+5)
 		})
 	})
 }
 
-func TestBoardOffersChunks(t *testing.T) {
+func TestConfigurationsAreOfferedByChunks(t *testing.T) {
 	Convey("Given a board with a configuration", t, func() {
-		board := NewBoard()
-		board.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: body(5), Core: []string{"a:1"}})
-		news, _ := board.Since(Digest{})
+		store := NewSnapshotStore()
+		store.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: body(5), Core: []string{"a:1"}})
+		update, _ := store.UpdateSince(Digest{})
 		Convey("a reader with room gets it by parts", func() {
-			offered := board.ByChunks(news, Digest{}, 1<<20)
+			offered := store.AsOffer(update, Digest{}, 1<<20)
 			So(offered.Configuration, ShouldBeEmpty)
 			So(offered.ConfigurationVersion, ShouldEqual, 5)
 			So(offered.Core, ShouldResemble, []string{"a:1"})
-			content, err := taken(offered.Offer, nil).Content()
+			content, err := assembled(offered.Offer, nil).Content()
 			So(err, ShouldBeNil)
 			So(bytes.Equal(content, body(5)), ShouldBeTrue)
-			So(news.Configuration, ShouldNotBeEmpty)
+			So(update.Configuration, ShouldNotBeEmpty)
 		})
 		Convey("a reader without room, as of an older build, gets it whole", func() {
-			So(board.ByChunks(news, Digest{}, 0), ShouldEqual, news)
+			So(store.AsOffer(update, Digest{}, 0), ShouldEqual, update)
 		})
 		Convey("a reader that has it gets no offer", func() {
 			known := Digest{ConfigurationVersion: 5}
-			members, _ := board.Since(known)
-			So(board.ByChunks(members, known, 1<<20).Offer, ShouldBeNil)
-			So(board.ByChunks(nil, known, 1<<20), ShouldBeNil)
+			members, _ := store.UpdateSince(known)
+			So(store.AsOffer(members, known, 1<<20).Offer, ShouldBeNil)
+			So(store.AsOffer(nil, known, 1<<20), ShouldBeNil)
 		})
 		Convey("known members are not sent again", func() {
-			known := Digest{MembersSum: board.Digest().MembersSum}
-			news, _ := board.Since(known)
-			So(news.Core, ShouldBeEmpty)
-			So(news.Configuration, ShouldNotBeEmpty)
+			known := Digest{MembersSum: store.Digest().MembersSum}
+			update, _ := store.UpdateSince(known)
+			So(update.Core, ShouldBeEmpty)
+			So(update.Configuration, ShouldNotBeEmpty)
 		})
 	})
 }
--- a/internal/controlplane/feed/digest.go
+++ b/internal/controlplane/feed/digest.go
@@ -16,7 +16,7 @@
 	return Digest{
 		ConfigurationVersion: s.ConfigurationVersion,
 		LeaderEpochs:         epochs,
-		MembersSum:           membersSum(s.Core, s.Front),
+		MembersSum:           membersSum(s.Core, s.Agents),
 	}
 }
 
@@ -55,15 +55,15 @@
 	return other.MembersSum != 0 && other.MembersSum != d.MembersSum
 }
 
-// merged is s with the newer configuration and the newer leaders of both. Versions and epochs never go back.
-func (s Snapshot) merged(news *Snapshot) Snapshot {
-	if news.ConfigurationVersion > s.ConfigurationVersion && len(news.Configuration) > 0 {
-		s.ConfigurationVersion = news.ConfigurationVersion
-		s.Configuration = news.Configuration
+// mergedWith is s with the newer configuration and the newer leaders of both. Versions and epochs never go back.
+func (s Snapshot) mergedWith(update *Snapshot) Snapshot {
+	if update.ConfigurationVersion > s.ConfigurationVersion && len(update.Configuration) > 0 {
+		s.ConfigurationVersion = update.ConfigurationVersion
+		s.Configuration = update.Configuration
 	}
 	leaders := make(map[string]Leader, len(s.Leaders))
 	maps.Copy(leaders, s.Leaders)
-	for group, leader := range news.Leaders {
+	for group, leader := range update.Leaders {
 		if leader.Epoch > leaders[group].Epoch {
 			leaders[group] = leader
 		}
@@ -72,11 +72,11 @@
 	return s
 }
 
-// withMembers is s with the members of news, unless those are not known there.
-func (s Snapshot) withMembers(news *Snapshot) Snapshot {
-	if len(news.Core) > 0 {
-		s.Core = slices.Clone(news.Core)
-		s.Front = slices.Clone(news.Front)
+// withMembersOf is s with the members of news, unless those are not known there.
+func (s Snapshot) withMembersOf(update *Snapshot) Snapshot {
+	if len(update.Core) > 0 {
+		s.Core = slices.Clone(update.Core)
+		s.Agents = slices.Clone(update.Agents)
 	}
 	return s
 }
--- a/internal/controlplane/feed/feed.go
+++ b/internal/controlplane/feed/feed.go
@@ -10,15 +10,15 @@
 // Internal calls. What they tell has versions, epochs or ages, and changes nothing when it comes again.
 var (
 	// WatchCall is served by core nodes: it answers once something differs from the reader's digest.
-	WatchCall = transport.NewIdempotent[Watch, WatchReply]("/feed/watch")
+	WatchCall = transport.NewIdempotent[WatchRequest, WatchReply]("/feed/watch")
 	// ExchangeCall is served by agents: digests first, then what the other lacks (epidemic reconciliation).
 	ExchangeCall = transport.NewIdempotent[Exchange, Exchange]("/feed/exchange")
 	// ChunksCall is served by core nodes and agents: it hands out parts of the configuration that they hold.
 	ChunksCall = transport.NewIdempotent[ChunksRequest, ChunksReply]("/feed/parts")
 	// LocalCall is served by an agent on its own machine, to the proxy beside it.
-	LocalCall = transport.NewIdempotent[Watch, WatchReply]("/feed/local")
-	// FrontCall is served by core nodes: they tell each other which agents asked them for news.
-	FrontCall = transport.NewIdempotent[Front, Front]("/feed/front")
+	LocalCall = transport.NewIdempotent[WatchRequest, WatchReply]("/feed/local")
+	// AgentContactsCall is served by core nodes: they tell each other which agents asked them for news.
+	AgentContactsCall = transport.NewIdempotent[AgentContacts, AgentContacts]("/feed/front")
 )
 
 // Leader is who leads a replication group. The higher epoch is the newer one.
@@ -42,7 +42,7 @@
 	Configuration        []byte            `msgpack:"b"`           // as the operator sent it; empty before the first, where the reader has it, and beside an offer
 	Leaders              map[string]Leader `msgpack:"l"`           // by group
 	Core                 []string          `msgpack:"k"`           // internal addresses of core nodes
-	Front                []string          `msgpack:"f"`           // internal addresses of the agents on front machines
+	Agents               []string          `msgpack:"f"`           // internal addresses of the agents on front machines
 	Offer                *Offer            `msgpack:"o,omitempty"` // the configuration by parts, to readers that take it so
 }
 
@@ -54,8 +54,8 @@
 
 // ChunksRequest asks for parts of a configuration.
 type ChunksRequest struct {
-	Sums []byte `msgpack:"s"` // checksums, one after the other
-	Room int    `msgpack:"r"` // about how many bytes the answer may have; one part comes in any case
+	Sums     []byte `msgpack:"s"` // checksums, one after the other
+	MaxBytes int    `msgpack:"r"` // about how many bytes the answer may have; one part comes in any case
 }
 
 // ChunksReply is the answer.
@@ -63,8 +63,8 @@
 	Chunks [][]byte `msgpack:"p"` // packed, those that are held
 }
 
-// Watch asks a core node for news.
-type Watch struct {
+// WatchRequest asks a core node for news.
+type WatchRequest struct {
 	Known  Digest `msgpack:"k"`
 	WaitMS int64  `msgpack:"w"` // answer after that long even without news
 	Agent  string `msgpack:"a"` // the asking agent's internal address, by which the core learns of it
@@ -72,8 +72,8 @@
 	Current bool `msgpack:"u,omitempty"`
 	// Suspects are agents that have not answered the asking one several times in a row.
 	Suspects []string `msgpack:"s,omitempty"`
-	// Room is how many bytes of parts the answer may bring. A reader that leaves it out gets configurations whole.
-	Room int `msgpack:"r,omitempty"`
+	// MaxBytes is how many bytes of parts the answer may bring. A reader that leaves it out gets configurations whole.
+	MaxBytes int `msgpack:"r,omitempty"`
 }
 
 // WatchReply is the answer. A core node without contact to a majority answers with Current false, and its reader turns to another.
@@ -88,18 +88,18 @@
 	Known    Digest    `msgpack:"k"`
 	Snapshot *Snapshot `msgpack:"s,omitempty"` // nil when there is no news
 	Agent    string    `msgpack:"a,omitempty"` // the teller's internal address, from which parts may be fetched
-	Room     int       `msgpack:"r,omitempty"` // as in Watch
+	MaxBytes int       `msgpack:"r,omitempty"` // as in Watch
 }
 
-// Heard is an agent that has asked a core node for news.
-type Heard struct {
+// AgentContact is an agent that has asked a core node for news.
+type AgentContact struct {
 	Address string `msgpack:"a"` // internal address
 	AgeMS   int64  `msgpack:"g"` // milliseconds since then
 }
 
 // Front is what one core node tells another, and the reply: the agents that asked it lately.
-type Front struct {
-	Agents []Heard `msgpack:"a"`
+type AgentContacts struct {
+	Agents []AgentContact `msgpack:"a"`
 }
 
 // GroupOf is the replication group that schedules a service's jobs.
--- a/internal/controlplane/feed/wire_test.go
+++ b/internal/controlplane/feed/wire_test.go
@@ -15,11 +15,11 @@
 		goldentest.Form{Name: "offer", Value: new(Offer)},
 		goldentest.Form{Name: "parts request", Value: new(ChunksRequest)},
 		goldentest.Form{Name: "parts reply", Value: new(ChunksReply)},
-		goldentest.Form{Name: "watch", Value: new(Watch)},
+		goldentest.Form{Name: "watch", Value: new(WatchRequest)},
 		goldentest.Form{Name: "watch reply", Value: new(WatchReply)},
 		goldentest.Form{Name: "exchange", Value: new(Exchange)},
-		goldentest.Form{Name: "heard", Value: new(Heard)},
-		goldentest.Form{Name: "front", Value: new(Front)},
+		goldentest.Form{Name: "heard", Value: new(AgentContact)},
+		goldentest.Form{Name: "front", Value: new(AgentContacts)},
 	)
 }
 
@@ -30,6 +30,6 @@
 		goldentest.Constant{Have: ExchangeCall.Path(), Want: "/feed/exchange"},
 		goldentest.Constant{Have: ChunksCall.Path(), Want: "/feed/parts"},
 		goldentest.Constant{Have: LocalCall.Path(), Want: "/feed/local"},
-		goldentest.Constant{Have: FrontCall.Path(), Want: "/feed/front"},
+		goldentest.Constant{Have: AgentContactsCall.Path(), Want: "/feed/front"},
 	)
 }
--- a/internal/controlplane/feedserver/feedserver.go
+++ b/internal/controlplane/feedserver/feedserver.go
@@ -15,16 +15,16 @@
 const (
 	// maxWait bounds how long a call for news is held.
 	maxWait = 2 * time.Second
-	// gatherTime is how long changes in quick succession are gathered before those who wait are told.
-	gatherTime = 20 * time.Millisecond
-	// gatherFrontTime is the same for agents that come and go, which is not urgent.
-	gatherFrontTime = 500 * time.Millisecond
-	// tickInterval is the pause between looks for agents that have fallen silent.
-	tickInterval = time.Second
-	// shareInterval is the pause between calls that tell another core node of the agents heard here.
-	shareInterval = time.Second
-	// shareTimeout bounds one such call.
-	shareTimeout = 800 * time.Millisecond
+	// batchDelay is how long changes in quick succession are gathered before those who wait are told.
+	batchDelay = 20 * time.Millisecond
+	// agentBatchDelay is the same for agents that come and go, which is not urgent.
+	agentBatchDelay = 500 * time.Millisecond
+	// expiryInterval is the pause between looks for agents that have fallen silent.
+	expiryInterval = time.Second
+	// exchangeInterval is the pause between calls that tell another core node of the agents heard here.
+	exchangeInterval = time.Second
+	// exchangeTimeout bounds one such call.
+	exchangeTimeout = 800 * time.Millisecond
 )
 
 // Sources are where the server's news come from. All functions must return quickly.
@@ -53,21 +53,21 @@
 
 // Server answers the agents.
 type Server struct {
-	options      Options
-	board        *feed.Board
-	front        *front
-	changed      chan struct{} // holds a token while a change waits to be published
-	frontChanged chan struct{} // the same for agents that came or went
+	options       Options
+	snapshots     *feed.SnapshotStore
+	agents        *agentSet
+	changed       chan struct{} // holds a token while a change waits to be published
+	agentsChanged chan struct{} // the same for agents that came or went
 }
 
 // New makes a Server. It has nothing to tell until Run is called.
 func New(options Options) *Server {
 	return &Server{
-		options:      options,
-		board:        feed.NewBoard(),
-		front:        newFront(),
-		changed:      make(chan struct{}, 1),
-		frontChanged: make(chan struct{}, 1),
+		options:       options,
+		snapshots:     feed.NewSnapshotStore(),
+		agents:        newAgentSet(),
+		changed:       make(chan struct{}, 1),
+		agentsChanged: make(chan struct{}, 1),
 	}
 }
 
@@ -82,64 +82,64 @@
 }
 
 // Agents lists the internal addresses of the agents that have asked for news lately, sorted.
-func (s *Server) Agents() []string { return s.front.agents(time.Now()) }
+func (s *Server) Agents() []string { return s.agents.active(time.Now()) }
 
 // Mount serves the calls of agents and of other core nodes.
 func (s *Server) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.WatchCall, s.watch)
 	transport.Handle(mux, feed.ChunksCall, s.chunks)
-	transport.Handle(mux, feed.FrontCall, s.share)
+	transport.Handle(mux, feed.AgentContactsCall, s.exchangeContacts)
 }
 
-func (s *Server) watch(ctx context.Context, ask feed.Watch) (feed.WatchReply, error) {
-	s.note(ask)
-	wait := min(time.Duration(ask.WaitMS)*time.Millisecond, maxWait)
+func (s *Server) watch(ctx context.Context, request feed.WatchRequest) (feed.WatchReply, error) {
+	s.recordWatch(request)
+	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxWait)
 	if !s.options.Sources.InContact() {
 		wait = 0
 	}
-	news := s.board.Wait(ctx, ask.Known, wait)
+	update := s.snapshots.Wait(ctx, request.Known, wait)
 	current := s.options.Sources.InContact()
-	if current && s.behind() {
+	if current && s.isStale() {
 		s.publish()
-		news, _ = s.board.Since(ask.Known)
+		update, _ = s.snapshots.UpdateSince(request.Known)
 	}
-	return feed.WatchReply{Current: current, Changed: news != nil, Snapshot: s.board.ByChunks(news, ask.Known, ask.Room)}, nil
+	return feed.WatchReply{Current: current, Changed: update != nil, Snapshot: s.snapshots.AsOffer(update, request.Known, request.MaxBytes)}, nil
 }
 
-func (s *Server) chunks(_ context.Context, ask feed.ChunksRequest) (feed.ChunksReply, error) {
-	return s.board.Chunks(ask), nil
+func (s *Server) chunks(_ context.Context, request feed.ChunksRequest) (feed.ChunksReply, error) {
+	return s.snapshots.Chunks(request), nil
 }
 
-// behind tells whether the board lacks the configuration that is known here, as changes are gathered before they are
+// isStale tells whether the board lacks the configuration that is known here, as changes are gathered before they are
 // published. A node that comes back into contact learns at the same moment that it is current and what it has missed.
-func (s *Server) behind() bool {
+func (s *Server) isStale() bool {
 	version, _ := s.options.Sources.Configuration()
-	return version > s.board.Digest().ConfigurationVersion
+	return version > s.snapshots.Digest().ConfigurationVersion
 }
 
-func (s *Server) note(ask feed.Watch) {
+func (s *Server) recordWatch(request feed.WatchRequest) {
 	now := time.Now()
-	moved := ask.Agent != "" && s.front.hear(ask.Agent, now)
-	for _, address := range ask.Suspects {
-		if s.front.suspect(address, now) {
-			s.options.Logger.Info("agent dropped", zap.String("agent", address), zap.String("reporter", ask.Agent))
-			moved = true
+	changed := request.Agent != "" && s.agents.recordContact(request.Agent, now)
+	for _, address := range request.Suspects {
+		if s.agents.reportSuspect(address, now) {
+			s.options.Logger.Info("agent dropped", zap.String("agent", address), zap.String("reporter", request.Agent))
+			changed = true
 		}
 	}
-	if moved {
-		signal(s.frontChanged)
+	if changed {
+		signal(s.agentsChanged)
 	}
 }
 
-func (s *Server) share(_ context.Context, told feed.Front) (feed.Front, error) {
+func (s *Server) exchangeContacts(_ context.Context, contacts feed.AgentContacts) (feed.AgentContacts, error) {
 	now := time.Now()
-	reply := s.front.ages(now)
-	s.learn(told, now)
+	reply := s.agents.contacts(now)
+	s.mergeContacts(contacts, now)
 	return reply, nil
 }
 
-func (s *Server) learn(told feed.Front, now time.Time) {
-	if s.front.learn(told, now) {
-		signal(s.frontChanged)
+func (s *Server) mergeContacts(contacts feed.AgentContacts, now time.Time) {
+	if s.agents.merge(contacts, now) {
+		signal(s.agentsChanged)
 	}
 }
--- a/internal/controlplane/feedserver/feedserver_test.go
+++ b/internal/controlplane/feedserver/feedserver_test.go
@@ -17,8 +17,8 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// state is a source of news that tests change.
-type state struct {
+// fakeSource is a source of news that tests change.
+type fakeSource struct {
 	mutex     sync.Mutex
 	version   uint64
 	leaders   map[string]feed.Leader
@@ -26,11 +26,11 @@
 	changed   chan struct{}
 }
 
-func newState() *state {
-	return &state{leaders: map[string]feed.Leader{}, inContact: true, changed: make(chan struct{})}
+func newFakeSource() *fakeSource {
+	return &fakeSource{leaders: map[string]feed.Leader{}, inContact: true, changed: make(chan struct{})}
 }
 
-func (s *state) update(change func(*state)) {
+func (s *fakeSource) update(change func(*fakeSource)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change(s)
@@ -38,7 +38,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *state) sources() Sources {
+func (s *fakeSource) sources() Sources {
 	return Sources{
 		Configuration: func() (uint64, []byte) {
 			s.mutex.Lock()
@@ -69,22 +69,22 @@
 
 func (c coreCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	server, there := c[address]
-	if !there || route.Path() != feed.FrontCall.Path() {
+	if !there || route.Path() != feed.AgentContactsCall.Path() {
 		return errors.New("unreachable")
 	}
-	answer, err := server.share(ctx, request.(feed.Front))
-	*reply.(*feed.Front) = answer
+	answer, err := server.exchangeContacts(ctx, request.(feed.AgentContacts))
+	*reply.(*feed.AgentContacts) = answer
 	return err
 }
 
-func newServer(source *state, address string, caller coreCaller) *Server {
+func newServer(source *fakeSource, address string, caller coreCaller) *Server {
 	server := New(Options{Sources: source.sources(), Caller: caller, Address: address, Logger: zap.NewNop()})
 	caller[address] = server
 	return server
 }
 
-// run runs servers until the function that it returns is called.
-func run(servers ...*Server) (stop func()) {
+// startServers runs servers until the function that it returns is called.
+func startServers(servers ...*Server) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for _, server := range servers {
@@ -96,22 +96,22 @@
 	}
 }
 
-func ask(server *Server, known feed.Digest, wait time.Duration, agent string, suspects ...string) feed.WatchReply {
-	reply, err := server.watch(context.Background(), feed.Watch{Known: known, WaitMS: wait.Milliseconds(), Agent: agent, Suspects: suspects})
+func watch(server *Server, known feed.Digest, wait time.Duration, agent string, suspects ...string) feed.WatchReply {
+	reply, err := server.watch(context.Background(), feed.WatchRequest{Known: known, WaitMS: wait.Milliseconds(), Agent: agent, Suspects: suspects})
 	So(err, ShouldBeNil)
 	return reply
 }
 
 func TestWatch(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		source := newState()
+		source := newFakeSource()
 		server := newServer(source, "a:1", coreCaller{})
-		stop := run(server)
+		stop := startServers(server)
 		synctest.Wait()
 
 		Convey("A reader that lacks something is answered at once", t, func() {
 			began := time.Now()
-			reply := ask(server, feed.Digest{}, time.Second, "")
+			reply := watch(server, feed.Digest{}, time.Second, "")
 			So(time.Since(began), ShouldEqual, 0)
 			So(reply.Current, ShouldBeTrue)
 			So(reply.Changed, ShouldBeTrue)
@@ -120,7 +120,7 @@
 		Convey("Without news the answer comes after the time asked, but no more than the bound", t, func() {
 			for _, c := range []struct{ asked, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxWait}} {
 				began := time.Now()
-				reply := ask(server, server.board.Digest(), c.asked, "")
+				reply := watch(server, server.snapshots.Digest(), c.asked, "")
 				So(time.Since(began), ShouldEqual, c.waited)
 				So(reply, ShouldResemble, feed.WatchReply{Current: true})
 			}
@@ -128,107 +128,107 @@
 		Convey("A change reaches all who wait, and changes in quick succession come together", t, func() {
 			replies := make(chan feed.WatchReply, 3)
 			began := time.Now()
-			known := server.board.Digest()
+			known := server.snapshots.Digest()
 			for range cap(replies) {
 				go func() {
-					reply, _ := server.watch(context.Background(), feed.Watch{Known: known, WaitMS: 2000})
+					reply, _ := server.watch(context.Background(), feed.WatchRequest{Known: known, WaitMS: 2000})
 					replies <- reply
 				}()
 			}
 			synctest.Wait()
-			source.update(func(s *state) { s.version = 5 })
-			source.update(func(s *state) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Epoch: 2}} })
+			source.update(func(s *fakeSource) { s.version = 5 })
+			source.update(func(s *fakeSource) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Epoch: 2}} })
 			for range cap(replies) {
 				reply := <-replies
 				So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 5)
 				So(reply.Snapshot.Leaders["g"].Epoch, ShouldEqual, 2)
 			}
-			So(time.Since(began), ShouldEqual, gatherTime)
+			So(time.Since(began), ShouldEqual, batchDelay)
 		})
 		Convey("What calls itself current has the newest configuration, though changes are gathered", t, func() {
-			source.update(func(s *state) { s.version = 6 })
-			for _, known := range []feed.Digest{{}, server.board.Digest()} {
-				reply := ask(server, known, 0, "")
+			source.update(func(s *fakeSource) { s.version = 6 })
+			for _, known := range []feed.Digest{{}, server.snapshots.Digest()} {
+				reply := watch(server, known, 0, "")
 				So(reply.Current, ShouldBeTrue)
 				So(reply.Snapshot, ShouldNotBeNil)
 				So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 6)
 			}
 		})
 		Convey("Without contact to a majority it says so at once", t, func() {
-			source.update(func(s *state) { s.inContact = false })
+			source.update(func(s *fakeSource) { s.inContact = false })
 			began := time.Now()
-			So(ask(server, server.board.Digest(), time.Second, "").Current, ShouldBeFalse)
+			So(watch(server, server.snapshots.Digest(), time.Second, "").Current, ShouldBeFalse)
 			So(time.Since(began), ShouldEqual, 0)
-			source.update(func(s *state) { s.inContact = true })
+			source.update(func(s *fakeSource) { s.inContact = true })
 		})
 		Convey("Contact that is lost while a reader waits is told in the answer", t, func() {
 			replies := make(chan feed.WatchReply)
-			known := server.board.Digest()
+			known := server.snapshots.Digest()
 			go func() {
-				reply, _ := server.watch(context.Background(), feed.Watch{Known: known, WaitMS: 2000})
+				reply, _ := server.watch(context.Background(), feed.WatchRequest{Known: known, WaitMS: 2000})
 				replies <- reply
 			}()
 			synctest.Wait()
-			source.update(func(s *state) { s.inContact = false })
+			source.update(func(s *fakeSource) { s.inContact = false })
 			So((<-replies).Current, ShouldBeFalse)
 		})
 		stop()
 	})
 }
 
-func TestAgentsAreRemembered(t *testing.T) {
+func TestAgentsAreTrackedAcrossCoreNodes(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		source := newState()
+		source := newFakeSource()
 		caller := coreCaller{}
 		here, there := newServer(source, "a:1", caller), newServer(source, "b:1", caller)
-		stop := run(here, there)
-		<-time.After(gatherTime) // the first state has been published
+		stop := startServers(here, there)
+		<-time.After(batchDelay) // the first state has been published
 		synctest.Wait()
 
 		Convey("Agents that ask appear together after a while, also at the other core mixers", t, func() {
 			began := time.Now()
-			known := here.board.Digest()
-			ask(here, known, 0, "x:2")
-			ask(here, known, 0, "y:2")
-			reply := ask(here, known, 2*time.Second, "y:2")
-			So(reply.Snapshot.Front, ShouldResemble, []string{"x:2", "y:2"})
-			So(time.Since(began), ShouldEqual, gatherFrontTime)
-			<-time.After(2 * shareInterval)
-			So(there.board.Snapshot().Front, ShouldResemble, []string{"x:2", "y:2"})
+			known := here.snapshots.Digest()
+			watch(here, known, 0, "x:2")
+			watch(here, known, 0, "y:2")
+			reply := watch(here, known, 2*time.Second, "y:2")
+			So(reply.Snapshot.Agents, ShouldResemble, []string{"x:2", "y:2"})
+			So(time.Since(began), ShouldEqual, agentBatchDelay)
+			<-time.After(2 * exchangeInterval)
+			So(there.snapshots.Snapshot().Agents, ShouldResemble, []string{"x:2", "y:2"})
 		})
 		Convey("A suspicion drops an agent only once it has been silent for a while", t, func() {
-			ask(here, feed.Digest{}, 0, "x:2", "y:2")
+			watch(here, feed.Digest{}, 0, "x:2", "y:2")
 			So(here.Agents(), ShouldResemble, []string{"x:2", "y:2"})
-			<-time.After(silenceBeforeDrop)
-			ask(here, feed.Digest{}, 0, "x:2", "y:2", "unknown:2")
+			<-time.After(minSilenceOfSuspect)
+			watch(here, feed.Digest{}, 0, "x:2", "y:2", "unknown:2")
 			So(here.Agents(), ShouldResemble, []string{"x:2"})
-			<-time.After(2 * shareInterval)
+			<-time.After(2 * exchangeInterval)
 			So(here.Agents(), ShouldResemble, []string{"x:2"})
 		})
 		Convey("It is back once it asks again, wherever", t, func() {
-			ask(there, feed.Digest{}, 0, "y:2")
-			<-time.After(2 * shareInterval)
+			watch(there, feed.Digest{}, 0, "y:2")
+			<-time.After(2 * exchangeInterval)
 			So(here.Agents(), ShouldResemble, []string{"x:2", "y:2"})
 		})
 		Convey("Agents that fall silent are forgotten everywhere", t, func() {
-			<-time.After(heardLimit + shareInterval + time.Millisecond)
+			<-time.After(contactTimeout + exchangeInterval + time.Millisecond)
 			So(here.Agents(), ShouldBeEmpty)
 			So(there.Agents(), ShouldBeEmpty)
-			<-time.After(tickInterval)
-			So(here.board.Snapshot().Front, ShouldBeEmpty)
+			<-time.After(expiryInterval)
+			So(here.snapshots.Snapshot().Agents, ShouldBeEmpty)
 		})
 		stop()
 	})
 }
 
-func TestOverLoopback(t *testing.T) {
+func TestWatchOverLoopback(t *testing.T) {
 	Convey("Given a server on loopback", t, func() {
-		source := newState()
+		source := newFakeSource()
 		server := newServer(source, "a:1", coreCaller{})
 		mux := transport.NewMux()
 		server.Mount(mux)
 		listening := httptest.NewServer(mux)
-		stop := run(server)
+		stop := startServers(server)
 		client := transport.NewClient()
 		Reset(func() {
 			client.Close()
@@ -237,32 +237,32 @@
 		})
 		address := listening.Listener.Addr().String()
 		call := func(known feed.Digest) (reply feed.WatchReply) {
-			ask := feed.Watch{Known: known, WaitMS: 2000, Agent: "x:2"}
-			So(client.Call(context.Background(), address, feed.WatchCall.Route(), ask, &reply), ShouldBeNil)
+			request := feed.WatchRequest{Known: known, WaitMS: 2000, Agent: "x:2"}
+			So(client.Call(context.Background(), address, feed.WatchCall.Route(), request, &reply), ShouldBeNil)
 			return reply
 		}
 		Convey("a call that waits brings the next change", func() {
-			source.update(func(s *state) { s.version = 5 })
+			source.update(func(s *fakeSource) { s.version = 5 })
 			var known feed.Digest
 			for known.ConfigurationVersion != 5 {
-				if news := call(known).Snapshot; news != nil {
-					known = news.Digest()
+				if update := call(known).Snapshot; update != nil {
+					known = update.Digest()
 				}
 			}
-			source.update(func(s *state) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Epoch: 2}} })
+			source.update(func(s *fakeSource) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Epoch: 2}} })
 			for {
-				news := call(known).Snapshot
-				if news == nil {
+				update := call(known).Snapshot
+				if update == nil {
 					continue
 				}
-				known = news.Digest()
+				known = update.Digest()
 				if known.LeaderEpochs["g"] == 2 {
-					So(news.Configuration, ShouldBeEmpty)
+					So(update.Configuration, ShouldBeEmpty)
 					break
 				}
 			}
-			var shared feed.Front
-			So(client.Call(context.Background(), address, feed.FrontCall.Route(), feed.Front{}, &shared), ShouldBeNil)
+			var shared feed.AgentContacts
+			So(client.Call(context.Background(), address, feed.AgentContactsCall.Route(), feed.AgentContacts{}, &shared), ShouldBeNil)
 			So(shared.Agents[0].Address, ShouldEqual, "x:2")
 		})
 	})
--- a/internal/controlplane/feedserver/front.go
+++ b/internal/controlplane/feedserver/front.go
@@ -9,60 +9,60 @@
 )
 
 const (
-	// heardLimit is how long an agent counts as there after it last asked for news.
-	heardLimit = 10 * time.Second
-	// silenceBeforeDrop is how long an agent must not have asked before the suspicion of another one drops it.
-	silenceBeforeDrop = 3 * time.Second
+	// contactTimeout is how long an agent counts as there after it last asked for news.
+	contactTimeout = 10 * time.Second
+	// minSilenceOfSuspect is how long an agent must not have asked before the suspicion of another one drops it.
+	minSilenceOfSuspect = 3 * time.Second
 )
 
 // front knows which agents have asked for news lately, here or at another core node.
-type front struct {
-	mutex   sync.Mutex
-	heard   map[string]time.Time
-	dropped map[string]time.Time // when suspicion dropped an agent, so that older news of it does not bring it back
+type agentSet struct {
+	mutex       sync.Mutex
+	lastContact map[string]time.Time
+	droppedAt   map[string]time.Time // when suspicion dropped an agent, so that older news of it does not bring it back
 }
 
-func newFront() *front {
-	return &front{heard: make(map[string]time.Time), dropped: make(map[string]time.Time)}
+func newAgentSet() *agentSet {
+	return &agentSet{lastContact: make(map[string]time.Time), droppedAt: make(map[string]time.Time)}
 }
 
-// hear records that an agent asked at a time, and tells whether it was not there before.
-func (f *front) hear(address string, at time.Time) bool {
+// recordContact records that an agent asked at a time, and tells whether it was not there before.
+func (f *agentSet) recordContact(address string, at time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if dropped, was := f.dropped[address]; was && !at.After(dropped) {
+	if dropped, was := f.droppedAt[address]; was && !at.After(dropped) {
 		return false
 	}
-	last, there := f.heard[address]
+	last, there := f.lastContact[address]
 	if there && !at.After(last) {
 		return false
 	}
-	f.heard[address] = at
-	delete(f.dropped, address)
+	f.lastContact[address] = at
+	delete(f.droppedAt, address)
 	return !there
 }
 
-// suspect drops an agent that has been silent for some time, and tells whether it did.
-func (f *front) suspect(address string, now time.Time) bool {
+// reportSuspect drops an agent that has been silent for some time, and tells whether it did.
+func (f *agentSet) reportSuspect(address string, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	last, there := f.heard[address]
-	if !there || now.Sub(last) < silenceBeforeDrop {
+	last, there := f.lastContact[address]
+	if !there || now.Sub(last) < minSilenceOfSuspect {
 		return false
 	}
-	delete(f.heard, address)
-	f.dropped[address] = now
+	delete(f.lastContact, address)
+	f.droppedAt[address] = now
 	return true
 }
 
-// agents lists those that are there, sorted, and forgets the others.
-func (f *front) agents(now time.Time) []string {
+// active lists those that are there, sorted, and forgets the others.
+func (f *agentSet) active(now time.Time) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	forget(f.heard, now)
-	forget(f.dropped, now)
-	addresses := make([]string, 0, len(f.heard))
-	for address := range f.heard {
+	forget(f.lastContact, now)
+	forget(f.droppedAt, now)
+	addresses := make([]string, 0, len(f.lastContact))
+	for address := range f.lastContact {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
@@ -71,32 +71,32 @@
 
 func forget(times map[string]time.Time, now time.Time) {
 	for address, at := range times {
-		if now.Sub(at) > heardLimit {
+		if now.Sub(at) > contactTimeout {
 			delete(times, address)
 		}
 	}
 }
 
-// ages is what other core nodes are told.
-func (f *front) ages(now time.Time) feed.Front {
+// contacts is what other core nodes are told.
+func (f *agentSet) contacts(now time.Time) feed.AgentContacts {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	var told feed.Front
-	for address, at := range f.heard {
-		told.Agents = append(told.Agents, feed.Heard{Address: address, AgeMS: now.Sub(at).Milliseconds()})
+	var contacts feed.AgentContacts
+	for address, at := range f.lastContact {
+		contacts.Agents = append(contacts.Agents, feed.AgentContact{Address: address, AgeMS: now.Sub(at).Milliseconds()})
 	}
-	return told
+	return contacts
 }
 
 // learn takes over what another core node told, and tells whether an agent is new.
-func (f *front) learn(told feed.Front, now time.Time) bool {
+func (f *agentSet) merge(contacts feed.AgentContacts, now time.Time) bool {
 	isNew := false
-	for _, agent := range told.Agents {
+	for _, agent := range contacts.Agents {
 		age := time.Duration(agent.AgeMS) * time.Millisecond
-		if age < 0 || age > heardLimit {
+		if age < 0 || age > contactTimeout {
 			continue
 		}
-		if f.hear(agent.Address, now.Add(-age)) {
+		if f.recordContact(agent.Address, now.Add(-age)) {
 			isNew = true
 		}
 	}
--- a/internal/controlplane/feedserver/run.go
+++ b/internal/controlplane/feedserver/run.go
@@ -18,7 +18,7 @@
 	for _, source := range s.options.Sources.Changed {
 		running.Go(func() { s.follow(ctx, source) })
 	}
-	running.Go(func() { s.shareRegularly(ctx) })
+	running.Go(func() { s.exchangePeriodically(ctx) })
 	s.publishChanges(ctx)
 	return nil
 }
@@ -40,10 +40,10 @@
 // a signal.
 func (s *Server) publishChanges(ctx context.Context) {
 	s.publish()
-	timer := time.NewTimer(tickInterval)
+	timer := time.NewTimer(expiryInterval)
 	defer timer.Stop()
-	due := time.Now().Add(tickInterval)
-	sooner := func(pause time.Duration) {
+	due := time.Now().Add(expiryInterval)
+	scheduleBy := func(pause time.Duration) {
 		if at := time.Now().Add(pause); at.Before(due) {
 			due = at
 			timer.Reset(pause)
@@ -54,13 +54,13 @@
 		case <-ctx.Done():
 			return
 		case <-s.changed:
-			sooner(gatherTime)
-		case <-s.frontChanged:
-			sooner(gatherFrontTime)
+			scheduleBy(batchDelay)
+		case <-s.agentsChanged:
+			scheduleBy(agentBatchDelay)
 		case <-timer.C:
 			s.publish()
-			due = time.Now().Add(tickInterval)
-			timer.Reset(tickInterval)
+			due = time.Now().Add(expiryInterval)
+			timer.Reset(expiryInterval)
 		}
 	}
 }
@@ -69,48 +69,48 @@
 func (s *Server) publish() {
 	sources := s.options.Sources
 	version, body := sources.Configuration()
-	s.board.MergeWithMembers(&feed.Snapshot{
+	s.snapshots.MergeWithMembers(&feed.Snapshot{
 		ConfigurationVersion: version,
 		Configuration:        body,
 		Leaders:              sources.Leaders(),
 		Core:                 slices.Sorted(slices.Values(sources.Core())), // the order must not change the checksum
-		Front:                s.front.agents(time.Now()),
+		Agents:               s.agents.active(time.Now()),
 	})
 }
 
-// shareRegularly exchanges the agents heard with one other core node after the other.
-func (s *Server) shareRegularly(ctx context.Context) {
-	ticker := time.NewTicker(shareInterval)
+// exchangePeriodically exchanges the agents heard with one other core node after the other.
+func (s *Server) exchangePeriodically(ctx context.Context) {
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
-	for turn := 0; ; turn++ {
+	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if others := s.others(); len(others) > 0 {
-			s.shareWith(ctx, others[turn%len(others)])
+		if peers := s.peers(); len(peers) > 0 {
+			s.exchangeWith(ctx, peers[round%len(peers)])
 		}
 	}
 }
 
-func (s *Server) others() []string {
-	var others []string
+func (s *Server) peers() []string {
+	var peers []string
 	for _, address := range s.options.Sources.Core() {
 		if address != s.options.Address {
-			others = append(others, address)
+			peers = append(peers, address)
 		}
 	}
-	return others
+	return peers
 }
 
-func (s *Server) shareWith(ctx context.Context, core string) {
-	bounded, cancel := context.WithTimeout(ctx, shareTimeout)
+func (s *Server) exchangeWith(ctx context.Context, core string) {
+	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.FrontCall.Call(bounded, s.options.Caller, core, s.front.ages(time.Now()))
+	reply, err := feed.AgentContactsCall.Call(bounded, s.options.Caller, core, s.agents.contacts(time.Now()))
 	if err != nil {
 		s.options.Logger.Debug("agents not shared", zap.String("core", core), zap.Error(err))
 		return
 	}
-	s.learn(reply, time.Now())
+	s.mergeContacts(reply, time.Now())
 }
--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -26,7 +26,7 @@
 // Agent follows the feed. Its methods may be called from any goroutine.
 type Agent struct {
 	config  Config
-	board   *feed.Board
+	board   *feed.SnapshotStore
 	contact *contact
 	peers   *peers
 	// download gathers a configuration that is newer than the board's.
@@ -42,7 +42,7 @@
 func New(config Config) *Agent {
 	return &Agent{
 		config:  config,
-		board:   feed.NewBoard(),
+		board:   feed.NewSnapshotStore(),
 		contact: newContact(),
 		peers:   newPeers(config.Address),
 		seeds:   config.Seeds,
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -33,7 +33,7 @@
 		Convey("All agents know all members and are in contact", t, func() {
 			for _, a := range w.agents {
 				So(len(a.Snapshot().Core), ShouldEqual, 3)
-				So(len(a.Snapshot().Front), ShouldEqual, 8)
+				So(len(a.Snapshot().Agents), ShouldEqual, 8)
 				So(a.InContact(), ShouldBeTrue)
 			}
 		})
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -156,7 +156,7 @@
 		return chunksCall{}, false
 	}
 	sums := d.collection.Missing(1 + d.bytes/packedChunk)
-	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.JoinSums(sums), Room: d.bytes}}, true
+	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.JoinSums(sums), MaxBytes: d.bytes}}, true
 }
 
 // arrived takes in the answer to a call. A source without any of the parts is not asked again.
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -30,7 +30,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		a.peers.setFront(a.board.Snapshot().Front)
+		a.peers.setFront(a.board.Snapshot().Agents)
 		if peer := a.peers.choose(); peer != "" {
 			err := a.exchange(ctx, peer)
 			if ctx.Err() != nil {
@@ -80,7 +80,7 @@
 
 // told is what this agent tells a peer.
 func (a *Agent) told(news *feed.Snapshot) feed.Exchange {
-	return feed.Exchange{Known: a.digest(), Snapshot: news, Agent: a.config.Address, Room: a.download.room()}
+	return feed.Exchange{Known: a.digest(), Snapshot: news, Agent: a.config.Address, MaxBytes: a.download.room()}
 }
 
 // digest names what this agent knows or is fetching, with the age of its members.
@@ -104,10 +104,10 @@
 	known := peer.Known
 	theirs := time.Duration(known.MembersAgeMS) * time.Millisecond
 	if theirs > oldMembers && a.membersAge(time.Now()) < theirs {
-		news, _ := a.board.Since(known)
-		return a.board.ByChunks(news, known, peer.Room)
+		news, _ := a.board.UpdateSince(known)
+		return a.board.AsOffer(news, known, peer.MaxBytes)
 	}
-	return a.board.ByChunks(a.board.Newer(known), known, peer.Room)
+	return a.board.AsOffer(a.board.NewerThan(known), known, peer.MaxBytes)
 }
 
 // takeFromPeer merges what a peer told. Its members are taken over only if they are newer and the own ones are old.
--- a/internal/dataplane/agent/exchange_test.go
+++ b/internal/dataplane/agent/exchange_test.go
@@ -36,7 +36,7 @@
 			<-time.After(5 * time.Second)
 			w.addAgent("agent-8", []string{"core-1"})
 			<-time.After(10 * time.Second)
-			So(slices.Contains(w.agents["agent-3"].Snapshot().Front, "agent-8"), ShouldBeTrue)
+			So(slices.Contains(w.agents["agent-3"].Snapshot().Agents, "agent-8"), ShouldBeTrue)
 			So(w.agents["agent-3"].InContact(), ShouldBeFalse)
 		})
 	})
@@ -44,7 +44,7 @@
 
 func TestPeersThatFail(t *testing.T) {
 	inWorld(t, 3, 6, func(w *world) {
-		front := func() []string { return w.agents["agent-0"].Snapshot().Front }
+		front := func() []string { return w.agents["agent-0"].Snapshot().Agents }
 		Convey("One that is down is soon dropped", t, func() {
 			w.network.setDown("agent-4", true)
 			<-time.After(8 * time.Second)
@@ -119,8 +119,8 @@
 	Convey("Given an agent whose members were confirmed a while ago", t, func() {
 		network := newNetwork()
 		a := New(Config{Address: "agent-0", Caller: endpoint{network, "agent-0"}})
-		a.board.MergeWithMembers(&feed.Snapshot{Core: []string{"core-0"}, Front: []string{"agent-0"}})
-		told := feed.Exchange{Snapshot: &feed.Snapshot{Core: []string{"core-9"}, Front: []string{"agent-9"}}}
+		a.board.MergeWithMembers(&feed.Snapshot{Core: []string{"core-0"}, Agents: []string{"agent-0"}})
+		told := feed.Exchange{Snapshot: &feed.Snapshot{Core: []string{"core-9"}, Agents: []string{"agent-9"}}}
 		core := func() string { return a.Snapshot().Core[0] }
 		tell := func(age time.Duration) {
 			told.Known.MembersAgeMS = age.Milliseconds()
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -105,12 +105,12 @@
 	began := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	ask := feed.Watch{
+	ask := feed.WatchRequest{
 		Known:    a.claimed(),
 		WaitMS:   wait.Milliseconds(),
 		Agent:    a.config.Address,
 		Suspects: a.peers.suspects(),
-		Room:     a.download.room(),
+		MaxBytes: a.download.room(),
 	}
 	reply, err := feed.WatchCall.Call(bounded, a.config.Caller, core, ask)
 	if err != nil {
--- a/internal/dataplane/agent/local.go
+++ b/internal/dataplane/agent/local.go
@@ -11,12 +11,12 @@
 const maxLocalWait = 2 * time.Second
 
 // handleLocal answers the proxy as soon as there is news or contact to the control plane has come or gone.
-func (a *Agent) handleLocal(ctx context.Context, ask feed.Watch) (feed.WatchReply, error) {
+func (a *Agent) handleLocal(ctx context.Context, ask feed.WatchRequest) (feed.WatchReply, error) {
 	wait := min(time.Duration(ask.WaitMS)*time.Millisecond, maxLocalWait)
 	deadline := time.Now().Add(wait)
 	for {
 		regained := a.contact.whenRegained()
-		news, changed := a.board.Since(ask.Known)
+		news, changed := a.board.UpdateSince(ask.Known)
 		now := time.Now()
 		left := a.contact.left(now)
 		inContact := left > 0
--- a/internal/dataplane/agent/local_test.go
+++ b/internal/dataplane/agent/local_test.go
@@ -20,7 +20,7 @@
 		Convey("A first call brings everything", t, func() {
 			w.setVersion(5)
 			<-time.After(50 * time.Millisecond)
-			reply := proxyAsk(w, "agent-0", feed.Watch{})
+			reply := proxyAsk(w, "agent-0", feed.WatchRequest{})
 			So(reply.Current, ShouldBeTrue)
 			So(string(reply.Snapshot.Configuration), ShouldEqual, "configuration 5")
 			So(len(reply.Snapshot.Core), ShouldEqual, 3)
@@ -28,14 +28,14 @@
 		Convey("A call without news lasts as long as asked, up to a bound", t, func() {
 			for _, c := range []struct{ asked, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxLocalWait}} {
 				began := time.Now()
-				reply := proxyAsk(w, "agent-0", feed.Watch{Known: known(), WaitMS: c.asked.Milliseconds(), Current: true})
+				reply := proxyAsk(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: c.asked.Milliseconds(), Current: true})
 				So(time.Since(began), ShouldEqual, c.waited)
 				So(reply, ShouldResemble, feed.WatchReply{Current: true})
 			}
 		})
 		Convey("News end it at once", t, func() {
 			replies := make(chan feed.WatchReply)
-			ask := feed.Watch{Known: known(), WaitMS: 2000, Current: true}
+			ask := feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}
 			go func() { replies <- proxyAsk(w, "agent-0", ask) }()
 			synctest.Wait()
 			began := time.Now()
@@ -46,13 +46,13 @@
 		Convey("The loss of contact ends it, and so does its return", t, func() {
 			w.network.setCut(between("agent-0", isCore))
 			began := time.Now()
-			reply := proxyAsk(w, "agent-0", feed.Watch{Known: known(), WaitMS: 2000, Current: true})
+			reply := proxyAsk(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true})
 			So(reply.Current, ShouldBeFalse)
 			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactLimit)
-			So(proxyAsk(w, "agent-0", feed.Watch{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
+			So(proxyAsk(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
 
 			replies := make(chan feed.WatchReply)
-			ask := feed.Watch{Known: known(), WaitMS: 2000}
+			ask := feed.WatchRequest{Known: known(), WaitMS: 2000}
 			go func() { replies <- proxyAsk(w, "agent-0", ask) }()
 			synctest.Wait()
 			w.network.setCut(func(string, string) bool { return false })
@@ -81,7 +81,7 @@
 			replies := make(chan feed.WatchReply, 1)
 			go func() {
 				var reply feed.WatchReply
-				client.Call(context.Background(), address, feed.LocalCall.Route(), feed.Watch{WaitMS: 2000}, &reply)
+				client.Call(context.Background(), address, feed.LocalCall.Route(), feed.WatchRequest{WaitMS: 2000}, &reply)
 				replies <- reply
 			}()
 			news := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("configuration 5")}
--- a/internal/dataplane/agent/metrics.go
+++ b/internal/dataplane/agent/metrics.go
@@ -15,6 +15,6 @@
 		metrics.Gauge("puffinlink_known_leaders", "Services whose jobs have a known leader.",
 			func() float64 { return float64(len(a.Snapshot().Leaders)) }),
 		metrics.Gauge("puffinlink_known_core", "Core mixers known.", func() float64 { return float64(len(a.Snapshot().Core)) }),
-		metrics.Gauge("puffinlink_known_agents", "Agents of front machines known.", func() float64 { return float64(len(a.Snapshot().Front)) }),
+		metrics.Gauge("puffinlink_known_agents", "Agents of front machines known.", func() float64 { return float64(len(a.Snapshot().Agents)) }),
 	}
 }
--- a/internal/dataplane/agent/stale_test.go
+++ b/internal/dataplane/agent/stale_test.go
@@ -23,7 +23,7 @@
 			<-time.After(10 * time.Second)
 			So(w.stragglers(5), ShouldBeEmpty)
 			So(w.agents[alone].InContact(), ShouldBeFalse)
-			reply := proxyAsk(w, alone, feed.Watch{})
+			reply := proxyAsk(w, alone, feed.WatchRequest{})
 			So(reply.Current, ShouldBeFalse)
 			So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 5)
 		})
@@ -41,7 +41,7 @@
 			<-time.After(contactLimit + pollWait)
 			synctest.Wait()
 			So(w.agents[agent].InContact(), ShouldBeFalse)
-			So(proxyAsk(w, agent, feed.Watch{}).Current, ShouldBeFalse)
+			So(proxyAsk(w, agent, feed.WatchRequest{}).Current, ShouldBeFalse)
 		})
 	})
 }
--- a/internal/dataplane/agent/world_test.go
+++ b/internal/dataplane/agent/world_test.go
@@ -142,7 +142,7 @@
 }
 
 // proxyAsk is a call of the proxy beside an agent.
-func proxyAsk(w *world, address string, watch feed.Watch) feed.WatchReply {
+func proxyAsk(w *world, address string, watch feed.WatchRequest) feed.WatchReply {
 	var reply feed.WatchReply
 	if err := serve(context.Background(), w.network.muxes[address], feed.LocalCall.Path(), watch, &reply); err != nil {
 		panic(err)
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -98,7 +98,7 @@
 	}
 	answer := reply.(*feed.WatchReply)
 	*answer = feed.WatchReply{Current: true}
-	if request.(feed.Watch).Known.ConfigurationVersion == 0 {
+	if request.(feed.WatchRequest).Known.ConfigurationVersion == 0 {
 		answer.Changed, answer.Snapshot = true, &c.snapshot
 		return nil
 	}
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -112,7 +112,7 @@
 	began := f.now()
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
 	defer cancel()
-	watch := feed.Watch{Known: f.digest(), WaitMS: watchWait.Milliseconds(), Current: !f.stale()}
+	watch := feed.WatchRequest{Known: f.digest(), WaitMS: watchWait.Milliseconds(), Current: !f.stale()}
 	reply, err := feed.LocalCall.Call(ctx, f.caller, f.agent, watch)
 	if err != nil {
 		return false, fmt.Errorf("ask the agent: %w", err)
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -207,7 +207,7 @@
 }
 
 // watch answers once something is new to the proxy, or the test has changed something.
-func (a *standInAgent) watch(ctx context.Context, watch feed.Watch) (feed.WatchReply, error) {
+func (a *standInAgent) watch(ctx context.Context, watch feed.WatchRequest) (feed.WatchReply, error) {
 	reply, changed := a.reply(watch.Known)
 	if reply.Changed {
 		return reply, nil
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -234,7 +234,7 @@
 		sent := time.Now()
 		call, cancel := context.WithTimeout(context.Background(), callPatience)
 		var reply feed.WatchReply
-		err := endpoint{w.network, w.outside, 0}.Call(call, m.address, route, feed.Watch{}, &reply)
+		err := endpoint{w.network, w.outside, 0}.Call(call, m.address, route, feed.WatchRequest{}, &reply)
 		cancel()
 		if err == nil && reply.Current && reply.Snapshot != nil {
 			w.judge.fed(m.address, sent, age, reply.Snapshot.ConfigurationVersion)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -77,7 +77,7 @@
 		s := open(t, handlers(first))
 		checkOutcomes(t, s)
 		checkIdentities(t, s, first)
-		checkOnce(t, s, first)
+		checkAtMostOnceCalls(t, s, first)
 		Convey("an answer reaches its own call among many that are given up", func() { checkCancellations(t, s) })
 	})
 }
@@ -153,21 +153,21 @@
 	})
 }
 
-// checkOnce checks calls that may not be repeated.
-func checkOnce(t *testing.T, s fixture, first transport.Identity) {
+// checkAtMostOnceCalls checks calls that may not be repeated.
+func checkAtMostOnceCalls(t *testing.T, s fixture, first transport.Identity) {
 	send := func() error {
 		_, err := countCall.Call(t.Context(), s.caller, s.served, echo{})
 		return err
 	}
 	Convey("a call that may not be repeated is carried out once, also on first contact", func() {
-		countingConn := newCountingProcess(first)
-		s.replace(countingConn)
+		process := newCountingCallee(first)
+		s.replace(process)
 		So(send(), ShouldBeNil)
 		So(send(), ShouldBeNil)
-		So(countingConn.executions.Load(), ShouldEqual, 2)
+		So(process.executions.Load(), ShouldEqual, 2)
 	})
 	Convey("a process that was started again does not get it by itself, but the next one", func() {
-		before, after := newCountingProcess(first), newCountingProcess(transport.NewIdentity(first.Cluster, first.Node))
+		before, after := newCountingCallee(first), newCountingCallee(transport.NewIdentity(first.Cluster, first.Node))
 		s.replace(before)
 		So(send(), ShouldBeNil)
 		s.replace(after)
@@ -214,14 +214,14 @@
 	So(answered.Load(), ShouldBeGreaterThan, callers*callsEach/2)
 }
 
-// countingProcess serves countCall and counts how often it is carried out.
-type countingProcess struct {
+// countingCallee serves countCall and counts how often it is carried out.
+type countingCallee struct {
 	*transport.Mux
 	executions atomic.Int64
 }
 
-func newCountingProcess(self transport.Identity) *countingProcess {
-	c := &countingProcess{Mux: transport.NewMuxFor(self)}
+func newCountingCallee(self transport.Identity) *countingCallee {
+	c := &countingCallee{Mux: transport.NewMuxFor(self)}
 	transport.Handle(c.Mux, countCall, func(context.Context, echo) (echo, error) {
 		return echo{Number: uint64(c.executions.Add(1))}, nil
 	})
@@ -290,9 +290,9 @@
 
 // FuzzRequests hands any bytes to a handler: it answers, and never with success what cannot be read.
 func FuzzRequests(f *testing.F) {
-	whole, _ := msgpack.Marshal(echo{Text: "text", State: map[string][]byte{"a": {1}}})
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
+	encoded, _ := msgpack.Marshal(echo{Text: "text", State: map[string][]byte{"a": {1}}})
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)/2])
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte("text"))
 	mux := handlers(transport.Identity{})
--- a/internal/transport/resets_test.go
+++ b/internal/transport/resets_test.go
@@ -45,23 +45,23 @@
 	idempotentCall = transport.NewIdempotent[echo, echo]("/run-again")
 )
 
-// result is how one call ended, before all that was sent has been received.
-type result struct {
-	number uint64
-	cut    resettest.Direction
-	after  int
-	err    error
+// outcome is how one call ended, before all that was sent has been received.
+type outcome struct {
+	number    uint64
+	direction resettest.Direction
+	offset    int
+	err       error
 }
 
-// kind is a way to send a call.
-type kind struct {
-	name      string
-	reused    bool // on a connection that a call was sent on before, to a process that is known
-	asksFirst bool // who serves the address, as the process is not known
-	send      func(ctx context.Context, client *transport.Client, address string, request echo) (echo, error)
+// callKind is a way to send a call.
+type callKind struct {
+	name          string
+	reused        bool // on a connection that a call was sent on before, to a process that is known
+	needsIdentity bool // who serves the address, as the process is not known
+	send          func(ctx context.Context, client *transport.Client, address string, request echo) (echo, error)
 }
 
-var kinds = []kind{
+var callKinds = []callKind{
 	{"repeatable, on a new connection", false, false, sendIdempotent},
 	{"repeatable, on a connection used before", true, false, sendIdempotent},
 	{"once, on a new connection", false, true, sendAtMostOnce},
@@ -77,7 +77,7 @@
 }
 
 // id makes one call whose connection is reset after so many bytes.
-func (b *resetFixture) call(t *testing.T, kind kind, cut resettest.Direction, after int) result {
+func (b *resetFixture) call(t *testing.T, kind callKind, cut resettest.Direction, after int) outcome {
 	client := transport.NewClientFor(testCluster)
 	defer client.Close()
 	b.relay.Arm(cut, resettest.NoReset)
@@ -93,17 +93,17 @@
 	if err == nil && (reply.Number != request.Number || reply.Text != request.Text) {
 		t.Fatalf("answer %v to %v", reply, request)
 	}
-	return result{b.number, cut, after, err}
+	return outcome{b.number, cut, after, err}
 }
 
 // TestConnectionsResetAtEachByte resets a connection at each byte of a call and of its answer.
 func TestConnectionsResetAtEachByte(t *testing.T) {
-	for _, kind := range kinds {
+	for _, kind := range callKinds {
 		Convey("A call that is "+kind.name, t, func() {
 			b := newResetFixture(t)
 			So(b.call(t, kind, resettest.Requests, resettest.NoReset).err, ShouldBeNil)
 			lengths := [2]int{b.relay.Passed(resettest.Requests), b.relay.Passed(resettest.Responses)}
-			var results []result
+			var results []outcome
 			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
 				for after := range lengths[cut] {
 					results = append(results, b.call(t, kind, cut, after))
@@ -116,7 +116,7 @@
 			for _, r := range results {
 				if !b.satisfies(kind, r) {
 					faults++
-					t.Errorf("%s, reset after byte %d of way %d: ran %d times, error %v", kind.name, r.after, r.cut, b.callee.executions[r.number].Load(), r.err)
+					t.Errorf("%s, reset after byte %d of way %d: ran %d times, error %v", kind.name, r.offset, r.direction, b.callee.executions[r.number].Load(), r.err)
 				}
 			}
 			So(faults, ShouldEqual, 0)
@@ -126,14 +126,14 @@
 }
 
 // satisfies judges a call whose connection was reset.
-func (b *resetFixture) satisfies(kind kind, r result) bool {
+func (b *resetFixture) satisfies(kind callKind, r outcome) bool {
 	runs := b.callee.executions[r.number].Load()
 	if r.err == nil || runs > 1 {
 		return false
 	}
-	if kind.asksFirst {
+	if kind.needsIdentity {
 		return runs == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
 	}
-	ranBefore := r.cut == resettest.Responses // the call had arrived, and all of an answer comes after the run
+	ranBefore := r.direction == resettest.Responses // the call had arrived, and all of an answer comes after the run
 	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (runs == 1) == ranBefore
 }
--- a/internal/transport/responses_test.go
+++ b/internal/transport/responses_test.go
@@ -51,7 +51,7 @@
 
 func TestResponsesOfOtherProcessesAreRejected(t *testing.T) {
 	self := transport.NewIdentity(testCluster, "node-a")
-	cut := func(from string) (process, call string) {
+	splitHeader := func(from string) (process, call string) {
 		at := strings.LastIndex(from, "/")
 		return from[:at], from[at+1:]
 	}
@@ -65,14 +65,14 @@
 
 		for name, wrong := range map[string]func(string) string{
 			"an answer to another call": func(from string) string { return from + "1" },
-			"an answer to no call":      func(from string) string { process, _ := cut(from); return process + "/" },
+			"an answer to no call":      func(from string) string { process, _ := splitHeader(from); return process + "/" },
 			"an answer without a name":  func(string) string { return "" },
 			"another process's answer": func(from string) string {
-				_, call := cut(from)
+				_, call := splitHeader(from)
 				return transport.NewIdentity(testCluster, "node-a").String() + "/" + call
 			},
 			"another machine's answer": func(from string) string {
-				_, call := cut(from)
+				_, call := splitHeader(from)
 				return transport.NewIdentity(testCluster, "node-b").String() + "/" + call
 			},
 		} {
@@ -92,7 +92,7 @@
 	})
 	Convey("On first contact another cluster's answer is not taken", t, func() {
 		client, address := serveAndDial(t, withFromHeader(handlers(self), func(from string) string {
-			_, call := cut(from)
+			_, call := splitHeader(from)
 			return transport.NewIdentity("another", "node-a").String() + "/" + call
 		}))
 		_, err := echoCall.Call(t.Context(), client, address, sample)
@@ -109,11 +109,11 @@
 		}
 	})
 	Convey("But a call that may not be repeated is not sent to who has no name", t, func() {
-		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
-		client, address := serveAndDial(t, withFromHeader(countingConn, func(string) string { return "" }))
+		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
+		client, address := serveAndDial(t, withFromHeader(process, func(string) string { return "" }))
 		_, err := countCall.Call(t.Context(), client, address, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
-		So(countingConn.executions.Load(), ShouldEqual, 0)
+		So(process.executions.Load(), ShouldEqual, 0)
 	})
 	Convey("A call without an addressee is taken", t, func() {
 		body, err := msgpack.Marshal(sample)
@@ -151,31 +151,31 @@
 
 func TestDuplicateAtMostOnceCallsAreRejected(t *testing.T) {
 	Convey("A call that may not be repeated is not carried out a second time when a copy arrives", t, func() {
-		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
+		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		deliver := func(call string) int {
 			request := httptest.NewRequest(http.MethodPost, countCall.Path(), strings.NewReader("\x80"))
 			request.Header.Set(transport.ToHeader, "cluster%20%2A%2F1/*/*/"+call)
 			recorder := httptest.NewRecorder()
-			countingConn.ServeHTTP(recorder, request)
+			process.ServeHTTP(recorder, request)
 			return recorder.Code
 		}
 		So(deliver("a"), ShouldEqual, http.StatusOK)
 		So(deliver("b"), ShouldEqual, http.StatusOK)
 		So(deliver("a"), ShouldEqual, http.StatusInternalServerError) // unclear to the caller: the first one ran
-		So(countingConn.executions.Load(), ShouldEqual, 2)
+		So(process.executions.Load(), ShouldEqual, 2)
 	})
 }
 
 // TestLateAtMostOnceCallsAreRejected lets calls arrive when their callers have given them up, as at a callee that was frozen.
 func TestLateAtMostOnceCallsAreRejected(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
+		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		repeatable := transport.NewIdempotent[echo, echo]("/other")
-		transport.Handle(countingConn.Mux, repeatable, func(context.Context, echo) (echo, error) {
-			return echo{Number: uint64(countingConn.executions.Add(1))}, nil
+		transport.Handle(process.Mux, repeatable, func(context.Context, echo) (echo, error) {
+			return echo{Number: uint64(process.executions.Add(1))}, nil
 		})
 		network := networktest.New(1)
-		network.Serve("served:1", countingConn)
+		network.Serve("served:1", process)
 		caller := network.CallerOf(testCluster, "caller:1")
 		send := func(endpoint interface {
 			Call(context.Context, transport.Caller, string, echo) (echo, error)
@@ -185,8 +185,8 @@
 			_, err := endpoint.Call(ctx, caller, "served:1", echo{})
 			return err
 		}
-		if err := send(countCall); err != nil || countingConn.executions.Load() != 1 {
-			t.Fatal(err, countingConn.executions.Load())
+		if err := send(countCall); err != nil || process.executions.Load() != 1 {
+			t.Fatal(err, process.executions.Load())
 		}
 		time.Sleep(time.Hour) // the clock that was learned stays good
 		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, Times: 1})
@@ -195,17 +195,17 @@
 			t.Error("a call that has not arrived was said to have not run:", err)
 		}
 		time.Sleep(time.Minute)
-		if runs := countingConn.executions.Load(); runs != 1 {
+		if runs := process.executions.Load(); runs != 1 {
 			t.Errorf("a call that came 19 s after it was given up ran: %d runs", runs)
 		}
 		if err := send(repeatable); err == nil {
 			t.Error("answered in time")
 		}
 		time.Sleep(time.Minute)
-		if runs := countingConn.executions.Load(); runs != 2 {
+		if runs := process.executions.Load(); runs != 2 {
 			t.Errorf("a repeatable call may come late: %d runs", runs)
 		}
-		if err := send(countCall); err != nil || countingConn.executions.Load() != 3 {
+		if err := send(countCall); err != nil || process.executions.Load() != 3 {
 			t.Error("a call in time was refused:", err)
 		}
 	})
@@ -213,9 +213,9 @@
 
 func TestRepliesAreDecodedWhollyOrNotAtAll(t *testing.T) {
 	Convey("An answer that breaks off within a field leaves nothing in the reply", t, func() {
-		whole, err := msgpack.Marshal(sample)
+		encoded, err := msgpack.Marshal(sample)
 		So(err, ShouldBeNil)
-		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(whole[:len(whole)-1]) }))
+		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(encoded[:len(encoded)-1]) }))
 		reply := echo{Text: "before"}
 		err = client.Call(t.Context(), address, echoCall.Route(), sample, &reply)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
--- a/internal/transport/sendtracker_test.go
+++ b/internal/transport/sendtracker_test.go
@@ -90,10 +90,10 @@
 
 func TestACallOnABrokenConnectionIsNotRetried(t *testing.T) {
 	Convey("Given a callee that breaks off each second call on a connection once it has run", t, func() {
-		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
+		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		var calls atomic.Int64
 		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			countingConn.ServeHTTP(w, r)
+			process.ServeHTTP(w, r)
 			if calls.Add(1)%2 == 0 {
 				panic(http.ErrAbortHandler) // the answer is still in the server's buffer
 			}
@@ -106,7 +106,7 @@
 				_, err = repeatable.Call(t.Context(), client, address, echo{})
 				So(err, ShouldNotBeNil)
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
-				So(countingConn.executions.Load(), ShouldEqual, 2*pair+2)
+				So(process.executions.Load(), ShouldEqual, 2*pair+2)
 			}
 		})
 	})
@@ -122,8 +122,8 @@
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 	Convey("One that is given up at any moment is not said to have not run, if it has", t, func() {
-		countingConn := newCountingProcess(transport.NewIdentity(testCluster, "node-a"))
-		client, address := serveAndDial(t, countingConn)
+		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
+		client, address := serveAndDial(t, process)
 		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
 		notRun := int64(0)
 		const calls = 400
@@ -141,6 +141,6 @@
 		defer server.Close()
 		_, err := repeatable.Call(t.Context(), server, address, echo{})
 		So(err, ShouldBeNil)
-		So(countingConn.executions.Load(), ShouldBeLessThanOrEqualTo, calls+1-notRun)
+		So(process.executions.Load(), ShouldBeLessThanOrEqualTo, calls+1-notRun)
 	})
 }
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -30,14 +30,14 @@
 
 // Size of a schedule.
 const (
-	modelAddresses = 3
-	modelCallers   = 3
-	modelCalls     = 10 // of each caller
-	modelEvents    = 8  // restarts and replacements
-	modelPause     = 60 * time.Millisecond
-	modelLimit     = 250 * time.Millisecond // of a call, at most
-	modelLateDelay = 600 * time.Millisecond
-	modelSettled   = 2 * modelLateDelay // after which nothing is under way
+	modelAddresses   = 3
+	modelCallers     = 3
+	modelCalls       = 10 // of each caller
+	modelEvents      = 8  // restarts and replacements
+	maxEventInterval = 60 * time.Millisecond
+	modelLimit       = 250 * time.Millisecond // of a call, at most
+	modelLateDelay   = 600 * time.Millisecond
+	modelDrainTime   = 2 * modelLateDelay // after which nothing is under way
 )
 
 // token names one call of the model.
@@ -138,14 +138,14 @@
 // restartProcesses restarts processes and lets other machines take addresses.
 func (s *simulation) restartProcesses(random *rand.Rand) {
 	for event := range modelEvents {
-		time.Sleep(time.Duration(random.Int64N(int64(2 * modelPause))))
+		time.Sleep(time.Duration(random.Int64N(int64(2 * maxEventInterval))))
 		address := modelAddress(random.IntN(modelAddresses))
 		node := s.servedBy(address).Node
 		if random.IntN(2) == 0 {
 			node = fmt.Sprintf("node-new-%d", event)
 		}
 		s.stopProcess(address)
-		time.Sleep(time.Duration(random.Int64N(int64(modelPause))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxEventInterval))))
 		s.startProcess(address, node)
 	}
 }
@@ -161,7 +161,7 @@
 
 func (c *modelCaller) run(random *rand.Rand) {
 	for range modelCalls {
-		time.Sleep(1 + time.Duration(random.Int64N(int64(modelPause))))
+		time.Sleep(1 + time.Duration(random.Int64N(int64(maxEventInterval))))
 		limit := time.Duration(1 + random.Int64N(int64(modelLimit)))
 		c.call(modelAddress(random.IntN(modelAddresses)), random.IntN(2) == 0, limit, random.IntN(200))
 	}
@@ -211,7 +211,7 @@
 	}
 	running.Go(func() { s.restartProcesses(rand.New(rand.NewPCG(random.Uint64(), 3))) })
 	running.Wait()
-	time.Sleep(modelSettled)
+	time.Sleep(modelDrainTime)
 	synctest.Wait()
 	s.check()
 	s.network.SetFaults(networktest.Faults{})
--- a/internal/transport/simulationchecker_test.go
+++ b/internal/transport/simulationchecker_test.go
@@ -43,23 +43,23 @@
 // checkReachability checks, without faults, that a caller soon reaches whoever serves an address.
 func (s *simulation) checkReachability(c *modelCaller, address string) {
 	limit := 10 * time.Second
-	attempts := func(once bool) (tries int) {
-		for tries = 1; tries < 10; tries++ {
+	attemptsUntilReply := func(atMostOnce bool) (attempts int) {
+		for attempts = 1; attempts < 10; attempts++ {
 			if c.number%5 == 3 { // the handler fails each fifth call
 				c.number++
 			}
-			if c.call(address, once, limit, 0).err == nil {
-				return tries
+			if c.call(address, atMostOnce, limit, 0).err == nil {
+				return attempts
 			}
 		}
-		return tries
+		return attempts
 	}
-	met, known := c.known[address]
-	tries := attempts(false)
-	if restarted := known && met.Node == s.servedBy(address).Node; restarted && tries > 1 || tries > 2 {
-		s.violation("%d calls until %s answers caller %d; it had met %v", tries, address, c.index, met)
+	previous, known := c.known[address]
+	attempts := attemptsUntilReply(false)
+	if restarted := known && previous.Node == s.servedBy(address).Node; restarted && attempts > 1 || attempts > 2 {
+		s.violation("%d calls until %s answers caller %d; it had met %v", attempts, address, c.index, previous)
 	}
-	if tries := attempts(true); tries > 1 {
-		s.violation("%d calls that may not be repeated until %s answers caller %d", tries, address, c.index)
+	if attempts := attemptsUntilReply(true); attempts > 1 {
+		s.violation("%d calls that may not be repeated until %s answers caller %d", attempts, address, c.index)
 	}
 }
