--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -142,8 +142,8 @@
 func (c *Coordinator) contacts() replicaset.Contacts {
 	contacts := replicaset.Contacts{Majority: c.node.InContact(), Silence: make(map[string]time.Duration)}
 	for _, member := range c.node.Members() {
-		if member.Heard {
-			contacts.Silence[member.Address] = member.HeardAgo
+		if member.Contacted {
+			contacts.Silence[member.Address] = member.SinceContact
 		}
 	}
 	return contacts
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -90,7 +90,7 @@
 			return replicaset.View{Version: 1, Members: []string{"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"}}
 		},
 		Members: func() []replication.Liveness {
-			return []replication.Liveness{{Address: "10.0.0.1:7660", Alive: true, Ready: true, Heard: true}, {Address: "10.0.0.2:7660"}}
+			return []replication.Liveness{{Address: "10.0.0.1:7660", Alive: true, Ready: true, Contacted: true}, {Address: "10.0.0.2:7660"}}
 		},
 		Groups: func() []string { return []string{"jobs/pricing", "jobs/stress"} },
 		Leaders: func() map[string]feed.Leader {
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -30,7 +30,7 @@
 	var members []Member
 	for _, one := range h.options.Sources.Members() {
 		members = append(members, Member{
-			Address: one.Address, Alive: one.Alive, Ready: one.Ready, Heard: one.Heard, HeardAgoMS: one.HeardAgo.Milliseconds(),
+			Address: one.Address, Alive: one.Alive, Ready: one.Ready, Heard: one.Contacted, HeardAgoMS: one.SinceContact.Milliseconds(),
 		})
 	}
 	return members
--- a/internal/controlplane/replicaset/core_test.go
+++ b/internal/controlplane/replicaset/core_test.go
@@ -155,8 +155,8 @@
 func (p *core) contacts() replicaset.Contacts {
 	contacts := replicaset.Contacts{Majority: p.node.InContact(), Silence: make(map[string]time.Duration)}
 	for _, member := range p.node.Members() {
-		if member.Heard {
-			contacts.Silence[member.Address] = member.HeardAgo
+		if member.Contacted {
+			contacts.Silence[member.Address] = member.SinceContact
 		}
 	}
 	return contacts
--- a/internal/controlplane/replicaset/modelleader_test.go
+++ b/internal/controlplane/replicaset/modelleader_test.go
@@ -28,7 +28,7 @@
 	for key := range m.groupAcked {
 		if _, found := state[key]; !found {
 			m.wrong = append(m.wrong, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was confirmed",
-				time.Since(m.start), term.Epoch(), l.core.address, key))
+				time.Since(m.start), term.Number(), l.core.address, key))
 			break
 		}
 	}
@@ -41,7 +41,7 @@
 
 func (l *modelLeader) lead(term *replication.Term) {
 	for i := 0; ; i++ {
-		key := fmt.Sprintf("%d-%d", term.Epoch(), i)
+		key := fmt.Sprintf("%d-%d", term.Number(), i)
 		term.Propose([]replication.Entry{{Key: key, Value: []byte{1}}}, func() { l.model.groupConfirmed(key) })
 		select {
 		case <-term.Ended():
--- a/internal/controlplane/replication/balance.go
+++ b/internal/controlplane/replication/balance.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// rank is the number of live members that should rather lead a group than this one.
-func (c *core) rank(group string) int {
-	return max(0, slices.Index(c.preferred(group, c.loads(group)), c.self))
+// campaignRank is the number of live members that should rather lead a group than this one.
+func (c *core) campaignRank(group string) int {
+	return max(0, slices.Index(c.preferred(group, c.leaderCounts(group)), c.self))
 }
 
-// loads counts the groups that each member leads, or should lead: of the groups without a live leader, those that come
+// leaderCounts counts the groups that each member leads, or should lead: of the groups without a live leader, those that come
 // before the given one by name are taken to go to the members they prefer.
-func (c *core) loads(before string) map[string]int {
+func (c *core) leaderCounts(before string) map[string]int {
 	loads := make(map[string]int)
 	for name, leader := range c.leaders.byGroup {
-		if name != before && c.members.votes(leader.Address, c.now) {
+		if name != before && c.members.canVote(leader.Address, c.now) {
 			loads[leader.Address]++
 		}
 	}
@@ -24,7 +24,7 @@
 		if name >= before {
 			break
 		}
-		if leader, known := c.leaders.byGroup[name]; known && c.members.votes(leader.Address, c.now) {
+		if leader, known := c.leaders.byGroup[name]; known && c.members.canVote(leader.Address, c.now) {
 			continue
 		}
 		if first := c.preferred(name, loads); len(first) > 0 {
@@ -38,7 +38,7 @@
 // first, among equals by rendezvous.
 func (c *core) preferred(group string, loads map[string]int) []string {
 	order := rendezvousOrder(c.view.Members, group)
-	live := slices.DeleteFunc(order, func(address string) bool { return !c.members.votes(address, c.now) })
+	live := slices.DeleteFunc(order, func(address string) bool { return !c.members.canVote(address, c.now) })
 	slices.SortStableFunc(live, func(a, b string) int { return cmp.Compare(loads[a], loads[b]) })
 	return live
 }
--- a/internal/controlplane/replication/campaign.go
+++ b/internal/controlplane/replication/campaign.go
@@ -6,69 +6,69 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// campaign is one attempt to become leader. First it asks a majority whether they would vote, which disturbs no
+// startCampaign is one attempt to become leader. First it asks a majority whether they would vote, which disturbs no
 // present leader; then it asks for their votes under a new epoch.
 type campaign struct {
-	group   *group
-	view    replicaset.View
-	started time.Duration // of the round under way
-	probing bool
-	epoch   uint64 // known from the second round on
-	highest uint64 // epoch seen so far
-	granted map[string]prepareReply
-	waiting int // calls without an answer
-	over    bool
+	group        *group
+	view         replicaset.View
+	phaseStarted time.Duration // of the round under way
+	preVoting    bool
+	term         uint64 // known from the second round on
+	highestTerm  uint64 // epoch seen so far
+	granted      map[string]voteReply
+	unanswered   int // calls without an answer
+	ended        bool
 }
 
-func (g *group) campaign() {
-	g.campaigning = &campaign{group: g, view: g.core.view, highest: g.core.leaders.byGroup[g.name].Epoch}
-	g.campaigning.probe()
+func (g *group) startCampaign() {
+	g.campaigning = &campaign{group: g, view: g.core.view, highestTerm: g.core.leaders.byGroup[g.name].Epoch}
+	g.campaigning.startPreVote()
 }
 
-func (c *campaign) probe() {
-	c.probing = true
-	c.round()
+func (c *campaign) startPreVote() {
+	c.preVoting = true
+	c.requestVotes()
 }
 
-func (c *campaign) stand() {
-	c.probing = false
-	c.epoch = max(c.highest, c.group.replica.promised) + 1
-	c.round()
+func (c *campaign) startVote() {
+	c.preVoting = false
+	c.term = max(c.highestTerm, c.group.replica.currentTerm) + 1
+	c.requestVotes()
 }
 
 // round asks all members, this one included.
-func (c *campaign) round() {
+func (c *campaign) requestVotes() {
 	core := c.group.core
-	c.started = core.now
-	c.granted = make(map[string]prepareReply)
-	c.waiting = len(c.view.Members)
-	request := prepareRequest{
-		Group: c.group.name, Epoch: c.epoch, Candidate: core.self,
-		Position: c.group.replica.position, View: c.view.Version, Probe: c.probing,
+	c.phaseStarted = core.now
+	c.granted = make(map[string]voteReply)
+	c.unanswered = len(c.view.Members)
+	request := voteRequest{
+		Group: c.group.name, Term: c.term, Candidate: core.self,
+		Position: c.group.replica.position, View: c.view.Version, PreVote: c.preVoting,
 	}
 	for _, address := range c.view.Members {
 		if address != core.self {
-			c.ask(address, request)
+			c.requestVote(address, request)
 		}
 	}
-	c.group.replica.prepare(request, func(reply prepareReply) { c.take(core.self, request, reply, nil) })
+	c.group.replica.requestVote(request, func(reply voteReply) { c.countVote(core.self, request, reply, nil) })
 }
 
-func (c *campaign) ask(address string, request prepareRequest) {
+func (c *campaign) requestVote(address string, request voteRequest) {
 	core := c.group.core
-	reply := new(prepareReply)
-	core.call(address, prepareCall.Route(), core.timing.Round, request, reply, func(err error) {
-		c.take(address, request, *reply, err)
+	reply := new(voteReply)
+	core.call(address, voteCall.Route(), core.timing.ReplyTimeout, request, reply, func(err error) {
+		c.countVote(address, request, *reply, err)
 	})
 }
 
 // take counts one member's answer. An answer to an earlier round, or one that comes too late, counts for nothing.
-func (c *campaign) take(address string, request prepareRequest, reply prepareReply, err error) {
-	c.highest = max(c.highest, reply.Promised)
-	if c.over || request.Probe != c.probing {
+func (c *campaign) countVote(address string, request voteRequest, reply voteReply, err error) {
+	c.highestTerm = max(c.highestTerm, reply.Term)
+	if c.ended || request.PreVote != c.preVoting {
 		return
 	}
-	c.waiting--
+	c.unanswered--
 	if c.expired() {
 		c.fail()
 		return
@@ -79,76 +79,78 @@
 	c.advance()
 }
 
-func (c *campaign) expired() bool { return c.group.core.now-c.started > c.group.core.timing.Round }
+func (c *campaign) expired() bool {
+	return c.group.core.now-c.phaseStarted > c.group.core.timing.ReplyTimeout
+}
 
 func (c *campaign) advance() {
 	_, own := c.granted[c.group.core.self]
 	switch {
 	case own && len(c.granted) >= c.view.Quorum():
-		if c.probing {
-			c.probed()
+		if c.preVoting {
+			c.preVoteWon()
 			return
 		}
 		c.win()
-	case len(c.granted)+c.waiting < c.view.Quorum():
+	case len(c.granted)+c.unanswered < c.view.Quorum():
 		c.fail()
 	}
 }
 
-// probed stands, or where a member has a newer state that does not come with its vote, first fetches that.
-func (c *campaign) probed() {
+// preVoteWon stands, or where a member has a newer state that does not come with its vote, first fetches that.
+func (c *campaign) preVoteWon() {
 	best, newest := "", c.group.replica.position
 	for address, reply := range c.granted {
-		if reply.Large && newest.Before(reply.Position) {
+		if reply.StateOmitted && newest.Before(reply.Position) {
 			best, newest = address, reply.Position
 		}
 	}
 	if best == "" {
-		c.stand()
+		c.startVote()
 		return
 	}
 	c.abandon()
-	c.group.fetch(best, newest)
+	c.group.startFetch(best, newest)
 }
 
 // fail ends the campaign; the next begins after a random pause.
 func (c *campaign) fail() {
 	c.abandon()
-	c.group.retryLater()
+	c.group.backOff()
 }
 
-// retryLater lets the next campaign begin after a random pause.
-func (g *group) retryLater() {
+// backOff lets the next campaign begin after a random pause.
+func (g *group) backOff() {
 	timing := g.core.timing
-	span := float64(timing.RetryLongest - timing.RetryShortest)
-	pause := timing.RetryShortest + time.Duration(g.core.random.Unit()*span)
-	g.retryAt = g.core.now + pause
-	g.core.replan = true
+	span := float64(timing.MaxCampaignBackoff - timing.MinCampaignBackoff)
+	backoff := timing.MinCampaignBackoff + time.Duration(g.core.random.Unit()*span)
+	g.campaignNotBefore = g.core.now + backoff
+	g.core.tickEarlier = true
 }
 
 func (c *campaign) abandon() {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	c.group.campaigning = nil
 }
 
 // win adopts the newest state that the majority holds.
 func (c *campaign) win() {
 	c.abandon()
-	if c.group.replica.promised != c.epoch {
+	if c.group.replica.currentTerm != c.term {
 		return
 	}
-	newest := prepareReply{Position: c.group.replica.position}
+	newest := voteReply{Position: c.group.replica.position}
 	for _, reply := range c.granted {
 		if newest.Position.Before(reply.Position) {
 			newest = reply
 		}
 	}
-	if newest.Large { // it became newer than it was at the probe; the next campaign fetches it
-		c.group.retryLater()
+	if newest.StateOmitted { // it became newer than it was at the probe; the next campaign fetches it
+		c.group.backOff()
 		return
 	}
-	c.group.lead(c.epoch, newest, c.granted)
+	c.group.startLeading(c.term, newest, c.granted)
 }
--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -8,10 +8,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// chunk sends the machine one part of a snapshot of the leader "x", each with the entry "key N", and returns the answer.
+// chunkRequest sends the machine one part of a snapshot of the leader "x", each with the entry "key N", and returns the answer.
 func (n *simulatedNode) chunk(epoch, sequence uint64, number, chunks uint32) (answer appendReply) {
 	request := appendRequest{
-		Group: "jobs/a", Epoch: epoch, Leader: "x", View: 1, Snapshot: true, Position: Position{epoch, sequence},
+		Group: "jobs/a", Term: epoch, Leader: "x", View: 1, Snapshot: true, Position: Position{epoch, sequence},
 		Chunk: number, Chunks: chunks, Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(epoch), byte(sequence)}}},
 	}
 	n.step(func() { n.core.append(request, func(reply appendReply) { answer = reply }) })
@@ -20,8 +20,8 @@
 }
 
 func (n *simulatedNode) wants(answer appendReply, number uint32) {
-	So(answer.Outcome, ShouldEqual, gathering)
-	So(answer.Wanted, ShouldEqual, number)
+	So(answer.Outcome, ShouldEqual, incomplete)
+	So(answer.NextChunk, ShouldEqual, number)
 	So(n.disk.Table("group/jobs/a"), ShouldBeEmpty)
 }
 
@@ -73,15 +73,15 @@
 		Convey("parts of an older leader are refused, and its gathered ones are gone", func() {
 			n.chunk(7, 3, 0, 2)
 			n.wants(n.chunk(8, 1, 0, 2), 1)
-			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, superseded)
+			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			n.chunk(8, 1, 1, 2)
 			whole(n, 8, 1, 2)
 		})
 		Convey("a vote for another leader in between ends the snapshot", func() {
 			n.chunk(7, 3, 0, 2)
-			So(s.run(2*s.timing.ReplicaLease), ShouldBeNil)
+			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
 			So(n.vote("y", 8).Granted, ShouldBeTrue)
-			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, superseded)
+			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			So(n.core.group("jobs/a").replica.assembly == nil, ShouldBeTrue)
 		})
 		Convey("after a restart the parts begin anew", func() {
@@ -95,7 +95,7 @@
 		Convey("the vote that a first part asks for is durable when it is answered", func() {
 			n.chunk(7, 3, 0, 2)
 			n.restart()
-			So(s.run(2*s.timing.ReplicaLease), ShouldBeNil)
+			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
 			So(n.vote("y", 7).Granted, ShouldBeFalse)
 		})
 	})
@@ -104,14 +104,14 @@
 func TestBatchesThatAreSentTogetherFitIntoAMessage(t *testing.T) {
 	Convey("Given more batches than fit into a message", t, func() {
 		h := history{limits: narrow}
-		h.held = true
+		h.catchingUp = true
 		for sequence := range uint64(10) {
 			h.add(newBatch(Position{1, sequence}, Position{1, sequence + 1}, map[string][]byte{fmt.Sprint(sequence): {1}}))
 		}
 		Convey("a replica is led through them by several messages", func() {
 			at, messages := Position{1, 0}, 0
 			for at != (Position{1, 10}) {
-				next, found := h.since(at)
+				next, found := h.after(at)
 				So(found, ShouldBeTrue)
 				So(next.bytes, ShouldBeLessThanOrEqualTo, narrow.ChunkBytes)
 				at, messages = next.position, messages+1
@@ -119,9 +119,9 @@
 			So(messages, ShouldBeGreaterThan, 1)
 		})
 		Convey("they are kept while a snapshot is on its way, and not after", func() {
-			h.held = false
+			h.catchingUp = false
 			h.add(newBatch(Position{1, 10}, Position{1, 11}, nil))
-			So(len(h.batches), ShouldEqual, narrow.KeptBatches)
+			So(len(h.batches), ShouldEqual, narrow.RetainedBatches)
 		})
 	})
 }
@@ -202,7 +202,7 @@
 	Convey("A leader whose processor takes long to make a snapshot keeps its term meanwhile, and needs no second one", t, func() {
 		s := calmWith(4, narrow, "jobs/a")
 		leader, follower := lagBehind(s)
-		epoch := leader.core.group("jobs/a").leading.epoch
+		epoch := leader.core.group("jobs/a").leading.termNumber
 		delete(s.traffic.snapshots, follower.address)
 		leader.core.spawn = func(work func()) { leader.later(3*time.Second, work) }
 		follower.start()
@@ -212,7 +212,7 @@
 		So(s.lagging("jobs/a"), ShouldBeEmpty)
 		So(s.traffic.sentSnapshots(follower.address), ShouldEqual, 1)
 		So(s.leader("jobs/a") == leader, ShouldBeTrue)
-		So(leader.core.group("jobs/a").leading.epoch, ShouldEqual, epoch)
+		So(leader.core.group("jobs/a").leading.termNumber, ShouldEqual, epoch)
 	})
 	Convey("A follower that does not answer holds up no other's snapshot", t, func() {
 		s := calmWith(4, narrow, "jobs/a")
@@ -224,15 +224,15 @@
 			}
 		}
 		l := leader.core.group("jobs/a").leading
-		l.core.receiving[others[0].address] = true // one is under way there, without an answer
+		l.core.receivingSnapshot[others[0].address] = true // one is under way there, without an answer
 		others[1].kill(false)
 		So(s.run(time.Second), ShouldBeNil)
 		others[1].start()
 		So(s.run(2*time.Second), ShouldBeNil)
 		newest := leader.core.group("jobs/a").replica.position
 		at := others[1].core.group("jobs/a").replica.position
-		So(at.Epoch, ShouldEqual, newest.Epoch)
-		So(at.Sequence+10, ShouldBeGreaterThan, newest.Sequence)
+		So(at.Term, ShouldEqual, newest.Term)
+		So(at.Index+10, ShouldBeGreaterThan, newest.Index)
 	})
 }
 
@@ -252,7 +252,7 @@
 			committed := s.history.committed["jobs/a"]
 			old.start()
 			led := func() bool {
-				newest.core.group("jobs/a").retryAt = s.now + time.Minute // it never stands
+				newest.core.group("jobs/a").campaignNotBefore = s.now + time.Minute // it never stands
 				return s.led()
 			}
 			So(s.until(6*time.Second, led), ShouldBeNil)
@@ -269,8 +269,8 @@
 		fetched := func(position Position) byte {
 			n.step(func() {
 				g := n.core.group("jobs/a")
-				g.fetch("x", position)
-				g.fetching.take(stateReply{Chunks: 1, Entries: []Entry{{"key", []byte{99}}}}, nil)
+				g.startFetch("x", position)
+				g.fetching.receiveChunk(snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{99}}}}, nil)
 			})
 			So(s.run(50*time.Millisecond), ShouldBeNil)
 			return n.disk.Table("group/jobs/a")["key"][0]
@@ -278,17 +278,17 @@
 		So(fetched(Position{7, 2}), ShouldEqual, 3)
 		So(fetched(Position{7, 3}), ShouldEqual, 3)
 		So(fetched(Position{8, 1}), ShouldEqual, 99)
-		So(decodeMeta(n.disk.Table("group-meta/jobs/a")).promised, ShouldEqual, 8)
+		So(decodeMeta(n.disk.Table("group-meta/jobs/a")).term, ShouldEqual, 8)
 	})
 	Convey("A member gives its state as of the position that was asked for, and no other", t, func() {
 		_, n := lone(defects{})
 		So(n.take(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
-		given := func(position Position, chunk uint32) (answer stateReply) {
-			request := stateRequest{Group: "jobs/a", View: 1, Position: position, Chunk: chunk}
-			n.step(func() { n.core.state(request, func(reply stateReply) { answer = reply }) })
+		given := func(position Position, chunk uint32) (answer snapshotReply) {
+			request := snapshotRequest{Group: "jobs/a", View: 1, Position: position, Chunk: chunk}
+			n.step(func() { n.core.serveSnapshot(request, func(reply snapshotReply) { answer = reply }) })
 			return answer
 		}
-		So(given(Position{7, 3}, 0), ShouldResemble, stateReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
+		So(given(Position{7, 3}, 0), ShouldResemble, snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
 		So(given(Position{7, 3}, 1).Chunks, ShouldEqual, 0)
 		So(given(Position{7, 2}, 0).Chunks, ShouldEqual, 0)
 		So(n.take(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
@@ -297,10 +297,10 @@
 	Convey("One that is given another position's parts, or none, begins again", t, func() {
 		s, n := lone(defects{})
 		g := n.core.group("jobs/a")
-		n.step(func() { g.fetch("x", Position{5, 9}) })
-		n.step(func() { g.fetching.take(stateReply{}, nil) })
+		n.step(func() { g.startFetch("x", Position{5, 9}) })
+		n.step(func() { g.fetching.receiveChunk(snapshotReply{}, nil) })
 		So(g.fetching == nil, ShouldBeTrue)
-		So(g.retryAt, ShouldBeGreaterThan, s.now)
+		So(g.campaignNotBefore, ShouldBeGreaterThan, s.now)
 	})
 }
 
@@ -309,17 +309,17 @@
 		s, n := lone(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() {
-			g.campaign()
+			g.startCampaign()
 			c := g.campaigning
-			c.stand()
-			n.core.group("jobs/a").replica.promised = c.epoch
-			c.granted = map[string]prepareReply{
-				n.address: {Granted: true}, "x": {Granted: true, Position: Position{5, 9}, Large: true},
+			c.startVote()
+			n.core.group("jobs/a").replica.currentTerm = c.term
+			c.granted = map[string]voteReply{
+				n.address: {Granted: true}, "x": {Granted: true, Position: Position{5, 9}, StateOmitted: true},
 			}
 			c.win()
 		})
 		So(g.leading == nil, ShouldBeTrue)
 		So(g.campaigning == nil, ShouldBeTrue)
-		So(g.retryAt, ShouldBeGreaterThan, s.now)
+		So(g.campaignNotBefore, ShouldBeGreaterThan, s.now)
 	})
 }
--- a/internal/controlplane/replication/checker_test.go
+++ b/internal/controlplane/replication/checker_test.go
@@ -97,7 +97,7 @@
 
 func (c *checker) elected(owner *simulatedNode, term *Term, state map[string][]byte) *recordedTerm {
 	c.elections++
-	group, epoch := term.Group(), term.Epoch()
+	group, epoch := term.Group(), term.Number()
 	if c.terms[group][epoch] != nil {
 		c.failf("%s: epoch %d has two leaders", group, epoch)
 	}
@@ -136,7 +136,7 @@
 
 func (c *checker) commit(record *recordedTerm, index uint64) {
 	c.commits++
-	group, epoch := record.term.Group(), record.term.Epoch()
+	group, epoch := record.term.Group(), record.term.Number()
 	if record.deposed || record.term.over() {
 		c.failf("%s: a callback came after epoch %d had ended", group, epoch)
 	}
@@ -161,9 +161,9 @@
 
 // Deposed implements Handler.
 func (n *simulatedNode) Deposed(term *Term) {
-	record := n.simulation.history.terms[term.Group()][term.Epoch()]
+	record := n.simulation.history.terms[term.Group()][term.Number()]
 	if record == nil || record.deposed {
-		n.simulation.history.failf("%s: epoch %d was deposed wrongly", term.Group(), term.Epoch())
+		n.simulation.history.failf("%s: epoch %d was deposed wrongly", term.Group(), term.Number())
 		return
 	}
 	record.deposed = true
@@ -176,7 +176,7 @@
 	}
 	if s.busy {
 		index := uint64(len(record.proposals) + 1)
-		entries := []Entry{{markKey, mark{record.term.Epoch(), index}.encode()}}
+		entries := []Entry{{markKey, mark{record.term.Number(), index}.encode()}}
 		for range s.random.IntN(4) {
 			entries = append(entries, n.randomEntry(index))
 		}
--- a/internal/controlplane/replication/core.go
+++ b/internal/controlplane/replication/core.go
@@ -14,34 +14,34 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// maxPings is how many pings may wait for one member's answer.
-const maxPings = 3
+// maxPendingPings is how many pings may wait for one member's answer.
+const maxPendingPings = 3
 
-// tables is what the core reads of a store.
-type tables interface {
+// tableReader is what the core reads of a store.
+type tableReader interface {
 	Tables() []string
 	Table(name string) map[string][]byte
 }
 
-// call is a request that the core wants sent. done runs within a step.
-type call struct {
+// rpc is a request that the core wants sent. done runs within a step.
+type rpc struct {
 	address        string
 	route          transport.Route
-	limit          time.Duration
+	timeout        time.Duration
 	request, reply any
 	done           func(err error)
 }
 
-// write is a change that the core wants synced. done runs within a step.
-type write struct {
+// storeWrite is a change that the core wants synced. done runs within a step.
+type storeWrite struct {
 	changes []storage.Change
 	done    func(err error)
 }
 
 // effects are what a step of the core asks for.
 type effects struct {
-	calls  []call
-	writes []write
+	calls  []rpc
+	writes []storeWrite
 }
 
 // core is the whole protocol on one node, free of goroutines and input or output. It advances in steps, one at a
@@ -50,28 +50,28 @@
 	self    string
 	timing  Timing
 	log     *zap.Logger
-	store   tables
+	store   tableReader
 	handler Handler
 	clock   Clock
 	random  random.PCG
-	// enter runs a step from outside of all steps, and spawn a function on a goroutine of its own.
-	enter func(step func())
-	spawn func(func())
-
-	now          time.Duration
-	view         replicaset.View
-	ready        bool
-	failed       bool          // the store has ended
-	refusedUntil time.Duration // the disk has refused a write; no vote until then
-	stopping     bool
-	groups       map[string]*group
-	leaders      *leaderTable
-	members      *members
-	nextBeat     time.Duration
-	limits       Limits
-	receiving    map[string]bool // members to which this node is sending a snapshot
-	replan       bool            // something may be due earlier than planned
-	effects      effects
+	// runStep runs a step from outside of all steps, and spawn a function on a goroutine of its own.
+	runStep func(step func())
+	spawn   func(func())
+
+	now                 time.Duration
+	view                replicaset.View
+	ready               bool
+	failed              bool          // the store has ended
+	writesRejectedUntil time.Duration // the disk has refused a write; no vote until then
+	stopping            bool
+	groups              map[string]*group
+	leaders             *leaderTable
+	members             *members
+	nextHeartbeat       time.Duration
+	limits              Limits
+	receivingSnapshot   map[string]bool // members to which this node is sending a snapshot
+	tickEarlier         bool            // something may be due earlier than planned
+	effects             effects
 }
 
 // observe takes in the time and what others decide; it comes first in each step.
@@ -92,32 +92,32 @@
 func (c *core) restore() {
 	for _, name := range storedGroups(c.store) {
 		g := c.group(name)
-		g.replica.load(c.now + c.timing.ReplicaLease)
-		g.heardAt = c.now
+		g.replica.load(c.now + c.timing.FollowerLease)
+		g.lastContact = c.now
 	}
-	c.replan = true
+	c.tickEarlier = true
 }
 
 func (c *core) viewChanged() {
-	c.members.keep(c.view)
-	c.replan = true
+	c.members.retain(c.view)
+	c.tickEarlier = true
 	for _, g := range c.sortedGroups() {
 		if g.campaigning != nil {
 			g.campaigning.fail()
 		}
 		if g.leading != nil {
-			g.leading.check()
+			g.leading.checkLease()
 		}
 		if g.leading != nil {
-			g.leading.matchView()
+			g.leading.updateFollowers()
 		}
 	}
 }
 
-// serves tells whether this replica may vote in a round of a view's version.
-func (c *core) serves(view uint64) bool {
+// mayVote tells whether this replica may vote in a round of a view's version.
+func (c *core) mayVote(view uint64) bool {
 	member := c.view.Version == 0 || c.view.Has(c.self)
-	return member && c.ready && c.writes() && !c.stopping && view >= c.view.Version
+	return member && c.ready && c.storeWritable() && !c.stopping && view >= c.view.Version
 }
 
 func (c *core) group(name string) *group {
@@ -138,24 +138,24 @@
 	g := c.group(name)
 	if !g.ensured {
 		g.ensured = true
-		c.replan = true
+		c.tickEarlier = true
 	}
 }
 
 func (c *core) call(address string, route transport.Route, limit time.Duration, request, reply any, done func(err error)) {
-	c.effects.calls = append(c.effects.calls, call{address, route, limit, request, reply, done})
+	c.effects.calls = append(c.effects.calls, rpc{address, route, limit, request, reply, done})
 }
 
-// aside does work outside of the steps, which would be held up by it, and then runs a step. The work must not use the core.
-func (c *core) aside(work, done func()) {
+// offload does work outside of the steps, which would be held up by it, and then runs a step. The work must not use the core.
+func (c *core) offload(work, done func()) {
 	c.spawn(func() {
 		work()
-		c.enter(done)
+		c.runStep(done)
 	})
 }
 
 func (c *core) write(changes []storage.Change, done func(err error)) {
-	c.effects.writes = append(c.effects.writes, write{changes, func(err error) {
+	c.effects.writes = append(c.effects.writes, storeWrite{changes, func(err error) {
 		if err != nil {
 			c.writeFailed(err)
 		}
@@ -169,18 +169,18 @@
 	c.resignAll(true)
 }
 
-func (c *core) resignAll(leaving bool) {
+func (c *core) resignAll(stopping bool) {
 	for _, g := range c.sortedGroups() {
 		if g.campaigning != nil {
 			g.campaigning.abandon()
 		}
 		if g.leading != nil {
-			g.leading.resign(leaving)
+			g.leading.resign(stopping)
 		}
 	}
 }
 
-func (c *core) take() effects {
+func (c *core) takeEffects() effects {
 	taken := c.effects
 	c.effects = effects{}
 	return taken
@@ -188,15 +188,15 @@
 
 // tick does what is due and returns when the next tick is.
 func (c *core) tick() time.Duration {
-	c.replan = false
+	c.tickEarlier = false
 	if c.stopping {
-		return c.now + c.timing.Beat
+		return c.now + c.timing.HeartbeatInterval
 	}
-	if c.now >= c.nextBeat {
-		c.nextBeat = c.now + c.timing.Beat
+	if c.now >= c.nextHeartbeat {
+		c.nextHeartbeat = c.now + c.timing.HeartbeatInterval
 		c.pingAll()
 	}
-	next := c.nextBeat
+	next := c.nextHeartbeat
 	for _, g := range c.sortedGroups() {
 		next = min(next, c.tickGroup(g))
 	}
@@ -207,35 +207,35 @@
 func (c *core) tickGroup(g *group) time.Duration {
 	switch {
 	case g.leading != nil:
-		g.leading.check()
+		g.leading.checkLease()
 		if g.leading == nil {
-			return c.nextBeat
+			return c.nextHeartbeat
 		}
-		g.leading.pump()
+		g.leading.advance()
 		return g.leading.deadline
 	case g.campaigning != nil:
 		if g.campaigning.expired() {
 			g.campaigning.fail()
 		}
-		return c.nextBeat
+		return c.nextHeartbeat
 	case g.fetching != nil, !c.mayCampaign(g):
-		return c.nextBeat
+		return c.nextHeartbeat
 	}
-	due := g.due()
+	due := g.campaignDue()
 	if c.now < due {
 		return due
 	}
-	g.campaign()
-	return c.nextBeat
+	g.startCampaign()
+	return c.nextHeartbeat
 }
 
 func (c *core) mayCampaign(g *group) bool {
-	return c.ready && c.writes() && c.view.Version > 0 && c.view.Has(c.self) && g.exists()
+	return c.ready && c.storeWritable() && c.view.Version > 0 && c.view.Has(c.self) && g.exists()
 }
 
-// prepare serves prepareCall.
-func (c *core) prepare(request prepareRequest, reply func(prepareReply)) {
-	c.group(request.Group).replica.prepare(request, reply)
+// requestVote serves voteCall.
+func (c *core) requestVote(request voteRequest, reply func(voteReply)) {
+	c.group(request.Group).replica.requestVote(request, reply)
 }
 
 // append serves appendCall.
@@ -243,35 +243,35 @@
 	c.group(request.Group).replica.append(request, reply)
 }
 
-// state serves stateCall.
-func (c *core) state(request stateRequest, reply func(stateReply)) {
-	c.group(request.Group).replica.give(request, reply)
+// serveSnapshot serves snapshotCall.
+func (c *core) serveSnapshot(request snapshotRequest, reply func(snapshotReply)) {
+	c.group(request.Group).replica.serveSnapshot(request, reply)
 }
 
-// resigned serves resignCall.
-func (c *core) resigned(request resignRequest) {
-	if request.Leaving {
-		c.members.at(request.From).heard = never
+// leaderResigned serves resignCall.
+func (c *core) leaderResigned(request resignRequest) {
+	if request.Stopping {
+		c.members.get(request.From).lastPing = never
 	}
-	c.group(request.Group).resigned(request.Epoch)
+	c.group(request.Group).leaderResigned(request.Term)
 }
 
 // ping serves pingCall.
 func (c *core) ping(request pingRequest, reply func(pingReply)) {
-	sender := c.members.at(request.From)
-	sender.heard, sender.ready = c.now, request.Ready
-	answer := pingReply{Beats: make([]appendReply, len(request.Beats))}
-	if request.Sum != c.leaders.sum {
+	sender := c.members.get(request.From)
+	sender.lastPing, sender.ready = c.now, request.Ready
+	answer := pingReply{Heartbeats: make([]appendReply, len(request.Heartbeats))}
+	if request.LeadersChecksum != c.leaders.checksum {
 		answer.Leaders = c.leaders.byGroup
 	}
-	missing := len(request.Beats)
+	missing := len(request.Heartbeats)
 	if missing == 0 {
 		reply(answer)
 		return
 	}
-	for i, one := range request.Beats {
-		c.group(one.Group).replica.beat(one.Epoch, request.From, request.View, func(result appendReply) {
-			answer.Beats[i] = result
+	for i, one := range request.Heartbeats {
+		c.group(one.Group).replica.heartbeat(one.Term, request.From, request.View, func(result appendReply) {
+			answer.Heartbeats[i] = result
 			if missing--; missing == 0 {
 				reply(answer)
 			}
@@ -281,10 +281,10 @@
 
 // pingAll sends each other member a ping with the heartbeats of all groups led here.
 func (c *core) pingAll() {
-	request := pingRequest{From: c.self, Ready: c.ready && c.writes(), View: c.view.Version, Sum: c.leaders.sum}
+	request := pingRequest{From: c.self, Ready: c.ready && c.storeWritable(), View: c.view.Version, LeadersChecksum: c.leaders.checksum}
 	for _, g := range c.sortedGroups() {
 		if g.leading != nil {
-			request.Beats = append(request.Beats, beat{Group: g.name, Epoch: g.leading.epoch})
+			request.Heartbeats = append(request.Heartbeats, heartbeat{Group: g.name, Term: g.leading.termNumber})
 		}
 	}
 	for _, address := range c.view.Members {
@@ -295,31 +295,31 @@
 }
 
 func (c *core) pingOne(address string, request pingRequest) {
-	peer := c.members.at(address)
-	if peer.pings >= maxPings {
+	peer := c.members.get(address)
+	if peer.pendingPings >= maxPendingPings {
 		return
 	}
-	peer.pings++
+	peer.pendingPings++
 	sent := c.now
 	reply := new(pingReply)
 	c.call(address, pingCall.Route(), c.timing.LeaderLease, request, reply, func(err error) {
-		peer.pings--
+		peer.pendingPings--
 		if err == nil {
-			peer.answered = max(peer.answered, sent)
+			peer.lastAnswered = max(peer.lastAnswered, sent)
 			c.pingAnswered(address, request, *reply, sent)
 		}
 	})
 }
 
 func (c *core) pingAnswered(address string, request pingRequest, reply pingReply, sent time.Duration) {
-	c.leaders.learn(reply.Leaders)
-	if len(reply.Beats) != len(request.Beats) {
+	c.leaders.update(reply.Leaders)
+	if len(reply.Heartbeats) != len(request.Heartbeats) {
 		return
 	}
-	for i, one := range request.Beats {
+	for i, one := range request.Heartbeats {
 		leading := c.groups[one.Group].leading
-		if leading != nil && leading.epoch == one.Epoch {
-			leading.heartbeatAnswered(address, reply.Beats[i], sent)
+		if leading != nil && leading.termNumber == one.Term {
+			leading.heartbeatAnswered(address, reply.Heartbeats[i], sent)
 		}
 	}
 }
--- a/internal/controlplane/replication/disk.go
+++ b/internal/controlplane/replication/disk.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// refusalPause is how long a replica neither votes nor campaigns after the disk has refused a write. It leaves the
+	// rejectionBackoff is how long a replica neither votes nor campaigns after the disk has refused a write. It leaves the
 	// others time to elect a leader.
-	refusalPause = time.Second
+	rejectionBackoff = time.Second
 	// stallLimit is how long a write may take until the disk counts as stalled.
 	stallLimit = time.Second
 )
@@ -23,7 +23,7 @@
 		return
 	}
 	c.log.Warn("the disk refuses writes; this replica does not vote for a while", zap.Error(err))
-	c.refusedUntil = c.now + refusalPause
+	c.writesRejectedUntil = c.now + rejectionBackoff
 	c.resignAll(false)
 }
 
@@ -37,13 +37,15 @@
 	c.resignAll(false)
 }
 
-// writes tells whether the disk takes writes, as far as is known.
-func (c *core) writes() bool { return !c.failed && c.now >= c.refusedUntil && !c.stalled() }
+// storeWritable tells whether the disk takes writes, as far as is known.
+func (c *core) storeWritable() bool {
+	return !c.failed && c.now >= c.writesRejectedUntil && !c.diskStalled()
+}
 
-// stalled tells whether a write has been on its way to the disk for too long.
-func (c *core) stalled() bool {
+// diskStalled tells whether a write has been on its way to the disk for too long.
+func (c *core) diskStalled() bool {
 	for _, g := range c.groups {
-		if g.replica.writing && c.now-g.replica.writeTime > stallLimit {
+		if g.replica.writing && c.now-g.replica.writeStarted > stallLimit {
 			return true
 		}
 	}
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -106,7 +106,7 @@
 		for seed := range seeds(25) {
 			s := calm(seed, 3)
 			leader := s.leader("jobs/a")
-			epoch := leader.terms["jobs/a"].Epoch()
+			epoch := leader.terms["jobs/a"].Number()
 			other := s.another(leader)
 			if seed%2 == 0 {
 				s.fullDisks[other.address] = true
@@ -119,7 +119,7 @@
 			So(s.history.commits-before, ShouldBeGreaterThan, 100)
 			So(s.run(2*time.Second), ShouldBeNil)
 			So(s.leader("jobs/a") == leader, ShouldBeTrue)
-			So(leader.terms["jobs/a"].Epoch(), ShouldEqual, epoch)
+			So(leader.terms["jobs/a"].Number(), ShouldEqual, epoch)
 			s.catchesUp(other)
 		}
 	})
@@ -157,10 +157,10 @@
 }
 
 // vote asks for a vote; without an answer within 100 ms it returns nil.
-func (a asked) vote(epoch uint64) *prepareReply {
-	var answer *prepareReply
-	request := prepareRequest{Group: "jobs/a", Epoch: epoch, Candidate: "x", View: 1}
-	a.node.step(func() { a.node.core.prepare(request, func(reply prepareReply) { answer = &reply }) })
+func (a asked) vote(epoch uint64) *voteReply {
+	var answer *voteReply
+	request := voteRequest{Group: "jobs/a", Term: epoch, Candidate: "x", View: 1}
+	a.node.step(func() { a.node.core.requestVote(request, func(reply voteReply) { answer = &reply }) })
 	So(a.run(100*time.Millisecond), ShouldBeNil)
 	return answer
 }
@@ -170,7 +170,7 @@
 
 func (a asked) batchOf(group string, epoch uint64) *appendReply {
 	var answer *appendReply
-	request := appendRequest{Group: group, Epoch: epoch, Leader: "x", View: 1, Position: Position{epoch, 1}, Entries: []Entry{{"key", []byte("value")}}}
+	request := appendRequest{Group: group, Term: epoch, Leader: "x", View: 1, Position: Position{epoch, 1}, Entries: []Entry{{"key", []byte("value")}}}
 	a.node.step(func() { a.node.core.append(request, func(reply appendReply) { answer = &reply }) })
 	So(a.run(100*time.Millisecond), ShouldBeNil)
 	return answer
@@ -180,8 +180,8 @@
 
 func (a asked) beatOf(group string, epoch uint64) *appendReply {
 	var answer *appendReply
-	request := pingRequest{From: "x", View: 1, Beats: []beat{{group, epoch}}}
-	a.node.step(func() { a.node.core.ping(request, func(reply pingReply) { answer = &reply.Beats[0] }) })
+	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, epoch}}}
+	a.node.step(func() { a.node.core.ping(request, func(reply pingReply) { answer = &reply.Heartbeats[0] }) })
 	So(a.run(100*time.Millisecond), ShouldBeNil)
 	return answer
 }
@@ -195,22 +195,22 @@
 			So(a.node.disk, ShouldBeEmpty)
 			delete(a.fullDisks, a.node.address)
 			So(a.vote(8).Granted, ShouldBeFalse)
-			So(a.run(refusalPause), ShouldBeNil)
+			So(a.run(rejectionBackoff), ShouldBeNil)
 			So(a.vote(9).Granted, ShouldBeTrue)
-			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).promised, ShouldEqual, 9)
+			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 9)
 		})
 		Convey("it follows no epoch below one that it was asked to promise", func() {
 			So(a.vote(7).Granted, ShouldBeFalse)
 			delete(a.fullDisks, a.node.address)
-			So(a.run(refusalPause), ShouldBeNil)
-			So(a.batch(6).Outcome, ShouldEqual, superseded)
+			So(a.run(rejectionBackoff), ShouldBeNil)
+			So(a.batch(6).Outcome, ShouldEqual, staleTerm)
 		})
 		Convey("it takes no batch, says so at once, and takes it again some time after there is room", func() {
 			So(a.batch(7).Outcome, ShouldEqual, unavailable)
 			So(a.node.disk, ShouldBeEmpty)
 			delete(a.fullDisks, a.node.address)
 			So(a.beat(7).Outcome, ShouldEqual, unavailable)
-			So(a.run(refusalPause), ShouldBeNil)
+			So(a.run(rejectionBackoff), ShouldBeNil)
 			again := a.batch(7)
 			So(again.Outcome, ShouldEqual, accepted)
 			So(again.Position, ShouldResemble, Position{7, 1})
@@ -220,14 +220,14 @@
 		Convey("it takes the promise of a new leader to the disk before it answers a heartbeat", func() {
 			So(a.beat(7).Outcome, ShouldEqual, unavailable)
 			delete(a.fullDisks, a.node.address)
-			So(a.run(refusalPause), ShouldBeNil)
+			So(a.run(rejectionBackoff), ShouldBeNil)
 			So(a.beat(7).Outcome, ShouldEqual, accepted)
-			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).promised, ShouldEqual, 7)
+			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 7)
 		})
 		Convey("it votes no more once the store has failed for good", func() {
 			a.node.core.fail(errors.New("broken"))
 			delete(a.fullDisks, a.node.address)
-			So(a.run(2*refusalPause), ShouldBeNil)
+			So(a.run(2*rejectionBackoff), ShouldBeNil)
 			So(a.vote(9).Granted, ShouldBeFalse)
 		})
 	})
@@ -242,7 +242,7 @@
 		So(a.vote(8) == nil, ShouldBeTrue)
 		Convey("it answers heartbeats of the other group, and those of this one that its promise supersedes", func() {
 			So(a.beatOf("jobs/b", 7).Outcome, ShouldEqual, accepted)
-			So(a.beat(7).Outcome, ShouldEqual, superseded)
+			So(a.beat(7).Outcome, ShouldEqual, staleTerm)
 		})
 		Convey("it refuses at once what would have to wait, when the write has hung for long enough", func() {
 			So(a.run(stallLimit), ShouldBeNil)
@@ -252,7 +252,7 @@
 		})
 		Convey("it goes on when the stall is over", func() {
 			So(a.run(5*time.Second), ShouldBeNil)
-			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).promised, ShouldEqual, 8)
+			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 8)
 			So(a.beat(8).Outcome, ShouldEqual, accepted)
 		})
 	})
--- a/internal/controlplane/replication/explored_test.go
+++ b/internal/controlplane/replication/explored_test.go
@@ -53,7 +53,7 @@
 	from  int // the caller
 	to    int
 	life  int // of the caller's process
-	call  call
+	call  rpc
 	reply func() // hands an answer to the caller; nil for a request
 }
 
@@ -66,7 +66,7 @@
 	core    *core
 	hash    uint64
 	calls   uint64
-	writes  []write // under way
+	writes  []storeWrite // under way
 	tasks   []func()
 }
 
@@ -105,10 +105,10 @@
 	m.life++
 	m.core = newCore(Config{
 		Self: m.address, Handler: m, Log: zap.NewNop(), Clock: m.world, Limits: limits,
-		Timing: Timing{Round: 24 * time.Hour, Transfer: 24 * time.Hour}.withDefaults(),
+		Timing: Timing{ReplyTimeout: 24 * time.Hour, ChunkTimeout: 24 * time.Hour}.withDefaults(),
 	}, random.PCG(1))
 	m.core.store = m.disk
-	m.core.enter = m.step
+	m.core.runStep = m.step
 	m.core.spawn = func(task func()) { m.tasks = append(m.tasks, task) }
 	m.core.observe(m.world.clock, m.world.view, true)
 	m.core.group(exploredGroup).ensured = true
@@ -173,7 +173,7 @@
 func (m *exploredMember) step(step func()) {
 	m.core.observe(m.world.clock, m.world.view, true)
 	step()
-	effects := m.core.take()
+	effects := m.core.takeEffects()
 	for _, one := range effects.writes {
 		m.write(one)
 	}
@@ -192,9 +192,9 @@
 
 func (w *explored) indexOf(address string) int { return slices.Index(w.view.Members, address) }
 
-func (m *exploredMember) write(one write) {
+func (m *exploredMember) write(one storeWrite) {
 	if m.world.wrong.answersEarly && m.index != 0 {
-		m.writes = append(m.writes, write{changes: one.changes, done: func(error) {}})
+		m.writes = append(m.writes, storeWrite{changes: one.changes, done: func(error) {}})
 		m.step(func() { one.done(nil) })
 		return
 	}
@@ -262,7 +262,7 @@
 		w.restart(m, one.kind)
 	case lapse:
 		w.left.lapses--
-		w.clock += 2 * DefaultTiming.ReplicaLease
+		w.clock += 2 * DefaultTiming.FollowerLease
 		for _, m := range w.members {
 			m.hash = historyWith(m.hash, lapse, 0)
 		}
@@ -275,11 +275,11 @@
 	}
 }
 
-// campaign asks for votes, as a candidate does whose probe was answered before.
+// startCampaign asks for votes, as a candidate does whose probe was answered before.
 func (m *exploredMember) campaign() {
 	g := m.core.group(exploredGroup)
 	g.campaigning = &campaign{group: g, view: m.core.view}
-	g.campaigning.stand()
+	g.campaigning.startVote()
 }
 
 func (w *explored) answer(next flight, step func(), kind actionKind) {
@@ -322,12 +322,12 @@
 		w.flights = append(w.flights, answered)
 	}
 	switch request := next.call.request.(type) {
-	case prepareRequest:
-		m.core.prepare(request, func(answer prepareReply) {
+	case voteRequest:
+		m.core.requestVote(request, func(answer voteReply) {
 			if w.wrong.hidesNewer {
 				answer.Position, answer.State = request.Position, nil
 			}
-			reply(func() { *next.call.reply.(*prepareReply) = answer })
+			reply(func() { *next.call.reply.(*voteReply) = answer })
 		})
 	case appendRequest:
 		m.core.append(request, func(answer appendReply) { reply(func() { *next.call.reply.(*appendReply) = answer }) })
@@ -337,6 +337,6 @@
 			reply(func() { *next.call.reply.(*pingReply) = answer })
 		})
 	case resignRequest:
-		m.core.resigned(request)
+		m.core.leaderResigned(request)
 	}
 }
--- a/internal/controlplane/replication/exploredcheck_test.go
+++ b/internal/controlplane/replication/exploredcheck_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// check verifies after each step what must always hold.
+// checkLease verifies after each step what must always hold.
 func (w *explored) check(m *exploredMember) {
 	if l := m.core.group(exploredGroup).leading; l != nil {
 		w.checkLeader(l)
@@ -28,10 +28,10 @@
 }
 
 func (w *explored) checkLeader(l *leadership) {
-	if _, known := w.bases[l.epoch]; !known {
-		w.bases[l.epoch] = l.history.batches[0].previous
+	if _, known := w.bases[l.termNumber]; !known {
+		w.bases[l.termNumber] = l.history.batches[0].previous
 	}
-	w.committed[l.epoch] = max(w.committed[l.epoch], l.committed)
+	w.committed[l.termNumber] = max(w.committed[l.termNumber], l.commitIndex)
 	for later, base := range w.bases {
 		for epoch, sequence := range w.committed {
 			if epoch < later && sequence > 0 && base.Before(Position{epoch, sequence}) {
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -25,7 +25,7 @@
 	{"batches under way, one restart", DefaultLimits, false, budget{crashes: 1, lapses: 1, stands: 1}, 10},
 	{"batches under way, nothing fails", DefaultLimits, false, budget{lapses: 1, stands: 1}, 11},
 	{"batches under way, one restart and one loss", DefaultLimits, false, budget{drops: 1, crashes: 1, lapses: 1, stands: 1}, 7},
-	{"a snapshot in parts under way, one restart", Limits{ChunkBytes: 70, KeptBatches: 1}, true,
+	{"a snapshot in parts under way, one restart", Limits{ChunkBytes: 70, RetainedBatches: 1}, true,
 		budget{drops: 1, crashes: 1, lapses: 1, stands: 1}, 7},
 }
 
--- a/internal/controlplane/replication/failover_test.go
+++ b/internal/controlplane/replication/failover_test.go
@@ -99,10 +99,10 @@
 	Convey("Given a leader", t, func() {
 		s := calm(7, 3)
 		leader := s.leader("jobs/a")
-		epoch := leader.terms["jobs/a"].Epoch()
+		epoch := leader.terms["jobs/a"].Number()
 		stays := func() {
 			So(s.leader("jobs/a") == leader, ShouldBeTrue)
-			So(leader.terms["jobs/a"].Epoch(), ShouldEqual, epoch)
+			So(leader.terms["jobs/a"].Number(), ShouldEqual, epoch)
 		}
 		other := s.nodes[s.view.Members[0]]
 		if other == leader {
@@ -165,7 +165,7 @@
 	Convey("Given three nodes in calm", t, func() {
 		s := calm(5, 3)
 		one := s.nodes[s.view.Members[0]]
-		contact := func(n *simulatedNode) bool { return n.core.members.inContact(s.view, s.now) }
+		contact := func(n *simulatedNode) bool { return n.core.members.contactsQuorum(s.view, s.now) }
 		Convey("each is in contact and knows the same leaders", func() {
 			for _, n := range s.nodes {
 				So(contact(n), ShouldBeTrue)
@@ -190,25 +190,25 @@
 		s.busy = false
 		So(s.run(time.Second), ShouldBeNil)
 		l := s.leader("jobs/a").core.group("jobs/a").leading
-		So(l.committed, ShouldEqual, l.latest.Sequence)
-		l.committed--
+		So(l.commitIndex, ShouldEqual, l.lastPosition.Index)
+		l.commitIndex--
 		for _, follower := range l.followers {
-			follower.voted = 0
+			follower.matchIndex = 0
 		}
 		for _, follower := range l.followers {
-			follower.voted, follower.votedAt = l.latest.Sequence, l.core.now-l.core.timing.Round-time.Millisecond
+			follower.matchIndex, follower.matchSentAt = l.lastPosition.Index, l.core.now-l.core.timing.ReplyTimeout-time.Millisecond
 			break
 		}
 		Convey("an answer to a request sent longer ago than a round lasts does not count", func() {
-			l.count()
-			So(l.committed, ShouldEqual, l.latest.Sequence-1)
+			l.advanceCommitIndex()
+			So(l.commitIndex, ShouldEqual, l.lastPosition.Index-1)
 		})
 		Convey("one to a later request does", func() {
 			for _, follower := range l.followers {
-				follower.votedAt += 2 * time.Millisecond
+				follower.matchSentAt += 2 * time.Millisecond
 			}
-			l.count()
-			So(l.committed, ShouldEqual, l.latest.Sequence)
+			l.advanceCommitIndex()
+			So(l.commitIndex, ShouldEqual, l.lastPosition.Index)
 		})
 	})
 	Convey("A campaign fails when the votes come later than a round lasts", t, func() {
@@ -216,11 +216,11 @@
 		n := s.nodes[s.view.Members[0]]
 		n.start()
 		g := n.core.group("jobs/a")
-		g.campaign()
+		g.startCampaign()
 		c := g.campaigning
-		n.core.now += n.core.timing.Round + time.Millisecond
-		c.take(s.view.Members[1], prepareRequest{Probe: true}, prepareReply{Granted: true}, nil)
-		So(c.over, ShouldBeTrue)
+		n.core.now += n.core.timing.ReplyTimeout + time.Millisecond
+		c.countVote(s.view.Members[1], voteRequest{PreVote: true}, voteReply{Granted: true}, nil)
+		So(c.ended, ShouldBeTrue)
 		So(g.leading == nil, ShouldBeTrue)
 	})
 }
--- a/internal/controlplane/replication/follower.go
+++ b/internal/controlplane/replication/follower.go
@@ -5,34 +5,36 @@
 // follower is what a leader knows of one other replica.
 type follower struct {
 	// position is where the replica is, as far as known says that it is known.
-	position Position
-	known    bool
-	sending  bool
-	transfer *transfer     // what is being sent; nil where nothing is
-	lagging  bool          // since a snapshot began to travel; what came after it is kept for this replica
-	settled  time.Duration // the newest append ended then; what was asked before may be out of date
+	position        Position
+	known           bool
+	sending         bool
+	transfer        *transfer     // what is being sent; nil where nothing is
+	catchingUp      bool          // since a snapshot began to travel; what came after it is kept for this replica
+	lastAppendEnded time.Duration // the newest append ended then; what was asked before may be out of date
 
-	// voted is the newest sequence of this term that the replica has synced, as told by its answer to a request that
-	// was sent at votedAt.
-	voted   uint64
-	votedAt time.Duration
-	// followed is when the newest request was sent that the replica answered as this leader's follower.
-	followed time.Duration
+	// matchIndex is the newest sequence of this term that the replica has synced, as told by its answer to a request that
+	// was sent at matchSentAt.
+	matchIndex  uint64
+	matchSentAt time.Duration
+	// acknowledgedAt is when the newest request was sent that the replica answered as this leader's follower.
+	acknowledgedAt time.Duration
 }
 
-func newFollower() *follower { return &follower{votedAt: never, followed: never, settled: never} }
+func newFollower() *follower {
+	return &follower{matchSentAt: never, acknowledgedAt: never, lastAppendEnded: never}
+}
 
 // vote notes an answer. A lower sequence replaces a higher one only when that has become too old to count.
-func (f *follower) vote(sequence uint64, sent, now, round time.Duration) {
-	if sequence >= f.voted || now-f.votedAt > round {
-		f.voted, f.votedAt = sequence, sent
+func (f *follower) acknowledge(index uint64, sent, now, replyTimeout time.Duration) {
+	if index >= f.matchIndex || now-f.matchSentAt > replyTimeout {
+		f.matchIndex, f.matchSentAt = index, sent
 	}
-	f.followed = max(f.followed, sent)
+	f.acknowledgedAt = max(f.acknowledgedAt, sent)
 }
 
-// locate notes where the replica is, by an answer to a request sent at a time.
-func (f *follower) locate(position Position, sent time.Duration) {
-	if f.sending || sent < f.settled {
+// updatePosition notes where the replica is, by an answer to a request sent at a time.
+func (f *follower) updatePosition(position Position, sent time.Duration) {
+	if f.sending || sent < f.lastAppendEnded {
 		return
 	}
 	f.position, f.known = position, true
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -8,33 +8,33 @@
 
 // group is one replication group as this node sees it.
 type group struct {
-	core        *core
-	name        string
-	replica     replica
-	campaigning *campaign
-	fetching    *fetch // of a newer state than the one here, before this node stands
-	leading     *leadership
-	ensured     bool          // campaign although nothing is stored
-	heardAt     time.Duration // of the newest sign of life of a leader
-	vacant      bool          // the last leader has resigned
-	finished    uint64        // epoch of the newest leader that has resigned
-	retryAt     time.Duration // no campaign before
+	core              *core
+	name              string
+	replica           replica
+	campaigning       *campaign
+	fetching          *snapshotFetch // of a newer state than the one here, before this node stands
+	leading           *leadership
+	ensured           bool          // campaign although nothing is stored
+	lastContact       time.Duration // of the newest sign of life of a leader
+	vacant            bool          // the last leader has resigned
+	resignedTerm      uint64        // epoch of the newest leader that has resigned
+	campaignNotBefore time.Duration // no campaign before
 }
 
 func newGroup(c *core, name string) *group {
-	g := &group{core: c, name: name, heardAt: c.now}
+	g := &group{core: c, name: name, lastContact: c.now}
 	g.replica.core, g.replica.group = c, g
 	return g
 }
 
 // heard notes a sign of life of a leader.
-func (g *group) heard(epoch uint64, leader string) {
-	g.heardAt, g.vacant = g.core.now, false
+func (g *group) leaderContacted(epoch uint64, leader string) {
+	g.lastContact, g.vacant = g.core.now, false
 	if leader == g.core.self {
 		return
 	}
-	g.core.leaders.learnOne(g.name, feed.Leader{Address: leader, Epoch: epoch})
-	if g.campaigning != nil && g.campaigning.epoch <= epoch {
+	g.core.leaders.updateGroup(g.name, feed.Leader{Address: leader, Epoch: epoch})
+	if g.campaigning != nil && g.campaigning.term <= epoch {
 		g.campaigning.abandon()
 	}
 }
@@ -45,36 +45,36 @@
 }
 
 // exists tells whether anything is known that is worth a leader.
-func (g *group) exists() bool { return g.ensured || g.replica.promised > 0 }
+func (g *group) exists() bool { return g.ensured || g.replica.currentTerm > 0 }
 
-// returned tells whether this node led the group when its process ended, and nobody has led since.
-func (g *group) returned() bool {
-	return g.replica.candidate == g.core.self && g.replica.lease.epoch == 0 && g.replica.mute > 0
+// ledBeforeRestart tells whether this node led the group when its process ended, and nobody has led since.
+func (g *group) ledBeforeRestart() bool {
+	return g.replica.votedFor == g.core.self && g.replica.lease.term == 0 && g.replica.noVoteBefore > 0
 }
 
-// due is when to campaign next unless a leader is heard.
-func (g *group) due() time.Duration {
+// campaignDue is when to campaign next unless a leader is heard.
+func (g *group) campaignDue() time.Duration {
 	timing := g.core.timing
-	if g.returned() {
-		return g.retryAt
+	if g.ledBeforeRestart() {
+		return g.campaignNotBefore
 	}
-	wait := timing.Silence
-	if g.vacant || g.replica.position == (Position{}) && g.replica.lease.epoch == 0 {
-		wait = timing.Vacancy
+	wait := timing.ElectionTimeout
+	if g.vacant || g.replica.position == (Position{}) && g.replica.lease.term == 0 {
+		wait = timing.VacantElectionTimeout
 	}
-	rank := g.core.rank(g.name)
-	at := g.heardAt + wait + time.Duration(rank)*timing.RankDelay
-	return max(at, g.retryAt, g.replica.mute)
+	rank := g.core.campaignRank(g.name)
+	at := g.lastContact + wait + time.Duration(rank)*timing.RankDelay
+	return max(at, g.campaignNotBefore, g.replica.noVoteBefore)
 }
 
-// resigned notes that the leader of an epoch has ended its term.
-func (g *group) resigned(epoch uint64) {
-	if epoch < g.replica.promised {
+// leaderResigned notes that the leader of an epoch has ended its term.
+func (g *group) leaderResigned(epoch uint64) {
+	if epoch < g.replica.currentTerm {
 		return
 	}
-	g.replica.release(epoch)
+	g.replica.releaseLease(epoch)
 	g.vacant = true
-	g.finished = epoch
-	g.heardAt = g.core.now
-	g.core.replan = true
+	g.resignedTerm = epoch
+	g.lastContact = g.core.now
+	g.core.tickEarlier = true
 }
--- a/internal/controlplane/replication/hugestate_test.go
+++ b/internal/controlplane/replication/hugestate_test.go
@@ -74,11 +74,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if chunk.Epoch == f.stopped || f.stopsAt(chunk) {
+	if chunk.Term == f.stopped || f.stopsAt(chunk) {
 		return errOnTheWay
 	}
 	f.note(chunk)
-	if chunk.Epoch != f.first.Epoch {
+	if chunk.Term != f.first.Term {
 		if err := f.strike(chunk, deliver); err != nil {
 			return err
 		}
@@ -104,8 +104,8 @@
 	if f.stopped != 0 || f.first.Chunks == 0 || chunk.Chunk < chunk.Chunks/2 {
 		return false
 	}
-	f.stopped = chunk.Epoch
-	f.midway <- chunk.Epoch
+	f.stopped = chunk.Term
+	f.midway <- chunk.Term
 	return true
 }
 
@@ -150,16 +150,16 @@
 	return nil
 }
 
-// check looks whether no message was larger than a part, each fault has struck, and no part counted that was not in its turn.
+// checkLease looks whether no message was larger than a part, each fault has struck, and no part counted that was not in its turn.
 func (f *chunkFaults) check() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	So(f.largest, ShouldBeLessThanOrEqualTo, DefaultLimits.ChunkBytes)
 	So(f.struck[lostChunk] && f.struck[unansweredChunk], ShouldBeTrue)
-	So(f.odd[oldChunk].Outcome, ShouldEqual, superseded)
+	So(f.odd[oldChunk].Outcome, ShouldEqual, staleTerm)
 	for inTurn, wanted := range map[uint32]uint32{doubledChunk: doubledChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
-		So(f.odd[inTurn].Outcome, ShouldEqual, gathering)
-		So(f.odd[inTurn].Wanted, ShouldEqual, wanted)
+		So(f.odd[inTurn].Outcome, ShouldEqual, incomplete)
+		So(f.odd[inTurn].NextChunk, ShouldEqual, wanted)
 	}
 }
 
@@ -274,7 +274,7 @@
 // callHarmed makes a call through the faults. The member that is harmed does not stand for election, as it would then fetch
 // the state and not be sent it.
 func (r *running) callHarmed(ctx context.Context, faults *chunkFaults, address string, route transport.Route, request, reply any) error {
-	if r.address == faults.target && route == prepareCall.Route() {
+	if r.address == faults.target && route == voteCall.Route() {
 		return errOnTheWay
 	}
 	return faults.carry(address, request, func(request any, other *appendReply) error {
--- a/internal/controlplane/replication/leaders.go
+++ b/internal/controlplane/replication/leaders.go
@@ -12,17 +12,17 @@
 
 // leaderTable holds the newest known leader of each group.
 type leaderTable struct {
-	byGroup map[string]feed.Leader // replaced, never changed
-	sum     uint64                 // checksum of the content
-	changed chan struct{}          // closed at the next change
+	byGroup  map[string]feed.Leader // replaced, never changed
+	checksum uint64                 // checksum of the content
+	changed  chan struct{}          // closed at the next change
 }
 
 func newLeaderTable() *leaderTable {
 	return &leaderTable{byGroup: make(map[string]feed.Leader), changed: make(chan struct{})}
 }
 
-// learn takes in leaders with higher epochs than those known.
-func (t *leaderTable) learn(leaders map[string]feed.Leader) {
+// update takes in leaders with higher epochs than those known.
+func (t *leaderTable) update(leaders map[string]feed.Leader) {
 	var next map[string]feed.Leader
 	for group, leader := range leaders {
 		if leader.Epoch <= t.byGroup[group].Epoch {
@@ -36,18 +36,18 @@
 	if next == nil {
 		return
 	}
-	t.byGroup, t.sum = next, checksum(next)
+	t.byGroup, t.checksum = next, leadersChecksum(next)
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-func (t *leaderTable) learnOne(group string, leader feed.Leader) {
+func (t *leaderTable) updateGroup(group string, leader feed.Leader) {
 	if leader.Epoch > t.byGroup[group].Epoch {
-		t.learn(map[string]feed.Leader{group: leader})
+		t.update(map[string]feed.Leader{group: leader})
 	}
 }
 
-func checksum(leaders map[string]feed.Leader) uint64 {
+func leadersChecksum(leaders map[string]feed.Leader) uint64 {
 	var content []byte
 	for _, group := range slices.Sorted(maps.Keys(leaders)) {
 		content = append(content, group...)
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -12,46 +12,46 @@
 // leadership is this node's term as leader of a group: it gathers proposals into batches, sends them to the
 // followers, counts their answers, and keeps the lease.
 type leadership struct {
-	core      *core
-	group     *group
-	epoch     uint64
-	term      *Term
-	elected   bool
-	ended     bool
-	deadline  time.Duration // the term ends then unless a majority answers
-	followers map[string]*follower
-	history   history
-	latest    Position // of the newest batch begun
-	committed uint64   // sequence
+	core         *core
+	group        *group
+	termNumber   uint64
+	handle       *Term
+	elected      bool
+	ended        bool
+	deadline     time.Duration // the term ends then unless a majority answers
+	followers    map[string]*follower
+	history      history
+	lastPosition Position // of the newest batch begun
+	commitIndex  uint64   // sequence
 
-	gathering map[string][]byte // of the batch that comes next
-	waiting   []func()          // to call once it is committed
-	begun     []func()          // to call once the batch under way is committed
+	pending           map[string][]byte // of the batch that comes next
+	pendingCallbacks  []func()          // to call once it is committed
+	inFlightCallbacks []func()          // to call once the batch under way is committed
 }
 
-// lead begins a term on an adopted state. Its first batch is empty, and its commitment completes the election.
-func (g *group) lead(epoch uint64, adopted prepareReply, votes map[string]prepareReply) {
+// startLeading begins a term on an adopted state. Its first batch is empty, and its commitment completes the election.
+func (g *group) startLeading(epoch uint64, adopted voteReply, votes map[string]voteReply) {
 	l := &leadership{
-		core: g.core, group: g, epoch: epoch,
-		deadline:  g.core.now + g.core.timing.Round,
+		core: g.core, group: g, termNumber: epoch,
+		deadline:  g.core.now + g.core.timing.ReplyTimeout,
 		followers: make(map[string]*follower),
 	}
-	l.term = newTerm(g.core, l)
+	l.handle = newTerm(g.core, l)
 	l.history.limits = g.core.limits
 	g.leading = l
-	l.matchView()
+	l.updateFollowers()
 	for address, reply := range votes {
 		if follower := l.followers[address]; follower != nil {
 			follower.position, follower.known = reply.Position, true
 		}
 	}
-	l.begin(adopted.Position, nil, l.adoption(adopted))
-	l.pump()
+	l.startBatch(adopted.Position, nil, l.adoptionRequest(adopted))
+	l.advance()
 }
 
-// adoption is the local write that begins the term.
-func (l *leadership) adoption(adopted prepareReply) appendRequest {
-	request := l.request()
+// adoptionRequest is the local write that begins the term.
+func (l *leadership) adoptionRequest(adopted voteReply) appendRequest {
+	request := l.appendRequestHeader()
 	request.Previous = adopted.Position
 	if adopted.Position == l.group.replica.position {
 		return request
@@ -63,8 +63,8 @@
 	return request
 }
 
-// matchView makes the followers those of the view.
-func (l *leadership) matchView() {
+// updateFollowers makes the followers those of the view.
+func (l *leadership) updateFollowers() {
 	for _, address := range l.core.view.Members {
 		if address != l.core.self && l.followers[address] == nil {
 			l.followers[address] = newFollower()
@@ -78,93 +78,93 @@
 	}
 }
 
-func (l *leadership) request() appendRequest {
-	return appendRequest{Group: l.group.name, Epoch: l.epoch, Leader: l.core.self, View: l.core.view.Version}
+func (l *leadership) appendRequestHeader() appendRequest {
+	return appendRequest{Group: l.group.name, Term: l.termNumber, Leader: l.core.self, View: l.core.view.Version}
 }
 
-// begin starts the next batch: it enters the history and is written here.
-func (l *leadership) begin(previous Position, values map[string][]byte, local appendRequest) {
-	l.latest = Position{l.epoch, l.latest.Sequence + 1}
-	l.holdHistory()
-	l.history.add(newBatch(previous, l.latest, values))
-	local.Position = l.latest
+// startBatch starts the next batch: it enters the history and is written here.
+func (l *leadership) startBatch(previous Position, values map[string][]byte, local appendRequest) {
+	l.lastPosition = Position{l.termNumber, l.lastPosition.Index + 1}
+	l.updateHistoryLimits()
+	l.history.add(newBatch(previous, l.lastPosition, values))
+	local.Position = l.lastPosition
 	l.group.replica.append(local, func(reply appendReply) {
 		if reply.Outcome != accepted {
 			l.end("the state here cannot go on")
 		}
-		l.pump()
+		l.advance()
 	})
 }
 
-// beginGathered starts a batch of what has been proposed, if the earlier one is committed and written here.
-func (l *leadership) beginGathered() {
-	if !l.elected || l.committed < l.latest.Sequence || l.group.replica.position != l.latest {
+// startPendingBatch starts a batch of what has been proposed, if the earlier one is committed and written here.
+func (l *leadership) startPendingBatch() {
+	if !l.elected || l.commitIndex < l.lastPosition.Index || l.group.replica.position != l.lastPosition {
 		return
 	}
-	if len(l.gathering) == 0 && !l.term.Valid() {
+	if len(l.pending) == 0 && !l.handle.Valid() {
 		return // nothing shows that no other leader has been elected; the next answer of a majority does
 	}
-	values := l.gathering
-	l.begun, l.waiting, l.gathering = l.waiting, nil, nil
+	values := l.pending
+	l.inFlightCallbacks, l.pendingCallbacks, l.pending = l.pendingCallbacks, nil, nil
 	if len(values) == 0 {
-		l.announce()
+		l.notifyCommitted()
 		return
 	}
-	previous := l.latest
-	b := l.request()
+	previous := l.lastPosition
+	b := l.appendRequestHeader()
 	b.Previous = previous
 	for key, value := range values {
 		b.Entries = append(b.Entries, Entry{key, value})
 	}
-	l.begin(previous, values, b)
+	l.startBatch(previous, values, b)
 }
 
 // propose queues entries for the next batch.
 func (l *leadership) propose(entries []Entry, committed func()) {
-	if l.check(); l.ended {
+	if l.checkLease(); l.ended {
 		return
 	}
 	for _, entry := range entries {
 		if entry.Key == "" {
 			continue
 		}
-		if l.gathering == nil {
-			l.gathering = make(map[string][]byte)
+		if l.pending == nil {
+			l.pending = make(map[string][]byte)
 		}
-		l.gathering[entry.Key] = entry.Value
+		l.pending[entry.Key] = entry.Value
 	}
 	if committed != nil {
-		l.waiting = append(l.waiting, committed)
+		l.pendingCallbacks = append(l.pendingCallbacks, committed)
 	}
-	l.pump()
+	l.advance()
 }
 
-// pump does whatever has become possible.
-func (l *leadership) pump() {
+// advance does whatever has become possible.
+func (l *leadership) advance() {
 	if l.ended {
 		return
 	}
 	l.renewLease()
-	l.count()
-	l.elect()
-	l.beginGathered()
+	l.advanceCommitIndex()
+	l.completeElection()
+	l.startPendingBatch()
 	for _, address := range l.core.view.Members {
 		if follower := l.followers[address]; follower != nil {
-			l.send(address, follower)
+			l.replicate(address, follower)
 		}
 	}
-	l.trim()
+	l.trimHistory()
 }
 
-// count commits what a majority has synced, by answers that are not too old.
-func (l *leadership) count() {
+// advanceCommitIndex commits what a majority has synced, by answers that are not too old.
+func (l *leadership) advanceCommitIndex() {
 	sequences := make([]uint64, 0, len(l.followers)+1)
-	if l.group.replica.position.Epoch == l.epoch {
-		sequences = append(sequences, l.group.replica.position.Sequence)
+	if l.group.replica.position.Term == l.termNumber {
+		sequences = append(sequences, l.group.replica.position.Index)
 	}
 	for _, follower := range l.followers {
-		if l.core.now-follower.votedAt <= l.core.timing.Round {
-			sequences = append(sequences, follower.voted)
+		if l.core.now-follower.matchSentAt <= l.core.timing.ReplyTimeout {
+			sequences = append(sequences, follower.matchIndex)
 		}
 	}
 	quorum := l.core.view.Quorum()
@@ -173,33 +173,33 @@
 	}
 	slices.Sort(sequences)
 	sequence := sequences[len(sequences)-quorum]
-	if sequence <= l.committed {
+	if sequence <= l.commitIndex {
 		return
 	}
-	l.committed = sequence
-	if sequence == l.latest.Sequence {
-		l.announce()
+	l.commitIndex = sequence
+	if sequence == l.lastPosition.Index {
+		l.notifyCommitted()
 	}
 }
 
-// announce calls back the proposers of the batch that was under way.
-func (l *leadership) announce() {
-	for _, committed := range l.begun {
-		l.term.enqueue(committed)
+// notifyCommitted calls back the proposers of the batch that was under way.
+func (l *leadership) notifyCommitted() {
+	for _, committed := range l.inFlightCallbacks {
+		l.handle.enqueue(committed)
 	}
-	l.begun = nil
+	l.inFlightCallbacks = nil
 }
 
-// elect completes the election once the adopted state is committed, is on this disk, and the lease holds.
-func (l *leadership) elect() {
-	if l.elected || l.committed == 0 || l.group.replica.position != l.latest || !l.term.Valid() {
+// completeElection completes the election once the adopted state is committed, is on this disk, and the lease holds.
+func (l *leadership) completeElection() {
+	if l.elected || l.commitIndex == 0 || l.group.replica.position != l.lastPosition || !l.handle.Valid() {
 		return
 	}
 	l.elected = true
-	l.core.log.Info("leading", zap.String("group", l.group.name), zap.Uint64("epoch", l.epoch))
+	l.core.log.Info("leading", zap.String("group", l.group.name), zap.Uint64("epoch", l.termNumber))
 	state := l.core.store.Table(stateTable(l.group.name))
-	l.term.announceElected(state)
-	l.core.leaders.learnOne(l.group.name, feed.Leader{Address: l.core.self, Epoch: l.epoch})
+	l.handle.announceElected(state)
+	l.core.leaders.updateGroup(l.group.name, feed.Leader{Address: l.core.self, Epoch: l.termNumber})
 }
 
 // renewLease sets the lease by the requests that a majority has answered.
@@ -207,7 +207,7 @@
 	sent := make([]time.Duration, 0, len(l.followers)+1)
 	sent = append(sent, l.core.now)
 	for _, follower := range l.followers {
-		sent = append(sent, follower.followed)
+		sent = append(sent, follower.acknowledgedAt)
 	}
 	quorum := l.core.view.Quorum()
 	if len(sent) < quorum {
@@ -215,59 +215,59 @@
 	}
 	slices.Sort(sent)
 	held := sent[len(sent)-quorum] + l.core.timing.LeaderLease
-	l.term.extend(held)
+	l.handle.extend(held)
 	l.deadline = max(l.deadline, held)
 }
 
-// trim forgets the batches that all followers have.
-func (l *leadership) trim() {
-	least := l.committed
+// trimHistory forgets the batches that all followers have.
+func (l *leadership) trimHistory() {
+	least := l.commitIndex
 	for _, follower := range l.followers {
-		least = min(least, follower.voted)
+		least = min(least, follower.matchIndex)
 	}
-	l.history.forget(least)
+	l.history.discardThrough(least)
 }
 
-// check ends a term whose lease has run out, or whose node has left the view or has a stalled disk.
-func (l *leadership) check() {
+// checkLease ends a term whose lease has run out, or whose node has left the view or has a stalled disk.
+func (l *leadership) checkLease() {
 	switch {
-	case !l.core.view.Has(l.core.self), l.core.stalled():
+	case !l.core.view.Has(l.core.self), l.core.diskStalled():
 		l.resign(false)
 	case l.core.now >= l.deadline:
 		l.end("no majority answers")
 	}
 }
 
-// end ends the term.
+// finish ends the term.
 func (l *leadership) end(reason string) {
 	if l.ended {
 		return
 	}
 	l.ended = true
 	l.group.leading = nil
-	l.group.heardAt = l.core.now
-	l.core.replan = true
-	l.core.log.Info("leadership ended", zap.String("group", l.group.name), zap.Uint64("epoch", l.epoch),
+	l.group.lastContact = l.core.now
+	l.core.tickEarlier = true
+	l.core.log.Info("leadership ended", zap.String("group", l.group.name), zap.Uint64("epoch", l.termNumber),
 		zap.String("reason", reason))
-	l.term.finish()
+	l.handle.finish()
 	for address, follower := range l.followers {
 		l.endTransfer(address, follower)
 	}
-	l.gathering, l.waiting, l.begun, l.history = nil, nil, nil, history{}
+	l.pending, l.pendingCallbacks, l.inFlightCallbacks, l.history = nil, nil, nil, history{}
 }
 
 // resign ends the term and tells the other members.
-func (l *leadership) resign(leaving bool) {
+func (l *leadership) resign(stopping bool) {
 	if l.ended {
 		return
 	}
 	l.end("resigned")
-	l.group.resigned(l.epoch)
-	request := resignRequest{Group: l.group.name, Epoch: l.epoch, From: l.core.self, Leaving: leaving}
+	l.group.leaderResigned(l.termNumber)
+	request := resignRequest{Group: l.group.name, Term: l.termNumber, From: l.core.self, Stopping: stopping}
 	for _, address := range l.core.view.Members {
 		if address == l.core.self {
 			continue
 		}
-		l.core.call(address, resignCall.Route(), l.core.timing.Beat, request, new(resignReply), func(error) {})
+		l.core.call(address, resignCall.Route(), l.core.timing.HeartbeatInterval, request, new(resignReply), func(error) {})
 	}
 }
--- a/internal/controlplane/replication/liveness.go
+++ b/internal/controlplane/replication/liveness.go
@@ -4,11 +4,11 @@
 
 // Liveness is what a node knows of one other member.
 type Liveness struct {
-	Address  string
-	Alive    bool          // it was heard of late
-	Ready    bool          // it may vote, as it last said
-	Heard    bool          // it was heard at all since this node started
-	HeardAgo time.Duration // since its newest ping
+	Address      string
+	Alive        bool          // it was heard of late
+	Ready        bool          // it may vote, as it last said
+	Contacted    bool          // it was heard at all since this node started
+	SinceContact time.Duration // since its newest ping
 }
 
 // Members tells of the other members of the view, in the view's order.
@@ -22,13 +22,13 @@
 		if address == n.config.Self {
 			continue
 		}
-		one := n.core.members.byAt[address]
-		if one == nil || one.heard == never {
+		one := n.core.members.byAddress[address]
+		if one == nil || one.lastPing == never {
 			members = append(members, Liveness{Address: address})
 			continue
 		}
-		ago := now - one.heard
-		members = append(members, Liveness{Address: address, Alive: ago <= n.core.members.alive, Ready: one.ready, Heard: true, HeardAgo: ago})
+		ago := now - one.lastPing
+		members = append(members, Liveness{Address: address, Alive: ago <= n.core.members.livenessTimeout, Ready: one.ready, Contacted: true, SinceContact: ago})
 	}
 	return members
 }
--- a/internal/controlplane/replication/members.go
+++ b/internal/controlplane/replication/members.go
@@ -15,53 +15,53 @@
 
 // member is what is known of another core node.
 type member struct {
-	heard    time.Duration // its newest ping arrived then
-	ready    bool          // it may vote, as its newest ping says
-	answered time.Duration // the newest of our pings that it answered was sent then
-	pings    int           // calls under way
+	lastPing     time.Duration // its newest ping arrived then
+	ready        bool          // it may vote, as its newest ping says
+	lastAnswered time.Duration // the newest of our pings that it answered was sent then
+	pendingPings int           // calls under way
 }
 
 // members tells which core nodes are alive and in contact.
 type members struct {
-	self  string
-	alive time.Duration
-	byAt  map[string]*member // by address
+	self            string
+	livenessTimeout time.Duration
+	byAddress       map[string]*member // by address
 }
 
-func newMembers(self string, alive time.Duration) *members {
-	return &members{self: self, alive: alive, byAt: make(map[string]*member)}
+func newMembers(self string, livenessTimeout time.Duration) *members {
+	return &members{self: self, livenessTimeout: livenessTimeout, byAddress: make(map[string]*member)}
 }
 
-func (m *members) at(address string) *member {
-	one := m.byAt[address]
+func (m *members) get(address string) *member {
+	one := m.byAddress[address]
 	if one == nil {
-		one = &member{heard: never, answered: never}
-		m.byAt[address] = one
+		one = &member{lastPing: never, lastAnswered: never}
+		m.byAddress[address] = one
 	}
 	return one
 }
 
-// keep forgets all that are not in a view.
-func (m *members) keep(view replicaset.View) {
-	for address := range m.byAt {
+// retain forgets all that are not in a view.
+func (m *members) retain(view replicaset.View) {
+	for address := range m.byAddress {
 		if !view.Has(address) {
-			delete(m.byAt, address)
+			delete(m.byAddress, address)
 		}
 	}
 }
 
-// votes tells whether a member is alive and may vote.
-func (m *members) votes(address string, now time.Duration) bool {
-	one := m.byAt[address]
-	return address == m.self || one != nil && one.ready && now-one.heard <= m.alive
+// canVote tells whether a member is alive and may vote.
+func (m *members) canVote(address string, now time.Duration) bool {
+	one := m.byAddress[address]
+	return address == m.self || one != nil && one.ready && now-one.lastPing <= m.livenessTimeout
 }
 
-// inContact tells whether a majority, with this node, has answered of late.
-func (m *members) inContact(view replicaset.View, now time.Duration) bool {
+// contactsQuorum tells whether a majority, with this node, has answered of late.
+func (m *members) contactsQuorum(view replicaset.View, now time.Duration) bool {
 	count := 0
 	for _, address := range view.Members {
-		one := m.byAt[address]
-		if address == m.self || one != nil && now-one.answered <= m.alive {
+		one := m.byAddress[address]
+		if address == m.self || one != nil && now-one.lastAnswered <= m.livenessTimeout {
 			count++
 		}
 	}
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -15,11 +15,11 @@
 // Internal calls. Votes, batches and heartbeats have epochs and positions, so that one that comes again changes nothing.
 // A resignation that came late would make a process that is back count as gone.
 var (
-	prepareCall = transport.NewRepeatable[prepareRequest, prepareReply]("/replication/prepare")
-	appendCall  = transport.NewRepeatable[appendRequest, appendReply]("/replication/append")
-	pingCall    = transport.NewRepeatable[pingRequest, pingReply]("/replication/ping")
-	resignCall  = transport.NewOnce[resignRequest, resignReply]("/replication/resign")
-	stateCall   = transport.NewRepeatable[stateRequest, stateReply]("/replication/state")
+	voteCall     = transport.NewRepeatable[voteRequest, voteReply]("/replication/prepare")
+	appendCall   = transport.NewRepeatable[appendRequest, appendReply]("/replication/append")
+	pingCall     = transport.NewRepeatable[pingRequest, pingReply]("/replication/ping")
+	resignCall   = transport.NewOnce[resignRequest, resignReply]("/replication/resign")
+	snapshotCall = transport.NewRepeatable[snapshotRequest, snapshotReply]("/replication/state")
 )
 
 // Entry sets one key of a group's state. A nil Value deletes the key. The empty key is not allowed.
@@ -31,48 +31,48 @@
 // Position names one state of a group: the Sequence-th batch of the leader that was elected under Epoch.
 // The zero Position is the empty state before the first leader.
 type Position struct {
-	Epoch    uint64 `msgpack:"e"`
-	Sequence uint64 `msgpack:"s"`
+	Term  uint64 `msgpack:"e"`
+	Index uint64 `msgpack:"s"`
 }
 
 // Before tells whether the position is older than another.
 func (p Position) Before(other Position) bool {
-	if p.Epoch != other.Epoch {
-		return p.Epoch < other.Epoch
+	if p.Term != other.Term {
+		return p.Term < other.Term
 	}
-	return p.Sequence < other.Sequence
+	return p.Index < other.Index
 }
 
-// prepareRequest asks for a vote. With Probe set, it asks whether a vote would be given, and changes nothing.
-type prepareRequest struct {
+// voteRequest asks for a vote. With Probe set, it asks whether a vote would be given, and changes nothing.
+type voteRequest struct {
 	Group     string   `msgpack:"g"`
-	Epoch     uint64   `msgpack:"e"`
+	Term      uint64   `msgpack:"e"`
 	Candidate string   `msgpack:"c"`
 	Position  Position `msgpack:"p"` // the candidate's own
 	View      uint64   `msgpack:"w"` // version of the candidate's view
-	Probe     bool     `msgpack:"b,omitempty"`
+	PreVote   bool     `msgpack:"b,omitempty"`
 }
 
-type prepareReply struct {
+type voteReply struct {
 	Granted  bool              `msgpack:"g"`
-	Promised uint64            `msgpack:"m"` // the highest epoch promised
+	Term     uint64            `msgpack:"m"` // the highest epoch promised
 	Position Position          `msgpack:"p"`
 	State    map[string][]byte `msgpack:"s,omitempty"` // only where Position is newer than the candidate's
-	// Large tells that Position is newer than the candidate's and that the state does not fit into this message. The
+	// StateOmitted tells that Position is newer than the candidate's and that the state does not fit into this message. The
 	// candidate fetches it in parts before it stands.
-	Large bool `msgpack:"l,omitempty"`
+	StateOmitted bool `msgpack:"l,omitempty"`
 }
 
-// stateRequest asks for a part of a replica's state as of a position.
-type stateRequest struct {
+// snapshotRequest asks for a part of a replica's state as of a position.
+type snapshotRequest struct {
 	Group    string   `msgpack:"g"`
 	View     uint64   `msgpack:"w"`
 	Position Position `msgpack:"p"`
 	Chunk    uint32   `msgpack:"a"` // from 0
 }
 
-// stateReply is that part. Parts is zero where the replica is not at the position, or may not vote.
-type stateReply struct {
+// snapshotReply is that part. Parts is zero where the replica is not at the position, or may not vote.
+type snapshotReply struct {
 	Chunks  uint32  `msgpack:"n"`
 	Entries []Entry `msgpack:"t"`
 }
@@ -81,7 +81,7 @@
 // into one message comes in parts, and moves the replica with the last one.
 type appendRequest struct {
 	Group    string   `msgpack:"g"`
-	Epoch    uint64   `msgpack:"e"`
+	Term     uint64   `msgpack:"e"`
 	Leader   string   `msgpack:"l"`
 	View     uint64   `msgpack:"w"`
 	Snapshot bool     `msgpack:"n,omitempty"`
@@ -92,50 +92,50 @@
 	Chunks   uint32   `msgpack:"m,omitempty"` // how many there are; 0 and 1 both stand for one
 }
 
-// outcome is a replica's answer to its leader.
-type outcome uint8
+// appendOutcome is a replica's answer to its leader.
+type appendOutcome uint8
 
 const (
-	unavailable outcome = iota // the replica may not vote at present, or has a newer view
-	accepted                   // the replica follows the leader; its position is in the reply
-	behind                     // the replica follows the leader, but the batch does not continue its position
-	superseded                 // the replica has promised a higher epoch
-	gathering                  // the replica follows the leader, and wants the part that the reply names
+	unavailable      appendOutcome = iota // the replica may not vote at present, or has a newer view
+	accepted                              // the replica follows the leader; its position is in the reply
+	positionMismatch                      // the replica follows the leader, but the batch does not continue its position
+	staleTerm                             // the replica has promised a higher epoch
+	incomplete                            // the replica follows the leader, and wants the part that the reply names
 )
 
 type appendReply struct {
-	Outcome  outcome  `msgpack:"o"`
-	Promised uint64   `msgpack:"m"`
-	Position Position `msgpack:"p"`
-	Wanted   uint32   `msgpack:"w,omitempty"` // with gathering: the part that is missing
+	Outcome   appendOutcome `msgpack:"o"`
+	Term      uint64        `msgpack:"m"`
+	Position  Position      `msgpack:"p"`
+	NextChunk uint32        `msgpack:"w,omitempty"` // with gathering: the part that is missing
 }
 
-// beat renews the lease of one group's leader.
-type beat struct {
+// heartbeat renews the lease of one group's leader.
+type heartbeat struct {
 	Group string `msgpack:"g"`
-	Epoch uint64 `msgpack:"e"`
+	Term  uint64 `msgpack:"e"`
 }
 
 // pingRequest tells a member that the sender is alive, and carries its heartbeats as a leader.
 type pingRequest struct {
-	From  string `msgpack:"f"`
-	Ready bool   `msgpack:"r"` // the sender may vote
-	View  uint64 `msgpack:"w"`
-	Sum   uint64 `msgpack:"s"` // checksum of the leaders that the sender knows
-	Beats []beat `msgpack:"b"`
+	From            string      `msgpack:"f"`
+	Ready           bool        `msgpack:"r"` // the sender may vote
+	View            uint64      `msgpack:"w"`
+	LeadersChecksum uint64      `msgpack:"s"` // checksum of the leaders that the sender knows
+	Heartbeats      []heartbeat `msgpack:"b"`
 }
 
 type pingReply struct {
-	Beats   []appendReply          `msgpack:"b"`           // in the order of the request
-	Leaders map[string]feed.Leader `msgpack:"l,omitempty"` // only where the checksums differ
+	Heartbeats []appendReply          `msgpack:"b"`           // in the order of the request
+	Leaders    map[string]feed.Leader `msgpack:"l,omitempty"` // only where the checksums differ
 }
 
 // resignRequest tells that a leader has ended its term.
 type resignRequest struct {
-	Group   string `msgpack:"g"`
-	Epoch   uint64 `msgpack:"e"`
-	From    string `msgpack:"f"`
-	Leaving bool   `msgpack:"l"` // its process is stopping
+	Group    string `msgpack:"g"`
+	Term     uint64 `msgpack:"e"`
+	From     string `msgpack:"f"`
+	Stopping bool   `msgpack:"l"` // its process is stopping
 }
 
 type resignReply struct{}
--- a/internal/controlplane/replication/mutants_test.go
+++ b/internal/controlplane/replication/mutants_test.go
@@ -50,9 +50,9 @@
 }
 
 // vote asks the machine for its vote and returns the answer.
-func (n *simulatedNode) vote(candidate string, epoch uint64) (answer prepareReply) {
-	request := prepareRequest{Group: "jobs/a", Epoch: epoch, Candidate: candidate, View: 1}
-	n.step(func() { n.core.prepare(request, func(reply prepareReply) { answer = reply }) })
+func (n *simulatedNode) vote(candidate string, epoch uint64) (answer voteReply) {
+	request := voteRequest{Group: "jobs/a", Term: epoch, Candidate: candidate, View: 1}
+	n.step(func() { n.core.requestVote(request, func(reply voteReply) { answer = reply }) })
 	So(n.simulation.run(50*time.Millisecond), ShouldBeNil)
 	return answer
 }
@@ -60,7 +60,7 @@
 // take sends the machine a batch or a snapshot of the leader "x" under epoch 7, and returns the answer.
 func (n *simulatedNode) take(snapshot bool, previous, sequence uint64, value byte) (answer appendReply) {
 	request := appendRequest{
-		Group: "jobs/a", Epoch: 7, Leader: "x", View: 1, Snapshot: snapshot,
+		Group: "jobs/a", Term: 7, Leader: "x", View: 1, Snapshot: snapshot,
 		Position: Position{7, sequence}, Entries: []Entry{{"key", []byte{value}}},
 	}
 	if previous > 0 {
@@ -87,7 +87,7 @@
 			s, n := lone(wrong)
 			So(n.vote("x", 7).Granted, ShouldBeTrue)
 			n.restart()
-			So(s.run(2*s.timing.ReplicaLease), ShouldBeNil)
+			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
 			return !n.vote("y", 7).Granted && n.vote("y", 8).Granted
 		}
 		So(keeps(defects{}), ShouldBeTrue)
@@ -99,7 +99,7 @@
 			So(n.take(false, 0, 1, 1).Outcome, ShouldEqual, accepted)
 			n.restart()
 			early := n.vote("y", 8).Granted
-			So(s.run(s.timing.ReplicaLease), ShouldBeNil)
+			So(s.run(s.timing.FollowerLease), ShouldBeNil)
 			So(n.vote("y", 9).Granted, ShouldBeTrue)
 			return !early
 		}
@@ -111,9 +111,9 @@
 		So(n.take(false, 0, 1, 1).Outcome, ShouldEqual, accepted)
 		So(s.run(s.timing.LeaderLease), ShouldBeNil)
 		So(n.vote("y", 8).Granted, ShouldBeFalse)
-		So(s.run(s.timing.ReplicaLease-s.timing.LeaderLease), ShouldBeNil)
+		So(s.run(s.timing.FollowerLease-s.timing.LeaderLease), ShouldBeNil)
 		So(n.vote("y", 9).Granted, ShouldBeTrue)
-		So(n.take(false, 1, 2, 2).Outcome, ShouldEqual, superseded)
+		So(n.take(false, 1, 2, 2).Outcome, ShouldEqual, staleTerm)
 	})
 	Convey("A snapshot that comes late does not undo what came after it", t, func() {
 		keeps := func(wrong defects) bool {
@@ -129,7 +129,7 @@
 	Convey("A batch that does not continue the replica's state is not taken, and a repeated one changes nothing", t, func() {
 		_, n := lone(defects{})
 		So(n.take(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
-		So(n.take(false, 4, 5, 5).Outcome, ShouldEqual, behind)
+		So(n.take(false, 4, 5, 5).Outcome, ShouldEqual, positionMismatch)
 		So(n.take(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
 		So(n.take(false, 3, 4, 9).Position, ShouldResemble, Position{7, 4})
 		So(n.disk.Table("group/jobs/a")["key"], ShouldResemble, []byte{4})
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -40,7 +40,7 @@
 	ctx    context.Context // of calls and handlers
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
-	poke   chan struct{}
+	wakeUp chan struct{}
 
 	mu   sync.Mutex
 	core *core
@@ -49,7 +49,7 @@
 // NewNode makes a node with what its store holds. It votes from the start, and leads while Run runs.
 func NewNode(config Config) (*Node, error) {
 	config.Timing = config.Timing.withDefaults()
-	if config.Timing.LeaderLease >= config.Timing.ReplicaLease {
+	if config.Timing.LeaderLease >= config.Timing.FollowerLease {
 		return nil, errLeaseTooLong
 	}
 	if config.Self == "" || config.Store == nil || config.Caller == nil || config.View == nil || config.Ready == nil || config.Handler == nil {
@@ -61,11 +61,11 @@
 	if config.Log == nil {
 		config.Log = zap.NewNop()
 	}
-	n := &Node{config: config, log: config.Log, poke: make(chan struct{}, 1)}
+	n := &Node{config: config, log: config.Log, wakeUp: make(chan struct{}, 1)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	seed := xxh3.HashString(config.Self) ^ uint64(time.Now().UnixNano())
 	n.core = newCore(config, random.PCG(seed))
-	n.core.enter = n.enter
+	n.core.runStep = n.runStep
 	n.core.spawn = n.spawn
 	n.core.restore()
 	return n, nil
@@ -75,30 +75,30 @@
 	return &core{
 		self: config.Self, timing: config.Timing, log: config.Log, store: config.Store, handler: config.Handler,
 		clock: config.Clock, random: random, now: config.Clock.Now(),
-		limits: config.Limits.withDefaults(), receiving: make(map[string]bool),
+		limits: config.Limits.withDefaults(), receivingSnapshot: make(map[string]bool),
 		groups:  make(map[string]*group),
 		leaders: newLeaderTable(),
-		members: newMembers(config.Self, config.Timing.Alive),
+		members: newMembers(config.Self, config.Timing.LivenessTimeout),
 	}
 }
 
 // Serve adds the node's internal calls to a mux.
 func (n *Node) Serve(mux *transport.Mux) {
-	transport.Handle(mux, prepareCall, func(ctx context.Context, request prepareRequest) (prepareReply, error) {
-		return serve(ctx, n, func(reply func(prepareReply)) { n.core.prepare(request, reply) })
+	transport.Handle(mux, voteCall, func(ctx context.Context, request voteRequest) (voteReply, error) {
+		return serve(ctx, n, func(reply func(voteReply)) { n.core.requestVote(request, reply) })
 	})
 	transport.Handle(mux, appendCall, func(ctx context.Context, request appendRequest) (appendReply, error) {
 		return serve(ctx, n, func(reply func(appendReply)) { n.core.append(request, reply) })
 	})
-	transport.Handle(mux, stateCall, func(ctx context.Context, request stateRequest) (stateReply, error) {
-		return serve(ctx, n, func(reply func(stateReply)) { n.core.state(request, reply) })
+	transport.Handle(mux, snapshotCall, func(ctx context.Context, request snapshotRequest) (snapshotReply, error) {
+		return serve(ctx, n, func(reply func(snapshotReply)) { n.core.serveSnapshot(request, reply) })
 	})
 	transport.Handle(mux, pingCall, func(ctx context.Context, request pingRequest) (pingReply, error) {
 		return serve(ctx, n, func(reply func(pingReply)) { n.core.ping(request, reply) })
 	})
 	transport.Handle(mux, resignCall, func(ctx context.Context, request resignRequest) (resignReply, error) {
 		return serve(ctx, n, func(reply func(resignReply)) {
-			n.core.resigned(request)
+			n.core.leaderResigned(request)
 			reply(resignReply{})
 		})
 	})
@@ -130,24 +130,24 @@
 	defer n.mu.Unlock()
 	n.core.observe(n.config.Clock.Now(), view, ready)
 	step()
-	if n.core.replan {
-		n.core.replan = false
+	if n.core.tickEarlier {
+		n.core.tickEarlier = false
 		n.wake()
 	}
-	work := n.core.take()
+	work := n.core.takeEffects()
 	n.tasks.Add(len(work.writes) + len(work.calls))
 	return work
 }
 
 func (n *Node) wake() {
 	select {
-	case n.poke <- struct{}{}:
+	case n.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// enter runs a step whose caller must not wait for its effects.
-func (n *Node) enter(step func()) { n.perform(n.step(step), false) }
+// runStep runs a step whose caller must not wait for its effects.
+func (n *Node) runStep(step func()) { n.perform(n.step(step), false) }
 
 // perform carries out effects, each on its own goroutine, but for the last one if the present goroutine may wait.
 func (n *Node) perform(work effects, mayWait bool) {
@@ -168,15 +168,15 @@
 
 func (n *Node) spawn(task func()) { n.tasks.Go(task) }
 
-func (n *Node) write(one write) effects {
+func (n *Node) write(one storeWrite) effects {
 	defer n.tasks.Done()
 	err := n.config.Store.Write(one.changes...)
 	return n.step(func() { one.done(err) })
 }
 
-func (n *Node) send(one call) effects {
+func (n *Node) send(one rpc) effects {
 	defer n.tasks.Done()
-	ctx, cancel := context.WithTimeout(n.ctx, one.limit)
+	ctx, cancel := context.WithTimeout(n.ctx, one.timeout)
 	defer cancel()
 	err := n.config.Caller.Call(ctx, one.address, one.route, one.request, one.reply)
 	return n.step(func() { one.done(err) })
@@ -193,20 +193,20 @@
 			n.shutdown()
 			return
 		case <-timer.C:
-		case <-n.poke:
+		case <-n.wakeUp:
 		}
 		var next time.Duration
-		n.enter(func() { next = n.core.tick() })
+		n.runStep(func() { next = n.core.tick() })
 		timer.Reset(max(next-n.config.Clock.Now(), time.Millisecond))
 	}
 }
 
 // shutdown gives the resignations the time of one heartbeat to arrive.
 func (n *Node) shutdown() {
-	n.enter(n.core.stop)
+	n.runStep(n.core.stop)
 	ended := make(chan struct{})
 	go func() { n.tasks.Wait(); close(ended) }()
-	timer := time.NewTimer(n.config.Timing.Beat)
+	timer := time.NewTimer(n.config.Timing.HeartbeatInterval)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -217,7 +217,7 @@
 }
 
 // Ensure tells that a group exists, so that this node campaigns for it when due.
-func (n *Node) Ensure(group string) { n.enter(func() { n.core.ensure(group) }) }
+func (n *Node) Ensure(group string) { n.runStep(func() { n.core.ensure(group) }) }
 
 // Groups lists all groups known, sorted.
 func (n *Node) Groups() []string {
@@ -252,5 +252,5 @@
 	view := n.config.View()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.core.members.inContact(view, n.config.Clock.Now())
+	return n.core.members.contactsQuorum(view, n.config.Clock.Now())
 }
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -26,9 +26,9 @@
 
 // quick are intervals that keep the tests short, though long enough for a busy machine.
 var quick = Timing{
-	Beat: 50 * time.Millisecond, LeaderLease: 1500 * time.Millisecond, ReplicaLease: 1600 * time.Millisecond,
-	Silence: 1700 * time.Millisecond, Vacancy: 100 * time.Millisecond, RankDelay: 50 * time.Millisecond,
-	RetryShortest: 20 * time.Millisecond, RetryLongest: 100 * time.Millisecond,
+	HeartbeatInterval: 50 * time.Millisecond, LeaderLease: 1500 * time.Millisecond, FollowerLease: 1600 * time.Millisecond,
+	ElectionTimeout: 1700 * time.Millisecond, VacantElectionTimeout: 100 * time.Millisecond, RankDelay: 50 * time.Millisecond,
+	MinCampaignBackoff: 20 * time.Millisecond, MaxCampaignBackoff: 100 * time.Millisecond,
 }
 
 // cluster is some nodes on loopback.
@@ -194,7 +194,7 @@
 			first.node.kill()
 			second := c.awaitValid()
 			So(second.node.address, ShouldNotEqual, first.node.address)
-			So(second.term.Epoch(), ShouldBeGreaterThan, first.term.Epoch())
+			So(second.term.Number(), ShouldBeGreaterThan, first.term.Number())
 			So(second.state, ShouldResemble, map[string][]byte{"count": number(49), "empty": {}})
 			old, err := await(c.deposed)
 			So(err, ShouldBeNil)
@@ -208,7 +208,7 @@
 			So(err, ShouldBeNil)
 			first.term.Propose([]Entry{{"count", number(99)}}, func() { t.Error("committed after the term's end") })
 			second := c.awaitValid()
-			So(second.term.Epoch(), ShouldBeGreaterThan, first.term.Epoch())
+			So(second.term.Number(), ShouldBeGreaterThan, first.term.Number())
 			So(second.state["count"], ShouldResemble, number(49))
 		})
 		Convey("every node learns who leads", func() {
@@ -216,7 +216,7 @@
 				for {
 					changed := r.node.Changed()
 					leader := r.node.Leaders()["jobs/x"]
-					if leader.Address == first.node.address && leader.Epoch == first.term.Epoch() {
+					if leader.Address == first.node.address && leader.Epoch == first.term.Number() {
 						break
 					}
 					_, err := await(changed)
--- a/internal/controlplane/replication/parts.go
+++ b/internal/controlplane/replication/parts.go
@@ -11,22 +11,22 @@
 type Limits struct {
 	// ChunkBytes is about the most that one message carries of a state or of batches; only a single entry may be larger.
 	ChunkBytes int
-	// KeptBatches and KeptBytes bound the newest batches that a leader keeps for replicas that lag a little.
-	KeptBatches, KeptBytes int
-	// HeldBytes takes the place of KeptBytes while a replica catches up from a snapshot, and KeptBatches does not hold
+	// RetainedBatches and RetainedBytes bound the newest batches that a leader keeps for replicas that lag a little.
+	RetainedBatches, RetainedBytes int
+	// CatchUpBytes takes the place of RetainedBytes while a replica catches up from a snapshot, and RetainedBatches does not hold
 	// then: with the batches since the snapshot gone, it would need another one, and so on under a busy leader.
-	HeldBytes int
+	CatchUpBytes int
 }
 
 // DefaultLimits are the limits used in service. A part of 256 KB takes 0.7 s on a link of 3 Mbit/s, which is less than a
 // leader's lease, so that the heartbeats that wait behind it still come in time.
-var DefaultLimits = Limits{ChunkBytes: 256 << 10, KeptBatches: 4096, KeptBytes: 4 << 20, HeldBytes: 32 << 20}
+var DefaultLimits = Limits{ChunkBytes: 256 << 10, RetainedBatches: 4096, RetainedBytes: 4 << 20, CatchUpBytes: 32 << 20}
 
 func (l Limits) withDefaults() Limits {
 	l.ChunkBytes = cmp.Or(l.ChunkBytes, DefaultLimits.ChunkBytes)
-	l.KeptBatches = cmp.Or(l.KeptBatches, DefaultLimits.KeptBatches)
-	l.KeptBytes = cmp.Or(l.KeptBytes, DefaultLimits.KeptBytes)
-	l.HeldBytes = cmp.Or(l.HeldBytes, DefaultLimits.HeldBytes)
+	l.RetainedBatches = cmp.Or(l.RetainedBatches, DefaultLimits.RetainedBatches)
+	l.RetainedBytes = cmp.Or(l.RetainedBytes, DefaultLimits.RetainedBytes)
+	l.CatchUpBytes = cmp.Or(l.CatchUpBytes, DefaultLimits.CatchUpBytes)
 	return l
 }
 
@@ -51,12 +51,12 @@
 	return sum
 }
 
-// split cuts entries into parts of about a number of bytes. There is always one part, which may be empty.
-func split(entries []Entry, most int) [][]Entry {
+// splitChunks cuts entries into parts of about a number of bytes. There is always one part, which may be empty.
+func splitChunks(entries []Entry, maxBytes int) [][]Entry {
 	var chunks [][]Entry
 	start, sum := 0, 0
 	for i, entry := range entries {
-		if i > start && sum+entry.bytes() > most {
+		if i > start && sum+entry.bytes() > maxBytes {
 			chunks = append(chunks, entries[start:i])
 			start, sum = i, 0
 		}
@@ -68,13 +68,13 @@
 // assembly gathers the parts of a batch or snapshot that one leader sends in several messages. It is in memory only: what
 // a replica holds changes when the last part has come, in one write.
 type assembly struct {
-	epoch    uint64
-	snapshot bool
-	previous Position
-	position Position
-	chunks   uint32
-	entries  []Entry
-	next     uint32 // the part that is missing
+	term      uint64
+	snapshot  bool
+	previous  Position
+	position  Position
+	chunks    uint32
+	entries   []Entry
+	nextChunk uint32 // the part that is missing
 }
 
 // begins tells whether a part opens an assembly in the place of the present one, which may be nil. Positions only rise
@@ -83,21 +83,21 @@
 	if request.Chunk != 0 {
 		return false
 	}
-	return a == nil || a.epoch < request.Epoch || a.epoch == request.Epoch && a.position.Before(request.Position)
+	return a == nil || a.term < request.Term || a.term == request.Term && a.position.Before(request.Position)
 }
 
 // continues tells whether a part is the one that is missing.
 func (a *assembly) continues(request appendRequest) bool {
-	return a != nil && a.epoch == request.Epoch && a.snapshot == request.Snapshot && a.previous == request.Previous &&
-		a.position == request.Position && a.chunks == request.Chunks && a.next == request.Chunk
+	return a != nil && a.term == request.Term && a.snapshot == request.Snapshot && a.previous == request.Previous &&
+		a.position == request.Position && a.chunks == request.Chunks && a.nextChunk == request.Chunk
 }
 
-// gather takes a part of a batch or snapshot. It returns all entries once none is missing. A part that comes twice, too
+// assemble takes a part of a batch or snapshot. It returns all entries once none is missing. A part that comes twice, too
 // early, or from an earlier transfer changes nothing.
-func (r *replica) gather(request appendRequest) (entries []Entry, whole bool) {
+func (r *replica) assemble(request appendRequest) (entries []Entry, complete bool) {
 	if r.assembly.begins(request) {
 		r.assembly = &assembly{
-			epoch: request.Epoch, snapshot: request.Snapshot, previous: request.Previous,
+			term: request.Term, snapshot: request.Snapshot, previous: request.Previous,
 			position: request.Position, chunks: request.Chunks,
 		}
 	}
@@ -105,8 +105,8 @@
 		return nil, false
 	}
 	r.assembly.entries = append(r.assembly.entries, request.Entries...)
-	r.assembly.next++
-	if r.assembly.next < r.assembly.chunks {
+	r.assembly.nextChunk++
+	if r.assembly.nextChunk < r.assembly.chunks {
 		return nil, false
 	}
 	entries = r.assembly.entries
@@ -114,10 +114,10 @@
 	return entries, true
 }
 
-// wanted is the part that is missing of what a request belongs to.
-func (r *replica) wanted(request appendRequest) uint32 {
-	if a := r.assembly; a != nil && a.epoch == request.Epoch && a.position == request.Position {
-		return a.next
+// nextChunk is the part that is missing of what a request belongs to.
+func (r *replica) nextChunk(request appendRequest) uint32 {
+	if a := r.assembly; a != nil && a.term == request.Term && a.position == request.Position {
+		return a.nextChunk
 	}
 	return 0
 }
--- a/internal/controlplane/replication/parts_test.go
+++ b/internal/controlplane/replication/parts_test.go
@@ -37,9 +37,9 @@
 		if m.Chunks > 1 {
 			s.traffic.chunks++
 		}
-	case prepareReply:
+	case voteReply:
 		add(entriesOf(m.State))
-	case stateReply:
+	case snapshotReply:
 		add(m.Entries)
 		s.traffic.fetched++
 	}
@@ -78,7 +78,7 @@
 }
 
 // narrow limits make every state and many batches travel in parts, and lose the batches that a replica lacks soon.
-var narrow = Limits{ChunkBytes: 300, KeptBatches: 3, KeptBytes: 600, HeldBytes: 20_000}
+var narrow = Limits{ChunkBytes: 300, RetainedBatches: 3, RetainedBytes: 600, CatchUpBytes: 20_000}
 
 // catchUp is how long a replica may take, once all troubles are over, until it is near a busy leader. Up to 2 s of it pass until
 // a call whose answer was lost in the troubles is given up.
@@ -100,7 +100,7 @@
 	return 2000
 }
 
-// lagging tells which members are behind the leader of a group by more than a few batches.
+// catchingUp tells which members are behind the leader of a group by more than a few batches.
 func (s *simulation) lagging(group string) []string {
 	leader := s.leader(group)
 	if leader == nil {
@@ -110,7 +110,7 @@
 	newest := leader.core.group(group).replica.position
 	for _, address := range s.view.Members {
 		at := s.nodes[address].core.group(group).replica.position
-		if at.Epoch != newest.Epoch || at.Sequence+10 < newest.Sequence {
+		if at.Term != newest.Term || at.Index+10 < newest.Index {
 			behind = append(behind, fmt.Sprintf("%s at %v of %v", address, at, newest))
 		}
 	}
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -9,42 +9,42 @@
 // replica holds one group's state on this machine and votes in its elections. Its writes are serial: while one is on
 // its way to the disk, what needs the state waits in a queue.
 type replica struct {
-	core      *core
-	group     *group
-	promised  uint64   // no epoch below is followed
-	candidate string   // to whom the promise was given
-	synced    uint64   // the promise that is on disk
-	position  Position // of the state on disk
-	lease     lease
-	mute      time.Duration // no vote before that time, as a lease may have been forgotten
-	writing   bool
-	writeTime time.Duration // when the newest write began
-	queue     []func()
-	assembly  *assembly // of what a leader sends in parts; nil where there is none
-	given     givenState
+	core         *core
+	group        *group
+	currentTerm  uint64   // no epoch below is followed
+	votedFor     string   // to whom the promise was given
+	durableTerm  uint64   // the promise that is on disk
+	position     Position // of the state on disk
+	lease        followerLease
+	noVoteBefore time.Duration // no vote before that time, as a lease may have been forgotten
+	writing      bool
+	writeStarted time.Duration // when the newest write began
+	afterWrite   []func()
+	assembly     *assembly // of what a leader sends in parts; nil where there is none
+	served       servedSnapshot
 }
 
-// lease is a replica's word to a leader that it elects no other until then.
-type lease struct {
-	epoch  uint64
-	holder string
+// followerLease is a replica's word to a leader that it elects no other until then.
+type followerLease struct {
+	term   uint64
+	leader string
 	until  time.Duration
 }
 
 // load takes over what the store holds; the replica must have no write under way.
-func (r *replica) load(mute time.Duration) {
+func (r *replica) load(noVoteBefore time.Duration) {
 	m := decodeMeta(r.core.store.Table(metaTable(r.group.name)))
-	r.promised, r.candidate, r.synced, r.position = m.promised, m.candidate, m.promised, m.position
-	if m.promised > 0 {
-		r.mute = mute
+	r.currentTerm, r.votedFor, r.durableTerm, r.position = m.term, m.votedFor, m.term, m.position
+	if m.term > 0 {
+		r.noVoteBefore = noVoteBefore
 	}
 }
 
 // whenIdle runs an operation as soon as no write is under way, after those that wait already: a leader that always has a
 // next batch must not hold up a snapshot or a vote for good.
 func (r *replica) whenIdle(operation func()) {
-	if r.writing || len(r.queue) > 0 {
-		r.queue = append(r.queue, operation)
+	if r.writing || len(r.afterWrite) > 0 {
+		r.afterWrite = append(r.afterWrite, operation)
 		return
 	}
 	operation()
@@ -53,7 +53,7 @@
 // persist writes changes, runs done once they are synced, or failed if they could not be, and then what has queued up.
 // What this replica has on disk is then as before; a promise that it has not answered may stay raised in memory.
 func (r *replica) persist(changes []storage.Change, done, failed func()) {
-	r.writing, r.writeTime = true, r.core.now
+	r.writing, r.writeStarted = true, r.core.now
 	r.core.write(changes, func(err error) {
 		r.writing = false
 		if err == nil {
@@ -61,202 +61,202 @@
 		} else {
 			failed()
 		}
-		for !r.writing && len(r.queue) > 0 {
-			operation := r.queue[0]
-			r.queue = r.queue[1:]
+		for !r.writing && len(r.afterWrite) > 0 {
+			operation := r.afterWrite[0]
+			r.afterWrite = r.afterWrite[1:]
 			operation()
 		}
 	})
 }
 
-// free tells whether the replica may vote for a candidate as far as leases go. A lease that was forgotten in a restart
+// leasesAllow tells whether the replica may vote for a candidate as far as leases go. A lease that was forgotten in a restart
 // can only be that of the node to which the newest promise was given. If that node is the candidate, it leads no more:
 // a node campaigns only after its own term has ended, or in a new process.
-func (r *replica) free(candidate string) bool {
+func (r *replica) leasesAllow(candidate string) bool {
 	now := r.core.now
-	remembers := now >= r.mute || r.candidate == candidate && candidate != ""
-	return remembers && (now >= r.lease.until || r.lease.holder == candidate) && !r.group.ledByOther(candidate)
+	remembers := now >= r.noVoteBefore || r.votedFor == candidate && candidate != ""
+	return remembers && (now >= r.lease.until || r.lease.leader == candidate) && !r.group.ledByOther(candidate)
 }
 
-// prepare votes, or refuses to.
-func (r *replica) prepare(request prepareRequest, reply func(prepareReply)) {
-	if request.Probe {
-		granted := r.core.serves(request.View) && r.free(request.Candidate)
-		large := granted && request.Position.Before(r.position) && r.large(r.state())
-		reply(prepareReply{Granted: granted, Promised: r.promised, Position: r.position, Large: large})
+// requestVote votes, or refuses to.
+func (r *replica) requestVote(request voteRequest, reply func(voteReply)) {
+	if request.PreVote {
+		granted := r.core.mayVote(request.View) && r.leasesAllow(request.Candidate)
+		omitted := granted && request.Position.Before(r.position) && r.exceedsMessage(r.state())
+		reply(voteReply{Granted: granted, Term: r.currentTerm, Position: r.position, StateOmitted: omitted})
 		return
 	}
-	if !r.core.serves(request.View) {
-		reply(r.noVote())
+	if !r.core.mayVote(request.View) {
+		reply(r.denyVote())
 		return
 	}
-	r.whenIdle(func() { r.vote(request, reply) })
+	r.whenIdle(func() { r.grantVote(request, reply) })
 }
 
-func (r *replica) noVote() prepareReply {
-	return prepareReply{Promised: r.promised, Position: r.position}
+func (r *replica) denyVote() voteReply {
+	return voteReply{Term: r.currentTerm, Position: r.position}
 }
 
-func (r *replica) vote(request prepareRequest, reply func(prepareReply)) {
-	if !r.core.serves(request.View) || request.Epoch <= r.promised || !r.free(request.Candidate) {
-		reply(r.noVote())
+func (r *replica) grantVote(request voteRequest, reply func(voteReply)) {
+	if !r.core.mayVote(request.View) || request.Term <= r.currentTerm || !r.leasesAllow(request.Candidate) {
+		reply(r.denyVote())
 		return
 	}
-	r.raise(request.Epoch, request.Candidate)
-	answer := prepareReply{Granted: true, Promised: r.promised, Position: r.position}
+	r.advanceTerm(request.Term, request.Candidate)
+	answer := voteReply{Granted: true, Term: r.currentTerm, Position: r.position}
 	if request.Position.Before(r.position) {
-		if state := r.state(); r.large(state) {
-			answer.Large = true
+		if state := r.state(); r.exceedsMessage(state) {
+			answer.StateOmitted = true
 		} else {
 			answer.State = state
 		}
 	}
-	r.persist(promiseChanges(r.group.name, request.Epoch, request.Candidate), func() {
-		r.synced = request.Epoch
-		if !r.core.serves(request.View) { // a newer view was learned meanwhile, and may have taken its copy of this state
-			reply(r.noVote())
+	r.persist(termChanges(r.group.name, request.Term, request.Candidate), func() {
+		r.durableTerm = request.Term
+		if !r.core.mayVote(request.View) { // a newer view was learned meanwhile, and may have taken its copy of this state
+			reply(r.denyVote())
 			return
 		}
 		reply(answer)
-	}, func() { reply(r.noVote()) })
+	}, func() { reply(r.denyVote()) })
 }
 
-// state reads the state from the store, which is as of position while no write is under way.
+// serveSnapshot reads the state from the store, which is as of position while no write is under way.
 func (r *replica) state() map[string][]byte { return r.core.store.Table(stateTable(r.group.name)) }
 
 // large tells whether a state does not fit into one message.
-func (r *replica) large(state map[string][]byte) bool {
+func (r *replica) exceedsMessage(state map[string][]byte) bool {
 	return stateBytes(state) > r.core.limits.ChunkBytes
 }
 
-// raise promises to follow no lower epoch; a leader on this machine with a lower one ends.
-func (r *replica) raise(epoch uint64, candidate string) {
-	if epoch > r.promised {
-		r.promised, r.candidate = epoch, candidate
+// advanceTerm promises to follow no lower epoch; a leader on this machine with a lower one ends.
+func (r *replica) advanceTerm(epoch uint64, candidate string) {
+	if epoch > r.currentTerm {
+		r.currentTerm, r.votedFor = epoch, candidate
 		r.assembly = nil
 	}
-	if leading := r.group.leading; leading != nil && leading.epoch < epoch {
+	if leading := r.group.leading; leading != nil && leading.termNumber < epoch {
 		leading.end("a higher epoch was promised")
 	}
 }
 
-// follow takes a message of a leader whose epoch is not below the promise as a sign of life.
-func (r *replica) follow(epoch uint64, leader string) {
-	r.raise(epoch, leader)
-	if r.lease.epoch <= epoch {
-		r.lease = lease{epoch, leader, r.core.now + r.core.timing.ReplicaLease}
+// acceptLeader takes a message of a leader whose epoch is not below the promise as a sign of life.
+func (r *replica) acceptLeader(epoch uint64, leader string) {
+	r.advanceTerm(epoch, leader)
+	if r.lease.term <= epoch {
+		r.lease = followerLease{epoch, leader, r.core.now + r.core.timing.FollowerLease}
 	}
-	r.group.heard(epoch, leader)
+	r.group.leaderContacted(epoch, leader)
 }
 
-// beat answers a heartbeat. It waits for the disk only when the epoch is new to this replica.
-func (r *replica) beat(epoch uint64, leader string, view uint64, reply func(appendReply)) {
-	if r.refusal(epoch, view) == accepted && epoch == r.synced && epoch == r.promised {
-		r.follow(epoch, leader)
+// heartbeat answers a heartbeat. It waits for the disk only when the epoch is new to this replica.
+func (r *replica) heartbeat(epoch uint64, leader string, view uint64, reply func(appendReply)) {
+	if r.rejection(epoch, view) == accepted && epoch == r.durableTerm && epoch == r.currentTerm {
+		r.acceptLeader(epoch, leader)
 		reply(r.answer(accepted))
 		return
 	}
-	r.whenFollowing(epoch, view, reply, func() {
-		r.follow(epoch, leader)
-		r.answerSynced(view, accepted, reply)
+	r.whenAccepted(epoch, view, reply, func() {
+		r.acceptLeader(epoch, leader)
+		r.answerOnceDurable(view, accepted, reply)
 	})
 }
 
 // append takes a batch or a snapshot.
 func (r *replica) append(request appendRequest, reply func(appendReply)) {
-	r.whenFollowing(request.Epoch, request.View, reply, func() { r.apply(request, reply) })
+	r.whenAccepted(request.Term, request.View, reply, func() { r.apply(request, reply) })
 }
 
-// whenFollowing runs an operation for a leader once no write is under way, unless the leader is refused by then. One that
+// whenAccepted runs an operation for a leader once no write is under way, unless the leader is refused by then. One that
 // is refused already does not wait for the disk, which may be stalled.
-func (r *replica) whenFollowing(epoch, view uint64, reply func(appendReply), operation func()) {
-	if r.refuses(epoch, view, reply) {
+func (r *replica) whenAccepted(epoch, view uint64, reply func(appendReply), operation func()) {
+	if r.rejects(epoch, view, reply) {
 		return
 	}
 	r.whenIdle(func() {
-		if !r.refuses(epoch, view, reply) {
+		if !r.rejects(epoch, view, reply) {
 			operation()
 		}
 	})
 }
 
-// refuses answers a leader that is not to be followed, and tells whether it has.
-func (r *replica) refuses(epoch, view uint64, reply func(appendReply)) bool {
-	refusal := r.refusal(epoch, view)
-	if refusal == accepted {
+// rejects answers a leader that is not to be followed, and tells whether it has.
+func (r *replica) rejects(epoch, view uint64, reply func(appendReply)) bool {
+	rejection := r.rejection(epoch, view)
+	if rejection == accepted {
 		return false
 	}
-	reply(r.answer(refusal))
+	reply(r.answer(rejection))
 	return true
 }
 
 func (r *replica) apply(request appendRequest, reply func(appendReply)) {
-	r.follow(request.Epoch, request.Leader)
+	r.acceptLeader(request.Term, request.Leader)
 	if !r.position.Before(request.Position) {
-		r.answerSynced(request.View, accepted, reply)
+		r.answerOnceDurable(request.View, accepted, reply)
 		return
 	}
 	if !request.Snapshot && request.Previous != r.position {
-		r.answerSynced(request.View, behind, reply)
+		r.answerOnceDurable(request.View, positionMismatch, reply)
 		return
 	}
 	if request.Chunks > 1 {
-		entries, whole := r.gather(request)
-		if !whole {
-			r.answerGathering(request, reply)
+		entries, complete := r.assemble(request)
+		if !complete {
+			r.answerIncomplete(request, reply)
 			return
 		}
 		request.Entries = entries
 	}
-	r.persist(r.changes(request), func() {
-		r.synced = request.Epoch
+	r.persist(r.appendChanges(request), func() {
+		r.durableTerm = request.Term
 		r.position = request.Position
-		reply(r.answer(r.stillServing(request.View, accepted)))
+		reply(r.answer(r.ifStillVoting(request.View, accepted)))
 	}, func() { reply(r.answer(unavailable)) })
 }
 
-// refusal tells why a leader's message is not followed; accepted means that it is.
-func (r *replica) refusal(epoch, view uint64) outcome {
-	if !r.core.serves(view) {
+// rejection tells why a leader's message is not followed; accepted means that it is.
+func (r *replica) rejection(epoch, view uint64) appendOutcome {
+	if !r.core.mayVote(view) {
 		return unavailable
 	}
-	if epoch < r.promised || epoch <= r.group.finished {
-		return superseded
+	if epoch < r.currentTerm || epoch <= r.group.resignedTerm {
+		return staleTerm
 	}
 	return accepted
 }
 
-// stillServing is a result, or unavailable where a newer view was learned since the leader was heard: another member may
+// ifStillVoting is a result, or unavailable where a newer view was learned since the leader was heard: another member may
 // have taken its copy of this state by then.
-func (r *replica) stillServing(view uint64, result outcome) outcome {
-	if !r.core.serves(view) {
+func (r *replica) ifStillVoting(view uint64, result appendOutcome) appendOutcome {
+	if !r.core.mayVote(view) {
 		return unavailable
 	}
 	return result
 }
 
-// answerGathering tells a leader which part is missing.
-func (r *replica) answerGathering(request appendRequest, reply func(appendReply)) {
-	r.answerSynced(request.View, gathering, func(answer appendReply) {
-		answer.Wanted = r.wanted(request)
+// answerIncomplete tells a leader which part is missing.
+func (r *replica) answerIncomplete(request appendRequest, reply func(appendReply)) {
+	r.answerOnceDurable(request.View, incomplete, func(answer appendReply) {
+		answer.NextChunk = r.nextChunk(request)
 		reply(answer)
 	})
 }
 
-// answerSynced answers a leader once the promise is on disk.
-func (r *replica) answerSynced(view uint64, result outcome, reply func(appendReply)) {
-	if r.synced == r.promised {
+// answerOnceDurable answers a leader once the promise is on disk.
+func (r *replica) answerOnceDurable(view uint64, result appendOutcome, reply func(appendReply)) {
+	if r.durableTerm == r.currentTerm {
 		reply(r.answer(result))
 		return
 	}
-	promised := r.promised
-	r.persist(promiseChanges(r.group.name, promised, r.candidate), func() {
-		r.synced = promised
-		reply(r.answer(r.stillServing(view, result)))
+	promised := r.currentTerm
+	r.persist(termChanges(r.group.name, promised, r.votedFor), func() {
+		r.durableTerm = promised
+		reply(r.answer(r.ifStillVoting(view, result)))
 	}, func() { reply(r.answer(unavailable)) })
 }
 
-func (r *replica) changes(request appendRequest) []storage.Change {
+func (r *replica) appendChanges(request appendRequest) []storage.Change {
 	table := stateTable(r.group.name)
 	changes := make([]storage.Change, 0, len(request.Entries)+3)
 	if request.Snapshot {
@@ -265,19 +265,19 @@
 	for _, entry := range request.Entries {
 		changes = append(changes, storage.Change{Table: table, Key: entry.Key, Value: entry.Value})
 	}
-	if r.synced != request.Epoch {
-		changes = append(changes, promiseChanges(r.group.name, request.Epoch, request.Leader)...)
+	if r.durableTerm != request.Term {
+		changes = append(changes, termChanges(r.group.name, request.Term, request.Leader)...)
 	}
 	return append(changes, positionChange(r.group.name, request.Position))
 }
 
-func (r *replica) answer(result outcome) appendReply {
-	return appendReply{Outcome: result, Promised: r.promised, Position: r.position}
+func (r *replica) answer(result appendOutcome) appendReply {
+	return appendReply{Outcome: result, Term: r.currentTerm, Position: r.position}
 }
 
-// release gives up the lease of a leader that has resigned.
-func (r *replica) release(epoch uint64) {
-	if r.lease.epoch == epoch {
+// releaseLease gives up the lease of a leader that has resigned.
+func (r *replica) releaseLease(epoch uint64) {
+	if r.lease.term == epoch {
 		r.lease.until = r.core.now
 	}
 }
--- a/internal/controlplane/replication/simulatednode_test.go
+++ b/internal/controlplane/replication/simulatednode_test.go
@@ -52,13 +52,13 @@
 		}
 		n.core.store = n.files.store
 	}
-	n.core.enter = n.step
+	n.core.runStep = n.step
 	n.core.spawn = func(run func()) { n.later(s.between(0, time.Millisecond), run) }
 	n.core.restore()
 	if s.defects.forgetLeases {
 		n.later(0, func() {
 			for _, g := range n.core.groups {
-				g.replica.mute = 0
+				g.replica.noVoteBefore = 0
 			}
 		})
 	}
@@ -156,9 +156,9 @@
 func (n *simulatedNode) step(step func()) {
 	n.core.observe(n.simulation.now, n.view, n.ready)
 	step()
-	work := n.core.take()
-	if n.core.replan {
-		n.core.replan = false
+	work := n.core.takeEffects()
+	if n.core.tickEarlier {
+		n.core.tickEarlier = false
 		n.later(0, n.tick)
 	}
 	for _, one := range work.writes {
@@ -169,7 +169,7 @@
 	}
 }
 
-func (n *simulatedNode) write(one write) {
+func (n *simulatedNode) write(one storeWrite) {
 	s := n.simulation
 	pending := &pendingWrite{changes: one.changes}
 	n.pending = slices.DeleteFunc(n.pending, func(p *pendingWrite) bool { return p.applied })
@@ -197,7 +197,7 @@
 	return s.cuts[link{from, to}] || s.random.Float64() < s.loss
 }
 
-func (n *simulatedNode) call(one call) {
+func (n *simulatedNode) call(one rpc) {
 	s := n.simulation
 	ended := false
 	finish := func(err error) {
@@ -206,7 +206,7 @@
 			n.step(func() { one.done(err) })
 		}
 	}
-	n.later(one.limit, func() { finish(errTimeout) })
+	n.later(one.timeout, func() { finish(errTimeout) })
 	s.checkSize(one.request)
 	s.traffic.sent(one.address, one.request)
 	body := encode(one.request)
@@ -233,13 +233,13 @@
 }
 
 // forge answers a lost append as if it had been synced, when the defect is on.
-func (n *simulatedNode) forge(one call, finish func(error)) {
+func (n *simulatedNode) forge(one rpc, finish func(error)) {
 	request, isAppend := one.request.(appendRequest)
 	if !isAppend || !n.simulation.defects.forgeAnswers {
 		return
 	}
 	n.later(time.Millisecond, func() {
-		*one.reply.(*appendReply) = appendReply{Outcome: accepted, Promised: request.Epoch, Position: request.Position}
+		*one.reply.(*appendReply) = appendReply{Outcome: accepted, Term: request.Term, Position: request.Position}
 		finish(nil)
 	})
 }
@@ -261,7 +261,7 @@
 }
 
 // serve handles a request on the target, and brings the reply to the caller.
-func (n *simulatedNode) serve(from *simulatedNode, one call, body []byte, finish func(error)) {
+func (n *simulatedNode) serve(from *simulatedNode, one rpc, body []byte, finish func(error)) {
 	reply := func(answer any) {
 		n.simulation.checkSize(answer)
 		content := encode(answer)
@@ -277,25 +277,25 @@
 	}
 	n.step(func() {
 		switch one.route.Path() {
-		case prepareCall.Path():
-			request := decode[prepareRequest](body)
+		case voteCall.Path():
+			request := decode[voteRequest](body)
 			n.disguise(&request.View)
-			n.core.prepare(request, func(r prepareReply) { reply(r) })
+			n.core.requestVote(request, func(r voteReply) { reply(r) })
 		case appendCall.Path():
 			request := decode[appendRequest](body)
 			n.spoil(request)
 			n.disguise(&request.View)
 			n.core.append(request, func(r appendReply) { reply(r) })
-		case stateCall.Path():
-			request := decode[stateRequest](body)
+		case snapshotCall.Path():
+			request := decode[snapshotRequest](body)
 			n.disguise(&request.View)
-			n.core.state(request, func(r stateReply) { reply(r) })
+			n.core.serveSnapshot(request, func(r snapshotReply) { reply(r) })
 		case pingCall.Path():
 			request := decode[pingRequest](body)
 			n.disguise(&request.View)
 			n.core.ping(request, func(r pingReply) { reply(r) })
 		case resignCall.Path():
-			n.core.resigned(decode[resignRequest](body))
+			n.core.leaderResigned(decode[resignRequest](body))
 			reply(resignReply{})
 		}
 	})
@@ -304,7 +304,7 @@
 // spoil makes the replica take what it must refuse, when the defect is on.
 func (n *simulatedNode) spoil(request appendRequest) {
 	r := &n.core.group(request.Group).replica
-	if r.writing || request.Epoch != r.promised {
+	if r.writing || request.Term != r.currentTerm {
 		return
 	}
 	if n.simulation.defects.acceptStale && request.Snapshot {
--- a/internal/controlplane/replication/simulation_test.go
+++ b/internal/controlplane/replication/simulation_test.go
@@ -190,7 +190,7 @@
 
 func (d disk) apply(changes []storage.Change, skipPromises bool) {
 	for _, change := range changes {
-		if skipPromises && change.Key == promisedKey {
+		if skipPromises && change.Key == termKey {
 			continue
 		}
 		if change.Value == nil && change.Key == "" {
--- a/internal/controlplane/replication/stored_test.go
+++ b/internal/controlplane/replication/stored_test.go
@@ -39,9 +39,9 @@
 
 // storedMeta is what the groups' replicas hold beside their states.
 var storedMeta = map[string]meta{
-	"jobs/render": {promised: 0x102, candidate: storedLeader, position: Position{Epoch: 0x102, Sequence: 7}},
-	"jobs/mail":   {promised: 9, candidate: storedSelf, position: Position{Epoch: 5, Sequence: 1}},
-	"jobs/voted":  {promised: 1, candidate: storedLeader},
+	"jobs/render": {term: 0x102, votedFor: storedLeader, position: Position{Term: 0x102, Index: 7}},
+	"jobs/mail":   {term: 9, votedFor: storedSelf, position: Position{Term: 5, Index: 1}},
+	"jobs/voted":  {term: 1, votedFor: storedLeader},
 }
 
 // storedHandler leads nothing.
@@ -77,8 +77,8 @@
 func writeStoredGroups(t *testing.T, store storage.Store) {
 	node := storedNode(t, store)
 	vote := func(group string, epoch uint64, candidate string) {
-		reply, err := serve(t.Context(), node, func(reply func(prepareReply)) {
-			node.core.prepare(prepareRequest{Group: group, Epoch: epoch, Candidate: candidate, Position: Position{Epoch: epoch}, View: 1}, reply)
+		reply, err := serve(t.Context(), node, func(reply func(voteReply)) {
+			node.core.requestVote(voteRequest{Group: group, Term: epoch, Candidate: candidate, Position: Position{Term: epoch}, View: 1}, reply)
 		})
 		if err != nil || !reply.Granted {
 			t.Fatalf("vote in %s: %+v, %v", group, reply, err)
@@ -86,7 +86,7 @@
 	}
 	appended := func(group string, position Position, entries ...Entry) {
 		reply, err := serve(t.Context(), node, func(reply func(appendReply)) {
-			node.core.append(appendRequest{Group: group, Epoch: position.Epoch, Leader: storedLeader, View: 1, Snapshot: true, Position: position, Entries: entries}, reply)
+			node.core.append(appendRequest{Group: group, Term: position.Term, Leader: storedLeader, View: 1, Snapshot: true, Position: position, Entries: entries}, reply)
 		})
 		if err != nil || reply.Position != position {
 			t.Fatalf("append in %s: %+v, %v", group, reply, err)
@@ -98,7 +98,7 @@
 	appended("jobs/mail", Position{5, 1}, Entry{"j/2", []byte("two")})
 	vote("jobs/voted", 1, storedLeader)
 	// A vote for this member itself, once the lease of the other leader may have run out.
-	if err := store.Write(promiseChanges("jobs/mail", 9, storedSelf)...); err != nil {
+	if err := store.Write(termChanges("jobs/mail", 9, storedSelf)...); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -119,8 +119,8 @@
 			So(len(core.groups), ShouldEqual, len(storedMeta))
 			for name, want := range storedMeta {
 				held := &core.groups[name].replica
-				So(meta{held.promised, held.candidate, held.position}, ShouldResemble, want)
-				So(held.synced, ShouldEqual, want.promised)
+				So(meta{held.currentTerm, held.votedFor, held.position}, ShouldResemble, want)
+				So(held.durableTerm, ShouldEqual, want.term)
 				So(maps.EqualFunc(held.state(), storedTables["group/"+name], bytes.Equal), ShouldBeTrue)
 			}
 			So(store.Snapshot(), ShouldResemble, storedTables)
--- a/internal/controlplane/replication/tables.go
+++ b/internal/controlplane/replication/tables.go
@@ -15,29 +15,29 @@
 
 // Keys of a meta table.
 const (
-	promisedKey  = "promised"
-	candidateKey = "candidate"
-	positionKey  = "position"
+	termKey     = "promised"
+	votedForKey = "candidate"
+	positionKey = "position"
 )
 
-const wordBytes = 8
+const uint64Bytes = 8
 
 func stateTable(group string) string { return StateTablePrefix + group }
 func metaTable(group string) string  { return MetaTablePrefix + group }
 
 // meta is the durable part of a replica beside its state.
 type meta struct {
-	promised  uint64
-	candidate string // to whom the promise was given
-	position  Position
+	term     uint64
+	votedFor string // to whom the promise was given
+	position Position
 }
 
-// promiseChanges make a promise durable, together with whom it was given to.
-func promiseChanges(group string, epoch uint64, candidate string) []storage.Change {
+// termChanges make a promise durable, together with whom it was given to.
+func termChanges(group string, epoch uint64, candidate string) []storage.Change {
 	table := metaTable(group)
 	return []storage.Change{
-		{Table: table, Key: promisedKey, Value: encodeEpoch(epoch)},
-		{Table: table, Key: candidateKey, Value: []byte(candidate)},
+		{Table: table, Key: termKey, Value: encodeTerm(epoch)},
+		{Table: table, Key: votedForKey, Value: []byte(candidate)},
 	}
 }
 
@@ -45,31 +45,31 @@
 	return storage.Change{Table: metaTable(group), Key: positionKey, Value: encodePosition(position)}
 }
 
-func encodeEpoch(epoch uint64) []byte { return binary.BigEndian.AppendUint64(nil, epoch) }
+func encodeTerm(epoch uint64) []byte { return binary.BigEndian.AppendUint64(nil, epoch) }
 
 func encodePosition(position Position) []byte {
-	return binary.BigEndian.AppendUint64(encodeEpoch(position.Epoch), position.Sequence)
+	return binary.BigEndian.AppendUint64(encodeTerm(position.Term), position.Index)
 }
 
 // decodeMeta reads a meta table. What is absent or has another length is zero.
 func decodeMeta(table map[string][]byte) meta {
 	var m meta
-	if value := table[promisedKey]; len(value) == wordBytes {
-		m.promised = binary.BigEndian.Uint64(value)
+	if value := table[termKey]; len(value) == uint64Bytes {
+		m.term = binary.BigEndian.Uint64(value)
 	}
-	if value := table[positionKey]; len(value) == 2*wordBytes {
-		m.position.Epoch = binary.BigEndian.Uint64(value)
-		m.position.Sequence = binary.BigEndian.Uint64(value[wordBytes:])
+	if value := table[positionKey]; len(value) == 2*uint64Bytes {
+		m.position.Term = binary.BigEndian.Uint64(value)
+		m.position.Index = binary.BigEndian.Uint64(value[uint64Bytes:])
 	}
-	m.candidate = string(table[candidateKey])
-	if m.position.Epoch > m.promised {
-		m.promised, m.candidate = m.position.Epoch, ""
+	m.votedFor = string(table[votedForKey])
+	if m.position.Term > m.term {
+		m.term, m.votedFor = m.position.Term, ""
 	}
 	return m
 }
 
 // storedGroups lists the groups that a store has tables of.
-func storedGroups(store tables) []string {
+func storedGroups(store tableReader) []string {
 	var groups []string
 	for _, table := range store.Tables() {
 		if group, found := strings.CutPrefix(table, MetaTablePrefix); found {
--- a/internal/controlplane/replication/term.go
+++ b/internal/controlplane/replication/term.go
@@ -18,23 +18,23 @@
 // Term is one leadership of one group.
 type Term struct {
 	group      string
-	epoch      uint64
+	number     uint64
 	clock      Clock
 	handler    Handler
-	submit     func(entries []Entry, committed func())
-	quit       func()
+	propose    func(entries []Entry, committed func())
+	resign     func()
 	validUntil atomic.Int64 // by the clock, in nanoseconds
 	ended      chan struct{}
 	once       sync.Once
-	calls      calls
+	callbacks  callbackQueue
 }
 
 func newTerm(c *core, l *leadership) *Term {
-	t := &Term{group: l.group.name, epoch: l.epoch, clock: c.clock, handler: c.handler, ended: make(chan struct{})}
+	t := &Term{group: l.group.name, number: l.termNumber, clock: c.clock, handler: c.handler, ended: make(chan struct{})}
 	t.validUntil.Store(int64(never))
-	t.calls.spawn = c.spawn
-	t.submit = func(entries []Entry, committed func()) { c.enter(func() { l.propose(entries, committed) }) }
-	t.quit = func() { c.enter(func() { l.resign(false) }) }
+	t.callbacks.spawn = c.spawn
+	t.propose = func(entries []Entry, committed func()) { c.runStep(func() { l.propose(entries, committed) }) }
+	t.resign = func() { c.runStep(func() { l.resign(false) }) }
 	return t
 }
 
@@ -42,12 +42,12 @@
 func (t *Term) Group() string { return t.group }
 
 // Epoch returns the number of the term, which is higher than that of every earlier leader of the group.
-func (t *Term) Epoch() uint64 { return t.epoch }
+func (t *Term) Number() uint64 { return t.number }
 
 // Propose queues entries to be written. Entries of a later proposal win over earlier ones of the same key. Once a
 // majority has synced them committed is called, in the order of the proposals, on the term's goroutine; it is never
 // called after the term has ended. A proposal without entries waits for those before it. committed may be nil.
-func (t *Term) Propose(entries []Entry, committed func()) { t.submit(entries, committed) }
+func (t *Term) Propose(entries []Entry, committed func()) { t.propose(entries, committed) }
 
 // Valid tells whether the lease holds right now.
 func (t *Term) Valid() bool { return t.clock.Now() < time.Duration(t.validUntil.Load()) }
@@ -56,7 +56,7 @@
 func (t *Term) Ended() <-chan struct{} { return t.ended }
 
 // Resign ends the term at once and tells the other replicas, so that they need not wait for the lease to run out.
-func (t *Term) Resign() { t.quit() }
+func (t *Term) Resign() { t.resign() }
 
 func (t *Term) extend(until time.Duration) {
 	if int64(until) > t.validUntil.Load() {
@@ -75,14 +75,14 @@
 
 // announceElected hands the term to the handler. Deposed follows however soon the term ends.
 func (t *Term) announceElected(state map[string][]byte) {
-	t.calls.add(func() {
+	t.callbacks.add(func() {
 		t.handler.Elected(t, state)
 	})
-	t.calls.last = func() { t.handler.Deposed(t) }
+	t.callbacks.last = func() { t.handler.Deposed(t) }
 }
 
 func (t *Term) enqueue(committed func()) {
-	t.calls.add(func() {
+	t.callbacks.add(func() {
 		if !t.over() {
 			committed()
 		}
@@ -94,14 +94,14 @@
 	t.once.Do(func() {
 		t.validUntil.Store(int64(never))
 		close(t.ended)
-		if t.calls.last != nil {
-			t.calls.add(t.calls.last)
+		if t.callbacks.last != nil {
+			t.callbacks.add(t.callbacks.last)
 		}
 	})
 }
 
 // calls runs functions one after another, on a goroutine that lives only while there are some.
-type calls struct {
+type callbackQueue struct {
 	spawn   func(func())
 	last    func()
 	mu      sync.Mutex
@@ -109,7 +109,7 @@
 	running bool
 }
 
-func (c *calls) add(call func()) {
+func (c *callbackQueue) add(call func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue = append(c.queue, call)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (c *calls) run() {
+func (c *callbackQueue) run() {
 	for {
 		c.mu.Lock()
 		batch := c.queue
--- a/internal/controlplane/replication/timing.go
+++ b/internal/controlplane/replication/timing.go
@@ -15,32 +15,32 @@
 
 // Timing holds the intervals of the protocol. The zero value of a field stands for its default.
 type Timing struct {
-	Beat          time.Duration // between two pings to a member
-	LeaderLease   time.Duration // a leader acts that long after it sent what a majority answered
-	ReplicaLease  time.Duration // a replica elects no other leader that long after it heard the present one
-	Silence       time.Duration // without a leader until a replica campaigns
-	Vacancy       time.Duration // the same after a leader has resigned, or before the first one
-	RankDelay     time.Duration // added for each live replica that comes first in the group's order
-	RetryShortest time.Duration // pause after a campaign that failed, at least
-	RetryLongest  time.Duration // and at most
-	Round         time.Duration // an answer that comes later than that after the request counts in no majority
-	Alive         time.Duration // a member that was heard within that time is alive
-	Transfer      time.Duration // limit of a call that carries a part of a state
+	HeartbeatInterval     time.Duration // between two pings to a member
+	LeaderLease           time.Duration // a leader acts that long after it sent what a majority answered
+	FollowerLease         time.Duration // a replica elects no other leader that long after it heard the present one
+	ElectionTimeout       time.Duration // without a leader until a replica campaigns
+	VacantElectionTimeout time.Duration // the same after a leader has resigned, or before the first one
+	RankDelay             time.Duration // added for each live replica that comes first in the group's order
+	MinCampaignBackoff    time.Duration // pause after a campaign that failed, at least
+	MaxCampaignBackoff    time.Duration // and at most
+	ReplyTimeout          time.Duration // an answer that comes later than that after the request counts in no majority
+	LivenessTimeout       time.Duration // a member that was heard within that time is alive
+	ChunkTimeout          time.Duration // limit of a call that carries a part of a state
 }
 
 // DefaultTiming are the intervals used in service.
 var DefaultTiming = Timing{
-	Beat:          200 * time.Millisecond,
-	LeaderLease:   750 * time.Millisecond,
-	ReplicaLease:  900 * time.Millisecond,
-	Silence:       950 * time.Millisecond,
-	Vacancy:       400 * time.Millisecond,
-	RankDelay:     150 * time.Millisecond,
-	RetryShortest: 60 * time.Millisecond,
-	RetryLongest:  250 * time.Millisecond,
-	Round:         1500 * time.Millisecond,
-	Alive:         800 * time.Millisecond,
-	Transfer:      2 * time.Second,
+	HeartbeatInterval:     200 * time.Millisecond,
+	LeaderLease:           750 * time.Millisecond,
+	FollowerLease:         900 * time.Millisecond,
+	ElectionTimeout:       950 * time.Millisecond,
+	VacantElectionTimeout: 400 * time.Millisecond,
+	RankDelay:             150 * time.Millisecond,
+	MinCampaignBackoff:    60 * time.Millisecond,
+	MaxCampaignBackoff:    250 * time.Millisecond,
+	ReplyTimeout:          1500 * time.Millisecond,
+	LivenessTimeout:       800 * time.Millisecond,
+	ChunkTimeout:          2 * time.Second,
 }
 
 var errLeaseTooLong = errors.New("replication: LeaderLease must be shorter than ReplicaLease")
@@ -51,16 +51,16 @@
 			*value = standard
 		}
 	}
-	fill(&t.Beat, DefaultTiming.Beat)
+	fill(&t.HeartbeatInterval, DefaultTiming.HeartbeatInterval)
 	fill(&t.LeaderLease, DefaultTiming.LeaderLease)
-	fill(&t.ReplicaLease, DefaultTiming.ReplicaLease)
-	fill(&t.Silence, DefaultTiming.Silence)
-	fill(&t.Vacancy, DefaultTiming.Vacancy)
+	fill(&t.FollowerLease, DefaultTiming.FollowerLease)
+	fill(&t.ElectionTimeout, DefaultTiming.ElectionTimeout)
+	fill(&t.VacantElectionTimeout, DefaultTiming.VacantElectionTimeout)
 	fill(&t.RankDelay, DefaultTiming.RankDelay)
-	fill(&t.RetryShortest, DefaultTiming.RetryShortest)
-	fill(&t.RetryLongest, DefaultTiming.RetryLongest)
-	fill(&t.Round, DefaultTiming.Round)
-	fill(&t.Alive, DefaultTiming.Alive)
-	fill(&t.Transfer, DefaultTiming.Transfer)
+	fill(&t.MinCampaignBackoff, DefaultTiming.MinCampaignBackoff)
+	fill(&t.MaxCampaignBackoff, DefaultTiming.MaxCampaignBackoff)
+	fill(&t.ReplyTimeout, DefaultTiming.ReplyTimeout)
+	fill(&t.LivenessTimeout, DefaultTiming.LivenessTimeout)
+	fill(&t.ChunkTimeout, DefaultTiming.ChunkTimeout)
 	return t
 }
--- a/internal/controlplane/replication/units_test.go
+++ b/internal/controlplane/replication/units_test.go
@@ -10,26 +10,26 @@
 func TestMerge(t *testing.T) {
 	old, newer := map[string][]byte{"a": {1}}, map[string][]byte{"a": {2}}
 	Convey("A merged group has the newest state and the highest promise", t, func() {
-		merged := MergeGroup([]GroupCopy{
+		merged := MergeReplicas([]ReplicaState{
 			{9, "first", Position{1, 7}, old}, {3, "second", Position{2, 1}, newer}, {4, "third", Position{1, 9}, old},
 		})
-		So(merged, ShouldResemble, GroupCopy{9, "", Position{2, 1}, newer})
+		So(merged, ShouldResemble, ReplicaState{9, "", Position{2, 1}, newer})
 	})
 	Convey("Tables are merged group by group, also where a copy lacks one", t, func() {
 		tables := func(promised uint64, candidate string, position Position, state map[string][]byte) map[string]map[string][]byte {
 			return map[string]map[string][]byte{
-				"group-meta/x": {promisedKey: encodeEpoch(promised), candidateKey: []byte(candidate), positionKey: encodePosition(position)},
+				"group-meta/x": {termKey: encodeTerm(promised), votedForKey: []byte(candidate), positionKey: encodePosition(position)},
 				"group/x":      state,
 			}
 		}
 		merged := MergeTables([]map[string]map[string][]byte{
 			tables(9, "first", Position{1, 7}, old), {}, tables(3, "second", Position{2, 1}, newer),
-			{"group-meta/y": {promisedKey: encodeEpoch(5), candidateKey: []byte("third")}},
+			{"group-meta/y": {termKey: encodeTerm(5), votedForKey: []byte("third")}},
 		})
 		So(merged, ShouldResemble, map[string]map[string][]byte{
-			"group-meta/x": {promisedKey: encodeEpoch(9), candidateKey: []byte(""), positionKey: encodePosition(Position{2, 1})},
+			"group-meta/x": {termKey: encodeTerm(9), votedForKey: []byte(""), positionKey: encodePosition(Position{2, 1})},
 			"group/x":      newer,
-			"group-meta/y": {promisedKey: encodeEpoch(5), candidateKey: []byte(""), positionKey: encodePosition(Position{})},
+			"group-meta/y": {termKey: encodeTerm(5), votedForKey: []byte(""), positionKey: encodePosition(Position{})},
 		})
 	})
 }
@@ -54,7 +54,7 @@
 			h.add(newBatch(Position{1, sequence}, Position{1, sequence + 1}, map[string][]byte{key: {byte(sequence)}}))
 		}
 		Convey("those after a position become one, in which the later ones win", func() {
-			merged, found := h.since(Position{1, 1})
+			merged, found := h.after(Position{1, 1})
 			So(found, ShouldBeTrue)
 			So(merged.previous, ShouldResemble, Position{1, 1})
 			So(merged.position, ShouldResemble, Position{1, 4})
@@ -65,14 +65,14 @@
 			So(values, ShouldResemble, map[string][]byte{"a": {2}, "b": {3}})
 		})
 		Convey("a position of another leader is not found", func() {
-			_, found := h.since(Position{2, 1})
+			_, found := h.after(Position{2, 1})
 			So(found, ShouldBeFalse)
 		})
 		Convey("what all have is forgotten, but not the newest", func() {
-			h.forget(9)
-			_, found := h.since(Position{1, 2})
+			h.discardThrough(9)
+			_, found := h.after(Position{1, 2})
 			So(found, ShouldBeFalse)
-			_, found = h.since(Position{1, 3})
+			_, found = h.after(Position{1, 3})
 			So(found, ShouldBeTrue)
 		})
 	})
--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -265,7 +265,7 @@
 		return
 	}
 	link := workerclient.NewLink(workerclient.Config{
-		Instance: *instance, FencingToken: l.term.Epoch(), HoldMax: l.config.Settings.HoldMax,
+		Instance: *instance, FencingToken: l.term.Number(), HoldMax: l.config.Settings.HoldMax,
 		Valid: l.term.Valid, Events: events{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
 		Log: l.config.Log, Now: time.Now,
 	})
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -69,7 +69,7 @@
 	m.signal()
 	m.mu.Unlock()
 	own := serviceInstances(instances, term.Group())
-	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Epoch()))
+	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Number()))
 	if listed {
 		led.inventory(own)
 	} else if len(own) > 0 {
@@ -90,7 +90,7 @@
 	m.signal()
 	m.mu.Unlock()
 	led.close()
-	m.config.Log.Info("no longer leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Epoch()))
+	m.config.Log.Info("no longer leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Number()))
 }
 
 // signal wakes those who wait for a change of leaderships; the lock is held.
--- a/internal/jobs/manager/trace.go
+++ b/internal/jobs/manager/trace.go
@@ -32,7 +32,7 @@
 		return
 	}
 	l.config.Log.Debug("start ordered", zap.Stringer("task", order.Start.Task), zap.Uint64("run", order.Start.Execution),
-		zap.String("searcher", string(order.Worker)), zap.Uint64("epoch", l.term.Epoch()))
+		zap.String("searcher", string(order.Worker)), zap.Uint64("epoch", l.term.Number()))
 }
 
 // traceEnds notes the ends that a worker reports.
--- a/internal/systemtest/controlmodel/judge_test.go
+++ b/internal/systemtest/controlmodel/judge_test.go
@@ -177,7 +177,7 @@
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.seen["elections"]++
-	name := leadership{member, term.Epoch()}
+	name := leadership{member, term.Number()}
 	j.terms[name] = term
 	go func() {
 		<-term.Ended()
