--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -72,19 +72,19 @@
 	})
 	convey.Convey("A change that had nothing accepted anywhere has not run", t, func() {
 		convey.So(beforeAccept, convey.ShouldNotBeNil)
-		convey.So(rpcerror.Of(beforeAccept), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(beforeAccept), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
 	convey.Convey("A change that was sent to be accepted may have run", t, func() {
 		convey.So(afterAccept, convey.ShouldNotBeNil)
-		convey.So(rpcerror.Of(afterAccept), convey.ShouldEqual, rpcerror.MayHaveRun)
+		convey.So(rpcerror.ExecutionOf(afterAccept), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 	convey.Convey("A change that its function refuses has not run", t, func() {
 		convey.So(refused, convey.ShouldWrap, refusal)
-		convey.So(rpcerror.Of(refused), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(refused), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
 	convey.Convey("Nor has one that is refused at a later attempt, as the earlier one is superseded then", t, func() {
 		convey.So(refusedLater, convey.ShouldWrap, refusal)
-		convey.So(rpcerror.Of(refusedLater), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(refusedLater), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
@@ -130,7 +130,7 @@
 	})
 	convey.Convey("The change may have run", t, func() {
 		convey.So(err, convey.ShouldWrap, errUnknownOutcome)
-		convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.MayHaveRun)
+		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 }
 
@@ -146,13 +146,13 @@
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 		defer cancel()
 		p.register.Change(ctx, to("half"))
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		c.proposer(outsider, nil).Change(c.ctx, func(current []byte) ([]byte, error) {
 			refusedAt = string(current)
 			return nil, errors.New("refused")
 		})
-		c.network.Cut("member-2", false)
-		c.network.Cut("member-0", true)
+		c.network.Partition("member-2", false)
+		c.network.Partition("member-0", true)
 		value, _ = c.process("member-1").register.Read(c.ctx)
 	})
 	convey.Convey("What a change was refused at is the value, though only one member had accepted it before", t, func() {
@@ -178,11 +178,11 @@
 			calls = append(calls, counting.calls.Load()-before)
 		}
 		read()
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		c.process("member-0").register.Change(c.ctx, to("a"))
 		read()
-		c.network.Cut("member-2", false)
-		c.network.Cut("member-0", true)
+		c.network.Partition("member-2", false)
+		c.network.Partition("member-0", true)
 		read() // members 1 and 2 disagree
 		read()
 	})
@@ -201,8 +201,8 @@
 		change := func(view replicaset.View) error {
 			proposer := New(Config{
 				Name: testRegister, Self: outsider, Caller: c.network.Caller(outsider),
-				View:  func() replicaset.View { return view },
-				Newer: func(view replicaset.View) { learned = view },
+				View:        func() replicaset.View { return view },
+				OnNewerView: func(view replicaset.View) { learned = view },
 			})
 			_, err := proposer.Change(ctx, to("a"))
 			return err
@@ -215,12 +215,12 @@
 		newerErr = change(replicaset.View{Version: 3, Members: c.view.Members})
 	})
 	convey.Convey("A proposer with an older view is refused and told the newer one", t, func() {
-		convey.So(rpcerror.Of(olderErr), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(olderErr), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(learned.Version, convey.ShouldEqual, 2)
 		convey.So(learned.Members, convey.ShouldHaveLength, 3)
 	})
 	convey.Convey("A proposer with a newer view, or none, is refused too", t, func() {
-		convey.So(rpcerror.Of(newerErr), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(newerErr), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(noneErr, convey.ShouldWrap, ErrNoView)
 	})
 }
@@ -247,9 +247,9 @@
 		}
 		convey.So(current.History, convey.ShouldHaveLength, historyLength)
 		check := func(proposal ProposalNumber, sequence int, expectContained, expectKnown bool) {
-			contained, known := current.contains(proposal, uint64(sequence))
+			contained, cached := current.contains(proposal, uint64(sequence))
 			convey.So(contained, convey.ShouldEqual, expectContained)
-			convey.So(known, convey.ShouldEqual, expectKnown)
+			convey.So(cached, convey.ShouldEqual, expectKnown)
 		}
 		check(proposal(historyLength+3), historyLength+3, true, true)
 		check(proposal(4), 4, true, true)
@@ -271,7 +271,7 @@
 		}
 		merged, err := Merge([]storage.Tables{replicaOf(9, 2, "old"), {}, replicaOf(5, 3, "new")})
 		convey.So(err, convey.ShouldBeNil)
-		held, err := decodeReplica(merged[TablePrefix+testRegister])
+		held, err := decodeAcceptorState(merged[TablePrefix+testRegister])
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(held.promised.Counter, convey.ShouldEqual, 9)
 		convey.So(string(held.accepted.State.Value), convey.ShouldEqual, "new")
--- a/internal/controlplane/register/travel_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -81,7 +81,7 @@
 	})
 	convey.Convey("The first change sends it once to each member, by messages of a bounded size", t, func() {
 		convey.So(first, convey.ShouldBeBetween, 3*largeText/2, 3*largeText*3/4)
-		convey.So(most, convey.ShouldBeLessThan, mostInline+mostInline/2)
+		convey.So(most, convey.ShouldBeLessThan, maxInlineChunkBytes+maxInlineChunkBytes/2)
 	})
 	convey.Convey("Later ones send what has changed", t, func() {
 		convey.So(second, convey.ShouldBeLessThan, 3*largeText/10)
@@ -96,11 +96,11 @@
 	var err error
 	inCluster(t, func(c *cluster) {
 		proposer := c.process("member-0").register
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		proposer.Change(c.ctx, to(text))
 		synctest.Wait()
-		c.network.Cut("member-2", false)
-		c.network.Cut("member-1", true)
+		c.network.Partition("member-2", false)
+		c.network.Partition("member-1", true)
 		_, err = proposer.Change(c.ctx, to(edited(text, "more")))
 		value, _ = c.process("member-2").register.Read(c.ctx)
 	})
@@ -133,7 +133,7 @@
 		bytes = weighing.take()
 	})
 	convey.Convey("What has arrived stays for the next attempt, and comes once", t, func() {
-		convey.So(rpcerror.Of(errs[0]), convey.ShouldEqual, rpcerror.NotRun)
+		convey.So(rpcerror.ExecutionOf(errs[0]), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(errs[len(errs)-1], convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
 		convey.So(bytes, convey.ShouldBeLessThan, largeText)
@@ -159,8 +159,8 @@
 }
 
 func TestAnAcceptorTakesOnlyWhatWasNamed(t *testing.T) {
-	text := randomText(3*wholeBytes, 1)
-	manifest := chunks.NewCut([]byte(text), nil).Manifest()
+	text := randomText(3*inlineValueBytes, 1)
+	manifest := chunks.NewChunking([]byte(text), nil).Manifest()
 	spoilt := manifest
 	spoilt.Sum[0]++
 	var packed [][]byte
@@ -195,26 +195,26 @@
 		})
 		convey.Convey("a value that is not what its manifest names is refused as not run", func() {
 			_, err := accept(content{Manifest: spoilt, Chunks: packed})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(held(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("so is what is no part at all, and no manifest", func() {
 			_, err := accept(content{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			_, err = acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{{1, 2, 3}}})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			_, err = accept(content{Manifest: chunks.Manifest{Bytes: -1}})
-			convey.So(rpcerror.Of(err), convey.ShouldEqual, rpcerror.NotRun)
+			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		})
 		convey.Convey("parts that nobody asks to accept do not pile up", func() {
 			for i := range 40 {
 				chunk := chunks.Pack([]byte(randomText(8000, uint64(i))))
 				acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{chunk, chunk}})
 			}
-			convey.So(acceptor.values.pushedBytes, convey.ShouldEqual, 40*8000)
-			acceptor.values.pushedBytes = mostPushed
+			convey.So(acceptor.chunks.pushedBytes, convey.ShouldEqual, 40*8000)
+			acceptor.chunks.pushedBytes = maxPushedBytes
 			acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
-			convey.So(len(acceptor.values.pushed), convey.ShouldEqual, 1)
+			convey.So(len(acceptor.chunks.pushed), convey.ShouldEqual, 1)
 		})
 	})
 }
@@ -229,7 +229,7 @@
 			c.serveAsOlderBuild(member)
 		}
 		_, err = c.process("member-2").register.Change(c.ctx, to(text))
-		c.network.Cut("member-2", true)
+		c.network.Partition("member-2", true)
 		read, _ = c.process("member-1").register.Read(c.ctx)
 	})
 	convey.Convey("A majority of them holds the value", t, func() {
--- a/internal/jobs/manager/again_test.go
+++ b/internal/jobs/manager/again_test.go
@@ -47,7 +47,7 @@
 
 // Call implements transport.Caller.
 func (soleMember) Call(context.Context, string, transport.Route, any, any) error {
-	return rpcerror.Unexecuted(errNobody, 0)
+	return rpcerror.WrapNotExecuted(errNobody, 0)
 }
 
 var _ transport.Caller = soleMember{}
@@ -119,7 +119,7 @@
 		request := jobreport.DrainRequest{Group: soleGroup, Worker: "i-1", Draining: true}
 		Convey("A searcher is not called unknown before the platform's list was read", t, func() {
 			_, err := m.drain(ctx, request)
-			So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			So(rpcerror.RetryAfter(err), ShouldEqual, noListRetry)
 			m.Inventory(nil)
 			reply, err := m.drain(ctx, request)
@@ -177,23 +177,23 @@
 		So(err, ShouldBeNil)
 		l := &lead{scheduler: jobs}
 		order := func(draining bool, onTopOf uint64) jobreport.DrainOutcome {
-			known, outcome := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, OnTopOf: &onTopOf})
+			known, outcome := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, BaseVersion: &onTopOf})
 			So(known, ShouldBeTrue)
 			return outcome
 		}
 		Convey("a copy of that drain that comes after the order that ended it is confirmed, and changes nothing", func() {
 			So(order(false, 1), ShouldEqual, jobreport.DrainTaken)
 			So(order(true, 0), ShouldEqual, jobreport.DrainTaken)
-			So(jobs.OperatorDrains("i-1"), ShouldBeFalse)
+			So(jobs.IsOperatorDraining("i-1"), ShouldBeFalse)
 		})
 		Convey("another order on top of the same version is refused, one on top of a version to come is not judged", func() {
 			So(order(false, 0), ShouldEqual, jobreport.DrainSuperseded)
 			So(order(false, 2), ShouldEqual, jobreport.DrainUnclear)
-			So(jobs.OperatorDrains("i-1"), ShouldBeTrue)
+			So(jobs.IsOperatorDraining("i-1"), ShouldBeTrue)
 		})
 		Convey("an unknown searcher stays unknown", func() {
 			version := uint64(0)
-			known, _ := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-2", Draining: true, OnTopOf: &version})
+			known, _ := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-2", Draining: true, BaseVersion: &version})
 			So(known, ShouldBeFalse)
 		})
 	})
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -84,7 +84,7 @@
 				leader.clock.standStill()
 				err := question.ask(leader.manager)
 				So(err, ShouldNotBeNil)
-				So(rpcerror.Of(err), ShouldEqual, rpcerror.NotRun)
+				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			})
 		})
 	}
@@ -109,7 +109,7 @@
 func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world, leader *member) {
 		Convey("A leader that is cut off tells nobody of a job that only it has", t, func() {
-			w.network.Cut(leader.address, true)
+			w.network.Partition(leader.address, true)
 			failures := make(chan error, 2)
 			go func() {
 				_, err := leader.manager.submit(context.Background(), submission(knownJob))
@@ -123,7 +123,7 @@
 			for range cap(failures) {
 				err := <-failures
 				So(err, ShouldNotBeNil)
-				So(rpcerror.Of(err), ShouldEqual, rpcerror.MayHaveRun)
+				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 			}
 		})
 		Convey("The next leader has never heard of it", t, func() {
--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -53,7 +53,7 @@
 var answerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // post sends one call, once, and reads its answer. An error means that there was
-// no whole answer in time; it carries a verdict.
+// no whole answer in time; it carries an rpcerror.Error.
 func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -65,15 +65,15 @@
 	}}
 	response, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
 	if err != nil && (permit.unsent() || sending.Unsent()) {
-		return answer{}, rpcerror.Unexecuted(err, 0)
+		return answer{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if err != nil {
-		return answer{}, rpcerror.Unclear(err)
+		return answer{}, rpcerror.WrapMayHaveExecuted(err)
 	}
 	defer response.Body.Close()
 	result, err := readAnswer(response)
 	if err != nil {
-		return answer{}, rpcerror.Unclear(fmt.Errorf("%s: %w", target, err))
+		return answer{}, rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s: %w", target, err))
 	}
 	return result, nil
 }
