--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -13,14 +13,14 @@
 // to date.
 
 const (
-	fewWorkers  = 8   // workers that a report names for one cause
-	mostWaiting = 40  // stages that one report explains
-	mostDetails = 500 // stages, runs and failures that one report lists, each
+	maxNamedWorkers    = 8   // workers that a report names for one cause
+	maxExplainedStages = 40  // stages that one report explains
+	maxReportDetails   = 500 // stages, runs and failures that one report lists, each
 )
 
 // Load counts jobs and workers.
 func (s *Scheduler) Summary() jobreport.Summary {
-	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.list)}
+	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.sortedWorkers)}
 	for _, j := range s.jobs {
 		if j.started {
 			summary.Running++
@@ -28,12 +28,12 @@
 			summary.Queued++
 		}
 	}
-	for _, stage := range s.stages {
+	for _, stage := range s.waitingStages {
 		summary.WaitingTasks += len(stage.waiting)
 	}
-	for _, sr := range s.list {
-		summary.Attempts += len(sr.runs)
-		if sr.reachable {
+	for _, worker := range s.sortedWorkers {
+		summary.Attempts += len(worker.attempts)
+		if worker.reachable {
 			summary.ReachableWorkers++
 		}
 	}
@@ -42,52 +42,52 @@
 
 // Workers reports all known workers by ID.
 func (s *Scheduler) Workers(now Now) []jobreport.Worker {
-	reports := make([]jobreport.Worker, 0, len(s.list))
-	for _, sr := range s.list {
-		reports = append(reports, s.reportWorker(now, sr))
+	reports := make([]jobreport.Worker, 0, len(s.sortedWorkers))
+	for _, worker := range s.sortedWorkers {
+		reports = append(reports, s.reportWorker(now, worker))
 	}
 	return reports
 }
 
 // Worker reports one worker.
 func (s *Scheduler) Worker(now Now, id workerclient.WorkerID) (report jobreport.Worker, known bool) {
-	sr := s.workers[id]
-	if sr == nil {
+	worker := s.workers[id]
+	if worker == nil {
 		return report, false
 	}
-	return s.reportWorker(now, sr), true
+	return s.reportWorker(now, worker), true
 }
 
-func (s *Scheduler) reportWorker(now Now, sr *worker) jobreport.Worker {
+func (s *Scheduler) reportWorker(now Now, worker *workerState) jobreport.Worker {
 	return jobreport.Worker{
-		ID: string(sr.ID), Service: sr.Service, Address: sr.Address, Zone: sr.Zone, Version: sr.Version,
-		Rack: sr.rack, Labels: sr.Labels,
-		State: s.workerState(now, sr), Reachable: sr.reachable,
-		Draining: sr.Draining, OperatorDraining: s.operatorDrains.has(sr.ID), DrainVersion: s.DrainVersion(sr.ID), RemainingMS: sr.RemainingMS,
-		Window: int(sr.window), LatencyMS: sr.latency, FailureRate: sr.faults,
-		Attempts: len(sr.runs), WaitingTasks: sr.held, Orphans: len(sr.orphans),
-		Used: sr.used, Free: sr.free(), Capacity: sr.Capacity, MissingLists: sr.missingLists,
+		ID: string(worker.ID), Service: worker.Service, Address: worker.Address, Zone: worker.Zone, Version: worker.Version,
+		Rack: worker.rack, Labels: worker.Labels,
+		State: s.workerState(now, worker), Reachable: worker.reachable,
+		Draining: worker.Draining, OperatorDraining: s.operatorDrains.isDraining(worker.ID), DrainVersion: s.DrainVersion(worker.ID), RemainingMS: worker.RemainingMS,
+		Window: int(worker.window), LatencyMS: worker.latencyMS, FailureRate: worker.failureRate,
+		Attempts: len(worker.attempts), WaitingTasks: worker.boundTasks, Orphans: len(worker.orphans),
+		Used: worker.used, Free: worker.free(), Capacity: worker.Capacity, MissingLists: worker.missedInventories,
 	}
 }
 
-func (s *Scheduler) workerState(now Now, sr *worker) jobreport.WorkerState {
+func (s *Scheduler) workerState(now Now, worker *workerState) jobreport.WorkerState {
 	switch {
-	case !sr.reachable:
+	case !worker.reachable:
 		return jobreport.WorkerUnreachable
-	case sr.Draining:
+	case worker.Draining:
 		return jobreport.WorkerDraining
-	case s.operatorDrains.has(sr.ID):
+	case s.operatorDrains.isDraining(worker.ID):
 		return jobreport.WorkerOperatorDraining
-	case sr.fencedAt.IsZero():
+	case worker.fencedAt.IsZero():
 		return jobreport.WorkerNotFenced
-	case s.resting(now, sr):
+	case s.isBackingOff(now, worker):
 		return jobreport.WorkerBackoff
 	}
 	return jobreport.WorkerReady
 }
 
-func (s *Scheduler) resting(now Now, sr *worker) bool {
-	return now.Monotonic.Before(sr.restUntil) || now.Monotonic.Before(sr.fullUntil)
+func (s *Scheduler) isBackingOff(now Now, worker *workerState) bool {
+	return now.Monotonic.Before(worker.backoffUntil) || now.Monotonic.Before(worker.fullUntil)
 }
 
 // Jobs lists the newest jobs of a state, or of all states if it is empty: first those that have not ended, the latest
@@ -123,11 +123,11 @@
 	report := jobreport.Job{
 		ID: j.id, Service: j.Queue.Service, Route: j.Queue.Route, Priority: j.Queue.Priority, State: state, Arrival: j.Arrival,
 	}
-	for _, r := range j.times {
-		if r == nil {
+	for _, repetition := range j.repetitions {
+		if repetition == nil {
 			continue
 		}
-		for _, stage := range r.stages {
+		for _, stage := range repetition.stages {
 			report.Tasks.Add(stage.counts())
 		}
 	}
@@ -138,16 +138,16 @@
 	return jobreport.Job{ID: id, State: s.ended[id].State, EndedMS: s.ended[id].EndedMS}
 }
 
-func (stage *stageRun) counts() jobreport.TaskCounts {
+func (stage *stageState) counts() jobreport.TaskCounts {
 	if stage.tasks == nil {
 		return jobreport.TaskCounts{Blocked: stage.Count}
 	}
 	counts := jobreport.TaskCounts{}
-	for _, t := range stage.tasks {
+	for _, task := range stage.tasks {
 		switch {
-		case t.done:
+		case task.done:
 			counts.Done++
-		case len(t.runs) > 0:
+		case len(task.attempts) > 0:
 			counts.Running++
 		default:
 			counts.Waiting++
@@ -167,22 +167,22 @@
 	}
 	report = jobreport.JobDetail{
 		Job: s.reportJob(j), Specification: j.Specification.Text, MaxAttempts: j.Queue.MaxAttempts,
-		Repetitions: j.Specification.RepetitionCount(), NextDueMS: j.nextDue,
+		Repetitions: j.Specification.RepetitionCount(), NextDueMS: j.nextDueMS,
 	}
-	for _, r := range j.times {
-		if r == nil {
+	for _, repetition := range j.repetitions {
+		if repetition == nil {
 			report.CompleteRepetitions++
 			continue
 		}
-		for _, stage := range r.stages {
+		for _, stage := range repetition.stages {
 			addStage(now, &report, stage)
 		}
 	}
 	return report, true
 }
 
-func addStage(now Now, report *jobreport.JobDetail, stage *stageRun) {
-	if len(report.Stages) >= mostDetails {
+func addStage(now Now, report *jobreport.JobDetail, stage *stageState) {
+	if len(report.Stages) >= maxReportDetails {
 		report.Truncated = true
 		return
 	}
@@ -190,29 +190,29 @@
 		Repetition: stage.repetition.number, Stage: stage.number, Gang: stage.GangScheduled,
 		Request: stage.Resources, Tasks: stage.counts(),
 	})
-	for _, t := range stage.tasks {
-		if len(t.failed) > 0 && !full(len(report.Failures), report) {
-			report.Failures = append(report.Failures, jobreport.Failure{Task: t.id.String(), Attempts: slices.Clone(t.failed)})
+	for _, task := range stage.tasks {
+		if len(task.failedAttempts) > 0 && !atLimit(len(report.Failures), report) {
+			report.Failures = append(report.Failures, jobreport.Failure{Task: task.id.String(), Attempts: slices.Clone(task.failedAttempts)})
 		}
-		for _, r := range t.runs {
-			if !full(len(report.Attempts), report) {
-				report.Attempts = append(report.Attempts, reportRun(now, r))
+		for _, attempt := range task.attempts {
+			if !atLimit(len(report.Attempts), report) {
+				report.Attempts = append(report.Attempts, reportRun(now, attempt))
 			}
 		}
 	}
 }
 
-func full(listed int, report *jobreport.JobDetail) bool {
-	if listed < mostDetails {
+func atLimit(listed int, report *jobreport.JobDetail) bool {
+	if listed < maxReportDetails {
 		return false
 	}
 	report.Truncated = true
 	return true
 }
 
-func reportRun(now Now, r *run) jobreport.Attempt {
+func reportRun(now Now, attempt *attemptState) jobreport.Attempt {
 	return jobreport.Attempt{
-		Task: r.task.id.String(), Number: r.execution, Worker: string(r.at.ID), AgeMS: now.Monotonic.Sub(r.orderedAt).Milliseconds(),
-		Confirmed: r.seen || !r.answeredAt.IsZero(), Stopping: r.stopping, Percent: r.percent,
+		Task: attempt.task.id.String(), Number: attempt.number, Worker: string(attempt.worker.ID), AgeMS: now.Monotonic.Sub(attempt.assignedAt).Milliseconds(),
+		Confirmed: attempt.reported || !attempt.confirmedAt.IsZero(), Stopping: attempt.stopping, Percent: attempt.percent,
 	}
 }
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -7,136 +7,136 @@
 )
 
 const (
-	windowStart   = 4.0   // runs that one worker may have at first
-	windowMost    = 256.0 // its capacity is what bounds it then
-	windowLeast   = 1.0
-	latencyWeight = 0.2  // weight of a new duration in a worker's smoothed latency
-	faultWeight   = 0.25 // weight of a new end in a worker's share of faults
-	usualUpTo     = 3.0  // times the expected duration: an end within widens the window
+	initialWindow        = 4.0   // runs that one worker may have at first
+	maxWindow            = 256.0 // its capacity is what bounds it then
+	minWindow            = 1.0
+	latencyWeight        = 0.2  // weight of a new duration in a worker's smoothed latency
+	failureWeight        = 0.25 // weight of a new end in a worker's share of faults
+	normalDurationFactor = 3.0  // times the expected duration: an end within widens the window
 
-	stallLeast   = 800 * time.Millisecond // a run that makes no progress for so long may have stalled
-	stallOfGang  = 2 * time.Second        // more where the run may not have begun
-	stallShare   = 0.24                   // and for this share of its expected duration
-	restOfStalls = 4 * time.Second        // no starts at a worker on which a run has stalled
+	minStallTime       = 800 * time.Millisecond // a run that makes no progress for so long may have stalled
+	gangStallAllowance = 2 * time.Second        // more where the run may not have begun
+	stallShare         = 0.24                   // and for this share of its expected duration
+	backoffAfterStall  = 4 * time.Second        // no starts at a worker on which a run has stalled
 )
 
-// learn takes a run's end into its worker's window, latency and share of faults.
-func (s *Scheduler) learn(now Now, r *run, how job.Outcome) {
-	sr := r.at
+// recordOutcome takes a run's end into its worker's window, latency and share of faults.
+func (s *Scheduler) recordOutcome(now Now, attempt *attemptState, how job.Outcome) {
+	worker := attempt.worker
 	switch how {
 	case job.OutcomeDone:
-		took := float64(now.Monotonic.Sub(r.orderedAt).Milliseconds())
-		if r.inherited {
+		durationMS := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
+		if attempt.inherited {
 			return
 		}
-		s.hear(sr, took)
-		sr.faults -= faultWeight * sr.faults
-		if took <= usualUpTo*s.expectedMS(r.task.stage, sr) {
-			sr.window = min(windowMost, sr.window+1)
+		s.recordLatency(worker, durationMS)
+		worker.failureRate -= failureWeight * worker.failureRate
+		if durationMS <= normalDurationFactor*s.expectedMS(attempt.task.stage, worker) {
+			worker.window = min(maxWindow, worker.window+1)
 		}
 	case job.OutcomeFailed:
-		if len(r.task.failed) > 0 || r.stopping {
+		if len(attempt.task.failedAttempts) > 0 || attempt.stopping {
 			return // the task itself may be at fault
 		}
-		sr.faults += faultWeight * (1 - sr.faults)
-		sr.window = max(windowLeast, sr.window/2)
+		worker.failureRate += failureWeight * (1 - worker.failureRate)
+		worker.window = max(minWindow, worker.window/2)
 	}
 }
 
-// hear takes a duration in milliseconds into a worker's smoothed latency.
-func (s *Scheduler) hear(sr *worker, took float64) {
-	if sr.latency == 0 {
-		sr.latency = max(1, took)
-		s.heard++
-		s.heardSum += sr.latency
+// recordLatency takes a duration in milliseconds into a worker's smoothed latency.
+func (s *Scheduler) recordLatency(worker *workerState, durationMS float64) {
+	if worker.latencyMS == 0 {
+		worker.latencyMS = max(1, durationMS)
+		s.latencyCount++
+		s.latencySumMS += worker.latencyMS
 		return
 	}
-	change := latencyWeight * (took - sr.latency)
-	sr.latency += change
-	s.heardSum += change
+	change := latencyWeight * (durationMS - worker.latencyMS)
+	worker.latencyMS += change
+	s.latencySumMS += change
 }
 
-// unhear forgets a worker's latency.
-func (s *Scheduler) unhear(sr *worker) {
-	if sr.latency > 0 {
-		s.heard--
-		s.heardSum -= sr.latency
-		sr.latency = 0
+// forgetLatency forgets a worker's latency.
+func (s *Scheduler) forgetLatency(worker *workerState) {
+	if worker.latencyMS > 0 {
+		s.latencyCount--
+		s.latencySumMS -= worker.latencyMS
+		worker.latencyMS = 0
 	}
 }
 
 // expectedMS is how long a run of a stage takes at a worker, by the client's estimate.
-func (s *Scheduler) expectedMS(stage *stageRun, sr *worker) float64 {
-	return max(1, float64(stage.EstimatedDurationMS)) * s.distance(stage, sr)
+func (s *Scheduler) expectedMS(stage *stageState, worker *workerState) float64 {
+	return max(1, float64(stage.EstimatedDurationMS)) * s.distanceFactor(stage, worker)
 }
 
-// distance is the factor by which a task takes longer away from its data.
-func (s *Scheduler) distance(stage *stageRun, sr *worker) float64 {
-	if stage.Affinity == "" || stage.Affinity == sr.rack || sr.hasLabel(stage.Affinity) {
+// distanceFactor is the factor by which a task takes longer away from its data.
+func (s *Scheduler) distanceFactor(stage *stageState, worker *workerState) float64 {
+	if stage.Affinity == "" || stage.Affinity == worker.rack || worker.hasLabel(stage.Affinity) {
 		return 1
 	}
 	return max(1, s.settings.RemoteFactor)
 }
 
 // remainingMS estimates how long a run still takes.
-func (s *Scheduler) remainingMS(now Now, r *run) float64 {
-	expected := s.expectedMS(r.task.stage, r.at)
-	elapsed := float64(now.Monotonic.Sub(r.orderedAt).Milliseconds())
-	if r.percent > 0 && r.percent < 100 {
-		return elapsed * float64(100-r.percent) / float64(r.percent)
+func (s *Scheduler) remainingMS(now Now, attempt *attemptState) float64 {
+	expected := s.expectedMS(attempt.task.stage, attempt.worker)
+	elapsed := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
+	if attempt.percent > 0 && attempt.percent < 100 {
+		return elapsed * float64(100-attempt.percent) / float64(attempt.percent)
 	}
 	return max(0, expected-elapsed)
 }
 
-// inspectRuns stops runs that stand still, and members of gangs that were given up.
-func (s *Scheduler) inspectRuns(now Now) {
-	s.settleDrag()
-	for _, sr := range s.list {
-		if len(sr.runs) > 0 {
-			for _, r := range sr.sortedRuns() {
-				s.inspect(now, r)
+// inspectAttempts stops runs that stand still, and members of gangs that were given up.
+func (s *Scheduler) inspectAttempts(now Now) {
+	s.updatePaceRatios()
+	for _, worker := range s.sortedWorkers {
+		if len(worker.attempts) > 0 {
+			for _, attempt := range worker.sortedAttempts() {
+				s.inspectAttempt(now, attempt)
 			}
 		}
-		if !sr.reachable && sr.fencedAt.IsZero() {
-			s.ExpireLease(now, sr.ID)
+		if !worker.reachable && worker.fencedAt.IsZero() {
+			s.ExpireLease(now, worker.ID)
 		}
 	}
 }
 
-func (s *Scheduler) inspect(now Now, r *run) {
-	stage := r.task.stage
-	if r.stopping {
+func (s *Scheduler) inspectAttempt(now Now, attempt *attemptState) {
+	stage := attempt.task.stage
+	if attempt.stopping {
 		return
 	}
-	if r.task.stage.job.over && !stage.GangScheduled {
-		s.stop(r)
+	if attempt.task.stage.job.ended && !stage.GangScheduled {
+		s.stopAttempt(attempt)
 		return
 	}
-	if stage.GangScheduled && r.execution <= stage.broken && now.Monotonic.Sub(stage.brokenAt) > brokenPatience {
-		s.stop(r)
+	if stage.GangScheduled && attempt.number <= stage.abandonedAttempt && now.Monotonic.Sub(stage.abandonedAt) > gangStopDelay {
+		s.stopAttempt(attempt)
 		return
 	}
-	if s.crawls(now, r) {
-		r.task.shun(r.at)
-		s.stop(r)
+	if s.shouldMigrate(now, attempt) {
+		attempt.task.avoidWorker(attempt.worker)
+		s.stopAttempt(attempt)
 		return
 	}
-	if s.stalled(r) {
-		r.at.restUntil = now.Monotonic.Add(restOfStalls)
-		r.at.window = max(windowLeast, r.at.window/2)
-		s.stop(r)
+	if s.isStalled(attempt) {
+		attempt.worker.backoffUntil = now.Monotonic.Add(backoffAfterStall)
+		attempt.worker.window = max(minWindow, attempt.worker.window/2)
+		s.stopAttempt(attempt)
 	}
 }
 
-// stalled tells whether a run makes no progress.
-func (s *Scheduler) stalled(r *run) bool {
-	stage := r.task.stage
-	if !r.seen || r.percentAt.IsZero() || stage.LongRunning || r.task.done {
+// isStalled tells whether a run makes no progress.
+func (s *Scheduler) isStalled(attempt *attemptState) bool {
+	stage := attempt.task.stage
+	if !attempt.reported || attempt.progressedAt.IsZero() || stage.LongRunning || attempt.task.done {
 		return false
 	}
-	patience := max(stallLeast, time.Duration(stallShare*s.expectedMS(stage, r.at))*time.Millisecond)
-	if stage.GangScheduled && r.percent == 0 {
-		patience += stallOfGang // it begins once all members are there
+	patience := max(minStallTime, time.Duration(stallShare*s.expectedMS(stage, attempt.worker))*time.Millisecond)
+	if stage.GangScheduled && attempt.percent == 0 {
+		patience += gangStallAllowance // it begins once all members are there
 	}
-	return r.listedAt.Sub(r.percentAt) > patience
+	return attempt.reportedAt.Sub(attempt.progressedAt) > patience
 }
