--- a/internal/controlplane/replicaset/networktest/network.go
+++ b/internal/controlplane/replicaset/networktest/network.go
@@ -116,7 +116,7 @@
 
 // CallerOf returns the Caller of the process at an address, which is of a cluster.
 func (n *Network) CallerOf(cluster, from string) transport.Caller {
-	return transport.NewClientOver(cluster, &roundTripper{n, from})
+	return transport.NewClientWithTransport(cluster, &roundTripper{n, from})
 }
 
 // roundTripper brings one process's requests to their addresses.
--- /dev/null
+++ b/internal/transport/resets_test.go
@@ -0,0 +1,139 @@
+package transport_test
+
+import (
+	"context"
+	"net/http/httptest"
+	"sync/atomic"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"puffinlink.example/puffinlink/internal/rpcerror"
+	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/transport/resettest"
+)
+
+// tally counts at the callee how often each request ran.
+type executionCounter struct {
+	*transport.Mux
+	executions [1 << 13]atomic.Int32 // by the request's number
+}
+
+// resetFixture is a callee behind a relay.
+type resetFixture struct {
+	callee *executionCounter
+	server *httptest.Server
+	relay  *resettest.Relay
+	number uint64
+}
+
+func newResetFixture(t *testing.T) *resetFixture {
+	b := &resetFixture{callee: &executionCounter{Mux: transport.NewMuxFor(transport.NewIdentity(testCluster, "node-a"))}}
+	run := func(_ context.Context, request echo) (echo, error) {
+		b.callee.executions[request.Number].Add(1)
+		return request, nil
+	}
+	transport.Handle(b.callee.Mux, atMostOnceCall, run)
+	transport.Handle(b.callee.Mux, idempotentCall, run)
+	b.server = httptest.NewServer(b.callee)
+	b.relay = resettest.New(t, b.server.Listener.Addr().String())
+	return b
+}
+
+var (
+	atMostOnceCall = transport.NewAtMostOnce[echo, echo]("/run-once")
+	idempotentCall = transport.NewIdempotent[echo, echo]("/run-again")
+)
+
+// result is how one call ended, before all that was sent has been received.
+type result struct {
+	number uint64
+	cut    resettest.Direction
+	after  int
+	err    error
+}
+
+// kind is a way to send a call.
+type kind struct {
+	name      string
+	reused    bool // on a connection that a call was sent on before, to a process that is known
+	asksFirst bool // who serves the address, as the process is not known
+	send      func(ctx context.Context, client *transport.Client, address string, request echo) (echo, error)
+}
+
+var kinds = []kind{
+	{"repeatable, on a new connection", false, false, sendIdempotent},
+	{"repeatable, on a connection used before", true, false, sendIdempotent},
+	{"once, on a new connection", false, true, sendAtMostOnce},
+	{"once, on a connection used before", true, false, sendAtMostOnce},
+}
+
+func sendAtMostOnce(ctx context.Context, client *transport.Client, address string, request echo) (echo, error) {
+	return atMostOnceCall.Call(ctx, client, address, request)
+}
+
+func sendIdempotent(ctx context.Context, client *transport.Client, address string, request echo) (echo, error) {
+	return idempotentCall.Call(ctx, client, address, request)
+}
+
+// id makes one call whose connection is reset after so many bytes.
+func (b *resetFixture) call(t *testing.T, kind kind, cut resettest.Direction, after int) result {
+	client := transport.NewClientFor(testCluster)
+	defer client.Close()
+	b.relay.Arm(cut, resettest.NoReset)
+	if kind.reused {
+		if _, err := sendIdempotent(t.Context(), client, b.relay.Address(), echo{}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b.relay.Arm(cut, after)
+	b.number++
+	request := echo{Number: b.number, Text: "so that the call has some length"}
+	reply, err := kind.send(t.Context(), client, b.relay.Address(), request)
+	if err == nil && (reply.Number != request.Number || reply.Text != request.Text) {
+		t.Fatalf("answer %v to %v", reply, request)
+	}
+	return result{b.number, cut, after, err}
+}
+
+// TestConnectionsResetAtEachByte resets a connection at each byte of a call and of its answer.
+func TestConnectionsResetAtEachByte(t *testing.T) {
+	for _, kind := range kinds {
+		Convey("A call that is "+kind.name, t, func() {
+			b := newResetFixture(t)
+			So(b.call(t, kind, resettest.Requests, resettest.NoReset).err, ShouldBeNil)
+			lengths := [2]int{b.relay.Passed(resettest.Requests), b.relay.Passed(resettest.Responses)}
+			var results []result
+			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
+				for after := range lengths[cut] {
+					results = append(results, b.call(t, kind, cut, after))
+				}
+			}
+			last := b.call(t, kind, resettest.Responses, lengths[resettest.Responses])
+			So(last.err, ShouldBeNil)
+			b.server.Close() // returns when all that was received has run
+			faults := 0
+			for _, r := range results {
+				if !b.satisfies(kind, r) {
+					faults++
+					t.Errorf("%s, reset after byte %d of way %d: ran %d times, error %v", kind.name, r.after, r.cut, b.callee.executions[r.number].Load(), r.err)
+				}
+			}
+			So(faults, ShouldEqual, 0)
+			So(b.callee.executions[last.number].Load(), ShouldEqual, 1)
+		})
+	}
+}
+
+// satisfies judges a call whose connection was reset.
+func (b *resetFixture) satisfies(kind kind, r result) bool {
+	runs := b.callee.executions[r.number].Load()
+	if r.err == nil || runs > 1 {
+		return false
+	}
+	if kind.asksFirst {
+		return runs == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
+	}
+	ranBefore := r.cut == resettest.Responses // the call had arrived, and all of an answer comes after the run
+	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (runs == 1) == ranBefore
+}
