--- a/internal/controlplane/replicaset/modelleader_test.go
+++ b/internal/controlplane/replicaset/modelleader_test.go
@@ -28,7 +28,7 @@
 	for key := range m.groupAcknowledged {
 		if _, found := state[key]; !found {
 			m.violations = append(m.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was confirmed",
-				time.Since(m.start), term.Epoch(), l.core.address, key))
+				time.Since(m.start), term.Number(), l.core.address, key))
 			break
 		}
 	}
@@ -41,7 +41,7 @@
 
 func (l *proposingLeader) lead(term *replication.Term) {
 	for i := 0; ; i++ {
-		key := fmt.Sprintf("%d-%d", term.Epoch(), i)
+		key := fmt.Sprintf("%d-%d", term.Number(), i)
 		term.Propose([]replication.Entry{{Key: key, Value: []byte{1}}}, func() { l.schedule.groupCommitted(key) })
 		select {
 		case <-term.Ended():
