--- a/internal/jobs/manager/lead.go
+++ b/internal/jobs/manager/lead.go
@@ -265,7 +265,7 @@
 		return
 	}
 	link := workerclient.NewLink(workerclient.Config{
-		Instance: *instance, FencingToken: l.term.Epoch(), MaxLease: l.config.Settings.MaxLease,
+		Instance: *instance, FencingToken: l.term.Number(), MaxLease: l.config.Settings.MaxLease,
 		LeaderLeaseValid: l.term.Valid, Events: events{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
 		Log: l.config.Log, Now: time.Now,
 	})
--- a/internal/jobs/manager/trace.go
+++ b/internal/jobs/manager/trace.go
@@ -32,7 +32,7 @@
 		return
 	}
 	l.config.Log.Debug("start ordered", zap.Stringer("task", command.Start.Task), zap.Uint64("run", command.Start.AttemptNumber),
-		zap.String("searcher", string(command.Worker)), zap.Uint64("epoch", l.term.Epoch()))
+		zap.String("searcher", string(command.Worker)), zap.Uint64("epoch", l.term.Number()))
 }
 
 // traceEnds notes the ends that a worker reports.
