--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -1,218 +1,185 @@
 package scheduler
 
 import (
-	"cmp"
 	"slices"
 
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
-	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// The reports below read the state and change nothing, but for the order of the stages that wait, which is brought up
-// to date.
-
-const (
-	maxNamedWorkers    = 8   // workers that a report names for one cause
-	maxExplainedStages = 40  // stages that one report explains
-	maxReportDetails   = 500 // stages, runs and failures that one report lists, each
-)
-
-// Load counts jobs and workers.
-func (s *Scheduler) Summary() jobreport.Summary {
-	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.sortedWorkers)}
-	for _, j := range s.jobs {
-		if j.started {
-			summary.Running++
-		} else {
-			summary.Queued++
-		}
+// Why tells why a job's tasks wait. It follows the decisions of Dispatch: a task may start at a worker exactly if no
+// cause rules the worker out.
+func (s *Scheduler) Why(now Now, id job.ID) (why jobreport.Why, known bool) {
+	state, known := s.Status(id)
+	if !known {
+		return why, false
 	}
-	for _, stage := range s.waitingStages {
-		summary.WaitingTasks += len(stage.waiting)
+	why = jobreport.Why{ID: id, State: state}
+	j := s.jobs[id]
+	if j == nil {
+		return why, true
 	}
-	for _, worker := range s.sortedWorkers {
-		summary.Attempts += len(worker.attempts)
-		if worker.reachable {
-			summary.ReachableWorkers++
+	s.orderQueue(now)
+	for _, repetition := range j.repetitions {
+		if repetition == nil {
+			continue
+		}
+		for _, stage := range repetition.stages {
+			s.explainStage(now, &why, stage)
 		}
 	}
-	return summary
-}
-
-// Workers reports all known workers by ID.
-func (s *Scheduler) Workers(now Now) []jobreport.Worker {
-	reports := make([]jobreport.Worker, 0, len(s.sortedWorkers))
-	for _, worker := range s.sortedWorkers {
-		reports = append(reports, s.reportWorker(now, worker))
+	if j.nextDueMS != 0 && j.nextDueMS > now.WallMS {
+		why.Waiting = append(why.Waiting, jobreport.Waiting{Repetition: len(j.repetitions), Reason: jobreport.ReasonNotDue, DueMS: j.nextDueMS})
 	}
-	return reports
+	return why, true
 }
 
-// Worker reports one worker.
-func (s *Scheduler) Worker(now Now, id workerclient.WorkerID) (report jobreport.Worker, known bool) {
-	worker := s.workers[id]
-	if worker == nil {
-		return report, false
+func (s *Scheduler) explainStage(now Now, why *jobreport.Why, stage *stageState) {
+	if stage.incompleteTasks == 0 || stage.tasks != nil && len(stage.waiting) == 0 {
+		return
 	}
-	return s.reportWorker(now, worker), true
-}
-
-func (s *Scheduler) reportWorker(now Now, worker *workerState) jobreport.Worker {
-	return jobreport.Worker{
-		ID: string(worker.ID), Service: worker.Service, Address: worker.Address, Zone: worker.Zone, Version: worker.Version,
-		Rack: worker.rack, Labels: worker.Labels,
-		State: s.workerState(now, worker), Reachable: worker.reachable,
-		Draining: worker.Draining, OperatorDraining: s.operatorDrains.isDraining(worker.ID), DrainVersion: s.DrainVersion(worker.ID), RemainingMS: worker.RemainingMS,
-		Window: int(worker.window), LatencyMS: worker.latencyMS, FailureRate: worker.failureRate,
-		Attempts: len(worker.attempts), WaitingTasks: worker.boundTasks, Orphans: len(worker.orphans),
-		Used: worker.used, Free: worker.free(), Capacity: worker.Capacity, MissingLists: worker.missedInventories,
+	if len(why.Waiting) >= maxExplainedStages {
+		why.Truncated = true
+		return
 	}
-}
-
-func (s *Scheduler) workerState(now Now, worker *workerState) jobreport.WorkerState {
-	switch {
-	case !worker.reachable:
-		return jobreport.WorkerUnreachable
-	case worker.Draining:
-		return jobreport.WorkerDraining
-	case s.operatorDrains.isDraining(worker.ID):
-		return jobreport.WorkerOperatorDraining
-	case worker.fencedAt.IsZero():
-		return jobreport.WorkerNotFenced
-	case s.isBackingOff(now, worker):
-		return jobreport.WorkerBackoff
+	if stage.tasks == nil {
+		why.Waiting = append(why.Waiting, explainBlocked(stage))
+		return
 	}
-	return jobreport.WorkerReady
-}
-
-func (s *Scheduler) isBackingOff(now Now, worker *workerState) bool {
-	return now.Monotonic.Before(worker.backoffUntil) || now.Monotonic.Before(worker.fullUntil)
+	why.Waiting = append(why.Waiting, s.explainWaiting(now, stage))
 }
 
-// Jobs lists the newest jobs of a state, or of all states if it is empty: first those that have not ended, the latest
-// arrival first, then those that have, the latest end first. Total counts all that match.
-func (s *Scheduler) Jobs(state job.State, limit int) (jobs []jobreport.Job, total int) {
-	var live []*jobState
-	for _, j := range s.jobs {
-		if current, _ := s.Status(j.id); state == "" || current == state {
-			live = append(live, j)
-		}
+// explainBlocked explains a stage whose turn has not come.
+func explainBlocked(stage *stageState) jobreport.Waiting {
+	waiting := jobreport.Waiting{
+		Repetition: stage.repetition.number, Stage: stage.number, Tasks: stage.Count, Request: stage.Resources,
+		Reason: jobreport.ReasonDependsOn,
 	}
-	var ended []job.ID
-	for id, record := range s.ended {
-		if state == "" || record.State == state {
-			ended = append(ended, id)
+	for _, number := range stage.DependsOn {
+		if stage.repetition.stages[number].incompleteTasks > 0 {
+			waiting.DependsOn = append(waiting.DependsOn, number)
 		}
 	}
-	slices.SortFunc(live, func(a, b *jobState) int { return cmp.Compare(b.Arrival, a.Arrival) })
-	slices.SortFunc(ended, func(a, b job.ID) int {
-		return cmp.Or(cmp.Compare(s.ended[b].EndedMS, s.ended[a].EndedMS), cmp.Compare(a, b))
-	})
-	for _, j := range live[:min(limit, len(live))] {
-		jobs = append(jobs, s.reportJob(j))
-	}
-	for _, id := range ended[:min(limit-len(jobs), len(ended))] {
-		jobs = append(jobs, s.reportEnded(id))
-	}
-	return jobs, len(live) + len(ended)
+	return waiting
 }
 
-func (s *Scheduler) reportJob(j *jobState) jobreport.Job {
-	state, _ := s.Status(j.id)
-	report := jobreport.Job{
-		ID: j.id, Service: j.Queue.Service, Route: j.Queue.Route, Priority: j.Queue.Priority, State: state, Arrival: j.Arrival,
+func (s *Scheduler) explainWaiting(now Now, stage *stageState) jobreport.Waiting {
+	waiting := jobreport.Waiting{
+		Repetition: stage.repetition.number, Stage: stage.number, Tasks: len(stage.waiting), Request: stage.Resources,
+		AgeMS: now.Monotonic.Sub(stage.waitingSince).Milliseconds(), Ahead: max(0, slices.Index(s.waitingStages, stage)),
 	}
-	for _, repetition := range j.repetitions {
-		if repetition == nil {
+	open := 0
+	for _, worker := range s.sortedWorkers {
+		cause := s.exclusionCause(now, stage, worker)
+		if cause != "" {
+			waiting.Excluded = addExcluded(waiting.Excluded, cause, string(worker.ID))
 			continue
 		}
-		for _, stage := range repetition.stages {
-			report.Tasks.Add(stage.counts())
+		open++
+		if len(waiting.Open) < maxNamedWorkers {
+			waiting.Open = append(waiting.Open, string(worker.ID))
 		}
 	}
-	return report
+	waiting.Reason = s.waitingReason(now, stage, open)
+	return waiting
 }
 
-func (s *Scheduler) reportEnded(id job.ID) jobreport.Job {
-	return jobreport.Job{ID: id, State: s.ended[id].State, EndedMS: s.ended[id].EndedMS}
+func (s *Scheduler) waitingReason(now Now, stage *stageState, open int) jobreport.Reason {
+	switch {
+	case stage.GangScheduled && len(stage.waiting) < max(stage.incompleteTasks, stage.Count):
+		return jobreport.ReasonGangActive
+	case isBackingOff(now, stage):
+		return jobreport.ReasonBackoff
+	case open == 0:
+		return jobreport.ReasonNoWorker
+	case stage.GangScheduled && s.placeableMembers(now, stage) < stage.Count:
+		return jobreport.ReasonGangCapacity
+	}
+	return jobreport.ReasonTurn
 }
 
-func (stage *stageState) counts() jobreport.TaskCounts {
-	if stage.tasks == nil {
-		return jobreport.TaskCounts{Blocked: stage.Count}
-	}
-	counts := jobreport.TaskCounts{}
-	for _, task := range stage.tasks {
-		switch {
-		case task.done:
-			counts.Done++
-		case len(task.attempts) > 0:
-			counts.Running++
-		default:
-			counts.Waiting++
+// isBackingOff tells whether no task of the stage may start right now after starts that went wrong. A gang pauses with any
+// of its members.
+func isBackingOff(now Now, stage *stageState) bool {
+	paused := 0
+	for _, task := range stage.waiting {
+		if now.Monotonic.Before(task.backoffUntil) {
+			paused++
 		}
 	}
-	return counts
+	return paused == len(stage.waiting) || stage.GangScheduled && paused > 0
 }
 
-// Job reports one job.
-func (s *Scheduler) Job(now Now, id job.ID) (report jobreport.JobDetail, known bool) {
-	j := s.jobs[id]
-	if j == nil {
-		if _, known = s.ended[id]; known {
-			report.Job = s.reportEnded(id)
-		}
-		return report, known
-	}
-	report = jobreport.JobDetail{
-		Job: s.reportJob(j), Specification: j.Specification.Text, MaxAttempts: j.Queue.MaxAttempts,
-		Repetitions: j.Specification.RepetitionCount(), NextDueMS: j.nextDueMS,
-	}
-	for _, repetition := range j.repetitions {
-		if repetition == nil {
-			report.CompleteRepetitions++
+// placeableMembers counts the members of a gang that could start at once.
+func (s *Scheduler) placeableMembers(now Now, stage *stageState) int {
+	members := 0
+	for _, worker := range s.sortedWorkers {
+		if !s.isOpen(now, worker) {
 			continue
 		}
-		for _, stage := range repetition.stages {
-			addStage(now, &report, stage)
+		for planned := 0; members < stage.Count && s.admits(stage, worker, planned); planned++ {
+			members++
 		}
 	}
-	return report, true
+	return members
 }
 
-func addStage(now Now, report *jobreport.JobDetail, stage *stageState) {
-	if len(report.Stages) >= maxReportDetails {
-		report.Truncated = true
-		return
+// exclusionCause is the first cause for which a worker does not take a task of a stage now; empty if it could.
+func (s *Scheduler) exclusionCause(now Now, stage *stageState, worker *workerState) jobreport.Cause {
+	if s.isOpen(now, worker) && s.admits(stage, worker, 0) {
+		return ""
 	}
-	report.Stages = append(report.Stages, jobreport.Stage{
-		Repetition: stage.repetition.number, Stage: stage.number, Gang: stage.GangScheduled,
-		Request: stage.Resources, Tasks: stage.counts(),
-	})
-	for _, task := range stage.tasks {
-		if len(task.failedAttempts) > 0 && !atLimit(len(report.Failures), report) {
-			report.Failures = append(report.Failures, jobreport.Failure{Task: task.id.String(), Attempts: slices.Clone(task.failedAttempts)})
-		}
-		for _, attempt := range task.attempts {
-			if !atLimit(len(report.Attempts), report) {
-				report.Attempts = append(report.Attempts, reportRun(now, attempt))
-			}
-		}
+	if cause := s.ineligibilityCause(stage, worker); cause != "" {
+		return cause
 	}
+	switch {
+	case !worker.inInventory:
+		return jobreport.CauseUnlisted
+	case !worker.reachable:
+		return jobreport.CauseUnreachable
+	case worker.fencedAt.IsZero():
+		return jobreport.CauseNotFenced
+	case len(worker.orphans) > 0:
+		return jobreport.CauseOrphans
+	case s.isBackingOff(now, worker):
+		return jobreport.CauseBackoff
+	case float64(len(worker.attempts)) >= worker.window:
+		return jobreport.CauseWindow
+	case !worker.free().Fits(stage.Resources):
+		return jobreport.CauseCapacity
+	case stage.AntiAffinity > 0 && worker.attemptsOfStage(stage) >= stage.AntiAffinity:
+		return jobreport.CauseAntiAffinity
+	}
+	return jobreport.CauseOther
 }
 
-func atLimit(listed int, report *jobreport.JobDetail) bool {
-	if listed < maxReportDetails {
-		return false
+// ineligibilityCause is why a worker does not suit a stage whatever its load.
+func (s *Scheduler) ineligibilityCause(stage *stageState, worker *workerState) jobreport.Cause {
+	for _, label := range stage.Requirements {
+		if !worker.hasLabel(label) {
+			return jobreport.CauseLabel
+		}
 	}
-	report.Truncated = true
-	return true
+	switch {
+	case !worker.Capacity.Fits(stage.Resources):
+		return jobreport.CauseSize
+	case worker.Draining:
+		return jobreport.CauseDraining
+	case s.operatorDrains.isDraining(worker.ID):
+		return jobreport.CauseOperatorDraining
+	}
+	return ""
 }
 
-func reportRun(now Now, attempt *attemptState) jobreport.Attempt {
-	return jobreport.Attempt{
-		Task: attempt.task.id.String(), Number: attempt.number, Worker: string(attempt.worker.ID), AgeMS: now.Monotonic.Sub(attempt.assignedAt).Milliseconds(),
-		Confirmed: attempt.reported || !attempt.confirmedAt.IsZero(), Stopping: attempt.stopping, Percent: attempt.percent,
+func addExcluded(list []jobreport.Excluded, cause jobreport.Cause, worker string) []jobreport.Excluded {
+	at := slices.IndexFunc(list, func(one jobreport.Excluded) bool { return one.Cause == cause })
+	if at < 0 {
+		list = append(list, jobreport.Excluded{Cause: cause})
+		at = len(list) - 1
+	}
+	list[at].Count++
+	if len(list[at].Workers) < maxNamedWorkers {
+		list[at].Workers = append(list[at].Workers, worker)
 	}
+	return list
 }
