--- a/internal/jobs/scheduler/cost.go
+++ b/internal/jobs/scheduler/cost.go
@@ -1,6 +1,8 @@
 package scheduler
 
-import "math"
+const (
+	failureCost = 8.0 // how much costlier a worker is all of whose runs fail
+)
 
 // cost ranks workers for a task: smoothed latency times one plus our runs and waiting tasks there.
 func (s *Scheduler) cost(stage *stageState, worker *workerState) float64 {
@@ -15,37 +17,35 @@
 // load is one plus our runs and waiting tasks at a worker.
 func (worker *workerState) load() float64 { return 1 + float64(len(worker.attempts)+worker.boundTasks) }
 
-// unitCostScratch are the workers that may take a stage's tasks, with their costs without load. All new tasks of a stage are
-// alike, so that these are worked out once for all of them.
-type unitCosts []unitCost
+// latencyMS is a worker's smoothed latency in milliseconds. An unheard one counts as average, and where all are
+// unheard latency starts from the objective of the job's queue.
+func (s *Scheduler) latencyMS(j *jobState, worker *workerState) float64 {
+	if worker.latencyMS > 0 {
+		return worker.latencyMS
+	}
+	if s.latencyCount > 0 {
+		return s.latencySumMS / float64(s.latencyCount)
+	}
+	return max(1, float64(j.Queue.TargetLatencyMS))
+}
 
-type unitCost struct {
-	worker *workerState
-	cost   float64
+// expectedMS is how long a run of a stage takes at a worker, by the client's estimate.
+func (s *Scheduler) expectedMS(stage *stageState, worker *workerState) float64 {
+	return max(1, float64(stage.EstimatedDurationMS)) * s.distanceFactor(stage, worker)
 }
 
-func (s *Scheduler) unitCostsFor(stage *stageState) unitCosts {
-	costs := s.unitCostScratch[:0]
-	for _, worker := range s.sortedWorkers {
-		if worker.reachable && s.isEligible(stage, worker) {
-			costs = append(costs, unitCost{worker, s.unitCost(stage, worker)})
-		}
+// distanceFactor is the factor by which a task takes longer away from its data.
+func (s *Scheduler) distanceFactor(stage *stageState, worker *workerState) float64 {
+	if stage.Affinity == "" || stage.Affinity == worker.rack || worker.hasLabel(stage.Affinity) {
+		return 1
 	}
-	s.unitCostScratch = costs
-	return costs
+	return max(1, s.settings.RemoteFactor)
 }
 
-// bind chooses the worker where a new task waits: the least cost.
-func (u unitCosts) bindLeastCost(task *taskState) {
-	var best *workerState
-	bestCost := math.Inf(1)
-	for i := range u {
-		if cost := u[i].cost * u[i].worker.load(); cost < bestCost {
-			best, bestCost = u[i].worker, cost
-		}
-	}
-	if best != nil {
-		task.boundTo = best
-		best.boundTasks++
+// slowdown is how much slower than usual a worker is; 1 for the usual.
+func (s *Scheduler) slowdown(worker *workerState) float64 {
+	if worker.paceRatio == 0 || s.medianPaceRatio == 0 {
+		return 1
 	}
+	return max(1, worker.paceRatio/s.medianPaceRatio)
 }
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -65,19 +65,6 @@
 	}
 }
 
-// expectedMS is how long a run of a stage takes at a worker, by the client's estimate.
-func (s *Scheduler) expectedMS(stage *stageState, worker *workerState) float64 {
-	return max(1, float64(stage.EstimatedDurationMS)) * s.distanceFactor(stage, worker)
-}
-
-// distanceFactor is the factor by which a task takes longer away from its data.
-func (s *Scheduler) distanceFactor(stage *stageState, worker *workerState) float64 {
-	if stage.Affinity == "" || stage.Affinity == worker.rack || worker.hasLabel(stage.Affinity) {
-		return 1
-	}
-	return max(1, s.settings.RemoteFactor)
-}
-
 // remainingMS estimates how long a run still takes.
 func (s *Scheduler) remainingMS(now Now, attempt *attemptState) float64 {
 	expected := s.expectedMS(attempt.task.stage, attempt.worker)
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -71,6 +71,22 @@
 	return worker
 }
 
+// RemoveWorker takes that a worker's life is over: nothing runs there any more.
+func (s *Scheduler) RemoveWorker(now Now, id workerclient.WorkerID) {
+	worker := s.workers[id]
+	if worker == nil {
+		return
+	}
+	s.endAllAttempts(now, worker)
+	s.removed[id] = true
+	s.forgetLatency(worker)
+	delete(s.workers, id)
+	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == worker })
+	worker.reachable = false
+	s.rebindTasks(now, worker)
+	s.dispatchNeeded = true
+}
+
 // drainWorker moves away what cannot end before the worker may leave.
 func (s *Scheduler) drainWorker(now Now, worker *workerState) {
 	remainingMS := float64(worker.RemainingMS)
@@ -84,7 +100,3 @@
 	}
 	s.rebindTasks(now, worker)
 }
-
-func compareTaskIDs(a, b job.TaskID) int {
-	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Repetition, b.Repetition), cmp.Compare(a.Stage, b.Stage), cmp.Compare(a.Index, b.Index))
-}
--- a/internal/jobs/scheduler/ordering.go
+++ b/internal/jobs/scheduler/ordering.go
@@ -151,15 +151,3 @@
 	}
 	return longest
 }
-
-// latencyMS is a worker's smoothed latency in milliseconds. An unheard one counts as average, and where all are
-// unheard latency starts from the objective of the job's queue.
-func (s *Scheduler) latencyMS(j *jobState, worker *workerState) float64 {
-	if worker.latencyMS > 0 {
-		return worker.latencyMS
-	}
-	if s.latencyCount > 0 {
-		return s.latencySumMS / float64(s.latencyCount)
-	}
-	return max(1, float64(j.Queue.TargetLatencyMS))
-}
--- a/internal/jobs/scheduler/records.go
+++ b/internal/jobs/scheduler/records.go
@@ -84,3 +84,16 @@
 	task.hasRecord = true
 	s.writeRecord(taskKey(task.id), record)
 }
+
+// EndedJob tells whether an entry records the end of a job, and which.
+func EndedJob(entry *replication.Entry) (id job.ID, state job.State, ended bool) {
+	text, found := strings.CutPrefix(entry.Key, endedPrefix)
+	if !found || entry.Value == nil {
+		return "", "", false
+	}
+	var record endedRecord
+	if err := decodeRecord(entry.Key, entry.Value, &record); err != nil {
+		return "", "", false
+	}
+	return job.ID(text), record.State, true
+}
--- /dev/null
+++ b/internal/jobs/scheduler/repetitions.go
@@ -0,0 +1,129 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"puffinlink.example/puffinlink/internal/jobs/job"
+)
+
+// dueJobs lists the jobs with a repetition that is due, in order of arrival, so that the same events give the same effects.
+func (s *Scheduler) dueJobs(now Now) []*jobState {
+	var due []*jobState
+	for j := range s.scheduled {
+		if j.nextDueMS <= now.WallMS {
+			due = append(due, j)
+		}
+	}
+	slices.SortFunc(due, func(a, b *jobState) int { return cmp.Compare(a.Arrival, b.Arrival) })
+	return due
+}
+
+// NextDueMS is the earliest time (milliseconds since 1970) at which a scheduled repetition begins; 0 when none waits.
+func (s *Scheduler) NextDueMS() int64 {
+	if !s.nextDueStale {
+		return s.nextDueMS
+	}
+	s.nextDueMS, s.nextDueStale = 0, false
+	for j := range s.scheduled {
+		if s.nextDueMS == 0 || j.nextDueMS < s.nextDueMS {
+			s.nextDueMS = j.nextDueMS
+		}
+	}
+	return s.nextDueMS
+}
+
+// scheduleRepetition notes when a job's next repetition begins.
+func (s *Scheduler) scheduleRepetition(j *jobState, dueMS int64) {
+	j.nextDueMS = dueMS
+	s.scheduled[j] = true
+	s.nextDueStale = true
+}
+
+// unscheduleRepetition notes that a job has no repetition left to begin.
+func (s *Scheduler) unscheduleRepetition(j *jobState) {
+	if s.scheduled[j] {
+		delete(s.scheduled, j)
+		s.nextDueStale = true
+	}
+}
+
+// beginDueRepetitions begins the repetitions that are due.
+func (s *Scheduler) beginDueRepetitions(now Now, j *jobState) {
+	for len(j.repetitions) < j.Specification.RepetitionCount() {
+		dueMS := j.dueMS(len(j.repetitions))
+		if dueMS > now.WallMS {
+			s.scheduleRepetition(j, dueMS)
+			return
+		}
+		repetition := newRepetitionState(j, len(j.repetitions))
+		j.repetitions = append(j.repetitions, repetition)
+		s.beginReadyStages(now, repetition)
+	}
+	j.nextDueMS = 0
+	s.unscheduleRepetition(j)
+}
+
+func newRepetitionState(j *jobState, number int) *repetitionState {
+	repetition := &repetitionState{number: number, incompleteStages: len(j.Specification.Stages)}
+	defer repetition.setDeadlines(j)
+	for i := range j.Specification.Stages {
+		stage := &j.Specification.Stages[i]
+		repetition.stages = append(repetition.stages, &stageState{Stage: stage, job: j, repetition: repetition, number: i, incompleteTasks: stage.Count})
+	}
+	return repetition
+}
+
+// beginReadyStages lets the tasks wait of each stage whose turn has come.
+func (s *Scheduler) beginReadyStages(now Now, repetition *repetitionState) {
+	for _, stage := range repetition.stages {
+		if stage.tasks != nil || !repetition.areComplete(stage.DependsOn) {
+			continue
+		}
+		stage.createTasks()
+		costs := s.unitCostsFor(stage)
+		for _, task := range stage.tasks {
+			if s.enqueue(now, task) {
+				costs.bindLeastCost(task)
+			}
+		}
+	}
+}
+
+func (repetition *repetitionState) areComplete(stages []int) bool {
+	for _, number := range stages {
+		if repetition.stages[number].incompleteTasks > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+func (stage *stageState) createTasks() {
+	stage.tasks = make([]*taskState, stage.Count)
+	for i := range stage.tasks {
+		id := job.TaskID{Job: stage.job.id, Repetition: stage.repetition.number, Stage: stage.number, Index: i}
+		stage.tasks[i] = &taskState{id: id, stage: stage}
+	}
+}
+
+func (s *Scheduler) completeRepetition(now Now, j *jobState, repetition *repetitionState) {
+	j.incompleteRepetitions--
+	if j.incompleteRepetitions == 0 {
+		s.endJob(now, j, job.Completed)
+		return
+	}
+	s.eraseTaskRecords(repetition)
+	j.repetitions[repetition.number] = nil
+	s.writeRecord(repetitionKey(j.id, repetition.number), repetitionRecord{Complete: true})
+}
+
+func (s *Scheduler) eraseTaskRecords(repetition *repetitionState) {
+	for _, stage := range repetition.stages {
+		for _, task := range stage.tasks {
+			if task.hasRecord {
+				s.eraseRecord(taskKey(task.id))
+			}
+		}
+	}
+}
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -7,13 +7,9 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/job"
-	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
@@ -33,31 +29,6 @@
 	WallMS    int64     // milliseconds since 1970, for due times; may jump
 }
 
-// Command is a start or a stop for one worker.
-type Command struct {
-	Worker workerclient.WorkerID
-	Start  *workerclient.StartOrder // nil for a stop
-	Stop   *workerclient.StopOrder
-}
-
-// Noted says that all of a worker's ends up to Number are covered by the entries gathered so far.
-type Acknowledgement struct {
-	Worker           workerclient.WorkerID
-	CompletionNumber uint64
-}
-
-// Effects are what the calls since the last Take want done: first the entries made durable, then the rest.
-type Effects struct {
-	Entries          []replication.Entry
-	Commands         []Command
-	Acknowledgements []Acknowledgement
-}
-
-// Empty tells whether there is nothing to do.
-func (e *Effects) Empty() bool {
-	return len(e.Entries) == 0 && len(e.Commands) == 0 && len(e.Acknowledgements) == 0
-}
-
 // Scheduler is the state of one service's jobs under one leadership.
 type Scheduler struct {
 	settings         Settings
@@ -111,65 +82,9 @@
 	return s, nil
 }
 
-// TakeEffects returns the effects gathered since the last call.
-func (s *Scheduler) TakeEffects() Effects {
-	effects := s.effects
-	s.effects = Effects{}
-	return effects
-}
-
 // NeedsDispatch tells whether something has happened since the last Dispatch that may let waiting tasks start.
 func (s *Scheduler) NeedsDispatch() bool { return s.dispatchNeeded }
 
-// Submit takes a job in; the same ID again is the same job.
-func (s *Scheduler) Submit(now Now, request *jobapi.Submit) {
-	if s.isKnown(request.ID) {
-		return
-	}
-	s.lastArrival++
-	j := newJob(request.ID, jobRecord{Queue: request.Queue, Specification: request.Specification, Arrival: s.lastArrival, ArrivedMS: now.WallMS})
-	s.addJob(j)
-	s.writeRecord(jobKey(j.id), j.jobRecord)
-	s.beginDueRepetitions(now, j)
-	s.dispatchNeeded = true
-}
-
-// Status tells a job's state.
-func (s *Scheduler) Status(id job.ID) (job.State, bool) {
-	if j, live := s.jobs[id]; live {
-		if j.started {
-			return job.Running, true
-		}
-		return job.Queued, true
-	}
-	record, known := s.ended[id]
-	return record.State, known
-}
-
-// Cancel ends a job; it tells whether the job is known.
-func (s *Scheduler) Cancel(now Now, id job.ID) bool {
-	if j, live := s.jobs[id]; live {
-		s.endJob(now, j, job.Cancelled)
-		s.dispatchNeeded = true
-		return true
-	}
-	_, known := s.ended[id]
-	return known
-}
-
-// Pending counts a route's jobs that have not ended.
-func (s *Scheduler) Pending(route string) int { return s.pendingByRoute[route] }
-
-// StillWanted tells whether a start that has become durable is still to be sent.
-func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartOrder) bool {
-	worker := s.workers[id]
-	if worker == nil {
-		return false
-	}
-	attempt := worker.attempts[command.Task]
-	return attempt != nil && attempt.number == command.Execution && !attempt.stopping
-}
-
 // Tick does what is due by time alone.
 func (s *Scheduler) Tick(now Now) {
 	s.pruneEndedJobs(now)
@@ -179,55 +94,3 @@
 	s.inspectAttempts(now)
 	s.dispatchNeeded = true
 }
-
-// dueJobs lists the jobs with a repetition that is due, in order of arrival, so that the same events give the same effects.
-func (s *Scheduler) dueJobs(now Now) []*jobState {
-	var due []*jobState
-	for j := range s.scheduled {
-		if j.nextDueMS <= now.WallMS {
-			due = append(due, j)
-		}
-	}
-	slices.SortFunc(due, func(a, b *jobState) int { return cmp.Compare(a.Arrival, b.Arrival) })
-	return due
-}
-
-// NextDueMS is the earliest time (milliseconds since 1970) at which a scheduled repetition begins; 0 when none waits.
-func (s *Scheduler) NextDueMS() int64 {
-	if !s.nextDueStale {
-		return s.nextDueMS
-	}
-	s.nextDueMS, s.nextDueStale = 0, false
-	for j := range s.scheduled {
-		if s.nextDueMS == 0 || j.nextDueMS < s.nextDueMS {
-			s.nextDueMS = j.nextDueMS
-		}
-	}
-	return s.nextDueMS
-}
-
-// scheduleRepetition notes when a job's next repetition begins.
-func (s *Scheduler) scheduleRepetition(j *jobState, dueMS int64) {
-	j.nextDueMS = dueMS
-	s.scheduled[j] = true
-	s.nextDueStale = true
-}
-
-// unscheduleRepetition notes that a job has no repetition left to begin.
-func (s *Scheduler) unscheduleRepetition(j *jobState) {
-	if s.scheduled[j] {
-		delete(s.scheduled, j)
-		s.nextDueStale = true
-	}
-}
-
-func (s *Scheduler) isKnown(id job.ID) bool {
-	_, live := s.jobs[id]
-	_, ended := s.ended[id]
-	return live || ended
-}
-
-func (s *Scheduler) addJob(j *jobState) {
-	s.jobs[j.id] = j
-	s.pendingByRoute[j.Queue.Route]++
-}
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -119,22 +119,3 @@
 	}
 	return j.Specification.FirstRunMS + int64(number)*j.Specification.IntervalMS
 }
-
-func (worker *workerState) free() job.Resources { return worker.Capacity.Subtract(worker.used) }
-
-func (worker *workerState) hasLabel(label string) bool {
-	for _, own := range worker.Labels {
-		if own == label {
-			return true
-		}
-	}
-	return false
-}
-
-// rackOf is a worker's rack: labels name its kind first and its rack last.
-func rackOf(instance *workerclient.Instance) string {
-	if len(instance.Labels) < 2 {
-		return ""
-	}
-	return instance.Labels[len(instance.Labels)-1]
-}
--- a/internal/jobs/scheduler/stragglers.go
+++ b/internal/jobs/scheduler/stragglers.go
@@ -40,14 +40,6 @@
 	return float64(watched.Milliseconds()) * 100 / float64(attempt.percent-attempt.pacePercent), true
 }
 
-// slowdown is how much slower than usual a worker is; 1 for the usual.
-func (s *Scheduler) slowdown(worker *workerState) float64 {
-	if worker.paceRatio == 0 || s.medianPaceRatio == 0 {
-		return 1
-	}
-	return max(1, worker.paceRatio/s.medianPaceRatio)
-}
-
 // updatePaceRatios works out the usual drag of workers, which is their median.
 func (s *Scheduler) updatePaceRatios() {
 	s.paceRatios = s.paceRatios[:0]
--- /dev/null
+++ b/internal/jobs/scheduler/workerreports.go
@@ -0,0 +1,116 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"puffinlink.example/puffinlink/internal/jobs/job"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
+)
+
+// HandleReport takes a worker's report of what runs there and what has ended.
+func (s *Scheduler) HandleReport(now Now, report *workerclient.Listing) {
+	worker := s.workers[report.Worker]
+	if worker == nil {
+		return
+	}
+	if worker.fencedAt.IsZero() || !worker.reachable {
+		worker.reachable = true
+		s.bindUnboundTasks(now)
+	}
+	if worker.fencedAt.IsZero() {
+		worker.fencedAt = now.Monotonic
+	}
+	worker.fullUntil = time.Time{}
+	for i := range report.Finished {
+		s.handleCompletion(now, worker, &report.Finished[i])
+	}
+	if !report.Stale { // a newer report has said what runs there
+		listed := s.matchRunning(now, worker, report)
+		if !report.Partial {
+			s.handleMissing(now, worker, report, listed)
+		}
+	}
+	s.dispatchNeeded = true
+}
+
+// matchRunning matches the running list with our runs and stops what nobody wants.
+func (s *Scheduler) matchRunning(now Now, worker *workerState, report *workerclient.Listing) map[job.TaskID]bool {
+	if len(report.Running) == 0 {
+		worker.orphans = nil
+		return nil
+	}
+	listed := make(map[job.TaskID]bool, len(report.Running))
+	var orphans map[orphanAttempt]bool
+	for i := range report.Running {
+		entry := &report.Running[i]
+		attempt := worker.attempts[entry.Task]
+		if attempt != nil && attempt.number == entry.Execution {
+			listed[entry.Task] = true
+			s.recordProgress(now, attempt, entry)
+			continue
+		}
+		key := orphanAttempt{entry.Task, entry.Execution}
+		if orphans == nil {
+			orphans = map[orphanAttempt]bool{}
+		}
+		orphans[key] = true
+		if !worker.orphans[key] {
+			command := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
+			s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
+		}
+	}
+	worker.orphans = orphans
+	return listed
+}
+
+func (s *Scheduler) recordProgress(now Now, attempt *attemptState, entry *workerclient.RunningTask) {
+	if !attempt.reported {
+		attempt.reported = true
+		attempt.paceSince, attempt.pacePercent = now.Monotonic, entry.Percent
+	}
+	attempt.reportedAt = now.Monotonic
+	if entry.Percent > attempt.percent || attempt.progressedAt.IsZero() {
+		attempt.percent = entry.Percent
+		attempt.progressedAt = now.Monotonic
+	}
+	if entry.Checkpoint != "" {
+		attempt.checkpoint = entry.Checkpoint
+	}
+	s.observePace(now, attempt)
+}
+
+// handleMissing settles the runs that a report should have listed and did not.
+func (s *Scheduler) handleMissing(now Now, worker *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
+	if len(worker.attempts) == len(listed) {
+		return // each one of listed is one of ours
+	}
+	for _, attempt := range worker.sortedAttempts() {
+		if listed[attempt.task.id] {
+			continue
+		}
+		answered := !attempt.confirmedAt.IsZero() && attempt.confirmedAt.Before(report.SentAt)
+		stopped := !attempt.stopConfirmedAt.IsZero() && attempt.stopConfirmedAt.Before(report.SentAt)
+		switch {
+		case attempt.inherited, answered, stopped:
+			s.endAttempt(now, attempt)
+		case !attempt.startUnclearAt.IsZero() && attempt.startUnclearAt.Before(report.SentAt):
+			s.stopAttempt(attempt) // from then on a start that comes late is rejected
+		}
+	}
+}
+
+// sortedAttempts lists the runs in a stable order, so that the same events give the same effects.
+func (worker *workerState) sortedAttempts() []*attemptState {
+	attempts := make([]*attemptState, 0, len(worker.attempts))
+	for _, attempt := range worker.attempts {
+		attempts = append(attempts, attempt)
+	}
+	slices.SortFunc(attempts, func(a, b *attemptState) int { return compareTaskIDs(a.task.id, b.task.id) })
+	return attempts
+}
+
+func compareTaskIDs(a, b job.TaskID) int {
+	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Repetition, b.Repetition), cmp.Compare(a.Stage, b.Stage), cmp.Compare(a.Index, b.Index))
+}
