--- a/internal/controlplane/replicaset/core_test.go
+++ b/internal/controlplane/replicaset/core_test.go
@@ -155,8 +155,8 @@
 func (p *core) contacts() replicaset.Liveness {
 	contacts := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceHeard: make(map[string]time.Duration)}
 	for _, member := range p.node.Members() {
-		if member.Heard {
-			contacts.SinceHeard[member.Address] = member.HeardAgo
+		if member.Contacted {
+			contacts.SinceHeard[member.Address] = member.SinceContact
 		}
 	}
 	return contacts
--- a/internal/jobs/scheduler/commandresults.go
+++ b/internal/jobs/scheduler/commandresults.go
@@ -21,8 +21,8 @@
 	if worker == nil {
 		return
 	}
-	attempt := worker.attempts[result.Order.Task]
-	if attempt == nil || attempt.number != result.Order.Execution {
+	attempt := worker.attempts[result.Command.Task]
+	if attempt == nil || attempt.number != result.Command.AttemptNumber {
 		return
 	}
 	switch result.Outcome {
@@ -33,11 +33,11 @@
 	case workerclient.Unclear:
 		attempt.startUnclearAt = result.At
 		return
-	case workerclient.RejectedFence:
+	case workerclient.RejectedFencingToken:
 		return // this leadership is over
-	case workerclient.RejectedRoom:
+	case workerclient.RejectedCapacity:
 		worker.fullUntil = now.Monotonic.Add(backoffAfterFull)
-	case workerclient.Unhealthy:
+	case workerclient.RejectedUnhealthy:
 		worker.backoffUntil = now.Monotonic.Add(backoffAfterUnhealthy)
 		worker.failureRate += failureWeight * (1 - worker.failureRate)
 	case workerclient.RejectedInvalid:
@@ -54,7 +54,7 @@
 	if worker == nil || !result.Answered {
 		return
 	}
-	if attempt := worker.attempts[result.Order.Task]; attempt != nil && attempt.number == result.Order.Execution {
+	if attempt := worker.attempts[result.Command.Task]; attempt != nil && attempt.number == result.Command.AttemptNumber {
 		attempt.stopConfirmedAt = result.At
 	}
 }
--- a/internal/jobs/scheduler/completion.go
+++ b/internal/jobs/scheduler/completion.go
@@ -13,13 +13,13 @@
 
 // handleCompletion takes one entry of a worker's list of ends.
 func (s *Scheduler) handleCompletion(now Now, worker *workerState, completion *workerclient.FinishedTask) {
-	if completion.Number <= worker.lastCompletion {
+	if completion.CompletionNumber <= worker.lastCompletion {
 		return
 	}
-	worker.lastCompletion = completion.Number
+	worker.lastCompletion = completion.CompletionNumber
 	s.acknowledgeCompletions(worker)
 	attempt := worker.attempts[completion.Task]
-	if attempt != nil && attempt.number != completion.Execution {
+	if attempt != nil && attempt.number != completion.AttemptNumber {
 		attempt = nil
 	}
 	if attempt != nil {
@@ -35,13 +35,13 @@
 	}
 	switch {
 	case task.stage.LongRunning:
-		s.retry(now, task, completion.Execution) // started again however it ends
+		s.retry(now, task, completion.AttemptNumber) // started again however it ends
 	case completion.How == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
 		s.handleSuccess(now, task)
 	case completion.How == job.OutcomeFailed:
-		s.handleFailure(now, task, worker, completion.Execution)
+		s.handleFailure(now, task, worker, completion.AttemptNumber)
 	case attempt != nil:
-		s.retry(now, task, completion.Execution)
+		s.retry(now, task, completion.AttemptNumber)
 	}
 }
 
--- a/internal/jobs/scheduler/effects.go
+++ b/internal/jobs/scheduler/effects.go
@@ -8,8 +8,8 @@
 // Command is a start or a stop for one worker.
 type Command struct {
 	Worker workerclient.WorkerID
-	Start  *workerclient.StartOrder // nil for a stop
-	Stop   *workerclient.StopOrder
+	Start  *workerclient.StartCommand // nil for a stop
+	Stop   *workerclient.StopCommand
 }
 
 // Noted says that all of a worker's ends up to Number are covered by the entries gathered so far.
@@ -38,13 +38,13 @@
 }
 
 // StillWanted tells whether a start that has become durable is still to be sent.
-func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartOrder) bool {
+func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartCommand) bool {
 	worker := s.workers[id]
 	if worker == nil {
 		return false
 	}
 	attempt := worker.attempts[command.Task]
-	return attempt != nil && attempt.number == command.Execution && !attempt.stopping
+	return attempt != nil && attempt.number == command.AttemptNumber && !attempt.stopping
 }
 
 func (s *Scheduler) acknowledgeCompletions(worker *workerState) {
@@ -63,6 +63,6 @@
 		return
 	}
 	attempt.stopping = true
-	command := &workerclient.StopOrder{Task: attempt.task.id, Execution: attempt.number}
+	command := &workerclient.StopCommand{Task: attempt.task.id, AttemptNumber: attempt.number}
 	s.effects.Commands = append(s.effects.Commands, Command{Worker: attempt.worker.ID, Stop: command})
 }
--- a/internal/jobs/scheduler/workerreports.go
+++ b/internal/jobs/scheduler/workerreports.go
@@ -46,18 +46,18 @@
 	for i := range report.Running {
 		entry := &report.Running[i]
 		attempt := worker.attempts[entry.Task]
-		if attempt != nil && attempt.number == entry.Execution {
+		if attempt != nil && attempt.number == entry.AttemptNumber {
 			listed[entry.Task] = true
 			s.recordProgress(now, attempt, entry)
 			continue
 		}
-		key := orphanAttempt{entry.Task, entry.Execution}
+		key := orphanAttempt{entry.Task, entry.AttemptNumber}
 		if orphans == nil {
 			orphans = map[orphanAttempt]bool{}
 		}
 		orphans[key] = true
 		if !worker.orphans[key] {
-			command := &workerclient.StopOrder{Task: entry.Task, Execution: entry.Execution}
+			command := &workerclient.StopCommand{Task: entry.Task, AttemptNumber: entry.AttemptNumber}
 			s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
 		}
 	}
