--- a/internal/controlplane/register/acceptor.go
+++ b/internal/controlplane/register/acceptor.go
@@ -9,7 +9,6 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/rpcerror"
@@ -19,12 +18,6 @@
 // TablePrefix begins the names of the tables that hold registers.
 const TablePrefix = "register/"
 
-// Keys of a register's table.
-const (
-	promisedKey = "promised"
-	acceptedKey = "accepted"
-)
-
 // notReadyRetry is when a proposer may ask again a member that is being rebuilt.
 const notReadyRetry = 200 * time.Millisecond
 
@@ -39,28 +32,17 @@
 	View  func() replicaset.View // the current view
 }
 
-// Acceptor is one member's replica of a register.
+// Acceptor is one member's replica of a register. It stores each vote before it answers. Its methods may be called from any
+// goroutine.
 type Acceptor struct {
-	config        AcceptorConfig
-	table         func(viewVersion uint64) string // the store's table for a round in a view
-	validateValue func(value []byte) error        // refuses values that this member must not accept; nil where there are none
-	voteMutex     sync.Mutex                      // held while a vote is decided and stored
-	chunks        chunkCache                      // large ones, by parts
-	lastLoaded    loadedState
-}
-
-// acceptedState is a state with the proposal number under which it was accepted.
-type acceptedState struct {
-	ProposalNumber ProposalNumber `msgpack:"b"`
-	State          state          `msgpack:"s"`
-	// Manifest is set where the state's value is large: it is stored by parts then, and left out here.
-	Manifest *chunks.Manifest `msgpack:"m,omitempty"`
-}
-
-// acceptorState is the content of a register's table.
-type acceptorState struct {
-	promised ProposalNumber
-	accepted acceptedState
+	config AcceptorConfig
+	// table returns the name of the store's table for a round in a view.
+	table func(viewVersion uint64) string
+	// validateValue refuses values that this member must not accept; nil where there are none.
+	validateValue func(value []byte) error
+	voteMutex     sync.Mutex // locked while a vote is decided and stored
+	chunks        chunkCache // of large values
+	lastLoaded    loadedValue
 }
 
 // NewAcceptor makes the acceptor of a register.
@@ -79,7 +61,7 @@
 	transport.Handle(mux, fetchCall(a.config.Name), a.serveFetch)
 }
 
-// prepare promises to refuse lower proposal numbers. A proposal number is promised once only, so that two proposers never share one.
+// prepare promises to refuse lower proposal numbers (phase 1).
 func (a *Acceptor) prepare(_ context.Context, request prepareRequest) (reply, error) {
 	a.voteMutex.Lock()
 	defer a.voteMutex.Unlock()
@@ -87,11 +69,12 @@
 	if err != nil || answer.Outcome != granted {
 		return answer, err
 	}
-	if !stored.promised.Less(request.ProposalNumber) {
+	promised, ok := stored.prepare(request.ProposalNumber)
+	if !ok {
 		answer.Outcome = conflict
 		return answer, nil
 	}
-	promise, err := a.encode(request.ViewVersion, promisedKey, request.ProposalNumber)
+	promise, err := a.encode(request.ViewVersion, promisedKey, promised.promised)
 	if err != nil {
 		return reply{}, err
 	}
@@ -108,7 +91,7 @@
 	return answer, nil
 }
 
-// accept stores a state unless a higher proposal number was promised.
+// accept stores a state unless a higher proposal number was promised (phase 2).
 func (a *Acceptor) accept(_ context.Context, request acceptRequest) (reply, error) {
 	a.voteMutex.Lock()
 	defer a.voteMutex.Unlock()
@@ -116,7 +99,8 @@
 	if err != nil || answer.Outcome != granted {
 		return answer, err
 	}
-	if request.ProposalNumber.Less(stored.promised) {
+	next, ok := stored.accept(request.ProposalNumber, request.State)
+	if !ok {
 		answer.Outcome = conflict
 		return answer, nil
 	}
@@ -126,8 +110,8 @@
 		}
 	}
 	chunking := a.chunkLarge(request.State.Value)
-	promise, promiseErr := a.encode(request.ViewVersion, promisedKey, request.ProposalNumber)
-	accepted, acceptedErr := a.encodeAccepted(request, chunking)
+	promise, promiseErr := a.encode(request.ViewVersion, promisedKey, next.promised)
+	accepted, acceptedErr := a.encodeAccepted(request.ViewVersion, next.accepted, chunking)
 	if err := errors.Join(promiseErr, acceptedErr); err != nil {
 		return reply{}, err
 	}
@@ -139,7 +123,8 @@
 	}
 	answer.Promised = request.ProposalNumber
 	answer.Accepted = request.ProposalNumber
-	a.cacheLoaded(request.ViewVersion, accepted, request.State.Value)
+	record := accepted[len(accepted)-1].Value // encodeAccepted puts the accepted state last
+	a.lastLoaded.set(a.table(request.ViewVersion), record, request.State.Value)
 	a.chunks.replace(chunking, request.ProposalNumber, request.ViewVersion)
 	return answer, nil
 }
@@ -153,9 +138,9 @@
 	return answer, err
 }
 
-// checkMayVote checks that this member may answer a proposer that works with a view. It is called again once a vote is stored:
-// a vote that was stored after this member learned the next view counts for nothing, as joining members may have copied this
-// member's tables without it.
+// checkMayVote checks that this member may answer a proposer that works with a view; the answer's outcome is granted if so.
+// It is called again once a vote is stored: a vote that was stored after this member learned the next view counts for
+// nothing, as joining members may have copied this member's tables without it.
 func (a *Acceptor) checkMayVote(viewVersion uint64) (reply, error) {
 	if !a.config.Ready() {
 		return reply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetry)
@@ -167,7 +152,7 @@
 	return reply{Outcome: granted, View: replicaset.View{Version: view.Version}}, nil
 }
 
-// loadForRound checks that this member may answer a proposer and loads what it holds.
+// loadForRound checks that this member may answer a proposer, and loads what it has stored.
 func (a *Acceptor) loadForRound(viewVersion uint64) (reply, acceptorState, error) {
 	answer, err := a.checkMayVote(viewVersion)
 	if err != nil || answer.Outcome != granted {
@@ -181,6 +166,7 @@
 	return answer, stored, nil
 }
 
+// encode returns the change that stores a value under a key of the table for a view.
 func (a *Acceptor) encode(viewVersion uint64, key string, value any) (storage.Change, error) {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -4,33 +4,16 @@
 	"context"
 	"errors"
 	"fmt"
-
-	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// errUnknownOutcome is the failure of a change of which nobody can tell any more whether it took effect.
-var errUnknownOutcome = errors.New("others have changed the register since; whether this change took effect is not known")
-
-// proposal is a result of the function that was sent to acceptors.
-type proposal struct {
-	proposalNumber ProposalNumber
-	state          state
-}
-
-// proposer carries out one change, in as many attempts as it takes.
+// proposer carries out one change, in as many attempts as it takes. What it decides between rounds is in decision.go.
 type proposer struct {
 	register         *Register
 	change           func(current []byte) (next []byte, err error)
-	proposals        []proposal // whose outcome is open
+	proposals        []proposal // that were sent
 	proposalsSettled bool       // whether none of those took or can take effect
 }
 
-// functionError is an error of the caller's function, which ends the change.
-type functionError struct{ cause error }
-
-func (e *functionError) Error() string { return e.cause.Error() }
-func (e *functionError) Unwrap() error { return e.cause }
-
 // run repeats attempts until one succeeds, the function refuses, or the context ends.
 func (p *proposer) run(ctx context.Context) ([]byte, error) {
 	for attempt := 0; ; attempt++ {
@@ -45,20 +28,12 @@
 	}
 }
 
+// retryable tells whether another attempt may succeed.
 func retryable(err error) bool {
 	var refusal *functionError
 	return !errors.As(err, &refusal) && !errors.Is(err, errUnknownOutcome) && !errors.Is(err, ErrNoView)
 }
 
-// changeError adds whether the change may have been executed to the error that ended the change.
-func (p *proposer) changeError(err error) error {
-	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
-	if len(p.proposals) > 0 && !p.proposalsSettled {
-		return rpcerror.WrapMayHaveExecuted(err)
-	}
-	return rpcerror.WrapNotExecuted(err, 0)
-}
-
 // attempt makes one prepare round and, unless the outcome rests on a committed state already, one accept round.
 func (p *proposer) attempt(ctx context.Context) ([]byte, error) {
 	view := p.register.config.View()
@@ -93,54 +68,6 @@
 	return decision.value, decision.refusal
 }
 
-// afterPrepare decides what to commit after a prepare round, and whether that is settled already: then it rests on a
-// committed state, and none of this change's proposals is open.
-func (p *proposer) afterPrepare(preparing *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
-	latest, committed := p.register.committed(preparing)
-	decided, err = p.decide(latest.State, proposalNumber)
-	if err != nil {
-		return decision{}, false, err
-	}
-	if decided.isProposal {
-		p.proposals = append(p.proposals, proposal{proposalNumber, decided.state})
-		return decided, false, nil
-	}
-	return decided, committed && len(p.proposals) == 0, nil
-}
-
-// decision is what an attempt is to commit, and what then is the outcome of the change.
-type decision struct {
-	state      state
-	isProposal bool // whether the state is a result of the function; else it is the current one, to be confirmed
-	value      []byte
-	refusal    error
-}
-
-// decide applies the function to the current state, unless an earlier proposal of this change is part of it.
-func (p *proposer) decide(current state, proposalNumber ProposalNumber) (decision, error) {
-	for _, earlier := range p.proposals {
-		if p.register.forgetsProposals {
-			break
-		}
-		contained, cached := current.contains(earlier.proposalNumber, earlier.state.Sequence)
-		if contained {
-			return decision{state: current, value: earlier.state.Value}, nil
-		}
-		if !cached {
-			return decision{}, errUnknownOutcome
-		}
-	}
-	next, err := p.change(current.Value)
-	switch {
-	case err != nil:
-		return decision{state: current, refusal: &functionError{err}}, nil
-	case unchanged(current.Value, next):
-		return decision{state: current, value: current.Value}, nil
-	}
-	made := current.next(next, proposalNumber)
-	return decision{state: made, isProposal: true, value: next}, nil
-}
-
 // accept makes the accept round that follows a prepare round.
 func (p *proposer) accept(ctx context.Context, request acceptRequest, prepared *round) error {
 	view := prepared.view
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -1,7 +1,6 @@
 package register
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -81,8 +80,8 @@
 	return value, nil
 }
 
-// waitTurn waits until no other change of this proposer is under way. A change that was given up gets no turn: its
-// proposals would only get in the way of others'.
+// waitTurn waits until no other change of this proposer is under way. A change whose context has ended gets no turn: its
+// proposals would only compete with those of others.
 func (r *Register) waitTurn(ctx context.Context) error {
 	if ctx.Err() == nil {
 		select {
@@ -135,6 +134,7 @@
 	return ProposalNumber{Counter: r.counter, Member: r.config.Self}
 }
 
+// observe makes later proposal numbers higher than one that was promised to anyone.
 func (r *Register) observe(proposalNumber ProposalNumber) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -154,6 +154,8 @@
 	return member == r.config.Self && r.config.Acceptor != nil
 }
 
+// prepare, accept and read send a request to a member. The local acceptor is called without the network, and its answers have
+// the value inline in any case.
 func (r *Register) prepare(ctx context.Context, member string, request prepareRequest) (reply, error) {
 	if r.isLocal(member) {
 		request.Known = ProposalNumber{}
@@ -176,11 +178,6 @@
 	return readCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
 }
 
-// unchanged tells whether a function left a value as it was.
-func unchanged(current, next []byte) bool {
-	return (current == nil) == (next == nil) && bytes.Equal(current, next)
-}
-
 // backOff waits a random time before the next attempt.
 func (r *Register) backOff(ctx context.Context, attempt int) error {
 	draw := r.config.RandomBelow
