--- a/internal/controlplane/register/acceptor.go
+++ b/internal/controlplane/register/acceptor.go
@@ -18,13 +18,13 @@
 // TablePrefix begins the names of the tables that hold registers.
 const TablePrefix = "register/"
 
-// notReadyRetry is when a proposer may ask again a member that is being rebuilt.
+// notReadyRetry is after which time a proposer may retry at a member that is being rebuilt.
 const notReadyRetry = 200 * time.Millisecond
 
-// ErrNotReady is the refusal of a member that may not vote.
+// ErrNotReady is the refusal of a member that may not vote. Proposers get it with rpcerror.NotExecuted.
 var ErrNotReady = errors.New("member is not ready: it has lost its disk and is being rebuilt")
 
-// AcceptorConfig names what an acceptor works with.
+// AcceptorConfig is what an Acceptor needs.
 type AcceptorConfig struct {
 	Name  string                 // of the register
 	Store storage.Store          // holds the table TablePrefix + Name
--- a/internal/controlplane/register/founding.go
+++ b/internal/controlplane/register/founding.go
@@ -14,8 +14,8 @@
 // foundingName is the register of the first view.
 const foundingName = "replicaset/founding"
 
-// Founding settles the first view of the replicas in a write-once register on the founders, so that two of them cannot
-// settle different ones. It implements replicaset.Founding.
+// Founding commits the first view of the replicas in a write-once register on the founders, so that two of them cannot commit
+// different ones. It implements replicaset.Founding.
 type Founding struct {
 	self     string
 	caller   transport.Caller
@@ -23,7 +23,7 @@
 	founders func() []string
 }
 
-// FoundingConfig names what a Founding works with.
+// FoundingConfig is what a Founding needs.
 type FoundingConfig struct {
 	Self     string // this process's internal address
 	Store    storage.Store
@@ -47,7 +47,8 @@
 // Serve registers the internal calls.
 func (f *Founding) Serve(mux *transport.Mux) { f.acceptor.Serve(mux) }
 
-// Commit proposes the first view and returns the one that was settled, by this or an earlier proposal.
+// Commit proposes the first view and returns the one that was committed, by this or an earlier proposal. Errors of a quorum
+// round carry an rpcerror.Error.
 func (f *Founding) Commit(ctx context.Context, view replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(view)
 	if err != nil {
--- a/internal/controlplane/register/merge.go
+++ b/internal/controlplane/register/merge.go
@@ -7,9 +7,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// Merge makes the tables of all registers for a member that lost its disk, from those of a majority of the others: the
-// highest promise, and what was accepted under the highest proposal number. Parts of values are gathered from all of them; the next
-// vote removes those that do not belong to it. The tables' names begin with TablePrefix.
+// Merge makes the tables of all registers for a member that lost its disk, from those of a majority of the others: of each
+// register the highest promise, and the state that was accepted under the highest proposal number. Chunks of large values are
+// taken from all replicas; the next vote removes those that do not belong to it. The tables' names begin with TablePrefix. The
+// error is about a table that cannot be decoded.
 func Merge(replicas []storage.Tables) (storage.Tables, error) {
 	highest := make(map[string]*acceptorState)
 	merged := make(storage.Tables)
@@ -32,6 +33,7 @@
 	return merged, nil
 }
 
+// mergeChunks adds a table of chunks to the one of that name.
 func mergeChunks(merged storage.Tables, name string, table map[string][]byte) {
 	if merged[name] == nil {
 		merged[name] = make(map[string][]byte)
@@ -39,14 +41,15 @@
 	maps.Copy(merged[name], table)
 }
 
-// raise takes over what is higher in another replica, together with its encoding.
-func (r *acceptorState) raise(other acceptorState, encoded, merged map[string][]byte) {
-	if r.promised.Less(other.promised) {
-		r.promised = other.promised
+// raise takes the higher promise and the higher accepted state of two replicas. Their encodings go to merged as they are, so
+// that fields of a newer build are kept.
+func (s *acceptorState) raise(other acceptorState, encoded, merged map[string][]byte) {
+	if s.promised.Less(other.promised) {
+		s.promised = other.promised
 		merged[promisedKey] = encoded[promisedKey]
 	}
-	if r.accepted.ProposalNumber.Less(other.accepted.ProposalNumber) {
-		r.accepted = other.accepted
+	if s.accepted.ProposalNumber.Less(other.accepted.ProposalNumber) {
+		s.accepted = other.accepted
 		merged[acceptedKey] = encoded[acceptedKey]
 	}
 }
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -14,26 +14,27 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Pauses between attempts; each is drawn between half of the bound and the bound, which doubles.
+// Bounds of the backoff between attempts; each is drawn between half of the bound and the bound, which doubles.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// Config names what a register works with.
+// Config is what a Register needs.
 type Config struct {
 	Name        string                 // the same at all members
 	Self        string                 // this process's internal address
 	Acceptor    *Acceptor              // this member's own, which is called directly; nil where there is none
 	View        func() replicaset.View // the current view
-	OnNewerView func(replicaset.View)  // told of a newer view that a member works with; may be nil
+	OnNewerView func(replicaset.View)  // called with a newer view that a member works with; may be nil
 	Caller      transport.Caller
-	// RandomBelow returns a random duration below a bound; nil draws from the process's source. A simulation gives its own, so that
-	// its seed replays it.
+	// RandomBelow returns a random duration below a bound; nil draws from the process's source. A simulation gives its own, so
+	// that its seed replays it.
 	RandomBelow func(bound time.Duration) time.Duration
 }
 
-// Register is a proposer: it reads and changes the register's value. Its changes follow each other.
+// Register is a proposer: it reads and changes the register's value. Its methods may be called from any goroutine; its changes
+// are made one after the other, so that they do not compete.
 type Register struct {
 	config   Config
 	changing chan struct{} // holds a token while nobody changes the register here
@@ -41,7 +42,7 @@
 	mutex   sync.Mutex        // guards what follows
 	counter uint64            // highest that was seen or used in a proposal number
 	cached  cachedState       // newest that was read or accepted
-	partial *chunks.Assembler // of a state that has not arrived whole
+	partial *chunks.Assembler // of a value that is not complete yet
 
 	// Rules of the protocol; tests replace them to show that each is needed.
 	roundLimit       time.Duration
--- a/internal/controlplane/register/round.go
+++ b/internal/controlplane/register/round.go
@@ -7,15 +7,16 @@
 )
 
 // RoundLimit bounds every quorum round in the system: an answer counts only if it arrived within this time of the round's
-// start, by the proposer's steady clock. A member that lost its disk waits longer than that after its start before it
-// asks the others for what they hold; so no round that counted its former answers is then still open.
+// start, by the proposer's monotonic clock. A member that lost its disk waits longer than that after its start before it
+// requests copies from the others; so no round that counted its former answers is then still open.
 const RoundLimit = 1500 * time.Millisecond
 
 // sender sends the round's request to one member.
 type sender func(ctx context.Context, member string) (reply, error)
 
-// run sends a request to all members at once and returns at the first majority, or once there can be none. Requests that
-// are then still open go on until the limit, so that a slow member is not left behind.
+// run sends a request to all members at once and returns at the first majority, or once there can be none. Requests that are
+// then in flight go on until the limit, so that a slow member does not fall behind. The error is a *viewError, errConflict or
+// ErrNoQuorum.
 func (r *round) run(ctx context.Context, send sender) error {
 	start := time.Now()
 	limit := time.NewTimer(r.limit)
--- a/internal/controlplane/register/state.go
+++ b/internal/controlplane/register/state.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// historyLength is how many changes back a state names the proposals that made it.
+// historyLength is how many changes back a state names the proposals that made it. A proposer whose change is older cannot
+// tell any more whether it took effect (errUnknownOutcome).
 const historyLength = 16
 
-// state is what a register holds: a value, and by which proposals it came about. The history lets a proposer whose accept
+// state is what a register has: a value, and the proposals by which it came about. The history lets a proposer whose accept
 // round had no clear outcome find out whether its change is part of the current value.
 type state struct {
 	Value    []byte           `msgpack:"v"`
@@ -24,7 +25,7 @@
 }
 
 // contains tells whether the proposal is among those that made the state, and whether its history reaches back to the
-// proposal's place in the sequence; without that the answer is unknown.
+// proposal's position in the sequence; without that the answer is unknown.
 func (s state) contains(proposal ProposalNumber, sequence uint64) (contained, cached bool) {
 	if slices.Contains(s.History, proposal) {
 		return true, true
--- a/internal/controlplane/register/succession.go
+++ b/internal/controlplane/register/succession.go
@@ -19,19 +19,19 @@
 	successionTable = TablePrefix + "replicaset/"
 )
 
-// errExcludesSelf is the refusal of a view in which the member that is asked has no place.
+// errExcludesSelf is the refusal of a view without the member that is asked to accept it.
 var errExcludesSelf = errors.New("a member that is not about to stop accepts no view without itself")
 
-// Succession settles which view follows the current one, in a write-once register for each version. Its acceptors are
-// the members of the current view, so that two of them cannot settle different ones. None of them accepts a view without
-// itself, unless it is about to stop and stays to give the joining member its copy. So a quorum of members that may vote gives
-// copies in the next view, and joining members can be rebuilt from it. It implements replicaset.Succession.
+// Succession commits which view follows the current one, in a write-once register for each version. Its acceptors are the
+// members of the current view, so that two of them cannot commit different ones. None of them accepts a view without itself,
+// unless it is about to stop and stays to give the joining member its copy. So a quorum of members that may vote is there to
+// give copies in the next view, and joining members can be rebuilt from it. It implements replicaset.Succession.
 type Succession struct {
 	config   SuccessionConfig
 	acceptor *Acceptor
 }
 
-// SuccessionConfig names what a Succession works with.
+// SuccessionConfig is what a Succession needs.
 type SuccessionConfig struct {
 	Self   string // this process's internal address
 	Store  storage.Store
@@ -54,6 +54,7 @@
 	return s
 }
 
+// validateNextView refuses a view without this member, unless it is departing.
 func (s *Succession) validateNextView(value []byte) error {
 	if value == nil {
 		return nil
@@ -70,8 +71,8 @@
 
 func (s *Succession) departing() bool { return s.config.Departing != nil && s.config.Departing() }
 
-// Pending returns the view after current that this member has accepted, as far as there is one; whether it is settled is
-// not known.
+// Pending returns the view after current that this member has accepted, if there is one; whether it is committed is not
+// known.
 func (s *Succession) Pending(current replicaset.View) (next replicaset.View, found bool, err error) {
 	stored, err := decodeAcceptorState(s.config.Store.Table(s.acceptor.table(current.Version)))
 	if err != nil || stored.accepted.State.Value == nil {
@@ -86,7 +87,7 @@
 // Serve registers the internal calls.
 func (s *Succession) Serve(mux *transport.Mux) { s.acceptor.Serve(mux) }
 
-// Commit proposes the view that follows current and returns the one that was settled, by this or an earlier proposal. It
+// Commit proposes the view that follows current and returns the one that was committed, by this or an earlier proposal. It
 // fails with ErrNoView once this process knows a newer view than current.
 func (s *Succession) Commit(ctx context.Context, current, next replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(next)
@@ -118,7 +119,7 @@
 	return committed, nil
 }
 
-// writeOnce leaves a value that is there.
+// writeOnce is the change of a write-once register: it proposes a value where there is none, and leaves one that is there.
 func writeOnce(proposed []byte) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		if current != nil {
--- a/internal/controlplane/register/valuefetch.go
+++ b/internal/controlplane/register/valuefetch.go
@@ -68,7 +68,9 @@
 }
 
 // assemble gets a value from chunks that are at hand and fetches the others from the members that have it.
-func (r *Register) assemble(ctx context.Context, answered *round, proposalNumber ProposalNumber, manifest chunks.Manifest, cached cachedState) ([]byte, error) {
+func (r *Register) assemble(
+	ctx context.Context, answered *round, proposalNumber ProposalNumber, manifest chunks.Manifest, cached cachedState,
+) ([]byte, error) {
 	assembler, err := chunks.NewAssembler(manifest, r.chunkSources(cached)...)
 	if err != nil {
 		return nil, err
@@ -116,7 +118,8 @@
 func (r *Register) fetch(ctx context.Context, member string, assembler *chunks.Assembler) error {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	request := fetchRequest{Sums: chunks.JoinSums(assembler.Missing(maxChunkBatchBytes / typicalChunkBytes)), MaxBytes: maxChunkBatchBytes}
+	missing := assembler.Missing(maxChunkBatchBytes / typicalChunkBytes)
+	request := fetchRequest{Sums: chunks.JoinSums(missing), MaxBytes: maxChunkBatchBytes}
 	answer, err := fetchCall(r.config.Name).Call(bounded, r.config.Caller, member, request)
 	if err != nil {
 		return err
