--- a/internal/dataplane/node/crossings_test.go
+++ b/internal/dataplane/node/crossings_test.go
@@ -140,7 +140,7 @@
 	}
 	at := listen.Addr().String()
 	listen.Close()
-	n, err := StartText([]byte(strings.Replace(text, "127.0.0.1:0", at, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
+	n, err := StartText(t.Context(), []byte(strings.Replace(text, "127.0.0.1:0", at, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// StartText starts a mixer from the text of a config, as it would be started from its file.
-func StartText(text []byte, file operatorfile.File, log *zap.Logger, count *counters.Set) (*Node, error) {
+// StartText starts a mixer from the text of a config, as it would be started from its file. The context is Start's.
+func StartText(ctx context.Context, text []byte, file operatorfile.File, log *zap.Logger, count *counters.Set) (*Node, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return Start(context.Background(), c, set, file, log, count)
+	return Start(ctx, c, set, file, log, count)
 }
 
 // Node is a mixer that runs.
@@ -221,7 +221,7 @@
 	if n.controller != nil {
 		go n.controller.Run()
 	}
-	go n.discovery.Run()
+	go n.discovery.Run() //nolint:contextcheck // the context bounds the start, and the watches last until Stop
 	n.server.Serve(listener)
 	if n.operators != nil {
 		go n.operators.Serve(forOperators)
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -79,14 +79,14 @@
 	w.load = &fakes.Load{Mixers: []string{w.listen}, Site: w.site, PerS: perS, Mixes: []fakes.Mix{
 		{Index: "reads", Share: 0.9, Parts: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Parts: 2, Deadline: 8 * time.Second}}}
 	if perS > 0 {
-		w.load.Run()
+		w.load.Run(w.Context())
 	}
 	return w
 }
 
 func (w *world) start() {
 	w.Helper()
-	n, err := StartText(w.site.Config("n1", w.listen, w.register, 0), w.file, zap.NewNop(), counters.New())
+	n, err := StartText(w.Context(), w.site.Config("n1", w.listen, w.register, 0), w.file, zap.NewNop(), counters.New())
 	if err != nil {
 		w.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 	w.take()
 	w.node.Stop()
 	w.start()
-	w.load.Run()
+	w.load.Run(w.Context())
 }
 
 // Out gives a searcher no part call, whatever becomes of the list, the register, the searcher and the mixer.
@@ -456,7 +456,7 @@
 		t.Fatalf("got %v, %+v", err, v)
 	}
 	w.load.Mixers, w.load.PerS = []string{w.listen}, 100
-	w.load.Run()
+	w.load.Run(t.Context())
 	w.goesOn(50)
 	w.ends()
 }
--- a/internal/dataplane/node/shapes_test.go
+++ b/internal/dataplane/node/shapes_test.go
@@ -65,7 +65,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			n, err := StartText(sh.site.Config(fmt.Sprintf("%s-%d", name, i), listen, register, i), operatorfile.Defaults(), zap.NewNop(), counters.New())
+			n, err := StartText(t.Context(), sh.site.Config(fmt.Sprintf("%s-%d", name, i), listen, register, i), operatorfile.Defaults(), zap.NewNop(), counters.New())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -90,7 +90,7 @@
 		t.Logf("%s: %+v", name, sh.asked)
 	}
 	for name, sh := range shapes {
-		sh.load.Run()
+		sh.load.Run(t.Context())
 		for late := time.Now().Add(patience); sh.load.Answered() < 150; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(late) {
 				t.Fatalf("%s: %d of 150 lookups answered while it is alone", name, sh.load.Answered())
@@ -100,7 +100,7 @@
 		sh.alone, sh.asked = sh.satisfied(), fakes.Tally{}
 	}
 	for _, sh := range shapes {
-		sh.load.Run()
+		sh.load.Run(t.Context())
 	}
 	answered := func(each int64) {
 		t.Helper()
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -204,7 +204,10 @@
 		calls := newClient(t)
 		given, received := make(chan error), clock.TimerAdded()
 		go func() {
-			_, err := calls.http.Do(request)
+			answer, err := calls.http.Do(request)
+			if err == nil {
+				answer.Body.Close()
+			}
 			given <- err
 		}()
 		<-received
@@ -294,7 +297,7 @@
 			got = string(body) + r.Header.Get("If-Match")
 		}))
 		redirecting := httptest.NewServer(http.RedirectHandler(taking.URL+configurationPath, http.StatusTemporaryRedirect))
-		failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
+		failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 		calls := newClient(t)
 		convey.Reset(func() {
 			calls.http.CloseIdleConnections()
--- a/internal/fakes/cluster/memory.go
+++ b/internal/fakes/cluster/memory.go
@@ -65,7 +65,11 @@
 
 // recoverAbort lets a handler give its connection up, as a server does.
 func recoverAbort() {
-	if failure := recover(); failure != nil && failure != http.ErrAbortHandler {
+	failure := recover()
+	if err, isError := failure.(error); isError && errors.Is(err, http.ErrAbortHandler) {
+		return
+	}
+	if failure != nil {
 		panic(failure)
 	}
 }
--- a/internal/fakes/cluster/memory_test.go
+++ b/internal/fakes/cluster/memory_test.go
@@ -17,16 +17,20 @@
 		defer c.Close()
 		s := c.AddSearcher(SearcherConfig{ID: "i-1"})
 		client := c.MemoryClient(3 * time.Millisecond)
-		look := func() (*http.Response, error) {
+		look := func() (status int, err error) {
 			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(HoldCall), strings.NewReader(`{}`))
 			request.Header.Set("Expect-Instance", "i-1")
-			return client.Do(request)
+			answer, err := client.Do(request)
+			if err != nil {
+				return 0, err
+			}
+			return answer.StatusCode, answer.Body.Close()
 		}
 		convey.Convey("Calls reach a searcher without sockets", t, func() {
 			began := time.Now()
-			answer, err := look()
+			status, err := look()
 			convey.So(err, convey.ShouldBeNil)
-			convey.So(answer.StatusCode, convey.ShouldEqual, http.StatusOK)
+			convey.So(status, convey.ShouldEqual, http.StatusOK)
 			convey.So(time.Since(began), convey.ShouldEqual, 3*time.Millisecond)
 
 			s.SetFaults(Always(Fault{Kind: Slow, Delay: time.Second}))
--- a/internal/fakes/cluster/operator.go
+++ b/internal/fakes/cluster/operator.go
@@ -26,6 +26,13 @@
 // ErrNoClearAnswer means that a configuration may or may not have been taken.
 var ErrNoClearAnswer = errors.New("no clear answer")
 
+var errTooManyRedirects = errors.New("too many redirects")
+
+// StatusError is the status of an answer that holds no configuration.
+type StatusError int
+
+func (e StatusError) Error() string { return fmt.Sprintf("configuration: status %d", int(e)) }
+
 // Put sends a configuration once to every address in turn until one gives a clear answer, whose status is returned.
 func (o *Operator) Put(ctx context.Context, builtOn int64, configuration []byte) (status int, err error) {
 	status, _, err = o.call(ctx, http.MethodPut, strconv.FormatInt(builtOn, 10), configuration)
@@ -36,7 +43,7 @@
 func (o *Operator) Get(ctx context.Context) ([]byte, error) {
 	status, body, err := o.call(ctx, http.MethodGet, "", nil)
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("configuration: status %d", status)
+		err = StatusError(status)
 	}
 	return body, err
 }
@@ -68,7 +75,7 @@
 		}
 		url = location
 	}
-	return 0, nil, errors.New("too many redirects")
+	return 0, nil, errTooManyRedirects
 }
 
 func (o *Operator) send(ctx context.Context, method, url, ifMatch string, body []byte) (int, []byte, string, error) {
--- a/internal/fakes/cluster/searcher.go
+++ b/internal/fakes/cluster/searcher.go
@@ -100,6 +100,16 @@
 	return s.cluster.clock.Now().Add(s.delayUntil(s.life.heldUntil))
 }
 
+// NotRunningError says that a searcher does not run a task.
+type NotRunningError struct {
+	Searcher string
+	Task     job.TaskID
+}
+
+func (e NotRunningError) Error() string {
+	return fmt.Sprintf("searcher %s runs no task %v", e.Searcher, e.Task)
+}
+
 // Finish ends the run of a task that is at work, as if by itself.
 func (s *Searcher) Finish(task job.TaskID, how job.How) error {
 	s.cluster.mu.Lock()
@@ -110,7 +120,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("searcher %s runs no task %v", s.life.id, task)
+	return NotRunningError{s.life.id, task}
 }
 
 // Crash kills all that runs, cuts the connections and begins a new life.
--- a/internal/fakes/cluster/server.go
+++ b/internal/fakes/cluster/server.go
@@ -24,7 +24,7 @@
 	}
 	s := &server{address: listener.Addr().String(), connections: make(map[net.Conn]bool)}
 	s.http = &http.Server{Handler: handler, ConnState: s.track}
-	go s.http.Serve(listener)
+	go func() { _ = s.http.Serve(listener) }() // until close
 	return s
 }
 
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -50,9 +50,10 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Run starts asking, until Stop.
-func (l *Load) Run() {
-	ctx, stop := context.WithCancel(context.Background())
+// Run starts asking, until Stop. The context only carries values: what was asked is answered after its end too.
+func (l *Load) Run(ctx context.Context) {
+	asking := context.WithoutCancel(ctx)
+	ctx, stop := context.WithCancel(asking)
 	l.stop, l.ends, l.latency = stop, map[string]int64{}, newHistogram()
 	l.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	l.wg.Go(func() {
@@ -73,7 +74,7 @@
 				}
 			}
 			shards := l.shards(rng, min(mix.Parts, l.Site.Shards))
-			l.wg.Go(func() { l.ask(mixer, mix, shards) })
+			l.wg.Go(func() { l.ask(asking, mixer, mix, shards) })
 		}
 	})
 }
@@ -112,7 +113,7 @@
 
 // ask sends one lookup, and sends it again where it is nacked and the clients do that. The query names it, so that a part
 // that runs twice is seen.
-func (l *Load) ask(mixer string, mix Mix, shards []int) {
+func (l *Load) ask(ctx context.Context, mixer string, mix Mix, shards []int) {
 	l.asked.Add(1)
 	query := fmt.Sprintf("%s-%016x", mix.Index, l.nextID.Add(1))
 	body := []byte(`{"targets":[`)
@@ -126,7 +127,7 @@
 	began := time.Now()
 	end, why, wait := "", "", time.Duration(0)
 	for tries := 0; ; tries++ {
-		end, why, wait = l.try(mixer, mix, body, mix.Deadline-time.Since(began))
+		end, why, wait = l.try(ctx, mixer, mix, body, mix.Deadline-time.Since(began))
 		wait = max(wait, time.Duration(float64(l.Backoff)*(0.5+rand.Float64())))
 		if end != "nacked" || tries >= l.Retries || time.Since(began)+wait >= mix.Deadline {
 			break
@@ -141,7 +142,8 @@
 	l.why = cmp.Or(why, l.why)
 	l.gain[0] += mix.Gain
 	if end == "satisfied" {
-		l.latency.RecordValue(max(1, took.Microseconds()))
+		// One beyond the histogram's minute is left out of it, and counted among the ends all the same.
+		_ = l.latency.RecordValue(max(1, took.Microseconds()))
 		if took <= mix.Soft {
 			l.gain[1] += mix.Gain
 		}
@@ -149,8 +151,8 @@
 }
 
 // try sends a lookup once.
-func (l *Load) try(mixer string, mix Mix, body []byte, left time.Duration) (end, why string, wait time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), left+2*time.Second)
+func (l *Load) try(ctx context.Context, mixer string, mix Mix, body []byte, left time.Duration) (end, why string, wait time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, left+2*time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+mixer+"/"+mix.Index, bytes.NewReader(body))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", l.nextID.Add(1))}, "Req-Kind": {mix.Index},
--- a/internal/fakes/register.go
+++ b/internal/fakes/register.go
@@ -70,7 +70,7 @@
 	}
 	r := &Register{listener: l, version: 1, watches: map[*watch]bool{}}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
-	go r.server.Serve(l)
+	go func() { _ = r.server.Serve(l) }() // until Close
 	return r, nil
 }
 
@@ -180,8 +180,10 @@
 		delete(r.watches, w)
 		r.mu.Unlock()
 	}()
-	flush := out.(http.Flusher)
-	flush.Flush()
+	flush := http.NewResponseController(out)
+	if flush.Flush() != nil {
+		return
+	}
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
@@ -195,7 +197,9 @@
 		case <-q.Context().Done():
 			return
 		}
-		flush.Flush()
+		if flush.Flush() != nil { // the mixer has left
+			return
+		}
 	}
 }
 
--- a/internal/fakes/searcher.go
+++ b/internal/fakes/searcher.go
@@ -6,6 +6,7 @@
 	"encoding/binary"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net"
 	"strconv"
@@ -37,13 +38,17 @@
 	out      atomic.Int64
 	mostOut  atomic.Int64
 	byShard  [1024]atomic.Int64
-	executed sync.Map // part id -> *atomic.Int64
-	arrived  sync.Map // part id -> *[2]time.Time, its first and last arrival
+	executed map[string]int64    // by part id; mu guards it
+	arrived  map[string]arrivals // by part id; mu guards it
 }
 
+// arrivals are when a part arrived for the first and the last time.
+type arrivals struct{ first, last time.Time }
+
 // NewSearcher listens on loopback, with so many slots.
 func NewSearcher(name, zone string, cell, slots int, service time.Duration) (*Searcher, error) {
-	s := &Searcher{Name: name, Cell: cell, Zone: zone, slots: make(chan struct{}, slots), connections: map[net.Conn]bool{}}
+	s := &Searcher{Name: name, Cell: cell, Zone: zone, slots: make(chan struct{}, slots), connections: map[net.Conn]bool{},
+		executed: map[string]int64{}, arrived: map[string]arrivals{}}
 	s.service.Store(int64(service))
 	return s, s.Start()
 }
@@ -84,26 +89,44 @@
 	clear(s.connections)
 }
 
-// SetService changes the mean service time, SetFailing lets it fail each call, SetSilent lets it answer nothing.
+// SetService changes the mean service time.
 func (s *Searcher) SetService(d time.Duration) { s.service.Store(int64(d)) }
-func (s *Searcher) SetFailing(on bool)         { s.failing.Store(on) }
-func (s *Searcher) SetSilent(on bool)          { s.silent.Store(on) }
 
-// Calls is how many part calls it has taken, of one shard CallsOf; Out how many are in it, and MostOut their peak since
-// the last time that it was asked.
-func (s *Searcher) Calls() int64            { return s.calls.Load() }
+// SetFailing lets it fail each call.
+func (s *Searcher) SetFailing(on bool) { s.failing.Store(on) }
+
+// SetSilent lets it answer nothing.
+func (s *Searcher) SetSilent(on bool) { s.silent.Store(on) }
+
+// Calls is how many part calls it has taken.
+func (s *Searcher) Calls() int64 { return s.calls.Load() }
+
+// CallsOf is how many part calls of one shard it has taken.
 func (s *Searcher) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
-func (s *Searcher) Out() int64              { return s.out.Load() }
-func (s *Searcher) MostOut() int64          { return s.mostOut.Swap(s.out.Load()) }
+
+// Out is how many part calls are in it.
+func (s *Searcher) Out() int64 { return s.out.Load() }
+
+// MostOut is the peak of Out since the last call of MostOut.
+func (s *Searcher) MostOut() int64 { return s.mostOut.Swap(s.out.Load()) }
+
+// Executed tells how often each part was executed here.
 func (s *Searcher) Executed(f func(id string, times int64)) {
-	s.executed.Range(func(id, n any) bool { f(id.(string), n.(*atomic.Int64).Load()); return true })
+	s.mu.Lock()
+	executed := maps.Clone(s.executed)
+	s.mu.Unlock()
+	for id, times := range executed {
+		f(id, times)
+	}
 }
 
 // Arrivals tells when each part came here first and last.
 func (s *Searcher) Arrivals(f func(id string, first, last time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrived.Range(func(id, at any) bool { f(id.(string), at.(*[2]time.Time)[0], at.(*[2]time.Time)[1]); return true })
+	for id, at := range s.arrived {
+		f(id, at.first, at.last)
+	}
 }
 
 // arrives notes a part's arrival.
@@ -111,8 +134,12 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, _ := s.arrived.LoadOrStore(id, &[2]time.Time{now, now})
-	at.(*[2]time.Time)[1] = now
+	at, known := s.arrived[id]
+	if !known {
+		at.first = now
+	}
+	at.last = now
+	s.arrived[id] = at
 }
 
 // named is a part's name among all lookups: its query's text and its shard.
@@ -147,7 +174,7 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
-	conn.Write(frame)
+	_, _ = conn.Write(frame) // a mixer that has left is found by the read
 }
 
 func (s *Searcher) serve(c net.Conn) {
@@ -228,8 +255,9 @@
 	if _, gone := given.Load(id); gone {
 		return
 	}
-	times, _ := s.executed.LoadOrStore(named(id, query), new(atomic.Int64))
-	times.(*atomic.Int64).Add(1)
+	s.mu.Lock()
+	s.executed[named(id, query)]++
+	s.mu.Unlock()
 	mean := float64(s.service.Load())
 	time.Sleep(time.Duration(mean * (0.5 + rand.Float64())))
 	end := "done"
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -51,13 +51,13 @@
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), hosts: map[int64]*host{}}
 	for {
-		err := s.batch()
-		if err == io.EOF {
-			return nil
-		}
+		more, err := s.batch()
 		if err != nil {
 			return fmt.Errorf("line %d: %w", s.lineNo, err)
 		}
+		if !more {
+			return nil
+		}
 	}
 }
 
@@ -67,12 +67,12 @@
 	for {
 		chunk, err := s.in.ReadSlice('\n')
 		s.line = append(s.line, chunk...)
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if err == io.EOF && len(s.line) > 0 {
+		if errors.Is(err, io.EOF) && len(s.line) > 0 {
 			s.lineNo++
-			return fmt.Errorf("expected a line end, found the end of input in %q", s.line)
+			return malformed("expected a line end, found the end of input in %q", s.line)
 		}
 		if err != nil {
 			return err
@@ -83,10 +83,13 @@
 	}
 }
 
-func (s *server) batch() error {
+// batch answers one batch; more is false where the input has ended before it.
+func (s *server) batch() (more bool, err error) {
 	for {
-		if err := s.next(); err != nil {
-			return err
+		if err := s.next(); errors.Is(err, io.EOF) {
+			return false, nil
+		} else if err != nil {
+			return true, err
 		}
 		if len(s.line) > 0 {
 			break
@@ -94,25 +97,25 @@
 	}
 	f := fields{rest: s.line}
 	if name := f.word("TICK"); string(name) != "TICK" {
-		return fmt.Errorf("expected TICK, found %q", name)
+		return true, malformed("expected TICK, found %q", name)
 	}
 	now, seq := f.number("clock"), f.integer("batch number")
 	if err := f.done(); err != nil {
-		return err
+		return true, err
 	}
 	s.current, s.turn = nil, s.turn[:0]
 	for {
 		if err := s.next(); err != nil {
-			if err == io.EOF {
-				return errors.New("expected END, found the end of input")
+			if errors.Is(err, io.EOF) {
+				return true, malformed("expected END, found the end of input")
 			}
-			return err
+			return true, err
 		}
 		if string(s.line) == "END" {
 			break
 		}
 		if err := s.event(now); err != nil {
-			return err
+			return true, err
 		}
 	}
 	for _, h := range s.turn {
@@ -121,9 +124,9 @@
 	s.buf = append(append(s.buf[:0], "ACK "...), strconv.FormatInt(seq, 10)...)
 	s.buf = append(s.buf, '\n')
 	if _, err := s.out.Write(s.buf); err != nil {
-		return err
+		return true, err
 	}
-	return s.out.Flush()
+	return true, s.out.Flush()
 }
 
 // run hands an instance its events and writes its actions. A panic is the module's own; the wire has a word for it.
@@ -169,10 +172,10 @@
 	}
 	h := s.current
 	if h == nil {
-		return fmt.Errorf("expected ON before %s", name)
+		return malformed("expected ON before %s", name)
 	}
 	if h.mixer == nil && name != "SPAWN" {
-		return fmt.Errorf("expected SPAWN for instance %d before %s", h.no, name)
+		return malformed("expected SPAWN for instance %d before %s", h.no, name)
 	}
 	if !h.acted {
 		h.acted = true
@@ -241,7 +244,7 @@
 		e.Kind, e.Peer = policy.MessageArrived, policy.MixerNo(f.integer("originPeer"))
 		e.Message = f.bytes("blob")
 	default:
-		return fmt.Errorf("unknown message %q", name)
+		return malformed("unknown message %q", name)
 	}
 	if err := f.done(); err != nil {
 		return err
@@ -256,7 +259,7 @@
 		return err
 	}
 	if no < 0 || no >= int64(len(s.pages)) || n < 0 {
-		return fmt.Errorf("expected a list number from 0 to 15 and a count, found %d and %d", no, n)
+		return malformed("expected a list number from 0 to 15 and a count, found %d and %d", no, n)
 	}
 	// A list may be superseded within one batch while events still hold the older one: never write over it.
 	entries := make([]policy.Entry, 0, min(n, 1<<16))
@@ -266,7 +269,7 @@
 		}
 		f := fields{rest: s.line}
 		if name := f.word("ROW"); string(name) != "ROW" {
-			return fmt.Errorf("expected ROW, found %q", name)
+			return malformed("expected ROW, found %q", name)
 		}
 		e := policy.Entry{Searcher: f.searcher(), Location: policy.LocationID(f.integer("site")),
 			Kind: int(f.integer("type")), Cell: policy.CellID(f.integer("cell"))}
--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/base64"
-	"fmt"
 	"strconv"
 	"unsafe"
 
@@ -18,7 +17,7 @@
 
 func (f *fields) fail(name, expected string, found []byte) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: expected %s, found %q", name, expected, found)
+		f.err = malformed("%s: expected %s, found %q", name, expected, found)
 	}
 }
 
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -55,11 +54,11 @@
 func (o *Options) Validate() error {
 	switch {
 	case o.For <= 0 || o.Every <= 0:
-		return errors.New("times must be above 0; give --for and --every as in 20s")
+		return invalid("times must be above 0; give --for and --every as in 20s")
 	case o.Searchers < 2 || o.Searchers > 64:
-		return fmt.Errorf("%d searchers: give 2 to 64, as one is killed on the way", o.Searchers)
+		return invalid("%d searchers: give 2 to 64, as one is killed on the way", o.Searchers)
 	case o.PerS <= 0 || o.PerS > 200:
-		return fmt.Errorf("%g jobs a second: give more than 0 and at most 200", o.PerS)
+		return invalid("%g jobs a second: give more than 0 and at most 200", o.PerS)
 	}
 	return nil
 }
@@ -111,7 +110,7 @@
 	stop()
 	watching.Wait()
 	if ctx.Err() != nil {
-		return Summary{}, errors.New("interrupted")
+		return Summary{}, errInterrupted
 	}
 	summary := d.summarize(settled)
 	return summary, nil
--- a/internal/tools/demo/cluster/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -162,7 +162,7 @@
 			}
 		}
 	}
-	return 0, fmt.Errorf("service %s has no leader", services[0])
+	return 0, noLeaderError(services[0])
 }
 
 func (d *demo) killCoordinator(number int) {
--- a/internal/tools/demo/cluster/site.go
+++ b/internal/tools/demo/cluster/site.go
@@ -1,7 +1,6 @@
 package cluster
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -52,7 +51,7 @@
 			return s, nil
 		}
 	}
-	return nil, errors.New("no free range of ports on the loopback addresses")
+	return nil, errNoPorts
 }
 
 func coreHost(number int) string  { return fmt.Sprintf("127.0.0.%d", firstCoreHost+number) }
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -73,12 +73,12 @@
 // Run runs a demo until its time is over or ctx ends. Its error says what could not be started, or that a lookup was lost.
 func Run(ctx context.Context, o Options) (sum Summary, err error) {
 	if o.Mixers < 1 || o.Searchers < 2 || o.Searchers > 512 || !(o.PerS > 0) || o.Service <= 0 {
-		return sum, fmt.Errorf("got %d mixers, %d searchers, %g lookups a second and a service time of %s; expected at least 1, 2 to 512, and more than none",
+		return sum, invalid("got %d mixers, %d searchers, %g lookups a second and a service time of %s; expected at least 1, 2 to 512, and more than none",
 			o.Mixers, o.Searchers, o.PerS, o.Service)
 	}
 	d := &demo{Options: o, site: site(o), last: map[string]int64{}}
 	defer d.close()
-	if err := d.start(); err != nil {
+	if err := d.start(ctx); err != nil {
 		return sum, err
 	}
 	d.hello()
@@ -88,7 +88,7 @@
 		defer cancel()
 	}
 	began := time.Now()
-	d.load.Run()
+	d.load.Run(ctx)
 	for tick := time.NewTicker(o.Every); ctx.Err() == nil; {
 		select {
 		case <-tick.C:
@@ -105,12 +105,12 @@
 		sum.PartCalls[s.Name] = s.Calls()
 	}
 	if sum.Lost > 0 {
-		err = fmt.Errorf("%d lookups had no final answer", sum.Lost)
+		err = LostError(sum.Lost)
 	}
 	return sum, err
 }
 
-func (d *demo) start() (err error) {
+func (d *demo) start(ctx context.Context) (err error) {
 	if d.dir, err = os.MkdirTemp("", "puffinlink-demo-"); err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 	d.load = &fakes.Load{Site: d.site, PerS: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Parts: 4, Deadline: 2 * time.Second},
 		{Index: "orders", Share: 0.1, Parts: 2, Deadline: 2 * time.Second}}}
 	for i := range d.Mixers {
-		n, address, err := d.mixer(i, log)
+		n, address, err := d.mixer(ctx, i, log)
 		if err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 }
 
 // mixer starts one as it would be started alone, on a port that was free a moment ago.
-func (d *demo) mixer(i int, log *zap.Logger) (*node.Node, string, error) {
+func (d *demo) mixer(ctx context.Context, i int, log *zap.Logger) (*node.Node, string, error) {
 	address, err := fakes.FreeAddress()
 	if err != nil {
 		return nil, "", err
@@ -156,7 +156,7 @@
 	}
 	file.Operators.Listen = "unix:" + filepath.Join(d.dir, name+".sock")
 	d.sockets = append(d.sockets, file.Operators.Listen)
-	n, err := node.StartText(d.site.Config(name, address, d.register, i), file, log.With(zap.String("mixer", name)), counters.New())
+	n, err := node.StartText(ctx, d.site.Config(name, address, d.register, i), file, log.With(zap.String("mixer", name)), counters.New())
 	return n, address, err
 }
 
@@ -212,7 +212,7 @@
 	if d.register != nil {
 		d.register.Close()
 	}
-	os.RemoveAll(d.dir)
+	_ = os.RemoveAll(d.dir) // sockets in the system's directory for what is passing: nothing depends on it
 }
 
 // Print shows a summary to people.
--- /dev/null
+++ b/internal/tools/demo/errors.go
@@ -0,0 +1,17 @@
+package demo
+
+import "fmt"
+
+// LostError is how many lookups had no final answer.
+type LostError int64
+
+func (e LostError) Error() string { return fmt.Sprintf("%d lookups had no final answer", int64(e)) }
+
+// OptionsError says that options do not fit, and what was expected.
+type OptionsError string
+
+func (e OptionsError) Error() string { return string(e) }
+
+func invalid(format string, arguments ...any) error {
+	return OptionsError(fmt.Sprintf(format, arguments...))
+}
--- a/internal/tools/fleettest/ask_test.go
+++ b/internal/tools/fleettest/ask_test.go
@@ -113,14 +113,14 @@
 
 // Load asks at a mean rate until it is stopped, each lookup by itself.
 func (w *World) Load(perS float64, tenant, index string, pick func(n int) *Mixer) (stop func()) {
-	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
 		began := time.Now()
-		for n := 0; ctx.Err() == nil; n++ {
+		for n := 0; ; n++ {
 			select {
 			case <-time.After(time.Until(began.Add(time.Duration(float64(n) / perS * float64(time.Second))))):
-			case <-ctx.Done():
+			case <-stopped:
 				return
 			}
 			if m := pick(n); m != nil {
@@ -128,7 +128,8 @@
 			}
 		}
 	})
-	return func() { cancel(); all.Wait() }
+	end := sync.OnceFunc(func() { close(stopped) })
+	return func() { end(); all.Wait() }
 }
 
 // sentTimes is how often the client sent a query, of which a part is named by its text and its shard.
--- a/internal/tools/fleettest/fleet_test.go
+++ b/internal/tools/fleettest/fleet_test.go
@@ -37,13 +37,13 @@
 	return func() { acme(); orders(); cato() }
 }
 
-// usesAll waits until a tenant that asks for more than its quota has nearly all of it, over two seconds at a time.
-func (w *World) usesAll(what, tenant string, perS float64) {
+// usesAll waits until acme, which asks for more than its quota, has nearly all of it, over two seconds at a time.
+func (w *World) usesAll(what string) {
 	w.Helper()
 	w.Until(what, func() bool {
 		from := time.Now()
 		time.Sleep(2 * time.Second)
-		return w.Judge.Rate(tenant, "", from, time.Now()) > 0.85*perS
+		return w.Judge.Rate("acme", "", from, time.Now()) > 0.85*perS
 	})
 }
 
@@ -71,7 +71,7 @@
 			}
 			stop := w.load()
 			began := time.Now()
-			w.usesAll("the whole quota is used", "acme", perS)
+			w.usesAll("the whole quota is used")
 			cut := time.Now()
 			w.Cut(alone.no)
 			w.Until("it hears nothing", func() bool { s := alone.Show(); return s != nil && s["hears_nothing"] == true })
@@ -94,7 +94,7 @@
 			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Judge.P99(OrdersOf, began, cut), w.Judge.P99(OrdersOf, cut, to))
 			w.Cut()
 			healed := time.Now()
-			w.usesAll("the whole quota is used again", "acme", perS)
+			w.usesAll("the whole quota is used again")
 			w.Until("the strict tenant is served again", func() bool { status, _ := w.Ask(alone, "cato", "reads", 0, 1); return status == 200 })
 			t.Logf("all is used and served again %.1f s after the cut has healed, 2 s of them measured", time.Since(healed).Seconds())
 			stop()
@@ -113,7 +113,7 @@
 	w.strict()
 	stop := w.load()
 	began := time.Now()
-	w.usesAll("the whole quota is used", "acme", perS)
+	w.usesAll("the whole quota is used")
 	killed := time.Now()
 	first.Kill()
 	var second *Mixer
@@ -250,7 +250,7 @@
 	stop := w.Load(2*perS, "acme", "reads", w.All)
 	calm := w.Load(40, OrdersOf, "orders", w.All)
 	settled := time.Now()
-	w.usesAll("the whole quota is used", "acme", perS)
+	w.usesAll("the whole quota is used")
 	quiet := time.Now()
 	w.Links(Fault{Drop: 0.2, Double: 0.1, Mix: 30 * time.Millisecond}, func(int, int) bool { return true })
 	time.Sleep(time.Second)
--- a/internal/tools/fleettest/fleettest_test.go
+++ b/internal/tools/fleettest/fleettest_test.go
@@ -143,7 +143,7 @@
 	w.Helper()
 	s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
 	w.must(err)
-	s.Heard = func(query string, shard int) { w.Judge.Called(s.Name, s.Zone, query) }
+	s.Heard = func(query string, _ int) { w.Judge.Called(s.Name, s.Zone, query) }
 	w.Cleanup(s.Kill)
 	w.Searchers = append(w.Searchers, s)
 }
--- a/internal/tools/fleettest/relay_test.go
+++ b/internal/tools/fleettest/relay_test.go
@@ -189,7 +189,7 @@
 			pieces <- piece{append([]byte(nil), buffer[:n]...), due}
 		}
 		if err != nil {
-			if err != io.EOF {
+			if !errors.Is(err, io.EOF) {
 				to.Close()
 			}
 			break
--- a/internal/tools/fleettest/restart_test.go
+++ b/internal/tools/fleettest/restart_test.go
@@ -45,7 +45,8 @@
 	var all sync.WaitGroup
 	for i, m := range w.Mixers {
 		all.Go(func() {
-			for late := began.Add(Patience); !m.up() && time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
+			for late := began.Add(Patience); !m.up() && time.Now().Before(late); {
+				time.Sleep(5 * time.Millisecond)
 			}
 			took[i] = time.Since(began)
 		})
--- /dev/null
+++ b/internal/tools/mutants/errors.go
@@ -0,0 +1,12 @@
+package mutants
+
+import "fmt"
+
+// TableError says what of a table of mutants is wrong or does not fit the source.
+type TableError string
+
+func (e TableError) Error() string { return string(e) }
+
+func wrong(format string, arguments ...any) error {
+	return TableError(fmt.Sprintf(format, arguments...))
+}
--- a/internal/tools/mutants/overlay.go
+++ b/internal/tools/mutants/overlay.go
@@ -20,7 +20,7 @@
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
 	if times := strings.Count(string(text), m.Old); times != 1 {
-		return "", fmt.Errorf("mutant %q: %s holds %q %d times, want once", m.Name, m.File, m.Old, times)
+		return "", wrong("mutant %q: %s holds %q %d times, want once", m.Name, m.File, m.Old, times)
 	}
 	return strings.Replace(string(text), m.Old, m.New, 1), nil
 }
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -63,7 +63,8 @@
 
 // next lets the next thing happen.
 func (w *world) next() {
-	h := heap.Pop(&w.agenda).(happening)
+	h := w.agenda[0]
+	heap.Pop(&w.agenda)
 	w.now = h.at
 	h.what()
 }
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"slices"
 )
@@ -30,11 +29,11 @@
 // found; for large ones the bound says how far it may be from the best.
 func Fewest(offers []Offer, demand float64, spare int) (Buy, error) {
 	if len(offers) < 2 {
-		return Buy{}, fmt.Errorf("%d locations: expected two at least, or the loss of one leaves nothing", len(offers))
+		return Buy{}, wrong("%d locations: expected two at least, or the loss of one leaves nothing", len(offers))
 	}
 	for _, o := range offers {
 		if !(o.Capacity > 0) || !(o.Price > 0) || o.Most < 1 {
-			return Buy{}, fmt.Errorf("location %s offers capacity %g at %g, %d at most: expected more than none of each", o.Location, o.Capacity, o.Price, o.Most)
+			return Buy{}, wrong("location %s offers capacity %g at %g, %d at most: expected more than none of each", o.Location, o.Capacity, o.Price, o.Most)
 		}
 	}
 	best := Buy{Price: math.Inf(1)}
@@ -43,7 +42,7 @@
 		all[i] = o.Most
 	}
 	if !bears(offers, all, demand, spare) {
-		return best, fmt.Errorf("all searchers that may stand there do not bear %.3g core seconds a second with a location lost", demand)
+		return best, wrong("all searchers that may stand there do not bear %.3g core seconds a second with a location lost", demand)
 	}
 	n := 1.0
 	for _, o := range offers {
@@ -191,7 +190,7 @@
 		all += capacity[i]
 	}
 	if copies < 1 || len(places) < copies {
-		return Placed{}, fmt.Errorf("%d copies in %d locations: expected a location for each copy", copies, len(places))
+		return Placed{}, wrong("%d copies in %d locations: expected a location for each copy", copies, len(places))
 	}
 	p := Placed{Copies: make(Copies, len(load))}
 	sum, largest := 0.0, 0.0
@@ -227,7 +226,7 @@
 			p.Copies[s] = append(p.Copies[s], best)
 		}
 	}
-	p.level(f, load, copies, used, capacity, stands)
+	p.level(f, load, copies, used, capacity)
 	for s, list := range p.Copies {
 		for _, i := range list {
 			if !stands(s, i) {
@@ -245,7 +244,7 @@
 const roomToStay = 0.05
 
 // level moves copies off the fullest searcher while that helps.
-func (p *Placed) level(f *Site, load []float64, copies int, used, capacity []float64, stands func(s, i int) bool) {
+func (p *Placed) level(f *Site, load []float64, copies int, used, capacity []float64) {
 	for range 4 * len(load) {
 		from := 0
 		for i := range used {
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"slices"
 )
@@ -90,7 +89,7 @@
 // Break finds the load at which the goals break, by doubling and halving. A fleet without goals never does.
 func Break(f *Site, a *Ask, seed uint64, progress func(done, of int)) (Breaking, error) {
 	if !slices.ContainsFunc(f.Indexes, func(x Index) bool { return x.Goal > 0 }) {
-		return Breaking{}, fmt.Errorf("no index has a goal: state one, as 0.99")
+		return Breaking{}, wrong("no index has a goal: state one, as 0.99")
 	}
 	var b Breaking
 	low, high := 0.0, 0.0
@@ -125,7 +124,7 @@
 	}
 	b.PerS, b.Fails = low, high
 	if low == 0 {
-		return b, fmt.Errorf("the goals of %s are not kept at any load that was tried, down to %.3g lookups a second: they ask for more than the fleet's work and network allow", b.Index, high)
+		return b, wrong("the goals of %s are not kept at any load that was tried, down to %.3g lookups a second: they ask for more than the fleet's work and network allow", b.Index, high)
 	}
 	return b, nil
 }
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -4,7 +4,6 @@
 package plan
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -66,7 +65,7 @@
 	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
 	if f.Cells < 1 || f.Width < 1 || f.Width > f.Cells || f.Shards < 1 || f.Mixers < 1 {
 		say("%d cells of width %d with %d shards and %d mixers: expected at least one of each, and a width of no more than the cells", f.Cells, f.Width, f.Shards, f.Mixers)
-		return errors.New(strings.Join(wrong, "\n"))
+		return DescriptionError(strings.Join(wrong, "\n"))
 	}
 	names := map[string]bool{}
 	for _, s := range f.Searchers {
@@ -115,7 +114,7 @@
 		say("expected at least one index")
 	}
 	if len(wrong) > 0 {
-		return errors.New(strings.Join(wrong, "\n"))
+		return DescriptionError(strings.Join(wrong, "\n"))
 	}
 	return nil
 }
@@ -129,11 +128,11 @@
 		}
 	}
 	for s := range f.Shards {
-		any := false
+		found := false
 		for j := range f.Width {
-			any = any || held[(s+j)%f.Cells]
+			found = found || held[(s+j)%f.Cells]
 		}
-		if !any {
+		if !found {
 			list = append(list, s)
 		}
 	}
@@ -179,15 +178,15 @@
 // Check tells what of a load does not fit a fleet.
 func (a *Ask) Check(f *Site) error {
 	if !(a.PerS > 0) || len(a.Mix) == 0 {
-		return fmt.Errorf("%g lookups a second of %d kinds: expected more than none", a.PerS, len(a.Mix))
+		return wrong("%g lookups a second of %d kinds: expected more than none", a.PerS, len(a.Mix))
 	}
 	for _, m := range a.Mix {
 		if m.Index < 0 || m.Index >= len(f.Indexes) || !(m.Of > 0) || m.Parts < 1 || m.Parts > f.Shards {
-			return fmt.Errorf("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Of, m.Parts, m.Index, f.Shards)
+			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Of, m.Parts, m.Index, f.Shards)
 		}
 	}
 	if a.Popular != nil && len(a.Popular) != f.Shards {
-		return fmt.Errorf("the load asks for %d shards, the fleet holds %d: describe the fleet that the capture was taken on", len(a.Popular), f.Shards)
+		return wrong("the load asks for %d shards, the fleet holds %d: describe the fleet that the capture was taken on", len(a.Popular), f.Shards)
 	}
 	return nil
 }
--- a/internal/tools/plan/world.go
+++ b/internal/tools/plan/world.go
@@ -47,7 +47,7 @@
 
 func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
-func (a *agenda) Push(x any) { *a = append(*a, x.(happening)) }
+func (a *agenda) Push(x any) { *a = append(*a, x.(happening)) } //nolint:forcetypeassert // heap.Interface takes any, and only happenings are pushed
 
 func (a *agenda) Pop() any {
 	last := (*a)[len(*a)-1]
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -3,7 +3,6 @@
 package planfile
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -96,7 +95,7 @@
 		}
 		for n := range max(1, g.Count) {
 			if len(f.Searchers) >= mostSearchers {
-				return f, fmt.Errorf("1: more than %d searchers", mostSearchers)
+				return f, wrong("1: more than %d searchers", mostSearchers)
 			}
 			cell := g.Cell + n*g.CellStep
 			if f.Cells > 0 {
@@ -109,7 +108,7 @@
 	for _, x := range in.Indexes {
 		effect, known := effects[x.Effect]
 		if !known {
-			return f, fmt.Errorf("1: index %s has effect %q, expected idempotent, fingerprinted or once-only", x.Name, x.Effect)
+			return f, wrong("1: index %s has effect %q, expected idempotent, fingerprinted or once-only", x.Name, x.Effect)
 		}
 		f.Indexes = append(f.Indexes, plan.Index{Name: x.Name, Effect: effect, Soft: x.SoftS, Hard: x.HardS, Gain: x.Gain, Late: x.LateGain, Work: x.WorkS, Scv: x.WorkScv, Goal: x.Goal})
 	}
@@ -136,7 +135,7 @@
 			}
 		}
 		if n < leastAlone {
-			return notes, fmt.Errorf("index %s: only %d part calls of the capture were alone at their searcher, %d are needed to read a part's work: capture a quiet hour, or state work_s", x.Name, n, leastAlone)
+			return notes, wrong("index %s: only %d part calls of the capture were alone at their searcher, %d are needed to read a part's work: capture a quiet hour, or state work_s", x.Name, n, leastAlone)
 		}
 		mean, scv := alone.Moments()
 		x.Work, x.Scv = max(mean-2*f.Network, mean/10), scv
@@ -171,7 +170,7 @@
 // while. The notes say what was left out.
 func Ask(f *plan.Site, c capture.Capture, sum *capture.Interval, mean bool) (a plan.Ask, notes []string, err error) {
 	if len(c.Intervals) == 0 {
-		return a, nil, errors.New("the capture holds no interval")
+		return a, nil, wrong("the capture holds no interval")
 	}
 	i := sum
 	if !mean {
@@ -201,13 +200,13 @@
 	for _, l := range i.Loads {
 		k, known := place[l.Index]
 		if !known {
-			return a, notes, fmt.Errorf("the capture has lookups of index %s, which the fleet does not describe: add it", l.Index)
+			return a, notes, wrong("the capture has lookups of index %s, which the fleet does not describe: add it", l.Index)
 		}
 		v := by[k]
 		by[k] = [2]float64{v[0] + float64(l.Lookups-l.Resent), v[1] + float64(l.Parts)*float64(l.Lookups-l.Resent)/float64(max(1, l.Lookups))}
 	}
 	if all <= 0 {
-		return a, notes, errors.New("the capture holds no lookups")
+		return a, notes, wrong("the capture holds no lookups")
 	}
 	a.PerS = all / i.Span
 	for k := range f.Indexes {
@@ -218,7 +217,7 @@
 	a.Popular = make([]float64, f.Shards)
 	for _, s := range sum.Shards {
 		if s.Shard >= f.Shards {
-			return a, notes, fmt.Errorf("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", s.Shard, f.Shards)
+			return a, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", s.Shard, f.Shards)
 		}
 		a.Popular[s.Shard] += float64(s.Parts)
 	}
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -240,14 +240,14 @@
 		if err != nil {
 			return t, err
 		}
-		n, err := node.StartText(site.Config(fmt.Sprint("n", i+1), address, register, i), operatorfile.Defaults(), zap.NewNop(), counters.New())
+		n, err := node.StartText(ctx, site.Config(fmt.Sprint("n", i+1), address, register, i), operatorfile.Defaults(), zap.NewNop(), counters.New())
 		if err != nil {
 			return t, err
 		}
 		defer n.Stop()
 		load.Mixers = append(load.Mixers, address)
 	}
-	load.Run()
+	load.Run(ctx)
 	pause := func(seconds float64) {
 		select {
 		case <-time.After(time.Duration(seconds * float64(time.Second))):
