--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -19,7 +19,7 @@
 
 // inWorld runs a test in virtual time on a fleet that has settled.
 func inWorld(t *testing.T, cores, agents int, test func(w *world)) {
-	virtualtime.Test(t, func(t *testing.T) {
+	virtualtime.Test(t, func(*testing.T) {
 		w := newWorld(cores, agents)
 		<-time.After(settled)
 		synctest.Wait()
@@ -86,7 +86,7 @@
 			}
 		}
 		Convey("One that falls silent costs no contact, and changes come in time", t, func() {
-			w.network.setCut(func(from, to string) bool { return to == "core-1" })
+			w.network.setCut(func(_, to string) bool { return to == "core-1" })
 			for range 100 {
 				<-time.After(100 * time.Millisecond)
 				allInContact()
@@ -188,7 +188,7 @@
 }
 
 func TestAnswersReadAfterAStandstill(t *testing.T) {
-	virtualtime.Test(t, func(t *testing.T) {
+	virtualtime.Test(t, func(*testing.T) {
 		Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
 			news := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
 			answer := lateAnswer{feed.WatchReply{Current: true, Changed: true, Snapshot: news}, 20 * time.Second}
@@ -203,7 +203,7 @@
 }
 
 func TestSeeds(t *testing.T) {
-	virtualtime.Test(t, func(t *testing.T) {
+	virtualtime.Test(t, func(*testing.T) {
 		w := newWorld(3, 0)
 		late := w.addAgent("agent-late", []string{"gone-1", "gone-2"})
 		Convey("An agent whose seeds are gone follows new ones soon", t, func() {
--- a/internal/dataplane/agent/local.go
+++ b/internal/dataplane/agent/local.go
@@ -22,7 +22,7 @@
 		inContact := left > 0
 		pause := deadline.Sub(now)
 		if news != nil || inContact != ask.Current || pause <= 0 || ctx.Err() != nil {
-			return feed.WatchReply{Current: inContact, Changed: news != nil, Snapshot: news}, nil
+			return feed.WatchReply{Current: inContact, Changed: news != nil, Snapshot: news}, nil //nolint:nilerr // a call that is over gets what is known
 		}
 		if inContact {
 			pause = min(pause, left)
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -82,7 +82,8 @@
 	}
 	m.out[key] = c
 	m.count.Add("calls", "sent", 1)
-	trip := append(m.trips[a.Searcher], Call{key.part, key.no, lk, p.Shard, now, stop, begin})
+	trip := m.trips[a.Searcher]
+	trip = append(trip, Call{key.part, key.no, lk, p.Shard, now, stop, begin})
 	if len(trip) == 1 {
 		m.tripTo = append(m.tripTo, a.Searcher)
 	}
--- a/internal/dataplane/aggregator/mixer.go
+++ b/internal/dataplane/aggregator/mixer.go
@@ -117,7 +117,8 @@
 	}
 	clear(m.due)
 	for len(m.timers) > 0 && !m.timers[0].due.After(now) {
-		t := heap.Pop(&m.timers).(timer)
+		t := m.timers[0]
+		heap.Pop(&m.timers)
 		m.due[t.id] = t.due
 		m.events = append(m.events, policy.Event{Kind: policy.TimerDue, Timer: t.id})
 	}
--- a/internal/dataplane/aggregator/timers.go
+++ b/internal/dataplane/aggregator/timers.go
@@ -22,7 +22,7 @@
 
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
-func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) } //nolint:forcetypeassert // heap.Interface takes any, and only timers are pushed
 
 func (t *timers) Pop() any {
 	last := (*t)[len(*t)-1]
--- a/internal/dataplane/aggregator/types.go
+++ b/internal/dataplane/aggregator/types.go
@@ -38,6 +38,7 @@
 // End is how a lookup ended for its client.
 type End uint8
 
+// The ends of a lookup.
 const (
 	Satisfied End = iota
 	Nacked
--- a/internal/dataplane/asynclog/writer.go
+++ b/internal/dataplane/asynclog/writer.go
@@ -32,7 +32,7 @@
 
 // Write takes a copy of a line, or drops the line; it has no error.
 func (w *Writer) Write(line []byte) (int, error) {
-	buffer := w.buffers.Get().(*[]byte)
+	buffer := w.buffers.Get().(*[]byte) //nolint:forcetypeassert // the pool makes and takes nothing else
 	*buffer = append((*buffer)[:0], line...)
 	select {
 	case w.lines <- buffer:
@@ -62,7 +62,7 @@
 
 // write writes a line. An error has nowhere to go: it is the log that fails.
 func (w *Writer) write(buffer *[]byte) {
-	w.out.Write(*buffer)
+	_, _ = w.out.Write(*buffer)
 	w.recycle(buffer)
 }
 
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"os"
@@ -109,7 +108,7 @@
 	conn.over = true
 	conn.socket.SetReadDeadline(time.Now().Add(lastReads))
 	if c, ok := conn.socket.(*net.TCPConn); ok {
-		c.CloseWrite()
+		_ = c.CloseWrite() // it fails only on a connection that is broken, which the reader finds
 	}
 }
 
@@ -155,7 +154,7 @@
 			conn.readBy(time.Time{})
 		case conn.finishing():
 			return whyWriteFails, err
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return whyEOF, err
 		case errors.As(err, &sys), errors.Is(err, net.ErrClosed), errors.Is(err, io.ErrUnexpectedEOF):
 			return whyReset, err
@@ -173,12 +172,12 @@
 		case frameAlive, frameLoad:
 			n.text = string(rest)
 			if frameType == frameAlive && n.text != probeDone && n.text != probeFailed {
-				return corrupt("", whyBadFrame, fmt.Errorf("probe answered %.80q", n.text))
+				return corrupt("", whyBadFrame, malformed("probe answered %.80q", n.text))
 			}
 		case frameRefuse:
-			return whyRefused, fmt.Errorf("%.200q", rest)
+			return whyRefused, refusedError(rest)
 		default:
-			return corrupt("", whyBadFrame, fmt.Errorf("unknown letter %q", frameType))
+			return corrupt("", whyBadFrame, malformed("unknown letter %q", frameType))
 		}
 		tell(n)
 	}
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"math"
 	"strconv"
@@ -67,7 +66,7 @@
 	case n == 0:
 		return 0, nil, errNoFrameType
 	case n > mostFrame:
-		return 0, nil, fmt.Errorf("frame of %d bytes, %d at most", n, mostFrame)
+		return 0, nil, malformed("frame of %d bytes, %d at most", n, mostFrame)
 	}
 	rest, err = io.ReadAll(io.LimitReader(r, int64(n)))
 	switch {
@@ -125,11 +124,11 @@
 	// Only id and end are read strictly: the report may hold anything, and the answer beside it stands.
 	fields := bytes.SplitN(line, []byte{' '}, 4)
 	if !found || len(fields) != 4 {
-		return a, fmt.Errorf("answer %.80q: expected ID END SCORE REPORT and a line end", line)
+		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", line)
 	}
 	known := false
 	if a.outcome, known = ends[string(fields[1])]; !known {
-		return a, fmt.Errorf("answer %.80q: unknown end", line)
+		return a, malformed("answer %.80q: unknown end", line)
 	}
 	if !utf8.Valid(value) {
 		return a, errNotText
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -108,6 +108,7 @@
 		Searcher: at, Outcome: how, Elapsed: max(0, when.Sub(c.Sent).Seconds()), Load: with.load}})
 }
 
+// Withdraw gives a part call up: its answer counts no more.
 func (h *Hub) Withdraw(at policy.SearcherID, part policy.PartID, no policy.CallNo) {
 	h.put(at, note{kind: withdraw, part: part, no: no})
 }
@@ -117,6 +118,7 @@
 	h.put(at, note{kind: probe, apart: apart, at: time.Now()})
 }
 
+// CloseIdle closes the idle connections to a searcher.
 func (h *Hub) CloseIdle(at policy.SearcherID) { h.put(at, note{kind: closeIdle}) }
 
 // Stop ends all actors and their connections; the module's actor has ended before.
--- a/internal/dataplane/backends/searchers_test.go
+++ b/internal/dataplane/backends/searchers_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -386,7 +387,7 @@
 	r.event()
 	r.ended(lost[0].Part, policy.TimedOut) // long before its deadline
 	p.expect('M', "")
-	if _, _, err := readFrame(p.in); err != io.EOF {
+	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the silent connection goes on: %v", err)
 	}
 }
@@ -400,7 +401,7 @@
 	r.hub.Unnamed(map[policy.SearcherID]bool{})
 	p.say('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Part, policy.Answered)
-	if _, _, err := readFrame(p.in); err != io.EOF {
+	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the connection goes on: %v", err)
 	}
 	for late := time.Now().Add(patience); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
@@ -565,7 +566,7 @@
 	time.Sleep(150 * time.Millisecond) // longer than it may be idle
 	p.say('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Part, policy.Answered)
-	if _, _, err := readFrame(p.in); err != io.EOF {
+	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("got %v", err)
 	}
 	calls = r.send("ab", "q", time.Minute, 1)
@@ -574,7 +575,7 @@
 	p.say('R', "ab.0 done 0 -\n")
 	r.ended(calls[0].Part, policy.Answered)
 	r.hub.CloseIdle(1)
-	if _, _, err := readFrame(p.in); err != io.EOF {
+	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/internal/dataplane/clients/body.go
+++ b/internal/dataplane/clients/body.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
-	"fmt"
 	"math"
 	"net/http"
 	"strconv"
@@ -52,12 +50,14 @@
 
 func (t *targets) UnmarshalJSONFrom(d *jsontext.Decoder) error {
 	if d.PeekKind() != '[' {
-		return errors.New("targets is not a list")
+		return malformed("targets is not a list")
+	}
+	if _, err := d.ReadToken(); err != nil { // the bracket
+		return err
 	}
-	d.ReadToken() // the bracket, whose error the next read would meet too
 	for d.PeekKind() != ']' {
 		if len(t.list) == t.most {
-			return fmt.Errorf("targets names more than %d parts", t.most)
+			return malformed("targets names more than %d parts", t.most)
 		}
 		var next target
 		if err := json.UnmarshalDecode(d, &next); err != nil {
@@ -78,28 +78,28 @@
 func (n *nameTable) readHead(r *http.Request, lk *aggregator.Lookup) error {
 	for name, values := range r.Header {
 		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // which one counts is anyone's guess
-			return fmt.Errorf("%s stands there twice", name)
+			return malformed("%s stands there twice", name)
 		}
 	}
 	if kind := r.Header.Get("Req-Kind"); kind != "" {
 		if index, known := n.indexes[kind]; !known || index != lk.Index {
-			return fmt.Errorf("Req-Kind %q does not name the index of the path", kind)
+			return malformed("Req-Kind %q does not name the index of the path", kind)
 		}
 	}
 	lk.ID = r.Header.Get("Req-Id")
 	if lk.ID == "" || len(lk.ID) > 64 || strings.ContainsFunc(lk.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return errors.New("Req-Id is not an id")
+		return malformed("Req-Id is not an id")
 	}
 	if owner := r.Header.Get("Req-Owner"); len(n.customers) > 0 {
 		var known bool
 		if lk.Customer, known = n.customers[owner]; !known {
-			return fmt.Errorf("Req-Owner %q is not known", owner)
+			return malformed("Req-Owner %q is not known", owner)
 		}
 	}
 	text := r.Header.Get("Req-Deadline")
 	wait, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(wait > 0) || wait > mostWaitS {
-		return errors.New("Req-Deadline is not a time in seconds")
+		return malformed("Req-Deadline is not a time in seconds")
 	}
 	lk.Wait, lk.Resent = wait, r.Header.Get("Req-Retry") == "1"
 	// A key that is none of ours is no reason to turn a lookup away: it only says what goes together.
@@ -113,14 +113,14 @@
 func (n *nameTable) readBody(text []byte, lk *aggregator.Lookup) error {
 	in := body{Targets: targets{most: n.shards}}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return fmt.Errorf("the body is not as expected: %v", err)
+		return malformed("the body is not as expected: %v", err)
 	}
 	var err error
 	if lk.Query, err = plain(in.Query); err != nil {
 		return err
 	}
 	if len(in.Targets.list) == 0 {
-		return errors.New("targets names no part")
+		return malformed("targets names no part")
 	}
 	lk.Parts = make([]aggregator.Part, len(in.Targets.list))
 	seen := make(map[int]bool, len(in.Targets.list))
@@ -128,27 +128,27 @@
 	for i, t := range in.Targets.list {
 		switch {
 		case t.Partition == nil || *t.Partition < 0 || *t.Partition >= n.shards:
-			return fmt.Errorf("targets[%d].partition is not a shard", i)
+			return malformed("targets[%d].partition is not a shard", i)
 		case seen[*t.Partition]:
-			return fmt.Errorf("targets[%d].partition stands there twice", i)
+			return malformed("targets[%d].partition stands there twice", i)
 		case t.Share == nil || *t.Share < 0 || *t.Share > 1:
-			return fmt.Errorf("targets[%d].share is not a share", i)
+			return malformed("targets[%d].share is not a share", i)
 		case t.EstUs < 0 || t.EstUs > mostWaitS*1e6:
-			return fmt.Errorf("targets[%d].est_us is not a time", i)
+			return malformed("targets[%d].est_us is not a time", i)
 		}
 		seen[*t.Partition] = true
 		sum += *t.Share
 		p := aggregator.Part{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
 		if t.Route != "" {
 			if p.Key, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
-				return fmt.Errorf("targets[%d].route is not 16 hex digits", i)
+				return malformed("targets[%d].route is not 16 hex digits", i)
 			}
 			p.HasKey = true
 		}
 		lk.Parts[i] = p
 	}
 	if math.Abs(sum-1) > shareSlack {
-		return fmt.Errorf("the shares add up to %g and not to 1", sum)
+		return malformed("the shares add up to %g and not to 1", sum)
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 // plain is the text of a JSON string. Where nothing in it is escaped those are the bytes that came.
 func plain(raw jsontext.Value) ([]byte, error) {
 	if raw.Kind() != '"' {
-		return nil, errors.New("query is not a text")
+		return nil, malformed("query is not a text")
 	}
 	if text := raw[1 : len(raw)-1]; bytes.IndexByte(text, '\\') < 0 {
 		return text, nil
--- a/internal/dataplane/clients/clients.go
+++ b/internal/dataplane/clients/clients.go
@@ -48,7 +48,7 @@
 	// Of that it serves on, as others may not be there yet, but for lastAnswers: by then all that it took is answered
 	// and its clients' connections are closed, each with an answer where they ask on.
 	lastAnswers = 500 * time.Millisecond
-	lastSecond  = 200 * time.Millisecond // of those, for what no lookup may take any more
+	lastReserve = 200 * time.Millisecond // of those, for what no lookup may take any more
 	// emptying is how long after that the listener's queue is emptied before it is closed.
 	emptying = 20 * time.Millisecond
 )
@@ -66,13 +66,13 @@
 	serveOn     time.Duration // how long a stopping mixer takes lookups
 	ends        atomic.Int64  // when each must have its answer once it stops, in Unix ns; 0 before
 	large       chan struct{} // a place for each large body in hand
-	stopped     chan error
+	stopped     chan struct{}
 }
 
 // New makes a server that keeps no more than so many connections, in so many bytes of memory altogether.
 func New(set settings.Settings, most, memory int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
 	s := &Server{tell: tell, log: log, count: count, names: newNameTable(set.Net), retry: set.Limits.RetryAfter, slow: slowAnswer,
-		connections: newConnections(most, memory, log, count), large: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeTakes))), stopped: make(chan error, 1)}
+		connections: newConnections(most, memory, log, count), large: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeTakes))), stopped: make(chan struct{}, 1)}
 	longest := 0.0
 	for _, x := range set.Indexes {
 		longest = max(longest, x.Hard)
@@ -98,14 +98,17 @@
 // Serve begins to accept, until Drain.
 func (s *Server) Serve(l *net.TCPListener) {
 	s.connections.listener = l
-	go func() { s.stopped <- s.http.Serve(s.connections) }()
+	go func() {
+		_ = s.http.Serve(s.connections) // until Drain ends the listener
+		s.stopped <- struct{}{}
+	}()
 }
 
 // Drain serves on for as long as a stopping mixer surely lives, but for the time that the last answers take: a front may
 // not have another mixer yet, and clients ask on on the connections they have. Then answers close their connections, the listener
 // closes once its queue is empty, and the idle connections close; it returns when all that was taken is answered.
 func (s *Server) Drain() {
-	s.ends.Store(time.Now().Add(s.serveOn + lastAnswers - lastSecond).UnixNano())
+	s.ends.Store(time.Now().Add(s.serveOn + lastAnswers - lastReserve).UnixNano())
 	open := func() bool { n, _ := s.connections.left(); return n > 0 }
 	for began := time.Now(); time.Since(began) < s.serveOn && (time.Since(began) < noticed || open()); {
 		time.Sleep(emptying)
@@ -115,12 +118,12 @@
 	<-s.stopped
 	// Clients send on connections that stay open: each is to be told by an answer that its connection closes. A connection that is closed
 	// between two lookups may be closed under one that is on its way, so that is left for those that say nothing.
-	for began := time.Now(); time.Since(began) < lastAnswers-lastSecond && open(); {
+	for began := time.Now(); time.Since(began) < lastAnswers-lastReserve && open(); {
 		time.Sleep(emptying)
 	}
 	// By the last moment all that was taken is decided. What is open then is a client that does not read its answer, or that
 	// trickles a request: nothing is owed to either, and to be killed over them would cost others.
-	last := time.Unix(0, s.ends.Load()).Add(lastSecond / 2)
+	last := time.Unix(0, s.ends.Load()).Add(lastReserve / 2)
 	for open() && time.Now().Before(last) {
 		s.connections.leave(whyShutdown)
 		time.Sleep(emptying)
@@ -136,8 +139,13 @@
 	s.http.Close()
 }
 
+// connectionOf is the connection that a request came on: every one has its own in its context.
+func connectionOf(r *http.Request) *connection {
+	return r.Context().Value(connectionKey{}).(*connection) //nolint:forcetypeassert // a context without one is a mistake in this package
+}
+
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
-	conn := r.Context().Value(connectionKey{}).(*connection)
+	conn := connectionOf(r)
 	conn.SetWriteDeadline(time.Time{}) // that of the answer before
 	index, known := s.names.index(r.URL.Path)
 	switch {
@@ -178,7 +186,7 @@
 
 // lookup reads one, hands it to the module's actor and writes what that says.
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
-	conn := r.Context().Value(connectionKey{}).(*connection)
+	conn := connectionOf(r)
 	lk := &aggregator.Lookup{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
 	if err := s.names.readHead(r, lk); err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
@@ -191,7 +199,7 @@
 	case errors.As(err, &large):
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, tooLarge)
 		return
-	case err == errBusy:
+	case errors.Is(err, errBusy):
 		s.refuse(w, r, http.StatusServiceUnavailable, err.Error())
 		return
 	case err != nil:
@@ -213,7 +221,8 @@
 	if ends := s.ends.Load(); ends > 0 { // a stopping mixer can't be waited for longer than it lives
 		lk.Wait = min(lk.Wait, max(0, time.Unix(0, ends).Sub(lk.Arrived).Seconds()))
 	}
-	conn.SetReadDeadline(time.Time{}) // that of reading; from here net/http only watches for the client's leaving
+	// That of reading goes: from here net/http only watches for the client's leaving. It fails only on a closed connection, which that finds.
+	_ = conn.SetReadDeadline(time.Time{})
 	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.LookupTaken}})
 	select {
 	case reply := <-lk.Done:
@@ -264,7 +273,7 @@
 }
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request, status int, body []byte) {
-	conn := r.Context().Value(connectionKey{}).(*connection)
+	conn := connectionOf(r)
 	conn.asked.Store(true)
 	s.count.Add("answers", strconv.Itoa(status), 1)
 	conn.SetWriteDeadline(time.Now().Add(s.slow))
--- a/internal/dataplane/clients/clients_test.go
+++ b/internal/dataplane/clients/clients_test.go
@@ -120,6 +120,7 @@
 	if err != nil {
 		return 0, nil, ""
 	}
+	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
 	if err != nil {
 		c.r.Fatal(err)
--- a/internal/dataplane/clients/connection.go
+++ b/internal/dataplane/clients/connection.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -26,7 +27,7 @@
 	asked    atomic.Bool  // the request is whole, and its answer is not
 	answered atomic.Bool  // some answer was given
 	ended    atomic.Bool  // by its client
-	because  atomic.Value // reason
+	because  atomic.Pointer[reason]
 	once     sync.Once
 
 	idle   bool // an answer is written and no request read since; guarded by of.mu, as are the next three
@@ -126,10 +127,15 @@
 }
 
 // end notes why the connection ends; the first reason stands.
-func (conn *connection) end(why reason) { conn.because.CompareAndSwap(nil, why) }
+func (conn *connection) end(why reason) { conn.because.CompareAndSwap(nil, &why) }
 
 // CloseWrite lets net/http end a connection so that its answer is not lost with it.
-func (conn *connection) CloseWrite() error { return conn.Conn.(*net.TCPConn).CloseWrite() }
+func (conn *connection) CloseWrite() error {
+	if tcp, isTCP := conn.Conn.(*net.TCPConn); isTCP {
+		return tcp.CloseWrite()
+	}
+	return errors.ErrUnsupported
+}
 
 // Close ends our side. Over bytes that nobody has read a close would be a reset, which may cost the client the answer
 // before it: so the other side is read to its end, or for a while, and nothing that comes then counts.
@@ -157,7 +163,7 @@
 	}
 	conn.readMu.Unlock()
 	conn.Conn.SetReadDeadline(time.Now().Add(lingers))
-	io.Copy(io.Discard, io.LimitReader(conn.Conn, mostUnread))
+	_, _ = io.Copy(io.Discard, io.LimitReader(conn.Conn, mostUnread)) // however it ends, our side is closed next
 }
 
 // shut ends the other side too.
--- a/internal/dataplane/clients/connections.go
+++ b/internal/dataplane/clients/connections.go
@@ -161,7 +161,10 @@
 
 // changed hears from net/http what a connection does.
 func (s *connections) changed(c net.Conn, state http.ConnState) {
-	conn := c.(*connection)
+	conn, isOurs := c.(*connection)
+	if !isOurs {
+		return
+	}
 	s.mu.Lock()
 	var surplus *connection
 	if conn.idle = state == http.StateIdle; conn.idle {
@@ -200,7 +203,7 @@
 	s.mu.Lock()
 	delete(s.open, conn)
 	s.mu.Unlock()
-	why := string(conn.because.Load().(reason))
+	why := string(*conn.because.Load())
 	s.count.Add("client_lines", why, 1)
 	line := s.log.Check(zap.InfoLevel, "connection ended")
 	if line == nil {
--- a/internal/dataplane/clients/crossings_test.go
+++ b/internal/dataplane/clients/crossings_test.go
@@ -368,8 +368,13 @@
 	if _, err := io.WriteString(l, "HTTP/1.1 429 Too Many Requests\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if res, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || res.StatusCode != 429 {
-		t.Fatalf("got %v, %v", res, err)
+	res, err := http.ReadResponse(bufio.NewReader(client), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer res.Body.Close()
+	if res.StatusCode != http.StatusTooManyRequests {
+		t.Fatalf("got %v", res)
 	}
 }
 
@@ -430,8 +435,9 @@
 				break
 			}
 			io.Copy(io.Discard, res.Body)
+			res.Body.Close()
 			answers++
-			answered[e.Taken] = res.StatusCode == 200
+			answered[e.Taken] = res.StatusCode == http.StatusOK
 		}
 		if answers > 1 {
 			t.Fatalf("%d answers in round %d", answers, i)
--- a/internal/dataplane/clients/reading.go
+++ b/internal/dataplane/clients/reading.go
@@ -88,7 +88,7 @@
 	}
 	if conn.quits {
 		conn.quits = false
-		conn.arm()
+		_ = conn.arm() // it fails only on a closed connection, which the next read finds
 	}
 }
 
@@ -164,7 +164,7 @@
 	defer conn.readMu.Unlock()
 	if conn.leaves == "" && !conn.shuts {
 		conn.leaves = why
-		conn.arm()
+		_ = conn.arm() // it fails only on a closed connection, which the next read finds
 	}
 }
 
@@ -198,7 +198,7 @@
 	leaves := conn.leaves
 	conn.readMu.Unlock()
 	switch {
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		conn.ended.Store(true)
 		conn.end(whyClient)
 	case !errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -123,9 +123,10 @@
 
 func listURL(address string) string { return "http://" + address + "/discovery/hosts" }
 
-// Subscribe and AskWhole are what the module may ask.
+// Subscribe begins or ends watching, as the module asks.
 func (r *Client) Subscribe(on bool) { r.in.Put(note{kind: subscribe, on: on}) }
 
+// AskWhole asks for the whole list once, as the module asks.
 func (r *Client) AskWhole() { r.in.Put(note{kind: askWhole}) }
 
 // Stop ends the actor.
--- a/internal/dataplane/discovery/entries.go
+++ b/internal/dataplane/discovery/entries.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 
 	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/policy"
@@ -45,7 +43,7 @@
 		return err
 	}
 	if p.Version == nil {
-		return errors.New("no generation")
+		return malformed("no generation")
 	}
 	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
 	switch {
@@ -59,16 +57,16 @@
 		phase, is := phases[in.State]
 		switch {
 		case !is:
-			return fmt.Errorf("searcher %q: unknown state %q", in.ID, in.State)
+			return malformed("searcher %q: unknown state %q", in.ID, in.State)
 		case in.ID == "":
-			return errors.New("searcher without an id")
+			return malformed("searcher without an id")
 		case phase != policy.Gone && in.Address == "":
-			return fmt.Errorf("searcher %q without an address", in.ID)
+			return malformed("searcher %q without an address", in.ID)
 		case in.Cell < 0:
-			return fmt.Errorf("searcher %q: cell %d", in.ID, in.Cell)
+			return malformed("searcher %q: cell %d", in.ID, in.Cell)
 		// In a config it is a slip. A list that comes later is not refused for a figure: its drains count more.
 		case known && in.Weight != nil && *in.Weight <= 0:
-			return fmt.Errorf("searcher %q: weight is %g, expected more than 0", in.ID, *in.Weight)
+			return malformed("searcher %q: weight is %g, expected more than 0", in.ID, *in.Weight)
 		}
 	}
 	before := r.ids
--- a/internal/dataplane/discovery/rows.go
+++ b/internal/dataplane/discovery/rows.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"io"
 )
 
@@ -19,7 +20,7 @@
 }
 
 func (t *tail) lines(data []byte, atEnd bool) (advance int, token []byte, err error) {
-	if atEnd && t.err != io.EOF && bytes.IndexByte(data, '\n') < 0 {
+	if atEnd && !errors.Is(t.err, io.EOF) && bytes.IndexByte(data, '\n') < 0 {
 		return len(data), nil, nil
 	}
 	return bufio.ScanLines(data, atEnd)
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -3,8 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
-	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -30,7 +28,7 @@
 func (r *Client) look(now time.Time) time.Time {
 	silent := r.silent()
 	if r.cancel != nil && !now.Before(silent) {
-		r.ended("silent", errors.New("no line and no beat"))
+		r.ended("silent", errSilent)
 	}
 	if r.on && r.cancel == nil && !now.Before(r.again) {
 		r.begin(now)
@@ -95,7 +93,7 @@
 	res, err := r.client.Do(req)
 	if err == nil && res.StatusCode != http.StatusOK {
 		res.Body.Close()
-		return nil, fmt.Errorf("status %d", res.StatusCode)
+		return nil, StatusError(res.StatusCode)
 	}
 	return res, err
 }
--- a/internal/dataplane/node/crossings_test.go
+++ b/internal/dataplane/node/crossings_test.go
@@ -159,11 +159,9 @@
 }
 
 // ask asks for a lookup of one part on a connection of its own.
-func (h *hosted) ask(t *testing.T, index, id, tenant, deadline string) (res *http.Response, body string, conn net.Conn) {
+func (h *hosted) ask(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
-	conn = h.send(t, index, id, tenant, deadline)
-	res, body = answer(t, conn)
-	return res, body, conn
+	return answer(t, h.send(t, index, id, tenant, deadline))
 }
 
 func (h *hosted) send(t *testing.T, index, id, tenant, deadline string) net.Conn {
@@ -179,18 +177,19 @@
 	return conn
 }
 
-func answer(t *testing.T, conn net.Conn) (*http.Response, string) {
+func answer(t *testing.T, conn net.Conn) (status int, body string) {
 	t.Helper()
 	conn.SetDeadline(time.Now().Add(patience))
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return res, string(text)
+	return res.StatusCode, string(text)
 }
 
 // Two deployments in one process: an index of the same name that may be repeated in the one and not in the other, and names, tenants and
@@ -224,13 +223,13 @@
 			}
 			for i := range 6 {
 				for w := range 3 {
-					if res, body, _ := h.ask(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); res.StatusCode != 200 {
-						t.Errorf("%s: got %d %s, expected 200", tenant, res.StatusCode, body)
+					if got, body := h.ask(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); got != 200 {
+						t.Errorf("%s: got %d %s, expected 200", tenant, got, body)
 					}
 				}
 				id := fmt.Sprintf("x%d", i) // the same on both, as clients of two deployments know nothing of each other
-				if res, body, _ := h.ask(t, "reads", id, tenant, "8"); res.StatusCode != status || sum(h.peers, id) != calls {
-					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, res.StatusCode, body, sum(h.peers, id), status, calls)
+				if got, body := h.ask(t, "reads", id, tenant, "8"); got != status || sum(h.peers, id) != calls {
+					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, got, body, sum(h.peers, id), status, calls)
 				}
 			}
 		})
@@ -241,8 +240,8 @@
 		index, tenant string
 		status        int
 	}{{a, "orders", "acme", 404}, {a, "reads", "other", 400}, {b, "reads", "acme", 400}} {
-		if res, body, _ := bad.of.ask(t, bad.index, "bad", bad.tenant, "8"); res.StatusCode != bad.status {
-			t.Errorf("%s of %s: got %d %s, expected %d", bad.index, bad.tenant, res.StatusCode, body, bad.status)
+		if got, body := bad.of.ask(t, bad.index, "bad", bad.tenant, "8"); got != bad.status {
+			t.Errorf("%s of %s: got %d %s, expected %d", bad.index, bad.tenant, got, body, bad.status)
 		}
 	}
 }
@@ -259,13 +258,13 @@
 	for _, discovery := range []string{silent(t), gone.Addr().String()} {
 		h := host(t, discovery, oneClass, "[]", 2, newPeer(t, func(string) does { return answers }))
 		res, err := http.Get("http://" + h.at + "/up")
-		if err != nil || res.StatusCode != 200 {
+		if err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("got %v, %v", res, err)
 		}
 		res.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
-		if res, body, _ := h.ask(t, "reads", "aa", "", "5"); res.StatusCode != 200 {
-			t.Fatalf("got %d %s", res.StatusCode, body)
+		if got, body := h.ask(t, "reads", "aa", "", "5"); got != 200 {
+			t.Fatalf("got %d %s", got, body)
 		}
 	}
 }
@@ -281,8 +280,8 @@
 	}
 	defer rests.Close()
 	fmt.Fprintf(rests, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-	if res, _ := answer(t, rests); res.StatusCode != 200 {
-		t.Fatalf("got %d", res.StatusCode)
+	if got, _ := answer(t, rests); got != 200 {
+		t.Fatalf("got %d", got)
 	}
 	held := h.send(t, "reads", "held", "", "1")
 	for late := time.Now().Add(patience); sum(h.peers, "held") == 0; time.Sleep(time.Millisecond) {
@@ -298,15 +297,15 @@
 		t.Fatal(err)
 	}
 	h.Drain()
-	if res, body := answer(t, held); res.StatusCode == 200 || res.StatusCode < 400 {
-		t.Fatalf("got %d %s", res.StatusCode, body)
+	if got, body := answer(t, held); got == 200 || got < 400 {
+		t.Fatalf("got %d %s", got, body)
 	}
 	select {
 	case <-drained:
 	case <-time.After(patience):
 		t.Fatal("it never ends")
 	}
-	if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := rests.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Fatalf("the resting connection ended by %v, expected io.EOF", err)
 	}
 	if c, err := net.Dial("tcp", h.at); err == nil {
--- /dev/null
+++ b/internal/dataplane/node/errors.go
@@ -0,0 +1,17 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+)
+
+var errNoConfig = errors.New("LB_CONFIG names no file")
+
+// ConfigError says what is wrong with a mixer's config, and what was expected.
+type ConfigError string
+
+func (e ConfigError) Error() string { return string(e) }
+
+func invalid(format string, arguments ...any) error {
+	return ConfigError(fmt.Sprintf(format, arguments...))
+}
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -62,7 +62,7 @@
 func Read(env func(string) string) (c Config, set settings.Settings, err error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
-		return c, set, errors.New("LB_CONFIG names no file")
+		return c, set, errNoConfig
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -85,20 +85,20 @@
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	switch {
 	case err != nil:
-		return set, fmt.Errorf("config: seed %q is not hex", c.Seed)
+		return set, invalid("config: seed %q is not hex", c.Seed)
 	case c.Listen == "" || c.Discovery == "":
-		return set, errors.New("config: listen and discovery must be stated")
+		return set, invalid("config: listen and discovery must be stated")
 	case len(c.Known) == 0:
-		return set, errors.New("config: known must be stated")
+		return set, invalid("config: known must be stated")
 	case c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0:
-		return set, errors.New("config: limits must be 0 or more")
+		return set, invalid("config: limits must be 0 or more")
 	}
 	if set, err = settings.Read(seed, c.Settings); err != nil {
 		return set, fmt.Errorf("config: %w", err)
 	}
 	for i, x := range set.Indexes {
 		if x.SecondStep > 0 {
-			return set, fmt.Errorf("config: index %q has a second step, which this protocol has no form for", set.Net.Indexes[i])
+			return set, invalid("config: index %q has a second step, which this protocol has no form for", set.Net.Indexes[i])
 		}
 	}
 	return set, nil
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -155,7 +155,10 @@
 		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, f.url+testPrefix+testID, strings.NewReader(testJob))
 		left := make(chan error, 1)
 		go func() {
-			_, err := f.client.Do(request)
+			answer, err := f.client.Do(request)
+			if err == nil {
+				answer.Body.Close()
+			}
 			left <- err
 		}()
 		<-asked
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -75,6 +75,7 @@
 	if err != nil {
 		return 0, false, err
 	}
+	defer answer.Body.Close()
 	_, err = io.Copy(io.Discard, answer.Body)
 	return answer.StatusCode, answer.Close, err
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -73,7 +73,7 @@
 	platform := &http.Server{Handler: newReadiness(p.Ready), ReadTimeout: defaultHeaderTimeout}
 	defer platform.Close()
 	go p.feed.run(following)
-	go platform.Serve(readiness)
+	go func() { _ = platform.Serve(readiness) }() // until Close, at the end
 	go clients.accept()
 	p.config.Log.Info("proxy serves", zap.Stringer("clients", front.Addr()), zap.Stringer("readiness", readiness.Addr()))
 
--- a/internal/dataplane/proxy/server.go
+++ b/internal/dataplane/proxy/server.go
@@ -55,9 +55,10 @@
 		ConnState:         s.tracker.observe,
 		ErrorLog:          zap.NewStdLog(s.log.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
 	}
-	go server.Serve(s.handoff)
+	handoff := s.handoff
+	go func() { _ = server.Serve(handoff) }() // until the listener is closed, here or by close
 	if before != nil {
-		before.Close()
+		before.cancel()
 	}
 }
 
@@ -104,7 +105,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
-	s.handoff.Close()
+	s.handoff.cancel()
 }
 
 // handoffListener is a net.Listener of connections that were accepted elsewhere.
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -73,7 +73,7 @@
 func Read(seed uint64, text []byte) (Settings, error) {
 	var w wire
 	if err := json.Unmarshal(text, &w); err != nil {
-		return Settings{}, fmt.Errorf("settings: expected a JSON object: %v", err)
+		return Settings{}, invalid("settings: expected a JSON object: %v", err)
 	}
 	sp, li, in, pr := &w.Specifics, &w.Limits, &w.Invariants, &w.Prices
 	s := Settings{Net: Net{Locations: w.Azs, Kinds: w.Models, Shards: sp.Slices, Streams: li.Multiplex,
@@ -97,7 +97,7 @@
 	for i, c := range w.RequestClasses {
 		effect, known := effects[c.Effect]
 		if !known {
-			return s, fmt.Errorf("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, c.Effect)
+			return s, invalid("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, c.Effect)
 		}
 		x := policy.IndexSettings{Soft: c.PromiseS, Hard: c.GiveUpS, Gain: c.Worth, LateGain: c.LateWorth,
 			Effect: effect, RepeatS: c.RepeatWindowS}
@@ -169,7 +169,7 @@
 		of   []float64
 	}{{"classNeed", sp.ClassNeed}, {"floorByClass", sp.FloorByClass}, {"shortWorth", sp.ShortWorth}} {
 		if n := len(list.of); n > 0 && n != len(w.RequestClasses) {
-			return fmt.Errorf("settings: specifics.%s has %d figures, expected one for each of %d classes",
+			return invalid("settings: specifics.%s has %d figures, expected one for each of %d classes",
 				list.name, n, len(w.RequestClasses))
 		}
 		for i, v := range list.of {
@@ -178,11 +178,11 @@
 	}
 	for i, floor := range sp.FloorByClass {
 		if need := at(sp.ClassNeed, i); need > 0 && floor > need && floor < 1 { // 1 is what a class without a floor has
-			return fmt.Errorf("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, floor, need)
+			return invalid("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, floor, need)
 		}
 	}
 	if n := len(sp.SecondStep); n > 0 && n != len(w.RequestClasses) {
-		return fmt.Errorf("settings: specifics.secondStep has %d figures, expected one for each of %d classes",
+		return invalid("settings: specifics.secondStep has %d figures, expected one for each of %d classes",
 			n, len(w.RequestClasses))
 	}
 	for i, n := range sp.SecondStep {
@@ -190,12 +190,12 @@
 	}
 	for _, f := range atLeast0 {
 		if f.value < 0 {
-			return fmt.Errorf("settings: %s is %g, expected 0 or more", f.name, f.value)
+			return invalid("settings: %s is %g, expected 0 or more", f.name, f.value)
 		}
 	}
 	for _, f := range shares {
 		if f.value < 0 || f.value > 1 {
-			return fmt.Errorf("settings: %s is %g, expected a share from 0 to 1", f.name, f.value)
+			return invalid("settings: %s is %g, expected a share from 0 to 1", f.name, f.value)
 		}
 	}
 	return nil
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -48,7 +48,7 @@
 	}
 	var kept Action
 	for name, broken := range map[string]breaker{
-		"lost: lookup": func(e *env, a Action) []Action {
+		"lost: lookup": func(_ *env, a Action) []Action {
 			if a.Kind == Nack || a.Kind == Abort || a.Kind == Answer {
 				return nil
 			}
@@ -67,14 +67,14 @@
 		"drain": turn(func(e *env, h *host) bool {
 			return h.toldAt > 0 && e.now > h.toldAt+e.set.Rules.DrainGrace
 		}),
-		"cold": turn(func(e *env, h *host) bool { return h.told > 0 && h.toldAt == 0 }),
-		"honest": func(e *env, a Action) []Action {
+		"cold": turn(func(_ *env, h *host) bool { return h.told > 0 && h.toldAt == 0 }),
+		"honest": func(_ *env, a Action) []Action {
 			if a.Kind == Nack || a.Kind == Abort {
 				a.Kind = Answer
 			}
 			return []Action{a}
 		},
-		"whole": func(e *env, a Action) []Action {
+		"whole": func(_ *env, a Action) []Action {
 			a.Whole = true
 			return []Action{a}
 		},
@@ -409,9 +409,10 @@
 func TestSearcherIsAskedAgainAfterSilence(t *testing.T) {
 	s := alone(t)
 	s.take(60, 1)
-	answer, x := TimedOut, s.m.searchers[1]
+	x := s.m.searchers[1]
 	for i := range 400 {
-		if answer = TimedOut; i > 300 {
+		answer := TimedOut
+		if i > 300 {
 			answer = Answered
 		}
 		for _, a := range only(Probe, s.tick(0.05)) {
--- a/policy/types.go
+++ b/policy/types.go
@@ -9,23 +9,36 @@
 
 // Each kind of id is a type of its own. Ids carry no meaning beyond identity.
 type (
-	LookupID   uint64
-	LookupNo   int64
-	PartID     uint64
+	// LookupID names a lookup.
+	LookupID uint64
+	// LookupNo numbers the lookups of a client.
+	LookupNo int64
+	// PartID names a part of a lookup.
+	PartID uint64
+	// SearcherID names a searcher.
 	SearcherID uint32
-	IndexID    int
+	// IndexID names an index.
+	IndexID int
+	// CustomerID names a customer.
 	CustomerID int
+	// LocationID names a location.
 	LocationID int
-	ShardID    int
-	CellID     int
-	CallNo     int
-	MixerNo    int
-	TimerID    int
+	// ShardID names a shard.
+	ShardID int
+	// CellID names a cell of the layout of shards on searchers.
+	CellID int
+	// CallNo numbers the calls of a part.
+	CallNo int
+	// MixerNo numbers the mixers.
+	MixerNo int
+	// TimerID names a timer.
+	TimerID int
 )
 
 // Effect tells what running a part twice would do.
 type Effect uint8
 
+// The effects.
 const (
 	Idempotent Effect = iota
 	Fingerprinted
@@ -97,6 +110,7 @@
 // EventKind names what happened.
 type EventKind uint8
 
+// The kinds of events, each with the fields that count for it.
 const (
 	ListChanged      EventKind = iota // List, Searchers
 	LookupTaken                       // Lookup, No, Index, Customer, Left, Hint, Parts, Resent
@@ -113,6 +127,7 @@
 // Outcome is how a part call or a probe ended.
 type Outcome uint8
 
+// The outcomes.
 const (
 	Answered Outcome = iota
 	Errored
@@ -127,6 +142,7 @@
 // ListKind tells what a list event holds.
 type ListKind uint8
 
+// The kinds of list events.
 const (
 	ListPatch ListKind = iota
 	ListWhole
@@ -137,6 +153,7 @@
 // Phase is what the list says of a searcher.
 type Phase uint8
 
+// The phases.
 const (
 	Ready Phase = iota
 	Draining
@@ -163,6 +180,7 @@
 // LoadField is a bit for each field of a Load.
 type LoadField uint8
 
+// The fields that a Load may state.
 const (
 	HasInHand LoadField = 1 << iota
 	HasWaiting
@@ -261,6 +279,7 @@
 // ActionKind names what to do.
 type ActionKind uint8
 
+// The kinds of actions, each with the fields that count for it.
 const (
 	Send      ActionKind = iota // Part, Searcher, StopAt, BeginBy
 	Withdraw                    // Part, Call
