--- /dev/null
+++ b/internal/controlplane/feed/wire_test.go
@@ -0,0 +1,35 @@
+package feed
+
+import (
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/goldentest"
+)
+
+// TestWireForms pins the encoded forms of the types that leave the process.
+func TestWireForms(t *testing.T) {
+	goldentest.Check(t, goldentest.MessagePack,
+		goldentest.Form{Name: "leader", Value: new(Leader)},
+		goldentest.Form{Name: "digest", Value: new(Digest)},
+		goldentest.Form{Name: "snapshot", Value: new(Snapshot)},
+		goldentest.Form{Name: "offer", Value: new(Offer)},
+		goldentest.Form{Name: "parts request", Value: new(ChunksRequest)},
+		goldentest.Form{Name: "parts reply", Value: new(ChunksReply)},
+		goldentest.Form{Name: "watch", Value: new(Watch)},
+		goldentest.Form{Name: "watch reply", Value: new(WatchReply)},
+		goldentest.Form{Name: "exchange", Value: new(Exchange)},
+		goldentest.Form{Name: "heard", Value: new(Heard)},
+		goldentest.Form{Name: "front", Value: new(Front)},
+	)
+}
+
+// TestWireConstants pins the constants that leave the process.
+func TestWireConstants(t *testing.T) {
+	goldentest.CheckConstants(t,
+		goldentest.Constant{Have: WatchCall.Path(), Want: "/feed/watch"},
+		goldentest.Constant{Have: ExchangeCall.Path(), Want: "/feed/exchange"},
+		goldentest.Constant{Have: ChunksCall.Path(), Want: "/feed/parts"},
+		goldentest.Constant{Have: LocalCall.Path(), Want: "/feed/local"},
+		goldentest.Constant{Have: FrontCall.Path(), Want: "/feed/front"},
+	)
+}
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -25,6 +25,8 @@
 	seed uint64
 	// faults strike while the load runs. It returns once all that it made is over.
 	faults func(ctx context.Context, s *system) error
+	// prepare changes the system before it starts; nil for nothing.
+	prepare func(s *system)
 }
 
 const (
@@ -59,6 +61,9 @@
 	if err != nil {
 		return outcome{failures: []error{err}}
 	}
+	if sc.prepare != nil {
+		sc.prepare(s)
+	}
 	var result outcome
 	began := time.Now()
 	func() {
@@ -197,7 +202,7 @@
 	return result
 }
 
-// awaitLeader waits until a core machine has told a service's searchers something.
+// awaitLeader waits until a core machine has told a service's workers something.
 func (s *system) awaitLeader(ctx context.Context, service string) error {
 	for s.leaderOf(service) == nil {
 		if err := pause(ctx, retryPause); err != nil {
@@ -207,9 +212,9 @@
 	return nil
 }
 
-// leaderOf is the core machine that last told a service's searchers anything.
+// leaderOf is the core machine that last told a service's workers anything.
 func (s *system) leaderOf(service string) *machine {
-	for _, one := range s.searchers {
+	for _, one := range s.workers {
 		if one.fact.Service != service {
 			continue
 		}
