--- a/internal/controlplane/fleet/ask.go
+++ b/internal/controlplane/fleet/ask.go
@@ -24,7 +24,7 @@
 	fault := failpoint.Pass(failpoint.AskGranter)
 	for range fault.Times() {
 		if to == f.set.Self {
-			f.granted_(to, f.answered(to, a))
+			f.takeGrant(to, f.answered(to, a))
 		} else {
 			f.send(to, messageAsk, a)
 		}
@@ -46,9 +46,9 @@
 	return f.leader
 }
 
-// granted_ takes an answer. It counts from when we asked, however long it took: so a granter that stood still, and
+// takeGrant takes an answer. It counts from when we asked, however long it took: so a granter that stood still, and
 // messages that were held up, lengthen nothing.
-func (f *Fleet) granted_(from membership.Name, g *granting) {
+func (f *Fleet) takeGrant(from membership.Name, g *granting) {
 	i := slices.IndexFunc(f.asked, func(o out) bool { return o.no == g.No && o.to == from })
 	if i < 0 {
 		f.count.Add("fleet_dropped", "unasked", 1)
--- a/internal/controlplane/fleet/command.go
+++ b/internal/controlplane/fleet/command.go
@@ -84,10 +84,10 @@
 		return f.set.Site.Check(c.Contract.Tenant, c.Contract.Contract)
 	case c.Quota != nil && c.Quota.Quota != nil:
 		if !slices.Contains(f.set.Site.Tenants, string(c.Quota.Tenant)) {
-			return fmt.Errorf("tenant %q is none that the settings know, expected one of %q", c.Quota.Tenant, f.set.Site.Tenants)
+			return invalid("tenant %q is none that the settings know, expected one of %q", c.Quota.Tenant, f.set.Site.Tenants)
 		}
-		if wrong, _ := c.Quota.Quota.Check(len(f.set.Roster.Members)); wrong != "" {
-			return errors.New(wrong)
+		if fault, _ := c.Quota.Quota.Check(len(f.set.Roster.Members)); fault != "" {
+			return ValidationError(fault)
 		}
 	}
 	return nil
@@ -100,7 +100,7 @@
 	case err != nil:
 		c.reply <- answer{result: Result{Wrong: err.Error()}}
 	case len(f.waiting) >= mostWaiting:
-		c.reply <- answer{err: errors.New("too many commands wait")}
+		c.reply <- answer{err: errTooManyCommands}
 	default:
 		f.askNo++
 		c.No, c.until, c.again = f.askNo, f.now+commandWait, f.now
@@ -237,7 +237,7 @@
 func (f *Fleet) refuseAll(why string) {
 	for _, c := range f.waiting {
 		if c.from == "" {
-			c.reply <- answer{err: errors.New(why)}
+			c.reply <- answer{err: RefusedError(why)}
 		}
 	}
 	f.waiting = nil
--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -7,7 +7,6 @@
 package consensus
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -89,7 +88,7 @@
 // New makes a voter from what its directory held.
 func New(self membership.Name, voters []membership.Name, kept Kept) (*Machine, error) {
 	if kept.ID == 0 {
-		return nil, errors.New("the directory has no number")
+		return nil, errNoNumber
 	}
 	m := &Machine{self: self, names: slices.Sorted(slices.Values(voters)), id: kept.ID, mem: raft.NewMemoryStorage(),
 		heard: map[membership.Name]uint64{}, found: map[membership.Name]uint64{}, conf: &pb.ConfState{}, unconfirmed: map[uint64]int{}}
@@ -103,7 +102,7 @@
 func (m *Machine) start(kept Kept) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			m.node, err = nil, fmt.Errorf("the directory: %v", p)
+			m.node, err = nil, directoryError{p}
 		}
 	}()
 	if kept.Snapshot != nil {
@@ -115,7 +114,9 @@
 		}
 	}
 	if kept.Hard != nil {
-		m.mem.SetHardState(kept.Hard)
+		if err := m.mem.SetHardState(kept.Hard); err != nil {
+			return err
+		}
 	}
 	if err := m.mem.Append(kept.Entries); err != nil {
 		return err
@@ -154,6 +155,7 @@
 	return m.node.BasicStatus().GetTerm()
 }
 
+// Leader is the voter that leads, as far as this one knows; "" for none.
 func (m *Machine) Leader() membership.Name {
 	if m.node == nil {
 		return ""
@@ -203,7 +205,7 @@
 		m.heard[from] = msg.GetFrom()
 	}
 	if m.name(msg.GetFrom()) != from {
-		return fmt.Errorf("%s speaks as %x, which is another voter's", from, msg.GetFrom())
+		return impostorError{from, msg.GetFrom()}
 	}
 	return m.node.Step(msg)
 }
@@ -211,7 +213,7 @@
 // Propose asks the council for a command. Whether it acts shows in a Result; it may get lost.
 func (m *Machine) Propose(c *Command) error {
 	if !m.Leads() {
-		return errors.New("this mixer does not lead the council")
+		return ErrNotLeader
 	}
 	return m.node.Propose(encoded(c))
 }
@@ -259,7 +261,9 @@
 		r.News = true
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
-		m.mem.SetHardState(rd.HardState)
+		if err := m.mem.SetHardState(rd.HardState); err != nil {
+			return r, err
+		}
 	}
 	if err := m.mem.Append(rd.Entries); err != nil {
 		return r, err
--- /dev/null
+++ b/internal/controlplane/fleet/consensus/errors.go
@@ -0,0 +1,38 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
+)
+
+// ErrNotLeader is the error of a proposal at a voter that does not lead.
+var ErrNotLeader = errors.New("this mixer does not lead the council")
+
+var errNoNumber = errors.New("the directory has no number")
+
+// directoryError is a panic of the library over what a directory holds.
+type directoryError struct{ value any }
+
+func (e directoryError) Error() string { return fmt.Sprintf("the directory: %v", e.value) }
+
+// impostorError names a member that speaks under the number of another voter.
+type impostorError struct {
+	from   membership.Name
+	number uint64
+}
+
+func (e impostorError) Error() string {
+	return fmt.Sprintf("%s speaks as %x, which is another voter's", e.from, e.number)
+}
+
+// staleTableError says that a table of a file is not newer than the one that is held.
+type staleTableError struct {
+	table       string
+	found, held uint64
+}
+
+func (e staleTableError) Error() string {
+	return fmt.Sprintf("%s: version %d is not above %d, which is held", e.table, e.found, e.held)
+}
--- a/internal/controlplane/fleet/consensus/founding.go
+++ b/internal/controlplane/fleet/consensus/founding.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"errors"
 	"slices"
 	"strings"
 
@@ -106,7 +107,7 @@
 	if i >= 0 {
 		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: &remove, NodeId: proto.Uint64(m.state.Voters[i].ID)})
 	}
-	if err := m.node.ProposeConfChange(cc); err != nil && err != raft.ErrProposalDropped {
+	if err := m.node.ProposeConfChange(cc); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
 		return // another change is on its way; it says so again
 	}
 }
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"maps"
 	"slices"
 
@@ -141,7 +140,7 @@
 	switch {
 	case f.ContractsVersion == 0:
 	case f.ContractsVersion <= s.FileContracts:
-		wrong = fmt.Errorf("contracts: version %d is not above %d, which is held", f.ContractsVersion, s.FileContracts)
+		wrong = staleTableError{"contracts", uint64(f.ContractsVersion), uint64(s.FileContracts)}
 	default:
 		s.FileContracts = f.ContractsVersion
 		s.Contracts = residency.Table{Version: residency.Version(index), Contracts: f.Contracts}
@@ -149,7 +148,7 @@
 	switch {
 	case f.QuotasVersion == 0:
 	case f.QuotasVersion <= s.FileQuotas:
-		wrong = errors.Join(wrong, fmt.Errorf("quotas: version %d is not above %d, which is held", f.QuotasVersion, s.FileQuotas))
+		wrong = errors.Join(wrong, staleTableError{"quotas", uint64(f.QuotasVersion), uint64(s.FileQuotas)})
 	default:
 		s.FileQuotas, s.QuotasAt, s.Quotas = f.QuotasVersion, QuotasVersion(index), map[quota.Tenant]quota.Quota{}
 		for tenant, q := range f.Quotas {
--- a/internal/controlplane/fleet/failpoint/failpoint.go
+++ b/internal/controlplane/fleet/failpoint/failpoint.go
@@ -6,6 +6,7 @@
 // Point is a place in the code. Its number stays its own: tests and results name it.
 type Point uint8
 
+// The places; Names says what happens at each.
 const (
 	SendDatagram Point = 1 + iota
 	TakeDatagram
--- a/internal/controlplane/fleet/failuredetector/failuredetector.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -18,6 +18,7 @@
 // Status is what is held of another mixer.
 type Status uint8
 
+// The states of a member.
 const (
 	Alive Status = 1 << iota
 	Suspect
@@ -34,6 +35,7 @@
 // Seq names a probe.
 type Seq uint64
 
+// The kinds of messages.
 const (
 	Ping    What = iota // answer me
 	Ack                 // I live; or, with a Target, that one does
@@ -88,7 +90,7 @@
 // errand is a probe for another mixer.
 type errand struct {
 	seq   Seq // our own
-	for_  membership.Name
+	asker membership.Name
 	their Seq
 	to    membership.Name
 	nack  float64 // when to say that there is no answer
@@ -176,7 +178,7 @@
 	}
 	for i := range m.errands {
 		if e := &m.errands[i]; e.nack <= now {
-			m.send(e.for_, Message{What: Nack, Seq: e.their})
+			m.send(e.asker, Message{What: Nack, Seq: e.their})
 			e.nack = math.Inf(1)
 		}
 	}
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -85,7 +85,7 @@
 		}
 		for i, e := range m.errands {
 			if e.seq == msg.Seq && e.to == from {
-				m.send(e.for_, Message{What: Ack, Seq: e.their, Target: e.to})
+				m.send(e.asker, Message{What: Ack, Seq: e.their, Target: e.to})
 				m.errands = slices.Delete(m.errands, i, i+1)
 				return
 			}
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -89,7 +89,7 @@
 	holder     *quota.Holder
 	granter    *quota.Granter
 	spread     *residency.Spread
-	store_     *outlier.Store
+	outliers   *outlier.Store
 	lease      *residency.Lease
 	table      *residency.Table
 	quotas     map[quota.Tenant]quota.Quota
@@ -201,7 +201,7 @@
 		return err
 	}
 	f.members = failuredetector.New(failuredetector.Defaults(), f.set.Self, failuredetector.Incarnation(incarnation), f.others, f.set.Seed, f.now)
-	f.store_ = outlier.NewStore(f.set.Self, f.others, f.set.Seed^0x5bd1e995)
+	f.outliers = outlier.NewStore(f.set.Self, f.others, f.set.Seed^0x5bd1e995)
 	f.version = outlier.Version(incarnation)
 	if kept.Table != nil {
 		f.table, f.has.Contracts = kept.Table, kept.Table.Version
--- a/internal/controlplane/fleet/judgements.go
+++ b/internal/controlplane/fleet/judgements.go
@@ -18,18 +18,18 @@
 	}
 	f.version++
 	r := outlier.Make(f.set.Self, f.version, seen)
-	f.store_.Hear(f.now, &r)
+	f.outliers.Hear(f.now, &r)
 }
 
 func (f *Fleet) reported(_ membership.Name, r *reports) {
 	for i := range r.List {
-		f.store_.Hear(f.now, &r.List[i])
+		f.outliers.Hear(f.now, &r.List[i])
 	}
 }
 
 func (f *Fleet) pass() {
 	alive := func(name membership.Name) bool { return f.members.Status(name) != failuredetector.Dead }
-	to, list := f.store_.Pass(f.now, alive, mostReports)
+	to, list := f.outliers.Pass(f.now, alive, mostReports)
 	if len(list) == 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 func (f *Fleet) judge() {
 	var list []outlier.Judgement
 	if !f.members.Deaf() && !failpoint.Pass(failpoint.JudgeSearchers).Drop {
-		list = f.store_.Judge(f.now, f.holders)
+		list = f.outliers.Judge(f.now, f.holders)
 	}
 	var tell []aggregator.Judged
 	for _, j := range list {
--- a/internal/controlplane/fleet/membership/membership.go
+++ b/internal/controlplane/fleet/membership/membership.go
@@ -26,9 +26,11 @@
 }
 
 const (
-	// FewestVoters and MostVoters: with fewer no voter may fail, with more each decision waits for more disks than it
-	// gains in safety (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4).
-	FewestVoters, MostVoters = 3, 7
+	// FewestVoters is how many a council has at the least: with fewer no voter may fail.
+	FewestVoters = 3
+	// MostVoters is how many it has at most: with more each decision waits for more disks than it gains in safety
+	// (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4).
+	MostVoters = 7
 	// most mixers: far over any fleet asked for, so that a file's slip does not size tables.
 	most = 4096
 )
--- a/internal/controlplane/fleet/outlier/outlier.go
+++ b/internal/controlplane/fleet/outlier/outlier.go
@@ -16,11 +16,11 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// Searcher is one by its name in the list; Version counts the reports of one origin, across its incarnations.
-type (
-	Searcher string
-	Version  uint64
-)
+// Searcher is one by its name in the list.
+type Searcher string
+
+// Version counts the reports of one origin, across its incarnations.
+type Version uint64
 
 // Seen is what one mixer saw of one searcher of late.
 type Seen struct {
@@ -90,11 +90,13 @@
 // Observed counts what a mixer sees itself. The module's actor uses it.
 type Observed struct{ tallies map[Searcher]*tally }
 
+// NewObserved has counted nothing yet.
 func NewObserved() *Observed { return &Observed{map[Searcher]*tally{}} }
 
 // End is how a call ended, as far as it says something of its searcher.
 type End uint8
 
+// The ends of a call.
 const (
 	Answered End = iota
 	Failed
--- a/internal/controlplane/fleet/quota/quota.go
+++ b/internal/controlplane/fleet/quota/quota.go
@@ -17,11 +17,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// Tenant is one by its name; GrantNo names a grant of one granter to one mixer.
-type (
-	Tenant  string
-	GrantNo uint64
-)
+// Tenant is one by its name.
+type Tenant string
+
+// GrantNo names a grant of one granter to one mixer.
+type GrantNo uint64
 
 // Quota is what a tenant may have of all mixers together, in lookups.
 type Quota struct {
@@ -33,9 +33,10 @@
 const (
 	// ClockSlack is by how much the rates of two mixers' clocks may differ.
 	ClockSlack = 0.01
-	// Slower and Longer make up for it: what fills does so by a clock that may run fast, and what was handed out ends
-	// at the granter by a clock that may, at a mixer by one that may run slow.
+	// Slower makes up for it where something fills: it does so by a clock that may run fast.
 	Slower = 1 / (1 + ClockSlack)
+	// Longer makes up for it where something was handed out: that ends at the granter by a clock that may run fast, at a mixer by one
+	// that may run slow.
 	Longer = (1 + ClockSlack) / (1 - ClockSlack)
 	// full is the part of a second that a burst has to cover for a rate to be used in full: some askings and the news
 	// of what was spent.
--- a/internal/controlplane/fleet/receive.go
+++ b/internal/controlplane/fleet/receive.go
@@ -64,7 +64,7 @@
 		},
 		messageIntro:   handled((*Fleet).introduced),
 		messageAsk:     handled((*Fleet).answer),
-		messageGrant:   handled((*Fleet).granted_),
+		messageGrant:   handled((*Fleet).takeGrant),
 		messageReports: handled((*Fleet).reported),
 		messageCommand: handled((*Fleet).handed),
 		messageResult:  handled((*Fleet).handedBack),
--- /dev/null
+++ b/internal/controlplane/fleet/residency/errors.go
@@ -0,0 +1,12 @@
+package residency
+
+import "fmt"
+
+// ContractError says what is wrong with a contract, and what was expected.
+type ContractError string
+
+func (e ContractError) Error() string { return string(e) }
+
+func invalid(format string, arguments ...any) error {
+	return ContractError(fmt.Sprintf(format, arguments...))
+}
--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -4,7 +4,6 @@
 package residency
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 
@@ -55,18 +54,18 @@
 func (s *Site) Check(tenant Tenant, c *Contract) error {
 	switch {
 	case !slices.Contains(s.Tenants, string(tenant)):
-		return fmt.Errorf("tenant %q is none that the settings know, expected one of %q", tenant, s.Tenants)
+		return invalid("tenant %q is none that the settings know, expected one of %q", tenant, s.Tenants)
 	case len(c.Zones) == 0:
-		return fmt.Errorf("tenant %q has no zone, expected one at the least", tenant)
+		return invalid("tenant %q has no zone, expected one at the least", tenant)
 	}
 	for _, z := range c.Zones {
 		if !slices.Contains(s.Zones, z) {
-			return fmt.Errorf("zone %q of tenant %q is none that the settings know, expected some of %q", z, tenant, s.Zones)
+			return invalid("zone %q of tenant %q is none that the settings know, expected some of %q", z, tenant, s.Zones)
 		}
 	}
 	for _, x := range c.Indexes {
 		if !slices.Contains(s.Indexes, x) {
-			return fmt.Errorf("index %q of tenant %q is none that the settings know, expected some of %q", x, tenant, s.Indexes)
+			return invalid("index %q of tenant %q is none that the settings know, expected some of %q", x, tenant, s.Indexes)
 		}
 	}
 	return nil
--- a/internal/controlplane/fleet/sealedmessage/sealedmessage.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage.go
@@ -37,9 +37,10 @@
 	macSize  = 16
 	// Overhead is what sealing adds to a body.
 	Overhead = headSize + macSize
-	// MostDatagram is what goes as a datagram: under the least MTU of IPv6, less heads. MostLong bounds the rest: some
-	// 10,000 contracts of 200 bytes.
-	MostDatagram, MostLong = 1200, 2 << 20
+	// MostDatagram is what goes as a datagram: under the least MTU of IPv6, less heads.
+	MostDatagram = 1200
+	// MostLong bounds the rest: some 10,000 contracts of 200 bytes.
+	MostLong = 2 << 20
 	// windowWords x 64 numbers behind the highest are known to have come or not; those before are taken for replayed.
 	windowWords = 16
 )
@@ -47,6 +48,7 @@
 // Why tells why a message was not opened.
 type Why uint8
 
+// The reasons.
 const (
 	Good         Why = iota
 	OtherVersion     // than ours
@@ -111,7 +113,7 @@
 	allow  *rate.Limiter
 }
 
-// Book seals and opens for one mixer.
+// Sealer seals and opens for one mixer.
 type Sealer struct {
 	self        uint64
 	incarnation Incarnation
@@ -122,13 +124,20 @@
 
 func id(name membership.Name) uint64 { return xxh3.HashString(string(name)) }
 
+// SameHashError is a name whose hash is another one's too: messages could not tell the two apart.
+type SameHashError membership.Name
+
+func (e SameHashError) Error() string {
+	return fmt.Sprintf("the name %q looks like another one: expected a name with another hash", string(e))
+}
+
 // New makes the sealer of a mixer and the others of its roster.
 func New(self membership.Name, incarnation Incarnation, key [KeyBytes]byte, others []membership.Name, lim Limits) (*Sealer, error) {
 	s := &Sealer{self: id(self), incarnation: incarnation, key: key, byName: map[membership.Name]*peer{}, byID: map[uint64]*peer{}}
 	for _, name := range others {
 		p := &peer{name: name, id: id(name), allow: rate.NewLimiter(rate.Limit(lim.BytesPerS), int(lim.Burst))}
 		if other := s.byID[p.id]; other != nil || p.id == s.self {
-			return nil, fmt.Errorf("the name %q looks like another one: expected a name with another hash", name)
+			return nil, SameHashError(name)
 		}
 		s.byName[name], s.byID[p.id] = p, p
 	}
--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -44,13 +44,14 @@
 // ContractLine and QuotaLine are the keys of a tenant's.
 func ContractLine(t quota.Tenant) string { return "contract " + string(t) }
 
+// QuotaLine is the key of the line of a tenant's quota.
 func QuotaLine(t quota.Tenant) string { return "quota " + string(t) }
 
 // Check tells what settings and file say against each other, each with its line of the file.
 func (s *Settings) Check() error {
-	var wrong []error
+	var faults []error
 	say := func(key, format string, args ...any) {
-		wrong = append(wrong, fmt.Errorf("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
+		faults = append(faults, invalid("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
 	}
 	me := s.Roster.Find(s.Self)
 	switch {
@@ -83,7 +84,7 @@
 			say(LineStrict, "contracts.strict: tenant %q is none that the settings know, expected some of %q or \"*\"", tenant, s.Site.Tenants)
 		}
 	}
-	return errors.Join(wrong...)
+	return errors.Join(faults...)
 }
 
 func (s *Settings) strict(tenant quota.Tenant) bool {
--- a/internal/controlplane/fleet/show.go
+++ b/internal/controlplane/fleet/show.go
@@ -77,7 +77,7 @@
 	for _, name := range f.others {
 		s.Members = append(s.Members, ShownMember{name, f.members.Status(name).String(), f.now - f.members.HeardAt(name)})
 	}
-	s.Reports = f.store_.Heard(f.now)
+	s.Reports = f.outliers.Heard(f.now)
 	for name, at := range f.judged {
 		s.Judged = append(s.Judged, shownJudgement{string(name), f.now - at})
 	}
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -4,7 +4,6 @@
 	"crypto/rand"
 	"encoding/binary"
 	"errors"
-	"fmt"
 
 	"go.uber.org/zap"
 
@@ -22,7 +21,7 @@
 func (f *Fleet) safely(do func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			f.mute(fmt.Errorf("the council's library gave up: %v", p))
+			f.mute(panicError{p})
 		}
 	}()
 	do()
