--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -19,6 +19,7 @@
 	known    map[[2]string]prometheus.Gauge
 }
 
+// New makes a set with a registry of its own, in which nothing is counted yet.
 func New() *Set {
 	s := &Set{registry: prometheus.NewRegistry(), known: map[[2]string]prometheus.Gauge{}, all: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "puffinlink",
 		Help: "What the mixer counts, by name and reason."}, []string{"name", "reason"})}
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -11,6 +11,7 @@
 	ready chan struct{}
 }
 
+// New makes an empty queue.
 func New[T any]() *Queue[T] { return &Queue[T]{ready: make(chan struct{}, 1)} }
 
 // Put adds items behind all that wait. Those of one call are taken together.
--- a/internal/jsonc/jsonc.go
+++ b/internal/jsonc/jsonc.go
@@ -16,7 +16,7 @@
 func Decode(text []byte, into any) error {
 	plain, err := hujson.Standardize(bytes.Clone(text))
 	if err != nil {
-		return fmt.Errorf(" %s", strings.TrimPrefix(err.Error(), "hujson: "))
+		return SyntaxError(strings.TrimPrefix(err.Error(), "hujson: "))
 	}
 	d := json.NewDecoder(bytes.NewReader(plain))
 	d.DisallowUnknownFields()
@@ -26,10 +26,10 @@
 	at := d.InputOffset()
 	if t := (*json.UnmarshalTypeError)(nil); errors.As(err, &t) {
 		at = t.Offset
-		err = fmt.Errorf("%s is a %s, expected %s", t.Field, t.Value, t.Type)
+		err = TypeError{t.Field, t.Value, t.Type.String()}
 	} else if _, name, is := strings.Cut(err.Error(), "unknown field "); is { // the decoder stands behind its object
 		at = int64(max(0, bytes.Index(plain, []byte(name))))
-		err = fmt.Errorf("%s is not known", name)
+		err = UnknownKeyError(name)
 	}
 	return fmt.Errorf("%d: %w", 1+bytes.Count(plain[:min(int(at), len(plain))], []byte{'\n'}), err)
 }
--- a/internal/leaktest/leaktest.go
+++ b/internal/leaktest/leaktest.go
@@ -31,13 +31,20 @@
 	os.Exit(code)
 }
 
+// leftOpenError says that tests have left descriptors open.
+type leftOpenError struct{ open, before int }
+
+func (e leftOpenError) Error() string {
+	return fmt.Sprintf("%d descriptors are open, expected the %d before the tests", e.open, e.before)
+}
+
 func left(before int, patience time.Duration, options []goleak.Option) error {
 	if err := goleak.Find(options...); err != nil {
 		return err
 	}
 	for late := time.Now().Add(patience); descriptors() > before; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(late) {
-			return fmt.Errorf("%d descriptors are open, expected the %d before the tests", descriptors(), before)
+			return leftOpenError{descriptors(), before}
 		}
 	}
 	return nil
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -50,7 +50,7 @@
 	server := &Server{registry: registry, listener: listener, http: &http.Server{
 		Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, ErrorLog: zap.NewStdLog(log),
 	}}
-	go server.http.Serve(listener)
+	go func() { _ = server.http.Serve(listener) }() // until Close
 	log.Info("metrics are served", zap.Stringer("address", listener.Addr()))
 	return server, nil
 }
--- a/internal/nodesettings/parse.go
+++ b/internal/nodesettings/parse.go
@@ -41,7 +41,7 @@
 func Load() (Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
-		return Settings{}, fmt.Errorf("%s is not set: set it to the path of the settings file", PathVariable)
+		return Settings{}, errNotSet
 	}
 	return LoadFile(path)
 }
@@ -135,7 +135,7 @@
 	case reflect.Float64:
 		return setNumber(field, value)
 	default:
-		return fmt.Errorf("fields of type %v are not supported", field.Type())
+		return unsupportedTypeError{field.Type()}
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 func setBool(field reflect.Value, value string) error {
 	parsed, err := strconv.ParseBool(value)
 	if err != nil {
-		return errors.New("want true or false")
+		return want("want true or false")
 	}
 	field.SetBool(parsed)
 	return nil
@@ -162,7 +162,7 @@
 func setInteger(field reflect.Value, value string) error {
 	parsed, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		return errors.New("want a whole number")
+		return want("want a whole number")
 	}
 	field.SetInt(parsed)
 	return nil
@@ -180,7 +180,7 @@
 func parseNumber(value string) (float64, error) {
 	parsed, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(parsed) || math.IsInf(parsed, 0) {
-		return 0, errors.New("want a number")
+		return 0, want("want a number")
 	}
 	return parsed, nil
 }
@@ -199,7 +199,7 @@
 	}
 	nanoseconds := number * float64(scale)
 	if math.Abs(nanoseconds) > float64(longest) {
-		return 0, fmt.Errorf("want a time of at most %v", longest)
+		return 0, want("want a time of at most %v", longest)
 	}
 	return time.Duration(math.Round(nanoseconds)), nil
 }
@@ -222,7 +222,7 @@
 	var faults []error
 	for _, fault := range found {
 		key, _, _ := strings.Cut(fault.Field(), "[") // a fault in a list is reported as key[index]
-		faults = append(faults, &KeyError{key, text(values, key, ""), errors.New(remedy(fault))})
+		faults = append(faults, &KeyError{key, text(values, key, ""), ExpectationError(remedy(fault))})
 	}
 	return errors.Join(faults...)
 }
--- a/internal/nodesettings/ports.go
+++ b/internal/nodesettings/ports.go
@@ -1,7 +1,6 @@
 package nodesettings
 
 import (
-	"fmt"
 	"strconv"
 	"strings"
 )
@@ -20,7 +19,7 @@
 func (r *PortRange) UnmarshalText(text []byte) error {
 	firstText, lastText, found := strings.Cut(string(text), ",")
 	if !found {
-		return fmt.Errorf("want two ports, as in 7660,7675")
+		return want("want two ports, as in 7660,7675")
 	}
 	first, err := parsePort(firstText)
 	if err != nil {
@@ -31,7 +30,7 @@
 		return err
 	}
 	if last-first+1 < minimumPorts {
-		return fmt.Errorf("%d to %d are fewer than %d ports", first, last, minimumPorts)
+		return want("%d to %d are fewer than %d ports", first, last, minimumPorts)
 	}
 	*r = PortRange{First: first, Last: last}
 	return nil
@@ -40,7 +39,7 @@
 func parsePort(text string) (int, error) {
 	port, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || port < 1 || port > highestPort {
-		return 0, fmt.Errorf("%q is not a port, want 1 to %d", text, highestPort)
+		return 0, want("%q is not a port, want 1 to %d", text, highestPort)
 	}
 	return port, nil
 }
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -29,6 +29,8 @@
 	contentTypeJSON = "application/json"
 )
 
+var errTooManyRedirects = errors.New("too many redirects")
+
 // Client asks nodes.
 type Client struct {
 	Addresses []string // control addresses, host:port, tried in turn
@@ -173,7 +175,7 @@
 		}
 		target = next
 	}
-	return Answer{}, errors.New("too many redirects")
+	return Answer{}, errTooManyRedirects
 }
 
 // send makes one call; next is where a redirect leads.
--- a/internal/operatorclient/client_test.go
+++ b/internal/operatorclient/client_test.go
@@ -117,7 +117,7 @@
 }
 
 func TestNoAnswer(t *testing.T) {
-	mute := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	mute := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	cases := []struct {
 		name    string
 		method  string
--- a/internal/systemtest/builds_test.go
+++ b/internal/systemtest/builds_test.go
@@ -378,7 +378,7 @@
 
 // checkJob checks that a job has not gone back in its life, and goes on to the end that it should have.
 func (u *upgrade) checkJob(ctx context.Context, plan jobPlan) error {
-	answer, err := u.eventually(ctx, u.random, http.MethodGet, plan.path(), nil, func(status int) bool { return isClear(status) })
+	answer, err := u.eventually(ctx, u.random, http.MethodGet, plan.path(), nil, isClear)
 	if err != nil || answer.Status != http.StatusOK {
 		return fmt.Errorf("job %s was known, and the front tells %d %s (%w)", plan.id, answer.Status, answer.Answer, err)
 	}
--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -76,7 +77,7 @@
 func (c *checker) takeOrders() {
 	for i := range c.Orders {
 		order := &c.Orders[i]
-		if order.Method != "PUT" {
+		if order.Method != http.MethodPut {
 			continue
 		}
 		change := c.changeOf(order)
@@ -123,7 +124,7 @@
 		}
 	}
 	for i := range c.Orders {
-		if c.Orders[i].Method == "PUT" {
+		if c.Orders[i].Method == http.MethodPut {
 			c.checkResent(&c.Orders[i])
 		} else {
 			c.checkReadBack(&c.Orders[i])
--- a/internal/systemtest/checker/ends.go
+++ b/internal/systemtest/checker/ends.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 )
 
@@ -9,7 +10,7 @@
 func (c *checker) checkJobs() {
 	for i := range c.Requests {
 		request := &c.Requests[i]
-		if j := c.jobs[jobID(request.Path)]; j != nil && j.submitted && request.Method == "GET" {
+		if j := c.jobs[jobID(request.Path)]; j != nil && j.submitted && request.Method == http.MethodGet {
 			c.checkStatus(j, request)
 		}
 	}
@@ -64,10 +65,10 @@
 
 // unfinished names a step that is not done; empty when all are.
 func (c *checker) unfinished(j *jobRecord, by time.Time) string {
-	for time_ := range j.spec.times() {
+	for repetition := range j.spec.times() {
 		for number := range j.spec.Stages {
-			if !c.stageDone(j, time_, number, by) {
-				return fmt.Sprintf("step %d of time %d", number, time_)
+			if !c.stageDone(j, repetition, number, by) {
+				return fmt.Sprintf("step %d of time %d", number, repetition)
 			}
 		}
 	}
@@ -77,11 +78,11 @@
 // exhausted tells whether a task, or all members of a gang together, have failed as often as they may.
 func (c *checker) exhausted(j *jobRecord, by time.Time) bool {
 	least, _ := c.attempts(j)
-	for time_ := range j.spec.times() {
+	for repetition := range j.spec.times() {
 		for number, stage := range j.spec.Stages {
 			gang := map[uint64]bool{}
 			for index := range stage.Count {
-				failed := c.failedRuns(task{j.id, time_, number, index}, by)
+				failed := c.failedRuns(task{j.id, repetition, number, index}, by)
 				if !stage.GangScheduled {
 					gang = map[uint64]bool{}
 				}
@@ -135,7 +136,7 @@
 	last, answered := "", false
 	for i := range c.Requests {
 		request := &c.Requests[i]
-		if request.Method != "GET" || jobID(request.Path) != j.id || !success(request.Status) && request.Status != statusGone {
+		if request.Method != http.MethodGet || jobID(request.Path) != j.id || !success(request.Status) && request.Status != statusGone {
 			continue
 		}
 		answered = answered || !request.SentAt.Before(c.EndedAt)
--- a/internal/systemtest/checker/inforce.go
+++ b/internal/systemtest/checker/inforce.go
@@ -43,8 +43,8 @@
 			continue
 		}
 		at := incarnation{request.Machine, request.Incarnation}
-		lowest, highest, any := c.agreeing(request, seen)
-		if !any {
+		lowest, highest, found := c.agreeing(request, seen)
+		if !found {
 			if seen == hasRoute {
 				c.report(Config, request.Path, request.AnsweredAt, "a route was served that is only in a configuration that was refused, or in none")
 			} else if c.ackedBefore(request.SentAt) != nil {
@@ -72,20 +72,20 @@
 
 // agreeing returns the lowest and the highest version that agree with how a request was handled. Before the first
 // configuration, no path has a queue.
-func (c *checker) agreeing(request *Request, seen handling) (lowest, highest int64, any bool) {
+func (c *checker) agreeing(request *Request, seen handling) (lowest, highest int64, found bool) {
 	if seen == noRoute {
-		lowest, highest, any = 0, 0, true
+		lowest, highest, found = 0, 0, true
 	}
 	for _, change := range c.changes {
 		if !change.possible() || change.sentAt.After(request.AnsweredAt) || !change.agrees(request, seen) {
 			continue
 		}
-		if !any {
-			lowest, any = change.Version, true
+		if !found {
+			lowest, found = change.Version, true
 		}
 		highest = change.Version
 	}
-	return lowest, highest, any
+	return lowest, highest, found
 }
 
 func (c *checker) checkApplied(request *Request, highest int64) {
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"strconv"
 	"strings"
 	"time"
@@ -47,11 +48,11 @@
 func (s specification) times() int { return max(1, s.Repetitions) }
 
 // due is when a time's steps may start; the zero time for jobs without a schedule.
-func (s specification) due(time_ int) time.Time {
+func (s specification) due(repetition int) time.Time {
 	if s.Repetitions == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(s.FirstRunMS + int64(time_)*s.IntervalMS)
+	return time.UnixMilli(s.FirstRunMS + int64(repetition)*s.IntervalMS)
 }
 
 // jobRecord is what clients did about one job.
@@ -132,14 +133,14 @@
 
 func (j *jobRecord) take(request *Request) {
 	switch request.Method {
-	case "POST":
+	case http.MethodPost:
 		j.takeSubmit(request)
-	case "DELETE":
+	case http.MethodDelete:
 		j.cancelSent = earlier(j.cancelSent, request.SentAt)
 		if success(request.Status) {
 			j.cancelled = earlier(j.cancelled, request.AnsweredAt)
 		}
-	case "GET":
+	case http.MethodGet:
 		if request.Status == statusOK && stateOf(request) == "completed" {
 			j.completed = earlier(j.completed, request.AnsweredAt)
 		}
@@ -148,7 +149,7 @@
 
 func (j *jobRecord) takeSubmit(request *Request) {
 	if !j.submitted {
-		json.Unmarshal(request.Body, &j.spec) // of a body that cannot be read nothing may run
+		_ = json.Unmarshal(request.Body, &j.spec) // of a body that cannot be read nothing may run
 		j.path, j.host, j.submitted = request.Path, request.Host, true
 	}
 	if success(request.Status) {
--- a/internal/systemtest/checker/starts.go
+++ b/internal/systemtest/checker/starts.go
@@ -132,9 +132,9 @@
 }
 
 // stageDone tells whether every task of a step had ended done by a moment.
-func (c *checker) stageDone(j *jobRecord, time_, number int, by time.Time) bool {
+func (c *checker) stageDone(j *jobRecord, repetition, number int, by time.Time) bool {
 	for index := range j.spec.Stages[number].Count {
-		done := c.taskDone(task{j.id, time_, number, index}, by)
+		done := c.taskDone(task{j.id, repetition, number, index}, by)
 		if done && j.spec.Stages[number].GangScheduled {
 			return true // one member's end counts for all
 		}
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -171,7 +171,7 @@
 func rollAll(ctx context.Context, s *system) error { return s.roll(ctx, s.machines()) }
 
 // slowCore makes all that the core machines say to each other take longer.
-func slowCore(ctx context.Context, s *system) error {
+func slowCore(_ context.Context, s *system) error {
 	const slow = 120 * time.Millisecond
 	for _, from := range s.core {
 		s.begin(from.name)
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -95,7 +95,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.expected && p.failure == nil {
-		p.failure = fmt.Errorf("%s ended by itself: %v", p.name, err)
+		p.failure = fmt.Errorf("%s ended by itself: %v", p.name, err) //nolint:errorlint // nil where it ended with 0
 	}
 	close(ended)
 }
