--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -62,7 +62,7 @@
 func Read(env func(string) string) (c Config, set settings.Settings, err error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
-		return c, set, errors.New("LB_CONFIG names no file")
+		return c, set, errNoConfig
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -85,20 +85,20 @@
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	switch {
 	case err != nil:
-		return set, fmt.Errorf("config: seed %q is not hex", c.Seed)
+		return set, invalid("config: seed %q is not hex", c.Seed)
 	case c.Listen == "" || c.Discovery == "":
-		return set, errors.New("config: listen and discovery must be stated")
+		return set, invalid("config: listen and discovery must be stated")
 	case len(c.Known) == 0:
-		return set, errors.New("config: known must be stated")
+		return set, invalid("config: known must be stated")
 	case c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0:
-		return set, errors.New("config: limits must be 0 or more")
+		return set, invalid("config: limits must be 0 or more")
 	}
 	if set, err = settings.Read(seed, c.Settings); err != nil {
 		return set, fmt.Errorf("config: %w", err)
 	}
 	for i, x := range set.Indexes {
 		if x.SecondStep > 0 {
-			return set, fmt.Errorf("config: index %q has a second step, which this protocol has no form for", set.Net.Indexes[i])
+			return set, invalid("config: index %q has a second step, which this protocol has no form for", set.Net.Indexes[i])
 		}
 	}
 	return set, nil
@@ -132,8 +132,8 @@
 	}
 }
 
-// StartText starts a mixer from the text of a config, as it would be started from its file.
-func StartText(text []byte, file operatorfile.File, log *zap.Logger, count *counters.Set) (*Node, error) {
+// StartText starts a mixer from the text of a config, as it would be started from its file. The context is Start's.
+func StartText(ctx context.Context, text []byte, file operatorfile.File, log *zap.Logger, count *counters.Set) (*Node, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return Start(context.Background(), c, set, file, log, count)
+	return Start(ctx, c, set, file, log, count)
 }
 
 // Node is a mixer that runs.
@@ -221,7 +221,7 @@
 	if n.controller != nil {
 		go n.controller.Run()
 	}
-	go n.discovery.Run()
+	go n.discovery.Run() //nolint:contextcheck // the context bounds the start, and the watches last until Stop
 	n.server.Serve(listener)
 	if n.operators != nil {
 		go n.operators.Serve(forOperators)
