--- a/cmd/puffinlink/capture.go
+++ b/cmd/puffinlink/capture.go
@@ -48,7 +48,7 @@
 	if s.JSON {
 		return asJSON(sum)
 	}
-	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), when(sum.At), when(sum.At+sum.Span), strings.Join(sum.Mixers, ", "))
+	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), when(sum.At), when(sum.At+sum.Span), strings.Join(sum.Aggregators, ", "))
 	for _, h := range c.Holes() {
 		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", when(h.From), when(h.To))
 	}
@@ -56,7 +56,7 @@
 	rows := [][]string{}
 	n := func(v int64) string { return strconv.FormatInt(v, 10) }
 	for _, l := range sum.Loads {
-		rows = append(rows, []string{l.Index, l.Customer, n(l.Lookups), fmt.Sprintf("%.1f", float64(l.Lookups)/sum.Span), fmt.Sprintf("%.1f", float64(l.Parts)/max(1, float64(l.Lookups))),
+		rows = append(rows, []string{l.Index, l.Customer, n(l.Queries), fmt.Sprintf("%.1f", float64(l.Queries)/sum.Span), fmt.Sprintf("%.1f", float64(l.Parts)/max(1, float64(l.Queries))),
 			n(l.Resent), n(l.Ends.Satisfied), n(l.Ends.Late), n(l.Ends.Nacked), n(l.Ends.Aborted), n(l.Ends.Gone), n(l.Ends.Full)})
 	}
 	table(stdout, "INDEX CUSTOMER LOOKUPS A-SECOND PARTS RESENT SATISFIED LATE NACKED ABORTED GONE FULL", rows)
@@ -67,8 +67,8 @@
 	fmt.Fprintln(stdout)
 	table(stdout, "INDEX ANSWERED P50 P99 MOST", rows)
 	rows = rows[:0]
-	for _, x := range sum.Searchers {
-		rows = append(rows, []string{x.Searcher, x.Location, x.Index, n(x.Calls), n(x.Failed), n(x.TurnedAway), ms(x.Latency.Quantile(0.5)), ms(x.Latency.Quantile(0.99)), ms(x.Alone.Mean())})
+	for _, x := range sum.Backends {
+		rows = append(rows, []string{x.Backend, x.Location, x.Index, n(x.Calls), n(x.Failed), n(x.TurnedAway), ms(x.Latency.Quantile(0.5)), ms(x.Latency.Quantile(0.99)), ms(x.Alone.Mean())})
 	}
 	fmt.Fprintln(stdout)
 	table(stdout, "SEARCHER LOCATION INDEX CALLS FAILED TURNED-AWAY P50 P99 ALONE", rows)
--- a/cmd/puffinlink/demo.go
+++ b/cmd/puffinlink/demo.go
@@ -34,7 +34,7 @@
 	if c.System {
 		return c.runSystem(ctx)
 	}
-	o := demo.Options{For: c.For, Mixers: c.Mixers, Searchers: c.Searchers, PerS: c.PerS, Service: c.Service, Directory: c.Directory,
+	o := demo.Options{For: c.For, Aggregators: c.Mixers, Backends: c.Searchers, PerS: c.PerS, Service: c.Service, Directory: c.Directory,
 		JSON: c.JSON, Every: max(c.Every, 100*time.Millisecond), Out: stdout}
 	if info, err := os.Stdout.Stat(); err == nil {
 		o.Live = info.Mode()&os.ModeCharDevice != 0
--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -52,10 +52,10 @@
 		return asJSON(s)
 	}
 	fmt.Fprintf(stdout, "%s: open %t, hears nothing %t, leader %s, contracts of version %d sure for %.1f s, quotas of version %d\n",
-		s.Mixer, s.Open, s.Deaf, s.Leader, s.Contracts.Version, s.SureFor, s.QuotasAt)
+		s.Node, s.Open, s.Deaf, s.Leader, s.Contracts.Version, s.SureFor, s.QuotasAt)
 	w := tabwriter.NewWriter(stdout, 0, 8, 2, ' ', 0)
 	for _, m := range s.Members {
-		fmt.Fprintf(w, "%s\t%s\theard %.1f s ago\n", m.Mixer, m.Status, m.Heard)
+		fmt.Fprintf(w, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.Heard)
 	}
 	for tenant, x := range s.Contracts.Contracts {
 		fmt.Fprintf(w, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
@@ -64,7 +64,7 @@
 		fmt.Fprintf(w, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.Floor)
 	}
 	for _, j := range s.Judged {
-		fmt.Fprintf(w, "judged %s\t%.1f s ago\n", j.Searcher, j.Ago)
+		fmt.Fprintf(w, "judged %s\t%.1f s ago\n", j.Backend, j.Ago)
 	}
 	return w.Flush()
 }
@@ -99,7 +99,7 @@
 func (c *fleetContractCmd) Execute([]string) error {
 	command := c.command(c.Arguments.Tenant)
 	if command.Clear = "contract"; !c.Clear {
-		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, MixersToo: c.MixersToo, Indexes: c.Indexes}
+		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, AggregatorsToo: c.MixersToo, Indexes: c.Indexes}
 	}
 	client, ctx, cancel, res, err := c.change(command, c.Wait)
 	defer cancel()
@@ -133,8 +133,8 @@
 }
 
 func progress(p *residency.Progress) {
-	for _, m := range p.Mixers {
-		fmt.Fprintf(stdout, "%s: %s, tells version %d", m.Mixer, m.State, m.Holds)
+	for _, m := range p.Nodes {
+		fmt.Fprintf(stdout, "%s: %s, tells version %d", m.Node, m.State, m.Holds)
 		if m.InS > 0 {
 			fmt.Fprintf(stdout, ", refuses strict tenants in %.1f s at the latest if it hears nothing", m.InS)
 		}
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -29,7 +29,7 @@
 
 // what says in a few words what an override does.
 func what(o *api.Override) (target, does string) {
-	target = o.Searcher
+	target = o.Backend
 	if o.Location != "" {
 		target = "@" + o.Location
 	}
@@ -64,7 +64,7 @@
 	if c.JSON {
 		return asJSON(v)
 	}
-	fmt.Fprintf(stdout, "mixer %s, revision %d, kept in %s\n", v.Mixer, v.Revision, v.Kept)
+	fmt.Fprintf(stdout, "mixer %s, revision %d, kept in %s\n", v.Aggregator, v.Revision, v.Kept)
 	rows := [][]string{}
 	for i := range v.Overrides {
 		o := &v.Overrides[i]
@@ -79,7 +79,7 @@
 			if r.Shard != nil {
 				shard = strconv.Itoa(*r.Shard)
 			}
-			rows = append(rows, []string{r.Searcher, shard, r.Index, fmt.Sprintf("%.0f%%", 100*r.Level), fmt.Sprintf("%.0f%%", 100*r.Want)})
+			rows = append(rows, []string{r.Backend, shard, r.Index, fmt.Sprintf("%.0f%%", 100*r.Level), fmt.Sprintf("%.0f%%", 100*r.Want)})
 		}
 		fmt.Fprintln(stdout)
 		table(stdout, "RETURNING SHARD INDEX NOW UP-TO", rows)
@@ -128,7 +128,7 @@
 	if place, is := strings.CutPrefix(c.Arguments.Target, "@"); is {
 		cmd.Location = place
 	} else {
-		cmd.Searcher = c.Arguments.Target
+		cmd.Backend = c.Arguments.Target
 	}
 	if c.Shards != "" {
 		var err error
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -69,7 +69,7 @@
 	for i := range c.Intervals {
 		n := 0.0
 		for _, l := range c.Intervals[i].Loads {
-			n += float64(l.Lookups)
+			n += float64(l.Queries)
 		}
 		most = math.Max(most, n/c.Intervals[i].Span)
 	}
@@ -124,7 +124,7 @@
 			r.Limits = o.Limits(&f)
 		}
 		keeps, _ := o.Meets(&w.Site)
-		r.WhatIfs = append(r.WhatIfs, whatIfRow{w.Name, o.Gain, o.Nacked, o.Aborted, o.P50, o.P99, w.Site.Searchers[o.Hottest].Name, o.Use[o.Hottest], w.Lost, keeps})
+		r.WhatIfs = append(r.WhatIfs, whatIfRow{w.Name, o.Gain, o.Nacked, o.Aborted, o.P50, o.P99, w.Site.Backends[o.Hottest].Name, o.Use[o.Hottest], w.Lost, keeps})
 	}
 	r.Recovers, r.LeaveAt = plan.Recovers(&f, &a, burstOf, c.Seed)
 	var breakErr error
@@ -197,13 +197,13 @@
 	at := a.Scaled(b.PerS / a.PerS)
 	use := plan.Emulate(&f, &at, c.Seed, 0)
 	busy, cores := 0.0, 0.0
-	for i, s := range f.Searchers {
+	for i, s := range f.Backends {
 		busy, cores = busy+use.Use[i]*float64(s.Cores), cores+float64(s.Cores)
 	}
 	demand := busy / b.PerS * a.PerS
 	var offers []plan.Offer
 	for _, place := range f.Locations {
-		for _, s := range f.Searchers {
+		for _, s := range f.Backends {
 			if s.Location == place {
 				offers = append(offers, plan.Offer{Location: place, Price: max(s.Price, 1e-9), Capacity: busy / cores * float64(s.Cores), Most: c.Most})
 				break
@@ -294,12 +294,12 @@
 	}
 	o := plan.Emulate(&f, &a, p.Seed, 0)
 	s = side{Fleet: p.Arguments.Fleet, LookupsPerS: a.PerS, InTime: o.Gain, Nacked: o.Nacked, P50: o.P50, P99: o.P99, Use: o.Use[o.Hottest], WorstInTime: 1}
-	for _, x := range f.Searchers {
+	for _, x := range f.Backends {
 		s.Price += x.Price
 	}
 	for _, place := range f.Locations {
 		left, _ := f.Without(place)
-		if len(left.Searchers) == 0 || len(left.Searchers) == len(f.Searchers) {
+		if len(left.Backends) == 0 || len(left.Backends) == len(f.Backends) {
 			continue
 		}
 		if lost := plan.Emulate(&left, &a, p.Seed, 0); lost.Gain <= s.WorstInTime {
--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -17,7 +17,7 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// What a mixer of a fleet keeps: values by name, and a log of entries by their index, as bytes whose meaning is the
+// What an aggregator of a fleet keeps: values by name, and a log of entries by their index, as bytes whose meaning is the
 // fleet's. Each is behind a checksum.
 
 const (
--- a/internal/aggregatorstore/pages.go
+++ b/internal/aggregatorstore/pages.go
@@ -10,7 +10,7 @@
 )
 
 // The library's own check of a file runs in a goroutine of its own, and a page that leads back to itself ends the process
-// there: a corrupt file would keep a mixer from starting. So pages are checked here before the library sees any of them, by
+// there: a corrupt file would keep an aggregator from starting. So pages are checked here before the library sees any of them, by
 // the layout that it documents. What the records hold is checked by their own sums.
 const (
 	pageHead    = 16
--- a/internal/aggregatorstore/store.go
+++ b/internal/aggregatorstore/store.go
@@ -27,7 +27,7 @@
 	lockName = "overrides.lock"
 	// version of what the records hold; a file of a later one is put aside by none but an operator.
 	version = 1
-	// lockWait is how long the process before may still hold the file: the longest that a stopping mixer takes.
+	// lockWait is how long the process before may still hold the file: the longest that a stopping aggregator takes.
 	lockWait = 10 * time.Second
 	// auditMost is the length of the audit trail: years of what operators send, in some 50 MB.
 	auditMost = 100_000
@@ -58,7 +58,7 @@
 	stop    bool
 }
 
-// Store writes in a goroutine of its own: whoever waits for a disk, it is no lookup and no list.
+// Store writes in a goroutine of its own: whoever waits for a disk, it is no query and no list.
 type Store struct {
 	db     *bolt.DB
 	lock   *os.File // nobody else reads or writes the directory while it is held
--- a/internal/aggregatorstore/store_test.go
+++ b/internal/aggregatorstore/store_test.go
@@ -43,7 +43,7 @@
 // change is the n-th of an endless history: each override is set, and cleared eight changes later.
 func change(n uint64) override.Change {
 	c := override.Change{Revision: override.Revision(n), What: override.WasSet, Author: "ann", Reason: strings.Repeat("r", int(n%150)),
-		Override: override.Override{ID: override.Revision(n), Spec: override.Spec{Kind: override.Out, Searcher: fmt.Sprint("s-", n), End: 1e12}}}
+		Override: override.Override{ID: override.Revision(n), Spec: override.Spec{Kind: override.Out, Backend: fmt.Sprint("s-", n), End: 1e12}}}
 	if n > 8 && n%2 == 0 {
 		c.What, c.Override.ID = override.WasCleared, override.Revision(n-8-n%4/2)
 	}
--- a/internal/aggregatorstore/stored_test.go
+++ b/internal/aggregatorstore/stored_test.go
@@ -23,8 +23,8 @@
 // storedHeld are overrides of all kinds, by the changes that set them.
 var storedHeld = []override.Override{
 	{ID: 1, Since: 1000.5, Spec: override.Spec{Kind: override.Weight, Location: "north", Index: "reads", Factor: 0.25, Author: "ann", Reason: "slow", End: 5000}},
-	{ID: 2, Since: 1001, Started: 900.25, Spec: override.Spec{Kind: override.Out, Searcher: "s-1", Author: "bob", Reason: "ill", End: 6000, UntilRestart: true}},
-	{ID: 4, Since: 1003, Spec: override.Spec{Kind: override.Pin, Searcher: "s-2", From: 3, To: 70000, Strict: true, Author: "ann", Reason: "hot", End: 7000}},
+	{ID: 2, Since: 1001, Started: 900.25, Spec: override.Spec{Kind: override.Out, Backend: "s-1", Author: "bob", Reason: "ill", End: 6000, UntilRestart: true}},
+	{ID: 4, Since: 1003, Spec: override.Spec{Kind: override.Pin, Backend: "s-2", From: 3, To: 70000, Strict: true, Author: "ann", Reason: "hot", End: 7000}},
 }
 
 // storedChanges are all changes that were made, of all kinds.
@@ -34,8 +34,8 @@
 			Key: key, Digest: 0xfedcba9876543210, Forced: nil}
 	}
 	short := override.Override{ID: 3, Since: 1002, Spec: override.Spec{Kind: override.Out, Location: "south", Author: "bob", Reason: "works", End: 1004}}
-	cleared := override.Override{ID: 6, Since: 1005, Spec: override.Spec{Kind: override.Weight, Searcher: "s-3", Factor: 1, Author: "ann", Reason: "try", End: 9000}}
-	restarted := override.Override{ID: 7, Since: 1006, Started: 7, Spec: override.Spec{Kind: override.Out, Searcher: "s-4", Author: "ann", End: 9000, UntilRestart: true}}
+	cleared := override.Override{ID: 6, Since: 1005, Spec: override.Spec{Kind: override.Weight, Backend: "s-3", Factor: 1, Author: "ann", Reason: "try", End: 9000}}
+	restarted := override.Override{ID: 7, Since: 1006, Started: 7, Spec: override.Spec{Kind: override.Out, Backend: "s-4", Author: "ann", End: 9000, UntilRestart: true}}
 	forced := set(2, storedHeld[1], "k-2")
 	forced.Forced = []string{"last_holder", "shard_capacity"}
 	return []override.Change{
--- a/internal/controlplane/fleet/command.go
+++ b/internal/controlplane/fleet/command.go
@@ -32,10 +32,10 @@
 const (
 	// againEvery is how often a command is sent anew where its answer may be lost.
 	againEvery  = 0.5
-	mostWaiting = 64 // as many as operators have connections, and those of other mixers
+	mostWaiting = 64 // as many as operators have connections, and those of other nodes
 )
 
-// command is one on its way, ours or another mixer's.
+// command is one on its way, ours or another node's.
 type command struct {
 	handed
 	reply chan answer     // ours
@@ -77,7 +77,7 @@
 	}
 }
 
-// check tells what is wrong with a command, by what this mixer's settings know.
+// check tells what is wrong with a command, by what this node's settings know.
 func (f *Fleet) check(c *consensus.Command) error {
 	switch {
 	case c.Contract != nil && c.Contract.Contract != nil:
@@ -164,7 +164,7 @@
 	f.send(c.from, messageResult, handedBack{c.No, a.result, a.progress})
 }
 
-// handed takes another mixer's command.
+// handed takes another node's command.
 func (f *Fleet) handed(from membership.Name, h *handed) {
 	if !f.leads() || len(f.waiting) >= mostWaiting {
 		return // it asks again
--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -1,5 +1,5 @@
-// Package consensus lets some of the mixers, the voters, agree on the little that needs agreement: contracts, quotas, who
-// votes by which directory, and, by who leads them, which mixer grants. Its machine is go.etcd.io/raft (Ongaro and
+// Package consensus lets some of the nodes, the voters, agree on the little that needs agreement: contracts, quotas, who
+// votes by which directory, and, by who leads them, which node grants. Its machine is go.etcd.io/raft (Ongaro and
 // Ousterhout, 2014), which does no I/O; this package adds the founding, voters that come back with an empty directory, and
 // the state that is agreed on. Whoever runs it saves what Work hands out before it calls Done.
 //
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -56,7 +56,7 @@
 	ID   uint64          `cbor:"2,keyasint"`
 }
 
-// Floor is the sum of all mixers' floors of a quota.
+// Floor is the sum of all nodes' floors of a quota.
 type Floor struct {
 	PerS  float64 `cbor:"1,keyasint"`
 	Burst float64 `cbor:"2,keyasint"`
@@ -68,7 +68,7 @@
 	Contracts residency.Table              `cbor:"2,keyasint"`
 	Quotas    map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
 	QuotasAt  QuotasVersion                `cbor:"4,keyasint"`
-	// Floors are the largest that a tenant ever had: a mixer that is cut off may still go by them.
+	// Floors are the largest that a tenant ever had: a node that is cut off may still go by them.
 	Floors        map[quota.Tenant]Floor `cbor:"5,keyasint"`
 	FileContracts int                    `cbor:"6,keyasint"` // versions last taken from a file
 	FileQuotas    int                    `cbor:"7,keyasint"`
@@ -96,7 +96,7 @@
 	return s.Done[i], true
 }
 
-// apply takes a command at a place of the log. Every mixer of the council does the same with it.
+// apply takes a command at a place of the log. Every node of the council does the same with it.
 func (s *State) apply(index uint64, c *Command) Done {
 	if d, again := s.Acted(c.ID); again {
 		return d
--- a/internal/controlplane/fleet/failpoint/failpoint.go
+++ b/internal/controlplane/fleet/failpoint/failpoint.go
@@ -28,7 +28,7 @@
 	TellHeld
 	ProbeMember
 	TellReport
-	JudgeSearchers
+	JudgeBackends
 	ForwardCommand
 	SaveTables
 	count
@@ -41,7 +41,7 @@
 	ApplyCommand: "apply what the council agreed on", BeginGranting: "begin to grant", ConfirmGranter: "confirm the granter's authority",
 	AskGranter: "ask the granter", AnswerAsk: "answer a mixer's asking", TakeGrant: "take a grant", Spend: "spend a token", Renew: "renew a lease of contracts",
 	PublishRules: "publish rules of contracts", HoldContract: "say that a contract holds here", TellHeld: "tell an operator how far a contract got",
-	ProbeMember: "ask a mixer whether it lives", TellReport: "tell what was seen of searchers", JudgeSearchers: "judge searchers",
+	ProbeMember: "ask a mixer whether it lives", TellReport: "tell what was seen of searchers", JudgeBackends: "judge searchers",
 	ForwardCommand: "hand on a command", SaveTables: "save tables and incarnation",
 }
 
--- a/internal/controlplane/fleet/failpoint/on.go
+++ b/internal/controlplane/fleet/failpoint/on.go
@@ -18,7 +18,7 @@
 	Listed   = "PUFFINLINK_FAILPOINTS_LIST"
 	// Once names a file that whoever gets to the armed point first makes: of several processes armed alike one fails.
 	Once = "PUFFINLINK_FAILPOINT_ONCE"
-	// DelayS is how long a delay lasts, longer than any time-out between mixers.
+	// DelayS is how long a delay lasts, longer than any time-out between nodes.
 	DelayS = 1.0
 )
 
--- a/internal/controlplane/fleet/failuredetector/failuredetector.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -1,4 +1,4 @@
-// Package failuredetector knows which mixers of the roster live, as SWIM does it (Das, Gupta and Motivala, 2002): each period one
+// Package failuredetector knows which nodes of the roster live, as SWIM does it (Das, Gupta and Motivala, 2002): each period one
 // other is asked, straight and then through some others; who does not answer is suspected before it is called dead, and
 // who is suspected may say otherwise by a higher incarnation. Of Lifeguard (Dadgar, Phillips and Currey, 2018) come the
 // doubt in oneself, suspicions that end sooner the more others share them, and telling the suspected one first. Unlike in
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// Status is what is held of another mixer.
+// Status is what is held of another node.
 type Status uint8
 
 // The states of a member.
@@ -29,7 +29,7 @@
 	return map[Status]string{Alive: "alive", Suspect: "suspect", Dead: "dead"}[s]
 }
 
-// Incarnation orders what is said of one mixer; it begins at its process's and rises as it denies suspicions.
+// Incarnation orders what is said of one node; it begins at its process's and rises as it denies suspicions.
 type Incarnation uint64
 
 // Seq names a probe.
@@ -87,7 +87,7 @@
 	through bool
 }
 
-// errand is a probe for another mixer.
+// errand is a probe for another node.
 type errand struct {
 	seq   Seq // our own
 	asker membership.Name
@@ -102,7 +102,7 @@
 	told int
 }
 
-// Machine is one mixer's view.
+// Machine is one node's view.
 type Machine struct {
 	set     Settings
 	self    membership.Name
@@ -130,7 +130,7 @@
 		x := &member{name: name, status: Alive, heardAt: now}
 		m.members, m.byName[name] = append(m.members, x), x
 	}
-	m.next = now + set.Period*m.chance.Unit() // mixers started together must not ask together
+	m.next = now + set.Period*m.chance.Unit() // nodes started together must not ask together
 	return m
 }
 
@@ -145,7 +145,7 @@
 // Deaf tells that nobody was heard for so long that it is we who are cut off. Nobody is called dead meanwhile.
 func (m *Machine) Deaf() bool { return len(m.members) > 0 && m.now-m.heard >= m.set.DeafS }
 
-// Status of a mixer; of ourselves Alive, and Dead for none of the roster.
+// Status of a node; of ourselves Alive, and Dead for none of the roster.
 func (m *Machine) Status(name membership.Name) Status {
 	if name == m.self {
 		return Alive
@@ -156,7 +156,7 @@
 	return Dead
 }
 
-// HeardAt is when a mixer last said anything to us.
+// HeardAt is when a node last said anything to us.
 func (m *Machine) HeardAt(name membership.Name) float64 {
 	if x := m.byName[name]; x != nil {
 		return x.heardAt
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// News is what is passed on of a mixer.
+// News is what is passed on of a node.
 type News struct {
 	Name        membership.Name `cbor:"1,keyasint"`
 	Status      Status          `cbor:"2,keyasint"`
@@ -33,7 +33,7 @@
 	Message
 }
 
-// Change is what became of another mixer, to be counted and logged.
+// Change is what became of another node, to be counted and logged.
 type Change struct {
 	Name     membership.Name
 	Was, Now Status
--- a/internal/controlplane/fleet/failuredetector/states.go
+++ b/internal/controlplane/fleet/failuredetector/states.go
@@ -55,7 +55,7 @@
 	m.pass(News{x.name, x.status, x.incarnation, by})
 }
 
-// pass puts a piece of news first, in place of what was told of the same mixer.
+// pass puts a piece of news first, in place of what was told of the same node.
 func (m *Machine) pass(n News) {
 	m.rumours = slices.DeleteFunc(m.rumours, func(r rumour) bool { return r.Name == n.Name })
 	m.rumours = append(m.rumours, rumour{News: n})
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet lets the mixers of a fleet act together: quotas of tenants, contracts on zones, and what they tell each
-// other of searchers. One goroutine owns all control state and runs the pure modules below this package; traffic reads
-// a view through an atomic pointer and never waits for it, let alone for another mixer. With the operator's file silent
+// Package fleet lets the nodes of a fleet act together: quotas of tenants, contracts on zones, and what they tell each
+// other of backends. One goroutine owns all control state and runs the pure modules below this package; traffic reads
+// a view through an atomic pointer and never waits for it, let alone for another node. With the operator's file silent
 // none of it exists.
 //
 // docs/fleet-design.md has the promises and what they rest on.
@@ -32,7 +32,7 @@
 
 	turn        = 50 * time.Millisecond // of the control goroutine, where nothing comes sooner
 	askEvery    = 0.2                   // a lease is renewed some twenty times while it lasts
-	askSoonest  = 0.02                  // where a lookup found no token
+	askSoonest  = 0.02                  // where a query found no token
 	readEvery   = 0.2                   // whether we still lead
 	reportEvery = 1.0
 	passEvery   = 0.25
@@ -111,9 +111,9 @@
 	quiet      float64                                     // until when one that led before may hand out older tables
 	unlike     map[membership.Name]bool                    // their file refuses other tenants where contracts are not sure
 	version    outlier.Version
-	judged     map[outlier.Searcher]float64
+	judged     map[outlier.Backend]float64
 	holders    outlier.Holders
-	trouble    map[membership.Name]float64 // when a mixer was last told of its incarnation
+	trouble    map[membership.Name]float64 // when a node was last told of its incarnation
 	waiting    []*command
 	deaf       bool
 	opening    string // why it is not open yet, as logged
@@ -135,7 +135,7 @@
 	f := &Fleet{set: set, tell: tell, log: log, count: count, in: eventqueue.New[note](), start: now, unix: float64(now.UnixNano()) / 1e9,
 		observed: outlier.NewObserved(), others: set.Roster.Others(set.Self), granter: quota.NewGranter(set.Lease * tokenShare),
 		lease: residency.NewLease(set.Lease*contractShare, set.Longest), reads: map[consensus.ReadNo]float64{}, trouble: map[membership.Name]float64{},
-		judged: map[outlier.Searcher]float64{}, quotaOf: map[membership.Name]consensus.QuotasVersion{}, unlike: map[membership.Name]bool{}, strictHash: set.strictHash(),
+		judged: map[outlier.Backend]float64{}, quotaOf: map[membership.Name]consensus.QuotasVersion{}, unlike: map[membership.Name]bool{}, strictHash: set.strictHash(),
 		released: make(chan struct{}), stopping: make(chan struct{}), stopped: make(chan struct{})}
 	f.now = f.Now()
 	f.holder = quota.NewHolder(set.Lease*tokenShare, len(set.Roster.Members))
@@ -206,11 +206,11 @@
 	if kept.Table != nil {
 		f.table, f.has.Contracts = kept.Table, kept.Table.Version
 	}
-	// The file's quotas are the council's to hear: a floor counts only once all others know that it is this mixer's.
+	// The file's quotas are the council's to hear: a floor counts only once all others know that it is this node's.
 	f.quotas, f.has.Quotas = kept.Quotas, kept.QuotasAt
 	f.saveTables()
 	if f.set.Roster.Find(f.set.Self).Votes {
-		if err := f.seat(&f.stored); err != nil { // the mixer takes part all the same, but for its vote
+		if err := f.seat(&f.stored); err != nil { // the node takes part all the same, but for its vote
 			f.mute(err)
 		}
 	}
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// Release lets go of address and directory, and ends all talk: another process of this mixer may begin. What tokens and
+// Release lets go of address and directory, and ends all talk: another process of this node may begin. What tokens and
 // contracts this one has it keeps until they run out, but no floors, which are the other's from now on.
 func (f *Fleet) Release() {
 	f.once.Do(func() { f.in.Put(note{kind: released}) })
@@ -257,5 +257,5 @@
 	}
 }
 
-// mostBytes a second that one other mixer may send us: some hundred askings, and a table of contracts now and then.
+// mostBytes a second that one other node may send us: some hundred askings, and a table of contracts now and then.
 const mostBytes = 512 << 10
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -79,7 +79,7 @@
 	return f
 }
 
-// A mixer that never heard the council refuses strict tenants, and all tenants where quotas are held, as it does not know
+// A node that never heard the council refuses strict tenants, and all tenants where quotas are held, as it does not know
 // which have one; without either it takes all.
 func TestAloneFromTheStart(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/controlplane/fleet/gate.go
+++ b/internal/controlplane/fleet/gate.go
@@ -32,7 +32,7 @@
 	refusedQuota     = "over_quota"
 )
 
-// Admit says whether a lookup may be taken. It never waits: it reads a view and spends from a counter.
+// Admit says whether a query may be taken. It never waits: it reads a view and spends from a counter.
 func (f *Fleet) Admit(customer policy.CustomerID, index policy.IndexID) (out aggregator.Verdict) {
 	v, now := f.view.Load(), f.Now()
 	if sure := math.Float64frombits(f.sure.Load()); now >= sure && (v.all || v.strict[customer]) {
@@ -55,14 +55,14 @@
 	return out
 }
 
-// Called counts what a part call says of its searcher.
-func (f *Fleet) Called(at time.Time, searcher string, how policy.Outcome, elapsed float64) {
+// Called counts what a part call says of its backend.
+func (f *Fleet) Called(at time.Time, backend string, how policy.Outcome, elapsed float64) {
 	now := f.seconds(at)
 	switch how {
 	case policy.TurnedAway, policy.NotSent: // a full queue is its own word on itself, and no fault
 		return
 	}
-	f.observed.Ended(now, outlier.Searcher(searcher), ends[how], elapsed)
+	f.observed.Ended(now, outlier.Backend(backend), ends[how], elapsed)
 	if now-f.cutAt >= reportEvery {
 		f.cutAt = now
 		f.in.Put(note{kind: sawCalls, seen: f.observed.Cut(now)})
@@ -74,7 +74,7 @@
 	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Withdrawn: outlier.GivenUp,
 	policy.NotSent: outlier.GivenUp}
 
-// Listed hears which searchers there are.
+// Listed hears which backends there are.
 func (f *Fleet) Listed(places []aggregator.Place) { f.in.Put(note{kind: listed, places: places}) }
 
 // held is what the module's actor calls once rules hold there; it is handed out with them.
--- a/internal/controlplane/fleet/judgements.go
+++ b/internal/controlplane/fleet/judgements.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// saw takes what this mixer saw itself.
+// saw takes what this node saw itself.
 func (f *Fleet) saw(seen []outlier.Seen) {
 	if f.members == nil {
 		return
@@ -41,23 +41,23 @@
 	}
 }
 
-// judge hands the module what others found. A mixer that hears nothing decides as if it were alone.
+// judge hands the module what others found. A node that hears nothing decides as if it were alone.
 func (f *Fleet) judge() {
 	var list []outlier.Judgement
-	if !f.members.Deaf() && !failpoint.Pass(failpoint.JudgeSearchers).Drop {
+	if !f.members.Deaf() && !failpoint.Pass(failpoint.JudgeBackends).Drop {
 		list = f.outliers.Judge(f.now, f.holders)
 	}
 	var tell []aggregator.Judged
 	for _, j := range list {
-		if _, before := f.judged[j.Searcher]; !before {
+		if _, before := f.judged[j.Backend]; !before {
 			f.count.Add("fleet", "judged", 1)
 			f.log.Info("fleet: judged by others",
-				zap.String("searcher", string(j.Searcher)),
+				zap.String("searcher", string(j.Backend)),
 				zap.Float64("times", j.Times),
 				zap.Any("witnesses", j.Witnesses))
 		}
-		f.judged[j.Searcher] = f.now
-		tell = append(tell, aggregator.Judged{Searcher: string(j.Searcher), Times: j.Times, For: outlier.HeldFor})
+		f.judged[j.Backend] = f.now
+		tell = append(tell, aggregator.Judged{Backend: string(j.Backend), Times: j.Times, For: outlier.HeldFor})
 	}
 	for name, at := range f.judged {
 		if f.now-at > outlier.HeldFor {
@@ -76,7 +76,7 @@
 	for _, p := range places {
 		for j := range width {
 			c := ((int(p.Cell)-j)%cells + cells) % cells
-			f.holders[c] = append(f.holders[c], outlier.Searcher(p.Name))
+			f.holders[c] = append(f.holders[c], outlier.Backend(p.Name))
 		}
 	}
 }
--- a/internal/controlplane/fleet/membership/membership.go
+++ b/internal/controlplane/fleet/membership/membership.go
@@ -1,4 +1,4 @@
-// Package membership says which mixers make a fleet: names, addresses, locations, and who votes. It does no I/O and decides
+// Package membership says which nodes make a fleet: names, addresses, locations, and who votes. It does no I/O and decides
 // nothing but whether a roster can be one.
 package membership
 
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// Name is a mixer's, as the roster has it.
+// Name is a node's, as the roster has it.
 type Name string
 
-// Member is one mixer.
+// Member is one node.
 type Member struct {
 	Name     Name
 	Address  string // host and port, on which it takes datagrams and connections from others
@@ -31,7 +31,7 @@
 	// MostVoters is how many it has at most: with more each decision waits for more disks than it gains in safety
 	// (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4).
 	MostVoters = 7
-	// most mixers: far over any fleet asked for, so that a file's slip does not size tables.
+	// most nodes: far over any fleet asked for, so that a file's slip does not size tables.
 	most = 4096
 )
 
--- a/internal/controlplane/fleet/messages.go
+++ b/internal/controlplane/fleet/messages.go
@@ -24,7 +24,7 @@
 	messageNewer
 )
 
-// asking is what each mixer asks the granter a few times a second: whether its contracts are the newest, for tokens, and
+// asking is what each node asks the granter a few times a second: whether its contracts are the newest, for tokens, and
 // what it tells at the same time.
 type asking struct {
 	No        uint64                  `cbor:"1,keyasint"`
@@ -73,7 +73,7 @@
 	Tenant  quota.Tenant      `cbor:"2,keyasint"`
 }
 
-// newer tells a mixer that messages of a higher incarnation came under its name.
+// newer tells a node that messages of a higher incarnation came under its name.
 type newer struct {
 	Known sealedmessage.Incarnation `cbor:"1,keyasint"`
 }
--- a/internal/controlplane/fleet/outlier/outlier.go
+++ b/internal/controlplane/fleet/outlier/outlier.go
@@ -1,9 +1,9 @@
-// Package outlier is what mixers tell each other of searchers, and what may be made of it. Each tells of what it saw
+// Package outlier is what nodes tell each other of backends, and what may be made of it. Each tells of what it saw
 // itself, by origin and version, so that it may come late, twice and in any order; what it was told it only passes on.
 // It does no I/O, reads no clock and starts no goroutine.
 //
 // A judgement needs several witnesses, none of whom finds fault with nearly everybody, ends by itself, and leaves each
-// shard most of its holders. It only ever stands in for evidence that a mixer lacks: logic says where it counts.
+// shard most of its holders. It only ever stands in for evidence that a node lacks: logic says where it counts.
 package outlier
 
 import (
@@ -16,53 +16,53 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// Searcher is one by its name in the list.
-type Searcher string
+// Backend is one by its name in the list.
+type Backend string
 
 // Version counts the reports of one origin, across its incarnations.
 type Version uint64
 
-// Seen is what one mixer saw of one searcher of late.
+// Seen is what one node saw of one backend of late.
 type Seen struct {
-	Searcher Searcher `cbor:"1,keyasint" json:"Searcher"`
-	Calls    int      `cbor:"2,keyasint" json:"Calls"`
-	Failed   int      `cbor:"3,keyasint,omitempty" json:"Failed"`  // as many of them as fail of late
-	Latency  float64  `cbor:"4,keyasint,omitempty" json:"Latency"` // smoothed, of how long its calls took, however they ended
+	Backend Backend `cbor:"1,keyasint" json:"Searcher"`
+	Calls   int     `cbor:"2,keyasint" json:"Calls"`
+	Failed  int     `cbor:"3,keyasint,omitempty" json:"Failed"`  // as many of them as fail of late
+	Latency float64 `cbor:"4,keyasint,omitempty" json:"Latency"` // smoothed, of how long its calls took, however they ended
 }
 
-// Report is what one mixer saw of all. Age is how old it was when it was sent on, so that no two clocks are compared.
+// Report is what one node saw of all. Age is how old it was when it was sent on, so that no two clocks are compared.
 type Report struct {
 	Origin  membership.Name `cbor:"1,keyasint"`
 	Version Version         `cbor:"2,keyasint"`
 	Age     float64         `cbor:"3,keyasint"`
-	Usual   float64         `cbor:"4,keyasint"` // median over searchers of Latency
-	Of      int             `cbor:"5,keyasint"` // searchers of which it saw enough
+	Usual   float64         `cbor:"4,keyasint"` // median over backends of Latency
+	Of      int             `cbor:"5,keyasint"` // backends of which it saw enough
 	Bad     int             `cbor:"6,keyasint"` // of them, that it finds fault with
 	Seen    []Seen          `cbor:"7,keyasint"` // the worst first, then those called most
 }
 
-// Judgement is what is made of a searcher.
+// Judgement is what is made of a backend.
 type Judgement struct {
-	Searcher  Searcher          `json:"searcher"`
+	Backend   Backend           `json:"searcher"`
 	Times     float64           `json:"times"` // of the usual latency
 	Witnesses []membership.Name `json:"witnesses"`
 }
 
 const (
 	enough     = 3   // calls of which a share says something
-	failing    = 0.5 // share of calls that fail, from which a searcher is found bad
+	failing    = 0.5 // share of calls that fail, from which a backend is found bad
 	crawling   = 4.0 // times the usual latency, from which it is
 	failTimes  = 8.0 // usual latencies that one that fails counts for
 	witnesses  = 2   // at the least
 	agreeing   = 0.5 // share of those who saw it that have to find it bad
 	sickFrom   = 1.0 / 3
-	mostEach   = 16 // searchers that a report names: with names of 64 bytes still a datagram
+	mostEach   = 16 // backends that a report names: with names of 64 bytes still a datagram
 	ageMost    = 10.0
 	holdersOut = 0.5 // share of a shard's holders that may be judged
 	fan        = 2   // others that a report is passed on to at a time
 	retell     = 2   // times that it is: with that nearly all of a fleet hear of it (Demers and others, 1987)
-	// fadingS is the time over which calls seen are forgotten; latest is the weight of a new one in the rest: a mixer calls
-	// a searcher that it finds slow no more, so that a few calls have to say it.
+	// fadingS is the time over which calls seen are forgotten; latest is the weight of a new one in the rest: a node calls
+	// a backend that it finds slow no more, so that a few calls have to say it.
 	fadingS = 10.0
 	latest  = 0.3
 )
@@ -70,30 +70,30 @@
 // HeldFor is how long a judgement stands after it was last made.
 const HeldFor = 3.0
 
-// Bad tells whether somebody whose usual latency that is finds fault with a searcher.
+// Bad tells whether somebody whose usual latency that is finds fault with a backend.
 func (s *Seen) Bad(usual float64) bool {
 	return s.Calls >= enough && (float64(s.Failed) > failing*float64(s.Calls) || usual > 0 && s.Latency > crawling*usual)
 }
 
-// times is how many usual latencies a searcher counts for.
+// times is how many usual latencies a backend counts for.
 func (s *Seen) times(usual float64) float64 {
 	return max(s.Latency/max(usual, 1e-6), failTimes*float64(s.Failed)/float64(max(1, s.Calls)))
 }
 
-// tally is what a mixer saw of one searcher, fading.
+// tally is what a node saw of one backend, fading.
 type tally struct{ calls, failing, latency, at float64 }
 
 func (t *tally) fade(now float64) {
 	t.calls, t.at = t.calls*math.Exp((t.at-now)/fadingS), now
 }
 
-// Observed counts what a mixer sees itself. The module's actor uses it.
-type Observed struct{ tallies map[Searcher]*tally }
+// Observed counts what a node sees itself. The module's actor uses it.
+type Observed struct{ tallies map[Backend]*tally }
 
 // NewObserved has counted nothing yet.
-func NewObserved() *Observed { return &Observed{map[Searcher]*tally{}} }
+func NewObserved() *Observed { return &Observed{map[Backend]*tally{}} }
 
-// End is how a call ended, as far as it says something of its searcher.
+// End is how a call ended, as far as it says something of its backend.
 type End uint8
 
 // The ends of a call.
@@ -104,7 +104,7 @@
 )
 
 // Ended counts a call that ended so many seconds after it was sent.
-func (o *Observed) Ended(now float64, s Searcher, how End, elapsed float64) {
+func (o *Observed) Ended(now float64, s Backend, how End, elapsed float64) {
 	t := o.tallies[s]
 	switch {
 	case how == GivenUp && (t == nil || elapsed <= t.latency):
@@ -178,7 +178,7 @@
 	told int
 }
 
-// Store keeps the newest report of each mixer.
+// Store keeps the newest report of each node.
 type Store struct {
 	self    membership.Name
 	reports map[membership.Name]*kept
@@ -186,7 +186,7 @@
 	chance  random.PCG
 }
 
-// NewStore makes one for a mixer among others.
+// NewStore makes one for a node among others.
 func NewStore(self membership.Name, others []membership.Name, seed uint64) *Store {
 	return &Store{self: self, others: others, reports: map[membership.Name]*kept{}, chance: random.PCG(seed)}
 }
@@ -211,12 +211,12 @@
 func sound(r *Report) bool {
 	finite := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	return finite(r.Usual) && r.Bad >= 0 && r.Of >= 0 && !slices.ContainsFunc(r.Seen, func(s Seen) bool {
-		return !finite(s.Latency) || s.Calls < 0 || s.Failed < 0 || s.Failed > s.Calls || len(s.Searcher) > 64
+		return !finite(s.Latency) || s.Calls < 0 || s.Failed < 0 || s.Failed > s.Calls || len(s.Backend) > 64
 	})
 }
 
 // Pass is what to tell whom now: a report that is new goes to a few others at a time, those first that find fault with
-// somebody, and no more than so many at a time: what a mixer sends is level, whatever the fleet's size.
+// somebody, and no more than so many at a time: what a node sends is level, whatever the fleet's size.
 func (s *Store) Pass(now float64, alive func(membership.Name) bool, most int) (to []membership.Name, list []Report) {
 	var due []*kept
 	for name, k := range s.reports {
@@ -251,7 +251,7 @@
 }
 
 // Holders lists, for each shard that differs in it, who holds it.
-type Holders [][]Searcher
+type Holders [][]Backend
 
 // Judge makes judgements of what others saw. Ours is no witness: what we saw ourselves the module knows already. With
 // most of a shard's holders judged, the worst of them are.
@@ -260,7 +260,7 @@
 		bad, fine []membership.Name
 		times     []float64
 	}
-	all := map[Searcher]*found{}
+	all := map[Backend]*found{}
 	for _, origin := range slices.Sorted(maps.Keys(s.reports)) {
 		k := s.reports[origin]
 		if origin == s.self || now-k.made >= ageMost || k.sick() {
@@ -268,10 +268,10 @@
 		}
 		for i := range k.Seen {
 			seen := &k.Seen[i]
-			f := all[seen.Searcher]
+			f := all[seen.Backend]
 			if f == nil {
 				f = &found{}
-				all[seen.Searcher] = f
+				all[seen.Backend] = f
 			}
 			switch {
 			case seen.Bad(k.Usual):
@@ -289,19 +289,19 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Judgement) int {
-		return cmp.Or(cmp.Compare(b.Times, a.Times), cmp.Compare(a.Searcher, b.Searcher))
+		return cmp.Or(cmp.Compare(b.Times, a.Times), cmp.Compare(a.Backend, b.Backend))
 	})
 	return bounded(list, holders)
 }
 
 // bounded leaves out those that would leave too few of a shard's holders.
 func bounded(list []Judgement, holders Holders) (kept []Judgement) {
-	judged := map[Searcher]bool{}
+	judged := map[Backend]bool{}
 	for _, j := range list {
-		judged[j.Searcher] = true
+		judged[j.Backend] = true
 		known, over := false, false
 		for _, held := range holders {
-			if !slices.Contains(held, j.Searcher) {
+			if !slices.Contains(held, j.Backend) {
 				continue
 			}
 			known = true
@@ -314,7 +314,7 @@
 			over = over || float64(n) > holdersOut*float64(len(held))
 		}
 		if over || !known {
-			delete(judged, j.Searcher)
+			delete(judged, j.Backend)
 			continue
 		}
 		kept = append(kept, j)
@@ -322,7 +322,7 @@
 	return kept
 }
 
-// Heard is what a mixer told last, in short.
+// Heard is what a node told last, in short.
 type Heard struct {
 	Origin membership.Name `json:"mixer"`
 	Ago    float64         `json:"s_ago"`
@@ -330,10 +330,10 @@
 	Usual  float64         `json:"usual_s"`
 	Worst  Seen            `json:"worst"`
 	Sick   bool            `json:"sick,omitempty"` // it finds fault with so many that it counts for nothing
-	Bad    []Searcher      `json:"bad,omitempty"`
+	Bad    []Backend       `json:"bad,omitempty"`
 }
 
-// Heard lists what is known of each mixer's reports.
+// Heard lists what is known of each node's reports.
 func (s *Store) Heard(now float64) (list []Heard) {
 	for _, origin := range slices.Sorted(maps.Keys(s.reports)) {
 		k := s.reports[origin]
@@ -343,7 +343,7 @@
 		}
 		for i := range k.Seen {
 			if k.Seen[i].Bad(k.Usual) {
-				h.Bad = append(h.Bad, k.Seen[i].Searcher)
+				h.Bad = append(h.Bad, k.Seen[i].Backend)
 			}
 		}
 		list = append(list, h)
--- a/internal/controlplane/fleet/outlier/shared_test.go
+++ b/internal/controlplane/fleet/outlier/shared_test.go
@@ -14,9 +14,9 @@
 	holders = Holders{{"s0", "s1"}, {"s1", "s2"}, {"s2", "s3"}, {"s3", "s0"}}
 )
 
-// seen is what a mixer sees of four searchers, some of which are bad to it.
-func seen(bad ...Searcher) (list []Seen) {
-	for _, s := range []Searcher{"s0", "s1", "s2", "s3"} {
+// seen is what a node sees of four backends, some of which are bad to it.
+func seen(bad ...Backend) (list []Seen) {
+	for _, s := range []Backend{"s0", "s1", "s2", "s3"} {
 		x := Seen{s, 10, 0, 0.01}
 		if slices.Contains(bad, s) {
 			x.Latency = 0.5
@@ -34,9 +34,9 @@
 	return s
 }
 
-func judged(list []Judgement) (names []Searcher) {
+func judged(list []Judgement) (names []Backend) {
 	for _, j := range list {
-		names = append(names, j.Searcher)
+		names = append(names, j.Backend)
 	}
 	return names
 }
@@ -52,7 +52,7 @@
 		t.Errorf("what we saw ourselves counts as a witness: %+v", list)
 	}
 	list := store(one, two, fine).Judge(100, holders)
-	if len(list) != 1 || list[0].Searcher != "s1" || list[0].Times < 30 || !slices.Equal(list[0].Witnesses, names[1:3]) {
+	if len(list) != 1 || list[0].Backend != "s1" || list[0].Times < 30 || !slices.Equal(list[0].Witnesses, names[1:3]) {
 		t.Errorf("two of three: %+v", list)
 	}
 	if list := store(one, two, fine, Make("e", 1, seen())).Judge(100, holders); len(list) != 1 {
@@ -63,12 +63,12 @@
 		list[2].Failed, list[2].Latency = 9, 0.001
 		return Make(origin, 1, list)
 	}
-	if list := store(failing("b"), failing("c")).Judge(100, holders); len(list) != 1 || list[0].Searcher != "s2" || list[0].Times < 5 {
+	if list := store(failing("b"), failing("c")).Judge(100, holders); len(list) != 1 || list[0].Backend != "s2" || list[0].Times < 5 {
 		t.Errorf("one that fails fast: %+v", list)
 	}
 }
 
-// A mixer that calls most searchers bad is sick itself and counts for nothing, and with many sick ones each shard keeps
+// A node that calls most backends bad is sick itself and counts for nothing, and with many sick ones each shard keeps
 // half of its holders; what is old counts no more.
 func TestJudgementsAreBounded(t *testing.T) {
 	sick := func(origin membership.Name) Report { return Make(origin, 1, seen("s1", "s2")) }
@@ -81,14 +81,14 @@
 		for _, origin := range names[1:] {
 			var list []Seen
 			for i := range 8 {
-				list = append(list, Seen{Searcher(fmt.Sprint("s", i)), int(20 * g.Unit()), 0, 0.01 * (1 + 30*g.Unit()*g.Unit()*g.Unit())})
+				list = append(list, Seen{Backend(fmt.Sprint("s", i)), int(20 * g.Unit()), 0, 0.01 * (1 + 30*g.Unit()*g.Unit()*g.Unit())})
 				list[i].Failed = int(float64(list[i].Calls) * g.Unit() * g.Unit())
 			}
 			reports = append(reports, Make(origin, 1, list))
 		}
 		var wide Holders
 		for c := range 8 {
-			wide = append(wide, []Searcher{Searcher(fmt.Sprint("s", c)), Searcher(fmt.Sprint("s", (c+1)%8)), Searcher(fmt.Sprint("s", (c+2)%8))})
+			wide = append(wide, []Backend{Backend(fmt.Sprint("s", c)), Backend(fmt.Sprint("s", (c+1)%8)), Backend(fmt.Sprint("s", (c+2)%8))})
 		}
 		bad := judged(store(reports...).Judge(100, wide))
 		for _, held := range wide {
@@ -119,7 +119,7 @@
 		var messages []Report
 		for _, origin := range names[1:] {
 			for v := range 5 {
-				messages = append(messages, Make(origin, Version(v+1), seen(Searcher(fmt.Sprint("s", v%4)))))
+				messages = append(messages, Make(origin, Version(v+1), seen(Backend(fmt.Sprint("s", v%4)))))
 			}
 		}
 		left, right := store(), store()
@@ -143,7 +143,7 @@
 	}
 }
 
-// A report reaches all of a hundred mixers, over others, in a few rounds.
+// A report reaches all of a hundred nodes, over others, in a few rounds.
 func TestReportsSpread(t *testing.T) {
 	var all []membership.Name
 	for i := range 100 {
--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -36,10 +36,10 @@
 }
 
 // nothing is the bucket of a tenant of whom it is not known whether it has a quota, and of all before the address is ours:
-// another process may spend what is due to this mixer.
+// another process may spend what is due to this node.
 var nothing = quota.Empty()
 
-// rezone brings the module's held lookups under the rules, and hears when all part calls go by them.
+// rezone brings the module's held queries under the rules, and hears when all part calls go by them.
 func (f *Fleet) rezone() {
 	rules := f.view.Load().rules
 	zones := func(c policy.CustomerID, k policy.IndexID) *policy.Zones {
@@ -52,7 +52,7 @@
 	f.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, Held: f.held(f.has.Contracts)}})
 }
 
-// nowhere is for lookups held at a mixer that may not have them any more.
+// nowhere is for queries held at a node that may not have them any more.
 var nowhere = policy.NewZones()
 
 func (f *Fleet) setSure(until float64) { f.sure.Store(math.Float64bits(until)) }
--- a/internal/controlplane/fleet/quota/bucket.go
+++ b/internal/controlplane/fleet/quota/bucket.go
@@ -8,13 +8,13 @@
 
 const (
 	slots = 4 // grants that a bucket holds at once: one being spent, one in reserve, and two that run out
-	// ahead is for how long of its demand a mixer holds tokens: two askings and what one takes, each of which may get lost.
+	// ahead is for how long of its demand a node holds tokens: two askings and what one takes, each of which may get lost.
 	ahead = 0.5
 	// spare is how many times that it may hold before it gives the rest back.
 	spare = 2
 	// fading is over which time demand is forgotten once it is gone.
 	fading = 0.5
-	// clockGrain is what a clock of Unix seconds in a float rounds off: without it a floor of one lookup never admits it.
+	// clockGrain is what a clock of Unix seconds in a float rounds off: without it a floor of one query never admits it.
 	clockGrain = 1e-6
 	// reports is how many grants one Ask tells of.
 	reports = 2 * slots
@@ -28,17 +28,17 @@
 	until  float64
 }
 
-// floor is what a mixer may spend of its own.
+// floor is what a node may spend of its own.
 type floor struct{ perS, burst float64 }
 
-// Bucket is one tenant's at one mixer. Any goroutine may spend from it; only one fills it.
+// Bucket is one tenant's at one node. Any goroutine may spend from it; only one fills it.
 type Bucket struct {
 	slots [slots]atomic.Pointer[slot]
 	floor atomic.Pointer[floor]
 	// full is the time at which the floor's bucket will be full, as bits of a float: the form of a bucket that one
 	// compare-and-swap spends from (the generic cell rate algorithm, ITU-T I.371).
 	full  atomic.Uint64
-	asked atomic.Int64 // lookups that came
+	asked atomic.Int64 // queries that came
 	short atomic.Int64 // of these, that found nothing
 	next  atomic.Uint64
 }
@@ -106,7 +106,7 @@
 	return wait
 }
 
-// Demand tells how many lookups came, and how many of them found nothing.
+// Demand tells how many queries came, and how many of them found nothing.
 func (b *Bucket) Demand() (asked, short int64) { return b.asked.Load(), b.short.Load() }
 
 // closed is a grant that nothing more is spent from, until the granter is known to have heard so.
@@ -123,28 +123,28 @@
 	asked  int64
 	short  int64
 	at     float64
-	demand float64 // lookups a second
+	demand float64 // queries a second
 	closed []closed
 }
 
-// Holder fills the buckets of one mixer. One goroutine uses it.
+// Holder fills the buckets of one node. One goroutine uses it.
 type Holder struct {
 	lease    float64
-	mixers   int
+	nodes    int
 	accounts map[Tenant]*account
 	order    []Tenant
 }
 
 // NewHolder makes one of a fleet of so many; grants last so many seconds from the asking.
-func NewHolder(lease float64, mixers int) *Holder {
-	return &Holder{lease: lease, mixers: mixers, accounts: map[Tenant]*account{}}
+func NewHolder(lease float64, nodes int) *Holder {
+	return &Holder{lease: lease, nodes: nodes, accounts: map[Tenant]*account{}}
 }
 
 // Set takes the quotas that hold from now on, and hands out the buckets by tenant. One whose quota is gone is gone too.
 func (h *Holder) Set(now float64, quotas map[Tenant]Quota) map[Tenant]*Bucket {
 	buckets := make(map[Tenant]*Bucket, len(quotas))
 	for tenant, q := range quotas {
-		perS, burst := q.Share(h.mixers)
+		perS, burst := q.Share(h.nodes)
 		a := h.accounts[tenant]
 		if a == nil {
 			a = &account{bucket: newBucket(now, perS, burst), at: now}
@@ -192,7 +192,7 @@
 	return list
 }
 
-// Urgent tells whether a lookup found nothing since the last asking.
+// Urgent tells whether a query found nothing since the last asking.
 func (h *Holder) Urgent() bool {
 	for _, a := range h.accounts {
 		if a.bucket.short.Load() > a.short {
--- a/internal/controlplane/fleet/quota/quota.go
+++ b/internal/controlplane/fleet/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota holds a tenant's quota over all mixers together. One mixer, the granter, has a bucket for each tenant and
-// hands tokens out of it to the others, for a short time each; a mixer spends what it was handed, and a floor of its own.
+// Package quota holds a tenant's quota over all nodes together. One node, the granter, has a bucket for each tenant and
+// hands tokens out of it to the others, for a short time each; a node spends what it was handed, and a floor of its own.
 //
 // What the bound rests on: a bucket fills only while what it holds and what was handed out and is not known to be spent
 // stay within its burst. So in any W seconds no more is spent than lay anywhere at their beginning, which is a burst at
@@ -20,22 +20,22 @@
 // Tenant is one by its name.
 type Tenant string
 
-// GrantNo names a grant of one granter to one mixer.
+// GrantNo names a grant of one granter to one node.
 type GrantNo uint64
 
-// Quota is what a tenant may have of all mixers together, in lookups.
+// Quota is what a tenant may have of all nodes together, in queries.
 type Quota struct {
 	PerS  float64 `cbor:"1,keyasint" json:"per_s"`
 	Burst float64 `cbor:"2,keyasint" json:"burst"`
-	Floor float64 `cbor:"3,keyasint" json:"floor_share"` // share of it that mixers have by themselves
+	Floor float64 `cbor:"3,keyasint" json:"floor_share"` // share of it that nodes have by themselves
 }
 
 const (
-	// ClockSlack is by how much the rates of two mixers' clocks may differ.
+	// ClockSlack is by how much the rates of two nodes' clocks may differ.
 	ClockSlack = 0.01
 	// Slower makes up for it where something fills: it does so by a clock that may run fast.
 	Slower = 1 / (1 + ClockSlack)
-	// Longer makes up for it where something was handed out: that ends at the granter by a clock that may run fast, at a mixer by one
+	// Longer makes up for it where something was handed out: that ends at the granter by a clock that may run fast, at a node by one
 	// that may run slow.
 	Longer = (1 + ClockSlack) / (1 - ClockSlack)
 	// full is the part of a second that a burst has to cover for a rate to be used in full: some askings and the news
@@ -43,10 +43,10 @@
 	full = 0.5
 )
 
-// Share is one mixer's floor, of a fleet of so many: both 0 where the quota has none, or so little burst that no mixer
-// could ever admit a whole lookup by it. Then nothing has to be taken off either.
-func (q Quota) Share(mixers int) (perS, burst float64) {
-	n := float64(max(1, mixers))
+// Share is one node's floor, of a fleet of so many: both 0 where the quota has none, or so little burst that no node
+// could ever admit a whole query by it. Then nothing has to be taken off either.
+func (q Quota) Share(nodes int) (perS, burst float64) {
+	n := float64(max(1, nodes))
 	if burst = q.Floor * q.Burst / n; burst < 1 {
 		return 0, 0
 	}
@@ -54,8 +54,8 @@
 }
 
 // Check tells what is wrong with a quota for a fleet of so many.
-func (q Quota) Check(mixers int) (wrong, warn string) {
-	alone, _ := q.Share(mixers)
+func (q Quota) Check(nodes int) (wrong, warn string) {
+	alone, _ := q.Share(nodes)
 	switch {
 	case !(q.PerS > 0) || math.IsInf(q.PerS, 0):
 		return "per_s has to be more than 0", ""
@@ -79,7 +79,7 @@
 	until  float64
 }
 
-// asker is one mixer's dealings in one tenant.
+// asker is one node's dealings in one tenant.
 type asker struct {
 	out []outstanding
 	at  float64 // last asked for something
@@ -93,7 +93,7 @@
 	askers map[membership.Name]*asker
 }
 
-// Ask is what a mixer says of one tenant.
+// Ask is what a node says of one tenant.
 type Ask struct {
 	Tenant Tenant  `cbor:"1,keyasint"`
 	Want   float64 `cbor:"2,keyasint,omitempty"` // tokens more
@@ -115,12 +115,12 @@
 	Next   float64 `cbor:"4,keyasint,omitempty"` // seconds until there may be more
 }
 
-// Floors tells the sum of what mixers may have by themselves of a tenant: rates and bursts.
+// Floors tells the sum of what nodes may have by themselves of a tenant: rates and bursts.
 type Floors func(Tenant) (perS, burst float64)
 
-// Granter hands out, while its mixer may.
+// Granter hands out, while its node may.
 type Granter struct {
-	lease   float64 // length of a grant, as the mixer counts it from its asking
+	lease   float64 // length of a grant, as the node counts it from its asking
 	from    float64 // may grant from here on
 	until   float64 // and no later than here
 	filling float64 // buckets fill from here on
@@ -129,13 +129,13 @@
 	buckets map[Tenant]*bucket
 }
 
-// fairFor is how long a mixer that asked counts among those that share what is left.
+// fairFor is how long a node that asked counts among those that share what is left.
 const fairFor = 0.5
 
 // NewGranter makes one that may not grant yet. Grants are of so many seconds.
 func NewGranter(lease float64) *Granter { return &Granter{lease: lease, buckets: map[Tenant]*bucket{}} }
 
-// Begin makes this mixer the granter at a time: another may have been it, whose authority may last for so long and whose
+// Begin makes this node the granter at a time: another may have been it, whose authority may last for so long and whose
 // grants for a lease more, so that nothing is granted before. What would have come in meanwhile is not lost, up to a
 // burst, but for the time in which the other may have counted it too. The epoch numbers grants apart from earlier ones.
 func (g *Granter) Begin(now, authority float64, epoch uint64) {
@@ -145,7 +145,7 @@
 	g.buckets = map[Tenant]*bucket{}
 }
 
-// Confirm says that at a time this mixer was the granter for sure, so that no other grants for so long after.
+// Confirm says that at a time this node was the granter for sure, so that no other grants for so long after.
 func (g *Granter) Confirm(at, authority float64) { g.until = max(g.until, at+authority) }
 
 // End makes it a granter no more.
@@ -168,7 +168,7 @@
 	return sum
 }
 
-// forget lets go of grants that have surely run out or are spent, and of mixers that ask no more.
+// forget lets go of grants that have surely run out or are spent, and of nodes that ask no more.
 func (b *bucket) forget(now float64) {
 	for name, a := range b.askers {
 		a.out = slices.DeleteFunc(a.out, func(o outstanding) bool { return now >= o.until || o.spent >= o.tokens })
@@ -187,7 +187,7 @@
 	b.at = max(b.at, now)
 }
 
-// Take answers what a mixer asks of a tenant at a time; false where this mixer may not grant. What is told of
+// Take answers what a node asks of a tenant at a time; false where this node may not grant. What is told of
 // grants counts either way.
 func (g *Granter) Take(now float64, from membership.Name, ask *Ask, quota Quota, floors Floors) (Grant, bool) {
 	out := Grant{Tenant: ask.Tenant}
--- a/internal/controlplane/fleet/quota/quota_test.go
+++ b/internal/controlplane/fleet/quota/quota_test.go
@@ -16,11 +16,11 @@
 type broken struct {
 	floorsKept bool // floors are not subtracted
 	hasty      bool // a new granter does not wait
-	forever    bool // mixers do not look at a lease's end
+	forever    bool // nodes do not look at a lease's end
 	refilled   bool // a process begins with a full floor
 }
 
-// message is what is on its way between two mixers in virtual time.
+// message is what is on its way between two nodes in virtual time.
 type message struct {
 	at   float64
 	to   int
@@ -30,8 +30,8 @@
 	back []Grant
 }
 
-// simMixer is one mixer: its clock runs at its own rate.
-type simMixer struct {
+// simNode is one node: its clock runs at its own rate.
+type simNode struct {
 	rate      float64
 	holder    *Holder
 	granter   *Granter
@@ -43,11 +43,11 @@
 	next      float64
 	name      membership.Name
 	sees      int     // whom it asks
-	weight    float64 // share of lookups
+	weight    float64 // share of queries
 	weightDue float64
 }
 
-// sim plays one tenant's quota over a fleet in virtual time, with messages lost, late, doubled and out of order, mixers that
+// sim plays one tenant's quota over a fleet in virtual time, with messages lost, late, doubled and out of order, nodes that
 // stand still, restart and hear nothing, clocks that differ by a hundredth, and granters that change while the one before
 // still believes to be it. The judge is a bucket by true time: what it overflows by is a breach in some window.
 type sim struct {
@@ -55,7 +55,7 @@
 	quota    Quota
 	lease    float64
 	broken   broken
-	mixers   []*simMixer
+	nodes    []*simNode
 	messages []message
 	now      float64
 	leader   int
@@ -63,7 +63,7 @@
 	level    float64 // the judge's
 	at       float64
 	admitted float64
-	cut      map[int]float64 // until when a mixer hears nobody
+	cut      map[int]float64 // until when a node hears nobody
 	calm     bool
 }
 
@@ -75,10 +75,10 @@
 func newSim(seed uint64, q Quota, b broken) *sim {
 	s := &sim{PCG: random.PCG(seed), quota: q, lease: 3, broken: b, cut: map[int]float64{}, epoch: 1}
 	for i := range 3 + int(s.Unit()*5) {
-		s.mixers = append(s.mixers, &simMixer{rate: 1 + ClockSlack/2*(2*s.Unit()-1), name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease),
+		s.nodes = append(s.nodes, &simNode{rate: 1 + ClockSlack/2*(2*s.Unit()-1), name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease),
 			weight: s.Unit() * s.Unit()})
 	}
-	for _, m := range s.mixers {
+	for _, m := range s.nodes {
 		s.start(m)
 	}
 	s.lead(0)
@@ -86,12 +86,12 @@
 }
 
 // start begins a process.
-func (s *sim) start(m *simMixer) {
+func (s *sim) start(m *simNode) {
 	lease := s.lease
 	if s.broken.forever {
 		lease *= 20
 	}
-	m.holder, m.asked, m.epoch = NewHolder(lease, len(s.mixers)), map[uint64]float64{}, 0
+	m.holder, m.asked, m.epoch = NewHolder(lease, len(s.nodes)), map[uint64]float64{}, 0
 	m.bucket = m.holder.Set(m.clock(s.now), map[Tenant]Quota{"t": s.quota})["t"]
 	if s.broken.refilled {
 		m.bucket.full.Store(math.Float64bits(m.clock(s.now)))
@@ -99,13 +99,13 @@
 	m.granter.End()
 }
 
-func (m *simMixer) clock(now float64) float64 { return 1000 + now*m.rate }
+func (m *simNode) clock(now float64) float64 { return 1000 + now*m.rate }
 
-// lead makes a mixer the granter from now on; the one before does not know.
+// lead makes a node the granter from now on; the one before does not know.
 func (s *sim) lead(i int) {
 	s.epoch++
 	s.leader = i
-	m := s.mixers[i]
+	m := s.nodes[i]
 	m.epoch = s.epoch
 	m.granter.Begin(m.clock(s.now), authority, s.epoch)
 	if s.broken.hasty {
@@ -117,8 +117,8 @@
 	if s.broken.floorsKept {
 		return 0, 0
 	}
-	perS, burst = s.quota.Share(len(s.mixers))
-	n := float64(len(s.mixers))
+	perS, burst = s.quota.Share(len(s.nodes))
+	n := float64(len(s.nodes))
 	return n * perS, n * burst
 }
 
@@ -143,31 +143,31 @@
 	}
 }
 
-// step plays a step, with so many lookups a second asked of each mixer by its weight.
+// step plays a step, with so many queries a second asked of each node by its weight.
 func (s *sim) step(perS float64) error {
 	s.now += simStep
 	switch u := s.Unit(); { // faults, some a minute
 	case u < 0.002:
-		s.lead(int(s.Unit() * float64(len(s.mixers))))
+		s.lead(int(s.Unit() * float64(len(s.nodes))))
 	case u < 0.004:
-		s.mixers[int(s.Unit()*float64(len(s.mixers)))].stopped = s.now + 8*s.Unit()
+		s.nodes[int(s.Unit()*float64(len(s.nodes)))].stopped = s.now + 8*s.Unit()
 	case u < 0.006:
-		s.cut[int(s.Unit()*float64(len(s.mixers)))] = s.now + 10*s.Unit()
+		s.cut[int(s.Unit()*float64(len(s.nodes)))] = s.now + 10*s.Unit()
 	case u < 0.007:
-		i := int(s.Unit() * float64(len(s.mixers)))
-		m := s.mixers[i]
+		i := int(s.Unit() * float64(len(s.nodes)))
+		m := s.nodes[i]
 		m.stopped = 0
 		s.start(m)
 		if s.leader == i {
-			s.lead(int(s.Unit() * float64(len(s.mixers))))
+			s.lead(int(s.Unit() * float64(len(s.nodes))))
 		}
 	}
 	s.deliver()
 	total := 0.0
-	for _, m := range s.mixers {
+	for _, m := range s.nodes {
 		total += m.weight
 	}
-	for i, m := range s.mixers {
+	for i, m := range s.nodes {
 		if m.stopped > s.now {
 			continue
 		}
@@ -215,7 +215,7 @@
 	waiting := s.messages
 	s.messages = nil
 	for _, l := range waiting {
-		if m := s.mixers[l.to]; l.at > s.now || m.stopped > s.now {
+		if m := s.nodes[l.to]; l.at > s.now || m.stopped > s.now {
 			s.messages = append(s.messages, l)
 			continue
 		}
@@ -224,7 +224,7 @@
 }
 
 func (s *sim) take(l message) {
-	m := s.mixers[l.to]
+	m := s.nodes[l.to]
 	now := m.clock(s.now)
 	if l.back != nil {
 		at, known := m.asked[l.no]
@@ -238,7 +238,7 @@
 	}
 	back := []Grant{}
 	for i := range l.asks {
-		if g, may := m.granter.Take(now, s.mixers[l.from].name, &l.asks[i], s.quota, s.floors); may {
+		if g, may := m.granter.Take(now, s.nodes[l.from].name, &l.asks[i], s.quota, s.floors); may {
 			back = append(back, g)
 		}
 	}
@@ -298,14 +298,14 @@
 	}
 }
 
-// calm is a fleet without faults, whose tenant's lookups go where weights say.
+// calm is a fleet without faults, whose tenant's queries go where weights say.
 func calm(q Quota, weights ...float64) *sim {
 	s := &sim{calm: true, PCG: 7, quota: q, lease: 3, cut: map[int]float64{}, epoch: 1}
 	for i, w := range weights {
-		m := &simMixer{rate: 1, name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease), weight: w}
-		s.mixers = append(s.mixers, m)
+		m := &simNode{rate: 1, name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease), weight: w}
+		s.nodes = append(s.nodes, m)
 	}
-	for _, m := range s.mixers {
+	for _, m := range s.nodes {
 		s.start(m)
 	}
 	s.lead(0)
@@ -318,10 +318,10 @@
 	s.now += simStep
 	s.deliver()
 	total := 0.0
-	for _, m := range s.mixers {
+	for _, m := range s.nodes {
 		total += m.weight
 	}
-	for i, m := range s.mixers {
+	for i, m := range s.nodes {
 		now := m.clock(s.now)
 		if i == s.leader {
 			m.granter.Confirm(now, authority)
@@ -350,7 +350,7 @@
 	return s.admitted - was, nil
 }
 
-// Without a fault a tenant has 95% of its quota, whether its lookups are spread, sit at one mixer, or have moved to another
+// Without a fault a tenant has 95% of its quota, whether its queries are spread, sit at one node, or have moved to another
 // a second ago.
 func TestQuotaIsUsed(t *testing.T) {
 	for _, q := range []Quota{{100, 100, 0.04}, {20, 20, 0.04}, {3, 6, 0}} {
@@ -375,21 +375,21 @@
 				}
 			}
 			at("at one")
-			s.mixers[1].weight, s.mixers[2].weight = 0, 1
+			s.nodes[1].weight, s.nodes[2].weight = 0, 1
 			play(1)
 			at("moved to another")
-			for _, m := range s.mixers {
+			for _, m := range s.nodes {
 				m.weight = 1
 			}
 			play(5)
-			if q.Burst >= 3*float64(n) { // else most of the burst lies at mixers where nobody asks at the moment
+			if q.Burst >= 3*float64(n) { // else most of the burst lies at nodes where nobody asks at the moment
 				at("spread over all")
 			}
 		}
 	}
 }
 
-// A floor of just one lookup admits it, at clocks as they are, and its rate from then on; cut off it needs nobody.
+// A floor of just one query admits it, at clocks as they are, and its rate from then on; cut off it needs nobody.
 func TestFloorOfOneLookup(t *testing.T) {
 	const began = 1.79e9
 	h := NewHolder(3, 9)
--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -1,5 +1,5 @@
-// Package residency keeps each tenant's lookups inside the zones that its contract allows. It knows the contracts, makes
-// masks of zones from them, knows at a mixer for how long they are sure, and at the council's leader where a changed one
+// Package residency keeps each tenant's queries inside the zones that its contract allows. It knows the contracts, makes
+// masks of zones from them, knows at a node for how long they are sure, and at the council's leader where a changed one
 // holds. It does no I/O, reads no clock and starts no goroutine.
 package residency
 
@@ -21,7 +21,7 @@
 // Contract is what one tenant's allows.
 type Contract struct {
 	Zones []string `cbor:"1,keyasint" json:"zones"`
-	// Own keeps lookups to mixers in these zones as well, where the data may not pass elsewhere either.
+	// Own keeps queries to nodes in these zones as well, where the data may not pass elsewhere either.
 	Own bool `cbor:"2,keyasint,omitempty" json:"own,omitempty"`
 	// Indexes are those that it is about, all if there are none.
 	Indexes []string `cbor:"3,keyasint,omitempty" json:"indexes,omitempty"`
@@ -71,21 +71,21 @@
 	return nil
 }
 
-// Rule is what holds for the lookups of one tenant and index.
+// Rule is what holds for the queries of one tenant and index.
 type Rule struct {
 	Zones *policy.Zones // nil where no contract speaks of them
-	// Here tells whether this mixer may take them at all.
+	// Here tells whether this node may take them at all.
 	Here bool
 }
 
-// Rules is a table made ready for lookups: a rule by customer and index.
+// Rules is a table made ready for queries: a rule by customer and index.
 type Rules struct {
 	Table *Table
 	rules map[policy.CustomerID][]Rule
 }
 
-// Compile makes the rules of a mixer that stands in a zone. Zones that the settings do not know stand in no mask, so that
-// a searcher of such a zone, or of none, is outside of all of them.
+// Compile makes the rules of a node that stands in a zone. Zones that the settings do not know stand in no mask, so that
+// a backend of such a zone, or of none, is outside of all of them.
 func (s *Site) Compile(t *Table, own string) *Rules {
 	r := &Rules{Table: t, rules: map[policy.CustomerID][]Rule{}}
 	for i, tenant := range s.Tenants {
@@ -111,7 +111,7 @@
 	return r
 }
 
-// Of is the rule of a lookup.
+// Of is the rule of a query.
 func (r *Rules) Of(customer policy.CustomerID, index policy.IndexID) Rule {
 	if rules := r.rules[customer]; int(index) < len(rules) {
 		return rules[index]
@@ -119,21 +119,21 @@
 	return Rule{Here: true}
 }
 
-// Lease is how long a mixer knows the contracts for sure. Its goroutine alone uses it; what traffic goes by is Until.
+// Lease is how long a node knows the contracts for sure. Its goroutine alone uses it; what traffic goes by is Until.
 type Lease struct {
 	length float64 // from the asking
-	stop   float64 // and by how much sooner lookups are refused, so that those taken have ended by then
+	stop   float64 // and by how much sooner queries are refused, so that those taken have ended by then
 	until  float64
 	heard  bool
 }
 
-// NewLease makes one; stop is the longest that a lookup may last.
+// NewLease makes one; stop is the longest that a query may last.
 func NewLease(length, stop float64) *Lease { return &Lease{length: length, stop: stop} }
 
 // Renew takes the answer to an asking: the contracts that we hold were the newest after it.
 func (l *Lease) Renew(asked float64) { l.until, l.heard = max(l.until, asked+l.length), true }
 
-// Until is when the contracts are sure no more, for lookups that begin; 0 before anything was heard.
+// Until is when the contracts are sure no more, for queries that begin; 0 before anything was heard.
 func (l *Lease) Until() float64 {
 	if !l.heard {
 		return 0
@@ -141,82 +141,82 @@
 	return l.until - l.stop
 }
 
-// Progress is how far a version got, mixer by mixer.
+// Progress is how far a version got, node by node.
 type Progress struct {
-	Version Version      `cbor:"version" json:"version"`
-	Held    bool         `cbor:"held" json:"held"`
-	Mixers  []MixerState `cbor:"mixers" json:"mixers"`
+	Version Version     `cbor:"version" json:"version"`
+	Held    bool        `cbor:"held" json:"held"`
+	Nodes   []NodeState `cbor:"mixers" json:"mixers"`
 }
 
-// MixerState tells of one mixer how it stands to a version.
-type MixerState struct {
-	Mixer membership.Name `cbor:"mixer" json:"mixer"`
+// NodeState tells of one node how it stands to a version.
+type NodeState struct {
+	Node  membership.Name `cbor:"mixer" json:"mixer"`
 	State string          `cbor:"state" json:"state"`
 	Holds Version         `cbor:"holds" json:"holds"` // that it has told of
 	InS   float64         `cbor:"in_s,omitempty" json:"in_s,omitempty"`
 }
 
-// How a mixer stands to a version.
+// How a node stands to a version.
 const (
 	StateHolds   = "holds"   // it told us, once no part call outside was out any more
 	StateRefuses = "refuses" // its lease has run out for sure: strict tenants are refused there
 	StateOld     = "old"     // it may go by an older one
 )
 
-// mixer is what the leader knows of one.
-type mixer struct {
+// node is what the leader knows of one.
+type node struct {
 	holds  Version
 	lapses float64 // when its lease has run out for sure, if it hears nothing more
 }
 
-// Spread is the leader's knowledge of which contracts mixers hold.
+// Spread is the leader's knowledge of which contracts nodes hold.
 type Spread struct {
-	lease  float64 // as granted, with its slack
-	quiet  float64 // until when another leader may still hand out what it knew
-	mixers map[membership.Name]*mixer
-	names  []membership.Name
+	lease float64 // as granted, with its slack
+	quiet float64 // until when another leader may still hand out what it knew
+	nodes map[membership.Name]*node
+	names []membership.Name
 }
 
-// NewSpread makes one for a fleet; leases are of so many seconds at the mixers.
+// NewSpread makes one for a fleet; leases are of so many seconds at the nodes.
 func NewSpread(lease float64, names []membership.Name) *Spread {
-	return &Spread{lease: lease * quota.Longer, names: slices.Sorted(slices.Values(names)), mixers: map[membership.Name]*mixer{}}
+	return &Spread{lease: lease * quota.Longer, names: slices.Sorted(slices.Values(names)), nodes: map[membership.Name]*node{}}
 }
 
 // Begin forgets what another leader may have known: until its authority has ended it may renew leases, and each of those
-// lasts for a lease. It may also hand an older table to a mixer that begins anew after it told us of a newer one, so that
-// nothing that mixers say counts before then.
+// lasts for a lease. It may also hand an older table to a node that begins anew after it told us of a newer one, so that
+// nothing that nodes say counts before then.
 func (s *Spread) Begin(now, authority float64) {
-	clear(s.mixers)
+	clear(s.nodes)
 	s.quiet = now + authority*quota.Longer
 	for _, name := range s.names {
-		s.mixers[name] = &mixer{lapses: now + authority*quota.Longer + s.lease}
+		s.nodes[name] = &node{lapses: now + authority*quota.Longer + s.lease}
 	}
 }
 
-// Hears takes what a mixer says it holds.
+// Hears takes what a node says it holds.
 func (s *Spread) Hears(now float64, from membership.Name, holds Version) {
-	if m := s.mixers[from]; m != nil && now >= s.quiet {
+	if m := s.nodes[from]; m != nil && now >= s.quiet {
 		m.holds = holds // a process that begins anew holds less than the one before it
 	}
 }
 
-// Renews notes that a mixer's lease is renewed now.
+// Renews notes that a node's lease is renewed now.
 func (s *Spread) Renews(now float64, name membership.Name) {
-	if m := s.mixers[name]; m != nil {
+	if m := s.nodes[name]; m != nil {
 		m.lapses = max(m.lapses, now+s.lease)
 	}
 }
 
-// Progress tells how far a version got. It is held once each mixer holds it, or refuses whom it is about, where that
+// Progress tells how far a version got. It is held once each node holds it, or refuses whom it is about, where that
 // tenant is strict.
 func (s *Spread) Progress(now float64, v Version, strict bool) Progress {
-	p := Progress{Version: v, Held: len(s.mixers) > 0}
+	p := Progress{Version: v, Held: len(s.nodes) > 0}
 	for _, name := range s.names {
-		m := s.mixers[name]
+		m := s.nodes[name]
 		if m == nil {
 			continue
 		}
-		x := MixerState{Mixer: name, State: StateOld, Holds: m.holds}
+		x := NodeState{Node: name, State: StateOld, Holds: m.holds}
 		switch {
 		case m.holds >= v:
 			x.State = StateHolds
@@ -228,7 +228,7 @@
 				x.InS = m.lapses - now
 			}
 		}
-		p.Mixers = append(p.Mixers, x)
+		p.Nodes = append(p.Nodes, x)
 	}
 	return p
 }
--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -53,8 +53,8 @@
 type broken struct {
 	early  bool // told as held before all hold it
 	hasty  bool // a new leader forgets that the one before may have renewed
-	past   bool // mixers do not look at their lease's end
-	unheld bool // a mixer says that it holds what its lookups do not go by yet
+	past   bool // nodes do not look at their lease's end
+	unheld bool // a node says that it holds what its queries do not go by yet
 }
 
 const (
@@ -62,8 +62,8 @@
 	bound                     = lease + authority // after which an accepted contract holds at strict tenants
 )
 
-// simMixer is one mixer. Its lookups are taken by the table that it has, and each may send part calls until it ends.
-type simMixer struct {
+// simNode is one node. Its queries are taken by the table that it has, and each may send part calls until it ends.
+type simNode struct {
 	name   membership.Name
 	rate   float64
 	lease  *Lease
@@ -86,23 +86,23 @@
 	sure   float64 // until when, by true time
 }
 
-// play plays one strict tenant's contract, narrowed again and again, at mixers that are cut off, stand still and restart,
+// play plays one strict tenant's contract, narrowed again and again, at nodes that are cut off, stand still and restart,
 // under leaders that come and go while the one before still acts on what it was sure of. Version v allows no part call that
-// v-1 allowed, so that a call is outside where its lookup goes by an older version than must hold.
+// v-1 allowed, so that a call is outside where its query goes by an older version than must hold.
 func play(seed uint64, b broken) error {
 	g := random.PCG(seed)
 	var names []membership.Name
-	var mixers []*simMixer
+	var nodes []*simNode
 	for i := range 4 {
 		names = append(names, membership.Name(fmt.Sprint("m", i)))
 	}
-	begin := func(m *simMixer) {
+	begin := func(m *simNode) {
 		m.lease, m.has, m.holds, m.looks = NewLease(lease, longest), 0, 0, nil
 	}
 	for _, name := range names {
-		m := &simMixer{name: name, rate: 1 + quota.ClockSlack/2*(2*g.Unit()-1)}
+		m := &simNode{name: name, rate: 1 + quota.ClockSlack/2*(2*g.Unit()-1)}
 		begin(m)
-		mixers = append(mixers, m)
+		nodes = append(nodes, m)
 	}
 	latest, accepted, told := Version(1), 0.0, Version(0)
 	leaders := []*simLeader{{spread: NewSpread(lease, names), knows: 1}}
@@ -126,24 +126,24 @@
 		case u < 0.014:
 			cut[int(g.Unit()*4)] = now + 9*g.Unit()
 		case u < 0.018:
-			mixers[int(g.Unit()*4)].stops = now + 6*g.Unit()
+			nodes[int(g.Unit()*4)].stops = now + 6*g.Unit()
 		case u < 0.020:
-			begin(mixers[int(g.Unit()*4)])
+			begin(nodes[int(g.Unit()*4)])
 		}
-		if p := newest.spread.Progress(now, latest, true); p.Held || b.early && slices.ContainsFunc(p.Mixers, func(x MixerState) bool { return x.State != StateOld }) {
+		if p := newest.spread.Progress(now, latest, true); p.Held || b.early && slices.ContainsFunc(p.Nodes, func(x NodeState) bool { return x.State != StateOld }) {
 			told = max(told, latest)
 		}
 		must := told
 		if now > accepted+bound*quota.Longer+step {
 			must = latest
 		}
-		for i, m := range mixers {
+		for i, m := range nodes {
 			if now < m.stops {
 				continue
 			}
 			clock := now * m.rate
 			m.looks = slices.DeleteFunc(m.looks, func(l simLookup) bool { return now >= l.ends })
-			if m.holds < m.has && now >= m.holdAt { // the module's step brings held lookups under the new rules
+			if m.holds < m.has && now >= m.holdAt { // the module's step brings held queries under the new rules
 				m.holds = m.has
 				for j := range m.looks {
 					m.looks[j].version = m.has
@@ -213,18 +213,18 @@
 	}
 }
 
-// A tenant that is served past its lease is never told to be held by time alone, and the mixers that are behind are named.
+// A tenant that is served past its lease is never told to be held by time alone, and the nodes that are behind are named.
 func TestLenientTenantsWaitForAll(t *testing.T) {
 	s := NewSpread(lease, []membership.Name{"a", "b"})
 	s.Begin(0, authority)
 	s.Hears(50, "a", 7)
-	if p := s.Progress(100, 7, false); p.Held || p.Mixers[1].State != StateOld {
+	if p := s.Progress(100, 7, false); p.Held || p.Nodes[1].State != StateOld {
 		t.Errorf("%+v", p)
 	}
-	if p := s.Progress(100, 7, true); !p.Held || p.Mixers[1].State != StateRefuses {
+	if p := s.Progress(100, 7, true); !p.Held || p.Nodes[1].State != StateRefuses {
 		t.Errorf("%+v", p)
 	}
-	if p := s.Progress(1, 7, true); p.Held || !(p.Mixers[1].InS > 0) || math.IsInf(p.Mixers[1].InS, 0) {
+	if p := s.Progress(1, 7, true); p.Held || !(p.Nodes[1].InS > 0) || math.IsInf(p.Nodes[1].InS, 0) {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/controlplane/fleet/residency/wire_test.go
+++ b/internal/controlplane/fleet/residency/wire_test.go
@@ -16,7 +16,7 @@
 		goldentest.Form{Name: "contract", Value: new(Contract)},
 		goldentest.Form{Name: "table", Value: new(Table)},
 		goldentest.Form{Name: "progress", Value: new(Progress)},
-		goldentest.Form{Name: "mixer state", Value: new(MixerState)},
+		goldentest.Form{Name: "mixer state", Value: new(NodeState)},
 	)
 }
 
--- a/internal/controlplane/fleet/sealedmessage/sealedmessage.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage.go
@@ -1,9 +1,9 @@
-// Package sealedmessage seals what mixers say to each other, and opens it. It does no I/O and reads no clock. What is unknown,
+// Package sealedmessage seals what nodes say to each other, and opens it. It does no I/O and reads no clock. What is unknown,
 // altered, replayed, too long, of another version, or too much, is told apart and never acted on.
 //
 // A message as it travels: version (1 byte), who it is from and for (8 bytes each, hashes of names), the sender's
 // incarnation and the message's number (8 bytes each, big endian), its kind (1 byte), the body, and a keyed hash of all
-// that (16 bytes of BLAKE3). Who it is for is under the hash too: a message to one mixer is none to another.
+// that (16 bytes of BLAKE3). Who it is for is under the hash too: a message to one node is none to another.
 package sealedmessage
 
 import (
@@ -19,10 +19,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// Incarnation is one process of a mixer; a later one's is larger.
+// Incarnation is one process of a node; a later one's is larger.
 type Incarnation uint64
 
-// Number counts the messages of an incarnation to one other mixer, from 1.
+// Number counts the messages of an incarnation to one other node, from 1.
 type Number uint64
 
 // Kind is what a message is about; the fleet's actor knows which there are.
@@ -54,11 +54,11 @@
 	OtherVersion     // than ours
 	TooLong
 	Unknown  // from none of the roster
-	NotOurs  // for another mixer
+	NotOurs  // for another node
 	Altered  // its hash is another
 	Old      // of an incarnation before one that was heard
 	Replayed // its number came before, or is too far behind to tell
-	TooMuch  // more bytes a second than a mixer may send
+	TooMuch  // more bytes a second than a node may send
 )
 
 func (w Why) String() string {
@@ -74,7 +74,7 @@
 	Body        []byte
 }
 
-// Limits bound what one other mixer may make us take in.
+// Limits bound what one other node may make us take in.
 type Limits struct{ BytesPerS, Burst float64 }
 
 // window knows which numbers of an incarnation came: the highest, and a bit for each of those close behind.
@@ -113,7 +113,7 @@
 	allow  *rate.Limiter
 }
 
-// Sealer seals and opens for one mixer.
+// Sealer seals and opens for one node.
 type Sealer struct {
 	self        uint64
 	incarnation Incarnation
@@ -131,7 +131,7 @@
 	return fmt.Sprintf("the name %q looks like another one: expected a name with another hash", string(e))
 }
 
-// New makes the sealer of a mixer and the others of its roster.
+// New makes the sealer of a node and the others of its roster.
 func New(self membership.Name, incarnation Incarnation, key [KeyBytes]byte, others []membership.Name, lim Limits) (*Sealer, error) {
 	s := &Sealer{self: id(self), incarnation: incarnation, key: key, byName: map[membership.Name]*peer{}, byID: map[uint64]*peer{}}
 	for _, name := range others {
@@ -147,7 +147,7 @@
 // Incarnation is that of this process.
 func (s *Sealer) Incarnation() Incarnation { return s.incarnation }
 
-// Rise takes a higher incarnation, where another mixer knows of one as high as ours: a clock that went back, or a second
+// Rise takes a higher incarnation, where another node knows of one as high as ours: a clock that went back, or a second
 // process under our name.
 func (s *Sealer) Rise(above Incarnation) {
 	if above < s.incarnation {
@@ -227,7 +227,7 @@
 	return l, Good
 }
 
-// Known is the highest incarnation heard of a mixer, 0 for none.
+// Known is the highest incarnation heard of a node, 0 for none.
 func (s *Sealer) Known(name membership.Name) Incarnation {
 	if p := s.byName[name]; p != nil {
 		return p.window.incarnation
--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -16,10 +16,10 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Settings are what the operator's file and the mixer's config say together. Times are seconds.
+// Settings are what the operator's file and the node's config say together. Times are seconds.
 type Settings struct {
 	Self      membership.Name
-	Location  string // of this mixer, by the settings' names
+	Location  string // of this node, by the settings' names
 	Roster    membership.Roster
 	Key       [sealedmessage.KeyBytes]byte
 	Directory string // "" keeps nothing; a voter needs one
@@ -91,7 +91,7 @@
 	return slices.Contains(s.Strict, "*") || slices.Contains(s.Strict, string(tenant))
 }
 
-// strictHash tells whether two mixers refuse the same tenants where contracts are not sure.
+// strictHash tells whether two nodes refuse the same tenants where contracts are not sure.
 func (s *Settings) strictHash() uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(strings.Join(slices.Sorted(slices.Values(s.Strict)), "\n")))
--- a/internal/controlplane/fleet/show.go
+++ b/internal/controlplane/fleet/show.go
@@ -12,9 +12,9 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// Shown is what an operator sees of the fleet from one mixer.
+// Shown is what an operator sees of the fleet from one node.
 type Shown struct {
-	Mixer     membership.Name         `json:"mixer"`
+	Node      membership.Name         `json:"mixer"`
 	Open      bool                    `json:"open"`
 	Why       string                  `json:"why_not_open,omitempty"`
 	Deaf      bool                    `json:"hears_nothing"`
@@ -34,19 +34,19 @@
 	Reports   []outlier.Heard         `json:"reports"`
 }
 
-// ShownMember is another mixer.
+// ShownMember is another node.
 type ShownMember struct {
-	Mixer  membership.Name `json:"mixer"`
+	Node   membership.Name `json:"mixer"`
 	Status string          `json:"status"`
 	Heard  float64         `json:"heard_s_ago"`
 }
 
 type shownJudgement struct {
-	Searcher string  `json:"searcher"`
-	Ago      float64 `json:"s_ago"`
+	Backend string  `json:"searcher"`
+	Ago     float64 `json:"s_ago"`
 }
 
-// Show tells what this mixer knows.
+// Show tells what this node knows.
 func (f *Fleet) Show() (s Shown, err error) {
 	done := make(chan struct{})
 	f.in.Put(note{kind: asked, ask: func() { s = f.shown(); close(done) }})
@@ -59,7 +59,7 @@
 }
 
 func (f *Fleet) shown() Shown {
-	s := Shown{Mixer: f.set.Self, Open: f.members != nil, Why: f.opening, Leader: f.leader, Leads: f.leads(), Mute: f.failed, Contracts: *f.table,
+	s := Shown{Node: f.set.Self, Open: f.members != nil, Why: f.opening, Leader: f.leader, Leads: f.leads(), Mute: f.failed, Contracts: *f.table,
 		Holds: f.holds, QuotasAt: f.has.Quotas, Quotas: map[string]quota.Quota{}, SureFor: max(0, f.lease.Until()-f.now), Members: []ShownMember{}, Judged: []shownJudgement{}}
 	for tenant, q := range f.quotas {
 		s.Quotas[string(tenant)] = q
@@ -81,11 +81,11 @@
 	for name, at := range f.judged {
 		s.Judged = append(s.Judged, shownJudgement{string(name), f.now - at})
 	}
-	slices.SortFunc(s.Judged, func(a, b shownJudgement) int { return cmp.Compare(a.Searcher, b.Searcher) })
+	slices.SortFunc(s.Judged, func(a, b shownJudgement) int { return cmp.Compare(a.Backend, b.Backend) })
 	return s
 }
 
-// Explained says which contract, lease and quota decide about a tenant's lookups of an index at this mixer.
+// Explained says which contract, lease and quota decide about a tenant's queries of an index at this node.
 type Explained struct {
 	Taken bool     `json:"taken"`
 	Zones []string `json:"zones,omitempty"` // to which parts may go; none for everywhere
@@ -128,7 +128,7 @@
 		say("quota: none")
 	}
 	for _, j := range s.Judged {
-		say("judgement: searcher %s counts as slow where this mixer knows little of it, by the word of others", j.Searcher)
+		say("judgement: searcher %s counts as slow where this mixer knows little of it, by the word of others", j.Backend)
 	}
 	return e, nil
 }
--- a/internal/controlplane/fleet/tables.go
+++ b/internal/controlplane/fleet/tables.go
@@ -16,7 +16,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
-// tables are what a mixer keeps of what it heard, so that it goes by that after a restart in which it hears nothing.
+// tables are what a node keeps of what it heard, so that it goes by that after a restart in which it hears nothing.
 type tables struct {
 	Incarnation sealedmessage.Incarnation    `cbor:"1,keyasint"`
 	Table       *residency.Table             `cbor:"2,keyasint"`
--- a/internal/controlplane/fleet/udptransport/udptransport.go
+++ b/internal/controlplane/fleet/udptransport/udptransport.go
@@ -1,5 +1,5 @@
-// Package udptransport carries sealed messages between mixers: datagrams over UDP, and what is longer over TCP, both at the one
-// address that the roster gives a mixer. It opens nothing and decides nothing. Whoever sends is never held up: what finds
+// Package udptransport carries sealed messages between nodes: datagrams over UDP, and what is longer over TCP, both at the one
+// address that the roster gives a node. It opens nothing and decides nothing. Whoever sends is never held up: what finds
 // no room is dropped, as a network drops it, and counted.
 package udptransport
 
@@ -20,7 +20,7 @@
 const (
 	// waiting messages: some rounds of all that a fleet of hundreds may say at once.
 	waiting = 4096
-	// longWaiting for one other mixer; what matters is said again.
+	// longWaiting for one other node; what matters is said again.
 	longWaiting     = 8
 	dialWait        = time.Second
 	longWait        = 5 * time.Second  // for a long message, once it has begun
@@ -28,7 +28,7 @@
 	mostConnections = 64               // taken in at once
 )
 
-// Sockets is the sockets of one mixer.
+// Sockets is the sockets of one node.
 type Sockets struct {
 	In chan []byte // sealed messages as they came
 
@@ -44,7 +44,7 @@
 	closed      bool
 }
 
-// Listen opens the sockets of a mixer. Its address is a lock too: a second process under the same name gets an error.
+// Listen opens the sockets of a node. Its address is a lock too: a second process under the same name gets an error.
 func Listen(self string, others map[membership.Name]string, count *counters.Set) (*Sockets, error) {
 	s := &Sockets{In: make(chan []byte, waiting), count: count, to: map[membership.Name]*net.UDPAddr{}, long: map[membership.Name]chan []byte{},
 		ended: make(chan struct{}), connections: map[net.Conn]bool{}}
@@ -110,7 +110,7 @@
 	}
 }
 
-// put hands in what came. A mixer that is stopped for a while must not find hours of old messages: the oldest wait, and
+// put hands in what came. A node that is stopped for a while must not find hours of old messages: the oldest wait, and
 // what comes with no room left is dropped.
 func (s *Sockets) put(sealed []byte, f failpoint.Fault) {
 	for range f.Times() {
@@ -137,7 +137,7 @@
 	}
 }
 
-// carry takes long messages to one other mixer, one after the other on a connection that it opens when there is one.
+// carry takes long messages to one other node, one after the other on a connection that it opens when there is one.
 func (s *Sockets) carry(address string, queue chan []byte) {
 	var c net.Conn
 	defer func() {
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -17,7 +17,7 @@
 var errFault = errors.New("a fault that a test put here")
 
 // safely runs what the council's library does. It panics where what it is told can't be, as by a voter whose directory was
-// put back from an old copy: that costs the voter, and not the mixer with its lookups.
+// put back from an old copy: that costs the voter, and not the node with its queries.
 func (f *Fleet) safely(do func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -259,7 +259,7 @@
 // leads tells whether we lead the council for sure, so that what it agreed on last is what we know.
 func (f *Fleet) leads() bool { return f.granted && f.now < f.sureTo && !f.failed }
 
-// answer answers a mixer that asks.
+// answer answers a node that asks.
 func (f *Fleet) answer(from membership.Name, a *asking) {
 	out := f.answered(from, a)
 	for range failpoint.Pass(failpoint.AnswerAsk).Times() {
@@ -309,7 +309,7 @@
 	return out
 }
 
-// floors sums what mixers may have by themselves: those that told us that they go by the quotas that hold, by these, and
+// floors sums what nodes may have by themselves: those that told us that they go by the quotas that hold, by these, and
 // all others by the largest that the tenant ever had.
 func (f *Fleet) floors(tenant quota.Tenant) (perS, burst float64) {
 	state := f.council.State()
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -11,7 +11,7 @@
 
 // outCall is a part call that is out.
 type outCall struct {
-	to    policy.SearcherID
+	to    policy.BackendID
 	index policy.IndexID
 	owner policy.CustomerID
 	seat  *capture.Seat // nil where nothing is captured
@@ -19,34 +19,34 @@
 }
 
 type callKey struct {
-	part policy.PartID
-	no   policy.CallNo
+	subquery policy.SubqueryID
+	no       policy.CallNo
 }
 
-func (m *Mixer) act(a *policy.Action, now time.Time) {
+func (m *Aggregator) act(a *policy.Action, now time.Time) {
 	switch a.Kind {
 	case policy.Send:
 		m.send(a, now)
 	case policy.Withdraw:
-		if c, out := m.out[callKey{a.Part, a.Call}]; out {
+		if c, out := m.out[callKey{a.Subquery, a.Call}]; out {
 			m.flush(c.to)
-			m.searchers.Withdraw(c.to, a.Part, a.Call)
+			m.backends.Withdraw(c.to, a.Subquery, a.Call)
 		}
 	case policy.Answer:
-		m.finish(a.Lookup, "satisfied", Reply{End: Satisfied, Whole: a.Whole}, now)
+		m.finish(a.Query, "satisfied", Reply{End: Satisfied, Whole: a.Whole}, now)
 	case policy.Nack:
-		m.finish(a.Lookup, "nacked", Reply{End: Nacked, Wait: a.Wait}, now)
+		m.finish(a.Query, "nacked", Reply{End: Nacked, Wait: a.Wait}, now)
 	case policy.Abort:
-		m.finish(a.Lookup, "aborted", Reply{End: Aborted}, now)
+		m.finish(a.Query, "aborted", Reply{End: Aborted}, now)
 	case policy.SetTimer:
 		m.setTimer(a, now)
 	case policy.Probe:
-		m.flush(a.Searcher)
+		m.flush(a.Backend)
 		m.count.Add("probes", "sent", 1)
-		m.searchers.Probe(a.Searcher, a.Apart)
+		m.backends.Probe(a.Backend, a.Apart)
 	case policy.CloseIdle:
-		m.flush(a.Searcher)
-		m.searchers.CloseIdle(a.Searcher)
+		m.flush(a.Backend)
+		m.backends.CloseIdle(a.Backend)
 	case policy.Subscribe:
 		m.register.Subscribe(a.On)
 	case policy.AskWhole:
@@ -58,14 +58,14 @@
 	}
 }
 
-// send puts a call on the trip to its searcher; what one step sends there shares calls, up to the number set.
-func (m *Mixer) send(a *policy.Action, now time.Time) {
-	ref, held := m.parts[a.Part]
+// send puts a call on the trip to its backend; what one step sends there shares calls, up to the number set.
+func (m *Aggregator) send(a *policy.Action, now time.Time) {
+	ref, held := m.subqueries[a.Subquery]
 	if !held {
-		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(a.Part)))
+		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(a.Subquery)))
 		return
 	}
-	lk, p := ref.lookup, &ref.lookup.Parts[ref.no]
+	lk, p := ref.query, &ref.query.Subqueries[ref.no]
 	stop := lk.Arrived.Add(time.Duration(lk.Wait * float64(time.Second)))
 	if at := m.clock(a.StopAt); a.StopAt > 0 && at.Before(stop) {
 		stop = at
@@ -74,28 +74,28 @@
 	if at := m.clock(a.BeginBy); a.BeginBy > 0 && at.Before(begin) {
 		begin = at
 	}
-	key := callKey{a.Part, p.made}
+	key := callKey{a.Subquery, p.made}
 	p.made++
-	c := outCall{to: a.Searcher, index: lk.Index, owner: lk.Customer}
+	c := outCall{to: a.Backend, index: lk.Index, owner: lk.Customer}
 	if m.recorder != nil {
-		c.seat, c.alone = m.recorder.Sent(m.seconds(now), a.Searcher)
+		c.seat, c.alone = m.recorder.Sent(m.seconds(now), a.Backend)
 	}
 	m.out[key] = c
 	m.count.Add("calls", "sent", 1)
-	trip := m.trips[a.Searcher]
-	trip = append(trip, Call{key.part, key.no, lk, p.Shard, now, stop, begin})
+	trip := m.trips[a.Backend]
+	trip = append(trip, Call{key.subquery, key.no, lk, p.Shard, now, stop, begin})
 	if len(trip) == 1 {
-		m.tripTo = append(m.tripTo, a.Searcher)
+		m.tripTo = append(m.tripTo, a.Backend)
 	}
-	m.trips[a.Searcher] = trip
-	if len(trip) >= max(1, m.set.Layout.CallParts) {
-		m.flush(a.Searcher)
+	m.trips[a.Backend] = trip
+	if len(trip) >= max(1, m.set.Layout.CallSubqueries) {
+		m.flush(a.Backend)
 	}
 }
 
-func (m *Mixer) flush(to policy.SearcherID) {
+func (m *Aggregator) flush(to policy.BackendID) {
 	if trip := m.trips[to]; len(trip) > 0 {
 		delete(m.trips, to)
-		m.searchers.Send(to, trip)
+		m.backends.Send(to, trip)
 	}
 }
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -16,13 +16,13 @@
 	r := newFixture(nil)
 	var got []capture.Interval
 	r.Capture(capture.New("n1", recorderNames, 0.1), func(i capture.Interval) { got = append(got, i) })
-	r.put(Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Searcher: 1}}}, Addresses: []string{"x:1"}, Names: []Name{{"s-1", "north"}}})
-	one, two := r.lookup("aa", 0, 2), r.lookup("bb", 1, 1)
+	r.put(Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Backend: 1}}}, Addresses: []string{"x:1"}, Names: []Name{{"s-1", "north"}}})
+	one, two := r.query("aa", 0, 2), r.query("bb", 1, 1)
 	r.put(one, two)
 	for _, c := range r.sent {
 		r.put(c.ends(policy.Answered, "v"))
 	}
-	gone := r.lookup("cc", 0, 1)
+	gone := r.query("cc", 0, 1)
 	r.put(gone)
 	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: gone.Taken})
 	for range 30 {
@@ -32,11 +32,11 @@
 		t.Fatal("no interval")
 	}
 	sum := capture.Capture{Intervals: got}.Sum()
-	if l := sum.Loads; len(l) != 2 || l[1].Lookups != 2 || l[1].Parts != 3 || l[1].Ends.Satisfied != 1 || l[1].Ends.Gone != 1 || l[0].Ends.Satisfied != 1 {
+	if l := sum.Loads; len(l) != 2 || l[1].Queries != 2 || l[1].Parts != 3 || l[1].Ends.Satisfied != 1 || l[1].Ends.Gone != 1 || l[0].Ends.Satisfied != 1 {
 		t.Fatalf("got %+v", l)
 	}
 	calls, alone := int64(0), int64(0)
-	for _, s := range sum.Searchers {
+	for _, s := range sum.Backends {
 		calls, alone = calls+s.Calls, alone+s.Alone.Count()
 	}
 	if calls != 3 || alone == 0 || sum.Held.Most != 2 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkCapture tells, by turns in one run, what the actor's work for a lookup of four parts costs with a recorder against
+// BenchmarkCapture tells, by turns in one run, what the actor's work for a query of four parts costs with a recorder against
 // without. It is the actor's work alone: sockets, heads and bodies, several times as much, are not in it.
 func BenchmarkCapture(b *testing.B) {
 	with, without := newFixture(nil), newFixture(nil)
@@ -54,7 +54,7 @@
 	for b.Loop() {
 		for i, r := range []*fixture{with, without} {
 			n++
-			e := r.lookup(fmt.Sprint(n), 0, 4)
+			e := r.query(fmt.Sprint(n), 0, 4)
 			r.sent = r.sent[:0]
 			began := time.Now()
 			r.put(e)
--- a/internal/dataplane/aggregator/crossings_test.go
+++ b/internal/dataplane/aggregator/crossings_test.go
@@ -31,7 +31,7 @@
 }
 
 // The ends of both calls, the client's leaving and the hard deadline come in one and the same step, in each order, however the calls end and
-// whatever the index allows: there is one final answer, or the client has gone, and nothing of the lookup goes out after that or stays.
+// whatever the index allows: there is one final answer, or the client has gone, and nothing of the query goes out after that or stays.
 func TestAllEndsOfALookupInOneStep(t *testing.T) {
 	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.TurnedAway, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Withdrawn, policy.NotSent}
 	for index := range policy.IndexID(2) {
@@ -40,7 +40,7 @@
 				for _, late := range []time.Duration{0, 3 * time.Second} { // past the wait: its timers come behind
 					orders(3, func(order []int) {
 						r := newFixture(nil)
-						e := r.lookup("aa", index, 2)
+						e := r.query("aa", index, 2)
 						r.put(e)
 						if len(r.sent) != 2 {
 							t.Fatalf("sent %+v", r.sent)
@@ -53,12 +53,12 @@
 						sent := len(r.sent)
 						for i := range 40 {
 							for _, c := range r.sent[2:] { // a part that went again before its client was known to have left
-								if _, out := r.out[callKey{c.Part, c.No}]; out {
+								if _, out := r.out[callKey{c.Subquery, c.No}]; out {
 									r.put(c.ends(policy.Withdrawn, ""))
 								}
 							}
 							r.now = r.now.Add(100 * time.Millisecond)
-							r.put(Event{Event: policy.Event{Kind: policy.CallEnded, Part: 1 << 40, Call: policy.CallNo(i)}})
+							r.put(Event{Event: policy.Event{Kind: policy.CallEnded, Subquery: 1 << 40, Call: policy.CallNo(i)}})
 						}
 						if len(r.sent) != sent {
 							t.Fatalf("%s: %d calls after its end", what, len(r.sent)-sent)
@@ -69,8 +69,8 @@
 							t.Fatalf("%s: %d answers, gone %d", what, answers, gone)
 						}
 						r.checkCounters(t, map[string]int64{"taken": 1, "held": 0})
-						if len(r.lookups)+len(r.names)+len(r.parts)+len(r.out) != 0 {
-							t.Fatalf("%s: left are %v %v %v %v", what, r.lookups, r.names, r.parts, r.out)
+						if len(r.queries)+len(r.names)+len(r.subqueries)+len(r.out) != 0 {
+							t.Fatalf("%s: left are %v %v %v %v", what, r.queries, r.names, r.subqueries, r.out)
 						}
 					})
 				}
@@ -79,28 +79,28 @@
 	}
 }
 
-// A client that left while its lookup waited in the queue, or for a searcher to have room: nothing of it is sent, neither then nor later.
+// A client that left while its query waited in the queue, or for a backend to have room: nothing of it is sent, neither then nor later.
 func TestNothingOfAClientThatLeftIsSent(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Rules.ColdShare = 0.2 })
-	e := r.lookup("aa", 0, 4)
+	e := r.query("aa", 0, 4)
 	r.put(e, Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: e.Taken})
 	if len(r.sent) != 0 {
 		t.Fatalf("sent %+v", r.sent)
 	}
-	// All searchers start anew and are cold: of many lookups some wait until they may take more.
+	// All backends start anew and are cold: of many queries some wait until they may take more.
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}, Addresses: make([]string, 8)}
 	for i := range 8 {
-		list.Entries = append(list.Entries, policy.Entry{Searcher: policy.SearcherID(i + 20), Cell: policy.CellID(i % 4), StartedAt: r.seconds(r.now)})
+		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 20), Cell: policy.CellID(i % 4), StartedAt: r.seconds(r.now)})
 	}
 	r.put(list)
 	var crowd []Event
 	for i := range 300 {
-		crowd = append(crowd, r.lookup(fmt.Sprint("c", i), 0, 4))
+		crowd = append(crowd, r.query(fmt.Sprint("c", i), 0, 4))
 	}
 	r.put(crowd...)
-	begun := map[*Lookup]bool{}
+	begun := map[*Query]bool{}
 	for _, c := range r.sent {
-		begun[c.Lookup] = true
+		begun[c.Query] = true
 	}
 	waiting := 0
 	var leave []Event
@@ -119,8 +119,8 @@
 		r.put(r.sent[i].ends(policy.Answered, "v"))
 	}
 	for _, c := range r.sent[sent:] {
-		if !begun[c.Lookup] {
-			t.Fatalf("lookup %s went out after its client had left", c.Lookup.ID)
+		if !begun[c.Query] {
+			t.Fatalf("lookup %s went out after its client had left", c.Query.ID)
 		}
 	}
 }
--- a/internal/dataplane/aggregator/gate.go
+++ b/internal/dataplane/aggregator/gate.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Verdict is what a gate says of a lookup that asks to be taken.
+// Verdict is what a gate says of a query that asks to be taken.
 type Verdict struct {
 	Refused string  // the reason's code, "" where it is taken
 	Text    string  // the same as a sentence
@@ -17,37 +17,37 @@
 	Most    float64 // seconds that it may be held at the most, 0 for as long as its client waits
 }
 
-// Gate says which lookups may be taken and where their parts may go, by what mixers agree on. None of its methods may
+// Gate says which queries may be taken and where their parts may go, by what aggregators agree on. None of its methods may
 // block; all are called by the module's actor.
 type Gate interface {
 	Admit(customer policy.CustomerID, index policy.IndexID) Verdict
-	// Called hears how a part call ended at a searcher, so many seconds after it was sent.
-	Called(at time.Time, searcher string, how policy.Outcome, elapsed float64)
-	// Listed hears which searchers the list names.
+	// Called hears how a part call ended at a backend, so many seconds after it was sent.
+	Called(at time.Time, backend string, how policy.Outcome, elapsed float64)
+	// Listed hears which backends the list names.
 	Listed([]Place)
 }
 
-// Place is where a searcher stands, as the list has it.
+// Place is where a backend stands, as the list has it.
 type Place struct {
 	Name string
 	Cell policy.CellID
 }
 
-// Rules are what lookups go by from here on, those that are held as well. Held is called once all that is out does.
+// Rules are what queries go by from here on, those that are held as well. Held is called once all that is out does.
 type Rules struct {
 	Zones func(policy.CustomerID, policy.IndexID) *policy.Zones
 	Held  func()
 }
 
-// Judged is what others found of a searcher: so many times the usual latency, which counts for so many seconds while we
+// Judged is what others found of a backend: so many times the usual latency, which counts for so many seconds while we
 // know little.
 type Judged struct {
-	Searcher string
-	Times    float64
-	For      float64
+	Backend string
+	Times   float64
+	For     float64
 }
 
-// place is what the actor remembers of a searcher where there is a gate.
+// place is what the actor remembers of a backend where there is a gate.
 type place struct {
 	name     string
 	location policy.LocationID
@@ -59,19 +59,19 @@
 // gated is what the actor keeps for a gate.
 type gated struct {
 	gate   Gate
-	places map[policy.SearcherID]place
+	places map[policy.BackendID]place
 	rules  *Rules // not held yet
 	covers map[*policy.Zones][]bool
 	logged time.Time
 }
 
 // Guard puts a gate before the module. It comes before the first list.
-func (m *Mixer) Guard(g Gate) {
-	m.gated = gated{gate: g, places: map[policy.SearcherID]place{}, covers: map[*policy.Zones][]bool{}}
+func (m *Aggregator) Guard(g Gate) {
+	m.gated = gated{gate: g, places: map[policy.BackendID]place{}, covers: map[*policy.Zones][]bool{}}
 }
 
-// admit asks the gate for a lookup, and answers one that is refused.
-func (m *Mixer) admit(lk *Lookup, now time.Time) (zones *policy.Zones, admitted bool) {
+// admit asks the gate for a query, and answers one that is refused.
+func (m *Aggregator) admit(lk *Query, now time.Time) (zones *policy.Zones, admitted bool) {
 	v := m.gated.gate.Admit(lk.Customer, lk.Index)
 	if v.Refused != "" {
 		m.count.Add("lookups", v.Refused, 1)
@@ -87,8 +87,8 @@
 	return v.Zones, true
 }
 
-// missing logs the shards of a lookup that no holder inside its zones has: the module gives their parts up at once.
-func (m *Mixer) missing(lk *Lookup, zones *policy.Zones, now time.Time) {
+// missing logs the shards of a query that no holder inside its zones has: the module gives their parts up at once.
+func (m *Aggregator) missing(lk *Query, zones *policy.Zones, now time.Time) {
 	covered, width := m.gated.covers[zones], max(1, m.set.Layout.Width)
 	if covered == nil {
 		covered = make([]bool, max(1, m.set.Layout.Cells))
@@ -102,8 +102,8 @@
 		m.gated.covers[zones] = covered
 	}
 	var shards []int
-	for i := range lk.Parts {
-		if s := int(lk.Parts[i].Shard); !covered[s%len(covered)] {
+	for i := range lk.Subqueries {
+		if s := int(lk.Subqueries[i].Shard); !covered[s%len(covered)] {
 			shards = append(shards, s)
 		}
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// placed takes what a list says of where searchers stand.
-func (m *Mixer) placed(e *Event) {
+// placed takes what a list says of where backends stand.
+func (m *Aggregator) placed(e *Event) {
 	g := &m.gated
 	clear(g.covers)
 	if e.List != policy.ListPatch {
@@ -132,9 +132,9 @@
 		}
 	}
 	for i, r := range e.Entries {
-		p, seen := g.places[r.Searcher]
-		p = place{e.Names[i].Searcher, r.Location, r.Cell, r.Phase == policy.Gone, p.moved || seen && !p.gone && p.location != r.Location}
-		g.places[r.Searcher] = p
+		p, seen := g.places[r.Backend]
+		p = place{e.Names[i].Backend, r.Location, r.Cell, r.Phase == policy.Gone, p.moved || seen && !p.gone && p.location != r.Location}
+		g.places[r.Backend] = p
 	}
 	var list []Place
 	for id, p := range g.places {
@@ -147,7 +147,7 @@
 	g.gate.Listed(list)
 }
 
-func (m *Mixer) calling(id policy.SearcherID) bool {
+func (m *Aggregator) calling(id policy.BackendID) bool {
 	for _, c := range m.out {
 		if c.to == id {
 			return true
@@ -157,36 +157,36 @@
 }
 
 // agreed takes rules and judgements into the module's event.
-func (m *Mixer) agreed(e *Event, now time.Time) {
+func (m *Aggregator) agreed(e *Event, now time.Time) {
 	if e.Override == nil {
 		e.Override = &policy.Overrides{}
 	}
 	if e.Rules != nil {
 		m.gated.rules = e.Rules
 		clear(m.gated.covers)
-		for id, lk := range m.lookups {
+		for id, lk := range m.queries {
 			zones := e.Rules.Zones(lk.Customer, lk.Index)
-			e.Override.Zones = append(e.Override.Zones, policy.ZonesOverride{Lookup: id, Zones: zones})
+			e.Override.Zones = append(e.Override.Zones, policy.ZonesOverride{Query: id, Zones: zones})
 		}
 	}
 	if len(e.Judged) == 0 {
 		return
 	}
-	ids := make(map[string]policy.SearcherID, len(m.gated.places))
+	ids := make(map[string]policy.BackendID, len(m.gated.places))
 	for id, p := range m.gated.places {
 		if !p.gone {
 			ids[p.name] = id
 		}
 	}
 	for _, j := range e.Judged {
-		if id := ids[j.Searcher]; id != 0 {
-			e.Override.Judged = append(e.Override.Judged, policy.JudgedOverride{Searcher: id, Times: j.Times, Until: m.seconds(now) + j.For})
+		if id := ids[j.Backend]; id != 0 {
+			e.Override.Judged = append(e.Override.Judged, policy.JudgedOverride{Backend: id, Times: j.Times, Until: m.seconds(now) + j.For})
 		}
 	}
 }
 
 // holdRules tells that rules hold once no call is out where they let none go.
-func (m *Mixer) holdRules() {
+func (m *Aggregator) holdRules() {
 	for _, c := range m.out {
 		zones := m.gated.rules.Zones(c.owner, c.index)
 		if p := m.gated.places[c.to]; zones != nil && (p.moved || !zones.Allows(p.location)) {
--- a/internal/dataplane/aggregator/lookups.go
+++ b/internal/dataplane/aggregator/lookups.go
@@ -9,15 +9,15 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-type partRef struct {
-	lookup *Lookup
-	no     int
+type subqueryRef struct {
+	query *Query
+	no    int
 }
 
-// open takes a lookup in, its parts right behind it, unless the most that may be held is held.
-func (m *Mixer) open(lk *Lookup, now time.Time) {
+// open takes a query in, its parts right behind it, unless the most that may be held is held.
+func (m *Aggregator) open(lk *Query, now time.Time) {
 	switch {
-	case m.set.Limits.MaxHeld > 0 && len(m.lookups)+len(m.parts) >= m.set.Limits.MaxHeld:
+	case m.set.Limits.MaxHeld > 0 && len(m.queries)+len(m.subqueries) >= m.set.Limits.MaxHeld:
 		m.count.Add("lookups", "full", 1)
 		m.ended(lk, capture.Full, now)
 		lk.Done <- Reply{End: Full}
@@ -37,39 +37,39 @@
 	m.count.Add("lookups", "taken", 1)
 	m.count.Add("lookups", "held", 1)
 	m.lastID++
-	lk.id = policy.LookupID(m.lastID)
-	m.lookups[lk.id], m.names[lk.ID] = lk, lk
+	lk.id = policy.QueryID(m.lastID)
+	m.queries[lk.id], m.names[lk.ID] = lk, lk
 	left := lk.Wait - now.Sub(lk.Arrived).Seconds()
-	e := policy.Event{Kind: policy.LookupTaken, Lookup: lk.id, No: policy.LookupNo(lk.id), Index: lk.Index,
-		Customer: lk.Customer, Key: lk.Key, HasKey: lk.HasKey, Left: left, Parts: len(lk.Parts), Resent: lk.Resent, Zones: zones}
-	for i := range lk.Parts {
-		e.Hint += lk.Parts[i].Hint
+	e := policy.Event{Kind: policy.QueryTaken, Query: lk.id, No: policy.QueryNo(lk.id), Index: lk.Index,
+		Customer: lk.Customer, Key: lk.Key, HasKey: lk.HasKey, Left: left, Subqueries: len(lk.Subqueries), Resent: lk.Resent, Zones: zones}
+	for i := range lk.Subqueries {
+		e.Hint += lk.Subqueries[i].Hint
 	}
 	m.events = append(m.events, e)
 	if m.recorder != nil {
 		m.recorder.Taken(m.seconds(now), lk.Index, lk.Customer, lk.Resent, e.Hint, lk.shards)
 	}
-	e.Kind, e.Parts = policy.PartTaken, 0
-	for i := range lk.Parts {
-		p := &lk.Parts[i]
+	e.Kind, e.Subqueries = policy.SubqueryTaken, 0
+	for i := range lk.Subqueries {
+		p := &lk.Subqueries[i]
 		m.lastID++
-		e.Part, e.Shard, e.Weight, e.Hint, e.Key, e.HasKey = policy.PartID(m.lastID), p.Shard, p.Weight, p.Hint, p.Key, p.HasKey
-		m.parts[e.Part] = partRef{lk, i}
+		e.Subquery, e.Shard, e.Weight, e.Hint, e.Key, e.HasKey = policy.SubqueryID(m.lastID), p.Shard, p.Weight, p.Hint, p.Key, p.HasKey
+		m.subqueries[e.Subquery] = subqueryRef{lk, i}
 		m.events = append(m.events, e)
 	}
 }
 
 // shards yields the shard of each part.
-func (lk *Lookup) shards(yield func(policy.ShardID) bool) {
-	for i := range lk.Parts {
-		if !yield(lk.Parts[i].Shard) {
+func (lk *Query) shards(yield func(policy.ShardID) bool) {
+	for i := range lk.Subqueries {
+		if !yield(lk.Subqueries[i].Shard) {
 			return
 		}
 	}
 }
 
-// ended tells the recorder of a lookup's end, where there is one.
-func (m *Mixer) ended(lk *Lookup, how capture.End, now time.Time) {
+// ended tells the recorder of a query's end, where there is one.
+func (m *Aggregator) ended(lk *Query, how capture.End, now time.Time) {
 	if m.recorder != nil {
 		m.recorder.Ended(m.seconds(now), lk.Index, lk.Customer, how, now.Sub(lk.Arrived).Seconds())
 	}
@@ -77,21 +77,21 @@
 
 var captureEnds = [...]capture.End{Satisfied: capture.Answered, Nacked: capture.Nacked, Aborted: capture.Aborted}
 
-// holds tells whether a lookup was taken and has no final answer yet.
-func (m *Mixer) holds(lk *Lookup) bool { return m.lookups[lk.id] == lk }
+// holds tells whether a query was taken and has no final answer yet.
+func (m *Aggregator) holds(lk *Query) bool { return m.queries[lk.id] == lk }
 
-// close lets go of a lookup that has its final answer, or no client.
-func (m *Mixer) close(lk *Lookup) {
+// close lets go of a query that has its final answer, or no client.
+func (m *Aggregator) close(lk *Query) {
 	m.count.Add("lookups", "held", -1)
-	delete(m.lookups, lk.id)
+	delete(m.queries, lk.id)
 	delete(m.names, lk.ID)
-	for i := range lk.Parts {
-		delete(m.parts, policy.PartID(uint64(lk.id)+1+uint64(i)))
+	for i := range lk.Subqueries {
+		delete(m.subqueries, policy.SubqueryID(uint64(lk.id)+1+uint64(i)))
 	}
 }
 
-func (m *Mixer) finish(id policy.LookupID, reason string, reply Reply, now time.Time) {
-	lk := m.lookups[id]
+func (m *Aggregator) finish(id policy.QueryID, reason string, reply Reply, now time.Time) {
+	lk := m.queries[id]
 	if lk == nil {
 		m.log.Warn("answer for a lookup that is not held", zap.Uint64("lookup", uint64(id)), zap.String("end", reason))
 		return
--- a/internal/dataplane/aggregator/mixer.go
+++ b/internal/dataplane/aggregator/mixer.go
@@ -15,68 +15,68 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Mixer is the actor.
-type Mixer struct {
+// Aggregator is the actor.
+type Aggregator struct {
 	In *eventqueue.Queue[Event]
 
-	set       settings.Settings
-	log       *zap.Logger
-	count     *counters.Set
-	searchers Searchers
-	register  Discovery
-	module    *policy.Mixer
+	set      settings.Settings
+	log      *zap.Logger
+	count    *counters.Set
+	backends Backends
+	register Discovery
+	module   *policy.Aggregator
 
-	start    time.Time // with its monotonic reading
-	unix     float64   // the same in Unix seconds
-	stepped  time.Time // last step
-	timers   timers
-	due      map[policy.TimerID]time.Time // when timers of this step were due
-	lastID   uint64
-	lookups  map[policy.LookupID]*Lookup
-	names    map[string]*Lookup // held, by the client's id
-	parts    map[policy.PartID]partRef
-	out      map[callKey]outCall
-	gated    gated
-	recorder *capture.Recorder // nil where nothing is captured
-	captured func(capture.Interval)
-	waiting  []Event
-	events   []policy.Event
-	actions  []policy.Action
-	trips    map[policy.SearcherID][]Call // calls of this step that share one
-	tripTo   []policy.SearcherID
-	stopping chan struct{}
-	stopped  chan struct{}
+	start      time.Time // with its monotonic reading
+	unix       float64   // the same in Unix seconds
+	stepped    time.Time // last step
+	timers     timers
+	due        map[policy.TimerID]time.Time // when timers of this step were due
+	lastID     uint64
+	queries    map[policy.QueryID]*Query
+	names      map[string]*Query // held, by the client's id
+	subqueries map[policy.SubqueryID]subqueryRef
+	out        map[callKey]outCall
+	gated      gated
+	recorder   *capture.Recorder // nil where nothing is captured
+	captured   func(capture.Interval)
+	waiting    []Event
+	events     []policy.Event
+	actions    []policy.Action
+	trips      map[policy.BackendID][]Call // calls of this step that share one
+	tripTo     []policy.BackendID
+	stopping   chan struct{}
+	stopped    chan struct{}
 }
 
 // New makes the actor; Run starts it.
-func New(set settings.Settings, log *zap.Logger, count *counters.Set) *Mixer {
+func New(set settings.Settings, log *zap.Logger, count *counters.Set) *Aggregator {
 	now := time.Now()
-	m := &Mixer{In: eventqueue.New[Event](), set: set, log: log, count: count, start: now,
+	m := &Aggregator{In: eventqueue.New[Event](), set: set, log: log, count: count, start: now,
 		unix: float64(now.UnixNano()) / 1e9, due: map[policy.TimerID]time.Time{},
-		lookups: map[policy.LookupID]*Lookup{}, names: map[string]*Lookup{}, parts: map[policy.PartID]partRef{},
-		out: map[callKey]outCall{}, trips: map[policy.SearcherID][]Call{},
+		queries: map[policy.QueryID]*Query{}, names: map[string]*Query{}, subqueries: map[policy.SubqueryID]subqueryRef{},
+		out: map[callKey]outCall{}, trips: map[policy.BackendID][]Call{},
 		stopping: make(chan struct{}), stopped: make(chan struct{})}
 	m.module = policy.New(set.Settings, m.unix)
 	return m
 }
 
 // seconds is the module's clock: Unix time at the start and monotonic time since, so that it fits the starts of
-// searchers and never jumps.
-func (m *Mixer) seconds(t time.Time) float64 { return m.unix + t.Sub(m.start).Seconds() }
+// backends and never jumps.
+func (m *Aggregator) seconds(t time.Time) float64 { return m.unix + t.Sub(m.start).Seconds() }
 
-func (m *Mixer) clock(seconds float64) time.Time {
+func (m *Aggregator) clock(seconds float64) time.Time {
 	return m.start.Add(time.Duration((seconds - m.unix) * float64(time.Second)))
 }
 
 // Capture lets a recorder count the load; each of its intervals goes to done, which may not block. It comes before Run.
-func (m *Mixer) Capture(recorder *capture.Recorder, done func(capture.Interval)) {
+func (m *Aggregator) Capture(recorder *capture.Recorder, done func(capture.Interval)) {
 	m.recorder, m.captured = recorder, done
 }
 
 // Run is the actor's goroutine, until Stop.
-func (m *Mixer) Run(searchers Searchers, register Discovery) {
+func (m *Aggregator) Run(backends Backends, register Discovery) {
 	defer close(m.stopped)
-	m.searchers, m.register = searchers, register
+	m.backends, m.register = backends, register
 	wake := time.NewTimer(time.Hour)
 	for {
 		m.step(time.Now())
@@ -103,13 +103,13 @@
 }
 
 // Stop ends the actor; what is held then gets no answer.
-func (m *Mixer) Stop() {
+func (m *Aggregator) Stop() {
 	close(m.stopping)
 	<-m.stopped
 }
 
 // step hands the module all that waits, and hands out what it says.
-func (m *Mixer) step(now time.Time) {
+func (m *Aggregator) step(now time.Time) {
 	m.waiting = m.In.Take(m.waiting)
 	m.events = m.events[:0]
 	for i := range m.waiting {
@@ -145,21 +145,21 @@
 }
 
 // take turns what an actor told into the module's events, in the order of telling.
-func (m *Mixer) take(e *Event, now time.Time) {
+func (m *Aggregator) take(e *Event, now time.Time) {
 	switch e.Kind {
-	case policy.LookupTaken:
+	case policy.QueryTaken:
 		m.open(e.Taken, now)
 		return
 	case policy.ClientGone:
 		if !m.holds(e.Taken) {
 			return // answered while it left
 		}
-		e.Lookup = e.Taken.id
+		e.Query = e.Taken.id
 		m.close(e.Taken)
 		m.ended(e.Taken, capture.Gone, now)
 		m.count.Add("lookups", "gone", 1)
 	case policy.CallEnded:
-		key := callKey{e.Part, e.Call}
+		key := callKey{e.Subquery, e.Call}
 		c, out := m.out[key]
 		delete(m.out, key)
 		if out && m.recorder != nil {
@@ -168,8 +168,8 @@
 		if out && m.gated.gate != nil {
 			m.gated.gate.Called(now, m.gated.places[c.to].name, e.Outcome, e.Elapsed)
 		}
-		if ref, held := m.parts[e.Part]; held && e.Outcome == policy.Answered {
-			if p := &ref.lookup.Parts[ref.no]; !p.In {
+		if ref, held := m.subqueries[e.Subquery]; held && e.Outcome == policy.Answered {
+			if p := &ref.query.Subqueries[ref.no]; !p.In {
 				p.In, p.Value = true, e.Value
 			}
 		}
@@ -178,21 +178,21 @@
 			break
 		}
 		for i := range e.Entries {
-			m.searchers.Named(e.Entries[i], e.Addresses[i])
+			m.backends.Named(e.Entries[i], e.Addresses[i])
 			switch {
 			case m.recorder == nil:
 			case e.Entries[i].Phase == policy.Gone:
-				m.recorder.Unnamed(e.Entries[i].Searcher)
+				m.recorder.Unnamed(e.Entries[i].Backend)
 			default:
-				m.recorder.Named(e.Entries[i].Searcher, e.Names[i].Searcher, e.Names[i].Location)
+				m.recorder.Named(e.Entries[i].Backend, e.Names[i].Backend, e.Names[i].Location)
 			}
 		}
 		if e.List != policy.ListPatch {
-			keep := make(map[policy.SearcherID]bool, len(e.Entries))
+			keep := make(map[policy.BackendID]bool, len(e.Entries))
 			for i := range e.Entries {
-				keep[e.Entries[i].Searcher] = true
+				keep[e.Entries[i].Backend] = true
 			}
-			m.searchers.Unnamed(keep)
+			m.backends.Unnamed(keep)
 		}
 		if m.gated.gate != nil {
 			m.placed(e)
--- a/internal/dataplane/aggregator/mixer_test.go
+++ b/internal/dataplane/aggregator/mixer_test.go
@@ -15,50 +15,50 @@
 
 // fixture is a module's actor that the test steps itself, and both of its peers.
 type fixture struct {
-	*Mixer
+	*Aggregator
 	now    time.Time
 	sent   []sentCall
 	trips  []int // calls that went at once
-	back   []policy.PartID
-	probes []policy.SearcherID
+	back   []policy.SubqueryID
+	probes []policy.BackendID
 	subs   int
 }
 
 type sentCall struct {
-	to policy.SearcherID
+	to policy.BackendID
 	Call
 }
 
-func (r *fixture) Named(policy.Entry, string)         {}
-func (r *fixture) Unnamed(map[policy.SearcherID]bool) {}
-func (r *fixture) Probe(at policy.SearcherID, _ bool) { r.probes = append(r.probes, at) }
-func (r *fixture) CloseIdle(policy.SearcherID)        {}
-func (r *fixture) Subscribe(bool)                     { r.subs++ }
-func (r *fixture) AskWhole()                          {}
-func (r *fixture) Send(to policy.SearcherID, cs []Call) {
+func (r *fixture) Named(policy.Entry, string)        {}
+func (r *fixture) Unnamed(map[policy.BackendID]bool) {}
+func (r *fixture) Probe(at policy.BackendID, _ bool) { r.probes = append(r.probes, at) }
+func (r *fixture) CloseIdle(policy.BackendID)        {}
+func (r *fixture) Subscribe(bool)                    { r.subs++ }
+func (r *fixture) AskWhole()                         {}
+func (r *fixture) Send(to policy.BackendID, cs []Call) {
 	r.trips = append(r.trips, len(cs))
 	for _, c := range cs {
 		r.sent = append(r.sent, sentCall{to, c})
 	}
 }
-func (r *fixture) Withdraw(_ policy.SearcherID, part policy.PartID, _ policy.CallNo) {
-	r.back = append(r.back, part)
+func (r *fixture) Withdraw(_ policy.BackendID, subquery policy.SubqueryID, _ policy.CallNo) {
+	r.back = append(r.back, subquery)
 }
 
 func newFixture(change func(*settings.Settings)) *fixture {
-	set := settings.Settings{Settings: policy.Settings{Seed: 5, Mixers: 2, Step: 0.005,
+	set := settings.Settings{Settings: policy.Settings{Seed: 5, Aggregators: 2, Step: 0.005,
 		Indexes: []policy.IndexSettings{{Soft: 1, Hard: 4, Gain: 1, LateGain: 0.1}, {Soft: 1, Hard: 4, Gain: 3, Effect: policy.OnceOnly}},
-		Layout:  policy.Layout{Cells: 4, Width: 2, CallParts: 1},
+		Layout:  policy.Layout{Cells: 4, Width: 2, CallSubqueries: 1},
 		Limits:  policy.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: 3, MaxRetryAfter: 1},
 		Rules:   policy.Rules{ColdShare: 0.2, ColdS: 8, DrainGrace: 0.25, FallMultiple: 2, FallS: 1}}}
 	if change != nil {
 		change(&set)
 	}
-	r := &fixture{Mixer: New(set, zap.NewNop(), counters.New())}
-	r.searchers, r.register, r.now = r, r, r.start
+	r := &fixture{Aggregator: New(set, zap.NewNop(), counters.New())}
+	r.backends, r.register, r.now = r, r, r.start
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListStale}, Addresses: make([]string, 8)}
 	for i := range 8 {
-		list.Entries = append(list.Entries, policy.Entry{Searcher: policy.SearcherID(i + 1), Cell: policy.CellID(i % 4)})
+		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 4)})
 	}
 	r.put(list)
 	return r
@@ -73,20 +73,20 @@
 	r.step(r.now)
 }
 
-func (r *fixture) lookup(id string, index policy.IndexID, parts int) Event {
-	lk := &Lookup{ID: id, Index: index, Arrived: r.now, Wait: 2, Done: make(chan Reply, 1)}
-	for i := range parts {
-		lk.Parts = append(lk.Parts, Part{Shard: policy.ShardID(i), Weight: 1 / float64(parts)})
+func (r *fixture) query(id string, index policy.IndexID, subqueries int) Event {
+	lk := &Query{ID: id, Index: index, Arrived: r.now, Wait: 2, Done: make(chan Reply, 1)}
+	for i := range subqueries {
+		lk.Subqueries = append(lk.Subqueries, Subquery{Shard: policy.ShardID(i), Weight: 1 / float64(subqueries)})
 	}
-	return Event{Event: policy.Event{Kind: policy.LookupTaken}, Taken: lk}
+	return Event{Event: policy.Event{Kind: policy.QueryTaken}, Taken: lk}
 }
 
 func (c sentCall) ends(how policy.Outcome, value string) Event {
-	return Event{Value: []byte(value), Event: policy.Event{Kind: policy.CallEnded, Part: c.Part, Call: c.No, Searcher: c.to,
+	return Event{Value: []byte(value), Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No, Backend: c.to,
 		Outcome: how, Elapsed: 0.1}}
 }
 
-func (lk *Lookup) reply(t *testing.T) Reply {
+func (lk *Query) reply(t *testing.T) Reply {
 	t.Helper()
 	select {
 	case reply := <-lk.Done:
@@ -99,7 +99,7 @@
 
 func TestALookupFromEndToEnd(t *testing.T) {
 	r := newFixture(nil)
-	e := r.lookup("aa", 0, 2)
+	e := r.query("aa", 0, 2)
 	lk := e.Taken
 	lk.Arrived = r.now.Add(-time.Second / 4) // it waited for its turn
 	r.put(e)
@@ -107,7 +107,7 @@
 		t.Fatalf("sent %+v", r.sent)
 	}
 	for _, c := range r.sent {
-		if c.Lookup != lk || c.Stop.Sub(lk.Arrived) > 2*time.Second || c.Stop.Sub(lk.Arrived) < 1999*time.Millisecond {
+		if c.Query != lk || c.Stop.Sub(lk.Arrived) > 2*time.Second || c.Stop.Sub(lk.Arrived) < 1999*time.Millisecond {
 			t.Fatalf("stops %v after the arrival", c.Stop.Sub(lk.Arrived))
 		}
 	}
@@ -116,7 +116,7 @@
 	if reply := lk.reply(t); reply.End != Satisfied || !reply.Whole {
 		t.Fatalf("got %+v", reply)
 	}
-	if got := string(lk.Parts[0].Value) + string(lk.Parts[1].Value); got != "zeroone" && got != "onezero" {
+	if got := string(lk.Subqueries[0].Value) + string(lk.Subqueries[1].Value); got != "zeroone" && got != "onezero" {
 		t.Fatalf("values %q", got)
 	}
 	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: lk}) // it left as the answer was on its way
@@ -135,14 +135,14 @@
 	if got := get("satisfied") + get("nacked") + get("aborted") + get("gone") + get("held"); got != get("taken") {
 		t.Fatalf("taken %d, the rest %d", get("taken"), got)
 	}
-	if int(get("held")) != len(r.lookups) || len(r.lookups) != len(r.names) {
-		t.Fatalf("held %d, booked %d and %d", get("held"), len(r.lookups), len(r.names))
+	if int(get("held")) != len(r.queries) || len(r.queries) != len(r.names) {
+		t.Fatalf("held %d, booked %d and %d", get("held"), len(r.queries), len(r.names))
 	}
 }
 
 func TestTheMostHeldAndTwins(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Limits.MaxHeld = 4 })
-	first, twin, second, third := r.lookup("aa", 0, 2), r.lookup("aa", 0, 2), r.lookup("bb", 0, 1), r.lookup("cc", 0, 1)
+	first, twin, second, third := r.query("aa", 0, 2), r.query("aa", 0, 2), r.query("bb", 0, 1), r.query("cc", 0, 1)
 	r.put(first, twin, second, third)
 	if reply := twin.Taken.reply(t); reply.End != Twice {
 		t.Fatalf("got %+v", reply)
@@ -154,7 +154,7 @@
 	if len(r.back) != 2 {
 		t.Fatalf("withdrawn %v", r.back)
 	}
-	last := r.lookup("aa", 0, 1)
+	last := r.query("aa", 0, 1)
 	r.put(last)
 	if len(r.sent) != 4 {
 		t.Fatalf("sent %d", len(r.sent))
@@ -162,14 +162,14 @@
 	r.checkCounters(t, map[string]int64{"taken": 3, "gone": 1, "held": 2, "full": 1, "twice": 1})
 }
 
-func TestPartsOfAStepShareCalls(t *testing.T) {
+func TestSubqueriesOfAStepShareCalls(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) {
-		s.Layout = policy.Layout{Cells: 1, Width: 1, CallParts: 2}
+		s.Layout = policy.Layout{Cells: 1, Width: 1, CallSubqueries: 2}
 	})
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}, Addresses: []string{""}}
-	list.Entries = []policy.Entry{{Searcher: 1}}
+	list.Entries = []policy.Entry{{Backend: 1}}
 	r.put(list)
-	r.put(r.lookup("aa", 0, 5))
+	r.put(r.query("aa", 0, 5))
 	if fmt.Sprint(r.trips) != "[2 2 1]" {
 		t.Fatalf("calls of %v parts", r.trips)
 	}
@@ -209,7 +209,7 @@
 	go r.Run(r, r)
 	begin := time.Now()
 	for i := range 40 {
-		e := r.lookup(fmt.Sprint(i), 0, 1)
+		e := r.query(fmt.Sprint(i), 0, 1)
 		e.Taken.Arrived = time.Now()
 		r.In.Put(e)
 		time.Sleep(time.Millisecond)
@@ -234,7 +234,7 @@
 	}
 }
 
-// FuzzRules plays lookups through the actor and checks what clients and searchers see of the rules.
+// FuzzRules plays queries through the actor and checks what clients and backends see of the rules.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(12) {
 		f.Add(seed)
@@ -242,16 +242,16 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		r := newFixture(func(s *settings.Settings) {
-			s.Seed, s.Limits.MaxHeld, s.Layout.CallParts = seed, 60, 1+rng.IntN(3)
+			s.Seed, s.Limits.MaxHeld, s.Layout.CallSubqueries = seed, 60, 1+rng.IntN(3)
 			s.Limits.SecondCopy = rng.IntN(2) == 0
 		})
-		open := map[*Lookup]bool{}
-		never := map[policy.PartID]bool{} // once-only parts all of whose calls surely never ran
+		open := map[*Query]bool{}
+		never := map[policy.SubqueryID]bool{} // once-only parts all of whose calls surely never ran
 		seen, pending := 0, []sentCall(nil)
 		for i := range 1500 {
 			var events []Event
 			if rng.IntN(8) == 0 && i < 900 {
-				e := r.lookup(fmt.Sprint(i), policy.IndexID(rng.IntN(2)), 1+rng.IntN(4))
+				e := r.query(fmt.Sprint(i), policy.IndexID(rng.IntN(2)), 1+rng.IntN(4))
 				events = append(events, e)
 				open[e.Taken] = true
 			}
@@ -272,31 +272,31 @@
 				if !r.now.Before(c.Stop) {
 					how = policy.TimedOut
 				}
-				never[c.Part] = never[c.Part] && (how == policy.TurnedAway || how == policy.NotConnected)
-				events = append(events, c.ends(how, c.Lookup.ID))
+				never[c.Subquery] = never[c.Subquery] && (how == policy.TurnedAway || how == policy.NotConnected)
+				events = append(events, c.ends(how, c.Query.ID))
 			}
 			pending = rest
 			for _, at := range r.probes {
-				events = append(events, Event{Event: policy.Event{Kind: policy.ProbeEnded, Searcher: at, Outcome: policy.Answered, Elapsed: 0.01}})
+				events = append(events, Event{Event: policy.Event{Kind: policy.ProbeEnded, Backend: at, Outcome: policy.Answered, Elapsed: 0.01}})
 			}
 			r.probes = nil
 			r.put(events...)
 			for ; seen < len(r.sent); seen++ {
 				c := r.sent[seen]
-				if ran, again := never[c.Part]; c.Lookup.Index == 1 && again && !ran {
-					t.Fatalf("a once-only part of %s was sent again", c.Lookup.ID)
+				if ran, again := never[c.Subquery]; c.Query.Index == 1 && again && !ran {
+					t.Fatalf("a once-only part of %s was sent again", c.Query.ID)
 				}
-				if !r.holds(c.Lookup) && !open[c.Lookup] {
-					t.Fatalf("a part of %s was sent after its end", c.Lookup.ID)
+				if !r.holds(c.Query) && !open[c.Query] {
+					t.Fatalf("a part of %s was sent after its end", c.Query.ID)
 				}
-				never[c.Part] = true
+				never[c.Subquery] = true
 				pending = append(pending, c)
 			}
 			for lk := range open {
 				select {
 				case reply := <-lk.Done:
 					delete(open, lk)
-					for _, p := range lk.Parts {
+					for _, p := range lk.Subqueries {
 						if reply.End == Satisfied && (!reply.Whole || !p.In || string(p.Value) != lk.ID) {
 							t.Fatalf("lookup %s: %+v with part %+v", lk.ID, reply, p)
 						}
@@ -309,8 +309,8 @@
 			}
 			r.checkCounters(t, nil)
 		}
-		if len(open) > 0 || len(r.lookups) != 0 || len(r.parts) > 0 || len(r.out) != len(pending) {
-			t.Fatalf("%d lookups open, %d held, %d parts, %d calls booked of %d", len(open), len(r.lookups), len(r.parts), len(r.out), len(pending))
+		if len(open) > 0 || len(r.queries) != 0 || len(r.subqueries) > 0 || len(r.out) != len(pending) {
+			t.Fatalf("%d lookups open, %d held, %d parts, %d calls booked of %d", len(open), len(r.queries), len(r.subqueries), len(r.out), len(pending))
 		}
 	})
 }
--- a/internal/dataplane/aggregator/types.go
+++ b/internal/dataplane/aggregator/types.go
@@ -6,25 +6,25 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Lookup is one that a client asked for. Until its Done has an answer it is the mixer's.
-type Lookup struct {
-	ID       string // the client's; it is part of the names of part calls
-	Index    policy.IndexID
-	Customer policy.CustomerID
-	Key      uint64
-	HasKey   bool
-	Resent   bool
-	Arrived  time.Time
-	Wait     float64 // how long from then the client waits
-	Query    []byte  // what each part carries
-	Parts    []Part
-	Done     chan Reply // holds one
+// Query is one that a client asked for. Until its Done has an answer it is the aggregator's.
+type Query struct {
+	ID         string // the client's; it is part of the names of part calls
+	Index      policy.IndexID
+	Customer   policy.CustomerID
+	Key        uint64
+	HasKey     bool
+	Resent     bool
+	Arrived    time.Time
+	Wait       float64 // how long from then the client waits
+	Query      []byte  // what each part carries
+	Subqueries []Subquery
+	Done       chan Reply // holds one
 
-	id policy.LookupID
+	id policy.QueryID
 }
 
-// Part is one of a lookup's; its Value is there once it is In.
-type Part struct {
+// Subquery is one of a query's; its Value is there once it is In.
+type Subquery struct {
 	Shard        policy.ShardID
 	Weight, Hint float64
 	Key          uint64
@@ -35,10 +35,10 @@
 	made policy.CallNo // part calls so far
 }
 
-// End is how a lookup ended for its client.
+// End is how a query ended for its client.
 type End uint8
 
-// The ends of a lookup.
+// The ends of a query.
 const (
 	Satisfied End = iota
 	Nacked
@@ -47,7 +47,7 @@
 	Twice
 )
 
-// Reply is the final answer of a lookup.
+// Reply is the final answer of a query.
 type Reply struct {
 	End   End
 	Whole bool
@@ -56,39 +56,39 @@
 }
 
 // Event is what an actor tells the module's: one of the module's own events with what it has no place for. A
-// lookup comes as one event, which brings its parts.
+// query comes as one event, which brings its parts.
 type Event struct {
 	policy.Event
-	Taken     *Lookup  // LookupTaken, and ClientGone
+	Taken     *Query   // LookupTaken, and ClientGone
 	Value     []byte   // CallEnded
 	Addresses []string // ListChanged: one for each entry
 	Names     []Name   // the same
 	Rules     *Rules   // OverridesChanged: what a gate goes by from here on
-	Judged    []Judged // the same: what it makes of searchers
+	Judged    []Judged // the same: what it makes of backends
 }
 
-// Name is what the list calls a searcher and its location, where the module has numbers.
-type Name struct{ Searcher, Location string }
+// Name is what the list calls a backend and its location, where the module has numbers.
+type Name struct{ Backend, Location string }
 
-// Call is one part call on its way to a searcher.
+// Call is one part call on its way to a backend.
 type Call struct {
-	Part   policy.PartID
-	No     policy.CallNo
-	Lookup *Lookup // of which only what never changes may be read
-	Shard  policy.ShardID
-	Sent   time.Time
-	Stop   time.Time // when to stop waiting
-	Begin  time.Time // by when it has to be on its way, whatever held it up; after it, it is not begun
+	Subquery policy.SubqueryID
+	No       policy.CallNo
+	Query    *Query // of which only what never changes may be read
+	Shard    policy.ShardID
+	Sent     time.Time
+	Stop     time.Time // when to stop waiting
+	Begin    time.Time // by when it has to be on its way, whatever held it up; after it, it is not begun
 }
 
-// Searchers takes what goes to searchers. None of its methods may block.
-type Searchers interface {
+// Backends takes what goes to backends. None of its methods may block.
+type Backends interface {
 	Named(entry policy.Entry, address string)
-	Unnamed(keep map[policy.SearcherID]bool)
-	Send(to policy.SearcherID, calls []Call)
-	Withdraw(at policy.SearcherID, part policy.PartID, no policy.CallNo)
-	Probe(at policy.SearcherID, apart bool)
-	CloseIdle(at policy.SearcherID)
+	Unnamed(keep map[policy.BackendID]bool)
+	Send(to policy.BackendID, calls []Call)
+	Withdraw(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo)
+	Probe(at policy.BackendID, apart bool)
+	CloseIdle(at policy.BackendID)
 }
 
 // Discovery takes what is asked of the list. None of its methods may block.
--- a/internal/dataplane/asynclog/mixerlog.go
+++ b/internal/dataplane/asynclog/mixerlog.go
@@ -1,5 +1,5 @@
-// Package asynclog makes the log of a mixer: one JSON object a line, with level, time (milliseconds since 1970), mixer and message.
-// Whoever reads the log never holds up the mixer that writes it.
+// Package asynclog makes the log of an aggregator: one JSON object a line, with level, time (milliseconds since 1970), aggregator and message.
+// Whoever reads the log never holds up the aggregator that writes it.
 package asynclog
 
 import (
--- a/internal/dataplane/asynclog/mixerlog_test.go
+++ b/internal/dataplane/asynclog/mixerlog_test.go
@@ -18,14 +18,14 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// line is what readers of a mixer's log rely on.
+// line is what readers of an aggregator's log rely on.
 type line struct {
-	Level   string  `json:"level"`
-	Time    int64   `json:"time"`
-	Mixer   string  `json:"mixer"`
-	Message string  `json:"message"`
-	Text    string  `json:"text"`
-	Lived   float64 `json:"lived_s"`
+	Level      string  `json:"level"`
+	Time       int64   `json:"time"`
+	Aggregator string  `json:"mixer"`
+	Message    string  `json:"message"`
+	Text       string  `json:"text"`
+	Lived      float64 `json:"lived_s"`
 }
 
 func TestLines(t *testing.T) {
@@ -58,9 +58,9 @@
 				lines = append(lines, one)
 			}
 			So(lines, ShouldResemble, []line{
-				{Level: "info", Mixer: "n1", Message: "connection ended", Text: "two\nlines \"quoted\" \ufffd", Lived: 0.25},
-				{Level: "warn", Mixer: "n1", Message: "http"},
-				{Level: "debug", Mixer: "n1", Message: "module"},
+				{Level: "info", Aggregator: "n1", Message: "connection ended", Text: "two\nlines \"quoted\" \ufffd", Lived: 0.25},
+				{Level: "warn", Aggregator: "n1", Message: "http"},
+				{Level: "debug", Aggregator: "n1", Message: "module"},
 			})
 		})
 		Convey("writes times as whole milliseconds", func() {
@@ -71,7 +71,7 @@
 	})
 }
 
-// BenchmarkLine writes the line that a mixer writes most often, when a client's connection ends.
+// BenchmarkLine writes the line that an aggregator writes most often, when a client's connection ends.
 func BenchmarkLine(b *testing.B) {
 	out := NewWriter(io.Discard, 1024, func() {})
 	defer out.Close()
--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -37,7 +37,7 @@
 	era        int
 	new        []aggregator.Call
 	calls      []*call
-	part       policy.PartID
+	subquery   policy.SubqueryID
 	no         policy.CallNo
 	connection *connection
 	answer     answer
@@ -47,10 +47,10 @@
 	at         time.Time
 }
 
-// actor speaks with one searcher.
+// actor speaks with one backend.
 type actor struct {
 	hub          *Hub
-	id           policy.SearcherID
+	id           policy.BackendID
 	in           *eventqueue.Queue[note]
 	address      string
 	stopped      bool
@@ -94,7 +94,7 @@
 	case send:
 		a.send(n.new)
 	case withdraw:
-		a.withdraw(n.part, n.no)
+		a.withdraw(n.subquery, n.no)
 	case probe:
 		a.probe(n.at, n.apart)
 	case closeIdle:
@@ -156,7 +156,7 @@
 	}
 }
 
-// named takes what the list says. Connections to another address, or older than the searcher's last start, lead to a
+// named takes what the list says. Connections to another address, or older than the backend's last start, lead to a
 // process that is no more.
 func (a *actor) named(n *note) {
 	if a.closed = n.entry.Phase != policy.Ready; a.closed {
@@ -210,7 +210,7 @@
 		switch {
 		case conn.closing != "":
 		case !conn.silentSince.IsZero():
-			// Its searcher lives, and has had as long again as a probe to say something here: nobody waits any more.
+			// Its backend lives, and has had as long again as a probe to say something here: nobody waits any more.
 			if a.idle(conn) || !a.heard.Before(conn.silentSince) && due(conn.silentSince.Add(seconds(a.hub.set.Connect))) {
 				a.close(conn, whySilent) // before any end on it is told
 				for _, c := range a.calls {
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -15,7 +15,7 @@
 	trip       *trip
 	connection *connection // nil while it waits for one
 	written    bool
-	back       bool           // given up, which its searcher is being told
+	back       bool           // given up, which its backend is being told
 	how        policy.Outcome // then: as what
 	begun      atomic.Int32   // its actor and its connection's writer settle by it which of them comes first
 }
@@ -27,7 +27,7 @@
 )
 
 // begin tells its connection's writer whether its write may begin, however long it waited for that: it may not once it was
-// taken back, its searcher wants nothing new, nobody waits for it, or a repeat of it would no longer be known as one.
+// taken back, its backend wants nothing new, nobody waits for it, or a repeat of it would no longer be known as one.
 func (c *call) begin(now time.Time) bool {
 	if now.After(c.Begin) {
 		c.begun.CompareAndSwap(waits, never)
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -10,9 +10,9 @@
 )
 
 // withdraw gives up a call that the module takes back.
-func (a *actor) withdraw(part policy.PartID, no policy.CallNo) {
+func (a *actor) withdraw(subquery policy.SubqueryID, no policy.CallNo) {
 	for _, c := range a.calls {
-		if c.Part == part && c.No == no {
+		if c.Subquery == subquery && c.No == no {
 			a.giveUp(c, policy.Withdrawn)
 			return
 		}
@@ -28,7 +28,7 @@
 	}
 }
 
-// unsend takes back all calls that are not on their way to a searcher that wants nothing new: none of them begins any
+// unsend takes back all calls that are not on their way to a backend that wants nothing new: none of them begins any
 // more, be it that a connect or a write holds it up for longer than the grace.
 func (a *actor) unsend() {
 	for _, c := range a.calls {
@@ -44,7 +44,7 @@
 func (a *actor) send(calls []aggregator.Call) {
 	t := &trip{}
 	for _, c := range calls {
-		t.calls = append(t.calls, &call{Call: c, name: partName(&c), trip: t})
+		t.calls = append(t.calls, &call{Call: c, name: subqueryName(&c), trip: t})
 	}
 	t.live = len(t.calls)
 	for _, c := range slices.Clone(t.calls) {
@@ -110,7 +110,7 @@
 	a.hub.ended(&c.Call, a.id, how, at, with)
 }
 
-// giveUp gives up a call that nobody waits for any more. Its end is told once its searcher was: until then another call of
+// giveUp gives up a call that nobody waits for any more. Its end is told once its backend was: until then another call of
 // its part would be a second copy. An answer that comes before that is taken.
 func (a *actor) giveUp(c *call, how policy.Outcome) {
 	conn, now := c.connection, time.Now()
@@ -127,7 +127,7 @@
 	conn.out.Put(outgoing{frameType: frameCancel, calls: []*call{c}})
 }
 
-// gaveUp ends a call that its searcher was told is given up; what it may still say is dropped.
+// gaveUp ends a call that its backend was told is given up; what it may still say is dropped.
 func (a *actor) gaveUp(conn *connection, c *call) {
 	if a.calls[c.name] != c {
 		return // answered meanwhile
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -13,21 +13,21 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// stuckWrite is how long a searcher may leave what we write unread, after all that the kernel's buffers hold:
+// stuckWrite is how long a backend may leave what we write unread, after all that the kernel's buffers hold:
 // what waits behind it is not bounded otherwise.
 const stuckWrite = time.Second
 
 // lastReads is how long a connection that is over may still be read: what has come is here, it has to be taken up alone.
 const lastReads = 50 * time.Millisecond
 
-// outgoing is what a connection writes at once, in one piece or not at all as far as its searcher's actor knows.
+// outgoing is what a connection writes at once, in one piece or not at all as far as its backend's actor knows.
 type outgoing struct {
 	frameType byte
 	calls     []*call // S, and C with one
 }
 
-// connection is one TCP connection to a searcher, with a goroutine for each direction, so that a write that gets stuck holds
-// up nothing else. Its fields below out belong to the searcher's actor.
+// connection is one TCP connection to a backend, with a goroutine for each direction, so that a write that gets stuck holds
+// up nothing else. Its fields below out belong to the backend's actor.
 type connection struct {
 	socket net.Conn
 	stuck  time.Duration // that a write may take
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// takes tells whether anything new may be asked on a connection. One that has fallen silent looks like a searcher that is
-// silent: only another connection tells them apart, and a searcher that lives must not be lost with its connection.
+// takes tells whether anything new may be asked on a connection. One that has fallen silent looks like a backend that is
+// silent: only another connection tells them apart, and a backend that lives must not be lost with its connection.
 func (a *actor) takes(conn *connection) bool {
 	return conn.closing == "" && !conn.half && conn.silentSince.IsZero() && !a.stale(conn)
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// markSilent begins the last wait for a connection that has said nothing, and asks it by a probe of its own, which a searcher answers at
-// once however long its calls wait. Without one, slow searchers lost connection after connection, with the work done for them.
+// markSilent begins the last wait for a connection that has said nothing, and asks it by a probe of its own, which a backend answers at
+// once however long its calls wait. Without one, slow backends lost connection after connection, with the work done for them.
 func (a *actor) markSilent(conn *connection, now time.Time) {
 	if conn.closing != "" || !conn.silentSince.IsZero() {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// stale tells of a connection that its searcher may close for being idle before a frame gets there: a frame is given
+// stale tells of a connection that its backend may close for being idle before a frame gets there: a frame is given
 // as long as a connect.
 func (a *actor) stale(conn *connection) bool {
 	idle := a.hub.set.Idle
@@ -166,7 +166,7 @@
 		return // another may come up
 	}
 	how := policy.NotConnected
-	if n.why == whyNoRoom { // no fault of the searcher
+	if n.why == whyNoRoom { // no fault of the backend
 		how = policy.NotSent
 	}
 	for _, t := range slices.Clone(a.waiting) {
--- a/internal/dataplane/backends/crossings_test.go
+++ b/internal/dataplane/backends/crossings_test.go
@@ -54,8 +54,8 @@
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
-	r.hub.Withdraw(1, calls[0].Part, 0)
-	r.ended(calls[0].Part, policy.Withdrawn)
+	r.hub.Withdraw(1, calls[0].Subquery, 0)
+	r.ended(calls[0].Subquery, policy.Withdrawn)
 	if text := p.rest(); text != "" {
 		t.Fatalf("%q was written", text)
 	}
@@ -66,15 +66,15 @@
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", 20*time.Millisecond, 1)
-	r.ended(calls[0].Part, policy.TimedOut)
+	r.ended(calls[0].Subquery, policy.TimedOut)
 	if text := p.rest(); text != "" {
 		t.Fatalf("%q was written", text)
 	}
 }
 
-// A call that is on its way to its searcher ends once that was told: before, another call of its part would be a second copy,
+// A call that is on its way to its backend ends once that was told: before, another call of its part would be a second copy,
 // which a deployment may not allow.
-func TestACallEndsOnceItsSearcherWasTold(t *testing.T) {
+func TestACallEndsOnceItsBackendWasTold(t *testing.T) {
 	r := newFixture(t, nil)
 	r.hub.stuck = patience
 	calls := r.send("aa", "q", time.Minute, 1)
@@ -84,19 +84,19 @@
 	if _, err := p.in.Peek(5); err != nil { // the write is stuck behind it
 		t.Fatal(err)
 	}
-	r.hub.Withdraw(1, calls[0].Part, 0)
+	r.hub.Withdraw(1, calls[0].Subquery, 0)
 	twin := calls[0]
 	r.next++
-	twin.Part = r.next
+	twin.Subquery = r.next
 	r.hub.Send(1, append(calls[:0:0], twin))
-	r.ended(twin.Part, policy.NotSent) // the other is still out, and its withdrawal was heard
+	r.ended(twin.Subquery, policy.NotSent) // the other is still out, and its withdrawal was heard
 	if _, err := io.CopyN(io.Discard, p.in, int64(4+1+len("large.0 0 d=59999 16777216\n")+16<<20)); err != nil {
 		t.Fatal(err)
 	}
 	p.expect('C', "aa.0")
-	r.ended(calls[0].Part, policy.Withdrawn)
+	r.ended(calls[0].Subquery, policy.Withdrawn)
 	p.say('R', "large.0 done 0 -\n")
-	r.ended(large[0].Part, policy.Answered)
+	r.ended(large[0].Subquery, policy.Answered)
 }
 
 // A repeat that waits for its connection, or behind a write, until it would no longer be known as one.
@@ -106,11 +106,11 @@
 	calls := r.send("bb", "q", time.Minute, 1)
 	r.next++
 	late := calls[0]
-	late.Part, late.Shard, late.Begin = r.next, 7, time.Now()
+	late.Subquery, late.Shard, late.Begin = r.next, 7, time.Now()
 	kept := r.send("cc", "q", time.Minute, 1)
 	r.hub.Send(1, append(kept[:0:0], late))
 	io.CopyN(io.Discard, p.in, 4+int64(1+len("large.0 0 d=60000 16777216\n")+16<<20)-1) // but for what its length may vary by
-	r.ended(late.Part, policy.NotSent)
+	r.ended(late.Subquery, policy.NotSent)
 	var text string
 	for !strings.Contains(text, "cc.0") {
 		b := make([]byte, 1<<10)
@@ -137,7 +137,7 @@
 				t.Fatalf("got %+v", e.Event)
 			}
 		}
-		r.ended(r.send("bb", "q", time.Minute, 1)[0].Part, policy.NotSent)
+		r.ended(r.send("bb", "q", time.Minute, 1)[0].Subquery, policy.NotSent)
 	}
 }
 
@@ -148,7 +148,7 @@
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
 	r.named(r.peer.Addr().String(), policy.Draining, 0)
-	r.ended(calls[0].Part, policy.NotSent)
+	r.ended(calls[0].Subquery, policy.NotSent)
 	got, err := io.Copy(io.Discard, io.LimitReader(p.in, int64(4+1+len("large.0 0 d=59999 16777216\n")+16<<20)))
 	if err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 	if got > 16<<20 { // it was not given up
 		p.say('R', "large.0 done 0 -\n")
 	}
-	if e := r.event(); e.Part != 1 {
+	if e := r.event(); e.Subquery != 1 {
 		t.Fatalf("got %+v", e.Event)
 	}
 	r.hub.CloseIdle(1)
@@ -256,7 +256,7 @@
 	answeredThenEnded(t, notes)
 }
 
-// The same where the connection is closed as its searcher was started anew.
+// The same where the connection is closed as its backend was started anew.
 func TestAnAnswerBeforeAnEndOfOursCounts(t *testing.T) {
 	conn, peer, let, notes := heldConnection(t)
 	defer peer.Close()
@@ -286,26 +286,26 @@
 	return g
 }
 
-// A connect comes up late: after its call was withdrawn, timed out or could no longer begin, its searcher drained, was gone or moved. What it was
+// A connect comes up late: after its call was withdrawn, timed out or could no longer begin, its backend drained, was gone or moved. What it was
 // for has ended long before and is never written. A connection of use is kept for the next call, any other is closed.
 func TestALateConnectSendsNothingThatIsOver(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait time.Duration
-		do   func(*fixture, policy.PartID)
+		do   func(*fixture, policy.SubqueryID)
 		how  policy.Outcome
 		kept bool
 	}{
-		"withdrawn": {time.Minute, func(r *fixture, part policy.PartID) { r.hub.Withdraw(1, part, 0) }, policy.Withdrawn, true},
-		"timed out": {time.Millisecond, func(*fixture, policy.PartID) {}, policy.TimedOut, true},
-		"draining":  {time.Minute, func(r *fixture, _ policy.PartID) { r.named(r.peer.Addr().String(), policy.Draining, 0) }, policy.NotSent, false},
-		"gone":      {time.Minute, func(r *fixture, _ policy.PartID) { r.named("", policy.Gone, 0) }, policy.NotSent, false},
+		"withdrawn": {time.Minute, func(r *fixture, subquery policy.SubqueryID) { r.hub.Withdraw(1, subquery, 0) }, policy.Withdrawn, true},
+		"timed out": {time.Millisecond, func(*fixture, policy.SubqueryID) {}, policy.TimedOut, true},
+		"draining":  {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named(r.peer.Addr().String(), policy.Draining, 0) }, policy.NotSent, false},
+		"gone":      {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named("", policy.Gone, 0) }, policy.NotSent, false},
 	} {
 		r := newFixture(t, func(n *settings.Net) { n.Idle, n.Connect = 60, 2 })
 		g := r.holdDials()
 		calls := r.send("aa", "q", c.wait, 1)
 		<-g.up
-		c.do(r, calls[0].Part)
-		r.ended(calls[0].Part, c.how)
+		c.do(r, calls[0].Subquery)
+		r.ended(calls[0].Subquery, c.how)
 		close(g.let)
 		p := r.accept(r.peer)
 		if !c.kept {
@@ -317,14 +317,14 @@
 		next := r.send("bb", "q", time.Minute, 1)
 		p.expect('S', "bb.0") // the first that is written on it
 		p.say('R', "bb.0 done 0 -\n")
-		r.ended(next[0].Part, policy.Answered)
+		r.ended(next[0].Subquery, policy.Answered)
 		if n := r.hub.count.Get("lines", "dialled"); n != 1 {
 			t.Fatalf("%s: %d connects, expected 1", name, n)
 		}
 	}
 }
 
-// A connect that comes up as its searcher has moved goes to an address that leads nowhere any more: closed, and the call goes to the new one.
+// A connect that comes up as its backend has moved goes to an address that leads nowhere any more: closed, and the call goes to the new one.
 func TestALateConnectToAnOldAddressIsClosed(t *testing.T) {
 	r := newFixture(t, nil)
 	g := r.holdDials()
@@ -341,7 +341,7 @@
 		t.Fatalf("%q was written to the old address", text)
 	}
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, policy.Answered)
+	r.ended(calls[0].Subquery, policy.Answered)
 }
 
 // A stop comes while a connect is under way, and it comes up after that: it is closed, nothing is written, and the stop ends.
--- a/internal/dataplane/backends/errors.go
+++ b/internal/dataplane/backends/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// refusedError is the text with which a searcher refuses a connection.
+// refusedError is the text with which a backend refuses a connection.
 type refusedError string
 
 func (e refusedError) Error() string { return fmt.Sprintf("%.200q", string(e)) }
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -93,9 +93,9 @@
 	return append(append(b, frameType), rest...)
 }
 
-// partName names a part call on the wire.
-func partName(c *aggregator.Call) string {
-	return c.Lookup.ID + "." + strconv.Itoa(int(c.Shard))
+// subqueryName names a part call on the wire.
+func subqueryName(c *aggregator.Call) string {
+	return c.Query.ID + "." + strconv.Itoa(int(c.Shard))
 }
 
 // appendCall writes the parts of one call; the time left is rounded down, never to say more than the client waits.
@@ -108,8 +108,8 @@
 		b = append(b, " d="...)
 		b = strconv.AppendInt(b, max(0, c.Stop.Sub(now).Milliseconds()), 10)
 		b = append(b, ' ')
-		b = strconv.AppendInt(b, int64(len(c.Lookup.Query)), 10)
-		b = append(append(b, '\n'), c.Lookup.Query...)
+		b = strconv.AppendInt(b, int64(len(c.Query.Query)), 10)
+		b = append(append(b, '\n'), c.Query.Query...)
 	}
 	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-4))
 	return b
--- a/internal/dataplane/backends/probes.go
+++ b/internal/dataplane/backends/probes.go
@@ -43,7 +43,7 @@
 	if p := a.pendingProbe; p == nil || p.connection != n.connection {
 		a.hub.count.Add("late", "probes", 1)
 		return
-	} else if p.apart { // the searcher lives, and connections that were asked before and said nothing since do not
+	} else if p.apart { // the backend lives, and connections that were asked before and said nothing since do not
 		for _, conn := range a.connections {
 			if !conn.asked.IsZero() && conn.asked.Before(p.since) {
 				a.markSilent(conn, n.at)
@@ -61,6 +61,6 @@
 	elapsed := max(0, at.Sub(a.pendingProbe.since).Seconds())
 	a.pendingProbe = nil
 	a.hub.count.Add("probes", outcomeNames[how], 1)
-	a.hub.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.ProbeEnded, Searcher: a.id, Outcome: how,
+	a.hub.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.ProbeEnded, Backend: a.id, Outcome: how,
 		Elapsed: elapsed, Load: load}})
 }
--- a/internal/dataplane/backends/searchers_test.go
+++ b/internal/dataplane/backends/searchers_test.go
@@ -25,13 +25,13 @@
 
 const patience = queuetest.Patience
 
-// fixture is a hub with one searcher, whose part the test plays.
+// fixture is a hub with one backend, whose part the test plays.
 type fixture struct {
 	*testing.T
 	hub  *Hub
 	told *queuetest.Ear[aggregator.Event]
 	peer net.Listener
-	next policy.PartID
+	next policy.SubqueryID
 }
 
 func newFixture(t *testing.T, change func(*settings.Net)) *fixture {
@@ -57,22 +57,22 @@
 }
 
 func (r *fixture) named(address string, phase policy.Phase, started float64) {
-	r.hub.Named(policy.Entry{Searcher: 1, Phase: phase, StartedAt: started}, address)
+	r.hub.Named(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
 
-// send sends parts of a lookup in one call; each part's shard is its place.
-func (r *fixture) send(id, query string, wait time.Duration, parts int) (calls []aggregator.Call) {
+// send sends parts of a query in one call; each part's shard is its place.
+func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
-	lk := &aggregator.Lookup{ID: id, Query: []byte(query)}
-	for i := range parts {
+	lk := &aggregator.Query{ID: id, Query: []byte(query)}
+	for i := range subqueries {
 		r.next++
-		calls = append(calls, aggregator.Call{Part: r.next, Lookup: lk, Shard: policy.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
+		calls = append(calls, aggregator.Call{Subquery: r.next, Query: lk, Shard: policy.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
 	}
 	r.hub.Send(1, slices.Clone(calls))
 	return calls
 }
 
-// accept takes a connection as a searcher would.
+// accept takes a connection as a backend would.
 func (r *fixture) accept(l net.Listener) *peerConnection {
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	c, err := l.Accept()
@@ -110,11 +110,11 @@
 	return e
 }
 
-func (r *fixture) ended(part policy.PartID, how policy.Outcome) aggregator.Event {
+func (r *fixture) ended(subquery policy.SubqueryID, how policy.Outcome) aggregator.Event {
 	r.Helper()
 	e := r.event()
-	if e.Kind != policy.CallEnded || e.Part != part || e.Outcome != how {
-		r.Fatalf("got %+v, expected part %d to end as %s", e.Event, part, outcomeNames[how])
+	if e.Kind != policy.CallEnded || e.Subquery != subquery || e.Outcome != how {
+		r.Fatalf("got %+v, expected part %d to end as %s", e.Event, subquery, outcomeNames[how])
 	}
 	return e
 }
@@ -133,14 +133,14 @@
 	p.say('R', "bb.0 full 0 -\n")
 	p.say('R', "bb.0 full 0 -\n") // a second copy is no news
 	p.say('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
-	r.ended(b[0].Part, policy.TurnedAway)
-	e := r.ended(a[0].Part, policy.Answered)
+	r.ended(b[0].Subquery, policy.TurnedAway)
+	e := r.ended(a[0].Subquery, policy.Answered)
 	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasWaiting|policy.HasService || e.Load.Waiting != 3 || e.Load.ServiceS != 0.02 {
 		t.Fatalf("got %q, %+v", e.Value, e.Load)
 	}
 }
 
-func TestPartsShareACall(t *testing.T) {
+func TestSubqueriesShareACall(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Second, 2)
 	p := r.accept(r.peer)
@@ -148,9 +148,9 @@
 		t.Fatalf("got %q", got)
 	}
 	p.say('R', "aa.1 failed 0 -\n")
-	r.ended(calls[1].Part, policy.Errored)
+	r.ended(calls[1].Subquery, policy.Errored)
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, policy.Answered)
+	r.ended(calls[0].Subquery, policy.Answered)
 }
 
 func TestRefusedConnectNeverRan(t *testing.T) {
@@ -158,7 +158,7 @@
 	r.peer.Close()
 	calls := r.send("aa", "q", time.Second, 2)
 	for _, c := range calls {
-		r.ended(c.Part, policy.NotConnected)
+		r.ended(c.Subquery, policy.NotConnected)
 	}
 	r.hub.Probe(1, false)
 	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
@@ -171,7 +171,7 @@
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.1 })
 	r.named(r.deaf(), policy.Ready, 0)
 	calls := r.send("aa", "q", time.Minute, 1)
-	r.ended(calls[0].Part, policy.NotConnected)
+	r.ended(calls[0].Subquery, policy.NotConnected)
 	r.hub.Probe(1, false)
 	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
 		t.Fatalf("got %+v", e.Event)
@@ -188,7 +188,7 @@
 	p.expect('S', "aa.0")
 	time.Sleep(600 * time.Millisecond) // the old connect fails meanwhile
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, policy.Answered)
+	r.ended(calls[0].Subquery, policy.Answered)
 }
 
 // Where a connect may take all of the idle time, connections are still used.
@@ -198,7 +198,7 @@
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, policy.Answered)
+	r.ended(calls[0].Subquery, policy.Answered)
 }
 
 // deaf is an address where no connect is ever answered.
@@ -230,12 +230,12 @@
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	p.Close()
-	r.ended(calls[0].Part, policy.Broken)
+	r.ended(calls[0].Subquery, policy.Broken)
 	again := r.send("ab", "q", time.Second, 1) // on a new connection
 	p = r.accept(r.peer)
 	p.expect('S', "ab.0")
 	p.say('F', "no more")
-	r.ended(again[0].Part, policy.Broken)
+	r.ended(again[0].Subquery, policy.Broken)
 }
 
 // Whatever spoils an answer, the call that it was meant for has failed at once, long before its deadline, and so has
@@ -260,7 +260,7 @@
 			p.expect('S', "aa.0")
 			began := time.Now()
 			spoil(p)
-			r.ended(calls[0].Part, policy.Errored)
+			r.ended(calls[0].Subquery, policy.Errored)
 			if took := time.Since(began); took > 2*frameTime {
 				t.Fatalf("known after %v", took)
 			}
@@ -278,8 +278,8 @@
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.say('R', "bb.0 what 1 -\nvalue")
-	r.ended(calls[1].Part, policy.Errored)
-	r.ended(calls[0].Part, policy.Broken)
+	r.ended(calls[1].Subquery, policy.Errored)
+	r.ended(calls[0].Subquery, policy.Broken)
 }
 
 // An answer counts whatever comes behind it, and the next call on the connection is not hurt by that.
@@ -290,7 +290,7 @@
 		p := r.accept(r.peer)
 		p.expect('S', "aa.0")
 		p.Write(append(appendFrame(nil, 'R', []byte("aa.0 done 1 -\nvalue")...), behind...))
-		if e := r.ended(calls[0].Part, policy.Answered); string(e.Value) != "value" {
+		if e := r.ended(calls[0].Subquery, policy.Answered); string(e.Value) != "value" {
 			t.Fatalf("%q: got %q", behind, e.Value)
 		}
 		time.Sleep(20 * time.Millisecond) // the next call comes later than what follows
@@ -302,13 +302,13 @@
 			p.expect('S', "bb.0")
 		}
 		p.say('R', "bb.0 done 1 -\nown")
-		if e := r.ended(next[0].Part, policy.Answered); string(e.Value) != "own" {
+		if e := r.ended(next[0].Subquery, policy.Answered); string(e.Value) != "own" {
 			t.Fatalf("%q: got %q", behind, e.Value)
 		}
 	}
 }
 
-// apart has the searcher asked apart, and answers for it on that connection, or else on the new one that this takes.
+// apart has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
 func (r *fixture) apart(on *peerConnection) *peerConnection {
 	r.Helper()
 	r.hub.Probe(1, true)
@@ -323,9 +323,9 @@
 	return on
 }
 
-// A connection that has fallen silent takes nothing new, and its searcher is heard again on another; what is out on it may
+// A connection that has fallen silent takes nothing new, and its backend is heard again on another; what is out on it may
 // still be answered, and then it is as good as before.
-func TestASilentConnectionIsNoSilentSearcher(t *testing.T) {
+func TestASilentConnectionIsNoSilentBackend(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.1 })
 	out := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
@@ -344,12 +344,12 @@
 	p.expect('M', "")
 	p.expect('M', "") // asked by itself as well, once it had no answer in its time
 	p.say('R', "aa.0 done 1 -\nvalue")
-	r.ended(out[0].Part, policy.Answered)
+	r.ended(out[0].Subquery, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
 
-// A searcher whose queue is long answers probes at once, on a connection of its own as on that of a call that waits: the
+// A backend whose queue is long answers probes at once, on a connection of its own as on that of a call that waits: the
 // connection lives, and the call with it. It was taken for a connection fallen silent, and so were scores in every second.
 func TestALongQueueIsNoSilentConnection(t *testing.T) {
 	const connect = 50 * time.Millisecond
@@ -364,10 +364,10 @@
 		r.apart(other)
 	}
 	p.say('R', "aa.0 done 1 -\nvalue")
-	r.ended(out[0].Part, policy.Answered)
+	r.ended(out[0].Subquery, policy.Answered)
 }
 
-// Asked apart, a searcher is heard at once on a connection of its own, and the one that has said nothing takes nothing new.
+// Asked apart, a backend is heard at once on a connection of its own, and the one that has said nothing takes nothing new.
 func TestAProbeApartFindsASilentConnection(t *testing.T) {
 	// The connect's time is what a silent connection is given: far longer than a busy machine keeps this test from running.
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 2 })
@@ -379,28 +379,28 @@
 	other.expect('S', "bb.0")
 	p.expect('M', "")
 	p.say('R', "aa.0 done 1 -\nvalue") // it was only slow
-	r.ended(out[0].Part, policy.Answered)
+	r.ended(out[0].Subquery, policy.Answered)
 	lost := r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 	r.apart(nil) // neither connection is idle
 	other.say('R', "bb.0 done 1 -\nvalue")
 	r.event()
-	r.ended(lost[0].Part, policy.TimedOut) // long before its deadline
+	r.ended(lost[0].Subquery, policy.TimedOut) // long before its deadline
 	p.expect('M', "")
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the silent connection goes on: %v", err)
 	}
 }
 
-// Once the list no longer names a searcher, its actor ends with its last call, and its connections with it.
-func TestGoneSearchersAreForgotten(t *testing.T) {
+// Once the list no longer names a backend, its actor ends with its last call, and its connections with it.
+func TestGoneBackendsAreForgotten(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	r.hub.Unnamed(map[policy.SearcherID]bool{})
+	r.hub.Unnamed(map[policy.BackendID]bool{})
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, policy.Answered)
+	r.ended(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the connection goes on: %v", err)
 	}
@@ -408,12 +408,12 @@
 		if time.Now().After(late) {
 			t.Fatal("the actor goes on")
 		}
-		r.hub.Named(policy.Entry{Searcher: 2, Phase: policy.Gone}, "")
+		r.hub.Named(policy.Entry{Backend: 2, Phase: policy.Gone}, "")
 	}
 	if len(r.hub.gone) > 0 {
 		t.Fatalf("%v are still to end", r.hub.gone)
 	}
-	r.ended(r.send("ab", "q", time.Minute, 1)[0].Part, policy.NotConnected)
+	r.ended(r.send("ab", "q", time.Minute, 1)[0].Subquery, policy.NotConnected)
 }
 
 func TestConnectionsKeepToTheDescriptors(t *testing.T) {
@@ -422,9 +422,9 @@
 	first := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	r.ended(r.send("bb", "q", time.Minute, 1)[0].Part, policy.NotSent)
+	r.ended(r.send("bb", "q", time.Minute, 1)[0].Subquery, policy.NotSent)
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(first[0].Part, policy.Answered)
+	r.ended(first[0].Subquery, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
@@ -436,12 +436,12 @@
 	p := r.accept(r.peer)
 	io.ReadFull(p.in, make([]byte, 5))
 	p.Close()
-	ended := map[policy.PartID]policy.Outcome{}
+	ended := map[policy.SubqueryID]policy.Outcome{}
 	for range 2 {
 		e := r.event()
-		ended[e.Part] = e.Outcome
+		ended[e.Subquery] = e.Outcome
 	}
-	if ended[large[0].Part] != policy.NotConnected || ended[behind[0].Part] != policy.NotConnected {
+	if ended[large[0].Subquery] != policy.NotConnected || ended[behind[0].Subquery] != policy.NotConnected {
 		t.Fatalf("got %v", ended)
 	}
 }
@@ -453,9 +453,9 @@
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
-	r.ended(slow[0].Part, policy.TimedOut)
-	r.hub.Withdraw(1, kept[0].Part, kept[0].No)
-	r.ended(kept[0].Part, policy.Withdrawn)
+	r.ended(slow[0].Subquery, policy.TimedOut)
+	r.hub.Withdraw(1, kept[0].Subquery, kept[0].No)
+	r.ended(kept[0].Subquery, policy.Withdrawn)
 	p.expect('C', "bb.0")
 	// Sent again, it goes on another connection: there no answer to the first can be taken for its own.
 	kept[0].No++
@@ -465,7 +465,7 @@
 	p.say('R', "bb.0 full 0 -\n")
 	p.say('R', "aa.0 done 0 -\nlate")
 	other.say('R', "bb.0 done 0 -\nown")
-	if e := r.ended(kept[0].Part, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
+	if e := r.ended(kept[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
 		t.Fatalf("got %+v", e)
 	}
 }
@@ -473,8 +473,8 @@
 func TestWithdrawnBeforeAConnectionIsNeverSent(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 2)
-	r.hub.Withdraw(1, calls[0].Part, 0)
-	r.ended(calls[0].Part, policy.Withdrawn)
+	r.hub.Withdraw(1, calls[0].Subquery, 0)
+	r.ended(calls[0].Subquery, policy.Withdrawn)
 	p := r.accept(r.peer)
 	if got := p.expect('S', ""); strings.Contains(got, "aa.0") {
 		p.expect('C', "aa.0") // the connection came first
@@ -493,8 +493,8 @@
 	}
 	o.expect('S', "")
 	for _, c := range calls {
-		r.hub.Withdraw(1, c.Part, 0)
-		r.ended(c.Part, policy.Withdrawn)
+		r.hub.Withdraw(1, c.Subquery, 0)
+		r.ended(c.Subquery, policy.Withdrawn)
 	}
 	r.send("b0", "q", time.Minute, 1) // on a connection that is there: no third is accepted
 	r.peer.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
@@ -544,19 +544,19 @@
 			to = r.listen()
 		}
 		r.named(to.Addr().String(), policy.Ready, c.started)
-		r.ended(calls[0].Part, policy.Broken)
+		r.ended(calls[0].Subquery, policy.Broken)
 		next := r.send("ab", "q", time.Minute, 1)
 		p := r.accept(to)
 		p.expect('S', "ab.0")
 		r.named("", policy.Gone, 0) // completes what it has
 		p.say('R', "ab.0 done 0 -\n")
-		if e := r.ended(next[0].Part, policy.Answered); len(r.told.Rest()) > 0 {
+		if e := r.ended(next[0].Subquery, policy.Answered); len(r.told.Rest()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
 		}
 	}
 }
 
-// A connection goes before its searcher would end a call on it, and on request, but not while anything is out on it.
+// A connection goes before its backend would end a call on it, and on request, but not while anything is out on it.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Idle, n.Connect = 0.3, 0.2 })
 	calls := r.send("aa", "q", time.Minute, 1)
@@ -565,7 +565,7 @@
 	r.hub.CloseIdle(1)
 	time.Sleep(150 * time.Millisecond) // longer than it may be idle
 	p.say('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Part, policy.Answered)
+	r.ended(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("got %v", err)
 	}
@@ -573,7 +573,7 @@
 	p = r.accept(r.peer)
 	p.expect('S', "ab.0")
 	p.say('R', "ab.0 done 0 -\n")
-	r.ended(calls[0].Part, policy.Answered)
+	r.ended(calls[0].Subquery, policy.Answered)
 	r.hub.CloseIdle(1)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("got %v", err)
--- a/internal/dataplane/clients/body.go
+++ b/internal/dataplane/clients/body.go
@@ -41,7 +41,7 @@
 	Route     string   `json:"route"`
 }
 
-// targets are a lookup's parts, of which there are no more than shards: an array that goes on is not read to its end,
+// targets are a query's parts, of which there are no more than shards: an array that goes on is not read to its end,
 // as it would unfold into far more memory than its bytes.
 type targets struct {
 	most int
@@ -74,8 +74,8 @@
 	Query   jsontext.Value `json:"query"`
 }
 
-// readHead reads what a lookup's headers and address say; the error is for the client.
-func (n *nameTable) readHead(r *http.Request, lk *aggregator.Lookup) error {
+// readHead reads what a query's headers and address say; the error is for the client.
+func (n *nameTable) readHead(r *http.Request, lk *aggregator.Query) error {
 	for name, values := range r.Header {
 		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // which one counts is anyone's guess
 			return malformed("%s stands there twice", name)
@@ -102,15 +102,15 @@
 		return malformed("Req-Deadline is not a time in seconds")
 	}
 	lk.Wait, lk.Resent = wait, r.Header.Get("Req-Retry") == "1"
-	// A key that is none of ours is no reason to turn a lookup away: it only says what goes together.
+	// A key that is none of ours is no reason to turn a query away: it only says what goes together.
 	lk.Key, err = strconv.ParseUint(r.URL.Query().Get("key"), 16, 64)
 	lk.HasKey = err == nil
 	return nil
 }
 
 // readBody reads the parts; the query's text keeps its bytes. Names count in their own case only, and none may
-// come twice: what another reader would take for the lookup must not differ from what we do.
-func (n *nameTable) readBody(text []byte, lk *aggregator.Lookup) error {
+// come twice: what another reader would take for the query must not differ from what we do.
+func (n *nameTable) readBody(text []byte, lk *aggregator.Query) error {
 	in := body{Targets: targets{most: n.shards}}
 	if err := json.Unmarshal(text, &in); err != nil {
 		return malformed("the body is not as expected: %v", err)
@@ -122,7 +122,7 @@
 	if len(in.Targets.list) == 0 {
 		return malformed("targets names no part")
 	}
-	lk.Parts = make([]aggregator.Part, len(in.Targets.list))
+	lk.Subqueries = make([]aggregator.Subquery, len(in.Targets.list))
 	seen := make(map[int]bool, len(in.Targets.list))
 	sum := 0.0
 	for i, t := range in.Targets.list {
@@ -138,14 +138,14 @@
 		}
 		seen[*t.Partition] = true
 		sum += *t.Share
-		p := aggregator.Part{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
+		p := aggregator.Subquery{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
 		if t.Route != "" {
 			if p.Key, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
 				return malformed("targets[%d].route is not 16 hex digits", i)
 			}
 			p.HasKey = true
 		}
-		lk.Parts[i] = p
+		lk.Subqueries[i] = p
 	}
 	if math.Abs(sum-1) > shareSlack {
 		return malformed("the shares add up to %g and not to 1", sum)
@@ -171,13 +171,13 @@
 }
 
 // appendResults writes the answer's body from the values that are in.
-func appendResults(b []byte, lk *aggregator.Lookup, whole bool) []byte {
+func appendResults(b []byte, lk *aggregator.Query, whole bool) []byte {
 	b = append(b, `{"whole":`...)
 	b = strconv.AppendBool(b, whole)
 	b = append(b, `,"results":[`...)
 	first := true
-	for i := range lk.Parts {
-		p := &lk.Parts[i]
+	for i := range lk.Subqueries {
+		p := &lk.Subqueries[i]
 		if !p.In {
 			continue
 		}
--- a/internal/dataplane/clients/clients.go
+++ b/internal/dataplane/clients/clients.go
@@ -1,4 +1,4 @@
-// Package clients is the side of clients: net/http's server reads lookups, the module's actor decides, and the
+// Package clients is the side of clients: net/http's server reads queries, the module's actor decides, and the
 // answer is written whole.
 package clients
 
@@ -25,7 +25,7 @@
 
 const (
 	mostBody = 64 << 10 // what the protocol lets a body hold
-	mostHead = 8 << 10  // many times a lookup's: at net/http's own 1 MB the connections at the cap would not fit in memory
+	mostHead = 8 << 10  // many times a query's: at net/http's own 1 MB the connections at the cap would not fit in memory
 	// A client that says nothing, or stops in the middle of a head or a body, is owed an end within 3 s of
 	// connecting; some of that passes before its connection is accepted.
 	slowRequest = 2 * time.Second
@@ -34,21 +34,21 @@
 	// idleTime is how long a connection without a request is kept at the least by agreement, and not for good, as some clients
 	// never come back on one.
 	idleTime = 2 * time.Second
-	// smallBody is what the body of a usual lookup takes. Of larger ones only so many are in hand at once that they,
+	// smallBody is what the body of a usual query takes. Of larger ones only so many are in hand at once that they,
 	// their copies while they grow and what they unfold into stay within bodyShare of the memory.
 	smallBody  = 4 << 10
 	largeTakes = 4 * mostBody
 	bodyShare  = 0.2
-	// noticed is how long a front goes on handing out connections to a mixer that was told to stop.
+	// noticed is how long a front goes on handing out connections to an aggregator that was told to stop.
 	noticed = 500 * time.Millisecond
-	// A stopping mixer is killed no sooner than a lookup's longest time, of which countedTime at most, and killAfter more
+	// A stopping aggregator is killed no sooner than a query's longest time, of which countedTime at most, and killAfter more
 	// after it was told to stop.
 	countedTime = 3 * time.Second
 	killAfter   = 700 * time.Millisecond
 	// Of that it serves on, as others may not be there yet, but for lastAnswers: by then all that it took is answered
 	// and its clients' connections are closed, each with an answer where they ask on.
 	lastAnswers = 500 * time.Millisecond
-	lastReserve = 200 * time.Millisecond // of those, for what no lookup may take any more
+	lastReserve = 200 * time.Millisecond // of those, for what no query may take any more
 	// emptying is how long after that the listener's queue is emptied before it is closed.
 	emptying = 20 * time.Millisecond
 )
@@ -63,7 +63,7 @@
 	names       nameTable
 	retry       bool
 	slow        time.Duration // that an answer may take to be written
-	serveOn     time.Duration // how long a stopping mixer takes lookups
+	serveOn     time.Duration // how long a stopping aggregator takes queries
 	ends        atomic.Int64  // when each must have its answer once it stops, in Unix ns; 0 before
 	large       chan struct{} // a place for each large body in hand
 	stopped     chan struct{}
@@ -104,8 +104,8 @@
 	}()
 }
 
-// Drain serves on for as long as a stopping mixer surely lives, but for the time that the last answers take: a front may
-// not have another mixer yet, and clients ask on on the connections they have. Then answers close their connections, the listener
+// Drain serves on for as long as a stopping aggregator surely lives, but for the time that the last answers take: a front may
+// not have another aggregator yet, and clients ask on on the connections they have. Then answers close their connections, the listener
 // closes once its queue is empty, and the idle connections close; it returns when all that was taken is answered.
 func (s *Server) Drain() {
 	s.ends.Store(time.Now().Add(s.serveOn + lastAnswers - lastReserve).UnixNano())
@@ -117,7 +117,7 @@
 	s.connections.listener.SetDeadline(time.Now().Add(emptying))
 	<-s.stopped
 	// Clients send on connections that stay open: each is to be told by an answer that its connection closes. A connection that is closed
-	// between two lookups may be closed under one that is on its way, so that is left for those that say nothing.
+	// between two queries may be closed under one that is on its way, so that is left for those that say nothing.
 	for began := time.Now(); time.Since(began) < lastAnswers-lastReserve && open(); {
 		time.Sleep(emptying)
 	}
@@ -149,14 +149,14 @@
 	conn.SetWriteDeadline(time.Time{}) // that of the answer before
 	index, known := s.names.index(r.URL.Path)
 	switch {
-	case !conn.framed(r): // net/http has settled it in its own way, but another lookup may be hidden in the body
+	case !conn.framed(r): // net/http has settled it in its own way, but another query may be hidden in the body
 		s.refuse(w, r, http.StatusBadRequest, "the length of the body is stated twice")
 	case r.ContentLength > mostBody: // told before any of it is read
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, tooLarge)
 	case r.URL.Path == "/up" && r.Method == http.MethodGet:
 		s.write(w, r, http.StatusOK, nil)
 	case known && r.Method == http.MethodPost:
-		s.lookup(w, r, index)
+		s.query(w, r, index)
 	default:
 		s.refuse(w, r, http.StatusNotFound, "there is nothing under this path")
 	}
@@ -184,10 +184,10 @@
 	return append(text, rest...), done, err
 }
 
-// lookup reads one, hands it to the module's actor and writes what that says.
-func (s *Server) lookup(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
+// query reads one, hands it to the module's actor and writes what that says.
+func (s *Server) query(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
 	conn := connectionOf(r)
-	lk := &aggregator.Lookup{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
+	lk := &aggregator.Query{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
 	if err := s.names.readHead(r, lk); err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
@@ -218,12 +218,12 @@
 		s.refuse(w, r, http.StatusServiceUnavailable, "too many lookups at once")
 		return
 	}
-	if ends := s.ends.Load(); ends > 0 { // a stopping mixer can't be waited for longer than it lives
+	if ends := s.ends.Load(); ends > 0 { // a stopping aggregator can't be waited for longer than it lives
 		lk.Wait = min(lk.Wait, max(0, time.Unix(0, ends).Sub(lk.Arrived).Seconds()))
 	}
 	// That of reading goes: from here net/http only watches for the client's leaving. It fails only on a closed connection, which that finds.
 	_ = conn.SetReadDeadline(time.Time{})
-	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.LookupTaken}})
+	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.QueryTaken}})
 	select {
 	case reply := <-lk.Done:
 		s.answer(w, r, lk, reply)
@@ -234,13 +234,13 @@
 	}
 }
 
-func (s *Server) gone(w http.ResponseWriter, r *http.Request, lk *aggregator.Lookup) {
+func (s *Server) gone(w http.ResponseWriter, r *http.Request, lk *aggregator.Query) {
 	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.ClientGone}})
 	// Should it still listen, having closed one direction only, net/http's own answer would be an empty 200.
 	s.write(w, r, http.StatusInternalServerError, nil)
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, lk *aggregator.Lookup, reply aggregator.Reply) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, lk *aggregator.Query, reply aggregator.Reply) {
 	switch reply.End {
 	case aggregator.Satisfied:
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/dataplane/clients/clients_test.go
+++ b/internal/dataplane/clients/clients_test.go
@@ -50,7 +50,7 @@
 	return r
 }
 
-func (r *fixture) event(kind policy.EventKind) *aggregator.Lookup {
+func (r *fixture) event(kind policy.EventKind) *aggregator.Query {
 	r.Helper()
 	e := r.told.Next(r.T)
 	if e.Kind != kind {
@@ -140,7 +140,7 @@
 	return head, body
 }
 
-func TestLookupAndEachAnswer(t *testing.T) {
+func TestQueryAndEachAnswer(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	for _, a := range []struct {
@@ -158,15 +158,15 @@
 	} {
 		before := time.Now()
 		c.ask()
-		lk := r.event(policy.LookupTaken)
+		lk := r.event(policy.QueryTaken)
 		if lk.Arrived.Before(before) || lk.Arrived.After(time.Now()) {
 			t.Fatalf("arrived %v after it was sent", lk.Arrived.Sub(before))
 		}
 		if lk.ID != "ab12" || lk.Index != 0 || lk.Wait != 0.48 || lk.Key != 0x7f3a9c21e0b4d655 || string(lk.Query) != "c41" ||
-			len(lk.Parts) != 2 || lk.Parts[0].Hint != 0.009 || lk.Parts[0].Key != 255 || lk.Parts[1].Shard != 5 {
+			len(lk.Subqueries) != 2 || lk.Subqueries[0].Hint != 0.009 || lk.Subqueries[0].Key != 255 || lk.Subqueries[1].Shard != 5 {
 			t.Fatalf("got %+v", lk)
 		}
-		lk.Parts[1].In, lk.Parts[1].Value = true, []byte("a\"\\\té")
+		lk.Subqueries[1].In, lk.Subqueries[1].Value = true, []byte("a\"\\\té")
 		lk.Done <- a.reply
 		head, body := c.expect(a.want)
 		if head.Get("Retry-After") != a.after || body != a.body || head.Get("Content-Length") != fmt.Sprint(len(body)) {
@@ -261,7 +261,7 @@
 		time.Sleep(20 * time.Millisecond)
 		after := time.Now()
 		io.WriteString(c, text[1:])
-		lk := r.event(policy.LookupTaken)
+		lk := r.event(policy.QueryTaken)
 		if lk.Arrived.Before(before) || lk.Arrived.After(after) {
 			t.Fatalf("arrived %v after the first byte was sent, the rest %v after", lk.Arrived.Sub(before), after.Sub(before))
 		}
@@ -274,14 +274,14 @@
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	c.ask()
-	lk := r.event(policy.LookupTaken)
+	lk := r.event(policy.QueryTaken)
 	c.Close()
 	if r.event(policy.ClientGone) != lk {
 		t.Fatal("another lookup's client is told to have gone")
 	}
 	c = r.dial() // one that closes its own direction only is never told that it was served
 	c.ask()
-	r.event(policy.LookupTaken)
+	r.event(policy.QueryTaken)
 	c.Conn.(*net.TCPConn).CloseWrite()
 	r.event(policy.ClientGone)
 	if status, _, _ := c.answer(); status == 200 {
@@ -296,7 +296,7 @@
 		c, other := r.dial(), r.dial()
 		io.WriteString(c, text[:stops])
 		other.ask()
-		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		other.expect(500)
 		if status, _, _ := c.answer(); status != 0 && status != 400 {
 			t.Fatalf("got status %d", status)
@@ -306,7 +306,7 @@
 	}
 	c := r.dial() // one that is held for longer than reading may take is not taken to have left
 	c.ask()
-	lk := r.event(policy.LookupTaken)
+	lk := r.event(policy.QueryTaken)
 	time.Sleep(100 * time.Millisecond)
 	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 	c.expect(429)
@@ -316,13 +316,13 @@
 	r := newFixture(t, 5, nil)
 	idle := r.dial()
 	idle.ask()
-	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
-	r.idle(idle) // until then its lookup counts as held
+	r.idle(idle) // until then its query counts as held
 	for range 4 {
 		busy := r.dial()
 		busy.ask()
-		held := r.event(policy.LookupTaken)
+		held := r.event(policy.QueryTaken)
 		defer func() {
 			held.Done <- aggregator.Reply{End: aggregator.Aborted}
 			busy.expect(500)
@@ -343,13 +343,13 @@
 	r := newFixture(t, 10, nil)
 	held := r.dial()
 	held.ask()
-	reply := r.event(policy.LookupTaken).Done
+	reply := r.event(policy.QueryTaken).Done
 	var once []*client
 	for range 5 {
 		c := r.dial()
 		once = append(once, c)
 		c.ask()
-		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 		r.idle(c) // else a later one may go in its place
 	}
@@ -360,7 +360,7 @@
 	}
 	for _, c := range once[2:] {
 		c.ask()
-		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
 	reply <- aggregator.Reply{End: aggregator.Aborted}
@@ -372,7 +372,7 @@
 	r := newFixture(t, 100, func(s *Server) { s.http.ReadTimeout, s.http.IdleTimeout = 100*time.Millisecond, 50*time.Millisecond })
 	idle, silent, endless := r.dial(), r.dial(), r.dial()
 	idle.ask()
-	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
 	io.WriteString(endless, "POST /reads HTTP/1.1\r\nA: "+strings.Repeat("a", 4*mostHead))
 	r.ended(whyIdle)
@@ -394,7 +394,7 @@
 	for range 2 {
 		first, second := r.dial(), r.dial()
 		io.WriteString(first, request("/reads", goodHead, large))
-		held := r.event(policy.LookupTaken)
+		held := r.event(policy.QueryTaken)
 		if len(held.Query) != 2*smallBody+1 {
 			t.Fatalf("the query has %d bytes", len(held.Query))
 		}
@@ -409,22 +409,22 @@
 	r := newFixture(t, 100, func(s *Server) { s.slow = 100 * time.Millisecond })
 	c, other := r.dial(), r.dial()
 	c.ask()
-	lk := r.event(policy.LookupTaken)
-	lk.Parts[0].In, lk.Parts[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
+	lk := r.event(policy.QueryTaken)
+	lk.Subqueries[0].In, lk.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
 	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	other.ask()
-	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	other.expect(500)
 	r.ended(whyUnwritten)
 }
 
 // A new connection, and one half way in a request, may hold what nobody has read yet: they are not taken for idle at once.
-// Then they go before any connection that served a lookup.
+// Then they go before any connection that served a query.
 func TestConnectionsThatStopHalfWayMakeRoomAfterAWhile(t *testing.T) {
 	r := newFixture(t, 8, nil)
 	served := r.dial()
 	served.ask()
-	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 	began := time.Now()
 	half := r.dial()
@@ -437,7 +437,7 @@
 	third, fourth := r.dial(), r.dial()
 	for _, c := range []*client{third, fourth} {
 		c.ask()
-		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
 	if time.Since(began) < unread {
@@ -449,7 +449,7 @@
 		}
 	}
 	served.ask()
-	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 }
 
@@ -462,7 +462,7 @@
 			select {
 			case <-r.told.Queue.Ready():
 				for _, e := range r.told.Queue.Take(nil) {
-					if e.Kind == policy.LookupTaken {
+					if e.Kind == policy.QueryTaken {
 						e.Taken.Done <- aggregator.Reply{End: aggregator.Nacked}
 					}
 				}
@@ -485,19 +485,19 @@
 	}
 }
 
-// A stopping mixer serves on while it surely lives: connections stay open, lookups that come then get their answers in that
+// A stopping aggregator serves on while it surely lives: connections stay open, queries that come then get their answers in that
 // time, and only after it do answers close their connections.
 func TestDrainServesOnAndAnswersAllThatIsHeld(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.serveOn = 600 * time.Millisecond })
 	busy, idle := r.dial(), r.dial()
 	busy.ask()
-	held := r.event(policy.LookupTaken)
+	held := r.event(policy.QueryTaken)
 	drained := make(chan struct{})
 	go func() { r.Drain(); close(drained) }()
 	for _, c := range []*client{idle, r.dial(), idle} { // beyond the time that a front takes to notice
 		time.Sleep(180 * time.Millisecond)
 		io.WriteString(c, request("/reads", strings.Replace(goodHead, "0.480", "9", 1), goodBody))
-		lk := r.event(policy.LookupTaken)
+		lk := r.event(policy.QueryTaken)
 		if lk.Wait > 0.95 {
 			t.Fatalf("may wait %g s, longer than the mixer lives", lk.Wait)
 		}
@@ -537,7 +537,7 @@
 	}
 	b := newNameTable(settings.Net{Shards: 8})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var lk aggregator.Lookup
+		var lk aggregator.Query
 		if b.readBody(text, &lk) != nil {
 			return
 		}
@@ -545,11 +545,11 @@
 		if err := json.Unmarshal(text, &in); err != nil || !utf8.Valid(text) || in.Query != string(lk.Query) {
 			t.Fatalf("%q: query is %q, %v; read as %q", text, in.Query, err, lk.Query)
 		}
-		if len(lk.Parts) > 8 {
-			t.Fatalf("%q: %d parts", text, len(lk.Parts))
+		if len(lk.Subqueries) > 8 {
+			t.Fatalf("%q: %d parts", text, len(lk.Subqueries))
 		}
-		for i := range lk.Parts {
-			p := &lk.Parts[i]
+		for i := range lk.Subqueries {
+			p := &lk.Subqueries[i]
 			if p.Shard < 0 || p.Shard > 7 || !(p.Weight >= 0 && p.Weight <= 1) || !(p.Hint >= 0) {
 				t.Fatalf("%q: part %+v", text, p)
 			}
@@ -563,7 +563,7 @@
 			}
 		}
 		answer := appendResults(nil, &lk, true)
-		if err := json.Unmarshal(answer, &out); err != nil || !out.Whole || len(out.Results) != (len(lk.Parts)+1)/2 {
+		if err := json.Unmarshal(answer, &out); err != nil || !out.Whole || len(out.Results) != (len(lk.Subqueries)+1)/2 {
 			t.Fatalf("answer %q: %v", answer, err)
 		}
 		if out.Results[0].Value != string(lk.Query) {
--- a/internal/dataplane/clients/connection.go
+++ b/internal/dataplane/clients/connection.go
@@ -31,7 +31,7 @@
 	once     sync.Once
 
 	idle   bool // an answer is written and no request read since; guarded by of.mu, as are the next three
-	holds  bool // a lookup of it is held
+	holds  bool // a query of it is held
 	served bool // one was, at any time
 	closed bool // on our side: it takes a descriptor until its client has ended too
 
--- a/internal/dataplane/clients/connections.go
+++ b/internal/dataplane/clients/connections.go
@@ -18,10 +18,10 @@
 	// unread is how long the rest of a request may have been here without being read; only after that is it
 	// known that the client has stopped half way.
 	unread = 300 * time.Millisecond
-	// askShare of the connections may have a lookup held at once: far above what usual clients need. The others are for
-	// those that come and go, so that a newcomer never waits for a held lookup.
+	// askShare of the connections may have a query held at once: far above what usual clients need. The others are for
+	// those that come and go, so that a newcomer never waits for a held query.
 	askShare = 0.8
-	// keepShare of the connections may stand idle or held after a lookup. Clients have few descriptors for us themselves, and
+	// keepShare of the connections may stand idle or held after a query. Clients have few descriptors for us themselves, and
 	// those that never ask again on a connection they keep would use them up: closed, it costs one that does a new connection.
 	keepShare = 0.4
 	fullPoll  = 5 * time.Millisecond
@@ -57,7 +57,7 @@
 
 	mu   sync.Mutex
 	open map[*connection]bool
-	held int // connections that hold a lookup
+	held int // connections that hold a query
 }
 
 func newConnections(most, memory int, log *zap.Logger, count *counters.Set) *connections {
@@ -107,7 +107,7 @@
 }
 
 // leastMissed finds the connection that may be closed and has heard nothing longest; the lock is held. Connections
-// on which a lookup was served go only when there are no others: a crowd that says nothing must not cost them theirs.
+// on which a query was served go only when there are no others: a crowd that says nothing must not cost them theirs.
 func (s *connections) leastMissed() *connection {
 	found, strangers := s.longestIdle(false)
 	if strangers == 0 {
@@ -116,7 +116,7 @@
 	return found
 }
 
-// longestIdle finds the connection that may be closed and has heard nothing longest, among those that had a lookup or those
+// longestIdle finds the connection that may be closed and has heard nothing longest, among those that had a query or those
 // that had none, and tells how many these are; the lock is held.
 func (s *connections) longestIdle(served bool) (found *connection, all int) {
 	for conn := range s.open {
@@ -131,7 +131,7 @@
 	return found, all
 }
 
-// ask tells whether another lookup may be held, and records it.
+// ask tells whether another query may be held, and records it.
 func (s *connections) ask(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	return conn.idle
 }
 
-// release records that no lookup of a connection is held any more; the lock is held.
+// release records that no query of a connection is held any more; the lock is held.
 func (s *connections) release(conn *connection) {
 	if conn.holds {
 		conn.holds = false
