--- a/internal/dataplane/clients/crossings_test.go
+++ b/internal/dataplane/clients/crossings_test.go
@@ -51,7 +51,7 @@
 			r := newFixture(t, 100, nil)
 			c := r.dial()
 			io.WriteString(c, again("first")+ahead)
-			lk := r.event(policy.LookupTaken)
+			lk := r.event(policy.QueryTaken)
 			switch tcp := c.Conn.(*net.TCPConn); how {
 			case "fin":
 				tcp.Close()
@@ -79,7 +79,7 @@
 	c := r.dial()
 	io.WriteString(c, again("a")+again("b"))
 	for _, id := range []string{"a", "b", "c"} {
-		lk := r.event(policy.LookupTaken)
+		lk := r.event(policy.QueryTaken)
 		if lk.ID != id {
 			t.Fatalf("got %q, expected %q", lk.ID, id)
 		}
@@ -99,13 +99,13 @@
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
 	io.WriteString(c, again("first"))
-	lk := r.event(policy.LookupTaken)
+	lk := r.event(policy.QueryTaken)
 	if _, err := io.WriteString(c, strings.Repeat(again("more"), 2*mostAhead/len(again("more")))); err != nil {
 		t.Fatal(err)
 	}
 	r.overrun()
 	other.ask()
-	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
+	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
 	other.expect(429)
 	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 	if head, _ := c.expect(429); head.Get("Connection") != "close" {
@@ -163,7 +163,7 @@
 	r := newFixture(t, 100, func(s *Server) { s.serveOn = time.Millisecond })
 	rests, half := r.dial(), r.dial()
 	rests.ask()
-	r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
+	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
 	rests.expect(429)
 	io.WriteString(half, "POST /reads HTTP/1.1\r\nReq-Id: half")
 	drained := make(chan struct{})
@@ -197,14 +197,14 @@
 	})
 	deaf, held, head, body := r.dial(), r.dial(), r.dial(), r.dial()
 	deaf.ask()
-	lk := r.event(policy.LookupTaken)
-	lk.Parts[0].In, lk.Parts[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
+	lk := r.event(policy.QueryTaken)
+	lk.Subqueries[0].In, lk.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
 	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	if _, err := deaf.in.Peek(1); err != nil { // its answer is on its way
 		t.Fatal(err)
 	}
 	held.ask()
-	lk = r.event(policy.LookupTaken)
+	lk = r.event(policy.QueryTaken)
 	text := again("trickles")
 	io.WriteString(head, text[:20])
 	io.WriteString(body, text[:len(text)-20])
@@ -245,7 +245,7 @@
 	for range 6 {
 		c := r.dial()
 		c.ask()
-		r.event(policy.LookupTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
+		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
 		c.expect(429)
 	}
 	r.forgotten()
@@ -378,7 +378,7 @@
 	}
 }
 
-// Clients that leave in a burst, each with a lookup held: all are told of, and nothing of them is left.
+// Clients that leave in a burst, each with a query held: all are told of, and nothing of them is left.
 func TestABurstOfClientsLeaves(t *testing.T) {
 	r := newFixture(t, 1000, nil)
 	var crowd []*client
@@ -391,7 +391,7 @@
 		crowd = append(crowd, c)
 	}
 	for range crowd {
-		r.event(policy.LookupTaken)
+		r.event(policy.QueryTaken)
 	}
 	for i, c := range crowd {
 		if i%2 == 0 {
@@ -408,19 +408,19 @@
 // A client that leaves as its answer is decided is ended once, whichever comes first: by its answer, or by word of its leaving, not by both.
 func TestAnAnswerCrossesWithItsClientsLeaving(t *testing.T) {
 	r := newFixture(t, 100, nil)
-	gone := map[*aggregator.Lookup]bool{}
+	gone := map[*aggregator.Query]bool{}
 	hear := func(e aggregator.Event) {
 		if e.Kind != policy.ClientGone || gone[e.Taken] {
 			t.Fatalf("got %+v", e)
 		}
 		gone[e.Taken] = true
 	}
-	answered := map[*aggregator.Lookup]bool{}
+	answered := map[*aggregator.Query]bool{}
 	for i := range 100 {
 		c := r.dial()
 		c.ask()
 		e := r.told.Next(t)
-		for ; e.Kind != policy.LookupTaken; e = r.told.Next(t) {
+		for ; e.Kind != policy.QueryTaken; e = r.told.Next(t) {
 			hear(e) // of the round before
 		}
 		go c.Conn.(*net.TCPConn).CloseWrite()
--- a/internal/dataplane/clients/reading.go
+++ b/internal/dataplane/clients/reading.go
@@ -10,7 +10,7 @@
 )
 
 // What is read from a client's connection, and when no more is. net/http reads one request and then a single byte, to see
-// its client leave; whoever sends more behind a request and leaves would be waited for until its lookup ends. And a
+// its client leave; whoever sends more behind a request and leaves would be waited for until its query ends. And a
 // connection that is closed from elsewhere may have been read a moment before: only who reads can say that nothing was.
 
 // leastAhead and mostAhead bound what is read ahead of the requests in hand, on one connection: at least a request or
--- a/internal/dataplane/clients/wire_test.go
+++ b/internal/dataplane/clients/wire_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the keys of a lookup's body, which clients write and this package only reads.
+// TestWireForms pins the keys of a query's body, which clients write and this package only reads.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.JSONExperiment, goldentest.Form{Name: "target", Value: new(target)})
 	read := body{Targets: targets{most: 1}}
--- a/internal/dataplane/discovery/crossings_test.go
+++ b/internal/dataplane/discovery/crossings_test.go
@@ -40,7 +40,7 @@
 	r := &bare{T: t, told: queuetest.New[aggregator.Event](), server: l}
 	set := settings.Settings{}
 	set.AskList = asked
-	r.Client, err = New(l.Addr().String(), []byte(line(41, true, searcher("s1", "SERVING"))), set, r.told.Queue, zap.NewNop(), counters.New())
+	r.Client, err = New(l.Addr().String(), []byte(line(41, true, backend("s1", "SERVING"))), set, r.told.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 // What was not ended by its line break before a reset is no list, though it can be read; what was, counts. The watch goes on from there.
 func TestAResetIsNoEndOfAWatchsLine(t *testing.T) {
 	r := newBare(t, false, nil)
-	list := line(43, false, searcher("s2", "SERVING"))
+	list := line(43, false, backend("s2", "SERVING"))
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(strings.TrimSpace(list)), "", " "); err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 // Neither is a whole list that is reset, in whatever form it came; and what is cut short is none either.
 func TestAResetIsNoEndOfAWholeList(t *testing.T) {
 	r := newBare(t, true, nil)
-	list := line(43, true, searcher("s2", "SERVING"))
+	list := line(43, true, backend("s2", "SERVING"))
 	for _, text := range []string{noLength + list, chunked + chunk(list), "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + list} {
 		r.AskWhole()
 		c := r.accept("/discovery/hosts")
@@ -146,19 +146,19 @@
 	}
 	r.Subscribe(true) // told behind the move: its watch shows that the move was taken
 	c := other.accept("/discovery/hosts?stream=1&index=41")
-	old.Write([]byte(noLength + line(99, true, searcher("s9", "SERVING"))))
+	old.Write([]byte(noLength + line(99, true, backend("s9", "SERVING"))))
 	old.Close()
 	again := other.accept("/discovery/hosts")
 	r.nothing()
-	c.Write([]byte(chunked + chunk(line(44, false, searcher("s1", "DRAINING")))))
+	c.Write([]byte(chunked + chunk(line(44, false, backend("s1", "DRAINING")))))
 	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
-	again.Write([]byte(noLength + line(41, true, searcher("s1", "SERVING")))) // as it was before the drain
+	again.Write([]byte(noLength + line(41, true, backend("s1", "SERVING")))) // as it was before the drain
 	again.Close()
 	third := other.accept("/discovery/hosts")
 	r.nothing()
-	third.Write([]byte(noLength + line(45, true, searcher("s1", "DRAINING"))))
+	third.Write([]byte(noLength + line(45, true, backend("s1", "DRAINING"))))
 	third.Close()
 	if e := r.told.Next(t); e.List != policy.ListWhole || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
@@ -169,7 +169,7 @@
 // line, behind heartbeats. What the old one says late counts no more.
 func TestAWatchSilentAtAnyPointIsRenewed(t *testing.T) {
 	r := newBare(t, false, func(r *Client) { r.silence = 200 * time.Millisecond })
-	list := line(43, false, searcher("s9", "SERVING"))
+	list := line(43, false, backend("s9", "SERVING"))
 	var old []*net.TCPConn
 	for _, text := range []string{"", "HTTP/1.1 200", chunked, noLength, chunked + chunk(list[:50]), chunked + chunk("\n") + chunk(list[:50])} {
 		c := r.accept("/discovery/hosts?stream=1&index=41")
@@ -180,8 +180,8 @@
 	for _, o := range old {
 		o.Write([]byte(chunked + chunk(list)))
 	}
-	c.Write([]byte(chunked + chunk(line(44, false, searcher("s1", "DRAINING")))))
-	if e := r.told.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 || e.Entries[0].Searcher != 1 {
+	c.Write([]byte(chunked + chunk(line(44, false, backend("s1", "DRAINING")))))
+	if e := r.told.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 || e.Entries[0].Backend != 1 {
 		t.Fatalf("told %+v", e)
 	}
 	r.accept("/discovery/hosts?stream=1&index=44")
@@ -237,7 +237,7 @@
 	}
 	defer r.server.Close()
 	c = r.accept("/discovery/hosts?stream=1&index=41")
-	c.Write([]byte(chunked + chunk(line(50, false, searcher("s1", "DRAINING")))))
+	c.Write([]byte(chunked + chunk(line(50, false, backend("s1", "DRAINING")))))
 	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -25,11 +25,11 @@
 	// told 6 s later at the latest: a new watch must stand before.
 	heartbeatInterval = 2 * time.Second
 	silentHeartbeats  = 2.5
-	// Waits between watches grow, so that mixers that lost the register together leave it room, but not far, for
+	// Waits between watches grow, so that aggregators that lost the register together leave it room, but not far, for
 	// the same reason.
 	firstWait = 50 * time.Millisecond
 	mostWait  = time.Second
-	// mostLine bounds what one list can make us hold: some 10,000 searchers.
+	// mostLine bounds what one list can make us hold: some 10,000 backends.
 	mostLine = 4 << 20
 )
 
@@ -70,8 +70,8 @@
 	client   *http.Client
 	places   map[string]int
 	kinds    map[string]int
-	ids      map[string]policy.SearcherID // of those named now
-	lastID   policy.SearcherID
+	ids      map[string]policy.BackendID // of those named now
+	lastID   policy.BackendID
 	version  int64
 	on       bool
 	watch    int // number of the watch that counts
@@ -93,7 +93,7 @@
 		url: listURL(address), silence: time.Duration(silentHeartbeats * float64(heartbeatInterval)), asked: set.AskList, on: !set.AskList,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: heartbeatInterval}).DialContext}},
-		places: settings.Numbered[int](set.Net.Locations), kinds: settings.Numbered[int](set.Net.Kinds), ids: map[string]policy.SearcherID{},
+		places: settings.Numbered[int](set.Net.Locations), kinds: settings.Numbered[int](set.Net.Kinds), ids: map[string]policy.BackendID{},
 		finished: make(chan struct{})}
 	if err := r.take(known, true); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -44,7 +44,7 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, whole, strings.Join(entries, ","))
 }
 
-func searcher(id, state string) string {
+func backend(id, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"h-%s:1","zone":"b","machineType":"m","cell":3,"lifecycle":%q,"weight":2,"startedAtMs":1500}`,
 		id, id, state)
 }
@@ -69,7 +69,7 @@
 	set.AskList = asked
 	var err error
 	r.server = strings.TrimPrefix(server.URL, "http://")
-	r.Client, err = New(r.server, []byte(line(41, true, searcher("s1", "SERVING"))), set,
+	r.Client, err = New(r.server, []byte(line(41, true, backend("s1", "SERVING"))), set,
 		r.told.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	return ask{}
 }
 
-// expect waits for a list event with these searchers and phases.
+// expect waits for a list event with these backends and phases.
 func (r *fixture) expect(kind policy.ListKind, entries ...string) aggregator.Event {
 	r.Helper()
 	e := r.told.Next(r.T)
@@ -115,37 +115,37 @@
 func TestChangesComeInOrderAndTheWatchGoesOnWhereItStopped(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write("\n" + line(43, false, searcher("s2", "DRAINING")) + line(44, false, searcher("s2", "DELETED")))
+	w.write("\n" + line(43, false, backend("s2", "DRAINING")) + line(44, false, backend("s2", "DELETED")))
 	e := r.expect(policy.ListPatch, "s2:1")
-	if x := e.Entries[0]; x.Searcher != 2 || x.Location != 1 || x.Cell != 3 || x.Share != 2 || x.StartedAt != 1.5 {
+	if x := e.Entries[0]; x.Backend != 2 || x.Location != 1 || x.Cell != 3 || x.Share != 2 || x.StartedAt != 1.5 {
 		t.Fatalf("got %+v", x)
 	}
 	r.expect(policy.ListPatch, "s2:2")
 	w.end()
 	w = r.ask("/discovery/hosts?stream=1&index=44")
-	w.write(line(50, true, searcher("s3", "SERVING"), searcher("s1", "SERVING")))
-	if e = r.expect(policy.ListWhole, "s3:0", "s1:0"); e.Entries[1].Searcher != 1 {
-		t.Fatalf("s1 became %d", e.Entries[1].Searcher)
+	w.write(line(50, true, backend("s3", "SERVING"), backend("s1", "SERVING")))
+	if e = r.expect(policy.ListWhole, "s3:0", "s1:0"); e.Entries[1].Backend != 1 {
+		t.Fatalf("s1 became %d", e.Entries[1].Backend)
 	}
 }
 
-// A name that comes again after it was gone is another searcher's, and nothing is kept of those that are gone.
+// A name that comes again after it was gone is another backend's, and nothing is kept of those that are gone.
 func TestGoneNamesAreForgotten(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write(line(42, false, searcher("s2", "SERVING"), searcher("s7", "DELETED")) + line(43, false, searcher("s2", "DELETED")) +
-		line(44, false, searcher("s2", "SERVING")))
+	w.write(line(42, false, backend("s2", "SERVING"), backend("s7", "DELETED")) + line(43, false, backend("s2", "DELETED")) +
+		line(44, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
-	if e := r.expect(policy.ListPatch, "s2:2"); e.Entries[0].Searcher != 2 {
-		t.Fatalf("s2 is gone as %d", e.Entries[0].Searcher)
+	if e := r.expect(policy.ListPatch, "s2:2"); e.Entries[0].Backend != 2 {
+		t.Fatalf("s2 is gone as %d", e.Entries[0].Backend)
 	}
-	if e := r.expect(policy.ListPatch, "s2:0"); e.Entries[0].Searcher != 3 {
-		t.Fatalf("the new s2 is %d", e.Entries[0].Searcher)
+	if e := r.expect(policy.ListPatch, "s2:0"); e.Entries[0].Backend != 3 {
+		t.Fatalf("the new s2 is %d", e.Entries[0].Backend)
 	}
-	w.write(line(45, true, searcher("s4", "SERVING")) + line(46, true, searcher("s1", "SERVING")))
+	w.write(line(45, true, backend("s4", "SERVING")) + line(46, true, backend("s1", "SERVING")))
 	r.expect(policy.ListWhole, "s4:0")
-	if e := r.expect(policy.ListWhole, "s1:0"); e.Entries[0].Searcher != 5 || len(r.ids) != 1 {
-		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Searcher, r.ids)
+	if e := r.expect(policy.ListWhole, "s1:0"); e.Entries[0].Backend != 5 || len(r.ids) != 1 {
+		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Backend, r.ids)
 	}
 }
 
@@ -154,7 +154,7 @@
 	r, other := newFixture(t, false, nil), newFixture(t, false, nil)
 	other.ask("/discovery/hosts?stream=1&index=41").end()
 	old := r.ask("/discovery/hosts?stream=1&index=41")
-	old.write(line(47, false, searcher("s2", "SERVING")))
+	old.write(line(47, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
 	for _, address := range []string{"nowhere", "127.0.0.1:none", ""} {
 		if r.MoveTo(address) == nil {
@@ -173,19 +173,19 @@
 	case <-time.After(patience):
 		t.Fatal("the old watch stays open")
 	}
-	w.write(line(48, false, searcher("s2", "DRAINING")))
+	w.write(line(48, false, backend("s2", "DRAINING")))
 	r.expect(policy.ListPatch, "s2:1")
 }
 
 func TestAnUnknownStateEndsTheWatchAndTellsNothingOfIt(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write(line(42, false, searcher("s1", "DELETED"), searcher("s4", "ASLEEP")) + line(43, false, searcher("s5", "SERVING")))
+	w.write(line(42, false, backend("s1", "DELETED"), backend("s4", "ASLEEP")) + line(43, false, backend("s5", "SERVING")))
 	w2 := r.ask("/discovery/hosts?stream=1&index=41")
-	w2.write(line(43, false, searcher("s6", "SERVING")) + line(44, false, searcher("s1", "DRAINING")))
+	w2.write(line(43, false, backend("s6", "SERVING")) + line(44, false, backend("s1", "DRAINING")))
 	r.expect(policy.ListPatch, "s6:0")
-	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Searcher != 1 { // it was never told to be gone
-		t.Fatalf("s1 became %d", e.Entries[0].Searcher)
+	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Backend != 1 { // it was never told to be gone
+		t.Fatalf("s1 became %d", e.Entries[0].Backend)
 	}
 	select {
 	case <-w.gone:
@@ -198,7 +198,7 @@
 func TestAListCountsThoughAWeightCannot(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write(line(42, false, strings.Replace(searcher("s4", "SERVING"), `"weight":2`, `"weight":0`, 1), searcher("s1", "DRAINING")))
+	w.write(line(42, false, strings.Replace(backend("s4", "SERVING"), `"weight":2`, `"weight":0`, 1), backend("s1", "DRAINING")))
 	if e := r.expect(policy.ListPatch, "s4:0", "s1:1"); e.Entries[0].Share != 1 || e.Entries[1].Share != 2 {
 		t.Fatalf("got shares %v and %v, expected 1 and 2", e.Entries[0].Share, e.Entries[1].Share)
 	}
@@ -214,9 +214,9 @@
 	if len(r.asks) > 0 {
 		t.Fatal("a watch with beats was given up")
 	}
-	r.ask("/discovery/hosts?stream=1&index=41").write(line(42, false, searcher("s2", "SERVING")))
+	r.ask("/discovery/hosts?stream=1&index=41").write(line(42, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
-	w.write(line(42, false, searcher("s9", "SERVING"))) // the old one is heard no more
+	w.write(line(42, false, backend("s9", "SERVING"))) // the old one is heard no more
 	r.ask("/discovery/hosts?stream=1&index=42")
 	if rest := r.told.Rest(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
@@ -234,10 +234,10 @@
 		}
 		return out.String()
 	}
-	w.write(indented(line(42, false, searcher("s{2", "SERVING"))) + "\n\n" + line(43, false, searcher("s3", "SERVING")))
+	w.write(indented(line(42, false, backend("s{2", "SERVING"))) + "\n\n" + line(43, false, backend("s3", "SERVING")))
 	r.expect(policy.ListPatch, "s{2:0")
 	r.expect(policy.ListPatch, "s3:0")
-	whole := indented(line(44, true, searcher("s3", "DRAINING")))
+	whole := indented(line(44, true, backend("s3", "DRAINING")))
 	w.write(whole[:len(whole)/2])
 	w.write(whole[len(whole)/2:] + "\n")
 	r.expect(policy.ListWhole, "s3:1")
@@ -259,7 +259,7 @@
 		for {
 			select {
 			case w := <-r.asks:
-				w.write(line(42, false, searcher("s1", "DRAINING")))
+				w.write(line(42, false, backend("s1", "DRAINING")))
 			case <-t.Context().Done():
 				return
 			}
@@ -285,7 +285,7 @@
 	r.expect(policy.ListFailed)
 	r.AskWhole()
 	w = r.ask("/discovery/hosts")
-	w.write(line(60, true, searcher("s8", "SERVING")))
+	w.write(line(60, true, backend("s8", "SERVING")))
 	w.end()
 	r.expect(policy.ListWhole, "s8:0")
 	r.AskWhole()
@@ -296,7 +296,7 @@
 }
 
 func FuzzLines(f *testing.F) {
-	for _, s := range []string{line(1, true, searcher("a", "SERVING"), searcher("b", "DELETED")), `{"generation":1}`,
+	for _, s := range []string{line(1, true, backend("a", "SERVING"), backend("b", "DELETED")), `{"generation":1}`,
 		`{"generation":2,"instances":[{"lifecycle":"SERVING"}]}`, `{"instances":[]}`, `null`, "{",
 		`{"generation":3,"instances":[{"instanceId":"x","hostPort":"y","lifecycle":"DRAINING","cell":-1}]}`} {
 		f.Add([]byte(s))
@@ -304,7 +304,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		queue := eventqueue.New[aggregator.Event]()
 		r := &Client{tell: queue, places: map[string]int{}, kinds: map[string]int{},
-			ids: map[string]policy.SearcherID{}, version: -7}
+			ids: map[string]policy.BackendID{}, version: -7}
 		err := r.take(text, false)
 		told := queue.Take(nil)
 		if err != nil {
@@ -317,7 +317,7 @@
 			t.Fatalf("%q: told %+v", text, told)
 		}
 		for i, e := range told[0].Entries {
-			if e.Searcher == 0 || e.Cell < 0 || e.Phase != policy.Gone && told[0].Addresses[i] == "" {
+			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Gone && told[0].Addresses[i] == "" {
 				t.Fatalf("%q: told %+v", text, e)
 			}
 		}
--- a/internal/dataplane/discovery/entries.go
+++ b/internal/dataplane/discovery/entries.go
@@ -19,7 +19,7 @@
 	StartedMs float64  `json:"startedAtMs"`
 }
 
-// weight is the searcher's size; where none is stated, or none that can be, all count alike.
+// weight is the backend's size; where none is stated, or none that can be, all count alike.
 func (e *entry) weight() float64 {
 	if e.Weight == nil || *e.Weight <= 0 {
 		return 1
@@ -71,7 +71,7 @@
 	}
 	before := r.ids
 	if e.List != policy.ListPatch { // those that it leaves out are gone
-		r.ids = make(map[string]policy.SearcherID, len(p.Instances))
+		r.ids = make(map[string]policy.BackendID, len(p.Instances))
 	}
 	for i := range p.Instances {
 		in := &p.Instances[i]
@@ -87,16 +87,16 @@
 			r.lastID++
 			id = r.lastID
 		}
-		if phase == policy.Gone { // should the name come again, it is another searcher's
+		if phase == policy.Gone { // should the name come again, it is another backend's
 			delete(r.ids, in.ID)
 		} else {
 			r.ids[in.ID] = id
 		}
-		e.Entries = append(e.Entries, policy.Entry{Searcher: id, Location: policy.LocationID(number(r.places, in.Zone)),
+		e.Entries = append(e.Entries, policy.Entry{Backend: id, Location: policy.LocationID(number(r.places, in.Zone)),
 			Kind: number(r.kinds, in.Kind), Cell: policy.CellID(in.Cell), Phase: phase, Share: in.weight(),
 			StartedAt: in.StartedMs / 1000})
 		e.Addresses = append(e.Addresses, in.Address)
-		e.Names = append(e.Names, aggregator.Name{Searcher: in.ID, Location: in.Zone})
+		e.Names = append(e.Names, aggregator.Name{Backend: in.ID, Location: in.Zone})
 	}
 	r.version = *p.Version
 	r.tell.Put(e)
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -73,7 +73,7 @@
 	r.drop()
 }
 
-// ended lets go of a watch that came to nothing, and sets when to try again. Mixers that lost the register
+// ended lets go of a watch that came to nothing, and sets when to try again. Aggregators that lost the register
 // together must not come back together.
 func (r *Client) ended(why string, err error) {
 	r.let(why, err)
--- a/internal/dataplane/node/crossings_test.go
+++ b/internal/dataplane/node/crossings_test.go
@@ -22,12 +22,12 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// Work that a stand-in has begun goes on for its time, as a searcher's would; nothing of a mixer may.
+// Work that a stand-in has begun goes on for its time, as a backend's would; nothing of an aggregator may.
 func TestMain(m *testing.M) {
 	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Searcher).work"))
 }
 
-// peer is a searcher whose every call the test decides on.
+// peer is a backend whose every call the test decides on.
 type peer struct {
 	listener net.Listener
 	does     func(id string) does
@@ -100,12 +100,12 @@
 	}
 }
 
-// sum is how often parts of a lookup were called at all of these.
-func sum(peers []*peer, lookup string) (n int) {
+// sum is how often parts of a query were called at all of these.
+func sum(peers []*peer, query string) (n int) {
 	for _, p := range peers {
 		p.mu.Lock()
 		for id, times := range p.calls {
-			if strings.HasPrefix(id, lookup+".") {
+			if strings.HasPrefix(id, query+".") {
 				n += times
 			}
 		}
@@ -114,7 +114,7 @@
 	return n
 }
 
-// hosted is a mixer of a deployment of its own.
+// hosted is an aggregator of a deployment of its own.
 type hosted struct {
 	*Node
 	at    string
@@ -158,7 +158,7 @@
 	return l.Addr().String()
 }
 
-// ask asks for a lookup of one part on a connection of its own.
+// ask asks for a query of one part on a connection of its own.
 func (h *hosted) ask(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
 	return answer(t, h.send(t, index, id, tenant, deadline))
@@ -248,7 +248,7 @@
 
 const oneClass = `[{"name":"reads","effect":"repeatable","promiseS":0.5,"giveUpS":1,"worth":1,"lateWorth":0.1}]`
 
-// A mixer serves from what it was told at its start, with discovery silent or out of reach from its first moment.
+// An aggregator serves from what it was told at its start, with discovery silent or out of reach from its first moment.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -269,7 +269,7 @@
 	}
 }
 
-// Told to stop twice and to reload between, with discovery silent, all searchers hung and clients that never leave: what is held gets its
+// Told to stop twice and to reload between, with discovery silent, all backends hung and clients that never leave: what is held gets its
 // whole final answer, nothing that comes later is sent on, and it ends.
 func TestAStopAmongAllThatHangs(t *testing.T) {
 	hung := newPeer(t, func(string) does { return hangs })
--- a/internal/dataplane/node/errors.go
+++ b/internal/dataplane/node/errors.go
@@ -7,7 +7,7 @@
 
 var errNoConfig = errors.New("LB_CONFIG names no file")
 
-// ConfigError says what is wrong with a mixer's config, and what was expected.
+// ConfigError says what is wrong with an aggregator's config, and what was expected.
 type ConfigError string
 
 func (e ConfigError) Error() string { return string(e) }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts one mixer together: its actors, their queues, and the order in which they start and stop. It
+// Package node puts one aggregator together: its actors, their queues, and the order in which they start and stop. It
 // decides nothing.
 package node
 
@@ -35,15 +35,15 @@
 )
 
 const (
-	// Shares of the descriptors: clients' connections, searchers' connections; the rest is for the register, the listeners, the
+	// Shares of the descriptors: clients' connections, backends' connections; the rest is for the register, the listeners, the
 	// log, the store and what Go itself opens.
-	clientShare   = 0.6
-	searcherShare = 0.3
-	// overlap is how long the process before may still hold the address: the longest that a stopping mixer takes.
+	clientShare  = 0.6
+	backendShare = 0.3
+	// overlap is how long the process before may still hold the address: the longest that a stopping aggregator takes.
 	overlap = 10 * time.Second
 )
 
-// Config is what a mixer is told.
+// Config is what an aggregator is told.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -104,17 +104,17 @@
 	return set, nil
 }
 
-// connectionLimits is how many connections clients and searchers may have, and in how many bytes altogether.
-func (c *Config) connectionLimits() (clientConnections, searcherConnections, memory int) {
-	clientConnections, searcherConnections, memory = math.MaxInt32, math.MaxInt32, math.MaxInt32
+// connectionLimits is how many connections clients and backends may have, and in how many bytes altogether.
+func (c *Config) connectionLimits() (clientConnections, backendConnections, memory int) {
+	clientConnections, backendConnections, memory = math.MaxInt32, math.MaxInt32, math.MaxInt32
 	if c.Limits.MemoryMB > 0 {
 		memory = int(c.Limits.MemoryMB * (1 << 20))
 	}
 	if c.Limits.Sockets > 0 {
 		clientConnections = max(1, int(clientShare*float64(c.Limits.Sockets)))
-		searcherConnections = max(1, int(searcherShare*float64(c.Limits.Sockets)))
+		backendConnections = max(1, int(backendShare*float64(c.Limits.Sockets)))
 	}
-	return clientConnections, searcherConnections, memory
+	return clientConnections, backendConnections, memory
 }
 
 // listen waits a while for an address in use: a restart may overlap with the end of the process before it.
@@ -132,7 +132,7 @@
 	}
 }
 
-// StartText starts a mixer from the text of a config, as it would be started from its file. The context is Start's.
+// StartText starts an aggregator from the text of a config, as it would be started from its file. The context is Start's.
 func StartText(ctx context.Context, text []byte, file operatorfile.File, log *zap.Logger, count *counters.Set) (*Node, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -145,11 +145,11 @@
 	return Start(ctx, c, set, file, log, count)
 }
 
-// Node is a mixer that runs.
+// Node is an aggregator that runs.
 type Node struct {
 	log        *zap.Logger
 	count      *counters.Set
-	mixer      *aggregator.Mixer
+	aggregator *aggregator.Aggregator
 	discovery  *discovery.Client
 	hub        *backends.Hub
 	server     *clients.Server
@@ -162,12 +162,12 @@
 	drain      func()
 }
 
-// Start starts a mixer that serves from what the config knows, with what the operator's file adds. Until it serves, the
+// Start starts an aggregator that serves from what the config knows, with what the operator's file adds. Until it serves, the
 // context's end ends the start.
 func Start(ctx context.Context, c Config, set settings.Settings, file operatorfile.File, log *zap.Logger, count *counters.Set) (n *Node, err error) {
-	clientConnections, searcherConnections, memory := c.connectionLimits()
+	clientConnections, backendConnections, memory := c.connectionLimits()
 	n = &Node{log: log, count: count, drained: make(chan struct{})}
-	n.mixer = aggregator.New(set, log, count)
+	n.aggregator = aggregator.New(set, log, count)
 	if file.Capture.Directory != "" {
 		if err := n.capture(c.Name, set, file.Capture); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
@@ -178,7 +178,7 @@
 			return nil, err
 		}
 	}
-	tell := discovery.Listener(n.mixer.In)
+	tell := discovery.Listener(n.aggregator.In)
 	if file.Overrides.On || file.Operators.Listen != "" {
 		n.openController(set, file)
 		tell = n.controller
@@ -206,8 +206,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n.hub = backends.New(set.Net, searcherConnections, n.mixer.In, log, count)
-	n.server = clients.New(set, clientConnections, memory, n.mixer.In, log, count)
+	n.hub = backends.New(set.Net, backendConnections, n.aggregator.In, log, count)
+	n.server = clients.New(set, clientConnections, memory, n.aggregator.In, log, count)
 	n.drain = sync.OnceFunc(func() {
 		if n.fleet != nil {
 			go n.fleet.Release() // the next process may begin
@@ -217,7 +217,7 @@
 	if n.fleet != nil {
 		go n.fleet.Run()
 	}
-	go n.mixer.Run(n.hub, n.discovery)
+	go n.aggregator.Run(n.hub, n.discovery)
 	if n.controller != nil {
 		go n.controller.Run()
 	}
@@ -244,11 +244,11 @@
 		}
 		persistent, in = n.store, dir
 	}
-	n.controller = controller.New(lim, n.mixer.In, persistent, in, n.log, n.count)
+	n.controller = controller.New(lim, n.aggregator.In, persistent, in, n.log, n.count)
 	n.controller.Restore(kept.Revision, kept.Held, kept.Recent)
 }
 
-// join makes the mixer one of a fleet.
+// join makes the aggregator one of a fleet.
 func (n *Node) join(c Config, set settings.Settings, file operatorfile.File) error {
 	key, err := operatorfile.ReadKey(file.Fleet.KeyFile)
 	if err != nil {
@@ -281,14 +281,14 @@
 		s.File.Quotas[tenant] = t.Quota()
 		s.Lines[fleet.QuotaLine(tenant)] = t.Line
 	}
-	if n.fleet, err = fleet.New(s, n.mixer.In, n.log, n.count); err != nil {
+	if n.fleet, err = fleet.New(s, n.aggregator.In, n.log, n.count); err != nil {
 		return err
 	}
-	n.mixer.Guard(n.fleet)
+	n.aggregator.Guard(n.fleet)
 	return nil
 }
 
-// capture lets the mixer count its load into files.
+// capture lets the aggregator count its load into files.
 func (n *Node) capture(name string, set settings.Settings, file operatorfile.Capture) (err error) {
 	n.captures, err = capture.NewWriter(capture.Store{Directory: file.Directory, MostBytes: file.MostBytes,
 		MostAge: time.Duration(file.MostAge * float64(time.Second))}, n.log, n.count)
@@ -299,11 +299,11 @@
 	for _, x := range set.Indexes {
 		names.Soft = append(names.Soft, x.Soft)
 	}
-	n.mixer.Capture(capture.New(name, names, file.Interval), n.captures.Put)
+	n.aggregator.Capture(capture.New(name, names, file.Interval), n.captures.Put)
 	return nil
 }
 
-// Reload takes of a config what may change under a running mixer: where the register is.
+// Reload takes of a config what may change under a running aggregator: where the register is.
 func (n *Node) Reload(c Config) error {
 	if err := n.discovery.MoveTo(c.Discovery); err != nil {
 		return fmt.Errorf("config: discovery: %w", err)
@@ -311,7 +311,7 @@
 	return nil
 }
 
-// Drain begins to stop; the channel closes once all that is held is answered. Drains of searchers are still kept
+// Drain begins to stop; the channel closes once all that is held is answered. Drains of backends are still kept
 // meanwhile, wherever the register is.
 func (n *Node) Drain() <-chan struct{} {
 	n.drain()
@@ -321,7 +321,7 @@
 // Drained is that channel, whether Drain was called or not.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Count is what the mixer counts.
+// Count is what the aggregator counts.
 func (n *Node) Count() *counters.Set { return n.count }
 
 // Stop drains where that was not begun, and then ends all actors.
@@ -337,7 +337,7 @@
 	if n.store != nil {
 		n.store.Stop()
 	}
-	n.mixer.Stop()
+	n.aggregator.Stop()
 	n.hub.Stop()
 	if n.fleet != nil {
 		n.fleet.Stop()
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -28,12 +28,12 @@
 // measure makes tests hold figures to their aims, for a machine that does nothing else; without it they check rules.
 var measure = os.Getenv("PUFFINLINK_MEASURE") != ""
 
-// world is a site on loopback: a register, searchers, one mixer with overrides, and a load on it.
+// world is a site on loopback: a register, backends, one aggregator with overrides, and a load on it.
 type world struct {
 	*testing.T
 	site     fakes.Site
 	register *fakes.Register
-	fleet    []*fakes.Searcher
+	fleet    []*fakes.Backend
 	file     operatorfile.File
 	listen   string
 	node     *Node
@@ -43,7 +43,7 @@
 }
 
 func newWorld(t *testing.T, perS float64, service time.Duration) *world {
-	w := &world{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Mixers: 1,
+	w := &world{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Aggregators: 1,
 		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 2, Hard: 8, Gain: 1}, {Name: "orders", Effect: "once", Soft: 2, Hard: 8, Gain: 3}}}}
 	var err error
 	if w.register, err = fakes.NewRegister(); err != nil {
@@ -51,7 +51,7 @@
 	}
 	t.Cleanup(w.register.Close)
 	for i := range 8 {
-		s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i), w.site.Zones[i/2%2], i, 8, service)
+		s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), w.site.Zones[i/2%2], i, 8, service)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 	if w.client, err = api.NewClient(w.file.Operators.Listen, ""); err != nil {
 		t.Fatal(err)
 	}
-	w.load = &fakes.Load{Mixers: []string{w.listen}, Site: w.site, PerS: perS, Mixes: []fakes.Mix{
+	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, PerS: perS, Mixes: []fakes.Mix{
 		{Index: "reads", Share: 0.9, Parts: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Parts: 2, Deadline: 8 * time.Second}}}
 	if perS > 0 {
 		w.load.Run(w.Context())
@@ -110,7 +110,7 @@
 	}
 }
 
-// calls sums the part calls of all searchers.
+// calls sums the part calls of all backends.
 func (w *world) calls() (n int64) {
 	for _, s := range w.fleet {
 		n += s.Calls()
@@ -156,7 +156,7 @@
 
 func (w *world) clear(id uint64) { w.set(api.Command{Clear: id}) }
 
-// ends stops the load, and checks that each lookup had exactly one final answer and no once-only part ran twice.
+// ends stops the load, and checks that each query had exactly one final answer and no once-only part ran twice.
 func (w *world) ends() {
 	w.Helper()
 	w.load.Stop()
@@ -165,7 +165,7 @@
 	w.Logf("%+v; %d once-only parts ran", w.asked, ranOnce(w.T, w.fleet))
 }
 
-// eachAnswered checks that each lookup had exactly one final answer, and some of them what they asked for.
+// eachAnswered checks that each query had exactly one final answer, and some of them what they asked for.
 func eachAnswered(t *testing.T, a fakes.Tally) {
 	t.Helper()
 	if a.Lost > 0 || a.Asked != a.Satisfied+a.Nacked+a.Aborted || a.Satisfied == 0 {
@@ -174,7 +174,7 @@
 }
 
 // ranOnce checks that no once-only part ran twice, and tells how many ran.
-func ranOnce(t *testing.T, fleet []*fakes.Searcher) int {
+func ranOnce(t *testing.T, fleet []*fakes.Backend) int {
 	t.Helper()
 	ran := map[string]int64{}
 	for _, s := range fleet {
@@ -192,8 +192,8 @@
 	return len(ran)
 }
 
-// restartMixer starts the mixer anew in the same place, as a release does. What it then held is the clients' to ask again.
-func (w *world) restartMixer() {
+// restartAggregator starts the aggregator anew in the same place, as a release does. What it then held is the clients' to ask again.
+func (w *world) restartAggregator() {
 	w.Helper()
 	w.load.Stop()
 	w.take()
@@ -202,12 +202,12 @@
 	w.load.Run(w.Context())
 }
 
-// Out gives a searcher no part call, whatever becomes of the list, the register, the searcher and the mixer.
+// Out gives a backend no part call, whatever becomes of the list, the register, the backend and the aggregator.
 func TestOutHoldsThroughEverything(t *testing.T) {
 	w := newWorld(t, 150, 2*time.Millisecond)
 	s := w.fleet[3]
 	w.until("calls of the searcher", func() bool { return s.Calls() > 50 })
-	w.set(api.Command{Kind: "out", Searcher: s.Name})
+	w.set(api.Command{Kind: "out", Backend: s.Name})
 	w.goesOn(100) // what was on its way has come
 	was := s.Calls()
 	for _, step := range []struct {
@@ -228,7 +228,7 @@
 			w.register.Set(s.Entry("SERVING", true))
 		}},
 		{"it restarts", func() { w.register.Set(s.Entry("SERVING", false)) }},
-		{"the mixer restarts", w.restartMixer},
+		{"the mixer restarts", w.restartAggregator},
 	} {
 		step.do()
 		w.goesOn(300)
@@ -249,7 +249,7 @@
 func TestPinTakesItsShardAndYieldsToADrain(t *testing.T) {
 	w := newWorld(t, 150, 2*time.Millisecond)
 	s, sibling := w.fleet[5], w.fleet[6] // shard 5 is held by cells 5 and 6
-	w.set(api.Command{Kind: "pin", Searcher: s.Name, From: 5, To: 5})
+	w.set(api.Command{Kind: "pin", Backend: s.Name, From: 5, To: 5})
 	w.goesOn(100)
 	settled := func(name string) {
 		t.Helper()
@@ -291,7 +291,7 @@
 	w.register.Set(s.Entry("SERVING", false))
 	w.until("the pin acts after a restart", acts)
 	settled("restarted")
-	w.restartMixer()
+	w.restartAggregator()
 	settled("the mixer restarted")
 	s.Kill() // not strict: its siblings take the shard
 	before = sibling.CallsOf(5)
@@ -299,11 +299,11 @@
 	w.ends()
 }
 
-// A strict pin to a searcher that died is refused at once, not held to the deadline.
+// A strict pin to a backend that died is refused at once, not held to the deadline.
 func TestStrictPinIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t, 100, 2*time.Millisecond)
 	s := w.fleet[5]
-	w.set(api.Command{Kind: "pin", Searcher: s.Name, From: 0, To: 15, Strict: true, Force: true})
+	w.set(api.Command{Kind: "pin", Backend: s.Name, From: 0, To: 15, Strict: true, Force: true})
 	w.goesOn(50)
 	s.Kill()
 	w.register.SetState(s.Name, "DELETED")
@@ -330,7 +330,7 @@
 	}
 	w.goesOn(parts / 4)
 	usual := share()
-	made := w.set(api.Command{Kind: "weight", Searcher: s.Name, Weight: 0.25})
+	made := w.set(api.Command{Kind: "weight", Backend: s.Name, Weight: 0.25})
 	w.goesOn(parts / 4)
 	weighed := share()
 	got := weighed / usual
@@ -347,7 +347,7 @@
 	w.register.Set(s.Entry("SERVING", true))
 	w.register.Set(w.fleet[0].Entry("SERVING", true))
 	w.register.Set(s.Entry("SERVING", false)) // it has restarted
-	w.restartMixer()
+	w.restartAggregator()
 	w.goesOn(parts / 4)
 	if through := share() / usual; through > 0.6 || measure && math.Abs(through-0.25) > 0.15*0.25 {
 		t.Errorf("after lists, a drain, a return and a restart a weight of 0.25 gives %.3f of the usual part calls", through)
@@ -363,7 +363,7 @@
 	w.ends()
 }
 
-// At the end of an out the searcher comes back by steps, and the tail of latencies stays.
+// At the end of an out the backend comes back by steps, and the tail of latencies stays.
 func TestReturnIsNoBlow(t *testing.T) {
 	if !measure {
 		t.Skip("holds latencies to their aims: run alone, with PUFFINLINK_MEASURE=1")
@@ -371,7 +371,7 @@
 	w := newWorld(t, 300, 4*time.Millisecond)
 	s := w.fleet[3]
 	time.Sleep(3 * time.Second)
-	w.set(api.Command{Kind: "out", Searcher: s.Name, For: 10})
+	w.set(api.Command{Kind: "out", Backend: s.Name, For: 10})
 	time.Sleep(4900 * time.Millisecond)
 	w.take()
 	time.Sleep(5 * time.Second)
@@ -385,16 +385,16 @@
 	w.ends()
 }
 
-// Operators that hold all connections, say half a request or ask without end cost lookups nothing.
-func TestRudeOperatorsDelayNoLookup(t *testing.T) {
+// Operators that hold all connections, say half a request or ask without end cost queries nothing.
+func TestRudeOperatorsDelayNoQuery(t *testing.T) {
 	w := newWorld(t, 150, 4*time.Millisecond)
-	lookups := int64(300)
+	queries := int64(300)
 	if measure {
-		lookups = 1500
+		queries = 1500
 	}
 	tail := func() fakes.Tally {
 		w.take()
-		w.until("lookups", func() bool { return w.load.Answered() >= lookups })
+		w.until("lookups", func() bool { return w.load.Answered() >= queries })
 		return w.take()
 	}
 	w.goesOn(200)
@@ -435,13 +435,13 @@
 }
 
 // Without a directory overrides end with the process, and the answer says so. Of a directory that can't be used commands
-// are refused and lookups are served.
+// are refused and queries are served.
 func TestWhereOverridesAreKept(t *testing.T) {
 	w := newWorld(t, 0, time.Millisecond)
 	w.node.Stop()
 	w.file.Overrides.Directory = ""
 	w.start()
-	w.set(api.Command{Kind: "out", Searcher: "s-1"})
+	w.set(api.Command{Kind: "out", Backend: "s-1"})
 	if v := w.view(); v.Kept != "memory" || len(v.Overrides) != 1 {
 		t.Fatalf("got %+v", v)
 	}
@@ -451,11 +451,11 @@
 	w.file.Overrides.Directory = blocked
 	w.start()
 	v := w.view()
-	_, err := w.client.Send(context.Background(), api.Command{Revision: &v.Revision, Kind: "out", Searcher: "s-1", Author: "ann", Reason: "slow", For: 9})
+	_, err := w.client.Send(context.Background(), api.Command{Revision: &v.Revision, Kind: "out", Backend: "s-1", Author: "ann", Reason: "slow", For: 9})
 	if e := (*api.Error)(nil); !errors.As(err, &e) || e.Code != "not_kept" || len(v.Overrides) > 0 {
 		t.Fatalf("got %v, %+v", err, v)
 	}
-	w.load.Mixers, w.load.PerS = []string{w.listen}, 100
+	w.load.Aggregators, w.load.PerS = []string{w.listen}, 100
 	w.load.Run(t.Context())
 	w.goesOn(50)
 	w.ends()
--- a/internal/dataplane/node/shapes_test.go
+++ b/internal/dataplane/node/shapes_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// shape is one of two shapes of a deployment: its site, the mixers that run in it, and the clients before those.
+// shape is one of two shapes of a deployment: its site, the aggregators that run in it, and the clients before those.
 type shape struct {
 	site  fakes.Site
 	nodes []*Node
@@ -26,13 +26,13 @@
 // satisfied is the share of what was asked since the tally was last cleared.
 func (s *shape) satisfied() float64 { return float64(s.asked.Satisfied) / float64(s.asked.Asked) }
 
-// During a move mixers of the old shape (shards on two neighbouring cells, a call for each part, whole answers) and of the
-// new one (sets, calls that parts share, answers in part, parts that a fingerprint guards) run before the same searchers.
+// During a move aggregators of the old shape (shards on two neighbouring cells, a call for each part, whole answers) and of the
+// new one (sets, calls that parts share, answers in part, parts that a fingerprint guards) run before the same backends.
 // With more asked of these than they can do, one of them killed and back cold, two that hang and are killed, and one drained,
 // the rules hold for both kinds, and neither gets less than a third of what it got alone just before. Seen to fail where draining
-// searchers count as ready, where once-only parts go again, where fingerprinted ones go again after their window, and where
-// the mixers of one shape turn all away.
-func TestOldAndNewShapeBeforeTheSameSearchers(t *testing.T) {
+// backends count as ready, where once-only parts go again, where fingerprinted ones go again after their window, and where
+// the aggregators of one shape turn all away.
+func TestOldAndNewShapeBeforeTheSameBackends(t *testing.T) {
 	const cells, service = 6, 50 * time.Millisecond
 	index := func(name, effect string, gain, floor float64) fakes.Index {
 		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Gain: gain, Floor: floor, RepeatS: 0.05}
@@ -43,14 +43,14 @@
 	}
 	t.Cleanup(register.Close)
 	shapes := map[string]*shape{
-		"old": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 2, Shards: 2 * cells, Mixers: 4, ColdS: 2,
+		"old": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 2, Shards: 2 * cells, Aggregators: 4, ColdS: 2,
 			Indexes: []fakes.Index{index("reads", "repeatable", 1, 0), index("orders", "once", 3, 0)}}},
-		"new": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 1, Shards: 2 * cells, Mixers: 4, ColdS: 2, CallParts: 8, CallCostS: 0.002,
+		"new": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 1, Shards: 2 * cells, Aggregators: 4, ColdS: 2, CallParts: 8, CallCostS: 0.002,
 			Indexes: []fakes.Index{index("maps", "repeatable", 5, 0.7), index("notes", "by_key", 1, 0)}}},
 	}
-	var fleet []*fakes.Searcher
+	var fleet []*fakes.Backend
 	for i := range 2 * cells { // each cell in both locations, so that either shape has two holders at the least
-		s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i), []string{"a", "b"}[i%2], i/2, 2, service)
+		s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), []string{"a", "b"}[i%2], i/2, 2, service)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 		register.Set(s.Entry("SERVING", true))
 	}
 	for name, sh := range shapes {
-		var mixers []string
+		var aggregators []string
 		for i := range 2 {
 			listen, err := fakes.FreeAddress()
 			if err != nil {
@@ -69,14 +69,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			mixers, sh.nodes = append(mixers, listen), append(sh.nodes, n)
+			aggregators, sh.nodes = append(aggregators, listen), append(sh.nodes, n)
 		}
 		var mixes []fakes.Mix
 		for i, x := range sh.site.Indexes {
 			mixes = append(mixes, fakes.Mix{Index: x.Name, Share: []float64{0.6, 0.4}[i], Parts: []int{6, 2}[i], Deadline: 3 * time.Second})
 		}
-		// 12 searchers with two slots of 50 ms do 480 parts a second: each shape asks for 220, and for a while a fourth of them is gone.
-		sh.load = &fakes.Load{Mixers: mixers, Site: sh.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
+		// 12 backends with two slots of 50 ms do 480 parts a second: each shape asks for 220, and for a while a fourth of them is gone.
+		sh.load = &fakes.Load{Aggregators: aggregators, Site: sh.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
 	}
 	take := func() {
 		for _, sh := range shapes {
@@ -156,7 +156,7 @@
 		})
 	}
 	// A fingerprinted part goes again only within its window, which begins as it is first sent; the rest is a busy machine's.
-	// A client's own retry is another lookup, but these come only where nothing may have run, so no part of them was sent.
+	// A client's own retry is another query, but these come only where nothing may have run, so no part of them was sent.
 	var gaps []time.Duration
 	for id, from := range first {
 		if strings.HasPrefix(id, "notes-") && last[id].After(from) {
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads and checks the object that every instance is handed at its start, once for both the
-// bench's adapter and the mixer. It decides nothing.
+// bench's adapter and the aggregator. It decides nothing.
 package settings
 
 import (
@@ -20,7 +20,7 @@
 	Indexes, Customers, Locations, Kinds []string // each in the order of its ids
 	Shards                               int
 	Streams                              int     // calls that one connection carries at once
-	Idle                                 float64 // a connection idle for so long is closed by its searcher
+	Idle                                 float64 // a connection idle for so long is closed by its backend
 	Connect                              float64 // a connect that takes longer has failed; a probe too, of which no other figure is told
 	Loads                                bool    // probes may ask for a load report
 }
@@ -115,9 +115,9 @@
 	s := Settings{Net: Net{Locations: w.Azs, Kinds: w.Models, Shards: sp.Slices, Streams: li.Multiplex,
 		Idle: li.IdleCloseS, Connect: li.ConnectTimeoutS, Loads: w.Stats.How == "answers" || w.Stats.How == "probe"}}
 	s.Settings = policy.Settings{
-		Seed: seed, Self: policy.MixerNo(w.Ordinal), Mixers: w.Siblings, Location: policy.LocationID(w.Zone),
+		Seed: seed, Self: policy.AggregatorNo(w.Ordinal), Aggregators: w.Siblings, Location: policy.LocationID(w.Zone),
 		Step: w.GranularityS, OverShare: w.OverShareWorth, AskList: w.MembershipMode == "subscribe",
-		Layout: policy.Layout{Cells: sp.Places, Width: sp.Width, CallParts: sp.PerCall, CallCost: sp.CallCostS},
+		Layout: policy.Layout{Cells: sp.Places, Width: sp.Width, CallSubqueries: sp.PerCall, CallCost: sp.CallCostS},
 		Limits: policy.Limits{Cancel: li.Cancel, Probe: li.Probing, Tell: li.MayTell, SecondCopy: li.MayDuplicate,
 			RetryAfter: li.RetryAfter, MaxTries: li.MostTries, MaxHeld: li.MostHeld,
 			MaxRetryAfter: li.MaxRetryAfterS, ConnectTimeout: li.ConnectTimeoutS},
--- a/internal/dataplane/settings/settings_test.go
+++ b/internal/dataplane/settings/settings_test.go
@@ -21,7 +21,7 @@
 	if !reflect.DeepEqual(s.Net, want) {
 		t.Fatalf("got %+v", s.Net)
 	}
-	if x := s.Indexes[0]; s.Seed != 7 || !s.AskList || s.Layout.CallParts != 2 || s.Limits.MaxHeld != 9 ||
+	if x := s.Indexes[0]; s.Seed != 7 || !s.AskList || s.Layout.CallSubqueries != 2 || s.Limits.MaxHeld != 9 ||
 		x.Effect != policy.Fingerprinted || x.Need != 0.9 || x.RepeatS != 5 || s.Customers[0].QuotaPerS != 2 {
 		t.Fatalf("got %+v", s.Settings)
 	}
--- a/internal/fakes/cluster/searcher.go
+++ b/internal/fakes/cluster/searcher.go
@@ -100,14 +100,14 @@
 	return s.cluster.clock.Now().Add(s.delayUntil(s.life.heldUntil))
 }
 
-// NotRunningError says that a searcher does not run a task.
+// NotRunningError says that a backend does not run a task.
 type NotRunningError struct {
-	Searcher string
-	Task     job.TaskID
+	Backend string
+	Task    job.TaskID
 }
 
 func (e NotRunningError) Error() string {
-	return fmt.Sprintf("searcher %s runs no task %v", e.Searcher, e.Task)
+	return fmt.Sprintf("searcher %s runs no task %v", e.Backend, e.Task)
 }
 
 // Finish ends the run of a task that is at work, as if by itself.
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -20,22 +20,22 @@
 // Mix is what a load asks for of one index.
 type Mix struct {
 	Index    string
-	Share    float64 // of all lookups
+	Share    float64 // of all queries
 	Parts    int
 	Deadline time.Duration
 	Soft     time.Duration // within which an answer has its whole gain
 	Gain     float64
 }
 
-// Load asks mixers for lookups at a steady mean rate, by itself: a slow answer holds up no arrival.
+// Load asks aggregators for queries at a steady mean rate, by itself: a slow answer holds up no arrival.
 type Load struct {
-	Mixers  []string // addresses
-	Site    Site
-	Mixes   []Mix
-	PerS    float64
-	Popular []float64     // share of parts by shard; nil for all alike
-	Retries int           // of a lookup that was nacked, within its deadline
-	Backoff time.Duration // before each, at the least
+	Aggregators []string // addresses
+	Site        Site
+	Mixes       []Mix
+	PerS        float64
+	Popular     []float64     // share of parts by shard; nil for all alike
+	Retries     int           // of a query that was nacked, within its deadline
+	Backoff     time.Duration // before each, at the least
 
 	client *http.Client
 	wg     sync.WaitGroup
@@ -45,7 +45,7 @@
 
 	mu      sync.Mutex
 	ends    map[string]int64 // satisfied, nacked, aborted, lost
-	why     string           // the last lookup was lost
+	why     string           // the last query was lost
 	gain    [2]float64       // asked for, and answered within the soft deadline
 	latency *hdrhistogram.Histogram
 }
@@ -66,7 +66,7 @@
 			case <-ctx.Done():
 				return
 			}
-			mix, mixer := l.Mixes[len(l.Mixes)-1], l.Mixers[rng.IntN(len(l.Mixers))]
+			mix, aggregator := l.Mixes[len(l.Mixes)-1], l.Aggregators[rng.IntN(len(l.Aggregators))]
 			for u, i := rng.Float64(), 0; i < len(l.Mixes); i++ {
 				if u -= l.Mixes[i].Share; u < 0 {
 					mix = l.Mixes[i]
@@ -74,7 +74,7 @@
 				}
 			}
 			shards := l.shards(rng, min(mix.Parts, l.Site.Shards))
-			l.wg.Go(func() { l.ask(asking, mixer, mix, shards) })
+			l.wg.Go(func() { l.ask(asking, aggregator, mix, shards) })
 		}
 	})
 }
@@ -111,9 +111,9 @@
 	l.client.CloseIdleConnections()
 }
 
-// ask sends one lookup, and sends it again where it is nacked and the clients do that. The query names it, so that a part
+// ask sends one query, and sends it again where it is nacked and the clients do that. The query names it, so that a part
 // that runs twice is seen.
-func (l *Load) ask(ctx context.Context, mixer string, mix Mix, shards []int) {
+func (l *Load) ask(ctx context.Context, aggregator string, mix Mix, shards []int) {
 	l.asked.Add(1)
 	query := fmt.Sprintf("%s-%016x", mix.Index, l.nextID.Add(1))
 	body := []byte(`{"targets":[`)
@@ -127,13 +127,13 @@
 	began := time.Now()
 	end, why, wait := "", "", time.Duration(0)
 	for tries := 0; ; tries++ {
-		end, why, wait = l.try(ctx, mixer, mix, body, mix.Deadline-time.Since(began))
+		end, why, wait = l.try(ctx, aggregator, mix, body, mix.Deadline-time.Since(began))
 		wait = max(wait, time.Duration(float64(l.Backoff)*(0.5+rand.Float64())))
 		if end != "nacked" || tries >= l.Retries || time.Since(began)+wait >= mix.Deadline {
 			break
 		}
 		time.Sleep(wait)
-		mixer = l.Mixers[rand.IntN(len(l.Mixers))]
+		aggregator = l.Aggregators[rand.IntN(len(l.Aggregators))]
 	}
 	took := time.Since(began)
 	l.mu.Lock()
@@ -150,13 +150,13 @@
 	}
 }
 
-// try sends a lookup once.
-func (l *Load) try(ctx context.Context, mixer string, mix Mix, body []byte, left time.Duration) (end, why string, wait time.Duration) {
+// try sends a query once.
+func (l *Load) try(ctx context.Context, aggregator string, mix Mix, body []byte, left time.Duration) (end, why string, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, left+2*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+mixer+"/"+mix.Index, bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+aggregator+"/"+mix.Index, bytes.NewReader(body))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", l.nextID.Add(1))}, "Req-Kind": {mix.Index},
-		"Idempotency-Key": {}, // not sent: it lets the client ask once more on a new connection, where the mixer closed an idle one meanwhile
+		"Idempotency-Key": {}, // not sent: it lets the client ask once more on a new connection, where the aggregator closed an idle one meanwhile
 		"Req-Deadline":    {strconv.FormatFloat(left.Seconds(), 'f', 3, 64)}}
 	res, err := l.client.Do(req)
 	if err == nil {
@@ -175,12 +175,12 @@
 	return "aborted", "", 0
 }
 
-// Tally is what came of some lookups.
+// Tally is what came of some queries.
 type Tally struct {
 	Asked, Satisfied, Nacked, Aborted, Lost int64
 	Gain                                    float64       // share of it that was answered within the soft deadline
 	P50, P99                                time.Duration // of the satisfied
-	Why                                     string        // the last lookup was lost
+	Why                                     string        // the last query was lost
 }
 
 // Add adds the counts of another.
@@ -193,7 +193,7 @@
 	t.Why = cmp.Or(o.Why, t.Why)
 }
 
-// Answered is how many lookups have ended since Take was last called.
+// Answered is how many queries have ended since Take was last called.
 func (l *Load) Answered() (n int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,7 +203,7 @@
 	return n
 }
 
-// Take tells what came since the last time that it was asked. A lookup that is still due counts where it ends.
+// Take tells what came since the last time that it was asked. A query that is still due counts where it ends.
 func (l *Load) Take() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/register.go
+++ b/internal/fakes/register.go
@@ -1,5 +1,5 @@
-// Package fakes is a register, searchers and clients on loopback, for the demo and for tests. They speak the operators'
-// protocol from its pages and share no code with the mixer, so that a mistake there is not made on both sides.
+// Package fakes is a register, backends and clients on loopback, for the demo and for tests. They speak the operators'
+// protocol from its pages and share no code with the aggregator, so that a mistake there is not made on both sides.
 package fakes
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Entry is a searcher as the register lists it.
+// Entry is a backend as the register lists it.
 type Entry struct {
 	ID        string  `json:"instanceId"`
 	Address   string  `json:"hostPort"`
@@ -33,7 +33,7 @@
 	Instances []Entry `json:"instances"`
 }
 
-// Register lists searchers and tells its watches of changes.
+// Register lists backends and tells its watches of changes.
 type Register struct {
 	listener net.Listener
 	server   *http.Server
@@ -53,7 +53,7 @@
 // heartbeatInterval is how often an empty line comes while nothing changes.
 const heartbeatInterval = 2 * time.Second
 
-// FreeAddress is a loopback address that was free a moment ago, for a mixer to listen at.
+// FreeAddress is a loopback address that was free a moment ago, for an aggregator to listen at.
 func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,7 +80,7 @@
 // Close ends it and all its watches.
 func (r *Register) Close() { r.server.Close() }
 
-// Known is the whole list as a mixer's config holds it.
+// Known is the whole list as an aggregator's config holds it.
 func (r *Register) Known() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +92,7 @@
 	return append(text, '\n')
 }
 
-// Set adds or changes a searcher, and tells of it as a patch.
+// Set adds or changes a backend, and tells of it as a patch.
 func (r *Register) Set(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,7 @@
 	r.tell(r.encode(false, []Entry{e}))
 }
 
-// SetState changes what a searcher is listed as.
+// SetState changes what a backend is listed as.
 func (r *Register) SetState(id, state string) {
 	r.mu.Lock()
 	i := slices.IndexFunc(r.entries, func(o Entry) bool { return o.ID == id })
@@ -197,7 +197,7 @@
 		case <-q.Context().Done():
 			return
 		}
-		if flush.Flush() != nil { // the mixer has left
+		if flush.Flush() != nil { // the aggregator has left
 			return
 		}
 	}
@@ -215,21 +215,21 @@
 
 // Site is a small deployment: so many cells, each shard held by Width of them.
 type Site struct {
-	Zones   []string
-	Indexes []Index
-	Cells   int
-	Width   int
-	Shards  int
-	Mixers  int
-	ColdS   float64 // how long a searcher is cold; 0 for never
+	Zones       []string
+	Indexes     []Index
+	Cells       int
+	Width       int
+	Shards      int
+	Aggregators int
+	ColdS       float64 // how long a backend is cold; 0 for never
 
-	Tenants []string // whose the lookups are; none for those of nobody
+	Tenants []string // whose the queries are; none for those of nobody
 
 	CallParts int     // parts that may share a call; 0 for one
 	CallCostS float64 // work of a call beside its parts
 }
 
-// Settings is the object that a mixer of the site starts from.
+// Settings is the object that an aggregator of the site starts from.
 func (s Site) Settings(ordinal int) []byte {
 	var classes, ones, floors []string
 	for _, x := range s.Indexes {
@@ -248,11 +248,11 @@
 		"limits":{"cancel":true,"probing":true,"mayDuplicate":true,"retryAfter":true,"mostTries":3,"multiplex":100,"idleCloseS":15,
 		"connectTimeoutS":0.25,"maxRetryAfterS":1,"mostHeld":20000},
 		"invariants":{"answerSlackS":0.02,"coldS":%g,"coldShare":0.25,"drainGraceS":2,"fallMultiple":2,"fallS":1},"prices":{"crossZone":0.02}}`,
-		zones, ordinal, max(1, s.Mixers), ordinal%max(1, len(s.Zones)), strings.Join(classes, ","), owners, s.Cells, s.Width, s.Shards,
+		zones, ordinal, max(1, s.Aggregators), ordinal%max(1, len(s.Zones)), strings.Join(classes, ","), owners, s.Cells, s.Width, s.Shards,
 		max(1, s.CallParts), s.CallCostS, strings.Join(ones, ","), strings.Join(floors, ","), s.ColdS)
 }
 
-// Config is a mixer's config file.
+// Config is an aggregator's config file.
 func (s Site) Config(name, listen string, r *Register, ordinal int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{},"known":%s,"settings":%s}`,
 		name, listen, r.Address(), 0x9e3779b97f4a7c15*uint64(ordinal+1), r.Known(), s.Settings(ordinal))
--- a/internal/fakes/searcher.go
+++ b/internal/fakes/searcher.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Searcher answers part calls, so many at once and the others behind them, each after a service time.
-type Searcher struct {
+// Backend answers part calls, so many at once and the others behind them, each after a service time.
+type Backend struct {
 	Name string
 	Cell int
 	Zone string
@@ -45,16 +45,16 @@
 // arrivals are when a part arrived for the first and the last time.
 type arrivals struct{ first, last time.Time }
 
-// NewSearcher listens on loopback, with so many slots.
-func NewSearcher(name, zone string, cell, slots int, service time.Duration) (*Searcher, error) {
-	s := &Searcher{Name: name, Cell: cell, Zone: zone, slots: make(chan struct{}, slots), connections: map[net.Conn]bool{},
+// NewBackend listens on loopback, with so many slots.
+func NewBackend(name, zone string, cell, slots int, service time.Duration) (*Backend, error) {
+	s := &Backend{Name: name, Cell: cell, Zone: zone, slots: make(chan struct{}, slots), connections: map[net.Conn]bool{},
 		executed: map[string]int64{}, arrived: map[string]arrivals{}}
 	s.service.Store(int64(service))
 	return s, s.Start()
 }
 
 // Start listens, on a new port after a Kill.
-func (s *Searcher) Start() error {
+func (s *Backend) Start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 }
 
 // Entry is how the register lists it; long past says that it started long ago.
-func (s *Searcher) Entry(state string, longPast bool) Entry {
+func (s *Backend) Entry(state string, longPast bool) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := Entry{ID: s.Name, Address: s.listener.Addr().String(), Zone: s.Zone, Kind: "m", Cell: s.Cell, State: state, Weight: 1}
@@ -78,7 +78,7 @@
 }
 
 // Kill ends its connections and listens no more, as a process that dies.
-func (s *Searcher) Kill() {
+func (s *Backend) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -90,28 +90,28 @@
 }
 
 // SetService changes the mean service time.
-func (s *Searcher) SetService(d time.Duration) { s.service.Store(int64(d)) }
+func (s *Backend) SetService(d time.Duration) { s.service.Store(int64(d)) }
 
 // SetFailing lets it fail each call.
-func (s *Searcher) SetFailing(on bool) { s.failing.Store(on) }
+func (s *Backend) SetFailing(on bool) { s.failing.Store(on) }
 
 // SetSilent lets it answer nothing.
-func (s *Searcher) SetSilent(on bool) { s.silent.Store(on) }
+func (s *Backend) SetSilent(on bool) { s.silent.Store(on) }
 
 // Calls is how many part calls it has taken.
-func (s *Searcher) Calls() int64 { return s.calls.Load() }
+func (s *Backend) Calls() int64 { return s.calls.Load() }
 
 // CallsOf is how many part calls of one shard it has taken.
-func (s *Searcher) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
+func (s *Backend) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
 
 // Out is how many part calls are in it.
-func (s *Searcher) Out() int64 { return s.out.Load() }
+func (s *Backend) Out() int64 { return s.out.Load() }
 
 // MostOut is the peak of Out since the last call of MostOut.
-func (s *Searcher) MostOut() int64 { return s.mostOut.Swap(s.out.Load()) }
+func (s *Backend) MostOut() int64 { return s.mostOut.Swap(s.out.Load()) }
 
 // Executed tells how often each part was executed here.
-func (s *Searcher) Executed(f func(id string, times int64)) {
+func (s *Backend) Executed(f func(id string, times int64)) {
 	s.mu.Lock()
 	executed := maps.Clone(s.executed)
 	s.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // Arrivals tells when each part came here first and last.
-func (s *Searcher) Arrivals(f func(id string, first, last time.Time)) {
+func (s *Backend) Arrivals(f func(id string, first, last time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, at := range s.arrived {
@@ -130,7 +130,7 @@
 }
 
 // arrives notes a part's arrival.
-func (s *Searcher) arrives(id string) {
+func (s *Backend) arrives(id string) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,10 +142,10 @@
 	s.arrived[id] = at
 }
 
-// named is a part's name among all lookups: its query's text and its shard.
+// named is a part's name among all queries: its query's text and its shard.
 func named(id, query string) string { return query + " " + id[bytes.IndexByte([]byte(id), '.')+1:] }
 
-func (s *Searcher) accept(l net.Listener) {
+func (s *Backend) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// connection is one that a mixer opened; answers of many calls share its writing side.
+// connection is one that an aggregator opened; answers of many calls share its writing side.
 type connection struct {
 	net.Conn
 	mu sync.Mutex
@@ -174,10 +174,10 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
-	_, _ = conn.Write(frame) // a mixer that has left is found by the read
+	_, _ = conn.Write(frame) // an aggregator that has left is found by the read
 }
 
-func (s *Searcher) serve(c net.Conn) {
+func (s *Backend) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -221,7 +221,7 @@
 }
 
 // call takes the parts of one frame.
-func (s *Searcher) call(conn *connection, rest []byte, given *sync.Map) bool {
+func (s *Backend) call(conn *connection, rest []byte, given *sync.Map) bool {
 	for len(rest) > 0 {
 		head, after, found := bytes.Cut(rest, []byte{'\n'})
 		fields := bytes.Fields(head)
@@ -248,7 +248,7 @@
 	return true
 }
 
-func (s *Searcher) work(conn *connection, id, query string, given *sync.Map) {
+func (s *Backend) work(conn *connection, id, query string, given *sync.Map) {
 	defer s.out.Add(-1)
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -40,8 +40,8 @@
 	d := controller.New(lim, r.box, nil, "", zap.NewNop(), counters.New())
 	list := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}}
 	for i := range 4 {
-		list.Entries = append(list.Entries, policy.Entry{Searcher: policy.SearcherID(i + 1), Cell: policy.CellID(i % 2)})
-		list.Addresses, list.Names = append(list.Addresses, "x:1"), append(list.Names, aggregator.Name{Searcher: fmt.Sprint("s-", i), Location: "north"})
+		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 2)})
+		list.Addresses, list.Names = append(list.Addresses, "x:1"), append(list.Names, aggregator.Name{Backend: fmt.Sprint("s-", i), Location: "north"})
 	}
 	d.Put(list)
 	d.Settle()
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go r.client.Watch(ctx, 0, func(c Change) error { changes <- c; return nil })
-	c := Command{Key: "k", Kind: "pin", Searcher: "s-0", From: 1, To: 2, Author: "ann", Reason: "slow", For: 60}
+	c := Command{Key: "k", Kind: "pin", Backend: "s-0", From: 1, To: 2, Author: "ann", Reason: "slow", For: 60}
 	made, why := r.send(0, c)
 	if why != "" || made.Revision != 1 || made.Override.Kind != "pin" || *made.Override.From != 1 {
 		t.Fatalf("got %+v, %s", made, why)
@@ -110,7 +110,7 @@
 	if again, why := r.send(0, c); why != "" || !again.Again || again.Revision != 1 {
 		t.Fatalf("sent twice: %+v, %s", again, why)
 	}
-	for want, c := range map[string]Command{"conflict": {Kind: "out", Searcher: "s-1", Author: "ann", Reason: "x", For: 5},
+	for want, c := range map[string]Command{"conflict": {Kind: "out", Backend: "s-1", Author: "ann", Reason: "x", For: 5},
 		"invalid": {Kind: "none"}} {
 		if _, why := r.send(0, c); why != want {
 			t.Errorf("got %s, expected %s", why, want)
@@ -176,7 +176,7 @@
 	if why := r.get("/v1/overrides", &v); why != "" {
 		t.Fatal(why)
 	}
-	out := Command{Kind: "out", Searcher: "s-0", Author: "somebody else", Reason: "slow", For: 9}
+	out := Command{Kind: "out", Backend: "s-0", Author: "somebody else", Reason: "slow", For: 9}
 	if _, why := r.send(0, out); why != "role" {
 		t.Fatalf("a reader writes: %s", why)
 	}
@@ -219,7 +219,7 @@
 		}
 	}
 	r.client.http.CloseIdleConnections()
-	large := Command{Kind: "out", Searcher: strings.Repeat("s", mostBody), Reason: "x", For: 9}
+	large := Command{Kind: "out", Backend: strings.Repeat("s", mostBody), Reason: "x", For: 9}
 	if _, why := r.send(0, large); why != "invalid" {
 		t.Errorf("a body of %d bytes: %s", mostBody, why)
 	}
--- a/internal/operators/api/client.go
+++ b/internal/operators/api/client.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Client speaks with one mixer's listener.
+// Client speaks with one aggregator's listener.
 type Client struct {
 	http  *http.Client
 	token string
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -16,7 +16,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// FleetCommand sets or clears one tenant's contract or quota, for all mixers.
+// FleetCommand sets or clears one tenant's contract or quota, for all aggregators.
 type FleetCommand struct {
 	ID       string    `json:"id,omitempty"` // the same command sent again acts once
 	Author   string    `json:"author"`
@@ -27,14 +27,14 @@
 	Clear    string    `json:"clear,omitempty"` // "contract" or "quota"
 }
 
-// Contract keeps a tenant's lookups inside zones.
+// Contract keeps a tenant's queries inside zones.
 type Contract struct {
-	Zones     []string `json:"zones"`
-	MixersToo bool     `json:"mixers_too,omitempty"`
-	Indexes   []string `json:"indexes,omitempty"`
+	Zones          []string `json:"zones"`
+	AggregatorsToo bool     `json:"mixers_too,omitempty"`
+	Indexes        []string `json:"indexes,omitempty"`
 }
 
-// Quota is a tenant's over all mixers.
+// Quota is a tenant's over all aggregators.
 type Quota struct {
 	PerS  float64 `json:"per_s"`
 	Burst float64 `json:"burst"`
@@ -64,7 +64,7 @@
 		return out, invalid("expected a tenant, and one of contract, quota and clear")
 	case c.Contract != nil:
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant),
-			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.MixersToo, Indexes: c.Contract.Indexes}}
+			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.AggregatorsToo, Indexes: c.Contract.Indexes}}
 	case c.Quota != nil:
 		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.PerS, Burst: c.Quota.Burst, Floor: c.Quota.Floor}}
 	case c.Clear == "contract":
@@ -156,7 +156,7 @@
 	}
 }
 
-// Fleet reads what one mixer knows of the fleet.
+// Fleet reads what one aggregator knows of the fleet.
 func (c *Client) Fleet(ctx context.Context) (s fleet.Shown, err error) {
 	err = c.Get(ctx, "/v1/fleet", &s)
 	return s, err
@@ -174,7 +174,7 @@
 	return r, err
 }
 
-// WhyFleet reads which contract, lease and quota decide about a tenant's lookups of an index.
+// WhyFleet reads which contract, lease and quota decide about a tenant's queries of an index.
 func (c *Client) WhyFleet(ctx context.Context, tenant, index string) (e fleet.Explained, err error) {
 	err = c.Get(ctx, "/v1/fleet/why?tenant="+url.QueryEscape(tenant)+"&index="+url.QueryEscape(index), &e)
 	return e, err
--- a/internal/operators/api/handlers.go
+++ b/internal/operators/api/handlers.go
@@ -15,14 +15,14 @@
 
 func (s *Server) list(w http.ResponseWriter, _ *http.Request, _ string) {
 	v := s.controller.View()
-	out := View{Mixer: s.mixer, Revision: uint64(v.Revision), Now: v.Now, Kept: v.Kept, Overrides: []Override{}, Returning: []Return{}}
+	out := View{Aggregator: s.aggregator, Revision: uint64(v.Revision), Now: v.Now, Kept: v.Kept, Overrides: []Override{}, Returning: []Return{}}
 	for i := range v.Overrides {
 		o := shown(&v.Overrides[i].Override, v.Now)
 		o.State = v.Overrides[i].State
 		out.Overrides = append(out.Overrides, o)
 	}
 	for _, r := range v.Returns {
-		back := Return{Searcher: r.Searcher, Index: r.Index, Level: r.Level, Want: r.Want}
+		back := Return{Backend: r.Backend, Index: r.Index, Level: r.Level, Want: r.Want}
 		if r.Pin {
 			shard := int(r.Shard)
 			back.Shard = &shard
--- a/internal/operators/api/listener.go
+++ b/internal/operators/api/listener.go
@@ -23,9 +23,9 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// Operators are a few people and their scripts beside a mixer of one core: what follows leaves it to the lookups.
+// Operators are a few people and their scripts beside an aggregator of one core: what follows leaves it to the queries.
 const (
-	mostConnections   = 16       // open at once, of the descriptors that neither clients nor searchers have
+	mostConnections   = 16       // open at once, of the descriptors that neither clients nor backends have
 	mostBody          = 16 << 10 // a command takes 1 KiB
 	mostHead          = 8 << 10  // as the clients' side
 	perSecond         = 20       // requests of all operators
@@ -40,7 +40,7 @@
 
 // Server serves operators.
 type Server struct {
-	mixer      string
+	aggregator string
 	controller *controller.Controller
 	fleet      *fleet.Fleet // nil where there is none
 	door       *door
@@ -87,13 +87,13 @@
 	return l, nil
 }
 
-// New makes a server for a mixer of this name; its fleet may be nil.
-func New(mixer string, set operatorfile.Operators, d *controller.Controller, f *fleet.Fleet, log *zap.Logger, count *counters.Set) (*Server, error) {
+// New makes a server for an aggregator of this name; its fleet may be nil.
+func New(aggregator string, set operatorfile.Operators, d *controller.Controller, f *fleet.Fleet, log *zap.Logger, count *counters.Set) (*Server, error) {
 	door, err := newDoor(set)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{mixer: mixer, controller: d, fleet: f, door: door, log: log, count: count, limit: rate.NewLimiter(perSecond, burst),
+	s := &Server{aggregator: aggregator, controller: d, fleet: f, door: door, log: log, count: count, limit: rate.NewLimiter(perSecond, burst),
 		heartbeat: heartbeatInterval, closed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/overrides", s.read(s.list))
--- a/internal/operators/api/wire.go
+++ b/internal/operators/api/wire.go
@@ -1,6 +1,6 @@
 // Package api is the operators' listener and its client: overrides are listed, set, cleared, watched and explained
 // over HTTP on a unix socket or a loopback address. Names on that socket stay here. It decides nothing, and whatever an
-// operator does there holds up neither lookups nor the list.
+// operator does there holds up neither queries nor the list.
 package api
 
 import (
@@ -14,7 +14,7 @@
 type Override struct {
 	ID           uint64  `json:"id"`
 	Kind         string  `json:"kind"`
-	Searcher     string  `json:"searcher,omitempty"`
+	Backend      string  `json:"searcher,omitempty"`
 	Location     string  `json:"location,omitempty"`
 	From         *int    `json:"from_shard,omitempty"`
 	To           *int    `json:"to_shard,omitempty"`
@@ -32,21 +32,21 @@
 
 // View is what holds.
 type View struct {
-	Mixer     string     `json:"mixer"`
-	Revision  uint64     `json:"revision"`
-	Now       float64    `json:"now"`
-	Kept      string     `json:"kept"`
-	Overrides []Override `json:"overrides"`
-	Returning []Return   `json:"returning"`
+	Aggregator string     `json:"mixer"`
+	Revision   uint64     `json:"revision"`
+	Now        float64    `json:"now"`
+	Kept       string     `json:"kept"`
+	Overrides  []Override `json:"overrides"`
+	Returning  []Return   `json:"returning"`
 }
 
 // Return is what comes back from an override that has ended.
 type Return struct {
-	Searcher string  `json:"searcher"`
-	Shard    *int    `json:"shard,omitempty"`
-	Index    string  `json:"index"`
-	Level    float64 `json:"level"`
-	Want     float64 `json:"want"`
+	Backend string  `json:"searcher"`
+	Shard   *int    `json:"shard,omitempty"`
+	Index   string  `json:"index"`
+	Level   float64 `json:"level"`
+	Want    float64 `json:"want"`
 }
 
 // Change is one revision.
@@ -67,7 +67,7 @@
 	Revision     *uint64 `json:"revision"`
 	Clear        uint64  `json:"clear,omitempty"`
 	Kind         string  `json:"kind,omitempty"`
-	Searcher     string  `json:"searcher,omitempty"`
+	Backend      string  `json:"searcher,omitempty"`
 	Location     string  `json:"location,omitempty"`
 	From         int     `json:"from_shard,omitempty"`
 	To           int     `json:"to_shard,omitempty"`
@@ -81,7 +81,7 @@
 	Force        bool    `json:"force,omitempty"`
 }
 
-// Why says why parts of a shard go to a searcher or not.
+// Why says why parts of a shard go to a backend or not.
 type Why struct {
 	Goes  bool    `json:"goes"`
 	Share float64 `json:"share"`
@@ -103,7 +103,7 @@
 }
 
 func shown(o *override.Override, now float64) Override {
-	w := Override{ID: uint64(o.ID), Kind: o.Kind.String(), Searcher: o.Searcher, Location: o.Location, Index: o.Index,
+	w := Override{ID: uint64(o.ID), Kind: o.Kind.String(), Backend: o.Backend, Location: o.Location, Index: o.Index,
 		Weight: o.Factor, Strict: o.Strict, Author: o.Author, Reason: o.Reason, Since: o.Since, Ends: o.End,
 		EndsIn: math.Round(10*max(0, o.End-now)) / 10, UntilRestart: o.UntilRestart}
 	if o.Kind == override.Pin {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return out, err
 	}
-	out.Spec = override.Spec{Kind: kind, Searcher: c.Searcher, Location: c.Location, From: policy.ShardID(c.From),
+	out.Spec = override.Spec{Kind: kind, Backend: c.Backend, Location: c.Location, From: policy.ShardID(c.From),
 		To: policy.ShardID(c.To), Index: c.Index, Factor: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
 		UntilRestart: c.UntilRestart}
 	out.Lasts = c.For
--- a/internal/operators/capture/block.go
+++ b/internal/operators/capture/block.go
@@ -128,8 +128,8 @@
 		return invalid("an interval of %g s at %g", i.Span, i.At)
 	}
 	for _, l := range i.Loads {
-		if l.Lookups < 0 || l.Parts < 0 || l.Index == "" {
-			return invalid("a load of %d lookups of index %q", l.Lookups, l.Index)
+		if l.Queries < 0 || l.Parts < 0 || l.Index == "" {
+			return invalid("a load of %d lookups of index %q", l.Queries, l.Index)
 		}
 	}
 	for _, s := range i.Shards {
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -1,4 +1,4 @@
-// Package capture records what load a mixer had, by intervals, so that the planner can say what would become of it on
+// Package capture records what load an aggregator had, by intervals, so that the planner can say what would become of it on
 // another fleet. The recorder takes what the module's actor sees and counts; it does no I/O, has no clock and no goroutine.
 // Blocks and files are in block.go and files.go, merging and cutting in merge.go, made-up loads in synth.go.
 package capture
@@ -9,7 +9,7 @@
 
 // Caps of what one interval holds, each with its reason.
 const (
-	// mostRows is of searchers by index: 1,000 searchers of four indexes take 10 MB. Those beyond it are counted as others.
+	// mostRows is of backends by index: 1,000 backends of four indexes take 10 MB. Those beyond it are counted as others.
 	mostRows = 4096
 	// others is their name.
 	others = "(others)"
@@ -22,30 +22,30 @@
 	Shards             int
 }
 
-// Seat is a searcher in a recorder: its part calls out, and what came of the interval's. It lives while the list names the
-// searcher or a call to it is out.
+// Seat is a backend in a recorder: its part calls out, and what came of the interval's. It lives while the list names the
+// backend or a call to it is out.
 type Seat struct {
 	name, location string
 	out            int
-	rows           []*SearcherLoad // by index; nil where nothing came
+	rows           []*BackendLoad // by index; nil where nothing came
 	unnamed        bool
 }
 
-// Recorder counts one mixer's load. One goroutine alone uses it.
+// Recorder counts one aggregator's load. One goroutine alone uses it.
 type Recorder struct {
-	mixer   string
-	names   Names
-	span    float64
-	begun   bool
-	from    float64
-	loads   [][]Load // by index and customer
-	parts   []map[int]int64
-	latency []Hist
-	shards  [][]int64
-	seats   map[policy.SearcherID]*Seat
-	kept    int // rows
-	held    meter
-	out     meter
+	aggregator string
+	names      Names
+	span       float64
+	begun      bool
+	from       float64
+	loads      [][]Load // by index and customer
+	parts      []map[int]int64
+	latency    []Hist
+	shards     [][]int64
+	seats      map[policy.BackendID]*Seat
+	kept       int // rows
+	held       meter
+	out        meter
 }
 
 // meter is the integral of a count over time.
@@ -69,9 +69,9 @@
 	return l
 }
 
-// New makes a recorder of a mixer with intervals of span seconds.
-func New(mixer string, names Names, span float64) *Recorder {
-	rec := &Recorder{mixer: mixer, names: names, span: span, seats: map[policy.SearcherID]*Seat{}}
+// New makes a recorder of an aggregator with intervals of span seconds.
+func New(aggregator string, names Names, span float64) *Recorder {
+	rec := &Recorder{aggregator: aggregator, names: names, span: span, seats: map[policy.BackendID]*Seat{}}
 	rec.clear()
 	return rec
 }
@@ -86,23 +86,23 @@
 	rec.kept = 0
 }
 
-// Named notes a searcher's name and location.
-func (rec *Recorder) Named(id policy.SearcherID, name, location string) {
+// Named notes a backend's name and location.
+func (rec *Recorder) Named(id policy.BackendID, name, location string) {
 	s := rec.seat(id)
 	s.name, s.location, s.unnamed = name, location, false
 }
 
-// Unnamed lets go of a searcher that the list no longer names, with the interval in hand.
-func (rec *Recorder) Unnamed(id policy.SearcherID) {
+// Unnamed lets go of a backend that the list no longer names, with the interval in hand.
+func (rec *Recorder) Unnamed(id policy.BackendID) {
 	if s := rec.seats[id]; s != nil {
 		s.unnamed = true
 	}
 }
 
-func (rec *Recorder) seat(id policy.SearcherID) *Seat {
+func (rec *Recorder) seat(id policy.BackendID) *Seat {
 	s := rec.seats[id]
 	if s == nil {
-		s = &Seat{rows: make([]*SearcherLoad, len(rec.names.Indexes))}
+		s = &Seat{rows: make([]*BackendLoad, len(rec.names.Indexes))}
 		rec.seats[id] = s
 	}
 	return s
@@ -116,10 +116,10 @@
 	return &list[c]
 }
 
-// Taken counts a lookup with its parts; the hint is of all of them, seconds.
+// Taken counts a query with its parts; the hint is of all of them, seconds.
 func (rec *Recorder) Taken(now float64, k policy.IndexID, c policy.CustomerID, resent bool, hint float64, shards func(yield func(policy.ShardID) bool)) {
 	l := rec.load(k, c)
-	l.Lookups++
+	l.Queries++
 	l.Hint += hint
 	if resent {
 		l.Resent++
@@ -136,10 +136,10 @@
 	rec.held.move(now, 1)
 }
 
-// End is how a lookup ended.
+// End is how a query ended.
 type End uint8
 
-// The ends of a lookup.
+// The ends of a query.
 const (
 	Answered End = iota
 	Nacked
@@ -148,7 +148,7 @@
 	Full // it was never taken
 )
 
-// Ended counts the end of a lookup, so many seconds after it came.
+// Ended counts the end of a query, so many seconds after it came.
 func (rec *Recorder) Ended(now float64, k policy.IndexID, c policy.CustomerID, how End, took float64) {
 	e := &rec.load(k, c).Ends
 	switch how {
@@ -172,19 +172,19 @@
 	rec.held.move(now, -1)
 }
 
-// Sent counts a part call that goes out, and tells where it sits and whether it found nothing else of this mixer there.
-func (rec *Recorder) Sent(now float64, id policy.SearcherID) (s *Seat, alone bool) {
+// Sent counts a part call that goes out, and tells where it sits and whether it found nothing else of this aggregator there.
+func (rec *Recorder) Sent(now float64, id policy.BackendID) (s *Seat, alone bool) {
 	rec.out.move(now, 1)
 	s = rec.seat(id)
 	s.out++
 	return s, s.out == 1
 }
 
-func (rec *Recorder) row(s *Seat, k policy.IndexID) *SearcherLoad {
+func (rec *Recorder) row(s *Seat, k policy.IndexID) *BackendLoad {
 	if s.rows[k] == nil {
-		s.rows[k] = &SearcherLoad{Searcher: s.name, Location: s.location, Index: rec.names.Indexes[k]}
+		s.rows[k] = &BackendLoad{Backend: s.name, Location: s.location, Index: rec.names.Indexes[k]}
 		if rec.kept++; rec.kept > mostRows {
-			s.rows[k].Searcher, s.rows[k].Location = others, ""
+			s.rows[k].Backend, s.rows[k].Location = others, ""
 		}
 	}
 	return s.rows[k]
@@ -230,10 +230,10 @@
 // Cut ends the interval in hand.
 func (rec *Recorder) Cut(now float64) Interval {
 	span := max(now-rec.from, 1e-3)
-	i := Interval{At: rec.from, Span: span, Mixers: []string{rec.mixer}, Held: rec.held.cut(now, span), Out: rec.out.cut(now, span)}
+	i := Interval{At: rec.from, Span: span, Aggregators: []string{rec.aggregator}, Held: rec.held.cut(now, span), Out: rec.out.cut(now, span)}
 	for k, index := range rec.names.Indexes {
 		for c, l := range rec.loads[k] {
-			if l.Lookups == 0 && l.Ends == (Ends{}) {
+			if l.Queries == 0 && l.Ends == (Ends{}) {
 				continue
 			}
 			if l.Index = index; c < len(rec.names.Customers) {
@@ -253,7 +253,7 @@
 	for id, s := range rec.seats {
 		for k, r := range s.rows {
 			if r != nil {
-				i.Searchers = append(i.Searchers, *r)
+				i.Backends = append(i.Backends, *r)
 				s.rows[k] = nil
 			}
 		}
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -22,11 +22,11 @@
 var names = Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
 
 // played is a recorder's intervals of a random load, and what was asked and answered in all.
-func played(mixer string, seed uint64, seconds float64) (list []Interval, lookups, parts, calls int64) {
+func played(aggregator string, seed uint64, seconds float64) (list []Interval, queries, parts, calls int64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	rec := New(mixer, names, 1)
+	rec := New(aggregator, names, 1)
 	for s := range 4 {
-		rec.Named(policy.SearcherID(s+1), fmt.Sprint("s-", s), "north")
+		rec.Named(policy.BackendID(s+1), fmt.Sprint("s-", s), "north")
 	}
 	type out struct {
 		s     *Seat
@@ -43,9 +43,9 @@
 				yield(policy.ShardID(s))
 			}
 		})
-		lookups, parts = lookups+1, parts+int64(n)
+		queries, parts = queries+1, parts+int64(n)
 		rec.Ended(now, k, 0, End(rng.IntN(4)), 2*rng.Float64())
-		s := policy.SearcherID(1 + rng.IntN(4))
+		s := policy.BackendID(1 + rng.IntN(4))
 		seat, alone := rec.Sent(now, s)
 		open = append(open, out{seat, alone})
 		if len(open) > 5 {
@@ -53,28 +53,28 @@
 			open, calls = open[1:], calls+1
 		}
 	}
-	return append(list, rec.Cut(1000+seconds)), lookups, parts, calls
+	return append(list, rec.Cut(1000+seconds)), queries, parts, calls
 }
 
-func total(list []Interval) (lookups, parts, calls, ends int64) {
+func total(list []Interval) (queries, parts, calls, ends int64) {
 	for _, i := range list {
 		for _, l := range i.Loads {
-			lookups, parts = lookups+l.Lookups, parts+l.Parts
+			queries, parts = queries+l.Queries, parts+l.Parts
 			e := l.Ends
 			ends += e.Satisfied + e.Late + e.Nacked + e.Aborted + e.Gone
 		}
-		for _, s := range i.Searchers {
+		for _, s := range i.Backends {
 			calls += s.Calls
 		}
 	}
-	return lookups, parts, calls, ends
+	return queries, parts, calls, ends
 }
 
 func TestARecorderCountsAllOnce(t *testing.T) {
-	list, lookups, parts, calls := played("n1", 1, 10)
-	gotLookups, gotParts, gotCalls, ends := total(list)
-	if gotLookups != lookups || gotParts != parts || gotCalls != calls || ends != lookups {
-		t.Fatalf("counted %d lookups, %d parts, %d calls, %d ends; there were %d, %d, %d, %d", gotLookups, gotParts, gotCalls, ends, lookups, parts, calls, lookups)
+	list, queries, parts, calls := played("n1", 1, 10)
+	gotQueries, gotParts, gotCalls, ends := total(list)
+	if gotQueries != queries || gotParts != parts || gotCalls != calls || ends != queries {
+		t.Fatalf("counted %d lookups, %d parts, %d calls, %d ends; there were %d, %d, %d, %d", gotQueries, gotParts, gotCalls, ends, queries, parts, calls, queries)
 	}
 	if n := len(list); n < 10 || n > 11 {
 		t.Fatalf("%d intervals in 10 s", n)
@@ -159,8 +159,8 @@
 	if l, p, c, _ := total(both.Intervals); l != l1+l2 || p != p1+p2 || c != c1+c2 {
 		t.Fatalf("merged %d, %d, %d of %d, %d, %d", l, p, c, l1+l2, p1+p2, c1+c2)
 	}
-	if len(both.Intervals) < 3 || len(both.Intervals) > 4 || len(both.Intervals[0].Mixers) != 2 {
-		t.Fatalf("got %d intervals of %v", len(both.Intervals), both.Intervals[0].Mixers)
+	if len(both.Intervals) < 3 || len(both.Intervals) > 4 || len(both.Intervals[0].Aggregators) != 2 {
+		t.Fatalf("got %d intervals of %v", len(both.Intervals), both.Intervals[0].Aggregators)
 	}
 	sum := both.Sum()
 	if l, p, _, _ := total([]Interval{sum}); l != l1+l2 || p != p1+p2 {
@@ -188,11 +188,11 @@
 	if err := s.Make(func(i *Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	lookups, parts, _, _ := total(c.Intervals)
+	queries, parts, _, _ := total(c.Intervals)
 	want := 86400 * 10.0
 	want += 2 * 600 * 10 * (0.5 + 3900.0/43200) // the burst, on the day's rising line
-	if got := float64(lookups); math.Abs(got-want) > 0.01*want || math.Abs(float64(parts)-3.4*got) > 0.02*3.4*got {
-		t.Fatalf("%d lookups of %d parts, expected about %.0f", lookups, parts, want)
+	if got := float64(queries); math.Abs(got-want) > 0.01*want || math.Abs(float64(parts)-3.4*got) > 0.02*3.4*got {
+		t.Fatalf("%d lookups of %d parts, expected about %.0f", queries, parts, want)
 	}
 	sum := c.Sum()
 	by := map[int]int64{}
--- a/internal/operators/capture/files.go
+++ b/internal/operators/capture/files.go
@@ -24,7 +24,7 @@
 	mostWaiting = 60
 )
 
-// Store is where a mixer's captures go.
+// Store is where an aggregator's captures go.
 type Store struct {
 	Directory string
 	MostBytes int64         // of all files there
--- a/internal/operators/capture/histogram.go
+++ b/internal/operators/capture/histogram.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// unit is what histograms count in, seconds. A part that is faster waits mostly for the mixer's steps.
+// unit is what histograms count in, seconds. A part that is faster waits mostly for the aggregator's steps.
 const unit = 1e-4
 
 // longest is the longest time that a histogram tells apart, seconds; above any hard deadline.
@@ -15,7 +15,7 @@
 // Hist is a histogram of times. The zero value is empty.
 type Hist struct{ of *hdrhistogram.Histogram }
 
-// newHist makes one with so many significant digits: 2 for an index (14 KiB), 1 for a searcher, of which there may be
+// newHist makes one with so many significant digits: 2 for an index (14 KiB), 1 for a backend, of which there may be
 // a thousand (2 KiB).
 func newHist(digits int) Hist {
 	return Hist{hdrhistogram.New(1, int64(longest/unit), digits)}
--- a/internal/operators/capture/load.go
+++ b/internal/operators/capture/load.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Ends counts how lookups ended.
+// Ends counts how queries ended.
 type Ends struct {
 	Satisfied int64 `json:"Satisfied"` // within the soft deadline
 	Late      int64 `json:"Late"`      // answered after it
@@ -28,7 +28,7 @@
 type Load struct {
 	Index    string  `json:"Index"`
 	Customer string  `json:"Customer"`
-	Lookups  int64   `json:"Lookups"`
+	Queries  int64   `json:"Lookups"`
 	Resent   int64   `json:"Resent"` // marked as tries again by their clients
 	Parts    int64   `json:"Parts"`
 	Hint     float64 `json:"Hint"` // work hinted at, seconds in all
@@ -38,8 +38,8 @@
 // IndexLoad is what came of an index.
 type IndexLoad struct {
 	Index   string        `json:"Index"`
-	Parts   map[int]int64 `json:"Parts"`   // lookups by their number of parts
-	Latency Hist          `json:"Latency"` // of answered lookups
+	Parts   map[int]int64 `json:"Parts"`   // queries by their number of parts
+	Latency Hist          `json:"Latency"` // of answered queries
 }
 
 // ShardLoad is how often a shard was asked for.
@@ -49,16 +49,16 @@
 	Parts int64  `json:"Parts"`
 }
 
-// SearcherLoad is what came of the part calls of one index to one searcher.
-type SearcherLoad struct {
-	Searcher   string  `json:"Searcher"`
+// BackendLoad is what came of the part calls of one index to one backend.
+type BackendLoad struct {
+	Backend    string  `json:"Searcher"`
 	Location   string  `json:"Location"`
 	Index      string  `json:"Index"`
 	Calls      int64   `json:"Calls"`
 	Failed     int64   `json:"Failed"` // errors, broken and lost calls
 	TurnedAway int64   `json:"TurnedAway"`
 	Latency    Hist    `json:"Latency"`
-	Alone      Hist    `json:"Alone"`   // of calls that found nothing else of this mixer there: near the work of a part
+	Alone      Hist    `json:"Alone"`   // of calls that found nothing else of this aggregator there: near the work of a part
 	Reports    int64   `json:"Reports"` // load reports heard
 	Service    float64 `json:"Service"` // sum of the service times that they told, seconds
 	Util       float64 `json:"Util"`    // sum of the use that they told
@@ -70,17 +70,17 @@
 	Most int64   `json:"Most"`
 }
 
-// Interval is what one or several mixers saw in a span of time.
+// Interval is what one or several aggregators saw in a span of time.
 type Interval struct {
-	At        float64        `json:"At"`   // Unix seconds
-	Span      float64        `json:"Span"` // seconds
-	Mixers    []string       `json:"Mixers"`
-	Loads     []Load         `json:"Loads"`
-	Indexes   []IndexLoad    `json:"Indexes"`
-	Shards    []ShardLoad    `json:"Shards"`
-	Searchers []SearcherLoad `json:"Searchers"`
-	Held      Level          `json:"Held"` // lookups
-	Out       Level          `json:"Out"`  // part calls
+	At          float64       `json:"At"`   // Unix seconds
+	Span        float64       `json:"Span"` // seconds
+	Aggregators []string      `json:"Mixers"`
+	Loads       []Load        `json:"Loads"`
+	Indexes     []IndexLoad   `json:"Indexes"`
+	Shards      []ShardLoad   `json:"Shards"`
+	Backends    []BackendLoad `json:"Searchers"`
+	Held        Level         `json:"Held"` // queries
+	Out         Level         `json:"Out"`  // part calls
 }
 
 func (i *Interval) sort() {
@@ -89,7 +89,7 @@
 	})
 	slices.SortFunc(i.Indexes, func(x, y IndexLoad) int { return cmp.Compare(x.Index, y.Index) })
 	slices.SortFunc(i.Shards, func(x, y ShardLoad) int { return cmp.Or(cmp.Compare(x.Index, y.Index), cmp.Compare(x.Shard, y.Shard)) })
-	slices.SortFunc(i.Searchers, func(x, y SearcherLoad) int {
-		return cmp.Or(cmp.Compare(x.Searcher, y.Searcher), cmp.Compare(x.Index, y.Index))
+	slices.SortFunc(i.Backends, func(x, y BackendLoad) int {
+		return cmp.Or(cmp.Compare(x.Backend, y.Backend), cmp.Compare(x.Index, y.Index))
 	})
 }
--- a/internal/operators/capture/merge.go
+++ b/internal/operators/capture/merge.go
@@ -8,22 +8,22 @@
 // Capture is a series of intervals, by time.
 type Capture struct{ Intervals []Interval }
 
-// Merge puts the captures of several mixers into one, with intervals of span seconds. What falls into one interval is
-// summed; what crosses a border counts where it begins. The error says that a mixer's time is in two captures.
+// Merge puts the captures of several aggregators into one, with intervals of span seconds. What falls into one interval is
+// summed; what crosses a border counts where it begins. The error says that an aggregator's time is in two captures.
 func Merge(span float64, captures ...Capture) (Capture, error) {
 	if !(span > 0) {
 		return Capture{}, invalid("intervals of %g s, expected more than none", span)
 	}
 	type key struct {
-		mixer string
-		at    float64
+		aggregator string
+		at         float64
 	}
 	seen := map[key]bool{}
 	byTime := map[int64]*summing{}
 	for _, c := range captures {
 		for n := range c.Intervals {
 			i := &c.Intervals[n]
-			for _, m := range i.Mixers {
+			for _, m := range i.Aggregators {
 				k := key{m, i.At}
 				if seen[k] {
 					return Capture{}, invalid("mixer %s has two intervals at %.3f: the same capture was given twice", m, i.At)
@@ -56,9 +56,9 @@
 // otherwise be looked through for each other.
 type summing struct {
 	Interval
-	loads, searchers map[[2]string]int
-	indexes          map[string]int
-	shards           map[shardKey]int
+	loads, backends map[[2]string]int
+	indexes         map[string]int
+	shards          map[shardKey]int
 }
 
 type shardKey struct {
@@ -81,19 +81,19 @@
 	return &(*rows)[n]
 }
 
-// add sums an interval in. Held and out of several mixers add up, means weighed by their spans.
+// add sums an interval in. Held and out of several aggregators add up, means weighed by their spans.
 func (i *summing) add(o *Interval) {
-	for _, m := range o.Mixers {
-		if !slices.Contains(i.Mixers, m) {
-			i.Mixers = append(i.Mixers, m)
+	for _, m := range o.Aggregators {
+		if !slices.Contains(i.Aggregators, m) {
+			i.Aggregators = append(i.Aggregators, m)
 		}
 	}
-	slices.Sort(i.Mixers)
+	slices.Sort(i.Aggregators)
 	i.Held = Level{i.Held.Mean + o.Held.Mean*o.Span/i.Span, i.Held.Most + o.Held.Most}
 	i.Out = Level{i.Out.Mean + o.Out.Mean*o.Span/i.Span, i.Out.Most + o.Out.Most}
 	for _, l := range o.Loads {
 		x := row(&i.Loads, i.loads, [2]string{l.Index, l.Customer}, Load{Index: l.Index, Customer: l.Customer})
-		x.Lookups += l.Lookups
+		x.Queries += l.Queries
 		x.Resent += l.Resent
 		x.Parts += l.Parts
 		x.Hint += l.Hint
@@ -101,16 +101,16 @@
 	}
 	for _, l := range o.Indexes {
 		x := row(&i.Indexes, i.indexes, l.Index, IndexLoad{Index: l.Index, Parts: map[int]int64{}})
-		for parts, lookups := range l.Parts {
-			x.Parts[parts] += lookups
+		for parts, queries := range l.Parts {
+			x.Parts[parts] += queries
 		}
 		x.Latency.Merge(l.Latency)
 	}
 	for _, s := range o.Shards {
 		row(&i.Shards, i.shards, shardKey{s.Index, s.Shard}, ShardLoad{Index: s.Index, Shard: s.Shard}).Parts += s.Parts
 	}
-	for _, s := range o.Searchers {
-		x := row(&i.Searchers, i.searchers, [2]string{s.Searcher, s.Index}, SearcherLoad{Searcher: s.Searcher, Location: s.Location, Index: s.Index})
+	for _, s := range o.Backends {
+		x := row(&i.Backends, i.backends, [2]string{s.Backend, s.Index}, BackendLoad{Backend: s.Backend, Location: s.Location, Index: s.Index})
 		x.Calls += s.Calls
 		x.Failed += s.Failed
 		x.TurnedAway += s.TurnedAway
--- a/internal/operators/capture/synth.go
+++ b/internal/operators/capture/synth.go
@@ -9,7 +9,7 @@
 // Synth is a load that nobody has captured, as it is stated. Times are seconds.
 type Synth struct {
 	At, For, Span float64 // begins, lasts, one interval
-	PerS          float64 // lookups, in the mean
+	PerS          float64 // queries, in the mean
 	Indexes       []SynthIndex
 	Shards        int
 	Skew          float64   // of popularity: shard of rank r is asked for as 1 / r^Skew
@@ -22,7 +22,7 @@
 // SynthIndex is one index of it.
 type SynthIndex struct {
 	Index, Customer string
-	Share           float64 // of lookups
+	Share           float64 // of queries
 	Parts           int
 	Hint            float64 // work of a part
 }
@@ -118,16 +118,16 @@
 	}
 	for n := 0; float64(n)*s.Span < s.For-1e-9; n++ {
 		t := float64(n) * s.Span
-		i := Interval{At: s.At + t, Span: s.Span, Mixers: []string{"synth"}}
+		i := Interval{At: s.At + t, Span: s.Span, Aggregators: []string{"synth"}}
 		rate := s.PerS * s.factor(t+s.Span/2)
 		for k, x := range s.Indexes {
-			lookups := around(&g, rate*x.Share*s.Span)
-			if lookups == 0 {
+			queries := around(&g, rate*x.Share*s.Span)
+			if queries == 0 {
 				continue
 			}
-			parts := lookups * int64(x.Parts)
-			i.Loads = append(i.Loads, Load{Index: x.Index, Customer: x.Customer, Lookups: lookups, Parts: parts, Hint: x.Hint * float64(parts)})
-			i.Indexes = append(i.Indexes, IndexLoad{Index: x.Index, Parts: map[int]int64{x.Parts: lookups}})
+			parts := queries * int64(x.Parts)
+			i.Loads = append(i.Loads, Load{Index: x.Index, Customer: x.Customer, Queries: queries, Parts: parts, Hint: x.Hint * float64(parts)})
+			i.Indexes = append(i.Indexes, IndexLoad{Index: x.Index, Parts: map[int]int64{x.Parts: queries}})
 			for shard, share := range popular {
 				owed := left[k][shard] + float64(parts)*share
 				if whole := math.Floor(owed); whole > 0 {
--- a/internal/operators/controller/controller.go
+++ b/internal/operators/controller/controller.go
@@ -109,7 +109,7 @@
 // Put takes what the register tells. What is known at the start may be taken before Run, by Settle.
 func (c *Controller) Put(events ...aggregator.Event) { c.in.Put(note{kind: listCame, events: events}) }
 
-// Settle does at once all that waits, so that the module hears of what holds before its first lookup. Run has not begun.
+// Settle does at once all that waits, so that the module hears of what holds before its first query. Run has not begun.
 func (c *Controller) Settle() { c.work(nil) }
 
 // Do sends a command; its result comes once it is kept. A full controller refuses it at once.
@@ -139,9 +139,9 @@
 	return v
 }
 
-// Explain says why parts of a shard go to a searcher or not.
-func (c *Controller) Explain(s policy.ShardID, index, searcher string) (e override.Explanation, err error) {
-	c.asks(func(c *Controller) { e, err = c.table.Explain(s, index, searcher) })
+// Explain says why parts of a shard go to a backend or not.
+func (c *Controller) Explain(s policy.ShardID, index, backend string) (e override.Explanation, err error) {
+	c.asks(func(c *Controller) { e, err = c.table.Explain(s, index, backend) })
 	return e, err
 }
 
@@ -232,7 +232,7 @@
 	}
 	members := make([]override.Member, len(e.Entries))
 	for i, r := range e.Entries {
-		members[i] = override.Member{Name: e.Names[i].Searcher, ID: r.Searcher, Location: e.Names[i].Location, Cell: r.Cell,
+		members[i] = override.Member{Name: e.Names[i].Backend, ID: r.Backend, Location: e.Names[i].Location, Cell: r.Cell,
 			Phase: r.Phase, Share: r.Share, Started: r.StartedAt}
 	}
 	c.ends(c.table.List(c.Now(), e.List != policy.ListPatch, members))
--- a/internal/operators/controller/controller_test.go
+++ b/internal/operators/controller/controller_test.go
@@ -44,12 +44,12 @@
 func (r *fixture) list(phase policy.Phase) {
 	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}}
 	for i := range 4 {
-		entry := policy.Entry{Searcher: policy.SearcherID(i + 1), Cell: policy.CellID(i % 2)}
+		entry := policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 2)}
 		if i == 0 {
 			entry.Phase = phase
 		}
 		e.Entries = append(e.Entries, entry)
-		e.Addresses, e.Names = append(e.Addresses, "x:1"), append(e.Names, aggregator.Name{Searcher: fmt.Sprint("s-", i), Location: "north"})
+		e.Addresses, e.Names = append(e.Addresses, "x:1"), append(e.Names, aggregator.Name{Backend: fmt.Sprint("s-", i), Location: "north"})
 	}
 	r.Put(e)
 }
@@ -64,7 +64,7 @@
 }
 
 func out(revision override.Revision) override.Command {
-	return override.Command{For: revision, Spec: override.Spec{Kind: override.Out, Searcher: "s-0", Author: "ann", Reason: "slow", End: float64(time.Now().Unix() + 60)}}
+	return override.Command{For: revision, Spec: override.Spec{Kind: override.Out, Backend: "s-0", Author: "ann", Reason: "slow", End: float64(time.Now().Unix() + 60)}}
 }
 
 // While a disk keeps a command waiting, the list goes on to the module; what the disk refuses does not hold.
@@ -92,7 +92,7 @@
 	if res := <-third; res.Err != nil || res.Change.Revision != 2 {
 		t.Fatalf("got %+v", res)
 	}
-	if e := r.event(policy.OverridesChanged); len(e.Override.Searchers) != 1 || !e.Override.Searchers[0].Out {
+	if e := r.event(policy.OverridesChanged); len(e.Override.Backends) != 1 || !e.Override.Backends[0].Out {
 		t.Fatalf("got %+v", e.Override)
 	}
 }
@@ -106,14 +106,14 @@
 	r.event(policy.OverridesChanged)
 	r.list(policy.Gone)
 	r.event(policy.ListChanged)
-	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Searcher: 9}}}, Addresses: []string{"x:2"},
-		Names: []aggregator.Name{{Searcher: "s-0", Location: "north"}}}
+	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Backend: 9}}}, Addresses: []string{"x:2"},
+		Names: []aggregator.Name{{Backend: "s-0", Location: "north"}}}
 	r.Put(e)
 	r.event(policy.ListChanged)
 	if len(r.told.Rest()) == 0 {
 		t.Fatal("the list came alone")
 	}
-	if e := r.event(policy.OverridesChanged); e.Override.Searchers[0].Searcher != 9 || !e.Override.Searchers[0].Out {
+	if e := r.event(policy.OverridesChanged); e.Override.Backends[0].Backend != 9 || !e.Override.Backends[0].Out {
 		t.Fatalf("got %+v", e.Override)
 	}
 }
--- a/internal/operators/controller/watcher.go
+++ b/internal/operators/controller/watcher.go
@@ -41,7 +41,7 @@
 		zap.String("what", change.What.String()),
 		zap.Uint64("override", uint64(o.ID)),
 		zap.Stringer("kind", o.Kind),
-		zap.String("searcher", o.Searcher),
+		zap.String("searcher", o.Backend),
 		zap.String("location", o.Location),
 		zap.String("index", o.Index),
 		zap.String("author", change.Author),
--- a/internal/operators/operatorfile/fleet.go
+++ b/internal/operators/operatorfile/fleet.go
@@ -8,13 +8,13 @@
 // Roster is that of the file.
 func (f *Fleet) Roster() membership.Roster {
 	r := membership.Roster{Version: f.Version}
-	for _, m := range f.Mixers {
+	for _, m := range f.Aggregators {
 		r.Members = append(r.Members, membership.Member{Name: membership.Name(m.Name), Address: m.Address, Location: m.Location, Votes: m.Votes})
 	}
 	return r
 }
 
-// wholeFleet checks what no key of fleet, quotas and contracts can tell alone. What the mixer's settings know of zones,
+// wholeFleet checks what no key of fleet, quotas and contracts can tell alone. What the aggregator's settings know of zones,
 // tenants and indexes is checked where it starts.
 func (r *reader) wholeFleet() {
 	f, q, c := &r.file.Fleet, &r.file.Quotas, &r.file.Contracts
@@ -46,7 +46,7 @@
 			r.failLine(t.Line, "quotas: tenant %q, expected a name that no other quota here has", t.Tenant)
 		}
 		seen[t.Tenant] = true
-		if wrong, _ := t.Quota().Check(len(f.Mixers)); wrong != "" {
+		if wrong, _ := t.Quota().Check(len(f.Aggregators)); wrong != "" {
 			r.failLine(t.Line, "quotas: tenant %q: %s", t.Tenant, wrong)
 		}
 	}
@@ -68,7 +68,7 @@
 // Warnings tells of what is allowed and may not be meant, a line each.
 func (f *File) Warnings() (list []string) {
 	for _, t := range f.Quotas.Tenants {
-		if _, warn := t.Quota().Check(len(f.Fleet.Mixers)); warn != "" {
+		if _, warn := t.Quota().Check(len(f.Fleet.Aggregators)); warn != "" {
 			list = append(list, "quotas: tenant "+t.Tenant+": "+warn)
 		}
 	}
--- a/internal/operators/operatorfile/keys.go
+++ b/internal/operators/operatorfile/keys.go
@@ -121,11 +121,11 @@
 		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Fleet.Directory })},
 		{name: "lease_s", kind: number, take: within(func(f *File) *float64 { return &f.Fleet.Lease }, leastLease, mostLease)},
 		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Fleet.Version }, 1<<30)},
-		{name: "mixers", kind: listing, begin: func(f *File, _ int) { f.Fleet.Mixers = append(f.Fleet.Mixers, Mixer{}) }, keys: []key{
-			{name: "name", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Mixers).Name })},
-			{name: "address", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Mixers).Address })},
-			{name: "location", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Mixers).Location })},
-			{name: "votes", kind: flag, take: truth(func(f *File) *bool { return &last(f.Fleet.Mixers).Votes })},
+		{name: "mixers", kind: listing, begin: func(f *File, _ int) { f.Fleet.Aggregators = append(f.Fleet.Aggregators, Aggregator{}) }, keys: []key{
+			{name: "name", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Aggregators).Name })},
+			{name: "address", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Aggregators).Address })},
+			{name: "location", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Aggregators).Location })},
+			{name: "votes", kind: flag, take: truth(func(f *File) *bool { return &last(f.Fleet.Aggregators).Votes })},
 		}},
 	}},
 	{name: "quotas", kind: object, begin: func(f *File, line int) { f.Quotas.On, f.Quotas.Line = true, line }, keys: []key{
--- a/internal/operators/operatorfile/operatorfile.go
+++ b/internal/operators/operatorfile/operatorfile.go
@@ -20,19 +20,19 @@
 	Contracts Contracts `json:"Contracts"`
 }
 
-// Fleet sets how mixers act together. Times are seconds.
+// Fleet sets how aggregators act together. Times are seconds.
 type Fleet struct {
-	On        bool    `json:"On"`
-	Line      int     `json:"Line"`
-	KeyFile   string  `json:"KeyFile"`
-	Directory string  `json:"Directory"`
-	Lease     float64 `json:"Lease"`
-	Version   int     `json:"Version"` // of the roster
-	Mixers    []Mixer `json:"Mixers"`
+	On          bool         `json:"On"`
+	Line        int          `json:"Line"`
+	KeyFile     string       `json:"KeyFile"`
+	Directory   string       `json:"Directory"`
+	Lease       float64      `json:"Lease"`
+	Version     int          `json:"Version"` // of the roster
+	Aggregators []Aggregator `json:"Mixers"`
 }
 
-// Mixer is one of the roster.
-type Mixer struct {
+// Aggregator is one of the roster.
+type Aggregator struct {
 	Name     string `json:"Name"`
 	Address  string `json:"Address"`
 	Location string `json:"Location"`
@@ -47,7 +47,7 @@
 	Tenants []Quota `json:"Tenants"`
 }
 
-// Quota is one tenant's over all mixers: lookups a second, and at once.
+// Quota is one tenant's over all aggregators: queries a second, and at once.
 type Quota struct {
 	Line   int     `json:"Line"`
 	Tenant string  `json:"Tenant"`
@@ -56,7 +56,7 @@
 	Floor  float64 `json:"Floor"`
 }
 
-// Contracts say in which zones tenants' lookups are kept, as of a version that rises with each change.
+// Contracts say in which zones tenants' queries are kept, as of a version that rises with each change.
 type Contracts struct {
 	On      bool       `json:"On"`
 	Line    int        `json:"Line"`
@@ -148,15 +148,15 @@
 	texts   kind = "a list of strings"
 )
 
-// Caps of what may be asked for, each with its reason: a week is longer than any look into a searcher; more overrides
+// Caps of what may be asked for, each with its reason: a week is longer than any look into a backend; more overrides
 // or pins than these take more than 16 MB; a return slower than ten minutes is an outage.
 const (
 	mostHours = 168
 	most      = 100000
 	mostRamp  = 600
 	// A lease shorter than this is over before the next granter may grant; one longer than the other keeps what a dead
-	// mixer held from the others for minutes.
+	// aggregator held from the others for minutes.
 	leastLease, mostLease = 8, 300
-	// floorShare leaves a tenant 95% of its quota at one mixer of any fleet, less the slack of clocks.
+	// floorShare leaves a tenant 95% of its quota at one aggregator of any fleet, less the slack of clocks.
 	floorShare = 0.04
 )
--- a/internal/operators/operatorfile/operatorfile_test.go
+++ b/internal/operators/operatorfile/operatorfile_test.go
@@ -115,7 +115,7 @@
 	}
 	f, err := Parse([]byte(with(`"quotas": {"version": 3, "tenants": [{"tenant": "t", "per_s": 50, "burst": 20}]},
 		"contracts": {"version": 2, "strict": ["*"], "tenants": [{"tenant": "t", "zones": ["n", "s"], "mixers_too": true, "indexes": ["reads"]}]}`)))
-	if err != nil || !f.Fleet.On || len(f.Fleet.Mixers) != 4 || f.Fleet.Mixers[3].Votes || f.Fleet.Lease != 10 || f.Quotas.Tenants[0].Floor != floorShare ||
+	if err != nil || !f.Fleet.On || len(f.Fleet.Aggregators) != 4 || f.Fleet.Aggregators[3].Votes || f.Fleet.Lease != 10 || f.Quotas.Tenants[0].Floor != floorShare ||
 		!f.Contracts.Tenants[0].Own || len(f.Contracts.Tenants[0].Zones) != 2 || f.Contracts.Strict[0] != "*" {
 		t.Fatalf("%+v, %v", f, err)
 	}
--- a/internal/operators/override/bench_test.go
+++ b/internal/operators/override/bench_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// fleet is a table of 1,000 searchers with so many overrides: weights, outs and pins by turns.
+// fleet is a table of 1,000 backends with so many overrides: weights, outs and pins by turns.
 func fleet(tb testing.TB, overrides int) *Table {
 	lim := Defaults()
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads", "orders"}, 5000, 500, 1
@@ -16,11 +16,11 @@
 	b := New(lim)
 	var list []Member
 	for i := range 1000 {
-		list = append(list, Member{Name: name(i), ID: policy.SearcherID(i + 1), Location: name(i % 10), Cell: policy.CellID(i % 500)})
+		list = append(list, Member{Name: name(i), ID: policy.BackendID(i + 1), Location: name(i % 10), Cell: policy.CellID(i % 500)})
 	}
 	b.List(0, true, list)
 	for i := range overrides {
-		s := Spec{Searcher: name(i % 1000), Author: "ann", Reason: "slow", End: 1000 + float64(i)}
+		s := Spec{Backend: name(i % 1000), Author: "ann", Reason: "slow", End: 1000 + float64(i)}
 		switch i % 3 {
 		case 0:
 			s.Kind, s.Factor = Weight, 0.9
@@ -62,7 +62,7 @@
 			began := time.Now()
 			for n := range 20 {
 				now += 0.001
-				change := set(b, table, Spec{Kind: Weight, Searcher: name(n), Factor: 0.5, Author: "ann", Reason: "slow", End: 900})
+				change := set(b, table, Spec{Kind: Weight, Backend: name(n), Factor: 0.5, Author: "ann", Reason: "slow", End: 900})
 				table.Patch(now)
 				cleared, _, err := table.Decide(now, &Command{For: table.Revision(), Op: Clear, ID: change.Override.ID, Author: "ann", Reason: "done"})
 				if err != nil {
--- a/internal/operators/override/decide.go
+++ b/internal/operators/override/decide.go
@@ -21,7 +21,7 @@
 	spec := &c.Spec
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %d %d %q %q %t %g ", c.Op, c.For, c.ID, c.Author, c.Reason, c.Force, c.Lasts)
-	fmt.Fprintf(hash, specDigestFormat, spec.Kind, spec.Searcher, spec.Location, spec.From, spec.To, spec.Index, spec.Factor,
+	fmt.Fprintf(hash, specDigestFormat, spec.Kind, spec.Backend, spec.Location, spec.From, spec.To, spec.Index, spec.Factor,
 		spec.Strict, spec.Author, spec.Reason, spec.End, spec.UntilRestart)
 	return hash.Sum64()
 }
@@ -90,7 +90,7 @@
 	switch {
 	case int(o.Kind) >= len(kindNames):
 		return refuse(Invalid, "kind %d, expected weight, out or pin", o.Kind)
-	case (o.Searcher == "") == (o.Location == ""):
+	case (o.Backend == "") == (o.Location == ""):
 		return refuse(Invalid, "expected either a searcher or a location")
 	case o.Index != "" && !known:
 		return refuse(Invalid, "index %q is not one of %q", o.Index, t.lim.Indexes)
@@ -98,7 +98,7 @@
 		return refuse(Invalid, "weight is %g, expected over 0 and up to 1; for none at all take it out", o.Factor)
 	case o.Kind != Weight && o.Factor != 0:
 		return refuse(Invalid, "a weight is stated for %s", o.Kind)
-	case o.Kind == Pin && o.Searcher == "":
+	case o.Kind == Pin && o.Backend == "":
 		return refuse(Invalid, "a pin goes to a searcher, not to a location")
 	case o.Kind == Pin && (o.From < 0 || o.To < o.From || int(o.To) >= t.lim.Shards):
 		return refuse(Invalid, "shards %d to %d, expected some from 0 to %d", o.From, o.To, t.lim.Shards-1)
@@ -114,7 +114,7 @@
 		return refuse(TooMany, "%d shards are pinned, %d more would be over %d", t.pinned, cover, t.lim.MostPins)
 	}
 	if o.UntilRestart {
-		m := t.members[o.Searcher]
+		m := t.members[o.Backend]
 		if m == nil || !m.listed {
 			return refuse(Invalid, "until restart needs one searcher that is listed, as its start must be known")
 		}
@@ -128,15 +128,15 @@
 	add := func(code Code, format string, args ...any) {
 		list = append(list, &Refusal{code, fmt.Sprintf(format, args...)})
 	}
-	switch m := t.members[o.Searcher]; {
+	switch m := t.members[o.Backend]; {
 	case o.Location != "" && (t.places[o.Location] == nil || len(t.places[o.Location].members) == 0):
 		add(Absent, "no listed searcher stands at %q", o.Location)
-	case o.Searcher != "" && (m == nil || !m.listed):
-		add(Absent, "the list does not name %q: the override would wait for it", o.Searcher)
+	case o.Backend != "" && (m == nil || !m.listed):
+		add(Absent, "the list does not name %q: the override would wait for it", o.Backend)
 	case o.Kind == Pin:
 		for s := o.From; s <= o.To; s++ {
 			if !t.holds(m, s) {
-				add(NoHolder, "%q holds no shard %d: the pin would have no effect there", o.Searcher, s)
+				add(NoHolder, "%q holds no shard %d: the pin would have no effect there", o.Backend, s)
 				break
 			}
 		}
@@ -149,8 +149,8 @@
 // capacity checks what an out or a weight leaves of the shards and locations that it concerns.
 func (t *Table) capacity(o *Override) (list []*Refusal) {
 	concerned := map[string]*member{}
-	if o.Searcher != "" {
-		concerned[o.Searcher] = t.members[o.Searcher]
+	if o.Backend != "" {
+		concerned[o.Backend] = t.members[o.Backend]
 	} else {
 		for name, m := range t.places[o.Location].members {
 			concerned[name] = m
@@ -221,10 +221,10 @@
 	return list
 }
 
-// tally sums the capacity of some searchers that serve.
+// tally sums the capacity of some backends that serve.
 type tally struct {
 	all, kept  float64
-	used, left int // searchers that take anything before, and after
+	used, left int // backends that take anything before, and after
 	worse      bool
 }
 
@@ -248,7 +248,7 @@
 	return 1 - t.kept/t.all
 }
 
-// size is a searcher's capacity against others'.
+// size is a backend's capacity against others'.
 func size(m *member) float64 {
 	if m.Share > 0 {
 		return m.Share
--- a/internal/operators/override/members.go
+++ b/internal/operators/override/members.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-// List takes what the list says: all of it, or what changed. It tells which overrides ended by a searcher's restart;
+// List takes what the list says: all of it, or what changed. It tells which overrides ended by a backend's restart;
 // they have ended already.
 func (t *Table) List(now float64, whole bool, entries []Member) (ended []Change) {
 	if whole {
@@ -47,7 +47,7 @@
 	return ended
 }
 
-// unlist takes a searcher off the list. Its overrides stand and wait for its name.
+// unlist takes a backend off the list. Its overrides stand and wait for its name.
 func (t *Table) unlist(m *member) {
 	m.drained = m.Phase == policy.Draining && len(m.pins) > 0
 	m.listed, m.Phase = false, policy.Gone
@@ -106,7 +106,7 @@
 	delete(t.members, m.Name)
 }
 
-// holders lists the listed searchers that hold a shard.
+// holders lists the listed backends that hold a shard.
 func (t *Table) holders(s policy.ShardID, each func(*member)) {
 	for j := range min(t.lim.Width, t.lim.Cells) {
 		for _, m := range t.byCell[policy.CellID((int(s)+j)%t.lim.Cells)] {
@@ -115,7 +115,7 @@
 	}
 }
 
-// holds tells whether a searcher holds a shard.
+// holds tells whether a backend holds a shard.
 func (t *Table) holds(m *member, s policy.ShardID) bool {
 	behind := (int(m.Cell) - int(s)) % t.lim.Cells
 	return m.listed && (behind+t.lim.Cells)%t.lim.Cells < t.lim.Width
--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -1,4 +1,4 @@
-// Package override decides what operators' overrides do: weights, searchers out of service and pins. Clock, commands
+// Package override decides what operators' overrides do: weights, backends out of service and pins. Clock, commands
 // and lists go in; a patch for the decision module, and what changed, come out. It does no I/O, has no clock and no
 // goroutine. A command is decided, then kept by whoever keeps it, then applied: between the two nothing has changed.
 //
@@ -23,9 +23,9 @@
 
 // The kinds of overrides.
 const (
-	Weight Kind = iota // a factor on the share of a searcher or of all at a location
+	Weight Kind = iota // a factor on the share of a backend or of all at a location
 	Out                // no new part call there
-	Pin                // a range of shards goes to one searcher alone
+	Pin                // a range of shards goes to one backend alone
 )
 
 var kindNames = [...]string{"weight", "out", "pin"}
@@ -49,20 +49,20 @@
 	return 0, UnknownKindError(name)
 }
 
-// Spec is what an operator wants. Exactly one of Searcher and Location is stated; times are the clock's seconds.
+// Spec is what an operator wants. Exactly one of Backend and Location is stated; times are the clock's seconds.
 type Spec struct {
 	Kind         Kind           `json:"Kind"`
-	Searcher     string         `json:"Searcher"`
-	Location     string         `json:"Location"` // instead of a searcher: all there; not for a pin
+	Backend      string         `json:"Searcher"`
+	Location     string         `json:"Location"` // instead of a backend: all there; not for a pin
 	From         policy.ShardID `json:"From"`     // Pin: the first shard
 	To           policy.ShardID `json:"To"`       // Pin: the last shard
 	Index        string         `json:"Index"`    // of which alone; "" for every one
 	Factor       float64        `json:"Factor"`   // Weight: over 0 and up to 1
-	Strict       bool           `json:"Strict"`   // Pin: refused, not given to siblings, while its searcher is dead
+	Strict       bool           `json:"Strict"`   // Pin: refused, not given to siblings, while its backend is dead
 	Author       string         `json:"Author"`
 	Reason       string         `json:"Reason"`
 	End          float64        `json:"End"`          // when it ends by itself
-	UntilRestart bool           `json:"UntilRestart"` // it ends earlier, with the next start of its searcher
+	UntilRestart bool           `json:"UntilRestart"` // it ends earlier, with the next start of its backend
 }
 
 // Override is one that holds.
@@ -136,7 +136,7 @@
 	LastHolder Code = "last_holder"    // a shard would be left with nobody
 	ShardShare Code = "shard_capacity" // too much of a shard's capacity would be gone
 	PlaceShare Code = "place_capacity" // too much of a location's capacity would be gone
-	NoHolder   Code = "not_a_holder"   // the searcher does not hold the shards of the pin
+	NoHolder   Code = "not_a_holder"   // the backend does not hold the shards of the pin
 	Absent     Code = "absent"         // the list does not name it
 )
 
@@ -155,10 +155,10 @@
 	return &Refusal{code, fmt.Sprintf(format, args...)}
 }
 
-// Member is a searcher as the list names it, in the list's own names.
+// Member is a backend as the list names it, in the list's own names.
 type Member struct {
 	Name     string
-	ID       policy.SearcherID
+	ID       policy.BackendID
 	Location string
 	Cell     policy.CellID
 	Phase    policy.Phase
@@ -177,8 +177,8 @@
 	MostPins  int      `json:"MostPins"`  // shards pinned at once, each counted as often as it is
 	ShardGone float64  `json:"ShardGone"` // share of a shard's capacity that overrides may take together
 	PlaceGone float64  `json:"PlaceGone"` // the same of a location's
-	Ramp      float64  `json:"Ramp"`      // how long one searcher alone takes to come back from nothing
-	Together  float64  `json:"Together"`  // share of all searchers, and of all shards, that may come back in a second
+	Ramp      float64  `json:"Ramp"`      // how long one backend alone takes to come back from nothing
+	Together  float64  `json:"Together"`  // share of all backends, and of all shards, that may come back in a second
 }
 
 // Defaults are what holds where the operator's file says nothing. A working day is the longest for which whoever set
--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -38,7 +38,7 @@
 }
 
 func (m *model) factor(name, index string) float64 {
-	at := func(o Override) bool { return o.Searcher == name }
+	at := func(o Override) bool { return o.Backend == name }
 	there := func(o Override) bool { return o.Location == m.list[name].Location }
 	f := 1.0
 	for _, match := range []func(Override) bool{there, at} {
@@ -63,26 +63,26 @@
 	return false
 }
 
-// pin is the searcher that a shard is pinned to; "" for none that acts.
+// pin is the backend that a shard is pinned to; "" for none that acts.
 func (m *model) pin(s policy.ShardID, index string) (to string) {
 	o := m.best(Pin, index, func(o Override) bool { return o.From <= s && s <= o.To })
 	if o == nil {
 		return ""
 	}
-	e, listed := m.list[o.Searcher]
+	e, listed := m.list[o.Backend]
 	switch {
-	case !listed && m.drops[o.Searcher], !listed && !o.Strict:
+	case !listed && m.drops[o.Backend], !listed && !o.Strict:
 		return ""
-	case listed && (e.Phase == policy.Draining || !holdsShard(e.Cell, s) || m.factor(o.Searcher, index) == 0):
+	case listed && (e.Phase == policy.Draining || !holdsShard(e.Cell, s) || m.factor(o.Backend, index) == 0):
 		return ""
 	}
-	return o.Searcher
+	return o.Backend
 }
 
-// forgetDrops: whether a searcher left by a drain counts for the pins that held then.
+// forgetDrops: whether a backend left by a drain counts for the pins that held then.
 func (m *model) forgetDrops() {
 	for name := range m.drops {
-		if !slices.ContainsFunc(m.held, func(o Override) bool { return o.Kind == Pin && o.Searcher == name }) {
+		if !slices.ContainsFunc(m.held, func(o Override) bool { return o.Kind == Pin && o.Backend == name }) {
 			delete(m.drops, name)
 		}
 	}
@@ -100,9 +100,9 @@
 	model
 	now     float64
 	indexes []string
-	told    map[policy.SearcherID]map[policy.IndexID]policy.SearcherOverride
+	told    map[policy.BackendID]map[policy.IndexID]policy.BackendOverride
 	pins    map[spot]policy.PinOverride
-	nextID  policy.SearcherID
+	nextID  policy.BackendID
 	err     error
 }
 
@@ -110,7 +110,7 @@
 	lim := Defaults()
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads", "orders"}, 4, cells, width
 	lim.MostTime, lim.Most = 100, 6
-	w := &world{Table: New(lim), now: 1000, indexes: lim.Indexes, told: map[policy.SearcherID]map[policy.IndexID]policy.SearcherOverride{},
+	w := &world{Table: New(lim), now: 1000, indexes: lim.Indexes, told: map[policy.BackendID]map[policy.IndexID]policy.BackendOverride{},
 		pins: map[spot]policy.PinOverride{}, model: model{list: map[string]Member{}, drops: map[string]bool{}}}
 	for i := range 4 {
 		w.phase(i, policy.Ready)
@@ -146,7 +146,7 @@
 		e.Started = w.now
 		w.list[name(i)] = e
 		w.heard(w.List(w.now, false, []Member{e}))
-		w.held = slices.DeleteFunc(w.held, func(o Override) bool { return o.UntilRestart && o.Searcher == e.Name && o.Started < w.now })
+		w.held = slices.DeleteFunc(w.held, func(o Override) bool { return o.UntilRestart && o.Backend == e.Name && o.Started < w.now })
 	}
 }
 
@@ -202,20 +202,20 @@
 	if patch == nil {
 		return
 	}
-	for _, s := range patch.Searchers {
-		if w.told[s.Searcher] == nil {
-			w.told[s.Searcher] = map[policy.IndexID]policy.SearcherOverride{}
+	for _, s := range patch.Backends {
+		if w.told[s.Backend] == nil {
+			w.told[s.Backend] = map[policy.IndexID]policy.BackendOverride{}
 		}
-		was, known := w.told[s.Searcher][s.Index]
+		was, known := w.told[s.Backend][s.Index]
 		if !known {
 			was.Weight = 1
 		} else if was.Out {
 			was.Weight = 0
 		}
 		if rise := s.Weight - was.Weight; !s.Out && rise > 0.13 {
-			w.fail("%d rises by %.2f at one blow", s.Searcher, rise)
+			w.fail("%d rises by %.2f at one blow", s.Backend, rise)
 		}
-		w.told[s.Searcher][s.Index] = s
+		w.told[s.Backend][s.Index] = s
 	}
 	for _, p := range patch.Pins {
 		w.pins[spot{p.Shard, p.Index}] = p
@@ -255,8 +255,8 @@
 			} else if listed && e.Phase == policy.Gone {
 				to = 0
 			}
-			if want != "" && got.Searcher != 0 && got.Searcher != to {
-				w.fail("shard %d, %s: pinned to %d, wanted %d", s, index, got.Searcher, to)
+			if want != "" && got.Backend != 0 && got.Backend != to {
+				w.fail("shard %d, %s: pinned to %d, wanted %d", s, index, got.Backend, to)
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 	for s := range policy.ShardID(4) {
 		for k, index := range w.indexes {
 			got, pin := w.pins[spot{s, policy.IndexID(k)}], w.pin(s, index)
-			if (pin != "") != (got.Searcher != 0) || pin != "" && got.Share != 1 {
+			if (pin != "") != (got.Backend != 0) || pin != "" && got.Share != 1 {
 				w.fail("shard %d, %s: settled at %+v, wanted %q", s, index, got, pin)
 			}
 		}
@@ -288,7 +288,7 @@
 // act is one thing out of a small alphabet.
 func (w *world) act(no int) {
 	i := no / 13 % 4
-	spec := Spec{Searcher: name(i), Author: "ann", Reason: "slow", End: w.now + 40}
+	spec := Spec{Backend: name(i), Author: "ann", Reason: "slow", End: w.now + 40}
 	switch no % 13 {
 	case 0:
 		spec.Kind = Out
@@ -301,9 +301,9 @@
 	case 4:
 		spec.Kind, spec.From, spec.To, spec.Strict, spec.Index = Pin, 2, 2, true, "reads"
 	case 5:
-		spec.Kind, spec.Searcher, spec.Location, spec.Factor = Weight, "", []string{"north", "south"}[i%2], 0.5
+		spec.Kind, spec.Backend, spec.Location, spec.Factor = Weight, "", []string{"north", "south"}[i%2], 0.5
 	case 6:
-		spec.Kind, spec.Searcher, spec.Location, spec.Index = Out, "", []string{"north", "south"}[i%2], "reads"
+		spec.Kind, spec.Backend, spec.Location, spec.Index = Out, "", []string{"north", "south"}[i%2], "reads"
 	case 7:
 		spec.Kind, spec.UntilRestart = Out, true
 	case 8:
@@ -354,7 +354,7 @@
 	}
 }
 
-// Every history of two things, each done to any searcher, and of three among those that share shards.
+// Every history of two things, each done to any backend, and of three among those that share shards.
 func TestEveryShortHistory(t *testing.T) {
 	for a := range 52 {
 		for b := range 52 {
@@ -396,7 +396,7 @@
 }
 
 func TestGuardRailsAndBadCommands(t *testing.T) {
-	good := Spec{Searcher: "s-0", Author: "ann", Reason: "slow", End: 1040}
+	good := Spec{Backend: "s-0", Author: "ann", Reason: "slow", End: 1040}
 	for want, c := range map[string]struct {
 		code   Code
 		change func(*Spec, *world)
@@ -413,13 +413,13 @@
 		"ends NaN":                {Invalid, func(s *Spec, _ *world) { s.End = math.NaN() }},
 		"shards 3 to 9":           {Invalid, func(s *Spec, _ *world) { s.Kind, s.Factor, s.From, s.To = Pin, 0, 3, 9 }},
 		"belong to a pin":         {Invalid, func(s *Spec, _ *world) { s.Strict = true }},
-		"does not name \"s-9\"":   {Absent, func(s *Spec, _ *world) { s.Searcher = "s-9" }},
+		"does not name \"s-9\"":   {Absent, func(s *Spec, _ *world) { s.Backend = "s-9" }},
 		"holds no shard 1":        {NoHolder, func(s *Spec, _ *world) { s.Kind, s.Factor, s.From, s.To = Pin, 0, 0, 1 }},
-		"no listed searcher":      {Absent, func(s *Spec, _ *world) { s.Searcher, s.Location = "", "west" }},
-		"nobody who serves":       {LastHolder, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Kind, s.Factor, s.Searcher = Out, 0, "s-1" }},
-		"of shard":                {ShardShare, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Factor, s.Searcher = 0.3, "s-1" }},
-		"of location":             {PlaceShare, func(s *Spec, _ *world) { s.Searcher, s.Location, s.Factor = "", "north", 0.4 }},
-		"needs one searcher":      {Invalid, func(s *Spec, _ *world) { s.Searcher, s.UntilRestart = "s-9", true }},
+		"no listed searcher":      {Absent, func(s *Spec, _ *world) { s.Backend, s.Location = "", "west" }},
+		"nobody who serves":       {LastHolder, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Kind, s.Factor, s.Backend = Out, 0, "s-1" }},
+		"of shard":                {ShardShare, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Factor, s.Backend = 0.3, "s-1" }},
+		"of location":             {PlaceShare, func(s *Spec, _ *world) { s.Backend, s.Location, s.Factor = "", "north", 0.4 }},
+		"needs one searcher":      {Invalid, func(s *Spec, _ *world) { s.Backend, s.UntilRestart = "s-9", true }},
 	} {
 		w, spec := newWorld(), good
 		if spec.Factor = 0.6; c.code == Invalid || c.code == Absent {
@@ -440,7 +440,7 @@
 
 func TestRevisionsAndKeys(t *testing.T) {
 	w := newWorld()
-	c := Command{Key: "k1", For: 0, Spec: Spec{Kind: Out, Searcher: "s-0", Author: "ann", Reason: "slow", End: 1050}}
+	c := Command{Key: "k1", For: 0, Spec: Spec{Kind: Out, Backend: "s-0", Author: "ann", Reason: "slow", End: 1050}}
 	first, again, err := w.Decide(w.now, &c)
 	if err != nil || again || first.Revision != 1 {
 		t.Fatalf("got %+v, %t, %v", first, again, err)
@@ -480,11 +480,11 @@
 	b := New(lim)
 	var list []Member
 	for i := range 300 {
-		list = append(list, Member{Name: name(i), ID: policy.SearcherID(i + 1), Cell: policy.CellID(i)})
+		list = append(list, Member{Name: name(i), ID: policy.BackendID(i + 1), Cell: policy.CellID(i)})
 	}
 	b.List(0, true, list)
 	for i := range 200 {
-		c := Command{For: b.Revision(), Force: true, Spec: Spec{Kind: Out, Searcher: name(i), Author: "ann", Reason: "slow", End: 100}}
+		c := Command{For: b.Revision(), Force: true, Spec: Spec{Kind: Out, Backend: name(i), Author: "ann", Reason: "slow", End: 100}}
 		change, _, err := b.Decide(1, &c)
 		if err != nil {
 			t.Fatal(err)
@@ -539,8 +539,8 @@
 			}
 		}
 	}
-	pin := set(Spec{Kind: Pin, Searcher: "s-0", From: 0, To: 0})
-	weight := set(Spec{Kind: Weight, Searcher: "s-0", Factor: 0.5})
+	pin := set(Spec{Kind: Pin, Backend: "s-0", From: 0, To: 0})
+	weight := set(Spec{Kind: Weight, Backend: "s-0", Factor: 0.5})
 	shows(pin, "acts")
 	w.phase(0, policy.Draining)
 	shows(pin, "suspended: its searcher drains")
@@ -550,11 +550,11 @@
 	shows(weight, "waits")
 	w.phase(0, policy.Ready)
 	shows(pin, "acts")
-	out := set(Spec{Kind: Out, Searcher: "s-0", Index: "reads"})
+	out := set(Spec{Kind: Out, Backend: "s-0", Index: "reads"})
 	shows(out, "acts")
 	shows(weight, "acts in part")
 	shows(pin, "acts in part, else suspended: its searcher is out")
-	narrower := set(Spec{Kind: Weight, Searcher: "s-0", Factor: 0.9, Index: "orders"})
+	narrower := set(Spec{Kind: Weight, Backend: "s-0", Factor: 0.9, Index: "orders"})
 	shows(narrower, "acts")
 	shows(weight, fmt.Sprintf("suspended: override %d", narrower))
 	x, err := w.Explain(0, "reads", "s-0")
--- a/internal/operators/override/patch.go
+++ b/internal/operators/override/patch.go
@@ -26,7 +26,7 @@
 	}
 	clear(t.dirtyMembers)
 	clear(t.dirtySpots)
-	if len(patch.Searchers)+len(patch.Pins) == 0 {
+	if len(patch.Backends)+len(patch.Pins) == 0 {
 		return nil
 	}
 	return &patch
@@ -74,16 +74,16 @@
 		p.strict, p.by = false, 0
 	case why != "":
 		p.want, p.now = 0, 0
-		p.to, p.strict, p.by = o.Searcher, o.Strict, o.ID
+		p.to, p.strict, p.by = o.Backend, o.Strict, o.ID
 	default:
-		m := t.member(o.Searcher)
+		m := t.member(o.Backend)
 		switch {
 		case o.ID > p.by: // as told by its operator, at once
 			p.now = 1
-		case p.by != o.ID && p.to != o.Searcher: // the one above it has ended
+		case p.by != o.ID && p.to != o.Backend: // the one above it has ended
 			p.now = 0
 		}
-		p.to, p.id, p.strict, p.by, p.want = o.Searcher, m.ID, o.Strict, o.ID, 1
+		p.to, p.id, p.strict, p.by, p.want = o.Backend, m.ID, o.Strict, o.ID, 1
 		if !m.listed {
 			p.id, p.now = nobody, 1
 		}
@@ -153,11 +153,11 @@
 			continue
 		}
 		l.told = l.now
-		w := policy.SearcherOverride{Searcher: m.ID, Index: policy.IndexID(k), Weight: l.now}
+		w := policy.BackendOverride{Backend: m.ID, Index: policy.IndexID(k), Weight: l.now}
 		if l.now == 0 {
 			w.Out, w.Weight = true, 1
 		}
-		patch.Searchers = append(patch.Searchers, w)
+		patch.Backends = append(patch.Backends, w)
 	}
 }
 
@@ -168,9 +168,9 @@
 	}
 	tell := policy.PinOverride{Shard: at.shard, Index: at.index}
 	if p.now > 0 {
-		tell.Searcher, tell.Strict, tell.Share = p.id, p.strict, p.now
+		tell.Backend, tell.Strict, tell.Share = p.id, p.strict, p.now
 	}
-	if tell != p.told && (tell.Searcher != 0 || p.told.Searcher != 0) {
+	if tell != p.told && (tell.Backend != 0 || p.told.Backend != 0) {
 		patch.Pins = append(patch.Pins, tell)
 	}
 	p.told = tell
--- a/internal/operators/override/precedence.go
+++ b/internal/operators/override/precedence.go
@@ -12,9 +12,9 @@
 	text string
 }
 
-// precedence is the order in which rules are asked about a part of a shard and index and one searcher that holds it. The
+// precedence is the order in which rules are asked about a part of a shard and index and one backend that holds it. The
 // first that claims decides; those below it are suspended there. A drain wins over all: who announced it takes nothing.
-// Out wins over a pin: who took a searcher out knows of a fault, who pinned to it may not. A pin wins over weights, as
+// Out wins over a pin: who took a backend out knows of a fault, who pinned to it may not. A pin wins over weights, as
 // these share out among several.
 var precedence = []struct {
 	rule string
@@ -48,10 +48,10 @@
 	switch {
 	case o == nil || why != "":
 		return nil
-	case o.Searcher == m.Name:
+	case o.Backend == m.Name:
 		return &claim{by: o, text: "the shard is pinned to it"}
 	default:
-		return &claim{by: o, text: fmt.Sprintf("the shard is pinned to %s", o.Searcher)}
+		return &claim{by: o, text: fmt.Sprintf("the shard is pinned to %s", o.Backend)}
 	}
 }
 
@@ -84,11 +84,11 @@
 	return found
 }
 
-// target is what a searcher's share of an index comes to, 0 for out, and the override that says so, nil for none. Out
-// at either the searcher or its location is out; weights at both multiply.
+// target is what a backend's share of an index comes to, 0 for out, and the override that says so, nil for none. Out
+// at either the backend or its location is out; weights at both multiply.
 func (t *Table) target(m *member, k policy.IndexID, more *Override) (factor float64, by *Override) {
 	here, there := (*Override)(nil), (*Override)(nil)
-	if more != nil && more.Searcher == m.Name {
+	if more != nil && more.Backend == m.Name {
 		here = more
 	} else if more != nil && more.Location == m.Location {
 		there = more
@@ -113,7 +113,7 @@
 	if o = t.strongest(t.byShard[at.shard], Pin, at.index, nil); o == nil {
 		return nil, ""
 	}
-	m := t.member(o.Searcher)
+	m := t.member(o.Backend)
 	factor, _ := t.target(m, at.index, nil)
 	switch {
 	case m.listed && m.Phase == policy.Draining:
--- a/internal/operators/override/table.go
+++ b/internal/operators/override/table.go
@@ -11,26 +11,26 @@
 // keysRemembered is how many commands are remembered by their keys: far more than are sent while a sender still tries again.
 const keysRemembered = 4096
 
-// nobody is a number that no searcher has: what is pinned to it strictly goes nowhere.
-const nobody = ^policy.SearcherID(0)
+// nobody is a number that no backend has: what is pinned to it strictly goes nowhere.
+const nobody = ^policy.BackendID(0)
 
-// member lives while the list names a searcher, and on while an override or a return concerns its name.
+// member lives while the list names a backend, and on while an override or a return concerns its name.
 type member struct {
 	Member
 	listed  bool
 	drained bool // it left as one that drained, while a pin to it held
 	levels  []share
-	own     []*Override // by searcher: weights and outs
+	own     []*Override // by backend: weights and outs
 	pins    []*Override
 }
 
-// level is how much of its usual part calls a searcher may have of an index, or a pinned searcher of a shard: it
+// level is how much of its usual part calls a backend may have of an index, or a pinned backend of a shard: it
 // falls at once to what is wanted and rises by steps.
 type level struct {
 	now, want float64
 }
 
-// share is a searcher's level of an index, and what the module was last told of it.
+// share is a backend's level of an index, and what the module was last told of it.
 type share struct {
 	level
 	told float64
@@ -52,7 +52,7 @@
 	level
 	to     string   // whose it is, or was while it wanes
 	by     Revision // the pin that holds
-	id     policy.SearcherID
+	id     policy.BackendID
 	strict bool
 	told   policy.PinOverride
 }
@@ -62,7 +62,7 @@
 	change Change
 }
 
-// Table is what one mixer knows of overrides. One goroutine alone uses it.
+// Table is what one aggregator knows of overrides. One goroutine alone uses it.
 type Table struct {
 	lim      Limits
 	indexes  map[string]policy.IndexID
@@ -150,14 +150,14 @@
 	heap.Push(&t.ends, o)
 	switch {
 	case o.Kind == Pin:
-		m := t.member(o.Searcher)
+		m := t.member(o.Backend)
 		m.pins = append(m.pins, o)
 		for s := o.From; s <= o.To; s++ {
 			t.byShard[s] = append(t.byShard[s], o)
 			t.pinned++
 		}
-	case o.Searcher != "":
-		m := t.member(o.Searcher)
+	case o.Backend != "":
+		m := t.member(o.Backend)
 		m.own = append(m.own, o)
 	default:
 		p := t.place(o.Location)
@@ -175,7 +175,7 @@
 	is := func(x *Override) bool { return x == o }
 	switch {
 	case o.Kind == Pin:
-		m := t.member(o.Searcher)
+		m := t.member(o.Backend)
 		m.pins = slices.DeleteFunc(m.pins, is)
 		m.drained = m.drained && len(m.pins) > 0
 		for s := o.From; s <= o.To; s++ {
@@ -184,8 +184,8 @@
 			}
 			t.pinned--
 		}
-	case o.Searcher != "":
-		m := t.member(o.Searcher)
+	case o.Backend != "":
+		m := t.member(o.Backend)
 		m.own = slices.DeleteFunc(m.own, is)
 	default:
 		p := t.place(o.Location)
@@ -199,8 +199,8 @@
 	switch {
 	case o.Kind == Pin:
 		t.touchPin(o)
-	case o.Searcher != "":
-		t.touchMember(t.member(o.Searcher))
+	case o.Backend != "":
+		t.touchMember(t.member(o.Backend))
 	default:
 		for _, m := range t.place(o.Location).members {
 			t.touchMember(m)
@@ -218,7 +218,7 @@
 	}
 }
 
-// touchMember marks a searcher, and the pins that hang on whether it serves.
+// touchMember marks a backend, and the pins that hang on whether it serves.
 func (t *Table) touchMember(m *member) {
 	t.dirtyMembers[m.Name] = m
 	for _, o := range m.pins {
--- a/internal/operators/override/view.go
+++ b/internal/operators/override/view.go
@@ -39,8 +39,8 @@
 		return t.pinStates(o)
 	}
 	list := t.place(o.Location).own
-	if o.Searcher != "" {
-		m := t.member(o.Searcher)
+	if o.Backend != "" {
+		m := t.member(o.Backend)
 		defer t.forgotten(m)
 		list = m.own
 		if !m.listed {
@@ -112,14 +112,14 @@
 	return fmt.Sprintf("suspended: override %d stands above it", above.ID)
 }
 
-// Return is a searcher that comes back, or a shard that a pin lets go.
+// Return is a backend that comes back, or a shard that a pin lets go.
 type Return struct {
-	Searcher string
-	Shard    policy.ShardID // of a pin
-	Pin      bool
-	Index    string
-	Level    float64 // share of its usual part calls now
-	Want     float64
+	Backend string
+	Shard   policy.ShardID // of a pin
+	Pin     bool
+	Index   string
+	Level   float64 // share of its usual part calls now
+	Want    float64
 }
 
 // Returns lists what comes back at present.
@@ -127,22 +127,22 @@
 	for m := range t.rising {
 		for k, l := range m.levels {
 			if l.now < l.want {
-				list = append(list, Return{Searcher: m.Name, Index: t.lim.Indexes[k], Level: l.now, Want: l.want})
+				list = append(list, Return{Backend: m.Name, Index: t.lim.Indexes[k], Level: l.now, Want: l.want})
 			}
 		}
 	}
 	for at := range t.waning {
 		if p := t.spots[at]; p != nil && p.now != p.want {
-			list = append(list, Return{Searcher: p.to, Shard: at.shard, Pin: true, Index: t.lim.Indexes[at.index], Level: p.now, Want: p.want})
+			list = append(list, Return{Backend: p.to, Shard: at.shard, Pin: true, Index: t.lim.Indexes[at.index], Level: p.now, Want: p.want})
 		}
 	}
 	slices.SortFunc(list, func(x, y Return) int {
-		return cmp.Or(cmp.Compare(x.Searcher, y.Searcher), cmp.Compare(x.Index, y.Index), cmp.Compare(x.Shard, y.Shard))
+		return cmp.Or(cmp.Compare(x.Backend, y.Backend), cmp.Compare(x.Index, y.Index), cmp.Compare(x.Shard, y.Shard))
 	})
 	return list
 }
 
-// Line is one row of the precedence as it stands for a shard, an index and a searcher.
+// Line is one row of the precedence as it stands for a shard, an index and a backend.
 type Line struct {
 	Rule string
 	Acts bool // it decides; those below it are suspended
@@ -150,7 +150,7 @@
 	Text string
 }
 
-// Explanation says why parts of a shard go to a searcher or not, as far as overrides and the list decide.
+// Explanation says why parts of a shard go to a backend or not, as far as overrides and the list decide.
 type Explanation struct {
 	Goes  bool
 	Share float64 // of its usual part calls
@@ -158,16 +158,16 @@
 }
 
 // Explain asks the precedence row by row. Its error is a *Refusal.
-func (t *Table) Explain(s policy.ShardID, index, searcher string) (e Explanation, err error) {
+func (t *Table) Explain(s policy.ShardID, index, backend string) (e Explanation, err error) {
 	k, known := t.indexes[index]
-	m := t.members[searcher]
+	m := t.members[backend]
 	switch {
 	case !known:
 		return e, refuse(Invalid, "index %q is not one of %q", index, t.lim.Indexes)
 	case s < 0 || int(s) >= t.lim.Shards:
 		return e, refuse(Invalid, "shard %d, expected one from 0 to %d", s, t.lim.Shards-1)
 	case m == nil:
-		return e, refuse(Unknown, "neither the list nor an override names %q", searcher)
+		return e, refuse(Unknown, "neither the list nor an override names %q", backend)
 	case m.listed && !t.holds(m, s):
 		return Explanation{Lines: []Line{{"layout", true, 0, "it does not hold the shard"}}}, nil
 	}
@@ -191,7 +191,7 @@
 		case "list", "out":
 			e.Goes, e.Share = false, 0
 		case "pin":
-			if e.Goes = c.by.Searcher == searcher; !e.Goes {
+			if e.Goes = c.by.Backend == backend; !e.Goes {
 				e.Share = 0
 			}
 		case "weight":
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -28,10 +28,10 @@
 
 // host is one instance of the module with the events of the batch in hand.
 type host struct {
-	no     int64
-	mixer  *policy.Mixer
-	events []policy.Event
-	acted  bool
+	no         int64
+	aggregator *policy.Aggregator
+	events     []policy.Event
+	acted      bool
 }
 
 type server struct {
@@ -132,7 +132,7 @@
 // run hands an instance its events and writes its actions. A panic is the module's own; the wire has a word for it.
 func (s *server) run(h *host, now float64) {
 	h.acted = false
-	if h.mixer == nil || len(h.events) == 0 {
+	if h.aggregator == nil || len(h.events) == 0 {
 		return
 	}
 	defer func() {
@@ -140,7 +140,7 @@
 			fmt.Fprintf(s.out, "BY %d\nPANIC %s\n", h.no, strings.ReplaceAll(fmt.Sprint(r), "\n", " "))
 		}
 	}()
-	s.actions = h.mixer.Step(now, h.events, s.actions[:0])
+	s.actions = h.aggregator.Step(now, h.events, s.actions[:0])
 	h.events = h.events[:0]
 	if len(s.actions) == 0 {
 		return
@@ -174,7 +174,7 @@
 	if h == nil {
 		return malformed("expected ON before %s", name)
 	}
-	if h.mixer == nil && name != "SPAWN" {
+	if h.aggregator == nil && name != "SPAWN" {
 		return malformed("expected SPAWN for instance %d before %s", h.no, name)
 	}
 	if !h.acted {
@@ -192,10 +192,10 @@
 		if err != nil {
 			return err
 		}
-		h.mixer, h.events = policy.New(set.Settings, now), h.events[:0]
+		h.aggregator, h.events = policy.New(set.Settings, now), h.events[:0]
 		return nil
 	case "HALT":
-		h.mixer, h.events = nil, h.events[:0]
+		h.aggregator, h.events = nil, h.events[:0]
 		return f.done()
 	case "BACKENDS_CHANGED":
 		page, _, kind := f.word("setId"), f.word("epoch"), f.word("kind")
@@ -216,32 +216,32 @@
 		e.Index, e.Customer = policy.IndexID(f.integer("cls")), policy.CustomerID(f.optional("owner"))
 		e.Key, e.HasKey = f.hex("object")
 		e.Left, e.Hint = f.number("timeBudgetS"), f.optional("costS")
-		e.No = policy.LookupNo(f.integer("queryNo"))
+		e.No = policy.QueryNo(f.integer("queryNo"))
 		shard, amount := f.integer("shard"), f.number("amount")
 		e.Resent = f.optional("resent") != 0
 		f.optional("isWrite")
 		if shard < 0 {
-			e.Kind, e.Lookup, e.Parts = policy.LookupTaken, policy.LookupID(id), int(amount)
+			e.Kind, e.Query, e.Subqueries = policy.QueryTaken, policy.QueryID(id), int(amount)
 		} else {
-			e.Kind, e.Part, e.Shard, e.Weight = policy.PartTaken, policy.PartID(id), policy.ShardID(shard), amount
+			e.Kind, e.Subquery, e.Shard, e.Weight = policy.SubqueryTaken, policy.SubqueryID(id), policy.ShardID(shard), amount
 		}
 	case "ESTABLISHED":
-		e.Kind, e.Part, e.Searcher = policy.CallBegan, policy.PartID(f.unsigned("req")), f.searcher()
+		e.Kind, e.Subquery, e.Backend = policy.CallBegan, policy.SubqueryID(f.unsigned("req")), f.backend()
 		e.Call, e.Elapsed = policy.CallNo(f.integer("copy")), f.number("costTimeS")
 	case "ATTEMPT_END":
-		e.Kind, e.Part, e.Call = policy.CallEnded, policy.PartID(f.unsigned("req")), policy.CallNo(f.integer("copy"))
-		e.Searcher, e.Outcome, e.Elapsed = f.searcher(), f.outcome(), f.number("costTimeS")
+		e.Kind, e.Subquery, e.Call = policy.CallEnded, policy.SubqueryID(f.unsigned("req")), policy.CallNo(f.integer("copy"))
+		e.Backend, e.Outcome, e.Elapsed = f.backend(), f.outcome(), f.number("costTimeS")
 		f.integer("complete")
 		e.Load = f.load()
 	case "PING_RESULT":
 		e.Kind, e.Elapsed, e.Outcome = policy.ProbeEnded, f.number("costTimeS"), f.outcome()
-		e.Searcher, e.Load = f.searcher(), f.load()
+		e.Backend, e.Load = f.backend(), f.load()
 	case "CLIENT_GONE":
-		e.Kind, e.Lookup = policy.ClientGone, policy.LookupID(f.unsigned("req"))
+		e.Kind, e.Query = policy.ClientGone, policy.QueryID(f.unsigned("req"))
 	case "TICK_DUE":
 		e.Kind, e.Timer = policy.TimerDue, policy.TimerID(f.integer("ctx"))
 	case "PEER_DATA":
-		e.Kind, e.Peer = policy.MessageArrived, policy.MixerNo(f.integer("originPeer"))
+		e.Kind, e.Peer = policy.MessageArrived, policy.AggregatorNo(f.integer("originPeer"))
 		e.Message = f.bytes("blob")
 	default:
 		return malformed("unknown message %q", name)
@@ -271,7 +271,7 @@
 		if name := f.word("ROW"); string(name) != "ROW" {
 			return malformed("expected ROW, found %q", name)
 		}
-		e := policy.Entry{Searcher: f.searcher(), Location: policy.LocationID(f.integer("site")),
+		e := policy.Entry{Backend: f.backend(), Location: policy.LocationID(f.integer("site")),
 			Kind: int(f.integer("type")), Cell: policy.CellID(f.integer("cell"))}
 		known := false
 		phase := f.word("phase")
@@ -306,28 +306,28 @@
 	}
 	switch a.Kind {
 	case policy.Send:
-		verb("SEND", uint64(a.Part))
-		b = strconv.AppendUint(append(b, ' '), uint64(a.Searcher), 10)
+		verb("SEND", uint64(a.Subquery))
+		b = strconv.AppendUint(append(b, ' '), uint64(a.Backend), 10)
 		num(a.StopAt)
 	case policy.Withdraw:
-		verb("ABANDON", uint64(a.Part))
+		verb("ABANDON", uint64(a.Subquery))
 		b = strconv.AppendInt(append(b, ' '), int64(a.Call), 10)
 	case policy.Answer:
-		verb("WRAP_UP", uint64(a.Lookup))
+		verb("WRAP_UP", uint64(a.Query))
 		yes(a.Whole)
 	case policy.Nack:
-		verb("SAY_NO", uint64(a.Lookup))
+		verb("SAY_NO", uint64(a.Query))
 		num(a.Wait)
 	case policy.Abort:
-		verb("RESPOND_ERROR", uint64(a.Lookup))
+		verb("RESPOND_ERROR", uint64(a.Query))
 	case policy.SetTimer:
 		b = append(b, "WAKE_ME"...)
 		num(a.Wait)
 		b = strconv.AppendInt(append(b, ' '), int64(a.Timer), 10)
 	case policy.Probe:
-		verb("HEALTH_CHECK", uint64(a.Searcher))
+		verb("HEALTH_CHECK", uint64(a.Backend))
 	case policy.CloseIdle:
-		verb("FREE_LINKS", uint64(a.Searcher))
+		verb("FREE_LINKS", uint64(a.Backend))
 	case policy.Tell:
 		b = append(b, "PUBLISH "...)
 		if a.Peer == policy.AllPeers {
--- a/internal/tools/benchadapter/drill_test.go
+++ b/internal/tools/benchadapter/drill_test.go
@@ -8,7 +8,7 @@
 const start = `{"granularityS":0.005,"requestClasses":[{"effect":"repeatable","promiseS":1,"giveUpS":4,"worth":1,` +
 	`"lateWorth":0.1}],"specifics":{"places":1,"width":1,"classNeed":[1]},"limits":{"mostTries":2},"unknown":7}`
 
-// opening starts instance 3 with two searchers on a list whose number is used again in the same batch.
+// opening starts instance 3 with two backends on a list whose number is used again in the same batch.
 const opening = "TICK 8 1\nON 3\nSPAWN 42 " + start + "\nPAGE 0 2\nROW 51 0 0 0 ready 1 -\n" +
 	"ROW 4294967295 1 0 0 ready 1.5 6.1\nBACKENDS_CHANGED 0 41 stale_copy\nPAGE 0 0\nEND\n"
 
@@ -31,11 +31,11 @@
 		t.Fatalf("got %q", out)
 	}
 	sent := replies[0][strings.Index(replies[0], "SEND 7 ")+7:]
-	searcher := sent[:strings.IndexByte(sent, ' ')]
-	if searcher != "51" && searcher != "4294967295" {
-		t.Fatalf("sent to %q", searcher)
+	backend := sent[:strings.IndexByte(sent, ' ')]
+	if backend != "51" && backend != "4294967295" {
+		t.Fatalf("sent to %q", backend)
 	}
-	out, err = serve(in + "TICK 8.1 4\nON 3\nATTEMPT_END 7 0 " + searcher + " delivered 0.09 1 pending:2,new_name:1\nEND\n")
+	out, err = serve(in + "TICK 8.1 4\nON 3\nATTEMPT_END 7 0 " + backend + " delivered 0.09 1 pending:2,new_name:1\nEND\n")
 	if err != nil || !strings.HasSuffix(out, "BY 3\nWRAP_UP 4503599627370495 1\nACK 4\n") {
 		t.Fatalf("got %v, %q", err, out)
 	}
--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -59,13 +59,13 @@
 	return v
 }
 
-func (f *fields) searcher() policy.SearcherID {
+func (f *fields) backend() policy.BackendID {
 	w := f.word("searcher")
 	v, err := strconv.ParseUint(text(w), 10, 32)
 	if err != nil {
 		f.fail("searcher", "a number below 2^32", w)
 	}
-	return policy.SearcherID(v)
+	return policy.BackendID(v)
 }
 
 func (f *fields) parse(name string, w []byte) float64 {
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a small deployment on one machine: stand-ins for register, searchers and clients, one or more real
-// mixers between them, and a table of what happens. It decides nothing.
+// Package demo runs a small deployment on one machine: stand-ins for register, backends and clients, one or more real
+// aggregators between them, and a table of what happens. It decides nothing.
 package demo
 
 import (
@@ -23,17 +23,17 @@
 
 // Options are what a demo is made of.
 type Options struct {
-	For       time.Duration // 0 for until it is ended
-	Mixers    int
-	Searchers int
-	PerS      float64       // lookups
-	Service   time.Duration // mean time of a part
-	Directory string        // where overrides are kept; "" for memory
-	JSON      bool          // the summary as JSON, and no table
-	Live      bool          // the table is drawn over itself
-	Every     time.Duration // between two tables
-	Out       io.Writer
-	Log       io.Writer // the mixers' log; nil for none
+	For         time.Duration // 0 for until it is ended
+	Aggregators int
+	Backends    int
+	PerS        float64       // queries
+	Service     time.Duration // mean time of a part
+	Directory   string        // where overrides are kept; "" for memory
+	JSON        bool          // the summary as JSON, and no table
+	Live        bool          // the table is drawn over itself
+	Every       time.Duration // between two tables
+	Out         io.Writer
+	Log         io.Writer // the aggregators' log; nil for none
 }
 
 // Summary is what came of a demo.
@@ -52,8 +52,8 @@
 
 // site is the demo's deployment.
 func site(o Options) fakes.Site {
-	return fakes.Site{Zones: []string{"north", "south"}, Cells: o.Searchers, Width: min(width, o.Searchers), Shards: shardsACell * o.Searchers,
-		Mixers: o.Mixers, Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1},
+	return fakes.Site{Zones: []string{"north", "south"}, Cells: o.Backends, Width: min(width, o.Backends), Shards: shardsACell * o.Backends,
+		Aggregators: o.Aggregators, Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1},
 			{Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Gain: 3}}}
 }
 
@@ -61,7 +61,7 @@
 	Options
 	site     fakes.Site
 	register *fakes.Register
-	fleet    []*fakes.Searcher
+	fleet    []*fakes.Backend
 	nodes    []*node.Node
 	sockets  []string
 	load     *fakes.Load
@@ -70,11 +70,11 @@
 	last     map[string]int64
 }
 
-// Run runs a demo until its time is over or ctx ends. Its error says what could not be started, or that a lookup was lost.
+// Run runs a demo until its time is over or ctx ends. Its error says what could not be started, or that a query was lost.
 func Run(ctx context.Context, o Options) (sum Summary, err error) {
-	if o.Mixers < 1 || o.Searchers < 2 || o.Searchers > 512 || !(o.PerS > 0) || o.Service <= 0 {
+	if o.Aggregators < 1 || o.Backends < 2 || o.Backends > 512 || !(o.PerS > 0) || o.Service <= 0 {
 		return sum, invalid("got %d mixers, %d searchers, %g lookups a second and a service time of %s; expected at least 1, 2 to 512, and more than none",
-			o.Mixers, o.Searchers, o.PerS, o.Service)
+			o.Aggregators, o.Backends, o.PerS, o.Service)
 	}
 	d := &demo{Options: o, site: site(o), last: map[string]int64{}}
 	defer d.close()
@@ -117,8 +117,8 @@
 	if d.register, err = fakes.NewRegister(); err != nil {
 		return err
 	}
-	for i := range d.Searchers {
-		s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i+1), d.site.Zones[i%len(d.site.Zones)], i, 8, d.Service)
+	for i := range d.Backends {
+		s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i+1), d.site.Zones[i%len(d.site.Zones)], i, 8, d.Service)
 		if err != nil {
 			return err
 		}
@@ -131,19 +131,19 @@
 	}
 	d.load = &fakes.Load{Site: d.site, PerS: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Parts: 4, Deadline: 2 * time.Second},
 		{Index: "orders", Share: 0.1, Parts: 2, Deadline: 2 * time.Second}}}
-	for i := range d.Mixers {
-		n, address, err := d.mixer(ctx, i, log)
+	for i := range d.Aggregators {
+		n, address, err := d.aggregator(ctx, i, log)
 		if err != nil {
 			return err
 		}
 		d.nodes = append(d.nodes, n)
-		d.load.Mixers = append(d.load.Mixers, address)
+		d.load.Aggregators = append(d.load.Aggregators, address)
 	}
 	return nil
 }
 
-// mixer starts one as it would be started alone, on a port that was free a moment ago.
-func (d *demo) mixer(ctx context.Context, i int, log *zap.Logger) (*node.Node, string, error) {
+// aggregator starts one as it would be started alone, on a port that was free a moment ago.
+func (d *demo) aggregator(ctx context.Context, i int, log *zap.Logger) (*node.Node, string, error) {
 	address, err := fakes.FreeAddress()
 	if err != nil {
 		return nil, "", err
@@ -165,14 +165,14 @@
 		return
 	}
 	fmt.Fprintf(d.Out, "%d mixers, %d searchers that hold %d shards, each at %d of them; %g lookups a second.\nFrom a second terminal:\n",
-		d.Mixers, d.Searchers, d.site.Shards, d.site.Width, d.PerS)
+		d.Aggregators, d.Backends, d.site.Shards, d.site.Width, d.PerS)
 	for _, s := range d.sockets {
 		fmt.Fprintf(d.Out, "  bin/puffinlink override set weight s-1 --weight 0.25 --for 1m --reason 'a try' --at %s\n", s)
 	}
 	fmt.Fprintln(d.Out)
 }
 
-// take adds what came of lookups since the last time.
+// take adds what came of queries since the last time.
 func (d *demo) take() fakes.Tally {
 	t := d.load.Take()
 	d.all.Add(t)
--- a/internal/tools/demo/errors.go
+++ b/internal/tools/demo/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// LostError is how many lookups had no final answer.
+// LostError is how many queries had no final answer.
 type LostError int64
 
 func (e LostError) Error() string { return fmt.Sprintf("%d lookups had no final answer", int64(e)) }
--- a/internal/tools/fleettest/ask_test.go
+++ b/internal/tools/fleettest/ask_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Ask sends a lookup and tells its answer's status, 0 where there is none. What is answered well or in part is noted as
+// Ask sends a query and tells its answer's status, 0 where there is none. What is answered well or in part is noted as
 // admitted, at some time between its sending and its answer.
-func (w *World) Ask(m *Mixer, tenant, index string, shards ...int) (status int, text string) {
+func (w *World) Ask(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
 	id := w.lastID.Add(1)
 	var body strings.Builder
 	body.WriteString(`{"targets":[`)
@@ -29,7 +29,7 @@
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Listen+"/"+index, strings.NewReader(body.String()))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", id)}, "Req-Kind": {index}, "Req-Owner": {tenant}, "Req-Deadline": {"2"},
-		"Idempotency-Key": {}} // not sent: it lets the client ask once more on a new connection, where the mixer closed an idle one meanwhile
+		"Idempotency-Key": {}} // not sent: it lets the client ask once more on a new connection, where the aggregator closed an idle one meanwhile
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
 	res, request, err := w.send(req, query)
@@ -47,7 +47,7 @@
 	return res.StatusCode, string(answer)
 }
 
-// silenceMost is how long a mixer lets a connection stand on which nothing was asked yet (clients are owed an end by then).
+// silenceMost is how long an aggregator lets a connection stand on which nothing was asked yet (clients are owed an end by then).
 const silenceMost = 2 * time.Second
 
 // request is what the client's side of one saw of its connection; zero times for what did not happen.
@@ -60,7 +60,7 @@
 }
 
 // unasked tells whether the connection stood silent for so long before the request was written, as on a machine that stands
-// still, that the mixer had ended it by then: nobody was asked.
+// still, that the aggregator had ended it by then: nobody was asked.
 func (r *request) unasked() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,8 +111,8 @@
 	return res, r, err
 }
 
-// Load asks at a mean rate until it is stopped, each lookup by itself.
-func (w *World) Load(perS float64, tenant, index string, pick func(n int) *Mixer) (stop func()) {
+// Load asks at a mean rate until it is stopped, each query by itself.
+func (w *World) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
--- a/internal/tools/fleettest/broken_test.go
+++ b/internal/tools/fleettest/broken_test.go
@@ -15,7 +15,7 @@
 		t.Parallel()
 		q := `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 60, "floor_share": 0.6}]}`
 		for _, binary := range []string{"", Broken(t, "internal/controlplane/fleet/voter.go", "	return perS, burst\n}", "	return 0, 0\n}")} {
-			w := Start(t, Options{Mixers: 3, Quotas: q, Binary: binary})
+			w := Start(t, Options{Aggregators: 3, Quotas: q, Binary: binary})
 			w.grants()
 			stop := w.Load(180, "acme", "reads", w.All)
 			time.Sleep(8 * time.Second)
@@ -28,9 +28,9 @@
 	})
 	t.Run("told as held before all hold it", func(t *testing.T) {
 		t.Parallel()
-		w := Start(t, Options{Mixers: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1),
+		w := Start(t, Options{Aggregators: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1),
 			Binary: Broken(t, "internal/controlplane/fleet/residency/residency.go", "			p.Held = false\n", "")})
-		alone := w.Mixers[(w.grants().no+1)%3]
+		alone := w.Aggregators[(w.grants().no+1)%3]
 		stop := w.Load(100, "cato", "reads", w.All)
 		w.Until("it is served", func() bool { status, _ := w.Ask(alone, "cato", "reads", 0, 1); return status == 200 })
 		w.Cut(alone.no)
@@ -48,13 +48,13 @@
 	})
 	t.Run("a judgement of one sick witness", func(t *testing.T) {
 		t.Parallel()
-		w := Start(t, Options{Mixers: 4, Binary: Broken(t, "internal/controlplane/fleet/outlier/outlier.go", "	witnesses  = 2 ", "	witnesses  = 1 ")})
+		w := Start(t, Options{Aggregators: 4, Binary: Broken(t, "internal/controlplane/fleet/outlier/outlier.go", "	witnesses  = 2 ", "	witnesses  = 1 ")})
 		w.grants()
-		stop := w.Load(60, "cato", "reads", func(int) *Mixer { return w.Mixers[3] })
+		stop := w.Load(60, "cato", "reads", func(int) *Aggregator { return w.Aggregators[3] })
 		time.Sleep(1500 * time.Millisecond)
-		w.slowAt(w.Mixers[3], 300*time.Millisecond, 0)
+		w.slowAt(w.Aggregators[3], 300*time.Millisecond, 0)
 		w.Until("the word of one is believed", func() bool {
-			s := w.Mixers[2].Show()
+			s := w.Aggregators[2].Show()
 			judged, _ := s["judged"].([]any)
 			return len(judged) > 0
 		})
--- a/internal/tools/fleettest/command_test.go
+++ b/internal/tools/fleettest/command_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// electionsWon counts how often any mixer became the council's leader.
+// electionsWon counts how often any aggregator became the council's leader.
 func (w *World) electionsWon() (count int) {
 	w.Helper()
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		text, err := os.ReadFile(m.log)
 		w.must(err)
 		count += bytes.Count(text, []byte(`"fleet: this mixer leads the council"`))
@@ -19,12 +19,12 @@
 	return count
 }
 
-// What an operator does with a fleet by the command line, at a mixer that need not lead: a contract is set and waited for,
+// What an operator does with a fleet by the command line, at an aggregator that need not lead: a contract is set and waited for,
 // a quota set, a mistake told, the same command sent again acts once, and each is shown and explained.
 func TestCommandLineOfAFleet(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 3, Contracts: contracts})
-	m := w.Mixers[(w.grants().no+1)%3]
+	w := Start(t, Options{Aggregators: 3, Contracts: contracts})
+	m := w.Aggregators[(w.grants().no+1)%3]
 	ask := func(args ...string) string {
 		cmd := exec.Command(Build(t, "failpoints"), append(append([]string{"fleet"}, args...), "--at", "unix:"+m.socket())...)
 		out, _ := cmd.CombinedOutput()
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -16,8 +16,8 @@
 
 var faults = []string{"kill", "stop", "drop", "delay", "double", "fail"}
 
-// workload passes all points: it starts a fleet, spends a quota, narrows a contract, restarts a mixer that keeps a directory.
-func workload(t *testing.T, env func(mixer int) []string) {
+// workload passes all points: it starts a fleet, spends a quota, narrows a contract, restarts an aggregator that keeps a directory.
+func workload(t *testing.T, env func(aggregator int) []string) {
 	table := strings.Replace(contracts, `["a", "b"]}]`, `["a", "b", "c"]}`, 1)
 	table = strings.TrimSuffix(table, "}")
 	var tenants []string
@@ -25,22 +25,22 @@
 		tenants = append(tenants, fmt.Sprintf("tenant-%d", i))
 		table += fmt.Sprintf(`, {"tenant": "tenant-%d", "zones": ["a", "b", "c"]}`, i)
 	}
-	w := Start(t, Options{Mixers: 4, Quotas: quotas, Contracts: table + "]}", Tenants: tenants, Env: env, Tended: true})
+	w := Start(t, Options{Aggregators: 4, Quotas: quotas, Contracts: table + "]}", Tenants: tenants, Env: env, Tended: true})
 	w.grants()
 	stops := []func(){w.Load(120, "acme", "reads", w.All), w.Load(20, OrdersOf, "orders", w.All), w.Load(20, "cato", "reads", w.All)}
 	version := uint64(0)
 	w.Until("the contract is accepted", func() bool {
-		v, err := w.Mixers[3].Command(map[string]any{"id": "narrow", "author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"a", "b"}}})
+		v, err := w.Aggregators[3].Command(map[string]any{"id": "narrow", "author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"a", "b"}}})
 		if version = v; err != nil {
 			time.Sleep(askPause)
 		}
 		return err == nil
 	})
-	w.Until("it holds", func() bool { held, _ := w.Mixers[3].Held(version, "cato"); return held })
+	w.Until("it holds", func() bool { held, _ := w.Aggregators[3].Held(version, "cato"); return held })
 	w.Judge.Holds("cato", "a", "b")
 	time.Sleep(2 * time.Second)
 	w.Until("tenants are served at every mixer", func() bool {
-		for _, m := range w.Mixers {
+		for _, m := range w.Aggregators {
 			if a, _ := w.Ask(m, "acme", "reads", 0, 1); a != 200 {
 				return false
 			}
@@ -58,7 +58,7 @@
 	w.Rules(killed...)
 }
 
-// Each numbered point goes wrong in turn, at whichever mixer passes it first, and every promise holds: CI plays a fixed sample,
+// Each numbered point goes wrong in turn, at whichever aggregator passes it first, and every promise holds: CI plays a fixed sample,
 // PUFFINLINK_FAILPOINTS_ALL=1 all of them. Which points the workload passes is listed first.
 func TestFailpointsInTurn(t *testing.T) {
 	t.Parallel()
--- a/internal/tools/fleettest/fleet_test.go
+++ b/internal/tools/fleettest/fleet_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The quota of most scenarios, and the floor of one of three mixers.
+// The quota of most scenarios, and the floor of one of three aggregators.
 const (
 	perS, burst   = 60.0, 90.0
 	floorPerS     = 0.1 * perS / 3
@@ -22,14 +22,14 @@
 func TestMain(m *testing.M) { os.Exit(Main(m)) }
 
 // grants waits until somebody grants, and tells who.
-func (w *World) grants() *Mixer {
+func (w *World) grants() *Aggregator {
 	w.Helper()
-	var m *Mixer
+	var m *Aggregator
 	w.Until("somebody grants", func() bool { m = w.Leader(); return m != nil })
 	return m
 }
 
-// load asks for all three tenants: acme for well over its quota at every mixer, orders of bolt, reads of cato.
+// load asks for all three tenants: acme for well over its quota at every aggregator, orders of bolt, reads of cato.
 func (w *World) load() (stop func()) {
 	acme := w.Load(150, "acme", "reads", w.All)
 	orders := w.Load(20, OrdersOf, "orders", w.All)
@@ -50,24 +50,24 @@
 // strict waits until strict tenants are served everywhere, and from then on holds their part calls to the contract.
 func (w *World) strict() {
 	w.Helper()
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		w.Until("cato is served at "+m.Name, func() bool { status, _ := w.Ask(m, "cato", "reads", 0, 1); return status == 200 })
 	}
 	w.Judge.Holds("cato", "a", "b")
 }
 
-// A mixer that is cut off admits its floor and no more; the side that holds the majority has the rest of the quota within a
+// An aggregator that is cut off admits its floor and no more; the side that holds the majority has the rest of the quota within a
 // lease of the cut, be it the granter that is cut off or another. Strict tenants are refused where contracts are not sure.
 func TestCutOffAndHealed(t *testing.T) {
 	t.Parallel()
 	for _, granter := range []bool{false, true} {
 		t.Run(fmt.Sprintf("granter=%t", granter), func(t *testing.T) {
 			t.Parallel()
-			w := Start(t, Options{Mixers: 3, Quotas: quotas, Contracts: contracts})
+			w := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts})
 			alone := w.grants()
 			w.strict()
 			if !granter {
-				alone = w.Mixers[(alone.no+1)%3]
+				alone = w.Aggregators[(alone.no+1)%3]
 			}
 			stop := w.load()
 			began := time.Now()
@@ -108,7 +108,7 @@
 // are killed together, and a voter comes back with an empty directory. The quota holds in every window through all of it.
 func TestGranterKilledAndStopped(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 3, Quotas: quotas, Contracts: contracts, Keeps: true})
+	w := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts, Keeps: true})
 	first := w.grants()
 	w.strict()
 	stop := w.load()
@@ -116,7 +116,7 @@
 	w.usesAll("the whole quota is used")
 	killed := time.Now()
 	first.Kill()
-	var second *Mixer
+	var second *Aggregator
 	w.Until("another grants", func() bool { second = w.Leader(); return second != nil && second != first })
 	t.Logf("another grants %.1f s after the kill; p99 of a tenant that is not concerned: %s before, %s after", time.Since(killed).Seconds(),
 		w.Judge.P99(OrdersOf, began, killed), w.Judge.P99(OrdersOf, killed, time.Now()))
@@ -127,21 +127,21 @@
 	second.Signal(syscall.SIGCONT)
 	time.Sleep(2 * time.Second)
 	w.Quota("acme", perS, burst)
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		m.Kill()
 	}
-	for i, m := range w.Mixers {
+	for i, m := range w.Aggregators {
 		if i == 1 {
 			w.must(os.RemoveAll(m.dir))
 		}
 		m.Start()
 	}
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		w.Until(m.Name+" serves", m.up)
 	}
 	w.grants()
 	w.Until("the voter whose directory was lost votes again", func() bool {
-		s := w.Mixers[1].Show()
+		s := w.Aggregators[1].Show()
 		return s != nil && s["leader"] != nil && s["leader"] != "" && s["quotas_version"] != 0.0
 	})
 	from := time.Now()
@@ -151,21 +151,21 @@
 	}
 	stop()
 	w.Quota("acme", perS, burst)
-	w.Rules(w.Mixers...)
+	w.Rules(w.Aggregators...)
 }
 
-// A contract is narrowed while one mixer is cut off, and again while a searcher moves to another zone under its name. No part
+// A contract is narrowed while one aggregator is cut off, and again while a backend moves to another zone under its name. No part
 // call begins outside from when the operator is told that it holds, and none later than a lease after it was accepted.
 func TestContractNarrowed(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1)})
+	w := Start(t, Options{Aggregators: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1)})
 	w.grants()
 	stop := w.Load(60, "cato", "reads", w.All)
 	orders := w.Load(20, OrdersOf, "orders", w.All)
 	narrow := func(zones ...string) (accepted time.Time, version uint64) {
 		t.Helper()
 		asked := time.Now()
-		version, err := w.Mixers[0].Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": zones}})
+		version, err := w.Aggregators[0].Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": zones}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,7 +174,7 @@
 	held := func(version uint64) (states map[string]string) {
 		w.Until("it is told as held", func() bool {
 			is := false
-			is, states = w.Mixers[0].Held(version, "cato")
+			is, states = w.Aggregators[0].Held(version, "cato")
 			return is
 		})
 		return states
@@ -185,9 +185,9 @@
 	w.Judge.Holds("cato", "a", "b")
 	time.Sleep(time.Second)
 
-	alone := w.Mixers[2]
+	alone := w.Aggregators[2]
 	if w.grants() == alone {
-		alone = w.Mixers[1]
+		alone = w.Aggregators[1]
 	}
 	began, cut := accepted, time.Now()
 	w.Cut(alone.no)
@@ -209,14 +209,14 @@
 	w.Until("it is served at the mixer that was cut off, by the new contract", func() bool { status, _ := w.Ask(alone, "cato", "reads", 0, 1); return status == 200 })
 
 	// s-1 and s-4 stand in b. s-1 now moves to c under its name: it is outside wherever the list calls it so.
-	moved := w.Searchers[1]
-	for _, m := range w.Mixers {
+	moved := w.Backends[1]
+	for _, m := range w.Aggregators {
 		e := moved.Entry("SERVING", true)
 		e.Zone, e.Address = "c", m.before[1].Address()
 		m.register.Set(e)
 	}
 	w.Until("shards without another holder in b are refused", func() bool {
-		for _, m := range w.Mixers {
+		for _, m := range w.Aggregators {
 			if status, _ := w.Ask(m, "cato", "reads", 1); status != 429 {
 				return false
 			}
@@ -225,7 +225,7 @@
 	})
 	was := moved.CallsOf(0) + moved.CallsOf(1)
 	for range 50 {
-		w.Ask(w.Mixers[0], "cato", "reads", 0, 1)
+		w.Ask(w.Aggregators[0], "cato", "reads", 0, 1)
 	}
 	now := moved.CallsOf(0) + moved.CallsOf(1)
 	stop()
@@ -233,7 +233,7 @@
 	if now > was+int64(len(w.Judge.admitted(OrdersOf, ""))) { // orders have no contract and may go there
 		t.Errorf("%d part calls to a searcher that moved", now-was)
 	}
-	for _, s := range w.Searchers {
+	for _, s := range w.Backends {
 		if s == moved {
 			s.Zone = "c"
 		}
@@ -241,11 +241,11 @@
 	w.Rules()
 }
 
-// A tenant asks for twice its quota at all mixers at once, while links drop a fifth of all messages, double and reorder
-// others; then everything takes 2 s longer. The quota holds, lookups of others wait for nothing.
+// A tenant asks for twice its quota at all aggregators at once, while links drop a fifth of all messages, double and reorder
+// others; then everything takes 2 s longer. The quota holds, queries of others wait for nothing.
 func TestLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 3, Quotas: quotas})
+	w := Start(t, Options{Aggregators: 3, Quotas: quotas})
 	w.grants()
 	stop := w.Load(2*perS, "acme", "reads", w.All)
 	calm := w.Load(40, OrdersOf, "orders", w.All)
@@ -258,7 +258,7 @@
 	time.Sleep(6 * time.Second)
 	lossy := time.Now()
 	used := w.Judge.Rate("acme", "", from, lossy)
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		if m.Counter("fleet_dropped.replayed") == 0 {
 			t.Errorf("%s opened every letter that came twice", m.Name)
 		}
@@ -281,12 +281,12 @@
 // when it begins to stop; its successor then takes over.
 func TestTwoProcessesOfOneName(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 3, Quotas: quotas, Contracts: contracts, Keeps: true})
+	w := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts, Keeps: true})
 	w.grants()
 	w.strict()
-	m := w.Mixers[2]
+	m := w.Aggregators[2]
 	if w.Leader() == m {
-		m = w.Mixers[1]
+		m = w.Aggregators[1]
 	}
 	twin := m.Twin()
 	for range 20 {
@@ -309,18 +309,18 @@
 }
 
 // A voter's directory is put back from an old copy, which is a mistake that nothing can tell from a start: the voter may give up
-// its part, but the mixer goes on, and so does the council of the others.
+// its part, but the aggregator goes on, and so does the council of the others.
 func TestDirectoryPutBack(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 3, Quotas: quotas})
-	m := w.Mixers[(w.grants().no+1)%3]
+	w := Start(t, Options{Aggregators: 3, Quotas: quotas})
+	m := w.Aggregators[(w.grants().no+1)%3]
 	m.Kill()
 	w.must(os.CopyFS(m.dir+"-copy", os.DirFS(m.dir)))
 	m.Start()
 	w.Until("it serves", m.up)
 	change := func(i int) {
 		w.Until("the council acts", func() bool {
-			_, err := w.Mixers[m.no].Command(map[string]any{"id": fmt.Sprint("c", i), "author": "t", "reason": "r", "tenant": "cato", "quota": map[string]any{"per_s": 100 + i, "burst": 100}})
+			_, err := w.Aggregators[m.no].Command(map[string]any{"id": fmt.Sprint("c", i), "author": "t", "reason": "r", "tenant": "cato", "quota": map[string]any{"per_s": 100 + i, "burst": 100}})
 			return err == nil
 		})
 	}
--- a/internal/tools/fleettest/fleettest_test.go
+++ b/internal/tools/fleettest/fleettest_test.go
@@ -28,40 +28,40 @@
 
 // Options are a world's.
 type Options struct {
-	Mixers    int
-	Voters    int
-	LeaseS    float64
-	Quotas    string // the section's text; "" for none
-	Contracts string
-	Tenants   []string // beside acme, bolt and cato
-	Plain     bool     // without numbered points
-	NoFleet   bool     // mixers share nothing, to compare with
-	Keeps     bool     // all mixers keep a directory, and not the voters alone
-	Searchers int
-	Service   time.Duration
-	Env       func(mixer int) []string
-	Binary    string // to start instead of the program as it is
-	Tended    bool   // from the first moment on, as processes may be killed by what Env arms
+	Aggregators int
+	Voters      int
+	LeaseS      float64
+	Quotas      string // the section's text; "" for none
+	Contracts   string
+	Tenants     []string // beside acme, bolt and cato
+	Plain       bool     // without numbered points
+	NoFleet     bool     // aggregators share nothing, to compare with
+	Keeps       bool     // all aggregators keep a directory, and not the voters alone
+	Backends    int
+	Service     time.Duration
+	Env         func(aggregator int) []string
+	Binary      string // to start instead of the program as it is
+	Tended      bool   // from the first moment on, as processes may be killed by what Env arms
 }
 
 // World is a fleet with all that is around it.
 type World struct {
 	testing.TB
 	Options
-	Site      fakes.Site
-	Mixers    []*Mixer
-	Searchers []*fakes.Searcher
-	Judge     *Judge
-	relays    map[[2]int]*Relay // from one mixer to another
-	dir       string
-	client    *http.Client
-	lastID    atomic.Int64
-	sent      sync.Map                 // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
-	Tending   func() (killed []*Mixer) // ends the tending and tells who was killed
+	Site        fakes.Site
+	Aggregators []*Aggregator
+	Backends    []*fakes.Backend
+	Judge       *Judge
+	relays      map[[2]int]*Relay // from one aggregator to another
+	dir         string
+	client      *http.Client
+	lastID      atomic.Int64
+	sent        sync.Map                      // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
+	Tending     func() (killed []*Aggregator) // ends the tending and tells who was killed
 }
 
-// Mixer is one process, with what only it sees.
-type Mixer struct {
+// Aggregator is one process, with what only it sees.
+type Aggregator struct {
 	Name, Zone string
 	Listen     string
 
@@ -70,7 +70,7 @@
 	twin     string // sets a second process of one name apart
 	address  string // of its own fleet's sockets
 	register *fakes.Register
-	before   []*Relay // of each searcher
+	before   []*Relay // of each backend
 	dir      string
 	env      []string
 	mu       sync.Mutex
@@ -80,30 +80,30 @@
 	client   *api.Client
 }
 
-// Start starts a world. Mixers and searchers stand in zones a, b and c by turns; each shard is held in two zones.
+// Start starts a world. Aggregators and backends stand in zones a, b and c by turns; each shard is held in two zones.
 func Start(t testing.TB, o Options) *World {
 	t.Helper()
 	Build(t, withPoints)
-	takePlaces(t, o.Mixers)
+	takePlaces(t, o.Aggregators)
 	w := newWorld(t, o)
-	for i := range w.Options.Searchers {
-		w.addSearcher(i)
+	for i := range w.Options.Backends {
+		w.addBackend(i)
 	}
-	for i := range w.Options.Mixers {
-		w.addMixer(i)
+	for i := range w.Options.Aggregators {
+		w.addAggregator(i)
 	}
 	w.addLinks()
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		m.Start()
 	}
 	if o.Tended {
 		stop := w.tend()
-		var killed []*Mixer
+		var killed []*Aggregator
 		once := sync.OnceFunc(func() { killed = stop() })
-		w.Tending = func() []*Mixer { once(); return killed }
+		w.Tending = func() []*Aggregator { once(); return killed }
 	}
 	t.Cleanup(w.end)
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		w.Until(m.Name+" serves", func() bool { return m.up() })
 	}
 	return w
@@ -111,20 +111,20 @@
 
 // The usual settings of a world.
 const (
-	leastSearchers = 6
-	leastVoters    = 3
-	usualLeaseS    = 8
-	usualService   = 2 * time.Millisecond
+	leastBackends = 6
+	leastVoters   = 3
+	usualLeaseS   = 8
+	usualService  = 2 * time.Millisecond
 )
 
 // newWorld is one with its directory and key, and nothing else yet.
 func newWorld(t testing.TB, o Options) *World {
 	t.Helper()
-	o.Searchers, o.Voters = max(o.Searchers, leastSearchers), max(o.Voters, leastVoters)
+	o.Backends, o.Voters = max(o.Backends, leastBackends), max(o.Voters, leastVoters)
 	o.LeaseS, o.Service = cmp.Or(o.LeaseS, usualLeaseS), cmp.Or(o.Service, usualService)
 	w := &World{TB: t, Options: o, relays: map[[2]int]*Relay{}, Judge: NewJudge(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
-		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Searchers, Width: 2, Shards: o.Searchers, Mixers: o.Mixers, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
+		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Backends, Width: 2, Shards: o.Backends, Aggregators: o.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
 			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1, Floor: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Gain: 3}}}}
 	var err error
 	w.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
@@ -138,26 +138,26 @@
 	return w
 }
 
-// addSearcher starts a stand-in for a searcher, whose calls the judge notes.
-func (w *World) addSearcher(i int) {
+// addBackend starts a stand-in for a backend, whose calls the judge notes.
+func (w *World) addBackend(i int) {
 	w.Helper()
-	s, err := fakes.NewSearcher(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
+	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
 	w.must(err)
 	s.Heard = func(query string, _ int) { w.Judge.Called(s.Name, s.Zone, query) }
 	w.Cleanup(s.Kill)
-	w.Searchers = append(w.Searchers, s)
+	w.Backends = append(w.Backends, s)
 }
 
-// addMixer prepares a mixer: its addresses, its list of searchers, and a relay before each of them. It does not start it.
-func (w *World) addMixer(i int) {
+// addAggregator prepares an aggregator: its addresses, its list of backends, and a relay before each of them. It does not start it.
+func (w *World) addAggregator(i int) {
 	w.Helper()
-	m := &Mixer{world: w, no: i, Name: fmt.Sprintf("m%d", i), Zone: w.Site.Zones[i%3], dir: w.path(fmt.Sprintf("d%d", i))}
+	m := &Aggregator{world: w, no: i, Name: fmt.Sprintf("m%d", i), Zone: w.Site.Zones[i%3], dir: w.path(fmt.Sprintf("d%d", i))}
 	m.Listen, m.address = w.port(), w.port()
 	var err error
 	m.register, err = fakes.NewRegister()
 	w.must(err)
 	w.Cleanup(m.register.Close)
-	for j, s := range w.Searchers {
+	for j, s := range w.Backends {
 		e := s.Entry("SERVING", true)
 		r, err := NewRelay(e.Address, false, uint64(1000*i+j))
 		w.must(err)
@@ -169,14 +169,14 @@
 	if w.Env != nil {
 		m.env = w.Env(i)
 	}
-	w.Mixers = append(w.Mixers, m)
+	w.Aggregators = append(w.Aggregators, m)
 }
 
-// addLinks starts a relay from each mixer to each other.
+// addLinks starts a relay from each aggregator to each other.
 func (w *World) addLinks() {
 	w.Helper()
-	for i, from := range w.Mixers {
-		for j, to := range w.Mixers {
+	for i, from := range w.Aggregators {
+		for j, to := range w.Aggregators {
 			if i == j {
 				continue
 			}
@@ -188,12 +188,12 @@
 	}
 }
 
-// end kills all processes, and tells of a test that failed what its lookups were told and where the logs are.
+// end kills all processes, and tells of a test that failed what its queries were told and where the logs are.
 func (w *World) end() {
 	if w.Tending != nil {
 		w.Tending()
 	}
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		m.Kill()
 	}
 	if !w.Failed() {
@@ -245,7 +245,7 @@
 	w.Helper()
 	for late := time.Now().Add(Patience); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
-			for _, m := range w.Mixers {
+			for _, m := range w.Aggregators {
 				text, _ := json.Marshal(m.Show())
 				w.Logf("%s shows %s", m.Name, text)
 			}
@@ -254,10 +254,10 @@
 	}
 }
 
-// Link is the relay from one mixer to another.
+// Link is the relay from one aggregator to another.
 func (w *World) Link(from, to int) *Relay { return w.relays[[2]int{from, to}] }
 
-// Links sets a fault on every link between two mixers of which either says so.
+// Links sets a fault on every link between two aggregators of which either says so.
 func (w *World) Links(f Fault, either func(from, to int) bool) {
 	for pair, r := range w.relays {
 		if either(pair[0], pair[1]) {
@@ -277,17 +277,17 @@
 	}
 }
 
-// All picks every mixer by turns.
-func (w *World) All(n int) *Mixer { return w.Mixers[n%len(w.Mixers)] }
+// All picks every aggregator by turns.
+func (w *World) All(n int) *Aggregator { return w.Aggregators[n%len(w.Aggregators)] }
 
 // Arming is the variable that arms a point.
 func Arming(p failpoint.Point, pass int, fault string) string {
 	return "PUFFINLINK_FAILPOINT=" + strconv.Itoa(int(p)) + ":" + strconv.Itoa(pass) + ":" + fault
 }
 
-// Rules checks what holds in every scenario: each lookup of a mixer that was not killed got its answer, no order ran more often than
+// Rules checks what holds in every scenario: each query of an aggregator that was not killed got its answer, no order ran more often than
 // its client sent it, and no part call began outside of a contract.
-func (w *World) Rules(killed ...*Mixer) {
+func (w *World) Rules(killed ...*Aggregator) {
 	w.Helper()
 	var but []string
 	for _, m := range killed {
@@ -297,7 +297,7 @@
 		w.Errorf("%d lookups had no final answer", n)
 	}
 	times := map[string]int64{}
-	for _, s := range w.Searchers {
+	for _, s := range w.Backends {
 		s.Executed(func(id string, n int64) { times[id] += n })
 	}
 	for id, n := range times {
@@ -312,7 +312,7 @@
 	}
 }
 
-// Quota checks that a tenant's lookups stayed within its quota in every window.
+// Quota checks that a tenant's queries stayed within its quota in every window.
 func (w *World) Quota(tenant string, perS, burst float64) {
 	w.Helper()
 	if over, window := w.Judge.Over(tenant, perS, burst); over > 0 {
@@ -320,5 +320,5 @@
 	}
 }
 
-// OrdersOf is the tenant whose lookups are orders, which run once.
+// OrdersOf is the tenant whose queries are orders, which run once.
 const OrdersOf = "bolt"
--- a/internal/tools/fleettest/judge_test.go
+++ b/internal/tools/fleettest/judge_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Judge notes what clients and searchers saw, and holds it against what was agreed on. It knows nothing of how mixers do it.
+// Judge notes what clients and backends saw, and holds it against what was agreed on. It knows nothing of how aggregators do it.
 type Judge struct {
 	mu        sync.Mutex
-	lookups   []lookup
+	queries   []query
 	calls     []partCall
 	contracts []contract
 }
 
-// lookup is one that ended: it was admitted at some time from sent to ended, if at all.
-type lookup struct {
-	mixer, tenant string
-	sent, ended   time.Time
-	status        int
-	text          string // of an answer that is none: why
+// query is one that ended: it was admitted at some time from sent to ended, if at all.
+type query struct {
+	aggregator, tenant string
+	sent, ended        time.Time
+	status             int
+	text               string // of an answer that is none: why
 }
 
 type partCall struct {
-	searcher, zone, tenant string
-	at                     time.Time
+	backend, zone, tenant string
+	at                    time.Time
 }
 
 // contract is what a tenant's says from a time on, from which no call outside may begin.
@@ -40,19 +40,19 @@
 // NewJudge has seen nothing.
 func NewJudge() *Judge { return &Judge{} }
 
-// Called notes a part call at a searcher, by its query, which begins with the tenant's name.
-func (j *Judge) Called(searcher, zone, query string) {
+// Called notes a part call at a backend, by its query, which begins with the tenant's name.
+func (j *Judge) Called(backend, zone, query string) {
 	tenant, _, _ := strings.Cut(query, " ")
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls = append(j.calls, partCall{searcher, zone, tenant, time.Now()})
+	j.calls = append(j.calls, partCall{backend, zone, tenant, time.Now()})
 }
 
-// Ended notes the end of a lookup.
-func (j *Judge) Ended(mixer, tenant string, sent time.Time, status int, text string) {
+// Ended notes the end of a query.
+func (j *Judge) Ended(aggregator, tenant string, sent time.Time, status int, text string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lookups = append(j.lookups, lookup{mixer, tenant, sent, time.Now(), status, text})
+	j.queries = append(j.queries, query{aggregator, tenant, sent, time.Now(), status, text})
 }
 
 // Holds says that from now on no part call of a tenant may begin outside of zones; what it held before it says no more.
@@ -77,7 +77,7 @@
 	for _, c := range j.calls {
 		for _, k := range j.contracts {
 			if c.tenant == k.tenant && c.at.After(k.from) && (k.until.IsZero() || c.at.Before(k.until)) && !slices.Contains(k.zones, c.zone) {
-				wrong = append(wrong, fmt.Sprintf("%s: a part call began at %s in %s, %s after the contract held that allows %q", c.tenant, c.searcher, c.zone,
+				wrong = append(wrong, fmt.Sprintf("%s: a part call began at %s in %s, %s after the contract held that allows %q", c.tenant, c.backend, c.zone,
 					c.at.Sub(k.from).Round(time.Millisecond), k.zones))
 			}
 		}
@@ -86,20 +86,20 @@
 }
 
 // admitted lists those of a tenant that were.
-func (j *Judge) admitted(tenant string, mixer string) (list []lookup) {
+func (j *Judge) admitted(tenant string, aggregator string) (list []query) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, l := range j.lookups {
-		if l.tenant == tenant && (mixer == "" || l.mixer == mixer) && l.status == 200 {
+	for _, l := range j.queries {
+		if l.tenant == tenant && (aggregator == "" || l.aggregator == aggregator) && l.status == 200 {
 			list = append(list, l)
 		}
 	}
 	return list
 }
 
-// Over tells by how many lookups a tenant went over its quota in any window, and which. What was admitted counts in a
+// Over tells by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
 // window only where sending and answer both lie in it, so that nothing is counted that may have been admitted outside. A
-// lookup that is refused after it was admitted, or lost, is not seen, which only lessens the count.
+// query that is refused after it was admitted, or lost, is not seen, which only lessens the count.
 func (j *Judge) Over(tenant string, perS, burst float64) (over float64, window string) {
 	list := j.admitted(tenant, "")
 	if len(list) == 0 {
@@ -113,7 +113,7 @@
 	}
 	// For each window's beginning, those sent from there on in the order of their answers: the n-th ends the window that
 	// holds n of them.
-	slices.SortFunc(list, func(a, b lookup) int { return a.ended.Compare(b.ended) })
+	slices.SortFunc(list, func(a, b query) int { return a.ended.Compare(b.ended) })
 	step := max(1, len(list)/400)
 	starts := make([]time.Time, 0, 400)
 	for i := 0; i < len(list); i += step {
@@ -135,10 +135,10 @@
 	return over, window
 }
 
-// Rate is how many of a tenant's lookups were admitted a second between two times, at one mixer or at all.
-func (j *Judge) Rate(tenant, mixer string, from, to time.Time) float64 {
+// Rate is how many of a tenant's queries were admitted a second between two times, at one aggregator or at all.
+func (j *Judge) Rate(tenant, aggregator string, from, to time.Time) float64 {
 	n := 0
-	for _, l := range j.admitted(tenant, mixer) {
+	for _, l := range j.admitted(tenant, aggregator) {
 		if l.sent.After(from) && l.ended.Before(to) {
 			n++
 		}
@@ -146,38 +146,38 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-// Lost counts lookups without a final answer, but for those of mixers that were killed.
+// Lost counts queries without a final answer, but for those of aggregators that were killed.
 func (j *Judge) Lost(but ...string) (n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, l := range j.lookups {
-		if l.status == 0 && !slices.Contains(but, l.mixer) {
+	for _, l := range j.queries {
+		if l.status == 0 && !slices.Contains(but, l.aggregator) {
 			n++
 		}
 	}
 	return n
 }
 
-// Reasons counts the lookups that were not admitted, by mixer, status and text.
+// Reasons counts the queries that were not admitted, by aggregator, status and text.
 func (j *Judge) Reasons() map[string]int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := map[string]int{}
-	for _, l := range j.lookups {
+	for _, l := range j.queries {
 		if l.status != 200 {
-			n[fmt.Sprintf("%s: %s: %d %s", l.mixer, l.tenant, l.status, l.text)]++
+			n[fmt.Sprintf("%s: %s: %d %s", l.aggregator, l.tenant, l.status, l.text)]++
 		}
 	}
 	return n
 }
 
-// Statuses counts a tenant's answers since a time, at one mixer or at all.
-func (j *Judge) Statuses(tenant, mixer string, since time.Time) map[int]int {
+// Statuses counts a tenant's answers since a time, at one aggregator or at all.
+func (j *Judge) Statuses(tenant, aggregator string, since time.Time) map[int]int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := map[int]int{}
-	for _, l := range j.lookups {
-		if l.tenant == tenant && (mixer == "" || l.mixer == mixer) && !l.sent.Before(since) {
+	for _, l := range j.queries {
+		if l.tenant == tenant && (aggregator == "" || l.aggregator == aggregator) && !l.sent.Before(since) {
 			n[l.status]++
 		}
 	}
@@ -189,7 +189,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var took []time.Duration
-	for _, l := range j.lookups {
+	for _, l := range j.queries {
 		if l.tenant == tenant && l.sent.After(from) && l.sent.Before(to) && l.status == 200 {
 			took = append(took, l.ended.Sub(l.sent))
 		}
