--- a/internal/tools/fleettest/judgements_test.go
+++ b/internal/tools/fleettest/judgements_test.go
@@ -10,57 +10,57 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 )
 
-// slowAt makes some searchers crawl for some mixers alone.
-func (w *World) slowAt(m *Mixer, delay time.Duration, searchers ...int) {
-	for _, i := range searchers {
+// slowAt makes some backends crawl for some aggregators alone.
+func (w *World) slowAt(m *Aggregator, delay time.Duration, backends ...int) {
+	for _, i := range backends {
 		m.before[i].Set(Fault{Delay: delay})
 	}
 }
 
-// reportsIn are the reports that a mixer shows to have heard of others.
+// reportsIn are the reports that an aggregator shows to have heard of others.
 func reportsIn(shown map[string]any) (list []outlier.Heard) {
 	text, _ := json.Marshal(shown["reports"])
 	json.Unmarshal(text, &list)
 	return list
 }
 
-// calledLately is for how long a mixer that called a searcher is a witness of it: calls seen fade over 10 s.
+// calledLately is for how long an aggregator that called a backend is a witness of it: calls seen fade over 10 s.
 const calledLately = 5 * time.Second
 
-// A searcher crawls, and two mixers that have lookups see it. A third that had none takes it for slow from their word alone; one
-// sick mixer, to which half of all searchers crawl, is believed by nobody.
+// A backend crawls, and two aggregators that have queries see it. A third that had none takes it for slow from their word alone; one
+// sick aggregator, to which half of all backends crawl, is believed by nobody.
 func TestJudgementsOfOthers(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 5})
+	w := Start(t, Options{Aggregators: 5})
 	w.grants()
 	// Each of the two asks for shards 0 and 1, which s-1 in their zone holds, twice as often as for 3 and 4, which s-4 does; the sick
 	// one asks for others. So s-1 is the one that both call most.
-	two := w.Load(60, "cato", "reads", func(n int) *Mixer {
+	two := w.Load(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 0 {
 			return nil
 		}
-		return []*Mixer{w.Mixers[1], w.Mixers[1], w.Mixers[1], nil, w.Mixers[4], w.Mixers[4], w.Mixers[4], nil}[n/3%8]
+		return []*Aggregator{w.Aggregators[1], w.Aggregators[1], w.Aggregators[1], nil, w.Aggregators[4], w.Aggregators[4], w.Aggregators[4], nil}[n/3%8]
 	})
-	one := w.Load(60, "cato", "reads", func(n int) *Mixer {
+	one := w.Load(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 2 {
 			return nil
 		}
-		return w.Mixers[3]
+		return w.Aggregators[3]
 	})
 	stop := func() { two(); one() }
-	judged := func(m *Mixer) string {
+	judged := func(m *Aggregator) string {
 		var s map[string]any
 		w.Until(m.Name+" shows what it judges", func() bool { s = m.Show(); return s != nil })
 		return strings.TrimSpace(fmt.Sprint(s["judged"]))
 	}
-	// look reads what the third mixer has heard: whom the sick one blames while no other has for as long as a judgement stands, and
+	// look reads what the third aggregator has heard: whom the sick one blames while no other has for as long as a judgement stands, and
 	// whether both others have called s-1 of late without fault.
-	othersBlamed, called := map[outlier.Searcher]time.Time{}, map[string]time.Time{}
-	look := func() (shown map[string]any, alone []outlier.Searcher, sound bool) {
-		if shown = w.Mixers[2].Show(); shown == nil {
+	othersBlamed, called := map[outlier.Backend]time.Time{}, map[string]time.Time{}
+	look := func() (shown map[string]any, alone []outlier.Backend, sound bool) {
+		if shown = w.Aggregators[2].Show(); shown == nil {
 			return nil, nil, false
 		}
-		var sick []outlier.Searcher
+		var sick []outlier.Backend
 		for _, r := range reportsIn(shown) {
 			if r.Origin == "m3" {
 				sick = r.Bad
@@ -69,7 +69,7 @@
 			for _, name := range r.Bad {
 				othersBlamed[name] = time.Now()
 			}
-			if len(r.Bad) == 0 && r.Worst.Searcher == "s-1" && r.Worst.Calls >= 10 { // without fault the one called most is named
+			if len(r.Bad) == 0 && r.Worst.Backend == "s-1" && r.Worst.Calls >= 10 { // without fault the one called most is named
 				called[string(r.Origin)] = time.Now()
 			}
 		}
@@ -81,8 +81,8 @@
 		return shown, alone, time.Since(called["m1"]) < calledLately && time.Since(called["m4"]) < calledLately
 	}
 	w.Until("two mixers call the searcher and find no fault", func() bool { _, _, sound := look(); return sound })
-	w.slowAt(w.Mixers[3], 300*time.Millisecond, 0, 1, 4) // the sick one, to which half of all searchers crawl
-	var first time.Time                                  // that it alone found fault; what is heard is judged within a second
+	w.slowAt(w.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the sick one, to which half of all backends crawl
+	var first time.Time                                       // that it alone found fault; what is heard is judged within a second
 	w.Until("the sick mixer alone finds fault", func() bool {
 		shown, alone, sound := look()
 		for _, name := range alone {
@@ -95,22 +95,22 @@
 		}
 		return sound && len(alone) > 0 && time.Since(first) > 2*time.Second
 	})
-	for _, i := range []int{1, 2, 4} { // s-1 stands in the zone of the first and the last of them, which have lookups
-		w.slowAt(w.Mixers[i], 200*time.Millisecond, 1)
+	for _, i := range []int{1, 2, 4} { // s-1 stands in the zone of the first and the last of them, which have queries
+		w.slowAt(w.Aggregators[i], 200*time.Millisecond, 1)
 	}
 	began := time.Now()
-	w.Until("the third has it from the two others", func() bool { return strings.Contains(judged(w.Mixers[2]), "s-1") })
+	w.Until("the third has it from the two others", func() bool { return strings.Contains(judged(w.Aggregators[2]), "s-1") })
 	t.Logf("a crawling searcher is known to a mixer without lookups after %.1f s", time.Since(began).Seconds())
 	stop()
-	before := w.Searchers[1].Calls()
+	before := w.Backends[1].Calls()
 	for range 20 {
-		w.Ask(w.Mixers[2], "cato", "reads", 0) // held by s-0 and s-1, both in other zones than the third mixer's
+		w.Ask(w.Aggregators[2], "cato", "reads", 0) // held by s-0 and s-1, both in other zones than the third aggregator's
 	}
-	calls := w.Searchers[1].Calls() - before
+	calls := w.Backends[1].Calls() - before
 	if t.Logf("of its first 20 lookups of a shard that it holds %d go to it", calls); calls > 0 {
 		t.Errorf("%d of 20 lookups meet the searcher that others called slow", calls)
 	}
-	if strings.Contains(judged(w.Mixers[2]), "s-0") {
+	if strings.Contains(judged(w.Aggregators[2]), "s-0") {
 		t.Error("the sick mixer's word counts")
 	}
 	w.Rules()
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -19,7 +19,7 @@
 }
 
 // cpu is what a process has used, in seconds.
-func (m *Mixer) cpu() float64 {
+func (m *Aggregator) cpu() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
 	m.world.must(err)
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+2:])
@@ -29,7 +29,7 @@
 }
 
 // memory is what it has resident, in MB.
-func (m *Mixer) memory() float64 {
+func (m *Aggregator) memory() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", m.cmd.Process.Pid))
 	m.world.must(err)
 	pages, _ := strconv.ParseFloat(string(bytes.Fields(text)[1]), 64)
@@ -38,33 +38,33 @@
 
 const wide = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 1e6, "burst": 1e6, "floor_share": 0.1}, {"tenant": "cato", "per_s": 1e6, "burst": 1e6}]}`
 
-// The cost of a lookup with and without a fleet, by turns in one run, one mixer of three asked by four clients one after the
+// The cost of a query with and without a fleet, by turns in one run, one aggregator of three asked by four clients one after the
 // other; what the fleet itself costs at rest is taken off and told apart.
 func TestMeasureCost(t *testing.T) {
 	measured(t)
-	with := Start(t, Options{Mixers: 3, Plain: true, Quotas: wide, Contracts: `{"version": 1, "strict": ["*"], "tenants": [{"tenant": "acme", "zones": ["a", "b"]}]}`, Searchers: 12, Service: time.Millisecond})
-	without := Start(t, Options{Mixers: 3, Plain: true, NoFleet: true, Searchers: 12, Service: time.Millisecond})
+	with := Start(t, Options{Aggregators: 3, Plain: true, Quotas: wide, Contracts: `{"version": 1, "strict": ["*"], "tenants": [{"tenant": "acme", "zones": ["a", "b"]}]}`, Backends: 12, Service: time.Millisecond})
+	without := Start(t, Options{Aggregators: 3, Plain: true, NoFleet: true, Backends: 12, Service: time.Millisecond})
 	with.grants()
-	with.Until("acme is served", func() bool { s, _ := with.Ask(with.Mixers[0], "acme", "reads", 0, 1); return s == 200 })
+	with.Until("acme is served", func() bool { s, _ := with.Ask(with.Aggregators[0], "acme", "reads", 0, 1); return s == 200 })
 	rest := func(w *World) float64 {
-		was := w.Mixers[0].cpu()
+		was := w.Aggregators[0].cpu()
 		time.Sleep(5 * time.Second)
-		return (w.Mixers[0].cpu() - was) / 5
+		return (w.Aggregators[0].cpu() - was) / 5
 	}
 	idleWith, idleWithout := rest(with), rest(without)
 	play := func(w *World, n int) (cpu, took float64) {
-		was, began := w.Mixers[0].cpu(), time.Now()
+		was, began := w.Aggregators[0].cpu(), time.Now()
 		var all sync.WaitGroup
 		for c := range 4 {
 			all.Go(func() {
 				for i := range n / 4 {
-					w.Ask(w.Mixers[0], "acme", "reads", (c+3*i)%12, (c+3*i+4)%12)
+					w.Ask(w.Aggregators[0], "acme", "reads", (c+3*i)%12, (c+3*i+4)%12)
 				}
 			})
 		}
 		all.Wait()
 		took = time.Since(began).Seconds()
-		return w.Mixers[0].cpu() - was, took
+		return w.Aggregators[0].cpu() - was, took
 	}
 	var on, off, onTook, offTook float64
 	for round := range 8 {
@@ -75,40 +75,40 @@
 		}
 	}
 	t.Logf("CPU of a lookup: %.0f us without, %.0f with, %.3f; wall %.3f; at rest %.4f and %.4f of a core; memory %.1f and %.1f MB",
-		off/28000*1e6, on/28000*1e6, on/off, onTook/offTook, idleWithout, idleWith, without.Mixers[0].memory(), with.Mixers[0].memory())
+		off/28000*1e6, on/28000*1e6, on/off, onTook/offTook, idleWithout, idleWith, without.Aggregators[0].memory(), with.Aggregators[0].memory())
 }
 
-// What a mixer says to others, by the fleet's size, with a tenant that uses its quota at all of them; how long a crash takes to be
-// known, and who is told of a crawling searcher.
+// What an aggregator says to others, by the fleet's size, with a tenant that uses its quota at all of them; how long a crash takes to be
+// known, and who is told of a crawling backend.
 func TestMeasureTalk(t *testing.T) {
 	measured(t)
 	for _, n := range []int{3, 9, 30} {
-		w := Start(t, Options{Mixers: n, Plain: true, Voters: min(n, 5),
+		w := Start(t, Options{Aggregators: n, Plain: true, Voters: min(n, 5),
 			Quotas: `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90}]}`})
 		w.grants()
 		stop := w.Load(120, "acme", "reads", w.All)
 		time.Sleep(2 * time.Second)
 		sent, cpu := make([]float64, n), make([]float64, n)
-		for i, m := range w.Mixers {
+		for i, m := range w.Aggregators {
 			sent[i], cpu[i] = m.Counter("fleet_bytes.sent"), m.cpu()
 		}
 		from := time.Now()
 		time.Sleep(10 * time.Second)
 		most, sum := 0.0, 0.0
-		for i, m := range w.Mixers {
+		for i, m := range w.Aggregators {
 			b := (m.Counter("fleet_bytes.sent") - sent[i]) / time.Since(from).Seconds()
 			most, sum = max(most, b), sum+b
 		}
 		rate := w.Judge.Rate("acme", "", from, time.Now())
 		stop()
-		victim := w.Mixers[n-1]
+		victim := w.Aggregators[n-1]
 		if w.Leader() == victim {
-			victim = w.Mixers[n-2]
+			victim = w.Aggregators[n-2]
 		}
 		victim.Kill()
 		killed := time.Now()
 		w.Until("all know", func() bool {
-			for _, m := range w.Mixers {
+			for _, m := range w.Aggregators {
 				if m == victim {
 					continue
 				}
@@ -130,14 +130,14 @@
 	}
 }
 
-// How much of a quota is used by where a tenant's lookups come: spread, at one mixer, and in the first seconds at another.
+// How much of a quota is used by where a tenant's queries come: spread, at one aggregator, and in the first seconds at another.
 func TestMeasureSkew(t *testing.T) {
 	measured(t)
 	for _, n := range []int{3, 9} {
-		w := Start(t, Options{Mixers: n, Plain: true, Voters: min(n, 5),
+		w := Start(t, Options{Aggregators: n, Plain: true, Voters: min(n, 5),
 			Quotas: `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90}]}`})
 		w.grants()
-		play := func(what string, skip, seconds int, pick func(int) *Mixer) {
+		play := func(what string, skip, seconds int, pick func(int) *Aggregator) {
 			stop := w.Load(120, "acme", "reads", pick)
 			time.Sleep(time.Duration(skip) * time.Second)
 			from := time.Now()
@@ -146,37 +146,37 @@
 			stop()
 		}
 		play("spread", 3, 10, w.All)
-		play("at one", 3, 10, func(int) *Mixer { return w.Mixers[0] })
-		play("moved to another a second ago", 1, 10, func(int) *Mixer { return w.Mixers[1] })
+		play("at one", 3, 10, func(int) *Aggregator { return w.Aggregators[0] })
+		play("moved to another a second ago", 1, 10, func(int) *Aggregator { return w.Aggregators[1] })
 		w.Quota("acme", perS, burst)
 	}
 }
 
-// How many slow lookups a crawling searcher costs a fleet of nine, each mixer with few lookups, with judgements and without.
+// How many slow queries a crawling backend costs a fleet of nine, each aggregator with few queries, with judgements and without.
 func TestMeasureCrawl(t *testing.T) {
 	measured(t)
 	for _, alone := range []bool{true, false, true, false} {
-		w := Start(t, Options{Mixers: 9, Plain: true, NoFleet: alone})
+		w := Start(t, Options{Aggregators: 9, Plain: true, NoFleet: alone})
 		if !alone {
 			w.grants()
 		}
-		for _, m := range w.Mixers {
+		for _, m := range w.Aggregators {
 			w.slowAt(m, 300*time.Millisecond, 1)
 		}
-		stop := w.Load(18, "cato", "reads", func(n int) *Mixer { return w.Mixers[n*5%9] })
+		stop := w.Load(18, "cato", "reads", func(n int) *Aggregator { return w.Aggregators[n*5%9] })
 		time.Sleep(20 * time.Second)
 		stop()
-		slow, calls := 0, w.Searchers[1].Calls()
+		slow, calls := 0, w.Backends[1].Calls()
 		w.Judge.mu.Lock()
-		for _, l := range w.Judge.lookups {
+		for _, l := range w.Judge.queries {
 			if l.ended.Sub(l.sent) > 100*time.Millisecond {
 				slow++
 			}
 		}
-		n := len(w.Judge.lookups)
+		n := len(w.Judge.queries)
 		w.Judge.mu.Unlock()
 		t.Logf("judgements %t: %d of %d lookups over 100 ms, %d part calls at the crawling searcher", !alone, slow, n, calls)
-		for _, m := range w.Mixers {
+		for _, m := range w.Aggregators {
 			m.Signal(syscall.SIGKILL)
 		}
 	}
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -12,7 +12,7 @@
 )
 
 // Client is its operators' client, one for all: the listener takes few connections.
-func (m *Mixer) Client() *api.Client {
+func (m *Aggregator) Client() *api.Client {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.client == nil {
@@ -24,7 +24,7 @@
 }
 
 // Show is what it tells operators of the fleet, as JSON tells it; nil where it does not answer.
-func (m *Mixer) Show() map[string]any {
+func (m *Aggregator) Show() map[string]any {
 	time.Sleep(askPause)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -35,9 +35,9 @@
 	return s
 }
 
-// Leader is the mixer that leads and grants, as it says itself; nil for none.
-func (w *World) Leader() *Mixer {
-	for _, m := range w.Mixers {
+// Leader is the aggregator that leads and grants, as it says itself; nil for none.
+func (w *World) Leader() *Aggregator {
+	for _, m := range w.Aggregators {
 		if s := m.Show(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
 			return m
 		}
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Command sends a command through one mixer, and tells the version that it made.
-func (m *Mixer) Command(command map[string]any) (version uint64, err error) {
+// Command sends a command through one aggregator, and tells the version that it made.
+func (m *Aggregator) Command(command map[string]any) (version uint64, err error) {
 	body, _ := json.Marshal(command)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -56,8 +56,8 @@
 	return r.Version, err
 }
 
-// Held asks through one mixer how a version stands.
-func (m *Mixer) Held(version uint64, tenant string) (held bool, states map[string]string) {
+// Held asks through one aggregator how a version stands.
+func (m *Aggregator) Held(version uint64, tenant string) (held bool, states map[string]string) {
 	time.Sleep(askPause)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
 	defer cancel()
@@ -66,14 +66,14 @@
 		return false, nil
 	}
 	states = map[string]string{}
-	for _, x := range p.Mixers {
-		states[string(x.Mixer)] = x.State
+	for _, x := range p.Nodes {
+		states[string(x.Node)] = x.State
 	}
 	return p.Held, states
 }
 
 // Counter reads a counter of the process from its log, after a SIGUSR1.
-func (m *Mixer) Counter(name string) (value float64) {
+func (m *Aggregator) Counter(name string) (value float64) {
 	m.world.Helper()
 	text, _ := os.ReadFile(m.log)
 	from := len(text)
--- a/internal/tools/fleettest/process_test.go
+++ b/internal/tools/fleettest/process_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// file is a mixer's operator's file: of its peers it knows the relays' addresses.
-func (m *Mixer) file() string {
+// file is an aggregator's operator's file: of its peers it knows the relays' addresses.
+func (m *Aggregator) file() string {
 	w := m.world
 	var b strings.Builder
 	fmt.Fprintf(&b, "{\n\"operators\": {\"listen\": \"unix:%s\"},\n", m.socket())
@@ -25,7 +25,7 @@
 			directory = fmt.Sprintf("\"directory\": %q, ", m.dir)
 		}
 		fmt.Fprintf(&b, "\"fleet\": {\"key_file\": %q, %s\"lease_s\": %g, \"version\": 1, \"mixers\": [\n", w.path("key"), directory, w.LeaseS)
-		for _, o := range w.Mixers {
+		for _, o := range w.Aggregators {
 			address := o.address
 			if o.Name != m.Name {
 				address = w.Link(m.no, o.no).Address()
@@ -44,10 +44,10 @@
 	return b.String()
 }
 
-func (m *Mixer) socket() string { return filepath.Join(m.world.dir, m.Name+m.twin+".s") }
+func (m *Aggregator) socket() string { return filepath.Join(m.world.dir, m.Name+m.twin+".s") }
 
 // Start starts the process.
-func (m *Mixer) Start() {
+func (m *Aggregator) Start() {
 	w := m.world
 	w.Helper()
 	config, file := w.path(m.Name+m.twin+".json"), w.path(m.Name+m.twin+".json5")
@@ -79,10 +79,10 @@
 }
 
 // Twin starts a second process of the same name, address and directory, which listens elsewhere for clients.
-func (m *Mixer) Twin() *Mixer {
+func (m *Aggregator) Twin() *Aggregator {
 	w := m.world
 	w.Helper()
-	t := &Mixer{Name: m.Name, Zone: m.Zone, Listen: w.port(), world: w, no: m.no, twin: "-2", address: m.address, register: m.register, before: m.before, dir: m.dir}
+	t := &Aggregator{Name: m.Name, Zone: m.Zone, Listen: w.port(), world: w, no: m.no, twin: "-2", address: m.address, register: m.register, before: m.before, dir: m.dir}
 	t.Start()
 	w.Cleanup(t.Kill)
 	w.Until("the twin serves", t.up)
@@ -90,20 +90,20 @@
 }
 
 // Signal sends a signal to the process.
-func (m *Mixer) Signal(s syscall.Signal) {
+func (m *Aggregator) Signal(s syscall.Signal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cmd.Process.Signal(s)
 }
 
 // Kill ends the process at once and waits for its end.
-func (m *Mixer) Kill() {
+func (m *Aggregator) Kill() {
 	m.Signal(syscall.SIGKILL)
 	<-m.ended
 }
 
 // Ended tells whether the process has ended.
-func (m *Mixer) Ended() bool {
+func (m *Aggregator) Ended() bool {
 	select {
 	case <-m.ended:
 		return true
@@ -113,7 +113,7 @@
 }
 
 // Stopped tells whether the process stands still, as after SIGSTOP.
-func (m *Mixer) Stopped() bool {
+func (m *Aggregator) Stopped() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
@@ -122,7 +122,7 @@
 }
 
 // Restart kills the process and starts it anew, with an empty directory where that is lost.
-func (m *Mixer) Restart(lost bool) {
+func (m *Aggregator) Restart(lost bool) {
 	m.world.Helper()
 	m.Kill()
 	if lost {
@@ -133,12 +133,12 @@
 }
 
 // tend keeps a fleet going as its machines would: who was killed starts again, who stands still goes on after 3 s.
-func (w *World) tend() (stop func() (killed []*Mixer)) {
+func (w *World) tend() (stop func() (killed []*Aggregator)) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	var killed []*Mixer
-	for _, m := range w.Mixers {
+	var killed []*Aggregator
+	for _, m := range w.Aggregators {
 		all.Go(func() {
 			for {
 				select {
@@ -160,13 +160,13 @@
 			}
 		})
 	}
-	return func() []*Mixer { close(done); all.Wait(); return killed }
+	return func() []*Aggregator { close(done); all.Wait(); return killed }
 }
 
 // Arm lets its next start have a point armed.
-func (m *Mixer) Arm(env ...string) { m.env = env }
+func (m *Aggregator) Arm(env ...string) { m.env = env }
 
-func (m *Mixer) up() bool {
+func (m *Aggregator) up() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Listen+"/up", nil)
--- a/internal/tools/fleettest/restart_test.go
+++ b/internal/tools/fleettest/restart_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// readyWithin is the longest time that nine in ten mixers may take until they serve again.
+// readyWithin is the longest time that nine in ten aggregators may take until they serve again.
 const readyWithin = 6 * time.Second
 
-// All mixers die at once under load and come back: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
+// All aggregators die at once under load and come back: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
 func TestNineInTenAreReadyAfterARestart(t *testing.T) {
 	t.Parallel()
 	for name, reachable := range map[string]bool{"discovery in reach": true, "discovery out of reach": false} {
 		t.Run(name, func(t *testing.T) {
-			w := Start(t, Options{Mixers: 10, NoFleet: true, Plain: true})
+			w := Start(t, Options{Aggregators: 10, NoFleet: true, Plain: true})
 			stop := w.Load(50, OrdersOf, "orders", w.All)
 			w.Until("lookups are answered", func() bool { return w.Judge.Statuses(OrdersOf, "", time.Time{})[200] > 20 })
-			for _, m := range w.Mixers {
+			for _, m := range w.Aggregators {
 				m.Kill()
 				if !reachable {
 					m.register.Close()
@@ -30,7 +30,7 @@
 			if most := took[len(took)*9/10-1]; most > readyWithin {
 				t.Errorf("nine in ten serve again after %s, expected %s at most", most, readyWithin)
 			}
-			w.Rules(w.Mixers...)
+			w.Rules(w.Aggregators...)
 		})
 	}
 }
@@ -38,12 +38,12 @@
 // restartAll starts all processes at once, and tells how long each took until it served, the shortest first.
 func (w *World) restartAll() (took []time.Duration) {
 	began := time.Now()
-	for _, m := range w.Mixers {
+	for _, m := range w.Aggregators {
 		m.Start()
 	}
-	took = make([]time.Duration, len(w.Mixers))
+	took = make([]time.Duration, len(w.Aggregators))
 	var all sync.WaitGroup
-	for i, m := range w.Mixers {
+	for i, m := range w.Aggregators {
 		all.Go(func() {
 			for late := began.Add(Patience); !m.up() && time.Now().Before(late); {
 				time.Sleep(5 * time.Millisecond)
--- a/internal/tools/fleettest/silent_test.go
+++ b/internal/tools/fleettest/silent_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// A client that stands still between dialling and asking finds its connection ended, as a mixer owes an end to one that says nothing.
-// It asks once more and gets its answer, and nothing counts as lost; the mixer heard of the lookup once.
+// A client that stands still between dialling and asking finds its connection ended, as an aggregator owes an end to one that says nothing.
+// It asks once more and gets its answer, and nothing counts as lost; the aggregator heard of the query once.
 func TestASilentConnectionHasAskedNobody(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 1, NoFleet: true, Plain: true})
+	w := Start(t, Options{Aggregators: 1, NoFleet: true, Plain: true})
 	var dials atomic.Int64
 	w.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -27,7 +27,7 @@
 		}
 		return c, err
 	}}}
-	if status, text := w.Ask(w.Mixers[0], OrdersOf, "orders", 0, 1); status != http.StatusOK {
+	if status, text := w.Ask(w.Aggregators[0], OrdersOf, "orders", 0, 1); status != http.StatusOK {
 		t.Errorf("got %d %s", status, text)
 	}
 	if n := dials.Load(); n != 2 {
--- a/internal/tools/fleettest/stop_test.go
+++ b/internal/tools/fleettest/stop_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// After SIGTERM clients send on every connection that stays open, up to SIGKILL: each lookup gets its final answer, the last one on
-// a connection says that it closes, and no connection ends under a lookup.
+// After SIGTERM clients send on every connection that stays open, up to SIGKILL: each query gets its final answer, the last one on
+// a connection says that it closes, and no connection ends under a query.
 func TestStopWithOpenConnections(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Mixers: 1, NoFleet: true, Plain: true, Service: 5 * time.Millisecond})
-	m := w.Mixers[0]
+	w := Start(t, Options{Aggregators: 1, NoFleet: true, Plain: true, Service: 5 * time.Millisecond})
+	m := w.Aggregators[0]
 	var answered, closed, after atomic.Int64
 	var stopping atomic.Bool
 	var connections sync.WaitGroup
--- a/internal/tools/plan/bench_test.go
+++ b/internal/tools/plan/bench_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// BenchmarkEmulate tells how the time of one emulation at half load grows with the fleet: ten shards a searcher, and ten
-// searchers a mixer, which then takes 500 lookups a second.
+// BenchmarkEmulate tells how the time of one emulation at half load grows with the fleet: ten shards a backend, and ten
+// backends an aggregator, which then takes 500 queries a second.
 func BenchmarkEmulate(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := fleet(n, 4)
-			f.Shards, f.Mixers = 10*n, max(2, n/10)
+			f.Shards, f.Aggregators = 10*n, max(2, n/10)
 			a := ask(float64(n)*4/0.01/4*0.5, 4)
 			var o Outcome
 			for b.Loop() {
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -10,46 +10,46 @@
 
 // Outcome is what an emulation comes to.
 type Outcome struct {
-	Asked     int64   // lookups, by their clients' first tries
-	Lookups   []int64 // of them, by index
+	Asked     int64   // queries, by their clients' first tries
+	Queries   []int64 // of them, by index
 	Nacked    float64 // shares of all that ended so at last
 	Aborted   float64
 	Gain      float64   // share of gain within the soft deadline
-	ByIndex   []float64 // share of lookups answered within the soft deadline
-	P50, P99  float64   // of answered lookups, seconds from the first try
+	ByIndex   []float64 // share of queries answered within the soft deadline
+	P50, P99  float64   // of answered queries, seconds from the first try
 	Use       []float64
-	Hottest   int // searcher of most use
+	Hottest   int // backend of most use
 	MostQueue int
-	MostHeld  int // lookups and parts, of the fullest mixer
-	MostOut   int // part calls out, of the busiest mixer
+	MostHeld  int // queries and parts, of the fullest aggregator
+	MostOut   int // part calls out, of the busiest aggregator
 	Refused   int64
-	Tries     float64 // lookups sent by clients for each asked
+	Tries     float64 // queries sent by clients for each asked
 	Calls     float64 // part calls for each part
 
 	took []float64
 }
 
-// sizes of an emulation: enough lookups that a p99 rests on some twenty.
+// sizes of an emulation: enough queries that a p99 rests on some twenty.
 const (
-	warmLookups = 400
-	sureLookups = 2500
+	warmQueries = 400
+	sureQueries = 2500
 	mostTime    = 120.0
-	// Windows and latencies are learnt once each searcher has answered so often, or after mostWarm seconds.
+	// Windows and latencies are learnt once each backend has answered so often, or after mostWarm seconds.
 	warmCalls           = 100
 	leastWarm, mostWarm = 0.5, 2.0
 	// leastTime is what counts at the least, seconds: queues at high load come and go over tens of parts' work.
 	leastTime = 1.0
 )
 
-// Emulate plays a steady load on a fleet, so long that so many lookups count (0 for the usual number). Both must have
+// Emulate plays a steady load on a fleet, so long that so many queries count (0 for the usual number). Both must have
 // been checked.
-func Emulate(f *Site, a *Ask, seed uint64, lookups int) Outcome {
-	if lookups == 0 {
-		lookups = sureLookups
+func Emulate(f *Site, a *Ask, seed uint64, queries int) Outcome {
+	if queries == 0 {
+		queries = sureQueries
 	}
 	w := newWorld(f, a, seed)
-	w.warm = max(warmLookups/a.PerS, min(mostWarm, max(leastWarm, warmCalls*float64(len(f.Searchers))/(a.PerS*a.parts()))))
-	w.end = w.warm + min(mostTime, max(leastTime, float64(lookups)/a.PerS))
+	w.warm = max(warmQueries/a.PerS, min(mostWarm, max(leastWarm, warmCalls*float64(len(f.Backends))/(a.PerS*a.subqueries()))))
+	w.end = w.warm + min(mostTime, max(leastTime, float64(queries)/a.PerS))
 	w.arrive()
 	longest := 0.0
 	for _, x := range f.Indexes {
@@ -70,14 +70,14 @@
 }
 
 func newWorld(f *Site, a *Ask, seed uint64) *world {
-	w := &world{f: f, a: a, g: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.SearcherID]*station{}}
-	w.got.Lookups, w.got.ByIndex = make([]int64, len(f.Indexes)), make([]float64, len(f.Indexes))
+	w := &world{f: f, a: a, g: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.BackendID]*station{}}
+	w.got.Queries, w.got.ByIndex = make([]int64, len(f.Indexes)), make([]float64, len(f.Indexes))
 	list := policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}
-	for i, s := range f.Searchers {
-		st := &station{Searcher: s, id: policy.SearcherID(i + 1)}
+	for i, s := range f.Backends {
+		st := &station{Backend: s, id: policy.BackendID(i + 1)}
 		w.stations = append(w.stations, st)
 		w.byID[st.id] = st
-		list.Entries = append(list.Entries, policy.Entry{Searcher: st.id, Location: policy.LocationID(slices.Index(f.Locations, s.Location)), Cell: policy.CellID(s.Cell), Share: 1})
+		list.Entries = append(list.Entries, policy.Entry{Backend: st.id, Location: policy.LocationID(slices.Index(f.Locations, s.Location)), Cell: policy.CellID(s.Cell), Share: 1})
 	}
 	sum := 0.0
 	for s := range f.Shards {
@@ -88,17 +88,17 @@
 		}
 		w.popular = append(w.popular, sum)
 	}
-	for i := range f.Mixers {
-		set := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.MixerNo(i), Mixers: f.Mixers, Location: policy.LocationID(i % max(1, len(f.Locations))),
-			Step: f.Step, Layout: policy.Layout{Cells: f.Cells, Width: f.Width, CallParts: 1},
+	for i := range f.Aggregators {
+		set := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: f.Aggregators, Location: policy.LocationID(i % max(1, len(f.Locations))),
+			Step: f.Step, Layout: policy.Layout{Cells: f.Cells, Width: f.Width, CallSubqueries: 1},
 			Limits: policy.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: max(1, f.MostTries), MaxHeld: f.MostHeld, MaxRetryAfter: 1, ConnectTimeout: 0.25},
 			Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
 		for _, x := range f.Indexes {
 			set.Indexes = append(set.Indexes, policy.IndexSettings{Soft: x.Soft, Hard: x.Hard, Gain: max(x.Gain, 1e-9), LateGain: x.Late, Effect: x.Effect, Need: 1, Floor: 1})
 		}
-		m := &mixer{m: policy.New(set, 0), lookups: map[policy.LookupID]*taken{}, parts: map[policy.PartID]policy.IndexID{},
-			made: map[policy.PartID]policy.CallNo{}, out: map[callKey]*work{}, stepped: -1}
-		w.mixers = append(w.mixers, m)
+		m := &aggregator{m: policy.New(set, 0), queries: map[policy.QueryID]*taken{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
+			made: map[policy.SubqueryID]policy.CallNo{}, out: map[callKey]*work{}, stepped: -1}
+		w.aggregators = append(w.aggregators, m)
 		w.tell(m, list)
 	}
 	return w
@@ -122,16 +122,16 @@
 		}
 	}
 	q := &query{share: share, began: w.now, counts: w.now >= w.warm}
-	q.shards = w.shards(w.a.Mix[share].Parts)
+	q.shards = w.shards(w.a.Mix[share].Subqueries)
 	if q.counts {
 		w.got.Asked++
-		w.got.Lookups[w.a.Mix[share].Index]++
+		w.got.Queries[w.a.Mix[share].Index]++
 	}
 	w.try(q)
 	w.at(w.now+w.gap()/w.a.PerS, w.arrive)
 }
 
-// gap is the time between two lookups against its mean.
+// gap is the time between two queries against its mean.
 func (w *world) gap() float64 {
 	if w.a.Bursts <= 0 || w.a.Bursts == 1 {
 		return w.g.Exp()
@@ -151,38 +151,38 @@
 	return list
 }
 
-// try sends a lookup to a mixer by chance.
+// try sends a query to an aggregator by chance.
 func (w *world) try(q *query) {
 	q.tries++
 	if q.counts {
 		w.got.Tries++
 	}
-	m := w.mixers[int(w.g.Unit()*float64(len(w.mixers)))]
-	if w.f.MostHeld > 0 && len(m.lookups)+len(m.parts) >= w.f.MostHeld {
+	m := w.aggregators[int(w.g.Unit()*float64(len(w.aggregators)))]
+	if w.f.MostHeld > 0 && len(m.queries)+len(m.subqueries) >= w.f.MostHeld {
 		w.nacked(q, 0)
 		return
 	}
 	k := w.a.Mix[q.share].Index
 	x := &w.f.Indexes[k]
 	m.lastID++
-	id, t := policy.LookupID(m.lastID), &taken{of: q}
-	m.lookups[id] = t
-	e := policy.Event{Kind: policy.LookupTaken, Lookup: id, No: policy.LookupNo(id), Index: policy.IndexID(k), Left: x.Hard - (w.now - q.began), Parts: len(q.shards), Resent: q.tries > 1}
+	id, t := policy.QueryID(m.lastID), &taken{of: q}
+	m.queries[id] = t
+	e := policy.Event{Kind: policy.QueryTaken, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(k), Left: x.Hard - (w.now - q.began), Subqueries: len(q.shards), Resent: q.tries > 1}
 	events := []policy.Event{e}
-	e.Kind, e.Parts = policy.PartTaken, 0
+	e.Kind, e.Subqueries = policy.SubqueryTaken, 0
 	for _, s := range q.shards {
 		m.lastID++
-		e.Part, e.Shard, e.Weight = policy.PartID(m.lastID), policy.ShardID(s), 1/float64(len(q.shards))
-		t.parts = append(t.parts, e.Part)
-		m.parts[e.Part] = policy.IndexID(k)
+		e.Subquery, e.Shard, e.Weight = policy.SubqueryID(m.lastID), policy.ShardID(s), 1/float64(len(q.shards))
+		t.subqueries = append(t.subqueries, e.Subquery)
+		m.subqueries[e.Subquery] = policy.IndexID(k)
 		events = append(events, e)
 	}
-	m.mostHeld = max(m.mostHeld, len(m.lookups)+len(m.parts))
+	m.mostHeld = max(m.mostHeld, len(m.queries)+len(m.subqueries))
 	w.tell(m, events...)
 }
 
-// tell hands events to a mixer, which steps no sooner after its last step than it may.
-func (w *world) tell(m *mixer, events ...policy.Event) {
+// tell hands events to an aggregator, which steps no sooner after its last step than it may.
+func (w *world) tell(m *aggregator, events ...policy.Event) {
 	m.events = append(m.events, events...)
 	if !m.waiting {
 		m.waiting = true
@@ -190,7 +190,7 @@
 	}
 }
 
-func (w *world) step(m *mixer) {
+func (w *world) step(m *aggregator) {
 	m.waiting, m.stepped = false, w.now
 	events := m.events
 	m.events = nil
@@ -201,28 +201,28 @@
 	m.mostOut = max(m.mostOut, len(m.out))
 }
 
-func (w *world) act(m *mixer, a *policy.Action) {
+func (w *world) act(m *aggregator, a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
-		k, held := m.parts[a.Part]
+		k, held := m.subqueries[a.Subquery]
 		if !held {
 			return
 		}
-		no := m.made[a.Part]
-		m.made[a.Part] = no + 1
-		c := &work{mixer: m, part: a.Part, no: no, k: k, sent: w.now}
-		m.out[callKey{a.Part, no}] = c
-		to := w.byID[a.Searcher]
+		no := m.made[a.Subquery]
+		m.made[a.Subquery] = no + 1
+		c := &work{aggregator: m, subquery: a.Subquery, no: no, k: k, sent: w.now}
+		m.out[callKey{a.Subquery, no}] = c
+		to := w.byID[a.Backend]
 		w.at(w.now+w.f.Network, func() { w.reach(to, c) })
 		w.at(a.StopAt, func() { w.finish(c, to, policy.TimedOut) })
 	case policy.Withdraw:
-		if c := m.out[callKey{a.Part, a.Call}]; c != nil {
+		if c := m.out[callKey{a.Subquery, a.Call}]; c != nil {
 			w.finish(c, nil, policy.Withdrawn)
 		}
 	case policy.Answer:
-		w.answered(m, a.Lookup)
+		w.answered(m, a.Query)
 	case policy.Nack, policy.Abort:
-		if t := w.close(m, a.Lookup); t != nil && a.Kind == policy.Nack {
+		if t := w.close(m, a.Query); t != nil && a.Kind == policy.Nack {
 			w.nacked(t.of, a.Wait)
 		} else if t != nil && t.of.counts {
 			w.got.Aborted++
@@ -235,26 +235,26 @@
 			}
 		})
 	case policy.Probe:
-		id := a.Searcher
+		id := a.Backend
 		w.at(w.now+2*w.f.Network, func() {
-			w.tell(m, policy.Event{Kind: policy.ProbeEnded, Searcher: id, Outcome: policy.Answered, Elapsed: 2 * w.f.Network})
+			w.tell(m, policy.Event{Kind: policy.ProbeEnded, Backend: id, Outcome: policy.Answered, Elapsed: 2 * w.f.Network})
 		})
 	}
 }
 
-func (w *world) close(m *mixer, id policy.LookupID) *taken {
-	t := m.lookups[id]
+func (w *world) close(m *aggregator, id policy.QueryID) *taken {
+	t := m.queries[id]
 	if t == nil {
 		return nil
 	}
-	delete(m.lookups, id)
-	for _, p := range t.parts {
-		delete(m.parts, p)
+	delete(m.queries, id)
+	for _, p := range t.subqueries {
+		delete(m.subqueries, p)
 	}
 	return t
 }
 
-func (w *world) answered(m *mixer, id policy.LookupID) {
+func (w *world) answered(m *aggregator, id policy.QueryID) {
 	t := w.close(m, id)
 	if t == nil || !t.of.counts {
 		return
@@ -283,9 +283,9 @@
 	n := max(1, float64(o.Asked))
 	gain, all := 0.0, 0.0
 	for k, x := range w.f.Indexes {
-		all += float64(o.Lookups[k]) * x.Gain
+		all += float64(o.Queries[k]) * x.Gain
 		gain += o.ByIndex[k] * x.Gain
-		o.ByIndex[k] /= max(1, float64(o.Lookups[k]))
+		o.ByIndex[k] /= max(1, float64(o.Queries[k]))
 	}
 	o.Gain = gain / max(all, 1e-9)
 	o.Nacked, o.Aborted, o.Tries = o.Nacked/n, o.Aborted/n, o.Tries/n
@@ -293,7 +293,7 @@
 	if len(o.took) > 0 {
 		o.P50, o.P99 = o.took[len(o.took)/2], o.took[min(len(o.took)-1, len(o.took)*99/100)]
 	}
-	parts := 0.0
+	subqueries := 0.0
 	for i, s := range w.stations {
 		o.Use = append(o.Use, s.used/(float64(s.Cores)*(w.end-w.warm)))
 		if o.Use[i] > o.Use[o.Hottest] {
@@ -301,11 +301,11 @@
 		}
 		o.MostQueue = max(o.MostQueue, s.most)
 		o.Refused += s.refused
-		parts += float64(s.calls)
+		subqueries += float64(s.calls)
 	}
-	for _, m := range w.mixers {
+	for _, m := range w.aggregators {
 		o.MostHeld, o.MostOut = max(o.MostHeld, m.mostHeld), max(o.MostOut, m.mostOut)
 	}
-	o.Calls = parts / max(1, w.a.parts()*w.a.PerS*w.end)
+	o.Calls = subqueries / max(1, w.a.subqueries()*w.a.PerS*w.end)
 	return *o
 }
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Offer is what a location has of searchers.
+// Offer is what a location has of backends.
 type Offer struct {
 	Location string
-	Price    float64 // of one searcher
+	Price    float64 // of one backend
 	Capacity float64 // core seconds a second of one, at the use that keeps the goals
 	Most     int     // that may stand there
 }
 
-// Buy is how many searchers stand where.
+// Buy is how many backends stand where.
 type Buy struct {
 	Counts []int // by offer
 	Price  float64
@@ -24,7 +24,7 @@
 // mostExact is how many purchases are gone through one by one.
 const mostExact = 2_000_000
 
-// Fewest finds the cheapest purchase whose capacity bears demand with any one location lost and, besides, so many searchers
+// Fewest finds the cheapest purchase whose capacity bears demand with any one location lost and, besides, so many backends
 // lost wherever it hurts most. Small ones are gone through one by one, with the cheaper ones first cut off by the best
 // found; for large ones the bound says how far it may be from the best.
 func Fewest(offers []Offer, demand float64, spare int) (Buy, error) {
@@ -100,7 +100,7 @@
 	counts[i] = 0
 }
 
-// greedy takes searchers off the fullest purchase while it still bears, the dearest for its capacity first, and then
+// greedy takes backends off the fullest purchase while it still bears, the dearest for its capacity first, and then
 // tries to swap one for a cheaper one.
 func greedy(offers []Offer, demand float64, spare int) (b Buy) {
 	counts := make([]int, len(offers))
@@ -167,24 +167,24 @@
 	return n / (n - 1) * demand * cheapest
 }
 
-// Copies is where the copies of each shard stand, by places of searchers.
+// Copies is where the copies of each shard stand, by places of backends.
 type Copies [][]int
 
 // Placed is a placement and what it comes to.
 type Placed struct {
 	Copies Copies
 	Moves  int     // copies that stand elsewhere than today
-	Most   float64 // load of the fullest searcher against its capacity
+	Most   float64 // load of the fullest backend against its capacity
 	Bound  float64 // no placement has less
 }
 
-// Place puts so many copies of each shard on searchers, no two of one shard in one location, so that what is asked for is
+// Place puts so many copies of each shard on backends, no two of one shard in one location, so that what is asked for is
 // balanced; of those about as good, the one that moves least from today's. load is what each shard brings, all copies
-// together; capacity of a searcher is its Cores x Speed.
+// together; capacity of a backend is its Cores x Speed.
 func Place(f *Site, load []float64, copies int, today Copies) (Placed, error) {
 	places := map[string]bool{}
-	capacity, all := make([]float64, len(f.Searchers)), 0.0
-	for i, s := range f.Searchers {
+	capacity, all := make([]float64, len(f.Backends)), 0.0
+	for i, s := range f.Backends {
 		places[s.Location] = true
 		capacity[i] = float64(s.Cores) * s.Speed
 		all += capacity[i]
@@ -204,14 +204,14 @@
 		order[s] = s
 	}
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(load[y], load[x]) })
-	used := make([]float64, len(f.Searchers))
+	used := make([]float64, len(f.Backends))
 	stands := func(s, i int) bool { return s < len(today) && slices.Contains(today[s], i) }
 	for _, s := range order {
 		each := load[s] / float64(copies)
 		for range copies {
 			best, least := -1, math.Inf(1)
-			for i := range f.Searchers {
-				if slices.ContainsFunc(p.Copies[s], func(o int) bool { return f.Searchers[o].Location == f.Searchers[i].Location }) {
+			for i := range f.Backends {
+				if slices.ContainsFunc(p.Copies[s], func(o int) bool { return f.Backends[o].Location == f.Backends[i].Location }) {
 					continue
 				}
 				full := (used[i] + each) / capacity[i]
@@ -240,10 +240,10 @@
 	return p, nil
 }
 
-// roomToStay is how much above the least possible a searcher may be filled by what stands there already.
+// roomToStay is how much above the least possible a backend may be filled by what stands there already.
 const roomToStay = 0.05
 
-// level moves copies off the fullest searcher while that helps.
+// level moves copies off the fullest backend while that helps.
 func (p *Placed) level(f *Site, load []float64, copies int, used, capacity []float64) {
 	for range 4 * len(load) {
 		from := 0
@@ -263,8 +263,8 @@
 				continue
 			}
 			each := load[s] / float64(copies)
-			for to := range f.Searchers {
-				clash := slices.ContainsFunc(list, func(o int) bool { return o != from && f.Searchers[o].Location == f.Searchers[to].Location })
+			for to := range f.Backends {
+				clash := slices.ContainsFunc(list, func(o int) bool { return o != from && f.Backends[o].Location == f.Backends[to].Location })
 				if to == from || clash || each == 0 {
 					continue
 				}
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -9,7 +9,7 @@
 // Limit is one thing that may break, with how much more load it bears.
 type Limit struct {
 	What   string  `json:"What"`  // cores, queue, most held, connections, descriptors
-	Where  string  `json:"Where"` // a searcher, a location, or "each mixer"
+	Where  string  `json:"Where"` // a backend, a location, or "each aggregator"
 	Used   float64 `json:"Used"`  // at this load, in the limit's own unit
 	Most   float64 `json:"Most"`
 	Margin float64 `json:"Margin"` // most / used: 1 is at the limit
@@ -22,11 +22,11 @@
 			list = append(list, Limit{what, where, used, most, most / used})
 		}
 	}
-	hot := f.Searchers[o.Hottest]
+	hot := f.Backends[o.Hottest]
 	add("cores", hot.Name, o.Use[o.Hottest]*float64(hot.Cores), float64(hot.Cores))
 	for _, place := range f.Locations {
 		used, all := 0.0, 0.0
-		for i, s := range f.Searchers {
+		for i, s := range f.Backends {
 			if s.Location == place {
 				used, all = used+o.Use[i]*float64(s.Cores), all+float64(s.Cores)
 			}
@@ -34,21 +34,21 @@
 		add("cores", "location "+place, used, all)
 	}
 	queue := 0
-	for _, s := range f.Searchers {
+	for _, s := range f.Backends {
 		if s.Queue > 0 && (queue == 0 || s.Queue < queue) {
 			queue = s.Queue
 		}
 	}
 	add("queue", "the fullest searcher", float64(o.MostQueue), float64(queue))
 	add("most held", "each mixer", float64(o.MostHeld), float64(f.MostHeld))
-	lines := float64(len(f.Searchers)) // one to each at least
+	lines := float64(len(f.Backends)) // one to each at least
 	if f.Multiplex > 0 {
 		lines = max(lines, math.Ceil(float64(o.MostOut)/float64(f.Multiplex)))
 	}
 	add("descriptors", "each mixer", lines, float64(f.Lines))
-	for _, s := range f.Searchers {
+	for _, s := range f.Backends {
 		if s.Connections > 0 {
-			add("connections", s.Name, float64(f.Mixers)*max(1, lines/float64(len(f.Searchers))), float64(s.Connections))
+			add("connections", s.Name, float64(f.Aggregators)*max(1, lines/float64(len(f.Backends))), float64(s.Connections))
 			break
 		}
 	}
@@ -60,7 +60,7 @@
 func (o *Outcome) Meets(f *Site) (bool, string) {
 	worst, by := "", 0.0
 	for k, x := range f.Indexes {
-		if short := x.Goal - o.ByIndex[k]; o.Lookups[k] > 0 && short > by {
+		if short := x.Goal - o.ByIndex[k]; o.Queries[k] > 0 && short > by {
 			worst, by = x.Name, short
 		}
 	}
@@ -69,7 +69,7 @@
 
 // Breaking is where the goals break as a load grows.
 type Breaking struct {
-	PerS     float64 `json:"PerS"`     // the most that keeps them, lookups a second
+	PerS     float64 `json:"PerS"`     // the most that keeps them, queries a second
 	Fails    float64 `json:"Fails"`    // the least that was seen to break them
 	Index    string  `json:"Index"`    // whose goal breaks first
 	First    Limit   `json:"First"`    // what was nearest its limit there
@@ -79,7 +79,7 @@
 const (
 	// closeEnough is how near the two sides of a breaking load are brought: a third of what predictions are held to.
 	closeEnough = 0.05
-	// mostUse is the use of a searcher's cores beyond which its queue grows for good: within an emulation's seconds that
+	// mostUse is the use of a backend's cores beyond which its queue grows for good: within an emulation's seconds that
 	// breaks no goal yet, within an hour it does.
 	mostUse = 0.97
 	// mostSearch bounds the search.
@@ -134,7 +134,7 @@
 	Name string
 	Site Site
 	Ask  Ask
-	Lost []int // shards that no searcher holds any more: they are lost, not overloaded
+	Lost []int // shards that no backend holds any more: they are lost, not overloaded
 }
 
 // WhatIfs are the usual ones: as it is, a burst, all slower, each location lost, both, and all traffic to each index.
@@ -144,7 +144,7 @@
 		WhatIf{Name: "all 1.5 times slower", Site: f.Slower(1.5), Ask: *a})
 	for _, place := range f.Locations {
 		left, lost := f.Without(place)
-		if len(left.Searchers) == 0 {
+		if len(left.Backends) == 0 {
 			continue
 		}
 		list = append(list, WhatIf{"location " + place + " lost", left, *a, lost},
@@ -153,7 +153,7 @@
 	if len(a.Mix) > 1 {
 		for _, m := range a.Mix {
 			moved := *a
-			moved.Mix = []Share{{m.Index, 1, m.Parts}}
+			moved.Mix = []Share{{m.Index, 1, m.Subqueries}}
 			list = append(list, WhatIf{Name: "all traffic to " + f.Indexes[m.Index].Name, Site: *f, Ask: moved})
 		}
 	}
@@ -168,7 +168,7 @@
 		w := newWorld(f, &asked, seed)
 		usual := asked.PerS
 		w.warm = mostWarm + mostBurst*2
-		w.end = w.warm + max(3*leastTime, sureLookups/usual)
+		w.end = w.warm + max(3*leastTime, sureQueries/usual)
 		w.at(mostWarm, func() { asked.PerS = burst * a.PerS })
 		w.at(mostWarm+mostBurst, func() { asked.PerS = usual })
 		w.arrive()
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -13,26 +13,26 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-func fleet(searchers, cores int) Site {
-	f := Site{Locations: []string{"north", "south"}, Cells: searchers, Width: 2, Shards: 2 * searchers, Mixers: 2, Step: 0.005, Network: 0.0002, MostTries: 3,
+func fleet(backends, cores int) Site {
+	f := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, Step: 0.005, Network: 0.0002, MostTries: 3,
 		Indexes: []Index{{Name: "reads", Soft: 0.5, Hard: 2, Gain: 1, Late: 0.1, Work: 0.01, Scv: 0.3, Goal: 0.98}}}
-	for i := range searchers {
-		f.Searchers = append(f.Searchers, Searcher{Name: fmt.Sprint("s-", i), Location: f.Locations[i%2], Cell: i, Cores: cores, Speed: 1, Price: 1})
+	for i := range backends {
+		f.Backends = append(f.Backends, Backend{Name: fmt.Sprint("s-", i), Location: f.Locations[i%2], Cell: i, Cores: cores, Speed: 1, Price: 1})
 	}
 	return f
 }
 
-func ask(perS float64, parts int) Ask {
-	return Ask{PerS: perS, Mix: []Share{{0, 1, parts}}}
+func ask(perS float64, subqueries int) Ask {
+	return Ask{PerS: perS, Mix: []Share{{0, 1, subqueries}}}
 }
 
 func TestMistakesInAFleetAreTold(t *testing.T) {
 	for want, change := range map[string]func(*Site){
-		"shard 0 has no holder: put a searcher into one of the cells 0 to 1": func(f *Site) { f.Searchers = f.Searchers[2:5] },
-		`"s-1" is named twice`:           func(f *Site) { f.Searchers[2].Name = "s-1" },
-		`stands at "west": expected`:     func(f *Site) { f.Searchers[2].Location = "west" },
-		"0 cores":                        func(f *Site) { f.Searchers[2].Cores = 0 },
-		"cell 9: expected 0 to 5":        func(f *Site) { f.Searchers[2].Cell = 9 },
+		"shard 0 has no holder: put a searcher into one of the cells 0 to 1": func(f *Site) { f.Backends = f.Backends[2:5] },
+		`"s-1" is named twice`:           func(f *Site) { f.Backends[2].Name = "s-1" },
+		`stands at "west": expected`:     func(f *Site) { f.Backends[2].Location = "west" },
+		"0 cores":                        func(f *Site) { f.Backends[2].Cores = 0 },
+		"cell 9: expected 0 to 5":        func(f *Site) { f.Backends[2].Cell = 9 },
 		"goal of 99":                     func(f *Site) { f.Indexes[0].Goal = 99 },
 		"is it in milliseconds?":         func(f *Site) { f.Indexes[0].Work = 10 },
 		"2000 s: times are seconds, is":  func(f *Site) { f.Indexes[0].Hard = 2000 },
@@ -70,14 +70,14 @@
 	if o.Gain < 0.99 || o.Nacked+o.Aborted > 0 || o.Tries < 1 {
 		t.Fatalf("a low load comes to %+v", o)
 	}
-	use := 0.0 // 100 lookups of 4 parts of 10 ms on 24 cores
+	use := 0.0 // 100 queries of 4 parts of 10 ms on 24 cores
 	for _, u := range o.Use {
 		use += u / 6
 	}
 	if want := 100 * 4 * 0.01 / 24; math.Abs(use-want) > 0.05*want {
 		t.Errorf("use %.4f, expected %.4f", use, want)
 	}
-	// Alone, a lookup of one part takes its work, two ways, and some steps.
+	// Alone, a query of one part takes its work, two ways, and some steps.
 	one := ask(5, 1)
 	f.Indexes[0].Scv = 0
 	if o := Emulate(&f, &one, 2, 500); o.P50 < 0.0104 || o.P50 > 0.0104+2*f.Step {
@@ -93,11 +93,11 @@
 		t.Errorf("nearest its limit: %+v", limits[0])
 	}
 	lost, shards := f.Without("south")
-	if len(lost.Searchers) != 3 || len(shards) != 0 {
-		t.Errorf("without south: %d searchers, lost %v", len(lost.Searchers), shards)
+	if len(lost.Backends) != 3 || len(shards) != 0 {
+		t.Errorf("without south: %d searchers, lost %v", len(lost.Backends), shards)
 	}
 	same := fleet(6, 4)
-	same.Searchers[1].Location, same.Searchers[0].Location = "south", "south"
+	same.Backends[1].Location, same.Backends[0].Location = "south", "south"
 	if _, shards := same.Without("south"); !slices.Contains(shards, 0) {
 		t.Errorf("both copies of shard 0 stand in south, lost are %v", shards)
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bears := 4 * 2 / 0.01 / 2.0 // 400 lookups a second
+	bears := 4 * 2 / 0.01 / 2.0 // 400 queries a second
 	if b.PerS < 0.5*bears || b.PerS > 1.05*bears || b.Fails/b.PerS > 1+closeEnough+0.01 || b.Index == "" || b.First.What != "cores" {
 		t.Fatalf("breaks at %+v, cores bear %g", b, bears)
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestFewestSearchers(t *testing.T) {
+func TestFewestBackends(t *testing.T) {
 	sum, worst, n := 0.0, 1.0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 8))
@@ -195,20 +195,20 @@
 // bestPlacement goes through every placement of two copies.
 func bestPlacement(f *Site, load []float64) float64 {
 	best := math.Inf(1)
-	used := make([]float64, len(f.Searchers))
+	used := make([]float64, len(f.Backends))
 	var put func(s int)
 	put = func(s int) {
 		if s == len(load) {
 			most := 0.0
 			for i, u := range used {
-				most = max(most, u/float64(f.Searchers[i].Cores))
+				most = max(most, u/float64(f.Backends[i].Cores))
 			}
 			best = min(best, most)
 			return
 		}
-		for i := range f.Searchers {
+		for i := range f.Backends {
 			for j := range i {
-				if f.Searchers[i].Location != f.Searchers[j].Location {
+				if f.Backends[i].Location != f.Backends[j].Location {
 					used[i], used[j] = used[i]+load[s]/2, used[j]+load[s]/2
 					put(s + 1)
 					used[i], used[j] = used[i]-load[s]/2, used[j]-load[s]/2
@@ -225,8 +225,8 @@
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		f := fleet(4, 1)
-		for i := range f.Searchers {
-			f.Searchers[i].Cores = 1 + rng.IntN(3)
+		for i := range f.Backends {
+			f.Backends[i].Cores = 1 + rng.IntN(3)
 		}
 		load := make([]float64, 5)
 		for s := range load {
@@ -242,7 +242,7 @@
 		}
 		worst = max(worst, p.Most/best)
 		for s, list := range p.Copies {
-			if len(list) != 2 || f.Searchers[list[0]].Location == f.Searchers[list[1]].Location {
+			if len(list) != 2 || f.Backends[list[0]].Location == f.Backends[list[1]].Location {
 				t.Fatalf("seed %d: copies of shard %d stand at %v", seed, s, list)
 			}
 		}
@@ -256,8 +256,8 @@
 		t.Errorf("%.3f of the best at worst", worst)
 	}
 	f := fleet(4, 1)
-	for i := range f.Searchers {
-		f.Searchers[i].Location = "north"
+	for i := range f.Backends {
+		f.Backends[i].Location = "north"
 	}
 	if _, err := Place(&f, []float64{1}, 2, nil); err == nil {
 		t.Error("two copies in one location")
@@ -268,7 +268,7 @@
 func TestEmulationOfOnceOnly(t *testing.T) {
 	f, a := fleet(6, 2), ask(400, 3)
 	f.Indexes[0].Effect = policy.OnceOnly
-	f.Searchers[2].Queue = 2
+	f.Backends[2].Queue = 2
 	o := Emulate(&f, &a, 4, 3000)
 	if o.Calls > 1.05 {
 		t.Fatalf("%.3f calls a part", o.Calls)
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -1,5 +1,5 @@
-// Package plan says beforehand what a load does to a fleet: it plays lookups through the mixers' own decision module
-// against modelled searchers, in its own time, and looks for what breaks first. It does no I/O, has no clock and no
+// Package plan says beforehand what a load does to a fleet: it plays queries through the aggregators' own decision module
+// against modelled backends, in its own time, and looks for what breaks first. It does no I/O, has no clock and no
 // goroutine; the same seed gives the same figures.
 package plan
 
@@ -11,8 +11,8 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Searcher is one of a fleet.
-type Searcher struct {
+// Backend is one of a fleet.
+type Backend struct {
 	Name        string
 	Location    string
 	Cell        int
@@ -28,7 +28,7 @@
 	Name       string
 	Effect     policy.Effect
 	Soft, Hard float64
-	Gain, Late float64   // of a lookup, and the share of it after the soft deadline
+	Gain, Late float64   // of a query, and the share of it after the soft deadline
 	Work       float64   // of a part, in the mean
 	Scv        float64   // squared coefficient of variation of that, where no shape is stated: work is lognormal then
 	Shape      []float64 // quantiles of work against its mean, evenly apart from the least to the most; nil for none
@@ -37,21 +37,21 @@
 
 // Site is what a load meets. Times are seconds.
 type Site struct {
-	Locations []string
-	Cells     int
-	Width     int
-	Shards    int
-	Searchers []Searcher
-	Indexes   []Index
-	Mixers    int
-	MostHeld  int     // lookups and parts that a mixer may hold; 0 for no limit
-	Step      float64 // least time between two steps of a mixer
-	Network   float64 // one way, mixer to searcher
-	MostTries int     // part calls of a part
-	Retries   int     // of a client whose lookup was nacked
-	Backoff   float64 // before each
-	Multiplex int     // calls that one connection carries; 0 for no limit
-	Lines     int     // descriptors that a mixer has for searchers; 0 for no limit
+	Locations   []string
+	Cells       int
+	Width       int
+	Shards      int
+	Backends    []Backend
+	Indexes     []Index
+	Aggregators int
+	MostHeld    int     // queries and parts that an aggregator may hold; 0 for no limit
+	Step        float64 // least time between two steps of an aggregator
+	Network     float64 // one way, aggregator to backend
+	MostTries   int     // part calls of a part
+	Retries     int     // of a client whose query was nacked
+	Backoff     float64 // before each
+	Multiplex   int     // calls that one connection carries; 0 for no limit
+	Lines       int     // descriptors that an aggregator has for backends; 0 for no limit
 }
 
 // Check tells every mistake with what to do about it, a line each.
@@ -63,12 +63,12 @@
 func (f *Site) check(lost bool) error {
 	var wrong []string
 	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
-	if f.Cells < 1 || f.Width < 1 || f.Width > f.Cells || f.Shards < 1 || f.Mixers < 1 {
-		say("%d cells of width %d with %d shards and %d mixers: expected at least one of each, and a width of no more than the cells", f.Cells, f.Width, f.Shards, f.Mixers)
+	if f.Cells < 1 || f.Width < 1 || f.Width > f.Cells || f.Shards < 1 || f.Aggregators < 1 {
+		say("%d cells of width %d with %d shards and %d mixers: expected at least one of each, and a width of no more than the cells", f.Cells, f.Width, f.Shards, f.Aggregators)
 		return DescriptionError(strings.Join(wrong, "\n"))
 	}
 	names := map[string]bool{}
-	for _, s := range f.Searchers {
+	for _, s := range f.Backends {
 		if names[s.Name] || s.Name == "" {
 			say("searcher %q is named twice, or not at all: give each a name of its own", s.Name)
 		}
@@ -119,10 +119,10 @@
 	return nil
 }
 
-// unheld lists the shards that no searcher holds.
+// unheld lists the shards that no backend holds.
 func (f *Site) unheld() (list []int) {
 	held := make([]bool, f.Cells)
-	for _, s := range f.Searchers {
+	for _, s := range f.Backends {
 		if s.Cell >= 0 && s.Cell < f.Cells {
 			held[s.Cell] = true
 		}
@@ -142,37 +142,37 @@
 // Without is the fleet with a location lost, and the shards of which no holder is left.
 func (f Site) Without(location string) (left Site, lost []int) {
 	left = f
-	left.Searchers = nil
-	for _, s := range f.Searchers {
+	left.Backends = nil
+	for _, s := range f.Backends {
 		if s.Location != location {
-			left.Searchers = append(left.Searchers, s)
+			left.Backends = append(left.Backends, s)
 		}
 	}
 	return left, left.unheld()
 }
 
-// Slower is the fleet with every searcher taking so many times as long.
+// Slower is the fleet with every backend taking so many times as long.
 func (f Site) Slower(times float64) Site {
-	f.Searchers = slices.Clone(f.Searchers)
-	for i := range f.Searchers {
-		f.Searchers[i].Speed /= times
+	f.Backends = slices.Clone(f.Backends)
+	for i := range f.Backends {
+		f.Backends[i].Speed /= times
 	}
 	return f
 }
 
 // Ask is a steady load.
 type Ask struct {
-	PerS    float64 // lookups
+	PerS    float64 // queries
 	Mix     []Share
 	Popular []float64 // share of parts by shard; nil for all alike
-	Bursts  float64   // squared coefficient of variation of the time between two lookups, 1 for chance alone
+	Bursts  float64   // squared coefficient of variation of the time between two queries, 1 for chance alone
 }
 
-// Share is one kind of lookup in it.
+// Share is one kind of query in it.
 type Share struct {
-	Index int // place in the fleet's indexes
-	Of    float64
-	Parts int
+	Index      int // place in the fleet's indexes
+	Of         float64
+	Subqueries int
 }
 
 // Check tells what of a load does not fit a fleet.
@@ -181,8 +181,8 @@
 		return wrong("%g lookups a second of %d kinds: expected more than none", a.PerS, len(a.Mix))
 	}
 	for _, m := range a.Mix {
-		if m.Index < 0 || m.Index >= len(f.Indexes) || !(m.Of > 0) || m.Parts < 1 || m.Parts > f.Shards {
-			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Of, m.Parts, m.Index, f.Shards)
+		if m.Index < 0 || m.Index >= len(f.Indexes) || !(m.Of > 0) || m.Subqueries < 1 || m.Subqueries > f.Shards {
+			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Of, m.Subqueries, m.Index, f.Shards)
 		}
 	}
 	if a.Popular != nil && len(a.Popular) != f.Shards {
@@ -191,10 +191,10 @@
 	return nil
 }
 
-// parts is how many a lookup has in the mean.
-func (a *Ask) parts() (n float64) {
+// subqueries is how many a query has in the mean.
+func (a *Ask) subqueries() (n float64) {
 	for _, m := range a.Mix {
-		n += m.Of * float64(m.Parts)
+		n += m.Of * float64(m.Subqueries)
 	}
 	return n
 }
--- a/internal/tools/plan/stations.go
+++ b/internal/tools/plan/stations.go
@@ -38,17 +38,17 @@
 	})
 }
 
-// finish tells a mixer once how a call ended.
+// finish tells an aggregator once how a call ended.
 func (w *world) finish(c *work, s *station, how policy.Outcome) {
-	key := callKey{c.part, c.no}
-	if c.gone || c.mixer.out[key] != c {
+	key := callKey{c.subquery, c.no}
+	if c.gone || c.aggregator.out[key] != c {
 		return
 	}
 	c.gone = true
-	delete(c.mixer.out, key)
-	id := policy.SearcherID(0)
+	delete(c.aggregator.out, key)
+	id := policy.BackendID(0)
 	if s != nil {
 		id = s.id
 	}
-	w.tell(c.mixer, policy.Event{Kind: policy.CallEnded, Part: c.part, Call: c.no, Searcher: id, Outcome: how, Elapsed: w.now - c.sent})
+	w.tell(c.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: c.subquery, Call: c.no, Backend: id, Outcome: how, Elapsed: w.now - c.sent})
 }
--- a/internal/tools/plan/world.go
+++ b/internal/tools/plan/world.go
@@ -55,20 +55,20 @@
 	return last
 }
 
-// work is a part call at a searcher.
+// work is a part call at a backend.
 type work struct {
-	mixer *mixer
-	part  policy.PartID
-	no    policy.CallNo
-	k     policy.IndexID
-	sent  float64
-	gone  bool // its mixer waits no more
+	aggregator *aggregator
+	subquery   policy.SubqueryID
+	no         policy.CallNo
+	k          policy.IndexID
+	sent       float64
+	gone       bool // its aggregator waits no more
 }
 
-// station is a searcher: so many cores, and a queue before them.
+// station is a backend: so many cores, and a queue before them.
 type station struct {
-	Searcher
-	id      policy.SearcherID
+	Backend
+	id      policy.BackendID
 	busy    int
 	queue   []*work
 	most    int
@@ -77,7 +77,7 @@
 	refused int64
 }
 
-// query is a lookup as its client sees it, all tries together.
+// query is a query as its client sees it, all tries together.
 type query struct {
 	share  int
 	began  float64
@@ -86,46 +86,46 @@
 	counts bool // began after the warm-up
 }
 
-// taken is a try that a mixer holds.
+// taken is a try that an aggregator holds.
 type taken struct {
-	of    *query
-	parts []policy.PartID
+	of         *query
+	subqueries []policy.SubqueryID
 }
 
-// mixer is one decision module in the emulated world.
-type mixer struct {
-	m        *policy.Mixer
-	events   []policy.Event
-	actions  []policy.Action
-	stepped  float64
-	waiting  bool // a step is on the agenda
-	lookups  map[policy.LookupID]*taken
-	parts    map[policy.PartID]policy.IndexID
-	made     map[policy.PartID]policy.CallNo
-	out      map[callKey]*work
-	lastID   uint64
-	mostHeld int
-	mostOut  int
+// aggregator is one decision module in the emulated world.
+type aggregator struct {
+	m          *policy.Aggregator
+	events     []policy.Event
+	actions    []policy.Action
+	stepped    float64
+	waiting    bool // a step is on the agenda
+	queries    map[policy.QueryID]*taken
+	subqueries map[policy.SubqueryID]policy.IndexID
+	made       map[policy.SubqueryID]policy.CallNo
+	out        map[callKey]*work
+	lastID     uint64
+	mostHeld   int
+	mostOut    int
 }
 
 type callKey struct {
-	part policy.PartID
-	no   policy.CallNo
+	subquery policy.SubqueryID
+	no       policy.CallNo
 }
 
 // world is a fleet under a load.
 type world struct {
-	f        *Site
-	a        *Ask
-	g        pcg
-	now      float64
-	agenda   agenda
-	no       int
-	stations []*station
-	byID     map[policy.SearcherID]*station
-	mixers   []*mixer
-	popular  []float64 // sums up to each shard
-	warm     float64
-	end      float64
-	got      Outcome
+	f           *Site
+	a           *Ask
+	g           pcg
+	now         float64
+	agenda      agenda
+	no          int
+	stations    []*station
+	byID        map[policy.BackendID]*station
+	aggregators []*aggregator
+	popular     []float64 // sums up to each shard
+	warm        float64
+	end         float64
+	got         Outcome
 }
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -21,8 +21,8 @@
 		Width  int `json:"width"`
 		Shards int `json:"shards"`
 	} `json:"layout"`
-	Searchers []group `json:"searchers"`
-	Indexes   []struct {
+	Backends []group `json:"searchers"`
+	Indexes  []struct {
 		Name     string  `json:"name"`
 		Effect   string  `json:"effect"`
 		SoftS    float64 `json:"soft_s"`
@@ -33,7 +33,7 @@
 		WorkScv  float64 `json:"work_scv"`
 		Goal     float64 `json:"goal"`
 	} `json:"indexes"`
-	Mixers struct {
+	Aggregators struct {
 		Count       int     `json:"count"`
 		MostHeld    int     `json:"most_held"`
 		StepS       float64 `json:"step_s"`
@@ -48,7 +48,7 @@
 	NetworkS float64 `json:"network_s"`
 }
 
-// group is searchers that are alike but for name and cell: {n} in the name is their number, and cells count up from the
+// group is backends that are alike but for name and cell: {n} in the name is their number, and cells count up from the
 // first.
 type group struct {
 	Name        string  `json:"name"`
@@ -65,8 +65,8 @@
 
 var effects = map[string]policy.Effect{"": policy.Idempotent, "idempotent": policy.Idempotent, "fingerprinted": policy.Fingerprinted, "once-only": policy.OnceOnly}
 
-// mostSearchers is ten times the largest fleet that a plan is made for.
-const mostSearchers = 10000
+// mostBackends is ten times the largest fleet that a plan is made for.
+const mostBackends = 10000
 
 // Read reads and checks a description. work may be left out where a capture tells it: Fill comes before Check then.
 func Read(path string) (f plan.Site, err error) {
@@ -86,22 +86,22 @@
 	if err := jsonc.Decode(text, &in); err != nil {
 		return f, err
 	}
-	f = plan.Site{Locations: in.Locations, Cells: in.Layout.Cells, Width: in.Layout.Width, Shards: in.Layout.Shards, Mixers: in.Mixers.Count,
-		MostHeld: in.Mixers.MostHeld, Step: in.Mixers.StepS, Network: in.NetworkS, MostTries: max(1, in.Mixers.MostTries), Retries: in.Clients.Retries,
-		Backoff: in.Clients.BackoffS, Multiplex: in.Mixers.Multiplex, Lines: in.Mixers.Descriptors}
-	for _, g := range in.Searchers {
+	f = plan.Site{Locations: in.Locations, Cells: in.Layout.Cells, Width: in.Layout.Width, Shards: in.Layout.Shards, Aggregators: in.Aggregators.Count,
+		MostHeld: in.Aggregators.MostHeld, Step: in.Aggregators.StepS, Network: in.NetworkS, MostTries: max(1, in.Aggregators.MostTries), Retries: in.Clients.Retries,
+		Backoff: in.Clients.BackoffS, Multiplex: in.Aggregators.Multiplex, Lines: in.Aggregators.Descriptors}
+	for _, g := range in.Backends {
 		if g.Speed == 0 {
 			g.Speed = 1
 		}
 		for n := range max(1, g.Count) {
-			if len(f.Searchers) >= mostSearchers {
-				return f, wrong("1: more than %d searchers", mostSearchers)
+			if len(f.Backends) >= mostBackends {
+				return f, wrong("1: more than %d searchers", mostBackends)
 			}
 			cell := g.Cell + n*g.CellStep
 			if f.Cells > 0 {
 				cell %= f.Cells
 			}
-			f.Searchers = append(f.Searchers, plan.Searcher{Name: strings.ReplaceAll(g.Name, "{n}", fmt.Sprint(n+1)), Location: g.Location,
+			f.Backends = append(f.Backends, plan.Backend{Name: strings.ReplaceAll(g.Name, "{n}", fmt.Sprint(n+1)), Location: g.Location,
 				Cell: cell, Cores: g.Cores, Speed: g.Speed, Queue: g.Queue, Connections: g.Connections, Price: g.Price})
 		}
 	}
@@ -115,11 +115,11 @@
 	return f, nil
 }
 
-// leastAlone is how many calls that were alone at their searcher it takes to read an index's work from them.
+// leastAlone is how many calls that were alone at their backend it takes to read an index's work from them.
 const leastAlone = 200
 
 // Fill takes the work of a part from a capture where the description leaves it out: from calls that found nothing else of
-// their mixer at the searcher, less the network's two ways. It tells what it took, and what it could not.
+// their aggregator at the backend, less the network's two ways. It tells what it took, and what it could not.
 func Fill(f *plan.Site, c *capture.Interval) (notes []string, err error) {
 	for k := range f.Indexes {
 		x := &f.Indexes[k]
@@ -128,7 +128,7 @@
 		}
 		var alone capture.Hist
 		n := int64(0)
-		for _, s := range c.Searchers {
+		for _, s := range c.Backends {
 			if s.Index == x.Name {
 				n += s.Alone.Count()
 				alone.Merge(s.Alone)
@@ -190,7 +190,7 @@
 	}
 	all := 0.0
 	for _, l := range i.Loads {
-		all += float64(l.Lookups - l.Resent)
+		all += float64(l.Queries - l.Resent)
 	}
 	place := map[string]int{}
 	for k, x := range f.Indexes {
@@ -203,7 +203,7 @@
 			return a, notes, wrong("the capture has lookups of index %s, which the fleet does not describe: add it", l.Index)
 		}
 		v := by[k]
-		by[k] = [2]float64{v[0] + float64(l.Lookups-l.Resent), v[1] + float64(l.Parts)*float64(l.Lookups-l.Resent)/float64(max(1, l.Lookups))}
+		by[k] = [2]float64{v[0] + float64(l.Queries-l.Resent), v[1] + float64(l.Parts)*float64(l.Queries-l.Resent)/float64(max(1, l.Queries))}
 	}
 	if all <= 0 {
 		return a, notes, wrong("the capture holds no lookups")
@@ -211,7 +211,7 @@
 	a.PerS = all / i.Span
 	for k := range f.Indexes {
 		if v := by[k]; v[0] > 0 {
-			a.Mix = append(a.Mix, plan.Share{Index: k, Of: v[0] / all, Parts: max(1, int(v[1]/v[0]+0.5))})
+			a.Mix = append(a.Mix, plan.Share{Index: k, Of: v[0] / all, Subqueries: max(1, int(v[1]/v[0]+0.5))})
 		}
 	}
 	a.Popular = make([]float64, f.Shards)
--- a/internal/tools/planfile/planfile_test.go
+++ b/internal/tools/planfile/planfile_test.go
@@ -21,17 +21,17 @@
 	if err := s.Make(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	x := capture.SearcherLoad{Searcher: "a-1", Index: "reads"}
+	x := capture.BackendLoad{Backend: "a-1", Index: "reads"}
 	if alone > 0 {
 		x.Alone.Add(0.012, alone)
 	}
-	c.Intervals[0].Searchers = append(c.Intervals[0].Searchers, x)
+	c.Intervals[0].Backends = append(c.Intervals[0].Backends, x)
 	return c
 }
 
 func TestAFleetAndItsCapture(t *testing.T) {
 	f, err := Parse([]byte(good))
-	if err != nil || len(f.Searchers) != 4 || f.Searchers[3].Cell != 3 || f.Searchers[1].Name != "a-2" {
+	if err != nil || len(f.Backends) != 4 || f.Backends[3].Cell != 3 || f.Backends[1].Name != "a-2" {
 		t.Fatalf("got %+v, %v", f, err)
 	}
 	c := load(t, 500)
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	a, notes, err := Ask(&f, c, &sum, false)
-	if err != nil || len(notes) > 0 || a.PerS < 59 || a.PerS > 61 || a.Mix[0].Parts != 3 || a.Popular[0] <= a.Popular[7] {
+	if err != nil || len(notes) > 0 || a.PerS < 59 || a.PerS > 61 || a.Mix[0].Subqueries != 3 || a.Popular[0] <= a.Popular[7] {
 		t.Fatalf("got %+v, %v, %v", a, notes, err)
 	}
 	if a, _, err = Ask(&f, c, &sum, true); err != nil || a.PerS < 26 || a.PerS > 27.5 {
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -1,4 +1,4 @@
-// Package validate holds the planner to what happens: it plays settings through real mixers against stand-in searchers with
+// Package validate holds the planner to what happens: it plays settings through real aggregators against stand-in backends with
 // known limits, and shows what was predicted, what happened and the error side by side. It decides nothing.
 package validate
 
@@ -45,11 +45,11 @@
 	Worst   float64
 }
 
-// loop is what loopback, the kernel's timers and the clients' side add to each way of a part call and of a lookup, seconds:
-// measured by one lookup at a time on an idle machine.
+// loop is what loopback, the kernel's timers and the clients' side add to each way of a part call and of a query, seconds:
+// measured by one query at a time on an idle machine.
 const loop = 0.0002
 
-// sure is how many lookups a prediction rests on: at high load a p99 of fewer differs from seed to seed by more than it is
+// sure is how many queries a prediction rests on: at high load a p99 of fewer differs from seed to seed by more than it is
 // held to.
 const sure = 12000
 
@@ -59,24 +59,24 @@
 // Settings are the ones that are always played, and so many that a seed draws.
 func Settings(blind int, seed uint64, seconds float64) (list []Setting) {
 	base := func(name string) Setting {
-		f := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Mixers: 2, Step: 0.005, Network: loop, MostTries: 3, Multiplex: 100,
+		f := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, Step: 0.005, Network: loop, MostTries: 3, Multiplex: 100,
 			Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Gain: 1, Late: 0.1, Work: 0.01, Shape: evenly, Goal: 0.99},
 				{Name: "orders", Effect: policy.OnceOnly, Soft: 0.5, Hard: 2, Gain: 3, Late: 0.1, Work: 0.01, Shape: evenly, Goal: 0.99}}}
 		for i := range 6 {
-			f.Searchers = append(f.Searchers, plan.Searcher{Name: fmt.Sprint("s-", i+1), Location: f.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
+			f.Backends = append(f.Backends, plan.Backend{Name: fmt.Sprint("s-", i+1), Location: f.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
 		}
-		return Setting{Name: name, Site: f, Ask: plan.Ask{PerS: 100, Mix: []plan.Share{{Index: 0, Of: 0.9, Parts: 4}, {Index: 1, Of: 0.1, Parts: 2}}}, Seconds: seconds}
+		return Setting{Name: name, Site: f, Ask: plan.Ask{PerS: 100, Mix: []plan.Share{{Index: 0, Of: 0.9, Subqueries: 4}, {Index: 1, Of: 0.1, Subqueries: 2}}}, Seconds: seconds}
 	}
 	add := func(name string, change func(*Setting)) {
 		s := base(name)
 		change(&s)
 		list = append(list, s)
 	}
-	// Six searchers of four cores and 10 ms a part bear 2,400 parts a second: some 630 lookups of 3.8 parts.
+	// Six backends of four cores and 10 ms a part bear 2,400 parts a second: some 630 queries of 3.8 parts.
 	add("low load", func(s *Setting) { s.Ask.PerS = 60 })
 	add("half load", func(s *Setting) { s.Ask.PerS = 310 })
 	add("high load", func(s *Setting) { s.Ask.PerS = 500 })
-	add("many parts", func(s *Setting) { s.Ask.PerS = 150; s.Ask.Mix[0].Parts = 10 })
+	add("many parts", func(s *Setting) { s.Ask.PerS = 150; s.Ask.Mix[0].Subqueries = 10 })
 	add("popular shards", func(s *Setting) {
 		s.Ask.PerS = 250
 		s.Ask.Popular = make([]float64, 12)
@@ -100,21 +100,21 @@
 	add("one part", func(s *Setting) {
 		s.Ask.PerS = 1200
 		s.Ask.Mix = s.Ask.Mix[:1]
-		s.Ask.Mix[0] = plan.Share{Index: 0, Of: 1, Parts: 1}
+		s.Ask.Mix[0] = plan.Share{Index: 0, Of: 1, Subqueries: 1}
 	})
 	add("every shard", func(s *Setting) {
 		s.Ask.PerS = 110
 		s.Ask.Mix = s.Ask.Mix[:1]
-		s.Ask.Mix[0] = plan.Share{Index: 0, Of: 1, Parts: 12}
+		s.Ask.Mix[0] = plan.Share{Index: 0, Of: 1, Subqueries: 12}
 	})
-	add("four mixers", func(s *Setting) { s.Ask.PerS = 400; s.Site.Mixers = 4 })
+	add("four mixers", func(s *Setting) { s.Ask.PerS = 400; s.Site.Aggregators = 4 })
 	add("a location lost under load", func(s *Setting) {
 		s.Site, _ = s.Site.Without("south")
 		s.Ask.PerS = 260
 	})
 	add("a location lost with both copies", func(s *Setting) {
-		for i := range s.Site.Searchers { // cells 0 to 2 stand in north: shards 0 and 1 have both copies there
-			s.Site.Searchers[i].Location = s.Site.Locations[i/3]
+		for i := range s.Site.Backends { // cells 0 to 2 stand in north: shards 0 and 1 have both copies there
+			s.Site.Backends[i].Location = s.Site.Locations[i/3]
 		}
 		s.Site, _ = s.Site.Without("north")
 		s.Ask.PerS = 60
@@ -136,10 +136,10 @@
 			s.Site.Indexes[i].Work = work
 		}
 		cores, parts := 2+int(4*unit()), 1+int(7*unit())
-		for i := range s.Site.Searchers {
-			s.Site.Searchers[i].Cores = cores
+		for i := range s.Site.Backends {
+			s.Site.Backends[i].Cores = cores
 		}
-		s.Ask.Mix[0].Parts = parts
+		s.Ask.Mix[0].Subqueries = parts
 		each := 0.9*float64(parts) + 0.1*2
 		s.Ask.PerS = (0.1 + 0.7*unit()) * float64(6*cores) / work / each
 		list = append(list, s)
@@ -150,7 +150,7 @@
 // Machine is what timers do on this machine, seconds.
 type Machine struct {
 	Work float64 // by how much a sleep beside others overruns: stand-ins work by sleeping
-	Step float64 // by how much one alone does, as a mixer's wait between two steps: an idle process rounds its waits up
+	Step float64 // by how much one alone does, as an aggregator's wait between two steps: an idle process rounds its waits up
 }
 
 // Measure times some sleeps, before anything is played: what it finds is no fit to what is predicted.
@@ -182,8 +182,8 @@
 	}
 	known := s.Site
 	known.Indexes = slices.Clone(known.Indexes)
-	for i := range known.Indexes { // all searchers of a setting are of one speed
-		known.Indexes[i].Work += on.Work * known.Searchers[0].Speed
+	for i := range known.Indexes { // all backends of a setting are of one speed
+		known.Indexes[i].Work += on.Work * known.Backends[0].Speed
 	}
 	known.Step += on.Step
 	want := plan.Emulate(&known, &s.Ask, seed, sure)
@@ -208,9 +208,9 @@
 	return r, nil
 }
 
-// happen plays a setting on sockets: real mixers, stand-ins for the rest.
+// happen plays a setting on sockets: real aggregators, stand-ins for the rest.
 func happen(ctx context.Context, s Setting) (t fakes.Tally, err error) {
-	site := fakes.Site{Zones: s.Site.Locations, Cells: s.Site.Cells, Width: s.Site.Width, Shards: s.Site.Shards, Mixers: s.Site.Mixers}
+	site := fakes.Site{Zones: s.Site.Locations, Cells: s.Site.Cells, Width: s.Site.Width, Shards: s.Site.Shards, Aggregators: s.Site.Aggregators}
 	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Fingerprinted: "by_key", policy.OnceOnly: "once"}
 	for _, x := range s.Site.Indexes {
 		site.Indexes = append(site.Indexes, fakes.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Gain: x.Gain})
@@ -220,9 +220,9 @@
 		return t, err
 	}
 	defer register.Close()
-	for _, x := range s.Site.Searchers {
+	for _, x := range s.Site.Backends {
 		service := time.Duration(s.Site.Indexes[0].Work / x.Speed * float64(time.Second))
-		h, err := fakes.NewSearcher(x.Name, x.Location, x.Cell, x.Cores, service)
+		h, err := fakes.NewBackend(x.Name, x.Location, x.Cell, x.Cores, service)
 		if err != nil {
 			return t, err
 		}
@@ -232,10 +232,10 @@
 	load := &fakes.Load{Site: site, PerS: s.Ask.PerS, Popular: s.Ask.Popular, Retries: s.Site.Retries, Backoff: time.Duration(s.Site.Backoff * float64(time.Second))}
 	for _, m := range s.Ask.Mix {
 		x := s.Site.Indexes[m.Index]
-		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Of, Parts: m.Parts, Deadline: time.Duration(x.Hard * float64(time.Second)),
+		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Of, Parts: m.Subqueries, Deadline: time.Duration(x.Hard * float64(time.Second)),
 			Soft: time.Duration(x.Soft * float64(time.Second)), Gain: x.Gain})
 	}
-	for i := range s.Site.Mixers {
+	for i := range s.Site.Aggregators {
 		address, err := fakes.FreeAddress()
 		if err != nil {
 			return t, err
@@ -245,7 +245,7 @@
 			return t, err
 		}
 		defer n.Stop()
-		load.Mixers = append(load.Mixers, address)
+		load.Aggregators = append(load.Aggregators, address)
 	}
 	load.Run(ctx)
 	pause := func(seconds float64) {
@@ -260,7 +260,7 @@
 	t = load.Take()
 	load.Stop()
 	rest := load.Take() // what was due then
-	// Lookups that were due then are few against the others, and their gain is left out.
+	// Queries that were due then are few against the others, and their gain is left out.
 	t.Add(rest)
 	t.Asked = t.Satisfied + t.Nacked + t.Aborted + t.Lost
 	return t, ctx.Err()
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -6,29 +6,29 @@
 	"testing"
 )
 
-// Of a cold searcher the sum over all mixers of a fleet stays within N + 3 x root of N + 3 calls of mean work in the stated
-// time, N being what the settings allow it then, though each mixer knows its own alone, the list tells all at once, and its
+// Of a cold backend the sum over all aggregators of a fleet stays within N + 3 x root of N + 3 calls of mean work in the stated
+// time, N being what the settings allow it then, though each aggregator knows its own alone, the list tells all at once, and its
 // sibling is gone, so that all parts are for it. They are half as much again as it can do warm, which coldLoad takes for
 // granted; what more would do is not guarded.
-func TestColdBudgetOverAllMixers(t *testing.T) {
+func TestColdBudgetOverAllAggregators(t *testing.T) {
 	for _, fleet := range []int{10, 100, 300} {
 		for seed := range uint64(3) {
 			rng := rand.New(rand.NewPCG(seed, uint64(fleet)))
 			const work, cold, fall, multiple, share = 0.02, 8.0, 1.5, 2.0, 0.2
-			var mixers []*Mixer
+			var aggregators []*Aggregator
 			now := 100.0
 			for i := range fleet {
-				m := New(Settings{Seed: rng.Uint64(), Self: MixerNo(i), Mixers: fleet, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
+				m := New(Settings{Seed: rng.Uint64(), Self: AggregatorNo(i), Aggregators: fleet, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
 					Indexes: []IndexSettings{{Soft: 0.5, Hard: 1, Gain: 1, Need: 1, Floor: 1}},
 					Limits:  Limits{Cancel: true, Probe: true, MaxTries: 3},
 					Rules:   Rules{AnswerSlack: 0.02, ColdShare: share, ColdS: cold, DrainGrace: 0.25, FallMultiple: multiple, FallS: fall}}, now)
-				m.Step(now, []Event{{Kind: ListChanged, List: ListStale, Entries: []Entry{{Searcher: 1, StartedAt: now}, {Searcher: 2, Phase: Gone}}}}, nil)
-				mixers = append(mixers, m)
+				m.Step(now, []Event{{Kind: ListChanged, List: ListStale, Entries: []Entry{{Backend: 1, StartedAt: now}, {Backend: 2, Phase: Gone}}}}, nil)
+				aggregators = append(aggregators, m)
 			}
 			type end struct {
-				at    float64
-				mixer int
-				event Event
+				at         float64
+				aggregator int
+				event      Event
 			}
 			var due []end
 			var sent []float64
@@ -38,26 +38,26 @@
 				for ; next < now; next += rng.ExpFloat64() * work / 1.5 {
 					i := rng.IntN(fleet)
 					id++
-					events[i] = append(events[i], Event{Kind: LookupTaken, Lookup: LookupID(id), No: LookupNo(id), Parts: 1, Left: 1},
-						Event{Kind: PartTaken, Part: PartID(id), No: LookupNo(id), Weight: 1, Hint: work})
+					events[i] = append(events[i], Event{Kind: QueryTaken, Query: QueryID(id), No: QueryNo(id), Subqueries: 1, Left: 1},
+						Event{Kind: SubqueryTaken, Subquery: SubqueryID(id), No: QueryNo(id), Weight: 1, Hint: work})
 				}
 				rest := due[:0]
 				for _, d := range due {
 					if d.at <= now {
-						events[d.mixer] = append(events[d.mixer], d.event)
+						events[d.aggregator] = append(events[d.aggregator], d.event)
 					} else {
 						rest = append(rest, d)
 					}
 				}
 				due = rest
-				for i, m := range mixers {
+				for i, m := range aggregators {
 					for _, a := range m.Step(now, append(events[i], Event{Kind: TimerDue, Timer: sweepTimer}), nil) {
 						switch a.Kind {
 						case Send:
 							sent = append(sent, now)
-							due = append(due, end{now + 0.03, i, Event{Kind: CallEnded, Part: a.Part, Searcher: a.Searcher, Elapsed: 0.03}})
+							due = append(due, end{now + 0.03, i, Event{Kind: CallEnded, Subquery: a.Subquery, Backend: a.Backend, Elapsed: 0.03}})
 						case Probe:
-							due = append(due, end{now + 0.01, i, Event{Kind: ProbeEnded, Searcher: a.Searcher, Elapsed: 0.01}})
+							due = append(due, end{now + 0.01, i, Event{Kind: ProbeEnded, Backend: a.Backend, Elapsed: 0.01}})
 						}
 					}
 				}
--- a/policy/env_test.go
+++ b/policy/env_test.go
@@ -15,19 +15,19 @@
 	set            Settings
 	rng            *rand.Rand
 	now            float64
-	mixer          *Mixer
+	aggregator     *Aggregator
 	next           uint64
 	fleet          []*host
-	asks           map[LookupID]*ask
-	pieces         map[PartID]*piece
+	asks           map[QueryID]*ask
+	pieces         map[SubqueryID]*piece
 	due            []dueEvent
 	taken, further []float64
 	log            []Action
 	answered       int
 	sabotage       func(e *env, actions []Action) []Action
 	extra          func(e *env) []Event // told before all else in each step
-	zoned          func(*ask) *Zones    // of a lookup that is taken
-	renamed        func(SearcherID)     // what was known by this number is forgotten
+	zoned          func(*ask) *Zones    // of a query that is taken
+	renamed        func(BackendID)      // what was known by this number is forgotten
 	err            error
 }
 
@@ -68,12 +68,12 @@
 }
 
 // capacity is the work a second that a host of this world takes at its busiest.
-const workOfPart, capacity = 0.1, 3.0
+const workOfSubquery, capacity = 0.1, 3.0
 
 // randomSettings draws a deployment: every kind of index, with and without the optional rules.
 func randomSettings(rng *rand.Rand) Settings {
-	set := Settings{Seed: rng.Uint64(), Mixers: 1 + rng.IntN(4), Step: 0.005, AskList: rng.IntN(2) == 0,
-		OverShare: 0.1, Layout: Layout{Cells: 4, Width: 1 + rng.IntN(3), CallParts: 1 + 7*rng.IntN(2)},
+	set := Settings{Seed: rng.Uint64(), Aggregators: 1 + rng.IntN(4), Step: 0.005, AskList: rng.IntN(2) == 0,
+		OverShare: 0.1, Layout: Layout{Cells: 4, Width: 1 + rng.IntN(3), CallSubqueries: 1 + 7*rng.IntN(2)},
 		Limits: Limits{Cancel: rng.IntN(4) > 0, Probe: rng.IntN(2) == 0, SecondCopy: rng.IntN(2) == 0,
 			RetryAfter: rng.IntN(2) == 0, MaxTries: 1 + rng.IntN(4), MaxHeld: 300, MaxRetryAfter: 1},
 		Rules: Rules{AnswerSlack: 0.02, AskEvery: 10, ColdShare: 0.2, ColdS: 8, DrainGrace: 0.25,
@@ -90,12 +90,12 @@
 
 func newEnv(seed uint64) *env {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	e := &env{set: randomSettings(rng), rng: rng, now: 100, asks: map[LookupID]*ask{}, pieces: map[PartID]*piece{}}
+	e := &env{set: randomSettings(rng), rng: rng, now: 100, asks: map[QueryID]*ask{}, pieces: map[SubqueryID]*piece{}}
 	for i := range 10 {
-		e.fleet = append(e.fleet, &host{entry: Entry{Searcher: SearcherID(1000 + 37*i), Cell: CellID(i % 4),
+		e.fleet = append(e.fleet, &host{entry: Entry{Backend: BackendID(1000 + 37*i), Cell: CellID(i % 4),
 			Location: LocationID(i % 2), Share: 1}})
 	}
-	e.mixer = New(e.set, e.now)
+	e.aggregator = New(e.set, e.now)
 	return e
 }
 
@@ -155,14 +155,14 @@
 // heed books what a list event tells the instance.
 func (e *env) heed(ev Event) {
 	for _, h := range e.fleet {
-		i := slices.IndexFunc(ev.Entries, func(r Entry) bool { return r.Searcher == h.entry.Searcher })
+		i := slices.IndexFunc(ev.Entries, func(r Entry) bool { return r.Backend == h.entry.Backend })
 		switch {
 		case ev.List == ListFailed || i < 0 && ev.List == ListPatch:
 			continue
 		case i < 0 || ev.Entries[i].Phase != Ready:
 			h.toldAt = cmp.Or(h.toldAt, e.now)
 			if e.renamed != nil && (i < 0 || ev.Entries[i].Phase == Gone) {
-				e.renamed(h.entry.Searcher)
+				e.renamed(h.entry.Backend)
 			}
 		default:
 			h.toldAt = 0
@@ -182,24 +182,24 @@
 func (e *env) arrival() []Event {
 	k := IndexID(e.rng.IntN(len(e.set.Indexes)))
 	n := 1 + e.rng.IntN(5)
-	lk := Event{Kind: LookupTaken, Lookup: LookupID(e.id()), No: LookupNo(e.id()), Index: k, Parts: n,
+	lk := Event{Kind: QueryTaken, Query: QueryID(e.id()), No: QueryNo(e.id()), Index: k, Subqueries: n,
 		Customer: CustomerID(e.rng.IntN(3)), Left: e.set.Indexes[k].Hard * (0.3 + 0.7*e.rng.Float64())}
 	a := &ask{event: lk, ends: e.now + lk.Left}
 	if e.zoned != nil {
 		lk.Zones = e.zoned(a)
 	}
-	e.asks[lk.Lookup] = a
+	e.asks[lk.Query] = a
 	e.taken = append(e.taken, e.now)
 	return append([]Event{lk}, e.newPieces(a, n)...)
 }
 
 func (e *env) newPieces(a *ask, n int) (events []Event) {
 	for range n {
-		ev := Event{Kind: PartTaken, Part: PartID(e.id()), No: a.event.No, Index: a.event.Index,
-			Shard: ShardID(e.rng.IntN(8)), Weight: 1 / float64(n), Left: a.ends - e.now, Hint: workOfPart}
+		ev := Event{Kind: SubqueryTaken, Subquery: SubqueryID(e.id()), No: a.event.No, Index: a.event.Index,
+			Shard: ShardID(e.rng.IntN(8)), Weight: 1 / float64(n), Left: a.ends - e.now, Hint: workOfSubquery}
 		p := &piece{event: ev, ask: a}
 		a.pieces = append(a.pieces, p)
-		e.pieces[ev.Part] = p
+		e.pieces[ev.Subquery] = p
 		e.taken = append(e.taken, e.now)
 		events = append(events, ev)
 	}
@@ -212,13 +212,13 @@
 			e.heed(ev)
 		}
 		if ev.Kind == CallEnded {
-			p := e.pieces[ev.Part]
+			p := e.pieces[ev.Subquery]
 			c := p.calls[ev.Call]
 			c.open, c.never = false, slices.Contains([]Outcome{TurnedAway, NotConnected, NotSent}, ev.Outcome)
 			p.in = p.in || ev.Outcome == Answered && !p.shut
 		}
 	}
-	actions := e.mixer.Step(e.now, events, nil)
+	actions := e.aggregator.Step(e.now, events, nil)
 	if e.sabotage != nil {
 		actions = e.sabotage(e, actions)
 	}
@@ -231,7 +231,7 @@
 	}
 	for _, a := range e.asks {
 		if !a.over && e.now > a.ends+e.set.Rules.AnswerSlack {
-			e.fail("lost: lookup %d has no final answer", a.event.Lookup)
+			e.fail("lost: lookup %d has no final answer", a.event.Query)
 		}
 	}
 }
@@ -243,15 +243,15 @@
 	case Subscribe, AskWhole:
 		e.due = append(e.due, dueEvent{e.now + 0.1, e.list(ListWhole)})
 	case Probe:
-		ev := Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: Answered}
-		if h := e.host(a.Searcher); h.mood >= 2 {
+		ev := Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered}
+		if h := e.host(a.Backend); h.mood >= 2 {
 			ev.Outcome = NotConnected
 		}
 		e.due = append(e.due, dueEvent{e.now + 0.2, ev})
 	case Withdraw:
-		if c := e.pieces[a.Part].calls[a.Call]; c.open && !c.back {
+		if c := e.pieces[a.Subquery].calls[a.Call]; c.open && !c.back {
 			c.back = true
-			e.ends(e.pieces[a.Part], int(a.Call), Withdrawn, 0.005)
+			e.ends(e.pieces[a.Subquery], int(a.Call), Withdrawn, 0.005)
 		}
 	case Send:
 		e.sent(a)
@@ -260,21 +260,21 @@
 	}
 }
 
-func (e *env) host(id SearcherID) *host {
-	return e.fleet[slices.IndexFunc(e.fleet, func(h *host) bool { return h.entry.Searcher == id })]
+func (e *env) host(id BackendID) *host {
+	return e.fleet[slices.IndexFunc(e.fleet, func(h *host) bool { return h.entry.Backend == id })]
 }
 
 func (e *env) ends(p *piece, no int, outcome Outcome, after float64) {
 	e.due = slices.DeleteFunc(e.due, func(d dueEvent) bool {
-		return d.event.Kind == CallEnded && d.event.Part == p.event.Part && d.event.Call == CallNo(no)
+		return d.event.Kind == CallEnded && d.event.Subquery == p.event.Subquery && d.event.Call == CallNo(no)
 	})
 	c := p.calls[no]
-	e.due = append(e.due, dueEvent{e.now + after, Event{Kind: CallEnded, Part: p.event.Part, Call: CallNo(no),
-		Searcher: c.at.entry.Searcher, Outcome: outcome, Elapsed: e.now + after - c.sent}})
+	e.due = append(e.due, dueEvent{e.now + after, Event{Kind: CallEnded, Subquery: p.event.Subquery, Call: CallNo(no),
+		Backend: c.at.entry.Backend, Outcome: outcome, Elapsed: e.now + after - c.sent}})
 }
 
 func (e *env) sent(a Action) {
-	p, h := e.pieces[a.Part], e.host(a.Searcher)
+	p, h := e.pieces[a.Subquery], e.host(a.Backend)
 	x, r := e.set.Indexes[p.event.Index], e.set.Rules
 	open, ran := 0, false
 	for _, c := range p.calls {
@@ -300,7 +300,7 @@
 		{e.set.Limits.MaxTries > 0 && len(p.calls) >= e.set.Limits.MaxTries, "too many calls"},
 	} {
 		if c.breach {
-			e.fail("part %d: %s", a.Part, c.text)
+			e.fail("part %d: %s", a.Subquery, c.text)
 		}
 	}
 	if len(p.calls) > 0 {
@@ -311,7 +311,7 @@
 		}
 	}
 	p.first = cmp.Or(p.first, e.now)
-	h.works = append(h.works, sending{e.now, workOfPart})
+	h.works = append(h.works, sending{e.now, workOfSubquery})
 	p.calls = append(p.calls, &attempt{at: h, sent: e.now, open: true})
 	outcome, took := Answered, 0.05+0.2*e.rng.Float64()
 	switch h.mood {
@@ -336,9 +336,9 @@
 }
 
 func (e *env) final(a Action) {
-	k := e.asks[a.Lookup]
+	k := e.asks[a.Query]
 	if k == nil || k.over {
-		e.fail("lost: lookup %d answered twice", a.Lookup)
+		e.fail("lost: lookup %d answered twice", a.Query)
 		return
 	}
 	x := e.set.Indexes[k.event.Index]
@@ -358,11 +358,11 @@
 	}
 	switch {
 	case a.Kind == Answer && weight < x.Floor-1e-4:
-		e.fail("honest: lookup %d answered from %.2f", a.Lookup, weight)
+		e.fail("honest: lookup %d answered from %.2f", a.Query, weight)
 	case a.Kind == Answer && a.Whole && (weight < need-1e-4 || k.short):
-		e.fail("honest: lookup %d called whole at %.2f", a.Lookup, weight)
+		e.fail("honest: lookup %d called whole at %.2f", a.Query, weight)
 	case a.Kind == Nack && x.Effect == OnceOnly && ran:
-		e.fail("duplicate: lookup %d nacked though a part may have run", a.Lookup)
+		e.fail("duplicate: lookup %d nacked though a part may have run", a.Query)
 	}
 	if a.Kind == Answer {
 		e.answered++
@@ -377,7 +377,7 @@
 	k.over = true
 }
 
-// checkCold holds this instance to its share of what a cold searcher may get, by the true capacity.
+// checkCold holds this instance to its share of what a cold backend may get, by the true capacity.
 func (e *env) checkCold(h *host) {
 	r := e.set.Rules
 	if h.told == 0 || e.now > h.told+r.ColdS {
@@ -390,31 +390,31 @@
 		}
 	}
 	warmth := r.ColdShare + (1-r.ColdShare)*(e.now-h.told)/r.ColdS
-	most := r.FallMultiple * warmth * capacity / float64(e.set.Mixers) * r.FallS
-	if sum > math.Max(most, workOfPart+1e-9) {
-		e.fail("cold: %.2f of work sent to %d, at most %.2f", sum, h.entry.Searcher, most)
+	most := r.FallMultiple * warmth * capacity / float64(e.set.Aggregators) * r.FallS
+	if sum > math.Max(most, workOfSubquery+1e-9) {
+		e.fail("cold: %.2f of work sent to %d, at most %.2f", sum, h.entry.Backend, most)
 	}
 }
 
-// scene drives an instance by hand: fixed settings, two cells of one searcher each unless told otherwise.
+// scene drives an instance by hand: fixed settings, two cells of one backend each unless told otherwise.
 type scene struct {
 	t     *testing.T
-	m     *Mixer
+	m     *Aggregator
 	now   float64
 	next  uint64
-	calls map[PartID]int
+	calls map[SubqueryID]int
 }
 
 func newScene(t *testing.T, change func(*Settings), entries ...Entry) *scene {
-	set := Settings{Seed: 1, Mixers: 1, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
+	set := Settings{Seed: 1, Aggregators: 1, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
 		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Gain: 1, LateGain: 0.1, Need: 1, Floor: 1}},
 		Limits:  Limits{Cancel: true, MaxTries: 3}}
 	if change != nil {
 		change(&set)
 	}
-	s := &scene{t: t, m: New(set, 0), calls: map[PartID]int{}}
+	s := &scene{t: t, m: New(set, 0), calls: map[SubqueryID]int{}}
 	if entries == nil {
-		entries = []Entry{{Searcher: 1}, {Searcher: 2}}
+		entries = []Entry{{Backend: 1}, {Backend: 2}}
 	}
 	s.step(0.01, Event{Kind: ListChanged, List: ListWhole, Entries: entries})
 	return s
@@ -425,29 +425,29 @@
 	return s.m.Step(s.now, events, nil)
 }
 
-// take hands over a lookup with parts of the given hints, and returns what was done at once.
-func (s *scene) take(left float64, hints ...float64) (parts []PartID, done []Action) {
+// take hands over a query with parts of the given hints, and returns what was done at once.
+func (s *scene) take(left float64, hints ...float64) (subqueries []SubqueryID, done []Action) {
 	s.next++
-	no := LookupNo(s.next)
-	events := []Event{{Kind: LookupTaken, Lookup: LookupID(s.next), No: no, Parts: len(hints), Left: left}}
+	no := QueryNo(s.next)
+	events := []Event{{Kind: QueryTaken, Query: QueryID(s.next), No: no, Subqueries: len(hints), Left: left}}
 	for _, h := range hints {
-		id := PartID(1000*s.next) + PartID(len(parts))
-		parts = append(parts, id)
-		events = append(events, Event{Kind: PartTaken, Part: id, No: no, Shard: ShardID(len(parts) - 1), Weight: 1 / float64(len(hints)), Hint: h})
+		id := SubqueryID(1000*s.next) + SubqueryID(len(subqueries))
+		subqueries = append(subqueries, id)
+		events = append(events, Event{Kind: SubqueryTaken, Subquery: id, No: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: h})
 	}
-	return parts, s.step(0.005, events...)
+	return subqueries, s.step(0.005, events...)
 }
 
-func (s *scene) end(dt float64, p PartID, at SearcherID, outcome Outcome, elapsed float64) []Action {
+func (s *scene) end(dt float64, p SubqueryID, at BackendID, outcome Outcome, elapsed float64) []Action {
 	no := s.calls[p]
 	s.calls[p]++
-	return s.step(dt, Event{Kind: CallEnded, Part: p, Call: CallNo(no), Searcher: at, Outcome: outcome, Elapsed: elapsed})
+	return s.step(dt, Event{Kind: CallEnded, Subquery: p, Call: CallNo(no), Backend: at, Outcome: outcome, Elapsed: elapsed})
 }
 
 // serve answers all that was sent, each after the same time.
 func (s *scene) serve(done []Action, dt, took float64) {
 	for _, a := range only(Send, done) {
-		s.end(dt, a.Part, a.Searcher, Answered, took)
+		s.end(dt, a.Subquery, a.Backend, Answered, took)
 	}
 }
 
--- a/policy/lockout_test.go
+++ b/policy/lockout_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// After a moment in which all calls took long nothing is out and every searcher is idle. Who turns every lookup away hears of no
-// searcher again: what was heard in that moment has to fade by itself, or lookups are turned away for good.
+// After a moment in which all calls took long nothing is out and every backend is idle. Who turns every query away hears of no
+// backend again: what was heard in that moment has to fade by itself, or queries are turned away for good.
 func TestABadMomentEnds(t *testing.T) {
 	s := newScene(t, func(set *Settings) {
 		set.Indexes[0].Soft, set.Indexes[0].Hard, set.Indexes[0].Floor = 0.5, 2, 0.5
@@ -20,7 +20,7 @@
 	}
 	for i := 0; i < len(out); i++ {
 		a := out[i]
-		out = append(out, only(Send, s.end(1, a.Part, a.Searcher, Answered, 0.9))...)
+		out = append(out, only(Send, s.end(1, a.Subquery, a.Backend, Answered, 0.9))...)
 	}
 	s.tick(5)
 	refused, asked := 0, 0
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -31,8 +31,8 @@
 	turn := func(to func(*env, *host) bool) breaker { // sends go to another host of the cell
 		return func(e *env, a Action) []Action {
 			for _, h := range e.fleet {
-				if a.Kind == Send && h.named && h.entry.Cell == e.host(a.Searcher).entry.Cell && to(e, h) {
-					a.Searcher = h.entry.Searcher
+				if a.Kind == Send && h.named && h.entry.Cell == e.host(a.Backend).entry.Cell && to(e, h) {
+					a.Backend = h.entry.Backend
 				}
 			}
 			return []Action{a}
@@ -40,7 +40,7 @@
 	}
 	twice := func(effect Effect) breaker {
 		return func(e *env, a Action) []Action {
-			if a.Kind == Send && e.set.Limits.SecondCopy && e.set.Indexes[e.pieces[a.Part].event.Index].Effect == effect {
+			if a.Kind == Send && e.set.Limits.SecondCopy && e.set.Indexes[e.pieces[a.Subquery].event.Index].Effect == effect {
 				return []Action{a, a}
 			}
 			return []Action{a}
@@ -55,7 +55,7 @@
 			return []Action{a}
 		},
 		"after its lookup's end": func(e *env, a Action) []Action {
-			if kept.Kind == Send && kept.Part != 0 && e.pieces[kept.Part].ask.over {
+			if kept.Kind == Send && kept.Subquery != 0 && e.pieces[kept.Subquery].ask.over {
 				return []Action{a, kept}
 			} else if a.Kind == Send {
 				kept = a
@@ -100,53 +100,53 @@
 
 func TestBindsToLeastLatencyTimesQueue(t *testing.T) {
 	s := newScene(t, nil)
-	for range 6 { // searcher 1 answers in 0.1 s, searcher 2 in 0.5 s
+	for range 6 { // backend 1 answers in 0.1 s, backend 2 in 0.5 s
 		p, done := s.take(6, 1)
-		at := only(Send, done)[0].Searcher
-		s.end(0.1, p[0], at, Answered, map[SearcherID]float64{1: 0.1, 2: 0.5}[at])
+		at := only(Send, done)[0].Backend
+		s.end(0.1, p[0], at, Answered, map[BackendID]float64{1: 0.1, 2: 0.5}[at])
 	}
 	_, done := s.take(6, 1, 1, 1)
 	for _, a := range only(Send, done) {
-		if a.Searcher != 1 {
-			t.Errorf("part %d went to the slow searcher", a.Part)
+		if a.Backend != 1 {
+			t.Errorf("part %d went to the slow searcher", a.Subquery)
 		}
 	}
 }
 
-// fill takes lookups until the windows of the only searcher are full.
-func fill(s *scene) (parts []PartID) {
+// fill takes queries until the windows of the only backend are full.
+func fill(s *scene) (subqueries []SubqueryID) {
 	for range 4 {
 		p, done := s.take(6, 1)
 		if len(only(Send, done)) != 1 {
 			s.t.Fatal("the window should start at 4")
 		}
-		parts = append(parts, p[0])
+		subqueries = append(subqueries, p[0])
 	}
-	return parts
+	return subqueries
 }
 
-func TestHeldPartsLeaveInMakespanOrder(t *testing.T) {
-	s := newScene(t, nil, Entry{Searcher: 1})
-	parts := fill(s)
+func TestHeldSubqueriesLeaveInMakespanOrder(t *testing.T) {
+	s := newScene(t, nil, Entry{Backend: 1})
+	subqueries := fill(s)
 	long, _ := s.take(6, 1, 1, 1)
 	brief, done := s.take(6, 1, 2)
 	if len(only(Send, done)) != 0 {
 		t.Fatal("sent beyond the window")
 	}
-	sends := only(Send, s.end(0.05, parts[0], 1, Answered, 0.05))
-	if len(sends) == 0 || sends[0].Part != brief[1] {
+	sends := only(Send, s.end(0.05, subqueries[0], 1, Answered, 0.05))
+	if len(sends) == 0 || sends[0].Subquery != brief[1] {
 		t.Errorf("first out %v, expected the larger hint %d of the shorter lookup, not %v", sends, brief[1], long)
 	}
 }
 
 func TestEqualMakespanGoesToSmallerSize(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Searcher: 1}, Entry{Searcher: 2, Cell: 1})
+	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
 	m := s.m
-	lk := func(no LookupNo, at ...int) *lookup {
-		l := m.opened(&Event{Lookup: LookupID(no), No: no, Parts: len(at), Left: 6})
+	lk := func(no QueryNo, at ...int) *query {
+		l := m.opened(&Event{Query: QueryID(no), No: no, Subqueries: len(at), Left: 6})
 		for i, n := range at {
 			for range n {
-				p := m.added(l, &Event{Part: PartID(100*int(no) + len(l.parts)), Shard: ShardID(i)})
+				p := m.added(l, &Event{Subquery: SubqueryID(100*int(no) + len(l.subqueries)), Shard: ShardID(i)})
 				m.hold(p, m.fleet[i])
 			}
 		}
@@ -159,8 +159,8 @@
 	}
 }
 
-func TestLatePartIsDroppedAndLookupDeclinedAtOnce(t *testing.T) {
-	s := newScene(t, nil, Entry{Searcher: 1})
+func TestLateSubqueryIsDroppedAndQueryDeclinedAtOnce(t *testing.T) {
+	s := newScene(t, nil, Entry{Backend: 1})
 	fill(s)
 	_, done := s.take(0.5, 1) // unheard: latency counts as the soft deadline of 2 s
 	if n := only(Nack, done); len(n) != 1 || len(only(Send, done)) != 0 {
@@ -168,10 +168,10 @@
 	}
 }
 
-// A list change that ends a lookup once tripped over the list of open lookups.
-// Also a mixer that has heard nobody yet says when to come back.
+// A list change that ends a query once tripped over the list of open queries.
+// Also an aggregator that has heard nobody yet says when to come back.
 func TestNackSaysWhenToComeBack(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.RetryAfter, set.Limits.MaxRetryAfter = true, 1 }, Entry{Searcher: 1})
+	s := newScene(t, func(set *Settings) { set.Limits.RetryAfter, set.Limits.MaxRetryAfter = true, 1 }, Entry{Backend: 1})
 	p, done := s.take(6, 1)
 	done = append(done, s.end(0.1, p[0], 1, NotConnected, 0.1)...)
 	nacks := only(Nack, append(done, s.tick(5.9)...))
@@ -180,41 +180,41 @@
 	}
 }
 
-func TestListChangeMayEndLookups(t *testing.T) {
+func TestListChangeMayEndQueries(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Limits.MaxTries = 9 })
 	for range 8 {
 		p, done := s.take(6, 1)
 		for _, a := range only(Send, done) {
-			s.end(0.001, p[0], a.Searcher, NotConnected, 0.001)
+			s.end(0.001, p[0], a.Backend, NotConnected, 0.001)
 		}
 	}
 	s.step(0.01, Event{Kind: ListChanged, List: ListPatch,
-		Entries: []Entry{{Searcher: 1, Phase: Gone}, {Searcher: 2, Phase: Gone}}})
+		Entries: []Entry{{Backend: 1, Phase: Gone}, {Backend: 2, Phase: Gone}}})
 }
 
-// Resets on a live searcher once counted as restarts: the whole fleet was then held to a cold share.
-// Searchers come and go all day: those that are gone are kept while a call to them is out, and no longer.
-func TestGoneSearchersAreForgotten(t *testing.T) {
-	named := func(phase Phase, ids ...SearcherID) Event {
+// Resets on a live backend once counted as restarts: the whole fleet was then held to a cold share.
+// Backends come and go all day: those that are gone are kept while a call to them is out, and no longer.
+func TestGoneBackendsAreForgotten(t *testing.T) {
+	named := func(phase Phase, ids ...BackendID) Event {
 		e := Event{Kind: ListChanged}
 		for _, id := range ids {
-			e.Entries = append(e.Entries, Entry{Searcher: id, Phase: phase, Share: 1})
+			e.Entries = append(e.Entries, Entry{Backend: id, Phase: phase, Share: 1})
 		}
 		return e
 	}
-	s := newScene(t, nil, Entry{Searcher: 1, Share: 1})
-	parts, done := s.take(4, 0)
-	if sends := only(Send, done); len(sends) != 1 || sends[0].Searcher != 1 {
+	s := newScene(t, nil, Entry{Backend: 1, Share: 1})
+	subqueries, done := s.take(4, 0)
+	if sends := only(Send, done); len(sends) != 1 || sends[0].Backend != 1 {
 		t.Fatalf("got %+v", done)
 	}
-	for i := range SearcherID(100) {
+	for i := range BackendID(100) {
 		s.step(0.01, named(Ready, i+2))
 		s.step(0.01, named(Gone, i+1))
 	}
-	if m := s.m; len(m.fleet) != 3 || len(m.searchers) != 3 || len(m.holders[0]) != 3 {
+	if m := s.m; len(m.fleet) != 3 || len(m.backends) != 3 || len(m.holders[0]) != 3 {
 		t.Fatalf("%d searchers are kept, not the one with a call out, the one named and the last one gone", len(m.fleet))
 	}
-	if got := s.end(0.01, parts[0], 1, Answered, 0.1); len(only(Answer, got)) != 1 {
+	if got := s.end(0.01, subqueries[0], 1, Answered, 0.1); len(only(Answer, got)) != 1 {
 		t.Fatalf("got %+v", got)
 	}
 	whole := named(Ready, 102)
@@ -226,10 +226,10 @@
 }
 
 func TestBudgetRecordsHoldNoMoreThanTheyCount(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Rules.Budget, set.Rules.BudgetS = true, 1 }, Entry{Searcher: 1, Share: 1})
+	s := newScene(t, func(set *Settings) { set.Rules.Budget, set.Rules.BudgetS = true, 1 }, Entry{Backend: 1, Share: 1})
 	for range 2000 {
-		parts, _ := s.take(4, 0)
-		s.end(0.01, parts[0], 1, Answered, 0.01)
+		subqueries, _ := s.take(4, 0)
+		s.end(0.01, subqueries[0], 1, Answered, 0.01)
 	}
 	if n := cap(s.m.taken); n > 1000 {
 		t.Fatalf("%d times are kept of 100 lookups in the span", n)
@@ -239,25 +239,25 @@
 func TestBrokenCallIsNoRestart(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Rules = Rules{ColdShare: 0.1, ColdS: 10, FallMultiple: 2, FallS: 1} })
 	p, done := s.take(6, 1)
-	at := only(Send, done)[0].Searcher
+	at := only(Send, done)[0].Backend
 	s.end(0.1, p[0], at, Broken, 0.1)
-	if x := s.m.searchers[at]; !usable(x) || s.m.warmth(x) < 1 {
+	if x := s.m.backends[at]; !usable(x) || s.m.warmth(x) < 1 {
 		t.Error("a broken call made its searcher unreachable or cold")
 	}
 }
 
-// A searcher that answers others' calls but lost this one: the call is taken back and sent to the sibling.
+// A backend that answers others' calls but lost this one: the call is taken back and sent to the sibling.
 func TestLostCallIsTakenBack(t *testing.T) {
 	s := newScene(t, nil)
 	warm(s)
-	lostPart, done := s.take(6, 1)
-	at := only(Send, done)[0].Searcher
+	lostSubquery, done := s.take(6, 1)
+	at := only(Send, done)[0].Backend
 	for range 40 {
 		_, done := s.take(6, 1)
 		s.serve(done, 0.05, 0.05)
 		if back := only(Withdraw, s.tick(0.01)); len(back) == 1 {
-			sends := only(Send, s.end(0.005, lostPart[0], at, Withdrawn, s.now))
-			if len(sends) != 1 || sends[0].Searcher == at {
+			sends := only(Send, s.end(0.005, lostSubquery[0], at, Withdrawn, s.now))
+			if len(sends) != 1 || sends[0].Backend == at {
 				t.Errorf("the part was not sent to the sibling: %v", sends)
 			}
 			return
@@ -268,21 +268,21 @@
 
 // One that says nothing is asked at once, apart from the calls it may have lost with their connection; should it answer, it
 // is in reach at once.
-func TestSilentSearcherIsAskedApart(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Searcher: 1})
+func TestSilentBackendIsAskedApart(t *testing.T) {
+	s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1})
 	warm(s)
 	s.take(6, 1)
 	s.take(6, 1)
 	for range 100 {
 		if asked := only(Probe, s.tick(0.02)); len(asked) > 0 {
-			x := s.m.searchers[1]
+			x := s.m.backends[1]
 			if !asked[0].Apart || usable(x) {
 				t.Fatalf("got %+v with the searcher in reach: %v", asked[0], usable(x))
 			}
 			if _, done := s.take(6, 1); len(only(Send, done)) > 0 {
 				t.Fatal("sent to one that says nothing")
 			}
-			if done := s.step(0.005, Event{Kind: ProbeEnded, Searcher: 1, Outcome: Answered}); len(only(Send, done)) != 1 {
+			if done := s.step(0.005, Event{Kind: ProbeEnded, Backend: 1, Outcome: Answered}); len(only(Send, done)) != 1 {
 				t.Fatalf("not sent to one that answered: %+v", done)
 			}
 			return
@@ -298,40 +298,40 @@
 	}
 }
 
-// Half the fleet cut off: calls hang without an end. The silent searcher is shunned, its sibling serves.
-func TestSilentSearcherIsShunned(t *testing.T) {
+// Half the fleet cut off: calls hang without an end. The silent backend is shunned, its sibling serves.
+func TestSilentBackendIsShunned(t *testing.T) {
 	s := newScene(t, nil)
 	warm(s)
 	for range 30 {
 		_, done := s.take(6, 1, 1, 1)
 		for _, a := range only(Send, done) {
-			if a.Searcher == 2 {
-				s.end(0.01, a.Part, 2, Answered, 0.1)
+			if a.Backend == 2 {
+				s.end(0.01, a.Subquery, 2, Answered, 0.1)
 			}
 		}
 		s.tick(0.05)
 	}
-	if usable(s.m.searchers[1]) || !usable(s.m.searchers[2]) {
+	if usable(s.m.backends[1]) || !usable(s.m.backends[2]) {
 		t.Error("expected searcher 1 shunned and searcher 2 in use")
 	}
 }
 
-// Overload once became usual: windows stayed wide and searchers queued longer than the soft deadline.
+// Overload once became usual: windows stayed wide and backends queued longer than the soft deadline.
 func TestOverloadDoesNotBecomeUsual(t *testing.T) {
-	s := newScene(t, nil, Entry{Searcher: 1})
+	s := newScene(t, nil, Entry{Backend: 1})
 	for range 300 {
 		_, done := s.take(6, 1)
 		s.serve(done, 0.9, 1.9)
 	}
-	if w := s.m.searchers[1].window; w >= windowStart {
+	if w := s.m.backends[1].window; w >= windowStart {
 		t.Errorf("window %.1f after answers near the soft deadline", w)
 	}
 }
 
-// Work on the other parts of a lookup is for nothing while one part's only holder cannot be reached.
-func TestPartsWaitForUnreachableSibling(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Searcher: 1}, Entry{Searcher: 2, Cell: 1})
-	s.m.away(s.m.searchers[2])
+// Work on the other parts of a query is for nothing while one part's only holder cannot be reached.
+func TestSubqueriesWaitForUnreachableSibling(t *testing.T) {
+	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
+	s.m.away(s.m.backends[2])
 	if _, done := s.take(6, 1, 1); len(only(Send, done)) != 0 {
 		t.Errorf("got %v", done)
 	}
@@ -341,8 +341,8 @@
 func TestSweepComesAfterRelease(t *testing.T) {
 	s := newScene(t, nil)
 	s.take(6, 1)
-	events := []Event{{Kind: LookupTaken, Lookup: 50, No: 50, Parts: 1, Left: 3},
-		{Kind: PartTaken, Part: 500, No: 50, Weight: 1}, {Kind: TimerDue, Timer: sweepTimer}}
+	events := []Event{{Kind: QueryTaken, Query: 50, No: 50, Subqueries: 1, Left: 3},
+		{Kind: SubqueryTaken, Subquery: 500, No: 50, Weight: 1}, {Kind: TimerDue, Timer: sweepTimer}}
 	if done := s.step(0.005, events...); len(only(Send, done)) != 1 || len(only(Nack, done)) != 0 {
 		t.Errorf("got %v", done)
 	}
@@ -350,8 +350,8 @@
 
 // Connections that die when idle: calls after a pause are lost, so such a connection is closed before it is used.
 func TestConnectionIdleTooLongIsClosed(t *testing.T) {
-	for _, alive := range []bool{true, false} { // no probe answered: the searcher, not its connection, is to blame
-		s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Searcher: 1}, Entry{Searcher: 2})
+	for _, alive := range []bool{true, false} { // no probe answered: the backend, not its connection, is to blame
+		s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1}, Entry{Backend: 2})
 		warm(s)
 		closed := false
 		for range 12 {
@@ -362,10 +362,10 @@
 				done = append(done, s.tick(0.05)...)
 				for _, a := range only(Probe, done) {
 					outcome := map[bool]Outcome{true: Answered, false: TimedOut}[alive]
-					s.step(0.001, Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: outcome, Elapsed: 0.1}) // it waits as a call does
+					s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: outcome, Elapsed: 0.1}) // it waits as a call does
 				}
 				for _, a := range only(Withdraw, done) {
-					s.end(0.005, a.Part, 0, Withdrawn, 1)
+					s.end(0.005, a.Subquery, 0, Withdrawn, 1)
 				}
 				done = nil
 			}
@@ -376,47 +376,47 @@
 	}
 }
 
-// Scores of mixers that each send a cold searcher one part at once push it over: together they send a share that
-// grows as it warms, though each takes a lookup only now and then.
-func TestManyMixersThinWhatGoesToColdSearcher(t *testing.T) {
-	const mixers = 50
+// Scores of aggregators that each send a cold backend one part at once push it over: together they send a share that
+// grows as it warms, though each takes a query only now and then.
+func TestManyAggregatorsThinWhatGoesToColdBackend(t *testing.T) {
+	const aggregators = 50
 	sent := 0
-	for i := range mixers {
+	for i := range aggregators {
 		s := newScene(t, func(set *Settings) {
-			set.Seed, set.Mixers = uint64(i), mixers
+			set.Seed, set.Aggregators = uint64(i), aggregators
 			set.Rules = Rules{ColdShare: 0.16, ColdS: 18, FallMultiple: 2, FallS: 1.5}
-		}, Entry{Searcher: 1, StartedAt: 0.01})
+		}, Entry{Backend: 1, StartedAt: 0.01})
 		_, done := s.take(6, 0.2)
 		sent += len(only(Send, done))
 	}
-	if sent == 0 || sent > mixers/3 {
-		t.Errorf("%d of %d mixers sent a part at the start", sent, mixers)
+	if sent == 0 || sent > aggregators/3 {
+		t.Errorf("%d of %d mixers sent a part at the start", sent, aggregators)
 	}
 }
 
-// alone is a scene of one warm searcher, which may be probed and would be cold after a start.
+// alone is a scene of one warm backend, which may be probed and would be cold after a start.
 func alone(t *testing.T) *scene {
 	s := newScene(t, func(set *Settings) {
 		set.Limits.Probe = true
 		set.Rules = Rules{ColdShare: 0.1, ColdS: 10, FallMultiple: 2, FallS: 1}
-	}, Entry{Searcher: 1})
+	}, Entry{Backend: 1})
 	warm(s)
 	return s
 }
 
-// A searcher silent for a while was once shunned for good, and then taken for new: it is asked after each pause,
+// A backend silent for a while was once shunned for good, and then taken for new: it is asked after each pause,
 // and one that answers keeps its figures and is not cold. One that turns probes away is not silent.
-func TestSearcherIsAskedAgainAfterSilence(t *testing.T) {
+func TestBackendIsAskedAgainAfterSilence(t *testing.T) {
 	s := alone(t)
 	s.take(60, 1)
-	x := s.m.searchers[1]
+	x := s.m.backends[1]
 	for i := range 400 {
 		answer := TimedOut
 		if i > 300 {
 			answer = Answered
 		}
 		for _, a := range only(Probe, s.tick(0.05)) {
-			s.step(0.001, Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: answer})
+			s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: answer})
 		}
 		if i == 300 && usable(x) {
 			t.Fatal("a silent searcher counts as usable")
@@ -426,7 +426,7 @@
 		t.Errorf("usable %v, latency %v, warmth %v after it answered", usable(x), x.latency, s.m.warmth(x))
 	}
 	quiet := x.quietFrom
-	s.step(0.001, Event{Kind: ProbeEnded, Searcher: 1, Outcome: TurnedAway})
+	s.step(0.001, Event{Kind: ProbeEnded, Backend: 1, Outcome: TurnedAway})
 	if x.unheard || x.quietFrom != quiet {
 		t.Error("a probe turned away counts as silence")
 	}
@@ -444,7 +444,7 @@
 			backs += len(only(Withdraw, done))
 			for _, a := range only(Probe, done) {
 				if alive {
-					s.step(0.001, Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: Answered, Elapsed: 0.2})
+					s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered, Elapsed: 0.2})
 				}
 			}
 		}
@@ -454,9 +454,9 @@
 	}
 }
 
-// Connections that break at once after a pause: once that was taken for a fault of every searcher.
+// Connections that break at once after a pause: once that was taken for a fault of every backend.
 func TestConnectionThatBreaksAfterPauseIsClosed(t *testing.T) {
-	s := newScene(t, nil, Entry{Searcher: 1})
+	s := newScene(t, nil, Entry{Backend: 1})
 	warm(s)
 	closed := 0
 	for range 20 {
@@ -468,50 +468,50 @@
 		}
 		s.serve(s.end(0.005, p[0], 1, outcome, 0.005), 0.1, 0.1) // the further call, at once, finds a new connection
 	}
-	if f := s.m.searchers[1].fault[0].sum; closed < 15 || f > 0.1 {
+	if f := s.m.backends[1].fault[0].sum; closed < 15 || f > 0.1 {
 		t.Errorf("closed %d times of 20, fault %.2f", closed, f)
 	}
 }
 
-// A quarter of the searchers gone: what a lookup can do without must not hold its other parts.
-func TestPartsGoWhereEnoughCanBeReached(t *testing.T) {
+// A quarter of the backends gone: what a query can do without must not hold its other parts.
+func TestSubqueriesGoWhereEnoughCanBeReached(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Layout.Cells, set.Indexes[0].Floor = 2, 0.4 },
-		Entry{Searcher: 1}, Entry{Searcher: 2, Cell: 1})
-	s.m.away(s.m.searchers[2])
+		Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
+	s.m.away(s.m.backends[2])
 	if _, done := s.take(6, 1, 1); len(only(Send, done)) != 1 {
 		t.Errorf("got %v", done)
 	}
 }
 
-// Searchers of one location fail by turns, each called seldom: what others there did counts for one not yet known,
+// Backends of one location fail by turns, each called seldom: what others there did counts for one not yet known,
 // and its own answers outweigh that.
 func TestFaultsOfALocationCountUntilASearcherIsKnown(t *testing.T) {
-	s := newScene(t, nil, Entry{Searcher: 1, Location: 1}, Entry{Searcher: 2, Location: 1}, Entry{Searcher: 3})
+	s := newScene(t, nil, Entry{Backend: 1, Location: 1}, Entry{Backend: 2, Location: 1}, Entry{Backend: 3})
 	m := s.m
 	for range 20 {
-		m.blame(m.searchers[1], 0, 1)
-		m.blame(m.searchers[3], 0, 0)
+		m.blame(m.backends[1], 0, 1)
+		m.blame(m.backends[3], 0, 0)
 	}
-	if a, b := m.faulty(m.searchers[2], 0), m.faulty(m.searchers[3], 0); a < 0.5 || b > 0.05 {
+	if a, b := m.faulty(m.backends[2], 0), m.faulty(m.backends[3], 0); a < 0.5 || b > 0.05 {
 		t.Errorf("unknown one beside faulty ones %.2f, sound one elsewhere %.2f", a, b)
 	}
 	for range 4 {
-		m.blame(m.searchers[2], 0, 0)
+		m.blame(m.backends[2], 0, 0)
 	}
-	if a := m.faulty(m.searchers[2], 0); a > 0.2 {
+	if a := m.faulty(m.backends[2], 0); a > 0.2 {
 		t.Errorf("%.2f after its own answers", a)
 	}
 }
 
 // In troubled times a part goes to the holder that first gives a sign of life, not to one that may be dead.
-// A searcher at home that fails most calls, and quickly, must not look cheaper than crossing to its sibling.
+// A backend at home that fails most calls, and quickly, must not look cheaper than crossing to its sibling.
 func TestCrossingIsCheaperThanFaultsAtHome(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Prices.CrossLocation = 0.05 }, Entry{Searcher: 1}, Entry{Searcher: 2, Location: 1})
+	s := newScene(t, func(set *Settings) { set.Prices.CrossLocation = 0.05 }, Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
 	warm(s)
-	home, away := s.m.searchers[1], s.m.searchers[2]
+	home, away := s.m.backends[1], s.m.backends[2]
 	home.latency, away.latency, home.heardAt, away.heardAt = s.m.usual/4, s.m.usual, s.now, s.now
-	parts, _ := s.take(6, 1)
-	p := s.m.parts[parts[0]]
+	subqueries, _ := s.take(6, 1)
+	p := s.m.subqueries[subqueries[0]]
 	if s.m.cost(p, home) > s.m.cost(p, away) {
 		t.Fatal("crosses from a sound searcher")
 	}
@@ -534,21 +534,21 @@
 	if len(only(Send, done)) != 0 || len(only(Probe, done)) != 2 {
 		t.Fatalf("expected both holders asked and nothing sent, got %v", done)
 	}
-	done = only(Send, s.step(0.01, Event{Kind: ProbeEnded, Searcher: 2, Outcome: Answered}))
-	if len(done) != 1 || done[0].Part != p[0] || done[0].Searcher != 2 {
+	done = only(Send, s.step(0.01, Event{Kind: ProbeEnded, Backend: 2, Outcome: Answered}))
+	if len(done) != 1 || done[0].Subquery != p[0] || done[0].Backend != 2 {
 		t.Errorf("got %v", done)
 	}
 }
 
-// Scores of mixers with a window of one each make a long queue: windows go below one, and the rest waits its turn.
+// Scores of aggregators with a window of one each make a long queue: windows go below one, and the rest waits its turn.
 func TestLongQueuesOfOthersNarrow(t *testing.T) {
-	s := newScene(t, nil, Entry{Searcher: 1})
+	s := newScene(t, nil, Entry{Backend: 1})
 	warm(s)
 	for range 12 {
 		p, _ := s.take(6, 1)
 		s.end(1.5, p[0], 1, Answered, 1.5)
 	}
-	if w := s.m.searchers[1].window; w >= 1 {
+	if w := s.m.backends[1].window; w >= 1 {
 		t.Errorf("window %.2f", w)
 	}
 }
@@ -561,7 +561,7 @@
 		{3.74, 0}, {3.75, 0}, {5.99, 0.01}, {3.75, 0}, {5, 1}, {5, 1}, {3.73, 0}, {2.2, 3.8}, {3.76, 0},
 	} {
 		s.take(c.left, 0.1)
-		lk := s.m.lookups[LookupNo(s.next)]
+		lk := s.m.queries[QueryNo(s.next)]
 		if lk == nil {
 			t.Fatalf("try %d was nacked on arrival", i)
 		}
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -9,67 +9,67 @@
 func wide(t *testing.T, floor float64, second int) *scene {
 	var entries []Entry
 	for i := range 16 {
-		entries = append(entries, Entry{Searcher: SearcherID(1 + i), Cell: CellID(i % 8)})
+		entries = append(entries, Entry{Backend: BackendID(1 + i), Cell: CellID(i % 8)})
 	}
 	s := newScene(t, func(set *Settings) {
-		set.Mixers, set.Layout.Cells = 60, 8
+		set.Aggregators, set.Layout.Cells = 60, 8
 		set.Indexes[0].Floor, set.Indexes[0].ShortGain, set.Indexes[0].SecondStep = floor, 0.9, second
 		set.Limits.SecondCopy = true
 	}, entries...)
 	for range 20 {
 		s.serve(only(Send, acts(s.take(6, 1))), 0.02, 0.1)
 	}
-	for lk := range s.m.lookups { // what a second step left open
-		s.step(0.005, Event{Kind: ClientGone, Lookup: s.m.lookups[lk].id})
+	for lk := range s.m.queries { // what a second step left open
+		s.step(0.005, Event{Kind: ClientGone, Query: s.m.queries[lk].id})
 	}
 	return s
 }
 
-func acts(_ []PartID, done []Action) []Action { return done }
+func acts(_ []SubqueryID, done []Action) []Action { return done }
 
 var eight = []float64{1, 1, 1, 1, 1, 1, 1, 0.5}
 
-// A lookup each of whose parts brings down the searcher that begins it was sent to all its searchers at once, and its
+// A query each of whose parts brings down the backend that begins it was sent to all its backends at once, and its
 // parts to their siblings after that.
-func TestLookupThatOnlyBreaksIsGivenUp(t *testing.T) {
+func TestQueryThatOnlyBreaksIsGivenUp(t *testing.T) {
 	s := wide(t, 1, 0)
-	parts, done := s.take(6, eight...)
+	subqueries, done := s.take(6, eight...)
 	sends := only(Send, done)
-	if len(sends) != len(parts) {
-		t.Fatalf("%d parts of %d went out while nothing was in doubt", len(sends), len(parts))
+	if len(sends) != len(subqueries) {
+		t.Fatalf("%d parts of %d went out while nothing was in doubt", len(sends), len(subqueries))
 	}
 	done = nil
 	for _, a := range sends {
-		done = append(done, s.end(0.005, a.Part, a.Searcher, Broken, 0.15)...)
+		done = append(done, s.end(0.005, a.Subquery, a.Backend, Broken, 0.15)...)
 	}
 	if len(only(Send, done)) != 0 || len(only(Nack, done)) != 1 {
 		t.Fatalf("expected a nack once all had broken and no part again, got %v", done)
 	}
 	// In doubt now: one part goes ahead, the least; as it breaks too, that is all.
-	parts, done = s.take(6, eight...)
-	if sends = only(Send, done); len(sends) != 1 || sends[0].Part != parts[7] {
+	subqueries, done = s.take(6, eight...)
+	if sends = only(Send, done); len(sends) != 1 || sends[0].Subquery != subqueries[7] {
 		t.Fatalf("expected the least part alone, got %v", sends)
 	}
-	done = s.end(0.1, parts[7], sends[0].Searcher, Broken, 0.1)
+	done = s.end(0.1, subqueries[7], sends[0].Backend, Broken, 0.1)
 	if len(only(Send, done)) != 0 || len(only(Nack, done)) != 1 {
 		t.Fatalf("expected a nack, got %v", done)
 	}
 	// The next one is sound: its other parts follow the answer.
-	parts, done = s.take(6, eight...)
+	subqueries, done = s.take(6, eight...)
 	sends = only(Send, done)
-	if done = s.end(0.1, parts[7], sends[0].Searcher, Answered, 0.1); len(only(Send, done)) != 7 {
+	if done = s.end(0.1, subqueries[7], sends[0].Backend, Answered, 0.1); len(only(Send, done)) != 7 {
 		t.Fatalf("expected the other seven, got %v", done)
 	}
 }
 
-// A crash takes some parts of a lookup with it. Its others are answered, so those go again at once.
-func TestPartsBrokenByACrashGoAgain(t *testing.T) {
+// A crash takes some parts of a query with it. Its others are answered, so those go again at once.
+func TestSubqueriesBrokenByACrashGoAgain(t *testing.T) {
 	s := wide(t, 1, 0)
 	_, done := s.take(6, eight...)
 	sends := only(Send, done)
-	s.end(0.05, sends[0].Part, sends[0].Searcher, Answered, 0.05)
+	s.end(0.05, sends[0].Subquery, sends[0].Backend, Answered, 0.05)
 	for _, a := range sends[1:4] {
-		if again := only(Send, s.end(0.005, a.Part, a.Searcher, Broken, 0.05)); len(again) != 1 {
+		if again := only(Send, s.end(0.005, a.Subquery, a.Backend, Broken, 0.05)); len(again) != 1 {
 			t.Fatalf("expected the part again, got %v", again)
 		}
 	}
@@ -78,7 +78,7 @@
 // What waits for a part sent ahead was dropped as late where nobody had answered yet: latency counts as the soft
 // deadline until then.
 func TestNothingIsDroppedAsLateBeforeAnyAnswer(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Searcher: 1}, Entry{Searcher: 2, Cell: 1})
+	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
 	for range 10 {
 		s.m.fallen.add(1, s.now, longMemory*s.m.longSoft)
 	}
@@ -94,7 +94,7 @@
 		s := wide(t, 0.7, second)
 		_, done := s.take(6, eight...)
 		for _, a := range only(Send, done)[:6] {
-			s.end(0.01, a.Part, a.Searcher, Answered, 0.1)
+			s.end(0.01, a.Subquery, a.Backend, Answered, 0.1)
 		}
 		var short []Action
 		for s.now < s.m.open[0].soft-1.2*s.m.average && len(short) == 0 {
@@ -107,7 +107,7 @@
 }
 
 // Turned away is who has too little time for what the least answer needs, not for the slowest of all parts.
-func TestTurnedAwayByTheSlowestPartThatIsNeeded(t *testing.T) {
+func TestTurnedAwayByTheSlowestSubqueryThatIsNeeded(t *testing.T) {
 	for floor, refused := range map[float64]bool{0.5: false, 1: true} {
 		s := wide(t, floor, 0)
 		for _, x := range s.m.holders[0] {
@@ -120,16 +120,16 @@
 	}
 }
 
-// Where it is crowded, half of the weight that a lookup may do without is not sent: what weighs least for its work.
-func TestCrowdedLookupsGoWithoutTheirLeastParts(t *testing.T) {
+// Where it is crowded, half of the weight that a query may do without is not sent: what weighs least for its work.
+func TestCrowdedQueriesGoWithoutTheirLeastSubqueries(t *testing.T) {
 	s := wide(t, 0.5, 0)
 	for range 300 {
 		s.m.recent.add(2*s.m.usual, s.now, s.m.shortSoft)
 	}
-	parts, done := s.take(6, 2, 2, 1, 1, 1, 1, 1, 1)
+	subqueries, done := s.take(6, 2, 2, 1, 1, 1, 1, 1, 1)
 	sends := only(Send, done)
 	for _, a := range sends {
-		if a.Part == parts[0] || a.Part == parts[1] {
+		if a.Subquery == subqueries[0] || a.Subquery == subqueries[1] {
 			t.Errorf("the heaviest work for its weight was sent: %v", a)
 		}
 	}
@@ -158,14 +158,14 @@
 	}
 }
 
-// Idle searchers elsewhere: one of many mixers sees little of how busy those at home are, one of few sees it all.
-func TestCrossingIsCheaperAmongManyMixers(t *testing.T) {
-	dear := func(mixers int) float64 {
-		s := newScene(t, func(set *Settings) { set.Mixers, set.Prices.CrossLocation = mixers, 0.03 },
-			Entry{Searcher: 1}, Entry{Searcher: 2, Location: 1})
+// Idle backends elsewhere: one of many aggregators sees little of how busy those at home are, one of few sees it all.
+func TestCrossingIsCheaperAmongManyAggregators(t *testing.T) {
+	dear := func(aggregators int) float64 {
+		s := newScene(t, func(set *Settings) { set.Aggregators, set.Prices.CrossLocation = aggregators, 0.03 },
+			Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
 		warm(s)
-		parts, _ := s.take(6, 1)
-		p := s.m.parts[parts[0]]
+		subqueries, _ := s.take(6, 1)
+		p := s.m.subqueries[subqueries[0]]
 		for len(p.live) > 0 {
 			s.end(0.001, p.id, p.live[0].at.id, TurnedAway, 0.001)
 		}
@@ -173,7 +173,7 @@
 		for _, x := range s.m.fleet {
 			x.latency, x.heardAt = s.m.usual, s.now
 		}
-		return (s.m.cost(p, s.m.searchers[2]) - s.m.cost(p, s.m.searchers[1])) / s.m.usual
+		return (s.m.cost(p, s.m.backends[2]) - s.m.cost(p, s.m.backends[1])) / s.m.usual
 	}
 	if few, many := dear(3), dear(80); few < 1 || many > 0.8 {
 		t.Errorf("crossing adds %.2f usual latencies among 3 mixers and %.2f among 80", few, many)
@@ -181,19 +181,19 @@
 }
 
 // A full queue was no reason to go elsewhere: a busy sibling looked dearer, and the part spent its three calls on the full
-// one within milliseconds. A lookup of 56 parts was lost with it.
-func TestAFullSearcherIsNotAskedAgainAtOnce(t *testing.T) {
+// one within milliseconds. A query of 56 parts was lost with it.
+func TestAFullBackendIsNotAskedAgainAtOnce(t *testing.T) {
 	s := newScene(t, nil)
 	warm(s)
-	s.m.searchers[2].latency, s.m.searchers[2].heardAt = 5*s.m.usual, s.now
-	parts, done := s.take(6, 1)
-	if at := only(Send, done)[0].Searcher; at != 1 {
+	s.m.backends[2].latency, s.m.backends[2].heardAt = 5*s.m.usual, s.now
+	subqueries, done := s.take(6, 1)
+	if at := only(Send, done)[0].Backend; at != 1 {
 		t.Fatalf("bound to %d, expected the quick one", at)
 	}
-	if sends := only(Send, s.end(0.002, parts[0], 1, TurnedAway, 0.002)); len(sends) != 1 || sends[0].Searcher != 2 {
+	if sends := only(Send, s.end(0.002, subqueries[0], 1, TurnedAway, 0.002)); len(sends) != 1 || sends[0].Backend != 2 {
 		t.Fatalf("expected the busy sibling, got %v", sends)
 	}
-	done = s.end(0.002, parts[0], 2, TurnedAway, 0.002)
+	done = s.end(0.002, subqueries[0], 2, TurnedAway, 0.002)
 	if len(only(Send, done)) != 0 || len(only(Nack, done)) != 0 {
 		t.Fatalf("both are full, expected the part to wait, got %v", done)
 	}
@@ -205,91 +205,91 @@
 	t.Error("the part never went again")
 }
 
-// Probes answered beside a searcher's queue say nothing of it: calls that ended without an answer taught nothing, and
+// Probes answered beside a backend's queue say nothing of it: calls that ended without an answer taught nothing, and
 // the next part went there as before.
 func TestACallWithoutAnswerCountsThoughProbesAreAnswered(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Withdrawn} {
 		s := newScene(t, nil)
 		warm(s)
-		parts, done := s.take(6, 1)
-		at := only(Send, done)[0].Searcher
-		s.step(0.3, Event{Kind: ProbeEnded, Searcher: at, Outcome: Answered, Elapsed: 0.001})
-		s.end(0.7, parts[0], at, outcome, 1)
-		if l := s.m.searchers[at].latency; l < 1.5*s.m.usual || s.m.searchers[at].fault[0].sum == 0 {
+		subqueries, done := s.take(6, 1)
+		at := only(Send, done)[0].Backend
+		s.step(0.3, Event{Kind: ProbeEnded, Backend: at, Outcome: Answered, Elapsed: 0.001})
+		s.end(0.7, subqueries[0], at, outcome, 1)
+		if l := s.m.backends[at].latency; l < 1.5*s.m.usual || s.m.backends[at].fault[0].sum == 0 {
 			t.Errorf("outcome %d: latency %.2f and fault %.2f after a call of 1 s, %.2f is usual", outcome, l,
-				s.m.searchers[at].fault[0].sum, s.m.usual)
+				s.m.backends[at].fault[0].sum, s.m.usual)
 		}
 	}
 }
 
-// Where probes tell little, copies are late lest queues double; the last part of a lookup has one in time.
-func TestLastPartsAreCopiedEarly(t *testing.T) {
+// Where probes tell little, copies are late lest queues double; the last part of a query has one in time.
+func TestLastSubqueriesAreCopiedEarly(t *testing.T) {
 	for _, answered := range []int{2, 7} {
 		s := wide(t, 1, 0)
-		parts, done := s.take(6, 1, 1, 1, 1, 1, 1, 1, 1)
+		subqueries, done := s.take(6, 1, 1, 1, 1, 1, 1, 1, 1)
 		for _, a := range only(Send, done)[:answered] {
-			s.end(0.001, a.Part, a.Searcher, Answered, 0.1)
+			s.end(0.001, a.Subquery, a.Backend, Answered, 0.1)
 		}
 		copies := 0
 		for range 30 { // 0.6 s, six latencies
 			copies += len(only(Send, s.tick(0.02)))
 		}
 		if early := copies > 0; early != (answered == 7) {
-			t.Errorf("%d of %d parts answered: %d copies in six latencies", answered, len(parts), copies)
+			t.Errorf("%d of %d parts answered: %d copies in six latencies", answered, len(subqueries), copies)
 		}
 	}
 }
 
-// A mixer that stood still finds its answers, its clients and its timer all at once, the timer first. What it took so long to
-// hear is nobody's fault: nothing is copied, asked or blamed, and the lookup is answered.
-func TestAStallIsNoFaultOfSearchers(t *testing.T) {
+// An aggregator that stood still finds its answers, its clients and its timer all at once, the timer first. What it took so long to
+// hear is nobody's fault: nothing is copied, asked or blamed, and the query is answered.
+func TestAStallIsNoFaultOfBackends(t *testing.T) {
 	s := wide(t, 1, 0)
 	s.m.set.Limits.Probe = true
-	parts, done := s.take(6, 1, 1, 1, 1)
+	subqueries, done := s.take(6, 1, 1, 1, 1)
 	sends := only(Send, done)
 	events := []Event{{Kind: TimerDue, Timer: sweepTimer}}
 	for _, a := range sends {
-		events = append(events, Event{Kind: CallEnded, Part: a.Part, Searcher: a.Searcher, Outcome: Answered, Elapsed: 0.1})
+		events = append(events, Event{Kind: CallEnded, Subquery: a.Subquery, Backend: a.Backend, Outcome: Answered, Elapsed: 0.1})
 	}
 	done = s.step(1.2, events...)
-	if len(sends) != len(parts) || len(only(Answer, done)) != 1 || len(only(Send, done))+len(only(Probe, done))+len(only(Withdraw, done)) > 0 {
+	if len(sends) != len(subqueries) || len(only(Answer, done)) != 1 || len(only(Send, done))+len(only(Probe, done))+len(only(Withdraw, done)) > 0 {
 		t.Fatalf("expected an answer and no doubt in anybody, got %v", done)
 	}
-	// One answer is still on its way when the mixer wakes: its call is as old as the stall, and looks overdue.
-	parts, done = s.take(6, 1, 1, 1, 1)
+	// One answer is still on its way when the aggregator wakes: its call is as old as the stall, and looks overdue.
+	subqueries, done = s.take(6, 1, 1, 1, 1)
 	sends, events = only(Send, done), events[:1]
 	for _, a := range sends[1:] {
-		events = append(events, Event{Kind: CallEnded, Part: a.Part, Searcher: a.Searcher, Outcome: Answered, Elapsed: 0.1})
+		events = append(events, Event{Kind: CallEnded, Subquery: a.Subquery, Backend: a.Backend, Outcome: Answered, Elapsed: 0.1})
 	}
 	s.step(1.2, events...)
-	s.end(0.005, sends[0].Part, sends[0].Searcher, Answered, 0.1)
+	s.end(0.005, sends[0].Subquery, sends[0].Backend, Answered, 0.1)
 	for _, x := range s.m.fleet {
 		if x.fault[0].sum > 0 || x.downWait > 0 || x.window < 1 || x.latency > 1.1*s.m.usual {
 			t.Errorf("searcher %d: fault %.2f, down %.2f, window %.2f, latency %.2f of %.2f", x.id, x.fault[0].sum, x.downWait, x.window, x.latency, s.m.usual)
 		}
 	}
-	if len(s.m.lookups) != 0 {
-		t.Errorf("%d lookups of %d parts are still open", len(s.m.lookups), len(parts))
+	if len(s.m.queries) != 0 {
+		t.Errorf("%d lookups of %d parts are still open", len(s.m.queries), len(subqueries))
 	}
 }
 
-// Where connects come up late now and then, each failed one was taken for a restart once a probe was answered: its searcher counted as cold for
+// Where connects come up late now and then, each failed one was taken for a restart once a probe was answered: its backend counted as cold for
 // the time that the settings name, and soon all did. A process that is no more fails again and again.
 func TestAFailedConnectIsNoRestart(t *testing.T) {
 	for _, fails := range []int{1, 2, 3, 4} {
 		s := alone(t)
-		x := s.m.searchers[1]
-		parts, _ := s.take(60, 1)
-		s.end(0.25, parts[0], 1, NotConnected, 0.25)
+		x := s.m.backends[1]
+		subqueries, _ := s.take(60, 1)
+		s.end(0.25, subqueries[0], 1, NotConnected, 0.25)
 		for failed := 1; failed < fails; {
 			for _, a := range only(Probe, s.tick(0.05)) {
-				s.step(0.25, Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: NotConnected})
+				s.step(0.25, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: NotConnected})
 				failed++
 			}
 		}
 		for range 100 {
 			for _, a := range only(Probe, s.tick(0.05)) {
-				s.step(0.001, Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: Answered})
+				s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered})
 			}
 		}
 		if cold := s.m.warmth(x) < 1; !usable(x) || cold != (fails > 2) {
@@ -301,7 +301,7 @@
 // A failed connect that a call's answer on another connection has followed is no reason to take a silence, long after, for a restart.
 func TestAnAnswerEndsTheDoubtOfAFailedConnect(t *testing.T) {
 	s := alone(t)
-	x := s.m.searchers[1]
+	x := s.m.backends[1]
 	first, _ := s.take(60, 1)
 	second, _ := s.take(60, 1)
 	s.end(0.25, first[0], 1, NotConnected, 0.25)
@@ -313,7 +313,7 @@
 			answer = Answered
 		}
 		for _, a := range only(Probe, s.tick(0.05)) {
-			s.step(0.001, Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: answer})
+			s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: answer})
 		}
 	}
 	if !usable(x) || s.m.warmth(x) < 1 {
--- a/policy/override_test.go
+++ b/policy/override_test.go
@@ -21,7 +21,7 @@
 			e.extra = func(e *env) []Event { return extra(e, rng) }
 		}
 		for _, a := range e.run(25).log {
-			fmt.Fprintln(h, a.Kind, a.Whole, a.On, a.Apart, a.Lookup, a.Part, a.Searcher, a.Call, a.StopAt, a.Wait, a.Timer)
+			fmt.Fprintln(h, a.Kind, a.Whole, a.On, a.Apart, a.Query, a.Subquery, a.Backend, a.Call, a.StopAt, a.Wait, a.Timer)
 		}
 	}
 	return h.Sum64()
@@ -36,8 +36,8 @@
 			}
 			h, k := e.fleet[rng.IntN(len(e.fleet))], IndexID(rng.IntN(len(e.set.Indexes)))
 			return []Event{{Kind: OverridesChanged, Override: &Overrides{
-				Searchers: []SearcherOverride{{Searcher: h.entry.Searcher, Index: k, Weight: w}},
-				Pins:      []PinOverride{{Shard: ShardID(rng.IntN(40)), Index: k}}}}}
+				Backends: []BackendOverride{{Backend: h.entry.Backend, Index: k, Weight: w}},
+				Pins:     []PinOverride{{Shard: ShardID(rng.IntN(40)), Index: k}}}}}
 		}
 	}
 	without := trace(20, nil)
@@ -51,7 +51,7 @@
 
 // overrides keeps a test's own records of what it told an instance, and checks what goes out against them.
 type overrides struct {
-	out  map[SearcherID]map[IndexID]bool
+	out  map[BackendID]map[IndexID]bool
 	pins map[pinned]PinOverride
 }
 
@@ -59,21 +59,21 @@
 func (o *overrides) draw(e *env) *Overrides {
 	patch := &Overrides{}
 	h, k := e.fleet[e.rng.IntN(len(e.fleet))], IndexID(e.rng.IntN(len(e.set.Indexes)))
-	if s := e.mixer.searchers[h.entry.Searcher]; s == nil || s.gone {
+	if s := e.aggregator.backends[h.entry.Backend]; s == nil || s.gone {
 		return patch // what is told of a number that the list does not name is told in vain
 	}
 	if e.rng.IntN(2) == 0 {
-		w := SearcherOverride{Searcher: h.entry.Searcher, Index: k, Out: e.rng.IntN(3) == 0, Weight: 1 - 0.9*e.rng.Float64()}
-		if o.out[w.Searcher] == nil {
-			o.out[w.Searcher] = map[IndexID]bool{}
+		w := BackendOverride{Backend: h.entry.Backend, Index: k, Out: e.rng.IntN(3) == 0, Weight: 1 - 0.9*e.rng.Float64()}
+		if o.out[w.Backend] == nil {
+			o.out[w.Backend] = map[IndexID]bool{}
 		}
-		o.out[w.Searcher][k] = w.Out
-		patch.Searchers = append(patch.Searchers, w)
+		o.out[w.Backend][k] = w.Out
+		patch.Backends = append(patch.Backends, w)
 	} else {
 		shard := ShardID(e.rng.IntN(40))
-		p := PinOverride{Shard: shard, Index: k, Searcher: h.entry.Searcher, Strict: e.rng.IntN(2) == 0, Share: 1}
+		p := PinOverride{Shard: shard, Index: k, Backend: h.entry.Backend, Strict: e.rng.IntN(2) == 0, Share: 1}
 		if e.rng.IntN(3) == 0 {
-			p.Searcher = 0
+			p.Backend = 0
 		}
 		o.pins[pinned{shard, k}] = p
 		patch.Pins = append(patch.Pins, p)
@@ -81,35 +81,35 @@
 	return patch
 }
 
-// check fails on a part call that an override forbids, whatever has happened to the searchers.
+// check fails on a part call that an override forbids, whatever has happened to the backends.
 func (o *overrides) check(e *env, a Action) {
 	if a.Kind != Send {
 		return
 	}
-	ev := e.pieces[a.Part].event
-	if o.out[a.Searcher][ev.Index] {
-		e.fail("out: part %d goes to %d", a.Part, a.Searcher)
+	ev := e.pieces[a.Subquery].event
+	if o.out[a.Backend][ev.Index] {
+		e.fail("out: part %d goes to %d", a.Subquery, a.Backend)
 	}
 	pin := o.pins[pinned{ev.Shard, ev.Index}]
-	if pin.Searcher == 0 || !pin.Strict || pin.Searcher == a.Searcher || o.out[pin.Searcher][ev.Index] {
+	if pin.Backend == 0 || !pin.Strict || pin.Backend == a.Backend || o.out[pin.Backend][ev.Index] {
 		return
 	}
-	if h := e.host(pin.Searcher); h.toldPhase != Draining { // as told: a list that fails tells of no change
-		e.fail("strict pin: part %d goes to %d and not to %d", a.Part, a.Searcher, pin.Searcher)
+	if h := e.host(pin.Backend); h.toldPhase != Draining { // as told: a list that fails tells of no change
+		e.fail("strict pin: part %d goes to %d and not to %d", a.Subquery, a.Backend, pin.Backend)
 	}
 }
 
 // overridden plays a world with overrides at random; told is how each patch reaches the instance.
 func overridden(seed uint64, told func(*Overrides) *Overrides) error {
 	e := newEnv(seed)
-	o := &overrides{out: map[SearcherID]map[IndexID]bool{}, pins: map[pinned]PinOverride{}}
+	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinned]PinOverride{}}
 	e.extra = func(e *env) (events []Event) {
 		if e.rng.IntN(20) == 0 {
 			events = append(events, Event{Kind: OverridesChanged, Override: told(o.draw(e))})
 		}
 		return events
 	}
-	e.renamed = func(id SearcherID) { delete(o.out, id) }
+	e.renamed = func(id BackendID) { delete(o.out, id) }
 	e.sabotage = func(e *env, actions []Action) []Action {
 		for _, a := range actions {
 			o.check(e, a)
@@ -119,7 +119,7 @@
 	return e.run(25).err
 }
 
-// Under any overrides the six rules hold, nothing goes to a searcher taken out from the next step on, and a strict
+// Under any overrides the six rules hold, nothing goes to a backend taken out from the next step on, and a strict
 // pin lets nothing go elsewhere but for a drain.
 func FuzzOverrides(f *testing.F) {
 	for seed := range uint64(60) {
@@ -136,7 +136,7 @@
 func TestChecksSeeOverridesThatAreNotHeeded(t *testing.T) {
 	for what, deaf := range map[string]func(*Overrides) *Overrides{
 		"out:":        func(o *Overrides) *Overrides { return &Overrides{Pins: o.Pins} },
-		"strict pin:": func(o *Overrides) *Overrides { return &Overrides{Searchers: o.Searchers} },
+		"strict pin:": func(o *Overrides) *Overrides { return &Overrides{Backends: o.Backends} },
 	} {
 		seen := 0
 		for seed := range uint64(20) {
@@ -150,13 +150,13 @@
 	}
 }
 
-// shares plays a steady load on 8 searchers, two a shard, that answer within a while, and tells each one's part calls.
-func shares(t *testing.T, seed uint64, gap float64, patch *Overrides) (sent map[SearcherID]float64) {
+// shares plays a steady load on 8 backends, two a shard, that answer within a while, and tells each one's part calls.
+func shares(t *testing.T, seed uint64, gap float64, patch *Overrides) (sent map[BackendID]float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	sent = map[SearcherID]float64{}
+	sent = map[BackendID]float64{}
 	var entries []Entry
 	for i := range 8 {
-		entries = append(entries, Entry{Searcher: SearcherID(i + 1), Cell: CellID(i), Location: LocationID(i % 2)})
+		entries = append(entries, Entry{Backend: BackendID(i + 1), Cell: CellID(i), Location: LocationID(i % 2)})
 	}
 	s := newScene(t, func(set *Settings) {
 		set.Seed, set.Layout, set.Prices.CrossLocation = seed, Layout{Cells: 8, Width: 2}, 0.04
@@ -183,19 +183,19 @@
 		due = rest
 		for ; next < s.now; next += gap * rng.ExpFloat64() {
 			s.next++
-			no := LookupNo(s.next)
-			events = append(events, Event{Kind: LookupTaken, Lookup: LookupID(s.next), No: no, Parts: 4, Left: 6})
+			no := QueryNo(s.next)
+			events = append(events, Event{Kind: QueryTaken, Query: QueryID(s.next), No: no, Subqueries: 4, Left: 6})
 			for j := range 4 {
-				events = append(events, Event{Kind: PartTaken, Part: PartID(10*s.next) + PartID(j), No: no,
+				events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(10*s.next) + SubqueryID(j), No: no,
 					Shard: ShardID(rng.IntN(8)), Weight: 0.25})
 			}
 		}
 		for _, a := range s.m.Step(s.now, append(events, Event{Kind: TimerDue, Timer: sweepTimer}), nil) {
 			switch a.Kind {
 			case Send:
-				sent[a.Searcher]++
+				sent[a.Backend]++
 				took := 0.01 + 0.01*rng.Float64()
-				due = append(due, end{s.now + took, Event{Kind: CallEnded, Part: a.Part, Searcher: a.Searcher, Elapsed: took}})
+				due = append(due, end{s.now + took, Event{Kind: CallEnded, Subquery: a.Subquery, Backend: a.Backend, Elapsed: took}})
 			case Nack, Abort:
 				t.Fatalf("at %g: %+v", s.now, a)
 			}
@@ -204,8 +204,8 @@
 	return sent
 }
 
-// A weight gives its share of a searcher's usual part calls, at any load at which its siblings have room.
-func TestAWeightGivesItsShareOfUsualPartCalls(t *testing.T) {
+// A weight gives its share of a backend's usual part calls, at any load at which its siblings have room.
+func TestAWeightGivesItsShareOfUsualSubqueryCalls(t *testing.T) {
 	for gap, seeds := range map[float64]uint64{0.2: 6, 0.02: 1, 0.01: 1} {
 		usual := 0.0
 		for seed := range seeds {
@@ -214,7 +214,7 @@
 		for _, w := range []float64{0.1, 0.25, 0.5} {
 			weighed := 0.0
 			for seed := range seeds {
-				weighed += shares(t, seed, gap, &Overrides{Searchers: []SearcherOverride{{Searcher: 3, Weight: w}}})[3]
+				weighed += shares(t, seed, gap, &Overrides{Backends: []BackendOverride{{Backend: 3, Weight: w}}})[3]
 			}
 			t.Logf("gap %g: %g of %g part calls, asked for %g, got %.3f", gap, weighed, usual, w, weighed/usual)
 			if got := weighed / usual; math.Abs(got-w) > 0.15*w {
@@ -225,8 +225,8 @@
 }
 
 func TestOutAndPinTakeAll(t *testing.T) {
-	sent := shares(t, 1, 0.01, &Overrides{Searchers: []SearcherOverride{{Searcher: 3, Out: true, Weight: 1}},
-		Pins: []PinOverride{{Shard: 5, Searcher: 7, Share: 1}, {Shard: 6, Searcher: 7, Share: 1}}})
+	sent := shares(t, 1, 0.01, &Overrides{Backends: []BackendOverride{{Backend: 3, Out: true, Weight: 1}},
+		Pins: []PinOverride{{Shard: 5, Backend: 7, Share: 1}, {Shard: 6, Backend: 7, Share: 1}}})
 	usual := shares(t, 1, 0.01, nil)
 	all := 0.0
 	for _, n := range usual {
@@ -240,14 +240,14 @@
 	}
 }
 
-// What a pin does while its searcher drains, dies, is out of reach or cold.
+// What a pin does while its backend drains, dies, is out of reach or cold.
 func TestPinsThatCannotBeServed(t *testing.T) {
 	for name, c := range map[string]struct {
 		phase   Phase
 		strict  bool
 		out     bool
 		started float64
-		to      SearcherID // 0: refused at once
+		to      BackendID // 0: refused at once
 		waits   bool
 	}{
 		"serves":             {to: 1},
@@ -263,12 +263,12 @@
 		s := newScene(t, func(set *Settings) {
 			set.Rules = Rules{ColdShare: 0.1, ColdS: 100, FallMultiple: 2, FallS: 1}
 		})
-		patch := &Overrides{Pins: []PinOverride{{Shard: 0, Searcher: 1, Strict: c.strict, Share: 1}}}
+		patch := &Overrides{Pins: []PinOverride{{Shard: 0, Backend: 1, Strict: c.strict, Share: 1}}}
 		if c.out {
-			patch.Searchers = []SearcherOverride{{Searcher: 1, Out: true, Weight: 1}}
+			patch.Backends = []BackendOverride{{Backend: 1, Out: true, Weight: 1}}
 		}
 		s.step(0.01, Event{Kind: OverridesChanged, Override: patch},
-			Event{Kind: ListChanged, Entries: []Entry{{Searcher: 1, Phase: c.phase, StartedAt: c.started}}})
+			Event{Kind: ListChanged, Entries: []Entry{{Backend: 1, Phase: c.phase, StartedAt: c.started}}})
 		_, done := s.take(6, 3) // more work than a cold one's share
 		sent, nacks := only(Send, done), only(Nack, done)
 		switch {
@@ -280,31 +280,31 @@
 			if len(sent) > 0 || len(nacks) != 1 {
 				t.Errorf("%s: got %+v, expected a nack at once", name, done)
 			}
-		case len(sent) != 1 || sent[0].Searcher != c.to:
+		case len(sent) != 1 || sent[0].Backend != c.to:
 			t.Errorf("%s: got %+v, expected a call to %d", name, done, c.to)
 		}
 	}
 }
 
-// What is held for a searcher that is taken out goes elsewhere in the same step; calls out there end well.
-func TestHeldPartsLeaveASearcherTakenOut(t *testing.T) {
+// What is held for a backend that is taken out goes elsewhere in the same step; calls out there end well.
+func TestHeldSubqueriesLeaveASearcherTakenOut(t *testing.T) {
 	s := newScene(t, nil)
 	hints := make([]float64, 24) // more than two windows take
-	parts, done := s.take(6, hints...)
-	s.step(0.005, Event{Kind: OverridesChanged, Override: &Overrides{Searchers: []SearcherOverride{{Searcher: 1, Out: true, Weight: 1}}}})
+	subqueries, done := s.take(6, hints...)
+	s.step(0.005, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Out: true, Weight: 1}}}})
 	for len(done) > 0 {
 		a := done[0]
-		done = append(done[1:], only(Send, s.end(0.001, a.Part, a.Searcher, Answered, 0.01))...)
+		done = append(done[1:], only(Send, s.end(0.001, a.Subquery, a.Backend, Answered, 0.01))...)
 		if a.Kind != Send {
 			continue
 		}
 		for _, b := range done[max(0, len(done)-1):] {
-			if b.Searcher == 1 && s.now > 0.03 {
+			if b.Backend == 1 && s.now > 0.03 {
 				t.Fatalf("at %g a part still went to the one that is out", s.now)
 			}
 		}
 	}
-	if p := s.m.parts[parts[len(parts)-1]]; p != nil {
+	if p := s.m.subqueries[subqueries[len(subqueries)-1]]; p != nil {
 		t.Fatalf("the last part is %+v", p)
 	}
 }
@@ -318,31 +318,31 @@
 		s.take(6, 1, 1)
 	}
 	out := func(is bool) Event {
-		return Event{Kind: OverridesChanged, Override: &Overrides{Searchers: []SearcherOverride{{Searcher: 1, Out: is, Weight: 1}}}}
+		return Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Out: is, Weight: 1}}}}
 	}
 	s.step(0.005, out(true))
-	probed := map[SearcherID]int{}
+	probed := map[BackendID]int{}
 	for range 200 {
 		for _, a := range only(Probe, s.tick(0.02)) {
-			probed[a.Searcher]++
-			s.step(0.001, Event{Kind: ProbeEnded, Searcher: a.Searcher, Outcome: TimedOut})
+			probed[a.Backend]++
+			s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: TimedOut})
 		}
 	}
 	if probed[1] > 0 || probed[2] == 0 {
 		t.Fatalf("probed %v", probed)
 	}
-	for _, c := range slices.Clone(s.m.searchers[1].out) {
-		s.step(0.001, Event{Kind: CallEnded, Part: c.part.id, Call: c.no, Searcher: 1, Outcome: Withdrawn})
+	for _, c := range slices.Clone(s.m.backends[1].out) {
+		s.step(0.001, Event{Kind: CallEnded, Subquery: c.subquery.id, Call: c.no, Backend: 1, Outcome: Withdrawn})
 	}
 	s.step(0.005, out(false))
-	if s.tick(0.02); !usable(s.m.searchers[1]) {
+	if s.tick(0.02); !usable(s.m.backends[1]) {
 		t.Fatal("it is back, and taken for lost")
 	}
 }
 
 // busy is an instance with a fleet of 1,000 and a steady load, all learnt, stepped by hand.
 type busy struct {
-	m    *Mixer
+	m    *Aggregator
 	rng  *rand.Rand
 	now  float64
 	next uint64
@@ -351,22 +351,22 @@
 }
 
 func newBusy(overrides int) *busy {
-	const searchers = 1000
-	set := Settings{Seed: 1, Mixers: 1, Step: 0.005, Layout: Layout{Cells: searchers / 2, Width: 1},
+	const backends = 1000
+	set := Settings{Seed: 1, Aggregators: 1, Step: 0.005, Layout: Layout{Cells: backends / 2, Width: 1},
 		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Gain: 1, Need: 1, Floor: 1}, {Soft: 2, Hard: 6, Gain: 1, Need: 1, Floor: 1}},
 		Limits:  Limits{Cancel: true, MaxTries: 3}}
 	b := &busy{m: New(set, 0), rng: rand.New(rand.NewPCG(1, 1))}
 	list := Event{Kind: ListChanged, List: ListWhole}
-	for i := range searchers {
-		list.Entries = append(list.Entries, Entry{Searcher: SearcherID(i + 1), Cell: CellID(i % (searchers / 2))})
+	for i := range backends {
+		list.Entries = append(list.Entries, Entry{Backend: BackendID(i + 1), Cell: CellID(i % (backends / 2))})
 	}
 	patch := &Overrides{}
-	for i := range overrides { // half weights, by searcher and index, half pins, by shard and index
+	for i := range overrides { // half weights, by backend and index, half pins, by shard and index
 		if i%2 == 0 {
-			patch.Searchers = append(patch.Searchers, SearcherOverride{Searcher: SearcherID(i/2%searchers + 1), Index: IndexID(i / 2 / searchers % 2), Weight: 0.5})
+			patch.Backends = append(patch.Backends, BackendOverride{Backend: BackendID(i/2%backends + 1), Index: IndexID(i / 2 / backends % 2), Weight: 0.5})
 		} else {
 			shard := i / 2 % 2500
-			patch.Pins = append(patch.Pins, PinOverride{Shard: ShardID(shard), Index: IndexID(i / 2 / 2500 % 2), Searcher: SearcherID(shard%(searchers/2) + 1), Share: 1})
+			patch.Pins = append(patch.Pins, PinOverride{Shard: ShardID(shard), Index: IndexID(i / 2 / 2500 % 2), Backend: BackendID(shard%(backends/2) + 1), Share: 1})
 		}
 	}
 	b.m.Step(0.001, []Event{list, {Kind: OverridesChanged, Override: patch}}, nil)
@@ -376,7 +376,7 @@
 	return b
 }
 
-// step takes two lookups of eight parts, and the answers that are due.
+// step takes two queries of eight parts, and the answers that are due.
 func (b *busy) step() {
 	b.now += 0.005
 	var events []Event
@@ -386,21 +386,21 @@
 	}
 	for range 2 {
 		b.next++
-		no := LookupNo(b.next)
-		events = append(events, Event{Kind: LookupTaken, Lookup: LookupID(b.next), No: no, Parts: 8, Left: 6})
+		no := QueryNo(b.next)
+		events = append(events, Event{Kind: QueryTaken, Query: QueryID(b.next), No: no, Subqueries: 8, Left: 6})
 		for j := range 8 {
-			events = append(events, Event{Kind: PartTaken, Part: PartID(10*b.next) + PartID(j), No: no, Shard: ShardID(b.rng.IntN(5000)), Weight: 0.125})
+			events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(10*b.next) + SubqueryID(j), No: no, Shard: ShardID(b.rng.IntN(5000)), Weight: 0.125})
 		}
 	}
 	b.buf = b.m.Step(b.now, append(events, Event{Kind: TimerDue, Timer: sweepTimer}), b.buf[:0])
 	for _, a := range b.buf {
 		if a.Kind == Send {
-			b.due = append(b.due, dueEvent{b.now + 0.02, Event{Kind: CallEnded, Part: a.Part, Searcher: a.Searcher, Elapsed: 0.02}})
+			b.due = append(b.due, dueEvent{b.now + 0.02, Event{Kind: CallEnded, Subquery: a.Subquery, Backend: a.Backend, Elapsed: 0.02}})
 		}
 	}
 }
 
-// BenchmarkOverrides tells, by turns in one run, what a step costs with 10,000 overrides on 1,000 searchers against one
+// BenchmarkOverrides tells, by turns in one run, what a step costs with 10,000 overrides on 1,000 backends against one
 // without any.
 func BenchmarkOverrides(b *testing.B) {
 	with, without := newBusy(10000), newBusy(0)
@@ -417,11 +417,11 @@
 	b.ReportMetric(float64(took[0])/float64(took[1]), "with/without")
 }
 
-// At the end of an out nothing is sent to the searcher beyond its window.
+// At the end of an out nothing is sent to the backend beyond its window.
 func TestAReturnKeepsToTheWindow(t *testing.T) {
 	s := newScene(t, nil)
-	s.step(0.01, Event{Kind: OverridesChanged, Override: &Overrides{Searchers: []SearcherOverride{{Searcher: 1, Out: true, Weight: 1}}}})
-	s.m.searchers[1].window = 60 // from long ago
+	s.step(0.01, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Out: true, Weight: 1}}}})
+	s.m.backends[1].window = 60 // from long ago
 	var due []dueEvent
 	most := 0
 	for step := range 400 {
@@ -432,18 +432,18 @@
 		}
 		if step >= 100 && step%50 == 0 {
 			w := min(1, 0.05+float64(step-100)/200)
-			events = append(events, Event{Kind: OverridesChanged, Override: &Overrides{Searchers: []SearcherOverride{{Searcher: 1, Weight: w}}}})
+			events = append(events, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Weight: w}}}})
 		}
 		s.next++
-		no := LookupNo(s.next)
-		events = append(events, Event{Kind: LookupTaken, Lookup: LookupID(s.next), No: no, Parts: 6, Left: 6})
+		no := QueryNo(s.next)
+		events = append(events, Event{Kind: QueryTaken, Query: QueryID(s.next), No: no, Subqueries: 6, Left: 6})
 		for j := range 6 {
-			events = append(events, Event{Kind: PartTaken, Part: PartID(10*s.next) + PartID(j), No: no, Weight: 1.0 / 6})
+			events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(10*s.next) + SubqueryID(j), No: no, Weight: 1.0 / 6})
 		}
-		back := s.m.searchers[1]
+		back := s.m.backends[1]
 		for _, a := range only(Send, s.step(0.005, events...)) {
-			due = append(due, dueEvent{s.now + 0.03, Event{Kind: CallEnded, Part: a.Part, Searcher: a.Searcher, Elapsed: 0.03}})
-			if a.Searcher == 1 && step < 100 {
+			due = append(due, dueEvent{s.now + 0.03, Event{Kind: CallEnded, Subquery: a.Subquery, Backend: a.Backend, Elapsed: 0.03}})
+			if a.Backend == 1 && step < 100 {
 				t.Fatalf("step %d: a part call to one that is out", step)
 			}
 		}
--- a/policy/policy_binding.go
+++ b/policy/policy_binding.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Binding: which searcher a part waits for, by latency and queue, and where it may go at all.
+// Binding: which backend a part waits for, by latency and queue, and where it may go at all.
 
-// may tells whether a part may go to a replica. A lookup's zones stand over drains, those over out, out over
-// a pin, a pin over a weight. What a pin's searcher can't serve is left to siblings, or to nobody.
-func (m *Mixer) may(p *part, s *searcher) bool {
+// may tells whether a part may go to a replica. A query's zones stand over drains, those over out, out over
+// a pin, a pin over a weight. What a pin's backend can't serve is left to siblings, or to nobody.
+func (m *Aggregator) may(p *subquery, s *backend) bool {
 	pin := m.pin(p)
 	if out := s.scope(p.lk.k).out || !p.lk.within(s); out || pin == nil {
 		return !out
@@ -29,8 +29,8 @@
 // thin binds a part that a weight may keep from a holder: it is bound as if nothing were weighed, and a share
 // of what binds to the weighed one, by lot, then goes elsewhere. As long as a call takes, that counts as out
 // there and not where it went: else the weighed one looks idle, its siblings busy, and more binds to it.
-func (m *Mixer) thin(p *part) *searcher {
-	m.asUsual = p.made == 0 && slices.ContainsFunc(m.holdersOf(p), (*searcher).weighed)
+func (m *Aggregator) thin(p *subquery) *backend {
+	m.asUsual = p.made == 0 && slices.ContainsFunc(m.holdersOf(p), (*backend).weighed)
 	s := m.choose(p, nil, false)
 	usual := m.asUsual
 	m.asUsual = false
@@ -54,9 +54,9 @@
 
 // latency is a replica's smoothed latency for a part of mean size. An estimate not renewed goes back to the
 // average, so that a bad moment does not silence a replica for good.
-func (m *Mixer) latency(s *searcher, k IndexID) float64 {
+func (m *Aggregator) latency(s *backend, k IndexID) float64 {
 	l := cmp.Or(m.average, m.index[k].soft)
-	if s != nil { // what others found there counts so many averages, but takes no searcher out of use
+	if s != nil { // what others found there counts so many averages, but takes no backend out of use
 		l = max(l, min(l*m.hearsay(s), m.index[k].hard/2))
 	}
 	if s != nil && s.latency > 0 {
@@ -65,14 +65,14 @@
 	return l
 }
 
-// cost is what binding goes by: latency x (1 + own calls out and held), raised where the searcher fails the
+// cost is what binding goes by: latency x (1 + own calls out and held), raised where the backend fails the
 // index (a fast failure must not look like a short queue), is cold, or stands in another location.
-func (m *Mixer) cost(p *part, s *searcher) float64 {
+func (m *Aggregator) cost(p *subquery, s *backend) float64 {
 	lk, units := p.lk, s.units+s.heldUnits
 	if m.asUsual {
 		units = max(0, units+s.spared.due(m.now)-s.lent.due(m.now))
 	}
-	if (p.at != s || p.state != held) && lk.heldAt(s)%m.set.Layout.CallParts == 0 {
+	if (p.at != s || p.state != held) && lk.heldAt(s)%m.set.Layout.CallSubqueries == 0 {
 		units++
 	}
 	c := m.latency(s, lk.k) * float64(max(1, units)) / m.warmth(s)
@@ -80,14 +80,14 @@
 	c += m.index[lk.k].fault * f * (c + f*crossFault*m.set.Prices.CrossLocation*m.usual)
 	if s.location != m.set.Location {
 		price := m.set.Prices.CrossLocation
-		c = c*(1+crossCost*price) + min(crossIdle*price, crossMost+crossSeen/float64(m.set.Mixers))*m.usual
+		c = c*(1+crossCost*price) + min(crossIdle*price, crossMost+crossSeen/float64(m.set.Aggregators))*m.usual
 	}
 	return c
 }
 
 // rank is that cost, raised for those that may not or should not be used. A silent one is better than none:
 // the last holder is never shunned altogether. For a part that binds as usual, thin heeds the weights.
-func (m *Mixer) rank(p *part, s *searcher) float64 {
+func (m *Aggregator) rank(p *subquery, s *backend) float64 {
 	c := m.cost(p, s)
 	if !usable(s) || !m.coldAllows(p, s) {
 		return 1e6 * (1 + s.downWait)
@@ -103,14 +103,14 @@
 
 // faulty is the share of s's calls of an index that were faults: while s is little known, that of all at its
 // location, as those of one location may fail by turns; its own calls outweigh that as they come in.
-func (m *Mixer) faulty(s *searcher, k IndexID) float64 {
+func (m *Aggregator) faulty(s *backend, k IndexID) float64 {
 	pool := s.pool[k].mean(0, lookLeast, m.now, forgetAfter*m.longSoft)
 	return s.fault[k].mean(pool, faultPrior, m.now, longMemory*m.longSoft)
 }
 
-// choose finds the replica that ranks least but one; with room, among those under their window. Mixers that
+// choose finds the replica that ranks least but one; with room, among those under their window. Aggregators that
 // start alike must not all pick alike: near ties fall by chance.
-func (m *Mixer) choose(p *part, not *searcher, withRoom bool) (best *searcher) {
+func (m *Aggregator) choose(p *subquery, not *backend, withRoom bool) (best *backend) {
 	least := math.Inf(1)
 	for _, s := range m.holdersOf(p) {
 		if s == not || !s.ready || !m.may(p, s) || withRoom && !m.room(p, s) {
@@ -123,16 +123,16 @@
 	return best
 }
 
-func (m *Mixer) bind(p *part) {
+func (m *Aggregator) bind(p *subquery) {
 	m.dirty = true
 	m.hold(p, m.thin(p))
-	barred := func(s *searcher) bool { return !m.may(p, s) } // nobody may have it: it is given up at once
+	barred := func(s *backend) bool { return !m.may(p, s) } // nobody may have it: it is given up at once
 	if p.at == nil && (p.made > 0 || slices.ContainsFunc(m.holdersOf(p), barred)) {
-		m.part(p, tooLate)
+		m.subquery(p, tooLate)
 	}
 }
 
-func (m *Mixer) warmth(s *searcher) float64 {
+func (m *Aggregator) warmth(s *backend) float64 {
 	r := &m.set.Rules
 	if age := m.now - s.started; age < r.ColdS {
 		return max(0.05, r.ColdShare+(1-r.ColdShare)*max(0, age)/r.ColdS)
@@ -140,16 +140,16 @@
 	return 1
 }
 
-// coldAllows keeps what this mixer sends a cold searcher under its share of what the fall rule surely allows,
+// coldAllows keeps what this aggregator sends a cold backend under its share of what the fall rule surely allows,
 // its capacity, which is not told, taken as one unit of work a second. Where the share is less than a part, a
 // part from each at once would push it over: all thin what they would send by one chance, rising as it warms.
-func (m *Mixer) coldAllows(p *part, s *searcher) bool {
+func (m *Aggregator) coldAllows(p *subquery, s *backend) bool {
 	r, work := &m.set.Rules, m.workOf(p.lk.k)
 	if m.now-s.started >= r.ColdS || r.FallMultiple <= 0 {
 		return true
 	}
 	sum, most := s.sentSince(m.now-r.FallS), coldMargin*r.FallMultiple*m.warmth(s)
-	if share := most * r.FallS / float64(m.set.Mixers); work <= share {
+	if share := most * r.FallS / float64(m.set.Aggregators); work <= share {
 		return sum+work <= share
 	}
 	_, lot := math.Modf(p.lot + s.lot)
--- a/policy/policy_release.go
+++ b/policy/policy_release.go
@@ -7,17 +7,17 @@
 
 // Release: in which order held parts leave, whether one may leave yet, and when a call is made again.
 
-// scouts tells whether a lookup sends one part ahead. Of one that brings searchers down every part does.
-func (m *Mixer) scouts(lk *lookup) bool { return !lk.proven && (lk.broken > 0 || m.falling()) }
+// scouts tells whether a query sends one part ahead. Of one that brings backends down every part does.
+func (m *Aggregator) scouts(lk *query) bool { return !lk.proven && (lk.broken > 0 || m.falling()) }
 
 // look asks the two likeliest holders of a held part, and tells whether to wait for the first that answers.
-func (m *Mixer) look(p *part) (wait bool) {
-	heard := func(s *searcher) bool { return usable(s) && m.fresh(s) && m.may(p, s) }
+func (m *Aggregator) look(p *subquery) (wait bool) {
+	heard := func(s *backend) bool { return usable(s) && m.fresh(s) && m.may(p, s) }
 	if slices.ContainsFunc(m.holdersOf(p), heard) {
 		return false
 	}
 	one := m.choose(p, nil, false)
-	for _, s := range []*searcher{one, m.choose(p, one, false)} {
+	for _, s := range []*backend{one, m.choose(p, one, false)} {
 		if s != nil && usable(s) {
 			m.ask(s, false)
 			wait = wait || s.probing
@@ -26,8 +26,8 @@
 	return wait
 }
 
-// overdue takes back a call that a sibling would long have answered, against searchers that crawl or lose it.
-func (m *Mixer) overdue(p *part) {
+// overdue takes back a call that a sibling would long have answered, against backends that crawl or lose it.
+func (m *Aggregator) overdue(p *subquery) {
 	if len(p.live) != 1 || p.live[0].back || !m.mayAgain(p) {
 		return
 	}
@@ -47,15 +47,15 @@
 	}
 	if m.set.Limits.SecondCopy {
 		p.at = s
-		m.part(p, releases)
+		m.subquery(p, releases)
 	} else if m.set.Limits.Cancel {
 		m.owe(p, true)
 		m.withdraw(c)
 	}
 }
 
-// room: a searcher out of reach gets one call at a time, after each pause.
-func (m *Mixer) room(p *part, s *searcher) bool {
+// room: a backend out of reach gets one call at a time, after each pause.
+func (m *Aggregator) room(p *subquery, s *backend) bool {
 	if !usable(s) && (s.probing || m.now < s.downUntil || s.units > 0) {
 		return false
 	}
@@ -63,8 +63,8 @@
 	return (m.riding(s) || float64(s.units) < math.Floor(s.window) || paced) && m.coldAllows(p, s)
 }
 
-// reorder is SWAG's order: the held lookup of least makespan first, its calls then added to the queues.
-func (m *Mixer) reorder() {
+// reorder is SWAG's order: the held query of least makespan first, its calls then added to the queues.
+func (m *Aggregator) reorder() {
 	m.dirty, m.order = false, m.order[:0]
 	for _, s := range m.fleet {
 		s.queue = float64(s.units)
@@ -92,21 +92,21 @@
 	}
 }
 
-func (m *Mixer) releaseAll() {
-	m.average = m.meanLatency(func(s *searcher) bool { return usable(s) && !s.shut })
+func (m *Aggregator) releaseAll() {
+	m.average = m.meanLatency(func(s *backend) bool { return usable(s) && !s.shut })
 	if m.dirty {
 		m.reorder()
 	}
 	for _, lk := range m.order {
-		scouts, parts := m.scouts(lk), lk.parts
-		if len(parts) < lk.expect || scouts && lk.calling() {
+		scouts, subqueries := m.scouts(lk), lk.subqueries
+		if len(subqueries) < lk.expect || scouts && lk.calling() {
 			continue
 		}
 		// While parts that it needs have no holder in reach, work on the others is likely for nothing.
 		blocked := lk.lost+lk.weigh(m.blocked) > 1-m.index[lk.k].floor+sumSlack
-		for i, p := range parts {
+		for i, p := range subqueries {
 			if scouts {
-				p = parts[len(parts)-1-i] // the least first
+				p = subqueries[len(subqueries)-1-i] // the least first
 			}
 			if p.state == held && (!blocked || m.blocked(p)) {
 				m.tryRelease(p)
@@ -118,14 +118,16 @@
 	}
 }
 
-func (m *Mixer) blocked(p *part) bool {
-	reach := func(s *searcher) bool { return usable(s) && m.may(p, s) }
+func (m *Aggregator) blocked(p *subquery) bool {
+	reach := func(s *backend) bool { return usable(s) && m.may(p, s) }
 	return p.state == held && !slices.ContainsFunc(m.holdersOf(p), reach)
 }
 
-func (m *Mixer) late(p *part, s *searcher) bool { return p.lk.deadline-m.now < m.latency(s, p.lk.k) }
+func (m *Aggregator) late(p *subquery, s *backend) bool {
+	return p.lk.deadline-m.now < m.latency(s, p.lk.k)
+}
 
-func (m *Mixer) tryRelease(p *part) {
+func (m *Aggregator) tryRelease(p *subquery) {
 	if p.at != nil && !m.may(p, p.at) { // the pinned one serves again, or no longer
 		m.bind(p)
 	}
@@ -148,13 +150,13 @@
 	switch {
 	case s == nil || !m.late(p, s) && !m.room(p, s):
 	case m.late(p, s) || p.made > 0 && !m.mayAgain(p):
-		m.part(p, tooLate)
+		m.subquery(p, tooLate)
 	default:
-		m.part(p, releases)
+		m.subquery(p, releases)
 	}
 }
 
-func (m *Mixer) send(p *part) {
+func (m *Aggregator) send(p *subquery) {
 	s := p.at
 	if len(p.live) == 0 {
 		m.tally(p.lk, s, -1)
@@ -162,10 +164,10 @@
 	p.at = nil
 	idle := m.now - s.usedAt
 	if len(s.out) == 0 && idle > m.idle && m.doubt.now(m.now, longMemory*m.longSoft) > idleDoubt {
-		m.do(Action{Kind: CloseIdle, Searcher: s.id})
+		m.do(Action{Kind: CloseIdle, Backend: s.id})
 		idle = 0
 	}
-	a := Action{Kind: Send, Part: p.id, Searcher: s.id, StopAt: m.stop(p.lk)}
+	a := Action{Kind: Send, Subquery: p.id, Backend: s.id, StopAt: m.stop(p.lk)}
 	if m.index[p.lk.k].effect == Fingerprinted && p.maybe() {
 		a.BeginBy = p.first + m.index[p.lk.k].repeat // also where it waits for a connection until then
 	}
@@ -176,8 +178,8 @@
 	m.do(a)
 }
 
-// stop is when a call of a lookup is no longer worth its work: what waits beyond that need not be begun.
-func (m *Mixer) stop(lk *lookup) float64 {
+// stop is when a call of a query is no longer worth its work: what waits beyond that need not be begun.
+func (m *Aggregator) stop(lk *query) float64 {
 	if x := &m.index[lk.k]; x.floor < x.need && x.short > x.late || x.late == 0 {
 		return min(lk.deadline, lk.soft)
 	}
@@ -185,7 +187,7 @@
 }
 
 // mayAgain tells whether a further call of p is allowed by its index, its tries and the budget.
-func (m *Mixer) mayAgain(p *part) bool {
+func (m *Aggregator) mayAgain(p *subquery) bool {
 	x, r := &m.index[p.lk.k], &m.set.Rules
 	switch {
 	case m.set.Limits.MaxTries > 0 && p.made >= m.set.Limits.MaxTries,
--- a/policy/policy_searchers.go
+++ b/policy/policy_searchers.go
@@ -5,17 +5,17 @@
 	"math"
 )
 
-// Searchers: what calls and probes tell of them, and which are out of reach.
+// Backends: what calls and probes tell of them, and which are out of reach.
 
 // renew forgets what was learned of a process that is no more.
-func (m *Mixer) renew(s *searcher) {
+func (m *Aggregator) renew(s *backend) {
 	s.latency, s.window, s.downUntil, s.downWait, s.dead = 0, windowStart, 0, 0, false
 	clear(s.fault)
 }
 
-// listen guards against a searcher that answers nothing, dead, cut off, stuck: out of reach until it answers
+// listen guards against a backend that answers nothing, dead, cut off, stuck: out of reach until it answers
 // a probe, asked at once, and apart: a connection may have died. The average says how long in overload.
-func (m *Mixer) listen(s *searcher) {
+func (m *Aggregator) listen(s *backend) {
 	if !s.ready || s.shut || m.now < s.downUntil {
 		return
 	}
@@ -29,31 +29,31 @@
 	}
 }
 
-// ask: probes at a searcher are few, one by each mixer in a while, or they crowd each other out.
-func (m *Mixer) ask(s *searcher, apart bool) {
+// ask: probes at a backend are few, one by each aggregator in a while, or they crowd each other out.
+func (m *Aggregator) ask(s *backend, apart bool) {
 	if m.set.Limits.Probe && !s.probing && m.now-s.askedAt >= lookFresh {
 		s.probing, s.askedAt = true, m.now
 		s.asked(m.now)
-		m.do(Action{Kind: Probe, Searcher: s.id, Apart: apart})
+		m.do(Action{Kind: Probe, Backend: s.id, Apart: apart})
 	}
 }
 
-// looks tells whether a mixer must see a sign of life before it sends: where it calls a searcher every few
-// seconds, its own evidence comes too late against searchers that fail by turns or hide a long queue.
-func (m *Mixer) looks() bool {
+// looks tells whether an aggregator must see a sign of life before it sends: where it calls a backend every few
+// seconds, its own evidence comes too late against backends that fail by turns or hide a long queue.
+func (m *Aggregator) looks() bool {
 	return m.set.Limits.Probe && m.ill.mean(0, lookLeast, m.now, lookMemory*m.longSoft) > lookFrom
 }
 
-// falling tells whether searchers fall so often that a lookup may be what brings them down.
-func (m *Mixer) falling() bool {
+// falling tells whether backends fall so often that a query may be what brings them down.
+func (m *Aggregator) falling() bool {
 	return m.fallen.mean(0, lookLeast, m.now, longMemory*m.longSoft) > scoutFrom
 }
 
-func (m *Mixer) fresh(s *searcher) bool { return m.now-s.alive < lookFresh }
+func (m *Aggregator) fresh(s *backend) bool { return m.now-s.alive < lookFresh }
 
 // connectionLost guards against connections that die idle: calls on them never end or break at once. They
 // tell which pause is too long; from there one is closed before use. Calls lost on others clear it.
-func (m *Mixer) connectionLost(c *call) {
+func (m *Aggregator) connectionLost(c *call) {
 	if c.idle < idleLeast {
 		m.doubt.shift(-1, m.now, longMemory*m.longSoft)
 		return
@@ -64,18 +64,18 @@
 	m.idle = min(m.idle, idleShare*c.idle)
 }
 
-func (m *Mixer) blame(s *searcher, k IndexID, fault float64) {
+func (m *Aggregator) blame(s *backend, k IndexID, fault float64) {
 	s.pool[k].add(fault, m.now, forgetAfter*m.longSoft)
 	s.fault[k].keep(faultMost)
 	s.fault[k].add(fault, m.now, longMemory*m.longSoft)
 }
 
-func (m *Mixer) callEnded(e *Event) {
-	c := m.finish(e.Part, e.Call)
+func (m *Aggregator) callEnded(e *Event) {
+	c := m.finish(e.Subquery, e.Call)
 	if c == nil {
 		return
 	}
-	p := c.part
+	p := c.subquery
 	m.leave(c.at, c.trip)
 	p.ran = p.ran || !outcomeTable[e.Outcome].never
 	m.learn(c, e)
@@ -86,29 +86,29 @@
 	}
 	switch {
 	case e.Outcome == Answered:
-		m.part(p, answered)
+		m.subquery(p, answered)
 	case (lk.broken > 1 || lk.broken > 0 && m.falling()) && !lk.proven && !lk.calling():
-		m.lookup(lk, giveUp)
+		m.query(lk, giveUp)
 	case p.state != out || len(p.live) > 0:
 	case m.mayAgain(p):
 		p.avoid = c.at
-		m.part(p, again)
+		m.subquery(p, again)
 	default:
-		m.part(p, tooLate)
+		m.subquery(p, tooLate)
 	}
 }
 
-// learn takes an outcome into the searcher's figures. Failures say nothing of latency: fast ones would make
-// a searcher that fails look quick and draw parts.
-func (m *Mixer) learn(c *call, e *Event) {
-	s, k, what := c.at, c.part.lk.k, outcomeTable[e.Outcome]
-	sample := e.Elapsed / c.part.size
+// learn takes an outcome into the backend's figures. Failures say nothing of latency: fast ones would make
+// a backend that fails look quick and draw parts.
+func (m *Aggregator) learn(c *call, e *Event) {
+	s, k, what := c.at, c.subquery.lk.k, outcomeTable[e.Outcome]
+	sample := e.Elapsed / c.subquery.size
 	if m.idled(c, e) {
-		m.connectionLost(c) // it tells nothing of the searcher
+		m.connectionLost(c) // it tells nothing of the backend
 		return
 	}
 	stuck := what.slow && s.answeredAt < c.sent // whatever a probe was told: it may not have waited
-	failed := what.fault || what.away || stuck && c.part.state == out
+	failed := what.fault || what.away || stuck && c.subquery.state == out
 	if failed {
 		m.blame(s, k, 1)
 	}
@@ -135,14 +135,14 @@
 	}
 }
 
-// idled tells whether a call broke with a connection that had died idle, and not with its searcher.
-func (m *Mixer) idled(c *call, e *Event) bool {
+// idled tells whether a call broke with a connection that had died idle, and not with its backend.
+func (m *Aggregator) idled(c *call, e *Event) bool {
 	return e.Outcome == Broken && c.idle >= idleLeast && e.Elapsed < deepFrom*m.usual
 }
 
-// heard smooths the latency and moves the window against the median seen anywhere, which one searcher cannot
-// move. It stays well under the soft deadlines: else overload becomes usual, and searchers' queues take all.
-func (m *Mixer) heard(s *searcher, sample float64) {
+// heard smooths the latency and moves the window against the median seen anywhere, which one backend cannot
+// move. It stays well under the soft deadlines: else overload becomes usual, and backends' queues take all.
+func (m *Aggregator) heard(s *backend, sample float64) {
 	m.usual = cmp.Or(m.usual, min(sample, usualMost*m.shortSoft))
 	smooth(&s.latency, sample, smoothing)
 	s.heardAt = m.now
@@ -160,10 +160,10 @@
 	}
 }
 
-// narrow goes below one call, as many mixers with a window of one each still make a long queue.
-func (m *Mixer) narrow(s *searcher, by float64) { s.window = max(windowLeast, s.window*by) }
+// narrow goes below one call, as many aggregators with a window of one each still make a long queue.
+func (m *Aggregator) narrow(s *backend, by float64) { s.window = max(windowLeast, s.window*by) }
 
-func (m *Mixer) away(s *searcher) {
+func (m *Aggregator) away(s *backend) {
 	if m.now >= s.downUntil {
 		s.downWait = min(waitMost, max(waitFirst, 2*s.downWait))
 		s.downUntil = m.now + s.downWait
@@ -172,8 +172,8 @@
 
 // probed: heard again after a failed connect or probe, it may be a new process that no list told of yet. One
 // that turns probes away lives, but how long a call would wait is not told.
-func (m *Mixer) probed(e *Event) {
-	s := m.searchers[e.Searcher]
+func (m *Aggregator) probed(e *Event) {
+	s := m.backends[e.Backend]
 	if s == nil {
 		return
 	}
--- a/policy/state_calls.go
+++ b/policy/state_calls.go
@@ -7,12 +7,12 @@
 // Records of calls that are out.
 
 // begin books a call of p to s, on the trip of this step if that has a place.
-func (m *Mixer) begin(p *part, s *searcher) *call {
+func (m *Aggregator) begin(p *subquery, s *backend) *call {
 	if !m.riding(s) {
 		s.trip = &trip{step: m.step}
 		s.units++
 	}
-	s.trip.parts++
+	s.trip.subqueries++
 	s.trip.live++
 	if p.made == 0 {
 		p.first = m.now
@@ -22,20 +22,20 @@
 	}
 	s.usedAt = m.now
 	s.asked(m.now)
-	c := &call{part: p, no: CallNo(p.made), at: s, sent: m.now, trip: s.trip}
+	c := &call{subquery: p, no: CallNo(p.made), at: s, sent: m.now, trip: s.trip}
 	p.made++
 	p.live = append(p.live, c)
 	s.out = append(s.out, c)
 	return c
 }
 
-func (m *Mixer) riding(s *searcher) bool {
-	return s.trip != nil && s.trip.step == m.step && s.trip.parts < m.set.Layout.CallParts
+func (m *Aggregator) riding(s *backend) bool {
+	return s.trip != nil && s.trip.step == m.step && s.trip.subqueries < m.set.Layout.CallSubqueries
 }
 
 // finish takes a call off the records; nil if it is not among them.
-func (m *Mixer) finish(id PartID, no CallNo) *call {
-	p := m.parts[id]
+func (m *Aggregator) finish(id SubqueryID, no CallNo) *call {
+	p := m.subqueries[id]
 	if p == nil {
 		return nil
 	}
@@ -51,21 +51,21 @@
 }
 
 // leave takes one call off a trip.
-func (m *Mixer) leave(s *searcher, t *trip) {
+func (m *Aggregator) leave(s *backend, t *trip) {
 	if t.live--; t.live == 0 {
 		s.units--
 	}
 }
 
 // withdraw takes a call back once, where that is allowed.
-func (m *Mixer) withdraw(c *call) {
+func (m *Aggregator) withdraw(c *call) {
 	if m.set.Limits.Cancel && !c.back {
 		c.back = true
-		m.do(Action{Kind: Withdraw, Part: c.part.id, Call: c.no})
+		m.do(Action{Kind: Withdraw, Subquery: c.subquery.id, Call: c.no})
 	}
 }
 
-func (m *Mixer) takeBack(p *part) {
+func (m *Aggregator) takeBack(p *subquery) {
 	for _, c := range p.live {
 		m.withdraw(c)
 	}
--- a/policy/state_lookups.go
+++ b/policy/state_lookups.go
@@ -4,34 +4,34 @@
 	"slices"
 )
 
-// Records of lookups and of parts that are held.
+// Records of queries and of parts that are held.
 
-// opened enters a lookup that was taken; added enters a part of it.
-func (m *Mixer) opened(e *Event) *lookup {
+// opened enters a query that was taken; added enters a part of it.
+func (m *Aggregator) opened(e *Event) *query {
 	x := &m.index[e.Index]
 	m.record(&m.taken)
-	lk := &lookup{id: e.Lookup, no: e.No, k: e.Index, expect: e.Parts, deadline: m.now + e.Left,
+	lk := &query{id: e.Query, no: e.No, k: e.Index, expect: e.Subqueries, deadline: m.now + e.Left,
 		soft: m.now + x.soft, need: x.need, state: last, zones: e.Zones}
 	if x.second > 0 {
 		lk.state = first
 	}
-	m.lookups[e.No], m.numbers[e.Lookup] = lk, e.No
+	m.queries[e.No], m.numbers[e.Query] = lk, e.No
 	m.open = append(m.open, lk)
 	return lk
 }
 
-func (m *Mixer) added(lk *lookup, e *Event) *part {
+func (m *Aggregator) added(lk *query, e *Event) *subquery {
 	m.record(&m.taken)
-	p := &part{id: e.Part, lk: lk, shard: e.Shard, weight: e.Weight, size: 1, lot: m.chance.unit(), state: held}
-	lk.parts = append(lk.parts, p)
+	p := &subquery{id: e.Subquery, lk: lk, shard: e.Shard, weight: e.Weight, size: 1, lot: m.chance.unit(), state: held}
+	lk.subqueries = append(lk.subqueries, p)
 	lk.pending++
-	m.parts[p.id] = p
+	m.subqueries[p.id] = p
 	return p
 }
 
-func (m *Mixer) heldParts() (list []*part) {
+func (m *Aggregator) heldSubqueries() (list []*subquery) {
 	for _, lk := range m.open {
-		for _, p := range lk.parts {
+		for _, p := range lk.subqueries {
 			if p.state == held {
 				list = append(list, p)
 			}
@@ -41,8 +41,8 @@
 }
 
 // weigh sums the weights of lk's parts that are so.
-func (lk *lookup) weigh(so func(*part) bool) (weight float64) {
-	for _, p := range lk.parts {
+func (lk *query) weigh(so func(*subquery) bool) (weight float64) {
+	for _, p := range lk.subqueries {
 		if so(p) {
 			weight += p.weight
 		}
@@ -50,8 +50,8 @@
 	return weight
 }
 
-// sized lists the open lookups with the sizes of what they hold.
-func (m *Mixer) sized() []*lookup {
+// sized lists the open queries with the sizes of what they hold.
+func (m *Aggregator) sized() []*query {
 	for _, lk := range m.open {
 		lk.size = 0
 		for _, t := range lk.held {
@@ -62,11 +62,11 @@
 }
 
 // calling tells whether a call of a part is out.
-func (lk *lookup) calling() bool {
-	return slices.ContainsFunc(lk.parts, func(p *part) bool { return len(p.live) > 0 })
+func (lk *query) calling() bool {
+	return slices.ContainsFunc(lk.subqueries, func(p *subquery) bool { return len(p.live) > 0 })
 }
 
-func (lk *lookup) heldAt(s *searcher) int {
+func (lk *query) heldAt(s *backend) int {
 	for _, t := range lk.held {
 		if t.at == s {
 			return t.n
@@ -76,12 +76,12 @@
 }
 
 // units counts lk's held parts at s as the calls they will share.
-func (m *Mixer) units(lk *lookup, s *searcher) int {
-	per := m.set.Layout.CallParts
+func (m *Aggregator) units(lk *query, s *backend) int {
+	per := m.set.Layout.CallSubqueries
 	return (lk.heldAt(s) + per - 1) / per
 }
 
-func (m *Mixer) tally(lk *lookup, s *searcher, n int) {
+func (m *Aggregator) tally(lk *query, s *backend, n int) {
 	s.heldUnits -= m.units(lk, s)
 	i := slices.IndexFunc(lk.held, func(t tally) bool { return t.at == s })
 	if i < 0 {
@@ -92,14 +92,14 @@
 	s.heldUnits += m.units(lk, s)
 }
 
-func (m *Mixer) hold(p *part, s *searcher) {
+func (m *Aggregator) hold(p *subquery, s *backend) {
 	m.unhold(p)
 	if p.at = s; s != nil {
 		m.tally(p.lk, s, 1)
 	}
 }
 
-func (m *Mixer) unhold(p *part) {
+func (m *Aggregator) unhold(p *subquery) {
 	if p.at != nil {
 		m.tally(p.lk, p.at, -1)
 	}
@@ -107,45 +107,45 @@
 }
 
 // release lets go of a part that nothing can refer to any more.
-func (m *Mixer) release(p *part) {
+func (m *Aggregator) release(p *subquery) {
 	if p.state == over && len(p.live) == 0 {
-		delete(m.parts, p.id)
+		delete(m.subqueries, p.id)
 	}
 }
 
-// dropParts closes all parts of a step.
-func (m *Mixer) dropParts(lk *lookup) {
-	for _, p := range lk.parts {
-		m.part(p, closed)
+// dropSubqueries closes all parts of a step.
+func (m *Aggregator) dropSubqueries(lk *query) {
+	for _, p := range lk.subqueries {
+		m.subquery(p, closed)
 		m.owe(p, false)
 		p.state = over
 		m.release(p)
 	}
-	lk.parts, lk.held, m.dirty = nil, nil, true
+	lk.subqueries, lk.held, m.dirty = nil, nil, true
 }
 
 // nextStep begins the second step, of which all makes it whole; parts of the first have run.
-func (m *Mixer) nextStep(lk *lookup, most int) {
+func (m *Aggregator) nextStep(lk *query, most int) {
 	n := 0
-	for _, p := range lk.parts {
+	for _, p := range lk.subqueries {
 		if p.state == in {
 			n++
 		}
 	}
-	m.dropParts(lk)
+	m.dropSubqueries(lk)
 	lk.stepped = true
 	lk.need, lk.expect, lk.in, lk.lost, lk.pending = 1, min(n, most), 0, 0, 0
 }
 
-func (m *Mixer) forget(lk *lookup) {
-	m.dropParts(lk)
-	delete(m.lookups, lk.no)
+func (m *Aggregator) forget(lk *query) {
+	m.dropSubqueries(lk)
+	delete(m.queries, lk.no)
 	delete(m.numbers, lk.id)
-	m.open = slices.DeleteFunc(m.open, func(o *lookup) bool { return o == lk })
+	m.open = slices.DeleteFunc(m.open, func(o *query) bool { return o == lk })
 }
 
-func (m *Mixer) clientGone(e *Event) {
-	if lk := m.lookups[m.numbers[e.Lookup]]; lk != nil && lk.id == e.Lookup {
-		m.lookup(lk, left)
+func (m *Aggregator) clientGone(e *Event) {
+	if lk := m.queries[m.numbers[e.Query]]; lk != nil && lk.id == e.Query {
+		m.query(lk, left)
 	}
 }
--- a/policy/state_mixer.go
+++ b/policy/state_mixer.go
@@ -9,17 +9,17 @@
 // The start of an instance, and its records of customers, of the budget and of overrides.
 
 // New starts an instance.
-func New(set Settings, now float64) *Mixer {
-	set.Mixers, set.Layout.CallParts = max(1, set.Mixers), max(1, set.Layout.CallParts)
+func New(set Settings, now float64) *Aggregator {
+	set.Aggregators, set.Layout.CallSubqueries = max(1, set.Aggregators), max(1, set.Layout.CallSubqueries)
 	set.Layout.Cells, set.Layout.Width = max(1, set.Layout.Cells), max(1, set.Layout.Width)
 	listAt := math.Inf(1)
 	if set.AskList {
 		listAt = now
 	}
-	m := &Mixer{
+	m := &Aggregator{
 		listAt: listAt, set: set, now: now, chance: pcg(set.Seed), shortSoft: math.Inf(1), idle: math.Inf(1),
-		pool: map[LocationID][]gauge{}, searchers: map[SearcherID]*searcher{}, holders: make([][]*searcher, set.Layout.Cells),
-		lookups: map[LookupNo]*lookup{}, numbers: map[LookupID]LookupNo{}, parts: map[PartID]*part{},
+		pool: map[LocationID][]gauge{}, backends: map[BackendID]*backend{}, holders: make([][]*backend, set.Layout.Cells),
+		queries: map[QueryNo]*query{}, numbers: map[QueryID]QueryNo{}, subqueries: map[SubqueryID]*subquery{},
 		customers: make([]customer, len(set.Customers)), pins: map[pinned]*PinOverride{},
 	}
 	for i := range set.Indexes {
@@ -28,30 +28,30 @@
 	return m
 }
 
-// noted takes a patch of overrides, and lists the searchers that come back into use by it.
-func (m *Mixer) noted(o *Overrides) (back []*searcher) {
+// noted takes a patch of overrides, and lists the backends that come back into use by it.
+func (m *Aggregator) noted(o *Overrides) (back []*backend) {
 	if len(o.Pins) > 0 {
 		m.pinsAt++
 	}
 	for _, p := range o.Pins {
-		if p.Searcher == 0 {
+		if p.Backend == 0 {
 			delete(m.pins, pinned{p.Shard, p.Index})
 		} else {
 			m.pins[pinned{p.Shard, p.Index}] = &p
 		}
 	}
 	for _, z := range o.Zones {
-		if lk := m.lookups[m.numbers[z.Lookup]]; lk != nil && lk.id == z.Lookup {
+		if lk := m.queries[m.numbers[z.Query]]; lk != nil && lk.id == z.Query {
 			lk.zones = z.Zones
 		}
 	}
 	for _, j := range o.Judged {
-		if s := m.searchers[j.Searcher]; s != nil {
+		if s := m.backends[j.Backend]; s != nil {
 			s.told = fading{j.Times, j.Until}
 		}
 	}
-	for _, w := range o.Searchers {
-		s := m.searchers[w.Searcher]
+	for _, w := range o.Backends {
+		s := m.backends[w.Backend]
 		if s == nil || int(w.Index) >= len(m.index) {
 			continue
 		}
@@ -72,7 +72,7 @@
 }
 
 // enter adds a row to the table of indexes.
-func (m *Mixer) enter(x *IndexSettings) {
+func (m *Aggregator) enter(x *IndexSettings) {
 	need := cmp.Or(x.Need, 1)
 	m.index = append(m.index, indexRow{soft: x.Soft, hard: x.Hard, gain: x.Gain, late: x.LateGain, need: need,
 		short: x.ShortGain, floor: min(need, cmp.Or(x.Floor, need)), effect: x.Effect, fault: faultCost[x.Effect], repeat: x.RepeatS,
@@ -81,7 +81,7 @@
 	m.longSoft, m.shortSoft = max(m.longSoft, x.Soft), min(m.shortSoft, x.Soft)
 }
 
-func (m *Mixer) do(a Action) { m.todo = append(m.todo, a) }
+func (m *Aggregator) do(a Action) { m.todo = append(m.todo, a) }
 
 // tried is a vote of the tries on the time that most of them give, as far apart and with as many votes at most.
 func (x *indexRow) tried(left, apart, most float64) {
@@ -95,13 +95,13 @@
 	}
 }
 
-// overspends takes one token of a customer's bucket, which fills at this mixer's part of its quota, up to so
+// overspends takes one token of a customer's bucket, which fills at this aggregator's part of its quota, up to so
 // many seconds of it; it tells whether there was none.
-func (m *Mixer) overspends(id CustomerID, seconds float64) bool {
+func (m *Aggregator) overspends(id CustomerID, seconds float64) bool {
 	if int(id) >= len(m.customers) {
 		return false
 	}
-	c, rate := &m.customers[id], m.set.Customers[id].QuotaPerS/float64(m.set.Mixers)
+	c, rate := &m.customers[id], m.set.Customers[id].QuotaPerS/float64(m.set.Aggregators)
 	c.tokens, c.at = min(max(1, rate*seconds), c.tokens+(m.now-c.at)*rate), m.now
 	if c.tokens < 1 {
 		return true
@@ -111,7 +111,7 @@
 }
 
 // record notes the time of what the budget counts, where there is one.
-func (m *Mixer) record(times *[]float64) {
+func (m *Aggregator) record(times *[]float64) {
 	if !m.set.Rules.Budget {
 		return
 	}
@@ -121,10 +121,10 @@
 	*times = append(*times, m.now)
 }
 
-// workOf is the work that a part of an index brings a searcher, its call included.
-func (m *Mixer) workOf(k IndexID) float64 { return m.index[k].work + m.set.Layout.CallCost }
+// workOf is the work that a part of an index brings a backend, its call included.
+func (m *Aggregator) workOf(k IndexID) float64 { return m.index[k].work + m.set.Layout.CallCost }
 
-func (m *Mixer) owe(p *part, owed bool) {
+func (m *Aggregator) owe(p *subquery, owed bool) {
 	if owed != p.owed {
 		p.owed = owed
 		if owed {
@@ -137,7 +137,7 @@
 
 // spent counts the further calls made or promised since a time, one of p included, and what was taken; of what
 // fell on the edge, the worse is supposed.
-func (m *Mixer) spent(p *part, from float64) (further, taken int) {
+func (m *Aggregator) spent(p *subquery, from float64) (further, taken int) {
 	m.taken, m.further = since(m.taken, from+m.set.Step), since(m.further, from-m.set.Step)
 	further = len(m.further) + m.owed
 	if !p.owed {
