--- a/policy/types.go
+++ b/policy/types.go
@@ -1,4 +1,4 @@
-// Package policy decides what a mixer does with its lookups. New starts an instance from its settings; Step takes
+// Package policy decides what an aggregator does with its queries. New starts an instance from its settings; Step takes
 // the clock and all that happened since the last call, in order, and appends what to do. Between two calls nothing
 // moves: no I/O, no clock, no goroutine, nothing shared.
 //
@@ -9,14 +9,14 @@
 
 // Each kind of id is a type of its own. Ids carry no meaning beyond identity.
 type (
-	// LookupID names a lookup.
-	LookupID uint64
-	// LookupNo numbers the lookups of a client.
-	LookupNo int64
-	// PartID names a part of a lookup.
-	PartID uint64
-	// SearcherID names a searcher.
-	SearcherID uint32
+	// QueryID names a query.
+	QueryID uint64
+	// QueryNo numbers the queries of a client.
+	QueryNo int64
+	// SubqueryID names a part of a query.
+	SubqueryID uint64
+	// BackendID names a backend.
+	BackendID uint32
 	// IndexID names an index.
 	IndexID int
 	// CustomerID names a customer.
@@ -25,12 +25,12 @@
 	LocationID int
 	// ShardID names a shard.
 	ShardID int
-	// CellID names a cell of the layout of shards on searchers.
+	// CellID names a cell of the layout of shards on backends.
 	CellID int
 	// CallNo numbers the calls of a part.
 	CallNo int
-	// MixerNo numbers the mixers.
-	MixerNo int
+	// AggregatorNo numbers the aggregators.
+	AggregatorNo int
 	// TimerID names a timer.
 	TimerID int
 )
@@ -47,22 +47,22 @@
 
 // Settings are what an instance is told at its start. Times are seconds; a zero value means not stated.
 type Settings struct {
-	Seed      uint64
-	Self      MixerNo
-	Mixers    int
-	Location  LocationID
-	Step      float64 // least time between two calls of Step
-	Indexes   []IndexSettings
-	Customers []CustomerSettings
-	OverShare float64 // what a lookup past its customer's share is worth, as a share of its gain
-	AskList   bool    // the list comes only when asked for
-	Layout    Layout
-	Limits    Limits
-	Rules     Rules
-	Prices    Prices
+	Seed        uint64
+	Self        AggregatorNo
+	Aggregators int
+	Location    LocationID
+	Step        float64 // least time between two calls of Step
+	Indexes     []IndexSettings
+	Customers   []CustomerSettings
+	OverShare   float64 // what a query past its customer's share is worth, as a share of its gain
+	AskList     bool    // the list comes only when asked for
+	Layout      Layout
+	Limits      Limits
+	Rules       Rules
+	Prices      Prices
 }
 
-// IndexSettings describe one index of lookup.
+// IndexSettings describe one index of query.
 type IndexSettings struct {
 	Soft, Hard     float64
 	Gain, LateGain float64
@@ -78,11 +78,11 @@
 	Share, QuotaPerS float64
 }
 
-// Layout says which searchers hold a shard: those of cells shard, shard+1, ... shard+Width-1, modulo Cells.
+// Layout says which backends hold a shard: those of cells shard, shard+1, ... shard+Width-1, modulo Cells.
 type Layout struct {
-	Cells, Width int
-	CallParts    int // parts that may share one call
-	CallCost     float64
+	Cells, Width   int
+	CallSubqueries int // parts that may share one call
+	CallCost       float64
 }
 
 // Limits say what the deployment permits.
@@ -112,14 +112,14 @@
 
 // The kinds of events, each with the fields that count for it.
 const (
-	ListChanged      EventKind = iota // List, Searchers
-	LookupTaken                       // Lookup, No, Index, Customer, Left, Hint, Parts, Resent
-	PartTaken                         // Part, No, Index, Left, Hint, Shard, Weight
-	CallBegan                         // Part, Call, Searcher: a streamed answer has begun
-	CallEnded                         // Part, Call, Searcher, Outcome, Elapsed, Load
-	ClientGone                        // Lookup
+	ListChanged      EventKind = iota // List, Backends
+	QueryTaken                        // Query, No, Index, Customer, Left, Hint, Parts, Resent
+	SubqueryTaken                     // Part, No, Index, Left, Hint, Shard, Weight
+	CallBegan                         // Part, Call, Backend: a streamed answer has begun
+	CallEnded                         // Part, Call, Backend, Outcome, Elapsed, Load
+	ClientGone                        // Query
 	TimerDue                          // Timer
-	ProbeEnded                        // Searcher, Outcome, Elapsed, Load
+	ProbeEnded                        // Backend, Outcome, Elapsed, Load
 	MessageArrived                    // Peer, Message
 	OverridesChanged                  // Override
 )
@@ -150,7 +150,7 @@
 	ListFailed
 )
 
-// Phase is what the list says of a searcher.
+// Phase is what the list says of a backend.
 type Phase uint8
 
 // The phases.
@@ -160,9 +160,9 @@
 	Gone
 )
 
-// Entry is one searcher as the list names it.
+// Entry is one backend as the list names it.
 type Entry struct {
-	Searcher  SearcherID
+	Backend   BackendID
 	Location  LocationID
 	Kind      int
 	Cell      CellID
@@ -171,7 +171,7 @@
 	StartedAt float64 // 0: long past
 }
 
-// Load is a searcher's own report; Has tells which fields are stated.
+// Load is a backend's own report; Has tells which fields are stated.
 type Load struct {
 	Has                                               LoadField
 	InHand, Waiting, Util, ServiceS, ServedPS, FailPS float64
@@ -191,36 +191,36 @@
 )
 
 // Overrides are what operators changed of their overrides, as a patch: what it does not name stays. Drains and
-// searchers that are gone stand above them, and so do the six rules.
+// backends that are gone stand above them, and so do the six rules.
 //
-// What mixers agree on reaches the module the same way: zones stand over all that operators override, and judgements
-// under everything a mixer sees itself.
+// What aggregators agree on reaches the module the same way: zones stand over all that operators override, and judgements
+// under everything an aggregator sees itself.
 type Overrides struct {
-	Searchers []SearcherOverride
-	Pins      []PinOverride
-	Zones     []ZonesOverride
-	Judged    []JudgedOverride
+	Backends []BackendOverride
+	Pins     []PinOverride
+	Zones    []ZonesOverride
+	Judged   []JudgedOverride
 }
 
-// SearcherOverride is all that holds for one searcher and index from now on. It ends with the searcher's number: one
+// BackendOverride is all that holds for one backend and index from now on. It ends with the backend's number: one
 // that the list names anew is told of anew.
-type SearcherOverride struct {
-	Searcher SearcherID
-	Index    IndexID
-	Out      bool    // no new part call goes there; calls out end well
-	Weight   float64 // share of its usual part calls, over 0 and up to 1
+type BackendOverride struct {
+	Backend BackendID
+	Index   IndexID
+	Out     bool    // no new part call goes there; calls out end well
+	Weight  float64 // share of its usual part calls, over 0 and up to 1
 }
 
 // PinOverride is all that pins one shard of one index from now on.
 type PinOverride struct {
-	Shard    ShardID
-	Index    IndexID
-	Searcher SearcherID // to which; 0 for none any more
-	Strict   bool       // if that can't be reached, the parts are refused, else its siblings take them
-	Share    float64    // of the parts that are bound by it, 1 but for a pin that wanes
+	Shard   ShardID
+	Index   IndexID
+	Backend BackendID // to which; 0 for none any more
+	Strict  bool      // if that can't be reached, the parts are refused, else its siblings take them
+	Share   float64   // of the parts that are bound by it, 1 but for a pin that wanes
 }
 
-// Zones is a set of locations that a lookup is kept to. It is made before it is used, and never changed then.
+// Zones is a set of locations that a query is kept to. It is made before it is used, and never changed then.
 type Zones struct{ in map[LocationID]bool }
 
 // NewZones is a set without any.
@@ -232,48 +232,48 @@
 // Allows tells whether a location is in it; of none at all, everything is.
 func (z *Zones) Allows(at LocationID) bool { return z == nil || z.in[at] }
 
-// ZonesOverride keeps lookups that are held already to other zones.
+// ZonesOverride keeps queries that are held already to other zones.
 type ZonesOverride struct {
-	Lookup LookupID
-	Zones  *Zones
+	Query QueryID
+	Zones *Zones
 }
 
-// JudgedOverride is what other mixers found of a searcher. It counts as long as our own evidence is thin, in place of the
+// JudgedOverride is what other aggregators found of a backend. It counts as long as our own evidence is thin, in place of the
 // average, for so many seconds.
 type JudgedOverride struct {
-	Searcher SearcherID
-	Times    float64 // of the usual latency; 0 for no judgement any more
-	Until    float64 // clock time
+	Backend BackendID
+	Times   float64 // of the usual latency; 0 for no judgement any more
+	Until   float64 // clock time
 }
 
 // Event is one thing that happened; its kind says which fields count.
 type Event struct {
-	Kind     EventKind
-	List     ListKind
-	Outcome  Outcome
-	Resent   bool
-	HasKey   bool
-	Lookup   LookupID
-	No       LookupNo
-	Part     PartID
-	Index    IndexID
-	Customer CustomerID
-	Shard    ShardID
-	Parts    int
-	Key      uint64
-	Left     float64
-	Hint     float64 // expected work, 0 if not stated
-	Weight   float64
-	Call     CallNo
-	Searcher SearcherID
-	Elapsed  float64
-	Load     Load
-	Entries  []Entry
-	Override *Overrides
-	Zones    *Zones // of a lookup: where its parts may go, nil for everywhere
-	Timer    TimerID
-	Peer     MixerNo
-	Message  []byte
+	Kind       EventKind
+	List       ListKind
+	Outcome    Outcome
+	Resent     bool
+	HasKey     bool
+	Query      QueryID
+	No         QueryNo
+	Subquery   SubqueryID
+	Index      IndexID
+	Customer   CustomerID
+	Shard      ShardID
+	Subqueries int
+	Key        uint64
+	Left       float64
+	Hint       float64 // expected work, 0 if not stated
+	Weight     float64
+	Call       CallNo
+	Backend    BackendID
+	Elapsed    float64
+	Load       Load
+	Entries    []Entry
+	Override   *Overrides
+	Zones      *Zones // of a query: where its parts may go, nil for everywhere
+	Timer      TimerID
+	Peer       AggregatorNo
+	Message    []byte
 }
 
 // ActionKind names what to do.
@@ -281,38 +281,38 @@
 
 // The kinds of actions, each with the fields that count for it.
 const (
-	Send      ActionKind = iota // Part, Searcher, StopAt, BeginBy
+	Send      ActionKind = iota // Part, Backend, StopAt, BeginBy
 	Withdraw                    // Part, Call
-	Answer                      // Lookup, Whole
-	Nack                        // Lookup, Wait
-	Abort                       // Lookup
+	Answer                      // Query, Whole
+	Nack                        // Query, Wait
+	Abort                       // Query
 	SetTimer                    // Timer, Wait
-	Probe                       // Searcher, Apart
-	CloseIdle                   // Searcher
+	Probe                       // Backend, Apart
+	CloseIdle                   // Backend
 	Tell                        // Peer (AllPeers for every one), Message
 	Subscribe                   // On
 	AskWhole                    // no fields
 	Note                        // Text
 )
 
-// AllPeers addresses a message to every other mixer.
-const AllPeers MixerNo = -1
+// AllPeers addresses a message to every other aggregator.
+const AllPeers AggregatorNo = -1
 
 // Action is one thing to do; its kind says which fields count.
 type Action struct {
 	Kind     ActionKind
 	Whole    bool
 	On       bool
-	Apart    bool // where nothing else is out: whether the searcher lives, and not a connection to it
-	Lookup   LookupID
-	Part     PartID
-	Searcher SearcherID
+	Apart    bool // where nothing else is out: whether the backend lives, and not a connection to it
+	Query    QueryID
+	Subquery SubqueryID
+	Backend  BackendID
 	Call     CallNo
 	StopAt   float64 // clock time, 0 for when the client gives up
 	BeginBy  float64 // clock time after which it may not begin any more, 0 for StopAt
 	Wait     float64
 	Timer    TimerID
-	Peer     MixerNo
+	Peer     AggregatorNo
 	Message  []byte
 	Text     string
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// contracts keeps a test's own records of which zones each lookup is kept to, and of searchers that moved.
+// contracts keeps a test's own records of which zones each query is kept to, and of backends that moved.
 type contracts struct {
-	zones map[LookupID]*Zones
-	moved map[SearcherID]bool
+	zones map[QueryID]*Zones
+	moved map[BackendID]bool
 }
 
 // someZones draws a set of the world's two locations, at times of none at all.
@@ -24,18 +24,18 @@
 	return z
 }
 
-// zoned plays a world in which two in three lookups are kept to zones, some of them to others while they are held, where
-// searchers change their location under their number, with overrides and others' judgements at random; told is how each
+// zoned plays a world in which two in three queries are kept to zones, some of them to others while they are held, where
+// backends change their location under their number, with overrides and others' judgements at random; told is how each
 // patch reaches the instance.
 func zoned(seed uint64, told func(*Overrides) *Overrides) error {
 	e, rng := newEnv(seed), rand.New(rand.NewPCG(seed, 9))
-	c := &contracts{zones: map[LookupID]*Zones{}, moved: map[SearcherID]bool{}}
-	o := &overrides{out: map[SearcherID]map[IndexID]bool{}, pins: map[pinned]PinOverride{}}
+	c := &contracts{zones: map[QueryID]*Zones{}, moved: map[BackendID]bool{}}
+	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinned]PinOverride{}}
 	e.zoned = func(a *ask) *Zones {
 		if rng.IntN(3) > 0 {
-			c.zones[a.event.Lookup] = someZones(rng)
+			c.zones[a.event.Query] = someZones(rng)
 		}
-		return c.zones[a.event.Lookup]
+		return c.zones[a.event.Query]
 	}
 	e.extra = func(e *env) (events []Event) {
 		patch := &Overrides{}
@@ -52,26 +52,26 @@
 		}
 		if rng.IntN(20) == 0 {
 			h := e.fleet[rng.IntN(len(e.fleet))]
-			patch.Judged = append(patch.Judged, JudgedOverride{h.entry.Searcher, 50 * rng.Float64(), e.now + 3*rng.Float64()})
+			patch.Judged = append(patch.Judged, JudgedOverride{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
 		}
 		events = append(events, Event{Kind: OverridesChanged, Override: told(patch)})
 		if h := e.fleet[rng.IntN(len(e.fleet))]; rng.IntN(400) == 0 && h.toldPhase != Gone && h.named {
-			h.entry.Location, c.moved[h.entry.Searcher] = 1-h.entry.Location, true
+			h.entry.Location, c.moved[h.entry.Backend] = 1-h.entry.Location, true
 			events = append(events, Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{h.entry}})
 		}
 		return events
 	}
-	e.renamed = func(id SearcherID) { delete(o.out, id); delete(c.moved, id) }
+	e.renamed = func(id BackendID) { delete(o.out, id); delete(c.moved, id) }
 	e.sabotage = func(e *env, actions []Action) []Action {
 		for _, a := range actions {
 			if a.Kind != Send {
 				continue
 			}
-			lk := e.pieces[a.Part].ask.event.Lookup
-			if z := c.zones[lk]; z != nil && c.moved[a.Searcher] {
-				e.fail("zones: part %d goes to %d, which has moved", a.Part, a.Searcher)
-			} else if !z.Allows(e.host(a.Searcher).entry.Location) {
-				e.fail("zones: part %d goes to %d outside", a.Part, a.Searcher)
+			lk := e.pieces[a.Subquery].ask.event.Query
+			if z := c.zones[lk]; z != nil && c.moved[a.Backend] {
+				e.fail("zones: part %d goes to %d, which has moved", a.Subquery, a.Backend)
+			} else if !z.Allows(e.host(a.Backend).entry.Location) {
+				e.fail("zones: part %d goes to %d outside", a.Subquery, a.Backend)
 			}
 		}
 		return actions
@@ -79,7 +79,7 @@
 	return e.run(25).err
 }
 
-// Under any contracts the six rules hold, and no part call goes outside of its lookup's zones: first, further, second copy,
+// Under any contracts the six rules hold, and no part call goes outside of its query's zones: first, further, second copy,
 // second step, pinned, or held while the zones change.
 func FuzzZones(f *testing.F) {
 	for seed := range uint64(80) {
@@ -95,7 +95,7 @@
 // The check is seen to fail where an instance is not told that zones have changed.
 func TestChecksSeeZonesThatAreNotHeeded(t *testing.T) {
 	for seed := range uint64(20) {
-		err := zoned(seed, func(o *Overrides) *Overrides { return &Overrides{Searchers: o.Searchers, Pins: o.Pins} })
+		err := zoned(seed, func(o *Overrides) *Overrides { return &Overrides{Backends: o.Backends, Pins: o.Pins} })
 		if err != nil && strings.Contains(err.Error(), "zones:") {
 			return
 		}
@@ -103,24 +103,24 @@
 	t.Error("nobody saw it")
 }
 
-// What no allowed searcher holds is answered at once: refused, or in part where the index lets an answer do without it.
+// What no allowed backend holds is answered at once: refused, or in part where the index lets an answer do without it.
 func TestNoAllowedHolder(t *testing.T) {
-	entries := []Entry{{Searcher: 1, Location: 0}, {Searcher: 2, Cell: 1, Location: 1}}
+	entries := []Entry{{Backend: 1, Location: 0}, {Backend: 2, Cell: 1, Location: 1}}
 	for floor, want := range map[float64]ActionKind{1: Nack, 0.5: Answer} {
 		s := newScene(t, func(set *Settings) { set.Layout = Layout{Cells: 2, Width: 1}; set.Indexes[0].Floor = floor }, entries...)
 		north := NewZones()
 		north.Allow(0)
-		no := LookupNo(77)
-		events := []Event{{Kind: LookupTaken, Lookup: 77, No: no, Parts: 2, Left: 3, Zones: north}}
+		no := QueryNo(77)
+		events := []Event{{Kind: QueryTaken, Query: 77, No: no, Subqueries: 2, Left: 3, Zones: north}}
 		for i := range 2 {
-			events = append(events, Event{Kind: PartTaken, Part: PartID(700 + i), No: no, Shard: ShardID(i), Weight: 0.5})
+			events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(700 + i), No: no, Shard: ShardID(i), Weight: 0.5})
 		}
 		actions := s.step(0.005, events...)
 		for _, a := range only(Send, actions) {
-			if a.Searcher != 1 {
-				t.Errorf("floor %g: part %d goes to %d", floor, a.Part, a.Searcher)
+			if a.Backend != 1 {
+				t.Errorf("floor %g: part %d goes to %d", floor, a.Subquery, a.Backend)
 			}
-			actions = append(actions, s.end(0.01, a.Part, 1, Answered, 0.01)...)
+			actions = append(actions, s.end(0.01, a.Subquery, 1, Answered, 0.01)...)
 		}
 		if got := only(want, actions); len(got) != 1 {
 			t.Errorf("floor %g: %s", floor, fmt.Sprint(actions))
@@ -128,9 +128,9 @@
 	}
 }
 
-// What others found slow is passed over by a mixer that knows nobody, and is used again where its siblings are gone.
+// What others found slow is passed over by an aggregator that knows nobody, and is used again where its siblings are gone.
 func TestHearsay(t *testing.T) {
-	entries := []Entry{{Searcher: 1}, {Searcher: 2}}
+	entries := []Entry{{Backend: 1}, {Backend: 2}}
 	judge := func(times, until float64) Event {
 		return Event{Kind: OverridesChanged, Override: &Overrides{Judged: []JudgedOverride{{1, times, until}}}}
 	}
@@ -140,7 +140,7 @@
 			s.step(0.005, events...)
 			_, done := s.take(3, 0.1)
 			for _, a := range only(Send, done) {
-				if a.Searcher == 1 {
+				if a.Backend == 1 {
 					n++
 				}
 			}
@@ -156,7 +156,7 @@
 	if n := first(judge(8, 0)); n == 0 {
 		t.Error("a judgement that is over still counts")
 	}
-	gone := Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{{Searcher: 2, Phase: Gone}}}
+	gone := Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{{Backend: 2, Phase: Gone}}}
 	if n := first(judge(1000, 1e9), gone); n != 20 {
 		t.Errorf("the only holder gets %d of 20 first parts because others found it slow", n)
 	}
