--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -289,7 +289,7 @@
 func (c *Coordinator) readInventory(ctx context.Context) {
 	reader := inventory.Reader{
 		Address: c.settings.CloudAPI.Address, RatePerSecond: c.settings.CloudAPI.RatePerS, HTTP: c.platform, Log: c.log,
-		OnPage: c.jobs.Found,
+		OnPage: c.jobs.AddInventoryPage,
 	}
 	for ctx.Err() == nil {
 		leading, changed := c.jobs.Leading()
@@ -321,5 +321,5 @@
 			}
 		}
 	}()
-	reader.Run(reading, inventoryInterval, c.jobs.Inventory)
+	reader.Run(reading, inventoryInterval, c.jobs.SetInventory)
 }
--- a/internal/jobs/inventory/inventory.go
+++ b/internal/jobs/inventory/inventory.go
@@ -24,14 +24,14 @@
 	maxPageBytes  = 8 << 20
 	maxPages      = 2000
 	firstBackoff  = 300 * time.Millisecond
-	longestPause  = 3 * time.Second
-	jitter        = 0.25 // of a pause after a failure, either way
-	shareOfRate   = 0.5  // of the calls that the platform accepts, which others may need too
+	maxBackoff    = 3 * time.Second
+	backoffJitter = 0.25 // of a pause after a failure, either way
+	rateShare     = 0.5  // of the calls that the platform accepts, which others may need too
 	stateDraining = "draining"
 
-	refusalsPerPage = 20 // how often one page is asked for again
-	failuresPerPage = 3  // and after calls without an answer
-	leastPagePause  = 100 * time.Millisecond
+	maxRefusalsPerPage = 20 // how often one page is asked for again
+	maxFailuresPerPage = 3  // and after calls without an answer
+	minRetryInterval   = 100 * time.Millisecond
 )
 
 // Reader reads the list at the platform's address.
@@ -41,8 +41,8 @@
 	HTTP          *http.Client // http.DefaultClient when nil
 	Log           *zap.Logger  // may be nil
 	// OnPage takes the workers of each page until a whole list was read; nil for none. A long list takes seconds.
-	OnPage func([]workerclient.Instance)
-	whole  bool // one was read
+	OnPage   func([]workerclient.Instance)
+	complete bool // one was read
 }
 
 // Run reads the list every interval and delivers each one that came whole, until the context ends. The interval grows with
@@ -52,60 +52,60 @@
 	if log == nil {
 		log = zap.NewNop()
 	}
-	r.whole = false
+	r.complete = false
 	backoff := firstBackoff
 	for ctx.Err() == nil {
 		began := time.Now()
-		instances, pages, err := r.Read(ctx)
+		instances, pages, err := r.ReadAll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			log.Info("list of searchers not read", zap.Error(err), zap.Duration("backoff", backoff))
 			sleep(ctx, jittered(backoff))
-			backoff = min(2*backoff, longestPause)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
 		backoff = firstBackoff
 		deliver(instances)
-		sleep(ctx, r.spacing(interval, pages)-time.Since(began))
+		sleep(ctx, r.readInterval(interval, pages)-time.Since(began))
 	}
 }
 
-// spacing is the time from the start of one read to the start of the next.
-func (r *Reader) spacing(interval time.Duration, pages int) time.Duration {
+// readInterval is the time from the start of one read to the start of the next.
+func (r *Reader) readInterval(interval time.Duration, pages int) time.Duration {
 	if r.RatePerSecond <= 0 {
 		return interval
 	}
-	perPage := time.Duration(float64(time.Second) / (r.RatePerSecond * shareOfRate))
+	perPage := time.Duration(float64(time.Second) / (r.RatePerSecond * rateShare))
 	return max(interval, time.Duration(pages)*perPage)
 }
 
 // The ways in which a list may be useless.
 var (
-	ErrTooManyCalls  = errors.New("platform refuses further calls")
-	ErrEndlessList   = errors.New("list does not end")
+	ErrRateLimited   = errors.New("platform refuses further calls")
+	ErrTooManyPages  = errors.New("list does not end")
 	ErrRepeatedToken = errors.New("list comes back to an earlier page")
 )
 
-// Read reads all pages once and tells how many there were. A list that breaks off is an error.
-func (r *Reader) Read(ctx context.Context) ([]workerclient.Instance, int, error) {
+// ReadAll reads all pages once and tells how many there were. A list that breaks off is an error.
+func (r *Reader) ReadAll(ctx context.Context) ([]workerclient.Instance, int, error) {
 	var instances []workerclient.Instance
 	var token string
 	seen := make(map[string]bool)
 	for pages := 1; pages <= maxPages; pages++ {
-		page, err := r.patientPage(ctx, token)
+		page, err := r.pageWithRetries(ctx, token)
 		if err != nil {
 			return nil, 0, fmt.Errorf("page %d: %w", pages, err)
 		}
 		before := len(instances)
 		instances = page.appendTo(instances)
-		if !r.whole && r.OnPage != nil {
+		if !r.complete && r.OnPage != nil {
 			r.OnPage(slices.Clone(instances[before:]))
 		}
 		if page.NextPageToken == nil || *page.NextPageToken == "" {
-			r.whole = true
-			return unique(instances), pages, nil
+			r.complete = true
+			return withoutDuplicates(instances), pages, nil
 		}
 		token = *page.NextPageToken
 		if seen[token] {
@@ -113,10 +113,10 @@
 		}
 		seen[token] = true
 	}
-	return nil, 0, ErrEndlessList
+	return nil, 0, ErrTooManyPages
 }
 
-// page is one answer of the platform.
+// fetchPage is one answer of the platform.
 type page struct {
 	Instances     *[]entry `json:"instances"`
 	NextPageToken *string  `json:"nextPageToken"`
@@ -151,8 +151,8 @@
 	return instances
 }
 
-// unique keeps the first entry of each worker: one may move between pages while they are read.
-func unique(instances []workerclient.Instance) []workerclient.Instance {
+// withoutDuplicates keeps the first entry of each worker: one may move between pages while they are read.
+func withoutDuplicates(instances []workerclient.Instance) []workerclient.Instance {
 	seen := make(map[workerclient.WorkerID]bool, len(instances))
 	kept := instances[:0]
 	for _, instance := range instances {
@@ -164,39 +164,39 @@
 	return kept
 }
 
-// patientPage asks for a page; one after the first is asked for again when the platform refuses it for its rate, or leaves
+// pageWithRetries asks for a page; one after the first is asked for again when the platform refuses it for its rate, or leaves
 // it without an answer, as the pages before it need not be read anew for that.
-func (r *Reader) patientPage(ctx context.Context, token string) (page, error) {
+func (r *Reader) pageWithRetries(ctx context.Context, token string) (page, error) {
 	refusals, failures := 0, 0
 	for {
-		p, err := r.page(ctx, token)
+		p, err := r.fetchPage(ctx, token)
 		if err == nil || token == "" {
 			return p, err
 		}
-		if errors.Is(err, ErrTooManyCalls) {
+		if errors.Is(err, ErrRateLimited) {
 			refusals++
 		} else {
 			failures++
 		}
-		if refusals > refusalsPerPage || failures > failuresPerPage {
+		if refusals > maxRefusalsPerPage || failures > maxFailuresPerPage {
 			return p, err
 		}
-		sleep(ctx, jittered(r.pagePause()))
+		sleep(ctx, jittered(r.retryInterval()))
 		if ctx.Err() != nil {
 			return page{}, ctx.Err()
 		}
 	}
 }
 
-// pagePause is the time between two calls that stays within this reader's share of the rate.
-func (r *Reader) pagePause() time.Duration {
+// retryInterval is the time between two calls that stays within this reader's share of the rate.
+func (r *Reader) retryInterval() time.Duration {
 	if r.RatePerSecond <= 0 {
 		return firstBackoff
 	}
-	return max(leastPagePause, time.Duration(float64(time.Second)/(r.RatePerSecond*shareOfRate)))
+	return max(minRetryInterval, time.Duration(float64(time.Second)/(r.RatePerSecond*rateShare)))
 }
 
-func (r *Reader) page(ctx context.Context, token string) (page, error) {
+func (r *Reader) fetchPage(ctx context.Context, token string) (page, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: r.Address, Path: "/instances"}
@@ -228,7 +228,7 @@
 
 func parsePage(status int, body []byte) (page, error) {
 	if status == http.StatusTooManyRequests {
-		return page{}, ErrTooManyCalls
+		return page{}, ErrRateLimited
 	}
 	if status != http.StatusOK {
 		return page{}, fmt.Errorf("list of searchers: status %d", status)
@@ -244,7 +244,7 @@
 }
 
 func jittered(pause time.Duration) time.Duration {
-	return time.Duration(float64(pause) * (1 + jitter*(2*rand.Float64()-1)))
+	return time.Duration(float64(pause) * (1 + backoffJitter*(2*rand.Float64()-1)))
 }
 
 func sleep(ctx context.Context, pause time.Duration) {
--- a/internal/jobs/inventory/inventory_test.go
+++ b/internal/jobs/inventory/inventory_test.go
@@ -19,10 +19,10 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// given is a cluster with a number of workers and a reader of its list.
-func given(workers int, config cluster.PlatformConfig) (*cluster.Cluster, *cluster.Platform, *Reader) {
+// newTestReader is a cluster with a number of workers and a reader of its list.
+func newTestReader(workers int, config cluster.PlatformConfig) (*cluster.Cluster, *cluster.Platform, *Reader) {
 	c := cluster.New(cluster.RealClock{}, cluster.Settings{})
 	for i := range workers {
 		c.AddWorker(cluster.WorkerConfig{
@@ -39,11 +39,11 @@
 	return c, platform, &Reader{Address: platform.Address(), RatePerSecond: config.RatePerS, HTTP: client}
 }
 
-func TestRead(t *testing.T) {
+func TestReadAll(t *testing.T) {
 	convey.Convey("Given a list of several pages", t, func() {
-		c, platform, reader := given(7, cluster.PlatformConfig{PageSize: 3})
+		c, platform, reader := newTestReader(7, cluster.PlatformConfig{PageSize: 3})
 		convey.Convey("it is read whole, each page once", func() {
-			instances, pages, err := reader.Read(t.Context())
+			instances, pages, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(pages, convey.ShouldEqual, 3)
 			convey.So(platform.Calls(), convey.ShouldEqual, 3)
@@ -58,7 +58,7 @@
 		convey.Convey("a draining searcher is marked with the time it has left", func() {
 			draining := c.AddWorker(cluster.WorkerConfig{ID: "i-7"})
 			draining.Drain(time.Hour)
-			instances, _, err := reader.Read(t.Context())
+			instances, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(instances[7].Draining, convey.ShouldBeTrue)
 			convey.So(instances[7].RemainingMS, convey.ShouldBeBetween, 3_000_000, 3_600_001)
@@ -66,8 +66,8 @@
 		convey.Convey("the searchers of each page are found at once, until the first list was read whole", func() {
 			var found []int
 			reader.OnPage = func(instances []workerclient.Instance) { found = append(found, len(instances)) }
-			reader.Read(t.Context())
-			reader.Read(t.Context())
+			reader.ReadAll(t.Context())
+			reader.ReadAll(t.Context())
 			convey.So(found, convey.ShouldResemble, []int{3, 3, 1})
 		})
 		convey.Convey("a page without an answer is asked for again, and not the pages before it", func() {
@@ -80,17 +80,17 @@
 			}))
 			convey.Reset(flaky.Close)
 			reader.Address, reader.RatePerSecond = flaky.Listener.Addr().String(), 0
-			instances, _, err := reader.Read(t.Context())
+			instances, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(instances, convey.ShouldHaveLength, 7)
 			convey.So(platform.Calls(), convey.ShouldEqual, 3)
 		})
 		convey.Convey("a refused call is no list", func() {
 			platform.Fail(http.StatusTooManyRequests)
-			_, _, err := reader.Read(t.Context())
-			convey.So(err, convey.ShouldWrap, ErrTooManyCalls)
+			_, _, err := reader.ReadAll(t.Context())
+			convey.So(err, convey.ShouldWrap, ErrRateLimited)
 			platform.Fail(http.StatusInternalServerError)
-			_, _, err = reader.Read(t.Context())
+			_, _, err = reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldNotBeNil)
 		})
 	})
@@ -103,13 +103,13 @@
 		reader := &Reader{Address: server.Listener.Addr().String(), HTTP: server.Client()}
 		for _, strange := range []string{``, `{}`, `{"instances":null}`, `{"instances":[{}],"nextPageToken":"again"}`} {
 			body.Store(&strange)
-			_, _, err := reader.Read(t.Context())
+			_, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldNotBeNil)
 		}
 		convey.Convey("but entries that cannot be used are passed over, and those that come twice count once", func() {
 			odd := `{"instances":[{},{"identifier":"i-1","address":"a:1","labels":"gpu"},{"identifier":"i-1","address":"a:1"}]}`
 			body.Store(&odd)
-			instances, pages, err := reader.Read(t.Context())
+			instances, pages, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(pages, convey.ShouldEqual, 1)
 			convey.So(instances, convey.ShouldHaveLength, 1)
@@ -120,7 +120,7 @@
 
 func TestRun(t *testing.T) {
 	convey.Convey("Given a reader that runs", t, func() {
-		_, platform, reader := given(2, cluster.PlatformConfig{})
+		_, platform, reader := newTestReader(2, cluster.PlatformConfig{})
 		lists := make(chan []workerclient.Instance)
 		ctx, cancel := context.WithCancel(t.Context())
 		returned := make(chan struct{})
@@ -143,7 +143,7 @@
 			select {
 			case list := <-lists:
 				return list
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("no list")
 				return nil
 			}
@@ -182,8 +182,8 @@
 func TestSpacing(t *testing.T) {
 	convey.Convey("Reads of many pages come less often", t, func() {
 		reader := &Reader{RatePerSecond: 30}
-		convey.So(reader.spacing(time.Second, 1), convey.ShouldEqual, time.Second)
-		convey.So(reader.spacing(time.Second, 60), convey.ShouldBeBetween, 3900*time.Millisecond, 4100*time.Millisecond)
-		convey.So((&Reader{}).spacing(time.Second, 60), convey.ShouldEqual, time.Second)
+		convey.So(reader.readInterval(time.Second, 1), convey.ShouldEqual, time.Second)
+		convey.So(reader.readInterval(time.Second, 60), convey.ShouldBeBetween, 3900*time.Millisecond, 4100*time.Millisecond)
+		convey.So((&Reader{}).readInterval(time.Second, 60), convey.ShouldEqual, time.Second)
 	})
 }
--- a/internal/jobs/inventory/refusal_test.go
+++ b/internal/jobs/inventory/refusal_test.go
@@ -45,7 +45,7 @@
 	read := func(p *pages) (count int, err error) {
 		virtualtime.Test(t, func(t *testing.T) {
 			reader := Reader{Address: "platform:1", RatePerSecond: 4, HTTP: &http.Client{Transport: p}}
-			instances, _, failed := reader.Read(t.Context())
+			instances, _, failed := reader.ReadAll(t.Context())
 			count, err = len(instances), failed
 		})
 		return count, err
@@ -60,14 +60,14 @@
 	Convey("A list that breaks off for good is no list", t, func() {
 		p := &pages{count: 3, refuses: func(_ int, token string) bool { return token == "1" }}
 		count, err := read(p)
-		So(err, ShouldWrap, ErrTooManyCalls)
+		So(err, ShouldWrap, ErrRateLimited)
 		So(count, ShouldEqual, 0)
 		So(p.calls, ShouldBeLessThan, 30)
 	})
 	Convey("A refused first page is left to the next reading", t, func() {
 		p := &pages{count: 3, refuses: func(int, string) bool { return true }}
 		_, err := read(p)
-		So(err, ShouldWrap, ErrTooManyCalls)
+		So(err, ShouldWrap, ErrRateLimited)
 		So(p.calls, ShouldEqual, 1)
 	})
 }
--- a/internal/jobs/manager/again_test.go
+++ b/internal/jobs/manager/again_test.go
@@ -40,27 +40,27 @@
 	return d.Memory.Write(changes...)
 }
 
-var errNobody = errors.New("there is nobody else")
+var errNoPeers = errors.New("there is nobody else")
 
-// soleMember is a view of one.
-type soleMember struct{}
+// noPeers is a view of one.
+type noPeers struct{}
 
 // Call implements transport.Caller.
-func (soleMember) Call(context.Context, string, transport.Route, any, any) error {
-	return rpcerror.WrapNotExecuted(errNobody, 0)
+func (noPeers) Call(context.Context, string, transport.Route, any, any) error {
+	return rpcerror.WrapNotExecuted(errNoPeers, 0)
 }
 
-var _ transport.Caller = soleMember{}
+var _ transport.Caller = noPeers{}
 
-// leadAlone runs a test with a manager that leads the group as the only member, in simulated time. Its workers' list
+// withSoleLeader runs a test with a manager that leads the group as the only member, in simulated time. Its workers' list
 // has not been read.
-func leadAlone(t *testing.T, test func(m *Manager, disk *slowDisk)) {
+func withSoleLeader(t *testing.T, test func(m *Manager, disk *slowDisk)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		m := New(Config{Log: zap.NewNop()})
 		disk := &slowDisk{Memory: storage.NewMemory()}
 		view := replicaset.View{Version: 1, Members: []string{"a"}}
 		node, err := replication.NewNode(replication.Config{
-			Self: "a", Store: disk, Caller: soleMember{}, Handler: m, Log: zap.NewNop(),
+			Self: "a", Store: disk, Caller: noPeers{}, Handler: m, Log: zap.NewNop(),
 			View: func() replicaset.View { return view }, Ready: func() bool { return true },
 		})
 		if err != nil {
@@ -84,8 +84,8 @@
 	})
 }
 
-func TestCancelAgain(t *testing.T) {
-	leadAlone(t, func(m *Manager, _ *slowDisk) {
+func TestCancellationIsIdempotent(t *testing.T) {
+	withSoleLeader(t, func(m *Manager, _ *slowDisk) {
 		ctx := context.Background()
 		live, unknown := job.ID("00000000000000aa"), job.ID("00000000000000bb")
 		Convey("A cancellation tells the state that it leaves, also when it comes again", t, func() {
@@ -113,15 +113,15 @@
 	})
 }
 
-func TestDrainBeforeTheListIsRead(t *testing.T) {
-	leadAlone(t, func(m *Manager, _ *slowDisk) {
+func TestDrainBeforeTheInventoryIsRead(t *testing.T) {
+	withSoleLeader(t, func(m *Manager, _ *slowDisk) {
 		ctx := context.Background()
 		request := jobreport.DrainRequest{Group: soleGroup, Worker: "i-1", Draining: true}
 		Convey("A searcher is not called unknown before the platform's list was read", t, func() {
 			_, err := m.drain(ctx, request)
 			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
-			So(rpcerror.RetryAfter(err), ShouldEqual, noListRetry)
-			m.Inventory(nil)
+			So(rpcerror.RetryAfter(err), ShouldEqual, noInventoryRetry)
+			m.SetInventory(nil)
 			reply, err := m.drain(ctx, request)
 			So(err, ShouldBeNil)
 			So(reply.Known, ShouldBeFalse)
@@ -130,8 +130,8 @@
 }
 
 // What is asked for again is answered only once the first is durable: until then a successor may not know of it.
-func TestAgainWhileTheDiskIsStalled(t *testing.T) {
-	leadAlone(t, func(m *Manager, disk *slowDisk) {
+func TestRepeatedRequestWaitsForTheDisk(t *testing.T) {
+	withSoleLeader(t, func(m *Manager, disk *slowDisk) {
 		ctx := context.Background()
 		id := job.ID("00000000000000aa")
 		specification := job.Specification{Text: "text", Stages: []job.Stage{{Count: 1}}}
@@ -169,15 +169,15 @@
 	})
 }
 
-func TestDrainOnTopOfAVersion(t *testing.T) {
+func TestDrainOnABaseVersion(t *testing.T) {
 	Convey("Given a leader that knows of a drain from its predecessor", t, func() {
 		drained, err := msgpack.Marshal(map[string]uint64{"t": 5, "v": 1, "h": 1})
 		So(err, ShouldBeNil)
-		jobs, err := scheduler.New(scheduler.Settings{}, steady(), map[string][]byte{"d/i-1": drained})
+		jobs, err := scheduler.New(scheduler.Settings{}, currentTime(), map[string][]byte{"d/i-1": drained})
 		So(err, ShouldBeNil)
-		l := &lead{scheduler: jobs}
+		l := &leadership{scheduler: jobs}
 		order := func(draining bool, onTopOf uint64) jobreport.DrainOutcome {
-			known, outcome := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, BaseVersion: &onTopOf})
+			known, outcome := l.changeDrain(currentTime(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, BaseVersion: &onTopOf})
 			So(known, ShouldBeTrue)
 			return outcome
 		}
@@ -193,7 +193,7 @@
 		})
 		Convey("an unknown searcher stays unknown", func() {
 			version := uint64(0)
-			known, _ := l.orderDrain(steady(), jobreport.DrainRequest{Worker: "i-2", Draining: true, BaseVersion: &version})
+			known, _ := l.changeDrain(currentTime(), jobreport.DrainRequest{Worker: "i-2", Draining: true, BaseVersion: &version})
 			So(known, ShouldBeFalse)
 		})
 	})
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -28,22 +28,22 @@
 )
 
 const (
-	fleetVariable  = "PUFFINLINK_TEST_FLEET" // how many workers the test binary stands in for, as a process of its own
-	fleetService   = "s"
-	fleetTask      = time.Second            // how long each task works
-	fleetHoldMax   = 6 * time.Second        //
-	fleetSettling  = 9 * time.Second        // until all workers are held
-	fleetMeasured  = 8 * time.Second        // for which the processor time is taken
-	fleetPause     = 50 * time.Millisecond  // between two hand-ins
-	fleetTasksEach = 4                      // of a job
-	fleetListing   = time.Second            // between two lists of the platform
-	fleetPatience  = 100 * time.Millisecond // between two looks for the leadership
+	fleetVariable          = "PUFFINLINK_TEST_FLEET" // how many workers the test binary stands in for, as a process of its own
+	fleetService           = "s"
+	fleetTaskTime          = time.Second            // how long each task works
+	fleetMaxLease          = 6 * time.Second        //
+	fleetWarmUp            = 9 * time.Second        // until all workers are held
+	fleetMeasureTime       = 8 * time.Second        // for which the processor time is taken
+	submitInterval         = 50 * time.Millisecond  // between two hand-ins
+	fleetTasksEach         = 4                      // of a job
+	fleetInventoryInterval = time.Second            // between two lists of the platform
+	leadershipPollInterval = 100 * time.Millisecond // between two looks for the leadership
 )
 
 // serveFleet stands in for workers until its standard input ends; it prints the list of them.
 func serveFleet(count int) {
-	workers := cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: fleetHoldMax, Describe: func(job.TaskID, string) cluster.Profile {
-		return cluster.Profile{Duration: fleetTask, Resources: fleetNeed}
+	workers := cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: fleetMaxLease, Describe: func(job.TaskID, string) cluster.Profile {
+		return cluster.Profile{Duration: fleetTaskTime, Resources: fleetRequest}
 	}})
 	instances := make([]workerclient.Instance, 0, count)
 	for i := range count {
@@ -57,7 +57,7 @@
 	bufio.NewReader(os.Stdin).ReadByte()
 }
 
-var fleetNeed = job.Resources{Processors: 3000, MemoryMB: 6000}
+var fleetRequest = job.Resources{Processors: 3000, MemoryMB: 6000}
 
 // startFleet runs stand-ins in a process of their own, so that their processor time is not the leader's.
 func startFleet(b *testing.B, count int) []workerclient.Instance {
@@ -89,7 +89,7 @@
 		Connections: 2700, DialsPerS: 544, DialBurst: 256, PollsPerS: 600, MaxLongPolls: 600,
 	})
 	m := New(Config{
-		Settings: scheduler.Settings{RemoteFactor: 1.5, MaxLease: fleetHoldMax, StatusRetention: 5 * time.Minute},
+		Settings: scheduler.Settings{RemoteFactor: 1.5, MaxLease: fleetMaxLease, StatusRetention: 5 * time.Minute},
 		HTTP:     connections.HTTPClient(), Connections: connections, Log: zap.NewNop(),
 	})
 	node, err := replication.NewNode(replication.Config{
@@ -106,12 +106,12 @@
 	b.Cleanup(func() { cancel(); <-over; m.Stop() })
 	node.Ensure(feed.GroupOf(fleetService))
 	for leading, _ := m.Leading(); !leading; leading, _ = m.Leading() {
-		time.Sleep(fleetPatience)
+		time.Sleep(leadershipPollInterval)
 	}
 	go func() {
 		for ctx.Err() == nil {
-			m.Inventory(instances)
-			time.Sleep(fleetListing)
+			m.SetInventory(instances)
+			time.Sleep(fleetInventoryInterval)
 		}
 	}()
 	return m
@@ -124,30 +124,30 @@
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 			m := startLeader(b, startFleet(b, load.workers))
 			for b.Loop() {
-				playFleet(b, m, load.tasksPerS)
+				measureFleet(b, m, load.tasksPerS)
 			}
 		})
 	}
 }
 
-func playFleet(b *testing.B, m *Manager, tasksPerS int) {
+func measureFleet(b *testing.B, m *Manager, tasksPerS int) {
 	number := 0
 	load := func(span time.Duration) {
 		begin := time.Now()
-		for handed := 0.0; time.Since(begin) < span; time.Sleep(fleetPause) {
+		for handed := 0.0; time.Since(begin) < span; time.Sleep(submitInterval) {
 			for ; handed < time.Since(begin).Seconds()*float64(tasksPerS); handed += fleetTasksEach {
 				number++
-				handIn(b, m, number)
+				submit(b, m, number)
 			}
 		}
 	}
-	load(fleetSettling)
-	before, began, opened := used(), time.Now(), m.config.Connections.Usage().Opened
-	load(fleetMeasured)
-	b.ReportMetric(100*(used()-before).Seconds()/time.Since(began).Seconds(), "%core")
+	load(fleetWarmUp)
+	before, began, opened := processorTime(), time.Now(), m.config.Connections.Usage().Opened
+	load(fleetMeasureTime)
+	b.ReportMetric(100*(processorTime()-before).Seconds()/time.Since(began).Seconds(), "%core")
 	b.ReportMetric(float64(m.config.Connections.Usage().Open), "connections")
 	b.ReportMetric(float64(m.config.Connections.Usage().Opened-opened)/time.Since(began).Seconds(), "opened/s")
-	leadership, err := m.lead(feed.GroupOf(fleetService))
+	leadership, err := m.leadershipOf(feed.GroupOf(fleetService))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -158,16 +158,16 @@
 	b.ReportMetric(float64(summary.Ended), "ended")
 }
 
-func handIn(b *testing.B, m *Manager, number int) {
+func submit(b *testing.B, m *Manager, number int) {
 	request := jobapi.Submit{Group: feed.GroupOf(fleetService), ID: job.ID(fmt.Sprintf("%016x", number)),
 		Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, TargetLatencyMS: 250, Extension: 2},
 		Specification: job.Specification{Text: "text", Stages: []job.Stage{
-			{Count: fleetTasksEach, EstimatedDurationMS: fleetTask.Milliseconds(), Resources: fleetNeed},
+			{Count: fleetTasksEach, EstimatedDurationMS: fleetTaskTime.Milliseconds(), Resources: fleetRequest},
 		}}}
 	go m.submit(context.Background(), request)
 }
 
-func used() time.Duration {
+func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/jobs/manager/lead_test.go
+++ b/internal/jobs/manager/lead_test.go
@@ -9,13 +9,13 @@
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
 )
 
-func TestPauseOfTheLoop(t *testing.T) {
-	jobs, err := scheduler.New(scheduler.Settings{}, steady(), nil)
+func TestWakeUpsDoNotDelayTheTick(t *testing.T) {
+	jobs, err := scheduler.New(scheduler.Settings{}, currentTime(), nil)
 	Convey("A wake-up does not put the tick off", t, func() {
 		So(err, ShouldBeNil)
-		l := &lead{scheduler: jobs, ticked: time.Now().Add(-tickInterval)}
-		So(l.pause(), ShouldBeLessThanOrEqualTo, time.Millisecond)
-		l.ticked = time.Now()
-		So(l.pause(), ShouldBeBetween, tickInterval/2, tickInterval+time.Millisecond)
+		l := &leadership{scheduler: jobs, tickedAt: time.Now().Add(-tickInterval)}
+		So(l.nextWait(), ShouldBeLessThanOrEqualTo, time.Millisecond)
+		l.tickedAt = time.Now()
+		So(l.nextWait(), ShouldBeBetween, tickInterval/2, tickInterval+time.Millisecond)
 	})
 }
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -24,16 +24,16 @@
 	return jobapi.Submit{Group: testGroup, ID: id, Queue: jobapi.Queue{Route: "r", Service: "x", MaxAttempts: 1}, Specification: specification}
 }
 
-// question is one call that a leader answers.
-type question struct {
+// leaderCall is one call that a leader answers.
+type leaderCall struct {
 	name string
-	ask  func(m *Manager) error
+	call func(m *Manager) error
 }
 
-// questions are all calls that a leader answers.
-func questions() []question {
+// leaderCalls are all calls that a leader answers.
+func leaderCalls() []leaderCall {
 	ctx := context.Background()
-	return []question{
+	return []leaderCall{
 		{"submit", func(m *Manager) error { _, err := m.submit(ctx, submission(unknownJob)); return err }},
 		{"submit again", func(m *Manager) error { _, err := m.submit(ctx, submission(knownJob)); return err }},
 		{"cancel", func(m *Manager) error {
@@ -72,17 +72,17 @@
 	}
 }
 
-func TestALeaderWithoutALeaseAnswersNobody(t *testing.T) {
-	for _, question := range questions() {
-		inWorld(t, func(t *testing.T, _ *world, leader *member) {
+func TestLeaderWithoutLeaseRejectsAllCalls(t *testing.T) {
+	for _, question := range leaderCalls() {
+		withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
 			Convey("While it leads it answers: "+question.name, t, func() {
 				_, err := leader.manager.submit(context.Background(), submission(knownJob))
 				So(err, ShouldBeNil)
-				So(question.ask(leader.manager), ShouldBeNil)
+				So(question.call(leader.manager), ShouldBeNil)
 			})
 			Convey("After it stood still it begins nothing, and says so: "+question.name, t, func() {
-				leader.clock.standStill()
-				err := question.ask(leader.manager)
+				leader.clock.pause()
+				err := question.call(leader.manager)
 				So(err, ShouldNotBeNil)
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			})
@@ -90,24 +90,26 @@
 	}
 }
 
-func TestALeaderThatStandsStillWhileItReads(t *testing.T) {
-	reads := map[string]func(*Manager, reading) error{
-		"a report": func(m *Manager, look reading) error { return m.read(context.Background(), testGroup, look) },
-		"a count":  func(m *Manager, look reading) error { return m.glance(testGroup, look) },
+func TestLeaderPausedDuringARead(t *testing.T) {
+	reads := map[string]func(*Manager, schedulerReader) error{
+		"a report": func(m *Manager, look schedulerReader) error {
+			return m.readCommitted(context.Background(), testGroup, look)
+		},
+		"a count": func(m *Manager, look schedulerReader) error { return m.readCurrent(testGroup, look) },
 	}
 	for name, read := range reads {
-		inWorld(t, func(t *testing.T, _ *world, leader *member) {
+		withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
 			Convey("What it had read then is not told: "+name, t, func() {
 				So(read(leader.manager, func(scheduler.Now, *scheduler.Scheduler) {}), ShouldBeNil)
-				err := read(leader.manager, func(scheduler.Now, *scheduler.Scheduler) { leader.clock.standStill() })
+				err := read(leader.manager, func(scheduler.Now, *scheduler.Scheduler) { leader.clock.pause() })
 				So(err, ShouldNotBeNil)
 			})
 		})
 	}
 }
 
-func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, leader *member) {
+func TestRepliesAreDurable(t *testing.T) {
+	withCluster(t, func(t *testing.T, w *testCluster, leader *testNode) {
 		Convey("A leader that is cut off tells nobody of a job that only it has", t, func() {
 			w.network.Partition(leader.address, true)
 			failures := make(chan error, 2)
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	errNotLeader = errors.New("this mixer does not lead the group")
-	errEnded     = errors.New("the leadership ended before the request was durable")
+	errNotLeader       = errors.New("this mixer does not lead the group")
+	errLeadershipEnded = errors.New("the leadership ended before the request was durable")
 )
 
 // Config is what a Manager is made of.
@@ -38,63 +38,63 @@
 
 // Manager implements replication.Handler: it runs a scheduler for each group while this node leads it.
 type Manager struct {
-	config    Config
-	mu        sync.Mutex
-	leads     map[string]*lead // by group
-	instances []workerclient.Instance
-	listed    bool                                            // a whole list was read
-	found     map[workerclient.WorkerID]workerclient.Instance // on the pages read before the first whole list
-	changed   chan struct{}
+	config         Config
+	mu             sync.Mutex
+	leaderships    map[string]*leadership // by group
+	inventory      []workerclient.Instance
+	inventoryRead  bool                                            // a whole list was read
+	inventoryPages map[workerclient.WorkerID]workerclient.Instance // on the pages read before the first whole list
+	changed        chan struct{}
 }
 
 // New makes a Manager that leads nothing.
 func New(config Config) *Manager {
-	return &Manager{config: config, leads: map[string]*lead{}, found: map[workerclient.WorkerID]workerclient.Instance{}, changed: make(chan struct{})}
+	return &Manager{config: config, leaderships: map[string]*leadership{}, inventoryPages: map[workerclient.WorkerID]workerclient.Instance{}, changed: make(chan struct{})}
 }
 
 // Elected implements replication.Handler.
 func (m *Manager) Elected(term *replication.Term, state map[string][]byte) {
-	leadership, err := newLead(m.config, term, state)
+	leadership, err := newLeadership(m.config, term, state)
 	if err != nil {
 		m.config.Log.Error("state of the group cannot be read, leadership given up", zap.String("group", term.Group()), zap.Error(err))
 		term.Resign()
 		return
 	}
 	m.mu.Lock()
-	m.leads[term.Group()] = leadership
-	instances, listed := m.instances, m.listed
+	m.leaderships[term.Group()] = leadership
+	instances, listed := m.inventory, m.inventoryRead
 	if !listed {
-		instances = slices.Collect(maps.Values(m.found))
+		instances = slices.Collect(maps.Values(m.inventoryPages))
 	}
-	m.signal()
+	m.notifyChanged()
 	m.mu.Unlock()
 	own := serviceInstances(instances, term.Group())
 	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Number()))
 	if listed {
-		leadership.inventory(own)
+		leadership.setInventory(own)
 	} else if len(own) > 0 {
-		leadership.found(own)
+		leadership.addInventoryPage(own)
 	}
-	go leadership.run()
+	go leadership.loop()
 }
 
 // Deposed implements replication.Handler.
 func (m *Manager) Deposed(term *replication.Term) {
 	m.mu.Lock()
-	leadership := m.leads[term.Group()]
+	leadership := m.leaderships[term.Group()]
 	if leadership == nil || leadership.term != term {
 		m.mu.Unlock()
 		return
 	}
-	delete(m.leads, term.Group())
-	m.signal()
+	delete(m.leaderships, term.Group())
+	m.notifyChanged()
 	m.mu.Unlock()
 	leadership.close()
 	m.config.Log.Info("no longer leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Number()))
 }
 
-// signal wakes those who wait for a change of leaderships; the lock is held.
-func (m *Manager) signal() {
+// notifyChanged wakes those who wait for a change of leaderships; the lock is held.
+func (m *Manager) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -103,34 +103,34 @@
 func (m *Manager) Leading() (bool, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.leads) > 0, m.changed
+	return len(m.leaderships) > 0, m.changed
 }
 
-// Found takes a part of a list of workers that is being read, so that a leadership need not wait for all of a long list.
-func (m *Manager) Found(instances []workerclient.Instance) {
+// AddInventoryPage takes a part of a list of workers that is being read, so that a leadership need not wait for all of a long list.
+func (m *Manager) AddInventoryPage(instances []workerclient.Instance) {
 	m.mu.Lock()
-	if !m.listed {
+	if !m.inventoryRead {
 		for _, instance := range instances {
-			m.found[instance.ID] = instance
+			m.inventoryPages[instance.ID] = instance
 		}
 	}
-	leads := slices.Collect(maps.Values(m.leads))
+	leads := slices.Collect(maps.Values(m.leaderships))
 	m.mu.Unlock()
 	for _, leadership := range leads {
 		if own := serviceInstances(instances, leadership.term.Group()); len(own) > 0 {
-			leadership.found(own)
+			leadership.addInventoryPage(own)
 		}
 	}
 }
 
-// Inventory takes a whole list of workers.
-func (m *Manager) Inventory(instances []workerclient.Instance) {
+// SetInventory takes a whole list of workers.
+func (m *Manager) SetInventory(instances []workerclient.Instance) {
 	m.mu.Lock()
-	m.instances, m.listed, m.found = instances, true, nil
-	leads := slices.Collect(maps.Values(m.leads))
+	m.inventory, m.inventoryRead, m.inventoryPages = instances, true, nil
+	leads := slices.Collect(maps.Values(m.leaderships))
 	m.mu.Unlock()
 	for _, leadership := range leads {
-		leadership.inventory(serviceInstances(instances, leadership.term.Group()))
+		leadership.setInventory(serviceInstances(instances, leadership.term.Group()))
 	}
 }
 
@@ -153,10 +153,10 @@
 }
 
 // lead returns the leadership of a group. Without a lease that holds right now a request was certainly not begun.
-func (m *Manager) lead(group string) (*lead, error) {
+func (m *Manager) leadershipOf(group string) (*leadership, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	leadership := m.leads[group]
+	leadership := m.leaderships[group]
 	if leadership == nil || !leadership.term.Valid() {
 		return nil, rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
@@ -170,20 +170,20 @@
 	if err := request.Specification.Validate(); err != nil {
 		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(err, 0)
 	}
-	leadership, err := m.lead(request.Group)
+	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
 		return jobapi.Submitted{}, err
 	}
 	leadership.traceSubmit(&request)
-	return jobapi.Submitted{}, leadership.durably(ctx, func(now scheduler.Now) { leadership.scheduler.Submit(now, &request) })
+	return jobapi.Submitted{}, leadership.commit(ctx, func(now scheduler.Now) { leadership.scheduler.Submit(now, &request) })
 }
 
 func (m *Manager) cancel(ctx context.Context, request jobapi.Cancel) (reply jobapi.Cancelled, err error) {
-	leadership, err := m.lead(request.Group)
+	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
 		return reply, err
 	}
-	err = leadership.durably(ctx, func(now scheduler.Now) {
+	err = leadership.commit(ctx, func(now scheduler.Now) {
 		reply.Known = leadership.scheduler.Cancel(now, request.ID)
 		reply.State, _ = leadership.scheduler.Status(request.ID)
 	})
@@ -191,33 +191,33 @@
 }
 
 func (m *Manager) status(ctx context.Context, request jobapi.Status) (reply jobapi.StatusReply, err error) {
-	leadership, err := m.lead(request.Group)
+	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
 		return reply, err
 	}
-	err = leadership.durably(ctx, func(scheduler.Now) { reply.State, reply.Known = leadership.scheduler.Status(request.ID) })
+	err = leadership.commit(ctx, func(scheduler.Now) { reply.State, reply.Known = leadership.scheduler.Status(request.ID) })
 	return reply, err
 }
 
 func (m *Manager) pending(_ context.Context, request jobapi.Pending) (reply jobapi.PendingReply, err error) {
-	err = m.glance(request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Count = jobs.Pending(request.Route) })
+	err = m.readCurrent(request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Count = jobs.Pending(request.Route) })
 	return reply, err
 }
 
 // Stop ends all leaderships' loops; the terms themselves are resigned by replication.
 func (m *Manager) Stop() {
 	m.mu.Lock()
-	leads := m.leads
-	m.leads = map[string]*lead{}
-	m.signal()
+	leads := m.leaderships
+	m.leaderships = map[string]*leadership{}
+	m.notifyChanged()
 	m.mu.Unlock()
 	for _, leadership := range leads {
 		leadership.close()
 	}
 }
 
-// steady is the clock of leaderships.
-func steady() scheduler.Now {
+// currentTime is the clock of leaderships.
+func currentTime() scheduler.Now {
 	now := time.Now()
 	return scheduler.Now{Monotonic: now, WallMS: now.UnixMilli()}
 }
--- a/internal/jobs/manager/reports.go
+++ b/internal/jobs/manager/reports.go
@@ -14,11 +14,11 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// noListRetry is when a leader that has not read the platform's list of workers may be asked again.
-const noListRetry = 500 * time.Millisecond
+// noInventoryRetry is when a leader that has not read the platform's list of workers may be asked again.
+const noInventoryRetry = 500 * time.Millisecond
 
-// errNoList is the refusal to call a worker unknown before the platform's list was read.
-var errNoList = errors.New("the list of searchers has not been read yet")
+// errNoInventory is the refusal to call a worker unknown before the platform's list was read.
+var errNoInventory = errors.New("the list of searchers has not been read yet")
 
 // ServeReports registers the internal calls by which operators read and steer the groups that this node leads.
 func (m *Manager) ServeReports(mux *transport.Mux) {
@@ -30,29 +30,29 @@
 	transport.Handle(mux, jobreport.DrainCall, m.drain)
 }
 
-// reading is a function that only reads a scheduler.
-type reading func(now scheduler.Now, jobs *scheduler.Scheduler)
+// schedulerReader is a function that only reads a scheduler.
+type schedulerReader func(now scheduler.Now, jobs *scheduler.Scheduler)
 
-// read reads the scheduler of a group, and returns once what was seen is durable and it is certain that no other leader had
+// readCommitted reads the scheduler of a group, and returns once what was seen is durable and it is certain that no other leader had
 // been elected then: an operator's order may be refused on it.
-func (m *Manager) read(ctx context.Context, group string, read reading) error {
-	leadership, err := m.lead(group)
+func (m *Manager) readCommitted(ctx context.Context, group string, read schedulerReader) error {
+	leadership, err := m.leadershipOf(group)
 	if err != nil {
 		return err
 	}
-	return leadership.durably(ctx, func(now scheduler.Now) { read(now, leadership.scheduler) })
+	return leadership.commit(ctx, func(now scheduler.Now) { read(now, leadership.scheduler) })
 }
 
-// glance reads counts, which may not be durable yet. The lease is looked at again after that: the process may have stood
+// readCurrent reads counts, which may not be durable yet. The lease is looked at again after that: the process may have stood
 // still in between, and another leader's counts may be others.
-func (m *Manager) glance(group string, read reading) error {
-	leadership, err := m.lead(group)
+func (m *Manager) readCurrent(group string, read schedulerReader) error {
+	leadership, err := m.leadershipOf(group)
 	if err != nil {
 		return err
 	}
 	leadership.mu.Lock()
 	defer leadership.mu.Unlock()
-	read(steady(), leadership.scheduler)
+	read(currentTime(), leadership.scheduler)
 	if !leadership.term.Valid() {
 		return rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
@@ -63,7 +63,7 @@
 func (m *Manager) Summaries() map[string]jobreport.Summary {
 	summaries := map[string]jobreport.Summary{}
 	for _, group := range m.ledGroups() {
-		_ = m.glance(group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { // one that has just been lost is left out
+		_ = m.readCurrent(group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { // one that has just been lost is left out
 			summaries[group] = jobs.Summary()
 		})
 	}
@@ -73,54 +73,54 @@
 func (m *Manager) ledGroups() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	groups := make([]string, 0, len(m.leads))
-	for group := range m.leads {
+	groups := make([]string, 0, len(m.leaderships))
+	for group := range m.leaderships {
 		groups = append(groups, group)
 	}
 	return groups
 }
 
 func (m *Manager) summary(ctx context.Context, request jobreport.SummaryRequest) (reply jobreport.SummaryReply, err error) {
-	err = m.read(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Summary = jobs.Summary() })
+	err = m.readCommitted(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Summary = jobs.Summary() })
 	return reply, err
 }
 
 func (m *Manager) workers(ctx context.Context, request jobreport.WorkersRequest) (reply jobreport.WorkersReply, err error) {
-	err = m.read(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) { reply.Workers = jobs.Workers(now) })
+	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) { reply.Workers = jobs.Workers(now) })
 	return reply, err
 }
 
 func (m *Manager) jobs(ctx context.Context, request jobreport.JobsRequest) (reply jobreport.JobsReply, err error) {
 	limit := min(max(1, request.Limit), jobreport.MaxJobs)
-	err = m.read(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) {
+	err = m.readCommitted(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) {
 		reply.Jobs, reply.Total = jobs.Jobs(request.State, limit)
 	})
 	return reply, err
 }
 
 func (m *Manager) job(ctx context.Context, request jobreport.JobRequest) (reply jobreport.JobReply, err error) {
-	err = m.read(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) {
+	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) {
 		reply.Job, reply.Known = jobs.Job(now, request.ID)
 	})
 	return reply, err
 }
 
 func (m *Manager) why(ctx context.Context, request jobreport.WhyRequest) (reply jobreport.WhyReply, err error) {
-	err = m.read(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) {
+	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) {
 		reply.Why, reply.Known = jobs.Why(now, request.ID)
 	})
 	return reply, err
 }
 
-// hasList tells whether this node has read a whole list of workers.
-func (m *Manager) hasList() bool {
+// hasInventory tells whether this node has read a whole list of workers.
+func (m *Manager) hasInventory() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.listed
+	return m.inventoryRead
 }
 
-// reportDrained reports a worker, as far as it is known. The lock is held.
-func (l *lead) reportDrained(now scheduler.Now, id workerclient.WorkerID) jobreport.Worker {
+// drainReport reports a worker, as far as it is known. The lock is held.
+func (l *leadership) drainReport(now scheduler.Now, id workerclient.WorkerID) jobreport.Worker {
 	report, known := l.scheduler.Worker(now, id)
 	if !known {
 		return jobreport.Worker{
@@ -131,8 +131,8 @@
 	return report
 }
 
-// orderDrain hands an order to the scheduler. The lock is held.
-func (l *lead) orderDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
+// changeDrain hands an order to the scheduler. The lock is held.
+func (l *leadership) changeDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
 	id := workerclient.WorkerID(request.Worker)
 	if request.BaseVersion == nil {
 		return l.scheduler.SetOperatorDrain(now, id, request.Draining), jobreport.DrainTaken
@@ -143,17 +143,17 @@
 
 // drain sets or ends an operator's drain, and answers once that is durable.
 func (m *Manager) drain(ctx context.Context, request jobreport.DrainRequest) (reply jobreport.DrainReply, err error) {
-	leadership, err := m.lead(request.Group)
+	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
 		return reply, err
 	}
 	id := workerclient.WorkerID(request.Worker)
-	err = leadership.durably(ctx, func(now scheduler.Now) {
-		reply.Known, reply.Outcome = leadership.orderDrain(now, request)
-		reply.Worker = leadership.reportDrained(now, id)
+	err = leadership.commit(ctx, func(now scheduler.Now) {
+		reply.Known, reply.Outcome = leadership.changeDrain(now, request)
+		reply.Worker = leadership.drainReport(now, id)
 	})
-	if err == nil && !reply.Known && !m.hasList() {
-		return reply, rpcerror.WrapNotExecuted(errNoList, noListRetry)
+	if err == nil && !reply.Known && !m.hasInventory() {
+		return reply, rpcerror.WrapNotExecuted(errNoInventory, noInventoryRetry)
 	}
 	if err == nil && reply.Known {
 		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("searcher", request.Worker),
--- a/internal/jobs/manager/trace.go
+++ b/internal/jobs/manager/trace.go
@@ -12,18 +12,18 @@
 // The lines below follow single jobs and tasks. They are written at the level debug alone, and cost next to nothing
 // otherwise.
 
-func (l *lead) traces() bool { return l.config.Log.Core().Enabled(zapcore.DebugLevel) }
+func (l *leadership) tracing() bool { return l.config.Log.Core().Enabled(zapcore.DebugLevel) }
 
 // traceSubmit notes that a job was handed in. It may have been known.
-func (l *lead) traceSubmit(request *jobapi.Submit) {
-	if l.traces() {
+func (l *leadership) traceSubmit(request *jobapi.Submit) {
+	if l.tracing() {
 		l.config.Log.Debug("job handed in", zap.String("job", string(request.ID)), zap.String("route", request.Queue.Route))
 	}
 }
 
-// traceOrder notes an order that is about to be sent.
-func (l *lead) traceOrder(command *scheduler.Command) {
-	if !l.traces() {
+// traceCommand notes an order that is about to be sent.
+func (l *leadership) traceCommand(command *scheduler.Command) {
+	if !l.tracing() {
 		return
 	}
 	if command.Stop != nil {
@@ -35,9 +35,9 @@
 		zap.String("searcher", string(command.Worker)), zap.Uint64("epoch", l.term.Number()))
 }
 
-// traceEnds notes the ends that a worker reports.
-func (l *lead) traceEnds(report *workerclient.Listing) {
-	if !l.traces() {
+// traceCompletions notes the ends that a worker reports.
+func (l *leadership) traceCompletions(report *workerclient.Listing) {
+	if !l.tracing() {
 		return
 	}
 	for i := range report.Finished {
@@ -47,9 +47,9 @@
 	}
 }
 
-// traceJobs notes the jobs whose ends have become durable.
-func (l *lead) traceJobs(effects *scheduler.Effects) {
-	if !l.traces() {
+// traceEndedJobs notes the jobs whose ends have become durable.
+func (l *leadership) traceEndedJobs(effects *scheduler.Effects) {
+	if !l.tracing() {
 		return
 	}
 	for i := range effects.Entries {
--- a/internal/jobs/manager/trace_test.go
+++ b/internal/jobs/manager/trace_test.go
@@ -15,29 +15,29 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// trace writes one line of each kind at a level, and returns what was logged.
-func trace(level zapcore.Level) []observer.LoggedEntry {
+// traceAll writes one line of each kind at a level, and returns what was logged.
+func traceAll(level zapcore.Level) []observer.LoggedEntry {
 	core, logged := observer.New(level)
-	l := &lead{config: Config{Log: zap.New(core)}, term: &replication.Term{}}
+	l := &leadership{config: Config{Log: zap.New(core)}, term: &replication.Term{}}
 	id := job.ID("00000000000000aa")
 	task := job.TaskID{Job: id, Stage: 1, Index: 2}
 	l.traceSubmit(&jobapi.Submit{ID: id})
-	l.traceOrder(&scheduler.Command{Worker: "i-1", Start: &workerclient.StartCommand{Task: task, AttemptNumber: 1}})
-	l.traceOrder(&scheduler.Command{Worker: "i-1", Stop: &workerclient.StopCommand{Task: task, AttemptNumber: 1}})
-	l.traceEnds(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, AttemptNumber: 1, How: job.OutcomeDone}}})
+	l.traceCommand(&scheduler.Command{Worker: "i-1", Start: &workerclient.StartCommand{Task: task, AttemptNumber: 1}})
+	l.traceCommand(&scheduler.Command{Worker: "i-1", Stop: &workerclient.StopCommand{Task: task, AttemptNumber: 1}})
+	l.traceCompletions(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, AttemptNumber: 1, How: job.OutcomeDone}}})
 	jobs, err := scheduler.New(scheduler.Settings{}, scheduler.Now{}, nil)
 	So(err, ShouldBeNil)
 	jobs.Submit(scheduler.Now{}, &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
 	jobs.Cancel(scheduler.Now{}, id)
 	effects := jobs.TakeEffects()
-	l.traceJobs(&effects)
+	l.traceEndedJobs(&effects)
 	return logged.All()
 }
 
-func TestTraces(t *testing.T) {
+func TestDebugLogFollowsAJob(t *testing.T) {
 	Convey("At the level debug, a job and its tasks can be followed by their names", t, func() {
 		var texts []string
-		for _, entry := range trace(zapcore.DebugLevel) {
+		for _, entry := range traceAll(zapcore.DebugLevel) {
 			fields := entry.ContextMap()
 			for _, name := range []string{"job", "task"} {
 				if value, found := fields[name]; found {
@@ -53,5 +53,5 @@
 			"job ended 00000000000000aa",
 		})
 	})
-	Convey("At the level info nothing is written", t, func() { So(trace(zapcore.InfoLevel), ShouldBeEmpty) })
+	Convey("At the level info nothing is written", t, func() { So(traceAll(zapcore.InfoLevel), ShouldBeEmpty) })
 }
--- a/internal/jobs/manager/world_test.go
+++ b/internal/jobs/manager/world_test.go
@@ -20,43 +20,45 @@
 )
 
 const (
-	testGroup = "jobs/x"
-	standing  = 20 * time.Second // how long a process stands still
-	patience  = 10 * time.Second // virtual, for an election
+	testGroup       = "jobs/x"
+	pauseLength     = 20 * time.Second // how long a process stands still
+	electionTimeout = 10 * time.Second // virtual, for an election
 )
 
-// clock is a member's steady clock. A process that stood still wakes with a clock that is later, before any of its timers
+// pausableClock is a member's steady clock. A process that stood still wakes with a clock that is later, before any of its timers
 // has fired.
-type clock struct {
-	begin time.Time
-	stood atomic.Int64
+type pausableClock struct {
+	begin  time.Time
+	paused atomic.Int64
 }
 
 // Now implements replication.Clock.
-func (c *clock) Now() time.Duration { return time.Since(c.begin) + time.Duration(c.stood.Load()) }
+func (c *pausableClock) Now() time.Duration {
+	return time.Since(c.begin) + time.Duration(c.paused.Load())
+}
 
-func (c *clock) standStill() { c.stood.Add(int64(standing)) }
+func (c *pausableClock) pause() { c.paused.Add(int64(pauseLength)) }
 
-// member is one core node's part in the jobs.
-type member struct {
+// testNode is one core node's part in the jobs.
+type testNode struct {
 	address string
-	clock   *clock
+	clock   *pausableClock
 	manager *Manager
 	node    *replication.Node
 }
 
-// world is some core nodes on a network in memory, in virtual time.
-type world struct {
+// testCluster is some core nodes on a network in memory, in virtual time.
+type testCluster struct {
 	network *networktest.Network
-	members []*member
+	nodes   []*testNode
 	running sync.WaitGroup
 	cancel  context.CancelFunc
 }
 
-// inWorld runs a test in virtual time with three core nodes of which one leads.
-func inWorld(t *testing.T, test func(t *testing.T, w *world, leader *member)) {
+// withCluster runs a test in virtual time with three core nodes of which one leads.
+func withCluster(t *testing.T, test func(t *testing.T, w *testCluster, leader *testNode)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := &world{network: networktest.New(1)}
+		w := &testCluster{network: networktest.New(1)}
 		ctx, cancel := context.WithCancel(context.Background())
 		w.cancel = cancel
 		view := replicaset.View{Version: 1}
@@ -75,10 +77,10 @@
 	})
 }
 
-func (w *world) add(t *testing.T, ctx context.Context, address string, view replicaset.View) {
-	m := &member{address: address, clock: &clock{begin: time.Now()}}
+func (w *testCluster) add(t *testing.T, ctx context.Context, address string, view replicaset.View) {
+	m := &testNode{address: address, clock: &pausableClock{begin: time.Now()}}
 	m.manager = New(Config{Settings: scheduler.Settings{MaxLease: 6 * time.Second, StatusRetention: time.Hour}, Log: zap.NewNop()})
-	m.manager.Inventory(nil) // the platform's list was read and is empty
+	m.manager.SetInventory(nil) // the platform's list was read and is empty
 	node, err := replication.NewNode(replication.Config{
 		Self: address, Store: storage.NewMemory(), Caller: w.network.Caller(address), Handler: m.manager, Clock: m.clock,
 		View:  func() replicaset.View { return view },
@@ -88,20 +90,20 @@
 		t.Fatal(err)
 	}
 	m.node = node
-	m.manager.Inventory(nil) // the list of workers has been read
+	m.manager.SetInventory(nil) // the list of workers has been read
 	mux := transport.NewMux()
 	node.Serve(mux)
 	w.network.Serve(address, mux)
 	node.Ensure(testGroup)
 	w.running.Go(func() { node.Run(ctx) })
-	w.members = append(w.members, m)
+	w.nodes = append(w.nodes, m)
 }
 
 // awaitLeader waits for a member whose manager leads; nil if none does.
-func (w *world) awaitLeader() *member {
-	for limit := time.Now().Add(patience); time.Now().Before(limit); <-time.After(10 * time.Millisecond) {
-		for _, m := range w.members {
-			if _, err := m.manager.lead(testGroup); err == nil {
+func (w *testCluster) awaitLeader() *testNode {
+	for limit := time.Now().Add(electionTimeout); time.Now().Before(limit); <-time.After(10 * time.Millisecond) {
+		for _, m := range w.nodes {
+			if _, err := m.manager.leadershipOf(testGroup); err == nil {
 				return m
 			}
 		}
@@ -109,10 +111,10 @@
 	return nil
 }
 
-func (w *world) stop() {
+func (w *testCluster) stop() {
 	w.cancel()
 	w.running.Wait()
-	for _, m := range w.members {
+	for _, m := range w.nodes {
 		m.manager.Stop()
 	}
 }
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -10,8 +10,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// loaded is a scheduler with many workers, all of them full, and many jobs that wait.
-func loaded(workers, jobs int) (*Scheduler, Now, map[string][]byte) {
+// newLoadedScheduler is a scheduler with many workers, all of them full, and many jobs that wait.
+func newLoadedScheduler(workers, jobs int) (*Scheduler, Now, map[string][]byte) {
 	now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 	s, _ := New(Settings{RemoteFactor: 2, MaxLease: 6 * time.Second}, now, nil)
 	var instances []workerclient.Instance
@@ -37,8 +37,8 @@
 	return s, now, state
 }
 
-func BenchmarkEndUnderBacklog(b *testing.B) {
-	s, now, _ := loaded(250, 2000)
+func BenchmarkCompletionUnderBacklog(b *testing.B) {
+	s, now, _ := newLoadedScheduler(250, 2000)
 	number := uint64(0)
 	for b.Loop() {
 		worker := s.sortedWorkers[int(number)%len(s.sortedWorkers)]
@@ -59,7 +59,7 @@
 }
 
 func BenchmarkTakeoverOfBacklog(b *testing.B) {
-	previous, now, state := loaded(250, 2000)
+	previous, now, state := newLoadedScheduler(250, 2000)
 	for b.Loop() {
 		s, err := New(previous.settings, now, state)
 		if err != nil {
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -13,14 +13,14 @@
 )
 
 // steps moves a world on by so many steps.
-func (w *world) steps(count int) {
+func (w *simulation) steps(count int) {
 	for range count {
 		w.step()
 	}
 }
 
 // submitStages hands in a job with these stages; its tasks last about a second.
-func (w *world) submitStages(number int, stages ...job.Stage) job.ID {
+func (w *simulation) submitStages(number int, stages ...job.Stage) job.ID {
 	id := job.ID(fmt.Sprintf("%016x", number))
 	w.submit(&jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: id,
 		Queue:         jobapi.Queue{Route: "r", Service: "x", MaxAttempts: 3, TargetLatencyMS: 500},
@@ -29,20 +29,20 @@
 	return id
 }
 
-func small(count int) job.Stage {
+func smallStage(count int) job.Stage {
 	return job.Stage{Count: count, EstimatedDurationMS: 500, Resources: job.Resources{Processors: 1000, MemoryMB: 100}}
 }
 
-// whyOf explains the only waiting stage of a job.
-func whyOf(w *world, id job.ID) jobreport.Waiting {
+// explain explains the only waiting stage of a job.
+func explain(w *simulation, id job.ID) jobreport.Waiting {
 	why, known := w.scheduler.Why(w.clock(), id)
 	So(known, ShouldBeTrue)
 	So(len(why.Waiting), ShouldEqual, 1)
 	return why.Waiting[0]
 }
 
-// countOf is how many workers a cause rules out.
-func countOf(waiting jobreport.Waiting, cause jobreport.Cause) int {
+// excludedBy is how many workers a cause rules out.
+func excludedBy(waiting jobreport.Waiting, cause jobreport.Cause) int {
 	for _, excluded := range waiting.Excluded {
 		if excluded.Cause == cause {
 			return excluded.Count
@@ -51,111 +51,111 @@
 	return 0
 }
 
-func TestWhyJobsWait(t *testing.T) {
+func TestWhy(t *testing.T) {
 	Convey("Given nine searchers that have reported", t, func() {
-		w := newWorld(1, 9)
+		w := newSimulation(1, 9)
 		w.steps(20)
 
 		Convey("a label that nobody has rules out all", func() {
-			stage := small(2)
+			stage := smallStage(2)
 			stage.Requirements = job.Labels{"none"}
-			waiting := whyOf(w, w.submitStages(1, stage))
+			waiting := explain(w, w.submitStages(1, stage))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(waiting.Tasks, ShouldEqual, 2)
-			So(countOf(waiting, jobreport.CauseLabel), ShouldEqual, 9)
+			So(excludedBy(waiting, jobreport.CauseLabel), ShouldEqual, 9)
 		})
 		Convey("so does a request larger than any searcher", func() {
-			stage := small(1)
+			stage := smallStage(1)
 			stage.Processors = 9000
-			waiting := whyOf(w, w.submitStages(1, stage))
+			waiting := explain(w, w.submitStages(1, stage))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
-			So(countOf(waiting, jobreport.CauseSize), ShouldEqual, 9)
+			So(excludedBy(waiting, jobreport.CauseSize), ShouldEqual, 9)
 		})
 		Convey("the first causes are those that load does not change", func() {
-			w.machines[0].Draining = true
-			w.inventory()
+			w.workers[0].Draining = true
+			w.sendInventory()
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
 			w.scheduler.SetReachable(w.clock(), "s02", false)
-			stage := small(1)
+			stage := smallStage(1)
 			stage.Requirements = job.Labels{"none"}
 			w.submitStages(1, stage)
 			stage.Requirements, stage.Processors = nil, 8001
-			waiting := whyOf(w, w.submitStages(2, stage))
-			So(countOf(waiting, jobreport.CauseSize), ShouldEqual, 9)
+			waiting := explain(w, w.submitStages(2, stage))
+			So(excludedBy(waiting, jobreport.CauseSize), ShouldEqual, 9)
 			stage.Processors = 1000
 			stage.Requirements = job.Labels{"a"} // of even numbers
 			stage.Count = 200
-			waiting = whyOf(w, w.submitStages(3, stage))
-			So(countOf(waiting, jobreport.CauseLabel), ShouldEqual, 4)
-			So(countOf(waiting, jobreport.CauseDraining), ShouldEqual, 1)
-			So(countOf(waiting, jobreport.CauseUnreachable), ShouldEqual, 1)
-			So(countOf(waiting, jobreport.CauseWindow), ShouldEqual, 3)
+			waiting = explain(w, w.submitStages(3, stage))
+			So(excludedBy(waiting, jobreport.CauseLabel), ShouldEqual, 4)
+			So(excludedBy(waiting, jobreport.CauseDraining), ShouldEqual, 1)
+			So(excludedBy(waiting, jobreport.CauseUnreachable), ShouldEqual, 1)
+			So(excludedBy(waiting, jobreport.CauseWindow), ShouldEqual, 3)
 			stage.Requirements = job.Labels{"b"}
-			waiting = whyOf(w, w.submitStages(4, stage))
-			So(countOf(waiting, jobreport.CauseOperatorDraining), ShouldEqual, 1)
+			waiting = explain(w, w.submitStages(4, stage))
+			So(excludedBy(waiting, jobreport.CauseOperatorDraining), ShouldEqual, 1)
 		})
 		Convey("a task that fits nowhere at the moment waits for room", func() {
-			whole := small(9)
+			whole := smallStage(9)
 			whole.Processors = 8000
 			w.submitStages(1, whole)
-			waiting := whyOf(w, w.submitStages(2, small(1)))
+			waiting := explain(w, w.submitStages(2, smallStage(1)))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
-			So(countOf(waiting, jobreport.CauseCapacity), ShouldEqual, 9)
+			So(excludedBy(waiting, jobreport.CauseCapacity), ShouldEqual, 9)
 			So(len(waiting.Excluded[0].Workers), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("antiAffinity rules out searchers that have a task of the stage", func() {
-			stage := small(12)
+			stage := smallStage(12)
 			stage.AntiAffinity = 1
-			waiting := whyOf(w, w.submitStages(1, stage))
+			waiting := explain(w, w.submitStages(1, stage))
 			So(waiting.Tasks, ShouldEqual, 3)
-			So(countOf(waiting, jobreport.CauseAntiAffinity), ShouldEqual, 9)
+			So(excludedBy(waiting, jobreport.CauseAntiAffinity), ShouldEqual, 9)
 		})
 		Convey("a later stage waits for the earlier one", func() {
-			second := small(2)
+			second := smallStage(2)
 			second.DependsOn = []int{0}
-			waiting := whyOf(w, w.submitStages(1, small(1), second))
+			waiting := explain(w, w.submitStages(1, smallStage(1), second))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonDependsOn)
 			So(waiting.Stage, ShouldEqual, 1)
 			So(waiting.DependsOn, ShouldResemble, []int{0})
 		})
 		Convey("a gang waits until there is room for all of it", func() {
-			gang := small(10)
+			gang := smallStage(10)
 			gang.GangScheduled, gang.Processors = true, 8000
-			waiting := whyOf(w, w.submitStages(1, gang))
+			waiting := explain(w, w.submitStages(1, gang))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangCapacity)
 			So(len(waiting.Open), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
 			facts := &jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
-				Specification: job.Specification{Stages: []job.Stage{small(1)}, Repetitions: 2, FirstRunMS: w.clock().WallMS + 60_000, IntervalMS: 1000}}}
+				Specification: job.Specification{Stages: []job.Stage{smallStage(1)}, Repetitions: 2, FirstRunMS: w.clock().WallMS + 60_000, IntervalMS: 1000}}}
 			w.submit(facts)
-			waiting := whyOf(w, facts.request.ID)
+			waiting := explain(w, facts.request.ID)
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNotDue)
 			So(waiting.DueMS, ShouldEqual, facts.request.Specification.FirstRunMS)
 		})
 		Convey("a searcher rests after it called itself unhealthy, and takes nothing beside runs that nobody wants", func() {
-			id := w.submitStages(1, small(1))
+			id := w.submitStages(1, smallStage(1))
 			report, _ := w.scheduler.Job(w.clock(), id)
 			unhealthy := workerclient.WorkerID(report.Attempts[0].Worker)
 			unwanted := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, AttemptNumber: 1}}
-			for _, m := range w.machines {
+			for _, m := range w.workers {
 				if m.ID != unhealthy {
 					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, Running: unwanted})
 				}
 			}
 			command := workerclient.StartCommand{Task: job.TaskID{Job: id}, AttemptNumber: 1}
 			w.scheduler.HandleStartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Command: command, Outcome: workerclient.RejectedUnhealthy, At: w.clock().Monotonic})
-			waiting := whyOf(w, id)
+			waiting := explain(w, id)
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonBackoff)
-			So(countOf(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
-			So(countOf(waiting, jobreport.CauseBackoff), ShouldEqual, 1)
+			So(excludedBy(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
+			So(excludedBy(waiting, jobreport.CauseBackoff), ShouldEqual, 1)
 			resting, _ := w.scheduler.Worker(w.clock(), unhealthy)
 			So(resting.State, ShouldEqual, jobreport.WorkerBackoff)
 		})
 		Convey("an unknown job has no answer, and one that has ended waits for nothing", func() {
 			_, known := w.scheduler.Why(w.clock(), "ffffffffffffffff")
 			So(known, ShouldBeFalse)
-			id := w.submitStages(1, small(1))
+			id := w.submitStages(1, smallStage(1))
 			w.scheduler.Cancel(w.clock(), id)
 			why, known := w.scheduler.Why(w.clock(), id)
 			So(known, ShouldBeTrue)
@@ -164,19 +164,19 @@
 		})
 	})
 	Convey("Before a searcher has confirmed the fencing token it takes nothing", t, func() {
-		w := newWorld(1, 2)
-		for _, m := range w.machines {
+		w := newSimulation(1, 2)
+		for _, m := range w.workers {
 			w.scheduler.SetReachable(w.clock(), m.ID, true)
 		}
-		waiting := whyOf(w, w.submitStages(1, small(1)))
-		So(countOf(waiting, jobreport.CauseNotFenced), ShouldEqual, 2)
+		waiting := explain(w, w.submitStages(1, smallStage(1)))
+		So(excludedBy(waiting, jobreport.CauseNotFenced), ShouldEqual, 2)
 	})
 }
 
-// TestWhyAgreesWithDecisions compares, all along a busy day, the explanation with what a dispatch decides.
-func TestWhyAgreesWithDecisions(t *testing.T) {
+// TestWhyAgreesWithDispatch compares, all along a busy day, the explanation with what a dispatch decides.
+func TestWhyAgreesWithDispatch(t *testing.T) {
 	compared, other := 0, 0
-	compare := func(w *world, step int) {
+	compare := func(w *simulation, step int) {
 		if step%25 != 0 {
 			return
 		}
@@ -194,7 +194,7 @@
 			}
 		}
 	}
-	play(3, 200, compare, cuts, crashes, drains, lateOrders)
+	simulate(3, 200, compare, partitions, crashes, drains, lateCommands)
 	if compared == 0 || other > 0 {
 		t.Fatalf("%d compared, %d of them without a named cause", compared, other)
 	}
@@ -202,11 +202,11 @@
 
 func TestReports(t *testing.T) {
 	Convey("Given a job with a stage done, one running and one ahead", t, func() {
-		w := newWorld(1, 3)
+		w := newSimulation(1, 3)
 		w.steps(20)
-		second, third := small(2), small(1)
+		second, third := smallStage(2), smallStage(1)
 		second.DependsOn, second.LongRunning, third.DependsOn = []int{0}, true, []int{1}
-		id := w.submitStages(1, small(1), second, third)
+		id := w.submitStages(1, smallStage(1), second, third)
 		w.steps(150)
 
 		Convey("the job's report counts its tasks and lists its runs", func() {
@@ -232,9 +232,9 @@
 		})
 		Convey("lists are filtered, sorted and bounded", func() {
 			for number := 2; number <= 5; number++ {
-				w.submitStages(number, small(1))
+				w.submitStages(number, smallStage(1))
 			}
-			cancelled := w.submitStages(6, small(1))
+			cancelled := w.submitStages(6, smallStage(1))
 			w.scheduler.Cancel(w.clock(), cancelled)
 			all, total := w.scheduler.Jobs("", 100)
 			So(total, ShouldEqual, 6)
@@ -248,8 +248,8 @@
 			So(ended[0].State, ShouldEqual, job.Cancelled)
 		})
 		Convey("failed runs are listed", func() {
-			w.machines[0].failing, w.machines[1].failing, w.machines[2].failing = true, true, true
-			facts := w.submitStages(7, small(1))
+			w.workers[0].failing, w.workers[1].failing, w.workers[2].failing = true, true, true
+			facts := w.submitStages(7, smallStage(1))
 			found := false
 			for range 100 {
 				w.step()
@@ -263,10 +263,10 @@
 
 func TestReportsAreBounded(t *testing.T) {
 	Convey("A very large job's report is cut off and says so", t, func() {
-		w := newWorld(1, 3)
+		w := newSimulation(1, 3)
 		stages := make([]job.Stage, maxReportDetails+1)
 		for i := range stages {
-			stages[i] = small(1)
+			stages[i] = smallStage(1)
 			stages[i].Requirements = job.Labels{"none"}
 		}
 		id := w.submitStages(1, stages...)
@@ -279,9 +279,9 @@
 	})
 }
 
-// startsAt counts the runs that machines have under way, and those of one of them.
-func startsAt(w *world, id workerclient.WorkerID) (there, all int) {
-	for _, m := range w.machines {
+// countRunning counts the runs that machines have under way, and those of one of them.
+func countRunning(w *simulation, id workerclient.WorkerID) (there, all int) {
+	for _, m := range w.workers {
 		all += len(m.running)
 		if m.ID == id {
 			there = len(m.running)
@@ -292,18 +292,18 @@
 
 func TestOperatorDrain(t *testing.T) {
 	Convey("Given searchers, of which an operator drains one", t, func() {
-		w := newWorld(1, 3)
+		w := newSimulation(1, 3)
 		w.steps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 		w.propose()
 		w.steps(5)
-		stage := small(6)
+		stage := smallStage(6)
 		stage.LongRunning = true
 
 		Convey("it gets no starts, and the others do", func() {
 			w.submitStages(1, stage)
 			w.steps(50)
-			there, all := startsAt(w, "s00")
+			there, all := countRunning(w, "s00")
 			So(there, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 			report, _ := w.scheduler.Worker(w.clock(), "s00")
@@ -314,7 +314,7 @@
 			w.steps(20)
 			w.submitStages(1, stage)
 			w.steps(50)
-			there, all := startsAt(w, "s00")
+			there, all := countRunning(w, "s00")
 			So(there, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
@@ -329,7 +329,7 @@
 			w.steps(20)
 			w.submitStages(1, stage)
 			w.steps(50)
-			there, _ := startsAt(w, "s00")
+			there, _ := countRunning(w, "s00")
 			So(there, ShouldBeGreaterThan, 0)
 		})
 		Convey("tasks that waited for it wait for others", func() {
@@ -352,9 +352,9 @@
 		})
 		Convey("the record goes with the searcher's life", func() {
 			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
-			w.crash(w.machines[0], "s00+")
+			w.crash(w.workers[0], "s00+")
 			w.steps(100)
-			w.inventory()
+			w.sendInventory()
 			w.steps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
@@ -363,17 +363,17 @@
 			w.propose()
 			w.steps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
-			w.crash(w.machines[0], "s00+")
+			w.crash(w.workers[0], "s00+")
 			w.steps(100)
-			w.inventory()
+			w.sendInventory()
 			w.steps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
 		Convey("and also where the life ended while nobody led", func() {
-			w.machines[0].up = false
+			w.workers[0].up = false
 			w.elect()
 			for range maxMissedInventories {
-				w.inventory()
+				w.sendInventory()
 			}
 			w.steps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
@@ -383,12 +383,12 @@
 			w.steps(50)
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
 			w.propose()
-			before, _ := startsAt(w, "s01")
+			before, _ := countRunning(w, "s01")
 			w.steps(100)
-			after, _ := startsAt(w, "s01")
+			after, _ := countRunning(w, "s01")
 			So(after, ShouldEqual, before)
 			So(before, ShouldBeGreaterThan, 0)
 		})
-		So(w.broken, ShouldBeEmpty)
+		So(w.violations, ShouldBeEmpty)
 	})
 }
--- a/internal/jobs/scheduler/faults_test.go
+++ b/internal/jobs/scheduler/faults_test.go
@@ -11,16 +11,16 @@
 )
 
 // fault is what happens to a world at a moment, besides jobs.
-type fault func(w *world, step int)
+type fault func(w *simulation, step int)
 
 const (
 	arrivalSteps = 500  // of 20 ms, in which jobs arrive
 	endSteps     = 4000 // by then everything must have ended
 )
 
-// play lets jobs arrive under troubles and then waits for the end of all of them.
-func play(seed uint64, jobs int, faults ...fault) *world {
-	w := newWorld(seed, 9)
+// simulate lets jobs arrive under troubles and then waits for the end of all of them.
+func simulate(seed uint64, jobs int, faults ...fault) *simulation {
+	w := newSimulation(seed, 9)
 	sent := 0
 	for step := range endSteps {
 		if step < arrivalSteps {
@@ -33,16 +33,16 @@
 			}
 		}
 		w.step()
-		if step > arrivalSteps && len(w.scheduler.jobs) == 0 && len(w.flight) == 0 {
+		if step > arrivalSteps && len(w.scheduler.jobs) == 0 && len(w.inFlight) == 0 {
 			break
 		}
 	}
 	return w
 }
 
-// verdicts lists the broken promises, with the jobs that did not end as they should.
-func (w *world) verdicts() []string {
-	broken := w.broken
+// check lists the broken promises, with the jobs that did not end as they should.
+func (w *simulation) check() []string {
+	broken := w.violations
 	for id, facts := range w.jobs {
 		state, known := w.scheduler.Status(id)
 		want := job.Completed
@@ -52,7 +52,7 @@
 		if known && (state == want || state == job.Cancelled && facts.cancelledAt > 0) {
 			continue
 		}
-		if state == job.Failed && w.excusesFailure() {
+		if state == job.Failed && w.hasFailingWorker() {
 			continue
 		}
 		broken = append(broken, fmt.Sprintf("job %s is %q, want %q", id, state, want))
@@ -60,8 +60,8 @@
 	return broken
 }
 
-func (w *world) excusesFailure() bool {
-	for _, m := range w.machines {
+func (w *simulation) hasFailingWorker() bool {
+	for _, m := range w.workers {
 		if m.failing {
 			return true
 		}
@@ -69,28 +69,28 @@
 	return false
 }
 
-func takeovers(w *world, step int) {
+func takeovers(w *simulation, step int) {
 	if w.random.IntN(100) == 0 {
 		w.elect()
 	}
 }
 
-func lateOrders(w *world, step int) { w.lateShare = 0.08 }
+func lateCommands(w *simulation, step int) { w.lateShare = 0.08 }
 
-func crashes(w *world, step int) {
-	if m := w.machines[w.random.IntN(len(w.machines))]; w.random.IntN(80) == 0 && m.up {
+func crashes(w *simulation, step int) {
+	if m := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(80) == 0 && m.up {
 		w.crash(m, fmt.Sprintf("%s+", m.ID))
 	}
 }
 
-func cuts(w *world, step int) {
-	if m := w.machines[w.random.IntN(len(w.machines))]; w.random.IntN(60) == 0 && m.up && !m.cut {
-		m.cut = true
-		w.after(time.Duration(1+w.random.IntN(9))*time.Second, func() { m.cut = false })
+func partitions(w *simulation, step int) {
+	if m := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(60) == 0 && m.up && !m.partitioned {
+		m.partitioned = true
+		w.after(time.Duration(1+w.random.IntN(9))*time.Second, func() { m.partitioned = false })
 	}
 }
 
-func cancels(w *world, step int) {
+func cancels(w *simulation, step int) {
 	if w.random.IntN(20) != 0 {
 		return
 	}
@@ -100,29 +100,29 @@
 	}
 }
 
-func failures(w *world, step int) {
+func failures(w *simulation, step int) {
 	if step == 100 {
-		w.machines[2].failing = true
+		w.workers[2].failing = true
 	}
 }
 
-func stalls(w *world, step int) {
+func stalls(w *simulation, step int) {
 	if w.random.IntN(50) != 0 {
 		return
 	}
-	for _, run := range w.machines[w.random.IntN(len(w.machines))].running {
+	for _, run := range w.workers[w.random.IntN(len(w.workers))].running {
 		run.stuck = true
 	}
 }
 
-func drains(w *world, step int) {
+func drains(w *simulation, step int) {
 	if step == 150 {
-		w.machines[1].Draining = true
-		w.inventory()
+		w.workers[1].Draining = true
+		w.sendInventory()
 		w.after(4*time.Second, func() {
-			w.machines[1].up = false
-			w.inventory()
-			w.scheduler.RemoveWorker(w.clock(), w.machines[1].ID)
+			w.workers[1].up = false
+			w.sendInventory()
+			w.scheduler.RemoveWorker(w.clock(), w.workers[1].ID)
 			w.propose()
 		})
 	}
@@ -135,23 +135,23 @@
 	}{
 		{"calm", nil},
 		{"takeovers", []fault{takeovers}},
-		{"late orders", []fault{lateOrders}},
+		{"late orders", []fault{lateCommands}},
 		{"crashes", []fault{crashes}},
-		{"cuts", []fault{cuts}},
+		{"cuts", []fault{partitions}},
 		{"cancels", []fault{cancels}},
 		{"failures", []fault{failures}},
 		{"stalls", []fault{stalls}},
 		{"drains", []fault{drains}},
-		{"late orders and takeovers", []fault{lateOrders, takeovers}},
-		{"cuts and takeovers", []fault{cuts, takeovers}},
-		{"everything", []fault{takeovers, lateOrders, crashes, cuts, cancels, stalls, drains}},
+		{"late orders and takeovers", []fault{lateCommands, takeovers}},
+		{"cuts and takeovers", []fault{partitions, takeovers}},
+		{"everything", []fault{takeovers, lateCommands, crashes, partitions, cancels, stalls, drains}},
 	}
 	const seeds = 20
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				w := play(seed, 60, c.faults...)
-				if broken := w.verdicts(); len(broken) > 0 {
+				w := simulate(seed, 60, c.faults...)
+				if broken := w.check(); len(broken) > 0 {
 					t.Fatalf("seed %d: %d broken, first %q", seed, len(broken), broken[:min(len(broken), 5)])
 				}
 			}
@@ -161,16 +161,16 @@
 
 func TestSameEventsSameEffects(t *testing.T) {
 	Convey("Two plays of one seed end in the same durable state", t, func() {
-		first := play(7, 40, takeovers, cuts)
-		second := play(7, 40, takeovers, cuts)
+		first := simulate(7, 40, takeovers, partitions)
+		second := simulate(7, 40, takeovers, partitions)
 		So(second.durable, ShouldResemble, first.durable)
 	})
 }
 
-func TestForgottenRecordsAreSeen(t *testing.T) {
+func TestCheckerDetectsLostRecords(t *testing.T) {
 	Convey("A state that is not kept breaks promises, and the judge sees it", t, func() {
-		w := newWorld(1, 9)
-		w.lostRecord = true
+		w := newSimulation(1, 9)
+		w.dropRecords = true
 		for number := range 20 {
 			w.submit(w.randomJob(number + 1))
 		}
@@ -184,6 +184,6 @@
 			}
 			w.step()
 		}
-		So(len(w.broken), ShouldBeGreaterThan, 0)
+		So(len(w.violations), ShouldBeGreaterThan, 0)
 	})
 }
--- a/internal/jobs/scheduler/inventory_test.go
+++ b/internal/jobs/scheduler/inventory_test.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-func TestFoundWorkers(t *testing.T) {
+func TestInventoryPagesAddWorkers(t *testing.T) {
 	convey.Convey("Given a list that is read page by page", t, func() {
 		now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 		s, err := New(Settings{MaxLease: 6 * time.Second}, now, nil)
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestNextDueIsKept(t *testing.T) {
+func TestNextDueTimeIsTheEarliest(t *testing.T) {
 	convey.Convey("The next due time is that of the earliest job that waits for one", t, func() {
 		now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 		s, err := New(Settings{MaxLease: 6 * time.Second}, now, nil)
--- a/internal/jobs/scheduler/jobs_test.go
+++ b/internal/jobs/scheduler/jobs_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-func TestAnEndedJobIsKeptByBothClocks(t *testing.T) {
+func TestEndedJobIsRetainedByBothClocks(t *testing.T) {
 	const kept = time.Minute
 	settings := Settings{StatusRetention: kept, MaxLease: time.Second}
 	id := job.ID("00000000000000aa")
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -10,9 +10,9 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-func TestOperatorDrainAgainUnderASuccessor(t *testing.T) {
+func TestRepeatedOperatorDrainUnderASuccessor(t *testing.T) {
 	Convey("Given a drain that was taken, and a successor that has not seen the searcher yet", t, func() {
-		w := newWorld(1, 3)
+		w := newSimulation(1, 3)
 		w.steps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 		w.propose()
@@ -45,11 +45,11 @@
 	})
 }
 
-func TestDrainOrdersOnTopOfVersions(t *testing.T) {
+func TestOperatorDrainVersions(t *testing.T) {
 	drain := func(version uint64) DrainChange { return DrainChange{Draining: true, BaseVersion: version} }
 	undrain := func(version uint64) DrainChange { return DrainChange{BaseVersion: version} }
 	Convey("Given a searcher that nobody has drained", t, func() {
-		w := newWorld(1, 3)
+		w := newSimulation(1, 3)
 		w.steps(20)
 		order := func(change DrainChange) jobreport.DrainOutcome {
 			return w.scheduler.ChangeOperatorDrain(w.clock(), "s00", change)
--- a/internal/jobs/scheduler/operatorreports.go
+++ b/internal/jobs/scheduler/operatorreports.go
@@ -62,7 +62,7 @@
 	return jobreport.Worker{
 		ID: string(worker.ID), Service: worker.Service, Address: worker.Address, Zone: worker.Zone, Version: worker.Version,
 		Rack: worker.rack, Labels: worker.Labels,
-		State: s.workerState(now, worker), Reachable: worker.reachable,
+		State: s.reportedState(now, worker), Reachable: worker.reachable,
 		Draining: worker.Draining, OperatorDraining: s.operatorDrains.isDraining(worker.ID), DrainVersion: s.DrainVersion(worker.ID), RemainingMS: worker.RemainingMS,
 		Window: int(worker.window), LatencyMS: worker.latencyMS, FailureRate: worker.failureRate,
 		Attempts: len(worker.attempts), WaitingTasks: worker.boundTasks, Orphans: len(worker.orphans),
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *Scheduler) workerState(now Now, worker *workerState) jobreport.WorkerState {
+func (s *Scheduler) reportedState(now Now, worker *workerState) jobreport.WorkerState {
 	switch {
 	case !worker.reachable:
 		return jobreport.WorkerUnreachable
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -14,26 +14,26 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// modelCandidate is a repetition that waits, as modelOrder sees it.
-type modelCandidate struct {
-	level  int
-	job    *jobState
-	stages []*stageState
-	parts  map[*workerState]int
-	size   int
+// referenceCandidate is a repetition that waits, as referenceOrder sees it.
+type referenceCandidate struct {
+	level   int
+	job     *jobState
+	stages  []*stageState
+	subjobs map[*workerState]int
+	size    int
 }
 
-// modelOrder works out the order of the stages that wait from nothing but the state of the scheduler.
-func modelOrder(s *Scheduler, now Now) []*stageState {
-	var all []*modelCandidate
-	of := map[*repetitionState]*modelCandidate{}
+// referenceOrder works out the order of the stages that wait from nothing but the state of the scheduler.
+func referenceOrder(s *Scheduler, now Now) []*stageState {
+	var all []*referenceCandidate
+	of := map[*repetitionState]*referenceCandidate{}
 	for _, stage := range s.waitingStages {
 		if len(stage.waiting) == 0 {
 			continue
 		}
 		c := of[stage.repetition]
 		if c == nil {
-			c = &modelCandidate{level: stage.repetition.orderingLevel(now, stage.job), job: stage.job, parts: map[*workerState]int{}}
+			c = &referenceCandidate{level: stage.repetition.orderingLevel(now, stage.job), job: stage.job, subjobs: map[*workerState]int{}}
 			of[stage.repetition] = c
 			all = append(all, c)
 		}
@@ -41,11 +41,11 @@
 		c.size += len(stage.waiting)
 		for _, task := range stage.waiting {
 			if task.boundTo != nil {
-				c.parts[task.boundTo]++
+				c.subjobs[task.boundTo]++
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b *modelCandidate) int {
+	slices.SortFunc(all, func(a, b *referenceCandidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.job.Arrival, b.job.Arrival))
 	})
 	queues := map[*workerState]float64{}
@@ -55,30 +55,30 @@
 	var order []*stageState
 	for len(all) > 0 {
 		level := all
-		if end := slices.IndexFunc(all, func(c *modelCandidate) bool { return c.level != all[0].level }); end > 0 {
+		if end := slices.IndexFunc(all, func(c *referenceCandidate) bool { return c.level != all[0].level }); end > 0 {
 			level = all[:end]
 		}
 		all = all[len(level):]
-		order = append(order, modelRank(s, queues, level)...)
+		order = append(order, referenceRank(s, queues, level)...)
 	}
 	return order
 }
 
-func modelRank(s *Scheduler, queues map[*workerState]float64, level []*modelCandidate) []*stageState {
+func referenceRank(s *Scheduler, queues map[*workerState]float64, level []*referenceCandidate) []*stageState {
 	var order []*stageState
 	left, rest := slices.Clone(level[:min(len(level), maxRanked)]), level[min(len(level), maxRanked):]
 	for len(left) > 0 {
 		best, bestSpan := 0, math.Inf(1)
 		for i, c := range left {
 			span := 0.0
-			for at, size := range c.parts {
+			for at, size := range c.subjobs {
 				span = max(span, (queues[at]+float64(size))*s.latencyMS(c.job, at))
 			}
 			if span < bestSpan || span == bestSpan && c.size < left[best].size {
 				best, bestSpan = i, span
 			}
 		}
-		for at, size := range left[best].parts {
+		for at, size := range left[best].subjobs {
 			queues[at] += float64(size)
 		}
 		order = append(order, left[best].stages...)
@@ -90,8 +90,8 @@
 	return order
 }
 
-// endSome ends some runs at workers, so that room, queues and latencies change.
-func endSome(s *Scheduler, now Now, round int) {
+// completeSome ends some runs at workers, so that room, queues and latencies change.
+func completeSome(s *Scheduler, now Now, round int) {
 	for i, worker := range s.sortedWorkers {
 		if (i+round)%3 != 0 {
 			continue
@@ -108,15 +108,15 @@
 	}
 }
 
-func TestOrderOfABacklog(t *testing.T) {
+func TestQueueOrderMatchesReference(t *testing.T) {
 	Convey("Under a backlog the stages that wait are ordered as by an ordering from scratch", t, func() {
-		s, now, _ := loaded(30, 600)
+		s, now, _ := newLoadedScheduler(30, 600)
 		for round := range 20 {
-			endSome(s, now, round)
+			completeSome(s, now, round)
 			now.WallMS += 400 // jobs become late, and worthless
 			now.Monotonic = now.Monotonic.Add(400e6)
 			s.orderStale = true
-			want := modelOrder(s, now)
+			want := referenceOrder(s, now)
 			s.orderQueue(now)
 			So(len(s.waitingStages), ShouldBeGreaterThan, maxRanked)
 			So(slices.Equal(s.waitingStages, want), ShouldBeTrue)
@@ -126,7 +126,7 @@
 	})
 	Convey("An ordering takes no memory for each job that waits", t, func() {
 		const jobs = 1000
-		s, now, _ := loaded(30, jobs)
+		s, now, _ := newLoadedScheduler(30, jobs)
 		So(len(s.waitingStages), ShouldBeGreaterThan, jobs/2)
 		allocated := testing.AllocsPerRun(5, func() {
 			s.orderStale = true
@@ -136,8 +136,8 @@
 	})
 }
 
-func TestDispatchLooksAtNoOtherWorker(t *testing.T) {
-	s, now, _ := loaded(30, 0)
+func TestDispatchChecksBoundWorkerFirst(t *testing.T) {
+	s, now, _ := newLoadedScheduler(30, 0)
 	submit := func(number, count int) {
 		s.Submit(now, &jobapi.Submit{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3},
 			Specification: job.Specification{Text: "t", Stages: []job.Stage{{Count: count, EstimatedDurationMS: 1000,
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -13,69 +13,69 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// world plays workers, a replicated state and a leadership that may be replaced, in virtual time, and judges every
+// simulation plays workers, a replicated state and a leadership that may be replaced, in virtual time, and judges every
 // start against the promises that jobs have. It knows nothing of the scheduler's state.
-type world struct {
-	random    *rand.Rand
-	settings  Settings
-	begin     time.Time
-	now       time.Duration
-	scheduler *Scheduler
-	epoch     uint64
-	durable   map[string][]byte
-	flight    []batch // proposed, not durable yet
-	machines  []*machine
-	events    []timed // what arrives later
-	tasks     map[job.TaskID]*taskFacts
-	jobs      map[job.ID]*jobFacts
-	broken    []string
-
-	lateShare  float64 // of starts that get no answer and are carried out late
-	lostRecord bool    // mutant: records are not kept
-}
-
-type batch struct {
+type simulation struct {
+	random     *rand.Rand
+	settings   Settings
+	startTime  time.Time
+	elapsed    time.Duration
+	scheduler  *Scheduler
+	epoch      uint64
+	durable    map[string][]byte
+	inFlight   []proposal // proposed, not durable yet
+	workers    []*simulatedWorker
+	events     []timedEvent // what arrives later
+	tasks      map[job.TaskID]*taskFacts
+	jobs       map[job.ID]*jobFacts
+	violations []string
+
+	lateShare   float64 // of starts that get no answer and are carried out late
+	dropRecords bool    // mutant: records are not kept
+}
+
+type proposal struct {
 	at      time.Duration
 	effects Effects
 }
 
-type timed struct {
+type timedEvent struct {
 	at time.Duration
 	do func()
 }
 
 // machine is one life of a worker.
-type machine struct {
+type simulatedWorker struct {
 	workerclient.Instance
-	fence     uint64
-	running   map[job.TaskID]*execution
-	ends      []workerclient.FinishedTask
-	lastSeen  uint64
-	closed    map[job.TaskID]uint64 // highest run that was stopped or has ended here
-	holdUntil time.Duration
-	cut       bool
-	up        bool
-	listedAt  time.Duration
-	grantedBy time.Duration // when everything granted has lapsed, as the leader knows
-	failing   bool
-	told      bool   // the scheduler knows whether it is reachable
-	fenced    uint64 // epoch whose leader has had a report
-}
-
-type execution struct {
-	number uint64
-	ends   time.Duration
-	how    job.Outcome
-	began  time.Duration
-	length time.Duration
-	stuck  bool
+	fencingToken      uint64
+	running           map[job.TaskID]*simulatedAttempt
+	completions       []workerclient.FinishedTask
+	acknowledged      uint64
+	closedAttempts    map[job.TaskID]uint64 // highest run that was stopped or has ended here
+	leaseEnd          time.Duration
+	partitioned       bool
+	up                bool
+	reportedAt        time.Duration
+	grantedUntil      time.Duration // when everything granted has lapsed, as the leader knows
+	failing           bool
+	reachabilityKnown bool   // the scheduler knows whether it is reachable
+	reportedEpoch     uint64 // epoch whose leader has had a report
+}
+
+type simulatedAttempt struct {
+	number    uint64
+	endsAt    time.Duration
+	outcome   job.Outcome
+	startedAt time.Duration
+	length    time.Duration
+	stuck     bool
 }
 
 type taskFacts struct {
-	doneNoted  bool
-	done       bool
-	failNoted  map[uint64]bool
-	executions uint64
+	doneAcknowledged     bool
+	done                 bool
+	failuresAcknowledged map[uint64]bool
+	lastAttempt          uint64
 }
 
 type jobFacts struct {
@@ -85,55 +85,55 @@
 	lengths     map[job.TaskID]time.Duration
 }
 
-func newWorld(seed uint64, machines int) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 1)), begin: time.Unix(1_700_000_000, 0), durable: map[string][]byte{},
+func newSimulation(seed uint64, machines int) *simulation {
+	w := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), startTime: time.Unix(1_700_000_000, 0), durable: map[string][]byte{},
 		tasks: map[job.TaskID]*taskFacts{}, jobs: map[job.ID]*jobFacts{}, epoch: 1,
 		settings: Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
 			MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour},
 	}
 	for i := range machines {
-		w.addMachine(fmt.Sprintf("s%02d", i), i)
+		w.addWorker(fmt.Sprintf("s%02d", i), i)
 	}
 	w.elect()
 	return w
 }
 
-func (w *world) addMachine(id string, number int) *machine {
-	m := &machine{
+func (w *simulation) addWorker(id string, number int) *simulatedWorker {
+	m := &simulatedWorker{
 		Instance: workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x", Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4},
 			Labels: []string{[]string{"a", "b"}[number%2], fmt.Sprintf("rack%d", number/3)}},
-		running: map[job.TaskID]*execution{}, closed: map[job.TaskID]uint64{}, up: true,
+		running: map[job.TaskID]*simulatedAttempt{}, closedAttempts: map[job.TaskID]uint64{}, up: true,
 	}
-	w.machines = append(w.machines, m)
+	w.workers = append(w.workers, m)
 	return m
 }
 
-func (w *world) clock() Now {
-	at := w.begin.Add(w.now)
+func (w *simulation) clock() Now {
+	at := w.startTime.Add(w.elapsed)
 	return Now{Monotonic: at, WallMS: at.UnixMilli()}
 }
 
 // elect begins a new leadership from what is durable; what was not is lost.
-func (w *world) elect() {
+func (w *simulation) elect() {
 	if w.scheduler != nil {
 		w.epoch++
 	}
-	w.flight = nil
+	w.inFlight = nil
 	next, err := New(w.settings, w.clock(), maps.Clone(w.durable))
 	if err != nil {
 		panic(err)
 	}
 	w.scheduler = next
-	for _, m := range w.machines {
-		m.told = false
+	for _, m := range w.workers {
+		m.reachabilityKnown = false
 	}
-	w.inventory()
+	w.sendInventory()
 }
 
-func (w *world) inventory() {
+func (w *simulation) sendInventory() {
 	var instances []workerclient.Instance
-	for _, m := range w.machines {
+	for _, m := range w.workers {
 		if m.up {
 			instances = append(instances, m.Instance)
 		}
@@ -143,55 +143,55 @@
 }
 
 // propose takes what the scheduler wants done; it is durable a little later.
-func (w *world) propose() {
+func (w *simulation) propose() {
 	w.scheduler.Dispatch(w.clock())
 	effects := w.scheduler.TakeEffects()
 	if !effects.Empty() {
-		w.flight = append(w.flight, batch{w.now + 15*time.Millisecond, effects})
+		w.inFlight = append(w.inFlight, proposal{w.elapsed + 15*time.Millisecond, effects})
 	}
 }
 
-func (w *world) machine(id workerclient.WorkerID) *machine {
-	at := slices.IndexFunc(w.machines, func(m *machine) bool { return m.ID == id })
+func (w *simulation) worker(id workerclient.WorkerID) *simulatedWorker {
+	at := slices.IndexFunc(w.workers, func(m *simulatedWorker) bool { return m.ID == id })
 	if at < 0 {
 		return nil
 	}
-	return w.machines[at]
+	return w.workers[at]
 }
 
 // step moves the world on by a little.
-func (w *world) step() {
-	w.now += 20 * time.Millisecond
-	for len(w.flight) > 0 && w.flight[0].at <= w.now {
-		effects := w.flight[0].effects
-		w.flight = w.flight[1:]
+func (w *simulation) step() {
+	w.elapsed += 20 * time.Millisecond
+	for len(w.inFlight) > 0 && w.inFlight[0].at <= w.elapsed {
+		effects := w.inFlight[0].effects
+		w.inFlight = w.inFlight[1:]
 		w.commit(effects)
 	}
-	w.arrive()
-	for _, m := range w.machines {
-		w.work(m)
-		w.report(m)
+	w.deliverEvents()
+	for _, m := range w.workers {
+		w.runAttempts(m)
+		w.sendReport(m)
 	}
-	if w.now%(200*time.Millisecond) == 0 {
+	if w.elapsed%(200*time.Millisecond) == 0 {
 		w.scheduler.Tick(w.clock())
 		w.propose()
 	}
 }
 
-func (w *world) arrive() {
-	due := slices.DeleteFunc(slices.Clone(w.events), func(e timed) bool { return e.at > w.now })
-	w.events = slices.DeleteFunc(w.events, func(e timed) bool { return e.at <= w.now })
+func (w *simulation) deliverEvents() {
+	due := slices.DeleteFunc(slices.Clone(w.events), func(e timedEvent) bool { return e.at > w.elapsed })
+	w.events = slices.DeleteFunc(w.events, func(e timedEvent) bool { return e.at <= w.elapsed })
 	for _, e := range due {
 		e.do()
 	}
 }
 
-func (w *world) commit(effects Effects) {
-	if !w.lostRecord {
+func (w *simulation) commit(effects Effects) {
+	if !w.dropRecords {
 		w.apply(effects.Entries)
 	}
 	for _, command := range effects.Commands {
-		m := w.machine(command.Worker)
+		m := w.worker(command.Worker)
 		if m == nil {
 			continue
 		}
@@ -204,14 +204,14 @@
 		}
 	}
 	for _, acknowledgement := range effects.Acknowledgements {
-		m := w.machine(acknowledgement.Worker)
-		if m != nil && !m.cut && m.up {
+		m := w.worker(acknowledgement.Worker)
+		if m != nil && !m.partitioned && m.up {
 			w.acknowledge(m, acknowledgement.CompletionNumber)
 		}
 	}
 }
 
-func (w *world) apply(entries []replication.Entry) {
+func (w *simulation) apply(entries []replication.Entry) {
 	for _, entry := range entries {
 		if entry.Value == nil {
 			delete(w.durable, entry.Key)
@@ -221,49 +221,49 @@
 	}
 }
 
-func (w *world) acknowledge(m *machine, number uint64) {
-	for _, completion := range m.ends {
-		if completion.CompletionNumber > number || completion.CompletionNumber <= m.lastSeen {
+func (w *simulation) acknowledge(m *simulatedWorker, number uint64) {
+	for _, completion := range m.completions {
+		if completion.CompletionNumber > number || completion.CompletionNumber <= m.acknowledged {
 			continue
 		}
 		facts := w.facts(completion.Task)
-		facts.doneNoted = facts.doneNoted || completion.How == job.OutcomeDone
+		facts.doneAcknowledged = facts.doneAcknowledged || completion.How == job.OutcomeDone
 		if completion.How == job.OutcomeFailed {
-			facts.failNoted[completion.AttemptNumber] = true
+			facts.failuresAcknowledged[completion.AttemptNumber] = true
 		}
 	}
-	m.lastSeen = max(m.lastSeen, number)
-	m.ends = slices.DeleteFunc(m.ends, func(completion workerclient.FinishedTask) bool { return completion.CompletionNumber <= m.lastSeen })
+	m.acknowledged = max(m.acknowledged, number)
+	m.completions = slices.DeleteFunc(m.completions, func(completion workerclient.FinishedTask) bool { return completion.CompletionNumber <= m.acknowledged })
 }
 
-func (w *world) facts(id job.TaskID) *taskFacts {
+func (w *simulation) facts(id job.TaskID) *taskFacts {
 	if w.tasks[id] == nil {
-		w.tasks[id] = &taskFacts{failNoted: map[uint64]bool{}}
+		w.tasks[id] = &taskFacts{failuresAcknowledged: map[uint64]bool{}}
 	}
 	return w.tasks[id]
 }
 
-func (w *world) sendStart(m *machine, command workerclient.StartCommand, epoch uint64, sender *Scheduler) {
+func (w *simulation) sendStart(m *simulatedWorker, command workerclient.StartCommand, epoch uint64, sender *Scheduler) {
 	result := workerclient.StartResult{Worker: m.ID, Command: command, Outcome: workerclient.Unclear}
 	wait := time.Duration(w.random.IntN(30)) * time.Millisecond
-	if m.cut || !m.up {
+	if m.partitioned || !m.up {
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
 		return
 	}
-	validUntil := w.now + w.settings.MaxLease
+	validUntil := w.elapsed + w.settings.MaxLease
 	if w.random.Float64() < w.lateShare {
 		late := 2*time.Second + time.Duration(w.random.Int64N(int64(10*time.Second)))
-		w.after(late, func() { w.carryOut(m, command, epoch, validUntil, true) })
+		w.after(late, func() { w.executeStart(m, command, epoch, validUntil, true) })
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
 		return
 	}
 	w.after(wait, func() {
-		result.Outcome = w.carryOut(m, command, epoch, validUntil, false)
+		result.Outcome = w.executeStart(m, command, epoch, validUntil, false)
 		w.after(5*time.Millisecond, func() { w.startResult(result, sender) })
 	})
 }
 
-func (w *world) startResult(result workerclient.StartResult, sender *Scheduler) {
+func (w *simulation) startResult(result workerclient.StartResult, sender *Scheduler) {
 	if sender != w.scheduler {
 		return
 	}
@@ -272,23 +272,23 @@
 	w.propose()
 }
 
-func (w *world) after(pause time.Duration, do func()) {
-	w.events = append(w.events, timed{w.now + pause, do})
+func (w *simulation) after(pause time.Duration, do func()) {
+	w.events = append(w.events, timedEvent{w.elapsed + pause, do})
 }
 
-// carryOut carries a start out at a machine, as a worker does.
-func (w *world) carryOut(m *machine, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
+// executeStart carries a start out at a machine, as a worker does.
+func (w *simulation) executeStart(m *simulatedWorker, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
 	if !m.up {
 		return workerclient.Unclear
 	}
-	if epoch < m.fence {
+	if epoch < m.fencingToken {
 		return workerclient.RejectedFencingToken
 	}
-	m.fence = epoch
-	if m.holdUntil = max(m.holdUntil, min(validUntil, w.now+w.settings.MaxLease)); validUntil <= w.now {
+	m.fencingToken = epoch
+	if m.leaseEnd = max(m.leaseEnd, min(validUntil, w.elapsed+w.settings.MaxLease)); validUntil <= w.elapsed {
 		return workerclient.RejectedLeaseExpired
 	}
-	if command.AttemptNumber <= m.closed[command.Task] {
+	if command.AttemptNumber <= m.closedAttempts[command.Task] {
 		return workerclient.RejectedStaleAttempt
 	}
 	if already := m.running[command.Task]; already != nil {
@@ -304,20 +304,20 @@
 		w.violation("LIMIT %v at %s", command.Task, m.ID)
 		return workerclient.RejectedCapacity
 	}
-	w.judge(m, command, facts, stage, late)
+	w.checkStart(m, command, facts, stage, late)
 	length := facts.lengths[command.Task]
-	run := &execution{number: command.AttemptNumber, how: job.OutcomeDone, began: w.now, length: length, ends: w.now + length}
+	run := &simulatedAttempt{number: command.AttemptNumber, outcome: job.OutcomeDone, startedAt: w.elapsed, length: length, endsAt: w.elapsed + length}
 	if facts.poison || m.failing {
-		run.how, run.ends = job.OutcomeFailed, w.now+length/2
+		run.outcome, run.endsAt = job.OutcomeFailed, w.elapsed+length/2
 	}
 	if stage.LongRunning {
-		run.ends = w.now + time.Hour
+		run.endsAt = w.elapsed + time.Hour
 	}
 	m.running[command.Task] = run
 	return workerclient.Started
 }
 
-func (m *machine) free(w *world) job.Resources {
+func (m *simulatedWorker) free(w *simulation) job.Resources {
 	left := m.Capacity
 	for id := range m.running {
 		left = left.Subtract(w.jobs[id.Job].request.Specification.Stages[id.Stage].Resources)
@@ -325,25 +325,25 @@
 	return left
 }
 
-func (w *world) violation(format string, values ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("at %v: ", w.now)+fmt.Sprintf(format, values...))
+func (w *simulation) violation(format string, values ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("at %v: ", w.elapsed)+fmt.Sprintf(format, values...))
 }
 
 // outcomeOf checks one start. Promises with a time bound do not cover starts that a worker carried out late.
-func (w *world) judge(m *machine, command workerclient.StartCommand, facts *jobFacts, stage *job.Stage, late bool) {
+func (w *simulation) checkStart(m *simulatedWorker, command workerclient.StartCommand, facts *jobFacts, stage *job.Stage, late bool) {
 	id := command.Task
 	own := w.facts(id)
 	if !stage.AtLeastOnce {
-		for _, other := range w.machines {
+		for _, other := range w.workers {
 			if other != m && other.up && other.running[id] != nil {
 				w.violation("TWICE %v at %s and %s", id, other.ID, m.ID)
 			}
 		}
-		if own.doneNoted && !stage.LongRunning {
+		if own.doneAcknowledged && !stage.LongRunning {
 			w.violation("TWICE %v starts after it was done", id)
 		}
 	}
-	if len(own.failNoted) >= facts.request.Queue.MaxAttempts && !stage.LongRunning && !(late && stage.AtLeastOnce) {
+	if len(own.failuresAcknowledged) >= facts.request.Queue.MaxAttempts && !stage.LongRunning && !(late && stage.AtLeastOnce) {
 		w.violation("BUDGET %v", id)
 	}
 	for _, earlier := range stage.DependsOn {
@@ -370,30 +370,30 @@
 	if stage.AntiAffinity > 0 && same >= stage.AntiAffinity {
 		w.violation("ROUTE %v beyond antiAffinity at %s", id, m.ID)
 	}
-	if !late && facts.cancelledAt > 0 && w.now > facts.cancelledAt+3*time.Second {
+	if !late && facts.cancelledAt > 0 && w.elapsed > facts.cancelledAt+3*time.Second {
 		w.violation("UNASKED %v starts after it was cancelled", id)
 	}
-	if command.AttemptNumber <= own.executions && !stage.AtLeastOnce {
+	if command.AttemptNumber <= own.lastAttempt && !stage.AtLeastOnce {
 		w.violation("execution %d of %v does not rise", command.AttemptNumber, id)
 	}
-	own.executions = max(own.executions, command.AttemptNumber)
+	own.lastAttempt = max(own.lastAttempt, command.AttemptNumber)
 }
 
-func (w *world) sendStop(m *machine, command workerclient.StopCommand, epoch uint64, sender *Scheduler) {
+func (w *simulation) sendStop(m *simulatedWorker, command workerclient.StopCommand, epoch uint64, sender *Scheduler) {
 	w.after(10*time.Millisecond, func() {
 		if sender != w.scheduler {
 			return
 		}
-		if m.cut || !m.up {
+		if m.partitioned || !m.up {
 			w.sendStop(m, command, epoch, sender) // until it is answered
 			return
 		}
-		if epoch >= m.fence {
-			m.fence = epoch
+		if epoch >= m.fencingToken {
+			m.fencingToken = epoch
 			if run := m.running[command.Task]; run != nil && run.number <= command.AttemptNumber {
-				w.end(m, command.Task, job.OutcomeStopped)
+				w.complete(m, command.Task, job.OutcomeStopped)
 			}
-			m.closed[command.Task] = max(m.closed[command.Task], command.AttemptNumber)
+			m.closedAttempts[command.Task] = max(m.closedAttempts[command.Task], command.AttemptNumber)
 		}
 		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Command: command, Answered: true, At: w.clock().Monotonic})
 		w.propose()
@@ -401,15 +401,15 @@
 }
 
 // completion ends a run and, as its workers do, the other members of its gang.
-func (w *world) end(m *machine, id job.TaskID, how job.Outcome) {
+func (w *simulation) complete(m *simulatedWorker, id job.TaskID, how job.Outcome) {
 	run := m.running[id]
 	delete(m.running, id)
-	m.closed[id] = max(m.closed[id], run.number)
-	number := m.lastSeen + 1
-	if len(m.ends) > 0 {
-		number = m.ends[len(m.ends)-1].CompletionNumber + 1
+	m.closedAttempts[id] = max(m.closedAttempts[id], run.number)
+	number := m.acknowledged + 1
+	if len(m.completions) > 0 {
+		number = m.completions[len(m.completions)-1].CompletionNumber + 1
 	}
-	m.ends = append(m.ends, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: run.number, How: how})
+	m.completions = append(m.completions, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: run.number, How: how})
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if how == job.OutcomeDone {
 		w.facts(id).done = true
@@ -421,46 +421,46 @@
 	if how == job.OutcomeDone {
 		others = job.OutcomeDone
 	}
-	for _, other := range w.machines {
+	for _, other := range w.workers {
 		for _, member := range sortedTasks(other.running) {
 			if member.Job == id.Job && member.Stage == id.Stage && member.Repetition == id.Repetition && other.running[member] != nil && other.running[member].number == run.number {
-				w.end(other, member, others)
+				w.complete(other, member, others)
 			}
 		}
 	}
 }
 
-func sortedTasks(running map[job.TaskID]*execution) []job.TaskID {
+func sortedTasks(running map[job.TaskID]*simulatedAttempt) []job.TaskID {
 	return slices.SortedFunc(maps.Keys(running), compareTaskIDs)
 }
 
-func (w *world) work(m *machine) {
+func (w *simulation) runAttempts(m *simulatedWorker) {
 	if !m.up {
 		return
 	}
-	if w.now >= m.holdUntil {
+	if w.elapsed >= m.leaseEnd {
 		for _, id := range sortedTasks(m.running) {
 			if m.running[id] != nil {
-				w.end(m, id, job.OutcomeLeaseExpired)
+				w.complete(m, id, job.OutcomeLeaseExpired)
 			}
 		}
 		return
 	}
 	for _, id := range sortedTasks(m.running) {
-		if run := m.running[id]; run != nil && !run.stuck && run.ends <= w.now && w.wholeGang(id, run.number) {
-			w.end(m, id, run.how)
+		if run := m.running[id]; run != nil && !run.stuck && run.endsAt <= w.elapsed && w.isGangComplete(id, run.number) {
+			w.complete(m, id, run.outcome)
 		}
 	}
 }
 
-// wholeGang tells whether all members of a run are there.
-func (w *world) wholeGang(id job.TaskID, number uint64) bool {
+// isGangComplete tells whether all members of a run are there.
+func (w *simulation) isGangComplete(id job.TaskID, number uint64) bool {
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if !stage.GangScheduled {
 		return true
 	}
 	there := 0
-	for _, m := range w.machines {
+	for _, m := range w.workers {
 		for other, run := range m.running {
 			if other.Job == id.Job && other.Stage == id.Stage && other.Repetition == id.Repetition && run.number == number {
 				there++
@@ -470,28 +470,28 @@
 	return there == stage.Count
 }
 
-// report lets a machine that is due answer a hold.
-func (w *world) report(m *machine) {
-	if w.now-m.listedAt < 300*time.Millisecond && m.told {
+// sendReport lets a machine that is due answer a hold.
+func (w *simulation) sendReport(m *simulatedWorker) {
+	if w.elapsed-m.reportedAt < 300*time.Millisecond && m.reachabilityKnown {
 		return
 	}
-	m.listedAt = w.now
+	m.reportedAt = w.elapsed
 	if !m.up {
 		return
 	}
-	if m.cut {
+	if m.partitioned {
 		w.unreachable(m)
 		return
 	}
-	m.told = true
-	m.fence = max(m.fence, w.epoch)
-	m.holdUntil = max(m.holdUntil, w.now+w.settings.MaxLease)
-	m.grantedBy = m.holdUntil
-	listing := workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, First: m.fenced != w.epoch, Finished: slices.Clone(m.ends)}
-	m.fenced = w.epoch
+	m.reachabilityKnown = true
+	m.fencingToken = max(m.fencingToken, w.epoch)
+	m.leaseEnd = max(m.leaseEnd, w.elapsed+w.settings.MaxLease)
+	m.grantedUntil = m.leaseEnd
+	listing := workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, First: m.reportedEpoch != w.epoch, Finished: slices.Clone(m.completions)}
+	m.reportedEpoch = w.epoch
 	for _, id := range sortedTasks(m.running) {
 		run := m.running[id]
-		percent := int(99 * (w.now - run.began) / max(run.length, 1))
+		percent := int(99 * (w.elapsed - run.startedAt) / max(run.length, 1))
 		if run.stuck {
 			percent = 0
 		}
@@ -501,28 +501,28 @@
 	w.propose()
 }
 
-func (w *world) unreachable(m *machine) {
-	if !m.told {
+func (w *simulation) unreachable(m *simulatedWorker) {
+	if !m.reachabilityKnown {
 		return
 	}
 	w.scheduler.SetReachable(w.clock(), m.ID, false)
-	if w.now > m.grantedBy+LateCommandWindow+7*time.Second {
+	if w.elapsed > m.grantedUntil+LateCommandWindow+7*time.Second {
 		w.scheduler.ExpireLease(w.clock(), m.ID)
 	}
 	w.propose()
 }
 
-func (w *world) crash(m *machine, successor string) {
+func (w *simulation) crash(m *simulatedWorker, successor string) {
 	m.up = false
-	w.addMachine(successor, len(w.machines))
+	w.addWorker(successor, len(w.workers))
 	w.after(time.Second, func() {
 		w.scheduler.RemoveWorker(w.clock(), m.ID)
 		w.propose()
-		w.inventory()
+		w.sendInventory()
 	})
 }
 
-func (w *world) submit(facts *jobFacts) {
+func (w *simulation) submit(facts *jobFacts) {
 	w.jobs[facts.request.ID] = facts
 	facts.lengths = map[job.TaskID]time.Duration{}
 	for repetition := range facts.request.Specification.RepetitionCount() {
@@ -537,7 +537,7 @@
 }
 
 // resubmit hands a job in until it is durable, as clients do.
-func (w *world) resubmit(facts *jobFacts) {
+func (w *simulation) resubmit(facts *jobFacts) {
 	if w.durable[jobKey(facts.request.ID)] != nil || w.durable[endedKey(facts.request.ID)] != nil {
 		return
 	}
@@ -546,10 +546,10 @@
 	w.after(500*time.Millisecond, func() { w.resubmit(facts) })
 }
 
-func (w *world) cancel(facts *jobFacts) {
+func (w *simulation) cancel(facts *jobFacts) {
 	if w.durable[endedKey(facts.request.ID)] != nil {
 		if facts.cancelledAt == 0 {
-			facts.cancelledAt = w.now
+			facts.cancelledAt = w.elapsed
 		}
 		return
 	}
@@ -558,7 +558,7 @@
 	w.after(500*time.Millisecond, func() { w.cancel(facts) })
 }
 
-func (w *world) randomJob(number int) *jobFacts {
+func (w *simulation) randomJob(number int) *jobFacts {
 	r := w.random
 	facts := &jobFacts{poison: r.IntN(12) == 0}
 	request := jobapi.Submit{Group: "jobs/x", ID: job.ID(fmt.Sprintf("%016x", number)),
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -81,7 +81,7 @@
 	released        bool      // the task waits again while this run may be under way (at-least-once stages)
 }
 
-// workerState is one life of a worker.
+// reportedState is one life of a worker.
 type workerState struct {
 	workerclient.Instance
 	attempts          map[job.TaskID]*attemptState
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	storedFolder   = "testdata/stored"
-	storedDump     = "testdata/stored.json"  // the tables' bytes in hex
-	storedAccount  = "testdata/restored.txt" // what schedulers make of them
-	updateVariable = "GOLDEN_UPDATE"         // set to 1, the stored data is made anew
-	storedRender   = "group/jobs/render"
-	storedMail     = "group/jobs/mail"
+	storedFolder    = "testdata/stored"
+	storedDump      = "testdata/stored.json"  // the tables' bytes in hex
+	restoredSummary = "testdata/restored.txt" // what schedulers make of them
+	updateVariable  = "GOLDEN_UPDATE"         // set to 1, the stored data is made anew
+	storedRender    = "group/jobs/render"
+	storedMail      = "group/jobs/mail"
 )
 
 var (
@@ -38,18 +38,18 @@
 
 // storedGroup plays the leadership of one group whose records are kept in a table.
 type storedGroup struct {
-	table     string
-	store     storage.Store
-	scheduler *Scheduler
-	now       time.Time
-	at        map[job.TaskID]workerclient.WorkerID
-	execution map[job.TaskID]uint64
-	ends      map[workerclient.WorkerID]uint64
+	table            string
+	store            storage.Store
+	scheduler        *Scheduler
+	now              time.Time
+	assignedTo       map[job.TaskID]workerclient.WorkerID
+	attemptNumbers   map[job.TaskID]uint64
+	completionCounts map[workerclient.WorkerID]uint64
 }
 
 func newStoredGroup(table string, store storage.Store, workers ...string) *storedGroup {
-	g := &storedGroup{table: table, store: store, now: storedBegin, at: map[job.TaskID]workerclient.WorkerID{},
-		execution: map[job.TaskID]uint64{}, ends: map[workerclient.WorkerID]uint64{}}
+	g := &storedGroup{table: table, store: store, now: storedBegin, assignedTo: map[job.TaskID]workerclient.WorkerID{},
+		attemptNumbers: map[job.TaskID]uint64{}, completionCounts: map[workerclient.WorkerID]uint64{}}
 	var err error
 	if g.scheduler, err = New(storedSettings, g.clock(), nil); err != nil {
 		panic(err) // nothing is there to be decoded
@@ -63,14 +63,14 @@
 	for _, id := range workers {
 		g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: workerclient.WorkerID(id), SentAt: g.now, First: true})
 	}
-	g.proceed()
+	g.commit()
 	return g
 }
 
 func (g *storedGroup) clock() Now { return Now{Monotonic: g.now, WallMS: g.now.UnixMilli()} }
 
-// proceed stores the records of what was decided, and answers all starts.
-func (g *storedGroup) proceed() {
+// commit stores the records of what was decided, and answers all starts.
+func (g *storedGroup) commit() {
 	g.scheduler.Dispatch(g.clock())
 	effects := g.scheduler.TakeEffects()
 	var changes []storage.Change
@@ -84,44 +84,44 @@
 		if command.Start == nil {
 			continue
 		}
-		g.at[command.Start.Task], g.execution[command.Start.Task] = command.Worker, command.Start.AttemptNumber
+		g.assignedTo[command.Start.Task], g.attemptNumbers[command.Start.Task] = command.Worker, command.Start.AttemptNumber
 		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: command.Worker, Command: *command.Start, Outcome: workerclient.Started, At: g.now})
 	}
 }
 
-func (g *storedGroup) pass(length time.Duration) {
+func (g *storedGroup) advance(length time.Duration) {
 	g.now = g.now.Add(length)
 	g.scheduler.Tick(g.clock())
-	g.proceed()
+	g.commit()
 }
 
 func (g *storedGroup) submit(id job.ID, queue jobapi.Queue, specification job.Specification) {
 	g.scheduler.Submit(g.clock(), &jobapi.Submit{ID: id, Queue: queue, Specification: specification})
-	g.proceed()
+	g.commit()
 }
 
 // completion reports that a task's newest run has ended.
-func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.Outcome, checkpoint string) {
+func (g *storedGroup) complete(id job.ID, repetition, stage, index int, how job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
-	at := g.at[task]
-	g.ends[at]++
+	at := g.assignedTo[task]
+	g.completionCounts[at]++
 	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
-		{CompletionNumber: g.ends[at], Task: task, AttemptNumber: g.execution[task], How: how, Checkpoint: checkpoint},
+		{CompletionNumber: g.completionCounts[at], Task: task, AttemptNumber: g.attemptNumbers[task], How: how, Checkpoint: checkpoint},
 	}})
-	g.proceed()
+	g.commit()
 }
 
 const (
-	waitingJob   = job.ID("0000000000000001")
-	runningJob   = job.ID("0000000000000002")
-	gangJob      = job.ID("0000000000000003")
-	repeatedJob  = job.ID("0000000000000004")
-	lastingJob   = job.ID("0000000000000005")
-	stagesJob    = job.ID("0000000000000006")
-	copiesJob    = job.ID("0000000000000007")
-	completedJob = job.ID("0000000000000008")
-	failedJob    = job.ID("0000000000000009")
-	cancelledJob = job.ID("000000000000000a")
+	waitingJob     = job.ID("0000000000000001")
+	runningJob     = job.ID("0000000000000002")
+	gangJob        = job.ID("0000000000000003")
+	repeatedJob    = job.ID("0000000000000004")
+	longRunningJob = job.ID("0000000000000005")
+	stagesJob      = job.ID("0000000000000006")
+	atLeastOnceJob = job.ID("0000000000000007")
+	completedJob   = job.ID("0000000000000008")
+	failedJob      = job.ID("0000000000000009")
+	cancelledJob   = job.ID("000000000000000a")
 )
 
 // writeStoredJobs brings jobs into all of their states.
@@ -141,46 +141,46 @@
 	saving := one
 	saving.Count, saving.Checkpoints = 2, true
 	g.submit(runningJob, queue, staged(saving))
-	g.end(runningJob, 0, 0, 0, job.OutcomeFailed, "save-1")
-	g.pass(time.Second)
+	g.complete(runningJob, 0, 0, 0, job.OutcomeFailed, "save-1")
+	g.advance(time.Second)
 	gang := one
 	gang.Count, gang.GangScheduled, gang.Checkpoints = 2, true, true
 	g.submit(gangJob, queue, staged(gang))
 	repeated := staged(one)
 	repeated.Repetitions, repeated.FirstRunMS, repeated.IntervalMS = 4, g.now.UnixMilli(), 1000
 	g.submit(repeatedJob, queue, repeated)
-	g.end(repeatedJob, 0, 0, 0, job.OutcomeDone, "")
-	g.pass(time.Second)
+	g.complete(repeatedJob, 0, 0, 0, job.OutcomeDone, "")
+	g.advance(time.Second)
 	lasting := one
 	lasting.LongRunning = true
-	g.submit(lastingJob, queue, staged(lasting))
-	g.end(lastingJob, 0, 0, 0, job.OutcomeDone, "")
+	g.submit(longRunningJob, queue, staged(lasting))
+	g.complete(longRunningJob, 0, 0, 0, job.OutcomeDone, "")
 	second := one
 	second.DependsOn, second.Affinity = []int{0}, "rack-2"
 	g.submit(stagesJob, queue, staged(one, second))
-	g.end(stagesJob, 0, 0, 0, job.OutcomeDone, "")
+	g.complete(stagesJob, 0, 0, 0, job.OutcomeDone, "")
 	g.scheduler.SetOperatorDrain(g.clock(), "w-3", true)
 	g.scheduler.SetOperatorDrain(g.clock(), "w-2", true)
 	g.scheduler.SetOperatorDrain(g.clock(), "w-2", false)
-	g.proceed()
+	g.commit()
 
 	g = newStoredGroup(storedMail, store, "w-8", "w-9")
 	queue = jobapi.Queue{Route: "mail", Service: "mail", MaxAttempts: 1}
 	copies := one
 	copies.AtLeastOnce = true
-	g.submit(copiesJob, queue, staged(copies))
+	g.submit(atLeastOnceJob, queue, staged(copies))
 	g.submit(completedJob, queue, staged(one))
 	g.submit(failedJob, queue, staged(one))
 	g.submit(cancelledJob, queue, staged(one))
-	g.pass(300 * time.Millisecond)
-	g.end(completedJob, 0, 0, 0, job.OutcomeDone, "")
-	g.end(failedJob, 0, 0, 0, job.OutcomeFailed, "")
+	g.advance(300 * time.Millisecond)
+	g.complete(completedJob, 0, 0, 0, job.OutcomeDone, "")
+	g.complete(failedJob, 0, 0, 0, job.OutcomeFailed, "")
 	g.scheduler.Cancel(g.clock(), cancelledJob)
-	g.proceed()
+	g.commit()
 }
 
-// account writes down all that a scheduler has made of its records, in words that do not depend on names in the code.
-func account(s *Scheduler) string {
+// summarizeState writes down all that a scheduler has made of its records, in words that do not depend on names in the code.
+func summarizeState(s *Scheduler) string {
 	var text strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
 	line("arrivals %d, next due %d", s.lastArrival, s.NextDueMS())
@@ -203,7 +203,7 @@
 				line("  repetition %d: complete", number)
 				continue
 			}
-			accountOfRepetition(line, repetition)
+			summarizeRepetition(line, repetition)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
@@ -219,7 +219,7 @@
 	return text.String()
 }
 
-func accountOfRepetition(line func(format string, values ...any), repetition *repetitionState) {
+func summarizeRepetition(line func(format string, values ...any), repetition *repetitionState) {
 	line("  repetition %d: stages left %d", repetition.number, repetition.incompleteStages)
 	for _, stage := range repetition.stages {
 		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
@@ -232,8 +232,8 @@
 	}
 }
 
-// accountOfTables is the account of the schedulers of both groups, some time after the records were written.
-func accountOfTables(tables storage.Tables) (string, error) {
+// summarizeTables is the account of the schedulers of both groups, some time after the records were written.
+func summarizeTables(tables storage.Tables) (string, error) {
 	text := ""
 	for _, table := range []string{storedRender, storedMail} {
 		later := storedBegin.Add(2500 * time.Millisecond)
@@ -241,7 +241,7 @@
 		if err != nil {
 			return "", err
 		}
-		text += "# " + table + "\n" + account(s)
+		text += "# " + table + "\n" + summarizeState(s)
 	}
 	return text, nil
 }
@@ -262,8 +262,8 @@
 	return string(text) + "\n"
 }
 
-// encodedAgain decodes a record and encodes it again, as this build does.
-func encodedAgain(key string, value []byte) []byte {
+// reencode decodes a record and encodes it again, as this build does.
+func reencode(key string, value []byte) []byte {
 	record := map[string]any{
 		jobPrefix: &jobRecord{}, taskPrefix: &taskRecord{}, repetitionPrefix: &repetitionRecord{},
 		endedPrefix: &endedRecord{}, operatorDrainPrefix: &operatorDrainRecord{},
@@ -289,11 +289,11 @@
 	os.RemoveAll(storedFolder)
 	store := openStored(t, storedFolder)
 	writeStoredJobs(store)
-	text, err := accountOfTables(store.Snapshot())
+	text, err := summarizeTables(store.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for path, content := range map[string]string{storedDump: dumpTables(store.Snapshot()), storedAccount: text} {
+	for path, content := range map[string]string{storedDump: dumpTables(store.Snapshot()), restoredSummary: text} {
 		if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -312,7 +312,7 @@
 	if os.Getenv(updateVariable) == "1" {
 		makeStoredJobs(t)
 	}
-	records, restored := readGolden(t, storedDump), readGolden(t, storedAccount)
+	records, restored := readGolden(t, storedDump), readGolden(t, restoredSummary)
 	Convey("Given the records of two groups that an earlier build stored", t, func() {
 		folder := t.TempDir()
 		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
@@ -320,7 +320,7 @@
 		So(dumpTables(store.Snapshot()), ShouldEqual, records)
 
 		Convey("schedulers restore all of them", func() {
-			text, err := accountOfTables(store.Snapshot())
+			text, err := summarizeTables(store.Snapshot())
 			So(err, ShouldBeNil)
 			So(text, ShouldEqual, restored)
 		})
@@ -337,7 +337,7 @@
 			for name, table := range store.Snapshot() {
 				again[name] = make(map[string][]byte)
 				for key, value := range table {
-					again[name][key] = encodedAgain(key, value)
+					again[name][key] = reencode(key, value)
 				}
 			}
 			So(dumpTables(again), ShouldEqual, records)
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -170,7 +170,7 @@
 			MaxLease: holdMax, DrainTime: 3 * time.Second, StatusRetention: time.Hour,
 		},
 	})
-	jobs.Inventory(w.instances)
+	jobs.SetInventory(w.instances)
 	node, err := replication.NewNode(replication.Config{
 		Self: m.address, Store: disk, Caller: caller, View: view, Ready: ready, Handler: &witness{jobs, w.judge, m.address}, Clock: m,
 	})
