--- a/internal/controlplane/coordinator/store.go
+++ b/internal/controlplane/coordinator/store.go
@@ -18,7 +18,7 @@
 
 // storeOptions leaves a sixteenth of the disk unused.
 func storeOptions(limits nodesettings.Limits) storage.Options {
-	return storage.Options{Limit: limits.DiskMB * bytesPerMB * 15 / 16}
+	return storage.Options{SizeLimit: limits.DiskMB * bytesPerMB * 15 / 16}
 }
 
 // Open makes a coordinator as New does. While the disk is too full for that it tries again, until the context ends.
@@ -46,7 +46,7 @@
 func repeatRefused(ctx context.Context, part func() error) error {
 	for {
 		err := part()
-		if !errors.Is(err, storage.ErrRefused) || !pause(ctx, fullDiskRetry) {
+		if !errors.Is(err, storage.ErrWriteRejected) || !pause(ctx, fullDiskRetry) {
 			return err
 		}
 	}
--- a/internal/controlplane/coordinator/store_test.go
+++ b/internal/controlplane/coordinator/store_test.go
@@ -19,7 +19,7 @@
 var errOther = errors.New("another failure")
 
 func TestTheStoreLeavesSomeOfTheDisk(t *testing.T) {
-	if got := storeOptions(nodesettings.Limits{DiskMB: 128}).Limit; got != 120<<20 {
+	if got := storeOptions(nodesettings.Limits{DiskMB: 128}).SizeLimit; got != 120<<20 {
 		t.Errorf("of 128 MB the store may use %d bytes", got)
 	}
 	if got := storeOptions(nodesettings.Limits{}); got != (storage.Options{}) {
@@ -55,7 +55,7 @@
 }
 
 func TestAPartThatTheDiskRefusesIsRunAgain(t *testing.T) {
-	refused := fmt.Errorf("store view: %w", storage.ErrRefused)
+	refused := fmt.Errorf("store view: %w", storage.ErrWriteRejected)
 	for _, last := range []error{nil, errOther} {
 		virtualtime.Test(t, func(t *testing.T) {
 			runs := 0
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -285,7 +285,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			disk.CutPowerAt(operation, operation%2 == 0)
+			disk.LosePowerAt(operation, operation%2 == 0)
 			<-m.run(m.start("member-2", store, false))
 			store.Close()
 			store, _, err = storage.Open(disk.Restore(rand.New(rand.NewPCG(uint64(operation), 0))), "/data", storage.Options{})
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -36,8 +36,8 @@
 	return unsyncedFile{file}, err
 }
 
-// SyncFolder implements storage.FileSystem.
-func (unsynced) SyncFolder(string) error { return nil }
+// SyncDirectory implements storage.FileSystem.
+func (unsynced) SyncDirectory(string) error { return nil }
 
 // history20k is what the orders of all changes amount to, one after the other.
 var history20k = randomText(bodyBytes+takenBytes*(20_000+takenMost), 7)
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -14,7 +14,7 @@
 )
 
 // errFull is what a full disk answers: the store is as before, and later writes may succeed.
-var errFull = rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", storage.ErrRefused, syscall.ENOSPC), storage.RefusalPause)
+var errFull = rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", storage.ErrWriteRejected, syscall.ENOSPC), storage.RejectionBackoff)
 
 // A replacement comes while another member's disk is full.
 func TestAMemberWithAFullDiskMissesAViewAndKeepsRunning(t *testing.T) {
--- a/internal/controlplane/replication/campaign.go
+++ b/internal/controlplane/replication/campaign.go
@@ -7,14 +7,14 @@
 )
 
 // startCampaign is one attempt to become leader. First it asks a majority whether they would vote, which disturbs no
-// present leader; then it asks for their votes under a new epoch.
+// present leader; then it asks for their votes under a new term.
 type campaign struct {
 	group        *group
 	view         replicaset.View
 	phaseStarted time.Duration // of the round under way
 	preVoting    bool
 	term         uint64 // known from the second round on
-	highestTerm  uint64 // epoch seen so far
+	highestTerm  uint64 // term seen so far
 	granted      map[string]voteReply
 	unanswered   int // calls without an answer
 	ended        bool
--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -9,10 +9,10 @@
 )
 
 // chunkRequest sends the machine one part of a snapshot of the leader "x", each with the entry "key N", and returns the answer.
-func (n *simulatedNode) chunk(epoch, sequence uint64, number, chunks uint32) (answer appendReply) {
+func (n *simulatedNode) chunk(term, sequence uint64, number, chunks uint32) (answer appendReply) {
 	request := appendRequest{
-		Group: "jobs/a", Term: epoch, Leader: "x", View: 1, Snapshot: true, Position: Position{epoch, sequence},
-		Chunk: number, Chunks: chunks, Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(epoch), byte(sequence)}}},
+		Group: "jobs/a", Term: term, Leader: "x", View: 1, Snapshot: true, Position: Position{term, sequence},
+		Chunk: number, Chunks: chunks, Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(term), byte(sequence)}}},
 	}
 	n.step(func() { n.core.append(request, func(reply appendReply) { answer = reply }) })
 	So(n.simulation.run(50*time.Millisecond), ShouldBeNil)
@@ -26,10 +26,10 @@
 }
 
 func TestChunksOfASnapshot(t *testing.T) {
-	whole := func(n *simulatedNode, epoch, sequence byte, chunks int) {
+	whole := func(n *simulatedNode, term, sequence byte, chunks int) {
 		state := map[string][]byte{}
 		for number := range chunks {
-			state[fmt.Sprintf("key %d", number)] = []byte{epoch, sequence}
+			state[fmt.Sprintf("key %d", number)] = []byte{term, sequence}
 		}
 		So(n.disk.Table("group/jobs/a"), ShouldResemble, state)
 	}
@@ -202,7 +202,7 @@
 	Convey("A leader whose processor takes long to make a snapshot keeps its term meanwhile, and needs no second one", t, func() {
 		s := calmWith(4, narrow, "jobs/a")
 		leader, follower := lagBehind(s)
-		epoch := leader.core.group("jobs/a").leading.termNumber
+		term := leader.core.group("jobs/a").leading.termNumber
 		delete(s.traffic.snapshots, follower.address)
 		leader.core.spawn = func(work func()) { leader.later(3*time.Second, work) }
 		follower.start()
@@ -212,7 +212,7 @@
 		So(s.lagging("jobs/a"), ShouldBeEmpty)
 		So(s.traffic.sentSnapshots(follower.address), ShouldEqual, 1)
 		So(s.leader("jobs/a") == leader, ShouldBeTrue)
-		So(leader.core.group("jobs/a").leading.termNumber, ShouldEqual, epoch)
+		So(leader.core.group("jobs/a").leading.termNumber, ShouldEqual, term)
 	})
 	Convey("A follower that does not answer holds up no other's snapshot", t, func() {
 		s := calmWith(4, narrow, "jobs/a")
--- a/internal/controlplane/replication/checker_test.go
+++ b/internal/controlplane/replication/checker_test.go
@@ -12,14 +12,14 @@
 const markKey = "mark"
 
 // mark numbers the proposals of a term from 1; a term's base state bears the mark of an earlier term.
-type mark struct{ epoch, index uint64 }
+type mark struct{ term, index uint64 }
 
 func (m mark) before(other mark) bool {
-	return m.epoch < other.epoch || m.epoch == other.epoch && m.index < other.index
+	return m.term < other.term || m.term == other.term && m.index < other.index
 }
 
 func (m mark) encode() []byte {
-	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, m.epoch), m.index)
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, m.term), m.index)
 }
 
 func decodeMark(value []byte) mark {
@@ -57,7 +57,7 @@
 // checker compares what handlers see with what the package promises.
 type checker struct {
 	simulation *simulation
-	terms      map[string]map[uint64]*recordedTerm // by group and epoch
+	terms      map[string]map[uint64]*recordedTerm // by group and term
 	committed  map[string]mark                     // the highest
 	commits    int
 	elections  int
@@ -97,57 +97,57 @@
 
 func (c *checker) elected(owner *simulatedNode, term *Term, state map[string][]byte) *recordedTerm {
 	c.elections++
-	group, epoch := term.Group(), term.Number()
-	if c.terms[group][epoch] != nil {
-		c.failf("%s: epoch %d has two leaders", group, epoch)
+	group, number := term.Group(), term.Number()
+	if c.terms[group][number] != nil {
+		c.failf("%s: term %d has two leaders", group, number)
 	}
 	base := decodeMark(state[markKey])
-	if base.epoch >= epoch {
-		c.failf("%s: epoch %d begins on a state of epoch %d", group, epoch, base.epoch)
+	if base.term >= number {
+		c.failf("%s: term %d begins on a state of term %d", group, number, base.term)
 	}
 	for other, record := range c.terms[group] {
-		if other < epoch && record.committed > 0 && base.before(mark{other, record.committed}) {
-			c.failf("%s: epoch %d begins at %v without what epoch %d had committed, %d", group, epoch, base, other, record.committed)
+		if other < number && record.committed > 0 && base.before(mark{other, record.committed}) {
+			c.failf("%s: term %d begins at %v without what term %d had committed, %d", group, number, base, other, record.committed)
 		}
 	}
-	c.checkState(group, epoch, base, state)
+	c.checkState(group, number, base, state)
 	record := &recordedTerm{term: term, owner: owner, base: maps.Clone(state)}
-	c.terms[group][epoch] = record
+	c.terms[group][number] = record
 	return record
 }
 
 // checkState verifies that a state is one that some term had.
-func (c *checker) checkState(group string, epoch uint64, base mark, state map[string][]byte) {
+func (c *checker) checkState(group string, term uint64, base mark, state map[string][]byte) {
 	if base == (mark{}) {
 		if len(state) > 0 {
-			c.failf("%s: epoch %d begins on an unknown state", group, epoch)
+			c.failf("%s: term %d begins on an unknown state", group, term)
 		}
 		return
 	}
-	origin := c.terms[group][base.epoch]
+	origin := c.terms[group][base.term]
 	if origin == nil || base.index > uint64(len(origin.proposals)) {
-		c.failf("%s: epoch %d begins at %v, which nobody proposed", group, epoch, base)
+		c.failf("%s: term %d begins at %v, which nobody proposed", group, term, base)
 		return
 	}
 	if !reflect.DeepEqual(origin.after(base.index), state) {
-		c.failf("%s: epoch %d begins at %v with another state", group, epoch, base)
+		c.failf("%s: term %d begins at %v with another state", group, term, base)
 	}
 }
 
 func (c *checker) commit(record *recordedTerm, index uint64) {
 	c.commits++
-	group, epoch := record.term.Group(), record.term.Number()
+	group, term := record.term.Group(), record.term.Number()
 	if record.deposed || record.term.over() {
-		c.failf("%s: a callback came after epoch %d had ended", group, epoch)
+		c.failf("%s: a callback came after term %d had ended", group, term)
 	}
 	if index != record.committed+1 {
-		c.failf("%s: epoch %d committed %d after %d", group, epoch, index, record.committed)
+		c.failf("%s: term %d committed %d after %d", group, term, index, record.committed)
 	}
 	record.committed = index
 	for other, later := range c.terms[group] {
 		base := decodeMark(later.base[markKey])
-		if other > epoch && base.before(mark{epoch, index}) {
-			c.failf("%s: epoch %d committed %d though epoch %d had begun at %v", group, epoch, index, other, base)
+		if other > term && base.before(mark{term, index}) {
+			c.failf("%s: term %d committed %d though term %d had begun at %v", group, term, index, other, base)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 func (n *simulatedNode) Deposed(term *Term) {
 	record := n.simulation.history.terms[term.Group()][term.Number()]
 	if record == nil || record.deposed {
-		n.simulation.history.failf("%s: epoch %d was deposed wrongly", term.Group(), term.Number())
+		n.simulation.history.failf("%s: term %d was deposed wrongly", term.Group(), term.Number())
 		return
 	}
 	record.deposed = true
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -106,7 +106,7 @@
 		for seed := range seeds(25) {
 			s := calm(seed, 3)
 			leader := s.leader("jobs/a")
-			epoch := leader.terms["jobs/a"].Number()
+			term := leader.terms["jobs/a"].Number()
 			other := s.another(leader)
 			if seed%2 == 0 {
 				s.fullDisks[other.address] = true
@@ -119,7 +119,7 @@
 			So(s.history.commits-before, ShouldBeGreaterThan, 100)
 			So(s.run(2*time.Second), ShouldBeNil)
 			So(s.leader("jobs/a") == leader, ShouldBeTrue)
-			So(leader.terms["jobs/a"].Number(), ShouldEqual, epoch)
+			So(leader.terms["jobs/a"].Number(), ShouldEqual, term)
 			s.catchesUp(other)
 		}
 	})
@@ -157,30 +157,30 @@
 }
 
 // vote asks for a vote; without an answer within 100 ms it returns nil.
-func (a asked) vote(epoch uint64) *voteReply {
+func (a asked) vote(term uint64) *voteReply {
 	var answer *voteReply
-	request := voteRequest{Group: "jobs/a", Term: epoch, Candidate: "x", View: 1}
+	request := voteRequest{Group: "jobs/a", Term: term, Candidate: "x", View: 1}
 	a.node.step(func() { a.node.core.requestVote(request, func(reply voteReply) { answer = &reply }) })
 	So(a.run(100*time.Millisecond), ShouldBeNil)
 	return answer
 }
 
-// batch sends the first batch of an epoch of the group "jobs/a"; without an answer within 100 ms it returns nil.
-func (a asked) batch(epoch uint64) *appendReply { return a.batchOf("jobs/a", epoch) }
+// batch sends the first batch of a term of the group "jobs/a"; without an answer within 100 ms it returns nil.
+func (a asked) batch(term uint64) *appendReply { return a.batchOf("jobs/a", term) }
 
-func (a asked) batchOf(group string, epoch uint64) *appendReply {
+func (a asked) batchOf(group string, term uint64) *appendReply {
 	var answer *appendReply
-	request := appendRequest{Group: group, Term: epoch, Leader: "x", View: 1, Position: Position{epoch, 1}, Entries: []Entry{{"key", []byte("value")}}}
+	request := appendRequest{Group: group, Term: term, Leader: "x", View: 1, Position: Position{term, 1}, Entries: []Entry{{"key", []byte("value")}}}
 	a.node.step(func() { a.node.core.append(request, func(reply appendReply) { answer = &reply }) })
 	So(a.run(100*time.Millisecond), ShouldBeNil)
 	return answer
 }
 
-func (a asked) beat(epoch uint64) *appendReply { return a.beatOf("jobs/a", epoch) }
+func (a asked) beat(term uint64) *appendReply { return a.beatOf("jobs/a", term) }
 
-func (a asked) beatOf(group string, epoch uint64) *appendReply {
+func (a asked) beatOf(group string, term uint64) *appendReply {
 	var answer *appendReply
-	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, epoch}}}
+	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, term}}}
 	a.node.step(func() { a.node.core.ping(request, func(reply pingReply) { answer = &reply.Heartbeats[0] }) })
 	So(a.run(100*time.Millisecond), ShouldBeNil)
 	return answer
@@ -199,7 +199,7 @@
 			So(a.vote(9).Granted, ShouldBeTrue)
 			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 9)
 		})
-		Convey("it follows no epoch below one that it was asked to promise", func() {
+		Convey("it follows no term below one that it was asked to promise", func() {
 			So(a.vote(7).Granted, ShouldBeFalse)
 			delete(a.fullDisks, a.node.address)
 			So(a.run(rejectionBackoff), ShouldBeNil)
--- a/internal/controlplane/replication/explored_test.go
+++ b/internal/controlplane/replication/explored_test.go
@@ -78,8 +78,8 @@
 	wrong   explorerDefects
 	view    replicaset.View
 
-	committed map[uint64]uint64   // newest sequence by epoch
-	bases     map[uint64]Position // adopted by epoch
+	committed map[uint64]uint64   // newest sequence by term
+	bases     map[uint64]Position // adopted by term
 	states    map[Position]uint64 // hash of the state at a position
 	err       error
 }
--- a/internal/controlplane/replication/exploredcheck_test.go
+++ b/internal/controlplane/replication/exploredcheck_test.go
@@ -33,9 +33,9 @@
 	}
 	w.committed[l.termNumber] = max(w.committed[l.termNumber], l.commitIndex)
 	for later, base := range w.bases {
-		for epoch, sequence := range w.committed {
-			if epoch < later && sequence > 0 && base.Before(Position{epoch, sequence}) {
-				w.failf("epoch %d begins at %v without what epoch %d has committed, %d", later, base, epoch, sequence)
+		for term, sequence := range w.committed {
+			if term < later && sequence > 0 && base.Before(Position{term, sequence}) {
+				w.failf("term %d begins at %v without what term %d has committed, %d", later, base, term, sequence)
 			}
 		}
 	}
--- a/internal/controlplane/replication/failover_test.go
+++ b/internal/controlplane/replication/failover_test.go
@@ -99,10 +99,10 @@
 	Convey("Given a leader", t, func() {
 		s := calm(7, 3)
 		leader := s.leader("jobs/a")
-		epoch := leader.terms["jobs/a"].Number()
+		term := leader.terms["jobs/a"].Number()
 		stays := func() {
 			So(s.leader("jobs/a") == leader, ShouldBeTrue)
-			So(leader.terms["jobs/a"].Number(), ShouldEqual, epoch)
+			So(leader.terms["jobs/a"].Number(), ShouldEqual, term)
 		}
 		other := s.nodes[s.view.Members[0]]
 		if other == leader {
--- a/internal/controlplane/replication/files_test.go
+++ b/internal/controlplane/replication/files_test.go
@@ -18,7 +18,7 @@
 }
 
 func newFiles(disk *storagetest.Disk) *files {
-	store, _, err := storage.Open(disk, "data", storage.Options{RewriteAbove: rewriteAbove})
+	store, _, err := storage.Open(disk, "data", storage.Options{CompactAbove: rewriteAbove})
 	if err != nil {
 		panic(err)
 	}
@@ -35,10 +35,10 @@
 func (f *files) losePower(changes []storage.Change, random *rand.Rand) *files {
 	if changes != nil {
 		f.write(nil) // returns after the rewriting that earlier writes have led to, so that a schedule replays
-		f.disk.CutPowerAt(f.disk.Operations()+1+random.IntN(2), random.IntN(2) == 0)
+		f.disk.LosePowerAt(f.disk.Operations()+1+random.IntN(2), random.IntN(2) == 0)
 		f.store.Write(changes...)
 	}
-	f.disk.CutPower()
+	f.disk.LosePower()
 	f.store.Close()
 	return newFiles(f.disk.Restore(random))
 }
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -17,7 +17,7 @@
 	ensured           bool          // campaign although nothing is stored
 	lastContact       time.Duration // of the newest sign of life of a leader
 	vacant            bool          // the last leader has resigned
-	resignedTerm      uint64        // epoch of the newest leader that has resigned
+	resignedTerm      uint64        // term of the newest leader that has resigned
 	campaignNotBefore time.Duration // no campaign before
 }
 
@@ -28,13 +28,13 @@
 }
 
 // heard notes a sign of life of a leader.
-func (g *group) leaderContacted(epoch uint64, leader string) {
+func (g *group) leaderContacted(term uint64, leader string) {
 	g.lastContact, g.vacant = g.core.now, false
 	if leader == g.core.self {
 		return
 	}
-	g.core.leaders.updateGroup(g.name, feed.Leader{Address: leader, Epoch: epoch})
-	if g.campaigning != nil && g.campaigning.term <= epoch {
+	g.core.leaders.updateGroup(g.name, feed.Leader{Address: leader, Epoch: term})
+	if g.campaigning != nil && g.campaigning.term <= term {
 		g.campaigning.abandon()
 	}
 }
@@ -67,14 +67,14 @@
 	return max(at, g.campaignNotBefore, g.replica.noVoteBefore)
 }
 
-// leaderResigned notes that the leader of an epoch has ended its term.
-func (g *group) leaderResigned(epoch uint64) {
-	if epoch < g.replica.currentTerm {
+// leaderResigned notes that the leader of a term has ended its term.
+func (g *group) leaderResigned(term uint64) {
+	if term < g.replica.currentTerm {
 		return
 	}
-	g.replica.releaseLease(epoch)
+	g.replica.releaseLease(term)
 	g.vacant = true
-	g.resignedTerm = epoch
+	g.resignedTerm = term
 	g.lastContact = g.core.now
 	g.core.tickEarlier = true
 }
--- a/internal/controlplane/replication/hugestate_test.go
+++ b/internal/controlplane/replication/hugestate_test.go
@@ -53,8 +53,8 @@
 	mu      sync.Mutex
 	struck  map[uint32]bool        // faults that have struck, by their part
 	first   appendRequest          // the first part of the first leader's snapshot
-	midway  chan uint64            // gets the epoch of the first snapshot once half of it has arrived
-	stopped uint64                 // that snapshot's epoch, of which nothing passes any more; 0 before
+	midway  chan uint64            // gets the term of the first snapshot once half of it has arrived
+	stopped uint64                 // that snapshot's term, of which nothing passes any more; 0 before
 	chunks  uint32                 // of the newest snapshot
 	largest int                    // bytes of entries in one message
 	odd     map[uint32]appendReply // answers to parts that were not in their turn, by the part that was
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -30,9 +30,9 @@
 }
 
 // startLeading begins a term on an adopted state. Its first batch is empty, and its commitment completes the election.
-func (g *group) startLeading(epoch uint64, adopted voteReply, votes map[string]voteReply) {
+func (g *group) startLeading(term uint64, adopted voteReply, votes map[string]voteReply) {
 	l := &leadership{
-		core: g.core, group: g, termNumber: epoch,
+		core: g.core, group: g, termNumber: term,
 		deadline:  g.core.now + g.core.timing.ReplyTimeout,
 		followers: make(map[string]*follower),
 	}
@@ -90,7 +90,7 @@
 	local.Position = l.lastPosition
 	l.group.replica.append(local, func(reply appendReply) {
 		if reply.Outcome != accepted {
-			l.end("the state here cannot go on")
+			l.end("the local append failed")
 		}
 		l.advance()
 	})
@@ -196,7 +196,7 @@
 		return
 	}
 	l.elected = true
-	l.core.log.Info("leading", zap.String("group", l.group.name), zap.Uint64("epoch", l.termNumber))
+	l.core.log.Info("leading", zap.String("group", l.group.name), zap.Uint64("term", l.termNumber))
 	state := l.core.store.Table(stateTable(l.group.name))
 	l.handle.announceElected(state)
 	l.core.leaders.updateGroup(l.group.name, feed.Leader{Address: l.core.self, Epoch: l.termNumber})
@@ -247,7 +247,7 @@
 	l.group.leading = nil
 	l.group.lastContact = l.core.now
 	l.core.tickEarlier = true
-	l.core.log.Info("leadership ended", zap.String("group", l.group.name), zap.Uint64("epoch", l.termNumber),
+	l.core.log.Info("leadership ended", zap.String("group", l.group.name), zap.Uint64("term", l.termNumber),
 		zap.String("reason", reason))
 	l.handle.finish()
 	for address, follower := range l.followers {
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Votes, batches and heartbeats have epochs and positions, so that one that comes again changes nothing.
+// Internal calls. Votes, batches and heartbeats have terms and positions, so that one that comes again changes nothing.
 // A resignation that came late would make a process that is back count as gone.
 var (
 	voteCall     = transport.NewIdempotent[voteRequest, voteReply]("/replication/prepare")
@@ -55,7 +55,7 @@
 
 type voteReply struct {
 	Granted  bool              `msgpack:"g"`
-	Term     uint64            `msgpack:"m"` // the highest epoch promised
+	Term     uint64            `msgpack:"m"` // the highest term promised
 	Position Position          `msgpack:"p"`
 	State    map[string][]byte `msgpack:"s,omitempty"` // only where Position is newer than the candidate's
 	// StateOmitted tells that Position is newer than the candidate's and that the state does not fit into this message. The
@@ -99,7 +99,7 @@
 	unavailable      appendOutcome = iota // the replica may not vote at present, or has a newer view
 	accepted                              // the replica follows the leader; its position is in the reply
 	positionMismatch                      // the replica follows the leader, but the batch does not continue its position
-	staleTerm                             // the replica has promised a higher epoch
+	staleTerm                             // the replica has promised a higher term
 	incomplete                            // the replica follows the leader, and wants the part that the reply names
 )
 
--- a/internal/controlplane/replication/mutants_test.go
+++ b/internal/controlplane/replication/mutants_test.go
@@ -50,14 +50,14 @@
 }
 
 // vote asks the machine for its vote and returns the answer.
-func (n *simulatedNode) vote(candidate string, epoch uint64) (answer voteReply) {
-	request := voteRequest{Group: "jobs/a", Term: epoch, Candidate: candidate, View: 1}
+func (n *simulatedNode) vote(candidate string, term uint64) (answer voteReply) {
+	request := voteRequest{Group: "jobs/a", Term: term, Candidate: candidate, View: 1}
 	n.step(func() { n.core.requestVote(request, func(reply voteReply) { answer = reply }) })
 	So(n.simulation.run(50*time.Millisecond), ShouldBeNil)
 	return answer
 }
 
-// take sends the machine a batch or a snapshot of the leader "x" under epoch 7, and returns the answer.
+// take sends the machine a batch or a snapshot of the leader "x" under term 7, and returns the answer.
 func (n *simulatedNode) take(snapshot bool, previous, sequence uint64, value byte) (answer appendReply) {
 	request := appendRequest{
 		Group: "jobs/a", Term: 7, Leader: "x", View: 1, Snapshot: snapshot,
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -190,7 +190,7 @@
 			So(got, ShouldEqual, i)
 		}
 
-		Convey("the next leader after its death has all that was committed, and a higher epoch", func() {
+		Convey("the next leader after its death has all that was committed, and a higher term", func() {
 			first.node.kill()
 			second := c.awaitValid()
 			So(second.node.address, ShouldNotEqual, first.node.address)
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -11,7 +11,7 @@
 type replica struct {
 	core         *core
 	group        *group
-	currentTerm  uint64   // no epoch below is followed
+	currentTerm  uint64   // no term below is followed
 	votedFor     string   // to whom the promise was given
 	durableTerm  uint64   // the promise that is on disk
 	position     Position // of the state on disk
@@ -129,35 +129,35 @@
 	return stateBytes(state) > r.core.limits.ChunkBytes
 }
 
-// advanceTerm promises to follow no lower epoch; a leader on this machine with a lower one ends.
-func (r *replica) advanceTerm(epoch uint64, candidate string) {
-	if epoch > r.currentTerm {
-		r.currentTerm, r.votedFor = epoch, candidate
+// advanceTerm promises to follow no lower term; a leader on this machine with a lower one ends.
+func (r *replica) advanceTerm(term uint64, candidate string) {
+	if term > r.currentTerm {
+		r.currentTerm, r.votedFor = term, candidate
 		r.assembly = nil
 	}
-	if leading := r.group.leading; leading != nil && leading.termNumber < epoch {
-		leading.end("a higher epoch was promised")
+	if leading := r.group.leading; leading != nil && leading.termNumber < term {
+		leading.end("this replica has entered a higher term")
 	}
 }
 
-// acceptLeader takes a message of a leader whose epoch is not below the promise as a sign of life.
-func (r *replica) acceptLeader(epoch uint64, leader string) {
-	r.advanceTerm(epoch, leader)
-	if r.lease.term <= epoch {
-		r.lease = followerLease{epoch, leader, r.core.now + r.core.timing.FollowerLease}
+// acceptLeader takes a message of a leader whose term is not below the promise as a sign of life.
+func (r *replica) acceptLeader(term uint64, leader string) {
+	r.advanceTerm(term, leader)
+	if r.lease.term <= term {
+		r.lease = followerLease{term, leader, r.core.now + r.core.timing.FollowerLease}
 	}
-	r.group.leaderContacted(epoch, leader)
+	r.group.leaderContacted(term, leader)
 }
 
-// heartbeat answers a heartbeat. It waits for the disk only when the epoch is new to this replica.
-func (r *replica) heartbeat(epoch uint64, leader string, view uint64, reply func(appendReply)) {
-	if r.rejection(epoch, view) == accepted && epoch == r.durableTerm && epoch == r.currentTerm {
-		r.acceptLeader(epoch, leader)
+// heartbeat answers a heartbeat. It waits for the disk only when the term is new to this replica.
+func (r *replica) heartbeat(term uint64, leader string, view uint64, reply func(appendReply)) {
+	if r.rejection(term, view) == accepted && term == r.durableTerm && term == r.currentTerm {
+		r.acceptLeader(term, leader)
 		reply(r.answer(accepted))
 		return
 	}
-	r.whenAccepted(epoch, view, reply, func() {
-		r.acceptLeader(epoch, leader)
+	r.whenAccepted(term, view, reply, func() {
+		r.acceptLeader(term, leader)
 		r.answerOnceDurable(view, accepted, reply)
 	})
 }
@@ -169,20 +169,20 @@
 
 // whenAccepted runs an operation for a leader once no write is under way, unless the leader is refused by then. One that
 // is refused already does not wait for the disk, which may be stalled.
-func (r *replica) whenAccepted(epoch, view uint64, reply func(appendReply), operation func()) {
-	if r.rejects(epoch, view, reply) {
+func (r *replica) whenAccepted(term, view uint64, reply func(appendReply), operation func()) {
+	if r.rejects(term, view, reply) {
 		return
 	}
 	r.whenIdle(func() {
-		if !r.rejects(epoch, view, reply) {
+		if !r.rejects(term, view, reply) {
 			operation()
 		}
 	})
 }
 
 // rejects answers a leader that is not to be followed, and tells whether it has.
-func (r *replica) rejects(epoch, view uint64, reply func(appendReply)) bool {
-	rejection := r.rejection(epoch, view)
+func (r *replica) rejects(term, view uint64, reply func(appendReply)) bool {
+	rejection := r.rejection(term, view)
 	if rejection == accepted {
 		return false
 	}
@@ -216,11 +216,11 @@
 }
 
 // rejection tells why a leader's message is not followed; accepted means that it is.
-func (r *replica) rejection(epoch, view uint64) appendOutcome {
+func (r *replica) rejection(term, view uint64) appendOutcome {
 	if !r.core.mayVote(view) {
 		return unavailable
 	}
-	if epoch < r.currentTerm || epoch <= r.group.resignedTerm {
+	if term < r.currentTerm || term <= r.group.resignedTerm {
 		return staleTerm
 	}
 	return accepted
@@ -276,8 +276,8 @@
 }
 
 // releaseLease gives up the lease of a leader that has resigned.
-func (r *replica) releaseLease(epoch uint64) {
-	if r.lease.term == epoch {
+func (r *replica) releaseLease(term uint64) {
+	if r.lease.term == term {
 		r.lease.until = r.core.now
 	}
 }
--- a/internal/controlplane/replication/sending.go
+++ b/internal/controlplane/replication/sending.go
@@ -176,7 +176,7 @@
 	}
 	switch reply.Outcome {
 	case staleTerm:
-		l.end("another replica has promised a higher epoch")
+		l.end("another replica is in a higher term")
 	case accepted, positionMismatch, incomplete:
 		l.recordAcknowledgement(follower, reply, sent)
 	}
--- a/internal/controlplane/replication/stored_test.go
+++ b/internal/controlplane/replication/stored_test.go
@@ -76,9 +76,9 @@
 // writeStoredGroups lets a replica vote and append, by the requests of other members.
 func writeStoredGroups(t *testing.T, store storage.Store) {
 	node := storedNode(t, store)
-	vote := func(group string, epoch uint64, candidate string) {
+	vote := func(group string, term uint64, candidate string) {
 		reply, err := serve(t.Context(), node, func(reply func(voteReply)) {
-			node.core.requestVote(voteRequest{Group: group, Term: epoch, Candidate: candidate, Position: Position{Term: epoch}, View: 1}, reply)
+			node.core.requestVote(voteRequest{Group: group, Term: term, Candidate: candidate, Position: Position{Term: term}, View: 1}, reply)
 		})
 		if err != nil || !reply.Granted {
 			t.Fatalf("vote in %s: %+v, %v", group, reply, err)
--- a/internal/controlplane/replication/tables.go
+++ b/internal/controlplane/replication/tables.go
@@ -33,10 +33,10 @@
 }
 
 // termChanges make a promise durable, together with whom it was given to.
-func termChanges(group string, epoch uint64, candidate string) []storage.Change {
+func termChanges(group string, term uint64, candidate string) []storage.Change {
 	table := metaTable(group)
 	return []storage.Change{
-		{Table: table, Key: termKey, Value: encodeTerm(epoch)},
+		{Table: table, Key: termKey, Value: encodeTerm(term)},
 		{Table: table, Key: votedForKey, Value: []byte(candidate)},
 	}
 }
@@ -45,7 +45,7 @@
 	return storage.Change{Table: metaTable(group), Key: positionKey, Value: encodePosition(position)}
 }
 
-func encodeTerm(epoch uint64) []byte { return binary.BigEndian.AppendUint64(nil, epoch) }
+func encodeTerm(term uint64) []byte { return binary.BigEndian.AppendUint64(nil, term) }
 
 func encodePosition(position Position) []byte {
 	return binary.BigEndian.AppendUint64(encodeTerm(position.Term), position.Index)
--- a/internal/controlplane/replication/term.go
+++ b/internal/controlplane/replication/term.go
@@ -8,7 +8,7 @@
 
 // Handler acts as leader of the groups of which this node is elected. Its methods are called on one goroutine per term.
 type Handler interface {
-	// Elected is called once a majority holds the adopted state under the new epoch. The state is the handler's to
+	// Elected is called once a majority holds the adopted state under the new term. The state is the handler's to
 	// keep; the values in it must not be modified.
 	Elected(term *Term, state map[string][]byte)
 	// Deposed is called once after the term has ended, and after the last committed callback.
@@ -41,7 +41,7 @@
 // Group returns the group's name.
 func (t *Term) Group() string { return t.group }
 
-// Epoch returns the number of the term, which is higher than that of every earlier leader of the group.
+// Number returns the number of the term, which is higher than that of every earlier leader of the group.
 func (t *Term) Number() uint64 { return t.number }
 
 // Propose queues entries to be written. Entries of a later proposal win over earlier ones of the same key. Once a
--- a/internal/controlplane/storage/contract_test.go
+++ b/internal/controlplane/storage/contract_test.go
@@ -12,7 +12,7 @@
 
 const directory = "/data"
 
-func mustOpen(t *testing.T, files storage.FileSystem, directory string, options storage.Options) (*storage.FileStore, storage.Opened) {
+func mustOpen(t *testing.T, files storage.FileSystem, directory string, options storage.Options) (*storage.FileStore, storage.OpenResult) {
 	t.Helper()
 	store, opened, err := storage.Open(files, directory, options)
 	if err != nil {
@@ -35,7 +35,7 @@
 
 func TestFileStoreKeepsTheContractWhileItIsRewrittenAllTheTime(t *testing.T) {
 	storagetest.RunStoreContract(t, func(t *testing.T) storage.SnapshotStore {
-		store, _ := mustOpen(t, storagetest.NewDisk(), directory, storage.Options{RewriteAbove: 1})
+		store, _ := mustOpen(t, storagetest.NewDisk(), directory, storage.Options{CompactAbove: 1})
 		return store
 	})
 }
@@ -50,7 +50,7 @@
 func TestFileStoreOnTheOperatingSystemIsThereAgain(t *testing.T) {
 	convey.Convey("A store in a folder that has to be made", t, func() {
 		folder := t.TempDir() + "/a/b"
-		store, opened := mustOpen(t, storage.OperatingSystem{}, folder, storage.Options{RewriteAbove: 64})
+		store, opened := mustOpen(t, storage.OperatingSystem{}, folder, storage.Options{CompactAbove: 64})
 		convey.So(opened.Empty, convey.ShouldBeTrue)
 		for _, value := range []string{"1", "2", "3", "4"} {
 			convey.So(store.Write(storage.Change{Table: "a", Key: "k", Value: []byte(value)}), convey.ShouldBeNil)
@@ -59,7 +59,7 @@
 
 		convey.Convey("has what was written when it is opened again", func() {
 			again, opened := mustOpen(t, storage.OperatingSystem{}, folder, storage.Options{})
-			convey.So(opened, convey.ShouldResemble, storage.Opened{})
+			convey.So(opened, convey.ShouldResemble, storage.OpenResult{})
 			convey.So(again.Snapshot(), convey.ShouldResemble, storage.Tables{"a": {"k": []byte("4")}})
 		})
 	})
--- a/internal/controlplane/storage/failure_test.go
+++ b/internal/controlplane/storage/failure_test.go
@@ -44,17 +44,17 @@
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
 		convey.So(store.Write(script(0)...), convey.ShouldBeNil)
-		disk.SetRoom(20)
+		disk.SetFreeSpace(20)
 		disk.FailTruncate()
 		err := store.Write(script(1)...)
 		convey.So(errors.Is(err, storagetest.ErrTruncate), convey.ShouldBeTrue)
-		convey.So(errors.Is(err, storage.ErrRefused), convey.ShouldBeFalse)
+		convey.So(errors.Is(err, storage.ErrWriteRejected), convey.ShouldBeFalse)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		<-store.Failed()
 		disk.SetCapacity(0)
 		convey.So(errors.Is(store.Write(script(1)...), storagetest.ErrTruncate), convey.ShouldBeTrue)
 		again, opened := mustOpen(t, disk.Kill(), directory, storage.Options{})
-		convey.So(opened.CutBytes, convey.ShouldEqual, 20)
+		convey.So(opened.TruncatedBytes, convey.ShouldEqual, 20)
 		checkContent(t, again, 1)
 	})
 	convey.Convey("A store that cannot be made is an error, and can be made once there is room", t, func() {
@@ -65,12 +65,12 @@
 		convey.So(storage.IsFull(err), convey.ShouldBeTrue)
 		disk.SetCapacity(0)
 		_, opened := mustOpen(t, disk, directory, storage.Options{})
-		convey.So(opened, convey.ShouldResemble, storage.Opened{Empty: true})
+		convey.So(opened, convey.ShouldResemble, storage.OpenResult{Empty: true})
 	})
 }
 
 // damage opens a store on the file of a whole script in which one byte differs.
-func damage(content []byte, position int) (*storage.FileStore, storage.Opened, error) {
+func damage(content []byte, position int) (*storage.FileStore, storage.OpenResult, error) {
 	content[position] ^= 0x20
 	disk := storagetest.NewDisk()
 	disk.WriteFile(logFile, content)
@@ -98,7 +98,7 @@
 	convey.Convey("A damaged byte anywhere before the last record is an error with a remedy", t, func() {
 		for position := range lastRecord {
 			_, _, err := damage(whole(), position)
-			if !errors.Is(err, storage.ErrDamaged) {
+			if !errors.Is(err, storage.ErrCorrupt) {
 				t.Fatalf("byte %d: got %v", position, err)
 			}
 		}
@@ -109,8 +109,8 @@
 			if err != nil {
 				t.Fatalf("byte %d: got %v", position, err)
 			}
-			if opened.CutBytes != int64(len(whole())-lastRecord) || checkContent(t, store, scriptLength-1) != scriptLength-1 {
-				t.Fatalf("byte %d: %d bytes are cut", position, opened.CutBytes)
+			if opened.TruncatedBytes != int64(len(whole())-lastRecord) || checkContent(t, store, scriptLength-1) != scriptLength-1 {
+				t.Fatalf("byte %d: %d bytes are cut", position, opened.TruncatedBytes)
 			}
 			store.Close()
 		}
@@ -125,7 +125,7 @@
 		content := disk.ReadFile(logFile)
 		store, opened, err := damage(content, len(content)-1)
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(opened.CutBytes, convey.ShouldBeGreaterThan, 0)
+		convey.So(opened.TruncatedBytes, convey.ShouldBeGreaterThan, 0)
 		checkContent(t, store, 1)
 		store.Close()
 	})
@@ -135,13 +135,13 @@
 		store.Close()
 		for position := range disk.ReadFile(logFile) {
 			_, _, err := damage(disk.ReadFile(logFile), position)
-			convey.So(errors.Is(err, storage.ErrDamaged), convey.ShouldBeTrue)
+			convey.So(errors.Is(err, storage.ErrCorrupt), convey.ShouldBeTrue)
 		}
 	})
 	convey.Convey("A file without a header is an error", t, func() {
 		disk := storagetest.NewDisk()
 		disk.WriteFile(logFile, []byte("short"))
 		_, _, err := storage.Open(disk, directory, storage.Options{})
-		convey.So(errors.Is(err, storage.ErrDamaged), convey.ShouldBeTrue)
+		convey.So(errors.Is(err, storage.ErrCorrupt), convey.ShouldBeTrue)
 	})
 }
--- a/internal/controlplane/storage/filestore.go
+++ b/internal/controlplane/storage/filestore.go
@@ -13,10 +13,10 @@
 	fileName      = "store.log"
 	temporaryName = "store.log.new"
 
-	defaultRewriteAbove = 4 << 20
-	defaultLimit        = 120 << 20
-	rewriteGrowth       = 3
-	maxBatch            = 8 << 20 // bytes of changes that are written and synced together
+	defaultCompactAbove = 4 << 20
+	defaultSizeLimit    = 120 << 20
+	compactionGrowth    = 3
+	maxBatchBytes       = 8 << 20 // bytes of changes that are written and synced together
 )
 
 var (
@@ -28,19 +28,19 @@
 
 // Options tune a FileStore. The zero value is the default.
 type Options struct {
-	// RewriteAbove is the length in bytes below which the file is not rewritten, unless that is too long for Limit.
-	RewriteAbove int64
-	// Limit is what the file and its next version should take together, in bytes. It can be kept while the live data is
+	// CompactAbove is the length in bytes below which the file is not rewritten, unless that is too long for Limit.
+	CompactAbove int64
+	// SizeLimit is what the file and its next version should take together, in bytes. It can be kept while the live data is
 	// less than three eighths of it.
-	Limit int64
+	SizeLimit int64
 }
 
-// Opened tells what Open found.
-type Opened struct {
+// OpenResult tells what Open found.
+type OpenResult struct {
 	// Empty is true where no store had ever been completely made in the folder.
 	Empty bool
-	// CutBytes is the length of the incomplete write that was cut off the end of the file.
-	CutBytes int64
+	// TruncatedBytes is the length of the incomplete write that was cut off the end of the file.
+	TruncatedBytes int64 `json:"CutBytes"` // the key of the log line
 }
 
 // FileStore is the Store that keeps one append-only file. Concurrent writes are gathered, written and synced together. A
@@ -59,17 +59,17 @@
 	ended  chan struct{} // closed when the writer has ended
 
 	// The writer's own.
-	file         File
-	fileNumber   uint64
-	length       int64
-	buffer       []byte
-	refusal      refusal
-	rewriteAfter time.Time // no rewriting before
+	file             File
+	fileNumber       uint64
+	length           int64
+	buffer           []byte
+	rejection        rejection
+	compactNotBefore time.Time // no rewriting before
 }
 
 // Open opens the store in a folder, which it makes if it is missing. What it returns is synced: nothing that a reader
 // sees can be taken back by a loss of power. A store that exists is opened without writing, also on a full disk.
-func Open(files FileSystem, directory string, options Options) (*FileStore, Opened, error) {
+func Open(files FileSystem, directory string, options Options) (*FileStore, OpenResult, error) {
 	store := &FileStore{
 		files:     files,
 		directory: directory,
@@ -79,23 +79,23 @@
 		ended:     make(chan struct{}),
 	}
 	store.queue.wake = make(chan struct{}, 1)
-	opened, err := store.load()
+	opened, err := store.openOrCreate()
 	if err != nil {
 		if store.file != nil {
 			store.file.Close()
 		}
-		return nil, Opened{}, fmt.Errorf("open store in %s: %w", directory, err)
+		return nil, OpenResult{}, fmt.Errorf("open store in %s: %w", directory, err)
 	}
 	go store.run()
 	return store, opened, nil
 }
 
 func (o Options) withDefaults() Options {
-	if o.RewriteAbove == 0 {
-		o.RewriteAbove = defaultRewriteAbove
+	if o.CompactAbove == 0 {
+		o.CompactAbove = defaultCompactAbove
 	}
-	if o.Limit == 0 {
-		o.Limit = defaultLimit
+	if o.SizeLimit == 0 {
+		o.SizeLimit = defaultSizeLimit
 	}
 	return o
 }
@@ -151,7 +151,7 @@
 func (s *FileStore) run() {
 	defer close(s.ended)
 	for range s.queue.wake {
-		for batch := s.queue.take(maxBatch); len(batch) > 0; batch = s.queue.take(maxBatch) {
+		for batch := s.queue.take(maxBatchBytes); len(batch) > 0; batch = s.queue.take(maxBatchBytes) {
 			s.commit(batch)
 		}
 		if s.queue.finished() {
@@ -173,15 +173,15 @@
 		c.done <- err
 	}
 	if err == nil {
-		err = s.shorten()
+		err = s.compactIfLong()
 	}
-	if err != nil && !errors.Is(err, ErrRefused) {
+	if err != nil && !errors.Is(err, ErrWriteRejected) {
 		s.fail(err)
 	}
 }
 
 func (s *FileStore) append(batch []*commit) error {
-	if err := s.refusal.current(); err != nil {
+	if err := s.rejection.current(); err != nil {
 		return err
 	}
 	var payload []byte
@@ -195,13 +195,13 @@
 	s.buffer = appendRecordHead(s.buffer[:0], s.fileNumber, s.length, writeRecord, payload)
 	s.buffer = append(s.buffer, payload...)
 	if written, err := s.file.Write(s.buffer); err != nil {
-		return s.undo(written, err)
+		return s.rollBack(written, err)
 	}
 	if err := s.file.Sync(); err != nil {
 		return fmt.Errorf("sync store: %w", err)
 	}
 	s.length += int64(len(s.buffer))
-	if len(s.buffer) > maxBatch {
+	if len(s.buffer) > maxBatchBytes {
 		s.buffer = nil
 	}
 	return nil
--- a/internal/controlplane/storage/filestore_test.go
+++ b/internal/controlplane/storage/filestore_test.go
@@ -67,7 +67,7 @@
 	const limit = 4 << 10
 	convey.Convey("A store that writes the same keys again and again is rewritten", t, func() {
 		disk := storagetest.NewDisk()
-		store, _ := mustOpen(t, disk, directory, storage.Options{RewriteAbove: limit})
+		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: limit})
 		longest := 0
 		for i := range 500 {
 			err := store.Write(storage.Change{Table: "a", Key: fmt.Sprint(i % 10), Value: make([]byte, 100)})
@@ -79,7 +79,7 @@
 	})
 	convey.Convey("Much live data is not rewritten before the file is three times as long", t, func() {
 		disk := storagetest.NewDisk()
-		store, _ := mustOpen(t, disk, directory, storage.Options{RewriteAbove: 1})
+		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: 1})
 		convey.So(store.Write(storage.Change{Table: "a", Key: "large", Value: make([]byte, limit)}), convey.ShouldBeNil)
 		before := disk.Operations()
 		for range limit / 100 {
@@ -90,7 +90,7 @@
 	convey.Convey("The file and its next version stay within the limit", t, func() {
 		disk := storagetest.NewDisk()
 		disk.SetCapacity(3 * limit)
-		store, _ := mustOpen(t, disk, directory, storage.Options{RewriteAbove: 1, Limit: 3*limit - 500})
+		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: 1, SizeLimit: 3*limit - 500})
 		convey.So(store.Write(storage.Change{Table: "a", Key: "large", Value: make([]byte, limit)}), convey.ShouldBeNil)
 		for range 200 {
 			convey.So(store.Write(storage.Change{Table: "a", Key: "small", Value: make([]byte, 50)}), convey.ShouldBeNil)
--- a/internal/controlplane/storage/filesystem.go
+++ b/internal/controlplane/storage/filesystem.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	filePermissions   = 0o600
-	folderPermissions = 0o700
+	filePermissions      = 0o600
+	directoryPermissions = 0o700
 )
 
 // File is an open file that is read and written at its current position.
@@ -25,8 +25,8 @@
 
 // FileSystem is the part of an operating system's files that a FileStore needs. Names are paths.
 type FileSystem interface {
-	// MakeFolder makes a folder that lasts, with its parents, unless it is there.
-	MakeFolder(name string) error
+	// MakeDirectory makes a folder that lasts, with its parents, unless it is there.
+	MakeDirectory(name string) error
 	// Create makes an empty file, or empties the one that has the name.
 	Create(name string) (File, error)
 	// Open opens a file for reading and writing; the error is fs.ErrNotExist where there is none.
@@ -35,22 +35,22 @@
 	Rename(from, to string) error
 	// Remove deletes a file; the error is fs.ErrNotExist where there is none.
 	Remove(name string) error
-	// SyncFolder returns once the names in a folder will survive a loss of power.
-	SyncFolder(name string) error
+	// SyncDirectory returns once the names in a folder will survive a loss of power.
+	SyncDirectory(name string) error
 }
 
 // OperatingSystem is the FileSystem of the machine.
 type OperatingSystem struct{}
 
-// MakeFolder implements FileSystem.
-func (o OperatingSystem) MakeFolder(name string) error {
+// MakeDirectory implements FileSystem.
+func (o OperatingSystem) MakeDirectory(name string) error {
 	if _, err := os.Stat(name); !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	if err := os.MkdirAll(name, folderPermissions); err != nil {
+	if err := os.MkdirAll(name, directoryPermissions); err != nil {
 		return err
 	}
-	return o.SyncFolder(filepath.Dir(name))
+	return o.SyncDirectory(filepath.Dir(name))
 }
 
 // Create implements FileSystem.
@@ -77,8 +77,8 @@
 // Remove implements FileSystem.
 func (OperatingSystem) Remove(name string) error { return os.Remove(name) }
 
-// SyncFolder implements FileSystem.
-func (OperatingSystem) SyncFolder(name string) error {
+// SyncDirectory implements FileSystem.
+func (OperatingSystem) SyncDirectory(name string) error {
 	folder, err := os.Open(name)
 	if err != nil {
 		return err
--- a/internal/controlplane/storage/full_test.go
+++ b/internal/controlplane/storage/full_test.go
@@ -22,7 +22,7 @@
 
 func checkRefused(t *testing.T, err error) {
 	t.Helper()
-	if !errors.Is(err, storage.ErrRefused) || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted || !storage.IsFull(err) {
+	if !errors.Is(err, storage.ErrWriteRejected) || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted || !storage.IsFull(err) {
 		t.Fatalf("the write of a full disk failed with %v", err)
 	}
 }
@@ -49,7 +49,7 @@
 // refuseTwice makes two writes on a disk with so much room: the disk refuses one, and the other comes during the pause.
 func refuseTwice(t *testing.T, disk *storagetest.Disk, store *storage.FileStore, room int) {
 	t.Helper()
-	disk.SetRoom(room)
+	disk.SetFreeSpace(room)
 	checkRefused(t, store.Write(refusedWrite))
 	before := disk.Operations()
 	checkRefused(t, store.Write(refusedWrite))
@@ -69,10 +69,10 @@
 					writeAll(t, store, 0, at)
 					refuseTwice(t, disk, store, room)
 					exactly(t, store, at)
-					time.Sleep(storage.RefusalPause)
+					time.Sleep(storage.RejectionBackoff)
 					refuseTwice(t, disk, store, room)
 					disk.SetCapacity(0)
-					time.Sleep(storage.RefusalPause)
+					time.Sleep(storage.RejectionBackoff)
 					writeAll(t, store, at, scriptLength)
 					exactly(t, store, scriptLength)
 					if isClosed(store.Failed()) {
@@ -80,8 +80,8 @@
 					}
 					store.Close()
 					again, opened := mustOpen(t, disk, directory, options)
-					if opened.CutBytes > 0 {
-						t.Fatalf("%d bytes were left of a refused write", opened.CutBytes)
+					if opened.TruncatedBytes > 0 {
+						t.Fatalf("%d bytes were left of a refused write", opened.TruncatedBytes)
 					}
 					exactly(t, again, scriptLength)
 					again.Close()
@@ -112,23 +112,23 @@
 	store, _ := mustOpen(t, disk, directory, smallFile)
 	writeAll(t, store, 0, at)
 	if operation > 0 {
-		disk.CutPowerAt(operation, seed%2 == 0)
+		disk.LosePowerAt(operation, seed%2 == 0)
 	}
-	disk.SetRoom(room)
+	disk.SetFreeSpace(room)
 	err := store.Write(refusedWrite)
-	unclear := !errors.Is(err, storage.ErrRefused) // as power failed within the write
+	unclear := !errors.Is(err, storage.ErrWriteRejected) // as power failed within the write
 	acknowledged := at
 	if operation > 0 {
 		disk.SetCapacity(0)
-		time.Sleep(storage.RefusalPause)
+		time.Sleep(storage.RejectionBackoff)
 		acknowledged = runScript(store, at)
 		store.Close()
-		disk.CutPower()
+		disk.LosePower()
 		disk = disk.Restore(rand.New(rand.NewPCG(seed, 0)))
 	} else {
 		store.Close()
 		disk = disk.Kill()
-		disk.SetRoom(0)
+		disk.SetFreeSpace(0)
 	}
 	again, _ := mustOpen(t, disk, directory, smallFile)
 	defer again.Close()
@@ -147,7 +147,7 @@
 	const value, writes = 500, 40
 	virtualtime.Test(t, func(t *testing.T) {
 		disk := storagetest.NewDisk()
-		store, _ := mustOpen(t, disk, directory, storage.Options{RewriteAbove: 1})
+		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: 1})
 		change := storage.Change{Table: "a", Key: "k", Value: make([]byte, value)}
 		write := func() {
 			t.Helper()
@@ -157,7 +157,7 @@
 			synctest.Wait() // the writer rewrites after it has answered
 		}
 		write()
-		disk.SetRoom(2*value + value/2)
+		disk.SetFreeSpace(2*value + value/2)
 		write()
 		write() // three times the live data: there is no room for the next file
 		length := len(disk.ReadFile(logFile))
@@ -172,7 +172,7 @@
 		if now := len(disk.ReadFile(logFile)); now <= length {
 			t.Fatal("rewriting was tried again at once")
 		}
-		time.Sleep(storage.RewritePause)
+		time.Sleep(storage.CompactionBackoff)
 		write()
 		if now := len(disk.ReadFile(logFile)); now > 2*value {
 			t.Fatalf("the file was not rewritten once there was room, it has %d bytes", now)
@@ -196,7 +196,7 @@
 			disk := storagetest.NewDisk()
 			store, _ := mustOpen(t, disk, directory, smallFile)
 			acknowledged := 0
-			disk.SetRoom(room)
+			disk.SetFreeSpace(room)
 			for acknowledged < scriptLength && store.Write(script(acknowledged)...) == nil {
 				acknowledged++
 			}
@@ -215,9 +215,9 @@
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
 		writeAll(t, store, 0, scriptLength)
 		store.Close()
-		disk.SetRoom(0)
+		disk.SetFreeSpace(0)
 		again, opened := mustOpen(t, disk, directory, storage.Options{})
-		if opened != (storage.Opened{}) {
+		if opened != (storage.OpenResult{}) {
 			t.Fatalf("opened: %+v", opened)
 		}
 		exactly(t, again, scriptLength)
--- a/internal/controlplane/storage/fuzz_test.go
+++ b/internal/controlplane/storage/fuzz_test.go
@@ -36,8 +36,8 @@
 			t.Fatal(err)
 		}
 		defer again.Close()
-		if opened.CutBytes != 0 || !reflect.DeepEqual(again.Snapshot(), held) {
-			t.Errorf("opened again, %d bytes were cut, and it holds %v instead of %v", opened.CutBytes, again.Snapshot(), held)
+		if opened.TruncatedBytes != 0 || !reflect.DeepEqual(again.Snapshot(), held) {
+			t.Errorf("opened again, %d bytes were cut, and it holds %v instead of %v", opened.TruncatedBytes, again.Snapshot(), held)
 		}
 	})
 }
--- a/internal/controlplane/storage/power_test.go
+++ b/internal/controlplane/storage/power_test.go
@@ -13,7 +13,7 @@
 // scriptLength is the number of writes of a script; the options make the file rewritten several times meanwhile.
 const scriptLength = 14
 
-var smallFile = storage.Options{RewriteAbove: 300}
+var smallFile = storage.Options{CompactAbove: 300}
 
 // script is a fixed sequence of writes, each of several changes in two tables.
 func script(i int) []storage.Change {
@@ -66,7 +66,7 @@
 // interrupted runs the script until the power is cut at an operation. It returns the number of acknowledged writes, and
 // whether the power was cut before the script was over.
 func interrupted(disk *storagetest.Disk, from, operation int, late bool) (acknowledged int, cut bool) {
-	disk.CutPowerAt(operation, late)
+	disk.LosePowerAt(operation, late)
 	acknowledged = from
 	store, _, err := storage.Open(disk, directory, smallFile)
 	if err == nil {
@@ -74,7 +74,7 @@
 		store.Close()
 	}
 	cut = disk.Operations() >= operation
-	disk.CutPower()
+	disk.LosePower()
 	return acknowledged, cut
 }
 
--- a/internal/controlplane/storage/queue.go
+++ b/internal/controlplane/storage/queue.go
@@ -13,18 +13,18 @@
 type commitQueue struct {
 	wake chan struct{} // holds a token while there may be something to do
 
-	mutex   sync.Mutex
-	waiting []*commit
-	closed  bool
-	broken  error // why no more writes are taken; nil while they are
+	mutex      sync.Mutex
+	waiting    []*commit
+	closed     bool
+	rejectWith error // why no more writes are taken; nil while they are
 }
 
 // add queues a write, unless the store has failed or is closed.
 func (q *commitQueue) add(c *commit) error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.broken != nil {
-		return q.broken
+	if q.rejectWith != nil {
+		return q.rejectWith
 	}
 	q.waiting = append(q.waiting, c)
 	q.signal()
@@ -55,9 +55,9 @@
 func (q *commitQueue) fail(err error) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	first := q.broken == nil || q.closed && q.broken == ErrClosed
+	first := q.rejectWith == nil || q.closed && q.rejectWith == ErrClosed
 	if first {
-		q.broken = err
+		q.rejectWith = err
 	}
 	return first
 }
@@ -66,8 +66,8 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.closed = true
-	if q.broken == nil {
-		q.broken = err
+	if q.rejectWith == nil {
+		q.rejectWith = err
 	}
 	q.signal()
 }
@@ -76,10 +76,10 @@
 func (q *commitQueue) failure() error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.broken == ErrClosed {
+	if q.rejectWith == ErrClosed {
 		return nil
 	}
-	return q.broken
+	return q.rejectWith
 }
 
 func (q *commitQueue) finished() bool {
--- a/internal/controlplane/storage/record.go
+++ b/internal/controlplane/storage/record.go
@@ -36,8 +36,8 @@
 	writeRecord recordKind = 'W'
 )
 
-// errBadRecord is the failure of a record that is incomplete or does not match its checksum.
-var errBadRecord = errors.New("incomplete or damaged record")
+// errCorruptRecord is the failure of a record that is incomplete or does not match its checksum.
+var errCorruptRecord = errors.New("incomplete or damaged record")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -53,13 +53,13 @@
 	body := header[:headerLength-checksumLength]
 	sum := binary.LittleEndian.Uint32(header[len(body):])
 	if !bytes.HasPrefix(header, []byte(fileMagic)) || sum != crc32.Checksum(body, castagnoli) {
-		return 0, errBadRecord
+		return 0, errCorruptRecord
 	}
 	return binary.LittleEndian.Uint64(body[len(fileMagic):]), nil
 }
 
-// recordSum is the checksum of a record.
-func recordSum(fileNumber uint64, offset int64, kind recordKind, payload []byte) uint32 {
+// recordChecksum is the checksum of a record.
+func recordChecksum(fileNumber uint64, offset int64, kind recordKind, payload []byte) uint32 {
 	var prefix [21]byte
 	binary.LittleEndian.PutUint64(prefix[0:], fileNumber)
 	binary.LittleEndian.PutUint64(prefix[8:], uint64(offset))
@@ -74,7 +74,7 @@
 	buffer = append(buffer, recordMagic...)
 	buffer = append(buffer, byte(kind))
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(payload)))
-	return binary.LittleEndian.AppendUint32(buffer, recordSum(fileNumber, offset, kind, payload))
+	return binary.LittleEndian.AppendUint32(buffer, recordChecksum(fileNumber, offset, kind, payload))
 }
 
 // record is a decoded record.
@@ -86,9 +86,9 @@
 
 // recordHead is the fixed part of a record.
 type recordHead struct {
-	kind   recordKind
-	length uint32
-	sum    uint32
+	kind     recordKind
+	length   uint32
+	checksum uint32
 }
 
 func decodeRecordHead(head []byte) (recordHead, bool) {
@@ -97,17 +97,17 @@
 	}
 	fields := head[len(recordMagic):]
 	return recordHead{
-		kind:   recordKind(fields[0]),
-		length: binary.LittleEndian.Uint32(fields[1:]),
-		sum:    binary.LittleEndian.Uint32(fields[5:]),
+		kind:     recordKind(fields[0]),
+		length:   binary.LittleEndian.Uint32(fields[1:]),
+		checksum: binary.LittleEndian.Uint32(fields[5:]),
 	}, true
 }
 
 // readRecord reads the record at an offset, of which the file holds no more than remaining bytes. Where it is incomplete or
-// damaged the error is errBadRecord.
+// damaged the error is errCorruptRecord.
 func readRecord(reader io.Reader, fileNumber uint64, offset, remaining int64) (record, error) {
 	if remaining < int64(recordHeadLength) {
-		return record{}, errBadRecord
+		return record{}, errCorruptRecord
 	}
 	var fixed [recordHeadLength]byte
 	if _, err := io.ReadFull(reader, fixed[:]); err != nil {
@@ -115,14 +115,14 @@
 	}
 	head, ok := decodeRecordHead(fixed[:])
 	if !ok || int64(head.length) > remaining-int64(recordHeadLength) || head.length > maxPayload {
-		return record{}, errBadRecord
+		return record{}, errCorruptRecord
 	}
 	payload := make([]byte, head.length)
 	if _, err := io.ReadFull(reader, payload); err != nil {
 		return record{}, err
 	}
-	if recordSum(fileNumber, offset, head.kind, payload) != head.sum {
-		return record{}, errBadRecord
+	if recordChecksum(fileNumber, offset, head.kind, payload) != head.checksum {
+		return record{}, errCorruptRecord
 	}
 	changes, err := decodeChanges(payload)
 	if err != nil {
@@ -131,16 +131,16 @@
 	return record{kind: head.kind, changes: changes, length: int64(recordHeadLength) + int64(head.length)}, nil
 }
 
-// holdsRecord tells whether a whole record begins anywhere in the rest of a file, which starts at an offset.
-func holdsRecord(rest []byte, fileNumber uint64, offset int64) bool {
+// containsRecord tells whether a whole record begins anywhere in the rest of a file, which starts at an offset.
+func containsRecord(tail []byte, fileNumber uint64, offset int64) bool {
 	for start := 0; ; start++ {
-		found := bytes.Index(rest[start:], []byte(recordMagic))
+		found := bytes.Index(tail[start:], []byte(recordMagic))
 		if found < 0 {
 			return false
 		}
 		start += found
-		remaining := int64(len(rest) - start)
-		if _, err := readRecord(bytes.NewReader(rest[start:]), fileNumber, offset+int64(start), remaining); err == nil {
+		remaining := int64(len(tail) - start)
+		if _, err := readRecord(bytes.NewReader(tail[start:]), fileNumber, offset+int64(start), remaining); err == nil {
 			return true
 		}
 	}
--- a/internal/controlplane/storage/recovery.go
+++ b/internal/controlplane/storage/recovery.go
@@ -8,33 +8,33 @@
 	"io/fs"
 )
 
-// ErrDamaged is the failure of a file that lacks something which was synced. It is never cut.
-var ErrDamaged = errors.New("the store's file is damaged where it had been synced; " +
+// ErrCorrupt is the failure of a file that lacks something which was synced. It is never cut.
+var ErrCorrupt = errors.New("the store's file is damaged where it had been synced; " +
 	"stop the process, remove the file, and start the process with firstStart=false: it is then rebuilt from the other core mixers")
 
-// load reads the file, or makes it where there is none.
-func (s *FileStore) load() (Opened, error) {
-	if err := s.files.MakeFolder(s.directory); err != nil {
-		return Opened{}, err
+// openOrCreate reads the file, or makes it where there is none.
+func (s *FileStore) openOrCreate() (OpenResult, error) {
+	if err := s.files.MakeDirectory(s.directory); err != nil {
+		return OpenResult{}, err
 	}
 	if err := s.files.Remove(s.path(temporaryName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return Opened{}, err
+		return OpenResult{}, err
 	}
 	file, err := s.files.Open(s.path(fileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return Opened{Empty: true}, s.rewrite()
+		return OpenResult{Empty: true}, s.compact()
 	}
 	if err != nil {
-		return Opened{}, err
+		return OpenResult{}, err
 	}
 	s.file = file
-	cut, err := s.recover()
-	return Opened{CutBytes: cut}, err
+	truncated, err := s.recover()
+	return OpenResult{TruncatedBytes: truncated}, err
 }
 
 // recover reads an existing file and cuts off an incomplete last write. A process that was killed may have left writes and
 // names behind that it did not sync; they are synced here, before anybody reads them.
-func (s *FileStore) recover() (cut int64, err error) {
+func (s *FileStore) recover() (truncated int64, err error) {
 	size, err := s.file.Seek(0, io.SeekEnd)
 	if err != nil {
 		return 0, err
@@ -42,7 +42,7 @@
 	if _, err := s.file.Seek(0, io.SeekStart); err != nil {
 		return 0, err
 	}
-	if err := s.read(bufio.NewReaderSize(s.file, 1<<16), size); err != nil {
+	if err := s.replay(bufio.NewReaderSize(s.file, 1<<16), size); err != nil {
 		return 0, err
 	}
 	if s.length < size {
@@ -59,13 +59,13 @@
 	if err := s.file.Sync(); err != nil {
 		return 0, err
 	}
-	return size - s.length, s.files.SyncFolder(s.directory)
+	return size - s.length, s.files.SyncDirectory(s.directory)
 }
 
-// read applies records up to the first bad one, whose offset it leaves in s.length.
-func (s *FileStore) read(reader io.Reader, size int64) error {
+// replay applies records up to the first bad one, whose offset it leaves in s.length.
+func (s *FileStore) replay(reader io.Reader, size int64) error {
 	if size < int64(headerLength) {
-		return fmt.Errorf("%w (%d bytes long)", ErrDamaged, size)
+		return fmt.Errorf("%w (%d bytes long)", ErrCorrupt, size)
 	}
 	header := make([]byte, headerLength)
 	if _, err := io.ReadFull(reader, header); err != nil {
@@ -73,22 +73,22 @@
 	}
 	number, err := decodeHeader(header)
 	if err != nil {
-		return fmt.Errorf("%w (header)", ErrDamaged)
+		return fmt.Errorf("%w (header)", ErrCorrupt)
 	}
 	s.fileNumber = number
 	s.length = int64(headerLength)
-	complete, err := s.readRecords(reader, size)
+	complete, err := s.replayRecords(reader, size)
 	if err == nil && !complete {
-		return fmt.Errorf("%w (first part, byte %d)", ErrDamaged, s.length)
+		return fmt.Errorf("%w (first part, byte %d)", ErrCorrupt, s.length)
 	}
 	return err
 }
 
-// readRecords tells whether the end of the snapshot was among the good records.
-func (s *FileStore) readRecords(reader io.Reader, size int64) (complete bool, err error) {
+// replayRecords tells whether the end of the snapshot was among the good records.
+func (s *FileStore) replayRecords(reader io.Reader, size int64) (complete bool, err error) {
 	for s.length < size {
 		next, err := readRecord(reader, s.fileNumber, s.length, size-s.length)
-		if errors.Is(err, errBadRecord) {
+		if errors.Is(err, errCorruptRecord) {
 			return complete, nil
 		}
 		if err != nil {
@@ -107,12 +107,12 @@
 	if _, err := s.file.Seek(s.length, io.SeekStart); err != nil {
 		return err
 	}
-	rest := make([]byte, size-s.length)
-	if _, err := io.ReadFull(s.file, rest); err != nil {
+	tail := make([]byte, size-s.length)
+	if _, err := io.ReadFull(s.file, tail); err != nil {
 		return err
 	}
-	if holdsRecord(rest, s.fileNumber, s.length) {
-		return fmt.Errorf("%w (record at byte %d)", ErrDamaged, s.length)
+	if containsRecord(tail, s.fileNumber, s.length) {
+		return fmt.Errorf("%w (record at byte %d)", ErrCorrupt, s.length)
 	}
 	return nil
 }
--- a/internal/controlplane/storage/refusal.go
+++ b/internal/controlplane/storage/refusal.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	// RefusalPause is how long no write is tried after one that the disk refused.
-	RefusalPause = 100 * time.Millisecond
-	// RewritePause is how long no rewriting is tried after one for which there was no room.
-	RewritePause = 5 * time.Second
+	// RejectionBackoff is how long no write is tried after one that the disk refused.
+	RejectionBackoff = 100 * time.Millisecond
+	// CompactionBackoff is how long no rewriting is tried after one for which there was no room.
+	CompactionBackoff = 5 * time.Second
 )
 
-// ErrRefused is the failure of a write that the disk did not take, in whole or in part. The store is as it was before the
+// ErrWriteRejected is the failure of a write that the disk did not take, in whole or in part. The store is as it was before the
 // write, and goes on.
-var ErrRefused = errors.New("the disk refused the write")
+var ErrWriteRejected = errors.New("the disk refused the write")
 
 // IsFull tells whether an error comes from a disk that takes no more bytes for now.
 func IsFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-func refused(cause error) error {
-	return rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", ErrRefused, cause), RefusalPause)
+func rejectedWrite(cause error) error {
+	return rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", ErrWriteRejected, cause), RejectionBackoff)
 }
 
-// refusal is the newest write that the disk refused.
-type refusal struct {
+// rejection is the newest write that the disk refused.
+type rejection struct {
 	err   error
 	until time.Time // no write is tried before
 }
 
 // current returns the newest refusal while no write is to be tried; nil otherwise.
-func (r *refusal) current() error {
+func (r *rejection) current() error {
 	if r.err != nil && time.Now().Before(r.until) {
 		return r.err
 	}
 	return nil
 }
 
-// undo takes back a write of which the file has got a part, and returns the error for its writers: ErrRefused where the
+// rollBack takes back a write of which the file has got a part, and returns the error for its writers: ErrWriteRejected where the
 // file is as before, which then also holds after a loss of power. The part needs no sync to be gone: it is no complete
 // record, and recovery cuts off an incomplete last one.
-func (s *FileStore) undo(written int, cause error) error {
+func (s *FileStore) rollBack(written int, cause error) error {
 	cause = fmt.Errorf("write store: %w", cause)
 	if written >= len(s.buffer) {
 		return cause
@@ -60,6 +60,6 @@
 			return fmt.Errorf("%w; seek before the incomplete write: %w", cause, err)
 		}
 	}
-	s.refusal = refusal{err: refused(cause), until: time.Now().Add(RefusalPause)}
-	return s.refusal.err
+	s.rejection = rejection{err: rejectedWrite(cause), until: time.Now().Add(RejectionBackoff)}
+	return s.rejection.err
 }
--- a/internal/controlplane/storage/rewrite.go
+++ b/internal/controlplane/storage/rewrite.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// snapshotPiece is the length in bytes at which a snapshot record is ended.
-const snapshotPiece = 1 << 20
+// snapshotRecordBytes is the length in bytes at which a snapshot record is ended.
+const snapshotRecordBytes = 1 << 20
 
-// rewriteThreshold is the length above which the file is rewritten. It grows with the live data, so that rewriting costs
+// compactionThreshold is the length above which the file is rewritten. It grows with the live data, so that rewriting costs
 // a bounded part of all writing, and keeps the file and its next version within the limit while that is possible.
-func (s *FileStore) rewriteThreshold() int64 {
+func (s *FileStore) compactionThreshold() int64 {
 	live := s.contents.bytes // only this goroutine changes it
-	limit := s.options.Limit
-	margin := min(maxBatch, limit/8) // the file is longer than the threshold by up to one batch
-	threshold := min(rewriteGrowth*live, limit-live-margin)
+	limit := s.options.SizeLimit
+	margin := min(maxBatchBytes, limit/8) // the file is longer than the threshold by up to one batch
+	threshold := min(compactionGrowth*live, limit-live-margin)
 	threshold = max(threshold, live+live/4)
-	return max(threshold, min(s.options.RewriteAbove, limit/4))
+	return max(threshold, min(s.options.CompactAbove, limit/4))
 }
 
-// shorten rewrites the file if it is too long. Where there is no room for that the file stays in use as it is.
-func (s *FileStore) shorten() error {
-	if s.length <= s.rewriteThreshold() || time.Now().Before(s.rewriteAfter) {
+// compactIfLong rewrites the file if it is too long. Where there is no room for that the file stays in use as it is.
+func (s *FileStore) compactIfLong() error {
+	if s.length <= s.compactionThreshold() || time.Now().Before(s.compactNotBefore) {
 		return nil
 	}
-	err := s.rewrite()
-	if errors.Is(err, ErrRefused) {
-		s.rewriteAfter = time.Now().Add(RewritePause)
+	err := s.compact()
+	if errors.Is(err, ErrWriteRejected) {
+		s.compactNotBefore = time.Now().Add(CompactionBackoff)
 		return nil
 	}
 	return err
 }
 
-// rewrite replaces the file by one that holds only the live data. The new file has all of it synced before it takes the
+// compact replaces the file by one that holds only the live data. The new file has all of it synced before it takes the
 // name, and nothing is written to it before the name is synced; so whichever of the two files a loss of power leaves
-// under the name, it holds every acknowledged write. After ErrRefused the present file stays the store's.
-func (s *FileStore) rewrite() error {
+// under the name, it holds every acknowledged write. After ErrWriteRejected the present file stays the store's.
+func (s *FileStore) compact() error {
 	next, err := s.files.Create(s.path(temporaryName))
 	if err != nil {
-		return refused(fmt.Errorf("rewrite store: %w", err))
+		return rejectedWrite(fmt.Errorf("rewrite store: %w", err))
 	}
 	writer := snapshotWriter{file: next, fileNumber: newFileNumber()}
 	if err := s.writeSnapshot(&writer); err != nil {
 		next.Close()
 		s.files.Remove(s.path(temporaryName)) // to make room; what stays is emptied by the next attempt
-		return refused(fmt.Errorf("rewrite store: %w", err))
+		return rejectedWrite(fmt.Errorf("rewrite store: %w", err))
 	}
-	if err := s.install(next); err != nil {
+	if err := s.replaceFile(next); err != nil {
 		next.Close()
 		return fmt.Errorf("rewrite store: %w", err)
 	}
@@ -77,15 +77,15 @@
 	return writer.record(snapshotEnd, nil)
 }
 
-// install syncs the new file and gives it the name.
-func (s *FileStore) install(next File) error {
+// replaceFile syncs the new file and gives it the name.
+func (s *FileStore) replaceFile(next File) error {
 	if err := next.Sync(); err != nil {
 		return err
 	}
 	if err := s.files.Rename(s.path(temporaryName), s.path(fileName)); err != nil {
 		return err
 	}
-	return s.files.SyncFolder(s.directory)
+	return s.files.SyncDirectory(s.directory)
 }
 
 // snapshotWriter writes the beginning of a new file.
@@ -102,7 +102,7 @@
 		return err
 	}
 	w.payload = payload
-	if len(w.payload) < snapshotPiece {
+	if len(w.payload) < snapshotRecordBytes {
 		return nil
 	}
 	return w.flush()
--- a/internal/controlplane/storage/storagetest/disk.go
+++ b/internal/controlplane/storage/storagetest/disk.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	// ErrNoPower is the failure of every operation from a loss of power until Restore.
-	ErrNoPower = errors.New("no power")
+	// ErrPowerLost is the failure of every operation from a loss of power until Restore.
+	ErrPowerLost = errors.New("no power")
 	// ErrFull is the failure of writes to a full disk.
 	ErrFull = fmt.Errorf("the disk is full: %w", syscall.ENOSPC)
 	// ErrSync is the failure of a sync that was made to fail.
@@ -27,16 +27,16 @@
 // Disk is a file system in memory. It remembers what was synced, and a loss of power leaves any part of the rest: a
 // write may be there, missing or torn, independently of others, and so may a name that was made, renamed or removed.
 type Disk struct {
-	mutex      sync.Mutex
-	current    map[string]*inode // by path, as processes see it
-	durable    map[string]*inode // by path, as of the last sync of the folder
-	operations int
-	cutAt      int // operation at which power is lost; 0 for never
-	cutLate    bool
-	failSyncAt int  // operation from which syncs fail; 0 for never
-	capacity   int  // bytes of all files together; 0 for no bound
-	fixed      bool // the lengths of files cannot be set
-	powerless  bool
+	mutex                   sync.Mutex
+	current                 map[string]*inode // by path, as processes see it
+	durable                 map[string]*inode // by path, as of the last sync of the folder
+	operations              int
+	powerLossAt             int // operation at which power is lost; 0 for never
+	powerLossAfterOperation bool
+	failSyncAt              int  // operation from which syncs fail; 0 for never
+	capacity                int  // bytes of all files together; 0 for no bound
+	failTruncate            bool // the lengths of files cannot be set
+	powerless               bool
 }
 
 // inode is a file's content under whatever names.
@@ -74,12 +74,12 @@
 	return &Disk{current: make(map[string]*inode), durable: make(map[string]*inode)}
 }
 
-// CutPowerAt makes power fail at an operation, counted from 1 from now on: before it or, where late, after it, but before
+// LosePowerAt makes power fail at an operation, counted from 1 from now on: before it or, where late, after it, but before
 // its caller hears of it.
-func (d *Disk) CutPowerAt(operation int, late bool) {
+func (d *Disk) LosePowerAt(operation int, late bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.cutAt, d.cutLate = d.operations+operation, late
+	d.powerLossAt, d.powerLossAfterOperation = d.operations+operation, late
 }
 
 // FailSyncAt makes the syncs fail that come after a number of operations from now.
@@ -96,8 +96,8 @@
 	d.capacity = bytes
 }
 
-// SetRoom bounds the length of all files together to a number of bytes more than it is now.
-func (d *Disk) SetRoom(bytes int) {
+// SetFreeSpace bounds the length of all files together to a number of bytes more than it is now.
+func (d *Disk) SetFreeSpace(bytes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.capacity = d.used() + bytes
@@ -107,7 +107,7 @@
 func (d *Disk) FailTruncate() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.fixed = true
+	d.failTruncate = true
 }
 
 // Operations counts the operations so far that change the disk or sync it.
@@ -117,8 +117,8 @@
 	return d.operations
 }
 
-// CutPower makes power fail now.
-func (d *Disk) CutPower() {
+// LosePower makes power fail now.
+func (d *Disk) LosePower() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.powerless = true
@@ -157,7 +157,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	restored := NewDisk()
-	kept := make(map[*inode]*inode)
+	survivors := make(map[*inode]*inode)
 	for _, name := range d.names() {
 		file := d.durable[name]
 		if d.current[name] != file && random.IntN(2) == 0 {
@@ -166,11 +166,11 @@
 		if file == nil {
 			continue
 		}
-		if kept[file] == nil {
+		if survivors[file] == nil {
 			content := file.survivor(random)
-			kept[file] = &inode{content: content, synced: content}
+			survivors[file] = &inode{content: content, synced: content}
 		}
-		restored.current[name], restored.durable[name] = kept[file], kept[file]
+		restored.current[name], restored.durable[name] = survivors[file], survivors[file]
 	}
 	return restored
 }
@@ -222,24 +222,24 @@
 // operate counts an operation and carries it out unless power fails before.
 func (d *Disk) operate(operation func() error) error {
 	if d.powerless {
-		return ErrNoPower
+		return ErrPowerLost
 	}
 	d.operations++
-	if d.operations == d.cutAt {
+	if d.operations == d.powerLossAt {
 		d.powerless = true
-		if !d.cutLate {
-			return ErrNoPower
+		if !d.powerLossAfterOperation {
+			return ErrPowerLost
 		}
 	}
 	err := operation()
 	if d.powerless {
-		return ErrNoPower
+		return ErrPowerLost
 	}
 	return err
 }
 
-// MakeFolder implements storage.FileSystem; folders need not be made.
-func (d *Disk) MakeFolder(string) error { return nil }
+// MakeDirectory implements storage.FileSystem; folders need not be made.
+func (d *Disk) MakeDirectory(string) error { return nil }
 
 // Create implements storage.FileSystem.
 func (d *Disk) Create(name string) (storage.File, error) {
@@ -261,7 +261,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.powerless {
-		return nil, ErrNoPower
+		return nil, ErrPowerLost
 	}
 	file := d.current[name]
 	if file == nil {
@@ -299,8 +299,8 @@
 	})
 }
 
-// SyncFolder implements storage.FileSystem.
-func (d *Disk) SyncFolder(folder string) error {
+// SyncDirectory implements storage.FileSystem.
+func (d *Disk) SyncDirectory(folder string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.operate(func() error {
--- a/internal/controlplane/storage/storagetest/file.go
+++ b/internal/controlplane/storage/storagetest/file.go
@@ -19,7 +19,7 @@
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	if f.disk.powerless {
-		return 0, ErrNoPower
+		return 0, ErrPowerLost
 	}
 	if f.position >= len(f.inode.content) {
 		return 0, io.EOF
@@ -35,7 +35,7 @@
 	defer f.disk.mutex.Unlock()
 	written := 0
 	err := f.disk.operate(func() error {
-		fitting := data[:min(len(data), f.room())]
+		fitting := data[:min(len(data), f.freeSpace())]
 		f.edit(edit{offset: f.position, data: append([]byte{}, fitting...)})
 		f.position += len(fitting)
 		written = len(fitting)
@@ -47,7 +47,7 @@
 	return written, err
 }
 
-func (f *openFile) room() int {
+func (f *openFile) freeSpace() int {
 	if f.disk.capacity == 0 {
 		return int(^uint(0) >> 1)
 	}
@@ -79,7 +79,7 @@
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	return f.disk.operate(func() error {
-		if f.disk.fixed {
+		if f.disk.failTruncate {
 			return ErrTruncate
 		}
 		f.edit(edit{offset: int(length)})
--- a/internal/controlplane/storage/stored_test.go
+++ b/internal/controlplane/storage/stored_test.go
@@ -38,7 +38,7 @@
 func makeStoredTables(t *testing.T) {
 	os.RemoveAll(storedFolder)
 	for _, writes := range [][][]storage.Change{storedWrites[:3], storedWrites[3:]} {
-		store, _, err := storage.Open(storage.OperatingSystem{}, storedFolder, storage.Options{RewriteAbove: 1, Limit: 1 << 20})
+		store, _, err := storage.Open(storage.OperatingSystem{}, storedFolder, storage.Options{CompactAbove: 1, SizeLimit: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 		defer store.Close()
 
 		Convey("all of it is read, and nothing is cut off or written", func() {
-			So(opened, ShouldResemble, storage.Opened{})
+			So(opened, ShouldResemble, storage.OpenResult{})
 			So(store.Snapshot(), ShouldResemble, storedTables)
 			after, err := os.ReadFile(filepath.Join(folder, "store.log"))
 			So(err, ShouldBeNil)
