--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -2,132 +2,32 @@
 
 import (
 	"context"
-	"fmt"
 	"slices"
+	"sync"
 	"time"
 
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/rpcerror"
-	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. A goodbye that came a second time, or late, would end the membership of one that is back.
-var (
-	viewCall     = transport.NewRepeatable[viewRequest, viewReply]("/replicaset/view")
-	announceCall = transport.NewRepeatable[announceRequest, viewReply]("/replicaset/announce")
-	leaveCall    = transport.NewOnce[leaveRequest, leaveReply]("/replicaset/leave")
+const (
+	exchangeInterval = 1500 * time.Millisecond // between exchanges with the next member
+	exchangeTimeout  = 500 * time.Millisecond  // of one such exchange
+	broadcastTimeout = 400 * time.Millisecond  // of an exchange with all; a process that misses it learns the view otherwise
 )
 
-// callTimeout bounds each of the internal calls.
-const callTimeout = time.Second
-
-// viewRequest asks for the receiver's view and tells it the sender's.
-type viewRequest struct {
-	View View `msgpack:"v"`
-}
-
-// announceRequest tells that the sender is a core node: before the first view one that may become a replica, later one
-// that is no member of the view.
-type announceRequest struct {
-	Address     string `msgpack:"a"`
-	Zone        string `msgpack:"z,omitempty"`
-	Incarnation uint64 `msgpack:"i"`
-	View        View   `msgpack:"v"` // the newest that the sender knows
-}
-
-// viewReply is the answer to both; the version is 0 while the receiver knows no view.
-type viewReply struct {
-	View View `msgpack:"v"`
-}
-
-// leaveRequest tells that a member is stopping.
-type leaveRequest struct {
-	Address string `msgpack:"a"`
-}
-
-type leaveReply struct{}
-
-// FetchView returns the view that another process knows; its version is 0 while it knows none.
-func FetchView(ctx context.Context, caller transport.Caller, address string) (View, error) {
-	return exchangeViews(ctx, caller, address, View{})
-}
-
-func exchangeViews(ctx context.Context, caller transport.Caller, address string, known View) (View, error) {
-	reply, err := viewCall.Call(ctx, caller, address, viewRequest{View: known})
-	if err != nil {
-		return View{}, fmt.Errorf("ask for the replicas: %w", err)
-	}
-	return reply.View, nil
-}
-
-// Serve registers the internal calls.
-func (m *Manager) Serve(mux *transport.Mux) {
-	transport.Handle(mux, viewCall, m.handleView)
-	transport.Handle(mux, announceCall, m.handleAnnounce)
-	transport.Handle(mux, leaveCall, m.handleLeave)
-}
-
-func (m *Manager) handleView(_ context.Context, request viewRequest) (viewReply, error) {
-	if err := m.learnIfNewer(request.View); err != nil {
-		return viewReply{}, err
-	}
-	return viewReply{View: m.View()}, nil
-}
-
-func (m *Manager) handleAnnounce(_ context.Context, request announceRequest) (viewReply, error) {
-	if err := m.learnIfNewer(request.View); err != nil {
-		return viewReply{}, err
-	}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	now := time.Now()
-	switch {
-	case m.view.Version == 0:
-		m.announcements.add(request.Address, request.Zone, now)
-	case request.View.Version == m.view.Version && !m.view.Has(request.Address):
-		m.joiningMembers.add(joiningMember{address: request.Address, zone: request.Zone, incarnation: request.Incarnation}, now)
-		m.wakeRun()
-	}
-	return viewReply{View: m.view}, nil
-}
-
-// wakeRun lets Run look at the joining members.
-func (m *Manager) wakeRun() {
-	select {
-	case m.wake <- struct{}{}:
-	default:
-	}
-}
-
-func (m *Manager) handleLeave(_ context.Context, request leaveRequest) (leaveReply, error) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	if m.view.Has(request.Address) {
-		m.leaveReceived[request.Address] = time.Now()
-		m.wakeRun()
-	}
-	return leaveReply{}, nil
-}
-
-func (m *Manager) learnIfNewer(view View) error {
-	if view.Version <= m.View().Version {
-		return nil
-	}
-	return m.Learn(view)
-}
-
-// exchangeWith exchanges views with another process, so that each learns a newer one.
+// exchangeWith exchanges views with another process: the one with the older view learns the newer one.
 func (m *Manager) exchangeWith(ctx context.Context, address string) {
-	theirs, err := exchangeViews(ctx, m.config.Caller, address, m.View())
+	reply, err := viewCall.Call(ctx, m.config.Caller, address, viewRequest{View: m.View()})
 	if err != nil {
-		m.config.Logger.Debug("exchange of views", zap.Error(err))
+		m.config.Logger.Debug("view exchange failed", zap.String("member", address), zap.Error(err))
 		return
 	}
-	m.learnReceived(theirs)
+	m.learnReceived(reply.View)
 }
 
-// exchangeWithNext exchanges views with the other members in turn. So one that was cut off, or lost its disk, hears of the
+// exchangeWithNext exchanges views with the other members in turn. So one that was partitioned, or lost its disk, learns the
 // view soon, though it reaches no seed.
 func (m *Manager) exchangeWithNext(ctx context.Context) {
 	others := m.others(m.View().Members)
@@ -140,9 +40,9 @@
 	m.exchangeWith(limited, others[m.exchangeCount%len(others)])
 }
 
-// exchangeAfterDisconnection exchanges views with all other members while this process is out of contact with a majority, and once
-// more when it is back: after its start, a cut or a freeze it may have been replaced, and is to hear of that at once, as it
-// then has to start over and to be rebuilt within the time that it is given to catch up.
+// exchangeAfterDisconnection exchanges views with all other members while no quorum is reachable, and once more when it is
+// again: after its start, a partition or a freeze this process may have been replaced. It is to learn that at once, as it then
+// has to start over and to be rebuilt within the time that it is given to catch up.
 func (m *Manager) exchangeAfterDisconnection(ctx context.Context) {
 	if m.config.Liveness == nil {
 		return
@@ -156,25 +56,43 @@
 	m.wasDisconnected = disconnected
 }
 
-// announceTo tells another process of this one, and takes its view.
+// broadcastView exchanges views with several processes at once. It returns when all have replied, or after the time-out.
+func (m *Manager) broadcastView(ctx context.Context, addresses []string) {
+	ctx, cancel := context.WithTimeout(ctx, broadcastTimeout)
+	defer cancel()
+	var calls sync.WaitGroup
+	for _, address := range m.others(addresses) {
+		calls.Go(func() { m.exchangeWith(ctx, address) })
+	}
+	calls.Wait()
+}
+
+// announceTo announces this process to another one, and learns that one's view.
 func (m *Manager) announceTo(ctx context.Context, address string) {
 	request := announceRequest{Address: m.config.Self, Zone: m.config.Zone, Incarnation: m.incarnation, View: m.View()}
 	reply, err := announceCall.Call(ctx, m.config.Caller, address, request)
 	if err != nil {
-		m.config.Logger.Debug("announce", zap.String("to", address), zap.Error(err))
+		m.config.Logger.Debug("announcement failed", zap.String("member", address), zap.Error(err))
 		return
 	}
 	m.learnReceived(reply.View)
 }
 
-// learnReceived takes a view from an answer. A failure of the store ends Run; one that only refuses the write, as a full disk
-// does, leaves this process with the view that it has, and it hears of the newer one again.
+func (m *Manager) learnIfNewer(view View) error {
+	if view.Version <= m.View().Version {
+		return nil
+	}
+	return m.Learn(view)
+}
+
+// learnReceived learns the view of a reply. A failure of the store ends Run. A store that only refuses the write, as a full
+// disk does, leaves this process with the view that it has, until it receives the newer one again.
 func (m *Manager) learnReceived(view View) {
 	err := m.learnIfNewer(view)
 	switch {
 	case err == nil:
 	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
-		m.config.Logger.Warn("view of the replicas not taken", zap.Uint64("version", view.Version), zap.Error(err))
+		m.config.Logger.Warn("view of the replicas not stored", zap.Uint64("version", view.Version), zap.Error(err))
 	default:
 		select {
 		case m.storeFailures <- err:
--- a/internal/controlplane/replicaset/founding.go
+++ b/internal/controlplane/replicaset/founding.go
@@ -9,21 +9,21 @@
 	"go.uber.org/zap"
 )
 
-// When the first view is settled.
+// When the first view is committed.
 const (
-	foundingDelay       = 1500 * time.Millisecond // after this process's start
+	foundingDelay       = 1500 * time.Millisecond // after this process's start, at the earliest
 	foundingQuietPeriod = 700 * time.Millisecond  // without a new announcement
-	founderTimeout      = 3 * time.Second         // after which the next founder acts
-	foundingTimeout     = 8 * time.Second         // after which any founder acts
-	commitTimeout       = 2 * time.Second
+	founderTimeout      = 3 * time.Second         // without an announcement of a founder, after which the next one proposes
+	foundingTimeout     = 8 * time.Second         // after this process's start, from when on any founder proposes
+	commitTimeout       = 2 * time.Second         // of one attempt to commit a view
 )
 
-// announcements are what a founder heard of core nodes.
+// announcements are those of core nodes that a founder has received before there is a view.
 type announcements struct {
 	start    time.Time
-	lastNew  time.Time            // when an address was heard for the first time
+	lastNew  time.Time            // when an address announced itself for the first time
 	received map[string]time.Time // by address, the latest
-	zones    map[string]string    // by address, where told
+	zones    map[string]string    // by address, where announced
 }
 
 func newAnnouncements(start time.Time) announcements {
@@ -40,17 +40,17 @@
 	a.received[address] = now
 }
 
-// dueSince tells whether the founder is to settle the view now: it has waited for everybody, and the founders before it in the
-// order are silent.
+// due tells whether the founder is to propose the first view now: no announcement is new, and the founders before it in the
+// order announce themselves no more.
 func (a *announcements) due(self string, founders []string, now time.Time) bool {
-	rank := slices.Index(founders, self)
-	if rank < 0 || now.Sub(a.start) < foundingDelay || now.Sub(a.lastNew) < foundingQuietPeriod {
+	order := slices.Index(founders, self)
+	if order < 0 || now.Sub(a.start) < foundingDelay || now.Sub(a.lastNew) < foundingQuietPeriod {
 		return false
 	}
 	if now.Sub(a.start) >= foundingTimeout {
 		return true
 	}
-	for _, earlier := range founders[:rank] {
+	for _, earlier := range founders[:order] {
 		if now.Sub(a.lastReceived(earlier)) < founderTimeout {
 			return false
 		}
@@ -72,7 +72,7 @@
 	return slices.Compact(all)
 }
 
-// commitFirstView settles the first view if that is this founder's turn.
+// commitFirstView commits the first view if this founder is to propose it now.
 func (m *Manager) commitFirstView(ctx context.Context) {
 	proposed, due := m.proposedFirstView()
 	if !due {
@@ -82,14 +82,14 @@
 	defer cancel()
 	committed, err := m.config.Founding.Commit(ctx, proposed)
 	if err != nil {
-		m.config.Logger.Warn("settle the first view", zap.Error(err))
+		m.config.Logger.Warn("first view not committed", zap.Error(err))
 		return
 	}
 	m.learnReceived(committed)
 }
 
-// proposedFirstView returns the view to propose and whether it is time to.
-func (m *Manager) proposedFirstView() (View, bool) {
+// proposedFirstView returns the first view, and whether this founder is to propose it now.
+func (m *Manager) proposedFirstView() (view View, due bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.config.Founding == nil || !m.announcements.due(m.config.Self, m.founders, time.Now()) {
@@ -98,7 +98,7 @@
 	if m.config.Zone != "" {
 		m.announcements.zones[m.config.Self] = m.config.Zone
 	}
-	view := View{Version: 1, Members: m.announcements.members(m.founders)}
+	view = View{Version: 1, Members: m.announcements.members(m.founders)}
 	if len(m.announcements.zones) > 0 {
 		view.Zones = maps.Clone(m.announcements.zones)
 	}
--- a/internal/controlplane/replicaset/joining.go
+++ b/internal/controlplane/replicaset/joining.go
@@ -8,44 +8,45 @@
 
 const (
 	joiningMemberDelay  = 300 * time.Millisecond // from a joining member's first announcement until it may become a member
-	announcementTimeout = time.Second            // an announcement counts no longer
+	announcementTimeout = time.Second            // after which a joining member that announces itself no more is forgotten
 )
 
-// startJoiningMember is a core node that is no member and announces itself.
+// joiningMember is a core node that is no member and announces itself.
 type joiningMember struct {
 	address        string
 	zone           string
-	incarnation    uint64    // of the process that announced itself last
-	firstAnnounced time.Time // announcement
+	incarnation    uint64 // of the process that announced itself last
+	firstAnnounced time.Time
 	lastAnnounced  time.Time
 }
 
 // joiningMembers are those that announced themselves with the current view, by address.
 type joiningMembers map[string]joiningMember
 
-func (n joiningMembers) add(one joiningMember, now time.Time) {
-	one.firstAnnounced, one.lastAnnounced = now, now
-	if known, found := n[one.address]; found {
-		one.firstAnnounced = known.firstAnnounced
+// add records an announcement.
+func (j joiningMembers) add(joining joiningMember, now time.Time) {
+	joining.firstAnnounced, joining.lastAnnounced = now, now
+	if known, found := j[joining.address]; found {
+		joining.firstAnnounced = known.firstAnnounced
 	}
-	n[one.address] = one
+	j[joining.address] = joining
 }
 
-// removeExpired drops those that have fallen silent.
-func (n joiningMembers) removeExpired(now time.Time) {
-	for address, one := range n {
-		if now.Sub(one.lastAnnounced) > announcementTimeout {
-			delete(n, address)
+// removeExpired drops those that announce themselves no more.
+func (j joiningMembers) removeExpired(now time.Time) {
+	for address, joining := range j {
+		if now.Sub(joining.lastAnnounced) > announcementTimeout {
+			delete(j, address)
 		}
 	}
 }
 
-// dueSince lists those that have announced themselves for long enough, the longest first.
-func (n joiningMembers) due(now time.Time) []joiningMember {
+// due lists those that have announced themselves for long enough, the longest first.
+func (j joiningMembers) due(now time.Time) []joiningMember {
 	var due []joiningMember
-	for _, one := range n {
-		if now.Sub(one.firstAnnounced) >= joiningMemberDelay {
-			due = append(due, one)
+	for _, joining := range j {
+		if now.Sub(joining.firstAnnounced) >= joiningMemberDelay {
+			due = append(due, joining)
 		}
 	}
 	slices.SortFunc(due, func(a, b joiningMember) int {
--- a/internal/controlplane/replicaset/leave.go
+++ b/internal/controlplane/replicaset/leave.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	leaveInterval = 200 * time.Millisecond // between goodbyes while this member waits to be replaced
-	leaveTimeout  = 200 * time.Millisecond // for one goodbye; with the interval it stays below leaveGracePeriod
+	leaveInterval = 200 * time.Millisecond // between leave requests while this member waits to be replaced
+	leaveTimeout  = 200 * time.Millisecond // of one leave request; with the interval it stays below leaveGracePeriod
 )
 
 // Departing tells whether this process is about to stop. Only then it accepts a view without itself: it then votes for
 // its own replacement where another member is down, and stays until the joining member has been rebuilt.
 func (m *Manager) Departing() bool { return m.departing.Load() }
 
-// Leave tells the other members that this process is about to stop, so that a joining member takes its place at once if there
-// is one. While a joining member waits it says so again and again, until a view without this process is known or the context
-// ends. It tells whether this process has been replaced. Where no joining member waits it says goodbye once.
+// Leave tells the other members that this process is about to stop, so that a joining member replaces it at once if there
+// is one. While there is, Leave repeats the request until a view without this process is known or the context ends. It tells
+// whether this process has been replaced. Without a joining member it sends the request once.
 func (m *Manager) Leave(ctx context.Context) (replaced bool) {
 	m.departing.Store(true)
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-// broadcastLeave tells all other members once. It returns when all have answered, or after a while.
+// broadcastLeave sends a leave request to all other members. It returns when all have replied, or after the time-out.
 func (m *Manager) broadcastLeave(ctx context.Context, view View) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 	for _, address := range m.others(view.Members) {
 		calls.Go(func() {
 			if _, err := leaveCall.Call(ctx, m.config.Caller, address, leaveRequest{Address: m.config.Self}); err != nil {
-				m.config.Logger.Debug("goodbye", zap.String("to", address), zap.Error(err))
+				m.config.Logger.Debug("leave request failed", zap.String("member", address), zap.Error(err))
 			}
 		})
 	}
--- a/internal/controlplane/replicaset/nextview.go
+++ b/internal/controlplane/replicaset/nextview.go
@@ -9,42 +9,44 @@
 )
 
 const (
-	failureTimeout          = 1200 * time.Millisecond // silence of a member that may be replaced
-	crossZoneFailureTimeout = 3 * time.Second         // the same where several are silent, and none in the joining member's zone
-	proposerDelay           = 500 * time.Millisecond  // for each live member that is to act before this one
+	failureTimeout          = 1200 * time.Millisecond // without a message, after which a member may be replaced
+	crossZoneFailureTimeout = 3 * time.Second         // the same where several have failed, and none in the joining member's zone
+	proposerDelay           = 500 * time.Millisecond  // for each live member that is to propose before this one
 )
 
-// replaceableMember is a member that may be replaced.
+// replaceableMember is a member that may be replaced, as it has failed or is about to stop.
 type replaceableMember struct {
 	address    string
-	sinceHeard time.Duration
-	leaving    bool // it said goodbye
+	sinceHeard time.Duration // since its last message
+	departing  bool          // it sent a leave request
 }
 
-// nextView chooses which joining member takes the place of which silent member: that of the joining member's zone, or one that said
-// goodbye, or the only silent one, or else the one that has been silent for the longest time. One that said goodbye comes
-// before those that may come back, as it goes within its grace period.
+// nextView chooses which joining member replaces which member: the first of the joining members for which there is one. It is a
+// pure function, so members that know the same propose the same.
 func nextView(view View, joining []joiningMember, replaceable []replaceableMember) (next View, found bool) {
-	for _, one := range joining {
-		if member, found := memberToReplace(one, view, replaceable); found {
-			return view.replaceMember(member, one), true
+	for _, candidate := range joining {
+		if member, found := memberToReplace(candidate, view, replaceable); found {
+			return view.replaceMember(member, candidate), true
 		}
 	}
 	return View{}, false
 }
 
+// memberToReplace chooses the member of the joining member's zone, or a departing one, or the only one that has failed, or else
+// the one that was not heard for the longest time. A departing member comes before those that may restart, as it stops within
+// its grace period.
 func memberToReplace(joining joiningMember, view View, replaceable []replaceableMember) (address string, found bool) {
 	if len(replaceable) == 0 {
 		return "", false
 	}
 	replaceable = slices.Clone(replaceable)
-	slices.SortStableFunc(replaceable, leavingFirst)
+	slices.SortStableFunc(replaceable, departingFirst)
 	for _, member := range replaceable {
 		if zone := view.Zones[member.address]; zone != "" && zone == joining.zone {
 			return member.address, true
 		}
 	}
-	if replaceable[0].leaving {
+	if replaceable[0].departing {
 		return replaceable[0].address, true
 	}
 	longest := slices.MaxFunc(replaceable, func(a, b replaceableMember) int {
@@ -53,18 +55,18 @@
 	return longest.address, len(replaceable) == 1 || longest.sinceHeard >= crossZoneFailureTimeout
 }
 
-// leavingFirst orders those that said goodbye before the others.
-func leavingFirst(a, b replaceableMember) int {
+// departingFirst orders departing members before the others.
+func departingFirst(a, b replaceableMember) int {
 	switch {
-	case a.leaving == b.leaving:
+	case a.departing == b.departing:
 		return 0
-	case a.leaving:
+	case a.departing:
 		return -1
 	}
 	return 1
 }
 
-// proposerRank is the number of live members that come before this process in the order in which members replace others.
+// proposerRank is the number of live members that are to propose a replacement before this process.
 func proposerRank(view View, self string, replaceable []replaceableMember) int {
 	rank := 0
 	for _, address := range rendezvousOrder(view.Members) {
@@ -79,7 +81,8 @@
 	return rank
 }
 
-// rendezvousOrder sorts addresses by highest random weight.
+// rendezvousOrder sorts addresses by their hashes, highest first: highest random weight, Thaler and Ravishankar, "Using
+// Name-Based Mappings to Increase Hit Rates" (IEEE/ACM Transactions on Networking 6(1), 1998). So the members agree on it.
 func rendezvousOrder(addresses []string) []string {
 	return slices.SortedFunc(slices.Values(addresses), func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxh3.HashString(b), xxh3.HashString(a)), cmp.Compare(a, b))
--- a/internal/controlplane/replicaset/nextview_test.go
+++ b/internal/controlplane/replicaset/nextview_test.go
@@ -42,7 +42,7 @@
 
 func TestADepartingMemberIsReplacedFirst(t *testing.T) {
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
-	silent := []replaceableMember{{address: "a", sinceHeard: 10 * time.Second}, {address: "b", leaving: true}}
+	silent := []replaceableMember{{address: "a", sinceHeard: 10 * time.Second}, {address: "b", departing: true}}
 
 	convey.Convey("One is silent, another goes: the newcomer takes the place of the one that goes, without a wait", t, func() {
 		next, found := nextView(view, []joiningMember{{address: "new", zone: "elsewhere"}}, silent)
--- a/internal/controlplane/replicaset/replacement.go
+++ b/internal/controlplane/replicaset/replacement.go
@@ -3,49 +3,16 @@
 import (
 	"context"
 	"slices"
-	"sync"
 	"time"
 
 	"go.uber.org/zap"
 )
 
-const (
-	maxObservationGap = time.Second            // between looks; after a longer one, this process may have been frozen
-	leaveGracePeriod  = 500 * time.Millisecond // in which a member that said goodbye is still heard
-	broadcastTimeout  = 400 * time.Millisecond // for telling others of a new view; who misses it hears of it otherwise
-)
-
-// observation tells since when this process has been in contact with a majority, and since when a replacement is due.
-type observation struct {
-	lastObserved   time.Time // newest look
-	connectedSince time.Time // in contact without interruption; zero while it is not
-	dueSince       time.Time // zero while nothing is due
-}
-
-// look takes note of the contact at a time.
-func (o *observation) observe(now time.Time, connected bool) {
-	if !connected || o.connectedSince.IsZero() || now.Sub(o.lastObserved) > maxObservationGap {
-		o.connectedSince, o.dueSince = time.Time{}, time.Time{}
-	}
-	if connected && o.connectedSince.IsZero() {
-		o.connectedSince = now
-	}
-	o.lastObserved = now
-}
+// leaveGracePeriod is how long after its leave request a member may still be heard. One that is heard later has restarted, and
+// the request counts no more.
+const leaveGracePeriod = 500 * time.Millisecond
 
-// dueFor returns how long a replacement has been due, given whether it is now.
-func (o *observation) dueFor(now time.Time, due bool) time.Duration {
-	if !due {
-		o.dueSince = time.Time{}
-		return 0
-	}
-	if o.dueSince.IsZero() {
-		o.dueSince = now
-	}
-	return now.Sub(o.dueSince)
-}
-
-// HasJoiningMembers tells whether this process is a member, and somebody waits to become one.
+// HasJoiningMembers tells whether this process is a member and knows core nodes that wait to become members.
 func (m *Manager) HasJoiningMembers() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -53,7 +20,7 @@
 	return m.config.Succession != nil && m.view.Has(m.config.Self) && len(m.joiningMembers) > 0
 }
 
-// completePendingView settles the next view if one was begun that this member knows of.
+// completePendingView commits the next view if this member has accepted one.
 func (m *Manager) completePendingView(ctx context.Context) {
 	current := m.View()
 	if m.config.Succession == nil || !current.Has(m.config.Self) {
@@ -61,7 +28,7 @@
 	}
 	next, found, err := m.config.Succession.Pending(current)
 	if err != nil {
-		m.config.Logger.Error("next view of the replicas", zap.Error(err))
+		m.config.Logger.Error("pending view not readable", zap.Error(err))
 		return
 	}
 	if found {
@@ -69,7 +36,8 @@
 	}
 }
 
-// replaceDueMember settles the next view if a member is to be replaced, and it is this process's turn.
+// replaceDueMember commits the next view if a member is to be replaced, and the members that are to propose it before this
+// one have had the time to.
 func (m *Manager) replaceDueMember(ctx context.Context) {
 	observation := &m.observation
 	liveness := m.config.Liveness()
@@ -88,25 +56,25 @@
 }
 
 // replacementCandidates returns the view, its members that may be replaced, and the joining members that may enter.
-func (m *Manager) replacementCandidates(now time.Time, connectedFor time.Duration, sinceHeardBy map[string]time.Duration) (View, []replaceableMember, []joiningMember) {
+// sinceHeardBy is by address; a member that was never heard counts from when it entered the view.
+func (m *Manager) replacementCandidates(now time.Time, connectedFor time.Duration, sinceHeardBy map[string]time.Duration) (current View, replaceable []replaceableMember, joining []joiningMember) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	var replaceable []replaceableMember
 	for _, address := range m.others(m.view.Members) {
 		sinceHeard, found := sinceHeardBy[address]
 		if !found {
 			sinceHeard = now.Sub(m.memberSince[address])
 		}
-		leaving := m.hasLeft(address, sinceHeard, now)
-		if leaving || connectedFor >= failureTimeout && sinceHeard >= failureTimeout {
-			replaceable = append(replaceable, replaceableMember{address, sinceHeard, leaving})
+		departing := m.isDeparting(address, sinceHeard, now)
+		if departing || connectedFor >= failureTimeout && sinceHeard >= failureTimeout {
+			replaceable = append(replaceable, replaceableMember{address, sinceHeard, departing})
 		}
 	}
 	return m.view, replaceable, m.joiningMembers.due(now)
 }
 
-// hasLeft tells whether a member said goodbye and was not heard since. The caller holds the mutex.
-func (m *Manager) hasLeft(address string, sinceHeard time.Duration, now time.Time) bool {
+// isDeparting tells whether a member sent a leave request and was not heard after its grace period. The caller holds the mutex.
+func (m *Manager) isDeparting(address string, sinceHeard time.Duration, now time.Time) bool {
 	received, found := m.leaveReceived[address]
 	if !found {
 		return false
@@ -118,27 +86,17 @@
 	return true
 }
 
-// replace settles the next view, and tells it to all whom it concerns.
+// commitNextView commits the view after the current one, and sends it to the members of both. Where it fails it sends the
+// current one to its members, of which one may know a newer view.
 func (m *Manager) commitNextView(ctx context.Context, current, next View) {
 	limited, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	committed, err := m.config.Succession.Commit(limited, current, next)
 	if err != nil {
-		m.config.Logger.Warn("settle the next view of the replicas", zap.Error(err))
+		m.config.Logger.Warn("next view not committed", zap.Uint64("version", next.Version), zap.Error(err))
 		m.broadcastView(ctx, current.Members)
 		return
 	}
 	m.learnReceived(committed)
 	m.broadcastView(ctx, slices.Concat(current.Members, committed.Members))
 }
-
-// tell exchanges views with several processes at once. It returns when all have answered, or after the limit.
-func (m *Manager) broadcastView(ctx context.Context, addresses []string) {
-	ctx, cancel := context.WithTimeout(ctx, broadcastTimeout)
-	defer cancel()
-	var calls sync.WaitGroup
-	for _, address := range m.others(addresses) {
-		calls.Go(func() { m.exchangeWith(ctx, address) })
-	}
-	calls.Wait()
-}
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -8,17 +8,15 @@
 )
 
 const (
-	pollInterval        = 200 * time.Millisecond  // between calls to one process, to learn the view or to become a member
-	replacementInterval = 100 * time.Millisecond  // between looks at the members while a joining member waits
-	pendingViewInterval = 300 * time.Millisecond  // between looks for a next view that was begun, while joining members wait
-	livenessInterval    = 300 * time.Millisecond  // between looks whether this process is in contact with a majority
-	exchangeInterval    = 1500 * time.Millisecond // between exchanges with the next member
-	exchangeTimeout     = 500 * time.Millisecond
+	pollInterval        = 200 * time.Millisecond // between calls to one process, to learn the view or to become a member
+	replacementInterval = 100 * time.Millisecond // between checks whether a member is to be replaced, while there are joining members
+	pendingViewInterval = 300 * time.Millisecond // between checks for a pending view, while there are joining members
+	livenessInterval    = 300 * time.Millisecond // between checks whether a quorum is reachable
 )
 
-// Run learns the view, or takes part in founding the first one; then it exchanges the view now and then, announces this
-// process while it is no member, and replaces dead members by joining members, until the context ends. It returns an error only
-// if the store fails.
+// Run learns the view, or takes part in founding the first one; then it exchanges views with the members, announces this
+// process while it is no member, and replaces failed and departing members by joining members, until the context ends. It
+// returns an error only if the store fails.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := m.runUntilViewChange(ctx); err != nil {
@@ -28,7 +26,15 @@
 	return nil
 }
 
-// runUntilViewChange does what the current view asks for until there is another.
+// role is what a process repeats as long as the view stays the same.
+type role struct {
+	step     func(ctx context.Context)
+	first    time.Duration // until the first step
+	interval time.Duration // from the end of a step to the next one
+	replaces bool          // the process also exchanges views with the members and replaces them, as a member does
+}
+
+// runUntilViewChange does what the current view asks of this process until there is another.
 func (m *Manager) runUntilViewChange(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -37,17 +43,15 @@
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	defer cancel()
-	step, interval := m.exchangeWithNext, exchangeInterval
 	switch {
 	case view.Version == 0:
 		m.pollAll(ctx, &calls, m.others(slices.Concat(m.founders, m.config.Seeds)), m.discoveryCall())
-		step, interval = m.commitFirstView, pollInterval
+		return m.repeat(ctx, changed, role{step: m.commitFirstView, first: pollInterval, interval: pollInterval})
 	case m.config.CountsForQuorum && !view.Has(m.config.Self) && !m.departing.Load():
 		m.pollAll(ctx, &calls, view.Members, m.announceTo)
-	default:
-		return m.keepMembership(ctx, changed)
+		return m.repeat(ctx, changed, role{step: m.exchangeWithNext, first: exchangeInterval, interval: exchangeInterval})
 	}
-	return m.every(ctx, changed, interval, step)
+	return m.repeat(ctx, changed, role{step: m.exchangeAfterDisconnection, interval: livenessInterval, replaces: true})
 }
 
 // discoveryCall is how a process without a view asks for it.
@@ -58,7 +62,7 @@
 	return m.exchangeWith
 }
 
-// pollAll calls each process again and again until the context ends. One that does not answer holds up no other.
+// pollAll calls each process repeatedly until the context ends. One that does not reply delays no other.
 func (m *Manager) pollAll(ctx context.Context, calls *sync.WaitGroup, addresses []string, call func(context.Context, string)) {
 	for _, address := range addresses {
 		calls.Go(func() {
@@ -72,36 +76,25 @@
 	}
 }
 
-// every runs a step at intervals until the view changes.
-func (m *Manager) every(ctx context.Context, changed <-chan struct{}, interval time.Duration, step func(context.Context)) error {
-	timer := time.NewTimer(interval)
-	defer timer.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-changed:
-			return nil
-		case err := <-m.storeFailures:
-			return err
-		case <-timer.C:
-		}
-		step(ctx)
-		timer.Reset(interval)
+// repeat plays a role until the view changes or the context ends; it fails with the store. The channels that the role does
+// not use are nil, and so never ready.
+//
+// While there are joining members, a process that replaces members checks whether one is due, and otherwise exchanges views.
+// A pending view is completed in either case, however often joining members announce themselves: its tickers run on their own.
+func (m *Manager) repeat(ctx context.Context, changed <-chan struct{}, role role) error {
+	step := time.NewTimer(role.first)
+	defer step.Stop()
+	replacement := time.NewTimer(replacementInterval)
+	defer replacement.Stop()
+	var wake <-chan struct{}
+	var pendingView, exchange <-chan time.Time
+	if role.replaces {
+		wake = m.wake
+		pendingViewTicker, exchangeTicker := time.NewTicker(pendingViewInterval), time.NewTicker(exchangeInterval)
+		defer pendingViewTicker.Stop()
+		defer exchangeTicker.Stop()
+		pendingView, exchange = pendingViewTicker.C, exchangeTicker.C
 	}
-}
-
-// keepMembership exchanges views now and then. While there are joining members, it looks for a member to replace instead. What was
-// begun is finished in either case, however often joining members are heard.
-func (m *Manager) keepMembership(ctx context.Context, changed <-chan struct{}) error {
-	contact := time.NewTimer(0)
-	defer contact.Stop()
-	finish := time.NewTicker(pendingViewInterval)
-	defer finish.Stop()
-	exchange := time.NewTicker(exchangeInterval)
-	defer exchange.Stop()
-	consider := time.NewTimer(replacementInterval)
-	defer consider.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -110,24 +103,24 @@
 			return nil
 		case err := <-m.storeFailures:
 			return err
-		case <-contact.C:
-			m.exchangeAfterDisconnection(ctx)
-			contact.Reset(livenessInterval)
-		case <-finish.C:
+		case <-step.C:
+			role.step(ctx)
+			step.Reset(role.interval)
+		case <-pendingView:
 			if m.HasJoiningMembers() {
 				m.completePendingView(ctx)
 			}
-		case <-exchange.C:
+		case <-exchange:
 			m.completePendingView(ctx)
 			if !m.HasJoiningMembers() {
 				m.exchangeWithNext(ctx)
 			}
-		case <-m.wake:
-		case <-consider.C:
+		case <-wake:
+		case <-replacement.C:
 		}
-		if m.HasJoiningMembers() {
+		if role.replaces && m.HasJoiningMembers() {
 			m.replaceDueMember(ctx)
-			consider.Reset(replacementInterval)
+			replacement.Reset(replacementInterval)
 		}
 	}
 }
