--- a/internal/controlplane/rebuild/merge.go
+++ b/internal/controlplane/rebuild/merge.go
@@ -1,40 +1,41 @@
 package rebuild
 
 import (
-	"context"
 	"fmt"
 	"maps"
 	"slices"
 	"strings"
-	"time"
 
-	"go.uber.org/zap"
-
-	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// installInterval is the time between attempts to write the copies to a full disk.
-const installInterval = 250 * time.Millisecond
+// Merger merges a group of tables from the snapshots of a majority of the other members. Each snapshot is as of one instant,
+// and has only tables of the group.
+type Merger func(snapshots []storage.Tables) (storage.Tables, error)
+
+// Infallible makes a Merger of a function that cannot fail.
+func Infallible(merge func(snapshots []storage.Tables) storage.Tables) Merger {
+	return func(snapshots []storage.Tables) (storage.Tables, error) { return merge(snapshots), nil }
+}
 
-// mergers are the registered mergers by the prefix of the tables' names.
+// mergers are the registered mergers, each with its tables.
 type mergers struct{ groups []tableGroup }
 
-// chunk is a set of tables that are merged together.
+// tableGroup is the set of tables that one merger merges, by the prefixes of their names.
 type tableGroup struct {
 	prefixes []string
 	merge    Merger
 }
 
-func (p tableGroup) has(table string) bool {
-	return slices.ContainsFunc(p.prefixes, func(prefix string) bool { return strings.HasPrefix(table, prefix) })
+func (g tableGroup) has(table string) bool {
+	return slices.ContainsFunc(g.prefixes, func(prefix string) bool { return strings.HasPrefix(table, prefix) })
 }
 
-// selectFrom returns the part's tables of one copy.
-func (p tableGroup) selectFrom(tables storage.Tables) storage.Tables {
+// selectFrom returns the group's tables of one snapshot.
+func (g tableGroup) selectFrom(tables storage.Tables) storage.Tables {
 	selected := make(storage.Tables)
 	for name, table := range tables {
-		if p.has(name) {
+		if g.has(name) {
 			selected[name] = table
 		}
 	}
@@ -45,7 +46,7 @@
 	m.groups = append(m.groups, tableGroup{prefixes, merge})
 }
 
-// merge makes one set of tables from the copies of several members.
+// merge merges the snapshots of several members.
 func (m *mergers) merge(snapshots []storage.Tables) (storage.Tables, error) {
 	if err := m.checkAll(snapshots); err != nil {
 		return nil, err
@@ -65,11 +66,11 @@
 	return merged, nil
 }
 
-// checkAll fails where a table would be left out.
+// checkAll returns ErrNoMerger where a table would be left out.
 func (m *mergers) checkAll(snapshots []storage.Tables) error {
 	for _, tables := range snapshots {
 		for name := range tables {
-			known := func(p tableGroup) bool { return p.has(name) }
+			known := func(group tableGroup) bool { return group.has(name) }
 			if !slices.ContainsFunc(m.groups, known) {
 				return fmt.Errorf("%w: %s", ErrNoMerger, name)
 			}
@@ -77,36 +78,3 @@
 	}
 	return nil
 }
-
-// install replaces all replicated tables by the merged copies and marks this member complete, in one write. So a crash
-// leaves it incomplete, and it starts over. absences is this process's number of them when the copies were taken. A full
-// disk is asked again until it takes the write: this member votes for nothing before, so the copies lack no vote of its
-// own.
-func (r *Rebuilder) install(ctx context.Context, snapshots []storage.Tables, absences uint64) error {
-	merged, err := r.mergers.merge(snapshots)
-	if err != nil {
-		return err
-	}
-	var changes []storage.Change
-	for _, name := range r.config.Store.Tables() {
-		if name != TableName && name != replicaset.TableName {
-			changes = append(changes, storage.Change{Table: name})
-		}
-	}
-	for name, table := range merged {
-		for key, value := range table {
-			changes = append(changes, storage.Change{Table: name, Key: key, Value: value})
-		}
-	}
-	changes = append(changes, completeChange(absences))
-	for {
-		err := r.config.Store.Write(changes...)
-		if !storage.IsFull(err) {
-			return err
-		}
-		r.config.Logger.Warn("the disk is too full for the copies", zap.Error(err))
-		if err := sleep(ctx, installInterval); err != nil {
-			return err
-		}
-	}
-}
