--- a/internal/controlplane/rebuild/calls.go
+++ b/internal/controlplane/rebuild/calls.go
@@ -8,8 +8,8 @@
 
 // Internal calls. Both only read: a snapshot is as of when it was taken, and a chunk of it stays the same.
 var (
-	dumpCall  = transport.NewRepeatable[dumpRequest, dumpReply]("/rebuild/dump")
-	readyCall = transport.NewRepeatable[readyRequest, readyReply]("/rebuild/ready")
+	dumpCall  = transport.NewIdempotent[dumpRequest, dumpReply]("/rebuild/dump")
+	readyCall = transport.NewIdempotent[readyRequest, readyReply]("/rebuild/ready")
 )
 
 // dumpRequest requests a chunk of a snapshot of all replicated tables. The snapshot is taken with chunk 0, once for each attempt.
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -80,12 +80,12 @@
 	if err := g.store.Write(changes...); err != nil {
 		panic(err)
 	}
-	for _, order := range effects.Commands {
-		if order.Start == nil {
+	for _, command := range effects.Commands {
+		if command.Start == nil {
 			continue
 		}
-		g.at[order.Start.Task], g.execution[order.Start.Task] = order.Worker, order.Start.Execution
-		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: order.Worker, Order: *order.Start, Outcome: workerclient.Started, At: g.now})
+		g.at[command.Start.Task], g.execution[command.Start.Task] = command.Worker, command.Start.AttemptNumber
+		g.scheduler.HandleStartResult(g.clock(), &workerclient.StartResult{Worker: command.Worker, Command: *command.Start, Outcome: workerclient.Started, At: g.now})
 	}
 }
 
@@ -100,13 +100,13 @@
 	g.proceed()
 }
 
-// end reports that a task's newest run has ended.
+// completion reports that a task's newest run has ended.
 func (g *storedGroup) end(id job.ID, repetition, stage, index int, how job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
 	at := g.at[task]
 	g.ends[at]++
 	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
-		{Number: g.ends[at], Task: task, Execution: g.execution[task], How: how, Checkpoint: checkpoint},
+		{CompletionNumber: g.ends[at], Task: task, AttemptNumber: g.execution[task], How: how, Checkpoint: checkpoint},
 	}})
 	g.proceed()
 }
@@ -183,8 +183,8 @@
 func account(s *Scheduler) string {
 	var text strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
-	line("arrivals %d, next due %d", s.arrivals, s.NextDue())
-	for _, route := range slices.Sorted(maps.Keys(s.pending)) {
+	line("arrivals %d, next due %d", s.lastArrival, s.NextDueMS())
+	for _, route := range slices.Sorted(maps.Keys(s.pendingByRoute)) {
 		line("route %s: %d jobs", route, s.Pending(route))
 	}
 	for _, j := range s.jobsByArrival() {
@@ -194,23 +194,23 @@
 		}
 		state, _ := s.Status(j.id)
 		q := j.Queue
-		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.left, j.nextDue)
+		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.incompleteRepetitions, j.nextDueMS)
 		line("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
 			q.Route, q.Service, q.Priority, q.MaxAttempts, q.Extension, q.TargetLatencyMS, q.Guards)
 		line("  specification: %s", specification)
-		for number, r := range j.times {
-			if r == nil {
+		for number, repetition := range j.repetitions {
+			if repetition == nil {
 				line("  repetition %d: complete", number)
 				continue
 			}
-			accountOfRepetition(line, r)
+			accountOfRepetition(line, repetition)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
 		line("job %s: ended as %s at %d", id, s.ended[id].State, s.ended[id].EndedMS)
 	}
-	for _, w := range s.list {
-		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", w.ID, len(w.runs), w.used.Processors, w.used.MemoryMB, w.used.Accelerators)
+	for _, worker := range s.sortedWorkers {
+		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", worker.ID, len(worker.attempts), worker.used.Processors, worker.used.MemoryMB, worker.used.Accelerators)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		d := s.operatorDrains[id]
@@ -219,14 +219,14 @@
 	return text.String()
 }
 
-func accountOfRepetition(line func(format string, values ...any), r *repetition) {
-	line("  repetition %d: stages left %d", r.number, r.left)
-	for _, stage := range r.stages {
-		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.left, len(stage.waiting))
-		for _, t := range stage.tasks {
-			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", t.id, t.execution, t.failed, t.checkpoint, t.done)
-			for _, run := range slices.SortedFunc(slices.Values(t.runs), func(a, b *run) int { return cmp.Compare(a.execution, b.execution) }) {
-				line("        run %d at %s, inherited %v", run.execution, run.at.ID, run.inherited)
+func accountOfRepetition(line func(format string, values ...any), repetition *repetitionState) {
+	line("  repetition %d: stages left %d", repetition.number, repetition.incompleteStages)
+	for _, stage := range repetition.stages {
+		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
+		for _, task := range stage.tasks {
+			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", task.id, task.attemptNumber, task.failedAttempts, task.checkpoint, task.done)
+			for _, run := range slices.SortedFunc(slices.Values(task.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
+				line("        run %d at %s, inherited %v", run.number, run.worker.ID, run.inherited)
 			}
 		}
 	}
@@ -268,11 +268,11 @@
 		jobPrefix: &jobRecord{}, taskPrefix: &taskRecord{}, repetitionPrefix: &repetitionRecord{},
 		endedPrefix: &endedRecord{}, operatorDrainPrefix: &operatorDrainRecord{},
 	}[key[:2]]
-	if err := decode(key, value, record); err != nil {
+	if err := decodeRecord(key, value, record); err != nil {
 		panic(err) // schedulers have decoded it
 	}
 	var s Scheduler
-	s.write(key, reflect.ValueOf(record).Elem().Interface())
+	s.writeRecord(key, reflect.ValueOf(record).Elem().Interface())
 	return s.effects.Entries[0].Value
 }
 
