--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -73,7 +73,7 @@
 	b.Cleanup(client.CloseIdleConnections)
 	events := nothing{make(chan StartOutcome, 1)}
 	return NewLink(Config{
-		Instance: Instance{ID: "i-1", Address: cannedServer(b, body)}, FencingToken: 1, MaxLease: holdMax,
+		Instance: Instance{ID: "i-1", Address: cannedServer(b, body)}, FencingToken: 1, MaxLease: testMaxLease,
 		LeaderLeaseValid: func() bool { return true }, Events: events, HTTP: client,
 	}), events
 }
@@ -94,9 +94,9 @@
 
 func BenchmarkStart(b *testing.B) {
 	link, events := benchLink(b, `{"clockMs":482113}`)
-	link.granted.validUntil = 1e6 * time.Hour
+	link.lease.validUntil = 1e6 * time.Hour
 	link.clock.observe(time.Now(), time.Now(), 0)
-	order := order(0, 1)
+	order := startCommand(0, 1)
 	order.Specification = string(bytes.Repeat([]byte("x"), 400))
 	b.ReportAllocs()
 	before := processorTime()
@@ -109,7 +109,7 @@
 	reportProcessorTime(b, before)
 }
 
-func BenchmarkHold(b *testing.B) {
+func BenchmarkRenewal(b *testing.B) {
 	for _, entries := range []int{0, 10} {
 		b.Run(fmt.Sprintf("%d runs", entries), func(b *testing.B) {
 			body := []byte(`{"clockMs":482113,"running":[`)
@@ -125,12 +125,12 @@
 			b.ReportAllocs()
 			before := processorTime()
 			for b.Loop() {
-				c := link.beginHold()
-				a, err := client.post(context.Background(), client.hold, c.request.append(nil), lookTimeout)
+				c := link.beginRenewal()
+				a, err := client.post(context.Background(), client.renewal, c.request.append(nil), unreachablePollTimeout)
 				if err != nil || a.status != http.StatusOK {
 					b.Fatal(err, a.status)
 				}
-				link.settleHold(c, a, err, time.Now())
+				link.settleListCall(c, a, err, time.Now())
 				if n := len(link.listing(c, a).Running); n != entries {
 					b.Fatal(n)
 				}
@@ -145,7 +145,7 @@
 		`"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}`)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := decodeReply(body); err != nil {
+		if _, err := decodeResponse(body); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -18,62 +18,62 @@
 
 const (
 	// at most: a hold, a look, the orders, copies of looks and stops, and one in place of a connection that is being given up
-	connectionsPerWorker = startSlots + copiesAtOnce + 3
-	maxAnswerBytes       = 16 << 20
-	ordinaryAnswerBytes  = 64 << 10 // larger buffers are not kept
+	maxConnectionsPerWorker = maxCommandsInFlight + maxHedgedRequests + 3
+	maxResponseBytes        = 16 << 20
+	maxPooledBufferBytes    = 64 << 10 // larger buffers are not kept
 )
 
 // NewHTTPClient makes a client without a budget.
 func NewHTTPClient() *http.Client { return unlimited().HTTPClient() }
 
-// answer is a whole HTTP answer.
-type answer struct {
+// response is a whole HTTP answer.
+type response struct {
 	status int
-	reply  reply
+	body   responseBody
 }
 
 // caller sends calls to one life of a worker.
 type caller struct {
-	http    http.RoundTripper // redirects are not followed
-	valid   func() bool       // whether a call may be sent at this moment
-	start   *url.URL
-	stop    *url.URL
-	hold    *url.URL
-	headers http.Header // shared by all calls, never changed
+	http             http.RoundTripper // redirects are not followed
+	leaderLeaseValid func() bool       // whether a call may be sent at this moment
+	start            *url.URL
+	stop             *url.URL
+	renewal          *url.URL
+	headers          http.Header // shared by all calls, never changed
 }
 
 func newCaller(client *http.Client, address string, id WorkerID, valid func() bool) *caller {
 	target := func(path string) *url.URL { return &url.URL{Scheme: "http", Host: address, Path: path} }
 	return &caller{
-		http: client.Transport, valid: valid, start: target(startPath), stop: target(stopPath), hold: target(holdPath),
+		http: client.Transport, leaderLeaseValid: valid, start: target(startPath), stop: target(stopPath), renewal: target(renewalPath),
 		headers: http.Header{"Content-Type": {"application/json"}, "Expect-Instance": {string(id)}},
 	}
 }
 
-var answerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var responseBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // post sends one call, once, and reads its answer. An error means that there was
 // no whole answer in time; it carries an rpcerror.Error.
-func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (answer, error) {
+func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	permit := &permit{valid: c.valid}
+	permit := &permit{leaderLeaseValid: c.leaderLeaseValid}
 	var sending transport.SendTracker
 	trace := httptrace.ClientTrace{WroteHeaders: permit.check, GotConn: func(got httptrace.GotConnInfo) {
 		permit.connected(got)
 		sending.GotConn(got)
 	}}
-	response, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
+	httpResponse, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
 	if err != nil && (permit.unsent() || sending.NothingSent()) {
-		return answer{}, rpcerror.WrapNotExecuted(err, 0)
+		return response{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if err != nil {
-		return answer{}, rpcerror.WrapMayHaveExecuted(err)
+		return response{}, rpcerror.WrapMayHaveExecuted(err)
 	}
-	defer response.Body.Close()
-	result, err := readAnswer(response)
+	defer httpResponse.Body.Close()
+	result, err := readResponse(httpResponse)
 	if err != nil {
-		return answer{}, rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s: %w", target, err))
+		return response{}, rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s: %w", target, err))
 	}
 	return result, nil
 }
@@ -88,28 +88,28 @@
 	return request.WithContext(ctx)
 }
 
-var errAnswerTooLong = errors.New("answer too long")
+var errResponseTooLong = errors.New("answer too long")
 
-// readAnswer reads an answer whole, so that its connection can be used again. Only the bodies of 200 and 409 are looked at.
-func readAnswer(response *http.Response) (answer, error) {
-	buffer := answerBuffers.Get().(*bytes.Buffer)
+// readResponse reads an answer whole, so that its connection can be used again. Only the bodies of 200 and 409 are looked at.
+func readResponse(httpResponse *http.Response) (response, error) {
+	buffer := responseBuffers.Get().(*bytes.Buffer)
 	defer func() {
-		if buffer.Cap() <= ordinaryAnswerBytes {
-			answerBuffers.Put(buffer)
+		if buffer.Cap() <= maxPooledBufferBytes {
+			responseBuffers.Put(buffer)
 		}
 	}()
 	buffer.Reset()
-	read, err := buffer.ReadFrom(io.LimitReader(response.Body, maxAnswerBytes+1))
+	read, err := buffer.ReadFrom(io.LimitReader(httpResponse.Body, maxResponseBytes+1))
 	if err != nil {
-		return answer{}, fmt.Errorf("read answer: %w", err)
+		return response{}, fmt.Errorf("read answer: %w", err)
 	}
-	if read > maxAnswerBytes {
-		return answer{}, errAnswerTooLong
+	if read > maxResponseBytes {
+		return response{}, errResponseTooLong
 	}
-	result := answer{status: response.StatusCode}
+	result := response{status: httpResponse.StatusCode}
 	if result.status != http.StatusOK && result.status != http.StatusConflict {
 		return result, nil
 	}
-	result.reply, err = decodeReply(buffer.Bytes())
+	result.body, err = decodeResponse(buffer.Bytes())
 	return result, err
 }
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -21,26 +21,26 @@
 // its worker that is idle, or a place for a new one. Where none is free an idle connection of another worker is
 // closed; where none is idle the call waits for its turn, in order of arrival, before its time-out begins.
 type Connections struct {
-	limits Limits
-	now    func() time.Time
-	work   turnstile
-
-	mu       sync.Mutex
-	lanes    map[string]*lane // by address
-	open     int              // places taken
-	links    int
-	holding  int // holds that wait
-	waiting  []*turn
-	opened   uint64         // connections opened so far
-	spare    map[*lane]bool // lanes with an idle connection that is their only one
-	surplus  map[*lane]bool // lanes with an idle connection besides another one
-	nextDial time.Time      // by the pace, if none were allowed at once
-	timed    bool           // a timer will serve those that wait for the pace
+	limits      Limits
+	now         func() time.Time
+	concurrency semaphore
+
+	mu           sync.Mutex
+	pools        map[string]*hostPool // by address
+	slotsTaken   int                  // places taken
+	links        int
+	longPolls    int // holds that wait
+	waiting      []*waiter
+	opened       uint64             // connections opened so far
+	lastIdle     map[*hostPool]bool // lanes with an idle connection that is their only one
+	extraIdle    map[*hostPool]bool // lanes with an idle connection besides another one
+	nextDialAt   time.Time          // by the pace, if none were allowed at once
+	paceTimerSet bool               // a timer will serve those that wait for the pace
 }
 
 // NewConnections makes a budget.
 func NewConnections(limits Limits) *Connections {
-	return &Connections{limits: limits, now: time.Now, work: newTurnstile(), lanes: map[string]*lane{}, spare: map[*lane]bool{}, surplus: map[*lane]bool{}}
+	return &Connections{limits: limits, now: time.Now, concurrency: newSemaphore(), pools: map[string]*hostPool{}, lastIdle: map[*hostPool]bool{}, extraIdle: map[*hostPool]bool{}}
 }
 
 // unlimited is a budget that never makes a call wait.
@@ -48,7 +48,7 @@
 	c := NewConnections(Limits{
 		Connections: math.MaxInt, DialsPerS: math.Inf(1), PollsPerS: math.Inf(1), MaxLongPolls: math.MaxInt,
 	})
-	c.work = nil
+	c.concurrency = nil
 	return c
 }
 
@@ -65,139 +65,139 @@
 func (c *Connections) Usage() Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Usage{Open: c.open, Links: c.links, LongPolls: c.holding, Waiting: len(c.waiting), Opened: c.opened}
+	return Usage{Open: c.slotsTaken, Links: c.links, LongPolls: c.longPolls, Waiting: len(c.waiting), Opened: c.opened}
 }
 
 // lane is the part of a budget that one address uses.
-type lane struct {
-	owner    *Connections
+type hostPool struct {
+	budget   *Connections
 	address  string
 	links    int
 	calls    int           // under way, or about to be sent
-	places   int           // connections, open or promised
-	promised int           // places whose connection is not open yet
+	slots    int           // connections, open or promised
+	reserved int           // places whose connection is not open yet
 	waiting  int           // calls that wait for their turn
 	idle     []*connection // the newest last
 }
 
-// turn is a call that waits for a connection.
-type turn struct {
-	lane    *lane
-	granted chan struct{}
+// waiter is a call that waits for a connection.
+type waiter struct {
+	pool     *hostPool
+	admitted chan struct{}
 }
 
 // join adds a link to an address.
-func (c *Connections) join(address string) *lane {
+func (c *Connections) join(address string) *hostPool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links++
-	l := c.lane(address)
+	l := c.pool(address)
 	l.links++
 	return l
 }
 
 // lane returns the lane of an address. The caller holds the lock.
-func (c *Connections) lane(address string) *lane {
-	l := c.lanes[address]
+func (c *Connections) pool(address string) *hostPool {
+	l := c.pools[address]
 	if l == nil {
-		l = &lane{owner: c, address: address}
-		c.lanes[address] = l
+		l = &hostPool{budget: c, address: address}
+		c.pools[address] = l
 	}
 	return l
 }
 
-// leave removes a link.
-func (l *lane) leave() {
-	c := l.owner
+// release removes a link.
+func (l *hostPool) leave() {
+	c := l.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links--
 	l.links--
-	l.changed()
+	l.update()
 }
 
-// begin waits until a call may be sent, and tells whether it may; it may not once done is closed. The caller passes the
+// acquire waits until a call may be sent, and tells whether it may; it may not once done is closed. The caller passes the
 // turnstile then, until end.
-func (l *lane) begin(done <-chan struct{}) bool {
-	if !l.await(done) {
+func (l *hostPool) acquire(done <-chan struct{}) bool {
+	if !l.awaitSlot(done) {
 		return false
 	}
-	l.owner.work.enter()
+	l.budget.concurrency.acquire()
 	return true
 }
 
-// take is begin for a call that can be done without: it does not wait for a connection or a place for one.
-func (l *lane) take() bool {
-	c := l.owner
+// tryAcquire is begin for a call that can be done without: it does not wait for a connection or a place for one.
+func (l *hostPool) tryAcquire() bool {
+	c := l.budget
 	c.mu.Lock()
-	free := l.reuse() || len(c.waiting) == 0 && l.takePlace()
+	free := l.reuseConnection() || len(c.waiting) == 0 && l.reserveSlot()
 	c.mu.Unlock()
 	if free {
-		c.work.enter()
+		c.concurrency.acquire()
 	}
 	return free
 }
 
-// await waits for a connection or a place for one.
-func (l *lane) await(done <-chan struct{}) bool {
-	c := l.owner
+// awaitSlot waits for a connection or a place for one.
+func (l *hostPool) awaitSlot(done <-chan struct{}) bool {
+	c := l.budget
 	c.mu.Lock()
-	if l.reuse() || len(c.waiting) == 0 && l.takePlace() {
+	if l.reuseConnection() || len(c.waiting) == 0 && l.reserveSlot() {
 		c.mu.Unlock()
 		return true
 	}
-	t := &turn{lane: l, granted: make(chan struct{})}
+	t := &waiter{pool: l, admitted: make(chan struct{})}
 	c.waiting = append(c.waiting, t)
 	l.waiting++
-	c.serve()
+	c.admitWaiting()
 	c.mu.Unlock()
 	select {
-	case <-t.granted:
+	case <-t.admitted:
 		return true
 	case <-done:
-		c.giveUp(t)
+		c.cancelWait(t)
 		return false
 	}
 }
 
-// end notes that a call is over.
-func (l *lane) end() {
-	l.owner.work.leave()
-	l.release()
+// release notes that a call is over.
+func (l *hostPool) release() {
+	l.budget.concurrency.release()
+	l.releaseSlot()
 }
 
-func (l *lane) release() {
-	c := l.owner
+func (l *hostPool) releaseSlot() {
+	c := l.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l.calls--
-	l.changed()
-	l.serveOwn()
-	c.serve()
+	l.update()
+	l.admitOwn()
+	c.admitWaiting()
 }
 
-// reuse takes a connection of the worker that no other call needs. The caller holds the lock.
-func (l *lane) reuse() bool {
-	if l.calls >= l.places {
+// reuseConnection takes a connection of the worker that no other call needs. The caller holds the lock.
+func (l *hostPool) reuseConnection() bool {
+	if l.calls >= l.slots {
 		return false
 	}
 	l.calls++
-	l.changed()
+	l.update()
 	return true
 }
 
-// takePlace takes a place for a new connection if there is one and the pace allows it. The caller holds the lock.
-func (l *lane) takePlace() bool {
-	c := l.owner
-	if c.dialDelay() > 0 || c.open >= c.limits.Connections && !c.closeIdle() {
+// reserveSlot takes a place for a new connection if there is one and the pace allows it. The caller holds the lock.
+func (l *hostPool) reserveSlot() bool {
+	c := l.budget
+	if c.dialDelay() > 0 || c.slotsTaken >= c.limits.Connections && !c.closeIdle() {
 		return false
 	}
 	c.noteDial()
-	c.open++
-	l.places++
-	l.promised++
+	c.slotsTaken++
+	l.slots++
+	l.reserved++
 	l.calls++
-	l.changed()
+	l.update()
 	return true
 }
 
@@ -207,19 +207,19 @@
 		return 0
 	}
 	allowance := time.Duration(float64(c.limits.DialBurst) * float64(c.dialInterval()))
-	return c.nextDial.Add(-allowance).Sub(c.now())
+	return c.nextDialAt.Add(-allowance).Sub(c.now())
 }
 
 func (c *Connections) dialInterval() time.Duration {
 	return time.Duration(float64(time.Second) / c.limits.DialsPerS)
 }
 
-func (c *Connections) noteDial() { c.nextDial = later(c.nextDial, c.now()).Add(c.dialInterval()) }
+func (c *Connections) noteDial() { c.nextDialAt = later(c.nextDialAt, c.now()).Add(c.dialInterval()) }
 
 // closeIdle closes a connection that no call needs, if there is one: that of a worker that has another one, before the
 // only one of a worker, which its next look would open again. The caller holds the lock.
 func (c *Connections) closeIdle() bool {
-	for _, lanes := range []map[*lane]bool{c.surplus, c.spare} {
+	for _, lanes := range []map[*hostPool]bool{c.extraIdle, c.lastIdle} {
 		for l := range lanes {
 			l.dropIdle()
 			return true
@@ -229,69 +229,69 @@
 }
 
 // dropIdle closes the connection that has been idle for longest. The caller holds the lock.
-func (l *lane) dropIdle() {
+func (l *hostPool) dropIdle() {
 	oldest := l.idle[0]
 	l.idle = slices.Delete(l.idle, 0, 1)
-	oldest.drop()
+	oldest.closeIdle()
 }
 
 // closeAllIdle closes the connections that no call uses.
 func (c *Connections) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range slices.Collect(maps.Values(c.lanes)) {
+	for _, l := range slices.Collect(maps.Values(c.pools)) {
 		for len(l.idle) > 0 {
 			l.dropIdle()
 		}
 	}
 }
 
-// serve lets those calls go on that wait and can, in their order. The caller holds the lock.
-func (c *Connections) serve() {
+// admitWaiting lets those calls go on that wait and can, in their order. The caller holds the lock.
+func (c *Connections) admitWaiting() {
 	for len(c.waiting) > 0 {
 		first := c.waiting[0]
-		if !first.lane.reuse() && !first.lane.takePlace() {
+		if !first.pool.reuseConnection() && !first.pool.reserveSlot() {
 			break
 		}
-		c.grant(0)
+		c.admit(0)
 	}
-	if delay := c.dialDelay(); len(c.waiting) > 0 && delay > 0 && !c.timed {
-		c.timed = true
-		time.AfterFunc(delay, c.serveLater)
+	if delay := c.dialDelay(); len(c.waiting) > 0 && delay > 0 && !c.paceTimerSet {
+		c.paceTimerSet = true
+		time.AfterFunc(delay, c.admitAfterPace)
 	}
 }
 
-func (c *Connections) serveLater() {
+func (c *Connections) admitAfterPace() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.timed = false
-	c.serve()
+	c.paceTimerSet = false
+	c.admitWaiting()
 }
 
-// serveOwn lets a call of a lane go on with a connection that the lane has to itself. The caller holds the lock.
-func (l *lane) serveOwn() {
-	if l.waiting == 0 || !l.reuse() {
+// admitOwn lets a call of a lane go on with a connection that the lane has to itself. The caller holds the lock.
+func (l *hostPool) admitOwn() {
+	if l.waiting == 0 || !l.reuseConnection() {
 		return
 	}
-	own := slices.IndexFunc(l.owner.waiting, func(t *turn) bool { return t.lane == l })
-	l.owner.grant(own)
+	own := slices.IndexFunc(l.budget.waiting, func(t *waiter) bool { return t.pool == l })
+	l.budget.admit(own)
 }
 
 // grant lets a call go on. The caller holds the lock.
-func (c *Connections) grant(at int) {
+func (c *Connections) admit(at int) {
 	t := c.waiting[at]
 	c.remove(at)
-	close(t.granted)
+	close(t.admitted)
 }
 
 // remove takes a call out of those that wait. The caller holds the lock.
 func (c *Connections) remove(at int) {
-	c.waiting[at].lane.waiting--
+	c.waiting[at].pool.waiting--
 	c.waiting = slices.Delete(c.waiting, at, at+1)
 }
 
-// giveUp takes a call out of those that wait.
-func (c *Connections) giveUp(t *turn) {
+// cancelWait takes a call out of those that wait.
+func (c *Connections) cancelWait(t *waiter) {
 	c.mu.Lock()
 	if at := slices.Index(c.waiting, t); at >= 0 {
 		c.remove(at)
@@ -299,32 +299,32 @@
 		return
 	}
 	c.mu.Unlock()
-	t.lane.release() // it was granted just now
+	t.pool.releaseSlot() // it was granted just now
 }
 
-// changed brings what is derived from a lane up to date. The caller holds the lock.
-func (l *lane) changed() {
-	c := l.owner
-	if unused := min(l.promised, l.promised-l.calls); unused > 0 { // its call found another connection, or was given up
-		l.promised -= unused
-		l.places -= unused
-		c.open -= unused
+// update brings what is derived from a lane up to date. The caller holds the lock.
+func (l *hostPool) update() {
+	c := l.budget
+	if unused := min(l.reserved, l.reserved-l.calls); unused > 0 { // its call found another connection, or was given up
+		l.reserved -= unused
+		l.slots -= unused
+		c.slotsTaken -= unused
 	}
-	l.noteSpare()
-	if l.links == 0 && l.calls == 0 && l.places == 0 {
-		delete(c.lanes, l.address)
+	l.updateIdleSets()
+	if l.links == 0 && l.calls == 0 && l.slots == 0 {
+		delete(c.pools, l.address)
 	}
 }
 
-// noteSpare notes whether the lane can do without one of its idle connections. The caller holds the lock.
-func (l *lane) noteSpare() {
-	can := l.places > l.calls && len(l.idle) > 0
-	note(l.owner.spare, l, can && l.places == 1)
-	note(l.owner.surplus, l, can && l.places > 1)
+// updateIdleSets notes whether the lane can do without one of its idle connections. The caller holds the lock.
+func (l *hostPool) updateIdleSets() {
+	can := l.slots > l.calls && len(l.idle) > 0
+	setMembership(l.budget.lastIdle, l, can && l.slots == 1)
+	setMembership(l.budget.extraIdle, l, can && l.slots > 1)
 }
 
-// note adds a lane to a set, or takes it out.
-func note(lanes map[*lane]bool, l *lane, in bool) {
+// setMembership adds a lane to a set, or takes it out.
+func setMembership(lanes map[*hostPool]bool, l *hostPool, in bool) {
 	if in {
 		lanes[l] = true
 	} else {
@@ -334,36 +334,36 @@
 
 // mayWait tells whether a hold may wait at the worker, and notes that it does: it keeps its connection, and orders need
 // another one for the moment that they take, from a few that are left besides one for each worker.
-func (l *lane) mayWait() bool {
-	c := l.owner
+func (l *hostPool) beginLongPoll() bool {
+	c := l.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links > c.limits.MaxLongPolls && c.links > c.limits.Connections-c.limits.Connections/sparePart {
+	if c.links > c.limits.MaxLongPolls && c.links > c.limits.Connections-c.limits.Connections/commandReserveFraction {
 		return false
 	}
-	c.holding++
+	c.longPolls++
 	return true
 }
 
-// sparePart is the part of the connections that is left for orders beside holds that wait.
-const sparePart = 10
+// commandReserveFraction is the part of the connections that is left for orders beside holds that wait.
+const commandReserveFraction = 10
 
-func (l *lane) endWait() {
-	c := l.owner
+func (l *hostPool) endLongPoll() {
+	c := l.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holding--
+	c.longPolls--
 }
 
-// crowded tells whether there are so many workers that idle ones are not held by calls that wait.
-func (c *Connections) crowded() bool {
+// overLongPollLimit tells whether there are so many workers that idle ones are not held by calls that wait.
+func (c *Connections) overLongPollLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.links > c.limits.MaxLongPolls
 }
 
-// idlePause is how long an idle worker is left alone between two looks; 0 where it is held by a call that waits.
-func (c *Connections) idlePause(longest time.Duration) time.Duration {
+// idlePollInterval is how long an idle worker is left alone between two looks; 0 where it is held by a call that waits.
+func (c *Connections) idlePollInterval(longest time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.links <= c.limits.MaxLongPolls {
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -18,8 +18,8 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// budgeted are many workers with a link to each, all within one budget.
-type budgeted struct {
+// budgetFixture are many workers with a link to each, all within one budget.
+type budgetFixture struct {
 	t           *testing.T
 	connections *Connections
 	cluster     *cluster.Cluster
@@ -35,8 +35,8 @@
 	budgetedTimeout = 2 * time.Second // of a call at least, as the machine may be busy
 )
 
-func newBudgeted(t *testing.T, workers int, limits Limits) *budgeted {
-	b := &budgeted{
+func newBudgeted(t *testing.T, workers int, limits Limits) *budgetFixture {
+	b := &budgetFixture{
 		t: t, connections: NewConnections(limits), events: newRecorder(),
 		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: budgetedHold}),
 	}
@@ -68,13 +68,13 @@
 // oneByOne hands on the reports of several links.
 type oneByOne struct{ *recorder }
 
-func (b *budgeted) look() {
+func (b *budgetFixture) look() {
 	open := int64(b.connections.Usage().Open)
 	for seen := b.most.Load(); open > seen && !b.most.CompareAndSwap(seen, open); seen = b.most.Load() {
 	}
 }
 
-func (b *budgeted) awaitEach(condition func(i int, l Listing) bool) {
+func (b *budgetFixture) awaitEach(condition func(i int, l Listing) bool) {
 	b.t.Helper()
 	for i := range b.workers {
 		id := WorkerID(fmt.Sprint("i-", i))
@@ -90,7 +90,7 @@
 		convey.Convey("each is held by turns, starts are sent and ends are noted", func() {
 			b.awaitEach(func(int, Listing) bool { return true })
 			for i, link := range b.links {
-				link.Start(order(i, 1))
+				link.Start(startCommand(i, 1))
 			}
 			for i := range b.links {
 				result := await(t, b.events, func(r StartResult) bool { return r.Command.Task == task(i) })
@@ -128,10 +128,10 @@
 		b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetedHold })
 		convey.So(b.most.Load(), convey.ShouldEqual, workers)
 		convey.Convey("and one with a run is held by a call that waits", func() {
-			b.links[0].Start(order(0, 1))
+			b.links[0].Start(startCommand(0, 1))
 			await(t, b.events, func(l Listing) bool { return len(l.Running) == 1 })
 			for b.connections.Usage().LongPolls != 1 {
-				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), any1[Listing])
+				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), anyEvent[Listing])
 			}
 			for _, worker := range b.workers {
 				convey.So(worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 2)
@@ -143,7 +143,7 @@
 // awaitState waits until a condition holds for a budget.
 func awaitState(t *testing.T, c *Connections, condition func(*Connections) bool) {
 	t.Helper()
-	for limit := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
 		met := condition(c)
 		c.mu.Unlock()
@@ -158,10 +158,10 @@
 
 // allIdle tells whether each of so many workers has one connection, which no call uses.
 func allIdle(workers int) func(*Connections) bool {
-	return func(c *Connections) bool { return len(c.spare) == workers }
+	return func(c *Connections) bool { return len(c.lastIdle) == workers }
 }
 
-func TestOrderTakesTheConnectionOfAnIdleWorker(t *testing.T) {
+func TestCommandTakesTheConnectionOfAnIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where an idle searcher takes one connection", t, func() {
 		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
@@ -169,7 +169,7 @@
 		b.awaitEach(func(_ int, l Listing) bool { return !l.First })
 		awaitState(t, b.connections, allIdle(workers))
 		for i, link := range b.links {
-			link.Start(order(i, 1))
+			link.Start(startCommand(i, 1))
 		}
 		b.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
 		convey.Convey("a start and the hold after it share that one", func() {
@@ -186,7 +186,7 @@
 				holds += link.Counts().Renewals
 				link.Acknowledge(1)
 			}
-			awaitState(t, b.connections, func(c *Connections) bool { return c.holding == 0 })
+			awaitState(t, b.connections, func(c *Connections) bool { return c.longPolls == 0 })
 			awaitState(t, b.connections, allIdle(workers))
 			after := uint64(0)
 			for _, link := range b.links {
@@ -197,7 +197,7 @@
 	})
 }
 
-func TestPaceOfDials(t *testing.T) {
+func TestDialRateLimit(t *testing.T) {
 	convey.Convey("New connections are paced", t, func() {
 		virtualtime.Test(t, func(t *testing.T) {
 			const wanted = 40
@@ -207,7 +207,7 @@
 			for i := range wanted {
 				l := c.join(fmt.Sprint(i))
 				go func() {
-					if l.await(done) {
+					if l.awaitSlot(done) {
 						granted.Add(1)
 					}
 				}()
@@ -230,80 +230,80 @@
 	})
 }
 
-func TestPlaces(t *testing.T) {
+func TestConnectionSlots(t *testing.T) {
 	never := make(chan struct{})
 	closed := make(chan struct{})
 	close(closed)
 	convey.Convey("A budget of two connections", t, func() {
 		c := NewConnections(Limits{Connections: 2, DialsPerS: math.Inf(1)})
 		first, second, third := c.join("1"), c.join("2"), c.join("3")
-		convey.So(first.await(never), convey.ShouldBeTrue)
-		convey.So(second.await(never), convey.ShouldBeTrue)
+		convey.So(first.awaitSlot(never), convey.ShouldBeTrue)
+		convey.So(second.awaitSlot(never), convey.ShouldBeTrue)
 		convey.Convey("lets no third call begin", func() {
-			convey.So(third.await(closed), convey.ShouldBeFalse)
+			convey.So(third.awaitSlot(closed), convey.ShouldBeFalse)
 			convey.So(c.Usage(), convey.ShouldResemble, Usage{Open: 2, Links: 3})
 		})
 		convey.Convey("takes the place of a connection that was not opened", func() {
-			first.release()
-			convey.So(third.await(closed), convey.ShouldBeTrue)
+			first.releaseSlot()
+			convey.So(third.awaitSlot(closed), convey.ShouldBeTrue)
 			convey.So(c.Usage().Open, convey.ShouldEqual, 2)
 		})
 		convey.Convey("opens none without a place", func() {
-			c.work = nil
+			c.concurrency = nil
 			_, err := c.dial("3", func() (net.Conn, error) { return nil, io.EOF })
-			convey.So(err, convey.ShouldEqual, errNoPlace)
+			convey.So(err, convey.ShouldEqual, errNoConnectionSlot)
 		})
 		convey.Convey("forgets an address that nobody uses", func() {
-			first.release()
+			first.releaseSlot()
 			first.leave()
-			convey.So(c.lanes, convey.ShouldHaveLength, 2)
+			convey.So(c.pools, convey.ShouldHaveLength, 2)
 		})
 	})
 	convey.Convey("An idle connection beside another one is closed before the only one of a searcher", t, func() {
 		const workers = 40
 		c := NewConnections(Limits{Connections: workers + 1, DialsPerS: math.Inf(1)})
-		c.work = nil
-		var lanes []*lane
+		c.concurrency = nil
+		var lanes []*hostPool
 		for i := range workers {
 			l := c.join(fmt.Sprint(i))
 			for range 1 + i/(workers-1) { // two for the last
-				convey.So(l.await(never), convey.ShouldBeTrue)
-				l.promised--
-				l.idle = append(l.idle, &connection{Conn: stubConnection{}, lane: l})
+				convey.So(l.awaitSlot(never), convey.ShouldBeTrue)
+				l.reserved--
+				l.idle = append(l.idle, &connection{Conn: stubConnection{}, pool: l})
 			}
 			for l.calls > 0 {
-				l.release()
+				l.releaseSlot()
 			}
 			lanes = append(lanes, l)
 		}
 		another := c.join("another")
-		convey.So(another.await(closed), convey.ShouldBeTrue)
+		convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
 		for _, l := range lanes {
-			convey.So(l.places, convey.ShouldEqual, 1)
+			convey.So(l.slots, convey.ShouldEqual, 1)
 		}
 		convey.Convey("which is closed where there is no other", func() {
-			convey.So(another.await(closed), convey.ShouldBeTrue)
-			convey.So(c.open, convey.ShouldEqual, workers+1)
+			convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
+			convey.So(c.slotsTaken, convey.ShouldEqual, workers+1)
 		})
 	})
 	convey.Convey("Holds may wait only while there is a connection for each searcher and some for orders", t, func() {
 		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), MaxLongPolls: 10})
-		var lanes []*lane
+		var lanes []*hostPool
 		for i := range 36 {
 			lanes = append(lanes, c.join(fmt.Sprint(i)))
 		}
-		convey.So(lanes[0].mayWait(), convey.ShouldBeTrue)
+		convey.So(lanes[0].beginLongPoll(), convey.ShouldBeTrue)
 		convey.So(c.Usage().LongPolls, convey.ShouldEqual, 1)
-		lanes[0].endWait()
+		lanes[0].endLongPoll()
 		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
 		lanes = append(lanes, c.join("one more"))
-		convey.So(lanes[0].mayWait(), convey.ShouldBeFalse)
+		convey.So(lanes[0].beginLongPoll(), convey.ShouldBeFalse)
 		convey.Convey("while few searchers are held as they are", func() {
 			for _, l := range lanes[10:] {
 				l.leave()
 			}
-			convey.So(lanes[0].mayWait(), convey.ShouldBeTrue)
-			convey.So(c.idlePause(longestIdle), convey.ShouldBeZeroValue)
+			convey.So(lanes[0].beginLongPoll(), convey.ShouldBeTrue)
+			convey.So(c.idlePollInterval(maxIdleInterval), convey.ShouldBeZeroValue)
 		})
 	})
 }
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -13,7 +13,7 @@
 
 const readBufferBytes = 2 << 10 // of a connection; most answers are shorter
 
-var errNoPlace = errors.New("no connection is left for searchers")
+var errNoConnectionSlot = errors.New("no connection is left for searchers")
 
 // HTTPClient makes the client that all links of a process share, within the budget. Connections that are given up are
 // reset, so that nothing they still hold arrives later.
@@ -27,10 +27,10 @@
 // connection is an open connection to a worker.
 type connection struct {
 	net.Conn
-	lane   *lane
+	pool   *hostPool
 	reader *bufio.Reader
 	used   bool // a call was answered on it
-	gone   bool // it was closed; guarded by the budget's lock
+	closed bool // it was closed; guarded by the budget's lock
 }
 
 // dialFunction opens a connection that is reset when it is given up.
@@ -46,14 +46,14 @@
 		if idle.alive() {
 			return idle, nil
 		}
-		idle.replace()
+		idle.discardKeepingSlot()
 	}
 }
 
 func (c *Connections) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.lane(address)
+	l := c.pool(address)
 	last := len(l.idle) - 1
 	if last < 0 {
 		return nil
@@ -61,28 +61,28 @@
 	taken := l.idle[last]
 	l.idle[last] = nil
 	l.idle = l.idle[:last]
-	l.changed()
+	l.update()
 	return taken
 }
 
 // dial opens a connection on a place that a call was promised, or on a free one.
 func (c *Connections) dial(address string, open func() (net.Conn, error)) (*connection, error) {
-	l, err := c.claim(address)
+	l, err := c.claimSlot(address)
 	if err != nil {
 		return nil, err
 	}
-	c.work.leave()
+	c.concurrency.release()
 	opened, err := open()
-	c.work.enter()
+	c.concurrency.acquire()
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.free(l)
-		c.serve()
+		c.freeSlot(l)
+		c.admitWaiting()
 		return nil, err
 	}
 	c.noteOpened()
-	return &connection{Conn: opened, lane: l, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
+	return &connection{Conn: opened, pool: l, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
 }
 
 func (c *Connections) noteOpened() {
@@ -91,31 +91,31 @@
 	c.opened++
 }
 
-// claim takes the place for a connection that is about to be opened. A connection that broke after its call had begun is
+// claimSlot takes the place for a connection that is about to be opened. A connection that broke after its call had begun is
 // replaced without a place promised.
-func (c *Connections) claim(address string) (*lane, error) {
+func (c *Connections) claimSlot(address string) (*hostPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.lane(address)
-	if l.promised > 0 {
-		l.promised--
+	l := c.pool(address)
+	if l.reserved > 0 {
+		l.reserved--
 		return l, nil
 	}
-	if c.open >= c.limits.Connections && !c.closeIdle() {
-		l.changed()
-		return nil, errNoPlace
+	if c.slotsTaken >= c.limits.Connections && !c.closeIdle() {
+		l.update()
+		return nil, errNoConnectionSlot
 	}
 	c.noteDial()
-	c.open++
-	l.places++
+	c.slotsTaken++
+	l.slots++
 	return l, nil
 }
 
-// free gives a place back. The caller holds the lock.
-func (c *Connections) free(l *lane) {
-	c.open--
-	l.places--
-	l.changed()
+// freeSlot gives a place back. The caller holds the lock.
+func (c *Connections) freeSlot(l *hostPool) {
+	c.slotsTaken--
+	l.slots--
+	l.update()
 }
 
 // alive tells whether the peer has left an idle connection open and silent, without waiting.
@@ -138,49 +138,49 @@
 	return err == nil && silent
 }
 
-// replace closes a connection whose peer has gone and keeps its place for the call that was about to use it.
-func (c *connection) replace() {
+// discardKeepingSlot closes a connection whose peer has gone and keeps its place for the call that was about to use it.
+func (c *connection) discardKeepingSlot() {
 	c.Conn.Close()
-	owner := c.lane.owner
+	owner := c.pool.budget
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
-	c.gone = true
-	c.lane.promised++
+	c.closed = true
+	c.pool.reserved++
 	owner.noteDial()
 }
 
-// abandon closes a connection after a call that was not answered whole.
-func (c *connection) abandon() {
+// discard closes a connection after a call that was not answered whole.
+func (c *connection) discard() {
 	c.Conn.Close()
-	owner := c.lane.owner
+	owner := c.pool.budget
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
-	c.forget()
-	owner.serve()
+	c.freeSlot()
+	owner.admitWaiting()
 }
 
-// drop closes an idle connection. The caller holds the lock, so that no call takes it meanwhile.
-func (c *connection) drop() {
+// closeIdle closes an idle connection. The caller holds the lock, so that no call takes it meanwhile.
+func (c *connection) closeIdle() {
 	c.Conn.Close()
-	c.forget()
+	c.freeSlot()
 }
 
-// forget gives the connection's place back, once. The caller holds the lock.
-func (c *connection) forget() {
-	if c.gone {
+// freeSlot gives the connection's place back, once. The caller holds the lock.
+func (c *connection) freeSlot() {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	c.lane.owner.free(c.lane)
+	c.closed = true
+	c.pool.budget.freeSlot(c.pool)
 }
 
-// rest notes that the call was answered whole: the next one may take the connection.
-func (c *connection) rest() {
+// returnToPool notes that the call was answered whole: the next one may take the connection.
+func (c *connection) returnToPool() {
 	c.used = true
-	owner := c.lane.owner
+	owner := c.pool.budget
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
-	c.lane.idle = append(c.lane.idle, c)
-	c.lane.changed()
-	owner.serve()
+	c.pool.idle = append(c.pool.idle, c)
+	c.pool.update()
+	owner.admitWaiting()
 }
--- a/internal/jobs/workerclient/entries.go
+++ b/internal/jobs/workerclient/entries.go
@@ -9,12 +9,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-var errEntry = errors.New("list entry of another shape")
+var errEntryShape = errors.New("list entry of another shape")
 
 // runningEntry is written as [task, run, saved, percent].
 type runningEntry struct {
-	task RunningTask
-	bad  error // the task's name
+	task    RunningTask
+	nameErr error // the task's name
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -24,14 +24,14 @@
 	e.task.AttemptNumber = r.count()
 	e.task.Checkpoint = r.text()
 	e.task.Percent = r.percent()
-	e.task.Task, e.bad = job.ParseTaskID(name)
+	e.task.Task, e.nameErr = job.ParseTaskID(name)
 	return r.err
 }
 
 // finishedEntry is written as [N, task, run, how, saved].
 type finishedEntry struct {
-	task FinishedTask
-	bad  error // the task's name
+	task    FinishedTask
+	nameErr error // the task's name
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -42,7 +42,7 @@
 	e.task.AttemptNumber = r.count()
 	e.task.How = job.Outcome(r.text())
 	e.task.Checkpoint = r.text()
-	e.task.Task, e.bad = job.ParseTaskID(name)
+	e.task.Task, e.nameErr = job.ParseTaskID(name)
 	return r.err
 }
 
@@ -57,12 +57,12 @@
 	inner, opened := bytes.CutPrefix(bytes.TrimSpace(data), []byte{'['})
 	inner, ended := bytes.CutSuffix(inner, []byte{']'})
 	if !opened || !ended {
-		return entryReader{err: errEntry}
+		return entryReader{err: errEntryShape}
 	}
 	return entryReader{rest: inner}
 }
 
-// next cuts off one element; it is empty for null.
+// nextCommand cuts off one element; it is empty for null.
 func (r *entryReader) next() []byte {
 	quoted := false
 	end := 0
@@ -90,7 +90,7 @@
 		return ""
 	}
 	if element[0] != '"' {
-		r.fail(errEntry)
+		r.fail(errEntryShape)
 		return ""
 	}
 	if bytes.IndexByte(element, '\\') < 0 {
--- a/internal/jobs/workerclient/exchange.go
+++ b/internal/jobs/workerclient/exchange.go
@@ -36,10 +36,10 @@
 	response, err := c.exchange(request)
 	if err != nil {
 		stop()
-		c.abandon()
+		c.discard()
 		return nil, errors.Join(ctx.Err(), err)
 	}
-	response.Body = &answerBody{ReadCloser: response.Body, connection: c, stop: stop, reusable: !response.Close}
+	response.Body = &pooledBody{ReadCloser: response.Body, connection: c, stop: stop, reusable: !response.Close}
 	return response, nil
 }
 
@@ -58,27 +58,27 @@
 	if err := writer.Flush(); err != nil {
 		return nil, err
 	}
-	work := c.lane.owner.work
-	work.leave()
+	work := c.pool.budget.concurrency
+	work.release()
 	_, err := c.reader.Peek(1) // waits for the answer
-	work.enter()
+	work.acquire()
 	if err != nil {
 		return nil, err
 	}
 	return http.ReadResponse(c.reader, request)
 }
 
-// answerBody gives the connection back once it was read to its end, and closes it otherwise.
-type answerBody struct {
+// pooledBody gives the connection back once it was read to its end, and closes it otherwise.
+type pooledBody struct {
 	io.ReadCloser
 	connection *connection
 	stop       func() bool // ends the watch over the call's context; false if the context is over
 	reusable   bool
-	over       bool
+	finished   bool
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(to []byte) (int, error) {
+func (b *pooledBody) Read(to []byte) (int, error) {
 	n, err := b.ReadCloser.Read(to)
 	if err != nil {
 		b.finish(err == io.EOF)
@@ -87,19 +87,19 @@
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *pooledBody) Close() error {
 	b.finish(false)
 	return nil
 }
 
-func (b *answerBody) finish(whole bool) {
-	if b.over {
+func (b *pooledBody) finish(complete bool) {
+	if b.finished {
 		return
 	}
-	b.over = true
-	if b.stop() && whole && b.reusable && b.connection.reader.Buffered() == 0 {
-		b.connection.rest()
+	b.finished = true
+	if b.stop() && complete && b.reusable && b.connection.reader.Buffered() == 0 {
+		b.connection.returnToPool()
 		return
 	}
-	b.connection.abandon()
+	b.connection.discard()
 }
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -19,7 +19,7 @@
 
 func budgetedCaller(address string) (*Connections, *caller) {
 	c := NewConnections(Limits{Connections: 2, DialsPerS: math.Inf(1)})
-	c.work = nil // the calls of these tests come from outside of a link
+	c.concurrency = nil // the calls of these tests come from outside of a link
 	return c, newCaller(c.HTTPClient(), address, "i-1", func() bool { return true })
 }
 
@@ -37,7 +37,7 @@
 		connections, caller := budgetedCaller(server.Listener.Addr().String())
 		defer connections.closeAllIdle()
 		for range 3 {
-			a, err := caller.post(context.Background(), caller.hold, []byte(`{}`), patience)
+			a, err := caller.post(context.Background(), caller.renewal, []byte(`{}`), eventTimeout)
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
 			convey.So(connections.Usage().Open, convey.ShouldEqual, 1)
@@ -84,13 +84,13 @@
 	}
 }
 
-func TestAnswersNobodyAskedFor(t *testing.T) {
+func TestUnsolicitedResponses(t *testing.T) {
 	convey.Convey("What comes after an answer is not taken for that of the next call", t, func() {
 		address, accepted := orphanServer(t)
 		connections, caller := budgetedCaller(address)
 		defer connections.closeAllIdle()
 		for range 3 {
-			a, err := caller.post(context.Background(), caller.start, []byte(`{}`), patience)
+			a, err := caller.post(context.Background(), caller.start, []byte(`{}`), eventTimeout)
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
 		}
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestCallsGivenUp(t *testing.T) {
+func TestCancelledCalls(t *testing.T) {
 	convey.Convey("A call that is given up after it was sent is unclear, and its connection is not used again", t, func() {
 		arrived, letGo := make(chan struct{}, 1), make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { arrived <- struct{}{}; <-letGo }))
@@ -108,7 +108,7 @@
 		ctx, giveUp := context.WithCancel(context.Background())
 		failed := make(chan error, 1)
 		go func() {
-			_, err := caller.post(ctx, caller.start, []byte(`{}`), patience)
+			_, err := caller.post(ctx, caller.start, []byte(`{}`), eventTimeout)
 			failed <- err
 		}()
 		<-arrived
@@ -123,25 +123,25 @@
 		convey.So(err, convey.ShouldBeNil)
 		listener.Close()
 		connections, caller := budgetedCaller(listener.Addr().String())
-		_, err = caller.post(context.Background(), caller.start, []byte(`{}`), patience)
+		_, err = caller.post(context.Background(), caller.start, []byte(`{}`), eventTimeout)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(connections.Usage().Open, convey.ShouldBeZeroValue)
 	})
 }
 
-func TestWaitingHoldsKeepNobodyFromWorking(t *testing.T) {
+func TestLongPollsDoNotHoldTheSemaphore(t *testing.T) {
 	const workers = 40
 	convey.Convey("Holds that wait are outside of the turnstile, however few may work at once", t, func() {
 		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
 		defer b.end()
-		convey.So(cap(b.connections.work), convey.ShouldBeLessThan, workers)
-		limit := time.After(patience)
+		convey.So(cap(b.connections.concurrency), convey.ShouldBeLessThan, workers)
+		limit := time.After(eventTimeout)
 		for b.connections.Usage().LongPolls < workers {
 			select {
 			case <-limit:
 				t.Fatalf("%+v", b.connections.Usage())
 			default:
-				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), any1[Listing])
+				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), anyEvent[Listing])
 			}
 		}
 	})
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -11,36 +11,36 @@
 )
 
 // givenRunningTask plays a Convey scope at a worker that runs one task.
-func givenRunningTask(t *testing.T, scope func(b *bench)) {
+func givenRunningTask(t *testing.T, scope func(b *fixture)) {
 	t.Helper()
 	convey.Convey("Given a searcher that runs a task", t, func() {
-		b := newBench(t, cluster.Settings{}, cluster.WorkerConfig{})
+		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.connect(1)
-		convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
+		convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		scope(b)
 	})
 }
 
-func TestSilence(t *testing.T) {
+func TestUnresponsiveWorker(t *testing.T) {
 	t.Parallel()
-	givenRunningTask(t, func(b *bench) {
+	givenRunningTask(t, func(b *fixture) {
 		convey.Convey("an unanswered start is unclear, and nothing goes out until the searcher answers", func() {
 			silence, unheard := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
 			b.worker.SetFaults(silence)
 			<-unheard // no hold is under way that will be answered
 			b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
-			convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
+			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
-			convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, before.Add(lateLimit))
-			convey.So(b.start(order(2, 1)), convey.ShouldEqual, NotSent)
+			convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, before.Add(maxLateExecution))
+			convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, NotSent)
 			held := b.worker.HeldUntil()
 
 			convey.Convey("looks find it again", func() {
 				b.worker.SetFaults(nil)
 				awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
-				convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
+				convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 				convey.So(b.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
 				await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a hold after the look
 				convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, held)
@@ -51,20 +51,20 @@
 
 func TestLateStart(t *testing.T) {
 	t.Parallel()
-	givenRunningTask(t, func(b *bench) {
+	givenRunningTask(t, func(b *fixture) {
 		convey.Convey("a start that is carried out late is unclear, and listed in the end", func() {
 			late := cluster.Fault{Kind: cluster.Late, Delay: 1200 * time.Millisecond}
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, late))
-			convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
+			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 			await(t, b.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(b.cluster.Runs()[1].Late, convey.ShouldBeTrue)
 		})
 	})
 }
 
-func TestRepeatedStop(t *testing.T) {
+func TestStopIsRetried(t *testing.T) {
 	t.Parallel()
-	givenRunningTask(t, func(b *bench) {
+	givenRunningTask(t, func(b *fixture) {
 		convey.Convey("a stop is repeated until it is answered", func() {
 			refusal, refused := signalled(cluster.StopCall, cluster.Fault{Kind: cluster.Refuse, Status: 503})
 			b.worker.SetFaults(refusal)
@@ -72,7 +72,7 @@
 			<-refused
 			<-refused
 			b.worker.SetFaults(nil)
-			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
+			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 			ended := await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(ended.Finished[0].How, convey.ShouldEqual, job.OutcomeStopped)
 		})
@@ -81,28 +81,28 @@
 
 func TestBrokenConnection(t *testing.T) {
 	t.Parallel()
-	givenRunningTask(t, func(b *bench) {
+	givenRunningTask(t, func(b *fixture) {
 		convey.Convey("a connection that breaks makes the start unclear", func() {
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reset}))
-			convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
+			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		})
 	})
 }
 
 func TestDeadWorker(t *testing.T) {
 	t.Parallel()
-	givenRunningTask(t, func(b *bench) {
+	givenRunningTask(t, func(b *fixture) {
 		convey.Convey("a dead searcher gets nothing", func() {
 			b.worker.Leave()
 			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
-			convey.So(b.start(order(1, 1)), convey.ShouldEqual, NotSent)
+			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
 		})
 	})
 }
 
-func TestRefusedHolds(t *testing.T) {
+func TestRefusedRenewals(t *testing.T) {
 	t.Parallel()
-	givenRunningTask(t, func(b *bench) {
+	givenRunningTask(t, func(b *fixture) {
 		convey.Convey("a single refused hold says nothing, more do", func() {
 			b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
--- a/internal/jobs/workerclient/grants.go
+++ b/internal/jobs/workerclient/grants.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// A call without an answer may be carried out late: by lateLimit after it left at the latest. The margin covers its way.
+// A call without an answer may be carried out late: by maxLateExecution after it left at the latest. The margin covers its way.
 const (
-	lateLimit  = 12 * time.Second
-	lateMargin = 500 * time.Millisecond
+	maxLateExecution    = 12 * time.Second
+	lateExecutionMargin = 500 * time.Millisecond
 )
 
 // grant is a time up to which the runs on a worker are held, on a call whose end is not known yet.
-type grant struct {
-	span     time.Duration // the longest it may last once it is carried out, in local time
-	lapsesBy time.Time
+type leaseGrant struct {
+	span      time.Duration // the longest it may last once it is carried out, in local time
+	expiresBy time.Time
 }
 
-// grantLedger knows by when everything that was ever granted has lapsed.
-type grantLedger struct {
-	settled time.Time // of all calls that have ended
-	open    []*grant
+// leaseGrants knows by when everything that was ever granted has lapsed.
+type leaseGrants struct {
+	settledExpiry time.Time // of all calls that have ended
+	open          []*leaseGrant
 }
 
-// begin notes a call that carries a grant; it leaves between now and its time-out.
-func (l *grantLedger) begin(span time.Duration, now time.Time, timeout time.Duration) *grant {
-	g := &grant{span: span, lapsesBy: lateLapse(now.Add(timeout), span)}
+// acquire notes a call that carries a grant; it leaves between now and its time-out.
+func (l *leaseGrants) begin(span time.Duration, now time.Time, timeout time.Duration) *leaseGrant {
+	g := &leaseGrant{span: span, expiresBy: lateExpiry(now.Add(timeout), span)}
 	l.open = append(l.open, g)
 	return g
 }
 
-// answered notes that the call was carried out before its answer came, if at all. The grant lasts no longer than the span
+// renewalAnswer notes that the call was carried out before its answer came, if at all. The grant lasts no longer than the span
 // from the answer on.
-func (l *grantLedger) answered(g *grant, received time.Time, span time.Duration) {
+func (l *leaseGrants) answered(g *leaseGrant, received time.Time, span time.Duration) {
 	l.settle(g, received.Add(span))
 }
 
 // unanswered notes that the call was given up at a time; it left before that and may be carried out later. It may then even
 // count its whole span from its arrival.
-func (l *grantLedger) unanswered(g *grant, given time.Time) {
-	l.settle(g, lateLapse(given, g.span))
+func (l *leaseGrants) unanswered(g *leaseGrant, given time.Time) {
+	l.settle(g, lateExpiry(given, g.span))
 }
 
 // withdrawn notes that the call never left, or certainly did nothing.
-func (l *grantLedger) withdrawn(g *grant) { l.settle(g, time.Time{}) }
+func (l *leaseGrants) withdrawn(g *leaseGrant) { l.settle(g, time.Time{}) }
 
-func (l *grantLedger) settle(g *grant, lapsesBy time.Time) {
-	l.open = slices.DeleteFunc(l.open, func(other *grant) bool { return other == g })
-	l.settled = later(l.settled, lapsesBy)
+func (l *leaseGrants) settle(g *leaseGrant, lapsesBy time.Time) {
+	l.open = slices.DeleteFunc(l.open, func(other *leaseGrant) bool { return other == g })
+	l.settledExpiry = later(l.settledExpiry, lapsesBy)
 }
 
-// lapsedBy is the local time by which all of it has lapsed; the zero time when nothing was granted.
-func (l *grantLedger) lapsedBy() time.Time {
-	latest := l.settled
+// expiredBy is the local time by which all of it has lapsed; the zero time when nothing was granted.
+func (l *leaseGrants) expiredBy() time.Time {
+	latest := l.settledExpiry
 	for _, g := range l.open {
-		latest = later(latest, g.lapsesBy)
+		latest = later(latest, g.expiresBy)
 	}
 	return latest
 }
 
-func lateLapse(left time.Time, span time.Duration) time.Time {
-	return left.Add(lateLimit + lateMargin + span)
+func lateExpiry(left time.Time, span time.Duration) time.Time {
+	return left.Add(maxLateExecution + lateExecutionMargin + span)
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/jobs/workerclient/hold.go
+++ b/internal/jobs/workerclient/hold.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	firstPause        = 150 * time.Millisecond // after a look that failed
-	longestPause      = 600 * time.Millisecond
-	earlyAnswerPause  = 100 * time.Millisecond // after a hold that was answered early without an end
-	refusalsTolerated = 1                      // holds refused in a row before a worker counts as unreachable
+	firstBackoff      = 150 * time.Millisecond // after a look that failed
+	maxBackoff        = 600 * time.Millisecond
+	earlyAnswerDelay  = 100 * time.Millisecond // after a hold that was answered early without an end
+	toleratedRefusals = 1                      // holds refused in a row before a worker counts as unreachable
 
-	acknowledgePatience = 60 * time.Millisecond  // how long the hold after new ends waits for their acknowledgement
-	repeatedHoldPause   = 150 * time.Millisecond // and how long the one after ends that are listed again
-	repeatAge           = time.Second            // ends not acknowledged for so long are delivered again
+	acknowledgementTimeout     = 60 * time.Millisecond  // how long the hold after new ends waits for their acknowledgement
+	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after ends that are listed again
+	redeliveryAge              = time.Second            // ends not acknowledged for so long are delivered again
 )
 
-// holdCall is one call that asks for both lists.
-type holdCall struct {
-	request    holdRequest
+// listCall is one call that asks for both lists.
+type listCall struct {
+	request    listRequest
 	sentAt     time.Time
 	hedgeAfter time.Duration // 0 for a call that is not hedged
 	timeout    time.Duration
 	validUntil time.Duration // of the grant that it carries, on the worker's clock; 0 for none
-	grant      *grant        // nil for none
+	grant      *leaseGrant   // nil for none
 }
 
-func (c *holdCall) body() []byte { return c.request.append(make([]byte, 0, holdBytes)) }
+func (c *listCall) body() []byte { return c.request.append(make([]byte, 0, listRequestBytes)) }
 
-func (c *holdCall) wait() time.Duration { return time.Duration(c.request.waitMS) * time.Millisecond }
+func (c *listCall) wait() time.Duration { return time.Duration(c.request.waitMS) * time.Millisecond }
 
-// pendingHold is the newest call of the hold loop.
-type pendingHold struct {
+// pendingRenewal is the newest call of the hold loop.
+type pendingRenewal struct {
 	abandon    context.CancelFunc
 	overdue    bool // it should have been answered by now
 	superseded bool // a look was answered instead
@@ -47,43 +47,43 @@
 func (l *Link) Run(ctx context.Context) {
 	defer l.lane.leave()
 	defer l.cancel()
-	defer l.awaitWorkers()
+	defer l.awaitSenders()
 	unlink := context.AfterFunc(ctx, l.Close)
 	defer unlink()
-	pause := firstPause
+	pause := firstBackoff
 	for !l.ended() {
-		l.awaitOrders()
-		again, last := l.holdInTurn()
+		l.yieldToCommands()
+		again, last := l.renewInTurn()
 		if !again {
 			l.sleep(pause)
-			pause = min(2*pause, longestPause)
+			pause = min(2*pause, maxBackoff)
 			continue
 		}
-		pause = firstPause
-		l.pauseAfter(last)
-		l.restWhileIdle()
+		pause = firstBackoff
+		l.delayAfter(last)
+		l.idleBetweenPolls()
 	}
 }
 
-// answered is a call of the hold loop with its answer.
-type answered struct {
-	call     holdCall
-	answer   answer
+// renewalAnswer is a call of the hold loop with its answer.
+type renewalAnswer struct {
+	call     listCall
+	answer   response
 	received time.Time
 }
 
-// holdInTurn makes one call once there is a connection for it, and tells whether the next one may follow.
-func (l *Link) holdInTurn() (again bool, last answered) {
-	if !l.lane.begin(l.done) {
-		return false, answered{}
+// renewInTurn makes one call once there is a connection for it, and tells whether the next one may follow.
+func (l *Link) renewInTurn() (again bool, last renewalAnswer) {
+	if !l.lane.acquire(l.done) {
+		return false, renewalAnswer{}
 	}
-	defer l.lane.end()
+	defer l.lane.release()
 	valid := l.config.LeaderLeaseValid()
 	l.setSuspended(!valid)
 	if !valid {
-		return false, answered{}
+		return false, renewalAnswer{}
 	}
-	return l.holdOnce()
+	return l.renewOnce()
 }
 
 // setSuspended notes whether orders may be sent at all, and goes through those that wait.
@@ -94,63 +94,63 @@
 	l.dispatch()
 }
 
-func (l *Link) awaitWorkers() {
+func (l *Link) awaitSenders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.workers > 0 || l.look.busy || l.copies > 0 {
+	for l.senders > 0 || l.polls.busy || l.hedgedRequests > 0 {
 		l.idle.Wait()
 	}
 }
 
-// holdOnce makes one call and tells whether the next one may follow at once.
-func (l *Link) holdOnce() (again bool, last answered) {
-	c := l.beginHold()
-	a, err := l.postHold(c)
+// renewOnce makes one call and tells whether the next one may follow at once.
+func (l *Link) renewOnce() (again bool, last renewalAnswer) {
+	c := l.beginRenewal()
+	a, err := l.postRenewal(c)
 	if c.request.waitMS > 0 {
-		l.lane.endWait()
+		l.lane.endLongPoll()
 	}
 	received := l.now()
-	l.settleHold(c, a, err, received)
+	l.settleListCall(c, a, err, received)
 	if err != nil {
 		l.log.Debug("hold without answer", zap.Error(err))
-		return l.holdFailed(c), answered{}
+		return l.renewalFailed(c), renewalAnswer{}
 	}
 	if l.endedBy(a) {
-		return false, answered{}
+		return false, renewalAnswer{}
 	}
 	if a.status != http.StatusOK {
-		l.holdRefused(a.status)
-		return false, answered{}
+		l.listRefused(a.status)
+		return false, renewalAnswer{}
 	}
 	l.deliver(c, a, false)
-	return true, answered{c, a, received}
+	return true, renewalAnswer{c, a, received}
 }
 
-// beginHold decides what the next call of the hold loop asks for and notes its grant.
-func (l *Link) beginHold() holdCall {
+// beginRenewal decides what the next call of the hold loop asks for and notes its grant.
+func (l *Link) beginRenewal() listCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Renewals++
 	if l.contact == unreachable {
-		return l.beginLook(lookTimeout)
+		return l.beginPoll(unreachablePollTimeout)
 	}
-	c := l.beginLook(0)
-	l.waited = l.mayWait(c.sentAt)
-	if l.waited {
-		c.request.waitMS = l.pace.holdWait.Milliseconds()
+	c := l.beginPoll(0)
+	l.longPolled = l.mayLongPoll(c.sentAt)
+	if l.longPolled {
+		c.request.waitMS = l.pace.longPollWait.Milliseconds()
 	}
-	c.hedgeAfter = c.wait() + l.roundTrips.hedgeDelay()
-	c.timeout = c.hedgeAfter + l.roundTrips.lookLimit() + abandonMargin
-	if l.listed && c.sentAt.Sub(l.granted.askedAt) > l.pace.renewalAge {
+	c.hedgeAfter = c.wait() + l.roundTrips.overdueDelay()
+	c.timeout = c.hedgeAfter + l.roundTrips.pollTimeout() + abandonMargin
+	if l.listed && c.sentAt.Sub(l.lease.askedAt) > l.pace.renewalAge {
 		l.addGrant(&c)
 	}
 	return c
 }
 
 // addGrant makes the call hold what runs there as long as is certainly not cut short. The caller holds the lock.
-func (l *Link) addGrant(c *holdCall) {
+func (l *Link) addGrant(c *listCall) {
 	validUntil := (l.clock.lowest(c.sentAt) + l.config.MaxLease).Truncate(time.Millisecond)
-	if validUntil <= l.granted.validUntil {
+	if validUntil <= l.lease.validUntil {
 		return
 	}
 	c.validUntil = validUntil
@@ -158,23 +158,23 @@
 	c.grant = l.grants.begin(l.clock.untilPassed(validUntil, c.sentAt), c.sentAt, c.timeout)
 }
 
-// postHold makes a call of the hold loop, which is hedged by a look when its answer is overdue.
-func (l *Link) postHold(c holdCall) (answer, error) {
+// postRenewal makes a call of the hold loop, which is hedged by a look when its answer is overdue.
+func (l *Link) postRenewal(c listCall) (response, error) {
 	ctx, abandon := context.WithCancel(l.context)
 	defer abandon()
-	pending := &pendingHold{abandon: abandon}
+	pending := &pendingRenewal{abandon: abandon}
 	l.mu.Lock()
 	l.pending = pending
 	l.mu.Unlock()
 	if c.hedgeAfter > 0 {
-		timer := time.AfterFunc(c.hedgeAfter, func() { l.hedge(pending) })
+		timer := time.AfterFunc(c.hedgeAfter, func() { l.renewalOverdue(pending) })
 		defer timer.Stop()
 	}
-	return l.caller.post(ctx, l.caller.hold, c.body(), c.timeout)
+	return l.caller.post(ctx, l.caller.renewal, c.body(), c.timeout)
 }
 
-// hedge looks at a worker that has left a hold without an answer.
-func (l *Link) hedge(pending *pendingHold) {
+// renewalOverdue looks at a worker that has left a hold without an answer.
+func (l *Link) renewalOverdue(pending *pendingRenewal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pending != pending {
@@ -185,8 +185,8 @@
 	l.suspect()
 }
 
-// supersedeHold gives up an overdue hold after a look was answered.
-func (l *Link) supersedeHold() {
+// supersedeRenewal gives up an overdue hold after a look was answered.
+func (l *Link) supersedeRenewal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pending != nil && l.pending.overdue {
@@ -195,8 +195,8 @@
 	}
 }
 
-// holdFailed lets a look decide what a hold without an answer means, and tells whether the next hold may follow at once.
-func (l *Link) holdFailed(c holdCall) bool {
+// renewalFailed lets a look decide what a hold without an answer means, and tells whether the next hold may follow at once.
+func (l *Link) renewalFailed(c listCall) bool {
 	if c.hedgeAfter == 0 {
 		l.setContact(unreachable)
 		return false
@@ -208,20 +208,20 @@
 		l.suspect()
 	}
 	l.mu.Unlock()
-	l.config.Connections.work.leave()
-	l.awaitLook()
-	l.config.Connections.work.enter()
+	l.config.Connections.concurrency.release()
+	l.awaitPolls()
+	l.config.Connections.concurrency.acquire()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return pending.superseded
 }
 
-// settleHold takes in what an answer, or its absence, says about the worker's clock and about the grant.
-func (l *Link) settleHold(c holdCall, a answer, err error, received time.Time) {
+// settleListCall takes in what an answer, or its absence, says about the worker's clock and about the grant.
+func (l *Link) settleListCall(c listCall, a response, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.observe(a, c.sentAt, received)
-	l.settle(c.grant, c.validUntil, err, received)
+	l.settleGrant(c.grant, c.validUntil, err, received)
 	if err != nil {
 		return
 	}
@@ -229,12 +229,12 @@
 		l.roundTrips.observe(trip)
 	}
 	if c.grant != nil && a.status == http.StatusOK {
-		l.granted = granted{c.validUntil, c.sentAt}
+		l.lease = lease{c.validUntil, c.sentAt}
 	}
 }
 
-// settle notes what became of a call with a grant. The caller holds the lock.
-func (l *Link) settle(g *grant, validUntil time.Duration, err error, received time.Time) {
+// settleGrant notes what became of a call with a grant. The caller holds the lock.
+func (l *Link) settleGrant(g *leaseGrant, validUntil time.Duration, err error, received time.Time) {
 	switch {
 	case g == nil:
 	case err == nil:
@@ -246,12 +246,12 @@
 	}
 }
 
-// holdRefused notes a call that was answered without the lists. A single one says little.
-func (l *Link) holdRefused(status int) {
+// listRefused notes a call that was answered without the lists. A single one says little.
+func (l *Link) listRefused(status int) {
 	l.log.Debug("hold refused", zap.Int("status", status))
 	l.mu.Lock()
 	l.refusals++
-	many := l.refusals > refusalsTolerated
+	many := l.refusals > toleratedRefusals
 	l.doubtful, l.suspected = false, false
 	l.dispatch()
 	l.mu.Unlock()
@@ -260,28 +260,28 @@
 	}
 }
 
-// pauseAfter waits before the next hold where the worker would answer it at once: after ends, as it lists them until they
+// delayAfter waits before the next hold where the worker would answer it at once: after ends, as it lists them until they
 // are acknowledged, and after an answer that came early for no reason known.
-func (l *Link) pauseAfter(last answered) {
-	if newest := last.answer.newestEnd(); newest > 0 {
+func (l *Link) delayAfter(last renewalAnswer) {
+	if newest := last.answer.newestCompletion(); newest > 0 {
 		l.awaitAcknowledgement(newest)
 		l.noteAcknowledged(last, newest)
 		return
 	}
-	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.holdWait/2 {
-		l.sleep(earlyAnswerPause)
+	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.longPollWait/2 {
+		l.sleep(earlyAnswerDelay)
 	}
 }
 
 // awaitAcknowledgement waits until the ends up to a number are durable: shortly after new ones, so that further ends are
 // heard soon in any case, and longer when the same ones are listed again.
 func (l *Link) awaitAcknowledgement(number uint64) {
-	patience := acknowledgePatience
-	if number <= l.awaited {
-		patience = repeatedHoldPause
-		l.countRepeat()
+	patience := acknowledgementTimeout
+	if number <= l.awaitedCompletion {
+		patience = repeatedCompletionsTimeout
+		l.countRepeatedCompletions()
 	}
-	l.awaited = max(l.awaited, number)
+	l.awaitedCompletion = max(l.awaitedCompletion, number)
 	limit := time.NewTimer(patience)
 	defer limit.Stop()
 	for {
@@ -292,7 +292,7 @@
 			return
 		}
 		select {
-		case <-l.wake:
+		case <-l.acknowledgementArrived:
 		case <-l.done:
 		case <-limit.C:
 			return
@@ -302,19 +302,19 @@
 
 // noteAcknowledged notes that a worker is idle if its last answer lists nothing but ends that are durable by now. The next
 // call acknowledges them, however late it is.
-func (l *Link) noteAcknowledged(last answered, newest uint64) {
-	reply := &last.answer.reply
-	if len(reply.Running) > 0 || len(reply.Finished) >= finishedPerAnswer {
+func (l *Link) noteAcknowledged(last renewalAnswer, newest uint64) {
+	reply := &last.answer.body
+	if len(reply.Running) > 0 || len(reply.Finished) >= maxFinishedPerResponse {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.acknowledged >= newest && l.settled(last.call.sentAt) {
-		l.occupied = false
+	if l.acknowledged >= newest && l.commandsAnsweredBefore(last.call.sentAt) {
+		l.mayHaveWork = false
 	}
 }
 
-func (l *Link) countRepeat() {
+func (l *Link) countRepeatedCompletions() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.RepeatedCompletions++
--- a/internal/jobs/workerclient/lease_test.go
+++ b/internal/jobs/workerclient/lease_test.go
@@ -11,30 +11,30 @@
 )
 
 // The lease may run out while a hold is under way, so that the hold loop has not noticed: each order looks for itself.
-func TestNoOrderIsSentAfterTheLease(t *testing.T) {
+func TestNoCommandIsSentAfterTheLeaderLease(t *testing.T) {
 	const way, meanwhile = time.Millisecond, 300 * time.Millisecond // shorter than a hold, longer than an order
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryBench(t, way)
+		b := newMemoryFixture(t, way)
 		defer b.close()
 		b.connect(1)
 		convey.Convey("Given a searcher that holds runs, so that orders go out at once", t, func() {
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("a start after the lease is not sent, and certainly did nothing", t, func() {
 			b.invalid.Store(true)
-			convey.So(b.start(order(1, 1)), convey.ShouldEqual, NotSent)
+			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
 			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
 			convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 1)
 			b.invalid.Store(false)
 		})
 		convey.Convey("a stop after the lease waits until there is one again", t, func() {
-			convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 			b.invalid.Store(true)
 			b.link.Stop(StopCommand{task(2), 1})
 			<-time.After(meanwhile)
 			convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 0)
 			b.invalid.Store(false)
-			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
+			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 	})
 }
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -11,15 +11,15 @@
 
 // The pace of a link. Those that depend on how long runs may be held are shares of that time where it is short.
 const (
-	holdWait     = time.Second            // how long a worker may wait for an end before it answers a hold
-	renewalAge   = 900 * time.Millisecond // a grant that was asked for longer ago is renewed
-	minimumLead  = 1500 * time.Millisecond
-	shortestLead = 4                      // minimumLead and holdWait are at most this part of the longest hold
-	newestGrant  = 6                      // renewalAge is at most this part of the longest hold
-	longestIdle  = 3 * time.Second        // between two looks at an idle worker
-	idleLook     = 2                      // longestIdle is at most this part of the longest hold
-	startSlots   = 5                      // orders under way at once; the hold and the out-of-band look have connections besides
-	lookTimeout  = 600 * time.Millisecond // of the hold loop's looks while the worker is unreachable
+	longPollWait           = time.Second            // how long a worker may wait for an end before it answers a hold
+	renewalAge             = 900 * time.Millisecond // a grant that was asked for longer ago is renewed
+	minLeaseLead           = 1500 * time.Millisecond
+	leadFraction           = 4                      // minLeaseLead and longPollWait are at most this part of the longest hold
+	renewalFraction        = 6                      // renewalAge is at most this part of the longest hold
+	maxIdleInterval        = 3 * time.Second        // between two looks at an idle worker
+	idleFraction           = 2                      // maxIdleInterval is at most this part of the longest hold
+	maxCommandsInFlight    = 5                      // orders under way at once; the hold and the out-of-band look have connections besides
+	unreachablePollTimeout = 600 * time.Millisecond // of the hold loop's looks while the worker is unreachable
 
 	// abandonMargin is how much longer than its hedge a hold may last: usually the look's end decides about the hold.
 	abandonMargin = 100 * time.Millisecond
@@ -62,46 +62,46 @@
 // Link is the connection to one life of one worker under one fencing token. Its methods may be called from any goroutine;
 // none of them waits for the worker but Run.
 type Link struct {
-	config Config
-	caller *caller
-	lane   *lane
-	log    *zap.Logger
-	now    func() time.Time
-	pace   pace
-	out    delivery
+	config     Config
+	caller     *caller
+	lane       *hostPool
+	log        *zap.Logger
+	now        func() time.Time
+	pace       pace
+	deliveries delivery
 
-	context context.Context // of all calls
-	cancel  context.CancelFunc
-	done    chan struct{} // closed when the link ends
-	wake    chan struct{} // an acknowledgement has come
-	stir    chan struct{} // an order was queued
+	context                context.Context // of all calls
+	cancel                 context.CancelFunc
+	done                   chan struct{} // closed when the link ends
+	acknowledgementArrived chan struct{} // an acknowledgement has come
+	commandQueued          chan struct{} // an order was queued
 
-	delivered history // used by one delivery at a time
-	awaited   uint64  // the newest end that the hold loop has waited for to be acknowledged; used by that loop only
+	delivered         deliveryHistory // used by one delivery at a time
+	awaitedCompletion uint64          // the newest end that the hold loop has waited for to be acknowledged; used by that loop only
 
-	mu           sync.Mutex
-	idle         sync.Cond // no order worker is left, or no look is under way
-	ending       ending
-	contact      contact
-	suspended    bool // no call may be sent at present
-	doubtful     bool // a call got no answer, and none was answered since: no start is sent
-	suspected    bool // likewise, and the call was a hold or a look: a look that fails now makes the worker unreachable
-	refusals     int  // holds in a row that were answered but refused
-	listed       bool
-	occupied     bool // it may have runs, or ends that are not acknowledged
-	waited       bool // the newest call of the hold loop was one that waits
-	acknowledged uint64
-	clock        clockBounds
-	grants       grantLedger
-	granted      granted
-	roundTrips   roundTrips
-	resultAt     time.Time    // of the newest result of an order
-	pending      *pendingHold // nil before the first one
-	look         lookState
-	orders       orderQueue
-	workers      int
-	copies       int // further copies of repeatable calls under way
-	counts       Counts
+	mu             sync.Mutex
+	idle           sync.Cond // no order worker is left, or no look is under way
+	ending         ending
+	contact        contact
+	suspended      bool // no call may be sent at present
+	doubtful       bool // a call got no answer, and none was answered since: no start is sent
+	suspected      bool // likewise, and the call was a hold or a look: a look that fails now makes the worker unreachable
+	refusals       int  // holds in a row that were answered but refused
+	listed         bool
+	mayHaveWork    bool // it may have runs, or ends that are not acknowledged
+	longPolled     bool // the newest call of the hold loop was one that waits
+	acknowledged   uint64
+	clock          clockBounds
+	grants         leaseGrants
+	lease          lease
+	roundTrips     roundTrips
+	resultAt       time.Time       // of the newest result of an order
+	pending        *pendingRenewal // nil before the first one
+	polls          pollState
+	commands       commandQueue
+	senders        int
+	hedgedRequests int // further copies of repeatable calls under way
+	counts         Counts
 }
 
 // Counts says how many calls for the lists a link has made so far.
@@ -114,20 +114,20 @@
 }
 
 // granted is the newest grant that was answered.
-type granted struct {
+type lease struct {
 	validUntil time.Duration // on the worker's clock; 0 when there is none
 	askedAt    time.Time
 }
 
 // pace holds the link's times, which depend on how long runs may be held.
-type pace struct{ holdWait, renewalAge, minimumLead, longestIdle time.Duration }
+type pace struct{ longPollWait, renewalAge, minLeaseLead, maxIdleInterval time.Duration }
 
 func paceFor(holdMax time.Duration) pace {
 	return pace{
-		holdWait:    min(holdWait, holdMax/shortestLead).Truncate(time.Millisecond),
-		renewalAge:  min(renewalAge, holdMax/newestGrant),
-		minimumLead: min(minimumLead, holdMax/shortestLead),
-		longestIdle: min(longestIdle, holdMax/idleLook),
+		longPollWait:    min(longPollWait, holdMax/leadFraction).Truncate(time.Millisecond),
+		renewalAge:      min(renewalAge, holdMax/renewalFraction),
+		minLeaseLead:    min(minLeaseLead, holdMax/leadFraction),
+		maxIdleInterval: min(maxIdleInterval, holdMax/idleFraction),
 	}
 }
 
@@ -135,17 +135,17 @@
 func NewLink(config Config) *Link {
 	l := &Link{
 		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
-		out:  delivery{events: config.Events},
-		done: make(chan struct{}),
-		wake: make(chan struct{}, 1),
-		stir: make(chan struct{}, 1),
+		deliveries:             delivery{events: config.Events},
+		done:                   make(chan struct{}),
+		acknowledgementArrived: make(chan struct{}, 1),
+		commandQueued:          make(chan struct{}, 1),
 	}
 	if l.config.Connections == nil {
 		l.config.Connections = unlimited()
 	}
 	l.lane = l.config.Connections.join(config.Instance.Address)
 	l.caller = newCaller(config.HTTP, config.Instance.Address, config.Instance.ID, config.LeaderLeaseValid)
-	l.roundTrips.minimum = config.MinTimeout
+	l.roundTrips.minTimeout = config.MinTimeout
 	if l.log == nil {
 		l.log = zap.NewNop()
 	}
@@ -164,7 +164,7 @@
 	l.acknowledged = max(l.acknowledged, number)
 	l.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case l.acknowledgementArrived <- struct{}{}:
 	default:
 	}
 }
@@ -174,7 +174,7 @@
 func (l *Link) LeasesExpiredBy() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.grants.lapsedBy()
+	return l.grants.expiredBy()
 }
 
 // Counts returns how many calls were made so far.
@@ -188,7 +188,7 @@
 // returns after that.
 func (l *Link) Close() { l.end(closed) }
 
-// end ends the link, for the first reason that comes up.
+// release ends the link, for the first reason that comes up.
 func (l *Link) end(reason ending) {
 	if reason == closed {
 		l.cancel()
@@ -211,10 +211,10 @@
 	switch reason {
 	case gone:
 		l.log.Info("searcher's life is over")
-		l.out.post(func(e Events) { e.Gone(Gone{id}) })
+		l.deliveries.post(func(e Events) { e.Gone(Gone{id}) })
 	case fenced:
 		l.log.Info("searcher has seen a higher fencing token", zap.Uint64("token", l.config.FencingToken))
-		l.out.post(func(e Events) { e.Fenced(Fenced{id}) })
+		l.deliveries.post(func(e Events) { e.Fenced(Fenced{id}) })
 	}
 }
 
@@ -225,11 +225,11 @@
 }
 
 // endedBy ends the link if an answer says so.
-func (l *Link) endedBy(a answer) bool {
+func (l *Link) endedBy(a response) bool {
 	switch {
 	case a.status == http.StatusMisdirectedRequest:
 		l.end(gone)
-	case a.status == http.StatusConflict && a.reply.Reason == reasonFence:
+	case a.status == http.StatusConflict && a.body.Reason == reasonFencingToken:
 		l.end(fenced)
 	default:
 		return false
@@ -258,7 +258,7 @@
 	}
 	report := ReachabilityChange{Worker: l.config.Instance.ID, Reachable: now == reachable}
 	l.log.Debug("contact changed", zap.Bool("reachable", report.Reachable))
-	l.out.post(func(e Events) { e.Reachability(report) })
+	l.deliveries.post(func(e Events) { e.Reachability(report) })
 }
 
 // sendTime is the local time for a call that is sent now: certainly after the results reported before, even if the clock has
@@ -274,8 +274,8 @@
 }
 
 // observe takes in the clock of an answer. The caller holds the lock.
-func (l *Link) observe(a answer, sent, received time.Time) {
-	if a.reply.ClockMS != nil {
-		l.clock.observe(sent, received, *a.reply.ClockMS)
+func (l *Link) observe(a response, sent, received time.Time) {
+	if a.body.ClockMS != nil {
+		l.clock.observe(sent, received, *a.body.ClockMS)
 	}
 }
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -22,84 +22,84 @@
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a searcher of four cores that guards its capacity", t, func() {
-		b := newBench(t, needsCores(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
+		b := newFixture(t, needsCores(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
 		convey.Reset(b.close)
 		awaitReturn := b.connect(7)
-		first := await(t, b.events, any1[Listing])
+		first := await(t, b.events, anyEvent[Listing])
 		convey.So(first.First, convey.ShouldBeTrue)
 
 		convey.Convey("a start is answered, also when the run is there already", func() {
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 1)
 			convey.So(b.cluster.Runs()[0].FencingToken, convey.ShouldEqual, 7)
 		})
 		convey.Convey("what does not fit is rejected", func() {
-			convey.So(b.start(order(4, 1)), convey.ShouldEqual, RejectedCapacity)
+			convey.So(b.start(startCommand(4, 1)), convey.ShouldEqual, RejectedCapacity)
 		})
 		convey.Convey("a run that was stopped before it came is rejected as old", func() {
 			b.link.Stop(StopCommand{task(1), 3})
-			stopped := await(t, b.events, any1[StopResult])
+			stopped := await(t, b.events, anyEvent[StopResult])
 			convey.So(stopped.Answered, convey.ShouldBeTrue)
-			convey.So(b.start(order(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
-			convey.So(b.start(order(1, 4)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
+			convey.So(b.start(startCommand(1, 4)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("an order that the searcher cannot read is invalid", func() {
 			convey.So(b.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
 		convey.Convey("an unhealthy searcher did nothing", func() {
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			convey.So(b.cluster.Runs(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("any other status is unclear", func() {
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 500}))
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Unclear)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
 		})
 		convey.Convey("a start that never leaves is not sent", func() {
 			b.invalid.Store(true)
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, NotSent)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
 			b.link.Stop(StopCommand{task(1), 1})
 			b.invalid.Store(false)
-			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
+			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 		convey.Convey("a crash ends the link", func() {
 			b.worker.Crash("i-2")
-			await(t, b.events, any1[Gone])
+			await(t, b.events, anyEvent[Gone])
 			awaitReturn()
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, IncarnationOver)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, IncarnationOver)
 		})
 		convey.Convey("a higher token deposes the link", func() {
 			old := b.link
 			b.connect(8)
-			await(t, b.events, any1[Fenced])
+			await(t, b.events, anyEvent[Fenced])
 			convey.So(len(eventsOf[Fenced](b.events)), convey.ShouldEqual, 1)
 			b.link, old = old, b.link
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, RejectedFencingToken)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, RejectedFencingToken)
 			b.link = old
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("a closed link sends nothing and reports every order", func() {
 			b.link.Close()
 			awaitReturn()
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, NotSent)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 			b.link.Stop(StopCommand{task(0), 1})
-			convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeFalse)
+			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeFalse)
 		})
 	})
 }
 
-func TestAnswerOutcomes(t *testing.T) {
+func TestResponseOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Every answer to a start has its outcome", t, func() {
-		conflict := func(why reason) answer { return answer{http.StatusConflict, reply{Reason: why}} }
-		convey.So(answerOutcome(conflict(reasonLate)), convey.ShouldEqual, RejectedLeaseExpired)
-		convey.So(answerOutcome(conflict(reasonFence)), convey.ShouldEqual, RejectedFencingToken)
-		convey.So(answerOutcome(conflict("new")), convey.ShouldEqual, Unclear)
-		convey.So(answerOutcome(answer{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, IncarnationOver)
+		conflict := func(why reason) response { return response{http.StatusConflict, responseBody{Reason: why}} }
+		convey.So(responseOutcome(conflict(reasonLeaseExpired)), convey.ShouldEqual, RejectedLeaseExpired)
+		convey.So(responseOutcome(conflict(reasonFencingToken)), convey.ShouldEqual, RejectedFencingToken)
+		convey.So(responseOutcome(conflict("new")), convey.ShouldEqual, Unclear)
+		convey.So(responseOutcome(response{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, IncarnationOver)
 		convey.So(StartOutcome(200).String(), convey.ShouldEqual, "unknown")
 		convey.So(RejectedCapacity.String(), convey.ShouldEqual, "rejected: room")
 	})
@@ -108,13 +108,13 @@
 func TestListings(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given runs at a searcher", t, func() {
-		b := newBench(t, needsCores(), cluster.WorkerConfig{})
+		b := newFixture(t, needsCores(), cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.connect(1)
 		const text = "quotes \" and \\ and \n and <ü> \u2028"
 		started := StartCommand{task(0), 1, text, "00000bb8"}
 		convey.So(b.start(started), convey.ShouldEqual, Started)
-		convey.So(b.start(order(1, 5)), convey.ShouldEqual, Started)
+		convey.So(b.start(startCommand(1, 5)), convey.ShouldEqual, Started)
 
 		convey.Convey("text and checkpoint arrive unchanged", func() {
 			record := b.cluster.Runs()[0]
@@ -144,10 +144,10 @@
 		})
 		convey.Convey("they come in the order in which they were asked for, but for looks, and one event at a time", func() {
 			for range 3 {
-				await(t, b.events, any1[Listing])
+				await(t, b.events, anyEvent[Listing])
 				b.link.Stop(StopCommand{task(0), 1})
 			}
-			awaitAfter(t, b.events, 3, any1[Listing])
+			awaitAfter(t, b.events, 3, anyEvent[Listing])
 			listings := eventsOf[Listing](b.events)
 			listings = slices.DeleteFunc(listings, func(l Listing) bool { return l.OutOfBand })
 			for i, listing := range listings[1:] {
@@ -159,10 +159,10 @@
 	})
 }
 
-func TestManyEnds(t *testing.T) {
+func TestManyCompletions(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given more ends than one answer lists", t, func() {
-		b := newBench(t, cluster.Settings{}, cluster.WorkerConfig{})
+		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.events.onListing = func(l Listing) {
 			if ends := len(l.Finished); ends > 0 {
@@ -170,9 +170,9 @@
 			}
 		}
 		b.connect(1)
-		const runs = finishedPerAnswer + 20
+		const runs = maxFinishedPerResponse + 20
 		for i := range runs {
-			b.link.Start(order(i, 1))
+			b.link.Start(startCommand(i, 1))
 		}
 		for i := range runs {
 			await(t, b.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
@@ -187,7 +187,7 @@
 			await(t, b.events, last)
 			heard := map[uint64]bool{}
 			for _, listing := range eventsOf[Listing](b.events) {
-				convey.So(listing.Partial, convey.ShouldEqual, len(listing.Finished) == finishedPerAnswer)
+				convey.So(listing.Partial, convey.ShouldEqual, len(listing.Finished) == maxFinishedPerResponse)
 				for _, end := range listing.Finished {
 					heard[end.CompletionNumber] = true
 				}
@@ -195,7 +195,7 @@
 			convey.So(heard, convey.ShouldHaveLength, runs)
 		})
 		convey.Convey("few connections are used", func() {
-			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, connectionsPerWorker)
+			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
 		})
 	})
 }
@@ -203,37 +203,37 @@
 func TestLink(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a link to an idle searcher", t, func() {
-		b := newBench(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
+		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
 		convey.Reset(b.close)
 		convey.Convey("nothing is granted before the first listing, and then the runs are held", func() {
 			b.connect(1)
-			await(t, b.events, any1[Listing])
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
+			await(t, b.events, anyEvent[Listing])
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			granted := b.worker.HeldUntil()
-			awaitAfter(t, b.events, len(eventsOf[Listing](b.events))+2, any1[Listing])
+			awaitAfter(t, b.events, len(eventsOf[Listing](b.events))+2, anyEvent[Listing])
 			convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, granted)
 			convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, b.worker.HeldUntil())
 		})
 		convey.Convey("one connection is made for holds and few for orders", func() {
 			b.connect(1)
 			for i := range 50 {
-				convey.So(b.start(order(i, 1)), convey.ShouldEqual, Started)
+				convey.So(b.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 			}
 			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
 		convey.Convey("a start that waits for a grant is given back when the lease ends before", func() {
 			b.events.onListing = func(Listing) { b.invalid.Store(true) }
 			b.connect(1)
-			await(t, b.events, any1[Listing])
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, NotSent)
+			await(t, b.events, anyEvent[Listing])
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 		})
 		convey.Convey("without a lease nothing is sent at all", func() {
 			b.invalid.Store(true)
 			awaitReturn := b.connect(1)
-			b.link.Start(order(0, 1))
+			b.link.Start(startCommand(0, 1))
 			b.link.Close()
 			awaitReturn()
-			convey.So(await(t, b.events, any1[StartResult]).Outcome, convey.ShouldEqual, NotSent)
+			convey.So(await(t, b.events, anyEvent[StartResult]).Outcome, convey.ShouldEqual, NotSent)
 			convey.So(b.worker.Calls(cluster.HoldCall), convey.ShouldEqual, 0)
 			convey.So(b.link.LeasesExpiredBy().IsZero(), convey.ShouldBeTrue)
 		})
--- a/internal/jobs/workerclient/look_test.go
+++ b/internal/jobs/workerclient/look_test.go
@@ -15,13 +15,13 @@
 const calmWay = 3 * time.Millisecond
 
 // simulate runs a test in virtual time with a link whose worker runs task 0 and holds the first waiting hold.
-func simulate(t *testing.T, way time.Duration, test func(t *testing.T, b *bench)) {
+func simulate(t *testing.T, way time.Duration, test func(t *testing.T, b *fixture)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryBench(t, way)
+		b := newMemoryFixture(t, way)
 		defer b.close()
 		b.connect(1)
 		convey.Convey("Given a searcher that runs a task", t, func() {
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			time.Sleep(time.Second) // until the round trips are known
 			b.awaitHold()
 			test(t, b)
@@ -30,7 +30,7 @@
 }
 
 // awaitHold waits until a hold is under way that was sent after this call.
-func (b *bench) awaitHold() {
+func (b *fixture) awaitHold() {
 	calls := b.worker.Calls(cluster.HoldCall)
 	for b.worker.Calls(cluster.HoldCall) == calls {
 		time.Sleep(time.Millisecond)
@@ -39,7 +39,7 @@
 }
 
 // acknowledgeAll acknowledges every end as soon as it is heard.
-func (b *bench) acknowledgeAll() {
+func (b *fixture) acknowledgeAll() {
 	b.events.onListing = func(l Listing) {
 		if ends := len(l.Finished); ends > 0 {
 			b.link.Acknowledge(l.Finished[ends-1].CompletionNumber)
@@ -73,7 +73,7 @@
 	}
 }
 
-func unheardSince(b *bench) bool {
+func unheardSince(b *fixture) bool {
 	for _, change := range eventsOf[ReachabilityChange](b.events) {
 		if !change.Reachable {
 			return true
@@ -84,21 +84,21 @@
 
 func outOfBand(l Listing) bool { return l.OutOfBand }
 
-func TestOverdueHold(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestOverdueRenewal(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
 		b.awaitHold()
 		lost := time.Now()
 		look := await(t, b.events, outOfBand)
 		convey.So(look.Running, convey.ShouldHaveLength, 1)
-		convey.So(look.SentAt.Sub(lost), convey.ShouldBeBetween, holdWait, holdWait+shortestHedgeDelay+time.Millisecond)
+		convey.So(look.SentAt.Sub(lost), convey.ShouldBeBetween, longPollWait, longPollWait+minOverdueDelay+time.Millisecond)
 		abandoned := time.Now()
 		synctest.Wait()
-		convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, abandoned.Add(lateLimit+holdMax-2*time.Second))
+		convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, abandoned.Add(maxLateExecution+testMaxLease-2*time.Second))
 
 		b.awaitHold() // the next one follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
-		convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(holdMax-100*time.Millisecond))
+		convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
 		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
 		ended := time.Now()
 		await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
@@ -109,18 +109,18 @@
 	})
 }
 
-func TestFirstLookIsHedged(t *testing.T) {
+func TestFirstPollIsHedged(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryBench(t, calmWay)
+		b := newMemoryFixture(t, calmWay)
 		defer b.close()
 		convey.Convey("Given a searcher that leaves the first call without an answer", t, func() {
 			b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 			began := time.Now()
 			b.connect(1)
-			listing := await(t, b.events, any1[Listing])
+			listing := await(t, b.events, anyEvent[Listing])
 			convey.So(listing.First, convey.ShouldBeTrue)
 			convey.So(listing.OutOfBand, convey.ShouldBeTrue)
-			convey.So(b.start(order(0, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(time.Since(began), convey.ShouldBeLessThan, initialMargin+50*time.Millisecond)
 			convey.So(unheardSince(b), convey.ShouldBeFalse)
 		})
@@ -128,7 +128,7 @@
 }
 
 func TestHedgeWithoutAnswer(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 		b.awaitHold()
 		lost := time.Now()
@@ -141,25 +141,25 @@
 	})
 }
 
-func TestLookAfterUnclearStart(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestPollAfterUnclearStart(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}
 		b.worker.SetFaults(first(1, cluster.StartCall, late))
 		holds := b.link.Counts().Renewals
 		sent := time.Now()
-		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
-		convey.So(time.Since(sent), convey.ShouldBeLessThanOrEqualTo, shortestOrderLimit)
+		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
+		convey.So(time.Since(sent), convey.ShouldBeLessThanOrEqualTo, minCommandTimeout)
 		look := await(t, b.events, outOfBand)
-		convey.So(time.Since(sent), convey.ShouldBeLessThan, shortestOrderLimit+10*time.Millisecond)
+		convey.So(time.Since(sent), convey.ShouldBeLessThan, minCommandTimeout+10*time.Millisecond)
 		result := eventsOf[StartResult](b.events)[1]
 		convey.So(look.SentAt, convey.ShouldHappenAfter, result.At)
 		convey.So(look.Running, convey.ShouldHaveLength, 1)
 		convey.So(look.Stale, convey.ShouldBeFalse)
 		convey.So(b.link.Counts().Renewals, convey.ShouldEqual, holds) // the hold goes on meanwhile
-		convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
+		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 
 		hold := await(t, b.events, func(l Listing) bool {
-			return !l.OutOfBand && l.SentAt.After(sent.Add(-holdWait)) && len(l.Running) == 2
+			return !l.OutOfBand && l.SentAt.After(sent.Add(-longPollWait)) && len(l.Running) == 2
 		})
 		convey.So(hold.SentAt, convey.ShouldHappenBefore, look.SentAt)
 		convey.So(hold.Stale, convey.ShouldBeFalse) // it was answered later
@@ -167,38 +167,38 @@
 	})
 }
 
-func TestSilenceAfterAStart(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestUnresponsiveAfterAStart(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 		b.awaitHold()
 		silent := time.Now()
 		starts := b.worker.Calls(cluster.StartCall)
-		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
-		convey.So(b.start(order(2, 1)), convey.ShouldEqual, NotSent) // waited for a look's answer
+		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
+		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for a look's answer
 		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(unheardSince(b), convey.ShouldBeTrue)
-		looks := shortestOrderLimit + 2*shortestLookLimit // those after the start
+		looks := minCommandTimeout + 2*minPollTimeout // those after the start
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+10*time.Millisecond)
 		b.worker.SetFaults(nil)
 		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the hold was given up
-		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+firstPause+20*time.Millisecond)
+		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+firstBackoff+20*time.Millisecond)
 	})
 }
 
-func TestLostLookIsRepeated(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestLostPollIsRetried(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 		b.link.Stop(StopCommand{task(5), 1})
-		stopped := await(t, b.events, any1[StopResult])
+		stopped := await(t, b.events, anyEvent[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
 		look := await(t, b.events, outOfBand)
-		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeLessThan, shortestLookLimit+50*time.Millisecond)
+		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeLessThan, minPollTimeout+50*time.Millisecond)
 		convey.So(unheardSince(b), convey.ShouldBeFalse)
 	})
 }
 
-func TestStopsShareALook(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestStopsShareAPoll(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		for i := range 10 {
 			b.link.Stop(StopCommand{task(5 + i), 1})
 		}
@@ -207,22 +207,22 @@
 		}
 		last := time.Now()
 		look := await(t, b.events, outOfBand)
-		convey.So(look.SentAt, convey.ShouldHappenWithin, 2*mergeDelay, last)
+		convey.So(look.SentAt, convey.ShouldHappenWithin, 2*pollMergeDelay, last)
 		time.Sleep(time.Second)
 		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
 }
 
 func TestStaleListing(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.acknowledgeAll()
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
 		b.awaitHold()
 		sent := time.Now()
-		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Started)
+		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Started)
 		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the hold is answered slowly
 		time.Sleep(2 * time.Millisecond)
-		convey.So(b.start(order(2, 1)), convey.ShouldEqual, Started)
+		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 		b.link.Stop(StopCommand{task(5), 1})
 		look := await(t, b.events, outOfBand)
 		convey.So(look.Running, convey.ShouldHaveLength, 2)
@@ -236,16 +236,16 @@
 	})
 }
 
-func TestEndsBeforeAcknowledgement(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestCompletionsBeforeAcknowledgement(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		for i := range 5 {
-			convey.So(b.start(order(i, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 		}
 		for i := range 5 { // none of them is acknowledged
 			convey.So(b.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			ended := time.Now()
 			await(t, b.events, func(l Listing) bool { return len(l.Finished) == i+1 })
-			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedHoldPause+2*calmWay)
+			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedCompletionsTimeout+2*calmWay)
 			time.Sleep(70 * time.Millisecond)
 		}
 		before := b.link.Counts()
@@ -266,12 +266,12 @@
 
 func TestCallsInCalm(t *testing.T) {
 	const seconds, ends = 60, 12
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.acknowledgeAll()
 		before := b.worker.Calls(cluster.HoldCall)
 		for i := range ends {
 			time.Sleep(seconds / ends * time.Second)
-			convey.So(b.start(order(i+1, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
 			convey.So(b.worker.Finish(task(i+1), job.OutcomeDone), convey.ShouldBeNil)
 		}
 		calls := b.worker.Calls(cluster.HoldCall) - before
@@ -282,11 +282,11 @@
 }
 
 func TestSlowWorkerIsNotHedged(t *testing.T) {
-	simulate(t, 150*time.Millisecond, func(t *testing.T, b *bench) {
+	simulate(t, 150*time.Millisecond, func(t *testing.T, b *fixture) {
 		time.Sleep(10 * time.Second)
 		before := b.link.Counts()
 		for i := range 20 {
-			convey.So(b.start(order(i+1, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
 		}
 		time.Sleep(20 * time.Second)
 		after := b.link.Counts()
@@ -298,7 +298,7 @@
 
 func TestFewLostCalls(t *testing.T) {
 	const lost = 20 // one in so many
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
 		holds, starts := every(lost, cluster.HoldCall, late), every(lost, cluster.StartCall, late)
 		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
@@ -309,7 +309,7 @@
 		})
 		outcomes := map[StartOutcome]int{}
 		for i := range 200 {
-			outcomes[b.start(order(i+1, 1))]++
+			outcomes[b.start(startCommand(i+1, 1))]++
 			time.Sleep(time.Second)
 		}
 		convey.So(outcomes, convey.ShouldResemble, map[StartOutcome]int{Started: 190, Unclear: 10})
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -6,13 +6,13 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// answerOutcome is the outcome of a start order by the worker's answer.
-func answerOutcome(a answer) StartOutcome {
+// responseOutcome is the outcome of a start order by the worker's answer.
+func responseOutcome(a response) StartOutcome {
 	switch a.status {
 	case http.StatusOK:
 		return Started
 	case http.StatusConflict:
-		return rejection(a.reply.Reason)
+		return rejection(a.body.Reason)
 	case http.StatusBadRequest:
 		return RejectedInvalid
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -25,13 +25,13 @@
 
 func rejection(why reason) StartOutcome {
 	switch why {
-	case reasonFence:
+	case reasonFencingToken:
 		return RejectedFencingToken
-	case reasonOld:
+	case reasonStaleAttempt:
 		return RejectedStaleAttempt
-	case reasonLate:
+	case reasonLeaseExpired:
 		return RejectedLeaseExpired
-	case reasonRoom:
+	case reasonCapacity:
 		return RejectedCapacity
 	}
 	return Unclear
--- a/internal/jobs/workerclient/permit.go
+++ b/internal/jobs/workerclient/permit.go
@@ -18,9 +18,9 @@
 // lease was over. net/http writes a call's headers into a buffer, tells of that, adds the body, and sends both: a call
 // without a permit is kept back by closing its connection in between.
 type permit struct {
-	valid func() bool
-	state atomic.Int32
-	conn  net.Conn // of the present attempt; set before check is called for it
+	leaderLeaseValid func() bool
+	state            atomic.Int32
+	conn             net.Conn // of the present attempt; set before check is called for it
 }
 
 // connected notes the connection that the call will be sent on. net/http may replace it by another while nothing was sent.
@@ -32,7 +32,7 @@
 // check lets the call pass or keeps it back. One that was kept back stays so on any further connection.
 func (p *permit) check() {
 	next := permitted
-	if !p.valid() {
+	if !p.leaderLeaseValid() {
 		next = withheld
 	}
 	p.state.CompareAndSwap(connected, next)
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -26,7 +26,7 @@
 	}}
 }
 
-func TestNoCallIsSentThatWaitedForItsConnectionBeyondTheLease(t *testing.T) {
+func TestNoCallIsSentThatWaitedForItsConnectionBeyondTheLeaderLease(t *testing.T) {
 	Convey("Given a searcher that is connected to slowly", t, func() {
 		var calls, over atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/jobs/workerclient/recorder_test.go
+++ b/internal/jobs/workerclient/recorder_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m, goleak.IgnoreCurrent()) }
 
-// patience bounds what should come soon.
-const patience = 20 * time.Second
+// eventTimeout bounds what should come soon.
+const eventTimeout = 20 * time.Second
 
 // recorder is an Events that keeps what it hears.
 type recorder struct {
@@ -73,7 +73,7 @@
 	return found
 }
 
-// await waits for the first event of a type that a condition holds for.
+// awaitSlot waits for the first event of a type that a condition holds for.
 func await[T any](t testing.TB, r *recorder, condition func(T) bool) T {
 	t.Helper()
 	return awaitAfter(t, r, 0, condition)
@@ -82,7 +82,7 @@
 // awaitAfter does not look at the first events of the type.
 func awaitAfter[T any](t testing.TB, r *recorder, skip int, condition func(T) bool) T {
 	t.Helper()
-	limit := time.After(patience)
+	limit := time.After(eventTimeout)
 	for {
 		r.mu.Lock()
 		changed := r.changed
@@ -100,10 +100,10 @@
 	}
 }
 
-func any1[T any](T) bool { return true }
+func anyEvent[T any](T) bool { return true }
 
-// bench is a worker with links to it.
-type bench struct {
+// fixture is a worker with links to it.
+type fixture struct {
 	t       testing.TB
 	cluster *cluster.Cluster
 	worker  *cluster.Worker
@@ -115,37 +115,37 @@
 	closers []func()
 }
 
-const holdMax = 6 * time.Second
+const testMaxLease = 6 * time.Second
 
-func newBench(t testing.TB, settings cluster.Settings, config cluster.WorkerConfig) *bench {
-	settings.HoldMax = holdMax
+func newFixture(t testing.TB, settings cluster.Settings, config cluster.WorkerConfig) *fixture {
+	settings.HoldMax = testMaxLease
 	config.ID = "i-1"
-	b := &bench{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
-	b.client, b.timeout = NewHTTPClient(), longestOrderLimit // as the machine may be busy
+	b := &fixture{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
+	b.client, b.timeout = NewHTTPClient(), maxCommandTimeout // as the machine may be busy
 	b.worker = b.cluster.AddWorker(config)
 	b.closers = append(b.closers, b.cluster.Close, b.client.CloseIdleConnections)
 	return b
 }
 
-// newMemoryBench is for use under synctest. Each call takes the given time to get there.
-func newMemoryBench(t testing.TB, way time.Duration) *bench {
-	b := newBench(t, cluster.Settings{InMemory: true}, cluster.WorkerConfig{})
+// newMemoryFixture is for use under synctest. Each call takes the given time to get there.
+func newMemoryFixture(t testing.TB, way time.Duration) *fixture {
+	b := newFixture(t, cluster.Settings{InMemory: true}, cluster.WorkerConfig{})
 	b.client, b.timeout = b.cluster.MemoryClient(way), 0
 	return b
 }
 
 // close ends everything, the last that was begun first.
-func (b *bench) close() {
+func (b *fixture) close() {
 	for _, closer := range slices.Backward(b.closers) {
 		closer()
 	}
 }
 
 // connect makes a link under a fencing token and runs it. The function returned waits until Run has returned.
-func (b *bench) connect(token uint64) (awaitReturn func()) {
+func (b *fixture) connect(token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(b.worker.ID()), Address: b.worker.Address()},
-		FencingToken: token, MaxLease: holdMax, LeaderLeaseValid: func() bool { return !b.invalid.Load() },
+		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !b.invalid.Load() },
 		Events: b.events, HTTP: b.client, MinTimeout: b.timeout,
 	})
 	b.link = link
@@ -157,7 +157,7 @@
 	awaitReturn = func() {
 		select {
 		case <-returned:
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			b.t.Error("Run does not return")
 		}
 	}
@@ -166,7 +166,7 @@
 }
 
 // start orders a run and waits for its outcome.
-func (b *bench) start(order StartCommand) StartOutcome {
+func (b *fixture) start(order StartCommand) StartOutcome {
 	b.t.Helper()
 	before := len(eventsOf[StartResult](b.events))
 	b.link.Start(order)
@@ -188,6 +188,6 @@
 
 func task(index int) job.TaskID { return job.TaskID{Job: "00000000000000aa", Index: index} }
 
-func order(index int, execution uint64) StartCommand {
+func startCommand(index int, execution uint64) StartCommand {
 	return StartCommand{Task: task(index), AttemptNumber: execution, Specification: "sleep"}
 }
--- a/internal/jobs/workerclient/repeat_test.go
+++ b/internal/jobs/workerclient/repeat_test.go
@@ -12,17 +12,17 @@
 )
 
 // usualAnswer is more than a calm worker takes to answer, and far less than any time-out.
-const usualAnswer = repeatMargin + 50*time.Millisecond
+const usualAnswer = hedgeMargin + 50*time.Millisecond
 
-func TestALookWithoutAnswerIsSentAgainSoon(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestPollWithoutResponseIsHedged(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		before := b.link.Counts()
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		b.link.Stop(StopCommand{task(5), 1})
-		stopped := await(t, b.events, any1[StopResult])
+		stopped := await(t, b.events, anyEvent[StopResult])
 		look := await(t, b.events, outOfBand)
 		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualAnswer)
-		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, repeatMargin) // of the copy that was answered
+		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)  // of the copy that was answered
 		convey.So(time.Since(look.SentAt), convey.ShouldBeGreaterThanOrEqualTo, calmWay) // and not of its answer
 		after := b.link.Counts()
 		convey.So(after.Polls-before.Polls, convey.ShouldEqual, 1)
@@ -31,56 +31,56 @@
 	})
 }
 
-func TestAStopWithoutAnswerIsSentAgainSoon(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestStopWithoutResponseIsHedged(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		ordered := time.Now()
 		b.link.Stop(StopCommand{task(0), 1})
-		convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
+		convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(ordered), convey.ShouldBeLessThan, usualAnswer)
 		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
 		time.Sleep(6 * time.Second) // the first one is carried out, too
-		convey.So(b.start(order(0, 2)), convey.ShouldEqual, Started)
+		convey.So(b.start(startCommand(0, 2)), convey.ShouldEqual, Started)
 		convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 2)
 	})
 }
 
-func TestAStartWithoutAnswerIsNotSentAgain(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestStartWithoutResponseIsNotHedged(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		starts, copies := b.worker.Calls(cluster.StartCall), b.link.Counts().HedgedRequests
 		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
-		convey.So(b.start(order(1, 1)), convey.ShouldEqual, Unclear)
+		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		time.Sleep(5 * time.Second)
 		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(b.link.Counts().HedgedRequests, convey.ShouldEqual, copies)
 	})
 }
 
-func TestStartsAreGivenLessTimeWhereManyGetNoAnswer(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestStartTimeoutFallsWithTheLossRate(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		took := func(index int) time.Duration {
 			ordered := time.Now()
-			convey.So(b.start(order(index, 1)), convey.ShouldEqual, Unclear)
+			convey.So(b.start(startCommand(index, 1)), convey.ShouldEqual, Unclear)
 			return time.Since(ordered)
 		}
-		convey.So(took(1), convey.ShouldBeGreaterThanOrEqualTo, shortestOrderLimit)
-		convey.So(took(2), convey.ShouldBeGreaterThanOrEqualTo, shortestOrderLimit)
-		convey.So(took(3), convey.ShouldBeLessThan, shortestOrderLimit/2)
+		convey.So(took(1), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
+		convey.So(took(2), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
+		convey.So(took(3), convey.ShouldBeLessThan, minCommandTimeout/2)
 		for i := range 10 {
-			convey.So(b.start(order(4+i, 1)), convey.ShouldEqual, Started)
+			convey.So(b.start(startCommand(4+i, 1)), convey.ShouldEqual, Started)
 		}
 		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
-		convey.So(took(20), convey.ShouldBeGreaterThanOrEqualTo, shortestOrderLimit)
+		convey.So(took(20), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
 		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each one once
 	})
 }
 
-func TestNoCopyIsSentAfterTheLease(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestNoHedgeIsSentAfterTheLeaderLease(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		b.link.Stop(StopCommand{task(0), 1})
-		time.Sleep(repeatMargin / 2)
+		time.Sleep(hedgeMargin / 2)
 		b.invalid.Store(true)
 		time.Sleep(time.Second)
 		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 1)
@@ -88,22 +88,22 @@
 	})
 }
 
-func TestCopiesAreFew(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestHedgesAreBounded(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
-		for i := range 3 * startSlots {
+		for i := range 3 * maxCommandsInFlight {
 			b.link.Stop(StopCommand{task(i), 1})
 		}
-		time.Sleep(shortestOrderLimit - time.Millisecond) // before the first ones are given up
+		time.Sleep(minCommandTimeout - time.Millisecond) // before the first ones are given up
 		synctest.Wait()
-		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, startSlots+copiesAtOnce)
-		convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, connectionsPerWorker)
+		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, maxCommandsInFlight+maxHedgedRequests)
+		convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
 		b.link.Close() // gives up the copies, too: Run returns
 	})
 }
 
-func TestACopyThatFailsLeavesTheCallToTheOthers(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *bench) {
+func TestAFailedHedgeLeavesTheCallToTheOthers(t *testing.T) {
+	simulate(t, calmWay, func(t *testing.T, b *fixture) {
 		calls := 0
 		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call != cluster.StopCall {
@@ -119,36 +119,36 @@
 		})
 		ordered := time.Now()
 		b.link.Stop(StopCommand{task(0), 1})
-		convey.So(await(t, b.events, any1[StopResult]).Answered, convey.ShouldBeTrue)
+		convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(ordered), convey.ShouldBeBetween, 2*spareMargin, 2*spareMargin+50*time.Millisecond)
 		convey.So(b.link.Counts().HedgedRequests, convey.ShouldBeGreaterThan, 0)
 	})
 }
 
-func TestCopiesWaitForNothing(t *testing.T) {
+func TestHedgesDoNotWaitForAConnection(t *testing.T) {
 	convey.Convey("Given a budget of one connection that is in use", t, func() {
 		connections := NewConnections(Limits{Connections: 1, DialsPerS: 100, DialBurst: 10})
 		busy, other := connections.join("a"), connections.join("b")
-		convey.So(busy.begin(nil), convey.ShouldBeTrue)
-		convey.So(other.take(), convey.ShouldBeFalse)
-		convey.So(busy.take(), convey.ShouldBeFalse)
+		convey.So(busy.acquire(nil), convey.ShouldBeTrue)
+		convey.So(other.tryAcquire(), convey.ShouldBeFalse)
+		convey.So(busy.tryAcquire(), convey.ShouldBeFalse)
 		convey.So(connections.Usage().Waiting, convey.ShouldEqual, 0)
 		convey.Convey("it is taken once it is free", func() {
-			busy.end()
-			convey.So(other.take(), convey.ShouldBeTrue)
-			other.end()
+			busy.release()
+			convey.So(other.tryAcquire(), convey.ShouldBeTrue)
+			other.release()
 		})
 		convey.Convey("whoever waits for it goes first", func() {
 			done := make(chan struct{})
 			begun := make(chan bool)
-			go func() { begun <- other.begin(done) }()
+			go func() { begun <- other.acquire(done) }()
 			for connections.Usage().Waiting == 0 {
 				runtime.Gosched()
 			}
-			convey.So(busy.take(), convey.ShouldBeFalse)
-			busy.end()
+			convey.So(busy.tryAcquire(), convey.ShouldBeFalse)
+			busy.release()
 			convey.So(<-begun, convey.ShouldBeTrue)
-			other.end()
+			other.release()
 		})
 	})
 }
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -53,13 +53,13 @@
 				worker := newCaller(client, relay.Address(), "i-1", func() bool { return true })
 				relay.Arm(cut, resettest.NoReset)
 				if usedBefore {
-					_, err := worker.post(context.Background(), worker.hold, []byte("{}"), patience)
+					_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 					convey.So(err, convey.ShouldBeNil)
 				}
 				relay.Arm(cut, after)
-				order := order(0, execution)
+				order := startCommand(0, execution)
 				body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
-				_, err := worker.post(context.Background(), worker.start, body, patience)
+				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
 				return body, err
 			}
 			const firstExecution = 1000 // so that all calls have one length
@@ -110,11 +110,11 @@
 		defer client.CloseIdleConnections()
 		worker := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return true })
 		worker.headers.Set("Idempotency-Key", "1") // by which net/http repeats
-		_, err := worker.post(context.Background(), worker.hold, []byte("{}"), patience)
+		_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 		convey.So(err, convey.ShouldBeNil)
-		order := order(0, 1)
+		order := startCommand(0, 1)
 		body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
-		_, err = worker.post(context.Background(), worker.start, body, patience)
+		_, err = worker.post(context.Background(), worker.start, body, eventTimeout)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		convey.So(counter.count(body), convey.ShouldEqual, 1)
 	})
--- a/internal/jobs/workerclient/turnstile.go
+++ b/internal/jobs/workerclient/turnstile.go
@@ -2,21 +2,21 @@
 
 import "runtime"
 
-// turnstile lets few of the goroutines that call workers work at once. The others wait outside of the runtime's queue of
+// semaphore lets few of the goroutines that call workers work at once. The others wait outside of the runtime's queue of
 // goroutines, so that thousands of answers that come together do not hold up what keeps a leader's lease: its heartbeats
 // queue behind a few goroutines and not behind all of them. Who waits for the network or for a turn is outside.
 // A nil one lets everyone pass.
-type turnstile chan struct{}
+type semaphore chan struct{}
 
-func newTurnstile() turnstile { return make(turnstile, 1+runtime.GOMAXPROCS(0)) }
+func newSemaphore() semaphore { return make(semaphore, 1+runtime.GOMAXPROCS(0)) }
 
-func (t turnstile) enter() {
+func (t semaphore) acquire() {
 	if t != nil {
 		t <- struct{}{}
 	}
 }
 
-func (t turnstile) leave() {
+func (t semaphore) release() {
 	if t != nil {
 		<-t
 	}
--- a/internal/jobs/workerclient/wire.go
+++ b/internal/jobs/workerclient/wire.go
@@ -10,36 +10,36 @@
 
 // The paths of a worker's calls.
 const (
-	startPath = "/-/run-start"
-	stopPath  = "/-/run-stop"
-	holdPath  = "/-/hold"
+	startPath   = "/-/run-start"
+	stopPath    = "/-/run-stop"
+	renewalPath = "/-/hold"
 )
 
-// finishedPerAnswer is how many ends one answer lists at most.
-const finishedPerAnswer = 500
+// maxFinishedPerResponse is how many ends one answer lists at most.
+const maxFinishedPerResponse = 500
 
 // reason says why a worker rejected a call.
 type reason string
 
 const (
-	reasonFence reason = "fence"
-	reasonOld   reason = "old"
-	reasonLate  reason = "late"
-	reasonRoom  reason = "room"
+	reasonFencingToken reason = "fence"
+	reasonStaleAttempt reason = "old"
+	reasonLeaseExpired reason = "late"
+	reasonCapacity     reason = "room"
 )
 
-// holdRequest asks for both lists and may hold what runs there.
-type holdRequest struct {
+// listRequest asks for both lists and may hold what runs there.
+type listRequest struct {
 	fencingToken uint64
 	lastSeen     uint64
 	waitMS       int64
 	validUntilMS int64 // 0 to hold nothing
 }
 
-// holdBytes is about how long a hold call's body is.
-const holdBytes = 128
+// listRequestBytes is about how long a hold call's body is.
+const listRequestBytes = 128
 
-func (r holdRequest) append(to []byte) []byte {
+func (r listRequest) append(to []byte) []byte {
 	to = append(to, `{"fencingToken":`...)
 	to = strconv.AppendUint(to, r.fencingToken, 10)
 	to = append(to, `,"lastSeen":`...)
@@ -53,29 +53,29 @@
 	return append(to, '}')
 }
 
-func appendStart(to []byte, order *StartCommand, validUntilMS int64, fencingToken uint64) []byte {
+func appendStart(to []byte, command *StartCommand, validUntilMS int64, fencingToken uint64) []byte {
 	to = append(to, `{"task":"`...)
-	to = appendTask(to, order.Task)
+	to = appendTask(to, command.Task)
 	to = append(to, `","execution":`...)
-	to = strconv.AppendUint(to, order.AttemptNumber, 10)
+	to = strconv.AppendUint(to, command.AttemptNumber, 10)
 	to = append(to, `,"specification":`...)
-	to = appendText(to, order.Specification)
+	to = appendText(to, command.Specification)
 	to = append(to, `,"validUntilMs":`...)
 	to = strconv.AppendInt(to, validUntilMS, 10)
 	to = append(to, `,"fencingToken":`...)
 	to = strconv.AppendUint(to, fencingToken, 10)
-	if order.Checkpoint != "" {
+	if command.Checkpoint != "" {
 		to = append(to, `,"checkpointed":`...)
-		to = appendText(to, order.Checkpoint)
+		to = appendText(to, command.Checkpoint)
 	}
 	return append(to, '}')
 }
 
-func appendStop(to []byte, order StopCommand, fencingToken uint64) []byte {
+func appendStop(to []byte, command StopCommand, fencingToken uint64) []byte {
 	to = append(to, `{"task":"`...)
-	to = appendTask(to, order.Task)
+	to = appendTask(to, command.Task)
 	to = append(to, `","execution":`...)
-	to = strconv.AppendUint(to, order.AttemptNumber, 10)
+	to = strconv.AppendUint(to, command.AttemptNumber, 10)
 	to = append(to, `,"fencingToken":`...)
 	to = strconv.AppendUint(to, fencingToken, 10)
 	return append(to, '}')
@@ -113,17 +113,17 @@
 }
 
 // reply is the body of any answer.
-type reply struct {
+type responseBody struct {
 	ClockMS  *int64          `json:"clockMs"`
 	Reason   reason          `json:"reason"`
 	Running  []runningEntry  `json:"running"`
 	Finished []finishedEntry `json:"finished"`
 }
 
-func decodeReply(body []byte) (reply, error) {
-	var r reply
+func decodeResponse(body []byte) (responseBody, error) {
+	var r responseBody
 	if err := json.Unmarshal(body, &r); err != nil {
-		return reply{}, fmt.Errorf("decode answer: %w", err)
+		return responseBody{}, fmt.Errorf("decode answer: %w", err)
 	}
 	return r, nil
 }
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-func TestText(t *testing.T) {
+func TestAppendText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
 		var read string
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestRequests(t *testing.T) {
+func TestRequestBodies(t *testing.T) {
 	convey.Convey("Calls are written as the protocol has them", t, func() {
 		one := job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 17}
 		start := StartCommand{one, 2, "(text)", "00000bb87a21d94b"}
@@ -33,15 +33,15 @@
 		convey.So(string(appendStart(nil, &start, 1, 7)), convey.ShouldEndWith, `"fencingToken":7}`)
 		convey.So(string(appendStop(nil, StopCommand{one, 2}, 7)), convey.ShouldEqual,
 			`{"task":"5c0e7a21d94b36f8.0.1.17","execution":2,"fencingToken":7}`)
-		convey.So(string(holdRequest{7, 57, 1000, 486000}.append(nil)), convey.ShouldEqual,
+		convey.So(string(listRequest{7, 57, 1000, 486000}.append(nil)), convey.ShouldEqual,
 			`{"fencingToken":7,"lastSeen":57,"waitMs":1000,"validUntilMs":486000}`)
-		convey.So(string(holdRequest{7, 0, 0, 0}.append(nil)), convey.ShouldEqual, `{"fencingToken":7,"lastSeen":0,"waitMs":0}`)
+		convey.So(string(listRequest{7, 0, 0, 0}.append(nil)), convey.ShouldEqual, `{"fencingToken":7,"lastSeen":0,"waitMs":0}`)
 	})
 }
 
-func TestReplies(t *testing.T) {
+func TestResponseBodies(t *testing.T) {
 	convey.Convey("Given the answer to a hold", t, func() {
-		r, err := decodeReply([]byte(`{"clockMs":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41.6],` +
+		r, err := decodeResponse([]byte(`{"clockMs":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41.6],` +
 			` [ "5c0e7a21d94b36f8.0.1.18" , 1 , null , 0 ],["5c0e7a21d94b36f8.0.1.19",1,"a\\\",\u00fcb"]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],` +
 			`[59,"no task",1,"failed","","more"]]}`))
 		convey.So(err, convey.ShouldBeNil)
@@ -56,14 +56,14 @@
 				58, job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 9}, 1, job.OutcomeDone, ""})
 		})
 		convey.Convey("a name that cannot be read is marked", func() {
-			convey.So(r.Finished[0].bad, convey.ShouldBeNil)
-			convey.So(r.Finished[1].bad, convey.ShouldNotBeNil)
+			convey.So(r.Finished[0].nameErr, convey.ShouldBeNil)
+			convey.So(r.Finished[1].nameErr, convey.ShouldNotBeNil)
 		})
 	})
 	convey.Convey("What is no answer is an error", t, func() {
 		for _, body := range []string{``, `{`, `[]`, `{"running":[["a","b"]]}`, `{"finished":[{}]}`,
 			`{"finished":[["1","a",2]]}`, `{"finished":[[-1,"a",2]]}`, `{"running":[[1,2]]}`, `{"running":[["a",1.5]]}`} {
-			_, err := decodeReply([]byte(body))
+			_, err := decodeResponse([]byte(body))
 			convey.So(err, convey.ShouldNotBeNil)
 		}
 	})
@@ -74,24 +74,24 @@
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: startPath, Want: "/-/run-start"},
 		goldentest.Constant{Have: stopPath, Want: "/-/run-stop"},
-		goldentest.Constant{Have: holdPath, Want: "/-/hold"},
-		goldentest.Constant{Have: reasonFence, Want: "fence"},
-		goldentest.Constant{Have: reasonOld, Want: "old"},
-		goldentest.Constant{Have: reasonLate, Want: "late"},
-		goldentest.Constant{Have: reasonRoom, Want: "room"},
+		goldentest.Constant{Have: renewalPath, Want: "/-/hold"},
+		goldentest.Constant{Have: reasonFencingToken, Want: "fence"},
+		goldentest.Constant{Have: reasonStaleAttempt, Want: "old"},
+		goldentest.Constant{Have: reasonLeaseExpired, Want: "late"},
+		goldentest.Constant{Have: reasonCapacity, Want: "room"},
 	)
 }
 
 // TestWireForms pins the keys of a worker's answer, which this package only reads.
 func TestWireForms(t *testing.T) {
 	text := `{"clockMs":5,"reason":"fence","running":[["a.1.2.3",4,"text 1",50]],"finished":[[6,"b.7.8.9",10,"done","text 2"]]}`
-	read, err := decodeReply([]byte(text))
+	read, err := decodeResponse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock := int64(5)
-	want := reply{
-		ClockMS: &clock, Reason: reasonFence,
+	want := responseBody{
+		ClockMS: &clock, Reason: reasonFencingToken,
 		Running: []runningEntry{{task: RunningTask{
 			Task: job.TaskID{Job: "a", Repetition: 1, Stage: 2, Index: 3}, AttemptNumber: 4, Checkpoint: "text 1", Percent: 50}}},
 		Finished: []finishedEntry{{task: FinishedTask{
