--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -142,8 +142,8 @@
 func (c *Coordinator) contacts() replicaset.Liveness {
 	contacts := replicaset.Liveness{QuorumReachable: c.node.InContact(), SinceHeard: make(map[string]time.Duration)}
 	for _, member := range c.node.Members() {
-		if member.Heard {
-			contacts.SinceHeard[member.Address] = member.HeardAgo
+		if member.Contacted {
+			contacts.SinceHeard[member.Address] = member.SinceContact
 		}
 	}
 	return contacts
