--- a/internal/controlplane/configuration/announce.go
+++ b/internal/controlplane/configuration/announce.go
@@ -44,12 +44,7 @@
 }
 
 // triggerRead makes Run read at once, or again if it is reading.
-func (c *Configurator) triggerRead() {
-	select {
-	case c.newerAnnounced <- struct{}{}:
-	default:
-	}
-}
+func (c *Configurator) triggerRead() { c.newerAnnounced.Notify() }
 
 // announceToMembers tells every other member of a version that a majority holds, without waiting for them.
 func (c *Configurator) announceToMembers(version uint64) {
--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -13,6 +13,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 const (
@@ -57,8 +58,8 @@
 	// changing admits one change of this process at a time, so that its own proposals do not compete.
 	changing      chan struct{}
 	announcements sync.WaitGroup // calls that tell other members
-	// newerAnnounced holds a token while another member has told of a version that was not known here.
-	newerAnnounced chan struct{}
+	// newerAnnounced tells Run that another member has announced a version that was not known here.
+	newerAnnounced wakeup.Signal
 
 	mutex    sync.Mutex
 	value    []byte // the register's value that state was decoded from
@@ -75,7 +76,7 @@
 		changing: make(chan struct{}, 1),
 		changed:  make(chan struct{}),
 
-		newerAnnounced: make(chan struct{}, 1),
+		newerAnnounced: wakeup.New(),
 	}
 }
 
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -8,6 +8,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 const (
@@ -35,10 +36,10 @@
 	sources    []string  // who have it, to be asked in this order
 	asked      []string  // sources that are not asked again
 	bytes      int       // room of the next call
-	wake       chan struct{}
+	wake       wakeup.Signal
 }
 
-func newDownload() *download { return &download{bytes: firstRoom, wake: make(chan struct{}, 1)} }
+func newDownload() *download { return &download{bytes: firstRoom, wake: wakeup.New()} }
 
 // room is how many bytes of parts the next call may bring.
 func (d *download) room() int {
@@ -81,7 +82,7 @@
 		d.sources = append([]string{source}, d.sources...)
 	}
 	d.asked = slices.DeleteFunc(d.asked, func(address string) bool { return address == source })
-	signalWake(d.wake)
+	d.wake.Notify()
 	return d.collection.AddPacked(offer.Chunks)
 }
 
@@ -200,10 +201,3 @@
 		d.bytes = max(leastRoom, d.bytes/2)
 	}
 }
-
-func signalWake(wake chan struct{}) {
-	select {
-	case wake <- struct{}{}:
-	default:
-	}
-}
