--- a/internal/controlplane/feed/catalog.go
+++ b/internal/controlplane/feed/configurationcatalog.go
@@ -6,12 +6,12 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// maxPreviousVersions is how many earlier configurations a catalog can tell from the newest. A reader that knows an older one
-// still gets the manifest, and asks for the parts that it lacks.
+// maxPreviousVersions is for how many previous configurations a catalog knows which chunks have changed since. A reader of an
+// older one gets the manifest alone and requests the chunks that it lacks.
 const maxPreviousVersions = 16
 
-// ConfigurationCatalog holds the newest configuration by parts, and the manifests of some before it. Its methods may be called from
-// any goroutine.
+// ConfigurationCatalog has the newest configuration by chunks, and the checksums of the chunks of some previous ones. Its methods
+// may be called from any goroutine. The zero value is empty.
 type ConfigurationCatalog struct {
 	mutex    sync.Mutex
 	version  uint64
@@ -19,13 +19,13 @@
 	previous []previousVersion // oldest first
 }
 
-// edition is an earlier version of the configuration by its parts.
+// previousVersion is a previous version of the configuration by its chunks.
 type previousVersion struct {
 	number uint64
 	sums   []chunks.Sum
 }
 
-// Publish makes a configuration the newest, unless one as new is there.
+// Publish makes a configuration the newest one, unless its version is not newer.
 func (c *ConfigurationCatalog) Publish(version uint64, body []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -40,32 +40,33 @@
 }
 
 // current returns the newest configuration.
-func (c *ConfigurationCatalog) current() (version uint64, cut *chunks.Chunking) {
+func (c *ConfigurationCatalog) current() (version uint64, chunking *chunks.Chunking) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version, c.newest
 }
 
-// Offer describes the newest configuration and its version to a reader that has an earlier one, together with parts that
-// the reader lacks, of at most room bytes. There must be a configuration.
+// Offer describes the newest configuration and its version to a reader that has an earlier one, and has chunks that the reader
+// lacks, of at most maxBytes bytes. There must be a configuration.
 func (c *ConfigurationCatalog) Offer(known uint64, maxBytes int) (version uint64, offer *Offer) {
-	version, cut := c.current()
-	offer = &Offer{Manifest: cut.Manifest()}
-	if holder, found := c.cachedChunks(known); found {
-		offer.Chunks = cut.Packed(chunks.MissingFrom(cut.Sums(), holder), maxBytes)
+	version, chunking := c.current()
+	offer = &Offer{Manifest: chunking.Manifest()}
+	if source, found := c.cachedChunks(known); found {
+		offer.Chunks = chunking.Packed(chunks.MissingFrom(chunking.Sums(), source), maxBytes)
 	}
 	return version, offer
 }
 
-// cachedChunks is what a reader of an earlier version has; version 0 is a reader of nothing.
+// cachedChunks is the chunks that a reader of a previous version has, if that is known; a reader of version 0 has none. The
+// source tells only whether a chunk is there, and returns no content.
 func (c *ConfigurationCatalog) cachedChunks(known uint64) (chunks.Source, bool) {
 	cached := make(map[chunks.Sum]struct{})
-	holder := func(sum chunks.Sum) ([]byte, bool) {
+	source := func(sum chunks.Sum) ([]byte, bool) {
 		_, found := cached[sum]
 		return nil, found
 	}
 	if known == 0 {
-		return holder, true
+		return source, true
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -76,26 +77,26 @@
 		for _, sum := range previous.sums {
 			cached[sum] = struct{}{}
 		}
-		return holder, true
+		return source, true
 	}
 	return nil, false
 }
 
-// Chunks returns those parts of the newest configuration that are asked for, packed, and at most room bytes of them; but
-// always the first one that is held.
+// Chunks returns the requested chunks of the newest configuration, packed, and at most maxBytes bytes of them, but always the
+// first one that is there.
 func (c *ConfigurationCatalog) Chunks(sums []chunks.Sum, maxBytes int) [][]byte {
-	_, cut := c.current()
-	if cut == nil {
+	_, chunking := c.current()
+	if chunking == nil {
 		return nil
 	}
-	return cut.PackedAtLeastOne(sums, maxBytes)
+	return chunking.PackedAtLeastOne(sums, maxBytes)
 }
 
-// Chunk returns a part of the newest configuration. It is a parts.Holder.
+// Chunk returns a chunk of the newest configuration. It is a chunks.Source.
 func (c *ConfigurationCatalog) Chunk(sum chunks.Sum) (chunk []byte, found bool) {
-	_, cut := c.current()
-	if cut == nil {
+	_, chunking := c.current()
+	if chunking == nil {
 		return nil, false
 	}
-	return cut.Chunk(sum)
+	return chunking.Chunk(sum)
 }
--- a/internal/controlplane/feed/catalog_test.go
+++ b/internal/controlplane/feed/configurationcatalog_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// body is a configuration of some kilobytes; versions differ in their first and one later line.
+// body is a configuration of some kilobytes; versions differ in their first line and in one later line.
 func body(version uint64) []byte {
 	text := fmt.Appendf(nil, "version %d\n", version)
 	for line := range uint64(2000) {
@@ -22,7 +22,7 @@
 	return text
 }
 
-// assembled gathers an offer's parts beside those of a version that the reader has.
+// assembled assembles an offer's chunks and those of a version that the reader has.
 func assembled(offer *Offer, known []byte) *chunks.Assembler {
 	held := make(map[chunks.Sum][]byte)
 	for _, chunk := range chunks.Split(known) {
@@ -49,7 +49,7 @@
 		}
 		newest := body(maxPreviousVersions + 5)
 
-		Convey("a reader of a recent version gets the parts that differ, and needs no other", func() {
+		Convey("a reader of a recent version gets the chunks that differ, and needs no other", func() {
 			version, offer := catalog.Offer(maxPreviousVersions, 64<<10)
 			So(version, ShouldEqual, maxPreviousVersions+5)
 			So(len(offer.Chunks), ShouldBeLessThanOrEqualTo, 4)
@@ -62,7 +62,7 @@
 			So(offer.Chunks, ShouldBeEmpty)
 			So(offer.Manifest.Bytes, ShouldEqual, len(newest))
 		})
-		Convey("a reader of nothing gets as many parts as there is room for", func() {
+		Convey("a reader without a version gets as many chunks as it takes bytes", func() {
 			_, offer := catalog.Offer(0, 4<<10)
 			sum := 0
 			for _, packed := range offer.Chunks {
@@ -70,7 +70,7 @@
 			}
 			So(sum, ShouldBeBetween, 1<<10, 4<<10+1)
 		})
-		Convey("parts are handed out by name: one even without room, and none that are not held", func() {
+		Convey("chunks are returned by checksum: one even if it is too long, and none of older versions alone", func() {
 			_, offer := catalog.Offer(2, 0)
 			sums := offer.Manifest.Sums()
 			So(len(catalog.Chunks(sums, 0)), ShouldEqual, 1)
@@ -79,7 +79,7 @@
 			old := chunks.SumOf(chunks.Split(body(1))[0])
 			So(catalog.Chunks([]chunks.Sum{old}, 1<<20), ShouldBeEmpty)
 		})
-		Convey("an older version changes nothing", func() {
+		Convey("an older version is not published", func() {
 			catalog.Publish(3, body(3))
 			version, _ := catalog.Offer(2, 0)
 			So(version, ShouldEqual, maxPreviousVersions+5)
@@ -88,11 +88,11 @@
 }
 
 func TestConfigurationsAreOfferedByChunks(t *testing.T) {
-	Convey("Given a board with a configuration", t, func() {
+	Convey("Given a store with a configuration", t, func() {
 		store := NewSnapshotStore()
 		store.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: body(5), Core: []string{"a:1"}})
 		update, _ := store.UpdateSince(Digest{})
-		Convey("a reader with room gets it by parts", func() {
+		Convey("a reader that takes chunks gets it by chunks", func() {
 			offered := store.AsOffer(update, Digest{}, 1<<20)
 			So(offered.Configuration, ShouldBeEmpty)
 			So(offered.ConfigurationVersion, ShouldEqual, 5)
@@ -102,7 +102,7 @@
 			So(bytes.Equal(content, body(5)), ShouldBeTrue)
 			So(update.Configuration, ShouldNotBeEmpty)
 		})
-		Convey("a reader without room, as of an older build, gets it whole", func() {
+		Convey("a reader that takes no chunks, as of an older build, gets it whole", func() {
 			So(store.AsOffer(update, Digest{}, 0), ShouldEqual, update)
 		})
 		Convey("a reader that has it gets no offer", func() {
--- a/internal/controlplane/feed/digest.go
+++ b/internal/controlplane/feed/digest.go
@@ -7,7 +7,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Digest names the snapshot's state.
+// Digest returns the digest of the snapshot.
 func (s *Snapshot) Digest() Digest {
 	epochs := make(map[string]uint64, len(s.Leaders))
 	for group, leader := range s.Leaders {
@@ -36,8 +36,8 @@
 	return hash.Sum64()
 }
 
-// Lacks tells whether other names a newer configuration or a newer leader than d does. Members have no order and are
-// not compared.
+// Lacks tells whether other names a newer configuration or a newer leader than d. Members have no version and are not
+// compared.
 func (d Digest) Lacks(other Digest) bool {
 	if other.ConfigurationVersion > d.ConfigurationVersion {
 		return true
@@ -50,12 +50,12 @@
 	return false
 }
 
-// differsInMembers tells whether other names members, and others than d does.
+// differsInMembers tells whether other names members, and not those that d names.
 func (d Digest) differsInMembers(other Digest) bool {
 	return other.MembersSum != 0 && other.MembersSum != d.MembersSum
 }
 
-// mergedWith is s with the newer configuration and the newer leaders of both. Versions and epochs never go back.
+// mergedWith is s with the newer configuration and the newer leaders of both. Versions and epochs never decrease.
 func (s Snapshot) mergedWith(update *Snapshot) Snapshot {
 	if update.ConfigurationVersion > s.ConfigurationVersion && len(update.Configuration) > 0 {
 		s.ConfigurationVersion = update.ConfigurationVersion
@@ -72,7 +72,7 @@
 	return s
 }
 
-// withMembersOf is s with the members of news, unless those are not known there.
+// withMembersOf is s with the members of update, unless it has none.
 func (s Snapshot) withMembersOf(update *Snapshot) Snapshot {
 	if len(update.Core) > 0 {
 		s.Core = slices.Clone(update.Core)
--- a/internal/controlplane/feed/feed.go
+++ b/internal/controlplane/feed/messages.go
@@ -1,5 +1,3 @@
-// Package feed holds what the control plane tells the data plane: the configuration in force, who leads which group,
-// and which nodes exist. A Digest names one state of it, so that a reader fetches only what it lacks.
 package feed
 
 import (
@@ -7,17 +5,17 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. What they tell has versions, epochs or ages, and changes nothing when it comes again.
+// Internal calls. They are idempotent: what they carry has versions, epochs or ages.
 var (
 	// WatchCall is served by core nodes: it answers once something differs from the reader's digest.
 	WatchCall = transport.NewIdempotent[WatchRequest, WatchReply]("/feed/watch")
-	// ExchangeCall is served by agents: digests first, then what the other lacks (epidemic reconciliation).
+	// ExchangeCall is served by agents: digests first, then what the other lacks (anti-entropy).
 	ExchangeCall = transport.NewIdempotent[Exchange, Exchange]("/feed/exchange")
-	// ChunksCall is served by core nodes and agents: it hands out parts of the configuration that they hold.
+	// ChunksCall is served by core nodes and agents: it returns chunks of the newest configuration.
 	ChunksCall = transport.NewIdempotent[ChunksRequest, ChunksReply]("/feed/parts")
 	// LocalCall is served by an agent on its own machine, to the proxy beside it.
 	LocalCall = transport.NewIdempotent[WatchRequest, WatchReply]("/feed/local")
-	// AgentContactsCall is served by core nodes: they tell each other which agents asked them for news.
+	// AgentContactsCall is served by core nodes: they exchange which agents have called them.
 	AgentContactsCall = transport.NewIdempotent[AgentContacts, AgentContacts]("/feed/front")
 )
 
@@ -43,61 +41,62 @@
 	Leaders              map[string]Leader `msgpack:"l"`           // by group
 	Core                 []string          `msgpack:"k"`           // internal addresses of core nodes
 	Agents               []string          `msgpack:"f"`           // internal addresses of the agents on front machines
-	Offer                *Offer            `msgpack:"o,omitempty"` // the configuration by parts, to readers that take it so
+	Offer                *Offer            `msgpack:"o,omitempty"` // instead of Configuration, to readers that take chunks
 }
 
-// Offer describes a configuration by its parts, with some of those that the reader lacks. The others are asked for.
+// Offer describes a configuration by its chunks, and has some of those that the reader lacks. It requests the others by ChunksCall.
 type Offer struct {
 	Manifest chunks.Manifest `msgpack:"m"`
 	Chunks   [][]byte        `msgpack:"p,omitempty"` // packed
 }
 
-// ChunksRequest asks for parts of a configuration.
+// ChunksRequest requests chunks of a configuration.
 type ChunksRequest struct {
-	Sums     []byte `msgpack:"s"` // checksums, one after the other
-	MaxBytes int    `msgpack:"r"` // about how many bytes the answer may have; one part comes in any case
+	Sums     []byte `msgpack:"s"` // concatenated checksums
+	MaxBytes int    `msgpack:"r"` // about how many bytes the reply may have; it has one chunk in any case
 }
 
-// ChunksReply is the answer.
+// ChunksReply is the reply to a ChunksRequest.
 type ChunksReply struct {
-	Chunks [][]byte `msgpack:"p"` // packed, those that are held
+	Chunks [][]byte `msgpack:"p"` // packed; those that the callee has
 }
 
-// WatchRequest asks a core node for news.
+// WatchRequest asks a core node, or an agent on the same machine, for what changed.
 type WatchRequest struct {
 	Known  Digest `msgpack:"k"`
-	WaitMS int64  `msgpack:"w"` // answer after that long even without news
-	Agent  string `msgpack:"a"` // the asking agent's internal address, by which the core learns of it
-	// Current is what the last reply said. An agent answers its proxy at once when that is no longer so.
+	WaitMS int64  `msgpack:"w"` // reply after that long even without a change, in milliseconds
+	Agent  string `msgpack:"a"` // internal address of the calling agent, by which the core learns of it; empty for a proxy
+	// Current is that of the last reply. An agent replies to its proxy at once when it has changed.
 	Current bool `msgpack:"u,omitempty"`
-	// Suspects are agents that have not answered the asking one several times in a row.
+	// Suspects are agents that failed to reply to the calling one several times in a row.
 	Suspects []string `msgpack:"s,omitempty"`
-	// MaxBytes is how many bytes of parts the answer may bring. A reader that leaves it out gets configurations whole.
+	// MaxBytes is how many bytes of chunks the reply may have. With 0, configurations are sent whole.
 	MaxBytes int `msgpack:"r,omitempty"`
 }
 
-// WatchReply is the answer. A core node without contact to a majority answers with Current false, and its reader turns to another.
+// WatchReply is the reply to a WatchRequest. Current is false where the core node is without contact to a majority; the reader
+// then turns to another.
 type WatchReply struct {
 	Current  bool      `msgpack:"u"`
 	Changed  bool      `msgpack:"h"`
-	Snapshot *Snapshot `msgpack:"s,omitempty"` // nil when nothing changed
+	Snapshot *Snapshot `msgpack:"s,omitempty"` // what the reader lacks; nil when nothing changed
 }
 
-// Exchange is what one agent tells another: the state it has, and news that the other lacks.
+// Exchange is what one agent sends another, and the reply: the state it has, and what the other lacks.
 type Exchange struct {
 	Known    Digest    `msgpack:"k"`
-	Snapshot *Snapshot `msgpack:"s,omitempty"` // nil when there is no news
-	Agent    string    `msgpack:"a,omitempty"` // the teller's internal address, from which parts may be fetched
-	MaxBytes int       `msgpack:"r,omitempty"` // as in Watch
+	Snapshot *Snapshot `msgpack:"s,omitempty"` // nil when the other lacks nothing, or its state is not known yet
+	Agent    string    `msgpack:"a,omitempty"` // internal address of the sender, from which chunks may be fetched
+	MaxBytes int       `msgpack:"r,omitempty"` // as in WatchRequest
 }
 
-// AgentContact is an agent that has asked a core node for news.
+// AgentContact is an agent that has called a core node.
 type AgentContact struct {
 	Address string `msgpack:"a"` // internal address
-	AgeMS   int64  `msgpack:"g"` // milliseconds since then
+	AgeMS   int64  `msgpack:"g"` // milliseconds since its last call
 }
 
-// Front is what one core node tells another, and the reply: the agents that asked it lately.
+// AgentContacts is what one core node sends another, and the reply: the agents that have called it lately.
 type AgentContacts struct {
 	Agents []AgentContact `msgpack:"a"`
 }
--- a/internal/controlplane/feed/board.go
+++ b/internal/controlplane/feed/snapshotstore.go
@@ -8,8 +8,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// SnapshotStore holds the newest known state of the feed and wakes those who wait for news. All methods may be called from any
-// goroutine; nobody may modify the snapshots and digests that it hands out.
+// SnapshotStore has the newest known state of the feed and wakes those who wait for a change. Its methods may be called from
+// any goroutine. The snapshots and digests that it returns are shared and must not be modified.
 type SnapshotStore struct {
 	mutex    sync.Mutex
 	snapshot Snapshot
@@ -18,7 +18,7 @@
 	catalog  ConfigurationCatalog // the configuration of snapshot
 }
 
-// NewSnapshotStore makes an empty Board.
+// NewSnapshotStore makes an empty SnapshotStore.
 func NewSnapshotStore() *SnapshotStore { return &SnapshotStore{changed: make(chan struct{})} }
 
 // Snapshot returns the state.
@@ -28,14 +28,14 @@
 	return s.snapshot
 }
 
-// Digest names the state.
+// Digest returns the digest of the state.
 func (s *SnapshotStore) Digest() Digest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.digest
 }
 
-// Merge takes over a newer configuration and newer leaders, and tells whether the state changed.
+// Merge takes a newer configuration and newer leaders from update, and tells whether the state changed.
 func (s *SnapshotStore) Merge(update *Snapshot) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,7 +45,7 @@
 	return s.setSnapshot(s.snapshot.mergedWith(update))
 }
 
-// MergeWithMembers does as Merge and replaces the members as well, unless news has none.
+// MergeWithMembers does as Merge and replaces the members as well, unless update has none.
 func (s *SnapshotStore) MergeWithMembers(update *Snapshot) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,7 +65,7 @@
 }
 
 // UpdateSince returns what a reader with the digest known lacks, or nil, and a channel that is closed at the next change.
-// Other members than those of known count as news.
+// Members other than those of known count as a change.
 func (s *SnapshotStore) UpdateSince(known Digest) (update *Snapshot, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,7 +75,7 @@
 	return s.updateFor(known), s.changed
 }
 
-// NewerThan returns the configuration and the leaders where a reader with the digest known lacks some of them, else nil.
+// NewerThan returns the configuration and the leaders if a reader with the digest known lacks some of them, else nil.
 func (s *SnapshotStore) NewerThan(known Digest) *Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,7 +87,7 @@
 	return update
 }
 
-// updateFor is the snapshot without a configuration and members that the reader has.
+// updateFor is the snapshot without the configuration or the members, where the reader has them. It needs the mutex.
 func (s *SnapshotStore) updateFor(known Digest) *Snapshot {
 	update := s.snapshot
 	if known.ConfigurationVersion >= update.ConfigurationVersion {
@@ -99,8 +99,8 @@
 	return &update
 }
 
-// AsOffer returns news with an offer in the place of the configuration, for a reader with the digest known and room for
-// some parts. A reader without room gets them whole.
+// AsOffer returns update with an Offer instead of the configuration, for a reader with the digest known that takes maxBytes
+// bytes of chunks. With maxBytes 0 or less, and without a configuration, it returns update as it is.
 func (s *SnapshotStore) AsOffer(update *Snapshot, known Digest, maxBytes int) *Snapshot {
 	if update == nil || maxBytes <= 0 || len(update.Configuration) == 0 {
 		return update
@@ -111,16 +111,16 @@
 	return &offered
 }
 
-// Chunks hands out parts of the newest configuration.
+// Chunks serves a ChunksRequest.
 func (s *SnapshotStore) Chunks(request ChunksRequest) ChunksReply {
 	return ChunksReply{Chunks: s.catalog.Chunks(chunks.ParseSums(request.Sums), request.MaxBytes)}
 }
 
-// Chunk returns a part of the newest configuration. It is a parts.Holder.
+// Chunk returns a chunk of the newest configuration. It is a chunks.Source.
 func (s *SnapshotStore) Chunk(sum chunks.Sum) (chunk []byte, found bool) { return s.catalog.Chunk(sum) }
 
-// Wait returns what a reader with the digest known lacks as soon as there is something, and nil once limit has passed or
-// ctx has ended without news.
+// Wait returns what a reader with the digest known lacks as soon as there is something, and nil once limit has passed or ctx
+// has ended without a change.
 func (s *SnapshotStore) Wait(ctx context.Context, known Digest, limit time.Duration) *Snapshot {
 	update, changed := s.UpdateSince(known)
 	if update != nil || limit <= 0 {
--- a/internal/controlplane/feed/board_test.go
+++ b/internal/controlplane/feed/snapshotstore_test.go
@@ -21,23 +21,23 @@
 }
 
 func TestSnapshotsNeverGoBack(t *testing.T) {
-	Convey("Given a board with a state", t, func() {
+	Convey("Given a store with a snapshot", t, func() {
 		store := NewSnapshotStore()
 		So(store.MergeWithMembers(snapshotOf(5, 3, "a:1")), ShouldBeTrue)
 
-		Convey("older configurations and leaders are not taken over", func() {
+		Convey("older configurations and leaders are ignored", func() {
 			So(store.Merge(snapshotOf(4, 2)), ShouldBeFalse)
 			So(store.MergeWithMembers(snapshotOf(4, 2, "a:1")), ShouldBeFalse)
 			So(store.Snapshot(), ShouldResemble, *snapshotOf(5, 3, "a:1"))
 		})
-		Convey("newer ones are, each for itself", func() {
+		Convey("newer ones are merged, each for itself", func() {
 			So(store.Merge(snapshotOf(6, 2)), ShouldBeTrue)
 			So(store.Snapshot(), ShouldResemble, *snapshotOf(6, 3, "a:1"))
 			So(store.Merge(snapshotOf(1, 4)), ShouldBeTrue)
 			So(store.Snapshot(), ShouldResemble, *snapshotOf(6, 4, "a:1"))
 			So(store.Digest(), ShouldResemble, store.snapshot.Digest())
 		})
-		Convey("a version without its configuration is not taken over", func() {
+		Convey("a version without its configuration is ignored", func() {
 			So(store.Merge(&Snapshot{ConfigurationVersion: 9}), ShouldBeFalse)
 			So(store.Snapshot().ConfigurationVersion, ShouldEqual, 5)
 		})
@@ -45,7 +45,7 @@
 			So(store.Merge(&Snapshot{Leaders: map[string]Leader{"h": {Epoch: 1}}}), ShouldBeTrue)
 			So(store.Digest().LeaderEpochs, ShouldResemble, map[string]uint64{"g": 3, "h": 1})
 		})
-		Convey("members are replaced only by members, and only where they count", func() {
+		Convey("members are replaced by MergeWithMembers only, and only by other members", func() {
 			So(store.Merge(snapshotOf(5, 3, "b:1")), ShouldBeFalse)
 			So(store.MergeWithMembers(snapshotOf(5, 3)), ShouldBeFalse)
 			So(store.MergeWithMembers(snapshotOf(5, 3, "b:1")), ShouldBeTrue)
@@ -55,12 +55,12 @@
 }
 
 func TestUpdatesHoldWhatADigestLacks(t *testing.T) {
-	Convey("Given a board with a state", t, func() {
+	Convey("Given a store with a snapshot", t, func() {
 		store := NewSnapshotStore()
 		store.MergeWithMembers(snapshotOf(5, 3, "a:1"))
 		digest := store.Digest()
 
-		Convey("an empty digest lacks all", func() {
+		Convey("an empty digest lacks everything", func() {
 			update, _ := store.UpdateSince(Digest{})
 			So(update, ShouldResemble, snapshotOf(5, 3, "a:1"))
 			So(store.NewerThan(Digest{}), ShouldResemble, snapshotOf(5, 3))
@@ -78,13 +78,13 @@
 			So(update.Configuration, ShouldBeNil)
 			So(update.Leaders["g"].Epoch, ShouldEqual, 3)
 		})
-		Convey("other members are news, except where leaders and configuration alone are asked for", func() {
+		Convey("other members are a change, except for NewerThan", func() {
 			known := snapshotOf(5, 3, "b:1").Digest()
 			update, _ := store.UpdateSince(known)
 			So(update.Core, ShouldResemble, []string{"a:1"})
 			So(store.NewerThan(known), ShouldBeNil)
 		})
-		Convey("a board without members has no news of them", func() {
+		Convey("a store without members has no update of them", func() {
 			empty := NewSnapshotStore()
 			update, _ := empty.UpdateSince(digest)
 			So(update, ShouldBeNil)
@@ -94,12 +94,12 @@
 
 func TestWaitEndsWithAnUpdateOrATimeout(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("Without news it lasts as long as asked", t, func() {
+		Convey("Without a change it ends after the limit", t, func() {
 			began := time.Now()
 			So(NewSnapshotStore().Wait(context.Background(), Digest{}, time.Second), ShouldBeNil)
 			So(time.Since(began), ShouldEqual, time.Second)
 		})
-		Convey("News end it at once, other changes do not", t, func() {
+		Convey("A change that the reader lacks ends it at once, any other does not", t, func() {
 			store := NewSnapshotStore()
 			store.Merge(snapshotOf(5, 3))
 			ended := make(chan *Snapshot)
--- a/internal/controlplane/feedserver/feedserver.go
+++ b/internal/controlplane/feedserver/feedserver.go
@@ -1,5 +1,5 @@
-// Package feedserver is the core nodes' side of the feed: it answers the agents' calls for news and remembers which
-// agents there are.
+// Package feedserver is the core nodes' side of the feed (package feed). It publishes the state of its Sources to the agents,
+// which wait for changes by a call, and tracks which agents there are: those that have called any core node lately.
 package feedserver
 
 import (
@@ -10,32 +10,33 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 const (
-	// maxWait bounds how long a call for news is held.
+	// maxWait bounds how long a watch waits for a change.
 	maxWait = 2 * time.Second
-	// batchDelay is how long changes in quick succession are gathered before those who wait are told.
+	// batchDelay is for how long changes in quick succession are gathered before they are published.
 	batchDelay = 20 * time.Millisecond
-	// agentBatchDelay is the same for agents that come and go, which is not urgent.
+	// agentBatchDelay is the same for changes of the agents, which are not urgent.
 	agentBatchDelay = 500 * time.Millisecond
-	// expiryInterval is the pause between looks for agents that have fallen silent.
+	// expiryInterval is the interval between checks for agents that have not called for contactTimeout.
 	expiryInterval = time.Second
-	// exchangeInterval is the pause between calls that tell another core node of the agents heard here.
+	// exchangeInterval is the interval between exchanges of agents with another core node.
 	exchangeInterval = time.Second
-	// exchangeTimeout bounds one such call.
+	// exchangeTimeout bounds one such exchange.
 	exchangeTimeout = 800 * time.Millisecond
 )
 
-// Sources are where the server's news come from. All functions must return quickly.
+// Sources are where the published state comes from. All functions must return quickly.
 type Sources struct {
-	// Configuration returns the newest configuration that a majority holds; version 0 before the first.
+	// Configuration returns the newest configuration that a majority has; version 0 before the first.
 	Configuration func() (version uint64, body []byte)
 	// Leaders returns the leaders by group.
 	Leaders func() map[string]feed.Leader
 	// Core returns the internal addresses of the core nodes.
 	Core func() []string
-	// InContact tells whether this core node is in contact with a majority, which has lately confirmed what it knows.
+	// InContact tells whether this core node is in contact with a majority that has lately confirmed its state.
 	InContact func() bool
 	// Changed holds one function per source of changes. Each returns a channel that is closed at the source's next change.
 	Changed []func() <-chan struct{}
@@ -44,44 +45,37 @@
 // Options are what a Server needs.
 type Options struct {
 	Sources Sources
-	// Caller tells other core nodes which agents were heard.
+	// Caller reaches the other core nodes.
 	Caller transport.Caller
-	// Address is this core node's internal address.
+	// Address is this core node's internal address, host:port.
 	Address string
 	Logger  *zap.Logger
 }
 
-// Server answers the agents.
+// Server serves the feed. Its methods may be called from any goroutine.
 type Server struct {
 	options       Options
 	snapshots     *feed.SnapshotStore
 	agents        *agentSet
-	changed       chan struct{} // holds a token while a change waits to be published
-	agentsChanged chan struct{} // the same for agents that came or went
+	changed       wakeup.Signal // a source may have changed
+	agentsChanged wakeup.Signal // agents came or went
 }
 
-// New makes a Server. It has nothing to tell until Run is called.
+// New makes a Server. It publishes nothing until Run is called.
 func New(options Options) *Server {
 	return &Server{
 		options:       options,
 		snapshots:     feed.NewSnapshotStore(),
 		agents:        newAgentSet(),
-		changed:       make(chan struct{}, 1),
-		agentsChanged: make(chan struct{}, 1),
+		changed:       wakeup.New(),
+		agentsChanged: wakeup.New(),
 	}
 }
 
-// Notify makes the server look at its sources again soon. It never blocks.
-func (s *Server) Notify() { signal(s.changed) }
+// Notify makes the server publish its sources soon. It never blocks.
+func (s *Server) Notify() { s.changed.Notify() }
 
-func signal(channel chan struct{}) {
-	select {
-	case channel <- struct{}{}:
-	default:
-	}
-}
-
-// Agents lists the internal addresses of the agents that have asked for news lately, sorted.
+// Agents lists the internal addresses of the agents that have called a core node lately, sorted.
 func (s *Server) Agents() []string { return s.agents.active(time.Now()) }
 
 // Mount serves the calls of agents and of other core nodes.
@@ -110,13 +104,14 @@
 	return s.snapshots.Chunks(request), nil
 }
 
-// isStale tells whether the board lacks the configuration that is known here, as changes are gathered before they are
-// published. A node that comes back into contact learns at the same moment that it is current and what it has missed.
+// isStale tells whether the newest configuration known here has not been published yet. A node that regains contact is current
+// from the moment at which it learns what it has missed, and must not reply as current without it.
 func (s *Server) isStale() bool {
 	version, _ := s.options.Sources.Configuration()
 	return version > s.snapshots.Digest().ConfigurationVersion
 }
 
+// recordWatch notes that an agent has called, and whom it suspects.
 func (s *Server) recordWatch(request feed.WatchRequest) {
 	now := time.Now()
 	changed := request.Agent != "" && s.agents.recordContact(request.Agent, now)
@@ -127,7 +122,7 @@
 		}
 	}
 	if changed {
-		signal(s.agentsChanged)
+		s.agentsChanged.Notify()
 	}
 }
 
@@ -140,6 +135,6 @@
 
 func (s *Server) mergeContacts(contacts feed.AgentContacts, now time.Time) {
 	if s.agents.merge(contacts, now) {
-		signal(s.agentsChanged)
+		s.agentsChanged.Notify()
 	}
 }
--- a/internal/controlplane/feedserver/feedserver_test.go
+++ b/internal/controlplane/feedserver/feedserver_test.go
@@ -17,7 +17,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// fakeSource is a source of news that tests change.
+// fakeSource is a source whose state tests change.
 type fakeSource struct {
 	mutex     sync.Mutex
 	version   uint64
@@ -109,7 +109,7 @@
 		stop := startServers(server)
 		synctest.Wait()
 
-		Convey("A reader that lacks something is answered at once", t, func() {
+		Convey("A reader that lacks something gets a reply at once", t, func() {
 			began := time.Now()
 			reply := watch(server, feed.Digest{}, time.Second, "")
 			So(time.Since(began), ShouldEqual, 0)
@@ -117,7 +117,7 @@
 			So(reply.Changed, ShouldBeTrue)
 			So(reply.Snapshot.Core, ShouldResemble, []string{"a:1", "b:1"})
 		})
-		Convey("Without news the answer comes after the time asked, but no more than the bound", t, func() {
+		Convey("Without a change the reply comes after the requested time, which is bounded", t, func() {
 			for _, c := range []struct{ asked, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxWait}} {
 				began := time.Now()
 				reply := watch(server, server.snapshots.Digest(), c.asked, "")
@@ -125,7 +125,7 @@
 				So(reply, ShouldResemble, feed.WatchReply{Current: true})
 			}
 		})
-		Convey("A change reaches all who wait, and changes in quick succession come together", t, func() {
+		Convey("A change reaches all who wait, and changes in quick succession are published together", t, func() {
 			replies := make(chan feed.WatchReply, 3)
 			began := time.Now()
 			known := server.snapshots.Digest()
@@ -145,7 +145,7 @@
 			}
 			So(time.Since(began), ShouldEqual, batchDelay)
 		})
-		Convey("What calls itself current has the newest configuration, though changes are gathered", t, func() {
+		Convey("A current reply has the newest configuration, even before it has been published", t, func() {
 			source.update(func(s *fakeSource) { s.version = 6 })
 			for _, known := range []feed.Digest{{}, server.snapshots.Digest()} {
 				reply := watch(server, known, 0, "")
@@ -154,14 +154,14 @@
 				So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 6)
 			}
 		})
-		Convey("Without contact to a majority it says so at once", t, func() {
+		Convey("Without contact to a majority the reply is not current, and comes at once", t, func() {
 			source.update(func(s *fakeSource) { s.inContact = false })
 			began := time.Now()
 			So(watch(server, server.snapshots.Digest(), time.Second, "").Current, ShouldBeFalse)
 			So(time.Since(began), ShouldEqual, 0)
 			source.update(func(s *fakeSource) { s.inContact = true })
 		})
-		Convey("Contact that is lost while a reader waits is told in the answer", t, func() {
+		Convey("If contact is lost while a reader waits, the reply is not current", t, func() {
 			replies := make(chan feed.WatchReply)
 			known := server.snapshots.Digest()
 			go func() {
@@ -185,7 +185,7 @@
 		<-time.After(batchDelay) // the first state has been published
 		synctest.Wait()
 
-		Convey("Agents that ask appear together after a while, also at the other core mixers", t, func() {
+		Convey("Agents that call are published together after a delay, also by the other core nodes", t, func() {
 			began := time.Now()
 			known := here.snapshots.Digest()
 			watch(here, known, 0, "x:2")
@@ -196,7 +196,7 @@
 			<-time.After(2 * exchangeInterval)
 			So(there.snapshots.Snapshot().Agents, ShouldResemble, []string{"x:2", "y:2"})
 		})
-		Convey("A suspicion drops an agent only once it has been silent for a while", t, func() {
+		Convey("A suspicion removes an agent only once it has not called for some time", t, func() {
 			watch(here, feed.Digest{}, 0, "x:2", "y:2")
 			So(here.Agents(), ShouldResemble, []string{"x:2", "y:2"})
 			<-time.After(minSilenceOfSuspect)
@@ -205,12 +205,12 @@
 			<-time.After(2 * exchangeInterval)
 			So(here.Agents(), ShouldResemble, []string{"x:2"})
 		})
-		Convey("It is back once it asks again, wherever", t, func() {
+		Convey("It is added again once it calls any core node", t, func() {
 			watch(there, feed.Digest{}, 0, "y:2")
 			<-time.After(2 * exchangeInterval)
 			So(here.Agents(), ShouldResemble, []string{"x:2", "y:2"})
 		})
-		Convey("Agents that fall silent are forgotten everywhere", t, func() {
+		Convey("Agents that do not call any more expire everywhere", t, func() {
 			<-time.After(contactTimeout + exchangeInterval + time.Millisecond)
 			So(here.Agents(), ShouldBeEmpty)
 			So(there.Agents(), ShouldBeEmpty)
@@ -241,7 +241,7 @@
 			So(client.Call(context.Background(), address, feed.WatchCall.Route(), request, &reply), ShouldBeNil)
 			return reply
 		}
-		Convey("a call that waits brings the next change", func() {
+		Convey("a watch returns the next change", func() {
 			source.update(func(s *fakeSource) { s.version = 5 })
 			var known feed.Digest
 			for known.ConfigurationVersion != 5 {
--- a/internal/controlplane/feedserver/run.go
+++ b/internal/controlplane/feedserver/publish.go
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// follow passes on the changes of one source. It fetches the channel before the source is read, so that none is missed.
+// follow notifies of the changes of one source. It gets the channel before the source is read, so that none is missed.
 func (s *Server) follow(ctx context.Context, source func() <-chan struct{}) {
 	for {
 		changed := source()
@@ -36,8 +36,7 @@
 	}
 }
 
-// publishChanges publishes at the start, some time after each change, and at every tick, as agents fall silent without
-// a signal.
+// publishChanges publishes at the start, some time after each change, and at intervals, as agents expire without a signal.
 func (s *Server) publishChanges(ctx context.Context) {
 	s.publish()
 	timer := time.NewTimer(expiryInterval)
@@ -65,7 +64,7 @@
 	}
 }
 
-// publish puts the present state of the sources on the board, which wakes those who wait if it differs.
+// publish stores the present state of the sources, which wakes those who wait if it has changed.
 func (s *Server) publish() {
 	sources := s.options.Sources
 	version, body := sources.Configuration()
@@ -78,7 +77,7 @@
 	})
 }
 
-// exchangePeriodically exchanges the agents heard with one other core node after the other.
+// exchangePeriodically exchanges contacts of agents with one other core node after the other.
 func (s *Server) exchangePeriodically(ctx context.Context) {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
--- a/internal/transport/boundedlistener_test.go
+++ b/internal/transport/boundedlistener_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestBoundedListener(t *testing.T) {
-	convey.Convey("A server with three connections", t, func() {
+	convey.Convey("A server that is limited to three connections", t, func() {
 		inbound, waiting, letGo := boundedServer(t, 3)
 		address := inbound.Addr().String()
 		convey.Convey("closes the one that has been idle for longest for a new one", func() {
@@ -70,7 +70,7 @@
 			_, err := io.Copy(io.Discard, oldest)
 			convey.So(err, convey.ShouldBeNil) // its end
 		})
-		convey.Convey("lets a new one wait while all are at work", func() {
+		convey.Convey("lets a new one wait while none is idle", func() {
 			answered := make(chan error, 3)
 			for range 3 {
 				connection := dialOne(t, address)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -23,7 +23,7 @@
 
 const retryAfter = 250 * time.Millisecond
 
-// Endpoints of the tests: one for each way in which a call may end, and one that nobody serves.
+// Endpoints of the tests: one for each outcome of a call, and one that nobody serves.
 var (
 	echoCall    = transport.NewIdempotent[echo, echo]("/echo")
 	refuseCall  = transport.NewIdempotent[echo, echo]("/refuse")
@@ -39,10 +39,10 @@
 	State  map[string][]byte `msgpack:"s"`
 }
 
-// testCluster needs escapes, as a name may.
+// testCluster is a name with characters that must be escaped.
 const testCluster = "cluster */1"
 
-// handlers serve one path for each way in which a call may end.
+// handlers serve one path for each outcome of a call.
 func handlers(self transport.Identity) *transport.Mux {
 	mux := transport.NewMuxFor(self)
 	transport.Handle(mux, echoCall, func(_ context.Context, request echo) (echo, error) { return request, nil })
@@ -57,11 +57,11 @@
 	return mux
 }
 
-// fixture is a transport with a served address and one where nobody listens.
+// fixture is a transport with a served address and one without a listener.
 type fixture struct {
 	caller           transport.Caller
 	served, unserved string
-	replace          func(http.Handler) // another process takes the served address
+	replace          func(http.Handler) // puts another process at the served address
 }
 
 var sample = echo{Text: "text", Number: 1 << 60, State: map[string][]byte{"a": {}, "b": {1, 0, 255}}}
@@ -70,7 +70,7 @@
 	return endpoint.Call(ctx, s.caller, address, sample)
 }
 
-// runContract checks what every transport promises to its callers. Processes are of the cluster that the caller is of.
+// runContract checks what every transport promises to its callers. All processes are of the caller's cluster.
 func runContract(t *testing.T, open func(t *testing.T, handler http.Handler) fixture) {
 	Convey("Given a transport", t, func() {
 		first := transport.NewIdentity(testCluster, "node-a")
@@ -78,60 +78,60 @@
 		checkOutcomes(t, s)
 		checkIdentities(t, s, first)
 		checkAtMostOnceCalls(t, s, first)
-		Convey("an answer reaches its own call among many that are given up", func() { checkCancellations(t, s) })
+		Convey("a response reaches its own call among many that are cancelled", func() { checkCancellations(t, s) })
 	})
 }
 
-// checkOutcomes checks the ways in which a call may end.
+// checkOutcomes checks the outcomes of a call.
 func checkOutcomes(t *testing.T, s fixture) {
 	Convey("a reply comes back as it was sent", func() {
 		reply, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
 		So(reply, ShouldResemble, sample)
 	})
-	Convey("a refusal has not run, and says when to come back", func() {
+	Convey("a rejection is not executed, and says when to retry", func() {
 		_, err := s.call(t.Context(), s.served, refuseCall)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		So(rpcerror.RetryAfter(err), ShouldEqual, retryAfter)
 		So(err.Error(), ShouldContainSubstring, "not the leader")
 	})
-	Convey("a failure of the callee may have run", func() {
+	Convey("a call whose handler fails may have been executed", func() {
 		_, err := s.call(t.Context(), s.served, failCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
-	Convey("a call that is given up may have run", func() {
+	Convey("a call that times out may have been executed", func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 		defer cancel()
 		_, err := s.call(ctx, s.served, hangCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
-	Convey("a call to nobody has not run", func() {
+	Convey("a call to an address without a listener is not executed", func() {
 		_, err := s.call(t.Context(), s.unserved, echoCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
-	Convey("a path that nobody serves has not run", func() {
+	Convey("a call of a path that is not served is not executed", func() {
 		_, err := s.call(t.Context(), s.served, unknownCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
-// checkIdentities checks that a call reaches the process that is meant, or nobody.
+// checkIdentities checks that a call is executed by its addressee or not at all.
 func checkIdentities(t *testing.T, s fixture, first transport.Identity) {
 	met := func() {
 		_, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
 	}
-	Convey("a process that was started again is reached by the first call", func() {
+	Convey("a restarted process is reached by the first call", func() {
 		met()
 		s.replace(handlers(transport.NewIdentity(first.Cluster, first.Node)))
 		_, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
 	})
-	Convey("another machine at the address refuses, as not run, and is met anew by the next call", func() {
+	Convey("another machine at the address rejects the call as not executed, and executes the next one", func() {
 		met()
 		other := transport.NewIdentity(first.Cluster, "node-b")
 		s.replace(handlers(other))
@@ -143,7 +143,7 @@
 		So(misdirected.Actual, ShouldResemble, other)
 		met()
 	})
-	Convey("a process of another cluster refuses every time, also on first contact", func() {
+	Convey("a process of another cluster rejects each call, also on first contact", func() {
 		s.replace(handlers(transport.NewIdentity("another", first.Node)))
 		for range 3 {
 			_, err := s.call(t.Context(), s.served, echoCall)
@@ -153,20 +153,20 @@
 	})
 }
 
-// checkAtMostOnceCalls checks calls that may not be repeated.
+// checkAtMostOnceCalls checks at-most-once calls.
 func checkAtMostOnceCalls(t *testing.T, s fixture, first transport.Identity) {
 	send := func() error {
 		_, err := countCall.Call(t.Context(), s.caller, s.served, echo{})
 		return err
 	}
-	Convey("a call that may not be repeated is carried out once, also on first contact", func() {
+	Convey("an at-most-once call is executed once, also on first contact", func() {
 		process := newCountingCallee(first)
 		s.replace(process)
 		So(send(), ShouldBeNil)
 		So(send(), ShouldBeNil)
 		So(process.executions.Load(), ShouldEqual, 2)
 	})
-	Convey("a process that was started again does not get it by itself, but the next one", func() {
+	Convey("a restarted process does not execute it, but the next one", func() {
 		before, after := newCountingCallee(first), newCountingCallee(transport.NewIdentity(first.Cluster, first.Node))
 		s.replace(before)
 		So(send(), ShouldBeNil)
@@ -177,13 +177,13 @@
 		So(send(), ShouldBeNil)
 		So(after.executions.Load(), ShouldEqual, 1)
 	})
-	Convey("where nobody tells who serves the address, it is not sent", func() {
+	Convey("where the process at the address is not known, it is not sent", func() {
 		_, err := countCall.Call(t.Context(), s.caller, s.unserved, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
-// checkCancellations makes many calls at once, of which many are given up at any moment.
+// checkCancellations makes many calls at once, of which many are cancelled at any moment.
 func checkCancellations(t *testing.T, s fixture) {
 	const callers, callsEach = 16, 60
 	var wrong, answered atomic.Int64
@@ -214,7 +214,7 @@
 	So(answered.Load(), ShouldBeGreaterThan, callers*callsEach/2)
 }
 
-// countingCallee serves countCall and counts how often it is carried out.
+// countingCallee serves countCall and counts how often it is executed.
 type countingCallee struct {
 	*transport.Mux
 	executions atomic.Int64
@@ -238,7 +238,7 @@
 	(*s.handler.Load().(*http.Handler)).ServeHTTP(w, r)
 }
 
-// TestClientKeepsTheContractOverTCP lets processes follow each other on connections that stay open.
+// TestClientKeepsTheContractOverTCP replaces processes behind connections that stay open.
 func TestClientKeepsTheContractOverTCP(t *testing.T) {
 	runContract(t, func(t *testing.T, handler http.Handler) fixture {
 		var serving swappableHandler
@@ -268,7 +268,7 @@
 }
 
 func TestUnreadableResponsesMayHaveBeenExecuted(t *testing.T) {
-	Convey("An answer that breaks off, or cannot be read, may have run", t, func() {
+	Convey("A call whose response is truncated or unreadable may have been executed", t, func() {
 		for _, handler := range []http.HandlerFunc{
 			func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("no msgpack")) },
 			func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) },
@@ -288,7 +288,7 @@
 	})
 }
 
-// FuzzRequests hands any bytes to a handler: it answers, and never with success what cannot be read.
+// FuzzRequests sends any bytes to a handler: its response is a success exactly if they can be decoded.
 func FuzzRequests(f *testing.F) {
 	encoded, _ := msgpack.Marshal(echo{Text: "text", State: map[string][]byte{"a": {1}}})
 	f.Add(encoded)
--- a/internal/transport/resets_test.go
+++ b/internal/transport/resets_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/transport/resettest"
 )
 
-// tally counts at the callee how often each request ran.
+// executionCounter counts at the callee how often each request was executed.
 type executionCounter struct {
 	*transport.Mux
 	executions [1 << 13]atomic.Int32 // by the request's number
@@ -62,10 +62,10 @@
 }
 
 var callKinds = []callKind{
-	{"repeatable, on a new connection", false, false, sendIdempotent},
-	{"repeatable, on a connection used before", true, false, sendIdempotent},
-	{"once, on a new connection", false, true, sendAtMostOnce},
-	{"once, on a connection used before", true, false, sendAtMostOnce},
+	{"idempotent, on a new connection", false, false, sendIdempotent},
+	{"idempotent, on a reused connection", true, false, sendIdempotent},
+	{"at-most-once, on a new connection", false, true, sendAtMostOnce},
+	{"at-most-once, on a reused connection", true, false, sendAtMostOnce},
 }
 
 func sendAtMostOnce(ctx context.Context, client *transport.Client, address string, request echo) (echo, error) {
@@ -76,7 +76,7 @@
 	return idempotentCall.Call(ctx, client, address, request)
 }
 
-// id makes one call whose connection is reset after so many bytes.
+// call makes one call whose connection is reset at an offset of one direction.
 func (b *resetFixture) call(t *testing.T, kind callKind, cut resettest.Direction, after int) outcome {
 	client := transport.NewClientFor(testCluster)
 	defer client.Close()
@@ -91,12 +91,12 @@
 	request := echo{Number: b.number, Text: "so that the call has some length"}
 	reply, err := kind.send(t.Context(), client, b.relay.Address(), request)
 	if err == nil && (reply.Number != request.Number || reply.Text != request.Text) {
-		t.Fatalf("answer %v to %v", reply, request)
+		t.Fatalf("reply %v to %v", reply, request)
 	}
 	return outcome{b.number, cut, after, err}
 }
 
-// TestConnectionsResetAtEachByte resets a connection at each byte of a call and of its answer.
+// TestConnectionsResetAtEachByte resets a connection at each byte of a request and of its response.
 func TestConnectionsResetAtEachByte(t *testing.T) {
 	for _, kind := range callKinds {
 		Convey("A call that is "+kind.name, t, func() {
@@ -111,12 +111,12 @@
 			}
 			last := b.call(t, kind, resettest.Responses, lengths[resettest.Responses])
 			So(last.err, ShouldBeNil)
-			b.server.Close() // returns when all that was received has run
+			b.server.Close() // returns when all that was received has been executed
 			faults := 0
 			for _, r := range results {
 				if !b.satisfies(kind, r) {
 					faults++
-					t.Errorf("%s, reset after byte %d of way %d: ran %d times, error %v", kind.name, r.offset, r.direction, b.callee.executions[r.number].Load(), r.err)
+					t.Errorf("%s, reset after byte %d of direction %d: executed %d times, error %v", kind.name, r.offset, r.direction, b.callee.executions[r.number].Load(), r.err)
 				}
 			}
 			So(faults, ShouldEqual, 0)
@@ -125,7 +125,7 @@
 	}
 }
 
-// satisfies judges a call whose connection was reset.
+// satisfies tells whether the outcome of a call whose connection was reset is right.
 func (b *resetFixture) satisfies(kind callKind, r outcome) bool {
 	runs := b.callee.executions[r.number].Load()
 	if r.err == nil || runs > 1 {
@@ -134,6 +134,6 @@
 	if kind.needsIdentity {
 		return runs == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
 	}
-	ranBefore := r.direction == resettest.Responses // the call had arrived, and all of an answer comes after the run
-	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (runs == 1) == ranBefore
+	executedBefore := r.direction == resettest.Responses // the request had arrived, and the response comes after the execution
+	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (runs == 1) == executedBefore
 }
--- a/internal/transport/responses_test.go
+++ b/internal/transport/responses_test.go
@@ -31,7 +31,7 @@
 	return client, server.Listener.Addr().String()
 }
 
-// withFromHeader serves a mux and changes the header by which its answers name who gives them.
+// withFromHeader serves a mux and changes FromHeader in its responses.
 func withFromHeader(mux http.Handler, change func(from string) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
@@ -55,7 +55,7 @@
 		at := strings.LastIndex(from, "/")
 		return from[:at], from[at+1:]
 	}
-	Convey("Given a process that is known", t, func() {
+	Convey("Given a process that the client knows", t, func() {
 		var change atomic.Value
 		same := func(from string) string { return from }
 		change.Store(same)
@@ -64,19 +64,19 @@
 		So(err, ShouldBeNil)
 
 		for name, wrong := range map[string]func(string) string{
-			"an answer to another call": func(from string) string { return from + "1" },
-			"an answer to no call":      func(from string) string { process, _ := splitHeader(from); return process + "/" },
-			"an answer without a name":  func(string) string { return "" },
-			"another process's answer": func(from string) string {
+			"a response to another call": func(from string) string { return from + "1" },
+			"a response to no call":      func(from string) string { process, _ := splitHeader(from); return process + "/" },
+			"a response without a name":  func(string) string { return "" },
+			"another process's response": func(from string) string {
 				_, call := splitHeader(from)
 				return transport.NewIdentity(testCluster, "node-a").String() + "/" + call
 			},
-			"another machine's answer": func(from string) string {
+			"another machine's response": func(from string) string {
 				_, call := splitHeader(from)
 				return transport.NewIdentity(testCluster, "node-b").String() + "/" + call
 			},
 		} {
-			Convey(name+" is not taken, and the call may have run", func() {
+			Convey(name+" is rejected, and the call may have been executed", func() {
 				change.Store(wrong)
 				for _, endpoint := range []transport.Idempotent[echo, echo]{echoCall, refuseCall, failCall} {
 					change.Store(same)
@@ -90,7 +90,7 @@
 			})
 		}
 	})
-	Convey("On first contact another cluster's answer is not taken", t, func() {
+	Convey("On first contact another cluster's response is rejected", t, func() {
 		client, address := serveAndDial(t, withFromHeader(handlers(self), func(from string) string {
 			_, call := splitHeader(from)
 			return transport.NewIdentity("another", "node-a").String() + "/" + call
@@ -101,28 +101,28 @@
 }
 
 func TestOlderBuilds(t *testing.T) {
-	Convey("An answer without a name is taken on first contact, each time", t, func() {
+	Convey("A response without a name is accepted on first contact, each time", t, func() {
 		client, address := serveAndDial(t, withFromHeader(handlers(transport.NewIdentity(testCluster, "node-a")), func(string) string { return "" }))
 		for range 2 {
 			_, err := echoCall.Call(t.Context(), client, address, sample)
 			So(err, ShouldBeNil)
 		}
 	})
-	Convey("But a call that may not be repeated is not sent to who has no name", t, func() {
+	Convey("But an at-most-once call is not sent to a process without a name", t, func() {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		client, address := serveAndDial(t, withFromHeader(process, func(string) string { return "" }))
 		_, err := countCall.Call(t.Context(), client, address, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		So(process.executions.Load(), ShouldEqual, 0)
 	})
-	Convey("A call without an addressee is taken", t, func() {
+	Convey("A call without an addressee is accepted", t, func() {
 		body, err := msgpack.Marshal(sample)
 		So(err, ShouldBeNil)
 		recorder := httptest.NewRecorder()
 		handlers(transport.NewIdentity(testCluster, "node-a")).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, echoCall.Path(), bytes.NewReader(body)))
 		So(recorder.Code, ShouldEqual, http.StatusOK)
 	})
-	Convey("One whose addressee cannot be read is refused", t, func() {
+	Convey("A call whose addressee cannot be read is rejected", t, func() {
 		for _, header := range []string{"/", "a/b/c", "a/b/?/c", "%zz/*/*/c", "a/b/1/c/d", "*"} {
 			request := httptest.NewRequest(http.MethodPost, echoCall.Path(), strings.NewReader("\x80"))
 			request.Header.Set(transport.ToHeader, header)
@@ -134,7 +134,7 @@
 }
 
 func TestRedirectsAreNotFollowed(t *testing.T) {
-	Convey("A redirect is not followed, as the call would run at another process", t, func() {
+	Convey("A redirect is not followed, as the call would be executed by another process", t, func() {
 		var elsewhere atomic.Int64
 		_, target := serveAndDial(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
 		for _, status := range []int{http.StatusTemporaryRedirect, http.StatusPermanentRedirect, http.StatusSeeOther} {
@@ -150,7 +150,7 @@
 }
 
 func TestDuplicateAtMostOnceCallsAreRejected(t *testing.T) {
-	Convey("A call that may not be repeated is not carried out a second time when a copy arrives", t, func() {
+	Convey("An at-most-once call is not executed a second time when a duplicate arrives", t, func() {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		deliver := func(call string) int {
 			request := httptest.NewRequest(http.MethodPost, countCall.Path(), strings.NewReader("\x80"))
@@ -166,7 +166,7 @@
 	})
 }
 
-// TestLateAtMostOnceCallsAreRejected lets calls arrive when their callers have given them up, as at a callee that was frozen.
+// TestLateAtMostOnceCallsAreRejected delivers calls after their time-out, as at a callee that was suspended.
 func TestLateAtMostOnceCallsAreRejected(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
@@ -192,27 +192,27 @@
 		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, Times: 1})
 		network.AddRule(networktest.Rule{Path: repeatable.Path(), Delay: 20 * time.Second, Times: 1})
 		if err := send(countCall); rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
-			t.Error("a call that has not arrived was said to have not run:", err)
+			t.Error("a call that has not arrived yet was reported as not executed:", err)
 		}
 		time.Sleep(time.Minute)
 		if runs := process.executions.Load(); runs != 1 {
-			t.Errorf("a call that came 19 s after it was given up ran: %d runs", runs)
+			t.Errorf("a call that arrived 19 s after its time-out was executed: %d executions", runs)
 		}
 		if err := send(repeatable); err == nil {
-			t.Error("answered in time")
+			t.Error("a call that is delayed by 20 s got a reply within 1 s")
 		}
 		time.Sleep(time.Minute)
 		if runs := process.executions.Load(); runs != 2 {
-			t.Errorf("a repeatable call may come late: %d runs", runs)
+			t.Errorf("a late idempotent call was not executed: %d executions", runs)
 		}
 		if err := send(countCall); err != nil || process.executions.Load() != 3 {
-			t.Error("a call in time was refused:", err)
+			t.Error("a call in time was rejected:", err)
 		}
 	})
 }
 
 func TestRepliesAreDecodedWhollyOrNotAtAll(t *testing.T) {
-	Convey("An answer that breaks off within a field leaves nothing in the reply", t, func() {
+	Convey("A response that is truncated within a field leaves the reply as it was", t, func() {
 		encoded, err := msgpack.Marshal(sample)
 		So(err, ShouldBeNil)
 		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(encoded[:len(encoded)-1]) }))
--- a/internal/transport/sendtracker_test.go
+++ b/internal/transport/sendtracker_test.go
@@ -18,8 +18,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// resettingServer serves requests whole, but resets each connection when its second request has been read. It counts those that
-// were read.
+// resettingServer resets each connection when its second request has been read. It counts the requests that were read.
 type resettingServer struct{ read atomic.Int64 }
 
 func (b *resettingServer) serve(t *testing.T) (address string) {
@@ -47,10 +46,10 @@
 
 func TestNetHTTPDoesNotRetryTrackedRequests(t *testing.T) {
 	body := []byte("body")
-	// The two kinds of request that net/http repeats on its own when a connection that was used before breaks without an answer.
+	// The two kinds of request that net/http retries on its own when a reused connection breaks without a response.
 	kinds := map[string]func(*http.Request){
-		"with a key of idempotency": func(r *http.Request) { r.Header.Set("Idempotency-Key", "1") },
-		"by an idempotent method":   func(r *http.Request) { r.Method = http.MethodOptions },
+		"with an idempotency key": func(r *http.Request) { r.Header.Set("Idempotency-Key", "1") },
+		"by an idempotent method": func(r *http.Request) { r.Method = http.MethodOptions },
 	}
 	send := func(client *http.Transport, address string, change func(*http.Request), guarded bool) error {
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/", bytes.NewReader(body))
@@ -70,17 +69,17 @@
 		return response.Body.Close()
 	}
 	for name, change := range kinds {
-		Convey("Given a connection that was used before and breaks after a request "+name, t, func() {
+		Convey("Given a reused connection that breaks after a request "+name, t, func() {
 			var broken resettingServer
 			address := broken.serve(t)
 			client := &http.Transport{DialContext: transport.DialFunc(transport.NewDialer())}
 			defer client.CloseIdleConnections()
 			So(send(client, address, change, true), ShouldBeNil)
-			Convey("net/http sends it again", func() {
+			Convey("net/http retries it", func() {
 				So(send(client, address, change, false), ShouldBeNil)
 				So(broken.read.Load(), ShouldEqual, 3)
 			})
-			Convey("but not while a Sending watches it", func() {
+			Convey("but not while a SendTracker follows it", func() {
 				So(send(client, address, change, true), ShouldNotBeNil)
 				So(broken.read.Load(), ShouldEqual, 2)
 			})
@@ -89,7 +88,7 @@
 }
 
 func TestACallOnABrokenConnectionIsNotRetried(t *testing.T) {
-	Convey("Given a callee that breaks off each second call on a connection once it has run", t, func() {
+	Convey("Given a callee that breaks the connection of each second call after its execution", t, func() {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		var calls atomic.Int64
 		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -99,7 +98,7 @@
 			}
 		}))
 		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
-		Convey("a call runs once, and is said to may have run", func() {
+		Convey("a call is executed once, and reported as maybe executed", func() {
 			for pair := range int64(4) {
 				_, err := repeatable.Call(t.Context(), client, address, echo{})
 				So(err, ShouldBeNil)
@@ -113,7 +112,7 @@
 }
 
 func TestUnsentCallsAreNotExecuted(t *testing.T) {
-	Convey("A call that is given up while it waits for a connection has not run", t, func() {
+	Convey("A call that is cancelled while it waits for a connection is not executed", t, func() {
 		client := transport.NewClientFor(testCluster)
 		defer client.Close()
 		ctx, cancel := context.WithCancelCause(t.Context())
@@ -121,18 +120,18 @@
 		_, err := echoCall.Call(ctx, client, "127.0.0.1:1", sample)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
-	Convey("One that is given up at any moment is not said to have not run, if it has", t, func() {
+	Convey("A call that is cancelled at any moment is not reported as not executed if it was", t, func() {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		client, address := serveAndDial(t, process)
 		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
-		notRun := int64(0)
+		notExecuted := int64(0)
 		const calls = 400
 		for i := range calls {
 			ctx, cancel := context.WithCancel(t.Context())
 			stop := time.AfterFunc(time.Duration(i)*time.Microsecond, cancel)
 			_, err := repeatable.Call(ctx, client, address, echo{})
 			if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted && err != nil {
-				notRun++
+				notExecuted++
 			}
 			stop.Stop()
 			cancel()
@@ -141,6 +140,6 @@
 		defer server.Close()
 		_, err := repeatable.Call(t.Context(), server, address, echo{})
 		So(err, ShouldBeNil)
-		So(process.executions.Load(), ShouldBeLessThanOrEqualTo, calls+1-notRun)
+		So(process.executions.Load(), ShouldBeLessThanOrEqualTo, calls+1-notExecuted)
 	})
 }
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -21,7 +21,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// Settings of the model test. A schedule that fails names its seed.
+// Environment variables of the simulation. A schedule that fails names its seed.
 const (
 	schedulesVariable = "PUFFINLINK_TRANSPORT_SCHEDULES" // how many schedules, instead of the usual number
 	seedVariable      = "PUFFINLINK_TRANSPORT_SEED"      // replays one schedule
@@ -40,7 +40,7 @@
 	modelDrainTime   = 2 * modelLateDelay // after which nothing is under way
 )
 
-// token names one call of the model.
+// token names one call of the simulation.
 type token struct {
 	Caller, Number int
 }
@@ -71,7 +71,7 @@
 	executedAt []transport.Identity // in order
 }
 
-// simulation is one schedule: callers, and processes that follow each other at a few addresses.
+// simulation is one schedule: callers, and processes that replace each other at a few addresses.
 type simulation struct {
 	seed       uint64
 	duplicates bool // requests may arrive twice
@@ -108,7 +108,7 @@
 		call := s.calls[request.Token]
 		call.executedAt = append(call.executedAt, self)
 		if request.Token.Number%5 == 4 { // so that refusals by a handler occur as well, and after the run
-			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("broke down midway"))
+			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("failed in the middle"))
 		}
 		return modelReply{Token: request.Token, Responder: self, Bulk: request.Bulk}, nil
 	}
@@ -135,7 +135,7 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, arguments...))
 }
 
-// restartProcesses restarts processes and lets other machines take addresses.
+// restartProcesses restarts processes and moves addresses to other machines.
 func (s *simulation) restartProcesses(random *rand.Rand) {
 	for event := range modelEvents {
 		time.Sleep(time.Duration(random.Int64N(int64(2 * maxEventInterval))))
@@ -167,7 +167,7 @@
 	}
 }
 
-// id makes one call and notes how it ended.
+// call makes one call and records its outcome.
 func (c *modelCaller) call(address string, once bool, limit time.Duration, bulk int) *modelCall {
 	c.number++
 	call := &modelCall{token: token{c.index, c.number}, atMostOnce: once, intended: c.known[address]}
@@ -186,7 +186,7 @@
 	return call
 }
 
-// add notes what the caller may conclude of who serves the address.
+// noteResponder records what the caller may conclude about who serves the address.
 func (c *modelCaller) noteResponder(address string, call *modelCall) {
 	var misdirected *transport.MisdirectedError
 	switch {
@@ -222,7 +222,7 @@
 	}
 }
 
-// TestCallsInSimulatedSchedules plays seeded schedules of calls while processes and machines follow each other at the addresses.
+// TestCallsInSimulatedSchedules runs seeded schedules of calls while processes and machines replace each other at the addresses.
 func TestCallsInSimulatedSchedules(t *testing.T) {
 	first, schedules := uint64(1), usualSchedules
 	if text := os.Getenv(schedulesVariable); text != "" {
@@ -237,7 +237,7 @@
 	for part := range parts {
 		worlds.Go(func() {
 			for seed := first + part; seed < first+uint64(schedules); seed += parts {
-				playSeed(t, seed)
+				runSchedule(t, seed)
 			}
 		})
 	}
@@ -245,7 +245,7 @@
 	t.Logf("%d schedules from seed %d", schedules, first)
 }
 
-// TestSchedulesReplayFromTheirSeed plays schedules twice: a seed that is printed would be worth little otherwise.
+// TestSchedulesReplayFromTheirSeed runs schedules twice, as a printed seed is of use only if its schedule can be replayed.
 func TestSchedulesReplayFromTheirSeed(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		ends := [2]string{}
@@ -257,22 +257,22 @@
 			})
 		}
 		if ends[0] != ends[1] {
-			t.Errorf("seed %d ends in two ways:\n%s\n%s", seed, ends[0], ends[1])
+			t.Errorf("seed %d has two outcomes:\n%s\n%s", seed, ends[0], ends[1])
 		}
 	}
 }
 
-// outcomes tells how each call ended and how often it ran.
+// outcomes lists how each call ended and how often it was executed.
 func (s *simulation) outcomes() string {
 	var lines []string
 	for token, call := range s.calls {
-		lines = append(lines, fmt.Sprintf("%v ran %d times, answered %v", token, len(call.executedAt), call.err == nil))
+		lines = append(lines, fmt.Sprintf("%v was executed %d times, replied to: %v", token, len(call.executedAt), call.err == nil))
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "; ")
 }
 
-func playSeed(t *testing.T, seed uint64) {
+func runSchedule(t *testing.T, seed uint64) {
 	virtualtime.Test(t, func(*testing.T) {
 		s := newSimulation(seed)
 		s.run()
--- a/internal/transport/simulationchecker_test.go
+++ b/internal/transport/simulationchecker_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// check checks all calls once nothing is under way any more.
+// check checks all calls once none is in flight any more.
 func (s *simulation) check() {
 	for _, call := range s.calls {
 		s.checkExecutions(call)
@@ -16,27 +16,27 @@
 	}
 }
 
-// checkExecutions checks where and how often a call ran.
+// checkExecutions checks where and how often a call was executed.
 func (s *simulation) checkExecutions(call *modelCall) {
 	if call.atMostOnce && len(call.executedAt) > 1 {
-		s.violation("call %v may not be repeated and ran %d times: %v", call.token, len(call.executedAt), call.executedAt)
+		s.violation("at-most-once call %v was executed %d times: %v", call.token, len(call.executedAt), call.executedAt)
 	}
 	for _, at := range call.executedAt {
 		if call.intended != (transport.Identity{}) && at.Node != call.intended.Node {
-			s.violation("call %v meant %v and ran at %v", call.token, call.intended, at)
+			s.violation("call %v to %v was executed by %v", call.token, call.intended, at)
 		}
 	}
 }
 
-// checkOutcome checks what the caller was told.
+// checkOutcome checks the reply or error of a call.
 func (s *simulation) checkOutcome(call *modelCall) {
 	switch {
 	case call.err == nil && call.reply.Token != call.token:
-		s.violation("call %v got the answer to %v", call.token, call.reply.Token)
+		s.violation("call %v got the reply to %v", call.token, call.reply.Token)
 	case call.err == nil && !slices.Contains(call.executedAt, call.reply.Responder):
-		s.violation("call %v got the answer of %v, but ran at %v", call.token, call.reply.Responder, call.executedAt)
+		s.violation("call %v got the reply of %v, but was executed by %v", call.token, call.reply.Responder, call.executedAt)
 	case call.err != nil && rpcerror.ExecutionOf(call.err) == rpcerror.NotExecuted && !s.duplicates && len(call.executedAt) > 0:
-		s.violation("call %v ran at %v and is said to have not run: %v", call.token, call.executedAt, call.err)
+		s.violation("call %v was executed by %v and is reported as not executed: %v", call.token, call.executedAt, call.err)
 	}
 }
 
@@ -57,9 +57,9 @@
 	previous, known := c.known[address]
 	attempts := attemptsUntilReply(false)
 	if restarted := known && previous.Node == s.servedBy(address).Node; restarted && attempts > 1 || attempts > 2 {
-		s.violation("%d calls until %s answers caller %d; it had met %v", attempts, address, c.index, previous)
+		s.violation("%d calls until %s replies to caller %d, which knew %v", attempts, address, c.index, previous)
 	}
 	if attempts := attemptsUntilReply(true); attempts > 1 {
-		s.violation("%d calls that may not be repeated until %s answers caller %d", attempts, address, c.index)
+		s.violation("%d at-most-once calls until %s replies to caller %d", attempts, address, c.index)
 	}
 }
