--- /dev/null
+++ b/internal/jobs/workerclient/renewal.go
@@ -0,0 +1,331 @@
+package workerclient
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/rpcerror"
+)
+
+const (
+	firstBackoff      = 150 * time.Millisecond // after a look that failed
+	maxBackoff        = 600 * time.Millisecond
+	earlyAnswerDelay  = 100 * time.Millisecond // after a hold that was answered early without an end
+	toleratedRefusals = 1                      // holds refused in a row before a worker counts as unreachable
+
+	acknowledgementTimeout     = 60 * time.Millisecond  // how long the hold after new ends waits for their acknowledgement
+	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after ends that are listed again
+	redeliveryAge              = time.Second            // ends not acknowledged for so long are delivered again
+)
+
+// listCall is one call that asks for both lists.
+type listCall struct {
+	request    listRequest
+	sentAt     time.Time
+	hedgeAfter time.Duration // 0 for a call that is not hedged
+	timeout    time.Duration
+	validUntil time.Duration // of the grant that it carries, on the worker's clock; 0 for none
+	grant      *leaseGrant   // nil for none
+}
+
+func (c *listCall) body() []byte { return c.request.append(make([]byte, 0, listRequestBytes)) }
+
+func (c *listCall) wait() time.Duration { return time.Duration(c.request.waitMS) * time.Millisecond }
+
+// pendingRenewal is the newest call of the hold loop.
+type pendingRenewal struct {
+	abandon    context.CancelFunc
+	overdue    bool // it should have been answered by now
+	superseded bool // a look was answered instead
+}
+
+// Run looks at the worker and then holds what runs there, until the link is closed, the context ends, the worker's life
+// is over or a higher fencing token was seen. It returns once everything was reported.
+func (l *Link) Run(ctx context.Context) {
+	defer l.lane.leave()
+	defer l.cancel()
+	defer l.awaitSenders()
+	unlink := context.AfterFunc(ctx, l.Close)
+	defer unlink()
+	pause := firstBackoff
+	for !l.ended() {
+		l.yieldToCommands()
+		again, last := l.renewInTurn()
+		if !again {
+			l.sleep(pause)
+			pause = min(2*pause, maxBackoff)
+			continue
+		}
+		pause = firstBackoff
+		l.delayAfter(last)
+		l.idleBetweenPolls()
+	}
+}
+
+// renewalAnswer is a call of the hold loop with its answer.
+type renewalAnswer struct {
+	call     listCall
+	answer   response
+	received time.Time
+}
+
+// renewInTurn makes one call once there is a connection for it, and tells whether the next one may follow.
+func (l *Link) renewInTurn() (again bool, last renewalAnswer) {
+	if !l.lane.acquire(l.done) {
+		return false, renewalAnswer{}
+	}
+	defer l.lane.release()
+	valid := l.config.LeaderLeaseValid()
+	l.setSuspended(!valid)
+	if !valid {
+		return false, renewalAnswer{}
+	}
+	return l.renewOnce()
+}
+
+// setSuspended notes whether orders may be sent at all, and goes through those that wait.
+func (l *Link) setSuspended(suspended bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.suspended = suspended
+	l.dispatch()
+}
+
+func (l *Link) awaitSenders() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.senders > 0 || l.polls.busy || l.hedgedRequests > 0 {
+		l.idle.Wait()
+	}
+}
+
+// renewOnce makes one call and tells whether the next one may follow at once.
+func (l *Link) renewOnce() (again bool, last renewalAnswer) {
+	c := l.beginRenewal()
+	a, err := l.postRenewal(c)
+	if c.request.waitMS > 0 {
+		l.lane.endLongPoll()
+	}
+	received := l.now()
+	l.settleListCall(c, a, err, received)
+	if err != nil {
+		l.log.Debug("hold without answer", zap.Error(err))
+		return l.renewalFailed(c), renewalAnswer{}
+	}
+	if l.endedBy(a) {
+		return false, renewalAnswer{}
+	}
+	if a.status != http.StatusOK {
+		l.listRefused(a.status)
+		return false, renewalAnswer{}
+	}
+	l.deliver(c, a, false)
+	return true, renewalAnswer{c, a, received}
+}
+
+// beginRenewal decides what the next call of the hold loop asks for and notes its grant.
+func (l *Link) beginRenewal() listCall {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.counts.Renewals++
+	if l.contact == unreachable {
+		return l.beginPoll(unreachablePollTimeout)
+	}
+	c := l.beginPoll(0)
+	l.longPolled = l.mayLongPoll(c.sentAt)
+	if l.longPolled {
+		c.request.waitMS = l.pace.longPollWait.Milliseconds()
+	}
+	c.hedgeAfter = c.wait() + l.roundTrips.overdueDelay()
+	c.timeout = c.hedgeAfter + l.roundTrips.pollTimeout() + abandonMargin
+	if l.listed && c.sentAt.Sub(l.lease.askedAt) > l.pace.renewalAge {
+		l.addGrant(&c)
+	}
+	return c
+}
+
+// addGrant makes the call hold what runs there as long as is certainly not cut short. The caller holds the lock.
+func (l *Link) addGrant(c *listCall) {
+	validUntil := (l.clock.lowest(c.sentAt) + l.config.MaxLease).Truncate(time.Millisecond)
+	if validUntil <= l.lease.validUntil {
+		return
+	}
+	c.validUntil = validUntil
+	c.request.validUntilMS = validUntil.Milliseconds()
+	c.grant = l.grants.begin(l.clock.untilPassed(validUntil, c.sentAt), c.sentAt, c.timeout)
+}
+
+// postRenewal makes a call of the hold loop, which is hedged by a look when its answer is overdue.
+func (l *Link) postRenewal(c listCall) (response, error) {
+	ctx, abandon := context.WithCancel(l.context)
+	defer abandon()
+	pending := &pendingRenewal{abandon: abandon}
+	l.mu.Lock()
+	l.pending = pending
+	l.mu.Unlock()
+	if c.hedgeAfter > 0 {
+		timer := time.AfterFunc(c.hedgeAfter, func() { l.renewalOverdue(pending) })
+		defer timer.Stop()
+	}
+	return l.caller.post(ctx, l.caller.renewal, c.body(), c.timeout)
+}
+
+// renewalOverdue looks at a worker that has left a hold without an answer.
+func (l *Link) renewalOverdue(pending *pendingRenewal) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.pending != pending {
+		return
+	}
+	pending.overdue = true
+	l.counts.OverdueRenewals++
+	l.suspect()
+}
+
+// supersedeRenewal gives up an overdue hold after a look was answered.
+func (l *Link) supersedeRenewal() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.pending != nil && l.pending.overdue {
+		l.pending.superseded = true
+		l.pending.abandon()
+	}
+}
+
+// renewalFailed lets a look decide what a hold without an answer means, and tells whether the next hold may follow at once.
+func (l *Link) renewalFailed(c listCall) bool {
+	if c.hedgeAfter == 0 {
+		l.setContact(unreachable)
+		return false
+	}
+	l.mu.Lock()
+	pending := l.pending
+	if !pending.overdue { // its connection broke, or this process stood still
+		pending.overdue = l.now().Sub(c.sentAt) >= c.hedgeAfter
+		l.suspect()
+	}
+	l.mu.Unlock()
+	l.config.Connections.concurrency.release()
+	l.awaitPolls()
+	l.config.Connections.concurrency.acquire()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return pending.superseded
+}
+
+// settleListCall takes in what an answer, or its absence, says about the worker's clock and about the grant.
+func (l *Link) settleListCall(c listCall, a response, err error, received time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.observe(a, c.sentAt, received)
+	l.settleGrant(c.grant, c.validUntil, err, received)
+	if err != nil {
+		return
+	}
+	if trip := received.Sub(c.sentAt) - c.wait(); trip >= 0 { // otherwise the worker did not wait to the end
+		l.roundTrips.observe(trip)
+	}
+	if c.grant != nil && a.status == http.StatusOK {
+		l.lease = lease{c.validUntil, c.sentAt}
+	}
+}
+
+// settleGrant notes what became of a call with a grant. The caller holds the lock.
+func (l *Link) settleGrant(g *leaseGrant, validUntil time.Duration, err error, received time.Time) {
+	switch {
+	case g == nil:
+	case err == nil:
+		l.grants.answered(g, received, l.clock.untilPassed(validUntil, received))
+	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
+		l.grants.withdrawn(g)
+	default:
+		l.grants.unanswered(g, received)
+	}
+}
+
+// listRefused notes a call that was answered without the lists. A single one says little.
+func (l *Link) listRefused(status int) {
+	l.log.Debug("hold refused", zap.Int("status", status))
+	l.mu.Lock()
+	l.refusals++
+	many := l.refusals > toleratedRefusals
+	l.doubtful, l.suspected = false, false
+	l.dispatch()
+	l.mu.Unlock()
+	if many {
+		l.setContact(unreachable)
+	}
+}
+
+// delayAfter waits before the next hold where the worker would answer it at once: after ends, as it lists them until they
+// are acknowledged, and after an answer that came early for no reason known.
+func (l *Link) delayAfter(last renewalAnswer) {
+	if newest := last.answer.newestCompletion(); newest > 0 {
+		l.awaitAcknowledgement(newest)
+		l.noteAcknowledged(last, newest)
+		return
+	}
+	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.longPollWait/2 {
+		l.sleep(earlyAnswerDelay)
+	}
+}
+
+// awaitAcknowledgement waits until the ends up to a number are durable: shortly after new ones, so that further ends are
+// heard soon in any case, and longer when the same ones are listed again.
+func (l *Link) awaitAcknowledgement(number uint64) {
+	patience := acknowledgementTimeout
+	if number <= l.awaitedCompletion {
+		patience = repeatedCompletionsTimeout
+		l.countRepeatedCompletions()
+	}
+	l.awaitedCompletion = max(l.awaitedCompletion, number)
+	limit := time.NewTimer(patience)
+	defer limit.Stop()
+	for {
+		l.mu.Lock()
+		over := l.acknowledged >= number || l.ending != open
+		l.mu.Unlock()
+		if over {
+			return
+		}
+		select {
+		case <-l.acknowledgementArrived:
+		case <-l.done:
+		case <-limit.C:
+			return
+		}
+	}
+}
+
+// noteAcknowledged notes that a worker is idle if its last answer lists nothing but ends that are durable by now. The next
+// call acknowledges them, however late it is.
+func (l *Link) noteAcknowledged(last renewalAnswer, newest uint64) {
+	reply := &last.answer.body
+	if len(reply.Running) > 0 || len(reply.Finished) >= maxFinishedPerResponse {
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.acknowledged >= newest && l.commandsAnsweredBefore(last.call.sentAt) {
+		l.mayHaveWork = false
+	}
+}
+
+func (l *Link) countRepeatedCompletions() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.counts.RepeatedCompletions++
+}
+
+// sleep waits for a while, or until the link ends.
+func (l *Link) sleep(pause time.Duration) {
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-l.done:
+	}
+}
