--- a/internal/controlplane/feed/catalog_test.go
+++ b/internal/controlplane/feed/configurationcatalog_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// body is a configuration of some kilobytes; versions differ in their first and one later line.
+// body is a configuration of some kilobytes; versions differ in their first line and in one later line.
 func body(version uint64) []byte {
 	text := fmt.Appendf(nil, "version %d\n", version)
 	for line := range uint64(2000) {
@@ -22,8 +22,8 @@
 	return text
 }
 
-// taken gathers an offer's parts beside those of a version that the reader has.
-func taken(offer *Offer, known []byte) *chunks.Assembler {
+// assembled assembles an offer's chunks and those of a version that the reader has.
+func assembled(offer *Offer, known []byte) *chunks.Assembler {
 	held := make(map[chunks.Sum][]byte)
 	for _, chunk := range chunks.Split(known) {
 		held[chunks.SumOf(chunk)] = chunk
@@ -41,19 +41,19 @@
 	return collection
 }
 
-func TestCatalogOffersWhatIsLacking(t *testing.T) {
+func TestCatalogOffersMissingChunks(t *testing.T) {
 	Convey("Given a catalog with some versions", t, func() {
-		var catalog Catalog
-		for version := uint64(1); version <= keptEditions+5; version++ {
+		var catalog ConfigurationCatalog
+		for version := uint64(1); version <= maxPreviousVersions+5; version++ {
 			catalog.Publish(version, body(version))
 		}
-		newest := body(keptEditions + 5)
+		newest := body(maxPreviousVersions + 5)
 
-		Convey("a reader of a recent version gets the parts that differ, and needs no other", func() {
-			version, offer := catalog.Offer(keptEditions, 64<<10)
-			So(version, ShouldEqual, keptEditions+5)
+		Convey("a reader of a recent version gets the chunks that differ, and needs no other", func() {
+			version, offer := catalog.Offer(maxPreviousVersions, 64<<10)
+			So(version, ShouldEqual, maxPreviousVersions+5)
 			So(len(offer.Chunks), ShouldBeLessThanOrEqualTo, 4)
-			content, err := taken(offer, body(keptEditions)).Content()
+			content, err := assembled(offer, body(maxPreviousVersions)).Content()
 			So(err, ShouldBeNil)
 			So(bytes.Equal(content, newest), ShouldBeTrue)
 		})
@@ -62,7 +62,7 @@
 			So(offer.Chunks, ShouldBeEmpty)
 			So(offer.Manifest.Bytes, ShouldEqual, len(newest))
 		})
-		Convey("a reader of nothing gets as many parts as there is room for", func() {
+		Convey("a reader without a version gets as many chunks as it takes bytes", func() {
 			_, offer := catalog.Offer(0, 4<<10)
 			sum := 0
 			for _, packed := range offer.Chunks {
@@ -70,7 +70,7 @@
 			}
 			So(sum, ShouldBeBetween, 1<<10, 4<<10+1)
 		})
-		Convey("parts are handed out by name: one even without room, and none that are not held", func() {
+		Convey("chunks are returned by checksum: one even if it is too long, and none of older versions alone", func() {
 			_, offer := catalog.Offer(2, 0)
 			sums := offer.Manifest.Sums()
 			So(len(catalog.Chunks(sums, 0)), ShouldEqual, 1)
@@ -79,43 +79,43 @@
 			old := chunks.SumOf(chunks.Split(body(1))[0])
 			So(catalog.Chunks([]chunks.Sum{old}, 1<<20), ShouldBeEmpty)
 		})
-		Convey("an older version changes nothing", func() {
+		Convey("an older version is not published", func() {
 			catalog.Publish(3, body(3))
 			version, _ := catalog.Offer(2, 0)
-			So(version, ShouldEqual, keptEditions+5)
+			So(version, ShouldEqual, maxPreviousVersions+5)
 		})
 	})
 }
 
-func TestBoardOffersChunks(t *testing.T) {
-	Convey("Given a board with a configuration", t, func() {
-		board := NewBoard()
-		board.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: body(5), Core: []string{"a:1"}})
-		news, _ := board.Since(Digest{})
-		Convey("a reader with room gets it by parts", func() {
-			offered := board.ByChunks(news, Digest{}, 1<<20)
+func TestConfigurationsAreOfferedByChunks(t *testing.T) {
+	Convey("Given a store with a configuration", t, func() {
+		store := NewSnapshotStore()
+		store.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: body(5), Core: []string{"a:1"}})
+		update, _ := store.UpdateSince(Digest{})
+		Convey("a reader that takes chunks gets it by chunks", func() {
+			offered := store.AsOffer(update, Digest{}, 1<<20)
 			So(offered.Configuration, ShouldBeEmpty)
 			So(offered.ConfigurationVersion, ShouldEqual, 5)
 			So(offered.Core, ShouldResemble, []string{"a:1"})
-			content, err := taken(offered.Offer, nil).Content()
+			content, err := assembled(offered.Offer, nil).Content()
 			So(err, ShouldBeNil)
 			So(bytes.Equal(content, body(5)), ShouldBeTrue)
-			So(news.Configuration, ShouldNotBeEmpty)
+			So(update.Configuration, ShouldNotBeEmpty)
 		})
-		Convey("a reader without room, as of an older build, gets it whole", func() {
-			So(board.ByChunks(news, Digest{}, 0), ShouldEqual, news)
+		Convey("a reader that takes no chunks, as of an older build, gets it whole", func() {
+			So(store.AsOffer(update, Digest{}, 0), ShouldEqual, update)
 		})
 		Convey("a reader that has it gets no offer", func() {
 			known := Digest{ConfigurationVersion: 5}
-			members, _ := board.Since(known)
-			So(board.ByChunks(members, known, 1<<20).Offer, ShouldBeNil)
-			So(board.ByChunks(nil, known, 1<<20), ShouldBeNil)
+			members, _ := store.UpdateSince(known)
+			So(store.AsOffer(members, known, 1<<20).Offer, ShouldBeNil)
+			So(store.AsOffer(nil, known, 1<<20), ShouldBeNil)
 		})
 		Convey("known members are not sent again", func() {
-			known := Digest{MembersSum: board.Digest().MembersSum}
-			news, _ := board.Since(known)
-			So(news.Core, ShouldBeEmpty)
-			So(news.Configuration, ShouldNotBeEmpty)
+			known := Digest{MembersSum: store.Digest().MembersSum}
+			update, _ := store.UpdateSince(known)
+			So(update.Core, ShouldBeEmpty)
+			So(update.Configuration, ShouldNotBeEmpty)
 		})
 	})
 }
--- a/internal/controlplane/feedserver/feedserver.go
+++ b/internal/controlplane/feedserver/feedserver.go
@@ -1,5 +1,5 @@
-// Package feedserver is the core nodes' side of the feed: it answers the agents' calls for news and remembers which
-// agents there are.
+// Package feedserver is the core nodes' side of the feed (package feed). It publishes the state of its Sources to the agents,
+// which wait for changes by a call, and tracks which agents there are: those that have called any core node lately.
 package feedserver
 
 import (
@@ -10,32 +10,33 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 const (
-	// maxWait bounds how long a call for news is held.
+	// maxWait bounds how long a watch waits for a change.
 	maxWait = 2 * time.Second
-	// gatherTime is how long changes in quick succession are gathered before those who wait are told.
-	gatherTime = 20 * time.Millisecond
-	// gatherFrontTime is the same for agents that come and go, which is not urgent.
-	gatherFrontTime = 500 * time.Millisecond
-	// tickInterval is the pause between looks for agents that have fallen silent.
-	tickInterval = time.Second
-	// shareInterval is the pause between calls that tell another core node of the agents heard here.
-	shareInterval = time.Second
-	// shareTimeout bounds one such call.
-	shareTimeout = 800 * time.Millisecond
+	// batchDelay is for how long changes in quick succession are gathered before they are published.
+	batchDelay = 20 * time.Millisecond
+	// agentBatchDelay is the same for changes of the agents, which are not urgent.
+	agentBatchDelay = 500 * time.Millisecond
+	// expiryInterval is the interval between checks for agents that have not called for contactTimeout.
+	expiryInterval = time.Second
+	// exchangeInterval is the interval between exchanges of agents with another core node.
+	exchangeInterval = time.Second
+	// exchangeTimeout bounds one such exchange.
+	exchangeTimeout = 800 * time.Millisecond
 )
 
-// Sources are where the server's news come from. All functions must return quickly.
+// Sources are where the published state comes from. All functions must return quickly.
 type Sources struct {
-	// Configuration returns the newest configuration that a majority holds; version 0 before the first.
+	// Configuration returns the newest configuration that a majority has; version 0 before the first.
 	Configuration func() (version uint64, body []byte)
 	// Leaders returns the leaders by group.
 	Leaders func() map[string]feed.Leader
 	// Core returns the internal addresses of the core nodes.
 	Core func() []string
-	// InContact tells whether this core node is in contact with a majority, which has lately confirmed what it knows.
+	// InContact tells whether this core node is in contact with a majority that has lately confirmed its state.
 	InContact func() bool
 	// Changed holds one function per source of changes. Each returns a channel that is closed at the source's next change.
 	Changed []func() <-chan struct{}
@@ -44,102 +45,96 @@
 // Options are what a Server needs.
 type Options struct {
 	Sources Sources
-	// Caller tells other core nodes which agents were heard.
+	// Caller reaches the other core nodes.
 	Caller transport.Caller
-	// Address is this core node's internal address.
+	// Address is this core node's internal address, host:port.
 	Address string
 	Logger  *zap.Logger
 }
 
-// Server answers the agents.
+// Server serves the feed. Its methods may be called from any goroutine.
 type Server struct {
-	options      Options
-	board        *feed.Board
-	front        *front
-	changed      chan struct{} // holds a token while a change waits to be published
-	frontChanged chan struct{} // the same for agents that came or went
+	options       Options
+	snapshots     *feed.SnapshotStore
+	agents        *agentSet
+	changed       wakeup.Signal // a source may have changed
+	agentsChanged wakeup.Signal // agents came or went
 }
 
-// New makes a Server. It has nothing to tell until Run is called.
+// New makes a Server. It publishes nothing until Run is called.
 func New(options Options) *Server {
 	return &Server{
-		options:      options,
-		board:        feed.NewBoard(),
-		front:        newFront(),
-		changed:      make(chan struct{}, 1),
-		frontChanged: make(chan struct{}, 1),
+		options:       options,
+		snapshots:     feed.NewSnapshotStore(),
+		agents:        newAgentSet(),
+		changed:       wakeup.New(),
+		agentsChanged: wakeup.New(),
 	}
 }
 
-// Notify makes the server look at its sources again soon. It never blocks.
-func (s *Server) Notify() { signal(s.changed) }
+// Notify makes the server publish its sources soon. It never blocks.
+func (s *Server) Notify() { s.changed.Notify() }
 
-func signal(channel chan struct{}) {
-	select {
-	case channel <- struct{}{}:
-	default:
-	}
-}
-
-// Agents lists the internal addresses of the agents that have asked for news lately, sorted.
-func (s *Server) Agents() []string { return s.front.agents(time.Now()) }
+// Agents lists the internal addresses of the agents that have called a core node lately, sorted.
+func (s *Server) Agents() []string { return s.agents.active(time.Now()) }
 
 // Mount serves the calls of agents and of other core nodes.
 func (s *Server) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.WatchCall, s.watch)
 	transport.Handle(mux, feed.ChunksCall, s.chunks)
-	transport.Handle(mux, feed.FrontCall, s.share)
+	transport.Handle(mux, feed.AgentContactsCall, s.exchangeContacts)
 }
 
-func (s *Server) watch(ctx context.Context, ask feed.Watch) (feed.WatchReply, error) {
-	s.note(ask)
-	wait := min(time.Duration(ask.WaitMS)*time.Millisecond, maxWait)
+func (s *Server) watch(ctx context.Context, request feed.WatchRequest) (feed.WatchReply, error) {
+	s.recordWatch(request)
+	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxWait)
 	if !s.options.Sources.InContact() {
 		wait = 0
 	}
-	news := s.board.Wait(ctx, ask.Known, wait)
+	update := s.snapshots.Wait(ctx, request.Known, wait)
 	current := s.options.Sources.InContact()
-	if current && s.behind() {
+	if current && s.isStale() {
 		s.publish()
-		news, _ = s.board.Since(ask.Known)
+		update, _ = s.snapshots.UpdateSince(request.Known)
 	}
-	return feed.WatchReply{Current: current, Changed: news != nil, Snapshot: s.board.ByChunks(news, ask.Known, ask.Room)}, nil
+	return feed.WatchReply{Current: current, Changed: update != nil, Snapshot: s.snapshots.AsOffer(update, request.Known, request.MaxBytes)}, nil
 }
 
-func (s *Server) chunks(_ context.Context, ask feed.ChunksRequest) (feed.ChunksReply, error) {
-	return s.board.Chunks(ask), nil
+func (s *Server) chunks(_ context.Context, request feed.ChunksRequest) (feed.ChunksReply, error) {
+	return s.snapshots.Chunks(request), nil
 }
 
-// behind tells whether the board lacks the configuration that is known here, as changes are gathered before they are
-// published. A node that comes back into contact learns at the same moment that it is current and what it has missed.
-func (s *Server) behind() bool {
+// isStale tells whether the newest configuration known here has not been published yet. A node that regains contact is current
+// from the moment at which it learns what it has missed, and must not reply as current without it.
+func (s *Server) isStale() bool {
 	version, _ := s.options.Sources.Configuration()
-	return version > s.board.Digest().ConfigurationVersion
+	return version > s.snapshots.Digest().ConfigurationVersion
 }
 
-func (s *Server) note(ask feed.Watch) {
+// recordWatch notes that an agent has called, and whom it suspects.
+func (s *Server) recordWatch(request feed.WatchRequest) {
 	now := time.Now()
-	moved := ask.Agent != "" && s.front.hear(ask.Agent, now)
-	for _, address := range ask.Suspects {
-		if s.front.suspect(address, now) {
-			s.options.Logger.Info("agent dropped", zap.String("agent", address), zap.String("reporter", ask.Agent))
-			moved = true
+	changed := request.Agent != "" && s.agents.recordContact(request.Agent, now)
+	for _, address := range request.Suspects {
+		if s.agents.reportSuspect(address, now) {
+			s.options.Logger.Info("agent dropped", zap.String("agent", address), zap.String("reporter", request.Agent))
+			changed = true
 		}
 	}
-	if moved {
-		signal(s.frontChanged)
+	if changed {
+		s.agentsChanged.Notify()
 	}
 }
 
-func (s *Server) share(_ context.Context, told feed.Front) (feed.Front, error) {
+func (s *Server) exchangeContacts(_ context.Context, contacts feed.AgentContacts) (feed.AgentContacts, error) {
 	now := time.Now()
-	reply := s.front.ages(now)
-	s.learn(told, now)
+	reply := s.agents.contacts(now)
+	s.mergeContacts(contacts, now)
 	return reply, nil
 }
 
-func (s *Server) learn(told feed.Front, now time.Time) {
-	if s.front.learn(told, now) {
-		signal(s.frontChanged)
+func (s *Server) mergeContacts(contacts feed.AgentContacts, now time.Time) {
+	if s.agents.merge(contacts, now) {
+		s.agentsChanged.Notify()
 	}
 }
--- a/internal/controlplane/feedserver/run.go
+++ b/internal/controlplane/feedserver/publish.go
@@ -18,12 +18,12 @@
 	for _, source := range s.options.Sources.Changed {
 		running.Go(func() { s.follow(ctx, source) })
 	}
-	running.Go(func() { s.shareRegularly(ctx) })
+	running.Go(func() { s.exchangePeriodically(ctx) })
 	s.publishChanges(ctx)
 	return nil
 }
 
-// follow passes on the changes of one source. It fetches the channel before the source is read, so that none is missed.
+// follow notifies of the changes of one source. It gets the channel before the source is read, so that none is missed.
 func (s *Server) follow(ctx context.Context, source func() <-chan struct{}) {
 	for {
 		changed := source()
@@ -36,14 +36,13 @@
 	}
 }
 
-// publishChanges publishes at the start, some time after each change, and at every tick, as agents fall silent without
-// a signal.
+// publishChanges publishes at the start, some time after each change, and at intervals, as agents expire without a signal.
 func (s *Server) publishChanges(ctx context.Context) {
 	s.publish()
-	timer := time.NewTimer(tickInterval)
+	timer := time.NewTimer(expiryInterval)
 	defer timer.Stop()
-	due := time.Now().Add(tickInterval)
-	sooner := func(pause time.Duration) {
+	due := time.Now().Add(expiryInterval)
+	scheduleBy := func(pause time.Duration) {
 		if at := time.Now().Add(pause); at.Before(due) {
 			due = at
 			timer.Reset(pause)
@@ -54,63 +53,63 @@
 		case <-ctx.Done():
 			return
 		case <-s.changed:
-			sooner(gatherTime)
-		case <-s.frontChanged:
-			sooner(gatherFrontTime)
+			scheduleBy(batchDelay)
+		case <-s.agentsChanged:
+			scheduleBy(agentBatchDelay)
 		case <-timer.C:
 			s.publish()
-			due = time.Now().Add(tickInterval)
-			timer.Reset(tickInterval)
+			due = time.Now().Add(expiryInterval)
+			timer.Reset(expiryInterval)
 		}
 	}
 }
 
-// publish puts the present state of the sources on the board, which wakes those who wait if it differs.
+// publish stores the present state of the sources, which wakes those who wait if it has changed.
 func (s *Server) publish() {
 	sources := s.options.Sources
 	version, body := sources.Configuration()
-	s.board.MergeWithMembers(&feed.Snapshot{
+	s.snapshots.MergeWithMembers(&feed.Snapshot{
 		ConfigurationVersion: version,
 		Configuration:        body,
 		Leaders:              sources.Leaders(),
 		Core:                 slices.Sorted(slices.Values(sources.Core())), // the order must not change the checksum
-		Front:                s.front.agents(time.Now()),
+		Agents:               s.agents.active(time.Now()),
 	})
 }
 
-// shareRegularly exchanges the agents heard with one other core node after the other.
-func (s *Server) shareRegularly(ctx context.Context) {
-	ticker := time.NewTicker(shareInterval)
+// exchangePeriodically exchanges contacts of agents with one other core node after the other.
+func (s *Server) exchangePeriodically(ctx context.Context) {
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
-	for turn := 0; ; turn++ {
+	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if others := s.others(); len(others) > 0 {
-			s.shareWith(ctx, others[turn%len(others)])
+		if peers := s.peers(); len(peers) > 0 {
+			s.exchangeWith(ctx, peers[round%len(peers)])
 		}
 	}
 }
 
-func (s *Server) others() []string {
-	var others []string
+func (s *Server) peers() []string {
+	var peers []string
 	for _, address := range s.options.Sources.Core() {
 		if address != s.options.Address {
-			others = append(others, address)
+			peers = append(peers, address)
 		}
 	}
-	return others
+	return peers
 }
 
-func (s *Server) shareWith(ctx context.Context, core string) {
-	bounded, cancel := context.WithTimeout(ctx, shareTimeout)
+func (s *Server) exchangeWith(ctx context.Context, core string) {
+	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.FrontCall.Call(bounded, s.options.Caller, core, s.front.ages(time.Now()))
+	reply, err := feed.AgentContactsCall.Call(bounded, s.options.Caller, core, s.agents.contacts(time.Now()))
 	if err != nil {
 		s.options.Logger.Debug("agents not shared", zap.String("core", core), zap.Error(err))
 		return
 	}
-	s.learn(reply, time.Now())
+	s.mergeContacts(reply, time.Now())
 }
--- a/internal/controlplane/register/rebuildwait_test.go
+++ b/internal/controlplane/register/rebuildwait_test.go
@@ -13,7 +13,7 @@
 
 // A member that lost its disk must not be rebuilt while a round is open that counted one of its former answers: the
 // others may take what that round decides only after they gave their copies.
-func TestALostDiskAndOpenRounds(t *testing.T) {
+func TestRebuildWaitsForOpenRounds(t *testing.T) {
 	const (
 		slow  = RoundLimit - 200*time.Millisecond // on its way to a member, and still in time
 		taken = 100 * time.Millisecond            // by then the others have answered
@@ -33,7 +33,7 @@
 		c.restart("member-1", 0, true)
 		<-done
 		<-c.process("member-1").rebuilder.Complete()
-		c.network.Cut("member-0", true)
+		c.network.Partition("member-0", true)
 		ctx, cancel := context.WithTimeout(c.ctx, 10*time.Second)
 		read, readErr = c.proposer("reader", nil).Read(ctx)
 		cancel()
--- /dev/null
+++ b/internal/controlplane/replicaset/losses_test.go
@@ -0,0 +1,123 @@
+package replicaset_test
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"runtime/debug"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"puffinlink.example/puffinlink/internal/raceflag"
+)
+
+const (
+	// schedulesVariable names how many schedules are played; without it there are scheduleCount of them.
+	schedulesVariable   = "PUFFINLINK_MODEL_SCHEDULES"
+	scheduleCount       = 2000
+	scheduleCountRace   = 24 // under the race detector, where each takes many times as long
+	scheduleWorkers     = 12
+	schedulesUntilFound = 600 // schedules in which a defect must be found
+	garbagePercent      = 800 // percent; the schedules make much of it, and little lives on
+)
+
+var scheduleSeed = flag.Int64("modelseed", -1, "play only the schedule of this seed")
+
+// scheduleSize is the number of members in the schedule of a seed.
+func scheduleSize(seed uint64) int { return []int{3, 5, 3, 4, 3, 5}[seed%6] }
+
+// isLossy tells whether messages are lost and late in the schedule of a seed.
+func isLossy(seed uint64) bool { return seed%4 == 3 }
+
+func schedulesToRun(t *testing.T) uint64 {
+	if set := os.Getenv(schedulesVariable); set != "" {
+		count, err := strconv.ParseUint(set, 10, 32)
+		if err != nil {
+			t.Fatalf("%s: %v", schedulesVariable, err)
+		}
+		return count
+	}
+	if raceflag.On {
+		return scheduleCountRace
+	}
+	return scheduleCount
+}
+
+func (m *faultSchedule) report() string {
+	var logs []string
+	for _, entry := range m.logged.All() {
+		logs = append(logs, fmt.Sprintf("%v: %s %v", entry.Time.Sub(m.start), entry.Message, entry.ContextMap()))
+	}
+	return fmt.Sprintf("seed %d (-modelseed %d):\n%s\nFaults:\n%s\nLog:\n%s", m.seed, m.seed,
+		strings.Join(m.violations, "\n"), strings.Join(m.events, "\n"), strings.Join(logs, "\n"))
+}
+
+// As long as no more machines are lost than is tolerated, nothing confirmed is lost, a write succeeds within the time to
+// catch up, and never are two views in force.
+func TestLossesAndReplacements(t *testing.T) {
+	if *scheduleSeed >= 0 {
+		seed := uint64(*scheduleSeed)
+		m := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
+		t.Log(m.report())
+		if len(m.violations) > 0 {
+			t.Fail()
+		}
+		return
+	}
+	total := schedulesToRun(t)
+	defer debug.SetGCPercent(debug.SetGCPercent(garbagePercent))
+	var confirmed, replaced atomic.Int64
+	t.Run("schedules", func(t *testing.T) {
+		for worker := range uint64(scheduleWorkers) {
+			t.Run(strconv.FormatUint(worker, 10), func(t *testing.T) {
+				t.Parallel()
+				for seed := worker; seed < total; seed += scheduleWorkers {
+					m := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
+					if len(m.violations) > 0 {
+						t.Error(m.report())
+					}
+					confirmed.Add(int64(len(m.acknowledged) + len(m.groupAcknowledged)))
+					replaced.Add(int64(m.newest.Version - 1))
+				}
+			})
+		}
+	})
+	t.Logf("%d schedules: %d writes confirmed, %d members replaced", total, confirmed.Load(), replaced.Load())
+	if confirmed.Load() < int64(total)*10 || replaced.Load() < int64(total)/4 {
+		t.Error("too little happened in the schedules")
+	}
+}
+
+// Each of these defects is found by one of the first schedules; so those that find nothing mean something. Those that take a
+// rarer coincidence are brought about by TestEachRuleIsNeeded.
+func TestLossesAndReplacementsFindDefects(t *testing.T) {
+	defer debug.SetGCPercent(debug.SetGCPercent(garbagePercent))
+	defects := []struct {
+		broken ruleMutant
+		first  uint64 // seed; it found the defect when this was written, and replays nearly the same
+	}{
+		{ruleMutant{name: "a member that is told to stop goes at once", stopsAtOnce: true}, 0},
+		{ruleMutant{name: "a member that is told to stop keeps its place", refusesOwnReplacement: true}, 0},
+		{ruleMutant{name: "a member that was replaced gives no copy", replacedGivesNoSnapshot: true}, 0},
+		{ruleMutant{name: "a newcomer votes before it is rebuilt", noRebuild: true}, 150},
+	}
+	t.Run("defects", func(t *testing.T) {
+		for _, defect := range defects {
+			t.Run(defect.broken.name, func(t *testing.T) {
+				t.Parallel()
+				for seed := defect.first; seed < defect.first+schedulesUntilFound; seed++ {
+					if isLossy(seed) {
+						continue // on such a network the defect may not be what is found
+					}
+					if m := runSchedule(t, seed, scheduleSize(seed), defect.broken); len(m.violations) > 0 {
+						t.Logf("%s: seed %d: %s", defect.broken.name, seed, m.violations[0])
+						return
+					}
+				}
+				t.Error("no schedule found it")
+			})
+		}
+	})
+}
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -8,28 +8,34 @@
 )
 
 const (
-	askInterval      = 200 * time.Millisecond  // between calls to one process, to learn the view or to become a member
-	considerInterval = 100 * time.Millisecond  // between looks at the members while a joining member waits
-	finishInterval   = 300 * time.Millisecond  // between looks for a next view that was begun, while joining members wait
-	contactInterval  = 300 * time.Millisecond  // between looks whether this process is in contact with a majority
-	exchangeInterval = 1500 * time.Millisecond // between exchanges with the next member
-	exchangeLimit    = 500 * time.Millisecond
+	pollInterval        = 200 * time.Millisecond // between calls to one process, to learn the view or to become a member
+	replacementInterval = 100 * time.Millisecond // between checks whether a member is to be replaced, while there are joining members
+	pendingViewInterval = 300 * time.Millisecond // between checks for a pending view, while there are joining members
+	livenessInterval    = 300 * time.Millisecond // between checks whether a quorum is reachable
 )
 
-// Run learns the view, or takes part in founding the first one; then it exchanges the view now and then, announces this
-// process while it is no member, and replaces dead members by joining members, until the context ends. It returns an error only
-// if the store fails.
+// Run learns the view, or takes part in founding the first one; then it exchanges views with the members, announces this
+// process while it is no member, and replaces failed and departing members by joining members, until the context ends. It
+// returns an error only if the store fails.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := m.untilChanged(ctx); err != nil {
+		if err := m.runUntilViewChange(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// untilChanged does what the current view asks for until there is another.
-func (m *Manager) untilChanged(ctx context.Context) error {
+// role is what a process repeats as long as the view stays the same.
+type role struct {
+	step     func(ctx context.Context)
+	first    time.Duration // until the first step
+	interval time.Duration // from the end of a step to the next one
+	replaces bool          // the process also exchanges views with the members and replaces them, as a member does
+}
+
+// runUntilViewChange does what the current view asks of this process until there is another.
+func (m *Manager) runUntilViewChange(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	changed := m.Changed()
@@ -37,103 +43,90 @@
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	defer cancel()
-	step, interval := m.exchangeWithNext, exchangeInterval
 	switch {
 	case view.Version == 0:
-		m.callAll(ctx, &calls, m.without(slices.Concat(m.founders, m.config.Seeds)), m.firstCall())
-		step, interval = m.found, askInterval
+		m.pollAll(ctx, &calls, m.others(slices.Concat(m.founders, m.config.Seeds)), m.discoveryCall())
+		return m.repeat(ctx, changed, role{step: m.commitFirstView, first: pollInterval, interval: pollInterval})
 	case m.config.CountsForQuorum && !view.Has(m.config.Self) && !m.departing.Load():
-		m.callAll(ctx, &calls, view.Members, m.announceTo)
-	default:
-		return m.keepMembership(ctx, changed)
+		m.pollAll(ctx, &calls, view.Members, m.announceTo)
+		return m.repeat(ctx, changed, role{step: m.exchangeWithNext, first: exchangeInterval, interval: exchangeInterval})
 	}
-	return m.every(ctx, changed, interval, step)
+	return m.repeat(ctx, changed, role{step: m.exchangeAfterDisconnection, interval: livenessInterval, replaces: true})
 }
 
-// firstCall is how a process without a view asks for it.
-func (m *Manager) firstCall() func(ctx context.Context, address string) {
+// discoveryCall is how a process without a view asks for it.
+func (m *Manager) discoveryCall() func(ctx context.Context, address string) {
 	if len(m.founders) > 0 {
 		return m.announceTo
 	}
 	return m.exchangeWith
 }
 
-// callAll calls each process again and again until the context ends. One that does not answer holds up no other.
-func (m *Manager) callAll(ctx context.Context, calls *sync.WaitGroup, addresses []string, call func(context.Context, string)) {
+// pollAll calls each process repeatedly until the context ends. One that does not reply delays no other.
+func (m *Manager) pollAll(ctx context.Context, calls *sync.WaitGroup, addresses []string, call func(context.Context, string)) {
 	for _, address := range addresses {
 		calls.Go(func() {
 			for ctx.Err() == nil {
-				limited, cancel := context.WithTimeout(ctx, callLimit)
+				limited, cancel := context.WithTimeout(ctx, callTimeout)
 				call(limited, address)
 				cancel()
-				pause(ctx, askInterval)
+				sleep(ctx, pollInterval)
 			}
 		})
 	}
 }
 
-// every runs a step at intervals until the view changes.
-func (m *Manager) every(ctx context.Context, changed <-chan struct{}, interval time.Duration, step func(context.Context)) error {
-	timer := time.NewTimer(interval)
-	defer timer.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-changed:
-			return nil
-		case err := <-m.failures:
-			return err
-		case <-timer.C:
-		}
-		step(ctx)
-		timer.Reset(interval)
+// repeat plays a role until the view changes or the context ends; it fails with the store. The channels that the role does
+// not use are nil, and so never ready.
+//
+// While there are joining members, a process that replaces members checks whether one is due, and otherwise exchanges views.
+// A pending view is completed in either case, however often joining members announce themselves: its tickers run on their own.
+func (m *Manager) repeat(ctx context.Context, changed <-chan struct{}, role role) error {
+	step := time.NewTimer(role.first)
+	defer step.Stop()
+	replacement := time.NewTimer(replacementInterval)
+	defer replacement.Stop()
+	var wake <-chan struct{}
+	var pendingView, exchange <-chan time.Time
+	if role.replaces {
+		wake = m.wake
+		pendingViewTicker, exchangeTicker := time.NewTicker(pendingViewInterval), time.NewTicker(exchangeInterval)
+		defer pendingViewTicker.Stop()
+		defer exchangeTicker.Stop()
+		pendingView, exchange = pendingViewTicker.C, exchangeTicker.C
 	}
-}
-
-// keepMembership exchanges views now and then. While there are joining members, it looks for a member to replace instead. What was
-// begun is finished in either case, however often joining members are heard.
-func (m *Manager) keepMembership(ctx context.Context, changed <-chan struct{}) error {
-	contact := time.NewTimer(0)
-	defer contact.Stop()
-	finish := time.NewTicker(finishInterval)
-	defer finish.Stop()
-	exchange := time.NewTicker(exchangeInterval)
-	defer exchange.Stop()
-	consider := time.NewTimer(considerInterval)
-	defer consider.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
 			return nil
-		case err := <-m.failures:
+		case err := <-m.storeFailures:
 			return err
-		case <-contact.C:
-			m.exchangeAfterSilence(ctx)
-			contact.Reset(contactInterval)
-		case <-finish.C:
-			if m.JoiningMembersWait() {
-				m.finishPending(ctx)
+		case <-step.C:
+			role.step(ctx)
+			step.Reset(role.interval)
+		case <-pendingView:
+			if m.HasJoiningMembers() {
+				m.completePendingView(ctx)
 			}
-		case <-exchange.C:
-			m.finishPending(ctx)
-			if !m.JoiningMembersWait() {
+		case <-exchange:
+			m.completePendingView(ctx)
+			if !m.HasJoiningMembers() {
 				m.exchangeWithNext(ctx)
 			}
-		case <-m.wake:
-		case <-consider.C:
+		case <-wake:
+		case <-replacement.C:
 		}
-		if m.JoiningMembersWait() {
-			m.considerReplacing(ctx)
-			consider.Reset(considerInterval)
+		if role.replaces && m.HasJoiningMembers() {
+			m.replaceDueMember(ctx)
+			replacement.Reset(replacementInterval)
 		}
 	}
 }
 
-// pause waits unless the context ends before.
-func pause(ctx context.Context, duration time.Duration) {
+// sleep waits unless the context ends before.
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/jobs/scheduler/summary.go
+++ b/internal/jobs/scheduler/load.go
@@ -22,39 +22,39 @@
 // CurrentLoad tells the load.
 func (s *Scheduler) CurrentLoad(now Now) Load {
 	summary := Load{Jobs: len(s.jobs), Waiting: make([]int, summaryPriorities)}
-	for _, stage := range s.stages {
+	for _, stage := range s.waitingStages {
 		priority := max(0, min(stage.job.Queue.Priority, summaryPriorities-1))
 		summary.Waiting[priority] += len(stage.waiting)
 		if stage.GangScheduled && len(stage.waiting) > 0 {
 			summary.Gangs++
 		}
 	}
-	for _, sr := range s.list {
-		summary.add(s, now, sr)
+	for _, worker := range s.sortedWorkers {
+		summary.add(s, now, worker)
 	}
 	return summary
 }
 
-func (summary *Load) add(s *Scheduler, now Now, sr *worker) {
-	summary.Running += len(sr.runs)
-	for _, r := range sr.runs {
-		if r.stopping {
+func (summary *Load) add(s *Scheduler, now Now, worker *workerState) {
+	summary.Running += len(worker.attempts)
+	for _, attempt := range worker.attempts {
+		if attempt.stopping {
 			summary.Stopping++
 		}
 	}
-	if !sr.reachable {
+	if !worker.reachable {
 		summary.Unreachable++
 		return
 	}
-	if sr.Draining {
+	if worker.Draining {
 		return
 	}
-	summary.Capacity = summary.Capacity.Add(sr.Capacity)
-	summary.Used = summary.Used.Add(sr.used)
-	if s.isOpen(now, sr) {
+	summary.Capacity = summary.Capacity.Add(worker.Capacity)
+	summary.Used = summary.Used.Add(worker.used)
+	if s.isOpen(now, worker) {
 		summary.Workers++
 	}
-	if float64(len(sr.runs)) >= sr.window {
+	if float64(len(worker.attempts)) >= worker.window {
 		summary.Windows++
 	}
 }
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -6,33 +6,33 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// answerOutcome is the outcome of a start order by the worker's answer.
-func answerOutcome(a answer) StartOutcome {
+// responseOutcome is the outcome of a start order by the worker's answer.
+func responseOutcome(a response) StartOutcome {
 	switch a.status {
 	case http.StatusOK:
 		return Started
 	case http.StatusConflict:
-		return rejection(a.reply.Reason)
+		return rejection(a.body.Reason)
 	case http.StatusBadRequest:
 		return RejectedInvalid
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return Unhealthy
+		return RejectedUnhealthy
 	case http.StatusMisdirectedRequest:
-		return LifeOver
+		return IncarnationOver
 	}
 	return Unclear
 }
 
 func rejection(why reason) StartOutcome {
 	switch why {
-	case reasonFence:
-		return RejectedFence
-	case reasonOld:
-		return RejectedOld
-	case reasonLate:
-		return RejectedLate
-	case reasonRoom:
-		return RejectedRoom
+	case reasonFencingToken:
+		return RejectedFencingToken
+	case reasonStaleAttempt:
+		return RejectedStaleAttempt
+	case reasonLeaseExpired:
+		return RejectedLeaseExpired
+	case reasonCapacity:
+		return RejectedCapacity
 	}
 	return Unclear
 }
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -26,7 +26,7 @@
 	}}
 }
 
-func TestNoCallIsSentThatWaitedForItsConnectionBeyondTheLease(t *testing.T) {
+func TestNoCallIsSentThatWaitedForItsConnectionBeyondTheLeaderLease(t *testing.T) {
 	Convey("Given a searcher that is connected to slowly", t, func() {
 		var calls, over atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +38,7 @@
 		client := slowDial(dialling, release)
 		Reset(client.CloseIdleConnections)
 		caller := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return over.Load() == 0 })
-		body := appendStop(nil, StopOrder{task(0), 1}, 1)
+		body := appendStop(nil, StopCommand{task(0), 1}, 1)
 		post := func() error {
 			_, err := caller.post(context.Background(), caller.stop, body, time.Minute)
 			return err
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -47,28 +47,28 @@
 			counter := &startCounter{runs: map[string]int{}}
 			server := httptest.NewServer(counter)
 			relay := resettest.New(t, server.Listener.Addr().String())
-			send := func(execution uint64, cut resettest.Way, after int) ([]byte, error) {
+			send := func(execution uint64, cut resettest.Direction, after int) ([]byte, error) {
 				client := NewHTTPClient()
 				defer client.CloseIdleConnections()
 				worker := newCaller(client, relay.Address(), "i-1", func() bool { return true })
-				relay.Arm(cut, resettest.Never)
+				relay.Arm(cut, resettest.NoReset)
 				if usedBefore {
-					_, err := worker.post(context.Background(), worker.hold, []byte("{}"), patience)
+					_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 					convey.So(err, convey.ShouldBeNil)
 				}
 				relay.Arm(cut, after)
-				order := order(0, execution)
+				order := startCommand(0, execution)
 				body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
-				_, err := worker.post(context.Background(), worker.start, body, patience)
+				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
 				return body, err
 			}
 			const firstExecution = 1000 // so that all calls have one length
-			_, err := send(firstExecution, resettest.Calls, resettest.Never)
+			_, err := send(firstExecution, resettest.Requests, resettest.NoReset)
 			convey.So(err, convey.ShouldBeNil)
-			lengths := [2]int{relay.Passed(resettest.Calls), relay.Passed(resettest.Answers)}
+			lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
 			execution, wrong := uint64(firstExecution), 0
 			var cutInCall [][]byte
-			for _, cut := range []resettest.Way{resettest.Calls, resettest.Answers} {
+			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
 				for after := range lengths[cut] {
 					execution++
 					body, err := send(execution, cut, after)
@@ -76,7 +76,7 @@
 						wrong++
 						t.Errorf("reset after byte %d of way %d: %v", after, cut, err)
 					}
-					if cut == resettest.Calls {
+					if cut == resettest.Requests {
 						cutInCall = append(cutInCall, body)
 					} else if counter.count(body) != 1 {
 						wrong++
@@ -110,11 +110,11 @@
 		defer client.CloseIdleConnections()
 		worker := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return true })
 		worker.headers.Set("Idempotency-Key", "1") // by which net/http repeats
-		_, err := worker.post(context.Background(), worker.hold, []byte("{}"), patience)
+		_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 		convey.So(err, convey.ShouldBeNil)
-		order := order(0, 1)
+		order := startCommand(0, 1)
 		body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
-		_, err = worker.post(context.Background(), worker.start, body, patience)
+		_, err = worker.post(context.Background(), worker.start, body, eventTimeout)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		convey.So(counter.count(body), convey.ShouldEqual, 1)
 	})
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -23,14 +23,14 @@
 
 const retryAfter = 250 * time.Millisecond
 
-// Endpoints of the tests: one for each way in which a call may end, and one that nobody serves.
+// Endpoints of the tests: one for each outcome of a call, and one that nobody serves.
 var (
-	echoCall    = transport.NewRepeatable[echo, echo]("/echo")
-	refuseCall  = transport.NewRepeatable[echo, echo]("/refuse")
-	failCall    = transport.NewRepeatable[echo, echo]("/fail")
-	hangCall    = transport.NewRepeatable[echo, echo]("/hang")
-	unknownCall = transport.NewRepeatable[echo, echo]("/unknown")
-	countCall   = transport.NewOnce[echo, echo]("/count")
+	echoCall    = transport.NewIdempotent[echo, echo]("/echo")
+	refuseCall  = transport.NewIdempotent[echo, echo]("/refuse")
+	failCall    = transport.NewIdempotent[echo, echo]("/fail")
+	hangCall    = transport.NewIdempotent[echo, echo]("/hang")
+	unknownCall = transport.NewIdempotent[echo, echo]("/unknown")
+	countCall   = transport.NewAtMostOnce[echo, echo]("/count")
 )
 
 type echo struct {
@@ -39,10 +39,10 @@
 	State  map[string][]byte `msgpack:"s"`
 }
 
-// testCluster needs escapes, as a name may.
+// testCluster is a name with characters that must be escaped.
 const testCluster = "cluster */1"
 
-// handlers serve one path for each way in which a call may end.
+// handlers serve one path for each outcome of a call.
 func handlers(self transport.Identity) *transport.Mux {
 	mux := transport.NewMuxFor(self)
 	transport.Handle(mux, echoCall, func(_ context.Context, request echo) (echo, error) { return request, nil })
@@ -57,81 +57,81 @@
 	return mux
 }
 
-// site is a transport with a served address and one where nobody listens.
-type site struct {
-	caller          transport.Caller
-	served, nowhere string
-	replace         func(http.Handler) // another process takes the served address
+// fixture is a transport with a served address and one without a listener.
+type fixture struct {
+	caller           transport.Caller
+	served, unserved string
+	replace          func(http.Handler) // puts another process at the served address
 }
 
 var sample = echo{Text: "text", Number: 1 << 60, State: map[string][]byte{"a": {}, "b": {1, 0, 255}}}
 
-func (s site) call(ctx context.Context, address string, endpoint transport.Repeatable[echo, echo]) (echo, error) {
+func (s fixture) call(ctx context.Context, address string, endpoint transport.Idempotent[echo, echo]) (echo, error) {
 	return endpoint.Call(ctx, s.caller, address, sample)
 }
 
-// runContract checks what every transport promises to its callers. Processes are of the cluster that the caller is of.
-func runContract(t *testing.T, open func(t *testing.T, handler http.Handler) site) {
+// runContract checks what every transport promises to its callers. All processes are of the caller's cluster.
+func runContract(t *testing.T, open func(t *testing.T, handler http.Handler) fixture) {
 	Convey("Given a transport", t, func() {
 		first := transport.NewIdentity(testCluster, "node-a")
 		s := open(t, handlers(first))
-		checkEnds(t, s)
+		checkOutcomes(t, s)
 		checkIdentities(t, s, first)
-		checkOnce(t, s, first)
-		Convey("an answer reaches its own call among many that are given up", func() { checkCancellations(t, s) })
+		checkAtMostOnceCalls(t, s, first)
+		Convey("a response reaches its own call among many that are cancelled", func() { checkCancellations(t, s) })
 	})
 }
 
-// checkEnds checks the ways in which a call may end.
-func checkEnds(t *testing.T, s site) {
+// checkOutcomes checks the outcomes of a call.
+func checkOutcomes(t *testing.T, s fixture) {
 	Convey("a reply comes back as it was sent", func() {
 		reply, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
 		So(reply, ShouldResemble, sample)
 	})
-	Convey("a refusal has not run, and says when to come back", func() {
+	Convey("a rejection is not executed, and says when to retry", func() {
 		_, err := s.call(t.Context(), s.served, refuseCall)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		So(rpcerror.RetryAfter(err), ShouldEqual, retryAfter)
 		So(err.Error(), ShouldContainSubstring, "not the leader")
 	})
-	Convey("a failure of the callee may have run", func() {
+	Convey("a call whose handler fails may have been executed", func() {
 		_, err := s.call(t.Context(), s.served, failCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
-	Convey("a call that is given up may have run", func() {
+	Convey("a call that times out may have been executed", func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 		defer cancel()
 		_, err := s.call(ctx, s.served, hangCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
-	Convey("a call to nobody has not run", func() {
-		_, err := s.call(t.Context(), s.nowhere, echoCall)
+	Convey("a call to an address without a listener is not executed", func() {
+		_, err := s.call(t.Context(), s.unserved, echoCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
-	Convey("a path that nobody serves has not run", func() {
+	Convey("a call of a path that is not served is not executed", func() {
 		_, err := s.call(t.Context(), s.served, unknownCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
-// checkIdentities checks that a call reaches the process that is meant, or nobody.
-func checkIdentities(t *testing.T, s site, first transport.Identity) {
+// checkIdentities checks that a call is executed by its addressee or not at all.
+func checkIdentities(t *testing.T, s fixture, first transport.Identity) {
 	met := func() {
 		_, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
 	}
-	Convey("a process that was started again is reached by the first call", func() {
+	Convey("a restarted process is reached by the first call", func() {
 		met()
 		s.replace(handlers(transport.NewIdentity(first.Cluster, first.Node)))
 		_, err := s.call(t.Context(), s.served, echoCall)
 		So(err, ShouldBeNil)
 	})
-	Convey("another machine at the address refuses, as not run, and is met anew by the next call", func() {
+	Convey("another machine at the address rejects the call as not executed, and executes the next one", func() {
 		met()
 		other := transport.NewIdentity(first.Cluster, "node-b")
 		s.replace(handlers(other))
@@ -139,11 +139,11 @@
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		var misdirected *transport.MisdirectedError
 		So(errors.As(err, &misdirected), ShouldBeTrue)
-		So(misdirected.Meant, ShouldResemble, transport.Process{Identity: first})
-		So(misdirected.Found, ShouldResemble, other)
+		So(misdirected.Intended, ShouldResemble, transport.Process{Identity: first})
+		So(misdirected.Actual, ShouldResemble, other)
 		met()
 	})
-	Convey("a process of another cluster refuses every time, also on first contact", func() {
+	Convey("a process of another cluster rejects each call, also on first contact", func() {
 		s.replace(handlers(transport.NewIdentity("another", first.Node)))
 		for range 3 {
 			_, err := s.call(t.Context(), s.served, echoCall)
@@ -153,38 +153,38 @@
 	})
 }
 
-// checkOnce checks calls that may not be repeated.
-func checkOnce(t *testing.T, s site, first transport.Identity) {
+// checkAtMostOnceCalls checks at-most-once calls.
+func checkAtMostOnceCalls(t *testing.T, s fixture, first transport.Identity) {
 	send := func() error {
 		_, err := countCall.Call(t.Context(), s.caller, s.served, echo{})
 		return err
 	}
-	Convey("a call that may not be repeated is carried out once, also on first contact", func() {
-		counted := counting(first)
-		s.replace(counted)
+	Convey("an at-most-once call is executed once, also on first contact", func() {
+		process := newCountingCallee(first)
+		s.replace(process)
 		So(send(), ShouldBeNil)
 		So(send(), ShouldBeNil)
-		So(counted.runs.Load(), ShouldEqual, 2)
+		So(process.executions.Load(), ShouldEqual, 2)
 	})
-	Convey("a process that was started again does not get it by itself, but the next one", func() {
-		before, after := counting(first), counting(transport.NewIdentity(first.Cluster, first.Node))
+	Convey("a restarted process does not execute it, but the next one", func() {
+		before, after := newCountingCallee(first), newCountingCallee(transport.NewIdentity(first.Cluster, first.Node))
 		s.replace(before)
 		So(send(), ShouldBeNil)
 		s.replace(after)
 		So(rpcerror.ExecutionOf(send()), ShouldEqual, rpcerror.NotExecuted)
-		So(before.runs.Load(), ShouldEqual, 1)
-		So(after.runs.Load(), ShouldEqual, 0)
+		So(before.executions.Load(), ShouldEqual, 1)
+		So(after.executions.Load(), ShouldEqual, 0)
 		So(send(), ShouldBeNil)
-		So(after.runs.Load(), ShouldEqual, 1)
+		So(after.executions.Load(), ShouldEqual, 1)
 	})
-	Convey("where nobody tells who serves the address, it is not sent", func() {
-		_, err := countCall.Call(t.Context(), s.caller, s.nowhere, echo{})
+	Convey("where the process at the address is not known, it is not sent", func() {
+		_, err := countCall.Call(t.Context(), s.caller, s.unserved, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
-// checkCancellations makes many calls at once, of which many are given up at any moment.
-func checkCancellations(t *testing.T, s site) {
+// checkCancellations makes many calls at once, of which many are cancelled at any moment.
+func checkCancellations(t *testing.T, s fixture) {
 	const callers, callsEach = 16, 60
 	var wrong, answered atomic.Int64
 	var calling sync.WaitGroup
@@ -214,34 +214,34 @@
 	So(answered.Load(), ShouldBeGreaterThan, callers*callsEach/2)
 }
 
-// counter serves countCall and counts how often it is carried out.
-type counter struct {
+// countingCallee serves countCall and counts how often it is executed.
+type countingCallee struct {
 	*transport.Mux
-	runs atomic.Int64
+	executions atomic.Int64
 }
 
-func counting(self transport.Identity) *counter {
-	c := &counter{Mux: transport.NewMuxFor(self)}
+func newCountingCallee(self transport.Identity) *countingCallee {
+	c := &countingCallee{Mux: transport.NewMuxFor(self)}
 	transport.Handle(c.Mux, countCall, func(context.Context, echo) (echo, error) {
-		return echo{Number: uint64(c.runs.Add(1))}, nil
+		return echo{Number: uint64(c.executions.Add(1))}, nil
 	})
 	return c
 }
 
-// swapped serves one handler after the other.
-type swapped struct{ handler atomic.Value }
+// swappableHandler serves one handler after the other.
+type swappableHandler struct{ handler atomic.Value }
 
-func (s *swapped) set(handler http.Handler) { s.handler.Store(&handler) }
+func (s *swappableHandler) set(handler http.Handler) { s.handler.Store(&handler) }
 
 // ServeHTTP implements http.Handler.
-func (s *swapped) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *swappableHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	(*s.handler.Load().(*http.Handler)).ServeHTTP(w, r)
 }
 
-// TestSocketsKeepTheContract lets processes follow each other on connections that stay open.
-func TestSocketsKeepTheContract(t *testing.T) {
-	runContract(t, func(t *testing.T, handler http.Handler) site {
-		var serving swapped
+// TestClientKeepsTheContractOverTCP replaces processes behind connections that stay open.
+func TestClientKeepsTheContractOverTCP(t *testing.T) {
+	runContract(t, func(t *testing.T, handler http.Handler) fixture {
+		var serving swappableHandler
 		serving.set(handler)
 		server := httptest.NewServer(&serving)
 		unused, err := net.Listen("tcp", "127.0.0.1:0")
@@ -253,22 +253,22 @@
 			server.CloseClientConnections()
 			server.Close()
 		})
-		return site{caller: client, served: server.Listener.Addr().String(), nowhere: unused.Addr().String(), replace: serving.set}
+		return fixture{caller: client, served: server.Listener.Addr().String(), unserved: unused.Addr().String(), replace: serving.set}
 	})
 }
 
-func TestMemoryKeepsTheContract(t *testing.T) {
-	runContract(t, func(_ *testing.T, handler http.Handler) site {
+func TestClientKeepsTheContractInMemory(t *testing.T) {
+	runContract(t, func(_ *testing.T, handler http.Handler) fixture {
 		network := networktest.New(1)
 		network.Serve("served:1", handler)
 		network.Serve("nowhere:1", nil)
 		replace := func(handler http.Handler) { network.Serve("served:1", handler) }
-		return site{caller: network.CallerOf(testCluster, "caller:1"), served: "served:1", nowhere: "nowhere:1", replace: replace}
+		return fixture{caller: network.CallerOf(testCluster, "caller:1"), served: "served:1", unserved: "nowhere:1", replace: replace}
 	})
 }
 
-func TestAnswersThatAreNoReplies(t *testing.T) {
-	Convey("An answer that breaks off, or cannot be read, may have run", t, func() {
+func TestUnreadableResponsesMayHaveBeenExecuted(t *testing.T) {
+	Convey("A call whose response is truncated or unreadable may have been executed", t, func() {
 		for _, handler := range []http.HandlerFunc{
 			func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("no msgpack")) },
 			func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) },
@@ -288,11 +288,11 @@
 	})
 }
 
-// FuzzRequests hands any bytes to a handler: it answers, and never with success what cannot be read.
+// FuzzRequests sends any bytes to a handler: its response is a success exactly if they can be decoded.
 func FuzzRequests(f *testing.F) {
-	whole, _ := msgpack.Marshal(echo{Text: "text", State: map[string][]byte{"a": {1}}})
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
+	encoded, _ := msgpack.Marshal(echo{Text: "text", State: map[string][]byte{"a": {1}}})
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)/2])
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte("text"))
 	mux := handlers(transport.Identity{})
