--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -36,8 +36,8 @@
 	return unsyncedFile{file}, err
 }
 
-// SyncFolder implements storage.FileSystem.
-func (unsyncedFileSystem) SyncFolder(string) error { return nil }
+// SyncDirectory implements storage.FileSystem.
+func (unsyncedFileSystem) SyncDirectory(string) error { return nil }
 
 // appliedHistory is what the orders of all changes amount to, one after the other.
 var appliedHistory = randomText(bodyBytes+appliedBytes*(20_000+appliedMax), 7)
