--- a/internal/controlplane/coordinator/metrics.go
+++ b/internal/controlplane/coordinator/metrics.go
@@ -70,7 +70,7 @@
 	leaders := g.coordinator.node.Leaders()
 	for group, summary := range g.coordinator.jobs.Summaries() {
 		service := strings.TrimPrefix(group, feed.GroupOf(""))
-		collectGroup(collected, service, leaders[group].Epoch, summary)
+		collectGroup(collected, service, leaders[group].Term, summary)
 	}
 }
 
--- a/internal/controlplane/feed/board_test.go
+++ b/internal/controlplane/feed/board_test.go
@@ -15,7 +15,7 @@
 	return &Snapshot{
 		ConfigurationVersion: version,
 		Configuration:        []byte{byte(version)},
-		Leaders:              map[string]Leader{"g": {Address: "a:1", Epoch: epoch}},
+		Leaders:              map[string]Leader{"g": {Address: "a:1", Term: epoch}},
 		Core:                 core,
 	}
 }
@@ -42,8 +42,8 @@
 			So(store.Snapshot().ConfigurationVersion, ShouldEqual, 5)
 		})
 		Convey("leaders of other groups are kept", func() {
-			So(store.Merge(&Snapshot{Leaders: map[string]Leader{"h": {Epoch: 1}}}), ShouldBeTrue)
-			So(store.Digest().LeaderEpochs, ShouldResemble, map[string]uint64{"g": 3, "h": 1})
+			So(store.Merge(&Snapshot{Leaders: map[string]Leader{"h": {Term: 1}}}), ShouldBeTrue)
+			So(store.Digest().LeaderTerms, ShouldResemble, map[string]uint64{"g": 3, "h": 1})
 		})
 		Convey("members are replaced only by members, and only where they count", func() {
 			So(store.Merge(snapshotOf(5, 3, "b:1")), ShouldBeFalse)
@@ -76,7 +76,7 @@
 		Convey("a known configuration is not sent again", func() {
 			update, _ := store.UpdateSince(snapshotOf(5, 2, "a:1").Digest())
 			So(update.Configuration, ShouldBeNil)
-			So(update.Leaders["g"].Epoch, ShouldEqual, 3)
+			So(update.Leaders["g"].Term, ShouldEqual, 3)
 		})
 		Convey("other members are news, except where leaders and configuration alone are asked for", func() {
 			known := snapshotOf(5, 3, "b:1").Digest()
@@ -108,7 +108,7 @@
 			store.Merge(snapshotOf(6, 3))
 			synctest.Wait()
 			store.Merge(snapshotOf(6, 4))
-			So((<-ended).Leaders["g"].Epoch, ShouldEqual, 4)
+			So((<-ended).Leaders["g"].Term, ShouldEqual, 4)
 		})
 		Convey("It ends with its context", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/feed/digest.go
+++ b/internal/controlplane/feed/digest.go
@@ -11,11 +11,11 @@
 func (s *Snapshot) Digest() Digest {
 	epochs := make(map[string]uint64, len(s.Leaders))
 	for group, leader := range s.Leaders {
-		epochs[group] = leader.Epoch
+		epochs[group] = leader.Term
 	}
 	return Digest{
 		ConfigurationVersion: s.ConfigurationVersion,
-		LeaderEpochs:         epochs,
+		LeaderTerms:          epochs,
 		MembersSum:           membersSum(s.Core, s.Agents),
 	}
 }
@@ -42,8 +42,8 @@
 	if other.ConfigurationVersion > d.ConfigurationVersion {
 		return true
 	}
-	for group, epoch := range other.LeaderEpochs {
-		if epoch > d.LeaderEpochs[group] {
+	for group, epoch := range other.LeaderTerms {
+		if epoch > d.LeaderTerms[group] {
 			return true
 		}
 	}
@@ -64,7 +64,7 @@
 	leaders := make(map[string]Leader, len(s.Leaders))
 	maps.Copy(leaders, s.Leaders)
 	for group, leader := range update.Leaders {
-		if leader.Epoch > leaders[group].Epoch {
+		if leader.Term > leaders[group].Term {
 			leaders[group] = leader
 		}
 	}
--- a/internal/controlplane/feed/feed.go
+++ b/internal/controlplane/feed/feed.go
@@ -24,13 +24,13 @@
 // Leader is who leads a replication group. The higher epoch is the newer one.
 type Leader struct {
 	Address string `msgpack:"a"` // internal address, host:port
-	Epoch   uint64 `msgpack:"e"`
+	Term    uint64 `msgpack:"e"`
 }
 
 // Digest names a state of the feed.
 type Digest struct {
 	ConfigurationVersion uint64            `msgpack:"c"`
-	LeaderEpochs         map[string]uint64 `msgpack:"l"` // by group
+	LeaderTerms          map[string]uint64 `msgpack:"l"` // by group
 	MembersSum           uint64            `msgpack:"m"` // checksum of the members' addresses
 	// MembersAgeMS is how long ago a core node confirmed the members, in milliseconds. Only agents fill it in.
 	MembersAgeMS int64 `msgpack:"g,omitempty"`
--- a/internal/controlplane/feedserver/feedserver_test.go
+++ b/internal/controlplane/feedserver/feedserver_test.go
@@ -137,11 +137,11 @@
 			}
 			synctest.Wait()
 			source.update(func(s *fakeSource) { s.version = 5 })
-			source.update(func(s *fakeSource) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Epoch: 2}} })
+			source.update(func(s *fakeSource) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Term: 2}} })
 			for range cap(replies) {
 				reply := <-replies
 				So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 5)
-				So(reply.Snapshot.Leaders["g"].Epoch, ShouldEqual, 2)
+				So(reply.Snapshot.Leaders["g"].Term, ShouldEqual, 2)
 			}
 			So(time.Since(began), ShouldEqual, batchDelay)
 		})
@@ -249,14 +249,14 @@
 					known = update.Digest()
 				}
 			}
-			source.update(func(s *fakeSource) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Epoch: 2}} })
+			source.update(func(s *fakeSource) { s.leaders = map[string]feed.Leader{"g": {Address: "a:1", Term: 2}} })
 			for {
 				update := call(known).Snapshot
 				if update == nil {
 					continue
 				}
 				known = update.Digest()
-				if known.LeaderEpochs["g"] == 2 {
+				if known.LeaderTerms["g"] == 2 {
 					So(update.Configuration, ShouldBeEmpty)
 					break
 				}
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -62,7 +62,7 @@
 func newCore() *core {
 	return &core{
 		leaders: map[string]feed.Leader{
-			"jobs/pricing": {Address: "10.0.0.1:7660", Epoch: 3}, "jobs/stress": {Address: "10.0.0.2:7660", Epoch: 5},
+			"jobs/pricing": {Address: "10.0.0.1:7660", Term: 3}, "jobs/stress": {Address: "10.0.0.2:7660", Term: 5},
 		},
 		changed: make(chan struct{}), version: 7, confirm: func() error { return nil },
 		jobs:   map[string][]string{"jobs/pricing": {priceJob, bothJob}, "jobs/stress": {stressJob, bothJob}},
@@ -78,7 +78,7 @@
 	for name, leader := range c.leaders {
 		leaders[name] = leader
 	}
-	leaders[group] = feed.Leader{Address: address, Epoch: leaders[group].Epoch + 1}
+	leaders[group] = feed.Leader{Address: address, Term: leaders[group].Term + 1}
 	c.leaders = leaders
 	close(c.changed)
 	c.changed = make(chan struct{})
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -46,7 +46,7 @@
 	var calls sync.WaitGroup
 	for i, name := range names {
 		leader := leaders[name]
-		groups[i] = Group{Service: serviceOf(name), Leader: leader.Address, Epoch: leader.Epoch}
+		groups[i] = Group{Service: serviceOf(name), Leader: leader.Address, Epoch: leader.Term}
 		if leader.Address == "" {
 			groups[i].Error = errNoLeader.Error()
 			continue
--- a/internal/controlplane/replication/campaign.go
+++ b/internal/controlplane/replication/campaign.go
@@ -21,7 +21,7 @@
 }
 
 func (g *group) startCampaign() {
-	g.campaigning = &campaign{group: g, view: g.core.view, highestTerm: g.core.leaders.byGroup[g.name].Epoch}
+	g.campaigning = &campaign{group: g, view: g.core.view, highestTerm: g.core.leaders.byGroup[g.name].Term}
 	g.campaigning.startPreVote()
 }
 
@@ -62,7 +62,7 @@
 	})
 }
 
-// take counts one member's answer. An answer to an earlier round, or one that comes too late, counts for nothing.
+// append counts one member's answer. An answer to an earlier round, or one that comes too late, counts for nothing.
 func (c *campaign) countVote(address string, request voteRequest, reply voteReply, err error) {
 	c.highestTerm = max(c.highestTerm, reply.Term)
 	if c.ended || request.PreVote != c.preVoting {
--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -19,7 +19,7 @@
 	return answer
 }
 
-func (n *simulatedNode) wants(answer appendReply, number uint32) {
+func (n *simulatedNode) expectsChunk(answer appendReply, number uint32) {
 	So(answer.Outcome, ShouldEqual, incomplete)
 	So(answer.NextChunk, ShouldEqual, number)
 	So(n.disk.Table("group/jobs/a"), ShouldBeEmpty)
@@ -34,10 +34,10 @@
 		So(n.disk.Table("group/jobs/a"), ShouldResemble, state)
 	}
 	Convey("Given a replica without a state", t, func() {
-		s, n := lone(defects{})
+		s, n := singleReplica(defects{})
 		Convey("nothing is changed before the last part, and all with it", func() {
-			n.wants(n.chunk(7, 3, 0, 3), 1)
-			n.wants(n.chunk(7, 3, 1, 3), 2)
+			n.expectsChunk(n.chunk(7, 3, 0, 3), 1)
+			n.expectsChunk(n.chunk(7, 3, 1, 3), 2)
 			answer := n.chunk(7, 3, 2, 3)
 			So(answer.Outcome, ShouldEqual, accepted)
 			So(answer.Position, ShouldResemble, Position{7, 3})
@@ -45,34 +45,34 @@
 		})
 		Convey("a part that comes twice changes nothing", func() {
 			n.chunk(7, 3, 0, 3)
-			n.wants(n.chunk(7, 3, 0, 3), 1)
-			n.wants(n.chunk(7, 3, 1, 3), 2)
-			n.wants(n.chunk(7, 3, 1, 3), 2)
+			n.expectsChunk(n.chunk(7, 3, 0, 3), 1)
+			n.expectsChunk(n.chunk(7, 3, 1, 3), 2)
+			n.expectsChunk(n.chunk(7, 3, 1, 3), 2)
 			n.chunk(7, 3, 2, 3)
 			whole(n, 7, 3, 3)
 		})
 		Convey("where a part is lost, the answer to the next one names it", func() {
 			n.chunk(7, 3, 0, 3)
-			n.wants(n.chunk(7, 3, 2, 3), 1)
+			n.expectsChunk(n.chunk(7, 3, 2, 3), 1)
 			n.chunk(7, 3, 1, 3)
 			n.chunk(7, 3, 2, 3)
 			whole(n, 7, 3, 3)
 		})
 		Convey("the last part alone, or first, is nothing", func() {
-			n.wants(n.chunk(7, 3, 2, 3), 0)
-			n.wants(n.chunk(7, 3, 1, 3), 0)
+			n.expectsChunk(n.chunk(7, 3, 2, 3), 0)
+			n.expectsChunk(n.chunk(7, 3, 1, 3), 0)
 		})
 		Convey("parts of a newer snapshot take the place of an older one's, and are not mixed with them", func() {
 			n.chunk(7, 3, 0, 2)
-			n.wants(n.chunk(7, 5, 0, 2), 1)
-			n.wants(n.chunk(7, 3, 1, 2), 0)
-			n.wants(n.chunk(7, 3, 0, 2), 0)
+			n.expectsChunk(n.chunk(7, 5, 0, 2), 1)
+			n.expectsChunk(n.chunk(7, 3, 1, 2), 0)
+			n.expectsChunk(n.chunk(7, 3, 0, 2), 0)
 			n.chunk(7, 5, 1, 2)
 			whole(n, 7, 5, 2)
 		})
 		Convey("parts of an older leader are refused, and its gathered ones are gone", func() {
 			n.chunk(7, 3, 0, 2)
-			n.wants(n.chunk(8, 1, 0, 2), 1)
+			n.expectsChunk(n.chunk(8, 1, 0, 2), 1)
 			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			n.chunk(8, 1, 1, 2)
 			whole(n, 8, 1, 2)
@@ -80,14 +80,14 @@
 		Convey("a vote for another leader in between ends the snapshot", func() {
 			n.chunk(7, 3, 0, 2)
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
-			So(n.vote("y", 8).Granted, ShouldBeTrue)
+			So(n.requestVote("y", 8).Granted, ShouldBeTrue)
 			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			So(n.core.group("jobs/a").replica.assembly == nil, ShouldBeTrue)
 		})
 		Convey("after a restart the parts begin anew", func() {
 			n.chunk(7, 3, 0, 2)
 			n.restart()
-			n.wants(n.chunk(7, 3, 1, 2), 0)
+			n.expectsChunk(n.chunk(7, 3, 1, 2), 0)
 			n.chunk(7, 3, 0, 2)
 			n.chunk(7, 3, 1, 2)
 			whole(n, 7, 3, 2)
@@ -96,7 +96,7 @@
 			n.chunk(7, 3, 0, 2)
 			n.restart()
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
-			So(n.vote("y", 7).Granted, ShouldBeFalse)
+			So(n.requestVote("y", 7).Granted, ShouldBeFalse)
 		})
 	})
 }
@@ -126,8 +126,8 @@
 	})
 }
 
-// lagBehind kills a follower of the first group's leader, and runs on so that it lags.
-func lagBehind(s *simulation) (leader, follower *simulatedNode) {
+// withLaggingFollower kills a follower of the first group's leader, and runs on so that it lags.
+func withLaggingFollower(s *simulation) (leader, follower *simulatedNode) {
 	leader = s.leader("jobs/a")
 	for _, address := range s.view.Members {
 		if s.nodes[address] != leader {
@@ -140,7 +140,7 @@
 	return leader, follower
 }
 
-func calmWith(seed uint64, limits Limits, groups ...string) *simulation {
+func quietClusterWith(seed uint64, limits Limits, groups ...string) *simulation {
 	s := newSimulation(seed, 3, defects{}, Timing{})
 	s.limits, s.groups = limits, groups
 	s.history = newChecker(s)
@@ -155,8 +155,8 @@
 	// Which batches pass while the snapshot travels differs from seed to seed, so several are played.
 	for seed := range uint64(10) {
 		Convey(fmt.Sprintf("A follower whose link is slow gets what came after its snapshot, and no second one: seed %d", seed), t, func() {
-			s := calmWith(seed, narrow, "jobs/a")
-			_, follower := lagBehind(s)
+			s := quietClusterWith(seed, narrow, "jobs/a")
+			_, follower := withLaggingFollower(s)
 			s.slowLinks = map[string]time.Duration{follower.address: 60 * time.Millisecond}
 			follower.start()
 			delete(s.traffic.snapshots, follower.address)
@@ -169,9 +169,9 @@
 		})
 	}
 	Convey("A leader whose disk is slower than its followers still finds a moment for a snapshot", t, func() {
-		s := calmWith(4, narrow, "jobs/a")
+		s := quietClusterWith(4, narrow, "jobs/a")
 		s.eager = true
-		leader, follower := lagBehind(s)
+		leader, follower := withLaggingFollower(s)
 		s.slowDisks[leader.address] = 300 * time.Millisecond
 		So(s.run(time.Second), ShouldBeNil)
 		follower.start()
@@ -186,8 +186,8 @@
 		groups = append(groups, "jobs/a")
 		whole := narrow
 		whole.ChunkBytes = 4000
-		s := calmWith(4, whole, groups...)
-		_, follower := lagBehind(s)
+		s := quietClusterWith(4, whole, groups...)
+		_, follower := withLaggingFollower(s)
 		s.busy = false
 		follower.start()
 		behind := func() (count int) {
@@ -200,8 +200,8 @@
 		So(behind(), ShouldEqual, 0)
 	})
 	Convey("A leader whose processor takes long to make a snapshot keeps its term meanwhile, and needs no second one", t, func() {
-		s := calmWith(4, narrow, "jobs/a")
-		leader, follower := lagBehind(s)
+		s := quietClusterWith(4, narrow, "jobs/a")
+		leader, follower := withLaggingFollower(s)
 		term := leader.core.group("jobs/a").leading.termNumber
 		delete(s.traffic.snapshots, follower.address)
 		leader.core.spawn = func(work func()) { leader.later(3*time.Second, work) }
@@ -215,7 +215,7 @@
 		So(leader.core.group("jobs/a").leading.termNumber, ShouldEqual, term)
 	})
 	Convey("A follower that does not answer holds up no other's snapshot", t, func() {
-		s := calmWith(4, narrow, "jobs/a")
+		s := quietClusterWith(4, narrow, "jobs/a")
 		leader := s.leader("jobs/a")
 		var others []*simulatedNode
 		for _, address := range s.view.Members {
@@ -240,8 +240,8 @@
 func TestACandidateWithAnOldState(t *testing.T) {
 	Convey("It fetches the newest state in parts before it leads", t, func() {
 		for seed := range uint64(10) {
-			s := calmWith(seed, narrow, "jobs/a")
-			leader, old := lagBehind(s)
+			s := quietClusterWith(seed, narrow, "jobs/a")
+			leader, old := withLaggingFollower(s)
 			var newest *simulatedNode
 			for _, address := range s.view.Members {
 				if n := s.nodes[address]; n != leader && n != old {
@@ -258,13 +258,13 @@
 			So(s.until(6*time.Second, led), ShouldBeNil)
 			So(s.leader("jobs/a") == old, ShouldBeTrue)
 			So(s.traffic.fetched, ShouldBeGreaterThan, 1)
-			So(decodeMark(old.disk.Table("group/jobs/a")[markKey]).before(committed), ShouldBeFalse)
+			So(decodeVersion(old.disk.Table("group/jobs/a")[versionKey]).before(committed), ShouldBeFalse)
 			So(s.run(time.Second), ShouldBeNil)
 		}
 	})
 	Convey("A state that was fetched takes the place of an older one only", t, func() {
-		s, n := lone(defects{})
-		So(n.take(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
+		s, n := singleReplica(defects{})
+		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
 		So(s.run(time.Second), ShouldBeNil)
 		fetched := func(position Position) byte {
 			n.step(func() {
@@ -281,8 +281,8 @@
 		So(decodeMeta(n.disk.Table("group-meta/jobs/a")).term, ShouldEqual, 8)
 	})
 	Convey("A member gives its state as of the position that was asked for, and no other", t, func() {
-		_, n := lone(defects{})
-		So(n.take(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
+		_, n := singleReplica(defects{})
+		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
 		given := func(position Position, chunk uint32) (answer snapshotReply) {
 			request := snapshotRequest{Group: "jobs/a", View: 1, Position: position, Chunk: chunk}
 			n.step(func() { n.core.serveSnapshot(request, func(reply snapshotReply) { answer = reply }) })
@@ -291,11 +291,11 @@
 		So(given(Position{7, 3}, 0), ShouldResemble, snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
 		So(given(Position{7, 3}, 1).Chunks, ShouldEqual, 0)
 		So(given(Position{7, 2}, 0).Chunks, ShouldEqual, 0)
-		So(n.take(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
+		So(n.append(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
 		So(given(Position{7, 3}, 0).Chunks, ShouldEqual, 0)
 	})
 	Convey("One that is given another position's parts, or none, begins again", t, func() {
-		s, n := lone(defects{})
+		s, n := singleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() { g.startFetch("x", Position{5, 9}) })
 		n.step(func() { g.fetching.receiveChunk(snapshotReply{}, nil) })
@@ -306,7 +306,7 @@
 
 func TestAVoteWithoutItsState(t *testing.T) {
 	Convey("A candidate does not lead with a position whose state it does not have", t, func() {
-		s, n := lone(defects{})
+		s, n := singleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() {
 			g.startCampaign()
--- a/internal/controlplane/replication/chaos_test.go
+++ b/internal/controlplane/replication/chaos_test.go
@@ -14,7 +14,7 @@
 // fault brings one random fault and ends it some time later.
 func (s *simulation) fault() {
 	if s.badDisks && s.random.IntN(4) == 0 {
-		s.spoilDisks()
+		s.diskFault()
 		return
 	}
 	kinds := 10
@@ -23,7 +23,7 @@
 	}
 	switch s.random.IntN(kinds) {
 	case 0, 1:
-		s.restart(s.anyone(), s.between(0, 2500*time.Millisecond), false)
+		s.restart(s.randomNode(), s.between(0, 2500*time.Millisecond), false)
 	case 2:
 		s.loseDisk()
 	case 3:
@@ -31,12 +31,12 @@
 			s.restart(s.nodes[address], s.between(0, time.Second), false)
 		}
 	case 4, 5:
-		s.cut(s.random.IntN(2) == 0)
+		s.partition(s.random.IntN(2) == 0)
 	case 6:
-		n := s.anyone()
+		n := s.randomNode()
 		n.frozenUntil = s.now + s.between(200*time.Millisecond, 3*time.Second)
 	case 7:
-		address := s.anyone().address
+		address := s.randomNode().address
 		s.slowDisks[address] = s.between(0, 700*time.Millisecond)
 		s.at(s.between(0, 4*time.Second), func() { delete(s.slowDisks, address) })
 	case 8:
@@ -49,7 +49,7 @@
 	}
 }
 
-func (s *simulation) anyone() *simulatedNode {
+func (s *simulation) randomNode() *simulatedNode {
 	return s.nodes[s.view.Members[s.random.IntN(len(s.view.Members))]]
 }
 
@@ -69,7 +69,7 @@
 			lost++
 		}
 	}
-	if n := s.anyone(); lost < (len(s.view.Members)-1)/2 && n.up && !n.lost {
+	if n := s.randomNode(); lost < (len(s.view.Members)-1)/2 && n.up && !n.lost {
 		s.restart(n, s.between(0, time.Second), true)
 	}
 }
@@ -83,7 +83,7 @@
 		}
 	}
 	old := s.view
-	leaving := s.anyone()
+	leaving := s.randomNode()
 	entering := fmt.Sprintf("10.0.1.%d:7000", len(s.machines)+1)
 	members := slices.DeleteFunc(slices.Clone(old.Members), func(address string) bool { return address == leaving.address })
 	s.view = replicaset.View{Version: old.Version + 1, Members: append(members, entering)}
@@ -103,14 +103,14 @@
 	s.at(s.between(3*time.Second, 10*time.Second), func() { leaving.kill(true) })
 }
 
-func (s *simulation) cut(oneWay bool) {
-	one, other := s.anyone().address, s.anyone().address
+func (s *simulation) partition(oneWay bool) {
+	one, other := s.randomNode().address, s.randomNode().address
 	length := s.between(200*time.Millisecond, 4*time.Second)
-	s.cuts[link{one, other}] = true
-	s.at(length, func() { delete(s.cuts, link{one, other}) })
+	s.partitions[link{one, other}] = true
+	s.at(length, func() { delete(s.partitions, link{one, other}) })
 	if !oneWay {
-		s.cuts[link{other, one}] = true
-		s.at(length, func() { delete(s.cuts, link{other, one}) })
+		s.partitions[link{other, one}] = true
+		s.at(length, func() { delete(s.partitions, link{other, one}) })
 	}
 }
 
@@ -126,8 +126,8 @@
 	}
 }
 
-// storm runs a simulation through faults, then heals everything and expects leaders again.
-func (s *simulation) storm(span time.Duration) error {
+// randomFaults runs a simulation through faults, then heals everything and expects leaders again.
+func (s *simulation) randomFaults(span time.Duration) error {
 	s.start()
 	if err := s.run(2 * time.Second); err != nil {
 		return err
@@ -152,13 +152,13 @@
 	return nil
 }
 
-// stormSpan is long enough for a dozen faults.
-const stormSpan = 20 * time.Second
+// faultSpan is long enough for a dozen faults.
+const faultSpan = 20 * time.Second
 
 // seeds is how many storms of a kind there are. Nothing is concurrent in them, so few do under the race detector.
 func seeds(usual int) uint64 {
-	if *stormSeeds > 0 {
-		return uint64(*stormSeeds)
+	if *randomFaultSeeds > 0 {
+		return uint64(*randomFaultSeeds)
 	}
 	if raceflag.On || testing.Short() {
 		return 2
@@ -166,10 +166,10 @@
 	return uint64(usual)
 }
 
-var stormSeeds = flag.Int("storms", 0, "storms of each kind; 0 for the usual number")
+var randomFaultSeeds = flag.Int("schedules", 0, "schedules of random faults of each kind; 0 for the usual number")
 
 // Whatever happens, there is at most one leader with a lease, nothing committed is lost, and all goes on afterwards.
-func TestStorms(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	kinds := []struct {
 		name      string
 		members   int
@@ -186,7 +186,7 @@
 			for seed := range seeds(25) {
 				s := newSimulation(seed, kind.members, defects{}, Timing{})
 				s.exchanges, s.badDisks = kind.exchanges, kind.badDisks
-				if err := s.storm(stormSpan); err != nil {
+				if err := s.randomFaults(faultSpan); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
 				commits += s.history.commits
--- a/internal/controlplane/replication/checker_test.go
+++ b/internal/controlplane/replication/checker_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// markKey holds the mark of the newest proposal in each state of the simulation.
-const markKey = "mark"
+// versionKey holds the mark of the newest proposal in each state of the simulation.
+const versionKey = "mark"
 
-// mark numbers the proposals of a term from 1; a term's base state bears the mark of an earlier term.
-type mark struct{ term, index uint64 }
+// version numbers the proposals of a term from 1; a term's base state bears the mark of an earlier term.
+type version struct{ term, index uint64 }
 
-func (m mark) before(other mark) bool {
+func (m version) before(other version) bool {
 	return m.term < other.term || m.term == other.term && m.index < other.index
 }
 
-func (m mark) encode() []byte {
+func (m version) encode() []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, m.term), m.index)
 }
 
-func decodeMark(value []byte) mark {
+func decodeVersion(value []byte) version {
 	if len(value) != 16 {
-		return mark{}
+		return version{}
 	}
-	return mark{binary.BigEndian.Uint64(value), binary.BigEndian.Uint64(value[8:])}
+	return version{binary.BigEndian.Uint64(value), binary.BigEndian.Uint64(value[8:])}
 }
 
 // recordedTerm is a term as its handler saw it.
@@ -58,14 +58,14 @@
 type checker struct {
 	simulation *simulation
 	terms      map[string]map[uint64]*recordedTerm // by group and term
-	committed  map[string]mark                     // the highest
+	committed  map[string]version                  // the highest
 	commits    int
 	elections  int
 	err        error
 }
 
 func newChecker(s *simulation) *checker {
-	c := &checker{simulation: s, terms: make(map[string]map[uint64]*recordedTerm), committed: make(map[string]mark)}
+	c := &checker{simulation: s, terms: make(map[string]map[uint64]*recordedTerm), committed: make(map[string]version)}
 	for _, group := range s.groups {
 		c.terms[group] = make(map[uint64]*recordedTerm)
 	}
@@ -101,12 +101,12 @@
 	if c.terms[group][number] != nil {
 		c.failf("%s: term %d has two leaders", group, number)
 	}
-	base := decodeMark(state[markKey])
+	base := decodeVersion(state[versionKey])
 	if base.term >= number {
 		c.failf("%s: term %d begins on a state of term %d", group, number, base.term)
 	}
 	for other, record := range c.terms[group] {
-		if other < number && record.committed > 0 && base.before(mark{other, record.committed}) {
+		if other < number && record.committed > 0 && base.before(version{other, record.committed}) {
 			c.failf("%s: term %d begins at %v without what term %d had committed, %d", group, number, base, other, record.committed)
 		}
 	}
@@ -117,8 +117,8 @@
 }
 
 // checkState verifies that a state is one that some term had.
-func (c *checker) checkState(group string, term uint64, base mark, state map[string][]byte) {
-	if base == (mark{}) {
+func (c *checker) checkState(group string, term uint64, base version, state map[string][]byte) {
+	if base == (version{}) {
 		if len(state) > 0 {
 			c.failf("%s: term %d begins on an unknown state", group, term)
 		}
@@ -145,8 +145,8 @@
 	}
 	record.committed = index
 	for other, later := range c.terms[group] {
-		base := decodeMark(later.base[markKey])
-		if other > term && base.before(mark{term, index}) {
+		base := decodeVersion(later.base[versionKey])
+		if other > term && base.before(version{term, index}) {
 			c.failf("%s: term %d committed %d though term %d had begun at %v", group, term, index, other, base)
 		}
 	}
@@ -176,7 +176,7 @@
 	}
 	if s.busy {
 		index := uint64(len(record.proposals) + 1)
-		entries := []Entry{{markKey, mark{record.term.Number(), index}.encode()}}
+		entries := []Entry{{versionKey, version{record.term.Number(), index}.encode()}}
 		for range s.random.IntN(4) {
 			entries = append(entries, n.randomEntry(index))
 		}
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -13,9 +13,9 @@
 // errDiskFull is how a store refuses a write that it has not done.
 var errDiskFull = rpcerror.WrapNotExecuted(errors.New("no room"), 0)
 
-// spoilDisks makes one disk, or now and then all, full or stalled for some time.
-func (s *simulation) spoilDisks() {
-	addresses := []string{s.anyone().address}
+// diskFault makes one disk, or now and then all, full or stalled for some time.
+func (s *simulation) diskFault() {
+	addresses := []string{s.randomNode().address}
 	if s.random.IntN(4) == 0 {
 		addresses = s.view.Members
 	}
@@ -30,8 +30,8 @@
 	}
 }
 
-// another returns a member besides a leader that does not lead the second group.
-func (s *simulation) another(leader *simulatedNode) *simulatedNode {
+// otherThan returns a member besides a leader that does not lead the second group.
+func (s *simulation) otherThan(leader *simulatedNode) *simulatedNode {
 	for _, address := range s.view.Members {
 		if n := s.nodes[address]; n != leader && !n.valid("jobs/b") {
 			return n
@@ -40,21 +40,21 @@
 	return nil
 }
 
-// same tells whether two members hold the same of a group; the simulation must be idle.
-func same(one, other *simulatedNode, group string) {
+// shouldHoldSameState tells whether two members hold the same of a group; the simulation must be idle.
+func shouldHoldSameState(one, other *simulatedNode, group string) {
 	So(one.disk.Table(stateTable(group)), ShouldResemble, other.disk.Table(stateTable(group)))
 	So(decodeMeta(one.disk.Table(metaTable(group))).position, ShouldResemble, decodeMeta(other.disk.Table(metaTable(group))).position)
 }
 
-// catchesUp expects that a member holds what the leader does once nothing is proposed any more.
-func (s *simulation) catchesUp(n *simulatedNode) {
+// shouldCatchUp expects that a member holds what the leader does once nothing is proposed any more.
+func (s *simulation) shouldCatchUp(n *simulatedNode) {
 	s.busy = false
 	So(s.run(3*time.Second), ShouldBeNil)
 	So(s.led(), ShouldBeTrue)
-	same(n, s.leader("jobs/a"), "jobs/a")
+	shouldHoldSameState(n, s.leader("jobs/a"), "jobs/a")
 }
 
-func TestDiskOfALeaderInFault(t *testing.T) {
+func TestLeaderDiskFault(t *testing.T) {
 	faults := map[string]func(*simulation, *simulatedNode){
 		"is full":    func(s *simulation, n *simulatedNode) { s.fullDisks[n.address] = true },
 		"is stalled": func(s *simulation, n *simulatedNode) { s.stalls[n.address] = s.now + time.Minute },
@@ -63,7 +63,7 @@
 		Convey("When the disk of a leader "+name+" another takes over, and the first stays a follower", t, func() {
 			var worst time.Duration
 			for seed := range seeds(25) {
-				s := calm(seed, 3)
+				s := quietCluster(seed, 3)
 				old := s.leader("jobs/a")
 				begin(s, old)
 				began := s.now
@@ -77,7 +77,7 @@
 				So(s.history.commits-before, ShouldBeGreaterThan, 100)
 				s.heal()
 				if name == "is full" {
-					s.catchesUp(old)
+					s.shouldCatchUp(old)
 				}
 			}
 			t.Logf("the disk of a leader %s: another leads after at most %v", name, worst)
@@ -89,25 +89,25 @@
 func TestALeaderWhoseDiskIsFullResigns(t *testing.T) {
 	Convey("A leader whose disk refuses a write tells the others, so that they need not wait for its lease", t, func() {
 		for seed := range seeds(25) {
-			s := calm(seed, 3)
+			s := quietCluster(seed, 3)
 			old := s.leader("jobs/a")
 			s.fullDisks[old.address] = true
 			So(s.until(time.Second, func() bool { return !old.valid("jobs/a") }), ShouldBeNil)
-			vacant := func() bool { return s.another(old).core.group("jobs/a").vacant }
+			vacant := func() bool { return s.otherThan(old).core.group("jobs/a").vacant }
 			So(s.until(300*time.Millisecond, vacant), ShouldBeNil)
 			So(vacant(), ShouldBeTrue)
 		}
 	})
 }
 
-func TestDiskOfAFollowerInFault(t *testing.T) {
+func TestFollowerDiskFault(t *testing.T) {
 	Convey("When the disk of a follower is full or stalled for a while the leaders stay, and it catches up", t, func() {
 		const length = 5 * time.Second
 		for seed := range seeds(25) {
-			s := calm(seed, 3)
+			s := quietCluster(seed, 3)
 			leader := s.leader("jobs/a")
 			term := leader.terms["jobs/a"].Number()
-			other := s.another(leader)
+			other := s.otherThan(leader)
 			if seed%2 == 0 {
 				s.fullDisks[other.address] = true
 				s.at(length, func() { delete(s.fullDisks, other.address) })
@@ -120,7 +120,7 @@
 			So(s.run(2*time.Second), ShouldBeNil)
 			So(s.leader("jobs/a") == leader, ShouldBeTrue)
 			So(leader.terms["jobs/a"].Number(), ShouldEqual, term)
-			s.catchesUp(other)
+			s.shouldCatchUp(other)
 		}
 	})
 }
@@ -129,7 +129,7 @@
 	Convey("When all disks were full leaders are back within three seconds of the end", t, func() {
 		var worst time.Duration
 		for seed := range seeds(25) {
-			s := calm(seed, 3)
+			s := quietCluster(seed, 3)
 			for _, address := range s.view.Members {
 				s.fullDisks[address] = true
 			}
@@ -142,22 +142,22 @@
 	})
 }
 
-// asked is a replica to which the test speaks as a candidate and as a leader. Nothing else runs.
-type asked struct {
+// requester is a replica to which the test speaks as a candidate and as a leader. Nothing else runs.
+type requester struct {
 	*simulation
 	node *simulatedNode
 }
 
-func newAsked() asked {
+func newRequester() requester {
 	s := newSimulation(1, 3, defects{}, Timing{})
 	n := s.nodes[s.view.Members[0]]
 	n.start()
 	So(s.run(10*time.Millisecond), ShouldBeNil)
-	return asked{s, n}
+	return requester{s, n}
 }
 
-// vote asks for a vote; without an answer within 100 ms it returns nil.
-func (a asked) vote(term uint64) *voteReply {
+// requestVote asks for a vote; without an answer within 100 ms it returns nil.
+func (a requester) vote(term uint64) *voteReply {
 	var answer *voteReply
 	request := voteRequest{Group: "jobs/a", Term: term, Candidate: "x", View: 1}
 	a.node.step(func() { a.node.core.requestVote(request, func(reply voteReply) { answer = &reply }) })
@@ -166,9 +166,9 @@
 }
 
 // batch sends the first batch of a term of the group "jobs/a"; without an answer within 100 ms it returns nil.
-func (a asked) batch(term uint64) *appendReply { return a.batchOf("jobs/a", term) }
+func (a requester) batch(term uint64) *appendReply { return a.batchOf("jobs/a", term) }
 
-func (a asked) batchOf(group string, term uint64) *appendReply {
+func (a requester) batchOf(group string, term uint64) *appendReply {
 	var answer *appendReply
 	request := appendRequest{Group: group, Term: term, Leader: "x", View: 1, Position: Position{term, 1}, Entries: []Entry{{"key", []byte("value")}}}
 	a.node.step(func() { a.node.core.append(request, func(reply appendReply) { answer = &reply }) })
@@ -176,9 +176,9 @@
 	return answer
 }
 
-func (a asked) beat(term uint64) *appendReply { return a.beatOf("jobs/a", term) }
+func (a requester) heartbeat(term uint64) *appendReply { return a.heartbeatOf("jobs/a", term) }
 
-func (a asked) beatOf(group string, term uint64) *appendReply {
+func (a requester) heartbeatOf(group string, term uint64) *appendReply {
 	var answer *appendReply
 	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, term}}}
 	a.node.step(func() { a.node.core.ping(request, func(reply pingReply) { answer = &reply.Heartbeats[0] }) })
@@ -188,7 +188,7 @@
 
 func TestReplicaWhoseDiskRefusesWrites(t *testing.T) {
 	Convey("Given a replica whose disk is full", t, func() {
-		a := newAsked()
+		a := newRequester()
 		a.fullDisks[a.node.address] = true
 		Convey("it gives no vote, says so at once, and votes again some time after there is room", func() {
 			So(a.vote(7).Granted, ShouldBeFalse)
@@ -209,19 +209,19 @@
 			So(a.batch(7).Outcome, ShouldEqual, unavailable)
 			So(a.node.disk, ShouldBeEmpty)
 			delete(a.fullDisks, a.node.address)
-			So(a.beat(7).Outcome, ShouldEqual, unavailable)
+			So(a.heartbeat(7).Outcome, ShouldEqual, unavailable)
 			So(a.run(rejectionBackoff), ShouldBeNil)
 			again := a.batch(7)
 			So(again.Outcome, ShouldEqual, accepted)
 			So(again.Position, ShouldResemble, Position{7, 1})
 			So(a.node.disk.Table(stateTable("jobs/a")), ShouldResemble, map[string][]byte{"key": []byte("value")})
-			So(a.beat(7).Outcome, ShouldEqual, accepted)
+			So(a.heartbeat(7).Outcome, ShouldEqual, accepted)
 		})
 		Convey("it takes the promise of a new leader to the disk before it answers a heartbeat", func() {
-			So(a.beat(7).Outcome, ShouldEqual, unavailable)
+			So(a.heartbeat(7).Outcome, ShouldEqual, unavailable)
 			delete(a.fullDisks, a.node.address)
 			So(a.run(rejectionBackoff), ShouldBeNil)
-			So(a.beat(7).Outcome, ShouldEqual, accepted)
+			So(a.heartbeat(7).Outcome, ShouldEqual, accepted)
 			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 7)
 		})
 		Convey("it votes no more once the store has failed for good", func() {
@@ -235,25 +235,25 @@
 
 func TestReplicaWhoseDiskIsStalled(t *testing.T) {
 	Convey("Given a replica that follows a leader and whose disk stalls", t, func() {
-		a := newAsked()
+		a := newRequester()
 		So(a.batch(7).Outcome, ShouldEqual, accepted)
 		So(a.batchOf("jobs/b", 7).Outcome, ShouldEqual, accepted)
 		a.stalls[a.node.address] = a.now + 5*time.Second
 		So(a.vote(8) == nil, ShouldBeTrue)
 		Convey("it answers heartbeats of the other group, and those of this one that its promise supersedes", func() {
-			So(a.beatOf("jobs/b", 7).Outcome, ShouldEqual, accepted)
-			So(a.beat(7).Outcome, ShouldEqual, staleTerm)
+			So(a.heartbeatOf("jobs/b", 7).Outcome, ShouldEqual, accepted)
+			So(a.heartbeat(7).Outcome, ShouldEqual, staleTerm)
 		})
 		Convey("it refuses at once what would have to wait, when the write has hung for long enough", func() {
 			So(a.run(stallLimit), ShouldBeNil)
 			So(a.batch(8).Outcome, ShouldEqual, unavailable)
 			So(a.vote(9).Granted, ShouldBeFalse)
-			So(a.beat(8).Outcome, ShouldEqual, unavailable)
+			So(a.heartbeat(8).Outcome, ShouldEqual, unavailable)
 		})
 		Convey("it goes on when the stall is over", func() {
 			So(a.run(5*time.Second), ShouldBeNil)
 			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 8)
-			So(a.beat(8).Outcome, ShouldEqual, accepted)
+			So(a.heartbeat(8).Outcome, ShouldEqual, accepted)
 		})
 	})
 }
--- a/internal/controlplane/replication/explored_test.go
+++ b/internal/controlplane/replication/explored_test.go
@@ -23,14 +23,14 @@
 type actionKind uint8
 
 const (
-	deliver  actionKind = iota // a message arrives
-	drop                       // a message is lost, and its caller learns that there is no answer
-	syncDisk                   // a write reaches the disk and is answered
-	crash                      // a process ends with its write under way lost, and starts again
-	crashOn                    // the same, but the write has reached the disk
-	lapse                      // so much time passes that every lease has run out
-	stand                      // the second candidate asks for votes
-	again                      // the first leader sends heartbeats
+	deliver        actionKind = iota // a message arrives
+	drop                             // a message is lost, and its caller learns that there is no answer
+	syncDisk                         // a write reaches the disk and is answered
+	crash                            // a process ends with its write under way lost, and starts again
+	crashAfterSync                   // the same, but the write has reached the disk
+	expireLeases                     // so much time passes that every lease has run out
+	startCampaign                    // the second candidate asks for votes
+	sendHeartbeats                   // the first leader sends heartbeats
 )
 
 // action is one step; at counts messages or members.
@@ -46,19 +46,19 @@
 }
 
 // budget bounds what can happen beside messages and writes.
-type budget struct{ drops, crashes, lapses, stands, beats int }
-
-type flight struct {
-	id    uint64
-	from  int // the caller
-	to    int
-	life  int // of the caller's process
-	call  rpc
-	reply func() // hands an answer to the caller; nil for a request
+type budget struct{ drops, crashes, leaseExpiries, campaigns, heartbeats int }
+
+type inFlightMessage struct {
+	id          uint64
+	from        int // the caller
+	to          int
+	incarnation int // of the caller's process
+	call        rpc
+	reply       func() // hands an answer to the caller; nil for a request
 }
 
 type exploredMember struct {
-	world   *explored
+	world   *exploredCluster
 	index   int
 	address string
 	life    int
@@ -70,10 +70,10 @@
 	tasks   []func()
 }
 
-type explored struct {
+type exploredCluster struct {
 	clock   time.Duration
 	members [3]*exploredMember
-	flights []flight
+	flights []inFlightMessage
 	left    budget
 	wrong   explorerDefects
 	view    replicaset.View
@@ -85,10 +85,10 @@
 }
 
 // Now implements Clock.
-func (w *explored) Now() time.Duration { return w.clock }
+func (w *exploredCluster) Now() time.Duration { return w.clock }
 
-func newExplored(limits Limits, wrong explorerDefects) *explored {
-	w := &explored{
+func newExplored(limits Limits, wrong explorerDefects) *exploredCluster {
+	w := &exploredCluster{
 		clock: time.Hour, wrong: wrong, view: replicaset.View{Version: 1, Members: []string{"a", "b", "c"}},
 		committed: make(map[uint64]uint64), bases: make(map[uint64]Position), states: make(map[Position]uint64),
 	}
@@ -133,7 +133,7 @@
 
 func (h histories) hash() uint64 { return mix(1, h[0], h[1], h[2]) }
 
-func (w *explored) histories() histories {
+func (w *exploredCluster) histories() histories {
 	return histories{w.members[0].hash, w.members[1].hash, w.members[2].hash}
 }
 
@@ -142,13 +142,13 @@
 }
 
 // after returns the histories that an action would lead to.
-func (w *explored) after(one action) histories {
+func (w *exploredCluster) after(one action) histories {
 	next := w.histories()
 	member, what := int(one.at), uint64(0)
 	switch one.kind {
-	case lapse:
+	case expireLeases:
 		for i := range next {
-			next[i] = historyWith(next[i], lapse, 0)
+			next[i] = historyWith(next[i], expireLeases, 0)
 		}
 		return next
 	case deliver, drop:
@@ -156,7 +156,7 @@
 		member, what = message.from, message.id
 		if one.kind == deliver && message.reply == nil {
 			member = message.to
-		} else if w.members[member].life != message.life {
+		} else if w.members[member].life != message.incarnation {
 			return next
 		}
 	}
@@ -180,7 +180,7 @@
 	for _, one := range effects.calls {
 		m.calls++
 		id := mix(m.hash, m.calls)
-		m.world.flights = append(m.world.flights, flight{id: id, from: m.index, to: m.world.indexOf(one.address), life: m.life, call: one})
+		m.world.flights = append(m.world.flights, inFlightMessage{id: id, from: m.index, to: m.world.indexOf(one.address), incarnation: m.life, call: one})
 	}
 	for len(m.tasks) > 0 {
 		task := m.tasks[0]
@@ -190,7 +190,7 @@
 	m.world.check(m)
 }
 
-func (w *explored) indexOf(address string) int { return slices.Index(w.view.Members, address) }
+func (w *exploredCluster) indexOf(address string) int { return slices.Index(w.view.Members, address) }
 
 func (m *exploredMember) write(one storeWrite) {
 	if m.world.wrong.answersEarly && m.index != 0 {
@@ -202,7 +202,7 @@
 }
 
 // actions lists what can happen next.
-func (w *explored) actions() []action {
+func (w *exploredCluster) actions() []action {
 	var all []action
 	for i := range w.flights {
 		all = append(all, action{deliver, uint8(i)})
@@ -217,18 +217,18 @@
 		if w.left.crashes > 0 {
 			all = append(all, action{crash, uint8(i)})
 			if len(m.writes) > 0 {
-				all = append(all, action{crashOn, uint8(i)})
+				all = append(all, action{crashAfterSync, uint8(i)})
 			}
 		}
 	}
-	if w.left.lapses > 0 {
-		all = append(all, action{lapse, 0})
+	if w.left.leaseExpiries > 0 {
+		all = append(all, action{expireLeases, 0})
 	}
-	if w.left.stands > 0 && w.left.lapses == 0 && w.members[1].idle() {
-		all = append(all, action{stand, 1})
+	if w.left.campaigns > 0 && w.left.leaseExpiries == 0 && w.members[1].idle() {
+		all = append(all, action{startCampaign, 1})
 	}
-	if w.left.beats > 0 && w.members[0].core.group(exploredGroup).leading != nil {
-		all = append(all, action{again, 0})
+	if w.left.heartbeats > 0 && w.members[0].core.group(exploredGroup).leading != nil {
+		all = append(all, action{sendHeartbeats, 0})
 	}
 	return all
 }
@@ -239,7 +239,7 @@
 }
 
 // do carries out an action.
-func (w *explored) do(one action) {
+func (w *exploredCluster) do(one action) {
 	m := w.members[one.at%3]
 	switch one.kind {
 	case deliver, drop:
@@ -257,21 +257,21 @@
 		w.members[next.to].event(deliver, next.id, func() { w.serve(next) })
 	case syncDisk:
 		w.syncOne(m)
-	case crash, crashOn:
+	case crash, crashAfterSync:
 		w.left.crashes--
 		w.restart(m, one.kind)
-	case lapse:
-		w.left.lapses--
+	case expireLeases:
+		w.left.leaseExpiries--
 		w.clock += 2 * DefaultTiming.FollowerLease
 		for _, m := range w.members {
-			m.hash = historyWith(m.hash, lapse, 0)
+			m.hash = historyWith(m.hash, expireLeases, 0)
 		}
-	case stand:
-		w.left.stands--
-		m.event(stand, 0, func() { m.campaign() })
-	case again:
-		w.left.beats--
-		m.event(again, 0, m.core.pingAll)
+	case startCampaign:
+		w.left.campaigns--
+		m.event(startCampaign, 0, func() { m.campaign() })
+	case sendHeartbeats:
+		w.left.heartbeats--
+		m.event(sendHeartbeats, 0, m.core.pingAll)
 	}
 }
 
@@ -282,13 +282,13 @@
 	g.campaigning.startVote()
 }
 
-func (w *explored) answer(next flight, step func(), kind actionKind) {
-	if m := w.members[next.from]; m.life == next.life {
+func (w *exploredCluster) answer(next inFlightMessage, step func(), kind actionKind) {
+	if m := w.members[next.from]; m.life == next.incarnation {
 		m.event(kind, next.id, step)
 	}
 }
 
-func (w *explored) syncOne(m *exploredMember) {
+func (w *exploredCluster) syncOne(m *exploredMember) {
 	one := m.writes[0]
 	m.writes = m.writes[1:]
 	m.disk.apply(one.changes, false)
@@ -298,18 +298,18 @@
 	})
 }
 
-func (w *explored) restart(m *exploredMember, kind actionKind) {
-	if kind == crashOn {
+func (w *exploredCluster) restart(m *exploredMember, kind actionKind) {
+	if kind == crashAfterSync {
 		m.disk.apply(m.writes[0].changes, false)
 	}
 	m.writes, m.tasks = nil, nil
-	w.flights = slices.DeleteFunc(w.flights, func(f flight) bool { return f.from == m.index && f.reply != nil })
+	w.flights = slices.DeleteFunc(w.flights, func(f inFlightMessage) bool { return f.from == m.index && f.reply != nil })
 	m.start(m.core.limits)
 	m.event(kind, 0, func() { w.checkState(m) })
 }
 
 // serve handles a request, whose answer is a message as well.
-func (w *explored) serve(next flight) {
+func (w *exploredCluster) serve(next inFlightMessage) {
 	m := w.members[next.to]
 	reply := func(fill func()) {
 		m.calls++
--- a/internal/controlplane/replication/exploredcheck_test.go
+++ b/internal/controlplane/replication/exploredcheck_test.go
@@ -8,14 +8,14 @@
 )
 
 // checkLease verifies after each step what must always hold.
-func (w *explored) check(m *exploredMember) {
+func (w *exploredCluster) check(m *exploredMember) {
 	if l := m.core.group(exploredGroup).leading; l != nil {
 		w.checkLeader(l)
 	}
 }
 
 // checkState verifies after a write that all that are at one position hold the same state.
-func (w *explored) checkState(m *exploredMember) {
+func (w *exploredCluster) checkState(m *exploredMember) {
 	g := m.core.group(exploredGroup)
 	if len(m.writes) > 0 || g.replica.writing {
 		return
@@ -27,7 +27,7 @@
 	w.states[position] = sum
 }
 
-func (w *explored) checkLeader(l *leadership) {
+func (w *exploredCluster) checkLeader(l *leadership) {
 	if _, known := w.bases[l.termNumber]; !known {
 		w.bases[l.termNumber] = l.history.batches[0].previous
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func (w *explored) failf(format string, arguments ...any) {
+func (w *exploredCluster) failf(format string, arguments ...any) {
 	if w.err == nil {
 		w.err = fmt.Errorf(format, arguments...)
 	}
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -12,8 +12,8 @@
 
 var exploreDepth = flag.Int("depth", 0, "actions in a row that the explorer of elections and batches goes through; 0 for the usual number")
 
-// beginning is a state from which a world is explored.
-type beginning struct {
+// explorationStart is a state from which a world is explored.
+type explorationStart struct {
 	name   string
 	limits Limits
 	lags   bool // the third member has missed a batch and gets a snapshot, in parts
@@ -21,30 +21,30 @@
 	depth  int // that takes some seconds
 }
 
-var beginnings = []beginning{
-	{"batches under way, one restart", DefaultLimits, false, budget{crashes: 1, lapses: 1, stands: 1}, 10},
-	{"batches under way, nothing fails", DefaultLimits, false, budget{lapses: 1, stands: 1}, 11},
-	{"batches under way, one restart and one loss", DefaultLimits, false, budget{drops: 1, crashes: 1, lapses: 1, stands: 1}, 7},
+var beginnings = []explorationStart{
+	{"batches under way, one restart", DefaultLimits, false, budget{crashes: 1, leaseExpiries: 1, campaigns: 1}, 10},
+	{"batches under way, nothing fails", DefaultLimits, false, budget{leaseExpiries: 1, campaigns: 1}, 11},
+	{"batches under way, one restart and one loss", DefaultLimits, false, budget{drops: 1, crashes: 1, leaseExpiries: 1, campaigns: 1}, 7},
 	{"a snapshot in parts under way, one restart", Limits{ChunkBytes: 70, RetainedBatches: 1}, true,
-		budget{drops: 1, crashes: 1, lapses: 1, stands: 1}, 7},
+		budget{drops: 1, crashes: 1, leaseExpiries: 1, campaigns: 1}, 7},
 }
 
 // prepared is a world with the member "a" as leader and its second batch proposed.
-func (b beginning) prepared(wrong explorerDefects) *explored {
+func (b explorationStart) prepared(wrong explorerDefects) *exploredCluster {
 	w := newExplored(b.limits, explorerDefects{})
 	a := w.members[0]
-	a.event(stand, 0, a.campaign)
-	w.settle(-1)
-	a.event(again, 0, a.core.pingAll) // so that it knows where both others are
-	w.settle(-1)
+	a.event(startCampaign, 0, a.campaign)
+	w.completeAppends(-1)
+	a.event(sendHeartbeats, 0, a.core.pingAll) // so that it knows where both others are
+	w.completeAppends(-1)
 	leading := a.core.group(exploredGroup).leading
 	propose := func(key string) {
-		a.event(stand, 1, func() { leading.propose([]Entry{{key, []byte{1}}, {markKey, []byte(key)}}, nil) })
+		a.event(startCampaign, 1, func() { leading.propose([]Entry{{key, []byte{1}}, {versionKey, []byte(key)}}, nil) })
 	}
 	if b.lags {
 		for _, key := range []string{"k1", "k2", "k3"} {
 			propose(key)
-			w.settle(2)
+			w.completeAppends(2)
 		}
 		w.flights = nil
 		third := leading.followers["c"]
@@ -57,8 +57,8 @@
 	return w
 }
 
-// settle lets everything happen in order, but for messages to one member.
-func (w *explored) settle(without int) {
+// completeAppends lets everything happen in order, but for messages to one member.
+func (w *exploredCluster) completeAppends(without int) {
 	for moved := true; moved; {
 		moved = false
 		for i, m := range w.members {
@@ -81,7 +81,7 @@
 type path []action
 
 // replay makes the world that a path leads to.
-func (b beginning) replay(way path, wrong explorerDefects) *explored {
+func (b explorationStart) replay(way path, wrong explorerDefects) *exploredCluster {
 	w := b.prepared(wrong)
 	for _, one := range way {
 		w.do(one)
@@ -91,7 +91,7 @@
 
 // exploration goes through all states up to a depth, nearest first.
 type exploration struct {
-	begin   beginning
+	begin   explorationStart
 	wrong   explorerDefects
 	mutex   sync.Mutex
 	visited map[uint64]struct{}
--- a/internal/controlplane/replication/failover_test.go
+++ b/internal/controlplane/replication/failover_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// calm is a simulation that has its first leaders.
-func calm(seed uint64, members int) *simulation {
+// quietCluster is a simulation that has its first leaders.
+func quietCluster(seed uint64, members int) *simulation {
 	s := newSimulation(seed, members, defects{}, Timing{})
 	s.start()
 	So(s.until(3*time.Second, s.led), ShouldBeNil)
@@ -41,7 +41,7 @@
 			Convey("when a leader is killed another follows within three seconds", func() {
 				var worst time.Duration
 				for seed := range seeds(25) {
-					s := calm(seed, members)
+					s := quietCluster(seed, members)
 					s.leader("jobs/a").kill(false)
 					worst = max(worst, s.timeToLead())
 				}
@@ -50,7 +50,7 @@
 			})
 			Convey("when a leader is cut off another follows, and the old one is not valid by then", func() {
 				for seed := range seeds(25) {
-					s := calm(seed, members)
+					s := quietCluster(seed, members)
 					old := s.leader("jobs/a")
 					s.isolate(old)
 					So(s.until(5*time.Second, func() bool { return !old.valid("jobs/a") }), ShouldBeNil)
@@ -60,7 +60,7 @@
 			Convey("when a leader resigns another follows without waiting for the lease", func() {
 				var worst time.Duration
 				for seed := range seeds(25) {
-					s := calm(seed, members)
+					s := quietCluster(seed, members)
 					s.leader("jobs/a").terms["jobs/a"].Resign()
 					worst = max(worst, s.timeToLead())
 				}
@@ -70,7 +70,7 @@
 			Convey("when all are killed at once leaders are back within three seconds of the return", func() {
 				var worst time.Duration
 				for seed := range seeds(25) {
-					s := calm(seed, members)
+					s := quietCluster(seed, members)
 					for _, n := range s.nodes {
 						n.kill(false)
 					}
@@ -90,14 +90,14 @@
 // isolate cuts a node off from all others.
 func (s *simulation) isolate(n *simulatedNode) {
 	for _, address := range s.view.Members {
-		s.cuts[link{n.address, address}] = true
-		s.cuts[link{address, n.address}] = true
+		s.partitions[link{n.address, address}] = true
+		s.partitions[link{address, n.address}] = true
 	}
 }
 
 func TestLeadershipIsSticky(t *testing.T) {
 	Convey("Given a leader", t, func() {
-		s := calm(7, 3)
+		s := quietCluster(7, 3)
 		leader := s.leader("jobs/a")
 		term := leader.terms["jobs/a"].Number()
 		stays := func() {
@@ -116,8 +116,8 @@
 			stays()
 		})
 		Convey("a replica that was cut off from it alone does not depose it", func() {
-			s.cuts[link{leader.address, other.address}] = true
-			s.cuts[link{other.address, leader.address}] = true
+			s.partitions[link{leader.address, other.address}] = true
+			s.partitions[link{other.address, leader.address}] = true
 			So(s.run(8*time.Second), ShouldBeNil)
 			stays()
 			s.heal()
@@ -143,7 +143,7 @@
 func TestLaggingReplicaCatchesUp(t *testing.T) {
 	Convey("Given a replica that was away or has lost its disk", t, func() {
 		for _, loseDisk := range []bool{false, true} {
-			s := calm(3, 3)
+			s := quietCluster(3, 3)
 			leader := s.leader("jobs/a")
 			other := s.nodes[s.view.Members[0]]
 			if other == leader {
@@ -163,7 +163,7 @@
 
 func TestContactAndLeaders(t *testing.T) {
 	Convey("Given three nodes in calm", t, func() {
-		s := calm(5, 3)
+		s := quietCluster(5, 3)
 		one := s.nodes[s.view.Members[0]]
 		contact := func(n *simulatedNode) bool { return n.core.members.contactsQuorum(s.view, s.now) }
 		Convey("each is in contact and knows the same leaders", func() {
@@ -186,7 +186,7 @@
 
 func TestOldAnswersCommitNothing(t *testing.T) {
 	Convey("Given a leader whose newest batch only one follower has answered", t, func() {
-		s := calm(5, 3)
+		s := quietCluster(5, 3)
 		s.busy = false
 		So(s.run(time.Second), ShouldBeNil)
 		l := s.leader("jobs/a").core.group("jobs/a").leading
--- a/internal/controlplane/replication/fetch.go
+++ b/internal/controlplane/replication/fetch.go
@@ -30,7 +30,7 @@
 	core.call(f.from, snapshotCall.Route(), core.timing.ChunkTimeout, request, reply, func(err error) { f.receiveChunk(*reply, err) })
 }
 
-// take adds the part that was asked for.
+// append adds the part that was asked for.
 func (f *snapshotFetch) receiveChunk(reply snapshotReply, err error) {
 	switch {
 	case !f.needed():
--- a/internal/controlplane/replication/files_test.go
+++ b/internal/controlplane/replication/files_test.go
@@ -77,8 +77,8 @@
 	n.disk = found
 }
 
-// wholeTables are the changes that replace tables by others.
-func wholeTables(tables map[string]map[string][]byte) []storage.Change {
+// replaceTables are the changes that replace tables by others.
+func replaceTables(tables map[string]map[string][]byte) []storage.Change {
 	var changes []storage.Change
 	for name, table := range tables {
 		changes = append(changes, storage.Change{Table: name})
--- a/internal/controlplane/replication/follower.go
+++ b/internal/controlplane/replication/follower.go
@@ -24,7 +24,7 @@
 	return &follower{matchSentAt: never, acknowledgedAt: never, lastAppendEnded: never}
 }
 
-// vote notes an answer. A lower sequence replaces a higher one only when that has become too old to count.
+// requestVote notes an answer. A lower sequence replaces a higher one only when that has become too old to count.
 func (f *follower) acknowledge(index uint64, sent, now, replyTimeout time.Duration) {
 	if index >= f.matchIndex || now-f.matchSentAt > replyTimeout {
 		f.matchIndex, f.matchSentAt = index, sent
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -33,7 +33,7 @@
 	if leader == g.core.self {
 		return
 	}
-	g.core.leaders.updateGroup(g.name, feed.Leader{Address: leader, Epoch: term})
+	g.core.leaders.updateGroup(g.name, feed.Leader{Address: leader, Term: term})
 	if g.campaigning != nil && g.campaigning.term <= term {
 		g.campaigning.abandon()
 	}
--- a/internal/controlplane/replication/hugestate_test.go
+++ b/internal/controlplane/replication/hugestate_test.go
@@ -38,7 +38,7 @@
 const (
 	lostChunk       = 2  // it does not arrive
 	unansweredChunk = 4  // it arrives, and its answer does not
-	doubledChunk    = 6  // it arrives twice
+	duplicatedChunk = 6  // it arrives twice
 	lateChunk       = 8  // an older one arrives before it once more
 	earlyChunk      = 10 // the one after the next arrives before it
 	oldChunk        = 12 // one of the leader before arrives before it
@@ -50,24 +50,24 @@
 type chunkFaults struct {
 	target string
 
-	mu      sync.Mutex
-	struck  map[uint32]bool        // faults that have struck, by their part
-	first   appendRequest          // the first part of the first leader's snapshot
-	midway  chan uint64            // gets the term of the first snapshot once half of it has arrived
-	stopped uint64                 // that snapshot's term, of which nothing passes any more; 0 before
-	chunks  uint32                 // of the newest snapshot
-	largest int                    // bytes of entries in one message
-	odd     map[uint32]appendReply // answers to parts that were not in their turn, by the part that was
+	mu         sync.Mutex
+	injected   map[uint32]bool        // faults that have struck, by their part
+	first      appendRequest          // the first part of the first leader's snapshot
+	midway     chan uint64            // gets the term of the first snapshot once half of it has arrived
+	stopped    uint64                 // that snapshot's term, of which nothing passes any more; 0 before
+	chunks     uint32                 // of the newest snapshot
+	largest    int                    // bytes of entries in one message
+	outOfOrder map[uint32]appendReply // answers to parts that were not in their turn, by the part that was
 }
 
 func newChunkFaults(target string) *chunkFaults {
 	return &chunkFaults{
-		target: target, struck: make(map[uint32]bool), midway: make(chan uint64, 1), odd: make(map[uint32]appendReply),
+		target: target, injected: make(map[uint32]bool), midway: make(chan uint64, 1), outOfOrder: make(map[uint32]appendReply),
 	}
 }
 
-// carry passes a call on, with what harms it.
-func (f *chunkFaults) carry(address string, request any, deliver func(request any, reply *appendReply) error) error {
+// deliver passes a call on, with what harms it.
+func (f *chunkFaults) deliver(address string, request any, deliver func(request any, reply *appendReply) error) error {
 	chunk, isAppend := request.(appendRequest)
 	if !isAppend || address != f.target || !chunk.Snapshot || chunk.Chunks < 2 {
 		return deliver(request, nil)
@@ -77,17 +77,17 @@
 	if chunk.Term == f.stopped || f.stopsAt(chunk) {
 		return errOnTheWay
 	}
-	f.note(chunk)
+	f.recordChunk(chunk)
 	if chunk.Term != f.first.Term {
-		if err := f.strike(chunk, deliver); err != nil {
+		if err := f.injectFault(chunk, deliver); err != nil {
 			return err
 		}
 	}
 	return deliver(chunk, nil)
 }
 
-// note counts a part, and keeps the first one of all.
-func (f *chunkFaults) note(chunk appendRequest) {
+// recordChunk counts a part, and keeps the first one of all.
+func (f *chunkFaults) recordChunk(chunk appendRequest) {
 	f.chunks = chunk.Chunks
 	sum := 0
 	for _, entry := range chunk.Entries {
@@ -109,44 +109,44 @@
 	return true
 }
 
-// strike harms a part of a later snapshot once, by its number.
-func (f *chunkFaults) strike(chunk appendRequest, deliver func(request any, reply *appendReply) error) error {
-	if f.struck[chunk.Chunk] {
+// injectFault harms a part of a later snapshot once, by its number.
+func (f *chunkFaults) injectFault(chunk appendRequest, deliver func(request any, reply *appendReply) error) error {
+	if f.injected[chunk.Chunk] {
 		return nil
 	}
-	f.struck[chunk.Chunk] = true
+	f.injected[chunk.Chunk] = true
 	switch chunk.Chunk {
 	case lostChunk:
 		return errOnTheWay
 	case unansweredChunk:
 		deliver(chunk, new(appendReply))
 		return errOnTheWay
-	case doubledChunk:
-		return f.deliverOdd(chunk, chunk, deliver)
+	case duplicatedChunk:
+		return f.deliverOutOfOrder(chunk, chunk, deliver)
 	case lateChunk:
 		older := chunk
 		older.Chunk, older.Entries = 1, f.first.Entries
-		return f.deliverOdd(chunk, older, deliver)
+		return f.deliverOutOfOrder(chunk, older, deliver)
 	case earlyChunk:
 		later := chunk
 		later.Chunk += 2
-		return f.deliverOdd(chunk, later, deliver)
+		return f.deliverOutOfOrder(chunk, later, deliver)
 	case oldChunk:
-		return f.deliverOdd(chunk, f.first, deliver)
+		return f.deliverOutOfOrder(chunk, f.first, deliver)
 	}
 	return nil
 }
 
-// deliverOdd delivers a part that is not in its turn, and notes the answer. Where there is none, as on a busy machine, the
+// deliverOutOfOrder delivers a part that is not in its turn, and notes the answer. Where there is none, as on a busy machine, the
 // part in turn is lost as well, and the fault strikes when that is sent again.
-func (f *chunkFaults) deliverOdd(inTurn, odd appendRequest, deliver func(request any, reply *appendReply) error) error {
+func (f *chunkFaults) deliverOutOfOrder(inTurn, odd appendRequest, deliver func(request any, reply *appendReply) error) error {
 	var reply appendReply
 	err := deliver(odd, &reply)
 	if err != nil {
-		delete(f.struck, inTurn.Chunk)
+		delete(f.injected, inTurn.Chunk)
 		return err
 	}
-	f.odd[inTurn.Chunk] = reply
+	f.outOfOrder[inTurn.Chunk] = reply
 	return nil
 }
 
@@ -155,18 +155,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	So(f.largest, ShouldBeLessThanOrEqualTo, DefaultLimits.ChunkBytes)
-	So(f.struck[lostChunk] && f.struck[unansweredChunk], ShouldBeTrue)
-	So(f.odd[oldChunk].Outcome, ShouldEqual, staleTerm)
-	for inTurn, wanted := range map[uint32]uint32{doubledChunk: doubledChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
-		So(f.odd[inTurn].Outcome, ShouldEqual, incomplete)
-		So(f.odd[inTurn].NextChunk, ShouldEqual, wanted)
+	So(f.injected[lostChunk] && f.injected[unansweredChunk], ShouldBeTrue)
+	So(f.outOfOrder[oldChunk].Outcome, ShouldEqual, staleTerm)
+	for inTurn, wanted := range map[uint32]uint32{duplicatedChunk: duplicatedChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
+		So(f.outOfOrder[inTurn].Outcome, ShouldEqual, incomplete)
+		So(f.outOfOrder[inTurn].NextChunk, ShouldEqual, wanted)
 	}
 }
 
 // A group's state is larger than one message may be. A replica that was away gets it in parts; half-way its leader dies, and
 // the next leader's parts are lost, doubled, late, early, and mixed with one of the leader before. The state is 12 MB under
 // the race detector, which would take several times the memory of the whole; the gate plays the whole without it.
-func TestAStateThatFitsIntoNoMessage(t *testing.T) {
+func TestSnapshotLargerThanAMessage(t *testing.T) {
 	Convey("A replica without a state that fits into no message gets it in parts, and counts", t, func() {
 		stores := make(map[string]*noticed)
 		c := startClusterOn(3, func(address string) storage.Store {
@@ -277,7 +277,7 @@
 	if r.address == faults.target && route == voteCall.Route() {
 		return errOnTheWay
 	}
-	return faults.carry(address, request, func(request any, other *appendReply) error {
+	return faults.deliver(address, request, func(request any, other *appendReply) error {
 		if other != nil {
 			return r.client.Call(ctx, address, route, request, other)
 		}
--- a/internal/controlplane/replication/leaders.go
+++ b/internal/controlplane/replication/leaders.go
@@ -25,7 +25,7 @@
 func (t *leaderTable) update(leaders map[string]feed.Leader) {
 	var next map[string]feed.Leader
 	for group, leader := range leaders {
-		if leader.Epoch <= t.byGroup[group].Epoch {
+		if leader.Term <= t.byGroup[group].Term {
 			continue
 		}
 		if next == nil {
@@ -42,7 +42,7 @@
 }
 
 func (t *leaderTable) updateGroup(group string, leader feed.Leader) {
-	if leader.Epoch > t.byGroup[group].Epoch {
+	if leader.Term > t.byGroup[group].Term {
 		t.update(map[string]feed.Leader{group: leader})
 	}
 }
@@ -54,7 +54,7 @@
 		content = append(content, 0)
 		content = append(content, leaders[group].Address...)
 		content = append(content, 0)
-		content = binary.BigEndian.AppendUint64(content, leaders[group].Epoch)
+		content = binary.BigEndian.AppendUint64(content, leaders[group].Term)
 	}
 	return xxh3.Hash(content)
 }
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -199,7 +199,7 @@
 	l.core.log.Info("leading", zap.String("group", l.group.name), zap.Uint64("term", l.termNumber))
 	state := l.core.store.Table(stateTable(l.group.name))
 	l.handle.announceElected(state)
-	l.core.leaders.updateGroup(l.group.name, feed.Leader{Address: l.core.self, Epoch: l.termNumber})
+	l.core.leaders.updateGroup(l.group.name, feed.Leader{Address: l.core.self, Term: l.termNumber})
 }
 
 // renewLease sets the lease by the requests that a majority has answered.
--- a/internal/controlplane/replication/lease_test.go
+++ b/internal/controlplane/replication/lease_test.go
@@ -20,7 +20,7 @@
 		So(leader, ShouldNotBeNil)
 		term := leader.terms[group]
 		for _, other := range s.view.Members {
-			s.cuts[link{leader.address, other}], s.cuts[link{other, leader.address}] = true, true
+			s.partitions[link{leader.address, other}], s.partitions[link{other, leader.address}] = true, true
 		}
 		So(s.until(time.Second, func() bool { return !term.Valid() }), ShouldBeNil)
 
@@ -35,7 +35,7 @@
 		Convey("it confirms once a majority has answered again", func() {
 			confirmed := false
 			term.Propose(nil, func() { confirmed = true })
-			clear(s.cuts)
+			clear(s.partitions)
 			So(s.until(time.Second, func() bool { return confirmed }), ShouldBeNil)
 			So(confirmed, ShouldBeTrue)
 		})
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -216,7 +216,7 @@
 				for {
 					changed := r.node.Changed()
 					leader := r.node.Leaders()["jobs/x"]
-					if leader.Address == first.node.address && leader.Epoch == first.term.Number() {
+					if leader.Address == first.node.address && leader.Term == first.term.Number() {
 						break
 					}
 					_, err := await(changed)
--- a/internal/controlplane/replication/parts_test.go
+++ b/internal/controlplane/replication/parts_test.go
@@ -175,12 +175,12 @@
 func (s *simulation) chunksFault() {
 	switch s.random.IntN(4) {
 	case 0: // away for a while, and another one after it
-		s.restart(s.anyone(), s.between(0, 1500*time.Millisecond), false)
+		s.restart(s.randomNode(), s.between(0, 1500*time.Millisecond), false)
 	case 1: // a leader goes while a replica lags behind it
 		if leader := s.leader("jobs/a"); leader != nil {
-			other := s.anyone()
-			s.cuts[link{leader.address, other.address}] = true
-			s.at(s.between(0, 2*time.Second), func() { delete(s.cuts, link{leader.address, other.address}) })
+			other := s.randomNode()
+			s.partitions[link{leader.address, other.address}] = true
+			s.at(s.between(0, 2*time.Second), func() { delete(s.partitions, link{leader.address, other.address}) })
 			s.at(s.between(0, time.Second), func() {
 				if !s.healed {
 					s.restart(leader, s.between(0, time.Second), false)
--- a/internal/controlplane/replication/simulatednode_test.go
+++ b/internal/controlplane/replication/simulatednode_test.go
@@ -83,7 +83,7 @@
 		}
 		n.later(s.between(0, 20*time.Millisecond), func() {
 			other := s.nodes[address]
-			if !other.up || !other.ready || other.view.Version < n.view.Version || other.frozenUntil > s.now || s.cuts[link{n.address, address}] || s.cuts[link{address, n.address}] {
+			if !other.up || !other.ready || other.view.Version < n.view.Version || other.frozenUntil > s.now || s.partitions[link{n.address, address}] || s.partitions[link{address, n.address}] {
 				return
 			}
 			copies = append(copies, other.disk.clone())
@@ -94,7 +94,7 @@
 			n.later(100*time.Millisecond, n.rebuild)
 			return
 		}
-		n.put(wholeTables(MergeTables(copies)))
+		n.put(replaceTables(MergeTables(copies)))
 		n.lost, n.ready = false, true
 		n.step(func() {})
 	})
@@ -194,7 +194,7 @@
 }
 
 func (s *simulation) drops(from, to string) bool {
-	return s.cuts[link{from, to}] || s.random.Float64() < s.loss
+	return s.partitions[link{from, to}] || s.random.Float64() < s.loss
 }
 
 func (n *simulatedNode) call(one rpc) {
@@ -279,20 +279,20 @@
 		switch one.route.Path() {
 		case voteCall.Path():
 			request := decode[voteRequest](body)
-			n.disguise(&request.View)
+			n.corruptView(&request.View)
 			n.core.requestVote(request, func(r voteReply) { reply(r) })
 		case appendCall.Path():
 			request := decode[appendRequest](body)
-			n.spoil(request)
-			n.disguise(&request.View)
+			n.corruptAppend(request)
+			n.corruptView(&request.View)
 			n.core.append(request, func(r appendReply) { reply(r) })
 		case snapshotCall.Path():
 			request := decode[snapshotRequest](body)
-			n.disguise(&request.View)
+			n.corruptView(&request.View)
 			n.core.serveSnapshot(request, func(r snapshotReply) { reply(r) })
 		case pingCall.Path():
 			request := decode[pingRequest](body)
-			n.disguise(&request.View)
+			n.corruptView(&request.View)
 			n.core.ping(request, func(r pingReply) { reply(r) })
 		case resignCall.Path():
 			n.core.leaderResigned(decode[resignRequest](body))
@@ -301,8 +301,8 @@
 	})
 }
 
-// spoil makes the replica take what it must refuse, when the defect is on.
-func (n *simulatedNode) spoil(request appendRequest) {
+// corruptAppend makes the replica take what it must refuse, when the defect is on.
+func (n *simulatedNode) corruptAppend(request appendRequest) {
 	r := &n.core.group(request.Group).replica
 	if r.writing || request.Term != r.currentTerm {
 		return
@@ -310,13 +310,13 @@
 	if n.simulation.defects.acceptStale && request.Snapshot {
 		r.position = Position{}
 	}
-	if n.simulation.defects.keepOldBatches && !request.Snapshot {
+	if n.simulation.defects.acceptsMismatch && !request.Snapshot {
 		r.position = request.Previous
 	}
 }
 
-// disguise makes a request seem to be of this replica's view, when the defect is on.
-func (n *simulatedNode) disguise(view *uint64) {
+// corruptView makes a request seem to be of this replica's view, when the defect is on.
+func (n *simulatedNode) corruptView(view *uint64) {
 	if n.simulation.defects.ignoreViews {
 		*view = max(*view, n.view.Version)
 	}
--- a/internal/controlplane/replication/simulation_test.go
+++ b/internal/controlplane/replication/simulation_test.go
@@ -44,13 +44,13 @@
 
 // faults that make the protocol wrong; a run with one of them must be caught.
 type defects struct {
-	forgetPromises bool // promises do not reach the disk
-	forgeAnswers   bool // followers that cannot be reached seem to have synced
-	acceptStale    bool // replicas take any snapshot of the leader that they follow
-	noRebuild      bool // a lost disk is not rebuilt before the replica votes
-	forgetLeases   bool // after a restart replicas vote at once
-	keepOldBatches bool // replicas take a batch whatever state they have
-	ignoreViews    bool // replicas take part in rounds of views older than theirs
+	forgetPromises  bool // promises do not reach the disk
+	forgeAnswers    bool // followers that cannot be reached seem to have synced
+	acceptStale     bool // replicas take any snapshot of the leader that they follow
+	noRebuild       bool // a lost disk is not rebuilt before the replica votes
+	forgetLeases    bool // after a restart replicas vote at once
+	acceptsMismatch bool // replicas take a batch whatever state they have
+	ignoreViews     bool // replicas take part in rounds of views older than theirs
 }
 
 type simulation struct {
@@ -66,7 +66,7 @@
 	defects  defects
 	groups   []string
 
-	cuts       map[link]bool
+	partitions map[link]bool
 	loss       float64
 	duplicates float64
 	slowDisks  map[string]time.Duration
@@ -90,7 +90,7 @@
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[string]*simulatedNode),
 		timing: timing.withDefaults(), defects: wrong, groups: []string{"jobs/a", "jobs/b"},
-		cuts: make(map[link]bool), slowDisks: make(map[string]time.Duration), busy: true,
+		partitions: make(map[link]bool), slowDisks: make(map[string]time.Duration), busy: true,
 		fullDisks: make(map[string]bool), stalls: make(map[string]time.Duration),
 	}
 	s.now = time.Hour
@@ -158,7 +158,7 @@
 }
 
 func (s *simulation) heal() {
-	clear(s.cuts)
+	clear(s.partitions)
 	clear(s.slowDisks)
 	clear(s.fullDisks)
 	clear(s.stalls)
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -147,7 +147,7 @@
 			<-time.After(5 * time.Second)
 			So(w.stragglers(7), ShouldBeEmpty)
 			for _, a := range w.agents {
-				So(a.Snapshot().Leaders["g"].Epoch, ShouldEqual, 1)
+				So(a.Snapshot().Leaders["g"].Term, ShouldEqual, 1)
 				So(string(a.Snapshot().Configuration), ShouldEqual, "configuration 7")
 			}
 		})
--- a/internal/dataplane/agent/world_test.go
+++ b/internal/dataplane/agent/world_test.go
@@ -45,7 +45,7 @@
 		Leaders: func() map[string]feed.Leader {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
-			return map[string]feed.Leader{"g": {Address: members[0], Epoch: c.epoch}}
+			return map[string]feed.Leader{"g": {Address: members[0], Term: c.epoch}}
 		},
 		Core: func() []string { return members },
 		InContact: func() bool {
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -62,5 +62,5 @@
 		return 0, rpcerror.WrapNotExecuted(errNoLeader, 0)
 	}
 	defer end()
-	return leader.Epoch, c.caller.Call(ctx, leader.Address, call.route, call.request, reply)
+	return leader.Term, c.caller.Call(ctx, leader.Address, call.route, call.request, reply)
 }
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -32,7 +32,7 @@
 }
 
 func lead(f *follower, address string, epoch uint64) {
-	f.apply(news(1, configurationOf(1000), map[string]feed.Leader{testGroup: {Address: address, Epoch: epoch}}), f.now())
+	f.apply(news(1, configurationOf(1000), map[string]feed.Leader{testGroup: {Address: address, Term: epoch}}), f.now())
 }
 
 func submitCall(allowed time.Duration) leaderCall {
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -186,7 +186,7 @@
 	Convey("A job may belong to another group", t, func() {
 		own, second := newLeader(t).knowing(false, ""), newLeader(t).knowing(true, "queued")
 		snapshot := snapshotOf(configurationOf(3000), own.address(), 1)
-		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Epoch: 4}
+		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Term: 4}
 		f := newFixture(t, snapshot)
 		So(f.send(http.MethodGet, testPrefix+testID, "").text, ShouldEqual, `{"state":"queued"}`)
 		So(f.send(http.MethodDelete, testPrefix+testID, "").status, ShouldEqual, http.StatusOK)
@@ -194,7 +194,7 @@
 	Convey("A job is gone only if all groups say so", t, func() {
 		own, second := newLeader(t).knowing(false, ""), newLeader(t)
 		snapshot := snapshotOf(configurationOf(600), own.address(), 1)
-		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Epoch: 4}
+		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Term: 4}
 		f := newFixture(t, snapshot)
 		So(f.send(http.MethodGet, testPrefix+testID, "").status, ShouldEqual, http.StatusServiceUnavailable)
 		second.mutex.Lock()
--- a/internal/dataplane/proxy/feed_test.go
+++ b/internal/dataplane/proxy/feed_test.go
@@ -53,7 +53,7 @@
 func TestNothingGoesBack(t *testing.T) {
 	first, second := configurationOf(1000), configurationOf(2000)
 	leaders := func(epoch uint64) map[string]feed.Leader {
-		return map[string]feed.Leader{testGroup: {Address: fmt.Sprint("mixer-", epoch), Epoch: epoch}}
+		return map[string]feed.Leader{testGroup: {Address: fmt.Sprint("mixer-", epoch), Term: epoch}}
 	}
 	Convey("An older configuration or leader is not taken", t, func() {
 		f := newTestFollower()
@@ -61,7 +61,7 @@
 		So(f.apply(news(4, first, leaders(2)), f.now()), ShouldBeFalse)
 		So(f.newest().router, ShouldResemble, second)
 		So(f.newest().leaders[testGroup].Address, ShouldEqual, "mixer-3")
-		So(f.digest(), ShouldResemble, feed.Digest{ConfigurationVersion: 5, LeaderEpochs: map[string]uint64{testGroup: 3}})
+		So(f.digest(), ShouldResemble, feed.Digest{ConfigurationVersion: 5, LeaderTerms: map[string]uint64{testGroup: 3}})
 	})
 	Convey("What an agent that has just started lacks stays", t, func() {
 		f := newTestFollower()
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -124,9 +124,9 @@
 	view := f.newest()
 	epochs := make(map[string]uint64, len(view.leaders))
 	for group, leader := range view.leaders {
-		epochs[group] = leader.Epoch
+		epochs[group] = leader.Term
 	}
-	return feed.Digest{ConfigurationVersion: view.version, LeaderEpochs: epochs, MembersSum: view.members}
+	return feed.Digest{ConfigurationVersion: view.version, LeaderTerms: epochs, MembersSum: view.members}
 }
 
 // newest is the newest view.
@@ -181,7 +181,7 @@
 	defer timer.Stop()
 	for {
 		view := f.newest()
-		if view.leaders[group].Epoch > epoch {
+		if view.leaders[group].Term > epoch {
 			return
 		}
 		select {
--- a/internal/dataplane/proxy/merge.go
+++ b/internal/dataplane/proxy/merge.go
@@ -66,7 +66,7 @@
 		if !found && current {
 			continue
 		}
-		if !found || newer.Epoch < leader.Epoch {
+		if !found || newer.Term < leader.Term {
 			merged[group] = leader
 		}
 	}
@@ -86,7 +86,7 @@
 	next.changed = make(chan struct{})
 	f.view = next
 	for attempt := range f.attempts {
-		if next.leaders[attempt.group].Epoch > attempt.leader.Epoch {
+		if next.leaders[attempt.group].Term > attempt.leader.Term {
 			attempt.cancel(errNewerLeader)
 		}
 	}
--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -156,7 +156,7 @@
 		answers := leader.replace("another")
 		replies := f.background(http.MethodPost, testPrefix+string(numbered(7)), testJob)
 		So(<-answers, ShouldEqual, http.StatusMisdirectedRequest)
-		f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: next.address(), Epoch: 2} })
+		f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: next.address(), Term: 2} })
 		So((<-replies).status, ShouldEqual, http.StatusOK)
 		So(next.called(), ShouldEqual, 1)
 	})
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -228,9 +228,9 @@
 	defer a.mutex.Unlock()
 	reply := feed.WatchReply{Current: a.current, Changed: known.ConfigurationVersion != a.snapshot.ConfigurationVersion}
 	for group, leader := range a.snapshot.Leaders {
-		reply.Changed = reply.Changed || known.LeaderEpochs[group] != leader.Epoch
+		reply.Changed = reply.Changed || known.LeaderTerms[group] != leader.Term
 	}
-	reply.Changed = reply.Changed || len(known.LeaderEpochs) != len(a.snapshot.Leaders)
+	reply.Changed = reply.Changed || len(known.LeaderTerms) != len(a.snapshot.Leaders)
 	if reply.Changed {
 		snapshot := a.snapshot
 		reply.Snapshot = &snapshot
@@ -263,6 +263,6 @@
 	return feed.Snapshot{
 		ConfigurationVersion: 1,
 		Configuration:        c.raw(),
-		Leaders:              map[string]feed.Leader{testGroup: {Address: leader, Epoch: epoch}},
+		Leaders:              map[string]feed.Leader{testGroup: {Address: leader, Term: epoch}},
 	}
 }
