--- a/internal/controlplane/feed/digest.go
+++ b/internal/controlplane/feed/digest.go
@@ -7,15 +7,15 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Digest names the snapshot's state.
+// Digest returns the digest of the snapshot.
 func (s *Snapshot) Digest() Digest {
 	epochs := make(map[string]uint64, len(s.Leaders))
 	for group, leader := range s.Leaders {
-		epochs[group] = leader.Epoch
+		epochs[group] = leader.Term
 	}
 	return Digest{
 		ConfigurationVersion: s.ConfigurationVersion,
-		LeaderEpochs:         epochs,
+		LeaderTerms:          epochs,
 		MembersSum:           membersSum(s.Core, s.Agents),
 	}
 }
@@ -36,26 +36,26 @@
 	return hash.Sum64()
 }
 
-// Lacks tells whether other names a newer configuration or a newer leader than d does. Members have no order and are
-// not compared.
+// Lacks tells whether other names a newer configuration or a newer leader than d. Members have no version and are not
+// compared.
 func (d Digest) Lacks(other Digest) bool {
 	if other.ConfigurationVersion > d.ConfigurationVersion {
 		return true
 	}
-	for group, epoch := range other.LeaderEpochs {
-		if epoch > d.LeaderEpochs[group] {
+	for group, epoch := range other.LeaderTerms {
+		if epoch > d.LeaderTerms[group] {
 			return true
 		}
 	}
 	return false
 }
 
-// differsInMembers tells whether other names members, and others than d does.
+// differsInMembers tells whether other names members, and not those that d names.
 func (d Digest) differsInMembers(other Digest) bool {
 	return other.MembersSum != 0 && other.MembersSum != d.MembersSum
 }
 
-// mergedWith is s with the newer configuration and the newer leaders of both. Versions and epochs never go back.
+// mergedWith is s with the newer configuration and the newer leaders of both. Versions and epochs never decrease.
 func (s Snapshot) mergedWith(update *Snapshot) Snapshot {
 	if update.ConfigurationVersion > s.ConfigurationVersion && len(update.Configuration) > 0 {
 		s.ConfigurationVersion = update.ConfigurationVersion
@@ -64,7 +64,7 @@
 	leaders := make(map[string]Leader, len(s.Leaders))
 	maps.Copy(leaders, s.Leaders)
 	for group, leader := range update.Leaders {
-		if leader.Epoch > leaders[group].Epoch {
+		if leader.Term > leaders[group].Term {
 			leaders[group] = leader
 		}
 	}
@@ -72,7 +72,7 @@
 	return s
 }
 
-// withMembersOf is s with the members of news, unless those are not known there.
+// withMembersOf is s with the members of update, unless it has none.
 func (s Snapshot) withMembersOf(update *Snapshot) Snapshot {
 	if len(update.Core) > 0 {
 		s.Core = slices.Clone(update.Core)
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -190,7 +190,7 @@
 			So(got, ShouldEqual, i)
 		}
 
-		Convey("the next leader after its death has all that was committed, and a higher epoch", func() {
+		Convey("the next leader after its death has all that was committed, and a higher term", func() {
 			first.node.kill()
 			second := c.awaitValid()
 			So(second.node.address, ShouldNotEqual, first.node.address)
@@ -216,7 +216,7 @@
 				for {
 					changed := r.node.Changed()
 					leader := r.node.Leaders()["jobs/x"]
-					if leader.Address == first.node.address && leader.Epoch == first.term.Number() {
+					if leader.Address == first.node.address && leader.Term == first.term.Number() {
 						break
 					}
 					_, err := await(changed)
