--- a/internal/controlplane/register/acceptordiskfull_test.go
+++ b/internal/controlplane/register/acceptordiskfull_test.go
@@ -16,11 +16,7 @@
 func TestAcceptorWhoseDiskRefusesWrites(t *testing.T) {
 	convey.Convey("Given an acceptor that has accepted a state, and whose disk then refuses writes", t, func() {
 		store := storage.NewMemory()
-		acceptor := NewAcceptor(AcceptorConfig{
-			Name: testRegister, Store: store,
-			Ready: func() bool { return true },
-			View:  func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"a"}} },
-		})
+		acceptor := readyAcceptor(store, func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"a"}} })
 		first := ProposalNumber{Counter: 1, Member: "a"}
 		held := state{}.next([]byte("held"), first)
 		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: first, State: held})
@@ -37,7 +33,7 @@
 			convey.So(rpcerror.RetryAfter(err), convey.ShouldEqual, time.Second)
 			convey.So(store.Snapshot(), convey.ShouldResemble, before)
 		}
-		convey.Convey("it promises nothing, and does so once there is room", func() {
+		convey.Convey("it promises nothing, and promises once writes succeed again", func() {
 			_, err := acceptor.prepare(context.Background(), prepare)
 			checkRefused(err)
 			store.Fail(nil)
@@ -46,14 +42,14 @@
 			convey.So(answer.Outcome, convey.ShouldEqual, granted)
 			convey.So(answer.State, convey.ShouldResemble, held)
 		})
-		convey.Convey("it accepts nothing, and goes on to be read", func() {
+		convey.Convey("it accepts nothing, and still answers reads", func() {
 			_, err := acceptor.accept(context.Background(), accept)
 			checkRefused(err)
 			answer, err := acceptor.read(context.Background(), readRequest{ViewVersion: 1})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.State, convey.ShouldResemble, held)
 		})
-		convey.Convey("its failure is unclear when the store has failed for good", func() {
+		convey.Convey("its failure may have been executed when the store has failed for good", func() {
 			store.Fail(errors.New("broken"))
 			_, err := acceptor.accept(context.Background(), accept)
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
--- a/internal/controlplane/register/acceptorstorage_test.go
+++ b/internal/controlplane/register/acceptorstorage_test.go
@@ -34,9 +34,7 @@
 	text := randomText(largeText, 1)
 	Convey("Given an acceptor that has accepted a large value", t, func() {
 		store := &byteCountingStore{Memory: storage.NewMemory()}
-		acceptorOn := func(store storage.Store) *Acceptor {
-			return NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: (&cluster{}).View})
-		}
+		acceptorOn := func(store storage.Store) *Acceptor { return readyAcceptor(store, noView) }
 		acceptor := acceptorOn(store)
 		accept := func(acceptor *Acceptor, counter uint64, value string) {
 			proposalNumber := ProposalNumber{Counter: counter}
@@ -58,7 +56,7 @@
 			So(store.take(), ShouldBeLessThan, largeText/10)
 			holds(acceptor, edited(text, "more"))
 		})
-		Convey("parts of earlier values go", func() {
+		Convey("chunks of earlier values are removed", func() {
 			before := len(store.Table(name + chunksSuffix))
 			for counter := uint64(2); counter < 12; counter++ {
 				accept(acceptor, counter, edited(text, randomText(50, counter)))
@@ -68,26 +66,22 @@
 			So(store.Table(name+chunksSuffix), ShouldBeEmpty)
 			holds(acceptor, "small")
 		})
-		Convey("it is there after a restart", func() { holds(acceptorOn(store), text) })
-		Convey("a member that lost its disk gets it from copies, with what their members have accepted since", func() {
+		Convey("it is loaded after a restart", func() { holds(acceptorOn(store), text) })
+		Convey("a member that lost its disk gets it from the merged tables of others, in the newest state that they have accepted", func() {
 			other := storage.NewMemory()
 			accept(acceptorOn(other), 1, text)
 			accept(acceptorOn(other), 2, edited(text, "newer"))
 			merged, err := Merge([]storage.Tables{store.Snapshot(), other.Snapshot()})
 			So(err, ShouldBeNil)
 			rebuilt := storage.NewMemory()
-			for table, content := range merged {
-				for key, value := range content {
-					So(rebuilt.Write(storage.Change{Table: table, Key: key, Value: value}), ShouldBeNil)
-				}
-			}
+			writeTables(rebuilt, merged)
 			acceptor := acceptorOn(rebuilt)
 			holds(acceptor, edited(text, "newer"))
 			accept(acceptor, 3, text)
 			holds(acceptorOn(rebuilt), text)
 			So(len(rebuilt.Table(name+chunksSuffix)), ShouldEqual, len(store.Table(name+chunksSuffix)))
 		})
-		Convey("a lost part is told, and not taken for an empty value", func() {
+		Convey("a lost chunk is an error, and not taken for an empty value", func() {
 			for key := range store.Table(name + chunksSuffix) {
 				So(store.Write(storage.Change{Table: name + chunksSuffix, Key: key}), ShouldBeNil)
 				break
@@ -95,7 +89,7 @@
 			_, err := acceptorOn(store).load(0)
 			So(err, ShouldNotBeNil)
 		})
-		Convey("what older builds have stored whole is read", func() {
+		Convey("what older builds have stored inline is read", func() {
 			older := storage.NewMemory()
 			change, err := acceptor.encode(0, acceptedKey, acceptedState{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Value: []byte(text)}})
 			So(err, ShouldBeNil)
--- a/internal/controlplane/register/cachedstate_test.go
+++ b/internal/controlplane/register/cachedstate_test.go
@@ -12,8 +12,8 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// acceptorCaller calls acceptors in this process as they serve others, and counts the bytes of the answers to reads and of the
-// parts that were fetched.
+// acceptorCaller calls acceptors in this process, and counts the bytes of the answers to reads and of the chunks that were
+// fetched.
 type acceptorCaller struct {
 	acceptors       map[string]*Acceptor
 	readAnswerBytes chan int
@@ -23,41 +23,22 @@
 
 // Call implements transport.Caller.
 func (d *acceptorCaller) Call(ctx context.Context, address string, _ transport.Route, request, answer any) error {
-	acceptor := d.acceptors[address]
-	var err error
-	switch asked := request.(type) {
-	case prepareRequest:
-		*answer.(*reply), err = acceptor.servePrepare(ctx, asked)
+	err := serveRequest(ctx, d.acceptors[address], request, answer)
+	encoded, _ := msgpack.Marshal(answer)
+	switch request.(type) {
 	case acceptRequest:
-		*answer.(*reply), err = serveAnyAccept(ctx, acceptor, asked)
 		if answer.(*reply).Outcome == granted {
 			d.accepted <- struct{}{}
 		}
-	case pushRequest:
-		*answer.(*pushReply), err = acceptor.servePush(ctx, asked)
 	case fetchRequest:
-		result, failed := acceptor.serveFetch(ctx, asked)
-		encoded, _ := msgpack.Marshal(result)
 		d.fetchedBytes += len(encoded)
-		*answer.(*fetchReply), err = result, failed
 	case readRequest:
-		result, failed := acceptor.serveRead(ctx, asked)
-		encoded, _ := msgpack.Marshal(result)
 		d.readAnswerBytes <- len(encoded)
-		*answer.(*reply), err = result, failed
 	}
 	return err
 }
 
-// serveAnyAccept serves both forms of accept requests.
-func serveAnyAccept(ctx context.Context, acceptor *Acceptor, request acceptRequest) (reply, error) {
-	if request.Content == nil {
-		return acceptor.accept(ctx, request)
-	}
-	return acceptor.serveAccept(ctx, request)
-}
-
-// readBytes is how many bytes the answers to one read have, with the parts that it fetches.
+// readBytes is how many bytes the answers to one read have, with the chunks that it fetches.
 func (d *acceptorCaller) readBytes(reads func()) (sum int) {
 	before := d.fetchedBytes
 	reads()
@@ -69,19 +50,17 @@
 
 func TestReadTransfersNoCachedState(t *testing.T) {
 	const size = 90 << 10
-	// A text of hex digits takes half of its length, and the names of its parts a hundredth.
+	// A text of hex digits takes half of its length when packed, and the checksums of its chunks a hundredth.
 	atLeast, atMost := size/2, size/2+size/5
 	Convey("Given a register of 90 KB on three members", t, func() {
 		view := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
 		current := func() replicaset.View { return view }
 		d := &acceptorCaller{acceptors: make(map[string]*Acceptor), readAnswerBytes: make(chan int, 16), accepted: make(chan struct{}, 16)}
 		for _, member := range view.Members {
-			d.acceptors[member] = NewAcceptor(AcceptorConfig{
-				Name: "test", Store: storage.NewMemory(), Ready: func() bool { return true }, View: current,
-			})
+			d.acceptors[member] = readyAcceptor(storage.NewMemory(), current)
 		}
-		writer := New(Config{Name: "test", Self: "outside", View: current, Caller: d})
-		r := New(Config{Name: "test", Self: "reader", View: current, Caller: d})
+		writer := New(Config{Name: testRegister, Self: "outside", View: current, Caller: d})
+		r := New(Config{Name: testRegister, Self: "reader", View: current, Caller: d})
 		set := func(value string) string {
 			_, err := writer.Change(context.Background(), replaceBy(value))
 			So(err, ShouldBeNil)
@@ -90,16 +69,16 @@
 			}
 			return value
 		}
-		read := func(want string) func() {
+		read := func(expected string) func() {
 			return func() {
 				got, err := r.Read(context.Background())
 				So(err, ShouldBeNil)
-				So(string(got) == want, ShouldBeTrue)
+				So(string(got) == expected, ShouldBeTrue)
 			}
 		}
 		So(d.readBytes(read("")), ShouldBeLessThan, 1000)
 		first := set(randomText(size, 1))
-		So(d.readBytes(read(first)), ShouldBeBetween, atLeast, atMost) // once, though three answer
+		So(d.readBytes(read(first)), ShouldBeBetween, atLeast, atMost) // once, though three members answer
 		Convey("reading it again takes hardly anything", func() {
 			So(d.readBytes(read(first)), ShouldBeLessThan, 1000)
 		})
@@ -112,7 +91,7 @@
 			second := set(first[:size/2] + "changed" + first[size/2:])
 			So(d.readBytes(read(second)), ShouldBeLessThan, atLeast/4)
 		})
-		Convey("in another view a ballot may stand for another state, so it is read anew", func() {
+		Convey("in another view a proposal number may stand for another state, so it is read anew", func() {
 			view.Version = 2
 			So(d.readBytes(read(first)), ShouldBeBetween, atLeast, atMost)
 		})
--- a/internal/controlplane/register/cluster_test.go
+++ b/internal/controlplane/register/cluster_test.go
@@ -21,7 +21,7 @@
 	testLimit    = 2 * time.Minute // of simulated time
 )
 
-// mutant breaks one rule of the protocol in a test; nil breaks none.
+// brokenRule breaks one rule of the protocol in a test; nil breaks none.
 type brokenRule struct {
 	name      string
 	acceptor  func(*storage.Memory) storage.Store                                 // replaces the acceptors' store
@@ -200,7 +200,7 @@
 	c.start(address, disk, false)
 }
 
-// mayLoseDisk tells whether no more than the tolerated number of members would be without their former disk.
+// mayLoseDisk reports whether a majority of members would still have their disk if one more lost it.
 func (c *cluster) mayLoseDisk(address string) bool {
 	lost := 1
 	for _, member := range c.view.Members {
@@ -211,7 +211,7 @@
 	return lost <= len(c.view.Members)-c.view.Quorum()
 }
 
-// drainTime is how long messages may still be under way at the end of a test, in simulated time.
+// drainTime is how long messages may still be in flight at the end of a test, in simulated time.
 const drainTime = 30 * time.Second
 
 // end kills all members and lets all messages arrive.
--- a/internal/controlplane/register/diskloss_test.go
+++ b/internal/controlplane/register/diskloss_test.go
@@ -24,7 +24,7 @@
 	folder string
 }
 
-// memberCaller calls acceptors in this process, until they are started again. Those that are down answer nothing.
+// memberCaller calls acceptors in this process. Those that are down answer with an error.
 type memberCaller struct {
 	acceptors map[string]*Acceptor
 	down      map[string]bool
@@ -39,73 +39,54 @@
 	return m
 }
 
-// start opens the files of all members anew; those of the lost disks, given by member, are in an empty folder.
+// start opens the files of all members; those of the lost disks, by member, are in another, empty folder.
 func (m *fileMembers) start(lost map[string]string) {
 	m.caller = memberCaller{acceptors: make(map[string]*Acceptor), down: make(map[string]bool)}
 	m.stores = make(map[string]*storage.FileStore)
 	for _, member := range m.view.Members {
 		folder := filepath.Join(m.folder, member)
-		if other, is := lost[member]; is {
+		if other, isLost := lost[member]; isLost {
 			folder = filepath.Join(m.folder, other)
 		}
 		store, _, err := storage.Open(unsyncedFileSystem{}, folder, storage.Options{})
 		So(err, ShouldBeNil)
 		m.stores[member] = store
-		m.caller.acceptors[member] = NewAcceptor(AcceptorConfig{
-			Name: testRegister, Store: store, Ready: func() bool { return true }, View: func() replicaset.View { return m.view },
-		})
+		m.caller.acceptors[member] = readyAcceptor(store, func() replicaset.View { return m.view })
 	}
 }
 
-// rebuild gives a member that lost its disk what as many others hold as meet each majority.
+// rebuild gives a member that lost its disk the merged tables of so many others that every majority has one of them.
 func (m *fileMembers) rebuild(member string, lost map[string]string) {
 	var copies []storage.Tables
 	for _, other := range m.view.Members {
-		if _, is := lost[other]; !is && len(copies) < len(m.view.Members)-m.view.Quorum()+1 {
+		if _, isLost := lost[other]; !isLost && len(copies) < len(m.view.Members)-m.view.Quorum()+1 {
 			copies = append(copies, m.stores[other].Snapshot())
 		}
 	}
 	merged, err := Merge(copies)
 	So(err, ShouldBeNil)
-	for table, content := range merged {
-		for key, value := range content {
-			So(m.stores[member].Write(storage.Change{Table: table, Key: key, Value: value}), ShouldBeNil)
-		}
-	}
+	writeTables(m.stores[member], merged)
 }
 
 // Call implements transport.Caller.
-func (l memberCaller) Call(ctx context.Context, address string, _ transport.Route, request, answer any) (err error) {
-	if l.down[address] {
+func (c memberCaller) Call(ctx context.Context, address string, _ transport.Route, request, answer any) error {
+	if c.down[address] {
 		return errMemberDown
 	}
-	acceptor := l.acceptors[address]
-	switch asked := request.(type) {
-	case prepareRequest:
-		*answer.(*reply), err = acceptor.servePrepare(ctx, asked)
-	case acceptRequest:
-		*answer.(*reply), err = serveAnyAccept(ctx, acceptor, asked)
-	case readRequest:
-		*answer.(*reply), err = acceptor.serveRead(ctx, asked)
-	case pushRequest:
-		*answer.(*pushReply), err = acceptor.servePush(ctx, asked)
-	case fetchRequest:
-		*answer.(*fetchReply), err = acceptor.serveFetch(ctx, asked)
-	}
-	return err
+	return serveRequest(ctx, c.acceptors[address], request, answer)
 }
 
 func (m *fileMembers) register() *Register {
 	return New(Config{Name: testRegister, Self: "operator", View: func() replicaset.View { return m.view }, Caller: m.caller})
 }
 
-// Two disks are lost at the moment of an acknowledgement that rests on the smallest majority, both of them among it, and
-// all processes end at that moment.
+// Two disks are lost at the moment of an acknowledgement that rests on the smallest majority, both of them among it, and all
+// processes are killed at that moment.
 func TestAcknowledgedValueSurvivesTwoLostDisksAndPowerLoss(t *testing.T) {
 	text := randomText(3*inlineValueBytes, 1)
 	for _, size := range []int{5, 9} {
 		for second := 1; second < (size+1)/2; second++ {
-			Convey(fmt.Sprintf("What %d members have acknowledged stands without disks 0 and %d and with nothing in memory", size, second), t, func() {
+			Convey(fmt.Sprintf("What %d members have acknowledged is read without disks 0 and %d and with nothing in memory", size, second), t, func() {
 				members := newFileMembers(t.TempDir(), size)
 				for _, member := range members.view.Members[(size+1)/2:] {
 					members.caller.down[member] = true
--- a/internal/controlplane/register/history_test.go
+++ b/internal/controlplane/register/history_test.go
@@ -31,7 +31,7 @@
 	token string
 }
 
-// clientOutput is what the client heard.
+// clientOutput is the result that the client received.
 type clientOutput struct {
 	unknown bool // whether the operation ran
 	refused bool
@@ -111,7 +111,7 @@
 	})
 }
 
-// check tells whether the history is linearizable.
+// check reports whether the history is linearizable.
 func (h *history) check() porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(linearizableRegister, h.operations, 20*time.Second)
 }
--- a/internal/controlplane/register/modelcheck_test.go
+++ b/internal/controlplane/register/modelcheck_test.go
@@ -91,7 +91,7 @@
 	return int64(l.to)<<48 | int64(l.proposer)<<40 | int64(l.phase)<<36 | int64(l.proposalNumber)<<28 | int64(l.view)<<24 | int64(l.proposed)
 }
 
-// modelChecks are the parts of the world that are visited, and how deep.
+// modelChecks are the faults and operations whose state spaces are visited, and up to which depth.
 var modelChecks = []struct {
 	name    string
 	allowed faultBudget
@@ -162,7 +162,7 @@
 		{"a member that lost its disk waits for the end of open rounds", omittedRules{copiesDuringOpenRounds: true}, faultBudget{attempts: 1, diskLosses: 1, secondProposerReads: true}},
 		{"a rebuild takes a majority of the others", omittedRules{rebuildsFromOneCopy: true}, faultBudget{attempts: 1, diskLosses: 1, secondProposerReads: true}},
 		{"an acceptor answers proposers of its own view alone", omittedRules{ignoresTheView: true}, faultBudget{attempts: 1, replacement: true, secondProposerReads: true}},
-		{"who gives a newcomer a copy has learned its view", omittedRules{copiesBeforeLearningView: true}, faultBudget{attempts: 1, replacement: true, secondProposerReads: true}},
+		{"a member that gives a joining member a copy has learned its view", omittedRules{copiesBeforeLearningView: true}, faultBudget{attempts: 1, replacement: true, secondProposerReads: true}},
 	}
 	for _, rule := range rules {
 		if raceflag.On && rule.allowed.replacement {
--- a/internal/controlplane/register/modelproposer_test.go
+++ b/internal/controlplane/register/modelproposer_test.go
@@ -53,7 +53,7 @@
 	state.grants, state.granted = [3]textID{}, 0
 }
 
-// closeRound ends a round; requests that nobody has taken stay under way.
+// closeRound ends a round; requests that no member has taken stay in flight.
 func (x *transitions) closeRound(w *modelState, p int) {
 	state := &w.proposers[p]
 	pending := viewSet(state.view) &^ state.called
@@ -71,7 +71,7 @@
 	}
 }
 
-// nextAttempt gives an attempt up.
+// nextAttempt ends an attempt without success and begins the next one, if the budget allows it.
 func (x *transitions) nextAttempt(w *modelState, p int, err error) string {
 	state := &w.proposers[p]
 	x.closeRound(w, p)
@@ -142,7 +142,7 @@
 	return ""
 }
 
-// majority goes on after a round that a majority has granted.
+// majority continues after a round that a majority has granted.
 func (x *transitions) majority(w *modelState, p int) string {
 	state := &w.proposers[p]
 	if state.phase == accepting {
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -93,7 +93,7 @@
 
 func (s *oneTable) Tables() []string { return nil }
 
-// Table implements storage.Store; the explored values are small and have no parts.
+// Table implements storage.Store; the values of the model are small and have no chunks.
 func (s *oneTable) Table(name string) map[string][]byte {
 	if isChunksTable(name) {
 		return nil
@@ -246,7 +246,7 @@
 	return out
 }
 
-// certainlyNotExecuted tells whether a change that ended without success certainly had no effect.
+// certainlyNotExecuted reports whether a change that ended without success certainly had no effect.
 func certainlyNotExecuted(p *proposerModel, err error) bool {
 	change := &proposer{register: New(Config{Name: modelRegister}), proposals: make([]proposal, p.proposalCount)}
 	return rpcerror.ExecutionOf(change.changeError(err)) == rpcerror.NotExecuted
--- a/internal/controlplane/register/modelstate_test.go
+++ b/internal/controlplane/register/modelstate_test.go
@@ -7,14 +7,14 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// Extent of the explored world. Member 3 is the joining member, which takes the place of member 0.
+// Extent of the model. Member 3 is the joining member, which replaces member 0.
 const (
 	modelMembers     = 4
 	modelProposers   = 2
 	joiningMember    = 3
 	replacedMember   = 0
 	maxModelAttempts = 2 // of one change
-	maxLateRequests  = 4 // requests of earlier rounds that are still under way; older ones are dropped
+	maxLateRequests  = 4 // requests of earlier rounds that are still in flight; older ones are dropped
 	modelRegister    = "explored"
 )
 
@@ -96,7 +96,7 @@
 	longestAtBegin textID // longest value that anybody had returned when the operation began
 }
 
-// lateRequest is a request of a round that is over, still under way to some members.
+// lateRequest is a request of a round that is over, still in flight to some members.
 type lateRequest struct {
 	proposer       uint8
 	phase          proposerPhase
@@ -106,7 +106,7 @@
 	to             memberSet
 }
 
-// modelState is one state of everything. It can be compared and hashed.
+// modelState is one state of all members, proposers and late requests. It can be compared and hashed.
 type modelState struct {
 	members         [modelMembers]memberModel
 	proposers       [modelProposers]proposerModel
--- a/internal/controlplane/register/modelsteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -22,7 +22,7 @@
 	stepTimeout                     // a round ends without a majority
 	stepRestart                     // a proposer's process is killed and started again, with its disk
 	stepLoseDisk                    // a member starts again with an empty disk
-	stepCommit                      // the next view is settled; one member knows of it
+	stepCommit                      // the next view is committed; one member has learned it
 	stepLearn                       // a member learns a view
 	stepCopy                        // a member that is rebuilt gets a copy from another one
 	stepLateRequest                 // a request of a round that is over arrives
@@ -35,7 +35,7 @@
 }
 
 func (s step) String() string {
-	names := [...]string{"begin", "call", "call, answer lost", "call, learns meanwhile", "call, learns and copies meanwhile", "time-out", "restart", "lose disk", "settle", "learn view", "copy", "late request"}
+	names := [...]string{"begin", "call", "call, answer lost", "call, learns meanwhile", "call, learns and copies meanwhile", "time-out", "restart", "lose disk", "commit view", "learn view", "copy", "late request"}
 	return fmt.Sprintf("%s %d %d", names[s.kind], s.a, s.b)
 }
 
@@ -201,7 +201,7 @@
 	}
 }
 
-// mayCommit tells whether the members that stay can settle the next view: no member accepts one without itself.
+// mayCommit reports whether the members that stay can commit the next view: no member accepts one without itself.
 func (x *transitions) mayCommit(w *modelState) bool {
 	for m := range w.members {
 		if inView(1, m) && m != replacedMember && (!w.members[m].ready() || w.members[m].view != 1) {
@@ -211,7 +211,7 @@
 	return true
 }
 
-// mayLearn tells whether somebody can tell a member of a view. Those that settled it bring it to its end.
+// mayLearn reports whether a member can learn a view from another one. Those that committed it learn it in any case.
 func (x *transitions) mayLearn(w *modelState, m int, view uint8) bool {
 	if view == 2 && w.committed && w.members[m].view == 1 && inView(1, m) && m != replacedMember {
 		return true
@@ -224,7 +224,7 @@
 	return false
 }
 
-// mayCopy tells whether a member that is rebuilt gets a copy from another one now. It waits until each round is over that
+// mayCopy reports whether a member that is rebuilt gets a copy from another one now. It waits until each round is over that
 // may have counted an answer of its lost disk. A round begins with its first call: its proposer may have been frozen.
 func (x *transitions) mayCopy(w *modelState, m, giver int) bool {
 	member, other := &w.members[m], &w.members[giver]
--- a/internal/controlplane/register/rebuildwait_test.go
+++ b/internal/controlplane/register/rebuildwait_test.go
@@ -12,10 +12,10 @@
 )
 
 // A member that lost its disk must not be rebuilt while a round is open that counted one of its former answers: the
-// others may take what that round decides only after they gave their copies.
+// others may accept what that round decides only after they gave their copies.
 func TestRebuildWaitsForOpenRounds(t *testing.T) {
 	const (
-		slow  = RoundLimit - 200*time.Millisecond // on its way to a member, and still in time
+		slow  = RoundLimit - 200*time.Millisecond // delay of a request that still arrives in time
 		taken = 100 * time.Millisecond            // by then the others have answered
 	)
 	var changed, read []byte
@@ -39,7 +39,7 @@
 		cancel()
 		c.end()
 	})
-	convey.Convey("What was decided with an answer of the lost disk is still there once the disk is rebuilt", t, func() {
+	convey.Convey("A value that was committed with an answer of the lost disk is read once the disk is rebuilt", t, func() {
 		convey.So(changeErr, convey.ShouldBeNil)
 		convey.So(string(changed), convey.ShouldEqual, "a")
 		convey.So(readErr, convey.ShouldBeNil)
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -19,10 +19,6 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func replaceBy(value string) func([]byte) ([]byte, error) {
-	return func([]byte) ([]byte, error) { return []byte(value), nil }
-}
-
 // runInCluster runs a test in simulated time at three members.
 func runInCluster(t *testing.T, test func(*cluster)) {
 	virtualtime.Test(t, func(*testing.T) {
@@ -70,19 +66,19 @@
 			return []byte("a"), nil
 		})
 	})
-	convey.Convey("A change that had nothing accepted anywhere has not run", t, func() {
+	convey.Convey("A change that sent no accept request was not executed", t, func() {
 		convey.So(beforeAccept, convey.ShouldNotBeNil)
 		convey.So(rpcerror.ExecutionOf(beforeAccept), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
-	convey.Convey("A change that was sent to be accepted may have run", t, func() {
+	convey.Convey("A change that sent accept requests may have been executed", t, func() {
 		convey.So(afterAccept, convey.ShouldNotBeNil)
 		convey.So(rpcerror.ExecutionOf(afterAccept), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 	})
-	convey.Convey("A change that its function refuses has not run", t, func() {
+	convey.Convey("A change that its function refuses was not executed", t, func() {
 		convey.So(refused, convey.ShouldWrap, refusal)
 		convey.So(rpcerror.ExecutionOf(refused), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
-	convey.Convey("Nor has one that is refused at a later attempt, as the earlier one is superseded then", t, func() {
+	convey.Convey("Nor was one that is refused at a later attempt, as the earlier proposal is superseded then", t, func() {
 		convey.So(refusedLater, convey.ShouldWrap, refusal)
 		convey.So(rpcerror.ExecutionOf(refusedLater), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
@@ -97,7 +93,7 @@
 		for _, member := range []string{"member-1", "member-2"} {
 			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Lose: true, Times: 1})
 		}
-		c.network.AddRule(networktest.Rule{From: "member-0", To: "member-2", Path: "/prepare", Lose: true}) // so member 0 is heard
+		c.network.AddRule(networktest.Rule{From: "member-0", To: "member-2", Path: "/prepare", Lose: true}) // so the majority includes member 0
 		value, err = c.process("member-0").register.Change(c.ctx, func(current []byte) ([]byte, error) {
 			calls++
 			return append(append([]byte{}, current...), 'x'), nil
@@ -128,7 +124,7 @@
 		}
 		err = <-ended
 	})
-	convey.Convey("The change may have run", t, func() {
+	convey.Convey("The change may have been executed", t, func() {
 		convey.So(err, convey.ShouldWrap, errUnknownOutcome)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 	})
@@ -214,7 +210,7 @@
 		defer cancel()
 		newerErr = change(replicaset.View{Version: 3, Members: c.view.Members})
 	})
-	convey.Convey("A proposer with an older view is refused and told the newer one", t, func() {
+	convey.Convey("A proposer with an older view is refused and receives the newer one", t, func() {
 		convey.So(rpcerror.ExecutionOf(olderErr), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(learned.Version, convey.ShouldEqual, 2)
 		convey.So(learned.Members, convey.ShouldHaveLength, 3)
@@ -228,7 +224,7 @@
 func TestLocalAcceptorIsCalledDirectly(t *testing.T) {
 	convey.Convey("A register whose only member is its own process needs no network", t, func() {
 		view := func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"self"}} }
-		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: storage.NewMemory(), Ready: func() bool { return true }, View: view})
+		acceptor := readyAcceptor(storage.NewMemory(), view)
 		register := New(Config{Name: testRegister, Self: "self", Acceptor: acceptor, View: view})
 		_, err := register.Change(context.Background(), replaceBy("a"))
 		convey.So(err, convey.ShouldBeNil)
@@ -260,11 +256,10 @@
 }
 
 func TestMergeTakesHighestPromiseAndAcceptedState(t *testing.T) {
-	convey.Convey("Merged replicas have the highest promise and the state of the highest ballot", t, func() {
+	convey.Convey("Merged replicas have the highest promise and the state of the highest accepted proposal number", t, func() {
 		replicaOf := func(promised, accepted uint64, value string) storage.Tables {
 			store := storage.NewMemory()
-			view := func() replicaset.View { return replicaset.View{} }
-			acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: view})
+			acceptor := readyAcceptor(store, noView)
 			acceptor.accept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: accepted}, State: state{Value: []byte(value)}})
 			acceptor.prepare(context.Background(), prepareRequest{ProposalNumber: ProposalNumber{Counter: promised}})
 			return store.Snapshot()
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -62,10 +62,7 @@
 			store, _, err := storage.Open(unsyncedFileSystem{}, directory, storage.Options{})
 			So(err, ShouldBeNil)
 			acceptor := func(store storage.Store) *Acceptor {
-				return NewAcceptor(AcceptorConfig{
-					Name: "test", Store: store, Ready: func() bool { return true },
-					View: func() replicaset.View { return replicaset.View{Version: 1} },
-				})
+				return readyAcceptor(store, func() replicaset.View { return replicaset.View{Version: 1} })
 			}
 			before := acceptor(store)
 			for number := 1; number <= changes; number++ {
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -18,8 +18,8 @@
 const outsider = "outsider"
 
 // loseDiskDuringRound lets a proposer have its state accepted by member 2 at once and by member 0 very late. In between,
-// member 2 loses its disk and is rebuilt. It tells whether the change was acknowledged, and whether the value is still
-// there when member 0 is cut off.
+// member 2 loses its disk and is rebuilt. It reports whether the change was acknowledged, and whether the value is
+// still read when member 0 is partitioned off.
 func loseDiskDuringRound(t *testing.T, limit time.Duration) (acknowledged, stillThere bool) {
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
@@ -48,11 +48,11 @@
 	acknowledged, kept := loseDiskDuringRound(t, RoundLimit)
 	longAcknowledged, longKept := loseDiskDuringRound(t, 10*time.Second)
 	convey.Convey("A disk is lost in the middle of an accept round that counted its answer", t, func() {
-		convey.Convey("the round's limit keeps it from being acknowledged and then lost", func() {
+		convey.Convey("the round limit keeps the change from being acknowledged and then lost", func() {
 			convey.So(acknowledged, convey.ShouldBeTrue)
 			convey.So(kept, convey.ShouldBeTrue)
 		})
-		convey.Convey("without the limit it would be", func() {
+		convey.Convey("without the limit it is acknowledged and lost", func() {
 			convey.So(longAcknowledged, convey.ShouldBeTrue)
 			convey.So(longKept, convey.ShouldBeFalse)
 		})
@@ -135,7 +135,7 @@
 		value, err = c.process("member-1").register.Read(c.ctx)
 		c.end()
 	})
-	convey.Convey("The value is there after all members have lost power at once", t, func() {
+	convey.Convey("The value is read after all members have lost power at once", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(value), convey.ShouldEqual, "value")
 	})
@@ -144,7 +144,7 @@
 func TestAcceptorThatIsNotReadyRefusesAll(t *testing.T) {
 	convey.Convey("An acceptor that is not ready refuses everything and stores nothing", t, func() {
 		store := storage.NewMemory()
-		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return false }, View: (&cluster{}).View})
+		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return false }, View: noView})
 		_, prepareErr := acceptor.prepare(context.Background(), prepareRequest{ProposalNumber: ProposalNumber{Counter: 1}})
 		_, acceptErr := acceptor.accept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: 1}})
 		_, readErr := acceptor.read(context.Background(), readRequest{})
--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -36,7 +36,7 @@
 	LateBy:    2500 * time.Millisecond,
 }
 
-// simulate runs clients at all members while messages are lost, doubled and delayed, members are killed, all of them lose
+// simulate runs clients at all members while messages are lost, duplicated and delayed, members are killed, all of them lose
 // power at once, and single disks are lost.
 func simulate(t *testing.T, seed uint64, size int, broken *brokenRule) *history {
 	return simulatePadded(t, seed, size, broken, "")
@@ -107,7 +107,7 @@
 
 func TestRegisterIsLinearizable(t *testing.T) { checkSchedules(t, "") }
 
-// Large values travel by parts.
+// Large values are transferred in chunks.
 func TestRegisterOfLargeValuesIsLinearizable(t *testing.T) {
 	checkSchedules(t, randomText(5*inlineValueBytes, 1))
 }
@@ -122,7 +122,7 @@
 			}
 			succeeded += recorded.succeeded
 		}
-		convey.Convey(fmt.Sprintf("Most operations at %d members come to their end in spite of the trouble", size), t, func() {
+		convey.Convey(fmt.Sprintf("Most operations at %d members succeed in spite of the faults", size), t, func() {
 			convey.So(succeeded, convey.ShouldBeGreaterThan, 20**schedules)
 		})
 		t.Logf("%d members: %d operations succeeded", size, succeeded)
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -25,7 +25,7 @@
 	storedOther    = "10.0.0.3:7000"
 )
 
-// storedText is a value that is stored by parts, a part twice.
+// storedText is a value that is stored in chunks, one of which it has twice.
 func storedText(version int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"routes":[`, version)
@@ -41,7 +41,7 @@
 		Version: 4, Members: []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.4:7000"},
 		Zones: map[string]string{"10.0.0.4:7000": "north"}, Replaced: "10.0.0.2:7000", JoinedIncarnation: 1 << 63,
 	}
-	// The sums of the parts of the newest large value, in order; two are the same.
+	// The sums of the chunks of the newest large value, in order; two are the same.
 	storedSums = []string{
 		"898271eda4ae47c18b9b45a342ca8b21", "0fb94a82852c73ac623e8479cf593d08", "18f8d2eb4a387bbc1e37ec099a732680",
 		"18f8d2eb4a387bbc1e37ec099a732680", "d2b4efc57ffa2967c28f6892b6b390f4",
@@ -153,7 +153,7 @@
 			So(held, ShouldResemble, want)
 		}
 
-		Convey("the large value is put together from its parts", func() {
+		Convey("the large value is assembled from its chunks", func() {
 			held, err := acceptors.configuration.load(3)
 			So(err, ShouldBeNil)
 			So(held.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelf})
@@ -167,7 +167,7 @@
 			}
 			So(sums, ShouldResemble, storedSums)
 		})
-		Convey("a small value stands whole", func() {
+		Convey("a small value is inline", func() {
 			proposalNumber := ProposalNumber{Counter: 70000, Member: storedOther}
 			value := state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{proposalNumber, {Counter: 7, Member: storedSelf}}}
 			holds(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
--- a/internal/controlplane/register/succession_test.go
+++ b/internal/controlplane/register/succession_test.go
@@ -50,7 +50,7 @@
 		next := replicaset.View{Version: 2, Members: []string{"b"}}
 		holder := &mutableView{}
 		store := viewChangingStore{storage.NewMemory(), func() { holder.set(next) }}
-		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: holder.get})
+		acceptor := readyAcceptor(store, holder.get)
 		proposalNumber := ProposalNumber{Counter: 1, Member: "a"}
 		expected := reply{Outcome: viewMismatch, View: next}
 
@@ -116,7 +116,7 @@
 		convey.So(committed[1], convey.ShouldResemble, committed[0])
 		convey.So(committed[2], convey.ShouldResemble, committed[0])
 	})
-	convey.Convey("A member that has not heard of it is told when it proposes another", t, func() {
+	convey.Convey("A member that has not learned the view receives it when it proposes another", t, func() {
 		convey.So(lateErr, convey.ShouldBeNil)
 		convey.So(late, convey.ShouldResemble, committed[0])
 	})
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -19,22 +18,6 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// randomText is a text of hex digits.
-func randomText(length int, seed uint64) string {
-	random := rand.New(rand.NewPCG(seed, 0))
-	text := make([]byte, length)
-	for i := range text {
-		text[i] = "0123456789abcdef"[random.IntN(16)]
-	}
-	return string(text)
-}
-
-// largeText is larger than what an accept request carries by itself.
-const largeText = 300 << 10
-
-// edited is a text with a small change in its middle.
-func edited(text, change string) string { return text[:len(text)/2] + change + text[len(text)/2:] }
-
 // byteCountingCaller counts the bytes of calls and answers.
 type byteCountingCaller struct {
 	transport.Caller
@@ -79,11 +62,11 @@
 		value, _ := c.process("member-1").register.Read(c.ctx)
 		read = string(value)
 	})
-	convey.Convey("The first change sends it once to each member, by messages of a bounded size", t, func() {
+	convey.Convey("The first change sends it once to each member, in messages of a bounded size", t, func() {
 		convey.So(first, convey.ShouldBeBetween, 3*largeText/2, 3*largeText*3/4)
 		convey.So(most, convey.ShouldBeLessThan, maxInlineChunkBytes+maxInlineChunkBytes/2)
 	})
-	convey.Convey("Later ones send what has changed", t, func() {
+	convey.Convey("Later changes send the chunks that differ", t, func() {
 		convey.So(second, convey.ShouldBeLessThan, 3*largeText/10)
 		convey.So(third, convey.ShouldBeLessThan, 3*largeText/10)
 		convey.So(read == edited(text, "third"), convey.ShouldBeTrue)
@@ -104,7 +87,7 @@
 		_, err = proposer.Change(c.ctx, replaceBy(edited(text, "more")))
 		value, _ = c.process("member-2").register.Read(c.ctx)
 	})
-	convey.Convey("A member that missed a change is sent what it lacks, within the same round", t, func() {
+	convey.Convey("A member that missed a change is sent the missing chunks within the same round", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(value) == edited(text, "more"), convey.ShouldBeTrue)
 	})
@@ -132,7 +115,7 @@
 		}
 		bytes = weighing.take()
 	})
-	convey.Convey("What has arrived stays for the next attempt, and comes once", t, func() {
+	convey.Convey("Chunks that have arrived are kept for the next attempt, and sent once", t, func() {
 		convey.So(rpcerror.ExecutionOf(errs[0]), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(errs[len(errs)-1], convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
@@ -152,7 +135,7 @@
 		}
 		value, err = c.proposer(outsider, nil).Read(c.ctx)
 	})
-	convey.Convey("Members that hand out no parts hold up a read only for a while", t, func() {
+	convey.Convey("Members that serve no chunks delay a read only until the fetch times out", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
 	})
@@ -169,7 +152,7 @@
 	}
 	convey.Convey("Given an acceptor", t, func() {
 		store := storage.NewMemory()
-		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: (&cluster{}).View})
+		acceptor := readyAcceptor(store, noView)
 		accept := func(sent content) (reply, error) {
 			return acceptor.serveAccept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Sequence: 1}, Content: &sent})
 		}
@@ -178,13 +161,13 @@
 			convey.So(err, convey.ShouldBeNil)
 			return string(replica.accepted.State.Value)
 		}
-		convey.Convey("a value whose parts are missing is not stored, and the missing ones are named", func() {
+		convey.Convey("a value whose chunks are missing is not stored, and the answer names the missing ones", func() {
 			answer, err := accept(content{Manifest: manifest, Chunks: packed[1:]})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.Outcome, convey.ShouldEqual, chunksMissing)
 			convey.So(answer.Missing, convey.ShouldResemble, manifest.Chunks[:chunks.SumBytes])
 			convey.So(held(), convey.ShouldBeEmpty)
-			convey.Convey("once they were pushed, it is", func() {
+			convey.Convey("and is stored once they were pushed", func() {
 				_, err := acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
 				convey.So(err, convey.ShouldBeNil)
 				answer, err := accept(content{Manifest: manifest})
@@ -193,12 +176,12 @@
 				convey.So(held() == text, convey.ShouldBeTrue)
 			})
 		})
-		convey.Convey("a value that is not what its manifest names is refused as not run", func() {
+		convey.Convey("a value that is not what its manifest names is refused as not executed", func() {
 			_, err := accept(content{Manifest: spoilt, Chunks: packed})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(held(), convey.ShouldBeEmpty)
 		})
-		convey.Convey("so is what is no part at all, and no manifest", func() {
+		convey.Convey("so is what is no packed chunk, and what is no manifest", func() {
 			_, err := accept(content{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			_, err = acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{{1, 2, 3}}})
@@ -206,7 +189,7 @@
 			_, err = accept(content{Manifest: chunks.Manifest{Bytes: -1}})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		})
-		convey.Convey("parts that nobody asks to accept do not pile up", func() {
+		convey.Convey("the bytes of pushed chunks of values that nobody proposes are bounded", func() {
 			for i := range 40 {
 				chunk := chunks.Pack([]byte(randomText(8000, uint64(i))))
 				acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{chunk, chunk}})
@@ -219,7 +202,7 @@
 	})
 }
 
-// A member of an older build serves no accept requests by parts, and would take one without a value for an empty value.
+// A member of an older build serves no chunked accept requests, and would take one without a value for an empty value.
 func TestMembersOfOlderBuildsGetInlineValues(t *testing.T) {
 	text := randomText(largeText, 1)
 	var read []byte
@@ -232,13 +215,13 @@
 		c.network.Partition("member-2", true)
 		read, _ = c.process("member-1").register.Read(c.ctx)
 	})
-	convey.Convey("A majority of them holds the value", t, func() {
+	convey.Convey("A majority of them has accepted the value", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(read) == text, convey.ShouldBeTrue)
 	})
 }
 
-// serveAsOlderBuild lets a member answer as one that knows of no parts.
+// serveAsOlderBuild lets a member answer as one without chunk support.
 func (c *cluster) serveAsOlderBuild(address string) {
 	acceptor := c.process(address).register.config.Acceptor
 	mux := transport.NewMux()
@@ -248,7 +231,7 @@
 	c.network.Serve(address, mux)
 }
 
-// Several proposers change a large value while a member comes and goes.
+// All members propose changes of one large value at once.
 func TestConcurrentChangesOfLargeValues(t *testing.T) {
 	text := randomText(largeText, 1)
 	ended := 0
@@ -269,5 +252,5 @@
 		}
 		running.Wait()
 	})
-	convey.Convey("All changes end", t, func() { convey.So(ended, convey.ShouldEqual, 18) })
+	convey.Convey("All changes succeed", t, func() { convey.So(ended, convey.ShouldEqual, 18) })
 }
