--- a/internal/controlplane/register/acceptordiskfull_test.go
+++ b/internal/controlplane/register/acceptordiskfull_test.go
@@ -18,8 +18,8 @@
 		store := storage.NewMemory()
 		acceptor := readyAcceptor(store, func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"a"}} })
 		first := ProposalNumber{Counter: 1, Member: "a"}
-		held := state{}.next([]byte("held"), first)
-		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: first, State: held})
+		accepted := state{}.next([]byte("held"), first)
+		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: first, State: accepted})
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(answer.Outcome, convey.ShouldEqual, granted)
 		before := store.Snapshot()
@@ -27,7 +27,7 @@
 
 		second := ProposalNumber{Counter: 2, Member: "b"}
 		prepare := prepareRequest{ViewVersion: 1, ProposalNumber: second}
-		accept := acceptRequest{ViewVersion: 1, ProposalNumber: second, State: held.next([]byte("refused"), second)}
+		accept := acceptRequest{ViewVersion: 1, ProposalNumber: second, State: accepted.next([]byte("refused"), second)}
 		checkRefused := func(err error) {
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(rpcerror.RetryAfter(err), convey.ShouldEqual, time.Second)
@@ -40,14 +40,14 @@
 			answer, err := acceptor.prepare(context.Background(), prepare)
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.Outcome, convey.ShouldEqual, granted)
-			convey.So(answer.State, convey.ShouldResemble, held)
+			convey.So(answer.State, convey.ShouldResemble, accepted)
 		})
 		convey.Convey("it accepts nothing, and still answers reads", func() {
 			_, err := acceptor.accept(context.Background(), accept)
 			checkRefused(err)
 			answer, err := acceptor.read(context.Background(), readRequest{ViewVersion: 1})
 			convey.So(err, convey.ShouldBeNil)
-			convey.So(answer.State, convey.ShouldResemble, held)
+			convey.So(answer.State, convey.ShouldResemble, accepted)
 		})
 		convey.Convey("its failure may have been executed when the store has failed for good", func() {
 			store.Fail(errors.New("broken"))
--- a/internal/controlplane/register/acceptorstorage_test.go
+++ b/internal/controlplane/register/acceptorstorage_test.go
@@ -42,19 +42,19 @@
 			So(err, ShouldBeNil)
 			So(answer.Outcome, ShouldEqual, granted)
 		}
-		holds := func(acceptor *Acceptor, value string) {
-			held, err := acceptor.load(0)
+		loads := func(acceptor *Acceptor, value string) {
+			loaded, err := acceptor.load(0)
 			So(err, ShouldBeNil)
-			So(string(held.accepted.State.Value) == value, ShouldBeTrue)
+			So(string(loaded.accepted.State.Value) == value, ShouldBeTrue)
 		}
 		accept(acceptor, 1, text)
 		So(store.take(), ShouldBeGreaterThan, largeText)
-		holds(acceptor, text)
+		loads(acceptor, text)
 
 		Convey("a small change writes little", func() {
 			accept(acceptor, 2, edited(text, "more"))
 			So(store.take(), ShouldBeLessThan, largeText/10)
-			holds(acceptor, edited(text, "more"))
+			loads(acceptor, edited(text, "more"))
 		})
 		Convey("chunks of earlier values are removed", func() {
 			before := len(store.Table(name + chunksSuffix))
@@ -64,9 +64,9 @@
 			So(len(store.Table(name+chunksSuffix)), ShouldBeBetween, before-4, before+4)
 			accept(acceptor, 12, "small")
 			So(store.Table(name+chunksSuffix), ShouldBeEmpty)
-			holds(acceptor, "small")
+			loads(acceptor, "small")
 		})
-		Convey("it is loaded after a restart", func() { holds(acceptorOn(store), text) })
+		Convey("it is loaded after a restart", func() { loads(acceptorOn(store), text) })
 		Convey("a member that lost its disk gets it from the merged tables of others, in the newest state that they have accepted", func() {
 			other := storage.NewMemory()
 			accept(acceptorOn(other), 1, text)
@@ -76,9 +76,9 @@
 			rebuilt := storage.NewMemory()
 			writeTables(rebuilt, merged)
 			acceptor := acceptorOn(rebuilt)
-			holds(acceptor, edited(text, "newer"))
+			loads(acceptor, edited(text, "newer"))
 			accept(acceptor, 3, text)
-			holds(acceptorOn(rebuilt), text)
+			loads(acceptorOn(rebuilt), text)
 			So(len(rebuilt.Table(name+chunksSuffix)), ShouldEqual, len(store.Table(name+chunksSuffix)))
 		})
 		Convey("a lost chunk is an error, and not taken for an empty value", func() {
@@ -94,7 +94,7 @@
 			change, err := acceptor.encode(0, acceptedKey, acceptedState{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Value: []byte(text)}})
 			So(err, ShouldBeNil)
 			So(older.Write(change), ShouldBeNil)
-			holds(acceptorOn(older), text)
+			loads(acceptorOn(older), text)
 		})
 	})
 }
--- a/internal/controlplane/register/brokenprotocol_test.go
+++ b/internal/controlplane/register/brokenprotocol_test.go
@@ -16,13 +16,13 @@
 
 // Write implements storage.Store.
 func (s promiseLosingStore) Write(changes ...storage.Change) error {
-	var kept []storage.Change
+	var remaining []storage.Change
 	for _, change := range changes {
 		if !strings.HasPrefix(change.Table, TablePrefix) || change.Key != promisedKey {
-			kept = append(kept, change)
+			remaining = append(remaining, change)
 		}
 	}
-	return s.Memory.Write(kept...)
+	return s.Memory.Write(remaining...)
 }
 
 // acceptIgnoringPromise serves accept as an acceptor does that does not look at its promise.
--- a/internal/controlplane/register/cancelledchange_test.go
+++ b/internal/controlplane/register/cancelledchange_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestCancelledChangeSendsNothing(t *testing.T) {
-	const tries = 64 // of two that are ready, a choice at random takes either
+	const attempts = 64 // of two that are ready, a choice at random takes either
 	view := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
 	caller := &failingCaller{}
 	register := New(Config{Name: "test", Self: "elsewhere", Caller: caller, View: func() replicaset.View { return view }})
@@ -33,7 +33,7 @@
 	cancel()
 	ran := false
 	convey.Convey("A change whose context is over before its turn proposes nothing", t, func() {
-		for range tries {
+		for range attempts {
 			_, err := register.Change(ended, func(current []byte) ([]byte, error) { ran = true; return current, nil })
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(errors.Is(err, context.Canceled), convey.ShouldBeTrue)
--- a/internal/controlplane/register/decision.go
+++ b/internal/controlplane/register/decision.go
@@ -63,7 +63,7 @@
 	next, err := p.change(current.Value)
 	switch {
 	case err != nil:
-		return decision{state: current, refusal: &functionError{err}}, nil
+		return decision{state: current, refusal: &functionError{err}}, nil //nolint:nilerr // returned once the current state is committed
 	case unchanged(current.Value, next):
 		return decision{state: current, value: current.Value}, nil
 	}
--- a/internal/controlplane/register/history_test.go
+++ b/internal/controlplane/register/history_test.go
@@ -73,18 +73,18 @@
 }
 
 // run carries out one operation by a register and records it.
-func (h *history) run(ctx context.Context, client int, register *Register, do clientInput) {
+func (h *history) run(ctx context.Context, client int, register *Register, operation clientInput) {
 	call := h.clock.Add(1)
-	value, err := h.perform(ctx, register, do)
-	back := h.clock.Add(1)
-	heard := clientOutput{value: strings.TrimPrefix(string(value), h.padding)}
+	value, err := h.perform(ctx, register, operation)
+	returned := h.clock.Add(1)
+	result := clientOutput{value: strings.TrimPrefix(string(value), h.padding)}
 	switch {
 	case err == nil:
 	case rpcerror.ExecutionOf(err) != rpcerror.NotExecuted:
-		heard.unknown = true
-		back = math.MaxInt64
+		result.unknown = true
+		returned = math.MaxInt64
 	case errors.Is(err, errMultipleOfThree):
-		heard.refused = true
+		result.refused = true
 	default:
 		return // did not run
 	}
@@ -93,21 +93,21 @@
 	if err == nil {
 		h.succeeded++
 	}
-	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: do, Output: heard, Call: call, Return: back})
+	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: operation, Output: result, Call: call, Return: returned})
 }
 
-func (h *history) perform(ctx context.Context, register *Register, do clientInput) ([]byte, error) {
-	if do.kind == readValue {
+func (h *history) perform(ctx context.Context, register *Register, operation clientInput) ([]byte, error) {
+	if operation.kind == readValue {
 		return register.Read(ctx)
 	}
 	return register.Change(ctx, func(current []byte) ([]byte, error) {
-		if do.kind == appendUnlessAt && refusesAt(string(current)) {
+		if operation.kind == appendUnlessAt && refusesAt(string(current)) {
 			return nil, errMultipleOfThree
 		}
 		if len(current) == 0 {
 			current = []byte(h.padding)
 		}
-		return []byte(string(current) + do.token + "."), nil
+		return []byte(string(current) + operation.token + "."), nil
 	})
 }
 
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -266,10 +266,10 @@
 		}
 		merged, err := Merge([]storage.Tables{replicaOf(9, 2, "old"), {}, replicaOf(5, 3, "new")})
 		convey.So(err, convey.ShouldBeNil)
-		held, err := decodeAcceptorState(merged[TablePrefix+testRegister])
+		decoded, err := decodeAcceptorState(merged[TablePrefix+testRegister])
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(held.promised.Counter, convey.ShouldEqual, 9)
-		convey.So(string(held.accepted.State.Value), convey.ShouldEqual, "new")
+		convey.So(decoded.promised.Counter, convey.ShouldEqual, 9)
+		convey.So(string(decoded.accepted.State.Value), convey.ShouldEqual, "new")
 
 		_, err = Merge([]storage.Tables{{TablePrefix + testRegister: {promisedKey: []byte{0xc1}}}})
 		convey.So(err, convey.ShouldNotBeNil)
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -52,7 +52,7 @@
 }
 
 // A member starts again as fast after 20,000 changes of the configuration as after 2,000: its file is rewritten all the time.
-func TestRestartAfterManyChanges(t *testing.T) {
+func TestRestartTimeAfterManyChanges(t *testing.T) {
 	for _, changes := range []int{200, 2_000, 20_000} {
 		if changes > 2_000 && (raceflag.On || testing.Short()) {
 			continue
@@ -78,11 +78,11 @@
 			So(file.Size(), ShouldBeLessThan, maxFileBytes)
 
 			began := time.Now()
-			again, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
+			reopened, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
 			took := time.Since(began)
 			So(err, ShouldBeNil)
-			defer again.Close()
-			answer, err := acceptor(again).read(context.Background(), readRequest{ViewVersion: 1})
+			defer reopened.Close()
+			answer, err := acceptor(reopened).read(context.Background(), readRequest{ViewVersion: 1})
 			So(err, ShouldBeNil)
 			So(answer.State.Sequence, ShouldEqual, changes)
 			So(took, ShouldBeLessThan, maxRestartTime)
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -45,16 +45,16 @@
 }
 
 func TestDiskLossDuringARound(t *testing.T) {
-	acknowledged, kept := loseDiskDuringRound(t, RoundLimit)
-	longAcknowledged, longKept := loseDiskDuringRound(t, 10*time.Second)
+	acknowledged, stillThere := loseDiskDuringRound(t, RoundLimit)
+	longAcknowledged, longStillThere := loseDiskDuringRound(t, 10*time.Second)
 	convey.Convey("A disk is lost in the middle of an accept round that counted its answer", t, func() {
 		convey.Convey("the round limit keeps the change from being acknowledged and then lost", func() {
 			convey.So(acknowledged, convey.ShouldBeTrue)
-			convey.So(kept, convey.ShouldBeTrue)
+			convey.So(stillThere, convey.ShouldBeTrue)
 		})
 		convey.Convey("without the limit it is acknowledged and lost", func() {
 			convey.So(longAcknowledged, convey.ShouldBeTrue)
-			convey.So(longKept, convey.ShouldBeFalse)
+			convey.So(longStillThere, convey.ShouldBeFalse)
 		})
 	})
 }
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -147,22 +147,22 @@
 		store := openStored(t, folder)
 		So(dumpTables(store.Snapshot()), ShouldEqual, string(golden))
 		acceptors := acceptorsOn(store)
-		holds := func(acceptor *Acceptor, view uint64, want acceptorState) {
-			held, err := acceptor.load(view)
+		loads := func(acceptor *Acceptor, view uint64, expected acceptorState) {
+			loaded, err := acceptor.load(view)
 			So(err, ShouldBeNil)
-			So(held, ShouldResemble, want)
+			So(loaded, ShouldResemble, expected)
 		}
 
 		Convey("the large value is assembled from its chunks", func() {
-			held, err := acceptors.configuration.load(3)
+			loaded, err := acceptors.configuration.load(3)
 			So(err, ShouldBeNil)
-			So(held.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelf})
-			So(held.accepted.ProposalNumber, ShouldResemble, ProposalNumber{Counter: 2, Member: storedOther})
-			So(held.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []ProposalNumber{{2, storedOther}, {1, storedSelf}}})
-			So(held.accepted.Manifest.Bytes, ShouldEqual, len(storedText(2)))
-			So(held.accepted.Manifest.Sum, ShouldEqual, chunks.SumOf([]byte(storedText(2))))
+			So(loaded.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelf})
+			So(loaded.accepted.ProposalNumber, ShouldResemble, ProposalNumber{Counter: 2, Member: storedOther})
+			So(loaded.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []ProposalNumber{{2, storedOther}, {1, storedSelf}}})
+			So(loaded.accepted.Manifest.Bytes, ShouldEqual, len(storedText(2)))
+			So(loaded.accepted.Manifest.Sum, ShouldEqual, chunks.SumOf([]byte(storedText(2))))
 			var sums []string
-			for _, sum := range held.accepted.Manifest.Sums() {
+			for _, sum := range loaded.accepted.Manifest.Sums() {
 				sums = append(sums, chunkKey(sum))
 			}
 			So(sums, ShouldResemble, storedSums)
@@ -170,19 +170,19 @@
 		Convey("a small value is inline", func() {
 			proposalNumber := ProposalNumber{Counter: 70000, Member: storedOther}
 			value := state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{proposalNumber, {Counter: 7, Member: storedSelf}}}
-			holds(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			loads(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("the first view and the next one are read", func() {
 			proposalNumber := ProposalNumber{Counter: 1, Member: storedOther}
 			value := state{Value: encodeView(t, storedFirst), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			holds(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			loads(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 			next, found, err := acceptors.succession.Pending(replicaset.View{Version: 3})
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
 			So(next, ShouldResemble, storedNext)
 			proposalNumber = ProposalNumber{Counter: 5, Member: storedSelf}
 			value = state{Value: encodeView(t, storedNext), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			holds(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			loads(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
 			memory := storage.NewMemory()
--- a/internal/controlplane/register/succession_test.go
+++ b/internal/controlplane/register/succession_test.go
@@ -48,20 +48,20 @@
 func TestVoteStoredAfterAViewChangeDoesNotCount(t *testing.T) {
 	convey.Convey("A member learns the next view while it stores a vote", t, func() {
 		next := replicaset.View{Version: 2, Members: []string{"b"}}
-		holder := &mutableView{}
-		store := viewChangingStore{storage.NewMemory(), func() { holder.set(next) }}
-		acceptor := readyAcceptor(store, holder.get)
+		view := &mutableView{}
+		store := viewChangingStore{storage.NewMemory(), func() { view.set(next) }}
+		acceptor := readyAcceptor(store, view.get)
 		proposalNumber := ProposalNumber{Counter: 1, Member: "a"}
 		expected := reply{Outcome: viewMismatch, View: next}
 
 		convey.Convey("and does not give its promise", func() {
-			holder.set(replicaset.View{Version: 1, Members: []string{"a"}})
+			view.set(replicaset.View{Version: 1, Members: []string{"a"}})
 			answer, err := acceptor.prepare(context.Background(), prepareRequest{ViewVersion: 1, ProposalNumber: proposalNumber})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer, convey.ShouldResemble, expected)
 		})
 		convey.Convey("and does not say that it accepted", func() {
-			holder.set(replicaset.View{Version: 1, Members: []string{"a"}})
+			view.set(replicaset.View{Version: 1, Members: []string{"a"}})
 			answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: proposalNumber})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer, convey.ShouldResemble, expected)
@@ -85,7 +85,7 @@
 	return made
 }
 
-func TestMembersThatProposeDifferentViewsCommitOne(t *testing.T) {
+func TestConcurrentSuccessionsCommitOneView(t *testing.T) {
 	current := replicaset.View{Version: 4, Members: []string{"a", "b", "c"}}
 	committed := make([]replicaset.View, len(current.Members))
 	errs := make([]error, len(current.Members))
@@ -94,20 +94,20 @@
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
 		network.SetFaults(networktest.Faults{Delay: 20 * time.Millisecond})
-		holders := make(map[string]*mutableView)
-		made := successions(network, current, holders)
+		views := make(map[string]*mutableView)
+		successions := successions(network, current, views)
 		var running sync.WaitGroup
 		for i, self := range current.Members {
 			running.Go(func() {
 				next := replicaset.View{Version: 5, Members: append([]string{"entering at " + self}, current.Members...)}
-				committed[i], errs[i] = made[self].Commit(context.Background(), current, next)
+				committed[i], errs[i] = successions[self].Commit(context.Background(), current, next)
 			})
 		}
 		running.Wait()
-		holders["b"].set(committed[0])
-		holders["c"].set(committed[0])
-		late, lateErr = made["a"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
-		_, nextErr = made["b"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
+		views["b"].set(committed[0])
+		views["c"].set(committed[0])
+		late, lateErr = successions["a"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
+		_, nextErr = successions["b"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
 		<-time.After(drainTime)
 	})
 	convey.Convey("Members that propose different views at once learn the same one", t, func() {
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -156,7 +156,7 @@
 		accept := func(sent content) (reply, error) {
 			return acceptor.serveAccept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Sequence: 1}, Content: &sent})
 		}
-		held := func() string {
+		storedValue := func() string {
 			replica, err := acceptor.load(1)
 			convey.So(err, convey.ShouldBeNil)
 			return string(replica.accepted.State.Value)
@@ -166,20 +166,20 @@
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.Outcome, convey.ShouldEqual, chunksMissing)
 			convey.So(answer.Missing, convey.ShouldResemble, manifest.Chunks[:chunks.SumBytes])
-			convey.So(held(), convey.ShouldBeEmpty)
+			convey.So(storedValue(), convey.ShouldBeEmpty)
 			convey.Convey("and is stored once they were pushed", func() {
 				_, err := acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
 				convey.So(err, convey.ShouldBeNil)
 				answer, err := accept(content{Manifest: manifest})
 				convey.So(err, convey.ShouldBeNil)
 				convey.So(answer.Outcome, convey.ShouldEqual, granted)
-				convey.So(held() == text, convey.ShouldBeTrue)
+				convey.So(storedValue() == text, convey.ShouldBeTrue)
 			})
 		})
 		convey.Convey("a value that is not what its manifest names is refused as not executed", func() {
 			_, err := accept(content{Manifest: spoilt, Chunks: packed})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
-			convey.So(held(), convey.ShouldBeEmpty)
+			convey.So(storedValue(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("so is what is no packed chunk, and what is no manifest", func() {
 			_, err := accept(content{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
@@ -234,7 +234,7 @@
 // All members propose changes of one large value at once.
 func TestConcurrentChangesOfLargeValues(t *testing.T) {
 	text := randomText(largeText, 1)
-	ended := 0
+	succeeded := 0
 	runInCluster(t, func(c *cluster) {
 		var running sync.WaitGroup
 		var mutex sync.Mutex
@@ -244,7 +244,7 @@
 					_, err := c.process(member).register.Change(c.ctx, replaceBy(edited(text, randomText(20, uint64(i)))))
 					mutex.Lock()
 					if err == nil {
-						ended++
+						succeeded++
 					}
 					mutex.Unlock()
 				}
@@ -252,5 +252,5 @@
 		}
 		running.Wait()
 	})
-	convey.Convey("All changes succeed", t, func() { convey.So(ended, convey.ShouldEqual, 18) })
+	convey.Convey("All changes succeed", t, func() { convey.So(succeeded, convey.ShouldEqual, 18) })
 }
