--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -61,7 +61,9 @@
 	return recorded
 }
 
-func waitBelow(random *rand.Rand, bound time.Duration) { <-time.After(rand.N(bound)) }
+// waitBelow waits a random time. It draws from the process's source, as backoff does: a seed decides which operations and
+// faults a simulation has, and does not replay their interleaving.
+func waitBelow(bound time.Duration) { <-time.After(rand.N(bound)) }
 
 func (c *cluster) runClient(ctx context.Context, recorded *history, client int, address string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)+2))
@@ -71,13 +73,13 @@
 		kind := operationKind(random.IntN(int(operationKinds)))
 		recorded.run(limited, client, p.register, clientInput{kind, fmt.Sprintf("%d-%d", client, i)})
 		cancel()
-		waitBelow(random, maxOperationInterval)
+		waitBelow(maxOperationInterval)
 	}
 }
 
 func (c *cluster) injectFaults(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		waitBelow(random, maxFaultInterval)
+		waitBelow(maxFaultInterval)
 		address := c.view.Members[random.IntN(len(c.view.Members))]
 		down := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
 		switch random.IntN(4) {
