--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -101,9 +101,9 @@
 		b.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { node.Run(ctx); close(over) }()
-	b.Cleanup(func() { cancel(); <-over; m.Stop() })
+	stopped := make(chan struct{})
+	go func() { node.Run(ctx); close(stopped) }()
+	b.Cleanup(func() { cancel(); <-stopped; m.Stop() })
 	node.Ensure(feed.GroupOf(fleetService))
 	for leading, _ := m.Leading(); !leading; leading, _ = m.Leading() {
 		time.Sleep(leadershipPollInterval)
@@ -134,8 +134,8 @@
 	number := 0
 	load := func(span time.Duration) {
 		begin := time.Now()
-		for handed := 0.0; time.Since(begin) < span; time.Sleep(submitInterval) {
-			for ; handed < time.Since(begin).Seconds()*float64(tasksPerS); handed += fleetTasksEach {
+		for submitted := 0.0; time.Since(begin) < span; time.Sleep(submitInterval) {
+			for ; submitted < time.Since(begin).Seconds()*float64(tasksPerS); submitted += fleetTasksEach {
 				number++
 				submit(b, m, number)
 			}
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -92,10 +92,10 @@
 
 func TestLeaderPausedDuringARead(t *testing.T) {
 	reads := map[string]func(*Manager, schedulerReader) error{
-		"a report": func(m *Manager, look schedulerReader) error {
-			return m.readCommitted(context.Background(), testGroup, look)
+		"a report": func(m *Manager, inspect schedulerReader) error {
+			return m.readCommitted(context.Background(), testGroup, inspect)
 		},
-		"a count": func(m *Manager, look schedulerReader) error { return m.readCurrent(testGroup, look) },
+		"a count": func(m *Manager, inspect schedulerReader) error { return m.readCurrent(testGroup, inspect) },
 	}
 	for name, read := range reads {
 		withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -62,18 +62,18 @@
 	}
 	m.mu.Lock()
 	m.leaderships[term.Group()] = leadership
-	instances, listed := m.inventory, m.inventoryRead
-	if !listed {
+	instances, inventoryRead := m.inventory, m.inventoryRead
+	if !inventoryRead {
 		instances = slices.Collect(maps.Values(m.inventoryPages))
 	}
 	m.notifyChanged()
 	m.mu.Unlock()
-	own := serviceInstances(instances, term.Group())
+	serviceWorkers := serviceInstances(instances, term.Group())
 	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Number()))
-	if listed {
-		leadership.setInventory(own)
-	} else if len(own) > 0 {
-		leadership.addInventoryPage(own)
+	if inventoryRead {
+		leadership.setInventory(serviceWorkers)
+	} else if len(serviceWorkers) > 0 {
+		leadership.addInventoryPage(serviceWorkers)
 	}
 	go leadership.loop()
 }
@@ -114,11 +114,11 @@
 			m.inventoryPages[instance.ID] = instance
 		}
 	}
-	leads := slices.Collect(maps.Values(m.leaderships))
+	leaderships := slices.Collect(maps.Values(m.leaderships))
 	m.mu.Unlock()
-	for _, leadership := range leads {
-		if own := serviceInstances(instances, leadership.term.Group()); len(own) > 0 {
-			leadership.addInventoryPage(own)
+	for _, leadership := range leaderships {
+		if serviceWorkers := serviceInstances(instances, leadership.term.Group()); len(serviceWorkers) > 0 {
+			leadership.addInventoryPage(serviceWorkers)
 		}
 	}
 }
@@ -127,21 +127,21 @@
 func (m *Manager) SetInventory(instances []workerclient.Instance) {
 	m.mu.Lock()
 	m.inventory, m.inventoryRead, m.inventoryPages = instances, true, nil
-	leads := slices.Collect(maps.Values(m.leaderships))
+	leaderships := slices.Collect(maps.Values(m.leaderships))
 	m.mu.Unlock()
-	for _, leadership := range leads {
+	for _, leadership := range leaderships {
 		leadership.setInventory(serviceInstances(instances, leadership.term.Group()))
 	}
 }
 
 func serviceInstances(instances []workerclient.Instance, group string) []workerclient.Instance {
-	var own []workerclient.Instance
+	var serviceWorkers []workerclient.Instance
 	for _, instance := range instances {
 		if feed.GroupOf(instance.Service) == group {
-			own = append(own, instance)
+			serviceWorkers = append(serviceWorkers, instance)
 		}
 	}
-	return own
+	return serviceWorkers
 }
 
 // Serve registers the internal calls on jobs.
@@ -207,11 +207,11 @@
 // Stop ends all leaderships' loops; the terms themselves are resigned by replication.
 func (m *Manager) Stop() {
 	m.mu.Lock()
-	leads := m.leaderships
+	leaderships := m.leaderships
 	m.leaderships = map[string]*leadership{}
 	m.notifyChanged()
 	m.mu.Unlock()
-	for _, leadership := range leads {
+	for _, leadership := range leaderships {
 		leadership.close()
 	}
 }
--- a/internal/jobs/manager/operatorcalls.go
+++ b/internal/jobs/manager/operatorcalls.go
@@ -35,24 +35,24 @@
 
 // readCommitted reads the scheduler of a group, and returns once what was seen is durable and it is certain that no other leader had
 // been elected then: an operator's order may be refused on it.
-func (m *Manager) readCommitted(ctx context.Context, group string, read schedulerReader) error {
+func (m *Manager) readCommitted(ctx context.Context, group string, inspect schedulerReader) error {
 	leadership, err := m.leadershipOf(group)
 	if err != nil {
 		return err
 	}
-	return leadership.commit(ctx, func(now scheduler.Now) { read(now, leadership.scheduler) })
+	return leadership.commit(ctx, func(now scheduler.Now) { inspect(now, leadership.scheduler) })
 }
 
 // readCurrent reads counts, which may not be durable yet. The lease is looked at again after that: the process may have stood
 // still in between, and another leader's counts may be others.
-func (m *Manager) readCurrent(group string, read schedulerReader) error {
+func (m *Manager) readCurrent(group string, inspect schedulerReader) error {
 	leadership, err := m.leadershipOf(group)
 	if err != nil {
 		return err
 	}
 	leadership.mu.Lock()
 	defer leadership.mu.Unlock()
-	read(currentTime(), leadership.scheduler)
+	inspect(currentTime(), leadership.scheduler)
 	if !leadership.term.Valid() {
 		return rpcerror.WrapNotExecuted(errNotLeader, 0)
 	}
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -138,9 +138,9 @@
 			report, _ := w.scheduler.Job(w.clock(), id)
 			unhealthy := workerclient.WorkerID(report.Attempts[0].Worker)
 			unwanted := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, AttemptNumber: 1}}
-			for _, m := range w.workers {
-				if m.ID != unhealthy {
-					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, Running: unwanted})
+			for _, worker := range w.workers {
+				if worker.ID != unhealthy {
+					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: worker.ID, SentAt: w.clock().Monotonic, Running: unwanted})
 				}
 			}
 			command := workerclient.StartCommand{Task: job.TaskID{Job: id}, AttemptNumber: 1}
@@ -165,8 +165,8 @@
 	})
 	Convey("Before a searcher has confirmed the fencing token it takes nothing", t, func() {
 		w := newSimulation(1, 2)
-		for _, m := range w.workers {
-			w.scheduler.SetReachable(w.clock(), m.ID, true)
+		for _, worker := range w.workers {
+			w.scheduler.SetReachable(w.clock(), worker.ID, true)
 		}
 		waiting := explain(w, w.submitStages(1, smallStage(1)))
 		So(excludedBy(waiting, jobreport.CauseNotFenced), ShouldEqual, 2)
@@ -280,14 +280,14 @@
 }
 
 // countRunning counts the runs that machines have under way, and those of one of them.
-func countRunning(w *simulation, id workerclient.WorkerID) (there, all int) {
-	for _, m := range w.workers {
-		all += len(m.running)
-		if m.ID == id {
-			there = len(m.running)
+func countRunning(w *simulation, id workerclient.WorkerID) (running, all int) {
+	for _, worker := range w.workers {
+		all += len(worker.running)
+		if worker.ID == id {
+			running = len(worker.running)
 		}
 	}
-	return there, all
+	return running, all
 }
 
 func TestOperatorDrain(t *testing.T) {
@@ -303,8 +303,8 @@
 		Convey("it gets no starts, and the others do", func() {
 			w.submitStages(1, stage)
 			w.steps(50)
-			there, all := countRunning(w, "s00")
-			So(there, ShouldEqual, 0)
+			running, all := countRunning(w, "s00")
+			So(running, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 			report, _ := w.scheduler.Worker(w.clock(), "s00")
 			So(report.State, ShouldEqual, jobreport.WorkerOperatorDraining)
@@ -314,8 +314,8 @@
 			w.steps(20)
 			w.submitStages(1, stage)
 			w.steps(50)
-			there, all := countRunning(w, "s00")
-			So(there, ShouldEqual, 0)
+			running, all := countRunning(w, "s00")
+			So(running, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
 		Convey("once it is ended, starts come again, also under a successor", func() {
@@ -329,8 +329,8 @@
 			w.steps(20)
 			w.submitStages(1, stage)
 			w.steps(50)
-			there, _ := countRunning(w, "s00")
-			So(there, ShouldBeGreaterThan, 0)
+			running, _ := countRunning(w, "s00")
+			So(running, ShouldBeGreaterThan, 0)
 		})
 		Convey("tasks that waited for it wait for others", func() {
 			stage.Count = 200
--- a/internal/jobs/scheduler/faults_test.go
+++ b/internal/jobs/scheduler/faults_test.go
@@ -61,8 +61,8 @@
 }
 
 func (w *simulation) hasFailingWorker() bool {
-	for _, m := range w.workers {
-		if m.failing {
+	for _, worker := range w.workers {
+		if worker.failing {
 			return true
 		}
 	}
@@ -78,15 +78,15 @@
 func lateCommands(w *simulation, step int) { w.lateShare = 0.08 }
 
 func crashes(w *simulation, step int) {
-	if m := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(80) == 0 && m.up {
-		w.crash(m, fmt.Sprintf("%s+", m.ID))
+	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(80) == 0 && worker.up {
+		w.crash(worker, fmt.Sprintf("%s+", worker.ID))
 	}
 }
 
 func partitions(w *simulation, step int) {
-	if m := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(60) == 0 && m.up && !m.partitioned {
-		m.partitioned = true
-		w.after(time.Duration(1+w.random.IntN(9))*time.Second, func() { m.partitioned = false })
+	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(60) == 0 && worker.up && !worker.partitioned {
+		worker.partitioned = true
+		w.after(time.Duration(1+w.random.IntN(9))*time.Second, func() { worker.partitioned = false })
 	}
 }
 
@@ -110,8 +110,8 @@
 	if w.random.IntN(50) != 0 {
 		return
 	}
-	for _, run := range w.workers[w.random.IntN(len(w.workers))].running {
-		run.stuck = true
+	for _, attempt := range w.workers[w.random.IntN(len(w.workers))].running {
+		attempt.stuck = true
 	}
 }
 
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -21,9 +21,9 @@
 )
 
 // recordOutcome takes a run's end into its worker's window, latency and share of faults.
-func (s *Scheduler) recordOutcome(now Now, attempt *attemptState, how job.Outcome) {
+func (s *Scheduler) recordOutcome(now Now, attempt *attemptState, outcome job.Outcome) {
 	worker := attempt.worker
-	switch how {
+	switch outcome {
 	case job.OutcomeDone:
 		durationMS := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
 		if attempt.inherited {
--- a/internal/jobs/scheduler/jobs.go
+++ b/internal/jobs/scheduler/jobs.go
@@ -20,7 +20,7 @@
 
 // Status tells a job's state.
 func (s *Scheduler) Status(id job.ID) (job.State, bool) {
-	if j, live := s.jobs[id]; live {
+	if j, active := s.jobs[id]; active {
 		if j.started {
 			return job.Running, true
 		}
@@ -32,7 +32,7 @@
 
 // Cancel ends a job; it tells whether the job is known.
 func (s *Scheduler) Cancel(now Now, id job.ID) bool {
-	if j, live := s.jobs[id]; live {
+	if j, active := s.jobs[id]; active {
 		s.endJob(now, j, job.Cancelled)
 		s.dispatchNeeded = true
 		return true
@@ -45,9 +45,9 @@
 func (s *Scheduler) Pending(route string) int { return s.pendingByRoute[route] }
 
 func (s *Scheduler) isKnown(id job.ID) bool {
-	_, live := s.jobs[id]
+	_, active := s.jobs[id]
 	_, ended := s.ended[id]
-	return live || ended
+	return active || ended
 }
 
 func (s *Scheduler) addJob(j *jobState) {
--- a/internal/jobs/scheduler/operatorreports.go
+++ b/internal/jobs/scheduler/operatorreports.go
@@ -93,10 +93,10 @@
 // Jobs lists the newest jobs of a state, or of all states if it is empty: first those that have not ended, the latest
 // arrival first, then those that have, the latest end first. Total counts all that match.
 func (s *Scheduler) Jobs(state job.State, limit int) (jobs []jobreport.Job, total int) {
-	var live []*jobState
+	var active []*jobState
 	for _, j := range s.jobs {
 		if current, _ := s.Status(j.id); state == "" || current == state {
-			live = append(live, j)
+			active = append(active, j)
 		}
 	}
 	var ended []job.ID
@@ -105,17 +105,17 @@
 			ended = append(ended, id)
 		}
 	}
-	slices.SortFunc(live, func(a, b *jobState) int { return cmp.Compare(b.Arrival, a.Arrival) })
+	slices.SortFunc(active, func(a, b *jobState) int { return cmp.Compare(b.Arrival, a.Arrival) })
 	slices.SortFunc(ended, func(a, b job.ID) int {
 		return cmp.Or(cmp.Compare(s.ended[b].EndedMS, s.ended[a].EndedMS), cmp.Compare(a, b))
 	})
-	for _, j := range live[:min(limit, len(live))] {
+	for _, j := range active[:min(limit, len(active))] {
 		jobs = append(jobs, s.reportJob(j))
 	}
 	for _, id := range ended[:min(limit-len(jobs), len(ended))] {
 		jobs = append(jobs, s.reportEnded(id))
 	}
-	return jobs, len(live) + len(ended)
+	return jobs, len(active) + len(ended)
 }
 
 func (s *Scheduler) reportJob(j *jobState) jobreport.Job {
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -31,17 +31,17 @@
 		if len(stage.waiting) == 0 {
 			continue
 		}
-		c := of[stage.repetition]
-		if c == nil {
-			c = &referenceCandidate{level: stage.repetition.orderingLevel(now, stage.job), job: stage.job, subjobs: map[*workerState]int{}}
-			of[stage.repetition] = c
-			all = append(all, c)
+		candidate := of[stage.repetition]
+		if candidate == nil {
+			candidate = &referenceCandidate{level: stage.repetition.orderingLevel(now, stage.job), job: stage.job, subjobs: map[*workerState]int{}}
+			of[stage.repetition] = candidate
+			all = append(all, candidate)
 		}
-		c.stages = append(c.stages, stage)
-		c.size += len(stage.waiting)
+		candidate.stages = append(candidate.stages, stage)
+		candidate.size += len(stage.waiting)
 		for _, task := range stage.waiting {
 			if task.boundTo != nil {
-				c.subjobs[task.boundTo]++
+				candidate.subjobs[task.boundTo]++
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 	var order []*stageState
 	for len(all) > 0 {
 		level := all
-		if end := slices.IndexFunc(all, func(c *referenceCandidate) bool { return c.level != all[0].level }); end > 0 {
+		if end := slices.IndexFunc(all, func(candidate *referenceCandidate) bool { return candidate.level != all[0].level }); end > 0 {
 			level = all[:end]
 		}
 		all = all[len(level):]
@@ -69,12 +69,12 @@
 	left, rest := slices.Clone(level[:min(len(level), maxRanked)]), level[min(len(level), maxRanked):]
 	for len(left) > 0 {
 		best, bestSpan := 0, math.Inf(1)
-		for i, c := range left {
+		for i, candidate := range left {
 			span := 0.0
-			for at, size := range c.subjobs {
-				span = max(span, (queues[at]+float64(size))*s.latencyMS(c.job, at))
+			for at, size := range candidate.subjobs {
+				span = max(span, (queues[at]+float64(size))*s.latencyMS(candidate.job, at))
 			}
-			if span < bestSpan || span == bestSpan && c.size < left[best].size {
+			if span < bestSpan || span == bestSpan && candidate.size < left[best].size {
 				best, bestSpan = i, span
 			}
 		}
@@ -84,8 +84,8 @@
 		order = append(order, left[best].stages...)
 		left = slices.Delete(left, best, best+1)
 	}
-	for _, c := range rest {
-		order = append(order, c.stages...)
+	for _, candidate := range rest {
+		order = append(order, candidate.stages...)
 	}
 	return order
 }
@@ -116,10 +116,10 @@
 			now.WallMS += 400 // jobs become late, and worthless
 			now.Monotonic = now.Monotonic.Add(400e6)
 			s.orderStale = true
-			want := referenceOrder(s, now)
+			expected := referenceOrder(s, now)
 			s.orderQueue(now)
 			So(len(s.waitingStages), ShouldBeGreaterThan, maxRanked)
-			So(slices.Equal(s.waitingStages, want), ShouldBeTrue)
+			So(slices.Equal(s.waitingStages, expected), ShouldBeTrue)
 			s.Dispatch(now)
 			s.TakeEffects()
 		}
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -100,13 +100,13 @@
 }
 
 func (w *simulation) addWorker(id string, number int) *simulatedWorker {
-	m := &simulatedWorker{
+	worker := &simulatedWorker{
 		Instance: workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x", Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4},
 			Labels: []string{[]string{"a", "b"}[number%2], fmt.Sprintf("rack%d", number/3)}},
 		running: map[job.TaskID]*simulatedAttempt{}, closedAttempts: map[job.TaskID]uint64{}, up: true,
 	}
-	w.workers = append(w.workers, m)
-	return m
+	w.workers = append(w.workers, worker)
+	return worker
 }
 
 func (w *simulation) clock() Now {
@@ -125,17 +125,17 @@
 		panic(err)
 	}
 	w.scheduler = next
-	for _, m := range w.workers {
-		m.reachabilityKnown = false
+	for _, worker := range w.workers {
+		worker.reachabilityKnown = false
 	}
 	w.sendInventory()
 }
 
 func (w *simulation) sendInventory() {
 	var instances []workerclient.Instance
-	for _, m := range w.workers {
-		if m.up {
-			instances = append(instances, m.Instance)
+	for _, worker := range w.workers {
+		if worker.up {
+			instances = append(instances, worker.Instance)
 		}
 	}
 	w.scheduler.SetInventory(w.clock(), instances)
@@ -152,7 +152,7 @@
 }
 
 func (w *simulation) worker(id workerclient.WorkerID) *simulatedWorker {
-	at := slices.IndexFunc(w.workers, func(m *simulatedWorker) bool { return m.ID == id })
+	at := slices.IndexFunc(w.workers, func(worker *simulatedWorker) bool { return worker.ID == id })
 	if at < 0 {
 		return nil
 	}
@@ -168,9 +168,9 @@
 		w.commit(effects)
 	}
 	w.deliverEvents()
-	for _, m := range w.workers {
-		w.runAttempts(m)
-		w.sendReport(m)
+	for _, worker := range w.workers {
+		w.runAttempts(worker)
+		w.sendReport(worker)
 	}
 	if w.elapsed%(200*time.Millisecond) == 0 {
 		w.scheduler.Tick(w.clock())
@@ -191,22 +191,22 @@
 		w.apply(effects.Entries)
 	}
 	for _, command := range effects.Commands {
-		m := w.worker(command.Worker)
-		if m == nil {
+		worker := w.worker(command.Worker)
+		if worker == nil {
 			continue
 		}
 		if command.Stop != nil {
-			w.sendStop(m, *command.Stop, w.epoch, w.scheduler)
+			w.sendStop(worker, *command.Stop, w.epoch, w.scheduler)
 			continue
 		}
 		if w.scheduler.StillWanted(command.Worker, command.Start) {
-			w.sendStart(m, *command.Start, w.epoch, w.scheduler)
+			w.sendStart(worker, *command.Start, w.epoch, w.scheduler)
 		}
 	}
 	for _, acknowledgement := range effects.Acknowledgements {
-		m := w.worker(acknowledgement.Worker)
-		if m != nil && !m.partitioned && m.up {
-			w.acknowledge(m, acknowledgement.CompletionNumber)
+		worker := w.worker(acknowledgement.Worker)
+		if worker != nil && !worker.partitioned && worker.up {
+			w.acknowledge(worker, acknowledgement.CompletionNumber)
 		}
 	}
 }
@@ -221,9 +221,9 @@
 	}
 }
 
-func (w *simulation) acknowledge(m *simulatedWorker, number uint64) {
-	for _, completion := range m.completions {
-		if completion.CompletionNumber > number || completion.CompletionNumber <= m.acknowledged {
+func (w *simulation) acknowledge(worker *simulatedWorker, number uint64) {
+	for _, completion := range worker.completions {
+		if completion.CompletionNumber > number || completion.CompletionNumber <= worker.acknowledged {
 			continue
 		}
 		facts := w.facts(completion.Task)
@@ -232,8 +232,10 @@
 			facts.failuresAcknowledged[completion.AttemptNumber] = true
 		}
 	}
-	m.acknowledged = max(m.acknowledged, number)
-	m.completions = slices.DeleteFunc(m.completions, func(completion workerclient.FinishedTask) bool { return completion.CompletionNumber <= m.acknowledged })
+	worker.acknowledged = max(worker.acknowledged, number)
+	worker.completions = slices.DeleteFunc(worker.completions, func(completion workerclient.FinishedTask) bool {
+		return completion.CompletionNumber <= worker.acknowledged
+	})
 }
 
 func (w *simulation) facts(id job.TaskID) *taskFacts {
@@ -243,22 +245,22 @@
 	return w.tasks[id]
 }
 
-func (w *simulation) sendStart(m *simulatedWorker, command workerclient.StartCommand, epoch uint64, sender *Scheduler) {
-	result := workerclient.StartResult{Worker: m.ID, Command: command, Outcome: workerclient.Unclear}
+func (w *simulation) sendStart(worker *simulatedWorker, command workerclient.StartCommand, epoch uint64, sender *Scheduler) {
+	result := workerclient.StartResult{Worker: worker.ID, Command: command, Outcome: workerclient.Unclear}
 	wait := time.Duration(w.random.IntN(30)) * time.Millisecond
-	if m.partitioned || !m.up {
+	if worker.partitioned || !worker.up {
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
 		return
 	}
 	validUntil := w.elapsed + w.settings.MaxLease
 	if w.random.Float64() < w.lateShare {
 		late := 2*time.Second + time.Duration(w.random.Int64N(int64(10*time.Second)))
-		w.after(late, func() { w.executeStart(m, command, epoch, validUntil, true) })
+		w.after(late, func() { w.executeStart(worker, command, epoch, validUntil, true) })
 		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
 		return
 	}
 	w.after(wait, func() {
-		result.Outcome = w.executeStart(m, command, epoch, validUntil, false)
+		result.Outcome = w.executeStart(worker, command, epoch, validUntil, false)
 		w.after(5*time.Millisecond, func() { w.startResult(result, sender) })
 	})
 }
@@ -277,21 +279,21 @@
 }
 
 // executeStart carries a start out at a machine, as a worker does.
-func (w *simulation) executeStart(m *simulatedWorker, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
-	if !m.up {
+func (w *simulation) executeStart(worker *simulatedWorker, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
+	if !worker.up {
 		return workerclient.Unclear
 	}
-	if epoch < m.fencingToken {
+	if epoch < worker.fencingToken {
 		return workerclient.RejectedFencingToken
 	}
-	m.fencingToken = epoch
-	if m.leaseEnd = max(m.leaseEnd, min(validUntil, w.elapsed+w.settings.MaxLease)); validUntil <= w.elapsed {
+	worker.fencingToken = epoch
+	if worker.leaseEnd = max(worker.leaseEnd, min(validUntil, w.elapsed+w.settings.MaxLease)); validUntil <= w.elapsed {
 		return workerclient.RejectedLeaseExpired
 	}
-	if command.AttemptNumber <= m.closedAttempts[command.Task] {
+	if command.AttemptNumber <= worker.closedAttempts[command.Task] {
 		return workerclient.RejectedStaleAttempt
 	}
-	if already := m.running[command.Task]; already != nil {
+	if already := worker.running[command.Task]; already != nil {
 		return workerclient.Started
 	}
 	facts := w.jobs[command.Task.Job]
@@ -300,26 +302,26 @@
 		return workerclient.RejectedInvalid
 	}
 	stage := &facts.request.Specification.Stages[command.Task.Stage]
-	if !m.free(w).Fits(stage.Resources) {
-		w.violation("LIMIT %v at %s", command.Task, m.ID)
+	if !worker.free(w).Fits(stage.Resources) {
+		w.violation("LIMIT %v at %s", command.Task, worker.ID)
 		return workerclient.RejectedCapacity
 	}
-	w.checkStart(m, command, facts, stage, late)
+	w.checkStart(worker, command, facts, stage, late)
 	length := facts.lengths[command.Task]
-	run := &simulatedAttempt{number: command.AttemptNumber, outcome: job.OutcomeDone, startedAt: w.elapsed, length: length, endsAt: w.elapsed + length}
-	if facts.poison || m.failing {
-		run.outcome, run.endsAt = job.OutcomeFailed, w.elapsed+length/2
+	attempt := &simulatedAttempt{number: command.AttemptNumber, outcome: job.OutcomeDone, startedAt: w.elapsed, length: length, endsAt: w.elapsed + length}
+	if facts.poison || worker.failing {
+		attempt.outcome, attempt.endsAt = job.OutcomeFailed, w.elapsed+length/2
 	}
 	if stage.LongRunning {
-		run.endsAt = w.elapsed + time.Hour
+		attempt.endsAt = w.elapsed + time.Hour
 	}
-	m.running[command.Task] = run
+	worker.running[command.Task] = attempt
 	return workerclient.Started
 }
 
-func (m *simulatedWorker) free(w *simulation) job.Resources {
-	left := m.Capacity
-	for id := range m.running {
+func (worker *simulatedWorker) free(w *simulation) job.Resources {
+	left := worker.Capacity
+	for id := range worker.running {
 		left = left.Subtract(w.jobs[id.Job].request.Specification.Stages[id.Stage].Resources)
 	}
 	return left
@@ -330,20 +332,20 @@
 }
 
 // outcomeOf checks one start. Promises with a time bound do not cover starts that a worker carried out late.
-func (w *simulation) checkStart(m *simulatedWorker, command workerclient.StartCommand, facts *jobFacts, stage *job.Stage, late bool) {
+func (w *simulation) checkStart(worker *simulatedWorker, command workerclient.StartCommand, facts *jobFacts, stage *job.Stage, late bool) {
 	id := command.Task
-	own := w.facts(id)
+	recorded := w.facts(id)
 	if !stage.AtLeastOnce {
 		for _, other := range w.workers {
-			if other != m && other.up && other.running[id] != nil {
-				w.violation("TWICE %v at %s and %s", id, other.ID, m.ID)
+			if other != worker && other.up && other.running[id] != nil {
+				w.violation("TWICE %v at %s and %s", id, other.ID, worker.ID)
 			}
 		}
-		if own.doneAcknowledged && !stage.LongRunning {
+		if recorded.doneAcknowledged && !stage.LongRunning {
 			w.violation("TWICE %v starts after it was done", id)
 		}
 	}
-	if len(own.failuresAcknowledged) >= facts.request.Queue.MaxAttempts && !stage.LongRunning && !(late && stage.AtLeastOnce) {
+	if len(recorded.failuresAcknowledged) >= facts.request.Queue.MaxAttempts && !stage.LongRunning && !(late && stage.AtLeastOnce) {
 		w.violation("BUDGET %v", id)
 	}
 	for _, earlier := range stage.DependsOn {
@@ -357,73 +359,73 @@
 		w.violation("ORDER %v starts before its time", id)
 	}
 	for _, label := range stage.Requirements {
-		if !slices.Contains(m.Labels, label) {
-			w.violation("ROUTE %v at %s", id, m.ID)
+		if !slices.Contains(worker.Labels, label) {
+			w.violation("ROUTE %v at %s", id, worker.ID)
 		}
 	}
 	same := 0
-	for other := range m.running {
+	for other := range worker.running {
 		if other.Job == id.Job && other.Repetition == id.Repetition && other.Stage == id.Stage {
 			same++
 		}
 	}
 	if stage.AntiAffinity > 0 && same >= stage.AntiAffinity {
-		w.violation("ROUTE %v beyond antiAffinity at %s", id, m.ID)
+		w.violation("ROUTE %v beyond antiAffinity at %s", id, worker.ID)
 	}
 	if !late && facts.cancelledAt > 0 && w.elapsed > facts.cancelledAt+3*time.Second {
 		w.violation("UNASKED %v starts after it was cancelled", id)
 	}
-	if command.AttemptNumber <= own.lastAttempt && !stage.AtLeastOnce {
+	if command.AttemptNumber <= recorded.lastAttempt && !stage.AtLeastOnce {
 		w.violation("execution %d of %v does not rise", command.AttemptNumber, id)
 	}
-	own.lastAttempt = max(own.lastAttempt, command.AttemptNumber)
+	recorded.lastAttempt = max(recorded.lastAttempt, command.AttemptNumber)
 }
 
-func (w *simulation) sendStop(m *simulatedWorker, command workerclient.StopCommand, epoch uint64, sender *Scheduler) {
+func (w *simulation) sendStop(worker *simulatedWorker, command workerclient.StopCommand, epoch uint64, sender *Scheduler) {
 	w.after(10*time.Millisecond, func() {
 		if sender != w.scheduler {
 			return
 		}
-		if m.partitioned || !m.up {
-			w.sendStop(m, command, epoch, sender) // until it is answered
+		if worker.partitioned || !worker.up {
+			w.sendStop(worker, command, epoch, sender) // until it is answered
 			return
 		}
-		if epoch >= m.fencingToken {
-			m.fencingToken = epoch
-			if run := m.running[command.Task]; run != nil && run.number <= command.AttemptNumber {
-				w.complete(m, command.Task, job.OutcomeStopped)
+		if epoch >= worker.fencingToken {
+			worker.fencingToken = epoch
+			if attempt := worker.running[command.Task]; attempt != nil && attempt.number <= command.AttemptNumber {
+				w.complete(worker, command.Task, job.OutcomeStopped)
 			}
-			m.closedAttempts[command.Task] = max(m.closedAttempts[command.Task], command.AttemptNumber)
+			worker.closedAttempts[command.Task] = max(worker.closedAttempts[command.Task], command.AttemptNumber)
 		}
-		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: m.ID, Command: command, Answered: true, At: w.clock().Monotonic})
+		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: worker.ID, Command: command, Answered: true, At: w.clock().Monotonic})
 		w.propose()
 	})
 }
 
 // completion ends a run and, as its workers do, the other members of its gang.
-func (w *simulation) complete(m *simulatedWorker, id job.TaskID, how job.Outcome) {
-	run := m.running[id]
-	delete(m.running, id)
-	m.closedAttempts[id] = max(m.closedAttempts[id], run.number)
-	number := m.acknowledged + 1
-	if len(m.completions) > 0 {
-		number = m.completions[len(m.completions)-1].CompletionNumber + 1
-	}
-	m.completions = append(m.completions, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: run.number, How: how})
+func (w *simulation) complete(worker *simulatedWorker, id job.TaskID, outcome job.Outcome) {
+	attempt := worker.running[id]
+	delete(worker.running, id)
+	worker.closedAttempts[id] = max(worker.closedAttempts[id], attempt.number)
+	number := worker.acknowledged + 1
+	if len(worker.completions) > 0 {
+		number = worker.completions[len(worker.completions)-1].CompletionNumber + 1
+	}
+	worker.completions = append(worker.completions, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: attempt.number, How: outcome})
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
-	if how == job.OutcomeDone {
+	if outcome == job.OutcomeDone {
 		w.facts(id).done = true
 	}
 	if !stage.GangScheduled {
 		return
 	}
 	others := job.OutcomeGangBroken
-	if how == job.OutcomeDone {
+	if outcome == job.OutcomeDone {
 		others = job.OutcomeDone
 	}
 	for _, other := range w.workers {
 		for _, member := range sortedTasks(other.running) {
-			if member.Job == id.Job && member.Stage == id.Stage && member.Repetition == id.Repetition && other.running[member] != nil && other.running[member].number == run.number {
+			if member.Job == id.Job && member.Stage == id.Stage && member.Repetition == id.Repetition && other.running[member] != nil && other.running[member].number == attempt.number {
 				w.complete(other, member, others)
 			}
 		}
@@ -434,21 +436,21 @@
 	return slices.SortedFunc(maps.Keys(running), compareTaskIDs)
 }
 
-func (w *simulation) runAttempts(m *simulatedWorker) {
-	if !m.up {
+func (w *simulation) runAttempts(worker *simulatedWorker) {
+	if !worker.up {
 		return
 	}
-	if w.elapsed >= m.leaseEnd {
-		for _, id := range sortedTasks(m.running) {
-			if m.running[id] != nil {
-				w.complete(m, id, job.OutcomeLeaseExpired)
+	if w.elapsed >= worker.leaseEnd {
+		for _, id := range sortedTasks(worker.running) {
+			if worker.running[id] != nil {
+				w.complete(worker, id, job.OutcomeLeaseExpired)
 			}
 		}
 		return
 	}
-	for _, id := range sortedTasks(m.running) {
-		if run := m.running[id]; run != nil && !run.stuck && run.endsAt <= w.elapsed && w.isGangComplete(id, run.number) {
-			w.complete(m, id, run.outcome)
+	for _, id := range sortedTasks(worker.running) {
+		if attempt := worker.running[id]; attempt != nil && !attempt.stuck && attempt.endsAt <= w.elapsed && w.isGangComplete(id, attempt.number) {
+			w.complete(worker, id, attempt.outcome)
 		}
 	}
 }
@@ -459,64 +461,64 @@
 	if !stage.GangScheduled {
 		return true
 	}
-	there := 0
-	for _, m := range w.workers {
-		for other, run := range m.running {
-			if other.Job == id.Job && other.Stage == id.Stage && other.Repetition == id.Repetition && run.number == number {
-				there++
+	running := 0
+	for _, worker := range w.workers {
+		for other, attempt := range worker.running {
+			if other.Job == id.Job && other.Stage == id.Stage && other.Repetition == id.Repetition && attempt.number == number {
+				running++
 			}
 		}
 	}
-	return there == stage.Count
+	return running == stage.Count
 }
 
 // sendReport lets a machine that is due answer a hold.
-func (w *simulation) sendReport(m *simulatedWorker) {
-	if w.elapsed-m.reportedAt < 300*time.Millisecond && m.reachabilityKnown {
+func (w *simulation) sendReport(worker *simulatedWorker) {
+	if w.elapsed-worker.reportedAt < 300*time.Millisecond && worker.reachabilityKnown {
 		return
 	}
-	m.reportedAt = w.elapsed
-	if !m.up {
+	worker.reportedAt = w.elapsed
+	if !worker.up {
 		return
 	}
-	if m.partitioned {
-		w.unreachable(m)
+	if worker.partitioned {
+		w.unreachable(worker)
 		return
 	}
-	m.reachabilityKnown = true
-	m.fencingToken = max(m.fencingToken, w.epoch)
-	m.leaseEnd = max(m.leaseEnd, w.elapsed+w.settings.MaxLease)
-	m.grantedUntil = m.leaseEnd
-	listing := workerclient.Listing{Worker: m.ID, SentAt: w.clock().Monotonic, First: m.reportedEpoch != w.epoch, Finished: slices.Clone(m.completions)}
-	m.reportedEpoch = w.epoch
-	for _, id := range sortedTasks(m.running) {
-		run := m.running[id]
-		percent := int(99 * (w.elapsed - run.startedAt) / max(run.length, 1))
-		if run.stuck {
+	worker.reachabilityKnown = true
+	worker.fencingToken = max(worker.fencingToken, w.epoch)
+	worker.leaseEnd = max(worker.leaseEnd, w.elapsed+w.settings.MaxLease)
+	worker.grantedUntil = worker.leaseEnd
+	listing := workerclient.Listing{Worker: worker.ID, SentAt: w.clock().Monotonic, First: worker.reportedEpoch != w.epoch, Finished: slices.Clone(worker.completions)}
+	worker.reportedEpoch = w.epoch
+	for _, id := range sortedTasks(worker.running) {
+		attempt := worker.running[id]
+		percent := int(99 * (w.elapsed - attempt.startedAt) / max(attempt.length, 1))
+		if attempt.stuck {
 			percent = 0
 		}
-		listing.Running = append(listing.Running, workerclient.RunningTask{Task: id, AttemptNumber: run.number, Percent: min(percent, 99)})
+		listing.Running = append(listing.Running, workerclient.RunningTask{Task: id, AttemptNumber: attempt.number, Percent: min(percent, 99)})
 	}
 	w.scheduler.HandleReport(w.clock(), &listing)
 	w.propose()
 }
 
-func (w *simulation) unreachable(m *simulatedWorker) {
-	if !m.reachabilityKnown {
+func (w *simulation) unreachable(worker *simulatedWorker) {
+	if !worker.reachabilityKnown {
 		return
 	}
-	w.scheduler.SetReachable(w.clock(), m.ID, false)
-	if w.elapsed > m.grantedUntil+LateCommandWindow+7*time.Second {
-		w.scheduler.ExpireLease(w.clock(), m.ID)
+	w.scheduler.SetReachable(w.clock(), worker.ID, false)
+	if w.elapsed > worker.grantedUntil+LateCommandWindow+7*time.Second {
+		w.scheduler.ExpireLease(w.clock(), worker.ID)
 	}
 	w.propose()
 }
 
-func (w *simulation) crash(m *simulatedWorker, successor string) {
-	m.up = false
+func (w *simulation) crash(worker *simulatedWorker, successor string) {
+	worker.up = false
 	w.addWorker(successor, len(w.workers))
 	w.after(time.Second, func() {
-		w.scheduler.RemoveWorker(w.clock(), m.ID)
+		w.scheduler.RemoveWorker(w.clock(), worker.ID)
 		w.propose()
 		w.sendInventory()
 	})
@@ -559,30 +561,30 @@
 }
 
 func (w *simulation) randomJob(number int) *jobFacts {
-	r := w.random
-	facts := &jobFacts{poison: r.IntN(12) == 0}
+	random := w.random
+	facts := &jobFacts{poison: random.IntN(12) == 0}
 	request := jobapi.Submit{Group: "jobs/x", ID: job.ID(fmt.Sprintf("%016x", number)),
-		Queue: jobapi.Queue{Route: "r", Service: "x", Priority: r.IntN(3), MaxAttempts: 2 + r.IntN(3), TargetLatencyMS: 500}}
-	if r.IntN(8) == 0 {
-		request.Specification.Repetitions = 1 + r.IntN(3)
-		request.Specification.FirstRunMS = w.clock().WallMS + int64(r.IntN(3000))
+		Queue: jobapi.Queue{Route: "r", Service: "x", Priority: random.IntN(3), MaxAttempts: 2 + random.IntN(3), TargetLatencyMS: 500}}
+	if random.IntN(8) == 0 {
+		request.Specification.Repetitions = 1 + random.IntN(3)
+		request.Specification.FirstRunMS = w.clock().WallMS + int64(random.IntN(3000))
 		request.Specification.IntervalMS = 700
 	}
-	for i := range 1 + r.IntN(3) {
-		stage := job.Stage{Count: 1 + r.IntN(6), EstimatedDurationMS: 500,
-			Resources: job.Resources{Processors: int64(500 + r.IntN(3500)), MemoryMB: int64(100 + r.IntN(2000)), Accelerators: int64(r.IntN(2))}}
-		if i > 0 && r.IntN(3) > 0 {
-			stage.DependsOn = []int{r.IntN(i)}
+	for i := range 1 + random.IntN(3) {
+		stage := job.Stage{Count: 1 + random.IntN(6), EstimatedDurationMS: 500,
+			Resources: job.Resources{Processors: int64(500 + random.IntN(3500)), MemoryMB: int64(100 + random.IntN(2000)), Accelerators: int64(random.IntN(2))}}
+		if i > 0 && random.IntN(3) > 0 {
+			stage.DependsOn = []int{random.IntN(i)}
 		}
-		switch r.IntN(8) {
+		switch random.IntN(8) {
 		case 0:
-			stage.GangScheduled, stage.SameRack = true, r.IntN(2) == 0
+			stage.GangScheduled, stage.SameRack = true, random.IntN(2) == 0
 		case 1:
 			stage.AtLeastOnce = true
 		case 2:
-			stage.AntiAffinity = 1 + r.IntN(2)
+			stage.AntiAffinity = 1 + random.IntN(2)
 		case 3:
-			stage.Requirements = job.Labels{[]string{"a", "b"}[r.IntN(2)]}
+			stage.Requirements = job.Labels{[]string{"a", "b"}[random.IntN(2)]}
 		case 4:
 			stage.Affinity = "rack1"
 		}
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -101,12 +101,12 @@
 }
 
 // completion reports that a task's newest run has ended.
-func (g *storedGroup) complete(id job.ID, repetition, stage, index int, how job.Outcome, checkpoint string) {
+func (g *storedGroup) complete(id job.ID, repetition, stage, index int, outcome job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
-	at := g.assignedTo[task]
-	g.completionCounts[at]++
-	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: at, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
-		{CompletionNumber: g.completionCounts[at], Task: task, AttemptNumber: g.attemptNumbers[task], How: how, Checkpoint: checkpoint},
+	worker := g.assignedTo[task]
+	g.completionCounts[worker]++
+	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: worker, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
+		{CompletionNumber: g.completionCounts[worker], Task: task, AttemptNumber: g.attemptNumbers[task], How: outcome, Checkpoint: checkpoint},
 	}})
 	g.commit()
 }
@@ -193,10 +193,10 @@
 			panic(err) // it can be written
 		}
 		state, _ := s.Status(j.id)
-		q := j.Queue
+		queue := j.Queue
 		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.incompleteRepetitions, j.nextDueMS)
 		line("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
-			q.Route, q.Service, q.Priority, q.MaxAttempts, q.Extension, q.TargetLatencyMS, q.Guards)
+			queue.Route, queue.Service, queue.Priority, queue.MaxAttempts, queue.Extension, queue.TargetLatencyMS, queue.Guards)
 		line("  specification: %s", specification)
 		for number, repetition := range j.repetitions {
 			if repetition == nil {
@@ -213,8 +213,8 @@
 		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", worker.ID, len(worker.attempts), worker.used.Processors, worker.used.MemoryMB, worker.used.Accelerators)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
-		d := s.operatorDrains[id]
-		line("drain of %s: since %d, version %d, history %b", id, d.SinceMS, d.Version, d.History)
+		drain := s.operatorDrains[id]
+		line("drain of %s: since %d, version %d, history %b", id, drain.SinceMS, drain.Version, drain.History)
 	}
 	return text.String()
 }
@@ -225,8 +225,8 @@
 		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
 		for _, task := range stage.tasks {
 			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", task.id, task.attemptNumber, task.failedAttempts, task.checkpoint, task.done)
-			for _, run := range slices.SortedFunc(slices.Values(task.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
-				line("        run %d at %s, inherited %v", run.number, run.worker.ID, run.inherited)
+			for _, attempt := range slices.SortedFunc(slices.Values(task.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
+				line("        run %d at %s, inherited %v", attempt.number, attempt.worker.ID, attempt.inherited)
 			}
 		}
 	}
@@ -333,14 +333,14 @@
 			}
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
-			again := make(storage.Tables)
+			reencoded := make(storage.Tables)
 			for name, table := range store.Snapshot() {
-				again[name] = make(map[string][]byte)
+				reencoded[name] = make(map[string][]byte)
 				for key, value := range table {
-					again[name][key] = reencode(key, value)
+					reencoded[name][key] = reencode(key, value)
 				}
 			}
-			So(dumpTables(again), ShouldEqual, records)
+			So(dumpTables(reencoded), ShouldEqual, records)
 		})
 		Convey("this build names the records in the same way", func() {
 			task := job.TaskID{Job: repeatedJob, Repetition: 1, Stage: 2, Index: 3}
