--- a/internal/jobs/scheduler/binding.go
+++ b/internal/jobs/scheduler/binding.go
@@ -2,10 +2,9 @@
 
 import (
 	"math"
-	"slices"
 )
 
-// bind chooses the worker where a task waits: the least cost among the eligible.
+// bindTask binds a task to the least costly worker that is reachable and eligible, and to none if there is none.
 func (s *Scheduler) bindTask(now Now, task *taskState) {
 	s.unbindTask(task)
 	var best *workerState
@@ -14,17 +13,18 @@
 		if !worker.reachable || !s.isEligible(task.stage, worker) {
 			continue
 		}
-		cost := s.cost(task.stage, worker)
-		if slices.Contains(task.avoidedWorkers, worker.ID) {
-			cost *= 1 + failureCost
-		}
-		if cost < bestCost {
+		if cost := s.taskCost(task, worker); cost < bestCost {
 			best, bestCost = worker, cost
 		}
 	}
-	if best != nil {
-		task.boundTo = best
-		best.boundTasks++
+	task.bindTo(best)
+}
+
+// bindTo binds an unbound task to a worker; nil for none.
+func (task *taskState) bindTo(worker *workerState) {
+	task.boundTo = worker
+	if worker != nil {
+		worker.boundTasks++
 	}
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// rebindTasks binds the tasks anew that wait at a worker which cannot take them any more.
+// rebindTasks binds the tasks of a worker that cannot take them any more to others.
 func (s *Scheduler) rebindTasks(now Now, worker *workerState) {
 	for _, stage := range s.waitingStages {
 		for _, task := range stage.waiting {
@@ -47,7 +47,7 @@
 	s.orderStale = true
 }
 
-// bindUnboundTasks binds the tasks that found no eligible worker before.
+// bindUnboundTasks binds the tasks for which no worker was eligible before.
 func (s *Scheduler) bindUnboundTasks(now Now) {
 	for _, stage := range s.waitingStages {
 		for _, task := range stage.waiting {
@@ -59,8 +59,8 @@
 	s.orderStale = true
 }
 
-// unitCostScratch are the workers that may take a stage's tasks, with their costs without load. All new tasks of a stage are
-// alike, so that these are worked out once for all of them.
+// unitCosts are the workers that may take a stage's tasks, with their costs without load. All new tasks of a stage are
+// alike, so that these are computed once for all of them.
 type unitCosts []unitCost
 
 type unitCost struct {
@@ -68,6 +68,7 @@
 	cost   float64
 }
 
+// unitCostsFor computes the unit costs of a stage. They are valid until the next call.
 func (s *Scheduler) unitCostsFor(stage *stageState) unitCosts {
 	costs := s.unitCostScratch[:0]
 	for _, worker := range s.sortedWorkers {
@@ -79,7 +80,7 @@
 	return costs
 }
 
-// bind chooses the worker where a new task waits: the least cost.
+// bindLeastCost binds a new task, which avoids no worker yet, to the least costly one.
 func (u unitCosts) bindLeastCost(task *taskState) {
 	var best *workerState
 	bestCost := math.Inf(1)
@@ -88,8 +89,5 @@
 			best, bestCost = u[i].worker, cost
 		}
 	}
-	if best != nil {
-		task.boundTo = best
-		best.boundTasks++
-	}
+	task.bindTo(best)
 }
--- a/internal/jobs/scheduler/commandresults.go
+++ b/internal/jobs/scheduler/commandresults.go
@@ -6,16 +6,17 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// LateCommandWindow is how long after it was sent an unanswered order may still be carried out.
+// LateCommandWindow is how long after it was sent an unanswered command may still be executed by its worker.
 const LateCommandWindow = 12500 * time.Millisecond
 
 const (
-	backoffAfterUnhealthy   = time.Second            // no starts at a worker that turned one away as unhealthy
-	backoffAfterFull        = 300 * time.Millisecond // nor at one that had less room than we thought
-	backoffAfterFailedStart = 100 * time.Millisecond // of a task whose start went wrong
+	backoffAfterUnhealthy   = time.Second            // no starts at a worker that rejected one as unhealthy
+	backoffAfterFull        = 300 * time.Millisecond // nor at one that had less capacity than we counted
+	backoffAfterFailedStart = 100 * time.Millisecond // of a task whose start was rejected or never sent
 )
 
-// HandleStartResult takes what became of a start.
+// HandleStartResult takes what became of a start. A rejected one ends its attempt; one without an answer does not, as it
+// may still be executed (see handleMissing).
 func (s *Scheduler) HandleStartResult(now Now, result *workerclient.StartResult) {
 	worker := s.workers[result.Worker]
 	if worker == nil {
@@ -48,7 +49,7 @@
 	s.dispatchNeeded = true
 }
 
-// HandleStopResult takes that a stop was answered: the run has ended or is ending, or will never begin.
+// HandleStopResult takes the answer to a stop: the attempt has ended or is ending, or will never begin.
 func (s *Scheduler) HandleStopResult(now Now, result *workerclient.StopResult) {
 	worker := s.workers[result.Worker]
 	if worker == nil || !result.Answered {
--- a/internal/jobs/scheduler/completion.go
+++ b/internal/jobs/scheduler/completion.go
@@ -7,11 +7,11 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-const (
-	maxAvoidedWorkers = 4 // workers that a task avoids
-)
+// maxAvoidedWorkers is how many workers a task avoids; the oldest is dropped for a further one.
+const maxAvoidedWorkers = 4
 
-// handleCompletion takes one entry of a worker's list of ends.
+// handleCompletion takes one completion from a worker's report. A worker lists it until it is acknowledged, so that the
+// same one may come many times; each counts once, by its number. It may be of an attempt that is not known here any more.
 func (s *Scheduler) handleCompletion(now Now, worker *workerState, completion *workerclient.FinishedTask) {
 	if completion.CompletionNumber <= worker.lastCompletion {
 		return
@@ -35,7 +35,7 @@
 	}
 	switch {
 	case task.stage.LongRunning:
-		s.retry(now, task, completion.AttemptNumber) // started again however it ends
+		s.retry(now, task, completion.AttemptNumber) // started again whatever the outcome
 	case completion.How == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
 		s.handleSuccess(now, task)
 	case completion.How == job.OutcomeFailed:
@@ -45,17 +45,19 @@
 	}
 }
 
+// handleSuccess completes a task, or a whole gang.
 func (s *Scheduler) handleSuccess(now Now, task *taskState) {
 	if !task.stage.GangScheduled {
 		s.completeTask(now, task)
 		return
 	}
-	for _, member := range task.stage.tasks { // one such end counts for all members
+	for _, member := range task.stage.tasks { // one such completion counts for all members
 		s.completeTask(now, member)
 	}
 }
 
-// completeTask notes that a task has ended done.
+// completeTask marks a task as done, and begins what depended on it: the next stages, the end of the repetition or of the
+// job.
 func (s *Scheduler) completeTask(now Now, task *taskState) {
 	if task.done {
 		return
@@ -64,7 +66,7 @@
 	s.dequeue(task)
 	s.writeTaskRecord(task)
 	for _, attempt := range task.attempts {
-		if !task.stage.GangScheduled { // members of a gang end together by themselves
+		if !task.stage.GangScheduled { // members of a gang end together without a stop
 			s.stopAttempt(attempt)
 		}
 	}
@@ -74,7 +76,7 @@
 		return
 	}
 	if stage.GangScheduled {
-		s.abandonGangAttempt(now, stage, task.attemptNumber) // whoever has not ended by itself soon is stopped
+		s.abandonGangAttempt(now, stage, task.attemptNumber) // members that do not end soon are stopped
 	}
 	stage.repetition.incompleteStages--
 	if stage.repetition.incompleteStages == 0 {
@@ -85,7 +87,7 @@
 	s.beginReadyStages(now, stage.repetition)
 }
 
-// handleFailure counts a run that ended failed; the job fails with the last attempt.
+// handleFailure counts a failed attempt. The job fails with the last one that its queue allows.
 func (s *Scheduler) handleFailure(now Now, task *taskState, worker *workerState, number uint64) {
 	counter := task
 	if task.stage.GangScheduled {
@@ -105,7 +107,7 @@
 	s.retry(now, task, number)
 }
 
-// avoidWorker lets a task start elsewhere rather than where it has just failed.
+// avoidWorker makes a worker costlier for a task that has just failed or crawled there.
 func (task *taskState) avoidWorker(worker *workerState) {
 	task.avoidedWorkers = append(task.avoidedWorkers, worker.ID)
 	if len(task.avoidedWorkers) > maxAvoidedWorkers {
@@ -113,7 +115,7 @@
 	}
 }
 
-// recordCheckpoint notes the newest checkpoint, for the whole gang if the task is a member of one.
+// recordCheckpoint sets the newest checkpoint, for the whole gang if the task is a member of one.
 func (task *taskState) recordCheckpoint(checkpoint string) {
 	if !task.stage.Checkpoints {
 		return
@@ -127,7 +129,7 @@
 	}
 }
 
-// retry lets a task wait for another run once no run of it is under way.
+// retry queues a task for another attempt once none that rules out a further one is under way.
 func (s *Scheduler) retry(now Now, task *taskState, number uint64) {
 	if task.done || task.stage.job.ended {
 		return
@@ -144,7 +146,7 @@
 	s.enqueueAndBind(now, task)
 }
 
-// over ends a run that is certainly not under way any more, without an end listed.
+// endAttempt ends an attempt that is certainly not under way any more although no completion was reported.
 func (s *Scheduler) endAttempt(now Now, attempt *attemptState) {
 	task := attempt.task
 	s.removeAttempt(attempt)
@@ -157,7 +159,15 @@
 	s.retry(now, task, attempt.number)
 }
 
-// removeAttempt forgets a run.
+// addAttempt adds an attempt to its task and its worker, and reserves its capacity.
+func (s *Scheduler) addAttempt(attempt *attemptState) {
+	task, worker := attempt.task, attempt.worker
+	task.attempts = append(task.attempts, attempt)
+	worker.attempts[task.id] = attempt
+	worker.used = worker.used.Add(task.stage.Resources)
+}
+
+// removeAttempt takes an attempt off its task and its worker, and frees its capacity.
 func (s *Scheduler) removeAttempt(attempt *attemptState) {
 	worker := attempt.worker
 	if worker.attempts[attempt.task.id] != attempt {
--- a/internal/jobs/scheduler/dispatch.go
+++ b/internal/jobs/scheduler/dispatch.go
@@ -7,7 +7,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// Dispatch starts waiting tasks in their order, wherever there is room.
+// Dispatch starts waiting tasks in the queue's order, wherever a worker takes them. It ends as soon as no worker takes
+// starts.
 func (s *Scheduler) Dispatch(now Now) {
 	s.dispatchNeeded = false
 	s.orderQueue(now)
@@ -28,7 +29,7 @@
 	}
 }
 
-// startTasks starts as many of a stage's tasks as there is room for.
+// startTasks starts as many of a stage's tasks as there is capacity for.
 func (s *Scheduler) startTasks(now Now, stage *stageState, unplaceable *unplaceableRequests) {
 	localOnly := s.waitsForLocality(now, stage)
 	for _, task := range slices.Clone(stage.waiting) {
@@ -44,12 +45,13 @@
 			if !localOnly {
 				unplaceable.add(stage)
 			}
-			return // its siblings ask for the same
+			return // the stage's other tasks request the same
 		}
 	}
 }
 
-// chooseWorker picks an open worker with room: the one where the task is bound, else the least costly sibling.
+// chooseWorker picks an open worker with capacity left: the one that the task is bound to, else the least costly other
+// one; nil if there is none.
 func (s *Scheduler) chooseWorker(now Now, task *taskState, localOnly bool) *workerState {
 	if bound := task.boundTo; bound != nil && s.isOpen(now, bound) && s.canPlace(task, bound, localOnly) && !slices.Contains(task.avoidedWorkers, bound.ID) {
 		return bound
@@ -60,18 +62,15 @@
 		if !s.canPlace(task, worker, localOnly) {
 			continue
 		}
-		cost := s.cost(task.stage, worker)
-		if slices.Contains(task.avoidedWorkers, worker.ID) {
-			cost *= 1 + failureCost
-		}
-		if cost < bestCost {
+		if cost := s.taskCost(task, worker); cost < bestCost {
 			best, bestCost = worker, cost
 		}
 	}
 	return best
 }
 
-// canPlace tells whether an open worker can take a task, near its data if it stays there.
+// canPlace tells whether an open worker can take a task; with localOnly, only near the task's data. No worker ever has two
+// attempts of one task.
 func (s *Scheduler) canPlace(task *taskState, worker *workerState, localOnly bool) bool {
 	if localOnly && s.distanceFactor(task.stage, worker) > 1 {
 		return false
@@ -79,14 +78,12 @@
 	return s.admits(task.stage, worker, 0) && worker.attempts[task.id] == nil
 }
 
-// assign gives a task to a worker.
+// assign gives a task to a worker under a new attempt number. The number is recorded before the command is sent.
 func (s *Scheduler) assign(now Now, task *taskState, worker *workerState, number uint64) {
 	s.dequeue(task)
 	task.attemptNumber = number
 	attempt := &attemptState{task: task, worker: worker, number: number, assignedAt: now.Monotonic}
-	task.attempts = append(task.attempts, attempt)
-	worker.attempts[task.id] = attempt
-	worker.used = worker.used.Add(task.stage.Resources)
+	s.addAttempt(attempt)
 	task.stage.job.started = true
 	s.writeTaskRecord(task)
 	command := &workerclient.StartCommand{Task: task.id, AttemptNumber: number, Specification: task.stage.job.Specification.Text, Checkpoint: task.checkpoint}
--- a/internal/jobs/scheduler/effects.go
+++ b/internal/jobs/scheduler/effects.go
@@ -2,23 +2,26 @@
 
 import (
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
+	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// Command is a start or a stop for one worker.
+// Command is a start or a stop for one worker; exactly one of Start and Stop is set.
 type Command struct {
 	Worker workerclient.WorkerID
-	Start  *workerclient.StartCommand // nil for a stop
+	Start  *workerclient.StartCommand
 	Stop   *workerclient.StopCommand
 }
 
-// Noted says that all of a worker's ends up to Number are covered by the entries gathered so far.
+// Acknowledgement says that all of a worker's completions up to a number are covered by the entries gathered so far. The
+// worker may forget them once those are durable.
 type Acknowledgement struct {
 	Worker           workerclient.WorkerID
 	CompletionNumber uint64
 }
 
-// Effects are what the calls since the last Take want done: first the entries made durable, then the rest.
+// Effects are what the calls since the last TakeEffects want done: first the entries made durable, in their order, then
+// the rest.
 type Effects struct {
 	Entries          []replication.Entry
 	Commands         []Command
@@ -37,7 +40,8 @@
 	return effects
 }
 
-// StillWanted tells whether a start that has become durable is still to be sent.
+// StillWanted tells whether a start that has become durable is still to be sent: meanwhile its attempt may have been
+// stopped, or its worker removed.
 func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartCommand) bool {
 	worker := s.workers[id]
 	if worker == nil {
@@ -47,6 +51,8 @@
 	return attempt != nil && attempt.number == command.AttemptNumber && !attempt.stopping
 }
 
+// acknowledgeCompletions gathers the acknowledgement of all completions that were taken from a worker, one for each
+// worker at most.
 func (s *Scheduler) acknowledgeCompletions(worker *workerState) {
 	for i := range s.effects.Acknowledgements {
 		if s.effects.Acknowledgements[i].Worker == worker.ID {
@@ -57,12 +63,17 @@
 	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: worker.ID, CompletionNumber: worker.lastCompletion})
 }
 
-// stopAttempt orders a run stopped, once.
+// stopAttempt gathers the stop of an attempt, once.
 func (s *Scheduler) stopAttempt(attempt *attemptState) {
 	if attempt.stopping {
 		return
 	}
 	attempt.stopping = true
-	command := &workerclient.StopCommand{Task: attempt.task.id, AttemptNumber: attempt.number}
-	s.effects.Commands = append(s.effects.Commands, Command{Worker: attempt.worker.ID, Stop: command})
+	s.commandStop(attempt.worker, attempt.task.id, attempt.number)
+}
+
+// commandStop gathers a stop of one attempt of a task at a worker.
+func (s *Scheduler) commandStop(worker *workerState, task job.TaskID, number uint64) {
+	command := &workerclient.StopCommand{Task: task, AttemptNumber: number}
+	s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
 }
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -7,8 +7,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// Why tells why a job's tasks wait. It follows the decisions of Dispatch: a task may start at a worker exactly if no
-// cause rules the worker out.
+// Why explains why a job's tasks wait, and tells whether the job is known. It agrees with Dispatch: a task may start at a
+// worker exactly if no cause excludes the worker.
 func (s *Scheduler) Why(now Now, id job.ID) (why jobreport.Why, known bool) {
 	state, known := s.Status(id)
 	if !known {
@@ -34,6 +34,7 @@
 	return why, true
 }
 
+// explainStage adds the explanation of a stage, if tasks of it wait.
 func (s *Scheduler) explainStage(now Now, why *jobreport.Why, stage *stageState) {
 	if stage.incompleteTasks == 0 || stage.tasks != nil && len(stage.waiting) == 0 {
 		return
@@ -49,7 +50,7 @@
 	why.Waiting = append(why.Waiting, s.explainWaiting(now, stage))
 }
 
-// explainBlocked explains a stage whose turn has not come.
+// explainBlocked explains a stage that depends on incomplete ones.
 func explainBlocked(stage *stageState) jobreport.Waiting {
 	waiting := jobreport.Waiting{
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: stage.Count, Request: stage.Resources,
@@ -63,6 +64,7 @@
 	return waiting
 }
 
+// explainWaiting explains a stage whose tasks wait for a start: for each worker, whether it could take one.
 func (s *Scheduler) explainWaiting(now Now, stage *stageState) jobreport.Waiting {
 	waiting := jobreport.Waiting{
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: len(stage.waiting), Request: stage.Resources,
@@ -84,11 +86,12 @@
 	return waiting
 }
 
+// waitingReason is the first reason that applies; open is the number of workers that could take a task.
 func (s *Scheduler) waitingReason(now Now, stage *stageState, open int) jobreport.Reason {
 	switch {
 	case stage.GangScheduled && len(stage.waiting) < max(stage.incompleteTasks, stage.Count):
 		return jobreport.ReasonGangActive
-	case isBackingOff(now, stage):
+	case isStageBackingOff(now, stage):
 		return jobreport.ReasonBackoff
 	case open == 0:
 		return jobreport.ReasonNoWorker
@@ -98,9 +101,9 @@
 	return jobreport.ReasonTurn
 }
 
-// isBackingOff tells whether no task of the stage may start right now after starts that went wrong. A gang pauses with any
-// of its members.
-func isBackingOff(now Now, stage *stageState) bool {
+// isStageBackingOff tells whether no task of the stage may start at present, after starts that failed. A gang backs off
+// with any of its members.
+func isStageBackingOff(now Now, stage *stageState) bool {
 	paused := 0
 	for _, task := range stage.waiting {
 		if now.Monotonic.Before(task.backoffUntil) {
@@ -110,7 +113,7 @@
 	return paused == len(stage.waiting) || stage.GangScheduled && paused > 0
 }
 
-// placeableMembers counts the members of a gang that could start at once.
+// placeableMembers counts the members of a gang that could start at present, on any racks.
 func (s *Scheduler) placeableMembers(now Now, stage *stageState) int {
 	members := 0
 	for _, worker := range s.sortedWorkers {
@@ -124,7 +127,7 @@
 	return members
 }
 
-// exclusionCause is the first cause for which a worker does not take a task of a stage now; empty if it could.
+// exclusionCause is the first cause for which a worker does not take a task of a stage at present; empty if it could.
 func (s *Scheduler) exclusionCause(now Now, stage *stageState, worker *workerState) jobreport.Cause {
 	if s.isOpen(now, worker) && s.admits(stage, worker, 0) {
 		return ""
@@ -141,7 +144,7 @@
 		return jobreport.CauseNotFenced
 	case len(worker.orphans) > 0:
 		return jobreport.CauseOrphans
-	case s.isBackingOff(now, worker):
+	case worker.isBackingOff(now):
 		return jobreport.CauseBackoff
 	case float64(len(worker.attempts)) >= worker.window:
 		return jobreport.CauseWindow
@@ -153,7 +156,7 @@
 	return jobreport.CauseOther
 }
 
-// ineligibilityCause is why a worker does not suit a stage whatever its load.
+// ineligibilityCause is why a worker never takes tasks of a stage, whatever its load; empty if it may. See isEligible.
 func (s *Scheduler) ineligibilityCause(stage *stageState, worker *workerState) jobreport.Cause {
 	for _, label := range stage.Requirements {
 		if !worker.hasLabel(label) {
@@ -171,6 +174,7 @@
 	return ""
 }
 
+// addExcluded counts a worker under the cause that excludes it, and names the first few of each cause.
 func addExcluded(list []jobreport.Excluded, cause jobreport.Cause, worker string) []jobreport.Excluded {
 	at := slices.IndexFunc(list, func(one jobreport.Excluded) bool { return one.Cause == cause })
 	if at < 0 {
--- a/internal/jobs/scheduler/gangs.go
+++ b/internal/jobs/scheduler/gangs.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-const (
-	gangStopDelay = 700 * time.Millisecond // until the members of a broken gang are stopped by order
-)
+// gangStopDelay is how long the members of an abandoned attempt have to end without a stop.
+const gangStopDelay = 700 * time.Millisecond
 
-// startGang starts all members at once or none.
+// startGang starts all members at once, under one attempt number, or none.
 func (s *Scheduler) startGang(now Now, stage *stageState) {
 	if len(stage.waiting) < stage.incompleteTasks || len(stage.waiting) < stage.Count {
-		return // a member's last run is not over yet
+		return // a member's last attempt may still be under way
 	}
 	number := uint64(0)
 	for _, task := range stage.tasks {
@@ -31,7 +30,8 @@
 	}
 }
 
-// planGang finds room for all members: on one rack if they want that and one has room, else anywhere.
+// planGang finds a worker for each member: on one rack if the stage wants that and one has the capacity, else anywhere;
+// nil if there is not capacity for all, or a rack is worth waiting for.
 func (s *Scheduler) planGang(now Now, stage *stageState) []*workerState {
 	if stage.SameRack {
 		for _, rack := range s.openRacks(now) {
@@ -46,7 +46,7 @@
 	return s.planOnRack(now, stage, "")
 }
 
-// fitsOneRack tells whether some rack could take a whole gang if it were idle.
+// fitsOneRack tells whether some rack could take the complete gang if it were idle.
 func (s *Scheduler) fitsOneRack(stage *stageState) bool {
 	capacityByRack := map[string]int64{}
 	for _, worker := range s.sortedWorkers {
@@ -73,7 +73,7 @@
 	return racks
 }
 
-// planOnRack places a gang on a rack ("" for all of them), filling the least costly workers first.
+// planOnRack places a gang on a rack ("" for any workers), filling the least costly ones first; nil if not all members fit.
 func (s *Scheduler) planOnRack(now Now, stage *stageState, rack string) []*workerState {
 	var candidates []*workerState
 	for _, worker := range s.openWorkers(now) {
@@ -94,7 +94,8 @@
 	return placed
 }
 
-// abandonGangAttempt notes that one run of a gang is given up. Its members end by themselves; inspectAttempts stops those that do not.
+// abandonGangAttempt gives up one attempt of a gang. Its members end without a stop; inspectAttempt stops those that do
+// not.
 func (s *Scheduler) abandonGangAttempt(now Now, stage *stageState, number uint64) {
 	if number <= stage.abandonedAttempt {
 		return
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	initialWindow        = 4.0   // runs that one worker may have at first
-	maxWindow            = 256.0 // its capacity is what bounds it then
+	initialWindow        = 4.0   // attempts that one worker may have at first
+	maxWindow            = 256.0 // above, its capacity is the bound
 	minWindow            = 1.0
 	latencyWeight        = 0.2  // weight of a new duration in a worker's smoothed latency
-	failureWeight        = 0.25 // weight of a new end in a worker's share of faults
-	normalDurationFactor = 3.0  // times the expected duration: an end within widens the window
+	failureWeight        = 0.25 // weight of a new completion in a worker's failure rate
+	normalDurationFactor = 3.0  // times the expected duration: a completion within widens the window
 
-	minStallTime       = 800 * time.Millisecond // a run that makes no progress for so long may have stalled
-	gangStallAllowance = 2 * time.Second        // more where the run may not have begun
-	stallShare         = 0.24                   // and for this share of its expected duration
-	backoffAfterStall  = 4 * time.Second        // no starts at a worker on which a run has stalled
+	minStallTime       = 800 * time.Millisecond // an attempt without progress for so long may have stalled
+	gangStallAllowance = 2 * time.Second        // more while a gang's members may not all have begun
+	stallShare         = 0.24                   // and for this share of its expected duration, if that is longer
+	backoffAfterStall  = 4 * time.Second        // no starts at a worker on which an attempt has stalled
 )
 
-// recordOutcome takes a run's end into its worker's window, latency and share of faults.
+// recordOutcome takes an attempt's outcome into its worker's window, latency and failure rate. The window grows by one
+// with each usual success and halves with a failure that is not the task's own.
 func (s *Scheduler) recordOutcome(now Now, attempt *attemptState, outcome job.Outcome) {
 	worker := attempt.worker
 	switch outcome {
@@ -36,7 +37,7 @@
 		}
 	case job.OutcomeFailed:
 		if len(attempt.task.failedAttempts) > 0 || attempt.stopping {
-			return // the task itself may be at fault
+			return // the task itself may be the cause
 		}
 		worker.failureRate += failureWeight * (1 - worker.failureRate)
 		worker.window = max(minWindow, worker.window/2)
@@ -65,7 +66,8 @@
 	}
 }
 
-// remainingMS estimates how long a run still takes.
+// remainingMS estimates how long an attempt still takes, in milliseconds: from its progress, or else from the client's
+// estimate.
 func (s *Scheduler) remainingMS(now Now, attempt *attemptState) float64 {
 	expected := s.expectedMS(attempt.task.stage, attempt.worker)
 	elapsed := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
@@ -75,7 +77,8 @@
 	return max(0, expected-elapsed)
 }
 
-// inspectAttempts stops runs that stand still, and members of gangs that were given up.
+// inspectAttempts stops attempts that stalled or are to move off a slow worker, and members of gang attempts that were
+// abandoned.
 func (s *Scheduler) inspectAttempts(now Now) {
 	s.updatePaceRatios()
 	for _, worker := range s.sortedWorkers {
@@ -95,7 +98,7 @@
 	if attempt.stopping {
 		return
 	}
-	if attempt.task.stage.job.ended && !stage.GangScheduled {
+	if stage.job.ended && !stage.GangScheduled {
 		s.stopAttempt(attempt)
 		return
 	}
@@ -104,6 +107,7 @@
 		return
 	}
 	if s.shouldMigrate(now, attempt) {
+		attempt.task.migrations++
 		attempt.task.avoidWorker(attempt.worker)
 		s.stopAttempt(attempt)
 		return
@@ -115,15 +119,15 @@
 	}
 }
 
-// isStalled tells whether a run makes no progress.
+// isStalled tells whether an attempt makes no progress, by its worker's reports.
 func (s *Scheduler) isStalled(attempt *attemptState) bool {
 	stage := attempt.task.stage
 	if !attempt.reported || attempt.progressedAt.IsZero() || stage.LongRunning || attempt.task.done {
 		return false
 	}
-	patience := max(minStallTime, time.Duration(stallShare*s.expectedMS(stage, attempt.worker))*time.Millisecond)
+	allowed := max(minStallTime, time.Duration(stallShare*s.expectedMS(stage, attempt.worker))*time.Millisecond)
 	if stage.GangScheduled && attempt.percent == 0 {
-		patience += gangStallAllowance // it begins once all members are there
+		allowed += gangStallAllowance // it begins once all members are there
 	}
-	return attempt.reportedAt.Sub(attempt.progressedAt) > patience
+	return attempt.reportedAt.Sub(attempt.progressedAt) > allowed
 }
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -8,10 +8,11 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// missingLists is after how many whole lists without it an unreachable worker's life counts as over.
+// maxMissedInventories is after how many complete lists in a row without it an unreachable worker's incarnation counts as
+// over.
 const maxMissedInventories = 2
 
-// SetInventory takes the service's workers as the platform lists them, all of them.
+// SetInventory takes the platform's complete list of the service's workers.
 func (s *Scheduler) SetInventory(now Now, instances []workerclient.Instance) {
 	present := make(map[workerclient.WorkerID]bool, len(instances))
 	for i := range instances {
@@ -32,7 +33,8 @@
 	s.dispatchNeeded = true
 }
 
-// AddInventoryPage takes some of the service's workers, while the platform's list has not been read whole yet.
+// AddInventoryPage takes some of the service's workers, while the platform's list has not been read completely yet. A
+// worker that is not among them is not missing.
 func (s *Scheduler) AddInventoryPage(now Now, instances []workerclient.Instance) {
 	for i := range instances {
 		s.updateInstance(now, &instances[i])
@@ -40,12 +42,13 @@
 	s.dispatchNeeded = true
 }
 
-// KnowsWorker tells whether a worker's life is going on as far as is known.
+// KnowsWorker tells whether a worker's incarnation goes on, as far as is known.
 func (s *Scheduler) KnowsWorker(id workerclient.WorkerID) bool { return s.workers[id] != nil }
 
-// WasRemoved tells whether a worker's life is known to be over although the platform may still list it.
+// WasRemoved tells whether a worker's incarnation is known to be over, although the platform may still list it.
 func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.removed[id] }
 
+// updateInstance takes what the platform lists of one worker.
 func (s *Scheduler) updateInstance(now Now, instance *workerclient.Instance) {
 	if s.removed[instance.ID] {
 		return
@@ -54,11 +57,11 @@
 	if worker == nil {
 		worker = s.addWorker(instance.ID)
 	}
-	drains := instance.Draining && !worker.Draining
+	beginsDraining := instance.Draining && !worker.Draining
 	worker.Instance = *instance
 	worker.inInventory = true
 	worker.rack = rackOf(instance)
-	if drains {
+	if beginsDraining {
 		s.drainWorker(now, worker)
 	}
 }
@@ -71,7 +74,7 @@
 	return worker
 }
 
-// RemoveWorker takes that a worker's life is over: nothing runs there any more.
+// RemoveWorker takes that a worker's incarnation is over: nothing runs there any more.
 func (s *Scheduler) RemoveWorker(now Now, id workerclient.WorkerID) {
 	worker := s.workers[id]
 	if worker == nil {
@@ -87,7 +90,7 @@
 	s.dispatchNeeded = true
 }
 
-// drainWorker moves away what cannot end before the worker may leave.
+// drainWorker stops what cannot end before the platform may take the worker away, and rebinds what waits for it.
 func (s *Scheduler) drainWorker(now Now, worker *workerState) {
 	remainingMS := float64(worker.RemainingMS)
 	if worker.RemainingMS == 0 {
--- a/internal/jobs/scheduler/jobs.go
+++ b/internal/jobs/scheduler/jobs.go
@@ -5,7 +5,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// Submit takes a job in; the same ID again is the same job.
+// Submit adds a job. It is idempotent: an ID that is known, also of an ended job, changes nothing.
 func (s *Scheduler) Submit(now Now, request *jobapi.Submit) {
 	if s.isKnown(request.ID) {
 		return
@@ -18,7 +18,7 @@
 	s.dispatchNeeded = true
 }
 
-// Status tells a job's state.
+// Status is a job's state, and whether the job is known.
 func (s *Scheduler) Status(id job.ID) (job.State, bool) {
 	if j, active := s.jobs[id]; active {
 		if j.started {
@@ -30,7 +30,7 @@
 	return record.State, known
 }
 
-// Cancel ends a job; it tells whether the job is known.
+// Cancel ends a job, and tells whether the job is known. One that had ended before keeps its state.
 func (s *Scheduler) Cancel(now Now, id job.ID) bool {
 	if j, active := s.jobs[id]; active {
 		s.endJob(now, j, job.Cancelled)
@@ -55,7 +55,7 @@
 	s.pendingByRoute[j.Queue.Route]++
 }
 
-// endJob ends a job for good and stops what still runs of it.
+// endJob ends a job for good: it stops the job's attempts and replaces its records by that of its final state.
 func (s *Scheduler) endJob(now Now, j *jobState, state job.State) {
 	j.ended = true
 	s.unscheduleRepetition(j)
@@ -80,7 +80,7 @@
 	}
 }
 
-// abandonStage forgets a stage's waiting tasks and stops the runs of those that are not done.
+// abandonStage dequeues a stage's waiting tasks and stops the attempts of those that are not done.
 func (s *Scheduler) abandonStage(stage *stageState) {
 	for len(stage.waiting) > 0 {
 		s.dequeue(stage.waiting[0])
@@ -94,8 +94,8 @@
 	}
 }
 
-// pruneEndedJobs drops the states of jobs that ended long ago. The time of day, which may be set, is believed only together
-// with the steady clock: a job that is forgotten too early would run once more if it were handed in again.
+// pruneEndedJobs forgets jobs that ended longer than StatusRetention ago. The time of day, which may be set, counts only
+// together with the monotonic clock: a job that is forgotten too early would run once more if it were submitted again.
 func (s *Scheduler) pruneEndedJobs(now Now) {
 	oldestMS := now.WallMS - s.settings.StatusRetention.Milliseconds()
 	for id, record := range s.ended {
--- a/internal/jobs/scheduler/locality.go
+++ b/internal/jobs/scheduler/locality.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	localityWaitShare = 0.7             // of the time lost by running far from the data or across racks
-	maxLocalityWait   = 2 * time.Second // wait for room near the data
+	localityWaitShare = 0.7             // of the time that a task loses away from its data, or a gang across racks
+	maxLocalityWait   = 2 * time.Second // whatever the estimate
 )
 
-// localityWait is how long tasks wait for room near their data rather than run elsewhere: a part of what that would cost.
+// localityWait is how long tasks wait for capacity near their data rather than start elsewhere (delay scheduling): a share
+// of the time that starting elsewhere would cost.
 func (s *Scheduler) localityWait(stage *stageState) time.Duration {
 	extra := (max(1, s.settings.RemoteFactor) - 1) * float64(stage.EstimatedDurationMS)
 	return min(maxLocalityWait, time.Duration(localityWaitShare*extra)*time.Millisecond)
 }
 
-// waitsForLocality tells whether a stage still waits for room near its data. It does not where nothing near could take it.
+// waitsForLocality tells whether a stage still waits for capacity near its data. It does not if no worker there could ever
+// take it.
 func (s *Scheduler) waitsForLocality(now Now, stage *stageState) bool {
 	if stage.Affinity == "" || now.Monotonic.Sub(stage.waitingSince) >= s.localityWait(stage) {
 		return false
@@ -30,7 +32,7 @@
 	return false
 }
 
-// rackOf is a worker's rack: labels name its kind first and its rack last.
+// rackOf is a worker's rack, the last of its labels if there are several; empty if there is none.
 func rackOf(instance *workerclient.Instance) string {
 	if len(instance.Labels) < 2 {
 		return ""
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -14,11 +14,11 @@
 //	d/Worker  operatorDrainRecord
 const operatorDrainPrefix = "d/"
 
-// operatorDrainRecord says whether an operator allows a worker no new starts, and which orders were taken before. It stays after
-// the end of a drain, for as long as the worker lives: an order that comes late is told by its version.
+// operatorDrainRecord says whether an operator drains a worker, and which changes were taken before. It stays after the end
+// of a drain, for as long as the worker's incarnation: a change that arrives late is recognized by its base version.
 type operatorDrainRecord struct {
 	SinceMS int64  `msgpack:"t"` // of the newest change, milliseconds since 1970
-	Version uint64 `msgpack:"v"` // the number of orders taken
+	Version uint64 `msgpack:"v"` // the number of changes that were taken
 	// History has a bit for each of the newest versions, the lowest for the newest one: whether the worker was drained then.
 	History uint64 `msgpack:"h"`
 }
@@ -28,7 +28,7 @@
 
 func (r operatorDrainRecord) draining() bool { return r.History&1 == 1 }
 
-// next is the record after a further order.
+// next is the record after a further change.
 func (r operatorDrainRecord) next(now Now, draining bool) operatorDrainRecord {
 	after := operatorDrainRecord{SinceMS: now.WallMS, Version: r.Version + 1, History: r.History << 1}
 	if draining {
@@ -37,13 +37,13 @@
 	return after
 }
 
-// outcomeOf tells what an order comes to that builds on a version. What was taken stays taken: the order that made version N+1 is the one
-// that asked on top of N for what N+1 is.
+// outcomeOf tells what a change on top of a base version comes to. What was taken stays taken: the change that made version
+// N+1 is one that requested, on top of N, what N+1 is.
 func (r operatorDrainRecord) outcomeOf(change DrainChange) jobreport.DrainOutcome {
 	if change.BaseVersion == r.Version {
 		return jobreport.DrainTaken
 	}
-	newerVersions := r.Version - change.BaseVersion - 1 // versions after the one that was made on top of it
+	newerVersions := r.Version - change.BaseVersion - 1 // versions after the one made on top of the base version
 	switch {
 	case change.BaseVersion > r.Version || newerVersions >= drainHistory:
 		return jobreport.DrainUnclear
@@ -53,23 +53,23 @@
 	return jobreport.DrainSuperseded
 }
 
-// DrainChange is an operator's order to drain a worker, or to end that, on top of the version that the operator has read.
+// DrainChange is an operator's request to drain a worker, or to end that, on top of the version that the operator has read.
 type DrainChange struct {
 	Draining    bool
 	BaseVersion uint64
 }
 
-// operatorDrain is one such worker.
+// operatorDrain is a worker that an operator has drained or undrained.
 type operatorDrain struct {
 	operatorDrainRecord
-	missedInventories int // the platform's lists in a row while its life is not known
+	missedInventories int // complete lists in a row while the worker is not known
 }
 
 func operatorDrainKey(id workerclient.WorkerID) string { return operatorDrainPrefix + string(id) }
 
-// SetOperatorDrain lets a worker get no new starts, or allows them again; what runs there goes on. It tells whether
-// the worker is known. The same order again changes nothing; a drain that was taken is known also while the worker is
-// not, as after a change of leaders.
+// SetOperatorDrain drains a worker, which then gets no new starts, or ends that; attempts under way go on. It tells whether
+// the worker is known, which is the case also for one that was drained under an earlier leadership and has not been listed
+// yet. It is idempotent.
 func (s *Scheduler) SetOperatorDrain(now Now, id workerclient.WorkerID, draining bool) bool {
 	if !s.mayDrain(id) {
 		return false
@@ -80,7 +80,7 @@
 	return true
 }
 
-// ChangeOperatorDrain does the same on top of a version, so that an order that comes late does not undo a later one.
+// ChangeOperatorDrain does the same on top of a version, so that a change that arrives late does not undo a newer one.
 func (s *Scheduler) ChangeOperatorDrain(now Now, id workerclient.WorkerID, change DrainChange) jobreport.DrainOutcome {
 	if !s.mayDrain(id) {
 		return jobreport.DrainUnknown
@@ -98,7 +98,7 @@
 	return s.workers[id] != nil || s.operatorDrains[id] != nil
 }
 
-// applyDrain carries out an order.
+// applyDrain records a change and rebinds tasks accordingly.
 func (s *Scheduler) applyDrain(now Now, id workerclient.WorkerID, draining bool) {
 	previous := s.operatorDrains.record(id)
 	record := previous.next(now, draining)
@@ -115,12 +115,12 @@
 	s.dispatchNeeded = true
 }
 
-// DrainVersion is the number of operators' orders on the drain of a worker that were taken in its life.
+// DrainVersion is the number of operators' changes to a worker's drain that were taken in its incarnation.
 func (s *Scheduler) DrainVersion(id workerclient.WorkerID) uint64 {
 	return s.operatorDrains.record(id).Version
 }
 
-// IsOperatorDraining tells whether an operator allows a worker no new starts.
+// IsOperatorDraining tells whether an operator drains a worker.
 func (s *Scheduler) IsOperatorDraining(id workerclient.WorkerID) bool {
 	return s.operatorDrains.isDraining(id)
 }
@@ -128,10 +128,10 @@
 // operatorDrains are the workers that operators have drained or undrained.
 type operatorDrains map[workerclient.WorkerID]*operatorDrain
 
-// isDraining tells whether an operator allows a worker no new starts now.
+// isDraining tells whether an operator drains a worker.
 func (d operatorDrains) isDraining(id workerclient.WorkerID) bool { return d.record(id).draining() }
 
-// record is that of a worker; its zero value stands for one that no operator has drained.
+// record is a worker's record; the zero value if no operator has ever drained it.
 func (d operatorDrains) record(id workerclient.WorkerID) operatorDrainRecord {
 	if drain := d[id]; drain != nil {
 		return drain.operatorDrainRecord
@@ -144,7 +144,7 @@
 	s.eraseRecord(operatorDrainKey(id))
 }
 
-// pruneOperatorDrains forgets the records of workers whose lives are over. It is called after each whole list.
+// pruneOperatorDrains forgets the records of workers whose incarnations are over. It is called after each complete list.
 func (s *Scheduler) pruneOperatorDrains() {
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		drain := s.operatorDrains[id]
@@ -159,7 +159,7 @@
 	}
 }
 
-// restoreOperatorDrains reads the durable records.
+// restoreOperatorDrains reads the durable records; the error is ErrCorruptState.
 func restoreOperatorDrains(state map[string][]byte) (operatorDrains, error) {
 	drains := operatorDrains{}
 	for key, value := range state {
--- a/internal/jobs/scheduler/operatorreports.go
+++ b/internal/jobs/scheduler/operatorreports.go
@@ -9,13 +9,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// The reports below read the state and change nothing, but for the order of the stages that wait, which is brought up
-// to date.
+// Reports to operators read the state and change nothing, but for the order of the queue, which Why brings up to date.
 
 const (
-	maxNamedWorkers    = 8   // workers that a report names for one cause
-	maxExplainedStages = 40  // stages that one report explains
-	maxReportDetails   = 500 // stages, runs and failures that one report lists, each
+	maxNamedWorkers    = 8   // that a report names for one cause
+	maxExplainedStages = 40  // that one report explains
+	maxReportDetails   = 500 // stages, attempts and failures that one report lists, each
 )
 
 // Load counts jobs and workers.
@@ -70,6 +69,7 @@
 	}
 }
 
+// reportedState is the first state that applies to a worker.
 func (s *Scheduler) reportedState(now Now, worker *workerState) jobreport.WorkerState {
 	switch {
 	case !worker.reachable:
@@ -80,16 +80,12 @@
 		return jobreport.WorkerOperatorDraining
 	case worker.fencedAt.IsZero():
 		return jobreport.WorkerNotFenced
-	case s.isBackingOff(now, worker):
+	case worker.isBackingOff(now):
 		return jobreport.WorkerBackoff
 	}
 	return jobreport.WorkerReady
 }
 
-func (s *Scheduler) isBackingOff(now Now, worker *workerState) bool {
-	return now.Monotonic.Before(worker.backoffUntil) || now.Monotonic.Before(worker.fullUntil)
-}
-
 // Jobs lists the newest jobs of a state, or of all states if it is empty: first those that have not ended, the latest
 // arrival first, then those that have, the latest end first. Total counts all that match.
 func (s *Scheduler) Jobs(state job.State, limit int) (jobs []jobreport.Job, total int) {
@@ -181,6 +177,7 @@
 	return report, true
 }
 
+// addStage adds a stage, with its attempts and failures, as far as the limits allow.
 func addStage(now Now, report *jobreport.JobDetail, stage *stageState) {
 	if len(report.Stages) >= maxReportDetails {
 		report.Truncated = true
@@ -202,6 +199,7 @@
 	}
 }
 
+// atLimit tells whether a list of a report is full, and marks the report as truncated if so.
 func atLimit(listed int, report *jobreport.JobDetail) bool {
 	if listed < maxReportDetails {
 		return false
--- a/internal/jobs/scheduler/ordering.go
+++ b/internal/jobs/scheduler/ordering.go
@@ -6,28 +6,29 @@
 	"slices"
 )
 
-// maxRanked bounds the jobs that one recomputation ranks by makespan; the rest follow in order of arrival.
+// maxRanked bounds the jobs of one level that an ordering ranks by makespan; the rest follow in order of arrival.
 const maxRanked = 64
 
-// subjob is the tasks of one job that wait at one worker.
+// subjob is SWAG's sub-job: the tasks of one job that are bound to one worker.
 type subjob struct {
 	worker *workerState
 	size   int
 }
 
-// candidate is one repetition of a job with tasks that wait. It is kept from one ordering to the next.
+// candidate is one repetition of a job with tasks that wait. It is kept from one ordering to the next, so that orderings
+// do not allocate.
 type candidate struct {
 	level          int // the lower goes first
 	job            *jobState
 	orderingNumber uint64 // the newest that it is part of
 	stages         []*stageState
-	subjobs        []subjob // by divide
-	size           int      // by divide
+	subjobs        []subjob // by splitSubjobs
+	size           int      // by splitSubjobs
 }
 
-// orderQueue sorts the stages that wait: by level, and within a level by SWAG's greedy order. Each worker's queue
-// begins at our runs there. Each step picks the job whose largest makespan over its workers is least (ties: the
-// smaller job), and adds its tasks to the queues.
+// orderQueue sorts the stages that wait: by level, and within a level by SWAG's greedy order. Each worker's queue begins
+// at our attempts there. Each step picks the job of least makespan (ties: the smaller job), and adds its tasks to the
+// queues. It does nothing if the order is up to date.
 func (s *Scheduler) orderQueue(now Now) {
 	if !s.orderStale {
 		return
@@ -45,7 +46,7 @@
 	}
 }
 
-// byLevel cuts candidates that are sorted by level into those of each level.
+// byLevel groups candidates that are sorted by level into those of each level.
 func byLevel(candidates []*candidate) [][]*candidate {
 	var levels [][]*candidate
 	for begin := 0; begin < len(candidates); {
@@ -87,8 +88,8 @@
 	return candidates
 }
 
-// splitSubjobs counts the tasks that wait, all and at each worker, and lets the queues of these workers begin at our runs there.
-// It is done for those candidates alone that are ranked by makespan: the others may be thousands.
+// splitSubjobs counts the tasks that wait, all of them and by worker, and resets the queues of those workers to our
+// attempts there. It is done only for the candidates that are ranked by makespan: the others may be thousands.
 func (c *candidate) splitSubjobs() {
 	c.size, c.subjobs = 0, c.subjobs[:0]
 	for _, stage := range c.stages {
@@ -115,7 +116,7 @@
 	c.subjobs[at].size++
 }
 
-// rankLevel appends the stages of jobs of one level in their order.
+// rankLevel appends the stages of the jobs of one level to the queue, in their order.
 func (s *Scheduler) rankLevel(remaining []*candidate) {
 	rest := remaining[min(len(remaining), maxRanked):]
 	remaining = slices.Clone(remaining[:min(len(remaining), maxRanked)])
@@ -139,8 +140,8 @@
 	}
 }
 
-// makespan is a job's slowest sub-job: queue and own tasks times the worker's latency. One that exceeds the bound is
-// not worked out further.
+// makespan is that of a job's slowest sub-job, in milliseconds: (queue + own tasks) x the worker's latency. One that
+// exceeds the bound is not computed further.
 func (s *Scheduler) makespan(c *candidate, bound float64) float64 {
 	longest := 0.0
 	for _, part := range c.subjobs {
--- a/internal/jobs/scheduler/queue.go
+++ b/internal/jobs/scheduler/queue.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// findTask returns a task of a job that has not ended; nil if there is none whose turn has come.
+// findTask returns a task of a job that has not ended; nil if its repetition or stage has not begun, or is complete.
 func (s *Scheduler) findTask(id job.TaskID) *taskState {
 	j := s.jobs[id.Job]
 	if j == nil || id.Repetition >= len(j.repetitions) || j.repetitions[id.Repetition] == nil {
@@ -19,14 +19,15 @@
 	return stages[id.Stage].tasks[id.Index]
 }
 
-// enqueueAndBind puts a task among those to be started.
+// enqueueAndBind queues a task for a start and binds it.
 func (s *Scheduler) enqueueAndBind(now Now, task *taskState) {
 	if s.enqueue(now, task) {
 		s.bindTask(now, task)
 	}
 }
 
-// enqueue puts a task among those to be started, unless it is there or needs no start, and leaves it unbound.
+// enqueue queues a task for a start and leaves it unbound. It tells whether it did: not if the task is queued already or
+// needs no start.
 func (s *Scheduler) enqueue(now Now, task *taskState) bool {
 	stage := task.stage
 	if task.done || stage.job.ended || slices.Contains(stage.waiting, task) {
@@ -44,7 +45,7 @@
 	return true
 }
 
-// dequeue takes a task from those to be started.
+// dequeue takes a task off the queue, if it is there.
 func (s *Scheduler) dequeue(task *taskState) {
 	stage := task.stage
 	at := slices.Index(stage.waiting, task)
--- a/internal/jobs/scheduler/reachability.go
+++ b/internal/jobs/scheduler/reachability.go
@@ -6,7 +6,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// SetReachable takes whether a worker answers.
+// SetReachable takes whether a worker answers. The tasks of one that does not wait for others; its attempts go on until it
+// is certain that they have ended.
 func (s *Scheduler) SetReachable(now Now, id workerclient.WorkerID, reachable bool) {
 	worker := s.workers[id]
 	if worker == nil {
@@ -22,7 +23,7 @@
 	s.dispatchNeeded = true
 }
 
-// releaseTask lets the task of an unreachable run start elsewhere at once, where copies may run side by side.
+// releaseTask lets the task of an unreachable attempt start elsewhere at once, if its stage allows copies side by side.
 func (s *Scheduler) releaseTask(now Now, attempt *attemptState) {
 	if !attempt.task.stage.AtLeastOnce || attempt.released || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
 		return
@@ -31,7 +32,8 @@
 	s.retry(now, attempt.task, attempt.number)
 }
 
-// ExpireLease takes that everything granted to an unreachable worker under this leadership has run out.
+// ExpireLease takes that all leases granted to an unreachable worker under this leadership have expired. Its attempts end
+// with them, once those of earlier leaderships have expired too.
 func (s *Scheduler) ExpireLease(now Now, id workerclient.WorkerID) {
 	worker := s.workers[id]
 	if worker == nil || worker.reachable || now.Monotonic.Before(s.inheritedLeaseEnd(worker)) {
@@ -43,7 +45,8 @@
 	}
 }
 
-// inheritedLeaseEnd is when everything that earlier leaderships granted to a worker has run out.
+// inheritedLeaseEnd is when all leases that earlier leaderships granted to a worker have expired. Before its fencing token
+// was raised, a command of an earlier leader may still arrive and extend them.
 func (s *Scheduler) inheritedLeaseEnd(worker *workerState) time.Time {
 	lease := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
 	if !worker.fencedAt.IsZero() {
@@ -52,7 +55,7 @@
 	return s.startedAt.Add(LateCommandWindow + lease)
 }
 
-// endAllAttempts ends all runs at a worker.
+// endAllAttempts ends all attempts at a worker.
 func (s *Scheduler) endAllAttempts(now Now, worker *workerState) {
 	for _, attempt := range worker.sortedAttempts() {
 		s.endAttempt(now, attempt)
--- a/internal/jobs/scheduler/records.go
+++ b/internal/jobs/scheduler/records.go
@@ -17,9 +17,11 @@
 //
 //	j/ID          jobRecord         a job that has not ended
 //	t/ID/K.S.I    taskRecord        a task that was assigned at least once
-//	k/ID/K        repetitionRecord  a repetition that is complete; its tasks' records are gone
-//	e/ID          endedRecord       a job that has ended; its other records are gone
-//	d/Worker    operatorDrainRecord  see operatordrain.go
+//	k/ID/K        repetitionRecord  a repetition that is complete; its tasks' records are erased
+//	e/ID          endedRecord       a job that has ended; its other records are erased
+//	d/WORKER      operatorDrainRecord  see operatordrain.go
+//
+// ID is a job's, K.S.I a task's repetition, stage and index.
 const (
 	jobPrefix        = "j/"
 	taskPrefix       = "t/"
@@ -31,13 +33,13 @@
 	Queue         jobapi.Queue      `msgpack:"q"`
 	Specification job.Specification `msgpack:"s"`
 	Arrival       uint64            `msgpack:"a"` // position in the order of arrival
-	ArrivedMS     int64             `msgpack:"w"` // when it was handed in, milliseconds since 1970
+	ArrivedMS     int64             `msgpack:"w"` // when it was submitted, milliseconds since 1970
 }
 
 type taskRecord struct {
-	AttemptNumber  uint64                `msgpack:"x"`           // highest run ever assigned
-	Worker         workerclient.WorkerID `msgpack:"s,omitempty"` // where that run was assigned; empty once it is over
-	FailedAttempts []uint64              `msgpack:"f,omitempty"` // runs that ended failed, each once
+	AttemptNumber  uint64                `msgpack:"x"`           // the highest that was ever assigned
+	Worker         workerclient.WorkerID `msgpack:"s,omitempty"` // where that attempt was assigned; empty once it has ended
+	FailedAttempts []uint64              `msgpack:"f,omitempty"` // numbers of the attempts that ended failed, each once
 	Checkpoint     string                `msgpack:"c,omitempty"`
 	Done           bool                  `msgpack:"d,omitempty"`
 }
@@ -49,7 +51,7 @@
 type endedRecord struct {
 	State   job.State `msgpack:"s"`
 	EndedMS int64     `msgpack:"t"` // milliseconds since 1970
-	endedAt time.Time // of the steady clock: when this leadership ended the job or learned of its end; not stored
+	endedAt time.Time // on the monotonic clock: when this leadership ended the job, or began if that was later; not stored
 }
 
 func jobKey(id job.ID) string   { return jobPrefix + string(id) }
@@ -70,10 +72,12 @@
 	s.effects.Entries = append(s.effects.Entries, replication.Entry{Key: key, Value: value})
 }
 
+// eraseRecord gathers the removal of a record.
 func (s *Scheduler) eraseRecord(key string) {
 	s.effects.Entries = append(s.effects.Entries, replication.Entry{Key: key})
 }
 
+// writeTaskRecord gathers a task's record as it is now.
 func (s *Scheduler) writeTaskRecord(task *taskState) {
 	record := taskRecord{AttemptNumber: task.attemptNumber, FailedAttempts: task.failedAttempts, Checkpoint: task.checkpoint, Done: task.done}
 	for _, attempt := range task.attempts {
@@ -85,7 +89,7 @@
 	s.writeRecord(taskKey(task.id), record)
 }
 
-// EndedJob tells whether an entry records the end of a job, and which.
+// EndedJob tells whether an entry records the end of a job, and if so of which job and with which state.
 func EndedJob(entry *replication.Entry) (id job.ID, state job.State, ended bool) {
 	text, found := strings.CutPrefix(entry.Key, endedPrefix)
 	if !found || entry.Value == nil {
--- a/internal/jobs/scheduler/repetitions.go
+++ b/internal/jobs/scheduler/repetitions.go
@@ -33,14 +33,14 @@
 	return s.nextDueMS
 }
 
-// scheduleRepetition notes when a job's next repetition begins.
+// scheduleRepetition sets when a job's next repetition begins.
 func (s *Scheduler) scheduleRepetition(j *jobState, dueMS int64) {
 	j.nextDueMS = dueMS
 	s.scheduled[j] = true
 	s.nextDueStale = true
 }
 
-// unscheduleRepetition notes that a job has no repetition left to begin.
+// unscheduleRepetition takes a job off those with a repetition to begin.
 func (s *Scheduler) unscheduleRepetition(j *jobState) {
 	if s.scheduled[j] {
 		delete(s.scheduled, j)
@@ -48,7 +48,7 @@
 	}
 }
 
-// beginDueRepetitions begins the repetitions that are due.
+// beginDueRepetitions begins a job's repetitions that are due, and schedules the next one.
 func (s *Scheduler) beginDueRepetitions(now Now, j *jobState) {
 	for len(j.repetitions) < j.Specification.RepetitionCount() {
 		dueMS := j.dueMS(len(j.repetitions))
@@ -66,15 +66,15 @@
 
 func newRepetitionState(j *jobState, number int) *repetitionState {
 	repetition := &repetitionState{number: number, incompleteStages: len(j.Specification.Stages)}
-	defer repetition.setDeadlines(j)
 	for i := range j.Specification.Stages {
 		stage := &j.Specification.Stages[i]
 		repetition.stages = append(repetition.stages, &stageState{Stage: stage, job: j, repetition: repetition, number: i, incompleteTasks: stage.Count})
 	}
+	repetition.setDeadlines(j)
 	return repetition
 }
 
-// beginReadyStages lets the tasks wait of each stage whose turn has come.
+// beginReadyStages queues the tasks of each stage that has not begun and all of whose dependencies are complete.
 func (s *Scheduler) beginReadyStages(now Now, repetition *repetitionState) {
 	for _, stage := range repetition.stages {
 		if stage.tasks != nil || !repetition.areComplete(stage.DependsOn) {
@@ -107,6 +107,7 @@
 	}
 }
 
+// completeRepetition ends the job with its last repetition, or replaces the records of the repetition's tasks by one.
 func (s *Scheduler) completeRepetition(now Now, j *jobState, repetition *repetitionState) {
 	j.incompleteRepetitions--
 	if j.incompleteRepetitions == 0 {
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"cmp"
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -11,7 +13,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// restore rebuilds the state from its durable records.
+// ErrCorruptState is returned where a durable record cannot be read, or contradicts the others.
+var ErrCorruptState = errors.New("corrupt state of jobs")
+
+// restore rebuilds the state from its durable records: first the jobs, then which of their repetitions are complete, then
+// the tasks that were ever assigned. What those records do not name waits for a start. Each attempt that a record names
+// counts as under way, under an earlier leadership, until a report or the end of all leases says otherwise.
 func (s *Scheduler) restore(now Now, state map[string][]byte) error {
 	if err := s.restoreJobs(now, state); err != nil {
 		return err
@@ -48,6 +55,7 @@
 	return nil
 }
 
+// readCompleteRepetitions lists the numbers of each job's complete repetitions.
 func readCompleteRepetitions(state map[string][]byte) (map[job.ID][]int, error) {
 	complete := map[job.ID][]int{}
 	for key := range state {
@@ -57,23 +65,24 @@
 		id, number, _ := strings.Cut(key[len(repetitionPrefix):], "/")
 		repetition, err := strconv.Atoi(number)
 		if err != nil {
-			return nil, fmt.Errorf("record %q: %w", key, err)
+			return nil, fmt.Errorf("%w: record %q: %w", ErrCorruptState, key, err)
 		}
 		complete[job.ID(id)] = append(complete[job.ID(id)], repetition)
 	}
 	return complete, nil
 }
 
+// jobsByArrival lists the jobs that have not ended in their order of arrival.
 func (s *Scheduler) jobsByArrival() []*jobState {
 	var jobs []*jobState
 	for _, j := range s.jobs {
 		jobs = append(jobs, j)
 	}
-	slices.SortFunc(jobs, func(a, b *jobState) int { return int(int64(a.Arrival) - int64(b.Arrival)) })
+	slices.SortFunc(jobs, func(a, b *jobState) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	return jobs
 }
 
-// restoreRepetitions makes the repetitions of a job: all that were complete, and those that are due.
+// restoreRepetitions makes the repetitions of a job up to the last complete one, and those that are due.
 func (s *Scheduler) restoreRepetitions(now Now, j *jobState, complete []int) {
 	begun := 0
 	for _, number := range complete {
@@ -90,10 +99,10 @@
 	for len(j.repetitions) < j.Specification.RepetitionCount() && j.dueMS(len(j.repetitions)) <= now.WallMS {
 		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions)))
 	}
-	s.beginDueRepetitions(now, j) // sets when the next one begins
+	s.beginDueRepetitions(now, j) // schedules the next one
 }
 
-// restoreTasks takes the tasks' records and lets the rest wait.
+// restoreTasks restores the tasks that have a record, and queues those that wait for a start.
 func (s *Scheduler) restoreTasks(now Now, state map[string][]byte) error {
 	for key, value := range state {
 		if !strings.HasPrefix(key, taskPrefix) {
@@ -101,7 +110,7 @@
 		}
 		id, err := job.ParseTaskID(strings.Replace(key[len(taskPrefix):], "/", ".", 1))
 		if err != nil {
-			return fmt.Errorf("record %q: %w", key, err)
+			return fmt.Errorf("%w: record %q: %w", ErrCorruptState, key, err)
 		}
 		var record taskRecord
 		if err := decodeRecord(key, value, &record); err != nil {
@@ -121,23 +130,24 @@
 	return nil
 }
 
+// restoreTask restores one task, and its newest attempt if that was not known to have ended.
 func (s *Scheduler) restoreTask(id job.TaskID, record taskRecord) error {
 	j := s.jobs[id.Job]
 	if j == nil {
-		return fmt.Errorf("task %v: its job has no record", id)
+		return fmt.Errorf("%w: task %v: its job has no record", ErrCorruptState, id)
 	}
 	for id.Repetition >= len(j.repetitions) && len(j.repetitions) < j.Specification.RepetitionCount() {
-		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions))) // begun by a clock ahead of ours
+		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions))) // begun by a leader whose clock was ahead of ours
 	}
 	if id.Repetition >= len(j.repetitions) || j.repetitions[id.Repetition] == nil || id.Stage >= len(j.Specification.Stages) {
-		return fmt.Errorf("task %v: its job has no such stage", id)
+		return fmt.Errorf("%w: task %v: its job has no such stage", ErrCorruptState, id)
 	}
 	stage := j.repetitions[id.Repetition].stages[id.Stage]
 	if stage.tasks == nil {
 		stage.createTasks()
 	}
 	if id.Index >= len(stage.tasks) {
-		return fmt.Errorf("task %v: its stage has no such task", id)
+		return fmt.Errorf("%w: task %v: its stage has no such task", ErrCorruptState, id)
 	}
 	task := stage.tasks[id.Index]
 	task.attemptNumber, task.failedAttempts, task.checkpoint, task.hasRecord = record.AttemptNumber, record.FailedAttempts, record.Checkpoint, true
@@ -156,14 +166,12 @@
 			worker = s.addWorker(record.Worker)
 		}
 		attempt := &attemptState{task: task, worker: worker, number: record.AttemptNumber, inherited: true, assignedAt: s.startedAt}
-		task.attempts = append(task.attempts, attempt)
-		worker.attempts[task.id] = attempt
-		worker.used = worker.used.Add(stage.Resources)
+		s.addAttempt(attempt)
 	}
 	return nil
 }
 
-// requeueTasks lets the tasks wait of stages whose turn has come and that have no run under way.
+// requeueTasks queues the tasks without an attempt under way of the stages whose dependencies are complete.
 func (s *Scheduler) requeueTasks(now Now, repetition *repetitionState) {
 	for _, stage := range repetition.stages {
 		if !repetition.areComplete(stage.DependsOn) {
@@ -180,9 +188,10 @@
 	}
 }
 
+// decodeRecord reads the record of a key; the error is ErrCorruptState.
 func decodeRecord(key string, value []byte, record any) error {
 	if err := msgpack.Unmarshal(value, record); err != nil {
-		return fmt.Errorf("record %q: %w", key, err)
+		return fmt.Errorf("%w: record %q: %w", ErrCorruptState, key, err)
 	}
 	return nil
 }
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -11,22 +11,22 @@
 type jobState struct {
 	jobRecord
 	id                    job.ID
-	repetitions           []*repetitionState // those that are due, by number; nil once complete
-	incompleteRepetitions int                // repetitions that are not complete
+	repetitions           []*repetitionState // those that have begun, by number; nil once complete
+	incompleteRepetitions int                // of all repetitions, begun or not
 	nextDueMS             int64              // when the next repetition begins, milliseconds since 1970; 0 when all have begun
 	started               bool               // a task was assigned at least once
 	ended                 bool
 }
 
-// repetitionState is one time that the stages run.
+// repetitionState is one of the times that a job's stages run, from its begin until all stages are complete.
 type repetitionState struct {
 	number           int
-	remainingMS      float64    // longest chain of stages that are not complete, by estimate, milliseconds
-	targetMS         float64    // objective: when it should be complete, milliseconds since 1970
-	candidate        *candidate // scratch of the ordering
-	worthlessAfterMS float64    // when it is too late to matter, milliseconds since 1970
 	stages           []*stageState
-	incompleteStages int // stages that are not complete
+	incompleteStages int
+	remainingMS      float64    // critical path of the stages that are not complete, by the client's estimates
+	targetMS         float64    // when it should be complete, milliseconds since 1970
+	worthlessAfterMS float64    // from when its completion matters to nobody, milliseconds since 1970
+	candidate        *candidate // its place in the ordering of the queue; nil before the first
 }
 
 // stageState is one stage of one repetition.
@@ -35,74 +35,77 @@
 	job              *jobState
 	repetition       *repetitionState
 	number           int
-	tasks            []*taskState // nil until the stage's turn has come
-	incompleteTasks  int          // tasks that are not done
-	waiting          []*taskState // to be started
-	waitingSince     time.Time
-	queued           bool      // in the scheduler's list of stages that wait
-	abandonedAttempt uint64    // gang: the highest run that is being given up
-	abandonedAt      time.Time // and since when
+	tasks            []*taskState // nil until all stages that it depends on are complete
+	incompleteTasks  int
+	waiting          []*taskState // tasks to be started
+	waitingSince     time.Time    // when waiting last became non-empty
+	queued           bool         // it is in the scheduler's waitingStages
+	abandonedAttempt uint64       // of a gang: the highest attempt number that was given up; 0 for none
+	abandonedAt      time.Time    // and when
 }
 
 // taskState is one task of a stage.
 type taskState struct {
 	id             job.TaskID
 	stage          *stageState
-	attemptNumber  uint64   // highest run assigned so far
-	failedAttempts []uint64 // runs that ended failed, each once
-	checkpoint     string
+	attemptNumber  uint64   // the highest that was assigned; 0 before the first
+	failedAttempts []uint64 // numbers of the attempts that ended failed, each once; of a gang, kept at its first member
+	checkpoint     string   // where the next attempt goes on from; empty for the beginning
 	done           bool
-	hasRecord      bool
-	attempts       []*attemptState // runs that may be under way; more than one only for at-least-once stages
-	boundTo        *workerState    // where the task waits
-	avoidedWorkers []workerclient.WorkerID
-	backoffUntil   time.Time // pause before the next start after it failed to start
-	migrations     int       // times it was moved off a slow worker
+	hasRecord      bool                    // there is a durable record of it
+	attempts       []*attemptState         // that may be under way; more than one only for at-least-once stages
+	boundTo        *workerState            // the worker in whose queue it waits; nil when it does not wait, or none is eligible
+	avoidedWorkers []workerclient.WorkerID // where it failed or crawled of late, oldest first
+	backoffUntil   time.Time               // no start before
+	migrations     int                     // how often it was moved off a slow worker
 }
 
-// attemptState is one execution of a task at a worker that may be under way.
+// attemptState is one attempt of a task at a worker that may be under way.
 type attemptState struct {
 	task            *taskState
 	worker          *workerState
 	number          uint64
 	inherited       bool      // assigned under an earlier leadership
-	assignedAt      time.Time // when it was assigned
+	assignedAt      time.Time // or, if it is inherited, when this leadership began
 	confirmedAt     time.Time // when the start was answered with success; zero before
 	startUnclearAt  time.Time // when the start was given up without an answer; zero otherwise
-	reported        bool      // a report has listed it
-	stopping        bool
-	stopConfirmedAt time.Time // when a stop was answered
-	reportedAt      time.Time // newest report that lists it
-	percent         int
-	progressedAt    time.Time // when percent last rose
-	paceSince       time.Time // when a report first listed it
-	pacePercent     int       // and its percent then
-	checkpoint      string    // newest that a report has listed
-	released        bool      // the task waits again while this run may be under way (at-least-once stages)
+	stopping        bool      // a stop was commanded
+	stopConfirmedAt time.Time // when the stop was answered; zero before
+	released        bool      // the task waits again although this attempt may be under way (at-least-once stages)
+
+	// From the worker's reports.
+	reported     bool      // a report has listed it
+	reportedAt   time.Time // newest report that lists it
+	percent      int       // highest progress that was reported
+	progressedAt time.Time // when percent last rose
+	paceSince    time.Time // when a report first listed it
+	pacePercent  int       // and its progress then
+	checkpoint   string    // the newest; empty for none
 }
 
-// reportedState is one life of a worker.
+// workerState is one incarnation of a worker.
 type workerState struct {
 	workerclient.Instance
-	attempts          map[job.TaskID]*attemptState
-	orphans           map[orphanAttempt]bool // listed runs that nobody wants, being stopped
-	used              job.Resources
+	rack              string
+	attempts          map[job.TaskID]*attemptState // of ours that may be under way
+	orphans           map[orphanAttempt]bool       // reported attempts that no task wants, being stopped
+	used              job.Resources                // by attempts
+	boundTasks        int                          // waiting tasks that are bound to it
 	reachable         bool
-	fencedAt          time.Time // when our fencing token was raised there: nothing of an earlier leadership begins any more
-	inInventory       bool      // in the platform's list at least once during this leadership
-	missedInventories int       // consecutive lists without it
-	lastCompletion    uint64
-	boundTasks        int       // waiting tasks bound here
-	window            float64   // runs of ours that it may have
-	latencyMS         float64   // smoothed duration of its runs, milliseconds; 0 while unheard
-	failureRate       float64   // smoothed share of its runs that fail, 0 to 1
-	paceRatio         float64   // smoothed pace of its runs: times their expected duration; 0 while unknown
+	fencedAt          time.Time // when our fencing token was raised there; from then on no attempt of an earlier leadership begins
+	inInventory       bool      // the platform has listed it during this leadership
+	missedInventories int       // complete lists in a row without it
+	lastCompletion    uint64    // number of the newest completion that was taken
+	window            float64   // how many attempts of ours it may have
+	latencyMS         float64   // smoothed duration of its attempts; 0 before the first
+	failureRate       float64   // smoothed share of its attempts that fail, 0 to 1
+	paceRatio         float64   // smoothed duration of its attempts over the expected one, from their progress; 0 while unknown
 	backoffUntil      time.Time // no starts before
-	fullUntil         time.Time // it rejected a start for want of room: no starts before the next report
-	rack              string
-	queueLength       float64 // scratch of the ordering: our runs, and tasks that were ranked before
+	fullUntil         time.Time // it rejected a start for want of capacity: no starts before then or its next report
+	queueLength       float64   // scratch of the ordering: our attempts and the tasks ranked so far
 }
 
+// orphanAttempt names an attempt that a worker lists and that no task wants.
 type orphanAttempt struct {
 	task   job.TaskID
 	number uint64
--- a/internal/jobs/scheduler/stragglers.go
+++ b/internal/jobs/scheduler/stragglers.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	paceWeight          = 0.25                   // weight of a new observation in a worker's drag
-	minPaceObservation  = 500 * time.Millisecond // a run is watched for so long before its pace counts
-	slowWorkerFactor    = 2.5                    // times the usual drag: above, a worker counts as slow
-	migrationGainFactor = 2.0                    // a run moves if it would end so many times later than elsewhere
-	migrationCostMS     = 300.0                  // milliseconds that a move takes besides its stop
+	paceWeight          = 0.25                   // weight of a new observation in a worker's pace ratio
+	minPaceObservation  = 500 * time.Millisecond // an attempt is observed for so long before its pace counts
+	slowWorkerFactor    = 2.5                    // times the median pace ratio: from there on a worker counts as slow
+	migrationGainFactor = 2.0                    // an attempt migrates if it needs so many times longer than a restart elsewhere
+	migrationCostMS     = 300.0                  // that a migration takes besides the stop
 	maxMigrations       = 2                      // of one task
-	paceRatioDecay      = 0.05                   // share of a worker's drag that fades with each inspection
+	paceRatioDecay      = 0.05                   // share of a worker's distance to the median that fades with each inspection
 )
 
-// observePace takes the pace of a worker's runs into its drag: how many times longer than expected they take.
+// observePace takes an attempt's pace into its worker's pace ratio: how many times longer than expected attempts take.
 func (s *Scheduler) observePace(now Now, attempt *attemptState) {
-	pace, known := attempt.paceMS(now)
+	pace, known := attempt.paceMS()
 	if !known {
 		return
 	}
@@ -28,8 +28,9 @@
 	attempt.worker.paceRatio += paceWeight * (ratio - attempt.worker.paceRatio)
 }
 
-// paceMS is how long a whole run takes at the speed seen so far, in milliseconds.
-func (attempt *attemptState) paceMS(now Now) (float64, bool) {
+// paceMS is how long a complete attempt takes at the speed observed so far, in milliseconds. It is not known for attempts
+// that have not been observed for long enough, or whose progress is not newer than the last report.
+func (attempt *attemptState) paceMS() (pace float64, known bool) {
 	if !attempt.reported || attempt.inherited || attempt.stopping || attempt.task.stage.LongRunning {
 		return 0, false
 	}
@@ -40,18 +41,18 @@
 	return float64(watched.Milliseconds()) * 100 / float64(attempt.percent-attempt.pacePercent), true
 }
 
-// updatePaceRatios works out the usual drag of workers, which is their median.
+// updatePaceRatios computes the median of the workers' pace ratios, and lets each ratio fade towards it.
 func (s *Scheduler) updatePaceRatios() {
-	s.paceRatios = s.paceRatios[:0]
+	s.paceScratch = s.paceScratch[:0]
 	for _, worker := range s.sortedWorkers {
 		if worker.paceRatio > 0 && worker.reachable {
-			s.paceRatios = append(s.paceRatios, worker.paceRatio)
+			s.paceScratch = append(s.paceScratch, worker.paceRatio)
 		}
 	}
-	s.medianPaceRatio = median(s.paceRatios)
+	s.medianPace = median(s.paceScratch)
 	for _, worker := range s.sortedWorkers {
 		if worker.paceRatio > 0 {
-			worker.paceRatio += paceRatioDecay * (s.medianPaceRatio - worker.paceRatio)
+			worker.paceRatio += paceRatioDecay * (s.medianPace - worker.paceRatio)
 		}
 	}
 }
@@ -65,24 +66,21 @@
 	return values[len(values)/2]
 }
 
-// shouldMigrate tells whether a run is so slow that it ends sooner if it is stopped and started elsewhere.
+// shouldMigrate tells whether an attempt on a slow worker is expected to end sooner if it is stopped and the task started
+// elsewhere, from its checkpoint if there is one.
 func (s *Scheduler) shouldMigrate(now Now, attempt *attemptState) bool {
 	stage := attempt.task.stage
 	if stage.GangScheduled || attempt.task.done || len(attempt.task.attempts) > 1 || attempt.task.migrations >= maxMigrations {
 		return false
 	}
-	pace, known := attempt.paceMS(now)
+	pace, known := attempt.paceMS()
 	if !known || s.slowdown(attempt.worker) < slowWorkerFactor {
 		return false
 	}
 	restMS := pace * float64(100-attempt.percent) / 100
-	restartMS := s.expectedMS(stage, attempt.worker)*max(1, s.medianPaceRatio) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
+	restartMS := s.expectedMS(stage, attempt.worker)*max(1, s.medianPace) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
 	if stage.Checkpoints && attempt.checkpoint != "" {
 		restartMS = restartMS*float64(100-attempt.percent)/100 + float64(s.settings.RestoreTime.Milliseconds())
 	}
-	if restMS < migrationGainFactor*restartMS {
-		return false
-	}
-	attempt.task.migrations++
-	return true
+	return restMS >= migrationGainFactor*restartMS
 }
--- a/internal/jobs/scheduler/unplaceable.go
+++ b/internal/jobs/scheduler/unplaceable.go
@@ -2,7 +2,8 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/job"
 
-// unplaceableRequests are requests that found no room during one dispatch: whoever asks for as much finds none either.
+// unplaceableRequests are requests for which no worker had capacity during one dispatch. Capacity only shrinks in a
+// dispatch, so that a stage which requests at least as much cannot be placed either.
 type unplaceableRequests struct {
 	unlabelled []job.Resources            // of stages that any worker may take
 	labelled   map[string][]job.Resources // of those that need a label
--- a/internal/jobs/scheduler/workerreports.go
+++ b/internal/jobs/scheduler/workerreports.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// HandleReport takes a worker's report of what runs there and what has ended.
+// HandleReport takes a worker's report of the attempts that run there and of those that have completed.
 func (s *Scheduler) HandleReport(now Now, report *workerclient.Listing) {
 	worker := s.workers[report.Worker]
 	if worker == nil {
@@ -26,7 +26,7 @@
 	for i := range report.Finished {
 		s.handleCompletion(now, worker, &report.Finished[i])
 	}
-	if !report.Stale { // a newer report has said what runs there
+	if !report.Stale { // a newer report has listed what runs there
 		listed := s.matchRunning(now, worker, report)
 		if !report.Partial {
 			s.handleMissing(now, worker, report, listed)
@@ -35,7 +35,8 @@
 	s.dispatchNeeded = true
 }
 
-// matchRunning matches the running list with our runs and stops what nobody wants.
+// matchRunning matches the reported attempts with ours, and returns the tasks of those that match. The others are orphans,
+// which are stopped.
 func (s *Scheduler) matchRunning(now Now, worker *workerState, report *workerclient.Listing) map[job.TaskID]bool {
 	if len(report.Running) == 0 {
 		worker.orphans = nil
@@ -57,14 +58,14 @@
 		}
 		orphans[key] = true
 		if !worker.orphans[key] {
-			command := &workerclient.StopCommand{Task: entry.Task, AttemptNumber: entry.AttemptNumber}
-			s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
+			s.commandStop(worker, entry.Task, entry.AttemptNumber)
 		}
 	}
 	worker.orphans = orphans
 	return listed
 }
 
+// recordProgress takes what a report says of one of our attempts.
 func (s *Scheduler) recordProgress(now Now, attempt *attemptState, entry *workerclient.RunningTask) {
 	if !attempt.reported {
 		attempt.reported = true
@@ -81,27 +82,29 @@
 	s.observePace(now, attempt)
 }
 
-// handleMissing settles the runs that a report should have listed and did not.
+// handleMissing handles the attempts of ours that a complete report does not list. One that was certainly there, or whose
+// stop was answered, before the report was requested has ended. One whose start got no answer may still begin: it is
+// stopped, after which the worker rejects that start.
 func (s *Scheduler) handleMissing(now Now, worker *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
 	if len(worker.attempts) == len(listed) {
-		return // each one of listed is one of ours
+		return // each listed task is one of ours
 	}
 	for _, attempt := range worker.sortedAttempts() {
 		if listed[attempt.task.id] {
 			continue
 		}
-		answered := !attempt.confirmedAt.IsZero() && attempt.confirmedAt.Before(report.SentAt)
+		started := !attempt.confirmedAt.IsZero() && attempt.confirmedAt.Before(report.SentAt)
 		stopped := !attempt.stopConfirmedAt.IsZero() && attempt.stopConfirmedAt.Before(report.SentAt)
 		switch {
-		case attempt.inherited, answered, stopped:
+		case attempt.inherited, started, stopped:
 			s.endAttempt(now, attempt)
 		case !attempt.startUnclearAt.IsZero() && attempt.startUnclearAt.Before(report.SentAt):
-			s.stopAttempt(attempt) // from then on a start that comes late is rejected
+			s.stopAttempt(attempt) // from then on a start that arrives late is rejected
 		}
 	}
 }
 
-// sortedAttempts lists the runs in a stable order, so that the same events give the same effects.
+// sortedAttempts lists a worker's attempts by task, so that the same events give the same effects.
 func (worker *workerState) sortedAttempts() []*attemptState {
 	attempts := make([]*attemptState, 0, len(worker.attempts))
 	for _, attempt := range worker.attempts {
