--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -20,12 +20,12 @@
 const Path = "/-/configuration"
 
 const (
-	// answerTime is how long a call waits for its end; callers turn to another node after a second.
-	answerTime = 900 * time.Millisecond
-	// orderTime bounds an order, which goes on after its call was answered as unclear.
-	orderTime = 3 * time.Second
-	// maxOrders bounds the orders under way at once, and with them the memory that their bodies take.
-	maxOrders = 32
+	// responseTimeout is how long a call waits for its end; callers turn to another node after a second.
+	responseTimeout = 900 * time.Millisecond
+	// changeTimeout bounds an order, which goes on after its call was answered as unclear.
+	changeTimeout = 3 * time.Second
+	// maxConcurrentChanges bounds the orders under way at once, and with them the memory that their bodies take.
+	maxConcurrentChanges = 32
 )
 
 // Configurator changes and reads the configuration.
@@ -39,7 +39,7 @@
 	lifetime     context.Context
 	configurator Configurator
 	logger       *zap.Logger
-	orders       chan struct{}
+	inFlight     chan struct{}
 }
 
 // New makes a Handler. Orders that are still under way end with lifetime.
@@ -48,7 +48,7 @@
 		lifetime:     lifetime,
 		configurator: configurator,
 		logger:       logger,
-		orders:       make(chan struct{}, maxOrders),
+		inFlight:     make(chan struct{}, maxConcurrentChanges),
 	}
 }
 
@@ -70,7 +70,7 @@
 }
 
 func (h *Handler) get(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerTime)
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
 	version, body, err := h.configurator.Read(ctx)
 	switch {
@@ -91,67 +91,67 @@
 		return
 	}
 	select {
-	case h.orders <- struct{}{}:
+	case h.inFlight <- struct{}{}:
 	default:
 		writeError(w, http.StatusServiceUnavailable, "too many orders are under way; send it again")
 		return
 	}
 	body, status, err := readBody(w, r)
 	if err != nil {
-		<-h.orders
+		<-h.inFlight
 		writeError(w, status, err.Error())
 		return
 	}
-	h.answer(w, h.order(ifMatch, body))
+	h.writeOutcome(w, h.applyChange(ifMatch, body))
 }
 
-// order runs an order that holds one of the places in h.orders, and gives the place back at its end. After answerTime
+// applyChange runs an order that holds one of the places in h.orders, and gives the place back at its end. After responseTimeout
 // it is reported as unclear but goes on, so that a slow majority still takes it and the caller's next try finds it taken.
-func (h *Handler) order(ifMatch uint64, body []byte) configuration.Outcome {
-	ended := make(chan configuration.Outcome, 1)
+func (h *Handler) applyChange(ifMatch uint64, body []byte) configuration.Outcome {
+	outcomes := make(chan configuration.Outcome, 1)
 	go func() {
-		defer func() { <-h.orders }()
-		ctx, cancel := context.WithTimeout(h.lifetime, orderTime)
+		defer func() { <-h.inFlight }()
+		ctx, cancel := context.WithTimeout(h.lifetime, changeTimeout)
 		defer cancel()
-		ended <- h.configurator.Put(ctx, ifMatch, body)
+		outcomes <- h.configurator.Put(ctx, ifMatch, body)
 	}()
-	patience := time.NewTimer(answerTime)
-	defer patience.Stop()
+	timer := time.NewTimer(responseTimeout)
+	defer timer.Stop()
 	select {
-	case outcome := <-ended:
+	case outcome := <-outcomes:
 		return outcome
-	case <-patience.C:
-		return configuration.Outcome{Kind: configuration.Unclear, Err: errUnclear}
+	case <-timer.C:
+		return configuration.Outcome{Kind: configuration.Unclear, Err: errUncertain}
 	}
 }
 
-var errUnclear = errors.New("the change may or may not be taken; send it again unchanged")
+var errUncertain = errors.New("the change may or may not be taken; send it again unchanged")
 
-// accepted is the body of an accepted order's answer.
-type accepted struct {
+// acceptedBody is the body of an accepted order's answer.
+type acceptedBody struct {
 	Version uint64 `json:"version"`
 }
 
-func (h *Handler) answer(w http.ResponseWriter, outcome configuration.Outcome) {
+func (h *Handler) writeOutcome(w http.ResponseWriter, outcome configuration.Outcome) {
 	switch outcome.Kind {
 	case configuration.Accepted:
-		writeJSON(w, http.StatusOK, accepted{Version: outcome.Version})
+		WriteJSON(w, http.StatusOK, acceptedBody{Version: outcome.Version})
 	case configuration.Invalid:
 		writeError(w, http.StatusBadRequest, outcome.Err.Error())
 	case configuration.Conflict:
 		writeError(w, http.StatusPreconditionFailed, outcome.Err.Error())
 	default:
 		h.logger.Info("order without a clear end", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
-		writeError(w, http.StatusServiceUnavailable, unclearText(outcome.Err))
+		writeError(w, http.StatusServiceUnavailable, uncertainText(outcome.Err))
 	}
 }
 
-// unclearText is what the operator is to do about an order without a clear end.
-func unclearText(err error) string {
+// uncertainText is what the operator is to do about an order without a clear end.
+func uncertainText(err error) string {
 	if errors.Is(err, configuration.ErrOlderThanHistory) || errors.Is(err, configuration.ErrBaseNotInForce) {
 		return err.Error()
 	}
-	return errUnclear.Error()
+	return errUncertain.Error()
 }
 
 // parseIfMatch reads a version, with or without the quotes of an entity tag.
@@ -183,16 +183,16 @@
 	return nil, http.StatusRequestTimeout, errors.New("the body did not arrive; send it again")
 }
 
-// failure is the body of an answer that reports an error.
-type failure struct {
+// Failure is the body of an answer that reports an error.
+type Failure struct {
 	Error string `json:"error"`
 }
 
 func writeError(w http.ResponseWriter, status int, text string) {
-	writeJSON(w, status, failure{Error: text})
+	WriteJSON(w, status, Failure{Error: text})
 }
 
-func writeJSON(w http.ResponseWriter, status int, content any) {
+func WriteJSON(w http.ResponseWriter, status int, content any) {
 	body, err := json.Marshal(content)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/controlplane/control/control_test.go
+++ b/internal/controlplane/control/control_test.go
@@ -120,7 +120,7 @@
 		Convey("a body over the limit answers 413, and gives its place back", func() {
 			long := strings.Repeat("x", configuration.MaxBodyBytes+1)
 			So(call(handler, "PUT", Path, "5", long).Code, ShouldEqual, 413)
-			So(len(handler.orders), ShouldEqual, 0)
+			So(len(handler.inFlight), ShouldEqual, 0)
 			So(fake.put, ShouldBeEmpty)
 		})
 		Convey("other paths and methods are refused", func() {
@@ -132,19 +132,19 @@
 	})
 }
 
-func TestPutThatTakesLong(t *testing.T) {
+func TestSlowChangesAreUncertainInTime(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		Convey("It is answered as unclear in time, and goes on up to its bound", t, func() {
 			fake := &fakeConfigurator{hold: make(chan struct{})}
 			handler := New(context.Background(), fake, zap.NewNop())
 			began := time.Now()
 			So(call(handler, "PUT", Path, "5", "the body").Code, ShouldEqual, 503)
-			So(time.Since(began), ShouldEqual, answerTime)
-			So(len(handler.orders), ShouldEqual, 1)
-			<-time.After(orderTime - answerTime)
+			So(time.Since(began), ShouldEqual, responseTimeout)
+			So(len(handler.inFlight), ShouldEqual, 1)
+			<-time.After(changeTimeout - responseTimeout)
 			synctest.Wait()
 			So(fake.putErr, ShouldEqual, context.DeadlineExceeded)
-			So(len(handler.orders), ShouldEqual, 0)
+			So(len(handler.inFlight), ShouldEqual, 0)
 		})
 		Convey("It ends with the handler's lifetime", t, func() {
 			lifetime, end := context.WithCancel(context.Background())
@@ -157,30 +157,30 @@
 		})
 		Convey("More than a bounded number at once are refused", t, func() {
 			hold := make(chan struct{})
-			handler := New(context.Background(), heldPuts{hold}, zap.NewNop())
-			statuses := make(chan int, maxOrders)
-			for range maxOrders {
+			handler := New(context.Background(), blockedPuts{hold}, zap.NewNop())
+			statuses := make(chan int, maxConcurrentChanges)
+			for range maxConcurrentChanges {
 				go func() { statuses <- call(handler, "PUT", Path, "5", "").Code }()
 			}
 			synctest.Wait()
 			So(call(handler, "PUT", Path, "5", "").Code, ShouldEqual, 503)
 			close(hold)
-			for range maxOrders {
+			for range maxConcurrentChanges {
 				So(<-statuses, ShouldEqual, 200)
 			}
 		})
 	})
 }
 
-// heldPuts accepts every order once its channel is closed.
-type heldPuts struct{ hold chan struct{} }
+// blockedPuts accepts every order once its channel is closed.
+type blockedPuts struct{ hold chan struct{} }
 
-func (h heldPuts) Put(context.Context, uint64, []byte) configuration.Outcome {
+func (h blockedPuts) Put(context.Context, uint64, []byte) configuration.Outcome {
 	<-h.hold
 	return configuration.Outcome{Kind: configuration.Accepted, Version: 7}
 }
 
-func (heldPuts) Read(context.Context) (uint64, []byte, error) { return 0, nil, errNoMajority }
+func (blockedPuts) Read(context.Context) (uint64, []byte, error) { return 0, nil, errNoMajority }
 
 func TestGet(t *testing.T) {
 	Convey("Given a handler", t, func() {
@@ -208,7 +208,7 @@
 			handler := New(context.Background(), fake, zap.NewNop())
 			began := time.Now()
 			So(call(handler, "GET", Path, "", "").Code, ShouldEqual, 503)
-			So(time.Since(began), ShouldEqual, answerTime)
+			So(time.Since(began), ShouldEqual, responseTimeout)
 		})
 	})
 }
--- a/internal/controlplane/control/wire_test.go
+++ b/internal/controlplane/control/wire_test.go
@@ -9,8 +9,8 @@
 // TestWireForms pins the encoded forms of the types that leave the process.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.JSONExperiment,
-		goldentest.Form{Name: "accepted", Value: new(accepted)},
-		goldentest.Form{Name: "failure", Value: new(failure)},
+		goldentest.Form{Name: "accepted", Value: new(acceptedBody)},
+		goldentest.Form{Name: "failure", Value: new(Failure)},
 	)
 }
 
--- a/internal/controlplane/coordinator/budget.go
+++ b/internal/controlplane/coordinator/budget.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	workersHeldPart     = 4                // of the workers' connections: up to so many workers, each is held by a call that waits
-	dialsAtOnce         = 256              // connections to workers that are not paced
-	platformConnections = 2                // to the platform's list
-	unusedTimeout       = 10 * time.Second // until a connection without a request is closed
-	idleTimeout         = time.Minute      // longer than callers keep theirs
+	idleWorkersDivisor   = 4                // of the workers' connections: up to so many workers, each is held by a call that waits
+	dialBurst            = 256              // connections to workers that are not paced
+	platformConnections  = 2                // to the platform's list
+	requestHeaderTimeout = 10 * time.Second // until a connection without a request is closed
+	idleTimeout          = time.Minute      // longer than callers keep theirs
 )
 
 // workerLimits is the workers' part of the limits of this process.
 func workerLimits(limits *nodesettings.Limits) workerclient.Limits {
 	connections := limits.ConnectionBudget().Workers
 	return workerclient.Limits{
-		Connections: connections, DialsPerS: limits.DialsPerS(), DialBurst: dialsAtOnce,
-		PollsPerS: limits.LooksPerS(), MaxLongPolls: connections / workersHeldPart,
+		Connections: connections, DialsPerS: limits.DialsPerSecond(), DialBurst: dialBurst,
+		PollsPerS: limits.PollsPerSecond(), MaxLongPolls: connections / idleWorkersDivisor,
 	}
 }
 
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -31,11 +31,11 @@
 
 const (
 	configurationRegister = "configuration"
-	commandsByCall        = "invocation" // value of the settings key commands
+	commandsByInvocation  = "invocation" // value of the settings key commands
 
-	inventoryInterval = time.Second     // between two readings of the platform's list
-	statusMargin      = 3 * time.Minute // ended jobs are known for longer than clients ask
-	registerMerge     = register.TablePrefix
+	inventoryPollInterval = time.Second     // between two readings of the platform's list
+	completedJobMargin    = 3 * time.Minute // ended jobs are known for longer than clients ask
+	registerTables        = register.TablePrefix
 )
 
 // errStoreFailed ends a process whose disk failed to sync: started again, it reads what the disk holds.
@@ -53,15 +53,15 @@
 	log          *zap.Logger
 	caller       *transport.Client
 	store        *storage.FileStore
-	views        *replicaset.Manager
+	replicas     *replicaset.Manager
 	rebuilder    *rebuild.Rebuilder
 	node         *replication.Node
 	configurator *configuration.Configurator
 	feed         *feedserver.Server
 	jobs         *manager.Manager
 	workers      *workerclient.Connections
-	orders       *http.Client // to workers, within that budget
-	platform     *http.Client
+	workerHTTP   *http.Client // to workers, within that budget
+	platformHTTP *http.Client
 	mux          *transport.Mux
 }
 
@@ -77,10 +77,10 @@
 	log.Info("store opened", zap.Any("opened", opened))
 	c := &Coordinator{
 		settings: settings, log: log, store: store, caller: transport.NewClientFor(settings.Cluster),
-		workers: workerclient.NewConnections(workerLimits(&settings.Limits)), platform: newPlatformClient(),
+		workers: workerclient.NewConnections(workerLimits(&settings.Limits)), platformHTTP: newPlatformClient(),
 		mux: transport.NewMuxFor(transport.NewIdentity(settings.Cluster, settings.NodeName)),
 	}
-	c.orders = c.workers.HTTPClient()
+	c.workerHTTP = c.workers.HTTPClient()
 	if err := c.assemble(); err != nil {
 		store.Close()
 		return nil, err
@@ -90,12 +90,12 @@
 
 func (c *Coordinator) assemble() error {
 	self := c.settings.InternalAddress(0)
-	if err := c.assembleViews(self); err != nil {
+	if err := c.assembleReplicaSet(self); err != nil {
 		return err
 	}
 	var err error
 	c.rebuilder, err = rebuild.New(rebuild.Config{
-		Self: self, Incarnation: c.views.Incarnation(), FirstStart: c.settings.FirstStart, Views: c.views,
+		Self: self, Incarnation: c.replicas.Incarnation(), FirstStart: c.settings.FirstStart, Views: c.replicas,
 		Store: c.store, Caller: c.caller, Logger: c.log,
 	})
 	if err != nil {
@@ -105,26 +105,26 @@
 	if err := c.assembleJobs(self); err != nil {
 		return err
 	}
-	c.rebuilder.Register(register.Merge, registerMerge)
+	c.rebuilder.Register(register.Merge, registerTables)
 	c.rebuilder.Register(rebuild.Infallible(replication.MergeTables), replication.StateTablePrefix, replication.MetaTablePrefix)
 	c.rebuilder.Serve(c.mux)
 	c.assembleFeed(self)
 	return nil
 }
 
-func (c *Coordinator) assembleViews(self string) error {
+func (c *Coordinator) assembleReplicaSet(self string) error {
 	ready := func() bool { return c.rebuilder.Ready() }
 	founding := register.NewFounding(register.FoundingConfig{
 		Self: self, Store: c.store, Ready: ready, Caller: c.caller,
-		Founders: func() []string { return c.views.Founders() },
+		Founders: func() []string { return c.replicas.Founders() },
 	})
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: self, Store: c.store, Ready: ready, Caller: c.caller,
-		View:      func() replicaset.View { return c.views.View() },
-		Departing: func() bool { return c.views.Departing() },
+		View:      func() replicaset.View { return c.replicas.View() },
+		Departing: func() bool { return c.replicas.Departing() },
 	})
 	var err error
-	c.views, err = replicaset.NewManager(replicaset.Config{
+	c.replicas, err = replicaset.NewManager(replicaset.Config{
 		Self: self, Zone: c.settings.Zone, Seeds: c.settings.SeedInternalAddresses(), FirstStart: c.settings.FirstStart,
 		CountsForQuorum: true, Store: c.store, Caller: c.caller, Logger: c.log,
 		Founding: founding, Succession: succession, Liveness: c.contacts,
@@ -134,7 +134,7 @@
 	}
 	founding.Serve(c.mux)
 	succession.Serve(c.mux)
-	c.views.Serve(c.mux)
+	c.replicas.Serve(c.mux)
 	return nil
 }
 
@@ -151,27 +151,27 @@
 
 func (c *Coordinator) assembleConfiguration(self string) {
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
-		Name: configurationRegister, Store: c.store, Ready: c.rebuilder.Ready, View: c.views.View,
+		Name: configurationRegister, Store: c.store, Ready: c.rebuilder.Ready, View: c.replicas.View,
 	})
 	acceptor.Serve(c.mux)
 	replicated := register.New(register.Config{
-		Name: configurationRegister, Self: self, Acceptor: acceptor, View: c.views.View, Caller: c.caller,
-		OnNewerView: func(view replicaset.View) { c.learnView(view) },
+		Name: configurationRegister, Self: self, Acceptor: acceptor, View: c.replicas.View, Caller: c.caller,
+		OnNewerView: func(view replicaset.View) { c.adoptView(view) },
 	})
 	c.configurator = configuration.New(configuration.Options{
-		Register: replicated, Caller: c.caller, Members: c.views.View, Address: self, Logger: c.log,
+		Register: replicated, Caller: c.caller, Members: c.replicas.View, Address: self, Logger: c.log,
 	})
 	c.configurator.Mount(c.mux)
 }
 
-// current tells whether what this node tells others is of late: a majority has answered its pings, and has confirmed the
+// isCurrent tells whether what this node tells others is of late: a majority has answered its pings, and has confirmed the
 // configuration. Pings may be answered where quorum reads fail, as when members are being rebuilt or know another view.
-func (c *Coordinator) current() bool {
+func (c *Coordinator) isCurrent() bool {
 	return c.node.InContact() && c.configurator.Fresh(configuration.FreshAge)
 }
 
-func (c *Coordinator) learnView(view replicaset.View) {
-	if err := c.views.Learn(view); err != nil {
+func (c *Coordinator) adoptView(view replicaset.View) {
+	if err := c.replicas.Learn(view); err != nil {
 		c.log.Warn("view of the replicas not taken", zap.Error(err))
 	}
 }
@@ -179,15 +179,15 @@
 func (c *Coordinator) assembleJobs(self string) error {
 	bounds := &c.settings.Bounds
 	c.jobs = manager.New(manager.Config{
-		HTTP: c.orders, Connections: c.workers, Log: c.log,
+		HTTP: c.workerHTTP, Connections: c.workers, Log: c.log,
 		Settings: scheduler.Settings{
 			RemoteFactor: bounds.FarFactor, StopTime: bounds.Stop, RestoreTime: bounds.Restore,
-			MaxLease: bounds.HoldMax, DrainTime: bounds.Drain, StatusRetention: bounds.Status + statusMargin,
+			MaxLease: bounds.HoldMax, DrainTime: bounds.Drain, StatusRetention: bounds.Status + completedJobMargin,
 		},
 	})
 	var err error
 	c.node, err = replication.NewNode(replication.Config{
-		Self: self, Store: c.store, Caller: c.caller, View: c.views.View, Ready: c.rebuilder.Ready,
+		Self: self, Store: c.store, Caller: c.caller, View: c.replicas.View, Ready: c.rebuilder.Ready,
 		Handler: c.jobs, Log: c.log, Timing: replication.DefaultTiming,
 	})
 	if err != nil {
@@ -205,9 +205,9 @@
 		Sources: feedserver.Sources{
 			Configuration: c.configurator.Current,
 			Leaders:       c.node.Leaders,
-			Core:          func() []string { return c.views.View().Members },
-			InContact:     c.current,
-			Changed:       []func() <-chan struct{}{c.configurator.Changed, c.node.Changed, c.views.Changed},
+			Core:          func() []string { return c.replicas.View().Members },
+			InContact:     c.isCurrent,
+			Changed:       []func() <-chan struct{}{c.configurator.Changed, c.node.Changed, c.replicas.Changed},
 		},
 	})
 	c.feed.Mount(c.mux)
@@ -215,13 +215,13 @@
 
 // Run serves until the context ends or the store fails.
 func (c *Coordinator) Run(ctx context.Context, listeners Listeners) error {
-	if c.settings.Commands != commandsByCall {
+	if c.settings.Commands != commandsByInvocation {
 		c.log.Error("commands: only commands=invocation is supported, searchers are called all the same",
 			zap.String("commands", c.settings.Commands))
 	}
 	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	internal := &http.Server{Handler: c.mux, ErrorLog: zap.NewStdLog(c.log), ReadHeaderTimeout: unusedTimeout, IdleTimeout: idleTimeout}
+	internal := &http.Server{Handler: c.mux, ErrorLog: zap.NewStdLog(c.log), ReadHeaderTimeout: requestHeaderTimeout, IdleTimeout: idleTimeout}
 	operator := control.NewServer(c.operations(control.New(lifetime, c.configurator, c.log)), c.log)
 	budget := c.settings.Limits.ConnectionBudget()
 	bounded := boundListeners(listeners, budget, internal, operator)
@@ -236,7 +236,7 @@
 	}
 	go func() { report("internal calls", internal.Serve(bounded.Internal)) }()
 	go func() { report("operator's API", operator.Serve(bounded.Control)) }()
-	go func() { report("replica set", c.views.Run(lifetime)) }()
+	go func() { report("replica set", c.replicas.Run(lifetime)) }()
 	go func() { report("rebuild", c.rebuilder.Run(lifetime)) }()
 	go func() { report("replica set", c.rebuilder.Watch(lifetime)) }()
 	go c.configurator.Run(lifetime)
@@ -249,12 +249,12 @@
 		defer close(resigned)
 		c.node.Run(leading)
 	}()
-	err := c.wait(ctx, failures)
-	c.leave(lifetime, err == nil)
+	err := c.waitForStop(ctx, failures)
+	c.handOver(lifetime, err == nil)
 	resign()
 	<-resigned
 	c.jobs.Stop()
-	c.finish(internal, operator)
+	c.shutDown(internal, operator)
 	end()
 	return errors.Join(err, c.store.Close())
 }
@@ -288,7 +288,7 @@
 // readInventory reads the platform's list while this node leads a group.
 func (c *Coordinator) readInventory(ctx context.Context) {
 	reader := inventory.Reader{
-		Address: c.settings.CloudAPI.Address, RatePerSecond: c.settings.CloudAPI.RatePerS, HTTP: c.platform, Log: c.log,
+		Address: c.settings.CloudAPI.Address, RatePerSecond: c.settings.CloudAPI.RatePerS, HTTP: c.platformHTTP, Log: c.log,
 		OnPage: c.jobs.AddInventoryPage,
 	}
 	for ctx.Err() == nil {
@@ -321,5 +321,5 @@
 			}
 		}
 	}()
-	reader.Run(reading, inventoryInterval, c.jobs.SetInventory)
+	reader.Run(reading, inventoryPollInterval, c.jobs.SetInventory)
 }
--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -24,11 +24,11 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// unreadable is a register whose reads fail when told to.
-type unreadable struct{ fails bool }
+// fakeRegister is a register whose reads fail when told to.
+type fakeRegister struct{ fails bool }
 
 // Read implements configuration.Register.
-func (u *unreadable) Read(context.Context) ([]byte, error) {
+func (u *fakeRegister) Read(context.Context) ([]byte, error) {
 	if u.fails {
 		return nil, rpcerror.WrapNotExecuted(context.DeadlineExceeded, 0)
 	}
@@ -36,12 +36,12 @@
 }
 
 // Change implements configuration.Register.
-func (u *unreadable) Change(ctx context.Context, _ func([]byte) ([]byte, error)) ([]byte, error) {
+func (u *fakeRegister) Change(ctx context.Context, _ func([]byte) ([]byte, error)) ([]byte, error) {
 	return u.Read(ctx)
 }
 
-// feeding is a coordinator of which only the parts exist that answer agents.
-func feeding(t *testing.T, view *replicaset.View, register configuration.Register) *Coordinator {
+// newFeedCoordinator is a coordinator of which only the parts exist that answer agents.
+func newFeedCoordinator(t *testing.T, view *replicaset.View, register configuration.Register) *Coordinator {
 	const address = "10.0.0.1:7000"
 	network := networktest.New(1)
 	c := &Coordinator{log: zap.NewNop(), mux: transport.NewMux()}
@@ -61,8 +61,8 @@
 	return c
 }
 
-// callsItselfCurrent asks as an agent does.
-func callsItselfCurrent(c *Coordinator) bool {
+// isReportedCurrent asks as an agent does.
+func isReportedCurrent(c *Coordinator) bool {
 	body, err := msgpack.Marshal(feed.WatchRequest{})
 	So(err, ShouldBeNil)
 	recorder := httptest.NewRecorder()
@@ -73,38 +73,38 @@
 	return reply.Current
 }
 
-func TestACoordinatorIsCurrentWhileItsConfigurationIsConfirmed(t *testing.T) {
+func TestCoordinatorIsCurrentWhileItsConfigurationIsConfirmed(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		view := replicaset.View{Version: 1, Members: []string{"10.0.0.1:7000"}}
-		register := &unreadable{}
-		c := feeding(t, &view, register)
+		register := &fakeRegister{}
+		c := newFeedCoordinator(t, &view, register)
 		read := func() error {
 			_, _, err := c.configurator.Read(context.Background())
 			return err
 		}
 		Convey("Before the first quorum read it is not, though a majority answers pings", t, func() {
 			So(c.node.InContact(), ShouldBeTrue)
-			So(callsItselfCurrent(c), ShouldBeFalse)
+			So(isReportedCurrent(c), ShouldBeFalse)
 		})
 		Convey("After a quorum read it is, for some time", t, func() {
 			So(read(), ShouldBeNil)
-			So(callsItselfCurrent(c), ShouldBeTrue)
+			So(isReportedCurrent(c), ShouldBeTrue)
 			<-time.After(configuration.FreshAge)
-			So(callsItselfCurrent(c), ShouldBeTrue)
+			So(isReportedCurrent(c), ShouldBeTrue)
 		})
 		Convey("Once reads have failed for longer it is not, though a majority answers pings", t, func() {
 			register.fails = true
 			<-time.After(time.Millisecond)
 			So(read(), ShouldNotBeNil)
 			So(c.node.InContact(), ShouldBeTrue)
-			So(callsItselfCurrent(c), ShouldBeFalse)
+			So(isReportedCurrent(c), ShouldBeFalse)
 		})
 		Convey("Nor is it without a majority that answers pings", t, func() {
 			register.fails = false
 			So(read(), ShouldBeNil)
-			So(callsItselfCurrent(c), ShouldBeTrue)
+			So(isReportedCurrent(c), ShouldBeTrue)
 			view = replicaset.View{Version: 1, Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}}
-			So(callsItselfCurrent(c), ShouldBeFalse)
+			So(isReportedCurrent(c), ShouldBeFalse)
 		})
 	})
 }
--- a/internal/controlplane/coordinator/metrics.go
+++ b/internal/controlplane/coordinator/metrics.go
@@ -14,23 +14,23 @@
 
 // Descriptions of the metrics of the groups that this node leads.
 var (
-	epochMetric   = groupMetric("puffinlink_group_epoch", "Epoch of this mixer's leadership of a service's jobs; absent where another leads.")
-	jobsMetric    = groupMetric("puffinlink_jobs", "Jobs by state; ended ones are those still remembered.", "state")
-	waitingMetric = groupMetric("puffinlink_waiting_tasks", "Tasks whose turn has come and that are not assigned.")
-	runsMetric    = groupMetric("puffinlink_runs", "Runs that may be under way.")
-	workersMetric = groupMetric("puffinlink_searchers", "Known lives of searchers, by whether they answer.", "reachable")
+	epochDesc        = groupDesc("puffinlink_group_epoch", "Epoch of this mixer's leadership of a service's jobs; absent where another leads.")
+	jobsDesc         = groupDesc("puffinlink_jobs", "Jobs by state; ended ones are those still remembered.", "state")
+	waitingTasksDesc = groupDesc("puffinlink_waiting_tasks", "Tasks whose turn has come and that are not assigned.")
+	attemptsMetric   = groupDesc("puffinlink_runs", "Runs that may be under way.")
+	workersDesc      = groupDesc("puffinlink_searchers", "Known lives of searchers, by whether they answer.", "reachable")
 )
 
-func groupMetric(name, help string, labels ...string) *prometheus.Desc {
+func groupDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(name, help, append([]string{serviceLabel}, labels...), nil)
 }
 
 // Metrics are what this node reports. They are worked out when they are read.
 func (c *Coordinator) Metrics() []prometheus.Collector {
 	return []prometheus.Collector{
-		metrics.Flag("puffinlink_in_contact", "Whether a majority has answered this mixer of late.", c.node.InContact),
-		metrics.Flag("puffinlink_disk_complete", "Whether the disk is complete, so that this mixer votes.", c.rebuilder.Ready),
-		metrics.Gauge("puffinlink_view_members", "Members of the view of the replicas.", func() float64 { return float64(len(c.views.View().Members)) }),
+		metrics.BoolGauge("puffinlink_in_contact", "Whether a majority has answered this mixer of late.", c.node.InContact),
+		metrics.BoolGauge("puffinlink_disk_complete", "Whether the disk is complete, so that this mixer votes.", c.rebuilder.Ready),
+		metrics.Gauge("puffinlink_view_members", "Members of the view of the replicas.", func() float64 { return float64(len(c.replicas.View().Members)) }),
 		metrics.Gauge("puffinlink_live_members", "Members that are alive, this mixer included.", c.liveMembers),
 		metrics.Gauge("puffinlink_configuration_version", "Newest configuration known to be in force; 0 for none.", func() float64 {
 			version, _ := c.configurator.Current()
@@ -60,7 +60,7 @@
 
 // Describe implements prometheus.Collector.
 func (g groupCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{epochMetric, jobsMetric, waitingMetric, runsMetric, workersMetric} {
+	for _, description := range []*prometheus.Desc{epochDesc, jobsDesc, waitingTasksDesc, attemptsMetric, workersDesc} {
 		descriptions <- description
 	}
 }
@@ -78,12 +78,12 @@
 	report := func(description *prometheus.Desc, value float64, labels ...string) {
 		collected <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value, append([]string{service}, labels...)...)
 	}
-	report(epochMetric, float64(epoch))
-	report(jobsMetric, float64(summary.Queued), "queued")
-	report(jobsMetric, float64(summary.Running), "running")
-	report(jobsMetric, float64(summary.Ended), "ended")
-	report(waitingMetric, float64(summary.WaitingTasks))
-	report(runsMetric, float64(summary.Attempts))
-	report(workersMetric, float64(summary.ReachableWorkers), "true")
-	report(workersMetric, float64(summary.Workers-summary.ReachableWorkers), "false")
+	report(epochDesc, float64(epoch))
+	report(jobsDesc, float64(summary.Queued), "queued")
+	report(jobsDesc, float64(summary.Running), "running")
+	report(jobsDesc, float64(summary.Ended), "ended")
+	report(waitingTasksDesc, float64(summary.WaitingTasks))
+	report(attemptsMetric, float64(summary.Attempts))
+	report(workersDesc, float64(summary.ReachableWorkers), "true")
+	report(workersDesc, float64(summary.Workers-summary.ReachableWorkers), "false")
 }
--- a/internal/controlplane/coordinator/metrics_test.go
+++ b/internal/controlplane/coordinator/metrics_test.go
@@ -9,18 +9,18 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// groupsOnly describes the metrics of groups, and collects those of one.
-type groupsOnly struct{ groupCollector }
+// oneGroupCollector describes the metrics of groups, and collects those of one.
+type oneGroupCollector struct{ groupCollector }
 
 // Collect implements prometheus.Collector.
-func (groupsOnly) Collect(collected chan<- prometheus.Metric) {
+func (oneGroupCollector) Collect(collected chan<- prometheus.Metric) {
 	collectGroup(collected, "pricing", 3, jobreport.Summary{Queued: 1, Running: 2, Ended: 4, WaitingTasks: 5, Attempts: 6, Workers: 9, ReachableWorkers: 7})
 }
 
 func TestGroupMetrics(t *testing.T) {
 	Convey("A group's summary becomes metrics with the service's name", t, func() {
 		registry := prometheus.NewPedanticRegistry()
-		So(registry.Register(groupsOnly{}), ShouldBeNil)
+		So(registry.Register(oneGroupCollector{}), ShouldBeNil)
 		families, err := registry.Gather()
 		So(err, ShouldBeNil)
 		values := map[string]float64{}
--- a/internal/controlplane/coordinator/operations.go
+++ b/internal/controlplane/coordinator/operations.go
@@ -7,8 +7,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/operations"
 )
 
-// confirm has a majority confirm the configuration.
-func (c *Coordinator) confirm(ctx context.Context) error {
+// confirmConfiguration has a majority confirm the configuration.
+func (c *Coordinator) confirmConfiguration(ctx context.Context) error {
 	_, _, err := c.configurator.Read(ctx)
 	return err
 }
@@ -20,14 +20,14 @@
 			Name: c.settings.NodeName, Zone: c.settings.Zone, Address: c.settings.InternalAddress(0),
 		},
 		Sources: operations.Sources{
-			View:          c.views.View,
+			View:          c.replicas.View,
 			Members:       c.node.Members,
 			Groups:        c.node.Groups,
 			Leaders:       c.node.Leaders,
 			Changed:       c.node.Changed,
 			Configuration: c.configurator.Current,
-			InContact:     c.current,
-			Confirm:       c.confirm,
+			InContact:     c.isCurrent,
+			Confirm:       c.confirmConfiguration,
 			Rebuilt:       c.rebuilder.Ready,
 			Agents:        c.feed.Agents,
 		},
--- a/internal/controlplane/coordinator/store.go
+++ b/internal/controlplane/coordinator/store.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	fullDiskRetry = 200 * time.Millisecond // between attempts to begin on a full disk
-	bytesPerMB    = 1 << 20
+	fullDiskRetryInterval = 200 * time.Millisecond // between attempts to begin on a full disk
+	bytesPerMB            = 1 << 20
 )
 
 // storeOptions leaves a sixteenth of the disk unused.
@@ -23,11 +23,11 @@
 
 // Open makes a coordinator as New does. While the disk is too full for that it tries again, until the context ends.
 func Open(ctx context.Context, settings nodesettings.Settings, log *zap.Logger) (*Coordinator, error) {
-	return repeatFull(ctx, log, func() (*Coordinator, error) { return New(settings, log) })
+	return retryWhileDiskFull(ctx, log, func() (*Coordinator, error) { return New(settings, log) })
 }
 
-// repeatFull repeats an attempt as long as it fails because the disk is full.
-func repeatFull[Result any](ctx context.Context, log *zap.Logger, attempt func() (Result, error)) (Result, error) {
+// retryWhileDiskFull repeats an attempt as long as it fails because the disk is full.
+func retryWhileDiskFull[Result any](ctx context.Context, log *zap.Logger, attempt func() (Result, error)) (Result, error) {
 	for warned := false; ; warned = true {
 		result, err := attempt()
 		if !storage.IsFull(err) {
@@ -36,24 +36,24 @@
 		if !warned {
 			log.Warn("the disk is full; waiting for room", zap.Error(err))
 		}
-		if !pause(ctx, fullDiskRetry) {
+		if !sleep(ctx, fullDiskRetryInterval) {
 			return result, err
 		}
 	}
 }
 
-// repeatRefused runs a part again as long as it ends because the disk refuses a write.
-func repeatRefused(ctx context.Context, part func() error) error {
+// retryWhileWritesRejected runs a part again as long as it ends because the disk refuses a write.
+func retryWhileWritesRejected(ctx context.Context, part func() error) error {
 	for {
 		err := part()
-		if !errors.Is(err, storage.ErrWriteRejected) || !pause(ctx, fullDiskRetry) {
+		if !errors.Is(err, storage.ErrWriteRejected) || !sleep(ctx, fullDiskRetryInterval) {
 			return err
 		}
 	}
 }
 
-// pause waits and returns true, or false once the context has ended.
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep waits and returns true, or false once the context has ended.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/controlplane/coordinator/store_test.go
+++ b/internal/controlplane/coordinator/store_test.go
@@ -18,7 +18,7 @@
 // errOther stands for a failure that waiting does not mend.
 var errOther = errors.New("another failure")
 
-func TestTheStoreLeavesSomeOfTheDisk(t *testing.T) {
+func TestStoreLeavesReserveOnDisk(t *testing.T) {
 	if got := storeOptions(nodesettings.Limits{DiskMB: 128}).SizeLimit; got != 120<<20 {
 		t.Errorf("of 128 MB the store may use %d bytes", got)
 	}
@@ -27,39 +27,39 @@
 	}
 }
 
-func TestACoordinatorWaitsForRoomOnTheDisk(t *testing.T) {
+func TestOpenRetriesWhileDiskIsFull(t *testing.T) {
 	full := fmt.Errorf("open: %w", syscall.ENOSPC)
 	for _, last := range []error{nil, errOther} {
 		virtualtime.Test(t, func(t *testing.T) {
 			attempts, began := 0, time.Now()
-			result, err := repeatFull(t.Context(), zap.NewNop(), func() (int, error) {
+			result, err := retryWhileDiskFull(t.Context(), zap.NewNop(), func() (int, error) {
 				attempts++
 				if attempts < 4 {
 					return 0, full
 				}
 				return 7, last
 			})
-			if result != 7 || err != last || attempts != 4 || time.Since(began) != 3*fullDiskRetry {
+			if result != 7 || err != last || attempts != 4 || time.Since(began) != 3*fullDiskRetryInterval {
 				t.Errorf("%d, %v after %d attempts and %v", result, err, attempts, time.Since(began))
 			}
 		})
 	}
 	virtualtime.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), time.Second+fullDiskRetry/2)
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second+fullDiskRetryInterval/2)
 		defer cancel()
-		_, err := repeatFull(ctx, zap.NewNop(), func() (int, error) { return 0, full })
+		_, err := retryWhileDiskFull(ctx, zap.NewNop(), func() (int, error) { return 0, full })
 		if !storage.IsFull(err) || ctx.Err() == nil {
 			t.Errorf("stopped with %v", err)
 		}
 	})
 }
 
-func TestAPartThatTheDiskRefusesIsRunAgain(t *testing.T) {
+func TestRejectedWritesAreRetried(t *testing.T) {
 	refused := fmt.Errorf("store view: %w", storage.ErrWriteRejected)
 	for _, last := range []error{nil, errOther} {
 		virtualtime.Test(t, func(t *testing.T) {
 			runs := 0
-			err := repeatRefused(t.Context(), func() error {
+			err := retryWhileWritesRejected(t.Context(), func() error {
 				runs++
 				if runs < 3 {
 					return refused
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -24,7 +24,7 @@
 	updateVariable = "GOLDEN_UPDATE"     // set to 1, the stored data is made anew
 	storedSelf     = "127.201.17.5:7660" // stands in the stored view
 	storedControl  = "127.201.17.5:7664"
-	storedPatience = 30 * time.Second
+	storedTimeout  = 30 * time.Second
 
 	queuedJob    = job.ID("00000000000000a1")
 	cancelledJob = job.ID("00000000000000a2")
@@ -48,7 +48,7 @@
 
 // runStored runs a coordinator on a folder while something is done with it.
 func runStored(t *testing.T, folder string, firstStart bool, do func(ctx context.Context, c *Coordinator)) {
-	ctx, cancel := context.WithTimeout(t.Context(), storedPatience)
+	ctx, cancel := context.WithTimeout(t.Context(), storedTimeout)
 	defer cancel()
 	settings, err := nodesettings.Parse(fmt.Appendf(nil, "nodeName=core-1\nipAddress=127.201.17.5\nzone=north\nregion=east\nzones.north=east\n"+
 		"internalPortRange=7660,7675\nseedNodes=%s\nfirstStart=%v\nfaultTolerance.machines=0\nlimits.memoryMb=284\nlimits.fileDescriptors=4100\n"+
@@ -81,14 +81,14 @@
 	do(ctx, c)
 }
 
-// untilDone repeats an attempt until it succeeds.
-func untilDone(ctx context.Context, t *testing.T, attempt func() error) {
+// retryUntilDone repeats an attempt until it succeeds.
+func retryUntilDone(ctx context.Context, t *testing.T, attempt func() error) {
 	for {
 		err := attempt()
 		if err == nil {
 			return
 		}
-		if !pause(ctx, 50*time.Millisecond) {
+		if !sleep(ctx, 50*time.Millisecond) {
 			t.Fatal(err)
 		}
 	}
@@ -98,7 +98,7 @@
 	os.RemoveAll(storedFolder)
 	runStored(t, storedFolder, true, func(ctx context.Context, c *Coordinator) {
 		for version := 1; version <= 2; version++ {
-			untilDone(ctx, t, func() error {
+			retryUntilDone(ctx, t, func() error {
 				outcome := c.configurator.Put(ctx, uint64(version-1), storedConfiguration(version))
 				if outcome.Kind == configuration.Accepted {
 					return nil
@@ -110,12 +110,12 @@
 			request := jobapi.Submit{Group: feed.GroupOf(service), ID: id,
 				Queue:         jobapi.Queue{Route: "r-0", Service: service, Priority: 1, MaxAttempts: 3, Extension: 2.5, TargetLatencyMS: 1000, Guards: true},
 				Specification: job.Specification{Text: "do it", Stages: []job.Stage{{Count: 2, Resources: job.Resources{Processors: 500}}}}}
-			untilDone(ctx, t, func() error { _, err := jobapi.SubmitCall.Call(ctx, c.caller, storedSelf, request); return err })
+			retryUntilDone(ctx, t, func() error { _, err := jobapi.SubmitCall.Call(ctx, c.caller, storedSelf, request); return err })
 		}
 		submit(queuedJob, "render")
 		submit(cancelledJob, "render")
 		submit(mailJob, "mail")
-		untilDone(ctx, t, func() error {
+		retryUntilDone(ctx, t, func() error {
 			_, err := jobapi.CancelCall.Call(ctx, c.caller, storedSelf, jobapi.Cancel{Group: feed.GroupOf("render"), ID: cancelledJob})
 			return err
 		})
@@ -139,14 +139,14 @@
 	var body []byte
 	var tables []string
 	runStored(t, folder, false, func(ctx context.Context, c *Coordinator) {
-		tables, view = c.store.Tables(), c.views.View()
-		untilDone(ctx, t, func() (err error) { version, body, err = c.configurator.Read(ctx); return err })
+		tables, view = c.store.Tables(), c.replicas.View()
+		retryUntilDone(ctx, t, func() (err error) { version, body, err = c.configurator.Read(ctx); return err })
 		for id, service := range map[job.ID]string{queuedJob: "render", cancelledJob: "render", mailJob: "mail"} {
-			untilDone(ctx, t, func() (err error) {
+			retryUntilDone(ctx, t, func() (err error) {
 				states[id], err = jobapi.StatusCall.Call(ctx, c.caller, storedSelf, jobapi.Status{Group: feed.GroupOf(service), ID: id})
 				return err
 			})
-			untilDone(ctx, t, func() error {
+			retryUntilDone(ctx, t, func() error {
 				reply, err := jobapi.PendingCall.Call(ctx, c.caller, storedSelf, jobapi.Pending{Group: feed.GroupOf(service), Route: "r-0"})
 				pending[service] = reply.Count
 				return err
--- a/internal/controlplane/coordinator/wire_test.go
+++ b/internal/controlplane/coordinator/wire_test.go
@@ -10,7 +10,7 @@
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: configurationRegister, Want: "configuration"},
-		goldentest.Constant{Have: commandsByCall, Want: "invocation"},
+		goldentest.Constant{Have: commandsByInvocation, Want: "invocation"},
 		goldentest.Constant{Have: serviceLabel, Want: "service"},
 	)
 }
--- a/internal/controlplane/operations/answer.go
+++ b/internal/controlplane/operations/answer.go
@@ -12,8 +12,8 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// retryAfter is the hint of an answer that is worth another try, in seconds.
-const retryAfter = "1"
+// retryAfterSeconds is the hint of an answer that is worth another try, in seconds.
+const retryAfterSeconds = "1"
 
 // statusError is an answer other than success.
 type statusError struct {
@@ -24,40 +24,40 @@
 // Error implements the error interface.
 func (e *statusError) Error() string { return e.text }
 
-func failed(status int, text string) error { return &statusError{status: status, text: text} }
+func newStatusError(status int, text string) error { return &statusError{status: status, text: text} }
 
 const (
-	confirmTime = 900 * time.Millisecond // for a majority to confirm that there are no further services
-	oldText     = "no majority confirms at the moment what this mixer knows, which may be old; nothing was done, try another mixer"
-	changedText = "the configuration has just changed; nothing was done, try again"
+	confirmTimeout = 900 * time.Millisecond // for a majority to confirm that there are no further services
+	staleText      = "no majority confirms at the moment what this mixer knows, which may be old; nothing was done, try another mixer"
+	changedText    = "the configuration has just changed; nothing was done, try again"
 )
 
 // writeError answers with an error. That something does not exist, or that the jobs' state speaks against an order, is said
 // only once a majority has confirmed, after the request came, the services whose leaders were asked.
 func (h *Handler) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	var answer *statusError
-	if errors.As(err, &answer) && answer.restsOnState() {
-		err = h.confirmed(r.Context(), err)
+	if errors.As(err, &answer) && answer.dependsOnState() {
+		err = h.confirm(r.Context(), err)
 	}
 	writeError(w, err)
 }
 
-// confirmed returns the error, or another one where there may be services that were not asked.
-func (h *Handler) confirmed(ctx context.Context, err error) error {
-	ctx, cancel := context.WithTimeout(ctx, confirmTime)
+// confirm returns the error, or another one where there may be services that were not asked.
+func (h *Handler) confirm(ctx context.Context, err error) error {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	before, _ := h.options.Sources.Configuration()
 	if h.options.Sources.Confirm(ctx) != nil || !h.options.Sources.InContact() {
-		return failed(http.StatusServiceUnavailable, oldText)
+		return newStatusError(http.StatusServiceUnavailable, staleText)
 	}
 	if after, _ := h.options.Sources.Configuration(); after != before {
-		return failed(http.StatusServiceUnavailable, changedText)
+		return newStatusError(http.StatusServiceUnavailable, changedText)
 	}
 	return err
 }
 
-// restsOnState tells whether the answer would be another one if there were a service more, or if a job were in another state.
-func (e *statusError) restsOnState() bool {
+// dependsOnState tells whether the answer would be another one if there were a service more, or if a job were in another state.
+func (e *statusError) dependsOnState() bool {
 	return e.status == http.StatusNotFound || e.status == http.StatusConflict
 }
 
@@ -76,7 +76,7 @@
 
 func writeFailure(w http.ResponseWriter, status int, text string) {
 	if status >= http.StatusInternalServerError {
-		w.Header().Set("Retry-After", retryAfter)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	write(w, status, Failure{Error: text})
 }
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -26,7 +26,7 @@
 
 var (
 	errNotLeader = rpcerror.WrapNotExecuted(errors.New("this mixer does not lead the group"), 0)
-	errCut       = rpcerror.WrapMayHaveExecuted(errors.New("connection reset"))
+	errReset     = rpcerror.WrapMayHaveExecuted(errors.New("connection reset"))
 )
 
 const (
@@ -35,8 +35,8 @@
 	bothJob   = "00000000000000cc"
 )
 
-// core plays the other nodes: it answers calls as the leaders would, and knows who leads.
-type core struct {
+// fakeCore plays the other nodes: it answers calls as the leaders would, and knows who leads.
+type fakeCore struct {
 	mutex   sync.Mutex
 	leaders map[string]feed.Leader
 	changed chan struct{}
@@ -53,14 +53,14 @@
 	confirm      func() error // a quorum read
 	cancels      []jobapi.Cancel
 	// found is the state that leaders report of jobs, and cancelled what they answer to a cancellation, if set.
-	found     job.State
+	jobState  job.State
 	cancelled *jobapi.Cancelled
-	hold      chan struct{} // calls wait until it is closed, if set
-	held      chan struct{} // receives one value for each call that waits
+	block     chan struct{} // calls wait until it is closed, if set
+	blocked   chan struct{} // receives one value for each call that waits
 }
 
-func newCore() *core {
-	return &core{
+func newFakeCore() *fakeCore {
+	return &fakeCore{
 		leaders: map[string]feed.Leader{
 			"jobs/pricing": {Address: "10.0.0.1:7660", Epoch: 3}, "jobs/stress": {Address: "10.0.0.2:7660", Epoch: 5},
 		},
@@ -70,8 +70,8 @@
 	}
 }
 
-// lead makes an address the leader of a group.
-func (c *core) lead(group, address string) {
+// setLeader makes an address the leader of a group.
+func (c *fakeCore) setLeader(group, address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	leaders := map[string]feed.Leader{}
@@ -84,7 +84,7 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *core) sources() Sources {
+func (c *fakeCore) sources() Sources {
 	return Sources{
 		View: func() replicaset.View {
 			return replicaset.View{Version: 1, Members: []string{"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"}}
@@ -112,11 +112,11 @@
 }
 
 // Call implements transport.Caller.
-func (c *core) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
-	if c.hold != nil {
-		c.held <- struct{}{}
+func (c *fakeCore) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+	if c.block != nil {
+		c.blocked <- struct{}{}
 		select {
-		case <-c.hold:
+		case <-c.block:
 		case <-ctx.Done():
 			return rpcerror.WrapMayHaveExecuted(ctx.Err())
 		}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (c *core) answer(request any) (any, error) {
+func (c *fakeCore) answer(request any) (any, error) {
 	switch asked := request.(type) {
 	case jobreport.SummaryRequest:
 		return jobreport.SummaryReply{Summary: jobreport.Summary{Running: 2}}, nil
@@ -152,7 +152,7 @@
 		return c.list(asked), nil
 	case jobreport.JobRequest:
 		known := slices.Contains(c.jobs[asked.Group], string(asked.ID))
-		return jobreport.JobReply{Known: known, Job: jobreport.JobDetail{Job: jobreport.Job{ID: asked.ID, State: cmp.Or(c.found, job.Running)}}}, nil
+		return jobreport.JobReply{Known: known, Job: jobreport.JobDetail{Job: jobreport.Job{ID: asked.ID, State: cmp.Or(c.jobState, job.Running)}}}, nil
 	case jobreport.WhyRequest:
 		return jobreport.WhyReply{Known: true, Why: jobreport.Why{ID: asked.ID, State: job.Running}}, nil
 	case jobapi.Cancel:
@@ -165,7 +165,7 @@
 	return nil, errors.New("unknown request")
 }
 
-func (c *core) list(asked jobreport.JobsRequest) jobreport.JobsReply {
+func (c *fakeCore) list(asked jobreport.JobsRequest) jobreport.JobsReply {
 	reply := jobreport.JobsReply{Total: len(c.jobs[asked.Group])}
 	for _, id := range c.jobs[asked.Group] {
 		reply.Jobs = append(reply.Jobs, jobreport.Job{ID: job.ID(id), State: job.Running})
@@ -173,13 +173,13 @@
 	return reply
 }
 
-func (c *core) handler() *Handler {
+func (c *fakeCore) handler() *Handler {
 	next := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { http.Error(w, "next "+r.URL.Path, http.StatusTeapot) })
 	return New(Options{Node: Identity{Name: "core-1"}, Sources: c.sources(), Caller: c, Next: next, Logger: zap.NewNop()})
 }
 
 // ask makes one request and reads the answer into a report, if there is one to read.
-func ask(handler http.Handler, method, path string, report any) *httptest.ResponseRecorder {
+func request(handler http.Handler, method, path string, report any) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(method, path, nil))
 	if report != nil {
--- a/internal/controlplane/operations/forward.go
+++ b/internal/controlplane/operations/forward.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	forwardTime = 3 * time.Second         // for an answer of a leader, whoever that is in the meantime
-	tryTime     = 1500 * time.Millisecond // for one call
-	summaryTime = 800 * time.Millisecond  // for the part of the status that leaders know
-	leaderPause = 200 * time.Millisecond  // between two tries without news of a leader
+	forwardTimeout     = 3 * time.Second         // for an answer of a leader, whoever that is in the meantime
+	attemptTimeout     = 1500 * time.Millisecond // for one call
+	summaryTimeout     = 800 * time.Millisecond  // for the part of the status that leaders know
+	leaderPollInterval = 200 * time.Millisecond  // between two tries without news of a leader
 )
 
 var errNoLeader = errors.New("no leader is known at the moment")
@@ -32,7 +32,7 @@
 	service := query.Get(ServiceParameter)
 	if service == "" {
 		if len(known) == 0 {
-			return nil, failed(http.StatusServiceUnavailable, "no service is known yet: there is no configuration, or this mixer has no contact to the others")
+			return nil, newStatusError(http.StatusServiceUnavailable, "no service is known yet: there is no configuration, or this mixer has no contact to the others")
 		}
 		return known, nil
 	}
@@ -43,48 +43,48 @@
 		}
 		names = append(names, serviceOf(group))
 	}
-	return nil, failed(http.StatusNotFound, fmt.Sprintf("no service %q; the services are: %s", service, strings.Join(names, ", ")))
+	return nil, newStatusError(http.StatusNotFound, fmt.Sprintf("no service %q; the services are: %s", service, strings.Join(names, ", ")))
 }
 
 // ask calls the leader of a group, and whoever leads it next, until there is an answer or the time is over. All requests
 // of operators may be carried out twice.
-func (h *Handler) ask(ctx context.Context, group string, route transport.IdempotentRoute, request, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, forwardTime)
+func (h *Handler) callLeader(ctx context.Context, group string, route transport.IdempotentRoute, request, reply any) error {
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	worst := rpcerror.WrapNotExecuted(errNoLeader, 0)
 	for {
 		changed := h.options.Sources.Changed()
 		if leader := h.options.Sources.Leaders()[group]; leader.Address != "" {
-			err := h.try(ctx, leader.Address, route, request, reply)
+			err := h.callOnce(ctx, leader.Address, route, request, reply)
 			if err == nil {
 				return nil
 			}
-			worst = worse(worst, err)
+			worst = lessCertain(worst, err)
 		}
-		if err := waitFor(ctx, changed); err != nil {
+		if err := waitForLeader(ctx, changed); err != nil {
 			return fmt.Errorf("jobs of service %s: %w", serviceOf(group), worst)
 		}
 	}
 }
 
-func (h *Handler) try(ctx context.Context, leader string, route transport.IdempotentRoute, request, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+func (h *Handler) callOnce(ctx context.Context, leader string, route transport.IdempotentRoute, request, reply any) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return h.options.Caller.Call(ctx, leader, route, request, reply)
 }
 
-// worse is the error to report of two tries, or of the tries at two leaders: one that may have been carried out outweighs
+// lessCertain is the error to report of two tries, or of the tries at two leaders: one that may have been carried out outweighs
 // all others, else the later.
-func worse(earlier, later error) error {
+func lessCertain(earlier, later error) error {
 	if earlier != nil && rpcerror.ExecutionOf(earlier) == rpcerror.MayHaveExecuted {
 		return earlier
 	}
 	return later
 }
 
-// waitFor waits for a change of leaders, though not for long.
-func waitFor(ctx context.Context, changed <-chan struct{}) error {
-	pause := time.NewTimer(leaderPause)
+// waitForLeader waits for a change of leaders, though not for long.
+func waitForLeader(ctx context.Context, changed <-chan struct{}) error {
+	pause := time.NewTimer(leaderPollInterval)
 	defer pause.Stop()
 	select {
 	case <-changed:
@@ -94,27 +94,27 @@
 	return ctx.Err()
 }
 
-// answer is what the leader of one group said.
-type answer[Reply any] struct {
+// leaderReply is what the leader of one group said.
+type leaderReply[Reply any] struct {
 	group string
 	reply Reply
 	err   error
 }
 
-// askAll asks the leaders of several groups at the same time. The answers have the order of the groups.
-func askAll[Reply any](ctx context.Context, h *Handler, groups []string, route transport.IdempotentRoute, request func(group string) any) []answer[Reply] {
-	answers := make([]answer[Reply], len(groups))
+// callLeaders asks the leaders of several groups at the same time. The answers have the order of the groups.
+func callLeaders[Reply any](ctx context.Context, h *Handler, groups []string, route transport.IdempotentRoute, request func(group string) any) []leaderReply[Reply] {
+	answers := make([]leaderReply[Reply], len(groups))
 	var calls sync.WaitGroup
 	for i, group := range groups {
 		answers[i].group = group
-		calls.Go(func() { answers[i].err = h.ask(ctx, group, route, request(group), &answers[i].reply) })
+		calls.Go(func() { answers[i].err = h.callLeader(ctx, group, route, request(group), &answers[i].reply) })
 	}
 	calls.Wait()
 	return answers
 }
 
 // unanswered lists the groups whose leaders gave no answer. If none gave one, that is an error.
-func unanswered[Reply any](answers []answer[Reply]) ([]Unanswered, error) {
+func unanswered[Reply any](answers []leaderReply[Reply]) ([]Unanswered, error) {
 	var silent []Unanswered
 	var failures []error
 	for _, one := range answers {
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return list, err
 	}
-	answers := askAll[jobreport.JobsReply](r.Context(), h, groups, jobreport.JobsCall.Route(), func(group string) any {
+	answers := callLeaders[jobreport.JobsReply](r.Context(), h, groups, jobreport.JobsCall.Route(), func(group string) any {
 		return jobreport.JobsRequest{Group: group, State: state, Limit: limit}
 	})
 	if list.Unanswered, err = unanswered(answers); err != nil {
@@ -47,7 +47,7 @@
 }
 
 // merge takes the jobs of several services in turn, up to a limit.
-func (list *Jobs) merge(answers []answer[jobreport.JobsReply], limit int) {
+func (list *Jobs) merge(answers []leaderReply[jobreport.JobsReply], limit int) {
 	longest := 0
 	for _, one := range answers {
 		list.Total += one.reply.Total
@@ -69,7 +69,7 @@
 	case "", job.Queued, job.Running, job.Completed, job.Failed, job.Cancelled:
 		return state, nil
 	}
-	return "", failed(http.StatusBadRequest, fmt.Sprintf("state %q is unknown; give queued, running, completed, failed or cancelled", text))
+	return "", newStatusError(http.StatusBadRequest, fmt.Sprintf("state %q is unknown; give queued, running, completed, failed or cancelled", text))
 }
 
 func parseLimit(text string) (int, error) {
@@ -78,36 +78,36 @@
 	}
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > jobreport.MaxJobs {
-		return 0, failed(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MaxJobs))
+		return 0, newStatusError(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MaxJobs))
 	}
 	return limit, nil
 }
 
 // found is a job and the group that knows it.
-type found struct {
+type locatedJob struct {
 	group  string
 	detail jobreport.JobDetail
 }
 
-// find asks the leaders for the job that a request names.
-func (h *Handler) find(r *http.Request) (found, error) {
+// locate asks the leaders for the job that a request names.
+func (h *Handler) locate(r *http.Request) (locatedJob, error) {
 	id := job.ID(r.PathValue("id"))
 	if !id.Valid() {
-		return found{}, failed(http.StatusBadRequest, fmt.Sprintf("%q is not a job's ID; it has 16 hexadecimal digits", id))
+		return locatedJob{}, newStatusError(http.StatusBadRequest, fmt.Sprintf("%q is not a job's ID; it has 16 hexadecimal digits", id))
 	}
 	groups, err := h.groups(r.URL.Query())
 	if err != nil {
-		return found{}, err
+		return locatedJob{}, err
 	}
-	answers := askAll[jobreport.JobReply](r.Context(), h, groups, jobreport.JobCall.Route(), func(group string) any {
+	answers := callLeaders[jobreport.JobReply](r.Context(), h, groups, jobreport.JobCall.Route(), func(group string) any {
 		return jobreport.JobRequest{Group: group, ID: id}
 	})
-	return oneOf(id, answers)
+	return onlyMatch(id, answers)
 }
 
-// oneOf picks the only answer that knows a job.
-func oneOf(id job.ID, answers []answer[jobreport.JobReply]) (found, error) {
-	var matches []found
+// onlyMatch picks the only answer that knows a job.
+func onlyMatch(id job.ID, answers []leaderReply[jobreport.JobReply]) (locatedJob, error) {
+	var matches []locatedJob
 	var failure error
 	for _, one := range answers {
 		switch {
@@ -116,26 +116,26 @@
 		case one.reply.Known:
 			detail := one.reply.Job
 			detail.Service = serviceOf(one.group)
-			matches = append(matches, found{group: one.group, detail: detail})
+			matches = append(matches, locatedJob{group: one.group, detail: detail})
 		}
 	}
 	switch {
 	case len(matches) > 1:
-		return found{}, failed(http.StatusConflict, fmt.Sprintf("several services have a job %s; name one with ?%s=", id, ServiceParameter))
+		return locatedJob{}, newStatusError(http.StatusConflict, fmt.Sprintf("several services have a job %s; name one with ?%s=", id, ServiceParameter))
 	case len(matches) == 1:
 		return matches[0], nil
 	case failure != nil:
-		return found{}, failure
+		return locatedJob{}, failure
 	}
-	return found{}, unknownJob(id)
+	return locatedJob{}, unknownJob(id)
 }
 
 func unknownJob(id job.ID) error {
-	return failed(http.StatusNotFound, fmt.Sprintf("no job %s is known: it was never taken, or it ended long ago", id))
+	return newStatusError(http.StatusNotFound, fmt.Sprintf("no job %s is known: it was never taken, or it ended long ago", id))
 }
 
 func (h *Handler) job(w http.ResponseWriter, r *http.Request) {
-	match, err := h.find(r)
+	match, err := h.locate(r)
 	if err != nil {
 		h.writeError(w, r, err)
 		return
@@ -144,14 +144,14 @@
 }
 
 func (h *Handler) why(w http.ResponseWriter, r *http.Request) {
-	match, err := h.find(r)
+	match, err := h.locate(r)
 	if err != nil {
 		h.writeError(w, r, err)
 		return
 	}
 	var reply jobreport.WhyReply
 	request := jobreport.WhyRequest{Group: match.group, ID: match.detail.ID}
-	if err := h.ask(r.Context(), match.group, jobreport.WhyCall.Route(), request, &reply); err != nil {
+	if err := h.callLeader(r.Context(), match.group, jobreport.WhyCall.Route(), request, &reply); err != nil {
 		h.writeError(w, r, err)
 		return
 	}
@@ -159,7 +159,7 @@
 }
 
 func (h *Handler) cancel(w http.ResponseWriter, r *http.Request) {
-	match, err := h.find(r)
+	match, err := h.locate(r)
 	if err == nil {
 		err = h.cancelJob(r.Context(), match)
 	}
@@ -173,16 +173,16 @@
 
 // cancelJob asks the job's leader. The outcome rests on the durable state in the answer and not on what was found before:
 // the job may have ended since, and what was found may have been lost.
-func (h *Handler) cancelJob(ctx context.Context, match found) error {
+func (h *Handler) cancelJob(ctx context.Context, match locatedJob) error {
 	var reply jobapi.Cancelled
-	err := h.ask(ctx, match.group, jobapi.CancelCall.Route(), jobapi.Cancel{Group: match.group, ID: match.detail.ID}, &reply)
+	err := h.callLeader(ctx, match.group, jobapi.CancelCall.Route(), jobapi.Cancel{Group: match.group, ID: match.detail.ID}, &reply)
 	switch {
 	case err != nil:
 		return err
 	case !reply.Known:
 		return unknownJob(match.detail.ID)
 	case reply.State.Final() && reply.State != job.Cancelled:
-		return failed(http.StatusConflict, fmt.Sprintf("job %s has already ended: it is %s", match.detail.ID, reply.State))
+		return newStatusError(http.StatusConflict, fmt.Sprintf("job %s has already ended: it is %s", match.detail.ID, reply.State))
 	}
 	return nil
 }
--- a/internal/controlplane/operations/jobs_test.go
+++ b/internal/controlplane/operations/jobs_test.go
@@ -28,11 +28,11 @@
 
 func checkJobLists(t *testing.T) {
 	Convey("Given two services with jobs", t, func() {
-		c := newCore()
+		c := newFakeCore()
 		var list Jobs
 
 		Convey("the list takes them in turn, names their services and tells how many there are", func() {
-			So(ask(c.handler(), "GET", JobsPath+"?limit=3", &list).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", JobsPath+"?limit=3", &list).Code, ShouldEqual, http.StatusOK)
 			So(list.Total, ShouldEqual, 4)
 			So(list.Jobs, ShouldHaveLength, 3)
 			So(list.Jobs[0].Service, ShouldEqual, "pricing")
@@ -41,19 +41,19 @@
 		})
 		Convey("a state or a limit that is not one is refused", func() {
 			for _, query := range []string{"state=none", "limit=0", "limit=x", fmt.Sprint("limit=", jobreport.MaxJobs+1)} {
-				So(ask(c.handler(), "GET", JobsPath+"?"+query, nil).Code, ShouldEqual, http.StatusBadRequest)
+				So(request(c.handler(), "GET", JobsPath+"?"+query, nil).Code, ShouldEqual, http.StatusBadRequest)
 			}
 		})
 		Convey("a leader that gives no answer is named", func() {
 			c.fail = failAt("10.0.0.1:7660", errNotLeader)
-			So(ask(c.handler(), "GET", JobsPath, &list).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", JobsPath, &list).Code, ShouldEqual, http.StatusOK)
 			So(list.Jobs, ShouldHaveLength, 2)
 			So(list.Unanswered, ShouldHaveLength, 1)
 			So(list.Unanswered[0].Service, ShouldEqual, "pricing")
 		})
 		Convey("no answer at all is an error", func() {
 			c.fail = func(string, string) error { return errNotLeader }
-			So(ask(c.handler(), "GET", JobsPath, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+			So(request(c.handler(), "GET", JobsPath, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 		})
 	})
 }
@@ -62,56 +62,56 @@
 
 func checkOneJob(t *testing.T) {
 	Convey("Given two services with jobs", t, func() {
-		c := newCore()
+		c := newFakeCore()
 		var detail jobreport.JobDetail
 		var failure Failure
 
 		Convey("a job is found wherever it is", func() {
-			So(ask(c.handler(), "GET", JobsPath+"/"+stressJob, &detail).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", JobsPath+"/"+stressJob, &detail).Code, ShouldEqual, http.StatusOK)
 			So(detail.Service, ShouldEqual, "stress")
 			var why jobreport.Why
-			So(ask(c.handler(), "GET", JobsPath+"/"+stressJob+"/why", &why).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", JobsPath+"/"+stressJob+"/why", &why).Code, ShouldEqual, http.StatusOK)
 			So(why.ID, ShouldEqual, job.ID(stressJob))
 		})
 		Convey("an ID of another form is refused, and an unknown one is not found", func() {
-			So(ask(c.handler(), "GET", JobsPath+"/abc", nil).Code, ShouldEqual, http.StatusBadRequest)
-			So(ask(c.handler(), "GET", JobsPath+"/ffffffffffffffff", nil).Code, ShouldEqual, http.StatusNotFound)
+			So(request(c.handler(), "GET", JobsPath+"/abc", nil).Code, ShouldEqual, http.StatusBadRequest)
+			So(request(c.handler(), "GET", JobsPath+"/ffffffffffffffff", nil).Code, ShouldEqual, http.StatusNotFound)
 		})
 		Convey("an unknown one may be known to a leader that gives no answer", func() {
 			c.fail = failAt("10.0.0.2:7660", errNotLeader)
-			So(ask(c.handler(), "GET", JobsPath+"/"+stressJob, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+			So(request(c.handler(), "GET", JobsPath+"/"+stressJob, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 		})
 		Convey("an ID that two services know needs a service", func() {
-			So(ask(c.handler(), "DELETE", JobsPath+"/"+bothJob, &failure).Code, ShouldEqual, http.StatusConflict)
+			So(request(c.handler(), "DELETE", JobsPath+"/"+bothJob, &failure).Code, ShouldEqual, http.StatusConflict)
 			So(failure.Error, ShouldContainSubstring, "?service=")
 			So(c.cancels, ShouldBeEmpty)
-			So(ask(c.handler(), "DELETE", JobsPath+"/"+bothJob+"?service=pricing", nil).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "DELETE", JobsPath+"/"+bothJob+"?service=pricing", nil).Code, ShouldEqual, http.StatusOK)
 			So(c.cancels, ShouldHaveLength, 1)
 			So(c.cancels[0].Group, ShouldEqual, "jobs/pricing")
 		})
 		Convey("a job is cancelled where it is", func() {
 			var cancelled Cancelled
-			So(ask(c.handler(), "DELETE", JobsPath+"/"+priceJob, &cancelled).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, &cancelled).Code, ShouldEqual, http.StatusOK)
 			So(cancelled, ShouldResemble, Cancelled{ID: priceJob, Service: "pricing"})
 			So(c.cancels, ShouldHaveLength, 1)
 		})
 		Convey("a cancellation that was taken is confirmed again", func() {
-			c.found = job.Cancelled
-			So(ask(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusOK)
+			c.jobState = job.Cancelled
+			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusOK)
 		})
 		Convey("a job that ends while its cancellation is under way is not reported as cancelled", func() {
 			c.cancelled = &jobapi.Cancelled{Known: true, State: job.Completed}
-			So(ask(c.handler(), "DELETE", JobsPath+"/"+priceJob, &failure).Code, ShouldEqual, http.StatusConflict)
+			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, &failure).Code, ShouldEqual, http.StatusConflict)
 			So(failure.Error, ShouldContainSubstring, "it is completed")
 		})
 		Convey("an end that is not durable yet refuses no cancellation", func() {
-			c.found = job.Completed
-			So(ask(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusOK)
+			c.jobState = job.Completed
+			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusOK)
 			So(c.cancels, ShouldHaveLength, 1)
 		})
 		Convey("a job that is forgotten before its cancellation arrives is not reported as cancelled", func() {
 			c.cancelled = &jobapi.Cancelled{}
-			So(ask(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusNotFound)
+			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusNotFound)
 		})
 	})
 }
@@ -120,41 +120,41 @@
 
 func checkForwarding(t *testing.T) {
 	Convey("Given a service whose leader changes", t, func() {
-		c := newCore()
+		c := newFakeCore()
 
 		Convey("a request that the old leader refuses is sent to the new one", func() {
 			c.fail = func(address, _ string) error {
 				if address != "10.0.0.2:7660" {
 					return nil
 				}
-				go c.lead("jobs/stress", "10.0.0.3:7660")
+				go c.setLeader("jobs/stress", "10.0.0.3:7660")
 				return errNotLeader
 			}
-			So(ask(c.handler(), "GET", JobsPath+"/"+stressJob+"?service=stress", nil).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", JobsPath+"/"+stressJob+"?service=stress", nil).Code, ShouldEqual, http.StatusOK)
 			So(c.calls[len(c.calls)-1], ShouldEqual, "10.0.0.3:7660"+jobreport.JobCall.Path())
 		})
 		Convey("a request during a change waits for the new leader, and no longer", func() {
 			delete(c.leaders, "jobs/stress")
 			begin := time.Now()
-			time.AfterFunc(leaderPause/4, func() { c.lead("jobs/stress", "10.0.0.3:7660") })
-			So(ask(c.handler(), "GET", WorkersPath+"?service=stress", nil).Code, ShouldEqual, http.StatusOK)
-			So(time.Since(begin), ShouldEqual, leaderPause/4)
+			time.AfterFunc(leaderPollInterval/4, func() { c.setLeader("jobs/stress", "10.0.0.3:7660") })
+			So(request(c.handler(), "GET", WorkersPath+"?service=stress", nil).Code, ShouldEqual, http.StatusOK)
+			So(time.Since(begin), ShouldEqual, leaderPollInterval/4)
 		})
 		Convey("an unclear failure is tried again, as a repetition does no harm", func() {
 			failures := 1
 			c.fail = func(string, string) error {
 				if failures--; failures >= 0 {
-					return errCut
+					return errReset
 				}
 				return nil
 			}
-			So(ask(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", nil).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", nil).Code, ShouldEqual, http.StatusOK)
 			So(c.drains, ShouldHaveLength, 1)
 		})
 		Convey("one that stays unclear is reported as such", func() {
-			c.fail = func(string, string) error { return errCut }
+			c.fail = func(string, string) error { return errReset }
 			var failure Failure
-			answer := ask(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", &failure)
+			answer := request(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", &failure)
 			So(answer.Code, ShouldEqual, http.StatusGatewayTimeout)
 			So(failure.Error, ShouldContainSubstring, "it may have been done")
 		})
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -16,11 +16,11 @@
 
 func checkStatus(t *testing.T) {
 	Convey("Given a mixer", t, func() {
-		c := newCore()
+		c := newFakeCore()
 		var status Status
 
 		Convey("its status has members, leaders and summaries", func() {
-			So(ask(c.handler(), "GET", StatusPath, &status).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", StatusPath, &status).Code, ShouldEqual, http.StatusOK)
 			So(status.Node.Name, ShouldEqual, "core-1")
 			So(status.ConfigurationVersion, ShouldEqual, 7)
 			So(status.View.Members, ShouldHaveLength, 3)
@@ -36,18 +36,18 @@
 		Convey("a leader that does not answer is named with the error", func() {
 			c.fail = func(address, _ string) error {
 				if address == "10.0.0.1:7660" {
-					return errCut
+					return errReset
 				}
 				return nil
 			}
-			So(ask(c.handler(), "GET", StatusPath, &status).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", StatusPath, &status).Code, ShouldEqual, http.StatusOK)
 			So(status.Groups[0].Summary, ShouldBeNil)
 			So(status.Groups[0].Error, ShouldContainSubstring, "connection reset")
 			So(status.Groups[1].Summary, ShouldNotBeNil)
 		})
 		Convey("so is a service without a leader", func() {
 			delete(c.leaders, "jobs/pricing")
-			ask(c.handler(), "GET", StatusPath, &status)
+			request(c.handler(), "GET", StatusPath, &status)
 			So(status.Groups[0].Leader, ShouldBeEmpty)
 			So(status.Groups[0].Error, ShouldEqual, errNoLeader.Error())
 		})
@@ -58,30 +58,30 @@
 
 func checkWorkers(t *testing.T) {
 	Convey("Given two services", t, func() {
-		c := newCore()
+		c := newFakeCore()
 		var list Workers
 
 		Convey("all searchers are listed", func() {
-			So(ask(c.handler(), "GET", WorkersPath, &list).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "GET", WorkersPath, &list).Code, ShouldEqual, http.StatusOK)
 			So(list.Workers, ShouldHaveLength, 2)
 			So(list.Unanswered, ShouldBeEmpty)
 		})
 		Convey("or those of one service", func() {
-			ask(c.handler(), "GET", WorkersPath+"?service=stress", &list)
+			request(c.handler(), "GET", WorkersPath+"?service=stress", &list)
 			So(list.Workers, ShouldHaveLength, 1)
 			So(list.Workers[0].ID, ShouldEqual, "i-stress")
 		})
 		Convey("an unknown service is refused with the names of those that exist", func() {
 			var failure Failure
-			So(ask(c.handler(), "GET", WorkersPath+"?service=x", &failure).Code, ShouldEqual, http.StatusNotFound)
+			So(request(c.handler(), "GET", WorkersPath+"?service=x", &failure).Code, ShouldEqual, http.StatusNotFound)
 			So(failure.Error, ShouldContainSubstring, "pricing, stress")
 		})
 		Convey("a drain reaches the leader that knows the searcher", func() {
 			var worker jobreport.Worker
-			So(ask(c.handler(), "POST", WorkersPath+"/i-stress/drain", &worker).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "POST", WorkersPath+"/i-stress/drain", &worker).Code, ShouldEqual, http.StatusOK)
 			So(worker.OperatorDraining, ShouldBeTrue)
 			So(c.drains, ShouldHaveLength, 2)
-			So(ask(c.handler(), "DELETE", WorkersPath+"/i-stress/drain?service=stress", &worker).Code, ShouldEqual, http.StatusOK)
+			So(request(c.handler(), "DELETE", WorkersPath+"/i-stress/drain?service=stress", &worker).Code, ShouldEqual, http.StatusOK)
 			So(worker.OperatorDraining, ShouldBeFalse)
 			So(c.drains[2], ShouldResemble, jobreport.DrainRequest{Group: "jobs/stress", Worker: "i-stress"})
 		})
@@ -108,22 +108,22 @@
 			So(c.drains, ShouldHaveLength, 3)
 		})
 		Convey("a searcher that nobody knows is not found", func() {
-			So(ask(c.handler(), "POST", WorkersPath+"/i-none/drain", nil).Code, ShouldEqual, http.StatusNotFound)
+			So(request(c.handler(), "POST", WorkersPath+"/i-none/drain", nil).Code, ShouldEqual, http.StatusNotFound)
 		})
 		Convey("unless a leader that may know it gives no answer", func() {
 			c.fail = failAt("10.0.0.1:7660", errNotLeader)
-			answer := ask(c.handler(), "POST", WorkersPath+"/i-none/drain", nil)
+			answer := request(c.handler(), "POST", WorkersPath+"/i-none/drain", nil)
 			So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
-			So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfter)
+			So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
 		})
 		Convey("a drain that one leader may have carried out is not answered as one that nobody has", func() {
 			c.fail = func(address, _ string) error {
 				if address == "10.0.0.1:7660" {
-					return errCut
+					return errReset
 				}
 				return errNotLeader
 			}
-			So(ask(c.handler(), "POST", WorkersPath+"/i-price/drain", nil).Code, ShouldEqual, http.StatusGatewayTimeout)
+			So(request(c.handler(), "POST", WorkersPath+"/i-price/drain", nil).Code, ShouldEqual, http.StatusGatewayTimeout)
 		})
 	})
 }
@@ -132,12 +132,12 @@
 
 func checkOtherPaths(t *testing.T) {
 	Convey("All other paths, and the configuration, go on to the next handler", t, func() {
-		handler := newCore().handler()
+		handler := newFakeCore().handler()
 		for _, path := range []string{control.Path, "/", "/-/other", "/-/searchers/i-1"} {
-			So(ask(handler, "GET", path, nil).Code, ShouldEqual, http.StatusTeapot)
+			So(request(handler, "GET", path, nil).Code, ShouldEqual, http.StatusTeapot)
 		}
-		So(ask(handler, "PUT", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
-		So(ask(handler, "POST", StatusPath, nil).Code, ShouldEqual, http.StatusTeapot)
+		So(request(handler, "PUT", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
+		So(request(handler, "POST", StatusPath, nil).Code, ShouldEqual, http.StatusTeapot)
 	})
 }
 
@@ -145,8 +145,8 @@
 
 func checkRequestsAreBounded(t *testing.T) {
 	Convey("Too many requests at once are turned away, and later ones are served again", t, func() {
-		c := newCore()
-		c.hold, c.held = make(chan struct{}), make(chan struct{}, 2*maxRequests)
+		c := newFakeCore()
+		c.block, c.blocked = make(chan struct{}), make(chan struct{}, 2*maxRequests)
 		handler := c.handler()
 		answers := make(chan int, maxRequests)
 		for range maxRequests {
@@ -157,16 +157,16 @@
 			}()
 		}
 		for range maxRequests {
-			<-c.held
+			<-c.blocked
 		}
-		answer := ask(handler, "GET", StatusPath, nil)
+		answer := request(handler, "GET", StatusPath, nil)
 		So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
-		So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfter)
-		So(ask(handler, "GET", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
-		close(c.hold)
+		So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
+		So(request(handler, "GET", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
+		close(c.block)
 		for range maxRequests {
 			So(<-answers, ShouldEqual, http.StatusOK)
 		}
-		So(ask(handler, "GET", StatusPath, nil).Code, ShouldEqual, http.StatusOK)
+		So(request(handler, "GET", StatusPath, nil).Code, ShouldEqual, http.StatusOK)
 	})
 }
--- a/internal/controlplane/operations/refusal_test.go
+++ b/internal/controlplane/operations/refusal_test.go
@@ -10,16 +10,16 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// refusal is a request that is refused on what the node and the leaders know.
-type refusal struct {
+// rejection is a request that is refused on what the node and the leaders know.
+type rejection struct {
 	name, method, path string
 	status             int
 }
 
-// refusals are all of them.
-func refusals() []refusal {
+// rejections are all of them.
+func rejections() []rejection {
 	const none = "ffffffffffffffff"
-	return []refusal{
+	return []rejection{
 		{"an unknown job", "GET", JobsPath + "/" + none, http.StatusNotFound},
 		{"why an unknown job waits", "GET", JobsPath + "/" + none + "/why", http.StatusNotFound},
 		{"a cancellation of an unknown job", "DELETE", JobsPath + "/" + none, http.StatusNotFound},
@@ -32,31 +32,31 @@
 	}
 }
 
-func TestNothingIsRefusedOnOldState(t *testing.T) {
-	for _, one := range refusals() {
+func TestStateIsConfirmedBeforeRejections(t *testing.T) {
+	for _, one := range rejections() {
 		Convey("Given a request that is refused: "+one.name, t, func() {
-			c := newCore()
-			c.found, c.cancelled = job.Completed, &jobapi.Cancelled{Known: true, State: job.Completed}
-			So(ask(c.handler(), one.method, one.path, nil).Code, ShouldEqual, one.status)
+			c := newFakeCore()
+			c.jobState, c.cancelled = job.Completed, &jobapi.Cancelled{Known: true, State: job.Completed}
+			So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, one.status)
 
 			Convey("it is not where no majority confirms what the mixer knows", func() {
-				c.confirm = func() error { return errCut }
-				So(ask(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				c.confirm = func() error { return errReset }
+				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
 			Convey("nor where contact has ended meanwhile", func() {
 				c.confirm = func() error {
 					c.alone = true
 					return nil
 				}
-				So(ask(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
 			Convey("nor where a majority knows a newer configuration", func() {
 				c.confirm = func() error {
 					c.version++
 					return nil
 				}
-				So(ask(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
-				So(ask(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
 		})
 	}
--- a/internal/controlplane/operations/searchers.go
+++ b/internal/controlplane/operations/searchers.go
@@ -14,7 +14,7 @@
 		h.writeError(w, r, err)
 		return
 	}
-	answers := askAll[jobreport.WorkersReply](r.Context(), h, groups, jobreport.WorkersCall.Route(),
+	answers := callLeaders[jobreport.WorkersReply](r.Context(), h, groups, jobreport.WorkersCall.Route(),
 		func(group string) any { return jobreport.WorkersRequest{Group: group} })
 	var list Workers
 	if list.Unanswered, err = unanswered(answers); err != nil {
@@ -43,21 +43,21 @@
 		return
 	}
 	id := r.PathValue("id")
-	answers := askAll[jobreport.DrainReply](r.Context(), h, groups, jobreport.DrainCall.Route(), func(group string) any {
+	answers := callLeaders[jobreport.DrainReply](r.Context(), h, groups, jobreport.DrainCall.Route(), func(group string) any {
 		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, BaseVersion: onTopOf}
 	})
 	var failure error
 	for _, one := range answers {
 		switch {
 		case one.err != nil:
-			failure = worse(failure, one.err)
+			failure = lessCertain(failure, one.err)
 		case one.reply.Known:
 			h.writeDrain(w, r, one.reply)
 			return
 		}
 	}
 	if failure == nil {
-		failure = failed(http.StatusNotFound, fmt.Sprintf("no searcher %q is known; list them at %s", id, WorkersPath))
+		failure = newStatusError(http.StatusNotFound, fmt.Sprintf("no searcher %q is known; list them at %s", id, WorkersPath))
 	}
 	h.writeError(w, r, failure)
 }
@@ -70,7 +70,7 @@
 	}
 	version, err := entitytag.Parse(header)
 	if err != nil {
-		return nil, failed(http.StatusBadRequest, "If-Match is not a version; give the searcher's drainVersion, as "+WorkersPath+" lists it")
+		return nil, newStatusError(http.StatusBadRequest, "If-Match is not a version; give the searcher's drainVersion, as "+WorkersPath+" lists it")
 	}
 	return &version, nil
 }
@@ -83,8 +83,8 @@
 		w.Header().Set("ETag", entitytag.Format(reply.Worker.DrainVersion))
 		write(w, http.StatusOK, reply.Worker)
 	case jobreport.DrainSuperseded:
-		h.writeError(w, r, failed(http.StatusPreconditionFailed, "another order was taken on top of that version: "+now))
+		h.writeError(w, r, newStatusError(http.StatusPreconditionFailed, "another order was taken on top of that version: "+now))
 	default:
-		h.writeError(w, r, failed(http.StatusGatewayTimeout, "it cannot be told whether this order was taken: "+now+"; order it again on top of that"))
+		h.writeError(w, r, newStatusError(http.StatusGatewayTimeout, "it cannot be told whether this order was taken: "+now+"; order it again on top of that"))
 	}
 }
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -38,7 +38,7 @@
 
 // groupStatus asks each leader once for its summary; a status must come soon, also where leaders are missing.
 func (h *Handler) groupStatus(ctx context.Context) []Group {
-	ctx, cancel := context.WithTimeout(ctx, summaryTime)
+	ctx, cancel := context.WithTimeout(ctx, summaryTimeout)
 	defer cancel()
 	leaders := h.options.Sources.Leaders()
 	names := h.options.Sources.Groups()
@@ -59,7 +59,7 @@
 
 func (h *Handler) summarize(ctx context.Context, name string, group *Group) {
 	var reply jobreport.SummaryReply
-	err := h.try(ctx, group.Leader, jobreport.SummaryCall.Route(), jobreport.SummaryRequest{Group: name}, &reply)
+	err := h.callOnce(ctx, group.Leader, jobreport.SummaryCall.Route(), jobreport.SummaryRequest{Group: name}, &reply)
 	if err != nil {
 		group.Error = err.Error()
 		return
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -51,7 +51,7 @@
 // Metrics are what the proxy reports.
 func (p *Proxy) Metrics() []prometheus.Collector {
 	own := []prometheus.Collector{
-		metrics.Flag("puffinlink_ready", "Whether the proxy asks for new connections.", p.Ready),
+		metrics.BoolGauge("puffinlink_ready", "Whether the proxy asks for new connections.", p.Ready),
 		metrics.Gauge("puffinlink_connections", "Clients' open connections.", func() float64 { return float64(p.tracker.occupancy().open) }),
 		metrics.Gauge("puffinlink_busy_connections", "Clients' connections with a request under way.", func() float64 { return float64(p.tracker.occupancy().busy) }),
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -17,10 +17,10 @@
 const Path = "/metrics"
 
 const (
-	headerTimeout = 5 * time.Second
-	writeTimeout  = 10 * time.Second
-	idleTimeout   = time.Minute
-	maxReaders    = 2 // at the same time
+	headerTimeout        = 5 * time.Second
+	writeTimeout         = 10 * time.Second
+	idleTimeout          = time.Minute
+	maxConcurrentScrapes = 2 // at the same time
 )
 
 // Server serves one registry.
@@ -31,11 +31,11 @@
 }
 
 // NewServer listens at an address and serves the collectors, with those of the Go runtime and of the process.
-func NewServer(address string, log *zap.Logger, own ...prometheus.Collector) (*Server, error) {
+func NewServer(address string, log *zap.Logger, additional ...prometheus.Collector) (*Server, error) {
 	registry := prometheus.NewRegistry()
 	all := append([]prometheus.Collector{
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
-	}, own...)
+	}, additional...)
 	for _, collector := range all {
 		if err := registry.Register(collector); err != nil {
 			return nil, fmt.Errorf("metrics: %w", err)
@@ -46,7 +46,7 @@
 		return nil, fmt.Errorf("metrics: %w; choose another address by --metrics", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+Path, promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxReaders}))
+	mux.Handle("GET "+Path, promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes}))
 	server := &Server{registry: registry, listener: listener, http: &http.Server{
 		Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, ErrorLog: zap.NewStdLog(log),
 	}}
@@ -66,13 +66,13 @@
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 }
 
-// Flag is a Gauge that is 1 for true and 0 for false.
-func Flag(name, help string, value func() bool) prometheus.Collector {
-	return Gauge(name, help, func() float64 { return Number(value()) })
+// BoolGauge is a Gauge that is 1 for true and 0 for false.
+func BoolGauge(name, help string, value func() bool) prometheus.Collector {
+	return Gauge(name, help, func() float64 { return BoolValue(value()) })
 }
 
-// Number is 1 for true and 0 for false.
-func Number(value bool) float64 {
+// BoolValue is 1 for true and 0 for false.
+func BoolValue(value bool) float64 {
 	if value {
 		return 1
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 	Convey("Given a server with a gauge and a flag", t, func() {
 		value := 3.0
 		server, err := NewServer("127.0.0.1:0", zap.NewNop(),
-			Gauge("test_value", "A value.", func() float64 { return value }), Flag("test_flag", "A flag.", func() bool { return true }))
+			Gauge("test_value", "A value.", func() float64 { return value }), BoolGauge("test_flag", "A flag.", func() bool { return true }))
 		So(err, ShouldBeNil)
 		Reset(server.Close)
 		client := &http.Client{Transport: &http.Transport{}}
@@ -50,7 +50,7 @@
 			So(err.Error(), ShouldContainSubstring, "--metrics")
 		})
 		Convey("one name twice is an error", func() {
-			twice := Flag("test_flag", "A flag.", func() bool { return true })
+			twice := BoolGauge("test_flag", "A flag.", func() bool { return true })
 			_, err := NewServer("127.0.0.1:0", zap.NewNop(), twice, twice)
 			So(err, ShouldNotBeNil)
 		})
--- a/internal/nodesettings/budget.go
+++ b/internal/nodesettings/budget.go
@@ -3,26 +3,26 @@
 // Of the descriptors of a process, so many are kept by the platform for files outside of the data directory, and so many
 // are needed for the files in it, the listeners and the log.
 const (
-	descriptorsForFiles = 200
-	descriptorsOfOwn    = 16
+	reservedForFiles   = 200
+	reservedForProcess = 16
 )
 
 // The parts of the connections of a coordinator, in hundredths. Together they are all of them: whoever stays within its part
 // never takes a connection from another.
 const (
-	shareOfWorkers   = 70 // to workers
-	shareOfNodes     = 22 // from other nodes: core peers, agents, proxies
-	shareOfOperators = 3
-	shareOfOwnCalls  = 5 // to other nodes and the platform
-	allShares        = 100
-	leastOfShare     = 4
+	workersPercent   = 70 // to workers
+	nodesPercent     = 22 // from other nodes: core peers, agents, proxies
+	operatorsPercent = 3
+	outboundPercent  = 5 // to other nodes and the platform
+	allPercent       = 100
+	minConnections   = 4
 )
 
 // The pace of new connections to workers and of looks at idle ones, for a whole core. Opening a connection takes about
 // 0.25 ms of a core and a look 0.08 ms.
 const (
-	dialsPerSOfCore = 1000
-	looksPerSOfCore = 1200
+	dialsPerSecondPerCore = 1000
+	pollsPerSecondPerCore = 1200
 )
 
 // ConnectionBudget says how many connections a coordinator may have open for each purpose.
@@ -30,21 +30,21 @@
 	Workers   int // to workers
 	Nodes     int // from other nodes
 	Operators int // from operators and the platform
-	OwnCalls  int // to other nodes and the platform
+	Outbound  int // to other nodes and the platform
 }
 
 // ConnectionBudget divides the descriptors of a coordinator's process.
 func (l *Limits) ConnectionBudget() ConnectionBudget {
-	all := l.FileDescriptors - descriptorsForFiles - descriptorsOfOwn
-	part := func(share int) int { return max(leastOfShare, all*share/allShares) }
+	all := l.FileDescriptors - reservedForFiles - reservedForProcess
+	part := func(share int) int { return max(minConnections, all*share/allPercent) }
 	return ConnectionBudget{
-		Workers: part(shareOfWorkers), Nodes: part(shareOfNodes),
-		Operators: part(shareOfOperators), OwnCalls: part(shareOfOwnCalls),
+		Workers: part(workersPercent), Nodes: part(nodesPercent),
+		Operators: part(operatorsPercent), Outbound: part(outboundPercent),
 	}
 }
 
-// DialsPerS is how many connections to workers a coordinator may open a second in the long run.
-func (l *Limits) DialsPerS() float64 { return dialsPerSOfCore * l.ProcessorShare }
+// DialsPerSecond is how many connections to workers a coordinator may open a second in the long run.
+func (l *Limits) DialsPerSecond() float64 { return dialsPerSecondPerCore * l.ProcessorShare }
 
-// LooksPerS is how many looks at idle workers a coordinator may make a second.
-func (l *Limits) LooksPerS() float64 { return looksPerSOfCore * l.ProcessorShare }
+// PollsPerSecond is how many looks at idle workers a coordinator may make a second.
+func (l *Limits) PollsPerSecond() float64 { return pollsPerSecondPerCore * l.ProcessorShare }
--- a/internal/nodesettings/budget_test.go
+++ b/internal/nodesettings/budget_test.go
@@ -11,18 +11,18 @@
 		for _, descriptors := range []int{300, 512, 1000, 1024, 4096, 4100, 65536} {
 			limits := Limits{FileDescriptors: descriptors}
 			b := limits.ConnectionBudget()
-			convey.So(b.Workers+b.Nodes+b.Operators+b.OwnCalls, convey.ShouldBeLessThanOrEqualTo, descriptors-descriptorsForFiles-descriptorsOfOwn)
-			convey.So(min(b.Workers, b.Nodes, b.Operators, b.OwnCalls), convey.ShouldBeGreaterThanOrEqualTo, leastOfShare)
+			convey.So(b.Workers+b.Nodes+b.Operators+b.Outbound, convey.ShouldBeLessThanOrEqualTo, descriptors-reservedForFiles-reservedForProcess)
+			convey.So(min(b.Workers, b.Nodes, b.Operators, b.Outbound), convey.ShouldBeGreaterThanOrEqualTo, minConnections)
 		}
 	})
 	convey.Convey("At 4,096 descriptors", t, func() {
 		limits := Limits{FileDescriptors: 4096, ProcessorShare: 0.5}
-		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{Workers: 2716, Nodes: 853, Operators: 116, OwnCalls: 194})
-		convey.So(limits.DialsPerS(), convey.ShouldEqual, dialsPerSOfCore/2)
-		convey.So(limits.LooksPerS(), convey.ShouldEqual, looksPerSOfCore/2)
+		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{Workers: 2716, Nodes: 853, Operators: 116, Outbound: 194})
+		convey.So(limits.DialsPerSecond(), convey.ShouldEqual, dialsPerSecondPerCore/2)
+		convey.So(limits.PollsPerSecond(), convey.ShouldEqual, pollsPerSecondPerCore/2)
 	})
 	convey.Convey("Too few descriptors leave some of each", t, func() {
 		limits := Limits{FileDescriptors: 100}
-		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{leastOfShare, leastOfShare, leastOfShare, leastOfShare})
+		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{minConnections, minConnections, minConnections, minConnections})
 	})
 }
--- a/internal/nodesettings/parse.go
+++ b/internal/nodesettings/parse.go
@@ -84,13 +84,13 @@
 
 // fill sets the tagged fields of a struct, and of the untagged structs in it, from the values.
 func fill(target reflect.Value, values *properties.Properties) error {
-	var faults []error
+	var problems []error
 	for i := range target.NumField() {
 		field := target.Type().Field(i)
 		key, tagged := field.Tag.Lookup(keyTag)
 		if !tagged {
 			if field.Type.Kind() == reflect.Struct {
-				faults = append(faults, fill(target.Field(i), values))
+				problems = append(problems, fill(target.Field(i), values))
 			}
 			continue
 		}
@@ -99,10 +99,10 @@
 			continue
 		}
 		if err := set(target.Field(i), value, field.Tag.Get(unitTag)); err != nil {
-			faults = append(faults, &KeyError{key, value, err})
+			problems = append(problems, &KeyError{key, value, err})
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(problems...)
 }
 
 // text is the value of a key without surrounding space; the fallback where it is absent or empty.
@@ -185,8 +185,8 @@
 	return parsed, nil
 }
 
-// longest is the longest time that a setting may state.
-const longest = 100 * 365 * 24 * time.Hour
+// maxDuration is the longest time that a setting may state.
+const maxDuration = 100 * 365 * 24 * time.Hour
 
 func parseDuration(value, unit string) (time.Duration, error) {
 	number, err := parseNumber(value)
@@ -198,38 +198,38 @@
 		scale = time.Second
 	}
 	nanoseconds := number * float64(scale)
-	if math.Abs(nanoseconds) > float64(longest) {
-		return 0, fmt.Errorf("want a time of at most %v", longest)
+	if math.Abs(nanoseconds) > float64(maxDuration) {
+		return 0, fmt.Errorf("want a time of at most %v", maxDuration)
 	}
 	return time.Duration(math.Round(nanoseconds)), nil
 }
 
-var checker = newChecker()
+var validate = newValidator()
 
-// newChecker makes a validator that reports fields by their keys.
-func newChecker() *validator.Validate {
+// newValidator makes a validator that reports fields by their keys.
+func newValidator() *validator.Validate {
 	checker := validator.New(validator.WithRequiredStructEnabled())
 	checker.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get(keyTag) })
 	return checker
 }
 
 func check(settings *Settings, values *properties.Properties) error {
-	err := checker.Struct(settings)
+	err := validate.Struct(settings)
 	var found validator.ValidationErrors
 	if !errors.As(err, &found) {
 		return err
 	}
-	var faults []error
-	for _, fault := range found {
-		key, _, _ := strings.Cut(fault.Field(), "[") // a fault in a list is reported as key[index]
-		faults = append(faults, &KeyError{key, text(values, key, ""), errors.New(remedy(fault))})
+	var problems []error
+	for _, violation := range found {
+		key, _, _ := strings.Cut(violation.Field(), "[") // a fault in a list is reported as key[index]
+		problems = append(problems, &KeyError{key, text(values, key, ""), errors.New(remedy(violation))})
 	}
-	return errors.Join(faults...)
+	return errors.Join(problems...)
 }
 
 // remedy says what a value must be like.
-func remedy(fault validator.FieldError) string {
-	switch fault.Tag() {
+func remedy(violation validator.FieldError) string {
+	switch violation.Tag() {
 	case "required":
 		return "missing: add this key with a value"
 	case "ipv4":
@@ -237,10 +237,10 @@
 	case "hostname_port":
 		return "want host:port, as in 10.1.0.12:8144"
 	case "gt":
-		return "want more than " + fault.Param()
+		return "want more than " + violation.Param()
 	case "gte":
-		return "want " + fault.Param() + " or more"
+		return "want " + violation.Param() + " or more"
 	default:
-		return "does not satisfy " + fault.Tag()
+		return "does not satisfy " + violation.Tag()
 	}
 }
--- a/internal/nodesettings/settings_test.go
+++ b/internal/nodesettings/settings_test.go
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidSettingsNameTheKeyAndTheRemedy(t *testing.T) {
 	cases := map[string]string{
 		"nodeName=":                       "nodeName=: missing: add this key with a value",
 		"ipAddress=host":                  "ipAddress=host: want an IPv4 address, as in 10.1.0.12",
@@ -131,8 +131,8 @@
 			_, err := Parse([]byte(with(line)))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldEqual, want)
-			var fault *KeyError
-			So(errors.As(err, &fault), ShouldBeTrue)
+			var violation *KeyError
+			So(errors.As(err, &violation), ShouldBeTrue)
 		})
 	}
 	Convey("All faults are told at once", t, func() {
@@ -172,7 +172,7 @@
 			ctx, stop := context.WithCancel(context.Background())
 			changes := Watch(ctx, path, current, reload, zap.New(core))
 			quiet := func() {
-				time.Sleep(3 * checkPeriod)
+				time.Sleep(3 * pollInterval)
 				synctest.Wait()
 				So(changes, ShouldHaveLength, 0)
 			}
@@ -181,7 +181,7 @@
 			write(with("zone=second"))
 			begun := time.Now()
 			So((<-changes).Zone, ShouldEqual, "second")
-			So(time.Since(begun), ShouldBeLessThanOrEqualTo, checkPeriod)
+			So(time.Since(begun), ShouldBeLessThanOrEqualTo, pollInterval)
 
 			write(with("zone=third\nfirstStart=perhaps"))
 			quiet()
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// checkPeriod is how often the file is compared with what was read last.
-const checkPeriod = time.Second
+// pollInterval is how often the file is compared with what was read last.
+const pollInterval = time.Second
 
 // Watch follows a settings file: it reads the file each second and whenever reload delivers, and sends settings that
 // differ from the current ones, which then are the current ones. A file that cannot be read or is not valid is logged once, and the settings before stay.
@@ -23,17 +23,17 @@
 }
 
 type watcher struct {
-	path    string
-	log     *zap.Logger
-	current Settings
-	content []byte // the last that was looked at, valid or not
-	failure string // the last that was logged, so that it is logged once
-	changes chan Settings
+	path        string
+	log         *zap.Logger
+	current     Settings
+	content     []byte // the last that was looked at, valid or not
+	lastFailure string // the last that was logged, so that it is logged once
+	changes     chan Settings
 }
 
 func (w *watcher) run(ctx context.Context, reload <-chan os.Signal) {
 	defer close(w.changes)
-	ticker := time.NewTicker(checkPeriod)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -42,15 +42,15 @@
 		case <-reload:
 		case <-ticker.C:
 		}
-		w.look()
+		w.reload()
 	}
 }
 
-// look reads the file, and sends its settings if they are new and valid.
-func (w *watcher) look() {
+// reload reads the file, and sends its settings if they are new and valid.
+func (w *watcher) reload() {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
-		w.fail(err)
+		w.logOnce(err)
 		return
 	}
 	if bytes.Equal(content, w.content) {
@@ -59,10 +59,10 @@
 	w.content = content
 	settings, err := Parse(content)
 	if err != nil {
-		w.fail(err)
+		w.logOnce(err)
 		return
 	}
-	w.failure = ""
+	w.lastFailure = ""
 	if reflect.DeepEqual(settings, w.current) {
 		return
 	}
@@ -71,11 +71,11 @@
 	w.send(settings)
 }
 
-func (w *watcher) fail(err error) {
-	if err.Error() == w.failure {
+func (w *watcher) logOnce(err error) {
+	if err.Error() == w.lastFailure {
 		return
 	}
-	w.failure = err.Error()
+	w.lastFailure = err.Error()
 	w.log.Error("settings file not taken, the settings before stay", zap.String("path", w.path), zap.Error(err))
 }
 
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	tryTime         = 4 * time.Second // for one answer; a node may ask another one for it
-	dialTime        = 2 * time.Second
-	firstPause      = 200 * time.Millisecond
-	longestPause    = time.Second
+	attemptTimeout  = 4 * time.Second // for one answer; a node may ask another one for it
+	dialTimeout     = 2 * time.Second
+	initialBackoff  = 200 * time.Millisecond
+	maxBackoff      = time.Second
 	maxRedirects    = 2
 	maxAnswerBytes  = 64 << 20
 	maxErrorText    = 400
@@ -63,14 +63,14 @@
 
 // UnreachableError means that no node gave a clear answer in time.
 type UnreachableError struct {
-	Failures []error // the newest of each address
-	Unclear  bool    // the request may have been carried out
+	Failures            []error // the newest of each address
+	MayHaveBeenExecuted bool    // the request may have been carried out
 }
 
 // Error implements the error interface.
 func (e *UnreachableError) Error() string {
 	text := "no mixer gave a clear answer: " + errors.Join(e.Failures...).Error()
-	if e.Unclear {
+	if e.MayHaveBeenExecuted {
 		return text + "\nthe request may have been carried out: read the state, or send it again unchanged"
 	}
 	return text + "\nnothing was done: check --at, that the mixers run, and their status"
@@ -83,40 +83,40 @@
 // or the context ends. The error is a *RefusedError or an *UnreachableError.
 func (c *Client) Do(ctx context.Context, request Request) (Answer, error) {
 	failures := make([]error, len(c.Addresses))
-	unclear := false
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
+	maybeExecuted := false
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		for i, address := range c.Addresses {
-			answer, err := c.try(ctx, address, request)
-			if err == nil && !isClear(answer.Status) {
-				err = refusal(answer)
+			answer, err := c.attempt(ctx, address, request)
+			if err == nil && !isDefinitive(answer.Status) {
+				err = newRefusedError(answer)
 			}
 			if err == nil {
-				return answer, clearError(answer)
+				return answer, definitiveError(answer)
 			}
-			unclear = unclear || mayHaveRun(request.Method, err)
+			maybeExecuted = maybeExecuted || mayHaveBeenExecuted(request.Method, err)
 			if ctx.Err() == nil || failures[i] == nil {
 				failures[i] = fmt.Errorf("%s: %w", address, err)
 			}
 		}
-		if sleep(ctx, pause) != nil {
-			return Answer{}, &UnreachableError{Failures: failures, Unclear: unclear}
+		if sleep(ctx, backoff) != nil {
+			return Answer{}, &UnreachableError{Failures: failures, MayHaveBeenExecuted: maybeExecuted}
 		}
 	}
 }
 
-// isClear tells whether a status settles the request.
-func isClear(status int) bool {
+// isDefinitive tells whether a status settles the request.
+func isDefinitive(status int) bool {
 	return status < http.StatusInternalServerError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-func clearError(answer Answer) error {
+func definitiveError(answer Answer) error {
 	if answer.Status < http.StatusMultipleChoices {
 		return nil
 	}
-	return refusal(answer)
+	return newRefusedError(answer)
 }
 
-func refusal(answer Answer) *RefusedError {
+func newRefusedError(answer Answer) *RefusedError {
 	var failure operations.Failure
 	if err := json.Unmarshal(answer.Body, &failure); err == nil && failure.Error != "" {
 		return &RefusedError{Status: answer.Status, Text: failure.Error}
@@ -125,14 +125,14 @@
 	return &RefusedError{Status: answer.Status, Text: fmt.Sprintf("answered %d: %s", answer.Status, text)}
 }
 
-// mayHaveRun tells whether a request that changes something may have been carried out although it failed.
-func mayHaveRun(method string, err error) bool {
+// mayHaveBeenExecuted tells whether a request that changes something may have been carried out although it failed.
+func mayHaveBeenExecuted(method string, err error) bool {
 	if method == http.MethodGet {
 		return false
 	}
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
-		return !neverSent(err)
+		return !neverConnected(err)
 	}
 	switch refused.Status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests:
@@ -143,8 +143,8 @@
 	return refused.Status >= http.StatusInternalServerError // a node that failed may have failed after it had acted
 }
 
-// neverSent tells whether no connection came up, so that nothing was sent.
-func neverSent(err error) bool {
+// neverConnected tells whether no connection came up, so that nothing was sent.
+func neverConnected(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
@@ -153,13 +153,13 @@
 // redirects by itself.
 func NewHTTPClient() *http.Client {
 	return &http.Client{
-		Transport:     &http.Transport{DialContext: (&net.Dialer{Timeout: dialTime}).DialContext, DisableCompression: true},
+		Transport:     &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-func (c *Client) try(ctx context.Context, address string, request Request) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+func (c *Client) attempt(ctx context.Context, address string, request Request) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	target := "http://" + address + request.Path
 	if len(request.Query) > 0 {
--- a/internal/operatorclient/client_test.go
+++ b/internal/operatorclient/client_test.go
@@ -50,7 +50,7 @@
 	little = 50 * time.Millisecond
 )
 
-func TestTriesNodesInTurn(t *testing.T) {
+func TestNodesAreTriedInTurn(t *testing.T) {
 	read := Request{Method: http.MethodGet, Path: "/-/status", Query: url.Values{"service": {"a b"}}}
 	Convey("The next mixer is asked after a failure, and after an answer that settles nothing", t, func() {
 		good := node(func(w http.ResponseWriter, r *http.Request) {
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestRefusals(t *testing.T) {
+func TestRejectionsAreDefinitive(t *testing.T) {
 	Convey("A clear refusal ends the request, with the mixer's text", t, func() {
 		var asked atomic.Int32
 		other := node(func(http.ResponseWriter, *http.Request) { asked.Add(1) })
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestNoAnswer(t *testing.T) {
+func TestUnreachableNodes(t *testing.T) {
 	mute := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	cases := []struct {
 		name    string
@@ -139,7 +139,7 @@
 			_, err := do(little, Request{Method: c.method, Path: "/"}, c.address())
 			var unreachable *UnreachableError
 			So(errors.As(err, &unreachable), ShouldBeTrue)
-			So(unreachable.Unclear, ShouldEqual, c.unclear)
+			So(unreachable.MayHaveBeenExecuted, ShouldEqual, c.unclear)
 			So(unreachable.Failures, ShouldHaveLength, 1)
 			if c.unclear {
 				So(err.Error(), ShouldContainSubstring, "may have been carried out")
