--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -16,10 +16,10 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Settings are what the operator's file and the mixer's config say together. Times are seconds.
+// Settings are what the operator's file and the node's config say together. Times are seconds.
 type Settings struct {
 	Self      membership.Name
-	Location  string // of this mixer, by the settings' names
+	Location  string // of this node, by the settings' names
 	Roster    membership.Roster
 	Key       [sealedmessage.KeyBytes]byte
 	Directory string // "" keeps nothing; a voter needs one
@@ -44,13 +44,14 @@
 // ContractLine and QuotaLine are the keys of a tenant's.
 func ContractLine(t quota.Tenant) string { return "contract " + string(t) }
 
+// QuotaLine is the key of the line of a tenant's quota.
 func QuotaLine(t quota.Tenant) string { return "quota " + string(t) }
 
 // Check tells what settings and file say against each other, each with its line of the file.
 func (s *Settings) Check() error {
-	var wrong []error
+	var faults []error
 	say := func(key, format string, args ...any) {
-		wrong = append(wrong, fmt.Errorf("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
+		faults = append(faults, invalid("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
 	}
 	me := s.Roster.Find(s.Self)
 	switch {
@@ -83,14 +84,14 @@
 			say(LineStrict, "contracts.strict: tenant %q is none that the settings know, expected some of %q or \"*\"", tenant, s.Site.Tenants)
 		}
 	}
-	return errors.Join(wrong...)
+	return errors.Join(faults...)
 }
 
 func (s *Settings) strict(tenant quota.Tenant) bool {
 	return slices.Contains(s.Strict, "*") || slices.Contains(s.Strict, string(tenant))
 }
 
-// strictHash tells whether two mixers refuse the same tenants where contracts are not sure.
+// strictHash tells whether two nodes refuse the same tenants where contracts are not sure.
 func (s *Settings) strictHash() uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(strings.Join(slices.Sorted(slices.Values(s.Strict)), "\n")))
--- a/internal/dataplane/aggregator/timers.go
+++ b/internal/dataplane/aggregator/timers.go
@@ -22,7 +22,7 @@
 
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
-func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) } //nolint:forcetypeassert // heap.Interface takes any, and only timers are pushed
 
 func (t *timers) Pop() any {
 	last := (*t)[len(*t)-1]
@@ -32,7 +32,7 @@
 
 // setTimer sets a timer. One that comes again and again counts from when it was due, not from when its step came,
 // or each step's lateness would add up.
-func (m *Mixer) setTimer(a *policy.Action, now time.Time) {
+func (m *Aggregator) setTimer(a *policy.Action, now time.Time) {
 	from := now
 	wait := time.Duration(math.Ceil(a.Wait * float64(time.Second)))
 	if due, again := m.due[a.Timer]; again && due.Add(wait).After(now) {
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -155,7 +155,10 @@
 		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, f.url+testPrefix+testID, strings.NewReader(testJob))
 		left := make(chan error, 1)
 		go func() {
-			_, err := f.client.Do(request)
+			answer, err := f.client.Do(request)
+			if err == nil {
+				answer.Body.Close()
+			}
 			left <- err
 		}()
 		<-asked
@@ -186,7 +189,7 @@
 	Convey("A job may belong to another group", t, func() {
 		own, second := newLeader(t).knowing(false, ""), newLeader(t).knowing(true, "queued")
 		snapshot := snapshotOf(configurationOf(3000), own.address(), 1)
-		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Epoch: 4}
+		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Term: 4}
 		f := newFixture(t, snapshot)
 		So(f.send(http.MethodGet, testPrefix+testID, "").text, ShouldEqual, `{"state":"queued"}`)
 		So(f.send(http.MethodDelete, testPrefix+testID, "").status, ShouldEqual, http.StatusOK)
@@ -194,7 +197,7 @@
 	Convey("A job is gone only if all groups say so", t, func() {
 		own, second := newLeader(t).knowing(false, ""), newLeader(t)
 		snapshot := snapshotOf(configurationOf(600), own.address(), 1)
-		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Epoch: 4}
+		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Term: 4}
 		f := newFixture(t, snapshot)
 		So(f.send(http.MethodGet, testPrefix+testID, "").status, ShouldEqual, http.StatusServiceUnavailable)
 		second.mutex.Lock()
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads and checks the object that every instance is handed at its start, once for both the
-// bench's adapter and the mixer. It decides nothing.
+// bench's adapter and the aggregator. It decides nothing.
 package settings
 
 import (
@@ -20,7 +20,7 @@
 	Indexes, Customers, Locations, Kinds []string // each in the order of its ids
 	Shards                               int
 	Streams                              int     // calls that one connection carries at once
-	Idle                                 float64 // a connection idle for so long is closed by its searcher
+	Idle                                 float64 // a connection idle for so long is closed by its backend
 	Connect                              float64 // a connect that takes longer has failed; a probe too, of which no other figure is told
 	Loads                                bool    // probes may ask for a load report
 }
@@ -109,15 +109,15 @@
 func Read(seed uint64, text []byte) (Settings, error) {
 	var w wire
 	if err := json.Unmarshal(text, &w); err != nil {
-		return Settings{}, fmt.Errorf("settings: expected a JSON object: %v", err)
+		return Settings{}, invalid("settings: expected a JSON object: %v", err)
 	}
 	sp, li, in, pr := &w.Specifics, &w.Limits, &w.Invariants, &w.Prices
 	s := Settings{Net: Net{Locations: w.Azs, Kinds: w.Models, Shards: sp.Slices, Streams: li.Multiplex,
 		Idle: li.IdleCloseS, Connect: li.ConnectTimeoutS, Loads: w.Stats.How == "answers" || w.Stats.How == "probe"}}
 	s.Settings = policy.Settings{
-		Seed: seed, Self: policy.MixerNo(w.Ordinal), Mixers: w.Siblings, Location: policy.LocationID(w.Zone),
+		Seed: seed, Self: policy.AggregatorNo(w.Ordinal), Aggregators: w.Siblings, Location: policy.LocationID(w.Zone),
 		Step: w.GranularityS, OverShare: w.OverShareWorth, AskList: w.MembershipMode == "subscribe",
-		Layout: policy.Layout{Cells: sp.Places, Width: sp.Width, CallParts: sp.PerCall, CallCost: sp.CallCostS},
+		Layout: policy.Layout{Cells: sp.Places, Width: sp.Width, CallSubqueries: sp.PerCall, CallCost: sp.CallCostS},
 		Limits: policy.Limits{Cancel: li.Cancel, Probe: li.Probing, Tell: li.MayTell, SecondCopy: li.MayDuplicate,
 			RetryAfter: li.RetryAfter, MaxTries: li.MostTries, MaxHeld: li.MostHeld,
 			MaxRetryAfter: li.MaxRetryAfterS, ConnectTimeout: li.ConnectTimeoutS},
@@ -133,7 +133,7 @@
 	for i, c := range w.RequestClasses {
 		effect, known := effects[c.Effect]
 		if !known {
-			return s, fmt.Errorf("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, c.Effect)
+			return s, invalid("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, c.Effect)
 		}
 		x := policy.IndexSettings{Soft: c.PromiseS, Hard: c.GiveUpS, Gain: c.Worth, LateGain: c.LateWorth,
 			Effect: effect, RepeatS: c.RepeatWindowS}
@@ -205,7 +205,7 @@
 		of   []float64
 	}{{"classNeed", sp.ClassNeed}, {"floorByClass", sp.FloorByClass}, {"shortWorth", sp.ShortWorth}} {
 		if n := len(list.of); n > 0 && n != len(w.RequestClasses) {
-			return fmt.Errorf("settings: specifics.%s has %d figures, expected one for each of %d classes",
+			return invalid("settings: specifics.%s has %d figures, expected one for each of %d classes",
 				list.name, n, len(w.RequestClasses))
 		}
 		for i, v := range list.of {
@@ -214,11 +214,11 @@
 	}
 	for i, floor := range sp.FloorByClass {
 		if need := at(sp.ClassNeed, i); need > 0 && floor > need && floor < 1 { // 1 is what a class without a floor has
-			return fmt.Errorf("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, floor, need)
+			return invalid("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, floor, need)
 		}
 	}
 	if n := len(sp.SecondStep); n > 0 && n != len(w.RequestClasses) {
-		return fmt.Errorf("settings: specifics.secondStep has %d figures, expected one for each of %d classes",
+		return invalid("settings: specifics.secondStep has %d figures, expected one for each of %d classes",
 			n, len(w.RequestClasses))
 	}
 	for i, n := range sp.SecondStep {
@@ -226,12 +226,12 @@
 	}
 	for _, f := range atLeast0 {
 		if f.value < 0 {
-			return fmt.Errorf("settings: %s is %g, expected 0 or more", f.name, f.value)
+			return invalid("settings: %s is %g, expected 0 or more", f.name, f.value)
 		}
 	}
 	for _, f := range shares {
 		if f.value < 0 || f.value > 1 {
-			return fmt.Errorf("settings: %s is %g, expected a share from 0 to 1", f.name, f.value)
+			return invalid("settings: %s is %g, expected a share from 0 to 1", f.name, f.value)
 		}
 	}
 	return nil
