--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -1,8 +1,5 @@
 package replication
 
-// entryBytes is what an entry costs beside its key and value, roughly.
-const entryBytes = 64
-
 // batch moves the state from one position to the next.
 type batch struct {
 	previous, position Position
@@ -19,82 +16,6 @@
 	return b
 }
 
-// history holds the newest batches of a term, in order.
-type history struct {
-	limits     Limits
-	catchingUp bool // a replica is catching up from a snapshot and needs what came after it
-	batches    []batch
-	bytes      int
-}
-
-// add appends a batch and drops the oldest ones beyond the limits; the newest always stays.
-func (h *history) add(b batch) {
-	h.batches = append(h.batches, b)
-	h.bytes += b.bytes
-	for len(h.batches) > 1 && h.exceedsLimits() {
-		h.dropOldest()
-	}
-}
-
-func (h *history) exceedsLimits() bool {
-	if h.catchingUp {
-		return h.bytes > h.limits.CatchUpBytes
-	}
-	return len(h.batches) > h.limits.RetainedBatches || h.bytes > h.limits.RetainedBytes
-}
-
-// withinRetention tells whether so few batches lead from a position to the newest that the usual limits keep them for a while.
-func (h *history) withinRetention(position Position) bool {
-	count, sum := 0, 0
-	for i := len(h.batches) - 1; i >= 0; i-- {
-		count, sum = count+1, sum+h.batches[i].bytes
-		if 2*count > h.limits.RetainedBatches || 2*sum > h.limits.RetainedBytes {
-			return h.batches[i].position == position
-		}
-		if h.batches[i].position == position || h.batches[i].previous == position {
-			return true
-		}
-	}
-	return false
-}
-
-func (h *history) dropOldest() {
-	h.bytes -= h.batches[0].bytes
-	h.batches[0] = batch{}
-	h.batches = h.batches[1:]
-}
-
-// discardThrough drops the batches that lead to a sequence or an earlier one; the newest always stays.
-func (h *history) discardThrough(index uint64) {
-	for len(h.batches) > 1 && h.batches[0].position.Index <= index {
-		h.dropOldest()
-	}
-}
-
-// after merges the batches after a position into one, as many as fit into a message, but at least one. It fails if the
-// position is not one that the history begins at.
-func (h *history) after(position Position) (batch, bool) {
-	for i, b := range h.batches {
-		if b.previous == position {
-			return mergeBatches(h.batches[i : i+h.batchesPerMessage(i)]), true
-		}
-	}
-	return batch{}, false
-}
-
-// batchesPerMessage is how many batches in a row fit into a message, at least one.
-func (h *history) batchesPerMessage(first int) int {
-	count, sum := 1, h.batches[first].bytes
-	for _, b := range h.batches[first+1:] {
-		sum += b.bytes
-		if sum > h.limits.ChunkBytes {
-			break
-		}
-		count++
-	}
-	return count
-}
-
 // mergeBatches makes one batch of several in a row.
 func mergeBatches(batches []batch) batch {
 	if len(batches) == 1 {
--- a/internal/controlplane/replication/core.go
+++ b/internal/controlplane/replication/core.go
@@ -9,41 +9,15 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
-	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/random"
-	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// maxPendingPings is how many pings may wait for one member's answer.
-const maxPendingPings = 3
-
 // tableReader is what the core reads of a store.
 type tableReader interface {
 	Tables() []string
 	Table(name string) map[string][]byte
 }
 
-// rpc is a request that the core wants sent. done runs within a step.
-type rpc struct {
-	address        string
-	route          transport.Route
-	timeout        time.Duration
-	request, reply any
-	done           func(err error)
-}
-
-// storeWrite is a change that the core wants synced. done runs within a step.
-type storeWrite struct {
-	changes []storage.Change
-	done    func(err error)
-}
-
-// effects are what a step of the core asks for.
-type effects struct {
-	calls  []rpc
-	writes []storeWrite
-}
-
 // core is the whole protocol on one node, free of goroutines and input or output. It advances in steps, one at a
 // time; a step may leave effects, whose results are steps again.
 type core struct {
@@ -142,27 +116,6 @@
 	}
 }
 
-func (c *core) call(address string, route transport.Route, limit time.Duration, request, reply any, done func(err error)) {
-	c.effects.calls = append(c.effects.calls, rpc{address, route, limit, request, reply, done})
-}
-
-// offload does work outside of the steps, which would be held up by it, and then runs a step. The work must not use the core.
-func (c *core) offload(work, done func()) {
-	c.spawn(func() {
-		work()
-		c.runStep(done)
-	})
-}
-
-func (c *core) write(changes []storage.Change, done func(err error)) {
-	c.effects.writes = append(c.effects.writes, storeWrite{changes, func(err error) {
-		if err != nil {
-			c.writeFailed(err)
-		}
-		done(err)
-	}})
-}
-
 // stop resigns all terms for good.
 func (c *core) stop() {
 	c.stopping = true
@@ -180,12 +133,6 @@
 	}
 }
 
-func (c *core) takeEffects() effects {
-	taken := c.effects
-	c.effects = effects{}
-	return taken
-}
-
 // tick does what is due and returns when the next tick is.
 func (c *core) tick() time.Duration {
 	c.tickEarlier = false
@@ -255,71 +202,3 @@
 	}
 	c.group(request.Group).leaderResigned(request.Term)
 }
-
-// ping serves pingCall.
-func (c *core) ping(request pingRequest, reply func(pingReply)) {
-	sender := c.members.get(request.From)
-	sender.lastPing, sender.ready = c.now, request.Ready
-	answer := pingReply{Heartbeats: make([]appendReply, len(request.Heartbeats))}
-	if request.LeadersChecksum != c.leaders.checksum {
-		answer.Leaders = c.leaders.byGroup
-	}
-	missing := len(request.Heartbeats)
-	if missing == 0 {
-		reply(answer)
-		return
-	}
-	for i, one := range request.Heartbeats {
-		c.group(one.Group).replica.heartbeat(one.Term, request.From, request.View, func(result appendReply) {
-			answer.Heartbeats[i] = result
-			if missing--; missing == 0 {
-				reply(answer)
-			}
-		})
-	}
-}
-
-// pingAll sends each other member a ping with the heartbeats of all groups led here.
-func (c *core) pingAll() {
-	request := pingRequest{From: c.self, Ready: c.ready && c.storeWritable(), View: c.view.Version, LeadersChecksum: c.leaders.checksum}
-	for _, g := range c.sortedGroups() {
-		if g.leading != nil {
-			request.Heartbeats = append(request.Heartbeats, heartbeat{Group: g.name, Term: g.leading.termNumber})
-		}
-	}
-	for _, address := range c.view.Members {
-		if address != c.self {
-			c.pingOne(address, request)
-		}
-	}
-}
-
-func (c *core) pingOne(address string, request pingRequest) {
-	peer := c.members.get(address)
-	if peer.pendingPings >= maxPendingPings {
-		return
-	}
-	peer.pendingPings++
-	sent := c.now
-	reply := new(pingReply)
-	c.call(address, pingCall.Route(), c.timing.LeaderLease, request, reply, func(err error) {
-		peer.pendingPings--
-		if err == nil {
-			peer.lastAnswered = max(peer.lastAnswered, sent)
-			c.pingAnswered(address, request, *reply, sent)
-		}
-	})
-}
-
-func (c *core) pingAnswered(address string, request pingRequest, reply pingReply, sent time.Duration) {
-	c.leaders.update(reply.Leaders)
-	if len(reply.Heartbeats) != len(request.Heartbeats) {
-		return
-	}
-	for i, one := range request.Heartbeats {
-		leading := c.groups[one.Group].leading
-		if leading != nil && leading.termNumber == one.Term {
-			leading.heartbeatAnswered(address, reply.Heartbeats[i], sent)
-		}
-	}
-}
--- a/internal/controlplane/replication/balance.go
+++ b/internal/controlplane/replication/leaderbalance.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"maps"
 	"slices"
+
+	"github.com/zeebo/xxh3"
 )
 
 // campaignRank is the number of live members that should rather lead a group than this one.
@@ -42,3 +44,11 @@
 	slices.SortStableFunc(live, func(a, b string) int { return cmp.Compare(loads[a], loads[b]) })
 	return live
 }
+
+// rendezvousOrder sorts addresses by highest random weight for a group.
+func rendezvousOrder(addresses []string, group string) []string {
+	weight := func(address string) uint64 { return xxh3.HashString(group + "\x00" + address) }
+	return slices.SortedFunc(slices.Values(addresses), func(a, b string) int {
+		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a, b))
+	})
+}
--- a/internal/controlplane/replication/members.go
+++ b/internal/controlplane/replication/members.go
@@ -1,12 +1,8 @@
 package replication
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
-	"github.com/zeebo/xxh3"
-
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
@@ -67,11 +63,3 @@
 	}
 	return view.Version > 0 && count >= view.Quorum()
 }
-
-// rendezvousOrder sorts addresses by highest random weight for a group.
-func rendezvousOrder(addresses []string, group string) []string {
-	weight := func(address string) uint64 { return xxh3.HashString(group + "\x00" + address) }
-	return slices.SortedFunc(slices.Values(addresses), func(a, b string) int {
-		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a, b))
-	})
-}
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -28,21 +28,6 @@
 	Value []byte `msgpack:"v"`
 }
 
-// Position names one state of a group: the Sequence-th batch of the leader that was elected under Epoch.
-// The zero Position is the empty state before the first leader.
-type Position struct {
-	Term  uint64 `msgpack:"e"`
-	Index uint64 `msgpack:"s"`
-}
-
-// Before tells whether the position is older than another.
-func (p Position) Before(other Position) bool {
-	if p.Term != other.Term {
-		return p.Term < other.Term
-	}
-	return p.Index < other.Index
-}
-
 // voteRequest asks for a vote. With Probe set, it asks whether a vote would be given, and changes nothing.
 type voteRequest struct {
 	Group     string   `msgpack:"g"`
--- /dev/null
+++ b/internal/controlplane/replication/voting.go
@@ -0,0 +1,58 @@
+package replication
+
+// leasesAllow tells whether the replica may vote for a candidate as far as leases go. A lease that was forgotten in a restart
+// can only be that of the node to which the newest promise was given. If that node is the candidate, it leads no more:
+// a node campaigns only after its own term has ended, or in a new process.
+func (r *replica) leasesAllow(candidate string) bool {
+	now := r.core.now
+	remembers := now >= r.noVoteBefore || r.votedFor == candidate && candidate != ""
+	return remembers && (now >= r.lease.until || r.lease.leader == candidate) && !r.group.ledByOther(candidate)
+}
+
+// requestVote votes, or refuses to.
+func (r *replica) requestVote(request voteRequest, reply func(voteReply)) {
+	if request.PreVote {
+		granted := r.core.mayVote(request.View) && r.leasesAllow(request.Candidate)
+		omitted := granted && request.Position.Before(r.position) && r.exceedsMessage(r.state())
+		reply(voteReply{Granted: granted, Term: r.currentTerm, Position: r.position, StateOmitted: omitted})
+		return
+	}
+	if !r.core.mayVote(request.View) {
+		reply(r.denyVote())
+		return
+	}
+	r.whenIdle(func() { r.grantVote(request, reply) })
+}
+
+func (r *replica) denyVote() voteReply {
+	return voteReply{Term: r.currentTerm, Position: r.position}
+}
+
+func (r *replica) grantVote(request voteRequest, reply func(voteReply)) {
+	if !r.core.mayVote(request.View) || request.Term <= r.currentTerm || !r.leasesAllow(request.Candidate) {
+		reply(r.denyVote())
+		return
+	}
+	r.advanceTerm(request.Term, request.Candidate)
+	answer := voteReply{Granted: true, Term: r.currentTerm, Position: r.position}
+	if request.Position.Before(r.position) {
+		if state := r.state(); r.exceedsMessage(state) {
+			answer.StateOmitted = true
+		} else {
+			answer.State = state
+		}
+	}
+	r.persist(termChanges(r.group.name, request.Term, request.Candidate), func() {
+		r.durableTerm = request.Term
+		if !r.core.mayVote(request.View) { // a newer view was learned meanwhile, and may have taken its copy of this state
+			reply(r.denyVote())
+			return
+		}
+		reply(answer)
+	}, func() { reply(r.denyVote()) })
+}
+
+// large tells whether a state does not fit into one message.
+func (r *replica) exceedsMessage(state map[string][]byte) bool {
+	return stateBytes(state) > r.core.limits.ChunkBytes
+}
