--- a/internal/dataplane/discovery/entries.go
+++ b/internal/dataplane/discovery/entries.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 
 	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 	"puffinlink.example/puffinlink/policy"
@@ -21,7 +19,7 @@
 	StartedMs float64  `json:"startedAtMs"`
 }
 
-// weight is the searcher's size; where none is stated, or none that can be, all count alike.
+// weight is the backend's size; where none is stated, or none that can be, all count alike.
 func (e *entry) weight() float64 {
 	if e.Weight == nil || *e.Weight <= 0 {
 		return 1
@@ -45,7 +43,7 @@
 		return err
 	}
 	if p.Version == nil {
-		return errors.New("no generation")
+		return malformed("no generation")
 	}
 	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
 	switch {
@@ -59,21 +57,21 @@
 		phase, is := phases[in.State]
 		switch {
 		case !is:
-			return fmt.Errorf("searcher %q: unknown state %q", in.ID, in.State)
+			return malformed("searcher %q: unknown state %q", in.ID, in.State)
 		case in.ID == "":
-			return errors.New("searcher without an id")
+			return malformed("searcher without an id")
 		case phase != policy.Gone && in.Address == "":
-			return fmt.Errorf("searcher %q without an address", in.ID)
+			return malformed("searcher %q without an address", in.ID)
 		case in.Cell < 0:
-			return fmt.Errorf("searcher %q: cell %d", in.ID, in.Cell)
+			return malformed("searcher %q: cell %d", in.ID, in.Cell)
 		// In a config it is a slip. A list that comes later is not refused for a figure: its drains count more.
 		case known && in.Weight != nil && *in.Weight <= 0:
-			return fmt.Errorf("searcher %q: weight is %g, expected more than 0", in.ID, *in.Weight)
+			return malformed("searcher %q: weight is %g, expected more than 0", in.ID, *in.Weight)
 		}
 	}
 	before := r.ids
 	if e.List != policy.ListPatch { // those that it leaves out are gone
-		r.ids = make(map[string]policy.SearcherID, len(p.Instances))
+		r.ids = make(map[string]policy.BackendID, len(p.Instances))
 	}
 	for i := range p.Instances {
 		in := &p.Instances[i]
@@ -89,16 +87,16 @@
 			r.lastID++
 			id = r.lastID
 		}
-		if phase == policy.Gone { // should the name come again, it is another searcher's
+		if phase == policy.Gone { // should the name come again, it is another backend's
 			delete(r.ids, in.ID)
 		} else {
 			r.ids[in.ID] = id
 		}
-		e.Entries = append(e.Entries, policy.Entry{Searcher: id, Location: policy.LocationID(number(r.places, in.Zone)),
+		e.Entries = append(e.Entries, policy.Entry{Backend: id, Location: policy.LocationID(number(r.places, in.Zone)),
 			Kind: number(r.kinds, in.Kind), Cell: policy.CellID(in.Cell), Phase: phase, Share: in.weight(),
 			StartedAt: in.StartedMs / 1000})
 		e.Addresses = append(e.Addresses, in.Address)
-		e.Names = append(e.Names, aggregator.Name{Searcher: in.ID, Location: in.Zone})
+		e.Names = append(e.Names, aggregator.Name{Backend: in.ID, Location: in.Zone})
 	}
 	r.version = *p.Version
 	r.tell.Put(e)
--- a/internal/dataplane/node/crossings_test.go
+++ b/internal/dataplane/node/crossings_test.go
@@ -22,12 +22,12 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// Work that a stand-in has begun goes on for its time, as a searcher's would; nothing of a mixer may.
+// Work that a stand-in has begun goes on for its time, as a backend's would; nothing of an aggregator may.
 func TestMain(m *testing.M) {
 	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Searcher).work"))
 }
 
-// peer is a searcher whose every call the test decides on.
+// peer is a backend whose every call the test decides on.
 type peer struct {
 	listener net.Listener
 	does     func(id string) does
@@ -100,12 +100,12 @@
 	}
 }
 
-// sum is how often parts of a lookup were called at all of these.
-func sum(peers []*peer, lookup string) (n int) {
+// sum is how often parts of a query were called at all of these.
+func sum(peers []*peer, query string) (n int) {
 	for _, p := range peers {
 		p.mu.Lock()
 		for id, times := range p.calls {
-			if strings.HasPrefix(id, lookup+".") {
+			if strings.HasPrefix(id, query+".") {
 				n += times
 			}
 		}
@@ -114,7 +114,7 @@
 	return n
 }
 
-// hosted is a mixer of a deployment of its own.
+// hosted is an aggregator of a deployment of its own.
 type hosted struct {
 	*Node
 	at    string
@@ -140,7 +140,7 @@
 	}
 	at := listen.Addr().String()
 	listen.Close()
-	n, err := StartText([]byte(strings.Replace(text, "127.0.0.1:0", at, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
+	n, err := StartText(t.Context(), []byte(strings.Replace(text, "127.0.0.1:0", at, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,12 +158,10 @@
 	return l.Addr().String()
 }
 
-// ask asks for a lookup of one part on a connection of its own.
-func (h *hosted) ask(t *testing.T, index, id, tenant, deadline string) (res *http.Response, body string, conn net.Conn) {
+// ask asks for a query of one part on a connection of its own.
+func (h *hosted) ask(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
-	conn = h.send(t, index, id, tenant, deadline)
-	res, body = answer(t, conn)
-	return res, body, conn
+	return answer(t, h.send(t, index, id, tenant, deadline))
 }
 
 func (h *hosted) send(t *testing.T, index, id, tenant, deadline string) net.Conn {
@@ -179,18 +177,19 @@
 	return conn
 }
 
-func answer(t *testing.T, conn net.Conn) (*http.Response, string) {
+func answer(t *testing.T, conn net.Conn) (status int, body string) {
 	t.Helper()
 	conn.SetDeadline(time.Now().Add(patience))
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return res, string(text)
+	return res.StatusCode, string(text)
 }
 
 // Two deployments in one process: an index of the same name that may be repeated in the one and not in the other, and names, tenants and
@@ -224,13 +223,13 @@
 			}
 			for i := range 6 {
 				for w := range 3 {
-					if res, body, _ := h.ask(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); res.StatusCode != 200 {
-						t.Errorf("%s: got %d %s, expected 200", tenant, res.StatusCode, body)
+					if got, body := h.ask(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); got != 200 {
+						t.Errorf("%s: got %d %s, expected 200", tenant, got, body)
 					}
 				}
 				id := fmt.Sprintf("x%d", i) // the same on both, as clients of two deployments know nothing of each other
-				if res, body, _ := h.ask(t, "reads", id, tenant, "8"); res.StatusCode != status || sum(h.peers, id) != calls {
-					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, res.StatusCode, body, sum(h.peers, id), status, calls)
+				if got, body := h.ask(t, "reads", id, tenant, "8"); got != status || sum(h.peers, id) != calls {
+					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, got, body, sum(h.peers, id), status, calls)
 				}
 			}
 		})
@@ -241,15 +240,15 @@
 		index, tenant string
 		status        int
 	}{{a, "orders", "acme", 404}, {a, "reads", "other", 400}, {b, "reads", "acme", 400}} {
-		if res, body, _ := bad.of.ask(t, bad.index, "bad", bad.tenant, "8"); res.StatusCode != bad.status {
-			t.Errorf("%s of %s: got %d %s, expected %d", bad.index, bad.tenant, res.StatusCode, body, bad.status)
+		if got, body := bad.of.ask(t, bad.index, "bad", bad.tenant, "8"); got != bad.status {
+			t.Errorf("%s of %s: got %d %s, expected %d", bad.index, bad.tenant, got, body, bad.status)
 		}
 	}
 }
 
 const oneClass = `[{"name":"reads","effect":"repeatable","promiseS":0.5,"giveUpS":1,"worth":1,"lateWorth":0.1}]`
 
-// A mixer serves from what it was told at its start, with discovery silent or out of reach from its first moment.
+// An aggregator serves from what it was told at its start, with discovery silent or out of reach from its first moment.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -259,18 +258,18 @@
 	for _, discovery := range []string{silent(t), gone.Addr().String()} {
 		h := host(t, discovery, oneClass, "[]", 2, newPeer(t, func(string) does { return answers }))
 		res, err := http.Get("http://" + h.at + "/up")
-		if err != nil || res.StatusCode != 200 {
+		if err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("got %v, %v", res, err)
 		}
 		res.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
-		if res, body, _ := h.ask(t, "reads", "aa", "", "5"); res.StatusCode != 200 {
-			t.Fatalf("got %d %s", res.StatusCode, body)
+		if got, body := h.ask(t, "reads", "aa", "", "5"); got != 200 {
+			t.Fatalf("got %d %s", got, body)
 		}
 	}
 }
 
-// Told to stop twice and to reload between, with discovery silent, all searchers hung and clients that never leave: what is held gets its
+// Told to stop twice and to reload between, with discovery silent, all backends hung and clients that never leave: what is held gets its
 // whole final answer, nothing that comes later is sent on, and it ends.
 func TestAStopAmongAllThatHangs(t *testing.T) {
 	hung := newPeer(t, func(string) does { return hangs })
@@ -281,8 +280,8 @@
 	}
 	defer rests.Close()
 	fmt.Fprintf(rests, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-	if res, _ := answer(t, rests); res.StatusCode != 200 {
-		t.Fatalf("got %d", res.StatusCode)
+	if got, _ := answer(t, rests); got != 200 {
+		t.Fatalf("got %d", got)
 	}
 	held := h.send(t, "reads", "held", "", "1")
 	for late := time.Now().Add(patience); sum(h.peers, "held") == 0; time.Sleep(time.Millisecond) {
@@ -298,15 +297,15 @@
 		t.Fatal(err)
 	}
 	h.Drain()
-	if res, body := answer(t, held); res.StatusCode == 200 || res.StatusCode < 400 {
-		t.Fatalf("got %d %s", res.StatusCode, body)
+	if got, body := answer(t, held); got == 200 || got < 400 {
+		t.Fatalf("got %d %s", got, body)
 	}
 	select {
 	case <-drained:
 	case <-time.After(patience):
 		t.Fatal("it never ends")
 	}
-	if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := rests.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Fatalf("the resting connection ended by %v, expected io.EOF", err)
 	}
 	if c, err := net.Dial("tcp", h.at); err == nil {
