--- a/internal/dataplane/clients/reading.go
+++ b/internal/dataplane/clients/reading.go
@@ -10,7 +10,7 @@
 )
 
 // What is read from a client's connection, and when no more is. net/http reads one request and then a single byte, to see
-// its client leave; whoever sends more behind a request and leaves would be waited for until its lookup ends. And a
+// its client leave; whoever sends more behind a request and leaves would be waited for until its query ends. And a
 // connection that is closed from elsewhere may have been read a moment before: only who reads can say that nothing was.
 
 // leastAhead and mostAhead bound what is read ahead of the requests in hand, on one connection: at least a request or
@@ -88,7 +88,7 @@
 	}
 	if conn.quits {
 		conn.quits = false
-		conn.arm()
+		_ = conn.arm() // it fails only on a closed connection, which the next read finds
 	}
 }
 
@@ -164,7 +164,7 @@
 	defer conn.readMu.Unlock()
 	if conn.leaves == "" && !conn.shuts {
 		conn.leaves = why
-		conn.arm()
+		_ = conn.arm() // it fails only on a closed connection, which the next read finds
 	}
 }
 
@@ -198,7 +198,7 @@
 	leaves := conn.leaves
 	conn.readMu.Unlock()
 	switch {
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		conn.ended.Store(true)
 		conn.end(whyClient)
 	case !errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -28,10 +28,10 @@
 
 // host is one instance of the module with the events of the batch in hand.
 type host struct {
-	no     int64
-	mixer  *policy.Mixer
-	events []policy.Event
-	acted  bool
+	no         int64
+	aggregator *policy.Aggregator
+	events     []policy.Event
+	acted      bool
 }
 
 type server struct {
@@ -51,13 +51,13 @@
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), hosts: map[int64]*host{}}
 	for {
-		err := s.batch()
-		if err == io.EOF {
-			return nil
-		}
+		more, err := s.batch()
 		if err != nil {
 			return fmt.Errorf("line %d: %w", s.lineNo, err)
 		}
+		if !more {
+			return nil
+		}
 	}
 }
 
@@ -67,12 +67,12 @@
 	for {
 		chunk, err := s.in.ReadSlice('\n')
 		s.line = append(s.line, chunk...)
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if err == io.EOF && len(s.line) > 0 {
+		if errors.Is(err, io.EOF) && len(s.line) > 0 {
 			s.lineNo++
-			return fmt.Errorf("expected a line end, found the end of input in %q", s.line)
+			return malformed("expected a line end, found the end of input in %q", s.line)
 		}
 		if err != nil {
 			return err
@@ -83,10 +83,13 @@
 	}
 }
 
-func (s *server) batch() error {
+// batch answers one batch; more is false where the input has ended before it.
+func (s *server) batch() (more bool, err error) {
 	for {
-		if err := s.next(); err != nil {
-			return err
+		if err := s.next(); errors.Is(err, io.EOF) {
+			return false, nil
+		} else if err != nil {
+			return true, err
 		}
 		if len(s.line) > 0 {
 			break
@@ -94,25 +97,25 @@
 	}
 	f := fields{rest: s.line}
 	if name := f.word("TICK"); string(name) != "TICK" {
-		return fmt.Errorf("expected TICK, found %q", name)
+		return true, malformed("expected TICK, found %q", name)
 	}
 	now, seq := f.number("clock"), f.integer("batch number")
 	if err := f.done(); err != nil {
-		return err
+		return true, err
 	}
 	s.current, s.turn = nil, s.turn[:0]
 	for {
 		if err := s.next(); err != nil {
-			if err == io.EOF {
-				return errors.New("expected END, found the end of input")
+			if errors.Is(err, io.EOF) {
+				return true, malformed("expected END, found the end of input")
 			}
-			return err
+			return true, err
 		}
 		if string(s.line) == "END" {
 			break
 		}
 		if err := s.event(now); err != nil {
-			return err
+			return true, err
 		}
 	}
 	for _, h := range s.turn {
@@ -121,15 +124,15 @@
 	s.buf = append(append(s.buf[:0], "ACK "...), strconv.FormatInt(seq, 10)...)
 	s.buf = append(s.buf, '\n')
 	if _, err := s.out.Write(s.buf); err != nil {
-		return err
+		return true, err
 	}
-	return s.out.Flush()
+	return true, s.out.Flush()
 }
 
 // run hands an instance its events and writes its actions. A panic is the module's own; the wire has a word for it.
 func (s *server) run(h *host, now float64) {
 	h.acted = false
-	if h.mixer == nil || len(h.events) == 0 {
+	if h.aggregator == nil || len(h.events) == 0 {
 		return
 	}
 	defer func() {
@@ -137,7 +140,7 @@
 			fmt.Fprintf(s.out, "BY %d\nPANIC %s\n", h.no, strings.ReplaceAll(fmt.Sprint(r), "\n", " "))
 		}
 	}()
-	s.actions = h.mixer.Step(now, h.events, s.actions[:0])
+	s.actions = h.aggregator.Step(now, h.events, s.actions[:0])
 	h.events = h.events[:0]
 	if len(s.actions) == 0 {
 		return
@@ -169,10 +172,10 @@
 	}
 	h := s.current
 	if h == nil {
-		return fmt.Errorf("expected ON before %s", name)
+		return malformed("expected ON before %s", name)
 	}
-	if h.mixer == nil && name != "SPAWN" {
-		return fmt.Errorf("expected SPAWN for instance %d before %s", h.no, name)
+	if h.aggregator == nil && name != "SPAWN" {
+		return malformed("expected SPAWN for instance %d before %s", h.no, name)
 	}
 	if !h.acted {
 		h.acted = true
@@ -189,10 +192,10 @@
 		if err != nil {
 			return err
 		}
-		h.mixer, h.events = policy.New(set.Settings, now), h.events[:0]
+		h.aggregator, h.events = policy.New(set.Settings, now), h.events[:0]
 		return nil
 	case "HALT":
-		h.mixer, h.events = nil, h.events[:0]
+		h.aggregator, h.events = nil, h.events[:0]
 		return f.done()
 	case "BACKENDS_CHANGED":
 		page, _, kind := f.word("setId"), f.word("epoch"), f.word("kind")
@@ -213,35 +216,35 @@
 		e.Index, e.Customer = policy.IndexID(f.integer("cls")), policy.CustomerID(f.optional("owner"))
 		e.Key, e.HasKey = f.hex("object")
 		e.Left, e.Hint = f.number("timeBudgetS"), f.optional("costS")
-		e.No = policy.LookupNo(f.integer("queryNo"))
+		e.No = policy.QueryNo(f.integer("queryNo"))
 		shard, amount := f.integer("shard"), f.number("amount")
 		e.Resent = f.optional("resent") != 0
 		f.optional("isWrite")
 		if shard < 0 {
-			e.Kind, e.Lookup, e.Parts = policy.LookupTaken, policy.LookupID(id), int(amount)
+			e.Kind, e.Query, e.Subqueries = policy.QueryTaken, policy.QueryID(id), int(amount)
 		} else {
-			e.Kind, e.Part, e.Shard, e.Weight = policy.PartTaken, policy.PartID(id), policy.ShardID(shard), amount
+			e.Kind, e.Subquery, e.Shard, e.Weight = policy.SubqueryTaken, policy.SubqueryID(id), policy.ShardID(shard), amount
 		}
 	case "ESTABLISHED":
-		e.Kind, e.Part, e.Searcher = policy.CallBegan, policy.PartID(f.unsigned("req")), f.searcher()
+		e.Kind, e.Subquery, e.Backend = policy.CallBegan, policy.SubqueryID(f.unsigned("req")), f.backend()
 		e.Call, e.Elapsed = policy.CallNo(f.integer("copy")), f.number("costTimeS")
 	case "ATTEMPT_END":
-		e.Kind, e.Part, e.Call = policy.CallEnded, policy.PartID(f.unsigned("req")), policy.CallNo(f.integer("copy"))
-		e.Searcher, e.Outcome, e.Elapsed = f.searcher(), f.outcome(), f.number("costTimeS")
+		e.Kind, e.Subquery, e.Call = policy.CallEnded, policy.SubqueryID(f.unsigned("req")), policy.CallNo(f.integer("copy"))
+		e.Backend, e.Outcome, e.Elapsed = f.backend(), f.outcome(), f.number("costTimeS")
 		f.integer("complete")
 		e.Load = f.load()
 	case "PING_RESULT":
 		e.Kind, e.Elapsed, e.Outcome = policy.ProbeEnded, f.number("costTimeS"), f.outcome()
-		e.Searcher, e.Load = f.searcher(), f.load()
+		e.Backend, e.Load = f.backend(), f.load()
 	case "CLIENT_GONE":
-		e.Kind, e.Lookup = policy.ClientGone, policy.LookupID(f.unsigned("req"))
+		e.Kind, e.Query = policy.ClientGone, policy.QueryID(f.unsigned("req"))
 	case "TICK_DUE":
 		e.Kind, e.Timer = policy.TimerDue, policy.TimerID(f.integer("ctx"))
 	case "PEER_DATA":
-		e.Kind, e.Peer = policy.MessageArrived, policy.MixerNo(f.integer("originPeer"))
+		e.Kind, e.Peer = policy.MessageArrived, policy.AggregatorNo(f.integer("originPeer"))
 		e.Message = f.bytes("blob")
 	default:
-		return fmt.Errorf("unknown message %q", name)
+		return malformed("unknown message %q", name)
 	}
 	if err := f.done(); err != nil {
 		return err
@@ -256,7 +259,7 @@
 		return err
 	}
 	if no < 0 || no >= int64(len(s.pages)) || n < 0 {
-		return fmt.Errorf("expected a list number from 0 to 15 and a count, found %d and %d", no, n)
+		return malformed("expected a list number from 0 to 15 and a count, found %d and %d", no, n)
 	}
 	// A list may be superseded within one batch while events still hold the older one: never write over it.
 	entries := make([]policy.Entry, 0, min(n, 1<<16))
@@ -266,9 +269,9 @@
 		}
 		f := fields{rest: s.line}
 		if name := f.word("ROW"); string(name) != "ROW" {
-			return fmt.Errorf("expected ROW, found %q", name)
+			return malformed("expected ROW, found %q", name)
 		}
-		e := policy.Entry{Searcher: f.searcher(), Location: policy.LocationID(f.integer("site")),
+		e := policy.Entry{Backend: f.backend(), Location: policy.LocationID(f.integer("site")),
 			Kind: int(f.integer("type")), Cell: policy.CellID(f.integer("cell"))}
 		known := false
 		phase := f.word("phase")
@@ -303,28 +306,28 @@
 	}
 	switch a.Kind {
 	case policy.Send:
-		verb("SEND", uint64(a.Part))
-		b = strconv.AppendUint(append(b, ' '), uint64(a.Searcher), 10)
+		verb("SEND", uint64(a.Subquery))
+		b = strconv.AppendUint(append(b, ' '), uint64(a.Backend), 10)
 		num(a.StopAt)
 	case policy.Withdraw:
-		verb("ABANDON", uint64(a.Part))
+		verb("ABANDON", uint64(a.Subquery))
 		b = strconv.AppendInt(append(b, ' '), int64(a.Call), 10)
 	case policy.Answer:
-		verb("WRAP_UP", uint64(a.Lookup))
+		verb("WRAP_UP", uint64(a.Query))
 		yes(a.Whole)
 	case policy.Nack:
-		verb("SAY_NO", uint64(a.Lookup))
+		verb("SAY_NO", uint64(a.Query))
 		num(a.Wait)
 	case policy.Abort:
-		verb("RESPOND_ERROR", uint64(a.Lookup))
+		verb("RESPOND_ERROR", uint64(a.Query))
 	case policy.SetTimer:
 		b = append(b, "WAKE_ME"...)
 		num(a.Wait)
 		b = strconv.AppendInt(append(b, ' '), int64(a.Timer), 10)
 	case policy.Probe:
-		verb("HEALTH_CHECK", uint64(a.Searcher))
+		verb("HEALTH_CHECK", uint64(a.Backend))
 	case policy.CloseIdle:
-		verb("FREE_LINKS", uint64(a.Searcher))
+		verb("FREE_LINKS", uint64(a.Backend))
 	case policy.Tell:
 		b = append(b, "PUBLISH "...)
 		if a.Peer == policy.AllPeers {
