--- a/internal/controlplane/rebuild/membership_test.go
+++ b/internal/controlplane/rebuild/membership_test.go
@@ -67,7 +67,7 @@
 	v.changed = make(chan struct{})
 }
 
-func startWith(t *testing.T, network *networktest.Network, self string, views rebuild.Views, store storage.SnapshotStore, firstStart bool) *rebuild.Rebuilder {
+func startMember(t *testing.T, network *networktest.Network, self string, views rebuild.Views, store storage.SnapshotStore, firstStart bool) *rebuild.Rebuilder {
 	rebuilder, err := rebuild.New(rebuild.Config{
 		Self: self, FirstStart: firstStart, Views: views, Store: store, Caller: network.Caller(self), Logger: zap.NewNop(),
 	})
@@ -85,31 +85,31 @@
 	before := replicaset.View{Version: 1, Members: []string{"a", "b", "gone"}}
 	after := replicaset.View{Version: 2, Members: []string{"a", "b", "new"}}
 	var outside, stubborn, ready bool
-	var taught replicaset.View
+	var learned replicaset.View
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		network := networktest.New(1)
 		a, b, views := newChangingViews(before, 0), newChangingViews(before, 0), newChangingViews(before, 1)
 		b.ignoresLearned = true
-		startWith(t, network, "a", a, storage.NewMemory(), true)
-		startWith(t, network, "b", b, storage.NewMemory(), true)
-		rebuilder := startWith(t, network, "new", views, storage.NewMemory(), false)
+		startMember(t, network, "a", a, storage.NewMemory(), true)
+		startMember(t, network, "b", b, storage.NewMemory(), true)
+		rebuilder := startMember(t, network, "new", views, storage.NewMemory(), false)
 		go rebuilder.Run(ctx)
 		<-time.After(time.Minute)
 		outside = rebuilder.Ready()
 		views.set(after, 1)
 		<-time.After(time.Minute)
 		stubborn = rebuilder.Ready()
-		taught = a.View()
+		learned = a.View()
 		b.set(after, 0)
 		<-time.After(time.Minute)
 		ready = rebuilder.Ready()
 		cancel()
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 	convey.Convey("A process that is no member is not rebuilt", t, func() { convey.So(outside, convey.ShouldBeFalse) })
 	convey.Convey("A member that is asked takes the newcomer's view first", t, func() {
-		convey.So(taught, convey.ShouldResemble, after)
+		convey.So(learned, convey.ShouldResemble, after)
 	})
 	convey.Convey("A member that keeps to the old view gives no copy", t, func() {
 		convey.So(stubborn, convey.ShouldBeFalse)
@@ -125,14 +125,14 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			network := networktest.New(1)
 			for _, self := range view.Members[:2] {
-				startWith(t, network, self, newChangingViews(view, 0), storage.NewMemory(), true)
+				startMember(t, network, self, newChangingViews(view, 0), storage.NewMemory(), true)
 			}
-			rebuilder := startWith(t, network, "new", newChangingViews(view, absences), storage.NewMemory(), false)
+			rebuilder := startMember(t, network, "new", newChangingViews(view, absences), storage.NewMemory(), false)
 			go rebuilder.Run(ctx)
 			<-time.After(time.Minute)
 			ready[absences] = rebuilder.Ready()
 			cancel()
-			<-time.After(aftermath)
+			<-time.After(drainTime)
 		})
 	}
 	convey.Convey("Two of three others are enough for a member that lost its disk, not for a newcomer", t, func() {
@@ -148,13 +148,13 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		network := networktest.New(1)
 		views, store := newChangingViews(with, 0), storage.NewMemory()
-		rebuilder := startWith(t, network, "a", views, store, true)
+		rebuilder := startMember(t, network, "a", views, store, true)
 		watched := make(chan error, 1)
 		go func() { watched <- rebuilder.Watch(context.Background()) }()
 		before = rebuilder.Ready()
 		views.set(without, 1)
 		after, ended = rebuilder.Ready(), <-watched
-		again = startWith(t, network, "a", views, store, true).Ready()
+		again = startMember(t, network, "a", views, store, true).Ready()
 	})
 	convey.Convey("A member is replaced", t, func() {
 		convey.So(before, convey.ShouldBeTrue)
@@ -195,16 +195,16 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		network := networktest.New(1)
-		startWith(t, network, "a", newChangingViews(viewWithReplaced, 0), storage.NewMemory(), true)
+		startMember(t, network, "a", newChangingViews(viewWithReplaced, 0), storage.NewMemory(), true)
 		views, store := newChangingViews(viewWithReplaced, 0), storage.NewMemory()
 		prepare(views, store)
-		startWith(t, network, "gone", views, store, false)
+		startMember(t, network, "gone", views, store, false)
 		rebuilder := startAs(t, network, "new", incarnation, newChangingViews(viewWithJoined, 1), storage.NewMemory())
 		go rebuilder.Run(ctx)
 		<-time.After(time.Minute)
 		ready = rebuilder.Ready()
 		cancel()
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 	return ready
 }
@@ -250,11 +250,11 @@
 		early = rebuilder.Ready()
 		store := storage.NewMemory()
 		store.Write(set(rebuild.TableName, "complete", "1"))
-		startWith(t, network, "gone", newChangingViews(alone, 1), store, false)
+		startMember(t, network, "gone", newChangingViews(alone, 1), store, false)
 		<-time.After(time.Minute)
 		late = rebuilder.Ready()
 		cancel()
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 	convey.Convey("The only member is replaced: the newcomer waits for its copy", t, func() {
 		convey.So(early, convey.ShouldBeFalse)
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-const aftermath = 20 * time.Second
+const drainTime = 20 * time.Second
 
 // fixedViews is a fixed view.
 type fixedViews struct{ view replicaset.View }
@@ -34,24 +34,24 @@
 func (v *fixedViews) Learn(replicaset.View) error { return nil }
 func (v *fixedViews) Absences() uint64            { return 0 }
 
-// members are core nodes on a network in memory, to be run in simulated time.
-type members struct {
+// cluster are core nodes on a network in memory, to be run in simulated time.
+type cluster struct {
 	t       *testing.T
 	network *networktest.Network
 	views   *fixedViews
 	ctx     context.Context
 }
 
-func inMembers(t *testing.T, count int, test func(m *members)) {
+func inCluster(t *testing.T, count int, test func(m *cluster)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		m := &members{t, networktest.New(1), &fixedViews{replicaset.View{Version: 1}}, ctx}
+		m := &cluster{t, networktest.New(1), &fixedViews{replicaset.View{Version: 1}}, ctx}
 		for i := range count {
 			m.views.view.Members = append(m.views.view.Members, fmt.Sprintf("member-%d", i))
 		}
 		test(m)
 		cancel()
-		<-time.After(aftermath)
+		<-time.After(drainTime)
 	})
 }
 
@@ -69,19 +69,19 @@
 	return merged
 }
 
-func (m *members) start(self string, store storage.SnapshotStore, firstStart bool) *rebuild.Rebuilder {
-	rebuilder, mux := m.make(self, store, firstStart)
+func (m *cluster) start(self string, store storage.SnapshotStore, firstStart bool) *rebuild.Rebuilder {
+	rebuilder, mux := m.build(self, store, firstStart)
 	m.network.Serve(self, mux)
 	return rebuilder
 }
 
-// serving is a member that has its disk, as others call it.
-func (m *members) serving(self string, store storage.SnapshotStore) *transport.Mux {
-	_, mux := m.make(self, store, true)
+// serveFrom is a member that has its disk, as others call it.
+func (m *cluster) serveFrom(self string, store storage.SnapshotStore) *transport.Mux {
+	_, mux := m.build(self, store, true)
 	return mux
 }
 
-func (m *members) make(self string, store storage.SnapshotStore, firstStart bool) (*rebuild.Rebuilder, *transport.Mux) {
+func (m *cluster) build(self string, store storage.SnapshotStore, firstStart bool) (*rebuild.Rebuilder, *transport.Mux) {
 	rebuilder, err := rebuild.New(rebuild.Config{
 		Self:       self,
 		FirstStart: firstStart,
@@ -100,7 +100,7 @@
 }
 
 // run rebuilds in the background.
-func (m *members) run(rebuilder *rebuild.Rebuilder) <-chan error {
+func (m *cluster) run(rebuilder *rebuild.Rebuilder) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- rebuilder.Run(m.ctx) }()
 	return ended
@@ -110,8 +110,8 @@
 	return storage.Change{Table: table, Key: key, Value: []byte(value)}
 }
 
-// startOthers starts all members but the last with a key of each, and returns their stores.
-func (m *members) startOthers() []*storage.Memory {
+// startComplete starts all members but the last with a key of each, and returns their stores.
+func (m *cluster) startComplete() []*storage.Memory {
 	var stores []*storage.Memory
 	others := m.views.view.Members[:len(m.views.view.Members)-1]
 	for _, self := range others {
@@ -127,8 +127,8 @@
 	var took time.Duration
 	var content storage.Tables
 	var readyBefore, readyAfter, readyAgain bool
-	inMembers(t, 3, func(m *members) {
-		m.startOthers()
+	inCluster(t, 3, func(m *cluster) {
+		m.startComplete()
 		store := storage.NewMemory()
 		store.Write(set(replicaset.TableName, "view", "own"), set("data/old", "k", "left by an earlier attempt"))
 		start := time.Now()
@@ -163,8 +163,8 @@
 func TestARebuildWaitsForAMajorityOfTheOthers(t *testing.T) {
 	for _, sizes := range []struct{ members, cut int }{{3, 1}, {4, 2}, {5, 2}} {
 		var early, late bool
-		inMembers(t, sizes.members, func(m *members) {
-			m.startOthers()
+		inCluster(t, sizes.members, func(m *cluster) {
+			m.startComplete()
 			for _, self := range m.views.view.Members[:sizes.cut] {
 				m.network.Partition(self, true)
 			}
@@ -185,8 +185,8 @@
 
 func TestAFailedMemberDelaysNoRebuild(t *testing.T) {
 	var took time.Duration
-	inMembers(t, 5, func(m *members) {
-		m.startOthers()
+	inCluster(t, 5, func(m *cluster) {
+		m.startComplete()
 		m.network.Partition("member-0", true)
 		start := time.Now()
 		rebuilder := m.start("member-4", storage.NewMemory(), false)
@@ -202,8 +202,8 @@
 // A question or an answer is lost without a sign, as in a cut.
 func TestALostChunkIsRequestedAgain(t *testing.T) {
 	var took time.Duration
-	inMembers(t, 3, func(m *members) {
-		m.startOthers()
+	inCluster(t, 3, func(m *cluster) {
+		m.startComplete()
 		m.network.AddRule(networktest.Rule{To: "member-0", Path: "/rebuild/dump", Lose: true, Times: 1})
 		start := time.Now()
 		rebuilder := m.start("member-2", storage.NewMemory(), false)
@@ -218,7 +218,7 @@
 
 func TestMembersThatAreBeingRebuiltGiveNoSnapshots(t *testing.T) {
 	var ready bool
-	inMembers(t, 3, func(m *members) {
+	inCluster(t, 3, func(m *cluster) {
 		m.start("member-0", storage.NewMemory(), true)
 		first := m.start("member-1", storage.NewMemory(), false)
 		second := m.start("member-2", storage.NewMemory(), false)
@@ -236,8 +236,8 @@
 	broken := errors.New("broken")
 	var err error
 	var ready, readyLater bool
-	inMembers(t, 3, func(m *members) {
-		m.startOthers()
+	inCluster(t, 3, func(m *cluster) {
+		m.startComplete()
 		store := storage.NewMemory()
 		store.Fail(broken)
 		rebuilder := m.start("member-2", store, false)
@@ -262,8 +262,8 @@
 func TestATableWithoutAMergerIsAnError(t *testing.T) {
 	var err error
 	var ready bool
-	inMembers(t, 3, func(m *members) {
-		m.startOthers()[0].Write(set("unknown", "k", "1"))
+	inCluster(t, 3, func(m *cluster) {
+		m.startComplete()[0].Write(set("unknown", "k", "1"))
 		rebuilder := m.start("member-2", storage.NewMemory(), false)
 		err = <-m.run(rebuilder)
 		ready = rebuilder.Ready()
@@ -277,8 +277,8 @@
 // Power is lost at each operation of a rebuild on a disk in turn. Afterwards the member is either incomplete or has all.
 func TestAPowerLossDuringARebuild(t *testing.T) {
 	complete, incomplete := 0, 0
-	inMembers(t, 3, func(m *members) {
-		m.startOthers()
+	inCluster(t, 3, func(m *cluster) {
+		m.startComplete()
 		for operation := 1; operation <= 4; operation++ {
 			disk := storagetest.NewDisk()
 			store, _, err := storage.Open(disk, "/data", storage.Options{})
--- a/internal/controlplane/rebuild/transfer_test.go
+++ b/internal/controlplane/rebuild/transfer_test.go
@@ -64,14 +64,14 @@
 }
 
 // rebuildThird rebuilds the third member from two others with large tables and returns its store.
-func rebuildThird(t *testing.T, prepare func(m *members, stores []*storage.Memory, donors []*countingHandler)) (store *storage.Memory, donors []*countingHandler, ready bool) {
+func rebuildThird(t *testing.T, prepare func(m *cluster, stores []*storage.Memory, donors []*countingHandler)) (store *storage.Memory, donors []*countingHandler, ready bool) {
 	store = storage.NewMemory()
-	inMembers(t, 3, func(m *members) {
+	inCluster(t, 3, func(m *cluster) {
 		var stores []*storage.Memory
 		for _, self := range m.views.view.Members[:2] {
 			other := storage.NewMemory()
 			fill(other, 'a')
-			donor := &countingHandler{handler: m.serving(self, other)}
+			donor := &countingHandler{handler: m.serveFrom(self, other)}
 			m.network.Serve(self, donor)
 			stores, donors = append(stores, other), append(donors, donor)
 		}
@@ -85,7 +85,7 @@
 }
 
 func TestSnapshotsAreTransferredInChunks(t *testing.T) {
-	store, donors, ready := rebuildThird(t, func(*members, []*storage.Memory, []*countingHandler) {})
+	store, donors, ready := rebuildThird(t, func(*cluster, []*storage.Memory, []*countingHandler) {})
 	convey.Convey("Tables larger than a message are rebuilt, and no message carries more than a part", t, func() {
 		convey.So(ready, convey.ShouldBeTrue)
 		convey.So(countByFill(store), convey.ShouldResemble, map[byte]int{'a': largeKeys})
@@ -97,7 +97,7 @@
 }
 
 func TestLostAndDuplicatedChunks(t *testing.T) {
-	store, _, ready := rebuildThird(t, func(m *members, _ []*storage.Memory, _ []*countingHandler) {
+	store, _, ready := rebuildThird(t, func(m *cluster, _ []*storage.Memory, _ []*countingHandler) {
 		m.network.SetFaults(networktest.Faults{Lose: 0.1, Duplicate: 0.3, Delay: 50 * time.Millisecond, Late: 0.1, LateBy: 4 * time.Second})
 	})
 	convey.Convey("Parts that are lost, doubled and late do no harm", t, func() {
@@ -108,7 +108,7 @@
 
 func TestASnapshotIsOfOneInstant(t *testing.T) {
 	convey.Convey("What is written while a copy travels is in it as a whole or not at all", t, func() {
-		store, donors, ready := rebuildThird(t, func(_ *members, stores []*storage.Memory, donors []*countingHandler) {
+		store, donors, ready := rebuildThird(t, func(_ *cluster, stores []*storage.Memory, donors []*countingHandler) {
 			for i, donor := range donors {
 				donor.afterReply = func(answers int) {
 					if answers == 2 {
@@ -122,12 +122,12 @@
 		convey.So(countByFill(store), convey.ShouldResemble, map[byte]int{'a': largeKeys})
 	})
 	convey.Convey("A giver that has started anew in between gives no part of another copy", t, func() {
-		store, donors, ready := rebuildThird(t, func(m *members, stores []*storage.Memory, donors []*countingHandler) {
+		store, donors, ready := rebuildThird(t, func(m *cluster, stores []*storage.Memory, donors []*countingHandler) {
 			for i, donor := range donors {
 				donor.afterReply = func(answers int) {
 					if answers == 2 {
 						fill(stores[i], 'b')
-						donor.handler = m.serving(m.views.view.Members[i], stores[i])
+						donor.handler = m.serveFrom(m.views.view.Members[i], stores[i])
 					}
 				}
 			}
@@ -137,7 +137,7 @@
 		convey.So(countByFill(store), convey.ShouldResemble, map[byte]int{'b': largeKeys})
 	})
 	convey.Convey("A member that asks anew is given no part of its earlier copy", t, func() {
-		store, _, ready := rebuildThird(t, func(m *members, stores []*storage.Memory, donors []*countingHandler) {
+		store, _, ready := rebuildThird(t, func(m *cluster, stores []*storage.Memory, donors []*countingHandler) {
 			earlier := m.start("member-2", storage.NewMemory(), false)
 			for i, donor := range donors {
 				donor.afterReply = func(answers int) {
--- a/internal/controlplane/replicaset/cluster_test.go
+++ b/internal/controlplane/replicaset/cluster_test.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	testRegister = "test"
-	restartTime  = 200 * time.Millisecond // until a process that ended by itself is started again
-	firstViewIn  = 2500 * time.Millisecond
+	testRegister  = "test"
+	restartDelay  = 200 * time.Millisecond // until a process that ended by itself is started again
+	firstViewTime = 2500 * time.Millisecond
 )
 
 // ruleMutant breaks one rule in a test; the zero value breaks none.
@@ -49,16 +49,16 @@
 	seeds   []string
 	mutant  ruleMutant
 	tasks   sync.WaitGroup
-	log     *zap.Logger                       // of the parts that lead; nil for none
-	leads   func(p *core) replication.Handler // of a group on the members' disks; nil for none
+	log     *zap.Logger                           // of the parts that lead; nil for none
+	leads   func(p *coreNode) replication.Handler // of a group on the members' disks; nil for none
 
 	mutex   sync.Mutex // guards what follows
-	running map[string]*core
+	running map[string]*coreNode
 	ending  bool
 }
 
 // core is one incarnation of a core node.
-type core struct {
+type coreNode struct {
 	address   string
 	zone      string
 	start     time.Time
@@ -74,11 +74,11 @@
 	failed    atomic.Bool // a part ended with an error
 }
 
-// ended tells whether a part of the process ended with an error, which ends a coordinator.
-func (p *core) ended() bool { return p.failed.Load() }
+// hasFailed tells whether a part of the process ended with an error, which ends a coordinator.
+func (p *coreNode) hasFailed() bool { return p.failed.Load() }
 
 // part runs a part of the process.
-func (p *core) runPart(run func(ctx context.Context) error) {
+func (p *coreNode) runPart(run func(ctx context.Context) error) {
 	if err := run(p.ctx); err != nil && p.ctx.Err() == nil {
 		p.failed.Store(true)
 	}
@@ -87,20 +87,20 @@
 // inCluster runs a test in simulated time, after the given members have founded the first view.
 func inCluster(t *testing.T, seed uint64, broken ruleMutant, members []string, test func(c *cluster)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, network: networktest.New(seed), seeds: members, mutant: broken, running: make(map[string]*core)}
+		c := &cluster{t: t, network: networktest.New(seed), seeds: members, mutant: broken, running: make(map[string]*coreNode)}
 		c.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
 		for _, address := range members {
 			c.start(address, "zone of "+address, storage.NewMemory(), true)
 		}
-		<-time.After(firstViewIn)
+		<-time.After(firstViewTime)
 		test(c)
 		c.end()
 	})
 }
 
 // start starts a process unless there is one at the address.
-func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *core {
-	p := &core{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
+func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *coreNode {
+	p := &coreNode{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
 	p.caller = killableCaller{c.network.Caller(address), p.store}
 	p.ctx, p.kill = context.WithCancel(context.Background())
 	mux := transport.NewMux()
@@ -123,7 +123,7 @@
 	return p
 }
 
-func (c *cluster) assembleViews(p *core, mux *transport.Mux, firstStart bool) {
+func (c *cluster) assembleViews(p *coreNode, mux *transport.Mux, firstStart bool) {
 	ready := func() bool { return p.store.alive() && p.rebuilder.Ready() }
 	founding := register.NewFounding(register.FoundingConfig{
 		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
@@ -137,7 +137,7 @@
 	config := replicaset.Config{
 		Self: p.address, Zone: p.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
 		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
-		Founding: founding, Succession: succession, Liveness: p.contacts,
+		Founding: founding, Succession: succession, Liveness: p.liveness,
 	}
 	if c.mutant.decidesAlone {
 		config.Succession = unilateralSuccession{}
@@ -152,23 +152,23 @@
 	manager.Serve(mux)
 }
 
-func (p *core) contacts() replicaset.Liveness {
-	contacts := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceHeard: make(map[string]time.Duration)}
+func (p *coreNode) liveness() replicaset.Liveness {
+	liveness := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceHeard: make(map[string]time.Duration)}
 	for _, member := range p.node.Members() {
 		if member.Contacted {
-			contacts.SinceHeard[member.Address] = member.SinceContact
+			liveness.SinceHeard[member.Address] = member.SinceContact
 		}
 	}
-	return contacts
+	return liveness
 }
 
-func (c *cluster) assembleRebuilder(p *core, mux *transport.Mux, firstStart bool) {
+func (c *cluster) assembleRebuilder(p *coreNode, mux *transport.Mux, firstStart bool) {
 	var views rebuild.Views = p.manager
 	if c.mutant.dumpsInOldView {
-		views = &creditingViews{Manager: p.manager}
+		views = &prematureViews{Manager: p.manager}
 	}
 	if c.mutant.keepsOldVotes {
-		views = forgetfulViews{p.manager}
+		views = neverAbsentViews{p.manager}
 	}
 	incarnation := p.manager.Incarnation()
 	if c.mutant.replacedGivesNoSnapshot {
@@ -187,7 +187,7 @@
 	p.rebuilder = rebuilder
 }
 
-func (c *cluster) assembleRegister(p *core, mux *transport.Mux) {
+func (c *cluster) assembleRegister(p *coreNode, mux *transport.Mux) {
 	acceptorView := p.manager.View
 	if c.mutant.votesInOldView {
 		acceptorView = staleView(p.manager.View)
@@ -204,7 +204,7 @@
 }
 
 // assembleNode makes the part that pings the other members, and leads the group where there is one.
-func (c *cluster) assembleNode(p *core, mux *transport.Mux) {
+func (c *cluster) assembleNode(p *coreNode, mux *transport.Mux) {
 	config := replication.Config{
 		Self: p.address, Store: storage.NewMemory(), Caller: p.caller, View: p.manager.View,
 		Ready: func() bool { return c.mutant.noRebuild || p.rebuilder.Ready() }, Handler: noGroups{},
@@ -236,17 +236,17 @@
 
 // watch starts a process again, on its disk, when it has ended because it was replaced. One that was told to stop ends by
 // itself.
-func (c *cluster) watch(p *core) {
+func (c *cluster) watch(p *coreNode) {
 	err := p.rebuilder.Watch(p.ctx)
 	if !errors.Is(err, rebuild.ErrReplaced) || p.manager.Departing() || !c.stop(p) {
 		return
 	}
-	<-time.After(restartTime)
+	<-time.After(restartDelay)
 	c.start(p.address, p.zone, p.disk, false)
 }
 
 // stop kills a process; false if it was dead already.
-func (c *cluster) stop(p *core) bool {
+func (c *cluster) stop(p *coreNode) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.running[p.address] != p {
@@ -263,7 +263,7 @@
 const handoverTimeout = 3 * time.Second
 
 // stopGracefully lets a process hand over to a joining member if one waits, and then ends it, as a coordinator does.
-func (c *cluster) stopGracefully(p *core) {
+func (c *cluster) stopGracefully(p *coreNode) {
 	limited, cancel := context.WithTimeout(p.ctx, handoverTimeout)
 	defer cancel()
 	if c.mutant.stopsAtOnce {
@@ -275,17 +275,17 @@
 }
 
 // at returns the process at an address; nil while there is none.
-func (c *cluster) at(address string) *core {
+func (c *cluster) at(address string) *coreNode {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.running[address]
 }
 
 // all lists the running processes.
-func (c *cluster) all() []*core {
+func (c *cluster) all() []*coreNode {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var all []*core
+	var all []*coreNode
 	for _, p := range c.running {
 		all = append(all, p)
 	}
@@ -293,9 +293,9 @@
 }
 
 // sorted lists the running processes by address.
-func (c *cluster) sorted() []*core {
+func (c *cluster) sorted() []*coreNode {
 	all := c.all()
-	slices.SortFunc(all, func(a, b *core) int { return strings.Compare(a.address, b.address) })
+	slices.SortFunc(all, func(a, b *coreNode) int { return strings.Compare(a.address, b.address) })
 	return all
 }
 
@@ -307,11 +307,11 @@
 		c.stop(p)
 	}
 	c.tasks.Wait()
-	<-time.After(aftermath)
+	<-time.After(drainTime)
 }
 
-// member waits until a process is a member that may vote, and returns how long that took from its start.
-func (p *core) member(limit time.Duration) time.Duration {
+// awaitMembership waits until a process is a member that may vote, and returns how long that took from its start.
+func (p *coreNode) awaitMembership(limit time.Duration) time.Duration {
 	for deadline := time.After(limit); ; {
 		changed := p.manager.Changed()
 		if p.manager.View().Has(p.address) {
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -23,12 +23,12 @@
 // The model plays losses up to the tolerated number, and the next one as soon as the tolerance allows it again. The
 // register, a group, the rebuild and the set of replicas are the real ones, on a network and a clock in memory.
 const (
-	scheduleGroup          = "jobs/model"
-	scheduleTime           = 9 * time.Second
-	betweenScheduledFaults = 1200 * time.Millisecond // upper bound of the time between two faults
-	scheduleClients        = 1
-	recoveryTimeout        = catchUpTime // in which a write succeeds as long as no more is lost than is tolerated
-	observationInterval    = 150 * time.Millisecond
+	scheduleGroup        = "jobs/model"
+	scheduleTime         = 9 * time.Second
+	maxScheduledFaultGap = 1200 * time.Millisecond // upper bound of the time between two faults
+	scheduleClients      = 1
+	recoveryTimeout      = catchUpTime // in which a write succeeds as long as no more is lost than is tolerated
+	observationInterval  = 150 * time.Millisecond
 )
 
 // reliableNetwork are those of a network without trouble, and lossyNetwork those of one on which nothing is sure to come in time.
@@ -71,9 +71,9 @@
 			failedUntil: make(map[string]time.Time), acknowledged: make(map[string]bool), groupAcknowledged: make(map[string]bool),
 			views: make(map[uint64][]string), start: time.Now(), groupLastAcknowledged: time.Now(),
 		}
-		m.cluster = &cluster{t: t, network: networktest.New(seed), seeds: addresses(size), mutant: broken, running: make(map[string]*core)}
+		m.cluster = &cluster{t: t, network: networktest.New(seed), seeds: addresses(size), mutant: broken, running: make(map[string]*coreNode)}
 		m.logged = m.observe()
-		m.leads = func(p *core) replication.Handler { return &proposingLeader{m, p} }
+		m.leads = func(p *coreNode) replication.Handler { return &proposingLeader{m, p} }
 		m.network.SetFaults(reliableNetwork)
 		for address, disk := range disks {
 			m.startOn(address, disk)
@@ -109,7 +109,7 @@
 	}
 	running.Go(func() { m.watchViews(ctx) })
 	for ctx.Err() == nil {
-		<-time.After(time.Duration(m.random.Int64N(int64(betweenScheduledFaults))))
+		<-time.After(time.Duration(m.random.Int64N(int64(maxScheduledFaultGap))))
 		m.injectFault()
 	}
 	m.faults.Wait()
@@ -137,12 +137,12 @@
 		if p := m.pickHealthy(random); p != nil {
 			m.runOperation(p, client, i, random.IntN(4) == 0)
 		}
-		<-time.After(time.Duration(random.Int64N(int64(betweenClients))))
+		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
 	}
 }
 
 // pickHealthy returns a member that counts as well; nil where there is none.
-func (m *faultSchedule) pickHealthy(random *rand.Rand) *core {
+func (m *faultSchedule) pickHealthy(random *rand.Rand) *coreNode {
 	m.state.Lock()
 	defer m.state.Unlock()
 	now := time.Now()
@@ -159,7 +159,7 @@
 }
 
 // runOperation lets one write or read run at a process, and judges its answer.
-func (m *faultSchedule) runOperation(p *core, client, number int, read bool) {
+func (m *faultSchedule) runOperation(p *coreNode, client, number int, read bool) {
 	ctx, cancel := context.WithTimeout(p.ctx, recoveryTimeout)
 	defer cancel()
 	before := m.acknowledgedTokens()
@@ -177,11 +177,11 @@
 }
 
 // mustSucceed tells whether a member was well all the time, so that its operation had to succeed.
-func (m *faultSchedule) mustSucceed(p *core) bool {
+func (m *faultSchedule) mustSucceed(p *coreNode) bool {
 	m.state.Lock()
 	defer m.state.Unlock()
-	_, lost := m.failedUntil[p.address]
-	return !m.lossy && !lost && m.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
+	_, hasFailed := m.failedUntil[p.address]
+	return !m.lossy && !hasFailed && m.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
 }
 
 // heard takes a confirmed answer: it has all that was confirmed before the question.
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/founding_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// aftermath is how long messages may still be under way at the end of a test, in simulated time.
-const aftermath = 10 * time.Second
+// drainTime is how long messages may still be under way at the end of a test, in simulated time.
+const drainTime = 10 * time.Second
 
 // managerCluster is a set of processes on a network in memory, to be run in simulated time.
 type managerCluster struct {
@@ -109,7 +109,7 @@
 	for self := range f.running {
 		f.kill(self)
 	}
-	<-time.After(aftermath)
+	<-time.After(drainTime)
 }
 
 // view waits until a process knows a view, and returns it with the time since a start.
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -27,10 +27,10 @@
 		full := c.at(members[1])
 		full.disk.Fail(errFull)
 		c.stop(c.at(members[0]))
-		c.enter("new", "elsewhere")
-		c.write(members[2], written)
+		c.join("new", "elsewhere")
+		c.write(members[2], writtenValue)
 		<-time.After(catchUpTime)
-		during, ended = full.manager.View(), full.ended()
+		during, ended = full.manager.View(), full.hasFailed()
 		full.disk.Fail(nil)
 		<-time.After(catchUpTime)
 		after = full.manager.View()
@@ -44,7 +44,7 @@
 	})
 	convey.Convey("Once it takes writes, the member learns the view and counts again", t, func() {
 		convey.So(after.Version, convey.ShouldEqual, 2)
-		convey.So(value, convey.ShouldEqual, written)
+		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
 	})
 }
@@ -64,17 +64,17 @@
 		var took time.Duration
 		var value string
 		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-			c.write(members[1], written)
+			c.write(members[1], writtenValue)
 			joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 			<-time.After(one.before)
 			c.stop(c.at(members[0]))
 			<-time.After(one.full)
 			joiningMember.disk.Fail(errFull)
 			<-time.After(2 * catchUpTime)
-			early, ended = joiningMember.rebuilder.Ready(), joiningMember.ended()
+			early, ended = joiningMember.rebuilder.Ready(), joiningMember.hasFailed()
 			joiningMember.disk.Fail(nil)
 			room := time.Now()
-			joiningMember.member(time.Minute)
+			joiningMember.awaitMembership(time.Minute)
 			took = time.Since(room)
 			c.stop(c.at(members[1]))
 			value = c.read("new")
@@ -83,7 +83,7 @@
 			convey.So(early, convey.ShouldBeFalse)
 			convey.So(ended, convey.ShouldBeFalse)
 			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
-			convey.So(value, convey.ShouldEqual, written)
+			convey.So(value, convey.ShouldEqual, writtenValue)
 		})
 	}
 }
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -14,47 +14,47 @@
 
 // outcome is what is seen at the end of a replacement.
 type outcome struct {
-	stoppedIn time.Duration // from the order to stop until the process has ended
-	value     string
-	written   error // by the write at the end
-	version   uint64
+	stopTime time.Duration // from the order to stop until the process has ended
+	value    string
+	writeErr error // by the write at the end
+	version  uint64
 }
 
-// complete tells whether nothing is lost and writes go on.
-func (o outcome) complete() bool { return o.value == written && o.written == nil }
+// nothingLost tells whether nothing is lost and writes go on.
+func (o outcome) nothingLost() bool { return o.value == writtenValue && o.writeErr == nil }
 
 // replaceWhileDown writes a value, lets the last members fail, and replaces the first by a joining member that came before. Then
 // those that failed are back, without their disks, and once they have had the time to catch up, as many others fail.
 func replaceWhileDown(c *cluster, members []string, failing int) (seen outcome) {
-	leaving, staying, down := members[0], members[1], members[len(members)-failing:]
+	departing, remaining, failed := members[0], members[1], members[len(members)-failing:]
 	joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
 	<-time.After(catchUpTime)
-	c.write(staying, old)
-	c.network.Partition(staying, true) // so only those that go have the newest value
-	if err := c.write(leaving, written); err != nil {
-		seen.written = err
+	c.write(remaining, oldValue)
+	c.network.Partition(remaining, true) // so only those that go have the newest value
+	if err := c.write(departing, writtenValue); err != nil {
+		seen.writeErr = err
 		return seen
 	}
 	<-time.After(messagesInFlightTime)
-	c.network.Partition(staying, false)
+	c.network.Partition(remaining, false)
 	<-time.After(catchUpTime)
-	for _, address := range down {
+	for _, address := range failed {
 		c.stop(c.at(address))
 	}
-	told := time.Now()
-	c.stopGracefully(c.at(leaving))
-	seen.stoppedIn = time.Since(told)
-	for _, address := range down {
+	begin := time.Now()
+	c.stopGracefully(c.at(departing))
+	seen.stopTime = time.Since(begin)
+	for _, address := range failed {
 		c.start(address, "zone of "+address, storage.NewMemory(), false)
 	}
 	<-time.After(catchUpTime)
 	for range failing {
 		c.stop(joiningMember)
-		joiningMember = c.at(staying)
+		joiningMember = c.at(remaining)
 	}
-	seen.value = c.read(down[0])
-	seen.written = c.write(down[0], "after")
-	seen.version = c.viewOf(down[0]).Version
+	seen.value = c.read(failed[0])
+	seen.writeErr = c.write(failed[0], "after")
+	seen.version = c.viewOf(failed[0]).Version
 	return seen
 }
 
@@ -66,10 +66,10 @@
 		var seen outcome
 		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) { seen = replaceWhileDown(c, members, (size-1)/2) })
 		convey.Convey(fmt.Sprintf("One of %d members stops while %d are down", size, (size-1)/2), t, func() {
-			convey.So(seen.written, convey.ShouldBeNil)
-			convey.So(seen.value, convey.ShouldEqual, written)
+			convey.So(seen.writeErr, convey.ShouldBeNil)
+			convey.So(seen.value, convey.ShouldEqual, writtenValue)
 			convey.So(seen.version, convey.ShouldEqual, 2)
-			convey.So(seen.stoppedIn, convey.ShouldBeLessThan, handoverTimeout)
+			convey.So(seen.stopTime, convey.ShouldBeLessThan, handoverTimeout)
 		})
 	}
 }
@@ -84,7 +84,7 @@
 		var seen outcome
 		inCluster(t, 1, broken, members, func(c *cluster) { seen = replaceWhileDown(c, members, 1) })
 		convey.Convey("Shown to be needed: "+broken.name, t, func() {
-			convey.So(seen.complete(), convey.ShouldBeFalse)
+			convey.So(seen.nothingLost(), convey.ShouldBeFalse)
 		})
 	}
 }
@@ -96,7 +96,7 @@
 		inCluster(t, 1, broken, members, func(c *cluster) {
 			c.start("new", "elsewhere", storage.NewMemory(), false)
 			<-time.After(catchUpTime)
-			c.write(members[1], written)
+			c.write(members[1], writtenValue)
 			c.network.AddRule(networktest.Rule{Path: "/rebuild/dump", Delay: 300 * time.Millisecond})
 			c.stopGracefully(c.at(members[0]))
 			c.stop(c.at(members[lost]))
@@ -107,7 +107,7 @@
 	convey.Convey("Either of the members that stay may be lost at once", t, func() {
 		for _, lost := range []int{1, 2} {
 			value, err := lossAfter(ruleMutant{}, lost)
-			convey.So(value, convey.ShouldEqual, written)
+			convey.So(value, convey.ShouldEqual, writtenValue)
 			convey.So(err, convey.ShouldBeNil)
 		}
 	})
@@ -122,9 +122,9 @@
 	var took time.Duration
 	var view replicaset.View
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		told := time.Now()
+		begin := time.Now()
 		c.stopGracefully(c.at(members[0]))
-		took = time.Since(told)
+		took = time.Since(begin)
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
 	})
@@ -157,13 +157,13 @@
 	stopDuring := func(broken ruleMutant) (took time.Duration, value string, err error) {
 		members := addresses(3)
 		inCluster(t, 1, broken, members, func(c *cluster) {
-			c.write(members[1], written)
+			c.write(members[1], writtenValue)
 			c.stop(c.at(members[2]))
 			c.start(members[2], "zone of "+members[2], storage.NewMemory(), false)
 			<-time.After(500 * time.Millisecond)
-			told := time.Now()
+			begin := time.Now()
 			c.stopGracefully(c.at(members[0]))
-			took = time.Since(told)
+			took = time.Since(begin)
 			<-time.After(catchUpTime)
 			value, err = c.read(members[2]), c.write(members[2], "after")
 		})
@@ -173,7 +173,7 @@
 	_, _, atOnce := stopDuring(ruleMutant{stopsAtOnce: true})
 	convey.Convey("It goes once that one has been rebuilt, within its grace period", t, func() {
 		convey.So(took, convey.ShouldBeBetween, time.Second, handoverTimeout)
-		convey.So(value, convey.ShouldEqual, written)
+		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
 	})
 	convey.Convey("If it went at once, the other could not be rebuilt", t, func() {
@@ -188,7 +188,7 @@
 	var err error
 	var view replicaset.View
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		c.write(members[1], written)
+		c.write(members[1], writtenValue)
 		c.network.AddRule(networktest.Rule{Path: "/replicaset/leave", Lose: true})
 		c.stop(c.at(members[2]))
 		c.start("new", "elsewhere", storage.NewMemory(), false)
@@ -200,7 +200,7 @@
 	})
 	convey.Convey("It stays until that newcomer has been rebuilt", t, func() {
 		convey.So(view, convey.ShouldResemble, replicaset.View{Version: 2, Members: []string{members[0], members[1], "new"}})
-		convey.So(value, convey.ShouldEqual, written)
+		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
 	})
 }
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -18,8 +18,8 @@
 
 // operationResult is what the client heard.
 type operationResult struct {
-	unknown bool // whether the operation ran
-	value   string
+	maybeExecuted bool // whether the operation ran
+	value         string
 }
 
 // appendRegisterModel is the register as porcupine checks it: the state is the value.
@@ -28,7 +28,7 @@
 	Step: func(state, in, out any) (bool, any) {
 		next := state.(string) + in.(operation).token
 		heard := out.(operationResult)
-		return heard.unknown || heard.value == next, next
+		return heard.maybeExecuted || heard.value == next, next
 	},
 }
 
@@ -57,7 +57,7 @@
 		h.succeeded++
 	}
 	h.operations = append(h.operations, porcupine.Operation{
-		ClientId: client, Input: do, Output: operationResult{unknown: err != nil, value: string(value)}, Call: call, Return: back,
+		ClientId: client, Input: do, Output: operationResult{maybeExecuted: err != nil, value: string(value)}, Call: call, Return: back,
 	})
 }
 
--- a/internal/controlplane/replicaset/linearizability_test.go
+++ b/internal/controlplane/replicaset/linearizability_test.go
@@ -21,12 +21,12 @@
 
 // Extent of a simulation, in simulated time.
 const (
-	clients        = 3
-	simulationTime = 60 * time.Second
-	operationLimit = 3 * time.Second
-	betweenClients = 400 * time.Millisecond // upper bound of the time between a client's operations
-	betweenFaults  = 8 * time.Second
-	healingTime    = 10 * time.Second // from the end of all faults
+	simulationClients = 3
+	simulationTime    = 60 * time.Second
+	operationTimeout  = 3 * time.Second
+	maxOperationGap   = 400 * time.Millisecond // upper bound of the time between a client's operations
+	maxFaultGap       = 8 * time.Second
+	healingTime       = 10 * time.Second // from the end of all faults
 )
 
 var schedules = flag.Int("schedules", 1, "number of simulated schedules for each number of members")
@@ -50,9 +50,9 @@
 	newest      replicaset.View
 	views       map[uint64][]string // members of each view seen
 
-	twoOfOneVersion      bool // views were seen
+	conflictingViews     bool // views were seen
 	writableAfterHealing bool // the register could be written at the end
-	final                string
+	finalViews           string
 }
 
 // simulate runs clients at all processes while messages are lost, doubled and late, and members are killed, cut off and
@@ -68,11 +68,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), simulationTime)
 		defer cancel()
 		var running sync.WaitGroup
-		for client := range clients {
+		for client := range simulationClients {
 			running.Go(func() { s.runClient(ctx, client, rand.New(rand.NewPCG(seed, uint64(client)+2))) })
 		}
 		for ctx.Err() == nil {
-			s.wait(betweenFaults)
+			s.wait(maxFaultGap)
 			s.injectFault()
 			s.lastFault = time.Now()
 			s.observeViews()
@@ -91,7 +91,7 @@
 	all := s.sorted()
 	for _, p := range all {
 		view := p.manager.View()
-		s.final += fmt.Sprintf("%s: version %d %v, votes %v; ", p.address, view.Version, view.Members, p.rebuilder.Ready())
+		s.finalViews += fmt.Sprintf("%s: version %d %v, votes %v; ", p.address, view.Version, view.Members, p.rebuilder.Ready())
 	}
 	s.writableAfterHealing = len(all) > 0 && s.write(all[0].address, "healed") == nil
 }
@@ -104,7 +104,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		if all := s.sorted(); len(all) > 0 {
 			p := all[random.IntN(len(all))]
-			limited, cancel := context.WithTimeout(p.ctx, operationLimit)
+			limited, cancel := context.WithTimeout(p.ctx, operationTimeout)
 			do := operation{}
 			if random.IntN(2) == 0 {
 				do.token = fmt.Sprintf("%d-%d.", client, i)
@@ -112,7 +112,7 @@
 			s.history.run(limited, client, p.register, do)
 			cancel()
 		}
-		<-time.After(time.Duration(random.Int64N(int64(betweenClients))))
+		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
 	}
 }
 
@@ -121,7 +121,7 @@
 	for _, p := range s.all() {
 		view := p.manager.View()
 		if known, found := s.views[view.Version]; found && view.Version > 0 && !slices.Equal(known, view.Members) {
-			s.twoOfOneVersion = true
+			s.conflictingViews = true
 		}
 		s.views[view.Version] = view.Members
 		if view.Version > s.newest.Version {
@@ -142,9 +142,9 @@
 	case kind < 3 && s.allHealthy():
 		s.stop(p)
 		s.wait(1500 * time.Millisecond)
-		s.enter()
+		s.startJoiningMember()
 	case kind == 3 && s.allHealthy():
-		s.enter()
+		s.startJoiningMember()
 		s.wait(3 * time.Second)
 		s.stopGracefully(p)
 	case kind == 4 && s.allHealthy():
@@ -161,7 +161,7 @@
 }
 
 // enter starts a joining member unless some wait already.
-func (s *simulation) enter() {
+func (s *simulation) startJoiningMember() {
 	if waiting := len(s.all()) - len(s.newest.Members); waiting > 0 {
 		return
 	}
@@ -175,7 +175,7 @@
 	s.partitioned[address] = true
 	s.network.Partition(address, true)
 	if s.random.IntN(2) == 0 {
-		s.enter()
+		s.startJoiningMember()
 	}
 	s.wait(5 * time.Second)
 	s.network.Partition(address, false)
@@ -213,11 +213,11 @@
 			if checked := s.history.check(); checked != porcupine.Ok {
 				t.Fatalf("%d members, seed %d: %d operations are %v", size, seed, len(s.history.operations), checked)
 			}
-			if s.twoOfOneVersion {
+			if s.conflictingViews {
 				t.Errorf("%d members, seed %d: two views of one version", size, seed)
 			}
 			if !s.writableAfterHealing {
-				t.Errorf("%d members, seed %d: no progress after the end of all faults: %s", size, seed, s.final)
+				t.Errorf("%d members, seed %d: no progress after the end of all faults: %s", size, seed, s.finalViews)
 			}
 			succeeded += s.history.succeeded
 			replaced += s.newest.Version - 1
--- a/internal/controlplane/replicaset/necessaryrules_test.go
+++ b/internal/controlplane/replicaset/necessaryrules_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	old     = "the value before"
-	written = "the value that was written"
+	oldValue     = "the value before"
+	writtenValue = "the value that was written"
 
 	messagesInFlightTime = time.Second // at most
 )
@@ -28,7 +28,7 @@
 // there afterwards.
 func writtenInTheOldView(c *cluster, members []string) bool {
 	replaced, common, proposer := members[0], members[1], members[2]
-	c.write(proposer, old)
+	c.write(proposer, oldValue)
 	c.dropBetween(replaced, proposer, "")
 	c.dropBetween("new", replaced, "/replicaset/announce")
 	c.dropBetween("new", replaced, "/rebuild/dump")
@@ -37,20 +37,20 @@
 		c.dropBetween(address, common, "/replicaset/announce")
 	}
 	c.network.AddRule(networktest.Rule{From: common, Path: "/register/replicaset/next", Lose: true})
-	c.enter("new", "elsewhere")
-	if c.write(replaced, written) != nil {
+	c.join("new", "elsewhere")
+	if c.write(replaced, writtenValue) != nil {
 		return true
 	}
 	c.network.Partition(common, true)
-	return c.read(proposer) == written
+	return c.read(proposer) == writtenValue
 }
 
 // joiningMemberCompletesAMajority lets a value be written without one member, of which one of the two that know of it is then
 // replaced, and the other is cut off. It tells whether the value is there afterwards.
 func joiningMemberCompletesAMajority(c *cluster, members []string) bool {
-	c.write(members[0], old)
+	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
-	c.write(members[1], written)
+	c.write(members[1], writtenValue)
 	<-time.After(messagesInFlightTime)
 	c.network.Partition(members[0], false)
 	c.stop(c.at(members[1]))
@@ -59,31 +59,31 @@
 		<-time.After(10 * time.Millisecond)
 	}
 	c.network.Partition(members[2], true)
-	if value := c.read(members[0]); value == old {
+	if value := c.read(members[0]); value == oldValue {
 		return false
 	}
 	c.network.Partition(members[2], false)
 	<-time.After(5 * time.Second)
-	return c.read(members[0]) == written
+	return c.read(members[0]) == writtenValue
 }
 
 // replacedMemberRejoins lets a value be written without a member that was replaced, and without another one. Then the
 // replaced one takes the place of one that knows of the value, and the last that does is cut off. It tells whether the
 // value is there afterwards.
 func replacedMemberRejoins(c *cluster, members []string) bool {
-	c.write(members[0], old)
+	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
-	c.enter("new", "elsewhere")
+	c.join("new", "elsewhere")
 	c.network.Partition(members[2], true)
-	c.write(members[1], written)
+	c.write(members[1], writtenValue)
 	<-time.After(messagesInFlightTime)
 	c.network.Partition(members[2], false)
 	c.network.Partition(members[0], false)
 	<-time.After(3 * time.Second)
 	c.stop(c.at(members[1]))
-	c.at(members[0]).member(time.Minute)
+	c.at(members[0]).awaitMembership(time.Minute)
 	c.network.Partition("new", true)
-	return c.read(members[2]) == written
+	return c.read(members[2]) == writtenValue
 }
 
 // twoProposers lets two members, of which neither hears the other, replace it by another joining member. It tells whether there
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -18,7 +18,7 @@
 // proposingLeader leads the model's group for one process.
 type proposingLeader struct {
 	schedule *faultSchedule
-	core     *core
+	node     *coreNode
 }
 
 // Elected implements replication.Handler: the state has all that was confirmed, and from now on the leader proposes.
@@ -28,7 +28,7 @@
 	for key := range m.groupAcknowledged {
 		if _, found := state[key]; !found {
 			m.violations = append(m.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was confirmed",
-				time.Since(m.start), term.Number(), l.core.address, key))
+				time.Since(m.start), term.Number(), l.node.address, key))
 			break
 		}
 	}
@@ -46,7 +46,7 @@
 		select {
 		case <-term.Ended():
 			return
-		case <-l.core.ctx.Done():
+		case <-l.node.ctx.Done():
 			return
 		case <-time.After(proposeInterval):
 		}
@@ -77,12 +77,12 @@
 	disks := make(map[string]storage.Tables)
 	disksOf[size] = disks
 	virtualtime.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, network: networktest.New(1), seeds: addresses(size), running: make(map[string]*core)}
+		c := &cluster{t: t, network: networktest.New(1), seeds: addresses(size), running: make(map[string]*coreNode)}
 		c.network.SetFaults(reliableNetwork)
 		for _, address := range addresses(size) {
 			c.start(address, "zone of "+address, storage.NewMemory(), true)
 		}
-		<-time.After(firstViewIn)
+		<-time.After(firstViewTime)
 		for _, p := range c.all() {
 			disks[p.address] = p.disk.Snapshot()
 		}
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -24,8 +24,8 @@
 }
 
 // enter starts a joining member and returns how long it takes to become a full member.
-func (c *cluster) enter(address, zone string) time.Duration {
-	return c.start(address, zone, storage.NewMemory(), false).member(time.Minute)
+func (c *cluster) join(address, zone string) time.Duration {
+	return c.start(address, zone, storage.NewMemory(), false).awaitMembership(time.Minute)
 }
 
 func (c *cluster) write(address, value string) error {
@@ -57,7 +57,7 @@
 			}
 			c.stop(c.at(members[1]))
 			<-time.After(gone)
-			took = c.enter("new", "elsewhere")
+			took = c.join("new", "elsewhere")
 			for _, address := range []string{members[0], members[2], "new"} {
 				views = append(views, c.viewOf(address))
 			}
@@ -86,7 +86,7 @@
 			c.seeds = c.at(address).manager.View().Members // as the operator's list stands by then
 			c.stop(c.at(address))
 			<-time.After(time.Second)
-			slowest = max(slowest, c.enter(fmt.Sprintf("new-%d", i), "elsewhere"))
+			slowest = max(slowest, c.join(fmt.Sprintf("new-%d", i), "elsewhere"))
 		}
 		last = c.viewOf("new-2")
 		value = c.read("new-0")
@@ -107,10 +107,10 @@
 		<-time.After(20 * time.Second)
 		before = c.viewOf(members[0])
 		leaving := c.at(members[0])
-		told := time.Now()
+		begin := time.Now()
 		leaving.manager.Leave(leaving.ctx)
-		joiningMember.member(time.Minute)
-		took = time.Since(told)
+		joiningMember.awaitMembership(time.Minute)
+		took = time.Since(begin)
 		after = c.viewOf(members[2])
 	})
 	convey.Convey("Nothing happens while all members are heard", t, func() {
@@ -149,13 +149,13 @@
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		c.write(members[0], "old")
 		c.network.Partition(members[0], true)
-		c.enter("new", "elsewhere")
+		c.join("new", "elsewhere")
 		c.write(members[1], "young")
 		c.network.Partition(members[0], false)
 		<-time.After(5 * time.Second)
 		outside, ready = c.viewOf(members[0]), c.at(members[0]).rebuilder.Ready()
 		c.stop(c.at(members[1]))
-		c.at(members[0]).member(time.Minute)
+		c.at(members[0]).awaitMembership(time.Minute)
 		inside = c.viewOf(members[0])
 		c.stop(c.at("new"))
 		value = c.read(members[0])
@@ -182,7 +182,7 @@
 		<-time.After(time.Second)
 		one := c.start("new-0", "elsewhere", storage.NewMemory(), false)
 		other := c.start("new-1", "zone of "+members[1], storage.NewMemory(), false)
-		first, second = one.member(time.Minute), other.member(time.Minute)
+		first, second = one.awaitMembership(time.Minute), other.awaitMembership(time.Minute)
 		<-time.After(2 * time.Second)
 		for _, address := range append(members[2:], "new-0", "new-1") {
 			views = append(views, c.viewOf(address))
@@ -277,13 +277,13 @@
 // loss may come then.
 func TestAReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
 	members := addresses(3)
-	away := map[string]func(c *cluster, p *core){
-		"down": func(c *cluster, p *core) {
+	away := map[string]func(c *cluster, p *coreNode){
+		"down": func(c *cluster, p *coreNode) {
 			c.stop(p)
 			<-time.After(2600 * time.Millisecond)
 			c.start(p.address, p.zone, p.disk, false)
 		},
-		"cut off": func(c *cluster, p *core) {
+		"cut off": func(c *cluster, p *coreNode) {
 			c.network.Partition(p.address, true)
 			<-time.After(2600 * time.Millisecond)
 			c.network.Partition(p.address, false)
@@ -294,7 +294,7 @@
 			var value string
 			var err error
 			inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-				c.write(members[0], written)
+				c.write(members[0], writtenValue)
 				c.start("new", "elsewhere", storage.NewMemory(), false)
 				<-time.After(catchUpTime + time.Duration(phase)*300*time.Millisecond)
 				goAway(c, c.at(members[1]))
@@ -306,7 +306,7 @@
 				value, err = c.read(members[0]), c.write(members[0], "after")
 			})
 			convey.Convey(fmt.Sprintf("A member is replaced while it is %s, phase %d", how, phase), t, func() {
-				convey.So(value, convey.ShouldEqual, written)
+				convey.So(value, convey.ShouldEqual, writtenValue)
 				convey.So(err, convey.ShouldBeNil)
 			})
 		}
--- a/internal/controlplane/replicaset/rulemutants_test.go
+++ b/internal/controlplane/replicaset/rulemutants_test.go
@@ -21,21 +21,21 @@
 	return replicaset.View{}, false, nil
 }
 
-// forgetfulViews says that this process has always been a member.
-type forgetfulViews struct{ *replicaset.Manager }
+// neverAbsentViews says that this process has always been a member.
+type neverAbsentViews struct{ *replicaset.Manager }
 
 // Absences implements rebuild.Views.
-func (forgetfulViews) Absences() uint64 { return 0 }
+func (neverAbsentViews) Absences() uint64 { return 0 }
 
-// creditingViews answers as if each view that it was told were learned.
-type creditingViews struct {
+// prematureViews answers as if each view that it was told were learned.
+type prematureViews struct {
 	*replicaset.Manager
 	mutex    sync.Mutex
 	received replicaset.View
 }
 
 // Learn implements rebuild.Views.
-func (v *creditingViews) Learn(view replicaset.View) error {
+func (v *prematureViews) Learn(view replicaset.View) error {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.received = view
@@ -43,7 +43,7 @@
 }
 
 // View implements rebuild.Views.
-func (v *creditingViews) View() replicaset.View {
+func (v *prematureViews) View() replicaset.View {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if known := v.Manager.View(); known.Version >= v.received.Version {
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -13,55 +13,55 @@
 
 // injectFault begins one fault, if no more than the tolerated number of machines is then lost. Faults overlap.
 func (m *faultSchedule) injectFault() {
-	kind, span := m.random.IntN(10), time.Duration(m.random.Int64N(int64(3*time.Second)))
+	kind, duration := m.random.IntN(10), time.Duration(m.random.Int64N(int64(3*time.Second)))
 	if kind >= 7 {
-		m.replaceOne(kind, span)
+		m.replaceOne(kind, duration)
 		return
 	}
 	p := m.failOne()
 	if p == nil {
 		return
 	}
-	m.logEvent("%s: fault %d for %v", p.address, kind, span)
+	m.logEvent("%s: fault %d for %v", p.address, kind, duration)
 	m.faults.Go(func() {
-		m.applyFault(p, kind, span)
+		m.applyFault(p, kind, duration)
 		m.markRecovered(p.address)
 	})
 }
 
 // applyFault lets a machine have a fault for a time.
-func (m *faultSchedule) applyFault(p *core, kind int, span time.Duration) {
+func (m *faultSchedule) applyFault(p *coreNode, kind int, duration time.Duration) {
 	switch kind {
 	case 0:
 		m.stop(p)
-		<-time.After(span)
+		<-time.After(duration)
 		m.cluster.start(p.address, p.zone, p.disk, false)
 	case 1:
 		m.stop(p)
-		<-time.After(span)
+		<-time.After(duration)
 		m.cluster.start(p.address, p.zone, storage.NewMemory(), false)
 	case 2, 3, 4:
 		m.network.PartitionOneWay(p.address, kind != 2, kind != 3)
-		<-time.After(span)
+		<-time.After(duration)
 		m.network.PartitionOneWay(p.address, false, false)
 	case 5:
-		m.network.Delay(p.address, span)
-		<-time.After(span)
+		m.network.Delay(p.address, duration)
+		<-time.After(duration)
 	case 6:
 		p.disk.Fail(errFull)
-		<-time.After(span)
+		<-time.After(duration)
 		p.disk.Fail(nil)
 	}
 }
 
 // replaceOne replaces a machine by a new one: unplanned, after it was lost for good, or planned, where the new one comes
 // first and the old one is then told to stop.
-func (m *faultSchedule) replaceOne(kind int, span time.Duration) {
+func (m *faultSchedule) replaceOne(kind int, duration time.Duration) {
 	if !m.beginReplacement() {
 		return
 	}
 	planned := kind > 7
-	var p *core
+	var p *coreNode
 	if planned {
 		p = m.anyHealthy()
 	} else {
@@ -71,26 +71,26 @@
 		m.endReplacement()
 		return
 	}
-	m.logEvent("%s is replaced, planned %v, wait %v", p.address, planned, span)
-	diskLoss, place := m.random.IntN(3), m.random.IntN(len(m.newest.Members))
+	m.logEvent("%s is replaced, planned %v, wait %v", p.address, planned, duration)
+	diskLoss, index := m.random.IntN(3), m.random.IntN(len(m.newest.Members))
 	m.faults.Go(func() {
 		defer m.endReplacement()
 		if planned {
 			m.startJoiningMember()
-			<-time.After(catchUpTime + span/4)
+			<-time.After(catchUpTime + duration/4)
 			m.logEvent("%s is told to stop, newcomers wait %v, view %v", p.address, p.manager.HasJoiningMembers(), p.manager.View().Members)
 			if diskLoss == 1 {
-				m.loseDisk(p, place, span)
+				m.loseDisk(p, index, duration)
 			}
 			m.stopGracefully(p)
 			m.logEvent("%s has stopped", p.address)
 			if diskLoss == 2 {
-				m.loseDisk(p, place, span)
+				m.loseDisk(p, index, duration)
 			}
 			return
 		}
 		m.stop(p)
-		<-time.After(span)
+		<-time.After(duration)
 		m.startJoiningMember()
 		m.markRecovered(p.address)
 		<-time.After(catchUpTime)
@@ -99,11 +99,11 @@
 
 // loseDisk lets another member than the one that leaves be down and come back without its disk, unless that is more than is
 // tolerated.
-func (m *faultSchedule) loseDisk(leaving *core, place int, span time.Duration) {
+func (m *faultSchedule) loseDisk(departing *coreNode, index int, duration time.Duration) {
 	m.state.Lock()
-	address := m.newest.Members[place%len(m.newest.Members)]
+	address := m.newest.Members[index%len(m.newest.Members)]
 	m.state.Unlock()
-	if address == leaving.address || !m.markFailed(address) {
+	if address == departing.address || !m.markFailed(address) {
 		return
 	}
 	p := m.at(address)
@@ -111,10 +111,10 @@
 		m.markRecovered(address)
 		return
 	}
-	m.logEvent("%s loses its disk, for %v", address, span)
+	m.logEvent("%s loses its disk, for %v", address, duration)
 	m.stop(p)
 	m.faults.Go(func() {
-		<-time.After(span)
+		<-time.After(duration)
 		m.cluster.start(p.address, p.zone, storage.NewMemory(), false)
 		m.markRecovered(address)
 	})
@@ -147,7 +147,7 @@
 }
 
 // anyHealthy returns a running member that does not count as lost; nil where chance picked another.
-func (m *faultSchedule) anyHealthy() *core {
+func (m *faultSchedule) anyHealthy() *coreNode {
 	m.state.Lock()
 	defer m.state.Unlock()
 	address := m.newest.Members[m.random.IntN(len(m.newest.Members))]
@@ -158,7 +158,7 @@
 }
 
 // failOne picks a member, and counts it as lost from now on; nil where that is one more than is tolerated.
-func (m *faultSchedule) failOne() *core {
+func (m *faultSchedule) failOne() *coreNode {
 	p := m.anyHealthy()
 	if p == nil || p.manager.Departing() || !m.markFailed(p.address) {
 		return nil
