--- a/internal/controlplane/rebuild/fetch.go
+++ b/internal/controlplane/rebuild/fetch.go
@@ -63,14 +63,16 @@
 
 // fetchUntilDone asks one donor until it has given a snapshot.
 func (r *Rebuilder) fetchUntilDone(ctx context.Context, member string, view replicaset.View, snapshots chan<- storage.Tables) {
-	for ctx.Err() == nil {
+	for {
 		tables, err := r.fetch(ctx, member, view)
 		if err == nil {
 			snapshots <- tables
 			return
 		}
 		r.config.Logger.Debug("snapshot transfer failed", zap.String("member", member), zap.Error(err))
-		sleep(ctx, fetchRetryInterval)
+		if sleep(ctx, fetchRetryInterval) != nil {
+			return
+		}
 	}
 }
 
--- a/internal/controlplane/rebuild/handover.go
+++ b/internal/controlplane/rebuild/handover.go
@@ -41,7 +41,10 @@
 
 // awaitRebuilds waits while another member replies that it is being rebuilt. It does not wait for members that do not reply.
 func (r *Rebuilder) awaitRebuilds(ctx context.Context) {
-	for r.anyRebuilding(ctx) && sleep(ctx, readyInterval) == nil {
+	for r.anyRebuilding(ctx) {
+		if sleep(ctx, readyInterval) != nil {
+			return
+		}
 	}
 }
 
--- a/internal/controlplane/rebuild/snapshots_test.go
+++ b/internal/controlplane/rebuild/snapshots_test.go
@@ -11,39 +11,39 @@
 )
 
 func TestChunksOfASnapshot(t *testing.T) {
-	Convey("Given a copy in several parts", t, func() {
+	Convey("Given a snapshot of several chunks", t, func() {
 		value := []byte(strings.Repeat("v", chunkBytes/2))
 		tables := storage.Tables{"data/a": {"1": value, "2": value, "3": value}}
-		var c outgoingSnapshots
+		var outgoing outgoingSnapshots
 		begin := func(attempt uint64) dumpReply {
-			return c.first(dumpRequest{Member: "x", Attempt: attempt}, func() storage.Tables { return tables })
+			return outgoing.first(dumpRequest{Member: "x", Attempt: attempt}, func() storage.Tables { return tables })
 		}
 		first := begin(1)
 		So(first.Chunks, ShouldEqual, 3)
-		ask := func(member string, number uint64, chunk uint32) error {
-			_, err := c.chunk(dumpRequest{Member: member, Snapshot: number, Chunk: chunk})
+		request := func(member string, number uint64, chunk uint32) error {
+			_, err := outgoing.chunk(dumpRequest{Member: member, Snapshot: number, Chunk: chunk})
 			return err
 		}
-		Convey("a part may be asked for again", func() {
-			So(ask("x", first.Snapshot, 1), ShouldBeNil)
-			So(ask("x", first.Snapshot, 1), ShouldBeNil)
-			So(ask("x", first.Snapshot, 2), ShouldBeNil)
-			So(ask("x", first.Snapshot, 2), ShouldBeNil)
+		Convey("a chunk may be requested repeatedly", func() {
+			So(request("x", first.Snapshot, 1), ShouldBeNil)
+			So(request("x", first.Snapshot, 1), ShouldBeNil)
+			So(request("x", first.Snapshot, 2), ShouldBeNil)
+			So(request("x", first.Snapshot, 2), ShouldBeNil)
 		})
-		Convey("a part of an earlier copy, of another's copy, and one that there is not are refused", func() {
+		Convey("a chunk of an earlier snapshot, of another receiver's, and one that does not exist are refused", func() {
 			second := begin(2)
-			for _, err := range []error{ask("x", first.Snapshot, 1), ask("y", second.Snapshot, 1), ask("x", second.Snapshot, 3)} {
+			for _, err := range []error{request("x", first.Snapshot, 1), request("y", second.Snapshot, 1), request("x", second.Snapshot, 3)} {
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			}
-			So(ask("x", second.Snapshot, 1), ShouldBeNil)
+			So(request("x", second.Snapshot, 1), ShouldBeNil)
 		})
-		Convey("the first part of the same attempt is of the same copy, however often it is asked for", func() {
+		Convey("the first chunk of one attempt is of the same snapshot, however often it is requested", func() {
 			So(begin(1), ShouldResemble, first)
 			So(begin(2).Snapshot, ShouldNotEqual, first.Snapshot)
 		})
-		Convey("one that was received already is given no more", func() {
-			So(ask("x", first.Snapshot, 2), ShouldBeNil)
-			So(rpcerror.ExecutionOf(ask("x", first.Snapshot, 1)), ShouldEqual, rpcerror.NotExecuted)
+		Convey("a chunk before one that was requested is refused", func() {
+			So(request("x", first.Snapshot, 2), ShouldBeNil)
+			So(rpcerror.ExecutionOf(request("x", first.Snapshot, 1)), ShouldEqual, rpcerror.NotExecuted)
 		})
 	})
 }
--- a/internal/controlplane/rebuild/transfer_test.go
+++ b/internal/controlplane/rebuild/transfer_test.go
@@ -16,12 +16,12 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// messageLimit is more than a part with its frame, and far less than the tables of these tests.
-const messageLimit = 300 << 10
-
-const largeKeys = 3000
+const (
+	maxMessageBytes = 300 << 10 // more than a chunk with its frame, and far less than the tables of these tests
+	largeKeys       = 3000
+)
 
-// fill writes tables of 1.5 MB, of which each key has the same mark.
+// fill writes tables of 1.5 MB, in which the values of all keys are of the same byte.
 func fill(store *storage.Memory, fillByte byte) {
 	changes := make([]storage.Change, largeKeys)
 	for i := range changes {
@@ -30,7 +30,7 @@
 	store.Write(changes...)
 }
 
-// countByFill counts the keys of each mark.
+// countByFill counts the keys by the byte of their values.
 func countByFill(store *storage.Memory) map[byte]int {
 	counts := make(map[byte]int)
 	for _, value := range store.Table("data/large") {
@@ -39,45 +39,47 @@
 	return counts
 }
 
-// countingHandler serves a member's calls and notes the length of the longest answer.
+// countingHandler serves a member's calls, and records the number of replies and the size of the largest.
 type countingHandler struct {
 	mutex        sync.Mutex
 	handler      http.Handler
 	largestReply int
 	replies      int
-	afterReply   func(answers int) // called after each answer
+	afterReply   func(replies int) // called after each reply, where set
 }
 
-func (l *countingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (h *countingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	recorder := httptest.NewRecorder()
-	l.handler.ServeHTTP(recorder, r)
-	l.largestReply = max(l.largestReply, recorder.Body.Len())
-	l.replies++
+	h.handler.ServeHTTP(recorder, r)
+	h.largestReply = max(h.largestReply, recorder.Body.Len())
+	h.replies++
 	maps.Copy(w.Header(), recorder.Header())
 	w.WriteHeader(recorder.Code)
 	w.Write(recorder.Body.Bytes())
-	if l.afterReply != nil {
-		l.afterReply(l.replies)
+	if h.afterReply != nil {
+		h.afterReply(h.replies)
 	}
 }
 
-// rebuildThird rebuilds the third member from two others with large tables and returns its store.
-func rebuildThird(t *testing.T, prepare func(m *cluster, stores []*storage.Memory, donors []*countingHandler)) (store *storage.Memory, donors []*countingHandler, ready bool) {
+// rebuildThird rebuilds the third member from two others with large tables, after prepare. It returns the third member's store,
+// the others' handlers, and whether the rebuild ended.
+func rebuildThird(t *testing.T, prepare func(c *cluster, stores []*storage.Memory, donors []*countingHandler)) (store *storage.Memory, donors []*countingHandler, ready bool) {
+	t.Helper()
 	store = storage.NewMemory()
-	inCluster(t, 3, func(m *cluster) {
+	inCluster(t, 3, func(c *cluster) {
 		var stores []*storage.Memory
-		for _, self := range m.views.view.Members[:2] {
+		for _, self := range c.views.view.Members[:2] {
 			other := storage.NewMemory()
 			fill(other, 'a')
-			donor := &countingHandler{handler: m.serveFrom(self, other)}
-			m.network.Serve(self, donor)
+			donor := &countingHandler{handler: c.serveFrom(self, other)}
+			c.network.Serve(self, donor)
 			stores, donors = append(stores, other), append(donors, donor)
 		}
-		prepare(m, stores, donors)
-		rebuilder := m.start("member-2", store, false)
-		m.run(rebuilder)
+		prepare(c, stores, donors)
+		rebuilder := c.start("member-2", store, false)
+		c.run(rebuilder)
 		<-time.After(time.Minute)
 		ready = rebuilder.Ready()
 	})
@@ -86,32 +88,32 @@
 
 func TestSnapshotsAreTransferredInChunks(t *testing.T) {
 	store, donors, ready := rebuildThird(t, func(*cluster, []*storage.Memory, []*countingHandler) {})
-	convey.Convey("Tables larger than a message are rebuilt, and no message carries more than a part", t, func() {
+	convey.Convey("Tables larger than a message are rebuilt, and no message carries more than a chunk", t, func() {
 		convey.So(ready, convey.ShouldBeTrue)
 		convey.So(countByFill(store), convey.ShouldResemble, map[byte]int{'a': largeKeys})
 		for _, donor := range donors {
-			convey.So(donor.largestReply, convey.ShouldBeLessThan, messageLimit)
+			convey.So(donor.largestReply, convey.ShouldBeLessThan, maxMessageBytes)
 			convey.So(donor.replies, convey.ShouldBeGreaterThan, 4)
 		}
 	})
 }
 
 func TestLostAndDuplicatedChunks(t *testing.T) {
-	store, _, ready := rebuildThird(t, func(m *cluster, _ []*storage.Memory, _ []*countingHandler) {
-		m.network.SetFaults(networktest.Faults{Lose: 0.1, Duplicate: 0.3, Delay: 50 * time.Millisecond, Late: 0.1, LateBy: 4 * time.Second})
+	store, _, ready := rebuildThird(t, func(c *cluster, _ []*storage.Memory, _ []*countingHandler) {
+		c.network.SetFaults(networktest.Faults{Lose: 0.1, Duplicate: 0.3, Delay: 50 * time.Millisecond, Late: 0.1, LateBy: 4 * time.Second})
 	})
-	convey.Convey("Parts that are lost, doubled and late do no harm", t, func() {
+	convey.Convey("Chunks that are lost, duplicated or late do no harm", t, func() {
 		convey.So(ready, convey.ShouldBeTrue)
 		convey.So(countByFill(store), convey.ShouldResemble, map[byte]int{'a': largeKeys})
 	})
 }
 
 func TestASnapshotIsOfOneInstant(t *testing.T) {
-	convey.Convey("What is written while a copy travels is in it as a whole or not at all", t, func() {
+	convey.Convey("What is written during the transfer of a snapshot is not in it", t, func() {
 		store, donors, ready := rebuildThird(t, func(_ *cluster, stores []*storage.Memory, donors []*countingHandler) {
 			for i, donor := range donors {
-				donor.afterReply = func(answers int) {
-					if answers == 2 {
+				donor.afterReply = func(replies int) {
+					if replies == 2 {
 						fill(stores[i], 'b')
 					}
 				}
@@ -121,13 +123,13 @@
 		convey.So(donors[0].replies, convey.ShouldBeGreaterThan, 4)
 		convey.So(countByFill(store), convey.ShouldResemble, map[byte]int{'a': largeKeys})
 	})
-	convey.Convey("A giver that has started anew in between gives no part of another copy", t, func() {
-		store, donors, ready := rebuildThird(t, func(m *cluster, stores []*storage.Memory, donors []*countingHandler) {
+	convey.Convey("A donor that restarts during the transfer gives no chunk of another snapshot", t, func() {
+		store, donors, ready := rebuildThird(t, func(c *cluster, stores []*storage.Memory, donors []*countingHandler) {
 			for i, donor := range donors {
-				donor.afterReply = func(answers int) {
-					if answers == 2 {
+				donor.afterReply = func(replies int) {
+					if replies == 2 {
 						fill(stores[i], 'b')
-						donor.handler = m.serveFrom(m.views.view.Members[i], stores[i])
+						donor.handler = c.serveFrom(c.views.view.Members[i], stores[i])
 					}
 				}
 			}
@@ -136,14 +138,14 @@
 		convey.So(donors[0].replies, convey.ShouldBeGreaterThan, 4)
 		convey.So(countByFill(store), convey.ShouldResemble, map[byte]int{'b': largeKeys})
 	})
-	convey.Convey("A member that asks anew is given no part of its earlier copy", t, func() {
-		store, _, ready := rebuildThird(t, func(m *cluster, stores []*storage.Memory, donors []*countingHandler) {
-			earlier := m.start("member-2", storage.NewMemory(), false)
+	convey.Convey("A member that restarts its rebuild gets no chunk of its earlier snapshot", t, func() {
+		store, _, ready := rebuildThird(t, func(c *cluster, stores []*storage.Memory, donors []*countingHandler) {
+			earlier := c.start("member-2", storage.NewMemory(), false)
 			for i, donor := range donors {
-				donor.afterReply = func(answers int) {
-					if answers == 2 {
+				donor.afterReply = func(replies int) {
+					if replies == 2 {
 						fill(stores[i], 'b')
-						m.run(earlier)
+						c.run(earlier)
 					}
 				}
 			}
