--- a/internal/controlplane/rebuild/fetch.go
+++ b/internal/controlplane/rebuild/fetch.go
@@ -63,7 +63,7 @@
 
 // fetchUntilDone asks one donor until it has given a snapshot.
 func (r *Rebuilder) fetchUntilDone(ctx context.Context, member string, view replicaset.View, snapshots chan<- storage.Tables) {
-	for {
+	for ctx.Err() == nil {
 		tables, err := r.fetch(ctx, member, view)
 		if err == nil {
 			snapshots <- tables
--- /dev/null
+++ b/internal/controlplane/replicaset/assembly_test.go
@@ -0,0 +1,128 @@
+package replicaset_test
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/controlplane/rebuild"
+	"puffinlink.example/puffinlink/internal/controlplane/register"
+	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/controlplane/replication"
+	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/transport"
+)
+
+// testRegister is the name of the register that the core nodes replicate.
+const testRegister = "test"
+
+func (c *cluster) assembleViews(p *coreNode, mux *transport.Mux, firstStart bool) {
+	ready := func() bool { return p.store.alive() && p.rebuilder.Ready() }
+	founding := register.NewFounding(register.FoundingConfig{
+		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
+		Founders: func() []string { return p.manager.Founders() },
+	})
+	succession := register.NewSuccession(register.SuccessionConfig{
+		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
+		View:      func() replicaset.View { return p.manager.View() },
+		Departing: func() bool { return !c.mutant.refusesOwnReplacement && p.manager.Departing() },
+	})
+	config := replicaset.Config{
+		Self: p.address, Zone: p.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
+		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
+		Founding: founding, Succession: succession, Liveness: p.liveness,
+	}
+	if c.mutant.decidesAlone {
+		config.Succession = unilateralSuccession{}
+	}
+	manager, err := replicaset.NewManager(config)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	p.manager = manager
+	founding.Serve(mux)
+	succession.Serve(mux)
+	manager.Serve(mux)
+}
+
+func (p *coreNode) liveness() replicaset.Liveness {
+	liveness := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceHeard: make(map[string]time.Duration)}
+	for _, member := range p.node.Members() {
+		if member.Contacted {
+			liveness.SinceHeard[member.Address] = member.SinceContact
+		}
+	}
+	return liveness
+}
+
+func (c *cluster) assembleRebuilder(p *coreNode, mux *transport.Mux, firstStart bool) {
+	var views rebuild.Views = p.manager
+	if c.mutant.dumpsInOldView {
+		views = &prematureViews{Manager: p.manager}
+	}
+	if c.mutant.keepsOldVotes {
+		views = neverAbsentViews{p.manager}
+	}
+	incarnation := p.manager.Incarnation()
+	if c.mutant.replacedGivesNoSnapshot {
+		incarnation = 0
+	}
+	rebuilder, err := rebuild.New(rebuild.Config{
+		Self: p.address, Incarnation: incarnation, FirstStart: firstStart, Views: views,
+		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
+	})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	rebuilder.Register(register.Merge, register.TablePrefix)
+	rebuilder.Register(rebuild.Infallible(replication.MergeTables), replication.StateTablePrefix, replication.MetaTablePrefix)
+	rebuilder.Serve(mux)
+	p.rebuilder = rebuilder
+}
+
+func (c *cluster) assembleRegister(p *coreNode, mux *transport.Mux) {
+	acceptorView := p.manager.View
+	if c.mutant.votesInOldView {
+		acceptorView = staleView(p.manager.View)
+	}
+	acceptor := register.NewAcceptor(register.AcceptorConfig{
+		Name: testRegister, Store: p.store, View: acceptorView,
+		Ready: func() bool { return p.store.alive() && (c.mutant.noRebuild || p.rebuilder.Ready()) },
+	})
+	acceptor.Serve(mux)
+	p.register = register.New(register.Config{
+		Name: testRegister, Self: p.address, Acceptor: acceptor, View: p.manager.View, Caller: p.caller,
+		OnNewerView: func(view replicaset.View) { p.manager.Learn(view) },
+	})
+}
+
+// assembleNode makes the replication node, which pings the other members, and replicates the schedule's group where there is one.
+func (c *cluster) assembleNode(p *coreNode, mux *transport.Mux) {
+	config := replication.Config{
+		Self: p.address, Store: storage.NewMemory(), Caller: p.caller, View: p.manager.View,
+		Ready: func() bool { return c.mutant.noRebuild || p.rebuilder.Ready() }, Handler: noGroups{},
+		Log: c.log,
+	}
+	if c.log != nil {
+		config.Log = c.log.With(zap.String("at", p.address))
+	}
+	if c.leads != nil {
+		config.Store, config.Handler = p.store, c.leads(p)
+	}
+	node, err := replication.NewNode(config)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if c.leads != nil {
+		node.Ensure(scheduleGroup)
+	}
+	node.Serve(mux)
+	p.node = node
+}
+
+// noGroups implements replication.Handler where there are no groups.
+type noGroups struct{}
+
+// Elected and Deposed implement replication.Handler.
+func (noGroups) Elected(*replication.Term, map[string][]byte) {}
+func (noGroups) Deposed(*replication.Term)                    {}
--- a/internal/controlplane/replicaset/cluster_test.go
+++ b/internal/controlplane/replicaset/cluster_test.go
@@ -23,25 +23,13 @@
 )
 
 const (
-	testRegister  = "test"
-	restartDelay  = 200 * time.Millisecond // until a process that ended by itself is started again
-	firstViewTime = 2500 * time.Millisecond
+	restartDelay  = 200 * time.Millisecond  // until a process that ended by itself is restarted
+	firstViewTime = 2500 * time.Millisecond // in which the founders commit the first view
+	// membershipTimeout bounds the wait for a process to become a member that may vote.
+	membershipTimeout = time.Minute
 )
 
-// ruleMutant breaks one rule in a test; the zero value breaks none.
-type ruleMutant struct {
-	name                    string
-	noRebuild               bool // a joining member votes before it is rebuilt
-	votesInOldView          bool // a member votes for a while in the view before the one that it has learned
-	dumpsInOldView          bool // a member gives a copy of its tables without having learned the view of the one who asks
-	keepsOldVotes           bool // a member that was replaced and comes back votes by what its disk holds
-	decidesAlone            bool // the next view is what a single member decides
-	stopsAtOnce             bool // a member that is told to stop does not wait for its successor
-	refusesOwnReplacement   bool // a member that is told to stop does not vote for its own replacement
-	replacedGivesNoSnapshot bool // a member that was replaced gives no copy
-}
-
-// cluster is a set of core nodes on a network in memory, each with all that takes part in the change of members, and with
+// cluster is a set of core nodes on a network in memory, each with all that takes part in a reconfiguration, and with
 // a register that they replicate. It is to be run in simulated time.
 type cluster struct {
 	t       *testing.T
@@ -49,7 +37,7 @@
 	seeds   []string
 	mutant  ruleMutant
 	tasks   sync.WaitGroup
-	log     *zap.Logger                           // of the parts that lead; nil for none
+	log     *zap.Logger                           // of the replication nodes; nil for none
 	leads   func(p *coreNode) replication.Handler // of a group on the members' disks; nil for none
 
 	mutex   sync.Mutex // guards what follows
@@ -77,22 +65,33 @@
 // hasFailed tells whether a part of the process ended with an error, which ends a coordinator.
 func (p *coreNode) hasFailed() bool { return p.failed.Load() }
 
-// part runs a part of the process.
+// runPart runs a part of the process.
 func (p *coreNode) runPart(run func(ctx context.Context) error) {
 	if err := run(p.ctx); err != nil && p.ctx.Err() == nil {
 		p.failed.Store(true)
 	}
 }
 
+// newCluster makes a cluster without processes. The seed drives the chances of its network.
+func newCluster(t *testing.T, seed uint64, seeds []string, broken ruleMutant) *cluster {
+	return &cluster{t: t, network: networktest.New(seed), seeds: seeds, mutant: broken, running: make(map[string]*coreNode)}
+}
+
+// found starts the seeds for the first time, on a network with faults, and waits until they have committed the first view.
+func (c *cluster) found(faults networktest.Faults) {
+	c.network.SetFaults(faults)
+	for _, address := range c.seeds {
+		c.start(address, "zone of "+address, storage.NewMemory(), true)
+	}
+	<-time.After(firstViewTime)
+}
+
 // inCluster runs a test in simulated time, after the given members have founded the first view.
 func inCluster(t *testing.T, seed uint64, broken ruleMutant, members []string, test func(c *cluster)) {
+	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, network: networktest.New(seed), seeds: members, mutant: broken, running: make(map[string]*coreNode)}
-		c.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
-		for _, address := range members {
-			c.start(address, "zone of "+address, storage.NewMemory(), true)
-		}
-		<-time.After(firstViewTime)
+		c := newCluster(t, seed, members, broken)
+		c.found(networktest.Faults{Delay: 5 * time.Millisecond})
 		test(c)
 		c.end()
 	})
@@ -123,119 +122,7 @@
 	return p
 }
 
-func (c *cluster) assembleViews(p *coreNode, mux *transport.Mux, firstStart bool) {
-	ready := func() bool { return p.store.alive() && p.rebuilder.Ready() }
-	founding := register.NewFounding(register.FoundingConfig{
-		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
-		Founders: func() []string { return p.manager.Founders() },
-	})
-	succession := register.NewSuccession(register.SuccessionConfig{
-		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
-		View:      func() replicaset.View { return p.manager.View() },
-		Departing: func() bool { return !c.mutant.refusesOwnReplacement && p.manager.Departing() },
-	})
-	config := replicaset.Config{
-		Self: p.address, Zone: p.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
-		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
-		Founding: founding, Succession: succession, Liveness: p.liveness,
-	}
-	if c.mutant.decidesAlone {
-		config.Succession = unilateralSuccession{}
-	}
-	manager, err := replicaset.NewManager(config)
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	p.manager = manager
-	founding.Serve(mux)
-	succession.Serve(mux)
-	manager.Serve(mux)
-}
-
-func (p *coreNode) liveness() replicaset.Liveness {
-	liveness := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceHeard: make(map[string]time.Duration)}
-	for _, member := range p.node.Members() {
-		if member.Contacted {
-			liveness.SinceHeard[member.Address] = member.SinceContact
-		}
-	}
-	return liveness
-}
-
-func (c *cluster) assembleRebuilder(p *coreNode, mux *transport.Mux, firstStart bool) {
-	var views rebuild.Views = p.manager
-	if c.mutant.dumpsInOldView {
-		views = &prematureViews{Manager: p.manager}
-	}
-	if c.mutant.keepsOldVotes {
-		views = neverAbsentViews{p.manager}
-	}
-	incarnation := p.manager.Incarnation()
-	if c.mutant.replacedGivesNoSnapshot {
-		incarnation = 0
-	}
-	rebuilder, err := rebuild.New(rebuild.Config{
-		Self: p.address, Incarnation: incarnation, FirstStart: firstStart, Views: views,
-		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
-	})
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	rebuilder.Register(register.Merge, register.TablePrefix)
-	rebuilder.Register(rebuild.Infallible(replication.MergeTables), replication.StateTablePrefix, replication.MetaTablePrefix)
-	rebuilder.Serve(mux)
-	p.rebuilder = rebuilder
-}
-
-func (c *cluster) assembleRegister(p *coreNode, mux *transport.Mux) {
-	acceptorView := p.manager.View
-	if c.mutant.votesInOldView {
-		acceptorView = staleView(p.manager.View)
-	}
-	acceptor := register.NewAcceptor(register.AcceptorConfig{
-		Name: testRegister, Store: p.store, View: acceptorView,
-		Ready: func() bool { return p.store.alive() && (c.mutant.noRebuild || p.rebuilder.Ready()) },
-	})
-	acceptor.Serve(mux)
-	p.register = register.New(register.Config{
-		Name: testRegister, Self: p.address, Acceptor: acceptor, View: p.manager.View, Caller: p.caller,
-		OnNewerView: func(view replicaset.View) { p.manager.Learn(view) },
-	})
-}
-
-// assembleNode makes the part that pings the other members, and leads the group where there is one.
-func (c *cluster) assembleNode(p *coreNode, mux *transport.Mux) {
-	config := replication.Config{
-		Self: p.address, Store: storage.NewMemory(), Caller: p.caller, View: p.manager.View,
-		Ready: func() bool { return c.mutant.noRebuild || p.rebuilder.Ready() }, Handler: noGroups{},
-		Log: c.log,
-	}
-	if c.log != nil {
-		config.Log = c.log.With(zap.String("at", p.address))
-	}
-	if c.leads != nil {
-		config.Store, config.Handler = p.store, c.leads(p)
-	}
-	node, err := replication.NewNode(config)
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	if c.leads != nil {
-		node.Ensure(scheduleGroup)
-	}
-	node.Serve(mux)
-	p.node = node
-}
-
-// noGroups implements replication.Handler where there are no groups.
-type noGroups struct{}
-
-// Elected and Deposed implement replication.Handler.
-func (noGroups) Elected(*replication.Term, map[string][]byte) {}
-func (noGroups) Deposed(*replication.Term)                    {}
-
-// watch starts a process again, on its disk, when it has ended because it was replaced. One that was told to stop ends by
-// itself.
+// watch restarts a process on its disk when it has ended because it was replaced. A departing one ends by itself.
 func (c *cluster) watch(p *coreNode) {
 	err := p.rebuilder.Watch(p.ctx)
 	if !errors.Is(err, rebuild.ErrReplaced) || p.manager.Departing() || !c.stop(p) {
@@ -245,7 +132,7 @@
 	c.start(p.address, p.zone, p.disk, false)
 }
 
-// stop kills a process; false if it was dead already.
+// stop kills a process; false if it was killed already.
 func (c *cluster) stop(p *coreNode) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -259,10 +146,10 @@
 	return true
 }
 
-// handoverTimeout is what a coordinator takes of a grace period of six seconds.
+// handoverTimeout is what a coordinator uses of a grace period of six seconds.
 const handoverTimeout = 3 * time.Second
 
-// stopGracefully lets a process hand over to a joining member if one waits, and then ends it, as a coordinator does.
+// stopGracefully lets a process hand over to a joining member if there is one, and then ends it, as a coordinator does.
 func (c *cluster) stopGracefully(p *coreNode) {
 	limited, cancel := context.WithTimeout(p.ctx, handoverTimeout)
 	defer cancel()
@@ -311,8 +198,8 @@
 }
 
 // awaitMembership waits until a process is a member that may vote, and returns how long that took from its start.
-func (p *coreNode) awaitMembership(limit time.Duration) time.Duration {
-	for deadline := time.After(limit); ; {
+func (p *coreNode) awaitMembership() time.Duration {
+	for deadline := time.After(membershipTimeout); ; {
 		changed := p.manager.Changed()
 		if p.manager.View().Has(p.address) {
 			break
@@ -320,12 +207,21 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			return limit
+			return membershipTimeout
 		}
 	}
 	select {
 	case <-p.rebuilder.Complete():
-	case <-time.After(limit):
+	case <-time.After(membershipTimeout):
 	}
 	return time.Since(p.start)
 }
+
+func isClosed(done <-chan struct{}) bool {
+	select {
+	case <-done:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -20,58 +20,58 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// The model plays losses up to the tolerated number, and the next one as soon as the tolerance allows it again. The
-// register, a group, the rebuild and the set of replicas are the real ones, on a network and a clock in memory.
+// A fault schedule has faults of up to the tolerated number of machines, and the next one as soon as the tolerance allows it.
+// The register, a replication group, the rebuild and the replica set are the real ones, on a network and a clock in memory.
 const (
 	scheduleGroup        = "jobs/model"
 	scheduleTime         = 9 * time.Second
 	maxScheduledFaultGap = 1200 * time.Millisecond // upper bound of the time between two faults
 	scheduleClients      = 1
-	recoveryTimeout      = catchUpTime // in which a write succeeds as long as no more is lost than is tolerated
+	recoveryTimeout      = catchUpTime // in which a write succeeds as long as no more machines have failed than is tolerated
 	observationInterval  = 150 * time.Millisecond
 )
 
-// reliableNetwork are those of a network without trouble, and lossyNetwork those of one on which nothing is sure to come in time.
+// reliableNetwork delivers all messages, some of them twice; on lossyNetwork none is sure to arrive in time.
 var (
 	reliableNetwork = networktest.Faults{Duplicate: 0.05, Delay: 10 * time.Millisecond}
 	lossyNetwork    = networktest.Faults{Lose: 0.03, Duplicate: 0.1, Delay: 20 * time.Millisecond, Late: 0.04, LateBy: 2 * time.Second}
 )
 
-// model is one schedule.
+// faultSchedule is one schedule of faults, which a seed determines, and what clients and leaders observed during it.
 type faultSchedule struct {
 	*cluster
 	seed      uint64
-	random    *rand.Rand // belongs to the goroutine that brings the faults
+	random    *rand.Rand // belongs to the goroutine that injects the faults
 	tolerated int
 	lossy     bool
 	faults    sync.WaitGroup
 
 	state                 sync.Mutex           // guards what follows
 	machines              int                  // started so far
-	failedUntil           map[string]time.Time // by address: when the machine counts as lost no more
-	replacing             bool                 // a replacement is under way
+	failedUntil           map[string]time.Time // by address: until when the machine counts as failed
+	replacing             bool                 // a replacement is in progress
 	events                []string             // the faults so far, for the report
 	violations            []string
-	acknowledged          map[string]bool // tokens of the register whose write was confirmed
+	acknowledged          map[string]bool // tokens of the register whose write was acknowledged
 	groupAcknowledged     map[string]bool // the same of the group
-	groupLastAcknowledged time.Time       // of the group's newest confirmation
+	groupLastAcknowledged time.Time       // of the group's newest acknowledgement
 	slowest               time.Duration   // between two of them
-	views                 map[uint64][]string
-	newest                replicaset.View
+	views                 viewHistory
 	start                 time.Time
 	logged                *observer.ObservedLogs
 }
 
-// runSchedule plays the schedule of a seed, and returns what was wrong.
+// runSchedule runs the schedule of a seed, and returns it with its violations.
 func runSchedule(t *testing.T, seed uint64, size int, broken ruleMutant) (m *faultSchedule) {
+	t.Helper()
 	disks := foundedDisks(t, size)
 	virtualtime.Test(t, func(t *testing.T) {
 		m = &faultSchedule{
 			seed: seed, random: rand.New(rand.NewPCG(seed, 7)), tolerated: (size - 1) / 2, lossy: isLossy(seed), machines: size,
 			failedUntil: make(map[string]time.Time), acknowledged: make(map[string]bool), groupAcknowledged: make(map[string]bool),
-			views: make(map[uint64][]string), start: time.Now(), groupLastAcknowledged: time.Now(),
+			start: time.Now(), groupLastAcknowledged: time.Now(),
 		}
-		m.cluster = &cluster{t: t, network: networktest.New(seed), seeds: addresses(size), mutant: broken, running: make(map[string]*coreNode)}
+		m.cluster = newCluster(t, seed, addresses(size), broken)
 		m.logged = m.observe()
 		m.leads = func(p *coreNode) replication.Handler { return &proposingLeader{m, p} }
 		m.network.SetFaults(reliableNetwork)
@@ -89,6 +89,7 @@
 	return m
 }
 
+// startOn starts a member on a copy of a disk.
 func (m *faultSchedule) startOn(address string, disk storage.Tables) {
 	memory := storage.NewMemory()
 	for table, entries := range disk {
@@ -99,13 +100,13 @@
 	m.cluster.start(address, "zone of "+address, memory, false)
 }
 
-// run brings faults while clients write, then lets everything heal and judges the end.
+// run injects faults while clients write, then ends all faults and checks the final state.
 func (m *faultSchedule) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), scheduleTime)
 	defer cancel()
 	var running sync.WaitGroup
 	for client := range scheduleClients {
-		running.Go(func() { m.runClient(ctx, client, rand.New(rand.NewPCG(m.seed, uint64(client)+11))) })
+		running.Go(func() { m.runClient(ctx.Done(), client, rand.New(rand.NewPCG(m.seed, uint64(client)+11))) })
 	}
 	running.Go(func() { m.watchViews(ctx) })
 	for ctx.Err() == nil {
@@ -124,16 +125,16 @@
 	}
 }
 
-// observe keeps what the parts that lead log, for the report.
+// observe records the replication nodes' logs, for the report.
 func (m *faultSchedule) observe() *observer.ObservedLogs {
-	kept, logs := observer.New(zap.InfoLevel)
-	m.log = zap.New(kept)
+	recorder, logs := observer.New(zap.InfoLevel)
+	m.log = zap.New(recorder)
 	return logs
 }
 
-// runClient writes tokens, and reads now and then.
-func (m *faultSchedule) runClient(ctx context.Context, client int, random *rand.Rand) {
-	for i := 0; ctx.Err() == nil; i++ {
+// runClient appends tokens to the register, and reads it now and then, until done is closed.
+func (m *faultSchedule) runClient(done <-chan struct{}, client int, random *rand.Rand) {
+	for i := 0; !isClosed(done); i++ {
 		if p := m.pickHealthy(random); p != nil {
 			m.runOperation(p, client, i, random.IntN(4) == 0)
 		}
@@ -141,13 +142,13 @@
 	}
 }
 
-// pickHealthy returns a member that counts as well; nil where there is none.
+// pickHealthy returns a running member that does not count as failed; nil where there is none.
 func (m *faultSchedule) pickHealthy(random *rand.Rand) *coreNode {
 	m.state.Lock()
 	defer m.state.Unlock()
 	now := time.Now()
 	var healthy []string
-	for _, address := range m.newest.Members {
+	for _, address := range m.views.newest.Members {
 		if m.failedUntil[address].Before(now) && m.at(address) != nil {
 			healthy = append(healthy, address)
 		}
@@ -158,7 +159,7 @@
 	return m.at(healthy[random.IntN(len(healthy))])
 }
 
-// runOperation lets one write or read run at a process, and judges its answer.
+// runOperation runs one write or read at a process, and checks the reply.
 func (m *faultSchedule) runOperation(p *coreNode, client, number int, read bool) {
 	ctx, cancel := context.WithTimeout(p.ctx, recoveryTimeout)
 	defer cancel()
@@ -172,23 +173,23 @@
 	case err == nil:
 		m.checkReply(do.token, string(value), before)
 	case m.mustSucceed(p):
-		m.violation("no answer from %s within %v: %v", p.address, recoveryTimeout, err)
+		m.violation("no reply from %s within %v: %v", p.address, recoveryTimeout, err)
 	}
 }
 
-// mustSucceed tells whether a member was well all the time, so that its operation had to succeed.
+// mustSucceed tells whether a member has never failed, so that its operation had to succeed.
 func (m *faultSchedule) mustSucceed(p *coreNode) bool {
 	m.state.Lock()
 	defer m.state.Unlock()
 	_, hasFailed := m.failedUntil[p.address]
-	return !m.lossy && !hasFailed && m.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
+	return !m.lossy && !hasFailed && m.views.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
 }
 
-// heard takes a confirmed answer: it has all that was confirmed before the question.
+// checkReply wants a reply to have all tokens that were acknowledged before the request.
 func (m *faultSchedule) checkReply(token, value string, before []string) {
 	for _, earlier := range before {
 		if !containsToken(value, earlier) {
-			m.violation("%q was confirmed, and is not in a later answer", earlier)
+			m.violation("%q was acknowledged, and is not in a later reply", earlier)
 			return
 		}
 	}
@@ -201,6 +202,7 @@
 
 func containsToken(value, token string) bool { return strings.Contains("."+value, "."+token) }
 
+// acknowledgedTokens lists the tokens of the register whose write was acknowledged so far.
 func (m *faultSchedule) acknowledgedTokens() []string {
 	m.state.Lock()
 	defer m.state.Unlock()
@@ -211,35 +213,36 @@
 	return all
 }
 
-// checkEnd wants a write, a read and a commit of the group after all has healed, with all that was ever confirmed.
+// checkEnd wants a write, a read and a commit of the group after the end of all faults, with all that was ever acknowledged.
 func (m *faultSchedule) checkEnd() {
 	random := rand.New(rand.NewPCG(m.seed, 5))
 	for i := range 2 {
 		p := m.pickHealthy(random)
 		if p == nil {
-			m.violation("nobody is left at the end")
+			m.violation("no healthy member at the end")
 			return
 		}
 		m.runOperation(p, scheduleClients, i, i == 1)
 	}
 	m.state.Lock()
-	moved := time.Since(m.groupLastAcknowledged)
+	idle := time.Since(m.groupLastAcknowledged)
 	m.state.Unlock()
-	if moved > time.Second {
-		m.violation("the group has confirmed nothing for %v at the end", moved)
+	if idle > time.Second {
+		m.violation("the group has acknowledged nothing for %v at the end", idle)
 	}
 	if !slices.Contains(m.acknowledgedTokens(), fmt.Sprintf("%d-0.", scheduleClients)) {
 		m.violation("no write succeeds at the end")
 	}
 }
 
+// violation records that the promises do not hold.
 func (m *faultSchedule) violation(format string, values ...any) {
 	m.state.Lock()
 	defer m.state.Unlock()
 	m.violations = append(m.violations, fmt.Sprintf("after %v: ", time.Since(m.start))+fmt.Sprintf(format, values...))
 }
 
-// watchViews looks at the views of all processes again and again.
+// watchViews checks the views of all processes at intervals.
 func (m *faultSchedule) watchViews(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.checkViews()
@@ -247,33 +250,30 @@
 	}
 }
 
-// look notes the views, and wants one of each version and only one that a quorum of its members votes in.
+// checkViews records the views of all processes. It wants one view of each version, and at most one in whose members a quorum
+// votes.
 func (m *faultSchedule) checkViews() {
 	voters := make(map[uint64]int)
-	byVersion := make(map[uint64]replicaset.View)
+	var views []replicaset.View
 	for _, p := range m.all() {
 		view := p.manager.View()
-		byVersion[view.Version] = view
+		views = append(views, view)
 		if view.Has(p.address) && p.rebuilder.Ready() {
 			voters[view.Version]++
 		}
 	}
 	m.state.Lock()
 	defer m.state.Unlock()
-	inForce := 0
-	for version, view := range byVersion {
-		if known, found := m.views[version]; found && !slices.Equal(known, view.Members) {
-			m.violations = append(m.violations, fmt.Sprintf("two views %d", version))
+	active := make(map[uint64]bool)
+	for _, view := range views {
+		if !m.views.record(view) {
+			m.violations = append(m.violations, fmt.Sprintf("two views %d", view.Version))
 		}
-		m.views[version] = view.Members
-		if version > m.newest.Version {
-			m.newest = view
-		}
-		if voters[version] >= view.Quorum() {
-			inForce++
+		if voters[view.Version] >= view.Quorum() {
+			active[view.Version] = true
 		}
 	}
-	if inForce > 1 {
-		m.violations = append(m.violations, fmt.Sprintf("after %v: two views in force", time.Since(m.start)))
+	if len(active) > 1 {
+		m.violations = append(m.violations, fmt.Sprintf("after %v: two active views", time.Since(m.start)))
 	}
 }
--- a/internal/controlplane/replicaset/linearizability_test.go
+++ b/internal/controlplane/replicaset/linearizability_test.go
@@ -5,7 +5,6 @@
 	"flag"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -13,7 +12,6 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/raceflag"
@@ -39,28 +37,28 @@
 	LateBy:    2500 * time.Millisecond,
 }
 
-// simulation is a cluster in trouble.
+// simulation is a cluster with faults, of which single ones are injected one after another.
 type simulation struct {
 	*cluster
 	random      *rand.Rand
 	history     *history
 	machines    int // started so far
 	partitioned map[string]bool
-	lastFault   time.Time // since when nothing has happened
-	newest      replicaset.View
-	views       map[uint64][]string // members of each view seen
+	lastFault   time.Time // when the newest fault was over
+	views       viewHistory
 
-	conflictingViews     bool // views were seen
+	conflictingViews     bool // two views of one version were seen
 	writableAfterHealing bool // the register could be written at the end
 	finalViews           string
 }
 
-// simulate runs clients at all processes while messages are lost, doubled and late, and members are killed, cut off and
-// replaced.
+// simulate runs clients at all processes while messages are lost, duplicated and late, and members are killed, partitioned
+// and replaced.
 func simulate(t *testing.T, seed uint64, size int, broken ruleMutant) *simulation {
+	t.Helper()
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), history: &history{}, machines: size,
-		partitioned: make(map[string]bool), views: make(map[uint64][]string),
+		partitioned: make(map[string]bool),
 	}
 	inCluster(t, seed, broken, addresses(size), func(c *cluster) {
 		s.cluster = c
@@ -69,7 +67,7 @@
 		defer cancel()
 		var running sync.WaitGroup
 		for client := range simulationClients {
-			running.Go(func() { s.runClient(ctx, client, rand.New(rand.NewPCG(seed, uint64(client)+2))) })
+			running.Go(func() { s.runClient(ctx.Done(), client, rand.New(rand.NewPCG(seed, uint64(client)+2))) })
 		}
 		for ctx.Err() == nil {
 			s.wait(maxFaultGap)
@@ -83,7 +81,7 @@
 	return s
 }
 
-// healAll ends all faults, and notes whether the register can be written then.
+// healAll ends all faults, and records whether the register can be written then.
 func (s *simulation) healAll() {
 	s.network.SetFaults(networktest.Faults{})
 	<-time.After(healingTime)
@@ -100,8 +98,9 @@
 	<-time.After(time.Duration(s.random.Int64N(int64(bound))))
 }
 
-func (s *simulation) runClient(ctx context.Context, client int, random *rand.Rand) {
-	for i := 0; ctx.Err() == nil; i++ {
+// runClient appends to the register and reads it until done is closed.
+func (s *simulation) runClient(done <-chan struct{}, client int, random *rand.Rand) {
+	for i := 0; !isClosed(done); i++ {
 		if all := s.sorted(); len(all) > 0 {
 			p := all[random.IntN(len(all))]
 			limited, cancel := context.WithTimeout(p.ctx, operationTimeout)
@@ -116,24 +115,19 @@
 	}
 }
 
-// look notes the views of all processes.
+// observeViews records the views of all processes.
 func (s *simulation) observeViews() {
 	for _, p := range s.all() {
-		view := p.manager.View()
-		if known, found := s.views[view.Version]; found && view.Version > 0 && !slices.Equal(known, view.Members) {
+		if !s.views.record(p.manager.View()) {
 			s.conflictingViews = true
 		}
-		s.views[view.Version] = view.Members
-		if view.Version > s.newest.Version {
-			s.newest = view
-		}
 	}
 }
 
-// injectFault lets one thing happen to a member.
+// injectFault lets one member have one fault.
 func (s *simulation) injectFault() {
 	s.observeViews()
-	address := s.newest.Members[s.random.IntN(len(s.newest.Members))]
+	address := s.views.newest.Members[s.random.IntN(len(s.views.newest.Members))]
 	p := s.at(address)
 	if p == nil {
 		return
@@ -160,17 +154,17 @@
 	}
 }
 
-// enter starts a joining member unless some wait already.
+// startJoiningMember starts a joining member unless there are some already.
 func (s *simulation) startJoiningMember() {
-	if waiting := len(s.all()) - len(s.newest.Members); waiting > 0 {
+	if waiting := len(s.all()) - len(s.views.newest.Members); waiting > 0 {
 		return
 	}
 	s.machines++
-	s.seeds = s.newest.Members
+	s.seeds = s.views.newest.Members
 	s.start(fmt.Sprintf("core-%d", s.machines), "elsewhere", storage.NewMemory(), false)
 }
 
-// partition cuts a process off for some time, while a joining member may come.
+// partition isolates a process for some time, while a joining member may start.
 func (s *simulation) partition(address string) {
 	s.partitioned[address] = true
 	s.network.Partition(address, true)
@@ -182,13 +176,12 @@
 	delete(s.partitioned, address)
 }
 
-// allHealthy tells whether one more member may be lost for good: all others are there, have had the time to catch up, and may
-// vote.
+// allHealthy tells whether one more member may be lost for good: all others run, have had the time to catch up, and may vote.
 func (s *simulation) allHealthy() bool {
 	if time.Since(s.lastFault) < catchUpTime {
 		return false
 	}
-	for _, address := range s.newest.Members {
+	for _, address := range s.views.newest.Members {
 		p := s.at(address)
 		if p == nil || s.partitioned[address] || !p.rebuilder.Ready() {
 			return false
@@ -220,10 +213,10 @@
 				t.Errorf("%d members, seed %d: no progress after the end of all faults: %s", size, seed, s.finalViews)
 			}
 			succeeded += s.history.succeeded
-			replaced += s.newest.Version - 1
+			replaced += s.views.newest.Version - 1
 		}
 	}
-	convey.Convey("Operations come to their end, and members are replaced", t, func() {
+	convey.Convey("Operations succeed, and members are replaced", t, func() {
 		convey.So(succeeded, convey.ShouldBeGreaterThan, 10**schedules)
 		convey.So(replaced, convey.ShouldBeGreaterThan, 0)
 	})
--- a/internal/controlplane/replicaset/losses_test.go
+++ b/internal/controlplane/replicaset/losses_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// schedulesVariable names how many schedules are played; without it there are scheduleCount of them.
+	// schedulesVariable names how many schedules are run; without it there are scheduleCount of them.
 	schedulesVariable   = "PUFFINLINK_MODEL_SCHEDULES"
 	scheduleCount       = 2000
 	scheduleCountRace   = 24 // under the race detector, where each takes many times as long
 	scheduleWorkers     = 12
-	schedulesUntilFound = 600 // schedules in which a defect must be found
-	garbagePercent      = 800 // percent; the schedules make much of it, and little lives on
+	schedulesUntilFound = 600 // schedules within which a defect must be found
+	garbagePercent      = 800 // of the garbage collector; the schedules allocate much, and retain little
 )
 
-var scheduleSeed = flag.Int64("modelseed", -1, "play only the schedule of this seed")
+var scheduleSeed = flag.Int64("modelseed", -1, "run only the schedule of this seed")
 
 // scheduleSize is the number of members in the schedule of a seed.
 func scheduleSize(seed uint64) int { return []int{3, 5, 3, 4, 3, 5}[seed%6] }
@@ -31,7 +31,9 @@
 // isLossy tells whether messages are lost and late in the schedule of a seed.
 func isLossy(seed uint64) bool { return seed%4 == 3 }
 
+// schedulesToRun is the number of schedules of this run.
 func schedulesToRun(t *testing.T) uint64 {
+	t.Helper()
 	if set := os.Getenv(schedulesVariable); set != "" {
 		count, err := strconv.ParseUint(set, 10, 32)
 		if err != nil {
@@ -45,6 +47,7 @@
 	return scheduleCount
 }
 
+// report describes the schedule, its violations, faults and logs.
 func (m *faultSchedule) report() string {
 	var logs []string
 	for _, entry := range m.logged.All() {
@@ -54,8 +57,8 @@
 		strings.Join(m.violations, "\n"), strings.Join(m.events, "\n"), strings.Join(logs, "\n"))
 }
 
-// As long as no more machines are lost than is tolerated, nothing confirmed is lost, a write succeeds within the time to
-// catch up, and never are two views in force.
+// As long as no more machines fail than is tolerated, nothing acknowledged is lost, a write succeeds within the time to catch
+// up, and never are two views active.
 func TestLossesAndReplacements(t *testing.T) {
 	if *scheduleSeed >= 0 {
 		seed := uint64(*scheduleSeed)
@@ -68,7 +71,7 @@
 	}
 	total := schedulesToRun(t)
 	defer debug.SetGCPercent(debug.SetGCPercent(garbagePercent))
-	var confirmed, replaced atomic.Int64
+	var acknowledged, replaced atomic.Int64
 	t.Run("schedules", func(t *testing.T) {
 		for worker := range uint64(scheduleWorkers) {
 			t.Run(strconv.FormatUint(worker, 10), func(t *testing.T) {
@@ -78,30 +81,30 @@
 					if len(m.violations) > 0 {
 						t.Error(m.report())
 					}
-					confirmed.Add(int64(len(m.acknowledged) + len(m.groupAcknowledged)))
-					replaced.Add(int64(m.newest.Version - 1))
+					acknowledged.Add(int64(len(m.acknowledged) + len(m.groupAcknowledged)))
+					replaced.Add(int64(m.views.newest.Version - 1))
 				}
 			})
 		}
 	})
-	t.Logf("%d schedules: %d writes confirmed, %d members replaced", total, confirmed.Load(), replaced.Load())
-	if confirmed.Load() < int64(total)*10 || replaced.Load() < int64(total)/4 {
+	t.Logf("%d schedules: %d writes acknowledged, %d members replaced", total, acknowledged.Load(), replaced.Load())
+	if acknowledged.Load() < int64(total)*10 || replaced.Load() < int64(total)/4 {
 		t.Error("too little happened in the schedules")
 	}
 }
 
-// Each of these defects is found by one of the first schedules; so those that find nothing mean something. Those that take a
-// rarer coincidence are brought about by TestEachRuleIsNeeded.
+// Each of these defects is found by one of the first schedules, so schedules that find nothing mean something. TestEachRuleIsNeeded
+// has the defects that take a rarer coincidence.
 func TestLossesAndReplacementsFindDefects(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(garbagePercent))
 	defects := []struct {
 		broken ruleMutant
 		first  uint64 // seed; it found the defect when this was written, and replays nearly the same
 	}{
-		{ruleMutant{name: "a member that is told to stop goes at once", stopsAtOnce: true}, 0},
-		{ruleMutant{name: "a member that is told to stop keeps its place", refusesOwnReplacement: true}, 0},
-		{ruleMutant{name: "a member that was replaced gives no copy", replacedGivesNoSnapshot: true}, 0},
-		{ruleMutant{name: "a newcomer votes before it is rebuilt", noRebuild: true}, 150},
+		{ruleMutant{name: "a departing member stops at once", stopsAtOnce: true}, 0},
+		{ruleMutant{name: "a departing member refuses its own replacement", refusesOwnReplacement: true}, 0},
+		{ruleMutant{name: "a replaced member gives no snapshot", replacedGivesNoSnapshot: true}, 0},
+		{ruleMutant{name: "a joining member votes before it is rebuilt", noRebuild: true}, 150},
 	}
 	t.Run("defects", func(t *testing.T) {
 		for _, defect := range defects {
--- a/internal/controlplane/replicaset/necessaryrules_test.go
+++ b/internal/controlplane/replicaset/necessaryrules_test.go
@@ -37,7 +37,7 @@
 		c.dropBetween(address, common, "/replicaset/announce")
 	}
 	c.network.AddRule(networktest.Rule{From: common, Path: "/register/replicaset/next", Lose: true})
-	c.join("new", "elsewhere")
+	c.join("new")
 	if c.write(replaced, writtenValue) != nil {
 		return true
 	}
@@ -73,7 +73,7 @@
 func replacedMemberRejoins(c *cluster, members []string) bool {
 	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
-	c.join("new", "elsewhere")
+	c.join("new")
 	c.network.Partition(members[2], true)
 	c.write(members[1], writtenValue)
 	<-time.After(messagesInFlightTime)
@@ -81,7 +81,7 @@
 	c.network.Partition(members[0], false)
 	<-time.After(3 * time.Second)
 	c.stop(c.at(members[1]))
-	c.at(members[0]).awaitMembership(time.Minute)
+	c.at(members[0]).awaitMembership()
 	c.network.Partition("new", true)
 	return c.read(members[2]) == writtenValue
 }
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -6,28 +6,27 @@
 	"testing"
 	"time"
 
-	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// proposeInterval is between two proposals of a leader in the model.
+// proposeInterval is the time between two proposals of a leader.
 const proposeInterval = 400 * time.Millisecond
 
-// proposingLeader leads the model's group for one process.
+// proposingLeader leads the schedule's group at one process, and proposes entries.
 type proposingLeader struct {
 	schedule *faultSchedule
 	node     *coreNode
 }
 
-// Elected implements replication.Handler: the state has all that was confirmed, and from now on the leader proposes.
+// Elected implements replication.Handler: the state must have all that was acknowledged, and from now on the leader proposes.
 func (l *proposingLeader) Elected(term *replication.Term, state map[string][]byte) {
 	m := l.schedule
 	m.state.Lock()
 	for key := range m.groupAcknowledged {
 		if _, found := state[key]; !found {
-			m.violations = append(m.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was confirmed",
+			m.violations = append(m.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was acknowledged",
 				time.Since(m.start), term.Number(), l.node.address, key))
 			break
 		}
@@ -53,6 +52,7 @@
 	}
 }
 
+// groupCommitted records that an entry was committed and acknowledged.
 func (m *faultSchedule) groupCommitted(key string) {
 	m.state.Lock()
 	defer m.state.Unlock()
@@ -69,6 +69,7 @@
 
 // foundedDisks returns the disks of members that have founded the first view, by address.
 func foundedDisks(t *testing.T, size int) map[string]storage.Tables {
+	t.Helper()
 	disksMutex.Lock()
 	defer disksMutex.Unlock()
 	if disks, found := disksOf[size]; found {
@@ -77,12 +78,8 @@
 	disks := make(map[string]storage.Tables)
 	disksOf[size] = disks
 	virtualtime.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, network: networktest.New(1), seeds: addresses(size), running: make(map[string]*coreNode)}
-		c.network.SetFaults(reliableNetwork)
-		for _, address := range addresses(size) {
-			c.start(address, "zone of "+address, storage.NewMemory(), true)
-		}
-		<-time.After(firstViewTime)
+		c := newCluster(t, 1, addresses(size), ruleMutant{})
+		c.found(reliableNetwork)
 		for _, p := range c.all() {
 			disks[p.address] = p.disk.Snapshot()
 		}
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -23,9 +23,9 @@
 	return replicaset.View{Version: view.Version, Members: view.Members}
 }
 
-// enter starts a joining member and returns how long it takes to become a full member.
-func (c *cluster) join(address, zone string) time.Duration {
-	return c.start(address, zone, storage.NewMemory(), false).awaitMembership(time.Minute)
+// join starts a joining member in a zone of its own, and returns how long it takes until that is a member that may vote.
+func (c *cluster) join(address string) time.Duration {
+	return c.start(address, "elsewhere", storage.NewMemory(), false).awaitMembership()
 }
 
 func (c *cluster) write(address, value string) error {
@@ -57,7 +57,7 @@
 			}
 			c.stop(c.at(members[1]))
 			<-time.After(gone)
-			took = c.join("new", "elsewhere")
+			took = c.join("new")
 			for _, address := range []string{members[0], members[2], "new"} {
 				views = append(views, c.viewOf(address))
 			}
@@ -86,7 +86,7 @@
 			c.seeds = c.at(address).manager.View().Members // as the operator's list stands by then
 			c.stop(c.at(address))
 			<-time.After(time.Second)
-			slowest = max(slowest, c.join(fmt.Sprintf("new-%d", i), "elsewhere"))
+			slowest = max(slowest, c.join(fmt.Sprintf("new-%d", i)))
 		}
 		last = c.viewOf("new-2")
 		value = c.read("new-0")
@@ -109,7 +109,7 @@
 		leaving := c.at(members[0])
 		begin := time.Now()
 		leaving.manager.Leave(leaving.ctx)
-		joiningMember.awaitMembership(time.Minute)
+		joiningMember.awaitMembership()
 		took = time.Since(begin)
 		after = c.viewOf(members[2])
 	})
@@ -149,13 +149,13 @@
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		c.write(members[0], "old")
 		c.network.Partition(members[0], true)
-		c.join("new", "elsewhere")
+		c.join("new")
 		c.write(members[1], "young")
 		c.network.Partition(members[0], false)
 		<-time.After(5 * time.Second)
 		outside, ready = c.viewOf(members[0]), c.at(members[0]).rebuilder.Ready()
 		c.stop(c.at(members[1]))
-		c.at(members[0]).awaitMembership(time.Minute)
+		c.at(members[0]).awaitMembership()
 		inside = c.viewOf(members[0])
 		c.stop(c.at("new"))
 		value = c.read(members[0])
@@ -182,7 +182,7 @@
 		<-time.After(time.Second)
 		one := c.start("new-0", "elsewhere", storage.NewMemory(), false)
 		other := c.start("new-1", "zone of "+members[1], storage.NewMemory(), false)
-		first, second = one.awaitMembership(time.Minute), other.awaitMembership(time.Minute)
+		first, second = one.awaitMembership(), other.awaitMembership()
 		<-time.After(2 * time.Second)
 		for _, address := range append(members[2:], "new-0", "new-1") {
 			views = append(views, c.viewOf(address))
--- a/internal/controlplane/replicaset/rulemutants_test.go
+++ b/internal/controlplane/replicaset/rulemutants_test.go
@@ -8,7 +8,20 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// unilateralSuccession decides alone.
+// ruleMutant breaks one rule in a test; the zero value breaks none.
+type ruleMutant struct {
+	name                    string
+	noRebuild               bool // a joining member votes before it is rebuilt
+	votesInOldView          bool // a member votes for a while in the view before the one that it has learned
+	dumpsInOldView          bool // a member gives a snapshot of its tables without having stored the receiver's view
+	keepsOldVotes           bool // a member that was replaced votes with its old disk when it rejoins
+	decidesAlone            bool // a single member decides the next view
+	stopsAtOnce             bool // a departing member does not wait for its successor
+	refusesOwnReplacement   bool // a departing member does not vote for its own replacement
+	replacedGivesNoSnapshot bool // a replaced member gives no snapshot
+}
+
+// unilateralSuccession commits a view without the other members.
 type unilateralSuccession struct{}
 
 // Commit implements replicaset.Succession.
@@ -21,13 +34,13 @@
 	return replicaset.View{}, false, nil
 }
 
-// neverAbsentViews says that this process has always been a member.
+// neverAbsentViews say that this process has always been a member.
 type neverAbsentViews struct{ *replicaset.Manager }
 
 // Absences implements rebuild.Views.
 func (neverAbsentViews) Absences() uint64 { return 0 }
 
-// prematureViews answers as if each view that it was told were learned.
+// prematureViews return a received view as if it were stored.
 type prematureViews struct {
 	*replicaset.Manager
 	mutex    sync.Mutex
@@ -52,7 +65,7 @@
 	return v.received
 }
 
-// staleViewTime is how long a member serves the old view in a mutant.
+// staleViewTime is how long a member works with the old view in a mutant.
 const staleViewTime = 4 * time.Second
 
 // staleView returns a view some time after it became the current one.
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -8,10 +8,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// untilRecovered is until when a machine counts as lost that is not back yet.
+// untilRecovered is how long a machine counts as failed whose recovery is open.
 const untilRecovered = 24 * time.Hour
 
-// injectFault begins one fault, if no more than the tolerated number of machines is then lost. Faults overlap.
+// injectFault begins one fault, if no more than the tolerated number of machines have then failed. Faults overlap.
 func (m *faultSchedule) injectFault() {
 	kind, duration := m.random.IntN(10), time.Duration(m.random.Int64N(int64(3*time.Second)))
 	if kind >= 7 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// replaceOne replaces a machine by a new one: unplanned, after it was lost for good, or planned, where the new one comes
-// first and the old one is then told to stop.
+// replaceOne replaces a machine by a new one: unplanned, after it was lost for good, or planned, where the new one starts
+// first and the old one is then stopped gracefully.
 func (m *faultSchedule) replaceOne(kind int, duration time.Duration) {
 	if !m.beginReplacement() {
 		return
@@ -72,13 +72,13 @@
 		return
 	}
 	m.logEvent("%s is replaced, planned %v, wait %v", p.address, planned, duration)
-	diskLoss, index := m.random.IntN(3), m.random.IntN(len(m.newest.Members))
+	diskLoss, index := m.random.IntN(3), m.random.IntN(len(m.views.newest.Members))
 	m.faults.Go(func() {
 		defer m.endReplacement()
 		if planned {
 			m.startJoiningMember()
 			<-time.After(catchUpTime + duration/4)
-			m.logEvent("%s is told to stop, newcomers wait %v, view %v", p.address, p.manager.HasJoiningMembers(), p.manager.View().Members)
+			m.logEvent("%s is to stop, joining members %v, view %v", p.address, p.manager.HasJoiningMembers(), p.manager.View().Members)
 			if diskLoss == 1 {
 				m.loseDisk(p, index, duration)
 			}
@@ -97,11 +97,10 @@
 	})
 }
 
-// loseDisk lets another member than the one that leaves be down and come back without its disk, unless that is more than is
-// tolerated.
+// loseDisk stops another member than the departing one and restarts it without its disk, unless that is more than is tolerated.
 func (m *faultSchedule) loseDisk(departing *coreNode, index int, duration time.Duration) {
 	m.state.Lock()
-	address := m.newest.Members[index%len(m.newest.Members)]
+	address := m.views.newest.Members[index%len(m.views.newest.Members)]
 	m.state.Unlock()
 	if address == departing.address || !m.markFailed(address) {
 		return
@@ -120,6 +119,7 @@
 	})
 }
 
+// beginReplacement returns false while another replacement is in progress.
 func (m *faultSchedule) beginReplacement() bool {
 	m.state.Lock()
 	defer m.state.Unlock()
@@ -136,28 +136,29 @@
 	m.replacing = false
 }
 
+// startJoiningMember starts a new machine.
 func (m *faultSchedule) startJoiningMember() {
 	m.state.Lock()
 	address := fmt.Sprintf("core-%d", m.machines)
 	m.machines++
-	m.seeds = slices.Clone(m.newest.Members)
+	m.seeds = slices.Clone(m.views.newest.Members)
 	m.state.Unlock()
-	m.logEvent("%s comes", address)
+	m.logEvent("%s starts", address)
 	m.cluster.start(address, "elsewhere", storage.NewMemory(), false)
 }
 
-// anyHealthy returns a running member that does not count as lost; nil where chance picked another.
+// anyHealthy returns a running member that does not count as failed; nil where chance picked another.
 func (m *faultSchedule) anyHealthy() *coreNode {
 	m.state.Lock()
 	defer m.state.Unlock()
-	address := m.newest.Members[m.random.IntN(len(m.newest.Members))]
+	address := m.views.newest.Members[m.random.IntN(len(m.views.newest.Members))]
 	if time.Now().Before(m.failedUntil[address]) {
 		return nil
 	}
 	return m.at(address)
 }
 
-// failOne picks a member, and counts it as lost from now on; nil where that is one more than is tolerated.
+// failOne picks a member, and counts it as failed from now on; nil where that is one more than is tolerated.
 func (m *faultSchedule) failOne() *coreNode {
 	p := m.anyHealthy()
 	if p == nil || p.manager.Departing() || !m.markFailed(p.address) {
@@ -166,31 +167,32 @@
 	return p
 }
 
-// markFailed counts a machine as lost from now on; false where it is lost already, or that is one more than is tolerated.
+// markFailed counts a machine as failed from now on; false where it is already, or that is one more than is tolerated.
 func (m *faultSchedule) markFailed(address string) bool {
 	m.state.Lock()
 	defer m.state.Unlock()
-	lost := 0
+	failed := 0
 	for _, until := range m.failedUntil {
 		if time.Now().Before(until) {
-			lost++
+			failed++
 		}
 	}
-	if lost >= m.tolerated || time.Now().Before(m.failedUntil[address]) {
+	if failed >= m.tolerated || time.Now().Before(m.failedUntil[address]) {
 		return false
 	}
 	m.failedUntil[address] = time.Now().Add(untilRecovered)
 	return true
 }
 
-// markRecovered ends a fault: the machine counts as lost until it has had the time to catch up.
+// markRecovered ends a fault: the machine counts as failed until it has had the time to catch up.
 func (m *faultSchedule) markRecovered(address string) {
 	m.state.Lock()
 	defer m.state.Unlock()
 	m.failedUntil[address] = time.Now().Add(catchUpTime)
-	m.events = append(m.events, fmt.Sprintf("%v: %s is back", time.Since(m.start), address))
+	m.events = append(m.events, fmt.Sprintf("%v: %s has recovered", time.Since(m.start), address))
 }
 
+// logEvent adds an event to the report.
 func (m *faultSchedule) logEvent(format string, values ...any) {
 	m.state.Lock()
 	defer m.state.Unlock()
