--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -1,7 +1,6 @@
 package register
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -15,26 +14,27 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Pauses between attempts; each is drawn between half of the bound and the bound, which doubles.
+// Bounds of the backoff between attempts; each is drawn between half of the bound and the bound, which doubles.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// Config names what a register works with.
+// Config is what a Register needs.
 type Config struct {
 	Name        string                 // the same at all members
 	Self        string                 // this process's internal address
 	Acceptor    *Acceptor              // this member's own, which is called directly; nil where there is none
 	View        func() replicaset.View // the current view
-	OnNewerView func(replicaset.View)  // told of a newer view that a member works with; may be nil
+	OnNewerView func(replicaset.View)  // called with a newer view that a member works with; may be nil
 	Caller      transport.Caller
-	// RandomBelow returns a random duration below a bound; nil draws from the process's source. A simulation gives its own, so that
-	// its seed replays it.
+	// RandomBelow returns a random duration below a bound; nil draws from the process's source. A simulation gives its own, so
+	// that its seed replays it.
 	RandomBelow func(bound time.Duration) time.Duration
 }
 
-// Register is a proposer: it reads and changes the register's value. Its changes follow each other.
+// Register is a proposer: it reads and changes the register's value. Its methods may be called from any goroutine; its changes
+// are made one after the other, so that they do not compete.
 type Register struct {
 	config   Config
 	changing chan struct{} // holds a token while nobody changes the register here
@@ -42,7 +42,7 @@
 	mutex   sync.Mutex        // guards what follows
 	counter uint64            // highest that was seen or used in a proposal number
 	cached  cachedState       // newest that was read or accepted
-	partial *chunks.Assembler // of a state that has not arrived whole
+	partial *chunks.Assembler // of a value that is not complete yet
 
 	// Rules of the protocol; tests replace them to show that each is needed.
 	roundLimit       time.Duration
@@ -81,8 +81,8 @@
 	return value, nil
 }
 
-// waitTurn waits until no other change of this proposer is under way. A change that was given up gets no turn: its
-// proposals would only get in the way of others'.
+// waitTurn waits until no other change of this proposer is under way. A change whose context has ended gets no turn: its
+// proposals would only compete with those of others.
 func (r *Register) waitTurn(ctx context.Context) error {
 	if ctx.Err() == nil {
 		select {
@@ -135,6 +135,7 @@
 	return ProposalNumber{Counter: r.counter, Member: r.config.Self}
 }
 
+// observe makes later proposal numbers higher than one that was promised to anyone.
 func (r *Register) observe(proposalNumber ProposalNumber) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -154,6 +155,8 @@
 	return member == r.config.Self && r.config.Acceptor != nil
 }
 
+// prepare, accept and read send a request to a member. The local acceptor is called without the network, and its answers have
+// the value inline in any case.
 func (r *Register) prepare(ctx context.Context, member string, request prepareRequest) (reply, error) {
 	if r.isLocal(member) {
 		request.Known = ProposalNumber{}
@@ -176,11 +179,6 @@
 	return readCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
 }
 
-// unchanged tells whether a function left a value as it was.
-func unchanged(current, next []byte) bool {
-	return (current == nil) == (next == nil) && bytes.Equal(current, next)
-}
-
 // backOff waits a random time before the next attempt.
 func (r *Register) backOff(ctx context.Context, attempt int) error {
 	draw := r.config.RandomBelow
--- a/internal/controlplane/replication/campaign.go
+++ b/internal/controlplane/replication/campaign.go
@@ -7,21 +7,21 @@
 )
 
 // startCampaign is one attempt to become leader. First it asks a majority whether they would vote, which disturbs no
-// present leader; then it asks for their votes under a new epoch.
+// present leader; then it asks for their votes under a new term.
 type campaign struct {
 	group        *group
 	view         replicaset.View
 	phaseStarted time.Duration // of the round under way
 	preVoting    bool
 	term         uint64 // known from the second round on
-	highestTerm  uint64 // epoch seen so far
+	highestTerm  uint64 // term seen so far
 	granted      map[string]voteReply
 	unanswered   int // calls without an answer
 	ended        bool
 }
 
 func (g *group) startCampaign() {
-	g.campaigning = &campaign{group: g, view: g.core.view, highestTerm: g.core.leaders.byGroup[g.name].Epoch}
+	g.campaigning = &campaign{group: g, view: g.core.view, highestTerm: g.core.leaders.byGroup[g.name].Term}
 	g.campaigning.startPreVote()
 }
 
@@ -62,7 +62,7 @@
 	})
 }
 
-// take counts one member's answer. An answer to an earlier round, or one that comes too late, counts for nothing.
+// append counts one member's answer. An answer to an earlier round, or one that comes too late, counts for nothing.
 func (c *campaign) countVote(address string, request voteRequest, reply voteReply, err error) {
 	c.highestTerm = max(c.highestTerm, reply.Term)
 	if c.ended || request.PreVote != c.preVoting {
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Votes, batches and heartbeats have epochs and positions, so that one that comes again changes nothing.
+// Internal calls. Votes, batches and heartbeats have terms and positions, so that one that comes again changes nothing.
 // A resignation that came late would make a process that is back count as gone.
 var (
 	voteCall     = transport.NewIdempotent[voteRequest, voteReply]("/replication/prepare")
@@ -28,21 +28,6 @@
 	Value []byte `msgpack:"v"`
 }
 
-// Position names one state of a group: the Sequence-th batch of the leader that was elected under Epoch.
-// The zero Position is the empty state before the first leader.
-type Position struct {
-	Term  uint64 `msgpack:"e"`
-	Index uint64 `msgpack:"s"`
-}
-
-// Before tells whether the position is older than another.
-func (p Position) Before(other Position) bool {
-	if p.Term != other.Term {
-		return p.Term < other.Term
-	}
-	return p.Index < other.Index
-}
-
 // voteRequest asks for a vote. With Probe set, it asks whether a vote would be given, and changes nothing.
 type voteRequest struct {
 	Group     string   `msgpack:"g"`
@@ -55,7 +40,7 @@
 
 type voteReply struct {
 	Granted  bool              `msgpack:"g"`
-	Term     uint64            `msgpack:"m"` // the highest epoch promised
+	Term     uint64            `msgpack:"m"` // the highest term promised
 	Position Position          `msgpack:"p"`
 	State    map[string][]byte `msgpack:"s,omitempty"` // only where Position is newer than the candidate's
 	// StateOmitted tells that Position is newer than the candidate's and that the state does not fit into this message. The
@@ -99,7 +84,7 @@
 	unavailable      appendOutcome = iota // the replica may not vote at present, or has a newer view
 	accepted                              // the replica follows the leader; its position is in the reply
 	positionMismatch                      // the replica follows the leader, but the batch does not continue its position
-	staleTerm                             // the replica has promised a higher epoch
+	staleTerm                             // the replica has promised a higher term
 	incomplete                            // the replica follows the leader, and wants the part that the reply names
 )
 
--- a/internal/fakes/searcher.go
+++ b/internal/fakes/searcher.go
@@ -6,6 +6,7 @@
 	"encoding/binary"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net"
 	"strconv"
@@ -14,8 +15,8 @@
 	"time"
 )
 
-// Searcher answers part calls, so many at once and the others behind them, each after a service time.
-type Searcher struct {
+// Backend answers part calls, so many at once and the others behind them, each after a service time.
+type Backend struct {
 	Name string
 	Cell int
 	Zone string
@@ -37,19 +38,23 @@
 	out      atomic.Int64
 	mostOut  atomic.Int64
 	byShard  [1024]atomic.Int64
-	executed sync.Map // part id -> *atomic.Int64
-	arrived  sync.Map // part id -> *[2]time.Time, its first and last arrival
+	executed map[string]int64    // by part id; mu guards it
+	arrived  map[string]arrivals // by part id; mu guards it
 }
 
-// NewSearcher listens on loopback, with so many slots.
-func NewSearcher(name, zone string, cell, slots int, service time.Duration) (*Searcher, error) {
-	s := &Searcher{Name: name, Cell: cell, Zone: zone, slots: make(chan struct{}, slots), connections: map[net.Conn]bool{}}
+// arrivals are when a part arrived for the first and the last time.
+type arrivals struct{ first, last time.Time }
+
+// NewBackend listens on loopback, with so many slots.
+func NewBackend(name, zone string, cell, slots int, service time.Duration) (*Backend, error) {
+	s := &Backend{Name: name, Cell: cell, Zone: zone, slots: make(chan struct{}, slots), connections: map[net.Conn]bool{},
+		executed: map[string]int64{}, arrived: map[string]arrivals{}}
 	s.service.Store(int64(service))
 	return s, s.Start()
 }
 
 // Start listens, on a new port after a Kill.
-func (s *Searcher) Start() error {
+func (s *Backend) Start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -62,7 +67,7 @@
 }
 
 // Entry is how the register lists it; long past says that it started long ago.
-func (s *Searcher) Entry(state string, longPast bool) Entry {
+func (s *Backend) Entry(state string, longPast bool) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := Entry{ID: s.Name, Address: s.listener.Addr().String(), Zone: s.Zone, Kind: "m", Cell: s.Cell, State: state, Weight: 1}
@@ -73,7 +78,7 @@
 }
 
 // Kill ends its connections and listens no more, as a process that dies.
-func (s *Searcher) Kill() {
+func (s *Backend) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -84,41 +89,63 @@
 	clear(s.connections)
 }
 
-// SetService changes the mean service time, SetFailing lets it fail each call, SetSilent lets it answer nothing.
-func (s *Searcher) SetService(d time.Duration) { s.service.Store(int64(d)) }
-func (s *Searcher) SetFailing(on bool)         { s.failing.Store(on) }
-func (s *Searcher) SetSilent(on bool)          { s.silent.Store(on) }
-
-// Calls is how many part calls it has taken, of one shard CallsOf; Out how many are in it, and MostOut their peak since
-// the last time that it was asked.
-func (s *Searcher) Calls() int64            { return s.calls.Load() }
-func (s *Searcher) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
-func (s *Searcher) Out() int64              { return s.out.Load() }
-func (s *Searcher) MostOut() int64          { return s.mostOut.Swap(s.out.Load()) }
-func (s *Searcher) Executed(f func(id string, times int64)) {
-	s.executed.Range(func(id, n any) bool { f(id.(string), n.(*atomic.Int64).Load()); return true })
+// SetService changes the mean service time.
+func (s *Backend) SetService(d time.Duration) { s.service.Store(int64(d)) }
+
+// SetFailing lets it fail each call.
+func (s *Backend) SetFailing(on bool) { s.failing.Store(on) }
+
+// SetSilent lets it answer nothing.
+func (s *Backend) SetSilent(on bool) { s.silent.Store(on) }
+
+// Calls is how many part calls it has taken.
+func (s *Backend) Calls() int64 { return s.calls.Load() }
+
+// CallsOf is how many part calls of one shard it has taken.
+func (s *Backend) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
+
+// Out is how many part calls are in it.
+func (s *Backend) Out() int64 { return s.out.Load() }
+
+// MostOut is the peak of Out since the last call of MostOut.
+func (s *Backend) MostOut() int64 { return s.mostOut.Swap(s.out.Load()) }
+
+// Executed tells how often each part was executed here.
+func (s *Backend) Executed(f func(id string, times int64)) {
+	s.mu.Lock()
+	executed := maps.Clone(s.executed)
+	s.mu.Unlock()
+	for id, times := range executed {
+		f(id, times)
+	}
 }
 
 // Arrivals tells when each part came here first and last.
-func (s *Searcher) Arrivals(f func(id string, first, last time.Time)) {
+func (s *Backend) Arrivals(f func(id string, first, last time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrived.Range(func(id, at any) bool { f(id.(string), at.(*[2]time.Time)[0], at.(*[2]time.Time)[1]); return true })
+	for id, at := range s.arrived {
+		f(id, at.first, at.last)
+	}
 }
 
 // arrives notes a part's arrival.
-func (s *Searcher) arrives(id string) {
+func (s *Backend) arrives(id string) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, _ := s.arrived.LoadOrStore(id, &[2]time.Time{now, now})
-	at.(*[2]time.Time)[1] = now
+	at, known := s.arrived[id]
+	if !known {
+		at.first = now
+	}
+	at.last = now
+	s.arrived[id] = at
 }
 
-// named is a part's name among all lookups: its query's text and its shard.
+// named is a part's name among all queries: its query's text and its shard.
 func named(id, query string) string { return query + " " + id[bytes.IndexByte([]byte(id), '.')+1:] }
 
-func (s *Searcher) accept(l net.Listener) {
+func (s *Backend) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -135,7 +162,7 @@
 	}
 }
 
-// connection is one that a mixer opened; answers of many calls share its writing side.
+// connection is one that an aggregator opened; answers of many calls share its writing side.
 type connection struct {
 	net.Conn
 	mu sync.Mutex
@@ -147,10 +174,10 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
-	conn.Write(frame)
+	_, _ = conn.Write(frame) // an aggregator that has left is found by the read
 }
 
-func (s *Searcher) serve(c net.Conn) {
+func (s *Backend) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -194,7 +221,7 @@
 }
 
 // call takes the parts of one frame.
-func (s *Searcher) call(conn *connection, rest []byte, given *sync.Map) bool {
+func (s *Backend) call(conn *connection, rest []byte, given *sync.Map) bool {
 	for len(rest) > 0 {
 		head, after, found := bytes.Cut(rest, []byte{'\n'})
 		fields := bytes.Fields(head)
@@ -221,15 +248,16 @@
 	return true
 }
 
-func (s *Searcher) work(conn *connection, id, query string, given *sync.Map) {
+func (s *Backend) work(conn *connection, id, query string, given *sync.Map) {
 	defer s.out.Add(-1)
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	if _, gone := given.Load(id); gone {
 		return
 	}
-	times, _ := s.executed.LoadOrStore(named(id, query), new(atomic.Int64))
-	times.(*atomic.Int64).Add(1)
+	s.mu.Lock()
+	s.executed[named(id, query)]++
+	s.mu.Unlock()
 	mean := float64(s.service.Load())
 	time.Sleep(time.Duration(mean * (0.5 + rand.Float64())))
 	end := "done"
