--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -1,4 +1,6 @@
-// Package control serves the operator's API: PUT and GET of the configuration.
+// Package control serves the operators' API of the configuration: GET, and PUT as a compare-and-swap by If-Match. A PUT whose
+// outcome is not known in time is answered by 503, and may be sent again unchanged. Package operations serves the rest of the
+// operators' API.
 package control
 
 import (
@@ -9,22 +11,21 @@
 	"strconv"
 	"time"
 
-	"github.com/go-json-experiment/json"
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/configuration"
 	"puffinlink.example/puffinlink/internal/controlplane/entitytag"
 )
 
-// Path is where the configuration is read and changed.
+// Path is the path of the configuration.
 const Path = "/-/configuration"
 
 const (
-	// responseTimeout is how long a call waits for its end; callers turn to another node after a second.
+	// responseTimeout bounds the time to a response; callers turn to another node after a second.
 	responseTimeout = 900 * time.Millisecond
-	// changeTimeout bounds an order, which goes on after its call was answered as unclear.
+	// changeTimeout bounds a change, which continues after its request was answered as uncertain.
 	changeTimeout = 3 * time.Second
-	// maxConcurrentChanges bounds the orders under way at once, and with them the memory that their bodies take.
+	// maxConcurrentChanges bounds the changes in flight, and with them the memory that their bodies take.
 	maxConcurrentChanges = 32
 )
 
@@ -39,10 +40,10 @@
 	lifetime     context.Context
 	configurator Configurator
 	logger       *zap.Logger
-	inFlight     chan struct{}
+	inFlight     chan struct{} // one token for each change
 }
 
-// New makes a Handler. Orders that are still under way end with lifetime.
+// New makes a Handler. Changes that are still in flight end with lifetime.
 func New(lifetime context.Context, configurator Configurator, logger *zap.Logger) *Handler {
 	return &Handler{
 		lifetime:     lifetime,
@@ -105,8 +106,9 @@
 	h.writeOutcome(w, h.applyChange(ifMatch, body))
 }
 
-// applyChange runs an order that holds one of the places in h.orders, and gives the place back at its end. After responseTimeout
-// it is reported as unclear but goes on, so that a slow majority still takes it and the caller's next try finds it taken.
+// applyChange runs a change for which the caller has put a token into h.inFlight, and takes the token out at its end. After
+// responseTimeout the change is reported as uncertain but continues, so that a slow majority still accepts it and the caller's
+// retry finds it accepted.
 func (h *Handler) applyChange(ifMatch uint64, body []byte) configuration.Outcome {
 	outcomes := make(chan configuration.Outcome, 1)
 	go func() {
@@ -127,7 +129,7 @@
 
 var errUncertain = errors.New("the change may or may not be taken; send it again unchanged")
 
-// acceptedBody is the body of an accepted order's answer.
+// acceptedBody is the body of the response to an accepted change.
 type acceptedBody struct {
 	Version uint64 `json:"version"`
 }
@@ -141,12 +143,12 @@
 	case configuration.Conflict:
 		writeError(w, http.StatusPreconditionFailed, outcome.Err.Error())
 	default:
-		h.logger.Info("order without a clear end", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
+		h.logger.Info("configuration change without a clear outcome", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
 		writeError(w, http.StatusServiceUnavailable, uncertainText(outcome.Err))
 	}
 }
 
-// uncertainText is what the operator is to do about an order without a clear end.
+// uncertainText tells the operator what to do about a change without a clear outcome.
 func uncertainText(err error) string {
 	if errors.Is(err, configuration.ErrOlderThanHistory) || errors.Is(err, configuration.ErrBaseNotInForce) {
 		return err.Error()
@@ -166,8 +168,8 @@
 	return version, nil
 }
 
-// readBody reads a request's body. With an error comes the status that answers it: one that makes the caller try again
-// only where the bytes failed to arrive in time.
+// readBody reads a request's body. With an error it returns the status of the response, which makes the caller retry only
+// where the bytes failed to arrive in time.
 func readBody(w http.ResponseWriter, r *http.Request) (body []byte, status int, err error) {
 	body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, configuration.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -182,28 +184,3 @@
 	}
 	return nil, http.StatusRequestTimeout, errors.New("the body did not arrive; send it again")
 }
-
-// Failure is the body of an answer that reports an error.
-type Failure struct {
-	Error string `json:"error"`
-}
-
-func writeError(w http.ResponseWriter, status int, text string) {
-	WriteJSON(w, status, Failure{Error: text})
-}
-
-func WriteJSON(w http.ResponseWriter, status int, content any) {
-	body, err := json.Marshal(content)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	writeBody(w, status, body)
-}
-
-func writeBody(w http.ResponseWriter, status int, body []byte) {
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(status)
-	w.Write(body)
-}
--- a/internal/controlplane/control/control_test.go
+++ b/internal/controlplane/control/control_test.go
@@ -21,7 +21,7 @@
 
 var errNoMajority = errors.New("no majority")
 
-// fakeConfigurator answers as it is told.
+// fakeConfigurator returns what the test sets.
 type fakeConfigurator struct {
 	outcome configuration.Outcome
 	version uint64
@@ -75,7 +75,7 @@
 		fake := &fakeConfigurator{outcome: configuration.Outcome{Kind: configuration.Accepted, Version: 7}}
 		handler := New(context.Background(), fake, zap.NewNop())
 
-		Convey("an accepted order answers 200, and arrives as it was sent", func() {
+		Convey("an accepted change is answered by 200, and arrives as it was sent", func() {
 			answer := call(handler, "PUT", Path, "5", "the body")
 			So(answer.Code, ShouldEqual, 200)
 			So(answer.Header().Get("Content-Type"), ShouldEqual, "application/json")
@@ -87,7 +87,7 @@
 			So(call(handler, "PUT", Path, `"18446744073709551615"`, "").Code, ShouldEqual, 200)
 			So(fake.ifMatch, ShouldEqual, uint64(18446744073709551615))
 		})
-		Convey("an If-Match that is missing or no version answers 400", func() {
+		Convey("a missing or malformed If-Match is answered by 400", func() {
 			for _, ifMatch := range []string{"", "*", "-1", "five", "5,6"} {
 				answer := call(handler, "PUT", Path, ifMatch, "the body")
 				So(answer.Code, ShouldEqual, 400)
@@ -117,13 +117,13 @@
 				So(answer.Body.String(), ShouldStartWith, `{"error":`)
 			}
 		})
-		Convey("a body over the limit answers 413, and gives its place back", func() {
+		Convey("a body over the limit is answered by 413, and is not in flight any more", func() {
 			long := strings.Repeat("x", configuration.MaxBodyBytes+1)
 			So(call(handler, "PUT", Path, "5", long).Code, ShouldEqual, 413)
 			So(len(handler.inFlight), ShouldEqual, 0)
 			So(fake.put, ShouldBeEmpty)
 		})
-		Convey("other paths and methods are refused", func() {
+		Convey("other paths and methods are rejected", func() {
 			So(call(handler, "PUT", "/other", "5", "").Code, ShouldEqual, 404)
 			answer := call(handler, "POST", Path, "5", "")
 			So(answer.Code, ShouldEqual, 405)
@@ -134,7 +134,7 @@
 
 func TestSlowChangesAreUncertainInTime(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("It is answered as unclear in time, and goes on up to its bound", t, func() {
+		Convey("It is answered as uncertain in time, and continues up to its time-out", t, func() {
 			fake := &fakeConfigurator{hold: make(chan struct{})}
 			handler := New(context.Background(), fake, zap.NewNop())
 			began := time.Now()
@@ -155,7 +155,7 @@
 			synctest.Wait()
 			So(fake.putErr, ShouldEqual, context.Canceled)
 		})
-		Convey("More than a bounded number at once are refused", t, func() {
+		Convey("More than a bounded number at once are rejected", t, func() {
 			hold := make(chan struct{})
 			handler := New(context.Background(), blockedPuts{hold}, zap.NewNop())
 			statuses := make(chan int, maxConcurrentChanges)
@@ -172,7 +172,7 @@
 	})
 }
 
-// blockedPuts accepts every order once its channel is closed.
+// blockedPuts accepts every change once its channel is closed.
 type blockedPuts struct{ hold chan struct{} }
 
 func (h blockedPuts) Put(context.Context, uint64, []byte) configuration.Outcome {
@@ -186,10 +186,10 @@
 	Convey("Given a handler", t, func() {
 		fake := &fakeConfigurator{}
 		handler := New(context.Background(), fake, zap.NewNop())
-		Convey("before the first configuration it answers 404", func() {
+		Convey("before the first configuration the response is 404", func() {
 			So(call(handler, "GET", Path, "", "").Code, ShouldEqual, 404)
 		})
-		Convey("it answers the newest configuration whole", func() {
+		Convey("the response is the newest configuration", func() {
 			fake.version, fake.body = 7, `{"version": 7}`
 			answer := call(handler, "GET", Path, "", "")
 			So(answer.Code, ShouldEqual, 200)
@@ -197,13 +197,13 @@
 			So(answer.Header().Get("ETag"), ShouldEqual, `"7"`)
 			So(answer.Header().Get("Content-Type"), ShouldEqual, "application/json")
 		})
-		Convey("without a majority it answers 503", func() {
+		Convey("without a majority the response is 503", func() {
 			fake.readErr = errNoMajority
 			So(call(handler, "GET", Path, "", "").Code, ShouldEqual, 503)
 		})
 	})
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("A read that takes long is answered in time", t, func() {
+		Convey("A slow read is answered in time", t, func() {
 			fake := &fakeConfigurator{hold: make(chan struct{})}
 			handler := New(context.Background(), fake, zap.NewNop())
 			began := time.Now()
@@ -238,11 +238,11 @@
 			return string(answer)
 		}
 		head := "PUT " + Path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nIf-Match: 0\r\n"
-		Convey("a whole body is taken", func() {
+		Convey("a complete body is accepted", func() {
 			So(send(head+"Content-Length: 4\r\n\r\nbody"), ShouldStartWith, "HTTP/1.1 200 ")
 			So(fake.put, ShouldEqual, "body")
 		})
-		Convey("a body that is cut short is not", func() {
+		Convey("a truncated body is rejected", func() {
 			So(send(head+"Content-Length: 9\r\n\r\nbody"), ShouldStartWith, "HTTP/1.1 400 ")
 			So(send(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"), ShouldStartWith, "HTTP/1.1 400 ")
 			So(fake.put, ShouldBeEmpty)
--- a/internal/controlplane/operations/api.go
+++ b/internal/controlplane/operations/api.go
@@ -1,8 +1,11 @@
 package operations
 
-import "puffinlink.example/puffinlink/internal/jobs/jobreport"
+import (
+	"puffinlink.example/puffinlink/internal/controlplane/control"
+	"puffinlink.example/puffinlink/internal/jobs/jobreport"
+)
 
-// Paths of the operators' endpoint. Names of workers and jobs are appended to the last two.
+// Paths of the API. IDs of workers and jobs are appended to the last two.
 const (
 	StatusPath  = "/-/status"
 	WorkersPath = "/-/searchers"
@@ -22,7 +25,7 @@
 	LimitParameter   = "limit"
 )
 
-// Identity names the node that answers.
+// Identity names the responding node.
 type Identity struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -35,12 +38,12 @@
 	Members []string `json:"members"`
 }
 
-// Member is another replica as the answering node hears it.
+// Member is another replica as the responding node sees it.
 type Member struct {
 	Address    string `json:"address"`
 	Alive      bool   `json:"alive"`
 	Ready      bool   `json:"ready"`      // it may vote; false while its disk is being rebuilt
-	Heard      bool   `json:"heard"`      // at all since the answering node started
+	Heard      bool   `json:"heard"`      // it has been heard from since the responding node started
 	HeardAgoMS int64  `json:"heardAgoMs"` // meaningless unless heard
 }
 
@@ -53,12 +56,12 @@
 	Error   string             `json:"error,omitempty"` // why the leader gave no summary
 }
 
-// Status is the answer of StatusPath.
+// Status is the response of StatusPath.
 type Status struct {
 	Node                 Identity `json:"mixer"`
 	UptimeMS             int64    `json:"uptimeMs"`
 	Rebuilt              bool     `json:"rebuilt"`   // its disk is complete, so that it votes
-	InContact            bool     `json:"inContact"` // a majority of the view has answered it of late
+	InContact            bool     `json:"inContact"` // a majority of the view has replied to it lately
 	ConfigurationVersion uint64   `json:"configurationVersion"`
 	View                 View     `json:"view"`
 	Members              []Member `json:"members"` // the others
@@ -66,32 +69,30 @@
 	Agents               []string `json:"agents"` // internal addresses of the agents on front machines
 }
 
-// Unanswered is a service whose leader gave no answer.
+// Unanswered is a service whose leader did not reply.
 type Unanswered struct {
 	Service string `json:"service"`
 	Error   string `json:"error"`
 }
 
-// Workers is the answer of WorkersPath.
+// Workers is the response of WorkersPath.
 type Workers struct {
 	Workers    []jobreport.Worker `json:"searchers"`
 	Unanswered []Unanswered       `json:"unanswered,omitempty"`
 }
 
-// Jobs is the answer of JobsPath.
+// Jobs is the response of JobsPath.
 type Jobs struct {
 	Jobs       []jobreport.Job `json:"jobs"`
 	Total      int             `json:"total"` // that match, listed or not
 	Unanswered []Unanswered    `json:"unanswered,omitempty"`
 }
 
-// Cancelled is the answer to a job's cancellation.
+// Cancelled is the response to the cancellation of a job.
 type Cancelled struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 }
 
-// Failure is the body of an answer that reports an error.
-type Failure struct {
-	Error string `json:"error"`
-}
+// Failure is the body of a response that reports an error, as for the configuration.
+type Failure = control.Failure
--- a/internal/controlplane/operations/errors.go
+++ b/internal/controlplane/operations/errors.go
@@ -4,18 +4,16 @@
 	"context"
 	"errors"
 	"net/http"
-	"strconv"
 	"time"
 
-	"github.com/go-json-experiment/json"
-
+	"puffinlink.example/puffinlink/internal/controlplane/control"
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// retryAfterSeconds is the hint of an answer that is worth another try, in seconds.
+// retryAfterSeconds is the Retry-After header of responses after which a retry may succeed.
 const retryAfterSeconds = "1"
 
-// statusError is an answer other than success.
+// statusError is an error with the status of its response.
 type statusError struct {
 	status int
 	text   string // says what is wrong and what to do about it
@@ -32,17 +30,17 @@
 	changedText    = "the configuration has just changed; nothing was done, try again"
 )
 
-// writeError answers with an error. That something does not exist, or that the jobs' state speaks against an order, is said
-// only once a majority has confirmed, after the request came, the services whose leaders were asked.
+// writeError writes the response for an error. 404 and 409 are written only once a majority has confirmed, after the request
+// arrived, the services whose leaders were called; a service that this node has not learned of might know better.
 func (h *Handler) writeError(w http.ResponseWriter, r *http.Request, err error) {
-	var answer *statusError
-	if errors.As(err, &answer) && answer.dependsOnState() {
+	var rejection *statusError
+	if errors.As(err, &rejection) && rejection.dependsOnState() {
 		err = h.confirm(r.Context(), err)
 	}
-	writeError(w, err)
+	writeUnconfirmedError(w, err)
 }
 
-// confirm returns the error, or another one where there may be services that were not asked.
+// confirm returns the error, or another one where there may be services whose leaders were not called.
 func (h *Handler) confirm(ctx context.Context, err error) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
@@ -56,17 +54,17 @@
 	return err
 }
 
-// dependsOnState tells whether the answer would be another one if there were a service more, or if a job were in another state.
+// dependsOnState tells whether the response would be different with one more service, or with a job in another state.
 func (e *statusError) dependsOnState() bool {
 	return e.status == http.StatusNotFound || e.status == http.StatusConflict
 }
 
-// writeError answers with an error: a statusError as it says, any other by its verdict.
-func writeError(w http.ResponseWriter, err error) {
-	var answer *statusError
+// writeUnconfirmedError writes the response for an error: the status of a statusError, else one by what the error says of the execution.
+func writeUnconfirmedError(w http.ResponseWriter, err error) {
+	var rejection *statusError
 	switch {
-	case errors.As(err, &answer):
-		writeFailure(w, answer.status, answer.text)
+	case errors.As(err, &rejection):
+		writeFailure(w, rejection.status, rejection.text)
 	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
 		writeFailure(w, http.StatusServiceUnavailable, err.Error()+"; nothing was done, try again")
 	default:
@@ -74,21 +72,10 @@
 	}
 }
 
+// writeFailure writes a response that reports an error, with a hint to retry where the fault is not the caller's.
 func writeFailure(w http.ResponseWriter, status int, text string) {
 	if status >= http.StatusInternalServerError {
 		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	write(w, status, Failure{Error: text})
-}
-
-func write(w http.ResponseWriter, status int, content any) {
-	body, err := json.Marshal(content)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(status)
-	w.Write(body)
+	control.WriteJSON(w, status, Failure{Error: text})
 }
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -35,7 +35,7 @@
 	bothJob   = "00000000000000cc"
 )
 
-// fakeCore plays the other nodes: it answers calls as the leaders would, and knows who leads.
+// fakeCore stands for the other nodes: it replies as the leaders would, and knows who leads.
 type fakeCore struct {
 	mutex   sync.Mutex
 	leaders map[string]feed.Leader
@@ -52,10 +52,10 @@
 	alone        bool         // the node has no contact to a majority
 	confirm      func() error // a quorum read
 	cancels      []jobapi.Cancel
-	// found is the state that leaders report of jobs, and cancelled what they answer to a cancellation, if set.
+	// jobState is the state that leaders report of jobs, and cancelled their reply to a cancellation, if set.
 	jobState  job.State
 	cancelled *jobapi.Cancelled
-	block     chan struct{} // calls wait until it is closed, if set
+	block     chan struct{} // if set, calls wait until it is closed
 	blocked   chan struct{} // receives one value for each call that waits
 }
 
@@ -178,7 +178,7 @@
 	return New(Options{Node: Identity{Name: "core-1"}, Sources: c.sources(), Caller: c, Next: next, Logger: zap.NewNop()})
 }
 
-// ask makes one request and reads the answer into a report, if there is one to read.
+// request makes one request and decodes the response into report, unless that is nil.
 func request(handler http.Handler, method, path string, report any) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(method, path, nil))
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -8,6 +8,7 @@
 
 	"go.uber.org/zap"
 
+	"puffinlink.example/puffinlink/internal/controlplane/control"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
@@ -19,7 +20,7 @@
 		h.writeError(w, r, err)
 		return
 	}
-	write(w, http.StatusOK, list)
+	control.WriteJSON(w, http.StatusOK, list)
 }
 
 func (h *Handler) listJobs(r *http.Request) (list Jobs, err error) {
@@ -36,27 +37,27 @@
 	if err != nil {
 		return list, err
 	}
-	answers := callLeaders[jobreport.JobsReply](r.Context(), h, groups, jobreport.JobsCall.Route(), func(group string) any {
+	replies := callLeaders[jobreport.JobsReply](r.Context(), h, groups, jobreport.JobsCall.Route(), func(group string) any {
 		return jobreport.JobsRequest{Group: group, State: state, Limit: limit}
 	})
-	if list.Unanswered, err = unanswered(answers); err != nil {
+	if list.Unanswered, err = unanswered(replies); err != nil {
 		return list, err
 	}
-	list.merge(answers, limit)
+	list.merge(replies, limit)
 	return list, nil
 }
 
-// merge takes the jobs of several services in turn, up to a limit.
-func (list *Jobs) merge(answers []leaderReply[jobreport.JobsReply], limit int) {
+// merge takes jobs of the services in turn, up to a limit.
+func (list *Jobs) merge(replies []leaderReply[jobreport.JobsReply], limit int) {
 	longest := 0
-	for _, one := range answers {
+	for _, one := range replies {
 		list.Total += one.reply.Total
 		longest = max(longest, len(one.reply.Jobs))
 	}
-	for place := range longest {
-		for _, one := range answers {
-			if place < len(one.reply.Jobs) && len(list.Jobs) < limit {
-				entry := one.reply.Jobs[place]
+	for position := range longest {
+		for _, one := range replies {
+			if position < len(one.reply.Jobs) && len(list.Jobs) < limit {
+				entry := one.reply.Jobs[position]
 				entry.Service = serviceOf(one.group)
 				list.Jobs = append(list.Jobs, entry)
 			}
@@ -83,13 +84,13 @@
 	return limit, nil
 }
 
-// found is a job and the group that knows it.
+// locatedJob is a job and the group that knows it.
 type locatedJob struct {
 	group  string
 	detail jobreport.JobDetail
 }
 
-// locate asks the leaders for the job that a request names.
+// locate finds the job that a request names, by calls to the leaders.
 func (h *Handler) locate(r *http.Request) (locatedJob, error) {
 	id := job.ID(r.PathValue("id"))
 	if !id.Valid() {
@@ -99,17 +100,17 @@
 	if err != nil {
 		return locatedJob{}, err
 	}
-	answers := callLeaders[jobreport.JobReply](r.Context(), h, groups, jobreport.JobCall.Route(), func(group string) any {
+	replies := callLeaders[jobreport.JobReply](r.Context(), h, groups, jobreport.JobCall.Route(), func(group string) any {
 		return jobreport.JobRequest{Group: group, ID: id}
 	})
-	return onlyMatch(id, answers)
+	return onlyMatch(id, replies)
 }
 
-// onlyMatch picks the only answer that knows a job.
-func onlyMatch(id job.ID, answers []leaderReply[jobreport.JobReply]) (locatedJob, error) {
+// onlyMatch picks the only reply that knows a job.
+func onlyMatch(id job.ID, replies []leaderReply[jobreport.JobReply]) (locatedJob, error) {
 	var matches []locatedJob
 	var failure error
-	for _, one := range answers {
+	for _, one := range replies {
 		switch {
 		case one.err != nil:
 			failure = one.err
@@ -140,7 +141,7 @@
 		h.writeError(w, r, err)
 		return
 	}
-	write(w, http.StatusOK, match.detail)
+	control.WriteJSON(w, http.StatusOK, match.detail)
 }
 
 func (h *Handler) why(w http.ResponseWriter, r *http.Request) {
@@ -155,7 +156,7 @@
 		h.writeError(w, r, err)
 		return
 	}
-	write(w, http.StatusOK, reply.Why)
+	control.WriteJSON(w, http.StatusOK, reply.Why)
 }
 
 func (h *Handler) cancel(w http.ResponseWriter, r *http.Request) {
@@ -168,11 +169,11 @@
 		return
 	}
 	h.options.Logger.Info("operator's cancellation", zap.String("service", match.detail.Service), zap.String("job", string(match.detail.ID)))
-	write(w, http.StatusOK, Cancelled{ID: string(match.detail.ID), Service: match.detail.Service})
+	control.WriteJSON(w, http.StatusOK, Cancelled{ID: string(match.detail.ID), Service: match.detail.Service})
 }
 
-// cancelJob asks the job's leader. The outcome rests on the durable state in the answer and not on what was found before:
-// the job may have ended since, and what was found may have been lost.
+// cancelJob calls the job's leader. The outcome follows from the durable state in the reply and not from what was located
+// before: the job may have ended since, or that state may have been lost.
 func (h *Handler) cancelJob(ctx context.Context, match locatedJob) error {
 	var reply jobapi.Cancelled
 	err := h.callLeader(ctx, match.group, jobapi.CancelCall.Route(), jobapi.Cancel{Group: match.group, ID: match.detail.ID}, &reply)
--- a/internal/controlplane/operations/jobs_test.go
+++ b/internal/controlplane/operations/jobs_test.go
@@ -31,7 +31,7 @@
 		c := newFakeCore()
 		var list Jobs
 
-		Convey("the list takes them in turn, names their services and tells how many there are", func() {
+		Convey("the list takes them in turn, with their services and the total", func() {
 			So(request(c.handler(), "GET", JobsPath+"?limit=3", &list).Code, ShouldEqual, http.StatusOK)
 			So(list.Total, ShouldEqual, 4)
 			So(list.Jobs, ShouldHaveLength, 3)
@@ -39,19 +39,19 @@
 			So(list.Jobs[1].Service, ShouldEqual, "stress")
 			So(list.Jobs[1].ID, ShouldEqual, job.ID(stressJob))
 		})
-		Convey("a state or a limit that is not one is refused", func() {
+		Convey("an invalid state or limit is rejected", func() {
 			for _, query := range []string{"state=none", "limit=0", "limit=x", fmt.Sprint("limit=", jobreport.MaxJobs+1)} {
 				So(request(c.handler(), "GET", JobsPath+"?"+query, nil).Code, ShouldEqual, http.StatusBadRequest)
 			}
 		})
-		Convey("a leader that gives no answer is named", func() {
+		Convey("a service whose leader does not reply is listed as unanswered", func() {
 			c.fail = failAt("10.0.0.1:7660", errNotLeader)
 			So(request(c.handler(), "GET", JobsPath, &list).Code, ShouldEqual, http.StatusOK)
 			So(list.Jobs, ShouldHaveLength, 2)
 			So(list.Unanswered, ShouldHaveLength, 1)
 			So(list.Unanswered[0].Service, ShouldEqual, "pricing")
 		})
-		Convey("no answer at all is an error", func() {
+		Convey("no reply at all is an error", func() {
 			c.fail = func(string, string) error { return errNotLeader }
 			So(request(c.handler(), "GET", JobsPath, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 		})
@@ -66,18 +66,18 @@
 		var detail jobreport.JobDetail
 		var failure Failure
 
-		Convey("a job is found wherever it is", func() {
+		Convey("a job is located in any service", func() {
 			So(request(c.handler(), "GET", JobsPath+"/"+stressJob, &detail).Code, ShouldEqual, http.StatusOK)
 			So(detail.Service, ShouldEqual, "stress")
 			var why jobreport.Why
 			So(request(c.handler(), "GET", JobsPath+"/"+stressJob+"/why", &why).Code, ShouldEqual, http.StatusOK)
 			So(why.ID, ShouldEqual, job.ID(stressJob))
 		})
-		Convey("an ID of another form is refused, and an unknown one is not found", func() {
+		Convey("a malformed ID is rejected, and an unknown one is not found", func() {
 			So(request(c.handler(), "GET", JobsPath+"/abc", nil).Code, ShouldEqual, http.StatusBadRequest)
 			So(request(c.handler(), "GET", JobsPath+"/ffffffffffffffff", nil).Code, ShouldEqual, http.StatusNotFound)
 		})
-		Convey("an unknown one may be known to a leader that gives no answer", func() {
+		Convey("an unknown job may be known to a leader that does not reply", func() {
 			c.fail = failAt("10.0.0.2:7660", errNotLeader)
 			So(request(c.handler(), "GET", JobsPath+"/"+stressJob, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 		})
@@ -89,22 +89,22 @@
 			So(c.cancels, ShouldHaveLength, 1)
 			So(c.cancels[0].Group, ShouldEqual, "jobs/pricing")
 		})
-		Convey("a job is cancelled where it is", func() {
+		Convey("a job is cancelled in its service", func() {
 			var cancelled Cancelled
 			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, &cancelled).Code, ShouldEqual, http.StatusOK)
 			So(cancelled, ShouldResemble, Cancelled{ID: priceJob, Service: "pricing"})
 			So(c.cancels, ShouldHaveLength, 1)
 		})
-		Convey("a cancellation that was taken is confirmed again", func() {
+		Convey("a repeated cancellation is confirmed again", func() {
 			c.jobState = job.Cancelled
 			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusOK)
 		})
-		Convey("a job that ends while its cancellation is under way is not reported as cancelled", func() {
+		Convey("a job that completes while its cancellation is in flight is not reported as cancelled", func() {
 			c.cancelled = &jobapi.Cancelled{Known: true, State: job.Completed}
 			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, &failure).Code, ShouldEqual, http.StatusConflict)
 			So(failure.Error, ShouldContainSubstring, "it is completed")
 		})
-		Convey("an end that is not durable yet refuses no cancellation", func() {
+		Convey("a completion that is not durable yet does not reject a cancellation", func() {
 			c.jobState = job.Completed
 			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusOK)
 			So(c.cancels, ShouldHaveLength, 1)
@@ -122,7 +122,7 @@
 	Convey("Given a service whose leader changes", t, func() {
 		c := newFakeCore()
 
-		Convey("a request that the old leader refuses is sent to the new one", func() {
+		Convey("a request that the old leader rejects is sent to the new one", func() {
 			c.fail = func(address, _ string) error {
 				if address != "10.0.0.2:7660" {
 					return nil
@@ -140,7 +140,7 @@
 			So(request(c.handler(), "GET", WorkersPath+"?service=stress", nil).Code, ShouldEqual, http.StatusOK)
 			So(time.Since(begin), ShouldEqual, leaderPollInterval/4)
 		})
-		Convey("an unclear failure is tried again, as a repetition does no harm", func() {
+		Convey("a request that may have been executed is retried, as it is idempotent", func() {
 			failures := 1
 			c.fail = func(string, string) error {
 				if failures--; failures >= 0 {
@@ -151,7 +151,7 @@
 			So(request(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", nil).Code, ShouldEqual, http.StatusOK)
 			So(c.drains, ShouldHaveLength, 1)
 		})
-		Convey("one that stays unclear is reported as such", func() {
+		Convey("one that keeps failing so is reported as maybe executed", func() {
 			c.fail = func(string, string) error { return errReset }
 			var failure Failure
 			answer := request(c.handler(), "POST", WorkersPath+"/i-stress/drain?service=stress", &failure)
--- a/internal/controlplane/operations/leadercalls.go
+++ b/internal/controlplane/operations/leadercalls.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	forwardTimeout     = 3 * time.Second         // for an answer of a leader, whoever that is in the meantime
+	forwardTimeout     = 3 * time.Second         // for a reply of a leader, whichever node leads in the meantime
 	attemptTimeout     = 1500 * time.Millisecond // for one call
 	summaryTimeout     = 800 * time.Millisecond  // for the part of the status that leaders know
-	leaderPollInterval = 200 * time.Millisecond  // between two tries without news of a leader
+	leaderPollInterval = 200 * time.Millisecond  // between two attempts while no change of leader is known
 )
 
 var errNoLeader = errors.New("no leader is known at the moment")
 
 func serviceOf(group string) string { return strings.TrimPrefix(group, feed.GroupOf("")) }
 
-// groups lists the groups that a request is about: the one of the service it names, or all.
+// groups lists the groups of a request: that of the service it names, or all.
 func (h *Handler) groups(query url.Values) ([]string, error) {
 	known := h.options.Sources.Groups()
 	service := query.Get(ServiceParameter)
@@ -46,8 +46,8 @@
 	return nil, newStatusError(http.StatusNotFound, fmt.Sprintf("no service %q; the services are: %s", service, strings.Join(names, ", ")))
 }
 
-// ask calls the leader of a group, and whoever leads it next, until there is an answer or the time is over. All requests
-// of operators may be carried out twice.
+// callLeader calls the leader of a group, and each later leader, until one replies or forwardTimeout is over. All requests of
+// operators are idempotent.
 func (h *Handler) callLeader(ctx context.Context, group string, route transport.IdempotentRoute, request, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
@@ -73,8 +73,8 @@
 	return h.options.Caller.Call(ctx, leader, route, request, reply)
 }
 
-// lessCertain is the error to report of two tries, or of the tries at two leaders: one that may have been carried out outweighs
-// all others, else the later.
+// lessCertain is the error to report of two attempts, or of the calls to two leaders: one that may have been executed outweighs
+// any other; else it is the later one.
 func lessCertain(earlier, later error) error {
 	if earlier != nil && rpcerror.ExecutionOf(earlier) == rpcerror.MayHaveExecuted {
 		return earlier
@@ -82,49 +82,49 @@
 	return later
 }
 
-// waitForLeader waits for a change of leaders, though not for long.
+// waitForLeader waits for a change of leaders, but at most leaderPollInterval.
 func waitForLeader(ctx context.Context, changed <-chan struct{}) error {
-	pause := time.NewTimer(leaderPollInterval)
-	defer pause.Stop()
+	timer := time.NewTimer(leaderPollInterval)
+	defer timer.Stop()
 	select {
 	case <-changed:
-	case <-pause.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return ctx.Err()
 }
 
-// leaderReply is what the leader of one group said.
+// leaderReply is the reply or error of the leader of one group.
 type leaderReply[Reply any] struct {
 	group string
 	reply Reply
 	err   error
 }
 
-// callLeaders asks the leaders of several groups at the same time. The answers have the order of the groups.
+// callLeaders calls the leaders of several groups concurrently. The replies have the order of the groups.
 func callLeaders[Reply any](ctx context.Context, h *Handler, groups []string, route transport.IdempotentRoute, request func(group string) any) []leaderReply[Reply] {
-	answers := make([]leaderReply[Reply], len(groups))
+	replies := make([]leaderReply[Reply], len(groups))
 	var calls sync.WaitGroup
 	for i, group := range groups {
-		answers[i].group = group
-		calls.Go(func() { answers[i].err = h.callLeader(ctx, group, route, request(group), &answers[i].reply) })
+		replies[i].group = group
+		calls.Go(func() { replies[i].err = h.callLeader(ctx, group, route, request(group), &replies[i].reply) })
 	}
 	calls.Wait()
-	return answers
+	return replies
 }
 
-// unanswered lists the groups whose leaders gave no answer. If none gave one, that is an error.
-func unanswered[Reply any](answers []leaderReply[Reply]) ([]Unanswered, error) {
-	var silent []Unanswered
+// unanswered lists the groups whose leaders did not reply. It is an error if none did.
+func unanswered[Reply any](replies []leaderReply[Reply]) ([]Unanswered, error) {
+	var withoutReply []Unanswered
 	var failures []error
-	for _, one := range answers {
+	for _, one := range replies {
 		if one.err != nil {
-			silent = append(silent, Unanswered{Service: serviceOf(one.group), Error: one.err.Error()})
+			withoutReply = append(withoutReply, Unanswered{Service: serviceOf(one.group), Error: one.err.Error()})
 			failures = append(failures, one.err)
 		}
 	}
-	if len(failures) == len(answers) {
+	if len(failures) == len(replies) {
 		return nil, errors.Join(failures...)
 	}
-	return silent, nil
+	return withoutReply, nil
 }
--- a/internal/controlplane/operations/operations.go
+++ b/internal/controlplane/operations/operations.go
@@ -1,10 +1,10 @@
-// Package operations serves operators beside the configuration: the status of the nodes, the workers and the jobs, why
-// a job waits, drains and cancellations. Any coordinator answers; what only the leader of a service's jobs knows is
-// asked there by an internal call.
+// Package operations serves the operators' API but for the configuration: status of the nodes, workers and jobs, why a job waits,
+// drains and cancellations. Any coordinator serves it. What only the leader of a service's jobs knows is requested from that
+// leader by an internal call.
 //
-// It forwards by an internal call rather than by a redirect: the leaders are known to each other by their internal
-// addresses, not by the address at which each serves operators, and an operator who reaches one machine, perhaps through
-// a tunnel, need not reach the others.
+// Requests are forwarded by an internal call rather than by a redirect, as nodes know each other's internal addresses but not
+// the addresses at which each serves operators, and as an operator who reaches one machine, perhaps through a tunnel, need not
+// reach the others.
 package operations
 
 import (
@@ -21,21 +21,21 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// maxRequests bounds the requests under way at once. Reports take processor time that the jobs need.
+// maxRequests bounds the requests in flight, as reports take processor time that the jobs need.
 const maxRequests = 8
 
-// Sources are where the answers come from. All functions must return quickly.
+// Sources are where the state of this node comes from. All functions but Confirm must return quickly.
 type Sources struct {
 	View          func() replicaset.View
 	Members       func() []replication.Liveness
 	Groups        func() []string                      // all groups known, with or without a leader
 	Leaders       func() map[string]feed.Leader        // by group
 	Changed       func() <-chan struct{}               // closed at the next change of Leaders
-	Configuration func() (version uint64, body []byte) // newest that a majority holds
-	InContact     func() bool                          // a majority has answered, and confirmed the configuration, of late
+	Configuration func() (version uint64, body []byte) // newest that a majority has
+	InContact     func() bool                          // a majority has replied, and confirmed the configuration, lately
 	Confirm       func(ctx context.Context) error      // has a majority confirm the configuration now
-	Rebuilt       func() bool                          // the disk is complete
-	Agents        func() []string                      // internal addresses of the agents heard lately
+	Rebuilt       func() bool                          // the store is complete, so that this node may vote
+	Agents        func() []string                      // internal addresses of the active agents
 }
 
 // Options are what a Handler needs.
@@ -52,7 +52,7 @@
 	options  Options
 	start    time.Time
 	mux      *http.ServeMux
-	requests chan struct{} // one token for each request under way
+	requests chan struct{} // one token for each request in flight
 }
 
 // New makes a Handler.
@@ -72,14 +72,14 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == control.Path { // as it would be without this package
+	if r.URL.Path == control.Path { // without the bound on requests
 		h.options.Next.ServeHTTP(w, r)
 		return
 	}
 	h.mux.ServeHTTP(w, r)
 }
 
-// handle serves a pattern with a bound on the requests under way.
+// handle serves a pattern, within the bound on requests in flight.
 func (h *Handler) handle(pattern string, serve http.HandlerFunc) {
 	h.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		select {
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -15,7 +15,7 @@
 func TestStatus(t *testing.T) { virtualtime.Test(t, checkStatus) }
 
 func checkStatus(t *testing.T) {
-	Convey("Given a mixer", t, func() {
+	Convey("Given a node", t, func() {
 		c := newFakeCore()
 		var status Status
 
@@ -33,7 +33,7 @@
 			So(status.Groups[1].Epoch, ShouldEqual, 5)
 			So(status.Groups[1].Summary.Running, ShouldEqual, 2)
 		})
-		Convey("a leader that does not answer is named with the error", func() {
+		Convey("a service whose leader does not reply has the error", func() {
 			c.fail = func(address, _ string) error {
 				if address == "10.0.0.1:7660" {
 					return errReset
@@ -45,7 +45,7 @@
 			So(status.Groups[0].Error, ShouldContainSubstring, "connection reset")
 			So(status.Groups[1].Summary, ShouldNotBeNil)
 		})
-		Convey("so is a service without a leader", func() {
+		Convey("so has a service without a leader", func() {
 			delete(c.leaders, "jobs/pricing")
 			request(c.handler(), "GET", StatusPath, &status)
 			So(status.Groups[0].Leader, ShouldBeEmpty)
@@ -61,7 +61,7 @@
 		c := newFakeCore()
 		var list Workers
 
-		Convey("all searchers are listed", func() {
+		Convey("all workers are listed", func() {
 			So(request(c.handler(), "GET", WorkersPath, &list).Code, ShouldEqual, http.StatusOK)
 			So(list.Workers, ShouldHaveLength, 2)
 			So(list.Unanswered, ShouldBeEmpty)
@@ -71,12 +71,12 @@
 			So(list.Workers, ShouldHaveLength, 1)
 			So(list.Workers[0].ID, ShouldEqual, "i-stress")
 		})
-		Convey("an unknown service is refused with the names of those that exist", func() {
+		Convey("an unknown service is rejected with the names of the existing ones", func() {
 			var failure Failure
 			So(request(c.handler(), "GET", WorkersPath+"?service=x", &failure).Code, ShouldEqual, http.StatusNotFound)
 			So(failure.Error, ShouldContainSubstring, "pricing, stress")
 		})
-		Convey("a drain reaches the leader that knows the searcher", func() {
+		Convey("a drain reaches the leader that knows the worker", func() {
 			var worker jobreport.Worker
 			So(request(c.handler(), "POST", WorkersPath+"/i-stress/drain", &worker).Code, ShouldEqual, http.StatusOK)
 			So(worker.OperatorDraining, ShouldBeTrue)
@@ -85,7 +85,7 @@
 			So(worker.OperatorDraining, ShouldBeFalse)
 			So(c.drains[2], ShouldResemble, jobreport.DrainRequest{Group: "jobs/stress", Worker: "i-stress"})
 		})
-		Convey("a drain on top of a version is judged by the leader", func() {
+		Convey("the leader decides on a drain with a base version", func() {
 			request := func(method, version string) *httptest.ResponseRecorder {
 				r := httptest.NewRequest(method, WorkersPath+"/i-stress/drain?service=stress", nil)
 				r.Header.Set("If-Match", version)
@@ -107,16 +107,16 @@
 			So(request("POST", "x").Code, ShouldEqual, http.StatusBadRequest)
 			So(c.drains, ShouldHaveLength, 3)
 		})
-		Convey("a searcher that nobody knows is not found", func() {
+		Convey("an unknown worker is not found", func() {
 			So(request(c.handler(), "POST", WorkersPath+"/i-none/drain", nil).Code, ShouldEqual, http.StatusNotFound)
 		})
-		Convey("unless a leader that may know it gives no answer", func() {
+		Convey("unless a leader that may know it does not reply", func() {
 			c.fail = failAt("10.0.0.1:7660", errNotLeader)
 			answer := request(c.handler(), "POST", WorkersPath+"/i-none/drain", nil)
 			So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
 		})
-		Convey("a drain that one leader may have carried out is not answered as one that nobody has", func() {
+		Convey("a drain that one leader may have executed is not reported as not executed", func() {
 			c.fail = func(address, _ string) error {
 				if address == "10.0.0.1:7660" {
 					return errReset
@@ -131,7 +131,7 @@
 func TestOtherPaths(t *testing.T) { virtualtime.Test(t, checkOtherPaths) }
 
 func checkOtherPaths(t *testing.T) {
-	Convey("All other paths, and the configuration, go on to the next handler", t, func() {
+	Convey("All other paths, and the configuration, are served by the next handler", t, func() {
 		handler := newFakeCore().handler()
 		for _, path := range []string{control.Path, "/", "/-/other", "/-/searchers/i-1"} {
 			So(request(handler, "GET", path, nil).Code, ShouldEqual, http.StatusTeapot)
@@ -144,7 +144,7 @@
 func TestRequestsAreBounded(t *testing.T) { virtualtime.Test(t, checkRequestsAreBounded) }
 
 func checkRequestsAreBounded(t *testing.T) {
-	Convey("Too many requests at once are turned away, and later ones are served again", t, func() {
+	Convey("Too many concurrent requests are rejected, and later ones are served again", t, func() {
 		c := newFakeCore()
 		c.block, c.blocked = make(chan struct{}), make(chan struct{}, 2*maxRequests)
 		handler := c.handler()
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/controlplane/control"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
@@ -13,7 +14,7 @@
 	sources := h.options.Sources
 	version, _ := sources.Configuration()
 	view := sources.View()
-	write(w, http.StatusOK, Status{
+	control.WriteJSON(w, http.StatusOK, Status{
 		Node:                 h.options.Node,
 		UptimeMS:             time.Since(h.start).Milliseconds(),
 		Rebuilt:              sources.Rebuilt(),
@@ -36,7 +37,7 @@
 	return members
 }
 
-// groupStatus asks each leader once for its summary; a status must come soon, also where leaders are missing.
+// groupStatus requests a summary from each leader, once: a status must come soon, also where leaders do not reply.
 func (h *Handler) groupStatus(ctx context.Context) []Group {
 	ctx, cancel := context.WithTimeout(ctx, summaryTimeout)
 	defer cancel()
--- a/internal/controlplane/operations/workers.go
+++ b/internal/controlplane/operations/workers.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/http"
 
+	"puffinlink.example/puffinlink/internal/controlplane/control"
 	"puffinlink.example/puffinlink/internal/controlplane/entitytag"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
@@ -14,23 +15,23 @@
 		h.writeError(w, r, err)
 		return
 	}
-	answers := callLeaders[jobreport.WorkersReply](r.Context(), h, groups, jobreport.WorkersCall.Route(),
+	replies := callLeaders[jobreport.WorkersReply](r.Context(), h, groups, jobreport.WorkersCall.Route(),
 		func(group string) any { return jobreport.WorkersRequest{Group: group} })
 	var list Workers
-	if list.Unanswered, err = unanswered(answers); err != nil {
+	if list.Unanswered, err = unanswered(replies); err != nil {
 		h.writeError(w, r, err)
 		return
 	}
-	for _, one := range answers {
+	for _, one := range replies {
 		list.Workers = append(list.Workers, one.reply.Workers...)
 	}
-	write(w, http.StatusOK, list)
+	control.WriteJSON(w, http.StatusOK, list)
 }
 
 func (h *Handler) drain(w http.ResponseWriter, r *http.Request)   { h.setDrain(w, r, true) }
 func (h *Handler) undrain(w http.ResponseWriter, r *http.Request) { h.setDrain(w, r, false) }
 
-// setDrain tells the leaders of all groups in question; the one that knows the worker acts.
+// setDrain calls the leaders of the groups; the one that knows the worker applies the change.
 func (h *Handler) setDrain(w http.ResponseWriter, r *http.Request, draining bool) {
 	groups, err := h.groups(r.URL.Query())
 	if err != nil {
@@ -43,11 +44,11 @@
 		return
 	}
 	id := r.PathValue("id")
-	answers := callLeaders[jobreport.DrainReply](r.Context(), h, groups, jobreport.DrainCall.Route(), func(group string) any {
+	replies := callLeaders[jobreport.DrainReply](r.Context(), h, groups, jobreport.DrainCall.Route(), func(group string) any {
 		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, BaseVersion: onTopOf}
 	})
 	var failure error
-	for _, one := range answers {
+	for _, one := range replies {
 		switch {
 		case one.err != nil:
 			failure = lessCertain(failure, one.err)
@@ -62,7 +63,7 @@
 	h.writeError(w, r, failure)
 }
 
-// drainVersion reads which version of a worker's drain an order builds on; nil where it goes by none.
+// drainVersion reads from If-Match which version of a worker's drain a change builds on; nil without the header.
 func drainVersion(r *http.Request) (*uint64, error) {
 	header := r.Header.Get("If-Match")
 	if header == "" {
@@ -75,16 +76,16 @@
 	return &version, nil
 }
 
-// writeDrain answers an order on a drain that the worker's leader has judged.
+// writeDrain replies an order on a drain that the worker's leader has judged.
 func (h *Handler) writeDrain(w http.ResponseWriter, r *http.Request, reply jobreport.DrainReply) {
-	now := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Worker.DrainVersion, reply.Worker.OperatorDraining)
+	inForce := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Worker.DrainVersion, reply.Worker.OperatorDraining)
 	switch reply.Outcome {
 	case jobreport.DrainTaken:
 		w.Header().Set("ETag", entitytag.Format(reply.Worker.DrainVersion))
-		write(w, http.StatusOK, reply.Worker)
+		control.WriteJSON(w, http.StatusOK, reply.Worker)
 	case jobreport.DrainSuperseded:
-		h.writeError(w, r, newStatusError(http.StatusPreconditionFailed, "another order was taken on top of that version: "+now))
+		h.writeError(w, r, newStatusError(http.StatusPreconditionFailed, "another order was taken on top of that version: "+inForce))
 	default:
-		h.writeError(w, r, newStatusError(http.StatusGatewayTimeout, "it cannot be told whether this order was taken: "+now+"; order it again on top of that"))
+		h.writeError(w, r, newStatusError(http.StatusGatewayTimeout, "it cannot be told whether this order was taken: "+inForce+"; order it again on top of that"))
 	}
 }
