--- a/internal/controlplane/replication/randomfaults_test.go
+++ b/internal/controlplane/replication/randomfaults_test.go
@@ -166,7 +166,7 @@
 	return uint64(usual)
 }
 
-var randomFaultSeeds = flag.Int("schedules", 0, "schedules of random faults of each kind; 0 for the usual number")
+var randomFaultSeeds = flag.Int("fault-schedules", 0, "schedules of random faults of each kind; 0 for the usual number")
 
 // Whatever happens, there is at most one leader with a lease, nothing committed is lost, and all goes on afterwards.
 func TestRandomFaults(t *testing.T) {
