--- a/internal/controlplane/storage/commitqueue.go
+++ b/internal/controlplane/storage/commitqueue.go
@@ -1,6 +1,9 @@
 package storage
 
-import "sync"
+import (
+	"errors"
+	"sync"
+)
 
 // commit is one write that waits for the disk.
 type commit struct {
@@ -16,7 +19,7 @@
 	mutex      sync.Mutex
 	waiting    []*commit
 	closed     bool
-	rejectWith error // why no more writes are taken; nil while they are
+	rejectWith error // the error of all further writes; nil while they are taken
 }
 
 // add queues a write, unless the store has failed or is closed.
@@ -55,13 +58,14 @@
 func (q *commitQueue) fail(err error) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	first := q.rejectWith == nil || q.closed && q.rejectWith == ErrClosed
+	first := q.rejectWith == nil || q.closed && errors.Is(q.rejectWith, ErrClosed)
 	if first {
 		q.rejectWith = err
 	}
 	return first
 }
 
+// close takes no more writes, which fail with err; those that are queued are still carried out.
 func (q *commitQueue) close(err error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -76,18 +80,20 @@
 func (q *commitQueue) failure() error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.rejectWith == ErrClosed {
+	if errors.Is(q.rejectWith, ErrClosed) {
 		return nil
 	}
 	return q.rejectWith
 }
 
+// finished tells whether the queue is closed and empty.
 func (q *commitQueue) finished() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.closed && len(q.waiting) == 0
 }
 
+// signal wakes the writer.
 func (q *commitQueue) signal() {
 	select {
 	case q.wake <- struct{}{}:
--- a/internal/controlplane/storage/compaction.go
+++ b/internal/controlplane/storage/compaction.go
@@ -9,8 +9,8 @@
 // snapshotRecordBytes is the length in bytes at which a snapshot record is ended.
 const snapshotRecordBytes = 1 << 20
 
-// compactionThreshold is the length above which the file is rewritten. It grows with the live data, so that rewriting costs
-// a bounded part of all writing, and keeps the file and its next version within the limit while that is possible.
+// compactionThreshold is the length above which the file is compacted. It grows with the live data, so that compaction costs a
+// bounded part of all writing, and keeps the old and the new file within the limit together while that is possible.
 func (s *FileStore) compactionThreshold() int64 {
 	live := s.contents.bytes // only this goroutine changes it
 	limit := s.options.SizeLimit
@@ -20,7 +20,7 @@
 	return max(threshold, min(s.options.CompactAbove, limit/4))
 }
 
-// compactIfLong rewrites the file if it is too long. Where there is no room for that the file stays in use as it is.
+// compactIfLong compacts the file if it is too long. Where there is no space for that, the file stays in use as it is.
 func (s *FileStore) compactIfLong() error {
 	if s.length <= s.compactionThreshold() || time.Now().Before(s.compactNotBefore) {
 		return nil
@@ -39,17 +39,17 @@
 func (s *FileStore) compact() error {
 	next, err := s.files.Create(s.path(temporaryName))
 	if err != nil {
-		return rejectedWrite(fmt.Errorf("rewrite store: %w", err))
+		return rejectedWrite(fmt.Errorf("compact store: %w", err))
 	}
 	writer := snapshotWriter{file: next, fileNumber: newFileNumber()}
 	if err := s.writeSnapshot(&writer); err != nil {
-		next.Close()
-		s.files.Remove(s.path(temporaryName)) // to make room; what stays is emptied by the next attempt
-		return rejectedWrite(fmt.Errorf("rewrite store: %w", err))
+		_ = next.Close()                          // the file is given up
+		_ = s.files.Remove(s.path(temporaryName)) // to free its space; what stays is emptied by the next attempt
+		return rejectedWrite(fmt.Errorf("compact store: %w", err))
 	}
 	if err := s.replaceFile(next); err != nil {
-		next.Close()
-		return fmt.Errorf("rewrite store: %w", err)
+		_ = next.Close() // the store ends with the error before
+		return fmt.Errorf("compact store: %w", err)
 	}
 	previous := s.file
 	s.file, s.fileNumber, s.length = next, writer.fileNumber, writer.length
--- a/internal/controlplane/storage/contents.go
+++ b/internal/controlplane/storage/contents.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"maps"
 	"slices"
+	"sync"
 )
 
 // entryOverhead is the estimated cost of a key on disk beyond its names and its value, in bytes.
@@ -19,6 +20,35 @@
 	Snapshot() Tables
 }
 
+// guardedContents are the tables of a store and its reading methods, for any number of goroutines.
+type guardedContents struct {
+	mutex    sync.RWMutex // guards contents
+	contents *contents
+}
+
+func newGuardedContents() guardedContents { return guardedContents{contents: newContents()} }
+
+// Tables implements Store.
+func (g *guardedContents) Tables() []string {
+	g.mutex.RLock()
+	defer g.mutex.RUnlock()
+	return g.contents.names()
+}
+
+// Table implements Store.
+func (g *guardedContents) Table(name string) map[string][]byte {
+	g.mutex.RLock()
+	defer g.mutex.RUnlock()
+	return g.contents.table(name)
+}
+
+// Snapshot implements SnapshotStore.
+func (g *guardedContents) Snapshot() Tables {
+	g.mutex.RLock()
+	defer g.mutex.RUnlock()
+	return g.contents.snapshot()
+}
+
 // contents are tables together with an estimate of their size on disk. The caller guards them.
 type contents struct {
 	tables Tables
@@ -95,7 +125,7 @@
 	return copied
 }
 
-// cloneChanges copies changes so that their sender may use its buffers again.
+// cloneChanges copies changes so that the caller may reuse its buffers.
 func cloneChanges(changes []Change) []Change {
 	cloned := slices.Clone(changes)
 	for i := range cloned {
--- a/internal/controlplane/storage/filestore.go
+++ b/internal/controlplane/storage/filestore.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"path/filepath"
-	"sync"
 	"time"
 )
 
@@ -26,46 +25,46 @@
 	ErrTooLarge = errors.New("write is too large for the store")
 )
 
-// FileStore is the Store that keeps one append-only file. Concurrent writes are gathered, written and synced together. A
-// write that the disk refuses is undone, and the store goes on. A failed sync ends the store, as does a failure to undo:
+// FileStore is the Store that keeps one append-only file. Concurrent writes are appended and synced together. A write that
+// the disk rejects is rolled back, and the store takes later ones. A failed sync ends the store, as does a failed roll-back:
 // later writes fail with the same error, and a new process has to open the file again.
 type FileStore struct {
 	files     FileSystem
 	directory string
 	options   Options
 
-	mutex    sync.RWMutex // guards contents
-	contents *contents
+	guardedContents
 
 	queue  commitQueue
 	failed chan struct{} // closed when the store fails for good
 	ended  chan struct{} // closed when the writer has ended
 
-	// The writer's own.
+	// Used by the writer's goroutine alone, once Open has returned.
 	file             File
 	fileNumber       uint64
 	length           int64
 	buffer           []byte
 	rejection        rejection
-	compactNotBefore time.Time // no rewriting before
+	compactNotBefore time.Time // no compaction before
 }
 
-// Open opens the store in a folder, which it makes if it is missing. What it returns is synced: nothing that a reader
-// sees can be taken back by a loss of power. A store that exists is opened without writing, also on a full disk.
+// Open opens the store in a directory, which it makes if it is missing. What it returns is synced: nothing that a reader
+// sees can be taken back by a loss of power. A store that exists is opened without writing, also on a full disk. The error
+// is ErrCorrupt where the file lacks something that had been synced.
 func Open(files FileSystem, directory string, options Options) (*FileStore, OpenResult, error) {
 	store := &FileStore{
-		files:     files,
-		directory: directory,
-		options:   options.withDefaults(),
-		contents:  newContents(),
-		failed:    make(chan struct{}),
-		ended:     make(chan struct{}),
+		files:           files,
+		directory:       directory,
+		options:         options.withDefaults(),
+		guardedContents: newGuardedContents(),
+		failed:          make(chan struct{}),
+		ended:           make(chan struct{}),
 	}
 	store.queue.wake = make(chan struct{}, 1)
 	opened, err := store.openOrCreate()
 	if err != nil {
 		if store.file != nil {
-			store.file.Close()
+			_ = store.file.Close() // nothing was written, and the caller gets the error that counts
 		}
 		return nil, OpenResult{}, fmt.Errorf("open store in %s: %w", directory, err)
 	}
@@ -73,28 +72,7 @@
 	return store, opened, nil
 }
 
-// Tables implements Store.
-func (s *FileStore) Tables() []string {
-	s.mutex.RLock()
-	defer s.mutex.RUnlock()
-	return s.contents.names()
-}
-
-// Table implements Store.
-func (s *FileStore) Table(name string) map[string][]byte {
-	s.mutex.RLock()
-	defer s.mutex.RUnlock()
-	return s.contents.table(name)
-}
-
-// Snapshot implements SnapshotStore.
-func (s *FileStore) Snapshot() Tables {
-	s.mutex.RLock()
-	defer s.mutex.RUnlock()
-	return s.contents.snapshot()
-}
-
-// Write implements Store.
+// Write implements Store. The error is ErrTooLarge, ErrWriteRejected or ErrClosed, or what ended the store.
 func (s *FileStore) Write(changes ...Change) error {
 	encoded, err := appendChanges(nil, changes)
 	if err != nil {
@@ -110,7 +88,7 @@
 	return <-c.done
 }
 
-// Failed is closed when the store has failed for good; a refused write is no such failure.
+// Failed is closed when the store has failed for good; a rejected write is no such failure.
 func (s *FileStore) Failed() <-chan struct{} { return s.failed }
 
 // Close finishes the writes that have begun and closes the file.
--- a/internal/controlplane/storage/filesystem.go
+++ b/internal/controlplane/storage/filesystem.go
@@ -25,7 +25,7 @@
 
 // FileSystem is the part of an operating system's files that a FileStore needs. Names are paths.
 type FileSystem interface {
-	// MakeDirectory makes a folder that lasts, with its parents, unless it is there.
+	// MakeDirectory makes a directory that lasts, with its parents, unless it is there.
 	MakeDirectory(name string) error
 	// Create makes an empty file, or empties the one that has the name.
 	Create(name string) (File, error)
@@ -35,7 +35,7 @@
 	Rename(from, to string) error
 	// Remove deletes a file; the error is fs.ErrNotExist where there is none.
 	Remove(name string) error
-	// SyncDirectory returns once the names in a folder will survive a loss of power.
+	// SyncDirectory returns once the names in a directory will survive a loss of power.
 	SyncDirectory(name string) error
 }
 
@@ -79,10 +79,10 @@
 
 // SyncDirectory implements FileSystem.
 func (OperatingSystem) SyncDirectory(name string) error {
-	folder, err := os.Open(name)
+	directory, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer func() { _ = directory.Close() }() // it is only read
+	return directory.Sync()
 }
--- a/internal/controlplane/storage/memory.go
+++ b/internal/controlplane/storage/memory.go
@@ -1,37 +1,13 @@
 package storage
 
-import "sync"
-
 // Memory is a Store without a disk, for tests and for processes that have none.
 type Memory struct {
-	mutex    sync.RWMutex
-	contents *contents
-	failure  error
+	guardedContents
+	failure error // of all writes; guarded by the mutex of the contents
 }
 
 // NewMemory makes an empty Memory.
-func NewMemory() *Memory { return &Memory{contents: newContents()} }
-
-// Tables implements Store.
-func (m *Memory) Tables() []string {
-	m.mutex.RLock()
-	defer m.mutex.RUnlock()
-	return m.contents.names()
-}
-
-// Table implements Store.
-func (m *Memory) Table(name string) map[string][]byte {
-	m.mutex.RLock()
-	defer m.mutex.RUnlock()
-	return m.contents.table(name)
-}
-
-// Snapshot implements SnapshotStore.
-func (m *Memory) Snapshot() Tables {
-	m.mutex.RLock()
-	defer m.mutex.RUnlock()
-	return m.contents.snapshot()
-}
+func NewMemory() *Memory { return &Memory{guardedContents: newGuardedContents()} }
 
 // Write implements Store.
 func (m *Memory) Write(changes ...Change) error {
@@ -45,7 +21,7 @@
 	return nil
 }
 
-// Fail makes every later Write return an error, as a broken disk would; nil mends it.
+// Fail makes every later Write return an error, as a broken disk would, until Fail(nil).
 func (m *Memory) Fail(err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/storage/options.go
+++ b/internal/controlplane/storage/options.go
@@ -2,18 +2,18 @@
 
 // Options tune a FileStore. The zero value is the default.
 type Options struct {
-	// CompactAbove is the length in bytes below which the file is not rewritten, unless that is too long for Limit.
+	// CompactAbove is the length in bytes below which the file is not compacted, unless that is too long for SizeLimit.
 	CompactAbove int64
-	// SizeLimit is what the file and its next version should take together, in bytes. It can be kept while the live data is
+	// SizeLimit is what the file and the one that compaction writes should take together, in bytes. It can be kept while the live data is
 	// less than three eighths of it.
 	SizeLimit int64
 }
 
 // OpenResult tells what Open found.
 type OpenResult struct {
-	// Empty is true where no store had ever been completely made in the folder.
+	// Empty is true where no store had ever been completely made in the directory.
 	Empty bool
-	// TruncatedBytes is the length of the incomplete write that was cut off the end of the file.
+	// TruncatedBytes is the length of the incomplete last record that was truncated.
 	TruncatedBytes int64 `json:"CutBytes"` // the key of the log line
 }
 
--- a/internal/controlplane/storage/recovery.go
+++ b/internal/controlplane/storage/recovery.go
@@ -8,7 +8,7 @@
 	"io/fs"
 )
 
-// ErrCorrupt is the failure of a file that lacks something which was synced. It is never cut.
+// ErrCorrupt is the failure of a file that lacks something which was synced. It is never truncated.
 var ErrCorrupt = errors.New("the store's file is damaged where it had been synced; " +
 	"stop the process, remove the file, and start the process with firstStart=false: it is then rebuilt from the other core mixers")
 
@@ -32,7 +32,7 @@
 	return OpenResult{TruncatedBytes: truncated}, err
 }
 
-// recover reads an existing file and cuts off an incomplete last write. A process that was killed may have left writes and
+// recover reads an existing file and truncates an incomplete last record. A process that was killed may have left writes and
 // names behind that it did not sync; they are synced here, before anybody reads them.
 func (s *FileStore) recover() (truncated int64, err error) {
 	size, err := s.file.Seek(0, io.SeekEnd)
@@ -62,7 +62,7 @@
 	return size - s.length, s.files.SyncDirectory(s.directory)
 }
 
-// replay applies records up to the first bad one, whose offset it leaves in s.length.
+// replay applies records up to the first corrupt one, whose offset it leaves in s.length.
 func (s *FileStore) replay(reader io.Reader, size int64) error {
 	if size < int64(headerLength) {
 		return fmt.Errorf("%w (%d bytes long)", ErrCorrupt, size)
@@ -84,7 +84,7 @@
 	return err
 }
 
-// replayRecords tells whether the end of the snapshot was among the good records.
+// replayRecords tells whether the end of the snapshot was among the valid records.
 func (s *FileStore) replayRecords(reader io.Reader, size int64) (complete bool, err error) {
 	for s.length < size {
 		next, err := readRecord(reader, s.fileNumber, s.length, size-s.length)
@@ -101,7 +101,7 @@
 	return complete, nil
 }
 
-// checkTail decides whether the bytes after the last good record may be cut off. Each record is synced before the next
+// checkTail decides whether the bytes after the last valid record may be truncated. Each record is synced before the next
 // one is written, so only the last one may be incomplete; a whole record behind it proves that it had been synced.
 func (s *FileStore) checkTail(size int64) error {
 	if _, err := s.file.Seek(s.length, io.SeekStart); err != nil {
--- a/internal/controlplane/storage/rejection.go
+++ b/internal/controlplane/storage/rejection.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// RejectionBackoff is how long no write is tried after one that the disk refused.
+	// RejectionBackoff is how long no write is tried after one that the disk rejected.
 	RejectionBackoff = 100 * time.Millisecond
-	// CompactionBackoff is how long no rewriting is tried after one for which there was no room.
+	// CompactionBackoff is how long no compaction is tried after one for which there was no space.
 	CompactionBackoff = 5 * time.Second
 )
 
@@ -30,13 +30,13 @@
 	return rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", ErrWriteRejected, cause), RejectionBackoff)
 }
 
-// rejection is the newest write that the disk refused.
+// rejection is the newest failure of a write that the disk rejected.
 type rejection struct {
 	err   error
 	until time.Time // no write is tried before
 }
 
-// current returns the newest refusal while no write is to be tried; nil otherwise.
+// current returns the newest rejection while no write is to be tried; nil otherwise.
 func (r *rejection) current() error {
 	if r.err != nil && time.Now().Before(r.until) {
 		return r.err
@@ -46,7 +46,7 @@
 
 // rollBack takes back a write of which the file has got a part, and returns the error for its writers: ErrWriteRejected where the
 // file is as before, which then also holds after a loss of power. The part needs no sync to be gone: it is no complete
-// record, and recovery cuts off an incomplete last one.
+// record, and recovery truncates an incomplete last one.
 func (s *FileStore) rollBack(written int, cause error) error {
 	cause = fmt.Errorf("write store: %w", cause)
 	if written >= len(s.buffer) {
@@ -54,7 +54,7 @@
 	}
 	if written > 0 {
 		if err := s.file.Truncate(s.length); err != nil {
-			return fmt.Errorf("%w; cut off the incomplete write: %w", cause, err)
+			return fmt.Errorf("%w; truncate the incomplete write: %w", cause, err)
 		}
 		if _, err := s.file.Seek(s.length, io.SeekStart); err != nil {
 			return fmt.Errorf("%w; seek before the incomplete write: %w", cause, err)
--- a/internal/controlplane/storage/storagetest/contract.go
+++ b/internal/controlplane/storage/storagetest/contract.go
@@ -12,6 +12,9 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
+// errTornRead is the fault of a store whose reader saw one half of a write.
+var errTornRead = errors.New("read half of a write")
+
 // RunStoreContract checks what every Store must do. Each call of open must return an empty store.
 func RunStoreContract(t *testing.T, open func(t *testing.T) storage.SnapshotStore) {
 	convey.Convey("An empty store has no tables", t, func() {
@@ -81,7 +84,7 @@
 		for range writes {
 			snapshot := store.Snapshot()
 			if string(snapshot["a"]["k"]) != string(snapshot["b"]["k"]) {
-				errs[writers] = fmt.Errorf("read %s together with %s", snapshot["a"]["k"], snapshot["b"]["k"])
+				errs[writers] = fmt.Errorf("%w: %s together with %s", errTornRead, snapshot["a"]["k"], snapshot["b"]["k"])
 			}
 		}
 	})
--- a/internal/controlplane/storage/storagetest/disk.go
+++ b/internal/controlplane/storage/storagetest/disk.go
@@ -15,7 +15,7 @@
 type Disk struct {
 	mutex                   sync.Mutex
 	current                 map[string]*inode // by path, as processes see it
-	durable                 map[string]*inode // by path, as of the last sync of the folder
+	durable                 map[string]*inode // by path, as of the last sync of the directory
 	operations              int
 	powerLossAt             int // operation at which power is lost; 0 for never
 	powerLossAfterOperation bool
@@ -110,7 +110,7 @@
 	return err
 }
 
-// MakeDirectory implements storage.FileSystem; folders need not be made.
+// MakeDirectory implements storage.FileSystem; directories need not be made.
 func (d *Disk) MakeDirectory(string) error { return nil }
 
 // Create implements storage.FileSystem.
@@ -172,7 +172,7 @@
 }
 
 // SyncDirectory implements storage.FileSystem.
-func (d *Disk) SyncDirectory(folder string) error {
+func (d *Disk) SyncDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.operate(func() error {
@@ -180,7 +180,7 @@
 			return ErrSync
 		}
 		for _, name := range d.names() {
-			if filepath.Dir(name) == filepath.Clean(folder) {
+			if filepath.Dir(name) == filepath.Clean(directory) {
 				d.makeDurable(name)
 			}
 		}
--- a/internal/controlplane/storage/store.go
+++ b/internal/controlplane/storage/store.go
@@ -1,5 +1,3 @@
-// Package storage keeps a core node's durable state: named tables of keys and values, changed by atomic writes that
-// return once they are synced.
 package storage
 
 // Change sets one key of a table. A nil Value deletes the key; with an empty Key too, it clears the whole table.
@@ -15,8 +13,8 @@
 	Tables() []string
 	// Table returns a copy of a table; its values must not be modified.
 	Table(name string) map[string][]byte
-	// Write applies changes in order, all or none, and returns once they will survive a loss of power. An
-	// rpcerror.NotExecuted error means that the store is as it was before, and that later writes are tried. After any other
-	// error the changes may or may not be there, and the store accepts no more writes.
+	// Write applies changes in order, all or none, and returns once they will survive a loss of power. After an error
+	// whose rpcerror.Execution is NotExecuted the store is as it was before, and takes later writes. After any other error
+	// the changes may or may not be there, and the store takes no more writes.
 	Write(changes ...Change) error
 }
