--- a/internal/controlplane/rebuild/fetch.go
+++ b/internal/controlplane/rebuild/fetch.go
@@ -70,7 +70,9 @@
 			return
 		}
 		r.config.Logger.Debug("snapshot transfer failed", zap.String("member", member), zap.Error(err))
-		sleep(ctx, fetchRetryInterval)
+		if sleep(ctx, fetchRetryInterval) != nil {
+			return
+		}
 	}
 }
 
