--- a/internal/controlplane/replication/appending.go
+++ b/internal/controlplane/replication/appending.go
@@ -6,14 +6,14 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// followerLease is a replica's word to a leader that it elects no other until then.
+// followerLease is what a replica has granted to a leader: until then it elects no other.
 type followerLease struct {
 	term   uint64
 	leader string
 	until  time.Duration
 }
 
-// acceptLeader takes a message of a leader whose term is not below the promise as a sign of life.
+// acceptLeader renews the lease of a leader whose term is not below the current one.
 func (r *replica) acceptLeader(term uint64, leader string) {
 	r.advanceTerm(term, leader)
 	if r.lease.term <= term {
@@ -35,13 +35,13 @@
 	})
 }
 
-// append takes a batch or a snapshot.
+// append applies a batch or a snapshot, or one chunk of it.
 func (r *replica) append(request appendRequest, reply func(appendReply)) {
 	r.whenAccepted(request.Term, request.View, reply, func() { r.apply(request, reply) })
 }
 
-// whenAccepted runs an operation for a leader once no write is under way, unless the leader is refused by then. One that
-// is refused already does not wait for the disk, which may be stalled.
+// whenAccepted runs an operation for a leader once no write is under way, unless the leader is rejected by then. One that
+// is rejected already does not wait for the disk, which may be stalled.
 func (r *replica) whenAccepted(term, view uint64, reply func(appendReply), operation func()) {
 	if r.rejects(term, view, reply) {
 		return
@@ -53,7 +53,7 @@
 	})
 }
 
-// rejects answers a leader that is not to be followed, and tells whether it has.
+// rejects answers a leader that is not to be followed, and returns whether it has.
 func (r *replica) rejects(term, view uint64, reply func(appendReply)) bool {
 	rejection := r.rejection(term, view)
 	if rejection == accepted {
@@ -88,7 +88,7 @@
 	}, func() { reply(r.answer(unavailable)) })
 }
 
-// rejection tells why a leader's message is not followed; accepted means that it is.
+// rejection is why a leader's message is not followed; accepted means that it is.
 func (r *replica) rejection(term, view uint64) appendOutcome {
 	if !r.core.mayVote(view) {
 		return unavailable
@@ -99,8 +99,8 @@
 	return accepted
 }
 
-// ifStillVoting is a result, or unavailable where a newer view was learned since the leader was heard: another member may
-// have taken its copy of this state by then.
+// ifStillVoting is a result, or unavailable where a newer view came since the leader's message: another member may have
+// copied this state by then.
 func (r *replica) ifStillVoting(view uint64, result appendOutcome) appendOutcome {
 	if !r.core.mayVote(view) {
 		return unavailable
@@ -108,7 +108,7 @@
 	return result
 }
 
-// answerIncomplete tells a leader which part is missing.
+// answerIncomplete tells a leader which chunk is missing.
 func (r *replica) answerIncomplete(request appendRequest, reply func(appendReply)) {
 	r.answerOnceDurable(request.View, incomplete, func(answer appendReply) {
 		answer.NextChunk = r.nextChunk(request)
@@ -116,7 +116,7 @@
 	})
 }
 
-// answerOnceDurable answers a leader once the promise is on disk.
+// answerOnceDurable answers a leader once the current term is on disk.
 func (r *replica) answerOnceDurable(view uint64, result appendOutcome, reply func(appendReply)) {
 	if r.durableTerm == r.currentTerm {
 		reply(r.answer(result))
--- a/internal/controlplane/replication/callbacks.go
+++ b/internal/controlplane/replication/callbacks.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// calls runs functions one after another, on a goroutine that lives only while there are some.
+// callbackQueue runs functions one after another, on a goroutine that lives only while there are some.
 type callbackQueue struct {
 	spawn   func(func())
 	last    func()
--- a/internal/controlplane/replication/campaign.go
+++ b/internal/controlplane/replication/campaign.go
@@ -6,15 +6,15 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// startCampaign is one attempt to become leader. First it asks a majority whether they would vote, which disturbs no
-// present leader; then it asks for their votes under a new term.
+// campaign is one attempt to become leader. Its first phase is a pre-vote, which asks a majority whether they would vote
+// and disturbs no present leader (Ongaro's thesis, 9.6); the second asks for their votes in a new term.
 type campaign struct {
 	group        *group
 	view         replicaset.View
-	phaseStarted time.Duration // of the round under way
+	phaseStarted time.Duration // of the phase under way
 	preVoting    bool
-	term         uint64 // known from the second round on
-	highestTerm  uint64 // term seen so far
+	term         uint64 // 0 during the pre-vote
+	highestTerm  uint64 // the highest seen so far
 	granted      map[string]voteReply
 	unanswered   int // calls without an answer
 	ended        bool
@@ -36,7 +36,7 @@
 	c.requestVotes()
 }
 
-// round asks all members, this one included.
+// requestVotes begins a phase: it asks all members, this one included.
 func (c *campaign) requestVotes() {
 	core := c.group.core
 	c.phaseStarted = core.now
@@ -62,7 +62,7 @@
 	})
 }
 
-// append counts one member's answer. An answer to an earlier round, or one that comes too late, counts for nothing.
+// countVote takes one member's answer. An answer to an earlier phase, or one that comes too late, counts for nothing.
 func (c *campaign) countVote(address string, request voteRequest, reply voteReply, err error) {
 	c.highestTerm = max(c.highestTerm, reply.Term)
 	if c.ended || request.PreVote != c.preVoting {
@@ -97,7 +97,7 @@
 	}
 }
 
-// preVoteWon stands, or where a member has a newer state that does not come with its vote, first fetches that.
+// preVoteWon asks for the votes. Where a member has a newer state that does not fit into its vote, it first fetches that.
 func (c *campaign) preVoteWon() {
 	best, newest := "", c.group.replica.position
 	for address, reply := range c.granted {
@@ -113,13 +113,13 @@
 	c.group.startFetch(best, newest)
 }
 
-// fail ends the campaign; the next begins after a random pause.
+// fail ends the campaign; the next begins after a random backoff.
 func (c *campaign) fail() {
 	c.abandon()
 	c.group.backOff()
 }
 
-// backOff lets the next campaign begin after a random pause.
+// backOff lets the next campaign begin after a random backoff (the randomized timeouts of Ongaro's thesis, 3.4).
 func (g *group) backOff() {
 	timing := g.core.timing
 	span := float64(timing.MaxCampaignBackoff - timing.MinCampaignBackoff)
@@ -148,7 +148,7 @@
 			newest = reply
 		}
 	}
-	if newest.StateOmitted { // it became newer than it was at the probe; the next campaign fetches it
+	if newest.StateOmitted { // it became newer than it was at the pre-vote; the next campaign fetches it
 		c.group.backOff()
 		return
 	}
--- a/internal/controlplane/replication/chunkfaults_test.go
+++ b/internal/controlplane/replication/chunkfaults_test.go
@@ -202,7 +202,9 @@
 		}
 		faults.check()
 		// It counts: with the one that is left it commits more.
-		for next := c.awaitValid(); !commits(next.term, []Entry{{"after", []byte{1}}}); next = c.awaitValid() {
+		next := c.awaitValid()
+		for !commits(next.term, []Entry{{"after", []byte{1}}}) {
+			next = c.awaitValid()
 		}
 	})
 }
--- a/internal/controlplane/replication/chunking.go
+++ b/internal/controlplane/replication/chunking.go
@@ -8,7 +8,7 @@
 // bytes is what an entry costs in a message, roughly.
 func (e Entry) bytes() int { return entryBytes + len(e.Key) + len(e.Value) }
 
-// entriesOf lists a state's entries by key. So the parts of one position are the same however often they are made.
+// entriesOf lists a state's entries by key. So the chunks of one position are the same however often they are made.
 func entriesOf(state map[string][]byte) []Entry {
 	entries := make([]Entry, 0, len(state))
 	for _, key := range slices.Sorted(maps.Keys(state)) {
@@ -26,7 +26,7 @@
 	return sum
 }
 
-// splitChunks cuts entries into parts of about a number of bytes. There is always one part, which may be empty.
+// splitChunks cuts entries into chunks of about maxBytes. There is always one chunk, which may be empty.
 func splitChunks(entries []Entry, maxBytes int) [][]Entry {
 	var chunks [][]Entry
 	start, sum := 0, 0
--- a/internal/controlplane/replication/core.go
+++ b/internal/controlplane/replication/core.go
@@ -18,8 +18,8 @@
 	Table(name string) map[string][]byte
 }
 
-// core is the whole protocol on one node, free of goroutines and input or output. It advances in steps, one at a
-// time; a step may leave effects, whose results are steps again.
+// core is the whole protocol on one node, as a state machine without goroutines, input or output. It advances in steps, one
+// at a time; a step may leave effects, whose results are steps again.
 type core struct {
 	self    string
 	timing  Timing
@@ -35,8 +35,8 @@
 	now                 time.Duration
 	view                replicaset.View
 	ready               bool
-	failed              bool          // the store has ended
-	writesRejectedUntil time.Duration // the disk has refused a write; no vote until then
+	failed              bool          // the store has failed for good
+	writesRejectedUntil time.Duration // the disk has rejected a write; no vote until then
 	stopping            bool
 	groups              map[string]*group
 	leaders             *leaderTable
@@ -88,7 +88,7 @@
 	}
 }
 
-// mayVote tells whether this replica may vote in a round of a view's version.
+// mayVote tells whether this replica may vote on a request of a view's version.
 func (c *core) mayVote(view uint64) bool {
 	member := c.view.Version == 0 || c.view.Has(c.self)
 	return member && c.ready && c.storeWritable() && !c.stopping && view >= c.view.Version
--- a/internal/controlplane/replication/diskhealth.go
+++ b/internal/controlplane/replication/diskhealth.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// rejectionBackoff is how long a replica neither votes nor campaigns after the disk has refused a write. It leaves the
+	// rejectionBackoff is how long a replica neither votes nor campaigns after the disk has rejected a write. It leaves the
 	// others time to elect a leader.
 	rejectionBackoff = time.Second
 	// stallLimit is how long a write may take until the disk counts as stalled.
 	stallLimit = time.Second
 )
 
-// writeFailed decides what a failed write means: a refused one has left the store as it was, and later ones may succeed.
+// writeFailed decides what a failed write means: a rejected one has left the store as it was, and later ones may succeed.
 func (c *core) writeFailed(err error) {
 	if rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		c.fail(err)
@@ -27,7 +27,7 @@
 	c.resignAll(false)
 }
 
-// fail ends this node's part: a store that failed for good takes no more writes.
+// fail ends this node's voting and leading: a store that failed for good takes no more writes.
 func (c *core) fail(err error) {
 	if c.failed {
 		return
--- a/internal/controlplane/replication/follower.go
+++ b/internal/controlplane/replication/follower.go
@@ -9,14 +9,14 @@
 	known           bool
 	sending         bool
 	transfer        *transfer     // what is being sent; nil where nothing is
-	catchingUp      bool          // since a snapshot began to travel; what came after it is kept for this replica
-	lastAppendEnded time.Duration // the newest append ended then; what was asked before may be out of date
+	catchingUp      bool          // since a snapshot was begun; the batches after it are retained for this replica
+	lastAppendEnded time.Duration // when the newest append ended; an answer to an earlier request may be out of date
 
-	// matchIndex is the newest sequence of this term that the replica has synced, as told by its answer to a request that
-	// was sent at matchSentAt.
+	// matchIndex is the newest index of this term that the replica has synced, by its answer to a request that was sent at
+	// matchSentAt.
 	matchIndex  uint64
 	matchSentAt time.Duration
-	// acknowledgedAt is when the newest request was sent that the replica answered as this leader's follower.
+	// acknowledgedAt is when the newest request was sent that the replica acknowledged as this leader's follower.
 	acknowledgedAt time.Duration
 }
 
@@ -24,7 +24,7 @@
 	return &follower{matchSentAt: never, acknowledgedAt: never, lastAppendEnded: never}
 }
 
-// requestVote notes an answer. A lower sequence replaces a higher one only when that has become too old to count.
+// acknowledge records an answer. A lower index replaces a higher one only when that has become too old to count.
 func (f *follower) acknowledge(index uint64, sent, now, replyTimeout time.Duration) {
 	if index >= f.matchIndex || now-f.matchSentAt > replyTimeout {
 		f.matchIndex, f.matchSentAt = index, sent
@@ -32,7 +32,7 @@
 	f.acknowledgedAt = max(f.acknowledgedAt, sent)
 }
 
-// updatePosition notes where the replica is, by an answer to a request sent at a time.
+// updatePosition records where the replica is, by its answer to a request that was sent at a time.
 func (f *follower) updatePosition(position Position, sent time.Duration) {
 	if f.sending || sent < f.lastAppendEnded {
 		return
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -12,13 +12,13 @@
 	name              string
 	replica           replica
 	campaigning       *campaign
-	fetching          *snapshotFetch // of a newer state than the one here, before this node stands
+	fetching          *snapshotFetch // of a newer state than the one here, before a campaign goes on
 	leading           *leadership
 	ensured           bool          // campaign although nothing is stored
-	lastContact       time.Duration // of the newest sign of life of a leader
+	lastContact       time.Duration // when a leader was heard from last
 	vacant            bool          // the last leader has resigned
 	resignedTerm      uint64        // term of the newest leader that has resigned
-	campaignNotBefore time.Duration // no campaign before
+	campaignNotBefore time.Duration // the backoff of the newest campaign
 }
 
 func newGroup(c *core, name string) *group {
@@ -27,7 +27,7 @@
 	return g
 }
 
-// heard notes a sign of life of a leader.
+// leaderContacted records a message of a leader.
 func (g *group) leaderContacted(term uint64, leader string) {
 	g.lastContact, g.vacant = g.core.now, false
 	if leader == g.core.self {
@@ -39,12 +39,12 @@
 	}
 }
 
-// ledByOther tells whether a leader other than the candidate has its term on this machine.
+// ledByOther tells whether this node leads the group and is not the candidate.
 func (g *group) ledByOther(candidate string) bool {
 	return g.leading != nil && candidate != g.core.self
 }
 
-// exists tells whether anything is known that is worth a leader.
+// exists tells whether the group needs a leader: it was ensured, or has had a term.
 func (g *group) exists() bool { return g.ensured || g.replica.currentTerm > 0 }
 
 // ledBeforeRestart tells whether this node led the group when its process ended, and nobody has led since.
@@ -67,7 +67,7 @@
 	return max(at, g.campaignNotBefore, g.replica.noVoteBefore)
 }
 
-// leaderResigned notes that the leader of a term has ended its term.
+// leaderResigned records that the leader of a term has resigned.
 func (g *group) leaderResigned(term uint64) {
 	if term < g.replica.currentTerm {
 		return
--- a/internal/controlplane/replication/history.go
+++ b/internal/controlplane/replication/history.go
@@ -24,7 +24,7 @@
 	return len(h.batches) > h.limits.RetainedBatches || h.bytes > h.limits.RetainedBytes
 }
 
-// withinRetention tells whether so few batches lead from a position to the newest that the usual limits keep them for a while.
+// withinRetention tells whether so few batches lead from a position to the newest that half of the usual limits retains them.
 func (h *history) withinRetention(position Position) bool {
 	count, sum := 0, 0
 	for i := len(h.batches) - 1; i >= 0; i-- {
@@ -45,15 +45,15 @@
 	h.batches = h.batches[1:]
 }
 
-// discardThrough drops the batches that lead to a sequence or an earlier one; the newest always stays.
+// discardThrough drops the batches up to an index; the newest always stays.
 func (h *history) discardThrough(index uint64) {
 	for len(h.batches) > 1 && h.batches[0].position.Index <= index {
 		h.dropOldest()
 	}
 }
 
-// after merges the batches after a position into one, as many as fit into a message, but at least one. It fails if the
-// position is not one that the history begins at.
+// after merges the batches after a position into one, as many as fit into a message, but at least one. It is not found
+// where no retained batch begins at the position.
 func (h *history) after(position Position) (batch, bool) {
 	for i, b := range h.batches {
 		if b.previous == position {
--- a/internal/controlplane/replication/leaderbalance.go
+++ b/internal/controlplane/replication/leaderbalance.go
@@ -8,7 +8,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// campaignRank is the number of live members that should rather lead a group than this one.
+// campaignRank is the number of live members that a group prefers to this one as its leader.
 func (c *core) campaignRank(group string) int {
 	return max(0, slices.Index(c.preferred(group, c.leaderCounts(group)), c.self))
 }
@@ -37,7 +37,7 @@
 }
 
 // preferred sorts the live members by how much a group prefers them as leader: the one that leads the fewest groups
-// first, among equals by rendezvous.
+// first, among equals by rendezvousOrder.
 func (c *core) preferred(group string, loads map[string]int) []string {
 	order := rendezvousOrder(c.view.Members, group)
 	live := slices.DeleteFunc(order, func(address string) bool { return !c.members.canVote(address, c.now) })
@@ -45,7 +45,7 @@
 	return live
 }
 
-// rendezvousOrder sorts addresses by highest random weight for a group.
+// rendezvousOrder sorts addresses by their highest random weight for a group (Thaler and Ravishankar, 1998).
 func rendezvousOrder(addresses []string, group string) []string {
 	weight := func(address string) uint64 { return xxh3.HashString(group + "\x00" + address) }
 	return slices.SortedFunc(slices.Values(addresses), func(a, b string) int {
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -10,7 +10,7 @@
 )
 
 // leadership is this node's term as leader of a group: it gathers proposals into batches, sends them to the
-// followers, counts their answers, and keeps the lease.
+// followers, counts their acknowledgements, and renews the lease.
 type leadership struct {
 	core         *core
 	group        *group
@@ -22,7 +22,7 @@
 	followers    map[string]*follower
 	history      history
 	lastPosition Position // of the newest batch begun
-	commitIndex  uint64   // sequence
+	commitIndex  uint64   // of the newest committed batch of the term; 0 before the first
 
 	pending           map[string][]byte // of the batch that comes next
 	pendingCallbacks  []func()          // to call once it is committed
@@ -102,7 +102,7 @@
 		return
 	}
 	if len(l.pending) == 0 && !l.handle.Valid() {
-		return // nothing shows that no other leader has been elected; the next answer of a majority does
+		return // another leader may have been elected; the next acknowledgement of a majority shows that none was
 	}
 	values := l.pending
 	l.inFlightCallbacks, l.pendingCallbacks, l.pending = l.pendingCallbacks, nil, nil
@@ -119,7 +119,7 @@
 	l.startBatch(previous, values, b)
 }
 
-// propose queues entries for the next batch.
+// propose adds entries to the next batch.
 func (l *leadership) propose(entries []Entry, committed func()) {
 	if l.checkLease(); l.ended {
 		return
@@ -156,7 +156,8 @@
 	l.trimHistory()
 }
 
-// advanceCommitIndex commits what a majority has synced, by answers that are not too old.
+// advanceCommitIndex commits what a majority has synced, by acknowledgements that are not too old. The matching indexes are of
+// this term alone, as only those may be counted (Ongaro's thesis, 3.6.2).
 func (l *leadership) advanceCommitIndex() {
 	sequences := make([]uint64, 0, len(l.followers)+1)
 	if l.group.replica.position.Term == l.termNumber {
@@ -202,7 +203,7 @@
 	l.core.leaders.updateGroup(l.group.name, feed.Leader{Address: l.core.self, Term: l.termNumber})
 }
 
-// renewLease sets the lease by the requests that a majority has answered.
+// renewLease extends the lease: it counts from when the newest requests were sent that a majority has acknowledged.
 func (l *leadership) renewLease() {
 	sent := make([]time.Duration, 0, len(l.followers)+1)
 	sent = append(sent, l.core.now)
@@ -219,7 +220,7 @@
 	l.deadline = max(l.deadline, held)
 }
 
-// trimHistory forgets the batches that all followers have.
+// trimHistory drops the batches that all followers have.
 func (l *leadership) trimHistory() {
 	least := l.commitIndex
 	for _, follower := range l.followers {
@@ -238,7 +239,7 @@
 	}
 }
 
-// finish ends the term.
+// end ends the term.
 func (l *leadership) end(reason string) {
 	if l.ended {
 		return
@@ -256,7 +257,7 @@
 	l.pending, l.pendingCallbacks, l.inFlightCallbacks, l.history = nil, nil, nil, history{}
 }
 
-// resign ends the term and tells the other members.
+// resign ends the term and notifies the other members.
 func (l *leadership) resign(stopping bool) {
 	if l.ended {
 		return
--- a/internal/controlplane/replication/leadertable.go
+++ b/internal/controlplane/replication/leadertable.go
@@ -21,7 +21,7 @@
 	return &leaderTable{byGroup: make(map[string]feed.Leader), changed: make(chan struct{})}
 }
 
-// update takes in leaders with higher terms than those known.
+// update adopts the leaders with higher terms than those known.
 func (t *leaderTable) update(leaders map[string]feed.Leader) {
 	var next map[string]feed.Leader
 	for group, leader := range leaders {
--- a/internal/controlplane/replication/liveness.go
+++ b/internal/controlplane/replication/liveness.go
@@ -5,13 +5,13 @@
 // Liveness is what a node knows of one other member.
 type Liveness struct {
 	Address      string
-	Alive        bool          // it was heard of late
+	Alive        bool          // it sent a ping within Timing.LivenessTimeout
 	Ready        bool          // it may vote, as it last said
-	Contacted    bool          // it was heard at all since this node started
-	SinceContact time.Duration // since its newest ping
+	Contacted    bool          // it has sent a ping since this node started
+	SinceContact time.Duration // since its newest ping arrived; meaningless unless Contacted
 }
 
-// Members tells of the other members of the view, in the view's order.
+// Members returns the liveness of the other members of the view, in the view's order.
 func (n *Node) Members() []Liveness {
 	view := n.config.View()
 	n.mu.Lock()
--- a/internal/controlplane/replication/members.go
+++ b/internal/controlplane/replication/members.go
@@ -14,7 +14,7 @@
 	lastPing     time.Duration // its newest ping arrived then
 	ready        bool          // it may vote, as its newest ping says
 	lastAnswered time.Duration // the newest of our pings that it answered was sent then
-	pendingPings int           // calls under way
+	pendingPings int           // calls in flight
 }
 
 // members tells which core nodes are alive and in contact.
@@ -37,7 +37,7 @@
 	return one
 }
 
-// retain forgets all that are not in a view.
+// retain drops all that are not in a view.
 func (m *members) retain(view replicaset.View) {
 	for address := range m.byAddress {
 		if !view.Has(address) {
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -1,10 +1,3 @@
-// Package replication keeps replicated key/value states, one per group, on the core nodes. A group has at most one
-// acting leader. The leader gathers changes into batches, and a batch is committed once a majority of the replicas has
-// synced it to disk. There is no log: each replica holds the state as of one Position, a batch moves it from one
-// Position to the next, and a replica that is elsewhere gets a whole snapshot.
-//
-// All decisions are made by the type core and what it consists of (replica, campaign, leadership), which know neither
-// goroutines nor sockets and take the time as an argument. Node runs a core on a real clock, store and network.
 package replication
 
 import (
@@ -12,8 +5,8 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Votes, batches and heartbeats have terms and positions, so that one that comes again changes nothing.
-// A resignation that came late would make a process that is back count as gone.
+// Internal calls. Votes, batches and heartbeats have terms and positions, so that a duplicate changes nothing.
+// A late resignation would make a process that is back count as gone, so that one is sent at most once.
 var (
 	voteCall     = transport.NewIdempotent[voteRequest, voteReply]("/replication/prepare")
 	appendCall   = transport.NewIdempotent[appendRequest, appendReply]("/replication/append")
@@ -28,7 +21,7 @@
 	Value []byte `msgpack:"v"`
 }
 
-// voteRequest asks for a vote. With Probe set, it asks whether a vote would be given, and changes nothing.
+// voteRequest asks for a vote. With PreVote set, it asks whether a vote would be given, and changes nothing.
 type voteRequest struct {
 	Group     string   `msgpack:"g"`
 	Term      uint64   `msgpack:"e"`
@@ -40,15 +33,15 @@
 
 type voteReply struct {
 	Granted  bool              `msgpack:"g"`
-	Term     uint64            `msgpack:"m"` // the highest term promised
+	Term     uint64            `msgpack:"m"` // the voter's current term
 	Position Position          `msgpack:"p"`
 	State    map[string][]byte `msgpack:"s,omitempty"` // only where Position is newer than the candidate's
 	// StateOmitted tells that Position is newer than the candidate's and that the state does not fit into this message. The
-	// candidate fetches it in parts before it stands.
+	// candidate fetches it in chunks before it asks for votes.
 	StateOmitted bool `msgpack:"l,omitempty"`
 }
 
-// snapshotRequest asks for a part of a replica's state as of a position.
+// snapshotRequest asks for a chunk of a replica's state as of a position.
 type snapshotRequest struct {
 	Group    string   `msgpack:"g"`
 	View     uint64   `msgpack:"w"`
@@ -56,14 +49,14 @@
 	Chunk    uint32   `msgpack:"a"` // from 0
 }
 
-// snapshotReply is that part. Parts is zero where the replica is not at the position, or may not vote.
+// snapshotReply is that chunk. Chunks is zero where the replica is not at the position, or may not vote.
 type snapshotReply struct {
 	Chunks  uint32  `msgpack:"n"`
 	Entries []Entry `msgpack:"t"`
 }
 
 // appendRequest moves a replica from Previous to Position, or with Snapshot set, from wherever it is. What does not fit
-// into one message comes in parts, and moves the replica with the last one.
+// into one message comes in chunks, and moves the replica with the last one.
 type appendRequest struct {
 	Group    string   `msgpack:"g"`
 	Term     uint64   `msgpack:"e"`
@@ -84,15 +77,15 @@
 	unavailable      appendOutcome = iota // the replica may not vote at present, or has a newer view
 	accepted                              // the replica follows the leader; its position is in the reply
 	positionMismatch                      // the replica follows the leader, but the batch does not continue its position
-	staleTerm                             // the replica has promised a higher term
-	incomplete                            // the replica follows the leader, and wants the part that the reply names
+	staleTerm                             // the replica's current term is higher
+	incomplete                            // the replica follows the leader, and lacks the chunk that the reply names
 )
 
 type appendReply struct {
 	Outcome   appendOutcome `msgpack:"o"`
 	Term      uint64        `msgpack:"m"`
 	Position  Position      `msgpack:"p"`
-	NextChunk uint32        `msgpack:"w,omitempty"` // with gathering: the part that is missing
+	NextChunk uint32        `msgpack:"w,omitempty"` // with incomplete: the missing chunk
 }
 
 // heartbeat renews the lease of one group's leader.
@@ -101,7 +94,7 @@
 	Term  uint64 `msgpack:"e"`
 }
 
-// pingRequest tells a member that the sender is alive, and carries its heartbeats as a leader.
+// pingRequest shows a member that the sender is alive, and carries its heartbeats as a leader.
 type pingRequest struct {
 	From            string      `msgpack:"f"`
 	Ready           bool        `msgpack:"r"` // the sender may vote
@@ -115,7 +108,7 @@
 	Leaders    map[string]feed.Leader `msgpack:"l,omitempty"` // only where the checksums differ
 }
 
-// resignRequest tells that a leader has ended its term.
+// resignRequest announces that a leader has ended its term.
 type resignRequest struct {
 	Group    string `msgpack:"g"`
 	Term     uint64 `msgpack:"e"`
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -32,6 +32,12 @@
 	Limits  Limits
 }
 
+var (
+	errIncompleteConfig = errors.New("replication: a field of Config is missing")
+	errLeaseTooLong     = errors.New("replication: LeaderLease must be shorter than FollowerLease")
+	errAbandoned        = errors.New("replication: the request was given up")
+)
+
 // Node is one core node's part in all replication groups.
 type Node struct {
 	config Config
@@ -45,14 +51,15 @@
 	core *core
 }
 
-// NewNode makes a node with what its store holds. It votes from the start, and leads while Run runs.
+// NewNode makes a node on what its store holds. It votes from the start, and campaigns and leads while Run runs. The error tells
+// what is missing in the configuration, or that a leader's lease would outlast those of its followers.
 func NewNode(config Config) (*Node, error) {
 	config.Timing = config.Timing.withDefaults()
 	if config.Timing.LeaderLease >= config.Timing.FollowerLease {
 		return nil, errLeaseTooLong
 	}
 	if config.Self == "" || config.Store == nil || config.Caller == nil || config.View == nil || config.Ready == nil || config.Handler == nil {
-		return nil, errors.New("replication: a field of Config is missing")
+		return nil, errIncompleteConfig
 	}
 	if config.Clock == nil {
 		config.Clock = steadyClock{time.Now()}
@@ -81,7 +88,7 @@
 	}
 }
 
-// Ensure tells that a group exists, so that this node campaigns for it when due.
+// Ensure declares that a group exists, so that this node campaigns for it when due.
 func (n *Node) Ensure(group string) { n.runStep(func() { n.core.ensure(group) }) }
 
 // Groups lists all groups known, sorted.
@@ -112,7 +119,7 @@
 	return n.core.leaders.changed
 }
 
-// InContact tells whether a majority of the view, this node included, has answered of late.
+// InContact tells whether a majority of the view, this node included, has answered within Timing.LivenessTimeout.
 func (n *Node) InContact() bool {
 	view := n.config.View()
 	n.mu.Lock()
--- a/internal/controlplane/replication/noderun.go
+++ b/internal/controlplane/replication/noderun.go
@@ -72,13 +72,13 @@
 	for {
 		select {
 		case <-ctx.Done():
-			n.shutdown()
+			n.shutdown() //nolint:contextcheck // its calls last until the node's own context ends
 			return
 		case <-timer.C:
 		case <-n.wakeUp:
 		}
 		var next time.Duration
-		n.runStep(func() { next = n.core.tick() })
+		n.runStep(func() { next = n.core.tick() }) //nolint:contextcheck // effects end with the node's own context
 		timer.Reset(max(next-n.config.Clock.Now(), time.Millisecond))
 	}
 }
--- a/internal/controlplane/replication/nodeserve.go
+++ b/internal/controlplane/replication/nodeserve.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 
 	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
@@ -38,7 +37,7 @@
 	if len(work.writes) == 1 && len(work.calls) == 0 {
 		work = n.write(work.writes[0])
 	}
-	n.perform(work, false)
+	n.perform(work, false) //nolint:contextcheck // effects may outlive the request: they end with the node's own context
 	select {
 	case reply := <-replies:
 		return reply, nil
@@ -46,5 +45,5 @@
 	case <-n.ctx.Done():
 	}
 	var none Reply
-	return none, rpcerror.WrapMayHaveExecuted(errors.New("replication: the request was given up"))
+	return none, rpcerror.WrapMayHaveExecuted(errAbandoned)
 }
--- a/internal/controlplane/replication/position.go
+++ b/internal/controlplane/replication/position.go
@@ -1,6 +1,6 @@
 package replication
 
-// Position names one state of a group: the Sequence-th batch of the leader that was elected under Epoch.
+// Position names one state of a group: the Index-th batch of the leader of Term.
 // The zero Position is the empty state before the first leader.
 type Position struct {
 	Term  uint64 `msgpack:"e"`
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -6,25 +6,25 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// replica holds one group's state on this machine and votes in its elections. Its writes are serial: while one is on
-// its way to the disk, what needs the state waits in a queue.
+// replica holds one group's state on this machine and votes in its elections. Its writes are serial: while one is under way,
+// what needs the state waits in a queue.
 type replica struct {
 	core         *core
 	group        *group
-	currentTerm  uint64   // no term below is followed
-	votedFor     string   // to whom the promise was given
-	durableTerm  uint64   // the promise that is on disk
+	currentTerm  uint64   // no lower one is followed
+	votedFor     string   // whom the vote of the current term was given to, or who led it
+	durableTerm  uint64   // the current term as it is on disk
 	position     Position // of the state on disk
 	lease        followerLease
-	noVoteBefore time.Duration // no vote before that time, as a lease may have been forgotten
+	noVoteBefore time.Duration // a lease of before the restart may last until then
 	writing      bool
 	writeStarted time.Duration // when the newest write began
 	afterWrite   []func()
-	assembly     *assembly // of what a leader sends in parts; nil where there is none
+	assembly     *assembly // of what a leader sends in chunks; nil where there is none
 	served       servedSnapshot
 }
 
-// load takes over what the store holds; the replica must have no write under way.
+// load reads what the store holds; the replica must have no write under way.
 func (r *replica) load(noVoteBefore time.Duration) {
 	m := decodeMeta(r.core.store.Table(metaTable(r.group.name)))
 	r.currentTerm, r.votedFor, r.durableTerm, r.position = m.term, m.votedFor, m.term, m.position
@@ -44,7 +44,7 @@
 }
 
 // persist writes changes, runs done once they are synced, or failed if they could not be, and then what has queued up.
-// What this replica has on disk is then as before; a promise that it has not answered may stay raised in memory.
+// What this replica has on disk is then as before; a term that it has not answered for may stay raised in memory.
 func (r *replica) persist(changes []storage.Change, done, failed func()) {
 	r.writing, r.writeStarted = true, r.core.now
 	r.core.write(changes, func(err error) {
@@ -62,10 +62,10 @@
 	})
 }
 
-// serveSnapshot reads the state from the store, which is as of position while no write is under way.
+// state reads the state from the store, which is as of position while no write is under way.
 func (r *replica) state() map[string][]byte { return r.core.store.Table(stateTable(r.group.name)) }
 
-// advanceTerm promises to follow no lower term; a leader on this machine with a lower one ends.
+// advanceTerm raises the current term. A leader on this machine with a lower one ends.
 func (r *replica) advanceTerm(term uint64, candidate string) {
 	if term > r.currentTerm {
 		r.currentTerm, r.votedFor = term, candidate
--- a/internal/controlplane/replication/replicate.go
+++ b/internal/controlplane/replication/replicate.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// beginTransfer chooses what is sent next: the batches after the follower's position, or the whole state where they are
-// not known any more.
+// beginTransfer chooses what is sent next: the batches after the follower's position, or a snapshot where they are
+// not retained any more.
 func (l *leadership) beginTransfer(address string, follower *follower) {
 	next, found := l.history.after(follower.position)
 	if found {
@@ -29,7 +29,7 @@
 	l.beginSnapshot(address, follower)
 }
 
-// endTransfer forgets what is being sent to a follower, and lets the next group's snapshot go there.
+// endTransfer drops what is being sent to a follower, and lets the next group's snapshot go there.
 func (l *leadership) endTransfer(address string, follower *follower) {
 	ended := follower.transfer
 	follower.transfer = nil
@@ -55,7 +55,7 @@
 	})
 }
 
-// chunkAnswered notes where the follower is, and which part it wants.
+// chunkAnswered records where the follower is, and which chunk it lacks.
 func (l *leadership) chunkAnswered(follower *follower, sending *transfer, reply appendReply) {
 	follower.position = reply.Position
 	if l.history.withinRetention(reply.Position) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// answered takes a replica's answer to an append or a heartbeat sent at a time. After a failed call nothing more is
+// appendAnswered handles a replica's answer to an append or a heartbeat that was sent at a time. After a failed call nothing more is
 // sent until a heartbeat is answered.
 func (l *leadership) appendAnswered(follower *follower, reply appendReply, sent time.Duration) {
 	if l.ended {
@@ -90,7 +90,7 @@
 	follower.acknowledge(sequence, sent, l.core.now, l.core.timing.ReplyTimeout)
 }
 
-// heartbeatAnswered takes the answer to a heartbeat sent at a time.
+// heartbeatAnswered handles the answer to a heartbeat that was sent at a time.
 func (l *leadership) heartbeatAnswered(address string, reply appendReply, sent time.Duration) {
 	follower := l.followers[address]
 	if follower == nil || reply.Outcome == unavailable {
--- a/internal/controlplane/replication/snapshotfetch.go
+++ b/internal/controlplane/replication/snapshotfetch.go
@@ -2,7 +2,7 @@
 
 import "puffinlink.example/puffinlink/internal/controlplane/storage"
 
-// fetch copies a newer state from a member in parts, before this node stands for election. What is fetched is a state
+// snapshotFetch copies a newer state from a member in chunks, before this node asks for votes. What is fetched is a state
 // that a leader made and that the member holds, under the leader's own position; so holding it as well takes nothing
 // back, whether it is committed or not. It is no answer to that leader, so it counts in no majority by itself.
 type snapshotFetch struct {
@@ -10,11 +10,11 @@
 	from      string
 	position  Position
 	entries   []Entry
-	nextChunk uint32 // part
-	attempts  int    // of the next part
+	nextChunk uint32
+	attempts  int // at the next chunk
 }
 
-// maxFetchAttempts is how often a part is asked for.
+// maxFetchAttempts is how often a chunk is asked for.
 const maxFetchAttempts = 3
 
 func (g *group) startFetch(from string, position Position) {
@@ -30,7 +30,7 @@
 	core.call(f.from, snapshotCall.Route(), core.timing.ChunkTimeout, request, reply, func(err error) { f.receiveChunk(*reply, err) })
 }
 
-// append adds the part that was asked for.
+// receiveChunk adds the chunk that was asked for.
 func (f *snapshotFetch) receiveChunk(reply snapshotReply, err error) {
 	switch {
 	case !f.needed():
@@ -41,7 +41,7 @@
 			return
 		}
 		f.requestChunk()
-	case f.nextChunk >= reply.Chunks: // the member is elsewhere by now
+	case f.nextChunk >= reply.Chunks: // the member is at another position by now
 		f.finish()
 	default:
 		f.entries = append(f.entries, reply.Entries...)
@@ -54,7 +54,7 @@
 	}
 }
 
-// needed tells whether the state is still worth having: there is no leader, and nothing newer here.
+// needed tells whether the state is still of use: there is no leader, and nothing newer here.
 func (f *snapshotFetch) needed() bool {
 	g := f.group
 	held := g.core.now < g.replica.lease.until
--- a/internal/controlplane/replication/snapshotsend.go
+++ b/internal/controlplane/replication/snapshotsend.go
@@ -1,7 +1,7 @@
 package replication
 
-// snapshotOutdated tells whether a snapshot of which no part has arrived is older than the batches that are kept, as where its follower
-// was down: another would have to follow it.
+// snapshotOutdated tells whether a snapshot of which no chunk has arrived is older than the retained batches, as where its
+// follower was down: another would have to follow it.
 func (l *leadership) snapshotOutdated(t *transfer) bool {
 	if !t.request.Snapshot || t.nextChunk > 0 || t.request.Position == l.lastPosition {
 		return false
@@ -12,11 +12,11 @@
 
 // beginSnapshot takes a copy of the state for a follower. Each member gets one snapshot of this node at a time, whatever
 // the group, and the next one follows at once; a member that does not answer holds up no other. A large state takes longer
-// to sort and cut than a lease lasts where the processor is busy, so that is not done within a step.
+// to sort and split than a lease lasts where the processor is busy, so that is not done within a step.
 func (l *leadership) beginSnapshot(address string, follower *follower) {
 	replica := &l.group.replica
 	if l.core.receivingSnapshot[address] || replica.position.Term != l.termNumber {
-		return // the end of the other snapshot, or of the write that begins the term, comes back here
+		return // replicate is called again at the end of the other snapshot, or of the write that begins the term
 	}
 	l.core.receivingSnapshot[address] = true
 	follower.sending = true
@@ -35,7 +35,7 @@
 	})
 }
 
-// sendSnapshot begins to send a snapshot that has been cut into parts, unless nobody wants it any more.
+// sendSnapshot begins to send a snapshot that has been cut into chunks, unless its follower or the term is gone.
 func (l *leadership) sendSnapshot(address string, follower *follower, position Position, chunks [][]Entry) {
 	follower.sending = false
 	if l.ended || l.followers[address] != follower {
@@ -46,7 +46,7 @@
 	l.replicate(address, follower)
 }
 
-// snapshotEnded lets the next snapshot go to a member.
+// snapshotEnded begins the next snapshot to a member.
 func (c *core) snapshotEnded(address string) {
 	delete(c.receivingSnapshot, address)
 	for _, g := range c.sortedGroups() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// updateHistoryLimits keeps more batches while a follower that answers is catching up from a snapshot.
+// updateHistoryLimits retains more batches while a follower that answers is catching up from a snapshot.
 func (l *leadership) updateHistoryLimits() {
 	l.history.catchingUp = false
 	for _, follower := range l.followers {
--- a/internal/controlplane/replication/snapshotserve.go
+++ b/internal/controlplane/replication/snapshotserve.go
@@ -1,12 +1,12 @@
 package replication
 
-// servedSnapshot is a copy of the state that others are fetching.
+// servedSnapshot is a copy of the state that candidates are fetching.
 type servedSnapshot struct {
 	position Position
 	chunks   [][]Entry
 }
 
-// serveSnapshot answers one who fetches the state of a position.
+// serveSnapshot answers a candidate that fetches the state of a position.
 func (r *replica) serveSnapshot(request snapshotRequest, reply func(snapshotReply)) {
 	r.whenIdle(func() {
 		if !r.core.mayVote(request.View) || r.position != request.Position {
@@ -23,7 +23,7 @@
 			return
 		}
 		if int(request.Chunk) == len(chunks)-1 {
-			r.served = servedSnapshot{} // asked for again, it is made again
+			r.served = servedSnapshot{} // a retry makes it anew
 		}
 		reply(snapshotReply{Chunks: uint32(len(chunks)), Entries: chunks[request.Chunk]})
 	})
--- a/internal/controlplane/replication/storedtables.go
+++ b/internal/controlplane/replication/storedtables.go
@@ -28,11 +28,11 @@
 // meta is the durable part of a replica beside its state.
 type meta struct {
 	term     uint64
-	votedFor string // to whom the promise was given
+	votedFor string // as replica.votedFor
 	position Position
 }
 
-// termChanges make a promise durable, together with whom it was given to.
+// termChanges make a term durable, together with whom the vote was given to.
 func termChanges(group string, term uint64, candidate string) []storage.Change {
 	table := metaTable(group)
 	return []storage.Change{
--- a/internal/controlplane/replication/term.go
+++ b/internal/controlplane/replication/term.go
@@ -15,7 +15,7 @@
 	Deposed(term *Term)
 }
 
-// Term is one leadership of one group.
+// Term is the handle of one leader's term in one group.
 type Term struct {
 	group      string
 	number     uint64
@@ -49,13 +49,13 @@
 // called after the term has ended. A proposal without entries waits for those before it. committed may be nil.
 func (t *Term) Propose(entries []Entry, committed func()) { t.propose(entries, committed) }
 
-// Valid tells whether the lease holds right now.
+// Valid tells whether the leader's lease holds right now.
 func (t *Term) Valid() bool { return t.clock.Now() < time.Duration(t.validUntil.Load()) }
 
 // Ended is closed when the term ends.
 func (t *Term) Ended() <-chan struct{} { return t.ended }
 
-// Resign ends the term at once and tells the other replicas, so that they need not wait for the lease to run out.
+// Resign ends the term at once and notifies the other replicas, so that they need not wait for the lease to expire.
 func (t *Term) Resign() { t.resign() }
 
 func (t *Term) extend(until time.Duration) {
--- a/internal/controlplane/replication/timing.go
+++ b/internal/controlplane/replication/timing.go
@@ -1,11 +1,8 @@
 package replication
 
-import (
-	"errors"
-	"time"
-)
+import "time"
 
-// Clock is a steady clock: it never jumps, and counts from any fixed moment of this process.
+// Clock is a monotonic clock: it never jumps, and counts from any fixed moment of this process.
 type Clock interface{ Now() time.Duration }
 
 type steadyClock struct{ origin time.Time }
@@ -15,17 +12,17 @@
 
 // Timing holds the intervals of the protocol. The zero value of a field stands for its default.
 type Timing struct {
-	HeartbeatInterval     time.Duration // between two pings to a member
+	HeartbeatInterval     time.Duration // between two pings to a member, which carry the heartbeats
 	LeaderLease           time.Duration // a leader acts that long after it sent what a majority answered
 	FollowerLease         time.Duration // a replica elects no other leader that long after it heard the present one
 	ElectionTimeout       time.Duration // without a leader until a replica campaigns
 	VacantElectionTimeout time.Duration // the same after a leader has resigned, or before the first one
 	RankDelay             time.Duration // added for each live replica that comes first in the group's order
-	MinCampaignBackoff    time.Duration // pause after a campaign that failed, at least
+	MinCampaignBackoff    time.Duration // after a campaign that failed, at least
 	MaxCampaignBackoff    time.Duration // and at most
-	ReplyTimeout          time.Duration // an answer that comes later than that after the request counts in no majority
-	LivenessTimeout       time.Duration // a member that was heard within that time is alive
-	ChunkTimeout          time.Duration // limit of a call that carries a part of a state
+	ReplyTimeout          time.Duration // an answer that comes later than that after its request was sent counts in no majority
+	LivenessTimeout       time.Duration // a member whose ping came within that time is alive
+	ChunkTimeout          time.Duration // limit of a call that carries a chunk of a snapshot or of a large batch
 }
 
 // DefaultTiming are the intervals used in service.
@@ -43,8 +40,6 @@
 	ChunkTimeout:          2 * time.Second,
 }
 
-var errLeaseTooLong = errors.New("replication: LeaderLease must be shorter than ReplicaLease")
-
 func (t Timing) withDefaults() Timing {
 	fill := func(value *time.Duration, standard time.Duration) {
 		if *value == 0 {
--- a/internal/controlplane/replication/voting.go
+++ b/internal/controlplane/replication/voting.go
@@ -1,7 +1,7 @@
 package replication
 
-// leasesAllow tells whether the replica may vote for a candidate as far as leases go. A lease that was forgotten in a restart
-// can only be that of the node to which the newest promise was given. If that node is the candidate, it leads no more:
+// leasesAllow tells whether the replica may vote for a candidate as far as leases go. A lease from before a restart can
+// only be that of the node to which the newest vote was given. If that node is the candidate, it leads no more:
 // a node campaigns only after its own term has ended, or in a new process.
 func (r *replica) leasesAllow(candidate string) bool {
 	now := r.core.now
@@ -9,7 +9,7 @@
 	return remembers && (now >= r.lease.until || r.lease.leader == candidate) && !r.group.ledByOther(candidate)
 }
 
-// requestVote votes, or refuses to.
+// requestVote answers a pre-vote, or grants or denies a vote.
 func (r *replica) requestVote(request voteRequest, reply func(voteReply)) {
 	if request.PreVote {
 		granted := r.core.mayVote(request.View) && r.leasesAllow(request.Candidate)
@@ -44,7 +44,7 @@
 	}
 	r.persist(termChanges(r.group.name, request.Term, request.Candidate), func() {
 		r.durableTerm = request.Term
-		if !r.core.mayVote(request.View) { // a newer view was learned meanwhile, and may have taken its copy of this state
+		if !r.core.mayVote(request.View) { // a member of a newer view may have copied this state meanwhile
 			reply(r.denyVote())
 			return
 		}
@@ -52,7 +52,7 @@
 	}, func() { reply(r.denyVote()) })
 }
 
-// large tells whether a state does not fit into one message.
+// exceedsMessage tells whether a state does not fit into one message.
 func (r *replica) exceedsMessage(state map[string][]byte) bool {
 	return stateBytes(state) > r.core.limits.ChunkBytes
 }
--- a/internal/controlplane/storage/doc.go
+++ b/internal/controlplane/storage/doc.go
@@ -9,7 +9,7 @@
 // into a value pass for one. Unlike Bitcask, all values are in memory, so there is one file and no index.
 //
 // Writes of many goroutines are appended and synced together (group commit; DeWitt et al., "Implementation Techniques
-// for Main Memory Database Systems", 1984, section 5.2). Only one batch is under way at a time: so no more than the last
+// for Main Memory Database Systems", SIGMOD 1984). Only one batch is under way at a time: so no more than the last
 // record of the file can be incomplete, and recovery truncates that one. A damaged record with a valid one behind it had
 // been synced, and is ErrCorrupt.
 //
