--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// at most: a hold, a look, the orders, copies of looks and stops, and one in place of a connection that is being given up
+	// at most: a renewal, a poll, the commands, hedged requests of polls and stops, and one in place of a connection that is being given up
 	maxConnectionsPerWorker = maxCommandsInFlight + maxHedgedRequests + 3
 	maxResponseBytes        = 16 << 20
 	maxPooledBufferBytes    = 64 << 10 // larger buffers are not kept
@@ -32,7 +32,7 @@
 	body   responseBody
 }
 
-// caller sends calls to one life of a worker.
+// caller sends calls to one incarnation of a worker.
 type caller struct {
 	http             http.RoundTripper // redirects are not followed
 	leaderLeaseValid func() bool       // whether a call may be sent at this moment
--- a/internal/jobs/workerclient/clock.go
+++ b/internal/jobs/workerclient/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The worker's steady clock runs at this rate of the local one at the least, and at the same rate at the most.
+// The worker's steady clock attempts at this rate of the local one at the least, and at the same rate at the most.
 const slowestClockRate = 0.98
 
 // clockGranularity is how far the whole milliseconds of an answer may be from the clock's reading.
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -12,14 +12,14 @@
 const (
 	firstStopBackoff = 200 * time.Millisecond
 	maxStopBackoff   = time.Second
-	maxStartWait     = 2 * time.Second // how long a start order waits for a grant
+	maxStartWait     = 2 * time.Second // how long a start command waits for a grant
 )
 
-// commandQueue holds the orders that are not under way.
+// commandQueue holds the commands that are not under way.
 type commandQueue struct {
 	starts []queuedStart
 	stops  []queuedStop
-	timer  *time.Timer // set for the first stop order whose pause is not over
+	timer  *time.Timer // set for the first stop command whose pause is not over
 }
 
 type queuedStart struct {
@@ -33,7 +33,7 @@
 	backoff time.Duration // until the next try, should this one fail
 }
 
-// Start sends a start order as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
+// Start sends a start command as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
 // not sent.
 func (l *Link) Start(command StartCommand) {
 	l.mu.Lock()
@@ -43,7 +43,7 @@
 	l.dispatch()
 }
 
-// expectAttempt ends the rest of the hold loop: there will be a run. The caller holds the lock.
+// expectAttempt ends the rest of the renewal loop: there will be an attempt. The caller holds the lock.
 func (l *Link) expectAttempt() {
 	l.mayHaveWork = true
 	select {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Stop sends a stop order, again and again until it is answered or the link ends. While the worker is unreachable the
+// Stop sends a stop command, again and again until it is answered or the link ends. While the worker is unreachable the
 // order waits.
 func (l *Link) Stop(command StopCommand) {
 	l.mu.Lock()
@@ -62,7 +62,7 @@
 	l.dispatch()
 }
 
-// dispatch sets workers to the orders that may go out. The caller holds the lock.
+// dispatch sets workers to the commands that may go out. The caller holds the lock.
 func (l *Link) dispatch() {
 	for idle := maxCommandsInFlight - l.senders; idle > 0; idle-- {
 		work := l.nextCommand()
@@ -87,7 +87,7 @@
 	}
 }
 
-// nextCommand takes an order from the queue, stops first, and returns what is to be done about it; nil when there is none. The
+// nextCommand takes a command from the queue, stops first, and returns what is to be done about it; nil when there is none. The
 // caller holds the lock.
 func (l *Link) nextCommand() func() {
 	now := l.now()
@@ -118,19 +118,19 @@
 	return work
 }
 
-// startable tells whether a start order would be held long enough and is likely to be answered. The caller holds the lock.
+// startable reports whether a start command would be held long enough and is likely to be answered. The caller holds the lock.
 func (l *Link) startable(now time.Time) bool {
 	return !l.doubtful && l.lease.validUntil-l.clock.highest(now) >= l.pace.minLeaseLead
 }
 
-// stillStartable tells the same once the order's turn for a connection has come.
+// stillStartable tells the same once the command's turn for a connection has come.
 func (l *Link) stillStartable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.startable(l.now())
 }
 
-// nextStop takes the first stop order whose time has come, and sets the timer when all of them pause. The caller holds the
+// nextStop takes the first stop command whose time has come, and sets the timer when all of them pause. The caller holds the
 // lock.
 func (l *Link) nextStop(now time.Time) (queuedStop, bool) {
 	if len(l.commands.stops) == 0 || l.ending == open && (l.suspended || l.contact == unreachable) {
@@ -163,7 +163,7 @@
 	})
 }
 
-// outcomeAtEnd is the outcome of a start order when the link has ended: otherwise, if the reason does not tell. The caller
+// outcomeAtEnd is the outcome of a start command when the link has ended: otherwise, if the reason does not tell. The caller
 // holds the lock.
 func (l *Link) outcomeAtEnd(otherwise StartOutcome) StartOutcome {
 	switch {
@@ -175,7 +175,7 @@
 	return otherwise
 }
 
-// sendStart makes one start call. It extends no grant: its runs are held as long as those already there.
+// sendStart makes one start call. It extends no grant: its attempts are held as long as those already there.
 func (l *Link) sendStart(command StartCommand) {
 	if !l.lane.acquire(l.done) {
 		l.reportStart(command, NotSent)
@@ -192,7 +192,7 @@
 	l.settleStart(c, a, err, l.now())
 	l.reportStart(command, l.startOutcome(a, err))
 	if err != nil {
-		l.doubt() // a look shows whether the run is there
+		l.doubt() // a poll shows whether the attempt is there
 	}
 }
 
@@ -233,7 +233,7 @@
 	return len(command.Specification) + len(command.Checkpoint) + others
 }
 
-// startOutcome reads an answer to a start order and notes what else it says.
+// startOutcome reads an answer to a start command and notes what else it says.
 func (l *Link) startOutcome(a response, err error) StartOutcome {
 	if err != nil {
 		l.log.Debug("start without answer", zap.Error(err))
@@ -256,7 +256,7 @@
 	l.deliveries.post(func(e Events) { e.StartResult(result) })
 }
 
-// sendStop makes one stop call, and queues the order again if it was not taken.
+// sendStop makes one stop call, and queues the command again if it was not taken.
 func (l *Link) sendStop(stop queuedStop) {
 	if !l.lane.acquire(l.done) {
 		l.requeueStop(stop)
@@ -283,7 +283,7 @@
 	l.reportStop(stop.command, true)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.requestPoll(pollMergeDelay) // shows whether the run is there
+	l.requestPoll(pollMergeDelay) // shows whether the attempt is there
 }
 
 func (l *Link) postStop(command StopCommand) (response, error) {
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -13,7 +13,7 @@
 	Connections  int     // open at once, those being opened included
 	DialsPerS    float64 // new connections a second in the long run
 	DialBurst    int     // and so many more at once
-	PollsPerS    float64 // looks a second at idle workers, of all links together
+	PollsPerS    float64 // polls a second at idle workers, of all links together
 	MaxLongPolls int     // up to so many links each worker is held by a call that waits, whatever it does
 }
 
@@ -29,11 +29,11 @@
 	pools        map[string]*hostPool // by address
 	slotsTaken   int                  // places taken
 	links        int
-	longPolls    int // holds that wait
+	longPolls    int // long polls
 	waiting      []*waiter
 	opened       uint64             // connections opened so far
-	lastIdle     map[*hostPool]bool // lanes with an idle connection that is their only one
-	extraIdle    map[*hostPool]bool // lanes with an idle connection besides another one
+	lastIdle     map[*hostPool]bool // pools with an idle connection that is their only one
+	extraIdle    map[*hostPool]bool // pools with an idle connection besides another one
 	nextDialAt   time.Time          // by the pace, if none were allowed at once
 	paceTimerSet bool               // a timer will serve those that wait for the pace
 }
@@ -56,7 +56,7 @@
 type Usage struct {
 	Open      int // connections, those being opened included
 	Links     int
-	LongPolls int    // holds that wait
+	LongPolls int    // long polls
 	Waiting   int    // calls that wait for a connection
 	Opened    uint64 // connections opened so far
 }
@@ -68,13 +68,13 @@
 	return Usage{Open: c.slotsTaken, Links: c.links, LongPolls: c.longPolls, Waiting: len(c.waiting), Opened: c.opened}
 }
 
-// lane is the part of a budget that one address uses.
+// pool is the part of a budget that one address uses.
 type hostPool struct {
 	budget   *Connections
 	address  string
 	links    int
 	calls    int           // under way, or about to be sent
-	slots    int           // connections, open or promised
+	slots    int           // connections, open or reserved
 	reserved int           // places whose connection is not open yet
 	waiting  int           // calls that wait for their turn
 	idle     []*connection // the newest last
@@ -96,7 +96,7 @@
 	return l
 }
 
-// lane returns the lane of an address. The caller holds the lock.
+// pool returns the pool of an address. The caller holds the lock.
 func (c *Connections) pool(address string) *hostPool {
 	l := c.pools[address]
 	if l == nil {
@@ -116,8 +116,8 @@
 	l.update()
 }
 
-// acquire waits until a call may be sent, and tells whether it may; it may not once done is closed. The caller passes the
-// turnstile then, until end.
+// acquire waits until a call may be sent, and reports whether it may; it may not once done is closed. The caller passes the
+// semaphore then, until end.
 func (l *hostPool) acquire(done <-chan struct{}) bool {
 	if !l.awaitSlot(done) {
 		return false
@@ -217,7 +217,7 @@
 func (c *Connections) noteDial() { c.nextDialAt = later(c.nextDialAt, c.now()).Add(c.dialInterval()) }
 
 // closeIdle closes a connection that no call needs, if there is one: that of a worker that has another one, before the
-// only one of a worker, which its next look would open again. The caller holds the lock.
+// only one of a worker, which its next poll would open again. The caller holds the lock.
 func (c *Connections) closeIdle() bool {
 	for _, lanes := range []map[*hostPool]bool{c.extraIdle, c.lastIdle} {
 		for l := range lanes {
@@ -268,7 +268,7 @@
 	c.admitWaiting()
 }
 
-// admitOwn lets a call of a lane go on with a connection that the lane has to itself. The caller holds the lock.
+// admitOwn lets a call of a pool go on with a connection that the pool has to itself. The caller holds the lock.
 func (l *hostPool) admitOwn() {
 	if l.waiting == 0 || !l.reuseConnection() {
 		return
@@ -302,7 +302,7 @@
 	t.pool.releaseSlot() // it was granted just now
 }
 
-// update brings what is derived from a lane up to date. The caller holds the lock.
+// update brings what is derived from a pool up to date. The caller holds the lock.
 func (l *hostPool) update() {
 	c := l.budget
 	if unused := min(l.reserved, l.reserved-l.calls); unused > 0 { // its call found another connection, or was given up
@@ -316,14 +316,14 @@
 	}
 }
 
-// updateIdleSets notes whether the lane can do without one of its idle connections. The caller holds the lock.
+// updateIdleSets notes whether the pool can do without one of its idle connections. The caller holds the lock.
 func (l *hostPool) updateIdleSets() {
 	can := l.slots > l.calls && len(l.idle) > 0
 	setMembership(l.budget.lastIdle, l, can && l.slots == 1)
 	setMembership(l.budget.extraIdle, l, can && l.slots > 1)
 }
 
-// setMembership adds a lane to a set, or takes it out.
+// setMembership adds a pool to a set, or takes it out.
 func setMembership(lanes map[*hostPool]bool, l *hostPool, in bool) {
 	if in {
 		lanes[l] = true
@@ -332,7 +332,7 @@
 	}
 }
 
-// mayWait tells whether a hold may wait at the worker, and notes that it does: it keeps its connection, and orders need
+// mayWait reports whether a renewal may wait at the worker, and notes that it does: it keeps its connection, and commands need
 // another one for the moment that they take, from a few that are left besides one for each worker.
 func (l *hostPool) beginLongPoll() bool {
 	c := l.budget
@@ -345,7 +345,7 @@
 	return true
 }
 
-// commandReserveFraction is the part of the connections that is left for orders beside holds that wait.
+// commandReserveFraction is the part of the connections that is left for commands beside long polls.
 const commandReserveFraction = 10
 
 func (l *hostPool) endLongPoll() {
@@ -355,14 +355,14 @@
 	c.longPolls--
 }
 
-// overLongPollLimit tells whether there are so many workers that idle ones are not held by calls that wait.
+// overLongPollLimit reports whether there are so many workers that idle ones are not held by calls that wait.
 func (c *Connections) overLongPollLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.links > c.limits.MaxLongPolls
 }
 
-// idlePollInterval is how long an idle worker is left alone between two looks; 0 where it is held by a call that waits.
+// idlePollInterval is how long an idle worker is left alone between two polls; 0 where it is held by a call that waits.
 func (c *Connections) idlePollInterval(longest time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -84,10 +84,10 @@
 
 func TestWorkersOutnumberTheBudget(t *testing.T) {
 	const workers, most = 40, 9
-	convey.Convey("With far fewer connections than searchers", t, func() {
+	convey.Convey("With far fewer connections than workers", t, func() {
 		b := newBudgeted(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer b.end()
-		convey.Convey("each is held by turns, starts are sent and ends are noted", func() {
+		convey.Convey("each is held by turns, starts are sent and completions are noted", func() {
 			b.awaitEach(func(int, Listing) bool { return true })
 			for i, link := range b.links {
 				link.Start(startCommand(i, 1))
@@ -121,13 +121,13 @@
 
 func TestOneConnectionForAnIdleWorker(t *testing.T) {
 	const workers = 20
-	convey.Convey("Where not each searcher can be held by a call that waits, an idle one takes one connection", t, func() {
+	convey.Convey("Where not each worker can be held by a call that waits, an idle one takes one connection", t, func() {
 		b := newBudgeted(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer b.end()
 		began := time.Now()
 		b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetedHold })
 		convey.So(b.most.Load(), convey.ShouldEqual, workers)
-		convey.Convey("and one with a run is held by a call that waits", func() {
+		convey.Convey("and one with an attempt is held by a call that waits", func() {
 			b.links[0].Start(startCommand(0, 1))
 			await(t, b.events, func(l Listing) bool { return len(l.Running) == 1 })
 			for b.connections.Usage().LongPolls != 1 {
@@ -156,14 +156,14 @@
 	}
 }
 
-// allIdle tells whether each of so many workers has one connection, which no call uses.
+// allIdle reports whether each of so many workers has one connection, which no call uses.
 func allIdle(workers int) func(*Connections) bool {
 	return func(c *Connections) bool { return len(c.lastIdle) == workers }
 }
 
 func TestCommandTakesTheConnectionOfAnIdleWorker(t *testing.T) {
 	const workers = 20
-	convey.Convey("Where an idle searcher takes one connection", t, func() {
+	convey.Convey("Where an idle worker takes one connection", t, func() {
 		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
 		defer b.end()
 		b.awaitEach(func(_ int, l Listing) bool { return !l.First })
@@ -172,10 +172,10 @@
 			link.Start(startCommand(i, 1))
 		}
 		b.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
-		convey.Convey("a start and the hold after it share that one", func() {
+		convey.Convey("a start and the renewal after it share that one", func() {
 			convey.So(b.connections.Usage().Opened, convey.ShouldEqual, workers)
 		})
-		convey.Convey("no call waits for an end any more once all ends are acknowledged", func() {
+		convey.Convey("no call waits for a completion any more once all completions are acknowledged", func() {
 			for i, worker := range b.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
@@ -259,7 +259,7 @@
 			convey.So(c.pools, convey.ShouldHaveLength, 2)
 		})
 	})
-	convey.Convey("An idle connection beside another one is closed before the only one of a searcher", t, func() {
+	convey.Convey("An idle connection beside another one is closed before the only one of a worker", t, func() {
 		const workers = 40
 		c := NewConnections(Limits{Connections: workers + 1, DialsPerS: math.Inf(1)})
 		c.concurrency = nil
@@ -286,7 +286,7 @@
 			convey.So(c.slotsTaken, convey.ShouldEqual, workers+1)
 		})
 	})
-	convey.Convey("Holds may wait only while there is a connection for each searcher and some for orders", t, func() {
+	convey.Convey("Renewals may wait only while there is a connection for each worker and some for commands", t, func() {
 		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), MaxLongPolls: 10})
 		var lanes []*hostPool
 		for i := range 36 {
@@ -298,7 +298,7 @@
 		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
 		lanes = append(lanes, c.join("one more"))
 		convey.So(lanes[0].beginLongPoll(), convey.ShouldBeFalse)
-		convey.Convey("while few searchers are held as they are", func() {
+		convey.Convey("while few workers are held as they are", func() {
 			for _, l := range lanes[10:] {
 				l.leave()
 			}
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -36,7 +36,7 @@
 // dialFunction opens a connection that is reset when it is given up.
 type dialFunction func(ctx context.Context, network, address string) (net.Conn, error)
 
-// connect gives a call an idle connection of its lane, or a new one.
+// connect gives a call an idle connection of its pool, or a new one.
 func (c *Connections) connect(ctx context.Context, dial dialFunction, address string) (*connection, error) {
 	for {
 		idle := c.takeIdle(address)
@@ -65,7 +65,7 @@
 	return taken
 }
 
-// dial opens a connection on a place that a call was promised, or on a free one.
+// dial opens a connection on a place that a call was reserved, or on a free one.
 func (c *Connections) dial(address string, open func() (net.Conn, error)) (*connection, error) {
 	l, err := c.claimSlot(address)
 	if err != nil {
@@ -92,7 +92,7 @@
 }
 
 // claimSlot takes the place for a connection that is about to be opened. A connection that broke after its call had begun is
-// replaced without a place promised.
+// replaced without a place reserved.
 func (c *Connections) claimSlot(address string) (*hostPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +118,7 @@
 	l.update()
 }
 
-// alive tells whether the peer has left an idle connection open and silent, without waiting.
+// alive reports whether the peer has left an idle connection open and silent, without waiting.
 func (c *connection) alive() bool {
 	holder, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/jobs/workerclient/exchange.go
+++ b/internal/jobs/workerclient/exchange.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const writeBufferBytes = 8 << 10 // an order with its specification
+const writeBufferBytes = 8 << 10 // a command with its specification
 
 var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestConnectionsThatThePeerHasClosed(t *testing.T) {
-	convey.Convey("A connection that the searcher closed while it was idle is replaced before a call is sent on it", t, func() {
+	convey.Convey("A connection that the worker closed while it was idle is replaced before a call is sent on it", t, func() {
 		closed := make(chan struct{}, 1)
 		server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"clockMs":1}`) }))
 		server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -131,7 +131,7 @@
 
 func TestLongPollsDoNotHoldTheSemaphore(t *testing.T) {
 	const workers = 40
-	convey.Convey("Holds that wait are outside of the turnstile, however few may work at once", t, func() {
+	convey.Convey("Long polls are outside of the semaphore, however few may work at once", t, func() {
 		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
 		defer b.end()
 		convey.So(cap(b.connections.concurrency), convey.ShouldBeLessThan, workers)
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -10,10 +10,10 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// givenRunningTask plays a Convey scope at a worker that runs one task.
+// givenRunningTask plays a Convey scope at a worker that attempts one task.
 func givenRunningTask(t *testing.T, scope func(b *fixture)) {
 	t.Helper()
-	convey.Convey("Given a searcher that runs a task", t, func() {
+	convey.Convey("Given a worker that runs a task", t, func() {
 		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.connect(1)
@@ -25,7 +25,7 @@
 func TestUnresponsiveWorker(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(b *fixture) {
-		convey.Convey("an unanswered start is unclear, and nothing goes out until the searcher answers", func() {
+		convey.Convey("an unanswered start is unclear, and nothing goes out until the worker answers", func() {
 			silence, unheard := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
 			b.worker.SetFaults(silence)
 			<-unheard // no hold is under way that will be answered
@@ -37,12 +37,12 @@
 			convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, NotSent)
 			held := b.worker.HeldUntil()
 
-			convey.Convey("looks find it again", func() {
+			convey.Convey("polls find it again", func() {
 				b.worker.SetFaults(nil)
 				awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 				convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 				convey.So(b.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
-				await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a hold after the look
+				await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a renewal after the poll
 				convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, held)
 			})
 		})
@@ -92,7 +92,7 @@
 func TestDeadWorker(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(b *fixture) {
-		convey.Convey("a dead searcher gets nothing", func() {
+		convey.Convey("a dead worker gets nothing", func() {
 			b.worker.Leave()
 			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
@@ -103,7 +103,7 @@
 func TestRefusedRenewals(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(b *fixture) {
-		convey.Convey("a single refused hold says nothing, more do", func() {
+		convey.Convey("a single refused renewal says nothing, more do", func() {
 			b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			b.worker.SetFaults(nil)
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// connect makes a link under a fencing token and runs it. The function returned waits until Run has returned.
+// connect makes a link under a fencing token and attempts it. The function returned waits until Run has returned.
 func (b *fixture) connect(token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(b.worker.ID()), Address: b.worker.Address()},
@@ -165,7 +165,7 @@
 	return awaitReturn
 }
 
-// start orders a run and waits for its outcome.
+// start commands an attempt and waits for its outcome.
 func (b *fixture) start(order StartCommand) StartOutcome {
 	b.t.Helper()
 	before := len(eventsOf[StartResult](b.events))
--- a/internal/jobs/workerclient/hedging.go
+++ b/internal/jobs/workerclient/hedging.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// maxHedgedRequests bounds the further copies of repeatable calls that one link has under way.
+// maxHedgedRequests bounds the further hedged requests of idempotent calls that one link has under way.
 const maxHedgedRequests = maxCommandsInFlight
 
-// idempotentCall is a call that does no harm when it is carried out more than once, or late: a look, which grants nothing,
-// or a stop of one run. A start is not one.
+// idempotentCall is a call that does no harm when it is carried out more than once, or late: a poll, which grants nothing,
+// or a stop of one attempt. A start is not one.
 type idempotentCall struct {
 	target  *url.URL
 	body    []byte
-	timeout time.Duration // of all copies together
+	timeout time.Duration // of all hedged requests together
 }
 
-// copies are the sendings of one repeatable call. The first answer to any of them ends the call.
+// hedged requests are the sendings of one idempotent call. The first answer to any of them ends the call.
 type hedgedRequest struct {
 	link       *Link
 	call       idempotentCall
 	context    context.Context // of each sending; it ends with the call
 	cancel     context.CancelFunc
-	hedgeAfter time.Duration // from one copy to the next
-	done       chan struct{} // closed with the first answer, or when no copy is under way any more
+	hedgeAfter time.Duration // from one request to the next
+	done       chan struct{} // closed with the first answer, or when no request is under way any more
 
 	mu       sync.Mutex
 	ended    bool
 	inFlight int
-	timer    *time.Timer // sends the next copy
+	timer    *time.Timer // sends the next request
 	answer   response
-	sentAt   time.Time // of the copy that was answered
-	err      error     // of the copy that failed last
+	sentAt   time.Time // of the request that was answered
+	err      error     // of the request that failed last
 }
 
-// postIdempotent makes a repeatable call. While no answer has come within what is usual at this worker, a further copy is
-// sent on another connection if one is free. It returns the first answer, and when the copy was sent that was answered. The
-// caller holds a turn of the lane, which the first copy uses.
+// postIdempotent makes a idempotent call. While no answer has come within what is usual at this worker, a hedged request is
+// sent on another connection if one is free. It returns the first answer, and when the request was sent that was answered. The
+// caller holds a turn of the pool, which the first request uses.
 func (l *Link) postIdempotent(call idempotentCall) (a response, sentAt time.Time, err error) {
 	ctx, cancel := context.WithTimeout(l.context, call.timeout)
 	defer cancel()
@@ -52,7 +52,7 @@
 	return c.result()
 }
 
-// schedule lets the next copy be sent after the pause.
+// schedule lets the next request be sent after the pause.
 func (c *hedgedRequest) schedule() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// sendHedge sends a further copy unless the call has ended meanwhile or nothing is free for it.
+// sendHedge sends a hedged request unless the call has ended meanwhile or nothing is free for it.
 func (c *hedgedRequest) sendHedge() {
 	if !c.begin() {
 		return
@@ -75,7 +75,7 @@
 	c.send()
 }
 
-// acquire counts a copy that is about to be sent, if the call is still under way.
+// acquire counts a request that is about to be sent, if the call is still under way.
 func (c *hedgedRequest) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	return true
 }
 
-// send sends one copy and waits for its answer.
+// send sends one request and waits for its answer.
 func (c *hedgedRequest) send() {
 	sentAt := c.link.lockedSendTime()
 	a, err := c.link.caller.post(c.context, c.call.target, c.call.body, c.call.timeout)
@@ -109,7 +109,7 @@
 	c.end()
 }
 
-// finish notes a copy without an answer; nil is the error of one that was not sent. The last one ends the call.
+// finish notes a request without an answer; nil is the error of one that was not sent. The last one ends the call.
 func (c *hedgedRequest) finish(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// release ends the call and gives up its other copies. The caller holds the lock.
+// release ends the call and gives up its other hedged requests. The caller holds the lock.
 func (c *hedgedRequest) end() {
 	c.ended = true
 	c.timer.Stop()
@@ -133,7 +133,7 @@
 	close(c.done)
 }
 
-// awaitEnd waits, outside of the turnstile, for copies that may still be answered.
+// awaitEnd waits, outside of the semaphore, for hedged requests that may still be answered.
 func (c *hedgedRequest) awaitEnd() {
 	select {
 	case <-c.done:
@@ -152,7 +152,7 @@
 	return c.answer, c.sentAt, c.err
 }
 
-// beginHedge takes what a further copy of a call needs, without waiting for it, and tells whether the copy may be sent.
+// beginHedge takes what a hedged request of a call needs, without waiting for it, and reports whether the request may be sent.
 func (l *Link) beginHedge() bool {
 	if !l.config.LeaderLeaseValid() || !l.countHedge() {
 		return false
@@ -164,13 +164,13 @@
 	return true
 }
 
-// endHedge gives back what a copy has used.
+// endHedge gives back what a request has used.
 func (l *Link) endHedge() {
 	l.lane.release()
 	l.uncountHedge()
 }
 
-// countHedge notes a copy that is about to be sent, unless there are too many.
+// countHedge notes a request that is about to be sent, unless there are too many.
 func (l *Link) countHedge() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -22,7 +22,7 @@
 		stopped := await(t, b.events, anyEvent[StopResult])
 		look := await(t, b.events, outOfBand)
 		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualAnswer)
-		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)  // of the copy that was answered
+		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)  // of the request that was answered
 		convey.So(time.Since(look.SentAt), convey.ShouldBeGreaterThanOrEqualTo, calmWay) // and not of its answer
 		after := b.link.Counts()
 		convey.So(after.Polls-before.Polls, convey.ShouldEqual, 1)
@@ -98,7 +98,7 @@
 		synctest.Wait()
 		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, maxCommandsInFlight+maxHedgedRequests)
 		convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
-		b.link.Close() // gives up the copies, too: Run returns
+		b.link.Close() // gives up the hedged requests, too: Run returns
 	})
 }
 
@@ -111,7 +111,7 @@
 			}
 			calls++
 			switch calls {
-			case 1: // answered while the copy has failed
+			case 1: // answered while the request has failed
 				return cluster.Fault{Kind: cluster.Slow, Delay: 2 * spareMargin}
 			default:
 				return cluster.Fault{Kind: cluster.Reset}
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// commandPrecedence is how long a hold lets orders go first that are under way.
+// commandPrecedence is how long a renewal lets commands go first that are under way.
 const commandPrecedence = 100 * time.Millisecond
 
-// busyPollInterval is the time between two looks at a worker with runs, where no connection is left for a hold that waits.
+// busyPollInterval is the time between two polls of a worker with attempts, where no connection is left for a renewal that waits.
 const busyPollInterval = 250 * time.Millisecond
 
 // idleBetweenPolls leaves a worker alone that has nothing to tell, where there are so many that not each can be held by a
-// call that waits. An order ends the rest.
+// call that waits. A command ends the rest.
 func (l *Link) idleBetweenPolls() {
 	pause := l.config.Connections.idlePollInterval(l.pace.maxIdleInterval)
 	if pause == 0 {
 		return
 	}
 	select {
-	case <-l.commandQueued: // of an order that is known by now
+	case <-l.commandQueued: // of a command that is known by now
 	default:
 	}
 	if pause = l.idleDelay(pause); pause == 0 {
@@ -31,8 +31,8 @@
 	}
 }
 
-// yieldToCommands lets orders that are under way go before the next hold, where there are so many workers that an idle one has
-// one connection: the order takes it and the hold after it, instead of both at once, for which one must be opened.
+// yieldToCommands lets commands that are under way go before the next renewal, where there are so many workers that an idle one has
+// one connection: the command takes it and the renewal after it, instead of both at once, for which one must be opened.
 func (l *Link) yieldToCommands() {
 	if !l.config.Connections.overLongPollLimit() {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// idleDelay is how long the hold loop rests before its next call, if an idle worker may be left alone for a while.
+// idleDelay is how long the renewal loop rests before its next call, if an idle worker may be left alone for a while.
 func (l *Link) idleDelay(idle time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,8 +70,8 @@
 	return max(earlyAnswerDelay, min(pause, lead))
 }
 
-// mayWait tells whether the worker may wait for an end before it answers: the grant lasts, and there is a connection for
-// its orders besides. The caller holds the lock.
+// mayWait reports whether the worker may wait for a completion before it answers: the grant lasts, and there is a connection for
+// its commands besides. The caller holds the lock.
 func (l *Link) mayLongPoll(sentAt time.Time) bool {
 	if !l.listed || l.lease.validUntil-l.clock.highest(sentAt) < l.pace.minLeaseLead+l.pace.longPollWait {
 		return false
--- a/internal/jobs/workerclient/leaderlease_test.go
+++ b/internal/jobs/workerclient/leaderlease_test.go
@@ -10,14 +10,14 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// The lease may run out while a hold is under way, so that the hold loop has not noticed: each order looks for itself.
+// The lease may run out while a renewal is under way, so that the renewal loop has not noticed: each command looks for itself.
 func TestNoCommandIsSentAfterTheLeaderLease(t *testing.T) {
-	const way, meanwhile = time.Millisecond, 300 * time.Millisecond // shorter than a hold, longer than an order
+	const way, meanwhile = time.Millisecond, 300 * time.Millisecond // shorter than a renewal, longer than a command
 	virtualtime.Test(t, func(t *testing.T) {
 		b := newMemoryFixture(t, way)
 		defer b.close()
 		b.connect(1)
-		convey.Convey("Given a searcher that holds runs, so that orders go out at once", t, func() {
+		convey.Convey("Given a worker that holds runs, so that commands go out at once", t, func() {
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("a start after the lease is not sent, and certainly did nothing", t, func() {
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-// look makes a call for the lists beside the hold.
+// look makes a call for the lists beside the renewal.
 func (w *simulation) poll() {
 	c := w.link.beginPoll(w.link.roundTrips.pollTimeout())
 	w.send(c.validUntil, 0, c.timeout, func(a response, err error, received time.Time) {
--- a/internal/jobs/workerclient/leasegrants.go
+++ b/internal/jobs/workerclient/leasegrants.go
@@ -11,13 +11,13 @@
 	lateExecutionMargin = 500 * time.Millisecond
 )
 
-// grant is a time up to which the runs on a worker are held, on a call whose end is not known yet.
+// grant is a time up to which the attempts on a worker are held, on a call whose end is not known yet.
 type leaseGrant struct {
 	span      time.Duration // the longest it may last once it is carried out, in local time
 	expiresBy time.Time
 }
 
-// leaseGrants knows by when everything that was ever granted has lapsed.
+// leaseGrants knows by when everything that was ever granted has expired.
 type leaseGrants struct {
 	settledExpiry time.Time // of all calls that have ended
 	open          []*leaseGrant
@@ -50,7 +50,7 @@
 	l.settledExpiry = later(l.settledExpiry, lapsesBy)
 }
 
-// expiredBy is the local time by which all of it has lapsed; the zero time when nothing was granted.
+// expiredBy is the local time by which all of it has expired; the zero time when nothing was granted.
 func (l *leaseGrants) expiredBy() time.Time {
 	latest := l.settledExpiry
 	for _, g := range l.open {
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -9,19 +9,19 @@
 	"go.uber.org/zap"
 )
 
-// The pace of a link. Those that depend on how long runs may be held are shares of that time where it is short.
+// The pace of a link. Those that depend on how long attempts may be held are shares of that time where it is short.
 const (
-	longPollWait           = time.Second            // how long a worker may wait for an end before it answers a hold
+	longPollWait           = time.Second            // how long a worker may wait for a completion before it answers a renewal
 	renewalAge             = 900 * time.Millisecond // a grant that was asked for longer ago is renewed
 	minLeaseLead           = 1500 * time.Millisecond
-	leadFraction           = 4                      // minLeaseLead and longPollWait are at most this part of the longest hold
-	renewalFraction        = 6                      // renewalAge is at most this part of the longest hold
-	maxIdleInterval        = 3 * time.Second        // between two looks at an idle worker
-	idleFraction           = 2                      // maxIdleInterval is at most this part of the longest hold
-	maxCommandsInFlight    = 5                      // orders under way at once; the hold and the out-of-band look have connections besides
-	unreachablePollTimeout = 600 * time.Millisecond // of the hold loop's looks while the worker is unreachable
+	leadFraction           = 4                      // minLeaseLead and longPollWait are at most this part of the longest lease
+	renewalFraction        = 6                      // renewalAge is at most this part of the longest lease
+	maxIdleInterval        = 3 * time.Second        // between two polls of an idle worker
+	idleFraction           = 2                      // maxIdleInterval is at most this part of the longest lease
+	maxCommandsInFlight    = 5                      // commands under way at once; the renewal and the out-of-band poll have connections besides
+	unreachablePollTimeout = 600 * time.Millisecond // of the renewal loop's polls while the worker is unreachable
 
-	// abandonMargin is how much longer than its hedge a hold may last: usually the look's end decides about the hold.
+	// abandonMargin is how much longer than its hedge a renewal may last: usually the poll's end decides about the renewal.
 	abandonMargin = 100 * time.Millisecond
 )
 
@@ -29,8 +29,8 @@
 type Config struct {
 	Instance         Instance
 	FencingToken     uint64
-	MaxLease         time.Duration // the longest time for which a worker holds its runs
-	LeaderLeaseValid func() bool   // whether this process may send orders at this moment; asked right before each call
+	MaxLease         time.Duration // the longest time for which a worker holds its attempts
+	LeaderLeaseValid func() bool   // whether this process may send commands at this moment; asked right before each call
 	Events           Events
 	HTTP             *http.Client // shared by all links, from NewHTTPClient or of the budget
 	Connections      *Connections // the budget of all links; nil for none
@@ -59,7 +59,7 @@
 	unreachable
 )
 
-// Link is the connection to one life of one worker under one fencing token. Its methods may be called from any goroutine;
+// Link is the connection to one incarnation of one worker under one fencing token. Its methods may be called from any goroutine;
 // none of them waits for the worker but Run.
 type Link struct {
 	config     Config
@@ -74,43 +74,43 @@
 	cancel                 context.CancelFunc
 	done                   chan struct{} // closed when the link ends
 	acknowledgementArrived chan struct{} // an acknowledgement has come
-	commandQueued          chan struct{} // an order was queued
+	commandQueued          chan struct{} // a command was queued
 
 	delivered         deliveryHistory // used by one delivery at a time
-	awaitedCompletion uint64          // the newest end that the hold loop has waited for to be acknowledged; used by that loop only
+	awaitedCompletion uint64          // the newest completion that the renewal loop has waited for to be acknowledged; used by that loop only
 
 	mu             sync.Mutex
-	idle           sync.Cond // no order worker is left, or no look is under way
+	idle           sync.Cond // no order worker is left, or no poll is under way
 	ending         ending
 	contact        contact
 	suspended      bool // no call may be sent at present
 	doubtful       bool // a call got no answer, and none was answered since: no start is sent
-	suspected      bool // likewise, and the call was a hold or a look: a look that fails now makes the worker unreachable
-	refusals       int  // holds in a row that were answered but refused
+	suspected      bool // likewise, and the call was a renewal or a poll: a poll that fails now makes the worker unreachable
+	refusals       int  // renewals in a row that were answered but refused
 	listed         bool
-	mayHaveWork    bool // it may have runs, or ends that are not acknowledged
-	longPolled     bool // the newest call of the hold loop was one that waits
+	mayHaveWork    bool // it may have attempts, or completions that are not acknowledged
+	longPolled     bool // the newest call of the renewal loop was one that waits
 	acknowledged   uint64
 	clock          clockBounds
 	grants         leaseGrants
 	lease          lease
 	roundTrips     roundTrips
-	resultAt       time.Time       // of the newest result of an order
+	resultAt       time.Time       // of the newest result of a command
 	pending        *pendingRenewal // nil before the first one
 	polls          pollState
 	commands       commandQueue
 	senders        int
-	hedgedRequests int // further copies of repeatable calls under way
+	hedgedRequests int // further hedged requests of idempotent calls under way
 	counts         Counts
 }
 
 // Counts says how many calls for the lists a link has made so far.
 type Counts struct {
-	Renewals            uint64 // by the hold loop, its looks included
+	Renewals            uint64 // by the renewal loop, its polls included
 	Polls               uint64 // out of band
-	OverdueRenewals     uint64 // holds whose answer was overdue
-	RepeatedCompletions uint64 // holds whose newest end had been listed before, as it was not acknowledged yet
-	HedgedRequests      uint64 // of looks and stops whose answer was overdue
+	OverdueRenewals     uint64 // renewals whose answer was overdue
+	RepeatedCompletions uint64 // renewals whose newest completion had been listed before, as it was not acknowledged yet
+	HedgedRequests      uint64 // of polls and stops whose answer was overdue
 }
 
 // granted is the newest grant that was answered.
@@ -119,7 +119,7 @@
 	askedAt    time.Time
 }
 
-// pace holds the link's times, which depend on how long runs may be held.
+// pace holds the link's times, which depend on how long attempts may be held.
 type pace struct{ longPollWait, renewalAge, minLeaseLead, maxIdleInterval time.Duration }
 
 func paceFor(holdMax time.Duration) pace {
@@ -158,7 +158,7 @@
 	return l
 }
 
-// Acknowledge says that the ends up to a number are durable: the worker may forget them.
+// Acknowledge says that the completions up to a number are durable: the worker may forget them.
 func (l *Link) Acknowledge(number uint64) {
 	l.mu.Lock()
 	l.acknowledged = max(l.acknowledged, number)
@@ -169,7 +169,7 @@
 	}
 }
 
-// LeasesExpiredBy is the local time by which everything that this link has ever granted there has certainly lapsed, provided that
+// LeasesExpiredBy is the local time by which everything that this link has ever granted there has certainly expired, provided that
 // nothing more is granted. It is the zero time when nothing was granted.
 func (l *Link) LeasesExpiredBy() time.Time {
 	l.mu.Lock()
@@ -184,7 +184,7 @@
 	return l.counts
 }
 
-// Close ends the link. Calls under way are given up, and their results and those of waiting orders are still reported; Run
+// Close ends the link. Calls under way are given up, and their results and those of waiting commands are still reported; Run
 // returns after that.
 func (l *Link) Close() { l.end(closed) }
 
@@ -237,7 +237,7 @@
 	return true
 }
 
-// setContact notes what a call has shown, and reports a change. While a worker is unreachable it gets no orders and no
+// setContact notes what a call has shown, and reports a change. While a worker is unreachable it gets no commands and no
 // grants.
 func (l *Link) setContact(now contact) {
 	l.mu.Lock()
@@ -249,7 +249,7 @@
 		l.doubtful, l.suspected = false, false
 	}
 	if changed && now == unreachable && l.pending != nil {
-		l.pending.abandon() // the hold loop looks for the worker
+		l.pending.abandon() // the renewal loop looks for the worker
 	}
 	l.dispatch()
 	l.mu.Unlock()
@@ -265,7 +265,7 @@
 // not moved since. The caller holds the lock.
 func (l *Link) sendTime() time.Time { return later(l.now(), l.resultAt.Add(1)) }
 
-// resultTime is the local time for the result of an order.
+// resultTime is the local time for the result of a command.
 func (l *Link) resultTime() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -21,14 +21,14 @@
 
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Given a searcher of four cores that guards its capacity", t, func() {
+	convey.Convey("Given a worker of four cores that guards its capacity", t, func() {
 		b := newFixture(t, needsCores(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
 		convey.Reset(b.close)
 		awaitReturn := b.connect(7)
 		first := await(t, b.events, anyEvent[Listing])
 		convey.So(first.First, convey.ShouldBeTrue)
 
-		convey.Convey("a start is answered, also when the run is there already", func() {
+		convey.Convey("a start is answered, also when the attempt is there already", func() {
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 1)
@@ -37,17 +37,17 @@
 		convey.Convey("what does not fit is rejected", func() {
 			convey.So(b.start(startCommand(4, 1)), convey.ShouldEqual, RejectedCapacity)
 		})
-		convey.Convey("a run that was stopped before it came is rejected as old", func() {
+		convey.Convey("an attempt that was stopped before it came is rejected as old", func() {
 			b.link.Stop(StopCommand{task(1), 3})
 			stopped := await(t, b.events, anyEvent[StopResult])
 			convey.So(stopped.Answered, convey.ShouldBeTrue)
 			convey.So(b.start(startCommand(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
 			convey.So(b.start(startCommand(1, 4)), convey.ShouldEqual, Started)
 		})
-		convey.Convey("an order that the searcher cannot read is invalid", func() {
+		convey.Convey("a command that the worker cannot read is invalid", func() {
 			convey.So(b.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
-		convey.Convey("an unhealthy searcher did nothing", func() {
+		convey.Convey("an unhealthy worker did nothing", func() {
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
@@ -82,7 +82,7 @@
 			b.link = old
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
-		convey.Convey("a closed link sends nothing and reports every order", func() {
+		convey.Convey("a closed link sends nothing and reports every command", func() {
 			b.link.Close()
 			awaitReturn()
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
@@ -107,7 +107,7 @@
 
 func TestListings(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Given runs at a searcher", t, func() {
+	convey.Convey("Given attempts at a worker", t, func() {
 		b := newFixture(t, needsCores(), cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.connect(1)
@@ -121,7 +121,7 @@
 			convey.So(record.Specification, convey.ShouldEqual, text)
 			convey.So(record.Checkpoint, convey.ShouldEqual, "00000bb8")
 		})
-		convey.Convey("they are listed, and an end is at once", func() {
+		convey.Convey("they are listed, and a completion is at once", func() {
 			both := await(t, b.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
 			convey.So(both.Running[1].AttemptNumber, convey.ShouldEqual, 5)
@@ -142,7 +142,7 @@
 				convey.So(b.cluster.Runs()[1].Acknowledged, convey.ShouldBeTrue)
 			})
 		})
-		convey.Convey("they come in the order in which they were asked for, but for looks, and one event at a time", func() {
+		convey.Convey("they come in the order in which they were asked for, but for polls, and one event at a time", func() {
 			for range 3 {
 				await(t, b.events, anyEvent[Listing])
 				b.link.Stop(StopCommand{task(0), 1})
@@ -161,7 +161,7 @@
 
 func TestManyCompletions(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Given more ends than one answer lists", t, func() {
+	convey.Convey("Given more completions than one answer lists", t, func() {
 		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.events.onListing = func(l Listing) {
@@ -182,7 +182,7 @@
 			convey.So(b.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 		}
 		b.worker.SetFaults(nil)
-		convey.Convey("all are heard, and a full page is marked", func() {
+		convey.Convey("all are received, and a full page is marked", func() {
 			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].CompletionNumber == runs }
 			await(t, b.events, last)
 			heard := map[uint64]bool{}
@@ -202,10 +202,10 @@
 
 func TestLink(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Given a link to an idle searcher", t, func() {
+	convey.Convey("Given a link to an idle worker", t, func() {
 		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
 		convey.Reset(b.close)
-		convey.Convey("nothing is granted before the first listing, and then the runs are held", func() {
+		convey.Convey("nothing is granted before the first listing, and then the attempts are held", func() {
 			b.connect(1)
 			await(t, b.events, anyEvent[Listing])
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
@@ -214,14 +214,14 @@
 			convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, granted)
 			convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, b.worker.HeldUntil())
 		})
-		convey.Convey("one connection is made for holds and few for orders", func() {
+		convey.Convey("one connection is made for renewals and few for commands", func() {
 			b.connect(1)
 			for i := range 50 {
 				convey.So(b.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 			}
 			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
-		convey.Convey("a start that waits for a grant is given back when the lease ends before", func() {
+		convey.Convey("a start that waits for a grant is given back when the lease completions before", func() {
 			b.events.onListing = func(Listing) { b.invalid.Store(true) }
 			b.connect(1)
 			await(t, b.events, anyEvent[Listing])
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// settled tells whether all orders were answered before a time. The caller holds the lock.
+// settled reports whether all commands were answered before a time. The caller holds the lock.
 func (l *Link) commandsAnsweredBefore(at time.Time) bool {
 	return l.senders == 0 && len(l.commands.starts)+len(l.commands.stops) == 0 && l.resultAt.Before(at)
 }
@@ -53,7 +53,7 @@
 	return listing
 }
 
-// newestCompletion is the number of the newest end listed that could be read; 0 when there is none.
+// newestCompletion is the number of the newest completion listed that could be read; 0 when there is none.
 func (a *response) newestCompletion() uint64 {
 	newest := uint64(0)
 	for i := range a.body.Finished {
@@ -69,11 +69,11 @@
 	started          bool
 	sentAt           time.Time // the latest of all
 	clockMS          int64     // the worker's clock in the newest one
-	newestCompletion uint64    // the number of the newest end
-	completionsAt    time.Time // when ends were delivered last
+	newestCompletion uint64    // the number of the newest completion
+	completionsAt    time.Time // when completions were delivered last
 }
 
-// add completes a listing that is delivered next: it marks the first one and stale ones, and drops ends that are not new.
+// add completes a listing that is delivered next: it marks the first one and stale ones, and drops completions that are not new.
 func (h *deliveryHistory) add(listing *Listing, clockMS *int64, now time.Time) {
 	listing.First = !h.started
 	listing.Stale = h.started && h.stale(listing.SentAt, clockMS)
@@ -85,7 +85,7 @@
 	h.dropRepeated(listing, now)
 }
 
-// stale tells whether the worker may have listed its runs before it did so for a listing delivered already. Answers on
+// stale reports whether the worker may have listed its attempts before it did so for a listing delivered already. Answers on
 // different connections may pass one another; the worker's clock tells in which order they were written.
 func (h *deliveryHistory) stale(sentAt time.Time, clockMS *int64) bool {
 	if clockMS == nil || *clockMS == h.clockMS {
@@ -94,7 +94,7 @@
 	return *clockMS < h.clockMS
 }
 
-// dropRepeated drops the ends of a listing that has no new one. They are delivered again once they have been left without an
+// dropRepeated drops the completions of a listing that has no new one. They are delivered again once they have been left without an
 // acknowledgement for a while, and together with a new one.
 func (h *deliveryHistory) dropRepeated(listing *Listing, now time.Time) {
 	if len(listing.Finished) == 0 {
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// responseOutcome is the outcome of a start order by the worker's answer.
+// responseOutcome is the outcome of a start command by the worker's answer.
 func responseOutcome(a response) StartOutcome {
 	switch a.status {
 	case http.StatusOK:
@@ -37,7 +37,7 @@
 	return Unclear
 }
 
-// failureOutcome is the outcome of a start order without an answer.
+// failureOutcome is the outcome of a start command without an answer.
 func failureOutcome(err error) StartOutcome {
 	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return NotSent
--- a/internal/jobs/workerclient/permit.go
+++ b/internal/jobs/workerclient/permit.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// unsent tells whether a call that has failed was certainly not sent: it got no connection, or no permit.
+// unsent reports whether a call that has failed was certainly not sent: it got no connection, or no permit.
 func (p *permit) unsent() bool {
 	state := p.state.Load()
 	return state == unconnected || state == withheld
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -7,17 +7,17 @@
 	"go.uber.org/zap"
 )
 
-// pollMergeDelay is how long the look after an answered stop waits for further stops to share it.
+// pollMergeDelay is how long the poll after an answered stop waits for further stops to share it.
 const pollMergeDelay = 5 * time.Millisecond
 
-// pollState is the state of the out-of-band looks, of which one at a time is under way.
+// pollState is the state of the out-of-band polls, of which one at a time is under way.
 type pollState struct {
-	busy   bool // a goroutine makes looks, or is about to begin
-	wanted bool // a look was asked for since the last one was sent
+	busy   bool // a goroutine makes polls, or is about to begin
+	wanted bool // a poll was asked for since the last one was sent
 }
 
-// requestPoll asks for a look that begins after the delay, or for another one after that under way. It grants nothing. While
-// the worker is unreachable the hold loop looks anyway. The caller holds the lock.
+// requestPoll asks for a poll that begins after the delay, or for another one after that under way. It grants nothing. While
+// the worker is unreachable the renewal loop polls anyway. The caller holds the lock.
 func (l *Link) requestPoll(delay time.Duration) {
 	if l.ending != open || l.suspended || l.contact == unreachable {
 		return
@@ -30,13 +30,13 @@
 	time.AfterFunc(delay, l.runPolls)
 }
 
-// runPolls makes one look after another while they are wanted.
+// runPolls makes one poll after another while they are wanted.
 func (l *Link) runPolls() {
 	for l.pollInTurn() {
 	}
 }
 
-// pollInTurn makes one look once there is a connection for it, and tells whether another one may be due.
+// pollInTurn makes one poll once there is a connection for it, and reports whether another one may be due.
 func (l *Link) pollInTurn() bool {
 	begun := l.lane.acquire(l.done)
 	if begun {
@@ -49,7 +49,7 @@
 	return due
 }
 
-// nextPoll begins the next look if one is wanted, and otherwise notes that none is under way.
+// nextPoll begins the next poll if one is wanted, and otherwise notes that none is under way.
 func (l *Link) nextPoll(valid bool) (c listCall, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// pollFailed repeats a look that got no answer, unless a hold or a look before it did not get one either: then the worker
+// pollFailed repeats a poll that got no answer, unless a renewal or a poll before it did not get one either: then the worker
 // is unreachable.
 func (l *Link) pollFailed() {
 	l.mu.Lock()
@@ -111,7 +111,7 @@
 	l.polls.wanted = true
 }
 
-// doubt notes an order without an answer: no start is sent until a look has shown whether the worker still answers.
+// doubt notes a command without an answer: no start is sent until a poll has shown whether the worker still answers.
 func (l *Link) doubt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,13 +119,13 @@
 	l.requestPoll(0)
 }
 
-// suspect notes a hold without an answer: the worker is unreachable unless it answers a look. The caller holds the lock.
+// suspect notes a renewal without an answer: the worker is unreachable unless it answers a poll. The caller holds the lock.
 func (l *Link) suspect() {
 	l.doubtful, l.suspected = true, true
 	l.requestPoll(0)
 }
 
-// awaitPolls waits until no look is under way.
+// awaitPolls waits until no poll is under way.
 func (l *Link) awaitPolls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -20,7 +20,7 @@
 		b := newMemoryFixture(t, way)
 		defer b.close()
 		b.connect(1)
-		convey.Convey("Given a searcher that runs a task", t, func() {
+		convey.Convey("Given a worker that runs a task", t, func() {
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			time.Sleep(time.Second) // until the round trips are known
 			b.awaitHold()
@@ -29,7 +29,7 @@
 	})
 }
 
-// awaitHold waits until a hold is under way that was sent after this call.
+// awaitHold waits until a renewal is under way that was sent after this call.
 func (b *fixture) awaitHold() {
 	calls := b.worker.Calls(cluster.HoldCall)
 	for b.worker.Calls(cluster.HoldCall) == calls {
@@ -38,7 +38,7 @@
 	synctest.Wait() // until the worker has carried it out
 }
 
-// acknowledgeAll acknowledges every end as soon as it is heard.
+// acknowledgeAll acknowledges every end as soon as it is received.
 func (b *fixture) acknowledgeAll() {
 	b.events.onListing = func(l Listing) {
 		if ends := len(l.Finished); ends > 0 {
@@ -113,7 +113,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		b := newMemoryFixture(t, calmWay)
 		defer b.close()
-		convey.Convey("Given a searcher that leaves the first call without an answer", t, func() {
+		convey.Convey("Given a worker that leaves the first call without an answer", t, func() {
 			b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 			began := time.Now()
 			b.connect(1)
@@ -155,7 +155,7 @@
 		convey.So(look.SentAt, convey.ShouldHappenAfter, result.At)
 		convey.So(look.Running, convey.ShouldHaveLength, 1)
 		convey.So(look.Stale, convey.ShouldBeFalse)
-		convey.So(b.link.Counts().Renewals, convey.ShouldEqual, holds) // the hold goes on meanwhile
+		convey.So(b.link.Counts().Renewals, convey.ShouldEqual, holds) // the renewal goes on meanwhile
 		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 
 		hold := await(t, b.events, func(l Listing) bool {
@@ -174,13 +174,13 @@
 		silent := time.Now()
 		starts := b.worker.Calls(cluster.StartCall)
 		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
-		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for a look's answer
+		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for a poll's answer
 		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(unheardSince(b), convey.ShouldBeTrue)
 		looks := minCommandTimeout + 2*minPollTimeout // those after the start
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+10*time.Millisecond)
 		b.worker.SetFaults(nil)
-		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the hold was given up
+		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was given up
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+firstBackoff+20*time.Millisecond)
 	})
 }
@@ -220,7 +220,7 @@
 		b.awaitHold()
 		sent := time.Now()
 		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Started)
-		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the hold is answered slowly
+		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the renewal is answered slowly
 		time.Sleep(2 * time.Millisecond)
 		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 		b.link.Stop(StopCommand{task(5), 1})
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	firstBackoff      = 150 * time.Millisecond // after a look that failed
+	firstBackoff      = 150 * time.Millisecond // after a poll that failed
 	maxBackoff        = 600 * time.Millisecond
-	earlyAnswerDelay  = 100 * time.Millisecond // after a hold that was answered early without an end
-	toleratedRefusals = 1                      // holds refused in a row before a worker counts as unreachable
+	earlyAnswerDelay  = 100 * time.Millisecond // after a renewal that was answered early without a completion
+	toleratedRefusals = 1                      // renewals refused in a row before a worker counts as unreachable
 
-	acknowledgementTimeout     = 60 * time.Millisecond  // how long the hold after new ends waits for their acknowledgement
-	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after ends that are listed again
-	redeliveryAge              = time.Second            // ends not acknowledged for so long are delivered again
+	acknowledgementTimeout     = 60 * time.Millisecond  // how long the renewal after new completions waits for their acknowledgement
+	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after completions that are listed again
+	redeliveryAge              = time.Second            // completions not acknowledged for so long are delivered again
 )
 
 // listCall is one call that asks for both lists.
@@ -35,14 +35,14 @@
 
 func (c *listCall) wait() time.Duration { return time.Duration(c.request.waitMS) * time.Millisecond }
 
-// pendingRenewal is the newest call of the hold loop.
+// pendingRenewal is the newest call of the renewal loop.
 type pendingRenewal struct {
 	abandon    context.CancelFunc
 	overdue    bool // it should have been answered by now
-	superseded bool // a look was answered instead
+	superseded bool // a poll was answered instead
 }
 
-// Run looks at the worker and then holds what runs there, until the link is closed, the context ends, the worker's life
+// Run looks at the worker and then holds what attempts there, until the link is closed, the context ends, the worker's incarnation
 // is over or a higher fencing token was seen. It returns once everything was reported.
 func (l *Link) Run(ctx context.Context) {
 	defer l.lane.leave()
@@ -65,14 +65,14 @@
 	}
 }
 
-// renewalAnswer is a call of the hold loop with its answer.
+// renewalAnswer is a call of the renewal loop with its answer.
 type renewalAnswer struct {
 	call     listCall
 	answer   response
 	received time.Time
 }
 
-// renewInTurn makes one call once there is a connection for it, and tells whether the next one may follow.
+// renewInTurn makes one call once there is a connection for it, and reports whether the next one may follow.
 func (l *Link) renewInTurn() (again bool, last renewalAnswer) {
 	if !l.lane.acquire(l.done) {
 		return false, renewalAnswer{}
@@ -86,7 +86,7 @@
 	return l.renewOnce()
 }
 
-// setSuspended notes whether orders may be sent at all, and goes through those that wait.
+// setSuspended notes whether commands may be sent at all, and goes through those that wait.
 func (l *Link) setSuspended(suspended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// renewOnce makes one call and tells whether the next one may follow at once.
+// renewOnce makes one call and reports whether the next one may follow at once.
 func (l *Link) renewOnce() (again bool, last renewalAnswer) {
 	c := l.beginRenewal()
 	a, err := l.postRenewal(c)
@@ -126,7 +126,7 @@
 	return true, renewalAnswer{c, a, received}
 }
 
-// beginRenewal decides what the next call of the hold loop asks for and notes its grant.
+// beginRenewal decides what the next call of the renewal loop asks for and notes its grant.
 func (l *Link) beginRenewal() listCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,7 +147,7 @@
 	return c
 }
 
-// addGrant makes the call hold what runs there as long as is certainly not cut short. The caller holds the lock.
+// addGrant makes the call hold what attempts there as long as is certainly not cut short. The caller holds the lock.
 func (l *Link) addGrant(c *listCall) {
 	validUntil := (l.clock.lowest(c.sentAt) + l.config.MaxLease).Truncate(time.Millisecond)
 	if validUntil <= l.lease.validUntil {
@@ -158,7 +158,7 @@
 	c.grant = l.grants.begin(l.clock.untilPassed(validUntil, c.sentAt), c.sentAt, c.timeout)
 }
 
-// postRenewal makes a call of the hold loop, which is hedged by a look when its answer is overdue.
+// postRenewal makes a call of the renewal loop, which is hedged by a poll when its answer is overdue.
 func (l *Link) postRenewal(c listCall) (response, error) {
 	ctx, abandon := context.WithCancel(l.context)
 	defer abandon()
@@ -173,7 +173,7 @@
 	return l.caller.post(ctx, l.caller.renewal, c.body(), c.timeout)
 }
 
-// renewalOverdue looks at a worker that has left a hold without an answer.
+// renewalOverdue polls of a worker that has left a renewal without an answer.
 func (l *Link) renewalOverdue(pending *pendingRenewal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,7 +185,7 @@
 	l.suspect()
 }
 
-// supersedeRenewal gives up an overdue hold after a look was answered.
+// supersedeRenewal gives up an overdue renewal after a poll was answered.
 func (l *Link) supersedeRenewal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// renewalFailed lets a look decide what a hold without an answer means, and tells whether the next hold may follow at once.
+// renewalFailed lets a poll decide what a renewal without an answer means, and reports whether the next renewal may follow at once.
 func (l *Link) renewalFailed(c listCall) bool {
 	if c.hedgeAfter == 0 {
 		l.setContact(unreachable)
@@ -260,7 +260,7 @@
 	}
 }
 
-// delayAfter waits before the next hold where the worker would answer it at once: after ends, as it lists them until they
+// delayAfter waits before the next renewal where the worker would answer it at once: after ends, as it lists them until they
 // are acknowledged, and after an answer that came early for no reason known.
 func (l *Link) delayAfter(last renewalAnswer) {
 	if newest := last.answer.newestCompletion(); newest > 0 {
@@ -273,8 +273,8 @@
 	}
 }
 
-// awaitAcknowledgement waits until the ends up to a number are durable: shortly after new ones, so that further ends are
-// heard soon in any case, and longer when the same ones are listed again.
+// awaitAcknowledgement waits until the completions up to a number are durable: shortly after new ones, so that further completions are
+// received soon in any case, and longer when the same ones are listed again.
 func (l *Link) awaitAcknowledgement(number uint64) {
 	patience := acknowledgementTimeout
 	if number <= l.awaitedCompletion {
@@ -300,7 +300,7 @@
 	}
 }
 
-// noteAcknowledged notes that a worker is idle if its last answer lists nothing but ends that are durable by now. The next
+// noteAcknowledged notes that a worker is idle if its last answer lists nothing but completions that are durable by now. The next
 // call acknowledges them, however late it is.
 func (l *Link) noteAcknowledged(last renewalAnswer, newest uint64) {
 	reply := &last.answer.body
--- a/internal/jobs/workerclient/renewal_test.go
+++ b/internal/jobs/workerclient/renewal_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRenewalPlan(t *testing.T) {
-	convey.Convey("Given a link whose searcher's clock is known by answers only", t, func() {
+	convey.Convey("Given a link whose worker's clock is known by answers only", t, func() {
 		now := time.Unix(1000, 0)
 		link := NewLink(Config{
 			MaxLease: testMaxLease, Events: newRecorder(), HTTP: http.DefaultClient, Now: func() time.Time { return now },
@@ -25,7 +25,7 @@
 			link.listed = true
 			link.setContact(reachable)
 		}
-		convey.Convey("the first call is a look that grants nothing", func() {
+		convey.Convey("the first call is a poll that grants nothing", func() {
 			look := link.beginRenewal()
 			convey.So(look.request.waitMS, convey.ShouldEqual, 0)
 			convey.So(look.grant, convey.ShouldBeNil)
@@ -52,7 +52,7 @@
 					convey.So(hold.request.waitMS, convey.ShouldEqual, 1000)
 					convey.So(hold.request.validUntilMS, convey.ShouldBeGreaterThan, short.request.validUntilMS)
 				})
-				convey.Convey("a call without an answer is followed by a look", func() {
+				convey.Convey("a call without an answer is followed by a poll", func() {
 					now = now.Add(2 * time.Second)
 					hold := link.beginRenewal()
 					link.settleListCall(hold, response{}, rpcerror.WrapMayHaveExecuted(errNoResponse), now)
@@ -78,7 +78,7 @@
 			})
 		})
 	})
-	convey.Convey("Where runs are held for a short time only, everything is quicker", t, func() {
+	convey.Convey("Where attempts are held for a short time only, everything is quicker", t, func() {
 		p := paceFor(time.Second)
 		convey.So(p.longPollWait, convey.ShouldEqual, 250*time.Millisecond)
 		convey.So(p.minLeaseLead+p.longPollWait+p.renewalAge, convey.ShouldBeLessThan, time.Second)
--- a/internal/jobs/workerclient/roundtrip.go
+++ b/internal/jobs/workerclient/roundtrip.go
@@ -5,7 +5,7 @@
 const (
 	initialMargin = 300 * time.Millisecond // before the first round trip is measured
 	spareMargin   = 100 * time.Millisecond // beyond what the round trips suggest
-	hedgeMargin   = 25 * time.Millisecond  // the same before a further copy of a repeatable call
+	hedgeMargin   = 25 * time.Millisecond  // the same before a hedged request of a idempotent call
 	maxSample     = time.Second
 
 	minOverdueDelay   = 200 * time.Millisecond
@@ -14,7 +14,7 @@
 	maxCommandTimeout = 900 * time.Millisecond
 	minPollTimeout    = 400 * time.Millisecond
 	maxPollTimeout    = 700 * time.Millisecond
-	commandMargin     = 100 * time.Millisecond // an order may take this much longer than a look
+	commandMargin     = 100 * time.Millisecond // a command may take this much longer than a poll
 	smoothingDivisor  = 8                      // a sample's weight in the smoothed round trip, as in RFC 6298
 	variationDivisor  = 4                      // and in its variation
 	marginFactor      = 4
@@ -55,13 +55,13 @@
 	return max(r.minTimeout, min(max(margin, shortest), longest))
 }
 
-// hedgeDelay is how long after it was sent a repeatable call without an answer is sent once more. A copy that was not needed
+// hedgeDelay is how long after it was sent a idempotent call without an answer is sent once more. A request that was not needed
 // costs little, so little is added to what the round trips suggest.
 func (r *roundTrips) hedgeDelay() time.Duration {
 	return r.clamp(r.margin()-spareMargin+hedgeMargin, 0, maxOverdueDelay)
 }
 
-// overdueDelay is how long after its wait an unanswered hold is hedged by a look.
+// overdueDelay is how long after its wait an unanswered hold is hedged by a poll.
 func (r *roundTrips) overdueDelay() time.Duration {
 	return r.clamp(r.margin(), minOverdueDelay, maxOverdueDelay)
 }
@@ -84,12 +84,12 @@
 	return r.commandTimeout()
 }
 
-// commandTimeout is the time-out of stop orders, and of starts in calm.
+// commandTimeout is the time-out of stop commands, and of starts in calm.
 func (r *roundTrips) commandTimeout() time.Duration {
 	return r.clamp(r.margin()+commandMargin, minCommandTimeout, maxCommandTimeout)
 }
 
-// pollTimeout is the time-out of an out-of-band look.
+// pollTimeout is the time-out of an out-of-band poll.
 func (r *roundTrips) pollTimeout() time.Duration {
 	return r.clamp(r.margin(), minPollTimeout, maxPollTimeout)
 }
--- a/internal/jobs/workerclient/roundtrip_test.go
+++ b/internal/jobs/workerclient/roundtrip_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRoundTrips(t *testing.T) {
-	convey.Convey("Given the round trips of a calm searcher", t, func() {
+	convey.Convey("Given the round trips of a calm worker", t, func() {
 		var trips roundTrips
 		convey.So(trips.overdueDelay(), convey.ShouldEqual, initialMargin)
 		for range 50 {
@@ -19,7 +19,7 @@
 			convey.So(trips.commandTimeout(), convey.ShouldEqual, minCommandTimeout)
 			convey.So(trips.pollTimeout(), convey.ShouldEqual, minPollTimeout)
 		})
-		convey.Convey("a repeatable call is repeated far sooner than it is given up", func() {
+		convey.Convey("a idempotent call is repeated far sooner than it is given up", func() {
 			convey.So(trips.hedgeDelay(), convey.ShouldBeBetween, 3*time.Millisecond, minCommandTimeout/4)
 		})
 		convey.Convey("and later where the round trips vary", func() {
--- a/internal/jobs/workerclient/wire.go
+++ b/internal/jobs/workerclient/wire.go
@@ -15,7 +15,7 @@
 	renewalPath = "/-/hold"
 )
 
-// maxFinishedPerResponse is how many ends one answer lists at most.
+// maxFinishedPerResponse is how many completions one answer lists at most.
 const maxFinishedPerResponse = 500
 
 // reason says why a worker rejected a call.
@@ -28,7 +28,7 @@
 	reasonCapacity     reason = "room"
 )
 
-// listRequest asks for both lists and may hold what runs there.
+// listRequest asks for both lists and may hold what attempts there.
 type listRequest struct {
 	fencingToken uint64
 	lastSeen     uint64
@@ -36,7 +36,7 @@
 	validUntilMS int64 // 0 to hold nothing
 }
 
-// listRequestBytes is about how long a hold call's body is.
+// listRequestBytes is about how long a renewal's body is.
 const listRequestBytes = 128
 
 func (r listRequest) append(to []byte) []byte {
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestResponseBodies(t *testing.T) {
-	convey.Convey("Given the answer to a hold", t, func() {
+	convey.Convey("Given the answer to a renewal", t, func() {
 		r, err := decodeResponse([]byte(`{"clockMs":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41.6],` +
 			` [ "5c0e7a21d94b36f8.0.1.18" , 1 , null , 0 ],["5c0e7a21d94b36f8.0.1.19",1,"a\\\",\u00fcb"]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],` +
 			`[59,"no task",1,"failed","","more"]]}`))
