--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -59,19 +59,19 @@
 	}
 }
 
-type nothing struct{ started chan StartOutcome }
+type discardEvents struct{ started chan StartOutcome }
 
-func (nothing) Listing(Listing)                 {}
-func (n nothing) StartResult(r StartResult)     { n.started <- r.Outcome }
-func (nothing) StopResult(StopResult)           {}
-func (nothing) Gone(Gone)                       {}
-func (nothing) Fenced(Fenced)                   {}
-func (nothing) Reachability(ReachabilityChange) {}
+func (discardEvents) Listing(Listing)                 {}
+func (n discardEvents) StartResult(r StartResult)     { n.started <- r.Outcome }
+func (discardEvents) StopResult(StopResult)           {}
+func (discardEvents) Gone(Gone)                       {}
+func (discardEvents) Fenced(Fenced)                   {}
+func (discardEvents) Reachability(ReachabilityChange) {}
 
-func benchLink(b *testing.B, body string) (*Link, nothing) {
+func newBenchmarkLink(b *testing.B, body string) (*Link, discardEvents) {
 	client := NewHTTPClient()
 	b.Cleanup(client.CloseIdleConnections)
-	events := nothing{make(chan StartOutcome, 1)}
+	events := discardEvents{make(chan StartOutcome, 1)}
 	return NewLink(Config{
 		Instance: Instance{ID: "i-1", Address: cannedServer(b, body)}, FencingToken: 1, MaxLease: testMaxLease,
 		LeaderLeaseValid: func() bool { return true }, Events: events, HTTP: client,
@@ -93,15 +93,15 @@
 }
 
 func BenchmarkStart(b *testing.B) {
-	link, events := benchLink(b, `{"clockMs":482113}`)
+	link, events := newBenchmarkLink(b, `{"clockMs":482113}`)
 	link.lease.validUntil = 1e6 * time.Hour
 	link.clock.observe(time.Now(), time.Now(), 0)
-	order := startCommand(0, 1)
-	order.Specification = string(bytes.Repeat([]byte("x"), 400))
+	command := startCommand(0, 1)
+	command.Specification = string(bytes.Repeat([]byte("x"), 400))
 	b.ReportAllocs()
 	before := processorTime()
 	for b.Loop() {
-		link.Start(order)
+		link.Start(command)
 		if outcome := <-events.started; outcome != Started {
 			b.Fatal(outcome)
 		}
@@ -120,7 +120,7 @@
 				body = fmt.Appendf(body, `["5c0e7a21d94b36f8.0.1.%d",2,"00000bb87a21d94b",41]`, i)
 			}
 			body = append(body, `],"finished":[]}`...)
-			link, _ := benchLink(b, string(body))
+			link, _ := newBenchmarkLink(b, string(body))
 			client := link.caller
 			b.ReportAllocs()
 			before := processorTime()
--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -26,8 +26,8 @@
 // NewHTTPClient makes a client without a budget.
 func NewHTTPClient() *http.Client { return unlimited().HTTPClient() }
 
-// response is a whole HTTP answer.
-type response struct {
+// workerResponse is a whole HTTP answer.
+type workerResponse struct {
 	status int
 	body   responseBody
 }
@@ -54,7 +54,7 @@
 
 // post sends one call, once, and reads its answer. An error means that there was
 // no whole answer in time; it carries an rpcerror.Error.
-func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (response, error) {
+func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (workerResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	permit := &permit{leaderLeaseValid: c.leaderLeaseValid}
@@ -65,15 +65,15 @@
 	}}
 	httpResponse, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
 	if err != nil && (permit.unsent() || sending.NothingSent()) {
-		return response{}, rpcerror.WrapNotExecuted(err, 0)
+		return workerResponse{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if err != nil {
-		return response{}, rpcerror.WrapMayHaveExecuted(err)
+		return workerResponse{}, rpcerror.WrapMayHaveExecuted(err)
 	}
 	defer httpResponse.Body.Close()
 	result, err := readResponse(httpResponse)
 	if err != nil {
-		return response{}, rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s: %w", target, err))
+		return workerResponse{}, rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s: %w", target, err))
 	}
 	return result, nil
 }
@@ -91,7 +91,7 @@
 var errResponseTooLong = errors.New("answer too long")
 
 // readResponse reads an answer whole, so that its connection can be used again. Only the bodies of 200 and 409 are looked at.
-func readResponse(httpResponse *http.Response) (response, error) {
+func readResponse(httpResponse *http.Response) (workerResponse, error) {
 	buffer := responseBuffers.Get().(*bytes.Buffer)
 	defer func() {
 		if buffer.Cap() <= maxPooledBufferBytes {
@@ -101,12 +101,12 @@
 	buffer.Reset()
 	read, err := buffer.ReadFrom(io.LimitReader(httpResponse.Body, maxResponseBytes+1))
 	if err != nil {
-		return response{}, fmt.Errorf("read answer: %w", err)
+		return workerResponse{}, fmt.Errorf("read answer: %w", err)
 	}
 	if read > maxResponseBytes {
-		return response{}, errResponseTooLong
+		return workerResponse{}, errResponseTooLong
 	}
-	result := response{status: httpResponse.StatusCode}
+	result := workerResponse{status: httpResponse.StatusCode}
 	if result.status != http.StatusOK && result.status != http.StatusConflict {
 		return result, nil
 	}
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -81,7 +81,7 @@
 		l.mu.Lock()
 		if next = l.nextCommand(); next == nil {
 			l.senders--
-			l.idle.Broadcast()
+			l.quiescent.Broadcast()
 		}
 		l.mu.Unlock()
 	}
@@ -144,14 +144,14 @@
 	}
 	stop := l.commands.stops[first]
 	if wait := stop.due.Sub(now); wait > 0 && l.ending == open {
-		l.setTimer(wait)
+		l.setStopTimer(wait)
 		return queuedStop{}, false
 	}
 	l.commands.stops = append(l.commands.stops[:first], l.commands.stops[first+1:]...)
 	return stop, true
 }
 
-func (l *Link) setTimer(wait time.Duration) {
+func (l *Link) setStopTimer(wait time.Duration) {
 	if l.commands.timer != nil {
 		l.commands.timer.Reset(wait)
 		return
@@ -188,9 +188,9 @@
 	}
 	c := l.beginStart()
 	body := appendStart(make([]byte, 0, startBytes(&command)), &command, c.validUntil.Milliseconds(), l.config.FencingToken)
-	a, err := l.caller.post(l.context, l.caller.start, body, c.timeout)
-	l.settleStart(c, a, err, l.now())
-	l.reportStart(command, l.startOutcome(a, err))
+	response, err := l.caller.post(l.context, l.caller.start, body, c.timeout)
+	l.settleStart(c, response, err, l.now())
+	l.reportStart(command, l.startOutcome(response, err))
 	if err != nil {
 		l.doubt() // a poll shows whether the attempt is there
 	}
@@ -212,10 +212,10 @@
 	return c
 }
 
-func (l *Link) settleStart(c startCall, a response, err error, received time.Time) {
+func (l *Link) settleStart(c startCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(a, c.sentAt, received)
+	l.observe(response, c.sentAt, received)
 	l.settleGrant(c.grant, c.validUntil, err, received)
 	if err == nil || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		l.roundTrips.startEnded(err == nil)
@@ -234,26 +234,26 @@
 }
 
 // startOutcome reads an answer to a start command and notes what else it says.
-func (l *Link) startOutcome(a response, err error) StartOutcome {
+func (l *Link) startOutcome(response workerResponse, err error) StartOutcome {
 	if err != nil {
 		l.log.Debug("start without answer", zap.Error(err))
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.outcomeAtEnd(failureOutcome(err))
 	}
-	if l.endedBy(a) {
-		if a.status == http.StatusMisdirectedRequest {
+	if l.endedBy(response) {
+		if response.status == http.StatusMisdirectedRequest {
 			return IncarnationOver
 		}
 		return RejectedFencingToken
 	}
 	l.setContact(reachable)
-	return responseOutcome(a)
+	return responseOutcome(response)
 }
 
 func (l *Link) reportStart(command StartCommand, outcome StartOutcome) {
 	result := StartResult{l.config.Instance.ID, command, outcome, l.resultTime()}
-	l.deliveries.post(func(e Events) { e.StartResult(result) })
+	l.events.post(func(e Events) { e.StartResult(result) })
 }
 
 // sendStop makes one stop call, and queues the command again if it was not taken.
@@ -267,16 +267,16 @@
 		l.requeueStop(stop)
 		return
 	}
-	a, err := l.postStop(stop.command)
+	response, err := l.postStop(stop.command)
 	switch {
 	case err != nil:
 		l.log.Debug("stop without answer", zap.Error(err))
 		l.doubt()
-	case l.endedBy(a):
+	case l.endedBy(response):
 	default:
 		l.setContact(reachable)
 	}
-	if err != nil || a.status != http.StatusOK {
+	if err != nil || response.status != http.StatusOK {
 		l.requeueStop(stop)
 		return
 	}
@@ -286,18 +286,18 @@
 	l.requestPoll(pollMergeDelay) // shows whether the attempt is there
 }
 
-func (l *Link) postStop(command StopCommand) (response, error) {
+func (l *Link) postStop(command StopCommand) (workerResponse, error) {
 	l.mu.Lock()
 	timeout := l.roundTrips.commandTimeout()
 	l.mu.Unlock()
-	a, sentAt, err := l.postIdempotent(idempotentCall{l.caller.stop, appendStop(nil, command, l.config.FencingToken), timeout})
+	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.stop, appendStop(nil, command, l.config.FencingToken), timeout})
 	if err == nil {
 		received := l.now()
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.roundTrips.observe(received.Sub(sentAt))
 	}
-	return a, err
+	return response, err
 }
 
 func (l *Link) requeueStop(stop queuedStop) {
@@ -310,5 +310,5 @@
 
 func (l *Link) reportStop(command StopCommand, answered bool) {
 	result := StopResult{l.config.Instance.ID, command, answered, l.resultTime()}
-	l.deliveries.post(func(e Events) { e.StopResult(result) })
+	l.events.post(func(e Events) { e.StopResult(result) })
 }
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -91,46 +91,46 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links++
-	l := c.pool(address)
-	l.links++
-	return l
+	p := c.pool(address)
+	p.links++
+	return p
 }
 
 // pool returns the pool of an address. The caller holds the lock.
 func (c *Connections) pool(address string) *hostPool {
-	l := c.pools[address]
-	if l == nil {
-		l = &hostPool{budget: c, address: address}
-		c.pools[address] = l
+	p := c.pools[address]
+	if p == nil {
+		p = &hostPool{budget: c, address: address}
+		c.pools[address] = p
 	}
-	return l
+	return p
 }
 
 // release removes a link.
-func (l *hostPool) leave() {
-	c := l.budget
+func (p *hostPool) leave() {
+	c := p.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links--
-	l.links--
-	l.update()
+	p.links--
+	p.update()
 }
 
 // acquire waits until a call may be sent, and reports whether it may; it may not once done is closed. The caller passes the
 // semaphore then, until end.
-func (l *hostPool) acquire(done <-chan struct{}) bool {
-	if !l.awaitSlot(done) {
+func (p *hostPool) acquire(done <-chan struct{}) bool {
+	if !p.awaitSlot(done) {
 		return false
 	}
-	l.budget.concurrency.acquire()
+	p.budget.concurrency.acquire()
 	return true
 }
 
 // tryAcquire is begin for a call that can be done without: it does not wait for a connection or a place for one.
-func (l *hostPool) tryAcquire() bool {
-	c := l.budget
+func (p *hostPool) tryAcquire() bool {
+	c := p.budget
 	c.mu.Lock()
-	free := l.reuseConnection() || len(c.waiting) == 0 && l.reserveSlot()
+	free := p.reuseConnection() || len(c.waiting) == 0 && p.reserveSlot()
 	c.mu.Unlock()
 	if free {
 		c.concurrency.acquire()
@@ -139,65 +139,65 @@
 }
 
 // awaitSlot waits for a connection or a place for one.
-func (l *hostPool) awaitSlot(done <-chan struct{}) bool {
-	c := l.budget
+func (p *hostPool) awaitSlot(done <-chan struct{}) bool {
+	c := p.budget
 	c.mu.Lock()
-	if l.reuseConnection() || len(c.waiting) == 0 && l.reserveSlot() {
+	if p.reuseConnection() || len(c.waiting) == 0 && p.reserveSlot() {
 		c.mu.Unlock()
 		return true
 	}
-	t := &waiter{pool: l, admitted: make(chan struct{})}
-	c.waiting = append(c.waiting, t)
-	l.waiting++
+	w := &waiter{pool: p, admitted: make(chan struct{})}
+	c.waiting = append(c.waiting, w)
+	p.waiting++
 	c.admitWaiting()
 	c.mu.Unlock()
 	select {
-	case <-t.admitted:
+	case <-w.admitted:
 		return true
 	case <-done:
-		c.cancelWait(t)
+		c.cancelWait(w)
 		return false
 	}
 }
 
 // release notes that a call is over.
-func (l *hostPool) release() {
-	l.budget.concurrency.release()
-	l.releaseSlot()
+func (p *hostPool) release() {
+	p.budget.concurrency.release()
+	p.releaseSlot()
 }
 
-func (l *hostPool) releaseSlot() {
-	c := l.budget
+func (p *hostPool) releaseSlot() {
+	c := p.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.calls--
-	l.update()
-	l.admitOwn()
+	p.calls--
+	p.update()
+	p.admitOwn()
 	c.admitWaiting()
 }
 
 // reuseConnection takes a connection of the worker that no other call needs. The caller holds the lock.
-func (l *hostPool) reuseConnection() bool {
-	if l.calls >= l.slots {
+func (p *hostPool) reuseConnection() bool {
+	if p.calls >= p.slots {
 		return false
 	}
-	l.calls++
-	l.update()
+	p.calls++
+	p.update()
 	return true
 }
 
 // reserveSlot takes a place for a new connection if there is one and the pace allows it. The caller holds the lock.
-func (l *hostPool) reserveSlot() bool {
-	c := l.budget
+func (p *hostPool) reserveSlot() bool {
+	c := p.budget
 	if c.dialDelay() > 0 || c.slotsTaken >= c.limits.Connections && !c.closeIdle() {
 		return false
 	}
 	c.noteDial()
 	c.slotsTaken++
-	l.slots++
-	l.reserved++
-	l.calls++
-	l.update()
+	p.slots++
+	p.reserved++
+	p.calls++
+	p.update()
 	return true
 }
 
@@ -219,9 +219,9 @@
 // closeIdle closes a connection that no call needs, if there is one: that of a worker that has another one, before the
 // only one of a worker, which its next poll would open again. The caller holds the lock.
 func (c *Connections) closeIdle() bool {
-	for _, lanes := range []map[*hostPool]bool{c.extraIdle, c.lastIdle} {
-		for l := range lanes {
-			l.dropIdle()
+	for _, pools := range []map[*hostPool]bool{c.extraIdle, c.lastIdle} {
+		for p := range pools {
+			p.dropIdle()
 			return true
 		}
 	}
@@ -229,9 +229,9 @@
 }
 
 // dropIdle closes the connection that has been idle for longest. The caller holds the lock.
-func (l *hostPool) dropIdle() {
-	oldest := l.idle[0]
-	l.idle = slices.Delete(l.idle, 0, 1)
+func (p *hostPool) dropIdle() {
+	oldest := p.idle[0]
+	p.idle = slices.Delete(p.idle, 0, 1)
 	oldest.closeIdle()
 }
 
@@ -239,9 +239,9 @@
 func (c *Connections) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range slices.Collect(maps.Values(c.pools)) {
-		for len(l.idle) > 0 {
-			l.dropIdle()
+	for _, p := range slices.Collect(maps.Values(c.pools)) {
+		for len(p.idle) > 0 {
+			p.dropIdle()
 		}
 	}
 }
@@ -269,19 +269,19 @@
 }
 
 // admitOwn lets a call of a pool go on with a connection that the pool has to itself. The caller holds the lock.
-func (l *hostPool) admitOwn() {
-	if l.waiting == 0 || !l.reuseConnection() {
+func (p *hostPool) admitOwn() {
+	if p.waiting == 0 || !p.reuseConnection() {
 		return
 	}
-	own := slices.IndexFunc(l.budget.waiting, func(t *waiter) bool { return t.pool == l })
-	l.budget.admit(own)
+	own := slices.IndexFunc(p.budget.waiting, func(t *waiter) bool { return t.pool == p })
+	p.budget.admit(own)
 }
 
 // grant lets a call go on. The caller holds the lock.
 func (c *Connections) admit(at int) {
-	t := c.waiting[at]
+	w := c.waiting[at]
 	c.remove(at)
-	close(t.admitted)
+	close(w.admitted)
 }
 
 // remove takes a call out of those that wait. The caller holds the lock.
@@ -291,51 +291,51 @@
 }
 
 // cancelWait takes a call out of those that wait.
-func (c *Connections) cancelWait(t *waiter) {
+func (c *Connections) cancelWait(w *waiter) {
 	c.mu.Lock()
-	if at := slices.Index(c.waiting, t); at >= 0 {
+	if at := slices.Index(c.waiting, w); at >= 0 {
 		c.remove(at)
 		c.mu.Unlock()
 		return
 	}
 	c.mu.Unlock()
-	t.pool.releaseSlot() // it was granted just now
+	w.pool.releaseSlot() // it was granted just now
 }
 
 // update brings what is derived from a pool up to date. The caller holds the lock.
-func (l *hostPool) update() {
-	c := l.budget
-	if unused := min(l.reserved, l.reserved-l.calls); unused > 0 { // its call found another connection, or was given up
-		l.reserved -= unused
-		l.slots -= unused
+func (p *hostPool) update() {
+	c := p.budget
+	if unused := min(p.reserved, p.reserved-p.calls); unused > 0 { // its call found another connection, or was given up
+		p.reserved -= unused
+		p.slots -= unused
 		c.slotsTaken -= unused
 	}
-	l.updateIdleSets()
-	if l.links == 0 && l.calls == 0 && l.slots == 0 {
-		delete(c.pools, l.address)
+	p.updateIdleSets()
+	if p.links == 0 && p.calls == 0 && p.slots == 0 {
+		delete(c.pools, p.address)
 	}
 }
 
 // updateIdleSets notes whether the pool can do without one of its idle connections. The caller holds the lock.
-func (l *hostPool) updateIdleSets() {
-	can := l.slots > l.calls && len(l.idle) > 0
-	setMembership(l.budget.lastIdle, l, can && l.slots == 1)
-	setMembership(l.budget.extraIdle, l, can && l.slots > 1)
+func (p *hostPool) updateIdleSets() {
+	can := p.slots > p.calls && len(p.idle) > 0
+	setMembership(p.budget.lastIdle, p, can && p.slots == 1)
+	setMembership(p.budget.extraIdle, p, can && p.slots > 1)
 }
 
 // setMembership adds a pool to a set, or takes it out.
-func setMembership(lanes map[*hostPool]bool, l *hostPool, in bool) {
+func setMembership(pools map[*hostPool]bool, p *hostPool, in bool) {
 	if in {
-		lanes[l] = true
+		pools[p] = true
 	} else {
-		delete(lanes, l)
+		delete(pools, p)
 	}
 }
 
 // mayWait reports whether a renewal may wait at the worker, and notes that it does: it keeps its connection, and commands need
 // another one for the moment that they take, from a few that are left besides one for each worker.
-func (l *hostPool) beginLongPoll() bool {
-	c := l.budget
+func (p *hostPool) beginLongPoll() bool {
+	c := p.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.links > c.limits.MaxLongPolls && c.links > c.limits.Connections-c.limits.Connections/commandReserveFraction {
@@ -348,8 +348,8 @@
 // commandReserveFraction is the part of the connections that is left for commands beside long polls.
 const commandReserveFraction = 10
 
-func (l *hostPool) endLongPoll() {
-	c := l.budget
+func (p *hostPool) endLongPoll() {
+	c := p.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.longPolls--
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -31,16 +31,16 @@
 }
 
 const (
-	budgetedHold    = 3 * time.Second
+	budgetMaxLease  = 3 * time.Second
 	budgetedTimeout = 2 * time.Second // of a call at least, as the machine may be busy
 )
 
-func newBudgeted(t *testing.T, workers int, limits Limits) *budgetFixture {
+func newBudgetFixture(t *testing.T, workers int, limits Limits) *budgetFixture {
 	b := &budgetFixture{
 		t: t, connections: NewConnections(limits), events: newRecorder(),
-		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: budgetedHold}),
+		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: budgetMaxLease}),
 	}
-	b.events.onListing = func(Listing) { b.look() }
+	b.events.onListing = func(Listing) { b.observeUsage() }
 	client := b.connections.HTTPClient()
 	ctx, cancel := context.WithCancel(context.Background())
 	returned := make(chan struct{}, workers)
@@ -48,7 +48,7 @@
 		worker := b.cluster.AddWorker(cluster.WorkerConfig{ID: fmt.Sprint("i-", i)})
 		link := NewLink(Config{
 			Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
-			FencingToken: 1, MaxLease: budgetedHold, LeaderLeaseValid: func() bool { return true },
+			FencingToken: 1, MaxLease: budgetMaxLease, LeaderLeaseValid: func() bool { return true },
 			Events: oneByOne{b.events}, HTTP: client, Connections: b.connections, MinTimeout: budgetedTimeout,
 		})
 		b.workers, b.links = append(b.workers, worker), append(b.links, link)
@@ -68,7 +68,7 @@
 // oneByOne hands on the reports of several links.
 type oneByOne struct{ *recorder }
 
-func (b *budgetFixture) look() {
+func (b *budgetFixture) observeUsage() {
 	open := int64(b.connections.Usage().Open)
 	for seen := b.most.Load(); open > seen && !b.most.CompareAndSwap(seen, open); seen = b.most.Load() {
 	}
@@ -85,7 +85,7 @@
 func TestWorkersOutnumberTheBudget(t *testing.T) {
 	const workers, most = 40, 9
 	convey.Convey("With far fewer connections than workers", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
+		b := newBudgetFixture(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer b.end()
 		convey.Convey("each is held by turns, starts are sent and completions are noted", func() {
 			b.awaitEach(func(int, Listing) bool { return true })
@@ -98,7 +98,7 @@
 			}
 			started := time.Now()
 			b.awaitEach(func(_ int, l Listing) bool {
-				return l.SentAt.Sub(started) > budgetedHold+budgetedHold/2 && len(l.Running) == 1
+				return l.SentAt.Sub(started) > budgetMaxLease+budgetMaxLease/2 && len(l.Running) == 1
 			})
 			for i, worker := range b.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
@@ -122,10 +122,10 @@
 func TestOneConnectionForAnIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where not each worker can be held by a call that waits, an idle one takes one connection", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
+		b := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer b.end()
 		began := time.Now()
-		b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetedHold })
+		b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
 		convey.So(b.most.Load(), convey.ShouldEqual, workers)
 		convey.Convey("and one with an attempt is held by a call that waits", func() {
 			b.links[0].Start(startCommand(0, 1))
@@ -164,7 +164,7 @@
 func TestCommandTakesTheConnectionOfAnIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where an idle worker takes one connection", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
+		b := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
 		defer b.end()
 		b.awaitEach(func(_ int, l Listing) bool { return !l.First })
 		awaitState(t, b.connections, allIdle(workers))
@@ -179,11 +179,11 @@
 			for i, worker := range b.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
-			var holds uint64
+			var renewals uint64
 			for i, link := range b.links {
 				id := WorkerID(b.workers[i].ID())
 				await(t, b.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
-				holds += link.Counts().Renewals
+				renewals += link.Counts().Renewals
 				link.Acknowledge(1)
 			}
 			awaitState(t, b.connections, func(c *Connections) bool { return c.longPolls == 0 })
@@ -192,7 +192,7 @@
 			for _, link := range b.links {
 				after += link.Counts().Renewals
 			}
-			convey.So(after-holds, convey.ShouldBeLessThan, workers)
+			convey.So(after-renewals, convey.ShouldBeLessThan, workers)
 		})
 	})
 }
@@ -263,7 +263,7 @@
 		const workers = 40
 		c := NewConnections(Limits{Connections: workers + 1, DialsPerS: math.Inf(1)})
 		c.concurrency = nil
-		var lanes []*hostPool
+		var pools []*hostPool
 		for i := range workers {
 			l := c.join(fmt.Sprint(i))
 			for range 1 + i/(workers-1) { // two for the last
@@ -274,11 +274,11 @@
 			for l.calls > 0 {
 				l.releaseSlot()
 			}
-			lanes = append(lanes, l)
+			pools = append(pools, l)
 		}
 		another := c.join("another")
 		convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
-		for _, l := range lanes {
+		for _, l := range pools {
 			convey.So(l.slots, convey.ShouldEqual, 1)
 		}
 		convey.Convey("which is closed where there is no other", func() {
@@ -288,21 +288,21 @@
 	})
 	convey.Convey("Renewals may wait only while there is a connection for each worker and some for commands", t, func() {
 		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), MaxLongPolls: 10})
-		var lanes []*hostPool
+		var pools []*hostPool
 		for i := range 36 {
-			lanes = append(lanes, c.join(fmt.Sprint(i)))
+			pools = append(pools, c.join(fmt.Sprint(i)))
 		}
-		convey.So(lanes[0].beginLongPoll(), convey.ShouldBeTrue)
+		convey.So(pools[0].beginLongPoll(), convey.ShouldBeTrue)
 		convey.So(c.Usage().LongPolls, convey.ShouldEqual, 1)
-		lanes[0].endLongPoll()
+		pools[0].endLongPoll()
 		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
-		lanes = append(lanes, c.join("one more"))
-		convey.So(lanes[0].beginLongPoll(), convey.ShouldBeFalse)
+		pools = append(pools, c.join("one more"))
+		convey.So(pools[0].beginLongPoll(), convey.ShouldBeFalse)
 		convey.Convey("while few workers are held as they are", func() {
-			for _, l := range lanes[10:] {
+			for _, l := range pools[10:] {
 				l.leave()
 			}
-			convey.So(lanes[0].beginLongPoll(), convey.ShouldBeTrue)
+			convey.So(pools[0].beginLongPoll(), convey.ShouldBeTrue)
 			convey.So(c.idlePollInterval(maxIdleInterval), convey.ShouldBeZeroValue)
 		})
 	})
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -53,21 +53,21 @@
 func (c *Connections) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.pool(address)
-	last := len(l.idle) - 1
+	p := c.pool(address)
+	last := len(p.idle) - 1
 	if last < 0 {
 		return nil
 	}
-	taken := l.idle[last]
-	l.idle[last] = nil
-	l.idle = l.idle[:last]
-	l.update()
+	taken := p.idle[last]
+	p.idle[last] = nil
+	p.idle = p.idle[:last]
+	p.update()
 	return taken
 }
 
 // dial opens a connection on a place that a call was reserved, or on a free one.
 func (c *Connections) dial(address string, open func() (net.Conn, error)) (*connection, error) {
-	l, err := c.claimSlot(address)
+	p, err := c.claimSlot(address)
 	if err != nil {
 		return nil, err
 	}
@@ -77,12 +77,12 @@
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.freeSlot(l)
+		c.freeSlot(p)
 		c.admitWaiting()
 		return nil, err
 	}
 	c.noteOpened()
-	return &connection{Conn: opened, pool: l, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
+	return &connection{Conn: opened, pool: p, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
 }
 
 func (c *Connections) noteOpened() {
@@ -96,26 +96,26 @@
 func (c *Connections) claimSlot(address string) (*hostPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.pool(address)
-	if l.reserved > 0 {
-		l.reserved--
-		return l, nil
+	p := c.pool(address)
+	if p.reserved > 0 {
+		p.reserved--
+		return p, nil
 	}
 	if c.slotsTaken >= c.limits.Connections && !c.closeIdle() {
-		l.update()
+		p.update()
 		return nil, errNoConnectionSlot
 	}
 	c.noteDial()
 	c.slotsTaken++
-	l.slots++
-	return l, nil
+	p.slots++
+	return p, nil
 }
 
 // freeSlot gives a place back. The caller holds the lock.
-func (c *Connections) freeSlot(l *hostPool) {
+func (c *Connections) freeSlot(p *hostPool) {
 	c.slotsTaken--
-	l.slots--
-	l.update()
+	p.slots--
+	p.update()
 }
 
 // alive reports whether the peer has left an idle connection open and silent, without waiting.
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -132,7 +132,7 @@
 func TestLongPollsDoNotHoldTheSemaphore(t *testing.T) {
 	const workers = 40
 	convey.Convey("Long polls are outside of the semaphore, however few may work at once", t, func() {
-		b := newBudgeted(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
+		b := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
 		defer b.end()
 		convey.So(cap(b.connections.concurrency), convey.ShouldBeLessThan, workers)
 		limit := time.After(eventTimeout)
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -26,8 +26,8 @@
 	t.Parallel()
 	givenRunningTask(t, func(b *fixture) {
 		convey.Convey("an unanswered start is unclear, and nothing goes out until the worker answers", func() {
-			silence, unheard := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
-			b.worker.SetFaults(silence)
+			silent, unheard := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
+			b.worker.SetFaults(silent)
 			<-unheard // no hold is under way that will be answered
 			b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -166,11 +166,11 @@
 }
 
 // start commands an attempt and waits for its outcome.
-func (b *fixture) start(order StartCommand) StartOutcome {
+func (b *fixture) start(command StartCommand) StartOutcome {
 	b.t.Helper()
 	before := len(eventsOf[StartResult](b.events))
-	b.link.Start(order)
-	result := awaitAfter(b.t, b.events, before, func(r StartResult) bool { return r.Command == order })
+	b.link.Start(command)
+	result := awaitAfter(b.t, b.events, before, func(r StartResult) bool { return r.Command == command })
 	return result.Outcome
 }
 
--- a/internal/jobs/workerclient/hedging.go
+++ b/internal/jobs/workerclient/hedging.go
@@ -31,7 +31,7 @@
 	ended    bool
 	inFlight int
 	timer    *time.Timer // sends the next request
-	answer   response
+	answer   workerResponse
 	sentAt   time.Time // of the request that was answered
 	err      error     // of the request that failed last
 }
@@ -39,7 +39,7 @@
 // postIdempotent makes a idempotent call. While no answer has come within what is usual at this worker, a hedged request is
 // sent on another connection if one is free. It returns the first answer, and when the request was sent that was answered. The
 // caller holds a turn of the pool, which the first request uses.
-func (l *Link) postIdempotent(call idempotentCall) (a response, sentAt time.Time, err error) {
+func (l *Link) postIdempotent(call idempotentCall) (response workerResponse, sentAt time.Time, err error) {
 	ctx, cancel := context.WithTimeout(l.context, call.timeout)
 	defer cancel()
 	c := &hedgedRequest{link: l, call: call, context: ctx, cancel: cancel, done: make(chan struct{}), inFlight: 1}
@@ -89,23 +89,23 @@
 // send sends one request and waits for its answer.
 func (c *hedgedRequest) send() {
 	sentAt := c.link.lockedSendTime()
-	a, err := c.link.caller.post(c.context, c.call.target, c.call.body, c.call.timeout)
+	response, err := c.link.caller.post(c.context, c.call.target, c.call.body, c.call.timeout)
 	if err != nil {
 		c.finish(err)
 		return
 	}
-	c.answered(a, sentAt)
+	c.answered(response, sentAt)
 }
 
 // renewalAnswer ends the call with the first answer.
-func (c *hedgedRequest) answered(a response, sentAt time.Time) {
+func (c *hedgedRequest) answered(response workerResponse, sentAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight--
 	if c.ended {
 		return
 	}
-	c.answer, c.sentAt, c.err = a, sentAt, nil
+	c.answer, c.sentAt, c.err = response, sentAt, nil
 	c.end()
 }
 
@@ -146,7 +146,7 @@
 	work.acquire()
 }
 
-func (c *hedgedRequest) result() (a response, sentAt time.Time, err error) {
+func (c *hedgedRequest) result() (response workerResponse, sentAt time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answer, c.sentAt, c.err
@@ -186,7 +186,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hedgedRequests--
-	l.idle.Broadcast()
+	l.quiescent.Broadcast()
 }
 
 // lockedSendTime is sendTime for callers that do not hold the lock.
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -15,29 +15,29 @@
 const usualAnswer = hedgeMargin + 50*time.Millisecond
 
 func TestPollWithoutResponseIsHedged(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		before := b.link.Counts()
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		b.link.Stop(StopCommand{task(5), 1})
 		stopped := await(t, b.events, anyEvent[StopResult])
-		look := await(t, b.events, outOfBand)
+		poll := await(t, b.events, outOfBand)
 		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualAnswer)
-		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)  // of the request that was answered
-		convey.So(time.Since(look.SentAt), convey.ShouldBeGreaterThanOrEqualTo, calmWay) // and not of its answer
+		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)      // of the request that was answered
+		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not of its answer
 		after := b.link.Counts()
 		convey.So(after.Polls-before.Polls, convey.ShouldEqual, 1)
 		convey.So(after.HedgedRequests-before.HedgedRequests, convey.ShouldEqual, 1)
-		convey.So(unheardSince(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
 	})
 }
 
 func TestStopWithoutResponseIsHedged(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
-		ordered := time.Now()
+		commandedAt := time.Now()
 		b.link.Stop(StopCommand{task(0), 1})
 		convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
-		convey.So(time.Since(ordered), convey.ShouldBeLessThan, usualAnswer)
+		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, usualAnswer)
 		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
 		time.Sleep(6 * time.Second) // the first one is carried out, too
 		convey.So(b.start(startCommand(0, 2)), convey.ShouldEqual, Started)
@@ -46,23 +46,23 @@
 }
 
 func TestStartWithoutResponseIsNotHedged(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
-		starts, copies := b.worker.Calls(cluster.StartCall), b.link.Counts().HedgedRequests
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
+		starts, hedged := b.worker.Calls(cluster.StartCall), b.link.Counts().HedgedRequests
 		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		time.Sleep(5 * time.Second)
 		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
-		convey.So(b.link.Counts().HedgedRequests, convey.ShouldEqual, copies)
+		convey.So(b.link.Counts().HedgedRequests, convey.ShouldEqual, hedged)
 	})
 }
 
 func TestStartTimeoutFallsWithTheLossRate(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		took := func(index int) time.Duration {
-			ordered := time.Now()
+			commandedAt := time.Now()
 			convey.So(b.start(startCommand(index, 1)), convey.ShouldEqual, Unclear)
-			return time.Since(ordered)
+			return time.Since(commandedAt)
 		}
 		convey.So(took(1), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
 		convey.So(took(2), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
@@ -77,7 +77,7 @@
 }
 
 func TestNoHedgeIsSentAfterTheLeaderLease(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		b.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(hedgeMargin / 2)
@@ -89,7 +89,7 @@
 }
 
 func TestHedgesAreBounded(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		for i := range 3 * maxCommandsInFlight {
 			b.link.Stop(StopCommand{task(i), 1})
@@ -103,7 +103,7 @@
 }
 
 func TestAFailedHedgeLeavesTheCallToTheOthers(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		calls := 0
 		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call != cluster.StopCall {
@@ -117,10 +117,10 @@
 				return cluster.Fault{Kind: cluster.Reset}
 			}
 		})
-		ordered := time.Now()
+		commandedAt := time.Now()
 		b.link.Stop(StopCommand{task(0), 1})
 		convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
-		convey.So(time.Since(ordered), convey.ShouldBeBetween, 2*spareMargin, 2*spareMargin+50*time.Millisecond)
+		convey.So(time.Since(commandedAt), convey.ShouldBeBetween, 2*spareMargin, 2*spareMargin+50*time.Millisecond)
 		convey.So(b.link.Counts().HedgedRequests, convey.ShouldBeGreaterThan, 0)
 	})
 }
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -47,11 +47,11 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		over = true
-		l.idle.Broadcast()
+		l.quiescent.Broadcast()
 	})
 	defer timer.Stop()
 	for l.senders > 0 && !over {
-		l.idle.Wait()
+		l.quiescent.Wait()
 	}
 }
 
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -64,7 +64,7 @@
 }
 
 // send decides what becomes of a call: validUntil is 0 where it carries no grant.
-func (w *simulation) send(validUntil, wait, timeout time.Duration, settle func(a response, err error, received time.Time)) {
+func (w *simulation) send(validUntil, wait, timeout time.Duration, settle func(a workerResponse, err error, received time.Time)) {
 	sent := w.now
 	if validUntil > w.clock(sent)+testMaxLease {
 		w.t.Fatalf("grant reaches %v beyond the longest hold", validUntil-w.clock(sent)-testMaxLease)
@@ -79,7 +79,7 @@
 			w.executed(validUntil, left, at, rapid.Bool().Draw(w.t, "from arrival"))
 		}
 		w.calls = append(w.calls, callInFlight{sent.Add(timeout), func(received time.Time) {
-			settle(response{}, rpcerror.WrapMayHaveExecuted(errNoResponse), received)
+			settle(workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), received)
 		}})
 		return
 	}
@@ -91,14 +91,14 @@
 	received := readAt.Add(w.draw(100*time.Millisecond, "way back"))
 	clockMS := w.clock(readAt).Milliseconds()
 	w.calls = append(w.calls, callInFlight{received, func(received time.Time) {
-		settle(response{http.StatusOK, responseBody{ClockMS: &clockMS}}, nil, received)
+		settle(workerResponse{http.StatusOK, responseBody{ClockMS: &clockMS}}, nil, received)
 	}})
 }
 
 func (w *simulation) renew() {
 	c := w.link.beginRenewal()
 	wait := time.Duration(c.request.waitMS) * time.Millisecond
-	w.send(c.validUntil, wait, c.timeout, func(a response, err error, received time.Time) {
+	w.send(c.validUntil, wait, c.timeout, func(a workerResponse, err error, received time.Time) {
 		w.link.settleListCall(c, a, err, received)
 		if err != nil && rapid.Bool().Draw(w.t, "no look is answered instead") {
 			w.link.setContact(unreachable)
@@ -113,7 +113,7 @@
 // look makes a call for the lists beside the renewal.
 func (w *simulation) poll() {
 	c := w.link.beginPoll(w.link.roundTrips.pollTimeout())
-	w.send(c.validUntil, 0, c.timeout, func(a response, err error, received time.Time) {
+	w.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
 		w.link.settleListCall(c, a, err, received)
 	})
 }
@@ -126,7 +126,7 @@
 		w.t.Fatal("a start is held for too short a time")
 	}
 	c := w.link.beginStart()
-	w.send(c.validUntil, 0, c.timeout, func(a response, err error, received time.Time) {
+	w.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
 		w.link.settleStart(c, a, err, received)
 	})
 }
@@ -154,8 +154,8 @@
 }
 
 func (w *simulation) check() {
-	if lapsedBy := w.link.LeasesExpiredBy(); lapsedBy.Before(w.leasesExpired) {
-		w.t.Fatalf("LapsedBy is %v before the truth", w.leasesExpired.Sub(lapsedBy))
+	if expiredBy := w.link.LeasesExpiredBy(); expiredBy.Before(w.leasesExpired) {
+		w.t.Fatalf("LapsedBy is %v before the truth", w.leasesExpired.Sub(expiredBy))
 	}
 	if !w.link.clock.known {
 		return
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestLapsedByIsNeverTooEarly(t *testing.T) {
+func TestLeaseExpiryIsNeverTooEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
 		w.renew()
@@ -183,7 +183,7 @@
 	})
 }
 
-func TestLapsedByOfAnsweredGrants(t *testing.T) {
+func TestLeaseExpiryOfAnsweredGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var clock clockBounds
 		var grants leaseGrants
--- a/internal/jobs/workerclient/leasegrants.go
+++ b/internal/jobs/workerclient/leasegrants.go
@@ -25,29 +25,29 @@
 
 // acquire notes a call that carries a grant; it leaves between now and its time-out.
 func (l *leaseGrants) begin(span time.Duration, now time.Time, timeout time.Duration) *leaseGrant {
-	g := &leaseGrant{span: span, expiresBy: lateExpiry(now.Add(timeout), span)}
-	l.open = append(l.open, g)
-	return g
+	grant := &leaseGrant{span: span, expiresBy: lateExpiry(now.Add(timeout), span)}
+	l.open = append(l.open, grant)
+	return grant
 }
 
 // renewalAnswer notes that the call was carried out before its answer came, if at all. The grant lasts no longer than the span
 // from the answer on.
-func (l *leaseGrants) answered(g *leaseGrant, received time.Time, span time.Duration) {
-	l.settle(g, received.Add(span))
+func (l *leaseGrants) answered(grant *leaseGrant, received time.Time, span time.Duration) {
+	l.settle(grant, received.Add(span))
 }
 
 // unanswered notes that the call was given up at a time; it left before that and may be carried out later. It may then even
 // count its whole span from its arrival.
-func (l *leaseGrants) unanswered(g *leaseGrant, given time.Time) {
-	l.settle(g, lateExpiry(given, g.span))
+func (l *leaseGrants) unanswered(grant *leaseGrant, abandoned time.Time) {
+	l.settle(grant, lateExpiry(abandoned, grant.span))
 }
 
 // withdrawn notes that the call never left, or certainly did nothing.
-func (l *leaseGrants) withdrawn(g *leaseGrant) { l.settle(g, time.Time{}) }
+func (l *leaseGrants) withdrawn(grant *leaseGrant) { l.settle(grant, time.Time{}) }
 
-func (l *leaseGrants) settle(g *leaseGrant, lapsesBy time.Time) {
-	l.open = slices.DeleteFunc(l.open, func(other *leaseGrant) bool { return other == g })
-	l.settledExpiry = later(l.settledExpiry, lapsesBy)
+func (l *leaseGrants) settle(grant *leaseGrant, expiresBy time.Time) {
+	l.open = slices.DeleteFunc(l.open, func(other *leaseGrant) bool { return other == grant })
+	l.settledExpiry = later(l.settledExpiry, expiresBy)
 }
 
 // expiredBy is the local time by which all of it has expired; the zero time when nothing was granted.
@@ -59,8 +59,8 @@
 	return latest
 }
 
-func lateExpiry(left time.Time, span time.Duration) time.Time {
-	return left.Add(maxLateExecution + lateExecutionMargin + span)
+func lateExpiry(sentBy time.Time, span time.Duration) time.Time {
+	return sentBy.Add(maxLateExecution + lateExecutionMargin + span)
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -62,13 +62,13 @@
 // Link is the connection to one incarnation of one worker under one fencing token. Its methods may be called from any goroutine;
 // none of them waits for the worker but Run.
 type Link struct {
-	config     Config
-	caller     *caller
-	lane       *hostPool
-	log        *zap.Logger
-	now        func() time.Time
-	pace       pace
-	deliveries delivery
+	config Config
+	caller *caller
+	lane   *hostPool
+	log    *zap.Logger
+	now    func() time.Time
+	pace   pace
+	events eventQueue
 
 	context                context.Context // of all calls
 	cancel                 context.CancelFunc
@@ -76,11 +76,11 @@
 	acknowledgementArrived chan struct{} // an acknowledgement has come
 	commandQueued          chan struct{} // a command was queued
 
-	delivered         deliveryHistory // used by one delivery at a time
+	deliveryHistory   deliveryHistory // used by one delivery at a time
 	awaitedCompletion uint64          // the newest completion that the renewal loop has waited for to be acknowledged; used by that loop only
 
 	mu             sync.Mutex
-	idle           sync.Cond // no order worker is left, or no poll is under way
+	quiescent      sync.Cond // no order worker is left, or no poll is under way
 	ending         ending
 	contact        contact
 	suspended      bool // no call may be sent at present
@@ -122,12 +122,12 @@
 // pace holds the link's times, which depend on how long attempts may be held.
 type pace struct{ longPollWait, renewalAge, minLeaseLead, maxIdleInterval time.Duration }
 
-func paceFor(holdMax time.Duration) pace {
+func paceFor(maxLease time.Duration) pace {
 	return pace{
-		longPollWait:    min(longPollWait, holdMax/leadFraction).Truncate(time.Millisecond),
-		renewalAge:      min(renewalAge, holdMax/renewalFraction),
-		minLeaseLead:    min(minLeaseLead, holdMax/leadFraction),
-		maxIdleInterval: min(maxIdleInterval, holdMax/idleFraction),
+		longPollWait:    min(longPollWait, maxLease/leadFraction).Truncate(time.Millisecond),
+		renewalAge:      min(renewalAge, maxLease/renewalFraction),
+		minLeaseLead:    min(minLeaseLead, maxLease/leadFraction),
+		maxIdleInterval: min(maxIdleInterval, maxLease/idleFraction),
 	}
 }
 
@@ -135,7 +135,7 @@
 func NewLink(config Config) *Link {
 	l := &Link{
 		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
-		deliveries:             delivery{events: config.Events},
+		events:                 eventQueue{events: config.Events},
 		done:                   make(chan struct{}),
 		acknowledgementArrived: make(chan struct{}, 1),
 		commandQueued:          make(chan struct{}, 1),
@@ -154,7 +154,7 @@
 	}
 	l.log = l.log.With(zap.String("searcher", string(config.Instance.ID)))
 	l.context, l.cancel = context.WithCancel(context.Background())
-	l.idle.L = &l.mu
+	l.quiescent.L = &l.mu
 	return l
 }
 
@@ -211,10 +211,10 @@
 	switch reason {
 	case gone:
 		l.log.Info("searcher's life is over")
-		l.deliveries.post(func(e Events) { e.Gone(Gone{id}) })
+		l.events.post(func(e Events) { e.Gone(Gone{id}) })
 	case fenced:
 		l.log.Info("searcher has seen a higher fencing token", zap.Uint64("token", l.config.FencingToken))
-		l.deliveries.post(func(e Events) { e.Fenced(Fenced{id}) })
+		l.events.post(func(e Events) { e.Fenced(Fenced{id}) })
 	}
 }
 
@@ -225,11 +225,11 @@
 }
 
 // endedBy ends the link if an answer says so.
-func (l *Link) endedBy(a response) bool {
+func (l *Link) endedBy(response workerResponse) bool {
 	switch {
-	case a.status == http.StatusMisdirectedRequest:
+	case response.status == http.StatusMisdirectedRequest:
 		l.end(gone)
-	case a.status == http.StatusConflict && a.body.Reason == reasonFencingToken:
+	case response.status == http.StatusConflict && response.body.Reason == reasonFencingToken:
 		l.end(fenced)
 	default:
 		return false
@@ -239,16 +239,16 @@
 
 // setContact notes what a call has shown, and reports a change. While a worker is unreachable it gets no commands and no
 // grants.
-func (l *Link) setContact(now contact) {
+func (l *Link) setContact(to contact) {
 	l.mu.Lock()
-	changed := l.contact != now && l.ending == open
+	changed := l.contact != to && l.ending == open
 	if changed {
-		l.contact = now
+		l.contact = to
 	}
-	if now == reachable {
+	if to == reachable {
 		l.doubtful, l.suspected = false, false
 	}
-	if changed && now == unreachable && l.pending != nil {
+	if changed && to == unreachable && l.pending != nil {
 		l.pending.abandon() // the renewal loop looks for the worker
 	}
 	l.dispatch()
@@ -256,9 +256,9 @@
 	if !changed {
 		return
 	}
-	report := ReachabilityChange{Worker: l.config.Instance.ID, Reachable: now == reachable}
+	report := ReachabilityChange{Worker: l.config.Instance.ID, Reachable: to == reachable}
 	l.log.Debug("contact changed", zap.Bool("reachable", report.Reachable))
-	l.deliveries.post(func(e Events) { e.Reachability(report) })
+	l.events.post(func(e Events) { e.Reachability(report) })
 }
 
 // sendTime is the local time for a call that is sent now: certainly after the results reported before, even if the clock has
@@ -274,8 +274,8 @@
 }
 
 // observe takes in the clock of an answer. The caller holds the lock.
-func (l *Link) observe(a response, sent, received time.Time) {
-	if a.body.ClockMS != nil {
-		l.clock.observe(sent, received, *a.body.ClockMS)
+func (l *Link) observe(response workerResponse, sent, received time.Time) {
+	if response.body.ClockMS != nil {
+		l.clock.observe(sent, received, *response.body.ClockMS)
 	}
 }
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -95,11 +95,11 @@
 func TestResponseOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Every answer to a start has its outcome", t, func() {
-		conflict := func(why reason) response { return response{http.StatusConflict, responseBody{Reason: why}} }
+		conflict := func(why reason) workerResponse { return workerResponse{http.StatusConflict, responseBody{Reason: why}} }
 		convey.So(responseOutcome(conflict(reasonLeaseExpired)), convey.ShouldEqual, RejectedLeaseExpired)
 		convey.So(responseOutcome(conflict(reasonFencingToken)), convey.ShouldEqual, RejectedFencingToken)
 		convey.So(responseOutcome(conflict("new")), convey.ShouldEqual, Unclear)
-		convey.So(responseOutcome(response{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, IncarnationOver)
+		convey.So(responseOutcome(workerResponse{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, IncarnationOver)
 		convey.So(StartOutcome(200).String(), convey.ShouldEqual, "unknown")
 		convey.So(RejectedCapacity.String(), convey.ShouldEqual, "rejected: room")
 	})
@@ -165,8 +165,8 @@
 		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(b.close)
 		b.events.onListing = func(l Listing) {
-			if ends := len(l.Finished); ends > 0 {
-				b.link.Acknowledge(l.Finished[ends-1].CompletionNumber)
+			if completions := len(l.Finished); completions > 0 {
+				b.link.Acknowledge(l.Finished[completions-1].CompletionNumber)
 			}
 		}
 		b.connect(1)
@@ -185,14 +185,14 @@
 		convey.Convey("all are received, and a full page is marked", func() {
 			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].CompletionNumber == runs }
 			await(t, b.events, last)
-			heard := map[uint64]bool{}
+			received := map[uint64]bool{}
 			for _, listing := range eventsOf[Listing](b.events) {
 				convey.So(listing.Partial, convey.ShouldEqual, len(listing.Finished) == maxFinishedPerResponse)
 				for _, end := range listing.Finished {
-					heard[end.CompletionNumber] = true
+					received[end.CompletionNumber] = true
 				}
 			}
-			convey.So(heard, convey.ShouldHaveLength, runs)
+			convey.So(received, convey.ShouldHaveLength, runs)
 		})
 		convey.Convey("few connections are used", func() {
 			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -7,20 +7,20 @@
 )
 
 // deliver reports the lists of an answer.
-func (l *Link) deliver(c listCall, a response, outOfBand bool) {
-	listing := l.listing(c, a)
+func (l *Link) deliver(c listCall, response workerResponse, outOfBand bool) {
+	listing := l.listing(c, response)
 	listing.OutOfBand = outOfBand
 	received := l.now()
 	l.mu.Lock()
 	l.refusals = 0
 	l.listed = true
-	if empty := len(a.body.Running)+len(a.body.Finished) == 0; !empty || l.commandsAnsweredBefore(c.sentAt) {
+	if empty := len(response.body.Running)+len(response.body.Finished) == 0; !empty || l.commandsAnsweredBefore(c.sentAt) {
 		l.mayHaveWork = !empty
 	}
 	l.mu.Unlock()
 	l.setContact(reachable)
-	l.deliveries.post(func(e Events) {
-		l.delivered.add(&listing, a.body.ClockMS, received)
+	l.events.post(func(e Events) {
+		l.deliveryHistory.add(&listing, response.body.ClockMS, received)
 		e.Listing(listing)
 	})
 }
@@ -30,20 +30,20 @@
 	return l.senders == 0 && len(l.commands.starts)+len(l.commands.stops) == 0 && l.resultAt.Before(at)
 }
 
-func (l *Link) listing(c listCall, a response) Listing {
+func (l *Link) listing(c listCall, response workerResponse) Listing {
 	listing := Listing{
-		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(a.body.Finished) >= maxFinishedPerResponse,
-		Running:  make([]RunningTask, 0, len(a.body.Running)),
-		Finished: make([]FinishedTask, 0, len(a.body.Finished)),
+		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(response.body.Finished) >= maxFinishedPerResponse,
+		Running:  make([]RunningTask, 0, len(response.body.Running)),
+		Finished: make([]FinishedTask, 0, len(response.body.Finished)),
 	}
-	for _, entry := range a.body.Running {
+	for _, entry := range response.body.Running {
 		if entry.nameErr != nil {
 			l.log.Warn("run skipped", zap.Error(entry.nameErr))
 			continue
 		}
 		listing.Running = append(listing.Running, entry.task)
 	}
-	for _, entry := range a.body.Finished {
+	for _, entry := range response.body.Finished {
 		if entry.nameErr != nil {
 			l.log.Warn("end skipped", zap.Error(entry.nameErr))
 			continue
@@ -54,10 +54,10 @@
 }
 
 // newestCompletion is the number of the newest completion listed that could be read; 0 when there is none.
-func (a *response) newestCompletion() uint64 {
+func (response *workerResponse) newestCompletion() uint64 {
 	newest := uint64(0)
-	for i := range a.body.Finished {
-		if entry := &a.body.Finished[i]; entry.nameErr == nil {
+	for i := range response.body.Finished {
+		if entry := &response.body.Finished[i]; entry.nameErr == nil {
 			newest = max(newest, entry.task.CompletionNumber)
 		}
 	}
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -7,12 +7,12 @@
 )
 
 // responseOutcome is the outcome of a start command by the worker's answer.
-func responseOutcome(a response) StartOutcome {
-	switch a.status {
+func responseOutcome(response workerResponse) StartOutcome {
+	switch response.status {
 	case http.StatusOK:
 		return Started
 	case http.StatusConflict:
-		return rejection(a.body.Reason)
+		return rejection(response.body.Reason)
 	case http.StatusBadRequest:
 		return RejectedInvalid
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -55,7 +55,7 @@
 	defer l.mu.Unlock()
 	if !valid || !l.polls.wanted || l.ending != open || l.contact == unreachable {
 		l.polls = pollState{}
-		l.idle.Broadcast()
+		l.quiescent.Broadcast()
 		return listCall{}, false
 	}
 	l.polls.wanted = false
@@ -70,24 +70,24 @@
 }
 
 func (l *Link) pollOnce(c listCall) {
-	a, sentAt, err := l.postIdempotent(idempotentCall{l.caller.renewal, c.body(), c.timeout})
+	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.renewal, c.body(), c.timeout})
 	if err == nil {
 		c.sentAt = sentAt
 	}
-	l.settleListCall(c, a, err, l.now())
+	l.settleListCall(c, response, err, l.now())
 	switch {
 	case err != nil:
 		l.log.Debug("look without answer", zap.Error(err))
 		l.pollFailed()
-	case l.endedBy(a):
-	case a.status != http.StatusOK:
-		l.listRefused(a.status)
+	case l.endedBy(response):
+	case response.status != http.StatusOK:
+		l.listRefused(response.status)
 		l.config.Connections.concurrency.release()
-		l.sleep(firstBackoff)
+		l.wait(firstBackoff)
 		l.config.Connections.concurrency.acquire()
 		l.wantPoll()
 	default:
-		l.deliver(c, a, true)
+		l.deliver(c, response, true)
 		l.supersedeRenewal()
 	}
 }
@@ -130,6 +130,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.polls.busy {
-		l.idle.Wait()
+		l.quiescent.Wait()
 	}
 }
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-const calmWay = 3 * time.Millisecond
+const oneWayDelay = 3 * time.Millisecond
 
 // simulate runs a test in virtual time with a link whose worker runs task 0 and holds the first waiting hold.
 func simulate(t *testing.T, way time.Duration, test func(t *testing.T, b *fixture)) {
@@ -23,14 +23,14 @@
 		convey.Convey("Given a worker that runs a task", t, func() {
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			time.Sleep(time.Second) // until the round trips are known
-			b.awaitHold()
+			b.awaitRenewal()
 			test(t, b)
 		})
 	})
 }
 
-// awaitHold waits until a renewal is under way that was sent after this call.
-func (b *fixture) awaitHold() {
+// awaitRenewal waits until a renewal is under way that was sent after this call.
+func (b *fixture) awaitRenewal() {
 	calls := b.worker.Calls(cluster.HoldCall)
 	for b.worker.Calls(cluster.HoldCall) == calls {
 		time.Sleep(time.Millisecond)
@@ -41,8 +41,8 @@
 // acknowledgeAll acknowledges every end as soon as it is received.
 func (b *fixture) acknowledgeAll() {
 	b.events.onListing = func(l Listing) {
-		if ends := len(l.Finished); ends > 0 {
-			b.link.Acknowledge(l.Finished[ends-1].CompletionNumber)
+		if completions := len(l.Finished); completions > 0 {
+			b.link.Acknowledge(l.Finished[completions-1].CompletionNumber)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	}
 }
 
-func unheardSince(b *fixture) bool {
+func reportedUnreachable(b *fixture) bool {
 	for _, change := range eventsOf[ReachabilityChange](b.events) {
 		if !change.Reachable {
 			return true
@@ -85,25 +85,25 @@
 func outOfBand(l Listing) bool { return l.OutOfBand }
 
 func TestOverdueRenewal(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
-		b.awaitHold()
+		b.awaitRenewal()
 		lost := time.Now()
-		look := await(t, b.events, outOfBand)
-		convey.So(look.Running, convey.ShouldHaveLength, 1)
-		convey.So(look.SentAt.Sub(lost), convey.ShouldBeBetween, longPollWait, longPollWait+minOverdueDelay+time.Millisecond)
+		poll := await(t, b.events, outOfBand)
+		convey.So(poll.Running, convey.ShouldHaveLength, 1)
+		convey.So(poll.SentAt.Sub(lost), convey.ShouldBeBetween, longPollWait, longPollWait+minOverdueDelay+time.Millisecond)
 		abandoned := time.Now()
 		synctest.Wait()
 		convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, abandoned.Add(maxLateExecution+testMaxLease-2*time.Second))
 
-		b.awaitHold() // the next one follows at once
+		b.awaitRenewal() // the next one follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
 		convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
 		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
 		ended := time.Now()
 		await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
 		convey.So(time.Since(ended), convey.ShouldBeLessThan, 10*time.Millisecond)
-		convey.So(unheardSince(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
 		convey.So(b.link.Counts().OverdueRenewals, convey.ShouldEqual, 1)
 		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
@@ -111,7 +111,7 @@
 
 func TestFirstPollIsHedged(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryFixture(t, calmWay)
+		b := newMemoryFixture(t, oneWayDelay)
 		defer b.close()
 		convey.Convey("Given a worker that leaves the first call without an answer", t, func() {
 			b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
@@ -122,15 +122,15 @@
 			convey.So(listing.OutOfBand, convey.ShouldBeTrue)
 			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(time.Since(began), convey.ShouldBeLessThan, initialMargin+50*time.Millisecond)
-			convey.So(unheardSince(b), convey.ShouldBeFalse)
+			convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
 		})
 	})
 }
 
 func TestHedgeWithoutAnswer(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
-		b.awaitHold()
+		b.awaitRenewal()
 		lost := time.Now()
 		await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
 		b.worker.SetFaults(nil)
@@ -142,63 +142,63 @@
 }
 
 func TestPollAfterUnclearStart(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}
 		b.worker.SetFaults(first(1, cluster.StartCall, late))
-		holds := b.link.Counts().Renewals
+		renewals := b.link.Counts().Renewals
 		sent := time.Now()
 		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		convey.So(time.Since(sent), convey.ShouldBeLessThanOrEqualTo, minCommandTimeout)
-		look := await(t, b.events, outOfBand)
+		poll := await(t, b.events, outOfBand)
 		convey.So(time.Since(sent), convey.ShouldBeLessThan, minCommandTimeout+10*time.Millisecond)
 		result := eventsOf[StartResult](b.events)[1]
-		convey.So(look.SentAt, convey.ShouldHappenAfter, result.At)
-		convey.So(look.Running, convey.ShouldHaveLength, 1)
-		convey.So(look.Stale, convey.ShouldBeFalse)
-		convey.So(b.link.Counts().Renewals, convey.ShouldEqual, holds) // the renewal goes on meanwhile
+		convey.So(poll.SentAt, convey.ShouldHappenAfter, result.At)
+		convey.So(poll.Running, convey.ShouldHaveLength, 1)
+		convey.So(poll.Stale, convey.ShouldBeFalse)
+		convey.So(b.link.Counts().Renewals, convey.ShouldEqual, renewals) // the renewal goes on meanwhile
 		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 
-		hold := await(t, b.events, func(l Listing) bool {
+		renewal := await(t, b.events, func(l Listing) bool {
 			return !l.OutOfBand && l.SentAt.After(sent.Add(-longPollWait)) && len(l.Running) == 2
 		})
-		convey.So(hold.SentAt, convey.ShouldHappenBefore, look.SentAt)
-		convey.So(hold.Stale, convey.ShouldBeFalse) // it was answered later
-		convey.So(unheardSince(b), convey.ShouldBeFalse)
+		convey.So(renewal.SentAt, convey.ShouldHappenBefore, poll.SentAt)
+		convey.So(renewal.Stale, convey.ShouldBeFalse) // it was answered later
+		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
 	})
 }
 
 func TestUnresponsiveAfterAStart(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
-		b.awaitHold()
+		b.awaitRenewal()
 		silent := time.Now()
 		starts := b.worker.Calls(cluster.StartCall)
 		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for a poll's answer
 		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
-		convey.So(unheardSince(b), convey.ShouldBeTrue)
-		looks := minCommandTimeout + 2*minPollTimeout // those after the start
-		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+10*time.Millisecond)
+		convey.So(reportedUnreachable(b), convey.ShouldBeTrue)
+		polls := minCommandTimeout + 2*minPollTimeout // those after the start
+		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+10*time.Millisecond)
 		b.worker.SetFaults(nil)
 		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was given up
-		convey.So(time.Since(silent), convey.ShouldBeLessThan, looks+firstBackoff+20*time.Millisecond)
+		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+firstBackoff+20*time.Millisecond)
 	})
 }
 
 func TestLostPollIsRetried(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 		b.link.Stop(StopCommand{task(5), 1})
 		stopped := await(t, b.events, anyEvent[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
-		look := await(t, b.events, outOfBand)
-		convey.So(look.SentAt.Sub(stopped.At), convey.ShouldBeLessThan, minPollTimeout+50*time.Millisecond)
-		convey.So(unheardSince(b), convey.ShouldBeFalse)
+		poll := await(t, b.events, outOfBand)
+		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeLessThan, minPollTimeout+50*time.Millisecond)
+		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
 	})
 }
 
 func TestStopsShareAPoll(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		for i := range 10 {
 			b.link.Stop(StopCommand{task(5 + i), 1})
 		}
@@ -206,38 +206,38 @@
 			await(t, b.events, func(r StopResult) bool { return r.Command.Task == task(5+i) })
 		}
 		last := time.Now()
-		look := await(t, b.events, outOfBand)
-		convey.So(look.SentAt, convey.ShouldHappenWithin, 2*pollMergeDelay, last)
+		poll := await(t, b.events, outOfBand)
+		convey.So(poll.SentAt, convey.ShouldHappenWithin, 2*pollMergeDelay, last)
 		time.Sleep(time.Second)
 		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
 }
 
 func TestStaleListing(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.acknowledgeAll()
 		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
-		b.awaitHold()
+		b.awaitRenewal()
 		sent := time.Now()
 		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Started)
 		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the renewal is answered slowly
 		time.Sleep(2 * time.Millisecond)
 		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 		b.link.Stop(StopCommand{task(5), 1})
-		look := await(t, b.events, outOfBand)
-		convey.So(look.Running, convey.ShouldHaveLength, 2)
-		convey.So(look.Finished, convey.ShouldHaveLength, 1)
-		convey.So(look.Stale, convey.ShouldBeFalse)
-		hold := await(t, b.events, func(l Listing) bool { return l.Stale })
-		convey.So(hold.OutOfBand, convey.ShouldBeFalse)
-		convey.So(hold.SentAt, convey.ShouldHappenOnOrBefore, sent)
-		convey.So(hold.Running, convey.ShouldHaveLength, 1)
-		convey.So(hold.Finished, convey.ShouldBeEmpty) // delivered before
+		poll := await(t, b.events, outOfBand)
+		convey.So(poll.Running, convey.ShouldHaveLength, 2)
+		convey.So(poll.Finished, convey.ShouldHaveLength, 1)
+		convey.So(poll.Stale, convey.ShouldBeFalse)
+		renewal := await(t, b.events, func(l Listing) bool { return l.Stale })
+		convey.So(renewal.OutOfBand, convey.ShouldBeFalse)
+		convey.So(renewal.SentAt, convey.ShouldHappenOnOrBefore, sent)
+		convey.So(renewal.Running, convey.ShouldHaveLength, 1)
+		convey.So(renewal.Finished, convey.ShouldBeEmpty) // delivered before
 	})
 }
 
 func TestCompletionsBeforeAcknowledgement(t *testing.T) {
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		for i := range 5 {
 			convey.So(b.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 		}
@@ -245,7 +245,7 @@
 			convey.So(b.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			ended := time.Now()
 			await(t, b.events, func(l Listing) bool { return len(l.Finished) == i+1 })
-			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedCompletionsTimeout+2*calmWay)
+			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedCompletionsTimeout+2*oneWayDelay)
 			time.Sleep(70 * time.Millisecond)
 		}
 		before := b.link.Counts()
@@ -265,17 +265,17 @@
 }
 
 func TestCallsInCalm(t *testing.T) {
-	const seconds, ends = 60, 12
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	const seconds, completions = 60, 12
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		b.acknowledgeAll()
 		before := b.worker.Calls(cluster.HoldCall)
-		for i := range ends {
-			time.Sleep(seconds / ends * time.Second)
+		for i := range completions {
+			time.Sleep(seconds / completions * time.Second)
 			convey.So(b.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
 			convey.So(b.worker.Finish(task(i+1), job.OutcomeDone), convey.ShouldBeNil)
 		}
 		calls := b.worker.Calls(cluster.HoldCall) - before
-		convey.So(calls, convey.ShouldBeBetween, seconds-ends, seconds+ends)
+		convey.So(calls, convey.ShouldBeBetween, seconds-completions, seconds+completions)
 		counts := b.link.Counts()
 		convey.So(counts.Polls+counts.OverdueRenewals+counts.RepeatedCompletions, convey.ShouldEqual, 0)
 	})
@@ -292,18 +292,18 @@
 		after := b.link.Counts()
 		convey.So(after.Polls, convey.ShouldEqual, before.Polls)
 		convey.So(after.OverdueRenewals, convey.ShouldEqual, before.OverdueRenewals)
-		convey.So(unheardSince(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
 	})
 }
 
 func TestFewLostCalls(t *testing.T) {
 	const lost = 20 // one in so many
-	simulate(t, calmWay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
-		holds, starts := every(lost, cluster.HoldCall, late), every(lost, cluster.StartCall, late)
+		renewals, starts := every(lost, cluster.HoldCall, late), every(lost, cluster.StartCall, late)
 		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call == cluster.HoldCall {
-				return holds(call)
+				return renewals(call)
 			}
 			return starts(call)
 		})
@@ -313,7 +313,7 @@
 			time.Sleep(time.Second)
 		}
 		convey.So(outcomes, convey.ShouldResemble, map[StartOutcome]int{Started: 190, Unclear: 10})
-		convey.So(unheardSince(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
 		convey.So(b.worker.Calls(cluster.HoldCall), convey.ShouldBeLessThan, 250)
 	})
 }
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -55,7 +55,7 @@
 		l.yieldToCommands()
 		again, last := l.renewInTurn()
 		if !again {
-			l.sleep(pause)
+			l.wait(pause)
 			pause = min(2*pause, maxBackoff)
 			continue
 		}
@@ -68,7 +68,7 @@
 // renewalAnswer is a call of the renewal loop with its answer.
 type renewalAnswer struct {
 	call     listCall
-	answer   response
+	answer   workerResponse
 	received time.Time
 }
 
@@ -98,32 +98,32 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.senders > 0 || l.polls.busy || l.hedgedRequests > 0 {
-		l.idle.Wait()
+		l.quiescent.Wait()
 	}
 }
 
 // renewOnce makes one call and reports whether the next one may follow at once.
 func (l *Link) renewOnce() (again bool, last renewalAnswer) {
 	c := l.beginRenewal()
-	a, err := l.postRenewal(c)
+	response, err := l.postRenewal(c)
 	if c.request.waitMS > 0 {
 		l.lane.endLongPoll()
 	}
 	received := l.now()
-	l.settleListCall(c, a, err, received)
+	l.settleListCall(c, response, err, received)
 	if err != nil {
 		l.log.Debug("hold without answer", zap.Error(err))
 		return l.renewalFailed(c), renewalAnswer{}
 	}
-	if l.endedBy(a) {
+	if l.endedBy(response) {
 		return false, renewalAnswer{}
 	}
-	if a.status != http.StatusOK {
-		l.listRefused(a.status)
+	if response.status != http.StatusOK {
+		l.listRefused(response.status)
 		return false, renewalAnswer{}
 	}
-	l.deliver(c, a, false)
-	return true, renewalAnswer{c, a, received}
+	l.deliver(c, response, false)
+	return true, renewalAnswer{c, response, received}
 }
 
 // beginRenewal decides what the next call of the renewal loop asks for and notes its grant.
@@ -159,7 +159,7 @@
 }
 
 // postRenewal makes a call of the renewal loop, which is hedged by a poll when its answer is overdue.
-func (l *Link) postRenewal(c listCall) (response, error) {
+func (l *Link) postRenewal(c listCall) (workerResponse, error) {
 	ctx, abandon := context.WithCancel(l.context)
 	defer abandon()
 	pending := &pendingRenewal{abandon: abandon}
@@ -217,10 +217,10 @@
 }
 
 // settleListCall takes in what an answer, or its absence, says about the worker's clock and about the grant.
-func (l *Link) settleListCall(c listCall, a response, err error, received time.Time) {
+func (l *Link) settleListCall(c listCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(a, c.sentAt, received)
+	l.observe(response, c.sentAt, received)
 	l.settleGrant(c.grant, c.validUntil, err, received)
 	if err != nil {
 		return
@@ -228,21 +228,21 @@
 	if trip := received.Sub(c.sentAt) - c.wait(); trip >= 0 { // otherwise the worker did not wait to the end
 		l.roundTrips.observe(trip)
 	}
-	if c.grant != nil && a.status == http.StatusOK {
+	if c.grant != nil && response.status == http.StatusOK {
 		l.lease = lease{c.validUntil, c.sentAt}
 	}
 }
 
 // settleGrant notes what became of a call with a grant. The caller holds the lock.
-func (l *Link) settleGrant(g *leaseGrant, validUntil time.Duration, err error, received time.Time) {
+func (l *Link) settleGrant(grant *leaseGrant, validUntil time.Duration, err error, received time.Time) {
 	switch {
-	case g == nil:
+	case grant == nil:
 	case err == nil:
-		l.grants.answered(g, received, l.clock.untilPassed(validUntil, received))
+		l.grants.answered(grant, received, l.clock.untilPassed(validUntil, received))
 	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
-		l.grants.withdrawn(g)
+		l.grants.withdrawn(grant)
 	default:
-		l.grants.unanswered(g, received)
+		l.grants.unanswered(grant, received)
 	}
 }
 
@@ -269,7 +269,7 @@
 		return
 	}
 	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.longPollWait/2 {
-		l.sleep(earlyAnswerDelay)
+		l.wait(earlyAnswerDelay)
 	}
 }
 
@@ -320,8 +320,8 @@
 	l.counts.RepeatedCompletions++
 }
 
-// sleep waits for a while, or until the link ends.
-func (l *Link) sleep(pause time.Duration) {
+// wait waits for a while, or until the link ends.
+func (l *Link) wait(pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
--- a/internal/jobs/workerclient/renewal_test.go
+++ b/internal/jobs/workerclient/renewal_test.go
@@ -21,17 +21,17 @@
 			return &reading
 		}
 		answered := func(c listCall) {
-			link.settleListCall(c, response{http.StatusOK, responseBody{ClockMS: clockMS()}}, nil, now)
+			link.settleListCall(c, workerResponse{http.StatusOK, responseBody{ClockMS: clockMS()}}, nil, now)
 			link.listed = true
 			link.setContact(reachable)
 		}
 		convey.Convey("the first call is a poll that grants nothing", func() {
-			look := link.beginRenewal()
-			convey.So(look.request.waitMS, convey.ShouldEqual, 0)
-			convey.So(look.grant, convey.ShouldBeNil)
+			poll := link.beginRenewal()
+			convey.So(poll.request.waitMS, convey.ShouldEqual, 0)
+			convey.So(poll.grant, convey.ShouldBeNil)
 			convey.So(link.startable(now), convey.ShouldBeFalse)
 			convey.So(link.roundTrips.measured, convey.ShouldBeFalse)
-			answered(look)
+			answered(poll)
 			convey.So(link.roundTrips.measured, convey.ShouldBeTrue)
 
 			convey.Convey("the second grants at once, and starts may go out from then on", func() {
@@ -43,32 +43,32 @@
 				convey.So(link.startable(now), convey.ShouldBeTrue)
 
 				convey.Convey("the next ones wait, and grant when the last grant is old", func() {
-					hold := link.beginRenewal()
-					convey.So(hold.request.waitMS, convey.ShouldEqual, 1000)
-					convey.So(hold.request.validUntilMS, convey.ShouldEqual, 0)
+					renewal := link.beginRenewal()
+					convey.So(renewal.request.waitMS, convey.ShouldEqual, 1000)
+					convey.So(renewal.request.validUntilMS, convey.ShouldEqual, 0)
 					now = now.Add(renewalAge + time.Millisecond)
-					answered(hold)
-					hold = link.beginRenewal()
-					convey.So(hold.request.waitMS, convey.ShouldEqual, 1000)
-					convey.So(hold.request.validUntilMS, convey.ShouldBeGreaterThan, short.request.validUntilMS)
+					answered(renewal)
+					renewal = link.beginRenewal()
+					convey.So(renewal.request.waitMS, convey.ShouldEqual, 1000)
+					convey.So(renewal.request.validUntilMS, convey.ShouldBeGreaterThan, short.request.validUntilMS)
 				})
 				convey.Convey("a call without an answer is followed by a poll", func() {
 					now = now.Add(2 * time.Second)
-					hold := link.beginRenewal()
-					link.settleListCall(hold, response{}, rpcerror.WrapMayHaveExecuted(errNoResponse), now)
+					renewal := link.beginRenewal()
+					link.settleListCall(renewal, workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), now)
 					link.setContact(unreachable)
-					look := link.beginRenewal()
-					convey.So(look.request.waitMS, convey.ShouldEqual, 0)
-					convey.So(look.grant, convey.ShouldBeNil)
-					convey.So(look.timeout, convey.ShouldEqual, unreachablePollTimeout)
+					poll := link.beginRenewal()
+					convey.So(poll.request.waitMS, convey.ShouldEqual, 0)
+					convey.So(poll.grant, convey.ShouldBeNil)
+					convey.So(poll.timeout, convey.ShouldEqual, unreachablePollTimeout)
 					convey.So(link.LeasesExpiredBy(), convey.ShouldHappenAfter, now.Add(maxLateExecution+testMaxLease-time.Second))
 				})
 				convey.Convey("a call that never left grants nothing", func() {
 					now = now.Add(2 * time.Second)
 					before := link.LeasesExpiredBy()
-					hold := link.beginRenewal()
+					renewal := link.beginRenewal()
 					convey.So(link.LeasesExpiredBy(), convey.ShouldHappenAfter, before)
-					link.settleListCall(hold, response{}, rpcerror.WrapNotExecuted(errNoResponse, 0), now)
+					link.settleListCall(renewal, workerResponse{}, rpcerror.WrapNotExecuted(errNoResponse, 0), now)
 					convey.So(link.LeasesExpiredBy(), convey.ShouldEqual, before)
 				})
 				convey.Convey("without renewal no start goes out in the end", func() {
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -57,8 +57,8 @@
 					convey.So(err, convey.ShouldBeNil)
 				}
 				relay.Arm(cut, after)
-				order := startCommand(0, execution)
-				body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
+				command := startCommand(0, execution)
+				body := appendStart(nil, &command, time.Hour.Milliseconds(), 1)
 				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
 				return body, err
 			}
@@ -112,8 +112,8 @@
 		worker.headers.Set("Idempotency-Key", "1") // by which net/http repeats
 		_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 		convey.So(err, convey.ShouldBeNil)
-		order := startCommand(0, 1)
-		body := appendStart(nil, &order, time.Hour.Milliseconds(), 1)
+		command := startCommand(0, 1)
+		body := appendStart(nil, &command, time.Hour.Milliseconds(), 1)
 		_, err = worker.post(context.Background(), worker.start, body, eventTimeout)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		convey.So(counter.count(body), convey.ShouldEqual, 1)
--- a/internal/jobs/workerclient/semaphore.go
+++ b/internal/jobs/workerclient/semaphore.go
@@ -10,14 +10,14 @@
 
 func newSemaphore() semaphore { return make(semaphore, 1+runtime.GOMAXPROCS(0)) }
 
-func (t semaphore) acquire() {
-	if t != nil {
-		t <- struct{}{}
+func (s semaphore) acquire() {
+	if s != nil {
+		s <- struct{}{}
 	}
 }
 
-func (t semaphore) release() {
-	if t != nil {
-		<-t
+func (s semaphore) release() {
+	if s != nil {
+		<-s
 	}
 }
