--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -106,7 +106,7 @@
 	case l.ending != open:
 		outcome := l.outcomeAtEnd(NotSent)
 		work = func() { l.reportStart(start.command, outcome) }
-	case l.suspended || l.contact == unreachable || now.Sub(start.queuedAt) > maxStartWait:
+	case l.suspended || l.health.contact == unreachable || now.Sub(start.queuedAt) > maxStartWait:
 		work = func() { l.reportStart(start.command, NotSent) }
 	case l.startable(now):
 		work = func() { l.sendStart(start.command) }
@@ -120,7 +120,7 @@
 
 // startable reports whether a start command would be held long enough and is likely to be answered. The caller holds the lock.
 func (l *Link) startable(now time.Time) bool {
-	return !l.doubtful && l.lease.validUntil-l.clock.highest(now) >= l.pace.minLeaseLead
+	return l.health.doubt == confident && l.lease.validUntil-l.clock.highest(now) >= l.pace.minLeaseLead
 }
 
 // stillStartable tells the same once the command's turn for a connection has come.
@@ -133,7 +133,7 @@
 // nextStop takes the first stop command whose time has come, and sets the timer when all of them pause. The caller holds the
 // lock.
 func (l *Link) nextStop(now time.Time) (queuedStop, bool) {
-	if len(l.commands.stops) == 0 || l.ending == open && (l.suspended || l.contact == unreachable) {
+	if len(l.commands.stops) == 0 || l.ending == open && (l.suspended || l.health.contact == unreachable) {
 		return queuedStop{}, false
 	}
 	first := 0
@@ -221,7 +221,7 @@
 		l.roundTrips.startEnded(err == nil)
 	}
 	if err != nil {
-		l.doubtful = true // before the outcome is reported, as that may bring further starts
+		l.health.commandUnanswered() // before the outcome is reported, as that may bring further starts
 		return
 	}
 	l.roundTrips.observe(received.Sub(c.sentAt))
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -50,15 +50,6 @@
 	fenced
 )
 
-// contact says what the last call has shown.
-type contact uint8
-
-const (
-	untried contact = iota
-	reachable
-	unreachable
-)
-
 // Link is the connection to one incarnation of one worker under one fencing token. Its methods may be called from any goroutine;
 // none of them waits for the worker but Run.
 type Link struct {
@@ -82,11 +73,8 @@
 	mu             sync.Mutex
 	quiescent      sync.Cond // no order worker is left, or no poll is under way
 	ending         ending
-	contact        contact
+	health         health
 	suspended      bool // no call may be sent at present
-	doubtful       bool // a call got no answer, and none was answered since: no start is sent
-	suspected      bool // likewise, and the call was a renewal or a poll: a poll that fails now makes the worker unreachable
-	refusals       int  // renewals in a row that were answered but refused
 	listed         bool
 	mayHaveWork    bool // it may have attempts, or completions that are not acknowledged
 	longPolled     bool // the newest call of the renewal loop was one that waits
@@ -241,12 +229,9 @@
 // grants.
 func (l *Link) setContact(to contact) {
 	l.mu.Lock()
-	changed := l.contact != to && l.ending == open
-	if changed {
-		l.contact = to
-	}
+	changed := l.ending == open && l.health.moveTo(to)
 	if to == reachable {
-		l.doubtful, l.suspected = false, false
+		l.health.responded()
 	}
 	if changed && to == unreachable && l.pending != nil {
 		l.pending.abandon() // the renewal loop looks for the worker
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -12,7 +12,7 @@
 	listing.OutOfBand = outOfBand
 	received := l.now()
 	l.mu.Lock()
-	l.refusals = 0
+	l.health.listed()
 	l.listed = true
 	if empty := len(response.body.Running)+len(response.body.Finished) == 0; !empty || l.commandsAnsweredBefore(c.sentAt) {
 		l.mayHaveWork = !empty
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -19,7 +19,7 @@
 // requestPoll asks for a poll that begins after the delay, or for another one after that under way. It grants nothing. While
 // the worker is unreachable the renewal loop polls anyway. The caller holds the lock.
 func (l *Link) requestPoll(delay time.Duration) {
-	if l.ending != open || l.suspended || l.contact == unreachable {
+	if l.ending != open || l.suspended || l.health.contact == unreachable {
 		return
 	}
 	l.polls.wanted = true
@@ -53,7 +53,7 @@
 func (l *Link) nextPoll(valid bool) (c listCall, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !valid || !l.polls.wanted || l.ending != open || l.contact == unreachable {
+	if !valid || !l.polls.wanted || l.ending != open || l.health.contact == unreachable {
 		l.polls = pollState{}
 		l.quiescent.Broadcast()
 		return listCall{}, false
@@ -96,11 +96,10 @@
 // is unreachable.
 func (l *Link) pollFailed() {
 	l.mu.Lock()
-	confirmed := l.suspected
-	l.doubtful, l.suspected = true, true
+	nowUnreachable := l.health.pollUnanswered()
 	l.polls.wanted = true
 	l.mu.Unlock()
-	if confirmed {
+	if nowUnreachable {
 		l.setContact(unreachable)
 	}
 }
@@ -115,13 +114,13 @@
 func (l *Link) doubt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doubtful = true
+	l.health.commandUnanswered()
 	l.requestPoll(0)
 }
 
 // suspect notes a renewal without an answer: the worker is unreachable unless it answers a poll. The caller holds the lock.
 func (l *Link) suspect() {
-	l.doubtful, l.suspected = true, true
+	l.health.renewalUnanswered()
 	l.requestPoll(0)
 }
 
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -11,10 +11,9 @@
 )
 
 const (
-	firstBackoff      = 150 * time.Millisecond // after a poll that failed
-	maxBackoff        = 600 * time.Millisecond
-	earlyAnswerDelay  = 100 * time.Millisecond // after a renewal that was answered early without a completion
-	toleratedRefusals = 1                      // renewals refused in a row before a worker counts as unreachable
+	firstBackoff     = 150 * time.Millisecond // after a poll that failed
+	maxBackoff       = 600 * time.Millisecond
+	earlyAnswerDelay = 100 * time.Millisecond // after a renewal that was answered early without a completion
 
 	acknowledgementTimeout     = 60 * time.Millisecond  // how long the renewal after new completions waits for their acknowledgement
 	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after completions that are listed again
@@ -131,7 +130,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Renewals++
-	if l.contact == unreachable {
+	if l.health.contact == unreachable {
 		return l.beginPoll(unreachablePollTimeout)
 	}
 	c := l.beginPoll(0)
@@ -250,12 +249,10 @@
 func (l *Link) listRefused(status int) {
 	l.log.Debug("hold refused", zap.Int("status", status))
 	l.mu.Lock()
-	l.refusals++
-	many := l.refusals > toleratedRefusals
-	l.doubtful, l.suspected = false, false
+	nowUnreachable := l.health.listRefused()
 	l.dispatch()
 	l.mu.Unlock()
-	if many {
+	if nowUnreachable {
 		l.setContact(unreachable)
 	}
 }
