--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -94,8 +94,8 @@
 
 func BenchmarkStart(b *testing.B) {
 	link, events := newBenchmarkLink(b, `{"clockMs":482113}`)
-	link.lease.validUntil = 1e6 * time.Hour
-	link.clock.observe(time.Now(), time.Now(), 0)
+	link.lease.confirmed.validUntil = 1e6 * time.Hour
+	link.lease.clock.observe(time.Now(), time.Now(), 0)
 	command := startCommand(0, 1)
 	command.Specification = string(bytes.Repeat([]byte("x"), 400))
 	b.ReportAllocs()
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -120,7 +120,7 @@
 
 // startable reports whether a start command would be held long enough and is likely to be answered. The caller holds the lock.
 func (l *Link) startable(now time.Time) bool {
-	return l.health.doubt == confident && l.lease.validUntil-l.clock.highest(now) >= l.pace.minLeaseLead
+	return l.health.doubt == confident && l.lease.remaining(now) >= l.pace.minLeaseLead
 }
 
 // stillStartable tells the same once the command's turn for a connection has come.
@@ -207,16 +207,16 @@
 func (l *Link) beginStart() startCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := startCall{sentAt: l.now(), timeout: l.roundTrips.startTimeout(), validUntil: l.lease.validUntil}
-	c.grant = l.grants.begin(l.clock.untilPassed(c.validUntil, c.sentAt), c.sentAt, c.timeout)
+	c := startCall{sentAt: l.now(), timeout: l.roundTrips.startTimeout(), validUntil: l.lease.confirmed.validUntil}
+	c.grant = l.lease.grant(c.validUntil, c.sentAt, c.timeout)
 	return c
 }
 
 func (l *Link) settleStart(c startCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(response, c.sentAt, received)
-	l.settleGrant(c.grant, c.validUntil, err, received)
+	l.lease.observe(response, c.sentAt, received)
+	l.lease.settle(c.grant, c.validUntil, err, received)
 	if err == nil || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		l.roundTrips.startEnded(err == nil)
 	}
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -59,21 +59,21 @@
 func (l *Link) idleDelay(idle time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ending != open || l.lease.validUntil == 0 || l.mayHaveWork && l.longPolled {
+	if l.ending != open || l.lease.confirmed.validUntil == 0 || l.mayHaveWork && l.longPolled {
 		return 0
 	}
 	pause := idle
 	if l.mayHaveWork {
 		pause = busyPollInterval
 	}
-	lead := l.lease.validUntil - l.clock.highest(l.now()) - l.pace.minLeaseLead // starts may be sent for so long
+	lead := l.lease.remaining(l.now()) - l.pace.minLeaseLead // starts may be sent for so long
 	return max(earlyAnswerDelay, min(pause, lead))
 }
 
 // mayWait reports whether the worker may wait for a completion before it answers: the grant lasts, and there is a connection for
 // its commands besides. The caller holds the lock.
 func (l *Link) mayLongPoll(sentAt time.Time) bool {
-	if !l.listed || l.lease.validUntil-l.clock.highest(sentAt) < l.pace.minLeaseLead+l.pace.longPollWait {
+	if !l.listed || l.lease.remaining(sentAt) < l.pace.minLeaseLead+l.pace.longPollWait {
 		return false
 	}
 	idle := !l.mayHaveWork && l.config.Connections.idlePollInterval(l.pace.maxIdleInterval) > 0
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -122,7 +122,7 @@
 	if !w.link.startable(w.now) {
 		return
 	}
-	if w.clock(w.now)+w.link.pace.minLeaseLead > w.link.lease.validUntil {
+	if w.clock(w.now)+w.link.pace.minLeaseLead > w.link.lease.confirmed.validUntil {
 		w.t.Fatal("a start is held for too short a time")
 	}
 	c := w.link.beginStart()
@@ -157,11 +157,11 @@
 	if expiredBy := w.link.LeasesExpiredBy(); expiredBy.Before(w.leasesExpired) {
 		w.t.Fatalf("LapsedBy is %v before the truth", w.leasesExpired.Sub(expiredBy))
 	}
-	if !w.link.clock.known {
+	if !w.link.lease.clock.known {
 		return
 	}
 	clock := w.clock(w.now)
-	if low, high := w.link.clock.lowest(w.now), w.link.clock.highest(w.now); low > clock || clock > high {
+	if low, high := w.link.lease.clock.lowest(w.now), w.link.lease.clock.highest(w.now); low > clock || clock > high {
 		w.t.Fatalf("clock shows %v, bounds are %v and %v", clock, low, high)
 	}
 }
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -79,9 +79,7 @@
 	mayHaveWork    bool // it may have attempts, or completions that are not acknowledged
 	longPolled     bool // the newest call of the renewal loop was one that waits
 	acknowledged   uint64
-	clock          clockBounds
-	grants         leaseGrants
-	lease          lease
+	lease          leaseState
 	roundTrips     roundTrips
 	resultAt       time.Time       // of the newest result of a command
 	pending        *pendingRenewal // nil before the first one
@@ -101,12 +99,6 @@
 	HedgedRequests      uint64 // of polls and stops whose answer was overdue
 }
 
-// granted is the newest grant that was answered.
-type lease struct {
-	validUntil time.Duration // on the worker's clock; 0 when there is none
-	askedAt    time.Time
-}
-
 // pace holds the link's times, which depend on how long attempts may be held.
 type pace struct{ longPollWait, renewalAge, minLeaseLead, maxIdleInterval time.Duration }
 
@@ -162,7 +154,7 @@
 func (l *Link) LeasesExpiredBy() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.grants.expiredBy()
+	return l.lease.grants.expiredBy()
 }
 
 // Counts returns how many calls were made so far.
@@ -257,10 +249,3 @@
 	l.resultAt = later(l.resultAt, l.now())
 	return l.resultAt
 }
-
-// observe takes in the clock of an answer. The caller holds the lock.
-func (l *Link) observe(response workerResponse, sent, received time.Time) {
-	if response.body.ClockMS != nil {
-		l.clock.observe(sent, received, *response.body.ClockMS)
-	}
-}
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -6,8 +6,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
@@ -140,21 +138,21 @@
 	}
 	c.hedgeAfter = c.wait() + l.roundTrips.overdueDelay()
 	c.timeout = c.hedgeAfter + l.roundTrips.pollTimeout() + abandonMargin
-	if l.listed && c.sentAt.Sub(l.lease.askedAt) > l.pace.renewalAge {
+	if l.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.pace.renewalAge {
 		l.addGrant(&c)
 	}
 	return c
 }
 
-// addGrant makes the call hold what attempts there as long as is certainly not cut short. The caller holds the lock.
+// addGrant makes the call renew the lease, if that makes it longer. The caller holds the lock.
 func (l *Link) addGrant(c *listCall) {
-	validUntil := (l.clock.lowest(c.sentAt) + l.config.MaxLease).Truncate(time.Millisecond)
-	if validUntil <= l.lease.validUntil {
+	validUntil, longer := l.lease.extension(l.config.MaxLease, c.sentAt)
+	if !longer {
 		return
 	}
 	c.validUntil = validUntil
 	c.request.validUntilMS = validUntil.Milliseconds()
-	c.grant = l.grants.begin(l.clock.untilPassed(validUntil, c.sentAt), c.sentAt, c.timeout)
+	c.grant = l.lease.grant(validUntil, c.sentAt, c.timeout)
 }
 
 // postRenewal makes a call of the renewal loop, which is hedged by a poll when its answer is overdue.
@@ -219,8 +217,8 @@
 func (l *Link) settleListCall(c listCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(response, c.sentAt, received)
-	l.settleGrant(c.grant, c.validUntil, err, received)
+	l.lease.observe(response, c.sentAt, received)
+	l.lease.settle(c.grant, c.validUntil, err, received)
 	if err != nil {
 		return
 	}
@@ -228,20 +226,7 @@
 		l.roundTrips.observe(trip)
 	}
 	if c.grant != nil && response.status == http.StatusOK {
-		l.lease = lease{c.validUntil, c.sentAt}
-	}
-}
-
-// settleGrant notes what became of a call with a grant. The caller holds the lock.
-func (l *Link) settleGrant(grant *leaseGrant, validUntil time.Duration, err error, received time.Time) {
-	switch {
-	case grant == nil:
-	case err == nil:
-		l.grants.answered(grant, received, l.clock.untilPassed(validUntil, received))
-	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
-		l.grants.withdrawn(grant)
-	default:
-		l.grants.unanswered(grant, received)
+		l.lease.confirmed = confirmedLease{c.validUntil, c.sentAt}
 	}
 }
 
