--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -10,29 +10,9 @@
 )
 
 const (
-	firstStopBackoff = 200 * time.Millisecond
-	maxStopBackoff   = time.Second
-	maxStartWait     = 2 * time.Second // how long a start command waits for a grant
+	maxStartWait = 2 * time.Second // how long a start command waits for a grant
 )
 
-// commandQueue holds the commands that are not under way.
-type commandQueue struct {
-	starts []queuedStart
-	stops  []queuedStop
-	timer  *time.Timer // set for the first stop command whose pause is not over
-}
-
-type queuedStart struct {
-	command  StartCommand
-	queuedAt time.Time
-}
-
-type queuedStop struct {
-	command StopCommand
-	due     time.Time
-	backoff time.Duration // until the next try, should this one fail
-}
-
 // Start sends a start command as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
 // not sent.
 func (l *Link) Start(command StartCommand) {
@@ -45,7 +25,7 @@
 
 // expectAttempt ends the rest of the renewal loop: there will be an attempt. The caller holds the lock.
 func (l *Link) expectAttempt() {
-	l.mayHaveWork = true
+	l.activity.mayHaveWork = true
 	select {
 	case l.commandQueued <- struct{}{}:
 	default:
@@ -64,12 +44,12 @@
 
 // dispatch sets workers to the commands that may go out. The caller holds the lock.
 func (l *Link) dispatch() {
-	for idle := maxCommandsInFlight - l.senders; idle > 0; idle-- {
+	for idle := maxCommandsInFlight - l.commands.senders; idle > 0; idle-- {
 		work := l.nextCommand()
 		if work == nil {
 			return
 		}
-		l.senders++
+		l.commands.senders++
 		go l.sendCommands(work)
 	}
 }
@@ -80,7 +60,7 @@
 		next()
 		l.mu.Lock()
 		if next = l.nextCommand(); next == nil {
-			l.senders--
+			l.commands.senders--
 			l.quiescent.Broadcast()
 		}
 		l.mu.Unlock()
@@ -106,15 +86,14 @@
 	case l.ending != open:
 		outcome := l.outcomeAtEnd(NotSent)
 		work = func() { l.reportStart(start.command, outcome) }
-	case l.suspended || l.health.contact == unreachable || now.Sub(start.queuedAt) > maxStartWait:
+	case l.commands.suspended || l.health.contact == unreachable || now.Sub(start.queuedAt) > maxStartWait:
 		work = func() { l.reportStart(start.command, NotSent) }
 	case l.startable(now):
 		work = func() { l.sendStart(start.command) }
 	default:
 		return nil
 	}
-	l.commands.starts[0] = queuedStart{}
-	l.commands.starts = l.commands.starts[1:]
+	l.commands.dropFirstStart()
 	return work
 }
 
@@ -133,30 +112,23 @@
 // nextStop takes the first stop command whose time has come, and sets the timer when all of them pause. The caller holds the
 // lock.
 func (l *Link) nextStop(now time.Time) (queuedStop, bool) {
-	if len(l.commands.stops) == 0 || l.ending == open && (l.suspended || l.health.contact == unreachable) {
+	if len(l.commands.stops) == 0 || l.ending == open && (l.commands.suspended || l.health.contact == unreachable) {
 		return queuedStop{}, false
 	}
-	first := 0
-	for i, stop := range l.commands.stops {
-		if stop.due.Before(l.commands.stops[first].due) {
-			first = i
-		}
-	}
-	stop := l.commands.stops[first]
-	if wait := stop.due.Sub(now); wait > 0 && l.ending == open {
+	earliest := l.commands.earliestStop()
+	if wait := l.commands.stops[earliest].due.Sub(now); wait > 0 && l.ending == open {
 		l.setStopTimer(wait)
 		return queuedStop{}, false
 	}
-	l.commands.stops = append(l.commands.stops[:first], l.commands.stops[first+1:]...)
-	return stop, true
+	return l.commands.takeStop(earliest), true
 }
 
 func (l *Link) setStopTimer(wait time.Duration) {
-	if l.commands.timer != nil {
-		l.commands.timer.Reset(wait)
+	if l.commands.stopTimer != nil {
+		l.commands.stopTimer.Reset(wait)
 		return
 	}
-	l.commands.timer = time.AfterFunc(wait, func() {
+	l.commands.stopTimer = time.AfterFunc(wait, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.dispatch()
@@ -303,9 +275,7 @@
 func (l *Link) requeueStop(stop queuedStop) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	stop.due = l.now().Add(stop.backoff)
-	stop.backoff = min(2*stop.backoff, maxStopBackoff)
-	l.commands.stops = append(l.commands.stops, stop)
+	l.commands.retryStop(stop, l.now())
 }
 
 func (l *Link) reportStop(command StopCommand, answered bool) {
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -39,7 +39,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.senders == 0 {
+	if l.commands.senders == 0 {
 		return
 	}
 	over := false
@@ -50,7 +50,7 @@
 		l.quiescent.Broadcast()
 	})
 	defer timer.Stop()
-	for l.senders > 0 && !over {
+	for l.commands.senders > 0 && !over {
 		l.quiescent.Wait()
 	}
 }
@@ -59,11 +59,11 @@
 func (l *Link) idleDelay(idle time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ending != open || l.lease.confirmed.validUntil == 0 || l.mayHaveWork && l.longPolled {
+	if l.ending != open || l.lease.confirmed.validUntil == 0 || l.activity.mayHaveWork && l.activity.longPolled {
 		return 0
 	}
 	pause := idle
-	if l.mayHaveWork {
+	if l.activity.mayHaveWork {
 		pause = busyPollInterval
 	}
 	lead := l.lease.remaining(l.now()) - l.pace.minLeaseLead // starts may be sent for so long
@@ -73,9 +73,9 @@
 // mayWait reports whether the worker may wait for a completion before it answers: the grant lasts, and there is a connection for
 // its commands besides. The caller holds the lock.
 func (l *Link) mayLongPoll(sentAt time.Time) bool {
-	if !l.listed || l.lease.remaining(sentAt) < l.pace.minLeaseLead+l.pace.longPollWait {
+	if !l.activity.listed || l.lease.remaining(sentAt) < l.pace.minLeaseLead+l.pace.longPollWait {
 		return false
 	}
-	idle := !l.mayHaveWork && l.config.Connections.idlePollInterval(l.pace.maxIdleInterval) > 0
+	idle := !l.activity.mayHaveWork && l.config.Connections.idlePollInterval(l.pace.maxIdleInterval) > 0
 	return !idle && l.lane.beginLongPoll()
 }
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -103,7 +103,7 @@
 		if err != nil && rapid.Bool().Draw(w.t, "no look is answered instead") {
 			w.link.setContact(unreachable)
 		} else {
-			w.link.listed = w.link.listed || err == nil
+			w.link.activity.listed = w.link.activity.listed || err == nil
 			w.link.setContact(reachable)
 		}
 		w.renew()
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -74,18 +74,13 @@
 	quiescent      sync.Cond // no order worker is left, or no poll is under way
 	ending         ending
 	health         health
-	suspended      bool // no call may be sent at present
-	listed         bool
-	mayHaveWork    bool // it may have attempts, or completions that are not acknowledged
-	longPolled     bool // the newest call of the renewal loop was one that waits
+	activity       activity
 	acknowledged   uint64
 	lease          leaseState
 	roundTrips     roundTrips
-	resultAt       time.Time       // of the newest result of a command
 	pending        *pendingRenewal // nil before the first one
 	polls          pollState
 	commands       commandQueue
-	senders        int
 	hedgedRequests int // further hedged requests of idempotent calls under way
 	counts         Counts
 }
@@ -238,14 +233,12 @@
 	l.events.post(func(e Events) { e.Reachability(report) })
 }
 
-// sendTime is the local time for a call that is sent now: certainly after the results reported before, even if the clock has
-// not moved since. The caller holds the lock.
-func (l *Link) sendTime() time.Time { return later(l.now(), l.resultAt.Add(1)) }
+// sendTime is the local time for a call that is sent now. The caller holds the lock.
+func (l *Link) sendTime() time.Time { return l.commands.sendTime(l.now()) }
 
 // resultTime is the local time for the result of a command.
 func (l *Link) resultTime() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resultAt = later(l.resultAt, l.now())
-	return l.resultAt
+	return l.commands.resultTime(l.now())
 }
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -13,10 +13,7 @@
 	received := l.now()
 	l.mu.Lock()
 	l.health.listed()
-	l.listed = true
-	if empty := len(response.body.Running)+len(response.body.Finished) == 0; !empty || l.commandsAnsweredBefore(c.sentAt) {
-		l.mayHaveWork = !empty
-	}
+	l.activity.received(&response.body, l.commands.answeredBefore(c.sentAt))
 	l.mu.Unlock()
 	l.setContact(reachable)
 	l.events.post(func(e Events) {
@@ -25,11 +22,6 @@
 	})
 }
 
-// settled reports whether all commands were answered before a time. The caller holds the lock.
-func (l *Link) commandsAnsweredBefore(at time.Time) bool {
-	return l.senders == 0 && len(l.commands.starts)+len(l.commands.stops) == 0 && l.resultAt.Before(at)
-}
-
 func (l *Link) listing(c listCall, response workerResponse) Listing {
 	listing := Listing{
 		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(response.body.Finished) >= maxFinishedPerResponse,
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -19,7 +19,7 @@
 // requestPoll asks for a poll that begins after the delay, or for another one after that under way. It grants nothing. While
 // the worker is unreachable the renewal loop polls anyway. The caller holds the lock.
 func (l *Link) requestPoll(delay time.Duration) {
-	if l.ending != open || l.suspended || l.health.contact == unreachable {
+	if l.ending != open || l.commands.suspended || l.health.contact == unreachable {
 		return
 	}
 	l.polls.wanted = true
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -34,9 +34,28 @@
 
 // pendingRenewal is the newest call of the renewal loop.
 type pendingRenewal struct {
-	abandon    context.CancelFunc
-	overdue    bool // it should have been answered by now
-	superseded bool // a poll was answered instead
+	abandon  context.CancelFunc
+	progress renewalProgress
+}
+
+// renewalProgress only ever grows.
+type renewalProgress uint8
+
+const (
+	inTime     renewalProgress = iota // its response may still come in time
+	overdue                           // it should have been answered by now: a poll decides
+	superseded                        // a poll was answered instead, and the renewal given up
+)
+
+// markOverdue notes that the response should have come by now.
+func (r *pendingRenewal) markOverdue() { r.progress = max(r.progress, overdue) }
+
+// supersede gives up the renewal if it is overdue.
+func (r *pendingRenewal) supersede() {
+	if r.progress >= overdue {
+		r.progress = superseded
+		r.abandon()
+	}
 }
 
 // Run looks at the worker and then holds what attempts there, until the link is closed, the context ends, the worker's incarnation
@@ -87,14 +106,14 @@
 func (l *Link) setSuspended(suspended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.suspended = suspended
+	l.commands.suspended = suspended
 	l.dispatch()
 }
 
 func (l *Link) awaitSenders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.senders > 0 || l.polls.busy || l.hedgedRequests > 0 {
+	for l.commands.senders > 0 || l.polls.busy || l.hedgedRequests > 0 {
 		l.quiescent.Wait()
 	}
 }
@@ -132,13 +151,13 @@
 		return l.beginPoll(unreachablePollTimeout)
 	}
 	c := l.beginPoll(0)
-	l.longPolled = l.mayLongPoll(c.sentAt)
-	if l.longPolled {
+	l.activity.longPolled = l.mayLongPoll(c.sentAt)
+	if l.activity.longPolled {
 		c.request.waitMS = l.pace.longPollWait.Milliseconds()
 	}
 	c.hedgeAfter = c.wait() + l.roundTrips.overdueDelay()
 	c.timeout = c.hedgeAfter + l.roundTrips.pollTimeout() + abandonMargin
-	if l.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.pace.renewalAge {
+	if l.activity.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.pace.renewalAge {
 		l.addGrant(&c)
 	}
 	return c
@@ -177,7 +196,7 @@
 	if l.pending != pending {
 		return
 	}
-	pending.overdue = true
+	pending.markOverdue()
 	l.counts.OverdueRenewals++
 	l.suspect()
 }
@@ -186,9 +205,8 @@
 func (l *Link) supersedeRenewal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pending != nil && l.pending.overdue {
-		l.pending.superseded = true
-		l.pending.abandon()
+	if l.pending != nil {
+		l.pending.supersede()
 	}
 }
 
@@ -200,8 +218,10 @@
 	}
 	l.mu.Lock()
 	pending := l.pending
-	if !pending.overdue { // its connection broke, or this process stood still
-		pending.overdue = l.now().Sub(c.sentAt) >= c.hedgeAfter
+	if pending.progress == inTime { // its connection broke, or this process stood still
+		if l.now().Sub(c.sentAt) >= c.hedgeAfter {
+			pending.markOverdue()
+		}
 		l.suspect()
 	}
 	l.mu.Unlock()
@@ -210,7 +230,7 @@
 	l.config.Connections.concurrency.acquire()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return pending.superseded
+	return pending.progress == superseded
 }
 
 // settleListCall takes in what an answer, or its absence, says about the worker's clock and about the grant.
@@ -291,8 +311,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.acknowledged >= newest && l.commandsAnsweredBefore(last.call.sentAt) {
-		l.mayHaveWork = false
+	if l.acknowledged >= newest && l.commands.answeredBefore(last.call.sentAt) {
+		l.activity.mayHaveWork = false
 	}
 }
 
--- a/internal/jobs/workerclient/renewal_test.go
+++ b/internal/jobs/workerclient/renewal_test.go
@@ -22,7 +22,7 @@
 		}
 		answered := func(c listCall) {
 			link.settleListCall(c, workerResponse{http.StatusOK, responseBody{ClockMS: clockMS()}}, nil, now)
-			link.listed = true
+			link.activity.listed = true
 			link.setContact(reachable)
 		}
 		convey.Convey("the first call is a poll that grants nothing", func() {
