--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -149,11 +149,11 @@
 
 // sendStart makes one start call. It extends no grant: its attempts are held as long as those already there.
 func (l *Link) sendStart(command StartCommand) {
-	if !l.lane.acquire(l.done) {
+	if !l.pool.acquire(l.done) {
 		l.reportStart(command, NotSent)
 		return
 	}
-	defer l.lane.release()
+	defer l.pool.release()
 	if !l.config.LeaderLeaseValid() || !l.stillStartable() {
 		l.reportStart(command, NotSent)
 		return
@@ -230,11 +230,11 @@
 
 // sendStop makes one stop call, and queues the command again if it was not taken.
 func (l *Link) sendStop(stop queuedStop) {
-	if !l.lane.acquire(l.done) {
+	if !l.pool.acquire(l.done) {
 		l.requeueStop(stop)
 		return
 	}
-	defer l.lane.release()
+	defer l.pool.release()
 	if !l.config.LeaderLeaseValid() {
 		l.requeueStop(stop)
 		return
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -192,7 +192,7 @@
 	if c.dialDelay() > 0 || c.slotsTaken >= c.limits.Connections && !c.closeIdle() {
 		return false
 	}
-	c.noteDial()
+	c.recordDial()
 	c.slotsTaken++
 	p.slots++
 	p.reserved++
@@ -214,7 +214,7 @@
 	return time.Duration(float64(time.Second) / c.limits.DialsPerS)
 }
 
-func (c *Connections) noteDial() { c.nextDialAt = later(c.nextDialAt, c.now()).Add(c.dialInterval()) }
+func (c *Connections) recordDial() { c.nextDialAt = later(c.nextDialAt, c.now()).Add(c.dialInterval()) }
 
 // closeIdle closes a connection that no call needs, if there is one: that of a worker that has another one, before the
 // only one of a worker, which its next poll would open again. The caller holds the lock.
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -36,85 +36,85 @@
 )
 
 func newBudgetFixture(t *testing.T, workers int, limits Limits) *budgetFixture {
-	b := &budgetFixture{
+	f := &budgetFixture{
 		t: t, connections: NewConnections(limits), events: newRecorder(),
 		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: budgetMaxLease}),
 	}
-	b.events.onListing = func(Listing) { b.observeUsage() }
-	client := b.connections.HTTPClient()
+	f.events.onListing = func(Listing) { f.observeUsage() }
+	client := f.connections.HTTPClient()
 	ctx, cancel := context.WithCancel(context.Background())
 	returned := make(chan struct{}, workers)
 	for i := range workers {
-		worker := b.cluster.AddWorker(cluster.WorkerConfig{ID: fmt.Sprint("i-", i)})
+		worker := f.cluster.AddWorker(cluster.WorkerConfig{ID: fmt.Sprint("i-", i)})
 		link := NewLink(Config{
 			Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
 			FencingToken: 1, MaxLease: budgetMaxLease, LeaderLeaseValid: func() bool { return true },
-			Events: oneByOne{b.events}, HTTP: client, Connections: b.connections, MinTimeout: budgetedTimeout,
+			Events: oneByOne{f.events}, HTTP: client, Connections: f.connections, MinTimeout: budgetedTimeout,
 		})
-		b.workers, b.links = append(b.workers, worker), append(b.links, link)
+		f.workers, f.links = append(f.workers, worker), append(f.links, link)
 		go func() { link.Run(ctx); returned <- struct{}{} }()
 	}
-	b.end = func() {
+	f.end = func() {
 		cancel()
 		for range workers {
 			<-returned
 		}
 		client.CloseIdleConnections()
-		b.cluster.Close()
+		f.cluster.Close()
 	}
-	return b
+	return f
 }
 
 // oneByOne hands on the reports of several links.
 type oneByOne struct{ *recorder }
 
-func (b *budgetFixture) observeUsage() {
-	open := int64(b.connections.Usage().Open)
-	for seen := b.most.Load(); open > seen && !b.most.CompareAndSwap(seen, open); seen = b.most.Load() {
+func (f *budgetFixture) observeUsage() {
+	open := int64(f.connections.Usage().Open)
+	for seen := f.most.Load(); open > seen && !f.most.CompareAndSwap(seen, open); seen = f.most.Load() {
 	}
 }
 
-func (b *budgetFixture) awaitEach(condition func(i int, l Listing) bool) {
-	b.t.Helper()
-	for i := range b.workers {
+func (f *budgetFixture) awaitEach(condition func(i int, l Listing) bool) {
+	f.t.Helper()
+	for i := range f.workers {
 		id := WorkerID(fmt.Sprint("i-", i))
-		await(b.t, b.events, func(l Listing) bool { return l.Worker == id && condition(i, l) })
+		await(f.t, f.events, func(l Listing) bool { return l.Worker == id && condition(i, l) })
 	}
 }
 
 func TestWorkersOutnumberTheBudget(t *testing.T) {
 	const workers, most = 40, 9
 	convey.Convey("With far fewer connections than workers", t, func() {
-		b := newBudgetFixture(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
-		defer b.end()
+		f := newBudgetFixture(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
+		defer f.end()
 		convey.Convey("each is held by turns, starts are sent and completions are noted", func() {
-			b.awaitEach(func(int, Listing) bool { return true })
-			for i, link := range b.links {
+			f.awaitEach(func(int, Listing) bool { return true })
+			for i, link := range f.links {
 				link.Start(startCommand(i, 1))
 			}
-			for i := range b.links {
-				result := await(t, b.events, func(r StartResult) bool { return r.Command.Task == task(i) })
+			for i := range f.links {
+				result := await(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) })
 				convey.So(result.Outcome, convey.ShouldEqual, Started)
 			}
 			started := time.Now()
-			b.awaitEach(func(_ int, l Listing) bool {
+			f.awaitEach(func(_ int, l Listing) bool {
 				return l.SentAt.Sub(started) > budgetMaxLease+budgetMaxLease/2 && len(l.Running) == 1
 			})
-			for i, worker := range b.workers {
+			for i, worker := range f.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
-			b.awaitEach(func(_ int, l Listing) bool { return len(l.Finished) == 1 && l.Finished[0].How == job.OutcomeDone })
-			for _, link := range b.links {
+			f.awaitEach(func(_ int, l Listing) bool { return len(l.Finished) == 1 && l.Finished[0].How == job.OutcomeDone })
+			for _, link := range f.links {
 				link.Acknowledge(1)
 			}
 			acknowledged := time.Now()
-			b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.After(acknowledged) && len(l.Finished) == 0 })
-			for _, record := range b.cluster.Runs() {
+			f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.After(acknowledged) && len(l.Finished) == 0 })
+			for _, record := range f.cluster.Runs() {
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
-			convey.So(b.most.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
-			convey.So(eventsOf[ReachabilityChange](b.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
-			convey.So(b.connections.Usage().LongPolls, convey.ShouldBeZeroValue)
+			convey.So(f.most.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
+			convey.So(eventsOf[ReachabilityChange](f.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
+			convey.So(f.connections.Usage().LongPolls, convey.ShouldBeZeroValue)
 		})
 	})
 }
@@ -122,18 +122,18 @@
 func TestOneConnectionForAnIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where not each worker can be held by a call that waits, an idle one takes one connection", t, func() {
-		b := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
-		defer b.end()
+		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
+		defer f.end()
 		began := time.Now()
-		b.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
-		convey.So(b.most.Load(), convey.ShouldEqual, workers)
+		f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
+		convey.So(f.most.Load(), convey.ShouldEqual, workers)
 		convey.Convey("and one with an attempt is held by a call that waits", func() {
-			b.links[0].Start(startCommand(0, 1))
-			await(t, b.events, func(l Listing) bool { return len(l.Running) == 1 })
-			for b.connections.Usage().LongPolls != 1 {
-				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), anyEvent[Listing])
+			f.links[0].Start(startCommand(0, 1))
+			await(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
+			for f.connections.Usage().LongPolls != 1 {
+				awaitAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
 			}
-			for _, worker := range b.workers {
+			for _, worker := range f.workers {
 				convey.So(worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 2)
 			}
 		})
@@ -164,32 +164,32 @@
 func TestCommandTakesTheConnectionOfAnIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where an idle worker takes one connection", t, func() {
-		b := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
-		defer b.end()
-		b.awaitEach(func(_ int, l Listing) bool { return !l.First })
-		awaitState(t, b.connections, allIdle(workers))
-		for i, link := range b.links {
+		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
+		defer f.end()
+		f.awaitEach(func(_ int, l Listing) bool { return !l.First })
+		awaitState(t, f.connections, allIdle(workers))
+		for i, link := range f.links {
 			link.Start(startCommand(i, 1))
 		}
-		b.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
+		f.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
 		convey.Convey("a start and the renewal after it share that one", func() {
-			convey.So(b.connections.Usage().Opened, convey.ShouldEqual, workers)
+			convey.So(f.connections.Usage().Opened, convey.ShouldEqual, workers)
 		})
 		convey.Convey("no call waits for a completion any more once all completions are acknowledged", func() {
-			for i, worker := range b.workers {
+			for i, worker := range f.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
 			var renewals uint64
-			for i, link := range b.links {
-				id := WorkerID(b.workers[i].ID())
-				await(t, b.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
+			for i, link := range f.links {
+				id := WorkerID(f.workers[i].ID())
+				await(t, f.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
 				renewals += link.Counts().Renewals
 				link.Acknowledge(1)
 			}
-			awaitState(t, b.connections, func(c *Connections) bool { return c.longPolls == 0 })
-			awaitState(t, b.connections, allIdle(workers))
+			awaitState(t, f.connections, func(c *Connections) bool { return c.longPolls == 0 })
+			awaitState(t, f.connections, allIdle(workers))
 			after := uint64(0)
-			for _, link := range b.links {
+			for _, link := range f.links {
 				after += link.Counts().Renewals
 			}
 			convey.So(after-renewals, convey.ShouldBeLessThan, workers)
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -81,11 +81,11 @@
 		c.admitWaiting()
 		return nil, err
 	}
-	c.noteOpened()
+	c.recordOpened()
 	return &connection{Conn: opened, pool: p, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
 }
 
-func (c *Connections) noteOpened() {
+func (c *Connections) recordOpened() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opened++
@@ -105,7 +105,7 @@
 		p.update()
 		return nil, errNoConnectionSlot
 	}
-	c.noteDial()
+	c.recordDial()
 	c.slotsTaken++
 	p.slots++
 	return p, nil
@@ -146,7 +146,7 @@
 	defer owner.mu.Unlock()
 	c.closed = true
 	c.pool.reserved++
-	owner.noteDial()
+	owner.recordDial()
 }
 
 // discard closes a connection after a call that was not answered whole.
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -132,16 +132,16 @@
 func TestLongPollsDoNotHoldTheSemaphore(t *testing.T) {
 	const workers = 40
 	convey.Convey("Long polls are outside of the semaphore, however few may work at once", t, func() {
-		b := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
-		defer b.end()
-		convey.So(cap(b.connections.concurrency), convey.ShouldBeLessThan, workers)
+		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
+		defer f.end()
+		convey.So(cap(f.connections.concurrency), convey.ShouldBeLessThan, workers)
 		limit := time.After(eventTimeout)
-		for b.connections.Usage().LongPolls < workers {
+		for f.connections.Usage().LongPolls < workers {
 			select {
 			case <-limit:
-				t.Fatalf("%+v", b.connections.Usage())
+				t.Fatalf("%+v", f.connections.Usage())
 			default:
-				awaitAfter(t, b.events, len(eventsOf[Listing](b.events)), anyEvent[Listing])
+				awaitAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
 			}
 		}
 	})
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -120,35 +120,35 @@
 func newFixture(t testing.TB, settings cluster.Settings, config cluster.WorkerConfig) *fixture {
 	settings.HoldMax = testMaxLease
 	config.ID = "i-1"
-	b := &fixture{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
-	b.client, b.timeout = NewHTTPClient(), maxCommandTimeout // as the machine may be busy
-	b.worker = b.cluster.AddWorker(config)
-	b.closers = append(b.closers, b.cluster.Close, b.client.CloseIdleConnections)
-	return b
+	f := &fixture{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
+	f.client, f.timeout = NewHTTPClient(), maxCommandTimeout // as the machine may be busy
+	f.worker = f.cluster.AddWorker(config)
+	f.closers = append(f.closers, f.cluster.Close, f.client.CloseIdleConnections)
+	return f
 }
 
 // newMemoryFixture is for use under synctest. Each call takes the given time to get there.
 func newMemoryFixture(t testing.TB, way time.Duration) *fixture {
-	b := newFixture(t, cluster.Settings{InMemory: true}, cluster.WorkerConfig{})
-	b.client, b.timeout = b.cluster.MemoryClient(way), 0
-	return b
+	f := newFixture(t, cluster.Settings{InMemory: true}, cluster.WorkerConfig{})
+	f.client, f.timeout = f.cluster.MemoryClient(way), 0
+	return f
 }
 
 // close ends everything, the last that was begun first.
-func (b *fixture) close() {
-	for _, closer := range slices.Backward(b.closers) {
+func (f *fixture) close() {
+	for _, closer := range slices.Backward(f.closers) {
 		closer()
 	}
 }
 
 // connect makes a link under a fencing token and attempts it. The function returned waits until Run has returned.
-func (b *fixture) connect(token uint64) (awaitReturn func()) {
+func (f *fixture) connect(token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
-		Instance:     Instance{ID: WorkerID(b.worker.ID()), Address: b.worker.Address()},
-		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !b.invalid.Load() },
-		Events: b.events, HTTP: b.client, MinTimeout: b.timeout,
+		Instance:     Instance{ID: WorkerID(f.worker.ID()), Address: f.worker.Address()},
+		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !f.invalid.Load() },
+		Events: f.events, HTTP: f.client, MinTimeout: f.timeout,
 	})
-	b.link = link
+	f.link = link
 	returned := make(chan struct{})
 	go func() {
 		link.Run(context.Background())
@@ -158,19 +158,19 @@
 		select {
 		case <-returned:
 		case <-time.After(eventTimeout):
-			b.t.Error("Run does not return")
+			f.t.Error("Run does not return")
 		}
 	}
-	b.closers = append(b.closers, awaitReturn, link.Close)
+	f.closers = append(f.closers, awaitReturn, link.Close)
 	return awaitReturn
 }
 
 // start commands an attempt and waits for its outcome.
-func (b *fixture) start(command StartCommand) StartOutcome {
-	b.t.Helper()
-	before := len(eventsOf[StartResult](b.events))
-	b.link.Start(command)
-	result := awaitAfter(b.t, b.events, before, func(r StartResult) bool { return r.Command == command })
+func (f *fixture) start(command StartCommand) StartOutcome {
+	f.t.Helper()
+	before := len(eventsOf[StartResult](f.events))
+	f.link.Start(command)
+	result := awaitAfter(f.t, f.events, before, func(r StartResult) bool { return r.Command == command })
 	return result.Outcome
 }
 
--- a/internal/jobs/workerclient/hedging.go
+++ b/internal/jobs/workerclient/hedging.go
@@ -157,7 +157,7 @@
 	if !l.config.LeaderLeaseValid() || !l.countHedge() {
 		return false
 	}
-	if !l.lane.tryAcquire() {
+	if !l.pool.tryAcquire() {
 		l.uncountHedge()
 		return false
 	}
@@ -166,7 +166,7 @@
 
 // endHedge gives back what a request has used.
 func (l *Link) endHedge() {
-	l.lane.release()
+	l.pool.release()
 	l.uncountHedge()
 }
 
@@ -174,10 +174,10 @@
 func (l *Link) countHedge() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ending != open || l.hedgedRequests >= maxHedgedRequests {
+	if l.ending != open || l.hedges >= maxHedgedRequests {
 		return false
 	}
-	l.hedgedRequests++
+	l.hedges++
 	l.counts.HedgedRequests++
 	return true
 }
@@ -185,7 +185,7 @@
 func (l *Link) uncountHedge() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hedgedRequests--
+	l.hedges--
 	l.quiescent.Broadcast()
 }
 
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -15,97 +15,97 @@
 const usualAnswer = hedgeMargin + 50*time.Millisecond
 
 func TestPollWithoutResponseIsHedged(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		before := b.link.Counts()
-		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
-		b.link.Stop(StopCommand{task(5), 1})
-		stopped := await(t, b.events, anyEvent[StopResult])
-		poll := await(t, b.events, outOfBand)
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		before := f.link.Counts()
+		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		f.link.Stop(StopCommand{task(5), 1})
+		stopped := await(t, f.events, anyEvent[StopResult])
+		poll := await(t, f.events, outOfBand)
 		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualAnswer)
 		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)      // of the request that was answered
 		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not of its answer
-		after := b.link.Counts()
+		after := f.link.Counts()
 		convey.So(after.Polls-before.Polls, convey.ShouldEqual, 1)
 		convey.So(after.HedgedRequests-before.HedgedRequests, convey.ShouldEqual, 1)
-		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 	})
 }
 
 func TestStopWithoutResponseIsHedged(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		commandedAt := time.Now()
-		b.link.Stop(StopCommand{task(0), 1})
-		convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+		f.link.Stop(StopCommand{task(0), 1})
+		convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, usualAnswer)
-		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
+		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
 		time.Sleep(6 * time.Second) // the first one is carried out, too
-		convey.So(b.start(startCommand(0, 2)), convey.ShouldEqual, Started)
-		convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 2)
+		convey.So(f.start(startCommand(0, 2)), convey.ShouldEqual, Started)
+		convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 2)
 	})
 }
 
 func TestStartWithoutResponseIsNotHedged(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		starts, hedged := b.worker.Calls(cluster.StartCall), b.link.Counts().HedgedRequests
-		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
-		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		starts, hedged := f.worker.Calls(cluster.StartCall), f.link.Counts().HedgedRequests
+		f.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		time.Sleep(5 * time.Second)
-		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
-		convey.So(b.link.Counts().HedgedRequests, convey.ShouldEqual, hedged)
+		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
+		convey.So(f.link.Counts().HedgedRequests, convey.ShouldEqual, hedged)
 	})
 }
 
 func TestStartTimeoutFallsWithTheLossRate(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		took := func(index int) time.Duration {
 			commandedAt := time.Now()
-			convey.So(b.start(startCommand(index, 1)), convey.ShouldEqual, Unclear)
+			convey.So(f.start(startCommand(index, 1)), convey.ShouldEqual, Unclear)
 			return time.Since(commandedAt)
 		}
 		convey.So(took(1), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
 		convey.So(took(2), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
 		convey.So(took(3), convey.ShouldBeLessThan, minCommandTimeout/2)
 		for i := range 10 {
-			convey.So(b.start(startCommand(4+i, 1)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(4+i, 1)), convey.ShouldEqual, Started)
 		}
-		b.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(took(20), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
-		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each one once
+		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each one once
 	})
 }
 
 func TestNoHedgeIsSentAfterTheLeaderLease(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
-		b.link.Stop(StopCommand{task(0), 1})
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
+		f.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(hedgeMargin / 2)
-		b.invalid.Store(true)
+		f.invalid.Store(true)
 		time.Sleep(time.Second)
-		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 1)
-		convey.So(b.link.Counts().HedgedRequests, convey.ShouldEqual, 0)
+		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 1)
+		convey.So(f.link.Counts().HedgedRequests, convey.ShouldEqual, 0)
 	})
 }
 
 func TestHedgesAreBounded(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		for i := range 3 * maxCommandsInFlight {
-			b.link.Stop(StopCommand{task(i), 1})
+			f.link.Stop(StopCommand{task(i), 1})
 		}
 		time.Sleep(minCommandTimeout - time.Millisecond) // before the first ones are given up
 		synctest.Wait()
-		convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, maxCommandsInFlight+maxHedgedRequests)
-		convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
-		b.link.Close() // gives up the hedged requests, too: Run returns
+		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, maxCommandsInFlight+maxHedgedRequests)
+		convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
+		f.link.Close() // gives up the hedged requests, too: Run returns
 	})
 }
 
 func TestAFailedHedgeLeavesTheCallToTheOthers(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		calls := 0
-		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
+		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call != cluster.StopCall {
 				return cluster.Fault{}
 			}
@@ -118,10 +118,10 @@
 			}
 		})
 		commandedAt := time.Now()
-		b.link.Stop(StopCommand{task(0), 1})
-		convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+		f.link.Stop(StopCommand{task(0), 1})
+		convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(commandedAt), convey.ShouldBeBetween, 2*spareMargin, 2*spareMargin+50*time.Millisecond)
-		convey.So(b.link.Counts().HedgedRequests, convey.ShouldBeGreaterThan, 0)
+		convey.So(f.link.Counts().HedgedRequests, convey.ShouldBeGreaterThan, 0)
 	})
 }
 
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -77,5 +77,5 @@
 		return false
 	}
 	idle := !l.activity.mayHaveWork && l.config.Connections.idlePollInterval(l.pace.maxIdleInterval) > 0
-	return !idle && l.lane.beginLongPoll()
+	return !idle && l.pool.beginLongPoll()
 }
--- a/internal/jobs/workerclient/leaderlease_test.go
+++ b/internal/jobs/workerclient/leaderlease_test.go
@@ -14,27 +14,27 @@
 func TestNoCommandIsSentAfterTheLeaderLease(t *testing.T) {
 	const way, meanwhile = time.Millisecond, 300 * time.Millisecond // shorter than a renewal, longer than a command
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryFixture(t, way)
-		defer b.close()
-		b.connect(1)
+		f := newMemoryFixture(t, way)
+		defer f.close()
+		f.connect(1)
 		convey.Convey("Given a worker that holds runs, so that commands go out at once", t, func() {
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("a start after the lease is not sent, and certainly did nothing", t, func() {
-			b.invalid.Store(true)
-			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
-			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
-			convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 1)
-			b.invalid.Store(false)
+			f.invalid.Store(true)
+			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
+			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
+			convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 1)
+			f.invalid.Store(false)
 		})
 		convey.Convey("a stop after the lease waits until there is one again", t, func() {
-			convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
-			b.invalid.Store(true)
-			b.link.Stop(StopCommand{task(2), 1})
+			convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
+			f.invalid.Store(true)
+			f.link.Stop(StopCommand{task(2), 1})
 			<-time.After(meanwhile)
-			convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 0)
-			b.invalid.Store(false)
-			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+			convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 0)
+			f.invalid.Store(false)
+			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 	})
 }
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -32,153 +32,153 @@
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	w := &simulation{t: t, now: time.Unix(1000, 0), zero: time.Unix(900, 0)}
-	w.first = time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "first reading"))
-	w.rate = rapid.Float64Range(0.98, 1).Draw(t, "rate")
-	w.link = NewLink(Config{
+	s := &simulation{t: t, now: time.Unix(1000, 0), zero: time.Unix(900, 0)}
+	s.first = time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "first reading"))
+	s.rate = rapid.Float64Range(0.98, 1).Draw(t, "rate")
+	s.link = NewLink(Config{
 		MaxLease: testMaxLease, Events: newRecorder(), HTTP: http.DefaultClient,
-		Now: func() time.Time { return w.now }, LeaderLeaseValid: func() bool { return true },
+		Now: func() time.Time { return s.now }, LeaderLeaseValid: func() bool { return true },
 	})
-	return w
+	return s
 }
 
-func (w *simulation) clock(at time.Time) time.Duration {
-	return w.first + time.Duration(float64(at.Sub(w.zero))*w.rate)
+func (s *simulation) clock(at time.Time) time.Duration {
+	return s.first + time.Duration(float64(at.Sub(s.zero))*s.rate)
 }
 
-func (w *simulation) draw(most time.Duration, label string) time.Duration {
-	return time.Duration(rapid.Int64Range(0, int64(most)).Draw(w.t, label))
+func (s *simulation) draw(most time.Duration, label string) time.Duration {
+	return time.Duration(rapid.Int64Range(0, int64(most)).Draw(s.t, label))
 }
 
 // executed notes a grant that takes effect at a time; it may count from then on instead of from when it was sent.
-func (w *simulation) executed(validUntil time.Duration, sent, at time.Time, fromArrival bool) {
+func (s *simulation) executed(validUntil time.Duration, sent, at time.Time, fromArrival bool) {
 	if fromArrival {
-		validUntil += w.clock(at) - w.clock(sent)
+		validUntil += s.clock(at) - s.clock(sent)
 	}
-	validUntil = min(validUntil, w.clock(at)+testMaxLease)
-	if validUntil <= w.clock(at) {
+	validUntil = min(validUntil, s.clock(at)+testMaxLease)
+	if validUntil <= s.clock(at) {
 		return
 	}
-	local := time.Duration(float64(validUntil-w.clock(at)) / w.rate)
-	w.leasesExpired = later(w.leasesExpired, at.Add(local))
+	local := time.Duration(float64(validUntil-s.clock(at)) / s.rate)
+	s.leasesExpired = later(s.leasesExpired, at.Add(local))
 }
 
 // send decides what becomes of a call: validUntil is 0 where it carries no grant.
-func (w *simulation) send(validUntil, wait, timeout time.Duration, settle func(a workerResponse, err error, received time.Time)) {
-	sent := w.now
-	if validUntil > w.clock(sent)+testMaxLease {
-		w.t.Fatalf("grant reaches %v beyond the longest hold", validUntil-w.clock(sent)-testMaxLease)
+func (s *simulation) send(validUntil, wait, timeout time.Duration, settle func(a workerResponse, err error, received time.Time)) {
+	sent := s.now
+	if validUntil > s.clock(sent)+testMaxLease {
+		s.t.Fatalf("grant reaches %v beyond the longest hold", validUntil-s.clock(sent)-testMaxLease)
 	}
-	if rapid.IntRange(0, 3).Draw(w.t, "lost or late") == 0 {
-		if rapid.Bool().Draw(w.t, "given up early") {
-			timeout = w.draw(timeout, "time-out")
+	if rapid.IntRange(0, 3).Draw(s.t, "lost or late") == 0 {
+		if rapid.Bool().Draw(s.t, "given up early") {
+			timeout = s.draw(timeout, "time-out")
 		}
-		left := sent.Add(w.draw(timeout, "way there"))
-		if validUntil != 0 && rapid.Bool().Draw(w.t, "late") {
-			at := left.Add(w.draw(maxLateExecution, "delay"))
-			w.executed(validUntil, left, at, rapid.Bool().Draw(w.t, "from arrival"))
+		left := sent.Add(s.draw(timeout, "way there"))
+		if validUntil != 0 && rapid.Bool().Draw(s.t, "late") {
+			at := left.Add(s.draw(maxLateExecution, "delay"))
+			s.executed(validUntil, left, at, rapid.Bool().Draw(s.t, "from arrival"))
 		}
-		w.calls = append(w.calls, callInFlight{sent.Add(timeout), func(received time.Time) {
+		s.calls = append(s.calls, callInFlight{sent.Add(timeout), func(received time.Time) {
 			settle(workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), received)
 		}})
 		return
 	}
-	left := sent.Add(w.draw(timeout, "way there"))
+	left := sent.Add(s.draw(timeout, "way there"))
 	if validUntil != 0 {
-		w.executed(validUntil, sent, left, false)
+		s.executed(validUntil, sent, left, false)
 	}
-	readAt := left.Add(w.draw(wait, "wait"))
-	received := readAt.Add(w.draw(100*time.Millisecond, "way back"))
-	clockMS := w.clock(readAt).Milliseconds()
-	w.calls = append(w.calls, callInFlight{received, func(received time.Time) {
+	readAt := left.Add(s.draw(wait, "wait"))
+	received := readAt.Add(s.draw(100*time.Millisecond, "way back"))
+	clockMS := s.clock(readAt).Milliseconds()
+	s.calls = append(s.calls, callInFlight{received, func(received time.Time) {
 		settle(workerResponse{http.StatusOK, responseBody{ClockMS: &clockMS}}, nil, received)
 	}})
 }
 
-func (w *simulation) renew() {
-	c := w.link.beginRenewal()
+func (s *simulation) renew() {
+	c := s.link.beginRenewal()
 	wait := time.Duration(c.request.waitMS) * time.Millisecond
-	w.send(c.validUntil, wait, c.timeout, func(a workerResponse, err error, received time.Time) {
-		w.link.settleListCall(c, a, err, received)
-		if err != nil && rapid.Bool().Draw(w.t, "no look is answered instead") {
-			w.link.setContact(unreachable)
+	s.send(c.validUntil, wait, c.timeout, func(a workerResponse, err error, received time.Time) {
+		s.link.settleListCall(c, a, err, received)
+		if err != nil && rapid.Bool().Draw(s.t, "no look is answered instead") {
+			s.link.setContact(unreachable)
 		} else {
-			w.link.activity.listed = w.link.activity.listed || err == nil
-			w.link.setContact(reachable)
+			s.link.activity.listed = s.link.activity.listed || err == nil
+			s.link.setContact(reachable)
 		}
-		w.renew()
+		s.renew()
 	})
 }
 
 // look makes a call for the lists beside the renewal.
-func (w *simulation) poll() {
-	c := w.link.beginPoll(w.link.roundTrips.pollTimeout())
-	w.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
-		w.link.settleListCall(c, a, err, received)
+func (s *simulation) poll() {
+	c := s.link.beginPoll(s.link.roundTrips.pollTimeout())
+	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
+		s.link.settleListCall(c, a, err, received)
 	})
 }
 
-func (w *simulation) start() {
-	if !w.link.startable(w.now) {
+func (s *simulation) start() {
+	if !s.link.startable(s.now) {
 		return
 	}
-	if w.clock(w.now)+w.link.pace.minLeaseLead > w.link.lease.confirmed.validUntil {
-		w.t.Fatal("a start is held for too short a time")
+	if s.clock(s.now)+s.link.pace.minLeaseLead > s.link.lease.confirmed.validUntil {
+		s.t.Fatal("a start is held for too short a time")
 	}
-	c := w.link.beginStart()
-	w.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
-		w.link.settleStart(c, a, err, received)
+	c := s.link.beginStart()
+	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
+		s.link.settleStart(c, a, err, received)
 	})
 }
 
 // advance moves the time to the next end of a call, or by the given time if there is none before.
-func (w *simulation) advance(by time.Duration) {
-	end := w.now.Add(by)
+func (s *simulation) advance(by time.Duration) {
+	end := s.now.Add(by)
 	for {
 		next := -1
-		for i, f := range w.calls {
-			if !f.due.After(end) && (next < 0 || f.due.Before(w.calls[next].due)) {
+		for i, f := range s.calls {
+			if !f.due.After(end) && (next < 0 || f.due.Before(s.calls[next].due)) {
 				next = i
 			}
 		}
 		if next < 0 {
-			w.now = end
+			s.now = end
 			return
 		}
-		f := w.calls[next]
-		w.calls = append(w.calls[:next], w.calls[next+1:]...)
-		w.now = f.due
+		f := s.calls[next]
+		s.calls = append(s.calls[:next], s.calls[next+1:]...)
+		s.now = f.due
 		f.settle(f.due)
-		w.check()
+		s.check()
 	}
 }
 
-func (w *simulation) check() {
-	if expiredBy := w.link.LeasesExpiredBy(); expiredBy.Before(w.leasesExpired) {
-		w.t.Fatalf("LapsedBy is %v before the truth", w.leasesExpired.Sub(expiredBy))
+func (s *simulation) check() {
+	if expiredBy := s.link.LeasesExpiredBy(); expiredBy.Before(s.leasesExpired) {
+		s.t.Fatalf("LapsedBy is %v before the truth", s.leasesExpired.Sub(expiredBy))
 	}
-	if !w.link.lease.clock.known {
+	if !s.link.lease.clock.known {
 		return
 	}
-	clock := w.clock(w.now)
-	if low, high := w.link.lease.clock.lowest(w.now), w.link.lease.clock.highest(w.now); low > clock || clock > high {
-		w.t.Fatalf("clock shows %v, bounds are %v and %v", clock, low, high)
+	clock := s.clock(s.now)
+	if low, high := s.link.lease.clock.lowest(s.now), s.link.lease.clock.highest(s.now); low > clock || clock > high {
+		s.t.Fatalf("clock shows %v, bounds are %v and %v", clock, low, high)
 	}
 }
 
 func TestLeaseExpiryIsNeverTooEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t)
-		w.renew()
+		s := newSimulation(t)
+		s.renew()
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			w.advance(w.draw(700*time.Millisecond, "pause"))
+			s.advance(s.draw(700*time.Millisecond, "pause"))
 			if rapid.Bool().Draw(t, "start") {
-				w.start()
+				s.start()
 			}
 			if rapid.Bool().Draw(t, "look") {
-				w.poll()
+				s.poll()
 			}
-			w.check()
+			s.check()
 		}
 	})
 }
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -55,7 +55,7 @@
 type Link struct {
 	config Config
 	caller *caller
-	lane   *hostPool
+	pool   *hostPool
 	log    *zap.Logger
 	now    func() time.Time
 	pace   pace
@@ -78,10 +78,10 @@
 	acknowledged   uint64
 	lease          leaseState
 	roundTrips     roundTrips
-	pending        *pendingRenewal // nil before the first one
+	pendingRenewal *pendingRenewal // nil before the first one
 	polls          pollState
 	commands       commandQueue
-	hedgedRequests int // further hedged requests of idempotent calls under way
+	hedges         int // further hedged requests of idempotent calls under way
 	counts         Counts
 }
 
@@ -118,7 +118,7 @@
 	if l.config.Connections == nil {
 		l.config.Connections = unlimited()
 	}
-	l.lane = l.config.Connections.join(config.Instance.Address)
+	l.pool = l.config.Connections.join(config.Instance.Address)
 	l.caller = newCaller(config.HTTP, config.Instance.Address, config.Instance.ID, config.LeaderLeaseValid)
 	l.roundTrips.minTimeout = config.MinTimeout
 	if l.log == nil {
@@ -220,8 +220,8 @@
 	if to == reachable {
 		l.health.responded()
 	}
-	if changed && to == unreachable && l.pending != nil {
-		l.pending.abandon() // the renewal loop looks for the worker
+	if changed && to == unreachable && l.pendingRenewal != nil {
+		l.pendingRenewal.abandon() // the renewal loop looks for the worker
 	}
 	l.dispatch()
 	l.mu.Unlock()
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -22,72 +22,72 @@
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a worker of four cores that guards its capacity", t, func() {
-		b := newFixture(t, needsCores(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
-		convey.Reset(b.close)
-		awaitReturn := b.connect(7)
-		first := await(t, b.events, anyEvent[Listing])
+		f := newFixture(t, needsCores(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
+		convey.Reset(f.close)
+		awaitReturn := f.connect(7)
+		first := await(t, f.events, anyEvent[Listing])
 		convey.So(first.First, convey.ShouldBeTrue)
 
 		convey.Convey("a start is answered, also when the attempt is there already", func() {
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
-			convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 1)
-			convey.So(b.cluster.Runs()[0].FencingToken, convey.ShouldEqual, 7)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 1)
+			convey.So(f.cluster.Runs()[0].FencingToken, convey.ShouldEqual, 7)
 		})
 		convey.Convey("what does not fit is rejected", func() {
-			convey.So(b.start(startCommand(4, 1)), convey.ShouldEqual, RejectedCapacity)
+			convey.So(f.start(startCommand(4, 1)), convey.ShouldEqual, RejectedCapacity)
 		})
 		convey.Convey("an attempt that was stopped before it came is rejected as old", func() {
-			b.link.Stop(StopCommand{task(1), 3})
-			stopped := await(t, b.events, anyEvent[StopResult])
+			f.link.Stop(StopCommand{task(1), 3})
+			stopped := await(t, f.events, anyEvent[StopResult])
 			convey.So(stopped.Answered, convey.ShouldBeTrue)
-			convey.So(b.start(startCommand(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
-			convey.So(b.start(startCommand(1, 4)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
+			convey.So(f.start(startCommand(1, 4)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("a command that the worker cannot read is invalid", func() {
-			convey.So(b.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
+			convey.So(f.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
 		convey.Convey("an unhealthy worker did nothing", func() {
-			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
-			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
-			convey.So(b.cluster.Runs(), convey.ShouldBeEmpty)
+			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
+			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
+			convey.So(f.cluster.Runs(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("any other status is unclear", func() {
-			b.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 500}))
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
+			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 500}))
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
 		})
 		convey.Convey("a start that never leaves is not sent", func() {
-			b.invalid.Store(true)
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
-			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
-			b.link.Stop(StopCommand{task(1), 1})
-			b.invalid.Store(false)
-			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+			f.invalid.Store(true)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
+			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
+			f.link.Stop(StopCommand{task(1), 1})
+			f.invalid.Store(false)
+			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 		convey.Convey("a crash ends the link", func() {
-			b.worker.Crash("i-2")
-			await(t, b.events, anyEvent[Gone])
+			f.worker.Crash("i-2")
+			await(t, f.events, anyEvent[Gone])
 			awaitReturn()
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, IncarnationOver)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, IncarnationOver)
 		})
 		convey.Convey("a higher token deposes the link", func() {
-			old := b.link
-			b.connect(8)
-			await(t, b.events, anyEvent[Fenced])
-			convey.So(len(eventsOf[Fenced](b.events)), convey.ShouldEqual, 1)
-			b.link, old = old, b.link
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, RejectedFencingToken)
-			b.link = old
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			old := f.link
+			f.connect(8)
+			await(t, f.events, anyEvent[Fenced])
+			convey.So(len(eventsOf[Fenced](f.events)), convey.ShouldEqual, 1)
+			f.link, old = old, f.link
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedFencingToken)
+			f.link = old
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("a closed link sends nothing and reports every command", func() {
-			b.link.Close()
+			f.link.Close()
 			awaitReturn()
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
-			b.link.Stop(StopCommand{task(0), 1})
-			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeFalse)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
+			f.link.Stop(StopCommand{task(0), 1})
+			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeFalse)
 		})
 	})
 }
@@ -108,53 +108,53 @@
 func TestListings(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given attempts at a worker", t, func() {
-		b := newFixture(t, needsCores(), cluster.WorkerConfig{})
-		convey.Reset(b.close)
-		b.connect(1)
+		f := newFixture(t, needsCores(), cluster.WorkerConfig{})
+		convey.Reset(f.close)
+		f.connect(1)
 		const text = "quotes \" and \\ and \n and <ü> \u2028"
 		started := StartCommand{task(0), 1, text, "00000bb8"}
-		convey.So(b.start(started), convey.ShouldEqual, Started)
-		convey.So(b.start(startCommand(1, 5)), convey.ShouldEqual, Started)
+		convey.So(f.start(started), convey.ShouldEqual, Started)
+		convey.So(f.start(startCommand(1, 5)), convey.ShouldEqual, Started)
 
 		convey.Convey("text and checkpoint arrive unchanged", func() {
-			record := b.cluster.Runs()[0]
+			record := f.cluster.Runs()[0]
 			convey.So(record.Specification, convey.ShouldEqual, text)
 			convey.So(record.Checkpoint, convey.ShouldEqual, "00000bb8")
 		})
 		convey.Convey("they are listed, and a completion is at once", func() {
-			both := await(t, b.events, func(l Listing) bool { return len(l.Running) == 2 })
+			both := await(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
 			convey.So(both.Running[1].AttemptNumber, convey.ShouldEqual, 5)
 			convey.So(both.Running[0].Checkpoint, convey.ShouldEqual, "00000bb8")
-			convey.So(b.worker.Finish(task(1), job.OutcomeFailed), convey.ShouldBeNil)
-			listed := await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
+			convey.So(f.worker.Finish(task(1), job.OutcomeFailed), convey.ShouldBeNil)
+			listed := await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(listed.Finished[0].CompletionNumber, convey.ShouldEqual, 1)
 			convey.So(listed.Finished[0].How, convey.ShouldEqual, job.OutcomeFailed)
 			convey.So(listed.Partial, convey.ShouldBeFalse)
 
 			convey.Convey("again and again until it is acknowledged", func() {
-				seen := len(eventsOf[Listing](b.events))
-				awaitAfter(t, b.events, seen, func(l Listing) bool { return len(l.Finished) == 1 })
-				b.link.Acknowledge(1)
+				seen := len(eventsOf[Listing](f.events))
+				awaitAfter(t, f.events, seen, func(l Listing) bool { return len(l.Finished) == 1 })
+				f.link.Acknowledge(1)
 				acknowledged := time.Now()
-				next := await(t, b.events, func(l Listing) bool { return l.SentAt.After(acknowledged) })
+				next := await(t, f.events, func(l Listing) bool { return l.SentAt.After(acknowledged) })
 				convey.So(next.Finished, convey.ShouldBeEmpty)
-				convey.So(b.cluster.Runs()[1].Acknowledged, convey.ShouldBeTrue)
+				convey.So(f.cluster.Runs()[1].Acknowledged, convey.ShouldBeTrue)
 			})
 		})
 		convey.Convey("they come in the order in which they were asked for, but for polls, and one event at a time", func() {
 			for range 3 {
-				await(t, b.events, anyEvent[Listing])
-				b.link.Stop(StopCommand{task(0), 1})
+				await(t, f.events, anyEvent[Listing])
+				f.link.Stop(StopCommand{task(0), 1})
 			}
-			awaitAfter(t, b.events, 3, anyEvent[Listing])
-			listings := eventsOf[Listing](b.events)
+			awaitAfter(t, f.events, 3, anyEvent[Listing])
+			listings := eventsOf[Listing](f.events)
 			listings = slices.DeleteFunc(listings, func(l Listing) bool { return l.OutOfBand })
 			for i, listing := range listings[1:] {
 				convey.So(listing.SentAt, convey.ShouldHappenOnOrAfter, listings[i].SentAt)
 				convey.So(listing.First, convey.ShouldBeFalse)
 			}
-			convey.So(b.events.concurrent.Load(), convey.ShouldBeFalse)
+			convey.So(f.events.concurrent.Load(), convey.ShouldBeFalse)
 		})
 	})
 }
@@ -162,31 +162,31 @@
 func TestManyCompletions(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given more completions than one answer lists", t, func() {
-		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
-		convey.Reset(b.close)
-		b.events.onListing = func(l Listing) {
+		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
+		convey.Reset(f.close)
+		f.events.onListing = func(l Listing) {
 			if completions := len(l.Finished); completions > 0 {
-				b.link.Acknowledge(l.Finished[completions-1].CompletionNumber)
+				f.link.Acknowledge(l.Finished[completions-1].CompletionNumber)
 			}
 		}
-		b.connect(1)
+		f.connect(1)
 		const runs = maxFinishedPerResponse + 20
 		for i := range runs {
-			b.link.Start(startCommand(i, 1))
+			f.link.Start(startCommand(i, 1))
 		}
 		for i := range runs {
-			await(t, b.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
+			await(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
 		}
-		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+		f.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 		for i := range runs {
-			convey.So(b.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
+			convey.So(f.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 		}
-		b.worker.SetFaults(nil)
+		f.worker.SetFaults(nil)
 		convey.Convey("all are received, and a full page is marked", func() {
 			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].CompletionNumber == runs }
-			await(t, b.events, last)
+			await(t, f.events, last)
 			received := map[uint64]bool{}
-			for _, listing := range eventsOf[Listing](b.events) {
+			for _, listing := range eventsOf[Listing](f.events) {
 				convey.So(listing.Partial, convey.ShouldEqual, len(listing.Finished) == maxFinishedPerResponse)
 				for _, end := range listing.Finished {
 					received[end.CompletionNumber] = true
@@ -195,7 +195,7 @@
 			convey.So(received, convey.ShouldHaveLength, runs)
 		})
 		convey.Convey("few connections are used", func() {
-			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
+			convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
 		})
 	})
 }
@@ -203,39 +203,39 @@
 func TestLink(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a link to an idle worker", t, func() {
-		b := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
-		convey.Reset(b.close)
+		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
+		convey.Reset(f.close)
 		convey.Convey("nothing is granted before the first listing, and then the attempts are held", func() {
-			b.connect(1)
-			await(t, b.events, anyEvent[Listing])
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
-			granted := b.worker.HeldUntil()
-			awaitAfter(t, b.events, len(eventsOf[Listing](b.events))+2, anyEvent[Listing])
-			convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, granted)
-			convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, b.worker.HeldUntil())
+			f.connect(1)
+			await(t, f.events, anyEvent[Listing])
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			granted := f.worker.HeldUntil()
+			awaitAfter(t, f.events, len(eventsOf[Listing](f.events))+2, anyEvent[Listing])
+			convey.So(f.worker.HeldUntil(), convey.ShouldHappenAfter, granted)
+			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, f.worker.HeldUntil())
 		})
 		convey.Convey("one connection is made for renewals and few for commands", func() {
-			b.connect(1)
+			f.connect(1)
 			for i := range 50 {
-				convey.So(b.start(startCommand(i, 1)), convey.ShouldEqual, Started)
+				convey.So(f.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 			}
-			convey.So(b.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
+			convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
 		convey.Convey("a start that waits for a grant is given back when the lease completions before", func() {
-			b.events.onListing = func(Listing) { b.invalid.Store(true) }
-			b.connect(1)
-			await(t, b.events, anyEvent[Listing])
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
+			f.events.onListing = func(Listing) { f.invalid.Store(true) }
+			f.connect(1)
+			await(t, f.events, anyEvent[Listing])
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 		})
 		convey.Convey("without a lease nothing is sent at all", func() {
-			b.invalid.Store(true)
-			awaitReturn := b.connect(1)
-			b.link.Start(startCommand(0, 1))
-			b.link.Close()
+			f.invalid.Store(true)
+			awaitReturn := f.connect(1)
+			f.link.Start(startCommand(0, 1))
+			f.link.Close()
 			awaitReturn()
-			convey.So(await(t, b.events, anyEvent[StartResult]).Outcome, convey.ShouldEqual, NotSent)
-			convey.So(b.worker.Calls(cluster.HoldCall), convey.ShouldEqual, 0)
-			convey.So(b.link.LeasesExpiredBy().IsZero(), convey.ShouldBeTrue)
+			convey.So(await(t, f.events, anyEvent[StartResult]).Outcome, convey.ShouldEqual, NotSent)
+			convey.So(f.worker.Calls(cluster.HoldCall), convey.ShouldEqual, 0)
+			convey.So(f.link.LeasesExpiredBy().IsZero(), convey.ShouldBeTrue)
 		})
 	})
 }
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -38,9 +38,9 @@
 
 // pollInTurn makes one poll once there is a connection for it, and reports whether another one may be due.
 func (l *Link) pollInTurn() bool {
-	begun := l.lane.acquire(l.done)
+	begun := l.pool.acquire(l.done)
 	if begun {
-		defer l.lane.release()
+		defer l.pool.release()
 	}
 	c, due := l.nextPoll(begun && l.config.LeaderLeaseValid())
 	if due {
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -15,34 +15,34 @@
 const oneWayDelay = 3 * time.Millisecond
 
 // simulate runs a test in virtual time with a link whose worker runs task 0 and holds the first waiting hold.
-func simulate(t *testing.T, way time.Duration, test func(t *testing.T, b *fixture)) {
+func simulate(t *testing.T, way time.Duration, test func(t *testing.T, f *fixture)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryFixture(t, way)
-		defer b.close()
-		b.connect(1)
+		f := newMemoryFixture(t, way)
+		defer f.close()
+		f.connect(1)
 		convey.Convey("Given a worker that runs a task", t, func() {
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			time.Sleep(time.Second) // until the round trips are known
-			b.awaitRenewal()
-			test(t, b)
+			f.awaitRenewal()
+			test(t, f)
 		})
 	})
 }
 
 // awaitRenewal waits until a renewal is under way that was sent after this call.
-func (b *fixture) awaitRenewal() {
-	calls := b.worker.Calls(cluster.HoldCall)
-	for b.worker.Calls(cluster.HoldCall) == calls {
+func (f *fixture) awaitRenewal() {
+	calls := f.worker.Calls(cluster.HoldCall)
+	for f.worker.Calls(cluster.HoldCall) == calls {
 		time.Sleep(time.Millisecond)
 	}
 	synctest.Wait() // until the worker has carried it out
 }
 
 // acknowledgeAll acknowledges every end as soon as it is received.
-func (b *fixture) acknowledgeAll() {
-	b.events.onListing = func(l Listing) {
+func (f *fixture) acknowledgeAll() {
+	f.events.onListing = func(l Listing) {
 		if completions := len(l.Finished); completions > 0 {
-			b.link.Acknowledge(l.Finished[completions-1].CompletionNumber)
+			f.link.Acknowledge(l.Finished[completions-1].CompletionNumber)
 		}
 	}
 }
@@ -73,8 +73,8 @@
 	}
 }
 
-func reportedUnreachable(b *fixture) bool {
-	for _, change := range eventsOf[ReachabilityChange](b.events) {
+func reportedUnreachable(f *fixture) bool {
+	for _, change := range eventsOf[ReachabilityChange](f.events) {
 		if !change.Reachable {
 			return true
 		}
@@ -85,150 +85,150 @@
 func outOfBand(l Listing) bool { return l.OutOfBand }
 
 func TestOverdueRenewal(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
-		b.awaitRenewal()
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
+		f.awaitRenewal()
 		lost := time.Now()
-		poll := await(t, b.events, outOfBand)
+		poll := await(t, f.events, outOfBand)
 		convey.So(poll.Running, convey.ShouldHaveLength, 1)
 		convey.So(poll.SentAt.Sub(lost), convey.ShouldBeBetween, longPollWait, longPollWait+minOverdueDelay+time.Millisecond)
 		abandoned := time.Now()
 		synctest.Wait()
-		convey.So(b.link.LeasesExpiredBy(), convey.ShouldHappenAfter, abandoned.Add(maxLateExecution+testMaxLease-2*time.Second))
+		convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenAfter, abandoned.Add(maxLateExecution+testMaxLease-2*time.Second))
 
-		b.awaitRenewal() // the next one follows at once
+		f.awaitRenewal() // the next one follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
-		convey.So(b.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
-		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
+		convey.So(f.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
+		convey.So(f.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
 		ended := time.Now()
-		await(t, b.events, func(l Listing) bool { return len(l.Finished) == 1 })
+		await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
 		convey.So(time.Since(ended), convey.ShouldBeLessThan, 10*time.Millisecond)
-		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
-		convey.So(b.link.Counts().OverdueRenewals, convey.ShouldEqual, 1)
-		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
+		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
+		convey.So(f.link.Counts().OverdueRenewals, convey.ShouldEqual, 1)
+		convey.So(f.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
 }
 
 func TestFirstPollIsHedged(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryFixture(t, oneWayDelay)
-		defer b.close()
+		f := newMemoryFixture(t, oneWayDelay)
+		defer f.close()
 		convey.Convey("Given a worker that leaves the first call without an answer", t, func() {
-			b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+			f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 			began := time.Now()
-			b.connect(1)
-			listing := await(t, b.events, anyEvent[Listing])
+			f.connect(1)
+			listing := await(t, f.events, anyEvent[Listing])
 			convey.So(listing.First, convey.ShouldBeTrue)
 			convey.So(listing.OutOfBand, convey.ShouldBeTrue)
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(time.Since(began), convey.ShouldBeLessThan, initialMargin+50*time.Millisecond)
-			convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
+			convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 		})
 	})
 }
 
 func TestHedgeWithoutAnswer(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
-		b.awaitRenewal()
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+		f.awaitRenewal()
 		lost := time.Now()
-		await(t, b.events, func(r ReachabilityChange) bool { return !r.Reachable })
-		b.worker.SetFaults(nil)
+		await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
+		f.worker.SetFaults(nil)
 		convey.So(time.Since(lost), convey.ShouldBeBetween, 1550*time.Millisecond, 1650*time.Millisecond)
-		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
-		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
+		convey.So(f.link.Counts().Polls, convey.ShouldEqual, 1)
+		awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 		convey.So(time.Since(lost), convey.ShouldBeLessThan, 1850*time.Millisecond)
 	})
 }
 
 func TestPollAfterUnclearStart(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}
-		b.worker.SetFaults(first(1, cluster.StartCall, late))
-		renewals := b.link.Counts().Renewals
+		f.worker.SetFaults(first(1, cluster.StartCall, late))
+		renewals := f.link.Counts().Renewals
 		sent := time.Now()
-		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
+		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		convey.So(time.Since(sent), convey.ShouldBeLessThanOrEqualTo, minCommandTimeout)
-		poll := await(t, b.events, outOfBand)
+		poll := await(t, f.events, outOfBand)
 		convey.So(time.Since(sent), convey.ShouldBeLessThan, minCommandTimeout+10*time.Millisecond)
-		result := eventsOf[StartResult](b.events)[1]
+		result := eventsOf[StartResult](f.events)[1]
 		convey.So(poll.SentAt, convey.ShouldHappenAfter, result.At)
 		convey.So(poll.Running, convey.ShouldHaveLength, 1)
 		convey.So(poll.Stale, convey.ShouldBeFalse)
-		convey.So(b.link.Counts().Renewals, convey.ShouldEqual, renewals) // the renewal goes on meanwhile
-		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
+		convey.So(f.link.Counts().Renewals, convey.ShouldEqual, renewals) // the renewal goes on meanwhile
+		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 
-		renewal := await(t, b.events, func(l Listing) bool {
+		renewal := await(t, f.events, func(l Listing) bool {
 			return !l.OutOfBand && l.SentAt.After(sent.Add(-longPollWait)) && len(l.Running) == 2
 		})
 		convey.So(renewal.SentAt, convey.ShouldHappenBefore, poll.SentAt)
 		convey.So(renewal.Stale, convey.ShouldBeFalse) // it was answered later
-		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 	})
 }
 
 func TestUnresponsiveAfterAStart(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
-		b.awaitRenewal()
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+		f.awaitRenewal()
 		silent := time.Now()
-		starts := b.worker.Calls(cluster.StartCall)
-		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
-		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for a poll's answer
-		convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
-		convey.So(reportedUnreachable(b), convey.ShouldBeTrue)
+		starts := f.worker.Calls(cluster.StartCall)
+		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
+		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for a poll's answer
+		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
+		convey.So(reportedUnreachable(f), convey.ShouldBeTrue)
 		polls := minCommandTimeout + 2*minPollTimeout // those after the start
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+10*time.Millisecond)
-		b.worker.SetFaults(nil)
-		awaitAfter(t, b.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was given up
+		f.worker.SetFaults(nil)
+		awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was given up
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+firstBackoff+20*time.Millisecond)
 	})
 }
 
 func TestLostPollIsRetried(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
-		b.link.Stop(StopCommand{task(5), 1})
-		stopped := await(t, b.events, anyEvent[StopResult])
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+		f.link.Stop(StopCommand{task(5), 1})
+		stopped := await(t, f.events, anyEvent[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
-		poll := await(t, b.events, outOfBand)
+		poll := await(t, f.events, outOfBand)
 		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeLessThan, minPollTimeout+50*time.Millisecond)
-		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 	})
 }
 
 func TestStopsShareAPoll(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		for i := range 10 {
-			b.link.Stop(StopCommand{task(5 + i), 1})
+			f.link.Stop(StopCommand{task(5 + i), 1})
 		}
 		for i := range 10 {
-			await(t, b.events, func(r StopResult) bool { return r.Command.Task == task(5+i) })
+			await(t, f.events, func(r StopResult) bool { return r.Command.Task == task(5+i) })
 		}
 		last := time.Now()
-		poll := await(t, b.events, outOfBand)
+		poll := await(t, f.events, outOfBand)
 		convey.So(poll.SentAt, convey.ShouldHappenWithin, 2*pollMergeDelay, last)
 		time.Sleep(time.Second)
-		convey.So(b.link.Counts().Polls, convey.ShouldEqual, 1)
+		convey.So(f.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
 }
 
 func TestStaleListing(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.acknowledgeAll()
-		b.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
-		b.awaitRenewal()
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.acknowledgeAll()
+		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
+		f.awaitRenewal()
 		sent := time.Now()
-		convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, Started)
-		convey.So(b.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the renewal is answered slowly
+		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Started)
+		convey.So(f.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil) // the renewal is answered slowly
 		time.Sleep(2 * time.Millisecond)
-		convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
-		b.link.Stop(StopCommand{task(5), 1})
-		poll := await(t, b.events, outOfBand)
+		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
+		f.link.Stop(StopCommand{task(5), 1})
+		poll := await(t, f.events, outOfBand)
 		convey.So(poll.Running, convey.ShouldHaveLength, 2)
 		convey.So(poll.Finished, convey.ShouldHaveLength, 1)
 		convey.So(poll.Stale, convey.ShouldBeFalse)
-		renewal := await(t, b.events, func(l Listing) bool { return l.Stale })
+		renewal := await(t, f.events, func(l Listing) bool { return l.Stale })
 		convey.So(renewal.OutOfBand, convey.ShouldBeFalse)
 		convey.So(renewal.SentAt, convey.ShouldHappenOnOrBefore, sent)
 		convey.So(renewal.Running, convey.ShouldHaveLength, 1)
@@ -237,71 +237,71 @@
 }
 
 func TestCompletionsBeforeAcknowledgement(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		for i := range 5 {
-			convey.So(b.start(startCommand(i, 1)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 		}
 		for i := range 5 { // none of them is acknowledged
-			convey.So(b.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
+			convey.So(f.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			ended := time.Now()
-			await(t, b.events, func(l Listing) bool { return len(l.Finished) == i+1 })
+			await(t, f.events, func(l Listing) bool { return len(l.Finished) == i+1 })
 			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedCompletionsTimeout+2*oneWayDelay)
 			time.Sleep(70 * time.Millisecond)
 		}
-		before := b.link.Counts()
-		listings := len(eventsOf[Listing](b.events))
+		before := f.link.Counts()
+		listings := len(eventsOf[Listing](f.events))
 		time.Sleep(900 * time.Millisecond)
-		after := b.link.Counts()
+		after := f.link.Counts()
 		convey.So(after.RepeatedCompletions-before.RepeatedCompletions, convey.ShouldBeBetween, 2, 8)
 		convey.So(after.Renewals-before.Renewals, convey.ShouldBeBetween, 2, 8)
-		for _, listing := range eventsOf[Listing](b.events)[listings:] {
+		for _, listing := range eventsOf[Listing](f.events)[listings:] {
 			convey.So(listing.Finished, convey.ShouldBeEmpty)
 		}
-		awaitAfter(t, b.events, listings, func(l Listing) bool { return len(l.Finished) == 5 }) // again in the end
-		b.link.Acknowledge(5)
+		awaitAfter(t, f.events, listings, func(l Listing) bool { return len(l.Finished) == 5 }) // again in the end
+		f.link.Acknowledge(5)
 		time.Sleep(time.Second)
-		convey.So(b.cluster.Runs()[4].Acknowledged, convey.ShouldBeTrue)
+		convey.So(f.cluster.Runs()[4].Acknowledged, convey.ShouldBeTrue)
 	})
 }
 
 func TestCallsInCalm(t *testing.T) {
 	const seconds, completions = 60, 12
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
-		b.acknowledgeAll()
-		before := b.worker.Calls(cluster.HoldCall)
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.acknowledgeAll()
+		before := f.worker.Calls(cluster.HoldCall)
 		for i := range completions {
 			time.Sleep(seconds / completions * time.Second)
-			convey.So(b.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
-			convey.So(b.worker.Finish(task(i+1), job.OutcomeDone), convey.ShouldBeNil)
+			convey.So(f.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
+			convey.So(f.worker.Finish(task(i+1), job.OutcomeDone), convey.ShouldBeNil)
 		}
-		calls := b.worker.Calls(cluster.HoldCall) - before
+		calls := f.worker.Calls(cluster.HoldCall) - before
 		convey.So(calls, convey.ShouldBeBetween, seconds-completions, seconds+completions)
-		counts := b.link.Counts()
+		counts := f.link.Counts()
 		convey.So(counts.Polls+counts.OverdueRenewals+counts.RepeatedCompletions, convey.ShouldEqual, 0)
 	})
 }
 
 func TestSlowWorkerIsNotHedged(t *testing.T) {
-	simulate(t, 150*time.Millisecond, func(t *testing.T, b *fixture) {
+	simulate(t, 150*time.Millisecond, func(t *testing.T, f *fixture) {
 		time.Sleep(10 * time.Second)
-		before := b.link.Counts()
+		before := f.link.Counts()
 		for i := range 20 {
-			convey.So(b.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
+			convey.So(f.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
 		}
 		time.Sleep(20 * time.Second)
-		after := b.link.Counts()
+		after := f.link.Counts()
 		convey.So(after.Polls, convey.ShouldEqual, before.Polls)
 		convey.So(after.OverdueRenewals, convey.ShouldEqual, before.OverdueRenewals)
-		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
+		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 	})
 }
 
 func TestFewLostCalls(t *testing.T) {
 	const lost = 20 // one in so many
-	simulate(t, oneWayDelay, func(t *testing.T, b *fixture) {
+	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
 		renewals, starts := every(lost, cluster.HoldCall, late), every(lost, cluster.StartCall, late)
-		b.worker.SetFaults(func(call cluster.Call) cluster.Fault {
+		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call == cluster.HoldCall {
 				return renewals(call)
 			}
@@ -309,11 +309,11 @@
 		})
 		outcomes := map[StartOutcome]int{}
 		for i := range 200 {
-			outcomes[b.start(startCommand(i+1, 1))]++
+			outcomes[f.start(startCommand(i+1, 1))]++
 			time.Sleep(time.Second)
 		}
 		convey.So(outcomes, convey.ShouldResemble, map[StartOutcome]int{Started: 190, Unclear: 10})
-		convey.So(reportedUnreachable(b), convey.ShouldBeFalse)
-		convey.So(b.worker.Calls(cluster.HoldCall), convey.ShouldBeLessThan, 250)
+		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
+		convey.So(f.worker.Calls(cluster.HoldCall), convey.ShouldBeLessThan, 250)
 	})
 }
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -61,7 +61,7 @@
 // Run looks at the worker and then holds what attempts there, until the link is closed, the context ends, the worker's incarnation
 // is over or a higher fencing token was seen. It returns once everything was reported.
 func (l *Link) Run(ctx context.Context) {
-	defer l.lane.leave()
+	defer l.pool.leave()
 	defer l.cancel()
 	defer l.awaitSenders()
 	unlink := context.AfterFunc(ctx, l.Close)
@@ -90,10 +90,10 @@
 
 // renewInTurn makes one call once there is a connection for it, and reports whether the next one may follow.
 func (l *Link) renewInTurn() (again bool, last renewalAnswer) {
-	if !l.lane.acquire(l.done) {
+	if !l.pool.acquire(l.done) {
 		return false, renewalAnswer{}
 	}
-	defer l.lane.release()
+	defer l.pool.release()
 	valid := l.config.LeaderLeaseValid()
 	l.setSuspended(!valid)
 	if !valid {
@@ -113,7 +113,7 @@
 func (l *Link) awaitSenders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.commands.senders > 0 || l.polls.busy || l.hedgedRequests > 0 {
+	for l.commands.senders > 0 || l.polls.busy || l.hedges > 0 {
 		l.quiescent.Wait()
 	}
 }
@@ -123,7 +123,7 @@
 	c := l.beginRenewal()
 	response, err := l.postRenewal(c)
 	if c.request.waitMS > 0 {
-		l.lane.endLongPoll()
+		l.pool.endLongPoll()
 	}
 	received := l.now()
 	l.settleListCall(c, response, err, received)
@@ -180,7 +180,7 @@
 	defer abandon()
 	pending := &pendingRenewal{abandon: abandon}
 	l.mu.Lock()
-	l.pending = pending
+	l.pendingRenewal = pending
 	l.mu.Unlock()
 	if c.hedgeAfter > 0 {
 		timer := time.AfterFunc(c.hedgeAfter, func() { l.renewalOverdue(pending) })
@@ -193,7 +193,7 @@
 func (l *Link) renewalOverdue(pending *pendingRenewal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pending != pending {
+	if l.pendingRenewal != pending {
 		return
 	}
 	pending.markOverdue()
@@ -205,8 +205,8 @@
 func (l *Link) supersedeRenewal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pending != nil {
-		l.pending.supersede()
+	if l.pendingRenewal != nil {
+		l.pendingRenewal.supersede()
 	}
 }
 
@@ -217,7 +217,7 @@
 		return false
 	}
 	l.mu.Lock()
-	pending := l.pending
+	pending := l.pendingRenewal
 	if pending.progress == inTime { // its connection broke, or this process stood still
 		if l.now().Sub(c.sentAt) >= c.hedgeAfter {
 			pending.markOverdue()
@@ -267,7 +267,7 @@
 func (l *Link) delayAfter(last renewalAnswer) {
 	if newest := last.answer.newestCompletion(); newest > 0 {
 		l.awaitAcknowledgement(newest)
-		l.noteAcknowledged(last, newest)
+		l.markIdleIfAcknowledged(last, newest)
 		return
 	}
 	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.longPollWait/2 {
@@ -302,9 +302,9 @@
 	}
 }
 
-// noteAcknowledged notes that a worker is idle if its last answer lists nothing but completions that are durable by now. The next
+// markIdleIfAcknowledged notes that a worker is idle if its last answer lists nothing but completions that are durable by now. The next
 // call acknowledges them, however late it is.
-func (l *Link) noteAcknowledged(last renewalAnswer, newest uint64) {
+func (l *Link) markIdleIfAcknowledged(last renewalAnswer, newest uint64) {
 	reply := &last.answer.body
 	if len(reply.Running) > 0 || len(reply.Finished) >= maxFinishedPerResponse {
 		return
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -39,8 +39,8 @@
 	return s.runs[string(body)]
 }
 
-// TestStartsThatAreReset resets the connection at each byte of a start and of its answer.
-func TestStartsThatAreReset(t *testing.T) {
+// TestStartsOnConnectionsThatAreReset resets the connection at each byte of a start and of its answer.
+func TestStartsOnConnectionsThatAreReset(t *testing.T) {
 	t.Parallel()
 	for name, usedBefore := range map[string]bool{"a new connection": false, "a connection used before": true} {
 		convey.Convey("A start on "+name+" runs once at most, and is unclear", t, func() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestStartsAreNotSentAgain lets a worker break off a connection that was used before, after it has carried out a start.
-func TestStartsAreNotSentAgain(t *testing.T) {
+// TestStartsAreNotRetriedByNetHTTP lets a worker break off a connection that was used before, after it has carried out a start.
+func TestStartsAreNotRetriedByNetHTTP(t *testing.T) {
 	t.Parallel()
 	convey.Convey("A start whose answer is broken off is not sent again by net/http, whatever its headers say", t, func() {
 		counter := &startCounter{runs: map[string]int{}}
