--- a/internal/controlplane/fleet/command.go
+++ b/internal/controlplane/fleet/command.go
@@ -32,10 +32,10 @@
 const (
 	// againEvery is how often a command is sent anew where its answer may be lost.
 	againEvery  = 0.5
-	mostWaiting = 64 // as many as operators have connections, and those of other mixers
+	mostWaiting = 64 // as many as operators have connections, and those of other nodes
 )
 
-// command is one on its way, ours or another mixer's.
+// command is one on its way, ours or another node's.
 type command struct {
 	handed
 	reply chan answer     // ours
@@ -77,17 +77,17 @@
 	}
 }
 
-// check tells what is wrong with a command, by what this mixer's settings know.
+// check tells what is wrong with a command, by what this node's settings know.
 func (f *Fleet) check(c *consensus.Command) error {
 	switch {
 	case c.Contract != nil && c.Contract.Contract != nil:
 		return f.set.Site.Check(c.Contract.Tenant, c.Contract.Contract)
 	case c.Quota != nil && c.Quota.Quota != nil:
 		if !slices.Contains(f.set.Site.Tenants, string(c.Quota.Tenant)) {
-			return fmt.Errorf("tenant %q is none that the settings know, expected one of %q", c.Quota.Tenant, f.set.Site.Tenants)
+			return invalid("tenant %q is none that the settings know, expected one of %q", c.Quota.Tenant, f.set.Site.Tenants)
 		}
-		if wrong, _ := c.Quota.Quota.Check(len(f.set.Roster.Members)); wrong != "" {
-			return errors.New(wrong)
+		if fault, _ := c.Quota.Quota.Check(len(f.set.Roster.Members)); fault != "" {
+			return ValidationError(fault)
 		}
 	}
 	return nil
@@ -100,7 +100,7 @@
 	case err != nil:
 		c.reply <- answer{result: Result{Wrong: err.Error()}}
 	case len(f.waiting) >= mostWaiting:
-		c.reply <- answer{err: errors.New("too many commands wait")}
+		c.reply <- answer{err: errTooManyCommands}
 	default:
 		f.askNo++
 		c.No, c.until, c.again = f.askNo, f.now+commandWait, f.now
@@ -164,7 +164,7 @@
 	f.send(c.from, messageResult, handedBack{c.No, a.result, a.progress})
 }
 
-// handed takes another mixer's command.
+// handed takes another node's command.
 func (f *Fleet) handed(from membership.Name, h *handed) {
 	if !f.leads() || len(f.waiting) >= mostWaiting {
 		return // it asks again
@@ -237,7 +237,7 @@
 func (f *Fleet) refuseAll(why string) {
 	for _, c := range f.waiting {
 		if c.from == "" {
-			c.reply <- answer{err: errors.New(why)}
+			c.reply <- answer{err: RefusedError(why)}
 		}
 	}
 	f.waiting = nil
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"maps"
 	"slices"
 
@@ -57,7 +56,7 @@
 	ID   uint64          `cbor:"2,keyasint"`
 }
 
-// Floor is the sum of all mixers' floors of a quota.
+// Floor is the sum of all nodes' floors of a quota.
 type Floor struct {
 	PerS  float64 `cbor:"1,keyasint"`
 	Burst float64 `cbor:"2,keyasint"`
@@ -69,7 +68,7 @@
 	Contracts residency.Table              `cbor:"2,keyasint"`
 	Quotas    map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
 	QuotasAt  QuotasVersion                `cbor:"4,keyasint"`
-	// Floors are the largest that a tenant ever had: a mixer that is cut off may still go by them.
+	// Floors are the largest that a tenant ever had: a node that is cut off may still go by them.
 	Floors        map[quota.Tenant]Floor `cbor:"5,keyasint"`
 	FileContracts int                    `cbor:"6,keyasint"` // versions last taken from a file
 	FileQuotas    int                    `cbor:"7,keyasint"`
@@ -97,7 +96,7 @@
 	return s.Done[i], true
 }
 
-// apply takes a command at a place of the log. Every mixer of the council does the same with it.
+// apply takes a command at a place of the log. Every node of the council does the same with it.
 func (s *State) apply(index uint64, c *Command) Done {
 	if d, again := s.Acted(c.ID); again {
 		return d
@@ -141,7 +140,7 @@
 	switch {
 	case f.ContractsVersion == 0:
 	case f.ContractsVersion <= s.FileContracts:
-		wrong = fmt.Errorf("contracts: version %d is not above %d, which is held", f.ContractsVersion, s.FileContracts)
+		wrong = staleTableError{"contracts", uint64(f.ContractsVersion), uint64(s.FileContracts)}
 	default:
 		s.FileContracts = f.ContractsVersion
 		s.Contracts = residency.Table{Version: residency.Version(index), Contracts: f.Contracts}
@@ -149,7 +148,7 @@
 	switch {
 	case f.QuotasVersion == 0:
 	case f.QuotasVersion <= s.FileQuotas:
-		wrong = errors.Join(wrong, fmt.Errorf("quotas: version %d is not above %d, which is held", f.QuotasVersion, s.FileQuotas))
+		wrong = errors.Join(wrong, staleTableError{"quotas", uint64(f.QuotasVersion), uint64(s.FileQuotas)})
 	default:
 		s.FileQuotas, s.QuotasAt, s.Quotas = f.QuotasVersion, QuotasVersion(index), map[quota.Tenant]quota.Quota{}
 		for tenant, q := range f.Quotas {
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"puffinlink.example/puffinlink/internal/controlplane/control"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
@@ -13,7 +14,7 @@
 	sources := h.options.Sources
 	version, _ := sources.Configuration()
 	view := sources.View()
-	write(w, http.StatusOK, Status{
+	control.WriteJSON(w, http.StatusOK, Status{
 		Node:                 h.options.Node,
 		UptimeMS:             time.Since(h.start).Milliseconds(),
 		Rebuilt:              sources.Rebuilt(),
@@ -36,9 +37,9 @@
 	return members
 }
 
-// groupStatus asks each leader once for its summary; a status must come soon, also where leaders are missing.
+// groupStatus requests a summary from each leader, once: a status must come soon, also where leaders do not reply.
 func (h *Handler) groupStatus(ctx context.Context) []Group {
-	ctx, cancel := context.WithTimeout(ctx, summaryTime)
+	ctx, cancel := context.WithTimeout(ctx, summaryTimeout)
 	defer cancel()
 	leaders := h.options.Sources.Leaders()
 	names := h.options.Sources.Groups()
@@ -46,7 +47,7 @@
 	var calls sync.WaitGroup
 	for i, name := range names {
 		leader := leaders[name]
-		groups[i] = Group{Service: serviceOf(name), Leader: leader.Address, Epoch: leader.Epoch}
+		groups[i] = Group{Service: serviceOf(name), Leader: leader.Address, Epoch: leader.Term}
 		if leader.Address == "" {
 			groups[i].Error = errNoLeader.Error()
 			continue
@@ -59,7 +60,7 @@
 
 func (h *Handler) summarize(ctx context.Context, name string, group *Group) {
 	var reply jobreport.SummaryReply
-	err := h.try(ctx, group.Leader, jobreport.SummaryCall.Route(), jobreport.SummaryRequest{Group: name}, &reply)
+	err := h.callOnce(ctx, group.Leader, jobreport.SummaryCall.Route(), jobreport.SummaryRequest{Group: name}, &reply)
 	if err != nil {
 		group.Error = err.Error()
 		return
--- /dev/null
+++ b/internal/controlplane/replicaset/cluster_test.go
@@ -0,0 +1,227 @@
+package replicaset_test
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/controlplane/rebuild"
+	"puffinlink.example/puffinlink/internal/controlplane/register"
+	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
+	"puffinlink.example/puffinlink/internal/controlplane/replication"
+	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/virtualtime"
+)
+
+const (
+	restartDelay  = 200 * time.Millisecond  // until a process that ended by itself is restarted
+	firstViewTime = 2500 * time.Millisecond // in which the founders commit the first view
+	// membershipTimeout bounds the wait for a process to become a member that may vote.
+	membershipTimeout = time.Minute
+)
+
+// cluster is a set of core nodes on a network in memory, each with all that takes part in a reconfiguration, and with
+// a register that they replicate. It is to be run in simulated time.
+type cluster struct {
+	t       *testing.T
+	network *networktest.Network
+	seeds   []string
+	mutant  ruleMutant
+	tasks   sync.WaitGroup
+	log     *zap.Logger                           // of the replication nodes; nil for none
+	leads   func(p *coreNode) replication.Handler // of a group on the members' disks; nil for none
+
+	mutex   sync.Mutex // guards what follows
+	running map[string]*coreNode
+	ending  bool
+}
+
+// core is one incarnation of a core node.
+type coreNode struct {
+	address   string
+	zone      string
+	start     time.Time
+	disk      *storage.Memory
+	store     *killableStore
+	caller    transport.Caller
+	manager   *replicaset.Manager
+	rebuilder *rebuild.Rebuilder
+	register  *register.Register
+	node      *replication.Node
+	ctx       context.Context
+	kill      context.CancelFunc
+	failed    atomic.Bool // a part ended with an error
+}
+
+// hasFailed tells whether a part of the process ended with an error, which ends a coordinator.
+func (p *coreNode) hasFailed() bool { return p.failed.Load() }
+
+// runPart runs a part of the process.
+func (p *coreNode) runPart(run func(ctx context.Context) error) {
+	if err := run(p.ctx); err != nil && p.ctx.Err() == nil {
+		p.failed.Store(true)
+	}
+}
+
+// newCluster makes a cluster without processes. The seed drives the chances of its network.
+func newCluster(t *testing.T, seed uint64, seeds []string, broken ruleMutant) *cluster {
+	return &cluster{t: t, network: networktest.New(seed), seeds: seeds, mutant: broken, running: make(map[string]*coreNode)}
+}
+
+// found starts the seeds for the first time, on a network with faults, and waits until they have committed the first view.
+func (c *cluster) found(faults networktest.Faults) {
+	c.network.SetFaults(faults)
+	for _, address := range c.seeds {
+		c.start(address, "zone of "+address, storage.NewMemory(), true)
+	}
+	<-time.After(firstViewTime)
+}
+
+// inCluster runs a test in simulated time, after the given members have founded the first view.
+func inCluster(t *testing.T, seed uint64, broken ruleMutant, members []string, test func(c *cluster)) {
+	t.Helper()
+	virtualtime.Test(t, func(t *testing.T) {
+		c := newCluster(t, seed, members, broken)
+		c.found(networktest.Faults{Delay: 5 * time.Millisecond})
+		test(c)
+		c.end()
+	})
+}
+
+// start starts a process unless there is one at the address.
+func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *coreNode {
+	p := &coreNode{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
+	p.caller = killableCaller{c.network.Caller(address), p.store}
+	p.ctx, p.kill = context.WithCancel(context.Background())
+	mux := transport.NewMux()
+	c.assembleViews(p, mux, firstStart)
+	c.assembleRebuilder(p, mux, firstStart)
+	c.assembleRegister(p, mux)
+	c.assembleNode(p, mux)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.ending || c.running[address] != nil {
+		p.kill()
+		return p
+	}
+	c.running[address] = p
+	c.network.Serve(address, mux)
+	c.tasks.Go(func() { p.runPart(p.manager.Run) })
+	c.tasks.Go(func() { p.runPart(p.rebuilder.Run) })
+	c.tasks.Go(func() { p.node.Run(p.ctx) })
+	c.tasks.Go(func() { c.watch(p) })
+	return p
+}
+
+// watch restarts a process on its disk when it has ended because it was replaced. A departing one ends by itself.
+func (c *cluster) watch(p *coreNode) {
+	err := p.rebuilder.Watch(p.ctx)
+	if !errors.Is(err, rebuild.ErrReplaced) || p.manager.Departing() || !c.stop(p) {
+		return
+	}
+	<-time.After(restartDelay)
+	c.start(p.address, p.zone, p.disk, false)
+}
+
+// stop kills a process; false if it was killed already.
+func (c *cluster) stop(p *coreNode) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.running[p.address] != p {
+		return false
+	}
+	delete(c.running, p.address)
+	c.network.Serve(p.address, nil)
+	p.store.kill()
+	p.kill()
+	return true
+}
+
+// handoverTimeout is what a coordinator uses of a grace period of six seconds.
+const handoverTimeout = 3 * time.Second
+
+// stopGracefully lets a process hand over to a joining member if there is one, and then ends it, as a coordinator does.
+func (c *cluster) stopGracefully(p *coreNode) {
+	limited, cancel := context.WithTimeout(p.ctx, handoverTimeout)
+	defer cancel()
+	if c.mutant.stopsAtOnce {
+		limited, cancel = context.WithTimeout(p.ctx, time.Millisecond)
+		defer cancel()
+	}
+	p.rebuilder.HandOver(limited, p.manager.Leave)
+	c.stop(p)
+}
+
+// at returns the process at an address; nil while there is none.
+func (c *cluster) at(address string) *coreNode {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.running[address]
+}
+
+// all lists the running processes.
+func (c *cluster) all() []*coreNode {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	var all []*coreNode
+	for _, p := range c.running {
+		all = append(all, p)
+	}
+	return all
+}
+
+// sorted lists the running processes by address.
+func (c *cluster) sorted() []*coreNode {
+	all := c.all()
+	slices.SortFunc(all, func(a, b *coreNode) int { return strings.Compare(a.address, b.address) })
+	return all
+}
+
+func (c *cluster) end() {
+	c.mutex.Lock()
+	c.ending = true
+	c.mutex.Unlock()
+	for _, p := range c.all() {
+		c.stop(p)
+	}
+	c.tasks.Wait()
+	<-time.After(drainTime)
+}
+
+// awaitMembership waits until a process is a member that may vote, and returns how long that took from its start.
+func (p *coreNode) awaitMembership() time.Duration {
+	for deadline := time.After(membershipTimeout); ; {
+		changed := p.manager.Changed()
+		if p.manager.View().Has(p.address) {
+			break
+		}
+		select {
+		case <-changed:
+		case <-deadline:
+			return membershipTimeout
+		}
+	}
+	select {
+	case <-p.rebuilder.Complete():
+	case <-time.After(membershipTimeout):
+	}
+	return time.Since(p.start)
+}
+
+func isClosed(done <-chan struct{}) bool {
+	select {
+	case <-done:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/controlplane/storage/queue.go
+++ b/internal/controlplane/storage/commitqueue.go
@@ -1,6 +1,9 @@
 package storage
 
-import "sync"
+import (
+	"errors"
+	"sync"
+)
 
 // commit is one write that waits for the disk.
 type commit struct {
@@ -13,18 +16,18 @@
 type commitQueue struct {
 	wake chan struct{} // holds a token while there may be something to do
 
-	mutex   sync.Mutex
-	waiting []*commit
-	closed  bool
-	broken  error // why no more writes are taken; nil while they are
+	mutex      sync.Mutex
+	waiting    []*commit
+	closed     bool
+	rejectWith error // the error of all further writes; nil while they are taken
 }
 
 // add queues a write, unless the store has failed or is closed.
 func (q *commitQueue) add(c *commit) error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.broken != nil {
-		return q.broken
+	if q.rejectWith != nil {
+		return q.rejectWith
 	}
 	q.waiting = append(q.waiting, c)
 	q.signal()
@@ -55,19 +58,20 @@
 func (q *commitQueue) fail(err error) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	first := q.broken == nil || q.closed && q.broken == ErrClosed
+	first := q.rejectWith == nil || q.closed && errors.Is(q.rejectWith, ErrClosed)
 	if first {
-		q.broken = err
+		q.rejectWith = err
 	}
 	return first
 }
 
+// close takes no more writes, which fail with err; those that are queued are still carried out.
 func (q *commitQueue) close(err error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.closed = true
-	if q.broken == nil {
-		q.broken = err
+	if q.rejectWith == nil {
+		q.rejectWith = err
 	}
 	q.signal()
 }
@@ -76,18 +80,20 @@
 func (q *commitQueue) failure() error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.broken == ErrClosed {
+	if errors.Is(q.rejectWith, ErrClosed) {
 		return nil
 	}
-	return q.broken
+	return q.rejectWith
 }
 
+// finished tells whether the queue is closed and empty.
 func (q *commitQueue) finished() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.closed && len(q.waiting) == 0
 }
 
+// signal wakes the writer.
 func (q *commitQueue) signal() {
 	select {
 	case q.wake <- struct{}{}:
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"os"
@@ -14,21 +13,21 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// stuckWrite is how long a searcher may leave what we write unread, after all that the kernel's buffers hold:
+// stuckWrite is how long a backend may leave what we write unread, after all that the kernel's buffers hold:
 // what waits behind it is not bounded otherwise.
 const stuckWrite = time.Second
 
 // lastReads is how long a connection that is over may still be read: what has come is here, it has to be taken up alone.
 const lastReads = 50 * time.Millisecond
 
-// outgoing is what a connection writes at once, in one piece or not at all as far as its searcher's actor knows.
+// outgoing is what a connection writes at once, in one piece or not at all as far as its backend's actor knows.
 type outgoing struct {
 	frameType byte
 	calls     []*call // S, and C with one
 }
 
-// connection is one TCP connection to a searcher, with a goroutine for each direction, so that a write that gets stuck holds
-// up nothing else. Its fields below out belong to the searcher's actor.
+// connection is one TCP connection to a backend, with a goroutine for each direction, so that a write that gets stuck holds
+// up nothing else. Its fields below out belong to the backend's actor.
 type connection struct {
 	socket net.Conn
 	stuck  time.Duration // that a write may take
@@ -109,7 +108,7 @@
 	conn.over = true
 	conn.socket.SetReadDeadline(time.Now().Add(lastReads))
 	if c, ok := conn.socket.(*net.TCPConn); ok {
-		c.CloseWrite()
+		_ = c.CloseWrite() // it fails only on a connection that is broken, which the reader finds
 	}
 }
 
@@ -155,7 +154,7 @@
 			conn.readBy(time.Time{})
 		case conn.finishing():
 			return whyWriteFails, err
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return whyEOF, err
 		case errors.As(err, &sys), errors.Is(err, net.ErrClosed), errors.Is(err, io.ErrUnexpectedEOF):
 			return whyReset, err
@@ -173,12 +172,12 @@
 		case frameAlive, frameLoad:
 			n.text = string(rest)
 			if frameType == frameAlive && n.text != probeDone && n.text != probeFailed {
-				return corrupt("", whyBadFrame, fmt.Errorf("probe answered %.80q", n.text))
+				return corrupt("", whyBadFrame, malformed("probe answered %.80q", n.text))
 			}
 		case frameRefuse:
-			return whyRefused, fmt.Errorf("%.200q", rest)
+			return whyRefused, refusedError(rest)
 		default:
-			return corrupt("", whyBadFrame, fmt.Errorf("unknown letter %q", frameType))
+			return corrupt("", whyBadFrame, malformed("unknown letter %q", frameType))
 		}
 		tell(n)
 	}
--- a/internal/dataplane/clients/body.go
+++ b/internal/dataplane/clients/body.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
-	"fmt"
 	"math"
 	"net/http"
 	"strconv"
@@ -43,7 +41,7 @@
 	Route     string   `json:"route"`
 }
 
-// targets are a lookup's parts, of which there are no more than shards: an array that goes on is not read to its end,
+// targets are a query's parts, of which there are no more than shards: an array that goes on is not read to its end,
 // as it would unfold into far more memory than its bytes.
 type targets struct {
 	most int
@@ -52,12 +50,14 @@
 
 func (t *targets) UnmarshalJSONFrom(d *jsontext.Decoder) error {
 	if d.PeekKind() != '[' {
-		return errors.New("targets is not a list")
+		return malformed("targets is not a list")
+	}
+	if _, err := d.ReadToken(); err != nil { // the bracket
+		return err
 	}
-	d.ReadToken() // the bracket, whose error the next read would meet too
 	for d.PeekKind() != ']' {
 		if len(t.list) == t.most {
-			return fmt.Errorf("targets names more than %d parts", t.most)
+			return malformed("targets names more than %d parts", t.most)
 		}
 		var next target
 		if err := json.UnmarshalDecode(d, &next); err != nil {
@@ -74,81 +74,81 @@
 	Query   jsontext.Value `json:"query"`
 }
 
-// readHead reads what a lookup's headers and address say; the error is for the client.
-func (n *nameTable) readHead(r *http.Request, lk *aggregator.Lookup) error {
+// readHead reads what a query's headers and address say; the error is for the client.
+func (n *nameTable) readHead(r *http.Request, lk *aggregator.Query) error {
 	for name, values := range r.Header {
 		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // which one counts is anyone's guess
-			return fmt.Errorf("%s stands there twice", name)
+			return malformed("%s stands there twice", name)
 		}
 	}
 	if kind := r.Header.Get("Req-Kind"); kind != "" {
 		if index, known := n.indexes[kind]; !known || index != lk.Index {
-			return fmt.Errorf("Req-Kind %q does not name the index of the path", kind)
+			return malformed("Req-Kind %q does not name the index of the path", kind)
 		}
 	}
 	lk.ID = r.Header.Get("Req-Id")
 	if lk.ID == "" || len(lk.ID) > 64 || strings.ContainsFunc(lk.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return errors.New("Req-Id is not an id")
+		return malformed("Req-Id is not an id")
 	}
 	if owner := r.Header.Get("Req-Owner"); len(n.customers) > 0 {
 		var known bool
 		if lk.Customer, known = n.customers[owner]; !known {
-			return fmt.Errorf("Req-Owner %q is not known", owner)
+			return malformed("Req-Owner %q is not known", owner)
 		}
 	}
 	text := r.Header.Get("Req-Deadline")
 	wait, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(wait > 0) || wait > mostWaitS {
-		return errors.New("Req-Deadline is not a time in seconds")
+		return malformed("Req-Deadline is not a time in seconds")
 	}
 	lk.Wait, lk.Resent = wait, r.Header.Get("Req-Retry") == "1"
-	// A key that is none of ours is no reason to turn a lookup away: it only says what goes together.
+	// A key that is none of ours is no reason to turn a query away: it only says what goes together.
 	lk.Key, err = strconv.ParseUint(r.URL.Query().Get("key"), 16, 64)
 	lk.HasKey = err == nil
 	return nil
 }
 
 // readBody reads the parts; the query's text keeps its bytes. Names count in their own case only, and none may
-// come twice: what another reader would take for the lookup must not differ from what we do.
-func (n *nameTable) readBody(text []byte, lk *aggregator.Lookup) error {
+// come twice: what another reader would take for the query must not differ from what we do.
+func (n *nameTable) readBody(text []byte, lk *aggregator.Query) error {
 	in := body{Targets: targets{most: n.shards}}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return fmt.Errorf("the body is not as expected: %v", err)
+		return malformed("the body is not as expected: %v", err)
 	}
 	var err error
 	if lk.Query, err = plain(in.Query); err != nil {
 		return err
 	}
 	if len(in.Targets.list) == 0 {
-		return errors.New("targets names no part")
+		return malformed("targets names no part")
 	}
-	lk.Parts = make([]aggregator.Part, len(in.Targets.list))
+	lk.Subqueries = make([]aggregator.Subquery, len(in.Targets.list))
 	seen := make(map[int]bool, len(in.Targets.list))
 	sum := 0.0
 	for i, t := range in.Targets.list {
 		switch {
 		case t.Partition == nil || *t.Partition < 0 || *t.Partition >= n.shards:
-			return fmt.Errorf("targets[%d].partition is not a shard", i)
+			return malformed("targets[%d].partition is not a shard", i)
 		case seen[*t.Partition]:
-			return fmt.Errorf("targets[%d].partition stands there twice", i)
+			return malformed("targets[%d].partition stands there twice", i)
 		case t.Share == nil || *t.Share < 0 || *t.Share > 1:
-			return fmt.Errorf("targets[%d].share is not a share", i)
+			return malformed("targets[%d].share is not a share", i)
 		case t.EstUs < 0 || t.EstUs > mostWaitS*1e6:
-			return fmt.Errorf("targets[%d].est_us is not a time", i)
+			return malformed("targets[%d].est_us is not a time", i)
 		}
 		seen[*t.Partition] = true
 		sum += *t.Share
-		p := aggregator.Part{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
+		p := aggregator.Subquery{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
 		if t.Route != "" {
 			if p.Key, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
-				return fmt.Errorf("targets[%d].route is not 16 hex digits", i)
+				return malformed("targets[%d].route is not 16 hex digits", i)
 			}
 			p.HasKey = true
 		}
-		lk.Parts[i] = p
+		lk.Subqueries[i] = p
 	}
 	if math.Abs(sum-1) > shareSlack {
-		return fmt.Errorf("the shares add up to %g and not to 1", sum)
+		return malformed("the shares add up to %g and not to 1", sum)
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 // plain is the text of a JSON string. Where nothing in it is escaped those are the bytes that came.
 func plain(raw jsontext.Value) ([]byte, error) {
 	if raw.Kind() != '"' {
-		return nil, errors.New("query is not a text")
+		return nil, malformed("query is not a text")
 	}
 	if text := raw[1 : len(raw)-1]; bytes.IndexByte(text, '\\') < 0 {
 		return text, nil
@@ -171,13 +171,13 @@
 }
 
 // appendResults writes the answer's body from the values that are in.
-func appendResults(b []byte, lk *aggregator.Lookup, whole bool) []byte {
+func appendResults(b []byte, lk *aggregator.Query, whole bool) []byte {
 	b = append(b, `{"whole":`...)
 	b = strconv.AppendBool(b, whole)
 	b = append(b, `,"results":[`...)
 	first := true
-	for i := range lk.Parts {
-		p := &lk.Parts[i]
+	for i := range lk.Subqueries {
+		p := &lk.Subqueries[i]
 		if !p.In {
 			continue
 		}
