--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent is the process beside each proxy that keeps the link to the control plane. It follows one core node's
+// Package agent is the process beside each proxy that keeps the link to the control plane. It follows one coordinator's
 // feed, exchanges what it knows with the agents of other machines, and feeds the proxy over loopback.
 package agent
 
@@ -15,9 +15,9 @@
 
 // Config is what an Agent needs.
 type Config struct {
-	// Address is this agent's internal address, by which core nodes and other agents know it.
+	// Address is this agent's internal address, by which coordinators and other agents know it.
 	Address string
-	// Seeds are internal addresses of core nodes to begin with.
+	// Seeds are internal addresses of coordinators to begin with.
 	Seeds  []string
 	Caller transport.Caller
 	Logger *zap.Logger
@@ -34,7 +34,7 @@
 
 	mutex sync.Mutex
 	seeds []string
-	// membersConfirmed is when a core node last confirmed the lists of members, here or at the agent that passed them on.
+	// membersConfirmed is when a coordinator last confirmed the lists of members, here or at the agent that passed them on.
 	membersConfirmed time.Time
 }
 
@@ -71,21 +71,21 @@
 // Snapshot returns what the agent knows. The caller must not modify it.
 func (a *Agent) Snapshot() feed.Snapshot { return a.board.Snapshot() }
 
-// InContact tells whether a core node has lately confirmed that the agent is up to date.
-func (a *Agent) InContact() bool { return a.contact.left(time.Now()) > 0 }
+// InContact tells whether a coordinator has lately confirmed that the agent is up to date.
+func (a *Agent) InContact() bool { return a.contact.remaining(time.Now()) > 0 }
 
 // Mount serves the calls of other agents.
 func (a *Agent) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.ExchangeCall, a.handleExchange)
-	transport.Handle(mux, feed.ChunksCall, func(_ context.Context, ask feed.ChunksRequest) (feed.ChunksReply, error) {
-		return a.board.Chunks(ask), nil
+	transport.Handle(mux, feed.ChunksCall, func(_ context.Context, request feed.ChunksRequest) (feed.ChunksReply, error) {
+		return a.board.Chunks(request), nil
 	})
 }
 
 // MountLocal serves the calls of the proxy on the same machine.
 func (a *Agent) MountLocal(mux *transport.Mux) { transport.Handle(mux, feed.LocalCall, a.handleLocal) }
 
-// candidates lists the core nodes to follow: those that the feed names, and then the seeds.
+// candidates lists the coordinators to follow: those that the feed names, and then the seeds.
 func (a *Agent) candidates() []string {
 	members := rank(a.config.Address, a.board.Snapshot().Core)
 	a.mutex.Lock()
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -14,21 +14,21 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// settled is long enough for all agents to be heard of at every core node and back at every agent.
-const settled = 10 * time.Second
+// converged is long enough for all agents to be heard of at every coordinator and back at every agent.
+const converged = 10 * time.Second
 
 // inWorld runs a test in virtual time on a fleet that has settled.
-func inWorld(t *testing.T, cores, agents int, test func(w *world)) {
+func inWorld(t *testing.T, coordinators, agents int, test func(w *world)) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newWorld(cores, agents)
-		<-time.After(settled)
+		w := newWorld(coordinators, agents)
+		<-time.After(converged)
 		synctest.Wait()
 		test(w)
 		w.stop()
 	})
 }
 
-func TestNewsReachAllAgents(t *testing.T) {
+func TestUpdatesReachAllAgents(t *testing.T) {
 	inWorld(t, 3, 8, func(w *world) {
 		Convey("All agents know all members and are in contact", t, func() {
 			for _, a := range w.agents {
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestAgentsSpreadOverCoreNodes(t *testing.T) {
+func TestAgentsSpreadOverCoordinatorNodes(t *testing.T) {
 	inWorld(t, 3, 30, func(w *world) {
 		Convey("Every core mixer is followed by a fair share", t, func() {
 			w.network.countCalls()
@@ -71,14 +71,14 @@
 					followers[call.to]++
 				}
 			}
-			for address := range w.cores {
+			for address := range w.coordinators {
 				So(followers[address], ShouldBeGreaterThanOrEqualTo, 4)
 			}
 		})
 	})
 }
 
-func TestCoreNodesThatFail(t *testing.T) {
+func TestCoordinatorNodesThatFail(t *testing.T) {
 	inWorld(t, 3, 8, func(w *world) {
 		allInContact := func() {
 			for _, a := range w.agents {
@@ -86,7 +86,7 @@
 			}
 		}
 		Convey("One that falls silent costs no contact, and changes come in time", t, func() {
-			w.network.setCut(func(_, to string) bool { return to == "core-1" })
+			w.network.setPartition(func(_, to string) bool { return to == "core-1" })
 			for range 100 {
 				<-time.After(100 * time.Millisecond)
 				allInContact()
@@ -96,7 +96,7 @@
 			So(w.stragglers(5), ShouldBeEmpty)
 		})
 		Convey("Its agents return to it some time after it is back", t, func() {
-			w.network.setCut(func(string, string) bool { return false })
+			w.network.setPartition(func(string, string) bool { return false })
 			<-time.After(maxPenalty + 2*time.Second)
 			w.network.countCalls()
 			<-time.After(time.Second)
@@ -108,16 +108,16 @@
 			allInContact()
 		})
 		Convey("One without contact to a majority is left, and its members do not count", t, func() {
-			w.cores["core-0"].update(func(c *core) { c.inContact = false })
+			w.coordinators["core-0"].update(func(c *coordinator) { c.inContact = false })
 			<-time.After(2 * time.Second)
 			allInContact()
 			w.setVersion(6)
 			<-time.After(50 * time.Millisecond)
 			So(w.stragglers(6), ShouldBeEmpty)
-			w.cores["core-0"].update(func(c *core) { c.inContact = true })
+			w.coordinators["core-0"].update(func(c *coordinator) { c.inContact = true })
 		})
 		Convey("Without any, contact is lost, and back soon after they are", t, func() {
-			w.network.setCut(func(_, to string) bool { return isCore(to) })
+			w.network.setPartition(func(_, to string) bool { return isCoordinator(to) })
 			<-time.After(20 * time.Second)
 			for _, a := range w.agents {
 				So(a.InContact(), ShouldBeFalse)
@@ -129,20 +129,20 @@
 					So(count, ShouldBeLessThanOrEqualTo, 2)
 				}
 			}
-			w.network.setCut(func(string, string) bool { return false })
+			w.network.setPartition(func(string, string) bool { return false })
 			<-time.After(2 * time.Second)
 			allInContact()
 		})
 	})
 }
 
-func TestOldNewsAreNotTakenBack(t *testing.T) {
+func TestOlderUpdatesAreNotMerged(t *testing.T) {
 	inWorld(t, 3, 4, func(w *world) {
 		Convey("A core mixer that is behind moves nobody back", t, func() {
 			w.setVersion(7)
 			<-time.After(50 * time.Millisecond)
-			for _, c := range w.cores {
-				c.update(func(c *core) { c.version, c.epoch = 3, 0 })
+			for _, c := range w.coordinators {
+				c.update(func(c *coordinator) { c.version, c.epoch = 3, 0 })
 			}
 			<-time.After(5 * time.Second)
 			So(w.stragglers(7), ShouldBeEmpty)
@@ -164,8 +164,8 @@
 
 func TestAnswersThatAreNotCurrent(t *testing.T) {
 	Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
-		news := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
-		a := New(Config{Address: "agent-0", Caller: oneAnswer{Changed: true, Snapshot: news}, Logger: zap.NewNop()})
+		update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
+		a := New(Config{Address: "agent-0", Caller: oneAnswer{Changed: true, Snapshot: update}, Logger: zap.NewNop()})
 		_, err := a.poll(context.Background(), "core-0", 0, time.Minute)
 		So(err, ShouldEqual, errNotCurrent)
 		So(a.InContact(), ShouldBeFalse)
@@ -190,8 +190,8 @@
 func TestAnswersReadAfterAStandstill(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
 		Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
-			news := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
-			answer := lateAnswer{feed.WatchReply{Current: true, Changed: true, Snapshot: news}, 20 * time.Second}
+			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
+			answer := lateAnswer{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
 			a := New(Config{Address: "agent-0", Caller: answer, Logger: zap.NewNop()})
 			_, err := a.poll(context.Background(), "core-0", pollWait, pollWait+answerSlack)
 			So(err, ShouldEqual, errLate)
--- a/internal/dataplane/agent/world_test.go
+++ b/internal/dataplane/agent/cluster_test.go
@@ -13,8 +13,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feedserver"
 )
 
-// core is a core node whose news tests set.
-type core struct {
+// coordinator is a coordinator whose updates tests set.
+type coordinator struct {
 	mutex     sync.Mutex
 	version   uint64
 	epoch     uint64
@@ -24,10 +24,10 @@
 	server    *feedserver.Server
 }
 
-// shortBody is a configuration of one part.
+// shortBody is a configuration of one chunk.
 func shortBody(version uint64) []byte { return fmt.Appendf(nil, "configuration %d", version) }
 
-func (c *core) update(change func(*core)) {
+func (c *coordinator) update(change func(*coordinator)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	change(c)
@@ -35,7 +35,7 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *core) sources(members []string) feedserver.Sources {
+func (c *coordinator) sources(members []string) feedserver.Sources {
 	return feedserver.Sources{
 		Configuration: func() (uint64, []byte) {
 			c.mutex.Lock()
@@ -61,25 +61,25 @@
 	}
 }
 
-// world is a fleet of core nodes and agents on one network in memory.
+// world is a fleet of coordinators and agents on one network in memory.
 type world struct {
-	network *network
-	cores   map[string]*core
-	agents  map[string]*Agent
-	cancel  context.CancelFunc
-	ctx     context.Context
-	running sync.WaitGroup
+	network      *network
+	coordinators map[string]*coordinator
+	agents       map[string]*Agent
+	cancel       context.CancelFunc
+	ctx          context.Context
+	running      sync.WaitGroup
 }
 
-func newWorld(coreCount, agentCount int) *world {
-	w := &world{network: newNetwork(), cores: make(map[string]*core), agents: make(map[string]*Agent)}
+func newWorld(coordinatorCount, agentCount int) *world {
+	w := &world{network: newNetwork(), coordinators: make(map[string]*coordinator), agents: make(map[string]*Agent)}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	var members []string
-	for i := range coreCount {
+	for i := range coordinatorCount {
 		members = append(members, fmt.Sprintf("core-%d", i))
 	}
 	for _, address := range members {
-		w.addCore(address, members)
+		w.addCoordinator(address, members)
 	}
 	for i := range agentCount {
 		w.addAgent(fmt.Sprintf("agent-%d", i), members)
@@ -87,8 +87,8 @@
 	return w
 }
 
-func (w *world) addCore(address string, members []string) {
-	c := &core{inContact: true, epoch: 1, changed: make(chan struct{}), body: shortBody}
+func (w *world) addCoordinator(address string, members []string) {
+	c := &coordinator{inContact: true, epoch: 1, changed: make(chan struct{}), body: shortBody}
 	c.server = feedserver.New(feedserver.Options{
 		Sources: c.sources(members),
 		Caller:  endpoint{w.network, address},
@@ -96,7 +96,7 @@
 		Logger:  zap.NewNop(),
 	})
 	c.server.Mount(w.network.listen(address))
-	w.cores[address] = c
+	w.coordinators[address] = c
 	w.running.Go(func() { c.server.Run(w.ctx) })
 }
 
@@ -115,10 +115,10 @@
 	w.running.Wait()
 }
 
-// setVersion puts a configuration in force at every core node.
+// setVersion puts a configuration in force at every coordinator.
 func (w *world) setVersion(version uint64) {
-	for _, c := range w.cores {
-		c.update(func(c *core) { c.version = version })
+	for _, c := range w.coordinators {
+		c.update(func(c *coordinator) { c.version = version })
 	}
 }
 
@@ -134,15 +134,15 @@
 	return addresses
 }
 
-func isCore(address string) bool { return strings.HasPrefix(address, "core-") }
+func isCoordinator(address string) bool { return strings.HasPrefix(address, "core-") }
 
 // between makes a cut between one machine and those that match.
 func between(address string, match func(string) bool) func(from, to string) bool {
 	return func(from, to string) bool { return from == address && match(to) }
 }
 
-// proxyAsk is a call of the proxy beside an agent.
-func proxyAsk(w *world, address string, watch feed.WatchRequest) feed.WatchReply {
+// proxyRequest is a call of the proxy beside an agent.
+func proxyRequest(w *world, address string, watch feed.WatchRequest) feed.WatchReply {
 	var reply feed.WatchReply
 	if err := serve(context.Background(), w.network.muxes[address], feed.LocalCall.Path(), watch, &reply); err != nil {
 		panic(err)
--- a/internal/dataplane/agent/contact.go
+++ b/internal/dataplane/agent/contact.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// contactLimit is how long a core node's answer counts as contact with the control plane.
+// contactLimit is how long a coordinator's answer counts as contact with the control plane.
 const contactLimit = 1500 * time.Millisecond
 
-// contact knows when a core node in contact with a majority last answered.
+// contact knows when a coordinator in contact with a majority last answered.
 type contact struct {
 	mutex    sync.Mutex
 	last     time.Time     // zero before the first answer
@@ -24,21 +24,21 @@
 	if now.Before(c.last) {
 		return
 	}
-	if c.leftLocked(now) <= 0 {
+	if c.remainingLocked(now) <= 0 {
 		close(c.regained)
 		c.regained = make(chan struct{})
 	}
 	c.last = now
 }
 
-// left is how long contact lasts without another answer; 0 or less without contact.
-func (c *contact) left(now time.Time) time.Duration {
+// remaining is how long contact lasts without another answer; 0 or less without contact.
+func (c *contact) remaining(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.leftLocked(now)
+	return c.remainingLocked(now)
 }
 
-func (c *contact) leftLocked(now time.Time) time.Duration {
+func (c *contact) remainingLocked(now time.Time) time.Duration {
 	if c.last.IsZero() {
 		return 0
 	}
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// firstRoom, leastRoom and mostRoom bound how many bytes of parts one call may bring. A call fetches one part at
+	// firstCallBytes, minCallBytes and maxCallBytes bound how many bytes of chunks one call may bring. A call fetches one chunk at
 	// least, so that every call that a link can carry at all makes progress.
-	firstRoom = 8 << 10
-	leastRoom = 1 << 10
-	mostRoom  = 128 << 10
+	firstCallBytes = 8 << 10
+	minCallBytes   = 1 << 10
+	maxCallBytes   = 128 << 10
 	// quickCall and slowCall are the times of a call below and above which the next one brings twice or half as much.
 	// Between them a call holds up the clients' packets on the same link only a little.
 	quickCall = 40 * time.Millisecond
 	slowCall  = 160 * time.Millisecond
-	// packedChunk is about the length of a packed part, by which the parts to ask for are counted.
+	// packedChunk is about the length of a packed chunk, by which the chunks to ask for are counted.
 	packedChunk = 256
 )
 
-// download gathers a newer configuration by parts, from those who have offered it. Parts stay when a call ends, when a
+// download gathers a newer configuration by chunks, from those who have offered it. Chunks stay when a call ends, when a
 // source falls silent, and when a newer configuration takes the place of the one on its way.
 type download struct {
 	mutex      sync.Mutex
@@ -34,28 +34,28 @@
 	began      time.Time // when it was first offered
 	pending    time.Time // since when a configuration is known that is newer than the one in force; zero for none
 	sources    []string  // who have it, to be asked in this order
-	asked      []string  // sources that are not asked again
+	requested  []string  // sources that are not asked again
 	bytes      int       // room of the next call
 	wake       wakeup.Signal
 }
 
-func newDownload() *download { return &download{bytes: firstRoom, wake: wakeup.New()} }
+func newDownload() *download { return &download{bytes: firstCallBytes, wake: wakeup.New()} }
 
-// room is how many bytes of parts the next call may bring.
-func (d *download) room() int {
+// callBytes is how many bytes of chunks the next call may bring.
+func (d *download) callBytes() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.bytes
 }
 
 // claimed returns the version that is on its way, or 0.
-func (d *download) claimed() uint64 {
+func (d *download) inProgress() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.version
 }
 
-// currentUntil is until when what is in force is known to have been the newest, if a core node confirms it at a time.
+// currentUntil is until when what is in force is known to have been the newest, if a coordinator confirms it at a time.
 func (d *download) currentUntil(now time.Time) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -66,7 +66,7 @@
 }
 
 // offered takes in that a source has a configuration. An older one than the one on its way changes nothing; a newer one
-// takes its place. The error is parts.ErrManifest or parts.ErrPacked.
+// takes its place. The error is chunks.ErrManifest or chunks.ErrPacked.
 func (d *download) offered(version uint64, offer *feed.Offer, source string, known chunks.Source, now time.Time) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -81,7 +81,7 @@
 	if !slices.Contains(d.sources, source) {
 		d.sources = append([]string{source}, d.sources...)
 	}
-	d.asked = slices.DeleteFunc(d.asked, func(address string) bool { return address == source })
+	d.requested = slices.DeleteFunc(d.requested, func(address string) bool { return address == source })
 	d.wake.Notify()
 	return d.collection.AddPacked(offer.Chunks)
 }
@@ -96,14 +96,14 @@
 		return err
 	}
 	d.version, d.collection, d.began = version, collection, now
-	d.sources, d.asked = nil, nil
+	d.sources, d.requested = nil, nil
 	if d.pending.IsZero() {
 		d.pending = now
 	}
 	return nil
 }
 
-// errWrongContent is the failure of a configuration whose parts do not make up what was offered.
+// errWrongContent is the failure of a configuration whose chunks do not make up what was offered.
 var errWrongContent = fmt.Errorf("configuration not taken: %w", chunks.ErrContent)
 
 // finished returns the configuration once all of it has come; it is then no longer on its way. A wrong one is given up.
@@ -136,7 +136,7 @@
 type chunksCall struct {
 	version uint64
 	source  string
-	ask     feed.ChunksRequest
+	request feed.ChunksRequest
 }
 
 // next returns the next call, if there is one to make. Once no source is left that offered the configuration, the
@@ -149,7 +149,7 @@
 	}
 	if len(d.sources) == 0 {
 		d.sources = slices.DeleteFunc(slices.Clone(others), func(address string) bool {
-			return slices.Contains(d.asked, address)
+			return slices.Contains(d.requested, address)
 		})
 	}
 	if len(d.sources) == 0 {
@@ -160,7 +160,7 @@
 	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.JoinSums(sums), MaxBytes: d.bytes}}, true
 }
 
-// arrived takes in the answer to a call. A source without any of the parts is not asked again.
+// arrived takes in the answer to a call. A source without any of the chunks is not asked again.
 func (d *download) arrived(call chunksCall, reply feed.ChunksReply, elapsed time.Duration) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -180,7 +180,7 @@
 func (d *download) failed(call chunksCall) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.bytes = max(leastRoom, d.bytes/2)
+	d.bytes = max(minCallBytes, d.bytes/2)
 	d.drop(call)
 }
 
@@ -189,15 +189,15 @@
 		return
 	}
 	d.sources = slices.DeleteFunc(d.sources, func(address string) bool { return address == call.source })
-	d.asked = append(d.asked, call.source)
+	d.requested = append(d.requested, call.source)
 }
 
 // measured adapts the room of a call to what the link carries beside the clients' requests.
 func (d *download) measured(elapsed time.Duration) {
 	switch {
 	case elapsed < quickCall:
-		d.bytes = min(mostRoom, 2*d.bytes)
+		d.bytes = min(maxCallBytes, 2*d.bytes)
 	case elapsed > slowCall:
-		d.bytes = max(leastRoom, d.bytes/2)
+		d.bytes = max(minCallBytes, d.bytes/2)
 	}
 }
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// exchangeInterval is the pause between exchanges with other agents without contact to a core node, or while it is
+	// exchangeInterval is the pause between exchanges with other agents without contact to a coordinator, or while it is
 	// open whether a peer is gone.
 	exchangeInterval = 500 * time.Millisecond
 	// calmExchangeInterval is the pause otherwise. An agent that is cut off asks by itself, so that it waits for nobody.
@@ -19,14 +19,14 @@
 	exchangeTimeout = 450 * time.Millisecond
 	// oldMembers is the age from which lists of members are taken over from other agents.
 	oldMembers = 3 * time.Second
-	// unknownAge stands for members that no core node has confirmed yet.
+	// unknownAge stands for members that no coordinator has confirmed yet.
 	unknownAge = 24 * time.Hour
 )
 
 // exchangeRegularly exchanges with one other agent after the other until ctx ends.
 func (a *Agent) exchangeRegularly(ctx context.Context) {
 	for {
-		sleep(ctx, a.exchangePause())
+		sleep(ctx, a.exchangeDelay())
 		if ctx.Err() != nil {
 			return
 		}
@@ -36,7 +36,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			a.peers.note(peer, err == nil)
+			a.peers.record(peer, err == nil)
 			if err != nil {
 				a.config.Logger.Debug("no exchange", zap.String("peer", peer), zap.Error(err))
 			}
@@ -44,9 +44,9 @@
 	}
 }
 
-// exchangePause is the time until the next exchange.
-func (a *Agent) exchangePause() time.Duration {
-	if a.InContact() && !a.peers.doubtful() {
+// exchangeDelay is the time until the next exchange.
+func (a *Agent) exchangeDelay() time.Duration {
+	if a.InContact() && !a.peers.suspicious() {
 		return calmExchangeInterval
 	}
 	return exchangeInterval
@@ -56,36 +56,36 @@
 func (a *Agent) exchange(ctx context.Context, peer string) error {
 	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.told(nil))
+	reply, err := feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.received(nil))
 	if err != nil {
 		return err
 	}
 	if err := a.takeFromPeer(reply, peer); err != nil {
 		return err
 	}
-	news := a.newsFor(reply)
-	if news == nil {
+	update := a.updateFor(reply)
+	if update == nil {
 		return nil
 	}
-	_, err = feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.told(news))
+	_, err = feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.received(update))
 	return err
 }
 
-func (a *Agent) handleExchange(_ context.Context, ask feed.Exchange) (feed.Exchange, error) {
-	if err := a.takeFromPeer(ask, ask.Agent); err != nil {
+func (a *Agent) handleExchange(_ context.Context, request feed.Exchange) (feed.Exchange, error) {
+	if err := a.takeFromPeer(request, request.Agent); err != nil {
 		return feed.Exchange{}, err
 	}
-	return a.told(a.newsFor(ask)), nil
+	return a.received(a.updateFor(request)), nil
 }
 
-// told is what this agent tells a peer.
-func (a *Agent) told(news *feed.Snapshot) feed.Exchange {
-	return feed.Exchange{Known: a.digest(), Snapshot: news, Agent: a.config.Address, MaxBytes: a.download.room()}
+// received is what this agent sends a peer.
+func (a *Agent) received(update *feed.Snapshot) feed.Exchange {
+	return feed.Exchange{Known: a.digest(), Snapshot: update, Agent: a.config.Address, MaxBytes: a.download.callBytes()}
 }
 
 // digest names what this agent knows or is fetching, with the age of its members.
 func (a *Agent) digest() feed.Digest {
-	digest := a.claimed()
+	digest := a.knownOrInProgress()
 	digest.MembersAgeMS = a.membersAge(time.Now()).Milliseconds()
 	return digest
 }
@@ -99,33 +99,33 @@
 	return now.Sub(a.membersConfirmed)
 }
 
-// newsFor is what a peer lacks, or nil. It gets the members only if its own are old.
-func (a *Agent) newsFor(peer feed.Exchange) *feed.Snapshot {
+// updateFor is what a peer lacks, or nil. It gets the members only if its own are old.
+func (a *Agent) updateFor(peer feed.Exchange) *feed.Snapshot {
 	known := peer.Known
 	theirs := time.Duration(known.MembersAgeMS) * time.Millisecond
 	if theirs > oldMembers && a.membersAge(time.Now()) < theirs {
-		news, _ := a.board.UpdateSince(known)
-		return a.board.AsOffer(news, known, peer.MaxBytes)
+		update, _ := a.board.UpdateSince(known)
+		return a.board.AsOffer(update, known, peer.MaxBytes)
 	}
 	return a.board.AsOffer(a.board.NewerThan(known), known, peer.MaxBytes)
 }
 
 // takeFromPeer merges what a peer told. Its members are taken over only if they are newer and the own ones are old.
-func (a *Agent) takeFromPeer(told feed.Exchange, peer string) error {
-	if told.Snapshot == nil {
+func (a *Agent) takeFromPeer(received feed.Exchange, peer string) error {
+	if received.Snapshot == nil {
 		return nil
 	}
-	if _, err := a.takeOffer(told.Snapshot, peer); err != nil {
+	if _, err := a.takeOffer(received.Snapshot, peer); err != nil {
 		return err
 	}
 	now := time.Now()
-	theirs := max(0, time.Duration(told.Known.MembersAgeMS)*time.Millisecond)
+	theirs := max(0, time.Duration(received.Known.MembersAgeMS)*time.Millisecond)
 	mine := a.membersAge(now)
-	if mine <= oldMembers || theirs >= mine || len(told.Snapshot.Core) == 0 {
-		a.board.Merge(told.Snapshot)
+	if mine <= oldMembers || theirs >= mine || len(received.Snapshot.Core) == 0 {
+		a.board.Merge(received.Snapshot)
 		return nil
 	}
-	a.board.MergeWithMembers(told.Snapshot)
+	a.board.MergeWithMembers(received.Snapshot)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.membersConfirmed = now.Add(-theirs)
--- a/internal/dataplane/agent/exchange_test.go
+++ b/internal/dataplane/agent/exchange_test.go
@@ -12,10 +12,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-func TestAgentsCutFromTheCore(t *testing.T) {
+func TestAgentsPartitionedFromTheCore(t *testing.T) {
 	inWorld(t, 3, 8, func(w *world) {
 		Convey("One that is cut off hears of changes from its peers in time", t, func() {
-			w.network.setCut(between("agent-3", isCore))
+			w.network.setPartition(between("agent-3", isCoordinator))
 			<-time.After(2 * time.Second)
 			So(w.agents["agent-3"].InContact(), ShouldBeFalse)
 			for version := uint64(5); version < 25; version++ {
@@ -25,14 +25,14 @@
 			}
 		})
 		Convey("So do all but one", t, func() {
-			w.network.setCut(func(from, to string) bool { return from != "agent-3" && !isCore(from) && isCore(to) })
+			w.network.setPartition(func(from, to string) bool { return from != "agent-3" && !isCoordinator(from) && isCoordinator(to) })
 			<-time.After(2 * time.Second)
 			w.setVersion(30)
 			<-time.After(4 * time.Second)
 			So(w.stragglers(30), ShouldBeEmpty)
 		})
 		Convey("They hear of new members as well", t, func() {
-			w.network.setCut(between("agent-3", isCore))
+			w.network.setPartition(between("agent-3", isCoordinator))
 			<-time.After(5 * time.Second)
 			w.addAgent("agent-8", []string{"core-1"})
 			<-time.After(10 * time.Second)
@@ -56,7 +56,7 @@
 			So(slices.Contains(front(), "agent-4"), ShouldBeTrue)
 		})
 		Convey("One that only its peers cannot reach stays", t, func() {
-			w.network.setCut(between("agent-4", func(to string) bool { return !isCore(to) }))
+			w.network.setPartition(between("agent-4", func(to string) bool { return !isCoordinator(to) }))
 			for range 20 {
 				<-time.After(time.Second)
 				So(slices.Contains(front(), "agent-4"), ShouldBeTrue)
@@ -97,14 +97,14 @@
 		Convey("one that fails is asked again until it is suspect", func() {
 			for range failuresToSuspect {
 				So(p.suspects(), ShouldBeEmpty)
-				p.note("agent-11", false)
+				p.record("agent-11", false)
 				if len(p.suspects()) == 0 {
 					So(p.choose(), ShouldEqual, "agent-11")
 				}
 			}
 			So(p.suspects(), ShouldResemble, []string{"agent-11"})
 			Convey("and no longer once it answers", func() {
-				p.note("agent-11", true)
+				p.record("agent-11", true)
 				So(p.suspects(), ShouldBeEmpty)
 			})
 			Convey("nor once it is gone", func() {
@@ -115,33 +115,33 @@
 	})
 }
 
-func TestMembersComeFromTheFresherSide(t *testing.T) {
+func TestMembersAreTakenFromTheNewerSide(t *testing.T) {
 	Convey("Given an agent whose members were confirmed a while ago", t, func() {
 		network := newNetwork()
 		a := New(Config{Address: "agent-0", Caller: endpoint{network, "agent-0"}})
 		a.board.MergeWithMembers(&feed.Snapshot{Core: []string{"core-0"}, Agents: []string{"agent-0"}})
-		told := feed.Exchange{Snapshot: &feed.Snapshot{Core: []string{"core-9"}, Agents: []string{"agent-9"}}}
-		core := func() string { return a.Snapshot().Core[0] }
+		received := feed.Exchange{Snapshot: &feed.Snapshot{Core: []string{"core-9"}, Agents: []string{"agent-9"}}}
+		coordinator := func() string { return a.Snapshot().Core[0] }
 		tell := func(age time.Duration) {
-			told.Known.MembersAgeMS = age.Milliseconds()
-			_, err := a.handleExchange(context.Background(), told)
+			received.Known.MembersAgeMS = age.Milliseconds()
+			_, err := a.handleExchange(context.Background(), received)
 			So(err, ShouldBeNil)
 		}
 		Convey("fresher ones are taken over", func() {
 			a.membersConfirmed = time.Now().Add(-time.Minute)
 			tell(10 * time.Second)
-			So(core(), ShouldEqual, "core-9")
+			So(coordinator(), ShouldEqual, "core-9")
 			So(a.membersAge(time.Now()), ShouldBeLessThan, time.Minute)
 		})
 		Convey("older ones are not", func() {
 			a.membersConfirmed = time.Now().Add(-time.Minute)
 			tell(2 * time.Minute)
-			So(core(), ShouldEqual, "core-0")
+			So(coordinator(), ShouldEqual, "core-0")
 		})
 		Convey("nor is any while a core mixer still confirms the own ones", func() {
 			a.confirm(time.Now())
 			tell(0)
-			So(core(), ShouldEqual, "core-0")
+			So(coordinator(), ShouldEqual, "core-0")
 		})
 	})
 }
--- a/internal/dataplane/agent/fetch.go
+++ b/internal/dataplane/agent/fetch.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// chunksSilence bounds one call for parts. It bounds no transfer as a whole: a call brings few parts, and they stay.
-	chunksSilence = 1500 * time.Millisecond
-	// longestYield bounds the pause after a call for parts.
-	longestYield = 250 * time.Millisecond
+	// chunksTimeout bounds one call for chunks. It bounds no transfer as a whole: a call brings few chunks, and they stay.
+	chunksTimeout = 1500 * time.Millisecond
+	// maxYield bounds the pause after a call for chunks.
+	maxYield = 250 * time.Millisecond
 )
 
 // claimed names what this agent knows, with the configuration that is on its way in the place of the one in force, so that
 // nobody sends it again.
-func (a *Agent) claimed() feed.Digest {
+func (a *Agent) knownOrInProgress() feed.Digest {
 	digest := a.board.Digest()
-	digest.ConfigurationVersion = max(digest.ConfigurationVersion, a.download.claimed())
+	digest.ConfigurationVersion = max(digest.ConfigurationVersion, a.download.inProgress())
 	return digest
 }
 
-// takeOffer begins or helps to fetch a configuration that a source has offered, and tells whether it was news.
-func (a *Agent) takeOffer(told *feed.Snapshot, source string) (news bool, err error) {
-	if told.Offer == nil || told.ConfigurationVersion <= a.board.Digest().ConfigurationVersion {
+// takeOffer begins or helps to fetch a configuration that a source has offered, and tells whether it was an update.
+func (a *Agent) takeOffer(received *feed.Snapshot, source string) (update bool, err error) {
+	if received.Offer == nil || received.ConfigurationVersion <= a.board.Digest().ConfigurationVersion {
 		return false, nil
 	}
-	if err := a.download.offered(told.ConfigurationVersion, told.Offer, source, a.board.Chunk, time.Now()); err != nil {
+	if err := a.download.offered(received.ConfigurationVersion, received.Offer, source, a.board.Chunk, time.Now()); err != nil {
 		return false, err
 	}
 	return true, a.finishDownload()
@@ -61,26 +61,26 @@
 	}
 }
 
-// fetchOnce makes one call for parts. It returns a pause as long as the call has taken, up to a bound: control takes half
+// fetchOnce makes one call for chunks. It returns a pause as long as the call has taken, up to a bound: control takes half
 // of the link at most, and less where clients' packets made the call slow.
-func (a *Agent) fetchOnce(ctx context.Context, call chunksCall) (pause time.Duration) {
-	bounded, cancel := context.WithTimeout(ctx, chunksSilence)
+func (a *Agent) fetchOnce(ctx context.Context, call chunksCall) (delay time.Duration) {
+	bounded, cancel := context.WithTimeout(ctx, chunksTimeout)
 	defer cancel()
 	began := time.Now()
-	reply, err := feed.ChunksCall.Call(bounded, a.config.Caller, call.source, call.ask)
+	reply, err := feed.ChunksCall.Call(bounded, a.config.Caller, call.source, call.request)
 	elapsed := time.Since(began)
 	if err != nil {
 		a.download.failed(call)
 		a.config.Logger.Debug("no parts", zap.String("source", call.source), zap.Error(err))
-		return minPause
+		return minBackoff
 	}
 	if err := a.download.arrived(call, reply, elapsed); err != nil {
 		a.download.failed(call)
 		a.config.Logger.Warn("parts not taken", zap.String("source", call.source), zap.Error(err))
-		return minPause
+		return minBackoff
 	}
 	if err := a.finishDownload(); err != nil {
 		a.config.Logger.Error("configuration not put in force", zap.String("source", call.source), zap.Error(err))
 	}
-	return min(elapsed, longestYield)
+	return min(elapsed, maxYield)
 }
--- a/internal/dataplane/agent/link_test.go
+++ b/internal/dataplane/agent/link_test.go
@@ -20,13 +20,13 @@
 
 // carry waits until a message has been sent, and returns false if ctx ends before. What was not sent then frees the link.
 func (l *link) carry(ctx context.Context, bytes int) bool {
-	wanted := time.Duration(float64(bytes) / l.perSecond * float64(time.Second))
+	expected := time.Duration(float64(bytes) / l.perSecond * float64(time.Second))
 	l.mutex.Lock()
 	begins := time.Now()
 	if l.free.After(begins) {
 		begins = l.free
 	}
-	ends := begins.Add(wanted)
+	ends := begins.Add(expected)
 	l.free = ends
 	l.mutex.Unlock()
 	timer := time.NewTimer(time.Until(ends))
@@ -37,11 +37,11 @@
 		return true
 	case <-ctx.Done():
 	}
-	unsent := min(wanted, time.Until(ends))
+	unsent := min(expected, time.Until(ends))
 	l.mutex.Lock()
 	l.free = l.free.Add(-unsent)
 	l.mutex.Unlock()
-	l.count(int(float64(bytes) * float64(wanted-unsent) / float64(wanted)))
+	l.count(int(float64(bytes) * float64(expected-unsent) / float64(expected)))
 	return false
 }
 
--- a/internal/dataplane/agent/local.go
+++ b/internal/dataplane/agent/local.go
@@ -7,32 +7,32 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// maxLocalWait bounds how long the proxy's call is held.
+// maxLocalWait bounds how long the proxy's call may wait.
 const maxLocalWait = 2 * time.Second
 
-// handleLocal answers the proxy as soon as there is news or contact to the control plane has come or gone.
-func (a *Agent) handleLocal(ctx context.Context, ask feed.WatchRequest) (feed.WatchReply, error) {
-	wait := min(time.Duration(ask.WaitMS)*time.Millisecond, maxLocalWait)
+// handleLocal answers the proxy as soon as there is an update or contact to the control plane has come or gone.
+func (a *Agent) handleLocal(ctx context.Context, request feed.WatchRequest) (feed.WatchReply, error) {
+	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxLocalWait)
 	deadline := time.Now().Add(wait)
 	for {
 		regained := a.contact.whenRegained()
-		news, changed := a.board.UpdateSince(ask.Known)
+		update, changed := a.board.UpdateSince(request.Known)
 		now := time.Now()
-		left := a.contact.left(now)
-		inContact := left > 0
-		pause := deadline.Sub(now)
-		if news != nil || inContact != ask.Current || pause <= 0 || ctx.Err() != nil {
-			return feed.WatchReply{Current: inContact, Changed: news != nil, Snapshot: news}, nil //nolint:nilerr // a call that is over gets what is known
+		remaining := a.contact.remaining(now)
+		inContact := remaining > 0
+		delay := deadline.Sub(now)
+		if update != nil || inContact != request.Current || delay <= 0 || ctx.Err() != nil {
+			return feed.WatchReply{Current: inContact, Changed: update != nil, Snapshot: update}, nil //nolint:nilerr // a call that is over gets what is known
 		}
 		if inContact {
-			pause = min(pause, left)
+			delay = min(delay, remaining)
 		}
-		waitForAny(ctx, pause, changed, regained)
+		waitForAny(ctx, delay, changed, regained)
 	}
 }
 
-func waitForAny(ctx context.Context, pause time.Duration, changed, regained <-chan struct{}) {
-	timer := time.NewTimer(pause)
+func waitForAny(ctx context.Context, delay time.Duration, changed, regained <-chan struct{}) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/dataplane/agent/local_test.go
+++ b/internal/dataplane/agent/local_test.go
@@ -20,23 +20,23 @@
 		Convey("A first call brings everything", t, func() {
 			w.setVersion(5)
 			<-time.After(50 * time.Millisecond)
-			reply := proxyAsk(w, "agent-0", feed.WatchRequest{})
+			reply := proxyRequest(w, "agent-0", feed.WatchRequest{})
 			So(reply.Current, ShouldBeTrue)
 			So(string(reply.Snapshot.Configuration), ShouldEqual, "configuration 5")
 			So(len(reply.Snapshot.Core), ShouldEqual, 3)
 		})
 		Convey("A call without news lasts as long as asked, up to a bound", t, func() {
-			for _, c := range []struct{ asked, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxLocalWait}} {
+			for _, c := range []struct{ requested, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxLocalWait}} {
 				began := time.Now()
-				reply := proxyAsk(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: c.asked.Milliseconds(), Current: true})
+				reply := proxyRequest(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: c.requested.Milliseconds(), Current: true})
 				So(time.Since(began), ShouldEqual, c.waited)
 				So(reply, ShouldResemble, feed.WatchReply{Current: true})
 			}
 		})
 		Convey("News end it at once", t, func() {
 			replies := make(chan feed.WatchReply)
-			ask := feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}
-			go func() { replies <- proxyAsk(w, "agent-0", ask) }()
+			request := feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}
+			go func() { replies <- proxyRequest(w, "agent-0", request) }()
 			synctest.Wait()
 			began := time.Now()
 			w.setVersion(6)
@@ -44,18 +44,18 @@
 			So(time.Since(began), ShouldBeLessThan, 50*time.Millisecond)
 		})
 		Convey("The loss of contact ends it, and so does its return", t, func() {
-			w.network.setCut(between("agent-0", isCore))
+			w.network.setPartition(between("agent-0", isCoordinator))
 			began := time.Now()
-			reply := proxyAsk(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true})
+			reply := proxyRequest(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true})
 			So(reply.Current, ShouldBeFalse)
 			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactLimit)
-			So(proxyAsk(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
+			So(proxyRequest(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
 
 			replies := make(chan feed.WatchReply)
-			ask := feed.WatchRequest{Known: known(), WaitMS: 2000}
-			go func() { replies <- proxyAsk(w, "agent-0", ask) }()
+			request := feed.WatchRequest{Known: known(), WaitMS: 2000}
+			go func() { replies <- proxyRequest(w, "agent-0", request) }()
 			synctest.Wait()
-			w.network.setCut(func(string, string) bool { return false })
+			w.network.setPartition(func(string, string) bool { return false })
 			began = time.Now()
 			So((<-replies).Current, ShouldBeTrue)
 			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactLimit)
@@ -84,9 +84,9 @@
 				client.Call(context.Background(), address, feed.LocalCall.Route(), feed.WatchRequest{WaitMS: 2000}, &reply)
 				replies <- reply
 			}()
-			news := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("configuration 5")}
+			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("configuration 5")}
 			var answer feed.Exchange
-			So(client.Call(context.Background(), address, feed.ExchangeCall.Route(), feed.Exchange{Snapshot: news}, &answer), ShouldBeNil)
+			So(client.Call(context.Background(), address, feed.ExchangeCall.Route(), feed.Exchange{Snapshot: update}, &answer), ShouldBeNil)
 			So(answer.Known.ConfigurationVersion, ShouldEqual, 5)
 			reply := <-replies
 			So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 5)
--- a/internal/dataplane/agent/network_test.go
+++ b/internal/dataplane/agent/network_test.go
@@ -16,19 +16,19 @@
 )
 
 var (
-	errCut  = errors.New("no answer")
-	errDown = errors.New("connection refused")
+	errPartitioned = errors.New("no answer")
+	errDown        = errors.New("connection refused")
 )
 
 // network carries calls in memory. Links can be cut, so that calls hang, and machines can be down, so that they fail.
 type network struct {
-	mutex sync.Mutex
-	muxes map[string]*transport.Mux
-	cut   func(from, to string) bool
-	down  map[string]bool
-	calls map[route]int
-	links map[string]*link // of machines whose link is thin
-	spoil func(from string, reply any)
+	mutex     sync.Mutex
+	muxes     map[string]*transport.Mux
+	partition func(from, to string) bool
+	down      map[string]bool
+	calls     map[route]int
+	links     map[string]*link // of machines whose link is thin
+	spoil     func(from string, reply any)
 }
 
 // route is who called whom for what.
@@ -36,12 +36,12 @@
 
 func newNetwork() *network {
 	return &network{
-		muxes: make(map[string]*transport.Mux),
-		cut:   func(string, string) bool { return false },
-		down:  make(map[string]bool),
-		calls: make(map[route]int),
-		links: make(map[string]*link),
-		spoil: func(string, any) {},
+		muxes:     make(map[string]*transport.Mux),
+		partition: func(string, string) bool { return false },
+		down:      make(map[string]bool),
+		calls:     make(map[route]int),
+		links:     make(map[string]*link),
+		spoil:     func(string, any) {},
 	}
 }
 
@@ -53,10 +53,10 @@
 	return n.muxes[address]
 }
 
-func (n *network) setCut(cut func(from, to string) bool) {
+func (n *network) setPartition(partition func(from, to string) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = cut
+	n.partition = partition
 }
 
 func (n *network) setDown(address string, down bool) {
@@ -87,9 +87,9 @@
 	mux := n.muxes[address]
 	down := mux == nil || n.down[address] || n.down[e.address]
 	n.mutex.Unlock()
-	if n.isCut(e.address, address) {
+	if n.isPartition(e.address, address) {
 		<-ctx.Done()
-		return rpcerror.WrapMayHaveExecuted(errCut)
+		return rpcerror.WrapMayHaveExecuted(errPartitioned)
 	}
 	if down {
 		return rpcerror.WrapNotExecuted(errDown, 0)
@@ -98,9 +98,9 @@
 		return err
 	}
 	err := serve(ctx, mux, called.Path(), request, reply)
-	if n.isCut(e.address, address) { // the answer is lost
+	if n.isPartition(e.address, address) { // the answer is lost
 		<-ctx.Done()
-		return rpcerror.WrapMayHaveExecuted(errCut)
+		return rpcerror.WrapMayHaveExecuted(errPartitioned)
 	}
 	if err != nil {
 		return err
@@ -129,11 +129,11 @@
 	return nil
 }
 
-// isCut tells whether a link is cut, which ends both directions.
-func (n *network) isCut(one, other string) bool {
+// isPartition tells whether a link is cut, which ends both directions.
+func (n *network) isPartition(one, other string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.cut(one, other) || n.cut(other, one)
+	return n.partition(one, other) || n.partition(other, one)
 }
 
 func serve(ctx context.Context, mux *transport.Mux, path string, request, reply any) error {
--- a/internal/dataplane/agent/peers.go
+++ b/internal/dataplane/agent/peers.go
@@ -67,8 +67,8 @@
 	return p.pick(p.others)
 }
 
-// doubtful tells whether a peer has just failed and it is open whether it is gone.
-func (p *peers) doubtful() bool {
+// suspicious tells whether a peer has just failed and it is open whether it is gone.
+func (p *peers) suspicious() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, failed := range p.failures {
@@ -86,8 +86,8 @@
 	return addresses[int(p.random.Unit()*float64(len(addresses)))]
 }
 
-// note records how an exchange ended.
-func (p *peers) note(address string, answered bool) {
+// record records how an exchange ended.
+func (p *peers) record(address string, answered bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if answered {
--- a/internal/dataplane/agent/transfer_test.go
+++ b/internal/dataplane/agent/transfer_test.go
@@ -55,17 +55,17 @@
 }
 
 // onThinLinks plays a test in virtual time on a fleet whose agents have thin links and a large configuration.
-func onThinLinks(t *testing.T, cores, agents int, test func(w *world)) {
+func onThinLinks(t *testing.T, coordinators, agents int, test func(w *world)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWorld(cores, agents)
-		for _, c := range w.cores {
-			c.update(func(c *core) { c.body = largeBody })
+		w := newWorld(coordinators, agents)
+		for _, c := range w.coordinators {
+			c.update(func(c *coordinator) { c.body = largeBody })
 		}
 		for address := range w.agents {
 			w.network.setLink(address)
 		}
 		w.setVersion(1)
-		<-time.After(settled)
+		<-time.After(converged)
 		synctest.Wait()
 		if stragglers := w.stragglers(1); len(stragglers) > 0 {
 			t.Fatalf("the first configuration is not in force at %v", stragglers)
@@ -219,11 +219,11 @@
 			a := fresh(w, "agent-b")
 			<-time.After(middle)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 0)
-			w.network.setCut(between("agent-b", isCore))
+			w.network.setPartition(between("agent-b", isCoordinator))
 			<-time.After(recoveryBound)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 1)
 			So(a.InContact(), ShouldBeFalse)
-			w.network.setCut(func(string, string) bool { return false })
+			w.network.setPartition(func(string, string) bool { return false })
 		})
 		Convey("Spoilt parts are not taken", t, func() {
 			spoilt := rank("agent-c", []string{"core-0", "core-1", "core-2"})[0]
--- a/internal/dataplane/proxy/bodymemory.go
+++ b/internal/dataplane/proxy/bodymemory.go
@@ -4,19 +4,19 @@
 
 // bodyMemory bounds the bytes of request bodies that are held at the same time.
 type bodyMemory struct {
-	maximum int64
-	held    atomic.Int64
+	maximum  int64
+	reserved atomic.Int64
 }
 
 // reserve takes memory for a body of the stated length; a negative length is unknown and counts as the most allowed.
-// It returns false when too much is held. The caller calls release when the request has ended.
+// It returns false when too much may wait. The caller calls release when the request has ended.
 func (b *bodyMemory) reserve(length, most int64) (release func(), ok bool) {
 	if length < 0 || length > most {
 		length = most
 	}
-	if b.held.Add(length) > b.maximum {
-		b.held.Add(-length)
+	if b.reserved.Add(length) > b.maximum {
+		b.reserved.Add(-length)
 		return nil, false
 	}
-	return func() { b.held.Add(-length) }, true
+	return func() { b.reserved.Add(-length) }, true
 }
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -17,7 +17,7 @@
 type leaderCall struct {
 	kind    operation
 	group   string
-	route   transport.IdempotentRoute // as a try that may have run is followed by others
+	route   transport.IdempotentRoute // as an attempt that may have run is followed by others
 	request any
 	allowed time.Duration // by the client and the route
 }
@@ -30,7 +30,7 @@
 	now    func() time.Time
 }
 
-// run tries a call, as often as the retrier decides, until it is answered into reply or given up. It gives up early when
+// run attempts a call, as often as the retrier decides, until it is answered into reply or given up. It gives up early when
 // the context ends.
 func (c *leaderCaller) run(ctx context.Context, begun time.Time, call leaderCall, reply any) decision {
 	retrier := newRetrier(call.kind, call.allowed)
@@ -38,7 +38,7 @@
 		return first
 	}
 	for {
-		epoch, err := c.try(ctx, call, retrier.tryTime(c.now().Sub(begun)), reply)
+		epoch, err := c.attempt(ctx, call, retrier.attemptTime(c.now().Sub(begun)), reply)
 		if err != nil {
 			c.log.Debug("try failed", zap.String("path", call.route.Path()), zap.String("group", call.group), zap.Error(err))
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// try sends a call to the leader known now, and returns that leader's epoch.
-func (c *leaderCaller) try(ctx context.Context, call leaderCall, most time.Duration, reply any) (epoch uint64, err error) {
+// attempt sends a call to the leader known now, and returns that leader's epoch.
+func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, most time.Duration, reply any) (epoch uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	ctx, leader, end, known := c.feed.begin(ctx, call.group)
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -32,14 +32,14 @@
 }
 
 func lead(f *follower, address string, epoch uint64) {
-	f.apply(news(1, configurationOf(1000), map[string]feed.Leader{testGroup: {Address: address, Term: epoch}}), f.now())
+	f.apply(update(1, configurationOf(1000), map[string]feed.Leader{testGroup: {Address: address, Term: epoch}}), f.now())
 }
 
 func submitCall(allowed time.Duration) leaderCall {
 	return leaderCall{kind: submission, group: testGroup, route: jobapi.SubmitCall.Route(), allowed: allowed}
 }
 
-func TestTriesInTime(t *testing.T) {
+func TestAttemptsInTime(t *testing.T) {
 	inBubble(t, "without a newer leader a refusal comes within a quarter of the time", func() {
 		c := newTestLeaderCaller(func(context.Context, string) error { return notRun("not the leader", 0) })
 		begun := time.Now()
@@ -68,18 +68,18 @@
 		So(<-abandoned, ShouldEqual, errNewerLeader)
 	})
 	inBubble(t, "a try is given up after its time, and the request after all of it", func() {
-		var tries []time.Duration
+		var attempts []time.Duration
 		c := newTestLeaderCaller(func(ctx context.Context, _ string) error {
 			begun := time.Now()
 			<-ctx.Done()
-			tries = append(tries, time.Since(begun))
+			attempts = append(attempts, time.Since(begun))
 			return ctx.Err()
 		})
 		begun := time.Now()
 		d := c.run(context.Background(), begun, submitCall(testAllowed), nil)
 		So(d.status, ShouldEqual, http.StatusGatewayTimeout)
 		So(time.Since(begun), ShouldEqual, ms(2850))
-		So(tries, ShouldResemble, []time.Duration{ms(1500), ms(1300)})
+		So(attempts, ShouldResemble, []time.Duration{ms(1500), ms(1300)})
 	})
 	inBubble(t, "no try is registered once it is over", func() {
 		c := newTestLeaderCaller(func(context.Context, string) error { return nil })
@@ -89,7 +89,7 @@
 }
 
 // TestCertaintyOfCalls plays random leaders, which answer, refuse, stay silent, break off and are replaced: a request
-// is refused only if all its tries have certainly not run.
+// is refused only if all its attempts have certainly not run.
 func TestCertaintyOfCalls(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		random := random.PCG(7)
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -16,8 +16,8 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-func notRun(text string, pause time.Duration) error {
-	return rpcerror.WrapNotExecuted(errors.New(text), pause)
+func notRun(text string, delay time.Duration) error {
+	return rpcerror.WrapNotExecuted(errors.New(text), delay)
 }
 
 func jobState(text string) job.State { return job.State(text) }
@@ -106,18 +106,18 @@
 	Convey("A leader that stays silent ends with 504", t, func() {
 		leader := newLeader(t)
 		leader.submit = func(ctx context.Context, _ jobapi.Submit) (jobapi.Submitted, error) {
-			return jobapi.Submitted{}, leader.silence(ctx)
+			return jobapi.Submitted{}, leader.timeout(ctx)
 		}
 		f := newFixture(t, snapshotOf(configurationOf(500), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusGatewayTimeout)
 	})
 	Convey("A try at a silent leader is given up for a newer one, and counts as unclear", t, func() {
 		old, next := newLeader(t), newLeader(t)
-		asked, gone := make(chan struct{}), make(chan struct{})
+		asked, closed := make(chan struct{}), make(chan struct{})
 		old.submit = func(ctx context.Context, _ jobapi.Submit) (jobapi.Submitted, error) {
 			close(asked)
-			defer close(gone)
-			return jobapi.Submitted{}, old.silence(ctx)
+			defer close(closed)
+			return jobapi.Submitted{}, old.timeout(ctx)
 		}
 		next.submit = func(context.Context, jobapi.Submit) (jobapi.Submitted, error) {
 			return jobapi.Submitted{}, notRun("full", time.Hour)
@@ -127,7 +127,7 @@
 		<-asked
 		f.lead(next.address(), 2)
 		So((<-replies).status, ShouldEqual, http.StatusGatewayTimeout)
-		<-gone
+		<-closed
 		So(next.called(), ShouldEqual, 1)
 	})
 	Convey("The client's time limits the tries", t, func() {
@@ -153,17 +153,17 @@
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		ctx, leave := context.WithCancel(context.Background())
 		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, f.url+testPrefix+testID, strings.NewReader(testJob))
-		left := make(chan error, 1)
+		remaining := make(chan error, 1)
 		go func() {
 			answer, err := f.client.Do(request)
 			if err == nil {
 				answer.Body.Close()
 			}
-			left <- err
+			remaining <- err
 		}()
 		<-asked
 		leave()
-		So(<-left, ShouldNotBeNil)
+		So(<-remaining, ShouldNotBeNil)
 		close(goOn)
 		So(<-finished, ShouldBeNil)
 	})
@@ -250,7 +250,7 @@
 		So(f.send(http.MethodGet, testPrefix, "").text, ShouldEqual, `{"pending":12}`)
 		leader.mutex.Lock()
 		leader.count = func(ctx context.Context, _ jobapi.Pending) (jobapi.PendingReply, error) {
-			return jobapi.PendingReply{}, leader.silence(ctx)
+			return jobapi.PendingReply{}, leader.timeout(ctx)
 		}
 		leader.mutex.Unlock()
 		So(f.send(http.MethodGet, testPrefix, "").text, ShouldEqual, `{"pending":12}`)
--- a/internal/dataplane/proxy/feed_test.go
+++ b/internal/dataplane/proxy/feed_test.go
@@ -45,7 +45,7 @@
 	return newFollower("", nil, buildTestRouter, zap.NewNop())
 }
 
-func news(version uint64, c testConfiguration, leaders map[string]feed.Leader) feed.WatchReply {
+func update(version uint64, c testConfiguration, leaders map[string]feed.Leader) feed.WatchReply {
 	snapshot := &feed.Snapshot{ConfigurationVersion: version, Configuration: c.raw(), Leaders: leaders}
 	return feed.WatchReply{Current: true, Changed: true, Snapshot: snapshot}
 }
@@ -57,32 +57,32 @@
 	}
 	Convey("An older configuration or leader is not taken", t, func() {
 		f := newTestFollower()
-		So(f.apply(news(5, second, leaders(3)), f.now()), ShouldBeTrue)
-		So(f.apply(news(4, first, leaders(2)), f.now()), ShouldBeFalse)
+		So(f.apply(update(5, second, leaders(3)), f.now()), ShouldBeTrue)
+		So(f.apply(update(4, first, leaders(2)), f.now()), ShouldBeFalse)
 		So(f.newest().router, ShouldResemble, second)
 		So(f.newest().leaders[testGroup].Address, ShouldEqual, "mixer-3")
 		So(f.digest(), ShouldResemble, feed.Digest{ConfigurationVersion: 5, LeaderTerms: map[string]uint64{testGroup: 3}})
 	})
 	Convey("What an agent that has just started lacks stays", t, func() {
 		f := newTestFollower()
-		f.apply(news(5, second, leaders(3)), f.now())
+		f.apply(update(5, second, leaders(3)), f.now())
 		f.apply(feed.WatchReply{Changed: true, Snapshot: &feed.Snapshot{}}, f.now())
 		So(f.newest().version, ShouldEqual, 5)
 		So(f.newest().leaders, ShouldHaveLength, 1)
 	})
 	Convey("A group that is gone from a current feed is gone", t, func() {
 		f := newTestFollower()
-		f.apply(news(5, second, leaders(3)), f.now())
-		f.apply(news(5, second, nil), f.now())
+		f.apply(update(5, second, leaders(3)), f.now())
+		f.apply(update(5, second, nil), f.now())
 		So(f.newest().leaders, ShouldBeEmpty)
 	})
 	Convey("A configuration that cannot be read changes nothing, and the next one is taken", t, func() {
 		f := newTestFollower()
-		f.apply(news(5, first, nil), f.now())
+		f.apply(update(5, first, nil), f.now())
 		broken := feed.WatchReply{Current: true, Changed: true, Snapshot: &feed.Snapshot{ConfigurationVersion: 6, Configuration: []byte("{")}}
 		So(f.apply(broken, f.now()), ShouldBeFalse)
 		So(f.newest().version, ShouldEqual, 5)
-		So(f.apply(news(7, second, nil), f.now()), ShouldBeTrue)
+		So(f.apply(update(7, second, nil), f.now()), ShouldBeTrue)
 		So(f.newest().router, ShouldResemble, second)
 	})
 }
@@ -97,15 +97,15 @@
 	return nil
 }
 
-func TestMembersThatAreLeftOut(t *testing.T) {
+func TestMembersLeftOutOfAnUpdateStay(t *testing.T) {
 	Convey("News without members leave those that are known as they are", t, func() {
 		f := newTestFollower()
-		whole := news(5, configurationOf(1000), nil)
-		whole.Snapshot.Core = []string{"core:1"}
-		f.apply(whole, f.now())
+		complete := update(5, configurationOf(1000), nil)
+		complete.Snapshot.Core = []string{"core:1"}
+		f.apply(complete, f.now())
 		named := f.digest().MembersSum
 		So(named, ShouldNotEqual, 0)
-		f.apply(news(6, configurationOf(2000), nil), f.now())
+		f.apply(update(6, configurationOf(2000), nil), f.now())
 		So(f.digest().MembersSum, ShouldEqual, named)
 		So(f.digest().ConfigurationVersion, ShouldEqual, 6)
 	})
@@ -116,7 +116,7 @@
 		Convey("A feed that is not heard of is not current any more", t, func() {
 			f := newTestFollower()
 			So(f.ready(), ShouldBeFalse)
-			f.apply(news(5, configurationOf(1000), nil), f.now())
+			f.apply(update(5, configurationOf(1000), nil), f.now())
 			So(f.ready(), ShouldBeTrue)
 			time.Sleep(feedStaleness - time.Millisecond)
 			So(f.ready(), ShouldBeTrue)
@@ -130,7 +130,7 @@
 		})
 		Convey("An answer that was read after this process had stood still is as old as its question", t, func() {
 			f := newTestFollower()
-			f.caller = standingStill(news(5, configurationOf(1000), nil))
+			f.caller = standingStill(update(5, configurationOf(1000), nil))
 			_, err := f.poll(context.Background())
 			So(err, ShouldBeNil)
 			So(f.newest().version, ShouldEqual, 5)
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	watchWait     = time.Second            // an agent without news answers after that
+	watchWait     = time.Second            // an agent without updates answers after that
 	watchSlack    = time.Second            // more time for its answer
 	feedStaleness = 4 * time.Second        // without an answer the feed is not current any more
 	firstRetry    = 100 * time.Millisecond // after a failed call of the agent; doubles
 	longestRetry  = 800 * time.Millisecond
-	idleAnswer    = 200 * time.Millisecond // pause after an answer that claims news but has none
+	idleAnswer    = 200 * time.Millisecond // pause after an answer that claims updates but has none
 )
 
-// errNewerLeader is the cause of ending a try at a leader that has been replaced.
+// errNewerLeader is the cause of ending an attempt at a leader that has been replaced.
 var errNewerLeader = errors.New("the group has a newer leader")
 
 // view is one state of the feed as the proxy uses it. It does not change.
@@ -65,11 +65,11 @@
 	mutex    sync.Mutex
 	view     *view
 	current  bool                        // as the agent said last
-	heard    time.Time                   // the agent was asked then for the newest answer: this process may have stood still since
+	received time.Time                   // the agent was asked then for the newest answer: this process may have been paused since
 	attempts map[*leaderAttempt]struct{} // under way
 }
 
-// leaderAttempt is one try at the leader of a group, to be ended when a newer leader is known.
+// leaderAttempt is one attempt at the leader of a group, to be ended when a newer leader is known.
 type leaderAttempt struct {
 	group  string
 	leader feed.Leader
@@ -107,7 +107,7 @@
 	}
 }
 
-// poll asks the agent once. Progress is false when it claimed news that the proxy has already.
+// poll asks the agent once. Progress is false when it claimed updates that the proxy has already.
 func (f *follower) poll(ctx context.Context) (progress bool, err error) {
 	began := f.now()
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
@@ -144,28 +144,28 @@
 }
 
 // isCurrent is called with the mutex held.
-func (f *follower) isCurrent() bool { return f.current && f.now().Sub(f.heard) < feedStaleness }
+func (f *follower) isCurrent() bool { return f.current && f.now().Sub(f.received) < feedStaleness }
 
-// stale tells whether the feed may lack news.
+// stale tells whether the feed may lack updates.
 func (f *follower) stale() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return !f.isCurrent()
 }
 
-// begin starts a try at the leader of a group. The context ends with errNewerLeader once a newer leader is known.
-// The caller calls end when the try is over. Without a leader known, ok is false.
-func (f *follower) begin(ctx context.Context, group string) (try context.Context, leader feed.Leader, end func(), ok bool) {
+// begin starts an attempt at the leader of a group. The context ends with errNewerLeader once a newer leader is known.
+// The caller calls end when the attempt is over. Without a leader known, ok is false.
+func (f *follower) begin(ctx context.Context, group string) (bounded context.Context, leader feed.Leader, end func(), ok bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	leader, ok = f.view.leaders[group]
 	if !ok {
 		return ctx, leader, func() {}, false
 	}
-	try, cancel := context.WithCancelCause(ctx)
+	bounded, cancel := context.WithCancelCause(ctx)
 	attempt := &leaderAttempt{group: group, leader: leader, cancel: cancel}
 	f.attempts[attempt] = struct{}{}
-	return try, leader, func() { f.end(attempt) }, true
+	return bounded, leader, func() { f.end(attempt) }, true
 }
 
 func (f *follower) end(attempt *leaderAttempt) {
--- a/internal/dataplane/proxy/handler.go
+++ b/internal/dataplane/proxy/handler.go
@@ -215,11 +215,11 @@
 }
 
 // setRetryAfter states a time, if there is one, in whole seconds and at least one.
-func setRetryAfter(w http.ResponseWriter, pause time.Duration) {
-	if pause <= 0 {
+func setRetryAfter(w http.ResponseWriter, delay time.Duration) {
+	if delay <= 0 {
 		return
 	}
-	seconds := (pause + time.Second - 1) / time.Second
+	seconds := (delay + time.Second - 1) / time.Second
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 }
 
--- a/internal/dataplane/proxy/jobs.go
+++ b/internal/dataplane/proxy/jobs.go
@@ -103,8 +103,8 @@
 // acrossGroups asks the group of the service, and the others if that one does not know the job. The job is gone only if
 // every group says so, also one whose leader is not known yet, and the feed, looked at after that, is current: else there
 // may be a group that is not known here.
-func (s *jobService) acrossGroups(service string, ask func(group string) outcome) outcome {
-	found := s.mostTelling(service, ask)
+func (s *jobService) acrossGroups(service string, request func(group string) outcome) outcome {
+	found := s.mostTelling(service, request)
 	if found.status == http.StatusGone && s.leaders.feed.stale() {
 		return outcomeOf(refusal(http.StatusServiceUnavailable, earlyRetryAfter))
 	}
@@ -112,9 +112,9 @@
 }
 
 // mostTelling asks all groups known, unless that of the service knows the job.
-func (s *jobService) mostTelling(service string, ask func(group string) outcome) outcome {
+func (s *jobService) mostTelling(service string, request func(group string) outcome) outcome {
 	own := feed.GroupOf(service)
-	first := ask(own)
+	first := request(own)
 	if first.status != http.StatusGone {
 		return first
 	}
@@ -125,7 +125,7 @@
 	for i, group := range others {
 		slots <- struct{}{}
 		asked.Go(func() {
-			results[i] = ask(group)
+			results[i] = request(group)
 			<-slots
 		})
 	}
@@ -154,7 +154,7 @@
 	group := feed.GroupOf(r.queue.Service)
 	call := leaderCall{route: jobapi.PendingCall.Route(), group: group, request: jobapi.Pending{Group: group, Route: r.queue.Route}}
 	var reply jobapi.PendingReply
-	if _, err := s.leaders.try(ctx, call, pendingTryLimit, &reply); err != nil {
+	if _, err := s.leaders.attempt(ctx, call, pendingAttemptLimit, &reply); err != nil {
 		return s.pending.get(r.queue.Route)
 	}
 	s.pending.put(r.queue.Route, reply.Count, r.begun)
--- a/internal/dataplane/proxy/merge.go
+++ b/internal/dataplane/proxy/merge.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// apply takes in an answer of the agent, who was asked at a time. It returns false when the answer claimed news but had none.
+// apply takes in an answer of the agent, who was asked at a time. It returns false when the answer claimed updates but had none.
 func (f *follower) apply(reply feed.WatchReply, asked time.Time) (progress bool) {
 	old := f.newest() // only this goroutine replaces it
 	next := *old
@@ -56,8 +56,8 @@
 }
 
 // mergeLeaders keeps the newest leader of each group. A group that is gone from a current snapshot exists no more.
-func mergeLeaders(old, news map[string]feed.Leader, current bool) map[string]feed.Leader {
-	merged := maps.Clone(news)
+func mergeLeaders(old, update map[string]feed.Leader, current bool) map[string]feed.Leader {
+	merged := maps.Clone(update)
 	if merged == nil {
 		merged = make(map[string]feed.Leader)
 	}
@@ -73,12 +73,12 @@
 	return merged
 }
 
-// publish makes a view the newest one, wakes who waits for it, and ends tries at leaders that it replaces.
+// publish makes a view the newest one, wakes who waits for it, and ends attempts at leaders that it replaces.
 func (f *follower) publish(next *view, changed, current bool, asked time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.current = current
-	f.heard = asked
+	f.received = asked
 	if !changed {
 		return
 	}
--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -50,11 +50,11 @@
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		relay := resettest.New(t, strings.TrimPrefix(f.url, "http://"))
 		number := 0
-		send := func(cut resettest.Direction, after int) error {
+		send := func(closed resettest.Direction, after int) error {
 			number++
 			client := &http.Transport{}
 			defer client.CloseIdleConnections()
-			relay.Arm(cut, after)
+			relay.Arm(closed, after)
 			request, err := http.NewRequest(http.MethodPost, "http://"+relay.Address()+testPrefix+string(numbered(number)), strings.NewReader(testJob))
 			So(err, ShouldBeNil)
 			answer, err := client.RoundTrip(request)
@@ -72,7 +72,7 @@
 			for after := range lengths[resettest.Requests] {
 				So(send(resettest.Requests, after), ShouldNotBeNil)
 			}
-			cutInCall := number
+			closedInCall := number
 			for after := range lengths[resettest.Responses] {
 				So(send(resettest.Responses, after), ShouldNotBeNil)
 				if handed.count(number) != 1 {
@@ -80,8 +80,8 @@
 				}
 			}
 			So(send(resettest.Requests, resettest.NoReset), ShouldBeNil)
-			for cut := 2; cut <= cutInCall; cut++ {
-				if handed.count(cut) != 0 {
+			for closed := 2; closed <= closedInCall; closed++ {
+				if handed.count(closed) != 0 {
 					wrong++
 				}
 			}
@@ -93,12 +93,12 @@
 // TestAnswersReachTheirClients asks for many jobs at once, while many clients give up, and the leader's answers too.
 func TestAnswersReachTheirClients(t *testing.T) {
 	Convey("Each answer is about the job that was asked for", t, func() {
-		const clients, asksEach = 12, 40
+		const clients, requestsEach = 12, 40
 		leader := newLeader(t)
 		var late atomic.Int64
 		leader.status = func(ctx context.Context, s jobapi.Status) (jobapi.StatusReply, error) {
-			if late.Add(1)%16 == 0 { // beyond the time of a try
-				return jobapi.StatusReply{}, leader.silence(ctx)
+			if late.Add(1)%16 == 0 { // beyond the time of an attempt
+				return jobapi.StatusReply{}, leader.timeout(ctx)
 			}
 			return jobapi.StatusReply{Known: true, State: jobState(string(s.ID))}, nil
 		}
@@ -108,13 +108,13 @@
 		for client := range clients {
 			random := rand.New(rand.NewPCG(uint64(client), 0))
 			asking.Go(func() {
-				for ask := range asksEach {
-					id := string(numbered(client*asksEach + ask))
+				for request := range requestsEach {
+					id := string(numbered(client*requestsEach + request))
 					ctx, cancel := context.WithCancel(context.Background())
 					if random.IntN(3) == 0 {
 						time.AfterFunc(time.Duration(random.IntN(900))*time.Microsecond, cancel)
 					}
-					text, err := f.ask(ctx, testPrefix+id)
+					text, err := f.request(ctx, testPrefix+id)
 					switch {
 					case err != nil:
 					case strings.Contains(text, id):
@@ -128,12 +128,12 @@
 		}
 		asking.Wait()
 		So(wrong.Load(), ShouldEqual, 0)
-		So(right.Load(), ShouldBeGreaterThan, clients*asksEach/2)
+		So(right.Load(), ShouldBeGreaterThan, clients*requestsEach/2)
 	})
 }
 
-// ask reads a path; a client that gives up gets an error.
-func (f *fixture) ask(ctx context.Context, path string) (string, error) {
+// request reads a path; a client that gives up gets an error.
+func (f *fixture) request(ctx context.Context, path string) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+path, nil)
 	if err != nil {
 		return "", err
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// This file decides what follows a try at a leader. It does no I/O and reads no clock.
+// This file decides what follows an attempt at a leader. It does no I/O and reads no clock.
 
 // operation is the kind of a client's request, which sets its times.
 type operation uint8
@@ -20,16 +20,16 @@
 
 // Times of the decisions.
 const (
-	answerReserve   = 150 * time.Millisecond  // kept of the client's time for the way of the answer
-	submitTryLimit  = 1500 * time.Millisecond // of one try of a submission or a cancellation
-	readingTryLimit = 900 * time.Millisecond  // of one try of a reading
-	leaderPatience  = 400 * time.Millisecond  // one wait for a newer leader
-	minimumTry      = 50 * time.Millisecond   // a try that would have less time is not begun
-	firstPause      = 50 * time.Millisecond   // before the try after the first unclear one; doubles up to leaderPatience
-	earlyRetryAfter = time.Second             // the hint of a refusal for want of a leader
+	answerReserve       = 150 * time.Millisecond  // kept of the client's time for the way of the answer
+	submitAttemptLimit  = 1500 * time.Millisecond // of one attempt of a submission or a cancellation
+	readingAttemptLimit = 900 * time.Millisecond  // of one attempt of a reading
+	leaderPatience      = 400 * time.Millisecond  // one wait for a newer leader
+	minAttemptTime      = 50 * time.Millisecond   // an attempt that would have less time is not begun
+	minBackoff          = 50 * time.Millisecond   // before the attempt after the first unclear one; doubles up to leaderPatience
+	earlyRetryAfter     = time.Second             // the hint of a refusal for want of a leader
 )
 
-// result is how one try ended.
+// result is how one attempt ended.
 type result uint8
 
 const (
@@ -39,13 +39,13 @@
 	unclear           // it may have run
 )
 
-// attempt is one try's result.
+// attempt is one attempt's result.
 type attempt struct {
 	result result
-	pause  time.Duration // asked for by a callee that is overloaded
+	delay  time.Duration // asked for by a callee that is overloaded
 }
 
-// attemptOf classifies the error of a try.
+// attemptOf classifies the error of an attempt.
 func attemptOf(err error) attempt {
 	switch {
 	case err == nil:
@@ -53,57 +53,57 @@
 	case rpcerror.ExecutionOf(err) != rpcerror.NotExecuted:
 		return attempt{result: unclear}
 	case rpcerror.RetryAfter(err) > 0:
-		return attempt{result: overloaded, pause: rpcerror.RetryAfter(err)}
+		return attempt{result: overloaded, delay: rpcerror.RetryAfter(err)}
 	default:
 		return attempt{result: refused}
 	}
 }
 
-// decision is what to do after a try: to finish with an answer, or to try once more after a wait.
+// decision is what to do after an attempt: to finish with an answer, or to try once more after a wait.
 type decision struct {
 	finished   bool
 	status     int           // of the answer
 	retryAfter time.Duration // of the answer, for statuses 429 and 503
-	wait       time.Duration // before the next try; a leader newer than the one tried ends it
+	wait       time.Duration // before the next attempt; a leader newer than the one tried ends it
 }
 
-// retrier decides on the tries of one request. Times are counted from the request's arrival. Its answer is 429 or 503
+// retrier decides on the attempts of one request. Times are counted from the request's arrival. Its answer is 429 or 503
 // only when no try can have run.
 type retrier struct {
-	limit       time.Duration // by when the answer is due
-	patience    time.Duration // by when a request that has not run is refused
-	tryLimit    time.Duration
-	mayHaveRun  bool
-	unclearNext time.Duration // pause before the try after the next unclear one
+	limit        time.Duration // by when the answer is due
+	patience     time.Duration // by when a request that has not run is refused
+	attemptLimit time.Duration
+	mayHaveRun   bool
+	unclearNext  time.Duration // pause before the attempt after the next unclear one
 }
 
 // newRetrier begins a request for which the client and the route allow so much time.
 func newRetrier(kind operation, allowed time.Duration) retrier {
 	limit := max(allowed-answerReserve, allowed/2)
-	r := retrier{limit: limit, patience: limit / 2, tryLimit: submitTryLimit, unclearNext: firstPause}
+	r := retrier{limit: limit, patience: limit / 2, attemptLimit: submitAttemptLimit, unclearNext: minBackoff}
 	switch kind {
 	case submission:
 		r.patience = limit / 4
 	case reading:
-		r.tryLimit = readingTryLimit
+		r.attemptLimit = readingAttemptLimit
 	}
 	return r
 }
 
-// tryTime is the time limit of a try that begins now.
-func (r *retrier) tryTime(elapsed time.Duration) time.Duration {
-	return min(r.tryLimit, r.limit-elapsed)
+// attemptTime is the time limit of an attempt that begins now.
+func (r *retrier) attemptTime(elapsed time.Duration) time.Duration {
+	return min(r.attemptLimit, r.limit-elapsed)
 }
 
-// begin decides on the first try: without enough time left it is not made.
+// begin decides on the first attempt: without enough time left it is not made.
 func (r *retrier) begin(elapsed time.Duration) decision {
-	if r.limit-elapsed < minimumTry {
+	if r.limit-elapsed < minAttemptTime {
 		return r.giveUp()
 	}
 	return decision{}
 }
 
-// next decides what follows a try that ended now.
+// next decides what follows an attempt that ended now.
 func (r *retrier) next(last attempt, elapsed time.Duration) decision {
 	if last.result == answered {
 		return decision{finished: true, status: http.StatusOK}
@@ -115,16 +115,16 @@
 		return r.afterUnclear(last, elapsed)
 	}
 	if last.result == overloaded {
-		return refusal(http.StatusTooManyRequests, last.pause)
+		return refusal(http.StatusTooManyRequests, last.delay)
 	}
-	left := r.patience - elapsed
-	if left < minimumTry {
+	remaining := r.patience - elapsed
+	if remaining < minAttemptTime {
 		return r.giveUp()
 	}
-	return decision{wait: min(leaderPatience, left)}
+	return decision{wait: min(leaderPatience, remaining)}
 }
 
-// giveUp is the answer when there will be no more tries.
+// giveUp is the answer when there will be no more attempts.
 func (r *retrier) giveUp() decision {
 	if r.mayHaveRun {
 		return decision{finished: true, status: http.StatusGatewayTimeout}
@@ -140,9 +140,9 @@
 		wait = r.unclearNext
 		r.unclearNext = min(2*r.unclearNext, leaderPatience)
 	case overloaded:
-		wait = max(last.pause, firstPause)
+		wait = max(last.delay, minBackoff)
 	}
-	if r.limit-elapsed-wait < minimumTry {
+	if r.limit-elapsed-wait < minAttemptTime {
 		return r.giveUp()
 	}
 	return decision{wait: wait}
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -16,7 +16,7 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// step is one try of a test's sequence and what has to follow it.
+// step is one attempt of a test's sequence and what has to follow it.
 type step struct {
 	elapsed time.Duration
 	attempt attempt
@@ -95,12 +95,12 @@
 	}
 }
 
-func TestTimesOfTries(t *testing.T) {
+func TestTimesOfAttempts(t *testing.T) {
 	Convey("A try takes the time of its kind at most, and what is left", t, func() {
 		submit, read := newRetrier(submission, testAllowed), newRetrier(reading, testAllowed)
-		So(submit.tryTime(0), ShouldEqual, ms(1500))
-		So(read.tryTime(0), ShouldEqual, ms(900))
-		So(submit.tryTime(ms(2000)), ShouldEqual, ms(850))
+		So(submit.attemptTime(0), ShouldEqual, ms(1500))
+		So(read.attemptTime(0), ShouldEqual, ms(900))
+		So(submit.attemptTime(ms(2000)), ShouldEqual, ms(850))
 	})
 	Convey("A short time keeps half of it for tries", t, func() {
 		r := newRetrier(submission, ms(200))
@@ -126,7 +126,7 @@
 	})
 }
 
-// randomAttempt draws a try's result.
+// randomAttempt draws an attempt's result.
 func randomAttempt(random *random.PCG) attempt {
 	switch draw := random.Unit(); {
 	case draw < 0.05:
@@ -140,7 +140,7 @@
 	}
 }
 
-// TestCertainty plays random sequences of tries: a request is refused only if none of its tries was unclear, succeeds
+// TestCertainty plays random sequences of attempts: a request is refused only if none of its attempts was unclear, succeeds
 // only by an answer, and ends in time.
 func TestCertainty(t *testing.T) {
 	random := random.PCG(20261202)
@@ -151,11 +151,11 @@
 		elapsed, anyUnclear := time.Duration(0), false
 		last := attempt{result: refused}
 		d := r.begin(elapsed)
-		for tries := 0; !d.finished; tries++ {
-			if tries > 100 {
+		for attempts := 0; !d.finished; attempts++ {
+			if attempts > 100 {
 				t.Fatalf("kind %d, allowed %v: it does not end", kind, allowed)
 			}
-			most := r.tryTime(elapsed)
+			most := r.attemptTime(elapsed)
 			if most <= 0 {
 				t.Fatalf("kind %d, allowed %v: a try of %v is begun", kind, allowed, most)
 			}
--- a/internal/dataplane/proxy/server.go
+++ b/internal/dataplane/proxy/server.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	wholeRequestTimeout = 30 * time.Second // to read a request with its body
-	acceptPause         = 50 * time.Millisecond
+	requestTimeout = 30 * time.Second // to read a request with its body
+	acceptBackoff  = 50 * time.Millisecond
 )
 
 // frontServer accepts clients' connections and serves each under the limits that were in force when it was accepted.
@@ -49,7 +49,7 @@
 	server := &http.Server{
 		Handler:           s.handler,
 		ReadHeaderTimeout: limits.HeaderTimeout,
-		ReadTimeout:       wholeRequestTimeout,
+		ReadTimeout:       requestTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    limits.HeaderBytes,
 		ConnState:         s.tracker.observe,
@@ -71,7 +71,7 @@
 			return
 		case err != nil:
 			s.log.Warn("accept failed", zap.Error(err))
-			time.Sleep(acceptPause) // descriptors may be free then
+			time.Sleep(acceptBackoff) // descriptors may be free then
 		case s.tracker.full():
 			connection.Close()
 		default:
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -162,8 +162,8 @@
 	return l.calls
 }
 
-// silence does not answer until the caller has gone or the test ends.
-func (l *standInLeader) silence(ctx context.Context) error {
+// timeout does not answer until the caller has gone or the test ends.
+func (l *standInLeader) timeout(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-l.ended.Done():
