--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, remove()) }()
+	defer remove()
 	log, closeLog, err := c.openLog()
 	if err != nil {
 		return err
@@ -68,24 +68,22 @@
 }
 
 // workDirectory is the directory that was named, or one that is removed at the end.
-func (c *demoCmd) workDirectory() (directory string, remove func() error, err error) {
+func (c *demoCmd) workDirectory() (directory string, remove func(), err error) {
 	if c.Directory != "" {
 		entries, err := os.ReadDir(c.Directory)
 		if err == nil && len(entries) > 0 {
 			err = unusable("--directory %s is not empty: name an empty one, or none", c.Directory)
 		}
-		return c.Directory, nothing, err
+		return c.Directory, func() {}, err
 	}
 	directory, err = os.MkdirTemp("", "puffinlink-demo-")
-	return directory, func() error { return os.RemoveAll(directory) }, err
+	// What a process that was killed still writes may be left in the system's directory for what is passing: nothing depends on it.
+	return directory, func() { _ = os.RemoveAll(directory) }, err
 }
 
-// nothing ends what needs no end.
-func nothing() error { return nil }
-
 func (c *demoCmd) openLog() (log io.Writer, closeLog func() error, err error) {
 	if c.Log == "" {
-		return io.Discard, nothing, nil
+		return io.Discard, func() error { return nil }, nil
 	}
 	file, err := os.Create(c.Log)
 	if err != nil {
