--- a/internal/controlplane/replicaset/linearizability_test.go
+++ b/internal/controlplane/replicaset/linearizability_test.go
@@ -5,7 +5,6 @@
 	"flag"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -13,7 +12,6 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/smartystreets/goconvey/convey"
 
-	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/raceflag"
@@ -21,12 +19,12 @@
 
 // Extent of a simulation, in simulated time.
 const (
-	clients        = 3
-	simulationTime = 60 * time.Second
-	operationLimit = 3 * time.Second
-	betweenClients = 400 * time.Millisecond // upper bound of the time between a client's operations
-	betweenFaults  = 8 * time.Second
-	healingTime    = 10 * time.Second // from the end of all faults
+	simulationClients = 3
+	simulationTime    = 60 * time.Second
+	operationTimeout  = 3 * time.Second
+	maxOperationGap   = 400 * time.Millisecond // upper bound of the time between a client's operations
+	maxFaultGap       = 8 * time.Second
+	healingTime       = 10 * time.Second // from the end of all faults
 )
 
 var schedules = flag.Int("schedules", 1, "number of simulated schedules for each number of members")
@@ -39,28 +37,28 @@
 	LateBy:    2500 * time.Millisecond,
 }
 
-// simulation is a cluster in trouble.
+// simulation is a cluster with faults, of which single ones are injected one after another.
 type simulation struct {
 	*cluster
 	random      *rand.Rand
 	history     *history
 	machines    int // started so far
 	partitioned map[string]bool
-	lastFault   time.Time // since when nothing has happened
-	newest      replicaset.View
-	views       map[uint64][]string // members of each view seen
+	lastFault   time.Time // when the newest fault was over
+	views       viewHistory
 
-	twoOfOneVersion      bool // views were seen
+	conflictingViews     bool // two views of one version were seen
 	writableAfterHealing bool // the register could be written at the end
-	final                string
+	finalViews           string
 }
 
-// simulate runs clients at all processes while messages are lost, doubled and late, and members are killed, cut off and
-// replaced.
+// simulate runs clients at all processes while messages are lost, duplicated and late, and members are killed, partitioned
+// and replaced.
 func simulate(t *testing.T, seed uint64, size int, broken ruleMutant) *simulation {
+	t.Helper()
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), history: &history{}, machines: size,
-		partitioned: make(map[string]bool), views: make(map[uint64][]string),
+		partitioned: make(map[string]bool),
 	}
 	inCluster(t, seed, broken, addresses(size), func(c *cluster) {
 		s.cluster = c
@@ -68,11 +66,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), simulationTime)
 		defer cancel()
 		var running sync.WaitGroup
-		for client := range clients {
-			running.Go(func() { s.runClient(ctx, client, rand.New(rand.NewPCG(seed, uint64(client)+2))) })
+		for client := range simulationClients {
+			running.Go(func() { s.runClient(ctx.Done(), client, rand.New(rand.NewPCG(seed, uint64(client)+2))) })
 		}
 		for ctx.Err() == nil {
-			s.wait(betweenFaults)
+			s.wait(maxFaultGap)
 			s.injectFault()
 			s.lastFault = time.Now()
 			s.observeViews()
@@ -83,7 +81,7 @@
 	return s
 }
 
-// healAll ends all faults, and notes whether the register can be written then.
+// healAll ends all faults, and records whether the register can be written then.
 func (s *simulation) healAll() {
 	s.network.SetFaults(networktest.Faults{})
 	<-time.After(healingTime)
@@ -91,7 +89,7 @@
 	all := s.sorted()
 	for _, p := range all {
 		view := p.manager.View()
-		s.final += fmt.Sprintf("%s: version %d %v, votes %v; ", p.address, view.Version, view.Members, p.rebuilder.Ready())
+		s.finalViews += fmt.Sprintf("%s: version %d %v, votes %v; ", p.address, view.Version, view.Members, p.rebuilder.Ready())
 	}
 	s.writableAfterHealing = len(all) > 0 && s.write(all[0].address, "healed") == nil
 }
@@ -100,11 +98,12 @@
 	<-time.After(time.Duration(s.random.Int64N(int64(bound))))
 }
 
-func (s *simulation) runClient(ctx context.Context, client int, random *rand.Rand) {
-	for i := 0; ctx.Err() == nil; i++ {
+// runClient appends to the register and reads it until done is closed.
+func (s *simulation) runClient(done <-chan struct{}, client int, random *rand.Rand) {
+	for i := 0; !isClosed(done); i++ {
 		if all := s.sorted(); len(all) > 0 {
 			p := all[random.IntN(len(all))]
-			limited, cancel := context.WithTimeout(p.ctx, operationLimit)
+			limited, cancel := context.WithTimeout(p.ctx, operationTimeout)
 			do := operation{}
 			if random.IntN(2) == 0 {
 				do.token = fmt.Sprintf("%d-%d.", client, i)
@@ -112,28 +111,23 @@
 			s.history.run(limited, client, p.register, do)
 			cancel()
 		}
-		<-time.After(time.Duration(random.Int64N(int64(betweenClients))))
+		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
 	}
 }
 
-// look notes the views of all processes.
+// observeViews records the views of all processes.
 func (s *simulation) observeViews() {
 	for _, p := range s.all() {
-		view := p.manager.View()
-		if known, found := s.views[view.Version]; found && view.Version > 0 && !slices.Equal(known, view.Members) {
-			s.twoOfOneVersion = true
-		}
-		s.views[view.Version] = view.Members
-		if view.Version > s.newest.Version {
-			s.newest = view
+		if !s.views.record(p.manager.View()) {
+			s.conflictingViews = true
 		}
 	}
 }
 
-// injectFault lets one thing happen to a member.
+// injectFault lets one member have one fault.
 func (s *simulation) injectFault() {
 	s.observeViews()
-	address := s.newest.Members[s.random.IntN(len(s.newest.Members))]
+	address := s.views.newest.Members[s.random.IntN(len(s.views.newest.Members))]
 	p := s.at(address)
 	if p == nil {
 		return
@@ -142,9 +136,9 @@
 	case kind < 3 && s.allHealthy():
 		s.stop(p)
 		s.wait(1500 * time.Millisecond)
-		s.enter()
+		s.startJoiningMember()
 	case kind == 3 && s.allHealthy():
-		s.enter()
+		s.startJoiningMember()
 		s.wait(3 * time.Second)
 		s.stopGracefully(p)
 	case kind == 4 && s.allHealthy():
@@ -160,35 +154,34 @@
 	}
 }
 
-// enter starts a joining member unless some wait already.
-func (s *simulation) enter() {
-	if waiting := len(s.all()) - len(s.newest.Members); waiting > 0 {
+// startJoiningMember starts a joining member unless there are some already.
+func (s *simulation) startJoiningMember() {
+	if waiting := len(s.all()) - len(s.views.newest.Members); waiting > 0 {
 		return
 	}
 	s.machines++
-	s.seeds = s.newest.Members
+	s.seeds = s.views.newest.Members
 	s.start(fmt.Sprintf("core-%d", s.machines), "elsewhere", storage.NewMemory(), false)
 }
 
-// partition cuts a process off for some time, while a joining member may come.
+// partition isolates a process for some time, while a joining member may start.
 func (s *simulation) partition(address string) {
 	s.partitioned[address] = true
 	s.network.Partition(address, true)
 	if s.random.IntN(2) == 0 {
-		s.enter()
+		s.startJoiningMember()
 	}
 	s.wait(5 * time.Second)
 	s.network.Partition(address, false)
 	delete(s.partitioned, address)
 }
 
-// allHealthy tells whether one more member may be lost for good: all others are there, have had the time to catch up, and may
-// vote.
+// allHealthy tells whether one more member may be lost for good: all others run, have had the time to catch up, and may vote.
 func (s *simulation) allHealthy() bool {
 	if time.Since(s.lastFault) < catchUpTime {
 		return false
 	}
-	for _, address := range s.newest.Members {
+	for _, address := range s.views.newest.Members {
 		p := s.at(address)
 		if p == nil || s.partitioned[address] || !p.rebuilder.Ready() {
 			return false
@@ -213,17 +206,17 @@
 			if checked := s.history.check(); checked != porcupine.Ok {
 				t.Fatalf("%d members, seed %d: %d operations are %v", size, seed, len(s.history.operations), checked)
 			}
-			if s.twoOfOneVersion {
+			if s.conflictingViews {
 				t.Errorf("%d members, seed %d: two views of one version", size, seed)
 			}
 			if !s.writableAfterHealing {
-				t.Errorf("%d members, seed %d: no progress after the end of all faults: %s", size, seed, s.final)
+				t.Errorf("%d members, seed %d: no progress after the end of all faults: %s", size, seed, s.finalViews)
 			}
 			succeeded += s.history.succeeded
-			replaced += s.newest.Version - 1
+			replaced += s.views.newest.Version - 1
 		}
 	}
-	convey.Convey("Operations come to their end, and members are replaced", t, func() {
+	convey.Convey("Operations succeed, and members are replaced", t, func() {
 		convey.So(succeeded, convey.ShouldBeGreaterThan, 10**schedules)
 		convey.So(replaced, convey.ShouldBeGreaterThan, 0)
 	})
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -36,7 +36,7 @@
 // dialFunction opens a connection that is reset when it is given up.
 type dialFunction func(ctx context.Context, network, address string) (net.Conn, error)
 
-// connect gives a call an idle connection of its lane, or a new one.
+// connect gives a call an idle connection of its pool, or a new one.
 func (c *Connections) connect(ctx context.Context, dial dialFunction, address string) (*connection, error) {
 	for {
 		idle := c.takeIdle(address)
@@ -53,21 +53,21 @@
 func (c *Connections) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.pool(address)
-	last := len(l.idle) - 1
+	p := c.pool(address)
+	last := len(p.idle) - 1
 	if last < 0 {
 		return nil
 	}
-	taken := l.idle[last]
-	l.idle[last] = nil
-	l.idle = l.idle[:last]
-	l.update()
+	taken := p.idle[last]
+	p.idle[last] = nil
+	p.idle = p.idle[:last]
+	p.update()
 	return taken
 }
 
-// dial opens a connection on a place that a call was promised, or on a free one.
+// dial opens a connection on a place that a call was reserved, or on a free one.
 func (c *Connections) dial(address string, open func() (net.Conn, error)) (*connection, error) {
-	l, err := c.claimSlot(address)
+	p, err := c.claimSlot(address)
 	if err != nil {
 		return nil, err
 	}
@@ -77,48 +77,48 @@
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.freeSlot(l)
+		c.freeSlot(p)
 		c.admitWaiting()
 		return nil, err
 	}
-	c.noteOpened()
-	return &connection{Conn: opened, pool: l, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
+	c.recordOpened()
+	return &connection{Conn: opened, pool: p, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
 }
 
-func (c *Connections) noteOpened() {
+func (c *Connections) recordOpened() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opened++
 }
 
 // claimSlot takes the place for a connection that is about to be opened. A connection that broke after its call had begun is
-// replaced without a place promised.
+// replaced without a place reserved.
 func (c *Connections) claimSlot(address string) (*hostPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.pool(address)
-	if l.reserved > 0 {
-		l.reserved--
-		return l, nil
+	p := c.pool(address)
+	if p.reserved > 0 {
+		p.reserved--
+		return p, nil
 	}
 	if c.slotsTaken >= c.limits.Connections && !c.closeIdle() {
-		l.update()
+		p.update()
 		return nil, errNoConnectionSlot
 	}
-	c.noteDial()
+	c.recordDial()
 	c.slotsTaken++
-	l.slots++
-	return l, nil
+	p.slots++
+	return p, nil
 }
 
 // freeSlot gives a place back. The caller holds the lock.
-func (c *Connections) freeSlot(l *hostPool) {
+func (c *Connections) freeSlot(p *hostPool) {
 	c.slotsTaken--
-	l.slots--
-	l.update()
+	p.slots--
+	p.update()
 }
 
-// alive tells whether the peer has left an idle connection open and silent, without waiting.
+// alive reports whether the peer has left an idle connection open and silent, without waiting.
 func (c *connection) alive() bool {
 	holder, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -146,7 +146,7 @@
 	defer owner.mu.Unlock()
 	c.closed = true
 	c.pool.reserved++
-	owner.noteDial()
+	owner.recordDial()
 }
 
 // discard closes a connection after a call that was not answered whole.
--- a/internal/jobs/workerclient/leaderlease_test.go
+++ b/internal/jobs/workerclient/leaderlease_test.go
@@ -10,31 +10,31 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// The lease may run out while a hold is under way, so that the hold loop has not noticed: each order looks for itself.
+// The lease may run out while a renewal is under way, so that the renewal loop has not noticed: each command looks for itself.
 func TestNoCommandIsSentAfterTheLeaderLease(t *testing.T) {
-	const way, meanwhile = time.Millisecond, 300 * time.Millisecond // shorter than a hold, longer than an order
+	const way, meanwhile = time.Millisecond, 300 * time.Millisecond // shorter than a renewal, longer than a command
 	virtualtime.Test(t, func(t *testing.T) {
-		b := newMemoryFixture(t, way)
-		defer b.close()
-		b.connect(1)
-		convey.Convey("Given a searcher that holds runs, so that orders go out at once", t, func() {
-			convey.So(b.start(startCommand(0, 1)), convey.ShouldEqual, Started)
+		f := newMemoryFixture(t, way)
+		defer f.close()
+		f.connect(1)
+		convey.Convey("Given a worker that holds runs, so that commands go out at once", t, func() {
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
 		convey.Convey("a start after the lease is not sent, and certainly did nothing", t, func() {
-			b.invalid.Store(true)
-			convey.So(b.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
-			convey.So(b.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
-			convey.So(b.cluster.Runs(), convey.ShouldHaveLength, 1)
-			b.invalid.Store(false)
+			f.invalid.Store(true)
+			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
+			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
+			convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 1)
+			f.invalid.Store(false)
 		})
 		convey.Convey("a stop after the lease waits until there is one again", t, func() {
-			convey.So(b.start(startCommand(2, 1)), convey.ShouldEqual, Started)
-			b.invalid.Store(true)
-			b.link.Stop(StopCommand{task(2), 1})
+			convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
+			f.invalid.Store(true)
+			f.link.Stop(StopCommand{task(2), 1})
 			<-time.After(meanwhile)
-			convey.So(b.worker.Calls(cluster.StopCall), convey.ShouldEqual, 0)
-			b.invalid.Store(false)
-			convey.So(await(t, b.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+			convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 0)
+			f.invalid.Store(false)
+			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 	})
 }
