--- a/internal/controlplane/chunks/assembler.go
+++ b/internal/controlplane/chunks/assembler.go
@@ -1,100 +1,115 @@
 package chunks
 
-// Assembler gathers the parts of one content. It belongs to one goroutine or is guarded by its owner.
+// Assembler assembles one content from its chunks. It is not safe for concurrent use.
 type Assembler struct {
 	manifest Manifest
-	order    []Sum
+	order    []Sum // of the chunks in the content; a chunk may be there twice
 	present  map[Sum][]byte
 	missing  map[Sum]struct{}
 }
 
-// Source returns a part that is at hand.
+// Source returns a chunk that is at hand, such as one of an earlier version of the content.
 type Source func(Sum) (chunk []byte, found bool)
 
-// NewAssembler begins to gather a content. Parts that a holder has are not gathered again. The error is ErrManifest.
+// NewAssembler begins to assemble a content. Chunks that a source has are not missing. The error is ErrManifest.
 func NewAssembler(manifest Manifest, sources ...Source) (*Assembler, error) {
 	if err := manifest.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Assembler{
+	a := &Assembler{
 		manifest: manifest,
 		order:    manifest.Sums(),
 		present:  make(map[Sum][]byte),
 		missing:  make(map[Sum]struct{}),
 	}
-	for _, sum := range c.order {
-		c.take(sum, sources)
+	for _, sum := range a.order {
+		a.take(sum, sources)
 	}
-	return c, nil
+	return a, nil
 }
 
-// take takes a part from the first holder that has it.
-func (c *Assembler) take(sum Sum, sources []Source) {
+// take takes a chunk from the first source that has it.
+func (a *Assembler) take(sum Sum, sources []Source) {
 	for _, source := range sources {
 		if chunk, found := source(sum); found {
-			c.present[sum] = chunk
+			a.present[sum] = chunk
 			return
 		}
 	}
-	c.missing[sum] = struct{}{}
+	a.missing[sum] = struct{}{}
 }
 
-// Chunk is the Holder of the parts that have arrived.
-func (c *Assembler) Chunk(sum Sum) (chunk []byte, found bool) {
-	chunk, found = c.present[sum]
+// Chunk is the Source of the chunks that have arrived.
+func (a *Assembler) Chunk(sum Sum) (chunk []byte, found bool) {
+	chunk, found = a.present[sum]
 	return chunk, found
 }
 
-// Add takes a part and tells whether it was missing. Any other changes nothing.
-func (c *Assembler) Add(chunk []byte) bool {
+// Add takes a chunk and reports whether it was missing. Any other chunk changes nothing.
+func (a *Assembler) Add(chunk []byte) bool {
 	sum := SumOf(chunk)
-	if _, missing := c.missing[sum]; !missing {
+	if _, missing := a.missing[sum]; !missing {
 		return false
 	}
-	delete(c.missing, sum)
-	c.present[sum] = chunk
+	delete(a.missing, sum)
+	a.present[sum] = chunk
 	return true
 }
 
-// AddPacked takes packed parts; those that are not missing change nothing. The error is ErrPacked; parts before the wrong
+// AddPacked takes packed chunks; those that are not missing change nothing. The error is ErrPacked; chunks before the malformed
 // one are taken.
-func (c *Assembler) AddPacked(packed [][]byte) error {
+func (a *Assembler) AddPacked(packed [][]byte) error {
 	for _, compressed := range packed {
 		chunk, err := Unpack(compressed)
 		if err != nil {
 			return err
 		}
-		c.Add(chunk)
+		a.Add(chunk)
 	}
 	return nil
 }
 
-// Missing lists at most a number of parts that are still to come, in the content's order.
-func (c *Assembler) Missing(limit int) []Sum {
-	missing := MissingFrom(c.order, c.Chunk)
+// Missing lists the first missing chunks in the content's order, at most limit.
+func (a *Assembler) Missing(limit int) []Sum {
+	missing := MissingFrom(a.order, a.Chunk)
 	return missing[:min(limit, len(missing))]
 }
 
-// MissingCount is how many parts are missing.
-func (c *Assembler) MissingCount() int { return len(c.missing) }
+// MissingCount is how many chunks are missing.
+func (a *Assembler) MissingCount() int { return len(a.missing) }
 
-// Complete tells whether no part is missing.
-func (c *Assembler) Complete() bool { return len(c.missing) == 0 }
+// Complete reports whether no chunk is missing.
+func (a *Assembler) Complete() bool { return len(a.missing) == 0 }
 
-// Content puts the parts together and checks them against the manifest. The error is ErrContent.
-func (c *Assembler) Content() ([]byte, error) {
-	if !c.Complete() {
+// Content returns the content, checked against the manifest. The error is ErrContent, also while chunks are missing.
+func (a *Assembler) Content() ([]byte, error) {
+	if !a.Complete() {
 		return nil, ErrContent
 	}
-	content := make([]byte, 0, c.manifest.Bytes)
-	for _, sum := range c.order {
-		if len(content)+len(c.present[sum]) > c.manifest.Bytes {
+	content := make([]byte, 0, a.manifest.Bytes)
+	for _, sum := range a.order {
+		if len(content)+len(a.present[sum]) > a.manifest.Bytes {
 			return nil, ErrContent
 		}
-		content = append(content, c.present[sum]...)
+		content = append(content, a.present[sum]...)
 	}
-	if len(content) != c.manifest.Bytes || SumOf(content) != c.manifest.Sum {
+	if len(content) != a.manifest.Bytes || SumOf(content) != a.manifest.Sum {
 		return nil, ErrContent
 	}
 	return content, nil
 }
+
+// MissingFrom lists the checksums of which a source has no chunk, each once.
+func MissingFrom(sums []Sum, source Source) []Sum {
+	var missing []Sum
+	listed := make(map[Sum]struct{})
+	for _, sum := range sums {
+		_, found := source(sum)
+		_, duplicate := listed[sum]
+		if !found && !duplicate {
+			missing = append(missing, sum)
+			listed[sum] = struct{}{}
+		}
+	}
+	return missing
+}
--- a/internal/controlplane/chunks/chunking.go
+++ b/internal/controlplane/chunks/chunking.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// Chunking is a content with its parts, which are packed once they are asked for. Its methods may be called from any goroutine.
+// Chunking is a content split into chunks, each of which is packed when it is first needed. Its methods may be called from any
+// goroutine.
 type Chunking struct {
 	manifest Manifest
 	order    []Sum
@@ -12,7 +13,7 @@
 	packed map[Sum][]byte
 }
 
-// NewChunking cuts a content. Parts that an earlier cut, which may be nil, has packed are not packed again.
+// NewChunking splits a content. Chunks that an earlier chunking, which may be nil, has packed are not packed again.
 func NewChunking(content []byte, earlier *Chunking) *Chunking {
 	split := Split(content)
 	manifest := NewManifest(content, split)
@@ -29,6 +30,7 @@
 	return c
 }
 
+// reusePacked takes what an earlier chunking has packed of the same chunks.
 func (c *Chunking) reusePacked(earlier *Chunking) {
 	if earlier == nil {
 		return
@@ -45,16 +47,16 @@
 // Manifest names the content.
 func (c *Chunking) Manifest() Manifest { return c.manifest }
 
-// Sums lists the parts' checksums in order. The caller must not modify the list.
+// Sums lists the chunks' checksums in order. The caller must not modify the list.
 func (c *Chunking) Sums() []Sum { return c.order }
 
-// Chunk returns a part. It is a Holder.
+// Chunk returns a chunk. It is a Source.
 func (c *Chunking) Chunk(sum Sum) (chunk []byte, found bool) {
 	chunk, found = c.chunks[sum]
 	return chunk, found
 }
 
-// Packed returns those of the parts that are held, packed, as long as they fit into a number of bytes.
+// Packed returns those of the listed chunks that the content has, packed, up to the first that exceeds maxBytes in total.
 func (c *Chunking) Packed(sums []Sum, maxBytes int) [][]byte {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,7 +74,8 @@
 	return packed
 }
 
-// PackedAtLeastOne does as Packed, but returns one part at least if any is held, so that each call makes progress.
+// PackedAtLeastOne does as Packed, but returns at least one chunk if the content has any of them, so that each transfer makes
+// progress.
 func (c *Chunking) PackedAtLeastOne(sums []Sum, maxBytes int) [][]byte {
 	if packed := c.Packed(sums, maxBytes); len(packed) > 0 {
 		return packed
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// packedChunk is called with the mutex held, for a part that is held.
+// packedChunk packs a chunk of the content. The caller holds the mutex.
 func (c *Chunking) packedChunk(sum Sum) []byte {
 	packed, found := c.packed[sum]
 	if !found {
@@ -96,18 +99,3 @@
 	}
 	return packed
 }
-
-// MissingFrom lists the checksums that a holder has no part for, each once.
-func MissingFrom(sums []Sum, source Source) []Sum {
-	var missing []Sum
-	listed := make(map[Sum]struct{})
-	for _, sum := range sums {
-		_, found := source(sum)
-		_, twice := listed[sum]
-		if !found && !twice {
-			missing = append(missing, sum)
-			listed[sum] = struct{}{}
-		}
-	}
-	return missing
-}
--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// routes is a configuration's text with a number of routes.
+// routes is the text of a configuration with a number of routes.
 func routes(count int, version int) []byte {
 	random := rand.New(rand.NewPCG(7, 7))
 	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
@@ -33,7 +33,7 @@
 		for i, chunk := range split {
 			last := i == len(split)-1
 			if len(chunk) > maxChunk || len(chunk) < minChunk && !last {
-				t.Fatalf("part %d of %d has %d bytes", i, len(split), len(chunk))
+				t.Fatalf("chunk %d of %d has %d bytes", i, len(split), len(chunk))
 			}
 		}
 		collection, err := NewAssembler(NewManifest(content, split))
@@ -73,10 +73,10 @@
 		})
 		So(err, ShouldBeNil)
 		So(collection.MissingCount(), ShouldBeBetweenOrEqual, 1, 4)
-		Convey("the manifest costs a hundredth of the content", func() {
+		Convey("the manifest has a hundredth of the bytes of the content", func() {
 			So(len(manifestOf(after).Chunks), ShouldBeLessThan, len(after)/80)
 		})
-		Convey("packed parts cost a third of the content at most", func() {
+		Convey("packed chunks have at most a third of the bytes of the content", func() {
 			sum := 0
 			for _, chunk := range Split(after) {
 				sum += len(Pack(chunk))
@@ -87,27 +87,27 @@
 }
 
 func TestWrongChunksAndManifestsAreRefused(t *testing.T) {
-	Convey("Given a collection that lacks all", t, func() {
+	Convey("Given an assembler that lacks all chunks", t, func() {
 		content := routes(100, 3)
 		split := Split(content)
 		collection, err := NewAssembler(manifestOf(content))
 		So(err, ShouldBeNil)
 
-		Convey("a part of another content is not taken", func() {
+		Convey("a chunk of another content is not taken", func() {
 			So(collection.Add([]byte("other")), ShouldBeFalse)
 			So(collection.MissingCount(), ShouldEqual, len(split))
 		})
-		Convey("a changed part is not taken", func() {
+		Convey("a changed chunk is not taken", func() {
 			changed := bytes.Clone(split[0])
 			changed[10]++
 			So(collection.Add(changed), ShouldBeFalse)
 		})
-		Convey("a part counts once", func() {
+		Convey("a chunk counts once", func() {
 			So(collection.Add(split[0]), ShouldBeTrue)
 			So(collection.Add(split[0]), ShouldBeFalse)
 			So(collection.MissingCount(), ShouldEqual, len(split)-1)
 		})
-		Convey("what is incomplete has no content", func() {
+		Convey("an incomplete content is an error", func() {
 			_, err := collection.Content()
 			So(err, ShouldWrap, ErrContent)
 		})
@@ -116,7 +116,7 @@
 			So(collection.Missing(2), ShouldResemble, []Sum{SumOf(split[1]), SumOf(split[2])})
 		})
 	})
-	Convey("Parts that are held but make up another content than was named are refused", t, func() {
+	Convey("Chunks that make up another content than the manifest names are refused", t, func() {
 		content := routes(20, 3)
 		manifest := manifestOf(content)
 		manifest.Sum[0]++
@@ -136,7 +136,7 @@
 		_, err = collection.Content()
 		So(err, ShouldWrap, ErrContent)
 	})
-	Convey("Manifests that cannot be one are refused", t, func() {
+	Convey("Malformed manifests are refused", t, func() {
 		for _, manifest := range []Manifest{
 			{Bytes: -1}, {Bytes: MaxContent + 1}, {Bytes: 5, Chunks: make([]byte, SumBytes+1)}, {Bytes: 1, Chunks: make([]byte, 2*SumBytes)},
 		} {
@@ -154,14 +154,14 @@
 			So(bytes.Equal(unpacked, chunk), ShouldBeTrue)
 		}
 	})
-	Convey("What is longer than a part is refused, and so is what is cut short", t, func() {
+	Convey("What is longer than a chunk is refused, and so is what is truncated", t, func() {
 		_, err := Unpack(Pack(make([]byte, maxChunk+1)))
 		So(err, ShouldWrap, ErrPacked)
 		packed := Pack(routes(5, 1))
 		_, err = Unpack(packed[:len(packed)-3])
 		So(err, ShouldWrap, ErrPacked)
 	})
-	Convey("Names are joined and read", t, func() {
+	Convey("Checksums are concatenated and parsed", t, func() {
 		sums := []Sum{SumOf([]byte("a")), SumOf([]byte("b"))}
 		So(ParseSums(JoinSums(sums)), ShouldResemble, sums)
 		So(ParseSums(append(JoinSums(sums), 1, 2)), ShouldResemble, sums)
--- /dev/null
+++ b/internal/controlplane/chunks/sum.go
@@ -0,0 +1,33 @@
+package chunks
+
+import "crypto/sha256"
+
+// SumBytes is the length of a checksum: the first 128 bits of a SHA-256.
+const SumBytes = 16
+
+// Sum is the checksum of a chunk or of a complete content.
+type Sum [SumBytes]byte
+
+// SumOf returns the checksum of a content.
+func SumOf(content []byte) Sum {
+	digest := sha256.Sum256(content)
+	return Sum(digest[:SumBytes])
+}
+
+// ParseSums reads checksums that are concatenated. An incomplete one at the end is left out.
+func ParseSums(joined []byte) []Sum {
+	sums := make([]Sum, 0, len(joined)/SumBytes)
+	for remaining := joined; len(remaining) >= SumBytes; remaining = remaining[SumBytes:] {
+		sums = append(sums, Sum(remaining[:SumBytes]))
+	}
+	return sums
+}
+
+// JoinSums concatenates checksums; ParseSums is its inverse.
+func JoinSums(sums []Sum) []byte {
+	joined := make([]byte, 0, SumBytes*len(sums))
+	for _, sum := range sums {
+		joined = append(joined, sum[:]...)
+	}
+	return joined
+}
