--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -36,15 +36,15 @@
 				t.Fatalf("chunk %d of %d has %d bytes", i, len(split), len(chunk))
 			}
 		}
-		collection, err := NewAssembler(NewManifest(content, split))
+		assembler, err := NewAssembler(NewManifest(content, split))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, i := range rapid.Permutation(indexes(len(split))).Draw(t, "order") {
-			collection.Add(split[i])
-			collection.Add(split[i])
+			assembler.Add(split[i])
+			assembler.Add(split[i])
 		}
-		gathered, err := collection.Content()
+		gathered, err := assembler.Content()
 		if err != nil || !bytes.Equal(gathered, content) {
 			t.Fatalf("%d bytes of %d, %v", len(gathered), len(content), err)
 		}
@@ -63,16 +63,16 @@
 	Convey("Given a large content and a version of it with one more route in the middle", t, func() {
 		before := routes(1830, 41)
 		after := bytes.Replace(routes(1830, 42), []byte(`"timeoutMs":3004`), []byte(`"timeoutMs":35000`), 1)
-		held := make(map[Sum][]byte)
+		known := make(map[Sum][]byte)
 		for _, chunk := range Split(before) {
-			held[SumOf(chunk)] = chunk
+			known[SumOf(chunk)] = chunk
 		}
-		collection, err := NewAssembler(manifestOf(after), func(sum Sum) ([]byte, bool) {
-			chunk, found := held[sum]
+		assembler, err := NewAssembler(manifestOf(after), func(sum Sum) ([]byte, bool) {
+			chunk, found := known[sum]
 			return chunk, found
 		})
 		So(err, ShouldBeNil)
-		So(collection.MissingCount(), ShouldBeBetweenOrEqual, 1, 4)
+		So(assembler.MissingCount(), ShouldBeBetweenOrEqual, 1, 4)
 		Convey("the manifest has a hundredth of the bytes of the content", func() {
 			So(len(manifestOf(after).Chunks), ShouldBeLessThan, len(after)/80)
 		})
@@ -90,50 +90,50 @@
 	Convey("Given an assembler that lacks all chunks", t, func() {
 		content := routes(100, 3)
 		split := Split(content)
-		collection, err := NewAssembler(manifestOf(content))
+		assembler, err := NewAssembler(manifestOf(content))
 		So(err, ShouldBeNil)
 
 		Convey("a chunk of another content is not taken", func() {
-			So(collection.Add([]byte("other")), ShouldBeFalse)
-			So(collection.MissingCount(), ShouldEqual, len(split))
+			So(assembler.Add([]byte("other")), ShouldBeFalse)
+			So(assembler.MissingCount(), ShouldEqual, len(split))
 		})
 		Convey("a changed chunk is not taken", func() {
 			changed := bytes.Clone(split[0])
 			changed[10]++
-			So(collection.Add(changed), ShouldBeFalse)
+			So(assembler.Add(changed), ShouldBeFalse)
 		})
 		Convey("a chunk counts once", func() {
-			So(collection.Add(split[0]), ShouldBeTrue)
-			So(collection.Add(split[0]), ShouldBeFalse)
-			So(collection.MissingCount(), ShouldEqual, len(split)-1)
+			So(assembler.Add(split[0]), ShouldBeTrue)
+			So(assembler.Add(split[0]), ShouldBeFalse)
+			So(assembler.MissingCount(), ShouldEqual, len(split)-1)
 		})
 		Convey("an incomplete content is an error", func() {
-			_, err := collection.Content()
+			_, err := assembler.Content()
 			So(err, ShouldWrap, ErrContent)
 		})
 		Convey("the missing ones are listed in order, as many as asked for", func() {
-			collection.Add(split[0])
-			So(collection.Missing(2), ShouldResemble, []Sum{SumOf(split[1]), SumOf(split[2])})
+			assembler.Add(split[0])
+			So(assembler.Missing(2), ShouldResemble, []Sum{SumOf(split[1]), SumOf(split[2])})
 		})
 	})
 	Convey("Chunks that make up another content than the manifest names are refused", t, func() {
 		content := routes(20, 3)
 		manifest := manifestOf(content)
 		manifest.Sum[0]++
-		collection, err := NewAssembler(manifest)
+		assembler, err := NewAssembler(manifest)
 		So(err, ShouldBeNil)
 		for _, chunk := range Split(content) {
-			collection.Add(chunk)
+			assembler.Add(chunk)
 		}
-		_, err = collection.Content()
+		_, err = assembler.Content()
 		So(err, ShouldWrap, ErrContent)
 		manifest = manifestOf(content)
 		manifest.Bytes++
-		collection, _ = NewAssembler(manifest)
+		assembler, _ = NewAssembler(manifest)
 		for _, chunk := range Split(content) {
-			collection.Add(chunk)
+			assembler.Add(chunk)
 		}
-		_, err = collection.Content()
+		_, err = assembler.Content()
 		So(err, ShouldWrap, ErrContent)
 	})
 	Convey("Malformed manifests are refused", t, func() {
@@ -182,13 +182,13 @@
 func FuzzManifest(f *testing.F) {
 	f.Add(3, []byte("0123456789abcdef"), []byte("abc"))
 	f.Fuzz(func(t *testing.T, size int, sums, chunk []byte) {
-		collection, err := NewAssembler(Manifest{Bytes: size, Chunks: sums})
+		assembler, err := NewAssembler(Manifest{Bytes: size, Chunks: sums})
 		if err != nil {
 			return
 		}
-		collection.Add(chunk)
-		collection.Missing(3)
-		if content, err := collection.Content(); err == nil && SumOf(content) != (Sum{}) {
+		assembler.Add(chunk)
+		assembler.Missing(3)
+		if content, err := assembler.Content(); err == nil && SumOf(content) != (Sum{}) {
 			t.Fatal("a content without its checksum")
 		}
 	})
