--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// at most: a renewal, a poll, the commands, hedged requests of polls and stops, and one in place of a connection that is being given up
+	// a renewal, a poll, the commands, hedged requests of polls and stops, and one in place of a connection that is being discarded
 	maxConnectionsPerWorker = maxCommandsInFlight + maxHedgedRequests + 3
 	maxResponseBytes        = 16 << 20
-	maxPooledBufferBytes    = 64 << 10 // larger buffers are not kept
+	maxPooledBufferBytes    = 64 << 10 // larger buffers do not go back to the pool
 )
 
 // NewHTTPClient makes a client without a budget.
 func NewHTTPClient() *http.Client { return unlimited().HTTPClient() }
 
-// workerResponse is a whole HTTP answer.
+// workerResponse is a complete response of a worker.
 type workerResponse struct {
 	status int
 	body   responseBody
@@ -52,8 +52,8 @@
 
 var responseBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// post sends one call, once, and reads its answer. An error means that there was
-// no whole answer in time; it carries an rpcerror.Error.
+// post sends one call, once, and reads its response. An error means that there was no complete response in time; rpcerror tells
+// whether the call may have been executed.
 func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (workerResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 
 var errResponseTooLong = errors.New("answer too long")
 
-// readResponse reads an answer whole, so that its connection can be used again. Only the bodies of 200 and 409 are looked at.
+// readResponse reads a response completely, so that its connection can be used again. Only the bodies of 200 and 409 are decoded.
 func readResponse(httpResponse *http.Response) (workerResponse, error) {
 	buffer := responseBuffers.Get().(*bytes.Buffer)
 	defer func() {
--- a/internal/jobs/workerclient/clock.go
+++ b/internal/jobs/workerclient/clock.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The worker's steady clock attempts at this rate of the local one at the least, and at the same rate at the most.
+// slowestClockRate is the rate of the worker's monotonic clock to the local one at the least; at the most it is 1.
 const slowestClockRate = 0.98
 
-// clockGranularity is how far the whole milliseconds of an answer may be from the clock's reading.
+// clockGranularity is how far the whole milliseconds of a response may be from the clock's reading.
 const clockGranularity = time.Millisecond
 
 // reading ties a time on the worker's clock to a local time.
@@ -21,7 +21,7 @@
 	upper reading // the clock reads at most this, and goes on at the local rate
 }
 
-// observe takes in the clock of an answer. The worker read its clock between the two local times.
+// observe takes in the clock of a response. The worker read its clock between the two local times.
 func (b *clockBounds) observe(sent, received time.Time, clockMS int64) {
 	clock := time.Duration(clockMS) * time.Millisecond
 	lowest, highest := clock-clockGranularity, clock+clockGranularity
@@ -34,12 +34,12 @@
 	b.known = true
 }
 
-// lowest is the least that the clock may read at a local time after the answers observed.
+// lowest is the least that the clock may read at a local time, by the responses observed.
 func (b *clockBounds) lowest(at time.Time) time.Duration {
 	return b.lower.clock + time.Duration(float64(at.Sub(b.lower.at))*slowestClockRate)
 }
 
-// highest is the most that the clock may read at a local time.
+// highest is the most that the clock may read at a local time, by the responses observed.
 func (b *clockBounds) highest(at time.Time) time.Duration {
 	return b.upper.clock + at.Sub(b.upper.at)
 }
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -9,12 +9,11 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-const (
-	maxStartWait = 2 * time.Second // how long a start command waits for a grant
-)
+// maxStartWait is how long a start waits for a lease that lasts.
+const maxStartWait = 2 * time.Second
 
-// Start sends a start command as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
-// not sent.
+// Start queues a start; its outcome is reported to Events. It is sent once at most, and not at all while the worker is unreachable or
+// in doubt, or its lease is about to expire.
 func (l *Link) Start(command StartCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -23,7 +22,7 @@
 	l.dispatch()
 }
 
-// expectAttempt ends the rest of the renewal loop: there will be an attempt. The caller holds the lock.
+// expectAttempt ends the idle time of the renewal loop: there will be an attempt. The caller holds the lock.
 func (l *Link) expectAttempt() {
 	l.activity.mayHaveWork = true
 	select {
@@ -32,8 +31,8 @@
 	}
 }
 
-// Stop sends a stop command, again and again until it is answered or the link ends. While the worker is unreachable the
-// order waits.
+// Stop queues a stop, which is retried until it is answered or the link ends; that is reported to Events. While the worker is
+// unreachable the stop stays queued.
 func (l *Link) Stop(command StopCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +41,7 @@
 	l.dispatch()
 }
 
-// dispatch sets workers to the commands that may go out. The caller holds the lock.
+// dispatch starts senders for the commands that may be sent now. The caller holds the lock.
 func (l *Link) dispatch() {
 	for idle := maxCommandsInFlight - l.commands.senders; idle > 0; idle-- {
 		work := l.nextCommand()
@@ -54,7 +53,7 @@
 	}
 }
 
-// work carries out one piece of work after another until none is left that may go out.
+// sendCommands carries out one command after another until none is left that may be sent now.
 func (l *Link) sendCommands(next func()) {
 	for next != nil {
 		next()
@@ -97,20 +96,20 @@
 	return work
 }
 
-// startable reports whether a start command would be held long enough and is likely to be answered. The caller holds the lock.
+// startable reports whether the lease lasts long enough for a start, and whether the worker is likely to respond to it. The caller
+// holds the lock.
 func (l *Link) startable(now time.Time) bool {
 	return l.health.doubt == confident && l.lease.remaining(now) >= l.pace.minLeaseLead
 }
 
-// stillStartable tells the same once the command's turn for a connection has come.
+// stillStartable is startable once the command has its turn for a connection.
 func (l *Link) stillStartable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.startable(l.now())
 }
 
-// nextStop takes the first stop command whose time has come, and sets the timer when all of them pause. The caller holds the
-// lock.
+// nextStop takes the first stop that is due, and sets the timer when all of them back off. The caller holds the lock.
 func (l *Link) nextStop(now time.Time) (queuedStop, bool) {
 	if len(l.commands.stops) == 0 || l.ending == open && (l.commands.suspended || l.health.contact == unreachable) {
 		return queuedStop{}, false
@@ -123,6 +122,7 @@
 	return l.commands.takeStop(earliest), true
 }
 
+// setStopTimer dispatches the queue again after a while. The caller holds the lock.
 func (l *Link) setStopTimer(wait time.Duration) {
 	if l.commands.stopTimer != nil {
 		l.commands.stopTimer.Reset(wait)
@@ -135,7 +135,7 @@
 	})
 }
 
-// outcomeAtEnd is the outcome of a start command when the link has ended: otherwise, if the reason does not tell. The caller
+// outcomeAtEnd is the outcome of a start when the link has ended for a reason that tells it, and otherwise the given one. The caller
 // holds the lock.
 func (l *Link) outcomeAtEnd(otherwise StartOutcome) StartOutcome {
 	switch {
@@ -147,7 +147,7 @@
 	return otherwise
 }
 
-// sendStart makes one start call. It extends no grant: its attempts are held as long as those already there.
+// sendStart makes one start call. It extends no lease: the new attempt goes on as long as those already there.
 func (l *Link) sendStart(command StartCommand) {
 	if !l.pool.acquire(l.done) {
 		l.reportStart(command, NotSent)
@@ -164,7 +164,7 @@
 	l.settleStart(c, response, err, l.now())
 	l.reportStart(command, l.startOutcome(response, err))
 	if err != nil {
-		l.doubt() // a poll shows whether the attempt is there
+		l.pollAfterCommand() // a poll shows whether the attempt is there
 	}
 }
 
@@ -176,6 +176,7 @@
 	grant      *leaseGrant
 }
 
+// beginStart records a start call and the lease that it carries.
 func (l *Link) beginStart() startCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,6 +185,7 @@
 	return c
 }
 
+// settleStart takes in what a response, or its absence, says about the worker's clock, its lease and health, and the round trips.
 func (l *Link) settleStart(c startCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,13 +201,13 @@
 	l.roundTrips.observe(received.Sub(c.sentAt))
 }
 
-// startBytes is about how long a start call's body is.
+// startBytes is about how long the body of a start call is.
 func startBytes(command *StartCommand) int {
 	const others = 192
 	return len(command.Specification) + len(command.Checkpoint) + others
 }
 
-// startOutcome reads an answer to a start command and notes what else it says.
+// startOutcome is the outcome of a start call; it takes in what else the response says about the worker.
 func (l *Link) startOutcome(response workerResponse, err error) StartOutcome {
 	if err != nil {
 		l.log.Debug("start without answer", zap.Error(err))
@@ -228,7 +230,7 @@
 	l.events.post(func(e Events) { e.StartResult(result) })
 }
 
-// sendStop makes one stop call, and queues the command again if it was not taken.
+// sendStop makes one stop call, and queues the stop again if it was not answered.
 func (l *Link) sendStop(stop queuedStop) {
 	if !l.pool.acquire(l.done) {
 		l.requeueStop(stop)
@@ -243,7 +245,7 @@
 	switch {
 	case err != nil:
 		l.log.Debug("stop without answer", zap.Error(err))
-		l.doubt()
+		l.pollAfterCommand()
 	case l.endedBy(response):
 	default:
 		l.setContact(reachable)
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -11,12 +11,12 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-const readBufferBytes = 2 << 10 // of a connection; most answers are shorter
+const readBufferBytes = 2 << 10 // of a connection; most responses are shorter
 
 var errNoConnectionSlot = errors.New("no connection is left for searchers")
 
-// HTTPClient makes the client that all links of a process share, within the budget. Connections that are given up are
-// reset, so that nothing they still hold arrives later.
+// HTTPClient makes the client that all links of a process share, within the budget. Connections that are discarded are reset, so that
+// nothing they still hold arrives later.
 func (c *Connections) HTTPClient() *http.Client {
 	return &http.Client{
 		Transport:     &exchanger{connections: c, dial: transport.DialFunc(transport.NewDialer())},
@@ -33,7 +33,7 @@
 	closed bool // it was closed; guarded by the budget's lock
 }
 
-// dialFunction opens a connection that is reset when it is given up.
+// dialFunction opens a connection that is reset when it is closed.
 type dialFunction func(ctx context.Context, network, address string) (net.Conn, error)
 
 // connect gives a call an idle connection of its pool, or a new one.
@@ -50,6 +50,7 @@
 	}
 }
 
+// takeIdle takes the connection that was used last out of those that are idle; nil when there is none.
 func (c *Connections) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +66,7 @@
 	return taken
 }
 
-// dial opens a connection on a place that a call was reserved, or on a free one.
+// dial opens a connection on a slot that was reserved for a call, or on a free one.
 func (c *Connections) dial(address string, open func() (net.Conn, error)) (*connection, error) {
 	p, err := c.claimSlot(address)
 	if err != nil {
@@ -91,8 +92,8 @@
 	c.opened++
 }
 
-// claimSlot takes the place for a connection that is about to be opened. A connection that broke after its call had begun is
-// replaced without a place reserved.
+// claimSlot takes the slot for a connection that is about to be opened. A connection that broke after its call had begun is replaced
+// without a slot reserved.
 func (c *Connections) claimSlot(address string) (*hostPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	return p, nil
 }
 
-// freeSlot gives a place back. The caller holds the lock.
+// freeSlot gives a slot back. The caller holds the lock.
 func (c *Connections) freeSlot(p *hostPool) {
 	c.slotsTaken--
 	p.slots--
@@ -120,11 +121,11 @@
 
 // alive reports whether the peer has left an idle connection open and silent, without waiting.
 func (c *connection) alive() bool {
-	holder, ok := c.Conn.(syscall.Conn)
+	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := holder.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -138,25 +139,25 @@
 	return err == nil && silent
 }
 
-// discardKeepingSlot closes a connection whose peer has gone and keeps its place for the call that was about to use it.
+// discardKeepingSlot closes a connection whose peer has closed it, and keeps its slot for the call that was about to use it.
 func (c *connection) discardKeepingSlot() {
 	c.Conn.Close()
-	owner := c.pool.budget
-	owner.mu.Lock()
-	defer owner.mu.Unlock()
+	budget := c.pool.budget
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
 	c.closed = true
 	c.pool.reserved++
-	owner.recordDial()
+	budget.recordDial()
 }
 
-// discard closes a connection after a call that was not answered whole.
+// discard closes a connection after a call without a complete response.
 func (c *connection) discard() {
 	c.Conn.Close()
-	owner := c.pool.budget
-	owner.mu.Lock()
-	defer owner.mu.Unlock()
+	budget := c.pool.budget
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
 	c.freeSlot()
-	owner.admitWaiting()
+	budget.admitWaiting()
 }
 
 // closeIdle closes an idle connection. The caller holds the lock, so that no call takes it meanwhile.
@@ -165,7 +166,7 @@
 	c.freeSlot()
 }
 
-// freeSlot gives the connection's place back, once. The caller holds the lock.
+// freeSlot gives the connection's slot back, once. The caller holds the lock.
 func (c *connection) freeSlot() {
 	if c.closed {
 		return
@@ -174,13 +175,13 @@
 	c.pool.budget.freeSlot(c.pool)
 }
 
-// returnToPool notes that the call was answered whole: the next one may take the connection.
+// returnToPool makes the connection idle after a complete response: the next call may take it.
 func (c *connection) returnToPool() {
 	c.used = true
-	owner := c.pool.budget
-	owner.mu.Lock()
-	defer owner.mu.Unlock()
+	budget := c.pool.budget
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
 	c.pool.idle = append(c.pool.idle, c)
 	c.pool.update()
-	owner.admitWaiting()
+	budget.admitWaiting()
 }
--- a/internal/jobs/workerclient/eventqueue.go
+++ b/internal/jobs/workerclient/eventqueue.go
@@ -11,23 +11,23 @@
 }
 
 // post hands a report over, after those before it. It returns at once while another goroutine does that.
-func (d *eventQueue) post(report func(Events)) {
-	d.mu.Lock()
-	d.waiting = append(d.waiting, report)
-	if d.delivering {
-		d.mu.Unlock()
+func (q *eventQueue) post(report func(Events)) {
+	q.mu.Lock()
+	q.waiting = append(q.waiting, report)
+	if q.delivering {
+		q.mu.Unlock()
 		return
 	}
-	d.delivering = true
-	for len(d.waiting) > 0 {
-		reports := d.waiting
-		d.waiting = nil
-		d.mu.Unlock()
+	q.delivering = true
+	for len(q.waiting) > 0 {
+		reports := q.waiting
+		q.waiting = nil
+		q.mu.Unlock()
 		for _, report := range reports {
-			report(d.events)
+			report(q.events)
 		}
-		d.mu.Lock()
+		q.mu.Lock()
 	}
-	d.delivering = false
-	d.mu.Unlock()
+	q.delivering = false
+	q.mu.Unlock()
 }
--- a/internal/jobs/workerclient/exchange.go
+++ b/internal/jobs/workerclient/exchange.go
@@ -15,8 +15,8 @@
 
 var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 
-// exchanger is an http.RoundTripper that makes each call on the goroutine of its caller: thousands of connections that
-// are mostly idle need no goroutine each. It repeats nothing.
+// exchanger is an http.RoundTripper that makes each call on the goroutine of its caller: thousands of connections that are mostly
+// idle need no goroutine each. It retries nothing.
 type exchanger struct {
 	connections *Connections
 	dial        dialFunction
@@ -43,10 +43,10 @@
 	return response, nil
 }
 
-// CloseIdleConnections is what http.Client looks for under this name.
+// CloseIdleConnections is the method that http.Client.CloseIdleConnections calls.
 func (e *exchanger) CloseIdleConnections() { e.connections.closeAllIdle() }
 
-// exchange sends a request and reads the head of its answer.
+// exchange sends a request and reads the head of its response.
 func (c *connection) exchange(request *http.Request) (*http.Response, error) {
 	writer := writers.Get().(*bufio.Writer)
 	defer writers.Put(writer)
@@ -58,21 +58,22 @@
 	if err := writer.Flush(); err != nil {
 		return nil, err
 	}
-	work := c.pool.budget.concurrency
-	work.release()
-	_, err := c.reader.Peek(1) // waits for the answer
-	work.acquire()
+	concurrency := c.pool.budget.concurrency
+	concurrency.release()
+	_, err := c.reader.Peek(1) // waits for the response
+	concurrency.acquire()
 	if err != nil {
 		return nil, err
 	}
 	return http.ReadResponse(c.reader, request)
 }
 
-// pooledBody gives the connection back once it was read to its end, and closes it otherwise.
+// pooledBody is the body of a response. It returns the connection to its pool once it was read to its end, and discards the
+// connection otherwise.
 type pooledBody struct {
 	io.ReadCloser
 	connection *connection
-	stop       func() bool // ends the watch over the call's context; false if the context is over
+	stop       func() bool // detaches the connection from the context of the call; false if the context is over
 	reusable   bool
 	finished   bool
 }
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// commandPrecedence is how long a renewal lets commands go first that are under way.
+// commandPrecedence is how long a renewal lets commands that are under way go first.
 const commandPrecedence = 100 * time.Millisecond
 
-// busyPollInterval is the time between two polls of a worker with attempts, where no connection is left for a renewal that waits.
+// busyPollInterval is the time between two polls of a worker with attempts, where no connection is left for a long poll.
 const busyPollInterval = 250 * time.Millisecond
 
-// idleBetweenPolls leaves a worker alone that has nothing to tell, where there are so many that not each can be held by a
-// call that waits. A command ends the rest.
+// idleBetweenPolls leaves an idle worker alone for a while, where there are too many for a long poll at each. A command ends the
+// wait.
 func (l *Link) idleBetweenPolls() {
-	pause := l.config.Connections.idlePollInterval(l.pace.maxIdleInterval)
-	if pause == 0 {
+	delay := l.config.Connections.idlePollInterval(l.pace.maxIdleInterval)
+	if delay == 0 {
 		return
 	}
 	select {
 	case <-l.commandQueued: // of a command that is known by now
 	default:
 	}
-	if pause = l.idleDelay(pause); pause == 0 {
+	if delay = l.idleDelay(delay); delay == 0 {
 		return
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -55,23 +55,24 @@
 	}
 }
 
-// idleDelay is how long the renewal loop rests before its next call, if an idle worker may be left alone for a while.
+// idleDelay is how long the renewal loop waits before its next call; idle is how long an idle worker may be left alone. It is 0 where
+// a long poll is about to follow.
 func (l *Link) idleDelay(idle time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ending != open || l.lease.confirmed.validUntil == 0 || l.activity.mayHaveWork && l.activity.longPolled {
 		return 0
 	}
-	pause := idle
+	delay := idle
 	if l.activity.mayHaveWork {
-		pause = busyPollInterval
+		delay = busyPollInterval
 	}
 	lead := l.lease.remaining(l.now()) - l.pace.minLeaseLead // starts may be sent for so long
-	return max(earlyAnswerDelay, min(pause, lead))
+	return max(earlyAnswerDelay, min(delay, lead))
 }
 
-// mayWait reports whether the worker may wait for a completion before it answers: the grant lasts, and there is a connection for
-// its commands besides. The caller holds the lock.
+// mayLongPoll reports whether the worker may wait for a completion before it responds: the lease lasts, and there is a connection for
+// its commands besides. The caller holds the lock, and ends the long poll if there is one.
 func (l *Link) mayLongPoll(sentAt time.Time) bool {
 	if !l.activity.listed || l.lease.remaining(sentAt) < l.pace.minLeaseLead+l.pace.longPollWait {
 		return false
--- a/internal/jobs/workerclient/leasegrants.go
+++ b/internal/jobs/workerclient/leasegrants.go
@@ -11,9 +11,9 @@
 	lateExecutionMargin = 500 * time.Millisecond
 )
 
-// grant is a time up to which the attempts on a worker are held, on a call whose end is not known yet.
+// leaseGrant is what one call grants: a time up to which the attempts on a worker go on. It is open until the call has ended.
 type leaseGrant struct {
-	span      time.Duration // the longest it may last once it is carried out, in local time
+	span      time.Duration // the longest that it may last once the call is executed, in local time
 	expiresBy time.Time
 }
 
@@ -23,26 +23,26 @@
 	open          []*leaseGrant
 }
 
-// acquire notes a call that carries a grant; it leaves between now and its time-out.
+// begin records a call that carries a grant; it is sent between now and its time-out.
 func (l *leaseGrants) begin(span time.Duration, now time.Time, timeout time.Duration) *leaseGrant {
 	grant := &leaseGrant{span: span, expiresBy: lateExpiry(now.Add(timeout), span)}
 	l.open = append(l.open, grant)
 	return grant
 }
 
-// renewalAnswer notes that the call was carried out before its answer came, if at all. The grant lasts no longer than the span
-// from the answer on.
+// answered records that the call was executed before its response came, if at all. The grant lasts no longer than the span from the
+// response on.
 func (l *leaseGrants) answered(grant *leaseGrant, received time.Time, span time.Duration) {
 	l.settle(grant, received.Add(span))
 }
 
-// unanswered notes that the call was given up at a time; it left before that and may be carried out later. It may then even
-// count its whole span from its arrival.
+// unanswered records that the call was abandoned at a time; it was sent before that and may be executed later. It may then even count
+// its whole span from its arrival.
 func (l *leaseGrants) unanswered(grant *leaseGrant, abandoned time.Time) {
 	l.settle(grant, lateExpiry(abandoned, grant.span))
 }
 
-// withdrawn notes that the call never left, or certainly did nothing.
+// withdrawn records that the call was never sent, or was certainly not executed.
 func (l *leaseGrants) withdrawn(grant *leaseGrant) { l.settle(grant, time.Time{}) }
 
 func (l *leaseGrants) settle(grant *leaseGrant, expiresBy time.Time) {
@@ -50,7 +50,7 @@
 	l.settledExpiry = later(l.settledExpiry, expiresBy)
 }
 
-// expiredBy is the local time by which all of it has expired; the zero time when nothing was granted.
+// expiredBy is the local time by which all grants have expired; the zero time when nothing was granted.
 func (l *leaseGrants) expiredBy() time.Time {
 	latest := l.settledExpiry
 	for _, g := range l.open {
@@ -59,10 +59,12 @@
 	return latest
 }
 
+// lateExpiry is when a grant has expired at the latest whose call was sent by a time and not answered.
 func lateExpiry(sentBy time.Time, span time.Duration) time.Time {
 	return sentBy.Add(maxLateExecution + lateExecutionMargin + span)
 }
 
+// later returns the later one of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -9,49 +9,49 @@
 	"go.uber.org/zap"
 )
 
-// The pace of a link. Those that depend on how long attempts may be held are shares of that time where it is short.
+// The times of a link. Those that depend on how long a lease may be are shares of the longest lease where that is short (see paceFor).
 const (
-	longPollWait           = time.Second            // how long a worker may wait for a completion before it answers a renewal
-	renewalAge             = 900 * time.Millisecond // a grant that was asked for longer ago is renewed
-	minLeaseLead           = 1500 * time.Millisecond
-	leadFraction           = 4                      // minLeaseLead and longPollWait are at most this part of the longest lease
-	renewalFraction        = 6                      // renewalAge is at most this part of the longest lease
-	maxIdleInterval        = 3 * time.Second        // between two polls of an idle worker
-	idleFraction           = 2                      // maxIdleInterval is at most this part of the longest lease
-	maxCommandsInFlight    = 5                      // commands under way at once; the renewal and the out-of-band poll have connections besides
-	unreachablePollTimeout = 600 * time.Millisecond // of the renewal loop's polls while the worker is unreachable
-
-	// abandonMargin is how much longer than its hedge a renewal may last: usually the poll's end decides about the renewal.
+	longPollWait           = time.Second             // how long a worker may wait for a completion before it responds to a long poll
+	renewalAge             = 900 * time.Millisecond  // a lease that was requested longer ago is renewed
+	minLeaseLead           = 1500 * time.Millisecond // a start is sent only if the lease lasts for so much longer
+	leadFraction           = 4                       // minLeaseLead and longPollWait are at most this fraction of the longest lease
+	renewalFraction        = 6                       // renewalAge is at most this fraction of the longest lease
+	maxIdleInterval        = 3 * time.Second         // between two polls of an idle worker
+	idleFraction           = 2                       // maxIdleInterval is at most this fraction of the longest lease
+	maxCommandsInFlight    = 5                       // at once; the renewal and the out-of-band poll have connections besides
+	unreachablePollTimeout = 600 * time.Millisecond  // of the renewal loop's polls while the worker is unreachable
+
+	// abandonMargin is how much longer a renewal may last than the poll made once it is overdue: usually that poll decides about the renewal.
 	abandonMargin = 100 * time.Millisecond
 )
 
-// Config describes a link.
+// Config describes a link. Instance, FencingToken, MaxLease, LeaderLeaseValid, Events and HTTP are needed.
 type Config struct {
 	Instance         Instance
 	FencingToken     uint64
-	MaxLease         time.Duration // the longest time for which a worker holds its attempts
-	LeaderLeaseValid func() bool   // whether this process may send commands at this moment; asked right before each call
+	MaxLease         time.Duration // the longest lease that a worker takes; bounds.holdMaxMs of the settings
+	LeaderLeaseValid func() bool   // whether this process may send calls at this moment; called right before each one
 	Events           Events
 	HTTP             *http.Client // shared by all links, from NewHTTPClient or of the budget
 	Connections      *Connections // the budget of all links; nil for none
 	// MinTimeout is how long a call is given at least beyond the wait that it asks for; 0 to let the round trips decide.
 	MinTimeout time.Duration
 	Log        *zap.Logger      // may be nil
-	Now        func() time.Time // the local steady clock; time.Now when nil
+	Now        func() time.Time // the local monotonic clock; time.Now when nil
 }
 
-// ending says why a link has ended.
+// ending is why a link has ended. Only the first reason counts.
 type ending uint8
 
 const (
-	open ending = iota
-	closed
-	gone
-	fenced
+	open   ending = iota
+	closed        // by Close, or with the context of Run
+	gone          // the incarnation of the worker is over
+	fenced        // the worker has seen a higher fencing token
 )
 
-// Link is the connection to one incarnation of one worker under one fencing token. Its methods may be called from any goroutine;
-// none of them waits for the worker but Run.
+// Link is the connection to one incarnation of one worker under one fencing token. Its methods may be called from any goroutine; only
+// Run waits for the worker.
 type Link struct {
 	config Config
 	caller *caller
@@ -64,39 +64,40 @@
 	context                context.Context // of all calls
 	cancel                 context.CancelFunc
 	done                   chan struct{} // closed when the link ends
-	acknowledgementArrived chan struct{} // an acknowledgement has come
-	commandQueued          chan struct{} // a command was queued
+	acknowledgementArrived chan struct{} // signals Acknowledge to the renewal loop
+	commandQueued          chan struct{} // signals Start and Stop to the renewal loop
 
-	deliveryHistory   deliveryHistory // used by one delivery at a time
-	awaitedCompletion uint64          // the newest completion that the renewal loop has waited for to be acknowledged; used by that loop only
+	deliveryHistory   deliveryHistory // used by one delivery at a time, without the lock
+	awaitedCompletion uint64          // the newest one whose acknowledgement was awaited; used by the renewal loop only
 
 	mu             sync.Mutex
-	quiescent      sync.Cond // no order worker is left, or no poll is under way
+	quiescent      sync.Cond // signalled when a sender of commands, a poll or a hedged request is over
 	ending         ending
 	health         health
 	activity       activity
-	acknowledged   uint64
+	acknowledged   uint64 // the number of the newest completion that is durable
 	lease          leaseState
 	roundTrips     roundTrips
 	pendingRenewal *pendingRenewal // nil before the first one
 	polls          pollState
 	commands       commandQueue
-	hedges         int // further hedged requests of idempotent calls under way
+	hedges         int // hedged requests under way
 	counts         Counts
 }
 
-// Counts says how many calls for the lists a link has made so far.
+// Counts is how many calls for the lists, and hedged requests, a link has made so far.
 type Counts struct {
-	Renewals            uint64 // by the renewal loop, its polls included
-	Polls               uint64 // out of band
-	OverdueRenewals     uint64 // renewals whose answer was overdue
-	RepeatedCompletions uint64 // renewals whose newest completion had been listed before, as it was not acknowledged yet
-	HedgedRequests      uint64 // of polls and stops whose answer was overdue
+	Renewals            uint64 // calls of the renewal loop, its polls included
+	Polls               uint64 // out-of-band polls
+	OverdueRenewals     uint64 // renewals whose response was overdue
+	RepeatedCompletions uint64 // responses to renewals that listed no newer completion than one before, as it was not acknowledged yet
+	HedgedRequests      uint64 // of polls and stops whose response was overdue
 }
 
-// pace holds the link's times, which depend on how long attempts may be held.
+// pace is the times of a link that depend on the longest lease.
 type pace struct{ longPollWait, renewalAge, minLeaseLead, maxIdleInterval time.Duration }
 
+// paceFor shortens the times for a worker whose leases are short, so that a lease is renewed several times before it expires.
 func paceFor(maxLease time.Duration) pace {
 	return pace{
 		longPollWait:    min(longPollWait, maxLease/leadFraction).Truncate(time.Millisecond),
@@ -106,7 +107,7 @@
 	}
 }
 
-// NewLink makes a link; Run sets it to work.
+// NewLink makes a link. Nothing is sent before Run; the link counts towards its budget until Run has returned.
 func NewLink(config Config) *Link {
 	l := &Link{
 		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
@@ -133,7 +134,7 @@
 	return l
 }
 
-// Acknowledge says that the completions up to a number are durable: the worker may forget them.
+// Acknowledge records that the completions up to a number are durable: the next renewal or poll lets the worker forget them.
 func (l *Link) Acknowledge(number uint64) {
 	l.mu.Lock()
 	l.acknowledged = max(l.acknowledged, number)
@@ -144,26 +145,26 @@
 	}
 }
 
-// LeasesExpiredBy is the local time by which everything that this link has ever granted there has certainly expired, provided that
-// nothing more is granted. It is the zero time when nothing was granted.
+// LeasesExpiredBy is the local time by which every lease that this link has ever granted has certainly expired, provided that no
+// further one is granted. It is the zero time when none was granted.
 func (l *Link) LeasesExpiredBy() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lease.grants.expiredBy()
 }
 
-// Counts returns how many calls were made so far.
+// Counts returns the counts so far.
 func (l *Link) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Close ends the link. Calls under way are given up, and their results and those of waiting commands are still reported; Run
-// returns after that.
+// Close ends the link. Calls under way are cancelled; their results and those of queued commands are still reported before Run
+// returns.
 func (l *Link) Close() { l.end(closed) }
 
-// release ends the link, for the first reason that comes up.
+// end ends the link, for the first reason that is given.
 func (l *Link) end(reason ending) {
 	if reason == closed {
 		l.cancel()
@@ -199,7 +200,7 @@
 	return l.ending != open
 }
 
-// endedBy ends the link if an answer says so.
+// endedBy ends the link if a response says that its incarnation is over or that its fencing token is outdated.
 func (l *Link) endedBy(response workerResponse) bool {
 	switch {
 	case response.status == http.StatusMisdirectedRequest:
@@ -212,8 +213,8 @@
 	return true
 }
 
-// setContact notes what a call has shown, and reports a change. While a worker is unreachable it gets no commands and no
-// grants.
+// setContact records what a call has shown about the worker, and reports a change. While a worker is unreachable it gets no commands
+// and no lease grants.
 func (l *Link) setContact(to contact) {
 	l.mu.Lock()
 	changed := l.ending == open && l.health.moveTo(to)
@@ -221,7 +222,7 @@
 		l.health.responded()
 	}
 	if changed && to == unreachable && l.pendingRenewal != nil {
-		l.pendingRenewal.abandon() // the renewal loop looks for the worker
+		l.pendingRenewal.abandon() // the renewal loop polls the worker from now on
 	}
 	l.dispatch()
 	l.mu.Unlock()
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -6,7 +6,7 @@
 	"go.uber.org/zap"
 )
 
-// deliver reports the lists of an answer.
+// deliver reports the lists of a response.
 func (l *Link) deliver(c listCall, response workerResponse, outOfBand bool) {
 	listing := l.listing(c, response)
 	listing.OutOfBand = outOfBand
@@ -22,6 +22,7 @@
 	})
 }
 
+// listing is the report of a response. Entries whose task cannot be read are left out, and logged.
 func (l *Link) listing(c listCall, response workerResponse) Listing {
 	listing := Listing{
 		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(response.body.Finished) >= maxFinishedPerResponse,
@@ -45,7 +46,7 @@
 	return listing
 }
 
-// newestCompletion is the number of the newest completion listed that could be read; 0 when there is none.
+// newestCompletion is the number of the newest completion listed whose task could be read; 0 when there is none.
 func (response *workerResponse) newestCompletion() uint64 {
 	newest := uint64(0)
 	for i := range response.body.Finished {
@@ -77,8 +78,8 @@
 	h.dropRepeated(listing, now)
 }
 
-// stale reports whether the worker may have listed its attempts before it did so for a listing delivered already. Answers on
-// different connections may pass one another; the worker's clock tells in which order they were written.
+// stale reports whether the worker may have listed its attempts before it did so for a listing delivered already. Responses on
+// different connections may overtake one another; the worker's clock shows in which order they were written.
 func (h *deliveryHistory) stale(sentAt time.Time, clockMS *int64) bool {
 	if clockMS == nil || *clockMS == h.clockMS {
 		return sentAt.Before(h.sentAt)
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// responseOutcome is the outcome of a start command by the worker's answer.
+// responseOutcome is the outcome of a start by the worker's response.
 func responseOutcome(response workerResponse) StartOutcome {
 	switch response.status {
 	case http.StatusOK:
@@ -23,6 +23,7 @@
 	return Unclear
 }
 
+// rejection is the outcome of a start that was rejected with 409.
 func rejection(why reason) StartOutcome {
 	switch why {
 	case reasonFencingToken:
@@ -37,7 +38,7 @@
 	return Unclear
 }
 
-// failureOutcome is the outcome of a start command without an answer.
+// failureOutcome is the outcome of a start without a response.
 func failureOutcome(err error) StartOutcome {
 	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return NotSent
--- a/internal/jobs/workerclient/permit.go
+++ b/internal/jobs/workerclient/permit.go
@@ -14,22 +14,22 @@
 	withheld
 )
 
-// permit looks at the lease at the last moment before a call is sent, as it may have waited for its connection until the
-// lease was over. net/http writes a call's headers into a buffer, tells of that, adds the body, and sends both: a call
-// without a permit is kept back by closing its connection in between.
+// permit checks the leader lease at the last moment before a call is sent, as the call may have waited for its connection until the
+// lease was over. net/http writes the headers of a call into a buffer, calls WroteHeaders, adds the body, and sends both: a call
+// without a permit is withheld by closing its connection in between.
 type permit struct {
 	leaderLeaseValid func() bool
 	state            atomic.Int32
-	conn             net.Conn // of the present attempt; set before check is called for it
+	conn             net.Conn // of the present try; set before check is called for it
 }
 
-// connected notes the connection that the call will be sent on. net/http may replace it by another while nothing was sent.
+// connected records the connection that the call will be sent on. net/http may replace it by another one while nothing was sent.
 func (p *permit) connected(info httptrace.GotConnInfo) {
 	p.conn = info.Conn
 	p.state.CompareAndSwap(unconnected, connected)
 }
 
-// check lets the call pass or keeps it back. One that was kept back stays so on any further connection.
+// check lets the call pass or withholds it. One that was withheld stays so on any further connection.
 func (p *permit) check() {
 	next := permitted
 	if !p.leaderLeaseValid() {
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -12,17 +12,17 @@
 
 // pollState is the state of the out-of-band polls, of which one at a time is under way.
 type pollState struct {
-	busy   bool // a goroutine makes polls, or is about to begin
-	wanted bool // a poll was asked for since the last one was sent
+	busy      bool // a goroutine makes polls, or is about to begin
+	requested bool // a poll was requested since the last one was sent
 }
 
-// requestPoll asks for a poll that begins after the delay, or for another one after that under way. It grants nothing. While
-// the worker is unreachable the renewal loop polls anyway. The caller holds the lock.
+// requestPoll requests a poll that begins after the delay, or another one after that under way. It grants nothing. While the worker
+// is unreachable the renewal loop polls anyway. The caller holds the lock.
 func (l *Link) requestPoll(delay time.Duration) {
 	if l.ending != open || l.commands.suspended || l.health.contact == unreachable {
 		return
 	}
-	l.polls.wanted = true
+	l.polls.requested = true
 	if l.polls.busy {
 		return
 	}
@@ -30,7 +30,7 @@
 	time.AfterFunc(delay, l.runPolls)
 }
 
-// runPolls makes one poll after another while they are wanted.
+// runPolls makes one poll after another while they are requested.
 func (l *Link) runPolls() {
 	for l.pollInTurn() {
 	}
@@ -49,26 +49,27 @@
 	return due
 }
 
-// nextPoll begins the next poll if one is wanted, and otherwise notes that none is under way.
+// nextPoll begins the next poll if one is requested, and otherwise records that none is under way.
 func (l *Link) nextPoll(valid bool) (c listCall, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !valid || !l.polls.wanted || l.ending != open || l.health.contact == unreachable {
+	if !valid || !l.polls.requested || l.ending != open || l.health.contact == unreachable {
 		l.polls = pollState{}
 		l.quiescent.Broadcast()
 		return listCall{}, false
 	}
-	l.polls.wanted = false
+	l.polls.requested = false
 	l.counts.Polls++
 	return l.beginPoll(l.roundTrips.pollTimeout()), true
 }
 
-// beginPoll makes a call that asks for both lists at once and grants nothing. The caller holds the lock.
+// beginPoll makes a call that requests both lists at once and grants nothing. The caller holds the lock.
 func (l *Link) beginPoll(timeout time.Duration) listCall {
 	request := listRequest{fencingToken: l.config.FencingToken, lastSeen: l.acknowledged}
 	return listCall{request: request, sentAt: l.sendTime(), timeout: timeout}
 }
 
+// pollOnce makes one poll and takes in its result.
 func (l *Link) pollOnce(c listCall) {
 	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.renewal, c.body(), c.timeout})
 	if err == nil {
@@ -82,44 +83,44 @@
 	case l.endedBy(response):
 	case response.status != http.StatusOK:
 		l.listRefused(response.status)
-		l.config.Connections.concurrency.release()
-		l.wait(firstBackoff)
-		l.config.Connections.concurrency.acquire()
-		l.wantPoll()
+		l.config.Connections.concurrency.outside(func() { l.wait(firstBackoff) })
+		l.repeatPoll()
 	default:
 		l.deliver(c, response, true)
 		l.supersedeRenewal()
 	}
 }
 
-// pollFailed repeats a poll that got no answer, unless a renewal or a poll before it did not get one either: then the worker
-// is unreachable.
+// pollFailed requests a further poll after one without a response, unless a renewal or a poll before it got none either: then the
+// worker is unreachable.
 func (l *Link) pollFailed() {
 	l.mu.Lock()
 	nowUnreachable := l.health.pollUnanswered()
-	l.polls.wanted = true
+	l.polls.requested = true
 	l.mu.Unlock()
 	if nowUnreachable {
 		l.setContact(unreachable)
 	}
 }
 
-func (l *Link) wantPoll() {
+// repeatPoll requests a further poll of the goroutine that makes them.
+func (l *Link) repeatPoll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.polls.wanted = true
+	l.polls.requested = true
 }
 
-// doubt notes a command without an answer: no start is sent until a poll has shown whether the worker still answers.
-func (l *Link) doubt() {
+// pollAfterCommand records a command without a response: no start is sent until a poll has shown whether the worker still responds.
+func (l *Link) pollAfterCommand() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.health.commandUnanswered()
 	l.requestPoll(0)
 }
 
-// suspect notes a renewal without an answer: the worker is unreachable unless it answers a poll. The caller holds the lock.
-func (l *Link) suspect() {
+// pollAfterRenewal records a renewal without a response: the worker is unreachable unless it answers a poll. The caller holds the
+// lock.
+func (l *Link) pollAfterRenewal() {
 	l.health.renewalUnanswered()
 	l.requestPoll(0)
 }
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	firstBackoff     = 150 * time.Millisecond // after a poll that failed
+	firstBackoff     = 150 * time.Millisecond // after a call of the renewal loop that failed
 	maxBackoff       = 600 * time.Millisecond
-	earlyAnswerDelay = 100 * time.Millisecond // after a renewal that was answered early without a completion
+	earlyAnswerDelay = 100 * time.Millisecond // after a long poll that was answered early without a completion
 
 	acknowledgementTimeout     = 60 * time.Millisecond  // how long the renewal after new completions waits for their acknowledgement
-	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after completions that are listed again
+	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after completions that were listed before
 	redeliveryAge              = time.Second            // completions not acknowledged for so long are delivered again
 )
 
-// listCall is one call that asks for both lists.
+// listCall is one call for both lists, the running and the finished tasks: a lease renewal or a poll.
 type listCall struct {
-	request    listRequest
-	sentAt     time.Time
-	hedgeAfter time.Duration // 0 for a call that is not hedged
-	timeout    time.Duration
-	validUntil time.Duration // of the grant that it carries, on the worker's clock; 0 for none
-	grant      *leaseGrant   // nil for none
+	request      listRequest
+	sentAt       time.Time
+	overdueAfter time.Duration // a poll is made when it has no response by then; 0 for never
+	timeout      time.Duration
+	validUntil   time.Duration // the end of the lease that it grants, on the worker's clock; 0 for none
+	grant        *leaseGrant   // nil for none
 }
 
 func (c *listCall) body() []byte { return c.request.append(make([]byte, 0, listRequestBytes)) }
@@ -38,19 +38,19 @@
 	progress renewalProgress
 }
 
-// renewalProgress only ever grows.
+// renewalProgress is how far a renewal without a response has come. It only grows.
 type renewalProgress uint8
 
 const (
 	inTime     renewalProgress = iota // its response may still come in time
-	overdue                           // it should have been answered by now: a poll decides
-	superseded                        // a poll was answered instead, and the renewal given up
+	overdue                           // the response should have come by now: a poll decides
+	superseded                        // a poll was answered instead, and the renewal cancelled
 )
 
-// markOverdue notes that the response should have come by now.
+// markOverdue records that the response should have come by now.
 func (r *pendingRenewal) markOverdue() { r.progress = max(r.progress, overdue) }
 
-// supersede gives up the renewal if it is overdue.
+// supersede cancels the renewal if it is overdue.
 func (r *pendingRenewal) supersede() {
 	if r.progress >= overdue {
 		r.progress = superseded
@@ -58,51 +58,51 @@
 	}
 }
 
-// Run looks at the worker and then holds what attempts there, until the link is closed, the context ends, the worker's incarnation
-// is over or a higher fencing token was seen. It returns once everything was reported.
+// Run polls the worker and then keeps its lease renewed, until the link is closed, the context ends, the worker's incarnation is over
+// or a higher fencing token was seen. It returns once everything was reported.
 func (l *Link) Run(ctx context.Context) {
 	defer l.pool.leave()
 	defer l.cancel()
 	defer l.awaitSenders()
 	unlink := context.AfterFunc(ctx, l.Close)
 	defer unlink()
-	pause := firstBackoff
+	backoff := firstBackoff
 	for !l.ended() {
 		l.yieldToCommands()
-		again, last := l.renewInTurn()
-		if !again {
-			l.wait(pause)
-			pause = min(2*pause, maxBackoff)
+		proceed, last := l.renewInTurn()
+		if !proceed {
+			l.wait(backoff)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		pause = firstBackoff
+		backoff = firstBackoff
 		l.delayAfter(last)
 		l.idleBetweenPolls()
 	}
 }
 
-// renewalAnswer is a call of the renewal loop with its answer.
-type renewalAnswer struct {
+// renewalResult is a call of the renewal loop with its response.
+type renewalResult struct {
 	call     listCall
-	answer   workerResponse
+	response workerResponse
 	received time.Time
 }
 
-// renewInTurn makes one call once there is a connection for it, and reports whether the next one may follow.
-func (l *Link) renewInTurn() (again bool, last renewalAnswer) {
+// renewInTurn makes one call once there is a connection for it, and reports whether the next one may follow without a backoff.
+func (l *Link) renewInTurn() (proceed bool, last renewalResult) {
 	if !l.pool.acquire(l.done) {
-		return false, renewalAnswer{}
+		return false, renewalResult{}
 	}
 	defer l.pool.release()
 	valid := l.config.LeaderLeaseValid()
 	l.setSuspended(!valid)
 	if !valid {
-		return false, renewalAnswer{}
+		return false, renewalResult{}
 	}
 	return l.renewOnce()
 }
 
-// setSuspended notes whether commands may be sent at all, and goes through those that wait.
+// setSuspended records whether commands may be sent at all, and dispatches those that are queued.
 func (l *Link) setSuspended(suspended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,6 +110,7 @@
 	l.dispatch()
 }
 
+// awaitSenders waits until no command, poll or hedged request is under way.
 func (l *Link) awaitSenders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,8 +119,8 @@
 	}
 }
 
-// renewOnce makes one call and reports whether the next one may follow at once.
-func (l *Link) renewOnce() (again bool, last renewalAnswer) {
+// renewOnce makes one call and reports whether the next one may follow without a backoff.
+func (l *Link) renewOnce() (proceed bool, last renewalResult) {
 	c := l.beginRenewal()
 	response, err := l.postRenewal(c)
 	if c.request.waitMS > 0 {
@@ -129,20 +130,21 @@
 	l.settleListCall(c, response, err, received)
 	if err != nil {
 		l.log.Debug("hold without answer", zap.Error(err))
-		return l.renewalFailed(c), renewalAnswer{}
+		return l.renewalFailed(c), renewalResult{}
 	}
 	if l.endedBy(response) {
-		return false, renewalAnswer{}
+		return false, renewalResult{}
 	}
 	if response.status != http.StatusOK {
 		l.listRefused(response.status)
-		return false, renewalAnswer{}
+		return false, renewalResult{}
 	}
 	l.deliver(c, response, false)
-	return true, renewalAnswer{c, response, received}
+	return true, renewalResult{c, response, received}
 }
 
-// beginRenewal decides what the next call of the renewal loop asks for and notes its grant.
+// beginRenewal decides what the next call of the renewal loop requests and records its grant: a poll while the worker is unreachable,
+// otherwise a renewal once the lists are known, as a long poll where that is allowed.
 func (l *Link) beginRenewal() listCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,8 +157,8 @@
 	if l.activity.longPolled {
 		c.request.waitMS = l.pace.longPollWait.Milliseconds()
 	}
-	c.hedgeAfter = c.wait() + l.roundTrips.overdueDelay()
-	c.timeout = c.hedgeAfter + l.roundTrips.pollTimeout() + abandonMargin
+	c.overdueAfter = c.wait() + l.roundTrips.overdueDelay()
+	c.timeout = c.overdueAfter + l.roundTrips.pollTimeout() + abandonMargin
 	if l.activity.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.pace.renewalAge {
 		l.addGrant(&c)
 	}
@@ -174,7 +176,7 @@
 	c.grant = l.lease.grant(validUntil, c.sentAt, c.timeout)
 }
 
-// postRenewal makes a call of the renewal loop, which is hedged by a poll when its answer is overdue.
+// postRenewal makes a call of the renewal loop. When its response is overdue a poll is made beside it.
 func (l *Link) postRenewal(c listCall) (workerResponse, error) {
 	ctx, abandon := context.WithCancel(l.context)
 	defer abandon()
@@ -182,14 +184,14 @@
 	l.mu.Lock()
 	l.pendingRenewal = pending
 	l.mu.Unlock()
-	if c.hedgeAfter > 0 {
-		timer := time.AfterFunc(c.hedgeAfter, func() { l.renewalOverdue(pending) })
+	if c.overdueAfter > 0 {
+		timer := time.AfterFunc(c.overdueAfter, func() { l.renewalOverdue(pending) })
 		defer timer.Stop()
 	}
 	return l.caller.post(ctx, l.caller.renewal, c.body(), c.timeout)
 }
 
-// renewalOverdue polls of a worker that has left a renewal without an answer.
+// renewalOverdue requests a poll of a worker that has left a renewal without a response.
 func (l *Link) renewalOverdue(pending *pendingRenewal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,10 +200,10 @@
 	}
 	pending.markOverdue()
 	l.counts.OverdueRenewals++
-	l.suspect()
+	l.pollAfterRenewal()
 }
 
-// supersedeRenewal gives up an overdue renewal after a poll was answered.
+// supersedeRenewal cancels an overdue renewal after a poll was answered.
 func (l *Link) supersedeRenewal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,30 +212,29 @@
 	}
 }
 
-// renewalFailed lets a poll decide what a renewal without an answer means, and reports whether the next renewal may follow at once.
+// renewalFailed lets a poll decide what a renewal without a response means, and reports whether the next renewal may follow without a
+// backoff.
 func (l *Link) renewalFailed(c listCall) bool {
-	if c.hedgeAfter == 0 {
+	if c.overdueAfter == 0 {
 		l.setContact(unreachable)
 		return false
 	}
 	l.mu.Lock()
 	pending := l.pendingRenewal
 	if pending.progress == inTime { // its connection broke, or this process stood still
-		if l.now().Sub(c.sentAt) >= c.hedgeAfter {
+		if l.now().Sub(c.sentAt) >= c.overdueAfter {
 			pending.markOverdue()
 		}
-		l.suspect()
+		l.pollAfterRenewal()
 	}
 	l.mu.Unlock()
-	l.config.Connections.concurrency.release()
-	l.awaitPolls()
-	l.config.Connections.concurrency.acquire()
+	l.config.Connections.concurrency.outside(l.awaitPolls)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return pending.progress == superseded
 }
 
-// settleListCall takes in what an answer, or its absence, says about the worker's clock and about the grant.
+// settleListCall takes in what a response, or its absence, says about the worker's clock, the lease and the round trips.
 func (l *Link) settleListCall(c listCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -250,7 +251,7 @@
 	}
 }
 
-// listRefused notes a call that was answered without the lists. A single one says little.
+// listRefused records a call that was answered without the lists.
 func (l *Link) listRefused(status int) {
 	l.log.Debug("hold refused", zap.Int("status", status))
 	l.mu.Lock()
@@ -262,10 +263,10 @@
 	}
 }
 
-// delayAfter waits before the next renewal where the worker would answer it at once: after ends, as it lists them until they
-// are acknowledged, and after an answer that came early for no reason known.
-func (l *Link) delayAfter(last renewalAnswer) {
-	if newest := last.answer.newestCompletion(); newest > 0 {
+// delayAfter waits before the next renewal where the worker would respond to it at once: after completions, as it lists them until
+// they are acknowledged, and after a response that came early for no known reason.
+func (l *Link) delayAfter(last renewalResult) {
+	if newest := last.response.newestCompletion(); newest > 0 {
 		l.awaitAcknowledgement(newest)
 		l.markIdleIfAcknowledged(last, newest)
 		return
@@ -275,16 +276,16 @@
 	}
 }
 
-// awaitAcknowledgement waits until the completions up to a number are durable: shortly after new ones, so that further completions are
-// received soon in any case, and longer when the same ones are listed again.
+// awaitAcknowledgement waits until the completions up to a number are durable: for a short time after new ones, so that further
+// completions are received soon in any case, and for longer when the same ones are listed again.
 func (l *Link) awaitAcknowledgement(number uint64) {
-	patience := acknowledgementTimeout
+	timeout := acknowledgementTimeout
 	if number <= l.awaitedCompletion {
-		patience = repeatedCompletionsTimeout
+		timeout = repeatedCompletionsTimeout
 		l.countRepeatedCompletions()
 	}
 	l.awaitedCompletion = max(l.awaitedCompletion, number)
-	limit := time.NewTimer(patience)
+	limit := time.NewTimer(timeout)
 	defer limit.Stop()
 	for {
 		l.mu.Lock()
@@ -302,11 +303,11 @@
 	}
 }
 
-// markIdleIfAcknowledged notes that a worker is idle if its last answer lists nothing but completions that are durable by now. The next
-// call acknowledges them, however late it is.
-func (l *Link) markIdleIfAcknowledged(last renewalAnswer, newest uint64) {
-	reply := &last.answer.body
-	if len(reply.Running) > 0 || len(reply.Finished) >= maxFinishedPerResponse {
+// markIdleIfAcknowledged records that a worker is idle if its last response lists nothing but completions that are durable by now.
+// The next call acknowledges them, however late it is.
+func (l *Link) markIdleIfAcknowledged(last renewalResult, newest uint64) {
+	lists := &last.response.body
+	if len(lists.Running) > 0 || len(lists.Finished) >= maxFinishedPerResponse {
 		return
 	}
 	l.mu.Lock()
@@ -323,8 +324,8 @@
 }
 
 // wait waits for a while, or until the link ends.
-func (l *Link) wait(pause time.Duration) {
-	timer := time.NewTimer(pause)
+func (l *Link) wait(duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/jobs/workerclient/semaphore.go
+++ b/internal/jobs/workerclient/semaphore.go
@@ -2,10 +2,10 @@
 
 import "runtime"
 
-// semaphore lets few of the goroutines that call workers work at once. The others wait outside of the runtime's queue of
-// goroutines, so that thousands of answers that come together do not hold up what keeps a leader's lease: its heartbeats
-// queue behind a few goroutines and not behind all of them. Who waits for the network or for a turn is outside.
-// A nil one lets everyone pass.
+// semaphore bounds how many of the goroutines that call workers run at once. The others wait outside of the runtime's queue of
+// goroutines, so that thousands of responses that come together do not delay what keeps the leader lease: its heartbeats queue behind
+// a few goroutines and not behind all of them. Whoever waits for the network or for a connection is outside. A nil semaphore bounds
+// nothing.
 type semaphore chan struct{}
 
 func newSemaphore() semaphore { return make(semaphore, 1+runtime.GOMAXPROCS(0)) }
@@ -16,6 +16,13 @@
 	}
 }
 
+// outside gives up the place while a function waits.
+func (s semaphore) outside(wait func()) {
+	s.release()
+	wait()
+	s.acquire()
+}
+
 func (s semaphore) release() {
 	if s != nil {
 		<-s
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -1,12 +1,3 @@
-// Package worker speaks to one worker: it keeps the tasks there alive, hears which attempts it has and which have ended, and
-// passes on commands to start and to stop attempts.
-//
-// A renewal waits at the worker for a completion, and usually one is under way at any time. Polls, which do not wait, are made
-// beside it where its answer is overdue and where the state of an attempt is to be known at once. Time-outs follow the round trips
-// measured. A poll or a stop that is left without an answer is sent again before its time-out, a start never is.
-//
-// A Link is made for one incarnation of one worker under one fencing token. It reports through Events; what the reports mean for
-// jobs is decided elsewhere.
 package workerclient
 
 import (
@@ -15,10 +6,10 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// WorkerID is the platform's identifier of one incarnation of a worker.
+// WorkerID is the identifier by which the platform knows one incarnation of a worker.
 type WorkerID string
 
-// Instance is what the platform's list says about one worker.
+// Instance is what the platform's list says about one incarnation of a worker.
 type Instance struct {
 	ID                WorkerID
 	Service           string
@@ -33,7 +24,7 @@
 	Labels            []string
 }
 
-// RunningTask is one entry of a worker's list of attempts.
+// RunningTask is an attempt that a worker lists as running.
 type RunningTask struct {
 	Task          job.TaskID
 	AttemptNumber uint64
@@ -41,46 +32,46 @@
 	Percent       int
 }
 
-// FinishedTask is one entry of a worker's list of completions.
+// FinishedTask is the completion of an attempt, as a worker lists it.
 type FinishedTask struct {
-	CompletionNumber uint64 // counts the completions of one incarnation of a worker from 1
+	CompletionNumber uint64 // counts the completions of one incarnation of a worker, from 1
 	Task             job.TaskID
 	AttemptNumber    uint64
 	How              job.Outcome
 	Checkpoint       string
 }
 
-// StartCommand asks for one attempt of a task.
+// StartCommand asks a worker to begin an attempt of a task.
 type StartCommand struct {
 	Task          job.TaskID
 	AttemptNumber uint64
 	Specification string
-	Checkpoint    string // where the attempt goes on from; empty for the beginning
+	Checkpoint    string // where the attempt resumes; empty for the beginning
 }
 
-// StopCommand asks for the end of one attempt; an attempt that is not there yet will be rejected once stopped.
+// StopCommand asks a worker to end an attempt. One that is not there yet is rejected when it comes.
 type StopCommand struct {
 	Task          job.TaskID
 	AttemptNumber uint64
 }
 
-// StartOutcome says what became of a start command.
+// StartOutcome is what became of a start.
 type StartOutcome uint8
 
 const (
-	// Unclear means that no answer came: the command may be carried out, even seconds later.
+	// Unclear means that no response came: the start may be executed, even seconds later.
 	Unclear StartOutcome = iota
 	// Started means that the attempt is there.
 	Started
 	// RejectedFencingToken means that the worker has seen a higher fencing token.
 	RejectedFencingToken
-	// RejectedStaleAttempt means that the execution is not above one that was stopped or has ended there.
+	// RejectedStaleAttempt means that the attempt number is not above one that was stopped or has ended there.
 	RejectedStaleAttempt
-	// RejectedLeaseExpired means that the time up to which the attempt was to be held was over.
+	// RejectedLeaseExpired means that the lease that the start carries was over.
 	RejectedLeaseExpired
 	// RejectedCapacity means that the worker has no capacity left for the task.
 	RejectedCapacity
-	// RejectedInvalid means that the worker could not make sense of the command.
+	// RejectedInvalid means that the worker could not read the command.
 	RejectedInvalid
 	// RejectedUnhealthy means that the worker refused to do anything at present.
 	RejectedUnhealthy
@@ -104,18 +95,18 @@
 	return "unknown"
 }
 
-// Listing is a worker's account of its attempts and of the completions that were not acknowledged yet. The listings of one link come
-// one at a time, and in the order in which they were asked for but for those of out-of-band polls, which may overtake holds.
+// Listing is what a worker reports: its attempts and the completions that were not acknowledged yet. The listings of one link come
+// one at a time, and in the order in which they were requested except for those of out-of-band polls, which may overtake renewals.
 type Listing struct {
 	Worker WorkerID
-	// SentAt is the local time just before the listing was asked for. An attempt may only be taken to be absent if its start
+	// SentAt is the local time just before the listing was requested. An attempt may only be taken to be absent if its start
 	// was answered before that time.
 	SentAt time.Time
 	// First marks the first listing under the link's fencing token: from now on the worker ignores lower tokens.
 	First bool
 	// Partial means that further completions are waiting, so an attempt missing here may be among those.
 	Partial bool
-	// OutOfBand marks the answer to a poll that was made beside a renewal: after a start without an answer, after an answered
+	// OutOfBand marks the response to a poll that was made beside a renewal: after a start without a response, after an answered
 	// stop, or as a renewal was overdue.
 	OutOfBand bool
 	// Stale marks a listing whose running list may be older than that of one delivered before. Only its completions are of use.
@@ -125,15 +116,15 @@
 	Finished []FinishedTask
 }
 
-// StartResult reports what became of a start command.
+// StartResult reports what became of a start.
 type StartResult struct {
 	Worker  WorkerID
 	Command StartCommand
 	Outcome StartOutcome
-	At      time.Time // local time of the answer, or of giving up
+	At      time.Time // local time of the response, or when the start was given up
 }
 
-// StopResult reports that a worker has taken a stop command, or that the link ended before it did.
+// StopResult reports that a worker has answered a stop, or that the link ended before it did.
 type StopResult struct {
 	Worker   WorkerID
 	Command  StopCommand
@@ -141,21 +132,21 @@
 	At       time.Time
 }
 
-// Gone reports that the worker's incarnation is over: another one answers at its address.
+// Gone reports that the incarnation of the worker is over: another one responds at its address. The link has ended.
 type Gone struct{ Worker WorkerID }
 
 // Fenced reports that the worker has seen a higher fencing token; the link has ended.
 type Fenced struct{ Worker WorkerID }
 
-// ReachabilityChange reports a change. A worker is unreachable once two calls for the lists in a row, with all hedged requests of
-// them, were left without an answer, or were refused; an answer makes it reachable again.
+// ReachabilityChange reports that a worker became unreachable or reachable (again). It is unreachable once two calls for the lists in
+// a row, with all their hedged requests, were left without a response, or were refused; a response makes it reachable again.
 type ReachabilityChange struct {
 	Worker    WorkerID
 	Reachable bool
 }
 
-// Events receives what a link has to report: one call at a time per link, on any goroutine, never from within a method of
-// the link. Its methods may call those of the link.
+// Events receives what a link has to report: one call at a time per link, on any goroutine, never from within a method of the link.
+// Its methods may call those of the link.
 type Events interface {
 	Listing(Listing)
 	StartResult(StartResult)
--- a/internal/jobs/workerclient/wire.go
+++ b/internal/jobs/workerclient/wire.go
@@ -15,10 +15,10 @@
 	renewalPath = "/-/hold"
 )
 
-// maxFinishedPerResponse is how many completions one answer lists at most.
+// maxFinishedPerResponse is how many completions one response lists at most.
 const maxFinishedPerResponse = 500
 
-// reason says why a worker rejected a call.
+// reason is why a worker rejected a call with 409.
 type reason string
 
 const (
@@ -28,15 +28,15 @@
 	reasonCapacity     reason = "room"
 )
 
-// listRequest asks for both lists and may hold what attempts there.
+// listRequest is the body of a call for both lists; it may renew the lease, and may wait for a completion.
 type listRequest struct {
 	fencingToken uint64
 	lastSeen     uint64
 	waitMS       int64
-	validUntilMS int64 // 0 to hold nothing
+	validUntilMS int64 // 0 to grant nothing
 }
 
-// listRequestBytes is about how long a renewal's body is.
+// listRequestBytes is about how long the body of a call for the lists is.
 const listRequestBytes = 128
 
 func (r listRequest) append(to []byte) []byte {
@@ -53,6 +53,7 @@
 	return append(to, '}')
 }
 
+// appendStart writes the body of a start call.
 func appendStart(to []byte, command *StartCommand, validUntilMS int64, fencingToken uint64) []byte {
 	to = append(to, `{"task":"`...)
 	to = appendTask(to, command.Task)
@@ -71,6 +72,7 @@
 	return append(to, '}')
 }
 
+// appendStop writes the body of a stop call.
 func appendStop(to []byte, command StopCommand, fencingToken uint64) []byte {
 	to = append(to, `{"task":"`...)
 	to = appendTask(to, command.Task)
@@ -112,7 +114,7 @@
 	return append(to, '"')
 }
 
-// reply is the body of any answer.
+// responseBody is the body of any response. Lists and clock are left out where the worker rejected the call.
 type responseBody struct {
 	ClockMS  *int64          `json:"clockMs"`
 	Reason   reason          `json:"reason"`
