--- a/internal/jobs/manager/leadership.go
+++ b/internal/jobs/manager/leadership.go
@@ -307,7 +307,7 @@
 
 // StopResult implements worker.Events.
 func (e linkEvents) StopResult(result workerclient.StopResult) {
-	e.leadership.handle(func(now scheduler.Now) { e.leadership.scheduler.HandleStopResult(now, &result) })
+	e.leadership.handle(func(scheduler.Now) { e.leadership.scheduler.HandleStopResult(&result) })
 }
 
 // Gone implements worker.Events.
--- a/internal/jobs/scheduler/admission.go
+++ b/internal/jobs/scheduler/admission.go
@@ -48,7 +48,7 @@
 	}
 	free := worker.free()
 	if planned > 0 {
-		free = free.Subtract(stage.Resources.Times(int64(planned)))
+		free = free.Subtract(stage.Times(int64(planned)))
 	}
 	if !free.Fits(stage.Resources) || !s.isEligible(stage, worker) {
 		return false
--- a/internal/jobs/scheduler/binding.go
+++ b/internal/jobs/scheduler/binding.go
@@ -5,7 +5,7 @@
 )
 
 // bindTask binds a task to the least costly worker that is reachable and eligible, and to none if there is none.
-func (s *Scheduler) bindTask(now Now, task *taskState) {
+func (s *Scheduler) bindTask(task *taskState) {
 	s.unbindTask(task)
 	var best *workerState
 	bestCost := math.Inf(1)
@@ -36,11 +36,11 @@
 }
 
 // rebindTasks binds the tasks of a worker that cannot take them any more to others.
-func (s *Scheduler) rebindTasks(now Now, worker *workerState) {
+func (s *Scheduler) rebindTasks(worker *workerState) {
 	for _, stage := range s.waitingStages {
 		for _, task := range stage.waiting {
 			if task.boundTo == worker {
-				s.bindTask(now, task)
+				s.bindTask(task)
 			}
 		}
 	}
@@ -48,11 +48,11 @@
 }
 
 // bindUnboundTasks binds the tasks for which no worker was eligible before.
-func (s *Scheduler) bindUnboundTasks(now Now) {
+func (s *Scheduler) bindUnboundTasks() {
 	for _, stage := range s.waitingStages {
 		for _, task := range stage.waiting {
 			if task.boundTo == nil {
-				s.bindTask(now, task)
+				s.bindTask(task)
 			}
 		}
 	}
--- a/internal/jobs/scheduler/commandresults.go
+++ b/internal/jobs/scheduler/commandresults.go
@@ -50,7 +50,7 @@
 }
 
 // HandleStopResult takes the answer to a stop: the attempt has ended or is ending, or will never begin.
-func (s *Scheduler) HandleStopResult(now Now, result *workerclient.StopResult) {
+func (s *Scheduler) HandleStopResult(result *workerclient.StopResult) {
 	worker := s.workers[result.Worker]
 	if worker == nil || !result.Answered {
 		return
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -106,7 +106,7 @@
 		s.stopAttempt(attempt)
 		return
 	}
-	if s.shouldMigrate(now, attempt) {
+	if s.shouldMigrate(attempt) {
 		attempt.task.migrations++
 		attempt.task.avoidWorker(attempt.worker)
 		s.stopAttempt(attempt)
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -86,7 +86,7 @@
 	delete(s.workers, id)
 	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == worker })
 	worker.reachable = false
-	s.rebindTasks(now, worker)
+	s.rebindTasks(worker)
 	s.dispatchNeeded = true
 }
 
@@ -101,5 +101,5 @@
 			s.stopAttempt(attempt)
 		}
 	}
-	s.rebindTasks(now, worker)
+	s.rebindTasks(worker)
 }
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -108,9 +108,9 @@
 	case draining == previous.draining():
 		return
 	case draining:
-		s.rebindTasks(now, s.workers[id])
+		s.rebindTasks(s.workers[id])
 	default:
-		s.bindUnboundTasks(now)
+		s.bindUnboundTasks()
 	}
 	s.dispatchNeeded = true
 }
--- a/internal/jobs/scheduler/operatorreports.go
+++ b/internal/jobs/scheduler/operatorreports.go
@@ -17,7 +17,7 @@
 	maxReportDetails   = 500 // stages, attempts and failures that one report lists, each
 )
 
-// Load counts jobs and workers.
+// Summary counts jobs, tasks, attempts and workers.
 func (s *Scheduler) Summary() jobreport.Summary {
 	summary := jobreport.Summary{Ended: len(s.ended), Workers: len(s.sortedWorkers)}
 	for _, j := range s.jobs {
--- a/internal/jobs/scheduler/queue.go
+++ b/internal/jobs/scheduler/queue.go
@@ -22,7 +22,7 @@
 // enqueueAndBind queues a task for a start and binds it.
 func (s *Scheduler) enqueueAndBind(now Now, task *taskState) {
 	if s.enqueue(now, task) {
-		s.bindTask(now, task)
+		s.bindTask(task)
 	}
 }
 
--- a/internal/jobs/scheduler/reachability.go
+++ b/internal/jobs/scheduler/reachability.go
@@ -18,7 +18,7 @@
 		for _, attempt := range worker.sortedAttempts() {
 			s.releaseTask(now, attempt)
 		}
-		s.rebindTasks(now, worker)
+		s.rebindTasks(worker)
 	}
 	s.dispatchNeeded = true
 }
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -397,7 +397,7 @@
 			}
 			worker.closedAttempts[command.Task] = max(worker.closedAttempts[command.Task], command.AttemptNumber)
 		}
-		w.scheduler.HandleStopResult(w.clock(), &workerclient.StopResult{Worker: worker.ID, Command: command, Answered: true, At: w.clock().Monotonic})
+		w.scheduler.HandleStopResult(&workerclient.StopResult{Worker: worker.ID, Command: command, Answered: true, At: w.clock().Monotonic})
 		w.propose()
 	})
 }
--- a/internal/jobs/scheduler/stragglers.go
+++ b/internal/jobs/scheduler/stragglers.go
@@ -16,7 +16,7 @@
 )
 
 // observePace takes an attempt's pace into its worker's pace ratio: how many times longer than expected attempts take.
-func (s *Scheduler) observePace(now Now, attempt *attemptState) {
+func (s *Scheduler) observePace(attempt *attemptState) {
 	pace, known := attempt.paceMS()
 	if !known {
 		return
@@ -68,7 +68,7 @@
 
 // shouldMigrate tells whether an attempt on a slow worker is expected to end sooner if it is stopped and the task started
 // elsewhere, from its checkpoint if there is one.
-func (s *Scheduler) shouldMigrate(now Now, attempt *attemptState) bool {
+func (s *Scheduler) shouldMigrate(attempt *attemptState) bool {
 	stage := attempt.task.stage
 	if stage.GangScheduled || attempt.task.done || len(attempt.task.attempts) > 1 || attempt.task.migrations >= maxMigrations {
 		return false
--- a/internal/jobs/scheduler/workerreports.go
+++ b/internal/jobs/scheduler/workerreports.go
@@ -17,7 +17,7 @@
 	}
 	if worker.fencedAt.IsZero() || !worker.reachable {
 		worker.reachable = true
-		s.bindUnboundTasks(now)
+		s.bindUnboundTasks()
 	}
 	if worker.fencedAt.IsZero() {
 		worker.fencedAt = now.Monotonic
@@ -79,7 +79,7 @@
 	if entry.Checkpoint != "" {
 		attempt.checkpoint = entry.Checkpoint
 	}
-	s.observePace(now, attempt)
+	s.observePace(attempt)
 }
 
 // handleMissing handles the attempts of ours that a complete report does not list. One that was certainly there, or whose
