--- a/scripts/days/__main__.py
+++ b/scripts/days/__main__.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 import deployments
-import troubles
+import faults
 import worst
 from player import HEADING, Player, Result
 
@@ -27,11 +27,11 @@
 """A day this far below the median worth is listed as weak."""
 
 DAYS_OF_DEPLOYMENT = 3
-"""Days played on each further deployment: a quiet one, the others with trouble."""
+"""Days played on each further deployment: a quiet one, the others with faults."""
 
 REPEATS = 3
 REPEAT_GAP_S = 8.5
-"""How often, and how far apart, the trouble of a repeated day comes."""
+"""How often, and how far apart, the fault of a repeated day comes."""
 
 
 def main() -> int:
@@ -50,11 +50,11 @@
     parser.add_argument("--site", required=True, type=Path, help="site file of the deployment")
     parser.add_argument("--scratch", required=True, type=Path, help="folder for day files, site files and output")
     parser.add_argument("--only", default="",
-                        help="play only days, or deployments, whose name contains this text; in mixes, one trouble's")
+                        help="play only days, or deployments, whose name contains this text; in mixes, one fault's")
     parser.add_argument("--seed", type=int, default=1, help="seed of the first day")
     parser.add_argument("--count", type=int, default=20, help="number of mixes, or of days for each pair")
-    parser.add_argument("--size", type=int, default=2, help="troubles in one mix")
-    parser.add_argument("--spread", type=float, default=3.0, help="seconds over which the troubles of a mix begin")
+    parser.add_argument("--size", type=int, default=2, help="faults in one mix")
+    parser.add_argument("--spread", type=float, default=3.0, help="seconds over which the faults of a mix begin")
     parser.add_argument("--jobs", type=int, default=2, help="days played at once")
     parser.add_argument("--log", default="", help="machines whose output is kept, or all")
     parser.add_argument("--why", default="days of our own", help="why the days are played")
@@ -78,39 +78,39 @@
     return player.play_all(_singles(arguments, site))
 
 
-def _singles(arguments: argparse.Namespace, site: dict) -> list[troubles.Day]:
-    days = [troubles.quiet_day(arguments.seed)]
-    days += [troubles.single_day(entry, arguments.seed + index) for index, entry in enumerate(_entries(site))]
-    days += [troubles.closing_day(closing, arguments.seed + index) for index, closing in enumerate(troubles.closings())]
+def _singles(arguments: argparse.Namespace, site: dict) -> list[faults.Day]:
+    days = [faults.quiet_day(arguments.seed)]
+    days += [faults.single_day(entry, arguments.seed + index) for index, entry in enumerate(_entries(site))]
+    days += [faults.closing_day(closing, arguments.seed + index) for index, closing in enumerate(faults.closings())]
     return [day for day in days if arguments.only in day.name]
 
 
-def _mixes(arguments: argparse.Namespace, site: dict) -> list[troubles.Day]:
+def _mixes(arguments: argparse.Namespace, site: dict) -> list[faults.Day]:
     entries = _entries(site)
     seeds = range(arguments.seed, arguments.seed + arguments.count)
-    return [troubles.mixed_day(entries, seed, arguments.size, arguments.spread, arguments.only) for seed in seeds]
+    return [faults.mixed_day(entries, seed, arguments.size, arguments.spread, arguments.only) for seed in seeds]
 
 
-def _closings(arguments: argparse.Namespace, site: dict) -> list[troubles.Day]:
+def _closings(arguments: argparse.Namespace, site: dict) -> list[faults.Day]:
     days = []
     for entry in _entries(site):
         if arguments.only in entry.label():
-            days += troubles.closed_days(entry, arguments.seed + len(days))
+            days += faults.closed_days(entry, arguments.seed + len(days))
     return days
 
 
-def _repeats(arguments: argparse.Namespace, site: dict) -> list[troubles.Day]:
+def _repeats(arguments: argparse.Namespace, site: dict) -> list[faults.Day]:
     days = [
-        troubles.repeated_day(entry, arguments.seed + index, REPEATS, REPEAT_GAP_S)
+        faults.repeated_day(entry, arguments.seed + index, REPEATS, REPEAT_GAP_S)
         for index, entry in enumerate(_entries(site))
     ]
     return [day for day in days if arguments.only in day.name]
 
 
-def _entries(site: dict) -> list[troubles.Entry]:
+def _entries(site: dict) -> list[faults.Entry]:
     classes = [one["name"] for one in site["classes"]]
     services = [one["name"] for one in site["services"]]
-    return troubles.single_entries(classes, services)
+    return faults.single_entries(classes, services)
 
 
 def _deployment_results(arguments: argparse.Namespace) -> list[Result]:
@@ -123,8 +123,8 @@
         path = deployments.write_site(site, arguments.site, name, arguments.scratch)
         changed = tomllib.loads(path.read_text())
         entries = _entries(changed)
-        days = [troubles.quiet_day(seed)]
-        days += [troubles.mixed_day(entries, seed + later, 3, 4.0) for later in range(1, DAYS_OF_DEPLOYMENT)]
+        days = [faults.quiet_day(seed)]
+        days += [faults.mixed_day(entries, seed + later, 3, 4.0) for later in range(1, DAYS_OF_DEPLOYMENT)]
         results += _player(arguments, path, changed, arguments.scratch / path.stem).play_all(days)
     return results
 
--- a/scripts/days/troubles.py
+++ b/scripts/days/faults.py
@@ -1,10 +1,10 @@
-"""Makes the days: each kind of trouble alone, seeded mixes, and each closing fault."""
+"""Makes the days: each kind of fault alone, seeded mixes, and each closing fault."""
 
 import random
 from dataclasses import dataclass, field
 
 TROUBLE_START_S = 8.0
-"""When the trouble of a day begins, in seconds from the start of traffic."""
+"""When the fault of a day begins, in seconds from the start of traffic."""
 
 PLANNED_KINDS = {"scale_in", "roll_term", "seed_turnover", "config_change", "config_race", "bad_config", "hup",
                  "config_storm", "big_config"}
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One trouble of a day, as a site file writes it."""
+    """One fault of a day, as a site file writes it."""
 
     kind: str
     fields: dict = field(default_factory=dict)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Day:
-    """One day to play: its troubles with their times, and how it closes."""
+    """One day to play: its faults with their times, and how it closes."""
 
     name: str
     seed: int
@@ -46,7 +46,7 @@
 
 
 def single_entries(classes: list[str], services: list[str]) -> list[Entry]:
-    """Return each kind of trouble in each of its variants."""
+    """Return each kind of fault in each of its variants."""
     return (
         _client_entries(classes)
         + _searcher_entries(services)
@@ -168,25 +168,25 @@
 
 
 def quiet_day(seed: int) -> Day:
-    """Return a day without trouble."""
+    """Return a day without faults."""
     return Day("quiet", seed, _calm_changes([6.0, 20.0]), [])
 
 
 def single_day(entry: Entry, seed: int) -> Day:
-    """Return a day with one trouble alone and a few plain changes of the configuration."""
+    """Return a day with one fault alone and a few plain changes of the configuration."""
     return _day(entry.label(), seed, [(TROUBLE_START_S, entry)], None)
 
 
 def closing_day(closing: dict, seed: int) -> Day:
-    """Return a day whose only trouble is its final fault."""
+    """Return a day whose only fault is its final fault."""
     name = "-".join(part for part in ["closing", closing["kind"], closing.get("how", "")] if part)
     return _day(name, seed, [], closing)
 
 
 def mixed_day(entries: list[Entry], seed: int, size: int, spread_s: float, wanted: str = "") -> Day:
-    """Return a day with several troubles drawn by the seed, at nearly the same time, with any closing.
+    """Return a day with several faults drawn by the seed, at nearly the same time, with any closing.
 
-    If a text is wanted, the label of one trouble contains it.
+    If a text is wanted, the label of one fault contains it.
     """
     dice = random.Random(seed)
     drawn = [dice.choice([entry for entry in entries if wanted in entry.label()])]
@@ -200,14 +200,14 @@
 
 
 def repeated_day(entry: Entry, seed: int, times: int, gap_s: float) -> Day:
-    """Return a day on which one trouble comes several times, each perhaps at other machines, with a drawn closing."""
+    """Return a day on which one fault comes several times, each perhaps at other machines, with a drawn closing."""
     closing = random.Random(seed).choice(closings())
     timed = [(TROUBLE_START_S - 1.0 + gap_s * index, entry) for index in range(times)]
     return _day(f"{times}x-{entry.label()}+{closing['kind']}", seed, timed, closing)
 
 
 def closed_days(entry: Entry, seed: int) -> list[Day]:
-    """Return a day for each final fault, after one trouble."""
+    """Return a day for each final fault, after one fault."""
     days = []
     for index, closing in enumerate(closings()):
         name = "-".join(part for part in [f"{entry.label()}+{closing['kind']}", closing.get("how", "")] if part)
@@ -216,7 +216,7 @@
 
 
 def timed_day(name: str, seed: int, timed: list[tuple[float, Entry]], closing: dict | None) -> Day:
-    """Return a day with just the given troubles, each at its time."""
+    """Return a day with just the given faults, each at its time."""
     plan = []
     faults = []
     for seconds, entry in timed:
--- a/scripts/days/player.py
+++ b/scripts/days/player.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from toml_writer import to_toml
-from troubles import Day
+from faults import Day
 
 PLAY_TIMEOUT_S = 400
 FIELDS_OF_STANDARD_DAY = ["one", "zero", "goal", "floor_classes", "floor_zones", "traffic"]
--- a/scripts/days/worst.py
+++ b/scripts/days/worst.py
@@ -8,14 +8,14 @@
 import random
 from dataclasses import dataclass
 
-import troubles
-from troubles import Day, Entry
+import faults
+from faults import Day, Entry
 
 LONG_CUT_S = 20.0
 """How long a control machine is cut off or stands still, in seconds."""
 
 LONG_START_S = 6.0
-"""When long trouble begins, so that it ends before the day's final fault."""
+"""When a long fault begins, so that it ends before the day's final fault."""
 
 LAST_CHANGE_S = 30.0
 """When the last change of the configuration is sent."""
@@ -45,8 +45,8 @@
         cut = Entry("core_cut", {"count": 1, "for_s": LONG_CUT_S, "how": how})
         scenes.append(Scene(f"old-cut-{how}", [(LONG_START_S, cut), *_changes(0.8)]))
     for kind in ["node_freeze", "node_slow"]:
-        trouble = Entry(kind, {"on": "core", "count": 1, "for_s": LONG_CUT_S, "x": 8.0, "how": "leader"})
-        scenes.append(Scene(f"old-{kind}", [(LONG_START_S, trouble), *_changes(0.8)]))
+        fault = Entry(kind, {"on": "core", "count": 1, "for_s": LONG_CUT_S, "x": 8.0, "how": "leader"})
+        scenes.append(Scene(f"old-{kind}", [(LONG_START_S, fault), *_changes(0.8)]))
     fronts = Entry("node_cut", {"share": 0.3, "for_s": LONG_CUT_S, "how": "one_way"})
     scenes.append(Scene("old-fronts", [(LONG_START_S, fronts), *_changes(0.8)]))
     return scenes
@@ -139,7 +139,7 @@
 
 
 def _day(scenes: list[Scene], seed: int) -> Day:
-    closing = random.Random(seed).choice(troubles.closings())
+    closing = random.Random(seed).choice(faults.closings())
     name = "+".join([scene.name for scene in scenes] + [closing["kind"]])
     timed = [entry for scene in scenes for entry in scene.timed]
-    return troubles.timed_day(name, seed, timed, closing)
+    return faults.timed_day(name, seed, timed, closing)
