--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -7,19 +7,19 @@
 	"go.uber.org/zap"
 )
 
-// pollMergeDelay is how long the look after an answered stop waits for further stops to share it.
+// pollMergeDelay is how long the poll after an answered stop waits for further stops to share it.
 const pollMergeDelay = 5 * time.Millisecond
 
-// pollState is the state of the out-of-band looks, of which one at a time is under way.
+// pollState is the state of the out-of-band polls, of which one at a time is under way.
 type pollState struct {
-	busy   bool // a goroutine makes looks, or is about to begin
-	wanted bool // a look was asked for since the last one was sent
+	busy   bool // a goroutine makes polls, or is about to begin
+	wanted bool // a poll was asked for since the last one was sent
 }
 
-// requestPoll asks for a look that begins after the delay, or for another one after that under way. It grants nothing. While
-// the worker is unreachable the hold loop looks anyway. The caller holds the lock.
+// requestPoll asks for a poll that begins after the delay, or for another one after that under way. It grants nothing. While
+// the worker is unreachable the renewal loop polls anyway. The caller holds the lock.
 func (l *Link) requestPoll(delay time.Duration) {
-	if l.ending != open || l.suspended || l.contact == unreachable {
+	if l.ending != open || l.commands.suspended || l.health.contact == unreachable {
 		return
 	}
 	l.polls.wanted = true
@@ -30,17 +30,17 @@
 	time.AfterFunc(delay, l.runPolls)
 }
 
-// runPolls makes one look after another while they are wanted.
+// runPolls makes one poll after another while they are wanted.
 func (l *Link) runPolls() {
 	for l.pollInTurn() {
 	}
 }
 
-// pollInTurn makes one look once there is a connection for it, and tells whether another one may be due.
+// pollInTurn makes one poll once there is a connection for it, and reports whether another one may be due.
 func (l *Link) pollInTurn() bool {
-	begun := l.lane.acquire(l.done)
+	begun := l.pool.acquire(l.done)
 	if begun {
-		defer l.lane.release()
+		defer l.pool.release()
 	}
 	c, due := l.nextPoll(begun && l.config.LeaderLeaseValid())
 	if due {
@@ -49,13 +49,13 @@
 	return due
 }
 
-// nextPoll begins the next look if one is wanted, and otherwise notes that none is under way.
+// nextPoll begins the next poll if one is wanted, and otherwise notes that none is under way.
 func (l *Link) nextPoll(valid bool) (c listCall, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !valid || !l.polls.wanted || l.ending != open || l.contact == unreachable {
+	if !valid || !l.polls.wanted || l.ending != open || l.health.contact == unreachable {
 		l.polls = pollState{}
-		l.idle.Broadcast()
+		l.quiescent.Broadcast()
 		return listCall{}, false
 	}
 	l.polls.wanted = false
@@ -70,37 +70,36 @@
 }
 
 func (l *Link) pollOnce(c listCall) {
-	a, sentAt, err := l.postIdempotent(idempotentCall{l.caller.renewal, c.body(), c.timeout})
+	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.renewal, c.body(), c.timeout})
 	if err == nil {
 		c.sentAt = sentAt
 	}
-	l.settleListCall(c, a, err, l.now())
+	l.settleListCall(c, response, err, l.now())
 	switch {
 	case err != nil:
 		l.log.Debug("look without answer", zap.Error(err))
 		l.pollFailed()
-	case l.endedBy(a):
-	case a.status != http.StatusOK:
-		l.listRefused(a.status)
+	case l.endedBy(response):
+	case response.status != http.StatusOK:
+		l.listRefused(response.status)
 		l.config.Connections.concurrency.release()
-		l.sleep(firstBackoff)
+		l.wait(firstBackoff)
 		l.config.Connections.concurrency.acquire()
 		l.wantPoll()
 	default:
-		l.deliver(c, a, true)
+		l.deliver(c, response, true)
 		l.supersedeRenewal()
 	}
 }
 
-// pollFailed repeats a look that got no answer, unless a hold or a look before it did not get one either: then the worker
+// pollFailed repeats a poll that got no answer, unless a renewal or a poll before it did not get one either: then the worker
 // is unreachable.
 func (l *Link) pollFailed() {
 	l.mu.Lock()
-	confirmed := l.suspected
-	l.doubtful, l.suspected = true, true
+	nowUnreachable := l.health.pollUnanswered()
 	l.polls.wanted = true
 	l.mu.Unlock()
-	if confirmed {
+	if nowUnreachable {
 		l.setContact(unreachable)
 	}
 }
@@ -111,25 +110,25 @@
 	l.polls.wanted = true
 }
 
-// doubt notes an order without an answer: no start is sent until a look has shown whether the worker still answers.
+// doubt notes a command without an answer: no start is sent until a poll has shown whether the worker still answers.
 func (l *Link) doubt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doubtful = true
+	l.health.commandUnanswered()
 	l.requestPoll(0)
 }
 
-// suspect notes a hold without an answer: the worker is unreachable unless it answers a look. The caller holds the lock.
+// suspect notes a renewal without an answer: the worker is unreachable unless it answers a poll. The caller holds the lock.
 func (l *Link) suspect() {
-	l.doubtful, l.suspected = true, true
+	l.health.renewalUnanswered()
 	l.requestPoll(0)
 }
 
-// awaitPolls waits until no look is under way.
+// awaitPolls waits until no poll is under way.
 func (l *Link) awaitPolls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.polls.busy {
-		l.idle.Wait()
+		l.quiescent.Wait()
 	}
 }
