--- a/internal/jobs/manager/debuglog.go
+++ b/internal/jobs/manager/debuglog.go
@@ -43,7 +43,7 @@
 	for i := range report.Finished {
 		completion := &report.Finished[i]
 		l.config.Log.Debug("run ended", zap.Stringer("task", completion.Task), zap.Uint64("run", completion.AttemptNumber),
-			zap.String("how", string(completion.How)), zap.String("searcher", string(report.Worker)))
+			zap.String("how", string(completion.Outcome)), zap.String("searcher", string(report.Worker)))
 	}
 }
 
--- a/internal/jobs/manager/debuglog_test.go
+++ b/internal/jobs/manager/debuglog_test.go
@@ -24,7 +24,7 @@
 	l.traceSubmit(&jobapi.Submit{ID: id})
 	l.traceCommand(&scheduler.Command{Worker: "i-1", Start: &workerclient.StartCommand{Task: task, AttemptNumber: 1}})
 	l.traceCommand(&scheduler.Command{Worker: "i-1", Stop: &workerclient.StopCommand{Task: task, AttemptNumber: 1}})
-	l.traceCompletions(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, AttemptNumber: 1, How: job.OutcomeDone}}})
+	l.traceCompletions(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, AttemptNumber: 1, Outcome: job.OutcomeDone}}})
 	jobs, err := scheduler.New(scheduler.Settings{}, scheduler.Now{}, nil)
 	So(err, ShouldBeNil)
 	jobs.Submit(scheduler.Now{}, &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -49,7 +49,7 @@
 		if len(report.Running) > 0 {
 			ended := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: ended.Task, AttemptNumber: ended.AttemptNumber, How: job.OutcomeStopped}}
+			report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: ended.Task, AttemptNumber: ended.AttemptNumber, Outcome: job.OutcomeStopped}}
 		}
 		number++
 		s.HandleReport(now, &report)
--- a/internal/jobs/scheduler/completion.go
+++ b/internal/jobs/scheduler/completion.go
@@ -23,7 +23,7 @@
 		attempt = nil
 	}
 	if attempt != nil {
-		s.recordOutcome(now, attempt, completion.How)
+		s.recordOutcome(now, attempt, completion.Outcome)
 		s.removeAttempt(attempt)
 	}
 	task := s.findTask(completion.Task)
@@ -36,9 +36,9 @@
 	switch {
 	case task.stage.LongRunning:
 		s.retry(now, task, completion.AttemptNumber) // started again whatever the outcome
-	case completion.How == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
+	case completion.Outcome == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
 		s.handleSuccess(now, task)
-	case completion.How == job.OutcomeFailed:
+	case completion.Outcome == job.OutcomeFailed:
 		s.handleFailure(now, task, worker, completion.AttemptNumber)
 	case attempt != nil:
 		s.retry(now, task, completion.AttemptNumber)
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -99,7 +99,7 @@
 		report := workerclient.Listing{Worker: worker.ID, SentAt: now.Monotonic}
 		for at, attempt := range worker.sortedAttempts() {
 			if at == 0 {
-				report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: attempt.task.id, AttemptNumber: attempt.number, How: job.OutcomeDone}}
+				report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: attempt.task.id, AttemptNumber: attempt.number, Outcome: job.OutcomeDone}}
 			} else {
 				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, AttemptNumber: attempt.number})
 			}
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -227,8 +227,8 @@
 			continue
 		}
 		facts := w.facts(completion.Task)
-		facts.doneAcknowledged = facts.doneAcknowledged || completion.How == job.OutcomeDone
-		if completion.How == job.OutcomeFailed {
+		facts.doneAcknowledged = facts.doneAcknowledged || completion.Outcome == job.OutcomeDone
+		if completion.Outcome == job.OutcomeFailed {
 			facts.failuresAcknowledged[completion.AttemptNumber] = true
 		}
 	}
@@ -411,7 +411,7 @@
 	if len(worker.completions) > 0 {
 		number = worker.completions[len(worker.completions)-1].CompletionNumber + 1
 	}
-	worker.completions = append(worker.completions, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: attempt.number, How: outcome})
+	worker.completions = append(worker.completions, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: attempt.number, Outcome: outcome})
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if outcome == job.OutcomeDone {
 		w.facts(id).done = true
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -106,7 +106,7 @@
 	worker := g.assignedTo[task]
 	g.completionCounts[worker]++
 	g.scheduler.HandleReport(g.clock(), &workerclient.Listing{Worker: worker, SentAt: g.now, Stale: true, Finished: []workerclient.FinishedTask{
-		{CompletionNumber: g.completionCounts[worker], Task: task, AttemptNumber: g.attemptNumbers[task], How: outcome, Checkpoint: checkpoint},
+		{CompletionNumber: g.completionCounts[worker], Task: task, AttemptNumber: g.attemptNumbers[task], Outcome: outcome, Checkpoint: checkpoint},
 	}})
 	g.commit()
 }
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -103,7 +103,7 @@
 			for i, worker := range f.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
-			f.awaitEach(func(_ int, l Listing) bool { return len(l.Finished) == 1 && l.Finished[0].How == job.OutcomeDone })
+			f.awaitEach(func(_ int, l Listing) bool { return len(l.Finished) == 1 && l.Finished[0].Outcome == job.OutcomeDone })
 			for _, link := range f.links {
 				link.Acknowledge(1)
 			}
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -74,7 +74,7 @@
 			f.worker.SetFaults(nil)
 			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 			ended := await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
-			convey.So(ended.Finished[0].How, convey.ShouldEqual, job.OutcomeStopped)
+			convey.So(ended.Finished[0].Outcome, convey.ShouldEqual, job.OutcomeStopped)
 		})
 	})
 }
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -129,7 +129,7 @@
 			convey.So(f.worker.Finish(task(1), job.OutcomeFailed), convey.ShouldBeNil)
 			listed := await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(listed.Finished[0].CompletionNumber, convey.ShouldEqual, 1)
-			convey.So(listed.Finished[0].How, convey.ShouldEqual, job.OutcomeFailed)
+			convey.So(listed.Finished[0].Outcome, convey.ShouldEqual, job.OutcomeFailed)
 			convey.So(listed.Partial, convey.ShouldBeFalse)
 
 			convey.Convey("again and again until it is acknowledged", func() {
--- a/internal/jobs/workerclient/listentries.go
+++ b/internal/jobs/workerclient/listentries.go
@@ -40,7 +40,7 @@
 	e.task.CompletionNumber = r.count()
 	name := r.text()
 	e.task.AttemptNumber = r.count()
-	e.task.How = job.Outcome(r.text())
+	e.task.Outcome = job.Outcome(r.text())
 	e.task.Checkpoint = r.text()
 	e.task.Task, e.nameErr = job.ParseTaskID(name)
 	return r.err
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -46,7 +46,7 @@
 	CompletionNumber uint64 // counts the completions of one incarnation of a worker from 1
 	Task             job.TaskID
 	AttemptNumber    uint64
-	How              job.Outcome
+	Outcome          job.Outcome
 	Checkpoint       string
 }
 
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -95,7 +95,7 @@
 		Running: []runningEntry{{task: RunningTask{
 			Task: job.TaskID{Job: "a", Repetition: 1, Stage: 2, Index: 3}, AttemptNumber: 4, Checkpoint: "text 1", Percent: 50}}},
 		Finished: []finishedEntry{{task: FinishedTask{
-			CompletionNumber: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, AttemptNumber: 10, How: job.OutcomeDone, Checkpoint: "text 2"}}},
+			CompletionNumber: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, AttemptNumber: 10, Outcome: job.OutcomeDone, Checkpoint: "text 2"}}},
 	}
 	if !reflect.DeepEqual(read, want) {
 		t.Errorf("read as %+v, want %+v", read, want)
