--- a/internal/controlplane/coordinator/connections.go
+++ b/internal/controlplane/coordinator/connections.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	idleWorkersDivisor   = 4                // of the workers' connections: up to so many workers, each is held by a call that waits
-	dialBurst            = 256              // connections to workers that are not paced
-	platformConnections  = 2                // to the platform's list
-	requestHeaderTimeout = 10 * time.Second // until a connection without a request is closed
-	idleTimeout          = time.Minute      // longer than callers keep theirs
+	idleWorkersDivisor   = 4                // up to a quarter as many workers as connections, each idle one keeps a connection for a call that waits
+	dialBurst            = 256              // connections to workers that may be opened at once, beyond the rate
+	platformConnections  = 2                // to the platform's list of workers
+	requestHeaderTimeout = 10 * time.Second // until the headers of a request have arrived
+	idleTimeout          = time.Minute      // longer than callers keep idle connections
 )
 
-// workerLimits is the workers' part of the limits of this process.
+// workerLimits is the workers' share of the limits of this process.
 func workerLimits(limits *nodesettings.Limits) workerclient.Limits {
 	connections := limits.ConnectionBudget().Workers
 	return workerclient.Limits{
@@ -26,7 +26,7 @@
 	}
 }
 
-// boundListeners keeps the servers within their parts of the connections.
+// boundListeners limits the servers to their shares of the connections.
 func boundListeners(listeners Listeners, budget nodesettings.ConnectionBudget, internal, operator *http.Server) Listeners {
 	nodes := transport.NewBoundedListener(listeners.Internal, budget.Nodes)
 	operators := transport.NewBoundedListener(listeners.Control, budget.Operators)
@@ -34,7 +34,7 @@
 	return Listeners{Internal: nodes, Control: operators}
 }
 
-// newPlatformClient makes the client for the platform's list, whose connections are not those of the workers.
+// newPlatformClient makes the client for the platform's list of workers. Its connections are not of the workers' share.
 func newPlatformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: transport.NewDialer().DialContext, MaxConnsPerHost: platformConnections, IdleConnTimeout: idleTimeout, DisableCompression: true,
--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -24,7 +24,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// fakeRegister is a register whose reads fail when told to.
+// fakeRegister is a register whose reads fail on request.
 type fakeRegister struct{ fails bool }
 
 // Read implements configuration.Register.
@@ -40,8 +40,9 @@
 	return u.Read(ctx)
 }
 
-// newFeedCoordinator is a coordinator of which only the parts exist that answer agents.
+// newFeedCoordinator makes a coordinator of which only the parts exist that serve agents.
 func newFeedCoordinator(t *testing.T, view *replicaset.View, register configuration.Register) *Coordinator {
+	t.Helper()
 	const address = "10.0.0.1:7000"
 	network := networktest.New(1)
 	c := &Coordinator{log: zap.NewNop(), mux: transport.NewMux()}
@@ -61,7 +62,7 @@
 	return c
 }
 
-// isReportedCurrent asks as an agent does.
+// isReportedCurrent watches as an agent does.
 func isReportedCurrent(c *Coordinator) bool {
 	body, err := msgpack.Marshal(feed.WatchRequest{})
 	So(err, ShouldBeNil)
@@ -82,24 +83,24 @@
 			_, _, err := c.configurator.Read(context.Background())
 			return err
 		}
-		Convey("Before the first quorum read it is not, though a majority answers pings", t, func() {
+		Convey("Before the first quorum read it is not current, though a majority replies to pings", t, func() {
 			So(c.node.InContact(), ShouldBeTrue)
 			So(isReportedCurrent(c), ShouldBeFalse)
 		})
-		Convey("After a quorum read it is, for some time", t, func() {
+		Convey("After a quorum read it is current, for some time", t, func() {
 			So(read(), ShouldBeNil)
 			So(isReportedCurrent(c), ShouldBeTrue)
 			<-time.After(configuration.FreshAge)
 			So(isReportedCurrent(c), ShouldBeTrue)
 		})
-		Convey("Once reads have failed for longer it is not, though a majority answers pings", t, func() {
+		Convey("Once reads have failed for longer it is not current, though a majority replies to pings", t, func() {
 			register.fails = true
 			<-time.After(time.Millisecond)
 			So(read(), ShouldNotBeNil)
 			So(c.node.InContact(), ShouldBeTrue)
 			So(isReportedCurrent(c), ShouldBeFalse)
 		})
-		Convey("Nor is it without a majority that answers pings", t, func() {
+		Convey("Nor is it current without a majority that replies to pings", t, func() {
 			register.fails = false
 			So(read(), ShouldBeNil)
 			So(isReportedCurrent(c), ShouldBeTrue)
--- a/internal/controlplane/coordinator/diskfull.go
+++ b/internal/controlplane/coordinator/diskfull.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	fullDiskRetryInterval = 200 * time.Millisecond // between attempts to begin on a full disk
+	fullDiskRetryInterval = 200 * time.Millisecond // between attempts while the disk is full or rejects writes
 	bytesPerMB            = 1 << 20
 )
 
-// storeOptions leaves a sixteenth of the disk unused.
+// storeOptions leaves a sixteenth of the disk unused. Without a known size, the store is not limited.
 func storeOptions(limits nodesettings.Limits) storage.Options {
 	return storage.Options{SizeLimit: limits.DiskMB * bytesPerMB * 15 / 16}
 }
 
-// Open makes a coordinator as New does. While the disk is too full for that it tries again, until the context ends.
+// Open makes a coordinator as New does. While that fails because the disk is full, it retries until the context ends.
 func Open(ctx context.Context, settings nodesettings.Settings, log *zap.Logger) (*Coordinator, error) {
 	return retryWhileDiskFull(ctx, log, func() (*Coordinator, error) { return New(settings, log) })
 }
 
-// retryWhileDiskFull repeats an attempt as long as it fails because the disk is full.
+// retryWhileDiskFull retries as long as an attempt fails because the disk is full.
 func retryWhileDiskFull[Result any](ctx context.Context, log *zap.Logger, attempt func() (Result, error)) (Result, error) {
 	for warned := false; ; warned = true {
 		result, err := attempt()
@@ -34,7 +34,7 @@
 			return result, err
 		}
 		if !warned {
-			log.Warn("the disk is full; waiting for room", zap.Error(err))
+			log.Warn("disk full, waiting for free space", zap.Error(err))
 		}
 		if !sleep(ctx, fullDiskRetryInterval) {
 			return result, err
@@ -42,7 +42,7 @@
 	}
 }
 
-// retryWhileWritesRejected runs a part again as long as it ends because the disk refuses a write.
+// retryWhileWritesRejected restarts a part as long as it ends because the store rejected a write.
 func retryWhileWritesRejected(ctx context.Context, part func() error) error {
 	for {
 		err := part()
--- a/internal/controlplane/coordinator/diskfull_test.go
+++ b/internal/controlplane/coordinator/diskfull_test.go
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// errOther stands for a failure that waiting does not mend.
+// errOther stands for a failure that is not retried.
 var errOther = errors.New("another failure")
 
 func TestStoreLeavesReserveOnDisk(t *testing.T) {
--- a/internal/controlplane/coordinator/metrics.go
+++ b/internal/controlplane/coordinator/metrics.go
@@ -14,32 +14,32 @@
 
 // Descriptions of the metrics of the groups that this node leads.
 var (
-	epochDesc        = groupDesc("puffinlink_group_epoch", "Epoch of this mixer's leadership of a service's jobs; absent where another leads.")
-	jobsDesc         = groupDesc("puffinlink_jobs", "Jobs by state; ended ones are those still remembered.", "state")
-	waitingTasksDesc = groupDesc("puffinlink_waiting_tasks", "Tasks whose turn has come and that are not assigned.")
-	attemptsMetric   = groupDesc("puffinlink_runs", "Runs that may be under way.")
-	workersDesc      = groupDesc("puffinlink_searchers", "Known lives of searchers, by whether they answer.", "reachable")
+	epochDesc        = groupDesc("puffinlink_group_epoch", "Epoch of this node's leadership of a service's jobs; absent while another node leads.")
+	jobsDesc         = groupDesc("puffinlink_jobs", "Jobs by state; ended jobs are those still kept for status requests.", "state")
+	waitingTasksDesc = groupDesc("puffinlink_waiting_tasks", "Tasks that are ready to run and not assigned to a worker.")
+	attemptsDesc     = groupDesc("puffinlink_runs", "Attempts that may be running.")
+	workersDesc      = groupDesc("puffinlink_searchers", "Known incarnations of workers, by whether they are reachable.", "reachable")
 )
 
 func groupDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(name, help, append([]string{serviceLabel}, labels...), nil)
 }
 
-// Metrics are what this node reports. They are worked out when they are read.
+// Metrics are the metrics of this node. They are computed when they are read.
 func (c *Coordinator) Metrics() []prometheus.Collector {
 	return []prometheus.Collector{
-		metrics.BoolGauge("puffinlink_in_contact", "Whether a majority has answered this mixer of late.", c.node.InContact),
-		metrics.BoolGauge("puffinlink_disk_complete", "Whether the disk is complete, so that this mixer votes.", c.rebuilder.Ready),
-		metrics.Gauge("puffinlink_view_members", "Members of the view of the replicas.", func() float64 { return float64(len(c.replicas.View().Members)) }),
-		metrics.Gauge("puffinlink_live_members", "Members that are alive, this mixer included.", c.liveMembers),
+		metrics.BoolGauge("puffinlink_in_contact", "Whether a majority of the replicas has replied to this node lately.", c.node.InContact),
+		metrics.BoolGauge("puffinlink_disk_complete", "Whether the store of this node is complete, so that it may vote.", c.rebuilder.Ready),
+		metrics.Gauge("puffinlink_view_members", "Members of the replica set in the view known to this node.", func() float64 { return float64(len(c.replicas.View().Members)) }),
+		metrics.Gauge("puffinlink_live_members", "Members that are alive, including this node.", c.liveMembers),
 		metrics.Gauge("puffinlink_configuration_version", "Newest configuration known to be in force; 0 for none.", func() float64 {
 			version, _ := c.configurator.Current()
 			return float64(version)
 		}),
-		metrics.Gauge("puffinlink_agents", "Agents of front machines heard lately.", func() float64 { return float64(len(c.feed.Agents())) }),
-		metrics.Gauge("puffinlink_searcher_connections", "Connections to searchers, those being opened included.",
+		metrics.Gauge("puffinlink_agents", "Agents on front machines that have called a core node lately.", func() float64 { return float64(len(c.feed.Agents())) }),
+		metrics.Gauge("puffinlink_searcher_connections", "Connections to workers, including those being opened.",
 			func() float64 { return float64(c.workers.Usage().Open) }),
-		metrics.Gauge("puffinlink_searcher_calls_waiting", "Calls to searchers that wait for a connection of the budget.",
+		metrics.Gauge("puffinlink_searcher_calls_waiting", "Calls to workers that wait for a connection of the budget.",
 			func() float64 { return float64(c.workers.Usage().Waiting) }),
 		groupCollector{c},
 	}
@@ -60,7 +60,7 @@
 
 // Describe implements prometheus.Collector.
 func (g groupCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{epochDesc, jobsDesc, waitingTasksDesc, attemptsMetric, workersDesc} {
+	for _, description := range []*prometheus.Desc{epochDesc, jobsDesc, waitingTasksDesc, attemptsDesc, workersDesc} {
 		descriptions <- description
 	}
 }
@@ -83,7 +83,7 @@
 	report(jobsDesc, float64(summary.Running), "running")
 	report(jobsDesc, float64(summary.Ended), "ended")
 	report(waitingTasksDesc, float64(summary.WaitingTasks))
-	report(attemptsMetric, float64(summary.Attempts))
+	report(attemptsDesc, float64(summary.Attempts))
 	report(workersDesc, float64(summary.ReachableWorkers), "true")
 	report(workersDesc, float64(summary.Workers-summary.ReachableWorkers), "false")
 }
--- a/internal/controlplane/coordinator/operatorapi.go
+++ b/internal/controlplane/coordinator/operatorapi.go
@@ -13,7 +13,7 @@
 	return err
 }
 
-// operations serves operators beside the configuration, which the next handler serves.
+// operations makes the operators' API; next serves the configuration.
 func (c *Coordinator) operations(next http.Handler) http.Handler {
 	return operations.New(operations.Options{
 		Node: operations.Identity{
--- a/internal/controlplane/coordinator/shutdown.go
+++ b/internal/controlplane/coordinator/shutdown.go
@@ -8,14 +8,15 @@
 	"go.uber.org/zap"
 )
 
-// Times of a stop.
+// Times of a shutdown.
 const (
-	shutdownTimeout    = 2 * time.Second        // for requests under way when the process is told to stop
-	finalRepliesTime   = 300 * time.Millisecond // in which others hear that leaderships were given up
+	shutdownTimeout    = 2 * time.Second        // for operators' requests in flight
+	finalRepliesTime   = 300 * time.Millisecond // in which callers are still told that this node has given up its leaderships
 	shutdownReserve    = 3 * time.Second        // of the grace period, for what follows the hand-over
-	minHandOverDivisor = 4                      // the hand-over may take that part of a grace period that is shorter still
+	minHandOverDivisor = 4                      // of a grace period that is too short for shutdownReserve, this part is for the hand-over
 )
 
+// waitForStop waits for a requested stop, which is no error, or a failure of the store or another part.
 func (c *Coordinator) waitForStop(ctx context.Context, failures <-chan error) error {
 	select {
 	case <-ctx.Done():
@@ -27,7 +28,8 @@
 	}
 }
 
-// shutDown answers what was asked already, and tells callers a little longer that this node leads no more.
+// shutDown completes operators' requests in flight, and serves internal calls a little longer, so that callers learn at once that
+// this node does not lead any more.
 func (c *Coordinator) shutDown(internal, operator *http.Server) {
 	patience, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -39,21 +41,20 @@
 	c.platformHTTP.CloseIdleConnections()
 }
 
-// handOver tells the other members that this process stops. One that was told to stop first hands over: it serves on until
-// no other member is being rebuilt and a joining member, if one waits, has its place and has been rebuilt; or until the rest of
-// the grace period is needed.
-func (c *Coordinator) handOver(ctx context.Context, told bool) {
-	if !told {
+// handOver tells the other members that this process stops. After a requested stop it serves on until no other member is being
+// rebuilt and a joining member, if one waits, has replaced this one and has been rebuilt; but no longer than handOverTimeout.
+func (c *Coordinator) handOver(ctx context.Context, requested bool) {
+	if !requested {
 		go c.replicas.Leave(ctx)
 		return
 	}
 	limited, cancel := context.WithTimeout(ctx, handOverTimeout(c.settings.Bounds.GracePeriod))
 	defer cancel()
 	rebuilt := c.rebuilder.HandOver(limited, c.replicas.Leave)
-	c.log.Info("handed over before the stop", zap.Bool("newcomerIsRebuilt", rebuilt))
+	c.log.Info("handed over before shutdown", zap.Bool("joining_member_rebuilt", rebuilt))
 }
 
-// handOverTimeout is how long a member that is told to stop may wait for its successor.
+// handOverTimeout is how long a member may wait for its successor after a requested stop.
 func handOverTimeout(gracePeriod time.Duration) time.Duration {
 	return max(gracePeriod-shutdownReserve, gracePeriod/minHandOverDivisor)
 }
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -31,7 +31,7 @@
 	mailJob      = job.ID("00000000000000a3")
 )
 
-// storedConfiguration is of a length that is stored by parts.
+// storedConfiguration is long enough to be stored in chunks.
 func storedConfiguration(version int) []byte {
 	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
 	for i := range 30 {
@@ -46,8 +46,9 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`)
 }
 
-// runStored runs a coordinator on a folder while something is done with it.
+// runStored runs a coordinator on a folder while do runs.
 func runStored(t *testing.T, folder string, firstStart bool, do func(ctx context.Context, c *Coordinator)) {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), storedTimeout)
 	defer cancel()
 	settings, err := nodesettings.Parse(fmt.Appendf(nil, "nodeName=core-1\nipAddress=127.201.17.5\nzone=north\nregion=east\nzones.north=east\n"+
@@ -83,6 +84,7 @@
 
 // retryUntilDone repeats an attempt until it succeeds.
 func retryUntilDone(ctx context.Context, t *testing.T, attempt func() error) {
+	t.Helper()
 	for {
 		err := attempt()
 		if err == nil {
@@ -95,6 +97,7 @@
 }
 
 func makeStoredCoordinator(t *testing.T) {
+	t.Helper()
 	os.RemoveAll(storedFolder)
 	runStored(t, storedFolder, true, func(ctx context.Context, c *Coordinator) {
 		for version := 1; version <= 2; version++ {
@@ -153,7 +156,7 @@
 			})
 		}
 	})
-	Convey("A coordinator starts on the disk of an earlier build and knows all that was there", t, func() {
+	Convey("A coordinator starts on the disk of an earlier build and has all its state", t, func() {
 		So(tables, ShouldResemble, []string{
 			"group-meta/jobs/mail", "group-meta/jobs/render", "group/jobs/mail", "group/jobs/render", "rebuild",
 			"register/configuration", "register/configuration/parts", "register/replicaset/founding", "replicaset",
--- a/internal/controlplane/operations/staterejections_test.go
+++ b/internal/controlplane/operations/staterejections_test.go
@@ -10,13 +10,13 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// rejection is a request that is refused on what the node and the leaders know.
+// rejection is a request that is rejected because of the state that the node and the leaders know.
 type rejection struct {
 	name, method, path string
 	status             int
 }
 
-// rejections are all of them.
+// rejections are all such requests.
 func rejections() []rejection {
 	const none = "ffffffffffffffff"
 	return []rejection{
@@ -34,23 +34,23 @@
 
 func TestStateIsConfirmedBeforeRejections(t *testing.T) {
 	for _, one := range rejections() {
-		Convey("Given a request that is refused: "+one.name, t, func() {
+		Convey("Given a request that is rejected: "+one.name, t, func() {
 			c := newFakeCore()
 			c.jobState, c.cancelled = job.Completed, &jobapi.Cancelled{Known: true, State: job.Completed}
 			So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, one.status)
 
-			Convey("it is not where no majority confirms what the mixer knows", func() {
+			Convey("it is answered by 503 if no majority confirms that state", func() {
 				c.confirm = func() error { return errReset }
 				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
-			Convey("nor where contact has ended meanwhile", func() {
+			Convey("it is answered by 503 if contact has been lost meanwhile", func() {
 				c.confirm = func() error {
 					c.alone = true
 					return nil
 				}
 				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
-			Convey("nor where a majority knows a newer configuration", func() {
+			Convey("it is answered by 503 if a majority has a newer configuration", func() {
 				c.confirm = func() error {
 					c.version++
 					return nil
--- a/internal/controlplane/operations/workers.go
+++ b/internal/controlplane/operations/workers.go
@@ -76,7 +76,7 @@
 	return &version, nil
 }
 
-// writeDrain replies an order on a drain that the worker's leader has judged.
+// writeDrain writes the response to a change of a drain, by the decision of the worker's leader.
 func (h *Handler) writeDrain(w http.ResponseWriter, r *http.Request, reply jobreport.DrainReply) {
 	inForce := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Worker.DrainVersion, reply.Worker.OperatorDraining)
 	switch reply.Outcome {
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,35 +1,36 @@
-// Package eventqueue is how actors hear of one another.
+// Package eventqueue has the unbounded queue by which goroutines that own their state (actors) get messages from each other.
 package eventqueue
 
-import "sync"
+import (
+	"sync"
 
-// Queue holds what waits for one actor. Put never blocks: how much can wait is bounded by what its senders may
-// have in flight, not here.
+	"puffinlink.example/puffinlink/internal/wakeup"
+)
+
+// Queue is a queue of many senders and one receiver. Put never blocks: the queue's length is bounded by what its senders may have
+// in flight, and not here.
 type Queue[T any] struct {
 	mutex sync.Mutex
 	items []T
-	ready chan struct{}
+	ready wakeup.Signal
 }
 
 // New makes an empty queue.
-func New[T any]() *Queue[T] { return &Queue[T]{ready: make(chan struct{}, 1)} }
+func New[T any]() *Queue[T] { return &Queue[T]{ready: wakeup.New()} }
 
-// Put adds items behind all that wait. Those of one call are taken together.
+// Put appends items. The items of one Put are returned by one Take.
 func (q *Queue[T]) Put(items ...T) {
 	q.mutex.Lock()
 	q.items = append(q.items, items...)
 	q.mutex.Unlock()
-	select {
-	case q.ready <- struct{}{}:
-	default: // one signal is enough, as Take brings everything
-	}
+	q.ready.Notify()
 }
 
-// Ready signals that something may wait; now and then nothing does, after a Take that came in between.
+// Ready signals that the queue may have items. It may have none, when a Take came between the Put and the signal.
 func (q *Queue[T]) Ready() <-chan struct{} { return q.ready }
 
-// Take brings all that waits, in the order of Put. The caller hands back the last slice it got, to be filled
-// again; it must have let go of that.
+// Take removes and returns all items, in the order of Put. The receiver passes the slice of the last Take, which it must not use
+// any more, and whose memory is reused.
 func (q *Queue[T]) Take(spare []T) []T {
 	clear(spare)
 	q.mutex.Lock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics serves a process's metrics to Prometheus, at an address of its own.
+// Package metrics serves a process's metrics to Prometheus by HTTP, at an address of their own. Operators' dashboards rely on the
+// names, labels and values of the metrics. (The aggregator logs its counts instead; see package counters.)
 package metrics
 
 import (
@@ -13,14 +14,14 @@
 	"go.uber.org/zap"
 )
 
-// Path is where the metrics are read.
+// Path is the path of the metrics.
 const Path = "/metrics"
 
 const (
 	headerTimeout        = 5 * time.Second
 	writeTimeout         = 10 * time.Second
 	idleTimeout          = time.Minute
-	maxConcurrentScrapes = 2 // at the same time
+	maxConcurrentScrapes = 2 // scrapes at the same time
 )
 
 // Server serves one registry.
@@ -55,13 +56,13 @@
 	return server, nil
 }
 
-// Address is where it listens.
+// Address is where the server listens, host:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends serving.
+// Close stops the server.
 func (s *Server) Close() { s.http.Close() }
 
-// Gauge is a value that is read when the metrics are.
+// Gauge is a metric whose value is computed at each scrape.
 func Gauge(name, help string, value func() float64) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -31,7 +31,7 @@
 			return answer.StatusCode, string(text)
 		}
 
-		Convey("they are read as they are at that moment, with those of the process", func() {
+		Convey("a scrape has their values of that moment, and the metrics of the process", func() {
 			status, text := read(Path)
 			So(status, ShouldEqual, http.StatusOK)
 			So(text, ShouldContainSubstring, "\ntest_value 3\n")
@@ -45,7 +45,7 @@
 			status, _ := read("/")
 			So(status, ShouldEqual, http.StatusNotFound)
 		})
-		Convey("an address in use is told with a remedy", func() {
+		Convey("an address in use is an error with a remedy", func() {
 			_, err := NewServer(server.Address(), zap.NewNop())
 			So(err.Error(), ShouldContainSubstring, "--metrics")
 		})
--- a/internal/nodesettings/connectionbudget.go
+++ b/internal/nodesettings/connectionbudget.go
@@ -1,31 +1,30 @@
 package nodesettings
 
-// Of the descriptors of a process, so many are kept by the platform for files outside of the data directory, and so many
-// are needed for the files in it, the listeners and the log.
+// File descriptors of a process that are not for connections.
 const (
-	reservedForFiles   = 200
-	reservedForProcess = 16
+	reservedForFiles   = 200 // which the platform uses for files outside of the data directory
+	reservedForProcess = 16  // files in the data directory, listeners and the log
 )
 
-// The parts of the connections of a coordinator, in hundredths. Together they are all of them: whoever stays within its part
-// never takes a connection from another.
+// Shares of a coordinator's connections, in percent. They add up to 100: a user that stays within its share never takes a
+// connection of another.
 const (
 	workersPercent   = 70 // to workers
 	nodesPercent     = 22 // from other nodes: core peers, agents, proxies
 	operatorsPercent = 3
 	outboundPercent  = 5 // to other nodes and the platform
 	allPercent       = 100
-	minConnections   = 4
+	minConnections   = 4 // of each share
 )
 
-// The pace of new connections to workers and of looks at idle ones, for a whole core. Opening a connection takes about
-// 0.25 ms of a core and a look 0.08 ms.
+// Rates of new connections to workers and of polls of idle workers, for a whole processor core. A new connection takes about
+// 0.25 ms of a core, a poll 0.08 ms.
 const (
 	dialsPerSecondPerCore = 1000
 	pollsPerSecondPerCore = 1200
 )
 
-// ConnectionBudget says how many connections a coordinator may have open for each purpose.
+// ConnectionBudget is how many connections a coordinator may have open for each purpose.
 type ConnectionBudget struct {
 	Workers   int // to workers
 	Nodes     int // from other nodes
@@ -36,15 +35,15 @@
 // ConnectionBudget divides the descriptors of a coordinator's process.
 func (l *Limits) ConnectionBudget() ConnectionBudget {
 	all := l.FileDescriptors - reservedForFiles - reservedForProcess
-	part := func(share int) int { return max(minConnections, all*share/allPercent) }
+	connections := func(percent int) int { return max(minConnections, all*percent/allPercent) }
 	return ConnectionBudget{
-		Workers: part(workersPercent), Nodes: part(nodesPercent),
-		Operators: part(operatorsPercent), Outbound: part(outboundPercent),
+		Workers: connections(workersPercent), Nodes: connections(nodesPercent),
+		Operators: connections(operatorsPercent), Outbound: connections(outboundPercent),
 	}
 }
 
-// DialsPerSecond is how many connections to workers a coordinator may open a second in the long run.
+// DialsPerSecond is how many connections to workers a coordinator may open per second on average.
 func (l *Limits) DialsPerSecond() float64 { return dialsPerSecondPerCore * l.ProcessorShare }
 
-// PollsPerSecond is how many looks at idle workers a coordinator may make a second.
+// PollsPerSecond is how many polls of idle workers a coordinator may make per second.
 func (l *Limits) PollsPerSecond() float64 { return pollsPerSecondPerCore * l.ProcessorShare }
--- a/internal/nodesettings/connectionbudget_test.go
+++ b/internal/nodesettings/connectionbudget_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestConnectionBudget(t *testing.T) {
-	convey.Convey("The parts are never more than the sockets that a process may have", t, func() {
+	convey.Convey("The shares are never more than the sockets that a process may have", t, func() {
 		for _, descriptors := range []int{300, 512, 1000, 1024, 4096, 4100, 65536} {
 			limits := Limits{FileDescriptors: descriptors}
 			b := limits.ConnectionBudget()
@@ -21,7 +21,7 @@
 		convey.So(limits.DialsPerSecond(), convey.ShouldEqual, dialsPerSecondPerCore/2)
 		convey.So(limits.PollsPerSecond(), convey.ShouldEqual, pollsPerSecondPerCore/2)
 	})
-	convey.Convey("Too few descriptors leave some of each", t, func() {
+	convey.Convey("With too few descriptors each share has the minimum", t, func() {
 		limits := Limits{FileDescriptors: 100}
 		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{minConnections, minConnections, minConnections, minConnections})
 	})
--- a/internal/nodesettings/parse.go
+++ b/internal/nodesettings/parse.go
@@ -24,7 +24,7 @@
 
 const zonePrefix = "zones."
 
-// KeyError is what is wrong with the value of one key.
+// KeyError says what is wrong with the value of one key.
 type KeyError struct {
 	Key   string
 	Value string
@@ -59,7 +59,8 @@
 	return settings, nil
 }
 
-// Parse reads and checks the content of a settings file. Unknown keys are skipped. All faults found are joined in the error.
+// Parse reads and checks the content of a settings file. Unknown keys are skipped. The error joins a *KeyError for each invalid
+// value, first of those that cannot be read, and only without any of them of those that break a rule.
 func Parse(content []byte) (Settings, error) {
 	// Values are taken literally: ${...} is not expanded.
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
@@ -185,7 +186,7 @@
 	return parsed, nil
 }
 
-// maxDuration is the longest time that a setting may state.
+// maxDuration is the longest time that a setting may have; time.Duration overflows soon above it.
 const maxDuration = 100 * 365 * 24 * time.Hour
 
 func parseDuration(value, unit string) (time.Duration, error) {
@@ -206,7 +207,7 @@
 
 var validate = newValidator()
 
-// newValidator makes a validator that reports fields by their keys.
+// newValidator makes a validator that names fields by their keys.
 func newValidator() *validator.Validate {
 	checker := validator.New(validator.WithRequiredStructEnabled())
 	checker.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get(keyTag) })
@@ -221,13 +222,13 @@
 	}
 	var problems []error
 	for _, violation := range found {
-		key, _, _ := strings.Cut(violation.Field(), "[") // a fault in a list is reported as key[index]
+		key, _, _ := strings.Cut(violation.Field(), "[") // an item of a list is reported as key[index]
 		problems = append(problems, &KeyError{key, text(values, key, ""), ExpectationError(remedy(violation))})
 	}
 	return errors.Join(problems...)
 }
 
-// remedy says what a value must be like.
+// remedy says what a value has to be.
 func remedy(violation validator.FieldError) string {
 	switch violation.Tag() {
 	case "required":
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -1,5 +1,6 @@
-// Package nodesettings reads the settings file of one process: who the process is, where it listens, which limits its
-// machine has, and the bounds of the deployment. The file consists of key=value lines.
+// Package nodesettings reads the settings file of one process: which node it is, where it listens, which limits its machine has,
+// and the bounds of the deployment. The file has key=value lines; operators' documentation describes the keys. Load reads it
+// once, and Watch follows its changes.
 package nodesettings
 
 import (
@@ -17,10 +18,10 @@
 	ServesControl = "control"
 )
 
-// Settings are the known keys of the settings file. The property tag is the key; the unit tag says what a plain number
-// of a time stands for; the default tag stands in for a key that is absent or empty.
+// Settings are the known keys of the settings file. The property tag is the key, the unit tag the unit of a time that is given as
+// a number, and the default tag the value of a key that is absent or empty.
 type Settings struct {
-	Cluster         string   `property:"puffinlink.cluster" default:"puffinlink"` // processes of other clusters are refused
+	Cluster         string   `property:"puffinlink.cluster" default:"puffinlink"` // calls of other clusters are rejected
 	NodeName        string   `property:"nodeName" validate:"required"`
 	Role            string   `property:"role"`
 	MachineClass    string   `property:"machineClass"`
@@ -65,14 +66,14 @@
 	DiskMB            int64   `property:"limits.diskMb" validate:"gte=0"`
 }
 
-// FaultTolerance says how much may be lost at the same time.
+// FaultTolerance is how many of each may fail at the same time.
 type FaultTolerance struct {
 	Machines int `property:"faultTolerance.machines" validate:"gte=0"`
 	Zones    int `property:"faultTolerance.zones" validate:"gte=0"`
 	Regions  int `property:"faultTolerance.regions" validate:"gte=0"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the time limits and factors that the deployment guarantees or demands.
 type Bounds struct {
 	SeedLag            time.Duration `property:"bounds.seedLagS" unit:"s" default:"3" validate:"gte=0"`
 	AddressReuse       time.Duration `property:"bounds.addressReuseS" unit:"s" default:"2" validate:"gte=0"`
@@ -133,7 +134,7 @@
 	for _, seed := range s.SeedNodes {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			continue // the check of the settings lets none through
+			continue // Parse rejects such an address
 		}
 		addresses = append(addresses, net.JoinHostPort(host, strconv.Itoa(s.InternalPorts.First)))
 	}
--- a/internal/nodesettings/settings_test.go
+++ b/internal/nodesettings/settings_test.go
@@ -77,7 +77,7 @@
 		So(s.CloudAPI.Address, ShouldEqual, "10.200.0.4:8142")
 		So(s.CloudAPI.Duties, ShouldBeEmpty)
 	})
-	Convey("What is absent or empty has its default", t, func() {
+	Convey("Keys that are absent or empty have their defaults", t, func() {
 		s, err := Parse([]byte(with("heartbeatIntervalMs=")))
 		So(err, ShouldBeNil)
 		So(s.Bounds.HoldMax, ShouldEqual, 6*time.Second)
@@ -90,7 +90,7 @@
 		So(err, ShouldBeNil)
 		So(s.DataDirectory, ShouldEqual, "/data/${nodeName}=a:b#c")
 	})
-	Convey("The last of two lines for a key holds", t, func() {
+	Convey("The last of two lines for a key wins", t, func() {
 		s, err := Parse([]byte(with("zone=another")))
 		So(err, ShouldBeNil)
 		So(s.Zone, ShouldEqual, "another")
@@ -98,7 +98,7 @@
 }
 
 func TestAddresses(t *testing.T) {
-	Convey("Internal addresses are of the internal ports", t, func() {
+	Convey("Internal addresses have internal ports", t, func() {
 		s, err := Parse([]byte(good))
 		So(err, ShouldBeNil)
 		So(s.InternalAddress(0), ShouldEqual, "10.1.0.12:7660")
@@ -127,7 +127,7 @@
 		"listenAddresses.front=10.1.0.12": "listenAddresses.front=10.1.0.12: want host:port, as in 10.1.0.12:8144",
 	}
 	for line, want := range cases {
-		Convey(line+" is refused with the key and the remedy", t, func() {
+		Convey(line+" is rejected with the key and the remedy", t, func() {
 			_, err := Parse([]byte(with(line)))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldEqual, want)
@@ -135,7 +135,7 @@
 			So(errors.As(err, &violation), ShouldBeTrue)
 		})
 	}
-	Convey("All faults are told at once", t, func() {
+	Convey("All invalid values are reported at once", t, func() {
 		_, err := Parse([]byte(with("firstStart=perhaps\nlimits.memoryMb=many")))
 		So(err.Error(), ShouldContainSubstring, "firstStart")
 		So(err.Error(), ShouldContainSubstring, "limits.memoryMb")
@@ -161,7 +161,7 @@
 
 func TestWatch(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("A changed file gives new settings, and one that is not valid changes nothing", t, func() {
+		Convey("A changed file gives new settings, and an invalid one changes nothing", t, func() {
 			path := filepath.Join(t.TempDir(), "local.conf")
 			write := func(content string) { So(os.WriteFile(path, []byte(content), 0o600), ShouldBeNil) }
 			write(good)
@@ -185,7 +185,7 @@
 
 			write(with("zone=third\nfirstStart=perhaps"))
 			quiet()
-			So(lines.FilterMessageSnippet("not taken").Len(), ShouldEqual, 1)
+			So(lines.FilterMessageSnippet("settings file rejected").Len(), ShouldEqual, 1)
 			So(os.Remove(path), ShouldBeNil)
 			quiet()
 
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -10,12 +10,12 @@
 	"go.uber.org/zap"
 )
 
-// pollInterval is how often the file is compared with what was read last.
+// pollInterval is how often the file is compared with its last content.
 const pollInterval = time.Second
 
-// Watch follows a settings file: it reads the file each second and whenever reload delivers, and sends settings that
-// differ from the current ones, which then are the current ones. A file that cannot be read or is not valid is logged once, and the settings before stay.
-// Only the newest settings are kept for a slow reader. The channel is closed once the context ends.
+// Watch follows a settings file: it reads the file each second and at each signal on reload, and sends settings that differ from
+// the current ones, which they then replace. A file that cannot be read or is invalid is logged once, and the current settings
+// stay in force. A slow receiver gets the newest settings only. The channel is closed once the context has ended.
 func Watch(ctx context.Context, path string, current Settings, reload <-chan os.Signal, log *zap.Logger) <-chan Settings {
 	watcher := &watcher{path: path, log: log, current: current, changes: make(chan Settings, 1)}
 	go watcher.run(ctx, reload)
@@ -26,8 +26,8 @@
 	path        string
 	log         *zap.Logger
 	current     Settings
-	content     []byte // the last that was looked at, valid or not
-	lastFailure string // the last that was logged, so that it is logged once
+	content     []byte // the last that was read, valid or not
+	lastFailure string // text of the last error, so that it is logged once
 	changes     chan Settings
 }
 
@@ -71,15 +71,16 @@
 	w.send(settings)
 }
 
+// logOnce logs an error, unless it is that of the last reading.
 func (w *watcher) logOnce(err error) {
 	if err.Error() == w.lastFailure {
 		return
 	}
 	w.lastFailure = err.Error()
-	w.log.Error("settings file not taken, the settings before stay", zap.String("path", w.path), zap.Error(err))
+	w.log.Error("settings file rejected, the previous settings stay in force", zap.String("path", w.path), zap.Error(err))
 }
 
-// send replaces settings that nobody has received yet.
+// send sends settings, in place of those that have not been received yet.
 func (w *watcher) send(settings Settings) {
 	select {
 	case <-w.changes:
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -1,5 +1,5 @@
-// Package operatorclient is the operators' side of the control addresses: it asks one node after the other until one
-// gives a clear answer.
+// Package operatorclient is the client of the operators' API (packages control and operations): it sends a request to one node
+// after the other until one gives a definitive answer.
 package operatorclient
 
 import (
@@ -19,7 +19,7 @@
 )
 
 const (
-	attemptTimeout  = 4 * time.Second // for one answer; a node may ask another one for it
+	attemptTimeout  = 4 * time.Second // for one answer; the node may have to call another one
 	dialTimeout     = 2 * time.Second
 	initialBackoff  = 200 * time.Millisecond
 	maxBackoff      = time.Second
@@ -31,13 +31,13 @@
 
 var errTooManyRedirects = errors.New("too many redirects")
 
-// Client asks nodes.
+// Client sends requests to nodes.
 type Client struct {
 	Addresses []string // control addresses, host:port, tried in turn
 	HTTP      *http.Client
 }
 
-// Request is one request of an operator. It must be such that it may be carried out twice.
+// Request is one request of an operator. It must be idempotent, as it may be sent several times.
 type Request struct {
 	Method  string
 	Path    string // with names in it escaped
@@ -46,7 +46,7 @@
 	Body    []byte
 }
 
-// Answer is a clear answer.
+// Answer is a definitive answer.
 type Answer struct {
 	Status  int
 	Version string // of the configuration, from the answer's ETag
@@ -54,7 +54,7 @@
 	Address string // of the node that answered
 }
 
-// RefusedError is a clear answer that says no.
+// RefusedError is a definitive answer that rejects the request.
 type RefusedError struct {
 	Status int
 	Text   string
@@ -63,10 +63,10 @@
 // Error implements the error interface.
 func (e *RefusedError) Error() string { return e.Text }
 
-// UnreachableError means that no node gave a clear answer in time.
+// UnreachableError means that no node gave a definitive answer in time.
 type UnreachableError struct {
-	Failures            []error // the newest of each address
-	MayHaveBeenExecuted bool    // the request may have been carried out
+	Failures            []error // the last one of each address
+	MayHaveBeenExecuted bool    // whether a node may have executed the request
 }
 
 // Error implements the error interface.
@@ -81,8 +81,8 @@
 // Unwrap returns the failures.
 func (e *UnreachableError) Unwrap() []error { return e.Failures }
 
-// Do sends a request to one node after the other, with growing pauses between the rounds, until one gives a clear answer
-// or the context ends. The error is a *RefusedError or an *UnreachableError.
+// Do sends a request to one node after the other, with exponential backoff between the rounds, until one gives a definitive
+// answer or the context ends. The error is a *RefusedError or an *UnreachableError.
 func (c *Client) Do(ctx context.Context, request Request) (Answer, error) {
 	failures := make([]error, len(c.Addresses))
 	maybeExecuted := false
@@ -106,7 +106,7 @@
 	}
 }
 
-// isDefinitive tells whether a status settles the request.
+// isDefinitive tells whether a status is the outcome of the request, so that no other node need be called.
 func isDefinitive(status int) bool {
 	return status < http.StatusInternalServerError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
@@ -127,7 +127,7 @@
 	return &RefusedError{Status: answer.Status, Text: fmt.Sprintf("answered %d: %s", answer.Status, text)}
 }
 
-// mayHaveBeenExecuted tells whether a request that changes something may have been carried out although it failed.
+// mayHaveBeenExecuted tells whether a failed request may have changed something.
 func mayHaveBeenExecuted(method string, err error) bool {
 	if method == http.MethodGet {
 		return false
@@ -139,20 +139,19 @@
 	switch refused.Status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests:
 		return false
-	case http.StatusServiceUnavailable: // an order that changes the configuration is so answered also when its end is unclear
+	case http.StatusServiceUnavailable: // also the response to a change of the configuration without a clear outcome
 		return method == http.MethodPut
 	}
-	return refused.Status >= http.StatusInternalServerError // a node that failed may have failed after it had acted
+	return refused.Status >= http.StatusInternalServerError // a node may fail after the execution
 }
 
-// neverConnected tells whether no connection came up, so that nothing was sent.
+// neverConnected tells whether no connection was opened, so that nothing was sent.
 func neverConnected(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// NewHTTPClient makes the client for Client.HTTP: without proxies, as nodes are asked directly, and without following
-// redirects by itself.
+// NewHTTPClient makes the client for Client.HTTP. It uses no proxies and does not follow redirects, which Client does itself.
 func NewHTTPClient() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableCompression: true},
@@ -160,6 +159,7 @@
 	}
 }
 
+// attempt sends a request to one node and follows its redirects.
 func (c *Client) attempt(ctx context.Context, address string, request Request) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -178,7 +178,7 @@
 	return Answer{}, errTooManyRedirects
 }
 
-// send makes one call; next is where a redirect leads.
+// send sends a request once; next is the target of a redirect, else empty.
 func (c *Client) send(ctx context.Context, target string, request Request) (answer Answer, next string, err error) {
 	call, err := http.NewRequestWithContext(ctx, request.Method, target, bytes.NewReader(request.Body))
 	if err != nil {
@@ -205,8 +205,8 @@
 	return Answer{Status: response.StatusCode, Version: response.Header.Get("ETag"), Body: body}, "", nil
 }
 
-func sleep(ctx context.Context, pause time.Duration) error {
-	timer := time.NewTimer(pause)
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/operatorclient/client_test.go
+++ b/internal/operatorclient/client_test.go
@@ -26,7 +26,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// says answers with a status and a text.
+// says responds with a status and a text.
 func says(status int, text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -34,7 +34,7 @@
 	}
 }
 
-// closedAddress is one at which nobody listens.
+// closedAddress is an address without a listener.
 const closedAddress = "127.0.0.1:1"
 
 func do(limit time.Duration, request Request, addresses ...string) (Answer, error) {
@@ -52,7 +52,7 @@
 
 func TestNodesAreTriedInTurn(t *testing.T) {
 	read := Request{Method: http.MethodGet, Path: "/-/status", Query: url.Values{"service": {"a b"}}}
-	Convey("The next mixer is asked after a failure, and after an answer that settles nothing", t, func() {
+	Convey("The next node is called after a failure, and after an answer that is not definitive", t, func() {
 		good := node(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("ETag", `"7"`)
 			io.WriteString(w, r.URL.Path+" "+r.URL.Query().Get("service"))
@@ -68,7 +68,7 @@
 			So(answer.Address, ShouldEqual, good)
 		}
 	})
-	Convey("All are asked again while there is time", t, func() {
+	Convey("All are called again until the time-out", t, func() {
 		var calls atomic.Int32
 		late := node(func(w http.ResponseWriter, _ *http.Request) {
 			if calls.Add(1) < 3 {
@@ -98,7 +98,7 @@
 }
 
 func TestRejectionsAreDefinitive(t *testing.T) {
-	Convey("A clear refusal ends the request, with the mixer's text", t, func() {
+	Convey("A definitive rejection ends the request, with the node's text", t, func() {
 		var asked atomic.Int32
 		other := node(func(http.ResponseWriter, *http.Request) { asked.Add(1) })
 		for _, status := range []int{400, 404, 409, 412, 422} {
@@ -110,7 +110,7 @@
 		}
 		So(asked.Load(), ShouldEqual, 0)
 	})
-	Convey("A text that is not the mixer's form of an error is shown as it is", t, func() {
+	Convey("A text that is not a node's form of an error is shown as it is", t, func() {
 		_, err := do(enough, Request{Method: http.MethodGet, Path: "/"}, node(says(404, "page not found\n")))
 		So(err.Error(), ShouldEqual, "answered 404: page not found")
 	})
@@ -124,18 +124,18 @@
 		address func() string
 		unclear bool
 	}{
-		{"nobody listens", http.MethodPost, func() string { return closedAddress }, false},
+		{"no listener", http.MethodPost, func() string { return closedAddress }, false},
 		{"a read", http.MethodGet, func() string { return node(mute) }, false},
 		{"a drain without an answer", http.MethodPost, func() string { return node(mute) }, true},
 		{"a drain that was not done", http.MethodPost, func() string { return node(says(503, "")) }, false},
 		{"a drain that may have been done", http.MethodPost, func() string { return node(says(504, "")) }, true},
-		{"a drain during which the mixer failed", http.MethodPost, func() string { return node(says(500, "")) }, true},
+		{"a drain during which the node failed", http.MethodPost, func() string { return node(says(500, "")) }, true},
 		{"a drain that was not read", http.MethodPost, func() string { return node(says(408, "")) }, false},
-		{"a drain that was turned away", http.MethodPost, func() string { return node(says(429, "")) }, false},
+		{"a drain that was rejected for its rate", http.MethodPost, func() string { return node(says(429, "")) }, false},
 		{"a configuration that may have been taken", http.MethodPut, func() string { return node(says(503, "")) }, true},
 	}
 	for _, c := range cases {
-		Convey("It is said whether the request may have been carried out: "+c.name, t, func() {
+		Convey("The error says whether the request may have been executed: "+c.name, t, func() {
 			_, err := do(little, Request{Method: c.method, Path: "/"}, c.address())
 			var unreachable *UnreachableError
 			So(errors.As(err, &unreachable), ShouldBeTrue)
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	if !bytes.Contains(log, []byte(`"handed over before the stop","newcomerIsRebuilt":true`)) {
+	if !bytes.Contains(log, []byte(`"handed over before shutdown","joining_member_rebuilt":true`)) {
 		return errors.New("the member ended without its newcomer")
 	}
 	return nil
