--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -44,7 +44,7 @@
 type fleetShowCmd struct{ door }
 
 func (c *fleetShowCmd) Execute([]string) error {
-	var s fleet.Shown
+	var s fleet.Status
 	if err := c.get("/v1/fleet", &s); err != nil {
 		return err
 	}
@@ -52,19 +52,19 @@
 		return asJSON(s)
 	}
 	fmt.Fprintf(stdout, "%s: open %t, hears nothing %t, leader %s, contracts of version %d sure for %.1f s, quotas of version %d\n",
-		s.Node, s.Open, s.Deaf, s.Leader, s.Contracts.Version, s.SureFor, s.QuotasAt)
+		s.Node, s.Open, s.Isolated, s.Leader, s.Contracts.Version, s.ContractsConfirmedFor, s.QuotasVersion)
 	w := tabwriter.NewWriter(stdout, 0, 8, 2, ' ', 0)
 	for _, m := range s.Members {
-		fmt.Fprintf(w, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.Heard)
+		fmt.Fprintf(w, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.SinceReceived)
 	}
 	for tenant, x := range s.Contracts.Contracts {
 		fmt.Fprintf(w, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
 	}
 	for tenant, q := range s.Quotas {
-		fmt.Fprintf(w, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.Floor)
+		fmt.Fprintf(w, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.MinimumShare)
 	}
-	for _, j := range s.Judged {
-		fmt.Fprintf(w, "judged %s\t%.1f s ago\n", j.Backend, j.Ago)
+	for _, j := range s.Outliers {
+		fmt.Fprintf(w, "judged %s\t%.1f s ago\n", j.Backend, j.Age)
 	}
 	return w.Flush()
 }
@@ -110,7 +110,7 @@
 	switch {
 	case err != nil:
 		return err
-	case p.Held:
+	case p.Applied:
 		fmt.Fprintln(stdout, "held everywhere")
 		return nil
 	}
@@ -126,7 +126,7 @@
 func waitHeld(ctx context.Context, client *api.Client, version uint64, tenant string, wait time.Duration) (p residency.Progress, err error) {
 	for until := time.Now().Add(wait); ; time.Sleep(heldPause) {
 		p, err = client.Held(ctx, version, tenant)
-		if err == nil && p.Held || !time.Now().Before(until) {
+		if err == nil && p.Applied || !time.Now().Before(until) {
 			return p, err
 		}
 	}
@@ -134,9 +134,9 @@
 
 func progress(p *residency.Progress) {
 	for _, m := range p.Nodes {
-		fmt.Fprintf(stdout, "%s: %s, tells version %d", m.Node, m.State, m.Holds)
-		if m.InS > 0 {
-			fmt.Fprintf(stdout, ", refuses strict tenants in %.1f s at the latest if it hears nothing", m.InS)
+		fmt.Fprintf(stdout, "%s: %s, tells version %d", m.Node, m.State, m.Applied)
+		if m.LeaseEndsIn > 0 {
+			fmt.Fprintf(stdout, ", refuses strict tenants in %.1f s at the latest if it hears nothing", m.LeaseEndsIn)
 		}
 		fmt.Fprintln(stdout)
 	}
@@ -164,7 +164,7 @@
 	if c.JSON {
 		return asJSON(p)
 	}
-	fmt.Fprintf(stdout, "version %d held everywhere: %t\n", p.Version, p.Held)
+	fmt.Fprintf(stdout, "version %d held everywhere: %t\n", p.Version, p.Applied)
 	progress(&p)
 	return nil
 }
@@ -212,7 +212,7 @@
 	if c.JSON {
 		return asJSON(e)
 	}
-	fmt.Fprintf(stdout, "taken: %t\n", e.Taken)
+	fmt.Fprintf(stdout, "taken: %t\n", e.Accepted)
 	for _, line := range e.Rules {
 		fmt.Fprintln(stdout, line)
 	}
--- a/internal/aggregatorstore/errors.go
+++ b/internal/aggregatorstore/errors.go
@@ -25,6 +25,6 @@
 
 func (e contentsError) Error() string { return string(e) }
 
-func contents(format string, arguments ...any) error {
+func invalidContents(format string, arguments ...any) error {
 	return contentsError(fmt.Sprintf(format, arguments...))
 }
--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -40,30 +40,30 @@
 
 // LogContents is what a file held at its opening.
 type LogContents struct {
-	ID      uint64 // drawn when the file was new, never 0
-	Values  map[string][]byte
-	Entries []Entry // in the order of their indexes
-	Aside   string  // where a corrupt file was put, "" for none
+	ID          uint64 // drawn when the file was new, never 0
+	Values      map[string][]byte
+	Entries     []Entry // in the order of their indexes
+	Quarantined string  // where a corrupt file was put, "" for none
 }
 
 // LogSave is written as one, or not at all.
 type LogSave struct {
-	Values  map[string][]byte
-	CutTo   uint64  // entries up to this index go
-	Entries []Entry // take the place of all from the first one's index on
+	Values     map[string][]byte
+	TruncateTo uint64  // entries up to this index go
+	Entries    []Entry // take the place of all from the first one's index on
 }
 
 // Log is a file that a goroutine of its own writes.
 type Log struct {
-	db     *bolt.DB
-	lock   *os.File
-	in     *eventqueue.Queue[logJob]
-	ended  chan struct{}
-	failed error
-	log    *zap.Logger
+	db       *bolt.DB
+	lock     *os.File
+	requests *eventqueue.Queue[logSaveRequest]
+	stopped  chan struct{}
+	failure  error
+	logger   *zap.Logger
 }
 
-type logJob struct {
+type logSaveRequest struct {
 	save LogSave
 	done func(error)
 	stop bool
@@ -72,9 +72,9 @@
 // OpenLog opens the file of a directory, or makes it. A corrupt one is put aside: whoever kept it begins anew, as if the
 // directory were lost. It waits so long for a process that still holds the directory.
 func OpenLog(dir string, wait time.Duration, log *zap.Logger) (*Log, LogContents, error) {
-	l, kept := &Log{in: eventqueue.New[logJob](), ended: make(chan struct{}), log: log}, LogContents{}
+	l, kept := &Log{requests: eventqueue.New[logSaveRequest](), stopped: make(chan struct{}), logger: log}, LogContents{}
 	var err error
-	if l.lock, err = locked(dir, logLockName, wait); err != nil {
+	if l.lock, err = lockDirectory(dir, logLockName, wait); err != nil {
 		return nil, kept, err
 	}
 	prepare := func(tx *bolt.Tx) error {
@@ -86,10 +86,10 @@
 		id := make([]byte, 8)
 		rand.Read(id)
 		id[7] |= 1 // not 0
-		return errors.Join(tx.Bucket(bucketMeta).Put(keyVersion, number(logVersion)), tx.Bucket(bucketMeta).Put(keyID, id))
+		return errors.Join(tx.Bucket(bucketMeta).Put(keyVersion, encodeUint64(logVersion)), tx.Bucket(bucketMeta).Put(keyID, id))
 	}
 	aside := ""
-	l.db, aside, err = openAside(filepath.Join(dir, logName), log, prepare, func(*bolt.Tx) error { return nil })
+	l.db, aside, err = openOrQuarantine(filepath.Join(dir, logName), log, prepare, func(*bolt.Tx) error { return nil })
 	if err == nil {
 		err = l.db.View(kept.read)
 	}
@@ -107,7 +107,7 @@
 		_ = l.lock.Close() // which holds nothing but the lock
 		return nil, kept, err
 	}
-	kept.Aside = aside
+	kept.Quarantined = aside
 	go l.run()
 	return l, kept, nil
 }
@@ -117,13 +117,13 @@
 	meta, values, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketValues), tx.Bucket(bucketLog)
 	switch {
 	case meta == nil || values == nil || entries == nil || len(meta.Get(keyID)) != 8:
-		return &corruptError{contents("no number, or a bucket is missing")}
-	case stated(meta.Get(keyVersion)) != logVersion:
-		return versionError{stated(meta.Get(keyVersion)), logVersion}
+		return &corruptError{invalidContents("no number, or a bucket is missing")}
+	case decodeUint64(meta.Get(keyVersion)) != logVersion:
+		return versionError{decodeUint64(meta.Get(keyVersion)), logVersion}
 	}
-	k.ID = stated(meta.Get(keyID))
+	k.ID = decodeUint64(meta.Get(keyID))
 	err := values.ForEach(func(name, v []byte) error {
-		data, err := checked(v)
+		data, err := verifyChecksum(v)
 		k.Values[string(name)] = data
 		return err
 	})
@@ -131,44 +131,44 @@
 		return err
 	}
 	return entries.ForEach(func(index, v []byte) error {
-		data, err := checked(v)
-		if n := len(k.Entries); n > 0 && stated(index) != k.Entries[n-1].Index+1 {
-			return &corruptError{contents("entry %d follows %d", stated(index), k.Entries[n-1].Index)}
+		data, err := verifyChecksum(v)
+		if n := len(k.Entries); n > 0 && decodeUint64(index) != k.Entries[n-1].Index+1 {
+			return &corruptError{invalidContents("entry %d follows %d", decodeUint64(index), k.Entries[n-1].Index)}
 		}
-		k.Entries = append(k.Entries, Entry{stated(index), data})
+		k.Entries = append(k.Entries, Entry{decodeUint64(index), data})
 		return err
 	})
 }
 
-// summed puts bytes behind their checksum; checked takes them out again, as a copy.
-func summed(data []byte) []byte { return append(number(xxh3.Hash(data)), data...) }
+// appendChecksum puts bytes behind their checksum; checked takes them out again, as a copy.
+func appendChecksum(data []byte) []byte { return append(encodeUint64(xxh3.Hash(data)), data...) }
 
-func checked(b []byte) ([]byte, error) {
+func verifyChecksum(b []byte) ([]byte, error) {
 	if len(b) < 8 || xxh3.Hash(b[8:]) != binary.BigEndian.Uint64(b) {
-		return nil, &corruptError{contents("a record's checksum is wrong")}
+		return nil, &corruptError{invalidContents("a record's checksum is wrong")}
 	}
 	return append([]byte{}, b[8:]...), nil
 }
 
 // Save writes, and tells when it is on disk or why it is not. It never blocks; done is called from another goroutine, in
 // the order of the calls.
-func (l *Log) Save(s LogSave, done func(error)) { l.in.Put(logJob{save: s, done: done}) }
+func (l *Log) Save(s LogSave, done func(error)) { l.requests.Put(logSaveRequest{save: s, done: done}) }
 
 // Stop ends the store after all that waits is written.
 func (l *Log) Stop() {
-	l.in.Put(logJob{stop: true})
-	<-l.ended
+	l.requests.Put(logSaveRequest{stop: true})
+	<-l.stopped
 }
 
 func (l *Log) run() {
-	defer close(l.ended)
+	defer close(l.stopped)
 	debug.SetPanicOnFault(true)
-	var jobs []logJob
-	for range l.in.Ready() {
-		jobs = l.in.Take(jobs)
+	var jobs []logSaveRequest
+	for range l.requests.Ready() {
+		jobs = l.requests.Take(jobs)
 		for i := range jobs {
 			if jobs[i].stop {
-				closeFile(l.db, l.log)
+				closeFile(l.db, l.logger)
 				_ = l.lock.Close() // which holds nothing but the lock
 				return
 			}
@@ -178,37 +178,37 @@
 }
 
 func (l *Log) write(s *LogSave) (err error) {
-	if l.failed != nil {
-		return l.failed
+	if l.failure != nil {
+		return l.failure
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			err = panicError{p}
-			l.failed, l.db = err, nil
+			l.failure, l.db = err, nil
 		}
 	}()
 	return l.db.Update(func(tx *bolt.Tx) error {
 		values, entries := tx.Bucket(bucketValues), tx.Bucket(bucketLog)
 		for name, v := range s.Values {
-			if err := values.Put([]byte(name), summed(v)); err != nil {
+			if err := values.Put([]byte(name), appendChecksum(v)); err != nil {
 				return err
 			}
 		}
 		c := entries.Cursor()
-		for k, _ := c.First(); k != nil && stated(k) <= s.CutTo; k, _ = c.First() {
+		for k, _ := c.First(); k != nil && decodeUint64(k) <= s.TruncateTo; k, _ = c.First() {
 			if err := c.Delete(); err != nil {
 				return err
 			}
 		}
 		if len(s.Entries) > 0 {
-			for k, _ := c.Last(); k != nil && stated(k) >= s.Entries[0].Index; k, _ = c.Last() {
+			for k, _ := c.Last(); k != nil && decodeUint64(k) >= s.Entries[0].Index; k, _ = c.Last() {
 				if err := c.Delete(); err != nil {
 					return err
 				}
 			}
 		}
 		for _, e := range s.Entries {
-			if err := entries.Put(number(e.Index), summed(e.Data)); err != nil {
+			if err := entries.Put(encodeUint64(e.Index), appendChecksum(e.Data)); err != nil {
 				return err
 			}
 		}
--- a/internal/aggregatorstore/log_test.go
+++ b/internal/aggregatorstore/log_test.go
@@ -11,7 +11,7 @@
 )
 
 // A file that is refused is let go: who opens it next meets the same error, and not a lock that the first attempt has left.
-func TestALogOfAnotherVersionIsLetGo(t *testing.T) {
+func TestLogOfAnotherVersionIsRefusedAndReleased(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := OpenLog(dir, time.Second, zap.NewNop())
 	if err != nil {
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyVersion, number(logVersion+1)) })
+	err = db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyVersion, encodeUint64(logVersion+1)) })
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/aggregatorstore/store.go
+++ b/internal/aggregatorstore/store.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	fileName = "overrides.db"
-	lockName = "overrides.lock"
-	// version of what the records hold; a file of a later one is put aside by none but an operator.
-	version = 1
-	// lockWait is how long the process before may still hold the file: the longest that a stopping aggregator takes.
-	lockWait = 10 * time.Second
-	// auditMost is the length of the audit trail: years of what operators send, in some 50 MB.
-	auditMost = 100_000
+	overridesFileName = "overrides.db"
+	overridesLockName = "overrides.lock"
+	// overridesVersion of what the records hold; a file of a later one is put aside by none but an operator.
+	overridesVersion = 1
+	// lockTimeout is how long the process before may still hold the file: the longest that a stopping aggregator takes.
+	lockTimeout = 10 * time.Second
+	// maxAuditRecords is the length of the audit trail: years of what operators send, in some 50 MB.
+	maxAuditRecords = 100_000
 	// Recent is how much of it is read at the start, to be shown.
 	Recent = 1000
 )
@@ -46,13 +46,13 @@
 
 // Contents is what a file held at its opening.
 type Contents struct {
-	Revision override.Revision
-	Held     []override.Override
-	Recent   []override.Change // oldest first
-	Aside    string            // where a corrupt file was put, "" for none
+	Revision    override.Revision
+	Held        []override.Override
+	Recent      []override.Change // oldest first
+	Quarantined string            // where a corrupt file was put, "" for none
 }
 
-type job struct {
+type saveRequest struct {
 	changes []override.Change
 	done    func(error)
 	stop    bool
@@ -60,40 +60,40 @@
 
 // Store writes in a goroutine of its own: whoever waits for a disk, it is no query and no list.
 type Store struct {
-	db     *bolt.DB
-	lock   *os.File // nobody else reads or writes the directory while it is held
-	in     *eventqueue.Queue[job]
-	ended  chan struct{}
-	failed error // opened without a file: every change is refused with it
-	log    *zap.Logger
+	db       *bolt.DB
+	lock     *os.File // nobody else reads or writes the directory while it is held
+	requests *eventqueue.Queue[saveRequest]
+	stopped  chan struct{}
+	failure  error // opened without a file: every change is refused with it
+	logger   *zap.Logger
 }
 
 // Open opens the file in a directory, or makes it. A corrupt one is put aside under another name and a new one begun. Its
 // error says that nothing can be kept there; the Store then refuses every change with it.
 func Open(dir string, log *zap.Logger) (s *Store, kept Contents, err error) {
-	return openWithin(dir, lockWait, log)
+	return openWithin(dir, lockTimeout, log)
 }
 
 func openWithin(dir string, wait time.Duration, log *zap.Logger) (s *Store, kept Contents, err error) {
-	s = &Store{in: eventqueue.New[job](), ended: make(chan struct{}), log: log}
+	s = &Store{requests: eventqueue.New[saveRequest](), stopped: make(chan struct{}), logger: log}
 	defer func() {
-		s.failed = err
+		s.failure = err
 		go s.run()
 	}()
-	if s.lock, err = locked(dir, lockName, wait); err != nil {
+	if s.lock, err = lockDirectory(dir, overridesLockName, wait); err != nil {
 		return s, kept, err
 	}
 	aside := ""
-	s.db, aside, err = openAside(filepath.Join(dir, fileName), log, prepare, kept.read)
+	s.db, aside, err = openOrQuarantine(filepath.Join(dir, overridesFileName), log, createOverrideBuckets, kept.read)
 	if aside != "" || err != nil { // what was read of it before the fault counts no more
-		kept = Contents{Aside: aside}
+		kept = Contents{Quarantined: aside}
 	}
 	return s, kept, err
 }
 
-// openAside opens a file and reads all of it; a corrupt one is put aside, and a new one begun.
-func openAside(path string, log *zap.Logger, prepare, read func(*bolt.Tx) error) (db *bolt.DB, aside string, err error) {
-	if db, err = open(path, prepare, read); err == nil {
+// openOrQuarantine opens a file and reads all of it; a corrupt one is put aside, and a new one begun.
+func openOrQuarantine(path string, log *zap.Logger, prepare, read func(*bolt.Tx) error) (db *bolt.DB, aside string, err error) {
+	if db, err = openFile(path, prepare, read); err == nil {
 		return db, "", nil
 	}
 	if corrupt := (*corruptError)(nil); !errors.As(err, &corrupt) {
@@ -104,14 +104,14 @@
 	if err = os.Rename(path, aside); err != nil {
 		return nil, "", err
 	}
-	if db, err = open(path, prepare, read); err != nil {
+	if db, err = openFile(path, prepare, read); err != nil {
 		return nil, "", fmt.Errorf("%s: %w", path, err)
 	}
 	return db, aside, nil
 }
 
-// locked makes the directory where there is none, and takes a lock of it, for which it waits a while.
-func locked(dir, name string, wait time.Duration) (*os.File, error) {
+// lockDirectory makes the directory where there is none, and takes a lock of it, for which it waits a while.
+func lockDirectory(dir, name string, wait time.Duration) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for until := time.Now().Add(wait); ; time.Sleep(lockWait / 200) {
+	for until := time.Now().Add(wait); ; time.Sleep(lockTimeout / 200) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return f, nil
@@ -137,8 +137,8 @@
 func (e *corruptError) Error() string { return "spoilt: " + e.err.Error() }
 func (e *corruptError) Unwrap() error { return e.err }
 
-// open opens one file and reads all of it. A fault in mapped memory, as where the file was cut off, is an error too.
-func open(path string, prepare, read func(*bolt.Tx) error) (db *bolt.DB, err error) {
+// openFile opens one file and reads all of it. A fault in mapped memory, as where the file was cut off, is an error too.
+func openFile(path string, prepare, read func(*bolt.Tx) error) (db *bolt.DB, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -152,10 +152,10 @@
 			db = nil
 		}
 	}()
-	if err = checkPages(path); err != nil {
+	if err = validatePages(path); err != nil {
 		return nil, err
 	}
-	db, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWait, FreelistType: bolt.FreelistMapType})
+	db, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType})
 	switch {
 	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrVersionMismatch), errors.Is(err, bolterrors.ErrChecksum):
 		return db, &corruptError{err}
@@ -176,19 +176,19 @@
 	return db, err
 }
 
-// prepare makes what a new file holds, in one transaction.
-func prepare(tx *bolt.Tx) error {
+// createOverrideBuckets makes what a new file holds, in one transaction.
+func createOverrideBuckets(tx *bolt.Tx) error {
 	for _, name := range [][]byte{bucketMeta, bucketHeld, bucketAudit} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
 		}
 	}
-	return tx.Bucket(bucketMeta).Put(keyVersion, number(version))
+	return tx.Bucket(bucketMeta).Put(keyVersion, encodeUint64(overridesVersion))
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func stated(b []byte) uint64 {
+func decodeUint64(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
 	}
@@ -201,11 +201,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return summed(text), nil
+	return appendChecksum(text), nil
 }
 
 func unseal(b []byte, record any) error {
-	text, err := checked(b)
+	text, err := verifyChecksum(b)
 	if err != nil {
 		return err
 	}
@@ -218,18 +218,18 @@
 func (k *Contents) read(tx *bolt.Tx) error {
 	switch had := tx.Bucket(bucketMeta).Get(keyVersion); {
 	case len(had) != 8 || tx.Bucket(bucketHeld) == nil || tx.Bucket(bucketAudit) == nil:
-		return &corruptError{contents("no version, or a bucket is missing")}
-	case stated(had) != version:
-		return versionError{stated(had), version}
+		return &corruptError{invalidContents("no version, or a bucket is missing")}
+	case decodeUint64(had) != overridesVersion:
+		return versionError{decodeUint64(had), overridesVersion}
 	}
-	k.Revision = override.Revision(stated(tx.Bucket(bucketMeta).Get(keyRevision)))
+	k.Revision = override.Revision(decodeUint64(tx.Bucket(bucketMeta).Get(keyRevision)))
 	err := tx.Bucket(bucketHeld).ForEach(func(id, v []byte) error {
 		var o override.Override
 		if err := unseal(v, &o); err != nil {
 			return err
 		}
-		if stated(id) != uint64(o.ID) {
-			return &corruptError{contents("override %d stands under %d", o.ID, stated(id))}
+		if decodeUint64(id) != uint64(o.ID) {
+			return &corruptError{invalidContents("override %d stands under %d", o.ID, decodeUint64(id))}
 		}
 		k.Held = append(k.Held, o)
 		return nil
@@ -243,14 +243,14 @@
 		if err := unseal(v, &change); err != nil {
 			return err
 		}
-		if stated(key) != uint64(change.Revision) {
-			return &corruptError{contents("revision %d stands under %d", change.Revision, stated(key))}
+		if decodeUint64(key) != uint64(change.Revision) {
+			return &corruptError{invalidContents("revision %d stands under %d", change.Revision, decodeUint64(key))}
 		}
 		k.Recent = append(k.Recent, change)
 	}
 	slices.Reverse(k.Recent)
 	if n := len(k.Recent); n > 0 && k.Recent[n-1].Revision != k.Revision {
-		return &corruptError{contents("revision is %d, the last change %d", k.Revision, k.Recent[n-1].Revision)}
+		return &corruptError{invalidContents("revision is %d, the last change %d", k.Revision, k.Recent[n-1].Revision)}
 	}
 	return nil
 }
@@ -258,24 +258,24 @@
 // Save writes changes, all or none, and tells when they are on disk or why they are not. It never blocks; done is
 // called from another goroutine, in the order of the calls.
 func (s *Store) Save(changes []override.Change, done func(error)) {
-	s.in.Put(job{changes: changes, done: done})
+	s.requests.Put(saveRequest{changes: changes, done: done})
 }
 
 // Stop ends the store after all that waits is written.
 func (s *Store) Stop() {
-	s.in.Put(job{stop: true})
-	<-s.ended
+	s.requests.Put(saveRequest{stop: true})
+	<-s.stopped
 }
 
 func (s *Store) run() {
-	defer close(s.ended)
+	defer close(s.stopped)
 	debug.SetPanicOnFault(true)
-	var jobs []job
-	for range s.in.Ready() {
-		jobs = s.in.Take(jobs)
+	var jobs []saveRequest
+	for range s.requests.Ready() {
+		jobs = s.requests.Take(jobs)
 		for i := range jobs {
 			if jobs[i].stop {
-				closeFile(s.db, s.log)
+				closeFile(s.db, s.logger)
 				_ = s.lock.Close() // which holds nothing but the lock, and is nil where there is none
 				return
 			}
@@ -295,19 +295,19 @@
 }
 
 func (s *Store) write(changes []override.Change) (err error) {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
 	defer func() {
 		if p := recover(); p != nil { // a file corrupt under us: from here on nothing is kept
 			err = panicError{p}
-			s.failed, s.db = err, nil
+			s.failure, s.db = err, nil
 		}
 	}()
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, held, audit := tx.Bucket(bucketMeta), tx.Bucket(bucketHeld), tx.Bucket(bucketAudit)
-		audited := stated(meta.Get(keyAudited))
-		last := stated(meta.Get(keyRevision))
+		audited := decodeUint64(meta.Get(keyAudited))
+		last := decodeUint64(meta.Get(keyRevision))
 		for i := range changes {
 			c := &changes[i]
 			if err := apply(held, c); err != nil {
@@ -317,13 +317,13 @@
 			if err != nil {
 				return err
 			}
-			if err := audit.Put(number(uint64(c.Revision)), record); err != nil {
+			if err := audit.Put(encodeUint64(uint64(c.Revision)), record); err != nil {
 				return err
 			}
 			audited++
 			last = max(last, uint64(c.Revision))
 		}
-		for c := audit.Cursor(); audited > auditMost; audited-- {
+		for c := audit.Cursor(); audited > maxAuditRecords; audited-- {
 			if key, _ := c.First(); key == nil {
 				break
 			}
@@ -331,15 +331,15 @@
 				return err
 			}
 		}
-		if err := meta.Put(keyAudited, number(audited)); err != nil {
+		if err := meta.Put(keyAudited, encodeUint64(audited)); err != nil {
 			return err
 		}
-		return meta.Put(keyRevision, number(last))
+		return meta.Put(keyRevision, encodeUint64(last))
 	})
 }
 
 func apply(held *bolt.Bucket, c *override.Change) error {
-	id := number(uint64(c.Override.ID))
+	id := encodeUint64(uint64(c.Override.ID))
 	if c.What != override.WasSet {
 		return held.Delete(id)
 	}
--- a/internal/aggregatorstore/store_test.go
+++ b/internal/aggregatorstore/store_test.go
@@ -94,7 +94,7 @@
 }
 
 // A process killed at any moment of a write loses nothing that it acknowledged, and keeps nothing by half.
-func TestKilledAtAnyMoment(t *testing.T) {
+func TestCommittedChangesSurviveAKill(t *testing.T) {
 	dir, rng := t.TempDir(), rand.New(rand.NewPCG(3, 9))
 	rounds, acknowledged := 120, uint64(0)
 	if testing.Short() {
@@ -118,8 +118,8 @@
 		}
 		cmd.Wait()
 		s, kept, err := Open(dir, zap.NewNop())
-		if err != nil || kept.Aside != "" {
-			t.Fatalf("round %d: %v, put aside %q", round, err, kept.Aside)
+		if err != nil || kept.Quarantined != "" {
+			t.Fatalf("round %d: %v, put aside %q", round, err, kept.Quarantined)
 		}
 		s.Stop()
 		if n := uint64(kept.Revision); n < acknowledged || n > acknowledged+1 {
@@ -150,7 +150,7 @@
 	fmt.Println("open", err)
 	var was syscall.Rlimit
 	syscall.Getrlimit(syscall.RLIMIT_FSIZE, &was)
-	info, _ := os.Stat(filepath.Join(dir, fileName))
+	info, _ := os.Stat(filepath.Join(dir, overridesFileName))
 	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: uint64(info.Size()), Max: was.Max})
 	n, refused := uint64(1), 0
 	for ; refused == 0 && n < 100000; n++ {
@@ -163,11 +163,11 @@
 	fmt.Println("again", keepNow(s, change(n-1)))
 	s.Stop()
 	_, kept, err := Open(dir, zap.NewNop())
-	fmt.Println("kept", err, kept.Aside == "", len(kept.Held) > 0)
+	fmt.Println("kept", err, kept.Quarantined == "", len(kept.Held) > 0)
 }
 
 // A full disk refuses a change, and nothing else: what was kept stays, and later ones are kept again.
-func TestFullDiskRefusesAndGoesOn(t *testing.T) {
+func TestFullDiskRefusesChangesAndRecovers(t *testing.T) {
 	cmd, lines := child(t, "full", t.TempDir())
 	var said []string
 	for lines.Scan() {
@@ -204,7 +204,7 @@
 // Whatever is done to a file, it is read right or put aside under another name, and a new one is begun.
 func TestCorruptFilesArePutAside(t *testing.T) {
 	dir, revision := filled(t)
-	good, err := os.ReadFile(filepath.Join(dir, fileName))
+	good, err := os.ReadFile(filepath.Join(dir, overridesFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 			what = "fifty bytes spoilt"
 		}
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, fileName), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, overridesFileName), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, kept, err := Open(dir, zap.NewNop())
@@ -240,9 +240,9 @@
 			t.Fatalf("%s: %v", what, err)
 		}
 		switch want := held(revision); {
-		case kept.Aside != "":
+		case kept.Quarantined != "":
 			aside++
-			if saved, err := os.ReadFile(kept.Aside); err != nil || !bytes.Equal(saved, text) || len(kept.Held) > 0 {
+			if saved, err := os.ReadFile(kept.Quarantined); err != nil || !bytes.Equal(saved, text) || len(kept.Held) > 0 {
 				t.Fatalf("%s: put aside as %d bytes, %v, %d held", what, len(saved), err, len(kept.Held))
 			}
 		case len(text) == 0: // as good as none
@@ -262,14 +262,14 @@
 	t.Logf("%d of %d put aside", aside, cases)
 }
 
-func TestAFileInUseIsNotTaken(t *testing.T) {
+func TestFileInUseIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	first, _, err := Open(dir, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	second, kept, err := openWithin(dir, 100*time.Millisecond, zap.NewNop())
-	if err == nil || !strings.Contains(err.Error(), "another process") || kept.Aside != "" {
+	if err == nil || !strings.Contains(err.Error(), "another process") || kept.Quarantined != "" {
 		t.Fatalf("got %v, %+v", err, kept)
 	}
 	if err := keepNow(second, change(1)); err == nil {
--- a/internal/aggregatorstore/stored_test.go
+++ b/internal/aggregatorstore/stored_test.go
@@ -79,7 +79,7 @@
 	}
 	for _, save := range []LogSave{
 		{Values: map[string][]byte{"hard": []byte("first"), "tables": {0xa1, 1, 2}}, Entries: []Entry{{1, []byte("one")}, {2, []byte("two")}, {3, []byte("three")}}},
-		{CutTo: 2, Entries: []Entry{{4, []byte("four")}}},
+		{TruncateTo: 2, Entries: []Entry{{4, []byte("four")}}},
 		{Values: map[string][]byte{"hard": []byte("second"), "empty": {}}, Entries: storedLogContents.Entries[1:]},
 	} {
 		done := make(chan error, 1)
@@ -93,7 +93,7 @@
 
 // dumpOverrides writes all records of a file down, as the texts that they are.
 func dumpOverrides(t *testing.T, folder string) string {
-	db, err := bolt.Open(folder+"/"+fileName, 0o600, &bolt.Options{ReadOnly: true})
+	db, err := bolt.Open(folder+"/"+overridesFileName, 0o600, &bolt.Options{ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,8 +103,8 @@
 	err = db.View(func(tx *bolt.Tx) error {
 		for bucket, records := range dump {
 			err := tx.Bucket([]byte(bucket)).ForEach(func(key, value []byte) error {
-				text, err := checked(value)
-				records[stated(key)] = text
+				text, err := verifyChecksum(value)
+				records[decodeUint64(key)] = text
 				return err
 			})
 			if err != nil {
@@ -112,7 +112,7 @@
 			}
 		}
 		return tx.Bucket([]byte("meta")).ForEach(func(key, value []byte) error {
-			numbers[string(key)] = stated(value)
+			numbers[string(key)] = decodeUint64(value)
 			return nil
 		})
 	})
--- a/internal/aggregatorstore/wire_test.go
+++ b/internal/aggregatorstore/wire_test.go
@@ -12,8 +12,8 @@
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: logName, Want: "fleet.db"},
 		goldentest.Constant{Have: logLockName, Want: "fleet.lock"},
-		goldentest.Constant{Have: fileName, Want: "overrides.db"},
-		goldentest.Constant{Have: lockName, Want: "overrides.lock"},
+		goldentest.Constant{Have: overridesFileName, Want: "overrides.db"},
+		goldentest.Constant{Have: overridesLockName, Want: "overrides.lock"},
 		goldentest.Constant{Have: string(bucketMeta), Want: "meta"},
 		goldentest.Constant{Have: string(bucketHeld), Want: "held"},
 		goldentest.Constant{Have: string(bucketAudit), Want: "audit"},
@@ -23,7 +23,7 @@
 		goldentest.Constant{Have: string(bucketValues), Want: "values"},
 		goldentest.Constant{Have: string(bucketLog), Want: "log"},
 		goldentest.Constant{Have: string(keyID), Want: "id"},
-		goldentest.Constant{Have: version, Want: 1},
+		goldentest.Constant{Have: overridesVersion, Want: 1},
 		goldentest.Constant{Have: logVersion, Want: 1},
 	)
 }
--- a/internal/controlplane/fleet/ask.go
+++ b/internal/controlplane/fleet/ask.go
@@ -8,100 +8,100 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// mostAsked askings may wait for an answer.
-const mostAsked = 64
+// maxPendingRequests requests may wait for an answer.
+const maxPendingRequests = 64
 
 // ask asks the granter whether our contracts are the newest, and for tokens.
-func (f *Fleet) ask() {
-	f.askNo++
-	a := &asking{No: f.askNo, Roster: f.set.Roster.Version, Strict: f.strictHash, Contracts: f.has.Contracts, Holds: f.holds,
-		Quotas: f.has.Quotas, Floors: f.floorsAt, Asks: f.holder.Asks(f.now, f.askNo)}
-	to := f.granterNow()
-	f.asked = append(f.asked, out{f.askNo, f.now, to})
-	if len(f.asked) > mostAsked {
-		f.asked = slices.Delete(f.asked, 0, len(f.asked)-mostAsked)
+func (f *Fleet) requestGrants() {
+	f.requestNumber++
+	a := &grantRequest{Number: f.requestNumber, MembershipVersion: f.settings.Membership.Version, StrictHash: f.strictHash, Contracts: f.versions.Contracts, AppliedContracts: f.appliedContracts,
+		Quotas: f.versions.Quotas, MinimumsVersion: f.minimumsVersion, Requests: f.quotaClient.Requests(f.now, f.requestNumber)}
+	to := f.currentGranter()
+	f.pendingRequests = append(f.pendingRequests, pendingRequest{f.requestNumber, f.now, to})
+	if len(f.pendingRequests) > maxPendingRequests {
+		f.pendingRequests = slices.Delete(f.pendingRequests, 0, len(f.pendingRequests)-maxPendingRequests)
 	}
-	fault := failpoint.Pass(failpoint.AskGranter)
+	fault := failpoint.Pass(failpoint.RequestGrants)
 	for range fault.Times() {
-		if to == f.set.Self {
-			f.takeGrant(to, f.answered(to, a))
+		if to == f.settings.Self {
+			f.receiveGrantResponse(to, f.grantResponse(to, a))
 		} else {
-			f.send(to, messageAsk, a)
+			f.send(to, messageGrantRequest, a)
 		}
 	}
 }
 
-// granterNow is whom to ask: who leads as far as a voter knows, who answered last, or else one voter after the other.
-func (f *Fleet) granterNow() membership.Name {
-	if f.council != nil && !f.failed {
-		if name := f.council.Leader(); name != "" {
+// currentGranter is whom to ask: who leads as far as a voter knows, who answered last, or else one voter after the other.
+func (f *Fleet) currentGranter() membership.Name {
+	if f.consensus != nil && !f.steppedOut {
+		if name := f.consensus.Leader(); name != "" {
 			return name
 		}
 	}
-	if f.leader != "" && f.now-f.answeredAt < answerWait {
+	if f.leader != "" && f.now-f.leaderSeenAt < responseTimeout {
 		return f.leader
 	}
-	voters := f.set.Roster.Voters()
-	f.leader = voters[int(f.askNo/2)%len(voters)] // two askings each, as one may get lost
+	voters := f.settings.Membership.Voters()
+	f.leader = voters[int(f.requestNumber/2)%len(voters)] // two requests each, as one may get lost
 	return f.leader
 }
 
-// takeGrant takes an answer. It counts from when we asked, however long it took: so a granter that stood still, and
+// receiveGrantResponse takes an answer. It counts from when we asked, however long it took: so a granter that stood still, and
 // messages that were held up, lengthen nothing.
-func (f *Fleet) takeGrant(from membership.Name, g *granting) {
-	i := slices.IndexFunc(f.asked, func(o out) bool { return o.no == g.No && o.to == from })
+func (f *Fleet) receiveGrantResponse(from membership.Name, g *grantResponse) {
+	i := slices.IndexFunc(f.pendingRequests, func(o pendingRequest) bool { return o.number == g.Number && o.granter == from })
 	if i < 0 {
-		f.count.Add("fleet_dropped", "unasked", 1)
+		f.counters.Add("fleet_dropped", "unasked", 1)
 		return
 	}
-	if failpoint.Pass(failpoint.TakeGrant).Drop {
+	if failpoint.Pass(failpoint.ReceiveGrant).Drop {
 		return
 	}
-	at, no := f.asked[i].at, f.asked[i].no
-	f.asked = slices.Delete(f.asked, i, i+1)
-	if !g.Sure {
-		if g.Leader != "" && g.Leader != f.set.Self {
-			f.leader, f.answeredAt = g.Leader, f.now
+	at, no := f.pendingRequests[i].sentAt, f.pendingRequests[i].number
+	f.pendingRequests = slices.Delete(f.pendingRequests, i, i+1)
+	if !g.Confirmed {
+		if g.Leader != "" && g.Leader != f.settings.Self {
+			f.leader, f.leaderSeenAt = g.Leader, f.now
 		}
 		return
 	}
-	f.leader, f.answeredAt = from, f.now
-	if g.Versions.Contracts < f.has.Contracts || g.Versions.Quotas < f.has.Quotas {
+	f.leader, f.leaderSeenAt = from, f.now
+	if g.Versions.Contracts < f.versions.Contracts || g.Versions.Quotas < f.versions.Quotas {
 		return // held up, or from one that led before
 	}
-	f.adopt(g)
-	if f.has.Contracts == g.Versions.Contracts {
+	f.applyTables(g)
+	if f.versions.Contracts == g.Versions.Contracts {
 		failpoint.Pass(failpoint.Renew)
-		f.lease.Renew(at)
-		f.setSure(f.lease.Until())
+		f.contractLease.Renew(at)
+		f.setContractsConfirmedUntil(f.contractLease.Until())
 	}
 	for i := range g.Grants {
-		f.holder.Take(f.now, at, no, &g.Grants[i])
+		f.quotaClient.ReceiveGrant(f.now, at, no, &g.Grants[i])
 	}
 }
 
-// adopt takes tables that are newer than ours.
-func (f *Fleet) adopt(g *granting) {
-	contracts := g.Table != nil && g.Table.Version == g.Versions.Contracts && g.Versions.Contracts != f.has.Contracts
-	quotas := g.Versions.Quotas != f.has.Quotas
-	// What another file said, and nobody agreed on, holds only until the council is heard.
-	first := !f.heard
+// applyTables takes tables that are newer than ours.
+func (f *Fleet) applyTables(g *grantResponse) {
+	contracts := g.Table != nil && g.Table.Version == g.Versions.Contracts && g.Versions.Contracts != f.versions.Contracts
+	quotas := g.Versions.Quotas != f.versions.Quotas
+	// What another file said, and nobody agreed on, holds only until the consensus is heard.
+	first := !f.tablesReceived
 	if !contracts && !quotas && !first {
 		return
 	}
 	if contracts || first && g.Versions.Contracts == 0 {
-		if f.table = g.Table; f.table == nil {
-			f.table = f.emptyTable()
+		if f.contracts = g.Table; f.contracts == nil {
+			f.contracts = f.emptyTable()
 		}
-		f.has.Contracts = g.Versions.Contracts
+		f.versions.Contracts = g.Versions.Contracts
 	}
 	if quotas {
-		f.quotas, f.has.Quotas = maps.Clone(g.Quotas), g.Versions.Quotas
+		f.quotas, f.versions.Quotas = maps.Clone(g.Quotas), g.Versions.Quotas
 	}
-	f.heard = true
+	f.tablesReceived = true
 	f.publish()
 	if contracts || first {
-		f.rezone()
+		f.publishZones()
 	}
 	f.saveTables()
 }
--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	// TickS is the length of a tick: a leader is heard each, and missed after electionTicks to twice as many, 1 to 2 s.
-	TickS         = 0.1
+	// TickSeconds is the length of a tick: a leader is heard each, and missed after electionTicks to twice as many, 1 to 2 s.
+	TickSeconds   = 0.1
 	electionTicks = 10
-	// snapshotEvery so many entries the log is cut: at 200 bytes each under a megabyte in memory.
-	snapshotEvery = 2000
-	mostMessage   = 256 << 10
-	mostInflight  = 32
+	// snapshotInterval so many entries the log is cut: at 200 bytes each under a megabyte in memory.
+	snapshotInterval    = 2000
+	maxMessageBytes     = 256 << 10
+	maxInflightMessages = 32
 )
 
-// ReadNo names a question whether we still lead.
-type ReadNo uint64
+// ReadNumber names a question whether we still lead.
+type ReadNumber uint64
 
-// Kept is what a directory held.
-type Kept struct {
+// Stored is what a directory held.
+type Stored struct {
 	ID       uint64 // drawn when the directory was new; never 0
 	Hard     *pb.HardState
 	Snapshot *pb.Snapshot
 	Entries  []*pb.Entry
 }
 
-// founded tells whether the directory took part in a council before.
-func (k *Kept) founded() bool { return k.Snapshot != nil || k.Hard != nil || len(k.Entries) > 0 }
+// founded tells whether the directory took part in a consensus before.
+func (k *Stored) founded() bool { return k.Snapshot != nil || k.Hard != nil || len(k.Entries) > 0 }
 
 // Save is what has to be on disk before Done. Nil fields change nothing.
 type Save struct {
@@ -54,59 +54,59 @@
 // Empty tells that nothing has to be saved.
 func (s *Save) Empty() bool { return s.Hard == nil && s.Snapshot == nil && len(s.Entries) == 0 }
 
-// Out is a message to another voter.
-type Out struct {
+// Outgoing is a message to another voter.
+type Outgoing struct {
 	To   membership.Name
 	Data []byte
 }
 
 // Result is what came of the work in hand.
 type Result struct {
-	Out   []Out
-	Done  []Done   // commands that acted
-	Reads []ReadNo // at which we led for sure
-	News  bool     // the state has changed
+	Outgoing     []Outgoing
+	Applied      []AppliedCommand // commands that acted
+	Reads        []ReadNumber     // at which we led for sure
+	StateChanged bool             // the state has changed
 }
 
 // Machine is one voter.
 type Machine struct {
-	self        membership.Name
-	names       []membership.Name // all voters of the roster
-	id          uint64
-	node        *raft.RawNode // nil before the founding
-	mem         *raft.MemoryStorage
-	state       State
-	conf        *pb.ConfState
-	ready       *raft.Ready
-	made        *pb.Snapshot   // waits to be saved
-	unconfirmed map[uint64]int // ticks since a snapshot went to a voter, while we lead
-	heard       map[membership.Name]uint64
-	nonce       uint64
-	found       map[membership.Name]uint64 // of the others, that are empty as of our nonce
+	self            membership.Name
+	voterNames      []membership.Name // all voters of the membership
+	id              uint64
+	node            *raft.RawNode // nil before the founding
+	storage         *raft.MemoryStorage
+	state           State
+	confState       *pb.ConfState
+	ready           *raft.Ready
+	pendingSnapshot *pb.Snapshot   // waits to be saved
+	unconfirmed     map[uint64]int // ticks since a snapshot went to a voter, while we lead
+	receivedIDs     map[membership.Name]uint64
+	nonce           uint64
+	emptyPeers      map[membership.Name]uint64 // of the others, that are empty as of our nonce
 }
 
 // New makes a voter from what its directory held.
-func New(self membership.Name, voters []membership.Name, kept Kept) (*Machine, error) {
+func New(self membership.Name, voters []membership.Name, kept Stored) (*Machine, error) {
 	if kept.ID == 0 {
-		return nil, errNoNumber
+		return nil, errNoDirectoryID
 	}
-	m := &Machine{self: self, names: slices.Sorted(slices.Values(voters)), id: kept.ID, mem: raft.NewMemoryStorage(),
-		heard: map[membership.Name]uint64{}, found: map[membership.Name]uint64{}, conf: &pb.ConfState{}, unconfirmed: map[uint64]int{}}
+	m := &Machine{self: self, voterNames: slices.Sorted(slices.Values(voters)), id: kept.ID, storage: raft.NewMemoryStorage(),
+		receivedIDs: map[membership.Name]uint64{}, emptyPeers: map[membership.Name]uint64{}, confState: &pb.ConfState{}, unconfirmed: map[uint64]int{}}
 	if !kept.founded() {
 		return m, nil
 	}
 	return m, m.start(kept)
 }
 
-// start makes the library's machine. What a directory holds may be what the library takes for impossible.
-func (m *Machine) start(kept Kept) (err error) {
+// startFromDisk makes the library's machine. What a directory holds may be what the library takes for impossible.
+func (m *Machine) start(kept Stored) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			m.node, err = nil, directoryError{p}
 		}
 	}()
 	if kept.Snapshot != nil {
-		if err := m.mem.ApplySnapshot(kept.Snapshot); err != nil {
+		if err := m.storage.ApplySnapshot(kept.Snapshot); err != nil {
 			return err
 		}
 		if err := m.restore(kept.Snapshot); err != nil {
@@ -114,15 +114,15 @@
 		}
 	}
 	if kept.Hard != nil {
-		if err := m.mem.SetHardState(kept.Hard); err != nil {
+		if err := m.storage.SetHardState(kept.Hard); err != nil {
 			return err
 		}
 	}
-	if err := m.mem.Append(kept.Entries); err != nil {
+	if err := m.storage.Append(kept.Entries); err != nil {
 		return err
 	}
-	m.node, err = raft.NewRawNode(&raft.Config{ID: m.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: m.mem,
-		Applied: m.state.Index, MaxSizePerMsg: mostMessage, MaxInflightMsgs: mostInflight, CheckQuorum: true, PreVote: true,
+	m.node, err = raft.NewRawNode(&raft.Config{ID: m.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: m.storage,
+		Applied: m.state.Index, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, CheckQuorum: true, PreVote: true,
 		DisableProposalForwarding: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
 	return err
 }
@@ -132,14 +132,14 @@
 	if err := cbor.Unmarshal(s.Data, &state); err != nil {
 		return fmt.Errorf("snapshot %d: %w", s.GetMetadata().GetIndex(), err)
 	}
-	m.state, m.conf = state, s.GetMetadata().GetConfState()
+	m.state, m.confState = state, s.GetMetadata().GetConfState()
 	return nil
 }
 
 // State is what is agreed on as far as this voter knows. It is not to be changed.
 func (m *Machine) State() *State { return &m.state }
 
-// Founded tells whether this voter takes part in a council.
+// Founded tells whether this voter takes part in a consensus.
 func (m *Machine) Founded() bool { return m.node != nil }
 
 // Leads tells whether this voter thinks that it leads; only a Read tells whether it is so.
@@ -172,7 +172,7 @@
 			return v.Name
 		}
 	}
-	for name, has := range m.heard {
+	for name, has := range m.receivedIDs {
 		if has == id {
 			return name
 		}
@@ -191,7 +191,7 @@
 
 // Step takes what another voter said. What can't be read changes nothing.
 func (m *Machine) Step(from membership.Name, data []byte) error {
-	if m.node == nil || !slices.Contains(m.names, from) {
+	if m.node == nil || !slices.Contains(m.voterNames, from) {
 		return nil
 	}
 	msg := &pb.Message{}
@@ -202,7 +202,7 @@
 		return nil
 	}
 	if m.name(msg.GetFrom()) == "" {
-		m.heard[from] = msg.GetFrom()
+		m.receivedIDs[from] = msg.GetFrom()
 	}
 	if m.name(msg.GetFrom()) != from {
 		return impostorError{from, msg.GetFrom()}
@@ -210,7 +210,7 @@
 	return m.node.Step(msg)
 }
 
-// Propose asks the council for a command. Whether it acts shows in a Result; it may get lost.
+// Propose asks the consensus for a command. Whether it acts shows in a Result; it may get lost.
 func (m *Machine) Propose(c *Command) error {
 	if !m.Leads() {
 		return ErrNotLeader
@@ -219,15 +219,15 @@
 }
 
 // Read asks whether we lead.
-func (m *Machine) Read(no ReadNo) {
+func (m *Machine) Read(no ReadNumber) {
 	if m.Leads() {
 		m.node.ReadIndex(encoded(no))
 	}
 }
 
-// Work hands out what has to be saved, once what was handed out before is Done.
-func (m *Machine) Work() (s Save, has bool) {
-	if m.node == nil || m.ready != nil || m.made == nil && !m.node.HasReady() {
+// NextSave hands out what has to be saved, once what was handed out before is Done.
+func (m *Machine) NextSave() (s Save, has bool) {
+	if m.node == nil || m.ready != nil || m.pendingSnapshot == nil && !m.node.HasReady() {
 		return s, false
 	}
 	rd := m.node.Ready()
@@ -238,34 +238,34 @@
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		s.Snapshot = rd.Snapshot
-	} else if m.made != nil {
-		s.Snapshot = m.made
+	} else if m.pendingSnapshot != nil {
+		s.Snapshot = m.pendingSnapshot
 	}
-	m.made = nil
+	m.pendingSnapshot = nil
 	return s, true
 }
 
 // Done goes on after the work in hand was saved.
-func (m *Machine) Done() (r Result, err error) {
+func (m *Machine) Saved() (r Result, err error) {
 	rd := m.ready
 	if rd == nil {
 		return r, nil
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := m.mem.ApplySnapshot(rd.Snapshot); err != nil {
+		if err := m.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return r, err
 		}
 		if err := m.restore(rd.Snapshot); err != nil {
 			return r, err
 		}
-		r.News = true
+		r.StateChanged = true
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
-		if err := m.mem.SetHardState(rd.HardState); err != nil {
+		if err := m.storage.SetHardState(rd.HardState); err != nil {
 			return r, err
 		}
 	}
-	if err := m.mem.Append(rd.Entries); err != nil {
+	if err := m.storage.Append(rd.Entries); err != nil {
 		return r, err
 	}
 	for _, msg := range rd.Messages {
@@ -274,7 +274,7 @@
 			if err != nil {
 				return r, err
 			}
-			r.Out = append(r.Out, Out{to, data})
+			r.Outgoing = append(r.Outgoing, Outgoing{to, data})
 		}
 	}
 	reseated := false
@@ -286,15 +286,15 @@
 		reseated = reseated || seats
 	}
 	for _, read := range rd.ReadStates {
-		var no ReadNo
+		var no ReadNumber
 		if cbor.Unmarshal(read.RequestCtx, &no) == nil {
 			r.Reads = append(r.Reads, no)
 		}
 	}
 	m.ready = nil
 	m.node.Advance(*rd)
-	if first, _ := m.mem.FirstIndex(); reseated || m.state.Index > first+snapshotEvery {
-		err = m.cut()
+	if first, _ := m.storage.FirstIndex(); reseated || m.state.Index > first+snapshotInterval {
+		err = m.compact()
 	}
 	return r, err
 }
@@ -311,7 +311,7 @@
 		if err := cbor.Unmarshal(e.Data, &c); err != nil {
 			return false, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
-		r.Done, r.News = append(r.Done, m.state.apply(e.GetIndex(), &c)), true
+		r.Applied, r.StateChanged = append(r.Applied, m.state.apply(e.GetIndex(), &c)), true
 		return false, nil
 	case pb.EntryConfChangeV2:
 		cc := &pb.ConfChangeV2{}
@@ -325,7 +325,7 @@
 			}
 			m.state.replace(v)
 		}
-		m.conf, r.News = m.node.ApplyConfChange(cc), true
+		m.confState, r.StateChanged = m.node.ApplyConfChange(cc), true
 		return true, nil
 	}
 	return false, nil
--- a/internal/controlplane/fleet/consensus/errors.go
+++ b/internal/controlplane/fleet/consensus/errors.go
@@ -10,7 +10,7 @@
 // ErrNotLeader is the error of a proposal at a voter that does not lead.
 var ErrNotLeader = errors.New("this mixer does not lead the council")
 
-var errNoNumber = errors.New("the directory has no number")
+var errNoDirectoryID = errors.New("the directory has no number")
 
 // directoryError is a panic of the library over what a directory holds.
 type directoryError struct{ value any }
--- a/internal/controlplane/fleet/consensus/snapshots.go
+++ b/internal/controlplane/fleet/consensus/snapshots.go
@@ -32,11 +32,11 @@
 }
 
 // cut makes a snapshot of the state and lets go of the entries before it. A voter that is new finds itself in it.
-func (m *Machine) cut() error {
-	s, err := m.mem.CreateSnapshot(m.state.Index, m.conf, encoded(&m.state))
+func (m *Machine) compact() error {
+	s, err := m.storage.CreateSnapshot(m.state.Index, m.confState, encoded(&m.state))
 	if err != nil {
 		return err
 	}
-	m.made = s
-	return m.mem.Compact(m.state.Index)
+	m.pendingSnapshot = s
+	return m.storage.Compact(m.state.Index)
 }
--- a/internal/controlplane/fleet/consensus/snapshots_test.go
+++ b/internal/controlplane/fleet/consensus/snapshots_test.go
@@ -9,13 +9,13 @@
 
 // A voter that begins anew gets all there is in one message. Were that lost, and nothing sent again, it took no part until another
 // led.
-func TestALostSnapshotIsSentAgain(t *testing.T) {
-	w := newNet(t, 3, 7)
+func TestLostSnapshotIsResent(t *testing.T) {
+	w := newSimulation(t, 3, 7)
 	w.eventually(400, "somebody leads", func() bool { return w.leader() != nil })
-	w.act("before")
+	w.applyCommand("before")
 	leader := w.leader()
 	lost := 0
-	w.drops = func(f flying) bool {
+	w.drops = func(f inFlight) bool {
 		message := &pb.Message{}
 		if f.intro != nil || proto.Unmarshal(f.data, message) != nil || message.GetType() != pb.MsgSnap || lost >= 2 {
 			return false
@@ -25,12 +25,12 @@
 	}
 	for _, name := range w.names {
 		if w.voters[name] != leader {
-			w.lose(name)
+			w.startEmpty(name)
 			break
 		}
 	}
 	w.eventually(200, "two snapshots are lost", func() bool { return lost == 2 })
-	w.eventually(200, "all have the same state", w.same)
+	w.eventually(200, "all have the same state", w.sameState)
 	if w.leader() != leader {
 		t.Error("another leads: the case did not come about")
 	}
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -15,7 +15,7 @@
 // CommandID names a command, so that one sent twice acts once.
 type CommandID string
 
-// Command is what the council agrees on. One of its parts is set.
+// Command is what the consensus agrees on. One of its parts is set.
 type Command struct {
 	ID     CommandID `cbor:"1,keyasint"`
 	Author string    `cbor:"2,keyasint,omitempty"`
@@ -50,69 +50,69 @@
 // QuotasVersion orders tables of quotas, as residency.Version does those of contracts.
 type QuotasVersion uint64
 
-// Voter is one of the council: a name of the roster, with the number of the directory that it votes by.
+// Voter is one of the consensus: a name of the membership, with the number of the directory that it votes by.
 type Voter struct {
 	Name membership.Name `cbor:"1,keyasint"`
 	ID   uint64          `cbor:"2,keyasint"`
 }
 
-// Floor is the sum of all nodes' floors of a quota.
-type Floor struct {
+// MinimumRate is the sum of all nodes' minimums of a quota.
+type MinimumRate struct {
 	PerS  float64 `cbor:"1,keyasint"`
 	Burst float64 `cbor:"2,keyasint"`
 }
 
 // State is what has been agreed on.
 type State struct {
-	Index     uint64                       `cbor:"1,keyasint"`
-	Contracts residency.Table              `cbor:"2,keyasint"`
-	Quotas    map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
-	QuotasAt  QuotasVersion                `cbor:"4,keyasint"`
-	// Floors are the largest that a tenant ever had: a node that is cut off may still go by them.
-	Floors        map[quota.Tenant]Floor `cbor:"5,keyasint"`
-	FileContracts int                    `cbor:"6,keyasint"` // versions last taken from a file
-	FileQuotas    int                    `cbor:"7,keyasint"`
-	Voters        []Voter                `cbor:"8,keyasint"`
-	Done          []Done                 `cbor:"9,keyasint"` // the last commands, oldest first
-	Founders      []Voter                `cbor:"10,keyasint"`
+	Index         uint64                       `cbor:"1,keyasint"`
+	Contracts     residency.Table              `cbor:"2,keyasint"`
+	Quotas        map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
+	QuotasVersion QuotasVersion                `cbor:"4,keyasint"`
+	// LargestMinimums are the largest that a tenant ever had: a node that is cut off may still go by them.
+	LargestMinimums map[quota.Tenant]MinimumRate `cbor:"5,keyasint"`
+	FileContracts   int                          `cbor:"6,keyasint"` // versions last taken from a file
+	FileQuotas      int                          `cbor:"7,keyasint"`
+	Voters          []Voter                      `cbor:"8,keyasint"`
+	Applied         []AppliedCommand             `cbor:"9,keyasint"` // the last commands, oldest first
+	Founders        []Voter                      `cbor:"10,keyasint"`
 }
 
 // Done is a command that has acted.
-type Done struct {
-	ID    CommandID `cbor:"1,keyasint"`
-	Index uint64    `cbor:"2,keyasint"`
-	Wrong string    `cbor:"3,keyasint,omitempty"` // why it changed nothing
+type AppliedCommand struct {
+	ID      CommandID `cbor:"1,keyasint"`
+	Index   uint64    `cbor:"2,keyasint"`
+	Failure string    `cbor:"3,keyasint,omitempty"` // why it changed nothing
 }
 
-// remembered is how many commands are known again when they come twice: hours of what operators send.
-const remembered = 1024
+// maxAppliedRemembered is how many commands are known again when they come twice: hours of what operators send.
+const maxAppliedRemembered = 1024
 
-// Acted finds a command that has acted.
-func (s *State) Acted(id CommandID) (Done, bool) {
-	i := slices.IndexFunc(s.Done, func(d Done) bool { return d.ID == id })
+// FindApplied finds a command that has acted.
+func (s *State) FindApplied(id CommandID) (AppliedCommand, bool) {
+	i := slices.IndexFunc(s.Applied, func(d AppliedCommand) bool { return d.ID == id })
 	if id == "" || i < 0 {
-		return Done{}, false
+		return AppliedCommand{}, false
 	}
-	return s.Done[i], true
+	return s.Applied[i], true
 }
 
-// apply takes a command at a place of the log. Every node of the council does the same with it.
-func (s *State) apply(index uint64, c *Command) Done {
-	if d, again := s.Acted(c.ID); again {
+// apply takes a command at a place of the log. Every node of the consensus does the same with it.
+func (s *State) apply(index uint64, c *Command) AppliedCommand {
+	if d, again := s.FindApplied(c.ID); again {
 		return d
 	}
-	d := Done{ID: c.ID, Index: index}
+	d := AppliedCommand{ID: c.ID, Index: index}
 	if err := s.change(index, c); err != nil {
-		d.Wrong = err.Error()
+		d.Failure = err.Error()
 	}
-	s.Done = append(s.Done, d)
-	if len(s.Done) > remembered {
-		s.Done = slices.Clone(s.Done[len(s.Done)-remembered:])
+	s.Applied = append(s.Applied, d)
+	if len(s.Applied) > maxAppliedRemembered {
+		s.Applied = slices.Clone(s.Applied[len(s.Applied)-maxAppliedRemembered:])
 	}
 	return d
 }
 
-var errNothing = errors.New("the command changes nothing that is known")
+var errEmptyCommand = errors.New("the command changes nothing that is known")
 
 func (s *State) change(index uint64, c *Command) error {
 	switch {
@@ -125,17 +125,17 @@
 		} else {
 			s.setQuota(c.Quota.Tenant, *c.Quota.Quota)
 		}
-		s.QuotasAt = QuotasVersion(index)
+		s.QuotasVersion = QuotasVersion(index)
 	case c.File != nil:
-		return s.file(index, c.File)
+		return s.applyFile(index, c.File)
 	default:
-		return errNothing
+		return errEmptyCommand
 	}
 	return nil
 }
 
-// file takes the tables of a file that are newer than those last taken.
-func (s *State) file(index uint64, f *FileTables) error {
+// applyFile takes the tables of a file that are newer than those last taken.
+func (s *State) applyFile(index uint64, f *FileTables) error {
 	var wrong error
 	switch {
 	case f.ContractsVersion == 0:
@@ -150,7 +150,7 @@
 	case f.QuotasVersion <= s.FileQuotas:
 		wrong = errors.Join(wrong, staleTableError{"quotas", uint64(f.QuotasVersion), uint64(s.FileQuotas)})
 	default:
-		s.FileQuotas, s.QuotasAt, s.Quotas = f.QuotasVersion, QuotasVersion(index), map[quota.Tenant]quota.Quota{}
+		s.FileQuotas, s.QuotasVersion, s.Quotas = f.QuotasVersion, QuotasVersion(index), map[quota.Tenant]quota.Quota{}
 		for tenant, q := range f.Quotas {
 			s.setQuota(tenant, q)
 		}
@@ -163,12 +163,12 @@
 		s.Quotas = map[quota.Tenant]quota.Quota{}
 	}
 	s.Quotas[tenant] = q
-	perS, burst := q.Floor*q.PerS, q.Floor*q.Burst
-	s.Floors = maps.Clone(s.Floors)
-	if s.Floors == nil {
-		s.Floors = map[quota.Tenant]Floor{}
+	perS, burst := q.MinimumShare*q.PerS, q.MinimumShare*q.Burst
+	s.LargestMinimums = maps.Clone(s.LargestMinimums)
+	if s.LargestMinimums == nil {
+		s.LargestMinimums = map[quota.Tenant]MinimumRate{}
 	}
-	s.Floors[tenant] = Floor{max(s.Floors[tenant].PerS, perS), max(s.Floors[tenant].Burst, burst)}
+	s.LargestMinimums[tenant] = MinimumRate{max(s.LargestMinimums[tenant].PerS, perS), max(s.LargestMinimums[tenant].Burst, burst)}
 }
 
 // replace gives a voter another number.
--- a/internal/controlplane/fleet/consensus/wire_test.go
+++ b/internal/controlplane/fleet/consensus/wire_test.go
@@ -9,14 +9,14 @@
 // TestWireForms pins the encoded forms of the types that leave the process.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
-		goldentest.Form{Name: "intro", Value: new(Intro)},
+		goldentest.Form{Name: "intro", Value: new(Introduction)},
 		goldentest.Form{Name: "command", Value: new(Command)},
 		goldentest.Form{Name: "contract change", Value: new(ContractChange)},
 		goldentest.Form{Name: "quota change", Value: new(QuotaChange)},
 		goldentest.Form{Name: "file tables", Value: new(FileTables)},
 		goldentest.Form{Name: "voter", Value: new(Voter)},
-		goldentest.Form{Name: "floor", Value: new(Floor)},
+		goldentest.Form{Name: "floor", Value: new(MinimumRate)},
 		goldentest.Form{Name: "state", Value: new(State)},
-		goldentest.Form{Name: "done", Value: new(Done)},
+		goldentest.Form{Name: "done", Value: new(AppliedCommand)},
 	)
 }
--- a/internal/controlplane/fleet/errors.go
+++ b/internal/controlplane/fleet/errors.go
@@ -12,7 +12,7 @@
 
 func (e RefusedError) Error() string { return string(e) }
 
-// panicError is a panic of the council's library.
+// panicError is a panic of the consensus's library.
 type panicError struct{ value any }
 
 func (e panicError) Error() string { return fmt.Sprintf("the council's library gave up: %v", e.value) }
--- a/internal/controlplane/fleet/failpoint/failpoint.go
+++ b/internal/controlplane/fleet/failpoint/failpoint.go
@@ -9,26 +9,26 @@
 // The places; Names says what happens at each.
 const (
 	SendDatagram Point = 1 + iota
-	TakeDatagram
+	ReceiveDatagram
 	SendLong
-	TakeLong
+	ReceiveLong
 	Introduce
-	SaveCouncil
-	SavedCouncil
+	SaveConsensus
+	ConsensusSaved
 	ApplyCommand
 	BeginGranting
 	ConfirmGranter
-	AskGranter
-	AnswerAsk
-	TakeGrant
+	RequestGrants
+	RespondToGrantRequest
+	ReceiveGrant
 	Spend
 	Renew
 	PublishRules
-	HoldContract
-	TellHeld
+	ApplyContract
+	ReportProgress
 	ProbeMember
-	TellReport
-	JudgeBackends
+	SendReports
+	DetectOutliers
 	ForwardCommand
 	SaveTables
 	count
@@ -36,12 +36,12 @@
 
 // Names are the table: what happens at each point.
 var Names = [count]string{
-	SendDatagram: "send a datagram", TakeDatagram: "take a datagram", SendLong: "send a long letter", TakeLong: "take a long letter",
-	Introduce: "introduce a voter", SaveCouncil: "save the council's work", SavedCouncil: "go on after the council's work is saved",
+	SendDatagram: "send a datagram", ReceiveDatagram: "take a datagram", SendLong: "send a long letter", ReceiveLong: "take a long letter",
+	Introduce: "introduce a voter", SaveConsensus: "save the council's work", ConsensusSaved: "go on after the council's work is saved",
 	ApplyCommand: "apply what the council agreed on", BeginGranting: "begin to grant", ConfirmGranter: "confirm the granter's authority",
-	AskGranter: "ask the granter", AnswerAsk: "answer a mixer's asking", TakeGrant: "take a grant", Spend: "spend a token", Renew: "renew a lease of contracts",
-	PublishRules: "publish rules of contracts", HoldContract: "say that a contract holds here", TellHeld: "tell an operator how far a contract got",
-	ProbeMember: "ask a mixer whether it lives", TellReport: "tell what was seen of searchers", JudgeBackends: "judge searchers",
+	RequestGrants: "ask the granter", RespondToGrantRequest: "answer a mixer's asking", ReceiveGrant: "take a grant", Spend: "spend a token", Renew: "renew a lease of contracts",
+	PublishRules: "publish rules of contracts", ApplyContract: "say that a contract holds here", ReportProgress: "tell an operator how far a contract got",
+	ProbeMember: "ask a mixer whether it lives", SendReports: "tell what was seen of searchers", DetectOutliers: "judge searchers",
 	ForwardCommand: "hand on a command", SaveTables: "save tables and incarnation",
 }
 
--- a/internal/controlplane/fleet/failuredetector/members_test.go
+++ b/internal/controlplane/fleet/failuredetector/members_test.go
@@ -8,32 +8,32 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// net plays a fleet in virtual time. Whatever happens, what a machine may never do is checked after each step.
-type net struct {
+// simulation plays a fleet in virtual time. Whatever happens, what a machine may never do is checked after each step.
+type simulation struct {
 	testing.TB
 	random.PCG
-	names    []membership.Name
-	machines map[membership.Name]*Machine
-	next     map[membership.Name]float64
-	dead     map[membership.Name]bool
-	stopped  map[membership.Name]bool
-	cut      func(from, to membership.Name) bool
-	lossy    float64
-	delay    float64
-	messages []flying
-	now      float64
-	bytes    int
+	names       []membership.Name
+	machines    map[membership.Name]*Machine
+	next        map[membership.Name]float64
+	dead        map[membership.Name]bool
+	stopped     map[membership.Name]bool
+	partitioned func(from, to membership.Name) bool
+	lossRate    float64
+	delay       float64
+	messages    []inFlight
+	now         float64
+	bytes       int
 }
 
-type flying struct {
+type inFlight struct {
 	at       float64
 	from, to membership.Name
 	Message
 }
 
-func newNet(t testing.TB, n int, seed uint64) *net {
-	w := &net{TB: t, PCG: random.PCG(seed), machines: map[membership.Name]*Machine{}, next: map[membership.Name]float64{}, dead: map[membership.Name]bool{},
-		stopped: map[membership.Name]bool{}, cut: func(_, _ membership.Name) bool { return false }}
+func newSimulation(t testing.TB, n int, seed uint64) *simulation {
+	w := &simulation{TB: t, PCG: random.PCG(seed), machines: map[membership.Name]*Machine{}, next: map[membership.Name]float64{}, dead: map[membership.Name]bool{},
+		stopped: map[membership.Name]bool{}, partitioned: func(_, _ membership.Name) bool { return false }}
 	for i := range n {
 		w.names = append(w.names, membership.Name(fmt.Sprintf("m%d", i)))
 	}
@@ -43,7 +43,7 @@
 	return w
 }
 
-func (w *net) start(name membership.Name, inc Incarnation) {
+func (w *simulation) start(name membership.Name, inc Incarnation) {
 	var others []membership.Name
 	for _, o := range w.names {
 		if o != name {
@@ -54,7 +54,7 @@
 	w.next[name], w.dead[name], w.stopped[name] = w.now, false, false
 }
 
-func (w *net) until(at float64) {
+func (w *simulation) until(at float64) {
 	for ; w.now < at; w.now += 0.01 {
 		waiting := w.messages
 		w.messages = nil
@@ -63,7 +63,7 @@
 			case l.at > w.now || w.stopped[l.to]:
 				w.messages = append(w.messages, l)
 			case !w.dead[l.to]:
-				w.machines[l.to].Hear(w.now, l.from, &l.Message)
+				w.machines[l.to].Receive(w.now, l.from, &l.Message)
 				w.collect(l.to)
 			}
 		}
@@ -76,29 +76,29 @@
 	}
 }
 
-func (w *net) collect(from membership.Name) {
-	out, changes := w.machines[from].Taken()
+func (w *simulation) collect(from membership.Name) {
+	out, changes := w.machines[from].TakeOutput()
 	for _, c := range changes {
 		if c.Name == from || c.Was == c.Now {
 			w.Fatalf("%s: %+v", from, c)
 		}
-		if c.Now == Dead && w.machines[from].Deaf() {
+		if c.Now == Dead && w.machines[from].Isolated() {
 			w.Fatalf("%s hears nothing and calls %s dead", from, c.Name)
 		}
 	}
 	for _, s := range out {
-		if len(s.News) > perMessage {
-			w.Fatalf("%d pieces of news in a message", len(s.News))
+		if len(s.Updates) > maxUpdatesPerMessage {
+			w.Fatalf("%d pieces of news in a message", len(s.Updates))
 		}
-		w.bytes += 60 + 20*len(s.News)
-		if !w.cut(from, s.To) && w.Unit() >= w.lossy {
-			w.messages = append(w.messages, flying{w.now + 0.001 + w.delay*w.Unit(), from, s.To, s.Message})
+		w.bytes += 60 + 20*len(s.Updates)
+		if !w.partitioned(from, s.To) && w.Unit() >= w.lossRate {
+			w.messages = append(w.messages, inFlight{w.now + 0.001 + w.delay*w.Unit(), from, s.To, s.Message})
 		}
 	}
 }
 
-// all tells whether everybody that runs holds a status of one.
-func (w *net) all(of membership.Name, is Status) bool {
+// allReport tells whether everybody that runs holds a status of one.
+func (w *simulation) allReport(of membership.Name, is Status) bool {
 	for _, name := range w.names {
 		if name != of && !w.dead[name] && !w.stopped[name] && w.machines[name].Status(of) != is {
 			return false
@@ -107,7 +107,7 @@
 	return true
 }
 
-func (w *net) eventually(within float64, what string, is func() bool) (took float64) {
+func (w *simulation) eventually(within float64, what string, is func() bool) (took float64) {
 	w.Helper()
 	from := w.now
 	for !is() {
@@ -120,17 +120,17 @@
 
 // A crash is known everywhere within seconds at any size, at a cost for each that hardly grows; the process that comes after it
 // is too, and where one in five messages is lost nobody that lives is dead for long.
-func TestCrashIsKnown(t *testing.T) {
+func TestCrashIsDetectedAtAnySize(t *testing.T) {
 	for _, n := range []int{3, 9, 30, 100} {
-		w := newNet(t, n, uint64(n))
+		w := newSimulation(t, n, uint64(n))
 		w.until(5)
 		w.bytes = 0
 		w.until(15)
 		each := float64(w.bytes) / 10 / float64(n)
 		w.dead["m1"] = true
-		took := w.eventually(45, "m1 is dead everywhere", func() bool { return w.all("m1", Dead) })
+		took := w.eventually(45, "m1 is dead everywhere", func() bool { return w.allReport("m1", Dead) })
 		w.start("m1", 200)
-		back := w.eventually(60, "m1 lives again everywhere", func() bool { return w.all("m1", Alive) })
+		back := w.eventually(60, "m1 lives again everywhere", func() bool { return w.allReport("m1", Alive) })
 		t.Logf("%d mixers: dead after %.1f s, back after %.1f s, %.0f bytes a second each", n, took, back, each)
 		if each > 600 {
 			t.Errorf("%d mixers: %.0f bytes a second each, expected at most 600", n, each)
@@ -138,10 +138,10 @@
 	}
 }
 
-func TestLossAndDelayBringNobodyDown(t *testing.T) {
+func TestLossAndDelayDeclareNoLiveMemberDead(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newNet(t, 9, seed+1)
-		w.lossy, w.delay = 0.2, 0.2
+		w := newSimulation(t, 9, seed+1)
+		w.lossRate, w.delay = 0.2, 0.2
 		wrong, looked := 0, 0
 		for range 60 {
 			w.until(w.now + 1)
@@ -156,10 +156,10 @@
 		if share := float64(wrong) / float64(looked); share > 0.02 {
 			t.Errorf("seed %d: living mixers are dead to others for %.3f of the time", seed, share)
 		}
-		w.lossy, w.delay = 0, 0
+		w.lossRate, w.delay = 0, 0
 		w.eventually(20, "all live to all", func() bool {
 			for _, name := range w.names {
-				if !w.all(name, Alive) {
+				if !w.allReport(name, Alive) {
 					return false
 				}
 			}
@@ -168,36 +168,36 @@
 	}
 }
 
-// Who hears nothing knows it in DeafS and a probe's time, calls nobody dead, and after the cut all agree again. Who is heard by
+// Who hears nothing knows it in IsolationTimeout and a probe's time, calls nobody dead, and after the cut all agree again. Who is heard by
 // nobody, in one direction, doubts itself.
-func TestDeaf(t *testing.T) {
-	w := newNet(t, 9, 3)
+func TestIsolatedMemberDeclaresNobodyDead(t *testing.T) {
+	w := newSimulation(t, 9, 3)
 	w.until(10)
-	w.cut = func(from, to membership.Name) bool { return from == "m0" || to == "m0" }
-	took := w.eventually(2, "m0 knows that it hears nothing", w.machines["m0"].Deaf)
-	w.eventually(20, "m0 is dead to the others", func() bool { return w.all("m0", Dead) })
+	w.partitioned = func(from, to membership.Name) bool { return from == "m0" || to == "m0" }
+	took := w.eventually(2, "m0 knows that it hears nothing", w.machines["m0"].Isolated)
+	w.eventually(20, "m0 is dead to the others", func() bool { return w.allReport("m0", Dead) })
 	for _, name := range w.names[1:] {
 		if w.machines["m0"].Status(name) == Dead {
 			t.Errorf("%s is dead to m0, which hears nothing", name)
 		}
 	}
-	w.cut = func(_, _ membership.Name) bool { return false }
-	healed := w.eventually(20, "m0 lives to all", func() bool { return w.all("m0", Alive) && !w.machines["m0"].Deaf() })
+	w.partitioned = func(_, _ membership.Name) bool { return false }
+	healed := w.eventually(20, "m0 lives to all", func() bool { return w.allReport("m0", Alive) && !w.machines["m0"].Isolated() })
 	t.Logf("deaf after %.2f s, healed after %.1f s", took, healed)
-	w.cut = func(from, _ membership.Name) bool { return from == "m0" } // it hears, and is not heard
-	w.eventually(20, "m0 doubts itself", func() bool { return w.machines["m0"].Doubt() > 2 })
-	w.cut = func(_, _ membership.Name) bool { return false }
-	w.eventually(30, "m0 lives to all", func() bool { return w.all("m0", Alive) })
+	w.partitioned = func(from, _ membership.Name) bool { return from == "m0" } // it hears, and is not heard
+	w.eventually(20, "m0 doubts itself", func() bool { return w.machines["m0"].LocalHealth() > 2 })
+	w.partitioned = func(_, _ membership.Name) bool { return false }
+	w.eventually(30, "m0 lives to all", func() bool { return w.allReport("m0", Alive) })
 }
 
 // One that stands still for longer than a suspicion is dead, and lives again once it goes on; what waited for it does no harm.
-func TestStandsStill(t *testing.T) {
-	w := newNet(t, 5, 8)
+func TestPausedMemberRefutesItsSuspicion(t *testing.T) {
+	w := newSimulation(t, 5, 8)
 	w.until(5)
 	w.stopped["m2"] = true
-	w.eventually(30, "m2 is dead", func() bool { return w.all("m2", Dead) })
+	w.eventually(30, "m2 is dead", func() bool { return w.allReport("m2", Dead) })
 	w.stopped["m2"] = false
-	w.eventually(30, "m2 lives again", func() bool { return w.all("m2", Alive) })
+	w.eventually(30, "m2 lives again", func() bool { return w.allReport("m2", Alive) })
 	for _, name := range w.names {
 		if w.machines["m2"].Status(name) == Dead {
 			t.Errorf("%s is dead to m2 after it stood still", name)
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -8,7 +8,7 @@
 )
 
 // News is what is passed on of a node.
-type News struct {
+type Update struct {
 	Name        membership.Name `cbor:"1,keyasint"`
 	Status      Status          `cbor:"2,keyasint"`
 	Incarnation Incarnation     `cbor:"3,keyasint"`
@@ -16,19 +16,19 @@
 }
 
 // What says what a message is.
-type What uint8
+type MessageKind uint8
 
 // Message is what members say to each other.
 type Message struct {
-	What        What            `cbor:"1,keyasint"`
+	Kind        MessageKind     `cbor:"1,keyasint"`
 	Seq         Seq             `cbor:"2,keyasint"`
 	Incarnation Incarnation     `cbor:"3,keyasint"` // the sender's own
 	Target      membership.Name `cbor:"4,keyasint,omitempty"`
-	News        []News          `cbor:"5,keyasint,omitempty"`
+	Updates     []Update        `cbor:"5,keyasint,omitempty"`
 }
 
-// Send is a message on its way out.
-type Send struct {
+// Outgoing is a message on its way out.
+type Outgoing struct {
 	To membership.Name
 	Message
 }
@@ -39,67 +39,67 @@
 	Was, Now Status
 }
 
-// Taken hands out what is to be sent and what changed since the last time.
-func (m *Machine) Taken() (out []Send, changes []Change) {
+// TakeOutput hands out what is to be sent and what changed since the last time.
+func (m *Machine) TakeOutput() (out []Outgoing, changes []Change) {
 	out, changes = m.out, m.changes
 	m.out, m.changes = nil, nil
 	return out, changes
 }
 
-// Heard notes a word of any kind: whoever speaks lives, though a suspicion is only ended by its own denial.
-func (m *Machine) Heard(now float64, from membership.Name) {
+// RecordContact notes a word of any kind: whoever speaks lives, though a suspicion is only ended by its own denial.
+func (m *Machine) RecordContact(now float64, from membership.Name) {
 	m.now = now
 	if x := m.byName[from]; x != nil {
-		x.heardAt, m.heard = now, now
+		x.receivedAt, m.receivedAt = now, now
 	}
 }
 
-// Hear takes a message.
-func (m *Machine) Hear(now float64, from membership.Name, msg *Message) {
+// Receive takes a message.
+func (m *Machine) Receive(now float64, from membership.Name, msg *Message) {
 	x := m.byName[from]
 	if x == nil {
 		return
 	}
-	m.Heard(now, from)
-	m.learn(News{Name: from, Status: Alive, Incarnation: msg.Incarnation})
-	for _, n := range msg.News {
-		m.learn(n)
+	m.RecordContact(now, from)
+	m.receiveUpdate(Update{Name: from, Status: Alive, Incarnation: msg.Incarnation})
+	for _, n := range msg.Updates {
+		m.receiveUpdate(n)
 	}
-	switch msg.What {
+	switch msg.Kind {
 	case Ping:
-		m.send(from, Message{What: Ack, Seq: msg.Seq})
-	case Through:
-		if to := m.byName[msg.Target]; to != nil && len(m.errands) < 4*len(m.members) {
+		m.send(from, Message{Kind: Ack, Seq: msg.Seq})
+	case PingRequest:
+		if to := m.byName[msg.Target]; to != nil && len(m.indirectProbes) < 4*len(m.members) {
 			m.seq++
-			m.errands = append(m.errands, errand{m.seq, from, msg.Seq, msg.Target, now + nackAfter*m.set.Timeout, now + 2*m.set.Period})
-			m.send(msg.Target, Message{What: Ping, Seq: m.seq})
+			m.indirectProbes = append(m.indirectProbes, indirectProbe{m.seq, from, msg.Seq, msg.Target, now + nackTimeoutFactor*m.settings.Timeout, now + 2*m.settings.Period})
+			m.send(msg.Target, Message{Kind: Ping, Seq: m.seq})
 		}
 	case Nack:
 		if msg.Seq == m.probe.seq {
 			m.probe.nacks++
 		}
 	case Ack:
-		if msg.Seq == m.probe.seq && !m.probe.ended {
-			m.probe.ended, m.doubt = true, max(0, m.doubt-1)
+		if msg.Seq == m.probe.seq && !m.probe.acknowledged {
+			m.probe.acknowledged, m.localHealth = true, max(0, m.localHealth-1)
 			return
 		}
-		for i, e := range m.errands {
+		for i, e := range m.indirectProbes {
 			if e.seq == msg.Seq && e.to == from {
-				m.send(e.asker, Message{What: Ack, Seq: e.their, Target: e.to})
-				m.errands = slices.Delete(m.errands, i, i+1)
+				m.send(e.requester, Message{Kind: Ack, Seq: e.requesterSeq, Target: e.to})
+				m.indirectProbes = slices.Delete(m.indirectProbes, i, i+1)
 				return
 			}
 		}
 	}
 }
 
-// learn takes a piece of news. What an older incarnation said counts no more.
-func (m *Machine) learn(n News) {
+// receiveUpdate takes a piece of news. What an older incarnation said counts no more.
+func (m *Machine) receiveUpdate(n Update) {
 	if n.Name == m.self {
-		if n.Status != Alive && n.Incarnation >= m.own { // deny it, and doubt ourselves: others did not hear us in time
-			m.own = n.Incarnation + 1
-			m.doubt = min(doubtMost, m.doubt+1)
-			m.pass(News{Name: m.self, Status: Alive, Incarnation: m.own})
+		if n.Status != Alive && n.Incarnation >= m.incarnation { // deny it, and doubt ourselves: others did not hear us in time
+			m.incarnation = n.Incarnation + 1
+			m.localHealth = min(maxLocalHealth, m.localHealth+1)
+			m.broadcast(Update{Name: m.self, Status: Alive, Incarnation: m.incarnation})
 		}
 		return
 	}
@@ -112,7 +112,7 @@
 	switch n.Status {
 	case Alive:
 		if newer {
-			m.act(x, denies)
+			m.apply(x, refuted)
 		}
 	case Suspect:
 		if newer && x.status == Dead {
@@ -121,29 +121,29 @@
 		if x.status == Alive {
 			x.accuser = n.By
 		}
-		m.act(x, doubted)
-		if x.status == Suspect && n.By != x.accuser && n.By != "" && !x.by[n.By] && len(x.by) < confirms {
-			x.by[n.By] = true
-			m.tell(x, n.By)
+		m.apply(x, suspectedByPeer)
+		if x.status == Suspect && n.By != x.accuser && n.By != "" && !x.confirmedBy[n.By] && len(x.confirmedBy) < maxConfirmations {
+			x.confirmedBy[n.By] = true
+			m.broadcastStatus(x, n.By)
 		}
 	case Dead:
-		m.act(x, condemned)
+		m.apply(x, declaredDead)
 	}
 }
 
 func (m *Machine) send(to membership.Name, msg Message) {
-	msg.Incarnation = m.own
+	msg.Incarnation = m.incarnation
 	if x := m.byName[to]; x != nil && x.status != Alive { // it first: so it can deny it
-		msg.News = append(msg.News, News{x.name, x.status, x.incarnation, m.self})
+		msg.Updates = append(msg.Updates, Update{x.name, x.status, x.incarnation, m.self})
 	}
-	most := int(math.Ceil(retell * m.size()))
-	slices.SortStableFunc(m.rumours, func(a, b rumour) int { return a.told - b.told })
-	for i := range m.rumours {
-		if r := &m.rumours[i]; len(msg.News) < perMessage && r.Name != to {
-			msg.News = append(msg.News, r.News)
-			r.told++
+	most := int(math.Ceil(retransmitFactor * m.logClusterSize()))
+	slices.SortStableFunc(m.pendingUpdates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
+	for i := range m.pendingUpdates {
+		if r := &m.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && r.Name != to {
+			msg.Updates = append(msg.Updates, r.Update)
+			r.transmissions++
 		}
 	}
-	m.rumours = slices.DeleteFunc(m.rumours, func(r rumour) bool { return r.told >= most })
-	m.out = append(m.out, Send{to, msg})
+	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(r pendingUpdate) bool { return r.transmissions >= most })
+	m.out = append(m.out, Outgoing{to, msg})
 }
--- a/internal/controlplane/fleet/failuredetector/wire_test.go
+++ b/internal/controlplane/fleet/failuredetector/wire_test.go
@@ -9,7 +9,7 @@
 // TestWireForms pins the encoded forms of the types that leave the process.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
-		goldentest.Form{Name: "news", Value: new(News)},
+		goldentest.Form{Name: "news", Value: new(Update)},
 		goldentest.Form{Name: "message", Value: new(Message)},
 	)
 }
@@ -22,7 +22,7 @@
 		goldentest.Constant{Have: Dead, Want: 4},
 		goldentest.Constant{Have: Ping, Want: 0},
 		goldentest.Constant{Have: Ack, Want: 1},
-		goldentest.Constant{Have: Through, Want: 2},
+		goldentest.Constant{Have: PingRequest, Want: 2},
 		goldentest.Constant{Have: Nack, Want: 3},
 	)
 }
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -28,123 +28,123 @@
 )
 
 const (
-	messagesPerTurn = 256 // or a flood would hold up what is due
+	maxMessagesPerTurn = 256 // or a flood would hold up what is due
 
-	turn        = 50 * time.Millisecond // of the control goroutine, where nothing comes sooner
-	askEvery    = 0.2                   // a lease is renewed some twenty times while it lasts
-	askSoonest  = 0.02                  // where a query found no token
-	readEvery   = 0.2                   // whether we still lead
-	reportEvery = 1.0
-	passEvery   = 0.25
-	introEvery  = 0.25
-	nonceFor    = 5.0 // a message and its answer, with links of 2 s
-	answerWait  = 0.6 // for the granter's answer, before another voter is asked who grants
-	commandWait = 10.0
-	muteFor     = 5.0  // a voter whose directory took nothing
-	reopenEvery = 0.25 // where another process still has our address or directory
-	mostReports = 2    // in a message: a datagram's worth
+	turnInterval          = 50 * time.Millisecond // of the control goroutine, where nothing comes sooner
+	requestInterval       = 0.2                   // a lease is renewed some twenty times while it lasts
+	urgentRequestInterval = 0.02                  // where a query found no token
+	readIndexInterval     = 0.2                   // whether we still lead
+	reportInterval        = 1.0
+	gossipInterval        = 0.25
+	introductionInterval  = 0.25
+	nonceLifetime         = 5.0 // a message and its answer, with links of 2 s
+	responseTimeout       = 0.6 // for the granter's answer, before another voter is asked who grants
+	commandTimeout        = 10.0
+	voterRestartDelay     = 5.0  // a voter whose directory took nothing
+	reopenInterval        = 0.25 // where another process still has our address or directory
+	maxReportsPerMessage  = 2    // in a message: a datagram's worth
 	// Shares of the settings' lease: how long a confirmed granter may act on that, and how long tokens and contracts last.
 	// With both, the clocks' slack and an election of 2 s the next granter is ready within a lease of 8 s or more.
 	authorityShare, tokenShare, contractShare = 0.15, 0.4, 0.5
-	// LeastLease is the shortest lease for which that holds.
-	LeastLease = 8.0
+	// MinLease is the shortest lease for which that holds.
+	MinLease = 8.0
 )
 
-// out is an asking on its way.
-type out struct {
-	no uint64
-	at float64
-	to membership.Name
+// pendingRequest is an asking on its way.
+type pendingRequest struct {
+	number  uint64
+	sentAt  float64
+	granter membership.Name
 }
 
 // Fleet is the actor.
 type Fleet struct {
-	set   Settings
-	tell  *eventqueue.Queue[aggregator.Event]
-	log   *zap.Logger
-	count *counters.Set
-	in    *eventqueue.Queue[note]
-	start time.Time
-	unix  float64
+	settings         Settings
+	aggregatorEvents *eventqueue.Queue[aggregator.Event]
+	logger           *zap.Logger
+	counters         *counters.Set
+	events           *eventqueue.Queue[event]
+	startedAt        time.Time
+	startUnix        float64
 
 	// What traffic reads.
-	view atomic.Pointer[view]
-	sure atomic.Uint64 // until when contracts are sure, as bits of a float
+	view                    atomic.Pointer[trafficView]
+	contractsConfirmedUntil atomic.Uint64 // until when contracts are sure, as bits of a float
 	// What the module's actor alone uses.
-	observed *outlier.Observed
-	cutAt    float64
+	observed           *outlier.Observer
+	observationsSentAt float64
 
 	// What follows belongs to the goroutine of control state.
-	now        float64
-	others     []membership.Name
-	strictHash uint64
-	sockets    *udptransport.Sockets
-	store      *aggregatorstore.Log
-	stored     aggregatorstore.LogContents
-	sealer     *sealedmessage.Sealer
-	members    *failuredetector.Machine
-	council    *consensus.Machine // nil where this one does not vote
-	saving     bool               // the council's work waits for the disk
-	failed     bool               // the directory took nothing: no vote any more
-	holder     *quota.Holder
-	granter    *quota.Granter
-	spread     *residency.Spread
-	outliers   *outlier.Store
-	lease      *residency.Lease
-	table      *residency.Table
-	quotas     map[quota.Tenant]quota.Quota
-	has        versions
-	holds      residency.Version
-	leader     membership.Name // who is asked
-	answeredAt float64
-	asked      []out
-	askNo      uint64
-	reads      map[consensus.ReadNo]float64
-	readNo     consensus.ReadNo
-	sureTo     float64 // until when we lead for sure
-	granted    bool    // we began to grant
-	term       uint64
-	nonce      uint64
-	heard      bool                                        // the council was heard, in this process or before
-	quotaOf    map[membership.Name]consensus.QuotasVersion // whose floors they go by
-	floorsAt   consensus.QuotasVersion                     // the same of us
-	quiet      float64                                     // until when one that led before may hand out older tables
-	unlike     map[membership.Name]bool                    // their file refuses other tenants where contracts are not sure
-	version    outlier.Version
-	judged     map[outlier.Backend]float64
-	holders    outlier.Holders
-	trouble    map[membership.Name]float64 // when a node was last told of its incarnation
-	waiting    []*command
-	deaf       bool
-	opening    string // why it is not open yet, as logged
-	due        struct{ council, ask, read, report, pass, intro, open, members, file, nonce, again float64 }
+	now                      float64
+	peers                    []membership.Name
+	strictHash               uint64
+	transport                *udptransport.Transport
+	store                    *aggregatorstore.Log
+	stored                   aggregatorstore.LogContents
+	sealer                   *sealedmessage.Sealer
+	detector                 *failuredetector.Machine
+	consensus                *consensus.Machine // nil where this one does not vote
+	saving                   bool               // the consensus's work waits for the disk
+	steppedOut               bool               // the directory took nothing: no vote any more
+	quotaClient              *quota.Client
+	granter                  *quota.Granter
+	rollout                  *residency.Rollout
+	reports                  *outlier.Store
+	contractLease            *residency.Lease
+	contracts                *residency.Table
+	quotas                   map[quota.Tenant]quota.Quota
+	versions                 tableVersions
+	appliedContracts         residency.Version
+	leader                   membership.Name // who is asked
+	leaderSeenAt             float64
+	pendingRequests          []pendingRequest
+	requestNumber            uint64
+	pendingReads             map[consensus.ReadNumber]float64
+	readNumber               consensus.ReadNumber
+	leadershipConfirmedUntil float64 // until when we lead for sure
+	granting                 bool    // we began to grant
+	term                     uint64
+	nonce                    uint64
+	tablesReceived           bool                                        // the consensus was heard, in this process or before
+	minimumsAppliedBy        map[membership.Name]consensus.QuotasVersion // whose minimums they go by
+	minimumsVersion          consensus.QuotasVersion                     // the same of us
+	previousLeaderUntil      float64                                     // until when one that led before may hand out older tables
+	differsInStrict          map[membership.Name]bool                    // their file refuses other tenants where contracts are not sure
+	reportVersion            outlier.Version
+	verdictAt                map[outlier.Backend]float64
+	shardReplicas            outlier.ShardReplicas
+	staleNotifiedAt          map[membership.Name]float64 // when a node was last told of its incarnation
+	pendingCommands          []*pendingCommand
+	isolated                 bool
+	openError                string // why it is not open yet, as logged
+	due                      struct{ consensus, requestGrants, read, report, gossipReports, intro, open, detector, file, nonce, again float64 }
 
-	released chan struct{}
-	stopping chan struct{}
-	stopped  chan struct{}
-	once     sync.Once
+	released    chan struct{}
+	stopping    chan struct{}
+	stopped     chan struct{}
+	releaseOnce sync.Once
 }
 
 // New makes the actor. Until its directory and address are open, and another process may hold both, it knows no contract
-// for sure and has neither tokens nor floors.
+// for sure and has neither tokens nor minimums.
 func New(set Settings, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) (*Fleet, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	f := &Fleet{set: set, tell: tell, log: log, count: count, in: eventqueue.New[note](), start: now, unix: float64(now.UnixNano()) / 1e9,
-		observed: outlier.NewObserved(), others: set.Roster.Others(set.Self), granter: quota.NewGranter(set.Lease * tokenShare),
-		lease: residency.NewLease(set.Lease*contractShare, set.Longest), reads: map[consensus.ReadNo]float64{}, trouble: map[membership.Name]float64{},
-		judged: map[outlier.Backend]float64{}, quotaOf: map[membership.Name]consensus.QuotasVersion{}, unlike: map[membership.Name]bool{}, strictHash: set.strictHash(),
+	f := &Fleet{settings: set, aggregatorEvents: tell, logger: log, counters: count, events: eventqueue.New[event](), startedAt: now, startUnix: float64(now.UnixNano()) / 1e9,
+		observed: outlier.NewObserver(), peers: set.Membership.Others(set.Self), granter: quota.NewGranter(set.Lease * tokenShare),
+		contractLease: residency.NewLease(set.Lease*contractShare, set.MaxDeadline), pendingReads: map[consensus.ReadNumber]float64{}, staleNotifiedAt: map[membership.Name]float64{},
+		verdictAt: map[outlier.Backend]float64{}, minimumsAppliedBy: map[membership.Name]consensus.QuotasVersion{}, differsInStrict: map[membership.Name]bool{}, strictHash: set.strictHash(),
 		released: make(chan struct{}), stopping: make(chan struct{}), stopped: make(chan struct{})}
 	f.now = f.Now()
-	f.holder = quota.NewHolder(set.Lease*tokenShare, len(set.Roster.Members))
+	f.quotaClient = quota.NewClient(set.Lease*tokenShare, len(set.Membership.Members))
 	var names []membership.Name
-	for _, m := range set.Roster.Members {
+	for _, m := range set.Membership.Members {
 		names = append(names, m.Name)
 	}
-	f.spread = residency.NewSpread(set.Lease*contractShare, names)
-	f.table = f.emptyTable()
+	f.rollout = residency.NewRollout(set.Lease*contractShare, names)
+	f.contracts = f.emptyTable()
 	f.publish()
 	f.open()
 	return f, nil
@@ -153,77 +153,77 @@
 // Now is the clock in Unix seconds, by its monotonic reading since the start.
 func (f *Fleet) Now() float64 { return f.seconds(time.Now()) }
 
-func (f *Fleet) seconds(t time.Time) float64 { return f.unix + t.Sub(f.start).Seconds() }
+func (f *Fleet) seconds(t time.Time) float64 { return f.startUnix + t.Sub(f.startedAt).Seconds() }
 
 // open opens directory and address, where that was not done. The process before this one lets go of both as it begins to
 // stop.
 func (f *Fleet) open() {
-	err := f.tryOpen()
+	err := f.openAll()
 	if err == nil {
-		if f.opening != "" {
-			f.log.Info("fleet: address and directory are ours")
+		if f.openError != "" {
+			f.logger.Info("fleet: address and directory are ours")
 		}
-		f.opening = ""
+		f.openError = ""
 		return
 	}
-	f.due.open = f.now + reopenEvery
-	if text := err.Error(); text != f.opening {
-		f.opening = text
-		f.log.Error("fleet: not open, no floors and no leases until it is", zap.String("text", text))
+	f.due.open = f.now + reopenInterval
+	if text := err.Error(); text != f.openError {
+		f.openError = text
+		f.logger.Error("fleet: not open, no floors and no leases until it is", zap.String("text", text))
 	}
 }
 
-func (f *Fleet) tryOpen() (err error) {
-	if f.set.Directory != "" && f.store == nil {
-		if f.store, f.stored, err = aggregatorstore.OpenLog(f.set.Directory, 0, f.log); err != nil {
+func (f *Fleet) openAll() (err error) {
+	if f.settings.Directory != "" && f.store == nil {
+		if f.store, f.stored, err = aggregatorstore.OpenLog(f.settings.Directory, 0, f.logger); err != nil {
 			return err
 		}
 	}
-	if f.sockets == nil {
+	if f.transport == nil {
 		addresses := map[membership.Name]string{}
-		for _, name := range f.others {
-			addresses[name] = f.set.Roster.Find(name).Address
+		for _, name := range f.peers {
+			addresses[name] = f.settings.Membership.Find(name).Address
 		}
-		if f.sockets, err = udptransport.Listen(f.set.Roster.Find(f.set.Self).Address, addresses, f.count); err != nil {
+		if f.transport, err = udptransport.Listen(f.settings.Membership.Find(f.settings.Self).Address, addresses, f.counters); err != nil {
 			return err
 		}
 	}
-	return f.begin()
+	return f.startMachines()
 }
 
-// begin makes the machines from what was kept.
-func (f *Fleet) begin() (err error) {
-	incarnation := sealedmessage.Incarnation(f.unix * 1e9)
+// startMachines makes the machines from what was kept.
+func (f *Fleet) startMachines() (err error) {
+	incarnation := sealedmessage.Incarnation(f.startUnix * 1e9)
 	kept := f.readTables()
 	incarnation = max(incarnation, kept.Incarnation+1)
-	lim := sealedmessage.Limits{BytesPerS: mostBytes, Burst: 2 * sealedmessage.MostLong}
-	if f.sealer, err = sealedmessage.New(f.set.Self, incarnation, f.set.Key, f.others, lim); err != nil {
+	lim := sealedmessage.Limits{BytesPerS: maxPeerBytesPerSecond, Burst: 2 * sealedmessage.MaxBytes}
+	if f.sealer, err = sealedmessage.New(f.settings.Self, incarnation, f.settings.Key, f.peers, lim); err != nil {
 		return err
 	}
-	f.members = failuredetector.New(failuredetector.Defaults(), f.set.Self, failuredetector.Incarnation(incarnation), f.others, f.set.Seed, f.now)
-	f.outliers = outlier.NewStore(f.set.Self, f.others, f.set.Seed^0x5bd1e995)
-	f.version = outlier.Version(incarnation)
+	f.detector = failuredetector.New(failuredetector.Defaults(), f.settings.Self, failuredetector.Incarnation(incarnation), f.peers, f.settings.Seed, f.now)
+	f.reports = outlier.NewStore(f.settings.Self, f.peers, f.settings.Seed^0x5bd1e995)
+	f.reportVersion = outlier.Version(incarnation)
 	if kept.Table != nil {
-		f.table, f.has.Contracts = kept.Table, kept.Table.Version
+		f.contracts, f.versions.Contracts = kept.Table, kept.Table.Version
 	}
-	// The file's quotas are the council's to hear: a floor counts only once all others know that it is this node's.
-	f.quotas, f.has.Quotas = kept.Quotas, kept.QuotasAt
+	// The file's quotas are the consensus's to hear: a minimum counts only once all others know that it is this node's.
+	f.quotas, f.versions.Quotas = kept.Quotas, kept.QuotasAt
 	f.saveTables()
-	if f.set.Roster.Find(f.set.Self).Votes {
-		if err := f.seat(&f.stored); err != nil { // the node takes part all the same, but for its vote
-			f.mute(err)
+	if f.settings.Membership.Find(f.settings.Self).Votes {
+		if err := f.startVoter(&f.stored); err != nil { // the node takes part all the same, but for its vote
+			f.stepOut(err)
 		}
 	}
 	f.stored = aggregatorstore.LogContents{ID: f.stored.ID}
 	f.publish()
-	f.rezone()
+	f.publishZones()
 	return nil
 }
 
 // Release lets go of address and directory, and ends all talk: another process of this node may begin. What tokens and
-// contracts this one has it keeps until they run out, but no floors, which are the other's from now on.
+// contracts this one has it keeps until they run out, but no minimums, which are the other's from now on.
 func (f *Fleet) Release() {
-	f.once.Do(func() { f.in.Put(note{kind: released}) })
+	f.releaseOnce.Do(func() { f.events.Put(event{kind: releaseRequested}) })
 	select {
 	case <-f.released:
 	case <-f.stopped:
@@ -237,15 +237,15 @@
 }
 
 func (f *Fleet) close() {
-	if f.sockets != nil {
-		f.sockets.Close()
-		f.sockets = nil
+	if f.transport != nil {
+		f.transport.Close()
+		f.transport = nil
 	}
 	if f.store != nil {
 		f.store.Stop()
 		f.store = nil
 	}
-	f.refuseAll("the mixer stops")
+	f.rejectCommands("the mixer stops")
 }
 
 func (f *Fleet) isReleased() bool {
@@ -257,5 +257,5 @@
 	}
 }
 
-// mostBytes a second that one other node may send us: some hundred askings, and a table of contracts now and then.
-const mostBytes = 512 << 10
+// maxPeerBytesPerSecond a second that one other node may send us: some hundred requests, and a table of contracts now and then.
+const maxPeerBytesPerSecond = 512 << 10
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -16,34 +16,34 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-func good() Settings {
-	return Settings{Self: "a", Location: "north", Lease: 8, Longest: 2, Directory: "/nowhere",
-		Roster: membership.Roster{Version: 1, Members: []membership.Member{{Name: "a", Address: "127.0.0.1:1", Location: "north", Votes: true},
+func validSettings() Settings {
+	return Settings{Self: "a", Location: "north", Lease: 8, MaxDeadline: 2, Directory: "/nowhere",
+		Membership: membership.Set{Version: 1, Members: []membership.Member{{Name: "a", Address: "127.0.0.1:1", Location: "north", Votes: true},
 			{Name: "b", Address: "127.0.0.1:2", Location: "south", Votes: true}, {Name: "c", Address: "127.0.0.1:3", Location: "north", Votes: true}}},
-		Site:  residency.Site{Zones: []string{"north", "south"}, Indexes: []string{"reads"}, Tenants: []string{"acme"}},
+		Names: residency.NameSpace{Zones: []string{"north", "south"}, Indexes: []string{"reads"}, Tenants: []string{"acme"}},
 		Lines: map[string]int{LineFleet: 2, LineStrict: 9, ContractLine("x"): 11, QuotaLine("x"): 17}}
 }
 
 // What file and settings say against each other is told with the file's line and what was expected.
-func TestMistakesAgainstTheSettings(t *testing.T) {
-	if s := good(); s.Check() != nil {
+func TestSettingsAreValidated(t *testing.T) {
+	if s := validSettings(); s.Check() != nil {
 		t.Fatal(s.Check())
 	}
 	for want, change := range map[string]func(*Settings){
 		`line 2: fleet.roster: no mixer is named "z", as this one is`:         func(s *Settings) { s.Self = "z" },
 		`line 2: fleet.directory: expected one, as "a" votes`:                 func(s *Settings) { s.Directory = "" },
-		`line 2: fleet.roster: location "west" of "b" is none`:                func(s *Settings) { s.Roster.Members[1].Location = "west" },
-		"line 2: fleet.lease_s is 8, expected 10 or more":                     func(s *Settings) { s.Longest = 4 },
+		`line 2: fleet.roster: location "west" of "b" is none`:                func(s *Settings) { s.Membership.Members[1].Location = "west" },
+		"line 2: fleet.lease_s is 8, expected 10 or more":                     func(s *Settings) { s.MaxDeadline = 4 },
 		`line 9: contracts.strict: tenant "x" is none that the settings know`: func(s *Settings) { s.Strict = []string{"x"} },
 		`line 11: contracts: tenant "x" is none that the settings know, expected one of ["acme"]`: func(s *Settings) {
-			s.File.Contracts = map[residency.Tenant]residency.Contract{"x": {Zones: []string{"north"}}}
+			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"x": {Zones: []string{"north"}}}
 		},
 		`contracts: zone "mars" of tenant "acme" is none`: func(s *Settings) {
-			s.File.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"mars"}}}
+			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"mars"}}}
 		},
-		`line 17: quotas: tenant "x" is none`: func(s *Settings) { s.File.Quotas = map[quota.Tenant]quota.Quota{"x": {PerS: 1, Burst: 1}} },
+		`line 17: quotas: tenant "x" is none`: func(s *Settings) { s.FileTables.Quotas = map[quota.Tenant]quota.Quota{"x": {PerS: 1, Burst: 1}} },
 	} {
-		s := good()
+		s := validSettings()
 		change(&s)
 		if err := s.Check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, expected %q", err, want)
@@ -60,12 +60,12 @@
 	return l.Addr().String()
 }
 
-// alone is a fleet whose others are not there, on addresses that were free a moment ago.
-func alone(t testing.TB, change func(*Settings)) *Fleet {
-	s := good()
+// startAlone is a fleet whose others are not there, on addresses that were free a moment ago.
+func startAlone(t testing.TB, change func(*Settings)) *Fleet {
+	s := validSettings()
 	s.Directory = t.TempDir()
-	for i := range s.Roster.Members {
-		s.Roster.Members[i].Address = freeAddress(t)
+	for i := range s.Membership.Members {
+		s.Membership.Members[i].Address = freeAddress(t)
 	}
 	if change != nil {
 		change(&s)
@@ -79,17 +79,17 @@
 	return f
 }
 
-// A node that never heard the council refuses strict tenants, and all tenants where quotas are held, as it does not know
+// A node that never heard the consensus refuses strict tenants, and all tenants where quotas are held, as it does not know
 // which have one; without either it takes all.
-func TestAloneFromTheStart(t *testing.T) {
+func TestAdmissionOfANodeWithoutTables(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Settings)
 		want   string
-	}{{nil, ""}, {func(s *Settings) { s.HasQuotas = true }, refusedQuota}, {func(s *Settings) { s.Strict = []string{"*"} }, refusedUnsure},
+	}{{nil, ""}, {func(s *Settings) { s.HasQuotas = true }, refusedQuota}, {func(s *Settings) { s.Strict = []string{"*"} }, refusedUnconfirmed},
 		{func(s *Settings) {
-			s.File.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"south"}, Own: true}}
+			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"south"}, Own: true}}
 		}, refusedElsewhere}} {
-		if v := alone(t, c.change).Admit(0, 0); v.Refused != c.want {
+		if v := startAlone(t, c.change).Admit(0, 0); v.Refused != c.want {
 			t.Errorf("refused as %q, expected %q", v.Refused, c.want)
 		}
 	}
@@ -97,14 +97,14 @@
 
 // Messages that can't be read, of kinds that are not known, or that answer nothing we asked, change nothing and end nothing.
 func FuzzMessages(f *testing.F) {
-	fl := alone(f, nil)
+	fl := startAlone(f, nil)
 	for kind := range byte(12) {
 		f.Add(kind, []byte{0xa1, 1, 2})
 		f.Add(kind, []byte{})
 	}
 	f.Fuzz(func(t *testing.T, kind byte, body []byte) {
 		done := make(chan struct{})
-		fl.in.Put(note{kind: asked, ask: func() {
+		fl.events.Put(event{kind: callRequested, call: func() {
 			defer close(done)
 			if handle := handlers[sealedmessage.Kind(kind)]; handle != nil {
 				handle(fl, "b", body)
@@ -119,7 +119,7 @@
 
 // Admission costs next to nothing, whatever the control state does.
 func BenchmarkAdmit(b *testing.B) {
-	f := alone(b, nil)
+	f := startAlone(b, nil)
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			f.Admit(0, 0)
--- a/internal/controlplane/fleet/judgements.go
+++ b/internal/controlplane/fleet/judgements.go
@@ -11,72 +11,72 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// saw takes what this node saw itself.
-func (f *Fleet) saw(seen []outlier.Seen) {
-	if f.members == nil {
+// recordObservations takes what this node saw itself.
+func (f *Fleet) recordObservations(seen []outlier.Observation) {
+	if f.detector == nil {
 		return
 	}
-	f.version++
-	r := outlier.Make(f.set.Self, f.version, seen)
-	f.outliers.Hear(f.now, &r)
+	f.reportVersion++
+	r := outlier.NewReport(f.settings.Self, f.reportVersion, seen)
+	f.reports.Receive(f.now, &r)
 }
 
-func (f *Fleet) reported(_ membership.Name, r *reports) {
+func (f *Fleet) receiveReports(_ membership.Name, r *reportBatch) {
 	for i := range r.List {
-		f.outliers.Hear(f.now, &r.List[i])
+		f.reports.Receive(f.now, &r.List[i])
 	}
 }
 
-func (f *Fleet) pass() {
-	alive := func(name membership.Name) bool { return f.members.Status(name) != failuredetector.Dead }
-	to, list := f.outliers.Pass(f.now, alive, mostReports)
+func (f *Fleet) gossipReports() {
+	alive := func(name membership.Name) bool { return f.detector.Status(name) != failuredetector.Dead }
+	to, list := f.reports.NextGossip(f.now, alive, maxReportsPerMessage)
 	if len(list) == 0 {
 		return
 	}
-	fault := failpoint.Pass(failpoint.TellReport)
+	fault := failpoint.Pass(failpoint.SendReports)
 	for _, name := range to {
 		for range fault.Times() {
-			f.send(name, messageReports, reports{list})
+			f.send(name, messageReports, reportBatch{list})
 		}
 	}
 }
 
-// judge hands the module what others found. A node that hears nothing decides as if it were alone.
-func (f *Fleet) judge() {
-	var list []outlier.Judgement
-	if !f.members.Deaf() && !failpoint.Pass(failpoint.JudgeBackends).Drop {
-		list = f.outliers.Judge(f.now, f.holders)
+// publishVerdicts hands the module what others found. A node that hears nothing decides as if it were alone.
+func (f *Fleet) publishVerdicts() {
+	var list []outlier.Verdict
+	if !f.detector.Isolated() && !failpoint.Pass(failpoint.DetectOutliers).Drop {
+		list = f.reports.Verdicts(f.now, f.shardReplicas)
 	}
 	var tell []aggregator.Judged
 	for _, j := range list {
-		if _, before := f.judged[j.Backend]; !before {
-			f.count.Add("fleet", "judged", 1)
-			f.log.Info("fleet: judged by others",
+		if _, before := f.verdictAt[j.Backend]; !before {
+			f.counters.Add("fleet", "judged", 1)
+			f.logger.Info("fleet: judged by others",
 				zap.String("searcher", string(j.Backend)),
-				zap.Float64("times", j.Times),
+				zap.Float64("times", j.LatencyFactor),
 				zap.Any("witnesses", j.Witnesses))
 		}
-		f.judged[j.Backend] = f.now
-		tell = append(tell, aggregator.Judged{Backend: string(j.Backend), Times: j.Times, For: outlier.HeldFor})
+		f.verdictAt[j.Backend] = f.now
+		tell = append(tell, aggregator.Judged{Backend: string(j.Backend), Times: j.LatencyFactor, For: outlier.VerdictSeconds})
 	}
-	for name, at := range f.judged {
-		if f.now-at > outlier.HeldFor {
-			delete(f.judged, name)
+	for name, at := range f.verdictAt {
+		if f.now-at > outlier.VerdictSeconds {
+			delete(f.verdictAt, name)
 		}
 	}
 	if len(tell) > 0 {
-		f.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Judged: tell})
+		f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Judged: tell})
 	}
 }
 
-// list works out who holds which shards, by the cells.
-func (f *Fleet) list(places []aggregator.Place) {
-	cells, width := max(1, f.set.Layout.Cells), max(1, f.set.Layout.Width)
-	f.holders = make(outlier.Holders, cells)
+// setBackends works out who holds which shards, by the cells.
+func (f *Fleet) setBackends(places []aggregator.Place) {
+	cells, width := max(1, f.settings.Layout.Cells), max(1, f.settings.Layout.Width)
+	f.shardReplicas = make(outlier.ShardReplicas, cells)
 	for _, p := range places {
 		for j := range width {
 			c := ((int(p.Cell)-j)%cells + cells) % cells
-			f.holders[c] = append(f.holders[c], outlier.Backend(p.Name))
+			f.shardReplicas[c] = append(f.shardReplicas[c], outlier.Backend(p.Name))
 		}
 	}
 }
--- a/internal/controlplane/fleet/membership/membership.go
+++ b/internal/controlplane/fleet/membership/membership.go
@@ -1,5 +1,5 @@
 // Package membership says which nodes make a fleet: names, addresses, locations, and who votes. It does no I/O and decides
-// nothing but whether a roster can be one.
+// nothing but whether a membership can be one.
 package membership
 
 import (
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Name is a node's, as the roster has it.
+// Name is a node's, as the membership has it.
 type Name string
 
 // Member is one node.
@@ -19,30 +19,30 @@
 	Votes    bool
 }
 
-// Roster is all of them, in one order everywhere.
-type Roster struct {
+// Set is all of them, in one order everywhere.
+type Set struct {
 	Version int
 	Members []Member
 }
 
 const (
-	// FewestVoters is how many a council has at the least: with fewer no voter may fail.
-	FewestVoters = 3
-	// MostVoters is how many it has at most: with more each decision waits for more disks than it gains in safety
+	// MinVoters is how many a consensus has at the least: with fewer no voter may fail.
+	MinVoters = 3
+	// MaxVoters is how many it has at most: with more each decision waits for more disks than it gains in safety
 	// (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4).
-	MostVoters = 7
-	// most nodes: far over any fleet asked for, so that a file's slip does not size tables.
-	most = 4096
+	MaxVoters = 7
+	// maxMembers nodes: far over any fleet asked for, so that a file's slip does not size tables.
+	maxMembers = 4096
 )
 
-// Check tells all that is wrong with a roster.
-func (r *Roster) Check() (wrong []string) {
+// Check tells all that is wrong with a membership.
+func (r *Set) Check() (wrong []string) {
 	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
 	if r.Version < 1 {
 		say("version is %d, expected 1 or more", r.Version)
 	}
-	if len(r.Members) > most {
-		say("has %d mixers, expected at most %d", len(r.Members), most)
+	if len(r.Members) > maxMembers {
+		say("has %d mixers, expected at most %d", len(r.Members), maxMembers)
 	}
 	names, addresses := map[Name]bool{}, map[string]bool{}
 	for _, m := range r.Members {
@@ -59,14 +59,14 @@
 		}
 		names[m.Name], addresses[m.Address] = true, true
 	}
-	if n := len(r.Voters()); n < FewestVoters || n > MostVoters || n%2 == 0 {
+	if n := len(r.Voters()); n < MinVoters || n > MaxVoters || n%2 == 0 {
 		say("%d mixers vote, expected 3, 5 or 7", n)
 	}
 	return wrong
 }
 
 // Find is the member of a name, nil if none has it.
-func (r *Roster) Find(name Name) *Member {
+func (r *Set) Find(name Name) *Member {
 	if i := slices.IndexFunc(r.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
 		return &r.Members[i]
 	}
@@ -74,7 +74,7 @@
 }
 
 // Voters lists who votes.
-func (r *Roster) Voters() (names []Name) {
+func (r *Set) Voters() (names []Name) {
 	for _, m := range r.Members {
 		if m.Votes {
 			names = append(names, m.Name)
@@ -84,7 +84,7 @@
 }
 
 // Others lists all but one.
-func (r *Roster) Others(self Name) (names []Name) {
+func (r *Set) Others(self Name) (names []Name) {
 	for _, m := range r.Members {
 		if m.Name != self {
 			names = append(names, m.Name)
--- a/internal/controlplane/fleet/messages.go
+++ b/internal/controlplane/fleet/messages.go
@@ -13,77 +13,77 @@
 
 // Kinds of messages.
 const (
-	messageMembers sealedmessage.Kind = 1 + iota
-	messageCouncil
-	messageIntro
-	messageAsk
-	messageGrant
+	messageFailureDetector sealedmessage.Kind = 1 + iota
+	messageConsensus
+	messageIntroduction
+	messageGrantRequest
+	messageGrantResponse
 	messageReports
-	messageCommand
-	messageResult
-	messageNewer
+	messageCommandRequest
+	messageCommandResponse
+	messageStaleIncarnation
 )
 
-// asking is what each node asks the granter a few times a second: whether its contracts are the newest, for tokens, and
+// grantRequest is what each node asks the granter a few times a second: whether its contracts are the newest, for tokens, and
 // what it tells at the same time.
-type asking struct {
-	No        uint64                  `cbor:"1,keyasint"`
-	Roster    int                     `cbor:"2,keyasint"`
-	Strict    uint64                  `cbor:"3,keyasint"` // a hash of which tenants are refused where contracts are not sure
-	Contracts residency.Version       `cbor:"4,keyasint"` // the table it has
-	Holds     residency.Version       `cbor:"5,keyasint"` // that all its part calls go by
-	Quotas    consensus.QuotasVersion `cbor:"6,keyasint"`
-	Asks      []quota.Ask             `cbor:"7,keyasint,omitempty"`
-	Floors    consensus.QuotasVersion `cbor:"8,keyasint"` // whose floors it goes by, whatever becomes of its process
+type grantRequest struct {
+	Number            uint64                  `cbor:"1,keyasint"`
+	MembershipVersion int                     `cbor:"2,keyasint"`
+	StrictHash        uint64                  `cbor:"3,keyasint"` // a hash of which tenants are refused where contracts are not sure
+	Contracts         residency.Version       `cbor:"4,keyasint"` // the table it has
+	AppliedContracts  residency.Version       `cbor:"5,keyasint"` // that all its part calls go by
+	Quotas            consensus.QuotasVersion `cbor:"6,keyasint"`
+	Requests          []quota.Request         `cbor:"7,keyasint,omitempty"`
+	MinimumsVersion   consensus.QuotasVersion `cbor:"8,keyasint"` // whose minimums it goes by, whatever becomes of its process
 }
 
-// granting answers it. Without Sure the answerer does not grant, and Leader says who may.
-type granting struct {
-	No       uint64                       `cbor:"1,keyasint"`
-	Sure     bool                         `cbor:"2,keyasint,omitempty"`
-	Leader   membership.Name              `cbor:"3,keyasint,omitempty"`
-	Versions versions                     `cbor:"4,keyasint"`
-	Table    *residency.Table             `cbor:"5,keyasint,omitempty"` // where the asker had another
-	Quotas   map[quota.Tenant]quota.Quota `cbor:"6,keyasint,omitempty"` // the same
-	Grants   []quota.Grant                `cbor:"7,keyasint,omitempty"`
+// grantResponse answers it. Without Sure the answerer does not grant, and Leader says who may.
+type grantResponse struct {
+	Number    uint64                       `cbor:"1,keyasint"`
+	Confirmed bool                         `cbor:"2,keyasint,omitempty"`
+	Leader    membership.Name              `cbor:"3,keyasint,omitempty"`
+	Versions  tableVersions                `cbor:"4,keyasint"`
+	Table     *residency.Table             `cbor:"5,keyasint,omitempty"` // where the asker had another
+	Quotas    map[quota.Tenant]quota.Quota `cbor:"6,keyasint,omitempty"` // the same
+	Grants    []quota.Grant                `cbor:"7,keyasint,omitempty"`
 }
 
-// versions are those of the tables that hold.
-type versions struct {
+// tableVersions are those of the tables that hold.
+type tableVersions struct {
 	Contracts residency.Version       `cbor:"1,keyasint"`
 	Quotas    consensus.QuotasVersion `cbor:"2,keyasint"`
 }
 
 // handed is a command on its way to the leader, and what came of it on its way back.
-type handed struct {
-	No      uint64            `cbor:"1,keyasint"`
+type commandRequest struct {
+	Number  uint64            `cbor:"1,keyasint"`
 	Command consensus.Command `cbor:"2,keyasint"`
-	Query   *query            `cbor:"3,keyasint,omitempty"`
+	Query   *progressQuery    `cbor:"3,keyasint,omitempty"`
 }
 
-type handedBack struct {
-	No       uint64              `cbor:"1,keyasint"`
+type commandResponse struct {
+	Number   uint64              `cbor:"1,keyasint"`
 	Result   Result              `cbor:"2,keyasint"`
 	Progress *residency.Progress `cbor:"3,keyasint,omitempty"`
 }
 
-// query asks the leader how far a version got.
-type query struct {
+// progressQuery asks the leader how far a version got.
+type progressQuery struct {
 	Version residency.Version `cbor:"1,keyasint"`
 	Tenant  quota.Tenant      `cbor:"2,keyasint"`
 }
 
-// newer tells a node that messages of a higher incarnation came under its name.
-type newer struct {
-	Known sealedmessage.Incarnation `cbor:"1,keyasint"`
+// staleIncarnation tells a node that messages of a higher incarnation came under its name.
+type staleIncarnation struct {
+	Highest sealedmessage.Incarnation `cbor:"1,keyasint"`
 }
 
-// reports are those of some origins.
-type reports struct {
+// reportBatch are those of some origins.
+type reportBatch struct {
 	List []outlier.Report `cbor:"1,keyasint"`
 }
 
-func packed(v any) []byte {
+func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
 		panic(err) // plain structures
@@ -91,9 +91,9 @@
 	return b
 }
 
-// unpacked reads a message's body; the decoder bounds depth and sizes by itself. A message that can't be read is dropped,
+// decode reads a message's body; the decoder bounds depth and sizes by itself. A message that can't be read is dropped,
 // which its sender takes for a lost one.
-func unpacked[T any](body []byte) (v T, err error) {
+func decode[T any](body []byte) (v T, err error) {
 	err = cbor.Unmarshal(body, &v)
 	return v, err
 }
--- a/internal/controlplane/fleet/outlier/outlier.go
+++ b/internal/controlplane/fleet/outlier/outlier.go
@@ -2,7 +2,7 @@
 // itself, by origin and version, so that it may come late, twice and in any order; what it was told it only passes on.
 // It does no I/O, reads no clock and starts no goroutine.
 //
-// A judgement needs several witnesses, none of whom finds fault with nearly everybody, ends by itself, and leaves each
+// A verdict needs several witnesses, none of whom finds fault with nearly everybody, ends by itself, and leaves each
 // shard most of its holders. It only ever stands in for evidence that a node lacks: logic says where it counts.
 package outlier
 
@@ -23,7 +23,7 @@
 type Version uint64
 
 // Seen is what one node saw of one backend of late.
-type Seen struct {
+type Observation struct {
 	Backend Backend `cbor:"1,keyasint" json:"Searcher"`
 	Calls   int     `cbor:"2,keyasint" json:"Calls"`
 	Failed  int     `cbor:"3,keyasint,omitempty" json:"Failed"`  // as many of them as fail of late
@@ -32,66 +32,66 @@
 
 // Report is what one node saw of all. Age is how old it was when it was sent on, so that no two clocks are compared.
 type Report struct {
-	Origin  membership.Name `cbor:"1,keyasint"`
-	Version Version         `cbor:"2,keyasint"`
-	Age     float64         `cbor:"3,keyasint"`
-	Usual   float64         `cbor:"4,keyasint"` // median over backends of Latency
-	Of      int             `cbor:"5,keyasint"` // backends of which it saw enough
-	Bad     int             `cbor:"6,keyasint"` // of them, that it finds fault with
-	Seen    []Seen          `cbor:"7,keyasint"` // the worst first, then those called most
+	Origin       membership.Name `cbor:"1,keyasint"`
+	Version      Version         `cbor:"2,keyasint"`
+	Age          float64         `cbor:"3,keyasint"`
+	Usual        float64         `cbor:"4,keyasint"` // median over backends of Latency
+	Evaluated    int             `cbor:"5,keyasint"` // backends of which it saw enough
+	Bad          int             `cbor:"6,keyasint"` // of them, that it finds fault with
+	Observations []Observation   `cbor:"7,keyasint"` // the worst first, then those called most
 }
 
-// Judgement is what is made of a backend.
-type Judgement struct {
-	Backend   Backend           `json:"searcher"`
-	Times     float64           `json:"times"` // of the usual latency
-	Witnesses []membership.Name `json:"witnesses"`
+// Verdict is what is made of a backend.
+type Verdict struct {
+	Backend       Backend           `json:"searcher"`
+	LatencyFactor float64           `json:"times"` // of the usual latency
+	Witnesses     []membership.Name `json:"witnesses"`
 }
 
 const (
-	enough     = 3   // calls of which a share says something
-	failing    = 0.5 // share of calls that fail, from which a backend is found bad
-	crawling   = 4.0 // times the usual latency, from which it is
-	failTimes  = 8.0 // usual latencies that one that fails counts for
-	witnesses  = 2   // at the least
-	agreeing   = 0.5 // share of those who saw it that have to find it bad
-	sickFrom   = 1.0 / 3
-	mostEach   = 16 // backends that a report names: with names of 64 bytes still a datagram
-	ageMost    = 10.0
-	holdersOut = 0.5 // share of a shard's holders that may be judged
-	fan        = 2   // others that a report is passed on to at a time
-	retell     = 2   // times that it is: with that nearly all of a fleet hear of it (Demers and others, 1987)
-	// fadingS is the time over which calls seen are forgotten; latest is the weight of a new one in the rest: a node calls
+	minCalls             = 3   // calls of which a share says something
+	maxFailureShare      = 0.5 // share of calls that fail, from which a backend is found bad
+	slowFactor           = 4.0 // times the usual latency, from which it is
+	failureLatencyFactor = 8.0 // usual latencies that one that fails counts for
+	minWitnesses         = 2   // at the least
+	minAgreement         = 0.5 // share of those who saw it that have to find it bad
+	unhealthyShare       = 1.0 / 3
+	maxObservations      = 16 // backends that a report names: with names of 64 bytes still a datagram
+	maxReportAge         = 10.0
+	maxReplicaShare      = 0.5 // share of a shard's holders that may be judged
+	gossipFanout         = 2   // others that a report is passed on to at a time
+	maxTransmissions     = 2   // times that it is: with that nearly all of a fleet hear of it (Demers and others, 1987)
+	// decaySeconds is the time over which calls seen are forgotten; latest is the weight of a new one in the rest: a node calls
 	// a backend that it finds slow no more, so that a few calls have to say it.
-	fadingS = 10.0
-	latest  = 0.3
+	decaySeconds  = 10.0
+	newCallWeight = 0.3
 )
 
-// HeldFor is how long a judgement stands after it was last made.
-const HeldFor = 3.0
+// VerdictSeconds is how long a verdict stands after it was last made.
+const VerdictSeconds = 3.0
 
 // Bad tells whether somebody whose usual latency that is finds fault with a backend.
-func (s *Seen) Bad(usual float64) bool {
-	return s.Calls >= enough && (float64(s.Failed) > failing*float64(s.Calls) || usual > 0 && s.Latency > crawling*usual)
+func (s *Observation) Bad(usual float64) bool {
+	return s.Calls >= minCalls && (float64(s.Failed) > maxFailureShare*float64(s.Calls) || usual > 0 && s.Latency > slowFactor*usual)
 }
 
-// times is how many usual latencies a backend counts for.
-func (s *Seen) times(usual float64) float64 {
-	return max(s.Latency/max(usual, 1e-6), failTimes*float64(s.Failed)/float64(max(1, s.Calls)))
+// latencyFactor is how many usual latencies a backend counts for.
+func (s *Observation) latencyFactor(usual float64) float64 {
+	return max(s.Latency/max(usual, 1e-6), failureLatencyFactor*float64(s.Failed)/float64(max(1, s.Calls)))
 }
 
 // tally is what a node saw of one backend, fading.
 type tally struct{ calls, failing, latency, at float64 }
 
-func (t *tally) fade(now float64) {
-	t.calls, t.at = t.calls*math.Exp((t.at-now)/fadingS), now
+func (t *tally) decay(now float64) {
+	t.calls, t.at = t.calls*math.Exp((t.at-now)/decaySeconds), now
 }
 
-// Observed counts what a node sees itself. The module's actor uses it.
-type Observed struct{ tallies map[Backend]*tally }
+// Observer counts what a node sees itself. The module's actor uses it.
+type Observer struct{ tallies map[Backend]*tally }
 
-// NewObserved has counted nothing yet.
-func NewObserved() *Observed { return &Observed{map[Backend]*tally{}} }
+// NewObserver has counted nothing yet.
+func NewObserver() *Observer { return &Observer{map[Backend]*tally{}} }
 
 // End is how a call ended, as far as it says something of its backend.
 type End uint8
@@ -100,139 +100,141 @@
 const (
 	Answered End = iota
 	Failed
-	GivenUp // by us, before it ended: it says something only where it had taken longer than others
+	Canceled // by us, before it ended: it says something only where it had taken longer than others
 )
 
-// Ended counts a call that ended so many seconds after it was sent.
-func (o *Observed) Ended(now float64, s Backend, how End, elapsed float64) {
+// RecordCall counts a call that ended so many seconds after it was sent.
+func (o *Observer) RecordCall(now float64, s Backend, how End, elapsed float64) {
 	t := o.tallies[s]
 	switch {
-	case how == GivenUp && (t == nil || elapsed <= t.latency):
+	case how == Canceled && (t == nil || elapsed <= t.latency):
 		return
 	case t == nil:
 		t = &tally{at: now, latency: elapsed}
 		o.tallies[s] = t
 	}
-	t.fade(now)
+	t.decay(now)
 	t.calls++
 	failed := 0.0
 	if how == Failed {
 		failed = 1
 	}
-	t.latency += latest * (elapsed - t.latency)
-	t.failing += latest * (failed - t.failing)
+	t.latency += newCallWeight * (elapsed - t.latency)
+	t.failing += newCallWeight * (failed - t.failing)
 }
 
-// Cut is what is to be told of now. What has faded to nothing is forgotten.
-func (o *Observed) Cut(now float64) (seen []Seen) {
+// Observations is what is to be told of now. What has faded to nothing is forgotten.
+func (o *Observer) Observations(now float64) (seen []Observation) {
 	for _, name := range slices.Sorted(maps.Keys(o.tallies)) {
 		t := o.tallies[name]
-		if t.fade(now); t.calls < 0.5 {
+		if t.decay(now); t.calls < 0.5 {
 			delete(o.tallies, name)
 			continue
 		}
-		seen = append(seen, Seen{name, int(math.Round(t.calls)), int(math.Round(t.calls * t.failing)), t.latency})
+		seen = append(seen, Observation{name, int(math.Round(t.calls)), int(math.Round(t.calls * t.failing)), t.latency})
 	}
 	return seen
 }
 
-// Make makes a report of what was seen.
-func Make(origin membership.Name, version Version, seen []Seen) Report {
+// NewReport makes a report of what was seen.
+func NewReport(origin membership.Name, version Version, seen []Observation) Report {
 	r := Report{Origin: origin, Version: version}
 	var latencies []float64
 	for i := range seen {
-		if seen[i].Calls >= enough {
+		if seen[i].Calls >= minCalls {
 			latencies = append(latencies, seen[i].Latency)
 		}
 	}
-	if r.Of = len(latencies); r.Of > 0 {
+	if r.Evaluated = len(latencies); r.Evaluated > 0 {
 		slices.Sort(latencies)
 		r.Usual = latencies[(len(latencies)-1)/2]
 	}
-	r.Seen = slices.Clone(seen)
-	badness := func(s *Seen) float64 {
+	r.Observations = slices.Clone(seen)
+	badness := func(s *Observation) float64 {
 		if !s.Bad(r.Usual) {
 			return 0
 		}
-		return s.times(r.Usual)
+		return s.latencyFactor(r.Usual)
 	}
-	slices.SortStableFunc(r.Seen, func(a, b Seen) int {
+	slices.SortStableFunc(r.Observations, func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(badness(&b), badness(&a)), cmp.Compare(b.Calls, a.Calls))
 	})
-	for i := range r.Seen {
-		if r.Seen[i].Bad(r.Usual) {
+	for i := range r.Observations {
+		if r.Observations[i].Bad(r.Usual) {
 			r.Bad++
 		}
 	}
-	r.Seen = r.Seen[:min(len(r.Seen), mostEach)]
+	r.Observations = r.Observations[:min(len(r.Observations), maxObservations)]
 	return r
 }
 
-// sick tells whether an origin finds fault with so many that it is rather itself.
-func (r *Report) sick() bool { return r.Bad >= 2 && float64(r.Bad) > sickFrom*float64(r.Of) }
+// unhealthy tells whether an origin finds fault with so many that it is rather itself.
+func (r *Report) unhealthy() bool {
+	return r.Bad >= 2 && float64(r.Bad) > unhealthyShare*float64(r.Evaluated)
+}
 
-// kept is a report with the time at which it was made, by our clock, and how often it was passed on.
-type kept struct {
+// storedReport is a report with the time at which it was made, by our clock, and how often it was passed on.
+type storedReport struct {
 	Report
-	made float64
-	told int
+	madeAt        float64
+	transmissions int
 }
 
 // Store keeps the newest report of each node.
 type Store struct {
 	self    membership.Name
-	reports map[membership.Name]*kept
+	reports map[membership.Name]*storedReport
 	others  []membership.Name
-	chance  random.PCG
+	random  random.PCG
 }
 
 // NewStore makes one for a node among others.
 func NewStore(self membership.Name, others []membership.Name, seed uint64) *Store {
-	return &Store{self: self, others: others, reports: map[membership.Name]*kept{}, chance: random.PCG(seed)}
+	return &Store{self: self, others: others, reports: map[membership.Name]*storedReport{}, random: random.PCG(seed)}
 }
 
-// Hear takes a report, ours or another's; what is old, of nobody or malformed changes nothing. The version of an origin
+// Receive takes a report, ours or another's; what is old, of nobody or malformed changes nothing. The version of an origin
 // that began anew is above those before, as it begins at its incarnation.
-func (s *Store) Hear(now float64, r *Report) bool {
+func (s *Store) Receive(now float64, r *Report) bool {
 	had := s.reports[r.Origin]
 	switch {
 	case r.Origin != s.self && !slices.Contains(s.others, r.Origin):
 		return false
 	case had != nil && had.Version >= r.Version:
 		return false
-	case !(r.Age >= 0 && r.Age < ageMost) || len(r.Seen) > mostEach || !sound(r):
+	case !(r.Age >= 0 && r.Age < maxReportAge) || len(r.Observations) > maxObservations || !plausible(r):
 		return false
 	}
-	s.reports[r.Origin] = &kept{Report: *r, made: now - r.Age}
+	s.reports[r.Origin] = &storedReport{Report: *r, madeAt: now - r.Age}
 	return true
 }
 
-// sound tells whether the figures of a report can be.
-func sound(r *Report) bool {
+// plausible tells whether the figures of a report can be.
+func plausible(r *Report) bool {
 	finite := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
-	return finite(r.Usual) && r.Bad >= 0 && r.Of >= 0 && !slices.ContainsFunc(r.Seen, func(s Seen) bool {
+	return finite(r.Usual) && r.Bad >= 0 && r.Evaluated >= 0 && !slices.ContainsFunc(r.Observations, func(s Observation) bool {
 		return !finite(s.Latency) || s.Calls < 0 || s.Failed < 0 || s.Failed > s.Calls || len(s.Backend) > 64
 	})
 }
 
-// Pass is what to tell whom now: a report that is new goes to a few others at a time, those first that find fault with
+// NextGossip is what to tell whom now: a report that is new goes to a few others at a time, those first that find fault with
 // somebody, and no more than so many at a time: what a node sends is level, whatever the fleet's size.
-func (s *Store) Pass(now float64, alive func(membership.Name) bool, most int) (to []membership.Name, list []Report) {
-	var due []*kept
+func (s *Store) NextGossip(now float64, alive func(membership.Name) bool, most int) (to []membership.Name, list []Report) {
+	var due []*storedReport
 	for name, k := range s.reports {
-		if now-k.made >= ageMost {
+		if now-k.madeAt >= maxReportAge {
 			delete(s.reports, name)
-		} else if k.told < retell {
+		} else if k.transmissions < maxTransmissions {
 			due = append(due, k)
 		}
 	}
-	slices.SortFunc(due, func(a, b *kept) int {
-		return cmp.Or(cmp.Compare(min(b.Bad, 1), min(a.Bad, 1)), cmp.Compare(b.made, a.made), cmp.Compare(a.Origin, b.Origin))
+	slices.SortFunc(due, func(a, b *storedReport) int {
+		return cmp.Or(cmp.Compare(min(b.Bad, 1), min(a.Bad, 1)), cmp.Compare(b.madeAt, a.madeAt), cmp.Compare(a.Origin, b.Origin))
 	})
 	for _, k := range due[:min(most, len(due))] {
-		k.told++
+		k.transmissions++
 		r := k.Report
-		r.Age = now - k.made
+		r.Age = now - k.madeAt
 		list = append(list, r)
 	}
 	if len(list) == 0 {
@@ -244,18 +246,18 @@
 		}
 	}
 	for i := range to {
-		j := i + int(s.chance.Unit()*float64(len(to)-i))
+		j := i + int(s.random.Unit()*float64(len(to)-i))
 		to[i], to[j] = to[j], to[i]
 	}
-	return to[:min(fan, len(to))], list
+	return to[:min(gossipFanout, len(to))], list
 }
 
-// Holders lists, for each shard that differs in it, who holds it.
-type Holders [][]Backend
+// ShardReplicas lists, for each shard that differs in it, who holds it.
+type ShardReplicas [][]Backend
 
-// Judge makes judgements of what others saw. Ours is no witness: what we saw ourselves the module knows already. With
+// Verdicts makes verdicts of what others saw. Ours is no witness: what we saw ourselves the module knows already. With
 // most of a shard's holders judged, the worst of them are.
-func (s *Store) Judge(now float64, holders Holders) (list []Judgement) {
+func (s *Store) Verdicts(now float64, holders ShardReplicas) (list []Verdict) {
 	type found struct {
 		bad, fine []membership.Name
 		times     []float64
@@ -263,11 +265,11 @@
 	all := map[Backend]*found{}
 	for _, origin := range slices.Sorted(maps.Keys(s.reports)) {
 		k := s.reports[origin]
-		if origin == s.self || now-k.made >= ageMost || k.sick() {
+		if origin == s.self || now-k.madeAt >= maxReportAge || k.unhealthy() {
 			continue
 		}
-		for i := range k.Seen {
-			seen := &k.Seen[i]
+		for i := range k.Observations {
+			seen := &k.Observations[i]
 			f := all[seen.Backend]
 			if f == nil {
 				f = &found{}
@@ -276,26 +278,26 @@
 			switch {
 			case seen.Bad(k.Usual):
 				f.bad = append(f.bad, origin)
-				f.times = append(f.times, seen.times(k.Usual))
-			case seen.Calls >= enough:
+				f.times = append(f.times, seen.latencyFactor(k.Usual))
+			case seen.Calls >= minCalls:
 				f.fine = append(f.fine, origin)
 			}
 		}
 	}
 	for name, f := range all {
-		if n := len(f.bad); n >= witnesses && float64(n) >= agreeing*float64(n+len(f.fine)) {
+		if n := len(f.bad); n >= minWitnesses && float64(n) >= minAgreement*float64(n+len(f.fine)) {
 			slices.Sort(f.times)
-			list = append(list, Judgement{name, f.times[(n-1)/2], f.bad})
+			list = append(list, Verdict{name, f.times[(n-1)/2], f.bad})
 		}
 	}
-	slices.SortFunc(list, func(a, b Judgement) int {
-		return cmp.Or(cmp.Compare(b.Times, a.Times), cmp.Compare(a.Backend, b.Backend))
+	slices.SortFunc(list, func(a, b Verdict) int {
+		return cmp.Or(cmp.Compare(b.LatencyFactor, a.LatencyFactor), cmp.Compare(a.Backend, b.Backend))
 	})
-	return bounded(list, holders)
+	return limitPerShard(list, holders)
 }
 
-// bounded leaves out those that would leave too few of a shard's holders.
-func bounded(list []Judgement, holders Holders) (kept []Judgement) {
+// limitPerShard leaves out those that would leave too few of a shard's holders.
+func limitPerShard(list []Verdict, holders ShardReplicas) (kept []Verdict) {
 	judged := map[Backend]bool{}
 	for _, j := range list {
 		judged[j.Backend] = true
@@ -311,7 +313,7 @@
 					n++
 				}
 			}
-			over = over || float64(n) > holdersOut*float64(len(held))
+			over = over || float64(n) > maxReplicaShare*float64(len(held))
 		}
 		if over || !known {
 			delete(judged, j.Backend)
@@ -323,27 +325,27 @@
 }
 
 // Heard is what a node told last, in short.
-type Heard struct {
-	Origin membership.Name `json:"mixer"`
-	Ago    float64         `json:"s_ago"`
-	Of     int             `json:"of"`
-	Usual  float64         `json:"usual_s"`
-	Worst  Seen            `json:"worst"`
-	Sick   bool            `json:"sick,omitempty"` // it finds fault with so many that it counts for nothing
-	Bad    []Backend       `json:"bad,omitempty"`
+type Summary struct {
+	Origin    membership.Name `json:"mixer"`
+	Age       float64         `json:"s_ago"`
+	Evaluated int             `json:"of"`
+	Usual     float64         `json:"usual_s"`
+	Worst     Observation     `json:"worst"`
+	Unhealthy bool            `json:"sick,omitempty"` // it finds fault with so many that it counts for nothing
+	Bad       []Backend       `json:"bad,omitempty"`
 }
 
 // Heard lists what is known of each node's reports.
-func (s *Store) Heard(now float64) (list []Heard) {
+func (s *Store) Summaries(now float64) (list []Summary) {
 	for _, origin := range slices.Sorted(maps.Keys(s.reports)) {
 		k := s.reports[origin]
-		h := Heard{Origin: origin, Ago: now - k.made, Of: k.Of, Usual: k.Usual, Sick: k.sick()}
-		if len(k.Seen) > 0 {
-			h.Worst = k.Seen[0]
+		h := Summary{Origin: origin, Age: now - k.madeAt, Evaluated: k.Evaluated, Usual: k.Usual, Unhealthy: k.unhealthy()}
+		if len(k.Observations) > 0 {
+			h.Worst = k.Observations[0]
 		}
-		for i := range k.Seen {
-			if k.Seen[i].Bad(k.Usual) {
-				h.Bad = append(h.Bad, k.Seen[i].Backend)
+		for i := range k.Observations {
+			if k.Observations[i].Bad(k.Usual) {
+				h.Bad = append(h.Bad, k.Observations[i].Backend)
 			}
 		}
 		list = append(list, h)
--- a/internal/controlplane/fleet/outlier/wire_test.go
+++ b/internal/controlplane/fleet/outlier/wire_test.go
@@ -9,11 +9,11 @@
 // TestWireForms pins the encoded forms of the types that leave the process.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
-		goldentest.Form{Name: "seen", Value: new(Seen)},
+		goldentest.Form{Name: "seen", Value: new(Observation)},
 		goldentest.Form{Name: "report", Value: new(Report)},
 	)
 	goldentest.Check(t, goldentest.JSON,
-		goldentest.Form{Name: "judgement", Value: new(Judgement)},
-		goldentest.Form{Name: "heard", Value: new(Heard)},
+		goldentest.Form{Name: "judgement", Value: new(Verdict)},
+		goldentest.Form{Name: "heard", Value: new(Summary)},
 	)
 }
--- a/internal/controlplane/fleet/quota/quota_test.go
+++ b/internal/controlplane/fleet/quota/quota_test.go
@@ -13,58 +13,58 @@
 )
 
 // broken is a copy of the rules with one left out, which the judge has to find.
-type broken struct {
-	floorsKept bool // floors are not subtracted
-	hasty      bool // a new granter does not wait
-	forever    bool // nodes do not look at a lease's end
-	refilled   bool // a process begins with a full floor
+type omittedRule struct {
+	ignoreMinimums bool // minimums are not subtracted
+	grantAtOnce    bool // a new granter does not wait
+	ignoreExpiry   bool // nodes do not look at a lease's end
+	startFull      bool // a process begins with a full minimum
 }
 
 // message is what is on its way between two nodes in virtual time.
 type message struct {
-	at   float64
-	to   int
-	from int
-	no   uint64
-	asks []Ask
-	back []Grant
+	at       float64
+	to       int
+	from     int
+	no       uint64
+	requests []Request
+	grants   []Grant
 }
 
 // simNode is one node: its clock runs at its own rate.
 type simNode struct {
-	rate      float64
-	holder    *Holder
-	granter   *Granter
-	bucket    *Bucket
-	stopped   float64 // until when the process stands still
-	epoch     uint64  // in which it believes to lead, 0 for none
-	no        uint64
-	asked     map[uint64]float64
-	next      float64
-	name      membership.Name
-	sees      int     // whom it asks
-	weight    float64 // share of queries
-	weightDue float64
+	rate         float64
+	client       *Client
+	granter      *Granter
+	bucket       *Bucket
+	stopped      float64 // until when the process stands still
+	epoch        uint64  // in which it believes to lead, 0 for none
+	no           uint64
+	requestedAt  map[uint64]float64
+	next         float64
+	name         membership.Name
+	granterIndex int     // whom it asks
+	weight       float64 // share of queries
+	weightDue    float64
 }
 
-// sim plays one tenant's quota over a fleet in virtual time, with messages lost, late, doubled and out of order, nodes that
+// simulation plays one tenant's quota over a fleet in virtual time, with messages lost, late, doubled and out of order, nodes that
 // stand still, restart and hear nothing, clocks that differ by a hundredth, and granters that change while the one before
 // still believes to be it. The judge is a bucket by true time: what it overflows by is a breach in some window.
-type sim struct {
+type simulation struct {
 	random.PCG
-	quota    Quota
-	lease    float64
-	broken   broken
-	nodes    []*simNode
-	messages []message
-	now      float64
-	leader   int
-	epoch    uint64
-	level    float64 // the judge's
-	at       float64
-	admitted float64
-	cut      map[int]float64 // until when a node hears nobody
-	calm     bool
+	quota            Quota
+	lease            float64
+	omitted          omittedRule
+	nodes            []*simNode
+	messages         []message
+	now              float64
+	leader           int
+	epoch            uint64
+	level            float64 // the judge's
+	at               float64
+	admitted         float64
+	partitionedUntil map[int]float64 // until when a node hears nobody
+	calm             bool
 }
 
 const (
@@ -72,8 +72,8 @@
 	authority = 1.0
 )
 
-func newSim(seed uint64, q Quota, b broken) *sim {
-	s := &sim{PCG: random.PCG(seed), quota: q, lease: 3, broken: b, cut: map[int]float64{}, epoch: 1}
+func newSimulation(seed uint64, q Quota, b omittedRule) *simulation {
+	s := &simulation{PCG: random.PCG(seed), quota: q, lease: 3, omitted: b, partitionedUntil: map[int]float64{}, epoch: 1}
 	for i := range 3 + int(s.Unit()*5) {
 		s.nodes = append(s.nodes, &simNode{rate: 1 + ClockSlack/2*(2*s.Unit()-1), name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease),
 			weight: s.Unit() * s.Unit()})
@@ -86,15 +86,15 @@
 }
 
 // start begins a process.
-func (s *sim) start(m *simNode) {
+func (s *simulation) start(m *simNode) {
 	lease := s.lease
-	if s.broken.forever {
+	if s.omitted.ignoreExpiry {
 		lease *= 20
 	}
-	m.holder, m.asked, m.epoch = NewHolder(lease, len(s.nodes)), map[uint64]float64{}, 0
-	m.bucket = m.holder.Set(m.clock(s.now), map[Tenant]Quota{"t": s.quota})["t"]
-	if s.broken.refilled {
-		m.bucket.full.Store(math.Float64bits(m.clock(s.now)))
+	m.client, m.requestedAt, m.epoch = NewClient(lease, len(s.nodes)), map[uint64]float64{}, 0
+	m.bucket = m.client.Set(m.clock(s.now), map[Tenant]Quota{"t": s.quota})["t"]
+	if s.omitted.startFull {
+		m.bucket.minimumFullAt.Store(math.Float64bits(m.clock(s.now)))
 	}
 	m.granter.End()
 }
@@ -102,27 +102,27 @@
 func (m *simNode) clock(now float64) float64 { return 1000 + now*m.rate }
 
 // lead makes a node the granter from now on; the one before does not know.
-func (s *sim) lead(i int) {
+func (s *simulation) lead(i int) {
 	s.epoch++
 	s.leader = i
 	m := s.nodes[i]
 	m.epoch = s.epoch
 	m.granter.Begin(m.clock(s.now), authority, s.epoch)
-	if s.broken.hasty {
-		m.granter.from, m.granter.filling = 0, m.clock(s.now)
+	if s.omitted.grantAtOnce {
+		m.granter.grantFrom, m.granter.fillFrom = 0, m.clock(s.now)
 	}
 }
 
-func (s *sim) floors(Tenant) (perS, burst float64) {
-	if s.broken.floorsKept {
+func (s *simulation) reservedMinimums(Tenant) (perS, burst float64) {
+	if s.omitted.ignoreMinimums {
 		return 0, 0
 	}
-	perS, burst = s.quota.Share(len(s.nodes))
+	perS, burst = s.quota.NodeMinimum(len(s.nodes))
 	n := float64(len(s.nodes))
 	return n * perS, n * burst
 }
 
-func (s *sim) send(l message) {
+func (s *simulation) send(l message) {
 	lost, wait := 0.05, 0.001+0.02*s.Unit()
 	switch u := s.Unit(); {
 	case u < 0.05:
@@ -130,21 +130,21 @@
 	case u < 0.06:
 		wait = 10 * s.Unit()
 	}
-	if s.Unit() < lost || s.now < s.cut[l.to] || s.now < s.cut[l.from] {
+	if s.Unit() < lost || s.now < s.partitionedUntil[l.to] || s.now < s.partitionedUntil[l.from] {
 		return
 	}
 	l.at = s.now + wait
 	s.messages = append(s.messages, l)
 	if s.Unit() < 0.02 { // the link drops it where it is sealed; here an answer may come twice
 		l.at += 0.5 * s.Unit()
-		if l.back != nil {
+		if l.grants != nil {
 			s.messages = append(s.messages, l)
 		}
 	}
 }
 
 // step plays a step, with so many queries a second asked of each node by its weight.
-func (s *sim) step(perS float64) error {
+func (s *simulation) step(perS float64) error {
 	s.now += simStep
 	switch u := s.Unit(); { // faults, some a minute
 	case u < 0.002:
@@ -152,7 +152,7 @@
 	case u < 0.004:
 		s.nodes[int(s.Unit()*float64(len(s.nodes)))].stopped = s.now + 8*s.Unit()
 	case u < 0.006:
-		s.cut[int(s.Unit()*float64(len(s.nodes)))] = s.now + 10*s.Unit()
+		s.partitionedUntil[int(s.Unit()*float64(len(s.nodes)))] = s.now + 10*s.Unit()
 	case u < 0.007:
 		i := int(s.Unit() * float64(len(s.nodes)))
 		m := s.nodes[i]
@@ -172,17 +172,17 @@
 			continue
 		}
 		now := m.clock(s.now)
-		if m.epoch != 0 && m.epoch == s.epoch && s.cut[i] < s.now { // a majority says so
+		if m.epoch != 0 && m.epoch == s.epoch && s.partitionedUntil[i] < s.now { // a majority says so
 			m.granter.Confirm(now, authority)
 		}
-		if s.now >= m.next || m.holder.Urgent() && s.now >= m.next-0.15 {
+		if s.now >= m.next || m.client.Urgent() && s.now >= m.next-0.15 {
 			m.next = s.now + 0.2
 			m.no++
-			m.asked[m.no] = now
+			m.requestedAt[m.no] = now
 			if s.Unit() < 0.9 {
-				m.sees = s.leader
+				m.granterIndex = s.leader
 			}
-			l := message{from: i, to: m.sees, no: m.no, asks: m.holder.Asks(now, m.no)}
+			l := message{from: i, to: m.granterIndex, no: m.no, requests: m.client.Requests(now, m.no)}
 			if l.to == i {
 				s.take(l)
 			} else {
@@ -192,7 +192,7 @@
 		for want := perS * simStep * m.weight / total; want > 0; want-- {
 			if (want >= 1 || s.Unit() < want) && m.bucket.Spend(now) {
 				s.admitted++
-				if err := s.judge(); err != nil {
+				if err := s.checkBound(); err != nil {
 					return err
 				}
 			}
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func (s *sim) judge() error {
+func (s *simulation) checkBound() error {
 	s.level = max(0, s.level-s.quota.PerS*(s.now-s.at)) + 1
 	s.at = s.now
 	if s.level > s.quota.Burst+1e-6 {
@@ -211,7 +211,7 @@
 }
 
 // deliver hands over what has arrived; what is said in answer waits for the next step.
-func (s *sim) deliver() {
+func (s *simulation) deliver() {
 	waiting := s.messages
 	s.messages = nil
 	for _, l := range waiting {
@@ -223,26 +223,26 @@
 	}
 }
 
-func (s *sim) take(l message) {
+func (s *simulation) take(l message) {
 	m := s.nodes[l.to]
 	now := m.clock(s.now)
-	if l.back != nil {
-		at, known := m.asked[l.no]
-		if delete(m.asked, l.no); !known {
+	if l.grants != nil {
+		at, known := m.requestedAt[l.no]
+		if delete(m.requestedAt, l.no); !known {
 			return
 		}
-		for i := range l.back {
-			m.holder.Take(now, at, l.no, &l.back[i])
+		for i := range l.grants {
+			m.client.ReceiveGrant(now, at, l.no, &l.grants[i])
 		}
 		return
 	}
 	back := []Grant{}
-	for i := range l.asks {
-		if g, may := m.granter.Take(now, s.nodes[l.from].name, &l.asks[i], s.quota, s.floors); may {
+	for i := range l.requests {
+		if g, may := m.granter.Grant(now, s.nodes[l.from].name, &l.requests[i], s.quota, s.reservedMinimums); may {
 			back = append(back, g)
 		}
 	}
-	answer := message{from: l.to, to: l.from, no: l.no, back: back, at: s.now + 0.01}
+	answer := message{from: l.to, to: l.from, no: l.no, grants: back, at: s.now + 0.01}
 	switch {
 	case l.from == l.to:
 		s.take(answer)
@@ -253,7 +253,7 @@
 	}
 }
 
-func (s *sim) play(seconds, perS float64) error {
+func (s *simulation) play(seconds, perS float64) error {
 	for until := s.now + seconds; s.now < until; {
 		if err := s.step(perS); err != nil {
 			return err
@@ -272,7 +272,7 @@
 	}
 	admitted := 0.0
 	for seed := range seeds {
-		s := newSim(seed+1, shapes[seed%uint64(len(shapes))], broken{})
+		s := newSimulation(seed+1, shapes[seed%uint64(len(shapes))], omittedRule{})
 		if err := s.play(40, 3*s.quota.PerS); err != nil {
 			t.Fatalf("seed %d, %+v: %v", seed, s.quota, err)
 		}
@@ -282,12 +282,12 @@
 }
 
 // The judge finds each rule that is left out.
-func TestBrokenQuotasAreFound(t *testing.T) {
-	for name, b := range map[string]broken{"floors not subtracted": {floorsKept: true}, "a new granter does not wait": {hasty: true},
-		"leases are not looked at": {forever: true}, "a process begins with a full floor": {refilled: true}} {
+func TestCheckerFindsOmittedRules(t *testing.T) {
+	for name, b := range map[string]omittedRule{"floors not subtracted": {ignoreMinimums: true}, "a new granter does not wait": {grantAtOnce: true},
+		"leases are not looked at": {ignoreExpiry: true}, "a process begins with a full floor": {startFull: true}} {
 		found := 0
 		for seed := range uint64(60) {
-			s := newSim(seed+1, shapes[seed%uint64(len(shapes))], b)
+			s := newSimulation(seed+1, shapes[seed%uint64(len(shapes))], b)
 			if s.play(40, 3*s.quota.PerS) != nil {
 				found++
 			}
@@ -299,8 +299,8 @@
 }
 
 // calm is a fleet without faults, whose tenant's queries go where weights say.
-func calm(q Quota, weights ...float64) *sim {
-	s := &sim{calm: true, PCG: 7, quota: q, lease: 3, cut: map[int]float64{}, epoch: 1}
+func calm(q Quota, weights ...float64) *simulation {
+	s := &simulation{calm: true, PCG: 7, quota: q, lease: 3, partitionedUntil: map[int]float64{}, epoch: 1}
 	for i, w := range weights {
 		m := &simNode{rate: 1, name: membership.Name(fmt.Sprint("m", i)), granter: NewGranter(s.lease), weight: w}
 		s.nodes = append(s.nodes, m)
@@ -313,7 +313,7 @@
 }
 
 // calmStep is a step with no faults drawn: it spends and asks alone.
-func (s *sim) calmStep(perS float64) (admitted float64, err error) {
+func (s *simulation) calmStep(perS float64) (admitted float64, err error) {
 	was := s.admitted
 	s.now += simStep
 	s.deliver()
@@ -326,11 +326,11 @@
 		if i == s.leader {
 			m.granter.Confirm(now, authority)
 		}
-		if s.now >= m.next || m.holder.Urgent() && s.now >= m.next-0.18 {
+		if s.now >= m.next || m.client.Urgent() && s.now >= m.next-0.18 {
 			m.next = s.now + 0.2
 			m.no++
-			m.asked[m.no] = now
-			l := message{from: i, to: s.leader, no: m.no, asks: m.holder.Asks(now, m.no), at: s.now + 0.01}
+			m.requestedAt[m.no] = now
+			l := message{from: i, to: s.leader, no: m.no, requests: m.client.Requests(now, m.no), at: s.now + 0.01}
 			if i == s.leader {
 				s.take(l)
 			} else {
@@ -341,7 +341,7 @@
 		for ; m.weightDue >= 1; m.weightDue-- {
 			if m.bucket.Spend(now) {
 				s.admitted++
-				if err := s.judge(); err != nil {
+				if err := s.checkBound(); err != nil {
 					return 0, err
 				}
 			}
@@ -352,7 +352,7 @@
 
 // Without a fault a tenant has 95% of its quota, whether its queries are spread, sit at one node, or have moved to another
 // a second ago.
-func TestQuotaIsUsed(t *testing.T) {
+func TestQuotaIsUsedInFull(t *testing.T) {
 	for _, q := range []Quota{{100, 100, 0.04}, {20, 20, 0.04}, {3, 6, 0}} {
 		for _, n := range []int{3, 9, 30} {
 			weights := make([]float64, n)
@@ -389,11 +389,11 @@
 	}
 }
 
-// A floor of just one query admits it, at clocks as they are, and its rate from then on; cut off it needs nobody.
-func TestFloorOfOneLookup(t *testing.T) {
+// A minimum of just one query admits it, at clocks as they are, and its rate from then on; cut off it needs nobody.
+func TestMinimumOfOneQueryAdmitsIt(t *testing.T) {
 	const began = 1.79e9
-	h := NewHolder(3, 9)
-	b := h.Set(began, map[Tenant]Quota{"t": {PerS: 60, Burst: 90, Floor: 0.1}})["t"]
+	h := NewClient(3, 9)
+	b := h.Set(began, map[Tenant]Quota{"t": {PerS: 60, Burst: 90, MinimumShare: 0.1}})["t"]
 	n := 0
 	for i := range 60 * 100 {
 		if b.Spend(began + float64(i)/100) {
@@ -406,8 +406,8 @@
 }
 
 // Many goroutines spend from a bucket while it is filled and closed: never more than was put in.
-func TestBucketIsSpentFromByMany(t *testing.T) {
-	h := NewHolder(1000, 3)
+func TestConcurrentSpendingNeverOverdraws(t *testing.T) {
+	h := NewClient(1000, 3)
 	b := h.Set(0, map[Tenant]Quota{"t": {PerS: 1000, Burst: 1000}})["t"]
 	var spent atomic.Int64
 	var all sync.WaitGroup
@@ -427,14 +427,14 @@
 		})
 	}
 	put, back := 0.0, 0.0
-	told := map[GrantNo]bool{}
+	told := map[GrantNumber]bool{}
 	for no := range uint64(3000) {
-		h.Take(1, 0.5, no+1, &Grant{Tenant: "t", No: GrantNo(no + 1), Tokens: 7})
+		h.ReceiveGrant(1, 0.5, no+1, &Grant{Tenant: "t", Number: GrantNumber(no + 1), Tokens: 7})
 		put += 7
-		for _, a := range h.Asks(1+float64(no)/1e6, no+1) {
-			for _, g := range a.Grants {
-				if g.Closed && !told[g.No] {
-					told[g.No] = true
+		for _, a := range h.Requests(1+float64(no)/1e6, no+1) {
+			for _, g := range a.Spent {
+				if g.Closed && !told[g.Number] {
+					told[g.Number] = true
 					back += 7 - g.Spent
 				}
 			}
@@ -445,7 +445,7 @@
 	left := 0.0
 	for i := range b.slots {
 		if s := b.slots[i].Load(); s != nil {
-			left += float64(max(0, s.left.Load()))
+			left += float64(max(0, s.remaining.Load()))
 		}
 	}
 	if got := float64(spent.Load()); got > put-back {
@@ -453,7 +453,7 @@
 	}
 }
 
-func TestQuotaChecks(t *testing.T) {
+func TestQuotaValidation(t *testing.T) {
 	for _, q := range []Quota{{0, 5, 0}, {math.Inf(1), 5, 0}, {5, 0.5, 0}, {5, 5, 1.1}, {5, 5, -1}, {math.NaN(), 5, 0}} {
 		if wrong, _ := q.Check(3); wrong == "" {
 			t.Errorf("%+v is taken", q)
--- a/internal/controlplane/fleet/quota/wire_test.go
+++ b/internal/controlplane/fleet/quota/wire_test.go
@@ -10,8 +10,8 @@
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
 		goldentest.Form{Name: "quota", Value: new(Quota)},
-		goldentest.Form{Name: "ask", Value: new(Ask)},
-		goldentest.Form{Name: "spent", Value: new(Spent)},
+		goldentest.Form{Name: "ask", Value: new(Request)},
+		goldentest.Form{Name: "spent", Value: new(GrantUsage)},
 		goldentest.Form{Name: "grant", Value: new(Grant)},
 	)
 	goldentest.Check(t, goldentest.JSON,
--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-var site = Site{Zones: []string{"north", "south", ""}, Indexes: []string{"reads", "orders"}, Tenants: []string{"acme", "bolt"}}
+var site = NameSpace{Zones: []string{"north", "south", ""}, Indexes: []string{"reads", "orders"}, Tenants: []string{"acme", "bolt"}}
 
 func TestRulesOfContracts(t *testing.T) {
 	table := (&Table{}).With(5, "acme", &Contract{Zones: []string{"south", "gone", ""}, Own: true, Indexes: []string{"orders"}})
@@ -49,12 +49,12 @@
 	}
 }
 
-// broken leaves one rule out, which the judge has to find.
-type broken struct {
-	early  bool // told as held before all hold it
-	hasty  bool // a new leader forgets that the one before may have renewed
-	past   bool // nodes do not look at their lease's end
-	unheld bool // a node says that it holds what its queries do not go by yet
+// omittedRule leaves one rule out, which the judge has to find.
+type omittedRule struct {
+	reportEarly          bool // told as held before all hold it
+	ignorePreviousLeader bool // a new leader forgets that the one before may have renewed
+	ignoreExpiry         bool // nodes do not look at their lease's end
+	reportUnapplied      bool // a node says that it holds what its queries do not go by yet
 }
 
 const (
@@ -64,32 +64,32 @@
 
 // simNode is one node. Its queries are taken by the table that it has, and each may send part calls until it ends.
 type simNode struct {
-	name   membership.Name
-	rate   float64
-	lease  *Lease
-	has    Version
-	holds  Version
-	holdAt float64 // when the module goes by what it has
-	stops  float64
-	looks  []simLookup
-	next   float64
+	name      membership.Name
+	rate      float64
+	lease     *Lease
+	received  Version
+	applied   Version
+	appliesAt float64 // when the module goes by what it has
+	stops     float64
+	queries   []simQuery
+	next      float64
 }
 
-type simLookup struct {
+type simQuery struct {
 	version Version
 	ends    float64
 }
 
 type simLeader struct {
-	spread *Spread
-	knows  Version
-	sure   float64 // until when, by true time
+	spread         *Rollout
+	version        Version
+	confirmedUntil float64 // until when, by true time
 }
 
 // play plays one strict tenant's contract, narrowed again and again, at nodes that are cut off, stand still and restart,
 // under leaders that come and go while the one before still acts on what it was sure of. Version v allows no part call that
 // v-1 allowed, so that a call is outside where its query goes by an older version than must hold.
-func play(seed uint64, b broken) error {
+func play(seed uint64, b omittedRule) error {
 	g := random.PCG(seed)
 	var names []membership.Name
 	var nodes []*simNode
@@ -97,7 +97,7 @@
 		names = append(names, membership.Name(fmt.Sprint("m", i)))
 	}
 	begin := func(m *simNode) {
-		m.lease, m.has, m.holds, m.looks = NewLease(lease, longest), 0, 0, nil
+		m.lease, m.received, m.applied, m.queries = NewLease(lease, longest), 0, 0, nil
 	}
 	for _, name := range names {
 		m := &simNode{name: name, rate: 1 + quota.ClockSlack/2*(2*g.Unit()-1)}
@@ -105,24 +105,24 @@
 		nodes = append(nodes, m)
 	}
 	latest, accepted, told := Version(1), 0.0, Version(0)
-	leaders := []*simLeader{{spread: NewSpread(lease, names), knows: 1}}
+	leaders := []*simLeader{{spread: NewRollout(lease, names), version: 1}}
 	leaders[0].spread.Begin(0, authority)
 	cut := map[int]float64{}
 	const step = 0.02
 	for now := 0.0; now < 60; now += step {
 		newest := leaders[len(leaders)-1]
-		newest.sure, newest.knows = now+authority, latest // a majority says so, and tells what was agreed on
+		newest.confirmedUntil, newest.version = now+authority, latest // a majority says so, and tells what was agreed on
 		switch u := g.Unit(); {
 		case u < 0.004:
-			l := &simLeader{spread: NewSpread(lease, names), knows: latest, sure: now + authority}
-			if l.spread.Begin(now, authority); b.hasty {
+			l := &simLeader{spread: NewRollout(lease, names), version: latest, confirmedUntil: now + authority}
+			if l.spread.Begin(now, authority); b.ignorePreviousLeader {
 				l.spread.Begin(now-100, 0)
 			}
 			leaders = append(leaders, l)
 			newest = l
 		case u < 0.010 && now-accepted > 0.5:
 			latest, accepted = latest+1, now
-			newest.knows = latest
+			newest.version = latest
 		case u < 0.014:
 			cut[int(g.Unit()*4)] = now + 9*g.Unit()
 		case u < 0.018:
@@ -130,11 +130,11 @@
 		case u < 0.020:
 			begin(nodes[int(g.Unit()*4)])
 		}
-		if p := newest.spread.Progress(now, latest, true); p.Held || b.early && slices.ContainsFunc(p.Nodes, func(x NodeState) bool { return x.State != StateOld }) {
+		if p := newest.spread.Progress(now, latest, true); p.Applied || b.reportEarly && slices.ContainsFunc(p.Nodes, func(x NodeState) bool { return x.State != StateOld }) {
 			told = max(told, latest)
 		}
 		must := told
-		if now > accepted+bound*quota.Longer+step {
+		if now > accepted+bound*quota.WaitFactor+step {
 			must = latest
 		}
 		for i, m := range nodes {
@@ -142,17 +142,17 @@
 				continue
 			}
 			clock := now * m.rate
-			m.looks = slices.DeleteFunc(m.looks, func(l simLookup) bool { return now >= l.ends })
-			if m.holds < m.has && now >= m.holdAt { // the module's step brings held queries under the new rules
-				m.holds = m.has
-				for j := range m.looks {
-					m.looks[j].version = m.has
+			m.queries = slices.DeleteFunc(m.queries, func(l simQuery) bool { return now >= l.ends })
+			if m.applied < m.received && now >= m.appliesAt { // the module's step brings held queries under the new rules
+				m.applied = m.received
+				for j := range m.queries {
+					m.queries[j].version = m.received
 				}
 			}
-			if clock < m.lease.Until() || b.past && m.has > 0 {
-				m.looks = append(m.looks, simLookup{m.has, now + longest})
+			if clock < m.lease.Until() || b.ignoreExpiry && m.received > 0 {
+				m.queries = append(m.queries, simQuery{m.received, now + longest})
 			}
-			for _, l := range m.looks { // each sends a part call now
+			for _, l := range m.queries { // each sends a part call now
 				if l.version < must {
 					return fmt.Errorf("at %.2f s: %s sends by version %d, %d must hold", now, m.name, l.version, must)
 				}
@@ -162,20 +162,20 @@
 			}
 			m.next = now + 0.2
 			l := leaders[max(0, len(leaders)-1-int(g.Unit()*g.Unit()*3))]
-			if now >= l.sure || g.Unit() < 0.1 {
+			if now >= l.confirmedUntil || g.Unit() < 0.1 {
 				continue
 			}
-			holds := m.holds
-			if b.unheld {
-				holds = m.has
+			holds := m.applied
+			if b.reportUnapplied {
+				holds = m.received
 			}
-			l.spread.Hears(now, m.name, holds)
-			l.spread.Renews(now, m.name)
-			if g.Unit() < 0.1 || l.knows < m.has { // the answer is lost, or of one that led before
+			l.spread.RecordApplied(now, m.name, holds)
+			l.spread.RecordRenewal(now, m.name)
+			if g.Unit() < 0.1 || l.version < m.received { // the answer is lost, or of one that led before
 				continue
 			}
-			if m.has != l.knows {
-				m.has, m.holdAt = l.knows, now+0.3*g.Unit()
+			if m.received != l.version {
+				m.received, m.appliesAt = l.version, now+0.3*g.Unit()
 			}
 			m.lease.Renew(clock - 0.05)
 		}
@@ -186,21 +186,21 @@
 	return nil
 }
 
-func TestNarrowedContractHolds(t *testing.T) {
+func TestNarrowedContractIsEnforcedOnceReported(t *testing.T) {
 	seeds := uint64(1000)
 	if raceflag.On || testing.Short() {
 		seeds = 500
 	}
 	for seed := range seeds {
-		if err := play(seed+1, broken{}); err != nil {
+		if err := play(seed+1, omittedRule{}); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-func TestBrokenContractsAreFound(t *testing.T) {
-	for name, b := range map[string]broken{"told before all hold it": {early: true}, "a new leader forgets": {hasty: true},
-		"leases are not looked at": {past: true}, "said to hold before it does": {unheld: true}} {
+func TestCheckerFindsOmittedRules(t *testing.T) {
+	for name, b := range map[string]omittedRule{"told before all hold it": {reportEarly: true}, "a new leader forgets": {ignorePreviousLeader: true},
+		"leases are not looked at": {ignoreExpiry: true}, "said to hold before it does": {reportUnapplied: true}} {
 		found := 0
 		for seed := range uint64(100) {
 			if play(seed+1, b) != nil {
@@ -214,17 +214,17 @@
 }
 
 // A tenant that is served past its lease is never told to be held by time alone, and the nodes that are behind are named.
-func TestLenientTenantsWaitForAll(t *testing.T) {
-	s := NewSpread(lease, []membership.Name{"a", "b"})
+func TestLenientTenantsWaitForAllNodes(t *testing.T) {
+	s := NewRollout(lease, []membership.Name{"a", "b"})
 	s.Begin(0, authority)
-	s.Hears(50, "a", 7)
-	if p := s.Progress(100, 7, false); p.Held || p.Nodes[1].State != StateOld {
+	s.RecordApplied(50, "a", 7)
+	if p := s.Progress(100, 7, false); p.Applied || p.Nodes[1].State != StateOld {
 		t.Errorf("%+v", p)
 	}
-	if p := s.Progress(100, 7, true); !p.Held || p.Nodes[1].State != StateRefuses {
+	if p := s.Progress(100, 7, true); !p.Applied || p.Nodes[1].State != StateRefuses {
 		t.Errorf("%+v", p)
 	}
-	if p := s.Progress(1, 7, true); p.Held || !(p.Nodes[1].InS > 0) || math.IsInf(p.Nodes[1].InS, 0) {
+	if p := s.Progress(1, 7, true); p.Applied || !(p.Nodes[1].LeaseEndsIn > 0) || math.IsInf(p.Nodes[1].LeaseEndsIn, 0) {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/controlplane/fleet/residency/wire_test.go
+++ b/internal/controlplane/fleet/residency/wire_test.go
@@ -23,7 +23,7 @@
 // TestWireConstants pins the constants that leave the process.
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
-		goldentest.Constant{Have: StateHolds, Want: "holds"},
+		goldentest.Constant{Have: StateApplied, Want: "holds"},
 		goldentest.Constant{Have: StateRefuses, Want: "refuses"},
 		goldentest.Constant{Have: StateOld, Want: "old"},
 	)
--- a/internal/controlplane/fleet/run.go
+++ b/internal/controlplane/fleet/run.go
@@ -12,138 +12,138 @@
 	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
 )
 
-type noteKind uint8
+type eventKind uint8
 
 const (
-	sawCalls    noteKind = iota // seen
-	listed                      // places
-	rulesHeld                   // version
-	saved                       // err
-	tablesSaved                 // err
-	commanded                   // command, reply
-	asked                       // ask
-	offered                     // err, result
+	callsObserved      eventKind = iota // seen
+	backendsListed                      // places
+	contractsApplied                    // version
+	consensusWorkSaved                  // err
+	tablesWritten                       // err
+	commandSubmitted                    // command, reply
+	callRequested                       // ask
+	fileTablesDecided                   // err, result
 	storeClosed
-	reopen
-	released
+	storeReopenFailed
+	releaseRequested
 )
 
-type note struct {
-	kind    noteKind
-	seen    []outlier.Seen
+type event struct {
+	kind    eventKind
+	seen    []outlier.Observation
 	places  []aggregator.Place
 	version residency.Version
 	err     error
-	command *command
+	command *pendingCommand
 	result  Result
 	quotas  consensus.QuotasVersion
-	ask     func()
+	call    func()
 }
 
 // Run is the goroutine of control state, until Stop.
 func (f *Fleet) Run() {
 	defer close(f.stopped)
-	var notes []note
-	timer := time.NewTimer(turn)
+	var notes []event
+	timer := time.NewTimer(turnInterval)
 	for {
 		var messages chan []byte
-		if f.sockets != nil {
-			messages = f.sockets.In
+		if f.transport != nil {
+			messages = f.transport.Received
 		}
 		select {
 		case sealed := <-messages:
 			f.now = f.Now()
 			f.receive(sealed)
-			for range min(len(messages), messagesPerTurn) { // what waits, so that a turn sees the newest
+			for range min(len(messages), maxMessagesPerTurn) { // what waits, so that a turn sees the newest
 				f.receive(<-messages)
 			}
-		case <-f.in.Ready():
+		case <-f.events.Ready():
 		case <-timer.C:
 		case <-f.stopping:
 			f.close()
 			return
 		}
 		f.now = f.Now()
-		notes = f.in.Take(notes)
+		notes = f.events.Take(notes)
 		for i := range notes {
-			f.hear(&notes[i])
+			f.handleEvent(&notes[i])
 		}
-		f.turn()
-		timer.Reset(turn)
+		f.runDue()
+		timer.Reset(turnInterval)
 	}
 }
 
-func (f *Fleet) hear(n *note) {
+func (f *Fleet) handleEvent(n *event) {
 	switch n.kind {
-	case sawCalls:
-		f.saw(n.seen)
-	case listed:
-		f.list(n.places)
-	case rulesHeld:
-		failpoint.Pass(failpoint.HoldContract)
-		f.holds = max(f.holds, n.version)
-		f.due.ask = min(f.due.ask, f.now+askSoonest) // the operator waits for it
-	case saved:
-		f.councilSaved(n.err)
-	case tablesSaved:
+	case callsObserved:
+		f.recordObservations(n.seen)
+	case backendsListed:
+		f.setBackends(n.places)
+	case contractsApplied:
+		failpoint.Pass(failpoint.ApplyContract)
+		f.appliedContracts = max(f.appliedContracts, n.version)
+		f.due.requestGrants = min(f.due.requestGrants, f.now+urgentRequestInterval) // the operator waits for it
+	case consensusWorkSaved:
+		f.consensusSaved(n.err)
+	case tablesWritten:
 		if n.err != nil {
-			f.log.Error("fleet: tables can't be kept", zap.String("text", n.err.Error()))
+			f.logger.Error("fleet: tables can't be kept", zap.String("text", n.err.Error()))
 		} else {
-			f.floorsAt = max(f.floorsAt, n.quotas)
+			f.minimumsVersion = max(f.minimumsVersion, n.quotas)
 		}
-	case commanded:
-		f.command(n.command)
-	case asked:
-		n.ask()
-	case offered:
-		f.offered(n)
+	case commandSubmitted:
+		f.enqueueCommand(n.command)
+	case callRequested:
+		n.call()
+	case fileTablesDecided:
+		f.fileTablesProposed(n)
 	case storeClosed:
 		if !f.isReleased() {
-			f.storeClosed()
+			f.restartVoter()
 		}
-	case reopen:
-		time.AfterFunc(time.Duration(muteFor*float64(time.Second)), func() { f.in.Put(note{kind: storeClosed}) })
-	case released:
-		f.unlead()
-		f.holder.Alone()
+	case storeReopenFailed:
+		time.AfterFunc(time.Duration(voterRestartDelay*float64(time.Second)), func() { f.events.Put(event{kind: storeClosed}) })
+	case releaseRequested:
+		f.stopLeading()
+		f.quotaClient.DropMinimums()
 		f.close()
-		f.members, f.council = nil, nil
+		f.detector, f.consensus = nil, nil
 		close(f.released)
 	}
 }
 
 // turn does what is due.
-func (f *Fleet) turn() {
+func (f *Fleet) runDue() {
 	if f.isReleased() {
 		return
 	}
-	if f.members == nil {
+	if f.detector == nil {
 		if f.now >= f.due.open {
 			f.open()
 		}
 		return
 	}
-	if f.now >= f.due.members {
-		f.due.members = f.members.Tick(f.now)
+	if f.now >= f.due.detector {
+		f.due.detector = f.detector.Tick(f.now)
 		f.sendMembers()
 	}
-	f.voter()
-	if f.now >= f.due.ask || f.holder.Urgent() && f.now >= f.due.ask-askEvery+askSoonest {
-		f.due.ask = f.now + askEvery
-		f.ask()
+	f.runVoter()
+	if f.now >= f.due.requestGrants || f.quotaClient.Urgent() && f.now >= f.due.requestGrants-requestInterval+urgentRequestInterval {
+		f.due.requestGrants = f.now + requestInterval
+		f.requestGrants()
 	}
-	if f.now >= f.due.pass {
-		f.due.pass = f.now + passEvery
-		f.pass()
+	if f.now >= f.due.gossipReports {
+		f.due.gossipReports = f.now + gossipInterval
+		f.gossipReports()
 	}
 	if f.now >= f.due.report {
-		f.due.report = f.now + reportEvery
-		f.judge()
+		f.due.report = f.now + reportInterval
+		f.publishVerdicts()
 	}
-	if deaf := f.members.Deaf(); deaf != f.deaf {
-		f.deaf = deaf
-		f.count.Add("fleet", map[bool]string{true: "deaf", false: "hears_again"}[deaf], 1)
-		f.log.Warn("fleet: whether any other mixer is heard", zap.Bool("deaf", deaf))
+	if deaf := f.detector.Isolated(); deaf != f.isolated {
+		f.isolated = deaf
+		f.counters.Add("fleet", map[bool]string{true: "deaf", false: "hears_again"}[deaf], 1)
+		f.logger.Warn("fleet: whether any other mixer is heard", zap.Bool("deaf", deaf))
 	}
-	f.expire()
+	f.retryCommands()
 }
--- a/internal/controlplane/fleet/sealedmessage/link_test.go
+++ b/internal/controlplane/fleet/sealedmessage/link_test.go
@@ -29,79 +29,79 @@
 	a, s := sealers(t, wide)
 	sealed := a.Seal("b", 3, []byte("body"))
 	l, why := s.Open(1, sealed)
-	if why != Good || l.From != "a" || l.Kind != 3 || string(l.Body) != "body" || l.Incarnation != 10 || l.Number != 1 {
+	if why != Accepted || l.From != "a" || l.Kind != 3 || string(l.Body) != "body" || l.Incarnation != 10 || l.Number != 1 {
 		t.Fatalf("%v %+v", why, l)
 	}
 	if _, why := s.Open(1, sealed); why != Replayed {
 		t.Errorf("the same letter again: %v", why)
 	}
-	if _, why := a.Open(1, sealed); why != Unknown { // our own, turned back
+	if _, why := a.Open(1, sealed); why != UnknownSender { // our own, turned back
 		t.Errorf("our own letter: %v", why)
 	}
 	c, _ := New("c", 1, key, []membership.Name{"a", "b"}, wide)
-	if _, why := c.Open(1, sealed); why != NotOurs {
+	if _, why := c.Open(1, sealed); why != WrongRecipient {
 		t.Errorf("a letter to another: %v", why)
 	}
 	for i := range sealed {
 		altered := bytes.Clone(sealed)
 		altered[i] ^= 1
-		if _, why := s.Open(1, altered); why == Good {
+		if _, why := s.Open(1, altered); why == Accepted {
 			t.Errorf("byte %d altered, and opened", i)
 		}
 	}
 	other, _ := New("a", 11, [KeyBytes]byte{9}, []membership.Name{"b"}, wide)
-	if _, why := s.Open(1, other.Seal("b", 1, nil)); why != Altered {
+	if _, why := s.Open(1, other.Seal("b", 1, nil)); why != BadMAC {
 		t.Errorf("another key: %v", why)
 	}
-	if a.Seal("nobody", 1, nil) != nil || a.Seal("b", 1, make([]byte, MostLong)) != nil {
+	if a.Seal("nobody", 1, nil) != nil || a.Seal("b", 1, make([]byte, MaxBytes)) != nil {
 		t.Error("a letter to nobody, or too long, is sealed")
 	}
-	if _, why := s.Open(1, make([]byte, MostLong+1)); why != TooLong {
+	if _, why := s.Open(1, make([]byte, MaxBytes+1)); why != TooLong {
 		t.Errorf("too long: %v", why)
 	}
 }
 
 // A process that comes after another of its name ends what that one sent; its own messages begin at 1 again. One whose clock
 // went back is told, and rises.
-func TestIncarnations(t *testing.T) {
+func TestOlderIncarnationIsRejected(t *testing.T) {
 	a, s := sealers(t, wide)
 	old := a.Seal("b", 1, nil)
 	next, _ := New("a", 11, key, []membership.Name{"b"}, wide)
-	if _, why := s.Open(1, next.Seal("b", 1, nil)); why != Good {
+	if _, why := s.Open(1, next.Seal("b", 1, nil)); why != Accepted {
 		t.Fatal(why)
 	}
-	if l, why := s.Open(1, old); why != Old || l.From != "a" {
+	if l, why := s.Open(1, old); why != OldIncarnation || l.From != "a" {
 		t.Errorf("of the process before: %v", why)
 	}
-	a.Rise(s.Known("a"))
-	if _, why := s.Open(1, a.Seal("b", 1, nil)); why != Good || a.Incarnation() != 12 {
+	a.RaiseIncarnation(s.KnownIncarnation("a"))
+	if _, why := s.Open(1, a.Seal("b", 1, nil)); why != Accepted || a.Incarnation() != 12 {
 		t.Errorf("after it rose: %v, incarnation %d", why, a.Incarnation())
 	}
 }
 
 // Whoever sends too much is not heard for a while; others are.
-func TestBytesASecond(t *testing.T) {
+func TestBytesPerSecondAreLimited(t *testing.T) {
 	a, s := sealers(t, Limits{BytesPerS: 1000, Burst: 1000})
 	c, _ := New("c", 1, key, []membership.Name{"b"}, wide)
 	opened := 0
 	for range 100 {
-		if _, why := s.Open(5, a.Seal("b", 1, make([]byte, 50))); why == Good {
+		if _, why := s.Open(5, a.Seal("b", 1, make([]byte, 50))); why == Accepted {
 			opened++
 		}
 	}
 	if opened < 8 || opened > 11 {
 		t.Errorf("%d letters of 100 bytes opened at once, expected 10", opened)
 	}
-	if _, why := s.Open(5, c.Seal("b", 1, nil)); why != Good {
+	if _, why := s.Open(5, c.Seal("b", 1, nil)); why != Accepted {
 		t.Errorf("another mixer: %v", why)
 	}
-	if _, why := s.Open(6, a.Seal("b", 1, nil)); why != Good {
+	if _, why := s.Open(6, a.Seal("b", 1, nil)); why != Accepted {
 		t.Errorf("a second later: %v", why)
 	}
 }
 
 // The window is right whatever comes in which order: never twice, and never refused while it is close behind.
-func TestWindow(t *testing.T) {
+func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, seen, highest := window{}, map[Number]bool{}, Number(0)
 		for range rapid.IntRange(1, 400).Draw(t, "letters") {
@@ -110,7 +110,7 @@
 				n = max(1, highest+Number(rapid.Uint64Range(0, 80).Draw(t, "ahead"))-min(highest, 40))
 			}
 			first, near := !seen[n], highest < windowWords*64 || n > highest-windowWords*64
-			if got := w.takes(n); got != (first && near) {
+			if got := w.accept(n); got != (first && near) {
 				t.Fatalf("number %d with %d the highest: taken %t, expected %t", n, highest, got, first && near)
 			}
 			if near {
@@ -127,7 +127,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		a, s := sealers(t, wide)
 		genuine := a.Seal("b", 1, []byte("x"))
-		if _, why := s.Open(1, in); why == Good && !bytes.Equal(in, genuine) {
+		if _, why := s.Open(1, in); why == Accepted && !bytes.Equal(in, genuine) {
 			t.Errorf("opened what nobody sealed: %x", in)
 		}
 	})
--- a/internal/controlplane/fleet/sealedmessage/sealedmessage.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage.go
@@ -32,36 +32,36 @@
 	// Version of the messages. Another one is refused.
 	Version = 1
 	// KeyBytes is the length of the key that all of a fleet share.
-	KeyBytes = 32
-	headSize = 1 + 8 + 8 + 8 + 8 + 1
-	macSize  = 16
+	KeyBytes   = 32
+	headerSize = 1 + 8 + 8 + 8 + 8 + 1
+	macSize    = 16
 	// Overhead is what sealing adds to a body.
-	Overhead = headSize + macSize
-	// MostDatagram is what goes as a datagram: under the least MTU of IPv6, less heads.
-	MostDatagram = 1200
-	// MostLong bounds the rest: some 10,000 contracts of 200 bytes.
-	MostLong = 2 << 20
+	Overhead = headerSize + macSize
+	// MaxDatagramBytes is what goes as a datagram: under the least MTU of IPv6, less heads.
+	MaxDatagramBytes = 1200
+	// MaxBytes bounds the rest: some 10,000 contracts of 200 bytes.
+	MaxBytes = 2 << 20
 	// windowWords x 64 numbers behind the highest are known to have come or not; those before are taken for replayed.
 	windowWords = 16
 )
 
-// Why tells why a message was not opened.
-type Why uint8
+// Verdict tells why a message was not opened.
+type Verdict uint8
 
 // The reasons.
 const (
-	Good         Why = iota
-	OtherVersion     // than ours
+	Accepted     Verdict = iota
+	OtherVersion         // than ours
 	TooLong
-	Unknown  // from none of the roster
-	NotOurs  // for another node
-	Altered  // its hash is another
-	Old      // of an incarnation before one that was heard
-	Replayed // its number came before, or is too far behind to tell
-	TooMuch  // more bytes a second than a node may send
+	UnknownSender  // from none of the membership
+	WrongRecipient // for another node
+	BadMAC         // its hash is another
+	OldIncarnation // of an incarnation before one that was heard
+	Replayed       // its number came before, or is too far behind to tell
+	RateLimited    // more bytes a second than a node may send
 )
 
-func (w Why) String() string {
+func (w Verdict) String() string {
 	return [...]string{"good", "other_version", "too_long", "unknown", "not_ours", "altered", "old", "replayed", "too_much"}[w]
 }
 
@@ -84,8 +84,8 @@
 	seen        [windowWords]uint64
 }
 
-// takes notes a number, and tells whether it is the first time that it came.
-func (w *window) takes(n Number) bool {
+// accept notes a number, and tells whether it is the first time that it came.
+func (w *window) accept(n Number) bool {
 	const size = windowWords * 64
 	switch {
 	case n > w.highest:
@@ -106,11 +106,11 @@
 
 // peer lives as long as the sealer.
 type peer struct {
-	name   membership.Name
-	id     uint64
-	window window
-	sent   Number
-	allow  *rate.Limiter
+	name    membership.Name
+	id      uint64
+	window  window
+	sent    Number
+	limiter *rate.Limiter
 }
 
 // Sealer seals and opens for one node.
@@ -124,20 +124,20 @@
 
 func id(name membership.Name) uint64 { return xxh3.HashString(string(name)) }
 
-// SameHashError is a name whose hash is another one's too: messages could not tell the two apart.
-type SameHashError membership.Name
+// NameCollisionError is a name whose hash is another one's too: messages could not tell the two apart.
+type NameCollisionError membership.Name
 
-func (e SameHashError) Error() string {
+func (e NameCollisionError) Error() string {
 	return fmt.Sprintf("the name %q looks like another one: expected a name with another hash", string(e))
 }
 
-// New makes the sealer of a node and the others of its roster.
+// New makes the sealer of a node and the others of its membership.
 func New(self membership.Name, incarnation Incarnation, key [KeyBytes]byte, others []membership.Name, lim Limits) (*Sealer, error) {
 	s := &Sealer{self: id(self), incarnation: incarnation, key: key, byName: map[membership.Name]*peer{}, byID: map[uint64]*peer{}}
 	for _, name := range others {
-		p := &peer{name: name, id: id(name), allow: rate.NewLimiter(rate.Limit(lim.BytesPerS), int(lim.Burst))}
+		p := &peer{name: name, id: id(name), limiter: rate.NewLimiter(rate.Limit(lim.BytesPerS), int(lim.Burst))}
 		if other := s.byID[p.id]; other != nil || p.id == s.self {
-			return nil, SameHashError(name)
+			return nil, NameCollisionError(name)
 		}
 		s.byName[name], s.byID[p.id] = p, p
 	}
@@ -147,9 +147,9 @@
 // Incarnation is that of this process.
 func (s *Sealer) Incarnation() Incarnation { return s.incarnation }
 
-// Rise takes a higher incarnation, where another node knows of one as high as ours: a clock that went back, or a second
+// RaiseIncarnation takes a higher incarnation, where another node knows of one as high as ours: a clock that went back, or a second
 // process under our name.
-func (s *Sealer) Rise(above Incarnation) {
+func (s *Sealer) RaiseIncarnation(above Incarnation) {
 	if above < s.incarnation {
 		return
 	}
@@ -168,10 +168,10 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Seal makes a message ready to travel; nil if it is for none of the roster or too long.
+// Seal makes a message ready to travel; nil if it is for none of the membership or too long.
 func (s *Sealer) Seal(to membership.Name, kind Kind, body []byte) []byte {
 	p := s.byName[to]
-	if p == nil || len(body) > MostLong-Overhead {
+	if p == nil || len(body) > MaxBytes-Overhead {
 		return nil
 	}
 	p.sent++
@@ -187,48 +187,48 @@
 
 // Open opens what came at a time in seconds. Why is Good for a message to act on; of an Old one the message tells who it is
 // from, so that its sender can be told the incarnation that Known has.
-func (s *Sealer) Open(now float64, in []byte) (l Message, why Why) {
+func (s *Sealer) Open(now float64, in []byte) (l Message, why Verdict) {
 	switch {
-	case len(in) > MostLong:
+	case len(in) > MaxBytes:
 		return l, TooLong
 	case len(in) < Overhead:
-		return l, Altered
+		return l, BadMAC
 	case in[0] != Version:
 		return l, OtherVersion
 	}
 	p := s.byID[binary.BigEndian.Uint64(in[1:])]
 	switch {
 	case p == nil:
-		return l, Unknown
+		return l, UnknownSender
 	case binary.BigEndian.Uint64(in[9:]) != s.self:
-		return l, NotOurs
+		return l, WrongRecipient
 	}
 	body := in[:len(in)-macSize]
 	switch {
 	case subtle.ConstantTimeCompare(s.mac(body), in[len(in)-macSize:]) != 1:
-		return l, Altered
+		return l, BadMAC
 	// After the hash: else whoever forges a sender could use up what that one may send.
-	case !p.allow.AllowN(time.Unix(0, int64(now*1e9)), len(in)):
-		return l, TooMuch
+	case !p.limiter.AllowN(time.Unix(0, int64(now*1e9)), len(in)):
+		return l, RateLimited
 	}
 	l = Message{From: p.name, Incarnation: Incarnation(binary.BigEndian.Uint64(in[17:])), Number: Number(binary.BigEndian.Uint64(in[25:])),
-		Kind: Kind(in[33]), Body: body[headSize:]}
+		Kind: Kind(in[33]), Body: body[headerSize:]}
 	switch w := &p.window; {
 	case l.Incarnation < w.incarnation:
-		return l, Old
+		return l, OldIncarnation
 	case l.Incarnation > w.incarnation:
 		*w = window{incarnation: l.Incarnation}
 		fallthrough
 	default:
-		if !w.takes(l.Number) {
+		if !w.accept(l.Number) {
 			return l, Replayed
 		}
 	}
-	return l, Good
+	return l, Accepted
 }
 
-// Known is the highest incarnation heard of a node, 0 for none.
-func (s *Sealer) Known(name membership.Name) Incarnation {
+// KnownIncarnation is the highest incarnation heard of a node, 0 for none.
+func (s *Sealer) KnownIncarnation(name membership.Name) Incarnation {
 	if p := s.byName[name]; p != nil {
 		return p.window.incarnation
 	}
--- a/internal/controlplane/fleet/sealedmessage/wire_test.go
+++ b/internal/controlplane/fleet/sealedmessage/wire_test.go
@@ -24,7 +24,7 @@
 	}
 	sealed, _ := hex.DecodeString(want)
 	message, why := receiver.Open(0, sealed)
-	if why != Good || message.From != "a" || message.Incarnation != 5 || message.Number != 1 || message.Kind != 7 || string(message.Body) != "text" {
+	if why != Accepted || message.From != "a" || message.Incarnation != 5 || message.Number != 1 || message.Kind != 7 || string(message.Body) != "text" {
 		t.Errorf("opened as %+v, %d", message, why)
 	}
 }
--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -18,21 +18,21 @@
 
 // Settings are what the operator's file and the node's config say together. Times are seconds.
 type Settings struct {
-	Self      membership.Name
-	Location  string // of this node, by the settings' names
-	Roster    membership.Roster
-	Key       [sealedmessage.KeyBytes]byte
-	Directory string // "" keeps nothing; a voter needs one
-	Lease     float64
-	Longest   float64 // hard deadline
-	Site      residency.Site
-	Layout    policy.Layout
-	Seed      uint64
+	Self        membership.Name
+	Location    string // of this node, by the settings' names
+	Membership  membership.Set
+	Key         [sealedmessage.KeyBytes]byte
+	Directory   string // "" keeps nothing; a voter needs one
+	Lease       float64
+	MaxDeadline float64 // hard deadline
+	Names       residency.NameSpace
+	Layout      policy.Layout
+	Seed        uint64
 
-	HasQuotas bool // the file has the section: until the council was heard no tenant is taken for one without a quota
-	File      consensus.FileTables
-	Strict    []string       // tenants refused where contracts are not sure; "*" for all
-	Lines     map[string]int // of the file, by key
+	HasQuotas  bool // the file has the section: until the consensus was heard no tenant is taken for one without a quota
+	FileTables consensus.FileTables
+	Strict     []string       // tenants refused where contracts are not sure; "*" for all
+	Lines      map[string]int // of the file, by key
 }
 
 // Keys of Lines, but for contracts and quotas, each of which has its own.
@@ -53,35 +53,35 @@
 	say := func(key, format string, args ...any) {
 		faults = append(faults, invalid("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
 	}
-	me := s.Roster.Find(s.Self)
+	me := s.Membership.Find(s.Self)
 	switch {
 	case me == nil:
 		say(LineFleet, "fleet.roster: no mixer is named %q, as this one is", s.Self)
 	case me.Votes && s.Directory == "":
 		say(LineFleet, "fleet.directory: expected one, as %q votes", s.Self)
 	}
-	for _, m := range s.Roster.Members {
-		if !slices.Contains(s.Site.Zones, m.Location) {
-			say(LineFleet, "fleet.roster: location %q of %q is none that the settings know, expected one of %q", m.Location, m.Name, s.Site.Zones)
+	for _, m := range s.Membership.Members {
+		if !slices.Contains(s.Names.Zones, m.Location) {
+			say(LineFleet, "fleet.roster: location %q of %q is none that the settings know, expected one of %q", m.Location, m.Name, s.Names.Zones)
 		}
 	}
-	if s.Lease*contractShare < s.Longest+1 {
-		say(LineFleet, "fleet.lease_s is %g, expected %g or more: half of it has to last for the longest hard deadline, %g s, and a second", s.Lease, 2*(s.Longest+1), s.Longest)
+	if s.Lease*contractShare < s.MaxDeadline+1 {
+		say(LineFleet, "fleet.lease_s is %g, expected %g or more: half of it has to last for the longest hard deadline, %g s, and a second", s.Lease, 2*(s.MaxDeadline+1), s.MaxDeadline)
 	}
-	for _, tenant := range slices.Sorted(maps.Keys(s.File.Contracts)) {
-		c := s.File.Contracts[tenant]
-		if err := s.Site.Check(tenant, &c); err != nil {
+	for _, tenant := range slices.Sorted(maps.Keys(s.FileTables.Contracts)) {
+		c := s.FileTables.Contracts[tenant]
+		if err := s.Names.Check(tenant, &c); err != nil {
 			say(ContractLine(tenant), "contracts: %v", err)
 		}
 	}
-	for _, tenant := range slices.Sorted(maps.Keys(s.File.Quotas)) {
-		if !slices.Contains(s.Site.Tenants, string(tenant)) {
-			say(QuotaLine(tenant), "quotas: tenant %q is none that the settings know, expected one of %q", tenant, s.Site.Tenants)
+	for _, tenant := range slices.Sorted(maps.Keys(s.FileTables.Quotas)) {
+		if !slices.Contains(s.Names.Tenants, string(tenant)) {
+			say(QuotaLine(tenant), "quotas: tenant %q is none that the settings know, expected one of %q", tenant, s.Names.Tenants)
 		}
 	}
 	for _, tenant := range s.Strict {
-		if tenant != "*" && !slices.Contains(s.Site.Tenants, tenant) {
-			say(LineStrict, "contracts.strict: tenant %q is none that the settings know, expected some of %q or \"*\"", tenant, s.Site.Tenants)
+		if tenant != "*" && !slices.Contains(s.Names.Tenants, tenant) {
+			say(LineStrict, "contracts.strict: tenant %q is none that the settings know, expected some of %q or \"*\"", tenant, s.Names.Tenants)
 		}
 	}
 	return errors.Join(faults...)
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -31,29 +31,29 @@
 var (
 	storedNames    = []membership.Name{"a", "b", "c"}
 	storedFounders = []consensus.Voter{{Name: "a", ID: 0x11}, {Name: "b", ID: 0x22}, {Name: "c", ID: 0x33}}
-	storedQuota    = quota.Quota{PerS: 100, Burst: 50, Floor: 0.25}
+	storedQuota    = quota.Quota{PerS: 100, Burst: 50, MinimumShare: 0.25}
 	storedContract = residency.Contract{Zones: []string{"north", "south"}, Own: true, Indexes: []string{"reads"}}
 	// storedState is that of the snapshot.
 	storedState = consensus.State{
 		Index:     7,
 		Contracts: residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
-		Quotas:    map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasAt: 6,
-		Floors:        map[quota.Tenant]consensus.Floor{"acme": {PerS: 30, Burst: 15}},
-		FileContracts: 2, FileQuotas: 3, Voters: storedFounders,
-		Done:     []consensus.Done{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Wrong: "nothing"}},
+		Quotas:    map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasVersion: 6,
+		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 30, Burst: 15}},
+		FileContracts:   2, FileQuotas: 3, Voters: storedFounders,
+		Applied:  []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}},
 		Founders: storedFounders,
 	}
-	storedTables = tables{
+	storedTables = tablesRecord{
 		Incarnation: 0xabcdef, Table: &residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
-		Quotas: map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasAt: 6, Heard: true,
+		Quotas: map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasAt: 6, Received: true,
 	}
 	// storedCommands are in the log after the snapshot, from index 8 on.
 	storedCommands = []consensus.Command{
 		{ID: "c-3", Author: "ann", Reason: "new", Contract: &consensus.ContractChange{Tenant: "beta", Contract: &residency.Contract{Zones: []string{"west"}}}},
-		{ID: "c-4", Author: "ann", Reason: "more", Quota: &consensus.QuotaChange{Tenant: "beta", Quota: &quota.Quota{PerS: 8, Burst: 4, Floor: 0.5}}},
+		{ID: "c-4", Author: "ann", Reason: "more", Quota: &consensus.QuotaChange{Tenant: "beta", Quota: &quota.Quota{PerS: 8, Burst: 4, MinimumShare: 0.5}}},
 		{ID: "c-5", Author: "file", File: &consensus.FileTables{
 			ContractsVersion: 2, Contracts: map[residency.Tenant]residency.Contract{"late": {Zones: []string{"east"}}},
-			QuotasVersion: 4, Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, Floor: 0.25}},
+			QuotasVersion: 4, Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, MinimumShare: 0.25}},
 		}},
 	}
 	// storedAgreed is the state after the commands that the vote record says are agreed on.
@@ -61,16 +61,16 @@
 		Index: 10,
 		Contracts: residency.Table{Version: 8, Contracts: map[residency.Tenant]residency.Contract{
 			"acme": storedContract, "beta": {Zones: []string{"west"}}}},
-		Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, Floor: 0.25}}, QuotasAt: 10,
-		Floors:        map[quota.Tenant]consensus.Floor{"acme": {PerS: 50, Burst: 15}, "beta": {PerS: 4, Burst: 2}},
-		FileContracts: 2, FileQuotas: 4, Voters: storedFounders,
-		Done: []consensus.Done{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Wrong: "nothing"}, {ID: "c-3", Index: 8}, {ID: "c-4", Index: 9},
-			{ID: "c-5", Index: 10, Wrong: "contracts: version 2 is not above 2, which is held"}},
+		Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, MinimumShare: 0.25}}, QuotasVersion: 10,
+		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 50, Burst: 15}, "beta": {PerS: 4, Burst: 2}},
+		FileContracts:   2, FileQuotas: 4, Voters: storedFounders,
+		Applied: []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}, {ID: "c-3", Index: 8}, {ID: "c-4", Index: 9},
+			{ID: "c-5", Index: 10, Failure: "contracts: version 2 is not above 2, which is held"}},
 		Founders: storedFounders,
 	}
 )
 
-// canonical encodes as the council does.
+// canonical encodes as the consensus does.
 func canonical(value any) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -138,7 +138,7 @@
 	os.RemoveAll(storedFolder)
 	log, _ := openStoredLog(t, storedFolder)
 	saveNow(t, log, aggregatorstore.LogSave{Entries: []aggregatorstore.Entry{{Index: 7, Data: []byte("cut off")}, {Index: 8, Data: []byte("replaced")}}})
-	out, err := asLog(storedSave())
+	out, err := encodeSave(storedSave())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,13 +152,13 @@
 	}
 }
 
-// agreed applies what a voter knows to be agreed on.
-func agreed(t *testing.T, machine *consensus.Machine) consensus.State {
+// applyCommitted applies what a voter knows to be agreed on.
+func applyCommitted(t *testing.T, machine *consensus.Machine) consensus.State {
 	for {
-		if _, has := machine.Work(); !has {
+		if _, has := machine.NextSave(); !has {
 			return *machine.State()
 		}
-		if _, err := machine.Done(); err != nil {
+		if _, err := machine.Saved(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -177,16 +177,16 @@
 		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
 		log, contents := openStoredLog(t, folder)
 		defer log.Stop()
-		So(contents.Aside, ShouldBeEmpty)
+		So(contents.Quarantined, ShouldBeEmpty)
 		So(dumpLog(contents), ShouldEqual, string(golden))
 
 		Convey("the tables of the mixer are read", func() {
-			f := &Fleet{stored: contents, log: zap.NewNop()}
+			f := &Fleet{stored: contents, logger: zap.NewNop()}
 			So(f.readTables(), ShouldResemble, storedTables)
-			So(f.heard, ShouldBeTrue)
+			So(f.tablesReceived, ShouldBeTrue)
 		})
 		Convey("the votes, the snapshot and the entries are read", func() {
-			kept, err := readCouncil(&contents)
+			kept, err := decodeConsensusState(&contents)
 			So(err, ShouldBeNil)
 			want := storedSave()
 			So(kept.ID, ShouldEqual, contents.ID)
@@ -198,17 +198,17 @@
 			}
 		})
 		Convey("a voter goes on from the snapshot to what is agreed on", func() {
-			kept, err := readCouncil(&contents)
+			kept, err := decodeConsensusState(&contents)
 			So(err, ShouldBeNil)
 			kept.ID = storedFounders[0].ID
 			machine, err := consensus.New(storedSelf, storedNames, kept)
 			So(err, ShouldBeNil)
 			So(*machine.State(), ShouldResemble, storedState)
-			So(agreed(t, machine), ShouldResemble, storedAgreed)
+			So(applyCommitted(t, machine), ShouldResemble, storedAgreed)
 			So(machine.Term(), ShouldEqual, 4)
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
-			out, err := asLog(storedSave())
+			out, err := encodeSave(storedSave())
 			So(err, ShouldBeNil)
 			again := aggregatorstore.LogContents{ID: contents.ID, Values: out.Values, Entries: out.Entries}
 			again.Values[valueTables] = canonical(&storedTables)
--- a/internal/controlplane/fleet/tables.go
+++ b/internal/controlplane/fleet/tables.go
@@ -16,13 +16,13 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
-// tables are what a node keeps of what it heard, so that it goes by that after a restart in which it hears nothing.
-type tables struct {
+// tablesRecord are what a node keeps of what it heard, so that it goes by that after a restart in which it hears nothing.
+type tablesRecord struct {
 	Incarnation sealedmessage.Incarnation    `cbor:"1,keyasint"`
 	Table       *residency.Table             `cbor:"2,keyasint"`
 	Quotas      map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
 	QuotasAt    consensus.QuotasVersion      `cbor:"4,keyasint"`
-	Heard       bool                         `cbor:"5,keyasint"`
+	Received    bool                         `cbor:"5,keyasint"`
 }
 
 // Names of values in the store.
@@ -32,39 +32,39 @@
 	valueSnapshot = "snapshot"
 )
 
-func (f *Fleet) readTables() (t tables) {
+func (f *Fleet) readTables() (t tablesRecord) {
 	if v := f.stored.Values[valueTables]; v != nil {
 		if err := cbor.Unmarshal(v, &t); err != nil {
-			f.log.Error("fleet: kept tables can't be read, none holds", zap.String("text", err.Error()))
-			return tables{}
+			f.logger.Error("fleet: kept tables can't be read, none holds", zap.String("text", err.Error()))
+			return tablesRecord{}
 		}
 	}
-	if !t.Heard {
+	if !t.Received {
 		t.Table, t.Quotas = nil, nil
 	}
-	f.heard = t.Heard
+	f.tablesReceived = t.Received
 	return t
 }
 
 func (f *Fleet) saveTables() {
-	quotas := f.has.Quotas
+	quotas := f.versions.Quotas
 	switch {
-	case f.set.Directory == "": // the next process begins with no floors at all
-		f.floorsAt = quotas
+	case f.settings.Directory == "": // the next process begins with no minimums at all
+		f.minimumsVersion = quotas
 		return
 	case f.store == nil: // it is opened anew, and all is saved then
 		return
 	}
 	if failpoint.Pass(failpoint.SaveTables).Fail {
-		f.hear(&note{kind: tablesSaved, err: errFault})
+		f.handleEvent(&event{kind: tablesWritten, err: errInjected})
 		return
 	}
-	f.store.Save(aggregatorstore.LogSave{Values: map[string][]byte{valueTables: packed(tables{f.sealer.Incarnation(), f.table, f.quotas, f.has.Quotas, f.heard})}},
-		func(err error) { f.in.Put(note{kind: tablesSaved, err: err, quotas: quotas}) })
+	f.store.Save(aggregatorstore.LogSave{Values: map[string][]byte{valueTables: encode(tablesRecord{f.sealer.Incarnation(), f.contracts, f.quotas, f.versions.Quotas, f.tablesReceived})}},
+		func(err error) { f.events.Put(event{kind: tablesWritten, err: err, quotas: quotas}) })
 }
 
-// readCouncil reads what the council's library kept.
-func readCouncil(kept *aggregatorstore.LogContents) (k consensus.Kept, err error) {
+// decodeConsensusState reads what the consensus's library kept.
+func decodeConsensusState(kept *aggregatorstore.LogContents) (k consensus.Stored, err error) {
 	k.ID = kept.ID
 	if v := kept.Values[valueHard]; v != nil {
 		k.Hard = &pb.HardState{}
@@ -88,8 +88,8 @@
 	return k, nil
 }
 
-// asLog puts what the council has to save into the store's form.
-func asLog(s *consensus.Save) (out aggregatorstore.LogSave, err error) {
+// encodeSave puts what the consensus has to save into the store's form.
+func encodeSave(s *consensus.Save) (out aggregatorstore.LogSave, err error) {
 	out.Values = map[string][]byte{}
 	if s.Hard != nil {
 		if out.Values[valueHard], err = proto.Marshal(s.Hard); err != nil {
@@ -97,7 +97,7 @@
 		}
 	}
 	if s.Snapshot != nil {
-		out.CutTo = s.Snapshot.GetMetadata().GetIndex()
+		out.TruncateTo = s.Snapshot.GetMetadata().GetIndex()
 		if out.Values[valueSnapshot], err = proto.Marshal(s.Snapshot); err != nil {
 			return out, err
 		}
