--- a/internal/controlplane/fleet/udptransport/udptransport.go
+++ b/internal/controlplane/fleet/udptransport/udptransport.go
@@ -1,5 +1,5 @@
 // Package udptransport carries sealed messages between nodes: datagrams over UDP, and what is longer over TCP, both at the one
-// address that the roster gives a node. It opens nothing and decides nothing. Whoever sends is never held up: what finds
+// address that the membership gives a node. It opens nothing and decides nothing. Whoever sends is never held up: what finds
 // no room is dropped, as a network drops it, and counted.
 package udptransport
 
@@ -18,45 +18,45 @@
 )
 
 const (
-	// waiting messages: some rounds of all that a fleet of hundreds may say at once.
-	waiting = 4096
-	// longWaiting for one other node; what matters is said again.
-	longWaiting     = 8
-	dialWait        = time.Second
-	longWait        = 5 * time.Second  // for a long message, once it has begun
-	idleWait        = 10 * time.Second // a connection without one is closed
-	mostConnections = 64               // taken in at once
+	// receiveQueueLength messages: some rounds of all that a fleet of hundreds may say at once.
+	receiveQueueLength = 4096
+	// longQueueLength for one other node; what matters is said again.
+	longQueueLength = 8
+	dialTimeout     = time.Second
+	frameTimeout    = 5 * time.Second  // for a long message, once it has begun
+	idleTimeout     = 10 * time.Second // a connection without one is closed
+	maxConnections  = 64               // taken in at once
 )
 
-// Sockets is the sockets of one node.
-type Sockets struct {
-	In chan []byte // sealed messages as they came
+// Transport is the sockets of one node.
+type Transport struct {
+	Received chan []byte // sealed messages as they came
 
 	udp         *net.UDPConn
 	tcp         net.Listener
-	count       *counters.Set
-	to          map[membership.Name]*net.UDPAddr
-	long        map[membership.Name]chan []byte
-	ended       chan struct{}
-	all         sync.WaitGroup
+	counters    *counters.Set
+	addresses   map[membership.Name]*net.UDPAddr
+	longQueues  map[membership.Name]chan []byte
+	closing     chan struct{}
+	goroutines  sync.WaitGroup
 	mu          sync.Mutex
 	connections map[net.Conn]bool
 	closed      bool
 }
 
 // Listen opens the sockets of a node. Its address is a lock too: a second process under the same name gets an error.
-func Listen(self string, others map[membership.Name]string, count *counters.Set) (*Sockets, error) {
-	s := &Sockets{In: make(chan []byte, waiting), count: count, to: map[membership.Name]*net.UDPAddr{}, long: map[membership.Name]chan []byte{},
-		ended: make(chan struct{}), connections: map[net.Conn]bool{}}
+func Listen(self string, others map[membership.Name]string, count *counters.Set) (*Transport, error) {
+	s := &Transport{Received: make(chan []byte, receiveQueueLength), counters: count, addresses: map[membership.Name]*net.UDPAddr{}, longQueues: map[membership.Name]chan []byte{},
+		closing: make(chan struct{}), connections: map[net.Conn]bool{}}
 	at, err := net.ResolveUDPAddr("udp", self)
 	if err != nil {
 		return nil, err
 	}
 	for name, address := range others {
-		if s.to[name], err = net.ResolveUDPAddr("udp", address); err != nil {
+		if s.addresses[name], err = net.ResolveUDPAddr("udp", address); err != nil {
 			return nil, err
 		}
-		s.long[name] = make(chan []byte, longWaiting)
+		s.longQueues[name] = make(chan []byte, longQueueLength)
 	}
 	if s.udp, err = net.ListenUDP("udp", at); err != nil {
 		return nil, err
@@ -65,17 +65,17 @@
 		s.udp.Close()
 		return nil, err
 	}
-	s.all.Go(s.datagrams)
-	s.all.Go(s.accept)
-	for name, queue := range s.long {
-		s.all.Go(func() { s.carry(others[name], queue) })
+	s.goroutines.Go(s.readDatagrams)
+	s.goroutines.Go(s.accept)
+	for name, queue := range s.longQueues {
+		s.goroutines.Go(func() { s.sendLong(others[name], queue) })
 	}
 	return s, nil
 }
 
 // Close ends all of it.
-func (s *Sockets) Close() {
-	close(s.ended)
+func (s *Transport) Close() {
+	close(s.closing)
 	s.udp.Close()
 	s.tcp.Close()
 	s.mu.Lock()
@@ -84,46 +84,46 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.all.Wait()
+	s.goroutines.Wait()
 }
 
 // Send sends a message, by datagram if it fits one.
-func (s *Sockets) Send(to membership.Name, sealed []byte) {
-	if len(sealed) == 0 || s.to[to] == nil {
-		s.count.Add("fleet_dropped", "not_sent", 1)
+func (s *Transport) Send(to membership.Name, sealed []byte) {
+	if len(sealed) == 0 || s.addresses[to] == nil {
+		s.counters.Add("fleet_dropped", "not_sent", 1)
 		return
 	}
-	if len(sealed) > sealedmessage.MostDatagram {
+	if len(sealed) > sealedmessage.MaxDatagramBytes {
 		select {
-		case s.long[to] <- sealed:
+		case s.longQueues[to] <- sealed:
 		default:
-			s.count.Add("fleet_dropped", "no_room", 1)
+			s.counters.Add("fleet_dropped", "no_room", 1)
 		}
 		return
 	}
 	f := failpoint.Pass(failpoint.SendDatagram)
 	for range f.Times() {
-		if _, err := s.udp.WriteToUDP(sealed, s.to[to]); err != nil {
-			s.count.Add("fleet_dropped", "not_sent", 1)
+		if _, err := s.udp.WriteToUDP(sealed, s.addresses[to]); err != nil {
+			s.counters.Add("fleet_dropped", "not_sent", 1)
 		}
-		s.count.Add("fleet_bytes", "sent", int64(len(sealed)))
+		s.counters.Add("fleet_bytes", "sent", int64(len(sealed)))
 	}
 }
 
-// put hands in what came. A node that is stopped for a while must not find hours of old messages: the oldest wait, and
+// enqueue hands in what came. A node that is stopped for a while must not find hours of old messages: the oldest wait, and
 // what comes with no room left is dropped.
-func (s *Sockets) put(sealed []byte, f failpoint.Fault) {
+func (s *Transport) enqueue(sealed []byte, f failpoint.Fault) {
 	for range f.Times() {
 		select {
-		case s.In <- sealed:
+		case s.Received <- sealed:
 		default:
-			s.count.Add("fleet_dropped", "too_many", 1)
+			s.counters.Add("fleet_dropped", "too_many", 1)
 		}
 	}
 }
 
-func (s *Sockets) datagrams() {
-	buffer := make([]byte, sealedmessage.MostDatagram+1)
+func (s *Transport) readDatagrams() {
+	buffer := make([]byte, sealedmessage.MaxDatagramBytes+1)
 	for {
 		n, _, err := s.udp.ReadFromUDP(buffer)
 		switch {
@@ -132,23 +132,23 @@
 		case err != nil: // a refused datagram of ours comes back as an error
 			continue
 		}
-		s.count.Add("fleet_bytes", "taken", int64(n))
-		s.put(append([]byte(nil), buffer[:n]...), failpoint.Pass(failpoint.TakeDatagram))
+		s.counters.Add("fleet_bytes", "taken", int64(n))
+		s.enqueue(append([]byte(nil), buffer[:n]...), failpoint.Pass(failpoint.ReceiveDatagram))
 	}
 }
 
-// carry takes long messages to one other node, one after the other on a connection that it opens when there is one.
-func (s *Sockets) carry(address string, queue chan []byte) {
+// sendLong takes long messages to one other node, one after the other on a connection that it opens when there is one.
+func (s *Transport) sendLong(address string, queue chan []byte) {
 	var c net.Conn
 	defer func() {
 		if c != nil {
 			c.Close()
 		}
 	}()
-	idle := time.NewTimer(idleWait)
+	idle := time.NewTimer(idleTimeout)
 	for {
 		select {
-		case <-s.ended:
+		case <-s.closing:
 			return
 		case <-idle.C:
 			if c != nil {
@@ -156,30 +156,30 @@
 				c = nil
 			}
 		case sealed := <-queue:
-			idle.Reset(idleWait)
+			idle.Reset(idleTimeout)
 			frame := binary.BigEndian.AppendUint32(nil, uint32(len(sealed)))
 			frame = append(frame, sealed...)
 			for range failpoint.Pass(failpoint.SendLong).Times() {
-				c = s.write(c, address, frame)
+				c = s.writeFrame(c, address, frame)
 			}
 		}
 	}
 }
 
-// write writes a frame on a connection, or on a new one where that has ended meanwhile.
-func (s *Sockets) write(c net.Conn, address string, frame []byte) net.Conn {
+// writeFrame writes a frame on a connection, or on a new one where that has ended meanwhile.
+func (s *Transport) writeFrame(c net.Conn, address string, frame []byte) net.Conn {
 	for range 2 {
 		fresh := c == nil
 		if fresh {
 			var err error
-			if c, err = net.DialTimeout("tcp", address, dialWait); err != nil {
-				s.count.Add("fleet_dropped", "no_line", 1)
+			if c, err = net.DialTimeout("tcp", address, dialTimeout); err != nil {
+				s.counters.Add("fleet_dropped", "no_line", 1)
 				return nil
 			}
 		}
-		c.SetWriteDeadline(time.Now().Add(longWait))
+		c.SetWriteDeadline(time.Now().Add(frameTimeout))
 		if _, err := c.Write(frame); err == nil {
-			s.count.Add("fleet_bytes", "sent", int64(len(frame)))
+			s.counters.Add("fleet_bytes", "sent", int64(len(frame)))
 			return c
 		}
 		c.Close()
@@ -187,11 +187,11 @@
 			break
 		}
 	}
-	s.count.Add("fleet_dropped", "line_ended", 1)
+	s.counters.Add("fleet_dropped", "line_ended", 1)
 	return nil
 }
 
-func (s *Sockets) accept() {
+func (s *Transport) accept() {
 	for {
 		c, err := s.tcp.Accept()
 		if err != nil {
@@ -202,10 +202,10 @@
 			continue
 		}
 		s.mu.Lock()
-		room := !s.closed && len(s.connections) < mostConnections
+		room := !s.closed && len(s.connections) < maxConnections
 		if room {
 			s.connections[c] = true
-			s.all.Go(func() { s.read(c) })
+			s.goroutines.Go(func() { s.readFrames(c) })
 		}
 		s.mu.Unlock()
 		if !room {
@@ -214,8 +214,8 @@
 	}
 }
 
-// read takes long messages from a connection. No memory is taken on the word of a length: it grows with what comes.
-func (s *Sockets) read(c net.Conn) {
+// readFrames takes long messages from a connection. No memory is taken on the word of a length: it grows with what comes.
+func (s *Transport) readFrames(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -224,21 +224,21 @@
 	}()
 	for {
 		var head [4]byte
-		c.SetReadDeadline(time.Now().Add(idleWait + longWait))
+		c.SetReadDeadline(time.Now().Add(idleTimeout + frameTimeout))
 		if _, err := io.ReadFull(c, head[:]); err != nil {
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > sealedmessage.MostLong {
-			s.count.Add("fleet_dropped", sealedmessage.TooLong.String(), 1)
+		if n > sealedmessage.MaxBytes {
+			s.counters.Add("fleet_dropped", sealedmessage.TooLong.String(), 1)
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(longWait))
+		c.SetReadDeadline(time.Now().Add(frameTimeout))
 		sealed, err := io.ReadAll(io.LimitReader(c, int64(n)))
 		if err != nil || len(sealed) < int(n) {
 			return
 		}
-		s.count.Add("fleet_bytes", "taken", int64(n))
-		s.put(sealed, failpoint.Pass(failpoint.TakeLong))
+		s.counters.Add("fleet_bytes", "taken", int64(n))
+		s.enqueue(sealed, failpoint.Pass(failpoint.ReceiveLong))
 	}
 }
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -14,58 +14,58 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 )
 
-var errFault = errors.New("a fault that a test put here")
+var errInjected = errors.New("a fault that a test put here")
 
-// safely runs what the council's library does. It panics where what it is told can't be, as by a voter whose directory was
+// recoverPanic runs what the consensus's library does. It panics where what it is told can't be, as by a voter whose directory was
 // put back from an old copy: that costs the voter, and not the node with its queries.
-func (f *Fleet) safely(do func()) {
+func (f *Fleet) recoverPanic(do func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			f.mute(panicError{p})
+			f.stepOut(panicError{p})
 		}
 	}()
 	do()
 }
 
-// voter does what is due of the council.
-func (f *Fleet) voter() {
-	if f.failed && f.now >= f.due.again {
-		f.comeBack()
+// runVoter does what is due of the consensus.
+func (f *Fleet) runVoter() {
+	if f.steppedOut && f.now >= f.due.again {
+		f.closeStoreForRestart()
 	}
-	if f.council != nil && !f.failed {
-		f.safely(f.vote)
+	if f.consensus != nil && !f.steppedOut {
+		f.recoverPanic(f.tickVoter)
 	}
 }
 
-func (f *Fleet) vote() {
-	if f.now >= f.due.council {
-		f.due.council = f.now + consensus.TickS
-		f.council.Tick()
+func (f *Fleet) tickVoter() {
+	if f.now >= f.due.consensus {
+		f.due.consensus = f.now + consensus.TickSeconds
+		f.consensus.Tick()
 	}
 	if f.now >= f.due.intro && !f.saving {
-		f.due.intro = f.now + introEvery
+		f.due.intro = f.now + introductionInterval
 		if f.now >= f.due.nonce {
-			f.due.nonce, f.nonce = f.now+nonceFor, nonce()
+			f.due.nonce, f.nonce = f.now+nonceLifetime, nonce()
 		}
-		if in, say := f.council.Introduce(f.nonce); say {
-			f.introduce(f.set.Roster.Voters(), &in)
+		if in, say := f.consensus.Introduce(f.nonce); say {
+			f.sendIntroduction(f.settings.Membership.Voters(), &in)
 		}
 	}
 	switch {
-	case !f.council.Leads():
-		f.unlead()
-	case f.granted && f.council.Term() != f.term: // lost and won again between two turns
-		f.unlead()
+	case !f.consensus.Leads():
+		f.stopLeading()
+	case f.granting && f.consensus.Term() != f.term: // lost and won again between two turns
+		f.stopLeading()
 		fallthrough
 	default:
 		if f.now >= f.due.read {
-			f.due.read = f.now + readEvery
-			f.readNo++
-			f.reads[f.readNo] = f.now
-			f.council.Read(f.readNo)
+			f.due.read = f.now + readIndexInterval
+			f.readNumber++
+			f.pendingReads[f.readNumber] = f.now
+			f.consensus.Read(f.readNumber)
 		}
 	}
-	f.work()
+	f.saveNextReady()
 }
 
 func nonce() uint64 {
@@ -74,44 +74,44 @@
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-func (f *Fleet) introduce(to []membership.Name, in *consensus.Intro) {
+func (f *Fleet) sendIntroduction(to []membership.Name, in *consensus.Introduction) {
 	fault := failpoint.Pass(failpoint.Introduce)
 	for _, name := range to {
 		for range fault.Times() {
-			if name != f.set.Self {
-				f.send(name, messageIntro, in)
+			if name != f.settings.Self {
+				f.send(name, messageIntroduction, in)
 			}
 		}
 	}
 }
 
-func (f *Fleet) introduced(from membership.Name, in *consensus.Intro) {
-	if f.council == nil || f.failed || f.saving {
+func (f *Fleet) receiveIntroduction(from membership.Name, in *consensus.Introduction) {
+	if f.consensus == nil || f.steppedOut || f.saving {
 		return
 	}
-	var answer *consensus.Intro
+	var answer *consensus.Introduction
 	var save consensus.Save
 	var err error
-	if f.safely(func() { answer, save, err = f.council.Introduced(from, in) }); err != nil {
-		f.mute(err)
+	if f.recoverPanic(func() { answer, save, err = f.consensus.ReceiveIntroduction(from, in) }); err != nil {
+		f.stepOut(err)
 	}
-	if f.failed {
+	if f.steppedOut {
 		return
 	}
 	if !save.Empty() { // the founding, or joining: before anything is said as a part of it
-		f.log.Info("fleet: this voter takes part in the council", zap.String("by", string(from)))
+		f.logger.Info("fleet: this voter takes part in the council", zap.String("by", string(from)))
 		f.save(&save)
 		return
 	}
 	if answer != nil {
-		f.introduce([]membership.Name{from}, answer)
+		f.sendIntroduction([]membership.Name{from}, answer)
 	}
 }
 
-// work saves what the council has to save and goes on with the rest. One piece of work is in hand at a time.
-func (f *Fleet) work() {
-	for !f.saving && !f.failed {
-		s, has := f.council.Work()
+// saveNextReady saves what the consensus has to save and goes on with the rest. One piece of work is in hand at a time.
+func (f *Fleet) saveNextReady() {
+	for !f.saving && !f.steppedOut {
+		s, has := f.consensus.NextSave()
 		if !has {
 			return
 		}
@@ -119,189 +119,191 @@
 			f.save(&s)
 			return
 		}
-		f.workDone()
+		f.applyReady()
 	}
 }
 
 func (f *Fleet) save(s *consensus.Save) {
-	out, err := asLog(s)
-	if failpoint.Pass(failpoint.SaveCouncil).Fail {
-		err = errFault
+	out, err := encodeSave(s)
+	if failpoint.Pass(failpoint.SaveConsensus).Fail {
+		err = errInjected
 	}
 	if err != nil {
-		f.mute(err)
+		f.stepOut(err)
 		return
 	}
 	f.saving = true
-	f.store.Save(out, func(err error) { f.in.Put(note{kind: saved, err: err}) })
+	f.store.Save(out, func(err error) { f.events.Put(event{kind: consensusWorkSaved, err: err}) })
 }
 
-func (f *Fleet) councilSaved(err error) {
-	if f.council == nil || f.failed || !f.saving {
+func (f *Fleet) consensusSaved(err error) {
+	if f.consensus == nil || f.steppedOut || !f.saving {
 		return
 	}
 	f.saving = false
-	if failpoint.Pass(failpoint.SavedCouncil).Fail {
-		err = errFault
+	if failpoint.Pass(failpoint.ConsensusSaved).Fail {
+		err = errInjected
 	}
 	if err != nil {
-		f.mute(err)
+		f.stepOut(err)
 		return
 	}
-	f.safely(func() { f.workDone(); f.work() })
+	f.recoverPanic(func() { f.applyReady(); f.saveNextReady() })
 }
 
-// mute ends our part in the council: a voter that can't keep what it promised must promise nothing more. What was handed
+// stepOut ends our part in the consensus: a voter that can't keep what it promised must promise nothing more. What was handed
 // out runs out by itself. After a while it begins anew from what the directory holds, as a process that starts would.
-func (f *Fleet) mute(err error) {
-	f.failed, f.due.again = true, f.now+muteFor
-	f.unlead()
-	f.count.Add("fleet", "mute", 1)
-	f.log.Error("fleet: the council's work can't be kept, this voter is mute", zap.String("text", err.Error()))
+func (f *Fleet) stepOut(err error) {
+	f.steppedOut, f.due.again = true, f.now+voterRestartDelay
+	f.stopLeading()
+	f.counters.Add("fleet", "mute", 1)
+	f.logger.Error("fleet: the council's work can't be kept, this voter is mute", zap.String("text", err.Error()))
 }
 
-// comeBack reads the directory anew. Closing the file may wait for a disk, which this goroutine must not.
-func (f *Fleet) comeBack() {
-	f.due.again = f.now + muteFor
+// closeStoreForRestart reads the directory anew. Closing the file may wait for a disk, which this goroutine must not.
+func (f *Fleet) closeStoreForRestart() {
+	f.due.again = f.now + voterRestartDelay
 	if store := f.store; store != nil {
 		f.store = nil
-		go func() { store.Stop(); f.in.Put(note{kind: storeClosed}) }()
+		go func() { store.Stop(); f.events.Put(event{kind: storeClosed}) }()
 	}
 }
 
-// seat makes our voter from what the directory holds.
-func (f *Fleet) seat(kept *aggregatorstore.LogContents) error {
-	raftKept, err := readCouncil(kept)
+// startVoter makes our voter from what the directory holds.
+func (f *Fleet) startVoter(kept *aggregatorstore.LogContents) error {
+	raftKept, err := decodeConsensusState(kept)
 	if err != nil {
 		return err
 	}
-	f.council, err = consensus.New(f.set.Self, f.set.Roster.Voters(), raftKept)
+	f.consensus, err = consensus.New(f.settings.Self, f.settings.Membership.Voters(), raftKept)
 	return err
 }
 
-func (f *Fleet) storeClosed() {
-	store, kept, err := aggregatorstore.OpenLog(f.set.Directory, 0, f.log)
+func (f *Fleet) restartVoter() {
+	store, kept, err := aggregatorstore.OpenLog(f.settings.Directory, 0, f.logger)
 	if err != nil {
-		f.log.Error("fleet: the directory can't be opened, this voter stays mute", zap.String("text", err.Error()))
-		f.in.Put(note{kind: reopen})
+		f.logger.Error("fleet: the directory can't be opened, this voter stays mute", zap.String("text", err.Error()))
+		f.events.Put(event{kind: storeReopenFailed})
 		return
 	}
 	f.store = store
-	if err := f.seat(&kept); err != nil {
-		f.mute(err)
+	if err := f.startVoter(&kept); err != nil {
+		f.stepOut(err)
 		return
 	}
-	f.failed, f.saving, f.nonce, f.due.nonce = false, false, 0, 0
-	clear(f.reads)
-	f.log.Info("fleet: this voter is mute no more")
+	f.steppedOut, f.saving, f.nonce, f.due.nonce = false, false, 0, 0
+	clear(f.pendingReads)
+	f.logger.Info("fleet: this voter is mute no more")
 	f.saveTables()
 }
 
-func (f *Fleet) workDone() {
-	r, err := f.council.Done()
+func (f *Fleet) applyReady() {
+	r, err := f.consensus.Saved()
 	if err != nil {
-		f.mute(err)
+		f.stepOut(err)
 		return
 	}
-	for _, o := range r.Out {
-		f.sendBody(o.To, messageCouncil, o.Data)
+	for _, o := range r.Outgoing {
+		f.sendBody(o.To, messageConsensus, o.Data)
 	}
 	for _, no := range r.Reads {
-		if at, known := f.reads[no]; known {
-			f.confirmed(at)
+		if at, known := f.pendingReads[no]; known {
+			f.leadershipConfirmed(at)
 		}
 	}
-	for no, at := range f.reads {
-		if f.now-at > f.set.Lease {
-			delete(f.reads, no)
+	for no, at := range f.pendingReads {
+		if f.now-at > f.settings.Lease {
+			delete(f.pendingReads, no)
 		}
 	}
-	if r.News {
+	if r.StateChanged {
 		failpoint.Pass(failpoint.ApplyCommand)
 	}
-	for _, d := range r.Done {
-		f.acted(d)
+	for _, d := range r.Applied {
+		f.commandCommitted(d)
 	}
 }
 
-// confirmed notes that at a time we led for sure. The first such time of a term begins our granting; what another granted
+// leadershipConfirmed notes that at a time we led for sure. The first such time of a term begins our granting; what another granted
 // before has to run out first.
-func (f *Fleet) confirmed(at float64) {
-	if !f.council.Leads() {
+func (f *Fleet) leadershipConfirmed(at float64) {
+	if !f.consensus.Leads() {
 		return
 	}
 	failpoint.Pass(failpoint.ConfirmGranter)
-	authority := f.set.Lease * authorityShare
-	if !f.granted {
+	authority := f.settings.Lease * authorityShare
+	if !f.granting {
 		failpoint.Pass(failpoint.BeginGranting)
-		f.granted, f.term, f.sureTo = true, f.council.Term(), 0
+		f.granting, f.term, f.leadershipConfirmedUntil = true, f.consensus.Term(), 0
 		f.granter.Begin(f.now, authority, f.term)
-		f.spread.Begin(f.now, authority)
-		f.quiet = f.now + authority*quota.Longer
-		clear(f.quotaOf)
-		clear(f.unlike)
-		f.count.Add("fleet", "led", 1)
-		f.log.Info("fleet: this mixer leads the council", zap.Uint64("term", f.term), zap.Float64("grants_in_s", f.granter.Ready()-f.now))
+		f.rollout.Begin(f.now, authority)
+		f.previousLeaderUntil = f.now + authority*quota.WaitFactor
+		clear(f.minimumsAppliedBy)
+		clear(f.differsInStrict)
+		f.counters.Add("fleet", "led", 1)
+		f.logger.Info("fleet: this mixer leads the council", zap.Uint64("term", f.term), zap.Float64("grants_in_s", f.granter.ReadyAt()-f.now))
 	}
 	f.granter.Confirm(at, authority)
-	f.sureTo = max(f.sureTo, at+authority)
+	f.leadershipConfirmedUntil = max(f.leadershipConfirmedUntil, at+authority)
 }
 
-func (f *Fleet) unlead() {
-	if f.granted {
-		f.granted, f.sureTo = false, 0
+func (f *Fleet) stopLeading() {
+	if f.granting {
+		f.granting, f.leadershipConfirmedUntil = false, 0
 		f.granter.End()
-		clear(f.reads)
-		f.log.Info("fleet: this mixer leads no more")
+		clear(f.pendingReads)
+		f.logger.Info("fleet: this mixer leads no more")
 	}
 }
 
-// leads tells whether we lead the council for sure, so that what it agreed on last is what we know.
-func (f *Fleet) leads() bool { return f.granted && f.now < f.sureTo && !f.failed }
+// isConfirmedLeader tells whether we lead the consensus for sure, so that what it agreed on last is what we know.
+func (f *Fleet) isConfirmedLeader() bool {
+	return f.granting && f.now < f.leadershipConfirmedUntil && !f.steppedOut
+}
 
 // answer answers a node that asks.
-func (f *Fleet) answer(from membership.Name, a *asking) {
-	out := f.answered(from, a)
-	for range failpoint.Pass(failpoint.AnswerAsk).Times() {
-		f.send(from, messageGrant, out)
+func (f *Fleet) receiveGrantRequest(from membership.Name, a *grantRequest) {
+	out := f.grantResponse(from, a)
+	for range failpoint.Pass(failpoint.RespondToGrantRequest).Times() {
+		f.send(from, messageGrantResponse, out)
 	}
 }
 
-func (f *Fleet) answered(from membership.Name, a *asking) *granting {
-	out := &granting{No: a.No}
-	if !f.leads() {
-		if f.council != nil {
-			out.Leader = f.council.Leader()
+func (f *Fleet) grantResponse(from membership.Name, a *grantRequest) *grantResponse {
+	out := &grantResponse{Number: a.Number}
+	if !f.isConfirmedLeader() {
+		if f.consensus != nil {
+			out.Leader = f.consensus.Leader()
 		}
 		return out
 	}
-	if a.Roster != f.set.Roster.Version { // shares of another roster do not add up with ours
-		f.count.Add("fleet", "other_roster", 1)
-		f.log.Error("fleet: a mixer goes by another roster",
+	if a.MembershipVersion != f.settings.Membership.Version { // shares of another membership do not add up with ours
+		f.counters.Add("fleet", "other_roster", 1)
+		f.logger.Error("fleet: a mixer goes by another roster",
 			zap.String("mixer", string(from)),
-			zap.Int("version", a.Roster),
-			zap.Int("expected", f.set.Roster.Version))
+			zap.Int("version", a.MembershipVersion),
+			zap.Int("expected", f.settings.Membership.Version))
 		return out
 	}
-	state := f.council.State()
-	out.Sure, out.Leader, out.Versions = true, f.set.Self, versions{state.Contracts.Version, state.QuotasAt}
+	state := f.consensus.State()
+	out.Confirmed, out.Leader, out.Versions = true, f.settings.Self, tableVersions{state.Contracts.Version, state.QuotasVersion}
 	if a.Contracts != out.Versions.Contracts {
 		out.Table = &state.Contracts
 	}
 	if a.Quotas != out.Versions.Quotas {
 		out.Quotas = state.Quotas
 	}
-	f.spread.Hears(f.now, from, a.Holds)
-	f.spread.Renews(f.now, from)
-	if f.now >= f.quiet {
-		f.quotaOf[from] = a.Floors
+	f.rollout.RecordApplied(f.now, from, a.AppliedContracts)
+	f.rollout.RecordRenewal(f.now, from)
+	if f.now >= f.previousLeaderUntil {
+		f.minimumsAppliedBy[from] = a.MinimumsVersion
 	}
-	if f.unlike[from] = a.Strict != f.strictHash; f.unlike[from] {
-		f.count.Add("fleet", "other_strict", 1)
+	if f.differsInStrict[from] = a.StrictHash != f.strictHash; f.differsInStrict[from] {
+		f.counters.Add("fleet", "other_strict", 1)
 	}
-	for i := range a.Asks {
-		if q, has := state.Quotas[a.Asks[i].Tenant]; has {
-			if g, may := f.granter.Take(f.now, from, &a.Asks[i], q, f.floors); may {
+	for i := range a.Requests {
+		if q, has := state.Quotas[a.Requests[i].Tenant]; has {
+			if g, may := f.granter.Grant(f.now, from, &a.Requests[i], q, f.reservedMinimums); may {
 				out.Grants = append(out.Grants, g)
 			}
 		}
@@ -309,16 +311,16 @@
 	return out
 }
 
-// floors sums what nodes may have by themselves: those that told us that they go by the quotas that hold, by these, and
+// reservedMinimums sums what nodes may have by themselves: those that told us that they go by the quotas that hold, by these, and
 // all others by the largest that the tenant ever had.
-func (f *Fleet) floors(tenant quota.Tenant) (perS, burst float64) {
-	state := f.council.State()
-	n := len(f.set.Roster.Members)
-	nowPerS, nowBurst := state.Quotas[tenant].Share(n)
-	most := state.Floors[tenant]
-	mostPerS, mostBurst := quota.Quota{PerS: most.PerS, Burst: most.Burst, Floor: 1}.Share(n)
-	for _, m := range f.set.Roster.Members {
-		if at, told := f.quotaOf[m.Name]; told && at == state.QuotasAt {
+func (f *Fleet) reservedMinimums(tenant quota.Tenant) (perS, burst float64) {
+	state := f.consensus.State()
+	n := len(f.settings.Membership.Members)
+	nowPerS, nowBurst := state.Quotas[tenant].NodeMinimum(n)
+	most := state.LargestMinimums[tenant]
+	mostPerS, mostBurst := quota.Quota{PerS: most.PerS, Burst: most.Burst, MinimumShare: 1}.NodeMinimum(n)
+	for _, m := range f.settings.Membership.Members {
+		if at, told := f.minimumsAppliedBy[m.Name]; told && at == state.QuotasVersion {
 			perS, burst = perS+nowPerS, burst+nowBurst
 		} else {
 			perS, burst = perS+mostPerS, burst+mostBurst
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -14,16 +14,16 @@
 // Set is a set of counters by name and reason; every actor may add to it.
 type Set struct {
 	registry *prometheus.Registry
-	all      *prometheus.GaugeVec // what is held goes down again
+	gauges   *prometheus.GaugeVec // what is held goes down again
 	mu       sync.RWMutex
-	known    map[[2]string]prometheus.Gauge
+	byLabels map[[2]string]prometheus.Gauge
 }
 
 // New makes a set with a registry of its own, in which nothing is counted yet.
 func New() *Set {
-	s := &Set{registry: prometheus.NewRegistry(), known: map[[2]string]prometheus.Gauge{}, all: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "puffinlink",
+	s := &Set{registry: prometheus.NewRegistry(), byLabels: map[[2]string]prometheus.Gauge{}, gauges: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "puffinlink",
 		Help: "What the mixer counts, by name and reason."}, []string{"name", "reason"})}
-	s.registry.MustRegister(s.all)
+	s.registry.MustRegister(s.gauges)
 	return s
 }
 
@@ -31,21 +31,21 @@
 func (s *Set) Add(name, reason string, by int64) {
 	key := [2]string{name, reason}
 	s.mu.RLock()
-	g := s.known[key]
+	g := s.byLabels[key]
 	s.mu.RUnlock()
 	if g == nil {
 		s.mu.Lock()
-		g = s.all.WithLabelValues(name, reason) // the same one for all who ask
-		s.known[key] = g
+		g = s.gauges.WithLabelValues(name, reason) // the same one for all who ask
+		s.byLabels[key] = g
 		s.mu.Unlock()
 	}
 	g.Add(float64(by))
 }
 
 // Get tells a counter.
-func (s *Set) Get(name, reason string) int64 { return s.gathered()[name+"."+reason] }
+func (s *Set) Get(name, reason string) int64 { return s.gather()[name+"."+reason] }
 
-func (s *Set) gathered() map[string]int64 {
+func (s *Set) gather() map[string]int64 {
 	counts := map[string]int64{}
 	families, _ := s.registry.Gather() // of gauges alone it has no error
 	for _, f := range families {
@@ -58,7 +58,7 @@
 
 // MarshalLogObject puts all counters into one log line, sorted by name; it has no error.
 func (s *Set) MarshalLogObject(line zapcore.ObjectEncoder) error {
-	counts := s.gathered()
+	counts := s.gather()
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
 		line.AddInt64(key, counts[key])
 	}
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -11,7 +11,7 @@
 )
 
 // Many actors count at once, what is held goes down again, and all of it is one line, sorted.
-func TestCounted(t *testing.T) {
+func TestCountersAddUp(t *testing.T) {
 	s := New()
 	var all sync.WaitGroup
 	for range 8 {
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -254,31 +254,31 @@
 	if err != nil {
 		return fmt.Errorf("fleet.key_file: %w", err)
 	}
-	s := fleet.Settings{Self: membership.Name(c.Name), Roster: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
+	s := fleet.Settings{Self: membership.Name(c.Name), Membership: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
 		Lease: file.Fleet.Lease, Layout: set.Layout, Seed: set.Seed, HasQuotas: file.Quotas.On, Strict: file.Contracts.Strict,
-		Site:  residency.Site{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
+		Names: residency.NameSpace{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
 		Lines: map[string]int{fleet.LineFleet: file.Fleet.Line, fleet.LineStrict: file.Contracts.Line}}
 	if at := int(set.Location); at < len(set.Net.Locations) {
 		s.Location = set.Net.Locations[at]
 	}
 	for _, x := range set.Indexes {
-		s.Longest = max(s.Longest, x.Hard)
+		s.MaxDeadline = max(s.MaxDeadline, x.Hard)
 	}
-	s.File.ContractsVersion, s.File.QuotasVersion = file.Contracts.Version, file.Quotas.Version
+	s.FileTables.ContractsVersion, s.FileTables.QuotasVersion = file.Contracts.Version, file.Quotas.Version
 	for _, t := range file.Contracts.Tenants {
 		tenant := residency.Tenant(t.Tenant)
-		if s.File.Contracts == nil {
-			s.File.Contracts = map[residency.Tenant]residency.Contract{}
+		if s.FileTables.Contracts == nil {
+			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{}
 		}
-		s.File.Contracts[tenant] = residency.Contract{Zones: t.Zones, Own: t.Own, Indexes: t.Indexes}
+		s.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, Own: t.Own, Indexes: t.Indexes}
 		s.Lines[fleet.ContractLine(tenant)] = t.Line
 	}
 	for _, t := range file.Quotas.Tenants {
 		tenant := quota.Tenant(t.Tenant)
-		if s.File.Quotas == nil {
-			s.File.Quotas = map[quota.Tenant]quota.Quota{}
+		if s.FileTables.Quotas == nil {
+			s.FileTables.Quotas = map[quota.Tenant]quota.Quota{}
 		}
-		s.File.Quotas[tenant] = t.Quota()
+		s.FileTables.Quotas[tenant] = t.Quota()
 		s.Lines[fleet.QuotaLine(tenant)] = t.Line
 	}
 	if n.fleet, err = fleet.New(s, n.aggregator.In, n.log, n.count); err != nil {
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -66,7 +66,7 @@
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant),
 			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.AggregatorsToo, Indexes: c.Contract.Indexes}}
 	case c.Quota != nil:
-		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.PerS, Burst: c.Quota.Burst, Floor: c.Quota.Floor}}
+		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.PerS, Burst: c.Quota.Burst, MinimumShare: c.Quota.Floor}}
 	case c.Clear == "contract":
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant)}
 	case c.Clear == "quota":
@@ -96,7 +96,7 @@
 }
 
 func (s *Server) showFleet(w http.ResponseWriter, _ *http.Request, _ string) {
-	shown, err := s.fleet.Show()
+	shown, err := s.fleet.Status()
 	if err != nil {
 		s.fleetFails(w, err)
 		return
@@ -120,7 +120,7 @@
 }
 
 func (s *Server) whyFleet(w http.ResponseWriter, r *http.Request, _ string) {
-	e, err := s.fleet.Why(quota.Tenant(r.FormValue("tenant")), r.FormValue("index"))
+	e, err := s.fleet.Explain(quota.Tenant(r.FormValue("tenant")), r.FormValue("index"))
 	if err != nil {
 		s.fleetFails(w, err)
 		return
@@ -149,15 +149,15 @@
 	switch {
 	case err != nil:
 		s.fleetFails(w, err)
-	case res.Wrong != "":
-		s.fail(w, http.StatusUnprocessableEntity, "refused", res.Wrong)
+	case res.Failure != "":
+		s.fail(w, http.StatusUnprocessableEntity, "refused", res.Failure)
 	default:
 		reply(w, http.StatusOK, res)
 	}
 }
 
 // Fleet reads what one aggregator knows of the fleet.
-func (c *Client) Fleet(ctx context.Context) (s fleet.Shown, err error) {
+func (c *Client) Fleet(ctx context.Context) (s fleet.Status, err error) {
 	err = c.Get(ctx, "/v1/fleet", &s)
 	return s, err
 }
@@ -175,7 +175,7 @@
 }
 
 // WhyFleet reads which contract, lease and quota decide about a tenant's queries of an index.
-func (c *Client) WhyFleet(ctx context.Context, tenant, index string) (e fleet.Explained, err error) {
+func (c *Client) WhyFleet(ctx context.Context, tenant, index string) (e fleet.Explanation, err error) {
 	err = c.Get(ctx, "/v1/fleet/why?tenant="+url.QueryEscape(tenant)+"&index="+url.QueryEscape(index), &e)
 	return e, err
 }
--- a/internal/operators/operatorfile/fleet.go
+++ b/internal/operators/operatorfile/fleet.go
@@ -6,8 +6,8 @@
 )
 
 // Roster is that of the file.
-func (f *Fleet) Roster() membership.Roster {
-	r := membership.Roster{Version: f.Version}
+func (f *Fleet) Roster() membership.Set {
+	r := membership.Set{Version: f.Version}
 	for _, m := range f.Aggregators {
 		r.Members = append(r.Members, membership.Member{Name: membership.Name(m.Name), Address: m.Address, Location: m.Location, Votes: m.Votes})
 	}
@@ -63,7 +63,9 @@
 }
 
 // Quota is the same in the fleet's terms.
-func (q Quota) Quota() quota.Quota { return quota.Quota{PerS: q.PerS, Burst: q.Burst, Floor: q.Floor} }
+func (q Quota) Quota() quota.Quota {
+	return quota.Quota{PerS: q.PerS, Burst: q.Burst, MinimumShare: q.Floor}
+}
 
 // Warnings tells of what is allowed and may not be meant, a line each.
 func (f *File) Warnings() (list []string) {
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -67,8 +67,8 @@
 		pass  int
 		fault string
 	}
-	sample := []one{{failpoint.Spend, 40, "stop"}, {failpoint.AnswerAsk, 25, "kill"}, {failpoint.TakeGrant, 12, "delay"}, {failpoint.SaveCouncil, 4, "fail"},
-		{failpoint.HoldContract, 2, "drop"}, {failpoint.Renew, 20, "stop"}, {failpoint.SavedCouncil, 3, "kill"}, {failpoint.SendDatagram, 90, "double"}}
+	sample := []one{{failpoint.Spend, 40, "stop"}, {failpoint.RespondToGrantRequest, 25, "kill"}, {failpoint.ReceiveGrant, 12, "delay"}, {failpoint.SaveConsensus, 4, "fail"},
+		{failpoint.ApplyContract, 2, "drop"}, {failpoint.Renew, 20, "stop"}, {failpoint.ConsensusSaved, 3, "kill"}, {failpoint.SendDatagram, 90, "double"}}
 	if all {
 		sample = nil
 		for p := failpoint.Point(1); int(p) < len(failpoint.Names); p++ {
--- a/internal/tools/fleettest/judgements_test.go
+++ b/internal/tools/fleettest/judgements_test.go
@@ -18,7 +18,7 @@
 }
 
 // reportsIn are the reports that an aggregator shows to have heard of others.
-func reportsIn(shown map[string]any) (list []outlier.Heard) {
+func reportsIn(shown map[string]any) (list []outlier.Summary) {
 	text, _ := json.Marshal(shown["reports"])
 	json.Unmarshal(text, &list)
 	return list
@@ -74,7 +74,7 @@
 			}
 		}
 		for _, name := range sick {
-			if time.Since(othersBlamed[name]).Seconds() > outlier.HeldFor {
+			if time.Since(othersBlamed[name]).Seconds() > outlier.VerdictSeconds {
 				alone = append(alone, name)
 			}
 		}
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -69,7 +69,7 @@
 	for _, x := range p.Nodes {
 		states[string(x.Node)] = x.State
 	}
-	return p.Held, states
+	return p.Applied, states
 }
 
 // Counter reads a counter of the process from its log, after a SIGUSR1.
