--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -8,6 +8,7 @@
 
 	"go.uber.org/zap"
 
+	"puffinlink.example/puffinlink/internal/controlplane/control"
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
@@ -19,7 +20,7 @@
 		h.writeError(w, r, err)
 		return
 	}
-	write(w, http.StatusOK, list)
+	control.WriteJSON(w, http.StatusOK, list)
 }
 
 func (h *Handler) listJobs(r *http.Request) (list Jobs, err error) {
@@ -36,27 +37,27 @@
 	if err != nil {
 		return list, err
 	}
-	answers := askAll[jobreport.JobsReply](r.Context(), h, groups, jobreport.JobsCall.Route(), func(group string) any {
+	replies := callLeaders[jobreport.JobsReply](r.Context(), h, groups, jobreport.JobsCall.Route(), func(group string) any {
 		return jobreport.JobsRequest{Group: group, State: state, Limit: limit}
 	})
-	if list.Unanswered, err = unanswered(answers); err != nil {
+	if list.Unanswered, err = unanswered(replies); err != nil {
 		return list, err
 	}
-	list.merge(answers, limit)
+	list.merge(replies, limit)
 	return list, nil
 }
 
-// merge takes the jobs of several services in turn, up to a limit.
-func (list *Jobs) merge(answers []answer[jobreport.JobsReply], limit int) {
+// merge takes jobs of the services in turn, up to a limit.
+func (list *Jobs) merge(replies []leaderReply[jobreport.JobsReply], limit int) {
 	longest := 0
-	for _, one := range answers {
+	for _, one := range replies {
 		list.Total += one.reply.Total
 		longest = max(longest, len(one.reply.Jobs))
 	}
-	for place := range longest {
-		for _, one := range answers {
-			if place < len(one.reply.Jobs) && len(list.Jobs) < limit {
-				entry := one.reply.Jobs[place]
+	for position := range longest {
+		for _, one := range replies {
+			if position < len(one.reply.Jobs) && len(list.Jobs) < limit {
+				entry := one.reply.Jobs[position]
 				entry.Service = serviceOf(one.group)
 				list.Jobs = append(list.Jobs, entry)
 			}
@@ -69,7 +70,7 @@
 	case "", job.Queued, job.Running, job.Completed, job.Failed, job.Cancelled:
 		return state, nil
 	}
-	return "", failed(http.StatusBadRequest, fmt.Sprintf("state %q is unknown; give queued, running, completed, failed or cancelled", text))
+	return "", newStatusError(http.StatusBadRequest, fmt.Sprintf("state %q is unknown; give queued, running, completed, failed or cancelled", text))
 }
 
 func parseLimit(text string) (int, error) {
@@ -78,88 +79,88 @@
 	}
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > jobreport.MaxJobs {
-		return 0, failed(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MaxJobs))
+		return 0, newStatusError(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MaxJobs))
 	}
 	return limit, nil
 }
 
-// found is a job and the group that knows it.
-type found struct {
+// locatedJob is a job and the group that knows it.
+type locatedJob struct {
 	group  string
 	detail jobreport.JobDetail
 }
 
-// find asks the leaders for the job that a request names.
-func (h *Handler) find(r *http.Request) (found, error) {
+// locate finds the job that a request names, by calls to the leaders.
+func (h *Handler) locate(r *http.Request) (locatedJob, error) {
 	id := job.ID(r.PathValue("id"))
 	if !id.Valid() {
-		return found{}, failed(http.StatusBadRequest, fmt.Sprintf("%q is not a job's ID; it has 16 hexadecimal digits", id))
+		return locatedJob{}, newStatusError(http.StatusBadRequest, fmt.Sprintf("%q is not a job's ID; it has 16 hexadecimal digits", id))
 	}
 	groups, err := h.groups(r.URL.Query())
 	if err != nil {
-		return found{}, err
+		return locatedJob{}, err
 	}
-	answers := askAll[jobreport.JobReply](r.Context(), h, groups, jobreport.JobCall.Route(), func(group string) any {
+	replies := callLeaders[jobreport.JobReply](r.Context(), h, groups, jobreport.JobCall.Route(), func(group string) any {
 		return jobreport.JobRequest{Group: group, ID: id}
 	})
-	return oneOf(id, answers)
+	return onlyMatch(id, replies)
 }
 
-// oneOf picks the only answer that knows a job.
-func oneOf(id job.ID, answers []answer[jobreport.JobReply]) (found, error) {
-	var matches []found
+// onlyMatch picks the only reply that knows a job.
+func onlyMatch(id job.ID, replies []leaderReply[jobreport.JobReply]) (locatedJob, error) {
+	var matches []locatedJob
 	var failure error
-	for _, one := range answers {
+	for _, one := range replies {
 		switch {
 		case one.err != nil:
 			failure = one.err
 		case one.reply.Known:
 			detail := one.reply.Job
 			detail.Service = serviceOf(one.group)
-			matches = append(matches, found{group: one.group, detail: detail})
+			matches = append(matches, locatedJob{group: one.group, detail: detail})
 		}
 	}
 	switch {
 	case len(matches) > 1:
-		return found{}, failed(http.StatusConflict, fmt.Sprintf("several services have a job %s; name one with ?%s=", id, ServiceParameter))
+		return locatedJob{}, newStatusError(http.StatusConflict, fmt.Sprintf("several services have a job %s; name one with ?%s=", id, ServiceParameter))
 	case len(matches) == 1:
 		return matches[0], nil
 	case failure != nil:
-		return found{}, failure
+		return locatedJob{}, failure
 	}
-	return found{}, unknownJob(id)
+	return locatedJob{}, unknownJob(id)
 }
 
 func unknownJob(id job.ID) error {
-	return failed(http.StatusNotFound, fmt.Sprintf("no job %s is known: it was never taken, or it ended long ago", id))
+	return newStatusError(http.StatusNotFound, fmt.Sprintf("no job %s is known: it was never taken, or it ended long ago", id))
 }
 
 func (h *Handler) job(w http.ResponseWriter, r *http.Request) {
-	match, err := h.find(r)
+	match, err := h.locate(r)
 	if err != nil {
 		h.writeError(w, r, err)
 		return
 	}
-	write(w, http.StatusOK, match.detail)
+	control.WriteJSON(w, http.StatusOK, match.detail)
 }
 
 func (h *Handler) why(w http.ResponseWriter, r *http.Request) {
-	match, err := h.find(r)
+	match, err := h.locate(r)
 	if err != nil {
 		h.writeError(w, r, err)
 		return
 	}
 	var reply jobreport.WhyReply
 	request := jobreport.WhyRequest{Group: match.group, ID: match.detail.ID}
-	if err := h.ask(r.Context(), match.group, jobreport.WhyCall.Route(), request, &reply); err != nil {
+	if err := h.callLeader(r.Context(), match.group, jobreport.WhyCall.Route(), request, &reply); err != nil {
 		h.writeError(w, r, err)
 		return
 	}
-	write(w, http.StatusOK, reply.Why)
+	control.WriteJSON(w, http.StatusOK, reply.Why)
 }
 
 func (h *Handler) cancel(w http.ResponseWriter, r *http.Request) {
-	match, err := h.find(r)
+	match, err := h.locate(r)
 	if err == nil {
 		err = h.cancelJob(r.Context(), match)
 	}
@@ -168,21 +169,21 @@
 		return
 	}
 	h.options.Logger.Info("operator's cancellation", zap.String("service", match.detail.Service), zap.String("job", string(match.detail.ID)))
-	write(w, http.StatusOK, Cancelled{ID: string(match.detail.ID), Service: match.detail.Service})
+	control.WriteJSON(w, http.StatusOK, Cancelled{ID: string(match.detail.ID), Service: match.detail.Service})
 }
 
-// cancelJob asks the job's leader. The outcome rests on the durable state in the answer and not on what was found before:
-// the job may have ended since, and what was found may have been lost.
-func (h *Handler) cancelJob(ctx context.Context, match found) error {
+// cancelJob calls the job's leader. The outcome follows from the durable state in the reply and not from what was located
+// before: the job may have ended since, or that state may have been lost.
+func (h *Handler) cancelJob(ctx context.Context, match locatedJob) error {
 	var reply jobapi.Cancelled
-	err := h.ask(ctx, match.group, jobapi.CancelCall.Route(), jobapi.Cancel{Group: match.group, ID: match.detail.ID}, &reply)
+	err := h.callLeader(ctx, match.group, jobapi.CancelCall.Route(), jobapi.Cancel{Group: match.group, ID: match.detail.ID}, &reply)
 	switch {
 	case err != nil:
 		return err
 	case !reply.Known:
 		return unknownJob(match.detail.ID)
 	case reply.State.Final() && reply.State != job.Cancelled:
-		return failed(http.StatusConflict, fmt.Sprintf("job %s has already ended: it is %s", match.detail.ID, reply.State))
+		return newStatusError(http.StatusConflict, fmt.Sprintf("job %s has already ended: it is %s", match.detail.ID, reply.State))
 	}
 	return nil
 }
--- a/internal/controlplane/replication/members.go
+++ b/internal/controlplane/replication/members.go
@@ -1,12 +1,8 @@
 package replication
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
-	"github.com/zeebo/xxh3"
-
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
@@ -18,7 +14,7 @@
 	lastPing     time.Duration // its newest ping arrived then
 	ready        bool          // it may vote, as its newest ping says
 	lastAnswered time.Duration // the newest of our pings that it answered was sent then
-	pendingPings int           // calls under way
+	pendingPings int           // calls in flight
 }
 
 // members tells which core nodes are alive and in contact.
@@ -41,7 +37,7 @@
 	return one
 }
 
-// retain forgets all that are not in a view.
+// retain drops all that are not in a view.
 func (m *members) retain(view replicaset.View) {
 	for address := range m.byAddress {
 		if !view.Has(address) {
@@ -67,11 +63,3 @@
 	}
 	return view.Version > 0 && count >= view.Quorum()
 }
-
-// rendezvousOrder sorts addresses by highest random weight for a group.
-func rendezvousOrder(addresses []string, group string) []string {
-	weight := func(address string) uint64 { return xxh3.HashString(group + "\x00" + address) }
-	return slices.SortedFunc(slices.Values(addresses), func(a, b string) int {
-		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a, b))
-	})
-}
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -9,19 +9,19 @@
 	"go.uber.org/zap"
 )
 
-// The pace of a link. Those that depend on how long runs may be held are shares of that time where it is short.
+// The pace of a link. Those that depend on how long attempts may be held are shares of that time where it is short.
 const (
-	longPollWait           = time.Second            // how long a worker may wait for an end before it answers a hold
+	longPollWait           = time.Second            // how long a worker may wait for a completion before it answers a renewal
 	renewalAge             = 900 * time.Millisecond // a grant that was asked for longer ago is renewed
 	minLeaseLead           = 1500 * time.Millisecond
-	leadFraction           = 4                      // minLeaseLead and longPollWait are at most this part of the longest hold
-	renewalFraction        = 6                      // renewalAge is at most this part of the longest hold
-	maxIdleInterval        = 3 * time.Second        // between two looks at an idle worker
-	idleFraction           = 2                      // maxIdleInterval is at most this part of the longest hold
-	maxCommandsInFlight    = 5                      // orders under way at once; the hold and the out-of-band look have connections besides
-	unreachablePollTimeout = 600 * time.Millisecond // of the hold loop's looks while the worker is unreachable
-
-	// abandonMargin is how much longer than its hedge a hold may last: usually the look's end decides about the hold.
+	leadFraction           = 4                      // minLeaseLead and longPollWait are at most this part of the longest lease
+	renewalFraction        = 6                      // renewalAge is at most this part of the longest lease
+	maxIdleInterval        = 3 * time.Second        // between two polls of an idle worker
+	idleFraction           = 2                      // maxIdleInterval is at most this part of the longest lease
+	maxCommandsInFlight    = 5                      // commands under way at once; the renewal and the out-of-band poll have connections besides
+	unreachablePollTimeout = 600 * time.Millisecond // of the renewal loop's polls while the worker is unreachable
+
+	// abandonMargin is how much longer than its hedge a renewal may last: usually the poll's end decides about the renewal.
 	abandonMargin = 100 * time.Millisecond
 )
 
@@ -29,8 +29,8 @@
 type Config struct {
 	Instance         Instance
 	FencingToken     uint64
-	MaxLease         time.Duration // the longest time for which a worker holds its runs
-	LeaderLeaseValid func() bool   // whether this process may send orders at this moment; asked right before each call
+	MaxLease         time.Duration // the longest time for which a worker holds its attempts
+	LeaderLeaseValid func() bool   // whether this process may send commands at this moment; asked right before each call
 	Events           Events
 	HTTP             *http.Client // shared by all links, from NewHTTPClient or of the budget
 	Connections      *Connections // the budget of all links; nil for none
@@ -50,84 +50,59 @@
 	fenced
 )
 
-// contact says what the last call has shown.
-type contact uint8
-
-const (
-	untried contact = iota
-	reachable
-	unreachable
-)
-
-// Link is the connection to one life of one worker under one fencing token. Its methods may be called from any goroutine;
+// Link is the connection to one incarnation of one worker under one fencing token. Its methods may be called from any goroutine;
 // none of them waits for the worker but Run.
 type Link struct {
-	config     Config
-	caller     *caller
-	lane       *hostPool
-	log        *zap.Logger
-	now        func() time.Time
-	pace       pace
-	deliveries delivery
+	config Config
+	caller *caller
+	pool   *hostPool
+	log    *zap.Logger
+	now    func() time.Time
+	pace   pace
+	events eventQueue
 
 	context                context.Context // of all calls
 	cancel                 context.CancelFunc
 	done                   chan struct{} // closed when the link ends
 	acknowledgementArrived chan struct{} // an acknowledgement has come
-	commandQueued          chan struct{} // an order was queued
+	commandQueued          chan struct{} // a command was queued
 
-	delivered         deliveryHistory // used by one delivery at a time
-	awaitedCompletion uint64          // the newest end that the hold loop has waited for to be acknowledged; used by that loop only
+	deliveryHistory   deliveryHistory // used by one delivery at a time
+	awaitedCompletion uint64          // the newest completion that the renewal loop has waited for to be acknowledged; used by that loop only
 
 	mu             sync.Mutex
-	idle           sync.Cond // no order worker is left, or no look is under way
+	quiescent      sync.Cond // no order worker is left, or no poll is under way
 	ending         ending
-	contact        contact
-	suspended      bool // no call may be sent at present
-	doubtful       bool // a call got no answer, and none was answered since: no start is sent
-	suspected      bool // likewise, and the call was a hold or a look: a look that fails now makes the worker unreachable
-	refusals       int  // holds in a row that were answered but refused
-	listed         bool
-	mayHaveWork    bool // it may have runs, or ends that are not acknowledged
-	longPolled     bool // the newest call of the hold loop was one that waits
+	health         health
+	activity       activity
 	acknowledged   uint64
-	clock          clockBounds
-	grants         leaseGrants
-	lease          lease
+	lease          leaseState
 	roundTrips     roundTrips
-	resultAt       time.Time       // of the newest result of an order
-	pending        *pendingRenewal // nil before the first one
+	pendingRenewal *pendingRenewal // nil before the first one
 	polls          pollState
 	commands       commandQueue
-	senders        int
-	hedgedRequests int // further copies of repeatable calls under way
+	hedges         int // further hedged requests of idempotent calls under way
 	counts         Counts
 }
 
 // Counts says how many calls for the lists a link has made so far.
 type Counts struct {
-	Renewals            uint64 // by the hold loop, its looks included
+	Renewals            uint64 // by the renewal loop, its polls included
 	Polls               uint64 // out of band
-	OverdueRenewals     uint64 // holds whose answer was overdue
-	RepeatedCompletions uint64 // holds whose newest end had been listed before, as it was not acknowledged yet
-	HedgedRequests      uint64 // of looks and stops whose answer was overdue
+	OverdueRenewals     uint64 // renewals whose answer was overdue
+	RepeatedCompletions uint64 // renewals whose newest completion had been listed before, as it was not acknowledged yet
+	HedgedRequests      uint64 // of polls and stops whose answer was overdue
 }
 
-// granted is the newest grant that was answered.
-type lease struct {
-	validUntil time.Duration // on the worker's clock; 0 when there is none
-	askedAt    time.Time
-}
-
-// pace holds the link's times, which depend on how long runs may be held.
+// pace holds the link's times, which depend on how long attempts may be held.
 type pace struct{ longPollWait, renewalAge, minLeaseLead, maxIdleInterval time.Duration }
 
-func paceFor(holdMax time.Duration) pace {
+func paceFor(maxLease time.Duration) pace {
 	return pace{
-		longPollWait:    min(longPollWait, holdMax/leadFraction).Truncate(time.Millisecond),
-		renewalAge:      min(renewalAge, holdMax/renewalFraction),
-		minLeaseLead:    min(minLeaseLead, holdMax/leadFraction),
-		maxIdleInterval: min(maxIdleInterval, holdMax/idleFraction),
+		longPollWait:    min(longPollWait, maxLease/leadFraction).Truncate(time.Millisecond),
+		renewalAge:      min(renewalAge, maxLease/renewalFraction),
+		minLeaseLead:    min(minLeaseLead, maxLease/leadFraction),
+		maxIdleInterval: min(maxIdleInterval, maxLease/idleFraction),
 	}
 }
 
@@ -135,7 +110,7 @@
 func NewLink(config Config) *Link {
 	l := &Link{
 		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
-		deliveries:             delivery{events: config.Events},
+		events:                 eventQueue{events: config.Events},
 		done:                   make(chan struct{}),
 		acknowledgementArrived: make(chan struct{}, 1),
 		commandQueued:          make(chan struct{}, 1),
@@ -143,7 +118,7 @@
 	if l.config.Connections == nil {
 		l.config.Connections = unlimited()
 	}
-	l.lane = l.config.Connections.join(config.Instance.Address)
+	l.pool = l.config.Connections.join(config.Instance.Address)
 	l.caller = newCaller(config.HTTP, config.Instance.Address, config.Instance.ID, config.LeaderLeaseValid)
 	l.roundTrips.minTimeout = config.MinTimeout
 	if l.log == nil {
@@ -154,11 +129,11 @@
 	}
 	l.log = l.log.With(zap.String("searcher", string(config.Instance.ID)))
 	l.context, l.cancel = context.WithCancel(context.Background())
-	l.idle.L = &l.mu
+	l.quiescent.L = &l.mu
 	return l
 }
 
-// Acknowledge says that the ends up to a number are durable: the worker may forget them.
+// Acknowledge says that the completions up to a number are durable: the worker may forget them.
 func (l *Link) Acknowledge(number uint64) {
 	l.mu.Lock()
 	l.acknowledged = max(l.acknowledged, number)
@@ -169,12 +144,12 @@
 	}
 }
 
-// LeasesExpiredBy is the local time by which everything that this link has ever granted there has certainly lapsed, provided that
+// LeasesExpiredBy is the local time by which everything that this link has ever granted there has certainly expired, provided that
 // nothing more is granted. It is the zero time when nothing was granted.
 func (l *Link) LeasesExpiredBy() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.grants.expiredBy()
+	return l.lease.grants.expiredBy()
 }
 
 // Counts returns how many calls were made so far.
@@ -184,7 +159,7 @@
 	return l.counts
 }
 
-// Close ends the link. Calls under way are given up, and their results and those of waiting orders are still reported; Run
+// Close ends the link. Calls under way are given up, and their results and those of waiting commands are still reported; Run
 // returns after that.
 func (l *Link) Close() { l.end(closed) }
 
@@ -211,10 +186,10 @@
 	switch reason {
 	case gone:
 		l.log.Info("searcher's life is over")
-		l.deliveries.post(func(e Events) { e.Gone(Gone{id}) })
+		l.events.post(func(e Events) { e.Gone(Gone{id}) })
 	case fenced:
 		l.log.Info("searcher has seen a higher fencing token", zap.Uint64("token", l.config.FencingToken))
-		l.deliveries.post(func(e Events) { e.Fenced(Fenced{id}) })
+		l.events.post(func(e Events) { e.Fenced(Fenced{id}) })
 	}
 }
 
@@ -225,11 +200,11 @@
 }
 
 // endedBy ends the link if an answer says so.
-func (l *Link) endedBy(a response) bool {
+func (l *Link) endedBy(response workerResponse) bool {
 	switch {
-	case a.status == http.StatusMisdirectedRequest:
+	case response.status == http.StatusMisdirectedRequest:
 		l.end(gone)
-	case a.status == http.StatusConflict && a.body.Reason == reasonFencingToken:
+	case response.status == http.StatusConflict && response.body.Reason == reasonFencingToken:
 		l.end(fenced)
 	default:
 		return false
@@ -237,45 +212,33 @@
 	return true
 }
 
-// setContact notes what a call has shown, and reports a change. While a worker is unreachable it gets no orders and no
+// setContact notes what a call has shown, and reports a change. While a worker is unreachable it gets no commands and no
 // grants.
-func (l *Link) setContact(now contact) {
+func (l *Link) setContact(to contact) {
 	l.mu.Lock()
-	changed := l.contact != now && l.ending == open
-	if changed {
-		l.contact = now
-	}
-	if now == reachable {
-		l.doubtful, l.suspected = false, false
+	changed := l.ending == open && l.health.moveTo(to)
+	if to == reachable {
+		l.health.responded()
 	}
-	if changed && now == unreachable && l.pending != nil {
-		l.pending.abandon() // the hold loop looks for the worker
+	if changed && to == unreachable && l.pendingRenewal != nil {
+		l.pendingRenewal.abandon() // the renewal loop looks for the worker
 	}
 	l.dispatch()
 	l.mu.Unlock()
 	if !changed {
 		return
 	}
-	report := ReachabilityChange{Worker: l.config.Instance.ID, Reachable: now == reachable}
+	report := ReachabilityChange{Worker: l.config.Instance.ID, Reachable: to == reachable}
 	l.log.Debug("contact changed", zap.Bool("reachable", report.Reachable))
-	l.deliveries.post(func(e Events) { e.Reachability(report) })
+	l.events.post(func(e Events) { e.Reachability(report) })
 }
 
-// sendTime is the local time for a call that is sent now: certainly after the results reported before, even if the clock has
-// not moved since. The caller holds the lock.
-func (l *Link) sendTime() time.Time { return later(l.now(), l.resultAt.Add(1)) }
+// sendTime is the local time for a call that is sent now. The caller holds the lock.
+func (l *Link) sendTime() time.Time { return l.commands.sendTime(l.now()) }
 
-// resultTime is the local time for the result of an order.
+// resultTime is the local time for the result of a command.
 func (l *Link) resultTime() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resultAt = later(l.resultAt, l.now())
-	return l.resultAt
-}
-
-// observe takes in the clock of an answer. The caller holds the lock.
-func (l *Link) observe(a response, sent, received time.Time) {
-	if a.body.ClockMS != nil {
-		l.clock.observe(sent, received, *a.body.ClockMS)
-	}
+	return l.commands.resultTime(l.now())
 }
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -6,13 +6,13 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// responseOutcome is the outcome of a start order by the worker's answer.
-func responseOutcome(a response) StartOutcome {
-	switch a.status {
+// responseOutcome is the outcome of a start command by the worker's answer.
+func responseOutcome(response workerResponse) StartOutcome {
+	switch response.status {
 	case http.StatusOK:
 		return Started
 	case http.StatusConflict:
-		return rejection(a.body.Reason)
+		return rejection(response.body.Reason)
 	case http.StatusBadRequest:
 		return RejectedInvalid
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -37,7 +37,7 @@
 	return Unclear
 }
 
-// failureOutcome is the outcome of a start order without an answer.
+// failureOutcome is the outcome of a start command without an answer.
 func failureOutcome(err error) StartOutcome {
 	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return NotSent
