--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -10,30 +10,10 @@
 )
 
 const (
-	firstStopBackoff = 200 * time.Millisecond
-	maxStopBackoff   = time.Second
-	maxStartWait     = 2 * time.Second // how long a start order waits for a grant
+	maxStartWait = 2 * time.Second // how long a start command waits for a grant
 )
 
-// commandQueue holds the orders that are not under way.
-type commandQueue struct {
-	starts []queuedStart
-	stops  []queuedStop
-	timer  *time.Timer // set for the first stop order whose pause is not over
-}
-
-type queuedStart struct {
-	command  StartCommand
-	queuedAt time.Time
-}
-
-type queuedStop struct {
-	command StopCommand
-	due     time.Time
-	backoff time.Duration // until the next try, should this one fail
-}
-
-// Start sends a start order as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
+// Start sends a start command as soon as its turn has come; its outcome is reported. While the worker is unreachable it is
 // not sent.
 func (l *Link) Start(command StartCommand) {
 	l.mu.Lock()
@@ -43,16 +23,16 @@
 	l.dispatch()
 }
 
-// expectAttempt ends the rest of the hold loop: there will be a run. The caller holds the lock.
+// expectAttempt ends the rest of the renewal loop: there will be an attempt. The caller holds the lock.
 func (l *Link) expectAttempt() {
-	l.mayHaveWork = true
+	l.activity.mayHaveWork = true
 	select {
 	case l.commandQueued <- struct{}{}:
 	default:
 	}
 }
 
-// Stop sends a stop order, again and again until it is answered or the link ends. While the worker is unreachable the
+// Stop sends a stop command, again and again until it is answered or the link ends. While the worker is unreachable the
 // order waits.
 func (l *Link) Stop(command StopCommand) {
 	l.mu.Lock()
@@ -62,14 +42,14 @@
 	l.dispatch()
 }
 
-// dispatch sets workers to the orders that may go out. The caller holds the lock.
+// dispatch sets workers to the commands that may go out. The caller holds the lock.
 func (l *Link) dispatch() {
-	for idle := maxCommandsInFlight - l.senders; idle > 0; idle-- {
+	for idle := maxCommandsInFlight - l.commands.senders; idle > 0; idle-- {
 		work := l.nextCommand()
 		if work == nil {
 			return
 		}
-		l.senders++
+		l.commands.senders++
 		go l.sendCommands(work)
 	}
 }
@@ -80,14 +60,14 @@
 		next()
 		l.mu.Lock()
 		if next = l.nextCommand(); next == nil {
-			l.senders--
-			l.idle.Broadcast()
+			l.commands.senders--
+			l.quiescent.Broadcast()
 		}
 		l.mu.Unlock()
 	}
 }
 
-// nextCommand takes an order from the queue, stops first, and returns what is to be done about it; nil when there is none. The
+// nextCommand takes a command from the queue, stops first, and returns what is to be done about it; nil when there is none. The
 // caller holds the lock.
 func (l *Link) nextCommand() func() {
 	now := l.now()
@@ -106,64 +86,56 @@
 	case l.ending != open:
 		outcome := l.outcomeAtEnd(NotSent)
 		work = func() { l.reportStart(start.command, outcome) }
-	case l.suspended || l.contact == unreachable || now.Sub(start.queuedAt) > maxStartWait:
+	case l.commands.suspended || l.health.contact == unreachable || now.Sub(start.queuedAt) > maxStartWait:
 		work = func() { l.reportStart(start.command, NotSent) }
 	case l.startable(now):
 		work = func() { l.sendStart(start.command) }
 	default:
 		return nil
 	}
-	l.commands.starts[0] = queuedStart{}
-	l.commands.starts = l.commands.starts[1:]
+	l.commands.dropFirstStart()
 	return work
 }
 
-// startable tells whether a start order would be held long enough and is likely to be answered. The caller holds the lock.
+// startable reports whether a start command would be held long enough and is likely to be answered. The caller holds the lock.
 func (l *Link) startable(now time.Time) bool {
-	return !l.doubtful && l.lease.validUntil-l.clock.highest(now) >= l.pace.minLeaseLead
+	return l.health.doubt == confident && l.lease.remaining(now) >= l.pace.minLeaseLead
 }
 
-// stillStartable tells the same once the order's turn for a connection has come.
+// stillStartable tells the same once the command's turn for a connection has come.
 func (l *Link) stillStartable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.startable(l.now())
 }
 
-// nextStop takes the first stop order whose time has come, and sets the timer when all of them pause. The caller holds the
+// nextStop takes the first stop command whose time has come, and sets the timer when all of them pause. The caller holds the
 // lock.
 func (l *Link) nextStop(now time.Time) (queuedStop, bool) {
-	if len(l.commands.stops) == 0 || l.ending == open && (l.suspended || l.contact == unreachable) {
+	if len(l.commands.stops) == 0 || l.ending == open && (l.commands.suspended || l.health.contact == unreachable) {
 		return queuedStop{}, false
 	}
-	first := 0
-	for i, stop := range l.commands.stops {
-		if stop.due.Before(l.commands.stops[first].due) {
-			first = i
-		}
-	}
-	stop := l.commands.stops[first]
-	if wait := stop.due.Sub(now); wait > 0 && l.ending == open {
-		l.setTimer(wait)
+	earliest := l.commands.earliestStop()
+	if wait := l.commands.stops[earliest].due.Sub(now); wait > 0 && l.ending == open {
+		l.setStopTimer(wait)
 		return queuedStop{}, false
 	}
-	l.commands.stops = append(l.commands.stops[:first], l.commands.stops[first+1:]...)
-	return stop, true
+	return l.commands.takeStop(earliest), true
 }
 
-func (l *Link) setTimer(wait time.Duration) {
-	if l.commands.timer != nil {
-		l.commands.timer.Reset(wait)
+func (l *Link) setStopTimer(wait time.Duration) {
+	if l.commands.stopTimer != nil {
+		l.commands.stopTimer.Reset(wait)
 		return
 	}
-	l.commands.timer = time.AfterFunc(wait, func() {
+	l.commands.stopTimer = time.AfterFunc(wait, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.dispatch()
 	})
 }
 
-// outcomeAtEnd is the outcome of a start order when the link has ended: otherwise, if the reason does not tell. The caller
+// outcomeAtEnd is the outcome of a start command when the link has ended: otherwise, if the reason does not tell. The caller
 // holds the lock.
 func (l *Link) outcomeAtEnd(otherwise StartOutcome) StartOutcome {
 	switch {
@@ -175,24 +147,24 @@
 	return otherwise
 }
 
-// sendStart makes one start call. It extends no grant: its runs are held as long as those already there.
+// sendStart makes one start call. It extends no grant: its attempts are held as long as those already there.
 func (l *Link) sendStart(command StartCommand) {
-	if !l.lane.acquire(l.done) {
+	if !l.pool.acquire(l.done) {
 		l.reportStart(command, NotSent)
 		return
 	}
-	defer l.lane.release()
+	defer l.pool.release()
 	if !l.config.LeaderLeaseValid() || !l.stillStartable() {
 		l.reportStart(command, NotSent)
 		return
 	}
 	c := l.beginStart()
 	body := appendStart(make([]byte, 0, startBytes(&command)), &command, c.validUntil.Milliseconds(), l.config.FencingToken)
-	a, err := l.caller.post(l.context, l.caller.start, body, c.timeout)
-	l.settleStart(c, a, err, l.now())
-	l.reportStart(command, l.startOutcome(a, err))
+	response, err := l.caller.post(l.context, l.caller.start, body, c.timeout)
+	l.settleStart(c, response, err, l.now())
+	l.reportStart(command, l.startOutcome(response, err))
 	if err != nil {
-		l.doubt() // a look shows whether the run is there
+		l.doubt() // a poll shows whether the attempt is there
 	}
 }
 
@@ -207,21 +179,21 @@
 func (l *Link) beginStart() startCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := startCall{sentAt: l.now(), timeout: l.roundTrips.startTimeout(), validUntil: l.lease.validUntil}
-	c.grant = l.grants.begin(l.clock.untilPassed(c.validUntil, c.sentAt), c.sentAt, c.timeout)
+	c := startCall{sentAt: l.now(), timeout: l.roundTrips.startTimeout(), validUntil: l.lease.confirmed.validUntil}
+	c.grant = l.lease.grant(c.validUntil, c.sentAt, c.timeout)
 	return c
 }
 
-func (l *Link) settleStart(c startCall, a response, err error, received time.Time) {
+func (l *Link) settleStart(c startCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(a, c.sentAt, received)
-	l.settleGrant(c.grant, c.validUntil, err, received)
+	l.lease.observe(response, c.sentAt, received)
+	l.lease.settle(c.grant, c.validUntil, err, received)
 	if err == nil || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		l.roundTrips.startEnded(err == nil)
 	}
 	if err != nil {
-		l.doubtful = true // before the outcome is reported, as that may bring further starts
+		l.health.commandUnanswered() // before the outcome is reported, as that may bring further starts
 		return
 	}
 	l.roundTrips.observe(received.Sub(c.sentAt))
@@ -233,82 +205,80 @@
 	return len(command.Specification) + len(command.Checkpoint) + others
 }
 
-// startOutcome reads an answer to a start order and notes what else it says.
-func (l *Link) startOutcome(a response, err error) StartOutcome {
+// startOutcome reads an answer to a start command and notes what else it says.
+func (l *Link) startOutcome(response workerResponse, err error) StartOutcome {
 	if err != nil {
 		l.log.Debug("start without answer", zap.Error(err))
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.outcomeAtEnd(failureOutcome(err))
 	}
-	if l.endedBy(a) {
-		if a.status == http.StatusMisdirectedRequest {
+	if l.endedBy(response) {
+		if response.status == http.StatusMisdirectedRequest {
 			return IncarnationOver
 		}
 		return RejectedFencingToken
 	}
 	l.setContact(reachable)
-	return responseOutcome(a)
+	return responseOutcome(response)
 }
 
 func (l *Link) reportStart(command StartCommand, outcome StartOutcome) {
 	result := StartResult{l.config.Instance.ID, command, outcome, l.resultTime()}
-	l.deliveries.post(func(e Events) { e.StartResult(result) })
+	l.events.post(func(e Events) { e.StartResult(result) })
 }
 
-// sendStop makes one stop call, and queues the order again if it was not taken.
+// sendStop makes one stop call, and queues the command again if it was not taken.
 func (l *Link) sendStop(stop queuedStop) {
-	if !l.lane.acquire(l.done) {
+	if !l.pool.acquire(l.done) {
 		l.requeueStop(stop)
 		return
 	}
-	defer l.lane.release()
+	defer l.pool.release()
 	if !l.config.LeaderLeaseValid() {
 		l.requeueStop(stop)
 		return
 	}
-	a, err := l.postStop(stop.command)
+	response, err := l.postStop(stop.command)
 	switch {
 	case err != nil:
 		l.log.Debug("stop without answer", zap.Error(err))
 		l.doubt()
-	case l.endedBy(a):
+	case l.endedBy(response):
 	default:
 		l.setContact(reachable)
 	}
-	if err != nil || a.status != http.StatusOK {
+	if err != nil || response.status != http.StatusOK {
 		l.requeueStop(stop)
 		return
 	}
 	l.reportStop(stop.command, true)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.requestPoll(pollMergeDelay) // shows whether the run is there
+	l.requestPoll(pollMergeDelay) // shows whether the attempt is there
 }
 
-func (l *Link) postStop(command StopCommand) (response, error) {
+func (l *Link) postStop(command StopCommand) (workerResponse, error) {
 	l.mu.Lock()
 	timeout := l.roundTrips.commandTimeout()
 	l.mu.Unlock()
-	a, sentAt, err := l.postIdempotent(idempotentCall{l.caller.stop, appendStop(nil, command, l.config.FencingToken), timeout})
+	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.stop, appendStop(nil, command, l.config.FencingToken), timeout})
 	if err == nil {
 		received := l.now()
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.roundTrips.observe(received.Sub(sentAt))
 	}
-	return a, err
+	return response, err
 }
 
 func (l *Link) requeueStop(stop queuedStop) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	stop.due = l.now().Add(stop.backoff)
-	stop.backoff = min(2*stop.backoff, maxStopBackoff)
-	l.commands.stops = append(l.commands.stops, stop)
+	l.commands.retryStop(stop, l.now())
 }
 
 func (l *Link) reportStop(command StopCommand, answered bool) {
 	result := StopResult{l.config.Instance.ID, command, answered, l.resultTime()}
-	l.deliveries.post(func(e Events) { e.StopResult(result) })
+	l.events.post(func(e Events) { e.StopResult(result) })
 }
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -7,43 +7,35 @@
 )
 
 // deliver reports the lists of an answer.
-func (l *Link) deliver(c listCall, a response, outOfBand bool) {
-	listing := l.listing(c, a)
+func (l *Link) deliver(c listCall, response workerResponse, outOfBand bool) {
+	listing := l.listing(c, response)
 	listing.OutOfBand = outOfBand
 	received := l.now()
 	l.mu.Lock()
-	l.refusals = 0
-	l.listed = true
-	if empty := len(a.body.Running)+len(a.body.Finished) == 0; !empty || l.commandsAnsweredBefore(c.sentAt) {
-		l.mayHaveWork = !empty
-	}
+	l.health.listed()
+	l.activity.received(&response.body, l.commands.answeredBefore(c.sentAt))
 	l.mu.Unlock()
 	l.setContact(reachable)
-	l.deliveries.post(func(e Events) {
-		l.delivered.add(&listing, a.body.ClockMS, received)
+	l.events.post(func(e Events) {
+		l.deliveryHistory.add(&listing, response.body.ClockMS, received)
 		e.Listing(listing)
 	})
 }
 
-// settled tells whether all orders were answered before a time. The caller holds the lock.
-func (l *Link) commandsAnsweredBefore(at time.Time) bool {
-	return l.senders == 0 && len(l.commands.starts)+len(l.commands.stops) == 0 && l.resultAt.Before(at)
-}
-
-func (l *Link) listing(c listCall, a response) Listing {
+func (l *Link) listing(c listCall, response workerResponse) Listing {
 	listing := Listing{
-		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(a.body.Finished) >= maxFinishedPerResponse,
-		Running:  make([]RunningTask, 0, len(a.body.Running)),
-		Finished: make([]FinishedTask, 0, len(a.body.Finished)),
+		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(response.body.Finished) >= maxFinishedPerResponse,
+		Running:  make([]RunningTask, 0, len(response.body.Running)),
+		Finished: make([]FinishedTask, 0, len(response.body.Finished)),
 	}
-	for _, entry := range a.body.Running {
+	for _, entry := range response.body.Running {
 		if entry.nameErr != nil {
 			l.log.Warn("run skipped", zap.Error(entry.nameErr))
 			continue
 		}
 		listing.Running = append(listing.Running, entry.task)
 	}
-	for _, entry := range a.body.Finished {
+	for _, entry := range response.body.Finished {
 		if entry.nameErr != nil {
 			l.log.Warn("end skipped", zap.Error(entry.nameErr))
 			continue
@@ -53,11 +45,11 @@
 	return listing
 }
 
-// newestCompletion is the number of the newest end listed that could be read; 0 when there is none.
-func (a *response) newestCompletion() uint64 {
+// newestCompletion is the number of the newest completion listed that could be read; 0 when there is none.
+func (response *workerResponse) newestCompletion() uint64 {
 	newest := uint64(0)
-	for i := range a.body.Finished {
-		if entry := &a.body.Finished[i]; entry.nameErr == nil {
+	for i := range response.body.Finished {
+		if entry := &response.body.Finished[i]; entry.nameErr == nil {
 			newest = max(newest, entry.task.CompletionNumber)
 		}
 	}
@@ -69,11 +61,11 @@
 	started          bool
 	sentAt           time.Time // the latest of all
 	clockMS          int64     // the worker's clock in the newest one
-	newestCompletion uint64    // the number of the newest end
-	completionsAt    time.Time // when ends were delivered last
+	newestCompletion uint64    // the number of the newest completion
+	completionsAt    time.Time // when completions were delivered last
 }
 
-// add completes a listing that is delivered next: it marks the first one and stale ones, and drops ends that are not new.
+// add completes a listing that is delivered next: it marks the first one and stale ones, and drops completions that are not new.
 func (h *deliveryHistory) add(listing *Listing, clockMS *int64, now time.Time) {
 	listing.First = !h.started
 	listing.Stale = h.started && h.stale(listing.SentAt, clockMS)
@@ -85,7 +77,7 @@
 	h.dropRepeated(listing, now)
 }
 
-// stale tells whether the worker may have listed its runs before it did so for a listing delivered already. Answers on
+// stale reports whether the worker may have listed its attempts before it did so for a listing delivered already. Answers on
 // different connections may pass one another; the worker's clock tells in which order they were written.
 func (h *deliveryHistory) stale(sentAt time.Time, clockMS *int64) bool {
 	if clockMS == nil || *clockMS == h.clockMS {
@@ -94,7 +86,7 @@
 	return *clockMS < h.clockMS
 }
 
-// dropRepeated drops the ends of a listing that has no new one. They are delivered again once they have been left without an
+// dropRepeated drops the completions of a listing that has no new one. They are delivered again once they have been left without an
 // acknowledgement for a while, and together with a new one.
 func (h *deliveryHistory) dropRepeated(listing *Listing, now time.Time) {
 	if len(listing.Finished) == 0 {
