--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -181,13 +181,13 @@
 // contacts is what a machine knows of the others by the messages that it has heard.
 func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Liveness {
 	view := m.manager.View()
-	contacts, heard := replicaset.Liveness{SinceHeard: make(map[string]time.Duration)}, 1
+	contacts, heard := replicaset.Liveness{SinceContact: make(map[string]time.Duration)}, 1
 	for _, member := range view.Members {
 		silence, found := c.network.sinceLastReceived(m.address, member)
 		if member == m.address || !found {
 			continue
 		}
-		contacts.SinceHeard[member] = silence
+		contacts.SinceContact[member] = silence
 		if silence < contactTimeout {
 			heard++
 		}
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -140,10 +140,10 @@
 
 // contacts tells how long the other members have been silent.
 func (c *Coordinator) contacts() replicaset.Liveness {
-	contacts := replicaset.Liveness{QuorumReachable: c.node.InContact(), SinceHeard: make(map[string]time.Duration)}
+	contacts := replicaset.Liveness{QuorumReachable: c.node.InContact(), SinceContact: make(map[string]time.Duration)}
 	for _, member := range c.node.Members() {
 		if member.Contacted {
-			contacts.SinceHeard[member.Address] = member.SinceContact
+			contacts.SinceContact[member.Address] = member.SinceContact
 		}
 	}
 	return contacts
--- a/internal/controlplane/replicaset/assembly_test.go
+++ b/internal/controlplane/replicaset/assembly_test.go
@@ -46,10 +46,10 @@
 }
 
 func (p *coreNode) liveness() replicaset.Liveness {
-	liveness := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceHeard: make(map[string]time.Duration)}
+	liveness := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceContact: make(map[string]time.Duration)}
 	for _, member := range p.node.Members() {
 		if member.Contacted {
-			liveness.SinceHeard[member.Address] = member.SinceContact
+			liveness.SinceContact[member.Address] = member.SinceContact
 		}
 	}
 	return liveness
--- a/internal/controlplane/replicaset/config.go
+++ b/internal/controlplane/replicaset/config.go
@@ -29,7 +29,7 @@
 // replaced, and never whether that is safe.
 type Liveness struct {
 	QuorumReachable bool                     // a majority of the view, this process included, has answered recently
-	SinceHeard      map[string]time.Duration // by address, since the last message of a member; absent where there never was one
+	SinceContact    map[string]time.Duration // by address, since the last message of a member; absent where there never was one
 }
 
 // Config names what a Manager works with.
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/founding_test.go
@@ -240,27 +240,27 @@
 
 func TestARestartedMemberLearnsTheView(t *testing.T) {
 	all := addresses(3)
-	var kept, lost, unreached replicaset.View
+	var withDisk, withoutDisk, withoutSeeds replicaset.View
 	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
 		f.startAll(all)
 		for _, self := range all {
 			f.running[self].view(start)
 		}
 		disk := f.kill(all[1])
-		kept = f.start(all[1], disk, false, true).manager.View()
+		withDisk = f.start(all[1], disk, false, true).manager.View()
 
 		f.kill(all[2])
-		lost, _ = f.start(all[2], storage.NewMemory(), false, true).view(start)
+		withoutDisk, _ = f.start(all[2], storage.NewMemory(), false, true).view(start)
 
 		f.kill(all[2])
 		f.seeds = []string{"gone"}
-		unreached, _ = f.start(all[2], storage.NewMemory(), false, true).view(start)
+		withoutSeeds, _ = f.start(all[2], storage.NewMemory(), false, true).view(start)
 	})
 	expected := replicaset.View{Version: 1, Members: all}
-	convey.Convey("With its disk it knows the view at once", t, func() { convey.So(kept, convey.ShouldResemble, expected) })
-	convey.Convey("Without its disk it asks for the view", t, func() { convey.So(lost, convey.ShouldResemble, expected) })
+	convey.Convey("With its disk it knows the view at once", t, func() { convey.So(withDisk, convey.ShouldResemble, expected) })
+	convey.Convey("Without its disk it asks for the view", t, func() { convey.So(withoutDisk, convey.ShouldResemble, expected) })
 	convey.Convey("Without its disk and its seeds it is told by the other members", t, func() {
-		convey.So(unreached, convey.ShouldResemble, expected)
+		convey.So(withoutSeeds, convey.ShouldResemble, expected)
 	})
 }
 
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -27,7 +27,7 @@
 // those that failed are back, without their disks, and once they have had the time to catch up, as many others fail.
 func replaceWhileDown(c *cluster, members []string, failing int) (seen outcome) {
 	departing, remaining, failed := members[0], members[1], members[len(members)-failing:]
-	joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
+	joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 	<-time.After(catchUpTime)
 	c.write(remaining, oldValue)
 	c.network.Partition(remaining, true) // so only those that go have the newest value
@@ -49,8 +49,8 @@
 	}
 	<-time.After(catchUpTime)
 	for range failing {
-		c.stop(joiningMember)
-		joiningMember = c.at(remaining)
+		c.stop(joining)
+		joining = c.at(remaining)
 	}
 	seen.value = c.read(failed[0])
 	seen.writeErr = c.write(failed[0], "after")
@@ -141,8 +141,8 @@
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 		c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(catchUpTime)
-		leaving := c.at(members[0])
-		leaving.manager.Leave(leaving.ctx)
+		departing := c.at(members[0])
+		departing.manager.Leave(departing.ctx)
 		c.stop(c.at(members[1]))
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[2])
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -27,8 +27,8 @@
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
 		next := state.(string) + in.(operation).token
-		heard := out.(operationResult)
-		return heard.maybeExecuted || heard.value == next, next
+		output := out.(operationResult)
+		return output.maybeExecuted || output.value == next, next
 	},
 }
 
--- a/internal/controlplane/replicaset/nextview.go
+++ b/internal/controlplane/replicaset/nextview.go
@@ -16,9 +16,9 @@
 
 // replaceableMember is a member that may be replaced, as it has failed or is about to stop.
 type replaceableMember struct {
-	address    string
-	sinceHeard time.Duration // since its last message
-	departing  bool          // it sent a leave request
+	address      string
+	sinceContact time.Duration // since its last message
+	departing    bool          // it sent a leave request
 }
 
 // nextView chooses which joining member replaces which member: the first of the joining members for which there is one. It is a
@@ -50,9 +50,9 @@
 		return replaceable[0].address, true
 	}
 	longest := slices.MaxFunc(replaceable, func(a, b replaceableMember) int {
-		return cmp.Or(cmp.Compare(a.sinceHeard, b.sinceHeard), cmp.Compare(b.address, a.address))
+		return cmp.Or(cmp.Compare(a.sinceContact, b.sinceContact), cmp.Compare(b.address, a.address))
 	})
-	return longest.address, len(replaceable) == 1 || longest.sinceHeard >= crossZoneFailureTimeout
+	return longest.address, len(replaceable) == 1 || longest.sinceContact >= crossZoneFailureTimeout
 }
 
 // departingFirst orders departing members before the others.
--- a/internal/controlplane/replicaset/nextview_test.go
+++ b/internal/controlplane/replicaset/nextview_test.go
@@ -18,7 +18,7 @@
 		convey.So(found, convey.ShouldBeFalse)
 	})
 	convey.Convey("One is silent: that one's, in whichever zone", t, func() {
-		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceHeard: short}})
+		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceContact: short}})
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next, convey.ShouldResemble, View{
 			Version: 8, Members: []string{"b", "c", "new"}, Zones: map[string]string{"b": "south", "c": "west", "new": "elsewhere"},
@@ -27,13 +27,13 @@
 		convey.So(view.Zones, convey.ShouldContainKey, "a")
 	})
 	convey.Convey("Several are silent: that of the newcomer's zone", t, func() {
-		next, found := nextView(view, south, []replaceableMember{{address: "a", sinceHeard: long}, {address: "b", sinceHeard: short}})
+		next, found := nextView(view, south, []replaceableMember{{address: "a", sinceContact: long}, {address: "b", sinceContact: short}})
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Members, convey.ShouldResemble, []string{"a", "c", "new"})
 	})
 	convey.Convey("Several are silent, none in the zone: the longest, but only after a while", t, func() {
-		_, early := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceHeard: short}, {address: "b", sinceHeard: short + 1}})
-		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceHeard: short}, {address: "b", sinceHeard: long}})
+		_, early := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceContact: short}, {address: "b", sinceContact: short + 1}})
+		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceContact: short}, {address: "b", sinceContact: long}})
 		convey.So(early, convey.ShouldBeFalse)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Members, convey.ShouldResemble, []string{"a", "c", "new"})
@@ -42,15 +42,15 @@
 
 func TestADepartingMemberIsReplacedFirst(t *testing.T) {
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
-	silent := []replaceableMember{{address: "a", sinceHeard: 10 * time.Second}, {address: "b", departing: true}}
+	replaceable := []replaceableMember{{address: "a", sinceContact: 10 * time.Second}, {address: "b", departing: true}}
 
 	convey.Convey("One is silent, another goes: the newcomer takes the place of the one that goes, without a wait", t, func() {
-		next, found := nextView(view, []joiningMember{{address: "new", zone: "elsewhere"}}, silent)
+		next, found := nextView(view, []joiningMember{{address: "new", zone: "elsewhere"}}, replaceable)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "b")
 	})
 	convey.Convey("A newcomer in the zone of the silent one takes that one's place all the same", t, func() {
-		next, found := nextView(view, []joiningMember{{address: "new", zone: "north"}}, silent)
+		next, found := nextView(view, []joiningMember{{address: "new", zone: "north"}}, replaceable)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "a")
 	})
--- a/internal/controlplane/replicaset/replacement.go
+++ b/internal/controlplane/replicaset/replacement.go
@@ -46,7 +46,7 @@
 	if observation.connectedSince.IsZero() {
 		return
 	}
-	current, replaceable, joining := m.replacementCandidates(now, now.Sub(observation.connectedSince), liveness.SinceHeard)
+	current, replaceable, joining := m.replacementCandidates(now, now.Sub(observation.connectedSince), liveness.SinceContact)
 	next, due := nextView(current, joining, replaceable)
 	delay := time.Duration(proposerRank(current, m.config.Self, replaceable)) * proposerDelay
 	if dueFor := observation.dueFor(now, due); !due || dueFor < delay {
@@ -56,30 +56,30 @@
 }
 
 // replacementCandidates returns the view, its members that may be replaced, and the joining members that may enter.
-// sinceHeardBy is by address; a member that was never heard counts from when it entered the view.
-func (m *Manager) replacementCandidates(now time.Time, connectedFor time.Duration, sinceHeardBy map[string]time.Duration) (current View, replaceable []replaceableMember, joining []joiningMember) {
+// sinceContactBy is by address; a member that was never heard counts from when it entered the view.
+func (m *Manager) replacementCandidates(now time.Time, connectedFor time.Duration, sinceContactBy map[string]time.Duration) (current View, replaceable []replaceableMember, joining []joiningMember) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, address := range m.others(m.view.Members) {
-		sinceHeard, found := sinceHeardBy[address]
+		sinceContact, found := sinceContactBy[address]
 		if !found {
-			sinceHeard = now.Sub(m.memberSince[address])
+			sinceContact = now.Sub(m.memberSince[address])
 		}
-		departing := m.isDeparting(address, sinceHeard, now)
-		if departing || connectedFor >= failureTimeout && sinceHeard >= failureTimeout {
-			replaceable = append(replaceable, replaceableMember{address, sinceHeard, departing})
+		departing := m.isDeparting(address, sinceContact, now)
+		if departing || connectedFor >= failureTimeout && sinceContact >= failureTimeout {
+			replaceable = append(replaceable, replaceableMember{address, sinceContact, departing})
 		}
 	}
 	return m.view, replaceable, m.joiningMembers.due(now)
 }
 
 // isDeparting tells whether a member sent a leave request and was not heard after its grace period. The caller holds the mutex.
-func (m *Manager) isDeparting(address string, sinceHeard time.Duration, now time.Time) bool {
+func (m *Manager) isDeparting(address string, sinceContact time.Duration, now time.Time) bool {
 	received, found := m.leaveReceived[address]
 	if !found {
 		return false
 	}
-	if now.Sub(received)-sinceHeard > leaveGracePeriod {
+	if now.Sub(received)-sinceContact > leaveGracePeriod {
 		delete(m.leaveReceived, address)
 		return false
 	}
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -47,7 +47,7 @@
 
 func TestAFailedMemberIsReplaced(t *testing.T) {
 	members := addresses(3)
-	for _, gone := range []time.Duration{0, time.Second, 10 * time.Second} {
+	for _, downtime := range []time.Duration{0, time.Second, 10 * time.Second} {
 		var took time.Duration
 		var views []replicaset.View
 		var value string
@@ -56,7 +56,7 @@
 				t.Error(err)
 			}
 			c.stop(c.at(members[1]))
-			<-time.After(gone)
+			<-time.After(downtime)
 			took = c.join("new")
 			for _, address := range []string{members[0], members[2], "new"} {
 				views = append(views, c.viewOf(address))
@@ -64,7 +64,7 @@
 			c.stop(c.at(members[0]))
 			value = c.read(members[2])
 		})
-		convey.Convey(fmt.Sprintf("A newcomer comes %v after a member is gone", gone), t, func() {
+		convey.Convey(fmt.Sprintf("A newcomer comes %v after a member is gone", downtime), t, func() {
 			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
 			expected := replicaset.View{Version: 2, Members: []string{members[0], members[2], "new"}}
 			convey.So(views, convey.ShouldResemble, []replicaset.View{expected, expected, expected})
@@ -103,13 +103,13 @@
 	var before, after replicaset.View
 	var took time.Duration
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
+		joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(20 * time.Second)
 		before = c.viewOf(members[0])
-		leaving := c.at(members[0])
+		departing := c.at(members[0])
 		begin := time.Now()
-		leaving.manager.Leave(leaving.ctx)
-		joiningMember.awaitMembership()
+		departing.manager.Leave(departing.ctx)
+		joining.awaitMembership()
 		took = time.Since(begin)
 		after = c.viewOf(members[2])
 	})
@@ -126,11 +126,11 @@
 	members := addresses(3)
 	var view replicaset.View
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		leaving := c.at(members[0])
-		leaving.manager.Leave(leaving.ctx)
-		c.stop(leaving)
+		departing := c.at(members[0])
+		departing.manager.Leave(departing.ctx)
+		c.stop(departing)
 		<-time.After(300 * time.Millisecond)
-		c.start(members[0], leaving.zone, leaving.disk, false)
+		c.start(members[0], departing.zone, departing.disk, false)
 		<-time.After(time.Second)
 		c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(10 * time.Second)
@@ -231,7 +231,7 @@
 	members := addresses(3)
 	var version uint64
 	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		joiningMember := c.start("new", "elsewhere", storage.NewMemory(), false)
+		joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(time.Second)
 		// The joining member and one member reach each other, and nobody else.
 		c.network.AddRule(networktest.Rule{From: members[0], To: members[1], Lose: true})
@@ -241,7 +241,7 @@
 		c.network.AddRule(networktest.Rule{From: "new", To: members[1], Lose: true})
 		c.network.AddRule(networktest.Rule{From: "new", To: members[2], Lose: true})
 		<-time.After(20 * time.Second)
-		version = joiningMember.manager.View().Version
+		version = joining.manager.View().Version
 	})
 	convey.Convey("Without a majority there is no next view", t, func() {
 		convey.So(version, convey.ShouldEqual, 1)
@@ -277,7 +277,7 @@
 // loss may come then.
 func TestAReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
 	members := addresses(3)
-	away := map[string]func(c *cluster, p *coreNode){
+	interruptions := map[string]func(c *cluster, p *coreNode){
 		"down": func(c *cluster, p *coreNode) {
 			c.stop(p)
 			<-time.After(2600 * time.Millisecond)
@@ -289,7 +289,7 @@
 			c.network.Partition(p.address, false)
 		},
 	}
-	for how, goAway := range away {
+	for interruption, interrupt := range interruptions {
 		for phase := range 5 {
 			var value string
 			var err error
@@ -297,7 +297,7 @@
 				c.write(members[0], writtenValue)
 				c.start("new", "elsewhere", storage.NewMemory(), false)
 				<-time.After(catchUpTime + time.Duration(phase)*300*time.Millisecond)
-				goAway(c, c.at(members[1]))
+				interrupt(c, c.at(members[1]))
 				back := time.Now()
 				<-time.After(600 * time.Millisecond)
 				c.stopGracefully(c.at(members[2])) // its place is free for the one that is back
@@ -305,7 +305,7 @@
 				c.stop(c.at("new"))
 				value, err = c.read(members[0]), c.write(members[0], "after")
 			})
-			convey.Convey(fmt.Sprintf("A member is replaced while it is %s, phase %d", how, phase), t, func() {
+			convey.Convey(fmt.Sprintf("A member is replaced while it is %s, phase %d", interruption, phase), t, func() {
 				convey.So(value, convey.ShouldEqual, writtenValue)
 				convey.So(err, convey.ShouldBeNil)
 			})
