--- a/internal/controlplane/replicaset/calls_test.go
+++ b/internal/controlplane/replicaset/calls_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestWhichCallsRunOnce(t *testing.T) {
-	convey.Convey("A goodbye runs once: a late copy would let a member be replaced that is back", t, func() {
+	convey.Convey("A leave request is executed at most once: a late duplicate would let a member be replaced that has restarted", t, func() {
 		var route transport.Route = leaveCall.Route()
 		_, once := route.(transport.AtMostOnceRoute)
 		convey.So(once, convey.ShouldBeTrue)
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/founding_test.go
@@ -21,10 +21,10 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// drainTime is how long messages may still be under way at the end of a test, in simulated time.
+// drainTime is how long messages may still be in flight at the end of a test, in simulated time.
 const drainTime = 10 * time.Second
 
-// managerCluster is a set of processes on a network in memory, to be run in simulated time.
+// managerCluster is processes with a manager each and nothing else, on a network in memory. It is to be run in simulated time.
 type managerCluster struct {
 	t       *testing.T
 	network *networktest.Network
@@ -40,9 +40,9 @@
 }
 
 func newManagerCluster(t *testing.T, seeds ...string) *managerCluster {
-	f := &managerCluster{t: t, network: networktest.New(1), seeds: seeds, running: make(map[string]*managerProcess)}
-	f.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
-	return f
+	c := &managerCluster{t: t, network: networktest.New(1), seeds: seeds, running: make(map[string]*managerProcess)}
+	c.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
+	return c
 }
 
 func addresses(count int) []string {
@@ -53,61 +53,61 @@
 	return all
 }
 
-// start starts a core node, or another process where it does not count for the quorum.
-func (f *managerCluster) start(self string, store *storage.Memory, firstStart, core bool) *managerProcess {
+// start starts a core node, or a process that does not count for the quorum.
+func (c *managerCluster) start(self string, store *storage.Memory, firstStart, core bool) *managerProcess {
 	var manager *replicaset.Manager
 	founding := register.NewFounding(register.FoundingConfig{
 		Self:     self,
 		Store:    store,
 		Ready:    func() bool { return true },
 		Founders: func() []string { return manager.Founders() },
-		Caller:   f.network.Caller(self),
+		Caller:   c.network.Caller(self),
 	})
 	manager, err := replicaset.NewManager(replicaset.Config{
 		Self:            self,
-		Seeds:           f.seeds,
+		Seeds:           c.seeds,
 		FirstStart:      firstStart,
 		CountsForQuorum: core,
 		Store:           store,
-		Caller:          f.network.Caller(self),
+		Caller:          c.network.Caller(self),
 		Founding:        founding,
 		Logger:          zap.NewNop(),
 	})
 	if err != nil {
-		f.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	mux := transport.NewMux()
 	manager.Serve(mux)
 	founding.Serve(mux)
-	f.network.Serve(self, mux)
+	c.network.Serve(self, mux)
 	ctx, stop := context.WithCancel(context.Background())
 	p := &managerProcess{manager, store, stop, make(chan error, 1)}
 	go func() { p.ended <- manager.Run(ctx) }()
-	f.running[self] = p
+	c.running[self] = p
 	return p
 }
 
-func (f *managerCluster) startAll(all []string) {
+func (c *managerCluster) startAll(all []string) {
 	for _, self := range all {
-		f.start(self, storage.NewMemory(), true, true)
+		c.start(self, storage.NewMemory(), true, true)
 	}
 }
 
 // kill ends a process and returns its disk.
-func (f *managerCluster) kill(self string) *storage.Memory {
-	p := f.running[self]
-	f.network.Serve(self, nil)
+func (c *managerCluster) kill(self string) *storage.Memory {
+	p := c.running[self]
+	c.network.Serve(self, nil)
 	p.stop()
 	if err := <-p.ended; err != nil {
-		f.t.Error(err)
+		c.t.Error(err)
 	}
-	delete(f.running, self)
+	delete(c.running, self)
 	return p.store
 }
 
-func (f *managerCluster) end() {
-	for self := range f.running {
-		f.kill(self)
+func (c *managerCluster) end() {
+	for self := range c.running {
+		c.kill(self)
 	}
 	<-time.After(drainTime)
 }
@@ -128,11 +128,12 @@
 }
 
 // inManagerCluster runs a test in simulated time.
-func inManagerCluster(t *testing.T, seeds []string, test func(f *managerCluster, start time.Time)) {
+func inManagerCluster(t *testing.T, seeds []string, test func(c *managerCluster, start time.Time)) {
+	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
-		f := newManagerCluster(t, seeds...)
-		test(f, time.Now())
-		f.end()
+		c := newManagerCluster(t, seeds...)
+		test(c, time.Now())
+		c.end()
 	})
 }
 
@@ -140,16 +141,16 @@
 	all := addresses(5)
 	views := make(map[string]replicaset.View)
 	var slowest time.Duration
-	inManagerCluster(t, all[1:4], func(f *managerCluster, start time.Time) {
-		f.startAll(all)
-		agent := f.start("front", storage.NewMemory(), true, false)
+	inManagerCluster(t, all[1:4], func(c *managerCluster, start time.Time) {
+		c.startAll(all)
+		agent := c.start("front", storage.NewMemory(), true, false)
 		for _, self := range all {
-			view, took := f.running[self].view(start)
+			view, took := c.running[self].view(start)
 			views[self], slowest = view, max(slowest, took)
 		}
 		views["front"], _ = agent.view(start)
 	})
-	convey.Convey("All processes learn the view of all core mixers within 2 s", t, func() {
+	convey.Convey("All processes learn the view of all core nodes within 2 s", t, func() {
 		expected := replicaset.View{Version: 1, Members: all}
 		convey.So(views, convey.ShouldHaveLength, len(all)+1)
 		for _, view := range views {
@@ -163,11 +164,11 @@
 	all := addresses(4)
 	var view replicaset.View
 	var took time.Duration
-	inManagerCluster(t, all[:3], func(f *managerCluster, start time.Time) {
-		f.startAll(all[:3])
+	inManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
+		c.startAll(all[:3])
 		<-time.After(1300 * time.Millisecond)
-		f.start(all[3], storage.NewMemory(), true, true)
-		view, took = f.running[all[0]].view(start)
+		c.start(all[3], storage.NewMemory(), true, true)
+		view, took = c.running[all[0]].view(start)
 	})
 	convey.Convey("A new announcement delays the founding", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
@@ -179,13 +180,13 @@
 	all := addresses(4)
 	var view, late replicaset.View
 	var took time.Duration
-	inManagerCluster(t, all[:3], func(f *managerCluster, start time.Time) {
-		f.startAll(all[1:])
-		view, took = f.running[all[3]].view(start)
-		first := f.start(all[0], storage.NewMemory(), false, true)
+	inManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
+		c.startAll(all[1:])
+		view, took = c.running[all[3]].view(start)
+		first := c.start(all[0], storage.NewMemory(), false, true)
 		late, _ = first.view(start)
 	})
-	convey.Convey("The next founder acts after 3 s; the silent one is a member and learns of it", t, func() {
+	convey.Convey("The next founder proposes after 3 s; the first one is a member, and learns the view when it starts", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
 		convey.So(took, convey.ShouldBeBetween, 3*time.Second, 4*time.Second)
 		convey.So(late, convey.ShouldResemble, view)
@@ -195,16 +196,16 @@
 func TestPartitionedFoundersCommitOneView(t *testing.T) {
 	all := addresses(3)
 	var views []replicaset.View
-	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
-		f.network.AddRule(networktest.Rule{From: all[0], To: all[1], Path: "/replicaset/", Lose: true})
-		f.network.AddRule(networktest.Rule{From: all[1], To: all[0], Path: "/replicaset/", Lose: true})
-		f.startAll(all)
+	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+		c.network.AddRule(networktest.Rule{From: all[0], To: all[1], Path: "/replicaset/", Lose: true})
+		c.network.AddRule(networktest.Rule{From: all[1], To: all[0], Path: "/replicaset/", Lose: true})
+		c.startAll(all)
 		for _, self := range all {
-			view, _ := f.running[self].view(start)
+			view, _ := c.running[self].view(start)
 			views = append(views, view)
 		}
 	})
-	convey.Convey("Both found, and learn the same view", t, func() {
+	convey.Convey("Both propose, and all learn the same view", t, func() {
 		convey.So(slices.ContainsFunc(views, func(view replicaset.View) bool { return view.Version != 1 }), convey.ShouldBeFalse)
 		convey.So(views[1], convey.ShouldResemble, views[0])
 		convey.So(views[2], convey.ShouldResemble, views[0])
@@ -214,23 +215,23 @@
 func TestFoundingResumesAfterARestart(t *testing.T) {
 	all := addresses(3)
 	var before, after []replicaset.View
-	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
-		f.startAll(all)
+	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+		c.startAll(all)
 		<-time.After(time.Second)
 		disks := make(map[string]*storage.Memory)
 		for _, self := range all {
-			before = append(before, f.running[self].manager.View())
-			disks[self] = f.kill(self)
+			before = append(before, c.running[self].manager.View())
+			disks[self] = c.kill(self)
 		}
 		for _, self := range all {
-			f.start(self, disks[self], false, true)
+			c.start(self, disks[self], false, true)
 		}
 		for _, self := range all {
-			view, _ := f.running[self].view(start)
+			view, _ := c.running[self].view(start)
 			after = append(after, view)
 		}
 	})
-	convey.Convey("All core mixers are killed before there is a view, and found it after they are back", t, func() {
+	convey.Convey("All core nodes are killed before there is a view, and found it after their restart", t, func() {
 		for i := range all {
 			convey.So(before[i].Version, convey.ShouldEqual, 0)
 			convey.So(after[i], convey.ShouldResemble, replicaset.View{Version: 1, Members: all})
@@ -241,25 +242,25 @@
 func TestARestartedMemberLearnsTheView(t *testing.T) {
 	all := addresses(3)
 	var withDisk, withoutDisk, withoutSeeds replicaset.View
-	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
-		f.startAll(all)
+	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+		c.startAll(all)
 		for _, self := range all {
-			f.running[self].view(start)
+			c.running[self].view(start)
 		}
-		disk := f.kill(all[1])
-		withDisk = f.start(all[1], disk, false, true).manager.View()
+		disk := c.kill(all[1])
+		withDisk = c.start(all[1], disk, false, true).manager.View()
 
-		f.kill(all[2])
-		withoutDisk, _ = f.start(all[2], storage.NewMemory(), false, true).view(start)
+		c.kill(all[2])
+		withoutDisk, _ = c.start(all[2], storage.NewMemory(), false, true).view(start)
 
-		f.kill(all[2])
-		f.seeds = []string{"gone"}
-		withoutSeeds, _ = f.start(all[2], storage.NewMemory(), false, true).view(start)
+		c.kill(all[2])
+		c.seeds = []string{"gone"}
+		withoutSeeds, _ = c.start(all[2], storage.NewMemory(), false, true).view(start)
 	})
 	expected := replicaset.View{Version: 1, Members: all}
 	convey.Convey("With its disk it knows the view at once", t, func() { convey.So(withDisk, convey.ShouldResemble, expected) })
-	convey.Convey("Without its disk it asks for the view", t, func() { convey.So(withoutDisk, convey.ShouldResemble, expected) })
-	convey.Convey("Without its disk and its seeds it is told by the other members", t, func() {
+	convey.Convey("Without its disk it requests the view", t, func() { convey.So(withoutDisk, convey.ShouldResemble, expected) })
+	convey.Convey("Without its disk and its seeds it receives the view from the other members", t, func() {
 		convey.So(withoutSeeds, convey.ShouldResemble, expected)
 	})
 }
@@ -267,14 +268,14 @@
 func TestAMemberWithoutItsDiskNeverFounds(t *testing.T) {
 	all := addresses(3)
 	var view replicaset.View
-	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
+	inManagerCluster(t, all, func(c *managerCluster, _ time.Time) {
 		for _, self := range all {
-			f.start(self, storage.NewMemory(), false, true)
+			c.start(self, storage.NewMemory(), false, true)
 		}
 		<-time.After(30 * time.Second)
-		view = f.running[all[0]].manager.View()
+		view = c.running[all[0]].manager.View()
 	})
-	convey.Convey("Core mixers without disks found nothing after the first start", t, func() {
+	convey.Convey("Core nodes without disks found nothing after the first start", t, func() {
 		convey.So(view.Version, convey.ShouldEqual, 0)
 	})
 }
@@ -283,23 +284,23 @@
 	all := addresses(3)
 	newer := replicaset.View{Version: 2, Members: all[:2]}
 	var learned []replicaset.View
-	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
-		f.startAll(all)
+	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+		c.startAll(all)
 		for _, self := range all {
-			f.running[self].view(start)
+			c.running[self].view(start)
 		}
-		if err := f.running[all[0]].manager.Learn(newer); err != nil {
+		if err := c.running[all[0]].manager.Learn(newer); err != nil {
 			t.Error(err)
 		}
-		if err := f.running[all[0]].manager.Learn(replicaset.View{Version: 1, Members: all}); err != nil {
+		if err := c.running[all[0]].manager.Learn(replicaset.View{Version: 1, Members: all}); err != nil {
 			t.Error(err)
 		}
 		<-time.After(time.Minute)
 		for _, self := range all {
-			learned = append(learned, f.running[self].manager.View())
+			learned = append(learned, c.running[self].manager.View())
 		}
 	})
-	convey.Convey("Members exchange their views, and an older one changes nothing", t, func() {
+	convey.Convey("Members exchange views, and an older one changes nothing", t, func() {
 		convey.So(learned, convey.ShouldResemble, []replicaset.View{newer, newer, newer})
 	})
 }
@@ -308,18 +309,18 @@
 	all := addresses(1)
 	var before, after replicaset.View
 	var invalid error
-	inManagerCluster(t, all, func(f *managerCluster, start time.Time) {
-		p := f.start(all[0], storage.NewMemory(), true, true)
-		before, _ = replicaset.FetchView(context.Background(), f.network.Caller("any"), all[0])
+	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+		p := c.start(all[0], storage.NewMemory(), true, true)
+		before, _ = replicaset.FetchView(context.Background(), c.network.Caller("any"), all[0])
 		p.view(start)
-		after, _ = replicaset.FetchView(context.Background(), f.network.Caller("any"), all[0])
+		after, _ = replicaset.FetchView(context.Background(), c.network.Caller("any"), all[0])
 		invalid = p.manager.Learn(replicaset.View{Version: 9})
 	})
-	convey.Convey("The answer has version 0 until a view is known", t, func() {
+	convey.Convey("The reply has version 0 until a view is known", t, func() {
 		convey.So(before.Version, convey.ShouldEqual, 0)
 		convey.So(after, convey.ShouldResemble, replicaset.View{Version: 1, Members: all})
 	})
-	convey.Convey("A view without members is refused", t, func() {
+	convey.Convey("A view without members is invalid", t, func() {
 		convey.So(invalid, convey.ShouldEqual, replicaset.ErrInvalidView)
 	})
 }
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -13,10 +13,10 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// errFull is what a full disk answers: the store is as before, and later writes may succeed.
+// errFull is the error of a write to a full disk: the store is as before, and later writes may succeed.
 var errFull = rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", storage.ErrWriteRejected, syscall.ENOSPC), storage.RejectionBackoff)
 
-// A replacement comes while another member's disk is full.
+// Another member is replaced while a member's disk is full.
 func TestAMemberWithAFullDiskMissesAViewAndKeepsRunning(t *testing.T) {
 	members := addresses(5)
 	var during, after replicaset.View
@@ -39,10 +39,10 @@
 		value, err = c.read(members[1]), c.write(members[1], "after")
 	})
 	convey.Convey("While the disk is full", t, func() {
-		convey.Convey("its member keeps to the view that is on the disk", func() { convey.So(during.Version, convey.ShouldEqual, 1) })
-		convey.Convey("its process does not end", func() { convey.So(ended, convey.ShouldBeFalse) })
+		convey.Convey("the member keeps the view that is on the disk", func() { convey.So(during.Version, convey.ShouldEqual, 1) })
+		convey.Convey("the process does not end", func() { convey.So(ended, convey.ShouldBeFalse) })
 	})
-	convey.Convey("Once it takes writes, the member learns the view and counts again", t, func() {
+	convey.Convey("Once writes succeed, the member learns the view and votes again", t, func() {
 		convey.So(after.Version, convey.ShouldEqual, 2)
 		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
@@ -55,10 +55,10 @@
 		before time.Duration // from the joining member's start to the loss of a member
 		full   time.Duration // from the loss until the joining member's disk is full
 	}{
-		{"it learns the view in which it is a member", time.Second, 500 * time.Millisecond},
-		{"it is rebuilt", 0, 1800 * time.Millisecond},
+		{"the joining member learns the view that has it", time.Second, 500 * time.Millisecond},
+		{"the joining member is rebuilt", 0, 1800 * time.Millisecond},
 	}
-	for _, one := range cases {
+	for _, testCase := range cases {
 		members := addresses(3)
 		var early, ended bool
 		var took time.Duration
@@ -66,9 +66,9 @@
 		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
 			c.write(members[1], writtenValue)
 			joining := c.start("new", "elsewhere", storage.NewMemory(), false)
-			<-time.After(one.before)
+			<-time.After(testCase.before)
 			c.stop(c.at(members[0]))
-			<-time.After(one.full)
+			<-time.After(testCase.full)
 			joining.disk.Fail(errFull)
 			<-time.After(2 * catchUpTime)
 			early, ended = joining.rebuilder.Ready(), joining.hasFailed()
@@ -79,7 +79,7 @@
 			c.stop(c.at(members[1]))
 			value = c.read("new")
 		})
-		convey.Convey("A newcomer's disk is full before "+one.name, t, func() {
+		convey.Convey("A disk is full before "+testCase.name, t, func() {
 			convey.So(early, convey.ShouldBeFalse)
 			convey.So(ended, convey.ShouldBeFalse)
 			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -12,25 +12,25 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// outcome is what is seen at the end of a replacement.
+// outcome is what a test observes of a planned replacement.
 type outcome struct {
-	stopTime time.Duration // from the order to stop until the process has ended
+	stopTime time.Duration // from the request to stop until the process has ended
 	value    string
-	writeErr error // by the write at the end
+	writeErr error // of the write at the end
 	version  uint64
 }
 
-// nothingLost tells whether nothing is lost and writes go on.
+// nothingLost tells whether the value is there and writes succeed.
 func (o outcome) nothingLost() bool { return o.value == writtenValue && o.writeErr == nil }
 
-// replaceWhileDown writes a value, lets the last members fail, and replaces the first by a joining member that came before. Then
-// those that failed are back, without their disks, and once they have had the time to catch up, as many others fail.
+// replaceWhileDown writes a value, lets the last members fail, and replaces the first by a joining member that started before.
+// Then those that failed restart without their disks, and once they have had the time to catch up, as many others fail.
 func replaceWhileDown(c *cluster, members []string, failing int) (seen outcome) {
 	departing, remaining, failed := members[0], members[1], members[len(members)-failing:]
 	joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 	<-time.After(catchUpTime)
 	c.write(remaining, oldValue)
-	c.network.Partition(remaining, true) // so only those that go have the newest value
+	c.network.Partition(remaining, true) // so only those that stop or fail have the newest value
 	if err := c.write(departing, writtenValue); err != nil {
 		seen.writeErr = err
 		return seen
@@ -58,14 +58,14 @@
 	return seen
 }
 
-// A machine that is replaced as planned does not count as lost once its successor has had the time to catch up. So others
-// may be down when it goes, up to the tolerated number, and it may be the only one besides them that holds what is newest.
+// A machine that is replaced as planned does not count as failed once its successor has had the time to catch up. So others
+// may have failed when it stops, up to the tolerated number, and it may be the only one besides them that has the newest value.
 func TestADepartingMemberHandsOver(t *testing.T) {
 	for _, size := range []int{3, 4, 5, 6} {
 		members := addresses(size)
 		var seen outcome
 		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) { seen = replaceWhileDown(c, members, (size-1)/2) })
-		convey.Convey(fmt.Sprintf("One of %d members stops while %d are down", size, (size-1)/2), t, func() {
+		convey.Convey(fmt.Sprintf("One of %d members stops while %d have failed", size, (size-1)/2), t, func() {
 			convey.So(seen.writeErr, convey.ShouldBeNil)
 			convey.So(seen.value, convey.ShouldEqual, writtenValue)
 			convey.So(seen.version, convey.ShouldEqual, 2)
@@ -77,9 +77,9 @@
 func TestEachRuleOfTheHandoverIsNeeded(t *testing.T) {
 	members := addresses(3)
 	for _, broken := range []ruleMutant{
-		{name: "a member that is told to stop waits for its successor", stopsAtOnce: true},
-		{name: "a member that is told to stop votes for its own replacement", refusesOwnReplacement: true},
-		{name: "a member that was replaced gives its copy to its successor", replacedGivesNoSnapshot: true},
+		{name: "a departing member waits for its successor", stopsAtOnce: true},
+		{name: "a departing member votes for its own replacement", refusesOwnReplacement: true},
+		{name: "a replaced member gives its snapshot to its successor", replacedGivesNoSnapshot: true},
 	} {
 		var seen outcome
 		inCluster(t, 1, broken, members, func(c *cluster) { seen = replaceWhileDown(c, members, 1) })
@@ -89,7 +89,7 @@
 	}
 }
 
-// The second loss comes right after the member has stopped.
+// Another member fails right after the departing one has stopped.
 func TestALossRightAfterAPlannedReplacementIsTolerated(t *testing.T) {
 	lossAfter := func(broken ruleMutant, lost int) (value string, err error) {
 		members := addresses(3)
@@ -104,14 +104,14 @@
 		})
 		return value, err
 	}
-	convey.Convey("Either of the members that stay may be lost at once", t, func() {
+	convey.Convey("Either of the remaining members may fail at once", t, func() {
 		for _, lost := range []int{1, 2} {
 			value, err := lossAfter(ruleMutant{}, lost)
 			convey.So(value, convey.ShouldEqual, writtenValue)
 			convey.So(err, convey.ShouldBeNil)
 		}
 	})
-	convey.Convey("If the member went without waiting for its successor, no majority would be left", t, func() {
+	convey.Convey("If the member stopped without waiting for its successor, no majority would be left", t, func() {
 		_, err := lossAfter(ruleMutant{stopsAtOnce: true}, 1)
 		convey.So(err, convey.ShouldNotBeNil)
 	})
@@ -128,13 +128,13 @@
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
 	})
-	convey.Convey("Nobody waits to take its place", t, func() {
+	convey.Convey("Without a joining member it stops at once, and the view stays", t, func() {
 		convey.So(took, convey.ShouldBeLessThan, 300*time.Millisecond)
 		convey.So(view, convey.ShouldResemble, replicaset.View{Version: 1, Members: members})
 	})
 }
 
-// A replaced process that still runs must not offer itself as a joining member.
+// A replaced process that still runs must not announce itself as a joining member.
 func TestADepartingMemberAnnouncesItselfNoMore(t *testing.T) {
 	members := addresses(3)
 	var view replicaset.View
@@ -147,12 +147,12 @@
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[2])
 	})
-	convey.Convey("Another member fails before it has gone: that one's place stays free", t, func() {
+	convey.Convey("Another member fails before it has stopped: that one is not replaced", t, func() {
 		convey.So(view.Version, convey.ShouldEqual, 2)
 	})
 }
 
-// A member that lost its disk has just come back when another is told to stop.
+// A member that lost its disk has just restarted when another is to stop.
 func TestADepartingMemberWaitsForARebuild(t *testing.T) {
 	stopDuring := func(broken ruleMutant) (took time.Duration, value string, err error) {
 		members := addresses(3)
@@ -171,17 +171,17 @@
 	}
 	took, value, err := stopDuring(ruleMutant{})
 	_, _, atOnce := stopDuring(ruleMutant{stopsAtOnce: true})
-	convey.Convey("It goes once that one has been rebuilt, within its grace period", t, func() {
+	convey.Convey("It stops once that one has been rebuilt, within its grace period", t, func() {
 		convey.So(took, convey.ShouldBeBetween, time.Second, handoverTimeout)
 		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
 	})
-	convey.Convey("If it went at once, the other could not be rebuilt", t, func() {
+	convey.Convey("If it stopped at once, the other could not be rebuilt", t, func() {
 		convey.So(atOnce, convey.ShouldNotBeNil)
 	})
 }
 
-// The joining member that waits takes the place of a third member, which has just failed, as no goodbye arrives.
+// The joining member replaces a third member, which has just failed, as no leave request arrives.
 func TestADepartingMemberWaitsForAJoiningMemberThatReplacesAnother(t *testing.T) {
 	members := addresses(3)
 	var value string
@@ -198,7 +198,7 @@
 		view = c.viewOf(members[1])
 		value, err = c.read(members[1]), c.write(members[1], "after")
 	})
-	convey.Convey("It stays until that newcomer has been rebuilt", t, func() {
+	convey.Convey("It stays until that joining member has been rebuilt", t, func() {
 		convey.So(view, convey.ShouldResemble, replicaset.View{Version: 2, Members: []string{members[0], members[1], "new"}})
 		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -13,10 +13,10 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// operation is what a client asks of the register: to append a token, or to read where that is empty.
+// operation is what a client requests of the register: to append a token, or to read where that is empty.
 type operation struct{ token string }
 
-// operationResult is what the client heard.
+// operationResult is what the client received.
 type operationResult struct {
 	maybeExecuted bool // whether the operation ran
 	value         string
@@ -32,7 +32,7 @@
 	},
 }
 
-// history records operations.
+// history records the operations of clients, for the check of their linearizability.
 type history struct {
 	clock      atomic.Int64
 	mutex      sync.Mutex
@@ -40,7 +40,7 @@
 	succeeded  int
 }
 
-// run carries out one operation and records it unless it certainly did not run.
+// run carries out one operation, and records it unless it was certainly not executed.
 func (h *history) run(ctx context.Context, client int, by *register.Register, do operation) {
 	call := h.clock.Add(1)
 	value, err := do.perform(ctx, by)
--- a/internal/controlplane/replicaset/necessaryrules_test.go
+++ b/internal/controlplane/replicaset/necessaryrules_test.go
@@ -14,18 +14,18 @@
 	oldValue     = "the value before"
 	writtenValue = "the value that was written"
 
-	messagesInFlightTime = time.Second // at most
+	messagesInFlightTime = time.Second // upper bound
 )
 
-// part lets no message pass between two processes, or only none of some paths.
+// dropBetween lets no message pass between two processes, or none of a path.
 func (c *cluster) dropBetween(a, b, path string) {
 	c.network.AddRule(networktest.Rule{From: a, To: b, Path: path, Lose: true})
 	c.network.AddRule(networktest.Rule{From: b, To: a, Path: path, Lose: true})
 }
 
-// writtenInTheOldView lets a member that was replaced, and did not hear of it, write at the end of the joining member's rebuild
-// together with a member that the others can do without, and that settles no view itself. It tells whether the value is
-// there afterwards.
+// writtenInTheOldView lets a replaced member that has not learned the next view write at the end of the joining member's
+// rebuild, together with a member that the others need for no quorum and that proposes no view. It tells whether the value
+// is there afterwards.
 func writtenInTheOldView(c *cluster, members []string) bool {
 	replaced, common, proposer := members[0], members[1], members[2]
 	c.write(proposer, oldValue)
@@ -45,8 +45,8 @@
 	return c.read(proposer) == writtenValue
 }
 
-// joiningMemberCompletesAMajority lets a value be written without one member, of which one of the two that know of it is then
-// replaced, and the other is cut off. It tells whether the value is there afterwards.
+// joiningMemberCompletesAMajority writes a value without one member. Of the two that have it one is then replaced, and the
+// other is partitioned. It tells whether the value is there afterwards.
 func joiningMemberCompletesAMajority(c *cluster, members []string) bool {
 	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
@@ -67,9 +67,8 @@
 	return c.read(members[0]) == writtenValue
 }
 
-// replacedMemberRejoins lets a value be written without a member that was replaced, and without another one. Then the
-// replaced one takes the place of one that knows of the value, and the last that does is cut off. It tells whether the
-// value is there afterwards.
+// replacedMemberRejoins writes a value without a member that was replaced, and without another one. Then the replaced one
+// replaces one that has the value, and the last that has it is partitioned. It tells whether the value is there afterwards.
 func replacedMemberRejoins(c *cluster, members []string) bool {
 	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
@@ -86,8 +85,8 @@
 	return c.read(members[2]) == writtenValue
 }
 
-// twoProposers lets two members, of which neither hears the other, replace it by another joining member. It tells whether there
-// is one view of each version.
+// twoProposers lets two members that cannot reach each other replace each other, each by another joining member. It tells
+// whether there is one view of each version.
 func twoProposers(c *cluster, members []string) bool {
 	c.dropBetween(members[0], members[1], "")
 	c.dropBetween("new-0", members[1], "")
@@ -96,19 +95,13 @@
 	c.dropBetween("new-1", members[2], "")
 	c.start("new-0", "zone of "+members[1], storage.NewMemory(), false)
 	c.start("new-1", "zone of "+members[0], storage.NewMemory(), false)
-	views := make(map[uint64]string)
+	var views viewHistory
 	for range 500 {
 		<-time.After(10 * time.Millisecond)
 		for _, p := range c.all() {
-			view := p.manager.View()
-			members := ""
-			for _, address := range view.Members {
-				members += address + " "
-			}
-			if known, found := views[view.Version]; found && known != members {
+			if !views.record(p.manager.View()) {
 				return false
 			}
-			views[view.Version] = members
 		}
 	}
 	return true
@@ -120,11 +113,11 @@
 		broken   ruleMutant
 		scenario func(c *cluster, members []string) bool
 	}{
-		{ruleMutant{name: "a newcomer votes only after it is rebuilt", noRebuild: true}, joiningMemberCompletesAMajority},
-		{ruleMutant{name: "a member that has learned a view refuses the rounds of the one before", votesInOldView: true}, writtenInTheOldView},
-		{ruleMutant{name: "only a member that has learned the newcomer's view gives it a copy", dumpsInOldView: true}, writtenInTheOldView},
-		{ruleMutant{name: "a member that was replaced is empty when it comes back", keepsOldVotes: true}, replacedMemberRejoins},
-		{ruleMutant{name: "a majority settles the next view", decidesAlone: true}, twoProposers},
+		{ruleMutant{name: "a joining member votes only after it is rebuilt", noRebuild: true}, joiningMemberCompletesAMajority},
+		{ruleMutant{name: "a member that has learned a view refuses rounds of the one before", votesInOldView: true}, writtenInTheOldView},
+		{ruleMutant{name: "only a member that has stored the joining member's view gives it a snapshot", dumpsInOldView: true}, writtenInTheOldView},
+		{ruleMutant{name: "a replaced member is incomplete when it rejoins", keepsOldVotes: true}, replacedMemberRejoins},
+		{ruleMutant{name: "a majority commits the next view", decidesAlone: true}, twoProposers},
 	}
 	members := addresses(3)
 	for _, rule := range rules {
--- a/internal/controlplane/replicaset/networktest/network.go
+++ b/internal/controlplane/replicaset/networktest/network.go
@@ -1,5 +1,5 @@
 // Package networktest is a network in memory for tests of the control plane. It carries internal calls between handlers
-// and can lose, double and delay them. Its delays are meant for the simulated time of testing/synctest.
+// and can lose, duplicate and delay them. Its delays are meant for the simulated time of testing/synctest.
 package networktest
 
 import (
@@ -19,10 +19,10 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Faults are what a network does to each request and each reply on its own.
+// Faults are what a network does to messages. Each request and each reply has its own chances.
 type Faults struct {
 	Lose      float64       // probability of being lost; the caller then waits for its context
-	Duplicate float64       // probability that a request arrives a second time, at another moment
+	Duplicate float64       // probability that a request arrives a second time, with a delay of its own
 	Delay     time.Duration // upper bound of the usual delay
 	Late      float64       // probability of a delay up to LateBy instead
 	LateBy    time.Duration
@@ -37,15 +37,15 @@
 	random       *rand.Rand
 	faults       Faults
 	handlers     map[string]http.Handler
-	dropFrom     map[string]bool      // from which nothing passes
-	dropTo       map[string]bool      // to which nothing passes
-	delayedUntil map[string]time.Time // until when messages from and to an address wait
+	dropFrom     map[string]bool      // whose messages are dropped
+	dropTo       map[string]bool      // whose incoming messages are dropped
+	delayedUntil map[string]time.Time // until when messages from and to an address are delayed
 	rules        []Rule
 }
 
-// Rule decides on single requests, for directed tests.
+// Rule decides on single requests, for tests of one order of messages.
 type Rule struct {
-	From, To, Path string        // a request matches if each is empty or a part of its own
+	From, To, Path string        // a request matches if each is empty or a substring of its own
 	Lose           bool          // the request does not arrive
 	Delay          time.Duration // the request arrives that much later
 	Times          int           // how often the rule applies; 0 for always
@@ -78,85 +78,92 @@
 	n.rules = append(n.rules, rule)
 }
 
-// ClearRules takes back all rules.
+// ClearRules removes all rules.
 func (n *Network) ClearRules() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.rules = nil
 }
 
-// Serve makes an address answer; nil makes it refuse.
+// Serve sets the handler of an address; with nil, calls to it fail at once.
 func (n *Network) Serve(address string, handler http.Handler) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.handlers[address] = handler
 }
 
-// Partition lets nothing pass to or from an address until it is joined again.
+// Partition drops all messages from and to an address, or ends that.
 func (n *Network) Partition(address string, partitioned bool) {
 	n.PartitionOneWay(address, partitioned, partitioned)
 }
 
-// PartitionOneWay lets nothing pass from an address, or to it, until that is taken back.
+// PartitionOneWay drops all messages from an address, all messages to it, or ends that.
 func (n *Network) PartitionOneWay(address string, from, to bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.dropFrom[address], n.dropTo[address] = from, to
 }
 
-// Delay keeps all messages from and to an address for a time, and then lets them go on.
+// Delay holds all messages from and to an address for a duration, and then delivers them.
 func (n *Network) Delay(address string, duration time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.delayedUntil[address] = time.Now().Add(duration)
 }
 
-// Caller returns the Caller of the process at an address. It keeps what it learns of others like that of a real process.
+// Caller returns the Caller of the process at an address. Like a real process's it remembers which others it has reached.
 func (n *Network) Caller(from string) transport.Caller { return n.CallerOf("", from) }
 
-// CallerOf returns the Caller of the process at an address, which is of a cluster.
+// CallerOf returns the Caller of the process at an address in a named cluster.
 func (n *Network) CallerOf(cluster, from string) transport.Caller {
 	return transport.NewClientWithTransport(cluster, &roundTripper{n, from})
 }
 
-// roundTripper brings one process's requests to their addresses.
+// roundTripper sends one process's requests over the network.
 type roundTripper struct {
 	network *Network
 	from    string
 }
 
-// transmission is one way of a call.
+// call is a request and its addresses.
+type call struct {
+	from, to, path string
+	header         http.Header
+	body           []byte
+}
+
+// transmission is what happens to one message.
 type transmission struct {
 	lost  bool
 	delay time.Duration
 }
 
 // RoundTrip implements http.RoundTripper.
-func (c *roundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
+func (r *roundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, err
 	}
 	ctx, address, path := request.Context(), request.URL.Host, request.URL.Path
 	replies := make(chan outcome, 2)
-	for _, sent := range c.network.drawRequests(c.from, address, path) {
-		go c.network.deliver(ctx, sent, c.from, address, path, request.Header, body, replies)
+	for _, sent := range r.network.drawRequests(r.from, address, path) {
+		go r.network.deliver(ctx, call{r.from, address, path, request.Header, body}, sent, replies)
 	}
 	select {
-	case answer := <-replies:
-		return answer.response, answer.err
+	case reply := <-replies:
+		return reply.response, reply.err
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
 }
 
-// outcome is an answer, or the failure to reach anybody.
+// outcome is a reply, or the failure to reach the address.
 type outcome struct {
 	response *http.Response
 	err      error
 }
 
-// drawRequests draws how a request fares: once or, where it is doubled, twice.
+// drawRequests draws what happens to a request: one transmission or, where it is duplicated, two.
 func (n *Network) drawRequests(from, to, path string) []transmission {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -184,7 +191,7 @@
 	return true
 }
 
-// draw draws one way of a call. The caller holds the mutex.
+// draw draws what happens to one message. The caller holds the mutex.
 func (n *Network) draw() transmission {
 	bound := n.faults.Delay
 	if n.random.Float64() < n.faults.Late {
@@ -204,23 +211,23 @@
 }
 
 // deliver carries a request to its handler and the reply back.
-func (n *Network) deliver(ctx context.Context, sent transmission, from, to, path string, header http.Header, body []byte, replies chan<- outcome) {
+func (n *Network) deliver(ctx context.Context, call call, sent transmission, replies chan<- outcome) {
 	sleep(sent.delay)
-	n.awaitDelay(from, to)
-	if sent.lost || n.partitioned(from, to) {
+	n.awaitDelay(call.from, call.to)
+	if sent.lost || n.partitioned(call.from, call.to) {
 		return
 	}
-	answer := n.serve(to, path, header, body)
+	served := n.serve(call)
 	reply := n.drawReply()
 	sleep(reply.delay)
-	n.awaitDelay(from, to)
-	if reply.lost || n.partitioned(to, from) || ctx.Err() != nil {
+	n.awaitDelay(call.from, call.to)
+	if reply.lost || n.partitioned(call.to, call.from) || ctx.Err() != nil {
 		return
 	}
-	replies <- answer
+	replies <- served
 }
 
-// sleep takes a time of the simulation.
+// sleep waits, in simulated time.
 func sleep(delay time.Duration) {
 	if delay > 0 {
 		<-time.After(delay)
@@ -233,7 +240,7 @@
 	return n.dropFrom[from] || n.dropTo[to]
 }
 
-// awaitDelay waits while messages of either address are held.
+// awaitDelay waits while messages of either address are delayed.
 func (n *Network) awaitDelay(one, other string) {
 	n.mutex.Lock()
 	remaining := max(time.Until(n.delayedUntil[one]), time.Until(n.delayedUntil[other]))
@@ -241,19 +248,19 @@
 	sleep(remaining)
 }
 
-func (n *Network) serve(to, path string, header http.Header, body []byte) outcome {
+func (n *Network) serve(call call) outcome {
 	n.mutex.Lock()
-	handler := n.handlers[to]
+	handler := n.handlers[call.to]
 	n.mutex.Unlock()
 	if handler == nil {
 		return outcome{err: &net.OpError{Op: "dial", Net: "memory", Err: errUnreachable}}
 	}
 	request := &http.Request{
-		Method: http.MethodPost, URL: &url.URL{Path: path}, Host: to, RequestURI: path,
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header.Clone(),
-		Body: io.NopCloser(bytes.NewReader(body)), ContentLength: int64(len(body)),
+		Method: http.MethodPost, URL: &url.URL{Path: call.path}, Host: call.to, RequestURI: call.path,
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: call.header.Clone(),
+		Body: io.NopCloser(bytes.NewReader(call.body)), ContentLength: int64(len(call.body)),
 	}
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, request)
-	return outcome{response: answer.Result()}
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, request)
+	return outcome{response: recorder.Result()}
 }
--- a/internal/controlplane/replicaset/nextview_test.go
+++ b/internal/controlplane/replicaset/nextview_test.go
@@ -13,11 +13,11 @@
 	elsewhere := []joiningMember{{address: "new", zone: "elsewhere", incarnation: 9}}
 	short, long := 1300*time.Millisecond, 4*time.Second
 
-	convey.Convey("Nobody is silent: nothing happens", t, func() {
+	convey.Convey("No member has failed: there is no next view", t, func() {
 		_, found := nextView(view, south, nil)
 		convey.So(found, convey.ShouldBeFalse)
 	})
-	convey.Convey("One is silent: that one's, in whichever zone", t, func() {
+	convey.Convey("One has failed: that one, in whichever zone", t, func() {
 		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceContact: short}})
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next, convey.ShouldResemble, View{
@@ -26,12 +26,12 @@
 		})
 		convey.So(view.Zones, convey.ShouldContainKey, "a")
 	})
-	convey.Convey("Several are silent: that of the newcomer's zone", t, func() {
+	convey.Convey("Several have failed: that of the joining member's zone", t, func() {
 		next, found := nextView(view, south, []replaceableMember{{address: "a", sinceContact: long}, {address: "b", sinceContact: short}})
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Members, convey.ShouldResemble, []string{"a", "c", "new"})
 	})
-	convey.Convey("Several are silent, none in the zone: the longest, but only after a while", t, func() {
+	convey.Convey("Several have failed, none in the zone: the one without contact for longest, after the longer time-out", t, func() {
 		_, early := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceContact: short}, {address: "b", sinceContact: short + 1}})
 		next, found := nextView(view, elsewhere, []replaceableMember{{address: "a", sinceContact: short}, {address: "b", sinceContact: long}})
 		convey.So(early, convey.ShouldBeFalse)
@@ -44,12 +44,12 @@
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
 	replaceable := []replaceableMember{{address: "a", sinceContact: 10 * time.Second}, {address: "b", departing: true}}
 
-	convey.Convey("One is silent, another goes: the newcomer takes the place of the one that goes, without a wait", t, func() {
+	convey.Convey("One has failed, another departs: the departing one, at once", t, func() {
 		next, found := nextView(view, []joiningMember{{address: "new", zone: "elsewhere"}}, replaceable)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "b")
 	})
-	convey.Convey("A newcomer in the zone of the silent one takes that one's place all the same", t, func() {
+	convey.Convey("A joining member in the zone of the failed one replaces that one all the same", t, func() {
 		next, found := nextView(view, []joiningMember{{address: "new", zone: "north"}}, replaceable)
 		convey.So(found, convey.ShouldBeTrue)
 		convey.So(next.Replaced, convey.ShouldEqual, "a")
@@ -57,7 +57,7 @@
 }
 
 func TestAFrozenProcessStartsItsObservationAnew(t *testing.T) {
-	convey.Convey("Contact counts from its newest beginning", t, func() {
+	convey.Convey("The quorum counts as reachable since the newest interruption", t, func() {
 		start := time.Now()
 		at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 		var observed observation
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// catchUpTime is how long a joining member may take from its start until it is a full member.
+// catchUpTime is how long a joining member may take from its start until it is a member that may vote.
 const catchUpTime = 4 * time.Second
 
 // viewOf returns the view that a process works with: its version and members.
@@ -64,7 +64,7 @@
 			c.stop(c.at(members[0]))
 			value = c.read(members[2])
 		})
-		convey.Convey(fmt.Sprintf("A newcomer comes %v after a member is gone", downtime), t, func() {
+		convey.Convey(fmt.Sprintf("A joining member starts %v after a member has failed", downtime), t, func() {
 			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
 			expected := replicaset.View{Version: 2, Members: []string{members[0], members[2], "new"}}
 			convey.So(views, convey.ShouldResemble, []replicaset.View{expected, expected, expected})
@@ -83,7 +83,7 @@
 			t.Error(err)
 		}
 		for i, address := range members {
-			c.seeds = c.at(address).manager.View().Members // as the operator's list stands by then
+			c.seeds = c.at(address).manager.View().Members // as an operator would have set them by then
 			c.stop(c.at(address))
 			<-time.After(time.Second)
 			slowest = max(slowest, c.join(fmt.Sprintf("new-%d", i)))
@@ -91,7 +91,7 @@
 		last = c.viewOf("new-2")
 		value = c.read("new-0")
 	})
-	convey.Convey("After all members were replaced in turn, the newcomers hold what the first ones did", t, func() {
+	convey.Convey("After all members were replaced in turn, the new ones have what the first ones had", t, func() {
 		convey.So(slowest, convey.ShouldBeLessThan, catchUpTime)
 		convey.So(last, convey.ShouldResemble, replicaset.View{Version: 4, Members: []string{"new-0", "new-1", "new-2"}})
 		convey.So(value, convey.ShouldEqual, "kept")
@@ -113,10 +113,10 @@
 		took = time.Since(begin)
 		after = c.viewOf(members[2])
 	})
-	convey.Convey("Nothing happens while all members are heard", t, func() {
+	convey.Convey("Nothing happens while all members are live", t, func() {
 		convey.So(before, convey.ShouldResemble, replicaset.View{Version: 1, Members: members})
 	})
-	convey.Convey("A member that says goodbye is replaced at once, while it is still there", t, func() {
+	convey.Convey("A member that sends a leave request is replaced at once, while it still runs", t, func() {
 		convey.So(after, convey.ShouldResemble, replicaset.View{Version: 2, Members: []string{members[1], members[2], "new"}})
 		convey.So(took, convey.ShouldBeLessThan, 1500*time.Millisecond)
 	})
@@ -136,7 +136,7 @@
 		<-time.After(10 * time.Second)
 		view = c.viewOf(members[1])
 	})
-	convey.Convey("A restart in place, followed by a newcomer, replaces nobody", t, func() {
+	convey.Convey("A restart in place, followed by a joining member, replaces nobody", t, func() {
 		convey.So(view.Version, convey.ShouldEqual, 1)
 	})
 }
@@ -160,12 +160,12 @@
 		c.stop(c.at("new"))
 		value = c.read(members[0])
 	})
-	convey.Convey("A member that was cut off and replaced", t, func() {
-		convey.Convey("is a newcomer without a vote when it is back", func() {
+	convey.Convey("A member that was partitioned and replaced", t, func() {
+		convey.Convey("is a joining member without a vote when it is reachable again", func() {
 			convey.So(outside, convey.ShouldResemble, replicaset.View{Version: 2, Members: []string{members[1], members[2], "new"}})
 			convey.So(ready, convey.ShouldBeFalse)
 		})
-		convey.Convey("replaces the next one that dies, and then holds what is in force", func() {
+		convey.Convey("replaces the next one that fails, and then has the newest value", func() {
 			convey.So(inside, convey.ShouldResemble, replicaset.View{Version: 3, Members: []string{members[0], members[2], "new"}})
 			convey.So(value, convey.ShouldEqual, "young")
 		})
@@ -188,7 +188,7 @@
 			views = append(views, c.viewOf(address))
 		}
 	})
-	convey.Convey("Two of five members are replaced by two newcomers, and all agree", t, func() {
+	convey.Convey("Two of five members are replaced by two joining members, and all agree", t, func() {
 		for _, view := range views {
 			convey.So(view, convey.ShouldResemble, replicaset.View{Version: 3, Members: append(slices.Clone(members[2:]), "new-0", "new-1")})
 		}
@@ -197,7 +197,7 @@
 	})
 }
 
-// The member that settles the next view is killed with its proposal at one other member only.
+// The member that proposes the next view is killed with its proposal accepted by one other member only.
 func TestAProposerFailsMidway(t *testing.T) {
 	members := addresses(5)
 	for _, proposer := range members[1:] {
@@ -217,7 +217,7 @@
 				views = append(views, c.viewOf(p.address))
 			}
 		})
-		convey.Convey("The others go on from what "+proposer+" began, and agree", t, func() {
+		convey.Convey("The others complete what "+proposer+" proposed, and agree", t, func() {
 			convey.So(views, convey.ShouldHaveLength, 5)
 			for _, view := range views {
 				convey.So(view.Version, convey.ShouldEqual, 3)
@@ -248,7 +248,8 @@
 	})
 }
 
-// A next view was accepted by single members when the one that it replaces came back. Many joining members wait.
+// A next view was accepted by single members when the one that it replaces became reachable again. There are many joining
+// members.
 func TestAPendingViewIsCompletedWhileJoiningMembersWait(t *testing.T) {
 	members := addresses(3)
 	var before, after uint64
@@ -267,14 +268,14 @@
 		<-time.After(catchUpTime)
 		after = c.viewOf(members[1]).Version
 	})
-	convey.Convey("Though nobody is silent any more, the view is settled", t, func() {
+	convey.Convey("Though no member has failed any more, the view is committed", t, func() {
 		convey.So(before, convey.ShouldEqual, 1)
 		convey.So(after, convey.ShouldEqual, 2)
 	})
 }
 
-// A member was replaced while it was down or cut off. Once it is back it may count after the time to catch up, so the next
-// loss may come then.
+// A member was replaced while it was down or partitioned. It may count once it has had the time to catch up, so another may
+// fail then.
 func TestAReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
 	members := addresses(3)
 	interruptions := map[string]func(c *cluster, p *coreNode){
@@ -283,7 +284,7 @@
 			<-time.After(2600 * time.Millisecond)
 			c.start(p.address, p.zone, p.disk, false)
 		},
-		"cut off": func(c *cluster, p *coreNode) {
+		"partitioned": func(c *cluster, p *coreNode) {
 			c.network.Partition(p.address, true)
 			<-time.After(2600 * time.Millisecond)
 			c.network.Partition(p.address, false)
@@ -300,7 +301,7 @@
 				interrupt(c, c.at(members[1]))
 				back := time.Now()
 				<-time.After(600 * time.Millisecond)
-				c.stopGracefully(c.at(members[2])) // its place is free for the one that is back
+				c.stopGracefully(c.at(members[2])) // the interrupted one may replace it
 				<-time.After(time.Until(back.Add(catchUpTime)))
 				c.stop(c.at("new"))
 				value, err = c.read(members[0]), c.write(members[0], "after")
--- a/internal/controlplane/replicaset/stored_test.go
+++ b/internal/controlplane/replicaset/stored_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// writeStoredViews does what a founder does that leaves its place to another one.
+// writeStoredViews writes what a founder stores that is then replaced.
 func writeStoredViews(store storage.Store) error {
 	m, err := storedManager(store)
 	if err != nil {
