--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -36,7 +36,7 @@
 	LateBy:    2500 * time.Millisecond,
 }
 
-// simulate runs clients at all members while messages are lost, doubled and delayed, members are killed, all of them lose
+// simulate runs clients at all members while messages are lost, duplicated and delayed, members are killed, all of them lose
 // power at once, and single disks are lost.
 func simulate(t *testing.T, seed uint64, size int, broken *brokenRule) *history {
 	return simulatePadded(t, seed, size, broken, "")
@@ -61,7 +61,9 @@
 	return recorded
 }
 
-func waitBelow(random *rand.Rand, bound time.Duration) { <-time.After(rand.N(bound)) }
+// waitBelow waits a random time. It draws from the process's source, as backoff does: a seed decides which operations and
+// faults a simulation has, and does not replay their interleaving.
+func waitBelow(bound time.Duration) { <-time.After(rand.N(bound)) }
 
 func (c *cluster) runClient(ctx context.Context, recorded *history, client int, address string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)+2))
@@ -71,13 +73,13 @@
 		kind := operationKind(random.IntN(int(operationKinds)))
 		recorded.run(limited, client, p.register, clientInput{kind, fmt.Sprintf("%d-%d", client, i)})
 		cancel()
-		waitBelow(random, maxOperationInterval)
+		waitBelow(maxOperationInterval)
 	}
 }
 
 func (c *cluster) injectFaults(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		waitBelow(random, maxFaultInterval)
+		waitBelow(maxFaultInterval)
 		address := c.view.Members[random.IntN(len(c.view.Members))]
 		down := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
 		switch random.IntN(4) {
@@ -107,7 +109,7 @@
 
 func TestRegisterIsLinearizable(t *testing.T) { checkSchedules(t, "") }
 
-// Large values travel by parts.
+// Large values are transferred in chunks.
 func TestRegisterOfLargeValuesIsLinearizable(t *testing.T) {
 	checkSchedules(t, randomText(5*inlineValueBytes, 1))
 }
@@ -122,7 +124,7 @@
 			}
 			succeeded += recorded.succeeded
 		}
-		convey.Convey(fmt.Sprintf("Most operations at %d members come to their end in spite of the trouble", size), t, func() {
+		convey.Convey(fmt.Sprintf("Most operations at %d members succeed in spite of the faults", size), t, func() {
 			convey.So(succeeded, convey.ShouldBeGreaterThan, 20**schedules)
 		})
 		t.Logf("%d members: %d operations succeeded", size, succeeded)
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -6,19 +6,16 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
 const (
-	firstBackoff      = 150 * time.Millisecond // after a look that failed
-	maxBackoff        = 600 * time.Millisecond
-	earlyAnswerDelay  = 100 * time.Millisecond // after a hold that was answered early without an end
-	toleratedRefusals = 1                      // holds refused in a row before a worker counts as unreachable
+	firstBackoff     = 150 * time.Millisecond // after a poll that failed
+	maxBackoff       = 600 * time.Millisecond
+	earlyAnswerDelay = 100 * time.Millisecond // after a renewal that was answered early without a completion
 
-	acknowledgementTimeout     = 60 * time.Millisecond  // how long the hold after new ends waits for their acknowledgement
-	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after ends that are listed again
-	redeliveryAge              = time.Second            // ends not acknowledged for so long are delivered again
+	acknowledgementTimeout     = 60 * time.Millisecond  // how long the renewal after new completions waits for their acknowledgement
+	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after completions that are listed again
+	redeliveryAge              = time.Second            // completions not acknowledged for so long are delivered again
 )
 
 // listCall is one call that asks for both lists.
@@ -35,17 +32,36 @@
 
 func (c *listCall) wait() time.Duration { return time.Duration(c.request.waitMS) * time.Millisecond }
 
-// pendingRenewal is the newest call of the hold loop.
+// pendingRenewal is the newest call of the renewal loop.
 type pendingRenewal struct {
-	abandon    context.CancelFunc
-	overdue    bool // it should have been answered by now
-	superseded bool // a look was answered instead
+	abandon  context.CancelFunc
+	progress renewalProgress
 }
 
-// Run looks at the worker and then holds what runs there, until the link is closed, the context ends, the worker's life
+// renewalProgress only ever grows.
+type renewalProgress uint8
+
+const (
+	inTime     renewalProgress = iota // its response may still come in time
+	overdue                           // it should have been answered by now: a poll decides
+	superseded                        // a poll was answered instead, and the renewal given up
+)
+
+// markOverdue notes that the response should have come by now.
+func (r *pendingRenewal) markOverdue() { r.progress = max(r.progress, overdue) }
+
+// supersede gives up the renewal if it is overdue.
+func (r *pendingRenewal) supersede() {
+	if r.progress >= overdue {
+		r.progress = superseded
+		r.abandon()
+	}
+}
+
+// Run looks at the worker and then holds what attempts there, until the link is closed, the context ends, the worker's incarnation
 // is over or a higher fencing token was seen. It returns once everything was reported.
 func (l *Link) Run(ctx context.Context) {
-	defer l.lane.leave()
+	defer l.pool.leave()
 	defer l.cancel()
 	defer l.awaitSenders()
 	unlink := context.AfterFunc(ctx, l.Close)
@@ -55,7 +71,7 @@
 		l.yieldToCommands()
 		again, last := l.renewInTurn()
 		if !again {
-			l.sleep(pause)
+			l.wait(pause)
 			pause = min(2*pause, maxBackoff)
 			continue
 		}
@@ -65,19 +81,19 @@
 	}
 }
 
-// renewalAnswer is a call of the hold loop with its answer.
+// renewalAnswer is a call of the renewal loop with its answer.
 type renewalAnswer struct {
 	call     listCall
-	answer   response
+	answer   workerResponse
 	received time.Time
 }
 
-// renewInTurn makes one call once there is a connection for it, and tells whether the next one may follow.
+// renewInTurn makes one call once there is a connection for it, and reports whether the next one may follow.
 func (l *Link) renewInTurn() (again bool, last renewalAnswer) {
-	if !l.lane.acquire(l.done) {
+	if !l.pool.acquire(l.done) {
 		return false, renewalAnswer{}
 	}
-	defer l.lane.release()
+	defer l.pool.release()
 	valid := l.config.LeaderLeaseValid()
 	l.setSuspended(!valid)
 	if !valid {
@@ -86,85 +102,85 @@
 	return l.renewOnce()
 }
 
-// setSuspended notes whether orders may be sent at all, and goes through those that wait.
+// setSuspended notes whether commands may be sent at all, and goes through those that wait.
 func (l *Link) setSuspended(suspended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.suspended = suspended
+	l.commands.suspended = suspended
 	l.dispatch()
 }
 
 func (l *Link) awaitSenders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.senders > 0 || l.polls.busy || l.hedgedRequests > 0 {
-		l.idle.Wait()
+	for l.commands.senders > 0 || l.polls.busy || l.hedges > 0 {
+		l.quiescent.Wait()
 	}
 }
 
-// renewOnce makes one call and tells whether the next one may follow at once.
+// renewOnce makes one call and reports whether the next one may follow at once.
 func (l *Link) renewOnce() (again bool, last renewalAnswer) {
 	c := l.beginRenewal()
-	a, err := l.postRenewal(c)
+	response, err := l.postRenewal(c)
 	if c.request.waitMS > 0 {
-		l.lane.endLongPoll()
+		l.pool.endLongPoll()
 	}
 	received := l.now()
-	l.settleListCall(c, a, err, received)
+	l.settleListCall(c, response, err, received)
 	if err != nil {
 		l.log.Debug("hold without answer", zap.Error(err))
 		return l.renewalFailed(c), renewalAnswer{}
 	}
-	if l.endedBy(a) {
+	if l.endedBy(response) {
 		return false, renewalAnswer{}
 	}
-	if a.status != http.StatusOK {
-		l.listRefused(a.status)
+	if response.status != http.StatusOK {
+		l.listRefused(response.status)
 		return false, renewalAnswer{}
 	}
-	l.deliver(c, a, false)
-	return true, renewalAnswer{c, a, received}
+	l.deliver(c, response, false)
+	return true, renewalAnswer{c, response, received}
 }
 
-// beginRenewal decides what the next call of the hold loop asks for and notes its grant.
+// beginRenewal decides what the next call of the renewal loop asks for and notes its grant.
 func (l *Link) beginRenewal() listCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Renewals++
-	if l.contact == unreachable {
+	if l.health.contact == unreachable {
 		return l.beginPoll(unreachablePollTimeout)
 	}
 	c := l.beginPoll(0)
-	l.longPolled = l.mayLongPoll(c.sentAt)
-	if l.longPolled {
+	l.activity.longPolled = l.mayLongPoll(c.sentAt)
+	if l.activity.longPolled {
 		c.request.waitMS = l.pace.longPollWait.Milliseconds()
 	}
 	c.hedgeAfter = c.wait() + l.roundTrips.overdueDelay()
 	c.timeout = c.hedgeAfter + l.roundTrips.pollTimeout() + abandonMargin
-	if l.listed && c.sentAt.Sub(l.lease.askedAt) > l.pace.renewalAge {
+	if l.activity.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.pace.renewalAge {
 		l.addGrant(&c)
 	}
 	return c
 }
 
-// addGrant makes the call hold what runs there as long as is certainly not cut short. The caller holds the lock.
+// addGrant makes the call renew the lease, if that makes it longer. The caller holds the lock.
 func (l *Link) addGrant(c *listCall) {
-	validUntil := (l.clock.lowest(c.sentAt) + l.config.MaxLease).Truncate(time.Millisecond)
-	if validUntil <= l.lease.validUntil {
+	validUntil, longer := l.lease.extension(l.config.MaxLease, c.sentAt)
+	if !longer {
 		return
 	}
 	c.validUntil = validUntil
 	c.request.validUntilMS = validUntil.Milliseconds()
-	c.grant = l.grants.begin(l.clock.untilPassed(validUntil, c.sentAt), c.sentAt, c.timeout)
+	c.grant = l.lease.grant(validUntil, c.sentAt, c.timeout)
 }
 
-// postRenewal makes a call of the hold loop, which is hedged by a look when its answer is overdue.
-func (l *Link) postRenewal(c listCall) (response, error) {
+// postRenewal makes a call of the renewal loop, which is hedged by a poll when its answer is overdue.
+func (l *Link) postRenewal(c listCall) (workerResponse, error) {
 	ctx, abandon := context.WithCancel(l.context)
 	defer abandon()
 	pending := &pendingRenewal{abandon: abandon}
 	l.mu.Lock()
-	l.pending = pending
+	l.pendingRenewal = pending
 	l.mu.Unlock()
 	if c.hedgeAfter > 0 {
 		timer := time.AfterFunc(c.hedgeAfter, func() { l.renewalOverdue(pending) })
@@ -173,38 +189,39 @@
 	return l.caller.post(ctx, l.caller.renewal, c.body(), c.timeout)
 }
 
-// renewalOverdue looks at a worker that has left a hold without an answer.
+// renewalOverdue polls of a worker that has left a renewal without an answer.
 func (l *Link) renewalOverdue(pending *pendingRenewal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pending != pending {
+	if l.pendingRenewal != pending {
 		return
 	}
-	pending.overdue = true
+	pending.markOverdue()
 	l.counts.OverdueRenewals++
 	l.suspect()
 }
 
-// supersedeRenewal gives up an overdue hold after a look was answered.
+// supersedeRenewal gives up an overdue renewal after a poll was answered.
 func (l *Link) supersedeRenewal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pending != nil && l.pending.overdue {
-		l.pending.superseded = true
-		l.pending.abandon()
+	if l.pendingRenewal != nil {
+		l.pendingRenewal.supersede()
 	}
 }
 
-// renewalFailed lets a look decide what a hold without an answer means, and tells whether the next hold may follow at once.
+// renewalFailed lets a poll decide what a renewal without an answer means, and reports whether the next renewal may follow at once.
 func (l *Link) renewalFailed(c listCall) bool {
 	if c.hedgeAfter == 0 {
 		l.setContact(unreachable)
 		return false
 	}
 	l.mu.Lock()
-	pending := l.pending
-	if !pending.overdue { // its connection broke, or this process stood still
-		pending.overdue = l.now().Sub(c.sentAt) >= c.hedgeAfter
+	pending := l.pendingRenewal
+	if pending.progress == inTime { // its connection broke, or this process stood still
+		if l.now().Sub(c.sentAt) >= c.hedgeAfter {
+			pending.markOverdue()
+		}
 		l.suspect()
 	}
 	l.mu.Unlock()
@@ -213,36 +230,23 @@
 	l.config.Connections.concurrency.acquire()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return pending.superseded
+	return pending.progress == superseded
 }
 
 // settleListCall takes in what an answer, or its absence, says about the worker's clock and about the grant.
-func (l *Link) settleListCall(c listCall, a response, err error, received time.Time) {
+func (l *Link) settleListCall(c listCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(a, c.sentAt, received)
-	l.settleGrant(c.grant, c.validUntil, err, received)
+	l.lease.observe(response, c.sentAt, received)
+	l.lease.settle(c.grant, c.validUntil, err, received)
 	if err != nil {
 		return
 	}
 	if trip := received.Sub(c.sentAt) - c.wait(); trip >= 0 { // otherwise the worker did not wait to the end
 		l.roundTrips.observe(trip)
 	}
-	if c.grant != nil && a.status == http.StatusOK {
-		l.lease = lease{c.validUntil, c.sentAt}
-	}
-}
-
-// settleGrant notes what became of a call with a grant. The caller holds the lock.
-func (l *Link) settleGrant(g *leaseGrant, validUntil time.Duration, err error, received time.Time) {
-	switch {
-	case g == nil:
-	case err == nil:
-		l.grants.answered(g, received, l.clock.untilPassed(validUntil, received))
-	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
-		l.grants.withdrawn(g)
-	default:
-		l.grants.unanswered(g, received)
+	if c.grant != nil && response.status == http.StatusOK {
+		l.lease.confirmed = confirmedLease{c.validUntil, c.sentAt}
 	}
 }
 
@@ -250,31 +254,29 @@
 func (l *Link) listRefused(status int) {
 	l.log.Debug("hold refused", zap.Int("status", status))
 	l.mu.Lock()
-	l.refusals++
-	many := l.refusals > toleratedRefusals
-	l.doubtful, l.suspected = false, false
+	nowUnreachable := l.health.listRefused()
 	l.dispatch()
 	l.mu.Unlock()
-	if many {
+	if nowUnreachable {
 		l.setContact(unreachable)
 	}
 }
 
-// delayAfter waits before the next hold where the worker would answer it at once: after ends, as it lists them until they
+// delayAfter waits before the next renewal where the worker would answer it at once: after ends, as it lists them until they
 // are acknowledged, and after an answer that came early for no reason known.
 func (l *Link) delayAfter(last renewalAnswer) {
 	if newest := last.answer.newestCompletion(); newest > 0 {
 		l.awaitAcknowledgement(newest)
-		l.noteAcknowledged(last, newest)
+		l.markIdleIfAcknowledged(last, newest)
 		return
 	}
 	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.longPollWait/2 {
-		l.sleep(earlyAnswerDelay)
+		l.wait(earlyAnswerDelay)
 	}
 }
 
-// awaitAcknowledgement waits until the ends up to a number are durable: shortly after new ones, so that further ends are
-// heard soon in any case, and longer when the same ones are listed again.
+// awaitAcknowledgement waits until the completions up to a number are durable: shortly after new ones, so that further completions are
+// received soon in any case, and longer when the same ones are listed again.
 func (l *Link) awaitAcknowledgement(number uint64) {
 	patience := acknowledgementTimeout
 	if number <= l.awaitedCompletion {
@@ -300,17 +302,17 @@
 	}
 }
 
-// noteAcknowledged notes that a worker is idle if its last answer lists nothing but ends that are durable by now. The next
+// markIdleIfAcknowledged notes that a worker is idle if its last answer lists nothing but completions that are durable by now. The next
 // call acknowledges them, however late it is.
-func (l *Link) noteAcknowledged(last renewalAnswer, newest uint64) {
+func (l *Link) markIdleIfAcknowledged(last renewalAnswer, newest uint64) {
 	reply := &last.answer.body
 	if len(reply.Running) > 0 || len(reply.Finished) >= maxFinishedPerResponse {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.acknowledged >= newest && l.commandsAnsweredBefore(last.call.sentAt) {
-		l.mayHaveWork = false
+	if l.acknowledged >= newest && l.commands.answeredBefore(last.call.sentAt) {
+		l.activity.mayHaveWork = false
 	}
 }
 
@@ -320,8 +322,8 @@
 	l.counts.RepeatedCompletions++
 }
 
-// sleep waits for a while, or until the link ends.
-func (l *Link) sleep(pause time.Duration) {
+// wait waits for a while, or until the link ends.
+func (l *Link) wait(pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
