--- a/internal/controlplane/configuration/outcome.go
+++ b/internal/controlplane/configuration/outcome.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// OutcomeKind is how an order of the operator ended.
+// OutcomeKind is how an update ended.
 type OutcomeKind uint8
 
 const (
-	// Undecided is the zero value: nothing speaks against the order, but it has not been taken yet.
+	// Undecided is the zero value: nothing speaks against the update, but it has not been applied yet. Put never returns it.
 	Undecided OutcomeKind = iota
-	// Accepted means that a majority holds the change: it is in force, or was before later changes.
+	// Accepted means that the update is committed: it is in force, or was before later updates.
 	Accepted
-	// Invalid means that the order can never be taken.
+	// Invalid means that the update can never be applied.
 	Invalid
-	// Conflict means that a version above the order's If-Match is current.
+	// Conflict means that a version above the update's If-Match is current.
 	Conflict
-	// Unclear means that the order may or may not have been taken; sent again, it is recognised.
+	// Unclear means that the update may or may not have been applied; sent again, it is recognised.
 	Unclear
-	// Unavailable means that the order was not taken, as no majority was reached.
+	// Unavailable means that the update was not applied, as no majority was reached.
 	Unavailable
 )
 
@@ -33,12 +33,12 @@
 	return "unknown"
 }
 
-// Outcome is the end of an order.
+// Outcome is how an update ended.
 type Outcome struct {
 	Kind       OutcomeKind
-	Version    uint64        // the order's version, if accepted
+	Version    uint64        // the update's version, if accepted
 	Current    uint64        // the version in force, in a conflict
-	RetryAfter time.Duration // the pause asked for, if unavailable; 0 without a hint
+	RetryAfter time.Duration // the hint for a retry, if unavailable; 0 without one
 	Err        error         // why it was not accepted; nil if it was
 }
 
@@ -50,14 +50,14 @@
 	return Outcome{Kind: Conflict, Current: current, Err: &ConflictError{Current: current}}
 }
 
-// ErrOlderThanHistory is why an order is unclear that builds on a version older than the history of taken changes.
+// ErrOlderThanHistory is why an update is unclear that is built on a version older than the history of applied updates.
 var ErrOlderThanHistory = errors.New("the version in If-Match is so old that nobody can tell any more whether this change was taken; read the configuration and send the change on top of it")
 
-// ErrBaseNotInForce is why an order is unclear that builds on a version above the one in force. Versions only rise, so that one may
-// still come into force; a refusal would be wrong if the order, on its way to another node as well, were taken after it.
+// ErrBaseNotInForce is why an update is unclear that is built on a version above the one in force. Versions only rise, so that one
+// may still come into force; a refusal would be wrong if the update, in flight to another node as well, were applied after it.
 var ErrBaseNotInForce = errors.New("the version in If-Match is not in force yet; send it again, or read the configuration and send the change on top of it")
 
-// ConflictError tells which version an order should have been built on.
+// ConflictError says which version is current, on which the update should have been built.
 type ConflictError struct{ Current uint64 }
 
 // Error implements the error interface.
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -13,7 +13,7 @@
 	Remedy string // what is wrong and what to do about it
 }
 
-// InvalidError tells why a configuration cannot be taken.
+// InvalidError says why a configuration is invalid.
 type InvalidError struct{ Problems []Problem }
 
 // Error implements the error interface.
@@ -29,7 +29,7 @@
 	return &InvalidError{Problems: []Problem{{Key: key, Remedy: fmt.Sprintf(format, arguments...)}}}
 }
 
-// Parse reads and checks a configuration. It refuses text that is not one whole JSON object, values of the wrong type,
+// Parse reads and checks a configuration. It refuses text that is not one complete JSON object, values of the wrong type,
 // repeated keys, and whatever Validate refuses; the error is an *InvalidError.
 func Parse(body []byte) (*Configuration, error) {
 	if len(body) > MaxBodyBytes {
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestParseReadsAllFields(t *testing.T) {
-	Convey("All fields are read, and unknown ones are skipped", t, func() {
+	Convey("All fields are read, and unknown ones are ignored", t, func() {
 		parsed, err := Parse([]byte(example))
 		So(err, ShouldBeNil)
 		So(parsed.Version, ShouldEqual, 7)
@@ -52,11 +52,11 @@
 }
 
 func TestParseErrorsNameKeyAndRemedy(t *testing.T) {
-	replaced := func(old, new string) string {
+	replaced := func(old, replacement string) string {
 		if !strings.Contains(example, old) {
 			t.Fatalf("the example lacks %s", old)
 		}
-		return strings.Replace(example, old, new, 1)
+		return strings.Replace(example, old, replacement, 1)
 	}
 	cases := []struct{ name, body, key, remedy string }{
 		{"empty", ``, "body", "send one whole JSON object"},
--- a/internal/controlplane/configuration/registerstate.go
+++ b/internal/controlplane/configuration/registerstate.go
@@ -1,27 +1,25 @@
 package configuration
 
 import (
-	"crypto/sha256"
 	"fmt"
 	"slices"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxAppliedHistory bounds the history of taken changes. An order that is older than all of them is neither confirmed nor refused.
+// maxAppliedHistory bounds the history of applied updates. An update that is older than all of them is neither confirmed nor
+// refused.
 const maxAppliedHistory = 2000
 
-// sumBytes is the length of a checksum: a SHA-256 cut to 128 bits.
-const sumBytes = 16
-
-// Taken records a change that is or was in force, so that the same order sent again is recognised.
+// AppliedUpdate records an update that is or was in force, so that the same request sent again is recognised.
 type AppliedUpdate struct {
 	Version uint64         `msgpack:"v"`
 	IfMatch uint64         `msgpack:"i"`
 	Sum     [sumBytes]byte `msgpack:"s"` // of the body
 }
 
-// State is the register's value.
+// State is the register's value: the configuration in force and the history of applied updates. Its methods decide on updates
+// without input or output.
 type State struct {
 	Version uint64          `msgpack:"v"` // 0 before the first configuration
 	Body    []byte          `msgpack:"b"` // as the operator sent it
@@ -49,20 +47,7 @@
 	return value, nil
 }
 
-// updateRequest is what an operator asks for: the body's version on top of the version ifMatch.
-type updateRequest struct {
-	version uint64
-	ifMatch uint64
-	body    []byte
-	bodySum [sumBytes]byte
-}
-
-func newUpdateRequest(ifMatch uint64, body []byte) updateRequest {
-	sum := sha256.Sum256(body)
-	return updateRequest{ifMatch: ifMatch, body: body, bodySum: [sumBytes]byte(sum[:sumBytes])}
-}
-
-// findApplied returns the record of this very order, if it was taken at some time.
+// findApplied returns the record of this very update, if it was applied and is in the history.
 func (s State) findApplied(request updateRequest) (AppliedUpdate, bool) {
 	for _, applied := range slices.Backward(s.Applied) {
 		if applied.IfMatch == request.ifMatch && applied.Sum == request.bodySum {
@@ -72,8 +57,9 @@
 	return AppliedUpdate{}, false
 }
 
-// evaluate judges an order on top of s, which the caller knows to be the newest state. The order's version must be above
-// its If-Match, and so it is above the current version wherever that is its If-Match.
+// evaluate decides on an update of s, which the caller knows to be the newest state; the outcome is Undecided where the update may
+// be applied. The request's version must be above its If-Match, so that it is above the current version wherever that is its
+// If-Match.
 func (s State) evaluate(request updateRequest) Outcome {
 	if applied, found := s.findApplied(request); found {
 		return acceptedOutcome(applied.Version)
@@ -83,22 +69,18 @@
 		return Outcome{}
 	case s.olderThanHistory(request):
 		return Outcome{Kind: Unclear, Err: ErrOlderThanHistory}
-	case request.ifMatch > s.Version: // it may come into force, and an earlier attempt at a slow node may then be taken
+	case request.ifMatch > s.Version: // it may come into force, and an earlier attempt at a slow node be applied then
 		return Outcome{Kind: Unclear, Err: ErrBaseNotInForce}
 	}
 	return conflictOutcome(s.Version)
 }
 
-// olderThanHistory tells whether an order is older than the history, so that nobody can tell whether it was taken.
+// olderThanHistory reports whether an update is older than the history, so that nobody can tell whether it was applied.
 func (s State) olderThanHistory(request updateRequest) bool {
 	return len(s.Applied) > 0 && request.ifMatch < s.Applied[0].IfMatch
 }
 
-func versionNotAbove(version, current uint64) error {
-	return newInvalidError("version", "is %d; set it above the current version %d", version, current)
-}
-
-// apply is the state once an order was taken on top of s.
+// apply returns the state after an update of s.
 func (s State) apply(request updateRequest) State {
 	history := append(slices.Clip(s.Applied), AppliedUpdate{Version: request.version, IfMatch: request.ifMatch, Sum: request.bodySum})
 	if excess := len(history) - maxAppliedHistory; excess > 0 {
--- a/internal/controlplane/configuration/routingtable.go
+++ b/internal/controlplane/configuration/routingtable.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// RoutingTable finds the route of a request. It is immutable and safe for use from any goroutine.
+// RoutingTable finds the route of a request. It is immutable and safe for concurrent use.
 type RoutingTable struct {
 	version  uint64
 	hosts    map[string]hostRoutes
@@ -57,7 +57,8 @@
 // Version is the configuration's version.
 func (t *RoutingTable) Version() uint64 { return t.version }
 
-// Match finds the route of the host with the longest prefix of path, and what follows that prefix. The host is compared
+// Match finds the route of the host with the longest prefix of path, and the remainder of path after that prefix; ok is false
+// where no route matches. The host is compared
 // without its port and without regard to case.
 func (t *RoutingTable) Match(host, path string) (route Route, remainder string, ok bool) {
 	routes, known := t.hosts[normalHost(host)]
--- a/internal/controlplane/configuration/run_test.go
+++ b/internal/controlplane/configuration/run_test.go
@@ -58,7 +58,7 @@
 		register := &fakeRegister{}
 		view := replicaset.View{Version: 1, Members: []string{"a:1", "b:1", "c:1"}}
 		muxes := make(map[string]*transport.Mux)
-		caller := callerFunc(func(ctx context.Context, address string, route transport.Route, request, reply any) error {
+		caller := callerFunc(func(_ context.Context, address string, route transport.Route, request, reply any) error {
 			return callMux(muxes[address], route, request, reply)
 		})
 		members := make(map[string]*Configurator)
--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -85,8 +85,8 @@
 func (o *operator) sendUntilClear(last context.Context, order sentUpdate) {
 	o.checker.sent(order)
 	for last.Err() == nil {
-		clear, status := o.sendOnce(order)
-		if clear {
+		isClear, status := o.sendOnce(order)
+		if isClear {
 			if status == http.StatusOK {
 				o.observe(order.version)
 			} else {
@@ -102,7 +102,7 @@
 }
 
 // sendOnce sends an order to one machine. Its relay may swallow the answer, or send a copy to another machine later.
-func (o *operator) sendOnce(order sentUpdate) (clear bool, status int) {
+func (o *operator) sendOnce(order sentUpdate) (isClear bool, status int) {
 	address, swallowed := o.pick(), o.random.Float64() < dropAnswerProbability
 	there, back, awake := o.randomBelow(maxRelayDelay), o.randomBelow(maxRelayDelay), o.randomBelow(maxResumeDelay)
 	if o.random.Float64() < duplicateProbability {
--- a/internal/controlplane/configuration/types.go
+++ b/internal/controlplane/configuration/types.go
@@ -1,5 +1,3 @@
-// Package configuration holds the operator's configuration: its format and checks, the tables that the data plane
-// looks up, and the Configurator, which changes and reads it through a replicated compare-and-swap register.
 package configuration
 
 import "time"
@@ -7,7 +5,7 @@
 // MaxBodyBytes bounds a configuration's body.
 const MaxBodyBytes = 4 << 20
 
-// Configuration is a whole configuration as the operator sends it. Fields that are not listed here are skipped.
+// Configuration is a complete configuration as the operator sends it. Fields that are not listed here are ignored.
 type Configuration struct {
 	Version  uint64    `json:"version" validate:"gt=0"`
 	Routes   []Route   `json:"routes" validate:"required,dive"`
@@ -15,24 +13,24 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Route is a queue of jobs: the requests it takes and how its jobs are treated.
+// Route is a queue of jobs: which requests it matches and how its jobs are scheduled.
 type Route struct {
 	Name            string  `json:"name" validate:"required"`
 	Host            string  `json:"host" validate:"required"`
 	PathPrefix      string  `json:"pathPrefix" validate:"startswith=/"`
-	Kind            string  `json:"kind"` // whether requests may be repeated, such as "non_idempotent"
+	Kind            string  `json:"kind"` // whether requests are idempotent, such as "non_idempotent"
 	TimeoutMS       float64 `json:"timeoutMs" validate:"gt=0,lte=86400000"`
 	TargetLatencyMS float64 `json:"targetLatencyMs" validate:"gte=0,lte=86400000"`
 	Priority        int     `json:"priority" validate:"gte=0"` // 0 goes first
 	Service         string  `json:"service" validate:"required"`
-	MaxAttempts     int     `json:"maxAttempts" validate:"gte=0"` // failed runs of one task; 0 when left out
+	MaxAttempts     int     `json:"maxAttempts" validate:"gte=0"` // of one task; 0 when left out
 	Extension       float64 `json:"extension" validate:"gte=0"`   // allowed multiple of the work; 0 when left out
 }
 
 // Timeout is how long one request of the route may take.
 func (r Route) Timeout() time.Duration { return duration(r.TimeoutMS) }
 
-// TargetLatency is the latency that the route's requests aim for.
+// TargetLatency is the latency target of the route's requests.
 func (r Route) TargetLatency() time.Duration { return duration(r.TargetLatencyMS) }
 
 // Service is a kind of worker that runs the tasks of routes.
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -23,8 +23,7 @@
 	return validate
 }
 
-// Validate checks single fields by their struct tags and then what must agree across fields. The error is an
-// *InvalidError.
+// Validate checks single fields by their struct tags and then what must agree across fields. The error is an *InvalidError.
 func (c *Configuration) Validate() error {
 	if problems := c.fieldProblems(); len(problems) > 0 {
 		return &InvalidError{Problems: firstProblems(problems)}
@@ -85,7 +84,7 @@
 	return problems
 }
 
-// routeKey is what no two routes may share.
+// routeKey is what routes are matched by; no two routes may have the same.
 type routeKey struct{ host, pathPrefix string }
 
 func (c *Configuration) routeProblems() []Problem {
