--- a/internal/controlplane/configuration/lossynetwork_test.go
+++ b/internal/controlplane/configuration/lossynetwork_test.go
@@ -82,7 +82,7 @@
 	return members
 }
 
-// sendUntilClear sends an order to one member after the other, as operators do, until its end is clear.
+// sendUntilClear sends an update to one member after the other, as operators do, until its outcome is clear.
 func sendUntilClear(members []*Configurator, first int, request sentUpdate) Outcome {
 	for try := first; ; try++ {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -99,8 +99,8 @@
 	body    []byte
 }
 
-// Operators race for every version on a network that loses messages. However their orders fare on the way, one change
-// per version is accepted, and every accepted one is accepted again later, at any member.
+// Operators race for every version on a network that loses messages. One update of each version is accepted, and every accepted one
+// is accepted again later, at any member.
 func TestOperatorsRaceOverALossyNetwork(t *testing.T) {
 	for seed := range uint64(5) {
 		virtualtime.Test(t, func(t *testing.T) {
@@ -137,7 +137,7 @@
 	}
 	for i, order := range won {
 		if outcome := sendUntilClear(members, i, order); outcome.Kind != Accepted {
-			return fmt.Errorf("an accepted order sent again is %v: %w", outcome.Kind, outcome.Err)
+			return fmt.Errorf("an accepted update sent again is %v: %w", outcome.Kind, outcome.Err)
 		}
 	}
 	return nil
@@ -151,11 +151,11 @@
 		case outcome.Kind == Accepted && winner < 0:
 			winner = i
 		default:
-			return 0, fmt.Errorf("an order is %v beside another: %w", outcome.Kind, outcome.Err)
+			return 0, fmt.Errorf("an update is %v beside another: %w", outcome.Kind, outcome.Err)
 		}
 	}
 	if winner < 0 {
-		return 0, errors.New("no order is accepted")
+		return 0, errors.New("no update is accepted")
 	}
 	return winner, nil
 }
--- a/internal/controlplane/configuration/put_test.go
+++ b/internal/controlplane/configuration/put_test.go
@@ -27,13 +27,13 @@
 			So(string(body), ShouldEqual, string(bodyOf(5, 1000)))
 			So(configurator.Fresh(time.Hour), ShouldBeTrue)
 		})
-		Convey("An order on top of a version that is not in force is neither taken nor refused, and leaves a readable register", func() {
+		Convey("An update of a version that is not in force is neither applied nor refused, and leaves a readable register", func() {
 			So(put(3, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Unclear, Err: ErrBaseNotInForce})
 			version, _, err := configurator.Read(ctx)
 			So(err, ShouldBeNil)
 			So(version, ShouldEqual, 0)
 
-			Convey("so that it is taken when it is sent again once that version is in force", func() {
+			Convey("so that it is applied when it is sent again once that version is in force", func() {
 				So(put(0, bodyOf(3, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(3, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			})
@@ -46,11 +46,11 @@
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			before := register.changeCount()
 
-			Convey("the same order is accepted again, without the register", func() {
+			Convey("the same update is accepted again, without the register", func() {
 				So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 				So(register.changeCount(), ShouldEqual, before)
 			})
-			Convey("the same order is accepted again after later changes, also elsewhere", func() {
+			Convey("the same update is accepted again after later ones, also by another member", func() {
 				So(put(5, bodyOf(9, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(9, bodyOf(12, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
@@ -60,7 +60,7 @@
 				version, _ := elsewhere.Current()
 				So(version, ShouldEqual, 12)
 			})
-			Convey("another body under the same number conflicts", func() {
+			Convey("another body with the same version conflicts", func() {
 				So(put(0, bodyOf(5, 2000)), ShouldResemble, conflictOutcome(5))
 			})
 			Convey("an older If-Match conflicts after a quorum read, without a change of the register", func() {
@@ -70,21 +70,21 @@
 				So(register.changeCount(), ShouldEqual, before)
 				So(register.reads, ShouldEqual, reads+1)
 			})
-			Convey("an older If-Match conflicts with the version that a majority holds, not with the one known here", func() {
+			Convey("an older If-Match conflicts with the committed version, not with the cached one", func() {
 				So(newConfigurator(register).Put(ctx, 5, bodyOf(9, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(0, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(9))
 			})
-			Convey("a mixer without a majority refuses nothing, and confirms what it knows to be taken", func() {
+			Convey("a member without a majority refuses nothing, and confirms what its cached history has", func() {
 				register.refuse = true
 				So(put(0, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(5, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(9, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			})
-			Convey("an older If-Match conflicts at a mixer that does not know yet", func() {
+			Convey("an older If-Match conflicts at a member that has nothing cached", func() {
 				So(newConfigurator(register).Put(ctx, 0, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(5))
 			})
-			Convey("an invalid order is refused without the register, whatever its If-Match", func() {
+			Convey("an invalid update is refused without the register, whatever its If-Match", func() {
 				for _, ifMatch := range []uint64{0, 5, 77} {
 					So(put(ifMatch, bodyOf(9, 0)).Kind, ShouldEqual, Invalid)
 					So(put(ifMatch, bodyOf(9, 1000)[:40]).Kind, ShouldEqual, Invalid)
@@ -99,7 +99,7 @@
 				So(put(5, bodyOf(4, 1000)).Err.Error(), ShouldContainSubstring, "above the current version 5")
 			})
 		})
-		Convey("Without a majority an order is unavailable and not in force", func() {
+		Convey("Without a majority an update is unavailable and not in force", func() {
 			register.refuse = true
 			outcome := put(0, bodyOf(5, 1000))
 			So(outcome.Kind, ShouldEqual, Unavailable)
@@ -108,7 +108,7 @@
 			So(version, ShouldEqual, 0)
 			So(configurator.Fresh(time.Hour), ShouldBeFalse)
 		})
-		Convey("An order whose answer was lost is unclear, and accepted when it is sent again", func() {
+		Convey("An update whose answer was lost is unclear, and accepted when it is sent again", func() {
 			register.loseAnswers = true
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
@@ -119,13 +119,13 @@
 			So(err, ShouldBeNil)
 			So(len(state.Applied), ShouldEqual, 1)
 		})
-		Convey("An order that was lost without effect is unclear, and taken when it is sent again", func() {
+		Convey("An update that was lost without effect is unclear, and applied when it is sent again", func() {
 			register.lost = true
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
 			register.lost = false
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 		})
-		Convey("A round that is run again on its own result is accepted once", func() {
+		Convey("A change that is applied to its own result is accepted once", func() {
 			register.twice = true
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			state, err := DecodeState(register.value)
@@ -143,7 +143,7 @@
 }
 
 func TestConcurrentPutsAcceptOnePerVersion(t *testing.T) {
-	Convey("Of the orders on top of one version exactly one is accepted, and the others conflict", t, func() {
+	Convey("Of the updates of one version exactly one is accepted, and the others conflict", t, func() {
 		register := &fakeRegister{}
 		nodes := []*Configurator{newConfigurator(register), newConfigurator(register), newConfigurator(register)}
 		current := uint64(0)
@@ -172,21 +172,21 @@
 }
 
 func TestPutWaitsForEarlierChanges(t *testing.T) {
-	Convey("Given a change under way", t, func() {
+	Convey("Given an update in progress", t, func() {
 		register := &fakeRegister{entered: make(chan struct{}), release: make(chan struct{})}
 		configurator := newConfigurator(register)
 		first := make(chan Outcome, 1)
 		go func() { first <- configurator.Put(context.Background(), 0, bodyOf(5, 1000)) }()
 		<-register.entered
 
-		Convey("a second one whose time runs out first was not taken", func() {
+		Convey("a second one whose context ends first was not applied", func() {
 			ended, cancel := context.WithCancel(context.Background())
 			cancel()
 			So(configurator.Put(ended, 0, bodyOf(6, 1000)).Kind, ShouldEqual, Unavailable)
 			close(register.release)
 			So((<-first).Kind, ShouldEqual, Accepted)
 		})
-		Convey("the same order again is accepted without another round, and any other conflicts", func() {
+		Convey("the same update again is accepted without another round, and any other conflicts", func() {
 			again, other := make(chan Outcome, 1), make(chan Outcome, 1)
 			go func() { again <- configurator.Put(context.Background(), 0, bodyOf(5, 1000)) }()
 			go func() { other <- configurator.Put(context.Background(), 0, bodyOf(6, 1000)) }()
--- a/internal/controlplane/configuration/resentupdate_test.go
+++ b/internal/controlplane/configuration/resentupdate_test.go
@@ -21,7 +21,7 @@
 
 func TestUpdateOlderThanHistoryIsUnclear(t *testing.T) {
 	ctx := context.Background()
-	Convey("Given a history of which the oldest part has been cut", t, func() {
+	Convey("Given a history whose oldest updates were dropped", t, func() {
 		const cut = 10
 		state := stateAfterUpdates(maxAppliedHistory + cut)
 		value, err := state.Encode()
@@ -32,13 +32,13 @@
 		So(err, ShouldBeNil)
 		before := register.changeCount()
 
-		Convey("a taken order within the history is confirmed again, and another on top of its version is refused", func() {
+		Convey("an applied update within the history is confirmed again, and another of the same version is refused", func() {
 			for _, member := range []*Configurator{informed, restarted} {
 				So(member.Put(ctx, cut, bodyOf(cut+1, 1000)), ShouldResemble, acceptedOutcome(cut+1))
 				So(member.Put(ctx, cut, bodyOf(cut+1, 2000)), ShouldResemble, conflictOutcome(state.Version))
 			}
 		})
-		Convey("a taken order that the history has lost is not refused, at no member", func() {
+		Convey("an applied update that the history has dropped is unclear at every member", func() {
 			for _, member := range []*Configurator{informed, restarted} {
 				for _, ifMatch := range []int{0, 1, cut - 1} {
 					outcome := member.Put(ctx, uint64(ifMatch), bodyOf(ifMatch+1, 1000))
@@ -49,7 +49,7 @@
 			So(string(register.value), ShouldEqual, string(value))
 		})
 	})
-	Convey("An old order is refused as long as the history reaches back to the first change", t, func() {
+	Convey("An old update is refused as long as the history reaches back to the first one", t, func() {
 		value, err := stateAfterUpdates(maxAppliedHistory).Encode()
 		So(err, ShouldBeNil)
 		member := newConfigurator(&fakeRegister{value: value})
@@ -59,7 +59,7 @@
 
 func TestAppliedUpdateIsConfirmedThoughValidationRefusesIt(t *testing.T) {
 	ctx := context.Background()
-	// An earlier release may have taken what the checks of this one refuse; both run side by side during an update.
+	// An earlier release may have applied what the checks of this one refuse; both run side by side during a rolling update.
 	takenElsewhere := func(request updateRequest) *Configurator {
 		value, err := State{}.apply(request).Encode()
 		So(err, ShouldBeNil)
@@ -72,7 +72,7 @@
 		"a route without a time-out": bodyOf(5, 0),
 		"a text that is no JSON":     fmt.Appendf(nil, "version 5"),
 	} {
-		Convey("An order that was taken is confirmed again though the checks refuse it: "+name, t, func() {
+		Convey("An update that was applied is confirmed again though the checks refuse it: "+name, t, func() {
 			request := newUpdateRequest(0, body)
 			request.version = 5
 			member := takenElsewhere(request)
--- a/internal/controlplane/configuration/run_test.go
+++ b/internal/controlplane/configuration/run_test.go
@@ -27,7 +27,7 @@
 		var running sync.WaitGroup
 		running.Go(func() { here.Run(ctx) })
 		synctest.Wait()
-		Convey("A change that nobody told of is known after the next read", t, func() {
+		Convey("An update that nobody announced is cached after the next read", t, func() {
 			So(here.Fresh(time.Millisecond), ShouldBeTrue)
 			So(elsewhere.Put(ctx, 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			changed := here.Changed()
@@ -37,7 +37,7 @@
 			version, _ := here.Current()
 			So(version, ShouldEqual, 5)
 		})
-		Convey("Without a majority it is soon not fresh, but known", t, func() {
+		Convey("Without a majority the cached configuration is soon not fresh, but still there", t, func() {
 			register.set(func(r *fakeRegister) { r.refuse = true })
 			<-time.After(2 * time.Second) // virtual time
 			So(here.Fresh(1500*time.Millisecond), ShouldBeFalse)
@@ -78,7 +78,7 @@
 			return reply, err
 		}
 
-		Convey("Members hear of an accepted change without the next regular read, and know the same order", t, func() {
+		Convey("Members read an accepted update before the next regular read, and recognise it when it is sent again", t, func() {
 			began := time.Now()
 			So(members["a:1"].Put(context.Background(), 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			synctest.Wait()
@@ -92,7 +92,7 @@
 			So(members["c:1"].Put(context.Background(), 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			So(register.changeCount(), ShouldEqual, before)
 		})
-		Convey("A version that is known already makes nobody read", t, func() {
+		Convey("The announcement of a version that is cached already causes no read", t, func() {
 			before := members["b:1"].lastReadAt()
 			<-time.After(time.Millisecond)
 			reply, err := learn(Announcement{Version: 5})
@@ -101,14 +101,14 @@
 			synctest.Wait()
 			So(members["b:1"].lastReadAt(), ShouldEqual, before)
 		})
-		Convey("What a member is told of but no majority holds is not taken", t, func() {
+		Convey("A version that is announced but not committed is not adopted", t, func() {
 			_, err := learn(Announcement{Version: 6})
 			So(err, ShouldBeNil)
 			synctest.Wait()
 			version, _ := members["b:1"].Current()
 			So(version, ShouldEqual, 5)
 		})
-		Convey("From older builds they take values, never go back, and refuse what they cannot read", t, func() {
+		Convey("From older builds they adopt values, never an older one, and refuse what they cannot decode", t, func() {
 			older, err := State{Version: 5, Body: bodyOf(5, 1000)}.Encode()
 			So(err, ShouldBeNil)
 			newer, err := State{Version: 7, Body: bodyOf(7, 1000)}.Encode()
--- a/internal/controlplane/configuration/simulation_test.go
+++ b/internal/controlplane/configuration/simulation_test.go
@@ -23,11 +23,11 @@
 
 // Environment variables of the model.
 const (
-	schedulesVariable = "ORDER_SCHEDULES" // how many schedules are played
-	seedVariable      = "ORDER_SEED"      // plays this schedule alone
+	schedulesVariable = "ORDER_SCHEDULES" // how many schedules are simulated
+	seedVariable      = "ORDER_SEED"      // simulates this schedule alone
 )
 
-// Extent of a schedule, in simulated time.
+// Extent of a simulation, in simulated time.
 const (
 	operators        = 3
 	faultTime        = 6 * time.Second
@@ -37,7 +37,7 @@
 	drainTime        = 10 * time.Second
 )
 
-// simulation is one play of the model.
+// simulation is one run of a cluster under faults, with operators. Its schedule follows from a seed.
 type simulation struct {
 	cluster        *simulatedCluster
 	checker        *checker
@@ -47,7 +47,7 @@
 	faultEnds      sync.WaitGroup // of troubles
 }
 
-// simulate lets operators work while machines are in trouble, and judges every answer.
+// simulate lets operators work while members have faults, and checks every answer.
 func simulate(t *testing.T, seed uint64) (s *simulation) {
 	virtualtime.Test(t, func(t *testing.T) {
 		size := 3 + int(seed%2)*2
@@ -112,7 +112,7 @@
 	s.faultEnds.Go(func() { <-time.After(lasts); fault(false) })
 }
 
-// isolate cuts a member off from the other machines, though not from operators.
+// isolate partitions a member off from the others, though not from operators.
 func (s *simulation) isolate(address string, members []string, on bool) {
 	for _, member := range members {
 		s.cluster.network.partition(address, member, on)
@@ -128,7 +128,7 @@
 	}
 }
 
-// replace loses a machine for good, and starts one that can take its place.
+// replace stops a member for good, and starts one that can replace it.
 func (s *simulation) replace(m *memberProcess) {
 	if s.cluster.stop(m) {
 		s.membersStarted++
@@ -150,7 +150,7 @@
 	}
 }
 
-// checkFinalState judges the end: what each member reads, and the history that a majority holds.
+// checkFinalState checks the end: what each member reads, and the newest history of applied updates.
 func (s *simulation) checkFinalState() {
 	reader := &operator{cluster: s.cluster, checker: s.checker, random: s.random}
 	view := s.cluster.newest()
@@ -161,7 +161,7 @@
 	s.checker.checkHistory(s.history(view.Members))
 }
 
-// history is the newest state that a member holds.
+// history is that of the newest state that a member has cached.
 func (s *simulation) history(members []string) []configuration.AppliedUpdate {
 	var newest configuration.State
 	for _, address := range members {
@@ -174,7 +174,7 @@
 	return newest.Applied
 }
 
-// seeds lists the schedules to play.
+// seeds lists the schedules to simulate.
 func seeds(t *testing.T, usual int) []uint64 {
 	if text := os.Getenv(seedVariable); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
@@ -197,12 +197,12 @@
 	return all
 }
 
-// report prints what a schedule found, and how to play it again.
+// report prints the violations of a schedule, and how to simulate it again.
 func (s *simulation) report(t *testing.T, seed uint64) {
 	if len(s.checker.violations) == 0 {
 		return
 	}
-	t.Errorf("play it again with %s=%d", seedVariable, seed)
+	t.Errorf("simulate it again with %s=%d", seedVariable, seed)
 	for _, problem := range s.checker.violations {
 		t.Error(problem)
 	}
@@ -211,8 +211,8 @@
 	}
 }
 
-// However the machines fare, no two orders are confirmed on top of one version or under one number, nothing that was
-// confirmed is refused or lost, nothing that was refused comes into force, and no reader gets what is out of date.
+// Under all faults, no two updates are confirmed on top of one version or with one version, nothing that was confirmed is refused
+// or lost, nothing that was refused comes into force, and no read returns an outdated version.
 func TestSimulatedOperatorsUpdateLinearizably(t *testing.T) {
 	usual := 2000
 	if raceflag.On {
@@ -242,15 +242,15 @@
 			})
 		}
 	})
-	convey.Convey("Clear answers come, and machines are replaced", t, func() {
+	convey.Convey("Clear answers are received, and members are replaced", t, func() {
 		convey.So(answers, convey.ShouldBeGreaterThan, 0)
 		convey.So(replaced > 0 || os.Getenv(seedVariable) != "" || os.Getenv(schedulesVariable) != "", convey.ShouldBeTrue)
 	})
-	t.Logf("%d clear answers, %d machines replaced", answers, replaced)
+	t.Logf("%d clear answers, %d members replaced", answers, replaced)
 }
 
 func TestSeedReplaysItsSimulation(t *testing.T) {
-	convey.Convey("Two plays of a seed have the same answers at the same times", t, func() {
+	convey.Convey("Two simulations of a seed have the same answers at the same times", t, func() {
 		for seed := range uint64(8) {
 			convey.So(simulate(t, seed).checker.fingerprint(), convey.ShouldEqual, simulate(t, seed).checker.fingerprint())
 		}
--- a/internal/controlplane/configuration/simulationchecker_test.go
+++ b/internal/controlplane/configuration/simulationchecker_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/configuration"
 )
 
-// sentUpdate is an order of an operator. Two operators may send the same one.
+// sentUpdate is an update of an operator. Two operators may send the same one.
 type sentUpdate struct {
 	ifMatch uint64
 	version uint64
@@ -24,10 +24,10 @@
 		version, timeoutMS)}
 }
 
-// answersSeen is what the machines have answered to an order.
+// answersSeen is what members have answered to an update.
 type answersSeen struct{ confirmed, refused bool }
 
-// checker hears every answer that a machine gave, also those that the operator never got.
+// checker gets every answer that a member gave, also those that the operator never received.
 type checker struct {
 	began time.Time
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// violation notes what must not be. The caller holds the mutex.
+// violation records what must not happen. The caller holds the mutex.
 func (j *checker) violation(format string, arguments ...any) {
 	j.violations = append(j.violations, fmt.Sprintf("after %v: ", time.Since(j.began))+fmt.Sprintf(format, arguments...))
 }
@@ -57,7 +57,7 @@
 	j.trace = append(j.trace, time.Since(j.began).String()+" "+fmt.Sprintf(format, arguments...))
 }
 
-// sent notes an order before it is sent for the first time.
+// sent records an update before it is sent for the first time.
 func (j *checker) sent(order sentUpdate) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// earlier returns an order that was sent before; false while there is none.
+// earlier returns an update that was sent before; false while there is none.
 func (j *checker) earlier(pick func(count int) int) (sentUpdate, bool) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -77,7 +77,7 @@
 	return j.requests[pick(len(j.requests))], true
 }
 
-// answered judges a machine's answer to an order, and tells whether it is a clear one.
+// answered checks a member's answer to an update, and reports whether it is a clear one.
 func (j *checker) answered(address string, order sentUpdate, status int) bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -113,14 +113,14 @@
 	j.highest = max(j.highest, order.version)
 }
 
-// newest is the highest version that anybody was told of.
+// newest is the highest version that was confirmed or read.
 func (j *checker) newest() uint64 {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.highest
 }
 
-// readAnswered judges an answer to a reader who came when newest was the highest version that anybody knew.
+// readAnswered checks the answer to a read that began when newest was the highest version confirmed or read.
 func (j *checker) readAnswered(address string, newest, version uint64, body string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -137,7 +137,7 @@
 	}
 }
 
-// hasSameBodyElsewhere tells whether the same body was also sent on top of another version. The caller holds the mutex.
+// hasSameBodyElsewhere reports whether the same body was also sent on top of another version. The caller holds the mutex.
 func (j *checker) hasSameBodyElsewhere(order sentUpdate) bool {
 	for other := range j.answersByRequest {
 		if other.body == order.body && other != order {
@@ -147,7 +147,7 @@
 	return false
 }
 
-// checkHistory judges the history of taken changes at the end.
+// checkHistory checks the history of applied updates at the end.
 func (j *checker) checkHistory(taken []configuration.AppliedUpdate) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -25,10 +25,10 @@
 	processRestartDelay = 200 * time.Millisecond // until a process that ended by itself is started again
 	readPause           = 900 * time.Millisecond
 	readLimit           = 1490 * time.Millisecond
-	contactTimeout      = time.Second // a member counts as in contact for as long after it was heard
+	contactTimeout      = time.Second // a member counts as in contact for as long after its last message
 )
 
-// memberProcess is one incarnation of a core process with all that takes part in the operators' orders.
+// memberProcess is one incarnation of a member with all that takes part in operators' updates.
 type memberProcess struct {
 	address      string
 	disk         *storage.Memory
@@ -72,7 +72,7 @@
 	return !s.dead
 }
 
-// simulatedCluster is the core machines.
+// simulatedCluster has the members and their processes.
 type simulatedCluster struct {
 	t       *testing.T
 	network *simulatedNetwork
@@ -178,7 +178,7 @@
 
 func (m *memberProcess) ready() bool { return m.store.alive() && m.rebuilder.Ready() }
 
-// contacts is what a machine knows of the others by the messages that it has heard.
+// contacts is what a member knows of the others by the messages that it has received.
 func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Liveness {
 	view := m.manager.View()
 	contacts, heard := replicaset.Liveness{SinceContact: make(map[string]time.Duration)}, 1
@@ -197,7 +197,7 @@
 }
 
 // readPeriodically does what Configurator.Run does, with times that coincide with no other bound: of two timers of one moment
-// either may be heard first, and a seed would replay nothing.
+// either may fire first, and a seed would replay nothing.
 func (c *simulatedCluster) readPeriodically(m *memberProcess) {
 	defer m.configurator.Close()
 	for m.ctx.Err() == nil {
@@ -242,7 +242,7 @@
 	return c.processes[address]
 }
 
-// newest is the newest view that any running machine knows.
+// newest is the newest view that any running member has learned.
 func (c *simulatedCluster) newest() replicaset.View {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -255,7 +255,7 @@
 	return newest
 }
 
-// allHealthy tells whether one more member may be lost for good: all are there, work with the newest view and may vote.
+// allHealthy reports whether one more member may be lost for good: all run, have learned the newest view and may vote.
 func (c *simulatedCluster) allHealthy() bool {
 	newest := c.newest()
 	for _, address := range newest.Members {
--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -33,19 +33,19 @@
 	errRefused     = errors.New("the call was refused")
 )
 
-// direction is a way from one machine to another.
+// direction is a link from one member to another, one way.
 type direction struct{ from, to string }
 
-// simulatedNetwork carries the internal calls of the machines in memory. Each way has its own source of chances, so that a
+// simulatedNetwork carries the internal calls of the members in memory. Each link and call has its own random source, so that a
 // seed replays a schedule however the goroutines of one moment are run.
 type simulatedNetwork struct {
 	seed uint64
 
 	mutex         sync.Mutex // guards what follows
-	calm          bool       // no message is lost, doubled or late
+	calm          bool       // no message is lost, duplicated or late
 	handlers      map[string]http.Handler
 	partitions    map[direction]bool
-	frozen        map[string]chan struct{} // of frozen machines; closed when they go on
+	frozen        map[string]chan struct{} // of frozen members; closed when they resume
 	lastReceived  map[direction]time.Time  // when the latest message arrived
 	randomSources map[string]*rand.Rand
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// source returns the source of chances of a name. The caller holds the mutex.
+// source returns the random source of a name. The caller holds the mutex.
 func (n *simulatedNetwork) source(name string) *rand.Rand {
 	if n.randomSources[name] == nil {
 		hash := fnv.New64a()
@@ -86,7 +86,7 @@
 	n.partitions[direction{from, to}] = partitioned
 }
 
-// freeze stops a machine until it is thawed: its messages and its writes wait.
+// freeze pauses a member until unfreeze: its messages and its writes wait.
 func (n *simulatedNetwork) freeze(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -104,8 +104,8 @@
 	}
 }
 
-// awake waits while a machine is frozen. What waited goes on one after the other, each after a time of its own, as a seed
-// would not replay what goes on at one moment.
+// awake waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
+// what resumes at one moment.
 func (n *simulatedNetwork) waitWhileFrozen(address string, after time.Duration) {
 	n.mutex.Lock()
 	frozen := n.frozen[address]
@@ -124,7 +124,7 @@
 	clear(n.partitions)
 }
 
-// deliverable tells whether a message gets through now, and notes that it was heard.
+// deliverable reports whether a link delivers a message now, and records that it was received.
 func (n *simulatedNetwork) deliverable(way direction) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -135,7 +135,7 @@
 	return true
 }
 
-// sinceLastReceived is how long a machine has heard nothing of another; false if it never has.
+// sinceLastReceived is for how long a member has received nothing from another; false if it never has.
 func (n *simulatedNetwork) sinceLastReceived(at, of string) (time.Duration, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -143,14 +143,14 @@
 	return time.Since(heard), found
 }
 
-// delivery is how one message and its answer fare.
+// delivery is what happens to one request and its answer.
 type delivery struct {
 	lost, answerLost          bool
 	requestDelay, answerDelay time.Duration
 	resumeDelays              [4]time.Duration // after the end of a freeze: at the caller, twice at the callee, at the caller
 }
 
-// drawDeliveries draws how a request fares: once or, where it is doubled, twice.
+// drawDeliveries draws what happens to a request: one delivery or, where it is duplicated, two.
 func (n *simulatedNetwork) drawDeliveries(from, to, path string) []delivery {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -227,7 +227,7 @@
 
 var _ transport.Caller = simulatedCaller{}
 
-// deliver takes a request to its handler and the answer back.
+// deliver carries a request to its handler and the answer back.
 func (n *simulatedNetwork) deliver(how delivery, way direction, path string, body []byte, answers chan<- *httptest.ResponseRecorder) {
 	n.waitWhileFrozen(way.from, how.resumeDelays[0])
 	<-time.After(how.requestDelay)
--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -16,7 +16,7 @@
 
 // What operators and the relays before them do, in simulated time.
 const (
-	answerTimeout         = time.Second            // after which an operator turns to another machine
+	answerTimeout         = time.Second            // after which an operator sends to another member
 	maxRetryInterval      = 150 * time.Millisecond // upper bounds
 	maxUpdateInterval     = 250 * time.Millisecond
 	maxRelayDelay         = 20 * time.Millisecond
@@ -24,25 +24,25 @@
 	maxDuplicateDelay     = 4 * time.Second // of the copies that relays make
 	dropAnswerProbability = 0.15
 	duplicateProbability  = 0.1
-	resendProbability     = 0.3 // that an operator sends an earlier order once more
+	resendProbability     = 0.3 // that an operator resends an earlier update
 	sameBodyProbability   = 0.15
 	staleBaseProbability  = 0.15
 	readProbability       = 0.2
 	sharedTimeoutMS       = 777
 )
 
-// operator sends orders through relays that swallow, delay and double.
+// operator sends updates through relays that drop answers, delay requests and duplicate them.
 type operator struct {
 	number       int
 	cluster      *simulatedCluster
 	checker      *checker
 	random       *rand.Rand
-	newestSeen   uint64 // newest version that it was told of
+	newestSeen   uint64 // newest version that it has received
 	previousSeen uint64 // the one before that
-	updatesSent  int    // orders so far
+	updatesSent  int    // so far
 }
 
-// work lasts until the context ends; an order that is under way then is brought to its end, or until the last moment.
+// work lasts until ctx ends; an update that is in flight then is resent until its answer is clear, or until last ends.
 func (o *operator) work(ctx, last context.Context) {
 	for ctx.Err() == nil {
 		<-time.After(o.randomBelow(maxUpdateInterval))
@@ -58,7 +58,7 @@
 	return time.Duration(o.random.Int64N(int64(bound))) + 1
 }
 
-// nextUpdate is an order: a new one, one that another operator may make as well, or an earlier one.
+// nextUpdate is a new update, one that another operator may make as well, or an earlier one.
 func (o *operator) nextUpdate() sentUpdate {
 	if earlier, found := o.checker.earlier(o.random.IntN); found && o.random.Float64() < resendProbability {
 		return earlier
@@ -81,7 +81,7 @@
 	}
 }
 
-// sendUntilClear sends an order to one machine after the other until the answer is clear.
+// sendUntilClear sends an update to one member after the other until the answer is clear.
 func (o *operator) sendUntilClear(last context.Context, order sentUpdate) {
 	o.checker.sent(order)
 	for last.Err() == nil {
@@ -101,7 +101,7 @@
 	o.checker.violation("no clear answer after the end of all faults to %+v", order)
 }
 
-// sendOnce sends an order to one machine. Its relay may swallow the answer, or send a copy to another machine later.
+// sendOnce sends an update to one member. The relay may drop the answer, or send a duplicate to another member later.
 func (o *operator) sendOnce(order sentUpdate) (isClear bool, status int) {
 	address, swallowed := o.pick(), o.random.Float64() < dropAnswerProbability
 	there, back, awake := o.randomBelow(maxRelayDelay), o.randomBelow(maxRelayDelay), o.randomBelow(maxResumeDelay)
@@ -132,7 +132,7 @@
 	}
 }
 
-// put lets a machine answer an order, and the judge hear of it.
+// put lets a member answer an update, and the checker check the answer.
 func (o *operator) put(address string, order sentUpdate, awake time.Duration) int {
 	put := request(http.MethodPut, control.Path, []byte(order.body))
 	put.Header.Set("If-Match", strconv.FormatUint(order.ifMatch, 10))
@@ -144,7 +144,7 @@
 	return answer.Code
 }
 
-// exchange is one request at a machine; false where the process is gone before its answer.
+// exchange is one request at a member; false where the process was killed before its answer.
 func (o *operator) exchange(address string, request *http.Request, awake time.Duration) (*httptest.ResponseRecorder, bool) {
 	o.cluster.network.waitWhileFrozen(address, awake)
 	m := o.cluster.process(address)
@@ -157,7 +157,7 @@
 	return answer, m.store.alive()
 }
 
-// readAnswered asks machines for the configuration until one answers.
+// read requests the configuration from members until one answers.
 func (o *operator) read(last context.Context) {
 	for last.Err() == nil {
 		if version, read := o.readOnce(o.pick()); read {
@@ -183,14 +183,14 @@
 		version, _ = strconv.ParseUint(tag, 10, 64)
 		body = answer.Body.String()
 		if want := fmt.Sprintf(`{"version":%d,`, version); !strings.HasPrefix(body, want) {
-			version = 0 // the judge finds it too old
+			version = 0 // the checker finds it too old
 		}
 	}
 	o.checker.readAnswered(address, newest, version, body)
 	return version, true
 }
 
-// pick chooses one of the machines that run.
+// pick draws one of the running members.
 func (o *operator) pick() string {
 	o.cluster.mutex.Lock()
 	defer o.cluster.mutex.Unlock()
