--- a/internal/controlplane/configuration/lossynetwork_test.go
+++ b/internal/controlplane/configuration/lossynetwork_test.go
@@ -84,9 +84,9 @@
 
 // sendUntilClear sends an update to one member after the other, as operators do, until its outcome is clear.
 func sendUntilClear(members []*Configurator, first int, request sentUpdate) Outcome {
-	for try := first; ; try++ {
+	for attempt := first; ; attempt++ {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		outcome := members[try%len(members)].Put(ctx, request.ifMatch, request.body)
+		outcome := members[attempt%len(members)].Put(ctx, request.ifMatch, request.body)
 		cancel()
 		if outcome.Kind != Unclear && outcome.Kind != Unavailable {
 			return outcome
@@ -121,22 +121,22 @@
 	var won []sentUpdate
 	current := uint64(0)
 	for range 10 {
-		orders, outcomes := make([]sentUpdate, 8), make([]Outcome, 8)
+		updates, outcomes := make([]sentUpdate, 8), make([]Outcome, 8)
 		var racing sync.WaitGroup
-		for i := range orders {
-			orders[i] = sentUpdate{ifMatch: current, body: bodyOf(int(current)+1+i/2, 1000+i)}
-			racing.Go(func() { outcomes[i] = sendUntilClear(members, i, orders[i]) })
+		for i := range updates {
+			updates[i] = sentUpdate{ifMatch: current, body: bodyOf(int(current)+1+i/2, 1000+i)}
+			racing.Go(func() { outcomes[i] = sendUntilClear(members, i, updates[i]) })
 		}
 		racing.Wait()
 		winner, err := onlyAcceptedIndex(outcomes)
 		if err != nil {
 			return err
 		}
-		won = append(won, orders[winner])
+		won = append(won, updates[winner])
 		current = outcomes[winner].Version
 	}
-	for i, order := range won {
-		if outcome := sendUntilClear(members, i, order); outcome.Kind != Accepted {
+	for i, update := range won {
+		if outcome := sendUntilClear(members, i, update); outcome.Kind != Accepted {
 			return fmt.Errorf("an accepted update sent again is %v: %w", outcome.Kind, outcome.Err)
 		}
 	}
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -124,9 +124,9 @@
 		}
 		table := NewRoutingTable(parsed)
 		for _, route := range parsed.Routes {
-			found, rest, ok := table.Match(route.Host, route.PathPrefix+"x")
-			if !ok || len(rest) > 1 || len(found.PathPrefix) < len(route.PathPrefix) {
-				t.Fatalf("the route %+v is not found: %+v, %q, %v", route, found, rest, ok)
+			found, remainder, ok := table.Match(route.Host, route.PathPrefix+"x")
+			if !ok || len(remainder) > 1 || len(found.PathPrefix) < len(route.PathPrefix) {
+				t.Fatalf("the route %+v is not found: %+v, %q, %v", route, found, remainder, ok)
 			}
 			if _, known := table.Service(route.Service); !known || route.Timeout() < 0 {
 				t.Fatalf("the route %+v was accepted", route)
--- a/internal/controlplane/configuration/routingtable_test.go
+++ b/internal/controlplane/configuration/routingtable_test.go
@@ -22,10 +22,10 @@
 			{"", "/nav/5c0e", "", ""},
 		}
 		for _, c := range cases {
-			route, rest, ok := table.Match(c.host, c.path)
+			route, remainder, ok := table.Match(c.host, c.path)
 			So(ok, ShouldEqual, c.route != "")
 			So(route.Name, ShouldEqual, c.route)
-			So(rest, ShouldEqual, c.rest)
+			So(remainder, ShouldEqual, c.rest)
 		}
 	})
 	Convey("Services, routes and limits are those of the configuration", t, func() {
--- a/internal/controlplane/configuration/run_test.go
+++ b/internal/controlplane/configuration/run_test.go
@@ -72,9 +72,9 @@
 			running.Go(func() { member.Run(ctx) })
 		}
 		synctest.Wait()
-		learn := func(told Announcement) (AnnouncementReply, error) {
+		announce := func(announcement Announcement) (AnnouncementReply, error) {
 			var reply AnnouncementReply
-			err := caller(context.Background(), "b:1", AnnounceCall.Route(), told, &reply)
+			err := caller(context.Background(), "b:1", AnnounceCall.Route(), announcement, &reply)
 			return reply, err
 		}
 
@@ -95,14 +95,14 @@
 		Convey("The announcement of a version that is cached already causes no read", t, func() {
 			before := members["b:1"].lastReadAt()
 			<-time.After(time.Millisecond)
-			reply, err := learn(Announcement{Version: 5})
+			reply, err := announce(Announcement{Version: 5})
 			So(err, ShouldBeNil)
 			So(reply.Version, ShouldEqual, 5)
 			synctest.Wait()
 			So(members["b:1"].lastReadAt(), ShouldEqual, before)
 		})
 		Convey("A version that is announced but not committed is not adopted", t, func() {
-			_, err := learn(Announcement{Version: 6})
+			_, err := announce(Announcement{Version: 6})
 			So(err, ShouldBeNil)
 			synctest.Wait()
 			version, _ := members["b:1"].Current()
@@ -113,12 +113,12 @@
 			So(err, ShouldBeNil)
 			newer, err := State{Version: 7, Body: bodyOf(7, 1000)}.Encode()
 			So(err, ShouldBeNil)
-			_, err = learn(Announcement{Value: newer})
+			_, err = announce(Announcement{Value: newer})
 			So(err, ShouldBeNil)
-			reply, err := learn(Announcement{Value: older})
+			reply, err := announce(Announcement{Value: older})
 			So(err, ShouldBeNil)
 			So(reply.Version, ShouldEqual, 7)
-			_, err = learn(Announcement{Value: []byte("\xc1")})
+			_, err = announce(Announcement{Value: []byte("\xc1")})
 			So(err, ShouldNotBeNil)
 			version, _ := members["b:1"].Current()
 			So(version, ShouldEqual, 7)
--- a/internal/controlplane/configuration/simulation_test.go
+++ b/internal/controlplane/configuration/simulation_test.go
@@ -61,7 +61,7 @@
 		}
 		for ctx.Err() == nil {
 			<-time.After(s.randomBelow(maxFaultInterval))
-			s.fault()
+			s.injectFault()
 		}
 		s.faultEnds.Wait()
 		s.cluster.network.heal()
@@ -79,22 +79,22 @@
 	return time.Duration(s.random.Int64N(int64(bound))) + 1
 }
 
-// fault lets one thing happen to a member.
-func (s *simulation) fault() {
+// injectFault lets one thing happen to a member.
+func (s *simulation) injectFault() {
 	members := s.cluster.newest().Members
 	address := members[s.random.IntN(len(members))]
 	other := members[s.random.IntN(len(members))]
 	m := s.cluster.process(address)
-	kind, lasts, down := s.random.IntN(8), s.randomBelow(maxFaultDuration), s.randomBelow(300*time.Millisecond)
+	kind, duration, down := s.random.IntN(8), s.randomBelow(maxFaultDuration), s.randomBelow(300*time.Millisecond)
 	switch {
 	case m == nil:
 	case kind == 0:
-		s.during(lasts, func(on bool) { s.cluster.network.partition(address, other, on) })
+		s.during(duration, func(on bool) { s.cluster.network.partition(address, other, on) })
 	case kind == 1:
-		s.during(lasts, func(on bool) { s.isolate(address, members, on) })
+		s.during(duration, func(on bool) { s.isolate(address, members, on) })
 	case kind == 2 || kind == 3:
 		s.cluster.network.freeze(address)
-		s.faultEnds.Go(func() { <-time.After(lasts); s.cluster.network.unfreeze(address) })
+		s.faultEnds.Go(func() { <-time.After(duration); s.cluster.network.unfreeze(address) })
 	case kind == 4:
 		s.restart(m, down, m.disk)
 	case kind == 5 && s.cluster.allHealthy():
@@ -107,9 +107,9 @@
 }
 
 // during switches a fault on, and off again after a time.
-func (s *simulation) during(lasts time.Duration, fault func(on bool)) {
+func (s *simulation) during(duration time.Duration, fault func(on bool)) {
 	fault(true)
-	s.faultEnds.Go(func() { <-time.After(lasts); fault(false) })
+	s.faultEnds.Go(func() { <-time.After(duration); fault(false) })
 }
 
 // isolate partitions a member off from the others, though not from operators.
--- a/internal/controlplane/configuration/simulationchecker_test.go
+++ b/internal/controlplane/configuration/simulationchecker_test.go
@@ -57,13 +57,13 @@
 	j.trace = append(j.trace, time.Since(j.began).String()+" "+fmt.Sprintf(format, arguments...))
 }
 
-// sent records an update before it is sent for the first time.
-func (j *checker) sent(order sentUpdate) {
+// recordSent records an update before it is sent for the first time.
+func (j *checker) recordSent(update sentUpdate) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if j.answersByRequest[order] == nil {
-		j.answersByRequest[order] = &answersSeen{}
-		j.requests = append(j.requests, order)
+	if j.answersByRequest[update] == nil {
+		j.answersByRequest[update] = &answersSeen{}
+		j.requests = append(j.requests, update)
 	}
 }
 
@@ -77,40 +77,40 @@
 	return j.requests[pick(len(j.requests))], true
 }
 
-// answered checks a member's answer to an update, and reports whether it is a clear one.
-func (j *checker) answered(address string, order sentUpdate, status int) bool {
+// checkAnswer checks a member's answer to an update, and reports whether it is a clear one.
+func (j *checker) checkAnswer(address string, update sentUpdate, status int) bool {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.record("%s answers %d to %d on top of %d", address, status, order.version, order.ifMatch)
+	j.record("%s answers %d to %d on top of %d", address, status, update.version, update.ifMatch)
 	switch {
 	case status == http.StatusOK:
 		j.answers++
-		j.confirm(address, order)
+		j.checkConfirmed(address, update)
 		return true
 	case status >= 400 && status < 500:
 		j.answers++
-		if j.answersByRequest[order].confirmed {
-			j.violation("%s refuses with %d what was confirmed: %+v", address, status, order)
+		if j.answersByRequest[update].confirmed {
+			j.violation("%s refuses with %d what was confirmed: %+v", address, status, update)
 		}
-		j.answersByRequest[order].refused = true
+		j.answersByRequest[update].refused = true
 		return true
 	}
 	return false
 }
 
-func (j *checker) confirm(address string, order sentUpdate) {
-	if j.answersByRequest[order].refused {
-		j.violation("%s confirms what was refused: %+v", address, order)
+func (j *checker) checkConfirmed(address string, update sentUpdate) {
+	if j.answersByRequest[update].refused {
+		j.violation("%s confirms what was refused: %+v", address, update)
 	}
-	if other, found := j.confirmedByBase[order.ifMatch]; found && other != order {
-		j.violation("%s confirms %+v, and %+v was confirmed on top of the same version", address, order, other)
+	if other, found := j.confirmedByBase[update.ifMatch]; found && other != update {
+		j.violation("%s confirms %+v, and %+v was confirmed on top of the same version", address, update, other)
 	}
-	if other, found := j.confirmedByVersion[order.version]; found && other != order {
-		j.violation("%s confirms %+v, and %+v was confirmed under the same number", address, order, other)
+	if other, found := j.confirmedByVersion[update.version]; found && other != update {
+		j.violation("%s confirms %+v, and %+v was confirmed under the same number", address, update, other)
 	}
-	j.answersByRequest[order].confirmed = true
-	j.confirmedByBase[order.ifMatch], j.confirmedByVersion[order.version] = order, order
-	j.highest = max(j.highest, order.version)
+	j.answersByRequest[update].confirmed = true
+	j.confirmedByBase[update.ifMatch], j.confirmedByVersion[update.version] = update, update
+	j.highest = max(j.highest, update.version)
 }
 
 // newest is the highest version that was confirmed or read.
@@ -120,8 +120,8 @@
 	return j.highest
 }
 
-// readAnswered checks the answer to a read that began when newest was the highest version confirmed or read.
-func (j *checker) readAnswered(address string, newest, version uint64, body string) {
+// checkRead checks the answer to a read that began when newest was the highest version confirmed or read.
+func (j *checker) checkRead(address string, newest, version uint64, body string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.record("%s is read: %d", address, version)
@@ -130,17 +130,17 @@
 		j.violation("%s is read at version %d after version %d was in force", address, version, newest)
 	}
 	j.highest = max(j.highest, version)
-	for order, fate := range j.answersByRequest {
-		if order.version == version && order.body == body && fate.refused && !fate.confirmed && !j.hasSameBodyElsewhere(order) {
-			j.violation("%s is read: in force is what was refused: %+v", address, order)
+	for update, fate := range j.answersByRequest {
+		if update.version == version && update.body == body && fate.refused && !fate.confirmed && !j.hasSameBodyElsewhere(update) {
+			j.violation("%s is read: in force is what was refused: %+v", address, update)
 		}
 	}
 }
 
 // hasSameBodyElsewhere reports whether the same body was also sent on top of another version. The caller holds the mutex.
-func (j *checker) hasSameBodyElsewhere(order sentUpdate) bool {
+func (j *checker) hasSameBodyElsewhere(update sentUpdate) bool {
 	for other := range j.answersByRequest {
-		if other.body == order.body && other != order {
+		if other.body == update.body && other != update {
 			return true
 		}
 	}
@@ -163,12 +163,12 @@
 	if version < j.highest {
 		j.violation("version %d is in force at the end, and %d was", version, j.highest)
 	}
-	for order, fate := range j.answersByRequest {
-		if fate.confirmed && !inForce[[2]uint64{order.ifMatch, order.version}] {
-			j.violation("confirmed and not in the history: %+v", order)
+	for update, fate := range j.answersByRequest {
+		if fate.confirmed && !inForce[[2]uint64{update.ifMatch, update.version}] {
+			j.violation("confirmed and not in the history: %+v", update)
 		}
-		if fate.refused && order.ifMatch == version && order.version > version {
-			j.violation("refused although the version that it was built on is in force: %+v", order)
+		if fate.refused && update.ifMatch == version && update.version > version {
+			j.violation("refused although the version that it was built on is in force: %+v", update)
 		}
 	}
 }
--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -181,18 +181,18 @@
 // contacts is what a member knows of the others by the messages that it has received.
 func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Liveness {
 	view := m.manager.View()
-	contacts, heard := replicaset.Liveness{SinceContact: make(map[string]time.Duration)}, 1
+	contacts, reachable := replicaset.Liveness{SinceContact: make(map[string]time.Duration)}, 1
 	for _, member := range view.Members {
-		silence, found := c.network.sinceLastReceived(m.address, member)
+		sinceLast, found := c.network.sinceLastReceived(m.address, member)
 		if member == m.address || !found {
 			continue
 		}
-		contacts.SinceContact[member] = silence
-		if silence < contactTimeout {
-			heard++
+		contacts.SinceContact[member] = sinceLast
+		if sinceLast < contactTimeout {
+			reachable++
 		}
 	}
-	contacts.QuorumReachable = heard >= view.Quorum()
+	contacts.QuorumReachable = reachable >= view.Quorum()
 	return contacts
 }
 
@@ -270,12 +270,12 @@
 func (c *simulatedCluster) end() {
 	c.mutex.Lock()
 	c.ending = true
-	var left []*memberProcess
+	var remaining []*memberProcess
 	for _, m := range c.processes {
-		left = append(left, m)
+		remaining = append(remaining, m)
 	}
 	c.mutex.Unlock()
-	for _, m := range left {
+	for _, m := range remaining {
 		c.stop(m)
 	}
 	c.tasks.Wait()
--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// awake waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
+// resumeDelay waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
 // what resumes at one moment.
 func (n *simulatedNetwork) waitWhileFrozen(address string, after time.Duration) {
 	n.mutex.Lock()
@@ -125,13 +125,13 @@
 }
 
 // deliverable reports whether a link delivers a message now, and records that it was received.
-func (n *simulatedNetwork) deliverable(way direction) bool {
+func (n *simulatedNetwork) deliverable(link direction) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.partitions[way] {
+	if n.partitions[link] {
 		return false
 	}
-	n.lastReceived[way] = time.Now()
+	n.lastReceived[link] = time.Now()
 	return true
 }
 
@@ -139,8 +139,8 @@
 func (n *simulatedNetwork) sinceLastReceived(at, of string) (time.Duration, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	heard, found := n.lastReceived[direction{of, at}]
-	return time.Since(heard), found
+	last, found := n.lastReceived[direction{of, at}]
+	return time.Since(last), found
 }
 
 // delivery is what happens to one request and its answer.
@@ -159,24 +159,24 @@
 		calm := delivery{requestDelay: randomDelay(source, maxUsualDelay), answerDelay: randomDelay(source, maxUsualDelay)}
 		return []delivery{calm.withResumeDelays(source)}
 	}
-	ways := []delivery{drawDelivery(source)}
+	deliveries := []delivery{drawDelivery(source)}
 	if source.Float64() < messageDuplicationProbability {
-		ways = append(ways, drawDelivery(source))
+		deliveries = append(deliveries, drawDelivery(source))
 	}
-	return ways
+	return deliveries
 }
 
 func drawDelivery(source *rand.Rand) delivery {
-	way := delivery{lost: source.Float64() < lossProbability, answerLost: source.Float64() < lossProbability}
-	there, back := maxUsualDelay, maxUsualDelay
+	drawn := delivery{lost: source.Float64() < lossProbability, answerLost: source.Float64() < lossProbability}
+	requestBound, answerBound := maxUsualDelay, maxUsualDelay
 	if source.Float64() < delayProbability {
-		there = maxLongDelay
+		requestBound = maxLongDelay
 	}
 	if source.Float64() < delayProbability {
-		back = maxLongDelay
+		answerBound = maxLongDelay
 	}
-	way.requestDelay, way.answerDelay = randomDelay(source, there), randomDelay(source, back)
-	return way.withResumeDelays(source)
+	drawn.requestDelay, drawn.answerDelay = randomDelay(source, requestBound), randomDelay(source, answerBound)
+	return drawn.withResumeDelays(source)
 }
 
 func (j delivery) withResumeDelays(source *rand.Rand) delivery {
@@ -208,8 +208,8 @@
 	}
 	path := route.Path()
 	answers := make(chan *httptest.ResponseRecorder, 2)
-	for _, way := range c.network.drawDeliveries(c.from, address, path) {
-		go c.network.deliver(way, direction{c.from, address}, path, body, answers)
+	for _, drawn := range c.network.drawDeliveries(c.from, address, path) {
+		go c.network.deliver(drawn, direction{c.from, address}, path, body, answers)
 	}
 	select {
 	case answer := <-answers:
@@ -228,20 +228,20 @@
 var _ transport.Caller = simulatedCaller{}
 
 // deliver carries a request to its handler and the answer back.
-func (n *simulatedNetwork) deliver(how delivery, way direction, path string, body []byte, answers chan<- *httptest.ResponseRecorder) {
-	n.waitWhileFrozen(way.from, how.resumeDelays[0])
-	<-time.After(how.requestDelay)
-	if how.lost || !n.deliverable(way) {
+func (n *simulatedNetwork) deliver(drawn delivery, link direction, path string, body []byte, answers chan<- *httptest.ResponseRecorder) {
+	n.waitWhileFrozen(link.from, drawn.resumeDelays[0])
+	<-time.After(drawn.requestDelay)
+	if drawn.lost || !n.deliverable(link) {
 		return
 	}
-	n.waitWhileFrozen(way.to, how.resumeDelays[1])
-	answer := n.handle(way.to, path, body)
-	n.waitWhileFrozen(way.to, how.resumeDelays[2])
-	<-time.After(how.answerDelay)
-	if how.answerLost || !n.deliverable(direction{way.to, way.from}) {
+	n.waitWhileFrozen(link.to, drawn.resumeDelays[1])
+	answer := n.handle(link.to, path, body)
+	n.waitWhileFrozen(link.to, drawn.resumeDelays[2])
+	<-time.After(drawn.answerDelay)
+	if drawn.answerLost || !n.deliverable(direction{link.to, link.from}) {
 		return
 	}
-	n.waitWhileFrozen(way.from, how.resumeDelays[3])
+	n.waitWhileFrozen(link.from, drawn.resumeDelays[3])
 	answers <- answer
 }
 
--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -82,13 +82,13 @@
 }
 
 // sendUntilClear sends an update to one member after the other until the answer is clear.
-func (o *operator) sendUntilClear(last context.Context, order sentUpdate) {
-	o.checker.sent(order)
+func (o *operator) sendUntilClear(last context.Context, update sentUpdate) {
+	o.checker.recordSent(update)
 	for last.Err() == nil {
-		isClear, status := o.sendOnce(order)
+		isClear, status := o.sendOnce(update)
 		if isClear {
 			if status == http.StatusOK {
-				o.observe(order.version)
+				o.observe(update.version)
 			} else {
 				o.read(last)
 			}
@@ -98,22 +98,22 @@
 	}
 	o.checker.mutex.Lock()
 	defer o.checker.mutex.Unlock()
-	o.checker.violation("no clear answer after the end of all faults to %+v", order)
+	o.checker.violation("no clear answer after the end of all faults to %+v", update)
 }
 
 // sendOnce sends an update to one member. The relay may drop the answer, or send a duplicate to another member later.
-func (o *operator) sendOnce(order sentUpdate) (isClear bool, status int) {
-	address, swallowed := o.pick(), o.random.Float64() < dropAnswerProbability
-	there, back, awake := o.randomBelow(maxRelayDelay), o.randomBelow(maxRelayDelay), o.randomBelow(maxResumeDelay)
+func (o *operator) sendOnce(update sentUpdate) (isClear bool, status int) {
+	address, dropped := o.pick(), o.random.Float64() < dropAnswerProbability
+	requestDelay, answerDelay, resumeDelay := o.randomBelow(maxRelayDelay), o.randomBelow(maxRelayDelay), o.randomBelow(maxResumeDelay)
 	if o.random.Float64() < duplicateProbability {
-		o.cluster.tasks.Go(o.copyLater(order, o.pick(), o.randomBelow(maxDuplicateDelay), o.randomBelow(maxResumeDelay)))
+		o.cluster.tasks.Go(o.duplicateLater(update, o.pick(), o.randomBelow(maxDuplicateDelay), o.randomBelow(maxResumeDelay)))
 	}
 	statuses := make(chan int, 1)
 	o.cluster.tasks.Go(func() {
-		<-time.After(there)
-		status := o.put(address, order, awake)
-		<-time.After(back)
-		if !swallowed {
+		<-time.After(requestDelay)
+		status := o.put(address, update, resumeDelay)
+		<-time.After(answerDelay)
+		if !dropped {
 			statuses <- status
 		}
 	})
@@ -125,35 +125,35 @@
 	}
 }
 
-func (o *operator) copyLater(order sentUpdate, address string, after, awake time.Duration) func() {
+func (o *operator) duplicateLater(update sentUpdate, address string, after, resumeDelay time.Duration) func() {
 	return func() {
 		<-time.After(after)
-		o.put(address, order, awake)
+		o.put(address, update, resumeDelay)
 	}
 }
 
 // put lets a member answer an update, and the checker check the answer.
-func (o *operator) put(address string, order sentUpdate, awake time.Duration) int {
-	put := request(http.MethodPut, control.Path, []byte(order.body))
-	put.Header.Set("If-Match", strconv.FormatUint(order.ifMatch, 10))
-	answer, sent := o.exchange(address, put, awake)
+func (o *operator) put(address string, update sentUpdate, resumeDelay time.Duration) int {
+	put := request(http.MethodPut, control.Path, []byte(update.body))
+	put.Header.Set("If-Match", strconv.FormatUint(update.ifMatch, 10))
+	answer, sent := o.exchange(address, put, resumeDelay)
 	if !sent {
 		return http.StatusBadGateway
 	}
-	o.checker.answered(address, order, answer.Code)
+	o.checker.checkAnswer(address, update, answer.Code)
 	return answer.Code
 }
 
 // exchange is one request at a member; false where the process was killed before its answer.
-func (o *operator) exchange(address string, request *http.Request, awake time.Duration) (*httptest.ResponseRecorder, bool) {
-	o.cluster.network.waitWhileFrozen(address, awake)
+func (o *operator) exchange(address string, request *http.Request, resumeDelay time.Duration) (*httptest.ResponseRecorder, bool) {
+	o.cluster.network.waitWhileFrozen(address, resumeDelay)
 	m := o.cluster.process(address)
 	if m == nil {
 		return nil, false
 	}
 	answer := httptest.NewRecorder()
 	m.control.ServeHTTP(answer, request)
-	o.cluster.network.waitWhileFrozen(address, awake)
+	o.cluster.network.waitWhileFrozen(address, resumeDelay)
 	return answer, m.store.alive()
 }
 
@@ -182,11 +182,11 @@
 		}
 		version, _ = strconv.ParseUint(tag, 10, 64)
 		body = answer.Body.String()
-		if want := fmt.Sprintf(`{"version":%d,`, version); !strings.HasPrefix(body, want) {
+		if expected := fmt.Sprintf(`{"version":%d,`, version); !strings.HasPrefix(body, expected) {
 			version = 0 // the checker finds it too old
 		}
 	}
-	o.checker.readAnswered(address, newest, version, body)
+	o.checker.checkRead(address, newest, version, body)
 	return version, true
 }
 
--- a/internal/controlplane/register/valuefetch.go
+++ b/internal/controlplane/register/valuefetch.go
@@ -62,9 +62,9 @@
 	if err != nil {
 		return state{}, err
 	}
-	complete := manifested.State
-	complete.Value = value
-	return r.cacheState(cached.view, proposalNumber, complete).state, nil
+	assembled := manifested.State
+	assembled.Value = value
+	return r.cacheState(cached.view, proposalNumber, assembled).state, nil
 }
 
 // assemble gets a value from chunks that are at hand and fetches the others from the members that have it.
