--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -50,7 +50,7 @@
 	}
 }
 
-var responseBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var responseBuffers sync.Pool // of *bytes.Buffer
 
 // post sends one call, once, and reads its response. An error means that there was no complete response in time; rpcerror tells
 // whether the call may have been executed.
@@ -92,7 +92,10 @@
 
 // readResponse reads a response completely, so that its connection can be used again. Only the bodies of 200 and 409 are decoded.
 func readResponse(httpResponse *http.Response) (workerResponse, error) {
-	buffer := responseBuffers.Get().(*bytes.Buffer)
+	buffer, pooled := responseBuffers.Get().(*bytes.Buffer)
+	if !pooled {
+		buffer = new(bytes.Buffer)
+	}
 	defer func() {
 		if buffer.Cap() <= maxPooledBufferBytes {
 			responseBuffers.Put(buffer)
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -210,7 +210,7 @@
 // startOutcome is the outcome of a start call; it takes in what else the response says about the worker.
 func (l *Link) startOutcome(response workerResponse, err error) StartOutcome {
 	if err != nil {
-		l.log.Debug("start without answer", zap.Error(err))
+		l.log.Debug("start without response", zap.Error(err))
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.outcomeAtEnd(failureOutcome(err))
@@ -244,7 +244,7 @@
 	response, err := l.postStop(stop.command)
 	switch {
 	case err != nil:
-		l.log.Debug("stop without answer", zap.Error(err))
+		l.log.Debug("stop without response", zap.Error(err))
 		l.pollAfterCommand()
 	case l.endedBy(response):
 	default:
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -70,7 +70,10 @@
 
 func (f *budgetFixture) observeUsage() {
 	open := int64(f.connections.Usage().Open)
-	for seen := f.most.Load(); open > seen && !f.most.CompareAndSwap(seen, open); seen = f.most.Load() {
+	for {
+		if seen := f.most.Load(); open <= seen || f.most.CompareAndSwap(seen, open) {
+			return
+		}
 	}
 }
 
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -13,7 +13,7 @@
 
 const readBufferBytes = 2 << 10 // of a connection; most responses are shorter
 
-var errNoConnectionSlot = errors.New("no connection is left for searchers")
+var errNoConnectionSlot = errors.New("no connection left for workers")
 
 // HTTPClient makes the client that all links of a process share, within the budget. Connections that are discarded are reset, so that
 // nothing they still hold arrives later.
@@ -133,7 +133,7 @@
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, err := syscall.Read(int(descriptor), one[:])
-		silent = err == syscall.EAGAIN || err == syscall.EINTR
+		silent = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 		return true
 	})
 	return err == nil && silent
@@ -141,7 +141,7 @@
 
 // discardKeepingSlot closes a connection whose peer has closed it, and keeps its slot for the call that was about to use it.
 func (c *connection) discardKeepingSlot() {
-	c.Conn.Close()
+	c.Close()
 	budget := c.pool.budget
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
@@ -152,7 +152,7 @@
 
 // discard closes a connection after a call without a complete response.
 func (c *connection) discard() {
-	c.Conn.Close()
+	c.Close()
 	budget := c.pool.budget
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
@@ -162,7 +162,7 @@
 
 // closeIdle closes an idle connection. The caller holds the lock, so that no call takes it meanwhile.
 func (c *connection) closeIdle() {
-	c.Conn.Close()
+	c.Close()
 	c.freeSlot()
 }
 
--- a/internal/jobs/workerclient/exchange.go
+++ b/internal/jobs/workerclient/exchange.go
@@ -13,7 +13,7 @@
 
 const writeBufferBytes = 8 << 10 // a command with its specification
 
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
+var writers sync.Pool // of *bufio.Writer
 
 // exchanger is an http.RoundTripper that makes each call on the goroutine of its caller: thousands of connections that are mostly
 // idle need no goroutine each. It retries nothing.
@@ -32,7 +32,7 @@
 	if trace := httptrace.ContextClientTrace(ctx); trace != nil && trace.GotConn != nil {
 		trace.GotConn(httptrace.GotConnInfo{Conn: c.Conn, Reused: c.used})
 	}
-	stop := context.AfterFunc(ctx, func() { c.Conn.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	response, err := c.exchange(request)
 	if err != nil {
 		stop()
@@ -48,7 +48,10 @@
 
 // exchange sends a request and reads the head of its response.
 func (c *connection) exchange(request *http.Request) (*http.Response, error) {
-	writer := writers.Get().(*bufio.Writer)
+	writer, pooled := writers.Get().(*bufio.Writer)
+	if !pooled {
+		writer = bufio.NewWriterSize(nil, writeBufferBytes)
+	}
 	defer writers.Put(writer)
 	writer.Reset(c.Conn)
 	defer writer.Reset(nil)
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestStartWithoutResponseIsNotHedged(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		starts, hedged := f.worker.Calls(cluster.StartCall), f.link.Counts().HedgedRequests
 		f.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
@@ -57,7 +57,7 @@
 }
 
 func TestStartTimeoutFallsWithTheLossRate(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.worker.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		took := func(index int) time.Duration {
 			commandedAt := time.Now()
@@ -77,7 +77,7 @@
 }
 
 func TestNoHedgeIsSentAfterTheLeaderLease(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		f.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(hedgeMargin / 2)
@@ -89,7 +89,7 @@
 }
 
 func TestHedgesAreBounded(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		for i := range 3 * maxCommandsInFlight {
 			f.link.Stop(StopCommand{task(i), 1})
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -128,7 +128,7 @@
 	if l.now == nil {
 		l.now = time.Now
 	}
-	l.log = l.log.With(zap.String("searcher", string(config.Instance.ID)))
+	l.log = l.log.With(zap.String("worker_id", string(config.Instance.ID)))
 	l.context, l.cancel = context.WithCancel(context.Background())
 	l.quiescent.L = &l.mu
 	return l
@@ -186,10 +186,10 @@
 	id := l.config.Instance.ID
 	switch reason {
 	case gone:
-		l.log.Info("searcher's life is over")
+		l.log.Info("worker incarnation is over")
 		l.events.post(func(e Events) { e.Gone(Gone{id}) })
 	case fenced:
-		l.log.Info("searcher has seen a higher fencing token", zap.Uint64("token", l.config.FencingToken))
+		l.log.Info("worker has seen a higher fencing token", zap.Uint64("fencing_token", l.config.FencingToken))
 		l.events.post(func(e Events) { e.Fenced(Fenced{id}) })
 	}
 }
@@ -230,7 +230,7 @@
 		return
 	}
 	report := ReachabilityChange{Worker: l.config.Instance.ID, Reachable: to == reachable}
-	l.log.Debug("contact changed", zap.Bool("reachable", report.Reachable))
+	l.log.Debug("worker reachability changed", zap.Bool("reachable", report.Reachable))
 	l.events.post(func(e Events) { e.Reachability(report) })
 }
 
--- a/internal/jobs/workerclient/listentries.go
+++ b/internal/jobs/workerclient/listentries.go
@@ -66,14 +66,15 @@
 func (r *entryReader) next() []byte {
 	quoted := false
 	end := 0
+scan:
 	for ; end < len(r.rest); end++ {
-		c := r.rest[end]
-		if c == '\\' {
+		switch c := r.rest[end]; {
+		case c == '\\':
 			end++
-		} else if c == '"' {
+		case c == '"':
 			quoted = !quoted
-		} else if c == ',' && !quoted {
-			break
+		case c == ',' && !quoted:
+			break scan
 		}
 	}
 	element := bytes.TrimSpace(r.rest[:end])
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -31,14 +31,14 @@
 	}
 	for _, entry := range response.body.Running {
 		if entry.nameErr != nil {
-			l.log.Warn("run skipped", zap.Error(entry.nameErr))
+			l.log.Warn("attempt skipped", zap.Error(entry.nameErr))
 			continue
 		}
 		listing.Running = append(listing.Running, entry.task)
 	}
 	for _, entry := range response.body.Finished {
 		if entry.nameErr != nil {
-			l.log.Warn("end skipped", zap.Error(entry.nameErr))
+			l.log.Warn("completion skipped", zap.Error(entry.nameErr))
 			continue
 		}
 		listing.Finished = append(listing.Finished, entry.task)
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -78,7 +78,7 @@
 	l.settleListCall(c, response, err, l.now())
 	switch {
 	case err != nil:
-		l.log.Debug("look without answer", zap.Error(err))
+		l.log.Debug("poll without response", zap.Error(err))
 		l.pollFailed()
 	case l.endedBy(response):
 	case response.status != http.StatusOK:
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -266,7 +266,7 @@
 
 func TestCallsInCalm(t *testing.T) {
 	const seconds, completions = 60, 12
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.acknowledgeAll()
 		before := f.worker.Calls(cluster.HoldCall)
 		for i := range completions {
@@ -282,7 +282,7 @@
 }
 
 func TestSlowWorkerIsNotHedged(t *testing.T) {
-	simulate(t, 150*time.Millisecond, func(t *testing.T, f *fixture) {
+	simulate(t, 150*time.Millisecond, func(_ *testing.T, f *fixture) {
 		time.Sleep(10 * time.Second)
 		before := f.link.Counts()
 		for i := range 20 {
@@ -298,7 +298,7 @@
 
 func TestFewLostCalls(t *testing.T) {
 	const lost = 20 // one in so many
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
 		renewals, starts := every(lost, cluster.HoldCall, late), every(lost, cluster.StartCall, late)
 		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -69,7 +69,7 @@
 	backoff := firstBackoff
 	for !l.ended() {
 		l.yieldToCommands()
-		proceed, last := l.renewInTurn()
+		proceed, last := l.renewInTurn() //nolint:contextcheck // all calls end with the link's own context, those of Start and Stop, too
 		if !proceed {
 			l.wait(backoff)
 			backoff = min(2*backoff, maxBackoff)
@@ -129,7 +129,7 @@
 	received := l.now()
 	l.settleListCall(c, response, err, received)
 	if err != nil {
-		l.log.Debug("hold without answer", zap.Error(err))
+		l.log.Debug("lease renewal without response", zap.Error(err))
 		return l.renewalFailed(c), renewalResult{}
 	}
 	if l.endedBy(response) {
@@ -253,7 +253,7 @@
 
 // listRefused records a call that was answered without the lists.
 func (l *Link) listRefused(status int) {
-	l.log.Debug("hold refused", zap.Int("status", status))
+	l.log.Debug("list call refused", zap.Int("status", status))
 	l.mu.Lock()
 	nowUnreachable := l.health.listRefused()
 	l.dispatch()
