--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -88,7 +88,7 @@
 	return request.WithContext(ctx)
 }
 
-var errResponseTooLong = errors.New("answer too long")
+var errResponseTooLong = errors.New("response too long")
 
 // readResponse reads a response completely, so that its connection can be used again. Only the bodies of 200 and 409 are decoded.
 func readResponse(httpResponse *http.Response) (workerResponse, error) {
@@ -104,7 +104,7 @@
 	buffer.Reset()
 	read, err := buffer.ReadFrom(io.LimitReader(httpResponse.Body, maxResponseBytes+1))
 	if err != nil {
-		return workerResponse{}, fmt.Errorf("read answer: %w", err)
+		return workerResponse{}, fmt.Errorf("read response: %w", err)
 	}
 	if read > maxResponseBytes {
 		return workerResponse{}, errResponseTooLong
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -18,7 +18,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// budgetFixture are many workers with a link to each, all within one budget.
+// budgetFixture is many workers with a link to each, all within one budget.
 type budgetFixture struct {
 	t           *testing.T
 	connections *Connections
@@ -65,7 +65,7 @@
 	return f
 }
 
-// oneByOne hands on the reports of several links.
+// oneByOne passes on the reports of several links.
 type oneByOne struct{ *recorder }
 
 func (f *budgetFixture) observeUsage() {
@@ -90,7 +90,7 @@
 	convey.Convey("With far fewer connections than workers", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer f.end()
-		convey.Convey("each is held by turns, starts are sent and completions are noted", func() {
+		convey.Convey("the leases are renewed by turns, starts are sent and completions are received", func() {
 			f.awaitEach(func(int, Listing) bool { return true })
 			for i, link := range f.links {
 				link.Start(startCommand(i, 1))
@@ -124,13 +124,13 @@
 
 func TestOneConnectionForAnIdleWorker(t *testing.T) {
 	const workers = 20
-	convey.Convey("Where not each worker can be held by a call that waits, an idle one takes one connection", t, func() {
+	convey.Convey("Where there are too many workers for a long poll at each, an idle one takes one connection", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
 		defer f.end()
 		began := time.Now()
 		f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
 		convey.So(f.most.Load(), convey.ShouldEqual, workers)
-		convey.Convey("and one with an attempt is held by a call that waits", func() {
+		convey.Convey("and there is a long poll at one with an attempt", func() {
 			f.links[0].Start(startCommand(0, 1))
 			await(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
 			for f.connections.Usage().LongPolls != 1 {
@@ -178,7 +178,7 @@
 		convey.Convey("a start and the renewal after it share that one", func() {
 			convey.So(f.connections.Usage().Opened, convey.ShouldEqual, workers)
 		})
-		convey.Convey("no call waits for a completion any more once all completions are acknowledged", func() {
+		convey.Convey("there is no long poll any more once all completions are acknowledged", func() {
 			for i, worker := range f.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
@@ -201,13 +201,13 @@
 }
 
 func TestDialRateLimit(t *testing.T) {
-	convey.Convey("New connections are paced", t, func() {
+	convey.Convey("New connections are rate limited", t, func() {
 		virtualtime.Test(t, func(t *testing.T) {
-			const wanted = 40
-			c := NewConnections(Limits{Connections: wanted, DialsPerS: 10, DialBurst: 5})
+			const dials = 40
+			c := NewConnections(Limits{Connections: dials, DialsPerS: 10, DialBurst: 5})
 			var granted atomic.Int64
 			done := make(chan struct{})
-			for i := range wanted {
+			for i := range dials {
 				l := c.join(fmt.Sprint(i))
 				go func() {
 					if l.awaitSlot(done) {
@@ -246,12 +246,12 @@
 			convey.So(third.awaitSlot(closed), convey.ShouldBeFalse)
 			convey.So(c.Usage(), convey.ShouldResemble, Usage{Open: 2, Links: 3})
 		})
-		convey.Convey("takes the place of a connection that was not opened", func() {
+		convey.Convey("reuses the slot of a connection that was not opened", func() {
 			first.releaseSlot()
 			convey.So(third.awaitSlot(closed), convey.ShouldBeTrue)
 			convey.So(c.Usage().Open, convey.ShouldEqual, 2)
 		})
-		convey.Convey("opens none without a place", func() {
+		convey.Convey("opens none without a slot", func() {
 			c.concurrency = nil
 			_, err := c.dial("3", func() (net.Conn, error) { return nil, io.EOF })
 			convey.So(err, convey.ShouldEqual, errNoConnectionSlot)
@@ -289,7 +289,7 @@
 			convey.So(c.slotsTaken, convey.ShouldEqual, workers+1)
 		})
 	})
-	convey.Convey("Renewals may wait only while there is a connection for each worker and some for commands", t, func() {
+	convey.Convey("Long polls are allowed only while there is a connection for each worker and some for commands", t, func() {
 		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), MaxLongPolls: 10})
 		var pools []*hostPool
 		for i := range 36 {
@@ -301,7 +301,7 @@
 		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
 		pools = append(pools, c.join("one more"))
 		convey.So(pools[0].beginLongPoll(), convey.ShouldBeFalse)
-		convey.Convey("while few workers are held as they are", func() {
+		convey.Convey("and at all workers while there are few", func() {
 			for _, l := range pools[10:] {
 				l.leave()
 			}
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// orphanServer answers each call with more than it announces, and counts its connections.
+// orphanServer answers each call with more than its length announces, and counts its connections.
 func orphanServer(t *testing.T) (address string, accepted *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,7 +85,7 @@
 }
 
 func TestUnsolicitedResponses(t *testing.T) {
-	convey.Convey("What comes after an answer is not taken for that of the next call", t, func() {
+	convey.Convey("What follows a response is not taken for that of the next call", t, func() {
 		address, accepted := orphanServer(t)
 		connections, caller := budgetedCaller(address)
 		defer connections.closeAllIdle()
@@ -99,7 +99,7 @@
 }
 
 func TestCancelledCalls(t *testing.T) {
-	convey.Convey("A call that is given up after it was sent is unclear, and its connection is not used again", t, func() {
+	convey.Convey("A call that is cancelled after it was sent is unclear, and its connection is not used again", t, func() {
 		arrived, letGo := make(chan struct{}, 1), make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { arrived <- struct{}{}; <-letGo }))
 		defer server.Close()
@@ -118,7 +118,7 @@
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		convey.So(connections.Usage().Open, convey.ShouldBeZeroValue)
 	})
-	convey.Convey("One that could not connect has not run", t, func() {
+	convey.Convey("One that could not connect was not executed", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		listener.Close()
@@ -131,7 +131,7 @@
 
 func TestLongPollsDoNotHoldTheSemaphore(t *testing.T) {
 	const workers = 40
-	convey.Convey("Long polls are outside of the semaphore, however few may work at once", t, func() {
+	convey.Convey("Long polls do not hold a place of the semaphore", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
 		defer f.end()
 		convey.So(cap(f.connections.concurrency), convey.ShouldBeLessThan, workers)
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// givenRunningTask plays a Convey scope at a worker that attempts one task.
+// givenRunningTask runs a Convey scope with a link to a worker that runs one task.
 func givenRunningTask(t *testing.T, scope func(f *fixture)) {
 	t.Helper()
 	convey.Convey("Given a worker that runs a task", t, func() {
@@ -25,25 +25,25 @@
 func TestUnresponsiveWorker(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("an unanswered start is unclear, and nothing goes out until the worker answers", func() {
-			silent, unheard := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
+		convey.Convey("a start without a response is unclear, and nothing is sent until the worker responds", func() {
+			silent, lost := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
 			f.worker.SetFaults(silent)
-			<-unheard // no hold is under way that will be answered
+			<-lost // no renewal is under way that will be answered
 			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenAfter, before.Add(maxLateExecution))
 			convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent)
-			held := f.worker.HeldUntil()
+			leaseEnd := f.worker.HeldUntil()
 
-			convey.Convey("polls find it again", func() {
+			convey.Convey("polls find it reachable again", func() {
 				f.worker.SetFaults(nil)
 				awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 				convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 				convey.So(f.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
 				await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a renewal after the poll
-				convey.So(f.worker.HeldUntil(), convey.ShouldHappenAfter, held)
+				convey.So(f.worker.HeldUntil(), convey.ShouldHappenAfter, leaseEnd)
 			})
 		})
 	})
@@ -52,7 +52,7 @@
 func TestLateStart(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a start that is carried out late is unclear, and listed in the end", func() {
+		convey.Convey("a start that is executed late is unclear, and its attempt is listed in the end", func() {
 			late := cluster.Fault{Kind: cluster.Late, Delay: 1200 * time.Millisecond}
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, late))
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
@@ -65,7 +65,7 @@
 func TestStopIsRetried(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a stop is repeated until it is answered", func() {
+		convey.Convey("a stop is retried until it is answered", func() {
 			refusal, refused := signalled(cluster.StopCall, cluster.Fault{Kind: cluster.Refuse, Status: 503})
 			f.worker.SetFaults(refusal)
 			f.link.Stop(StopCommand{task(0), 1})
@@ -92,7 +92,7 @@
 func TestDeadWorker(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a dead worker gets nothing", func() {
+		convey.Convey("a worker that has left gets no command", func() {
 			f.worker.Leave()
 			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
@@ -103,7 +103,7 @@
 func TestRefusedRenewals(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a single refused renewal says nothing, more do", func() {
+		convey.Convey("a worker that refuses renewals is unreachable until it answers them", func() {
 			f.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			f.worker.SetFaults(nil)
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -22,7 +22,7 @@
 // eventTimeout bounds what should come soon.
 const eventTimeout = 20 * time.Second
 
-// recorder is an Events that keeps what it hears.
+// recorder is an Events that keeps what it receives.
 type recorder struct {
 	inside     atomic.Int32
 	concurrent atomic.Bool // two events came at once
@@ -73,13 +73,13 @@
 	return found
 }
 
-// awaitSlot waits for the first event of a type that a condition holds for.
+// await waits for the first event of a type that a condition holds for.
 func await[T any](t testing.TB, r *recorder, condition func(T) bool) T {
 	t.Helper()
 	return awaitAfter(t, r, 0, condition)
 }
 
-// awaitAfter does not look at the first events of the type.
+// awaitAfter skips the first events of the type.
 func awaitAfter[T any](t testing.TB, r *recorder, skip int, condition func(T) bool) T {
 	t.Helper()
 	limit := time.After(eventTimeout)
@@ -95,7 +95,7 @@
 		select {
 		case <-changed:
 		case <-limit:
-			t.Fatalf("no such %T; heard %+v", *new(T), eventsOf[any](r))
+			t.Fatalf("no such %T; received %+v", *new(T), eventsOf[any](r))
 		}
 	}
 }
@@ -108,10 +108,10 @@
 	cluster *cluster.Cluster
 	worker  *cluster.Worker
 	events  *recorder
-	invalid atomic.Bool // the lease is over
+	invalid atomic.Bool // the leader lease is over
 	link    *Link       // the newest one
 	client  *http.Client
-	timeout time.Duration // the least of a call
+	timeout time.Duration // the shortest one of a call
 	closers []func()
 }
 
@@ -141,7 +141,7 @@
 	}
 }
 
-// connect makes a link under a fencing token and attempts it. The function returned waits until Run has returned.
+// connect makes a link under a fencing token and runs it. The function returned waits until Run has returned.
 func (f *fixture) connect(token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(f.worker.ID()), Address: f.worker.Address()},
@@ -165,7 +165,7 @@
 	return awaitReturn
 }
 
-// start commands an attempt and waits for its outcome.
+// start sends a start command and waits for its outcome.
 func (f *fixture) start(command StartCommand) StartOutcome {
 	f.t.Helper()
 	before := len(eventsOf[StartResult](f.events))
@@ -174,7 +174,7 @@
 	return result.Outcome
 }
 
-// signalled is a fault that tells of each call that it happens to.
+// signalled is a fault that signals each call that it happens to.
 func signalled(kind cluster.Call, fault cluster.Fault) (decide func(cluster.Call) cluster.Fault, happened chan struct{}) {
 	happened = make(chan struct{}, 1000)
 	return func(call cluster.Call) cluster.Fault {
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
-// usualAnswer is more than a calm worker takes to answer, and far less than any time-out.
+// usualAnswer is more than a calm worker takes to respond, and far less than any time-out.
 const usualAnswer = hedgeMargin + 50*time.Millisecond
 
 func TestPollWithoutResponseIsHedged(t *testing.T) {
@@ -23,7 +23,7 @@
 		poll := await(t, f.events, outOfBand)
 		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualAnswer)
 		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)      // of the request that was answered
-		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not of its answer
+		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not of its response
 		after := f.link.Counts()
 		convey.So(after.Polls-before.Polls, convey.ShouldEqual, 1)
 		convey.So(after.HedgedRequests-before.HedgedRequests, convey.ShouldEqual, 1)
@@ -39,7 +39,7 @@
 		convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, usualAnswer)
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
-		time.Sleep(6 * time.Second) // the first one is carried out, too
+		time.Sleep(6 * time.Second) // the first one is executed, too
 		convey.So(f.start(startCommand(0, 2)), convey.ShouldEqual, Started)
 		convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 2)
 	})
@@ -94,11 +94,11 @@
 		for i := range 3 * maxCommandsInFlight {
 			f.link.Stop(StopCommand{task(i), 1})
 		}
-		time.Sleep(minCommandTimeout - time.Millisecond) // before the first ones are given up
+		time.Sleep(minCommandTimeout - time.Millisecond) // before the first ones time out
 		synctest.Wait()
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, maxCommandsInFlight+maxHedgedRequests)
 		convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
-		f.link.Close() // gives up the hedged requests, too: Run returns
+		f.link.Close() // cancels the hedged requests, too: Run returns
 	})
 }
 
@@ -111,7 +111,7 @@
 			}
 			calls++
 			switch calls {
-			case 1: // answered while the request has failed
+			case 1: // answered after the hedged request has failed
 				return cluster.Fault{Kind: cluster.Slow, Delay: 2 * spareMargin}
 			default:
 				return cluster.Fault{Kind: cluster.Reset}
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -13,7 +13,7 @@
 
 var errNoResponse = errors.New("no answer")
 
-// simulation is a link without a network: what becomes of its calls is drawn.
+// simulation is a link without a network: what becomes of its calls is drawn at random.
 type simulation struct {
 	t             *rapid.T
 	link          *Link
@@ -21,11 +21,11 @@
 	zero          time.Time     // when the worker's clock showed its first reading
 	first         time.Duration // that reading
 	rate          float64
-	leasesExpired time.Time // the truth about all calls sent so far, whatever is still to become of them
+	leasesExpired time.Time // when all grants sent so far have expired, whatever is still to become of their calls
 	calls         []callInFlight
 }
 
-// callInFlight is a call whose fate is known to the world only.
+// callInFlight is a call whose outcome is known to the simulation only.
 type callInFlight struct {
 	due    time.Time // when the link learns of its end
 	settle func(received time.Time)
@@ -50,7 +50,7 @@
 	return time.Duration(rapid.Int64Range(0, int64(most)).Draw(s.t, label))
 }
 
-// executed notes a grant that takes effect at a time; it may count from then on instead of from when it was sent.
+// executed records a grant that takes effect at a time; it may count from then on instead of from when it was sent.
 func (s *simulation) executed(validUntil time.Duration, sent, at time.Time, fromArrival bool) {
 	if fromArrival {
 		validUntil += s.clock(at) - s.clock(sent)
@@ -67,7 +67,7 @@
 func (s *simulation) send(validUntil, wait, timeout time.Duration, settle func(a workerResponse, err error, received time.Time)) {
 	sent := s.now
 	if validUntil > s.clock(sent)+testMaxLease {
-		s.t.Fatalf("grant reaches %v beyond the longest hold", validUntil-s.clock(sent)-testMaxLease)
+		s.t.Fatalf("grant reaches %v beyond the longest lease", validUntil-s.clock(sent)-testMaxLease)
 	}
 	if rapid.IntRange(0, 3).Draw(s.t, "lost or late") == 0 {
 		if rapid.Bool().Draw(s.t, "given up early") {
@@ -110,7 +110,7 @@
 	})
 }
 
-// look makes a call for the lists beside the renewal.
+// poll makes a call for the lists beside the renewal.
 func (s *simulation) poll() {
 	c := s.link.beginPoll(s.link.roundTrips.pollTimeout())
 	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
@@ -123,7 +123,7 @@
 		return
 	}
 	if s.clock(s.now)+s.link.pace.minLeaseLead > s.link.lease.confirmed.validUntil {
-		s.t.Fatal("a start is held for too short a time")
+		s.t.Fatal("the lease of a start is too short")
 	}
 	c := s.link.beginStart()
 	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
@@ -155,7 +155,7 @@
 
 func (s *simulation) check() {
 	if expiredBy := s.link.LeasesExpiredBy(); expiredBy.Before(s.leasesExpired) {
-		s.t.Fatalf("LapsedBy is %v before the truth", s.leasesExpired.Sub(expiredBy))
+		s.t.Fatalf("LeasesExpiredBy is %v too early", s.leasesExpired.Sub(expiredBy))
 	}
 	if !s.link.lease.clock.known {
 		return
@@ -202,6 +202,6 @@
 	var grants leaseGrants
 	grants.withdrawn(grants.begin(time.Second, time.Unix(50, 0), maxCommandTimeout))
 	if !grants.expiredBy().IsZero() {
-		t.Fatalf("lapses by %v", grants.expiredBy())
+		t.Fatalf("expires by %v", grants.expiredBy())
 	}
 }
--- a/internal/jobs/workerclient/leasegrants.go
+++ b/internal/jobs/workerclient/leasegrants.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A call without an answer may be carried out late: by maxLateExecution after it left at the latest. The margin covers its way.
+// A call without a response may be executed late: by maxLateExecution after it was sent at the latest. The margin covers its way.
 const (
 	maxLateExecution    = 12 * time.Second
 	lateExecutionMargin = 500 * time.Millisecond
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -37,7 +37,7 @@
 		convey.Convey("what does not fit is rejected", func() {
 			convey.So(f.start(startCommand(4, 1)), convey.ShouldEqual, RejectedCapacity)
 		})
-		convey.Convey("an attempt that was stopped before it came is rejected as old", func() {
+		convey.Convey("an attempt that was stopped before it came is rejected as stale", func() {
 			f.link.Stop(StopCommand{task(1), 3})
 			stopped := await(t, f.events, anyEvent[StopResult])
 			convey.So(stopped.Answered, convey.ShouldBeTrue)
@@ -47,7 +47,7 @@
 		convey.Convey("a command that the worker cannot read is invalid", func() {
 			convey.So(f.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
-		convey.Convey("an unhealthy worker did nothing", func() {
+		convey.Convey("an unhealthy worker executed nothing", func() {
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
@@ -72,7 +72,7 @@
 			awaitReturn()
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, IncarnationOver)
 		})
-		convey.Convey("a higher token deposes the link", func() {
+		convey.Convey("a higher fencing token ends the link", func() {
 			old := f.link
 			f.connect(8)
 			await(t, f.events, anyEvent[Fenced])
@@ -94,7 +94,7 @@
 
 func TestResponseOutcomes(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Every answer to a start has its outcome", t, func() {
+	convey.Convey("Every response to a start has its outcome", t, func() {
 		conflict := func(why reason) workerResponse { return workerResponse{http.StatusConflict, responseBody{Reason: why}} }
 		convey.So(responseOutcome(conflict(reasonLeaseExpired)), convey.ShouldEqual, RejectedLeaseExpired)
 		convey.So(responseOutcome(conflict(reasonFencingToken)), convey.ShouldEqual, RejectedFencingToken)
@@ -121,7 +121,7 @@
 			convey.So(record.Specification, convey.ShouldEqual, text)
 			convey.So(record.Checkpoint, convey.ShouldEqual, "00000bb8")
 		})
-		convey.Convey("they are listed, and a completion is at once", func() {
+		convey.Convey("they are listed, and a completion is listed at once", func() {
 			both := await(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
 			convey.So(both.Running[1].AttemptNumber, convey.ShouldEqual, 5)
@@ -142,7 +142,7 @@
 				convey.So(f.cluster.Runs()[1].Acknowledged, convey.ShouldBeTrue)
 			})
 		})
-		convey.Convey("they come in the order in which they were asked for, but for polls, and one event at a time", func() {
+		convey.Convey("listings come in the order in which they were requested, but for polls, and one event at a time", func() {
 			for range 3 {
 				await(t, f.events, anyEvent[Listing])
 				f.link.Stop(StopCommand{task(0), 1})
@@ -161,7 +161,7 @@
 
 func TestManyCompletions(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Given more completions than one answer lists", t, func() {
+	convey.Convey("Given more completions than one response lists", t, func() {
 		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
 		convey.Reset(f.close)
 		f.events.onListing = func(l Listing) {
@@ -182,7 +182,7 @@
 			convey.So(f.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 		}
 		f.worker.SetFaults(nil)
-		convey.Convey("all are received, and a full page is marked", func() {
+		convey.Convey("all are received, and a full page is marked as partial", func() {
 			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].CompletionNumber == runs }
 			await(t, f.events, last)
 			received := map[uint64]bool{}
@@ -205,7 +205,7 @@
 	convey.Convey("Given a link to an idle worker", t, func() {
 		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
 		convey.Reset(f.close)
-		convey.Convey("nothing is granted before the first listing, and then the attempts are held", func() {
+		convey.Convey("nothing is granted before the first listing, and then the lease is renewed", func() {
 			f.connect(1)
 			await(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
@@ -221,13 +221,13 @@
 			}
 			convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
-		convey.Convey("a start that waits for a grant is given back when the lease completions before", func() {
+		convey.Convey("a start that waits for a lease is given back when the leader lease ends before", func() {
 			f.events.onListing = func(Listing) { f.invalid.Store(true) }
 			f.connect(1)
 			await(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 		})
-		convey.Convey("without a lease nothing is sent at all", func() {
+		convey.Convey("without a leader lease nothing is sent at all", func() {
 			f.invalid.Store(true)
 			awaitReturn := f.connect(1)
 			f.link.Start(startCommand(0, 1))
--- a/internal/jobs/workerclient/listentries.go
+++ b/internal/jobs/workerclient/listentries.go
@@ -9,12 +9,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-var errEntryShape = errors.New("list entry of another shape")
+var errEntryShape = errors.New("list entry is not an array of the expected types")
 
-// runningEntry is written as [task, run, saved, percent].
+// runningEntry is an entry of the running list, written as [task, attempt number, checkpoint, percent].
 type runningEntry struct {
 	task    RunningTask
-	nameErr error // the task's name
+	nameErr error // the name of the task could not be read
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -28,10 +28,10 @@
 	return r.err
 }
 
-// finishedEntry is written as [N, task, run, how, saved].
+// finishedEntry is an entry of the finished list, written as [completion number, task, attempt number, outcome, checkpoint].
 type finishedEntry struct {
 	task    FinishedTask
-	nameErr error // the task's name
+	nameErr error // the name of the task could not be read
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -44,7 +44,7 @@
 			return err
 		}
 
-		Convey("a call whose lease ends meanwhile is not sent, on a new connection or a used one", func() {
+		Convey("a call is not sent if the leader lease ends meanwhile, on a new connection or a used one", func() {
 			failures := make(chan error, 1)
 			go func() { failures <- post() }()
 			<-dialling
@@ -64,7 +64,7 @@
 			So(rpcerror.ExecutionOf(post()), ShouldEqual, rpcerror.NotExecuted)
 			So(calls.Load(), ShouldEqual, 1)
 		})
-		Convey("one whose lease holds is sent", func() {
+		Convey("a call is sent if the leader lease is valid", func() {
 			release <- struct{}{}
 			So(post(), ShouldBeNil)
 			So(calls.Load(), ShouldEqual, 1)
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -14,7 +14,7 @@
 
 const oneWayDelay = 3 * time.Millisecond
 
-// simulate runs a test in virtual time with a link whose worker runs task 0 and holds the first waiting hold.
+// simulate runs a test in virtual time with a link whose worker runs task 0 and has received the first long poll.
 func simulate(t *testing.T, way time.Duration, test func(t *testing.T, f *fixture)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newMemoryFixture(t, way)
@@ -35,10 +35,10 @@
 	for f.worker.Calls(cluster.HoldCall) == calls {
 		time.Sleep(time.Millisecond)
 	}
-	synctest.Wait() // until the worker has carried it out
+	synctest.Wait() // until the worker has executed it
 }
 
-// acknowledgeAll acknowledges every end as soon as it is received.
+// acknowledgeAll acknowledges every completion as soon as it is received.
 func (f *fixture) acknowledgeAll() {
 	f.events.onListing = func(l Listing) {
 		if completions := len(l.Finished); completions > 0 {
@@ -113,7 +113,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newMemoryFixture(t, oneWayDelay)
 		defer f.close()
-		convey.Convey("Given a worker that leaves the first call without an answer", t, func() {
+		convey.Convey("Given a worker that does not respond to the first call", t, func() {
 			f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
 			began := time.Now()
 			f.connect(1)
@@ -174,13 +174,13 @@
 		silent := time.Now()
 		starts := f.worker.Calls(cluster.StartCall)
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
-		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for a poll's answer
+		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for the response to a poll
 		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(reportedUnreachable(f), convey.ShouldBeTrue)
 		polls := minCommandTimeout + 2*minPollTimeout // those after the start
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+10*time.Millisecond)
 		f.worker.SetFaults(nil)
-		awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was given up
+		awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was cancelled
 		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+firstBackoff+20*time.Millisecond)
 	})
 }
--- a/internal/jobs/workerclient/renewal_test.go
+++ b/internal/jobs/workerclient/renewal_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRenewalPlan(t *testing.T) {
-	convey.Convey("Given a link whose worker's clock is known by answers only", t, func() {
+	convey.Convey("Given a link that knows the worker's clock by responses only", t, func() {
 		now := time.Unix(1000, 0)
 		link := NewLink(Config{
 			MaxLease: testMaxLease, Events: newRecorder(), HTTP: http.DefaultClient, Now: func() time.Time { return now },
@@ -34,7 +34,7 @@
 			answered(poll)
 			convey.So(link.roundTrips.measured, convey.ShouldBeTrue)
 
-			convey.Convey("the second grants at once, and starts may go out from then on", func() {
+			convey.Convey("the second grants at once, and starts may be sent from then on", func() {
 				short := link.beginRenewal()
 				convey.So(short.request.waitMS, convey.ShouldEqual, 0)
 				convey.So(short.grant, convey.ShouldNotBeNil)
@@ -42,7 +42,7 @@
 				answered(short)
 				convey.So(link.startable(now), convey.ShouldBeTrue)
 
-				convey.Convey("the next ones wait, and grant when the last grant is old", func() {
+				convey.Convey("the next ones are long polls, and grant when the last grant is old", func() {
 					renewal := link.beginRenewal()
 					convey.So(renewal.request.waitMS, convey.ShouldEqual, 1000)
 					convey.So(renewal.request.validUntilMS, convey.ShouldEqual, 0)
@@ -52,7 +52,7 @@
 					convey.So(renewal.request.waitMS, convey.ShouldEqual, 1000)
 					convey.So(renewal.request.validUntilMS, convey.ShouldBeGreaterThan, short.request.validUntilMS)
 				})
-				convey.Convey("a call without an answer is followed by a poll", func() {
+				convey.Convey("a call without a response is followed by a poll", func() {
 					now = now.Add(2 * time.Second)
 					renewal := link.beginRenewal()
 					link.settleListCall(renewal, workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), now)
@@ -63,7 +63,7 @@
 					convey.So(poll.timeout, convey.ShouldEqual, unreachablePollTimeout)
 					convey.So(link.LeasesExpiredBy(), convey.ShouldHappenAfter, now.Add(maxLateExecution+testMaxLease-time.Second))
 				})
-				convey.Convey("a call that never left grants nothing", func() {
+				convey.Convey("a call that was never sent grants nothing", func() {
 					now = now.Add(2 * time.Second)
 					before := link.LeasesExpiredBy()
 					renewal := link.beginRenewal()
@@ -71,14 +71,14 @@
 					link.settleListCall(renewal, workerResponse{}, rpcerror.WrapNotExecuted(errNoResponse, 0), now)
 					convey.So(link.LeasesExpiredBy(), convey.ShouldEqual, before)
 				})
-				convey.Convey("without renewal no start goes out in the end", func() {
+				convey.Convey("without renewal no start is sent in the end", func() {
 					now = now.Add(testMaxLease - minLeaseLead)
 					convey.So(link.startable(now), convey.ShouldBeFalse)
 				})
 			})
 		})
 	})
-	convey.Convey("Where attempts are held for a short time only, everything is quicker", t, func() {
+	convey.Convey("Where leases are short, all times are shorter", t, func() {
 		p := paceFor(time.Second)
 		convey.So(p.longPollWait, convey.ShouldEqual, 250*time.Millisecond)
 		convey.So(p.minLeaseLead+p.longPollWait+p.renewalAge, convey.ShouldBeLessThan, time.Second)
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -15,17 +15,17 @@
 	"puffinlink.example/puffinlink/internal/transport/resettest"
 )
 
-// startCounter is a worker that counts how often each start was carried out.
+// startCounter is a worker that counts how often each start was executed.
 type startCounter struct {
 	mutex sync.Mutex
-	runs  map[string]int // by the call's body
+	runs  map[string]int // by the body of the call
 }
 
 // ServeHTTP implements http.Handler.
 func (s *startCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // a call that has not arrived whole is not carried out
+		return // a call that has not arrived completely is not executed
 	}
 	s.mutex.Lock()
 	s.runs[string(body)]++
@@ -39,11 +39,11 @@
 	return s.runs[string(body)]
 }
 
-// TestStartsOnConnectionsThatAreReset resets the connection at each byte of a start and of its answer.
+// TestStartsOnConnectionsThatAreReset resets the connection at each byte of a start and of its response.
 func TestStartsOnConnectionsThatAreReset(t *testing.T) {
 	t.Parallel()
 	for name, usedBefore := range map[string]bool{"a new connection": false, "a connection used before": true} {
-		convey.Convey("A start on "+name+" runs once at most, and is unclear", t, func() {
+		convey.Convey("A start on "+name+" is executed once at most, and is unclear", t, func() {
 			counter := &startCounter{runs: map[string]int{}}
 			server := httptest.NewServer(counter)
 			relay := resettest.New(t, server.Listener.Addr().String())
@@ -62,11 +62,11 @@
 				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
 				return body, err
 			}
-			const firstExecution = 1000 // so that all calls have one length
-			_, err := send(firstExecution, resettest.Requests, resettest.NoReset)
+			const firstAttemptNumber = 1000 // so that all calls have one length
+			_, err := send(firstAttemptNumber, resettest.Requests, resettest.NoReset)
 			convey.So(err, convey.ShouldBeNil)
 			lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
-			execution, wrong := uint64(firstExecution), 0
+			execution, wrong := uint64(firstAttemptNumber), 0
 			var cutInCall [][]byte
 			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
 				for after := range lengths[cut] {
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestStartsAreNotRetriedByNetHTTP lets a worker break off a connection that was used before, after it has carried out a start.
+// TestStartsAreNotRetriedByNetHTTP lets a worker break off a connection that was used before, after it has executed a start.
 func TestStartsAreNotRetriedByNetHTTP(t *testing.T) {
 	t.Parallel()
-	convey.Convey("A start whose answer is broken off is not sent again by net/http, whatever its headers say", t, func() {
+	convey.Convey("A start whose response is broken off is not retried by net/http, whatever its headers say", t, func() {
 		counter := &startCounter{runs: map[string]int{}}
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			counter.ServeHTTP(w, r)
@@ -109,7 +109,7 @@
 		client := NewHTTPClient()
 		defer client.CloseIdleConnections()
 		worker := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return true })
-		worker.headers.Set("Idempotency-Key", "1") // by which net/http repeats
+		worker.headers.Set("Idempotency-Key", "1") // makes net/http retry
 		_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 		convey.So(err, convey.ShouldBeNil)
 		command := startCommand(0, 1)
--- a/internal/jobs/workerclient/roundtrip_test.go
+++ b/internal/jobs/workerclient/roundtrip_test.go
@@ -14,12 +14,12 @@
 		for range 50 {
 			trips.observe(3 * time.Millisecond)
 		}
-		convey.Convey("the limits are at their shortest", func() {
+		convey.Convey("the time-outs are at their shortest", func() {
 			convey.So(trips.overdueDelay(), convey.ShouldEqual, minOverdueDelay)
 			convey.So(trips.commandTimeout(), convey.ShouldEqual, minCommandTimeout)
 			convey.So(trips.pollTimeout(), convey.ShouldEqual, minPollTimeout)
 		})
-		convey.Convey("a idempotent call is repeated far sooner than it is given up", func() {
+		convey.Convey("an idempotent call is hedged far sooner than it times out", func() {
 			convey.So(trips.hedgeDelay(), convey.ShouldBeBetween, 3*time.Millisecond, minCommandTimeout/4)
 		})
 		convey.Convey("and later where the round trips vary", func() {
@@ -36,21 +36,21 @@
 			}
 			convey.So(trips.commandTimeout(), convey.ShouldEqual, minCommandTimeout)
 		})
-		convey.Convey("a start is given less time while many get no answer, and as much as before later", func() {
+		convey.Convey("the time-out of a start is shorter while many get no response, and as before later", func() {
 			convey.So(trips.startTimeout(), convey.ShouldEqual, minCommandTimeout)
 			trips.startEnded(false)
-			convey.So(trips.startTimeout(), convey.ShouldEqual, minCommandTimeout) // one says little
+			convey.So(trips.startTimeout(), convey.ShouldEqual, minCommandTimeout) // a single one says little
 			trips.startEnded(false)
 			convey.So(trips.startTimeout(), convey.ShouldEqual, trips.margin())
 			convey.So(trips.startTimeout(), convey.ShouldBeLessThan, minCommandTimeout/2)
 			for range 50 {
 				trips.observe(250 * time.Millisecond)
 			}
-			convey.So(trips.startTimeout(), convey.ShouldEqual, maxCommandTimeout) // slow answers are waited for
+			convey.So(trips.startTimeout(), convey.ShouldEqual, maxCommandTimeout) // slow responses are waited for
 			trips.startEnded(true)
 			convey.So(trips.startTimeout(), convey.ShouldEqual, trips.commandTimeout())
 		})
-		convey.Convey("no limit grows beyond its longest", func() {
+		convey.Convey("no time-out grows beyond its longest", func() {
 			for range 50 {
 				trips.observe(time.Hour)
 				trips.observe(time.Millisecond)
--- a/internal/jobs/workerclient/wire.go
+++ b/internal/jobs/workerclient/wire.go
@@ -125,7 +125,7 @@
 func decodeResponse(body []byte) (responseBody, error) {
 	var r responseBody
 	if err := json.Unmarshal(body, &r); err != nil {
-		return responseBody{}, fmt.Errorf("decode answer: %w", err)
+		return responseBody{}, fmt.Errorf("decode response: %w", err)
 	}
 	return r, nil
 }
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestResponseBodies(t *testing.T) {
-	convey.Convey("Given the answer to a renewal", t, func() {
+	convey.Convey("Given the response to a renewal", t, func() {
 		r, err := decodeResponse([]byte(`{"clockMs":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41.6],` +
 			` [ "5c0e7a21d94b36f8.0.1.18" , 1 , null , 0 ],["5c0e7a21d94b36f8.0.1.19",1,"a\\\",\u00fcb"]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],` +
 			`[59,"no task",1,"failed","","more"]]}`))
@@ -60,7 +60,7 @@
 			convey.So(r.Finished[1].nameErr, convey.ShouldNotBeNil)
 		})
 	})
-	convey.Convey("What is no answer is an error", t, func() {
+	convey.Convey("What is no response of a worker is an error", t, func() {
 		for _, body := range []string{``, `{`, `[]`, `{"running":[["a","b"]]}`, `{"finished":[{}]}`,
 			`{"finished":[["1","a",2]]}`, `{"finished":[[-1,"a",2]]}`, `{"running":[[1,2]]}`, `{"running":[["a",1.5]]}`} {
 			_, err := decodeResponse([]byte(body))
@@ -82,7 +82,7 @@
 	)
 }
 
-// TestWireForms pins the keys of a worker's answer, which this package only reads.
+// TestWireForms pins the keys of a worker's response, which this package only reads.
 func TestWireForms(t *testing.T) {
 	text := `{"clockMs":5,"reason":"fence","running":[["a.1.2.3",4,"text 1",50]],"finished":[[6,"b.7.8.9",10,"done","text 2"]]}`
 	read, err := decodeResponse([]byte(text))
