--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -8,92 +8,75 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// chunkRequest sends the machine one part of a snapshot of the leader "x", each with the entry "key N", and returns the answer.
-func (n *simulatedNode) chunk(term, sequence uint64, number, chunks uint32) (answer appendReply) {
-	request := appendRequest{
-		Group: "jobs/a", Term: term, Leader: "x", View: 1, Snapshot: true, Position: Position{term, sequence},
-		Chunk: number, Chunks: chunks, Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(term), byte(sequence)}}},
-	}
-	n.step(func() { n.core.append(request, func(reply appendReply) { answer = reply }) })
-	So(n.simulation.run(50*time.Millisecond), ShouldBeNil)
-	return answer
-}
-
-func (n *simulatedNode) expectsChunk(answer appendReply, number uint32) {
-	So(answer.Outcome, ShouldEqual, incomplete)
-	So(answer.NextChunk, ShouldEqual, number)
-	So(n.disk.Table("group/jobs/a"), ShouldBeEmpty)
-}
-
 func TestChunksOfASnapshot(t *testing.T) {
-	whole := func(n *simulatedNode, term, sequence byte, chunks int) {
+	holds := func(n *simulatedNode, term, index byte, chunks int) {
 		state := map[string][]byte{}
 		for number := range chunks {
-			state[fmt.Sprintf("key %d", number)] = []byte{term, sequence}
+			state[fmt.Sprintf("key %d", number)] = []byte{term, index}
 		}
 		So(n.disk.Table("group/jobs/a"), ShouldResemble, state)
 	}
 	Convey("Given a replica without a state", t, func() {
 		s, n := singleReplica(defects{})
-		Convey("nothing is changed before the last part, and all with it", func() {
-			n.expectsChunk(n.chunk(7, 3, 0, 3), 1)
-			n.expectsChunk(n.chunk(7, 3, 1, 3), 2)
-			answer := n.chunk(7, 3, 2, 3)
+		Convey("the state changes with the last chunk and not before", func() {
+			n.expectsChunk(n.appendChunk(7, 3, 0, 3), 1)
+			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 2)
+			answer := n.appendChunk(7, 3, 2, 3)
 			So(answer.Outcome, ShouldEqual, accepted)
 			So(answer.Position, ShouldResemble, Position{7, 3})
-			whole(n, 7, 3, 3)
+			holds(n, 7, 3, 3)
 		})
-		Convey("a part that comes twice changes nothing", func() {
-			n.chunk(7, 3, 0, 3)
-			n.expectsChunk(n.chunk(7, 3, 0, 3), 1)
-			n.expectsChunk(n.chunk(7, 3, 1, 3), 2)
-			n.expectsChunk(n.chunk(7, 3, 1, 3), 2)
-			n.chunk(7, 3, 2, 3)
-			whole(n, 7, 3, 3)
+		Convey("a duplicate chunk changes nothing", func() {
+			n.appendChunk(7, 3, 0, 3)
+			n.expectsChunk(n.appendChunk(7, 3, 0, 3), 1)
+			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 2)
+			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 2)
+			n.appendChunk(7, 3, 2, 3)
+			holds(n, 7, 3, 3)
 		})
-		Convey("where a part is lost, the answer to the next one names it", func() {
-			n.chunk(7, 3, 0, 3)
-			n.expectsChunk(n.chunk(7, 3, 2, 3), 1)
-			n.chunk(7, 3, 1, 3)
-			n.chunk(7, 3, 2, 3)
-			whole(n, 7, 3, 3)
+		Convey("where a chunk is lost, the answer to the next one names it", func() {
+			n.appendChunk(7, 3, 0, 3)
+			n.expectsChunk(n.appendChunk(7, 3, 2, 3), 1)
+			n.appendChunk(7, 3, 1, 3)
+			n.appendChunk(7, 3, 2, 3)
+			holds(n, 7, 3, 3)
 		})
-		Convey("the last part alone, or first, is nothing", func() {
-			n.expectsChunk(n.chunk(7, 3, 2, 3), 0)
-			n.expectsChunk(n.chunk(7, 3, 1, 3), 0)
+		Convey("a later chunk without the first one is not kept", func() {
+			n.expectsChunk(n.appendChunk(7, 3, 2, 3), 0)
+			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 0)
 		})
-		Convey("parts of a newer snapshot take the place of an older one's, and are not mixed with them", func() {
-			n.chunk(7, 3, 0, 2)
-			n.expectsChunk(n.chunk(7, 5, 0, 2), 1)
-			n.expectsChunk(n.chunk(7, 3, 1, 2), 0)
-			n.expectsChunk(n.chunk(7, 3, 0, 2), 0)
-			n.chunk(7, 5, 1, 2)
-			whole(n, 7, 5, 2)
+		Convey("chunks of a newer snapshot replace those of an older one, and are not mixed with them", func() {
+			n.appendChunk(7, 3, 0, 2)
+			n.expectsChunk(n.appendChunk(7, 5, 0, 2), 1)
+			n.expectsChunk(n.appendChunk(7, 3, 1, 2), 0)
+			n.expectsChunk(n.appendChunk(7, 3, 0, 2), 0)
+			n.appendChunk(7, 5, 1, 2)
+			holds(n, 7, 5, 2)
 		})
-		Convey("parts of an older leader are refused, and its gathered ones are gone", func() {
-			n.chunk(7, 3, 0, 2)
-			n.expectsChunk(n.chunk(8, 1, 0, 2), 1)
-			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
-			n.chunk(8, 1, 1, 2)
-			whole(n, 8, 1, 2)
+		Convey("chunks of a stale leader are rejected, and its earlier ones are dropped", func() {
+			n.appendChunk(7, 3, 0, 2)
+			n.expectsChunk(n.appendChunk(8, 1, 0, 2), 1)
+			So(n.appendChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
+			n.appendChunk(8, 1, 1, 2)
+			holds(n, 8, 1, 2)
 		})
-		Convey("a vote for another leader in between ends the snapshot", func() {
-			n.chunk(7, 3, 0, 2)
+		Convey("a vote for another candidate in between ends the snapshot", func() {
+			n.appendChunk(7, 3, 0, 2)
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
 			So(n.requestVote("y", 8).Granted, ShouldBeTrue)
-			So(n.chunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
+			So(n.appendChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			So(n.core.group("jobs/a").replica.assembly == nil, ShouldBeTrue)
 		})
-		Convey("after a restart the parts begin anew", func() {
-			n.chunk(7, 3, 0, 2)
+		Convey("after a restart the first chunk is asked for", func() {
+			n.appendChunk(7, 3, 0, 2)
 			n.restart()
-			n.expectsChunk(n.chunk(7, 3, 1, 2), 0)
-			n.chunk(7, 3, 0, 2)
-			n.chunk(7, 3, 1, 2)
-			whole(n, 7, 3, 2)
+			n.expectsChunk(n.appendChunk(7, 3, 1, 2), 0)
+			n.appendChunk(7, 3, 0, 2)
+			n.appendChunk(7, 3, 1, 2)
+			holds(n, 7, 3, 2)
 		})
-		Convey("the vote that a first part asks for is durable when it is answered", func() {
-			n.chunk(7, 3, 0, 2)
+		Convey("the term that a first chunk brings is durable when the chunk is answered", func() {
+			n.appendChunk(7, 3, 0, 2)
 			n.restart()
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
 			So(n.requestVote("y", 7).Granted, ShouldBeFalse)
@@ -108,7 +91,7 @@
 		for sequence := range uint64(10) {
 			h.add(newBatch(Position{1, sequence}, Position{1, sequence + 1}, map[string][]byte{fmt.Sprint(sequence): {1}}))
 		}
-		Convey("a replica is led through them by several messages", func() {
+		Convey("a replica gets them in several messages", func() {
 			at, messages := Position{1, 0}, 0
 			for at != (Position{1, 10}) {
 				next, found := h.after(at)
@@ -118,7 +101,7 @@
 			}
 			So(messages, ShouldBeGreaterThan, 1)
 		})
-		Convey("they are kept while a snapshot is on its way, and not after", func() {
+		Convey("they are retained while a snapshot is in transfer, and not after", func() {
 			h.catchingUp = false
 			h.add(newBatch(Position{1, 10}, Position{1, 11}, nil))
 			So(len(h.batches), ShouldEqual, narrow.RetainedBatches)
@@ -152,9 +135,9 @@
 }
 
 func TestCatchingUpUnderABusyLeader(t *testing.T) {
-	// Which batches pass while the snapshot travels differs from seed to seed, so several are played.
+	// Which batches pass during the transfer of the snapshot differs from seed to seed, so several are played.
 	for seed := range uint64(10) {
-		Convey(fmt.Sprintf("A follower whose link is slow gets what came after its snapshot, and no second one: seed %d", seed), t, func() {
+		Convey(fmt.Sprintf("A follower whose link is slow gets the batches after its snapshot, and no second snapshot: seed %d", seed), t, func() {
 			s := quietClusterWith(seed, narrow, "jobs/a")
 			_, follower := withLaggingFollower(s)
 			s.slowLinks = map[string]time.Duration{follower.address: 60 * time.Millisecond}
@@ -168,7 +151,7 @@
 			So(s.traffic.sentSnapshots(follower.address), ShouldEqual, 1)
 		})
 	}
-	Convey("A leader whose disk is slower than its followers still finds a moment for a snapshot", t, func() {
+	Convey("A leader whose disk is slower than its followers' still sends a snapshot", t, func() {
 		s := quietClusterWith(4, narrow, "jobs/a")
 		s.eager = true
 		leader, follower := withLaggingFollower(s)
@@ -236,9 +219,9 @@
 	})
 }
 
-// The leader is gone for good, a member with the newest state does not stand, and one with an old state does.
+// The leader is lost, a member with the newest state does not campaign, and one with an old state does.
 func TestACandidateWithAnOldState(t *testing.T) {
-	Convey("It fetches the newest state in parts before it leads", t, func() {
+	Convey("It fetches the newest state in chunks before it leads", t, func() {
 		for seed := range uint64(10) {
 			s := quietClusterWith(seed, narrow, "jobs/a")
 			leader, old := withLaggingFollower(s)
@@ -252,7 +235,7 @@
 			committed := s.history.committed["jobs/a"]
 			old.start()
 			led := func() bool {
-				newest.core.group("jobs/a").campaignNotBefore = s.now + time.Minute // it never stands
+				newest.core.group("jobs/a").campaignNotBefore = s.now + time.Minute // it never campaigns
 				return s.led()
 			}
 			So(s.until(6*time.Second, led), ShouldBeNil)
@@ -262,7 +245,7 @@
 			So(s.run(time.Second), ShouldBeNil)
 		}
 	})
-	Convey("A state that was fetched takes the place of an older one only", t, func() {
+	Convey("A fetched state replaces an older one only", t, func() {
 		s, n := singleReplica(defects{})
 		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
 		So(s.run(time.Second), ShouldBeNil)
@@ -280,21 +263,21 @@
 		So(fetched(Position{8, 1}), ShouldEqual, 99)
 		So(decodeMeta(n.disk.Table("group-meta/jobs/a")).term, ShouldEqual, 8)
 	})
-	Convey("A member gives its state as of the position that was asked for, and no other", t, func() {
+	Convey("A member serves its state as of the requested position, and no other", t, func() {
 		_, n := singleReplica(defects{})
 		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
-		given := func(position Position, chunk uint32) (answer snapshotReply) {
+		serve := func(position Position, chunk uint32) (answer snapshotReply) {
 			request := snapshotRequest{Group: "jobs/a", View: 1, Position: position, Chunk: chunk}
 			n.step(func() { n.core.serveSnapshot(request, func(reply snapshotReply) { answer = reply }) })
 			return answer
 		}
-		So(given(Position{7, 3}, 0), ShouldResemble, snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
-		So(given(Position{7, 3}, 1).Chunks, ShouldEqual, 0)
-		So(given(Position{7, 2}, 0).Chunks, ShouldEqual, 0)
+		So(serve(Position{7, 3}, 0), ShouldResemble, snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
+		So(serve(Position{7, 3}, 1).Chunks, ShouldEqual, 0)
+		So(serve(Position{7, 2}, 0).Chunks, ShouldEqual, 0)
 		So(n.append(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
-		So(given(Position{7, 3}, 0).Chunks, ShouldEqual, 0)
+		So(serve(Position{7, 3}, 0).Chunks, ShouldEqual, 0)
 	})
-	Convey("One that is given another position's parts, or none, begins again", t, func() {
+	Convey("A candidate that gets no chunks ends the fetch, and backs off", t, func() {
 		s, n := singleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() { g.startFetch("x", Position{5, 9}) })
--- a/internal/controlplane/replication/chunkfaults_test.go
+++ b/internal/controlplane/replication/chunkfaults_test.go
@@ -34,7 +34,7 @@
 	return hugeEntries
 }
 
-// Numbers of parts at which faults strike; the first snapshot is given up in its midst.
+// Numbers of the chunks at which faults strike; the first snapshot is given up in its midst.
 const (
 	lostChunk       = 2  // it does not arrive
 	unansweredChunk = 4  // it arrives, and its answer does not
@@ -46,7 +46,7 @@
 
 var errOnTheWay = errors.New("lost on the way")
 
-// chunkFaults harms the parts of snapshots on their way to one member.
+// chunkFaults injects faults into the chunks of snapshots on their way to one member.
 type chunkFaults struct {
 	target string
 
@@ -57,7 +57,7 @@
 	stopped    uint64                 // that snapshot's term, of which nothing passes any more; 0 before
 	chunks     uint32                 // of the newest snapshot
 	largest    int                    // bytes of entries in one message
-	outOfOrder map[uint32]appendReply // answers to parts that were not in their turn, by the part that was
+	outOfOrder map[uint32]appendReply // answers to chunks out of order, by the chunk that was due
 }
 
 func newChunkFaults(target string) *chunkFaults {
@@ -163,11 +163,11 @@
 	}
 }
 
-// A group's state is larger than one message may be. A replica that was away gets it in parts; half-way its leader dies, and
-// the next leader's parts are lost, doubled, late, early, and mixed with one of the leader before. The state is 12 MB under
+// A group's state is larger than one message may be. A replica that was down gets it in chunks; half-way its leader dies, and
+// the next leader's chunks are lost, duplicated, late, early, and mixed with one of the leader before. The state is 12 MB under
 // the race detector, which would take several times the memory of the whole; the gate plays the whole without it.
 func TestSnapshotLargerThanAMessage(t *testing.T) {
-	Convey("A replica without a state that fits into no message gets it in parts, and counts", t, func() {
+	Convey("A replica without a state that fits into no message gets it in chunks, and counts in a majority", t, func() {
 		stores := make(map[string]*noticed)
 		c := startClusterOn(3, func(address string) storage.Store {
 			if stores[address] == nil {
@@ -192,7 +192,7 @@
 		So(len(stores[away.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, hugeChunk)
 		leader.node.kill()
 		c.awaitHuge(stores[away.address])
-		t.Logf("%d entries of %d KB, %d parts, the largest of %d bytes: caught up after %v",
+		t.Logf("%d entries of %d KB, %d chunks, the largest of %d bytes: caught up after %v",
 			hugeCount(), hugeValue>>10, faults.chunks, faults.largest, time.Since(began).Round(time.Millisecond))
 
 		state := stores[away.address].Table(stateTable("jobs/x"))
--- a/internal/controlplane/replication/chunks_test.go
+++ b/internal/controlplane/replication/chunks_test.go
@@ -15,10 +15,10 @@
 
 // traffic counts what the messages of a simulation carried.
 type traffic struct {
-	chunks  int // of batches and snapshots in several parts
-	fetched int // parts of states that candidates asked for
+	chunks  int // of batches and snapshots in several chunks
+	fetched int // chunks of states that candidates asked for
 	largest int // bytes of entries in one message with more than one
-	// snapshots counts the parts of snapshots that were sent, by receiver
+	// snapshots counts the chunks of snapshots that were sent, by receiver
 	snapshots map[string]map[Position]int
 }
 
@@ -67,7 +67,7 @@
 }
 
 // sentSnapshots counts the snapshots of which a receiver was sent more than one part. One part is sent of a snapshot whose
-// first parts came before the receiver went down: its answer tells that they are gone.
+// first chunks came before the receiver went down: its answer tells that they are gone.
 func (t *traffic) sentSnapshots(receiver string) (count int) {
 	for _, chunks := range t.snapshots[receiver] {
 		if chunks > 1 {
@@ -77,16 +77,16 @@
 	return count
 }
 
-// narrow limits make every state and many batches travel in parts, and lose the batches that a replica lacks soon.
+// narrow limits make every state and many batches need several chunks, and drop the batches that a replica lacks soon.
 var narrow = Limits{ChunkBytes: 300, RetainedBatches: 3, RetainedBytes: 600, CatchUpBytes: 20_000}
 
 // catchUp is how long a replica may take, once all troubles are over, until it is near a busy leader. Up to 2 s of it pass until
-// a call whose answer was lost in the troubles is given up.
+// a call whose answer was lost in a fault is given up.
 const catchUp = 5 * time.Second
 
 var (
-	chunkSchedules = flag.Int("schedules", 0, "schedules of the model test of states in parts; 0 for the usual number")
-	chunkSeed      = flag.Int64("schedule", -1, "the one schedule of the model test of states in parts to run; -1 for all")
+	chunkSchedules = flag.Int("schedules", 0, "schedules of the model test of states in chunks; 0 for the usual number")
+	chunkSeed      = flag.Int64("schedule", -1, "the one schedule of the model test of states in chunks to run; -1 for all")
 )
 
 // chunkScheduleCount is how many schedules there are; fewer under the race detector, which has little to find in them.
@@ -100,7 +100,7 @@
 	return 2000
 }
 
-// catchingUp tells which members are behind the leader of a group by more than a few batches.
+// lagging lists the members that are behind the leader of a group by more than a few batches.
 func (s *simulation) lagging(group string) []string {
 	leader := s.leader(group)
 	if leader == nil {
@@ -117,7 +117,7 @@
 	return behind
 }
 
-// chunksSchedule runs one schedule: faults under a busy leader, with every state in parts and stores that rewrite their
+// chunksSchedule runs one schedule: faults under a busy leader, with every state in chunks and stores that rewrite their
 // file every few writes, and then a time in which all must catch up.
 func chunksSchedule(seed uint64, wrong defects, limits Limits) (traffic, error) {
 	s := newSimulation(seed, 3, wrong, Timing{})
@@ -142,7 +142,7 @@
 		return s.traffic, err
 	}
 	if behind := s.lagging("jobs/a"); len(behind) > 0 {
-		return s.traffic, fmt.Errorf("%v after the end of all troubles: %v", catchUp, behind)
+		return s.traffic, fmt.Errorf("%v after the end of all faults: %v", catchUp, behind)
 	}
 	s.busy = false
 	if err := s.run(3 * time.Second); err != nil {
@@ -192,8 +192,8 @@
 	}
 }
 
-// Replicas that lag behind a busy leader catch up, and candidates with an old state take over the newest, in parts, over
-// links that lose, double and reorder them and from leaders that are not in office any more; stores are rewritten all the
+// Replicas that lag behind a busy leader catch up, and candidates with an old state fetch the newest, in chunks, over links
+// that lose, duplicate and reorder them and from leaders that are not in office any more; stores are rewritten all the
 // time and lose power in the midst of a write.
 func TestStatesInChunks(t *testing.T) {
 	if *chunkSeed >= 0 {
@@ -213,7 +213,7 @@
 				for seed := shard; seed < count; seed += shards {
 					seen, err := chunksSchedule(seed, defects{}, narrow)
 					if err != nil {
-						t.Errorf("schedule %d (go test -run TestStatesInParts -schedule=%d): %v", seed, seed, err)
+						t.Errorf("schedule %d (go test -run TestStatesInChunks -schedule=%d): %v", seed, seed, err)
 					}
 					mutex.Lock()
 					all.chunks += seen.chunks
@@ -223,8 +223,8 @@
 			})
 		}
 	})
-	t.Logf("%d schedules: %d parts sent, %d fetched", count, all.chunks, all.fetched)
-	Convey("The schedules send and fetch states in parts", t, func() {
+	t.Logf("%d schedules: %d chunks sent, %d fetched", count, all.chunks, all.fetched)
+	Convey("The schedules send and fetch states in chunks", t, func() {
 		So(all.chunks, ShouldBeGreaterThan, count)
 		So(all.fetched, ShouldBeGreaterThan, 0)
 	})
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// errDiskFull is how a store refuses a write that it has not done.
+// errDiskFull is how a store rejects a write that it has not done.
 var errDiskFull = rpcerror.WrapNotExecuted(errors.New("no room"), 0)
 
 // diskFault makes one disk, or now and then all, full or stalled for some time.
@@ -30,7 +30,7 @@
 	}
 }
 
-// otherThan returns a member besides a leader that does not lead the second group.
+// otherThan returns a member other than a leader that does not lead the second group.
 func (s *simulation) otherThan(leader *simulatedNode) *simulatedNode {
 	for _, address := range s.view.Members {
 		if n := s.nodes[address]; n != leader && !n.valid("jobs/b") {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// shouldHoldSameState tells whether two members hold the same of a group; the simulation must be idle.
+// shouldHoldSameState expects that two members hold the same state of a group; the simulation must be idle.
 func shouldHoldSameState(one, other *simulatedNode, group string) {
 	So(one.disk.Table(stateTable(group)), ShouldResemble, other.disk.Table(stateTable(group)))
 	So(decodeMeta(one.disk.Table(metaTable(group))).position, ShouldResemble, decodeMeta(other.disk.Table(metaTable(group))).position)
@@ -87,7 +87,7 @@
 }
 
 func TestALeaderWhoseDiskIsFullResigns(t *testing.T) {
-	Convey("A leader whose disk refuses a write tells the others, so that they need not wait for its lease", t, func() {
+	Convey("A leader whose disk rejects a write resigns, so that the others need not wait for its lease", t, func() {
 		for seed := range seeds(25) {
 			s := quietCluster(seed, 3)
 			old := s.leader("jobs/a")
@@ -142,118 +142,74 @@
 	})
 }
 
-// requester is a replica to which the test speaks as a candidate and as a leader. Nothing else runs.
-type requester struct {
-	*simulation
-	node *simulatedNode
-}
-
-func newRequester() requester {
-	s := newSimulation(1, 3, defects{}, Timing{})
-	n := s.nodes[s.view.Members[0]]
-	n.start()
-	So(s.run(10*time.Millisecond), ShouldBeNil)
-	return requester{s, n}
-}
-
-// requestVote asks for a vote; without an answer within 100 ms it returns nil.
-func (a requester) vote(term uint64) *voteReply {
-	var answer *voteReply
-	request := voteRequest{Group: "jobs/a", Term: term, Candidate: "x", View: 1}
-	a.node.step(func() { a.node.core.requestVote(request, func(reply voteReply) { answer = &reply }) })
-	So(a.run(100*time.Millisecond), ShouldBeNil)
-	return answer
-}
-
-// batch sends the first batch of a term of the group "jobs/a"; without an answer within 100 ms it returns nil.
-func (a requester) batch(term uint64) *appendReply { return a.batchOf("jobs/a", term) }
-
-func (a requester) batchOf(group string, term uint64) *appendReply {
-	var answer *appendReply
-	request := appendRequest{Group: group, Term: term, Leader: "x", View: 1, Position: Position{term, 1}, Entries: []Entry{{"key", []byte("value")}}}
-	a.node.step(func() { a.node.core.append(request, func(reply appendReply) { answer = &reply }) })
-	So(a.run(100*time.Millisecond), ShouldBeNil)
-	return answer
-}
-
-func (a requester) heartbeat(term uint64) *appendReply { return a.heartbeatOf("jobs/a", term) }
-
-func (a requester) heartbeatOf(group string, term uint64) *appendReply {
-	var answer *appendReply
-	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, term}}}
-	a.node.step(func() { a.node.core.ping(request, func(reply pingReply) { answer = &reply.Heartbeats[0] }) })
-	So(a.run(100*time.Millisecond), ShouldBeNil)
-	return answer
-}
-
 func TestReplicaWhoseDiskRefusesWrites(t *testing.T) {
 	Convey("Given a replica whose disk is full", t, func() {
-		a := newRequester()
-		a.fullDisks[a.node.address] = true
-		Convey("it gives no vote, says so at once, and votes again some time after there is room", func() {
-			So(a.vote(7).Granted, ShouldBeFalse)
-			So(a.node.disk, ShouldBeEmpty)
-			delete(a.fullDisks, a.node.address)
-			So(a.vote(8).Granted, ShouldBeFalse)
-			So(a.run(rejectionBackoff), ShouldBeNil)
-			So(a.vote(9).Granted, ShouldBeTrue)
-			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 9)
+		s, n := singleReplica(defects{})
+		s.fullDisks[n.address] = true
+		Convey("it denies a vote at once, and votes again a backoff after there is space", func() {
+			So(n.requestVote("x", 7).Granted, ShouldBeFalse)
+			So(n.disk, ShouldBeEmpty)
+			delete(s.fullDisks, n.address)
+			So(n.requestVote("x", 8).Granted, ShouldBeFalse)
+			So(s.run(rejectionBackoff), ShouldBeNil)
+			So(n.requestVote("x", 9).Granted, ShouldBeTrue)
+			So(decodeMeta(n.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 9)
 		})
-		Convey("it follows no term below one that it was asked to promise", func() {
-			So(a.vote(7).Granted, ShouldBeFalse)
-			delete(a.fullDisks, a.node.address)
-			So(a.run(rejectionBackoff), ShouldBeNil)
-			So(a.batch(6).Outcome, ShouldEqual, staleTerm)
+		Convey("it follows no term below one that it was asked to vote in", func() {
+			So(n.requestVote("x", 7).Granted, ShouldBeFalse)
+			delete(s.fullDisks, n.address)
+			So(s.run(rejectionBackoff), ShouldBeNil)
+			So(n.appendFirst("jobs/a", 6).Outcome, ShouldEqual, staleTerm)
 		})
-		Convey("it takes no batch, says so at once, and takes it again some time after there is room", func() {
-			So(a.batch(7).Outcome, ShouldEqual, unavailable)
-			So(a.node.disk, ShouldBeEmpty)
-			delete(a.fullDisks, a.node.address)
-			So(a.heartbeat(7).Outcome, ShouldEqual, unavailable)
-			So(a.run(rejectionBackoff), ShouldBeNil)
-			again := a.batch(7)
+		Convey("it rejects a batch at once, and accepts it a backoff after there is space", func() {
+			So(n.appendFirst("jobs/a", 7).Outcome, ShouldEqual, unavailable)
+			So(n.disk, ShouldBeEmpty)
+			delete(s.fullDisks, n.address)
+			So(n.sendHeartbeat("jobs/a", 7).Outcome, ShouldEqual, unavailable)
+			So(s.run(rejectionBackoff), ShouldBeNil)
+			again := n.appendFirst("jobs/a", 7)
 			So(again.Outcome, ShouldEqual, accepted)
 			So(again.Position, ShouldResemble, Position{7, 1})
-			So(a.node.disk.Table(stateTable("jobs/a")), ShouldResemble, map[string][]byte{"key": []byte("value")})
-			So(a.heartbeat(7).Outcome, ShouldEqual, accepted)
+			So(n.disk.Table(stateTable("jobs/a")), ShouldResemble, map[string][]byte{"key": []byte("value")})
+			So(n.sendHeartbeat("jobs/a", 7).Outcome, ShouldEqual, accepted)
 		})
-		Convey("it takes the promise of a new leader to the disk before it answers a heartbeat", func() {
-			So(a.heartbeat(7).Outcome, ShouldEqual, unavailable)
-			delete(a.fullDisks, a.node.address)
-			So(a.run(rejectionBackoff), ShouldBeNil)
-			So(a.heartbeat(7).Outcome, ShouldEqual, accepted)
-			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 7)
+		Convey("it stores a new leader's term before it answers a heartbeat", func() {
+			So(n.sendHeartbeat("jobs/a", 7).Outcome, ShouldEqual, unavailable)
+			delete(s.fullDisks, n.address)
+			So(s.run(rejectionBackoff), ShouldBeNil)
+			So(n.sendHeartbeat("jobs/a", 7).Outcome, ShouldEqual, accepted)
+			So(decodeMeta(n.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 7)
 		})
 		Convey("it votes no more once the store has failed for good", func() {
-			a.node.core.fail(errors.New("broken"))
-			delete(a.fullDisks, a.node.address)
-			So(a.run(2*rejectionBackoff), ShouldBeNil)
-			So(a.vote(9).Granted, ShouldBeFalse)
+			n.core.fail(errors.New("broken"))
+			delete(s.fullDisks, n.address)
+			So(s.run(2*rejectionBackoff), ShouldBeNil)
+			So(n.requestVote("x", 9).Granted, ShouldBeFalse)
 		})
 	})
 }
 
 func TestReplicaWhoseDiskIsStalled(t *testing.T) {
 	Convey("Given a replica that follows a leader and whose disk stalls", t, func() {
-		a := newRequester()
-		So(a.batch(7).Outcome, ShouldEqual, accepted)
-		So(a.batchOf("jobs/b", 7).Outcome, ShouldEqual, accepted)
-		a.stalls[a.node.address] = a.now + 5*time.Second
-		So(a.vote(8) == nil, ShouldBeTrue)
-		Convey("it answers heartbeats of the other group, and those of this one that its promise supersedes", func() {
-			So(a.heartbeatOf("jobs/b", 7).Outcome, ShouldEqual, accepted)
-			So(a.heartbeat(7).Outcome, ShouldEqual, staleTerm)
+		s, n := singleReplica(defects{})
+		So(n.appendFirst("jobs/a", 7).Outcome, ShouldEqual, accepted)
+		So(n.appendFirst("jobs/b", 7).Outcome, ShouldEqual, accepted)
+		s.stalls[n.address] = s.now + 5*time.Second
+		So(n.requestVote("x", 8) == nil, ShouldBeTrue)
+		Convey("it answers heartbeats of the other group, and those of a stale term of this one", func() {
+			So(n.sendHeartbeat("jobs/b", 7).Outcome, ShouldEqual, accepted)
+			So(n.sendHeartbeat("jobs/a", 7).Outcome, ShouldEqual, staleTerm)
 		})
-		Convey("it refuses at once what would have to wait, when the write has hung for long enough", func() {
-			So(a.run(stallLimit), ShouldBeNil)
-			So(a.batch(8).Outcome, ShouldEqual, unavailable)
-			So(a.vote(9).Granted, ShouldBeFalse)
-			So(a.heartbeat(8).Outcome, ShouldEqual, unavailable)
+		Convey("it rejects at once what would have to wait, when the write has hung for stallLimit", func() {
+			So(s.run(stallLimit), ShouldBeNil)
+			So(n.appendFirst("jobs/a", 8).Outcome, ShouldEqual, unavailable)
+			So(n.requestVote("x", 9).Granted, ShouldBeFalse)
+			So(n.sendHeartbeat("jobs/a", 8).Outcome, ShouldEqual, unavailable)
 		})
 		Convey("it goes on when the stall is over", func() {
-			So(a.run(5*time.Second), ShouldBeNil)
-			So(decodeMeta(a.node.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 8)
-			So(a.heartbeat(8).Outcome, ShouldEqual, accepted)
+			So(s.run(5*time.Second), ShouldBeNil)
+			So(decodeMeta(n.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 8)
+			So(n.sendHeartbeat("jobs/a", 8).Outcome, ShouldEqual, accepted)
 		})
 	})
 }
--- a/internal/controlplane/replication/exploration_test.go
+++ b/internal/controlplane/replication/exploration_test.go
@@ -16,16 +16,16 @@
 type explorationStart struct {
 	name   string
 	limits Limits
-	lags   bool // the third member has missed a batch and gets a snapshot, in parts
+	lags   bool // the third member has missed a batch and gets a snapshot, in chunks
 	left   budget
 	depth  int // that takes some seconds
 }
 
-var beginnings = []explorationStart{
+var explorationStarts = []explorationStart{
 	{"batches under way, one restart", DefaultLimits, false, budget{crashes: 1, leaseExpiries: 1, campaigns: 1}, 10},
 	{"batches under way, nothing fails", DefaultLimits, false, budget{leaseExpiries: 1, campaigns: 1}, 11},
 	{"batches under way, one restart and one loss", DefaultLimits, false, budget{drops: 1, crashes: 1, leaseExpiries: 1, campaigns: 1}, 7},
-	{"a snapshot in parts under way, one restart", Limits{ChunkBytes: 70, RetainedBatches: 1}, true,
+	{"a snapshot in chunks under way, one restart", Limits{ChunkBytes: 70, RetainedBatches: 1}, true,
 		budget{drops: 1, crashes: 1, leaseExpiries: 1, campaigns: 1}, 7},
 }
 
@@ -166,7 +166,7 @@
 // actions in a row: nothing committed is missing where a later leader begins, and all that are at one position hold the
 // same state.
 func TestEveryInterleaving(t *testing.T) {
-	for _, begin := range beginnings {
+	for _, begin := range explorationStarts {
 		t.Run(begin.name, func(t *testing.T) {
 			e := &exploration{begin: begin}
 			depth := exploreTo(begin.depth)
@@ -191,8 +191,8 @@
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
-			e := &exploration{begin: beginnings[one.begin], wrong: one.wrong}
-			e.run(beginnings[one.begin].depth)
+			e := &exploration{begin: explorationStarts[one.begin], wrong: one.wrong}
+			e.run(explorationStarts[one.begin].depth)
 			if e.err == nil {
 				t.Errorf("%d states and nothing found", len(e.visited))
 			}
--- a/internal/controlplane/replication/lease_test.go
+++ b/internal/controlplane/replication/lease_test.go
@@ -10,7 +10,7 @@
 // A proposal without entries confirms what its proposer has read. It is called back at once where no batch is under way, so
 // the lease alone shows that no other leader has written in the meantime.
 func TestNothingIsConfirmedAfterTheLease(t *testing.T) {
-	Convey("Given a leader that has just been elected and is cut off", t, func() {
+	Convey("Given a leader that has just been elected and is partitioned from all others", t, func() {
 		s := newSimulation(3, 3, defects{}, Timing{})
 		s.busy = false
 		s.start()
@@ -19,12 +19,10 @@
 		leader := s.leader(group)
 		So(leader, ShouldNotBeNil)
 		term := leader.terms[group]
-		for _, other := range s.view.Members {
-			s.partitions[link{leader.address, other}], s.partitions[link{other, leader.address}] = true, true
-		}
+		s.isolate(leader)
 		So(s.until(time.Second, func() bool { return !term.Valid() }), ShouldBeNil)
 
-		Convey("it confirms nothing in the time between the end of its lease and that of its term", func() {
+		Convey("it confirms nothing between the end of its lease and that of its term", func() {
 			So(term.over(), ShouldBeFalse)
 			confirmed := false
 			term.Propose(nil, func() { confirmed = true })
@@ -32,7 +30,7 @@
 			So(term.over(), ShouldBeTrue)
 			So(confirmed, ShouldBeFalse)
 		})
-		Convey("it confirms once a majority has answered again", func() {
+		Convey("it confirms once a majority answers again", func() {
 			confirmed := false
 			term.Propose(nil, func() { confirmed = true })
 			clear(s.partitions)
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -277,7 +277,7 @@
 }
 
 func TestNewNodeChecksItsConfiguration(t *testing.T) {
-	Convey("A node without its parts, or with leases that do not fit, is refused", t, func() {
+	Convey("NewNode rejects a configuration with a missing field, and a leader lease that outlasts those of followers", t, func() {
 		_, err := NewNode(Config{})
 		So(err, ShouldNotBeNil)
 		_, err = NewNode(Config{Timing: Timing{LeaderLease: 2 * time.Second}})
--- a/internal/controlplane/replication/randomfaults_test.go
+++ b/internal/controlplane/replication/randomfaults_test.go
@@ -147,7 +147,7 @@
 		return err
 	}
 	if !s.led() || s.history.commits == before {
-		return fmt.Errorf("no leaders or no progress after the end of all troubles")
+		return fmt.Errorf("no leaders or no progress after the end of all faults")
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 // faultSpan is long enough for a dozen faults.
 const faultSpan = 20 * time.Second
 
-// seeds is how many storms of a kind there are. Nothing is concurrent in them, so few do under the race detector.
+// seeds is how many schedules of a kind there are. Nothing is concurrent in them, so few do under the race detector.
 func seeds(usual int) uint64 {
 	if *randomFaultSeeds > 0 {
 		return uint64(*randomFaultSeeds)
@@ -178,7 +178,7 @@
 	}{
 		{"three members", 3, false, false}, {"five members", 5, false, false},
 		{"three members, exchanged", 3, true, false}, {"five members, exchanged", 5, true, false},
-		{"three members, disks in trouble", 3, false, true}, {"five members, exchanged, disks in trouble", 5, true, true},
+		{"three members, disk faults", 3, false, true}, {"five members, exchanged, disk faults", 5, true, true},
 	}
 	for _, kind := range kinds {
 		t.Run(kind.name, func(t *testing.T) {
--- /dev/null
+++ b/internal/controlplane/replication/scriptedpeer_test.go
@@ -0,0 +1,95 @@
+package replication
+
+import (
+	"fmt"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+// answerWait is how long a scripted peer waits for an answer; all disks and links of the simulation are faster unless a
+// test slows them.
+const answerWait = 50 * time.Millisecond
+
+// singleReplica is a simulation of which one member runs, and that member. The test is its scripted peer: it speaks to the
+// replica as the candidates and leaders of its groups.
+func singleReplica(wrong defects) (*simulation, *simulatedNode) {
+	s := newSimulation(1, 3, wrong, Timing{})
+	n := s.nodes[s.view.Members[0]]
+	n.start()
+	So(s.run(time.Millisecond), ShouldBeNil)
+	return s, n
+}
+
+// answerOf runs a step that asks a replica for something. It returns the answer, or nil where none came within answerWait.
+func answerOf[Reply any](n *simulatedNode, step func(reply func(Reply))) *Reply {
+	var answer *Reply
+	n.step(func() { step(func(reply Reply) { answer = &reply }) })
+	So(n.simulation.run(answerWait), ShouldBeNil)
+	return answer
+}
+
+// requestVote asks for a vote in the group "jobs/a".
+func (n *simulatedNode) requestVote(candidate string, term uint64) *voteReply {
+	request := voteRequest{Group: "jobs/a", Term: term, Candidate: candidate, View: 1}
+	return answerOf(n, func(reply func(voteReply)) { n.core.requestVote(request, reply) })
+}
+
+// sendAppend sends a request as the leader "x" of its group and term.
+func (n *simulatedNode) sendAppend(request appendRequest) *appendReply {
+	request.Leader, request.View = "x", 1
+	return answerOf(n, func(reply func(appendReply)) {
+		n.corruptAppend(request)
+		n.core.append(request, reply)
+	})
+}
+
+// append sends a batch or a snapshot of term 7 in the group "jobs/a". A batch without a previous index is the first one.
+func (n *simulatedNode) append(snapshot bool, previous, index uint64, value byte) *appendReply {
+	request := appendRequest{
+		Group: "jobs/a", Term: 7, Snapshot: snapshot, Position: Position{7, index}, Entries: []Entry{{"key", []byte{value}}},
+	}
+	if previous > 0 {
+		request.Previous = Position{7, previous}
+	}
+	return n.sendAppend(request)
+}
+
+// appendFirst sends the first batch of a term.
+func (n *simulatedNode) appendFirst(group string, term uint64) *appendReply {
+	return n.sendAppend(appendRequest{
+		Group: group, Term: term, Position: Position{term, 1}, Entries: []Entry{{"key", []byte("value")}},
+	})
+}
+
+// appendChunk sends one chunk of a snapshot of the group "jobs/a", with the entry "key N".
+func (n *simulatedNode) appendChunk(term, index uint64, number, chunks uint32) *appendReply {
+	return n.sendAppend(appendRequest{
+		Group: "jobs/a", Term: term, Snapshot: true, Position: Position{term, index}, Chunk: number, Chunks: chunks,
+		Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(term), byte(index)}}},
+	})
+}
+
+// expectsChunk verifies that a replica without a state answered that it lacks a chunk.
+func (n *simulatedNode) expectsChunk(answer *appendReply, number uint32) {
+	So(answer.Outcome, ShouldEqual, incomplete)
+	So(answer.NextChunk, ShouldEqual, number)
+	So(n.disk.Table("group/jobs/a"), ShouldBeEmpty)
+}
+
+// sendHeartbeat sends the heartbeat of the leader of a group's term.
+func (n *simulatedNode) sendHeartbeat(group string, term uint64) *appendReply {
+	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, term}}}
+	answer := answerOf(n, func(reply func(pingReply)) { n.core.ping(request, reply) })
+	if answer == nil {
+		return nil
+	}
+	return &answer.Heartbeats[0]
+}
+
+// restart kills the machine's process and starts it again at once.
+func (n *simulatedNode) restart() {
+	n.kill(false)
+	n.start()
+	So(n.simulation.run(time.Millisecond), ShouldBeNil)
+}
--- a/internal/controlplane/replication/simulation_test.go
+++ b/internal/controlplane/replication/simulation_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// The simulation runs several cores on a virtual clock, with a network and disks that fail as told.
+// The simulation runs several cores on a virtual clock, with a network and disks that fail as the test schedules.
 
 var (
 	errTimeout = errors.New("no answer in time")
@@ -42,7 +42,7 @@
 
 type link struct{ from, to string }
 
-// faults that make the protocol wrong; a run with one of them must be caught.
+// defects make the protocol wrong; a run with one of them must fail.
 type defects struct {
 	forgetPromises  bool // promises do not reach the disk
 	forgeAnswers    bool // followers that cannot be reached seem to have synced
@@ -71,7 +71,7 @@
 	duplicates float64
 	slowDisks  map[string]time.Duration
 	slowLinks  map[string]time.Duration // added to what is sent to a member
-	fullDisks  map[string]bool          // disks that refuse writes
+	fullDisks  map[string]bool          // disks that reject writes
 	stalls     map[string]time.Duration // disks that finish no write until then
 	history    *checker
 	busy       bool // terms propose all the time
@@ -219,9 +219,9 @@
 }
 
 func (d disk) clone() map[string]map[string][]byte {
-	whole := make(map[string]map[string][]byte, len(d))
+	tables := make(map[string]map[string][]byte, len(d))
 	for name := range d {
-		whole[name] = d.Table(name)
+		tables[name] = d.Table(name)
 	}
-	return whole
+	return tables
 }
