--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -153,7 +153,7 @@
 	}
 	Convey("A leader whose disk is slower than its followers' still sends a snapshot", t, func() {
 		s := quietClusterWith(4, narrow, "jobs/a")
-		s.eager = true
+		s.proposeOften = true
 		leader, follower := withLaggingFollower(s)
 		s.slowDisks[leader.address] = 300 * time.Millisecond
 		So(s.run(time.Second), ShouldBeNil)
@@ -171,7 +171,7 @@
 		whole.ChunkBytes = 4000
 		s := quietClusterWith(4, whole, groups...)
 		_, follower := withLaggingFollower(s)
-		s.busy = false
+		s.proposing = false
 		follower.start()
 		behind := func() (count int) {
 			for _, group := range groups {
@@ -220,7 +220,7 @@
 }
 
 // The leader is lost, a member with the newest state does not campaign, and one with an old state does.
-func TestACandidateWithAnOldState(t *testing.T) {
+func TestCandidateFetchesTheNewestState(t *testing.T) {
 	Convey("It fetches the newest state in chunks before it leads", t, func() {
 		for seed := range uint64(10) {
 			s := quietClusterWith(seed, narrow, "jobs/a")
@@ -287,7 +287,7 @@
 	})
 }
 
-func TestAVoteWithoutItsState(t *testing.T) {
+func TestAVoteWithoutItsStateDoesNotElect(t *testing.T) {
 	Convey("A candidate does not lead with a position whose state it does not have", t, func() {
 		s, n := singleReplica(defects{})
 		g := n.core.group("jobs/a")
--- a/internal/controlplane/replication/checker_test.go
+++ b/internal/controlplane/replication/checker_test.go
@@ -31,12 +31,12 @@
 
 // recordedTerm is a term as its handler saw it.
 type recordedTerm struct {
-	term      *Term
-	owner     *simulatedNode
-	base      map[string][]byte
-	proposals [][]Entry
-	committed uint64
-	deposed   bool
+	term        *Term
+	owner       *simulatedNode
+	base        map[string][]byte
+	proposals   [][]Entry
+	commitIndex uint64
+	deposed     bool
 }
 
 // after is the state after so many of the term's proposals.
@@ -106,8 +106,8 @@
 		c.failf("%s: term %d begins on a state of term %d", group, number, base.term)
 	}
 	for other, record := range c.terms[group] {
-		if other < number && record.committed > 0 && base.before(version{other, record.committed}) {
-			c.failf("%s: term %d begins at %v without what term %d had committed, %d", group, number, base, other, record.committed)
+		if other < number && record.commitIndex > 0 && base.before(version{other, record.commitIndex}) {
+			c.failf("%s: term %d begins at %v without what term %d had committed, %d", group, number, base, other, record.commitIndex)
 		}
 	}
 	c.checkState(group, number, base, state)
@@ -140,10 +140,10 @@
 	if record.deposed || record.term.over() {
 		c.failf("%s: a callback came after term %d had ended", group, term)
 	}
-	if index != record.committed+1 {
-		c.failf("%s: term %d committed %d after %d", group, term, index, record.committed)
+	if index != record.commitIndex+1 {
+		c.failf("%s: term %d committed %d after %d", group, term, index, record.commitIndex)
 	}
-	record.committed = index
+	record.commitIndex = index
 	for other, later := range c.terms[group] {
 		base := decodeVersion(later.base[versionKey])
 		if other > term && base.before(version{term, index}) {
@@ -174,7 +174,7 @@
 	if record.term.over() {
 		return
 	}
-	if s.busy {
+	if s.proposing {
 		index := uint64(len(record.proposals) + 1)
 		entries := []Entry{{versionKey, version{record.term.Number(), index}.encode()}}
 		for range s.random.IntN(4) {
@@ -184,14 +184,14 @@
 		record.term.Propose(entries, func() { s.history.commit(record, index) })
 		if s.random.IntN(5) == 0 {
 			record.term.Propose(nil, func() {
-				if record.committed < index {
+				if record.commitIndex < index {
 					s.history.failf("%s: an empty proposal did not wait", record.term.Group())
 				}
 			})
 		}
 	}
 	pause := 60 * time.Millisecond
-	if s.eager {
+	if s.proposeOften {
 		pause = 2 * time.Millisecond
 	}
 	n.later(s.between(time.Millisecond, pause), func() { n.propose(record) })
--- a/internal/controlplane/replication/chunks_test.go
+++ b/internal/controlplane/replication/chunks_test.go
@@ -144,7 +144,7 @@
 	if behind := s.lagging("jobs/a"); len(behind) > 0 {
 		return s.traffic, fmt.Errorf("%v after the end of all faults: %v", catchUp, behind)
 	}
-	s.busy = false
+	s.proposing = false
 	if err := s.run(3 * time.Second); err != nil {
 		return s.traffic, err
 	}
--- a/internal/controlplane/replication/defects_test.go
+++ b/internal/controlplane/replication/defects_test.go
@@ -17,9 +17,9 @@
 		timing    Timing
 		exchanges bool // of members
 	}{
-		{"a minority commits", defects{forgeAnswers: true}, Timing{}, false},
+		{"a minority commits", defects{forgeAcknowledgements: true}, Timing{}, false},
 		{"the leader's lease outlasts its followers'", defects{}, Timing{LeaderLease: 3 * time.Second}, false},
-		{"batches are accepted on any state", defects{acceptsMismatch: true}, Timing{}, false},
+		{"batches are accepted on any state", defects{acceptMismatch: true}, Timing{}, false},
 		{"a lost disk votes without a rebuild", defects{noRebuild: true}, Timing{}, false},
 		{"answers of an old view count", defects{ignoreViews: true}, Timing{}, true},
 	}
@@ -27,7 +27,7 @@
 		t.Run(one.name, func(t *testing.T) {
 			for seed := range uint64(maxSchedules) {
 				s := newSimulation(seed, 3, one.wrong, one.timing)
-				s.exchanges = one.exchanges
+				s.replacements = one.exchanges
 				if err := s.randomFaults(faultSpan); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -48,7 +48,7 @@
 
 // shouldCatchUp expects that a member holds what the leader does once nothing is proposed any more.
 func (s *simulation) shouldCatchUp(n *simulatedNode) {
-	s.busy = false
+	s.proposing = false
 	So(s.run(3*time.Second), ShouldBeNil)
 	So(s.led(), ShouldBeTrue)
 	shouldHoldSameState(n, s.leader("jobs/a"), "jobs/a")
--- a/internal/controlplane/replication/endpoints_test.go
+++ b/internal/controlplane/replication/endpoints_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-func TestWhichCallsRunOnce(t *testing.T) {
+func TestResignationIsSentAtMostOnce(t *testing.T) {
 	Convey("A resignation runs once: a late copy would make a process that is back count as gone", t, func() {
 		var route transport.Route = resignCall.Route()
 		_, once := route.(transport.AtMostOnceRoute)
--- a/internal/controlplane/replication/exploration_test.go
+++ b/internal/controlplane/replication/exploration_test.go
@@ -14,11 +14,11 @@
 
 // explorationStart is a state from which a world is explored.
 type explorationStart struct {
-	name   string
-	limits Limits
-	lags   bool // the third member has missed a batch and gets a snapshot, in chunks
-	left   budget
-	depth  int // that takes some seconds
+	name               string
+	limits             Limits
+	snapshotInTransfer bool // the third member has missed a batch and gets a snapshot, in chunks
+	budget             budget
+	depth              int // that takes some seconds
 }
 
 var explorationStarts = []explorationStart{
@@ -31,7 +31,7 @@
 
 // prepared is a world with the member "a" as leader and its second batch proposed.
 func (b explorationStart) prepared(wrong explorerDefects) *exploredCluster {
-	w := newExplored(b.limits, explorerDefects{})
+	w := newExploredCluster(b.limits, explorerDefects{})
 	a := w.members[0]
 	a.event(startCampaign, 0, a.campaign)
 	w.completeAppends(-1)
@@ -41,19 +41,19 @@
 	propose := func(key string) {
 		a.event(startCampaign, 1, func() { leading.propose([]Entry{{key, []byte{1}}, {versionKey, []byte(key)}}, nil) })
 	}
-	if b.lags {
+	if b.snapshotInTransfer {
 		for _, key := range []string{"k1", "k2", "k3"} {
 			propose(key)
 			w.completeAppends(2)
 		}
-		w.flights = nil
+		w.inFlight = nil
 		third := leading.followers["c"]
 		third.sending, third.transfer, third.known = false, nil, true
 		third.position = w.members[2].core.group(exploredGroup).replica.position
 	}
 	propose("x")
 	propose("y")
-	w.left, w.wrong = b.left, wrong
+	w.remaining, w.defects = b.budget, wrong
 	return w
 }
 
@@ -67,7 +67,7 @@
 				moved = true
 			}
 		}
-		for i, next := range w.flights {
+		for i, next := range w.inFlight {
 			if next.to != without {
 				w.do(action{deliver, uint8(i)})
 				moved = true
@@ -91,8 +91,8 @@
 
 // exploration goes through all states up to a depth, nearest first.
 type exploration struct {
-	begin   explorationStart
-	wrong   explorerDefects
+	start   explorationStart
+	defects explorerDefects
 	mutex   sync.Mutex
 	visited map[uint64]struct{}
 	next    []path
@@ -102,7 +102,7 @@
 
 // run returns the way to the first fault; nil where there is none.
 func (e *exploration) run(depth int) {
-	start := e.begin.prepared(e.wrong)
+	start := e.start.prepared(e.defects)
 	e.visited = map[uint64]struct{}{start.histories().hash(): {}}
 	frontier := []path{nil}
 	for level := 0; level <= depth && e.err == nil && len(frontier) > 0; level++ {
@@ -131,7 +131,7 @@
 
 // expand judges a state, and notes all that one more action leads to.
 func (e *exploration) expand(way path, further bool) {
-	w := e.begin.replay(way, e.wrong)
+	w := e.start.replay(way, e.defects)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if w.err != nil && e.err == nil {
@@ -168,7 +168,7 @@
 func TestEveryInterleaving(t *testing.T) {
 	for _, begin := range explorationStarts {
 		t.Run(begin.name, func(t *testing.T) {
-			e := &exploration{begin: begin}
+			e := &exploration{start: begin}
 			depth := exploreTo(begin.depth)
 			e.run(depth)
 			t.Logf("%d states to a depth of %d", len(e.visited), depth)
@@ -191,7 +191,7 @@
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
-			e := &exploration{begin: explorationStarts[one.begin], wrong: one.wrong}
+			e := &exploration{start: explorationStarts[one.begin], defects: one.wrong}
 			e.run(explorationStarts[one.begin].depth)
 			if e.err == nil {
 				t.Errorf("%d states and nothing found", len(e.visited))
--- a/internal/controlplane/replication/exploredcluster_test.go
+++ b/internal/controlplane/replication/exploredcluster_test.go
@@ -58,25 +58,25 @@
 }
 
 type exploredMember struct {
-	world   *exploredCluster
-	index   int
-	address string
-	life    int
-	disk    disk
-	core    *core
-	hash    uint64
-	calls   uint64
-	writes  []storeWrite // under way
-	tasks   []func()
+	cluster     *exploredCluster
+	index       int
+	address     string
+	incarnation int
+	disk        disk
+	core        *core
+	hash        uint64
+	calls       uint64
+	writes      []storeWrite // under way
+	offloaded   []func()
 }
 
 type exploredCluster struct {
-	clock   time.Duration
-	members [3]*exploredMember
-	flights []inFlightMessage
-	left    budget
-	wrong   explorerDefects
-	view    replicaset.View
+	clock     time.Duration
+	members   [3]*exploredMember
+	inFlight  []inFlightMessage
+	remaining budget
+	defects   explorerDefects
+	view      replicaset.View
 
 	committed map[uint64]uint64   // newest sequence by term
 	bases     map[uint64]Position // adopted by term
@@ -87,13 +87,13 @@
 // Now implements Clock.
 func (w *exploredCluster) Now() time.Duration { return w.clock }
 
-func newExplored(limits Limits, wrong explorerDefects) *exploredCluster {
+func newExploredCluster(limits Limits, wrong explorerDefects) *exploredCluster {
 	w := &exploredCluster{
-		clock: time.Hour, wrong: wrong, view: replicaset.View{Version: 1, Members: []string{"a", "b", "c"}},
+		clock: time.Hour, defects: wrong, view: replicaset.View{Version: 1, Members: []string{"a", "b", "c"}},
 		committed: make(map[uint64]uint64), bases: make(map[uint64]Position), states: make(map[Position]uint64),
 	}
 	for i, address := range w.view.Members {
-		w.members[i] = &exploredMember{world: w, index: i, address: address, disk: make(disk)}
+		w.members[i] = &exploredMember{cluster: w, index: i, address: address, disk: make(disk)}
 		w.members[i].start(limits)
 	}
 	return w
@@ -102,15 +102,15 @@
 // start begins a process on what the disk holds. Rounds have no limit in time here: how late an answer may count matters
 // only for lost disks.
 func (m *exploredMember) start(limits Limits) {
-	m.life++
+	m.incarnation++
 	m.core = newCore(Config{
-		Self: m.address, Handler: m, Log: zap.NewNop(), Clock: m.world, Limits: limits,
+		Self: m.address, Handler: m, Log: zap.NewNop(), Clock: m.cluster, Limits: limits,
 		Timing: Timing{ReplyTimeout: 24 * time.Hour, ChunkTimeout: 24 * time.Hour}.withDefaults(),
 	}, random.PCG(1))
 	m.core.store = m.disk
 	m.core.runStep = m.step
-	m.core.spawn = func(task func()) { m.tasks = append(m.tasks, task) }
-	m.core.observe(m.world.clock, m.world.view, true)
+	m.core.spawn = func(task func()) { m.offloaded = append(m.offloaded, task) }
+	m.core.observe(m.cluster.clock, m.cluster.view, true)
 	m.core.group(exploredGroup).ensured = true
 }
 
@@ -152,11 +152,11 @@
 		}
 		return next
 	case deliver, drop:
-		message := w.flights[one.at]
+		message := w.inFlight[one.at]
 		member, what = message.from, message.id
 		if one.kind == deliver && message.reply == nil {
 			member = message.to
-		} else if w.members[member].life != message.incarnation {
+		} else if w.members[member].incarnation != message.incarnation {
 			return next
 		}
 	}
@@ -171,7 +171,7 @@
 }
 
 func (m *exploredMember) step(step func()) {
-	m.core.observe(m.world.clock, m.world.view, true)
+	m.core.observe(m.cluster.clock, m.cluster.view, true)
 	step()
 	effects := m.core.takeEffects()
 	for _, one := range effects.writes {
@@ -180,20 +180,20 @@
 	for _, one := range effects.calls {
 		m.calls++
 		id := mix(m.hash, m.calls)
-		m.world.flights = append(m.world.flights, inFlightMessage{id: id, from: m.index, to: m.world.indexOf(one.address), incarnation: m.life, call: one})
+		m.cluster.inFlight = append(m.cluster.inFlight, inFlightMessage{id: id, from: m.index, to: m.cluster.indexOf(one.address), incarnation: m.incarnation, call: one})
 	}
-	for len(m.tasks) > 0 {
-		task := m.tasks[0]
-		m.tasks = m.tasks[1:]
+	for len(m.offloaded) > 0 {
+		task := m.offloaded[0]
+		m.offloaded = m.offloaded[1:]
 		task()
 	}
-	m.world.check(m)
+	m.cluster.check(m)
 }
 
 func (w *exploredCluster) indexOf(address string) int { return slices.Index(w.view.Members, address) }
 
 func (m *exploredMember) write(one storeWrite) {
-	if m.world.wrong.answersEarly && m.index != 0 {
+	if m.cluster.defects.answersEarly && m.index != 0 {
 		m.writes = append(m.writes, storeWrite{changes: one.changes, done: func(error) {}})
 		m.step(func() { one.done(nil) })
 		return
@@ -204,9 +204,9 @@
 // actions lists what can happen next.
 func (w *exploredCluster) actions() []action {
 	var all []action
-	for i := range w.flights {
+	for i := range w.inFlight {
 		all = append(all, action{deliver, uint8(i)})
-		if w.left.drops > 0 {
+		if w.remaining.drops > 0 {
 			all = append(all, action{drop, uint8(i)})
 		}
 	}
@@ -214,20 +214,20 @@
 		if len(m.writes) > 0 {
 			all = append(all, action{syncDisk, uint8(i)})
 		}
-		if w.left.crashes > 0 {
+		if w.remaining.crashes > 0 {
 			all = append(all, action{crash, uint8(i)})
 			if len(m.writes) > 0 {
 				all = append(all, action{crashAfterSync, uint8(i)})
 			}
 		}
 	}
-	if w.left.leaseExpiries > 0 {
+	if w.remaining.leaseExpiries > 0 {
 		all = append(all, action{expireLeases, 0})
 	}
-	if w.left.campaigns > 0 && w.left.leaseExpiries == 0 && w.members[1].idle() {
+	if w.remaining.campaigns > 0 && w.remaining.leaseExpiries == 0 && w.members[1].idle() {
 		all = append(all, action{startCampaign, 1})
 	}
-	if w.left.heartbeats > 0 && w.members[0].core.group(exploredGroup).leading != nil {
+	if w.remaining.heartbeats > 0 && w.members[0].core.group(exploredGroup).leading != nil {
 		all = append(all, action{sendHeartbeats, 0})
 	}
 	return all
@@ -243,10 +243,10 @@
 	m := w.members[one.at%3]
 	switch one.kind {
 	case deliver, drop:
-		next := w.flights[one.at]
-		w.flights = slices.Delete(w.flights, int(one.at), int(one.at)+1)
+		next := w.inFlight[one.at]
+		w.inFlight = slices.Delete(w.inFlight, int(one.at), int(one.at)+1)
 		if one.kind == drop {
-			w.left.drops--
+			w.remaining.drops--
 			w.answer(next, func() { next.call.done(errLost) }, drop)
 			return
 		}
@@ -258,19 +258,19 @@
 	case syncDisk:
 		w.syncOne(m)
 	case crash, crashAfterSync:
-		w.left.crashes--
+		w.remaining.crashes--
 		w.restart(m, one.kind)
 	case expireLeases:
-		w.left.leaseExpiries--
+		w.remaining.leaseExpiries--
 		w.clock += 2 * DefaultTiming.FollowerLease
 		for _, m := range w.members {
 			m.hash = historyWith(m.hash, expireLeases, 0)
 		}
 	case startCampaign:
-		w.left.campaigns--
+		w.remaining.campaigns--
 		m.event(startCampaign, 0, func() { m.campaign() })
 	case sendHeartbeats:
-		w.left.heartbeats--
+		w.remaining.heartbeats--
 		m.event(sendHeartbeats, 0, m.core.pingAll)
 	}
 }
@@ -283,7 +283,7 @@
 }
 
 func (w *exploredCluster) answer(next inFlightMessage, step func(), kind actionKind) {
-	if m := w.members[next.from]; m.life == next.incarnation {
+	if m := w.members[next.from]; m.incarnation == next.incarnation {
 		m.event(kind, next.id, step)
 	}
 }
@@ -302,8 +302,8 @@
 	if kind == crashAfterSync {
 		m.disk.apply(m.writes[0].changes, false)
 	}
-	m.writes, m.tasks = nil, nil
-	w.flights = slices.DeleteFunc(w.flights, func(f inFlightMessage) bool { return f.from == m.index && f.reply != nil })
+	m.writes, m.offloaded = nil, nil
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(f inFlightMessage) bool { return f.from == m.index && f.reply != nil })
 	m.start(m.core.limits)
 	m.event(kind, 0, func() { w.checkState(m) })
 }
@@ -319,12 +319,12 @@
 			fill()
 			next.call.done(nil)
 		}
-		w.flights = append(w.flights, answered)
+		w.inFlight = append(w.inFlight, answered)
 	}
 	switch request := next.call.request.(type) {
 	case voteRequest:
 		m.core.requestVote(request, func(answer voteReply) {
-			if w.wrong.hidesNewer {
+			if w.defects.hidesNewer {
 				answer.Position, answer.State = request.Position, nil
 			}
 			reply(func() { *next.call.reply.(*voteReply) = answer })
--- a/internal/controlplane/replication/failover_test.go
+++ b/internal/controlplane/replication/failover_test.go
@@ -153,7 +153,7 @@
 			So(s.run(2*time.Second), ShouldBeNil)
 			other.start()
 			So(s.run(5*time.Second), ShouldBeNil)
-			s.busy = false
+			s.proposing = false
 			So(s.run(2*time.Second), ShouldBeNil)
 			So(other.disk.Table("group/jobs/a"), ShouldResemble, leader.disk.Table("group/jobs/a"))
 			So(decodeMeta(other.disk.Table("group-meta/jobs/a")), ShouldResemble, decodeMeta(leader.disk.Table("group-meta/jobs/a")))
@@ -184,10 +184,10 @@
 	})
 }
 
-func TestOldAnswersCommitNothing(t *testing.T) {
+func TestLateAcknowledgementsCommitNothing(t *testing.T) {
 	Convey("Given a leader whose newest batch only one follower has answered", t, func() {
 		s := quietCluster(5, 3)
-		s.busy = false
+		s.proposing = false
 		So(s.run(time.Second), ShouldBeNil)
 		l := s.leader("jobs/a").core.group("jobs/a").leading
 		So(l.commitIndex, ShouldEqual, l.lastPosition.Index)
--- a/internal/controlplane/replication/largestate_test.go
+++ b/internal/controlplane/replication/largestate_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// keepBusy proposes a small change every few milliseconds to whoever leads, until it is told to stop. It returns the number
+// proposeSteadily proposes a small change every few milliseconds to whoever leads, until it is told to stop. It returns the number
 // of the newest one that was committed.
-func (c *cluster) keepBusy(term *Term, stop <-chan struct{}) (committed *atomic.Uint64) {
+func (c *cluster) proposeSteadily(term *Term, stop <-chan struct{}) (committed *atomic.Uint64) {
 	committed = new(atomic.Uint64)
 	number := uint64(0)
 	go func() {
@@ -80,16 +80,16 @@
 	return committed
 }
 
-// watched is a store that tells of its writes. It keeps the newest small change, as a look into the table copies all of it,
+// observedStore is a store that tells of its writes. It keeps the newest small change, as a look into the table copies all of it,
 // which takes longer than the catching up where the processor is busy.
-type watched struct {
+type observedStore struct {
 	*storage.FileStore
 	written chan struct{} // holds a token after a write
 	busy    atomic.Uint64 // number of the newest small change written; 0 before the first
 }
 
 // Write implements storage.Store.
-func (w *watched) Write(changes ...storage.Change) error {
+func (w *observedStore) Write(changes ...storage.Change) error {
 	err := w.FileStore.Write(changes...)
 	for _, change := range changes {
 		if err == nil && change.Key == "busy" && len(change.Value) == 8 {
@@ -107,13 +107,13 @@
 func TestRestartWithALargeState(t *testing.T) {
 	Convey("Given a group of many entries on real files", t, func() {
 		directory := t.TempDir()
-		stores := make(map[string]*watched)
+		stores := make(map[string]*observedStore)
 		opened := make(map[string]time.Duration)
 		open := func(address string) storage.Store {
 			began := time.Now()
 			store, _, err := storage.Open(storage.OperatingSystem{}, filepath.Join(directory, address), storage.Options{})
 			So(err, ShouldBeNil)
-			stores[address] = &watched{FileStore: store, written: make(chan struct{}, 1)}
+			stores[address] = &observedStore{FileStore: store, written: make(chan struct{}, 1)}
 			opened[address] = time.Since(began)
 			return stores[address]
 		}
@@ -136,7 +136,7 @@
 		leader = c.proposeAll(leader, entryCount()/4, 2)
 		stop := make(chan struct{})
 		defer close(stop)
-		committed := c.keepBusy(leader.term, stop)
+		committed := c.proposeSteadily(leader.term, stop)
 
 		listener, err := net.Listen("tcp", away.address)
 		So(err, ShouldBeNil)
--- a/internal/controlplane/replication/leaderbalance_test.go
+++ b/internal/controlplane/replication/leaderbalance_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestGroupsAreSpread(t *testing.T) {
+func TestLeadersAreBalanced(t *testing.T) {
 	Convey("At the first start each group gets a leader of its own, as far as members go", t, func() {
 		for seed := range seeds(20) {
 			s := newSimulation(seed, 3, defects{}, Timing{})
--- a/internal/controlplane/replication/lease_test.go
+++ b/internal/controlplane/replication/lease_test.go
@@ -9,10 +9,10 @@
 
 // A proposal without entries confirms what its proposer has read. It is called back at once where no batch is under way, so
 // the lease alone shows that no other leader has written in the meantime.
-func TestNothingIsConfirmedAfterTheLease(t *testing.T) {
+func TestNothingIsCommittedAfterTheLease(t *testing.T) {
 	Convey("Given a leader that has just been elected and is partitioned from all others", t, func() {
 		s := newSimulation(3, 3, defects{}, Timing{})
-		s.busy = false
+		s.proposing = false
 		s.start()
 		group := s.groups[0]
 		So(s.until(10*time.Second, func() bool { return s.leader(group) != nil }), ShouldBeNil)
--- a/internal/controlplane/replication/randomfaults_test.go
+++ b/internal/controlplane/replication/randomfaults_test.go
@@ -13,12 +13,12 @@
 
 // fault brings one random fault and ends it some time later.
 func (s *simulation) fault() {
-	if s.badDisks && s.random.IntN(4) == 0 {
+	if s.diskFaults && s.random.IntN(4) == 0 {
 		s.diskFault()
 		return
 	}
 	kinds := 10
-	if s.exchanges {
+	if s.replacements {
 		kinds++
 	}
 	switch s.random.IntN(kinds) {
@@ -185,7 +185,7 @@
 			commits, elections := 0, 0
 			for seed := range seeds(25) {
 				s := newSimulation(seed, kind.members, defects{}, Timing{})
-				s.exchanges, s.badDisks = kind.exchanges, kind.badDisks
+				s.replacements, s.diskFaults = kind.exchanges, kind.badDisks
 				if err := s.randomFaults(faultSpan); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
--- a/internal/controlplane/replication/restart_test.go
+++ b/internal/controlplane/replication/restart_test.go
@@ -16,7 +16,7 @@
 			return !n.requestVote("y", 7).Granted && n.requestVote("y", 8).Granted
 		}
 		So(keeps(defects{}), ShouldBeTrue)
-		So(keeps(defects{forgetPromises: true}), ShouldBeFalse)
+		So(keeps(defects{forgetTerms: true}), ShouldBeFalse)
 	})
 	Convey("After a restart no vote is given to another until a lease from before it has expired", t, func() {
 		keeps := func(wrong defects) bool {
@@ -29,7 +29,7 @@
 			return !early
 		}
 		So(keeps(defects{}), ShouldBeTrue)
-		So(keeps(defects{forgetLeases: true}), ShouldBeFalse)
+		So(keeps(defects{forgetLeasesOnRestart: true}), ShouldBeFalse)
 	})
 	Convey("No vote is given to another before the lease has expired", t, func() {
 		s, n := singleReplica(defects{})
--- a/internal/controlplane/replication/simulateddisk_test.go
+++ b/internal/controlplane/replication/simulateddisk_test.go
@@ -8,31 +8,31 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
 )
 
-// rewriteAbove makes the stores of a simulation rewrite their file every few writes.
-const rewriteAbove = 1 << 10
+// compactAbove makes the stores of a simulation rewrite their file every few writes.
+const compactAbove = 1 << 10
 
 // files is a simulated node's real store on a disk that can lose power.
-type files struct {
+type simulatedStore struct {
 	disk  *storagetest.Disk
 	store *storage.FileStore
 }
 
-func newFiles(disk *storagetest.Disk) *files {
-	store, _, err := storage.Open(disk, "data", storage.Options{CompactAbove: rewriteAbove})
+func newSimulatedStore(disk *storagetest.Disk) *simulatedStore {
+	store, _, err := storage.Open(disk, "data", storage.Options{CompactAbove: compactAbove})
 	if err != nil {
 		panic(err)
 	}
-	return &files{disk, store}
+	return &simulatedStore{disk, store}
 }
 
-func (f *files) write(changes []storage.Change) {
+func (f *simulatedStore) write(changes []storage.Change) {
 	if err := f.store.Write(changes...); err != nil {
 		panic(err)
 	}
 }
 
 // losePower cuts the power during a write, or between two writes where changes is nil, and opens what is left.
-func (f *files) losePower(changes []storage.Change, random *rand.Rand) *files {
+func (f *simulatedStore) losePower(changes []storage.Change, random *rand.Rand) *simulatedStore {
 	if changes != nil {
 		f.write(nil) // returns after the rewriting that earlier writes have led to, so that a schedule replays
 		f.disk.LosePowerAt(f.disk.Operations()+1+random.IntN(2), random.IntN(2) == 0)
@@ -40,14 +40,14 @@
 	}
 	f.disk.LosePower()
 	f.store.Close()
-	return newFiles(f.disk.Restore(random))
+	return newSimulatedStore(f.disk.Restore(random))
 }
 
-// put makes changes durable on a node.
-func (n *simulatedNode) put(changes []storage.Change) {
-	n.disk.apply(changes, n.simulation.defects.forgetPromises)
-	if n.files != nil {
-		n.files.write(changes)
+// makeDurable makes changes durable on a node.
+func (n *simulatedNode) makeDurable(changes []storage.Change) {
+	n.disk.apply(changes, n.simulation.defects.forgetTerms)
+	if n.realStore != nil {
+		n.realStore.write(changes)
 	}
 }
 
@@ -65,12 +65,12 @@
 			break
 		}
 		if random.IntN(2) == 0 {
-			n.put(one.changes)
+			n.makeDurable(one.changes)
 		}
 	}
-	n.files = n.files.losePower(torn, random)
+	n.realStore = n.realStore.losePower(torn, random)
 	before := n.disk.clone()
-	found := disk(n.files.store.Snapshot())
+	found := disk(n.realStore.store.Snapshot())
 	if n.disk.apply(torn, false); !reflect.DeepEqual(found.clone(), before) && !reflect.DeepEqual(found.clone(), n.disk.clone()) {
 		n.simulation.history.failf("%s: after a loss of power the store holds neither what was synced nor the write under way", n.address)
 	}
--- a/internal/controlplane/replication/simulatednode_test.go
+++ b/internal/controlplane/replication/simulatednode_test.go
@@ -23,7 +23,7 @@
 	address     string
 	view        replicaset.View // known here
 	disk        disk
-	files       *files // holds the same as disk, where the simulation has real stores
+	realStore   *simulatedStore // holds the same as disk, where the simulation has real stores
 	core        *core
 	terms       map[string]*Term // by group, as the handler knows them
 	pending     []*pendingWrite
@@ -47,15 +47,15 @@
 	}, random.PCG(s.random.Uint64()))
 	n.core.store = n.disk
 	if s.realStores {
-		if n.files == nil {
-			n.files = newFiles(storagetest.NewDisk())
+		if n.realStore == nil {
+			n.realStore = newSimulatedStore(storagetest.NewDisk())
 		}
-		n.core.store = n.files.store
+		n.core.store = n.realStore.store
 	}
 	n.core.runStep = n.step
 	n.core.spawn = func(run func()) { n.later(s.between(0, time.Millisecond), run) }
 	n.core.restore()
-	if s.defects.forgetLeases {
+	if s.defects.forgetLeasesOnRestart {
 		n.later(0, func() {
 			for _, g := range n.core.groups {
 				g.replica.noVoteBefore = 0
@@ -94,7 +94,7 @@
 			n.later(100*time.Millisecond, n.rebuild)
 			return
 		}
-		n.put(replaceTables(MergeTables(copies)))
+		n.makeDurable(replaceTables(MergeTables(copies)))
 		n.lost, n.ready = false, true
 		n.step(func() {})
 	})
@@ -119,21 +119,21 @@
 
 // kill ends the process. Writes under way have reached the disk or not.
 func (n *simulatedNode) kill(loseDisk bool) {
-	if n.files != nil && n.up {
+	if n.realStore != nil && n.up {
 		n.losePower()
 		n.pending = nil
 	}
 	for _, one := range n.pending {
 		if !one.applied && n.simulation.random.IntN(2) == 0 {
-			n.disk.apply(one.changes, n.simulation.defects.forgetPromises)
+			n.disk.apply(one.changes, n.simulation.defects.forgetTerms)
 		}
 	}
 	n.up, n.ready, n.frozenUntil = false, false, 0
 	if loseDisk {
 		n.disk, n.lost = make(disk), true
-		if n.files != nil {
-			n.files.store.Close()
-			n.files = newFiles(storagetest.NewDisk())
+		if n.realStore != nil {
+			n.realStore.store.Close()
+			n.realStore = newSimulatedStore(storagetest.NewDisk())
 		}
 	}
 }
@@ -181,7 +181,7 @@
 			n.step(func() { one.done(errDiskFull) })
 			return
 		}
-		n.put(one.changes)
+		n.makeDurable(one.changes)
 		n.step(func() { one.done(nil) })
 	})
 }
@@ -211,7 +211,7 @@
 	s.traffic.sent(one.address, one.request)
 	body := encode(one.request)
 	if s.drops(n.address, one.address) {
-		n.forge(one, finish)
+		n.forgeAcknowledgement(one, finish)
 		return
 	}
 	arrive := func() {
@@ -232,10 +232,10 @@
 	}
 }
 
-// forge answers a lost append as if it had been synced, when the defect is on.
-func (n *simulatedNode) forge(one rpc, finish func(error)) {
+// forgeAcknowledgement answers a lost append as if it had been synced, when the defect is on.
+func (n *simulatedNode) forgeAcknowledgement(one rpc, finish func(error)) {
 	request, isAppend := one.request.(appendRequest)
-	if !isAppend || !n.simulation.defects.forgeAnswers {
+	if !isAppend || !n.simulation.defects.forgeAcknowledgements {
 		return
 	}
 	n.later(time.Millisecond, func() {
@@ -310,7 +310,7 @@
 	if n.simulation.defects.acceptStale && request.Snapshot {
 		r.position = Position{}
 	}
-	if n.simulation.defects.acceptsMismatch && !request.Snapshot {
+	if n.simulation.defects.acceptMismatch && !request.Snapshot {
 		r.position = request.Previous
 	}
 }
--- a/internal/controlplane/replication/simulation_test.go
+++ b/internal/controlplane/replication/simulation_test.go
@@ -44,43 +44,43 @@
 
 // defects make the protocol wrong; a run with one of them must fail.
 type defects struct {
-	forgetPromises  bool // promises do not reach the disk
-	forgeAnswers    bool // followers that cannot be reached seem to have synced
-	acceptStale     bool // replicas take any snapshot of the leader that they follow
-	noRebuild       bool // a lost disk is not rebuilt before the replica votes
-	forgetLeases    bool // after a restart replicas vote at once
-	acceptsMismatch bool // replicas take a batch whatever state they have
-	ignoreViews     bool // replicas take part in rounds of views older than theirs
+	forgetTerms           bool // promises do not reach the disk
+	forgeAcknowledgements bool // followers that cannot be reached seem to have synced
+	acceptStale           bool // replicas take any snapshot of the leader that they follow
+	noRebuild             bool // a lost disk is not rebuilt before the replica votes
+	forgetLeasesOnRestart bool // after a restart replicas vote at once
+	acceptMismatch        bool // replicas take a batch whatever state they have
+	ignoreViews           bool // replicas take part in rounds of views older than theirs
 }
 
 type simulation struct {
-	random   *rand.Rand
-	now      time.Duration
-	events   events
-	numbered int
-	nodes    map[string]*simulatedNode
-	view     replicaset.View // the newest
-	machines []string        // addresses of all that ever were members
-	timing   Timing
-	limits   Limits
-	defects  defects
-	groups   []string
-
-	partitions map[link]bool
-	loss       float64
-	duplicates float64
-	slowDisks  map[string]time.Duration
-	slowLinks  map[string]time.Duration // added to what is sent to a member
-	fullDisks  map[string]bool          // disks that reject writes
-	stalls     map[string]time.Duration // disks that finish no write until then
-	history    *checker
-	busy       bool // terms propose all the time
-	eager      bool // terms propose each few milliseconds
-	exchanges  bool // members are exchanged for new machines
-	badDisks   bool // disks are full or stalled for a while
-	healed     bool // no more faults begin
-	realStores bool // nodes keep their tables in files on disks that lose power
-	traffic    traffic
+	random     *rand.Rand
+	now        time.Duration
+	events     events
+	eventCount int
+	nodes      map[string]*simulatedNode
+	view       replicaset.View // the newest
+	machines   []string        // addresses of all that ever were members
+	timing     Timing
+	limits     Limits
+	defects    defects
+	groups     []string
+
+	partitions   map[link]bool
+	loss         float64
+	duplicates   float64
+	slowDisks    map[string]time.Duration
+	slowLinks    map[string]time.Duration // added to what is sent to a member
+	fullDisks    map[string]bool          // disks that reject writes
+	stalls       map[string]time.Duration // disks that finish no write until then
+	history      *checker
+	proposing    bool // terms propose all the time
+	proposeOften bool // terms propose each few milliseconds
+	replacements bool // members are exchanged for new machines
+	diskFaults   bool // disks are full or stalled for a while
+	healed       bool // no more faults begin
+	realStores   bool // nodes keep their tables in files on disks that lose power
+	traffic      traffic
 }
 
 // Now implements Clock.
@@ -90,7 +90,7 @@
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[string]*simulatedNode),
 		timing: timing.withDefaults(), defects: wrong, groups: []string{"jobs/a", "jobs/b"},
-		partitions: make(map[link]bool), slowDisks: make(map[string]time.Duration), busy: true,
+		partitions: make(map[link]bool), slowDisks: make(map[string]time.Duration), proposing: true,
 		fullDisks: make(map[string]bool), stalls: make(map[string]time.Duration),
 	}
 	s.now = time.Hour
@@ -108,8 +108,8 @@
 // close ends the real stores.
 func (s *simulation) close() {
 	for _, n := range s.nodes {
-		if n.files != nil {
-			n.files.store.Close()
+		if n.realStore != nil {
+			n.realStore.store.Close()
 		}
 	}
 }
@@ -122,8 +122,8 @@
 }
 
 func (s *simulation) at(delay time.Duration, run func()) {
-	s.numbered++
-	heap.Push(&s.events, event{s.now + delay, s.numbered, run})
+	s.eventCount++
+	heap.Push(&s.events, event{s.now + delay, s.eventCount, run})
 }
 
 // run advances the virtual time until something is found wrong.
@@ -188,9 +188,9 @@
 // disk is what has been synced, by table and key.
 type disk map[string]map[string][]byte
 
-func (d disk) apply(changes []storage.Change, skipPromises bool) {
+func (d disk) apply(changes []storage.Change, skipTerms bool) {
 	for _, change := range changes {
-		if skipPromises && change.Key == termKey {
+		if skipTerms && change.Key == termKey {
 			continue
 		}
 		if change.Value == nil && change.Key == "" {
--- a/internal/controlplane/storage/contract_test.go
+++ b/internal/controlplane/storage/contract_test.go
@@ -22,33 +22,33 @@
 	return store, opened
 }
 
-func TestMemoryKeepsTheContract(t *testing.T) {
+func TestMemoryContract(t *testing.T) {
 	storagetest.RunStoreContract(t, func(*testing.T) storage.SnapshotStore { return storage.NewMemory() })
 }
 
-func TestFileStoreKeepsTheContract(t *testing.T) {
+func TestFileStoreContract(t *testing.T) {
 	storagetest.RunStoreContract(t, func(t *testing.T) storage.SnapshotStore {
 		store, _ := mustOpen(t, storagetest.NewDisk(), directory, storage.Options{})
 		return store
 	})
 }
 
-func TestFileStoreKeepsTheContractWhileItIsRewrittenAllTheTime(t *testing.T) {
+func TestFileStoreContractDuringCompaction(t *testing.T) {
 	storagetest.RunStoreContract(t, func(t *testing.T) storage.SnapshotStore {
 		store, _ := mustOpen(t, storagetest.NewDisk(), directory, storage.Options{CompactAbove: 1})
 		return store
 	})
 }
 
-func TestFileStoreKeepsTheContractOnTheOperatingSystem(t *testing.T) {
+func TestFileStoreContractOnTheOperatingSystem(t *testing.T) {
 	storagetest.RunStoreContract(t, func(t *testing.T) storage.SnapshotStore {
 		store, _ := mustOpen(t, storage.OperatingSystem{}, t.TempDir(), storage.Options{})
 		return store
 	})
 }
 
-func TestFileStoreOnTheOperatingSystemIsThereAgain(t *testing.T) {
-	convey.Convey("A store in a folder that has to be made", t, func() {
+func TestFileStoreReopensOnTheOperatingSystem(t *testing.T) {
+	convey.Convey("A store in a directory that has to be made", t, func() {
 		folder := t.TempDir() + "/a/b"
 		store, opened := mustOpen(t, storage.OperatingSystem{}, folder, storage.Options{CompactAbove: 64})
 		convey.So(opened.Empty, convey.ShouldBeTrue)
@@ -58,15 +58,15 @@
 		convey.So(store.Close(), convey.ShouldBeNil)
 
 		convey.Convey("has what was written when it is opened again", func() {
-			again, opened := mustOpen(t, storage.OperatingSystem{}, folder, storage.Options{})
+			reopened, opened := mustOpen(t, storage.OperatingSystem{}, folder, storage.Options{})
 			convey.So(opened, convey.ShouldResemble, storage.OpenResult{})
-			convey.So(again.Snapshot(), convey.ShouldResemble, storage.Tables{"a": {"k": []byte("4")}})
+			convey.So(reopened.Snapshot(), convey.ShouldResemble, storage.Tables{"a": {"k": []byte("4")}})
 		})
 	})
 }
 
-func TestMemoryFailsWhenTold(t *testing.T) {
-	convey.Convey("A memory store that was made to fail takes no writes and stays readable", t, func() {
+func TestMemoryReturnsTheInjectedFailure(t *testing.T) {
+	convey.Convey("A memory store with an injected failure rejects writes and stays readable", t, func() {
 		store := storage.NewMemory()
 		broken := errors.New("broken")
 		convey.So(store.Write(storage.Change{Table: "a", Key: "k", Value: []byte("1")}), convey.ShouldBeNil)
--- a/internal/controlplane/storage/filestore_test.go
+++ b/internal/controlplane/storage/filestore_test.go
@@ -63,9 +63,9 @@
 	})
 }
 
-func TestTheFileStaysShort(t *testing.T) {
+func TestCompactionBoundsTheFile(t *testing.T) {
 	const limit = 4 << 10
-	convey.Convey("A store that writes the same keys again and again is rewritten", t, func() {
+	convey.Convey("A store that writes the same keys over and over is compacted", t, func() {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: limit})
 		longest := 0
@@ -77,7 +77,7 @@
 		convey.So(longest, convey.ShouldBeBetween, limit/2, limit+300)
 		convey.So(store.Table("a"), convey.ShouldHaveLength, 10)
 	})
-	convey.Convey("Much live data is not rewritten before the file is three times as long", t, func() {
+	convey.Convey("The file is not compacted before it is three times as long as the live data", t, func() {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: 1})
 		convey.So(store.Write(storage.Change{Table: "a", Key: "large", Value: make([]byte, limit)}), convey.ShouldBeNil)
@@ -87,7 +87,7 @@
 		}
 		convey.So(disk.Operations()-before, convey.ShouldEqual, 2*(limit/100))
 	})
-	convey.Convey("The file and its next version stay within the limit", t, func() {
+	convey.Convey("The old and the new file of a compaction stay within the size limit", t, func() {
 		disk := storagetest.NewDisk()
 		disk.SetCapacity(3 * limit)
 		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: 1, SizeLimit: 3*limit - 500})
@@ -98,16 +98,16 @@
 	})
 }
 
-func TestAClosedStoreTakesNoWrites(t *testing.T) {
-	convey.Convey("A closed store refuses writes, and keeps what it took", t, func() {
+func TestClosedStoreRejectsWrites(t *testing.T) {
+	convey.Convey("A closed store rejects writes, and keeps the earlier ones", t, func() {
 		disk := storagetest.NewDisk()
 		store, opened := mustOpen(t, disk, directory, storage.Options{})
 		convey.So(opened.Empty, convey.ShouldBeTrue)
 		convey.So(store.Write(script(0)...), convey.ShouldBeNil)
 		convey.So(store.Close(), convey.ShouldBeNil)
 		convey.So(errors.Is(store.Write(script(1)...), storage.ErrClosed), convey.ShouldBeTrue)
-		again, opened := mustOpen(t, disk, directory, storage.Options{})
+		reopened, opened := mustOpen(t, disk, directory, storage.Options{})
 		convey.So(opened.Empty, convey.ShouldBeFalse)
-		checkContent(t, again, 1)
+		checkContent(t, reopened, 1)
 	})
 }
--- a/internal/controlplane/storage/fulldisk_test.go
+++ b/internal/controlplane/storage/fulldisk_test.go
@@ -14,76 +14,77 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// refusedWrite is a write that no reader may ever see.
-var refusedWrite = storage.Change{Table: "last", Key: "refused", Value: make([]byte, 40)}
+// rejectedChange is a write that no reader may ever see.
+var rejectedChange = storage.Change{Table: "last", Key: "refused", Value: make([]byte, 40)}
 
-// rooms are what a disk has left when it gets full: nothing, or a part of a record.
-var rooms = []int{0, 1, 12, 13, 14, 40, 67}
+// freeSpaces are the bytes that a disk has left when it gets full: none, or a part of a record.
+var freeSpaces = []int{0, 1, 12, 13, 14, 40, 67}
 
-func checkRefused(t *testing.T, err error) {
+func shouldBeRejected(t *testing.T, err error) {
 	t.Helper()
 	if !errors.Is(err, storage.ErrWriteRejected) || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted || !storage.IsFull(err) {
 		t.Fatalf("the write of a full disk failed with %v", err)
 	}
 }
 
-// writeAll makes the writes of a script in between.
-func writeAll(t *testing.T, store *storage.FileStore, from, to int) {
+// writeScript makes the writes of a script in between.
+func writeScript(t *testing.T, store *storage.FileStore, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
 		if err := store.Write(script(i)...); err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
 	}
-	synctest.Wait() // the writer may rewrite the file after it has answered
+	synctest.Wait() // the writer may compact the file after it has answered
 }
 
-// exactly fails unless the store holds so many writes of the script and nothing else.
-func exactly(t *testing.T, store *storage.FileStore, writes int) {
+// shouldHoldExactly fails unless the store holds so many writes of the script and nothing else.
+func shouldHoldExactly(t *testing.T, store *storage.FileStore, writes int) {
 	t.Helper()
 	if content := store.Snapshot(); !reflect.DeepEqual(content, contentAfter(writes)) {
 		t.Fatalf("after %d writes the store holds %v", writes, content)
 	}
 }
 
-// refuseTwice makes two writes on a disk with so much room: the disk refuses one, and the other comes during the pause.
-func refuseTwice(t *testing.T, disk *storagetest.Disk, store *storage.FileStore, room int) {
+// shouldRejectTwice makes two writes on a disk with so much free space: the disk rejects one, and the other comes during the
+// backoff.
+func shouldRejectTwice(t *testing.T, disk *storagetest.Disk, store *storage.FileStore, room int) {
 	t.Helper()
 	disk.SetFreeSpace(room)
-	checkRefused(t, store.Write(refusedWrite))
+	shouldBeRejected(t, store.Write(rejectedChange))
 	before := disk.Operations()
-	checkRefused(t, store.Write(refusedWrite))
+	shouldBeRejected(t, store.Write(rejectedChange))
 	if disk.Operations() != before {
-		t.Fatal("a write was tried during the pause")
+		t.Fatal("a write was tried during the backoff")
 	}
 }
 
-// The disk is full at each write in turn, for a while, and then there is room again. The file is rewritten meanwhile.
-func TestAStoreOutlastsAFullDisk(t *testing.T) {
-	for _, options := range []storage.Options{{}, smallFile} {
-		for _, room := range rooms {
+// The disk is full at each write in turn, for a while, and then there is space again. The file is compacted meanwhile.
+func TestStoreRecoversFromAFullDisk(t *testing.T) {
+	for _, options := range []storage.Options{{}, compactOften} {
+		for _, room := range freeSpaces {
 			for at := range scriptLength {
 				virtualtime.Test(t, func(t *testing.T) {
 					disk := storagetest.NewDisk()
 					store, _ := mustOpen(t, disk, directory, options)
-					writeAll(t, store, 0, at)
-					refuseTwice(t, disk, store, room)
-					exactly(t, store, at)
+					writeScript(t, store, 0, at)
+					shouldRejectTwice(t, disk, store, room)
+					shouldHoldExactly(t, store, at)
 					time.Sleep(storage.RejectionBackoff)
-					refuseTwice(t, disk, store, room)
+					shouldRejectTwice(t, disk, store, room)
 					disk.SetCapacity(0)
 					time.Sleep(storage.RejectionBackoff)
-					writeAll(t, store, at, scriptLength)
-					exactly(t, store, scriptLength)
+					writeScript(t, store, at, scriptLength)
+					shouldHoldExactly(t, store, scriptLength)
 					if isClosed(store.Failed()) {
 						t.Fatal("the store has failed")
 					}
 					store.Close()
 					again, opened := mustOpen(t, disk, directory, options)
 					if opened.TruncatedBytes > 0 {
-						t.Fatalf("%d bytes were left of a refused write", opened.TruncatedBytes)
+						t.Fatalf("%d bytes were left of a rejected write", opened.TruncatedBytes)
 					}
-					exactly(t, again, scriptLength)
+					shouldHoldExactly(t, again, scriptLength)
 					again.Close()
 				})
 			}
@@ -91,31 +92,31 @@
 	}
 }
 
-// Power fails, or the process is killed, while the disk is full or soon after. What was refused does not come back.
-func TestRefusedWritesDoNotComeBack(t *testing.T) {
-	for _, room := range rooms {
+// Power fails, or the process is killed, while the disk is full or soon after. Rejected writes do not reappear.
+func TestRejectedWritesDoNotReappear(t *testing.T) {
+	for _, room := range freeSpaces {
 		for at := range scriptLength {
 			for operation := range 10 {
 				seed := uint64(operation*1000 + at)
 				virtualtime.Test(t, func(t *testing.T) {
-					endAfterRefusal(t, room, at, operation, seed)
+					endAfterRejection(t, room, at, operation, seed)
 				})
 			}
 		}
 	}
 }
 
-// endAfterRefusal runs a script with a refused write at one place, until power fails at a later operation; if that is 0
+// endAfterRejection runs a script with a rejected write at one place, until power fails at a later operation; if that is 0
 // the process is killed while the disk is full, which it stays for the next process.
-func endAfterRefusal(t *testing.T, room, at, operation int, seed uint64) {
+func endAfterRejection(t *testing.T, room, at, operation int, seed uint64) {
 	disk := storagetest.NewDisk()
-	store, _ := mustOpen(t, disk, directory, smallFile)
-	writeAll(t, store, 0, at)
+	store, _ := mustOpen(t, disk, directory, compactOften)
+	writeScript(t, store, 0, at)
 	if operation > 0 {
 		disk.LosePowerAt(operation, seed%2 == 0)
 	}
 	disk.SetFreeSpace(room)
-	err := store.Write(refusedWrite)
+	err := store.Write(rejectedChange)
 	unclear := !errors.Is(err, storage.ErrWriteRejected) // as power failed within the write
 	acknowledged := at
 	if operation > 0 {
@@ -130,20 +131,20 @@
 		disk = disk.Kill()
 		disk.SetFreeSpace(0)
 	}
-	again, _ := mustOpen(t, disk, directory, smallFile)
-	defer again.Close()
-	if _, found := again.Table("last")["refused"]; found {
+	reopened, _ := mustOpen(t, disk, directory, compactOften)
+	defer reopened.Close()
+	if _, found := reopened.Table("last")["refused"]; found {
 		if !unclear {
-			t.Fatalf("room %d, write %d, operation %d: the refused write is there", room, at, operation)
+			t.Fatalf("room %d, write %d, operation %d: the rejected write is there", room, at, operation)
 		}
 		disk.SetCapacity(0)
-		again.Write(storage.Change{Table: "last", Key: "refused"})
+		reopened.Write(storage.Change{Table: "last", Key: "refused"})
 	}
-	checkContent(t, again, acknowledged)
+	checkContent(t, reopened, acknowledged)
 }
 
-// A rewriting for which there is no room is put off, and leaves the room to the writes.
-func TestRewritingWaitsForRoom(t *testing.T) {
+// A compaction for which there is no space is put off, and leaves the space to the writes.
+func TestCompactionBacksOffOnAFullDisk(t *testing.T) {
 	const value, writes = 500, 40
 	virtualtime.Test(t, func(t *testing.T) {
 		disk := storagetest.NewDisk()
@@ -154,28 +155,28 @@
 			if err := store.Write(change); err != nil {
 				t.Fatal(err)
 			}
-			synctest.Wait() // the writer rewrites after it has answered
+			synctest.Wait() // the writer compacts after it has answered
 		}
 		write()
 		disk.SetFreeSpace(2*value + value/2)
 		write()
-		write() // three times the live data: there is no room for the next file
+		write() // three times the live data: there is no space for the new file
 		length := len(disk.ReadFile(logFile))
 		if length < 3*value {
-			t.Fatalf("the file was rewritten, it has %d bytes", length)
+			t.Fatalf("the file was compacted, it has %d bytes", length)
 		}
 		if left := disk.ReadFile(logFile + ".new"); left != nil {
-			t.Fatalf("%d bytes of the next file are left", len(left))
+			t.Fatalf("%d bytes of the new file are left", len(left))
 		}
 		disk.SetCapacity(0)
 		write()
 		if now := len(disk.ReadFile(logFile)); now <= length {
-			t.Fatal("rewriting was tried again at once")
+			t.Fatal("compaction was tried again at once")
 		}
 		time.Sleep(storage.CompactionBackoff)
 		write()
 		if now := len(disk.ReadFile(logFile)); now > 2*value {
-			t.Fatalf("the file was not rewritten once there was room, it has %d bytes", now)
+			t.Fatalf("the file was not compacted once there was space, it has %d bytes", now)
 		}
 		for range writes {
 			write()
@@ -189,39 +190,39 @@
 	})
 }
 
-// The disk is full from each operation of a rewriting on. Nothing is lost, and later the file is rewritten.
-func TestAFullDiskMidwayThroughARewriting(t *testing.T) {
+// The disk is full from each operation of a compaction on. No acknowledged write is lost.
+func TestFullDiskDuringCompaction(t *testing.T) {
 	for room := range 400 {
 		virtualtime.Test(t, func(t *testing.T) {
 			disk := storagetest.NewDisk()
-			store, _ := mustOpen(t, disk, directory, smallFile)
+			store, _ := mustOpen(t, disk, directory, compactOften)
 			acknowledged := 0
 			disk.SetFreeSpace(room)
 			for acknowledged < scriptLength && store.Write(script(acknowledged)...) == nil {
 				acknowledged++
 			}
-			exactly(t, store, acknowledged)
-			after, _ := mustOpen(t, disk.Kill(), directory, smallFile)
+			shouldHoldExactly(t, store, acknowledged)
+			after, _ := mustOpen(t, disk.Kill(), directory, compactOften)
 			defer after.Close()
-			exactly(t, after, acknowledged)
+			shouldHoldExactly(t, after, acknowledged)
 		})
 	}
 }
 
-// A store that is there is opened on a full disk, and is read while a sync hangs.
-func TestAFullDiskIsOpened(t *testing.T) {
+// A store that exists is opened and read on a full disk.
+func TestOpenOnAFullDisk(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
-		writeAll(t, store, 0, scriptLength)
+		writeScript(t, store, 0, scriptLength)
 		store.Close()
 		disk.SetFreeSpace(0)
 		again, opened := mustOpen(t, disk, directory, storage.Options{})
 		if opened != (storage.OpenResult{}) {
 			t.Fatalf("opened: %+v", opened)
 		}
-		exactly(t, again, scriptLength)
-		checkRefused(t, again.Write(refusedWrite))
+		shouldHoldExactly(t, again, scriptLength)
+		shouldBeRejected(t, again.Write(rejectedChange))
 		again.Close()
 	})
 }
--- a/internal/controlplane/storage/fuzz_test.go
+++ b/internal/controlplane/storage/fuzz_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
 )
 
-// Any file either is refused, or opens and then holds the same when it is opened again.
+// Any file either is an error, or opens and then holds the same when it is reopened.
 func FuzzOpen(f *testing.F) {
 	disk := storagetest.NewDisk()
 	store, _, err := storage.Open(disk, directory, storage.Options{})
@@ -17,10 +17,10 @@
 	}
 	runScript(store, 0)
 	store.Close()
-	whole := disk.ReadFile(logFile)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-3])
-	f.Add(whole[:40])
+	complete := disk.ReadFile(logFile)
+	f.Add(complete)
+	f.Add(complete[:len(whole)-3])
+	f.Add(complete[:40])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, content []byte) {
 		disk := storagetest.NewDisk()
@@ -31,13 +31,13 @@
 		}
 		held := store.Snapshot()
 		store.Close()
-		again, opened, err := storage.Open(disk, directory, storage.Options{})
+		reopened, opened, err := storage.Open(disk, directory, storage.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer again.Close()
-		if opened.TruncatedBytes != 0 || !reflect.DeepEqual(again.Snapshot(), held) {
-			t.Errorf("opened again, %d bytes were cut, and it holds %v instead of %v", opened.TruncatedBytes, again.Snapshot(), held)
+		defer reopened.Close()
+		if opened.TruncatedBytes != 0 || !reflect.DeepEqual(reopened.Snapshot(), held) {
+			t.Errorf("reopened, %d bytes were truncated, and it holds %v instead of %v", opened.TruncatedBytes, reopened.Snapshot(), held)
 		}
 	})
 }
--- a/internal/controlplane/storage/powerloss_test.go
+++ b/internal/controlplane/storage/powerloss_test.go
@@ -10,10 +10,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
 )
 
-// scriptLength is the number of writes of a script; the options make the file rewritten several times meanwhile.
+// scriptLength is the number of writes of a script; with compactOften the file is compacted several times meanwhile.
 const scriptLength = 14
 
-var smallFile = storage.Options{CompactAbove: 300}
+var compactOften = storage.Options{CompactAbove: 300}
 
 // script is a fixed sequence of writes, each of several changes in two tables.
 func script(i int) []storage.Change {
@@ -63,30 +63,30 @@
 	return 0
 }
 
-// interrupted runs the script until the power is cut at an operation. It returns the number of acknowledged writes, and
-// whether the power was cut before the script was over.
-func interrupted(disk *storagetest.Disk, from, operation int, late bool) (acknowledged int, cut bool) {
+// runUntilPowerLoss runs the script until power is lost at an operation. It returns the number of acknowledged writes, and
+// whether power was lost before the script was over.
+func runUntilPowerLoss(disk *storagetest.Disk, from, operation int, late bool) (acknowledged int, lost bool) {
 	disk.LosePowerAt(operation, late)
 	acknowledged = from
-	store, _, err := storage.Open(disk, directory, smallFile)
+	store, _, err := storage.Open(disk, directory, compactOften)
 	if err == nil {
 		acknowledged = runScript(store, from)
 		store.Close()
 	}
-	cut = disk.Operations() >= operation
+	lost = disk.Operations() >= operation
 	disk.LosePower()
-	return acknowledged, cut
+	return acknowledged, lost
 }
 
 // Power is lost at each operation in turn; the disk keeps random parts of what was not synced.
-func TestAcknowledgedWritesSurviveALossOfPowerAtAnyMoment(t *testing.T) {
+func TestAcknowledgedWritesSurvivePowerLoss(t *testing.T) {
 	for operation, more := 1, true; more; operation++ {
 		for seed := range uint64(12) {
 			random := rand.New(rand.NewPCG(seed, uint64(operation)))
 			disk := storagetest.NewDisk()
-			acknowledged, cut := interrupted(disk, 0, operation, seed%2 == 0)
+			acknowledged, cut := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
 			more = cut
-			store, opened := mustOpen(t, disk.Restore(random), directory, smallFile)
+			store, opened := mustOpen(t, disk.Restore(random), directory, compactOften)
 			if opened.Empty && acknowledged > 0 {
 				t.Fatalf("operation %d, seed %d: the store is empty after %d writes", operation, seed, acknowledged)
 			}
@@ -97,22 +97,22 @@
 }
 
 // A second loss of power strikes while the store recovers from the first, or soon after.
-func TestAcknowledgedWritesSurviveASecondLossOfPower(t *testing.T) {
+func TestAcknowledgedWritesSurviveASecondPowerLoss(t *testing.T) {
 	for operation := 1; operation < 60; operation++ {
 		for second := 1; second <= 8; second++ {
 			seed := uint64(operation*100 + second)
 			random := rand.New(rand.NewPCG(seed, 0))
 			disk := storagetest.NewDisk()
-			first, _ := interrupted(disk, 0, operation, second%2 == 0)
+			first, _ := runUntilPowerLoss(disk, 0, operation, second%2 == 0)
 			disk = disk.Restore(random)
 
 			between := disk.Kill()
-			store, _ := mustOpen(t, between, directory, smallFile)
+			store, _ := mustOpen(t, between, directory, compactOften)
 			held := checkContent(t, store, first)
 			store.Close()
 
-			again, _ := interrupted(between, held, second, operation%2 == 0)
-			store, _ = mustOpen(t, between.Restore(random), directory, smallFile)
+			again, _ := runUntilPowerLoss(between, held, second, operation%2 == 0)
+			store, _ = mustOpen(t, between.Restore(random), directory, compactOften)
 			checkContent(t, store, again)
 			store.Close()
 		}
@@ -121,12 +121,12 @@
 
 // A killed process may leave writes that were never synced. A new process that shows them must not lose them any more,
 // nor what it writes itself.
-func TestWhatAKilledProcessLeftLastsOnceItWasRead(t *testing.T) {
+func TestUnsyncedWritesOfAKilledProcessAreSyncedOnOpen(t *testing.T) {
 	for operation, more := 1, true; more; operation++ {
 		for seed := range uint64(8) {
 			random := rand.New(rand.NewPCG(seed, uint64(operation)))
 			disk := storagetest.NewDisk()
-			held, cut := interrupted(disk, 0, operation, seed%2 == 0)
+			held, cut := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
 			more = cut
 			disk = disk.Kill()
 			store, _ := mustOpen(t, disk, directory, storage.Options{})
@@ -139,7 +139,7 @@
 			}
 			store.Close()
 
-			store, _ = mustOpen(t, disk.Restore(random), directory, smallFile)
+			store, _ = mustOpen(t, disk.Restore(random), directory, compactOften)
 			if content := store.Snapshot(); !reflect.DeepEqual(content, contentAfter(held)) {
 				t.Fatalf("operation %d, seed %d: %d writes were read, then %v", operation, seed, held, content)
 			}
--- a/internal/controlplane/storage/stored_test.go
+++ b/internal/controlplane/storage/stored_test.go
@@ -23,7 +23,7 @@
 		{Table: "group/jobs/render", Key: "j/1", Value: []byte("first")},
 	},
 	{{Table: "gone", Key: "a", Value: make([]byte, 1000)}, {Table: "gone", Key: "b", Value: []byte("b")}},
-	{{Table: "gone", Key: "a"}}, // the file is far longer than what it holds from here on: it is rewritten
+	{{Table: "gone", Key: "a"}}, // the file is far longer than what it holds from here on: it is compacted
 	{{Table: "group/jobs/render", Key: "j/1", Value: []byte("second")}, {Table: "group/jobs/render", Key: "j/2", Value: []byte{0, 0xff}}},
 	{{Table: "gone"}},
 	{{Table: "register/configuration", Key: "promised"}, {Table: "register/configuration", Key: "accepted", Value: []byte("accepted")}},
@@ -66,7 +66,7 @@
 		So(err, ShouldBeNil)
 		defer store.Close()
 
-		Convey("all of it is read, and nothing is cut off or written", func() {
+		Convey("all of it is read, and nothing is truncated or written", func() {
 			So(opened, ShouldResemble, storage.OpenResult{})
 			So(store.Snapshot(), ShouldResemble, storedTables)
 			after, err := os.ReadFile(filepath.Join(folder, "store.log"))
