--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -25,7 +25,7 @@
 	storedOther    = "10.0.0.3:7000"
 )
 
-// storedText is a value that is stored by parts, a part twice.
+// storedText is a value that is stored in chunks, one of which it has twice.
 func storedText(version int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"routes":[`, version)
@@ -41,7 +41,7 @@
 		Version: 4, Members: []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.4:7000"},
 		Zones: map[string]string{"10.0.0.4:7000": "north"}, Replaced: "10.0.0.2:7000", JoinedIncarnation: 1 << 63,
 	}
-	// The sums of the parts of the newest large value, in order; two are the same.
+	// The sums of the chunks of the newest large value, in order; two are the same.
 	storedSums = []string{
 		"898271eda4ae47c18b9b45a342ca8b21", "0fb94a82852c73ac623e8479cf593d08", "18f8d2eb4a387bbc1e37ec099a732680",
 		"18f8d2eb4a387bbc1e37ec099a732680", "d2b4efc57ffa2967c28f6892b6b390f4",
@@ -147,42 +147,42 @@
 		store := openStored(t, folder)
 		So(dumpTables(store.Snapshot()), ShouldEqual, string(golden))
 		acceptors := acceptorsOn(store)
-		holds := func(acceptor *Acceptor, view uint64, want acceptorState) {
-			held, err := acceptor.load(view)
+		loads := func(acceptor *Acceptor, view uint64, expected acceptorState) {
+			loaded, err := acceptor.load(view)
 			So(err, ShouldBeNil)
-			So(held, ShouldResemble, want)
+			So(loaded, ShouldResemble, expected)
 		}
 
-		Convey("the large value is put together from its parts", func() {
-			held, err := acceptors.configuration.load(3)
+		Convey("the large value is assembled from its chunks", func() {
+			loaded, err := acceptors.configuration.load(3)
 			So(err, ShouldBeNil)
-			So(held.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelf})
-			So(held.accepted.ProposalNumber, ShouldResemble, ProposalNumber{Counter: 2, Member: storedOther})
-			So(held.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []ProposalNumber{{2, storedOther}, {1, storedSelf}}})
-			So(held.accepted.Manifest.Bytes, ShouldEqual, len(storedText(2)))
-			So(held.accepted.Manifest.Sum, ShouldEqual, chunks.SumOf([]byte(storedText(2))))
+			So(loaded.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelf})
+			So(loaded.accepted.ProposalNumber, ShouldResemble, ProposalNumber{Counter: 2, Member: storedOther})
+			So(loaded.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []ProposalNumber{{2, storedOther}, {1, storedSelf}}})
+			So(loaded.accepted.Manifest.Bytes, ShouldEqual, len(storedText(2)))
+			So(loaded.accepted.Manifest.Sum, ShouldEqual, chunks.SumOf([]byte(storedText(2))))
 			var sums []string
-			for _, sum := range held.accepted.Manifest.Sums() {
+			for _, sum := range loaded.accepted.Manifest.Sums() {
 				sums = append(sums, chunkKey(sum))
 			}
 			So(sums, ShouldResemble, storedSums)
 		})
-		Convey("a small value stands whole", func() {
+		Convey("a small value is inline", func() {
 			proposalNumber := ProposalNumber{Counter: 70000, Member: storedOther}
 			value := state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{proposalNumber, {Counter: 7, Member: storedSelf}}}
-			holds(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			loads(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("the first view and the next one are read", func() {
 			proposalNumber := ProposalNumber{Counter: 1, Member: storedOther}
 			value := state{Value: encodeView(t, storedFirst), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			holds(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			loads(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 			next, found, err := acceptors.succession.Pending(replicaset.View{Version: 3})
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
 			So(next, ShouldResemble, storedNext)
 			proposalNumber = ProposalNumber{Counter: 5, Member: storedSelf}
 			value = state{Value: encodeView(t, storedNext), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			holds(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			loads(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
 			memory := storage.NewMemory()
