--- a/internal/controlplane/storage/contract_test.go
+++ b/internal/controlplane/storage/contract_test.go
@@ -57,7 +57,7 @@
 		}
 		convey.So(store.Close(), convey.ShouldBeNil)
 
-		convey.Convey("has what was written when it is opened again", func() {
+		convey.Convey("has what was written when it is reopened", func() {
 			reopened, opened := mustOpen(t, storage.OperatingSystem{}, folder, storage.Options{})
 			convey.So(opened, convey.ShouldResemble, storage.OpenResult{})
 			convey.So(reopened.Snapshot(), convey.ShouldResemble, storage.Tables{"a": {"k": []byte("4")}})
--- a/internal/controlplane/storage/fulldisk_test.go
+++ b/internal/controlplane/storage/fulldisk_test.go
@@ -48,9 +48,9 @@
 
 // shouldRejectTwice makes two writes on a disk with so much free space: the disk rejects one, and the other comes during the
 // backoff.
-func shouldRejectTwice(t *testing.T, disk *storagetest.Disk, store *storage.FileStore, room int) {
+func shouldRejectTwice(t *testing.T, disk *storagetest.Disk, store *storage.FileStore, free int) {
 	t.Helper()
-	disk.SetFreeSpace(room)
+	disk.SetFreeSpace(free)
 	shouldBeRejected(t, store.Write(rejectedChange))
 	before := disk.Operations()
 	shouldBeRejected(t, store.Write(rejectedChange))
@@ -62,16 +62,16 @@
 // The disk is full at each write in turn, for a while, and then there is space again. The file is compacted meanwhile.
 func TestStoreRecoversFromAFullDisk(t *testing.T) {
 	for _, options := range []storage.Options{{}, compactOften} {
-		for _, room := range freeSpaces {
+		for _, free := range freeSpaces {
 			for at := range scriptLength {
 				virtualtime.Test(t, func(t *testing.T) {
 					disk := storagetest.NewDisk()
 					store, _ := mustOpen(t, disk, directory, options)
 					writeScript(t, store, 0, at)
-					shouldRejectTwice(t, disk, store, room)
+					shouldRejectTwice(t, disk, store, free)
 					shouldHoldExactly(t, store, at)
 					time.Sleep(storage.RejectionBackoff)
-					shouldRejectTwice(t, disk, store, room)
+					shouldRejectTwice(t, disk, store, free)
 					disk.SetCapacity(0)
 					time.Sleep(storage.RejectionBackoff)
 					writeScript(t, store, at, scriptLength)
@@ -80,12 +80,12 @@
 						t.Fatal("the store has failed")
 					}
 					store.Close()
-					again, opened := mustOpen(t, disk, directory, options)
+					reopened, opened := mustOpen(t, disk, directory, options)
 					if opened.TruncatedBytes > 0 {
 						t.Fatalf("%d bytes were left of a rejected write", opened.TruncatedBytes)
 					}
-					shouldHoldExactly(t, again, scriptLength)
-					again.Close()
+					shouldHoldExactly(t, reopened, scriptLength)
+					reopened.Close()
 				})
 			}
 		}
@@ -94,12 +94,12 @@
 
 // Power fails, or the process is killed, while the disk is full or soon after. Rejected writes do not reappear.
 func TestRejectedWritesDoNotReappear(t *testing.T) {
-	for _, room := range freeSpaces {
+	for _, free := range freeSpaces {
 		for at := range scriptLength {
 			for operation := range 10 {
 				seed := uint64(operation*1000 + at)
 				virtualtime.Test(t, func(t *testing.T) {
-					endAfterRejection(t, room, at, operation, seed)
+					endAfterRejection(t, free, at, operation, seed)
 				})
 			}
 		}
@@ -108,14 +108,14 @@
 
 // endAfterRejection runs a script with a rejected write at one place, until power fails at a later operation; if that is 0
 // the process is killed while the disk is full, which it stays for the next process.
-func endAfterRejection(t *testing.T, room, at, operation int, seed uint64) {
+func endAfterRejection(t *testing.T, free, at, operation int, seed uint64) {
 	disk := storagetest.NewDisk()
 	store, _ := mustOpen(t, disk, directory, compactOften)
 	writeScript(t, store, 0, at)
 	if operation > 0 {
 		disk.LosePowerAt(operation, seed%2 == 0)
 	}
-	disk.SetFreeSpace(room)
+	disk.SetFreeSpace(free)
 	err := store.Write(rejectedChange)
 	unclear := !errors.Is(err, storage.ErrWriteRejected) // as power failed within the write
 	acknowledged := at
@@ -135,7 +135,7 @@
 	defer reopened.Close()
 	if _, found := reopened.Table("last")["refused"]; found {
 		if !unclear {
-			t.Fatalf("room %d, write %d, operation %d: the rejected write is there", room, at, operation)
+			t.Fatalf("free %d, write %d, operation %d: the rejected write is there", free, at, operation)
 		}
 		disk.SetCapacity(0)
 		reopened.Write(storage.Change{Table: "last", Key: "refused"})
@@ -182,22 +182,22 @@
 			write()
 		}
 		store.Close()
-		again, _ := mustOpen(t, disk, directory, storage.Options{})
-		if got := len(again.Table("a")["k"]); got != value {
+		reopened, _ := mustOpen(t, disk, directory, storage.Options{})
+		if got := len(reopened.Table("a")["k"]); got != value {
 			t.Fatalf("the store holds %d bytes", got)
 		}
-		again.Close()
+		reopened.Close()
 	})
 }
 
 // The disk is full from each operation of a compaction on. No acknowledged write is lost.
 func TestFullDiskDuringCompaction(t *testing.T) {
-	for room := range 400 {
+	for free := range 400 {
 		virtualtime.Test(t, func(t *testing.T) {
 			disk := storagetest.NewDisk()
 			store, _ := mustOpen(t, disk, directory, compactOften)
 			acknowledged := 0
-			disk.SetFreeSpace(room)
+			disk.SetFreeSpace(free)
 			for acknowledged < scriptLength && store.Write(script(acknowledged)...) == nil {
 				acknowledged++
 			}
@@ -217,12 +217,12 @@
 		writeScript(t, store, 0, scriptLength)
 		store.Close()
 		disk.SetFreeSpace(0)
-		again, opened := mustOpen(t, disk, directory, storage.Options{})
+		reopened, opened := mustOpen(t, disk, directory, storage.Options{})
 		if opened != (storage.OpenResult{}) {
 			t.Fatalf("opened: %+v", opened)
 		}
-		shouldHoldExactly(t, again, scriptLength)
-		shouldBeRejected(t, again.Write(rejectedChange))
-		again.Close()
+		shouldHoldExactly(t, reopened, scriptLength)
+		shouldBeRejected(t, reopened.Write(rejectedChange))
+		reopened.Close()
 	})
 }
--- a/internal/controlplane/storage/fuzz_test.go
+++ b/internal/controlplane/storage/fuzz_test.go
@@ -19,7 +19,7 @@
 	store.Close()
 	complete := disk.ReadFile(logFile)
 	f.Add(complete)
-	f.Add(complete[:len(whole)-3])
+	f.Add(complete[:len(complete)-3])
 	f.Add(complete[:40])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, content []byte) {
