--- a/internal/jobs/manager/debuglog_test.go
+++ b/internal/jobs/manager/debuglog_test.go
@@ -46,10 +46,10 @@
 			}
 		}
 		So(texts, ShouldResemble, []string{
-			"job handed in 00000000000000aa",
-			"start ordered 00000000000000aa.0.1.2",
-			"stop ordered 00000000000000aa.0.1.2",
-			"run ended 00000000000000aa.0.1.2",
+			"job submitted 00000000000000aa",
+			"start sent 00000000000000aa.0.1.2",
+			"stop sent 00000000000000aa.0.1.2",
+			"attempt completed 00000000000000aa.0.1.2",
 			"job ended 00000000000000aa",
 		})
 	})
--- /dev/null
+++ b/internal/jobs/manager/links.go
@@ -0,0 +1,112 @@
+package manager
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/jobs/scheduler"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
+)
+
+// setInventory takes the complete list of the service's workers and keeps a link to each.
+func (l *leadership) setInventory(instances []workerclient.Instance) {
+	l.handle(func(now scheduler.Now) {
+		for i := range instances {
+			l.connect(&instances[i])
+		}
+		l.scheduler.SetInventory(now, instances)
+		for id, link := range l.links {
+			if !l.scheduler.KnowsWorker(id) {
+				l.disconnect(id, link)
+			}
+		}
+	})
+}
+
+// addInventoryPage takes some of the service's workers, before the first complete list was read.
+func (l *leadership) addInventoryPage(instances []workerclient.Instance) {
+	l.handle(func(now scheduler.Now) {
+		for i := range instances {
+			l.connect(&instances[i])
+		}
+		l.scheduler.AddInventoryPage(now, instances)
+	})
+}
+
+// connect begins a link to a worker that has none, unless the worker was removed. The lock is held.
+func (l *leadership) connect(instance *workerclient.Instance) {
+	if l.links[instance.ID] != nil || l.scheduler.WasRemoved(instance.ID) {
+		return
+	}
+	link := workerclient.NewLink(workerclient.Config{
+		Instance: *instance, FencingToken: l.term.Number(), MaxLease: l.config.Settings.MaxLease,
+		LeaderLeaseValid: l.term.Valid, Events: linkEvents{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
+		Log: l.config.Log, Now: time.Now,
+	})
+	l.links[instance.ID] = link
+	l.unreachable[instance.ID] = true
+	go link.Run(l.ctx)
+}
+
+// disconnect ends a link. The lock is held.
+func (l *leadership) disconnect(id workerclient.WorkerID, link *workerclient.Link) {
+	link.Close()
+	delete(l.links, id)
+	delete(l.unreachable, id)
+}
+
+// linkEvents receives what a leadership's links report.
+type linkEvents struct{ leadership *leadership }
+
+// Listing implements workerclient.Events.
+func (e linkEvents) Listing(report workerclient.Listing) {
+	e.leadership.traceCompletions(&report)
+	e.leadership.handle(func(now scheduler.Now) {
+		delete(e.leadership.unreachable, report.Worker)
+		e.leadership.scheduler.HandleReport(now, &report)
+	})
+}
+
+// StartResult implements workerclient.Events. A worker that has seen a higher fencing token ends the leadership.
+func (e linkEvents) StartResult(result workerclient.StartResult) {
+	if result.Outcome != workerclient.Started {
+		e.leadership.config.Log.Debug("start not confirmed", zap.Stringer("task", result.Command.Task),
+			zap.String("worker_id", string(result.Worker)), zap.Stringer("outcome", result.Outcome))
+	}
+	if result.Outcome == workerclient.RejectedFencingToken {
+		e.leadership.term.Resign()
+		return
+	}
+	e.leadership.handle(func(now scheduler.Now) { e.leadership.scheduler.HandleStartResult(now, &result) })
+}
+
+// StopResult implements workerclient.Events.
+func (e linkEvents) StopResult(result workerclient.StopResult) {
+	e.leadership.handle(func(scheduler.Now) { e.leadership.scheduler.HandleStopResult(&result) })
+}
+
+// Gone implements workerclient.Events.
+func (e linkEvents) Gone(removed workerclient.Gone) {
+	e.leadership.handle(func(now scheduler.Now) {
+		e.leadership.scheduler.RemoveWorker(now, removed.Worker)
+		if link := e.leadership.links[removed.Worker]; link != nil {
+			e.leadership.disconnect(removed.Worker, link)
+		}
+	})
+}
+
+// Fenced implements workerclient.Events. It ends the leadership.
+func (e linkEvents) Fenced(workerclient.Fenced) { e.leadership.term.Resign() }
+
+// Reachability implements workerclient.Events.
+func (e linkEvents) Reachability(change workerclient.ReachabilityChange) {
+	e.leadership.handle(func(now scheduler.Now) {
+		if change.Reachable {
+			delete(e.leadership.unreachable, change.Worker)
+		} else {
+			e.leadership.unreachable[change.Worker] = true
+		}
+		e.leadership.scheduler.SetReachable(now, change.Worker, change.Reachable)
+	})
+}
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -1,5 +1,3 @@
-// Package manager runs the schedulers of the groups that this node leads: it feeds them with jobs, workers' reports
-// and time, makes their records durable, and carries out their orders once that is done.
 package manager
 
 import (
@@ -24,6 +22,7 @@
 
 var (
 	errNotLeader       = errors.New("this mixer does not lead the group")
+	errInvalidJobID    = errors.New("job ID: want 16 hexadecimal digits")
 	errLeadershipEnded = errors.New("the leadership ended before the request was durable")
 )
 
@@ -31,7 +30,7 @@
 type Config struct {
 	Settings scheduler.Settings
 	HTTP     *http.Client // for calls to workers
-	// Connections is the budget of HTTP; nil for none.
+	// Connections is the budget of HTTP's connections; nil for no bound.
 	Connections *workerclient.Connections
 	Log         *zap.Logger
 }
@@ -42,8 +41,8 @@
 	mu             sync.Mutex
 	leaderships    map[string]*leadership // by group
 	inventory      []workerclient.Instance
-	inventoryRead  bool                                            // a whole list was read
-	inventoryPages map[workerclient.WorkerID]workerclient.Instance // on the pages read before the first whole list
+	inventoryRead  bool                                            // a complete list was read
+	inventoryPages map[workerclient.WorkerID]workerclient.Instance // on the pages read before the first complete list
 	changed        chan struct{}
 }
 
@@ -52,11 +51,11 @@
 	return &Manager{config: config, leaderships: map[string]*leadership{}, inventoryPages: map[workerclient.WorkerID]workerclient.Instance{}, changed: make(chan struct{})}
 }
 
-// Elected implements replication.Handler.
+// Elected implements replication.Handler. It resigns if the group's state cannot be read.
 func (m *Manager) Elected(term *replication.Term, state map[string][]byte) {
 	leadership, err := newLeadership(m.config, term, state)
 	if err != nil {
-		m.config.Log.Error("state of the group cannot be read, leadership given up", zap.String("group", term.Group()), zap.Error(err))
+		m.config.Log.Error("state of the group cannot be read, resigning", zap.String("group", term.Group()), zap.Error(err))
 		term.Resign()
 		return
 	}
@@ -69,7 +68,7 @@
 	m.notifyChanged()
 	m.mu.Unlock()
 	serviceWorkers := serviceInstances(instances, term.Group())
-	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Number()))
+	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("term", term.Number()))
 	if inventoryRead {
 		leadership.setInventory(serviceWorkers)
 	} else if len(serviceWorkers) > 0 {
@@ -90,10 +89,10 @@
 	m.notifyChanged()
 	m.mu.Unlock()
 	leadership.close()
-	m.config.Log.Info("no longer leading", zap.String("group", term.Group()), zap.Uint64("epoch", term.Number()))
+	m.config.Log.Info("no longer leading", zap.String("group", term.Group()), zap.Uint64("term", term.Number()))
 }
 
-// notifyChanged wakes those who wait for a change of leaderships; the lock is held.
+// notifyChanged wakes the callers of Leading that wait for a change; the lock is held.
 func (m *Manager) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
@@ -106,7 +105,8 @@
 	return len(m.leaderships) > 0, m.changed
 }
 
-// AddInventoryPage takes a part of a list of workers that is being read, so that a leadership need not wait for all of a long list.
+// AddInventoryPage takes a page of a list of workers that is being read, so that a leadership need not wait for all of a
+// long list.
 func (m *Manager) AddInventoryPage(instances []workerclient.Instance) {
 	m.mu.Lock()
 	if !m.inventoryRead {
@@ -123,7 +123,7 @@
 	}
 }
 
-// SetInventory takes a whole list of workers.
+// SetInventory takes a complete list of workers.
 func (m *Manager) SetInventory(instances []workerclient.Instance) {
 	m.mu.Lock()
 	m.inventory, m.inventoryRead, m.inventoryPages = instances, true, nil
@@ -134,6 +134,7 @@
 	}
 }
 
+// serviceInstances are the instances of a group's service.
 func serviceInstances(instances []workerclient.Instance, group string) []workerclient.Instance {
 	var serviceWorkers []workerclient.Instance
 	for _, instance := range instances {
@@ -152,7 +153,8 @@
 	transport.Handle(mux, jobapi.PendingCall, m.pending)
 }
 
-// lead returns the leadership of a group. Without a lease that holds right now a request was certainly not begun.
+// leadershipOf returns the leadership of a group. Without a leader lease that is valid at present the error says that the
+// request was certainly not executed.
 func (m *Manager) leadershipOf(group string) (*leadership, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,7 +167,7 @@
 
 func (m *Manager) submit(ctx context.Context, request jobapi.Submit) (jobapi.Submitted, error) {
 	if !request.ID.Valid() {
-		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(errors.New("job ID: want 16 hexadecimal digits"), 0)
+		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(errInvalidJobID, 0)
 	}
 	if err := request.Specification.Validate(); err != nil {
 		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(err, 0)
@@ -204,7 +206,7 @@
 	return reply, err
 }
 
-// Stop ends all leaderships' loops; the terms themselves are resigned by replication.
+// Stop ends all leaderships here; replication resigns their terms.
 func (m *Manager) Stop() {
 	m.mu.Lock()
 	leaderships := m.leaderships
@@ -216,7 +218,7 @@
 	}
 }
 
-// currentTime is the clock of leaderships.
+// currentTime reads both clocks for the scheduler.
 func currentTime() scheduler.Now {
 	now := time.Now()
 	return scheduler.Now{Monotonic: now, WallMS: now.UnixMilli()}
--- a/internal/jobs/manager/operatorcalls.go
+++ b/internal/jobs/manager/operatorcalls.go
@@ -14,13 +14,13 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// noInventoryRetry is when a leader that has not read the platform's list of workers may be asked again.
+// noInventoryRetry is when a call may be sent again to a leader that has not read the platform's list of workers.
 const noInventoryRetry = 500 * time.Millisecond
 
-// errNoInventory is the refusal to call a worker unknown before the platform's list was read.
+// errNoInventory is the reply about an unknown worker before the platform's list was read. Its text crosses the wire.
 var errNoInventory = errors.New("the list of searchers has not been read yet")
 
-// ServeReports registers the internal calls by which operators read and steer the groups that this node leads.
+// ServeReports registers the internal calls by which operators read the groups that this node leads and drain workers.
 func (m *Manager) ServeReports(mux *transport.Mux) {
 	transport.Handle(mux, jobreport.SummaryCall, m.summary)
 	transport.Handle(mux, jobreport.WorkersCall, m.workers)
@@ -30,11 +30,11 @@
 	transport.Handle(mux, jobreport.DrainCall, m.drain)
 }
 
-// schedulerReader is a function that only reads a scheduler.
+// schedulerReader only reads a scheduler; the leadership's lock is held.
 type schedulerReader func(now scheduler.Now, jobs *scheduler.Scheduler)
 
-// readCommitted reads the scheduler of a group, and returns once what was seen is durable and it is certain that no other leader had
-// been elected then: an operator's order may be refused on it.
+// readCommitted reads the scheduler of a group, and returns once what was read is durable and it is certain that no other
+// leader had been elected then: an operator's change may be rejected on the strength of it.
 func (m *Manager) readCommitted(ctx context.Context, group string, inspect schedulerReader) error {
 	leadership, err := m.leadershipOf(group)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return leadership.commit(ctx, func(now scheduler.Now) { inspect(now, leadership.scheduler) })
 }
 
-// readCurrent reads counts, which may not be durable yet. The lease is looked at again after that: the process may have stood
-// still in between, and another leader's counts may be others.
+// readCurrent reads counts, which may not be durable yet. The lease is checked again afterwards: the process may have been
+// paused in between, and another leader may have other counts.
 func (m *Manager) readCurrent(group string, inspect schedulerReader) error {
 	leadership, err := m.leadershipOf(group)
 	if err != nil {
@@ -63,13 +63,14 @@
 func (m *Manager) Summaries() map[string]jobreport.Summary {
 	summaries := map[string]jobreport.Summary{}
 	for _, group := range m.ledGroups() {
-		_ = m.readCurrent(group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { // one that has just been lost is left out
+		_ = m.readCurrent(group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { // a group whose leadership was just lost is left out
 			summaries[group] = jobs.Summary()
 		})
 	}
 	return summaries
 }
 
+// ledGroups names the groups that this node leads.
 func (m *Manager) ledGroups() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,14 +113,15 @@
 	return reply, err
 }
 
-// hasInventory tells whether this node has read a whole list of workers.
+// hasInventory tells whether this node has read a complete list of workers.
 func (m *Manager) hasInventory() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inventoryRead
 }
 
-// drainReport reports a worker, as far as it is known. The lock is held.
+// drainReport reports a worker as far as it is known: one that was drained under an earlier leadership may not have been
+// listed yet. The lock is held.
 func (l *leadership) drainReport(now scheduler.Now, id workerclient.WorkerID) jobreport.Worker {
 	report, known := l.scheduler.Worker(now, id)
 	if !known {
@@ -131,7 +133,7 @@
 	return report
 }
 
-// changeDrain hands an order to the scheduler. The lock is held.
+// changeDrain sets or ends a drain, on top of a version if the request names one. The lock is held.
 func (l *leadership) changeDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
 	id := workerclient.WorkerID(request.Worker)
 	if request.BaseVersion == nil {
@@ -141,7 +143,7 @@
 	return outcome != jobreport.DrainUnknown, outcome
 }
 
-// drain sets or ends an operator's drain, and answers once that is durable.
+// drain sets or ends an operator's drain, and replies once that is durable.
 func (m *Manager) drain(ctx context.Context, request jobreport.DrainRequest) (reply jobreport.DrainReply, err error) {
 	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
@@ -156,7 +158,7 @@
 		return reply, rpcerror.WrapNotExecuted(errNoInventory, noInventoryRetry)
 	}
 	if err == nil && reply.Known {
-		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("searcher", request.Worker),
+		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("worker_id", request.Worker),
 			zap.Bool("draining", request.Draining), zap.Uint64("version", reply.Worker.DrainVersion),
 			zap.Bool("taken", reply.Outcome == jobreport.DrainTaken))
 	}
