--- a/internal/controlplane/fleet/gate.go
+++ b/internal/controlplane/fleet/gate.go
@@ -59,7 +59,7 @@
 func (f *Fleet) Called(at time.Time, backend string, how policy.Outcome, elapsed float64) {
 	now := f.seconds(at)
 	switch how {
-	case policy.TurnedAway, policy.NotSent: // a full queue is its own word on itself, and no fault
+	case policy.Rejected, policy.NotSent: // a full queue is its own word on itself, and no fault
 		return
 	}
 	f.observed.Ended(now, outlier.Backend(backend), ends[how], elapsed)
@@ -70,8 +70,8 @@
 }
 
 // ends says what an end of a part call is for what is observed.
-var ends = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.TurnedAway: outlier.GivenUp,
-	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Withdrawn: outlier.GivenUp,
+var ends = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.GivenUp,
+	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Canceled: outlier.GivenUp,
 	policy.NotSent: outlier.GivenUp}
 
 // Listed hears which backends there are.
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -27,13 +27,13 @@
 	switch a.Kind {
 	case policy.Send:
 		m.send(a, now)
-	case policy.Withdraw:
+	case policy.Cancel:
 		if c, out := m.out[callKey{a.Subquery, a.Call}]; out {
 			m.flush(c.to)
 			m.backends.Withdraw(c.to, a.Subquery, a.Call)
 		}
 	case policy.Answer:
-		m.finish(a.Query, "satisfied", Reply{End: Satisfied, Whole: a.Whole}, now)
+		m.finish(a.Query, "satisfied", Reply{End: Satisfied, Whole: a.Complete}, now)
 	case policy.Nack:
 		m.finish(a.Query, "nacked", Reply{End: Nacked, Wait: a.Wait}, now)
 	case policy.Abort:
@@ -43,17 +43,17 @@
 	case policy.Probe:
 		m.flush(a.Backend)
 		m.count.Add("probes", "sent", 1)
-		m.backends.Probe(a.Backend, a.Apart)
+		m.backends.Probe(a.Backend, a.SeparateConnection)
 	case policy.CloseIdle:
 		m.flush(a.Backend)
 		m.backends.CloseIdle(a.Backend)
 	case policy.Subscribe:
 		m.register.Subscribe(a.On)
-	case policy.AskWhole:
+	case policy.RequestFullList:
 		m.register.AskWhole()
-	case policy.Tell:
+	case policy.NotifyPeer:
 		m.count.Add("messages", "no_way_to_mixers", 1)
-	case policy.Note:
+	case policy.LogNote:
 		m.log.Info("module", zap.String("note", a.Text))
 	}
 }
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -24,7 +24,7 @@
 	}
 	gone := r.query("cc", 0, 1)
 	r.put(gone)
-	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: gone.Taken})
+	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: gone.Taken})
 	for range 30 {
 		r.put(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
 	}
--- a/internal/dataplane/aggregator/crossings_test.go
+++ b/internal/dataplane/aggregator/crossings_test.go
@@ -33,7 +33,7 @@
 // The ends of both calls, the client's leaving and the hard deadline come in one and the same step, in each order, however the calls end and
 // whatever the index allows: there is one final answer, or the client has gone, and nothing of the query goes out after that or stays.
 func TestAllEndsOfALookupInOneStep(t *testing.T) {
-	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.TurnedAway, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Withdrawn, policy.NotSent}
+	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.Rejected, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Canceled, policy.NotSent}
 	for index := range policy.IndexID(2) {
 		for _, first := range outcomes {
 			for _, second := range outcomes {
@@ -46,7 +46,7 @@
 							t.Fatalf("sent %+v", r.sent)
 						}
 						ends := []Event{r.sent[0].ends(first, "one"), r.sent[1].ends(second, "two"),
-							{Event: policy.Event{Kind: policy.ClientGone}, Taken: e.Taken}}
+							{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: e.Taken}}
 						r.now = r.now.Add(late)
 						r.put(ends[order[0]], ends[order[1]], ends[order[2]])
 						what := fmt.Sprintf("index %d, outcomes %d and %d, order %v, %s late", index, first, second, order, late)
@@ -54,7 +54,7 @@
 						for i := range 40 {
 							for _, c := range r.sent[2:] { // a part that went again before its client was known to have left
 								if _, out := r.out[callKey{c.Subquery, c.No}]; out {
-									r.put(c.ends(policy.Withdrawn, ""))
+									r.put(c.ends(policy.Canceled, ""))
 								}
 							}
 							r.now = r.now.Add(100 * time.Millisecond)
@@ -81,14 +81,14 @@
 
 // A client that left while its query waited in the queue, or for a backend to have room: nothing of it is sent, neither then nor later.
 func TestNothingOfAClientThatLeftIsSent(t *testing.T) {
-	r := newFixture(func(s *settings.Settings) { s.Rules.ColdShare = 0.2 })
+	r := newFixture(func(s *settings.Settings) { s.Rules.SlowStartShare = 0.2 })
 	e := r.query("aa", 0, 4)
-	r.put(e, Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: e.Taken})
+	r.put(e, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: e.Taken})
 	if len(r.sent) != 0 {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	// All backends start anew and are cold: of many queries some wait until they may take more.
-	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}, Addresses: make([]string, 8)}
+	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}, Addresses: make([]string, 8)}
 	for i := range 8 {
 		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 20), Cell: policy.CellID(i % 4), StartedAt: r.seconds(r.now)})
 	}
@@ -107,7 +107,7 @@
 	for _, e := range crowd {
 		if !begun[e.Taken] && len(e.Taken.Done) == 0 {
 			waiting++
-			leave = append(leave, Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: e.Taken})
+			leave = append(leave, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: e.Taken})
 		}
 	}
 	if waiting == 0 {
--- a/internal/dataplane/aggregator/gate.go
+++ b/internal/dataplane/aggregator/gate.go
@@ -133,7 +133,7 @@
 	}
 	for i, r := range e.Entries {
 		p, seen := g.places[r.Backend]
-		p = place{e.Names[i].Backend, r.Location, r.Cell, r.Phase == policy.Gone, p.moved || seen && !p.gone && p.location != r.Location}
+		p = place{e.Names[i].Backend, r.Location, r.Cell, r.Phase == policy.Removed, p.moved || seen && !p.gone && p.location != r.Location}
 		g.places[r.Backend] = p
 	}
 	var list []Place
@@ -180,7 +180,7 @@
 	}
 	for _, j := range e.Judged {
 		if id := ids[j.Backend]; id != 0 {
-			e.Override.Judged = append(e.Override.Judged, policy.JudgedOverride{Backend: id, Times: j.Times, Until: m.seconds(now) + j.For})
+			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: j.Times, Until: m.seconds(now) + j.For})
 		}
 	}
 }
--- a/internal/dataplane/aggregator/lookups.go
+++ b/internal/dataplane/aggregator/lookups.go
@@ -17,7 +17,7 @@
 // open takes a query in, its parts right behind it, unless the most that may be held is held.
 func (m *Aggregator) open(lk *Query, now time.Time) {
 	switch {
-	case m.set.Limits.MaxHeld > 0 && len(m.queries)+len(m.subqueries) >= m.set.Limits.MaxHeld:
+	case m.set.Limits.MaxPending > 0 && len(m.queries)+len(m.subqueries) >= m.set.Limits.MaxPending:
 		m.count.Add("lookups", "full", 1)
 		m.ended(lk, capture.Full, now)
 		lk.Done <- Reply{End: Full}
@@ -40,8 +40,8 @@
 	lk.id = policy.QueryID(m.lastID)
 	m.queries[lk.id], m.names[lk.ID] = lk, lk
 	left := lk.Wait - now.Sub(lk.Arrived).Seconds()
-	e := policy.Event{Kind: policy.QueryTaken, Query: lk.id, No: policy.QueryNo(lk.id), Index: lk.Index,
-		Customer: lk.Customer, Key: lk.Key, HasKey: lk.HasKey, Left: left, Subqueries: len(lk.Subqueries), Resent: lk.Resent, Zones: zones}
+	e := policy.Event{Kind: policy.QueryReceived, Query: lk.id, No: policy.QueryNo(lk.id), Index: lk.Index,
+		Customer: lk.Customer, Key: lk.Key, HasKey: lk.HasKey, Remaining: left, Subqueries: len(lk.Subqueries), Resent: lk.Resent, Zones: zones}
 	for i := range lk.Subqueries {
 		e.Hint += lk.Subqueries[i].Hint
 	}
@@ -49,7 +49,7 @@
 	if m.recorder != nil {
 		m.recorder.Taken(m.seconds(now), lk.Index, lk.Customer, lk.Resent, e.Hint, lk.shards)
 	}
-	e.Kind, e.Subqueries = policy.SubqueryTaken, 0
+	e.Kind, e.Subqueries = policy.SubqueryReceived, 0
 	for i := range lk.Subqueries {
 		p := &lk.Subqueries[i]
 		m.lastID++
--- a/internal/dataplane/aggregator/mixer.go
+++ b/internal/dataplane/aggregator/mixer.go
@@ -147,10 +147,10 @@
 // take turns what an actor told into the module's events, in the order of telling.
 func (m *Aggregator) take(e *Event, now time.Time) {
 	switch e.Kind {
-	case policy.QueryTaken:
+	case policy.QueryReceived:
 		m.open(e.Taken, now)
 		return
-	case policy.ClientGone:
+	case policy.ClientDisconnected:
 		if !m.holds(e.Taken) {
 			return // answered while it left
 		}
@@ -181,7 +181,7 @@
 			m.backends.Named(e.Entries[i], e.Addresses[i])
 			switch {
 			case m.recorder == nil:
-			case e.Entries[i].Phase == policy.Gone:
+			case e.Entries[i].Phase == policy.Removed:
 				m.recorder.Unnamed(e.Entries[i].Backend)
 			default:
 				m.recorder.Named(e.Entries[i].Backend, e.Names[i].Backend, e.Names[i].Location)
--- a/internal/dataplane/aggregator/mixer_test.go
+++ b/internal/dataplane/aggregator/mixer_test.go
@@ -47,10 +47,10 @@
 
 func newFixture(change func(*settings.Settings)) *fixture {
 	set := settings.Settings{Settings: policy.Settings{Seed: 5, Aggregators: 2, Step: 0.005,
-		Indexes: []policy.IndexSettings{{Soft: 1, Hard: 4, Gain: 1, LateGain: 0.1}, {Soft: 1, Hard: 4, Gain: 3, Effect: policy.OnceOnly}},
+		Indexes: []policy.IndexSettings{{Soft: 1, Hard: 4, Value: 1, LateValue: 0.1}, {Soft: 1, Hard: 4, Value: 3, Effect: policy.OnceOnly}},
 		Layout:  policy.Layout{Cells: 4, Width: 2, CallSubqueries: 1},
-		Limits:  policy.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: 3, MaxRetryAfter: 1},
-		Rules:   policy.Rules{ColdShare: 0.2, ColdS: 8, DrainGrace: 0.25, FallMultiple: 2, FallS: 1}}}
+		Limits:  policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 1},
+		Rules:   policy.Rules{SlowStartShare: 0.2, SlowStartS: 8, DrainGrace: 0.25, CrashMultiple: 2, CrashWindowS: 1}}}
 	if change != nil {
 		change(&set)
 	}
@@ -78,7 +78,7 @@
 	for i := range subqueries {
 		lk.Subqueries = append(lk.Subqueries, Subquery{Shard: policy.ShardID(i), Weight: 1 / float64(subqueries)})
 	}
-	return Event{Event: policy.Event{Kind: policy.QueryTaken}, Taken: lk}
+	return Event{Event: policy.Event{Kind: policy.QueryReceived}, Taken: lk}
 }
 
 func (c sentCall) ends(how policy.Outcome, value string) Event {
@@ -119,7 +119,7 @@
 	if got := string(lk.Subqueries[0].Value) + string(lk.Subqueries[1].Value); got != "zeroone" && got != "onezero" {
 		t.Fatalf("values %q", got)
 	}
-	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: lk}) // it left as the answer was on its way
+	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: lk}) // it left as the answer was on its way
 	r.checkCounters(t, map[string]int64{"taken": 1, "satisfied": 1, "gone": 0, "held": 0})
 }
 
@@ -141,7 +141,7 @@
 }
 
 func TestTheMostHeldAndTwins(t *testing.T) {
-	r := newFixture(func(s *settings.Settings) { s.Limits.MaxHeld = 4 })
+	r := newFixture(func(s *settings.Settings) { s.Limits.MaxPending = 4 })
 	first, twin, second, third := r.query("aa", 0, 2), r.query("aa", 0, 2), r.query("bb", 0, 1), r.query("cc", 0, 1)
 	r.put(first, twin, second, third)
 	if reply := twin.Taken.reply(t); reply.End != Twice {
@@ -150,7 +150,7 @@
 	if reply := third.Taken.reply(t); reply.End != Full {
 		t.Fatalf("got %+v", reply)
 	}
-	r.put(Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: first.Taken})
+	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: first.Taken})
 	if len(r.back) != 2 {
 		t.Fatalf("withdrawn %v", r.back)
 	}
@@ -166,7 +166,7 @@
 	r := newFixture(func(s *settings.Settings) {
 		s.Layout = policy.Layout{Cells: 1, Width: 1, CallSubqueries: 2}
 	})
-	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}, Addresses: []string{""}}
+	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}, Addresses: []string{""}}
 	list.Entries = []policy.Entry{{Backend: 1}}
 	r.put(list)
 	r.put(r.query("aa", 0, 5))
@@ -242,8 +242,8 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		r := newFixture(func(s *settings.Settings) {
-			s.Seed, s.Limits.MaxHeld, s.Layout.CallSubqueries = seed, 60, 1+rng.IntN(3)
-			s.Limits.SecondCopy = rng.IntN(2) == 0
+			s.Seed, s.Limits.MaxPending, s.Layout.CallSubqueries = seed, 60, 1+rng.IntN(3)
+			s.Limits.Hedge = rng.IntN(2) == 0
 		})
 		open := map[*Query]bool{}
 		never := map[policy.SubqueryID]bool{} // once-only parts all of whose calls surely never ran
@@ -257,7 +257,7 @@
 			}
 			for lk := range open {
 				if rng.IntN(800) == 0 {
-					events = append(events, Event{Event: policy.Event{Kind: policy.ClientGone}, Taken: lk})
+					events = append(events, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: lk})
 					delete(open, lk)
 				}
 			}
@@ -267,12 +267,12 @@
 					rest = append(rest, c)
 					continue
 				}
-				how := []policy.Outcome{policy.Answered, policy.Answered, policy.Answered, policy.Errored, policy.TurnedAway,
+				how := []policy.Outcome{policy.Answered, policy.Answered, policy.Answered, policy.Errored, policy.Rejected,
 					policy.NotConnected, policy.Broken}[rng.IntN(7)]
 				if !r.now.Before(c.Stop) {
 					how = policy.TimedOut
 				}
-				never[c.Subquery] = never[c.Subquery] && (how == policy.TurnedAway || how == policy.NotConnected)
+				never[c.Subquery] = never[c.Subquery] && (how == policy.Rejected || how == policy.NotConnected)
 				events = append(events, c.ends(how, c.Query.ID))
 			}
 			pending = rest
--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -162,7 +162,7 @@
 	if a.closed = n.entry.Phase != policy.Ready; a.closed {
 		a.unsend()
 	}
-	if a.gone = n.entry.Phase == policy.Gone; a.gone {
+	if a.gone = n.entry.Phase == policy.Removed; a.gone {
 		return
 	}
 	if n.address != a.address { // connects to the old one are no use
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -13,7 +13,7 @@
 func (a *actor) withdraw(subquery policy.SubqueryID, no policy.CallNo) {
 	for _, c := range a.calls {
 		if c.Subquery == subquery && c.No == no {
-			a.giveUp(c, policy.Withdrawn)
+			a.giveUp(c, policy.Canceled)
 			return
 		}
 	}
--- a/internal/dataplane/backends/crossings_test.go
+++ b/internal/dataplane/backends/crossings_test.go
@@ -55,7 +55,7 @@
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
 	r.hub.Withdraw(1, calls[0].Subquery, 0)
-	r.ended(calls[0].Subquery, policy.Withdrawn)
+	r.ended(calls[0].Subquery, policy.Canceled)
 	if text := p.rest(); text != "" {
 		t.Fatalf("%q was written", text)
 	}
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	p.expect('C', "aa.0")
-	r.ended(calls[0].Subquery, policy.Withdrawn)
+	r.ended(calls[0].Subquery, policy.Canceled)
 	p.say('R', "large.0 done 0 -\n")
 	r.ended(large[0].Subquery, policy.Answered)
 }
@@ -126,7 +126,7 @@
 
 // A drain, or the end, takes back at once what waits for a connect that does not come up; later calls are not begun either.
 func TestADrainTakesBackWhatWaitsForAConnect(t *testing.T) {
-	for _, phase := range []policy.Phase{policy.Draining, policy.Gone} {
+	for _, phase := range []policy.Phase{policy.Draining, policy.Removed} {
 		r := newFixture(t, func(n *settings.Net) { n.Connect = 50 })
 		address := r.deaf()
 		r.named(address, policy.Ready, 0)
@@ -295,10 +295,10 @@
 		how  policy.Outcome
 		kept bool
 	}{
-		"withdrawn": {time.Minute, func(r *fixture, subquery policy.SubqueryID) { r.hub.Withdraw(1, subquery, 0) }, policy.Withdrawn, true},
+		"withdrawn": {time.Minute, func(r *fixture, subquery policy.SubqueryID) { r.hub.Withdraw(1, subquery, 0) }, policy.Canceled, true},
 		"timed out": {time.Millisecond, func(*fixture, policy.SubqueryID) {}, policy.TimedOut, true},
 		"draining":  {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named(r.peer.Addr().String(), policy.Draining, 0) }, policy.NotSent, false},
-		"gone":      {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named("", policy.Gone, 0) }, policy.NotSent, false},
+		"gone":      {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named("", policy.Removed, 0) }, policy.NotSent, false},
 	} {
 		r := newFixture(t, func(n *settings.Net) { n.Idle, n.Connect = 60, 2 })
 		g := r.holdDials()
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -49,7 +49,7 @@
 }
 
 var (
-	ends           = map[string]policy.Outcome{"done": policy.Answered, "failed": policy.Errored, "full": policy.TurnedAway}
+	ends           = map[string]policy.Outcome{"done": policy.Answered, "failed": policy.Errored, "full": policy.Rejected}
 	errNoFrameType = errors.New("frame without a letter")
 	errNotText     = errors.New("value is not UTF-8, which no answer to a client can carry unchanged")
 )
@@ -148,9 +148,9 @@
 		}
 		switch string(name) {
 		case "inflight":
-			l.Has, l.InHand = l.Has|policy.HasInHand, v
+			l.Has, l.InFlight = l.Has|policy.HasInFlight, v
 		case "queue":
-			l.Has, l.Waiting = l.Has|policy.HasWaiting, v
+			l.Has, l.Queued = l.Has|policy.HasQueued, v
 		case "util":
 			l.Has, l.Util = l.Has|policy.HasUtil, v
 		case "latency_ms":
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -63,13 +63,13 @@
 	})
 	a := h.actors[entry.Backend]
 	switch {
-	case a == nil && entry.Phase == policy.Gone:
+	case a == nil && entry.Phase == policy.Removed:
 		return
 	case a == nil:
 		a = &actor{hub: h, id: entry.Backend, in: eventqueue.New[note](), calls: map[string]*call{}}
 		h.actors[entry.Backend] = a
 		h.all.Go(a.run)
-	case entry.Phase == policy.Gone:
+	case entry.Phase == policy.Removed:
 		h.gone[entry.Backend] = a
 	}
 	a.in.Put(note{kind: named, entry: entry, address: address})
@@ -79,7 +79,7 @@
 func (h *Hub) Unnamed(keep map[policy.BackendID]bool) {
 	for id := range h.actors {
 		if !keep[id] {
-			h.Named(policy.Entry{Backend: id, Phase: policy.Gone}, "")
+			h.Named(policy.Entry{Backend: id, Phase: policy.Removed}, "")
 		}
 	}
 }
@@ -132,6 +132,6 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-var outcomeNames = [...]string{policy.Answered: "answered", policy.Errored: "errored", policy.TurnedAway: "turned_away",
+var outcomeNames = [...]string{policy.Answered: "answered", policy.Errored: "errored", policy.Rejected: "turned_away",
 	policy.TimedOut: "timed_out", policy.NotConnected: "not_connected", policy.Broken: "broken",
-	policy.Withdrawn: "withdrawn", policy.NotSent: "not_sent"}
+	policy.Canceled: "withdrawn", policy.NotSent: "not_sent"}
--- a/internal/dataplane/backends/searchers_test.go
+++ b/internal/dataplane/backends/searchers_test.go
@@ -133,9 +133,9 @@
 	p.say('R', "bb.0 full 0 -\n")
 	p.say('R', "bb.0 full 0 -\n") // a second copy is no news
 	p.say('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
-	r.ended(b[0].Subquery, policy.TurnedAway)
+	r.ended(b[0].Subquery, policy.Rejected)
 	e := r.ended(a[0].Subquery, policy.Answered)
-	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasWaiting|policy.HasService || e.Load.Waiting != 3 || e.Load.ServiceS != 0.02 {
+	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasQueued|policy.HasService || e.Load.Queued != 3 || e.Load.ServiceS != 0.02 {
 		t.Fatalf("got %q, %+v", e.Value, e.Load)
 	}
 }
@@ -408,7 +408,7 @@
 		if time.Now().After(late) {
 			t.Fatal("the actor goes on")
 		}
-		r.hub.Named(policy.Entry{Backend: 2, Phase: policy.Gone}, "")
+		r.hub.Named(policy.Entry{Backend: 2, Phase: policy.Removed}, "")
 	}
 	if len(r.hub.gone) > 0 {
 		t.Fatalf("%v are still to end", r.hub.gone)
@@ -455,7 +455,7 @@
 	p.expect('C', "aa.0")
 	r.ended(slow[0].Subquery, policy.TimedOut)
 	r.hub.Withdraw(1, kept[0].Subquery, kept[0].No)
-	r.ended(kept[0].Subquery, policy.Withdrawn)
+	r.ended(kept[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
 	// Sent again, it goes on another connection: there no answer to the first can be taken for its own.
 	kept[0].No++
@@ -474,7 +474,7 @@
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 2)
 	r.hub.Withdraw(1, calls[0].Subquery, 0)
-	r.ended(calls[0].Subquery, policy.Withdrawn)
+	r.ended(calls[0].Subquery, policy.Canceled)
 	p := r.accept(r.peer)
 	if got := p.expect('S', ""); strings.Contains(got, "aa.0") {
 		p.expect('C', "aa.0") // the connection came first
@@ -494,7 +494,7 @@
 	o.expect('S', "")
 	for _, c := range calls {
 		r.hub.Withdraw(1, c.Subquery, 0)
-		r.ended(c.Subquery, policy.Withdrawn)
+		r.ended(c.Subquery, policy.Canceled)
 	}
 	r.send("b0", "q", time.Minute, 1) // on a connection that is there: no third is accepted
 	r.peer.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
@@ -548,7 +548,7 @@
 		next := r.send("ab", "q", time.Minute, 1)
 		p := r.accept(to)
 		p.expect('S', "ab.0")
-		r.named("", policy.Gone, 0) // completes what it has
+		r.named("", policy.Removed, 0) // completes what it has
 		p.say('R', "ab.0 done 0 -\n")
 		if e := r.ended(next[0].Subquery, policy.Answered); len(r.told.Rest()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
@@ -598,7 +598,7 @@
 			if err != nil {
 				continue
 			}
-			if !utf8.Valid(a.value) || a.load.InHand < 0 {
+			if !utf8.Valid(a.value) || a.load.InFlight < 0 {
 				t.Fatalf("%q read as %+v", rest, a)
 			}
 			if !bytes.HasSuffix(rest, a.value) || !strings.HasPrefix(string(rest), a.name+" ") || strings.Contains(a.name, "\n") {
--- a/internal/dataplane/clients/clients.go
+++ b/internal/dataplane/clients/clients.go
@@ -223,7 +223,7 @@
 	}
 	// That of reading goes: from here net/http only watches for the client's leaving. It fails only on a closed connection, which that finds.
 	_ = conn.SetReadDeadline(time.Time{})
-	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.QueryTaken}})
+	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.QueryReceived}})
 	select {
 	case reply := <-lk.Done:
 		s.answer(w, r, lk, reply)
@@ -235,7 +235,7 @@
 }
 
 func (s *Server) gone(w http.ResponseWriter, r *http.Request, lk *aggregator.Query) {
-	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.ClientGone}})
+	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.ClientDisconnected}})
 	// Should it still listen, having closed one direction only, net/http's own answer would be an empty 200.
 	s.write(w, r, http.StatusInternalServerError, nil)
 }
--- a/internal/dataplane/clients/clients_test.go
+++ b/internal/dataplane/clients/clients_test.go
@@ -158,7 +158,7 @@
 	} {
 		before := time.Now()
 		c.ask()
-		lk := r.event(policy.QueryTaken)
+		lk := r.event(policy.QueryReceived)
 		if lk.Arrived.Before(before) || lk.Arrived.After(time.Now()) {
 			t.Fatalf("arrived %v after it was sent", lk.Arrived.Sub(before))
 		}
@@ -261,7 +261,7 @@
 		time.Sleep(20 * time.Millisecond)
 		after := time.Now()
 		io.WriteString(c, text[1:])
-		lk := r.event(policy.QueryTaken)
+		lk := r.event(policy.QueryReceived)
 		if lk.Arrived.Before(before) || lk.Arrived.After(after) {
 			t.Fatalf("arrived %v after the first byte was sent, the rest %v after", lk.Arrived.Sub(before), after.Sub(before))
 		}
@@ -274,16 +274,16 @@
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	c.ask()
-	lk := r.event(policy.QueryTaken)
+	lk := r.event(policy.QueryReceived)
 	c.Close()
-	if r.event(policy.ClientGone) != lk {
+	if r.event(policy.ClientDisconnected) != lk {
 		t.Fatal("another lookup's client is told to have gone")
 	}
 	c = r.dial() // one that closes its own direction only is never told that it was served
 	c.ask()
-	r.event(policy.QueryTaken)
+	r.event(policy.QueryReceived)
 	c.Conn.(*net.TCPConn).CloseWrite()
-	r.event(policy.ClientGone)
+	r.event(policy.ClientDisconnected)
 	if status, _, _ := c.answer(); status == 200 {
 		t.Fatal("told that it was served")
 	}
@@ -296,7 +296,7 @@
 		c, other := r.dial(), r.dial()
 		io.WriteString(c, text[:stops])
 		other.ask()
-		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		other.expect(500)
 		if status, _, _ := c.answer(); status != 0 && status != 400 {
 			t.Fatalf("got status %d", status)
@@ -306,7 +306,7 @@
 	}
 	c := r.dial() // one that is held for longer than reading may take is not taken to have left
 	c.ask()
-	lk := r.event(policy.QueryTaken)
+	lk := r.event(policy.QueryReceived)
 	time.Sleep(100 * time.Millisecond)
 	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 	c.expect(429)
@@ -316,13 +316,13 @@
 	r := newFixture(t, 5, nil)
 	idle := r.dial()
 	idle.ask()
-	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
 	r.idle(idle) // until then its query counts as held
 	for range 4 {
 		busy := r.dial()
 		busy.ask()
-		held := r.event(policy.QueryTaken)
+		held := r.event(policy.QueryReceived)
 		defer func() {
 			held.Done <- aggregator.Reply{End: aggregator.Aborted}
 			busy.expect(500)
@@ -343,13 +343,13 @@
 	r := newFixture(t, 10, nil)
 	held := r.dial()
 	held.ask()
-	reply := r.event(policy.QueryTaken).Done
+	reply := r.event(policy.QueryReceived).Done
 	var once []*client
 	for range 5 {
 		c := r.dial()
 		once = append(once, c)
 		c.ask()
-		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 		r.idle(c) // else a later one may go in its place
 	}
@@ -360,7 +360,7 @@
 	}
 	for _, c := range once[2:] {
 		c.ask()
-		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
 	reply <- aggregator.Reply{End: aggregator.Aborted}
@@ -372,7 +372,7 @@
 	r := newFixture(t, 100, func(s *Server) { s.http.ReadTimeout, s.http.IdleTimeout = 100*time.Millisecond, 50*time.Millisecond })
 	idle, silent, endless := r.dial(), r.dial(), r.dial()
 	idle.ask()
-	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
 	io.WriteString(endless, "POST /reads HTTP/1.1\r\nA: "+strings.Repeat("a", 4*mostHead))
 	r.ended(whyIdle)
@@ -394,7 +394,7 @@
 	for range 2 {
 		first, second := r.dial(), r.dial()
 		io.WriteString(first, request("/reads", goodHead, large))
-		held := r.event(policy.QueryTaken)
+		held := r.event(policy.QueryReceived)
 		if len(held.Query) != 2*smallBody+1 {
 			t.Fatalf("the query has %d bytes", len(held.Query))
 		}
@@ -409,11 +409,11 @@
 	r := newFixture(t, 100, func(s *Server) { s.slow = 100 * time.Millisecond })
 	c, other := r.dial(), r.dial()
 	c.ask()
-	lk := r.event(policy.QueryTaken)
+	lk := r.event(policy.QueryReceived)
 	lk.Subqueries[0].In, lk.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
 	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	other.ask()
-	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	other.expect(500)
 	r.ended(whyUnwritten)
 }
@@ -424,7 +424,7 @@
 	r := newFixture(t, 8, nil)
 	served := r.dial()
 	served.ask()
-	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 	began := time.Now()
 	half := r.dial()
@@ -437,7 +437,7 @@
 	third, fourth := r.dial(), r.dial()
 	for _, c := range []*client{third, fourth} {
 		c.ask()
-		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
 	if time.Since(began) < unread {
@@ -449,7 +449,7 @@
 		}
 	}
 	served.ask()
-	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Aborted}
+	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 }
 
@@ -462,7 +462,7 @@
 			select {
 			case <-r.told.Queue.Ready():
 				for _, e := range r.told.Queue.Take(nil) {
-					if e.Kind == policy.QueryTaken {
+					if e.Kind == policy.QueryReceived {
 						e.Taken.Done <- aggregator.Reply{End: aggregator.Nacked}
 					}
 				}
@@ -491,13 +491,13 @@
 	r := newFixture(t, 100, func(s *Server) { s.serveOn = 600 * time.Millisecond })
 	busy, idle := r.dial(), r.dial()
 	busy.ask()
-	held := r.event(policy.QueryTaken)
+	held := r.event(policy.QueryReceived)
 	drained := make(chan struct{})
 	go func() { r.Drain(); close(drained) }()
 	for _, c := range []*client{idle, r.dial(), idle} { // beyond the time that a front takes to notice
 		time.Sleep(180 * time.Millisecond)
 		io.WriteString(c, request("/reads", strings.Replace(goodHead, "0.480", "9", 1), goodBody))
-		lk := r.event(policy.QueryTaken)
+		lk := r.event(policy.QueryReceived)
 		if lk.Wait > 0.95 {
 			t.Fatalf("may wait %g s, longer than the mixer lives", lk.Wait)
 		}
--- a/internal/dataplane/clients/crossings_test.go
+++ b/internal/dataplane/clients/crossings_test.go
@@ -51,7 +51,7 @@
 			r := newFixture(t, 100, nil)
 			c := r.dial()
 			io.WriteString(c, again("first")+ahead)
-			lk := r.event(policy.QueryTaken)
+			lk := r.event(policy.QueryReceived)
 			switch tcp := c.Conn.(*net.TCPConn); how {
 			case "fin":
 				tcp.Close()
@@ -61,7 +61,7 @@
 				tcp.SetLinger(0)
 				tcp.Close()
 			}
-			if gone := r.event(policy.ClientGone); gone != lk {
+			if gone := r.event(policy.ClientDisconnected); gone != lk {
 				t.Fatalf("%s, %s: lookup %q is told to have no client", name, how, gone.ID)
 			}
 			c.Close()
@@ -79,7 +79,7 @@
 	c := r.dial()
 	io.WriteString(c, again("a")+again("b"))
 	for _, id := range []string{"a", "b", "c"} {
-		lk := r.event(policy.QueryTaken)
+		lk := r.event(policy.QueryReceived)
 		if lk.ID != id {
 			t.Fatalf("got %q, expected %q", lk.ID, id)
 		}
@@ -99,13 +99,13 @@
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
 	io.WriteString(c, again("first"))
-	lk := r.event(policy.QueryTaken)
+	lk := r.event(policy.QueryReceived)
 	if _, err := io.WriteString(c, strings.Repeat(again("more"), 2*mostAhead/len(again("more")))); err != nil {
 		t.Fatal(err)
 	}
 	r.overrun()
 	other.ask()
-	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
+	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 	other.expect(429)
 	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
 	if head, _ := c.expect(429); head.Get("Connection") != "close" {
@@ -163,7 +163,7 @@
 	r := newFixture(t, 100, func(s *Server) { s.serveOn = time.Millisecond })
 	rests, half := r.dial(), r.dial()
 	rests.ask()
-	r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
+	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 	rests.expect(429)
 	io.WriteString(half, "POST /reads HTTP/1.1\r\nReq-Id: half")
 	drained := make(chan struct{})
@@ -197,14 +197,14 @@
 	})
 	deaf, held, head, body := r.dial(), r.dial(), r.dial(), r.dial()
 	deaf.ask()
-	lk := r.event(policy.QueryTaken)
+	lk := r.event(policy.QueryReceived)
 	lk.Subqueries[0].In, lk.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
 	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	if _, err := deaf.in.Peek(1); err != nil { // its answer is on its way
 		t.Fatal(err)
 	}
 	held.ask()
-	lk = r.event(policy.QueryTaken)
+	lk = r.event(policy.QueryReceived)
 	text := again("trickles")
 	io.WriteString(head, text[:20])
 	io.WriteString(body, text[:len(text)-20])
@@ -245,7 +245,7 @@
 	for range 6 {
 		c := r.dial()
 		c.ask()
-		r.event(policy.QueryTaken).Done <- aggregator.Reply{End: aggregator.Nacked}
+		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 		c.expect(429)
 	}
 	r.forgotten()
@@ -391,7 +391,7 @@
 		crowd = append(crowd, c)
 	}
 	for range crowd {
-		r.event(policy.QueryTaken)
+		r.event(policy.QueryReceived)
 	}
 	for i, c := range crowd {
 		if i%2 == 0 {
@@ -400,7 +400,7 @@
 		c.Close()
 	}
 	for range crowd {
-		r.event(policy.ClientGone)
+		r.event(policy.ClientDisconnected)
 	}
 	r.forgotten()
 }
@@ -410,7 +410,7 @@
 	r := newFixture(t, 100, nil)
 	gone := map[*aggregator.Query]bool{}
 	hear := func(e aggregator.Event) {
-		if e.Kind != policy.ClientGone || gone[e.Taken] {
+		if e.Kind != policy.ClientDisconnected || gone[e.Taken] {
 			t.Fatalf("got %+v", e)
 		}
 		gone[e.Taken] = true
@@ -420,7 +420,7 @@
 		c := r.dial()
 		c.ask()
 		e := r.told.Next(t)
-		for ; e.Kind != policy.QueryTaken; e = r.told.Next(t) {
+		for ; e.Kind != policy.QueryReceived; e = r.told.Next(t) {
 			hear(e) // of the round before
 		}
 		go c.Conn.(*net.TCPConn).CloseWrite()
--- a/internal/dataplane/discovery/crossings_test.go
+++ b/internal/dataplane/discovery/crossings_test.go
@@ -39,7 +39,7 @@
 	}
 	r := &bare{T: t, told: queuetest.New[aggregator.Event](), server: l}
 	set := settings.Settings{}
-	set.AskList = asked
+	set.ListOnRequest = asked
 	r.Client, err = New(l.Addr().String(), []byte(line(41, true, backend("s1", "SERVING"))), set, r.told.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	c := r.accept("/discovery/hosts")
 	c.Write([]byte(noLength + list))
 	c.Close()
-	if e := r.told.Next(t); e.List != policy.ListWhole {
+	if e := r.told.Next(t); e.List != policy.ListComplete {
 		t.Fatalf("told %+v", e)
 	}
 }
@@ -160,7 +160,7 @@
 	r.nothing()
 	third.Write([]byte(noLength + line(45, true, backend("s1", "DRAINING"))))
 	third.Close()
-	if e := r.told.Next(t); e.List != policy.ListWhole || e.Entries[0].Phase != policy.Draining {
+	if e := r.told.Next(t); e.List != policy.ListComplete || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
 }
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	r := &Client{in: eventqueue.New[note](), tell: tell, log: log, count: count,
-		url: listURL(address), silence: time.Duration(silentHeartbeats * float64(heartbeatInterval)), asked: set.AskList, on: !set.AskList,
+		url: listURL(address), silence: time.Duration(silentHeartbeats * float64(heartbeatInterval)), asked: set.ListOnRequest, on: !set.ListOnRequest,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: heartbeatInterval}).DialContext}},
 		places: settings.Numbered[int](set.Net.Locations), kinds: settings.Numbered[int](set.Net.Kinds), ids: map[string]policy.BackendID{},
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -66,7 +66,7 @@
 		}
 	}))
 	set := settings.Settings{Net: settings.Net{Locations: []string{"a", "b"}}}
-	set.AskList = asked
+	set.ListOnRequest = asked
 	var err error
 	r.server = strings.TrimPrefix(server.URL, "http://")
 	r.Client, err = New(r.server, []byte(line(41, true, backend("s1", "SERVING"))), set,
@@ -124,7 +124,7 @@
 	w.end()
 	w = r.ask("/discovery/hosts?stream=1&index=44")
 	w.write(line(50, true, backend("s3", "SERVING"), backend("s1", "SERVING")))
-	if e = r.expect(policy.ListWhole, "s3:0", "s1:0"); e.Entries[1].Backend != 1 {
+	if e = r.expect(policy.ListComplete, "s3:0", "s1:0"); e.Entries[1].Backend != 1 {
 		t.Fatalf("s1 became %d", e.Entries[1].Backend)
 	}
 }
@@ -143,8 +143,8 @@
 		t.Fatalf("the new s2 is %d", e.Entries[0].Backend)
 	}
 	w.write(line(45, true, backend("s4", "SERVING")) + line(46, true, backend("s1", "SERVING")))
-	r.expect(policy.ListWhole, "s4:0")
-	if e := r.expect(policy.ListWhole, "s1:0"); e.Entries[0].Backend != 5 || len(r.ids) != 1 {
+	r.expect(policy.ListComplete, "s4:0")
+	if e := r.expect(policy.ListComplete, "s1:0"); e.Entries[0].Backend != 5 || len(r.ids) != 1 {
 		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Backend, r.ids)
 	}
 }
@@ -240,7 +240,7 @@
 	whole := indented(line(44, true, backend("s3", "DRAINING")))
 	w.write(whole[:len(whole)/2])
 	w.write(whole[len(whole)/2:] + "\n")
-	r.expect(policy.ListWhole, "s3:1")
+	r.expect(policy.ListComplete, "s3:1")
 	w.write(whole[:strings.LastIndex(whole, "}")] + "\n\n")
 	r.ask("/discovery/hosts?stream=1&index=44")
 	if rest := r.told.Rest(); len(rest) > 0 {
@@ -287,7 +287,7 @@
 	w = r.ask("/discovery/hosts")
 	w.write(line(60, true, backend("s8", "SERVING")))
 	w.end()
-	r.expect(policy.ListWhole, "s8:0")
+	r.expect(policy.ListComplete, "s8:0")
 	r.AskWhole()
 	r.ask("/discovery/hosts").end()
 	r.expect(policy.ListFailed)
@@ -317,7 +317,7 @@
 			t.Fatalf("%q: told %+v", text, told)
 		}
 		for i, e := range told[0].Entries {
-			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Gone && told[0].Addresses[i] == "" {
+			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Removed && told[0].Addresses[i] == "" {
 				t.Fatalf("%q: told %+v", text, e)
 			}
 		}
--- a/internal/dataplane/discovery/entries.go
+++ b/internal/dataplane/discovery/entries.go
@@ -33,7 +33,7 @@
 	Instances []entry `json:"instances"`
 }
 
-var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone}
+var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 
 // take reads a line of the register's and tells the module, unless anything in it can't be read: half a list
 // would be worse than an old one.
@@ -50,7 +50,7 @@
 	case known:
 		e.List = policy.ListStale
 	case p.Whole:
-		e.List = policy.ListWhole
+		e.List = policy.ListComplete
 	}
 	for i := range p.Instances { // all of them, before the first one counts
 		in := &p.Instances[i]
@@ -60,7 +60,7 @@
 			return malformed("searcher %q: unknown state %q", in.ID, in.State)
 		case in.ID == "":
 			return malformed("searcher without an id")
-		case phase != policy.Gone && in.Address == "":
+		case phase != policy.Removed && in.Address == "":
 			return malformed("searcher %q without an address", in.ID)
 		case in.Cell < 0:
 			return malformed("searcher %q: cell %d", in.ID, in.Cell)
@@ -81,13 +81,13 @@
 			id, seen = before[in.ID]
 		}
 		switch {
-		case !seen && phase == policy.Gone:
+		case !seen && phase == policy.Removed:
 			continue
 		case !seen:
 			r.lastID++
 			id = r.lastID
 		}
-		if phase == policy.Gone { // should the name come again, it is another backend's
+		if phase == policy.Removed { // should the name come again, it is another backend's
 			delete(r.ids, in.ID)
 		} else {
 			r.ids[in.ID] = id
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -116,28 +116,28 @@
 		Idle: li.IdleCloseS, Connect: li.ConnectTimeoutS, Loads: w.Stats.How == "answers" || w.Stats.How == "probe"}}
 	s.Settings = policy.Settings{
 		Seed: seed, Self: policy.AggregatorNo(w.Ordinal), Aggregators: w.Siblings, Location: policy.LocationID(w.Zone),
-		Step: w.GranularityS, OverShare: w.OverShareWorth, AskList: w.MembershipMode == "subscribe",
+		Step: w.GranularityS, OverShare: w.OverShareWorth, ListOnRequest: w.MembershipMode == "subscribe",
 		Layout: policy.Layout{Cells: sp.Places, Width: sp.Width, CallSubqueries: sp.PerCall, CallCost: sp.CallCostS},
-		Limits: policy.Limits{Cancel: li.Cancel, Probe: li.Probing, Tell: li.MayTell, SecondCopy: li.MayDuplicate,
-			RetryAfter: li.RetryAfter, MaxTries: li.MostTries, MaxHeld: li.MostHeld,
+		Limits: policy.Limits{Cancel: li.Cancel, Probe: li.Probing, PeerMessages: li.MayTell, Hedge: li.MayDuplicate,
+			RetryAfter: li.RetryAfter, MaxAttempts: li.MostTries, MaxPending: li.MostHeld,
 			MaxRetryAfter: li.MaxRetryAfterS, ConnectTimeout: li.ConnectTimeoutS},
-		Rules: policy.Rules{AnswerSlack: in.AnswerSlackS, AskEvery: in.AskEveryS, ColdShare: in.ColdShare,
-			ColdS: in.ColdS, DrainGrace: in.DrainGraceS, FallMultiple: in.FallMultiple, FallS: in.FallS,
-			BudgetFree: in.FreeResends},
+		Rules: policy.Rules{AnswerSlack: in.AnswerSlackS, ListPollEvery: in.AskEveryS, SlowStartShare: in.ColdShare,
+			SlowStartS: in.ColdS, DrainGrace: in.DrainGraceS, CrashMultiple: in.FallMultiple, CrashWindowS: in.FallS,
+			RetryBudgetFree: in.FreeResends},
 		Prices: policy.Prices{CrossLocation: pr.CrossZone, Waste: pr.Waste, Probe: pr.Probe, LateFail: pr.LateFail,
 			Handshake: pr.Handshake, Connection: pr.Connection, Peer: pr.Peer, Lists: pr.MembershipMode},
 	}
 	if in.ExtraShare != nil && in.BudgetSpanS != nil {
-		s.Rules.Budget, s.Rules.BudgetPer, s.Rules.BudgetS = true, *in.ExtraShare, *in.BudgetSpanS
+		s.Rules.RetryBudget, s.Rules.RetryBudgetPer, s.Rules.RetryBudgetS = true, *in.ExtraShare, *in.BudgetSpanS
 	}
 	for i, c := range w.RequestClasses {
 		effect, known := effects[c.Effect]
 		if !known {
 			return s, invalid("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, c.Effect)
 		}
-		x := policy.IndexSettings{Soft: c.PromiseS, Hard: c.GiveUpS, Gain: c.Worth, LateGain: c.LateWorth,
-			Effect: effect, RepeatS: c.RepeatWindowS}
-		x.Need, x.Floor, x.ShortGain = at(sp.ClassNeed, i), at(sp.FloorByClass, i), at(sp.ShortWorth, i)
+		x := policy.IndexSettings{Soft: c.PromiseS, Hard: c.GiveUpS, Value: c.Worth, LateValue: c.LateWorth,
+			Effect: effect, DedupS: c.RepeatWindowS}
+		x.Required, x.Minimum, x.PartialValue = at(sp.ClassNeed, i), at(sp.FloorByClass, i), at(sp.ShortWorth, i)
 		if i < len(sp.SecondStep) {
 			x.SecondStep = sp.SecondStep[i]
 		}
--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -38,7 +38,7 @@
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads"}, 4, 2, 2
 	r := &fixture{T: t, box: eventqueue.New[aggregator.Event]()}
 	d := controller.New(lim, r.box, nil, "", zap.NewNop(), counters.New())
-	list := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}}
+	list := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}}
 	for i := range 4 {
 		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 2)})
 		list.Addresses, list.Names = append(list.Addresses, "x:1"), append(list.Names, aggregator.Name{Backend: fmt.Sprint("s-", i), Location: "north"})
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -205,9 +205,9 @@
 		if alone {
 			r.Alone.Add(elapsed, 1)
 		}
-	case policy.TurnedAway:
+	case policy.Rejected:
 		r.TurnedAway++
-	case policy.Withdrawn, policy.NotSent: // ours
+	case policy.Canceled, policy.NotSent: // ours
 	default:
 		r.Failed++
 	}
--- a/internal/operators/controller/controller_test.go
+++ b/internal/operators/controller/controller_test.go
@@ -42,7 +42,7 @@
 }
 
 func (r *fixture) list(phase policy.Phase) {
-	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}}
+	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}}
 	for i := range 4 {
 		entry := policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 2)}
 		if i == 0 {
@@ -92,7 +92,7 @@
 	if res := <-third; res.Err != nil || res.Change.Revision != 2 {
 		t.Fatalf("got %+v", res)
 	}
-	if e := r.event(policy.OverridesChanged); len(e.Override.Backends) != 1 || !e.Override.Backends[0].Out {
+	if e := r.event(policy.OverridesChanged); len(e.Override.Backends) != 1 || !e.Override.Backends[0].Excluded {
 		t.Fatalf("got %+v", e.Override)
 	}
 }
@@ -104,7 +104,7 @@
 		t.Fatal(res.Err)
 	}
 	r.event(policy.OverridesChanged)
-	r.list(policy.Gone)
+	r.list(policy.Removed)
 	r.event(policy.ListChanged)
 	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Backend: 9}}}, Addresses: []string{"x:2"},
 		Names: []aggregator.Name{{Backend: "s-0", Location: "north"}}}
@@ -113,7 +113,7 @@
 	if len(r.told.Rest()) == 0 {
 		t.Fatal("the list came alone")
 	}
-	if e := r.event(policy.OverridesChanged); e.Override.Backends[0].Backend != 9 || !e.Override.Backends[0].Out {
+	if e := r.event(policy.OverridesChanged); e.Override.Backends[0].Backend != 9 || !e.Override.Backends[0].Excluded {
 		t.Fatalf("got %+v", e.Override)
 	}
 }
--- a/internal/operators/override/members.go
+++ b/internal/operators/override/members.go
@@ -9,7 +9,7 @@
 func (t *Table) member(name string) *member {
 	m := t.members[name]
 	if m == nil {
-		m = &member{Member: Member{Name: name, Phase: policy.Gone}, levels: make([]share, len(t.lim.Indexes))}
+		m = &member{Member: Member{Name: name, Phase: policy.Removed}, levels: make([]share, len(t.lim.Indexes))}
 		for k := range m.levels {
 			m.levels[k] = share{level{1, 1}, 1}
 		}
@@ -50,7 +50,7 @@
 // unlist takes a backend off the list. Its overrides stand and wait for its name.
 func (t *Table) unlist(m *member) {
 	m.drained = m.Phase == policy.Draining && len(m.pins) > 0
-	m.listed, m.Phase = false, policy.Gone
+	m.listed, m.Phase = false, policy.Removed
 	t.listed--
 	t.out(m)
 	t.touchMember(m)
@@ -63,7 +63,7 @@
 
 func (t *Table) named(now float64, e *Member) (ended []Change) {
 	m := t.members[e.Name]
-	if e.Phase == policy.Gone {
+	if e.Phase == policy.Removed {
 		if m != nil && m.listed {
 			t.unlist(m)
 		}
--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -123,13 +123,13 @@
 func (w *world) phase(i int, phase policy.Phase) {
 	e, listed := w.list[name(i)]
 	switch {
-	case phase == policy.Gone:
+	case phase == policy.Removed:
 		if listed {
 			w.drops[name(i)] = e.Phase == policy.Draining
 			w.forgetDrops()
 			delete(w.list, name(i))
 		}
-		w.heard(w.List(w.now, false, []Member{{Name: name(i), Phase: policy.Gone}}))
+		w.heard(w.List(w.now, false, []Member{{Name: name(i), Phase: policy.Removed}}))
 		return
 	case !listed:
 		w.nextID++
@@ -209,10 +209,10 @@
 		was, known := w.told[s.Backend][s.Index]
 		if !known {
 			was.Weight = 1
-		} else if was.Out {
+		} else if was.Excluded {
 			was.Weight = 0
 		}
-		if rise := s.Weight - was.Weight; !s.Out && rise > 0.13 {
+		if rise := s.Weight - was.Weight; !s.Excluded && rise > 0.13 {
 			w.fail("%d rises by %.2f at one blow", s.Backend, rise)
 		}
 		w.told[s.Backend][s.Index] = s
@@ -235,7 +235,7 @@
 			if !known {
 				got.Weight = 1
 			}
-			if got.Out != (want == 0) || !got.Out && got.Weight > want+1e-9 {
+			if got.Excluded != (want == 0) || !got.Excluded && got.Weight > want+1e-9 {
 				w.fail("%s, %s: told %+v, wanted %g", e.Name, index, got, want)
 			}
 			for s := range policy.ShardID(4) {
@@ -252,7 +252,7 @@
 			to := w.list[want].ID
 			if e, listed := w.list[want]; want != "" && !listed {
 				to = nobody
-			} else if listed && e.Phase == policy.Gone {
+			} else if listed && e.Phase == policy.Removed {
 				to = 0
 			}
 			if want != "" && got.Backend != 0 && got.Backend != to {
@@ -267,7 +267,7 @@
 	for _, e := range w.list {
 		for k, index := range w.indexes {
 			got, known := w.told[e.ID][policy.IndexID(k)]
-			if want := w.factor(e.Name, index); known && !got.Out && math.Abs(got.Weight-want) > 1e-9 {
+			if want := w.factor(e.Name, index); known && !got.Excluded && math.Abs(got.Weight-want) > 1e-9 {
 				w.fail("%s, %s: settled at %g, wanted %g", e.Name, index, got.Weight, want)
 			}
 		}
@@ -310,7 +310,7 @@
 		w.phase(i, policy.Draining)
 		return
 	case 9:
-		w.phase(i, policy.Gone)
+		w.phase(i, policy.Removed)
 		return
 	case 10:
 		w.phase(i, policy.Ready)
@@ -545,7 +545,7 @@
 	w.phase(0, policy.Draining)
 	shows(pin, "suspended: its searcher drains")
 	shows(weight, "suspended: its searcher drains")
-	w.phase(0, policy.Gone)
+	w.phase(0, policy.Removed)
 	shows(pin, "suspended: its searcher has drained and left")
 	shows(weight, "waits")
 	w.phase(0, policy.Ready)
--- a/internal/operators/override/patch.go
+++ b/internal/operators/override/patch.go
@@ -155,7 +155,7 @@
 		l.told = l.now
 		w := policy.BackendOverride{Backend: m.ID, Index: policy.IndexID(k), Weight: l.now}
 		if l.now == 0 {
-			w.Out, w.Weight = true, 1
+			w.Excluded, w.Weight = true, 1
 		}
 		patch.Backends = append(patch.Backends, w)
 	}
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -16,13 +16,13 @@
 
 var (
 	outcomes = map[string]policy.Outcome{
-		"delivered": policy.Answered, "app_error": policy.Errored, "shed": policy.TurnedAway,
+		"delivered": policy.Answered, "app_error": policy.Errored, "shed": policy.Rejected,
 		"expired": policy.TimedOut, "dial_failed": policy.NotConnected, "dropped": policy.Broken,
-		"revoked": policy.Withdrawn, "unused": policy.NotSent,
+		"revoked": policy.Canceled, "unused": policy.NotSent,
 	}
-	phases = map[string]policy.Phase{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
+	phases = map[string]policy.Phase{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
 	lists  = map[string]policy.ListKind{
-		"patch": policy.ListPatch, "whole": policy.ListWhole, "stale_copy": policy.ListStale, "broken": policy.ListFailed,
+		"patch": policy.ListPatch, "whole": policy.ListComplete, "stale_copy": policy.ListStale, "broken": policy.ListFailed,
 	}
 )
 
@@ -215,15 +215,15 @@
 		id := f.unsigned("req")
 		e.Index, e.Customer = policy.IndexID(f.integer("cls")), policy.CustomerID(f.optional("owner"))
 		e.Key, e.HasKey = f.hex("object")
-		e.Left, e.Hint = f.number("timeBudgetS"), f.optional("costS")
+		e.Remaining, e.Hint = f.number("timeBudgetS"), f.optional("costS")
 		e.No = policy.QueryNo(f.integer("queryNo"))
 		shard, amount := f.integer("shard"), f.number("amount")
 		e.Resent = f.optional("resent") != 0
 		f.optional("isWrite")
 		if shard < 0 {
-			e.Kind, e.Query, e.Subqueries = policy.QueryTaken, policy.QueryID(id), int(amount)
+			e.Kind, e.Query, e.Subqueries = policy.QueryReceived, policy.QueryID(id), int(amount)
 		} else {
-			e.Kind, e.Subquery, e.Shard, e.Weight = policy.SubqueryTaken, policy.SubqueryID(id), policy.ShardID(shard), amount
+			e.Kind, e.Subquery, e.Shard, e.Weight = policy.SubqueryReceived, policy.SubqueryID(id), policy.ShardID(shard), amount
 		}
 	case "ESTABLISHED":
 		e.Kind, e.Subquery, e.Backend = policy.CallBegan, policy.SubqueryID(f.unsigned("req")), f.backend()
@@ -237,7 +237,7 @@
 		e.Kind, e.Elapsed, e.Outcome = policy.ProbeEnded, f.number("costTimeS"), f.outcome()
 		e.Backend, e.Load = f.backend(), f.load()
 	case "CLIENT_GONE":
-		e.Kind, e.Query = policy.ClientGone, policy.QueryID(f.unsigned("req"))
+		e.Kind, e.Query = policy.ClientDisconnected, policy.QueryID(f.unsigned("req"))
 	case "TICK_DUE":
 		e.Kind, e.Timer = policy.TimerDue, policy.TimerID(f.integer("ctx"))
 	case "PEER_DATA":
@@ -309,12 +309,12 @@
 		verb("SEND", uint64(a.Subquery))
 		b = strconv.AppendUint(append(b, ' '), uint64(a.Backend), 10)
 		num(a.StopAt)
-	case policy.Withdraw:
+	case policy.Cancel:
 		verb("ABANDON", uint64(a.Subquery))
 		b = strconv.AppendInt(append(b, ' '), int64(a.Call), 10)
 	case policy.Answer:
 		verb("WRAP_UP", uint64(a.Query))
-		yes(a.Whole)
+		yes(a.Complete)
 	case policy.Nack:
 		verb("SAY_NO", uint64(a.Query))
 		num(a.Wait)
@@ -328,7 +328,7 @@
 		verb("HEALTH_CHECK", uint64(a.Backend))
 	case policy.CloseIdle:
 		verb("FREE_LINKS", uint64(a.Backend))
-	case policy.Tell:
+	case policy.NotifyPeer:
 		b = append(b, "PUBLISH "...)
 		if a.Peer == policy.AllPeers {
 			b = append(b, '*')
@@ -343,9 +343,9 @@
 	case policy.Subscribe:
 		b = append(b, "LISTEN"...)
 		yes(a.On)
-	case policy.AskWhole:
+	case policy.RequestFullList:
 		b = append(b, "LOOKUP"...)
-	case policy.Note:
+	case policy.LogNote:
 		b = append(append(b, "PRINT "...), strings.ReplaceAll(a.Text, "\n", " ")...)
 	default:
 		panic(fmt.Sprintf("action kind %d has no word on the wire", a.Kind))
--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -137,9 +137,9 @@
 		v := f.parse("usage", value)
 		switch string(name) {
 		case "busy_reqs":
-			l.Has, l.InHand = l.Has|policy.HasInHand, v
+			l.Has, l.InFlight = l.Has|policy.HasInFlight, v
 		case "pending":
-			l.Has, l.Waiting = l.Has|policy.HasWaiting, v
+			l.Has, l.Queued = l.Has|policy.HasQueued, v
 		case "cpu_share":
 			l.Has, l.Util = l.Has|policy.HasUtil, v
 		case "svc_ms":
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -72,7 +72,7 @@
 func newWorld(f *Site, a *Ask, seed uint64) *world {
 	w := &world{f: f, a: a, g: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.BackendID]*station{}}
 	w.got.Queries, w.got.ByIndex = make([]int64, len(f.Indexes)), make([]float64, len(f.Indexes))
-	list := policy.Event{Kind: policy.ListChanged, List: policy.ListWhole}
+	list := policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}
 	for i, s := range f.Backends {
 		st := &station{Backend: s, id: policy.BackendID(i + 1)}
 		w.stations = append(w.stations, st)
@@ -91,10 +91,10 @@
 	for i := range f.Aggregators {
 		set := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: f.Aggregators, Location: policy.LocationID(i % max(1, len(f.Locations))),
 			Step: f.Step, Layout: policy.Layout{Cells: f.Cells, Width: f.Width, CallSubqueries: 1},
-			Limits: policy.Limits{Cancel: true, Probe: true, SecondCopy: true, RetryAfter: true, MaxTries: max(1, f.MostTries), MaxHeld: f.MostHeld, MaxRetryAfter: 1, ConnectTimeout: 0.25},
+			Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, f.MostTries), MaxPending: f.MostHeld, MaxRetryAfter: 1, ConnectTimeout: 0.25},
 			Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
 		for _, x := range f.Indexes {
-			set.Indexes = append(set.Indexes, policy.IndexSettings{Soft: x.Soft, Hard: x.Hard, Gain: max(x.Gain, 1e-9), LateGain: x.Late, Effect: x.Effect, Need: 1, Floor: 1})
+			set.Indexes = append(set.Indexes, policy.IndexSettings{Soft: x.Soft, Hard: x.Hard, Value: max(x.Gain, 1e-9), LateValue: x.Late, Effect: x.Effect, Required: 1, Minimum: 1})
 		}
 		m := &aggregator{m: policy.New(set, 0), queries: map[policy.QueryID]*taken{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
 			made: map[policy.SubqueryID]policy.CallNo{}, out: map[callKey]*work{}, stepped: -1}
@@ -167,9 +167,9 @@
 	m.lastID++
 	id, t := policy.QueryID(m.lastID), &taken{of: q}
 	m.queries[id] = t
-	e := policy.Event{Kind: policy.QueryTaken, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(k), Left: x.Hard - (w.now - q.began), Subqueries: len(q.shards), Resent: q.tries > 1}
+	e := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(k), Remaining: x.Hard - (w.now - q.began), Subqueries: len(q.shards), Resent: q.tries > 1}
 	events := []policy.Event{e}
-	e.Kind, e.Subqueries = policy.SubqueryTaken, 0
+	e.Kind, e.Subqueries = policy.SubqueryReceived, 0
 	for _, s := range q.shards {
 		m.lastID++
 		e.Subquery, e.Shard, e.Weight = policy.SubqueryID(m.lastID), policy.ShardID(s), 1/float64(len(q.shards))
@@ -215,9 +215,9 @@
 		to := w.byID[a.Backend]
 		w.at(w.now+w.f.Network, func() { w.reach(to, c) })
 		w.at(a.StopAt, func() { w.finish(c, to, policy.TimedOut) })
-	case policy.Withdraw:
+	case policy.Cancel:
 		if c := m.out[callKey{a.Subquery, a.Call}]; c != nil {
-			w.finish(c, nil, policy.Withdrawn)
+			w.finish(c, nil, policy.Canceled)
 		}
 	case policy.Answer:
 		w.answered(m, a.Query)
--- a/internal/tools/plan/stations.go
+++ b/internal/tools/plan/stations.go
@@ -12,7 +12,7 @@
 		w.serve(s, c)
 	case s.Queue > 0 && len(s.queue) >= s.Queue:
 		s.refused++
-		w.at(w.now+w.f.Network, func() { w.finish(c, s, policy.TurnedAway) })
+		w.at(w.now+w.f.Network, func() { w.finish(c, s, policy.Rejected) })
 	default:
 		s.queue = append(s.queue, c)
 		s.most = max(s.most, len(s.queue))
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -8,7 +8,7 @@
 
 // Of a cold backend the sum over all aggregators of a fleet stays within N + 3 x root of N + 3 calls of mean work in the stated
 // time, N being what the settings allow it then, though each aggregator knows its own alone, the list tells all at once, and its
-// sibling is gone, so that all parts are for it. They are half as much again as it can do warm, which coldLoad takes for
+// sibling is gone, so that all parts are for it. They are half as much again as it can do warm, which slowStartLoad takes for
 // granted; what more would do is not guarded.
 func TestColdBudgetOverAllAggregators(t *testing.T) {
 	for _, fleet := range []int{10, 100, 300} {
@@ -19,10 +19,10 @@
 			now := 100.0
 			for i := range fleet {
 				m := New(Settings{Seed: rng.Uint64(), Self: AggregatorNo(i), Aggregators: fleet, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
-					Indexes: []IndexSettings{{Soft: 0.5, Hard: 1, Gain: 1, Need: 1, Floor: 1}},
-					Limits:  Limits{Cancel: true, Probe: true, MaxTries: 3},
-					Rules:   Rules{AnswerSlack: 0.02, ColdShare: share, ColdS: cold, DrainGrace: 0.25, FallMultiple: multiple, FallS: fall}}, now)
-				m.Step(now, []Event{{Kind: ListChanged, List: ListStale, Entries: []Entry{{Backend: 1, StartedAt: now}, {Backend: 2, Phase: Gone}}}}, nil)
+					Indexes: []IndexSettings{{Soft: 0.5, Hard: 1, Value: 1, Required: 1, Minimum: 1}},
+					Limits:  Limits{Cancel: true, Probe: true, MaxAttempts: 3},
+					Rules:   Rules{AnswerSlack: 0.02, SlowStartShare: share, SlowStartS: cold, DrainGrace: 0.25, CrashMultiple: multiple, CrashWindowS: fall}}, now)
+				m.Step(now, []Event{{Kind: ListChanged, List: ListStale, Entries: []Entry{{Backend: 1, StartedAt: now}, {Backend: 2, Phase: Removed}}}}, nil)
 				aggregators = append(aggregators, m)
 			}
 			type end struct {
@@ -38,8 +38,8 @@
 				for ; next < now; next += rng.ExpFloat64() * work / 1.5 {
 					i := rng.IntN(fleet)
 					id++
-					events[i] = append(events[i], Event{Kind: QueryTaken, Query: QueryID(id), No: QueryNo(id), Subqueries: 1, Left: 1},
-						Event{Kind: SubqueryTaken, Subquery: SubqueryID(id), No: QueryNo(id), Weight: 1, Hint: work})
+					events[i] = append(events[i], Event{Kind: QueryReceived, Query: QueryID(id), No: QueryNo(id), Subqueries: 1, Remaining: 1},
+						Event{Kind: SubqueryReceived, Subquery: SubqueryID(id), No: QueryNo(id), Weight: 1, Hint: work})
 				}
 				rest := due[:0]
 				for _, d := range due {
--- a/policy/env_test.go
+++ b/policy/env_test.go
@@ -37,7 +37,7 @@
 	toldPhase      Phase   // as last told
 	toldAt         float64 // when the instance heard that it drains or is gone; 0 if it did not
 	mood           int     // 0 sound, 1 fails fast, 2 silent, 3 refuses, 4 slow
-	works          []sending
+	works          []sentWork
 	told, toldCold float64 // the start that the instance was told of, and when
 }
 
@@ -72,17 +72,17 @@
 
 // randomSettings draws a deployment: every kind of index, with and without the optional rules.
 func randomSettings(rng *rand.Rand) Settings {
-	set := Settings{Seed: rng.Uint64(), Aggregators: 1 + rng.IntN(4), Step: 0.005, AskList: rng.IntN(2) == 0,
+	set := Settings{Seed: rng.Uint64(), Aggregators: 1 + rng.IntN(4), Step: 0.005, ListOnRequest: rng.IntN(2) == 0,
 		OverShare: 0.1, Layout: Layout{Cells: 4, Width: 1 + rng.IntN(3), CallSubqueries: 1 + 7*rng.IntN(2)},
-		Limits: Limits{Cancel: rng.IntN(4) > 0, Probe: rng.IntN(2) == 0, SecondCopy: rng.IntN(2) == 0,
-			RetryAfter: rng.IntN(2) == 0, MaxTries: 1 + rng.IntN(4), MaxHeld: 300, MaxRetryAfter: 1},
-		Rules: Rules{AnswerSlack: 0.02, AskEvery: 10, ColdShare: 0.2, ColdS: 8, DrainGrace: 0.25,
-			FallMultiple: 2, FallS: 1.5, Budget: rng.IntN(2) == 0, BudgetFree: 3, BudgetPer: 0.1, BudgetS: 2},
+		Limits: Limits{Cancel: rng.IntN(4) > 0, Probe: rng.IntN(2) == 0, Hedge: rng.IntN(2) == 0,
+			RetryAfter: rng.IntN(2) == 0, MaxAttempts: 1 + rng.IntN(4), MaxPending: 300, MaxRetryAfter: 1},
+		Rules: Rules{AnswerSlack: 0.02, ListPollEvery: 10, SlowStartShare: 0.2, SlowStartS: 8, DrainGrace: 0.25,
+			CrashMultiple: 2, CrashWindowS: 1.5, RetryBudget: rng.IntN(2) == 0, RetryBudgetFree: 3, RetryBudgetPer: 0.1, RetryBudgetS: 2},
 		Prices: Prices{CrossLocation: 0.04}}
 	set.Customers = []CustomerSettings{{0.7, 9}, {0.3, 4}}[:2*rng.IntN(2)]
 	for i := range 3 {
-		set.Indexes = append(set.Indexes, IndexSettings{Soft: 1 + rng.Float64(), Hard: 4, Gain: 1, LateGain: 0.2,
-			Effect: Effect(i), RepeatS: 1, Need: 1, Floor: []float64{0.6, 1, 1}[rng.IntN(3)], ShortGain: 0.9,
+		set.Indexes = append(set.Indexes, IndexSettings{Soft: 1 + rng.Float64(), Hard: 4, Value: 1, LateValue: 0.2,
+			Effect: Effect(i), DedupS: 1, Required: 1, Minimum: []float64{0.6, 1, 1}[rng.IntN(3)], PartialValue: 0.9,
 			SecondStep: []int{2, 0, 0, 0}[rng.IntN(4)]})
 	}
 	return set
@@ -145,7 +145,7 @@
 		return ev
 	}
 	for _, h := range e.fleet {
-		if kind == ListPatch || h.entry.Phase != Gone {
+		if kind == ListPatch || h.entry.Phase != Removed {
 			ev.Entries = append(ev.Entries, h.entry)
 		}
 	}
@@ -161,7 +161,7 @@
 			continue
 		case i < 0 || ev.Entries[i].Phase != Ready:
 			h.toldAt = cmp.Or(h.toldAt, e.now)
-			if e.renamed != nil && (i < 0 || ev.Entries[i].Phase == Gone) {
+			if e.renamed != nil && (i < 0 || ev.Entries[i].Phase == Removed) {
 				e.renamed(h.entry.Backend)
 			}
 		default:
@@ -169,7 +169,7 @@
 		}
 		if i >= 0 {
 			h.toldPhase = ev.Entries[i].Phase
-			h.named = h.named || ev.Entries[i].Phase != Gone
+			h.named = h.named || ev.Entries[i].Phase != Removed
 			if at := ev.Entries[i].StartedAt; at > h.told {
 				h.told, h.toldCold = at, e.now
 			}
@@ -182,9 +182,9 @@
 func (e *env) arrival() []Event {
 	k := IndexID(e.rng.IntN(len(e.set.Indexes)))
 	n := 1 + e.rng.IntN(5)
-	lk := Event{Kind: QueryTaken, Query: QueryID(e.id()), No: QueryNo(e.id()), Index: k, Subqueries: n,
-		Customer: CustomerID(e.rng.IntN(3)), Left: e.set.Indexes[k].Hard * (0.3 + 0.7*e.rng.Float64())}
-	a := &ask{event: lk, ends: e.now + lk.Left}
+	lk := Event{Kind: QueryReceived, Query: QueryID(e.id()), No: QueryNo(e.id()), Index: k, Subqueries: n,
+		Customer: CustomerID(e.rng.IntN(3)), Remaining: e.set.Indexes[k].Hard * (0.3 + 0.7*e.rng.Float64())}
+	a := &ask{event: lk, ends: e.now + lk.Remaining}
 	if e.zoned != nil {
 		lk.Zones = e.zoned(a)
 	}
@@ -195,8 +195,8 @@
 
 func (e *env) newPieces(a *ask, n int) (events []Event) {
 	for range n {
-		ev := Event{Kind: SubqueryTaken, Subquery: SubqueryID(e.id()), No: a.event.No, Index: a.event.Index,
-			Shard: ShardID(e.rng.IntN(8)), Weight: 1 / float64(n), Left: a.ends - e.now, Hint: workOfSubquery}
+		ev := Event{Kind: SubqueryReceived, Subquery: SubqueryID(e.id()), No: a.event.No, Index: a.event.Index,
+			Shard: ShardID(e.rng.IntN(8)), Weight: 1 / float64(n), Remaining: a.ends - e.now, Hint: workOfSubquery}
 		p := &piece{event: ev, ask: a}
 		a.pieces = append(a.pieces, p)
 		e.pieces[ev.Subquery] = p
@@ -214,7 +214,7 @@
 		if ev.Kind == CallEnded {
 			p := e.pieces[ev.Subquery]
 			c := p.calls[ev.Call]
-			c.open, c.never = false, slices.Contains([]Outcome{TurnedAway, NotConnected, NotSent}, ev.Outcome)
+			c.open, c.never = false, slices.Contains([]Outcome{Rejected, NotConnected, NotSent}, ev.Outcome)
 			p.in = p.in || ev.Outcome == Answered && !p.shut
 		}
 	}
@@ -240,18 +240,18 @@
 	switch a.Kind {
 	case SetTimer:
 		e.due = append(e.due, dueEvent{e.now + max(a.Wait, e.set.Step/2), Event{Kind: TimerDue, Timer: a.Timer}})
-	case Subscribe, AskWhole:
-		e.due = append(e.due, dueEvent{e.now + 0.1, e.list(ListWhole)})
+	case Subscribe, RequestFullList:
+		e.due = append(e.due, dueEvent{e.now + 0.1, e.list(ListComplete)})
 	case Probe:
 		ev := Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered}
 		if h := e.host(a.Backend); h.mood >= 2 {
 			ev.Outcome = NotConnected
 		}
 		e.due = append(e.due, dueEvent{e.now + 0.2, ev})
-	case Withdraw:
+	case Cancel:
 		if c := e.pieces[a.Subquery].calls[a.Call]; c.open && !c.back {
 			c.back = true
-			e.ends(e.pieces[a.Subquery], int(a.Call), Withdrawn, 0.005)
+			e.ends(e.pieces[a.Subquery], int(a.Call), Canceled, 0.005)
 		}
 	case Send:
 		e.sent(a)
@@ -292,12 +292,12 @@
 		{p.ask.over || p.shut, "lost: sent after its lookup's end"},
 		{p.in, "sent after its answer"},
 		{away >= e.set.Layout.Width || !h.named, "sent to a searcher that does not hold it"},
-		{open > 0 && (!e.set.Limits.SecondCopy || x.Effect == OnceOnly), "duplicate: two calls out at once"},
+		{open > 0 && (!e.set.Limits.Hedge || x.Effect == OnceOnly), "duplicate: two calls out at once"},
 		{x.Effect == OnceOnly && ran, "duplicate: once-only, sent again"},
-		{x.Effect == Fingerprinted && ran && e.now > p.first+x.RepeatS, "duplicate: sent again too late"},
-		{x.Effect == Fingerprinted && ran && !(a.BeginBy > 0 && a.BeginBy <= p.first+x.RepeatS+1e-9), "duplicate: may begin too late"},
+		{x.Effect == Fingerprinted && ran && e.now > p.first+x.DedupS, "duplicate: sent again too late"},
+		{x.Effect == Fingerprinted && ran && !(a.BeginBy > 0 && a.BeginBy <= p.first+x.DedupS+1e-9), "duplicate: may begin too late"},
 		{h.toldAt > 0 && e.now > h.toldAt+r.DrainGrace, "drain: sent after the grace"},
-		{e.set.Limits.MaxTries > 0 && len(p.calls) >= e.set.Limits.MaxTries, "too many calls"},
+		{e.set.Limits.MaxAttempts > 0 && len(p.calls) >= e.set.Limits.MaxAttempts, "too many calls"},
 	} {
 		if c.breach {
 			e.fail("part %d: %s", a.Subquery, c.text)
@@ -305,18 +305,18 @@
 	}
 	if len(p.calls) > 0 {
 		e.further = append(e.further, e.now)
-		from := e.now - r.BudgetS
-		if r.Budget && float64(after(e.further, from)) > r.BudgetFree+r.BudgetPer*float64(after(e.taken, from)) {
+		from := e.now - r.RetryBudgetS
+		if r.RetryBudget && float64(after(e.further, from)) > r.RetryBudgetFree+r.RetryBudgetPer*float64(after(e.taken, from)) {
 			e.fail("budget: %d further calls", after(e.further, from))
 		}
 	}
 	p.first = cmp.Or(p.first, e.now)
-	h.works = append(h.works, sending{e.now, workOfSubquery})
+	h.works = append(h.works, sentWork{e.now, workOfSubquery})
 	p.calls = append(p.calls, &attempt{at: h, sent: e.now, open: true})
 	outcome, took := Answered, 0.05+0.2*e.rng.Float64()
 	switch h.mood {
 	case 1:
-		outcome, took = []Outcome{Errored, Broken, TurnedAway}[e.rng.IntN(3)], 0.01
+		outcome, took = []Outcome{Errored, Broken, Rejected}[e.rng.IntN(3)], 0.01
 	case 2:
 		outcome, took = TimedOut, p.ask.ends-e.now+0.001
 	case 3:
@@ -352,14 +352,14 @@
 			ran = ran || !c.never
 		}
 	}
-	need := x.Need
+	need := x.Required
 	if k.stepped {
 		need = 1
 	}
 	switch {
-	case a.Kind == Answer && weight < x.Floor-1e-4:
+	case a.Kind == Answer && weight < x.Minimum-1e-4:
 		e.fail("honest: lookup %d answered from %.2f", a.Query, weight)
-	case a.Kind == Answer && a.Whole && (weight < need-1e-4 || k.short):
+	case a.Kind == Answer && a.Complete && (weight < need-1e-4 || k.short):
 		e.fail("honest: lookup %d called whole at %.2f", a.Query, weight)
 	case a.Kind == Nack && x.Effect == OnceOnly && ran:
 		e.fail("duplicate: lookup %d nacked though a part may have run", a.Query)
@@ -368,7 +368,7 @@
 		e.answered++
 	}
 	if a.Kind == Answer && x.SecondStep > 0 && !k.stepped {
-		k.stepped, k.short = true, !a.Whole
+		k.stepped, k.short = true, !a.Complete
 		for _, ev := range e.newPieces(k, min(n, x.SecondStep)) {
 			e.due = append(e.due, dueEvent{e.now + e.set.Step/2, ev})
 		}
@@ -380,17 +380,17 @@
 // checkCold holds this instance to its share of what a cold backend may get, by the true capacity.
 func (e *env) checkCold(h *host) {
 	r := e.set.Rules
-	if h.told == 0 || e.now > h.told+r.ColdS {
+	if h.told == 0 || e.now > h.told+r.SlowStartS {
 		return
 	}
 	sum := 0.0
 	for _, w := range h.works {
-		if w.at > e.now-r.FallS && w.at >= h.toldCold {
+		if w.at > e.now-r.CrashWindowS && w.at >= h.toldCold {
 			sum += w.work
 		}
 	}
-	warmth := r.ColdShare + (1-r.ColdShare)*(e.now-h.told)/r.ColdS
-	most := r.FallMultiple * warmth * capacity / float64(e.set.Aggregators) * r.FallS
+	warmth := r.SlowStartShare + (1-r.SlowStartShare)*(e.now-h.told)/r.SlowStartS
+	most := r.CrashMultiple * warmth * capacity / float64(e.set.Aggregators) * r.CrashWindowS
 	if sum > math.Max(most, workOfSubquery+1e-9) {
 		e.fail("cold: %.2f of work sent to %d, at most %.2f", sum, h.entry.Backend, most)
 	}
@@ -407,8 +407,8 @@
 
 func newScene(t *testing.T, change func(*Settings), entries ...Entry) *scene {
 	set := Settings{Seed: 1, Aggregators: 1, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
-		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Gain: 1, LateGain: 0.1, Need: 1, Floor: 1}},
-		Limits:  Limits{Cancel: true, MaxTries: 3}}
+		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Value: 1, LateValue: 0.1, Required: 1, Minimum: 1}},
+		Limits:  Limits{Cancel: true, MaxAttempts: 3}}
 	if change != nil {
 		change(&set)
 	}
@@ -416,7 +416,7 @@
 	if entries == nil {
 		entries = []Entry{{Backend: 1}, {Backend: 2}}
 	}
-	s.step(0.01, Event{Kind: ListChanged, List: ListWhole, Entries: entries})
+	s.step(0.01, Event{Kind: ListChanged, List: ListComplete, Entries: entries})
 	return s
 }
 
@@ -425,15 +425,15 @@
 	return s.m.Step(s.now, events, nil)
 }
 
-// take hands over a query with parts of the given hints, and returns what was done at once.
+// receiveQuery hands over a query with parts of the given hints, and returns what was done at once.
 func (s *scene) take(left float64, hints ...float64) (subqueries []SubqueryID, done []Action) {
 	s.next++
 	no := QueryNo(s.next)
-	events := []Event{{Kind: QueryTaken, Query: QueryID(s.next), No: no, Subqueries: len(hints), Left: left}}
+	events := []Event{{Kind: QueryReceived, Query: QueryID(s.next), No: no, Subqueries: len(hints), Remaining: left}}
 	for _, h := range hints {
 		id := SubqueryID(1000*s.next) + SubqueryID(len(subqueries))
 		subqueries = append(subqueries, id)
-		events = append(events, Event{Kind: SubqueryTaken, Subquery: id, No: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: h})
+		events = append(events, Event{Kind: SubqueryReceived, Subquery: id, No: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: h})
 	}
 	return subqueries, s.step(0.005, events...)
 }
--- a/policy/lockout_test.go
+++ b/policy/lockout_test.go
@@ -6,9 +6,9 @@
 // backend again: what was heard in that moment has to fade by itself, or queries are turned away for good.
 func TestABadMomentEnds(t *testing.T) {
 	s := newScene(t, func(set *Settings) {
-		set.Indexes[0].Soft, set.Indexes[0].Hard, set.Indexes[0].Floor = 0.5, 2, 0.5
+		set.Indexes[0].Soft, set.Indexes[0].Hard, set.Indexes[0].Minimum = 0.5, 2, 0.5
 		set.Indexes = append(set.Indexes, set.Indexes[0])
-		set.Indexes[1].Gain = 3
+		set.Indexes[1].Value = 3
 	})
 	for range 20 {
 		s.serve(only(Send, acts(s.take(2, 1))), 0.003, 0.003)
@@ -34,6 +34,6 @@
 		s.serve(only(Send, done), 0.003, 0.003)
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d lookups in the hour after are turned away; average %.3f, usual %.4f", refused, asked, s.m.average, s.m.usual)
+		t.Errorf("%d of %d lookups in the hour after are turned away; average %.3f, usual %.4f", refused, asked, s.m.averageLatency, s.m.usualLatency)
 	}
 }
--- a/policy/logic_test.go
+++ b/policy/logic_test.go
@@ -40,7 +40,7 @@
 	}
 	twice := func(effect Effect) breaker {
 		return func(e *env, a Action) []Action {
-			if a.Kind == Send && e.set.Limits.SecondCopy && e.set.Indexes[e.pieces[a.Subquery].event.Index].Effect == effect {
+			if a.Kind == Send && e.set.Limits.Hedge && e.set.Indexes[e.pieces[a.Subquery].event.Index].Effect == effect {
 				return []Action{a, a}
 			}
 			return []Action{a}
@@ -75,7 +75,7 @@
 			return []Action{a}
 		},
 		"whole": func(_ *env, a Action) []Action {
-			a.Whole = true
+			a.Complete = true
 			return []Action{a}
 		},
 	} {
@@ -143,18 +143,18 @@
 	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
 	m := s.m
 	lk := func(no QueryNo, at ...int) *query {
-		l := m.opened(&Event{Query: QueryID(no), No: no, Subqueries: len(at), Left: 6})
+		l := m.addQuery(&Event{Query: QueryID(no), No: no, Subqueries: len(at), Remaining: 6})
 		for i, n := range at {
 			for range n {
-				p := m.added(l, &Event{Subquery: SubqueryID(100*int(no) + len(l.subqueries)), Shard: ShardID(i)})
-				m.hold(p, m.fleet[i])
+				p := m.addSubquery(l, &Event{Subquery: SubqueryID(100*int(no) + len(l.subqueries)), Shard: ShardID(i)})
+				m.assign(p, m.fleet[i])
 			}
 		}
 		return l
 	}
 	lk(1, 2, 2)
 	small := lk(2, 2, 1)
-	if m.reorder(); m.order[0] != small {
+	if m.reorder(); m.sendOrder[0] != small {
 		t.Error("the tie should go to the lookup of smaller total size")
 	}
 }
@@ -181,7 +181,7 @@
 }
 
 func TestListChangeMayEndQueries(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.MaxTries = 9 })
+	s := newScene(t, func(set *Settings) { set.Limits.MaxAttempts = 9 })
 	for range 8 {
 		p, done := s.take(6, 1)
 		for _, a := range only(Send, done) {
@@ -189,7 +189,7 @@
 		}
 	}
 	s.step(0.01, Event{Kind: ListChanged, List: ListPatch,
-		Entries: []Entry{{Backend: 1, Phase: Gone}, {Backend: 2, Phase: Gone}}})
+		Entries: []Entry{{Backend: 1, Phase: Removed}, {Backend: 2, Phase: Removed}}})
 }
 
 // Resets on a live backend once counted as restarts: the whole fleet was then held to a cold share.
@@ -209,16 +209,16 @@
 	}
 	for i := range BackendID(100) {
 		s.step(0.01, named(Ready, i+2))
-		s.step(0.01, named(Gone, i+1))
+		s.step(0.01, named(Removed, i+1))
 	}
-	if m := s.m; len(m.fleet) != 3 || len(m.backends) != 3 || len(m.holders[0]) != 3 {
+	if m := s.m; len(m.fleet) != 3 || len(m.backends) != 3 || len(m.holdersByCell[0]) != 3 {
 		t.Fatalf("%d searchers are kept, not the one with a call out, the one named and the last one gone", len(m.fleet))
 	}
 	if got := s.end(0.01, subqueries[0], 1, Answered, 0.1); len(only(Answer, got)) != 1 {
 		t.Fatalf("got %+v", got)
 	}
 	whole := named(Ready, 102)
-	whole.List = ListWhole
+	whole.List = ListComplete
 	s.step(0.01, whole)
 	if s.step(0.01, whole); len(s.m.fleet) != 1 {
 		t.Fatalf("%d searchers are kept", len(s.m.fleet))
@@ -226,22 +226,24 @@
 }
 
 func TestBudgetRecordsHoldNoMoreThanTheyCount(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Rules.Budget, set.Rules.BudgetS = true, 1 }, Entry{Backend: 1, Share: 1})
+	s := newScene(t, func(set *Settings) { set.Rules.RetryBudget, set.Rules.RetryBudgetS = true, 1 }, Entry{Backend: 1, Share: 1})
 	for range 2000 {
 		subqueries, _ := s.take(4, 0)
 		s.end(0.01, subqueries[0], 1, Answered, 0.01)
 	}
-	if n := cap(s.m.taken); n > 1000 {
+	if n := cap(s.m.receivedTimes); n > 1000 {
 		t.Fatalf("%d times are kept of 100 lookups in the span", n)
 	}
 }
 
 func TestBrokenCallIsNoRestart(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Rules = Rules{ColdShare: 0.1, ColdS: 10, FallMultiple: 2, FallS: 1} })
+	s := newScene(t, func(set *Settings) {
+		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, CrashMultiple: 2, CrashWindowS: 1}
+	})
 	p, done := s.take(6, 1)
 	at := only(Send, done)[0].Backend
 	s.end(0.1, p[0], at, Broken, 0.1)
-	if x := s.m.backends[at]; !usable(x) || s.m.warmth(x) < 1 {
+	if x := s.m.backends[at]; !usable(x) || s.m.slowStartFactor(x) < 1 {
 		t.Error("a broken call made its searcher unreachable or cold")
 	}
 }
@@ -255,8 +257,8 @@
 	for range 40 {
 		_, done := s.take(6, 1)
 		s.serve(done, 0.05, 0.05)
-		if back := only(Withdraw, s.tick(0.01)); len(back) == 1 {
-			sends := only(Send, s.end(0.005, lostSubquery[0], at, Withdrawn, s.now))
+		if back := only(Cancel, s.tick(0.01)); len(back) == 1 {
+			sends := only(Send, s.end(0.005, lostSubquery[0], at, Canceled, s.now))
 			if len(sends) != 1 || sends[0].Backend == at {
 				t.Errorf("the part was not sent to the sibling: %v", sends)
 			}
@@ -276,7 +278,7 @@
 	for range 100 {
 		if asked := only(Probe, s.tick(0.02)); len(asked) > 0 {
 			x := s.m.backends[1]
-			if !asked[0].Apart || usable(x) {
+			if !asked[0].SeparateConnection || usable(x) {
 				t.Fatalf("got %+v with the searcher in reach: %v", asked[0], usable(x))
 			}
 			if _, done := s.take(6, 1); len(only(Send, done)) > 0 {
@@ -331,7 +333,7 @@
 // Work on the other parts of a query is for nothing while one part's only holder cannot be reached.
 func TestSubqueriesWaitForUnreachableSibling(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
-	s.m.away(s.m.backends[2])
+	s.m.markUnreachable(s.m.backends[2])
 	if _, done := s.take(6, 1, 1); len(only(Send, done)) != 0 {
 		t.Errorf("got %v", done)
 	}
@@ -341,8 +343,8 @@
 func TestSweepComesAfterRelease(t *testing.T) {
 	s := newScene(t, nil)
 	s.take(6, 1)
-	events := []Event{{Kind: QueryTaken, Query: 50, No: 50, Subqueries: 1, Left: 3},
-		{Kind: SubqueryTaken, Subquery: 500, No: 50, Weight: 1}, {Kind: TimerDue, Timer: sweepTimer}}
+	events := []Event{{Kind: QueryReceived, Query: 50, No: 50, Subqueries: 1, Remaining: 3},
+		{Kind: SubqueryReceived, Subquery: 500, No: 50, Weight: 1}, {Kind: TimerDue, Timer: sweepTimer}}
 	if done := s.step(0.005, events...); len(only(Send, done)) != 1 || len(only(Nack, done)) != 0 {
 		t.Errorf("got %v", done)
 	}
@@ -364,8 +366,8 @@
 					outcome := map[bool]Outcome{true: Answered, false: TimedOut}[alive]
 					s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: outcome, Elapsed: 0.1}) // it waits as a call does
 				}
-				for _, a := range only(Withdraw, done) {
-					s.end(0.005, a.Subquery, 0, Withdrawn, 1)
+				for _, a := range only(Cancel, done) {
+					s.end(0.005, a.Subquery, 0, Canceled, 1)
 				}
 				done = nil
 			}
@@ -384,7 +386,7 @@
 	for i := range aggregators {
 		s := newScene(t, func(set *Settings) {
 			set.Seed, set.Aggregators = uint64(i), aggregators
-			set.Rules = Rules{ColdShare: 0.16, ColdS: 18, FallMultiple: 2, FallS: 1.5}
+			set.Rules = Rules{SlowStartShare: 0.16, SlowStartS: 18, CrashMultiple: 2, CrashWindowS: 1.5}
 		}, Entry{Backend: 1, StartedAt: 0.01})
 		_, done := s.take(6, 0.2)
 		sent += len(only(Send, done))
@@ -398,7 +400,7 @@
 func alone(t *testing.T) *scene {
 	s := newScene(t, func(set *Settings) {
 		set.Limits.Probe = true
-		set.Rules = Rules{ColdShare: 0.1, ColdS: 10, FallMultiple: 2, FallS: 1}
+		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, CrashMultiple: 2, CrashWindowS: 1}
 	}, Entry{Backend: 1})
 	warm(s)
 	return s
@@ -422,12 +424,12 @@
 			t.Fatal("a silent searcher counts as usable")
 		}
 	}
-	if !usable(x) || x.latency == 0 || s.m.warmth(x) < 1 {
-		t.Errorf("usable %v, latency %v, warmth %v after it answered", usable(x), x.latency, s.m.warmth(x))
+	if !usable(x) || x.latency == 0 || s.m.slowStartFactor(x) < 1 {
+		t.Errorf("usable %v, latency %v, warmth %v after it answered", usable(x), x.latency, s.m.slowStartFactor(x))
 	}
-	quiet := x.quietFrom
-	s.step(0.001, Event{Kind: ProbeEnded, Backend: 1, Outcome: TurnedAway})
-	if x.unheard || x.quietFrom != quiet {
+	quiet := x.unansweredSince
+	s.step(0.001, Event{Kind: ProbeEnded, Backend: 1, Outcome: Rejected})
+	if x.probeFailed || x.unansweredSince != quiet {
 		t.Error("a probe turned away counts as silence")
 	}
 }
@@ -441,7 +443,7 @@
 		backs := 0
 		for range 100 {
 			done := s.tick(0.05)
-			backs += len(only(Withdraw, done))
+			backs += len(only(Cancel, done))
 			for _, a := range only(Probe, done) {
 				if alive {
 					s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered, Elapsed: 0.2})
@@ -468,16 +470,16 @@
 		}
 		s.serve(s.end(0.005, p[0], 1, outcome, 0.005), 0.1, 0.1) // the further call, at once, finds a new connection
 	}
-	if f := s.m.backends[1].fault[0].sum; closed < 15 || f > 0.1 {
+	if f := s.m.backends[1].faults[0].sum; closed < 15 || f > 0.1 {
 		t.Errorf("closed %d times of 20, fault %.2f", closed, f)
 	}
 }
 
 // A quarter of the backends gone: what a query can do without must not hold its other parts.
 func TestSubqueriesGoWhereEnoughCanBeReached(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Layout.Cells, set.Indexes[0].Floor = 2, 0.4 },
+	s := newScene(t, func(set *Settings) { set.Layout.Cells, set.Indexes[0].Minimum = 2, 0.4 },
 		Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
-	s.m.away(s.m.backends[2])
+	s.m.markUnreachable(s.m.backends[2])
 	if _, done := s.take(6, 1, 1); len(only(Send, done)) != 1 {
 		t.Errorf("got %v", done)
 	}
@@ -489,16 +491,16 @@
 	s := newScene(t, nil, Entry{Backend: 1, Location: 1}, Entry{Backend: 2, Location: 1}, Entry{Backend: 3})
 	m := s.m
 	for range 20 {
-		m.blame(m.backends[1], 0, 1)
-		m.blame(m.backends[3], 0, 0)
+		m.recordFault(m.backends[1], 0, 1)
+		m.recordFault(m.backends[3], 0, 0)
 	}
-	if a, b := m.faulty(m.backends[2], 0), m.faulty(m.backends[3], 0); a < 0.5 || b > 0.05 {
+	if a, b := m.faultShare(m.backends[2], 0), m.faultShare(m.backends[3], 0); a < 0.5 || b > 0.05 {
 		t.Errorf("unknown one beside faulty ones %.2f, sound one elsewhere %.2f", a, b)
 	}
 	for range 4 {
-		m.blame(m.backends[2], 0, 0)
+		m.recordFault(m.backends[2], 0, 0)
 	}
-	if a := m.faulty(m.backends[2], 0); a > 0.2 {
+	if a := m.faultShare(m.backends[2], 0); a > 0.2 {
 		t.Errorf("%.2f after its own answers", a)
 	}
 }
@@ -509,17 +511,17 @@
 	s := newScene(t, func(set *Settings) { set.Prices.CrossLocation = 0.05 }, Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
 	warm(s)
 	home, away := s.m.backends[1], s.m.backends[2]
-	home.latency, away.latency, home.heardAt, away.heardAt = s.m.usual/4, s.m.usual, s.now, s.now
+	home.latency, away.latency, home.latencyAt, away.latencyAt = s.m.usualLatency/4, s.m.usualLatency, s.now, s.now
 	subqueries, _ := s.take(6, 1)
 	p := s.m.subqueries[subqueries[0]]
 	if s.m.cost(p, home) > s.m.cost(p, away) {
 		t.Fatal("crosses from a sound searcher")
 	}
 	for i := range 40 {
-		s.m.blame(home, 0, share(i%5 > 0))
+		s.m.recordFault(home, 0, indicator(i%5 > 0))
 	}
 	if s.m.cost(p, home) < s.m.cost(p, away) {
-		t.Fatalf("stays where %.0f%% of the calls fail", 100*s.m.faulty(home, 0))
+		t.Fatalf("stays where %.0f%% of the calls fail", 100*s.m.faultShare(home, 0))
 	}
 }
 
@@ -528,7 +530,7 @@
 	warm(s)
 	s.now += 3
 	for range 30 {
-		s.m.ill.add(1, s.now, lookMemory*s.m.longSoft)
+		s.m.unhealthyShare.add(1, s.now, unhealthyMemory*s.m.longestSoft)
 	}
 	p, done := s.take(6, 1)
 	if len(only(Send, done)) != 0 || len(only(Probe, done)) != 2 {
@@ -556,7 +558,7 @@
 // A client's last try gives all that is left, often more than its first ones gave: once such a one was seen, first
 // tries were taken for late ones and nacked on arrival.
 func TestSoftDeadlineCountsFromTheFirstTry(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.MaxTries = 1 })
+	s := newScene(t, func(set *Settings) { set.Limits.MaxAttempts = 1 })
 	for i, c := range []struct{ left, spent float64 }{
 		{3.74, 0}, {3.75, 0}, {5.99, 0.01}, {3.75, 0}, {5, 1}, {5, 1}, {3.73, 0}, {2.2, 3.8}, {3.76, 0},
 	} {
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -13,14 +13,14 @@
 	}
 	s := newScene(t, func(set *Settings) {
 		set.Aggregators, set.Layout.Cells = 60, 8
-		set.Indexes[0].Floor, set.Indexes[0].ShortGain, set.Indexes[0].SecondStep = floor, 0.9, second
-		set.Limits.SecondCopy = true
+		set.Indexes[0].Minimum, set.Indexes[0].PartialValue, set.Indexes[0].SecondStep = floor, 0.9, second
+		set.Limits.Hedge = true
 	}, entries...)
 	for range 20 {
 		s.serve(only(Send, acts(s.take(6, 1))), 0.02, 0.1)
 	}
 	for lk := range s.m.queries { // what a second step left open
-		s.step(0.005, Event{Kind: ClientGone, Query: s.m.queries[lk].id})
+		s.step(0.005, Event{Kind: ClientDisconnected, Query: s.m.queries[lk].id})
 	}
 	return s
 }
@@ -80,7 +80,7 @@
 func TestNothingIsDroppedAsLateBeforeAnyAnswer(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
 	for range 10 {
-		s.m.fallen.add(1, s.now, longMemory*s.m.longSoft)
+		s.m.crashShare.add(1, s.now, faultMemory*s.m.longestSoft)
 	}
 	_, done := s.take(6, 1, 1)
 	if done = append(done, s.tick(0.3)...); len(only(Nack, done)) != 0 || len(only(Send, done)) != 1 {
@@ -97,7 +97,7 @@
 			s.end(0.01, a.Subquery, a.Backend, Answered, 0.1)
 		}
 		var short []Action
-		for s.now < s.m.open[0].soft-1.2*s.m.average && len(short) == 0 {
+		for s.now < s.m.openQueries[0].soft-1.2*s.m.averageLatency && len(short) == 0 {
 			short = only(Answer, s.tick(0.02))
 		}
 		if (len(short) > 0) != answered {
@@ -110,8 +110,8 @@
 func TestTurnedAwayByTheSlowestSubqueryThatIsNeeded(t *testing.T) {
 	for floor, refused := range map[float64]bool{0.5: false, 1: true} {
 		s := wide(t, floor, 0)
-		for _, x := range s.m.holders[0] {
-			x.latency, x.heardAt, x.window = 5, s.now, 0.5
+		for _, x := range s.m.holdersByCell[0] {
+			x.latency, x.latencyAt, x.window = 5, s.now, 0.5
 		}
 		_, done := s.take(6, eight...)
 		if (len(only(Nack, done)) > 0) != refused {
@@ -124,7 +124,7 @@
 func TestCrowdedQueriesGoWithoutTheirLeastSubqueries(t *testing.T) {
 	s := wide(t, 0.5, 0)
 	for range 300 {
-		s.m.recent.add(2*s.m.usual, s.now, s.m.shortSoft)
+		s.m.recentLatencies.add(2*s.m.usualLatency, s.now, s.m.shortestSoft)
 	}
 	subqueries, done := s.take(6, 2, 2, 1, 1, 1, 1, 1, 1)
 	sends := only(Send, done)
@@ -138,7 +138,7 @@
 	}
 	whole := wide(t, 1, 0)
 	for range 300 {
-		whole.m.recent.add(2*whole.m.usual, whole.now, whole.m.shortSoft)
+		whole.m.recentLatencies.add(2*whole.m.usualLatency, whole.now, whole.m.shortestSoft)
 	}
 	if _, done := whole.take(6, eight...); len(only(Send, done)) != 8 {
 		t.Errorf("an index that needs all went without some: %v", done)
@@ -166,14 +166,14 @@
 		warm(s)
 		subqueries, _ := s.take(6, 1)
 		p := s.m.subqueries[subqueries[0]]
-		for len(p.live) > 0 {
-			s.end(0.001, p.id, p.live[0].at.id, TurnedAway, 0.001)
+		for len(p.calls) > 0 {
+			s.end(0.001, p.id, p.calls[0].backend.id, Rejected, 0.001)
 		}
-		s.m.unhold(p)
+		s.m.unassign(p)
 		for _, x := range s.m.fleet {
-			x.latency, x.heardAt = s.m.usual, s.now
+			x.latency, x.latencyAt = s.m.usualLatency, s.now
 		}
-		return (s.m.cost(p, s.m.backends[2]) - s.m.cost(p, s.m.backends[1])) / s.m.usual
+		return (s.m.cost(p, s.m.backends[2]) - s.m.cost(p, s.m.backends[1])) / s.m.usualLatency
 	}
 	if few, many := dear(3), dear(80); few < 1 || many > 0.8 {
 		t.Errorf("crossing adds %.2f usual latencies among 3 mixers and %.2f among 80", few, many)
@@ -185,15 +185,15 @@
 func TestAFullBackendIsNotAskedAgainAtOnce(t *testing.T) {
 	s := newScene(t, nil)
 	warm(s)
-	s.m.backends[2].latency, s.m.backends[2].heardAt = 5*s.m.usual, s.now
+	s.m.backends[2].latency, s.m.backends[2].latencyAt = 5*s.m.usualLatency, s.now
 	subqueries, done := s.take(6, 1)
 	if at := only(Send, done)[0].Backend; at != 1 {
 		t.Fatalf("bound to %d, expected the quick one", at)
 	}
-	if sends := only(Send, s.end(0.002, subqueries[0], 1, TurnedAway, 0.002)); len(sends) != 1 || sends[0].Backend != 2 {
+	if sends := only(Send, s.end(0.002, subqueries[0], 1, Rejected, 0.002)); len(sends) != 1 || sends[0].Backend != 2 {
 		t.Fatalf("expected the busy sibling, got %v", sends)
 	}
-	done = s.end(0.002, subqueries[0], 2, TurnedAway, 0.002)
+	done = s.end(0.002, subqueries[0], 2, Rejected, 0.002)
 	if len(only(Send, done)) != 0 || len(only(Nack, done)) != 0 {
 		t.Fatalf("both are full, expected the part to wait, got %v", done)
 	}
@@ -208,16 +208,16 @@
 // Probes answered beside a backend's queue say nothing of it: calls that ended without an answer taught nothing, and
 // the next part went there as before.
 func TestACallWithoutAnswerCountsThoughProbesAreAnswered(t *testing.T) {
-	for _, outcome := range []Outcome{TimedOut, Withdrawn} {
+	for _, outcome := range []Outcome{TimedOut, Canceled} {
 		s := newScene(t, nil)
 		warm(s)
 		subqueries, done := s.take(6, 1)
 		at := only(Send, done)[0].Backend
 		s.step(0.3, Event{Kind: ProbeEnded, Backend: at, Outcome: Answered, Elapsed: 0.001})
 		s.end(0.7, subqueries[0], at, outcome, 1)
-		if l := s.m.backends[at].latency; l < 1.5*s.m.usual || s.m.backends[at].fault[0].sum == 0 {
+		if l := s.m.backends[at].latency; l < 1.5*s.m.usualLatency || s.m.backends[at].faults[0].sum == 0 {
 			t.Errorf("outcome %d: latency %.2f and fault %.2f after a call of 1 s, %.2f is usual", outcome, l,
-				s.m.backends[at].fault[0].sum, s.m.usual)
+				s.m.backends[at].faults[0].sum, s.m.usualLatency)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 // hear is nobody's fault: nothing is copied, asked or blamed, and the query is answered.
 func TestAStallIsNoFaultOfBackends(t *testing.T) {
 	s := wide(t, 1, 0)
-	s.m.set.Limits.Probe = true
+	s.m.settings.Limits.Probe = true
 	subqueries, done := s.take(6, 1, 1, 1, 1)
 	sends := only(Send, done)
 	events := []Event{{Kind: TimerDue, Timer: sweepTimer}}
@@ -252,7 +252,7 @@
 		events = append(events, Event{Kind: CallEnded, Subquery: a.Subquery, Backend: a.Backend, Outcome: Answered, Elapsed: 0.1})
 	}
 	done = s.step(1.2, events...)
-	if len(sends) != len(subqueries) || len(only(Answer, done)) != 1 || len(only(Send, done))+len(only(Probe, done))+len(only(Withdraw, done)) > 0 {
+	if len(sends) != len(subqueries) || len(only(Answer, done)) != 1 || len(only(Send, done))+len(only(Probe, done))+len(only(Cancel, done)) > 0 {
 		t.Fatalf("expected an answer and no doubt in anybody, got %v", done)
 	}
 	// One answer is still on its way when the aggregator wakes: its call is as old as the stall, and looks overdue.
@@ -264,8 +264,8 @@
 	s.step(1.2, events...)
 	s.end(0.005, sends[0].Subquery, sends[0].Backend, Answered, 0.1)
 	for _, x := range s.m.fleet {
-		if x.fault[0].sum > 0 || x.downWait > 0 || x.window < 1 || x.latency > 1.1*s.m.usual {
-			t.Errorf("searcher %d: fault %.2f, down %.2f, window %.2f, latency %.2f of %.2f", x.id, x.fault[0].sum, x.downWait, x.window, x.latency, s.m.usual)
+		if x.faults[0].sum > 0 || x.unreachableBackoff > 0 || x.window < 1 || x.latency > 1.1*s.m.usualLatency {
+			t.Errorf("searcher %d: fault %.2f, down %.2f, window %.2f, latency %.2f of %.2f", x.id, x.faults[0].sum, x.unreachableBackoff, x.window, x.latency, s.m.usualLatency)
 		}
 	}
 	if len(s.m.queries) != 0 {
@@ -292,8 +292,8 @@
 				s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered})
 			}
 		}
-		if cold := s.m.warmth(x) < 1; !usable(x) || cold != (fails > 2) {
-			t.Errorf("%d connects failed: usable %v, warmth %.2f, cold is expected after three", fails, usable(x), s.m.warmth(x))
+		if cold := s.m.slowStartFactor(x) < 1; !usable(x) || cold != (fails > 2) {
+			t.Errorf("%d connects failed: usable %v, warmth %.2f, cold is expected after three", fails, usable(x), s.m.slowStartFactor(x))
 		}
 	}
 }
@@ -316,7 +316,7 @@
 			s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: answer})
 		}
 	}
-	if !usable(x) || s.m.warmth(x) < 1 {
-		t.Errorf("usable %v, warmth %.2f", usable(x), s.m.warmth(x))
+	if !usable(x) || s.m.slowStartFactor(x) < 1 {
+		t.Errorf("usable %v, warmth %.2f", usable(x), s.m.slowStartFactor(x))
 	}
 }
--- a/policy/override_test.go
+++ b/policy/override_test.go
@@ -21,7 +21,7 @@
 			e.extra = func(e *env) []Event { return extra(e, rng) }
 		}
 		for _, a := range e.run(25).log {
-			fmt.Fprintln(h, a.Kind, a.Whole, a.On, a.Apart, a.Query, a.Subquery, a.Backend, a.Call, a.StopAt, a.Wait, a.Timer)
+			fmt.Fprintln(h, a.Kind, a.Complete, a.On, a.SeparateConnection, a.Query, a.Subquery, a.Backend, a.Call, a.StopAt, a.Wait, a.Timer)
 		}
 	}
 	return h.Sum64()
@@ -52,22 +52,22 @@
 // overrides keeps a test's own records of what it told an instance, and checks what goes out against them.
 type overrides struct {
 	out  map[BackendID]map[IndexID]bool
-	pins map[pinned]PinOverride
+	pins map[pinKey]PinOverride
 }
 
 // draw makes a patch at random.
 func (o *overrides) draw(e *env) *Overrides {
 	patch := &Overrides{}
 	h, k := e.fleet[e.rng.IntN(len(e.fleet))], IndexID(e.rng.IntN(len(e.set.Indexes)))
-	if s := e.aggregator.backends[h.entry.Backend]; s == nil || s.gone {
+	if s := e.aggregator.backends[h.entry.Backend]; s == nil || s.removed {
 		return patch // what is told of a number that the list does not name is told in vain
 	}
 	if e.rng.IntN(2) == 0 {
-		w := BackendOverride{Backend: h.entry.Backend, Index: k, Out: e.rng.IntN(3) == 0, Weight: 1 - 0.9*e.rng.Float64()}
+		w := BackendOverride{Backend: h.entry.Backend, Index: k, Excluded: e.rng.IntN(3) == 0, Weight: 1 - 0.9*e.rng.Float64()}
 		if o.out[w.Backend] == nil {
 			o.out[w.Backend] = map[IndexID]bool{}
 		}
-		o.out[w.Backend][k] = w.Out
+		o.out[w.Backend][k] = w.Excluded
 		patch.Backends = append(patch.Backends, w)
 	} else {
 		shard := ShardID(e.rng.IntN(40))
@@ -75,7 +75,7 @@
 		if e.rng.IntN(3) == 0 {
 			p.Backend = 0
 		}
-		o.pins[pinned{shard, k}] = p
+		o.pins[pinKey{shard, k}] = p
 		patch.Pins = append(patch.Pins, p)
 	}
 	return patch
@@ -90,7 +90,7 @@
 	if o.out[a.Backend][ev.Index] {
 		e.fail("out: part %d goes to %d", a.Subquery, a.Backend)
 	}
-	pin := o.pins[pinned{ev.Shard, ev.Index}]
+	pin := o.pins[pinKey{ev.Shard, ev.Index}]
 	if pin.Backend == 0 || !pin.Strict || pin.Backend == a.Backend || o.out[pin.Backend][ev.Index] {
 		return
 	}
@@ -99,10 +99,10 @@
 	}
 }
 
-// overridden plays a world with overrides at random; told is how each patch reaches the instance.
+// overridesChanged plays a world with overrides at random; told is how each patch reaches the instance.
 func overridden(seed uint64, told func(*Overrides) *Overrides) error {
 	e := newEnv(seed)
-	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinned]PinOverride{}}
+	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
 	e.extra = func(e *env) (events []Event) {
 		if e.rng.IntN(20) == 0 {
 			events = append(events, Event{Kind: OverridesChanged, Override: told(o.draw(e))})
@@ -184,9 +184,9 @@
 		for ; next < s.now; next += gap * rng.ExpFloat64() {
 			s.next++
 			no := QueryNo(s.next)
-			events = append(events, Event{Kind: QueryTaken, Query: QueryID(s.next), No: no, Subqueries: 4, Left: 6})
+			events = append(events, Event{Kind: QueryReceived, Query: QueryID(s.next), No: no, Subqueries: 4, Remaining: 6})
 			for j := range 4 {
-				events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(10*s.next) + SubqueryID(j), No: no,
+				events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*s.next) + SubqueryID(j), No: no,
 					Shard: ShardID(rng.IntN(8)), Weight: 0.25})
 			}
 		}
@@ -225,7 +225,7 @@
 }
 
 func TestOutAndPinTakeAll(t *testing.T) {
-	sent := shares(t, 1, 0.01, &Overrides{Backends: []BackendOverride{{Backend: 3, Out: true, Weight: 1}},
+	sent := shares(t, 1, 0.01, &Overrides{Backends: []BackendOverride{{Backend: 3, Excluded: true, Weight: 1}},
 		Pins: []PinOverride{{Shard: 5, Backend: 7, Share: 1}, {Shard: 6, Backend: 7, Share: 1}}})
 	usual := shares(t, 1, 0.01, nil)
 	all := 0.0
@@ -253,19 +253,19 @@
 		"serves":             {to: 1},
 		"drains":             {phase: Draining, to: 2},
 		"drains, strict":     {phase: Draining, strict: true, to: 2},
-		"is gone":            {phase: Gone, to: 2},
-		"is gone, strict":    {phase: Gone, strict: true},
+		"is gone":            {phase: Removed, to: 2},
+		"is gone, strict":    {phase: Removed, strict: true},
 		"is out":             {out: true, to: 2},
 		"is out, strict":     {out: true, strict: true, to: 2},
 		"is cold":            {started: 0.01, to: 2},
 		"is cold and strict": {started: 0.01, strict: true, waits: true},
 	} {
 		s := newScene(t, func(set *Settings) {
-			set.Rules = Rules{ColdShare: 0.1, ColdS: 100, FallMultiple: 2, FallS: 1}
+			set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 100, CrashMultiple: 2, CrashWindowS: 1}
 		})
 		patch := &Overrides{Pins: []PinOverride{{Shard: 0, Backend: 1, Strict: c.strict, Share: 1}}}
 		if c.out {
-			patch.Backends = []BackendOverride{{Backend: 1, Out: true, Weight: 1}}
+			patch.Backends = []BackendOverride{{Backend: 1, Excluded: true, Weight: 1}}
 		}
 		s.step(0.01, Event{Kind: OverridesChanged, Override: patch},
 			Event{Kind: ListChanged, Entries: []Entry{{Backend: 1, Phase: c.phase, StartedAt: c.started}}})
@@ -291,7 +291,7 @@
 	s := newScene(t, nil)
 	hints := make([]float64, 24) // more than two windows take
 	subqueries, done := s.take(6, hints...)
-	s.step(0.005, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Out: true, Weight: 1}}}})
+	s.step(0.005, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Excluded: true, Weight: 1}}}})
 	for len(done) > 0 {
 		a := done[0]
 		done = append(done[1:], only(Send, s.end(0.001, a.Subquery, a.Backend, Answered, 0.01))...)
@@ -318,7 +318,7 @@
 		s.take(6, 1, 1)
 	}
 	out := func(is bool) Event {
-		return Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Out: is, Weight: 1}}}}
+		return Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Excluded: is, Weight: 1}}}}
 	}
 	s.step(0.005, out(true))
 	probed := map[BackendID]int{}
@@ -331,8 +331,8 @@
 	if probed[1] > 0 || probed[2] == 0 {
 		t.Fatalf("probed %v", probed)
 	}
-	for _, c := range slices.Clone(s.m.backends[1].out) {
-		s.step(0.001, Event{Kind: CallEnded, Subquery: c.subquery.id, Call: c.no, Backend: 1, Outcome: Withdrawn})
+	for _, c := range slices.Clone(s.m.backends[1].calls) {
+		s.step(0.001, Event{Kind: CallEnded, Subquery: c.subquery.id, Call: c.no, Backend: 1, Outcome: Canceled})
 	}
 	s.step(0.005, out(false))
 	if s.tick(0.02); !usable(s.m.backends[1]) {
@@ -353,10 +353,10 @@
 func newBusy(overrides int) *busy {
 	const backends = 1000
 	set := Settings{Seed: 1, Aggregators: 1, Step: 0.005, Layout: Layout{Cells: backends / 2, Width: 1},
-		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Gain: 1, Need: 1, Floor: 1}, {Soft: 2, Hard: 6, Gain: 1, Need: 1, Floor: 1}},
-		Limits:  Limits{Cancel: true, MaxTries: 3}}
+		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Value: 1, Required: 1, Minimum: 1}, {Soft: 2, Hard: 6, Value: 1, Required: 1, Minimum: 1}},
+		Limits:  Limits{Cancel: true, MaxAttempts: 3}}
 	b := &busy{m: New(set, 0), rng: rand.New(rand.NewPCG(1, 1))}
-	list := Event{Kind: ListChanged, List: ListWhole}
+	list := Event{Kind: ListChanged, List: ListComplete}
 	for i := range backends {
 		list.Entries = append(list.Entries, Entry{Backend: BackendID(i + 1), Cell: CellID(i % (backends / 2))})
 	}
@@ -387,9 +387,9 @@
 	for range 2 {
 		b.next++
 		no := QueryNo(b.next)
-		events = append(events, Event{Kind: QueryTaken, Query: QueryID(b.next), No: no, Subqueries: 8, Left: 6})
+		events = append(events, Event{Kind: QueryReceived, Query: QueryID(b.next), No: no, Subqueries: 8, Remaining: 6})
 		for j := range 8 {
-			events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(10*b.next) + SubqueryID(j), No: no, Shard: ShardID(b.rng.IntN(5000)), Weight: 0.125})
+			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*b.next) + SubqueryID(j), No: no, Shard: ShardID(b.rng.IntN(5000)), Weight: 0.125})
 		}
 	}
 	b.buf = b.m.Step(b.now, append(events, Event{Kind: TimerDue, Timer: sweepTimer}), b.buf[:0])
@@ -420,7 +420,7 @@
 // At the end of an out nothing is sent to the backend beyond its window.
 func TestAReturnKeepsToTheWindow(t *testing.T) {
 	s := newScene(t, nil)
-	s.step(0.01, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Out: true, Weight: 1}}}})
+	s.step(0.01, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Excluded: true, Weight: 1}}}})
 	s.m.backends[1].window = 60 // from long ago
 	var due []dueEvent
 	most := 0
@@ -436,9 +436,9 @@
 		}
 		s.next++
 		no := QueryNo(s.next)
-		events = append(events, Event{Kind: QueryTaken, Query: QueryID(s.next), No: no, Subqueries: 6, Left: 6})
+		events = append(events, Event{Kind: QueryReceived, Query: QueryID(s.next), No: no, Subqueries: 6, Remaining: 6})
 		for j := range 6 {
-			events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(10*s.next) + SubqueryID(j), No: no, Weight: 1.0 / 6})
+			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*s.next) + SubqueryID(j), No: no, Weight: 1.0 / 6})
 		}
 		back := s.m.backends[1]
 		for _, a := range only(Send, s.step(0.005, events...)) {
@@ -447,10 +447,10 @@
 				t.Fatalf("step %d: a part call to one that is out", step)
 			}
 		}
-		if float64(back.units) > max(1, math.Floor(back.window)) {
-			t.Fatalf("step %d: %d out, window %g", step, back.units, back.window)
+		if float64(back.callsInFlight) > max(1, math.Floor(back.window)) {
+			t.Fatalf("step %d: %d out, window %g", step, back.callsInFlight, back.window)
 		}
-		most = max(most, back.units)
+		most = max(most, back.callsInFlight)
 	}
 	if most == 0 {
 		t.Fatal("it never came back")
--- a/policy/policy_lookup.go
+++ b/policy/policy_lookup.go
@@ -8,79 +8,81 @@
 
 // Queries: what is taken, what is dropped or turned away, when a query ends and how.
 
-// margin is how long before a deadline an answer must be on its way: a sweep may come a step late.
-func (m *Aggregator) margin() float64 { return max(sweepEvery, m.set.Step) + 2*m.set.Step }
+// deadlineMargin is how long before a deadline an answer must be on its way: a sweep may come a step late.
+func (m *Aggregator) deadlineMargin() float64 {
+	return max(sweepEvery, m.settings.Step) + 2*m.settings.Step
+}
 
 func (m *Aggregator) sweep() {
-	m.do(Action{Kind: SetTimer, Timer: sweepTimer, Wait: max(sweepEvery, m.set.Step)})
-	if m.now >= m.listAt {
-		m.listAt = math.Inf(1)
-		m.do(Action{Kind: Subscribe, On: true})
+	m.emit(Action{Kind: SetTimer, Timer: sweepTimer, Wait: max(sweepEvery, m.settings.Step)})
+	if m.now >= m.listPollAt {
+		m.listPollAt = math.Inf(1)
+		m.emit(Action{Kind: Subscribe, On: true})
 	}
 	for _, s := range m.fleet {
-		m.listen(s)
+		m.detectSilence(s)
 	}
-	for _, lk := range slices.Clone(m.open) {
-		m.watch(lk)
+	for _, lk := range slices.Clone(m.openQueries) {
+		m.checkDeadlines(lk)
 	}
 }
 
-func (m *Aggregator) take(e *Event) {
-	lk, x := m.opened(e), &m.index[e.Index]
-	lk.over = m.overspends(e.Customer, burstS)
+func (m *Aggregator) receiveQuery(e *Event) {
+	lk, x := m.addQuery(e), &m.indexes[e.Index]
+	lk.overQuota = m.exceedsQuota(e.Customer, burstS)
 	// Against counting the soft deadline from a retry: a client's last try gives all that is left, be it more or
 	// less than its first ones gave, which are most.
-	if x.tried(e.Left, tryApart*x.hard, tryMost); math.Abs(e.Left-x.first) > tryApart*x.hard {
-		lk.soft -= max(0, x.hard-e.Left)
+	if x.recordTimeout(e.Remaining, timeoutTolerance*x.hard, timeoutVotesMax); math.Abs(e.Remaining-x.clientTimeout) > timeoutTolerance*x.hard {
+		lk.soft -= max(0, x.hard-e.Remaining)
 	}
 }
 
-func (m *Aggregator) takeSubquery(e *Event) {
+func (m *Aggregator) receiveSubquery(e *Event) {
 	lk := m.queries[e.No]
 	if lk == nil {
 		return
 	}
-	p := m.added(lk, e)
+	p := m.addSubquery(lk, e)
 	if e.Hint > 0 {
 		smooth(&m.meanHint, e.Hint, usualStep)
-		smooth(&m.index[lk.k].work, e.Hint, usualStep)
+		smooth(&m.indexes[lk.index].meanWork, e.Hint, usualStep)
 		p.size = (1 + e.Hint/m.meanHint) / 2 // half of a latency is the wait for others' parts
 	}
 	m.bind(p)
-	if len(lk.subqueries) == lk.expect {
+	if len(lk.subqueries) == lk.expected {
 		slices.SortStableFunc(lk.subqueries, func(a, b *subquery) int { return cmp.Compare(b.size, a.size) })
-		m.thinOut(lk)
-		if m.turnAway(lk) {
-			m.query(lk, giveUp)
+		m.shedSubqueries(lk)
+		if m.mustReject(lk) {
+			m.applyToQuery(lk, onGiveUp)
 		}
 	}
 }
 
-// turnAway tells whether a query just taken could not be answered in time, by the slowest part that its
+// mustReject tells whether a query just taken could not be answered in time, by the slowest part that its
 // least answer needs. What is worth less, by its index or past its customer's share, must come out earlier.
-func (m *Aggregator) turnAway(lk *query) bool {
-	x, est, crowded := &m.index[lk.k], 0.0, m.recently() > usualUpTo*m.usual
+func (m *Aggregator) mustReject(lk *query) bool {
+	x, est, crowded := &m.indexes[lk.index], 0.0, m.recentLatency() > usualUpTo*m.usualLatency
 	ends := make([]float64, 0, len(lk.subqueries))
 	for _, p := range lk.subqueries {
-		if s := p.at; s != nil {
-			ahead := float64(s.heldUnits - m.units(lk, s))
+		if s := p.assigned; s != nil {
+			ahead := float64(s.callsPending - m.callsFor(lk, s))
 			crowded = crowded || ahead > 0 || s.window < 1
-			ends = append(ends, m.latency(s, lk.k)*(1+ahead/s.window)+max(0, s.downUntil-m.now))
+			ends = append(ends, m.expectedLatency(s, lk.index)*(1+ahead/s.window)+max(0, s.unreachableUntil-m.now))
 		}
 	}
 	if len(ends) > 0 {
 		slices.Sort(ends)
-		est = ends[min(len(ends)-1, int(x.floor*float64(len(ends))))]
+		est = ends[min(len(ends)-1, int(x.minimum*float64(len(ends))))]
 	}
-	est += lowGain * (1 - x.gain/m.topGain) * x.soft
-	est += overShare * share(lk.over) * x.soft
-	return m.average > 0 && (m.now+est > lk.deadline || crowded && m.now+est > m.due(lk))
+	est += lowValue * (1 - x.value/m.topValue) * x.soft
+	est += overShare * indicator(lk.overQuota) * x.soft
+	return m.averageLatency > 0 && (m.now+est > lk.deadline || crowded && m.now+est > m.stepDeadline(lk))
 }
 
-// thinOut drops, where it is crowded, parts that a query may do without and that give least for their work.
-func (m *Aggregator) thinOut(lk *query) {
-	most := (lk.need - m.index[lk.k].floor) * crowdDrop
-	if m.recently() <= crowdFrom*m.usual {
+// shedSubqueries drops, where it is crowded, parts that a query may do without and that give least for their work.
+func (m *Aggregator) shedSubqueries(lk *query) {
+	most := (lk.required - m.indexes[lk.index].minimum) * overloadDrop
+	if m.recentLatency() <= overloadFrom*m.usualLatency {
 		return
 	}
 	subqueries := slices.Clone(lk.subqueries)
@@ -89,89 +91,91 @@
 		if most -= p.weight; most < 0 {
 			return
 		}
-		m.subquery(p, tooLate)
+		m.applyToSubquery(p, onTooLate)
 	}
 }
 
-// recently is the latency heard of late from any backend.
-func (m *Aggregator) recently() float64 { return m.recent.mean(m.usual, lookLeast, m.now, m.shortSoft) }
+// recentLatency is the latency heard of late from any backend.
+func (m *Aggregator) recentLatency() float64 {
+	return m.recentLatencies.mean(m.usualLatency, priorSamples, m.now, m.shortestSoft)
+}
 
 // due is the soft deadline of the step in hand: a second one that is to come needs time too.
-func (m *Aggregator) due(lk *query) float64 {
-	if lk.state != first {
+func (m *Aggregator) stepDeadline(lk *query) float64 {
+	if lk.state != stateFirstStep {
 		return lk.soft
 	}
-	return lk.soft - secondFor*max(m.average, m.recently())
+	return lk.soft - secondStepLatencies*max(m.averageLatency, m.recentLatency())
 }
 
-// watch looks after what time alone does to a query.
-func (m *Aggregator) watch(lk *query) {
-	x, due := &m.index[lk.k], m.due(lk)
-	enough := lk.in >= x.floor-sumSlack
+// checkDeadlines looks after what time alone does to a query.
+func (m *Aggregator) checkDeadlines(lk *query) {
+	x, due := &m.indexes[lk.index], m.stepDeadline(lk)
+	enough := lk.answeredWeight >= x.minimum-sumSlack
 	switch {
-	case m.now >= lk.deadline-m.margin() && !enough:
-		m.query(lk, giveUp)
-	case m.now >= lk.deadline-m.margin(), enough && m.now >= due-m.margin() && x.short*lk.in > x.late:
-		m.query(lk, short)
+	case m.now >= lk.deadline-m.deadlineMargin() && !enough:
+		m.applyToQuery(lk, onGiveUp)
+	case m.now >= lk.deadline-m.deadlineMargin(), enough && m.now >= due-m.deadlineMargin() && x.partialValue*lk.answeredWeight > x.lateValue:
+		m.applyToQuery(lk, onPartial)
 	}
-	inTime := func(s *backend) bool { return usable(s) && m.now+m.latency(s, lk.k) <= due }
-	waiting := lk.weigh(func(p *subquery) bool { return p.state == held })
+	inTime := func(s *backend) bool { return usable(s) && m.now+m.expectedLatency(s, lk.index) <= due }
+	waiting := lk.sumWeights(func(p *subquery) bool { return p.state == statePending })
 	// A part that misses the soft deadline takes more from others than the little gain that is left.
-	hopeless := waiting > x.late && m.average > 0
+	hopeless := waiting > x.lateValue && m.averageLatency > 0
 	for _, p := range lk.subqueries {
-		if p.state == out {
-			m.overdue(p)
-		} else if hopeless && p.state == held && p.at != nil && !slices.ContainsFunc(m.holdersOf(p), inTime) {
-			m.subquery(p, tooLate)
+		if p.state == stateInFlight {
+			m.hedge(p)
+		} else if hopeless && p.state == statePending && p.assigned != nil && !slices.ContainsFunc(m.holdersOf(p), inTime) {
+			m.applyToSubquery(p, onTooLate)
 		}
 	}
 }
 
-func (m *Aggregator) count(p *subquery) {
-	p.lk.in += p.weight
-	m.takeBack(p)
-	m.settle(p.lk)
+func (m *Aggregator) countAnswer(p *subquery) {
+	p.query.answeredWeight += p.weight
+	m.cancelAll(p)
+	m.endIfDecided(p.query)
 }
 
-func (m *Aggregator) lose(p *subquery) {
-	m.owe(p, false)
-	m.unhold(p)
-	p.lk.lost += p.weight
-	m.settle(p.lk)
+func (m *Aggregator) abandon(p *subquery) {
+	m.reserveRetry(p, false)
+	m.unassign(p)
+	p.query.abandonedWeight += p.weight
+	m.endIfDecided(p.query)
 }
 
-// settle ends a query as soon as what is in, or lost, decides it.
-func (m *Aggregator) settle(lk *query) {
-	lk.pending--
+// endIfDecided ends a query as soon as what is in, or lost, decides it.
+func (m *Aggregator) endIfDecided(lk *query) {
+	lk.unfinished--
 	switch {
-	case len(lk.subqueries) < lk.expect:
-	case lk.in >= lk.need-sumSlack:
-		m.query(lk, whole)
-	case 1-lk.lost < m.index[lk.k].floor-sumSlack:
-		m.query(lk, giveUp)
-	case lk.pending == 0:
-		m.query(lk, short)
+	case len(lk.subqueries) < lk.expected:
+	case lk.answeredWeight >= lk.required-sumSlack:
+		m.applyToQuery(lk, onComplete)
+	case 1-lk.abandonedWeight < m.indexes[lk.index].minimum-sumSlack:
+		m.applyToQuery(lk, onGiveUp)
+	case lk.unfinished == 0:
+		m.applyToQuery(lk, onPartial)
 	}
 }
 
 // answer ends a step, and with the last one its query.
 func (m *Aggregator) answer(lk *query) {
-	m.do(Action{Kind: Answer, Query: lk.id, Whole: !lk.short})
-	if lk.state == done {
-		m.forget(lk)
+	m.emit(Action{Kind: Answer, Query: lk.id, Complete: !lk.partial})
+	if lk.state == stateEnded {
+		m.removeQuery(lk)
 	} else {
-		m.nextStep(lk, m.index[lk.k].second)
+		m.nextStep(lk, m.indexes[lk.index].secondStep)
 	}
 }
 
-// decline ends a query without an answer: by a nack wherever trying again is surely harmless.
-func (m *Aggregator) decline(lk *query) {
+// reject ends a query without an answer: by a nack wherever trying again is surely harmless.
+func (m *Aggregator) reject(lk *query) {
 	a := Action{Kind: Nack, Query: lk.id}
-	if m.index[lk.k].effect != Idempotent && (lk.stepped || slices.ContainsFunc(lk.subqueries, (*subquery).maybe)) {
+	if m.indexes[lk.index].effect != Idempotent && (lk.firstStepDone || slices.ContainsFunc(lk.subqueries, (*subquery).mayHaveExecuted)) {
 		a.Kind = Abort
-	} else if m.set.Limits.RetryAfter {
-		a.Wait = min(m.set.Limits.MaxRetryAfter, 2*m.latency(nil, lk.k)) // also while nobody was heard
+	} else if m.settings.Limits.RetryAfter {
+		a.Wait = min(m.settings.Limits.MaxRetryAfter, 2*m.expectedLatency(nil, lk.index)) // also while nobody was heard
 	}
-	m.do(a)
-	m.forget(lk)
+	m.emit(a)
+	m.removeQuery(lk)
 }
--- a/policy/policy_release.go
+++ b/policy/policy_release.go
@@ -7,76 +7,78 @@
 
 // Release: in which order held parts leave, whether one may leave yet, and when a call is made again.
 
-// scouts tells whether a query sends one part ahead. Of one that brings backends down every part does.
-func (m *Aggregator) scouts(lk *query) bool { return !lk.proven && (lk.broken > 0 || m.falling()) }
+// sendsCanary tells whether a query sends one part ahead. Of one that brings backends down every part does.
+func (m *Aggregator) sendsCanary(lk *query) bool {
+	return !lk.anyAnswered && (lk.brokenCalls > 0 || m.crashesSuspected())
+}
 
-// look asks the two likeliest holders of a held part, and tells whether to wait for the first that answers.
-func (m *Aggregator) look(p *subquery) (wait bool) {
-	heard := func(s *backend) bool { return usable(s) && m.fresh(s) && m.may(p, s) }
+// awaitsProbe asks the two likeliest holders of a held part, and tells whether to wait for the first that answers.
+func (m *Aggregator) awaitsProbe(p *subquery) (wait bool) {
+	heard := func(s *backend) bool { return usable(s) && m.recentlyAlive(s) && m.mayServe(p, s) }
 	if slices.ContainsFunc(m.holdersOf(p), heard) {
 		return false
 	}
 	one := m.choose(p, nil, false)
 	for _, s := range []*backend{one, m.choose(p, one, false)} {
 		if s != nil && usable(s) {
-			m.ask(s, false)
+			m.probe(s, false)
 			wait = wait || s.probing
 		}
 	}
 	return wait
 }
 
-// overdue takes back a call that a sibling would long have answered, against backends that crawl or lose it.
-func (m *Aggregator) overdue(p *subquery) {
-	if len(p.live) != 1 || p.live[0].back || !m.mayAgain(p) {
+// hedge takes back a call that a sibling would long have answered, against backends that crawl or lose it.
+func (m *Aggregator) hedge(p *subquery) {
+	if len(p.calls) != 1 || p.calls[0].canceled || !m.mayRetry(p) {
 		return
 	}
-	c, s := p.live[0], m.choose(p, p.live[0].at, true)
-	age, patience := m.now-c.sent, overdueFrom*max(m.average, m.latency(s, p.lk.k))*p.size
-	if !m.deep && (p.lk.in < nearIn*p.lk.need || m.recently() > crowdFrom*m.usual) { // the last few cost little
-		patience *= shallowMore
+	c, s := p.calls[0], m.choose(p, p.calls[0].backend, true)
+	age, patience := m.now-c.sent, hedgeFrom*max(m.averageLatency, m.expectedLatency(s, p.query.index))*p.size
+	if !m.probesQueue && (p.query.answeredWeight < nearlyComplete*p.query.required || m.recentLatency() > overloadFrom*m.usualLatency) { // the last few cost little
+		patience *= hedgeSlack
 	}
 	switch {
-	case s == nil || age < patience && usable(c.at):
+	case s == nil || age < patience && usable(c.backend):
 		return
-	case m.set.Limits.Probe && !m.fresh(s): // where the sibling's queue is as long, one more only adds to both
-		m.ask(s, false)
+	case m.settings.Limits.Probe && !m.recentlyAlive(s): // where the sibling's queue is as long, one more only adds to both
+		m.probe(s, false)
 		return
-	case m.deep && c.at.alive > c.sent && c.at.answeredAt < c.sent: // it waits no longer than a probe
+	case m.probesQueue && c.backend.aliveAt > c.sent && c.backend.answeredAt < c.sent: // it waits no longer than a probe
 		m.connectionLost(c)
 	}
-	if m.set.Limits.SecondCopy {
-		p.at = s
-		m.subquery(p, releases)
-	} else if m.set.Limits.Cancel {
-		m.owe(p, true)
-		m.withdraw(c)
+	if m.settings.Limits.Hedge {
+		p.assigned = s
+		m.applyToSubquery(p, onSend)
+	} else if m.settings.Limits.Cancel {
+		m.reserveRetry(p, true)
+		m.cancel(c)
 	}
 }
 
-// room: a backend out of reach gets one call at a time, after each pause.
-func (m *Aggregator) room(p *subquery, s *backend) bool {
-	if !usable(s) && (s.probing || m.now < s.downUntil || s.units > 0) {
+// hasCapacity: a backend out of reach gets one call at a time, after each pause.
+func (m *Aggregator) hasCapacity(p *subquery, s *backend) bool {
+	if !usable(s) && (s.probing || m.now < s.unreachableUntil || s.callsInFlight > 0) {
 		return false
 	}
-	paced := s.units == 0 && m.now-s.usedAt >= s.latency*(1/s.window-1) // below one call
-	return (m.riding(s) || float64(s.units) < math.Floor(s.window) || paced) && m.coldAllows(p, s)
+	paced := s.callsInFlight == 0 && m.now-s.lastUsedAt >= s.latency*(1/s.window-1) // below one call
+	return (m.canShareCall(s) || float64(s.callsInFlight) < math.Floor(s.window) || paced) && m.slowStartAllows(p, s)
 }
 
 // reorder is SWAG's order: the held query of least makespan first, its calls then added to the queues.
 func (m *Aggregator) reorder() {
-	m.dirty, m.order = false, m.order[:0]
+	m.orderStale, m.sendOrder = false, m.sendOrder[:0]
 	for _, s := range m.fleet {
-		s.queue = float64(s.units)
+		s.queue = float64(s.callsInFlight)
 	}
-	rest := m.sized()
+	rest := m.openQueriesBySize()
 	for len(rest) > 0 {
 		best, least := 0, math.Inf(1)
 		for i, lk := range rest {
 			span := 0.0
-			for _, t := range lk.held {
-				if t.n > 0 {
-					span = max(span, (t.at.queue+float64(m.units(lk, t.at)))*m.latency(t.at, lk.k))
+			for _, t := range lk.assignments {
+				if t.subqueries > 0 {
+					span = max(span, (t.backend.queue+float64(m.callsFor(lk, t.backend)))*m.expectedLatency(t.backend, lk.index))
 				}
 			}
 			if span < least || span == least && lk.size < rest[best].size {
@@ -84,117 +86,117 @@
 			}
 		}
 		lk := rest[best]
-		for _, t := range lk.held {
-			t.at.queue += float64(m.units(lk, t.at))
+		for _, t := range lk.assignments {
+			t.backend.queue += float64(m.callsFor(lk, t.backend))
 		}
-		m.order = append(m.order, lk)
+		m.sendOrder = append(m.sendOrder, lk)
 		rest = slices.Delete(rest, best, best+1)
 	}
 }
 
-func (m *Aggregator) releaseAll() {
-	m.average = m.meanLatency(func(s *backend) bool { return usable(s) && !s.shut })
-	if m.dirty {
+func (m *Aggregator) sendPending() {
+	m.averageLatency = m.meanLatency(func(s *backend) bool { return usable(s) && !s.excluded })
+	if m.orderStale {
 		m.reorder()
 	}
-	for _, lk := range m.order {
-		scouts, subqueries := m.scouts(lk), lk.subqueries
-		if len(subqueries) < lk.expect || scouts && lk.calling() {
+	for _, lk := range m.sendOrder {
+		scouts, subqueries := m.sendsCanary(lk), lk.subqueries
+		if len(subqueries) < lk.expected || scouts && lk.hasCallsInFlight() {
 			continue
 		}
 		// While parts that it needs have no holder in reach, work on the others is likely for nothing.
-		blocked := lk.lost+lk.weigh(m.blocked) > 1-m.index[lk.k].floor+sumSlack
+		blocked := lk.abandonedWeight+lk.sumWeights(m.unreachable) > 1-m.indexes[lk.index].minimum+sumSlack
 		for i, p := range subqueries {
 			if scouts {
 				p = subqueries[len(subqueries)-1-i] // the least first
 			}
-			if p.state == held && (!blocked || m.blocked(p)) {
-				m.tryRelease(p)
+			if p.state == statePending && (!blocked || m.unreachable(p)) {
+				m.trySend(p)
 			}
-			if scouts && p.state == out {
+			if scouts && p.state == stateInFlight {
 				break
 			}
 		}
 	}
 }
 
-func (m *Aggregator) blocked(p *subquery) bool {
-	reach := func(s *backend) bool { return usable(s) && m.may(p, s) }
-	return p.state == held && !slices.ContainsFunc(m.holdersOf(p), reach)
+func (m *Aggregator) unreachable(p *subquery) bool {
+	reach := func(s *backend) bool { return usable(s) && m.mayServe(p, s) }
+	return p.state == statePending && !slices.ContainsFunc(m.holdersOf(p), reach)
 }
 
-func (m *Aggregator) late(p *subquery, s *backend) bool {
-	return p.lk.deadline-m.now < m.latency(s, p.lk.k)
+func (m *Aggregator) wouldBeLate(p *subquery, s *backend) bool {
+	return p.query.deadline-m.now < m.expectedLatency(s, p.query.index)
 }
 
-func (m *Aggregator) tryRelease(p *subquery) {
-	if p.at != nil && !m.may(p, p.at) { // the pinned one serves again, or no longer
+func (m *Aggregator) trySend(p *subquery) {
+	if p.assigned != nil && !m.mayServe(p, p.assigned) { // the pinned one serves again, or no longer
 		m.bind(p)
 	}
-	if p.state != held {
+	if p.state != statePending {
 		return
 	}
-	s, looks := p.at, m.looks()
-	if looks && m.look(p) {
+	s, looks := p.assigned, m.probesFirst()
+	if looks && m.awaitsProbe(p) {
 		return
 	}
-	sound := s != nil && usable(s) && !m.late(p, s)
-	if !sound || !m.room(p, s) || looks && !m.fresh(s) {
+	sound := s != nil && usable(s) && !m.wouldBeLate(p, s)
+	if !sound || !m.hasCapacity(p, s) || looks && !m.recentlyAlive(s) {
 		alt := m.choose(p, s, sound)
-		if alt != nil && !m.late(p, alt) && (!sound && usable(alt) || sound && (!m.coldAllows(p, s) ||
-			m.cost(p, alt) < m.cost(p, s)*alt.scope(p.lk.k).weight || looks && m.fresh(alt) && !m.fresh(s))) {
-			m.hold(p, alt)
+		if alt != nil && !m.wouldBeLate(p, alt) && (!sound && usable(alt) || sound && (!m.slowStartAllows(p, s) ||
+			m.cost(p, alt) < m.cost(p, s)*alt.override(p.query.index).weight || looks && m.recentlyAlive(alt) && !m.recentlyAlive(s))) {
+			m.assign(p, alt)
 			s = alt
 		}
 	}
 	switch {
-	case s == nil || !m.late(p, s) && !m.room(p, s):
-	case m.late(p, s) || p.made > 0 && !m.mayAgain(p):
-		m.subquery(p, tooLate)
+	case s == nil || !m.wouldBeLate(p, s) && !m.hasCapacity(p, s):
+	case m.wouldBeLate(p, s) || p.attempts > 0 && !m.mayRetry(p):
+		m.applyToSubquery(p, onTooLate)
 	default:
-		m.subquery(p, releases)
+		m.applyToSubquery(p, onSend)
 	}
 }
 
 func (m *Aggregator) send(p *subquery) {
-	s := p.at
-	if len(p.live) == 0 {
-		m.tally(p.lk, s, -1)
-	}
-	p.at = nil
-	idle := m.now - s.usedAt
-	if len(s.out) == 0 && idle > m.idle && m.doubt.now(m.now, longMemory*m.longSoft) > idleDoubt {
-		m.do(Action{Kind: CloseIdle, Backend: s.id})
+	s := p.assigned
+	if len(p.calls) == 0 {
+		m.addAssigned(p.query, s, -1)
+	}
+	p.assigned = nil
+	idle := m.now - s.lastUsedAt
+	if len(s.calls) == 0 && idle > m.idleLimit && m.idleLosses.valueAt(m.now, faultMemory*m.longestSoft) > idleLossesFrom {
+		m.emit(Action{Kind: CloseIdle, Backend: s.id})
 		idle = 0
 	}
-	a := Action{Kind: Send, Subquery: p.id, Backend: s.id, StopAt: m.stop(p.lk)}
-	if m.index[p.lk.k].effect == Fingerprinted && p.maybe() {
-		a.BeginBy = p.first + m.index[p.lk.k].repeat // also where it waits for a connection until then
+	a := Action{Kind: Send, Subquery: p.id, Backend: s.id, StopAt: m.callDeadline(p.query)}
+	if m.indexes[p.query.index].effect == Fingerprinted && p.mayHaveExecuted() {
+		a.BeginBy = p.firstSent + m.indexes[p.query.index].dedupWindow // also where it waits for a connection until then
 	}
-	m.begin(p, s).idle = idle
-	if m.warmth(s) < 1 {
-		s.sent = append(s.sent, sending{m.now, m.workOf(p.lk.k)})
+	m.startCall(p, s).idleBefore = idle
+	if m.slowStartFactor(s) < 1 {
+		s.slowStartWork = append(s.slowStartWork, sentWork{m.now, m.workOf(p.query.index)})
 	}
-	m.do(a)
+	m.emit(a)
 }
 
-// stop is when a call of a query is no longer worth its work: what waits beyond that need not be begun.
-func (m *Aggregator) stop(lk *query) float64 {
-	if x := &m.index[lk.k]; x.floor < x.need && x.short > x.late || x.late == 0 {
+// callDeadline is when a call of a query is no longer worth its work: what waits beyond that need not be begun.
+func (m *Aggregator) callDeadline(lk *query) float64 {
+	if x := &m.indexes[lk.index]; x.minimum < x.required && x.partialValue > x.lateValue || x.lateValue == 0 {
 		return min(lk.deadline, lk.soft)
 	}
 	return lk.deadline
 }
 
-// mayAgain tells whether a further call of p is allowed by its index, its tries and the budget.
-func (m *Aggregator) mayAgain(p *subquery) bool {
-	x, r := &m.index[p.lk.k], &m.set.Rules
+// mayRetry tells whether a further call of p is allowed by its index, its tries and the budget.
+func (m *Aggregator) mayRetry(p *subquery) bool {
+	x, r := &m.indexes[p.query.index], &m.settings.Rules
 	switch {
-	case m.set.Limits.MaxTries > 0 && p.made >= m.set.Limits.MaxTries,
-		x.effect == OnceOnly && p.maybe(),
-		x.effect == Fingerprinted && p.maybe() && m.now > p.first+x.repeat-m.set.Step:
+	case m.settings.Limits.MaxAttempts > 0 && p.attempts >= m.settings.Limits.MaxAttempts,
+		x.effect == OnceOnly && p.mayHaveExecuted(),
+		x.effect == Fingerprinted && p.mayHaveExecuted() && m.now > p.firstSent+x.dedupWindow-m.settings.Step:
 		return false
 	}
-	further, taken := m.spent(p, m.now-r.BudgetS)
-	return !r.Budget || float64(further) <= r.BudgetFree+r.BudgetPer*float64(taken)
+	further, taken := m.retrySpending(p, m.now-r.RetryBudgetS)
+	return !r.RetryBudget || float64(further) <= r.RetryBudgetFree+r.RetryBudgetPer*float64(taken)
 }
--- a/policy/state_calls.go
+++ b/policy/state_calls.go
@@ -6,67 +6,67 @@
 
 // Records of calls that are out.
 
-// begin books a call of p to s, on the trip of this step if that has a place.
-func (m *Aggregator) begin(p *subquery, s *backend) *call {
-	if !m.riding(s) {
-		s.trip = &trip{step: m.step}
-		s.units++
+// startCall books a call of p to s, on the trip of this step if that has a place.
+func (m *Aggregator) startCall(p *subquery, s *backend) *call {
+	if !m.canShareCall(s) {
+		s.shared = &sharedCall{step: m.step}
+		s.callsInFlight++
 	}
-	s.trip.subqueries++
-	s.trip.live++
-	if p.made == 0 {
-		p.first = m.now
+	s.shared.subqueries++
+	s.shared.live++
+	if p.attempts == 0 {
+		p.firstSent = m.now
 	} else {
-		m.record(&m.further)
-		m.owe(p, false)
+		m.recordTime(&m.retryTimes)
+		m.reserveRetry(p, false)
 	}
-	s.usedAt = m.now
-	s.asked(m.now)
-	c := &call{subquery: p, no: CallNo(p.made), at: s, sent: m.now, trip: s.trip}
-	p.made++
-	p.live = append(p.live, c)
-	s.out = append(s.out, c)
+	s.lastUsedAt = m.now
+	s.expectAnswer(m.now)
+	c := &call{subquery: p, no: CallNo(p.attempts), backend: s, sent: m.now, shared: s.shared}
+	p.attempts++
+	p.calls = append(p.calls, c)
+	s.calls = append(s.calls, c)
 	return c
 }
 
-func (m *Aggregator) riding(s *backend) bool {
-	return s.trip != nil && s.trip.step == m.step && s.trip.subqueries < m.set.Layout.CallSubqueries
+func (m *Aggregator) canShareCall(s *backend) bool {
+	return s.shared != nil && s.shared.step == m.step && s.shared.subqueries < m.settings.Layout.CallSubqueries
 }
 
-// finish takes a call off the records; nil if it is not among them.
-func (m *Aggregator) finish(id SubqueryID, no CallNo) *call {
+// removeCall takes a call off the records; nil if it is not among them.
+func (m *Aggregator) removeCall(id SubqueryID, no CallNo) *call {
 	p := m.subqueries[id]
 	if p == nil {
 		return nil
 	}
-	i := slices.IndexFunc(p.live, func(c *call) bool { return c.no == no })
+	i := slices.IndexFunc(p.calls, func(c *call) bool { return c.no == no })
 	if i < 0 {
 		return nil
 	}
-	c := p.live[i]
-	p.live = slices.Delete(p.live, i, i+1)
-	c.at.out = slices.DeleteFunc(c.at.out, func(o *call) bool { return o == c })
-	m.release(p)
+	c := p.calls[i]
+	p.calls = slices.Delete(p.calls, i, i+1)
+	c.backend.calls = slices.DeleteFunc(c.backend.calls, func(o *call) bool { return o == c })
+	m.removeIfClosed(p)
 	return c
 }
 
-// leave takes one call off a trip.
-func (m *Aggregator) leave(s *backend, t *trip) {
+// leaveSharedCall takes one call off a trip.
+func (m *Aggregator) leaveSharedCall(s *backend, t *sharedCall) {
 	if t.live--; t.live == 0 {
-		s.units--
+		s.callsInFlight--
 	}
 }
 
-// withdraw takes a call back once, where that is allowed.
-func (m *Aggregator) withdraw(c *call) {
-	if m.set.Limits.Cancel && !c.back {
-		c.back = true
-		m.do(Action{Kind: Withdraw, Subquery: c.subquery.id, Call: c.no})
+// cancel takes a call back once, where that is allowed.
+func (m *Aggregator) cancel(c *call) {
+	if m.settings.Limits.Cancel && !c.canceled {
+		c.canceled = true
+		m.emit(Action{Kind: Cancel, Subquery: c.subquery.id, Call: c.no})
 	}
 }
 
-func (m *Aggregator) takeBack(p *subquery) {
-	for _, c := range p.live {
-		m.withdraw(c)
+func (m *Aggregator) cancelAll(p *subquery) {
+	for _, c := range p.calls {
+		m.cancel(c)
 	}
 }
--- a/policy/state_figures.go
+++ b/policy/state_figures.go
@@ -17,46 +17,46 @@
 	return float64(x>>r|x<<(-r&31)) / (1 << 32)
 }
 
-// fading is a figure that fades with time.
-type fading struct{ value, at float64 }
+// decaying is a figure that fades with time.
+type decaying struct{ value, at float64 }
 
-func (f fading) now(now, over float64) float64 { return f.value * faded(f.at, now, over) }
+func (f decaying) valueAt(now, over float64) float64 { return f.value * decay(f.at, now, over) }
 
-// shift moves it, not below 0, and tells what it was.
-func (f *fading) shift(by, now, over float64) (was float64) {
-	was = f.now(now, over)
-	*f = fading{max(0, was+by), now}
+// add moves it, not below 0, and tells what it was.
+func (f *decaying) add(by, now, over float64) (was float64) {
+	was = f.valueAt(now, over)
+	*f = decaying{max(0, was+by), now}
 	return was
 }
 
-// faded is what is left of a figure by now.
-func faded(at, now, over float64) float64 { return math.Exp((at - now) / over) }
+// decay is what is left of a figure by now.
+func decay(at, now, over float64) float64 { return math.Exp((at - now) / over) }
 
-func share(is bool) float64 {
+func indicator(is bool) float64 {
 	if is {
 		return 1
 	}
 	return 0
 }
 
-// gauge is a mean of samples that fade with time.
-type gauge struct{ sum, n, at float64 }
+// decayingMean is a mean of samples that fade with time.
+type decayingMean struct{ sum, n, at float64 }
 
-func (g *gauge) add(sample, now, over float64) {
-	f := faded(g.at, now, over)
-	*g = gauge{g.sum*f + sample, g.n*f + 1, now}
+func (g *decayingMean) add(sample, now, over float64) {
+	f := decay(g.at, now, over)
+	*g = decayingMean{g.sum*f + sample, g.n*f + 1, now}
 }
 
-// keep lets no more than so many samples weigh, so that new ones count.
-func (g *gauge) keep(most float64) {
+// limitWeight lets no more than so many samples weigh, so that new ones count.
+func (g *decayingMean) limitWeight(most float64) {
 	if g.n > most {
-		*g = gauge{g.sum * most / g.n, most, g.at}
+		*g = decayingMean{g.sum * most / g.n, most, g.at}
 	}
 }
 
 // mean takes a prior for as much as weight samples.
-func (g gauge) mean(prior, weight, now, over float64) float64 {
-	f := faded(g.at, now, over)
+func (g decayingMean) mean(prior, weight, now, over float64) float64 {
+	f := decay(g.at, now, over)
 	return (g.sum*f + weight*prior) / (g.n*f + weight)
 }
 
@@ -64,7 +64,7 @@
 type times []float64
 
 // due counts those to come.
-func (t *times) due(now float64) int {
+func (t *times) countAfter(now float64) int {
 	for len(*t) > 0 && (*t)[0] <= now {
 		*t = (*t)[1:]
 	}
@@ -79,8 +79,8 @@
 	*mean += weight * (sample - *mean)
 }
 
-// since drops the times before from.
-func since(times []float64, from float64) []float64 {
+// dropBefore drops the times before from.
+func dropBefore(times []float64, from float64) []float64 {
 	i, _ := slices.BinarySearch(times, from)
 	return slices.Delete(times, 0, i)
 }
--- a/policy/state_lookups.go
+++ b/policy/state_lookups.go
@@ -6,33 +6,33 @@
 
 // Records of queries and of parts that are held.
 
-// opened enters a query that was taken; added enters a part of it.
-func (m *Aggregator) opened(e *Event) *query {
-	x := &m.index[e.Index]
-	m.record(&m.taken)
-	lk := &query{id: e.Query, no: e.No, k: e.Index, expect: e.Subqueries, deadline: m.now + e.Left,
-		soft: m.now + x.soft, need: x.need, state: last, zones: e.Zones}
-	if x.second > 0 {
-		lk.state = first
+// addQuery enters a query that was taken; added enters a part of it.
+func (m *Aggregator) addQuery(e *Event) *query {
+	x := &m.indexes[e.Index]
+	m.recordTime(&m.receivedTimes)
+	lk := &query{id: e.Query, no: e.No, index: e.Index, expected: e.Subqueries, deadline: m.now + e.Remaining,
+		soft: m.now + x.soft, required: x.required, state: stateLastStep, zones: e.Zones}
+	if x.secondStep > 0 {
+		lk.state = stateFirstStep
 	}
 	m.queries[e.No], m.numbers[e.Query] = lk, e.No
-	m.open = append(m.open, lk)
+	m.openQueries = append(m.openQueries, lk)
 	return lk
 }
 
-func (m *Aggregator) added(lk *query, e *Event) *subquery {
-	m.record(&m.taken)
-	p := &subquery{id: e.Subquery, lk: lk, shard: e.Shard, weight: e.Weight, size: 1, lot: m.chance.unit(), state: held}
+func (m *Aggregator) addSubquery(lk *query, e *Event) *subquery {
+	m.recordTime(&m.receivedTimes)
+	p := &subquery{id: e.Subquery, query: lk, shard: e.Shard, weight: e.Weight, size: 1, draw: m.random.unit(), state: statePending}
 	lk.subqueries = append(lk.subqueries, p)
-	lk.pending++
+	lk.unfinished++
 	m.subqueries[p.id] = p
 	return p
 }
 
-func (m *Aggregator) heldSubqueries() (list []*subquery) {
-	for _, lk := range m.open {
+func (m *Aggregator) pendingSubqueries() (list []*subquery) {
+	for _, lk := range m.openQueries {
 		for _, p := range lk.subqueries {
-			if p.state == held {
+			if p.state == statePending {
 				list = append(list, p)
 			}
 		}
@@ -40,8 +40,8 @@
 	return list
 }
 
-// weigh sums the weights of lk's parts that are so.
-func (lk *query) weigh(so func(*subquery) bool) (weight float64) {
+// sumWeights sums the weights of lk's parts that are so.
+func (lk *query) sumWeights(so func(*subquery) bool) (weight float64) {
 	for _, p := range lk.subqueries {
 		if so(p) {
 			weight += p.weight
@@ -50,102 +50,102 @@
 	return weight
 }
 
-// sized lists the open queries with the sizes of what they hold.
-func (m *Aggregator) sized() []*query {
-	for _, lk := range m.open {
+// openQueriesBySize lists the open queries with the sizes of what they hold.
+func (m *Aggregator) openQueriesBySize() []*query {
+	for _, lk := range m.openQueries {
 		lk.size = 0
-		for _, t := range lk.held {
-			lk.size += float64(m.units(lk, t.at))
+		for _, t := range lk.assignments {
+			lk.size += float64(m.callsFor(lk, t.backend))
 		}
 	}
-	return slices.Clone(m.open)
+	return slices.Clone(m.openQueries)
 }
 
-// calling tells whether a call of a part is out.
-func (lk *query) calling() bool {
-	return slices.ContainsFunc(lk.subqueries, func(p *subquery) bool { return len(p.live) > 0 })
+// hasCallsInFlight tells whether a call of a part is out.
+func (lk *query) hasCallsInFlight() bool {
+	return slices.ContainsFunc(lk.subqueries, func(p *subquery) bool { return len(p.calls) > 0 })
 }
 
-func (lk *query) heldAt(s *backend) int {
-	for _, t := range lk.held {
-		if t.at == s {
-			return t.n
+func (lk *query) assignedTo(s *backend) int {
+	for _, t := range lk.assignments {
+		if t.backend == s {
+			return t.subqueries
 		}
 	}
 	return 0
 }
 
 // units counts lk's held parts at s as the calls they will share.
-func (m *Aggregator) units(lk *query, s *backend) int {
-	per := m.set.Layout.CallSubqueries
-	return (lk.heldAt(s) + per - 1) / per
+func (m *Aggregator) callsFor(lk *query, s *backend) int {
+	per := m.settings.Layout.CallSubqueries
+	return (lk.assignedTo(s) + per - 1) / per
 }
 
-func (m *Aggregator) tally(lk *query, s *backend, n int) {
-	s.heldUnits -= m.units(lk, s)
-	i := slices.IndexFunc(lk.held, func(t tally) bool { return t.at == s })
+func (m *Aggregator) addAssigned(lk *query, s *backend, n int) {
+	s.callsPending -= m.callsFor(lk, s)
+	i := slices.IndexFunc(lk.assignments, func(t assignment) bool { return t.backend == s })
 	if i < 0 {
-		i = len(lk.held)
-		lk.held = append(lk.held, tally{at: s})
+		i = len(lk.assignments)
+		lk.assignments = append(lk.assignments, assignment{backend: s})
 	}
-	lk.held[i].n += n
-	s.heldUnits += m.units(lk, s)
+	lk.assignments[i].subqueries += n
+	s.callsPending += m.callsFor(lk, s)
 }
 
-func (m *Aggregator) hold(p *subquery, s *backend) {
-	m.unhold(p)
-	if p.at = s; s != nil {
-		m.tally(p.lk, s, 1)
+func (m *Aggregator) assign(p *subquery, s *backend) {
+	m.unassign(p)
+	if p.assigned = s; s != nil {
+		m.addAssigned(p.query, s, 1)
 	}
 }
 
-func (m *Aggregator) unhold(p *subquery) {
-	if p.at != nil {
-		m.tally(p.lk, p.at, -1)
+func (m *Aggregator) unassign(p *subquery) {
+	if p.assigned != nil {
+		m.addAssigned(p.query, p.assigned, -1)
 	}
-	p.at = nil
+	p.assigned = nil
 }
 
-// release lets go of a part that nothing can refer to any more.
-func (m *Aggregator) release(p *subquery) {
-	if p.state == over && len(p.live) == 0 {
+// removeIfClosed lets go of a part that nothing can refer to any more.
+func (m *Aggregator) removeIfClosed(p *subquery) {
+	if p.state == stateClosed && len(p.calls) == 0 {
 		delete(m.subqueries, p.id)
 	}
 }
 
-// dropSubqueries closes all parts of a step.
-func (m *Aggregator) dropSubqueries(lk *query) {
+// closeSubqueries closes all parts of a step.
+func (m *Aggregator) closeSubqueries(lk *query) {
 	for _, p := range lk.subqueries {
-		m.subquery(p, closed)
-		m.owe(p, false)
-		p.state = over
-		m.release(p)
+		m.applyToSubquery(p, onClose)
+		m.reserveRetry(p, false)
+		p.state = stateClosed
+		m.removeIfClosed(p)
 	}
-	lk.subqueries, lk.held, m.dirty = nil, nil, true
+	lk.subqueries, lk.assignments, m.orderStale = nil, nil, true
 }
 
 // nextStep begins the second step, of which all makes it whole; parts of the first have run.
 func (m *Aggregator) nextStep(lk *query, most int) {
 	n := 0
 	for _, p := range lk.subqueries {
-		if p.state == in {
+		if p.state == stateAnswered {
 			n++
 		}
 	}
-	m.dropSubqueries(lk)
-	lk.stepped = true
-	lk.need, lk.expect, lk.in, lk.lost, lk.pending = 1, min(n, most), 0, 0, 0
+	m.closeSubqueries(lk)
+	lk.firstStepDone = true
+	lk.required, lk.expected, lk.answeredWeight, lk.abandonedWeight, lk.unfinished = 1, min(n, most), 0, 0, 0
 }
 
-func (m *Aggregator) forget(lk *query) {
-	m.dropSubqueries(lk)
+func (m *Aggregator) removeQuery(lk *query) {
+	m.closeSubqueries(lk)
 	delete(m.queries, lk.no)
 	delete(m.numbers, lk.id)
-	m.open = slices.DeleteFunc(m.open, func(o *query) bool { return o == lk })
+	m.openQueries = slices.DeleteFunc(m.openQueries, func(o *query) bool { return o == lk })
 }
 
-func (m *Aggregator) clientGone(e *Event) {
+func (m *Aggregator) clientDisconnected(e *Event) {
 	if lk := m.queries[m.numbers[e.Query]]; lk != nil && lk.id == e.Query {
-		m.query(lk, left)
+		m.applyToQuery(lk, onDisconnect)
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -47,30 +47,30 @@
 
 // Settings are what an instance is told at its start. Times are seconds; a zero value means not stated.
 type Settings struct {
-	Seed        uint64
-	Self        AggregatorNo
-	Aggregators int
-	Location    LocationID
-	Step        float64 // least time between two calls of Step
-	Indexes     []IndexSettings
-	Customers   []CustomerSettings
-	OverShare   float64 // what a query past its customer's share is worth, as a share of its gain
-	AskList     bool    // the list comes only when asked for
-	Layout      Layout
-	Limits      Limits
-	Rules       Rules
-	Prices      Prices
+	Seed          uint64
+	Self          AggregatorNo
+	Aggregators   int
+	Location      LocationID
+	Step          float64 // least time between two calls of Step
+	Indexes       []IndexSettings
+	Customers     []CustomerSettings
+	OverShare     float64 // what a query past its customer's share is worth, as a share of its gain
+	ListOnRequest bool    // the list comes only when asked for
+	Layout        Layout
+	Limits        Limits
+	Rules         Rules
+	Prices        Prices
 }
 
 // IndexSettings describe one index of query.
 type IndexSettings struct {
-	Soft, Hard     float64
-	Gain, LateGain float64
-	Effect         Effect
-	RepeatS        float64 // how long repeats of a fingerprinted part are dropped
-	Need, Floor    float64 // shares of weight for a whole answer, and for any
-	ShortGain      float64
-	SecondStep     int // parts of the second step, 0 for none
+	Soft, Hard        float64
+	Value, LateValue  float64
+	Effect            Effect
+	DedupS            float64 // how long repeats of a fingerprinted part are dropped
+	Required, Minimum float64 // shares of weight for a whole answer, and for any
+	PartialValue      float64
+	SecondStep        int // parts of the second step, 0 for none
 }
 
 // CustomerSettings describe one customer's share of the service.
@@ -87,19 +87,19 @@
 
 // Limits say what the deployment permits.
 type Limits struct {
-	Cancel, Probe, Tell, SecondCopy, RetryAfter bool
-	MaxTries, MaxHeld                           int
-	MaxRetryAfter, ConnectTimeout               float64
+	Cancel, Probe, PeerMessages, Hedge, RetryAfter bool
+	MaxAttempts, MaxPending                        int
+	MaxRetryAfter, ConnectTimeout                  float64
 }
 
 // Rules are the figures of the six rules.
 type Rules struct {
-	AnswerSlack, AskEvery          float64
-	ColdShare, ColdS               float64
-	DrainGrace                     float64
-	FallMultiple, FallS            float64
-	Budget                         bool
-	BudgetFree, BudgetPer, BudgetS float64
+	AnswerSlack, ListPollEvery                    float64
+	SlowStartShare, SlowStartS                    float64
+	DrainGrace                                    float64
+	CrashMultiple, CrashWindowS                   float64
+	RetryBudget                                   bool
+	RetryBudgetFree, RetryBudgetPer, RetryBudgetS float64
 }
 
 // Prices are taken off the service, each times its rate.
@@ -112,16 +112,16 @@
 
 // The kinds of events, each with the fields that count for it.
 const (
-	ListChanged      EventKind = iota // List, Backends
-	QueryTaken                        // Query, No, Index, Customer, Left, Hint, Parts, Resent
-	SubqueryTaken                     // Part, No, Index, Left, Hint, Shard, Weight
-	CallBegan                         // Part, Call, Backend: a streamed answer has begun
-	CallEnded                         // Part, Call, Backend, Outcome, Elapsed, Load
-	ClientGone                        // Query
-	TimerDue                          // Timer
-	ProbeEnded                        // Backend, Outcome, Elapsed, Load
-	MessageArrived                    // Peer, Message
-	OverridesChanged                  // Override
+	ListChanged        EventKind = iota // List, Backends
+	QueryReceived                       // Query, No, Index, Customer, Left, Hint, Parts, Resent
+	SubqueryReceived                    // Part, No, Index, Left, Hint, Shard, Weight
+	CallBegan                           // Part, Call, Backend: a streamed answer has begun
+	CallEnded                           // Part, Call, Backend, Outcome, Elapsed, Load
+	ClientDisconnected                  // Query
+	TimerDue                            // Timer
+	ProbeEnded                          // Backend, Outcome, Elapsed, Load
+	MessageArrived                      // Peer, Message
+	OverridesChanged                    // Override
 )
 
 // Outcome is how a part call or a probe ended.
@@ -131,11 +131,11 @@
 const (
 	Answered Outcome = iota
 	Errored
-	TurnedAway
+	Rejected
 	TimedOut
 	NotConnected
 	Broken
-	Withdrawn
+	Canceled
 	NotSent
 )
 
@@ -145,7 +145,7 @@
 // The kinds of list events.
 const (
 	ListPatch ListKind = iota
-	ListWhole
+	ListComplete
 	ListStale
 	ListFailed
 )
@@ -157,7 +157,7 @@
 const (
 	Ready Phase = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Entry is one backend as the list names it.
@@ -173,8 +173,8 @@
 
 // Load is a backend's own report; Has tells which fields are stated.
 type Load struct {
-	Has                                               LoadField
-	InHand, Waiting, Util, ServiceS, ServedPS, FailPS float64
+	Has                                                LoadField
+	InFlight, Queued, Util, ServiceS, ServedPS, FailPS float64
 }
 
 // LoadField is a bit for each field of a Load.
@@ -182,8 +182,8 @@
 
 // The fields that a Load may state.
 const (
-	HasInHand LoadField = 1 << iota
-	HasWaiting
+	HasInFlight LoadField = 1 << iota
+	HasQueued
 	HasUtil
 	HasService
 	HasServed
@@ -196,19 +196,19 @@
 // What aggregators agree on reaches the module the same way: zones stand over all that operators override, and judgements
 // under everything an aggregator sees itself.
 type Overrides struct {
-	Backends []BackendOverride
-	Pins     []PinOverride
-	Zones    []ZonesOverride
-	Judged   []JudgedOverride
+	Backends         []BackendOverride
+	Pins             []PinOverride
+	Zones            []ZonesOverride
+	PeerObservations []PeerObservation
 }
 
 // BackendOverride is all that holds for one backend and index from now on. It ends with the backend's number: one
 // that the list names anew is told of anew.
 type BackendOverride struct {
-	Backend BackendID
-	Index   IndexID
-	Out     bool    // no new part call goes there; calls out end well
-	Weight  float64 // share of its usual part calls, over 0 and up to 1
+	Backend  BackendID
+	Index    IndexID
+	Excluded bool    // no new part call goes there; calls out end well
+	Weight   float64 // share of its usual part calls, over 0 and up to 1
 }
 
 // PinOverride is all that pins one shard of one index from now on.
@@ -238,12 +238,12 @@
 	Zones *Zones
 }
 
-// JudgedOverride is what other aggregators found of a backend. It counts as long as our own evidence is thin, in place of the
+// PeerObservation is what other aggregators found of a backend. It counts as long as our own evidence is thin, in place of the
 // average, for so many seconds.
-type JudgedOverride struct {
-	Backend BackendID
-	Times   float64 // of the usual latency; 0 for no judgement any more
-	Until   float64 // clock time
+type PeerObservation struct {
+	Backend         BackendID
+	LatencyMultiple float64 // of the usual latency; 0 for no judgement any more
+	Until           float64 // clock time
 }
 
 // Event is one thing that happened; its kind says which fields count.
@@ -261,7 +261,7 @@
 	Shard      ShardID
 	Subqueries int
 	Key        uint64
-	Left       float64
+	Remaining  float64
 	Hint       float64 // expected work, 0 if not stated
 	Weight     float64
 	Call       CallNo
@@ -281,18 +281,18 @@
 
 // The kinds of actions, each with the fields that count for it.
 const (
-	Send      ActionKind = iota // Part, Backend, StopAt, BeginBy
-	Withdraw                    // Part, Call
-	Answer                      // Query, Whole
-	Nack                        // Query, Wait
-	Abort                       // Query
-	SetTimer                    // Timer, Wait
-	Probe                       // Backend, Apart
-	CloseIdle                   // Backend
-	Tell                        // Peer (AllPeers for every one), Message
-	Subscribe                   // On
-	AskWhole                    // no fields
-	Note                        // Text
+	Send            ActionKind = iota // Part, Backend, StopAt, BeginBy
+	Cancel                            // Part, Call
+	Answer                            // Query, Whole
+	Nack                              // Query, Wait
+	Abort                             // Query
+	SetTimer                          // Timer, Wait
+	Probe                             // Backend, Apart
+	CloseIdle                         // Backend
+	NotifyPeer                        // Peer (AllPeers for every one), Message
+	Subscribe                         // On
+	RequestFullList                   // no fields
+	LogNote                           // Text
 )
 
 // AllPeers addresses a message to every other aggregator.
@@ -300,19 +300,19 @@
 
 // Action is one thing to do; its kind says which fields count.
 type Action struct {
-	Kind     ActionKind
-	Whole    bool
-	On       bool
-	Apart    bool // where nothing else is out: whether the backend lives, and not a connection to it
-	Query    QueryID
-	Subquery SubqueryID
-	Backend  BackendID
-	Call     CallNo
-	StopAt   float64 // clock time, 0 for when the client gives up
-	BeginBy  float64 // clock time after which it may not begin any more, 0 for StopAt
-	Wait     float64
-	Timer    TimerID
-	Peer     AggregatorNo
-	Message  []byte
-	Text     string
+	Kind               ActionKind
+	Complete           bool
+	On                 bool
+	SeparateConnection bool // where nothing else is out: whether the backend lives, and not a connection to it
+	Query              QueryID
+	Subquery           SubqueryID
+	Backend            BackendID
+	Call               CallNo
+	StopAt             float64 // clock time, 0 for when the client gives up
+	BeginBy            float64 // clock time after which it may not begin any more, 0 for StopAt
+	Wait               float64
+	Timer              TimerID
+	Peer               AggregatorNo
+	Message            []byte
+	Text               string
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -30,7 +30,7 @@
 func zoned(seed uint64, told func(*Overrides) *Overrides) error {
 	e, rng := newEnv(seed), rand.New(rand.NewPCG(seed, 9))
 	c := &contracts{zones: map[QueryID]*Zones{}, moved: map[BackendID]bool{}}
-	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinned]PinOverride{}}
+	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
 	e.zoned = func(a *ask) *Zones {
 		if rng.IntN(3) > 0 {
 			c.zones[a.event.Query] = someZones(rng)
@@ -52,10 +52,10 @@
 		}
 		if rng.IntN(20) == 0 {
 			h := e.fleet[rng.IntN(len(e.fleet))]
-			patch.Judged = append(patch.Judged, JudgedOverride{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
+			patch.PeerObservations = append(patch.PeerObservations, PeerObservation{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
 		}
 		events = append(events, Event{Kind: OverridesChanged, Override: told(patch)})
-		if h := e.fleet[rng.IntN(len(e.fleet))]; rng.IntN(400) == 0 && h.toldPhase != Gone && h.named {
+		if h := e.fleet[rng.IntN(len(e.fleet))]; rng.IntN(400) == 0 && h.toldPhase != Removed && h.named {
 			h.entry.Location, c.moved[h.entry.Backend] = 1-h.entry.Location, true
 			events = append(events, Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{h.entry}})
 		}
@@ -107,13 +107,13 @@
 func TestNoAllowedHolder(t *testing.T) {
 	entries := []Entry{{Backend: 1, Location: 0}, {Backend: 2, Cell: 1, Location: 1}}
 	for floor, want := range map[float64]ActionKind{1: Nack, 0.5: Answer} {
-		s := newScene(t, func(set *Settings) { set.Layout = Layout{Cells: 2, Width: 1}; set.Indexes[0].Floor = floor }, entries...)
+		s := newScene(t, func(set *Settings) { set.Layout = Layout{Cells: 2, Width: 1}; set.Indexes[0].Minimum = floor }, entries...)
 		north := NewZones()
 		north.Allow(0)
 		no := QueryNo(77)
-		events := []Event{{Kind: QueryTaken, Query: 77, No: no, Subqueries: 2, Left: 3, Zones: north}}
+		events := []Event{{Kind: QueryReceived, Query: 77, No: no, Subqueries: 2, Remaining: 3, Zones: north}}
 		for i := range 2 {
-			events = append(events, Event{Kind: SubqueryTaken, Subquery: SubqueryID(700 + i), No: no, Shard: ShardID(i), Weight: 0.5})
+			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(700 + i), No: no, Shard: ShardID(i), Weight: 0.5})
 		}
 		actions := s.step(0.005, events...)
 		for _, a := range only(Send, actions) {
@@ -132,7 +132,7 @@
 func TestHearsay(t *testing.T) {
 	entries := []Entry{{Backend: 1}, {Backend: 2}}
 	judge := func(times, until float64) Event {
-		return Event{Kind: OverridesChanged, Override: &Overrides{Judged: []JudgedOverride{{1, times, until}}}}
+		return Event{Kind: OverridesChanged, Override: &Overrides{PeerObservations: []PeerObservation{{1, times, until}}}}
 	}
 	first := func(events ...Event) (n int) {
 		for seed := range uint64(20) {
@@ -156,7 +156,7 @@
 	if n := first(judge(8, 0)); n == 0 {
 		t.Error("a judgement that is over still counts")
 	}
-	gone := Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{{Backend: 2, Phase: Gone}}}
+	gone := Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{{Backend: 2, Phase: Removed}}}
 	if n := first(judge(1000, 1e9), gone); n != 20 {
 		t.Errorf("the only holder gets %d of 20 first parts because others found it slow", n)
 	}
