--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,8 @@
-// Package counters counts what a mixer takes in, sends and answers, by reason, in a registry of Prometheus' client library.
-// They are printed, and served by nobody.
+// Package counters counts what an aggregator receives, sends and rejects, by name and reason. It uses Prometheus' client library,
+// but the counts are written to the log, as one line, and are not served; package metrics serves the scheduler's metrics.
+//
+// The two packages stay apart because they share no output: the names here are fields of a log line that operators' tools read, and
+// metrics listens at an address, which an aggregator does not.
 package counters
 
 import (
@@ -11,43 +14,44 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Set is a set of counters by name and reason; every actor may add to it.
+// Set is a set of counters by name and reason. Its methods may be called from any goroutine.
 type Set struct {
 	registry *prometheus.Registry
-	gauges   *prometheus.GaugeVec // what is held goes down again
-	mu       sync.RWMutex
-	byLabels map[[2]string]prometheus.Gauge
+	gauges   *prometheus.GaugeVec // and not counters, as counts of what is pending go down again
+	mutex    sync.RWMutex
+	byLabels map[[2]string]prometheus.Gauge // by name and reason; spares the look-up of labels in gauges
 }
 
 // New makes a set with a registry of its own, in which nothing is counted yet.
 func New() *Set {
 	s := &Set{registry: prometheus.NewRegistry(), byLabels: map[[2]string]prometheus.Gauge{}, gauges: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "puffinlink",
-		Help: "What the mixer counts, by name and reason."}, []string{"name", "reason"})}
+		Help: "What the aggregator counts, by name and reason."}, []string{"name", "reason"})}
 	s.registry.MustRegister(s.gauges)
 	return s
 }
 
-// Add adds to the counter of a name and a reason.
+// Add adds to the counter of a name and a reason. A negative number counts down.
 func (s *Set) Add(name, reason string, by int64) {
 	key := [2]string{name, reason}
-	s.mu.RLock()
-	g := s.byLabels[key]
-	s.mu.RUnlock()
-	if g == nil {
-		s.mu.Lock()
-		g = s.gauges.WithLabelValues(name, reason) // the same one for all who ask
-		s.byLabels[key] = g
-		s.mu.Unlock()
+	s.mutex.RLock()
+	gauge := s.byLabels[key]
+	s.mutex.RUnlock()
+	if gauge == nil {
+		s.mutex.Lock()
+		gauge = s.gauges.WithLabelValues(name, reason) // the same one for all callers
+		s.byLabels[key] = gauge
+		s.mutex.Unlock()
 	}
-	g.Add(float64(by))
+	gauge.Add(float64(by))
 }
 
-// Get tells a counter.
+// Get returns a counter; 0 where nothing was counted.
 func (s *Set) Get(name, reason string) int64 { return s.gather()[name+"."+reason] }
 
+// gather returns all counters by name.reason.
 func (s *Set) gather() map[string]int64 {
 	counts := map[string]int64{}
-	families, _ := s.registry.Gather() // of gauges alone it has no error
+	families, _ := s.registry.Gather() // has no error with gauges alone
 	for _, f := range families {
 		for _, m := range f.Metric {
 			counts[m.Label[0].GetValue()+"."+m.Label[1].GetValue()] = int64(m.Gauge.GetValue())
@@ -56,7 +60,8 @@
 	return counts
 }
 
-// MarshalLogObject puts all counters into one log line, sorted by name; it has no error.
+// MarshalLogObject adds all counters to a log line as fields name.reason, sorted. It implements zapcore.ObjectMarshaler and has
+// no error.
 func (s *Set) MarshalLogObject(line zapcore.ObjectEncoder) error {
 	counts := s.gather()
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Many actors count at once, what is held goes down again, and all of it is one line, sorted.
+// TestCountersAreLoggedAsOneSortedLine counts concurrently, up and down.
 func TestCountersAddUp(t *testing.T) {
 	s := New()
 	var all sync.WaitGroup
@@ -37,7 +37,7 @@
 		t.Errorf("printed %s, expected %s", got, want)
 	}
 	if n := s.Get("nobody", "knows"); n != 0 {
-		t.Errorf("%d of what nobody counted", n)
+		t.Errorf("%d for a counter that does not exist", n)
 	}
 }
 
