--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -67,10 +67,10 @@
 
 // contacts tells how long ago the other members were last heard from.
 func (c *Coordinator) contacts() replicaset.Liveness {
-	contacts := replicaset.Liveness{QuorumReachable: c.node.InContact(), SinceHeard: make(map[string]time.Duration)}
+	contacts := replicaset.Liveness{QuorumReachable: c.node.InContact(), SinceContact: make(map[string]time.Duration)}
 	for _, member := range c.node.Members() {
 		if member.Contacted {
-			contacts.SinceHeard[member.Address] = member.SinceContact
+			contacts.SinceContact[member.Address] = member.SinceContact
 		}
 	}
 	return contacts
