--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -134,17 +134,6 @@
 	return l
 }
 
-// Acknowledge records that the completions up to a number are durable: the next renewal or poll lets the worker forget them.
-func (l *Link) Acknowledge(number uint64) {
-	l.mu.Lock()
-	l.acknowledged = max(l.acknowledged, number)
-	l.mu.Unlock()
-	select {
-	case l.acknowledgementArrived <- struct{}{}:
-	default:
-	}
-}
-
 // LeasesExpiredBy is the local time by which every lease that this link has ever granted has certainly expired, provided that no
 // further one is granted. It is the zero time when none was granted.
 func (l *Link) LeasesExpiredBy() time.Time {
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -6,6 +6,9 @@
 	"go.uber.org/zap"
 )
 
+// redeliveryAge is the age after which completions without an acknowledgement are delivered again.
+const redeliveryAge = time.Second
+
 // deliver reports the lists of a response.
 func (l *Link) deliver(c listCall, response workerResponse, outOfBand bool) {
 	listing := l.listing(c, response)
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -63,12 +63,6 @@
 	return l.beginPoll(l.roundTrips.pollTimeout()), true
 }
 
-// beginPoll makes a call that requests both lists at once and grants nothing. The caller holds the lock.
-func (l *Link) beginPoll(timeout time.Duration) listCall {
-	request := listRequest{fencingToken: l.config.FencingToken, lastSeen: l.acknowledged}
-	return listCall{request: request, sentAt: l.sendTime(), timeout: timeout}
-}
-
 // pollOnce makes one poll and takes in its result.
 func (l *Link) pollOnce(c listCall) {
 	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.renewal, c.body(), c.timeout})
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -13,25 +13,8 @@
 	maxBackoff       = 600 * time.Millisecond
 	earlyAnswerDelay = 100 * time.Millisecond // after a long poll that was answered early without a completion
 
-	acknowledgementTimeout     = 60 * time.Millisecond  // how long the renewal after new completions waits for their acknowledgement
-	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after completions that were listed before
-	redeliveryAge              = time.Second            // completions not acknowledged for so long are delivered again
 )
 
-// listCall is one call for both lists, the running and the finished tasks: a lease renewal or a poll.
-type listCall struct {
-	request      listRequest
-	sentAt       time.Time
-	overdueAfter time.Duration // a poll is made when it has no response by then; 0 for never
-	timeout      time.Duration
-	validUntil   time.Duration // the end of the lease that it grants, on the worker's clock; 0 for none
-	grant        *leaseGrant   // nil for none
-}
-
-func (c *listCall) body() []byte { return c.request.append(make([]byte, 0, listRequestBytes)) }
-
-func (c *listCall) wait() time.Duration { return time.Duration(c.request.waitMS) * time.Millisecond }
-
 // pendingRenewal is the newest call of the renewal loop.
 type pendingRenewal struct {
 	abandon  context.CancelFunc
@@ -234,35 +217,6 @@
 	return pending.progress == superseded
 }
 
-// settleListCall takes in what a response, or its absence, says about the worker's clock, the lease and the round trips.
-func (l *Link) settleListCall(c listCall, response workerResponse, err error, received time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lease.observe(response, c.sentAt, received)
-	l.lease.settle(c.grant, c.validUntil, err, received)
-	if err != nil {
-		return
-	}
-	if trip := received.Sub(c.sentAt) - c.wait(); trip >= 0 { // otherwise the worker did not wait to the end
-		l.roundTrips.observe(trip)
-	}
-	if c.grant != nil && response.status == http.StatusOK {
-		l.lease.confirmed = confirmedLease{c.validUntil, c.sentAt}
-	}
-}
-
-// listRefused records a call that was answered without the lists.
-func (l *Link) listRefused(status int) {
-	l.log.Debug("list call refused", zap.Int("status", status))
-	l.mu.Lock()
-	nowUnreachable := l.health.listRefused()
-	l.dispatch()
-	l.mu.Unlock()
-	if nowUnreachable {
-		l.setContact(unreachable)
-	}
-}
-
 // delayAfter waits before the next renewal where the worker would respond to it at once: after completions, as it lists them until
 // they are acknowledged, and after a response that came early for no known reason.
 func (l *Link) delayAfter(last renewalResult) {
@@ -276,53 +230,6 @@
 	}
 }
 
-// awaitAcknowledgement waits until the completions up to a number are durable: for a short time after new ones, so that further
-// completions are received soon in any case, and for longer when the same ones are listed again.
-func (l *Link) awaitAcknowledgement(number uint64) {
-	timeout := acknowledgementTimeout
-	if number <= l.awaitedCompletion {
-		timeout = repeatedCompletionsTimeout
-		l.countRepeatedCompletions()
-	}
-	l.awaitedCompletion = max(l.awaitedCompletion, number)
-	limit := time.NewTimer(timeout)
-	defer limit.Stop()
-	for {
-		l.mu.Lock()
-		over := l.acknowledged >= number || l.ending != open
-		l.mu.Unlock()
-		if over {
-			return
-		}
-		select {
-		case <-l.acknowledgementArrived:
-		case <-l.done:
-		case <-limit.C:
-			return
-		}
-	}
-}
-
-// markIdleIfAcknowledged records that a worker is idle if its last response lists nothing but completions that are durable by now.
-// The next call acknowledges them, however late it is.
-func (l *Link) markIdleIfAcknowledged(last renewalResult, newest uint64) {
-	lists := &last.response.body
-	if len(lists.Running) > 0 || len(lists.Finished) >= maxFinishedPerResponse {
-		return
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.acknowledged >= newest && l.commands.answeredBefore(last.call.sentAt) {
-		l.activity.mayHaveWork = false
-	}
-}
-
-func (l *Link) countRepeatedCompletions() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts.RepeatedCompletions++
-}
-
 // wait waits for a while, or until the link ends.
 func (l *Link) wait(duration time.Duration) {
 	timer := time.NewTimer(duration)
