--- a/internal/controlplane/replicaset/cluster_test.go
+++ b/internal/controlplane/replicaset/cluster_test.go
@@ -99,6 +99,7 @@
 
 // start starts a process unless there is one at the address.
 func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *coreNode {
+	c.t.Helper()
 	p := &coreNode{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
 	p.caller = killableCaller{c.network.Caller(address), p.store}
 	p.ctx, p.kill = context.WithCancel(context.Background())
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -277,3 +277,30 @@
 		m.violations = append(m.violations, fmt.Sprintf("after %v: two active views", time.Since(m.start)))
 	}
 }
+
+// disksOf are the disks of members that have founded the first view, by size and address.
+var (
+	disksOf    = make(map[int]map[string]storage.Tables)
+	disksMutex sync.Mutex
+)
+
+// foundedDisks returns the disks of members that have founded the first view, by address.
+func foundedDisks(t *testing.T, size int) map[string]storage.Tables {
+	t.Helper()
+	disksMutex.Lock()
+	defer disksMutex.Unlock()
+	if disks, found := disksOf[size]; found {
+		return disks
+	}
+	disks := make(map[string]storage.Tables)
+	disksOf[size] = disks
+	virtualtime.Test(t, func(t *testing.T) {
+		c := newCluster(t, 1, addresses(size), ruleMutant{})
+		c.found(reliableNetwork)
+		for _, p := range c.all() {
+			disks[p.address] = p.disk.Snapshot()
+		}
+		c.end()
+	})
+	return disks
+}
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -44,7 +44,8 @@
 // that the founding resumes if the process is killed meanwhile.
 func NewManager(config Config) (*Manager, error) {
 	m := &Manager{
-		config: config, start: time.Now(), incarnation: max(1, rand.Uint64()), wake: make(chan struct{}, 1), storeFailures: make(chan error, 1),
+		config: config, start: time.Now(), incarnation: max(1, rand.Uint64()),
+		wake: make(chan struct{}, 1), storeFailures: make(chan error, 1),
 		memberSince: make(map[string]time.Time), changed: make(chan struct{}),
 		joiningMembers: make(joiningMembers), leaveReceived: make(map[string]time.Time),
 	}
--- /dev/null
+++ b/internal/controlplane/replicaset/managercluster_test.go
@@ -0,0 +1,137 @@
+package replicaset_test
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/controlplane/register"
+	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
+	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/leaktest"
+	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/virtualtime"
+)
+
+func TestMain(m *testing.M) { leaktest.Main(m) }
+
+// drainTime is how long messages may still be in flight at the end of a test, in simulated time.
+const drainTime = 10 * time.Second
+
+// managerCluster is processes with a manager each and nothing else, on a network in memory. It is to be run in simulated time.
+type managerCluster struct {
+	t       *testing.T
+	network *networktest.Network
+	seeds   []string
+	running map[string]*managerProcess
+}
+
+type managerProcess struct {
+	manager *replicaset.Manager
+	store   *storage.Memory
+	stop    context.CancelFunc
+	ended   chan error
+}
+
+func newManagerCluster(t *testing.T, seeds ...string) *managerCluster {
+	c := &managerCluster{t: t, network: networktest.New(1), seeds: seeds, running: make(map[string]*managerProcess)}
+	c.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
+	return c
+}
+
+func addresses(count int) []string {
+	var all []string
+	for i := range count {
+		all = append(all, fmt.Sprintf("core-%d", i))
+	}
+	return all
+}
+
+// start starts a core node, or a process that does not count for the quorum.
+func (c *managerCluster) start(self string, store *storage.Memory, firstStart, core bool) *managerProcess {
+	c.t.Helper()
+	var manager *replicaset.Manager
+	founding := register.NewFounding(register.FoundingConfig{
+		Self:     self,
+		Store:    store,
+		Ready:    func() bool { return true },
+		Founders: func() []string { return manager.Founders() },
+		Caller:   c.network.Caller(self),
+	})
+	manager, err := replicaset.NewManager(replicaset.Config{
+		Self:            self,
+		Seeds:           c.seeds,
+		FirstStart:      firstStart,
+		CountsForQuorum: core,
+		Store:           store,
+		Caller:          c.network.Caller(self),
+		Founding:        founding,
+		Logger:          zap.NewNop(),
+	})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	mux := transport.NewMux()
+	manager.Serve(mux)
+	founding.Serve(mux)
+	c.network.Serve(self, mux)
+	ctx, stop := context.WithCancel(context.Background())
+	p := &managerProcess{manager, store, stop, make(chan error, 1)}
+	go func() { p.ended <- manager.Run(ctx) }()
+	c.running[self] = p
+	return p
+}
+
+func (c *managerCluster) startAll(all []string) {
+	for _, self := range all {
+		c.start(self, storage.NewMemory(), true, true)
+	}
+}
+
+// kill ends a process and returns its disk.
+func (c *managerCluster) kill(self string) *storage.Memory {
+	p := c.running[self]
+	c.network.Serve(self, nil)
+	p.stop()
+	if err := <-p.ended; err != nil {
+		c.t.Error(err)
+	}
+	delete(c.running, self)
+	return p.store
+}
+
+func (c *managerCluster) end() {
+	for self := range c.running {
+		c.kill(self)
+	}
+	<-time.After(drainTime)
+}
+
+// view waits until a process knows a view, and returns it with the time since a start.
+func (p *managerProcess) view(start time.Time) (replicaset.View, time.Duration) {
+	for limit := time.After(time.Minute); ; {
+		changed := p.manager.Changed()
+		if view := p.manager.View(); view.Version > 0 {
+			return view, time.Since(start)
+		}
+		select {
+		case <-changed:
+		case <-limit:
+			return replicaset.View{}, time.Minute
+		}
+	}
+}
+
+// inManagerCluster runs a test in simulated time.
+func inManagerCluster(t *testing.T, seeds []string, test func(c *managerCluster, start time.Time)) {
+	t.Helper()
+	virtualtime.Test(t, func(t *testing.T) {
+		c := newManagerCluster(t, seeds...)
+		test(c, time.Now())
+		c.end()
+	})
+}
--- a/internal/controlplane/replicaset/nextview.go
+++ b/internal/controlplane/replicaset/nextview.go
@@ -33,7 +33,7 @@
 }
 
 // memberToReplace chooses the member of the joining member's zone, or a departing one, or the only one that has failed, or else
-// the one that was not heard for the longest time. A departing member comes before those that may restart, as it stops within
+// the one without contact for the longest time. A departing member comes before those that may restart, as it stops within
 // its grace period.
 func memberToReplace(joining joiningMember, view View, replaceable []replaceableMember) (address string, found bool) {
 	if len(replaceable) == 0 {
--- a/internal/controlplane/replicaset/observation.go
+++ b/internal/controlplane/replicaset/observation.go
@@ -3,7 +3,7 @@
 import "time"
 
 // maxObservationGap is the most between two observations that follow each other. After a longer one this process may have
-// been frozen, and what it did not hear meanwhile says nothing about the others.
+// been frozen, and a lack of messages says nothing about the others.
 const maxObservationGap = time.Second
 
 // observation records since when a quorum has been reachable without interruption, and since when a replacement has been
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -2,13 +2,9 @@
 
 import (
 	"fmt"
-	"sync"
-	"testing"
 	"time"
 
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
-	"puffinlink.example/puffinlink/internal/controlplane/storage"
-	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
 // proposeInterval is the time between two proposals of a leader.
@@ -60,30 +56,3 @@
 	m.slowest = max(m.slowest, time.Since(m.groupLastAcknowledged))
 	m.groupLastAcknowledged = time.Now()
 }
-
-// disksOf are the disks of members that have founded the first view, by size and address.
-var (
-	disksOf    = make(map[int]map[string]storage.Tables)
-	disksMutex sync.Mutex
-)
-
-// foundedDisks returns the disks of members that have founded the first view, by address.
-func foundedDisks(t *testing.T, size int) map[string]storage.Tables {
-	t.Helper()
-	disksMutex.Lock()
-	defer disksMutex.Unlock()
-	if disks, found := disksOf[size]; found {
-		return disks
-	}
-	disks := make(map[string]storage.Tables)
-	disksOf[size] = disks
-	virtualtime.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, addresses(size), ruleMutant{})
-		c.found(reliableNetwork)
-		for _, p := range c.all() {
-			disks[p.address] = p.disk.Snapshot()
-		}
-		c.end()
-	})
-	return disks
-}
--- a/internal/controlplane/replicaset/replacement.go
+++ b/internal/controlplane/replicaset/replacement.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 )
 
-// leaveGracePeriod is how long after its leave request a member may still be heard. One that is heard later has restarted, and
-// the request counts no more.
+// leaveGracePeriod is how long after its leave request a member may still send messages. One that sends later has restarted,
+// and the request counts no more.
 const leaveGracePeriod = 500 * time.Millisecond
 
 // HasJoiningMembers tells whether this process is a member and knows core nodes that wait to become members.
@@ -56,8 +56,10 @@
 }
 
 // replacementCandidates returns the view, its members that may be replaced, and the joining members that may enter.
-// sinceContactBy is by address; a member that was never heard counts from when it entered the view.
-func (m *Manager) replacementCandidates(now time.Time, connectedFor time.Duration, sinceContactBy map[string]time.Duration) (current View, replaceable []replaceableMember, joining []joiningMember) {
+// sinceContactBy is by address; a member without contact counts from when it entered the view.
+func (m *Manager) replacementCandidates(
+	now time.Time, connectedFor time.Duration, sinceContactBy map[string]time.Duration,
+) (current View, replaceable []replaceableMember, joining []joiningMember) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, address := range m.others(m.view.Members) {
@@ -73,7 +75,7 @@
 	return m.view, replaceable, m.joiningMembers.due(now)
 }
 
-// isDeparting tells whether a member sent a leave request and was not heard after its grace period. The caller holds the mutex.
+// isDeparting tells whether a member sent a leave request, and no message after its grace period. The caller holds the mutex.
 func (m *Manager) isDeparting(address string, sinceContact time.Duration, now time.Time) bool {
 	received, found := m.leaveReceived[address]
 	if !found {
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -34,7 +34,7 @@
 	replaces bool          // the process also exchanges views with the members and replaces them, as a member does
 }
 
-// runUntilViewChange does what the current view asks of this process until there is another.
+// runUntilViewChange plays this process's role in the current view until there is another.
 func (m *Manager) runUntilViewChange(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -54,7 +54,7 @@
 	return m.repeat(ctx, changed, role{step: m.exchangeAfterDisconnection, interval: livenessInterval, replaces: true})
 }
 
-// discoveryCall is how a process without a view asks for it.
+// discoveryCall is the call with which a process without a view requests it.
 func (m *Manager) discoveryCall() func(ctx context.Context, address string) {
 	if len(m.founders) > 0 {
 		return m.announceTo
@@ -76,11 +76,12 @@
 	}
 }
 
-// repeat plays a role until the view changes or the context ends; it fails with the store. The channels that the role does
-// not use are nil, and so never ready.
+// repeat runs a role's steps until the view changes or the context ends, or returns the store's error. The channels that the
+// role does not use are nil, and so never ready.
 //
 // While there are joining members, a process that replaces members checks whether one is due, and otherwise exchanges views.
-// A pending view is completed in either case, however often joining members announce themselves: its tickers run on their own.
+// A pending view is completed in either case, however often joining members announce themselves, as the tickers for that are
+// not reset.
 func (m *Manager) repeat(ctx context.Context, changed <-chan struct{}, role role) error {
 	step := time.NewTimer(role.first)
 	defer step.Stop()
