--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// resumeDelay waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
+// waitWhileFrozen waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
 // what resumes at one moment.
 func (n *simulatedNetwork) waitWhileFrozen(address string, after time.Duration) {
 	n.mutex.Lock()
--- a/internal/controlplane/register/modelproposer_test.go
+++ b/internal/controlplane/register/modelproposer_test.go
@@ -32,7 +32,7 @@
 	*state = proposerModel{operation: operation}
 }
 
-// loadForRound begins a proposer's next operation.
+// begin begins a proposer's next operation.
 func (x *transitions) begin(w *modelState, p int) {
 	state := &w.proposers[p]
 	*state = proposerModel{operation: state.operation, counter: state.counter, longestAtBegin: w.longestReturned}
@@ -115,7 +115,7 @@
 
 var errNoAnswer = errors.New("the member answered with an error")
 
-// readAnswerBytes lets the real round count an answer.
+// answered lets the real round count an answer.
 func (x *transitions) answered(w *modelState, p, m int, out voteOutput) string {
 	state := &w.proposers[p]
 	view := modelViews[state.view]
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -25,7 +25,7 @@
 	copiesBeforeLearningView bool // members that have not learned the joining member's view give it copies
 }
 
-// rules runs the real cores of acceptors, proposers, merger and membership, and remembers what they did with the same
+// protocolRules runs the real cores of acceptors, proposers, merger and membership, and remembers what they did with the same
 // input before.
 type protocolRules struct {
 	omitted   omittedRules
--- a/internal/controlplane/register/modelsteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -85,7 +85,7 @@
 	return w
 }
 
-// reportNewerView lets the real manager of a member take a view.
+// learn lets the real manager of a member take a view.
 func (x *transitions) learn(w *modelState, member int, view uint8) {
 	m := &w.members[member]
 	in := learnInput{m.manager, member, view}
