--- a/internal/controlplane/configuration/resentupdate_test.go
+++ b/internal/controlplane/configuration/resentupdate_test.go
@@ -22,8 +22,8 @@
 func TestUpdateOlderThanHistoryIsUnclear(t *testing.T) {
 	ctx := context.Background()
 	Convey("Given a history whose oldest updates were dropped", t, func() {
-		const cut = 10
-		state := stateAfterUpdates(maxAppliedHistory + cut)
+		const dropped = 10
+		state := stateAfterUpdates(maxAppliedHistory + dropped)
 		value, err := state.Encode()
 		So(err, ShouldBeNil)
 		register := &fakeRegister{value: value}
@@ -34,13 +34,13 @@
 
 		Convey("an applied update within the history is confirmed again, and another of the same version is refused", func() {
 			for _, member := range []*Configurator{informed, restarted} {
-				So(member.Put(ctx, cut, bodyOf(cut+1, 1000)), ShouldResemble, acceptedOutcome(cut+1))
-				So(member.Put(ctx, cut, bodyOf(cut+1, 2000)), ShouldResemble, conflictOutcome(state.Version))
+				So(member.Put(ctx, dropped, bodyOf(dropped+1, 1000)), ShouldResemble, acceptedOutcome(dropped+1))
+				So(member.Put(ctx, dropped, bodyOf(dropped+1, 2000)), ShouldResemble, conflictOutcome(state.Version))
 			}
 		})
 		Convey("an applied update that the history has dropped is unclear at every member", func() {
 			for _, member := range []*Configurator{informed, restarted} {
-				for _, ifMatch := range []int{0, 1, cut - 1} {
+				for _, ifMatch := range []int{0, 1, dropped - 1} {
 					outcome := member.Put(ctx, uint64(ifMatch), bodyOf(ifMatch+1, 1000))
 					So(outcome, ShouldResemble, Outcome{Kind: Unclear, Err: ErrOlderThanHistory})
 				}
--- a/internal/controlplane/configuration/routingtable_test.go
+++ b/internal/controlplane/configuration/routingtable_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestMatchFindsTheLongestPrefix(t *testing.T) {
+func TestMatchFindsLongestPrefix(t *testing.T) {
 	Convey("Given a table", t, func() {
 		parsed, err := Parse([]byte(example))
 		So(err, ShouldBeNil)
--- a/internal/controlplane/register/decision.go
+++ b/internal/controlplane/register/decision.go
@@ -79,7 +79,7 @@
 // changeError adds to the error that ended the change whether the change may have been executed.
 func (p *proposer) changeError(err error) error {
 	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
-	if len(p.proposals) > 0 && !p.proposalsSettled {
+	if len(p.proposals) > 0 && !p.proposalsSuperseded {
 		return rpcerror.WrapMayHaveExecuted(err)
 	}
 	return rpcerror.WrapNotExecuted(err, 0)
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -8,10 +8,10 @@
 
 // proposer carries out one change, in as many attempts as it takes. What it decides between rounds is in decision.go.
 type proposer struct {
-	register         *Register
-	change           func(current []byte) (next []byte, err error)
-	proposals        []proposal // that were sent
-	proposalsSettled bool       // whether none of those took or can take effect
+	register            *Register
+	change              func(current []byte) (next []byte, err error)
+	proposals           []proposal // that were sent
+	proposalsSuperseded bool       // whether none of those took or can take effect
 }
 
 // run repeats attempts until one succeeds, the function refuses, or the context ends.
@@ -63,7 +63,7 @@
 		if err := p.accept(ctx, request, preparing); err != nil {
 			return nil, err
 		}
-		p.proposalsSettled = !decision.isProposal
+		p.proposalsSuperseded = !decision.isProposal
 	}
 	return decision.value, decision.refusal
 }
