--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -15,6 +15,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/control"
 	"puffinlink.example/puffinlink/internal/controlplane/rebuild"
 	"puffinlink.example/puffinlink/internal/controlplane/register"
+	"puffinlink.example/puffinlink/internal/controlplane/register/registertest"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/transport"
@@ -32,7 +33,7 @@
 type memberProcess struct {
 	address      string
 	disk         *storage.Memory
-	store        *memberStore
+	store        *registertest.ProcessStore
 	manager      *replicaset.Manager
 	rebuilder    *rebuild.Rebuilder
 	configurator *configuration.Configurator
@@ -41,37 +42,6 @@
 	kill         context.CancelFunc
 }
 
-// memberStore is a disk that a killed process writes to no more.
-type memberStore struct {
-	*storage.Memory
-	mutex sync.Mutex
-	dead  bool
-}
-
-var errKilled = errors.New("the process was killed")
-
-// Write implements storage.Store.
-func (s *memberStore) Write(changes ...storage.Change) error {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.dead {
-		return errKilled
-	}
-	return s.Memory.Write(changes...)
-}
-
-func (s *memberStore) end() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.dead = true
-}
-
-func (s *memberStore) alive() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return !s.dead
-}
-
 // simulatedCluster has the members and their processes.
 type simulatedCluster struct {
 	t       *testing.T
@@ -97,7 +67,7 @@
 
 // start starts a process unless there is one at the address. The founders know the first view.
 func (c *simulatedCluster) start(address string, disk *storage.Memory, founder bool) {
-	m := &memberProcess{address: address, disk: disk, store: &memberStore{Memory: disk}}
+	m := &memberProcess{address: address, disk: disk, store: registertest.NewProcessStore(disk)}
 	m.ctx, m.kill = context.WithCancel(context.Background())
 	mux := transport.NewMux()
 	c.assembleMembership(m, mux, founder)
@@ -117,7 +87,7 @@
 }
 
 func (c *simulatedCluster) assembleMembership(m *memberProcess, mux *transport.Mux, founder bool) {
-	caller := simulatedCaller{c.network, m.address, m.store.alive}
+	caller := simulatedCaller{c.network, m.address, m.store.Alive}
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: m.address, Store: m.store, Caller: caller,
 		Ready:       m.ready,
@@ -151,7 +121,7 @@
 }
 
 func (c *simulatedCluster) assembleConfigurator(m *memberProcess, mux *transport.Mux) {
-	caller := simulatedCaller{c.network, m.address, m.store.alive}
+	caller := simulatedCaller{c.network, m.address, m.store.Alive}
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
 		Name: registerName, Store: m.store, Ready: m.ready, View: m.manager.View,
 	})
@@ -170,13 +140,13 @@
 
 // randomBackoff draws a proposer's pause; a killed process must not take from the chances of the next one.
 func (c *simulatedCluster) randomBackoff(m *memberProcess, bound time.Duration) time.Duration {
-	if !m.store.alive() {
+	if !m.store.Alive() {
 		return 0
 	}
 	return c.network.draw("pauses of "+m.address, bound)
 }
 
-func (m *memberProcess) ready() bool { return m.store.alive() && m.rebuilder.Ready() }
+func (m *memberProcess) ready() bool { return m.store.Alive() && m.rebuilder.Ready() }
 
 // contacts is what a member knows of the others by the messages that it has received.
 func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Liveness {
@@ -229,7 +199,7 @@
 	}
 	delete(c.processes, m.address)
 	c.network.serve(m.address, nil)
-	m.store.end()
+	m.store.Kill()
 	m.kill()
 	c.network.unfreeze(m.address)
 	return true
--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"puffinlink.example/puffinlink/internal/controlplane/register/registertest"
 	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
 )
@@ -200,7 +201,7 @@
 // Call implements transport.Caller.
 func (c simulatedCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !c.alive() {
-		return rpcerror.WrapNotExecuted(errKilled, 0)
+		return rpcerror.WrapNotExecuted(registertest.ErrKilled, 0)
 	}
 	body, err := msgpack.Marshal(request)
 	if err != nil {
--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -154,7 +154,7 @@
 	answer := httptest.NewRecorder()
 	m.control.ServeHTTP(answer, request)
 	o.cluster.network.waitWhileFrozen(address, resumeDelay)
-	return answer, m.store.alive()
+	return answer, m.store.Alive()
 }
 
 // read requests the configuration from members until one answers.
--- a/internal/controlplane/register/brokenprotocol_test.go
+++ b/internal/controlplane/register/brokenprotocol_test.go
@@ -42,7 +42,7 @@
 }
 
 var brokenRulesInSimulation = []brokenRule{
-	{name: "the acceptor forgets its promises", acceptor: func(disk *storage.Memory) storage.Store { return promiseLosingStore{disk} }},
+	{name: "the acceptor forgets its promises", acceptor: func(disk *storage.Memory) storage.SnapshotStore { return promiseLosingStore{disk} }},
 	{name: "the acceptor accepts below its promise", accept: acceptIgnoringPromise},
 	{name: "a majority that disagrees is not made to agree before a read or a refusal", register: func(r *Register) { r.committed = alwaysCommitted }},
 	{name: "a member that lost its disk votes at once", noRebuild: true},
--- a/internal/controlplane/register/cluster_test.go
+++ b/internal/controlplane/register/cluster_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -10,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/rebuild"
+	"puffinlink.example/puffinlink/internal/controlplane/register/registertest"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset/networktest"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
@@ -24,7 +24,7 @@
 // brokenRule breaks one rule of the protocol in a test; nil breaks none.
 type brokenRule struct {
 	name      string
-	acceptor  func(*storage.Memory) storage.Store                                 // replaces the acceptors' store
+	acceptor  func(*storage.Memory) storage.SnapshotStore                         // replaces the acceptors' store
 	accept    func(*Acceptor) func(context.Context, acceptRequest) (reply, error) // replaces what serves accept
 	register  func(*Register)                                                     // changes proposers
 	noRebuild bool                                                                // a member that lost its disk votes at once
@@ -45,47 +45,13 @@
 // process is one incarnation of a member.
 type process struct {
 	disk      *storage.Memory
-	store     *processStore
+	store     *registertest.ProcessStore
 	rebuilder *rebuild.Rebuilder
 	register  *Register
 	ctx       context.Context
 	kill      context.CancelFunc
 }
 
-// processStore lets a process write to a disk until the process is killed.
-type processStore struct {
-	storage.Store
-	mutex sync.Mutex
-	dead  bool
-}
-
-var errDead = errors.New("the process was killed")
-
-// Write implements storage.Store.
-func (s *processStore) Write(changes ...storage.Change) error {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.dead {
-		return errDead
-	}
-	return s.Store.Write(changes...)
-}
-
-// Snapshot implements storage.SnapshotStore.
-func (s *processStore) Snapshot() storage.Tables { return s.Store.(storage.SnapshotStore).Snapshot() }
-
-func (s *processStore) end() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.dead = true
-}
-
-func (s *processStore) alive() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return !s.dead
-}
-
 // View, Changed, Learn and Absences implement rebuild.Views with a fixed view.
 func (c *cluster) View() replicaset.View       { return c.view }
 func (c *cluster) Changed() <-chan struct{}    { return nil }
@@ -114,7 +80,7 @@
 
 // start starts a process on a disk.
 func (c *cluster) start(address string, disk *storage.Memory, firstStart bool) {
-	p := &process{disk: disk, store: &processStore{Store: disk}}
+	p := &process{disk: disk, store: registertest.NewProcessStore(disk)}
 	p.ctx, p.kill = context.WithCancel(context.Background())
 	p.rebuilder, _ = rebuild.New(rebuild.Config{
 		Self:       address,
@@ -140,12 +106,12 @@
 func (c *cluster) acceptor(p *process) *Acceptor {
 	var store storage.Store = p.store
 	if c.broken.acceptor != nil {
-		p.store.Store = c.broken.acceptor(p.disk)
+		p.store.SnapshotStore = c.broken.acceptor(p.disk)
 	}
 	return NewAcceptor(AcceptorConfig{
 		Name:  testRegister,
 		Store: store,
-		Ready: func() bool { return p.store.alive() && p.rebuilder.Ready() },
+		Ready: func() bool { return p.store.Alive() && p.rebuilder.Ready() },
 		View:  c.View,
 	})
 }
@@ -185,7 +151,7 @@
 func (c *cluster) stop(address string) *storage.Memory {
 	p := c.process(address)
 	c.network.Serve(address, nil)
-	p.store.end()
+	p.store.Kill()
 	p.kill()
 	return p.disk
 }
