--- a/internal/jobs/inventory/ratelimit_test.go
+++ b/internal/jobs/inventory/ratelimit_test.go
@@ -50,7 +50,7 @@
 		})
 		return count, err
 	}
-	Convey("A list of more pages than the platform accepts calls comes whole, with no page asked for again that has come", t, func() {
+	Convey("A list of more pages than the platform accepts calls comes whole, with no page requested again that has come", t, func() {
 		p := &pages{count: 6, refuses: func(call int, _ string) bool { return call%2 == 0 }}
 		count, err := read(p)
 		So(err, ShouldBeNil)
--- a/internal/jobs/inventory/inventory_test.go
+++ b/internal/jobs/inventory/reader_test.go
@@ -42,7 +42,7 @@
 func TestReadAll(t *testing.T) {
 	convey.Convey("Given a list of several pages", t, func() {
 		c, platform, reader := newTestReader(7, cluster.PlatformConfig{PageSize: 3})
-		convey.Convey("it is read whole, each page once", func() {
+		convey.Convey("it is read completely, each page once", func() {
 			instances, pages, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(pages, convey.ShouldEqual, 3)
@@ -55,7 +55,7 @@
 				Capacity: job.Resources{Processors: 32000, MemoryMB: 65536}, Labels: []string{"a", "r1-3"},
 			})
 		})
-		convey.Convey("a draining searcher is marked with the time it has left", func() {
+		convey.Convey("a draining worker is marked with the time it has left", func() {
 			draining := c.AddWorker(cluster.WorkerConfig{ID: "i-7"})
 			draining.Drain(time.Hour)
 			instances, _, err := reader.ReadAll(t.Context())
@@ -63,14 +63,14 @@
 			convey.So(instances[7].Draining, convey.ShouldBeTrue)
 			convey.So(instances[7].RemainingMS, convey.ShouldBeBetween, 3_000_000, 3_600_001)
 		})
-		convey.Convey("the searchers of each page are found at once, until the first list was read whole", func() {
+		convey.Convey("the workers of each page are found at once, until the first list was read completely", func() {
 			var found []int
 			reader.OnPage = func(instances []workerclient.Instance) { found = append(found, len(instances)) }
 			reader.ReadAll(t.Context())
 			reader.ReadAll(t.Context())
 			convey.So(found, convey.ShouldResemble, []int{3, 3, 1})
 		})
-		convey.Convey("a page without an answer is asked for again, and not the pages before it", func() {
+		convey.Convey("a page without an answer is requested again, and not the pages before it", func() {
 			var calls atomic.Int64 // a call that is aborted and the next one have goroutines of their own
 			flaky := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if call := calls.Add(1); call == 2 || call == 4 {
@@ -85,7 +85,7 @@
 			convey.So(instances, convey.ShouldHaveLength, 7)
 			convey.So(platform.Calls(), convey.ShouldEqual, 3)
 		})
-		convey.Convey("a refused call is no list", func() {
+		convey.Convey("a rejected call is no list", func() {
 			platform.Fail(http.StatusTooManyRequests)
 			_, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldWrap, ErrRateLimited)
@@ -94,7 +94,7 @@
 			convey.So(err, convey.ShouldNotBeNil)
 		})
 	})
-	convey.Convey("Given a platform that answers strangely, there is no list", t, func() {
+	convey.Convey("Given a platform that sends malformed answers, there is no list", t, func() {
 		var body atomic.Pointer[string]
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Write([]byte(*body.Load()))
