--- a/internal/jobs/jobapi/jobapi.go
+++ b/internal/jobs/jobapi/jobapi.go
@@ -1,4 +1,5 @@
-// Package jobapi holds the internal requests by which any node reaches the scheduler that leads a service's jobs.
+// Package jobapi holds the internal calls by which any node reaches the leader of a service's jobs. A node that does not
+// lead the group rejects each call as certainly not executed.
 package jobapi
 
 import (
@@ -6,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. The same job handed in or cancelled again stays one job with one end.
+// The calls. All are idempotent: a job that is submitted or cancelled again stays one job with one final state.
 var (
 	SubmitCall  = transport.NewIdempotent[Submit, Submitted]("/jobs/submit")
 	StatusCall  = transport.NewIdempotent[Status, StatusReply]("/jobs/status")
@@ -14,18 +15,19 @@
 	PendingCall = transport.NewIdempotent[Pending, PendingReply]("/jobs/pending")
 )
 
-// Queue is what the configuration says of a job's route at the moment the job is handed in.
+// Queue is what the configuration says of a job's route when the job is submitted. A later change of the configuration does
+// not change it.
 type Queue struct {
 	Route           string  `msgpack:"r"`
 	Service         string  `msgpack:"s"`
 	Priority        int     `msgpack:"p"` // 0 goes first
-	MaxAttempts     int     `msgpack:"a"`
-	Extension       float64 `msgpack:"e"`
-	TargetLatencyMS int64   `msgpack:"t"`
+	MaxAttempts     int     `msgpack:"a"` // failed attempts of a task with which its job fails; values below 1 count as 1
+	Extension       float64 `msgpack:"e"` // a job may take so many times its critical path; values below 1 count as 1
+	TargetLatencyMS int64   `msgpack:"t"` // and this much more, milliseconds
 	Guards          bool    `msgpack:"g"` // the service's workers reject what does not fit
 }
 
-// Submit hands a job in. The same ID again is the same job.
+// Submit adds a job. The same ID again is the same job.
 type Submit struct {
 	Group         string            `msgpack:"g"` // replication group that schedules the service
 	ID            job.ID            `msgpack:"i"`
@@ -33,10 +35,10 @@
 	Specification job.Specification `msgpack:"s"`
 }
 
-// Submitted is the reply to Submit: the job is durable. A refusal is an rpcerror.NotExecuted error.
+// Submitted is the reply to Submit, sent once the job is durable. A rejection is an error with rpcerror.NotExecuted.
 type Submitted struct{}
 
-// Status asks for a job's state.
+// Status requests a job's state.
 type Status struct {
 	Group string `msgpack:"g"`
 	ID    job.ID `msgpack:"i"`
@@ -60,7 +62,7 @@
 	State job.State `msgpack:"s"` // of a known job afterwards; one that had ended before stays what it was
 }
 
-// Pending asks how many jobs of a route have not ended.
+// Pending requests the number of jobs of a route that have not ended. It may be ahead of what is durable.
 type Pending struct {
 	Group string `msgpack:"g"`
 	Route string `msgpack:"r"`
--- a/internal/jobs/jobreport/calls.go
+++ b/internal/jobs/jobreport/calls.go
@@ -8,17 +8,17 @@
 	MaxJobs     = 1000
 )
 
-// SummaryRequest asks for a group's Summary.
+// SummaryRequest requests a group's Summary.
 type SummaryRequest struct {
 	Group string `msgpack:"g"`
 }
 
-// SummaryReply is the answer.
+// SummaryReply is the reply.
 type SummaryReply struct {
 	Summary Summary `msgpack:"s"`
 }
 
-// WorkersRequest asks for the workers of a group's service.
+// WorkersRequest requests the workers of a group's service.
 type WorkersRequest struct {
 	Group string `msgpack:"g"`
 }
@@ -28,7 +28,7 @@
 	Workers []Worker `msgpack:"s"`
 }
 
-// JobsRequest asks for a group's jobs.
+// JobsRequest requests a group's jobs.
 type JobsRequest struct {
 	Group string    `msgpack:"g"`
 	State job.State `msgpack:"s"` // empty for all
@@ -41,7 +41,7 @@
 	Total int   `msgpack:"t"` // that match, listed or not
 }
 
-// JobRequest asks for one job.
+// JobRequest requests one job.
 type JobRequest struct {
 	Group string `msgpack:"g"`
 	ID    job.ID `msgpack:"i"`
@@ -53,13 +53,13 @@
 	Job   JobDetail `msgpack:"j"`
 }
 
-// WhyRequest asks why a job's tasks wait.
+// WhyRequest requests the reasons for which a job's tasks wait.
 type WhyRequest struct {
 	Group string `msgpack:"g"`
 	ID    job.ID `msgpack:"i"`
 }
 
-// WhyReply is the answer.
+// WhyReply is the reply.
 type WhyReply struct {
 	Known bool `msgpack:"k"`
 	Why   Why  `msgpack:"w"`
@@ -70,18 +70,18 @@
 	Group    string `msgpack:"g"`
 	Worker   string `msgpack:"s"`
 	Draining bool   `msgpack:"d"`
-	// BaseVersion is the drain version that the order builds on; nil for one that goes by no version.
+	// BaseVersion is the drain version that the change builds on; nil for one without a version.
 	BaseVersion *uint64 `msgpack:"v,omitempty"`
 }
 
-// DrainOutcome is what an order on a worker's drain came to.
+// DrainOutcome is what a request to change a worker's drain came to.
 type DrainOutcome int
 
-// The outcomes. One that goes by no version is always taken.
+// The outcomes. A request without a version is always taken.
 const (
-	DrainTaken      DrainOutcome = iota // by this call or by an earlier one of the same order; 0, as a leader of an earlier release answers
-	DrainSuperseded                     // another was taken on top of that version; this one never will be
-	DrainUnclear                        // the version is not in force yet, or older than what is remembered
+	DrainTaken      DrainOutcome = iota // by this call or by an earlier one that requested the same; 0, as a leader of an earlier release answers
+	DrainSuperseded                     // another change was taken on top of that version; this one never will be
+	DrainUnclear                        // the version is not in force yet, or older than those that are kept
 	DrainUnknown                        // the worker is not known
 )
 
--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -1,5 +1,6 @@
-// Package jobreport holds what operators may ask the scheduler of a service's jobs, and the reports that answer. The types
-// travel between nodes as msgpack and to operators as JSON.
+// Package jobreport holds the internal calls by which operators read and steer the scheduler of a service's jobs, and the
+// reports that answer them. The types are encoded as MessagePack between nodes and as JSON for operators; the names there
+// are older than those of the fields, and stay.
 package jobreport
 
 import (
@@ -7,8 +8,8 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Only the leader of a group answers them; any other node refuses as rpcerror.NotExecuted. A drain that
-// is set or ended again stays as it is.
+// Internal calls. Only the leader of a group answers them; any other node refuses as rpcerror.NotExecuted. All are
+// idempotent: a drain that is set or ended again stays as it is.
 var (
 	SummaryCall = transport.NewIdempotent[SummaryRequest, SummaryReply]("/jobs/report/summary")
 	WorkersCall = transport.NewIdempotent[WorkersRequest, WorkersReply]("/jobs/report/searchers")
@@ -22,10 +23,10 @@
 type Summary struct {
 	Queued           int `msgpack:"q" json:"queued"`             // jobs without a task assigned so far
 	Running          int `msgpack:"r" json:"running"`            // jobs with one
-	Ended            int `msgpack:"e" json:"ended"`              // jobs whose end is still remembered
-	WaitingTasks     int `msgpack:"w" json:"waitingTasks"`       // tasks whose turn has come and that are not assigned
-	Attempts         int `msgpack:"x" json:"runs"`               // runs that may be under way
-	Workers          int `msgpack:"s" json:"searchers"`          // known lives of workers
+	Ended            int `msgpack:"e" json:"ended"`              // jobs whose final state is still kept
+	WaitingTasks     int `msgpack:"w" json:"waitingTasks"`       // tasks that wait for a start
+	Attempts         int `msgpack:"x" json:"runs"`               // attempts that may be under way
+	Workers          int `msgpack:"s" json:"searchers"`          // known incarnations of workers
 	ReachableWorkers int `msgpack:"h" json:"reachableSearchers"` // of those, the ones that answer
 }
 
@@ -36,13 +37,13 @@
 const (
 	WorkerUnreachable      WorkerState = "unreachable"      // the last call was not answered
 	WorkerDraining         WorkerState = "draining"         // the platform is about to take it away
-	WorkerOperatorDraining WorkerState = "operatorDraining" // an operator allows no new starts
+	WorkerOperatorDraining WorkerState = "operatorDraining" // an operator drains it
 	WorkerNotFenced        WorkerState = "notFenced"        // it has not confirmed this leader's fencing token yet
-	WorkerBackoff          WorkerState = "resting"          // no starts for a moment after it refused one or a run stood still
+	WorkerBackoff          WorkerState = "resting"          // no starts for a moment after it rejected one or an attempt stalled
 	WorkerReady            WorkerState = "ready"
 )
 
-// Worker is one life of a worker as the leader of its service's jobs sees it.
+// Worker is one incarnation of a worker as the leader of its service's jobs sees it.
 type Worker struct {
 	ID               string        `msgpack:"i" json:"id"`
 	Service          string        `msgpack:"s" json:"service"`
@@ -55,23 +56,23 @@
 	Reachable        bool          `msgpack:"h" json:"reachable"`
 	Draining         bool          `msgpack:"d" json:"draining"`
 	OperatorDraining bool          `msgpack:"o" json:"operatorDraining"`
-	DrainVersion     uint64        `msgpack:"q" json:"drainVersion"`   // operators' orders to drain or undrain it that were taken
-	Window           int           `msgpack:"w" json:"window"`         // runs that it may have at the same time
-	LatencyMS        float64       `msgpack:"m" json:"latencyMs"`      // smoothed duration of its runs; 0 before the first
-	FailureRate      float64       `msgpack:"f" json:"faultShare"`     // smoothed share of its runs that fail, 0 to 1
+	DrainVersion     uint64        `msgpack:"q" json:"drainVersion"`   // number of operators' changes to its drain that were taken
+	Window           int           `msgpack:"w" json:"window"`         // attempts that it may have at the same time
+	LatencyMS        float64       `msgpack:"m" json:"latencyMs"`      // smoothed duration of its attempts; 0 before the first
+	FailureRate      float64       `msgpack:"f" json:"faultShare"`     // smoothed share of its attempts that fail, 0 to 1
 	Attempts         int           `msgpack:"r" json:"runs"`           // that may be under way there
-	WaitingTasks     int           `msgpack:"b" json:"waitingTasks"`   // that prefer this worker
-	Orphans          int           `msgpack:"y" json:"unwantedRuns"`   // being stopped, as nobody wants them
-	Used             job.Resources `msgpack:"u" json:"used"`           // by runs
-	Free             job.Resources `msgpack:"e" json:"free"`           // parts may be below 0 at a worker that does not guard
+	WaitingTasks     int           `msgpack:"b" json:"waitingTasks"`   // that are bound to this worker
+	Orphans          int           `msgpack:"y" json:"unwantedRuns"`   // attempts that no job wants, being stopped
+	Used             job.Resources `msgpack:"u" json:"used"`           // by attempts
+	Free             job.Resources `msgpack:"e" json:"free"`           // may be below 0 at a worker that takes more than it has
 	Capacity         job.Resources `msgpack:"c" json:"capacity"`       // of the whole worker
 	RemainingMS      int64         `msgpack:"n" json:"remainingMs"`    // least time left to one that the platform drains
-	MissingLists     int           `msgpack:"g" json:"missingInLists"` // platform's lists in a row without it
+	MissingLists     int           `msgpack:"g" json:"missingInLists"` // complete lists of the platform in a row without it
 }
 
 // TaskCounts counts the tasks of a stage or a job by state.
 type TaskCounts struct {
-	Blocked int `msgpack:"b" json:"blocked"` // their turn has not come: an earlier stage or the due time is ahead
+	Blocked int `msgpack:"b" json:"blocked"` // an earlier stage is not complete
 	Waiting int `msgpack:"w" json:"waiting"` // to be started
 	Running int `msgpack:"r" json:"running"` // assigned to a worker
 	Done    int `msgpack:"d" json:"done"`
@@ -97,7 +98,7 @@
 	EndedMS  int64      `msgpack:"e" json:"endedMs,omitzero"` // milliseconds since 1970
 }
 
-// Attempt is one run of a task that may be under way.
+// Attempt is one attempt of a task that may be under way.
 type Attempt struct {
 	Task      string `msgpack:"t" json:"task"`
 	Number    uint64 `msgpack:"x" json:"execution"`
@@ -117,10 +118,10 @@
 	Tasks      TaskCounts    `msgpack:"t" json:"tasks"`
 }
 
-// Failure is a task of which runs have ended failed.
+// Failure is a task with failed attempts.
 type Failure struct {
 	Task     string   `msgpack:"t" json:"task"`
-	Attempts []uint64 `msgpack:"a" json:"attempts"` // the numbers of those runs
+	Attempts []uint64 `msgpack:"a" json:"attempts"` // their numbers
 }
 
 // JobDetail is all that is known of one job.
@@ -128,11 +129,11 @@
 	Job
 	Specification       string    `msgpack:"f" json:"specification,omitempty"`
 	MaxAttempts         int       `msgpack:"m" json:"maxAttempts,omitzero"`
-	Repetitions         int       `msgpack:"n" json:"repetitions"`         // how often its stages run
-	CompleteRepetitions int       `msgpack:"c" json:"completeRepetitions"` // and how often they did
+	Repetitions         int       `msgpack:"n" json:"repetitions"`         // how many times its stages run
+	CompleteRepetitions int       `msgpack:"c" json:"completeRepetitions"` // of those, the complete ones
 	NextDueMS           int64     `msgpack:"d" json:"nextDueMs,omitzero"`  // when the next repetition begins, milliseconds since 1970
 	Stages              []Stage   `msgpack:"l" json:"stages,omitempty"`
 	Attempts            []Attempt `msgpack:"u" json:"runs,omitempty"`
 	Failures            []Failure `msgpack:"b" json:"failures,omitempty"`
-	Truncated           bool      `msgpack:"y" json:"truncated,omitzero"` // the lists are cut off at their limits
+	Truncated           bool      `msgpack:"y" json:"truncated,omitzero"` // the lists end at their limits
 }
