--- a/internal/jobs/manager/cluster_test.go
+++ b/internal/jobs/manager/cluster_test.go
@@ -21,12 +21,12 @@
 
 const (
 	testGroup       = "jobs/x"
-	pauseLength     = 20 * time.Second // how long a process stands still
+	pauseLength     = 20 * time.Second // how long a process is paused
 	electionTimeout = 10 * time.Second // virtual, for an election
 )
 
-// pausableClock is a member's steady clock. A process that stood still wakes with a clock that is later, before any of its timers
-// has fired.
+// pausableClock is a node's monotonic clock. A process that was paused wakes with a clock that is later, before any of its
+// timers has fired.
 type pausableClock struct {
 	begin  time.Time
 	paused atomic.Int64
@@ -39,7 +39,7 @@
 
 func (c *pausableClock) pause() { c.paused.Add(int64(pauseLength)) }
 
-// testNode is one core node's part in the jobs.
+// testNode is one coordinator's part in the jobs.
 type testNode struct {
 	address string
 	clock   *pausableClock
@@ -47,7 +47,7 @@
 	node    *replication.Node
 }
 
-// testCluster is some core nodes on a network in memory, in virtual time.
+// testCluster is some coordinators on a network in memory, in virtual time.
 type testCluster struct {
 	network *networktest.Network
 	nodes   []*testNode
@@ -55,7 +55,7 @@
 	cancel  context.CancelFunc
 }
 
-// withCluster runs a test in virtual time with three core nodes of which one leads.
+// withCluster runs a test in virtual time with three coordinators of which one leads.
 func withCluster(t *testing.T, test func(t *testing.T, w *testCluster, leader *testNode)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		w := &testCluster{network: networktest.New(1)}
@@ -66,7 +66,7 @@
 			view.Members = append(view.Members, fmt.Sprintf("10.0.0.%d:7000", i+1))
 		}
 		for _, address := range view.Members {
-			w.add(t, ctx, address, view)
+			w.add(ctx, t, address, view)
 		}
 		defer w.stop()
 		leader := w.awaitLeader()
@@ -77,7 +77,8 @@
 	})
 }
 
-func (w *testCluster) add(t *testing.T, ctx context.Context, address string, view replicaset.View) {
+func (w *testCluster) add(ctx context.Context, t *testing.T, address string, view replicaset.View) {
+	t.Helper()
 	m := &testNode{address: address, clock: &pausableClock{begin: time.Now()}}
 	m.manager = New(Config{Settings: scheduler.Settings{MaxLease: 6 * time.Second, StatusRetention: time.Hour}, Log: zap.NewNop()})
 	m.manager.SetInventory(nil) // the platform's list was read and is empty
@@ -99,7 +100,7 @@
 	w.nodes = append(w.nodes, m)
 }
 
-// awaitLeader waits for a member whose manager leads; nil if none does.
+// awaitLeader waits for a node whose manager leads; nil if none does.
 func (w *testCluster) awaitLeader() *testNode {
 	for limit := time.Now().Add(electionTimeout); time.Now().Before(limit); <-time.After(10 * time.Millisecond) {
 		for _, m := range w.nodes {
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -28,19 +28,19 @@
 )
 
 const (
-	fleetVariable          = "PUFFINLINK_TEST_FLEET" // how many workers the test binary stands in for, as a process of its own
+	fleetVariable          = "PUFFINLINK_TEST_FLEET" // how many workers the test binary emulates, as a process of its own
 	fleetService           = "s"
 	fleetTaskTime          = time.Second            // how long each task works
 	fleetMaxLease          = 6 * time.Second        //
-	fleetWarmUp            = 9 * time.Second        // until all workers are held
-	fleetMeasureTime       = 8 * time.Second        // for which the processor time is taken
-	submitInterval         = 50 * time.Millisecond  // between two hand-ins
+	fleetWarmUp            = 9 * time.Second        // until all workers have a lease
+	fleetMeasureTime       = 8 * time.Second        // for which the processor time is measured
+	submitInterval         = 50 * time.Millisecond  // between two submissions
 	fleetTasksEach         = 4                      // of a job
 	fleetInventoryInterval = time.Second            // between two lists of the platform
-	leadershipPollInterval = 100 * time.Millisecond // between two looks for the leadership
+	leadershipPollInterval = 100 * time.Millisecond // between two checks for the leadership
 )
 
-// serveFleet stands in for workers until its standard input ends; it prints the list of them.
+// serveFleet emulates workers until its standard input ends; it prints their list.
 func serveFleet(count int) {
 	workers := cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: fleetMaxLease, Describe: func(job.TaskID, string) cluster.Profile {
 		return cluster.Profile{Duration: fleetTaskTime, Resources: fleetRequest}
@@ -59,8 +59,9 @@
 
 var fleetRequest = job.Resources{Processors: 3000, MemoryMB: 6000}
 
-// startFleet runs stand-ins in a process of their own, so that their processor time is not the leader's.
+// startFleet runs emulated workers in a process of their own, so that their processor time is not the leader's.
 func startFleet(b *testing.B, count int) []workerclient.Instance {
+	b.Helper()
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), fleetVariable+"="+strconv.Itoa(count))
 	input, err := command.StdinPipe()
@@ -84,6 +85,7 @@
 
 // startLeader makes a group of one replica that leads.
 func startLeader(b *testing.B, instances []workerclient.Instance) *Manager {
+	b.Helper()
 	const self = "127.0.0.1:1"
 	connections := workerclient.NewConnections(workerclient.Limits{
 		Connections: 2700, DialsPerS: 544, DialBurst: 256, PollsPerS: 600, MaxLongPolls: 600,
@@ -120,7 +122,7 @@
 // BenchmarkFleet measures what share of a core a leader uses for a service of many workers. Run it with -benchtime=1x.
 func BenchmarkFleet(b *testing.B) {
 	for _, load := range []struct{ workers, tasksPerS int }{{250, 0}, {2100, 0}, {250, 160}, {2100, 160}, {2100, 640}, {2100, 960}} {
-		b.Run(fmt.Sprintf("%d searchers, %d tasks a second", load.workers, load.tasksPerS), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d workers, %d tasks a second", load.workers, load.tasksPerS), func(b *testing.B) {
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 			m := startLeader(b, startFleet(b, load.workers))
 			for b.Loop() {
@@ -131,13 +133,14 @@
 }
 
 func measureFleet(b *testing.B, m *Manager, tasksPerS int) {
+	b.Helper()
 	number := 0
 	load := func(span time.Duration) {
 		begin := time.Now()
 		for submitted := 0.0; time.Since(begin) < span; time.Sleep(submitInterval) {
 			for ; submitted < time.Since(begin).Seconds()*float64(tasksPerS); submitted += fleetTasksEach {
 				number++
-				submit(b, m, number)
+				submit(m, number)
 			}
 		}
 	}
@@ -158,7 +161,7 @@
 	b.ReportMetric(float64(summary.Ended), "ended")
 }
 
-func submit(b *testing.B, m *Manager, number int) {
+func submit(m *Manager, number int) {
 	request := jobapi.Submit{Group: feed.GroupOf(fleetService), ID: job.ID(fmt.Sprintf("%016x", number)),
 		Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, TargetLatencyMS: 250, Extension: 2},
 		Specification: job.Specification{Text: "text", Stages: []job.Stage{
--- a/internal/jobs/manager/idempotency_test.go
+++ b/internal/jobs/manager/idempotency_test.go
@@ -26,7 +26,7 @@
 
 const soleGroup = "jobs/pricing"
 
-// slowDisk is a disk whose writes can be held up.
+// slowDisk is a disk whose writes can be stalled.
 type slowDisk struct {
 	*storage.Memory
 	stalled atomic.Pointer[chan struct{}] // writes wait until it is closed; nil for none
@@ -88,7 +88,7 @@
 	withSoleLeader(t, func(m *Manager, _ *slowDisk) {
 		ctx := context.Background()
 		live, unknown := job.ID("00000000000000aa"), job.ID("00000000000000bb")
-		Convey("A cancellation tells the state that it leaves, also when it comes again", t, func() {
+		Convey("A cancellation replies with the state that it leaves, also when it is sent again", t, func() {
 			submit := jobapi.Submit{Group: soleGroup, ID: live, Specification: job.Specification{
 				Text: "text", Stages: []job.Stage{{Count: 1}},
 			}}
@@ -117,7 +117,7 @@
 	withSoleLeader(t, func(m *Manager, _ *slowDisk) {
 		ctx := context.Background()
 		request := jobreport.DrainRequest{Group: soleGroup, Worker: "i-1", Draining: true}
-		Convey("A searcher is not called unknown before the platform's list was read", t, func() {
+		Convey("A worker is not reported as unknown before the platform's list was read", t, func() {
 			_, err := m.drain(ctx, request)
 			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			So(rpcerror.RetryAfter(err), ShouldEqual, noInventoryRetry)
@@ -129,7 +129,7 @@
 	})
 }
 
-// What is asked for again is answered only once the first is durable: until then a successor may not know of it.
+// A repeated request gets its reply only once the first is durable: until then a successor may not know of it.
 func TestRepeatedRequestWaitsForTheDisk(t *testing.T) {
 	withSoleLeader(t, func(m *Manager, disk *slowDisk) {
 		ctx := context.Background()
@@ -160,7 +160,7 @@
 			disk.stalled.Store(nil)
 			close(stalled)
 			first, second := <-answers, <-answers
-			Convey("On a stalled disk no answer comes to "+one.name+" that is sent twice", t, func() {
+			Convey("On a stalled disk there is no reply to "+one.name+" that is sent twice", t, func() {
 				So(early, ShouldEqual, 0)
 				So(first, ShouldBeNil)
 				So(second, ShouldBeNil)
@@ -170,7 +170,7 @@
 }
 
 func TestDrainOnABaseVersion(t *testing.T) {
-	Convey("Given a leader that knows of a drain from its predecessor", t, func() {
+	Convey("Given a leader that has a drain from its predecessor", t, func() {
 		drained, err := msgpack.Marshal(map[string]uint64{"t": 5, "v": 1, "h": 1})
 		So(err, ShouldBeNil)
 		jobs, err := scheduler.New(scheduler.Settings{}, currentTime(), map[string][]byte{"d/i-1": drained})
@@ -181,17 +181,17 @@
 			So(known, ShouldBeTrue)
 			return outcome
 		}
-		Convey("a copy of that drain that comes after the order that ended it is confirmed, and changes nothing", func() {
+		Convey("a copy of that drain that arrives after the change that ended it is confirmed, and changes nothing", func() {
 			So(order(false, 1), ShouldEqual, jobreport.DrainTaken)
 			So(order(true, 0), ShouldEqual, jobreport.DrainTaken)
 			So(jobs.IsOperatorDraining("i-1"), ShouldBeFalse)
 		})
-		Convey("another order on top of the same version is refused, one on top of a version to come is not judged", func() {
+		Convey("another change on top of the same version is superseded, one on top of a later version is unclear", func() {
 			So(order(false, 0), ShouldEqual, jobreport.DrainSuperseded)
 			So(order(false, 2), ShouldEqual, jobreport.DrainUnclear)
 			So(jobs.IsOperatorDraining("i-1"), ShouldBeTrue)
 		})
-		Convey("an unknown searcher stays unknown", func() {
+		Convey("an unknown worker is reported as such", func() {
 			version := uint64(0)
 			known, _ := l.changeDrain(currentTime(), jobreport.DrainRequest{Worker: "i-2", Draining: true, BaseVersion: &version})
 			So(known, ShouldBeFalse)
--- a/internal/jobs/manager/leadership_test.go
+++ b/internal/jobs/manager/leadership_test.go
@@ -11,7 +11,7 @@
 
 func TestWakeUpsDoNotDelayTheTick(t *testing.T) {
 	jobs, err := scheduler.New(scheduler.Settings{}, currentTime(), nil)
-	Convey("A wake-up does not put the tick off", t, func() {
+	Convey("A wake-up does not postpone the tick", t, func() {
 		So(err, ShouldBeNil)
 		l := &leadership{scheduler: jobs, tickedAt: time.Now().Add(-tickInterval)}
 		So(l.nextWait(), ShouldBeLessThanOrEqualTo, time.Millisecond)
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -52,7 +52,7 @@
 			_, err := m.summary(ctx, jobreport.SummaryRequest{Group: testGroup})
 			return err
 		}},
-		{"searchers", func(m *Manager) error {
+		{"workers", func(m *Manager) error {
 			_, err := m.workers(ctx, jobreport.WorkersRequest{Group: testGroup})
 			return err
 		}},
@@ -75,12 +75,12 @@
 func TestLeaderWithoutLeaseRejectsAllCalls(t *testing.T) {
 	for _, question := range leaderCalls() {
 		withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
-			Convey("While it leads it answers: "+question.name, t, func() {
+			Convey("A leader replies: "+question.name, t, func() {
 				_, err := leader.manager.submit(context.Background(), submission(knownJob))
 				So(err, ShouldBeNil)
 				So(question.call(leader.manager), ShouldBeNil)
 			})
-			Convey("After it stood still it begins nothing, and says so: "+question.name, t, func() {
+			Convey("After a pause beyond its lease it executes nothing, and the error says so: "+question.name, t, func() {
 				leader.clock.pause()
 				err := question.call(leader.manager)
 				So(err, ShouldNotBeNil)
@@ -99,7 +99,7 @@
 	}
 	for name, read := range reads {
 		withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
-			Convey("What it had read then is not told: "+name, t, func() {
+			Convey("What it read during a pause is not replied: "+name, t, func() {
 				So(read(leader.manager, func(scheduler.Now, *scheduler.Scheduler) {}), ShouldBeNil)
 				err := read(leader.manager, func(scheduler.Now, *scheduler.Scheduler) { leader.clock.pause() })
 				So(err, ShouldNotBeNil)
@@ -110,7 +110,7 @@
 
 func TestRepliesAreDurable(t *testing.T) {
 	withCluster(t, func(t *testing.T, w *testCluster, leader *testNode) {
-		Convey("A leader that is cut off tells nobody of a job that only it has", t, func() {
+		Convey("A partitioned leader replies nothing about a job that only it has", t, func() {
 			w.network.Partition(leader.address, true)
 			failures := make(chan error, 2)
 			go func() {
@@ -128,7 +128,7 @@
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 			}
 		})
-		Convey("The next leader has never heard of it", t, func() {
+		Convey("The next leader does not know the job", t, func() {
 			next := w.awaitLeader()
 			So(next == leader, ShouldBeFalse)
 			reply, err := next.manager.job(context.Background(), jobreport.JobRequest{Group: testGroup, ID: knownJob})
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -12,14 +12,14 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// steps moves a world on by so many steps.
+// steps advances the simulation by a number of steps.
 func (w *simulation) steps(count int) {
 	for range count {
 		w.step()
 	}
 }
 
-// submitStages hands in a job with these stages; its tasks last about a second.
+// submitStages submits a job with these stages; its tasks take up to a second.
 func (w *simulation) submitStages(number int, stages ...job.Stage) job.ID {
 	id := job.ID(fmt.Sprintf("%016x", number))
 	w.submit(&jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: id,
@@ -52,11 +52,11 @@
 }
 
 func TestWhy(t *testing.T) {
-	Convey("Given nine searchers that have reported", t, func() {
+	Convey("Given nine workers that have reported", t, func() {
 		w := newSimulation(1, 9)
 		w.steps(20)
 
-		Convey("a label that nobody has rules out all", func() {
+		Convey("a label that no worker has excludes all", func() {
 			stage := smallStage(2)
 			stage.Requirements = job.Labels{"none"}
 			waiting := explain(w, w.submitStages(1, stage))
@@ -64,14 +64,14 @@
 			So(waiting.Tasks, ShouldEqual, 2)
 			So(excludedBy(waiting, jobreport.CauseLabel), ShouldEqual, 9)
 		})
-		Convey("so does a request larger than any searcher", func() {
+		Convey("so does a request larger than any worker", func() {
 			stage := smallStage(1)
 			stage.Processors = 9000
 			waiting := explain(w, w.submitStages(1, stage))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(excludedBy(waiting, jobreport.CauseSize), ShouldEqual, 9)
 		})
-		Convey("the first causes are those that load does not change", func() {
+		Convey("causes that do not depend on load are reported first", func() {
 			w.workers[0].Draining = true
 			w.sendInventory()
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
@@ -94,7 +94,7 @@
 			waiting = explain(w, w.submitStages(4, stage))
 			So(excludedBy(waiting, jobreport.CauseOperatorDraining), ShouldEqual, 1)
 		})
-		Convey("a task that fits nowhere at the moment waits for room", func() {
+		Convey("a task that fits nowhere at present waits for capacity", func() {
 			whole := smallStage(9)
 			whole.Processors = 8000
 			w.submitStages(1, whole)
@@ -103,7 +103,7 @@
 			So(excludedBy(waiting, jobreport.CauseCapacity), ShouldEqual, 9)
 			So(len(waiting.Excluded[0].Workers), ShouldEqual, maxNamedWorkers)
 		})
-		Convey("antiAffinity rules out searchers that have a task of the stage", func() {
+		Convey("antiAffinity excludes workers that have a task of the stage", func() {
 			stage := smallStage(12)
 			stage.AntiAffinity = 1
 			waiting := explain(w, w.submitStages(1, stage))
@@ -118,7 +118,7 @@
 			So(waiting.Stage, ShouldEqual, 1)
 			So(waiting.DependsOn, ShouldResemble, []int{0})
 		})
-		Convey("a gang waits until there is room for all of it", func() {
+		Convey("a gang waits until there is capacity for all of it", func() {
 			gang := smallStage(10)
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := explain(w, w.submitStages(1, gang))
@@ -133,7 +133,7 @@
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNotDue)
 			So(waiting.DueMS, ShouldEqual, facts.request.Specification.FirstRunMS)
 		})
-		Convey("a searcher rests after it called itself unhealthy, and takes nothing beside runs that nobody wants", func() {
+		Convey("a worker backs off after it rejected a start as unhealthy, and takes no start beside orphans", func() {
 			id := w.submitStages(1, smallStage(1))
 			report, _ := w.scheduler.Job(w.clock(), id)
 			unhealthy := workerclient.WorkerID(report.Attempts[0].Worker)
@@ -152,7 +152,7 @@
 			resting, _ := w.scheduler.Worker(w.clock(), unhealthy)
 			So(resting.State, ShouldEqual, jobreport.WorkerBackoff)
 		})
-		Convey("an unknown job has no answer, and one that has ended waits for nothing", func() {
+		Convey("an unknown job has no explanation, and one that has ended waits for nothing", func() {
 			_, known := w.scheduler.Why(w.clock(), "ffffffffffffffff")
 			So(known, ShouldBeFalse)
 			id := w.submitStages(1, smallStage(1))
@@ -163,7 +163,7 @@
 			So(why.Waiting, ShouldBeEmpty)
 		})
 	})
-	Convey("Before a searcher has confirmed the fencing token it takes nothing", t, func() {
+	Convey("Before a worker has confirmed the fencing token it takes no start", t, func() {
 		w := newSimulation(1, 2)
 		for _, worker := range w.workers {
 			w.scheduler.SetReachable(w.clock(), worker.ID, true)
@@ -173,7 +173,7 @@
 	})
 }
 
-// TestWhyAgreesWithDispatch compares, all along a busy day, the explanation with what a dispatch decides.
+// TestWhyAgreesWithDispatch compares, throughout a simulation under faults, explanations with what a dispatch decides.
 func TestWhyAgreesWithDispatch(t *testing.T) {
 	compared, other := 0, 0
 	compare := func(w *simulation, step int) {
@@ -185,7 +185,7 @@
 				cause := w.scheduler.exclusionCause(w.clock(), stage, worker)
 				takes := w.scheduler.isOpen(w.clock(), worker) && w.scheduler.admits(stage, worker, 0)
 				if takes != (cause == "") {
-					t.Fatalf("searcher %s takes a task: %t, cause %q", worker.ID, takes, cause)
+					t.Fatalf("worker %s takes a task: %t, cause %q", worker.ID, takes, cause)
 				}
 				if cause == jobreport.CauseOther {
 					other++
@@ -201,7 +201,7 @@
 }
 
 func TestReports(t *testing.T) {
-	Convey("Given a job with a stage done, one running and one ahead", t, func() {
+	Convey("Given a job with a stage done, one running and one blocked", t, func() {
 		w := newSimulation(1, 3)
 		w.steps(20)
 		second, third := smallStage(2), smallStage(1)
@@ -209,7 +209,7 @@
 		id := w.submitStages(1, smallStage(1), second, third)
 		w.steps(150)
 
-		Convey("the job's report counts its tasks and lists its runs", func() {
+		Convey("the job's report counts its tasks and lists its attempts", func() {
 			report, known := w.scheduler.Job(w.clock(), id)
 			So(known, ShouldBeTrue)
 			So(report.State, ShouldEqual, job.Running)
@@ -220,7 +220,7 @@
 			So(report.Attempts[0].Confirmed, ShouldBeTrue)
 			So(report.Truncated, ShouldBeFalse)
 		})
-		Convey("the searchers' reports add up", func() {
+		Convey("the workers' reports add up", func() {
 			runs := 0
 			for _, one := range w.scheduler.Workers(w.clock()) {
 				So(one.State, ShouldEqual, jobreport.WorkerReady)
@@ -247,7 +247,7 @@
 			So(total, ShouldEqual, 1)
 			So(ended[0].State, ShouldEqual, job.Cancelled)
 		})
-		Convey("failed runs are listed", func() {
+		Convey("failed attempts are listed", func() {
 			w.workers[0].failing, w.workers[1].failing, w.workers[2].failing = true, true, true
 			facts := w.submitStages(7, smallStage(1))
 			found := false
@@ -262,7 +262,7 @@
 }
 
 func TestReportsAreBounded(t *testing.T) {
-	Convey("A very large job's report is cut off and says so", t, func() {
+	Convey("A very large job's report is truncated and says so", t, func() {
 		w := newSimulation(1, 3)
 		stages := make([]job.Stage, maxReportDetails+1)
 		for i := range stages {
@@ -279,7 +279,7 @@
 	})
 }
 
-// countRunning counts the runs that machines have under way, and those of one of them.
+// countRunning counts the attempts that run on one worker and on all.
 func countRunning(w *simulation, id workerclient.WorkerID) (running, all int) {
 	for _, worker := range w.workers {
 		all += len(worker.running)
@@ -291,7 +291,7 @@
 }
 
 func TestOperatorDrain(t *testing.T) {
-	Convey("Given searchers, of which an operator drains one", t, func() {
+	Convey("Given workers, of which an operator drains one", t, func() {
 		w := newSimulation(1, 3)
 		w.steps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
@@ -309,7 +309,7 @@
 			report, _ := w.scheduler.Worker(w.clock(), "s00")
 			So(report.State, ShouldEqual, jobreport.WorkerOperatorDraining)
 		})
-		Convey("a successor keeps to it", func() {
+		Convey("a successor keeps the drain", func() {
 			w.elect()
 			w.steps(20)
 			w.submitStages(1, stage)
@@ -318,11 +318,11 @@
 			So(running, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
-		Convey("once it is ended, starts come again, also under a successor", func() {
+		Convey("once it is ended the worker gets starts again, also under a successor", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 			w.propose()
 			w.steps(5)
-			var record operatorDrainRecord // it stays for orders that come late
+			var record operatorDrainRecord // it stays for changes that arrive late
 			So(decodeRecord("", w.durable[operatorDrainKey("s00")], &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
 			w.elect()
@@ -332,7 +332,7 @@
 			running, _ := countRunning(w, "s00")
 			So(running, ShouldBeGreaterThan, 0)
 		})
-		Convey("tasks that waited for it wait for others", func() {
+		Convey("tasks that were bound to it are bound to others", func() {
 			stage.Count = 200
 			w.submitStages(1, stage)
 			before, _ := w.scheduler.Worker(w.clock(), "s01")
@@ -341,16 +341,16 @@
 			after, _ := w.scheduler.Worker(w.clock(), "s01")
 			So(after.WaitingTasks, ShouldEqual, 0)
 		})
-		Convey("the same order again writes nothing", func() {
+		Convey("the same drain again writes nothing", func() {
 			w.scheduler.TakeEffects()
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			effects := w.scheduler.TakeEffects()
 			So(effects.Empty(), ShouldBeTrue)
 		})
-		Convey("an unknown searcher is not drained", func() {
+		Convey("an unknown worker is not drained", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "nobody", true), ShouldBeFalse)
 		})
-		Convey("the record goes with the searcher's life", func() {
+		Convey("the record is erased with the worker's incarnation", func() {
 			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
 			w.crash(w.workers[0], "s00+")
 			w.steps(100)
@@ -358,7 +358,7 @@
 			w.steps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
-		Convey("so does that of a drain that was ended", func() {
+		Convey("so is that of a drain that was ended", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 			w.propose()
 			w.steps(5)
@@ -369,7 +369,7 @@
 			w.steps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
-		Convey("and also where the life ended while nobody led", func() {
+		Convey("and also where the incarnation ended while there was no leader", func() {
 			w.workers[0].up = false
 			w.elect()
 			for range maxMissedInventories {
@@ -378,7 +378,7 @@
 			w.steps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
-		Convey("what runs there goes on", func() {
+		Convey("attempts under way go on", func() {
 			w.submitStages(1, stage)
 			w.steps(50)
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
--- a/internal/jobs/scheduler/faults_test.go
+++ b/internal/jobs/scheduler/faults_test.go
@@ -10,15 +10,15 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// fault is what happens to a world at a moment, besides jobs.
+// fault disturbs the simulation in one step.
 type fault func(w *simulation, step int)
 
 const (
 	arrivalSteps = 500  // of 20 ms, in which jobs arrive
-	endSteps     = 4000 // by then everything must have ended
+	endSteps     = 4000 // by then all jobs must have ended
 )
 
-// simulate lets jobs arrive under troubles and then waits for the end of all of them.
+// simulate submits jobs under faults and then waits for the end of all of them.
 func simulate(seed uint64, jobs int, faults ...fault) *simulation {
 	w := newSimulation(seed, 9)
 	sent := 0
@@ -40,7 +40,7 @@
 	return w
 }
 
-// check lists the broken promises, with the jobs that did not end as they should.
+// check lists the violations, with the jobs that did not end as they should.
 func (w *simulation) check() []string {
 	broken := w.violations
 	for id, facts := range w.jobs {
@@ -69,28 +69,28 @@
 	return false
 }
 
-func takeovers(w *simulation, step int) {
+func takeovers(w *simulation, _ int) {
 	if w.random.IntN(100) == 0 {
 		w.elect()
 	}
 }
 
-func lateCommands(w *simulation, step int) { w.lateShare = 0.08 }
+func lateCommands(w *simulation, _ int) { w.lateShare = 0.08 }
 
-func crashes(w *simulation, step int) {
+func crashes(w *simulation, _ int) {
 	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(80) == 0 && worker.up {
 		w.crash(worker, fmt.Sprintf("%s+", worker.ID))
 	}
 }
 
-func partitions(w *simulation, step int) {
+func partitions(w *simulation, _ int) {
 	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(60) == 0 && worker.up && !worker.partitioned {
 		worker.partitioned = true
 		w.after(time.Duration(1+w.random.IntN(9))*time.Second, func() { worker.partitioned = false })
 	}
 }
 
-func cancels(w *simulation, step int) {
+func cancels(w *simulation, _ int) {
 	if w.random.IntN(20) != 0 {
 		return
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-func stalls(w *simulation, step int) {
+func stalls(w *simulation, _ int) {
 	if w.random.IntN(50) != 0 {
 		return
 	}
@@ -135,15 +135,15 @@
 	}{
 		{"calm", nil},
 		{"takeovers", []fault{takeovers}},
-		{"late orders", []fault{lateCommands}},
+		{"late commands", []fault{lateCommands}},
 		{"crashes", []fault{crashes}},
-		{"cuts", []fault{partitions}},
+		{"partitions", []fault{partitions}},
 		{"cancels", []fault{cancels}},
 		{"failures", []fault{failures}},
 		{"stalls", []fault{stalls}},
 		{"drains", []fault{drains}},
-		{"late orders and takeovers", []fault{lateCommands, takeovers}},
-		{"cuts and takeovers", []fault{partitions, takeovers}},
+		{"late commands and takeovers", []fault{lateCommands, takeovers}},
+		{"partitions and takeovers", []fault{partitions, takeovers}},
 		{"everything", []fault{takeovers, lateCommands, crashes, partitions, cancels, stalls, drains}},
 	}
 	const seeds = 20
@@ -160,7 +160,7 @@
 }
 
 func TestSameEventsSameEffects(t *testing.T) {
-	Convey("Two plays of one seed end in the same durable state", t, func() {
+	Convey("Two simulations with one seed end in the same durable state", t, func() {
 		first := simulate(7, 40, takeovers, partitions)
 		second := simulate(7, 40, takeovers, partitions)
 		So(second.durable, ShouldResemble, first.durable)
@@ -168,7 +168,7 @@
 }
 
 func TestCheckerDetectsLostRecords(t *testing.T) {
-	Convey("A state that is not kept breaks promises, and the judge sees it", t, func() {
+	Convey("A leader without its predecessor's records breaks promises, and the checker detects it", t, func() {
 		w := newSimulation(1, 9)
 		w.dropRecords = true
 		for number := range 20 {
--- a/internal/jobs/scheduler/inventory_test.go
+++ b/internal/jobs/scheduler/inventory_test.go
@@ -16,7 +16,7 @@
 		convey.So(err, convey.ShouldBeNil)
 		first, second := []workerclient.Instance{{ID: "i-1"}}, []workerclient.Instance{{ID: "i-2"}}
 		s.AddInventoryPage(now, first)
-		convey.Convey("the searchers of each page are known at once, and no page makes those of others missing", func() {
+		convey.Convey("the workers of each page are known at once, and no page makes those of others missing", func() {
 			convey.So(s.KnowsWorker("i-1"), convey.ShouldBeTrue)
 			for range maxMissedInventories + 1 {
 				s.AddInventoryPage(now, second)
@@ -24,7 +24,7 @@
 			convey.So(s.KnowsWorker("i-1"), convey.ShouldBeTrue)
 			convey.So(s.KnowsWorker("i-2"), convey.ShouldBeTrue)
 		})
-		convey.Convey("whole lists without one end its life", func() {
+		convey.Convey("complete lists without one end its incarnation", func() {
 			for range maxMissedInventories {
 				s.SetInventory(now, second)
 			}
--- a/internal/jobs/scheduler/jobs_test.go
+++ b/internal/jobs/scheduler/jobs_test.go
@@ -30,7 +30,7 @@
 			state, _ := jobs.Status(id)
 			return state
 		}
-		Convey("handed in again it stays cancelled for the time that states are kept", func() {
+		Convey("submitted again it stays cancelled for the retention time", func() {
 			So(state(later(kept-time.Second, kept-time.Second)), ShouldEqual, job.Cancelled)
 		})
 		Convey("also where the time of day is set forward or back", func() {
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRepeatedOperatorDrainUnderASuccessor(t *testing.T) {
-	Convey("Given a drain that was taken, and a successor that has not seen the searcher yet", t, func() {
+	Convey("Given a drain that was taken, and a successor that has not seen the worker yet", t, func() {
 		w := newSimulation(1, 3)
 		w.steps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
@@ -21,7 +21,7 @@
 		So(err, ShouldBeNil)
 		So(successor.KnowsWorker("s00"), ShouldBeFalse)
 
-		Convey("the drain is known when it comes again, and changes nothing", func() {
+		Convey("the same drain again is confirmed, and changes nothing", func() {
 			So(successor.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			effects := successor.TakeEffects()
 			So(effects.Empty(), ShouldBeTrue)
@@ -33,12 +33,12 @@
 			entries := successor.TakeEffects().Entries
 			So(entries, ShouldHaveLength, 1)
 			So(entries[0].Key, ShouldEqual, operatorDrainKey("s00"))
-			var record operatorDrainRecord // it stays, so that an order that comes late is known to be one
+			var record operatorDrainRecord // it stays, so that a change that arrives late is recognized
 			So(decodeRecord(entries[0].Key, entries[0].Value, &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
 			So(record.Version, ShouldEqual, 2)
 		})
-		Convey("another searcher is not known", func() {
+		Convey("another worker is not known", func() {
 			So(successor.SetOperatorDrain(w.clock(), "s01", true), ShouldBeFalse)
 			So(successor.SetOperatorDrain(w.clock(), "s01", false), ShouldBeFalse)
 		})
@@ -48,19 +48,19 @@
 func TestOperatorDrainVersions(t *testing.T) {
 	drain := func(version uint64) DrainChange { return DrainChange{Draining: true, BaseVersion: version} }
 	undrain := func(version uint64) DrainChange { return DrainChange{BaseVersion: version} }
-	Convey("Given a searcher that nobody has drained", t, func() {
+	Convey("Given a worker that was never drained", t, func() {
 		w := newSimulation(1, 3)
 		w.steps(20)
 		order := func(change DrainChange) jobreport.DrainOutcome {
 			return w.scheduler.ChangeOperatorDrain(w.clock(), "s00", change)
 		}
 
-		Convey("a drain that comes after the order that ended it changes nothing", func() {
+		Convey("a drain that arrives after the change that ended it changes nothing", func() {
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainTaken) // the operator gave up the drain, which is still on its way
 			So(order(drain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
-		Convey("an order that was taken is confirmed again, also after later ones", func() {
+		Convey("a change that was taken is confirmed again, also after later ones", func() {
 			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
 			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 1)
@@ -69,12 +69,12 @@
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 2)
 		})
-		Convey("one of two orders on top of one version is taken", func() {
+		Convey("one of two changes on top of one version is taken", func() {
 			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeTrue)
 		})
-		Convey("nothing is said of an order on top of a version that is not in force, or of one that is forgotten", func() {
+		Convey("the outcome of a change on top of a version that is not in force, or is forgotten, is unclear", func() {
 			So(order(drain(1)), ShouldEqual, jobreport.DrainUnclear)
 			So(order(undrain(math.MaxUint64)), ShouldEqual, jobreport.DrainUnclear)
 			for version := range uint64(drainHistory + 1) {
@@ -84,16 +84,16 @@
 			So(order(undrain(1)), ShouldEqual, jobreport.DrainTaken)
 			So(order(drain(1)), ShouldEqual, jobreport.DrainSuperseded)
 		})
-		Convey("an order without a version counts as one, where it changes something", func() {
+		Convey("a change without a version makes a new one, where it changes something", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 1)
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 		})
-		Convey("an unknown searcher is not ordered", func() {
+		Convey("an unknown worker is reported as such", func() {
 			So(w.scheduler.ChangeOperatorDrain(w.clock(), "nobody", drain(0)), ShouldEqual, jobreport.DrainUnknown)
 		})
-		Convey("a successor knows all of it", func() {
+		Convey("a successor has the same versions", func() {
 			order(drain(0))
 			order(undrain(1))
 			w.propose()
@@ -105,7 +105,7 @@
 			So(successor.ChangeOperatorDrain(w.clock(), "s00", undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(successor.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
-		Convey("a record of a release without versions is a drain", func() {
+		Convey("a record of a release without versions is a drain in force", func() {
 			type oldRecord struct {
 				SinceMS int64 `msgpack:"t"`
 			}
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -23,7 +23,7 @@
 	size    int
 }
 
-// referenceOrder works out the order of the stages that wait from nothing but the state of the scheduler.
+// referenceOrder computes the order of the stages that wait from scratch.
 func referenceOrder(s *Scheduler, now Now) []*stageState {
 	var all []*referenceCandidate
 	of := map[*repetitionState]*referenceCandidate{}
@@ -90,7 +90,7 @@
 	return order
 }
 
-// completeSome ends some runs at workers, so that room, queues and latencies change.
+// completeSome ends some runs at workers, so that capacity, queues and latencies change.
 func completeSome(s *Scheduler, now Now, round int) {
 	for i, worker := range s.sortedWorkers {
 		if (i+round)%3 != 0 {
@@ -109,7 +109,7 @@
 }
 
 func TestQueueOrderMatchesReference(t *testing.T) {
-	Convey("Under a backlog the stages that wait are ordered as by an ordering from scratch", t, func() {
+	Convey("Under a backlog the queue has the order of a computation from scratch", t, func() {
 		s, now, _ := newLoadedScheduler(30, 600)
 		for round := range 20 {
 			completeSome(s, now, round)
@@ -124,7 +124,7 @@
 			s.TakeEffects()
 		}
 	})
-	Convey("An ordering takes no memory for each job that waits", t, func() {
+	Convey("An ordering does not allocate for each job that waits", t, func() {
 		const jobs = 1000
 		s, now, _ := newLoadedScheduler(30, jobs)
 		So(len(s.waitingStages), ShouldBeGreaterThan, jobs/2)
@@ -144,7 +144,7 @@
 				Resources: job.Resources{Processors: 16000, MemoryMB: 1000}}}}})
 		s.Dispatch(now)
 	}
-	Convey("Where each task has room at the searcher that it is bound to, the others are not looked at", t, func() {
+	Convey("Where each task fits at the worker that it is bound to, the others are not listed", t, func() {
 		submit(1, 60)
 		So(s.openCached, ShouldBeFalse)
 		So(s.waitingStages[0].waiting, ShouldBeEmpty)
@@ -153,7 +153,7 @@
 			So(s.openCached, ShouldBeTrue)
 			So(s.openCache, ShouldHaveLength, 30)
 			freed := s.sortedWorkers[7]
-			s.endAllAttempts(now, freed) // its two tasks wait again, bound anywhere
+			s.endAllAttempts(now, freed) // its two tasks wait again, bound to any worker
 			s.Dispatch(now)
 			So(freed.attempts, ShouldHaveLength, 2)
 		})
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -13,8 +13,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// simulation plays workers, a replicated state and a leadership that may be replaced, in virtual time, and judges every
-// start against the promises that jobs have. It knows nothing of the scheduler's state.
+// simulation simulates workers, a replicated state and a leadership that may be replaced, in virtual time, and checks every
+// start against the promises that jobs have. It reads nothing of the scheduler's state.
 type simulation struct {
 	random     *rand.Rand
 	settings   Settings
@@ -30,8 +30,8 @@
 	jobs       map[job.ID]*jobFacts
 	violations []string
 
-	lateShare   float64 // of starts that get no answer and are carried out late
-	dropRecords bool    // mutant: records are not kept
+	lateShare   float64 // share of starts that get no answer and are executed late
+	dropRecords bool    // to test the checker: records are not kept
 }
 
 type proposal struct {
@@ -51,12 +51,12 @@
 	running           map[job.TaskID]*simulatedAttempt
 	completions       []workerclient.FinishedTask
 	acknowledged      uint64
-	closedAttempts    map[job.TaskID]uint64 // highest run that was stopped or has ended here
+	closedAttempts    map[job.TaskID]uint64 // highest attempt that was stopped or has ended here
 	leaseEnd          time.Duration
 	partitioned       bool
 	up                bool
 	reportedAt        time.Duration
-	grantedUntil      time.Duration // when everything granted has lapsed, as the leader knows
+	grantedUntil      time.Duration // when all granted leases have expired, as the leader knows
 	failing           bool
 	reachabilityKnown bool   // the scheduler knows whether it is reachable
 	reportedEpoch     uint64 // epoch whose leader has had a report
@@ -99,14 +99,13 @@
 	return w
 }
 
-func (w *simulation) addWorker(id string, number int) *simulatedWorker {
+func (w *simulation) addWorker(id string, number int) {
 	worker := &simulatedWorker{
 		Instance: workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x", Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4},
 			Labels: []string{[]string{"a", "b"}[number%2], fmt.Sprintf("rack%d", number/3)}},
 		running: map[job.TaskID]*simulatedAttempt{}, closedAttempts: map[job.TaskID]uint64{}, up: true,
 	}
 	w.workers = append(w.workers, worker)
-	return worker
 }
 
 func (w *simulation) clock() Now {
@@ -114,7 +113,7 @@
 	return Now{Monotonic: at, WallMS: at.UnixMilli()}
 }
 
-// elect begins a new leadership from what is durable; what was not is lost.
+// elect begins a new leadership from what is durable; the rest is lost.
 func (w *simulation) elect() {
 	if w.scheduler != nil {
 		w.epoch++
@@ -142,7 +141,7 @@
 	w.propose()
 }
 
-// propose takes what the scheduler wants done; it is durable a little later.
+// propose takes the scheduler's effects; they are durable a little later.
 func (w *simulation) propose() {
 	w.scheduler.Dispatch(w.clock())
 	effects := w.scheduler.TakeEffects()
@@ -159,7 +158,7 @@
 	return w.workers[at]
 }
 
-// step moves the world on by a little.
+// step advances the simulation by 20 ms.
 func (w *simulation) step() {
 	w.elapsed += 20 * time.Millisecond
 	for len(w.inFlight) > 0 && w.inFlight[0].at <= w.elapsed {
@@ -278,7 +277,7 @@
 	w.events = append(w.events, timedEvent{w.elapsed + pause, do})
 }
 
-// executeStart carries a start out at a machine, as a worker does.
+// executeStart executes a start command, as a worker does.
 func (w *simulation) executeStart(worker *simulatedWorker, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
 	if !worker.up {
 		return workerclient.Unclear
@@ -345,7 +344,7 @@
 			w.violation("TWICE %v starts after it was done", id)
 		}
 	}
-	if len(recorded.failuresAcknowledged) >= facts.request.Queue.MaxAttempts && !stage.LongRunning && !(late && stage.AtLeastOnce) {
+	if len(recorded.failuresAcknowledged) >= facts.request.Queue.MaxAttempts && !stage.LongRunning && (!late || !stage.AtLeastOnce) {
 		w.violation("BUDGET %v", id)
 	}
 	for _, earlier := range stage.DependsOn {
@@ -455,7 +454,7 @@
 	}
 }
 
-// isGangComplete tells whether all members of a run are there.
+// isGangComplete tells whether all members of an attempt are running.
 func (w *simulation) isGangComplete(id job.TaskID, number uint64) bool {
 	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if !stage.GangScheduled {
@@ -472,7 +471,7 @@
 	return running == stage.Count
 }
 
-// sendReport lets a machine that is due answer a hold.
+// sendReport reports a worker that is due.
 func (w *simulation) sendReport(worker *simulatedWorker) {
 	if w.elapsed-worker.reportedAt < 300*time.Millisecond && worker.reachabilityKnown {
 		return
@@ -538,7 +537,7 @@
 	w.resubmit(facts)
 }
 
-// resubmit hands a job in until it is durable, as clients do.
+// resubmit submits a job until it is durable, as clients do.
 func (w *simulation) resubmit(facts *jobFacts) {
 	if w.durable[jobKey(facts.request.ID)] != nil || w.durable[endedKey(facts.request.ID)] != nil {
 		return
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -24,7 +24,7 @@
 const (
 	storedFolder    = "testdata/stored"
 	storedDump      = "testdata/stored.json"  // the tables' bytes in hex
-	restoredSummary = "testdata/restored.txt" // what schedulers make of them
+	restoredSummary = "testdata/restored.txt" // what schedulers restore from them
 	updateVariable  = "GOLDEN_UPDATE"         // set to 1, the stored data is made anew
 	storedRender    = "group/jobs/render"
 	storedMail      = "group/jobs/mail"
@@ -100,7 +100,7 @@
 	g.commit()
 }
 
-// completion reports that a task's newest run has ended.
+// complete reports that a task's newest attempt has ended.
 func (g *storedGroup) complete(id job.ID, repetition, stage, index int, outcome job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
 	worker := g.assignedTo[task]
@@ -179,7 +179,7 @@
 	g.commit()
 }
 
-// summarizeState writes down all that a scheduler has made of its records, in words that do not depend on names in the code.
+// summarizeState writes down all that a scheduler has restored, in words that do not depend on names in the code.
 func summarizeState(s *Scheduler) string {
 	var text strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
@@ -277,6 +277,7 @@
 }
 
 func openStored(t *testing.T, folder string) *storage.FileStore {
+	t.Helper()
 	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -286,6 +287,7 @@
 }
 
 func makeStoredJobs(t *testing.T) {
+	t.Helper()
 	os.RemoveAll(storedFolder)
 	store := openStored(t, storedFolder)
 	writeStoredJobs(store)
@@ -301,6 +303,7 @@
 }
 
 func readGolden(t *testing.T, path string) string {
+	t.Helper()
 	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
