--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -103,7 +103,7 @@
 		writeError(w, status, err.Error())
 		return
 	}
-	h.writeOutcome(w, h.applyChange(ifMatch, body))
+	h.writeOutcome(w, h.applyChange(ifMatch, body)) //nolint:contextcheck // a change outlasts its request: it ends with the lifetime
 }
 
 // applyChange runs a change for which the caller has put a token into h.inFlight, and takes the token out at its end. After
@@ -127,8 +127,18 @@
 	}
 }
 
+// errUncertain answers a change without a clear outcome.
 var errUncertain = errors.New("the change may or may not be taken; send it again unchanged")
 
+// Errors of requests. Operators read their texts.
+var (
+	errIfMatchMissing   = errors.New("If-Match is missing; give the version that the change builds on, 0 for the first")
+	errIfMatchMalformed = errors.New("If-Match is not a version; give the version that the change builds on, 0 for the first")
+	errBodyTooLong      = errors.New("the body is too long; send at most " + strconv.Itoa(configuration.MaxBodyBytes) + " bytes")
+	errBodyTruncated    = errors.New("the body is cut short; send it whole")
+	errBodyNotReceived  = errors.New("the body did not arrive; send it again")
+)
+
 // acceptedBody is the body of the response to an accepted change.
 type acceptedBody struct {
 	Version uint64 `json:"version"`
@@ -159,11 +169,11 @@
 // parseIfMatch reads a version, with or without the quotes of an entity tag.
 func parseIfMatch(value string) (uint64, error) {
 	if value == "" {
-		return 0, errors.New("If-Match is missing; give the version that the change builds on, 0 for the first")
+		return 0, errIfMatchMissing
 	}
 	version, err := entitytag.Parse(value)
 	if err != nil {
-		return 0, errors.New("If-Match is not a version; give the version that the change builds on, 0 for the first")
+		return 0, errIfMatchMalformed
 	}
 	return version, nil
 }
@@ -177,10 +187,9 @@
 	case err == nil:
 		return body, http.StatusOK, nil
 	case errors.As(err, &tooLarge):
-		text := "the body is too long; send at most " + strconv.Itoa(configuration.MaxBodyBytes) + " bytes"
-		return nil, http.StatusRequestEntityTooLarge, errors.New(text)
+		return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return nil, http.StatusBadRequest, errors.New("the body is cut short; send it whole")
+		return nil, http.StatusBadRequest, errBodyTruncated
 	}
-	return nil, http.StatusRequestTimeout, errors.New("the body did not arrive; send it again")
+	return nil, http.StatusRequestTimeout, errBodyNotReceived
 }
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -33,6 +33,9 @@
 	registerTables        = register.TablePrefix
 )
 
+// errNoDisk is the error of settings without a data directory.
+var errNoDisk = errors.New("dataDirectory: missing: a coordinator needs a disk; run it on a class of machines that has one")
+
 // errStoreFailed ends a process whose disk failed to sync, so that what is durable is uncertain. After a restart it reads what the
 // disk has.
 var errStoreFailed = errors.New("the store has failed; see the disk of the data directory")
@@ -64,7 +67,7 @@
 // New opens the store and makes the parts of a coordinator. Nothing is served until Run.
 func New(settings nodesettings.Settings, log *zap.Logger) (*Coordinator, error) {
 	if settings.DataDirectory == "" {
-		return nil, errors.New("dataDirectory: missing: a coordinator needs a disk; run it on a class of machines that has one")
+		return nil, errNoDisk
 	}
 	store, opened, err := storage.Open(storage.OperatingSystem{}, settings.DataDirectory, storeOptions(settings.Limits))
 	if err != nil {
@@ -78,8 +81,7 @@
 	}
 	c.workerHTTP = c.workers.HTTPClient()
 	if err := c.assemble(); err != nil {
-		store.Close()
-		return nil, err
+		return nil, errors.Join(err, store.Close())
 	}
 	return c, nil
 }
--- a/internal/controlplane/coordinator/diskfull_test.go
+++ b/internal/controlplane/coordinator/diskfull_test.go
@@ -39,7 +39,7 @@
 				}
 				return 7, last
 			})
-			if result != 7 || err != last || attempts != 4 || time.Since(began) != 3*fullDiskRetryInterval {
+			if result != 7 || err != last || attempts != 4 || time.Since(began) != 3*fullDiskRetryInterval { //nolint:errorlint // returned as it is
 				t.Errorf("%d, %v after %d attempts and %v", result, err, attempts, time.Since(began))
 			}
 		})
@@ -66,7 +66,7 @@
 				}
 				return last
 			})
-			if err != last || runs != 3 {
+			if err != last || runs != 3 { //nolint:errorlint // returned as it is
 				t.Errorf("%v after %d runs", err, runs)
 			}
 		})
--- a/internal/controlplane/coordinator/run.go
+++ b/internal/controlplane/coordinator/run.go
@@ -41,8 +41,8 @@
 	go func() { report("replica set", c.replicas.Run(lifetime)) }()
 	go func() { report("rebuild", c.rebuilder.Run(lifetime)) }()
 	go func() { report("replica set", c.rebuilder.Watch(lifetime)) }()
-	go c.configurator.Run(lifetime)
-	go c.feed.Run(lifetime)
+	go func() { report("configuration", c.configurator.Run(lifetime)) }()
+	go func() { report("feed", c.feed.Run(lifetime)) }()
 	go c.ensureGroups(lifetime)
 	go c.readInventory(lifetime)
 	leading, resign := context.WithCancel(lifetime)
@@ -56,7 +56,7 @@
 	resign()
 	<-resigned
 	c.jobs.Stop()
-	c.shutDown(internal, operator)
+	c.shutDown(internal, operator) //nolint:contextcheck // it has a time-out of its own, as ctx has ended
 	end()
 	return errors.Join(err, c.store.Close())
 }
@@ -66,7 +66,7 @@
 	for {
 		changed := c.configurator.Changed()
 		if _, body := c.configurator.Current(); len(body) > 0 {
-			c.ensureServices(body)
+			c.ensureServices(body) //nolint:contextcheck // a group lasts until the node ends
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/controlplane/coordinator/shutdown.go
+++ b/internal/controlplane/coordinator/shutdown.go
@@ -33,7 +33,7 @@
 func (c *Coordinator) shutDown(internal, operator *http.Server) {
 	patience, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	operator.Shutdown(patience)
+	_ = operator.Shutdown(patience) // requests that are not completed by then are cut off
 	time.Sleep(finalRepliesTime)
 	internal.Close()
 	c.caller.Close()
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -152,7 +152,7 @@
 		for range maxRequests {
 			go func() {
 				recorder := httptest.NewRecorder()
-				handler.ServeHTTP(recorder, httptest.NewRequest("GET", WorkersPath+"?service=stress", nil))
+				handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, WorkersPath+"?service=stress", nil))
 				answers <- recorder.Code
 			}()
 		}
--- a/internal/transport/boundedlistener.go
+++ b/internal/transport/boundedlistener.go
@@ -58,7 +58,7 @@
 			l.stateChanged.Wait()
 			continue
 		}
-		connection := oldest.Value.(net.Conn)
+		connection := oldest.Value.(net.Conn) //nolint:forcetypeassert // the list has nothing else
 		l.remove(connection)
 		connection.Close()
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -50,6 +50,9 @@
 	return &Client{cluster: cluster, roundTripper: roundTripper, directory: newDirectory(), callIDPrefix: rand.Text() + "."}
 }
 
+// errUnknownProcess is the cause of an at-most-once call that is not sent; the address follows it.
+var errUnknownProcess = errors.New("nobody is known to serve")
+
 // Close closes idle connections. The client can still be used.
 func (c *Client) Close() {
 	if idle, ok := c.roundTripper.(interface{ CloseIdleConnections() }); ok {
@@ -83,7 +86,7 @@
 	}
 	call := c.newOutgoingCall(address, route, body)
 	if _, known := call.addressee.(Process); !known {
-		return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: nobody is known to serve %s", route.Path(), address), 0)
+		return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: %w %s", route.Path(), errUnknownProcess, address), 0)
 	}
 	return c.roundTrip(ctx, call, reply)
 }
@@ -134,11 +137,23 @@
 	return rpcerror.WrapMayHaveExecuted(err)
 }
 
+// StatusError is the cause of a call that was answered by another status than 200.
+type StatusError struct {
+	URL    string // address and path
+	Status int
+	Text   string // of the body
+}
+
+// Error implements the error interface.
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("%s answered %d: %s", e.URL, e.Status, e.Text)
+}
+
 // responseError is the error of a response with another status than 200. Responses of 503 and 404, the latter of a build
 // that lacks the path, say that the call was not executed.
 func responseError(call *outgoingCall, response *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	err := fmt.Errorf("%s answered %d: %s", call, response.StatusCode, bytes.TrimSpace(text))
+	err := &StatusError{URL: call.String(), Status: response.StatusCode, Text: string(bytes.TrimSpace(text))}
 	if response.StatusCode != http.StatusServiceUnavailable && response.StatusCode != http.StatusNotFound {
 		return rpcerror.WrapMayHaveExecuted(err)
 	}
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -240,7 +240,7 @@
 
 // TestClientKeepsTheContractOverTCP replaces processes behind connections that stay open.
 func TestClientKeepsTheContractOverTCP(t *testing.T) {
-	runContract(t, func(t *testing.T, handler http.Handler) fixture {
+	runContract(t, func(_ *testing.T, handler http.Handler) fixture {
 		var serving swappableHandler
 		serving.set(handler)
 		server := httptest.NewServer(&serving)
@@ -271,7 +271,7 @@
 	Convey("A call whose response is truncated or unreadable may have been executed", t, func() {
 		for _, handler := range []http.HandlerFunc{
 			func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("no msgpack")) },
-			func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) },
+			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Length", "100")
 				w.Write([]byte{0x81})
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -62,11 +62,22 @@
 		return err
 	}
 	if !addressee.matches(m.identity) {
-		return fmt.Errorf("the call means %s, this is %s", addressee.headerText(), m.identityText)
+		return &wrongAddresseeError{addressee, m.identityText}
 	}
 	return nil
 }
 
+// wrongAddresseeError rejects a call to another process. Its text is read by callers of other builds.
+type wrongAddresseeError struct {
+	addressee    Addressee
+	identityText string // of the process that rejects the call
+}
+
+// Error implements the error interface.
+func (e *wrongAddresseeError) Error() string {
+	return fmt.Sprintf("the call means %s, this is %s", e.addressee.headerText(), e.identityText)
+}
+
 // startsTooLate tells whether the latest start of a call has passed. Calls of older builds have none.
 func (m *Mux) startsTooLate(r *http.Request) bool {
 	latestStart, err := strconv.ParseInt(r.Header.Get(UntilHeader), 10, 64)
--- a/internal/transport/resettest/relay.go
+++ b/internal/transport/resettest/relay.go
@@ -84,7 +84,7 @@
 			caller.Close()
 			return
 		}
-		both := [2]*net.TCPConn{caller.(*net.TCPConn), callee.(*net.TCPConn)}
+		both := [2]*net.TCPConn{caller.(*net.TCPConn), callee.(*net.TCPConn)} //nolint:forcetypeassert // of a listener and a dial by TCP
 		go r.pass(Requests, both[0], both[1])
 		go r.pass(Responses, both[1], both[0])
 	}
