--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -6,6 +6,9 @@
 	"go.uber.org/zap"
 )
 
+// redeliveryAge is the age after which completions without an acknowledgement are delivered again.
+const redeliveryAge = time.Second
+
 // deliver reports the lists of a response.
 func (l *Link) deliver(c listCall, response workerResponse, outOfBand bool) {
 	listing := l.listing(c, response)
@@ -31,14 +34,14 @@
 	}
 	for _, entry := range response.body.Running {
 		if entry.nameErr != nil {
-			l.log.Warn("run skipped", zap.Error(entry.nameErr))
+			l.log.Warn("attempt skipped", zap.Error(entry.nameErr))
 			continue
 		}
 		listing.Running = append(listing.Running, entry.task)
 	}
 	for _, entry := range response.body.Finished {
 		if entry.nameErr != nil {
-			l.log.Warn("end skipped", zap.Error(entry.nameErr))
+			l.log.Warn("completion skipped", zap.Error(entry.nameErr))
 			continue
 		}
 		listing.Finished = append(listing.Finished, entry.task)
