--- a/internal/controlplane/replication/randomfaults_test.go
+++ b/internal/controlplane/replication/randomfaults_test.go
@@ -13,12 +13,12 @@
 
 // fault brings one random fault and ends it some time later.
 func (s *simulation) fault() {
-	if s.badDisks && s.random.IntN(4) == 0 {
+	if s.diskFaults && s.random.IntN(4) == 0 {
 		s.diskFault()
 		return
 	}
 	kinds := 10
-	if s.exchanges {
+	if s.replacements {
 		kinds++
 	}
 	switch s.random.IntN(kinds) {
@@ -147,7 +147,7 @@
 		return err
 	}
 	if !s.led() || s.history.commits == before {
-		return fmt.Errorf("no leaders or no progress after the end of all troubles")
+		return fmt.Errorf("no leaders or no progress after the end of all faults")
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 // faultSpan is long enough for a dozen faults.
 const faultSpan = 20 * time.Second
 
-// seeds is how many storms of a kind there are. Nothing is concurrent in them, so few do under the race detector.
+// seeds is how many schedules of a kind there are. Nothing is concurrent in them, so few do under the race detector.
 func seeds(usual int) uint64 {
 	if *randomFaultSeeds > 0 {
 		return uint64(*randomFaultSeeds)
@@ -178,14 +178,14 @@
 	}{
 		{"three members", 3, false, false}, {"five members", 5, false, false},
 		{"three members, exchanged", 3, true, false}, {"five members, exchanged", 5, true, false},
-		{"three members, disks in trouble", 3, false, true}, {"five members, exchanged, disks in trouble", 5, true, true},
+		{"three members, disk faults", 3, false, true}, {"five members, exchanged, disk faults", 5, true, true},
 	}
 	for _, kind := range kinds {
 		t.Run(kind.name, func(t *testing.T) {
 			commits, elections := 0, 0
 			for seed := range seeds(25) {
 				s := newSimulation(seed, kind.members, defects{}, Timing{})
-				s.exchanges, s.badDisks = kind.exchanges, kind.badDisks
+				s.replacements, s.diskFaults = kind.exchanges, kind.badDisks
 				if err := s.randomFaults(faultSpan); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
