--- a/internal/jobs/inventory/reader_test.go
+++ b/internal/jobs/inventory/reader_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -91,7 +92,9 @@
 			convey.So(err, convey.ShouldWrap, ErrRateLimited)
 			platform.Fail(http.StatusInternalServerError)
 			_, _, err = reader.ReadAll(t.Context())
-			convey.So(err, convey.ShouldNotBeNil)
+			var unexpected *StatusError
+			convey.So(errors.As(err, &unexpected), convey.ShouldBeTrue)
+			convey.So(unexpected.Status, convey.ShouldEqual, http.StatusInternalServerError)
 		})
 	})
 	convey.Convey("Given a platform that sends malformed answers, there is no list", t, func() {
--- a/internal/jobs/job/job_test.go
+++ b/internal/jobs/job/job_test.go
@@ -1,6 +1,7 @@
 package job
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -9,7 +10,7 @@
 )
 
 func TestSpecifications(t *testing.T) {
-	Convey("A whole specification is read as it was written", t, func() {
+	Convey("A complete specification is read as it was written", t, func() {
 		s, err := ParseSpecification([]byte(`{"specification":"text","stages":[{"count":4,"processors":500,"memoryRequestMb":256,
 			"estimatedDurationMs":900,"affinity":"r1-3","requirements":"a"},{"count":20,"accelerators":2,"dependsOn":[0],"checkpoints":true,
 			"gangScheduled":true,"sameRack":true,"antiAffinity":3}],"repetitions":3,"firstRunMs":1700000000000,"intervalMs":500,"other":1}`))
@@ -19,7 +20,7 @@
 		So(s.Stages[0].Resources, ShouldResemble, Resources{Processors: 500, MemoryMB: 256})
 		So(s.Stages[1].DependsOn, ShouldResemble, []int{0})
 		So(s.Stages[1].GangScheduled && s.Stages[1].SameRack && s.Stages[1].Checkpoints, ShouldBeTrue)
-		Convey("and survives the internal protocol", func() {
+		Convey("and is the same after the internal encoding", func() {
 			body, err := msgpack.Marshal(s)
 			So(err, ShouldBeNil)
 			var decoded Specification
@@ -27,7 +28,7 @@
 			So(decoded, ShouldResemble, s)
 		})
 	})
-	Convey("What is wrong is named", t, func() {
+	Convey("An error names what is wrong", t, func() {
 		for body, wantText := range map[string]string{
 			`{"stages":[{"count":1}`:                                "job:",
 			`{"stages":[]}`:                                         "stages: 0",
@@ -45,6 +46,16 @@
 	})
 }
 
+func TestSpecificationErrorNamesTheField(t *testing.T) {
+	Convey("A specification that is not valid gives a SpecificationError", t, func() {
+		_, err := ParseSpecification([]byte(`{"stages":[{"count":1},{"count":1,"dependsOn":[1]}]}`))
+		var invalid *SpecificationError
+		So(errors.As(err, &invalid), ShouldBeTrue)
+		So(invalid.Field, ShouldEqual, "stages[1].dependsOn")
+		So(err.Error(), ShouldEqual, "stages[1].dependsOn: 1 is not an earlier stage")
+	})
+}
+
 func TestTaskNames(t *testing.T) {
 	Convey("A task's name is read back", t, func() {
 		id := TaskID{Job: "5c0e7a21d94b36f8", Repetition: 2, Stage: 1, Index: 17}
@@ -52,10 +63,10 @@
 		So(err, ShouldBeNil)
 		So(parsed, ShouldResemble, id)
 	})
-	Convey("Other texts are no names", t, func() {
+	Convey("Other texts are rejected", t, func() {
 		for _, text := range []string{"", "5c0e7a21d94b36f8.0.1", "5c0e7a21d94b36f8.0.1.-1", "5c0e7a21d94b36f8.0.1.x", "a.0.1.2.3"} {
 			_, err := ParseTaskID(text)
-			So(err, ShouldNotBeNil)
+			So(err, ShouldWrap, ErrInvalidTaskID)
 		}
 	})
 	Convey("Job IDs have 16 hexadecimal digits", t, func() {
@@ -66,7 +77,7 @@
 }
 
 func TestResources(t *testing.T) {
-	Convey("Requests fit and count by each part", t, func() {
+	Convey("A request fits only if each of its resources does", t, func() {
 		capacity := Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}
 		So(capacity.Fits(Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}), ShouldBeTrue)
 		So(capacity.Fits(Resources{Accelerators: 2}), ShouldBeFalse)
@@ -76,7 +87,7 @@
 	})
 }
 
-// FuzzParseSpecification looks for bodies that end the process, or that pass and break what the scheduler takes for granted.
+// FuzzParseSpecification looks for bodies that end the process, or that are valid and break what the scheduler relies on.
 func FuzzParseSpecification(f *testing.F) {
 	f.Add([]byte(`{"specification":"text","stages":[{"count":2,"requirements":["a","b"]},{"count":1,"dependsOn":[0]}],"repetitions":2}`))
 	f.Add([]byte(`{"stages":[{"count":1e3}]}`))
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -8,6 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
+	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
 func TestRepeatedOperatorDrainUnderASuccessor(t *testing.T) {
@@ -118,3 +119,117 @@
 		})
 	})
 }
+
+// countRunning counts the attempts that run on one worker and on all.
+func countRunning(w *simulation, id workerclient.WorkerID) (running, all int) {
+	for _, worker := range w.workers {
+		all += len(worker.running)
+		if worker.ID == id {
+			running = len(worker.running)
+		}
+	}
+	return running, all
+}
+
+func TestOperatorDrain(t *testing.T) {
+	Convey("Given workers, of which an operator drains one", t, func() {
+		w := newSimulation(1, 3)
+		w.steps(20)
+		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
+		w.propose()
+		w.steps(5)
+		stage := smallStage(6)
+		stage.LongRunning = true
+
+		Convey("it gets no starts, and the others do", func() {
+			w.submitStages(1, stage)
+			w.steps(50)
+			running, all := countRunning(w, "s00")
+			So(running, ShouldEqual, 0)
+			So(all, ShouldEqual, 6)
+			report, _ := w.scheduler.Worker(w.clock(), "s00")
+			So(report.State, ShouldEqual, jobreport.WorkerOperatorDraining)
+		})
+		Convey("a successor keeps the drain", func() {
+			w.elect()
+			w.steps(20)
+			w.submitStages(1, stage)
+			w.steps(50)
+			running, all := countRunning(w, "s00")
+			So(running, ShouldEqual, 0)
+			So(all, ShouldEqual, 6)
+		})
+		Convey("once it is ended the worker gets starts again, also under a successor", func() {
+			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
+			w.propose()
+			w.steps(5)
+			var record operatorDrainRecord // it stays for changes that arrive late
+			So(decodeRecord("", w.durable[operatorDrainKey("s00")], &record), ShouldBeNil)
+			So(record.draining(), ShouldBeFalse)
+			w.elect()
+			w.steps(20)
+			w.submitStages(1, stage)
+			w.steps(50)
+			running, _ := countRunning(w, "s00")
+			So(running, ShouldBeGreaterThan, 0)
+		})
+		Convey("tasks that were bound to it are bound to others", func() {
+			stage.Count = 200
+			w.submitStages(1, stage)
+			before, _ := w.scheduler.Worker(w.clock(), "s01")
+			So(before.WaitingTasks, ShouldBeGreaterThan, 0)
+			w.scheduler.SetOperatorDrain(w.clock(), "s01", true)
+			after, _ := w.scheduler.Worker(w.clock(), "s01")
+			So(after.WaitingTasks, ShouldEqual, 0)
+		})
+		Convey("the same drain again writes nothing", func() {
+			w.scheduler.TakeEffects()
+			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
+			effects := w.scheduler.TakeEffects()
+			So(effects.Empty(), ShouldBeTrue)
+		})
+		Convey("an unknown worker is not drained", func() {
+			So(w.scheduler.SetOperatorDrain(w.clock(), "nobody", true), ShouldBeFalse)
+		})
+		Convey("the record is erased with the worker's incarnation", func() {
+			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
+			w.crash(w.workers[0], "s00+")
+			w.steps(100)
+			w.sendInventory()
+			w.steps(5)
+			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
+		})
+		Convey("so is that of a drain that was ended", func() {
+			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
+			w.propose()
+			w.steps(5)
+			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
+			w.crash(w.workers[0], "s00+")
+			w.steps(100)
+			w.sendInventory()
+			w.steps(5)
+			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
+		})
+		Convey("and also where the incarnation ended while there was no leader", func() {
+			w.workers[0].up = false
+			w.elect()
+			for range maxMissedInventories {
+				w.sendInventory()
+			}
+			w.steps(5)
+			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
+		})
+		Convey("attempts under way go on", func() {
+			w.submitStages(1, stage)
+			w.steps(50)
+			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
+			w.propose()
+			before, _ := countRunning(w, "s01")
+			w.steps(100)
+			after, _ := countRunning(w, "s01")
+			So(after, ShouldEqual, before)
+			So(before, ShouldBeGreaterThan, 0)
+		})
+		So(w.violations, ShouldBeEmpty)
+	})
+}
