--- a/policy/policy.go
+++ b/policy/policy.go
@@ -90,63 +90,63 @@
 }
 
 // Step handles all that happened at one time and releases what may go.
-func (m *Aggregator) Step(now float64, events []Event, actions []Action) []Action {
-	m.now, m.actions, m.step = now, actions, m.step+1
-	due := m.step == 1
+func (a *Aggregator) Step(now float64, events []Event, actions []Action) []Action {
+	a.now, a.actions, a.step = now, actions, a.step+1
+	due := a.step == 1
 	for i := range events {
 		e := &events[i]
 		due = due || e.Kind == TimerDue
 		if handle := eventTable[e.Kind]; handle != nil {
-			handle(m, e)
+			handle(a, e)
 		}
 	}
-	m.sendPending()
+	a.sendPending()
 	if due { // after the release: what is still held then could not go
-		m.sweep()
-		m.sendPending()
+		a.sweep()
+		a.sendPending()
 	}
-	return m.actions
+	return a.actions
 }
 
-func (m *Aggregator) listChanged(e *Event) {
+func (a *Aggregator) listChanged(e *Event) {
 	if e.List == ListFailed {
 		// Wait by chance: aggregators that lost the list together must not ask together.
-		m.listBackoff = min(backoffMax, max(backoffFirst, 2*m.listBackoff))
-		m.listPollAt = m.now + m.listBackoff*(0.5+m.random.unit())
+		a.listBackoff = min(backoffMax, max(backoffFirst, 2*a.listBackoff))
+		a.listPollAt = a.now + a.listBackoff*(0.5+a.random.unit())
 		return
 	}
-	m.listBackoff = 0
-	m.removeBackends(e.List != ListPatch)
+	a.listBackoff = 0
+	a.removeBackends(e.List != ListPatch)
 	for i := range e.Entries {
-		r := &e.Entries[i]
-		s, fresh := m.applyEntry(r)
-		if r.StartedAt > 0 && r.StartedAt > s.started {
-			if !fresh {
-				m.crashShare.add(1, m.now, faultMemory*m.longestSoft)
+		entry := &e.Entries[i]
+		b, isNew := a.applyEntry(entry)
+		if entry.StartedAt > 0 && entry.StartedAt > b.started {
+			if !isNew {
+				a.crashShare.add(1, a.now, faultMemory*a.longestSoft)
 			}
-			m.resetEstimates(s)
-			m.recordStart(s, r.StartedAt)
+			a.resetEstimates(b)
+			a.recordStart(b, entry.StartedAt)
 		}
 	}
-	for _, p := range m.pendingSubqueries() {
-		if p.state == statePending && (p.assigned == nil || !p.assigned.ready) {
-			m.bind(p)
+	for _, sub := range a.pendingSubqueries() {
+		if sub.state == statePending && (sub.assigned == nil || !sub.assigned.ready) {
+			a.bind(sub)
 		}
 	}
 }
 
 // overridesChanged takes what operators override. What is held where it may no longer go is bound anew; calls out
 // end well. One that comes back after it was out starts as a new one would: what was known of it is old.
-func (m *Aggregator) overridesChanged(e *Event) {
-	for _, s := range m.applyOverrides(e.Override) {
-		s.window = min(s.window, windowStart)
-		if len(s.calls) == 0 {
-			s.unansweredSince = 0
+func (a *Aggregator) overridesChanged(e *Event) {
+	for _, b := range a.applyOverrides(e.Override) {
+		b.window = min(b.window, windowStart)
+		if len(b.calls) == 0 {
+			b.unansweredSince = 0
 		}
 	}
-	for _, p := range m.pendingSubqueries() {
-		if p.state == statePending && (p.assigned == nil || !m.mayServe(p, p.assigned)) {
-			m.bind(p)
+	for _, sub := range a.pendingSubqueries() {
+		if sub.state == statePending && (sub.assigned == nil || !a.mayServe(sub, sub.assigned)) {
+			a.bind(sub)
 		}
 	}
 }
--- a/policy/policy_lookup.go
+++ b/policy/policy_lookup.go
@@ -9,173 +9,173 @@
 // Queries: what is taken, what is dropped or turned away, when a query ends and how.
 
 // deadlineMargin is how long before a deadline an answer must be on its way: a sweep may come a step late.
-func (m *Aggregator) deadlineMargin() float64 {
-	return max(sweepEvery, m.settings.Step) + 2*m.settings.Step
+func (a *Aggregator) deadlineMargin() float64 {
+	return max(sweepEvery, a.settings.Step) + 2*a.settings.Step
 }
 
-func (m *Aggregator) sweep() {
-	m.emit(Action{Kind: SetTimer, Timer: sweepTimer, Wait: max(sweepEvery, m.settings.Step)})
-	if m.now >= m.listPollAt {
-		m.listPollAt = math.Inf(1)
-		m.emit(Action{Kind: Subscribe, On: true})
+func (a *Aggregator) sweep() {
+	a.emit(Action{Kind: SetTimer, Timer: sweepTimer, Wait: max(sweepEvery, a.settings.Step)})
+	if a.now >= a.listPollAt {
+		a.listPollAt = math.Inf(1)
+		a.emit(Action{Kind: Subscribe, On: true})
 	}
-	for _, s := range m.fleet {
-		m.detectSilence(s)
+	for _, b := range a.fleet {
+		a.detectSilence(b)
 	}
-	for _, lk := range slices.Clone(m.openQueries) {
-		m.checkDeadlines(lk)
+	for _, q := range slices.Clone(a.openQueries) {
+		a.checkDeadlines(q)
 	}
 }
 
-func (m *Aggregator) receiveQuery(e *Event) {
-	lk, x := m.addQuery(e), &m.indexes[e.Index]
-	lk.overQuota = m.exceedsQuota(e.Customer, burstS)
+func (a *Aggregator) receiveQuery(e *Event) {
+	q, row := a.addQuery(e), &a.indexes[e.Index]
+	q.overQuota = a.exceedsQuota(e.Customer, burstS)
 	// Against counting the soft deadline from a retry: a client's last try gives all that is left, be it more or
 	// less than its first ones gave, which are most.
-	if x.recordTimeout(e.Remaining, timeoutTolerance*x.hard, timeoutVotesMax); math.Abs(e.Remaining-x.clientTimeout) > timeoutTolerance*x.hard {
-		lk.soft -= max(0, x.hard-e.Remaining)
+	if row.recordTimeout(e.Remaining, timeoutTolerance*row.hard, timeoutVotesMax); math.Abs(e.Remaining-row.clientTimeout) > timeoutTolerance*row.hard {
+		q.soft -= max(0, row.hard-e.Remaining)
 	}
 }
 
-func (m *Aggregator) receiveSubquery(e *Event) {
-	lk := m.queries[e.No]
-	if lk == nil {
+func (a *Aggregator) receiveSubquery(e *Event) {
+	q := a.queries[e.No]
+	if q == nil {
 		return
 	}
-	p := m.addSubquery(lk, e)
+	sub := a.addSubquery(q, e)
 	if e.Hint > 0 {
-		smooth(&m.meanHint, e.Hint, usualStep)
-		smooth(&m.indexes[lk.index].meanWork, e.Hint, usualStep)
-		p.size = (1 + e.Hint/m.meanHint) / 2 // half of a latency is the wait for others' parts
-	}
-	m.bind(p)
-	if len(lk.subqueries) == lk.expected {
-		slices.SortStableFunc(lk.subqueries, func(a, b *subquery) int { return cmp.Compare(b.size, a.size) })
-		m.shedSubqueries(lk)
-		if m.mustReject(lk) {
-			m.applyToQuery(lk, onGiveUp)
+		smooth(&a.meanHint, e.Hint, usualStep)
+		smooth(&a.indexes[q.index].meanWork, e.Hint, usualStep)
+		sub.size = (1 + e.Hint/a.meanHint) / 2 // half of a latency is the wait for others' parts
+	}
+	a.bind(sub)
+	if len(q.subqueries) == q.expected {
+		slices.SortStableFunc(q.subqueries, func(a, b *subquery) int { return cmp.Compare(b.size, a.size) })
+		a.shedSubqueries(q)
+		if a.mustReject(q) {
+			a.applyToQuery(q, onGiveUp)
 		}
 	}
 }
 
 // mustReject tells whether a query just taken could not be answered in time, by the slowest part that its
 // least answer needs. What is worth less, by its index or past its customer's share, must come out earlier.
-func (m *Aggregator) mustReject(lk *query) bool {
-	x, est, crowded := &m.indexes[lk.index], 0.0, m.recentLatency() > usualUpTo*m.usualLatency
-	ends := make([]float64, 0, len(lk.subqueries))
-	for _, p := range lk.subqueries {
-		if s := p.assigned; s != nil {
-			ahead := float64(s.callsPending - m.callsFor(lk, s))
-			crowded = crowded || ahead > 0 || s.window < 1
-			ends = append(ends, m.expectedLatency(s, lk.index)*(1+ahead/s.window)+max(0, s.unreachableUntil-m.now))
+func (a *Aggregator) mustReject(q *query) bool {
+	row, estimate, crowded := &a.indexes[q.index], 0.0, a.recentLatency() > usualUpTo*a.usualLatency
+	latencies := make([]float64, 0, len(q.subqueries))
+	for _, sub := range q.subqueries {
+		if b := sub.assigned; b != nil {
+			ahead := float64(b.callsPending - a.callsFor(q, b))
+			crowded = crowded || ahead > 0 || b.window < 1
+			latencies = append(latencies, a.expectedLatency(b, q.index)*(1+ahead/b.window)+max(0, b.unreachableUntil-a.now))
 		}
 	}
-	if len(ends) > 0 {
-		slices.Sort(ends)
-		est = ends[min(len(ends)-1, int(x.minimum*float64(len(ends))))]
+	if len(latencies) > 0 {
+		slices.Sort(latencies)
+		estimate = latencies[min(len(latencies)-1, int(row.minimum*float64(len(latencies))))]
 	}
-	est += lowValue * (1 - x.value/m.topValue) * x.soft
-	est += overShare * indicator(lk.overQuota) * x.soft
-	return m.averageLatency > 0 && (m.now+est > lk.deadline || crowded && m.now+est > m.stepDeadline(lk))
+	estimate += lowValue * (1 - row.value/a.topValue) * row.soft
+	estimate += overShare * indicator(q.overQuota) * row.soft
+	return a.averageLatency > 0 && (a.now+estimate > q.deadline || crowded && a.now+estimate > a.stepDeadline(q))
 }
 
 // shedSubqueries drops, where it is crowded, parts that a query may do without and that give least for their work.
-func (m *Aggregator) shedSubqueries(lk *query) {
-	most := (lk.required - m.indexes[lk.index].minimum) * overloadDrop
-	if m.recentLatency() <= overloadFrom*m.usualLatency {
+func (a *Aggregator) shedSubqueries(q *query) {
+	allowance := (q.required - a.indexes[q.index].minimum) * overloadDrop
+	if a.recentLatency() <= overloadFrom*a.usualLatency {
 		return
 	}
-	subqueries := slices.Clone(lk.subqueries)
+	subqueries := slices.Clone(q.subqueries)
 	slices.SortStableFunc(subqueries, func(a, b *subquery) int { return cmp.Compare(a.weight/a.size, b.weight/b.size) })
-	for _, p := range subqueries {
-		if most -= p.weight; most < 0 {
+	for _, sub := range subqueries {
+		if allowance -= sub.weight; allowance < 0 {
 			return
 		}
-		m.applyToSubquery(p, onTooLate)
+		a.applyToSubquery(sub, onTooLate)
 	}
 }
 
 // recentLatency is the latency heard of late from any backend.
-func (m *Aggregator) recentLatency() float64 {
-	return m.recentLatencies.mean(m.usualLatency, priorSamples, m.now, m.shortestSoft)
+func (a *Aggregator) recentLatency() float64 {
+	return a.recentLatencies.mean(a.usualLatency, priorSamples, a.now, a.shortestSoft)
 }
 
 // due is the soft deadline of the step in hand: a second one that is to come needs time too.
-func (m *Aggregator) stepDeadline(lk *query) float64 {
-	if lk.state != stateFirstStep {
-		return lk.soft
+func (a *Aggregator) stepDeadline(q *query) float64 {
+	if q.state != stateFirstStep {
+		return q.soft
 	}
-	return lk.soft - secondStepLatencies*max(m.averageLatency, m.recentLatency())
+	return q.soft - secondStepLatencies*max(a.averageLatency, a.recentLatency())
 }
 
 // checkDeadlines looks after what time alone does to a query.
-func (m *Aggregator) checkDeadlines(lk *query) {
-	x, due := &m.indexes[lk.index], m.stepDeadline(lk)
-	enough := lk.answeredWeight >= x.minimum-sumSlack
+func (a *Aggregator) checkDeadlines(q *query) {
+	row, due := &a.indexes[q.index], a.stepDeadline(q)
+	enough := q.answeredWeight >= row.minimum-sumSlack
 	switch {
-	case m.now >= lk.deadline-m.deadlineMargin() && !enough:
-		m.applyToQuery(lk, onGiveUp)
-	case m.now >= lk.deadline-m.deadlineMargin(), enough && m.now >= due-m.deadlineMargin() && x.partialValue*lk.answeredWeight > x.lateValue:
-		m.applyToQuery(lk, onPartial)
+	case a.now >= q.deadline-a.deadlineMargin() && !enough:
+		a.applyToQuery(q, onGiveUp)
+	case a.now >= q.deadline-a.deadlineMargin(), enough && a.now >= due-a.deadlineMargin() && row.partialValue*q.answeredWeight > row.lateValue:
+		a.applyToQuery(q, onPartial)
 	}
-	inTime := func(s *backend) bool { return usable(s) && m.now+m.expectedLatency(s, lk.index) <= due }
-	waiting := lk.sumWeights(func(p *subquery) bool { return p.state == statePending })
+	inTime := func(b *backend) bool { return usable(b) && a.now+a.expectedLatency(b, q.index) <= due }
+	pendingWeight := q.sumWeights(func(sub *subquery) bool { return sub.state == statePending })
 	// A part that misses the soft deadline takes more from others than the little gain that is left.
-	hopeless := waiting > x.lateValue && m.averageLatency > 0
-	for _, p := range lk.subqueries {
-		if p.state == stateInFlight {
-			m.hedge(p)
-		} else if hopeless && p.state == statePending && p.assigned != nil && !slices.ContainsFunc(m.holdersOf(p), inTime) {
-			m.applyToSubquery(p, onTooLate)
+	hopeless := pendingWeight > row.lateValue && a.averageLatency > 0
+	for _, sub := range q.subqueries {
+		if sub.state == stateInFlight {
+			a.hedge(sub)
+		} else if hopeless && sub.state == statePending && sub.assigned != nil && !slices.ContainsFunc(a.holdersOf(sub), inTime) {
+			a.applyToSubquery(sub, onTooLate)
 		}
 	}
 }
 
-func (m *Aggregator) countAnswer(p *subquery) {
-	p.query.answeredWeight += p.weight
-	m.cancelAll(p)
-	m.endIfDecided(p.query)
+func (a *Aggregator) countAnswer(sub *subquery) {
+	sub.query.answeredWeight += sub.weight
+	a.cancelAll(sub)
+	a.endIfDecided(sub.query)
 }
 
-func (m *Aggregator) abandon(p *subquery) {
-	m.reserveRetry(p, false)
-	m.unassign(p)
-	p.query.abandonedWeight += p.weight
-	m.endIfDecided(p.query)
+func (a *Aggregator) abandon(sub *subquery) {
+	a.reserveRetry(sub, false)
+	a.unassign(sub)
+	sub.query.abandonedWeight += sub.weight
+	a.endIfDecided(sub.query)
 }
 
 // endIfDecided ends a query as soon as what is in, or lost, decides it.
-func (m *Aggregator) endIfDecided(lk *query) {
-	lk.unfinished--
+func (a *Aggregator) endIfDecided(q *query) {
+	q.unfinished--
 	switch {
-	case len(lk.subqueries) < lk.expected:
-	case lk.answeredWeight >= lk.required-sumSlack:
-		m.applyToQuery(lk, onComplete)
-	case 1-lk.abandonedWeight < m.indexes[lk.index].minimum-sumSlack:
-		m.applyToQuery(lk, onGiveUp)
-	case lk.unfinished == 0:
-		m.applyToQuery(lk, onPartial)
+	case len(q.subqueries) < q.expected:
+	case q.answeredWeight >= q.required-sumSlack:
+		a.applyToQuery(q, onComplete)
+	case 1-q.abandonedWeight < a.indexes[q.index].minimum-sumSlack:
+		a.applyToQuery(q, onGiveUp)
+	case q.unfinished == 0:
+		a.applyToQuery(q, onPartial)
 	}
 }
 
 // answer ends a step, and with the last one its query.
-func (m *Aggregator) answer(lk *query) {
-	m.emit(Action{Kind: Answer, Query: lk.id, Complete: !lk.partial})
-	if lk.state == stateEnded {
-		m.removeQuery(lk)
+func (a *Aggregator) answer(q *query) {
+	a.emit(Action{Kind: Answer, Query: q.id, Complete: !q.partial})
+	if q.state == stateEnded {
+		a.removeQuery(q)
 	} else {
-		m.nextStep(lk, m.indexes[lk.index].secondStep)
+		a.nextStep(q, a.indexes[q.index].secondStep)
 	}
 }
 
 // reject ends a query without an answer: by a nack wherever trying again is surely harmless.
-func (m *Aggregator) reject(lk *query) {
-	a := Action{Kind: Nack, Query: lk.id}
-	if m.indexes[lk.index].effect != Idempotent && (lk.firstStepDone || slices.ContainsFunc(lk.subqueries, (*subquery).mayHaveExecuted)) {
-		a.Kind = Abort
-	} else if m.settings.Limits.RetryAfter {
-		a.Wait = min(m.settings.Limits.MaxRetryAfter, 2*m.expectedLatency(nil, lk.index)) // also while nobody was heard
-	}
-	m.emit(a)
-	m.removeQuery(lk)
+func (a *Aggregator) reject(q *query) {
+	action := Action{Kind: Nack, Query: q.id}
+	if a.indexes[q.index].effect != Idempotent && (q.firstStepDone || slices.ContainsFunc(q.subqueries, (*subquery).mayHaveExecuted)) {
+		action.Kind = Abort
+	} else if a.settings.Limits.RetryAfter {
+		action.Wait = min(a.settings.Limits.MaxRetryAfter, 2*a.expectedLatency(nil, q.index)) // also while nobody was heard
+	}
+	a.emit(action)
+	a.removeQuery(q)
 }
--- a/policy/policy_release.go
+++ b/policy/policy_release.go
@@ -8,195 +8,195 @@
 // Release: in which order held parts leave, whether one may leave yet, and when a call is made again.
 
 // sendsCanary tells whether a query sends one part ahead. Of one that brings backends down every part does.
-func (m *Aggregator) sendsCanary(lk *query) bool {
-	return !lk.anyAnswered && (lk.brokenCalls > 0 || m.crashesSuspected())
+func (a *Aggregator) sendsCanary(q *query) bool {
+	return !q.anyAnswered && (q.brokenCalls > 0 || a.crashesSuspected())
 }
 
 // awaitsProbe asks the two likeliest holders of a held part, and tells whether to wait for the first that answers.
-func (m *Aggregator) awaitsProbe(p *subquery) (wait bool) {
-	heard := func(s *backend) bool { return usable(s) && m.recentlyAlive(s) && m.mayServe(p, s) }
-	if slices.ContainsFunc(m.holdersOf(p), heard) {
+func (a *Aggregator) awaitsProbe(sub *subquery) (pending bool) {
+	alive := func(b *backend) bool { return usable(b) && a.recentlyAlive(b) && a.mayServe(sub, b) }
+	if slices.ContainsFunc(a.holdersOf(sub), alive) {
 		return false
 	}
-	one := m.choose(p, nil, false)
-	for _, s := range []*backend{one, m.choose(p, one, false)} {
-		if s != nil && usable(s) {
-			m.probe(s, false)
-			wait = wait || s.probing
+	likeliest := a.choose(sub, nil, false)
+	for _, b := range []*backend{likeliest, a.choose(sub, likeliest, false)} {
+		if b != nil && usable(b) {
+			a.probe(b, false)
+			pending = pending || b.probing
 		}
 	}
-	return wait
+	return pending
 }
 
 // hedge takes back a call that a sibling would long have answered, against backends that crawl or lose it.
-func (m *Aggregator) hedge(p *subquery) {
-	if len(p.calls) != 1 || p.calls[0].canceled || !m.mayRetry(p) {
+func (a *Aggregator) hedge(sub *subquery) {
+	if len(sub.calls) != 1 || sub.calls[0].canceled || !a.mayRetry(sub) {
 		return
 	}
-	c, s := p.calls[0], m.choose(p, p.calls[0].backend, true)
-	age, patience := m.now-c.sent, hedgeFrom*max(m.averageLatency, m.expectedLatency(s, p.query.index))*p.size
-	if !m.probesQueue && (p.query.answeredWeight < nearlyComplete*p.query.required || m.recentLatency() > overloadFrom*m.usualLatency) { // the last few cost little
+	c, b := sub.calls[0], a.choose(sub, sub.calls[0].backend, true)
+	age, patience := a.now-c.sent, hedgeFrom*max(a.averageLatency, a.expectedLatency(b, sub.query.index))*sub.size
+	if !a.probesQueue && (sub.query.answeredWeight < nearlyComplete*sub.query.required || a.recentLatency() > overloadFrom*a.usualLatency) { // the last few cost little
 		patience *= hedgeSlack
 	}
 	switch {
-	case s == nil || age < patience && usable(c.backend):
+	case b == nil || age < patience && usable(c.backend):
 		return
-	case m.settings.Limits.Probe && !m.recentlyAlive(s): // where the sibling's queue is as long, one more only adds to both
-		m.probe(s, false)
+	case a.settings.Limits.Probe && !a.recentlyAlive(b): // where the sibling's queue is as long, one more only adds to both
+		a.probe(b, false)
 		return
-	case m.probesQueue && c.backend.aliveAt > c.sent && c.backend.answeredAt < c.sent: // it waits no longer than a probe
-		m.connectionLost(c)
+	case a.probesQueue && c.backend.aliveAt > c.sent && c.backend.answeredAt < c.sent: // it waits no longer than a probe
+		a.connectionLost(c)
 	}
-	if m.settings.Limits.Hedge {
-		p.assigned = s
-		m.applyToSubquery(p, onSend)
-	} else if m.settings.Limits.Cancel {
-		m.reserveRetry(p, true)
-		m.cancel(c)
+	if a.settings.Limits.Hedge {
+		sub.assigned = b
+		a.applyToSubquery(sub, onSend)
+	} else if a.settings.Limits.Cancel {
+		a.reserveRetry(sub, true)
+		a.cancel(c)
 	}
 }
 
 // hasCapacity: a backend out of reach gets one call at a time, after each pause.
-func (m *Aggregator) hasCapacity(p *subquery, s *backend) bool {
-	if !usable(s) && (s.probing || m.now < s.unreachableUntil || s.callsInFlight > 0) {
+func (a *Aggregator) hasCapacity(sub *subquery, b *backend) bool {
+	if !usable(b) && (b.probing || a.now < b.unreachableUntil || b.callsInFlight > 0) {
 		return false
 	}
-	paced := s.callsInFlight == 0 && m.now-s.lastUsedAt >= s.latency*(1/s.window-1) // below one call
-	return (m.canShareCall(s) || float64(s.callsInFlight) < math.Floor(s.window) || paced) && m.slowStartAllows(p, s)
+	paced := b.callsInFlight == 0 && a.now-b.lastUsedAt >= b.latency*(1/b.window-1) // below one call
+	return (a.canShareCall(b) || float64(b.callsInFlight) < math.Floor(b.window) || paced) && a.slowStartAllows(sub, b)
 }
 
 // reorder is SWAG's order: the held query of least makespan first, its calls then added to the queues.
-func (m *Aggregator) reorder() {
-	m.orderStale, m.sendOrder = false, m.sendOrder[:0]
-	for _, s := range m.fleet {
-		s.queue = float64(s.callsInFlight)
+func (a *Aggregator) reorder() {
+	a.orderStale, a.sendOrder = false, a.sendOrder[:0]
+	for _, b := range a.fleet {
+		b.queue = float64(b.callsInFlight)
 	}
-	rest := m.openQueriesBySize()
-	for len(rest) > 0 {
+	remaining := a.openQueriesBySize()
+	for len(remaining) > 0 {
 		best, least := 0, math.Inf(1)
-		for i, lk := range rest {
-			span := 0.0
-			for _, t := range lk.assignments {
-				if t.subqueries > 0 {
-					span = max(span, (t.backend.queue+float64(m.callsFor(lk, t.backend)))*m.expectedLatency(t.backend, lk.index))
+		for i, q := range remaining {
+			makespan := 0.0
+			for _, assigned := range q.assignments {
+				if assigned.subqueries > 0 {
+					makespan = max(makespan, (assigned.backend.queue+float64(a.callsFor(q, assigned.backend)))*a.expectedLatency(assigned.backend, q.index))
 				}
 			}
-			if span < least || span == least && lk.size < rest[best].size {
-				best, least = i, span
+			if makespan < least || makespan == least && q.size < remaining[best].size {
+				best, least = i, makespan
 			}
 		}
-		lk := rest[best]
-		for _, t := range lk.assignments {
-			t.backend.queue += float64(m.callsFor(lk, t.backend))
+		q := remaining[best]
+		for _, assigned := range q.assignments {
+			assigned.backend.queue += float64(a.callsFor(q, assigned.backend))
 		}
-		m.sendOrder = append(m.sendOrder, lk)
-		rest = slices.Delete(rest, best, best+1)
+		a.sendOrder = append(a.sendOrder, q)
+		remaining = slices.Delete(remaining, best, best+1)
 	}
 }
 
-func (m *Aggregator) sendPending() {
-	m.averageLatency = m.meanLatency(func(s *backend) bool { return usable(s) && !s.excluded })
-	if m.orderStale {
-		m.reorder()
-	}
-	for _, lk := range m.sendOrder {
-		scouts, subqueries := m.sendsCanary(lk), lk.subqueries
-		if len(subqueries) < lk.expected || scouts && lk.hasCallsInFlight() {
+func (a *Aggregator) sendPending() {
+	a.averageLatency = a.meanLatency(func(b *backend) bool { return usable(b) && !b.excluded })
+	if a.orderStale {
+		a.reorder()
+	}
+	for _, q := range a.sendOrder {
+		canary, subqueries := a.sendsCanary(q), q.subqueries
+		if len(subqueries) < q.expected || canary && q.hasCallsInFlight() {
 			continue
 		}
 		// While parts that it needs have no holder in reach, work on the others is likely for nothing.
-		blocked := lk.abandonedWeight+lk.sumWeights(m.unreachable) > 1-m.indexes[lk.index].minimum+sumSlack
-		for i, p := range subqueries {
-			if scouts {
-				p = subqueries[len(subqueries)-1-i] // the least first
+		mayFail := q.abandonedWeight+q.sumWeights(a.unreachable) > 1-a.indexes[q.index].minimum+sumSlack
+		for i, sub := range subqueries {
+			if canary {
+				sub = subqueries[len(subqueries)-1-i] // the least first
 			}
-			if p.state == statePending && (!blocked || m.unreachable(p)) {
-				m.trySend(p)
+			if sub.state == statePending && (!mayFail || a.unreachable(sub)) {
+				a.trySend(sub)
 			}
-			if scouts && p.state == stateInFlight {
+			if canary && sub.state == stateInFlight {
 				break
 			}
 		}
 	}
 }
 
-func (m *Aggregator) unreachable(p *subquery) bool {
-	reach := func(s *backend) bool { return usable(s) && m.mayServe(p, s) }
-	return p.state == statePending && !slices.ContainsFunc(m.holdersOf(p), reach)
+func (a *Aggregator) unreachable(sub *subquery) bool {
+	inReach := func(b *backend) bool { return usable(b) && a.mayServe(sub, b) }
+	return sub.state == statePending && !slices.ContainsFunc(a.holdersOf(sub), inReach)
 }
 
-func (m *Aggregator) wouldBeLate(p *subquery, s *backend) bool {
-	return p.query.deadline-m.now < m.expectedLatency(s, p.query.index)
+func (a *Aggregator) wouldBeLate(sub *subquery, b *backend) bool {
+	return sub.query.deadline-a.now < a.expectedLatency(b, sub.query.index)
 }
 
-func (m *Aggregator) trySend(p *subquery) {
-	if p.assigned != nil && !m.mayServe(p, p.assigned) { // the pinned one serves again, or no longer
-		m.bind(p)
+func (a *Aggregator) trySend(sub *subquery) {
+	if sub.assigned != nil && !a.mayServe(sub, sub.assigned) { // the pinned one serves again, or no longer
+		a.bind(sub)
 	}
-	if p.state != statePending {
+	if sub.state != statePending {
 		return
 	}
-	s, looks := p.assigned, m.probesFirst()
-	if looks && m.awaitsProbe(p) {
+	b, probesFirst := sub.assigned, a.probesFirst()
+	if probesFirst && a.awaitsProbe(sub) {
 		return
 	}
-	sound := s != nil && usable(s) && !m.wouldBeLate(p, s)
-	if !sound || !m.hasCapacity(p, s) || looks && !m.recentlyAlive(s) {
-		alt := m.choose(p, s, sound)
-		if alt != nil && !m.wouldBeLate(p, alt) && (!sound && usable(alt) || sound && (!m.slowStartAllows(p, s) ||
-			m.cost(p, alt) < m.cost(p, s)*alt.override(p.query.index).weight || looks && m.recentlyAlive(alt) && !m.recentlyAlive(s))) {
-			m.assign(p, alt)
-			s = alt
+	inTime := b != nil && usable(b) && !a.wouldBeLate(sub, b)
+	if !inTime || !a.hasCapacity(sub, b) || probesFirst && !a.recentlyAlive(b) {
+		sibling := a.choose(sub, b, inTime)
+		if sibling != nil && !a.wouldBeLate(sub, sibling) && (!inTime && usable(sibling) || inTime && (!a.slowStartAllows(sub, b) ||
+			a.cost(sub, sibling) < a.cost(sub, b)*sibling.override(sub.query.index).weight || probesFirst && a.recentlyAlive(sibling) && !a.recentlyAlive(b))) {
+			a.assign(sub, sibling)
+			b = sibling
 		}
 	}
 	switch {
-	case s == nil || !m.wouldBeLate(p, s) && !m.hasCapacity(p, s):
-	case m.wouldBeLate(p, s) || p.attempts > 0 && !m.mayRetry(p):
-		m.applyToSubquery(p, onTooLate)
+	case b == nil || !a.wouldBeLate(sub, b) && !a.hasCapacity(sub, b):
+	case a.wouldBeLate(sub, b) || sub.attempts > 0 && !a.mayRetry(sub):
+		a.applyToSubquery(sub, onTooLate)
 	default:
-		m.applyToSubquery(p, onSend)
+		a.applyToSubquery(sub, onSend)
 	}
 }
 
-func (m *Aggregator) send(p *subquery) {
-	s := p.assigned
-	if len(p.calls) == 0 {
-		m.addAssigned(p.query, s, -1)
-	}
-	p.assigned = nil
-	idle := m.now - s.lastUsedAt
-	if len(s.calls) == 0 && idle > m.idleLimit && m.idleLosses.valueAt(m.now, faultMemory*m.longestSoft) > idleLossesFrom {
-		m.emit(Action{Kind: CloseIdle, Backend: s.id})
+func (a *Aggregator) send(sub *subquery) {
+	b := sub.assigned
+	if len(sub.calls) == 0 {
+		a.addAssigned(sub.query, b, -1)
+	}
+	sub.assigned = nil
+	idle := a.now - b.lastUsedAt
+	if len(b.calls) == 0 && idle > a.idleLimit && a.idleLosses.valueAt(a.now, faultMemory*a.longestSoft) > idleLossesFrom {
+		a.emit(Action{Kind: CloseIdle, Backend: b.id})
 		idle = 0
 	}
-	a := Action{Kind: Send, Subquery: p.id, Backend: s.id, StopAt: m.callDeadline(p.query)}
-	if m.indexes[p.query.index].effect == Fingerprinted && p.mayHaveExecuted() {
-		a.BeginBy = p.firstSent + m.indexes[p.query.index].dedupWindow // also where it waits for a connection until then
+	action := Action{Kind: Send, Subquery: sub.id, Backend: b.id, StopAt: a.callDeadline(sub.query)}
+	if a.indexes[sub.query.index].effect == Fingerprinted && sub.mayHaveExecuted() {
+		action.BeginBy = sub.firstSent + a.indexes[sub.query.index].dedupWindow // also where it waits for a connection until then
 	}
-	m.startCall(p, s).idleBefore = idle
-	if m.slowStartFactor(s) < 1 {
-		s.slowStartWork = append(s.slowStartWork, sentWork{m.now, m.workOf(p.query.index)})
+	a.startCall(sub, b).idleBefore = idle
+	if a.slowStartFactor(b) < 1 {
+		b.slowStartWork = append(b.slowStartWork, sentWork{a.now, a.workOf(sub.query.index)})
 	}
-	m.emit(a)
+	a.emit(action)
 }
 
 // callDeadline is when a call of a query is no longer worth its work: what waits beyond that need not be begun.
-func (m *Aggregator) callDeadline(lk *query) float64 {
-	if x := &m.indexes[lk.index]; x.minimum < x.required && x.partialValue > x.lateValue || x.lateValue == 0 {
-		return min(lk.deadline, lk.soft)
+func (a *Aggregator) callDeadline(q *query) float64 {
+	if row := &a.indexes[q.index]; row.minimum < row.required && row.partialValue > row.lateValue || row.lateValue == 0 {
+		return min(q.deadline, q.soft)
 	}
-	return lk.deadline
+	return q.deadline
 }
 
 // mayRetry tells whether a further call of p is allowed by its index, its tries and the budget.
-func (m *Aggregator) mayRetry(p *subquery) bool {
-	x, r := &m.indexes[p.query.index], &m.settings.Rules
+func (a *Aggregator) mayRetry(sub *subquery) bool {
+	row, rules := &a.indexes[sub.query.index], &a.settings.Rules
 	switch {
-	case m.settings.Limits.MaxAttempts > 0 && p.attempts >= m.settings.Limits.MaxAttempts,
-		x.effect == OnceOnly && p.mayHaveExecuted(),
-		x.effect == Fingerprinted && p.mayHaveExecuted() && m.now > p.firstSent+x.dedupWindow-m.settings.Step:
+	case a.settings.Limits.MaxAttempts > 0 && sub.attempts >= a.settings.Limits.MaxAttempts,
+		row.effect == OnceOnly && sub.mayHaveExecuted(),
+		row.effect == Fingerprinted && sub.mayHaveExecuted() && a.now > sub.firstSent+row.dedupWindow-a.settings.Step:
 		return false
 	}
-	further, taken := m.retrySpending(p, m.now-r.RetryBudgetS)
-	return !r.RetryBudget || float64(further) <= r.RetryBudgetFree+r.RetryBudgetPer*float64(taken)
+	further, taken := a.retrySpending(sub, a.now-rules.RetryBudgetS)
+	return !rules.RetryBudget || float64(further) <= rules.RetryBudgetFree+rules.RetryBudgetPer*float64(taken)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -50,23 +50,23 @@
 	do    func(*Aggregator, T)
 }
 
-func transition[T any](m *Aggregator, table []rule[T], it T, at *state, on input) {
+func transition[T any](a *Aggregator, table []rule[T], it T, at *state, on input) {
 	for i := range table {
 		if r := &table[i]; r.state&*at != 0 && r.on&on != 0 {
 			*at = r.next
-			r.do(m, it)
+			r.do(a, it)
 			return
 		}
 	}
 }
 
-func (m *Aggregator) applyToSubquery(p *subquery, on input) {
-	transition(m, subqueryTable, p, &p.state, on)
+func (a *Aggregator) applyToSubquery(sub *subquery, on input) {
+	transition(a, subqueryTable, sub, &sub.state, on)
 }
 
-func (m *Aggregator) applyToQuery(lk *query, on input) {
-	lk.partial = lk.partial || on == onPartial
-	transition(m, queryTable, lk, &lk.state, on)
+func (a *Aggregator) applyToQuery(q *query, on input) {
+	q.partial = q.partial || on == onPartial
+	transition(a, queryTable, q, &q.state, on)
 }
 
 // call lives as long as one part call.
@@ -105,7 +105,7 @@
 }
 
 // mayHaveExecuted tells whether some call of p may have run or may yet.
-func (p *subquery) mayHaveExecuted() bool { return p.executed || len(p.calls) > 0 }
+func (sub *subquery) mayHaveExecuted() bool { return sub.executed || len(sub.calls) > 0 }
 
 type query struct {
 	id                              QueryID
--- a/policy/state_figures.go
+++ b/policy/state_figures.go
@@ -48,9 +48,9 @@
 }
 
 // limitWeight lets no more than so many samples weigh, so that new ones count.
-func (g *decayingMean) limitWeight(most float64) {
-	if g.n > most {
-		*g = decayingMean{g.sum * most / g.n, most, g.at}
+func (g *decayingMean) limitWeight(limit float64) {
+	if g.n > limit {
+		*g = decayingMean{g.sum * limit / g.n, limit, g.at}
 	}
 }
 
--- a/policy/state_lookups.go
+++ b/policy/state_lookups.go
@@ -7,33 +7,33 @@
 // Records of queries and of parts that are held.
 
 // addQuery enters a query that was taken; added enters a part of it.
-func (m *Aggregator) addQuery(e *Event) *query {
-	x := &m.indexes[e.Index]
-	m.recordTime(&m.receivedTimes)
-	lk := &query{id: e.Query, no: e.No, index: e.Index, expected: e.Subqueries, deadline: m.now + e.Remaining,
-		soft: m.now + x.soft, required: x.required, state: stateLastStep, zones: e.Zones}
-	if x.secondStep > 0 {
-		lk.state = stateFirstStep
+func (a *Aggregator) addQuery(e *Event) *query {
+	row := &a.indexes[e.Index]
+	a.recordTime(&a.receivedTimes)
+	q := &query{id: e.Query, no: e.No, index: e.Index, expected: e.Subqueries, deadline: a.now + e.Remaining,
+		soft: a.now + row.soft, required: row.required, state: stateLastStep, zones: e.Zones}
+	if row.secondStep > 0 {
+		q.state = stateFirstStep
 	}
-	m.queries[e.No], m.numbers[e.Query] = lk, e.No
-	m.openQueries = append(m.openQueries, lk)
-	return lk
+	a.queries[e.No], a.numbers[e.Query] = q, e.No
+	a.openQueries = append(a.openQueries, q)
+	return q
 }
 
-func (m *Aggregator) addSubquery(lk *query, e *Event) *subquery {
-	m.recordTime(&m.receivedTimes)
-	p := &subquery{id: e.Subquery, query: lk, shard: e.Shard, weight: e.Weight, size: 1, draw: m.random.unit(), state: statePending}
-	lk.subqueries = append(lk.subqueries, p)
-	lk.unfinished++
-	m.subqueries[p.id] = p
-	return p
+func (a *Aggregator) addSubquery(q *query, e *Event) *subquery {
+	a.recordTime(&a.receivedTimes)
+	sub := &subquery{id: e.Subquery, query: q, shard: e.Shard, weight: e.Weight, size: 1, draw: a.random.unit(), state: statePending}
+	q.subqueries = append(q.subqueries, sub)
+	q.unfinished++
+	a.subqueries[sub.id] = sub
+	return sub
 }
 
-func (m *Aggregator) pendingSubqueries() (list []*subquery) {
-	for _, lk := range m.openQueries {
-		for _, p := range lk.subqueries {
-			if p.state == statePending {
-				list = append(list, p)
+func (a *Aggregator) pendingSubqueries() (list []*subquery) {
+	for _, q := range a.openQueries {
+		for _, sub := range q.subqueries {
+			if sub.state == statePending {
+				list = append(list, sub)
 			}
 		}
 	}
@@ -41,111 +41,111 @@
 }
 
 // sumWeights sums the weights of lk's parts that are so.
-func (lk *query) sumWeights(so func(*subquery) bool) (weight float64) {
-	for _, p := range lk.subqueries {
-		if so(p) {
-			weight += p.weight
+func (q *query) sumWeights(counts func(*subquery) bool) (weight float64) {
+	for _, sub := range q.subqueries {
+		if counts(sub) {
+			weight += sub.weight
 		}
 	}
 	return weight
 }
 
 // openQueriesBySize lists the open queries with the sizes of what they hold.
-func (m *Aggregator) openQueriesBySize() []*query {
-	for _, lk := range m.openQueries {
-		lk.size = 0
-		for _, t := range lk.assignments {
-			lk.size += float64(m.callsFor(lk, t.backend))
+func (a *Aggregator) openQueriesBySize() []*query {
+	for _, q := range a.openQueries {
+		q.size = 0
+		for _, assigned := range q.assignments {
+			q.size += float64(a.callsFor(q, assigned.backend))
 		}
 	}
-	return slices.Clone(m.openQueries)
+	return slices.Clone(a.openQueries)
 }
 
 // hasCallsInFlight tells whether a call of a part is out.
-func (lk *query) hasCallsInFlight() bool {
-	return slices.ContainsFunc(lk.subqueries, func(p *subquery) bool { return len(p.calls) > 0 })
+func (q *query) hasCallsInFlight() bool {
+	return slices.ContainsFunc(q.subqueries, func(sub *subquery) bool { return len(sub.calls) > 0 })
 }
 
-func (lk *query) assignedTo(s *backend) int {
-	for _, t := range lk.assignments {
-		if t.backend == s {
-			return t.subqueries
+func (q *query) assignedTo(b *backend) int {
+	for _, assigned := range q.assignments {
+		if assigned.backend == b {
+			return assigned.subqueries
 		}
 	}
 	return 0
 }
 
 // units counts lk's held parts at s as the calls they will share.
-func (m *Aggregator) callsFor(lk *query, s *backend) int {
-	per := m.settings.Layout.CallSubqueries
-	return (lk.assignedTo(s) + per - 1) / per
+func (a *Aggregator) callsFor(q *query, b *backend) int {
+	per := a.settings.Layout.CallSubqueries
+	return (q.assignedTo(b) + per - 1) / per
 }
 
-func (m *Aggregator) addAssigned(lk *query, s *backend, n int) {
-	s.callsPending -= m.callsFor(lk, s)
-	i := slices.IndexFunc(lk.assignments, func(t assignment) bool { return t.backend == s })
+func (a *Aggregator) addAssigned(q *query, b *backend, n int) {
+	b.callsPending -= a.callsFor(q, b)
+	i := slices.IndexFunc(q.assignments, func(t assignment) bool { return t.backend == b })
 	if i < 0 {
-		i = len(lk.assignments)
-		lk.assignments = append(lk.assignments, assignment{backend: s})
+		i = len(q.assignments)
+		q.assignments = append(q.assignments, assignment{backend: b})
 	}
-	lk.assignments[i].subqueries += n
-	s.callsPending += m.callsFor(lk, s)
+	q.assignments[i].subqueries += n
+	b.callsPending += a.callsFor(q, b)
 }
 
-func (m *Aggregator) assign(p *subquery, s *backend) {
-	m.unassign(p)
-	if p.assigned = s; s != nil {
-		m.addAssigned(p.query, s, 1)
+func (a *Aggregator) assign(sub *subquery, b *backend) {
+	a.unassign(sub)
+	if sub.assigned = b; b != nil {
+		a.addAssigned(sub.query, b, 1)
 	}
 }
 
-func (m *Aggregator) unassign(p *subquery) {
-	if p.assigned != nil {
-		m.addAssigned(p.query, p.assigned, -1)
+func (a *Aggregator) unassign(sub *subquery) {
+	if sub.assigned != nil {
+		a.addAssigned(sub.query, sub.assigned, -1)
 	}
-	p.assigned = nil
+	sub.assigned = nil
 }
 
 // removeIfClosed lets go of a part that nothing can refer to any more.
-func (m *Aggregator) removeIfClosed(p *subquery) {
-	if p.state == stateClosed && len(p.calls) == 0 {
-		delete(m.subqueries, p.id)
+func (a *Aggregator) removeIfClosed(sub *subquery) {
+	if sub.state == stateClosed && len(sub.calls) == 0 {
+		delete(a.subqueries, sub.id)
 	}
 }
 
 // closeSubqueries closes all parts of a step.
-func (m *Aggregator) closeSubqueries(lk *query) {
-	for _, p := range lk.subqueries {
-		m.applyToSubquery(p, onClose)
-		m.reserveRetry(p, false)
-		p.state = stateClosed
-		m.removeIfClosed(p)
+func (a *Aggregator) closeSubqueries(q *query) {
+	for _, sub := range q.subqueries {
+		a.applyToSubquery(sub, onClose)
+		a.reserveRetry(sub, false)
+		sub.state = stateClosed
+		a.removeIfClosed(sub)
 	}
-	lk.subqueries, lk.assignments, m.orderStale = nil, nil, true
+	q.subqueries, q.assignments, a.orderStale = nil, nil, true
 }
 
 // nextStep begins the second step, of which all makes it whole; parts of the first have run.
-func (m *Aggregator) nextStep(lk *query, most int) {
+func (a *Aggregator) nextStep(q *query, limit int) {
 	n := 0
-	for _, p := range lk.subqueries {
-		if p.state == stateAnswered {
+	for _, sub := range q.subqueries {
+		if sub.state == stateAnswered {
 			n++
 		}
 	}
-	m.closeSubqueries(lk)
-	lk.firstStepDone = true
-	lk.required, lk.expected, lk.answeredWeight, lk.abandonedWeight, lk.unfinished = 1, min(n, most), 0, 0, 0
+	a.closeSubqueries(q)
+	q.firstStepDone = true
+	q.required, q.expected, q.answeredWeight, q.abandonedWeight, q.unfinished = 1, min(n, limit), 0, 0, 0
 }
 
-func (m *Aggregator) removeQuery(lk *query) {
-	m.closeSubqueries(lk)
-	delete(m.queries, lk.no)
-	delete(m.numbers, lk.id)
-	m.openQueries = slices.DeleteFunc(m.openQueries, func(o *query) bool { return o == lk })
+func (a *Aggregator) removeQuery(q *query) {
+	a.closeSubqueries(q)
+	delete(a.queries, q.no)
+	delete(a.numbers, q.id)
+	a.openQueries = slices.DeleteFunc(a.openQueries, func(o *query) bool { return o == q })
 }
 
-func (m *Aggregator) clientDisconnected(e *Event) {
-	if lk := m.queries[m.numbers[e.Query]]; lk != nil && lk.id == e.Query {
-		m.applyToQuery(lk, onDisconnect)
+func (a *Aggregator) clientDisconnected(e *Event) {
+	if q := a.queries[a.numbers[e.Query]]; q != nil && q.id == e.Query {
+		a.applyToQuery(q, onDisconnect)
 	}
 }
