--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,56 +1,58 @@
 package policy
 
-// Tuned values, all of them. What a setting states is taken from the settings instead.
+// The tuned values of the policy. A value that a setting states is taken from the settings instead. Where a unit says
+// "usual latencies" or "soft deadlines", the value multiplies the running median latency or the index's deadline.
 const (
-	windowStart      = 4.0   // design: calls that one backend may have of ours
-	windowShrink     = 0.8   // narrowing at a slow answer: gentle, as one slow part may just be a pause
-	windowShrinkMax  = 0.5   // narrowing at one that is far too slow, and widening of a window below one
-	windowMin        = 0.3   // of a call: a part that has to wait for more is better turned away
-	usualStep        = 0.015 // how fast the usual latency follows the median, which sick ones cannot move; hints too
+	windowStart      = 4.0   // design: initial window: concurrent calls to one backend
+	windowShrink     = 0.8   // multiplicative decrease after a slow answer: gentle, as a single slow one may be a pause
+	windowShrinkMax  = 0.5   // largest decrease after a very slow answer; largest increase of a window below one call
+	windowMin        = 0.3   // of a call: a subquery that would wait for more is better rejected
+	usualStep        = 0.015 // step by which the usual latency follows the median, which a few unhealthy backends cannot move; of hints too
 	usualMax         = 0.17  // of the shortest soft deadline
 	smoothing        = 0.2   // weight of a new latency: about the last ten answers count
-	estimateMemory   = 4.0   // soft deadlines in which an estimate not renewed goes back to the average
-	faultMemory      = 16.0  // soft deadlines in which faults fade, and doubt in idle connections
-	crossCost        = 8.0   // what a price of 1 for crossing locations adds to a replica's cost
+	estimateMemory   = 4.0   // soft deadlines: decay time of a latency estimate towards the average
+	faultMemory      = 16.0  // soft deadlines: decay time of faults and of losses on idle connections
+	crossCost        = 8.0   // what a price of 1 for crossing locations adds to a replica's cost, as a multiple of it
 	crossIdle        = 40.0  // and adds, in usual latencies: counts among idle replicas, fades with load
 	crossFault       = 20.0  // of that, times fault cost and share squared: no crossing saved is worth a fault
 	probeQueuedFrom  = 0.25  // of a usual latency: a probe that takes longer has waited
-	probeFirstFrom   = 0.15  // share of calls that fail or crawl from which an aggregator looks before it sends
+	probeFirstFrom   = 0.15  // share of failed or slow calls from which an aggregator probes before it sends
 	unhealthyMemory  = 2.0   // soft deadlines over which that share is counted
-	priorSamples     = 10.0  // calls that weigh as much as what is taken for granted without them
-	aliveFor         = 0.25  // for so long a sign of life serves
-	canaryFrom       = 0.005 // share of calls that end with their backend from which a query sends a part ahead
-	unprobedCost     = 4.0   // what a backend counts that has given none, or where the part's last call failed
-	idleMin          = 0.2   // pauses of a connection that are looked at
-	idleLossesFrom   = 1.0   // calls lost after such pauses, before connections are thought to die
-	idleAnswerCredit = 0.05  // of a lost call, made good by one that was answered after a pause
-	idleShare        = 0.8   // of the pause after which a call was lost: from there they are closed before use
+	priorSamples     = 10.0  // weight of the prior of a mean, in samples
+	aliveFor         = 0.25  // seconds for which an answer shows that a backend is alive
+	canaryFrom       = 0.005 // share of calls ended by a crash of their backend from which a query sends a canary subquery first
+	unprobedCost     = 4.0   // cost multiple of a backend not known to be alive, or where the subquery's last call failed
+	idleMin          = 0.2   // seconds: shorter idle times of a connection are not suspected
+	idleLossesFrom   = 1.0   // calls lost after such idle times before connections are closed for it
+	idleAnswerCredit = 0.05  // of a lost call: credit for a call answered after an idle time
+	idleShare        = 0.8   // of the idle time after which a call was lost: from there connections are closed before use
 	sweepTimer       = TimerID(1)
 
-	faultMost, faultPrior             = 4.0, 1.0    // calls that weigh in a backend's share of faults; its location's
+	faultMost, faultPrior             = 4.0, 1.0    // samples: most in a backend's share of faults; weight of its location's share
 	crossMost, crossSeen              = 0.45, 6.0   // idle crossing at most, and by aggregator: many see little of home
-	slowStartMargin, slowStartLoad    = 0.8, 1.5    // of the fall rule; meant for a cold one, its sibling being lost
-	overloadFrom, overloadDrop        = 1.6, 0.5    // of the usual, lately; of the weight not needed, dropped then
-	usualUpTo, slowFrom               = 2.0, 2.5    // times usual: an answer within widens, one beyond narrows and is ill
-	hedgeFrom, hedgeSlack             = 4.0, 2.0    // of a sibling: out longer is taken back; more where probes tell less
-	nearlyComplete, rejectedLatencies = 0.75, 8.0   // of what is needed: copies come early; of usual, a full queue
-	silenceLatencies, silenceMin      = 4.0, 0.25   // usual latencies, and of a soft deadline, without answer: silent
-	sweepEvery, burstS                = 0.02, 2.0   // pause; seconds of its share that a customer may run ahead
-	backoffFirst, backoffMax          = 0.25, 2.0   // pause after a failed connect or ask for the list, doubled up to
-	restartFrom                       = 0.5         // of those: beyond, what is heard again may be a new process
-	secondStepLatencies, sumSlack     = 2.5, 5e-5   // latencies that a second step takes; weights are rounded
-	lowValue, overShare               = 0.35, 0.5   // of a soft deadline: how much earlier least gain goes; over share
-	timeoutTolerance, timeoutVotesMax = 0.02, 100.0 // of a hard deadline: tries alike; votes for the time that most give
+	slowStartMargin, slowStartLoad    = 0.8, 1.5    // of the overload rule's limit; load offered to a backend in slow start whose sibling is lost
+	overloadFrom, overloadDrop        = 1.6, 0.5    // of the usual latency, recently: overload; share of the dispensable weight that is shed then
+	usualUpTo, slowFrom               = 2.0, 2.5    // usual latencies: a faster answer widens the window; a slower one narrows it and counts as unhealthy
+	hedgeFrom, hedgeSlack             = 4.0, 2.0    // of a sibling's latency: a call in flight for longer is hedged; multiple of it where probes tell less
+	nearlyComplete, rejectedLatencies = 0.75, 8.0   // of the required weight: hedges come early from there; usual latencies that a rejection stands for
+	silenceLatencies, silenceMin      = 4.0, 0.25   // usual latencies, and least share of a soft deadline, without any answer: the backend is silent
+	sweepEvery, burstS                = 0.02, 2.0   // seconds between sweeps; seconds of its quota that a customer may use as a burst
+	backoffFirst, backoffMax          = 0.25, 2.0   // seconds: backoff after a failed connect or list request, doubled up to the second
+	restartFrom                       = 0.5         // seconds of backoff: after a longer one, a backend that answers may be a new process
+	secondStepLatencies, sumSlack     = 2.5, 5e-5   // latencies that a second step takes; tolerance for rounded weights
+	lowValue, overShare               = 0.35, 0.5   // of a soft deadline: how much earlier the least valued query must finish; one over its quota
+	timeoutTolerance, timeoutVotesMax = 0.02, 100.0 // of a hard deadline: client timeouts that count as equal; most votes for the usual one
 )
 
-var faultCost = [...]float64{Idempotent: 6, Fingerprinted: 6, OnceOnly: 30} // a once-only fault ends a query
+var faultCost = [...]float64{Idempotent: 6, Fingerprinted: 6, OnceOnly: 30} // a fault of a once-only call ends its query
 
-// Filled at init, as effects lead back to the tables. An input that a state does not list changes nothing.
+// The state machines of a subquery and of a query. They are filled at init, as their effects refer to them. An input
+// that a state does not list changes nothing.
 var subqueryTable, queryTable = []rule[*subquery]{}, []rule[*query]{}
 
 func init() {
 	subqueryTable = []rule[*subquery]{
-		{statePending | stateInFlight, onSend, stateInFlight, (*Aggregator).send}, // out already: a second copy
+		{statePending | stateInFlight, onSend, stateInFlight, (*Aggregator).send}, // from in flight: a hedge
 		{statePending | stateInFlight, onTooLate, stateAbandoned, (*Aggregator).abandon},
 		{statePending, onClose, stateClosed, (*Aggregator).unassign},
 		{stateInFlight, onAnswer, stateAnswered, (*Aggregator).countAnswer},
@@ -65,7 +67,7 @@
 	}
 }
 
-// eventTable says who takes an event; the timer's turn comes after all others.
+// eventTable has the handler of each kind of event; timers are handled after all other events of a step.
 var eventTable = [OverridesChanged + 1]func(*Aggregator, *Event){
 	ListChanged:        (*Aggregator).listChanged,
 	QueryReceived:      (*Aggregator).receiveQuery,
@@ -77,19 +79,20 @@
 	OverridesChanged: (*Aggregator).overridesChanged,
 }
 
-// outcomeTable sorts outcomes by what they prove of the part and say of the backend.
-var outcomeTable = [...]struct{ never, fault, away, slow, full bool }{
+// outcomeTable classifies outcomes: whether the call was surely not executed, and what its end says of the backend.
+var outcomeTable = [...]struct{ notExecuted, fault, unreachable, slow, full bool }{
 	Answered:     {},
 	Errored:      {fault: true},
-	Rejected:     {never: true, full: true},
+	Rejected:     {notExecuted: true, full: true},
 	TimedOut:     {slow: true},
-	NotConnected: {never: true, away: true},
-	Broken:       {fault: true}, // no sign of a new process: connections break without that
+	NotConnected: {notExecuted: true, unreachable: true},
+	Broken:       {fault: true}, // no evidence of a restart: connections break without one
 	Canceled:     {slow: true},
-	NotSent:      {never: true},
+	NotSent:      {notExecuted: true},
 }
 
-// Step handles all that happened at one time and releases what may go.
+// Step handles all events of one time, in their order, and appends the resulting actions to actions. now is in seconds of
+// the caller's clock and never falls between two calls.
 func (a *Aggregator) Step(now float64, events []Event, actions []Action) []Action {
 	a.now, a.actions, a.step = now, actions, a.step+1
 	due := a.step == 1
@@ -101,7 +104,7 @@
 		}
 	}
 	a.sendPending()
-	if due { // after the release: what is still held then could not go
+	if due { // after sending: what is still pending could not be sent
 		a.sweep()
 		a.sendPending()
 	}
@@ -110,7 +113,7 @@
 
 func (a *Aggregator) listChanged(e *Event) {
 	if e.List == ListFailed {
-		// Wait by chance: aggregators that lost the list together must not ask together.
+		// With jitter: aggregators that lost the list together must not request it together.
 		a.listBackoff = min(backoffMax, max(backoffFirst, 2*a.listBackoff))
 		a.listPollAt = a.now + a.listBackoff*(0.5+a.random.unit())
 		return
@@ -135,8 +138,9 @@
 	}
 }
 
-// overridesChanged takes what operators override. What is held where it may no longer go is bound anew; calls out
-// end well. One that comes back after it was out starts as a new one would: what was known of it is old.
+// overridesChanged applies a change of operators' overrides. Subqueries pending for a backend that they may no longer use
+// are bound anew; calls in flight go on. A backend that is no longer excluded starts with the initial window, as what was
+// known of it is out of date.
 func (a *Aggregator) overridesChanged(e *Event) {
 	for _, b := range a.applyOverrides(e.Override) {
 		b.window = min(b.window, windowStart)
--- a/policy/policy_binding.go
+++ b/policy/policy_binding.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Binding: which backend a part waits for, by latency and queue, and where it may go at all.
+// Binding: the choice of a backend for a pending subquery, by expected latency and queue, among those that may serve it.
 
-// mayServe tells whether a part may go to a replica. A query's zones stand over drains, those over out, out over
-// a pin, a pin over a weight. What a pin's backend can't serve is left to siblings, or to nobody.
+// mayServe tells whether a backend may serve a subquery. A query's zones take precedence over drains, drains over
+// exclusions, exclusions over a pin, a pin over a weight. What a pinned backend can't serve goes to its siblings or, where
+// the pin is strict, is refused.
 func (a *Aggregator) mayServe(sub *subquery, b *backend) bool {
 	pin := a.pin(sub)
 	if out := b.override(sub.query.index).excluded || !sub.query.allows(b); out || pin == nil {
@@ -26,9 +27,9 @@
 	}
 }
 
-// chooseByWeight binds a part that a weight may keep from a holder: it is bound as if nothing were weighed, and a share
-// of what binds to the weighed one, by lot, then goes elsewhere. As long as a call takes, that counts as out
-// there and not where it went: else the weighed one looks idle, its siblings busy, and more binds to it.
+// chooseByWeight chooses a backend, heeding operators' weights: the choice is made as if there were no weights, and a
+// random share of what would go to a weighted backend is then diverted. For the time of a call, a diverted subquery counts
+// in the weighted backend's queue and not in its sibling's; else the weighted one would look idle and attract more.
 func (a *Aggregator) chooseByWeight(sub *subquery) *backend {
 	a.ignoreWeights = sub.attempts == 0 && slices.ContainsFunc(a.holdersOf(sub), (*backend).overridden)
 	b := a.choose(sub, nil, false)
@@ -45,18 +46,18 @@
 		return b
 	}
 	until := a.now + a.expectedLatency(b, sub.query.index)
-	if step := a.settings.Step; step > 0 { // its end would be heard at a step
+	if step := a.settings.Step; step > 0 { // the call's end would be handled at a step
 		until = a.now + step*math.Ceil(a.expectedLatency(b, sub.query.index)/step)
 	}
 	b.withheld, diverted.diverted = append(b.withheld, until), append(diverted.diverted, until)
 	return diverted
 }
 
-// expectedLatency is a replica's smoothed latency for a part of mean size. An estimate not renewed goes back to the
-// average, so that a bad moment does not silence a replica for good.
+// expectedLatency is a replica's smoothed latency in seconds for a subquery of mean size; of a nil backend, the average. An
+// estimate that is not renewed decays to the average, so that a short fault does not exclude a replica for good.
 func (a *Aggregator) expectedLatency(b *backend, index IndexID) float64 {
 	latency := cmp.Or(a.averageLatency, a.indexes[index].soft)
-	if b != nil { // what others found there counts so many averages, but takes no backend out of use
+	if b != nil { // what peers observed raises the prior, but excludes no backend
 		latency = max(latency, min(latency*a.peerLatencyMultiple(b), a.indexes[index].hard/2))
 	}
 	if b != nil && b.latency > 0 {
@@ -65,8 +66,9 @@
 	return latency
 }
 
-// cost is what binding goes by: latency x (1 + own calls out and held), raised where the backend fails the
-// index (a fast failure must not look like a short queue), is cold, or stands in another location.
+// cost is the expected completion time that binding minimizes: latency x (1 + own calls in flight and pending), raised
+// where the backend fails the index (a fast failure must not look like a short queue), is in slow start, or stands in
+// another location.
 func (a *Aggregator) cost(sub *subquery, b *backend) float64 {
 	q, units := sub.query, b.callsInFlight+b.callsPending
 	if a.ignoreWeights {
@@ -85,8 +87,8 @@
 	return cost
 }
 
-// rankingCost is that cost, raised for those that may not or should not be used. A silent one is better than none:
-// the last holder is never shunned altogether. For a part that binds as usual, thin heeds the weights.
+// rankingCost is the cost with penalties for backends that should not be used. A silent backend is better than none: the
+// last replica is never excluded altogether. Weights count here for retries only; chooseByWeight heeds them for others.
 func (a *Aggregator) rankingCost(sub *subquery, b *backend) float64 {
 	cost := a.cost(sub, b)
 	if !usable(b) || !a.slowStartAllows(sub, b) {
@@ -101,15 +103,15 @@
 	return cost
 }
 
-// faultShare is the share of s's calls of an index that were faults: while s is little known, that of all at its
-// location, as those of one location may fail by turns; its own calls outweigh that as they come in.
+// faultShare is the share of b's calls of an index that were faults. Its prior is the share of all backends at its
+// location, as those of one location may fail together; b's own calls outweigh it as they come in.
 func (a *Aggregator) faultShare(b *backend, index IndexID) float64 {
 	locationShare := b.locationFaults[index].mean(0, priorSamples, a.now, estimateMemory*a.longestSoft)
 	return b.faults[index].mean(locationShare, faultPrior, a.now, faultMemory*a.longestSoft)
 }
 
-// choose finds the replica that ranks least but one; with room, among those under their window. Aggregators that
-// start alike must not all pick alike: near ties fall by chance.
+// choose finds the replica of least ranking cost, without except; with withRoom, among those with capacity. Near ties are
+// broken at random, as aggregators that start alike must not all choose alike.
 func (a *Aggregator) choose(sub *subquery, except *backend, withRoom bool) (best *backend) {
 	least := math.Inf(1)
 	for _, b := range a.holdersOf(sub) {
@@ -123,15 +125,17 @@
 	return best
 }
 
+// bind assigns a subquery to a backend, or abandons it where none may serve it.
 func (a *Aggregator) bind(sub *subquery) {
 	a.orderStale = true
 	a.assign(sub, a.chooseByWeight(sub))
-	excluded := func(b *backend) bool { return !a.mayServe(sub, b) } // nobody may have it: it is given up at once
+	excluded := func(b *backend) bool { return !a.mayServe(sub, b) } // no replica may ever serve it: it is abandoned at once
 	if sub.assigned == nil && (sub.attempts > 0 || slices.ContainsFunc(a.holdersOf(sub), excluded)) {
 		a.applyToSubquery(sub, onTooLate)
 	}
 }
 
+// slowStartFactor is the share of its usual load that a backend gets by the time since its start, up to 1.
 func (a *Aggregator) slowStartFactor(b *backend) float64 {
 	rules := &a.settings.Rules
 	if age := a.now - b.started; age < rules.SlowStartS {
@@ -140,9 +144,10 @@
 	return 1
 }
 
-// slowStartAllows keeps what this aggregator sends a cold backend under its share of what the fall rule surely allows,
-// its capacity, which is not told, taken as one unit of work a second. Where the share is less than a part, a
-// part from each at once would push it over: all thin what they would send by one chance, rising as it warms.
+// slowStartAllows keeps the work that this aggregator sends to a backend in slow start under its share of what the overload
+// rule allows. The backend's capacity is not reported and taken as one unit of work a second. Where the share is less than
+// one subquery, one from each aggregator at once would overload it: all aggregators then send with one probability, which
+// rises with the slow start.
 func (a *Aggregator) slowStartAllows(sub *subquery, b *backend) bool {
 	rules, work := &a.settings.Rules, a.workOf(sub.query.index)
 	if a.now-b.started >= rules.SlowStartS || rules.CrashMultiple <= 0 {
--- a/policy/policy_lookup.go
+++ b/policy/policy_lookup.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// Queries: what is taken, what is dropped or turned away, when a query ends and how.
+// Queries: admission, load shedding, deadlines, and how a query ends.
 
-// deadlineMargin is how long before a deadline an answer must be on its way: a sweep may come a step late.
+// deadlineMargin is how many seconds before a deadline an answer must be sent: a sweep may come a step late.
 func (a *Aggregator) deadlineMargin() float64 {
 	return max(sweepEvery, a.settings.Step) + 2*a.settings.Step
 }
 
+// sweep handles what time alone brings about: the list's backoff, silent backends and deadlines.
 func (a *Aggregator) sweep() {
 	a.emit(Action{Kind: SetTimer, Timer: sweepTimer, Wait: max(sweepEvery, a.settings.Step)})
 	if a.now >= a.listPollAt {
@@ -27,16 +28,18 @@
 	}
 }
 
+// receiveQuery admits a query; its subqueries follow as events of their own.
 func (a *Aggregator) receiveQuery(e *Event) {
 	q, row := a.addQuery(e), &a.indexes[e.Index]
 	q.overQuota = a.exceedsQuota(e.Customer, burstS)
-	// Against counting the soft deadline from a retry: a client's last try gives all that is left, be it more or
-	// less than its first ones gave, which are most.
+	// The soft deadline counts from a client's first attempt. Its last attempt gives all the time that remains, be it more
+	// or less than the timeout of first attempts, which are most; the difference shows how long ago the first one was.
 	if row.recordTimeout(e.Remaining, timeoutTolerance*row.hard, timeoutVotesMax); math.Abs(e.Remaining-row.clientTimeout) > timeoutTolerance*row.hard {
 		q.soft -= max(0, row.hard-e.Remaining)
 	}
 }
 
+// receiveSubquery binds a subquery; with the last one of its query it sheds load and decides on admission.
 func (a *Aggregator) receiveSubquery(e *Event) {
 	q := a.queries[e.No]
 	if q == nil {
@@ -46,7 +49,7 @@
 	if e.Hint > 0 {
 		smooth(&a.meanHint, e.Hint, usualStep)
 		smooth(&a.indexes[q.index].meanWork, e.Hint, usualStep)
-		sub.size = (1 + e.Hint/a.meanHint) / 2 // half of a latency is the wait for others' parts
+		sub.size = (1 + e.Hint/a.meanHint) / 2 // half of a latency is the wait behind other subqueries
 	}
 	a.bind(sub)
 	if len(q.subqueries) == q.expected {
@@ -58,8 +61,8 @@
 	}
 }
 
-// mustReject tells whether a query just taken could not be answered in time, by the slowest part that its
-// least answer needs. What is worth less, by its index or past its customer's share, must come out earlier.
+// mustReject tells whether a query just received could not be answered in time, by the slowest subquery that its least
+// answer needs. A query of less value, by its index or as its customer is over its quota, must finish earlier.
 func (a *Aggregator) mustReject(q *query) bool {
 	row, estimate, crowded := &a.indexes[q.index], 0.0, a.recentLatency() > usualUpTo*a.usualLatency
 	latencies := make([]float64, 0, len(q.subqueries))
@@ -79,7 +82,8 @@
 	return a.averageLatency > 0 && (a.now+estimate > q.deadline || crowded && a.now+estimate > a.stepDeadline(q))
 }
 
-// shedSubqueries drops, where it is crowded, parts that a query may do without and that give least for their work.
+// shedSubqueries drops, under overload, those subqueries that a query may do without and that give least weight for their
+// work.
 func (a *Aggregator) shedSubqueries(q *query) {
 	allowance := (q.required - a.indexes[q.index].minimum) * overloadDrop
 	if a.recentLatency() <= overloadFrom*a.usualLatency {
@@ -95,12 +99,12 @@
 	}
 }
 
-// recentLatency is the latency heard of late from any backend.
+// recentLatency is the mean latency of recent answers of all backends.
 func (a *Aggregator) recentLatency() float64 {
 	return a.recentLatencies.mean(a.usualLatency, priorSamples, a.now, a.shortestSoft)
 }
 
-// due is the soft deadline of the step in hand: a second one that is to come needs time too.
+// stepDeadline is the soft deadline of the current step: a first step leaves time for the second.
 func (a *Aggregator) stepDeadline(q *query) float64 {
 	if q.state != stateFirstStep {
 		return q.soft
@@ -108,7 +112,7 @@
 	return q.soft - secondStepLatencies*max(a.averageLatency, a.recentLatency())
 }
 
-// checkDeadlines looks after what time alone does to a query.
+// checkDeadlines ends a query at its deadline, hedges its slow calls, and abandons subqueries that can't be in time.
 func (a *Aggregator) checkDeadlines(q *query) {
 	row, due := &a.indexes[q.index], a.stepDeadline(q)
 	enough := q.answeredWeight >= row.minimum-sumSlack
@@ -120,7 +124,7 @@
 	}
 	inTime := func(b *backend) bool { return usable(b) && a.now+a.expectedLatency(b, q.index) <= due }
 	pendingWeight := q.sumWeights(func(sub *subquery) bool { return sub.state == statePending })
-	// A part that misses the soft deadline takes more from others than the little gain that is left.
+	// A subquery that misses the soft deadline costs other queries more than the little value that remains.
 	hopeless := pendingWeight > row.lateValue && a.averageLatency > 0
 	for _, sub := range q.subqueries {
 		if sub.state == stateInFlight {
@@ -131,12 +135,14 @@
 	}
 }
 
+// countAnswer counts an answered subquery towards its query, and cancels its other calls.
 func (a *Aggregator) countAnswer(sub *subquery) {
 	sub.query.answeredWeight += sub.weight
 	a.cancelAll(sub)
 	a.endIfDecided(sub.query)
 }
 
+// abandon counts a subquery as lost for its query.
 func (a *Aggregator) abandon(sub *subquery) {
 	a.reserveRetry(sub, false)
 	a.unassign(sub)
@@ -144,7 +150,7 @@
 	a.endIfDecided(sub.query)
 }
 
-// endIfDecided ends a query as soon as what is in, or lost, decides it.
+// endIfDecided ends a query as soon as the answered or the abandoned weight decides it.
 func (a *Aggregator) endIfDecided(q *query) {
 	q.unfinished--
 	switch {
@@ -158,7 +164,7 @@
 	}
 }
 
-// answer ends a step, and with the last one its query.
+// answer answers a step of a query, and ends the query with its last step.
 func (a *Aggregator) answer(q *query) {
 	a.emit(Action{Kind: Answer, Query: q.id, Complete: !q.partial})
 	if q.state == stateEnded {
@@ -168,13 +174,13 @@
 	}
 }
 
-// reject ends a query without an answer: by a nack wherever trying again is surely harmless.
+// reject ends a query without an answer: by a nack where a retry by the client is surely harmless, else by an abort.
 func (a *Aggregator) reject(q *query) {
 	action := Action{Kind: Nack, Query: q.id}
 	if a.indexes[q.index].effect != Idempotent && (q.firstStepDone || slices.ContainsFunc(q.subqueries, (*subquery).mayHaveExecuted)) {
 		action.Kind = Abort
 	} else if a.settings.Limits.RetryAfter {
-		action.Wait = min(a.settings.Limits.MaxRetryAfter, 2*a.expectedLatency(nil, q.index)) // also while nobody was heard
+		action.Wait = min(a.settings.Limits.MaxRetryAfter, 2*a.expectedLatency(nil, q.index)) // also before any answer
 	}
 	a.emit(action)
 	a.removeQuery(q)
--- a/policy/policy_release.go
+++ b/policy/policy_release.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// Release: in which order held parts leave, whether one may leave yet, and when a call is made again.
+// Sending: the order of pending subqueries, whether one may be sent yet, hedges and retries.
 
-// sendsCanary tells whether a query sends one part ahead. Of one that brings backends down every part does.
+// sendsCanary tells whether a query sends a single subquery first: every subquery of a query that crashes backends would
+// crash another one.
 func (a *Aggregator) sendsCanary(q *query) bool {
 	return !q.anyAnswered && (q.brokenCalls > 0 || a.crashesSuspected())
 }
 
-// awaitsProbe asks the two likeliest holders of a held part, and tells whether to wait for the first that answers.
+// awaitsProbe probes the two likeliest replicas of a pending subquery, and tells whether to wait for the first answer.
 func (a *Aggregator) awaitsProbe(sub *subquery) (pending bool) {
 	alive := func(b *backend) bool { return usable(b) && a.recentlyAlive(b) && a.mayServe(sub, b) }
 	if slices.ContainsFunc(a.holdersOf(sub), alive) {
@@ -28,23 +29,24 @@
 	return pending
 }
 
-// hedge takes back a call that a sibling would long have answered, against backends that crawl or lose it.
+// hedge replaces a call that a sibling would long have answered, by a second call or, where hedged requests are not allowed,
+// by a cancellation and a retry. It guards against backends that are slow or lose calls.
 func (a *Aggregator) hedge(sub *subquery) {
 	if len(sub.calls) != 1 || sub.calls[0].canceled || !a.mayRetry(sub) {
 		return
 	}
 	c, b := sub.calls[0], a.choose(sub, sub.calls[0].backend, true)
 	age, patience := a.now-c.sent, hedgeFrom*max(a.averageLatency, a.expectedLatency(b, sub.query.index))*sub.size
-	if !a.probesQueue && (sub.query.answeredWeight < nearlyComplete*sub.query.required || a.recentLatency() > overloadFrom*a.usualLatency) { // the last few cost little
+	if !a.probesQueue && (sub.query.answeredWeight < nearlyComplete*sub.query.required || a.recentLatency() > overloadFrom*a.usualLatency) { // hedges of the last few subqueries cost little
 		patience *= hedgeSlack
 	}
 	switch {
 	case b == nil || age < patience && usable(c.backend):
 		return
-	case a.settings.Limits.Probe && !a.recentlyAlive(b): // where the sibling's queue is as long, one more only adds to both
+	case a.settings.Limits.Probe && !a.recentlyAlive(b): // where the sibling's queue is as long, a hedge only adds to both
 		a.probe(b, false)
 		return
-	case a.probesQueue && c.backend.aliveAt > c.sent && c.backend.answeredAt < c.sent: // it waits no longer than a probe
+	case a.probesQueue && c.backend.aliveAt > c.sent && c.backend.answeredAt < c.sent: // a call waits no longer than a probe, so this one is lost
 		a.connectionLost(c)
 	}
 	if a.settings.Limits.Hedge {
@@ -56,7 +58,8 @@
 	}
 }
 
-// hasCapacity: a backend out of reach gets one call at a time, after each pause.
+// hasCapacity tells whether a backend may get another call now. An unreachable one gets a call at a time, after each
+// backoff; one with a window below one call gets them paced.
 func (a *Aggregator) hasCapacity(sub *subquery, b *backend) bool {
 	if !usable(b) && (b.probing || a.now < b.unreachableUntil || b.callsInFlight > 0) {
 		return false
@@ -65,7 +68,7 @@
 	return (a.canShareCall(b) || float64(b.callsInFlight) < math.Floor(b.window) || paced) && a.slowStartAllows(sub, b)
 }
 
-// reorder is SWAG's order: the held query of least makespan first, its calls then added to the queues.
+// reorder makes SWAG's order: the pending query of least makespan first, its calls then added to the queues.
 func (a *Aggregator) reorder() {
 	a.orderStale, a.sendOrder = false, a.sendOrder[:0]
 	for _, b := range a.fleet {
@@ -94,6 +97,7 @@
 	}
 }
 
+// sendPending sends, in order, all pending subqueries that may be sent now.
 func (a *Aggregator) sendPending() {
 	a.averageLatency = a.meanLatency(func(b *backend) bool { return usable(b) && !b.excluded })
 	if a.orderStale {
@@ -104,11 +108,11 @@
 		if len(subqueries) < q.expected || canary && q.hasCallsInFlight() {
 			continue
 		}
-		// While parts that it needs have no holder in reach, work on the others is likely for nothing.
+		// While required subqueries have no reachable replica, work on the others is likely wasted.
 		mayFail := q.abandonedWeight+q.sumWeights(a.unreachable) > 1-a.indexes[q.index].minimum+sumSlack
 		for i, sub := range subqueries {
 			if canary {
-				sub = subqueries[len(subqueries)-1-i] // the least first
+				sub = subqueries[len(subqueries)-1-i] // the smallest one
 			}
 			if sub.state == statePending && (!mayFail || a.unreachable(sub)) {
 				a.trySend(sub)
@@ -120,17 +124,20 @@
 	}
 }
 
+// unreachable tells whether a pending subquery has no reachable replica that may serve it.
 func (a *Aggregator) unreachable(sub *subquery) bool {
 	inReach := func(b *backend) bool { return usable(b) && a.mayServe(sub, b) }
 	return sub.state == statePending && !slices.ContainsFunc(a.holdersOf(sub), inReach)
 }
 
+// wouldBeLate tells whether a call sent now is expected to miss the query's deadline.
 func (a *Aggregator) wouldBeLate(sub *subquery, b *backend) bool {
 	return sub.query.deadline-a.now < a.expectedLatency(b, sub.query.index)
 }
 
+// trySend sends a pending subquery to its backend or a better sibling, abandons it, or leaves it pending.
 func (a *Aggregator) trySend(sub *subquery) {
-	if sub.assigned != nil && !a.mayServe(sub, sub.assigned) { // the pinned one serves again, or no longer
+	if sub.assigned != nil && !a.mayServe(sub, sub.assigned) { // the pinned backend serves again, or no longer
 		a.bind(sub)
 	}
 	if sub.state != statePending {
@@ -158,6 +165,7 @@
 	}
 }
 
+// send emits a call of a subquery to the backend that it is assigned to.
 func (a *Aggregator) send(sub *subquery) {
 	b := sub.assigned
 	if len(sub.calls) == 0 {
@@ -171,7 +179,7 @@
 	}
 	action := Action{Kind: Send, Subquery: sub.id, Backend: b.id, StopAt: a.callDeadline(sub.query)}
 	if a.indexes[sub.query.index].effect == Fingerprinted && sub.mayHaveExecuted() {
-		action.BeginBy = sub.firstSent + a.indexes[sub.query.index].dedupWindow // also where it waits for a connection until then
+		action.BeginBy = sub.firstSent + a.indexes[sub.query.index].dedupWindow // also if it waits for a connection until then
 	}
 	a.startCall(sub, b).idleBefore = idle
 	if a.slowStartFactor(b) < 1 {
@@ -180,7 +188,8 @@
 	a.emit(action)
 }
 
-// callDeadline is when a call of a query is no longer worth its work: what waits beyond that need not be begun.
+// callDeadline is the time from which an answer to a call of a query has no value: a call that still waits then need not
+// be executed.
 func (a *Aggregator) callDeadline(q *query) float64 {
 	if row := &a.indexes[q.index]; row.minimum < row.required && row.partialValue > row.lateValue || row.lateValue == 0 {
 		return min(q.deadline, q.soft)
@@ -188,7 +197,7 @@
 	return q.deadline
 }
 
-// mayRetry tells whether a further call of p is allowed by its index, its tries and the budget.
+// mayRetry tells whether a further call of sub is allowed by its index's effect, its attempts and the retry budget.
 func (a *Aggregator) mayRetry(sub *subquery) bool {
 	row, rules := &a.indexes[sub.query.index], &a.settings.Rules
 	switch {
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,8 +1,8 @@
 package policy
 
-// What an instance remembers: its records, by how long they live, and how their states change by the tables.
+// The records of an instance, by how long they live, and the transitions of their states.
 
-// state and input are those of the two tables in policy.go; a part and a query have states of their own.
+// state is a state of a subquery or of a query, and input an input of their state machines; the tables are in step.go.
 type state uint16
 
 const (
@@ -30,19 +30,20 @@
 	onDisconnect
 )
 
-// indexRow is what differs by index.
+// indexRow has the settings and measures of an index.
 type indexRow struct {
-	soft, hard, value, lateValue    float64 // deadlines, gain, and its share after the soft one
+	soft, hard, value, lateValue    float64 // deadlines in seconds from arrival, value, and the value's share after the soft one
 	required, minimum, partialValue float64
 	effect                          Effect
-	faultCost                       float64 // what a fault of a backend adds to its cost
+	faultCost                       float64 // what a fault of a backend adds to its cost, as a multiple
 	dedupWindow                     float64
 	secondStep                      int
-	clientTimeout, timeoutVotes     float64 // the time that most tries give, and how many more than others
-	meanWork                        float64 // mean hint of a part
+	clientTimeout, timeoutVotes     float64 // the timeout of most clients' attempts, and its lead in votes
+	meanWork                        float64 // mean hint of a subquery
 }
 
-// rule is a row of a table: in one of these states, on one of these inputs, go to the next state and do this.
+// rule is a row of a state machine's table: in one of these states, on one of these inputs, go to the next state and do
+// the effect.
 type rule[T any] struct {
 	state state
 	on    input
@@ -50,6 +51,7 @@
 	do    func(*Aggregator, T)
 }
 
+// transition applies an input to a state by the first rule that matches.
 func transition[T any](a *Aggregator, table []rule[T], it T, at *state, on input) {
 	for i := range table {
 		if r := &table[i]; r.state&*at != 0 && r.on&on != 0 {
@@ -69,21 +71,21 @@
 	transition(a, queryTable, q, &q.state, on)
 }
 
-// call lives as long as one part call.
+// call is a call in flight.
 type call struct {
 	subquery   *subquery
 	no         CallNo
 	backend    *backend
 	sent       float64
 	shared     *sharedCall
-	canceled   bool    // taken back already
-	idleBefore float64 // how long nothing had gone to or come from its backend
+	canceled   bool    // a cancellation was emitted
+	idleBefore float64 // seconds since the backend was last used, when the call was sent
 }
 
-// trip is what travels to one backend in one step; where parts share calls it is what is counted.
+// sharedCall is a call with which several subqueries of one step travel to a backend; it counts as one.
 type sharedCall struct{ step, subqueries, live int }
 
-// applyToSubquery lives until its query is answered, or longer while a call of it is out.
+// subquery lives until its query is answered, or longer while a call of it is in flight.
 type subquery struct {
 	id            SubqueryID
 	query         *query
@@ -92,104 +94,107 @@
 	size          float64
 	state         state
 	assigned      *backend // where it is bound
-	avoid         *backend // where its last call came to nothing
+	avoid         *backend // where its last call failed
 	calls         []*call
 	attempts      int
 	firstSent     float64 // time of the first call
-	executed      bool    // some call of it may have run
-	retryReserved bool    // a further call is promised to it
+	executed      bool    // some call of it may have been executed
+	retryReserved bool    // a retry after a cancellation is charged to the budget already
 	draw          float64
-	pin           *PinOverride // where operators pin it, as of so many changes of pins and lists
-	pinBackend    *backend     // that one; nil where nobody has its number
+	pin           *PinOverride // where operators pin it, as of pinsVersion
+	pinBackend    *backend     // the pin's backend; nil where there is none of that number
 	pinsVersion   int
 }
 
-// mayHaveExecuted tells whether some call of p may have run or may yet.
+// mayHaveExecuted tells whether some call of sub may have been executed or may be yet.
 func (sub *subquery) mayHaveExecuted() bool { return sub.executed || len(sub.calls) > 0 }
 
+// query lives until its last answer, or until its client disconnects.
 type query struct {
 	id                              QueryID
 	no                              QueryNo
 	index                           IndexID
 	state                           state
-	overQuota                       bool // past its customer's share
-	partial                         bool // an answer of it was not whole
+	overQuota                       bool // its customer is over its quota
+	partial                         bool // an answer of it was not complete
 	firstStepDone                   bool // its first step is answered
 	soft                            float64
 	deadline                        float64
 	expected                        int
-	required                        float64 // weight that makes this step whole
+	required                        float64 // weight that completes this step
 	subqueries                      []*subquery
-	answeredWeight, abandonedWeight float64 // weights
-	brokenCalls                     int     // calls of it that ended with their backend
-	anyAnswered                     bool    // some part was answered
-	unfinished                      int     // parts neither in nor lost
+	answeredWeight, abandonedWeight float64
+	brokenCalls                     int  // calls that broke, maybe by a crash of their backend
+	anyAnswered                     bool // some call was answered
+	unfinished                      int  // subqueries neither answered nor abandoned
 	assignments                     []assignment
 	size                            float64
-	zones                           *Zones // where its parts may go
+	zones                           *Zones // locations that may serve it
 }
 
+// assignment counts the subqueries of a query that are pending for a backend.
 type assignment struct {
 	backend    *backend
 	subqueries int
 }
 
-// backend lives as long as the list names it, and on, as its calls do; the next change to the list ends it.
+// backend lives as long as the list names it and as calls to it are in flight; a later change of the list removes it.
 type backend struct {
 	id                 BackendID
 	location           LocationID
 	ready              bool
 	removed            bool    // the list no longer names it
-	started            float64 // last start, as told or suspected; far past if never
-	latency            float64 // smoothed; 0 while unheard
-	latencyAt          float64 // its last change
+	started            float64 // last start, as listed or suspected; minus infinity if unknown
+	latency            float64 // smoothed, in seconds; 0 before the first answer
+	latencyAt          float64 // time of its last change
 	answeredAt         float64
 	aliveAt            float64 // last answer to a call or a probe
-	unansweredSince    float64 // when it was first asked or called since; 0 if it was not
-	probedAt           float64 // last probe
+	unansweredSince    float64 // time of the first call or probe since; 0 if there was none
+	probedAt           float64 // time of the last probe
 	probeFailed        bool    // a probe has failed since
 	lastUsedAt         float64
 	window             float64
 	narrowedAt         float64
-	callsInFlight      int // own calls out
+	callsInFlight      int // this aggregator's, a shared one counted once
 	callsPending       int
-	queue              float64 // scratch of the order
+	queue              float64 // scratch value of reorder
 	calls              []*call
 	shared             *sharedCall
 	faults             []decayingMean // by index
-	locationFaults     []decayingMean // the same of all at its location
+	locationFaults     []decayingMean // shared by all backends of its location
 	unreachableUntil   float64
 	unreachableBackoff float64
 	probing            bool
-	connectFailed      bool            // a connect has failed since it was last heard
-	slowStartWork      []sentWork      // while cold
-	draw               float64         // with that of a part, decides whether it may go there while cold, or weighed
-	overrides          []indexOverride // by index, what operators override; nil where they do not
-	excluded           bool            // out of every index
-	relocated          bool            // the list has named another location under its number
-	peerLatency        decaying        // times the usual latency that others found here, until at
-	withheld           times           // until when each call that a weight kept away would have been out here
-	diverted           times           // and where it is out instead
+	connectFailed      bool            // a connect has failed since its last answer
+	slowStartWork      []sentWork      // while in slow start
+	draw               float64         // random; with a subquery's, decides on slow start and weights
+	overrides          []indexOverride // by index; nil where there are none
+	excluded           bool            // from every index
+	relocated          bool            // the list has named another location for its number
+	peerLatency        decaying        // multiple of the usual latency that peers observed; it counts until at
+	withheld           times           // expected end of each call that a weight diverted from here
+	diverted           times           // and of each call that was diverted to here
 }
 
-// scope is what operators override of a backend for one index.
+// indexOverride is what operators override of a backend for one index.
 type indexOverride struct {
 	excluded bool
 	weight   float64
 }
 
-// pinKey is where a shard of an index is pinned to.
+// pinKey names what a pin applies to.
 type pinKey struct {
 	shard ShardID
 	index IndexID
 }
 
+// sentWork is work that was sent to a backend in slow start.
 type sentWork struct{ at, work float64 }
 
-// customer and what follows live as long as the instance.
+// customer is the token bucket of a customer's quota.
 type customer struct{ tokens, at float64 }
 
-// Aggregator is one instance.
+// Aggregator is an instance of the policy: a state machine that only Step moves. It is not safe for concurrent use.
 type Aggregator struct {
 	settings        Settings
 	indexes         []indexRow
@@ -199,33 +204,33 @@
 	random          pcg
 	actions         []Action
 	backends        map[BackendID]*backend
-	fleet           []*backend   // in the order of first naming, so that nothing hangs on a map's
-	holdersByCell   [][]*backend // by cell at which a shard begins
+	fleet           []*backend   // in the order of first listing: no decision may depend on a map's order
+	holdersByCell   [][]*backend // replicas by a shard's first cell
 	queries         map[QueryNo]*query
 	numbers         map[QueryID]QueryNo
 	subqueries      map[SubqueryID]*subquery
 	openQueries     []*query // in order of arrival
 	sendOrder       []*query
 	orderStale      bool
-	averageLatency  float64 // latency of heard backends; 0 while none is
-	usualLatency    float64
+	averageLatency  float64 // mean latency of usable backends; 0 before the first answer
+	usualLatency    float64 // running median of all answers
 	meanHint        float64
 	longestSoft     float64
 	shortestSoft    float64
 	topValue        float64
 	locationFaults  map[LocationID][]decayingMean // share of faults by index
-	crashShare      decayingMean                  // share of calls that ended with their backend
-	unhealthyShare  decayingMean                  // share of calls that fail or crawl
-	recentLatencies decayingMean                  // latency of late, over all backends
+	crashShare      decayingMean                  // share of calls that broke or could not connect
+	unhealthyShare  decayingMean                  // share of calls that failed or were slow
+	recentLatencies decayingMean                  // of all backends
 	probesQueue     bool                          // probes wait in the backends' queues
-	idleLosses      decaying                      // calls lost after a pause, less those answered
+	idleLosses      decaying                      // calls lost on idle connections, less those answered
 	idleLimit       float64                       // a connection idle for longer may be dead
-	receivedTimes   []float64                     // times of what the budget counts as taken
-	retryTimes      []float64                     // and as further calls
+	receivedTimes   []float64                     // of queries and subqueries, for the retry budget
+	retryTimes      []float64                     // of retries, for the retry budget
 	retriesReserved int
 	pins            map[pinKey]*PinOverride
-	pinsVersion     int  // counts their changes
-	ignoreWeights   bool // costs are those without weights
+	pinsVersion     int  // counts changes of pins and of the list
+	ignoreWeights   bool // while chooseByWeight finds the cost without weights
 	listBackoff     float64
-	listPollAt      float64 // when to ask next
+	listPollAt      float64 // time of the next request of the list
 }
--- a/policy/state_calls.go
+++ b/policy/state_calls.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// Records of calls that are out.
+// Records of calls in flight.
 
-// startCall books a call of p to s, on the trip of this step if that has a place.
+// startCall records a call of sub to b, in this step's shared call where that has room.
 func (a *Aggregator) startCall(sub *subquery, b *backend) *call {
 	if !a.canShareCall(b) {
 		b.shared = &sharedCall{step: a.step}
@@ -29,11 +29,12 @@
 	return c
 }
 
+// canShareCall tells whether another subquery may share the call that goes to b in this step.
 func (a *Aggregator) canShareCall(b *backend) bool {
 	return b.shared != nil && b.shared.step == a.step && b.shared.subqueries < a.settings.Layout.CallSubqueries
 }
 
-// removeCall takes a call off the records; nil if it is not among them.
+// removeCall removes a call that has ended from the records; nil if it is not among them.
 func (a *Aggregator) removeCall(id SubqueryID, no CallNo) *call {
 	sub := a.subqueries[id]
 	if sub == nil {
@@ -50,14 +51,14 @@
 	return c
 }
 
-// leaveSharedCall takes one call off a trip.
+// leaveSharedCall ends one subquery's share of a call; with the last one the call is no longer in flight.
 func (a *Aggregator) leaveSharedCall(b *backend, t *sharedCall) {
 	if t.live--; t.live == 0 {
 		b.callsInFlight--
 	}
 }
 
-// cancel takes a call back once, where that is allowed.
+// cancel emits the cancellation of a call once, where the deployment permits cancellations.
 func (a *Aggregator) cancel(c *call) {
 	if a.settings.Limits.Cancel && !c.canceled {
 		c.canceled = true
@@ -65,6 +66,7 @@
 	}
 }
 
+// cancelAll cancels all calls of a subquery.
 func (a *Aggregator) cancelAll(sub *subquery) {
 	for _, c := range sub.calls {
 		a.cancel(c)
--- a/policy/state_figures.go
+++ b/policy/state_figures.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// Figures that fade, are smoothed or are drawn at random.
+// Statistics: decaying values, smoothed means and random numbers.
 
 // pcg is a permuted congruential generator (XSH RR 64/32).
 type pcg uint64
 
+// unit draws a number of [0, 1).
 func (g *pcg) unit() float64 {
 	old := uint64(*g)
 	*g = pcg(old*6364136223846793005 + 1442695040888963407)
@@ -17,21 +18,23 @@
 	return float64(x>>r|x<<(-r&31)) / (1 << 32)
 }
 
-// decaying is a figure that fades with time.
+// decaying is a value that decays exponentially from a time on.
 type decaying struct{ value, at float64 }
 
+// valueAt is the value at a time, with over as the time constant in seconds.
 func (f decaying) valueAt(now, over float64) float64 { return f.value * decay(f.at, now, over) }
 
-// add moves it, not below 0, and tells what it was.
+// add changes the value, not below 0, and returns what it was.
 func (f *decaying) add(by, now, over float64) (was float64) {
 	was = f.valueAt(now, over)
 	*f = decaying{max(0, was+by), now}
 	return was
 }
 
-// decay is what is left of a figure by now.
+// decay is the factor of an exponential decay from at to now.
 func decay(at, now, over float64) float64 { return math.Exp((at - now) / over) }
 
+// indicator is 1 where a condition holds, else 0.
 func indicator(is bool) float64 {
 	if is {
 		return 1
@@ -39,7 +42,7 @@
 	return 0
 }
 
-// decayingMean is a mean of samples that fade with time.
+// decayingMean is a mean of samples whose weights decay exponentially with age.
 type decayingMean struct{ sum, n, at float64 }
 
 func (g *decayingMean) add(sample, now, over float64) {
@@ -47,23 +50,23 @@
 	*g = decayingMean{g.sum*f + sample, g.n*f + 1, now}
 }
 
-// limitWeight lets no more than so many samples weigh, so that new ones count.
+// limitWeight limits the weight of old samples, so that new ones count.
 func (g *decayingMean) limitWeight(limit float64) {
 	if g.n > limit {
 		*g = decayingMean{g.sum * limit / g.n, limit, g.at}
 	}
 }
 
-// mean takes a prior for as much as weight samples.
+// mean is the mean with a prior that weighs as much as weight samples.
 func (g decayingMean) mean(prior, weight, now, over float64) float64 {
 	f := decay(g.at, now, over)
 	return (g.sum*f + weight*prior) / (g.n*f + weight)
 }
 
-// times are ends, about in their order.
+// times are points in time, in about ascending order.
 type times []float64
 
-// due counts those to come.
+// countAfter drops those up to now and counts the others.
 func (t *times) countAfter(now float64) int {
 	for len(*t) > 0 && (*t)[0] <= now {
 		*t = (*t)[1:]
--- a/policy/state_lookups.go
+++ b/policy/state_lookups.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// Records of queries and of parts that are held.
+// Records of queries and of their subqueries.
 
-// addQuery enters a query that was taken; added enters a part of it.
+// addQuery records a query that was received.
 func (a *Aggregator) addQuery(e *Event) *query {
 	row := &a.indexes[e.Index]
 	a.recordTime(&a.receivedTimes)
@@ -20,6 +20,7 @@
 	return q
 }
 
+// addSubquery records a subquery of a query.
 func (a *Aggregator) addSubquery(q *query, e *Event) *subquery {
 	a.recordTime(&a.receivedTimes)
 	sub := &subquery{id: e.Subquery, query: q, shard: e.Shard, weight: e.Weight, size: 1, draw: a.random.unit(), state: statePending}
@@ -29,6 +30,7 @@
 	return sub
 }
 
+// pendingSubqueries lists the pending subqueries of all queries, in order of arrival.
 func (a *Aggregator) pendingSubqueries() (list []*subquery) {
 	for _, q := range a.openQueries {
 		for _, sub := range q.subqueries {
@@ -40,7 +42,7 @@
 	return list
 }
 
-// sumWeights sums the weights of lk's parts that are so.
+// sumWeights sums the weights of q's subqueries that count.
 func (q *query) sumWeights(counts func(*subquery) bool) (weight float64) {
 	for _, sub := range q.subqueries {
 		if counts(sub) {
@@ -50,7 +52,7 @@
 	return weight
 }
 
-// openQueriesBySize lists the open queries with the sizes of what they hold.
+// openQueriesBySize lists the open queries in order of arrival, and sets their sizes: the calls that are pending for them.
 func (a *Aggregator) openQueriesBySize() []*query {
 	for _, q := range a.openQueries {
 		q.size = 0
@@ -61,11 +63,12 @@
 	return slices.Clone(a.openQueries)
 }
 
-// hasCallsInFlight tells whether a call of a part is out.
+// hasCallsInFlight tells whether a call of some subquery is in flight.
 func (q *query) hasCallsInFlight() bool {
 	return slices.ContainsFunc(q.subqueries, func(sub *subquery) bool { return len(sub.calls) > 0 })
 }
 
+// assignedTo counts q's subqueries that are pending for b.
 func (q *query) assignedTo(b *backend) int {
 	for _, assigned := range q.assignments {
 		if assigned.backend == b {
@@ -75,12 +78,13 @@
 	return 0
 }
 
-// units counts lk's held parts at s as the calls they will share.
+// callsFor counts the calls that q's subqueries pending for b will share.
 func (a *Aggregator) callsFor(q *query, b *backend) int {
 	per := a.settings.Layout.CallSubqueries
 	return (q.assignedTo(b) + per - 1) / per
 }
 
+// addAssigned adds n to the subqueries of q that are pending for b.
 func (a *Aggregator) addAssigned(q *query, b *backend, n int) {
 	b.callsPending -= a.callsFor(q, b)
 	i := slices.IndexFunc(q.assignments, func(t assignment) bool { return t.backend == b })
@@ -92,6 +96,7 @@
 	b.callsPending += a.callsFor(q, b)
 }
 
+// assign makes a subquery pending for b, or for no backend where b is nil.
 func (a *Aggregator) assign(sub *subquery, b *backend) {
 	a.unassign(sub)
 	if sub.assigned = b; b != nil {
@@ -99,6 +104,7 @@
 	}
 }
 
+// unassign takes a subquery from the backend that it is pending for.
 func (a *Aggregator) unassign(sub *subquery) {
 	if sub.assigned != nil {
 		a.addAssigned(sub.query, sub.assigned, -1)
@@ -106,14 +112,14 @@
 	sub.assigned = nil
 }
 
-// removeIfClosed lets go of a part that nothing can refer to any more.
+// removeIfClosed removes a closed subquery once no call of it is in flight.
 func (a *Aggregator) removeIfClosed(sub *subquery) {
 	if sub.state == stateClosed && len(sub.calls) == 0 {
 		delete(a.subqueries, sub.id)
 	}
 }
 
-// closeSubqueries closes all parts of a step.
+// closeSubqueries closes all subqueries of a query's step.
 func (a *Aggregator) closeSubqueries(q *query) {
 	for _, sub := range q.subqueries {
 		a.applyToSubquery(sub, onClose)
@@ -124,7 +130,7 @@
 	q.subqueries, q.assignments, a.orderStale = nil, nil, true
 }
 
-// nextStep begins the second step, of which all makes it whole; parts of the first have run.
+// nextStep begins the second step of a query, which needs all of its subqueries; those of the first step were executed.
 func (a *Aggregator) nextStep(q *query, limit int) {
 	n := 0
 	for _, sub := range q.subqueries {
@@ -137,6 +143,7 @@
 	q.required, q.expected, q.answeredWeight, q.abandonedWeight, q.unfinished = 1, min(n, limit), 0, 0, 0
 }
 
+// removeQuery removes a query that has ended.
 func (a *Aggregator) removeQuery(q *query) {
 	a.closeSubqueries(q)
 	delete(a.queries, q.no)
@@ -144,6 +151,7 @@
 	a.openQueries = slices.DeleteFunc(a.openQueries, func(o *query) bool { return o == q })
 }
 
+// clientDisconnected ends a query whose client has gone away.
 func (a *Aggregator) clientDisconnected(e *Event) {
 	if q := a.queries[a.numbers[e.Query]]; q != nil && q.id == e.Query {
 		a.applyToQuery(q, onDisconnect)
--- a/policy/state_mixer.go
+++ b/policy/state_mixer.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// The start of an instance, and its records of customers, of the budget and of overrides.
+// The start of an instance, and its records of customers, of the retry budget and of overrides.
 
-// New starts an instance.
+// New makes an instance; now is in seconds of the clock that Step is given. Settings are taken as valid.
 func New(set Settings, now float64) *Aggregator {
 	set.Aggregators, set.Layout.CallSubqueries = max(1, set.Aggregators), max(1, set.Layout.CallSubqueries)
 	set.Layout.Cells, set.Layout.Width = max(1, set.Layout.Cells), max(1, set.Layout.Width)
@@ -28,7 +28,7 @@
 	return a
 }
 
-// applyOverrides takes a patch of overrides, and lists the backends that come back into use by it.
+// applyOverrides records a change of overrides, and lists the backends that are no longer excluded by it.
 func (a *Aggregator) applyOverrides(o *Overrides) (back []*backend) {
 	if len(o.Pins) > 0 {
 		a.pinsVersion++
@@ -71,7 +71,7 @@
 	return back
 }
 
-// addIndex adds a row to the table of indexes.
+// addIndex adds the settings of an index.
 func (a *Aggregator) addIndex(row *IndexSettings) {
 	need := cmp.Or(row.Required, 1)
 	a.indexes = append(a.indexes, indexRow{soft: row.Soft, hard: row.Hard, value: row.Value, lateValue: row.LateValue, required: need,
@@ -81,9 +81,11 @@
 	a.longestSoft, a.shortestSoft = max(a.longestSoft, row.Soft), min(a.shortestSoft, row.Soft)
 }
 
+// emit appends an action to those that Step returns.
 func (a *Aggregator) emit(action Action) { a.actions = append(a.actions, action) }
 
-// recordTimeout is a vote of the tries on the time that most of them give, as far apart and with as many votes at most.
+// recordTimeout finds the timeout that most clients' attempts give, by a majority vote (Boyer and Moore) with at most most
+// votes; timeouts within apart seconds are equal.
 func (row *indexRow) recordTimeout(left, apart, most float64) {
 	switch {
 	case math.Abs(left-row.clientTimeout) <= apart:
@@ -95,8 +97,8 @@
 	}
 }
 
-// exceedsQuota takes one token of a customer's bucket, which fills at this aggregator's part of its quota, up to so
-// many seconds of it; it tells whether there was none.
+// exceedsQuota takes a token of a customer's bucket, which fills at this aggregator's share of the quota up to so many
+// seconds of it, and tells whether there was none.
 func (a *Aggregator) exceedsQuota(id CustomerID, seconds float64) bool {
 	if int(id) >= len(a.customers) {
 		return false
@@ -110,22 +112,23 @@
 	return false
 }
 
-// recordTime notes the time of what the budget counts, where there is one.
+// recordTime records the time of something that the retry budget counts, where there is a budget.
 func (a *Aggregator) recordTime(times *[]float64) {
 	if !a.settings.Rules.RetryBudget {
 		return
 	}
-	if len(*times) == cap(*times) { // spent drops them too, but only where something goes wrong
+	if len(*times) == cap(*times) { // retrySpending drops them too, but only runs after failures
 		*times = dropBefore(*times, a.now-a.settings.Rules.RetryBudgetS-a.settings.Step)
 	}
 	*times = append(*times, a.now)
 }
 
-// workOf is the work that a part of an index brings a backend, its call included.
+// workOf is the work of a subquery of an index for its backend, that of the call included.
 func (a *Aggregator) workOf(index IndexID) float64 {
 	return a.indexes[index].meanWork + a.settings.Layout.CallCost
 }
 
+// reserveRetry charges a retry of a subquery to the budget before it is sent, or releases that charge.
 func (a *Aggregator) reserveRetry(sub *subquery, reserved bool) {
 	if reserved != sub.retryReserved {
 		sub.retryReserved = reserved
@@ -137,8 +140,8 @@
 	}
 }
 
-// retrySpending counts the further calls made or promised since a time, one of p included, and what was taken; of what
-// fell on the edge, the worse is supposed.
+// retrySpending counts the retries made or reserved since a time, one of sub included, and the queries and subqueries
+// received. At the edge of the window it counts to the retry's disadvantage.
 func (a *Aggregator) retrySpending(sub *subquery, from float64) (retries, received int) {
 	a.receivedTimes, a.retryTimes = dropBefore(a.receivedTimes, from+a.settings.Step), dropBefore(a.retryTimes, from-a.settings.Step)
 	retries = len(a.retryTimes) + a.retriesReserved
--- a/policy/state_searchers.go
+++ b/policy/state_searchers.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Records of backends: naming, overrides, signs of life.
+// Records of backends: the list, overrides, and when they were last alive.
 
-// overridden tells whether some weight is on s.
+// overridden tells whether operators override anything of b.
 func (b *backend) overridden() bool { return b.overrides != nil }
 
-// scope tells what operators override of s for an index.
+// override is what operators override of b for an index.
 func (b *backend) override(index IndexID) indexOverride {
 	if b.overrides == nil {
 		return indexOverride{weight: 1}
@@ -18,13 +18,12 @@
 	return b.overrides[index]
 }
 
-// allows tells whether a backend stands where a query may go. One that changed its location under its number may
-// stand anywhere.
+// allows tells whether a query's zones allow a backend. One that changed its location under its number may stand anywhere.
 func (q *query) allows(b *backend) bool {
 	return q.zones == nil || !b.relocated && q.zones.Allows(b.location)
 }
 
-// peerLatencyMultiple is how many times the usual latency others found at s, 0 if none did of late.
+// peerLatencyMultiple is the latency of b that peers observed, in usual latencies; 0 without a valid observation.
 func (a *Aggregator) peerLatencyMultiple(b *backend) float64 {
 	if a.now >= b.peerLatency.at {
 		return 0
@@ -32,7 +31,7 @@
 	return b.peerLatency.value
 }
 
-// pin tells where operators pin p, nil if they do not or it is among those that a waning pin leaves. It is looked up
+// pin is the pin that applies to sub; nil without one, or where a pin of a smaller share leaves sub out. It is looked up
 // once between two changes of pins or of the list.
 func (a *Aggregator) pin(sub *subquery) *PinOverride {
 	if sub.pinsVersion != a.pinsVersion {
@@ -44,12 +43,12 @@
 	return sub.pin
 }
 
-// recordStart notes a start of s, which empties the records of what it was sent while cold.
+// recordStart records a start of b, which begins a new slow start.
 func (a *Aggregator) recordStart(b *backend, at float64) {
 	b.started, b.slowStartWork, b.draw = max(b.started, at), b.slowStartWork[:0], a.random.unit()
 }
 
-// workSince sums the work sent since a time.
+// workSince sums the work sent to a backend in slow start since a time.
 func (b *backend) workSince(from float64) (work float64) {
 	for _, w := range b.slowStartWork {
 		if w.at > from {
@@ -59,8 +58,8 @@
 	return work
 }
 
-// removeBackends takes all backends as gone, before a whole list names those that are not. Those that were gone before
-// and that nothing refers to any more are forgotten.
+// removeBackends marks, where all is set, all backends as removed, before a complete list names those that are not. It
+// drops the records of backends that were removed before and that nothing refers to any more.
 func (a *Aggregator) removeBackends(all bool) {
 	a.pinsVersion++
 	forgotten := func(b *backend) bool { return b.removed && len(b.calls) == 0 && b.callsPending == 0 }
@@ -78,7 +77,7 @@
 	}
 }
 
-// applyEntry notes what the list says of a backend, and whether it says so for the first time.
+// applyEntry records an entry of the list, and tells whether its backend is new.
 func (a *Aggregator) applyEntry(entry *Entry) (b *backend, isNew bool) {
 	if b = a.backends[entry.Backend]; b == nil {
 		b, isNew = a.addBackend(entry), true
@@ -87,20 +86,22 @@
 	return b, isNew
 }
 
-// usable: ready, and in reach as far as is known.
+// usable tells whether a backend is ready and not known to be unreachable.
 func usable(b *backend) bool { return b.ready && b.unreachableBackoff == 0 }
 
+// expectAnswer records that a call or probe was sent, for detectSilence.
 func (b *backend) expectAnswer(now float64) {
 	if b.unansweredSince == 0 {
 		b.unansweredSince = now
 	}
 }
 
-// recordAlive notes a sign of life.
+// recordAlive records an answer to a call or a probe.
 func (b *backend) recordAlive(now float64) {
 	b.aliveAt, b.unansweredSince, b.probeFailed, b.connectFailed, b.unreachableBackoff, b.unreachableUntil = now, 0, false, false, 0, 0
 }
 
+// addBackend records a backend that is listed for the first time.
 func (a *Aggregator) addBackend(entry *Entry) *backend {
 	if a.locationFaults[entry.Location] == nil {
 		a.locationFaults[entry.Location] = make([]decayingMean, len(a.indexes))
@@ -117,8 +118,9 @@
 	return b
 }
 
-// meanLatency is that of the backends heard that count, or else what it last was. While none of them is heard it fades to what is
-// usual: else a bad moment in which all took long turned queries away for good, and nobody was heard again.
+// meanLatency is the mean latency of the backends that count and have answered, or else its last value. Without answers
+// it decays to the usual latency: else a moment in which all were slow would reject all queries for good, as no answer
+// would ever come in again.
 func (a *Aggregator) meanLatency(counts func(*backend) bool) float64 {
 	sum, n, lastHeard := 0.0, 0.0, 0.0
 	for _, b := range a.fleet {
@@ -132,6 +134,7 @@
 	return a.usualLatency + decaying{sum/n - a.usualLatency, lastHeard}.valueAt(a.now, estimateMemory*a.longestSoft)
 }
 
+// holdersOf lists the backends that hold a replica of a subquery's shard.
 func (a *Aggregator) holdersOf(sub *subquery) []*backend {
 	return a.holdersByCell[int(sub.shard)%len(a.holdersByCell)]
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -13,7 +13,7 @@
 	QueryID uint64
 	// QueryNo numbers the queries of a client.
 	QueryNo int64
-	// SubqueryID names a part of a query.
+	// SubqueryID names a subquery of a query.
 	SubqueryID uint64
 	// BackendID names a backend.
 	BackendID uint32
@@ -27,7 +27,7 @@
 	ShardID int
 	// CellID names a cell of the layout of shards on backends.
 	CellID int
-	// CallNo numbers the calls of a part.
+	// CallNo numbers the calls of a subquery.
 	CallNo int
 	// AggregatorNo numbers the aggregators.
 	AggregatorNo int
@@ -35,17 +35,17 @@
 	TimerID int
 )
 
-// Effect tells what running a part twice would do.
+// Effect tells whether a subquery may be executed twice.
 type Effect uint8
 
 // The effects.
 const (
-	Idempotent Effect = iota
-	Fingerprinted
-	OnceOnly
+	Idempotent    Effect = iota // harmless at any time
+	Fingerprinted               // harmless within DedupS, in which backends drop repeats
+	OnceOnly                    // not allowed
 )
 
-// Settings are what an instance is told at its start. Times are seconds; a zero value means not stated.
+// Settings are an instance's settings. Times are in seconds; a zero value means not stated.
 type Settings struct {
 	Seed          uint64
 	Self          AggregatorNo
@@ -54,23 +54,23 @@
 	Step          float64 // least time between two calls of Step
 	Indexes       []IndexSettings
 	Customers     []CustomerSettings
-	OverShare     float64 // what a query past its customer's share is worth, as a share of its gain
-	ListOnRequest bool    // the list comes only when asked for
+	OverShare     float64 // value of a query over its customer's quota, as a share of its usual value
+	ListOnRequest bool    // the list comes only on request
 	Layout        Layout
 	Limits        Limits
 	Rules         Rules
 	Prices        Prices
 }
 
-// IndexSettings describe one index of query.
+// IndexSettings are the settings of an index.
 type IndexSettings struct {
-	Soft, Hard        float64
-	Value, LateValue  float64
+	Soft, Hard        float64 // deadlines, in seconds from arrival
+	Value, LateValue  float64 // of an answer; share of it after the soft deadline
 	Effect            Effect
-	DedupS            float64 // how long repeats of a fingerprinted part are dropped
-	Required, Minimum float64 // shares of weight for a whole answer, and for any
-	PartialValue      float64
-	SecondStep        int // parts of the second step, 0 for none
+	DedupS            float64 // how many seconds backends drop repeats of a fingerprinted subquery
+	Required, Minimum float64 // shares of the weight for a complete answer, and for any
+	PartialValue      float64 // of a partial answer, by its share of the weight
+	SecondStep        int     // most subqueries of the second step, 0 for none
 }
 
 // CustomerSettings describe one customer's share of the service.
@@ -81,18 +81,18 @@
 // Layout says which backends hold a shard: those of cells shard, shard+1, ... shard+Width-1, modulo Cells.
 type Layout struct {
 	Cells, Width   int
-	CallSubqueries int // parts that may share one call
+	CallSubqueries int // subqueries that may share one call
 	CallCost       float64
 }
 
-// Limits say what the deployment permits.
+// Limits are what the deployment permits.
 type Limits struct {
 	Cancel, Probe, PeerMessages, Hedge, RetryAfter bool
 	MaxAttempts, MaxPending                        int
 	MaxRetryAfter, ConnectTimeout                  float64
 }
 
-// Rules are the figures of the six rules.
+// Rules are the parameters of the six rules of docs/design.md. Fields ending in S are in seconds.
 type Rules struct {
 	AnswerSlack, ListPollEvery                    float64
 	SlowStartShare, SlowStartS                    float64
@@ -102,7 +102,7 @@
 	RetryBudgetFree, RetryBudgetPer, RetryBudgetS float64
 }
 
-// Prices are taken off the service, each times its rate.
+// Prices are deducted from the service's value, each times its rate.
 type Prices struct {
 	CrossLocation, Waste, Probe, LateFail, Handshake, Connection, Peer, Lists float64
 }
@@ -113,10 +113,10 @@
 // The kinds of events, each with the fields that count for it.
 const (
 	ListChanged        EventKind = iota // List, Backends
-	QueryReceived                       // Query, No, Index, Customer, Left, Hint, Parts, Resent
-	SubqueryReceived                    // Part, No, Index, Left, Hint, Shard, Weight
-	CallBegan                           // Part, Call, Backend: a streamed answer has begun
-	CallEnded                           // Part, Call, Backend, Outcome, Elapsed, Load
+	QueryReceived                       // Query, No, Index, Customer, Remaining, Hint, Subqueries, Resent
+	SubqueryReceived                    // Subquery, No, Index, Remaining, Hint, Shard, Weight
+	CallBegan                           // Subquery, Call, Backend: a streamed answer has begun
+	CallEnded                           // Subquery, Call, Backend, Outcome, Elapsed, Load
 	ClientDisconnected                  // Query
 	TimerDue                            // Timer
 	ProbeEnded                          // Backend, Outcome, Elapsed, Load
@@ -124,19 +124,19 @@
 	OverridesChanged                    // Override
 )
 
-// Outcome is how a part call or a probe ended.
+// Outcome is how a call or a probe ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Answered Outcome = iota
-	Errored
-	Rejected
-	TimedOut
-	NotConnected
-	Broken
-	Canceled
-	NotSent
+	Answered     Outcome = iota
+	Errored              // the backend answered with an error
+	Rejected             // the backend rejected it without executing it
+	TimedOut             // no answer until its StopAt
+	NotConnected         // no connection could be made
+	Broken               // the connection broke
+	Canceled             // by a Cancel action
+	NotSent              // given up before it was sent
 )
 
 // ListKind tells what a list event holds.
@@ -144,13 +144,13 @@
 
 // The kinds of list events.
 const (
-	ListPatch ListKind = iota
-	ListComplete
-	ListStale
-	ListFailed
+	ListPatch    ListKind = iota // the entries that changed
+	ListComplete                 // all entries
+	ListStale                    // all entries, from a copy that may be out of date
+	ListFailed                   // none: the list could not be read
 )
 
-// Phase is what the list says of a backend.
+// Phase is a backend's phase in the list.
 type Phase uint8
 
 // The phases.
@@ -160,7 +160,7 @@
 	Removed
 )
 
-// Entry is one backend as the list names it.
+// Entry is a backend's entry in the list.
 type Entry struct {
 	Backend   BackendID
 	Location  LocationID
@@ -171,7 +171,7 @@
 	StartedAt float64 // 0: long past
 }
 
-// Load is a backend's own report; Has tells which fields are stated.
+// Load is a backend's own load report; Has tells which fields are stated.
 type Load struct {
 	Has                                                LoadField
 	InFlight, Queued, Util, ServiceS, ServedPS, FailPS float64
@@ -190,11 +190,11 @@
 	HasFail
 )
 
-// Overrides are what operators changed of their overrides, as a patch: what it does not name stays. Drains and
-// backends that are gone stand above them, and so do the six rules.
+// Overrides is a change of operators' overrides; what it does not name stays. Drains, removals and the six rules take
+// precedence over overrides.
 //
-// What aggregators agree on reaches the module the same way: zones stand over all that operators override, and judgements
-// under everything an aggregator sees itself.
+// What aggregators agree on comes the same way: zones take precedence over all overrides, and everything that an
+// aggregator observes itself over its peers' observations.
 type Overrides struct {
 	Backends         []BackendOverride
 	Pins             []PinOverride
@@ -202,47 +202,47 @@
 	PeerObservations []PeerObservation
 }
 
-// BackendOverride is all that holds for one backend and index from now on. It ends with the backend's number: one
-// that the list names anew is told of anew.
+// BackendOverride is the complete override of one backend and index from now on. It ends when the backend is removed: if
+// the list names it anew, the override has to be given anew.
 type BackendOverride struct {
 	Backend  BackendID
 	Index    IndexID
-	Excluded bool    // no new part call goes there; calls out end well
-	Weight   float64 // share of its usual part calls, over 0 and up to 1
+	Excluded bool    // it gets no new calls; calls in flight go on
+	Weight   float64 // share of its usual calls, over 0 and up to 1
 }
 
-// PinOverride is all that pins one shard of one index from now on.
+// PinOverride is the complete pin of one shard of one index from now on.
 type PinOverride struct {
 	Shard   ShardID
 	Index   IndexID
-	Backend BackendID // to which; 0 for none any more
-	Strict  bool      // if that can't be reached, the parts are refused, else its siblings take them
-	Share   float64   // of the parts that are bound by it, 1 but for a pin that wanes
+	Backend BackendID // 0 to remove the pin
+	Strict  bool      // while the backend is unreachable, subqueries are refused; else its siblings serve them
+	Share   float64   // of the subqueries that it applies to; below 1 while a pin is phased out
 }
 
-// Zones is a set of locations that a query is kept to. It is made before it is used, and never changed then.
+// Zones is the set of locations that may serve a query. It must not be changed once it is in use.
 type Zones struct{ in map[LocationID]bool }
 
-// NewZones is a set without any.
+// NewZones makes an empty set.
 func NewZones() *Zones { return &Zones{map[LocationID]bool{}} }
 
 // Allow adds a location.
 func (z *Zones) Allow(at LocationID) { z.in[at] = true }
 
-// Allows tells whether a location is in it; of none at all, everything is.
+// Allows tells whether a location is in the set; a nil set has all.
 func (z *Zones) Allows(at LocationID) bool { return z == nil || z.in[at] }
 
-// ZonesOverride keeps queries that are held already to other zones.
+// ZonesOverride changes the zones of a query that was received before.
 type ZonesOverride struct {
 	Query QueryID
 	Zones *Zones
 }
 
-// PeerObservation is what other aggregators found of a backend. It counts as long as our own evidence is thin, in place of the
-// average, for so many seconds.
+// PeerObservation is what other aggregators observed of a backend. Until its time it stands in for the average latency,
+// which counts while an aggregator has few observations of its own.
 type PeerObservation struct {
 	Backend         BackendID
-	LatencyMultiple float64 // of the usual latency; 0 for no judgement any more
+	LatencyMultiple float64 // of the usual latency; 0 withdraws the observation
 	Until           float64 // clock time
 }
 
@@ -270,7 +270,7 @@
 	Load       Load
 	Entries    []Entry
 	Override   *Overrides
-	Zones      *Zones // of a query: where its parts may go, nil for everywhere
+	Zones      *Zones // of a query: locations that may serve it, nil for all
 	Timer      TimerID
 	Peer       AggregatorNo
 	Message    []byte
@@ -281,13 +281,13 @@
 
 // The kinds of actions, each with the fields that count for it.
 const (
-	Send            ActionKind = iota // Part, Backend, StopAt, BeginBy
-	Cancel                            // Part, Call
-	Answer                            // Query, Whole
+	Send            ActionKind = iota // Subquery, Backend, StopAt, BeginBy
+	Cancel                            // Subquery, Call
+	Answer                            // Query, Complete
 	Nack                              // Query, Wait
 	Abort                             // Query
 	SetTimer                          // Timer, Wait
-	Probe                             // Backend, Apart
+	Probe                             // Backend, SeparateConnection
 	CloseIdle                         // Backend
 	NotifyPeer                        // Peer (AllPeers for every one), Message
 	Subscribe                         // On
@@ -303,13 +303,13 @@
 	Kind               ActionKind
 	Complete           bool
 	On                 bool
-	SeparateConnection bool // where nothing else is out: whether the backend lives, and not a connection to it
+	SeparateConnection bool // of a probe: it tests the backend, not an existing connection
 	Query              QueryID
 	Subquery           SubqueryID
 	Backend            BackendID
 	Call               CallNo
-	StopAt             float64 // clock time, 0 for when the client gives up
-	BeginBy            float64 // clock time after which it may not begin any more, 0 for StopAt
+	StopAt             float64 // clock time; 0 for the client's deadline
+	BeginBy            float64 // clock time after which it must not be executed; 0 for StopAt
 	Wait               float64
 	Timer              TimerID
 	Peer               AggregatorNo
