--- a/internal/controlplane/fleet/commands.go
+++ b/internal/controlplane/fleet/commands.go
@@ -16,7 +16,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// Result is what became of a command.
+// Result is the outcome of a command: the version of the table that it changed, or why it changed none.
 type Result struct {
 	Version uint64 `cbor:"1,keyasint" json:"version"`                   // of the table that it made
 	Failure string `cbor:"2,keyasint,omitempty" json:"wrong,omitempty"` // why it changed nothing
@@ -24,60 +24,86 @@
 
 // Errors that an operator sees.
 var (
+	// ErrNoLeader says that no confirmed leader answered a command in time.
 	ErrNoLeader = errors.New("no mixer that leads the council answers: a majority of voters has to reach each other; the command may still act, and sending it again with its id does no harm")
 	errStopping = errors.New("the mixer stops")
 	errNotOpen  = errors.New("the fleet's address or directory is not open yet")
 )
 
 const (
-	// commandRetryInterval is how often a command is sent anew where its answer may be lost.
+	commandTimeout = 10.0
+	// commandRetryInterval is how often a command is sent again whose response may be lost.
 	commandRetryInterval = 0.5
 	maxPendingCommands   = 64 // as many as operators have connections, and those of other nodes
 )
 
-// command is one on its way, ours or another node's.
+// pendingCommand is a command, or a question about one, of ours or of another node.
 type pendingCommand struct {
 	commandRequest
-	reply    chan commandOutcome // ours
-	from     membership.Name     // another's
+	reply    chan commandOutcome // ours; it has room for one
+	from     membership.Name     // another's; "" for ours
 	deadline float64
 	retryAt  float64
 }
 
-// answer is what a command or question comes to.
+// ours tells whether the command came from this node.
+func (c *pendingCommand) ours() bool { return c.from == "" }
+
+// commandOutcome is what a command or question comes to.
 type commandOutcome struct {
 	result   Result
 	progress *residency.Progress
 	err      error
 }
 
-// Do gives a command to the consensus. An answer without an error says that it acted, or why it changed nothing.
+// commandQueue keeps the commands that wait for their outcome.
+type commandQueue struct{ pending []*pendingCommand }
+
+func (q *commandQueue) full() bool { return len(q.pending) >= maxPendingCommands }
+
+func (q *commandQueue) add(c *pendingCommand) { q.pending = append(q.pending, c) }
+
+func (q *commandQueue) remove(c *pendingCommand) {
+	q.pending = slices.DeleteFunc(q.pending, func(other *pendingCommand) bool { return other == c })
+}
+
+// has tells whether a node's command of that number waits.
+func (q *commandQueue) has(from membership.Name, number uint64) bool {
+	return slices.ContainsFunc(q.pending, func(c *pendingCommand) bool { return c.from == from && c.Number == number })
+}
+
+// all is a copy, so that commands may be removed while it is read.
+func (q *commandQueue) all() []*pendingCommand { return slices.Clone(q.pending) }
+
+// Do proposes a command, and returns once it was applied or rejected, which Result tells, or after 10 s. The error is
+// ErrNoLeader where no leader answered in that time: the command may still be applied. The same CommandID may be sent again.
 func (f *Fleet) Do(c consensus.Command) (Result, error) {
-	a := f.doCommand(commandRequest{Command: c})
-	return a.result, a.err
+	outcome := f.doCommand(commandRequest{Command: c})
+	return outcome.result, outcome.err
 }
 
-// Progress asks the leader how far a version of the contracts got, for one tenant.
+// Progress asks the leader how many nodes apply a version of the contracts, 0 for the current one, to one tenant. Its errors are
+// those of Do.
 func (f *Fleet) Progress(version residency.Version, tenant quota.Tenant) (residency.Progress, error) {
-	a := f.doCommand(commandRequest{Query: &progressQuery{version, tenant}})
-	if a.err != nil || a.progress == nil {
-		return residency.Progress{}, cmp.Or(a.err, ErrNoLeader)
+	outcome := f.doCommand(commandRequest{Query: &progressQuery{version, tenant}})
+	if outcome.err != nil || outcome.progress == nil {
+		return residency.Progress{}, cmp.Or(outcome.err, ErrNoLeader)
 	}
-	return *a.progress, nil
+	return *outcome.progress, nil
 }
 
-func (f *Fleet) doCommand(h commandRequest) commandOutcome {
-	c := &pendingCommand{commandRequest: h, reply: make(chan commandOutcome, 1)}
+func (f *Fleet) doCommand(request commandRequest) commandOutcome {
+	c := &pendingCommand{commandRequest: request, reply: make(chan commandOutcome, 1)}
 	f.events.Put(event{kind: commandSubmitted, command: c})
 	select {
-	case a := <-c.reply:
-		return a
+	case outcome := <-c.reply:
+		return outcome
 	case <-f.stopped:
 		return commandOutcome{err: errStopping}
 	}
 }
 
-// validateCommand tells what is wrong with a command, by what this node's settings know.
+// validateCommand checks a command against this node's settings.
 func (f *Fleet) validateCommand(c *consensus.Command) error {
 	switch {
 	case c.Contract != nil && c.Contract.Contract != nil:
@@ -99,146 +125,136 @@
 		c.reply <- commandOutcome{err: errNotOpen}
 	case err != nil:
 		c.reply <- commandOutcome{result: Result{Failure: err.Error()}}
-	case len(f.pendingCommands) >= maxPendingCommands:
+	case f.commands.full():
 		c.reply <- commandOutcome{err: errTooManyCommands}
 	default:
-		f.requestNumber++
-		c.Number, c.deadline, c.retryAt = f.requestNumber, f.now+commandTimeout, f.now
-		f.pendingCommands = append(f.pendingCommands, c)
+		c.Number, c.deadline, c.retryAt = f.granters.nextNumber(), f.now+commandTimeout, f.now
+		f.commands.add(c)
 		f.attemptCommand(c)
 	}
 }
 
-// attemptCommand gives a command to the consensus where we lead, and to who leads where we do not.
+// attemptCommand executes a command where this node leads, and else forwards one of ours to the leader.
 func (f *Fleet) attemptCommand(c *pendingCommand) {
 	c.retryAt = f.now + commandRetryInterval
-	switch to := f.currentGranter(); {
+	switch leader := f.currentGranter(); {
 	case f.isConfirmedLeader():
 		f.executeCommand(c)
-	case c.from == "" && to != f.settings.Self:
+	case c.ours() && leader != f.settings.Self:
 		for range failpoint.Pass(failpoint.ForwardCommand).Times() {
-			f.send(to, messageCommandRequest, c.commandRequest)
+			f.send(leader, messageCommandRequest, c.commandRequest)
 		}
 	}
 }
 
-// executeCommand acts on a command where we lead.
+// executeCommand answers a question, or proposes a command that was not applied before. This node leads.
 func (f *Fleet) executeCommand(c *pendingCommand) {
-	state := f.consensus.State()
-	if q := c.Query; q != nil {
-		unlike := false
-		for _, differs := range f.differsInStrict {
-			unlike = unlike || differs
-		}
-		p := f.rollout.Progress(f.now, cmp.Or(q.Version, state.Contracts.Version), f.settings.strict(q.Tenant) && !unlike)
+	state := f.voter.machine.State()
+	if query := c.Query; query != nil {
+		strict := f.settings.strict(query.Tenant) && !f.leadership.anyDiffersInStrict()
+		progress := f.leadership.rollout.Progress(f.now, cmp.Or(query.Version, state.Contracts.Version), strict)
 		failpoint.Pass(failpoint.ReportProgress)
-		f.completeCommand(c, commandOutcome{progress: &p})
+		f.completeCommand(c, commandOutcome{progress: &progress})
 		return
 	}
-	if d, acted := state.FindApplied(c.Command.ID); acted {
-		f.completeCommand(c, commandOutcome{result: Result{d.Index, d.Failure}})
+	if applied, found := state.FindApplied(c.Command.ID); found {
+		f.completeCommand(c, commandOutcome{result: Result{applied.Index, applied.Failure}})
 		return
 	}
 	f.recoverPanic(func() {
-		if err := f.consensus.Propose(&c.Command); err != nil {
-			f.logger.Info("fleet: command not taken yet", zap.String("text", err.Error()))
+		if err := f.voter.machine.Propose(&c.Command); err != nil {
+			f.logger.Info("fleet command not proposed", zap.Error(err))
 		}
 	})
 }
 
-// commandCommitted hears that the consensus has agreed on a command.
-func (f *Fleet) commandCommitted(d consensus.AppliedCommand) {
-	for _, c := range slices.Clone(f.pendingCommands) {
-		if c.Query == nil && c.Command.ID == d.ID && f.consensus.Leads() {
-			f.completeCommand(c, commandOutcome{result: Result{d.Index, d.Failure}})
+// commandCommitted completes the commands that were committed and applied. A leader answers them.
+func (f *Fleet) commandCommitted(applied consensus.AppliedCommand) {
+	for _, c := range f.commands.all() {
+		if c.Query == nil && c.Command.ID == applied.ID && f.voter.machine.Leads() {
+			f.completeCommand(c, commandOutcome{result: Result{applied.Index, applied.Failure}})
 		}
 	}
 }
 
-func (f *Fleet) completeCommand(c *pendingCommand, a commandOutcome) {
-	f.pendingCommands = slices.DeleteFunc(f.pendingCommands, func(o *pendingCommand) bool { return o == c })
-	if c.from == "" {
-		c.reply <- a
+func (f *Fleet) completeCommand(c *pendingCommand, outcome commandOutcome) {
+	f.commands.remove(c)
+	if c.ours() {
+		c.reply <- outcome
 		return
 	}
-	f.send(c.from, messageCommandResponse, commandResponse{c.Number, a.result, a.progress})
+	f.send(c.from, messageCommandResponse, commandResponse{c.Number, outcome.result, outcome.progress})
 }
 
-// handed takes another node's command.
-func (f *Fleet) receiveCommand(from membership.Name, h *commandRequest) {
-	if !f.isConfirmedLeader() || len(f.pendingCommands) >= maxPendingCommands {
-		return // it asks again
-	}
-	for _, c := range f.pendingCommands {
-		if c.from == from && c.Number == h.Number {
-			return
-		}
+// receiveCommand takes a command that another node forwarded. Where it is not accepted the sender tries again.
+func (f *Fleet) receiveCommand(from membership.Name, request *commandRequest) {
+	if !f.isConfirmedLeader() || f.commands.full() || f.commands.has(from, request.Number) {
+		return
 	}
-	c := &pendingCommand{commandRequest: *h, from: from, deadline: f.now + commandTimeout, retryAt: f.now}
-	f.pendingCommands = append(f.pendingCommands, c)
+	c := &pendingCommand{commandRequest: *request, from: from, deadline: f.now + commandTimeout, retryAt: f.now}
+	f.commands.add(c)
 	f.attemptCommand(c)
 }
 
-func (f *Fleet) receiveCommandResponse(_ membership.Name, h *commandResponse) {
-	for _, c := range slices.Clone(f.pendingCommands) {
-		if c.from == "" && c.Number == h.Number {
-			f.completeCommand(c, commandOutcome{result: h.Result, progress: h.Progress})
+func (f *Fleet) receiveCommandResponse(_ membership.Name, response *commandResponse) {
+	for _, c := range f.commands.all() {
+		if c.ours() && c.Number == response.Number {
+			f.completeCommand(c, commandOutcome{result: response.Result, progress: response.Progress})
 		}
 	}
 }
 
-// retryCommands tries commands again, gives up those that wait too long, and offers the consensus the tables of our file.
+// retryCommands attempts commands again, and gives up those whose deadline has passed.
 func (f *Fleet) retryCommands() {
-	for _, c := range slices.Clone(f.pendingCommands) {
+	for _, c := range f.commands.all() {
 		switch {
-		case f.now >= c.deadline && c.from == "":
+		case f.now >= c.deadline && c.ours():
 			f.completeCommand(c, commandOutcome{err: ErrNoLeader})
 		case f.now >= c.deadline:
-			f.pendingCommands = slices.DeleteFunc(f.pendingCommands, func(o *pendingCommand) bool { return o == c })
+			f.commands.remove(c)
 		case f.now >= c.retryAt:
 			f.attemptCommand(c)
 		}
 	}
-	file := &f.settings.FileTables
-	if f.now < f.due.file || file.ContractsVersion == 0 && file.QuotasVersion == 0 {
-		return
-	}
-	f.due.file = math.Inf(1)
-	f.proposeFileTables()
 }
 
-// proposeFileTables gives the tables of our file to the consensus: what is newer there is taken.
-func (f *Fleet) proposeFileTables() {
+// proposeFileTablesIfDue proposes the tables of our operator's file: those that are newer there are applied.
+func (f *Fleet) proposeFileTablesIfDue() {
 	file := f.settings.FileTables
+	if f.now < f.due.fileTables || file.ContractsVersion == 0 && file.QuotasVersion == 0 {
+		return
+	}
+	f.due.fileTables = math.Inf(1)
 	id := consensus.CommandID(fmt.Sprintf("file %d %d", file.ContractsVersion, file.QuotasVersion))
-	c := &pendingCommand{commandRequest: commandRequest{Command: consensus.Command{ID: id, Author: string(f.settings.Self), Reason: "operator's file", File: &file}}, reply: make(chan commandOutcome, 1)}
+	command := consensus.Command{ID: id, Author: string(f.settings.Self), Reason: "operator's file", File: &file}
+	c := &pendingCommand{commandRequest: commandRequest{Command: command}, reply: make(chan commandOutcome, 1)}
 	f.enqueueCommand(c)
 	go func() {
 		select {
-		case a := <-c.reply:
-			f.events.Put(event{kind: fileTablesDecided, err: a.err, result: a.result})
+		case outcome := <-c.reply:
+			f.events.Put(event{kind: fileTablesDecided, err: outcome.err, result: outcome.result})
 		case <-f.stopped:
 		}
 	}()
 }
 
-func (f *Fleet) fileTablesProposed(n *event) {
+func (f *Fleet) fileTablesDecided(result Result, err error) {
 	switch {
-	case n.err != nil:
-		f.due.file = f.now + commandRetryInterval
-	case n.result.Failure != "":
-		f.logger.Warn("fleet: tables of the operator's file not taken, what is held stands", zap.String("text", n.result.Failure))
+	case err != nil:
+		f.due.fileTables = f.now + commandRetryInterval
+	case result.Failure != "":
+		f.logger.Warn("fleet file tables rejected", zap.String("reason", result.Failure))
 	default:
-		f.logger.Info("fleet: tables of the operator's file are held", zap.Uint64("version", n.result.Version))
+		f.logger.Info("fleet file tables accepted", zap.Uint64("version", result.Version))
 	}
 }
 
-// rejectCommands ends what waits.
-func (f *Fleet) rejectCommands(why string) {
-	for _, c := range f.pendingCommands {
-		if c.from == "" {
-			c.reply <- commandOutcome{err: RefusedError(why)}
+// rejectCommands ends our commands that wait with a RefusedError, and forgets the others.
+func (f *Fleet) rejectCommands(reason string) {
+	for _, c := range f.commands.pending {
+		if c.ours() {
+			c.reply <- commandOutcome{err: RefusedError(reason)}
 		}
 	}
-	f.pendingCommands = nil
+	f.commands.pending = nil
 }
--- a/internal/controlplane/fleet/errors.go
+++ b/internal/controlplane/fleet/errors.go
@@ -7,17 +7,23 @@
 
 var errTooManyCommands = errors.New("too many commands wait")
 
-// RefusedError is why commands that wait get no answer.
+// RefusedError is why commands that wait get no outcome.
 type RefusedError string
 
 func (e RefusedError) Error() string { return string(e) }
 
-// panicError is a panic of the consensus's library.
+// panicError is a panic of the consensus library.
 type panicError struct{ value any }
 
-func (e panicError) Error() string { return fmt.Sprintf("the council's library gave up: %v", e.value) }
+func (e panicError) Error() string { return fmt.Sprintf("consensus library panicked: %v", e.value) }
 
-// ValidationError says what is wrong with a command or with what the settings and the operator's file say against each other.
+// Unwrap gives the error that the panic was raised with, if it was one.
+func (e panicError) Unwrap() error {
+	err, _ := e.value.(error)
+	return err
+}
+
+// ValidationError says what is wrong with a command, or how the operator's file contradicts the settings.
 type ValidationError string
 
 func (e ValidationError) Error() string { return string(e) }
--- /dev/null
+++ b/internal/controlplane/fleet/loop.go
@@ -0,0 +1,159 @@
+package fleet
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
+	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+)
+
+const (
+	maxMessagesPerTurn = 256                   // or a flood would delay what is due
+	turnInterval       = 50 * time.Millisecond // where nothing comes sooner
+)
+
+// eventKind says what happened, and which fields of the event belong to it.
+type eventKind uint8
+
+const (
+	callsObserved      eventKind = iota // observations
+	backendsListed                      // places
+	contractsApplied                    // version
+	consensusWorkSaved                  // err
+	tablesWritten                       // err, quotas
+	commandSubmitted                    // command
+	callRequested                       // call
+	fileTablesDecided                   // err, result
+	storeClosed
+	storeReopenFailed
+	releaseRequested
+)
+
+// event is what another goroutine hands to that of Run.
+type event struct {
+	kind         eventKind
+	observations []outlier.Observation
+	places       []aggregator.Place
+	version      residency.Version
+	err          error
+	command      *pendingCommand
+	result       Result
+	quotas       consensus.QuotasVersion
+	call         func()
+}
+
+// Run owns the control state until Stop.
+func (f *Fleet) Run() {
+	defer close(f.stopped)
+	var events []event
+	timer := time.NewTimer(turnInterval)
+	for {
+		var messages chan []byte
+		if f.transport != nil {
+			messages = f.transport.Received
+		}
+		select {
+		case sealed := <-messages:
+			f.now = f.Now()
+			f.receive(sealed)
+			for range min(len(messages), maxMessagesPerTurn) { // what waits, so that a turn sees the newest
+				f.receive(<-messages)
+			}
+		case <-f.events.Ready():
+		case <-timer.C:
+		case <-f.stopping:
+			f.close()
+			return
+		}
+		f.now = f.Now()
+		events = f.events.Take(events)
+		for i := range events {
+			f.handleEvent(&events[i])
+		}
+		f.runDue()
+		timer.Reset(turnInterval)
+	}
+}
+
+func (f *Fleet) handleEvent(e *event) {
+	switch e.kind {
+	case callsObserved:
+		if f.detector != nil {
+			f.outliers.report(f.now, e.observations)
+		}
+	case backendsListed:
+		f.outliers.setBackends(f.settings.Layout, e.places)
+	case contractsApplied:
+		failpoint.Pass(failpoint.ApplyContract)
+		f.tables.appliedContracts = max(f.tables.appliedContracts, e.version)
+		f.due.request = min(f.due.request, f.now+urgentRequestInterval) // the operator waits for it
+	case consensusWorkSaved:
+		f.consensusSaved(e.err)
+	case tablesWritten:
+		if e.err != nil {
+			f.logger.Error("fleet tables not saved", zap.Error(e.err))
+		} else {
+			f.tables.minimumsVersion = max(f.tables.minimumsVersion, e.quotas)
+		}
+	case commandSubmitted:
+		f.enqueueCommand(e.command)
+	case callRequested:
+		e.call()
+	case fileTablesDecided:
+		f.fileTablesDecided(e.result, e.err)
+	case storeClosed:
+		if !f.isReleased() {
+			f.restartVoter()
+		}
+	case storeReopenFailed:
+		time.AfterFunc(time.Duration(voterRestartDelay*float64(time.Second)), func() { f.events.Put(event{kind: storeClosed}) })
+	case releaseRequested:
+		f.stopLeading()
+		f.quotaClient.DropMinimums()
+		f.close()
+		f.detector, f.voter.machine = nil, nil
+		close(f.released)
+	}
+}
+
+// runDue runs the periodic tasks that are due.
+func (f *Fleet) runDue() {
+	if f.isReleased() {
+		return
+	}
+	if f.detector == nil {
+		if f.now >= f.due.open {
+			f.open()
+		}
+		return
+	}
+	if f.now >= f.due.probe {
+		f.due.probe = f.detector.Tick(f.now)
+		f.sendFailureDetector()
+	}
+	f.runVoter()
+	if f.now >= f.due.request || f.quotaClient.Urgent() && f.now >= f.due.request-requestInterval+urgentRequestInterval {
+		f.due.request = f.now + requestInterval
+		f.requestGrants()
+	}
+	if f.now >= f.due.gossip {
+		f.due.gossip = f.now + gossipInterval
+		f.gossipReports()
+	}
+	if f.now >= f.due.verdicts {
+		f.due.verdicts = f.now + reportInterval
+		f.publishVerdicts()
+	}
+	if isolated := f.detector.Isolated(); isolated != f.isolated {
+		f.isolated = isolated
+		f.counters.Add("fleet", map[bool]string{true: "deaf", false: "hears_again"}[isolated], 1)
+		f.logger.Warn("fleet isolation changed", zap.Bool("isolated", isolated))
+	}
+	f.retryCommands()
+	f.proposeFileTablesIfDue()
+}
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -11,25 +11,91 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// recordObservations takes what this node saw itself.
-func (f *Fleet) recordObservations(seen []outlier.Observation) {
-	if f.detector == nil {
-		return
+const (
+	reportInterval       = 1.0 // of a node's own report, and of verdicts
+	gossipInterval       = 0.25
+	maxReportsPerMessage = 2 // a datagram's worth
+)
+
+// callEnds says what the outcome of a subquery counts as in the observations.
+var callEnds = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.TurnedAway: outlier.Canceled,
+	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Withdrawn: outlier.Canceled,
+	policy.NotSent: outlier.Canceled}
+
+// callObserver counts this node's own subqueries.
+type callObserver struct {
+	observer *outlier.Observer
+	sentAt   float64 // when observations were last handed on
+}
+
+// record counts one subquery that ended now. Once each reportInterval due is set, with the observations to report.
+func (o *callObserver) record(now float64, backend string, outcome policy.Outcome, elapsed float64) (observations []outlier.Observation, due bool) {
+	switch outcome {
+	case policy.TurnedAway, policy.NotSent: // a full queue reports itself, and is no fault
+		return nil, false
+	}
+	o.observer.RecordCall(now, outlier.Backend(backend), callEnds[outcome], elapsed)
+	if now-o.sentAt < reportInterval {
+		return nil, false
+	}
+	o.sentAt = now
+	return o.observer.Observations(now), true
+}
+
+// outlierDetection keeps the nodes' reports about backends, and the verdicts that follow from them.
+type outlierDetection struct {
+	self    membership.Name
+	store   *outlier.Store  // nil before the fleet is open
+	version outlier.Version // of our last report
+	// verdictAt is when each backend that counts as an outlier was last found to be one.
+	verdictAt     map[outlier.Backend]float64
+	shardReplicas outlier.ShardReplicas
+}
+
+// report stores our own report, for gossip.
+func (d *outlierDetection) report(now float64, observations []outlier.Observation) {
+	d.version++
+	report := outlier.NewReport(d.self, d.version, observations)
+	d.store.Receive(now, &report)
+}
+
+// record notes verdicts, and returns those that are new. Older ones lapse.
+func (d *outlierDetection) record(now float64, verdicts []outlier.Verdict) (fresh []outlier.Verdict) {
+	for _, verdict := range verdicts {
+		if _, known := d.verdictAt[verdict.Backend]; !known {
+			fresh = append(fresh, verdict)
+		}
+		d.verdictAt[verdict.Backend] = now
+	}
+	for backend, at := range d.verdictAt {
+		if now-at > outlier.VerdictSeconds {
+			delete(d.verdictAt, backend)
+		}
+	}
+	return fresh
+}
+
+// setBackends works out which backends hold which shards: the cells of a layout, each held in so many neighbouring ones.
+func (d *outlierDetection) setBackends(layout policy.Layout, places []aggregator.Place) {
+	cells, width := max(1, layout.Cells), max(1, layout.Width)
+	d.shardReplicas = make(outlier.ShardReplicas, cells)
+	for _, place := range places {
+		for j := range width {
+			cell := ((int(place.Cell)-j)%cells + cells) % cells
+			d.shardReplicas[cell] = append(d.shardReplicas[cell], outlier.Backend(place.Name))
+		}
 	}
-	f.reportVersion++
-	r := outlier.NewReport(f.settings.Self, f.reportVersion, seen)
-	f.reports.Receive(f.now, &r)
 }
 
-func (f *Fleet) receiveReports(_ membership.Name, r *reportBatch) {
-	for i := range r.List {
-		f.reports.Receive(f.now, &r.List[i])
+func (f *Fleet) receiveReports(_ membership.Name, batch *reportBatch) {
+	for i := range batch.List {
+		f.outliers.store.Receive(f.now, &batch.List[i])
 	}
 }
 
 func (f *Fleet) gossipReports() {
 	alive := func(name membership.Name) bool { return f.detector.Status(name) != failuredetector.Dead }
-	to, list := f.reports.NextGossip(f.now, alive, maxReportsPerMessage)
+	to, list := f.outliers.store.NextGossip(f.now, alive, maxReportsPerMessage)
 	if len(list) == 0 {
 		return
 	}
@@ -41,42 +107,25 @@
 	}
 }
 
-// publishVerdicts hands the module what others found. A node that hears nothing decides as if it were alone.
+// publishVerdicts hands the aggregator the outliers that other nodes' reports make. An isolated node decides by itself.
 func (f *Fleet) publishVerdicts() {
-	var list []outlier.Verdict
+	var verdicts []outlier.Verdict
 	if !f.detector.Isolated() && !failpoint.Pass(failpoint.DetectOutliers).Drop {
-		list = f.reports.Verdicts(f.now, f.shardReplicas)
+		verdicts = f.outliers.store.Verdicts(f.now, f.outliers.shardReplicas)
 	}
-	var tell []aggregator.Judged
-	for _, j := range list {
-		if _, before := f.verdictAt[j.Backend]; !before {
-			f.counters.Add("fleet", "judged", 1)
-			f.logger.Info("fleet: judged by others",
-				zap.String("searcher", string(j.Backend)),
-				zap.Float64("times", j.LatencyFactor),
-				zap.Any("witnesses", j.Witnesses))
-		}
-		f.verdictAt[j.Backend] = f.now
-		tell = append(tell, aggregator.Judged{Backend: string(j.Backend), Times: j.LatencyFactor, For: outlier.VerdictSeconds})
+	for _, verdict := range f.outliers.record(f.now, verdicts) {
+		f.counters.Add("fleet", "judged", 1)
+		f.logger.Info("fleet outlier detected",
+			zap.String("backend", string(verdict.Backend)),
+			zap.Float64("latency_factor", verdict.LatencyFactor),
+			zap.Any("witnesses", verdict.Witnesses))
 	}
-	for name, at := range f.verdictAt {
-		if f.now-at > outlier.VerdictSeconds {
-			delete(f.verdictAt, name)
-		}
-	}
-	if len(tell) > 0 {
-		f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Judged: tell})
+	if len(verdicts) == 0 {
+		return
 	}
-}
-
-// setBackends works out who holds which shards, by the cells.
-func (f *Fleet) setBackends(places []aggregator.Place) {
-	cells, width := max(1, f.settings.Layout.Cells), max(1, f.settings.Layout.Width)
-	f.shardReplicas = make(outlier.ShardReplicas, cells)
-	for _, p := range places {
-		for j := range width {
-			c := ((int(p.Cell)-j)%cells + cells) % cells
-			f.shardReplicas[c] = append(f.shardReplicas[c], outlier.Backend(p.Name))
-		}
+	judged := make([]aggregator.Judged, 0, len(verdicts))
+	for _, verdict := range verdicts {
+		judged = append(judged, aggregator.Judged{Backend: string(verdict.Backend), Times: verdict.LatencyFactor, For: outlier.VerdictSeconds})
 	}
+	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Judged: judged})
 }
--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"math"
 	"slices"
 
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
@@ -11,50 +10,53 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// emptyTable is what holds before anything was agreed on: the file's contracts, of no version.
-func (f *Fleet) emptyTable() *residency.Table {
-	return &residency.Table{Contracts: f.settings.FileTables.Contracts}
-}
+var (
+	// emptyBucket is that of a tenant of whom it is not known whether it has a quota, and of all tenants before the address is
+	// open: another process may spend what is due to this node.
+	emptyBucket = quota.Empty()
+	// noZones is for queued queries that this node may not serve any more.
+	noZones = policy.NewZones()
+)
 
-// publish puts a view before traffic. Purses are only there once the address is ours.
+// publish replaces the view that traffic reads. Buckets are in it only once the address is open.
 func (f *Fleet) publish() {
-	v := &trafficView{buckets: map[policy.CustomerID]*quota.Bucket{}, strict: map[policy.CustomerID]bool{}, allStrict: slices.Contains(f.settings.Strict, "*")}
-	buckets := f.quotaClient.Set(f.now, f.quotas)
+	view := &trafficView{
+		buckets:   map[policy.CustomerID]*quota.Bucket{},
+		strict:    map[policy.CustomerID]bool{},
+		allStrict: slices.Contains(f.settings.Strict, "*"),
+	}
+	buckets := f.quotaClient.Set(f.now, f.tables.quotas)
 	for i, tenant := range f.settings.Names.Tenants {
-		v.strict[policy.CustomerID(i)] = f.settings.strict(quota.Tenant(tenant))
-		p := buckets[quota.Tenant(tenant)]
-		if p == nil && f.settings.HasQuotas && (f.detector == nil || !f.tablesReceived) {
-			p = emptyBucket
+		view.strict[policy.CustomerID(i)] = f.settings.strict(quota.Tenant(tenant))
+		bucket := buckets[quota.Tenant(tenant)]
+		if bucket == nil && f.settings.HasQuotas && (f.detector == nil || !f.tables.received) {
+			bucket = emptyBucket
 		}
-		if p != nil {
-			v.buckets[policy.CustomerID(i)] = p
+		if bucket != nil {
+			view.buckets[policy.CustomerID(i)] = bucket
 		}
 	}
-	v.rules = f.settings.Names.Compile(f.contracts, f.settings.Location)
+	view.rules = f.settings.Names.Compile(f.tables.contracts, f.settings.Location)
 	failpoint.Pass(failpoint.PublishRules)
-	f.view.Store(v)
+	f.admission.view.Store(view)
 }
 
-// emptyBucket is the bucket of a tenant of whom it is not known whether it has a quota, and of all before the address is ours:
-// another process may spend what is due to this node.
-var emptyBucket = quota.Empty()
-
-// publishZones brings the module's held queries under the rules, and hears when all part calls go by them.
+// publishZones brings the aggregator's queued queries under the rules of the view. It is notified with a contractsApplied event
+// once all subqueries in flight go by them.
 func (f *Fleet) publishZones() {
-	rules := f.view.Load().rules
-	zones := func(c policy.CustomerID, k policy.IndexID) *policy.Zones {
-		rule := rules.Of(c, k)
+	rules := f.admission.view.Load().rules
+	zones := func(customer policy.CustomerID, index policy.IndexID) *policy.Zones {
+		rule := rules.Of(customer, index)
 		if !rule.Here {
 			return noZones
 		}
 		return rule.Zones
 	}
-	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, Held: f.contractsAppliedFunc(f.versions.Contracts)}})
+	applied := f.contractsAppliedFunc(f.tables.versions.Contracts)
+	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, Held: applied}})
 }
 
-// noZones is for queries held at a node that may not have them any more.
-var noZones = policy.NewZones()
-
-func (f *Fleet) setContractsConfirmedUntil(until float64) {
-	f.contractsConfirmedUntil.Store(math.Float64bits(until))
+// contractsAppliedFunc is what the aggregator's goroutine calls once it goes by the contracts of a version.
+func (f *Fleet) contractsAppliedFunc(v residency.Version) func() {
+	return func() { f.events.Put(event{kind: contractsApplied, version: v}) }
 }
--- a/internal/controlplane/fleet/receive.go
+++ b/internal/controlplane/fleet/receive.go
@@ -9,33 +9,37 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
-// receive opens one and hands it on.
+// staleNotifyInterval is how often a node is notified, in seconds, that it sends under an old incarnation.
+const staleNotifyInterval = 1.0
+
+// receive opens a message and hands it to the handler of its kind. What can't be opened or read is counted and dropped, which
+// its sender takes for a lost message.
 func (f *Fleet) receive(sealed []byte) {
 	if f.detector == nil {
 		return
 	}
-	l, why := f.sealer.Open(f.now, sealed)
-	if why != sealedmessage.Accepted {
-		f.counters.Add("fleet_dropped", why.String(), 1)
-		if why == sealedmessage.OldIncarnation && f.now-f.staleNotifiedAt[l.From] >= 1 {
-			f.staleNotifiedAt[l.From] = f.now
-			f.send(l.From, messageStaleIncarnation, staleIncarnation{f.sealer.KnownIncarnation(l.From)})
+	message, verdict := f.sealer.Open(f.now, sealed)
+	if verdict != sealedmessage.Accepted {
+		f.counters.Add("fleet_dropped", verdict.String(), 1)
+		if verdict == sealedmessage.OldIncarnation && f.now-f.staleNotifiedAt[message.From] >= staleNotifyInterval {
+			f.staleNotifiedAt[message.From] = f.now
+			f.send(message.From, messageStaleIncarnation, staleIncarnation{f.sealer.KnownIncarnation(message.From)})
 		}
 		return
 	}
-	f.detector.RecordContact(f.now, l.From)
-	handle := handlers[l.Kind]
+	f.detector.RecordContact(f.now, message.From)
+	handle := handlers[message.Kind]
 	if handle == nil {
 		f.counters.Add("fleet_dropped", "unknown_kind", 1)
 		return
 	}
-	if err := handle(f, l.From, l.Body); err != nil {
+	if err := handle(f, message.From, message.Body); err != nil {
 		f.counters.Add("fleet_dropped", "unreadable", 1)
-		f.logger.Warn("fleet: letter dropped", zap.String("from", string(l.From)), zap.Uint8("kind", uint8(l.Kind)), zap.String("text", err.Error()))
+		f.logger.Warn("fleet message dropped", zap.String("member", string(message.From)), zap.Uint8("kind", uint8(message.Kind)), zap.Error(err))
 	}
 }
 
-// decoded reads a body before it is handed on.
+// decoded makes a handler that decodes the body first.
 func decoded[T any](do func(*Fleet, membership.Name, *T)) func(*Fleet, membership.Name, []byte) error {
 	return func(f *Fleet, from membership.Name, body []byte) error {
 		v, err := decode[T](body)
@@ -46,36 +50,35 @@
 	}
 }
 
+// handlers are the messages' by kind.
 var handlers map[sealedmessage.Kind]func(*Fleet, membership.Name, []byte) error
 
 func init() {
 	handlers = map[sealedmessage.Kind]func(*Fleet, membership.Name, []byte) error{
-		messageFailureDetector: decoded(func(f *Fleet, from membership.Name, m *failuredetector.Message) {
-			f.detector.Receive(f.now, from, m)
-			f.sendMembers()
-		}),
-		messageConsensus: func(f *Fleet, from membership.Name, body []byte) error {
-			if f.consensus == nil || f.steppedOut {
-				return nil
-			}
-			var err error
-			f.recoverPanic(func() { err = f.consensus.Step(from, body) })
-			return err
-		},
-		messageIntroduction:    decoded((*Fleet).receiveIntroduction),
-		messageGrantRequest:    decoded((*Fleet).receiveGrantRequest),
-		messageGrantResponse:   decoded((*Fleet).receiveGrantResponse),
-		messageReports:         decoded((*Fleet).receiveReports),
-		messageCommandRequest:  decoded((*Fleet).receiveCommand),
-		messageCommandResponse: decoded((*Fleet).receiveCommandResponse),
-		messageStaleIncarnation: decoded(func(f *Fleet, from membership.Name, n *staleIncarnation) {
-			f.logger.Error("fleet: another process spoke under this name, or the clock went back", zap.String("from", string(from)))
-			f.sealer.RaiseIncarnation(n.Highest)
-			f.saveTables()
-		}),
+		messageFailureDetector:  decoded((*Fleet).receiveFailureDetector),
+		messageConsensus:        (*Fleet).receiveConsensus,
+		messageIntroduction:     decoded((*Fleet).receiveIntroduction),
+		messageGrantRequest:     decoded((*Fleet).receiveGrantRequest),
+		messageGrantResponse:    decoded((*Fleet).receiveGrantResponse),
+		messageReports:          decoded((*Fleet).receiveReports),
+		messageCommandRequest:   decoded((*Fleet).receiveCommand),
+		messageCommandResponse:  decoded((*Fleet).receiveCommandResponse),
+		messageStaleIncarnation: decoded((*Fleet).receiveStaleIncarnation),
 	}
 }
 
+func (f *Fleet) receiveFailureDetector(from membership.Name, message *failuredetector.Message) {
+	f.detector.Receive(f.now, from, message)
+	f.sendFailureDetector()
+}
+
+// receiveStaleIncarnation raises our incarnation: another process sent messages under this name, or the clock went back.
+func (f *Fleet) receiveStaleIncarnation(from membership.Name, stale *staleIncarnation) {
+	f.logger.Error("fleet incarnation stale", zap.String("member", string(from)), zap.Uint64("known", uint64(stale.Highest)))
+	f.sealer.RaiseIncarnation(stale.Highest)
+	f.saveTables()
+}
+
 func (f *Fleet) send(to membership.Name, kind sealedmessage.Kind, v any) {
 	f.sendBody(to, kind, encode(v))
 }
@@ -86,16 +89,18 @@
 	}
 }
 
-func (f *Fleet) sendMembers() {
-	list, changes := f.detector.TakeOutput()
-	for _, s := range list {
+// sendFailureDetector sends the failure detector's messages, and logs the changes that it found.
+func (f *Fleet) sendFailureDetector() {
+	messages, changes := f.detector.TakeOutput()
+	for _, message := range messages {
 		fault := failpoint.Pass(failpoint.ProbeMember)
 		for range fault.Times() {
-			f.send(s.To, messageFailureDetector, s.Message)
+			f.send(message.To, messageFailureDetector, message.Message)
 		}
 	}
-	for _, c := range changes {
-		f.counters.Add("fleet_members", c.Now.String(), 1)
-		f.logger.Info("fleet: mixer", zap.String("mixer", string(c.Name)), zap.String("was", c.Was.String()), zap.String("now", c.Now.String()))
+	for _, change := range changes {
+		f.counters.Add("fleet_members", change.Now.String(), 1)
+		f.logger.Info("fleet member status changed",
+			zap.String("member", string(change.Name)), zap.String("was", change.Was.String()), zap.String("now", change.Now.String()))
 	}
 }
--- a/internal/controlplane/fleet/stored.go
+++ b/internal/controlplane/fleet/stored.go
@@ -16,7 +16,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
-// tablesRecord are what a node keeps of what it heard, so that it goes by that after a restart in which it hears nothing.
+// tablesRecord is what a node stores of the tables that it received, so that it goes by them after a restart in which it reaches no
+// other node.
 type tablesRecord struct {
 	Incarnation sealedmessage.Incarnation    `cbor:"1,keyasint"`
 	Table       *residency.Table             `cbor:"2,keyasint"`
@@ -32,82 +33,85 @@
 	valueSnapshot = "snapshot"
 )
 
+// readTables decodes the stored tables. Unreadable ones, and those that no granter sent, apply no more.
 func (f *Fleet) readTables() (t tablesRecord) {
 	if v := f.stored.Values[valueTables]; v != nil {
 		if err := cbor.Unmarshal(v, &t); err != nil {
-			f.logger.Error("fleet: kept tables can't be read, none holds", zap.String("text", err.Error()))
+			f.logger.Error("fleet stored tables unreadable", zap.Error(err))
 			return tablesRecord{}
 		}
 	}
 	if !t.Received {
 		t.Table, t.Quotas = nil, nil
 	}
-	f.tablesReceived = t.Received
+	f.tables.received = t.Received
 	return t
 }
 
+// saveTables stores the tables and our incarnation; a tablesWritten event follows.
 func (f *Fleet) saveTables() {
-	quotas := f.versions.Quotas
+	quotas := f.tables.versions.Quotas
 	switch {
-	case f.settings.Directory == "": // the next process begins with no minimums at all
-		f.minimumsVersion = quotas
+	case f.settings.Directory == "": // the next process starts without minimums
+		f.tables.minimumsVersion = quotas
 		return
-	case f.store == nil: // it is opened anew, and all is saved then
+	case f.store == nil: // restartVoter opens it, and saves then
 		return
 	}
 	if failpoint.Pass(failpoint.SaveTables).Fail {
 		f.handleEvent(&event{kind: tablesWritten, err: errInjected})
 		return
 	}
-	f.store.Save(aggregatorstore.LogSave{Values: map[string][]byte{valueTables: encode(tablesRecord{f.sealer.Incarnation(), f.contracts, f.quotas, f.versions.Quotas, f.tablesReceived})}},
+	record := encode(tablesRecord{f.sealer.Incarnation(), f.tables.contracts, f.tables.quotas, quotas, f.tables.received})
+	f.store.Save(aggregatorstore.LogSave{Values: map[string][]byte{valueTables: record}},
 		func(err error) { f.events.Put(event{kind: tablesWritten, err: err, quotas: quotas}) })
 }
 
-// decodeConsensusState reads what the consensus's library kept.
-func decodeConsensusState(kept *aggregatorstore.LogContents) (k consensus.Stored, err error) {
-	k.ID = kept.ID
-	if v := kept.Values[valueHard]; v != nil {
-		k.Hard = &pb.HardState{}
-		if err := proto.Unmarshal(v, k.Hard); err != nil {
-			return k, fmt.Errorf("council's votes: %w", err)
+// decodeConsensusState decodes the voter's state from a store's contents.
+func decodeConsensusState(contents *aggregatorstore.LogContents) (stored consensus.Stored, err error) {
+	stored.ID = contents.ID
+	if v := contents.Values[valueHard]; v != nil {
+		stored.Hard = &pb.HardState{}
+		if err := proto.Unmarshal(v, stored.Hard); err != nil {
+			return stored, fmt.Errorf("consensus hard state: %w", err)
 		}
 	}
-	if v := kept.Values[valueSnapshot]; v != nil {
-		k.Snapshot = &pb.Snapshot{}
-		if err := proto.Unmarshal(v, k.Snapshot); err != nil {
-			return k, fmt.Errorf("council's snapshot: %w", err)
+	if v := contents.Values[valueSnapshot]; v != nil {
+		stored.Snapshot = &pb.Snapshot{}
+		if err := proto.Unmarshal(v, stored.Snapshot); err != nil {
+			return stored, fmt.Errorf("consensus snapshot: %w", err)
 		}
 	}
-	for _, e := range kept.Entries {
+	for _, e := range contents.Entries {
 		entry := &pb.Entry{}
 		if err := proto.Unmarshal(e.Data, entry); err != nil {
-			return k, fmt.Errorf("council's entry %d: %w", e.Index, err)
+			return stored, fmt.Errorf("consensus entry %d: %w", e.Index, err)
 		}
-		k.Entries = append(k.Entries, entry)
+		stored.Entries = append(stored.Entries, entry)
 	}
-	return k, nil
+	return stored, nil
 }
 
-// encodeSave puts what the consensus has to save into the store's form.
-func encodeSave(s *consensus.Save) (out aggregatorstore.LogSave, err error) {
-	out.Values = map[string][]byte{}
-	if s.Hard != nil {
-		if out.Values[valueHard], err = proto.Marshal(s.Hard); err != nil {
-			return out, err
+// encodeSave encodes a voter's save for the store.
+func encodeSave(save *consensus.Save) (encoded aggregatorstore.LogSave, err error) {
+	encoded.Values = map[string][]byte{}
+	if save.Hard != nil {
+		if encoded.Values[valueHard], err = proto.Marshal(save.Hard); err != nil {
+			return encoded, err
 		}
 	}
-	if s.Snapshot != nil {
-		out.TruncateTo = s.Snapshot.GetMetadata().GetIndex()
-		if out.Values[valueSnapshot], err = proto.Marshal(s.Snapshot); err != nil {
-			return out, err
+	if save.Snapshot != nil {
+		encoded.TruncateTo = save.Snapshot.GetMetadata().GetIndex()
+		if encoded.Values[valueSnapshot], err = proto.Marshal(save.Snapshot); err != nil {
+			return encoded, err
 		}
 	}
-	for _, e := range s.Entries {
+	for _, e := range save.Entries {
 		data, err := proto.Marshal(e)
 		if err != nil {
-			return out, err
+			return encoded, err
 		}
-		out.Entries = append(out.Entries, aggregatorstore.Entry{Index: e.GetIndex(), Data: data})
+		encoded.Entries = append(encoded.Entries, aggregatorstore.Entry{Index: e.GetIndex(), Data: data})
 	}
-	return out, nil
+	return encoded, nil
 }
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -183,7 +183,7 @@
 		Convey("the tables of the mixer are read", func() {
 			f := &Fleet{stored: contents, logger: zap.NewNop()}
 			So(f.readTables(), ShouldResemble, storedTables)
-			So(f.tablesReceived, ShouldBeTrue)
+			So(f.tables.received, ShouldBeTrue)
 		})
 		Convey("the votes, the snapshot and the entries are read", func() {
 			kept, err := decodeConsensusState(&contents)
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -11,13 +11,47 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/consensus"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
-	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
+)
+
+const (
+	introductionInterval = 0.25
+	nonceLifetime        = 5.0 // a message and its answer, with links of 2 s
+	voterRestartDelay    = 5.0 // for a voter whose directory took nothing
 )
 
 var errInjected = errors.New("a fault that a test put here")
 
-// recoverPanic runs what the consensus's library does. It panics where what it is told can't be, as by a voter whose directory was
-// put back from an old copy: that costs the voter, and not the node with its queries.
+// voter is this node's part in the consensus.
+type voter struct {
+	machine     *consensus.Machine // nil where this node does not vote
+	saving      bool               // a save is on its way to the disk
+	steppedOut  bool               // a save failed: it does not vote until it has restarted
+	nonce       uint64             // of the introductions
+	tickAt      float64
+	introduceAt float64
+	nonceAt     float64 // when the nonce is replaced
+	restartAt   float64 // once it has stepped out
+}
+
+// active tells whether this node votes.
+func (v *voter) active() bool { return v.machine != nil && !v.steppedOut }
+
+// nextNonce is the nonce of introductions at a time.
+func (v *voter) nextNonce(now float64) uint64 {
+	if now >= v.nonceAt {
+		v.nonceAt, v.nonce = now+nonceLifetime, drawNonce()
+	}
+	return v.nonce
+}
+
+func drawNonce() uint64 {
+	var b [8]byte
+	rand.Read(b[:])
+	return binary.BigEndian.Uint64(b[:]) | 1 // 0 is none
+}
+
+// recoverPanic runs a part of the consensus library. It panics where its input is impossible, as by a voter whose directory was
+// restored from an old copy: that costs the node its vote, and not its queries.
 func (f *Fleet) recoverPanic(do func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -29,77 +63,66 @@
 
 // runVoter does what is due of the consensus.
 func (f *Fleet) runVoter() {
-	if f.steppedOut && f.now >= f.due.again {
+	if f.voter.steppedOut && f.now >= f.voter.restartAt {
 		f.closeStoreForRestart()
 	}
-	if f.consensus != nil && !f.steppedOut {
+	if f.voter.active() {
 		f.recoverPanic(f.tickVoter)
 	}
 }
 
 func (f *Fleet) tickVoter() {
-	if f.now >= f.due.consensus {
-		f.due.consensus = f.now + consensus.TickSeconds
-		f.consensus.Tick()
-	}
-	if f.now >= f.due.intro && !f.saving {
-		f.due.intro = f.now + introductionInterval
-		if f.now >= f.due.nonce {
-			f.due.nonce, f.nonce = f.now+nonceLifetime, nonce()
-		}
-		if in, say := f.consensus.Introduce(f.nonce); say {
-			f.sendIntroduction(f.settings.Membership.Voters(), &in)
+	v := &f.voter
+	if f.now >= v.tickAt {
+		v.tickAt = f.now + consensus.TickSeconds
+		v.machine.Tick()
+	}
+	if f.now >= v.introduceAt && !v.saving {
+		v.introduceAt = f.now + introductionInterval
+		if introduction, send := v.machine.Introduce(v.nextNonce(f.now)); send {
+			f.sendIntroduction(f.settings.Membership.Voters(), &introduction)
 		}
 	}
 	switch {
-	case !f.consensus.Leads():
+	case !v.machine.Leads():
 		f.stopLeading()
-	case f.granting && f.consensus.Term() != f.term: // lost and won again between two turns
+	case f.leadership.granting && v.machine.Term() != f.leadership.term: // lost and won again between two turns
 		f.stopLeading()
 		fallthrough
 	default:
-		if f.now >= f.due.read {
-			f.due.read = f.now + readIndexInterval
-			f.readNumber++
-			f.pendingReads[f.readNumber] = f.now
-			f.consensus.Read(f.readNumber)
+		if f.now >= f.leadership.readAt {
+			v.machine.Read(f.leadership.startRead(f.now))
 		}
 	}
-	f.saveNextReady()
-}
-
-func nonce() uint64 {
-	var b [8]byte
-	rand.Read(b[:])
-	return binary.BigEndian.Uint64(b[:]) | 1
+	f.saveNext()
 }
 
-func (f *Fleet) sendIntroduction(to []membership.Name, in *consensus.Introduction) {
+func (f *Fleet) sendIntroduction(to []membership.Name, introduction *consensus.Introduction) {
 	fault := failpoint.Pass(failpoint.Introduce)
 	for _, name := range to {
 		for range fault.Times() {
 			if name != f.settings.Self {
-				f.send(name, messageIntroduction, in)
+				f.send(name, messageIntroduction, introduction)
 			}
 		}
 	}
 }
 
-func (f *Fleet) receiveIntroduction(from membership.Name, in *consensus.Introduction) {
-	if f.consensus == nil || f.steppedOut || f.saving {
+func (f *Fleet) receiveIntroduction(from membership.Name, introduction *consensus.Introduction) {
+	if !f.voter.active() || f.voter.saving {
 		return
 	}
 	var answer *consensus.Introduction
 	var save consensus.Save
 	var err error
-	if f.recoverPanic(func() { answer, save, err = f.consensus.ReceiveIntroduction(from, in) }); err != nil {
+	if f.recoverPanic(func() { answer, save, err = f.voter.machine.ReceiveIntroduction(from, introduction) }); err != nil {
 		f.stepOut(err)
 	}
-	if f.steppedOut {
+	if f.voter.steppedOut {
 		return
 	}
-	if !save.Empty() { // the founding, or joining: before anything is said as a part of it
-		f.logger.Info("fleet: this voter takes part in the council", zap.String("by", string(from)))
+	if !save.Empty() { // the founding, or joining: saved before anything is said as a part of it
+		f.logger.Info("fleet voter joined", zap.String("member", string(from)))
 		f.save(&save)
 		return
 	}
@@ -108,23 +131,31 @@
 	}
 }
 
-// saveNextReady saves what the consensus has to save and goes on with the rest. One piece of work is in hand at a time.
-func (f *Fleet) saveNextReady() {
-	for !f.saving && !f.steppedOut {
-		s, has := f.consensus.NextSave()
+// receiveConsensus hands a voter's message to the machine.
+func (f *Fleet) receiveConsensus(from membership.Name, body []byte) (err error) {
+	if f.voter.active() {
+		f.recoverPanic(func() { err = f.voter.machine.Step(from, body) })
+	}
+	return err
+}
+
+// saveNext hands the machine's next save to the store, or applies what needs none. One save is in flight at a time.
+func (f *Fleet) saveNext() {
+	for !f.voter.saving && !f.voter.steppedOut {
+		save, has := f.voter.machine.NextSave()
 		if !has {
 			return
 		}
-		if !s.Empty() {
-			f.save(&s)
+		if !save.Empty() {
+			f.save(&save)
 			return
 		}
-		f.applyReady()
+		f.applySaved()
 	}
 }
 
-func (f *Fleet) save(s *consensus.Save) {
-	out, err := encodeSave(s)
+func (f *Fleet) save(save *consensus.Save) {
+	encoded, err := encodeSave(save)
 	if failpoint.Pass(failpoint.SaveConsensus).Fail {
 		err = errInjected
 	}
@@ -132,15 +163,16 @@
 		f.stepOut(err)
 		return
 	}
-	f.saving = true
-	f.store.Save(out, func(err error) { f.events.Put(event{kind: consensusWorkSaved, err: err}) })
+	f.voter.saving = true
+	f.store.Save(encoded, func(err error) { f.events.Put(event{kind: consensusWorkSaved, err: err}) })
 }
 
+// consensusSaved goes on once a save is on disk, or failed.
 func (f *Fleet) consensusSaved(err error) {
-	if f.consensus == nil || f.steppedOut || !f.saving {
+	if !f.voter.active() || !f.voter.saving {
 		return
 	}
-	f.saving = false
+	f.voter.saving = false
 	if failpoint.Pass(failpoint.ConsensusSaved).Fail {
 		err = errInjected
 	}
@@ -148,183 +180,76 @@
 		f.stepOut(err)
 		return
 	}
-	f.recoverPanic(func() { f.applyReady(); f.saveNextReady() })
+	f.recoverPanic(func() { f.applySaved(); f.saveNext() })
 }
 
-// stepOut ends our part in the consensus: a voter that can't keep what it promised must promise nothing more. What was handed
-// out runs out by itself. After a while it begins anew from what the directory holds, as a process that starts would.
+// applySaved sends the messages that waited for the save, and applies what was committed.
+func (f *Fleet) applySaved() {
+	result, err := f.voter.machine.Saved()
+	if err != nil {
+		f.stepOut(err)
+		return
+	}
+	for _, message := range result.Outgoing {
+		f.sendBody(message.To, messageConsensus, message.Data)
+	}
+	for _, number := range result.Reads {
+		if sentAt, pending := f.leadership.pendingReads[number]; pending {
+			f.leadershipConfirmed(sentAt)
+		}
+	}
+	f.leadership.expireReads(f.now, f.settings.Lease)
+	if result.StateChanged {
+		failpoint.Pass(failpoint.ApplyCommand)
+	}
+	for _, applied := range result.Applied {
+		f.commandCommitted(applied)
+	}
+}
+
+// stepOut ends our part in the consensus for a while: a voter that can't save its votes must not vote. What it granted expires
+// by itself. After voterRestartDelay it starts anew from what the directory holds, as a new process would.
 func (f *Fleet) stepOut(err error) {
-	f.steppedOut, f.due.again = true, f.now+voterRestartDelay
+	f.voter.steppedOut, f.voter.restartAt = true, f.now+voterRestartDelay
 	f.stopLeading()
 	f.counters.Add("fleet", "mute", 1)
-	f.logger.Error("fleet: the council's work can't be kept, this voter is mute", zap.String("text", err.Error()))
+	f.logger.Error("fleet voter stepped out", zap.Error(err))
 }
 
-// closeStoreForRestart reads the directory anew. Closing the file may wait for a disk, which this goroutine must not.
+// closeStoreForRestart closes the store; restartVoter follows. The closing may wait for a disk, which this goroutine must not.
 func (f *Fleet) closeStoreForRestart() {
-	f.due.again = f.now + voterRestartDelay
+	f.voter.restartAt = f.now + voterRestartDelay
 	if store := f.store; store != nil {
 		f.store = nil
 		go func() { store.Stop(); f.events.Put(event{kind: storeClosed}) }()
 	}
 }
 
-// startVoter makes our voter from what the directory holds.
-func (f *Fleet) startVoter(kept *aggregatorstore.LogContents) error {
-	raftKept, err := decodeConsensusState(kept)
+// startVoter makes the machine from what the directory holds.
+func (f *Fleet) startVoter(contents *aggregatorstore.LogContents) error {
+	stored, err := decodeConsensusState(contents)
 	if err != nil {
 		return err
 	}
-	f.consensus, err = consensus.New(f.settings.Self, f.settings.Membership.Voters(), raftKept)
+	f.voter.machine, err = consensus.New(f.settings.Self, f.settings.Membership.Voters(), stored)
 	return err
 }
 
+// restartVoter opens the store again, and votes from what it holds.
 func (f *Fleet) restartVoter() {
-	store, kept, err := aggregatorstore.OpenLog(f.settings.Directory, 0, f.logger)
+	store, contents, err := aggregatorstore.OpenLog(f.settings.Directory, 0, f.logger)
 	if err != nil {
-		f.logger.Error("fleet: the directory can't be opened, this voter stays mute", zap.String("text", err.Error()))
+		f.logger.Error("fleet voter not restarted", zap.Error(err))
 		f.events.Put(event{kind: storeReopenFailed})
 		return
 	}
 	f.store = store
-	if err := f.startVoter(&kept); err != nil {
+	if err := f.startVoter(&contents); err != nil {
 		f.stepOut(err)
 		return
 	}
-	f.steppedOut, f.saving, f.nonce, f.due.nonce = false, false, 0, 0
-	clear(f.pendingReads)
-	f.logger.Info("fleet: this voter is mute no more")
+	f.voter.steppedOut, f.voter.saving, f.voter.nonce, f.voter.nonceAt = false, false, 0, 0
+	clear(f.leadership.pendingReads)
+	f.logger.Info("fleet voter restarted")
 	f.saveTables()
 }
-
-func (f *Fleet) applyReady() {
-	r, err := f.consensus.Saved()
-	if err != nil {
-		f.stepOut(err)
-		return
-	}
-	for _, o := range r.Outgoing {
-		f.sendBody(o.To, messageConsensus, o.Data)
-	}
-	for _, no := range r.Reads {
-		if at, known := f.pendingReads[no]; known {
-			f.leadershipConfirmed(at)
-		}
-	}
-	for no, at := range f.pendingReads {
-		if f.now-at > f.settings.Lease {
-			delete(f.pendingReads, no)
-		}
-	}
-	if r.StateChanged {
-		failpoint.Pass(failpoint.ApplyCommand)
-	}
-	for _, d := range r.Applied {
-		f.commandCommitted(d)
-	}
-}
-
-// leadershipConfirmed notes that at a time we led for sure. The first such time of a term begins our granting; what another granted
-// before has to run out first.
-func (f *Fleet) leadershipConfirmed(at float64) {
-	if !f.consensus.Leads() {
-		return
-	}
-	failpoint.Pass(failpoint.ConfirmGranter)
-	authority := f.settings.Lease * authorityShare
-	if !f.granting {
-		failpoint.Pass(failpoint.BeginGranting)
-		f.granting, f.term, f.leadershipConfirmedUntil = true, f.consensus.Term(), 0
-		f.granter.Begin(f.now, authority, f.term)
-		f.rollout.Begin(f.now, authority)
-		f.previousLeaderUntil = f.now + authority*quota.WaitFactor
-		clear(f.minimumsAppliedBy)
-		clear(f.differsInStrict)
-		f.counters.Add("fleet", "led", 1)
-		f.logger.Info("fleet: this mixer leads the council", zap.Uint64("term", f.term), zap.Float64("grants_in_s", f.granter.ReadyAt()-f.now))
-	}
-	f.granter.Confirm(at, authority)
-	f.leadershipConfirmedUntil = max(f.leadershipConfirmedUntil, at+authority)
-}
-
-func (f *Fleet) stopLeading() {
-	if f.granting {
-		f.granting, f.leadershipConfirmedUntil = false, 0
-		f.granter.End()
-		clear(f.pendingReads)
-		f.logger.Info("fleet: this mixer leads no more")
-	}
-}
-
-// isConfirmedLeader tells whether we lead the consensus for sure, so that what it agreed on last is what we know.
-func (f *Fleet) isConfirmedLeader() bool {
-	return f.granting && f.now < f.leadershipConfirmedUntil && !f.steppedOut
-}
-
-// answer answers a node that asks.
-func (f *Fleet) receiveGrantRequest(from membership.Name, a *grantRequest) {
-	out := f.grantResponse(from, a)
-	for range failpoint.Pass(failpoint.RespondToGrantRequest).Times() {
-		f.send(from, messageGrantResponse, out)
-	}
-}
-
-func (f *Fleet) grantResponse(from membership.Name, a *grantRequest) *grantResponse {
-	out := &grantResponse{Number: a.Number}
-	if !f.isConfirmedLeader() {
-		if f.consensus != nil {
-			out.Leader = f.consensus.Leader()
-		}
-		return out
-	}
-	if a.MembershipVersion != f.settings.Membership.Version { // shares of another membership do not add up with ours
-		f.counters.Add("fleet", "other_roster", 1)
-		f.logger.Error("fleet: a mixer goes by another roster",
-			zap.String("mixer", string(from)),
-			zap.Int("version", a.MembershipVersion),
-			zap.Int("expected", f.settings.Membership.Version))
-		return out
-	}
-	state := f.consensus.State()
-	out.Confirmed, out.Leader, out.Versions = true, f.settings.Self, tableVersions{state.Contracts.Version, state.QuotasVersion}
-	if a.Contracts != out.Versions.Contracts {
-		out.Table = &state.Contracts
-	}
-	if a.Quotas != out.Versions.Quotas {
-		out.Quotas = state.Quotas
-	}
-	f.rollout.RecordApplied(f.now, from, a.AppliedContracts)
-	f.rollout.RecordRenewal(f.now, from)
-	if f.now >= f.previousLeaderUntil {
-		f.minimumsAppliedBy[from] = a.MinimumsVersion
-	}
-	if f.differsInStrict[from] = a.StrictHash != f.strictHash; f.differsInStrict[from] {
-		f.counters.Add("fleet", "other_strict", 1)
-	}
-	for i := range a.Requests {
-		if q, has := state.Quotas[a.Requests[i].Tenant]; has {
-			if g, may := f.granter.Grant(f.now, from, &a.Requests[i], q, f.reservedMinimums); may {
-				out.Grants = append(out.Grants, g)
-			}
-		}
-	}
-	return out
-}
-
-// reservedMinimums sums what nodes may have by themselves: those that told us that they go by the quotas that hold, by these, and
-// all others by the largest that the tenant ever had.
-func (f *Fleet) reservedMinimums(tenant quota.Tenant) (perS, burst float64) {
-	state := f.consensus.State()
-	n := len(f.settings.Membership.Members)
-	nowPerS, nowBurst := state.Quotas[tenant].NodeMinimum(n)
-	most := state.LargestMinimums[tenant]
-	mostPerS, mostBurst := quota.Quota{PerS: most.PerS, Burst: most.Burst, MinimumShare: 1}.NodeMinimum(n)
-	for _, m := range f.settings.Membership.Members {
-		if at, told := f.minimumsAppliedBy[m.Name]; told && at == state.QuotasVersion {
-			perS, burst = perS+nowPerS, burst+nowBurst
-		} else {
-			perS, burst = perS+mostPerS, burst+mostBurst
-		}
-	}
-	return perS, burst
-}
