--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// routes is a configuration's text with a number of routes.
+// routes is the text of a configuration with a number of routes.
 func routes(count int, version int) []byte {
 	random := rand.New(rand.NewPCG(7, 7))
 	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
@@ -33,18 +33,18 @@
 		for i, chunk := range split {
 			last := i == len(split)-1
 			if len(chunk) > maxChunk || len(chunk) < minChunk && !last {
-				t.Fatalf("part %d of %d has %d bytes", i, len(split), len(chunk))
+				t.Fatalf("chunk %d of %d has %d bytes", i, len(split), len(chunk))
 			}
 		}
-		collection, err := NewAssembler(NewManifest(content, split))
+		assembler, err := NewAssembler(NewManifest(content, split))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, i := range rapid.Permutation(indexes(len(split))).Draw(t, "order") {
-			collection.Add(split[i])
-			collection.Add(split[i])
+			assembler.Add(split[i])
+			assembler.Add(split[i])
 		}
-		gathered, err := collection.Content()
+		gathered, err := assembler.Content()
 		if err != nil || !bytes.Equal(gathered, content) {
 			t.Fatalf("%d bytes of %d, %v", len(gathered), len(content), err)
 		}
@@ -63,20 +63,20 @@
 	Convey("Given a large content and a version of it with one more route in the middle", t, func() {
 		before := routes(1830, 41)
 		after := bytes.Replace(routes(1830, 42), []byte(`"timeoutMs":3004`), []byte(`"timeoutMs":35000`), 1)
-		held := make(map[Sum][]byte)
+		known := make(map[Sum][]byte)
 		for _, chunk := range Split(before) {
-			held[SumOf(chunk)] = chunk
+			known[SumOf(chunk)] = chunk
 		}
-		collection, err := NewAssembler(manifestOf(after), func(sum Sum) ([]byte, bool) {
-			chunk, found := held[sum]
+		assembler, err := NewAssembler(manifestOf(after), func(sum Sum) ([]byte, bool) {
+			chunk, found := known[sum]
 			return chunk, found
 		})
 		So(err, ShouldBeNil)
-		So(collection.MissingCount(), ShouldBeBetweenOrEqual, 1, 4)
-		Convey("the manifest costs a hundredth of the content", func() {
+		So(assembler.MissingCount(), ShouldBeBetweenOrEqual, 1, 4)
+		Convey("the manifest has a hundredth of the bytes of the content", func() {
 			So(len(manifestOf(after).Chunks), ShouldBeLessThan, len(after)/80)
 		})
-		Convey("packed parts cost a third of the content at most", func() {
+		Convey("packed chunks have at most a third of the bytes of the content", func() {
 			sum := 0
 			for _, chunk := range Split(after) {
 				sum += len(Pack(chunk))
@@ -87,56 +87,56 @@
 }
 
 func TestWrongChunksAndManifestsAreRefused(t *testing.T) {
-	Convey("Given a collection that lacks all", t, func() {
+	Convey("Given an assembler that lacks all chunks", t, func() {
 		content := routes(100, 3)
 		split := Split(content)
-		collection, err := NewAssembler(manifestOf(content))
+		assembler, err := NewAssembler(manifestOf(content))
 		So(err, ShouldBeNil)
 
-		Convey("a part of another content is not taken", func() {
-			So(collection.Add([]byte("other")), ShouldBeFalse)
-			So(collection.MissingCount(), ShouldEqual, len(split))
+		Convey("a chunk of another content is not taken", func() {
+			So(assembler.Add([]byte("other")), ShouldBeFalse)
+			So(assembler.MissingCount(), ShouldEqual, len(split))
 		})
-		Convey("a changed part is not taken", func() {
+		Convey("a changed chunk is not taken", func() {
 			changed := bytes.Clone(split[0])
 			changed[10]++
-			So(collection.Add(changed), ShouldBeFalse)
+			So(assembler.Add(changed), ShouldBeFalse)
 		})
-		Convey("a part counts once", func() {
-			So(collection.Add(split[0]), ShouldBeTrue)
-			So(collection.Add(split[0]), ShouldBeFalse)
-			So(collection.MissingCount(), ShouldEqual, len(split)-1)
+		Convey("a chunk counts once", func() {
+			So(assembler.Add(split[0]), ShouldBeTrue)
+			So(assembler.Add(split[0]), ShouldBeFalse)
+			So(assembler.MissingCount(), ShouldEqual, len(split)-1)
 		})
-		Convey("what is incomplete has no content", func() {
-			_, err := collection.Content()
+		Convey("an incomplete content is an error", func() {
+			_, err := assembler.Content()
 			So(err, ShouldWrap, ErrContent)
 		})
 		Convey("the missing ones are listed in order, as many as asked for", func() {
-			collection.Add(split[0])
-			So(collection.Missing(2), ShouldResemble, []Sum{SumOf(split[1]), SumOf(split[2])})
+			assembler.Add(split[0])
+			So(assembler.Missing(2), ShouldResemble, []Sum{SumOf(split[1]), SumOf(split[2])})
 		})
 	})
-	Convey("Parts that are held but make up another content than was named are refused", t, func() {
+	Convey("Chunks that make up another content than the manifest names are refused", t, func() {
 		content := routes(20, 3)
 		manifest := manifestOf(content)
 		manifest.Sum[0]++
-		collection, err := NewAssembler(manifest)
+		assembler, err := NewAssembler(manifest)
 		So(err, ShouldBeNil)
 		for _, chunk := range Split(content) {
-			collection.Add(chunk)
+			assembler.Add(chunk)
 		}
-		_, err = collection.Content()
+		_, err = assembler.Content()
 		So(err, ShouldWrap, ErrContent)
 		manifest = manifestOf(content)
 		manifest.Bytes++
-		collection, _ = NewAssembler(manifest)
+		assembler, _ = NewAssembler(manifest)
 		for _, chunk := range Split(content) {
-			collection.Add(chunk)
+			assembler.Add(chunk)
 		}
-		_, err = collection.Content()
+		_, err = assembler.Content()
 		So(err, ShouldWrap, ErrContent)
 	})
-	Convey("Manifests that cannot be one are refused", t, func() {
+	Convey("Malformed manifests are refused", t, func() {
 		for _, manifest := range []Manifest{
 			{Bytes: -1}, {Bytes: MaxContent + 1}, {Bytes: 5, Chunks: make([]byte, SumBytes+1)}, {Bytes: 1, Chunks: make([]byte, 2*SumBytes)},
 		} {
@@ -154,14 +154,14 @@
 			So(bytes.Equal(unpacked, chunk), ShouldBeTrue)
 		}
 	})
-	Convey("What is longer than a part is refused, and so is what is cut short", t, func() {
+	Convey("What is longer than a chunk is refused, and so is what is truncated", t, func() {
 		_, err := Unpack(Pack(make([]byte, maxChunk+1)))
 		So(err, ShouldWrap, ErrPacked)
 		packed := Pack(routes(5, 1))
 		_, err = Unpack(packed[:len(packed)-3])
 		So(err, ShouldWrap, ErrPacked)
 	})
-	Convey("Names are joined and read", t, func() {
+	Convey("Checksums are concatenated and parsed", t, func() {
 		sums := []Sum{SumOf([]byte("a")), SumOf([]byte("b"))}
 		So(ParseSums(JoinSums(sums)), ShouldResemble, sums)
 		So(ParseSums(append(JoinSums(sums), 1, 2)), ShouldResemble, sums)
@@ -182,13 +182,13 @@
 func FuzzManifest(f *testing.F) {
 	f.Add(3, []byte("0123456789abcdef"), []byte("abc"))
 	f.Fuzz(func(t *testing.T, size int, sums, chunk []byte) {
-		collection, err := NewAssembler(Manifest{Bytes: size, Chunks: sums})
+		assembler, err := NewAssembler(Manifest{Bytes: size, Chunks: sums})
 		if err != nil {
 			return
 		}
-		collection.Add(chunk)
-		collection.Missing(3)
-		if content, err := collection.Content(); err == nil && SumOf(content) != (Sum{}) {
+		assembler.Add(chunk)
+		assembler.Missing(3)
+		if content, err := assembler.Content(); err == nil && SumOf(content) != (Sum{}) {
 			t.Fatal("a content without its checksum")
 		}
 	})
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -18,8 +18,8 @@
 )
 
 // callEnds says what the outcome of a subquery counts as in the observations.
-var callEnds = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.TurnedAway: outlier.Canceled,
-	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Withdrawn: outlier.Canceled,
+var callEnds = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.Canceled,
+	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Canceled: outlier.Canceled,
 	policy.NotSent: outlier.Canceled}
 
 // callObserver counts this node's own subqueries.
@@ -31,7 +31,7 @@
 // record counts one subquery that ended now. Once each reportInterval due is set, with the observations to report.
 func (o *callObserver) record(now float64, backend string, outcome policy.Outcome, elapsed float64) (observations []outlier.Observation, due bool) {
 	switch outcome {
-	case policy.TurnedAway, policy.NotSent: // a full queue reports itself, and is no fault
+	case policy.Rejected, policy.NotSent: // a full queue reports itself, and is no fault
 		return nil, false
 	}
 	o.observer.RecordCall(now, outlier.Backend(backend), callEnds[outcome], elapsed)
