--- a/internal/controlplane/fleet/admission.go
+++ b/internal/controlplane/fleet/admission.go
@@ -43,28 +43,28 @@
 }
 
 // Admit says whether a query may be accepted, and in which zones. It never waits: it reads a view and spends from a counter.
-func (f *Fleet) Admit(customer policy.CustomerID, index policy.IndexID) aggregator.Verdict {
+func (f *Fleet) Admit(customer policy.CustomerID, index policy.IndexID) aggregator.AdmissionDecision {
 	return f.admission.admit(customer, index)
 }
 
-func (a *admission) admit(customer policy.CustomerID, index policy.IndexID) (out aggregator.Verdict) {
+func (a *admission) admit(customer policy.CustomerID, index policy.IndexID) (out aggregator.AdmissionDecision) {
 	view, now := a.view.Load(), a.Now()
 	confirmedUntil := math.Float64frombits(a.contractsConfirmedUntil.Load())
 	if now >= confirmedUntil && (view.allStrict || view.strict[customer]) {
-		return aggregator.Verdict{Refused: refusedUnconfirmed, Wait: requestInterval, Text: "which zones the contract allows is not sure here at the moment"}
+		return aggregator.AdmissionDecision{Reason: refusedUnconfirmed, RetryAfter: requestInterval, Text: "which zones the contract allows is not sure here at the moment"}
 	}
 	rule := view.rules.Of(customer, index)
 	if !rule.Here {
-		return aggregator.Verdict{Refused: refusedElsewhere, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", a.location)}
+		return aggregator.AdmissionDecision{Reason: refusedElsewhere, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", a.location)}
 	}
 	if out.Zones = rule.Zones; rule.Zones != nil {
-		out.Most = a.maxDeadline
+		out.MaxTimeout = a.maxDeadline
 	}
 	if bucket := view.buckets[customer]; bucket != nil {
 		spent := bucket.Spend(now)
 		failpoint.Pass(failpoint.Spend)
 		if !spent || a.Now()-now > maxAdmissionPause {
-			return aggregator.Verdict{Refused: refusedQuota, Wait: min(1, bucket.Wait(now)), Text: "the tenant's quota is used up"}
+			return aggregator.AdmissionDecision{Reason: refusedQuota, RetryAfter: min(1, bucket.Wait(now)), Text: "the tenant's quota is used up"}
 		}
 	}
 	return out
@@ -74,15 +74,15 @@
 	a.contractsConfirmedUntil.Store(math.Float64bits(until))
 }
 
-// Called records how a subquery to a backend ended: when, and how many seconds after it was sent. Only the aggregator's
+// CallEnded records how a subquery to a backend ended: when, and how many seconds after it was sent. Only the aggregator's
 // goroutine calls it.
-func (f *Fleet) Called(at time.Time, backend string, outcome policy.Outcome, elapsed float64) {
+func (f *Fleet) CallEnded(at time.Time, backend string, outcome policy.Outcome, elapsed float64) {
 	if observations, due := f.calls.record(f.seconds(at), backend, outcome, elapsed); due {
 		f.events.Put(event{kind: callsObserved, observations: observations})
 	}
 }
 
-// Listed takes the backends that there are now.
-func (f *Fleet) Listed(places []aggregator.Place) {
+// BackendsChanged takes the backends that there are now.
+func (f *Fleet) BackendsChanged(places []aggregator.Placement) {
 	f.events.Put(event{kind: backendsListed, places: places})
 }
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -89,8 +89,8 @@
 		{func(s *Settings) {
 			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"south"}, Own: true}}
 		}, refusedElsewhere}} {
-		if v := startAlone(t, c.change).Admit(0, 0); v.Refused != c.want {
-			t.Errorf("refused as %q, expected %q", v.Refused, c.want)
+		if v := startAlone(t, c.change).Admit(0, 0); v.Reason != c.want {
+			t.Errorf("refused as %q, expected %q", v.Reason, c.want)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 			}
 		}})
 		<-done
-		if v := fl.Admit(0, 0); v.Refused != "" {
+		if v := fl.Admit(0, 0); v.Reason != "" {
 			t.Errorf("a letter made this mixer refuse: %+v", v)
 		}
 	})
--- a/internal/controlplane/fleet/loop.go
+++ b/internal/controlplane/fleet/loop.go
@@ -38,7 +38,7 @@
 type event struct {
 	kind         eventKind
 	observations []outlier.Observation
-	places       []aggregator.Place
+	places       []aggregator.Placement
 	version      residency.Version
 	err          error
 	command      *pendingCommand
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -76,7 +76,7 @@
 }
 
 // setBackends works out which backends hold which shards: the cells of a layout, each held in so many neighbouring ones.
-func (d *outlierDetection) setBackends(layout policy.Layout, places []aggregator.Place) {
+func (d *outlierDetection) setBackends(layout policy.Layout, places []aggregator.Placement) {
 	cells, width := max(1, layout.Cells), max(1, layout.Width)
 	d.shardReplicas = make(outlier.ShardReplicas, cells)
 	for _, place := range places {
@@ -123,9 +123,9 @@
 	if len(verdicts) == 0 {
 		return
 	}
-	judged := make([]aggregator.Judged, 0, len(verdicts))
+	judged := make([]aggregator.PeerObservation, 0, len(verdicts))
 	for _, verdict := range verdicts {
-		judged = append(judged, aggregator.Judged{Backend: string(verdict.Backend), Times: verdict.LatencyFactor, For: outlier.VerdictSeconds})
+		judged = append(judged, aggregator.PeerObservation{Backend: string(verdict.Backend), LatencyMultiple: verdict.LatencyFactor, ValidS: outlier.VerdictSeconds})
 	}
-	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Judged: judged})
+	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, PeerObservations: judged})
 }
--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -53,7 +53,7 @@
 		return rule.Zones
 	}
 	applied := f.contractsAppliedFunc(f.tables.versions.Contracts)
-	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, Held: applied}})
+	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, InForce: applied}})
 }
 
 // contractsAppliedFunc is what the aggregator's goroutine calls once it goes by the contracts of a version.
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -9,13 +9,13 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// outCall is a part call that is out.
-type outCall struct {
-	to    policy.BackendID
-	index policy.IndexID
-	owner policy.CustomerID
-	seat  *capture.Seat // nil where nothing is captured
-	alone bool          // nothing else of ours was there when it went
+// inFlightCall is a part call that is out.
+type inFlightCall struct {
+	backend  policy.BackendID
+	index    policy.IndexID
+	customer policy.CustomerID
+	seat     *capture.Seat // nil where nothing is captured
+	alone    bool          // nothing else of ours was there when it went
 }
 
 type callKey struct {
@@ -23,36 +23,36 @@
 	no       policy.CallNo
 }
 
-func (m *Aggregator) act(a *policy.Action, now time.Time) {
+func (m *Aggregator) execute(a *policy.Action, now time.Time) {
 	switch a.Kind {
 	case policy.Send:
 		m.send(a, now)
 	case policy.Cancel:
-		if c, out := m.out[callKey{a.Subquery, a.Call}]; out {
-			m.flush(c.to)
-			m.backends.Withdraw(c.to, a.Subquery, a.Call)
+		if c, out := m.inFlight[callKey{a.Subquery, a.Call}]; out {
+			m.sendBatch(c.backend)
+			m.backends.Cancel(c.backend, a.Subquery, a.Call)
 		}
 	case policy.Answer:
-		m.finish(a.Query, "satisfied", Reply{End: Satisfied, Whole: a.Complete}, now)
+		m.finishQuery(a.Query, "satisfied", Reply{End: Satisfied, Complete: a.Complete}, now)
 	case policy.Nack:
-		m.finish(a.Query, "nacked", Reply{End: Nacked, Wait: a.Wait}, now)
+		m.finishQuery(a.Query, "nacked", Reply{End: Nacked, RetryAfter: a.Wait}, now)
 	case policy.Abort:
-		m.finish(a.Query, "aborted", Reply{End: Aborted}, now)
+		m.finishQuery(a.Query, "aborted", Reply{End: Aborted}, now)
 	case policy.SetTimer:
 		m.setTimer(a, now)
 	case policy.Probe:
-		m.flush(a.Backend)
-		m.count.Add("probes", "sent", 1)
+		m.sendBatch(a.Backend)
+		m.counters.Add("probes", "sent", 1)
 		m.backends.Probe(a.Backend, a.SeparateConnection)
 	case policy.CloseIdle:
-		m.flush(a.Backend)
+		m.sendBatch(a.Backend)
 		m.backends.CloseIdle(a.Backend)
 	case policy.Subscribe:
-		m.register.Subscribe(a.On)
+		m.discovery.Subscribe(a.On)
 	case policy.RequestFullList:
-		m.register.AskWhole()
+		m.discovery.RequestFullList()
 	case policy.NotifyPeer:
-		m.count.Add("messages", "no_way_to_mixers", 1)
+		m.counters.Add("messages", "no_way_to_mixers", 1)
 	case policy.LogNote:
 		m.log.Info("module", zap.String("note", a.Text))
 	}
@@ -65,37 +65,37 @@
 		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(a.Subquery)))
 		return
 	}
-	lk, p := ref.query, &ref.query.Subqueries[ref.no]
-	stop := lk.Arrived.Add(time.Duration(lk.Wait * float64(time.Second)))
-	if at := m.clock(a.StopAt); a.StopAt > 0 && at.Before(stop) {
+	q, p := ref.query, &ref.query.Subqueries[ref.no]
+	stop := q.Arrived.Add(time.Duration(q.Timeout * float64(time.Second)))
+	if at := m.wallTime(a.StopAt); a.StopAt > 0 && at.Before(stop) {
 		stop = at
 	}
 	begin := stop
-	if at := m.clock(a.BeginBy); a.BeginBy > 0 && at.Before(begin) {
+	if at := m.wallTime(a.BeginBy); a.BeginBy > 0 && at.Before(begin) {
 		begin = at
 	}
-	key := callKey{a.Subquery, p.made}
-	p.made++
-	c := outCall{to: a.Backend, index: lk.Index, owner: lk.Customer}
+	key := callKey{a.Subquery, p.attempts}
+	p.attempts++
+	c := inFlightCall{backend: a.Backend, index: q.Index, customer: q.Customer}
 	if m.recorder != nil {
-		c.seat, c.alone = m.recorder.Sent(m.seconds(now), a.Backend)
+		c.seat, c.alone = m.recorder.Sent(m.policyTime(now), a.Backend)
 	}
-	m.out[key] = c
-	m.count.Add("calls", "sent", 1)
-	trip := m.trips[a.Backend]
-	trip = append(trip, Call{key.subquery, key.no, lk, p.Shard, now, stop, begin})
+	m.inFlight[key] = c
+	m.counters.Add("calls", "sent", 1)
+	trip := m.batches[a.Backend]
+	trip = append(trip, Call{key.subquery, key.no, q, p.Shard, now, stop, begin})
 	if len(trip) == 1 {
-		m.tripTo = append(m.tripTo, a.Backend)
+		m.batchOrder = append(m.batchOrder, a.Backend)
 	}
-	m.trips[a.Backend] = trip
-	if len(trip) >= max(1, m.set.Layout.CallSubqueries) {
-		m.flush(a.Backend)
+	m.batches[a.Backend] = trip
+	if len(trip) >= max(1, m.settings.Layout.CallSubqueries) {
+		m.sendBatch(a.Backend)
 	}
 }
 
-func (m *Aggregator) flush(to policy.BackendID) {
-	if trip := m.trips[to]; len(trip) > 0 {
-		delete(m.trips, to)
+func (m *Aggregator) sendBatch(to policy.BackendID) {
+	if trip := m.batches[to]; len(trip) > 0 {
+		delete(m.batches, to)
 		m.backends.Send(to, trip)
 	}
 }
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -24,7 +24,7 @@
 	}
 	gone := r.query("cc", 0, 1)
 	r.put(gone)
-	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: gone.Taken})
+	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: gone.ClientQuery})
 	for range 30 {
 		r.put(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
 	}
@@ -66,7 +66,7 @@
 			r.put(ends...)
 			took[i] += time.Since(began)
 			select {
-			case <-e.Taken.Done:
+			case <-e.ClientQuery.Done:
 			default:
 				b.Fatal("no answer")
 			}
--- a/internal/dataplane/aggregator/crossings_test.go
+++ b/internal/dataplane/aggregator/crossings_test.go
@@ -46,14 +46,14 @@
 							t.Fatalf("sent %+v", r.sent)
 						}
 						ends := []Event{r.sent[0].ends(first, "one"), r.sent[1].ends(second, "two"),
-							{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: e.Taken}}
+							{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: e.ClientQuery}}
 						r.now = r.now.Add(late)
 						r.put(ends[order[0]], ends[order[1]], ends[order[2]])
 						what := fmt.Sprintf("index %d, outcomes %d and %d, order %v, %s late", index, first, second, order, late)
 						sent := len(r.sent)
 						for i := range 40 {
 							for _, c := range r.sent[2:] { // a part that went again before its client was known to have left
-								if _, out := r.out[callKey{c.Subquery, c.No}]; out {
+								if _, out := r.inFlight[callKey{c.Subquery, c.No}]; out {
 									r.put(c.ends(policy.Canceled, ""))
 								}
 							}
@@ -63,14 +63,14 @@
 						if len(r.sent) != sent {
 							t.Fatalf("%s: %d calls after its end", what, len(r.sent)-sent)
 						}
-						answers := len(e.Taken.Done)
-						gone := int(r.count.Get("lookups", "gone"))
+						answers := len(e.ClientQuery.Done)
+						gone := int(r.counters.Get("lookups", "gone"))
 						if answers+gone != 1 {
 							t.Fatalf("%s: %d answers, gone %d", what, answers, gone)
 						}
 						r.checkCounters(t, map[string]int64{"taken": 1, "held": 0})
-						if len(r.queries)+len(r.names)+len(r.subqueries)+len(r.out) != 0 {
-							t.Fatalf("%s: left are %v %v %v %v", what, r.queries, r.names, r.subqueries, r.out)
+						if len(r.queries)+len(r.byClientID)+len(r.subqueries)+len(r.inFlight) != 0 {
+							t.Fatalf("%s: left are %v %v %v %v", what, r.queries, r.byClientID, r.subqueries, r.inFlight)
 						}
 					})
 				}
@@ -83,14 +83,14 @@
 func TestNothingOfAClientThatLeftIsSent(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Rules.SlowStartShare = 0.2 })
 	e := r.query("aa", 0, 4)
-	r.put(e, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: e.Taken})
+	r.put(e, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: e.ClientQuery})
 	if len(r.sent) != 0 {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	// All backends start anew and are cold: of many queries some wait until they may take more.
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}, Addresses: make([]string, 8)}
 	for i := range 8 {
-		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 20), Cell: policy.CellID(i % 4), StartedAt: r.seconds(r.now)})
+		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 20), Cell: policy.CellID(i % 4), StartedAt: r.policyTime(r.now)})
 	}
 	r.put(list)
 	var crowd []Event
@@ -105,9 +105,9 @@
 	waiting := 0
 	var leave []Event
 	for _, e := range crowd {
-		if !begun[e.Taken] && len(e.Taken.Done) == 0 {
+		if !begun[e.ClientQuery] && len(e.ClientQuery.Done) == 0 {
 			waiting++
-			leave = append(leave, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: e.Taken})
+			leave = append(leave, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: e.ClientQuery})
 		}
 	}
 	if waiting == 0 {
--- a/internal/dataplane/aggregator/gate.go
+++ b/internal/dataplane/aggregator/gate.go
@@ -8,191 +8,191 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Verdict is what a gate says of a query that asks to be taken.
-type Verdict struct {
-	Refused string  // the reason's code, "" where it is taken
-	Text    string  // the same as a sentence
-	Wait    float64 // advice when to come back, 0 for none
-	Zones   *policy.Zones
-	Most    float64 // seconds that it may be held at the most, 0 for as long as its client waits
+// AdmissionDecision is what a gate says of a query that asks to be taken.
+type AdmissionDecision struct {
+	Reason     string  // the reason's code, "" where it is taken
+	Text       string  // the same as a sentence
+	RetryAfter float64 // advice when to come back, 0 for none
+	Zones      *policy.Zones
+	MaxTimeout float64 // seconds that it may be held at the most, 0 for as long as its client waits
 }
 
-// Gate says which queries may be taken and where their parts may go, by what aggregators agree on. None of its methods may
+// Admission says which queries may be taken and where their parts may go, by what aggregators agree on. None of its methods may
 // block; all are called by the module's actor.
-type Gate interface {
-	Admit(customer policy.CustomerID, index policy.IndexID) Verdict
-	// Called hears how a part call ended at a backend, so many seconds after it was sent.
-	Called(at time.Time, backend string, how policy.Outcome, elapsed float64)
-	// Listed hears which backends the list names.
-	Listed([]Place)
+type Admission interface {
+	Admit(customer policy.CustomerID, index policy.IndexID) AdmissionDecision
+	// CallEnded hears how a part call ended at a backend, so many seconds after it was sent.
+	CallEnded(at time.Time, backend string, how policy.Outcome, elapsed float64)
+	// BackendsChanged hears which backends the list names.
+	BackendsChanged([]Placement)
 }
 
-// Place is where a backend stands, as the list has it.
-type Place struct {
+// Placement is where a backend stands, as the list has it.
+type Placement struct {
 	Name string
 	Cell policy.CellID
 }
 
 // Rules are what queries go by from here on, those that are held as well. Held is called once all that is out does.
 type Rules struct {
-	Zones func(policy.CustomerID, policy.IndexID) *policy.Zones
-	Held  func()
+	Zones   func(policy.CustomerID, policy.IndexID) *policy.Zones
+	InForce func()
 }
 
 // Judged is what others found of a backend: so many times the usual latency, which counts for so many seconds while we
 // know little.
-type Judged struct {
-	Backend string
-	Times   float64
-	For     float64
+type PeerObservation struct {
+	Backend         string
+	LatencyMultiple float64
+	ValidS          float64
 }
 
-// place is what the actor remembers of a backend where there is a gate.
-type place struct {
-	name     string
-	location policy.LocationID
-	cell     policy.CellID
-	gone     bool
-	moved    bool // another location was named under its number: it may stand anywhere
+// placement is what the actor remembers of a backend where there is a gate.
+type placement struct {
+	name      string
+	location  policy.LocationID
+	cell      policy.CellID
+	removed   bool
+	relocated bool // another location was named under its number: it may stand anywhere
 }
 
 // gated is what the actor keeps for a gate.
-type gated struct {
-	gate   Gate
-	places map[policy.BackendID]place
-	rules  *Rules // not held yet
-	covers map[*policy.Zones][]bool
-	logged time.Time
+type admissionState struct {
+	admission    Admission
+	placements   map[policy.BackendID]placement
+	rules        *Rules // not held yet
+	coveredCells map[*policy.Zones][]bool
+	loggedAt     time.Time
 }
 
-// Guard puts a gate before the module. It comes before the first list.
-func (m *Aggregator) Guard(g Gate) {
-	m.gated = gated{gate: g, places: map[policy.BackendID]place{}, covers: map[*policy.Zones][]bool{}}
+// SetAdmission puts a gate before the module. It comes before the first list.
+func (m *Aggregator) SetAdmission(g Admission) {
+	m.admission = admissionState{admission: g, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
 }
 
 // admit asks the gate for a query, and answers one that is refused.
-func (m *Aggregator) admit(lk *Query, now time.Time) (zones *policy.Zones, admitted bool) {
-	v := m.gated.gate.Admit(lk.Customer, lk.Index)
-	if v.Refused != "" {
-		m.count.Add("lookups", v.Refused, 1)
-		lk.Done <- Reply{End: Nacked, Wait: min(v.Wait, m.set.Limits.MaxRetryAfter), Text: v.Text}
+func (m *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
+	v := m.admission.admission.Admit(q.Customer, q.Index)
+	if v.Reason != "" {
+		m.counters.Add("lookups", v.Reason, 1)
+		q.Done <- Reply{End: Nacked, RetryAfter: min(v.RetryAfter, m.settings.Limits.MaxRetryAfter), Text: v.Text}
 		return nil, false
 	}
-	if v.Most > 0 {
-		lk.Wait = min(lk.Wait, now.Sub(lk.Arrived).Seconds()+v.Most)
+	if v.MaxTimeout > 0 {
+		q.Timeout = min(q.Timeout, now.Sub(q.Arrived).Seconds()+v.MaxTimeout)
 	}
 	if v.Zones != nil {
-		m.missing(lk, v.Zones, now)
+		m.logUncovered(q, v.Zones, now)
 	}
 	return v.Zones, true
 }
 
-// missing logs the shards of a query that no holder inside its zones has: the module gives their parts up at once.
-func (m *Aggregator) missing(lk *Query, zones *policy.Zones, now time.Time) {
-	covered, width := m.gated.covers[zones], max(1, m.set.Layout.Width)
+// logUncovered logs the shards of a query that no holder inside its zones has: the module gives their parts up at once.
+func (m *Aggregator) logUncovered(q *Query, zones *policy.Zones, now time.Time) {
+	covered, width := m.admission.coveredCells[zones], max(1, m.settings.Layout.Width)
 	if covered == nil {
-		covered = make([]bool, max(1, m.set.Layout.Cells))
-		for _, p := range m.gated.places {
+		covered = make([]bool, max(1, m.settings.Layout.Cells))
+		for _, p := range m.admission.placements {
 			for j := range width {
-				if c := (int(p.cell) - j) % len(covered); !p.gone && !p.moved && zones.Allows(p.location) {
+				if c := (int(p.cell) - j) % len(covered); !p.removed && !p.relocated && zones.Allows(p.location) {
 					covered[(c+len(covered))%len(covered)] = true
 				}
 			}
 		}
-		m.gated.covers[zones] = covered
+		m.admission.coveredCells[zones] = covered
 	}
 	var shards []int
-	for i := range lk.Subqueries {
-		if s := int(lk.Subqueries[i].Shard); !covered[s%len(covered)] {
+	for i := range q.Subqueries {
+		if s := int(q.Subqueries[i].Shard); !covered[s%len(covered)] {
 			shards = append(shards, s)
 		}
 	}
 	if len(shards) == 0 {
 		return
 	}
-	m.count.Add("parts", "no_holder_by_contract", int64(len(shards)))
-	if now.Sub(m.gated.logged) >= time.Second { // one in a second tells enough
-		m.gated.logged = now
+	m.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
+	if now.Sub(m.admission.loggedAt) >= time.Second { // one in a second tells enough
+		m.admission.loggedAt = now
 		m.log.Warn("shards without a holder inside the zones of the contract",
-			zap.String("lookup", lk.ID),
-			zap.Int("customer", int(lk.Customer)),
+			zap.String("lookup", q.ID),
+			zap.Int("customer", int(q.Customer)),
 			zap.Ints("shards", shards),
 			zap.String("reason", "no_holder_by_contract"))
 	}
 }
 
-// placed takes what a list says of where backends stand.
-func (m *Aggregator) placed(e *Event) {
-	g := &m.gated
-	clear(g.covers)
+// updatePlacements takes what a list says of where backends stand.
+func (m *Aggregator) updatePlacements(e *Event) {
+	g := &m.admission
+	clear(g.coveredCells)
 	if e.List != policy.ListPatch {
-		for id, p := range g.places {
-			p.gone = true
-			g.places[id] = p
+		for id, p := range g.placements {
+			p.removed = true
+			g.placements[id] = p
 		}
 	}
 	for i, r := range e.Entries {
-		p, seen := g.places[r.Backend]
-		p = place{e.Names[i].Backend, r.Location, r.Cell, r.Phase == policy.Removed, p.moved || seen && !p.gone && p.location != r.Location}
-		g.places[r.Backend] = p
-	}
-	var list []Place
-	for id, p := range g.places {
-		if !p.gone {
-			list = append(list, Place{p.name, p.cell})
-		} else if !m.calling(id) {
-			delete(g.places, id)
+		p, seen := g.placements[r.Backend]
+		p = placement{e.Names[i].Backend, r.Location, r.Cell, r.Phase == policy.Removed, p.relocated || seen && !p.removed && p.location != r.Location}
+		g.placements[r.Backend] = p
+	}
+	var list []Placement
+	for id, p := range g.placements {
+		if !p.removed {
+			list = append(list, Placement{p.name, p.cell})
+		} else if !m.hasCallsTo(id) {
+			delete(g.placements, id)
 		}
 	}
-	g.gate.Listed(list)
+	g.admission.BackendsChanged(list)
 }
 
-func (m *Aggregator) calling(id policy.BackendID) bool {
-	for _, c := range m.out {
-		if c.to == id {
+func (m *Aggregator) hasCallsTo(id policy.BackendID) bool {
+	for _, c := range m.inFlight {
+		if c.backend == id {
 			return true
 		}
 	}
 	return false
 }
 
-// agreed takes rules and judgements into the module's event.
-func (m *Aggregator) agreed(e *Event, now time.Time) {
+// applyAgreed takes rules and judgements into the module's event.
+func (m *Aggregator) applyAgreed(e *Event, now time.Time) {
 	if e.Override == nil {
 		e.Override = &policy.Overrides{}
 	}
 	if e.Rules != nil {
-		m.gated.rules = e.Rules
-		clear(m.gated.covers)
-		for id, lk := range m.queries {
-			zones := e.Rules.Zones(lk.Customer, lk.Index)
+		m.admission.rules = e.Rules
+		clear(m.admission.coveredCells)
+		for id, q := range m.queries {
+			zones := e.Rules.Zones(q.Customer, q.Index)
 			e.Override.Zones = append(e.Override.Zones, policy.ZonesOverride{Query: id, Zones: zones})
 		}
 	}
-	if len(e.Judged) == 0 {
+	if len(e.PeerObservations) == 0 {
 		return
 	}
-	ids := make(map[string]policy.BackendID, len(m.gated.places))
-	for id, p := range m.gated.places {
-		if !p.gone {
+	ids := make(map[string]policy.BackendID, len(m.admission.placements))
+	for id, p := range m.admission.placements {
+		if !p.removed {
 			ids[p.name] = id
 		}
 	}
-	for _, j := range e.Judged {
+	for _, j := range e.PeerObservations {
 		if id := ids[j.Backend]; id != 0 {
-			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: j.Times, Until: m.seconds(now) + j.For})
+			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: j.LatencyMultiple, Until: m.policyTime(now) + j.ValidS})
 		}
 	}
 }
 
-// holdRules tells that rules hold once no call is out where they let none go.
-func (m *Aggregator) holdRules() {
-	for _, c := range m.out {
-		zones := m.gated.rules.Zones(c.owner, c.index)
-		if p := m.gated.places[c.to]; zones != nil && (p.moved || !zones.Allows(p.location)) {
+// confirmRules tells that rules hold once no call is out where they let none go.
+func (m *Aggregator) confirmRules() {
+	for _, c := range m.inFlight {
+		zones := m.admission.rules.Zones(c.customer, c.index)
+		if p := m.admission.placements[c.backend]; zones != nil && (p.relocated || !zones.Allows(p.location)) {
 			return
 		}
 	}
-	m.gated.rules.Held()
-	m.gated.rules = nil
+	m.admission.rules.InForce()
+	m.admission.rules = nil
 }
--- a/internal/dataplane/aggregator/lookups.go
+++ b/internal/dataplane/aggregator/lookups.go
@@ -14,90 +14,90 @@
 	no    int
 }
 
-// open takes a query in, its parts right behind it, unless the most that may be held is held.
-func (m *Aggregator) open(lk *Query, now time.Time) {
+// addQuery takes a query in, its parts right behind it, unless the most that may be held is held.
+func (m *Aggregator) addQuery(q *Query, now time.Time) {
 	switch {
-	case m.set.Limits.MaxPending > 0 && len(m.queries)+len(m.subqueries) >= m.set.Limits.MaxPending:
-		m.count.Add("lookups", "full", 1)
-		m.ended(lk, capture.Full, now)
-		lk.Done <- Reply{End: Full}
+	case m.settings.Limits.MaxPending > 0 && len(m.queries)+len(m.subqueries) >= m.settings.Limits.MaxPending:
+		m.counters.Add("lookups", "full", 1)
+		m.recordEnd(q, capture.Full, now)
+		q.Done <- Reply{End: QueueFull}
 		return
-	case m.names[lk.ID] != nil: // its part calls could not be told from those of the other
-		m.count.Add("lookups", "twice", 1)
-		lk.Done <- Reply{End: Twice}
+	case m.byClientID[q.ID] != nil: // its part calls could not be told from those of the other
+		m.counters.Add("lookups", "twice", 1)
+		q.Done <- Reply{End: Duplicate}
 		return
 	}
 	var zones *policy.Zones
-	if m.gated.gate != nil {
+	if m.admission.admission != nil {
 		var admitted bool
-		if zones, admitted = m.admit(lk, now); !admitted {
+		if zones, admitted = m.admit(q, now); !admitted {
 			return
 		}
 	}
-	m.count.Add("lookups", "taken", 1)
-	m.count.Add("lookups", "held", 1)
+	m.counters.Add("lookups", "taken", 1)
+	m.counters.Add("lookups", "held", 1)
 	m.lastID++
-	lk.id = policy.QueryID(m.lastID)
-	m.queries[lk.id], m.names[lk.ID] = lk, lk
-	left := lk.Wait - now.Sub(lk.Arrived).Seconds()
-	e := policy.Event{Kind: policy.QueryReceived, Query: lk.id, No: policy.QueryNo(lk.id), Index: lk.Index,
-		Customer: lk.Customer, Key: lk.Key, HasKey: lk.HasKey, Remaining: left, Subqueries: len(lk.Subqueries), Resent: lk.Resent, Zones: zones}
-	for i := range lk.Subqueries {
-		e.Hint += lk.Subqueries[i].Hint
+	q.id = policy.QueryID(m.lastID)
+	m.queries[q.id], m.byClientID[q.ID] = q, q
+	left := q.Timeout - now.Sub(q.Arrived).Seconds()
+	e := policy.Event{Kind: policy.QueryReceived, Query: q.id, No: policy.QueryNo(q.id), Index: q.Index,
+		Customer: q.Customer, Key: q.Key, HasKey: q.HasKey, Remaining: left, Subqueries: len(q.Subqueries), Resent: q.Resent, Zones: zones}
+	for i := range q.Subqueries {
+		e.Hint += q.Subqueries[i].Hint
 	}
 	m.events = append(m.events, e)
 	if m.recorder != nil {
-		m.recorder.Taken(m.seconds(now), lk.Index, lk.Customer, lk.Resent, e.Hint, lk.shards)
+		m.recorder.Taken(m.policyTime(now), q.Index, q.Customer, q.Resent, e.Hint, q.shards)
 	}
 	e.Kind, e.Subqueries = policy.SubqueryReceived, 0
-	for i := range lk.Subqueries {
-		p := &lk.Subqueries[i]
+	for i := range q.Subqueries {
+		p := &q.Subqueries[i]
 		m.lastID++
 		e.Subquery, e.Shard, e.Weight, e.Hint, e.Key, e.HasKey = policy.SubqueryID(m.lastID), p.Shard, p.Weight, p.Hint, p.Key, p.HasKey
-		m.subqueries[e.Subquery] = subqueryRef{lk, i}
+		m.subqueries[e.Subquery] = subqueryRef{q, i}
 		m.events = append(m.events, e)
 	}
 }
 
 // shards yields the shard of each part.
-func (lk *Query) shards(yield func(policy.ShardID) bool) {
-	for i := range lk.Subqueries {
-		if !yield(lk.Subqueries[i].Shard) {
+func (q *Query) shards(yield func(policy.ShardID) bool) {
+	for i := range q.Subqueries {
+		if !yield(q.Subqueries[i].Shard) {
 			return
 		}
 	}
 }
 
-// ended tells the recorder of a query's end, where there is one.
-func (m *Aggregator) ended(lk *Query, how capture.End, now time.Time) {
+// recordEnd tells the recorder of a query's end, where there is one.
+func (m *Aggregator) recordEnd(q *Query, how capture.End, now time.Time) {
 	if m.recorder != nil {
-		m.recorder.Ended(m.seconds(now), lk.Index, lk.Customer, how, now.Sub(lk.Arrived).Seconds())
+		m.recorder.Ended(m.policyTime(now), q.Index, q.Customer, how, now.Sub(q.Arrived).Seconds())
 	}
 }
 
 var captureEnds = [...]capture.End{Satisfied: capture.Answered, Nacked: capture.Nacked, Aborted: capture.Aborted}
 
-// holds tells whether a query was taken and has no final answer yet.
-func (m *Aggregator) holds(lk *Query) bool { return m.queries[lk.id] == lk }
+// isOpen tells whether a query was taken and has no final answer yet.
+func (m *Aggregator) isOpen(q *Query) bool { return m.queries[q.id] == q }
 
-// close lets go of a query that has its final answer, or no client.
-func (m *Aggregator) close(lk *Query) {
-	m.count.Add("lookups", "held", -1)
-	delete(m.queries, lk.id)
-	delete(m.names, lk.ID)
-	for i := range lk.Subqueries {
-		delete(m.subqueries, policy.SubqueryID(uint64(lk.id)+1+uint64(i)))
+// removeQuery lets go of a query that has its final answer, or no client.
+func (m *Aggregator) removeQuery(q *Query) {
+	m.counters.Add("lookups", "held", -1)
+	delete(m.queries, q.id)
+	delete(m.byClientID, q.ID)
+	for i := range q.Subqueries {
+		delete(m.subqueries, policy.SubqueryID(uint64(q.id)+1+uint64(i)))
 	}
 }
 
-func (m *Aggregator) finish(id policy.QueryID, reason string, reply Reply, now time.Time) {
-	lk := m.queries[id]
-	if lk == nil {
+func (m *Aggregator) finishQuery(id policy.QueryID, reason string, reply Reply, now time.Time) {
+	q := m.queries[id]
+	if q == nil {
 		m.log.Warn("answer for a lookup that is not held", zap.Uint64("lookup", uint64(id)), zap.String("end", reason))
 		return
 	}
-	m.close(lk)
-	m.count.Add("lookups", reason, 1)
-	m.ended(lk, captureEnds[reply.End], now)
-	lk.Done <- reply
+	m.removeQuery(q)
+	m.counters.Add("lookups", reason, 1)
+	m.recordEnd(q, captureEnds[reply.End], now)
+	q.Done <- reply
 }
--- a/internal/dataplane/aggregator/mixer.go
+++ b/internal/dataplane/aggregator/mixer.go
@@ -17,33 +17,33 @@
 
 // Aggregator is the actor.
 type Aggregator struct {
-	In *eventqueue.Queue[Event]
+	Inbox *eventqueue.Queue[Event]
 
-	set      settings.Settings
-	log      *zap.Logger
-	count    *counters.Set
-	backends Backends
-	register Discovery
-	module   *policy.Aggregator
+	settings  settings.Settings
+	log       *zap.Logger
+	counters  *counters.Set
+	backends  Backends
+	discovery Discovery
+	policy    *policy.Aggregator
 
 	start      time.Time // with its monotonic reading
-	unix       float64   // the same in Unix seconds
-	stepped    time.Time // last step
+	startUnix  float64   // the same in Unix seconds
+	lastStep   time.Time // last step
 	timers     timers
 	due        map[policy.TimerID]time.Time // when timers of this step were due
 	lastID     uint64
 	queries    map[policy.QueryID]*Query
-	names      map[string]*Query // held, by the client's id
+	byClientID map[string]*Query // held, by the client's id
 	subqueries map[policy.SubqueryID]subqueryRef
-	out        map[callKey]outCall
-	gated      gated
+	inFlight   map[callKey]inFlightCall
+	admission  admissionState
 	recorder   *capture.Recorder // nil where nothing is captured
-	captured   func(capture.Interval)
+	onInterval func(capture.Interval)
 	waiting    []Event
 	events     []policy.Event
 	actions    []policy.Action
-	trips      map[policy.BackendID][]Call // calls of this step that share one
-	tripTo     []policy.BackendID
+	batches    map[policy.BackendID][]Call // calls of this step that share one
+	batchOrder []policy.BackendID
 	stopping   chan struct{}
 	stopped    chan struct{}
 }
@@ -51,37 +51,37 @@
 // New makes the actor; Run starts it.
 func New(set settings.Settings, log *zap.Logger, count *counters.Set) *Aggregator {
 	now := time.Now()
-	m := &Aggregator{In: eventqueue.New[Event](), set: set, log: log, count: count, start: now,
-		unix: float64(now.UnixNano()) / 1e9, due: map[policy.TimerID]time.Time{},
-		queries: map[policy.QueryID]*Query{}, names: map[string]*Query{}, subqueries: map[policy.SubqueryID]subqueryRef{},
-		out: map[callKey]outCall{}, trips: map[policy.BackendID][]Call{},
+	m := &Aggregator{Inbox: eventqueue.New[Event](), settings: set, log: log, counters: count, start: now,
+		startUnix: float64(now.UnixNano()) / 1e9, due: map[policy.TimerID]time.Time{},
+		queries: map[policy.QueryID]*Query{}, byClientID: map[string]*Query{}, subqueries: map[policy.SubqueryID]subqueryRef{},
+		inFlight: map[callKey]inFlightCall{}, batches: map[policy.BackendID][]Call{},
 		stopping: make(chan struct{}), stopped: make(chan struct{})}
-	m.module = policy.New(set.Settings, m.unix)
+	m.policy = policy.New(set.Settings, m.startUnix)
 	return m
 }
 
-// seconds is the module's clock: Unix time at the start and monotonic time since, so that it fits the starts of
+// policyTime is the module's clock: Unix time at the start and monotonic time since, so that it fits the starts of
 // backends and never jumps.
-func (m *Aggregator) seconds(t time.Time) float64 { return m.unix + t.Sub(m.start).Seconds() }
+func (m *Aggregator) policyTime(t time.Time) float64 { return m.startUnix + t.Sub(m.start).Seconds() }
 
-func (m *Aggregator) clock(seconds float64) time.Time {
-	return m.start.Add(time.Duration((seconds - m.unix) * float64(time.Second)))
+func (m *Aggregator) wallTime(seconds float64) time.Time {
+	return m.start.Add(time.Duration((seconds - m.startUnix) * float64(time.Second)))
 }
 
 // Capture lets a recorder count the load; each of its intervals goes to done, which may not block. It comes before Run.
 func (m *Aggregator) Capture(recorder *capture.Recorder, done func(capture.Interval)) {
-	m.recorder, m.captured = recorder, done
+	m.recorder, m.onInterval = recorder, done
 }
 
 // Run is the actor's goroutine, until Stop.
 func (m *Aggregator) Run(backends Backends, register Discovery) {
 	defer close(m.stopped)
-	m.backends, m.register = backends, register
+	m.backends, m.discovery = backends, register
 	wake := time.NewTimer(time.Hour)
 	for {
 		m.step(time.Now())
 		// Steps come no closer than the settings say, as on the bench.
-		next := m.stepped.Add(time.Duration(m.set.Step * float64(time.Second)))
+		next := m.lastStep.Add(time.Duration(m.settings.Step * float64(time.Second)))
 		wake.Reset(time.Until(next))
 		select {
 		case <-wake.C:
@@ -94,7 +94,7 @@
 			wake.Reset(time.Hour)
 		}
 		select {
-		case <-m.In.Ready():
+		case <-m.Inbox.Ready():
 		case <-wake.C:
 		case <-m.stopping:
 			return
@@ -110,10 +110,10 @@
 
 // step hands the module all that waits, and hands out what it says.
 func (m *Aggregator) step(now time.Time) {
-	m.waiting = m.In.Take(m.waiting)
+	m.waiting = m.Inbox.Take(m.waiting)
 	m.events = m.events[:0]
 	for i := range m.waiting {
-		m.take(&m.waiting[i], now)
+		m.handleEvent(&m.waiting[i], now)
 	}
 	clear(m.due)
 	for len(m.timers) > 0 && !m.timers[0].due.After(now) {
@@ -125,52 +125,52 @@
 	if len(m.events) == 0 {
 		return
 	}
-	m.stepped = now
-	m.actions = m.module.Step(m.seconds(now), m.events, m.actions[:0])
+	m.lastStep = now
+	m.actions = m.policy.Step(m.policyTime(now), m.events, m.actions[:0])
 	for i := range m.actions {
-		m.act(&m.actions[i], now)
+		m.execute(&m.actions[i], now)
 	}
-	for _, to := range m.tripTo {
-		m.flush(to)
+	for _, to := range m.batchOrder {
+		m.sendBatch(to)
 	}
-	m.tripTo = m.tripTo[:0]
-	if m.gated.rules != nil {
-		m.holdRules()
+	m.batchOrder = m.batchOrder[:0]
+	if m.admission.rules != nil {
+		m.confirmRules()
 	}
-	if m.recorder != nil && m.recorder.Due(m.seconds(now)) {
-		m.captured(m.recorder.Cut(m.seconds(now)))
+	if m.recorder != nil && m.recorder.Due(m.policyTime(now)) {
+		m.onInterval(m.recorder.Cut(m.policyTime(now)))
 	}
 	clear(m.events)
 	clear(m.actions)
 }
 
-// take turns what an actor told into the module's events, in the order of telling.
-func (m *Aggregator) take(e *Event, now time.Time) {
+// handleEvent turns what an actor told into the module's events, in the order of telling.
+func (m *Aggregator) handleEvent(e *Event, now time.Time) {
 	switch e.Kind {
 	case policy.QueryReceived:
-		m.open(e.Taken, now)
+		m.addQuery(e.ClientQuery, now)
 		return
 	case policy.ClientDisconnected:
-		if !m.holds(e.Taken) {
+		if !m.isOpen(e.ClientQuery) {
 			return // answered while it left
 		}
-		e.Query = e.Taken.id
-		m.close(e.Taken)
-		m.ended(e.Taken, capture.Gone, now)
-		m.count.Add("lookups", "gone", 1)
+		e.Query = e.ClientQuery.id
+		m.removeQuery(e.ClientQuery)
+		m.recordEnd(e.ClientQuery, capture.Gone, now)
+		m.counters.Add("lookups", "gone", 1)
 	case policy.CallEnded:
 		key := callKey{e.Subquery, e.Call}
-		c, out := m.out[key]
-		delete(m.out, key)
+		c, out := m.inFlight[key]
+		delete(m.inFlight, key)
 		if out && m.recorder != nil {
-			m.recorder.Called(m.seconds(now), c.seat, c.index, e.Outcome, e.Elapsed, c.alone, e.Load)
+			m.recorder.Called(m.policyTime(now), c.seat, c.index, e.Outcome, e.Elapsed, c.alone, e.Load)
 		}
-		if out && m.gated.gate != nil {
-			m.gated.gate.Called(now, m.gated.places[c.to].name, e.Outcome, e.Elapsed)
+		if out && m.admission.admission != nil {
+			m.admission.admission.CallEnded(now, m.admission.placements[c.backend].name, e.Outcome, e.Elapsed)
 		}
 		if ref, held := m.subqueries[e.Subquery]; held && e.Outcome == policy.Answered {
-			if p := &ref.query.Subqueries[ref.no]; !p.In {
-				p.In, p.Value = true, e.Value
+			if p := &ref.query.Subqueries[ref.no]; !p.Answered {
+				p.Answered, p.Value = true, e.Value
 			}
 		}
 	case policy.ListChanged:
@@ -178,7 +178,7 @@
 			break
 		}
 		for i := range e.Entries {
-			m.backends.Named(e.Entries[i], e.Addresses[i])
+			m.backends.Update(e.Entries[i], e.Addresses[i])
 			switch {
 			case m.recorder == nil:
 			case e.Entries[i].Phase == policy.Removed:
@@ -192,14 +192,14 @@
 			for i := range e.Entries {
 				keep[e.Entries[i].Backend] = true
 			}
-			m.backends.Unnamed(keep)
+			m.backends.Retain(keep)
 		}
-		if m.gated.gate != nil {
-			m.placed(e)
+		if m.admission.admission != nil {
+			m.updatePlacements(e)
 		}
 	case policy.OverridesChanged:
-		if e.Rules != nil || len(e.Judged) > 0 {
-			m.agreed(e, now)
+		if e.Rules != nil || len(e.PeerObservations) > 0 {
+			m.applyAgreed(e, now)
 		}
 	}
 	m.events = append(m.events, e.Event)
--- a/internal/dataplane/aggregator/mixer_test.go
+++ b/internal/dataplane/aggregator/mixer_test.go
@@ -29,19 +29,19 @@
 	Call
 }
 
-func (r *fixture) Named(policy.Entry, string)        {}
-func (r *fixture) Unnamed(map[policy.BackendID]bool) {}
+func (r *fixture) Update(policy.Entry, string)       {}
+func (r *fixture) Retain(map[policy.BackendID]bool)  {}
 func (r *fixture) Probe(at policy.BackendID, _ bool) { r.probes = append(r.probes, at) }
 func (r *fixture) CloseIdle(policy.BackendID)        {}
 func (r *fixture) Subscribe(bool)                    { r.subs++ }
-func (r *fixture) AskWhole()                         {}
+func (r *fixture) RequestFullList()                  {}
 func (r *fixture) Send(to policy.BackendID, cs []Call) {
 	r.trips = append(r.trips, len(cs))
 	for _, c := range cs {
 		r.sent = append(r.sent, sentCall{to, c})
 	}
 }
-func (r *fixture) Withdraw(_ policy.BackendID, subquery policy.SubqueryID, _ policy.CallNo) {
+func (r *fixture) Cancel(_ policy.BackendID, subquery policy.SubqueryID, _ policy.CallNo) {
 	r.back = append(r.back, subquery)
 }
 
@@ -55,7 +55,7 @@
 		change(&set)
 	}
 	r := &fixture{Aggregator: New(set, zap.NewNop(), counters.New())}
-	r.backends, r.register, r.now = r, r, r.start
+	r.backends, r.discovery, r.now = r, r, r.start
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListStale}, Addresses: make([]string, 8)}
 	for i := range 8 {
 		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 4)})
@@ -67,18 +67,18 @@
 // put lets events come and the actor step a moment later.
 func (r *fixture) put(events ...Event) {
 	for _, e := range events {
-		r.In.Put(e)
+		r.Inbox.Put(e)
 	}
 	r.now = r.now.Add(5 * time.Millisecond)
 	r.step(r.now)
 }
 
 func (r *fixture) query(id string, index policy.IndexID, subqueries int) Event {
-	lk := &Query{ID: id, Index: index, Arrived: r.now, Wait: 2, Done: make(chan Reply, 1)}
+	q := &Query{ID: id, Index: index, Arrived: r.now, Timeout: 2, Done: make(chan Reply, 1)}
 	for i := range subqueries {
-		lk.Subqueries = append(lk.Subqueries, Subquery{Shard: policy.ShardID(i), Weight: 1 / float64(subqueries)})
+		q.Subqueries = append(q.Subqueries, Subquery{Shard: policy.ShardID(i), Weight: 1 / float64(subqueries)})
 	}
-	return Event{Event: policy.Event{Kind: policy.QueryReceived}, Taken: lk}
+	return Event{Event: policy.Event{Kind: policy.QueryReceived}, ClientQuery: q}
 }
 
 func (c sentCall) ends(how policy.Outcome, value string) Event {
@@ -86,13 +86,13 @@
 		Outcome: how, Elapsed: 0.1}}
 }
 
-func (lk *Query) reply(t *testing.T) Reply {
+func (q *Query) reply(t *testing.T) Reply {
 	t.Helper()
 	select {
-	case reply := <-lk.Done:
+	case reply := <-q.Done:
 		return reply
 	default:
-		t.Fatalf("lookup %s has no answer", lk.ID)
+		t.Fatalf("lookup %s has no answer", q.ID)
 		return Reply{}
 	}
 }
@@ -100,33 +100,33 @@
 func TestALookupFromEndToEnd(t *testing.T) {
 	r := newFixture(nil)
 	e := r.query("aa", 0, 2)
-	lk := e.Taken
-	lk.Arrived = r.now.Add(-time.Second / 4) // it waited for its turn
+	q := e.ClientQuery
+	q.Arrived = r.now.Add(-time.Second / 4) // it waited for its turn
 	r.put(e)
 	if len(r.sent) != 2 {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	for _, c := range r.sent {
-		if c.Query != lk || c.Stop.Sub(lk.Arrived) > 2*time.Second || c.Stop.Sub(lk.Arrived) < 1999*time.Millisecond {
-			t.Fatalf("stops %v after the arrival", c.Stop.Sub(lk.Arrived))
+		if c.Query != q || c.Stop.Sub(q.Arrived) > 2*time.Second || c.Stop.Sub(q.Arrived) < 1999*time.Millisecond {
+			t.Fatalf("stops %v after the arrival", c.Stop.Sub(q.Arrived))
 		}
 	}
 	r.put(r.sent[1].ends(policy.Answered, "one"), r.sent[1].ends(policy.Answered, "again"))
 	r.put(r.sent[0].ends(policy.Answered, "zero"))
-	if reply := lk.reply(t); reply.End != Satisfied || !reply.Whole {
+	if reply := q.reply(t); reply.End != Satisfied || !reply.Complete {
 		t.Fatalf("got %+v", reply)
 	}
-	if got := string(lk.Subqueries[0].Value) + string(lk.Subqueries[1].Value); got != "zeroone" && got != "onezero" {
+	if got := string(q.Subqueries[0].Value) + string(q.Subqueries[1].Value); got != "zeroone" && got != "onezero" {
 		t.Fatalf("values %q", got)
 	}
-	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: lk}) // it left as the answer was on its way
+	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: q}) // it left as the answer was on its way
 	r.checkCounters(t, map[string]int64{"taken": 1, "satisfied": 1, "gone": 0, "held": 0})
 }
 
 // checkCounters checks counters, and that they add up.
 func (r *fixture) checkCounters(t *testing.T, want map[string]int64) {
 	t.Helper()
-	get := func(reason string) int64 { return r.count.Get("lookups", reason) }
+	get := func(reason string) int64 { return r.counters.Get("lookups", reason) }
 	for reason, n := range want {
 		if get(reason) != n {
 			t.Fatalf("%s is %d, expected %d", reason, get(reason), n)
@@ -135,8 +135,8 @@
 	if got := get("satisfied") + get("nacked") + get("aborted") + get("gone") + get("held"); got != get("taken") {
 		t.Fatalf("taken %d, the rest %d", get("taken"), got)
 	}
-	if int(get("held")) != len(r.queries) || len(r.queries) != len(r.names) {
-		t.Fatalf("held %d, booked %d and %d", get("held"), len(r.queries), len(r.names))
+	if int(get("held")) != len(r.queries) || len(r.queries) != len(r.byClientID) {
+		t.Fatalf("held %d, booked %d and %d", get("held"), len(r.queries), len(r.byClientID))
 	}
 }
 
@@ -144,13 +144,13 @@
 	r := newFixture(func(s *settings.Settings) { s.Limits.MaxPending = 4 })
 	first, twin, second, third := r.query("aa", 0, 2), r.query("aa", 0, 2), r.query("bb", 0, 1), r.query("cc", 0, 1)
 	r.put(first, twin, second, third)
-	if reply := twin.Taken.reply(t); reply.End != Twice {
+	if reply := twin.ClientQuery.reply(t); reply.End != Duplicate {
 		t.Fatalf("got %+v", reply)
 	}
-	if reply := third.Taken.reply(t); reply.End != Full {
+	if reply := third.ClientQuery.reply(t); reply.End != QueueFull {
 		t.Fatalf("got %+v", reply)
 	}
-	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: first.Taken})
+	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: first.ClientQuery})
 	if len(r.back) != 2 {
 		t.Fatalf("withdrawn %v", r.back)
 	}
@@ -196,10 +196,10 @@
 func TestTheClockIsUnixTimeAndTakesBackWhatItGives(t *testing.T) {
 	r := newFixture(nil)
 	at := time.Now()
-	if s := r.seconds(at); s < float64(at.UnixNano())/1e9-1 || s > float64(at.UnixNano())/1e9+1 {
+	if s := r.policyTime(at); s < float64(at.UnixNano())/1e9-1 || s > float64(at.UnixNano())/1e9+1 {
 		t.Fatalf("%v is %f", at, s)
 	}
-	if off := r.clock(r.seconds(at)).Sub(at); off > time.Microsecond || off < -time.Microsecond {
+	if off := r.wallTime(r.policyTime(at)).Sub(at); off > time.Microsecond || off < -time.Microsecond {
 		t.Fatalf("off by %v", off)
 	}
 }
@@ -210,8 +210,8 @@
 	begin := time.Now()
 	for i := range 40 {
 		e := r.query(fmt.Sprint(i), 0, 1)
-		e.Taken.Arrived = time.Now()
-		r.In.Put(e)
+		e.ClientQuery.Arrived = time.Now()
+		r.Inbox.Put(e)
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(10 * time.Millisecond)
@@ -253,12 +253,12 @@
 			if rng.IntN(8) == 0 && i < 900 {
 				e := r.query(fmt.Sprint(i), policy.IndexID(rng.IntN(2)), 1+rng.IntN(4))
 				events = append(events, e)
-				open[e.Taken] = true
+				open[e.ClientQuery] = true
 			}
-			for lk := range open {
+			for q := range open {
 				if rng.IntN(800) == 0 {
-					events = append(events, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: lk})
-					delete(open, lk)
+					events = append(events, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: q})
+					delete(open, q)
 				}
 			}
 			var rest []sentCall
@@ -286,31 +286,31 @@
 				if ran, again := never[c.Subquery]; c.Query.Index == 1 && again && !ran {
 					t.Fatalf("a once-only part of %s was sent again", c.Query.ID)
 				}
-				if !r.holds(c.Query) && !open[c.Query] {
+				if !r.isOpen(c.Query) && !open[c.Query] {
 					t.Fatalf("a part of %s was sent after its end", c.Query.ID)
 				}
 				never[c.Subquery] = true
 				pending = append(pending, c)
 			}
-			for lk := range open {
+			for q := range open {
 				select {
-				case reply := <-lk.Done:
-					delete(open, lk)
-					for _, p := range lk.Subqueries {
-						if reply.End == Satisfied && (!reply.Whole || !p.In || string(p.Value) != lk.ID) {
-							t.Fatalf("lookup %s: %+v with part %+v", lk.ID, reply, p)
+				case reply := <-q.Done:
+					delete(open, q)
+					for _, p := range q.Subqueries {
+						if reply.End == Satisfied && (!reply.Complete || !p.Answered || string(p.Value) != q.ID) {
+							t.Fatalf("lookup %s: %+v with part %+v", q.ID, reply, p)
 						}
 					}
 				default:
-					if r.now.Sub(lk.Arrived).Seconds() > lk.Wait {
-						t.Fatalf("lookup %s has no answer in time", lk.ID)
+					if r.now.Sub(q.Arrived).Seconds() > q.Timeout {
+						t.Fatalf("lookup %s has no answer in time", q.ID)
 					}
 				}
 			}
 			r.checkCounters(t, nil)
 		}
-		if len(open) > 0 || len(r.queries) != 0 || len(r.subqueries) > 0 || len(r.out) != len(pending) {
-			t.Fatalf("%d lookups open, %d held, %d parts, %d calls booked of %d", len(open), len(r.queries), len(r.subqueries), len(r.out), len(pending))
+		if len(open) > 0 || len(r.queries) != 0 || len(r.subqueries) > 0 || len(r.inFlight) != len(pending) {
+			t.Fatalf("%d lookups open, %d held, %d parts, %d calls booked of %d", len(open), len(r.queries), len(r.subqueries), len(r.inFlight), len(pending))
 		}
 	})
 }
--- a/internal/dataplane/aggregator/types.go
+++ b/internal/dataplane/aggregator/types.go
@@ -15,7 +15,7 @@
 	HasKey     bool
 	Resent     bool
 	Arrived    time.Time
-	Wait       float64 // how long from then the client waits
+	Timeout    float64 // how long from then the client waits
 	Query      []byte  // what each part carries
 	Subqueries []Subquery
 	Done       chan Reply // holds one
@@ -29,10 +29,10 @@
 	Weight, Hint float64
 	Key          uint64
 	HasKey       bool
-	In           bool
+	Answered     bool
 	Value        []byte
 
-	made policy.CallNo // part calls so far
+	attempts policy.CallNo // part calls so far
 }
 
 // End is how a query ended for its client.
@@ -43,28 +43,28 @@
 	Satisfied End = iota
 	Nacked
 	Aborted
-	Full // the most that may be held is held; the module never saw it
-	Twice
+	QueueFull // the most that may be held is held; the module never saw it
+	Duplicate
 )
 
 // Reply is the final answer of a query.
 type Reply struct {
-	End   End
-	Whole bool
-	Wait  float64 // advice when to come back, 0 for none
-	Text  string  // why a gate refused it
+	End        End
+	Complete   bool
+	RetryAfter float64 // advice when to come back, 0 for none
+	Text       string  // why a gate refused it
 }
 
 // Event is what an actor tells the module's: one of the module's own events with what it has no place for. A
 // query comes as one event, which brings its parts.
 type Event struct {
 	policy.Event
-	Taken     *Query   // LookupTaken, and ClientGone
-	Value     []byte   // CallEnded
-	Addresses []string // ListChanged: one for each entry
-	Names     []Name   // the same
-	Rules     *Rules   // OverridesChanged: what a gate goes by from here on
-	Judged    []Judged // the same: what it makes of backends
+	ClientQuery      *Query            // LookupTaken, and ClientGone
+	Value            []byte            // CallEnded
+	Addresses        []string          // ListChanged: one for each entry
+	Names            []Name            // the same
+	Rules            *Rules            // OverridesChanged: what a gate goes by from here on
+	PeerObservations []PeerObservation // the same: what it makes of backends
 }
 
 // Name is what the list calls a backend and its location, where the module has numbers.
@@ -83,10 +83,10 @@
 
 // Backends takes what goes to backends. None of its methods may block.
 type Backends interface {
-	Named(entry policy.Entry, address string)
-	Unnamed(keep map[policy.BackendID]bool)
+	Update(entry policy.Entry, address string)
+	Retain(keep map[policy.BackendID]bool)
 	Send(to policy.BackendID, calls []Call)
-	Withdraw(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo)
+	Cancel(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo)
 	Probe(at policy.BackendID, apart bool)
 	CloseIdle(at policy.BackendID)
 }
@@ -94,5 +94,5 @@
 // Discovery takes what is asked of the list. None of its methods may block.
 type Discovery interface {
 	Subscribe(on bool)
-	AskWhole()
+	RequestFullList()
 }
--- a/internal/dataplane/asynclog/writer.go
+++ b/internal/dataplane/asynclog/writer.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// largestKept is the capacity, in bytes, up to which the buffer of a line is used again: one long line must not stay for good.
-const largestKept = 64 << 10
+// maxPooledBuffer is the capacity, in bytes, up to which the buffer of a line is used again: one long line must not stay for good.
+const maxPooledBuffer = 64 << 10
 
 // Writer writes lines to another writer from a goroutine of its own. Its Write never waits: a line that finds no room is dropped.
 type Writer struct {
@@ -67,7 +67,7 @@
 }
 
 func (w *Writer) recycle(buffer *[]byte) {
-	if cap(*buffer) <= largestKept {
+	if cap(*buffer) <= maxPooledBuffer {
 		w.buffers.Put(buffer)
 	}
 }
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -11,37 +11,37 @@
 // call is one part call that is out. name, the Call and its trip never change.
 type call struct {
 	aggregator.Call
-	name       string
-	trip       *trip
-	connection *connection // nil while it waits for one
-	written    bool
-	back       bool           // given up, which its backend is being told
-	how        policy.Outcome // then: as what
-	begun      atomic.Int32   // its actor and its connection's writer settle by it which of them comes first
+	name          string
+	shared        *sharedCall
+	connection    *connection // nil while it waits for one
+	written       bool
+	canceled      bool           // given up, which its backend is being told
+	cancelOutcome policy.Outcome // then: as what
+	writeState    atomic.Int32   // its actor and its connection's writer settle by it which of them comes first
 }
 
 const (
-	waits int32 = iota
-	writes
-	never
+	writeWaiting int32 = iota
+	writeStarted
+	writeRevoked
 )
 
 // begin tells its connection's writer whether its write may begin, however long it waited for that: it may not once it was
 // taken back, its backend wants nothing new, nobody waits for it, or a repeat of it would no longer be known as one.
-func (c *call) begin(now time.Time) bool {
+func (c *call) startWrite(now time.Time) bool {
 	if now.After(c.Begin) {
-		c.begun.CompareAndSwap(waits, never)
+		c.writeState.CompareAndSwap(writeWaiting, writeRevoked)
 	}
-	return c.begun.CompareAndSwap(waits, writes)
+	return c.writeState.CompareAndSwap(writeWaiting, writeStarted)
 }
 
-// takeBack tells its actor whether it surely is not written and never will be.
-func (c *call) takeBack() bool {
-	return c.connection == nil || c.begun.CompareAndSwap(waits, never) || c.begun.Load() == never
+// revokeWrite tells its actor whether it surely is not written and never will be.
+func (c *call) revokeWrite() bool {
+	return c.connection == nil || c.writeState.CompareAndSwap(writeWaiting, writeRevoked) || c.writeState.Load() == writeRevoked
 }
 
 // trip is the calls that share one place on a connection.
-type trip struct {
+type sharedCall struct {
 	calls []*call
 	live  int
 }
@@ -49,8 +49,8 @@
 // outcome is that of a call whose connection can tell no more: what was never wholly written never ran.
 func (c *call) outcome() policy.Outcome {
 	switch {
-	case c.back:
-		return c.how
+	case c.canceled:
+		return c.cancelOutcome
 	case c.written:
 		return policy.Broken
 	}
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -10,17 +10,17 @@
 )
 
 // withdraw gives up a call that the module takes back.
-func (a *actor) withdraw(subquery policy.SubqueryID, no policy.CallNo) {
+func (a *actor) cancelCall(subquery policy.SubqueryID, no policy.CallNo) {
 	for _, c := range a.calls {
 		if c.Subquery == subquery && c.No == no {
-			a.giveUp(c, policy.Canceled)
+			a.abandonCall(c, policy.Canceled)
 			return
 		}
 	}
 }
 
 // notBegun ends calls whose write may not begin any more.
-func (a *actor) notBegun(calls []*call) {
+func (a *actor) endNotStarted(calls []*call) {
 	for _, c := range calls {
 		if a.calls[c.name] == c {
 			a.end(c, policy.NotSent, time.Now(), answer{})
@@ -28,27 +28,27 @@
 	}
 }
 
-// unsend takes back all calls that are not on their way to a backend that wants nothing new: none of them begins any
+// revokeUnsent takes back all calls that are not on their way to a backend that wants nothing new: none of them begins any
 // more, be it that a connect or a write holds it up for longer than the grace.
-func (a *actor) unsend() {
+func (a *actor) revokeUnsent() {
 	for _, c := range a.calls {
 		switch {
-		case c.takeBack():
+		case c.revokeWrite():
 			a.end(c, policy.NotSent, time.Now(), answer{})
-		case !c.written && c.connection.closing == "":
-			c.connection.socket.SetWriteDeadline(time.Now().Add(hurry))
+		case !c.written && c.connection.closeReason == "":
+			c.connection.socket.SetWriteDeadline(time.Now().Add(drainWriteTimeout))
 		}
 	}
 }
 
 func (a *actor) send(calls []aggregator.Call) {
-	t := &trip{}
+	t := &sharedCall{}
 	for _, c := range calls {
-		t.calls = append(t.calls, &call{Call: c, name: subqueryName(&c), trip: t})
+		t.calls = append(t.calls, &call{Call: c, name: subqueryName(&c), shared: t})
 	}
 	t.live = len(t.calls)
 	for _, c := range slices.Clone(t.calls) {
-		if a.closed || a.calls[c.name] != nil { // its answer could not be told from the other's
+		if a.draining || a.calls[c.name] != nil { // its answer could not be told from the other's
 			a.end(c, policy.NotSent, time.Now(), answer{})
 			continue
 		}
@@ -63,103 +63,103 @@
 
 // assign puts what waits on the first connection that can take it, and opens more connections where there are too few.
 func (a *actor) assign() {
-	var rest []*trip
+	var unassigned []*sharedCall
 	for _, t := range a.waiting {
-		conn := a.room(t)
+		conn := a.connectionFor(t)
 		if conn == nil {
-			rest = append(rest, t)
+			unassigned = append(unassigned, t)
 			continue
 		}
-		conn.trips++
-		conn.ask(time.Now())
+		conn.sharedCalls++
+		conn.expectAnswer(time.Now())
 		for _, c := range t.calls {
 			c.connection = conn
 		}
 		conn.out.Put(outgoing{frameType: frameCall, calls: t.calls})
 	}
-	a.waiting = rest
+	a.waiting = unassigned
 	if p := a.pendingProbe; p != nil && p.connection == nil {
 		for _, conn := range a.connections {
-			if a.takes(conn) && (!p.apart || a.idle(conn) && conn.asked.IsZero()) {
-				a.ask(conn)
+			if a.usable(conn) && (!p.separate || a.idle(conn) && conn.unansweredSince.IsZero()) {
+				a.sendProbe(conn)
 				break
 			}
 		}
 	}
-	for need := a.dialsNeeded(); a.dials < need; {
+	for needed := a.dialsNeeded(); a.dials < needed; {
 		a.dial()
 	}
 }
 
 // end takes a call off the records and tells the module how it ended.
-func (a *actor) end(c *call, how policy.Outcome, at time.Time, with answer) {
+func (a *actor) end(c *call, outcome policy.Outcome, at time.Time, with answer) {
 	if a.calls[c.name] == c {
 		delete(a.calls, c.name)
 	}
-	t := c.trip
+	t := c.shared
 	t.live--
 	switch {
 	case c.connection == nil: // not handed to a connection yet
 		t.calls = slices.DeleteFunc(t.calls, func(o *call) bool { return o == c })
 		if t.live == 0 {
-			a.waiting = slices.DeleteFunc(a.waiting, func(o *trip) bool { return o == t })
+			a.waiting = slices.DeleteFunc(a.waiting, func(o *sharedCall) bool { return o == t })
 		}
 	case t.live == 0:
-		c.connection.trips--
+		c.connection.sharedCalls--
 	}
-	a.hub.ended(&c.Call, a.id, how, at, with)
+	a.hub.notifyEnd(&c.Call, a.id, outcome, at, with)
 }
 
-// giveUp gives up a call that nobody waits for any more. Its end is told once its backend was: until then another call of
+// abandonCall gives up a call that nobody waits for any more. Its end is told once its backend was: until then another call of
 // its part would be a second copy. An answer that comes before that is taken.
-func (a *actor) giveUp(c *call, how policy.Outcome) {
+func (a *actor) abandonCall(c *call, outcome policy.Outcome) {
 	conn, now := c.connection, time.Now()
 	switch {
-	case c.back:
+	case c.canceled:
 		return
-	case c.takeBack() || conn.closing != "":
-		a.end(c, how, now, answer{})
+	case c.revokeWrite() || conn.closeReason != "":
+		a.end(c, outcome, now, answer{})
 		return
-	case c.written && how == policy.TimedOut:
-		a.unanswered(conn, c.Sent, now)
+	case c.written && outcome == policy.TimedOut:
+		a.recordTimeout(conn, c.Sent, now)
 	}
-	c.back, c.how = true, how
+	c.canceled, c.cancelOutcome = true, outcome
 	conn.out.Put(outgoing{frameType: frameCancel, calls: []*call{c}})
 }
 
-// gaveUp ends a call that its backend was told is given up; what it may still say is dropped.
-func (a *actor) gaveUp(conn *connection, c *call) {
+// cancelWritten ends a call that its backend was told is given up; what it may still say is dropped.
+func (a *actor) cancelWritten(conn *connection, c *call) {
 	if a.calls[c.name] != c {
 		return // answered meanwhile
 	}
 	now := time.Now()
-	maps.DeleteFunc(conn.abandoned, func(_ string, until time.Time) bool { return until.Before(now) })
-	conn.abandoned[c.name] = now.Add(lateAnswer)
-	a.end(c, c.how, now, answer{})
+	maps.DeleteFunc(conn.canceledUntil, func(_ string, until time.Time) bool { return until.Before(now) })
+	conn.canceledUntil[c.name] = now.Add(lateAnswerPeriod)
+	a.end(c, c.cancelOutcome, now, answer{})
 }
 
-// answered takes an answer that can be read. One to a call given up is late, the last one may come twice; any other
+// handleAnswer takes an answer that can be read. One to a call given up is late, the last one may come twice; any other
 // that names no call of this connection is meant for one that it does not name.
-func (a *actor) answered(n *note) {
+func (a *actor) handleAnswer(n *message) {
 	conn, name := n.connection, n.answer.name
 	c := a.calls[name]
-	switch _, abandoned := conn.abandoned[name]; {
+	switch _, abandoned := conn.canceledUntil[name]; {
 	case c != nil && c.connection == conn:
-		conn.last = name
+		conn.lastAnswer = name
 		a.end(c, n.answer.outcome, n.at, n.answer)
-	case abandoned, name == conn.last:
-		conn.last = name
-		delete(conn.abandoned, name)
-		a.hub.count.Add("late", "answers", 1)
+	case abandoned, name == conn.lastAnswer:
+		conn.lastAnswer = name
+		delete(conn.canceledUntil, name)
+		a.hub.counters.Add("late", "answers", 1)
 	default:
-		a.corrupted(conn, name, whyUnknownID, n.at)
+		a.handleCorrupted(conn, name, reasonUnknownID, n.at)
 	}
 }
 
 // corrupted gives a connection up of which nothing can be trusted any more. The call that the bad answer names, or else the
 // only one that is out there, has run and failed; what becomes of the others is told by the connection's end.
-func (a *actor) corrupted(conn *connection, name string, why reason, at time.Time) {
-	a.hub.count.Add("late", "spoilt", 1)
+func (a *actor) handleCorrupted(conn *connection, name string, why reason, at time.Time) {
+	a.hub.counters.Add("late", "spoilt", 1)
 	meant := a.calls[name]
 	if meant == nil || meant.connection != conn {
 		meant = nil
--- a/internal/dataplane/backends/crossings_test.go
+++ b/internal/dataplane/backends/crossings_test.go
@@ -18,11 +18,11 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// stuck sends a call that is larger than sockets hold unread, and returns its connection once the write of it has begun: what is
+// writeTimeout sends a call that is larger than sockets hold unread, and returns its connection once the write of it has begun: what is
 // sent there next waits behind it until the connection is read.
 func (r *fixture) stuck() *peerConnection {
 	r.Helper()
-	r.hub.stuck = patience // it is the test that reads on, however busy the machine is
+	r.hub.writeTimeout = patience // it is the test that reads on, however busy the machine is
 	r.send("large", strings.Repeat("q", 16<<20), time.Minute, 1)
 	p := r.accept(r.peer)
 	if _, err := p.in.Peek(5); err != nil {
@@ -54,7 +54,7 @@
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
-	r.hub.Withdraw(1, calls[0].Subquery, 0)
+	r.hub.Cancel(1, calls[0].Subquery, 0)
 	r.ended(calls[0].Subquery, policy.Canceled)
 	if text := p.rest(); text != "" {
 		t.Fatalf("%q was written", text)
@@ -76,7 +76,7 @@
 // which a deployment may not allow.
 func TestACallEndsOnceItsBackendWasTold(t *testing.T) {
 	r := newFixture(t, nil)
-	r.hub.stuck = patience
+	r.hub.writeTimeout = patience
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
@@ -84,7 +84,7 @@
 	if _, err := p.in.Peek(5); err != nil { // the write is stuck behind it
 		t.Fatal(err)
 	}
-	r.hub.Withdraw(1, calls[0].Subquery, 0)
+	r.hub.Cancel(1, calls[0].Subquery, 0)
 	twin := calls[0]
 	r.next++
 	twin.Subquery = r.next
@@ -170,7 +170,7 @@
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 3600 })
 	r.named(r.deaf(), policy.Ready, 0)
 	r.send("aa", "q", time.Hour, 1)
-	for late := time.Now().Add(patience); r.hub.count.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(patience); r.hub.counters.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("no connect")
 		}
@@ -196,7 +196,7 @@
 }
 
 // heldConnection is a connection over such a one, with what it tells.
-func heldConnection(t *testing.T) (conn *connection, peer *net.TCPConn, let chan struct{}, notes chan note) {
+func heldConnection(t *testing.T) (conn *connection, peer *net.TCPConn, let chan struct{}, notes chan message) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -210,23 +210,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	let, notes = make(chan struct{}), make(chan note, 100)
-	conn = &connection{socket: held{socket, let}, stuck: patience, out: eventqueue.New[outgoing](), abandoned: map[string]time.Time{}}
-	go func() { notes <- conn.run(func(n note) { notes <- n }) }()
+	let, notes = make(chan struct{}), make(chan message, 100)
+	conn = &connection{socket: held{socket, let}, writeTimeout: patience, out: eventqueue.New[outgoing](), canceledUntil: map[string]time.Time{}}
+	go func() { notes <- conn.run(func(n message) { notes <- n }) }()
 	return conn, p.(*net.TCPConn), let, notes
 }
 
 // answeredThenEnded expects one answer and then the connection's end.
-func answeredThenEnded(t *testing.T, notes chan note) {
+func answeredThenEnded(t *testing.T, notes chan message) {
 	t.Helper()
 	answers := 0
 	for n := range notes {
 		switch n.kind {
-		case frameReceived:
+		case messageFrameReceived:
 			answers++
-		case corrupted:
+		case messageCorrupted:
 			t.Fatalf("got %+v", n)
-		case connectionEnded:
+		case messageConnectionEnded:
 			if answers != 1 {
 				t.Fatalf("%d answers came before the end", answers)
 			}
@@ -245,7 +245,7 @@
 		conn.out.Put(outgoing{frameType: frameAlive})
 		select {
 		case n := <-notes:
-			if n.kind != frameWritten {
+			if n.kind != messageFrameWritten {
 				t.Fatalf("got %+v", n)
 			}
 		case <-time.After(time.Millisecond):
@@ -261,8 +261,8 @@
 	conn, peer, let, notes := heldConnection(t)
 	defer peer.Close()
 	peer.Write(appendFrame(nil, frameAnswer, []byte("aa.0 done 0 -\nvalue")...))
-	conn.trips = 1
-	(&actor{}).close(conn, whyRestarted)
+	conn.sharedCalls = 1
+	(&actor{}).close(conn, reasonRestarted)
 	close(let)
 	answeredThenEnded(t, notes)
 }
@@ -295,7 +295,7 @@
 		how  policy.Outcome
 		kept bool
 	}{
-		"withdrawn": {time.Minute, func(r *fixture, subquery policy.SubqueryID) { r.hub.Withdraw(1, subquery, 0) }, policy.Canceled, true},
+		"withdrawn": {time.Minute, func(r *fixture, subquery policy.SubqueryID) { r.hub.Cancel(1, subquery, 0) }, policy.Canceled, true},
 		"timed out": {time.Millisecond, func(*fixture, policy.SubqueryID) {}, policy.TimedOut, true},
 		"draining":  {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named(r.peer.Addr().String(), policy.Draining, 0) }, policy.NotSent, false},
 		"gone":      {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named("", policy.Removed, 0) }, policy.NotSent, false},
@@ -318,7 +318,7 @@
 		p.expect('S', "bb.0") // the first that is written on it
 		p.say('R', "bb.0 done 0 -\n")
 		r.ended(next[0].Subquery, policy.Answered)
-		if n := r.hub.count.Get("lines", "dialled"); n != 1 {
+		if n := r.hub.counters.Get("lines", "dialled"); n != 1 {
 			t.Fatalf("%s: %d connects, expected 1", name, n)
 		}
 	}
@@ -353,7 +353,7 @@
 	var wg sync.WaitGroup
 	wg.Go(r.hub.Stop)
 	p := r.accept(r.peer)
-	<-r.hub.dials.Done() // the stop has been told by then
+	<-r.hub.dialContext.Done() // the stop has been told by then
 	close(g.let)
 	if text, _ := io.ReadAll(p.in); len(text) > 0 {
 		t.Fatalf("%q was written", text)
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// mostFrame is the longest frame that can be an answer: a client's whole answer holds at most 64 KiB, so no
+	// maxFrame is the longest frame that can be an answer: a client's whole answer holds at most 64 KiB, so no
 	// value is longer; id, end, score and report come on top. A longer one is told by its length alone.
-	mostFrame = 72 << 10
-	// frameTime is how long a frame that has begun may take: it is written in one piece, so the rest is here
+	maxFrame = 72 << 10
+	// frameTimeout is how long a frame that has begun may take: it is written in one piece, so the rest is here
 	// within a round trip, or its length is wrong and it never ends.
-	frameTime = 250 * time.Millisecond
+	frameTimeout = 250 * time.Millisecond
 )
 
 // The types of frames, by their first byte.
@@ -49,14 +49,14 @@
 }
 
 var (
-	ends           = map[string]policy.Outcome{"done": policy.Answered, "failed": policy.Errored, "full": policy.Rejected}
+	outcomesByWord = map[string]policy.Outcome{"done": policy.Answered, "failed": policy.Errored, "full": policy.Rejected}
 	errNoFrameType = errors.New("frame without a letter")
 	errNotText     = errors.New("value is not UTF-8, which no answer to a client can carry unchanged")
 )
 
 // readFrame reads one frame; what it returns is the caller's. Memory is taken as bytes come, never on the word
 // of a length.
-func readFrame(r *bufio.Reader) (frameType byte, rest []byte, err error) {
+func readFrame(r *bufio.Reader) (frameType byte, payload []byte, err error) {
 	var head [5]byte
 	if _, err = io.ReadFull(r, head[:4]); err != nil {
 		return 0, nil, err
@@ -65,17 +65,17 @@
 	switch {
 	case n == 0:
 		return 0, nil, errNoFrameType
-	case n > mostFrame:
-		return 0, nil, malformed("frame of %d bytes, %d at most", n, mostFrame)
+	case n > maxFrame:
+		return 0, nil, malformed("frame of %d bytes, %d at most", n, maxFrame)
 	}
-	rest, err = io.ReadAll(io.LimitReader(r, int64(n)))
+	payload, err = io.ReadAll(io.LimitReader(r, int64(n)))
 	switch {
 	case err != nil:
 		return 0, nil, err
-	case len(rest) < int(n):
+	case len(payload) < int(n):
 		return 0, nil, io.ErrUnexpectedEOF
 	}
-	return rest[0], rest[1:], nil
+	return payload[0], payload[1:], nil
 }
 
 // buffered tells whether the next frame is here to its last byte.
@@ -88,9 +88,9 @@
 	return uint64(have) >= 4+uint64(binary.BigEndian.Uint32(head))
 }
 
-func appendFrame(b []byte, frameType byte, rest ...byte) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(1+len(rest)))
-	return append(append(b, frameType), rest...)
+func appendFrame(b []byte, frameType byte, payload ...byte) []byte {
+	b = binary.BigEndian.AppendUint32(b, uint32(1+len(payload)))
+	return append(append(b, frameType), payload...)
 }
 
 // subqueryName names a part call on the wire.
@@ -117,8 +117,8 @@
 
 // parseAnswer reads the rest of an R frame; the value keeps its bytes. With an error, name is still the word in
 // the id's place, so that the call it may mean can be told at once.
-func parseAnswer(rest []byte) (a answer, err error) {
-	line, value, found := bytes.Cut(rest, []byte{'\n'})
+func parseAnswer(payload []byte) (a answer, err error) {
+	line, value, found := bytes.Cut(payload, []byte{'\n'})
 	name, _, _ := bytes.Cut(line, []byte{' '})
 	a.name = string(name)
 	// Only id and end are read strictly: the report may hold anything, and the answer beside it stands.
@@ -127,7 +127,7 @@
 		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", line)
 	}
 	known := false
-	if a.outcome, known = ends[string(fields[1])]; !known {
+	if a.outcome, known = outcomesByWord[string(fields[1])]; !known {
 		return a, malformed("answer %.80q: unknown end", line)
 	}
 	if !utf8.Valid(value) {
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -18,45 +18,45 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// lateAnswer is how long a call given up may still be answered: above any time that a backend goes on with work that
+// lateAnswerPeriod is how long a call given up may still be answered: above any time that a backend goes on with work that
 // nobody waits for, and short enough that the names given up in it are few.
-const lateAnswer = 30 * time.Second
+const lateAnswerPeriod = 30 * time.Second
 
-// hurry is what is left to a write to a backend that wants nothing new: one that is not stuck is done by then.
-const hurry = 100 * time.Millisecond
+// drainWriteTimeout is what is left to a write to a backend that wants nothing new: one that is not stuck is done by then.
+const drainWriteTimeout = 100 * time.Millisecond
 
 // Hub hands each backend's actor what concerns it. It belongs to the module's actor.
 type Hub struct {
-	set         settings.Net
-	tell        *eventqueue.Queue[aggregator.Event]
-	log         *zap.Logger
-	count       *counters.Set
-	actors      map[policy.BackendID]*actor
-	gone        map[policy.BackendID]*actor // those of actors that the list no longer names
-	descriptors chan struct{}               // one place for each descriptor in use
-	stuck       time.Duration               // that a write may take
-	dials       context.Context             // ends with all connects
-	dialer      func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error)
-	undial      context.CancelFunc
-	all         sync.WaitGroup
+	settings     settings.Net
+	events       *eventqueue.Queue[aggregator.Event]
+	log          *zap.Logger
+	counters     *counters.Set
+	actors       map[policy.BackendID]*actor
+	removed      map[policy.BackendID]*actor // those of actors that the list no longer names
+	descriptors  chan struct{}               // one place for each descriptor in use
+	writeTimeout time.Duration               // that a write may take
+	dialContext  context.Context             // ends with all connects
+	dialer       func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error)
+	cancelDials  context.CancelFunc
+	running      sync.WaitGroup
 }
 
 // New makes a hub that keeps no more than so many connections.
-func New(set settings.Net, most int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Hub {
-	h := &Hub{set: set, tell: tell, log: log, count: count, actors: map[policy.BackendID]*actor{},
-		gone: map[policy.BackendID]*actor{}, descriptors: make(chan struct{}, most), stuck: stuckWrite}
-	h.dials, h.undial = context.WithCancel(context.Background())
+func New(set settings.Net, maxConnections int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Hub {
+	h := &Hub{settings: set, events: tell, log: log, counters: count, actors: map[policy.BackendID]*actor{},
+		removed: map[policy.BackendID]*actor{}, descriptors: make(chan struct{}, maxConnections), writeTimeout: writeTimeout}
+	h.dialContext, h.cancelDials = context.WithCancel(context.Background())
 	h.dialer = func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error) {
 		return (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", address)
 	}
 	return h
 }
 
-// Named takes what the list says of a backend, and starts its actor at the first naming. An actor whose backend is
+// Update takes what the list says of a backend, and starts its actor at the first naming. An actor whose backend is
 // gone ends with its last call; the register never names one again by the same number.
-func (h *Hub) Named(entry policy.Entry, address string) {
-	maps.DeleteFunc(h.gone, func(id policy.BackendID, a *actor) bool {
-		if a.over.Load() {
+func (h *Hub) Update(entry policy.Entry, address string) {
+	maps.DeleteFunc(h.removed, func(id policy.BackendID, a *actor) bool {
+		if a.ended.Load() {
 			delete(h.actors, id)
 		}
 		return h.actors[id] == nil
@@ -66,25 +66,25 @@
 	case a == nil && entry.Phase == policy.Removed:
 		return
 	case a == nil:
-		a = &actor{hub: h, id: entry.Backend, in: eventqueue.New[note](), calls: map[string]*call{}}
+		a = &actor{hub: h, id: entry.Backend, in: eventqueue.New[message](), calls: map[string]*call{}}
 		h.actors[entry.Backend] = a
-		h.all.Go(a.run)
+		h.running.Go(a.run)
 	case entry.Phase == policy.Removed:
-		h.gone[entry.Backend] = a
+		h.removed[entry.Backend] = a
 	}
-	a.in.Put(note{kind: named, entry: entry, address: address})
+	a.in.Put(message{kind: messageListed, entry: entry, address: address})
 }
 
-// Unnamed takes those that a whole list leaves out for gone.
-func (h *Hub) Unnamed(keep map[policy.BackendID]bool) {
+// Retain takes those that a whole list leaves out for gone.
+func (h *Hub) Retain(keep map[policy.BackendID]bool) {
 	for id := range h.actors {
 		if !keep[id] {
-			h.Named(policy.Entry{Backend: id, Phase: policy.Removed}, "")
+			h.Update(policy.Entry{Backend: id, Phase: policy.Removed}, "")
 		}
 	}
 }
 
-func (h *Hub) put(to policy.BackendID, n note) {
+func (h *Hub) put(to policy.BackendID, n message) {
 	if a := h.actors[to]; a != nil {
 		a.in.Put(n)
 	}
@@ -92,42 +92,42 @@
 
 // Send sends calls that share one place on a connection.
 func (h *Hub) Send(to policy.BackendID, calls []aggregator.Call) {
-	if a := h.actors[to]; a != nil && !a.over.Load() {
-		a.in.Put(note{kind: send, new: calls})
+	if a := h.actors[to]; a != nil && !a.ended.Load() {
+		a.in.Put(message{kind: messageSend, newCalls: calls})
 		return
 	}
 	for i := range calls {
-		h.ended(&calls[i], to, policy.NotConnected, time.Now(), answer{})
+		h.notifyEnd(&calls[i], to, policy.NotConnected, time.Now(), answer{})
 	}
 }
 
-// ended tells the module's actor how a call ended.
-func (h *Hub) ended(c *aggregator.Call, at policy.BackendID, how policy.Outcome, when time.Time, with answer) {
-	h.count.Add("calls", outcomeNames[how], 1)
-	h.tell.Put(aggregator.Event{Value: with.value, Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No,
-		Backend: at, Outcome: how, Elapsed: max(0, when.Sub(c.Sent).Seconds()), Load: with.load}})
+// notifyEnd tells the module's actor how a call ended.
+func (h *Hub) notifyEnd(c *aggregator.Call, backend policy.BackendID, outcome policy.Outcome, endedAt time.Time, with answer) {
+	h.counters.Add("calls", outcomeNames[outcome], 1)
+	h.events.Put(aggregator.Event{Value: with.value, Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No,
+		Backend: backend, Outcome: outcome, Elapsed: max(0, endedAt.Sub(c.Sent).Seconds()), Load: with.load}})
 }
 
-// Withdraw gives a part call up: its answer counts no more.
-func (h *Hub) Withdraw(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo) {
-	h.put(at, note{kind: withdraw, subquery: subquery, no: no})
+// Cancel gives a part call up: its answer counts no more.
+func (h *Hub) Cancel(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo) {
+	h.put(at, message{kind: messageCancel, subquery: subquery, no: no})
 }
 
 // Probe asks a backend whether it lives, apart from all that is out there if so wanted.
-func (h *Hub) Probe(at policy.BackendID, apart bool) {
-	h.put(at, note{kind: probe, apart: apart, at: time.Now()})
+func (h *Hub) Probe(at policy.BackendID, separate bool) {
+	h.put(at, message{kind: messageProbe, separate: separate, at: time.Now()})
 }
 
 // CloseIdle closes the idle connections to a backend.
-func (h *Hub) CloseIdle(at policy.BackendID) { h.put(at, note{kind: closeIdle}) }
+func (h *Hub) CloseIdle(at policy.BackendID) { h.put(at, message{kind: messageCloseIdle}) }
 
 // Stop ends all actors and their connections; the module's actor has ended before.
 func (h *Hub) Stop() {
 	for _, a := range h.actors {
-		a.in.Put(note{kind: stop})
+		a.in.Put(message{kind: messageStop})
 	}
-	h.undial() // nobody waits for them any more
-	h.all.Wait()
+	h.cancelDials() // nobody waits for them any more
+	h.running.Wait()
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/dataplane/backends/probes.go
+++ b/internal/dataplane/backends/probes.go
@@ -9,58 +9,58 @@
 
 // pendingProbe is the probe that is out; the module has one at a time.
 type pendingProbe struct {
-	since      time.Time
-	apart      bool // on a connection with nothing else out
+	sentAt     time.Time
+	separate   bool // on a connection with nothing else out
 	connection *connection
 	written    bool
 }
 
-func (a *actor) probe(at time.Time, apart bool) {
+func (a *actor) probe(at time.Time, separate bool) {
 	if a.pendingProbe != nil {
 		return
 	}
-	a.pendingProbe = &pendingProbe{since: at, apart: apart}
+	a.pendingProbe = &pendingProbe{sentAt: at, separate: separate}
 	a.assign()
 }
 
-func (a *actor) ask(conn *connection) {
+func (a *actor) sendProbe(conn *connection) {
 	a.pendingProbe.connection = conn
-	conn.ask(time.Now())
+	conn.expectAnswer(time.Now())
 	conn.out.Put(outgoing{frameType: a.probeFrame()})
 }
 
 // probeFrame is the type of frame that probes use.
 func (a *actor) probeFrame() byte {
-	if a.hub.set.Loads {
+	if a.hub.settings.Loads {
 		return frameLoad
 	}
 	return frameAlive
 }
 
-// alive takes the answer of a probe. One that comes after its time-out may be taken for the next one's: a sign
+// handleProbeAnswer takes the answer of a probe. One that comes after its time-out may be taken for the next one's: a sign
 // of life it is all the same.
-func (a *actor) alive(n *note) {
+func (a *actor) handleProbeAnswer(n *message) {
 	if p := a.pendingProbe; p == nil || p.connection != n.connection {
-		a.hub.count.Add("late", "probes", 1)
+		a.hub.counters.Add("late", "probes", 1)
 		return
-	} else if p.apart { // the backend lives, and connections that were asked before and said nothing since do not
+	} else if p.separate { // the backend lives, and connections that were asked before and said nothing since do not
 		for _, conn := range a.connections {
-			if !conn.asked.IsZero() && conn.asked.Before(p.since) {
+			if !conn.unansweredSince.IsZero() && conn.unansweredSince.Before(p.sentAt) {
 				a.markSilent(conn, n.at)
 			}
 		}
 	}
 	if n.text == probeFailed {
-		a.probed(policy.Errored, n.at, policy.Load{})
+		a.endProbe(policy.Errored, n.at, policy.Load{})
 	} else {
-		a.probed(policy.Answered, n.at, parseLoad([]byte(n.text)))
+		a.endProbe(policy.Answered, n.at, parseLoad([]byte(n.text)))
 	}
 }
 
-func (a *actor) probed(how policy.Outcome, at time.Time, load policy.Load) {
-	elapsed := max(0, at.Sub(a.pendingProbe.since).Seconds())
+func (a *actor) endProbe(outcome policy.Outcome, at time.Time, load policy.Load) {
+	elapsed := max(0, at.Sub(a.pendingProbe.sentAt).Seconds())
 	a.pendingProbe = nil
-	a.hub.count.Add("probes", outcomeNames[how], 1)
-	a.hub.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.ProbeEnded, Backend: a.id, Outcome: how,
+	a.hub.counters.Add("probes", outcomeNames[outcome], 1)
+	a.hub.events.Put(aggregator.Event{Event: policy.Event{Kind: policy.ProbeEnded, Backend: a.id, Outcome: outcome,
 		Elapsed: elapsed, Load: load}})
 }
--- a/internal/dataplane/backends/searchers_test.go
+++ b/internal/dataplane/backends/searchers_test.go
@@ -57,10 +57,10 @@
 }
 
 func (r *fixture) named(address string, phase policy.Phase, started float64) {
-	r.hub.Named(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
+	r.hub.Update(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
 
-// send sends parts of a query in one call; each part's shard is its place.
+// messageSend sends parts of a query in one call; each part's shard is its place.
 func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
 	lk := &aggregator.Query{ID: id, Query: []byte(query)}
@@ -241,7 +241,7 @@
 // Whatever spoils an answer, the call that it was meant for has failed at once, long before its deadline, and so has
 // the connection; what else is out there may have run.
 func TestCorruptedAnswersFailAtOnce(t *testing.T) {
-	long := strings.Repeat("x", mostFrame)
+	long := strings.Repeat("x", maxFrame)
 	for name, spoil := range map[string]func(p *peerConnection){
 		"noise":               func(p *peerConnection) { io.WriteString(p, "\xffnoise, and more of it") },
 		"no letter":           func(p *peerConnection) { p.Write(make([]byte, 4)) },
@@ -261,13 +261,13 @@
 			began := time.Now()
 			spoil(p)
 			r.ended(calls[0].Subquery, policy.Errored)
-			if took := time.Since(began); took > 2*frameTime {
+			if took := time.Since(began); took > 2*frameTimeout {
 				t.Fatalf("known after %v", took)
 			}
 			if _, _, err := readFrame(p.in); err == nil {
 				t.Fatal("the connection stays open")
 			}
-			if r.hub.count.Get("lines", string(whyReset)) > 0 {
+			if r.hub.counters.Get("lines", string(reasonReset)) > 0 {
 				t.Fatal("the connection is said to have broken")
 			}
 		})
@@ -308,7 +308,7 @@
 	}
 }
 
-// apart has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
+// separate has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
 func (r *fixture) apart(on *peerConnection) *peerConnection {
 	r.Helper()
 	r.hub.Probe(1, true)
@@ -398,7 +398,7 @@
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	r.hub.Unnamed(map[policy.BackendID]bool{})
+	r.hub.Retain(map[policy.BackendID]bool{})
 	p.say('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
@@ -408,10 +408,10 @@
 		if time.Now().After(late) {
 			t.Fatal("the actor goes on")
 		}
-		r.hub.Named(policy.Entry{Backend: 2, Phase: policy.Removed}, "")
+		r.hub.Update(policy.Entry{Backend: 2, Phase: policy.Removed}, "")
 	}
-	if len(r.hub.gone) > 0 {
-		t.Fatalf("%v are still to end", r.hub.gone)
+	if len(r.hub.removed) > 0 {
+		t.Fatalf("%v are still to end", r.hub.removed)
 	}
 	r.ended(r.send("ab", "q", time.Minute, 1)[0].Subquery, policy.NotConnected)
 }
@@ -454,7 +454,7 @@
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
 	r.ended(slow[0].Subquery, policy.TimedOut)
-	r.hub.Withdraw(1, kept[0].Subquery, kept[0].No)
+	r.hub.Cancel(1, kept[0].Subquery, kept[0].No)
 	r.ended(kept[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
 	// Sent again, it goes on another connection: there no answer to the first can be taken for its own.
@@ -473,7 +473,7 @@
 func TestWithdrawnBeforeAConnectionIsNeverSent(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 2)
-	r.hub.Withdraw(1, calls[0].Subquery, 0)
+	r.hub.Cancel(1, calls[0].Subquery, 0)
 	r.ended(calls[0].Subquery, policy.Canceled)
 	p := r.accept(r.peer)
 	if got := p.expect('S', ""); strings.Contains(got, "aa.0") {
@@ -493,7 +493,7 @@
 	}
 	o.expect('S', "")
 	for _, c := range calls {
-		r.hub.Withdraw(1, c.Subquery, 0)
+		r.hub.Cancel(1, c.Subquery, 0)
 		r.ended(c.Subquery, policy.Canceled)
 	}
 	r.send("b0", "q", time.Minute, 1) // on a connection that is there: no third is accepted
--- a/internal/dataplane/clients/body.go
+++ b/internal/dataplane/clients/body.go
@@ -44,8 +44,8 @@
 // targets are a query's parts, of which there are no more than shards: an array that goes on is not read to its end,
 // as it would unfold into far more memory than its bytes.
 type targets struct {
-	most int
-	list []target
+	limit int
+	list  []target
 }
 
 func (t *targets) UnmarshalJSONFrom(d *jsontext.Decoder) error {
@@ -56,8 +56,8 @@
 		return err
 	}
 	for d.PeekKind() != ']' {
-		if len(t.list) == t.most {
-			return malformed("targets names more than %d parts", t.most)
+		if len(t.list) == t.limit {
+			return malformed("targets names more than %d parts", t.limit)
 		}
 		var next target
 		if err := json.UnmarshalDecode(d, &next); err != nil {
@@ -75,54 +75,54 @@
 }
 
 // readHead reads what a query's headers and address say; the error is for the client.
-func (n *nameTable) readHead(r *http.Request, lk *aggregator.Query) error {
+func (n *nameTable) readHead(r *http.Request, q *aggregator.Query) error {
 	for name, values := range r.Header {
 		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // which one counts is anyone's guess
 			return malformed("%s stands there twice", name)
 		}
 	}
 	if kind := r.Header.Get("Req-Kind"); kind != "" {
-		if index, known := n.indexes[kind]; !known || index != lk.Index {
+		if index, known := n.indexes[kind]; !known || index != q.Index {
 			return malformed("Req-Kind %q does not name the index of the path", kind)
 		}
 	}
-	lk.ID = r.Header.Get("Req-Id")
-	if lk.ID == "" || len(lk.ID) > 64 || strings.ContainsFunc(lk.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
+	q.ID = r.Header.Get("Req-Id")
+	if q.ID == "" || len(q.ID) > 64 || strings.ContainsFunc(q.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
 		return malformed("Req-Id is not an id")
 	}
 	if owner := r.Header.Get("Req-Owner"); len(n.customers) > 0 {
 		var known bool
-		if lk.Customer, known = n.customers[owner]; !known {
+		if q.Customer, known = n.customers[owner]; !known {
 			return malformed("Req-Owner %q is not known", owner)
 		}
 	}
 	text := r.Header.Get("Req-Deadline")
 	wait, err := strconv.ParseFloat(text, 64)
-	if err != nil || strings.Trim(text, "0123456789.") != "" || !(wait > 0) || wait > mostWaitS {
+	if err != nil || strings.Trim(text, "0123456789.") != "" || !(wait > 0) || wait > maxTimeoutS {
 		return malformed("Req-Deadline is not a time in seconds")
 	}
-	lk.Wait, lk.Resent = wait, r.Header.Get("Req-Retry") == "1"
+	q.Timeout, q.Resent = wait, r.Header.Get("Req-Retry") == "1"
 	// A key that is none of ours is no reason to turn a query away: it only says what goes together.
-	lk.Key, err = strconv.ParseUint(r.URL.Query().Get("key"), 16, 64)
-	lk.HasKey = err == nil
+	q.Key, err = strconv.ParseUint(r.URL.Query().Get("key"), 16, 64)
+	q.HasKey = err == nil
 	return nil
 }
 
 // readBody reads the parts; the query's text keeps its bytes. Names count in their own case only, and none may
 // come twice: what another reader would take for the query must not differ from what we do.
-func (n *nameTable) readBody(text []byte, lk *aggregator.Query) error {
-	in := body{Targets: targets{most: n.shards}}
+func (n *nameTable) readBody(text []byte, q *aggregator.Query) error {
+	in := body{Targets: targets{limit: n.shards}}
 	if err := json.Unmarshal(text, &in); err != nil {
 		return malformed("the body is not as expected: %v", err)
 	}
 	var err error
-	if lk.Query, err = plain(in.Query); err != nil {
+	if q.Query, err = decodeString(in.Query); err != nil {
 		return err
 	}
 	if len(in.Targets.list) == 0 {
 		return malformed("targets names no part")
 	}
-	lk.Subqueries = make([]aggregator.Subquery, len(in.Targets.list))
+	q.Subqueries = make([]aggregator.Subquery, len(in.Targets.list))
 	seen := make(map[int]bool, len(in.Targets.list))
 	sum := 0.0
 	for i, t := range in.Targets.list {
@@ -133,7 +133,7 @@
 			return malformed("targets[%d].partition stands there twice", i)
 		case t.Share == nil || *t.Share < 0 || *t.Share > 1:
 			return malformed("targets[%d].share is not a share", i)
-		case t.EstUs < 0 || t.EstUs > mostWaitS*1e6:
+		case t.EstUs < 0 || t.EstUs > maxTimeoutS*1e6:
 			return malformed("targets[%d].est_us is not a time", i)
 		}
 		seen[*t.Partition] = true
@@ -145,7 +145,7 @@
 			}
 			p.HasKey = true
 		}
-		lk.Subqueries[i] = p
+		q.Subqueries[i] = p
 	}
 	if math.Abs(sum-1) > shareSlack {
 		return malformed("the shares add up to %g and not to 1", sum)
@@ -156,11 +156,11 @@
 // shareSlack is by how much shares may miss 1 together, as each is rounded to a few digits.
 const shareSlack = 0.01
 
-// mostWaitS is the longest wait that is taken for one: a day, so that no sum of times overflows.
-const mostWaitS = 86400
+// maxTimeoutS is the longest wait that is taken for one: a day, so that no sum of times overflows.
+const maxTimeoutS = 86400
 
-// plain is the text of a JSON string. Where nothing in it is escaped those are the bytes that came.
-func plain(raw jsontext.Value) ([]byte, error) {
+// decodeString is the text of a JSON string. Where nothing in it is escaped those are the bytes that came.
+func decodeString(raw jsontext.Value) ([]byte, error) {
 	if raw.Kind() != '"' {
 		return nil, malformed("query is not a text")
 	}
@@ -171,14 +171,14 @@
 }
 
 // appendResults writes the answer's body from the values that are in.
-func appendResults(b []byte, lk *aggregator.Query, whole bool) []byte {
+func appendResults(b []byte, q *aggregator.Query, complete bool) []byte {
 	b = append(b, `{"whole":`...)
-	b = strconv.AppendBool(b, whole)
+	b = strconv.AppendBool(b, complete)
 	b = append(b, `,"results":[`...)
 	first := true
-	for i := range lk.Subqueries {
-		p := &lk.Subqueries[i]
-		if !p.In {
+	for i := range q.Subqueries {
+		p := &q.Subqueries[i]
+		if !p.Answered {
 			continue
 		}
 		if !first {
--- a/internal/dataplane/clients/clients.go
+++ b/internal/dataplane/clients/clients.go
@@ -24,66 +24,66 @@
 )
 
 const (
-	mostBody = 64 << 10 // what the protocol lets a body hold
-	mostHead = 8 << 10  // many times a query's: at net/http's own 1 MB the connections at the cap would not fit in memory
+	maxBody   = 64 << 10 // what the protocol lets a body hold
+	maxHeader = 8 << 10  // many times a query's: at net/http's own 1 MB the connections at the cap would not fit in memory
 	// A client that says nothing, or stops in the middle of a head or a body, is owed an end within 3 s of
 	// connecting; some of that passes before its connection is accepted.
-	slowRequest = 2 * time.Second
+	requestTimeout = 2 * time.Second
 	// One that stops in the middle of reading an answer holds its connection no longer.
-	slowAnswer = 10 * time.Second
-	// idleTime is how long a connection without a request is kept at the least by agreement, and not for good, as some clients
+	answerTimeout = 10 * time.Second
+	// idleTimeout is how long a connection without a request is kept at the least by agreement, and not for good, as some clients
 	// never come back on one.
-	idleTime = 2 * time.Second
+	idleTimeout = 2 * time.Second
 	// smallBody is what the body of a usual query takes. Of larger ones only so many are in hand at once that they,
 	// their copies while they grow and what they unfold into stay within bodyShare of the memory.
-	smallBody  = 4 << 10
-	largeTakes = 4 * mostBody
-	bodyShare  = 0.2
-	// noticed is how long a front goes on handing out connections to an aggregator that was told to stop.
-	noticed = 500 * time.Millisecond
-	// A stopping aggregator is killed no sooner than a query's longest time, of which countedTime at most, and killAfter more
+	smallBody       = 4 << 10
+	largeBodyMemory = 4 * maxBody
+	bodyShare       = 0.2
+	// drainNotice is how long a front goes on handing out connections to an aggregator that was told to stop.
+	drainNotice = 500 * time.Millisecond
+	// A stopping aggregator is killed no sooner than a query's longest time, of which maxQueryTime at most, and killAfter more
 	// after it was told to stop.
-	countedTime = 3 * time.Second
-	killAfter   = 700 * time.Millisecond
-	// Of that it serves on, as others may not be there yet, but for lastAnswers: by then all that it took is answered
+	maxQueryTime = 3 * time.Second
+	killAfter    = 700 * time.Millisecond
+	// Of that it serves on, as others may not be there yet, but for closePeriod: by then all that it took is answered
 	// and its clients' connections are closed, each with an answer where they ask on.
-	lastAnswers = 500 * time.Millisecond
-	lastReserve = 200 * time.Millisecond // of those, for what no query may take any more
-	// emptying is how long after that the listener's queue is emptied before it is closed.
-	emptying = 20 * time.Millisecond
+	closePeriod  = 500 * time.Millisecond
+	closeReserve = 200 * time.Millisecond // of those, for what no query may take any more
+	// drainPoll is how long after that the listener's queue is emptied before it is closed.
+	drainPoll = 20 * time.Millisecond
 )
 
 // Server serves clients.
 type Server struct {
-	http        *http.Server
-	connections *connections
-	tell        *eventqueue.Queue[aggregator.Event]
-	log         *zap.Logger
-	count       *counters.Set
-	names       nameTable
-	retry       bool
-	slow        time.Duration // that an answer may take to be written
-	serveOn     time.Duration // how long a stopping aggregator takes queries
-	ends        atomic.Int64  // when each must have its answer once it stops, in Unix ns; 0 before
-	large       chan struct{} // a place for each large body in hand
-	stopped     chan struct{}
+	http          *http.Server
+	connections   *connections
+	events        *eventqueue.Queue[aggregator.Event]
+	log           *zap.Logger
+	counters      *counters.Set
+	names         nameTable
+	retryAfter    bool
+	answerTimeout time.Duration // that an answer may take to be written
+	servePeriod   time.Duration // how long a stopping aggregator takes queries
+	answerBy      atomic.Int64  // when each must have its answer once it stops, in Unix ns; 0 before
+	largeBodies   chan struct{} // a place for each large body in hand
+	stopped       chan struct{}
 }
 
 // New makes a server that keeps no more than so many connections, in so many bytes of memory altogether.
-func New(set settings.Settings, most, memory int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
-	s := &Server{tell: tell, log: log, count: count, names: newNameTable(set.Net), retry: set.Limits.RetryAfter, slow: slowAnswer,
-		connections: newConnections(most, memory, log, count), large: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeTakes))), stopped: make(chan struct{}, 1)}
+func New(set settings.Settings, maxConnections, memory int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
+	s := &Server{events: tell, log: log, counters: count, names: newNameTable(set.Net), retryAfter: set.Limits.RetryAfter, answerTimeout: answerTimeout,
+		connections: newConnections(maxConnections, memory, log, count), largeBodies: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeBodyMemory))), stopped: make(chan struct{}, 1)}
 	longest := 0.0
 	for _, x := range set.Indexes {
 		longest = max(longest, x.Hard)
 	}
-	s.serveOn = killAfter + min(countedTime, time.Duration(longest*float64(time.Second))) - lastAnswers
-	s.http = &http.Server{Handler: http.HandlerFunc(s.handle), MaxHeaderBytes: mostHead, ReadTimeout: slowRequest, IdleTimeout: idleTime,
+	s.servePeriod = killAfter + min(maxQueryTime, time.Duration(longest*float64(time.Second))) - closePeriod
+	s.http = &http.Server{Handler: http.HandlerFunc(s.handle), MaxHeaderBytes: maxHeader, ReadTimeout: requestTimeout, IdleTimeout: idleTimeout,
 		DisableGeneralOptionsHandler: true, // which answers 200
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, c)
 		},
-		ConnState: s.connections.changed, ErrorLog: stdlog.New(httpLog{log}, "", 0)}
+		ConnState: s.connections.stateChanged, ErrorLog: stdlog.New(httpLog{log}, "", 0)}
 	return s
 }
 
@@ -108,33 +108,33 @@
 // not have another aggregator yet, and clients ask on on the connections they have. Then answers close their connections, the listener
 // closes once its queue is empty, and the idle connections close; it returns when all that was taken is answered.
 func (s *Server) Drain() {
-	s.ends.Store(time.Now().Add(s.serveOn + lastAnswers - lastReserve).UnixNano())
-	open := func() bool { n, _ := s.connections.left(); return n > 0 }
-	for began := time.Now(); time.Since(began) < s.serveOn && (time.Since(began) < noticed || open()); {
-		time.Sleep(emptying)
+	s.answerBy.Store(time.Now().Add(s.servePeriod + closePeriod - closeReserve).UnixNano())
+	open := func() bool { n, _ := s.connections.remaining(); return n > 0 }
+	for began := time.Now(); time.Since(began) < s.servePeriod && (time.Since(began) < drainNotice || open()); {
+		time.Sleep(drainPoll)
 	}
-	s.connections.drains.Store(true)
-	s.connections.listener.SetDeadline(time.Now().Add(emptying))
+	s.connections.draining.Store(true)
+	s.connections.listener.SetDeadline(time.Now().Add(drainPoll))
 	<-s.stopped
 	// Clients send on connections that stay open: each is to be told by an answer that its connection closes. A connection that is closed
 	// between two queries may be closed under one that is on its way, so that is left for those that say nothing.
-	for began := time.Now(); time.Since(began) < lastAnswers-lastReserve && open(); {
-		time.Sleep(emptying)
+	for began := time.Now(); time.Since(began) < closePeriod-closeReserve && open(); {
+		time.Sleep(drainPoll)
 	}
 	// By the last moment all that was taken is decided. What is open then is a client that does not read its answer, or that
 	// trickles a request: nothing is owed to either, and to be killed over them would cost others.
-	last := time.Unix(0, s.ends.Load()).Add(lastReserve / 2)
+	last := time.Unix(0, s.answerBy.Load()).Add(closeReserve / 2)
 	for open() && time.Now().Before(last) {
-		s.connections.leave(whyShutdown)
-		time.Sleep(emptying)
+		s.connections.closeIdle(reasonShutdown)
+		time.Sleep(drainPoll)
 	}
 	// What was answered is not to be reset by our end over what a client has sent since: its own end is waited for.
-	until := time.Now().Add(lingers)
+	until := time.Now().Add(lingerTimeout)
 	if last.Before(until) {
 		until = last
 	}
-	for _, half := s.connections.left(); half > 0 && time.Now().Before(until); _, half = s.connections.left() {
-		time.Sleep(emptying)
+	for _, half := s.connections.remaining(); half > 0 && time.Now().Before(until); _, half = s.connections.remaining() {
+		time.Sleep(drainPoll)
 	}
 	s.http.Close()
 }
@@ -149,46 +149,46 @@
 	conn.SetWriteDeadline(time.Time{}) // that of the answer before
 	index, known := s.names.index(r.URL.Path)
 	switch {
-	case !conn.framed(r): // net/http has settled it in its own way, but another query may be hidden in the body
+	case !conn.hasOneLength(r): // net/http has settled it in its own way, but another query may be hidden in the body
 		s.refuse(w, r, http.StatusBadRequest, "the length of the body is stated twice")
-	case r.ContentLength > mostBody: // told before any of it is read
+	case r.ContentLength > maxBody: // told before any of it is read
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, tooLarge)
 	case r.URL.Path == "/up" && r.Method == http.MethodGet:
 		s.write(w, r, http.StatusOK, nil)
 	case known && r.Method == http.MethodPost:
-		s.query(w, r, index)
+		s.handleQuery(w, r, index)
 	default:
 		s.refuse(w, r, http.StatusNotFound, "there is nothing under this path")
 	}
 }
 
 var (
-	tooLarge = fmt.Sprintf("a body holds at most %d bytes", mostBody)
+	tooLarge = fmt.Sprintf("a body holds at most %d bytes", maxBody)
 	errBusy  = errors.New("too many large bodies")
 )
 
 // readAll reads a body; a large one takes a place until done is called.
 func (s *Server) readAll(w http.ResponseWriter, r *http.Request) (text []byte, done func(), err error) {
 	done = func() {}
-	body := http.MaxBytesReader(w, r.Body, mostBody)
+	body := http.MaxBytesReader(w, r.Body, maxBody)
 	if text, err = io.ReadAll(io.LimitReader(body, smallBody)); err != nil || len(text) < smallBody {
 		return text, done, err
 	}
 	select {
-	case s.large <- struct{}{}:
-		done = func() { <-s.large }
+	case s.largeBodies <- struct{}{}:
+		done = func() { <-s.largeBodies }
 	default:
 		return nil, done, errBusy
 	}
-	rest, err := io.ReadAll(body)
-	return append(text, rest...), done, err
+	remainder, err := io.ReadAll(body)
+	return append(text, remainder...), done, err
 }
 
-// query reads one, hands it to the module's actor and writes what that says.
-func (s *Server) query(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
+// handleQuery reads one, hands it to the module's actor and writes what that says.
+func (s *Server) handleQuery(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
 	conn := connectionOf(r)
-	lk := &aggregator.Query{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
-	if err := s.names.readHead(r, lk); err != nil {
+	q := &aggregator.Query{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
+	if err := s.names.readHead(r, q); err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
@@ -206,48 +206,48 @@
 		s.refuse(w, r, http.StatusBadRequest, "the body can't be read")
 		return
 	}
-	if err := s.names.readBody(text, lk); err != nil {
+	if err := s.names.readBody(text, q); err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
-	if conn.hasLeft(r.Context()) { // this one was sent ahead, and nobody waits for its answer
+	if conn.clientHasLeft(r.Context()) { // this one was sent ahead, and nobody waits for its answer
 		s.write(w, r, http.StatusInternalServerError, nil)
 		return
 	}
-	if !s.connections.ask(conn) {
+	if !s.connections.beginQuery(conn) {
 		s.refuse(w, r, http.StatusServiceUnavailable, "too many lookups at once")
 		return
 	}
-	if ends := s.ends.Load(); ends > 0 { // a stopping aggregator can't be waited for longer than it lives
-		lk.Wait = min(lk.Wait, max(0, time.Unix(0, ends).Sub(lk.Arrived).Seconds()))
+	if ends := s.answerBy.Load(); ends > 0 { // a stopping aggregator can't be waited for longer than it lives
+		q.Timeout = min(q.Timeout, max(0, time.Unix(0, ends).Sub(q.Arrived).Seconds()))
 	}
 	// That of reading goes: from here net/http only watches for the client's leaving. It fails only on a closed connection, which that finds.
 	_ = conn.SetReadDeadline(time.Time{})
-	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.QueryReceived}})
+	s.events.Put(aggregator.Event{ClientQuery: q, Event: policy.Event{Kind: policy.QueryReceived}})
 	select {
-	case reply := <-lk.Done:
-		s.answer(w, r, lk, reply)
-	case <-conn.left: // behind what it had sent ahead, which net/http does not see
-		s.gone(w, r, lk)
+	case reply := <-q.Done:
+		s.answer(w, r, q, reply)
+	case <-conn.clientLeft: // behind what it had sent ahead, which net/http does not see
+		s.clientLeft(w, r, q)
 	case <-r.Context().Done():
-		s.gone(w, r, lk)
+		s.clientLeft(w, r, q)
 	}
 }
 
-func (s *Server) gone(w http.ResponseWriter, r *http.Request, lk *aggregator.Query) {
-	s.tell.Put(aggregator.Event{Taken: lk, Event: policy.Event{Kind: policy.ClientDisconnected}})
+func (s *Server) clientLeft(w http.ResponseWriter, r *http.Request, q *aggregator.Query) {
+	s.events.Put(aggregator.Event{ClientQuery: q, Event: policy.Event{Kind: policy.ClientDisconnected}})
 	// Should it still listen, having closed one direction only, net/http's own answer would be an empty 200.
 	s.write(w, r, http.StatusInternalServerError, nil)
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, lk *aggregator.Query, reply aggregator.Reply) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, q *aggregator.Query, reply aggregator.Reply) {
 	switch reply.End {
 	case aggregator.Satisfied:
 		w.Header().Set("Content-Type", "application/json")
-		s.write(w, r, http.StatusOK, appendResults(nil, lk, reply.Whole))
+		s.write(w, r, http.StatusOK, appendResults(nil, q, reply.Complete))
 	case aggregator.Nacked:
-		if reply.Wait > 0 && s.retry {
-			w.Header().Set("Retry-After", retryAfter(reply.Wait))
+		if reply.RetryAfter > 0 && s.retryAfter {
+			w.Header().Set("Retry-After", retryAfter(reply.RetryAfter))
 		}
 		var why []byte
 		if reply.Text != "" {
@@ -255,9 +255,9 @@
 			why = []byte(reply.Text + ".\n")
 		}
 		s.write(w, r, http.StatusTooManyRequests, why)
-	case aggregator.Full:
+	case aggregator.QueueFull:
 		s.write(w, r, http.StatusServiceUnavailable, nil)
-	case aggregator.Twice:
+	case aggregator.Duplicate:
 		s.refuse(w, r, http.StatusConflict, "a lookup of this id is already held")
 	default:
 		s.write(w, r, http.StatusInternalServerError, nil)
@@ -274,11 +274,11 @@
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	conn := connectionOf(r)
-	conn.asked.Store(true)
-	s.count.Add("answers", strconv.Itoa(status), 1)
-	conn.SetWriteDeadline(time.Now().Add(s.slow))
+	conn.answering.Store(true)
+	s.counters.Add("answers", strconv.Itoa(status), 1)
+	conn.SetWriteDeadline(time.Now().Add(s.answerTimeout))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if s.connections.drains.Load() || conn.leaving() {
+	if s.connections.draining.Load() || conn.closesAfterAnswer() {
 		w.Header().Set("Connection", "close")
 	}
 	w.WriteHeader(status)
--- a/internal/dataplane/clients/clients_test.go
+++ b/internal/dataplane/clients/clients_test.go
@@ -56,13 +56,13 @@
 	if e.Kind != kind {
 		r.Fatalf("got %+v", e)
 	}
-	return e.Taken
+	return e.ClientQuery
 }
 
 // ended waits until a connection has ended for a reason.
 func (r *fixture) ended(why reason) {
 	r.Helper()
-	for late := time.Now().Add(patience); r.count.Get("client_lines", string(why)) == 0; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(patience); r.counters.Get("client_lines", string(why)) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			r.Fatalf("no connection ended by %s", why)
 		}
@@ -149,25 +149,25 @@
 		after string
 		body  string
 	}{
-		{aggregator.Reply{End: aggregator.Satisfied, Whole: true}, 200, "", `{"whole":true,"results":[{"partition":5,"value":"a\"\\\u0009é"}]}`},
-		{aggregator.Reply{End: aggregator.Nacked, Wait: 0.0501}, 429, "0.051", ""},
+		{aggregator.Reply{End: aggregator.Satisfied, Complete: true}, 200, "", `{"whole":true,"results":[{"partition":5,"value":"a\"\\\u0009é"}]}`},
+		{aggregator.Reply{End: aggregator.Nacked, RetryAfter: 0.0501}, 429, "0.051", ""},
 		{aggregator.Reply{End: aggregator.Nacked}, 429, "", ""},
-		{aggregator.Reply{End: aggregator.Full}, 503, "", ""},
+		{aggregator.Reply{End: aggregator.QueueFull}, 503, "", ""},
 		{aggregator.Reply{End: aggregator.Aborted}, 500, "", ""},
-		{aggregator.Reply{End: aggregator.Twice}, 409, "", "a lookup of this id is already held.\n"},
+		{aggregator.Reply{End: aggregator.Duplicate}, 409, "", "a lookup of this id is already held.\n"},
 	} {
 		before := time.Now()
 		c.ask()
-		lk := r.event(policy.QueryReceived)
-		if lk.Arrived.Before(before) || lk.Arrived.After(time.Now()) {
-			t.Fatalf("arrived %v after it was sent", lk.Arrived.Sub(before))
+		q := r.event(policy.QueryReceived)
+		if q.Arrived.Before(before) || q.Arrived.After(time.Now()) {
+			t.Fatalf("arrived %v after it was sent", q.Arrived.Sub(before))
 		}
-		if lk.ID != "ab12" || lk.Index != 0 || lk.Wait != 0.48 || lk.Key != 0x7f3a9c21e0b4d655 || string(lk.Query) != "c41" ||
-			len(lk.Subqueries) != 2 || lk.Subqueries[0].Hint != 0.009 || lk.Subqueries[0].Key != 255 || lk.Subqueries[1].Shard != 5 {
-			t.Fatalf("got %+v", lk)
+		if q.ID != "ab12" || q.Index != 0 || q.Timeout != 0.48 || q.Key != 0x7f3a9c21e0b4d655 || string(q.Query) != "c41" ||
+			len(q.Subqueries) != 2 || q.Subqueries[0].Hint != 0.009 || q.Subqueries[0].Key != 255 || q.Subqueries[1].Shard != 5 {
+			t.Fatalf("got %+v", q)
 		}
-		lk.Subqueries[1].In, lk.Subqueries[1].Value = true, []byte("a\"\\\té")
-		lk.Done <- a.reply
+		q.Subqueries[1].Answered, q.Subqueries[1].Value = true, []byte("a\"\\\té")
+		q.Done <- a.reply
 		head, body := c.expect(a.want)
 		if head.Get("Retry-After") != a.after || body != a.body || head.Get("Content-Length") != fmt.Sprint(len(body)) {
 			t.Fatalf("got %v %q", head, body)
@@ -199,7 +199,7 @@
 		{"/reads", goodHead, `{"targets":[{"partition":3,"share":0.5},{"partition":3,"share":0.5}],"query":"x"}`, 400, "twice"},
 		{"/reads", goodHead, `{"targets":[{"partition":3,"share":1,"est_us":-1}],"query":"x"}`, 400, "est_us"},
 		{"/reads", goodHead, `{"targets":[{"partition":3,"share":1,"route":"q"}],"query":"x"}`, 400, "route"},
-		{"/reads", goodHead, strings.Repeat("x", mostBody+1), 413, "at most"},
+		{"/reads", goodHead, strings.Repeat("x", maxBody+1), 413, "at most"},
 		{"/reads", goodHead + "Req-Id: ab13\r\n", goodBody, 400, "twice"},
 		{"/reads", strings.Replace(goodHead, "0.480", "0x1p-2", 1), goodBody, 400, "Req-Deadline"},
 		{"/reads", strings.Replace(goodHead, "0.480", "Inf", 1), goodBody, 400, "Req-Deadline"},
@@ -261,11 +261,11 @@
 		time.Sleep(20 * time.Millisecond)
 		after := time.Now()
 		io.WriteString(c, text[1:])
-		lk := r.event(policy.QueryReceived)
-		if lk.Arrived.Before(before) || lk.Arrived.After(after) {
-			t.Fatalf("arrived %v after the first byte was sent, the rest %v after", lk.Arrived.Sub(before), after.Sub(before))
+		q := r.event(policy.QueryReceived)
+		if q.Arrived.Before(before) || q.Arrived.After(after) {
+			t.Fatalf("arrived %v after the first byte was sent, the rest %v after", q.Arrived.Sub(before), after.Sub(before))
 		}
-		lk.Done <- aggregator.Reply{End: aggregator.Aborted}
+		q.Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
 }
@@ -274,9 +274,9 @@
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	c.ask()
-	lk := r.event(policy.QueryReceived)
+	q := r.event(policy.QueryReceived)
 	c.Close()
-	if r.event(policy.ClientDisconnected) != lk {
+	if r.event(policy.ClientDisconnected) != q {
 		t.Fatal("another lookup's client is told to have gone")
 	}
 	c = r.dial() // one that closes its own direction only is never told that it was served
@@ -302,13 +302,13 @@
 			t.Fatalf("got status %d", status)
 		}
 		c.Close()
-		r.ended(whySlow)
+		r.ended(reasonRequestTimeout)
 	}
 	c := r.dial() // one that is held for longer than reading may take is not taken to have left
 	c.ask()
-	lk := r.event(policy.QueryReceived)
+	q := r.event(policy.QueryReceived)
 	time.Sleep(100 * time.Millisecond)
-	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
+	q.Done <- aggregator.Reply{End: aggregator.Nacked}
 	c.expect(429)
 }
 
@@ -374,9 +374,9 @@
 	idle.ask()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
-	io.WriteString(endless, "POST /reads HTTP/1.1\r\nA: "+strings.Repeat("a", 4*mostHead))
-	r.ended(whyIdle)
-	r.ended(whySilent)
+	io.WriteString(endless, "POST /reads HTTP/1.1\r\nA: "+strings.Repeat("a", 4*maxHeader))
+	r.ended(reasonIdle)
+	r.ended(reasonNoRequest)
 	for _, c := range []*client{idle, silent} {
 		if status, _, _ := c.answer(); status != 0 {
 			t.Fatalf("got status %d", status)
@@ -389,7 +389,7 @@
 
 // Large bodies take memory by turns.
 func TestLargeBodiesAreFew(t *testing.T) {
-	r := newFixture(t, 100, func(s *Server) { s.large = make(chan struct{}, 1) })
+	r := newFixture(t, 100, func(s *Server) { s.largeBodies = make(chan struct{}, 1) })
 	large := strings.Replace(goodBody, "c4", strings.Repeat("c", 2*smallBody), 1)
 	for range 2 {
 		first, second := r.dial(), r.dial()
@@ -406,16 +406,16 @@
 }
 
 func TestAClientThatDoesNotReadHoldsUpNobody(t *testing.T) {
-	r := newFixture(t, 100, func(s *Server) { s.slow = 100 * time.Millisecond })
+	r := newFixture(t, 100, func(s *Server) { s.answerTimeout = 100 * time.Millisecond })
 	c, other := r.dial(), r.dial()
 	c.ask()
-	lk := r.event(policy.QueryReceived)
-	lk.Subqueries[0].In, lk.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
-	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
+	q := r.event(policy.QueryReceived)
+	q.Subqueries[0].Answered, q.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
+	q.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	other.ask()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	other.expect(500)
-	r.ended(whyUnwritten)
+	r.ended(reasonAnswerUnwritten)
 }
 
 // A new connection, and one half way in a request, may hold what nobody has read yet: they are not taken for idle at once.
@@ -440,7 +440,7 @@
 		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
-	if time.Since(began) < unread {
+	if time.Since(began) < stallTimeout {
 		t.Fatal("connections were closed that may have asked")
 	}
 	for _, c := range []*client{silent, half} {
@@ -463,7 +463,7 @@
 			case <-r.told.Queue.Ready():
 				for _, e := range r.told.Queue.Take(nil) {
 					if e.Kind == policy.QueryReceived {
-						e.Taken.Done <- aggregator.Reply{End: aggregator.Nacked}
+						e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Nacked}
 					}
 				}
 			case <-done:
@@ -488,7 +488,7 @@
 // A stopping aggregator serves on while it surely lives: connections stay open, queries that come then get their answers in that
 // time, and only after it do answers close their connections.
 func TestDrainServesOnAndAnswersAllThatIsHeld(t *testing.T) {
-	r := newFixture(t, 100, func(s *Server) { s.serveOn = 600 * time.Millisecond })
+	r := newFixture(t, 100, func(s *Server) { s.servePeriod = 600 * time.Millisecond })
 	busy, idle := r.dial(), r.dial()
 	busy.ask()
 	held := r.event(policy.QueryReceived)
@@ -497,11 +497,11 @@
 	for _, c := range []*client{idle, r.dial(), idle} { // beyond the time that a front takes to notice
 		time.Sleep(180 * time.Millisecond)
 		io.WriteString(c, request("/reads", strings.Replace(goodHead, "0.480", "9", 1), goodBody))
-		lk := r.event(policy.QueryReceived)
-		if lk.Wait > 0.95 {
-			t.Fatalf("may wait %g s, longer than the mixer lives", lk.Wait)
+		q := r.event(policy.QueryReceived)
+		if q.Timeout > 0.95 {
+			t.Fatalf("may wait %g s, longer than the mixer lives", q.Timeout)
 		}
-		lk.Done <- aggregator.Reply{End: aggregator.Nacked}
+		q.Done <- aggregator.Reply{End: aggregator.Nacked}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
 			t.Fatal("the connection closes with others perhaps not there yet")
 		}
@@ -526,7 +526,7 @@
 	case <-time.After(patience):
 		t.Fatal("did not stop")
 	}
-	r = newFixture(t, 100, func(s *Server) { s.serveOn = time.Hour })
+	r = newFixture(t, 100, func(s *Server) { s.servePeriod = time.Hour })
 	r.Drain() // nobody is there
 }
 
@@ -537,23 +537,23 @@
 	}
 	b := newNameTable(settings.Net{Shards: 8})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var lk aggregator.Query
-		if b.readBody(text, &lk) != nil {
+		var q aggregator.Query
+		if b.readBody(text, &q) != nil {
 			return
 		}
 		var in struct{ Query string }
-		if err := json.Unmarshal(text, &in); err != nil || !utf8.Valid(text) || in.Query != string(lk.Query) {
-			t.Fatalf("%q: query is %q, %v; read as %q", text, in.Query, err, lk.Query)
+		if err := json.Unmarshal(text, &in); err != nil || !utf8.Valid(text) || in.Query != string(q.Query) {
+			t.Fatalf("%q: query is %q, %v; read as %q", text, in.Query, err, q.Query)
 		}
-		if len(lk.Subqueries) > 8 {
-			t.Fatalf("%q: %d parts", text, len(lk.Subqueries))
+		if len(q.Subqueries) > 8 {
+			t.Fatalf("%q: %d parts", text, len(q.Subqueries))
 		}
-		for i := range lk.Subqueries {
-			p := &lk.Subqueries[i]
+		for i := range q.Subqueries {
+			p := &q.Subqueries[i]
 			if p.Shard < 0 || p.Shard > 7 || !(p.Weight >= 0 && p.Weight <= 1) || !(p.Hint >= 0) {
 				t.Fatalf("%q: part %+v", text, p)
 			}
-			p.In, p.Value = i%2 == 0, lk.Query
+			p.Answered, p.Value = i%2 == 0, q.Query
 		}
 		var out struct {
 			Whole   bool
@@ -562,12 +562,12 @@
 				Value     string
 			}
 		}
-		answer := appendResults(nil, &lk, true)
-		if err := json.Unmarshal(answer, &out); err != nil || !out.Whole || len(out.Results) != (len(lk.Subqueries)+1)/2 {
+		answer := appendResults(nil, &q, true)
+		if err := json.Unmarshal(answer, &out); err != nil || !out.Whole || len(out.Results) != (len(q.Subqueries)+1)/2 {
 			t.Fatalf("answer %q: %v", answer, err)
 		}
-		if out.Results[0].Value != string(lk.Query) {
-			t.Fatalf("value %q became %q", lk.Query, out.Results[0].Value)
+		if out.Results[0].Value != string(q.Query) {
+			t.Fatalf("value %q became %q", q.Query, out.Results[0].Value)
 		}
 	})
 }
--- a/internal/dataplane/clients/connection.go
+++ b/internal/dataplane/clients/connection.go
@@ -20,51 +20,51 @@
 // sending, so the byte's time is the nearest and safe side, however late the request's turn comes.
 type connection struct {
 	net.Conn
-	of       *connections
-	opened   time.Time
-	came     atomic.Int64 // when, in ns after opened; 0 until the first byte after an answer
-	last     atomic.Int64 // the same of the last byte
-	asked    atomic.Bool  // the request is whole, and its answer is not
-	answered atomic.Bool  // some answer was given
-	ended    atomic.Bool  // by its client
-	because  atomic.Pointer[reason]
-	once     sync.Once
-
-	idle   bool // an answer is written and no request read since; guarded by of.mu, as are the next three
-	holds  bool // a query of it is held
-	served bool // one was, at any time
-	closed bool // on our side: it takes a descriptor until its client has ended too
-
-	readMu   sync.Mutex    // guards what follows, up to overrun
-	turn     *sync.Cond    // who reads or follows has stopped
-	deadline time.Time     // of reads, as net/http set it
-	reads    bool          // net/http does
-	shuts    bool          // our side has ended: nothing that comes counts
-	leaves   reason        // before its next request, and why; "" if it does not
-	follows  bool          // somebody reads on behind a request
-	quits    bool          // and is to stop
-	ahead    []byte        // what was read so
-	aheadErr error         // and how that ended
-	overrun  atomic.Bool   // more came than is kept
-	left     chan struct{} // closed once the client has left behind what it sent ahead
-
-	headMu sync.Mutex
-	head   []byte // what came since the last answer, up to the end of the first head
-	headed bool   // that is there
+	table        *connections
+	opened       time.Time
+	firstByte    atomic.Int64 // when, in ns after opened; 0 until the first byte after an answer
+	lastByte     atomic.Int64 // the same of the last byte
+	answering    atomic.Bool  // the request is whole, and its answer is not
+	answered     atomic.Bool  // some answer was given
+	clientClosed atomic.Bool  // by its client
+	endReason    atomic.Pointer[reason]
+	once         sync.Once
+
+	idle     bool // an answer is written and no request read since; guarded by of.mu, as are the next three
+	hasQuery bool // a query of it is held
+	hadQuery bool // one was, at any time
+	closed   bool // on our side: it takes a descriptor until its client has ended too
+
+	readMu        sync.Mutex    // guards what follows, up to overrun
+	readerStopped *sync.Cond    // who reads or follows has stopped
+	deadline      time.Time     // of reads, as net/http set it
+	reading       bool          // net/http does
+	closing       bool          // our side has ended: nothing that comes counts
+	leaveReason   reason        // before its next request, and why; "" if it does not
+	watching      bool          // somebody reads on behind a request
+	stopWatch     bool          // and is to stop
+	readAhead     []byte        // what was read so
+	readAheadErr  error         // and how that ended
+	overrun       atomic.Bool   // more came than is kept
+	clientLeft    chan struct{} // closed once the client has left behind what it sent ahead
+
+	headMu       sync.Mutex
+	head         []byte // what came since the last answer, up to the end of the first head
+	headComplete bool   // that is there
 }
 
 func (conn *connection) Write(b []byte) (int, error) {
-	if !conn.asked.Load() && conn.leaving() {
+	if !conn.answering.Load() && conn.closesAfterAnswer() {
 		return 0, net.ErrClosed // net/http answers half a request too; without an answer its client asks anew
 	}
-	conn.came.Store(0)
+	conn.firstByte.Store(0)
 	conn.answered.Store(true)
 	conn.headMu.Lock()
-	conn.head, conn.headed = conn.head[:0], false
+	conn.head, conn.headComplete = conn.head[:0], false
 	conn.headMu.Unlock()
 	n, err := conn.Conn.Write(b)
 	if err != nil {
-		conn.end(whyUnwritten)
+		conn.setEndReason(reasonAnswerUnwritten)
 	}
 	return n, err
 }
@@ -73,27 +73,27 @@
 func (conn *connection) recordHead(b []byte) {
 	conn.headMu.Lock()
 	defer conn.headMu.Unlock()
-	if conn.headed {
+	if conn.headComplete {
 		return
 	}
 	from := max(0, len(conn.head)-3)
 	conn.head = append(conn.head, b...)
 	for _, end := range []string{"\n\r\n", "\n\n"} {
 		if i := bytes.Index(conn.head[from:], []byte(end)); i >= 0 {
-			conn.head, conn.headed = conn.head[:from+i+1], true
+			conn.head, conn.headComplete = conn.head[:from+i+1], true
 			return
 		}
 	}
-	conn.headed = len(conn.head) > 2*mostHead // net/http has given up on it long before
+	conn.headComplete = len(conn.head) > 2*maxHeader // net/http has given up on it long before
 }
 
-// framed tells whether a request states the length of its body once at most. Of one that came along with the request
+// hasOneLength tells whether a request states the length of its body once at most. Of one that came along with the request
 // before the head is not known: it may state a length, but not come in chunks, which could stand beside one.
-func (conn *connection) framed(r *http.Request) bool {
+func (conn *connection) hasOneLength(r *http.Request) bool {
 	conn.headMu.Lock()
 	defer conn.headMu.Unlock()
 	start, rest, _ := bytes.Cut(bytes.TrimLeft(conn.head, "\r\n"), []byte{'\n'})
-	if !conn.headed || !bytes.HasPrefix(start, []byte(r.Method+" "+r.RequestURI+" ")) {
+	if !conn.headComplete || !bytes.HasPrefix(start, []byte(r.Method+" "+r.RequestURI+" ")) {
 		return len(r.TransferEncoding) == 0
 	}
 	stated := 0
@@ -108,26 +108,26 @@
 
 // arrived is when the request in hand began to come in.
 func (conn *connection) arrived() time.Time {
-	if came := conn.came.Load(); came != 0 {
+	if came := conn.firstByte.Load(); came != 0 {
 		return conn.opened.Add(time.Duration(came))
 	}
 	return time.Now() // it came along with the request before
 }
 
-// between tells that the connection may be closed without loss: its client has had its answers, and sends a request that
+// closable tells that the connection may be closed without loss: its client has had its answers, and sends a request that
 // crosses with the closing again; or it has stopped half way, and nothing whole can be lost. of.mu is held.
-func (conn *connection) between() bool {
+func (conn *connection) closable() bool {
 	switch {
-	case conn.asked.Load():
+	case conn.answering.Load():
 		return false
-	case conn.idle && conn.came.Load() == 0:
+	case conn.idle && conn.firstByte.Load() == 0:
 		return true
 	}
-	return time.Since(conn.opened)-time.Duration(conn.last.Load()) > unread
+	return time.Since(conn.opened)-time.Duration(conn.lastByte.Load()) > stallTimeout
 }
 
-// end notes why the connection ends; the first reason stands.
-func (conn *connection) end(why reason) { conn.because.CompareAndSwap(nil, &why) }
+// setEndReason notes why the connection ends; the first reason stands.
+func (conn *connection) setEndReason(why reason) { conn.endReason.CompareAndSwap(nil, &why) }
 
 // CloseWrite lets net/http end a connection so that its answer is not lost with it.
 func (conn *connection) CloseWrite() error {
@@ -141,12 +141,12 @@
 // before it: so the other side is read to its end, or for a while, and nothing that comes then counts.
 func (conn *connection) Close() error {
 	conn.once.Do(func() {
-		conn.of.closing(conn)
+		conn.table.closedByUs(conn)
 		conn.readMu.Lock()
-		conn.shuts = true
+		conn.closing = true
 		conn.readMu.Unlock()
-		if conn.ended.Load() || conn.CloseWrite() != nil {
-			conn.shut()
+		if conn.clientClosed.Load() || conn.CloseWrite() != nil {
+			conn.closeBoth()
 		} else {
 			go conn.linger()
 		}
@@ -155,22 +155,24 @@
 }
 
 func (conn *connection) linger() {
-	defer conn.shut()
+	defer conn.closeBoth()
 	conn.readMu.Lock()
-	for conn.reads || conn.follows {
+	for conn.reading || conn.watching {
 		conn.Conn.SetReadDeadline(past)
-		conn.turn.Wait()
+		conn.readerStopped.Wait()
 	}
 	conn.readMu.Unlock()
-	conn.Conn.SetReadDeadline(time.Now().Add(lingers))
-	_, _ = io.Copy(io.Discard, io.LimitReader(conn.Conn, mostUnread)) // however it ends, our side is closed next
+	conn.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(conn.Conn, maxLinger)) // however it ends, our side is closed next
 }
 
-// shut ends the other side too.
-func (conn *connection) shut() {
+// closeBoth ends the other side too.
+func (conn *connection) closeBoth() {
 	conn.Conn.Close()
-	conn.of.ended(conn)
+	conn.table.closedByBoth(conn)
 }
 
-// heard is when its last byte came.
-func (conn *connection) heard() time.Time { return conn.opened.Add(time.Duration(conn.last.Load())) }
+// lastByteAt is when its last byte came.
+func (conn *connection) lastByteAt() time.Time {
+	return conn.opened.Add(time.Duration(conn.lastByte.Load()))
+}
--- a/internal/dataplane/clients/crossings_test.go
+++ b/internal/dataplane/clients/crossings_test.go
@@ -27,9 +27,9 @@
 func (r *fixture) forgotten() {
 	r.Helper()
 	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		open, half := r.connections.left()
+		open, half := r.connections.remaining()
 		r.connections.mu.Lock()
-		held := r.connections.held
+		held := r.connections.activeQueries
 		r.connections.mu.Unlock()
 		if open == 0 && half == 0 && held == 0 {
 			return
@@ -51,7 +51,7 @@
 			r := newFixture(t, 100, nil)
 			c := r.dial()
 			io.WriteString(c, again("first")+ahead)
-			lk := r.event(policy.QueryReceived)
+			q := r.event(policy.QueryReceived)
 			switch tcp := c.Conn.(*net.TCPConn); how {
 			case "fin":
 				tcp.Close()
@@ -61,13 +61,13 @@
 				tcp.SetLinger(0)
 				tcp.Close()
 			}
-			if gone := r.event(policy.ClientDisconnected); gone != lk {
+			if gone := r.event(policy.ClientDisconnected); gone != q {
 				t.Fatalf("%s, %s: lookup %q is told to have no client", name, how, gone.ID)
 			}
 			c.Close()
 			r.forgotten()
 			if rest := r.told.Rest(); len(rest) != 0 { // of what it sent behind
-				t.Fatalf("%s, %s: %q is sent on", name, how, rest[0].Taken.ID)
+				t.Fatalf("%s, %s: %q is sent on", name, how, rest[0].ClientQuery.ID)
 			}
 		}
 	}
@@ -79,15 +79,15 @@
 	c := r.dial()
 	io.WriteString(c, again("a")+again("b"))
 	for _, id := range []string{"a", "b", "c"} {
-		lk := r.event(policy.QueryReceived)
-		if lk.ID != id {
-			t.Fatalf("got %q, expected %q", lk.ID, id)
+		q := r.event(policy.QueryReceived)
+		if q.ID != id {
+			t.Fatalf("got %q, expected %q", q.ID, id)
 		}
 		if id == "a" {
 			io.WriteString(c, again("c")[:40])
 			io.WriteString(c, again("c")[40:])
 		}
-		lk.Done <- aggregator.Reply{End: aggregator.Nacked}
+		q.Done <- aggregator.Reply{End: aggregator.Nacked}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
 			t.Fatalf("the connection ends with the answer to %q", id)
 		}
@@ -99,15 +99,15 @@
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
 	io.WriteString(c, again("first"))
-	lk := r.event(policy.QueryReceived)
-	if _, err := io.WriteString(c, strings.Repeat(again("more"), 2*mostAhead/len(again("more")))); err != nil {
+	q := r.event(policy.QueryReceived)
+	if _, err := io.WriteString(c, strings.Repeat(again("more"), 2*maxReadAhead/len(again("more")))); err != nil {
 		t.Fatal(err)
 	}
 	r.overrun()
 	other.ask()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 	other.expect(429)
-	lk.Done <- aggregator.Reply{End: aggregator.Nacked}
+	q.Done <- aggregator.Reply{End: aggregator.Nacked}
 	if head, _ := c.expect(429); head.Get("Connection") != "close" {
 		t.Fatal("the connection stays open")
 	}
@@ -160,7 +160,7 @@
 
 // A client that rests until it is told is told by an end and not by a reset. A request that crosses with it is never sent on.
 func TestWhatComesAfterTheEndIsNeverSentOn(t *testing.T) {
-	r := newFixture(t, 100, func(s *Server) { s.serveOn = time.Millisecond })
+	r := newFixture(t, 100, func(s *Server) { s.servePeriod = time.Millisecond })
 	rests, half := r.dial(), r.dial()
 	rests.ask()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
@@ -184,7 +184,7 @@
 	<-drained
 	r.forgotten()
 	if rest := r.told.Rest(); len(rest) != 0 {
-		t.Fatalf("%+v was sent on", rest[0].Taken)
+		t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 	}
 }
 
@@ -192,19 +192,19 @@
 // before.
 func TestAStopDoesNotWaitForClientsThatNeverLeave(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) {
-		s.serveOn, s.slow = time.Millisecond, time.Hour
+		s.servePeriod, s.answerTimeout = time.Millisecond, time.Hour
 		s.http.ReadTimeout, s.http.IdleTimeout = time.Hour, time.Hour
 	})
 	deaf, held, head, body := r.dial(), r.dial(), r.dial(), r.dial()
 	deaf.ask()
-	lk := r.event(policy.QueryReceived)
-	lk.Subqueries[0].In, lk.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
-	lk.Done <- aggregator.Reply{End: aggregator.Satisfied}
+	q := r.event(policy.QueryReceived)
+	q.Subqueries[0].Answered, q.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
+	q.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	if _, err := deaf.in.Peek(1); err != nil { // its answer is on its way
 		t.Fatal(err)
 	}
 	held.ask()
-	lk = r.event(policy.QueryReceived)
+	q = r.event(policy.QueryReceived)
 	text := again("trickles")
 	io.WriteString(head, text[:20])
 	io.WriteString(body, text[:len(text)-20])
@@ -217,7 +217,7 @@
 		select {
 		case <-trickles.C:
 			if sent == 2 {
-				lk.Done <- aggregator.Reply{End: aggregator.Nacked}
+				q.Done <- aggregator.Reply{End: aggregator.Nacked}
 				held.expect(429)
 			}
 			if sent < 10 {
@@ -229,7 +229,7 @@
 				t.Fatal("it ended with a lookup held")
 			}
 			if rest := r.told.Rest(); len(rest) != 0 {
-				t.Fatalf("%+v was sent on", rest[0].Taken)
+				t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 			}
 			r.forgotten()
 			return
@@ -284,8 +284,8 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	s := newConnections(10, 1<<20, zap.NewNop(), counters.New())
-	l := &connection{Conn: conn, of: s, left: make(chan struct{}), opened: time.Now(), idle: true}
-	l.turn = sync.NewCond(&l.readMu)
+	l := &connection{Conn: conn, table: s, clientLeft: make(chan struct{}), opened: time.Now(), idle: true}
+	l.readerStopped = sync.NewCond(&l.readMu)
 	s.open[l] = true
 	return l, client
 }
@@ -300,8 +300,8 @@
 	}
 	l.SetReadDeadline(past)
 	l.readMu.Lock()
-	for l.follows {
-		l.turn.Wait()
+	for l.watching {
+		l.readerStopped.Wait()
 	}
 	l.readMu.Unlock()
 	l.SetReadDeadline(time.Time{})
@@ -326,8 +326,8 @@
 		go func() { _, err := l.Read(make([]byte, 4096)); read <- err }()
 		<-set
 		l.readMu.Lock()
-		for l.follows {
-			l.turn.Wait()
+		for l.watching {
+			l.readerStopped.Wait()
 		}
 		l.readMu.Unlock()
 		io.WriteString(client, "x")
@@ -356,7 +356,7 @@
 		text <- got
 	}()
 	<-held.got // nobody knows yet
-	l.of.leave(whyShutdown)
+	l.table.closeIdle(reasonShutdown)
 	held.let <- struct{}{}
 	io.WriteString(client, request[100:])
 	<-held.got
@@ -364,7 +364,7 @@
 	if got := <-text; got != request {
 		t.Fatalf("read %q", got)
 	}
-	l.asked.Store(true)
+	l.answering.Store(true)
 	if _, err := io.WriteString(l, "HTTP/1.1 429 Too Many Requests\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -410,10 +410,10 @@
 	r := newFixture(t, 100, nil)
 	gone := map[*aggregator.Query]bool{}
 	hear := func(e aggregator.Event) {
-		if e.Kind != policy.ClientDisconnected || gone[e.Taken] {
+		if e.Kind != policy.ClientDisconnected || gone[e.ClientQuery] {
 			t.Fatalf("got %+v", e)
 		}
-		gone[e.Taken] = true
+		gone[e.ClientQuery] = true
 	}
 	answered := map[*aggregator.Query]bool{}
 	for i := range 100 {
@@ -424,7 +424,7 @@
 			hear(e) // of the round before
 		}
 		go c.Conn.(*net.TCPConn).CloseWrite()
-		e.Taken.Done <- aggregator.Reply{End: aggregator.Satisfied, Whole: true}
+		e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Satisfied, Complete: true}
 		answers := 0
 		for {
 			res, err := http.ReadResponse(c.in, nil)
@@ -437,7 +437,7 @@
 			io.Copy(io.Discard, res.Body)
 			res.Body.Close()
 			answers++
-			answered[e.Taken] = res.StatusCode == http.StatusOK
+			answered[e.ClientQuery] = res.StatusCode == http.StatusOK
 		}
 		if answers > 1 {
 			t.Fatalf("%d answers in round %d", answers, i)
@@ -448,9 +448,9 @@
 	for _, e := range r.told.Rest() {
 		hear(e)
 	}
-	for lk := range gone {
-		if answered[lk] {
-			t.Fatalf("%q was answered, and its client told to be gone", lk.ID)
+	for q := range gone {
+		if answered[q] {
+			t.Fatalf("%q was answered, and its client told to be gone", q.ID)
 		}
 	}
 }
--- a/internal/dataplane/clients/wire_test.go
+++ b/internal/dataplane/clients/wire_test.go
@@ -13,14 +13,14 @@
 // TestWireForms pins the keys of a query's body, which clients write and this package only reads.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.JSONExperiment, goldentest.Form{Name: "target", Value: new(target)})
-	read := body{Targets: targets{most: 1}}
+	read := body{Targets: targets{limit: 1}}
 	text := `{"targets":[{"partition":3,"share":0.5,"est_us":120.5,"route":"near"}],"query":{"a":1}}`
 	if err := json.Unmarshal([]byte(text), &read); err != nil {
 		t.Fatal(err)
 	}
 	partition, share := 3, 0.5
 	want := body{
-		Targets: targets{most: 1, list: []target{{Partition: &partition, Share: &share, EstUs: 120.5, Route: "near"}}},
+		Targets: targets{limit: 1, list: []target{{Partition: &partition, Share: &share, EstUs: 120.5, Route: "near"}}},
 		Query:   jsontext.Value(`{"a":1}`),
 	}
 	if !reflect.DeepEqual(read, want) {
--- a/internal/dataplane/discovery/crossings_test.go
+++ b/internal/dataplane/discovery/crossings_test.go
@@ -119,7 +119,7 @@
 	r := newBare(t, true, nil)
 	list := line(43, true, backend("s2", "SERVING"))
 	for _, text := range []string{noLength + list, chunked + chunk(list), "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + list} {
-		r.AskWhole()
+		r.RequestFullList()
 		c := r.accept("/discovery/hosts")
 		c.Write([]byte(text))
 		reset(c)
@@ -127,7 +127,7 @@
 			t.Fatalf("%q: told %+v", text, e)
 		}
 	}
-	r.AskWhole()
+	r.RequestFullList()
 	c := r.accept("/discovery/hosts")
 	c.Write([]byte(noLength + list))
 	c.Close()
@@ -139,7 +139,7 @@
 // A whole list that was asked for at the old address, or before what a watch has told since, is asked for anew.
 func TestAWholeListThatIsOvertakenIsAskedForAnew(t *testing.T) {
 	r, other := newBare(t, true, nil), newBare(t, true, nil)
-	r.AskWhole()
+	r.RequestFullList()
 	old := r.accept("/discovery/hosts")
 	if err := r.MoveTo(other.server.Addr().String()); err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 // A watch that falls silent is renewed wherever it stands: with its request taken and no head, with a head and no line, with half a
 // line, behind heartbeats. What the old one says late counts no more.
 func TestAWatchSilentAtAnyPointIsRenewed(t *testing.T) {
-	r := newBare(t, false, func(r *Client) { r.silence = 200 * time.Millisecond })
+	r := newBare(t, false, func(r *Client) { r.watchTimeout = 200 * time.Millisecond })
 	list := line(43, false, backend("s9", "SERVING"))
 	var old []*net.TCPConn
 	for _, text := range []string{"", "HTTP/1.1 200", chunked, noLength, chunked + chunk(list[:50]), chunked + chunk("\n") + chunk(list[:50])} {
@@ -197,21 +197,21 @@
 		t.Fatal(err)
 	}
 	for range 10 {
-		r.watch++
+		r.watchNo++
 		r.cancel = func() {}
-		r.hear(&note{kind: watchEnded, watch: r.watch, err: net.ErrClosed})
+		r.handle(&message{kind: messageWatchEnded, watch: r.watchNo, err: net.ErrClosed})
 	}
-	if r.wait != mostWait {
-		t.Fatalf("waits %s after ten tries, expected %s", r.wait, mostWait)
+	if r.backoff != maxBackoff {
+		t.Fatalf("waits %s after ten tries, expected %s", r.backoff, maxBackoff)
 	}
 	r.cancel = func() {}
-	r.hear(&note{kind: lineArrived, watch: r.watch})
-	heard := r.heard
-	r.ended("silent", net.ErrClosed)
-	if r.wait != firstWait {
-		t.Fatalf("waits %s after a beat, expected %s", r.wait, firstWait)
+	r.handle(&message{kind: messageLine, watch: r.watchNo})
+	heard := r.lastLineAt
+	r.retryWatch("silent", net.ErrClosed)
+	if r.backoff != minBackoff {
+		t.Fatalf("waits %s after a beat, expected %s", r.backoff, minBackoff)
 	}
-	if late := r.silence + firstWait*3/2; late >= 6*time.Second || heard.IsZero() {
+	if late := r.watchTimeout + minBackoff*3/2; late >= 6*time.Second || heard.IsZero() {
 		t.Fatalf("a new watch stands %s after the last byte, expected less than 6 s", late)
 	}
 }
@@ -225,7 +225,7 @@
 	r.server.Close()
 	c.Write([]byte(chunked + chunk("\n")))
 	reset(c)
-	for late := time.Now().Add(patience); r.count.Get("watches", "watch_ended") < 3; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(patience); r.counters.Get("watches", "watch_ended") < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("it does not try again")
 		}
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -205,7 +205,7 @@
 }
 
 func TestASilentWatchIsRenewed(t *testing.T) {
-	r := newFixture(t, false, func(r *Client) { r.silence = 600 * time.Millisecond })
+	r := newFixture(t, false, func(r *Client) { r.watchTimeout = 600 * time.Millisecond })
 	w := r.ask("/discovery/hosts?stream=1&index=41")
 	for range 8 { // heartbeats keep it
 		time.Sleep(100 * time.Millisecond)
@@ -252,7 +252,7 @@
 // place be silent too, a third one stands within that; nobody is called gone meanwhile, as nothing says so.
 func TestASilentWatchAfterASilentWatch(t *testing.T) {
 	const scale = 50 // times faster
-	r := newFixture(t, false, func(r *Client) { r.silence /= scale })
+	r := newFixture(t, false, func(r *Client) { r.watchTimeout /= scale })
 	r.ask("/discovery/hosts?stream=1&index=41").write("\n")
 	r.ask("/discovery/hosts?stream=1&index=41")
 	go func() { // the third, and on a busy machine those after it
@@ -272,7 +272,7 @@
 		}
 	}
 	// How long that is in full, with the longest waits of chance between two watches.
-	if total := time.Duration(silentHeartbeats*float64(heartbeatInterval))*3/2 + 2*firstWait*3/2; total > 8*time.Second {
+	if total := time.Duration(missedHeartbeats*float64(heartbeatInterval))*3/2 + 2*minBackoff*3/2; total > 8*time.Second {
 		t.Errorf("two silent watches take %s, expected 6 s and a drain's grace at most", total)
 	}
 }
@@ -283,12 +283,12 @@
 	w := r.ask("/discovery/hosts?stream=1&index=41")
 	w.end()
 	r.expect(policy.ListFailed)
-	r.AskWhole()
+	r.RequestFullList()
 	w = r.ask("/discovery/hosts")
 	w.write(line(60, true, backend("s8", "SERVING")))
 	w.end()
 	r.expect(policy.ListComplete, "s8:0")
-	r.AskWhole()
+	r.RequestFullList()
 	r.ask("/discovery/hosts").end()
 	r.expect(policy.ListFailed)
 	r.Subscribe(true)
@@ -303,9 +303,9 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		queue := eventqueue.New[aggregator.Event]()
-		r := &Client{tell: queue, places: map[string]int{}, kinds: map[string]int{},
+		r := &Client{listener: queue, locations: map[string]int{}, kinds: map[string]int{},
 			ids: map[string]policy.BackendID{}, version: -7}
-		err := r.take(text, false)
+		err := r.applyList(text, false)
 		told := queue.Take(nil)
 		if err != nil {
 			if len(told) > 0 || r.version != -7 {
--- a/internal/dataplane/discovery/entries.go
+++ b/internal/dataplane/discovery/entries.go
@@ -29,56 +29,56 @@
 
 type page struct {
 	Version   *int64  `json:"generation"`
-	Whole     bool    `json:"reset"`
+	Complete  bool    `json:"reset"`
 	Instances []entry `json:"instances"`
 }
 
 var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 
-// take reads a line of the register's and tells the module, unless anything in it can't be read: half a list
+// applyList reads a line of the register's and tells the module, unless anything in it can't be read: half a list
 // would be worse than an old one.
-func (r *Client) take(line []byte, known bool) error {
-	var p page
-	if err := json.Unmarshal(line, &p); err != nil {
+func (r *Client) applyList(line []byte, known bool) error {
+	var list page
+	if err := json.Unmarshal(line, &list); err != nil {
 		return err
 	}
-	if p.Version == nil {
+	if list.Version == nil {
 		return malformed("no generation")
 	}
-	e := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
+	event := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
 	switch {
 	case known:
-		e.List = policy.ListStale
-	case p.Whole:
-		e.List = policy.ListComplete
+		event.List = policy.ListStale
+	case list.Complete:
+		event.List = policy.ListComplete
 	}
-	for i := range p.Instances { // all of them, before the first one counts
-		in := &p.Instances[i]
-		phase, is := phases[in.State]
+	for i := range list.Instances { // all of them, before the first one counts
+		instance := &list.Instances[i]
+		phase, is := phases[instance.State]
 		switch {
 		case !is:
-			return malformed("searcher %q: unknown state %q", in.ID, in.State)
-		case in.ID == "":
+			return malformed("searcher %q: unknown state %q", instance.ID, instance.State)
+		case instance.ID == "":
 			return malformed("searcher without an id")
-		case phase != policy.Removed && in.Address == "":
-			return malformed("searcher %q without an address", in.ID)
-		case in.Cell < 0:
-			return malformed("searcher %q: cell %d", in.ID, in.Cell)
+		case phase != policy.Removed && instance.Address == "":
+			return malformed("searcher %q without an address", instance.ID)
+		case instance.Cell < 0:
+			return malformed("searcher %q: cell %d", instance.ID, instance.Cell)
 		// In a config it is a slip. A list that comes later is not refused for a figure: its drains count more.
-		case known && in.Weight != nil && *in.Weight <= 0:
-			return malformed("searcher %q: weight is %g, expected more than 0", in.ID, *in.Weight)
+		case known && instance.Weight != nil && *instance.Weight <= 0:
+			return malformed("searcher %q: weight is %g, expected more than 0", instance.ID, *instance.Weight)
 		}
 	}
 	before := r.ids
-	if e.List != policy.ListPatch { // those that it leaves out are gone
-		r.ids = make(map[string]policy.BackendID, len(p.Instances))
+	if event.List != policy.ListPatch { // those that it leaves out are gone
+		r.ids = make(map[string]policy.BackendID, len(list.Instances))
 	}
-	for i := range p.Instances {
-		in := &p.Instances[i]
-		phase := phases[in.State]
-		id, seen := r.ids[in.ID]
+	for i := range list.Instances {
+		instance := &list.Instances[i]
+		phase := phases[instance.State]
+		id, seen := r.ids[instance.ID]
 		if !seen {
-			id, seen = before[in.ID]
+			id, seen = before[instance.ID]
 		}
 		switch {
 		case !seen && phase == policy.Removed:
@@ -88,18 +88,18 @@
 			id = r.lastID
 		}
 		if phase == policy.Removed { // should the name come again, it is another backend's
-			delete(r.ids, in.ID)
+			delete(r.ids, instance.ID)
 		} else {
-			r.ids[in.ID] = id
+			r.ids[instance.ID] = id
 		}
-		e.Entries = append(e.Entries, policy.Entry{Backend: id, Location: policy.LocationID(number(r.places, in.Zone)),
-			Kind: number(r.kinds, in.Kind), Cell: policy.CellID(in.Cell), Phase: phase, Share: in.weight(),
-			StartedAt: in.StartedMs / 1000})
-		e.Addresses = append(e.Addresses, in.Address)
-		e.Names = append(e.Names, aggregator.Name{Backend: in.ID, Location: in.Zone})
+		event.Entries = append(event.Entries, policy.Entry{Backend: id, Location: policy.LocationID(number(r.locations, instance.Zone)),
+			Kind: number(r.kinds, instance.Kind), Cell: policy.CellID(instance.Cell), Phase: phase, Share: instance.weight(),
+			StartedAt: instance.StartedMs / 1000})
+		event.Addresses = append(event.Addresses, instance.Address)
+		event.Names = append(event.Names, aggregator.Name{Backend: instance.ID, Location: instance.Zone})
 	}
-	r.version = *p.Version
-	r.tell.Put(e)
+	r.version = *list.Version
+	r.listener.Put(event)
 	return nil
 }
 
--- a/internal/dataplane/discovery/errors.go
+++ b/internal/dataplane/discovery/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-var errSilent = errors.New("no line and no beat")
+var errWatchTimeout = errors.New("no line and no beat")
 
 // StatusError is an HTTP status other than 200 of the register.
 type StatusError int
--- a/internal/dataplane/discovery/rows.go
+++ b/internal/dataplane/discovery/rows.go
@@ -7,46 +7,46 @@
 	"io"
 )
 
-// tail is a body that remembers how it ended: a reset is no end. What came behind the last line break before one is no
+// trackedBody is a body that remembers how it ended: a reset is no end. What came behind the last line break before one is no
 // line, even where it can be read.
-type tail struct {
+type trackedBody struct {
 	io.Reader
 	err error
 }
 
-func (t *tail) Read(b []byte) (n int, err error) {
+func (t *trackedBody) Read(b []byte) (n int, err error) {
 	n, t.err = t.Reader.Read(b)
 	return n, t.err
 }
 
-func (t *tail) lines(data []byte, atEnd bool) (advance int, token []byte, err error) {
+func (t *trackedBody) lines(data []byte, atEnd bool) (advance int, token []byte, err error) {
 	if atEnd && !errors.Is(t.err, io.EOF) && bytes.IndexByte(data, '\n') < 0 {
 		return len(data), nil, nil
 	}
 	return bufio.ScanLines(data, atEnd)
 }
 
-// gathered puts together what comes in several lines, as indented lists do: the lines from the one that opens an object to
+// lineAssembler puts together what comes in several lines, as indented lists do: the lines from the one that opens an object to
 // the one that closes it. An empty line in between is a heartbeat behind a list that broke off, which is then handed on as it
 // is, to be found bad.
-type gathered struct {
-	text          []byte
-	depth         int
-	quoted, slash bool
+type lineAssembler struct {
+	text            []byte
+	depth           int
+	quoted, escaped bool
 }
 
 // add takes a line, and hands out what it completes: a list, or an empty line.
-func (g *gathered) add(line []byte) (text []byte, done bool) {
+func (g *lineAssembler) add(line []byte) (text []byte, done bool) {
 	if len(g.text) > 0 {
 		g.text = append(g.text, '\n')
 	}
 	g.text = append(g.text, line...)
 	for _, c := range line {
 		switch {
-		case g.slash:
-			g.slash = false
+		case g.escaped:
+			g.escaped = false
 		case g.quoted:
-			g.slash, g.quoted = c == '\\', c != '"'
+			g.escaped, g.quoted = c == '\\', c != '"'
 		case c == '"':
 			g.quoted = true
 		case c == '{' || c == '[':
@@ -55,9 +55,9 @@
 			g.depth--
 		}
 	}
-	if g.depth > 0 && !g.quoted && len(line) > 0 && len(g.text) <= mostLine {
+	if g.depth > 0 && !g.quoted && len(line) > 0 && len(g.text) <= maxLine {
 		return nil, false
 	}
-	text, *g = g.text, gathered{}
+	text, *g = g.text, lineAssembler{}
 	return text, true
 }
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -17,71 +17,71 @@
 
 // silent is when the watch in hand counts as silent. A new one that has said nothing at all gets half as long, in which a
 // heartbeat is due: should it be silent as the one before it was, a third one stands before drains have to be kept.
-func (r *Client) silent() time.Time {
-	if r.heard.Equal(r.since) {
-		return r.heard.Add(r.silence / 2)
+func (r *Client) watchDeadline() time.Time {
+	if r.lastLineAt.Equal(r.watchStarted) {
+		return r.lastLineAt.Add(r.watchTimeout / 2)
 	}
-	return r.heard.Add(r.silence)
+	return r.lastLineAt.Add(r.watchTimeout)
 }
 
-// look begins a watch where one is due, ends one that is silent, and tells when to look again.
-func (r *Client) look(now time.Time) time.Time {
-	silent := r.silent()
-	if r.cancel != nil && !now.Before(silent) {
-		r.ended("silent", errSilent)
+// checkWatch begins a watch where one is due, ends one that is silent, and tells when to look again.
+func (r *Client) checkWatch(now time.Time) time.Time {
+	deadline := r.watchDeadline()
+	if r.cancel != nil && !now.Before(deadline) {
+		r.retryWatch("silent", errWatchTimeout)
 	}
-	if r.on && r.cancel == nil && !now.Before(r.again) {
-		r.begin(now)
-		silent = r.silent()
+	if r.subscribed && r.cancel == nil && !now.Before(r.nextWatchAt) {
+		r.startWatch(now)
+		deadline = r.watchDeadline()
 	}
 	switch {
 	case r.cancel != nil:
-		return silent
-	case r.on:
-		return r.again
+		return deadline
+	case r.subscribed:
+		return r.nextWatchAt
 	}
 	return now.Add(time.Hour)
 }
 
-func (r *Client) begin(now time.Time) {
+func (r *Client) startWatch(now time.Time) {
 	ctx, cancel := context.WithCancel(context.Background())
-	r.watch++
-	r.cancel, r.heard, r.since = cancel, now, now
-	r.count.Add("watches", "begun", 1)
+	r.watchNo++
+	r.cancel, r.lastLineAt, r.watchStarted = cancel, now, now
+	r.counters.Add("watches", "begun", 1)
 	go func(no int, url string) {
-		r.in.Put(note{kind: watchEnded, watch: no, err: r.follow(ctx, no, url)})
-	}(r.watch, r.url+"?stream=1&index="+strconv.FormatInt(r.version, 10))
+		r.in.Put(message{kind: messageWatchEnded, watch: no, err: r.follow(ctx, no, url)})
+	}(r.watchNo, r.url+"?stream=1&index="+strconv.FormatInt(r.version, 10))
 }
 
-// drop lets go of the watch in hand; what it may still say counts no more.
-func (r *Client) drop() {
+// cancelWatch lets go of the watch in hand; what it may still say counts no more.
+func (r *Client) cancelWatch() {
 	if r.cancel != nil {
 		r.cancel()
 		r.cancel = nil
 	}
-	r.watch++
+	r.watchNo++
 }
 
-// let lets go of a watch and says why.
-func (r *Client) let(why string, err error) {
-	r.count.Add("watches", why, 1)
-	fields := []zap.Field{zap.String("peer", "register"), zap.String("reason", why), zap.Float64("lived_s", time.Since(r.since).Seconds())}
+// endWatch lets go of a watch and says why.
+func (r *Client) endWatch(reason string, err error) {
+	r.counters.Add("watches", reason, 1)
+	fields := []zap.Field{zap.String("peer", "register"), zap.String("reason", reason), zap.Float64("lived_s", time.Since(r.watchStarted).Seconds())}
 	if err != nil {
 		fields = append(fields, zap.String("text", err.Error()))
 	}
 	r.log.Info("connection ended", fields...)
-	r.drop()
+	r.cancelWatch()
 }
 
-// ended lets go of a watch that came to nothing, and sets when to try again. Aggregators that lost the register
+// retryWatch lets go of a watch that came to nothing, and sets when to try again. Aggregators that lost the register
 // together must not come back together.
-func (r *Client) ended(why string, err error) {
-	r.let(why, err)
-	r.wait = min(mostWait, max(firstWait, 2*r.wait))
-	r.again = time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(r.wait)))
-	if r.asked { // the module says when to ask again
-		r.on = false
-		r.tell.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
+func (r *Client) retryWatch(reason string, err error) {
+	r.endWatch(reason, err)
+	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
+	r.nextWatchAt = time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(r.backoff)))
+	if r.onRequest { // the module says when to ask again
+		r.subscribed = false
+		r.listener.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 	}
 }
 
@@ -105,14 +105,14 @@
 		return err
 	}
 	defer res.Body.Close()
-	body := &tail{Reader: res.Body}
+	body := &trackedBody{Reader: res.Body}
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLine)
 	lines.Split(body.lines)
-	var whole gathered
+	var assembler lineAssembler
 	for lines.Scan() {
-		if text, done := whole.add(lines.Bytes()); done {
-			r.in.Put(note{kind: lineArrived, watch: no, line: text})
+		if text, done := assembler.add(lines.Bytes()); done {
+			r.in.Put(message{kind: messageLine, watch: no, line: text})
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -123,12 +123,12 @@
 
 // fetch asks for the whole list once.
 func (r *Client) fetch(url string, version int64) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.silence)
+	ctx, cancel := context.WithTimeout(context.Background(), r.watchTimeout)
 	defer cancel()
-	n := note{kind: wholeArrived, address: url, version: version}
+	n := message{kind: messageFullList, address: url, version: version}
 	var res *http.Response
 	if res, n.err = r.get(ctx, url); n.err == nil {
-		n.line, n.err = io.ReadAll(io.LimitReader(res.Body, mostLine))
+		n.line, n.err = io.ReadAll(io.LimitReader(res.Body, maxLine))
 		res.Body.Close()
 	}
 	r.in.Put(n)
--- a/internal/dataplane/node/crossings_test.go
+++ b/internal/dataplane/node/crossings_test.go
@@ -327,7 +327,7 @@
 	if _, err := listen(ctx, l.Addr().(*net.TCPAddr)); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got %v, expected %v", err, context.Canceled)
 	}
-	if took := time.Since(began); took >= overlap {
+	if took := time.Since(began); took >= addressTimeout {
 		t.Fatalf("it took %s", took)
 	}
 }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -39,8 +39,8 @@
 	// log, the store and what Go itself opens.
 	clientShare  = 0.6
 	backendShare = 0.3
-	// overlap is how long the process before may still hold the address: the longest that a stopping aggregator takes.
-	overlap = 10 * time.Second
+	// addressTimeout is how long the process before may still hold the address: the longest that a stopping aggregator takes.
+	addressTimeout = 10 * time.Second
 )
 
 // Config is what an aggregator is told.
@@ -119,7 +119,7 @@
 
 // listen waits a while for an address in use: a restart may overlap with the end of the process before it.
 func listen(ctx context.Context, address *net.TCPAddr) (l *net.TCPListener, err error) {
-	for until := time.Now().Add(overlap); ; {
+	for until := time.Now().Add(addressTimeout); ; {
 		l, err = net.ListenTCP("tcp", address)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
 			return l, err
@@ -127,7 +127,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(overlap / 100):
+		case <-time.After(addressTimeout / 100):
 		}
 	}
 }
@@ -148,7 +148,7 @@
 // Node is an aggregator that runs.
 type Node struct {
 	log        *zap.Logger
-	count      *counters.Set
+	counters   *counters.Set
 	aggregator *aggregator.Aggregator
 	discovery  *discovery.Client
 	hub        *backends.Hub
@@ -166,24 +166,24 @@
 // context's end ends the start.
 func Start(ctx context.Context, c Config, set settings.Settings, file operatorfile.File, log *zap.Logger, count *counters.Set) (n *Node, err error) {
 	clientConnections, backendConnections, memory := c.connectionLimits()
-	n = &Node{log: log, count: count, drained: make(chan struct{})}
+	n = &Node{log: log, counters: count, drained: make(chan struct{})}
 	n.aggregator = aggregator.New(set, log, count)
 	if file.Capture.Directory != "" {
-		if err := n.capture(c.Name, set, file.Capture); err != nil {
+		if err := n.startCapture(c.Name, set, file.Capture); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
 	}
 	if file.Fleet.On {
-		if err := n.join(c, set, file); err != nil {
+		if err := n.joinFleet(c, set, file); err != nil {
 			return nil, err
 		}
 	}
-	tell := discovery.Listener(n.aggregator.In)
+	events := discovery.Listener(n.aggregator.Inbox)
 	if file.Overrides.On || file.Operators.Listen != "" {
 		n.openController(set, file)
-		tell = n.controller
+		events = n.controller
 	}
-	if n.discovery, err = discovery.New(c.Discovery, c.Known, set, tell, log, count); err != nil {
+	if n.discovery, err = discovery.New(c.Discovery, c.Known, set, events, log, count); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	if n.controller != nil {
@@ -206,8 +206,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n.hub = backends.New(set.Net, backendConnections, n.aggregator.In, log, count)
-	n.server = clients.New(set, clientConnections, memory, n.aggregator.In, log, count)
+	n.hub = backends.New(set.Net, backendConnections, n.aggregator.Inbox, log, count)
+	n.server = clients.New(set, clientConnections, memory, n.aggregator.Inbox, log, count)
 	n.drain = sync.OnceFunc(func() {
 		if n.fleet != nil {
 			go n.fleet.Release() // the next process may begin
@@ -233,23 +233,23 @@
 // openController makes the controller, with what a store has kept. Where nothing can be kept it serves all the same, and refuses
 // commands, which would end with the process though their sender thinks them kept.
 func (n *Node) openController(set settings.Settings, file operatorfile.File) {
-	lim := file.Overrides.Limits
-	lim.Indexes, lim.Shards, lim.Cells, lim.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
-	var kept aggregatorstore.Contents
+	limits := file.Overrides.Limits
+	limits.Indexes, limits.Shards, limits.Cells, limits.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
+	var contents aggregatorstore.Contents
 	persistent, in := controller.Store(nil), ""
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
-		if n.store, kept, err = aggregatorstore.Open(dir, n.log); err != nil {
+		if n.store, contents, err = aggregatorstore.Open(dir, n.log); err != nil {
 			n.log.Error("overrides can't be kept, commands are refused", zap.String("text", err.Error()))
 		}
 		persistent, in = n.store, dir
 	}
-	n.controller = controller.New(lim, n.aggregator.In, persistent, in, n.log, n.count)
-	n.controller.Restore(kept.Revision, kept.Held, kept.Recent)
+	n.controller = controller.New(limits, n.aggregator.Inbox, persistent, in, n.log, n.counters)
+	n.controller.Restore(contents.Revision, contents.Held, contents.Recent)
 }
 
-// join makes the aggregator one of a fleet.
-func (n *Node) join(c Config, set settings.Settings, file operatorfile.File) error {
+// joinFleet makes the aggregator one of a fleet.
+func (n *Node) joinFleet(c Config, set settings.Settings, file operatorfile.File) error {
 	key, err := operatorfile.ReadKey(file.Fleet.KeyFile)
 	if err != nil {
 		return fmt.Errorf("fleet.key_file: %w", err)
@@ -258,11 +258,11 @@
 		Lease: file.Fleet.Lease, Layout: set.Layout, Seed: set.Seed, HasQuotas: file.Quotas.On, Strict: file.Contracts.Strict,
 		Names: residency.NameSpace{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
 		Lines: map[string]int{fleet.LineFleet: file.Fleet.Line, fleet.LineStrict: file.Contracts.Line}}
-	if at := int(set.Location); at < len(set.Net.Locations) {
-		s.Location = set.Net.Locations[at]
+	if location := int(set.Location); location < len(set.Net.Locations) {
+		s.Location = set.Net.Locations[location]
 	}
-	for _, x := range set.Indexes {
-		s.MaxDeadline = max(s.MaxDeadline, x.Hard)
+	for _, index := range set.Indexes {
+		s.MaxDeadline = max(s.MaxDeadline, index.Hard)
 	}
 	s.FileTables.ContractsVersion, s.FileTables.QuotasVersion = file.Contracts.Version, file.Quotas.Version
 	for _, t := range file.Contracts.Tenants {
@@ -281,17 +281,17 @@
 		s.FileTables.Quotas[tenant] = t.Quota()
 		s.Lines[fleet.QuotaLine(tenant)] = t.Line
 	}
-	if n.fleet, err = fleet.New(s, n.aggregator.In, n.log, n.count); err != nil {
+	if n.fleet, err = fleet.New(s, n.aggregator.Inbox, n.log, n.counters); err != nil {
 		return err
 	}
-	n.aggregator.Guard(n.fleet)
+	n.aggregator.SetAdmission(n.fleet)
 	return nil
 }
 
-// capture lets the aggregator count its load into files.
-func (n *Node) capture(name string, set settings.Settings, file operatorfile.Capture) (err error) {
+// startCapture lets the aggregator count its load into files.
+func (n *Node) startCapture(name string, set settings.Settings, file operatorfile.Capture) (err error) {
 	n.captures, err = capture.NewWriter(capture.Store{Directory: file.Directory, MostBytes: file.MostBytes,
-		MostAge: time.Duration(file.MostAge * float64(time.Second))}, n.log, n.count)
+		MostAge: time.Duration(file.MostAge * float64(time.Second))}, n.log, n.counters)
 	if err != nil {
 		return err
 	}
@@ -322,7 +322,7 @@
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
 // Count is what the aggregator counts.
-func (n *Node) Count() *counters.Set { return n.count }
+func (n *Node) Count() *counters.Set { return n.counters }
 
 // Stop drains where that was not begun, and then ends all actors.
 func (n *Node) Stop() {
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -107,48 +107,48 @@
 // Read takes the object as text. Every figure that is stated is checked, so that a slip in a site's files
 // shows at the start and not as an odd decision later.
 func Read(seed uint64, text []byte) (Settings, error) {
-	var w wire
-	if err := json.Unmarshal(text, &w); err != nil {
+	var raw wire
+	if err := json.Unmarshal(text, &raw); err != nil {
 		return Settings{}, invalid("settings: expected a JSON object: %v", err)
 	}
-	sp, li, in, pr := &w.Specifics, &w.Limits, &w.Invariants, &w.Prices
-	s := Settings{Net: Net{Locations: w.Azs, Kinds: w.Models, Shards: sp.Slices, Streams: li.Multiplex,
-		Idle: li.IdleCloseS, Connect: li.ConnectTimeoutS, Loads: w.Stats.How == "answers" || w.Stats.How == "probe"}}
-	s.Settings = policy.Settings{
-		Seed: seed, Self: policy.AggregatorNo(w.Ordinal), Aggregators: w.Siblings, Location: policy.LocationID(w.Zone),
-		Step: w.GranularityS, OverShare: w.OverShareWorth, ListOnRequest: w.MembershipMode == "subscribe",
-		Layout: policy.Layout{Cells: sp.Places, Width: sp.Width, CallSubqueries: sp.PerCall, CallCost: sp.CallCostS},
-		Limits: policy.Limits{Cancel: li.Cancel, Probe: li.Probing, PeerMessages: li.MayTell, Hedge: li.MayDuplicate,
-			RetryAfter: li.RetryAfter, MaxAttempts: li.MostTries, MaxPending: li.MostHeld,
-			MaxRetryAfter: li.MaxRetryAfterS, ConnectTimeout: li.ConnectTimeoutS},
-		Rules: policy.Rules{AnswerSlack: in.AnswerSlackS, ListPollEvery: in.AskEveryS, SlowStartShare: in.ColdShare,
-			SlowStartS: in.ColdS, DrainGrace: in.DrainGraceS, CrashMultiple: in.FallMultiple, CrashWindowS: in.FallS,
-			RetryBudgetFree: in.FreeResends},
-		Prices: policy.Prices{CrossLocation: pr.CrossZone, Waste: pr.Waste, Probe: pr.Probe, LateFail: pr.LateFail,
-			Handshake: pr.Handshake, Connection: pr.Connection, Peer: pr.Peer, Lists: pr.MembershipMode},
-	}
-	if in.ExtraShare != nil && in.BudgetSpanS != nil {
-		s.Rules.RetryBudget, s.Rules.RetryBudgetPer, s.Rules.RetryBudgetS = true, *in.ExtraShare, *in.BudgetSpanS
-	}
-	for i, c := range w.RequestClasses {
-		effect, known := effects[c.Effect]
+	layout, limits, rules, prices := &raw.Specifics, &raw.Limits, &raw.Invariants, &raw.Prices
+	result := Settings{Net: Net{Locations: raw.Azs, Kinds: raw.Models, Shards: layout.Slices, Streams: limits.Multiplex,
+		Idle: limits.IdleCloseS, Connect: limits.ConnectTimeoutS, Loads: raw.Stats.How == "answers" || raw.Stats.How == "probe"}}
+	result.Settings = policy.Settings{
+		Seed: seed, Self: policy.AggregatorNo(raw.Ordinal), Aggregators: raw.Siblings, Location: policy.LocationID(raw.Zone),
+		Step: raw.GranularityS, OverShare: raw.OverShareWorth, ListOnRequest: raw.MembershipMode == "subscribe",
+		Layout: policy.Layout{Cells: layout.Places, Width: layout.Width, CallSubqueries: layout.PerCall, CallCost: layout.CallCostS},
+		Limits: policy.Limits{Cancel: limits.Cancel, Probe: limits.Probing, PeerMessages: limits.MayTell, Hedge: limits.MayDuplicate,
+			RetryAfter: limits.RetryAfter, MaxAttempts: limits.MostTries, MaxPending: limits.MostHeld,
+			MaxRetryAfter: limits.MaxRetryAfterS, ConnectTimeout: limits.ConnectTimeoutS},
+		Rules: policy.Rules{AnswerSlack: rules.AnswerSlackS, ListPollEvery: rules.AskEveryS, SlowStartShare: rules.ColdShare,
+			SlowStartS: rules.ColdS, DrainGrace: rules.DrainGraceS, CrashMultiple: rules.FallMultiple, CrashWindowS: rules.FallS,
+			RetryBudgetFree: rules.FreeResends},
+		Prices: policy.Prices{CrossLocation: prices.CrossZone, Waste: prices.Waste, Probe: prices.Probe, LateFail: prices.LateFail,
+			Handshake: prices.Handshake, Connection: prices.Connection, Peer: prices.Peer, Lists: prices.MembershipMode},
+	}
+	if rules.ExtraShare != nil && rules.BudgetSpanS != nil {
+		result.Rules.RetryBudget, result.Rules.RetryBudgetPer, result.Rules.RetryBudgetS = true, *rules.ExtraShare, *rules.BudgetSpanS
+	}
+	for i, class := range raw.RequestClasses {
+		effect, known := effects[class.Effect]
 		if !known {
-			return s, invalid("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, c.Effect)
+			return result, invalid("settings: requestClasses[%d].effect is %q, expected repeatable, by_key or once", i, class.Effect)
 		}
-		x := policy.IndexSettings{Soft: c.PromiseS, Hard: c.GiveUpS, Value: c.Worth, LateValue: c.LateWorth,
-			Effect: effect, DedupS: c.RepeatWindowS}
-		x.Required, x.Minimum, x.PartialValue = at(sp.ClassNeed, i), at(sp.FloorByClass, i), at(sp.ShortWorth, i)
-		if i < len(sp.SecondStep) {
-			x.SecondStep = sp.SecondStep[i]
+		index := policy.IndexSettings{Soft: class.PromiseS, Hard: class.GiveUpS, Value: class.Worth, LateValue: class.LateWorth,
+			Effect: effect, DedupS: class.RepeatWindowS}
+		index.Required, index.Minimum, index.PartialValue = valueAt(layout.ClassNeed, i), valueAt(layout.FloorByClass, i), valueAt(layout.ShortWorth, i)
+		if i < len(layout.SecondStep) {
+			index.SecondStep = layout.SecondStep[i]
 		}
-		s.Indexes = append(s.Indexes, x)
-		s.Net.Indexes = append(s.Net.Indexes, c.Name)
+		result.Indexes = append(result.Indexes, index)
+		result.Net.Indexes = append(result.Net.Indexes, class.Name)
 	}
-	for _, c := range w.Tenants {
-		s.Customers = append(s.Customers, policy.CustomerSettings{Share: c.Portion, QuotaPerS: c.QuotaPerS})
-		s.Net.Customers = append(s.Net.Customers, c.Name)
+	for _, class := range raw.Tenants {
+		result.Customers = append(result.Customers, policy.CustomerSettings{Share: class.Portion, QuotaPerS: class.QuotaPerS})
+		result.Net.Customers = append(result.Net.Customers, class.Name)
 	}
-	return s, check(&w)
+	return result, check(&raw)
 }
 
 // Numbered gives names their ids, which are their places.
@@ -160,68 +160,68 @@
 	return m
 }
 
-func at(list []float64, i int) float64 {
+func valueAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
 	}
 	return 0
 }
 
-func check(w *wire) error {
-	sp, in := &w.Specifics, &w.Invariants
+func check(raw *wire) error {
+	layout, rules := &raw.Specifics, &raw.Invariants
 	type figure struct {
 		name  string
 		value float64
 	}
-	atLeast0 := []figure{{"granularityS", w.GranularityS}, {"siblings", float64(w.Siblings)},
-		{"specifics.places", float64(sp.Places)}, {"specifics.width", float64(sp.Width)},
-		{"specifics.perCall", float64(sp.PerCall)}, {"specifics.callCostS", sp.CallCostS},
-		{"limits.mostTries", float64(w.Limits.MostTries)}, {"limits.mostHeld", float64(w.Limits.MostHeld)},
-		{"specifics.slices", float64(sp.Slices)}, {"limits.multiplex", float64(w.Limits.Multiplex)},
-		{"limits.idleCloseS", w.Limits.IdleCloseS}, {"limits.maxRetryAfterS", w.Limits.MaxRetryAfterS}, {"limits.connectTimeoutS", w.Limits.ConnectTimeoutS},
-		{"invariants.answerSlackS", in.AnswerSlackS}, {"invariants.askEveryS", in.AskEveryS},
-		{"invariants.coldS", in.ColdS}, {"invariants.drainGraceS", in.DrainGraceS},
-		{"invariants.fallMultiple", in.FallMultiple}, {"invariants.fallS", in.FallS},
-		{"invariants.freeResends", in.FreeResends}}
-	shares := []figure{{"invariants.coldShare", in.ColdShare}, {"overShareWorth", w.OverShareWorth}}
-	if in.ExtraShare != nil {
-		atLeast0 = append(atLeast0, figure{"invariants.extraShare", *in.ExtraShare})
-	}
-	if in.BudgetSpanS != nil {
-		atLeast0 = append(atLeast0, figure{"invariants.budgetSpanS", *in.BudgetSpanS})
-	}
-	for i, c := range w.RequestClasses {
+	atLeast0 := []figure{{"granularityS", raw.GranularityS}, {"siblings", float64(raw.Siblings)},
+		{"specifics.places", float64(layout.Places)}, {"specifics.width", float64(layout.Width)},
+		{"specifics.perCall", float64(layout.PerCall)}, {"specifics.callCostS", layout.CallCostS},
+		{"limits.mostTries", float64(raw.Limits.MostTries)}, {"limits.mostHeld", float64(raw.Limits.MostHeld)},
+		{"specifics.slices", float64(layout.Slices)}, {"limits.multiplex", float64(raw.Limits.Multiplex)},
+		{"limits.idleCloseS", raw.Limits.IdleCloseS}, {"limits.maxRetryAfterS", raw.Limits.MaxRetryAfterS}, {"limits.connectTimeoutS", raw.Limits.ConnectTimeoutS},
+		{"invariants.answerSlackS", rules.AnswerSlackS}, {"invariants.askEveryS", rules.AskEveryS},
+		{"invariants.coldS", rules.ColdS}, {"invariants.drainGraceS", rules.DrainGraceS},
+		{"invariants.fallMultiple", rules.FallMultiple}, {"invariants.fallS", rules.FallS},
+		{"invariants.freeResends", rules.FreeResends}}
+	shares := []figure{{"invariants.coldShare", rules.ColdShare}, {"overShareWorth", raw.OverShareWorth}}
+	if rules.ExtraShare != nil {
+		atLeast0 = append(atLeast0, figure{"invariants.extraShare", *rules.ExtraShare})
+	}
+	if rules.BudgetSpanS != nil {
+		atLeast0 = append(atLeast0, figure{"invariants.budgetSpanS", *rules.BudgetSpanS})
+	}
+	for i, c := range raw.RequestClasses {
 		name := fmt.Sprintf("requestClasses[%d].", i)
 		atLeast0 = append(atLeast0, figure{name + "promiseS", c.PromiseS}, figure{name + "giveUpS", c.GiveUpS},
 			figure{name + "worth", c.Worth}, figure{name + "repeatWindowS", c.RepeatWindowS})
 		shares = append(shares, figure{name + "lateWorth", c.LateWorth})
 	}
-	for i, c := range w.Tenants {
+	for i, c := range raw.Tenants {
 		shares = append(shares, figure{fmt.Sprintf("tenants[%d].portion", i), c.Portion})
 		atLeast0 = append(atLeast0, figure{fmt.Sprintf("tenants[%d].quotaPerS", i), c.QuotaPerS})
 	}
 	for _, list := range []struct {
 		name string
 		of   []float64
-	}{{"classNeed", sp.ClassNeed}, {"floorByClass", sp.FloorByClass}, {"shortWorth", sp.ShortWorth}} {
-		if n := len(list.of); n > 0 && n != len(w.RequestClasses) {
+	}{{"classNeed", layout.ClassNeed}, {"floorByClass", layout.FloorByClass}, {"shortWorth", layout.ShortWorth}} {
+		if n := len(list.of); n > 0 && n != len(raw.RequestClasses) {
 			return invalid("settings: specifics.%s has %d figures, expected one for each of %d classes",
-				list.name, n, len(w.RequestClasses))
+				list.name, n, len(raw.RequestClasses))
 		}
 		for i, v := range list.of {
 			shares = append(shares, figure{fmt.Sprintf("specifics.%s[%d]", list.name, i), v})
 		}
 	}
-	for i, floor := range sp.FloorByClass {
-		if need := at(sp.ClassNeed, i); need > 0 && floor > need && floor < 1 { // 1 is what a class without a floor has
+	for i, floor := range layout.FloorByClass {
+		if need := valueAt(layout.ClassNeed, i); need > 0 && floor > need && floor < 1 { // 1 is what a class without a floor has
 			return invalid("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, floor, need)
 		}
 	}
-	if n := len(sp.SecondStep); n > 0 && n != len(w.RequestClasses) {
+	if n := len(layout.SecondStep); n > 0 && n != len(raw.RequestClasses) {
 		return invalid("settings: specifics.secondStep has %d figures, expected one for each of %d classes",
-			n, len(w.RequestClasses))
+			n, len(raw.RequestClasses))
 	}
-	for i, n := range sp.SecondStep {
+	for i, n := range layout.SecondStep {
 		atLeast0 = append(atLeast0, figure{fmt.Sprintf("specifics.secondStep[%d]", i), float64(n)})
 	}
 	for _, f := range atLeast0 {
