--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -27,13 +27,13 @@
 			if err != nil {
 				return
 			}
-			go answerAll(connection, response)
+			go respondToAll(connection, response)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func answerAll(connection net.Conn, response []byte) {
+func respondToAll(connection net.Conn, response []byte) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -32,7 +32,7 @@
 	longPolls    int
 	waiting      []*waiter
 	opened       uint64             // connections opened so far
-	lastIdle     map[*hostPool]bool // pools whose only connection is idle
+	onlyIdle     map[*hostPool]bool // pools whose only connection is idle
 	extraIdle    map[*hostPool]bool // pools with an idle connection beside another one
 	nextDialAt   time.Time          // by the rate limit, if its bucket had no size
 	dialTimerSet bool               // a timer will admit calls that wait for the rate limit
@@ -42,7 +42,7 @@
 func NewConnections(limits Limits) *Connections {
 	return &Connections{
 		limits: limits, now: time.Now, concurrency: newSemaphore(),
-		pools: map[string]*hostPool{}, lastIdle: map[*hostPool]bool{}, extraIdle: map[*hostPool]bool{},
+		pools: map[string]*hostPool{}, onlyIdle: map[*hostPool]bool{}, extraIdle: map[*hostPool]bool{},
 	}
 }
 
@@ -109,7 +109,7 @@
 // closeIdle closes a connection that no call needs, if there is one: that of a worker that has another one, before the
 // only one of a worker, which its next poll would open again. The caller holds the lock.
 func (c *Connections) closeIdle() bool {
-	for _, pools := range []map[*hostPool]bool{c.extraIdle, c.lastIdle} {
+	for _, pools := range []map[*hostPool]bool{c.extraIdle, c.onlyIdle} {
 		for p := range pools {
 			p.dropIdle()
 			return true
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -26,7 +26,7 @@
 	workers     []*cluster.Worker
 	links       []*Link
 	events      *recorder
-	most        atomic.Int64 // connections seen open at once
+	maxOpen     atomic.Int64 // connections seen open at once
 	end         func()
 }
 
@@ -71,7 +71,7 @@
 func (f *budgetFixture) observeUsage() {
 	open := int64(f.connections.Usage().Open)
 	for {
-		if seen := f.most.Load(); open <= seen || f.most.CompareAndSwap(seen, open) {
+		if seen := f.maxOpen.Load(); open <= seen || f.maxOpen.CompareAndSwap(seen, open) {
 			return
 		}
 	}
@@ -115,7 +115,7 @@
 			for _, record := range f.cluster.Runs() {
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
-			convey.So(f.most.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
+			convey.So(f.maxOpen.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
 			convey.So(eventsOf[ReachabilityChange](f.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
 			convey.So(f.connections.Usage().LongPolls, convey.ShouldBeZeroValue)
 		})
@@ -129,7 +129,7 @@
 		defer f.end()
 		began := time.Now()
 		f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
-		convey.So(f.most.Load(), convey.ShouldEqual, workers)
+		convey.So(f.maxOpen.Load(), convey.ShouldEqual, workers)
 		convey.Convey("and there is a long poll at one with an attempt", func() {
 			f.links[0].Start(startCommand(0, 1))
 			await(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
@@ -161,7 +161,7 @@
 
 // allIdle reports whether each of so many workers has one connection, which no call uses.
 func allIdle(workers int) func(*Connections) bool {
-	return func(c *Connections) bool { return len(c.lastIdle) == workers }
+	return func(c *Connections) bool { return len(c.onlyIdle) == workers }
 }
 
 func TestCommandTakesTheConnectionOfAnIdleWorker(t *testing.T) {
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// orphanServer answers each call with more than its length announces, and counts its connections.
-func orphanServer(t *testing.T) (address string, accepted *atomic.Int64) {
+// trailingBytesServer answers each call with more than its length announces, and counts its connections.
+func trailingBytesServer(t *testing.T) (address string, accepted *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -63,14 +63,14 @@
 				return
 			}
 			accepted.Add(1)
-			go answerTooMuch(connection)
+			go respondWithTrailingBytes(connection)
 		}
 	}()
 	t.Cleanup(func() { listener.Close(); <-served })
 	return listener.Addr().String(), accepted
 }
 
-func answerTooMuch(connection net.Conn) {
+func respondWithTrailingBytes(connection net.Conn) {
 	const orphan = "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\n\r\n{\"reason\":\"fence\"}"
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
@@ -86,7 +86,7 @@
 
 func TestUnsolicitedResponses(t *testing.T) {
 	convey.Convey("What follows a response is not taken for that of the next call", t, func() {
-		address, accepted := orphanServer(t)
+		address, accepted := trailingBytesServer(t)
 		connections, caller := budgetedCaller(address)
 		defer connections.closeAllIdle()
 		for range 3 {
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -26,8 +26,8 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a start without a response is unclear, and nothing is sent until the worker responds", func() {
-			silent, lost := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
-			f.worker.SetFaults(silent)
+			unresponsive, lost := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
+			f.worker.SetFaults(unresponsive)
 			<-lost // no renewal is under way that will be answered
 			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -104,15 +104,15 @@
 
 // fixture is a worker with links to it.
 type fixture struct {
-	t       testing.TB
-	cluster *cluster.Cluster
-	worker  *cluster.Worker
-	events  *recorder
-	invalid atomic.Bool // the leader lease is over
-	link    *Link       // the newest one
-	client  *http.Client
-	timeout time.Duration // the shortest one of a call
-	closers []func()
+	t               testing.TB
+	cluster         *cluster.Cluster
+	worker          *cluster.Worker
+	events          *recorder
+	leaderLeaseOver atomic.Bool // the leader lease is over
+	link            *Link       // the newest one
+	client          *http.Client
+	timeout         time.Duration // the shortest one of a call
+	closers         []func()
 }
 
 const testMaxLease = 6 * time.Second
@@ -145,7 +145,7 @@
 func (f *fixture) connect(token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(f.worker.ID()), Address: f.worker.Address()},
-		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !f.invalid.Load() },
+		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !f.leaderLeaseOver.Load() },
 		Events: f.events, HTTP: f.client, MinTimeout: f.timeout,
 	})
 	f.link = link
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -11,8 +11,8 @@
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
-// usualAnswer is more than a calm worker takes to respond, and far less than any time-out.
-const usualAnswer = hedgeMargin + 50*time.Millisecond
+// usualResponseTime is more than a calm worker takes to respond, and far less than any time-out.
+const usualResponseTime = hedgeMargin + 50*time.Millisecond
 
 func TestPollWithoutResponseIsHedged(t *testing.T) {
 	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
@@ -21,7 +21,7 @@
 		f.link.Stop(StopCommand{task(5), 1})
 		stopped := await(t, f.events, anyEvent[StopResult])
 		poll := await(t, f.events, outOfBand)
-		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualAnswer)
+		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualResponseTime)
 		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)      // of the request that was answered
 		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not of its response
 		after := f.link.Counts()
@@ -37,7 +37,7 @@
 		commandedAt := time.Now()
 		f.link.Stop(StopCommand{task(0), 1})
 		convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
-		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, usualAnswer)
+		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, usualResponseTime)
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
 		time.Sleep(6 * time.Second) // the first one is executed, too
 		convey.So(f.start(startCommand(0, 2)), convey.ShouldEqual, Started)
@@ -81,7 +81,7 @@
 		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		f.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(hedgeMargin / 2)
-		f.invalid.Store(true)
+		f.leaderLeaseOver.Store(true)
 		time.Sleep(time.Second)
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 1)
 		convey.So(f.link.Counts().HedgedRequests, convey.ShouldEqual, 0)
--- a/internal/jobs/workerclient/hostpool.go
+++ b/internal/jobs/workerclient/hostpool.go
@@ -148,7 +148,7 @@
 // updateIdleSets records whether the pool can do without one of its idle connections. The caller holds the lock.
 func (p *hostPool) updateIdleSets() {
 	dispensable := p.slots > p.calls && len(p.idle) > 0
-	setMembership(p.budget.lastIdle, p, dispensable && p.slots == 1)
+	setMembership(p.budget.onlyIdle, p, dispensable && p.slots == 1)
 	setMembership(p.budget.extraIdle, p, dispensable && p.slots > 1)
 }
 
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -68,7 +68,7 @@
 		delay = busyPollInterval
 	}
 	lead := l.lease.remaining(l.now()) - l.pace.minLeaseLead // starts may be sent for so long
-	return max(earlyAnswerDelay, min(delay, lead))
+	return max(earlyResponseDelay, min(delay, lead))
 }
 
 // mayLongPoll reports whether the worker may wait for a completion before it responds: the lease lasts, and there is a connection for
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -19,7 +19,7 @@
 	link          *Link
 	now           time.Time
 	zero          time.Time     // when the worker's clock showed its first reading
-	first         time.Duration // that reading
+	firstReading  time.Duration // that reading
 	rate          float64
 	leasesExpired time.Time // when all grants sent so far have expired, whatever is still to become of their calls
 	calls         []callInFlight
@@ -33,7 +33,7 @@
 
 func newSimulation(t *rapid.T) *simulation {
 	s := &simulation{t: t, now: time.Unix(1000, 0), zero: time.Unix(900, 0)}
-	s.first = time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "first reading"))
+	s.firstReading = time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "first reading"))
 	s.rate = rapid.Float64Range(0.98, 1).Draw(t, "rate")
 	s.link = NewLink(Config{
 		MaxLease: testMaxLease, Events: newRecorder(), HTTP: http.DefaultClient,
@@ -43,7 +43,7 @@
 }
 
 func (s *simulation) clock(at time.Time) time.Duration {
-	return s.first + time.Duration(float64(at.Sub(s.zero))*s.rate)
+	return s.firstReading + time.Duration(float64(at.Sub(s.zero))*s.rate)
 }
 
 func (s *simulation) draw(most time.Duration, label string) time.Duration {
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -21,8 +21,8 @@
 	maxCommandsInFlight    = 5                       // at once; the renewal and the out-of-band poll have connections besides
 	unreachablePollTimeout = 600 * time.Millisecond  // of the renewal loop's polls while the worker is unreachable
 
-	// abandonMargin is how much longer a renewal may last than the poll made once it is overdue: usually that poll decides about the renewal.
-	abandonMargin = 100 * time.Millisecond
+	// overduePollMargin is how much longer a renewal may last than the poll made once it is overdue: usually that poll decides about the renewal.
+	overduePollMargin = 100 * time.Millisecond
 )
 
 // Config describes a link. Instance, FencingToken, MaxLease, LeaderLeaseValid, Events and HTTP are needed.
@@ -211,7 +211,7 @@
 		l.health.responded()
 	}
 	if changed && to == unreachable && l.pendingRenewal != nil {
-		l.pendingRenewal.abandon() // the renewal loop polls the worker from now on
+		l.pendingRenewal.cancel() // the renewal loop polls the worker from now on
 	}
 	l.dispatch()
 	l.mu.Unlock()
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -59,11 +59,11 @@
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
 		})
 		convey.Convey("a start that never leaves is not sent", func() {
-			f.invalid.Store(true)
+			f.leaderLeaseOver.Store(true)
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
 			f.link.Stop(StopCommand{task(1), 1})
-			f.invalid.Store(false)
+			f.leaderLeaseOver.Store(false)
 			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 		convey.Convey("a crash ends the link", func() {
@@ -222,13 +222,13 @@
 			convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
 		convey.Convey("a start that waits for a lease is given back when the leader lease ends before", func() {
-			f.events.onListing = func(Listing) { f.invalid.Store(true) }
+			f.events.onListing = func(Listing) { f.leaderLeaseOver.Store(true) }
 			f.connect(1)
 			await(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 		})
 		convey.Convey("without a leader lease nothing is sent at all", func() {
-			f.invalid.Store(true)
+			f.leaderLeaseOver.Store(true)
 			awaitReturn := f.connect(1)
 			f.link.Start(startCommand(0, 1))
 			f.link.Close()
--- a/internal/jobs/workerclient/listentries.go
+++ b/internal/jobs/workerclient/listentries.go
@@ -49,8 +49,8 @@
 // entryReader reads a list of texts and numbers that is known to be valid JSON, one element after another. Elements that
 // are null, or missing at the end, are read as zero.
 type entryReader struct {
-	rest []byte
-	err  error // the first one
+	remaining []byte
+	err       error // the first one
 }
 
 func newEntryReader(data []byte) entryReader {
@@ -59,7 +59,7 @@
 	if !opened || !ended {
 		return entryReader{err: errEntryShape}
 	}
-	return entryReader{rest: inner}
+	return entryReader{remaining: inner}
 }
 
 // nextCommand cuts off one element; it is empty for null.
@@ -67,8 +67,8 @@
 	quoted := false
 	end := 0
 scan:
-	for ; end < len(r.rest); end++ {
-		switch c := r.rest[end]; {
+	for ; end < len(r.remaining); end++ {
+		switch c := r.remaining[end]; {
 		case c == '\\':
 			end++
 		case c == '"':
@@ -77,8 +77,8 @@
 			break scan
 		}
 	}
-	element := bytes.TrimSpace(r.rest[:end])
-	r.rest = r.rest[min(end+1, len(r.rest)):]
+	element := bytes.TrimSpace(r.remaining[:end])
+	r.remaining = r.remaining[min(end+1, len(r.remaining)):]
 	if string(element) == "null" {
 		return nil
 	}
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -26,7 +26,7 @@
 	}}
 }
 
-func TestNoCallIsSentThatWaitedForItsConnectionBeyondTheLeaderLease(t *testing.T) {
+func TestCallsAreWithheldOnceTheLeaderLeaseIsOver(t *testing.T) {
 	Convey("Given a worker that is connected to slowly", t, func() {
 		var calls, over atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// first has a fault on the next calls of a kind.
+// firstReading has a fault on the next calls of a kind.
 func first(calls int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
 	return func(call cluster.Call) cluster.Fault {
 		if call != kind || calls == 0 {
@@ -171,17 +171,17 @@
 	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 		f.awaitRenewal()
-		silent := time.Now()
+		unresponsive := time.Now()
 		starts := f.worker.Calls(cluster.StartCall)
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for the response to a poll
 		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(reportedUnreachable(f), convey.ShouldBeTrue)
 		polls := minCommandTimeout + 2*minPollTimeout // those after the start
-		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+10*time.Millisecond)
+		convey.So(time.Since(unresponsive), convey.ShouldBeLessThan, polls+10*time.Millisecond)
 		f.worker.SetFaults(nil)
 		awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was cancelled
-		convey.So(time.Since(silent), convey.ShouldBeLessThan, polls+firstBackoff+20*time.Millisecond)
+		convey.So(time.Since(unresponsive), convey.ShouldBeLessThan, polls+firstBackoff+20*time.Millisecond)
 	})
 }
 
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	firstBackoff     = 150 * time.Millisecond // after a call of the renewal loop that failed
-	maxBackoff       = 600 * time.Millisecond
-	earlyAnswerDelay = 100 * time.Millisecond // after a long poll that was answered early without a completion
+	firstBackoff       = 150 * time.Millisecond // after a call of the renewal loop that failed
+	maxBackoff         = 600 * time.Millisecond
+	earlyResponseDelay = 100 * time.Millisecond // after a long poll that was answered early without a completion
 
 )
 
 // pendingRenewal is the newest call of the renewal loop.
 type pendingRenewal struct {
-	abandon  context.CancelFunc
+	cancel   context.CancelFunc
 	progress renewalProgress
 }
 
@@ -37,7 +37,7 @@
 func (r *pendingRenewal) supersede() {
 	if r.progress >= overdue {
 		r.progress = superseded
-		r.abandon()
+		r.cancel()
 	}
 }
 
@@ -141,7 +141,7 @@
 		c.request.waitMS = l.pace.longPollWait.Milliseconds()
 	}
 	c.overdueAfter = c.wait() + l.roundTrips.overdueDelay()
-	c.timeout = c.overdueAfter + l.roundTrips.pollTimeout() + abandonMargin
+	c.timeout = c.overdueAfter + l.roundTrips.pollTimeout() + overduePollMargin
 	if l.activity.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.pace.renewalAge {
 		l.addGrant(&c)
 	}
@@ -161,9 +161,9 @@
 
 // postRenewal makes a call of the renewal loop. When its response is overdue a poll is made beside it.
 func (l *Link) postRenewal(c listCall) (workerResponse, error) {
-	ctx, abandon := context.WithCancel(l.context)
-	defer abandon()
-	pending := &pendingRenewal{abandon: abandon}
+	ctx, cancel := context.WithCancel(l.context)
+	defer cancel()
+	pending := &pendingRenewal{cancel: cancel}
 	l.mu.Lock()
 	l.pendingRenewal = pending
 	l.mu.Unlock()
@@ -226,7 +226,7 @@
 		return
 	}
 	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.longPollWait/2 {
-		l.wait(earlyAnswerDelay)
+		l.wait(earlyResponseDelay)
 	}
 }
 
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -17,8 +17,8 @@
 
 // startCounter is a worker that counts how often each start was executed.
 type startCounter struct {
-	mutex sync.Mutex
-	runs  map[string]int // by the body of the call
+	mutex      sync.Mutex
+	executions map[string]int // by the body of the call
 }
 
 // ServeHTTP implements http.Handler.
@@ -28,7 +28,7 @@
 		return // a call that has not arrived completely is not executed
 	}
 	s.mutex.Lock()
-	s.runs[string(body)]++
+	s.executions[string(body)]++
 	s.mutex.Unlock()
 	w.Write([]byte(`{"clockMs":482113}`))
 }
@@ -36,7 +36,7 @@
 func (s *startCounter) count(body []byte) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.runs[string(body)]
+	return s.executions[string(body)]
 }
 
 // TestStartsOnConnectionsThatAreReset resets the connection at each byte of a start and of its response.
@@ -44,19 +44,19 @@
 	t.Parallel()
 	for name, usedBefore := range map[string]bool{"a new connection": false, "a connection used before": true} {
 		convey.Convey("A start on "+name+" is executed once at most, and is unclear", t, func() {
-			counter := &startCounter{runs: map[string]int{}}
+			counter := &startCounter{executions: map[string]int{}}
 			server := httptest.NewServer(counter)
 			relay := resettest.New(t, server.Listener.Addr().String())
-			send := func(execution uint64, cut resettest.Direction, after int) ([]byte, error) {
+			send := func(execution uint64, resetAt resettest.Direction, after int) ([]byte, error) {
 				client := NewHTTPClient()
 				defer client.CloseIdleConnections()
 				worker := newCaller(client, relay.Address(), "i-1", func() bool { return true })
-				relay.Arm(cut, resettest.NoReset)
+				relay.Arm(resetAt, resettest.NoReset)
 				if usedBefore {
 					_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 					convey.So(err, convey.ShouldBeNil)
 				}
-				relay.Arm(cut, after)
+				relay.Arm(resetAt, after)
 				command := startCommand(0, execution)
 				body := appendStart(nil, &command, time.Hour.Milliseconds(), 1)
 				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
@@ -67,24 +67,24 @@
 			convey.So(err, convey.ShouldBeNil)
 			lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
 			execution, wrong := uint64(firstAttemptNumber), 0
-			var cutInCall [][]byte
-			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
-				for after := range lengths[cut] {
+			var resetsInRequest [][]byte
+			for _, resetAt := range []resettest.Direction{resettest.Requests, resettest.Responses} {
+				for after := range lengths[resetAt] {
 					execution++
-					body, err := send(execution, cut, after)
+					body, err := send(execution, resetAt, after)
 					if err == nil || rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
 						wrong++
-						t.Errorf("reset after byte %d of way %d: %v", after, cut, err)
+						t.Errorf("reset after byte %d of way %d: %v", after, resetAt, err)
 					}
-					if cut == resettest.Requests {
-						cutInCall = append(cutInCall, body)
+					if resetAt == resettest.Requests {
+						resetsInRequest = append(resetsInRequest, body)
 					} else if counter.count(body) != 1 {
 						wrong++
 					}
 				}
 			}
 			server.Close() // returns when all that arrived has run
-			for _, body := range cutInCall {
+			for _, body := range resetsInRequest {
 				if counter.count(body) != 0 {
 					wrong++
 				}
@@ -98,7 +98,7 @@
 func TestStartsAreNotRetriedByNetHTTP(t *testing.T) {
 	t.Parallel()
 	convey.Convey("A start whose response is broken off is not retried by net/http, whatever its headers say", t, func() {
-		counter := &startCounter{runs: map[string]int{}}
+		counter := &startCounter{executions: map[string]int{}}
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			counter.ServeHTTP(w, r)
 			if r.URL.Path == startPath {
