--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -129,14 +129,14 @@
 	if err != nil {
 		return false
 	}
-	unresponsive := false
+	openAndSilent := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, err := syscall.Read(int(descriptor), one[:])
-		unresponsive = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+		openAndSilent = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 		return true
 	})
-	return err == nil && unresponsive
+	return err == nil && openAndSilent
 }
 
 // discardKeepingSlot closes a connection whose peer has closed it, and keeps its slot for the call that was about to use it.
