--- a/internal/controlplane/replication/appending.go
+++ b/internal/controlplane/replication/appending.go
@@ -122,22 +122,15 @@
 		reply(r.answer(result))
 		return
 	}
-	promised := r.currentTerm
-	r.persist(termChanges(r.group.name, promised, r.votedFor), func() {
-		r.durableTerm = promised
+	term := r.currentTerm
+	r.persist(termChanges(r.group.name, term, r.votedFor), func() {
+		r.durableTerm = term
 		reply(r.answer(r.ifStillVoting(view, result)))
 	}, func() { reply(r.answer(unavailable)) })
 }
 
 func (r *replica) appendChanges(request appendRequest) []storage.Change {
-	table := stateTable(r.group.name)
-	changes := make([]storage.Change, 0, len(request.Entries)+3)
-	if request.Snapshot {
-		changes = append(changes, storage.Change{Table: table})
-	}
-	for _, entry := range request.Entries {
-		changes = append(changes, storage.Change{Table: table, Key: entry.Key, Value: entry.Value})
-	}
+	changes := stateChanges(r.group.name, request.Snapshot, request.Entries)
 	if r.durableTerm != request.Term {
 		changes = append(changes, termChanges(r.group.name, request.Term, request.Leader)...)
 	}
--- a/internal/controlplane/replication/checker_test.go
+++ b/internal/controlplane/replication/checker_test.go
@@ -81,16 +81,16 @@
 // checkLeases verifies that no two terms of a group are valid at this moment.
 func (c *checker) checkLeases() {
 	for _, group := range c.simulation.groups {
-		var holder *simulatedNode
+		var leader *simulatedNode
 		for _, address := range c.simulation.machines {
 			n := c.simulation.nodes[address]
 			if !n.up || !n.valid(group) {
 				continue
 			}
-			if holder != nil {
-				c.failf("%s: both %s and %s hold a lease", group, holder.address, address)
+			if leader != nil {
+				c.failf("%s: both %s and %s hold a lease", group, leader.address, address)
 			}
-			holder = n
+			leader = n
 		}
 	}
 }
@@ -190,11 +190,11 @@
 			})
 		}
 	}
-	pause := 60 * time.Millisecond
+	interval := 60 * time.Millisecond
 	if s.proposeOften {
-		pause = 2 * time.Millisecond
+		interval = 2 * time.Millisecond
 	}
-	n.later(s.between(time.Millisecond, pause), func() { n.propose(record) })
+	n.later(s.between(time.Millisecond, interval), func() { n.propose(record) })
 }
 
 func (n *simulatedNode) randomEntry(index uint64) Entry {
--- a/internal/controlplane/replication/chunkfaults_test.go
+++ b/internal/controlplane/replication/chunkfaults_test.go
@@ -150,16 +150,16 @@
 	return nil
 }
 
-// checkLease looks whether no message was larger than a part, each fault has struck, and no part counted that was not in its turn.
+// check verifies that no message was larger than a chunk, that each fault was injected, and that no chunk out of order counted.
 func (f *chunkFaults) check() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	So(f.largest, ShouldBeLessThanOrEqualTo, DefaultLimits.ChunkBytes)
 	So(f.injected[lostChunk] && f.injected[unansweredChunk], ShouldBeTrue)
 	So(f.outOfOrder[oldChunk].Outcome, ShouldEqual, staleTerm)
-	for inTurn, wanted := range map[uint32]uint32{duplicatedChunk: duplicatedChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
+	for inTurn, next := range map[uint32]uint32{duplicatedChunk: duplicatedChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
 		So(f.outOfOrder[inTurn].Outcome, ShouldEqual, incomplete)
-		So(f.outOfOrder[inTurn].NextChunk, ShouldEqual, wanted)
+		So(f.outOfOrder[inTurn].NextChunk, ShouldEqual, next)
 	}
 }
 
@@ -177,25 +177,25 @@
 		})
 		defer c.close()
 		leader := c.awaitValid()
-		away := c.notLeading(leader)
-		away.stop()
+		lagging := c.notLeading(leader)
+		lagging.stop()
 		leader = c.proposeHuge(leader)
-		faults := newChunkFaults(away.address)
+		faults := newChunkFaults(lagging.address)
 		c.faults.Store(faults)
-		listener, err := net.Listen("tcp", away.address)
+		listener, err := net.Listen("tcp", lagging.address)
 		So(err, ShouldBeNil)
 		began := time.Now()
 		c.startNode(listener)
 		_, err = await(faults.midway)
 		So(err, ShouldBeNil)
 		// The leader may still hold the one batch that it could not deliver when the replica went.
-		So(len(stores[away.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, hugeChunk)
+		So(len(stores[lagging.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, hugeChunk)
 		leader.node.kill()
-		c.awaitHuge(stores[away.address])
+		c.awaitHuge(stores[lagging.address])
 		t.Logf("%d entries of %d KB, %d chunks, the largest of %d bytes: caught up after %v",
 			hugeCount(), hugeValue>>10, faults.chunks, faults.largest, time.Since(began).Round(time.Millisecond))
 
-		state := stores[away.address].Table(stateTable("jobs/x"))
+		state := stores[lagging.address].Table(stateTable("jobs/x"))
 		So(wrongEntries(state), ShouldBeEmpty)
 		if !raceflag.On && !testing.Short() {
 			So(stateBytes(state), ShouldBeGreaterThan, messageLimit)
--- a/internal/controlplane/replication/datatypes_test.go
+++ b/internal/controlplane/replication/datatypes_test.go
@@ -80,11 +80,11 @@
 
 func TestRendezvousOrder(t *testing.T) {
 	Convey("The order holds whatever the order of the addresses, and differs between groups", t, func() {
-		addresses, turned := []string{"a", "b", "c"}, []string{"c", "a", "b"}
+		addresses, rotated := []string{"a", "b", "c"}, []string{"c", "a", "b"}
 		firsts := map[string]bool{}
 		for _, group := range []string{"1", "2", "3", "4", "5", "6", "7", "8", "9", "10", "11", "12"} {
 			order := rendezvousOrder(addresses, group)
-			So(rendezvousOrder(turned, group), ShouldResemble, order)
+			So(rendezvousOrder(rotated, group), ShouldResemble, order)
 			firsts[order[0]] = true
 		}
 		So(len(firsts), ShouldEqual, 3)
--- a/internal/controlplane/replication/effects.go
+++ b/internal/controlplane/replication/effects.go
@@ -28,8 +28,8 @@
 	writes []storeWrite
 }
 
-func (c *core) call(address string, route transport.Route, limit time.Duration, request, reply any, done func(err error)) {
-	c.effects.calls = append(c.effects.calls, rpc{address, route, limit, request, reply, done})
+func (c *core) call(address string, route transport.Route, timeout time.Duration, request, reply any, done func(err error)) {
+	c.effects.calls = append(c.effects.calls, rpc{address, route, timeout, request, reply, done})
 }
 
 // offload does work outside of the steps, which would be held up by it, and then runs a step. The work must not use the core.
--- a/internal/controlplane/replication/explorationchecks_test.go
+++ b/internal/controlplane/replication/explorationchecks_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// checkLease verifies after each step what must always hold.
+// check verifies after each step what must always hold.
 func (w *exploredCluster) check(m *exploredMember) {
 	if l := m.core.group(exploredGroup).leading; l != nil {
 		w.checkLeader(l)
--- a/internal/controlplane/replication/exploredcluster_test.go
+++ b/internal/controlplane/replication/exploredcluster_test.go
@@ -275,7 +275,7 @@
 	}
 }
 
-// startCampaign asks for votes, as a candidate does whose probe was answered before.
+// campaign asks for votes, as a candidate does that has won its pre-vote.
 func (m *exploredMember) campaign() {
 	g := m.core.group(exploredGroup)
 	g.campaigning = &campaign{group: g, view: m.core.view}
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -215,9 +215,9 @@
 		return
 	}
 	slices.Sort(sent)
-	held := sent[len(sent)-quorum] + l.core.timing.LeaderLease
-	l.handle.extend(held)
-	l.deadline = max(l.deadline, held)
+	leaseEnd := sent[len(sent)-quorum] + l.core.timing.LeaderLease
+	l.handle.extend(leaseEnd)
+	l.deadline = max(l.deadline, leaseEnd)
 }
 
 // trimHistory drops the batches that all followers have.
--- a/internal/controlplane/replication/randomfaults_test.go
+++ b/internal/controlplane/replication/randomfaults_test.go
@@ -53,12 +53,12 @@
 	return s.nodes[s.view.Members[s.random.IntN(len(s.view.Members))]]
 }
 
-func (s *simulation) restart(n *simulatedNode, pause time.Duration, loseDisk bool) {
+func (s *simulation) restart(n *simulatedNode, downtime time.Duration, loseDisk bool) {
 	if !n.up {
 		return
 	}
 	n.kill(loseDisk)
-	s.at(pause, n.start)
+	s.at(downtime, n.start)
 }
 
 // loseDisk takes one disk unless as many are lost as may be borne.
--- a/internal/controlplane/replication/simulateddisk_test.go
+++ b/internal/controlplane/replication/simulateddisk_test.go
@@ -11,7 +11,7 @@
 // compactAbove makes the stores of a simulation rewrite their file every few writes.
 const compactAbove = 1 << 10
 
-// files is a simulated node's real store on a disk that can lose power.
+// simulatedStore is a simulated node's real store on a disk that can lose power.
 type simulatedStore struct {
 	disk  *storagetest.Disk
 	store *storage.FileStore
--- a/internal/controlplane/replication/snapshotfetch.go
+++ b/internal/controlplane/replication/snapshotfetch.go
@@ -1,7 +1,5 @@
 package replication
 
-import "puffinlink.example/puffinlink/internal/controlplane/storage"
-
 // snapshotFetch copies a newer state from a member in chunks, before this node asks for votes. What is fetched is a state
 // that a leader made and that the member holds, under the leader's own position; so holding it as well takes nothing
 // back, whether it is committed or not. It is no answer to that leader, so it counts in no majority by itself.
@@ -57,8 +55,8 @@
 // needed tells whether the state is still of use: there is no leader, and nothing newer here.
 func (f *snapshotFetch) needed() bool {
 	g := f.group
-	held := g.core.now < g.replica.lease.until
-	return g.leading == nil && !held && !g.core.stopping && g.core.mayCampaign(g) && g.replica.position.Before(f.position)
+	leased := g.core.now < g.replica.lease.until
+	return g.leading == nil && !leased && !g.core.stopping && g.core.mayCampaign(g) && g.replica.position.Before(f.position)
 }
 
 // install replaces the state here in one write.
@@ -68,17 +66,14 @@
 		return
 	}
 	r := &f.group.replica
-	changes := []storage.Change{{Table: stateTable(f.group.name)}}
-	for _, entry := range f.entries {
-		changes = append(changes, storage.Change{Table: stateTable(f.group.name), Key: entry.Key, Value: entry.Value})
-	}
+	changes := stateChanges(f.group.name, true, f.entries)
 	if r.currentTerm < f.position.Term {
 		r.advanceTerm(f.position.Term, "")
 	}
-	promised := r.currentTerm
-	changes = append(changes, termChanges(f.group.name, promised, r.votedFor)...)
+	term := r.currentTerm
+	changes = append(changes, termChanges(f.group.name, term, r.votedFor)...)
 	r.persist(append(changes, positionChange(f.group.name, f.position)), func() {
-		r.durableTerm, r.position = promised, f.position
+		r.durableTerm, r.position = term, f.position
 		f.finish()
 	}, f.finish)
 }
--- a/internal/controlplane/replication/storedtables.go
+++ b/internal/controlplane/replication/storedtables.go
@@ -41,6 +41,19 @@
 	}
 }
 
+// stateChanges set entries in a group's state. A snapshot clears the state first.
+func stateChanges(group string, snapshot bool, entries []Entry) []storage.Change {
+	table := stateTable(group)
+	changes := make([]storage.Change, 0, len(entries)+4) // room for the clearing, the term and the position
+	if snapshot {
+		changes = append(changes, storage.Change{Table: table})
+	}
+	for _, entry := range entries {
+		changes = append(changes, storage.Change{Table: table, Key: entry.Key, Value: entry.Value})
+	}
+	return changes
+}
+
 func positionChange(group string, position Position) storage.Change {
 	return storage.Change{Table: metaTable(group), Key: positionKey, Value: encodePosition(position)}
 }
