--- a/internal/controlplane/coordinator/metrics.go
+++ b/internal/controlplane/coordinator/metrics.go
@@ -75,15 +75,15 @@
 }
 
 func collectGroup(collected chan<- prometheus.Metric, service string, epoch uint64, summary jobreport.Summary) {
-	report := func(description *prometheus.Desc, value float64, labels ...string) {
+	send := func(description *prometheus.Desc, value float64, labels ...string) {
 		collected <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value, append([]string{service}, labels...)...)
 	}
-	report(epochDesc, float64(epoch))
-	report(jobsDesc, float64(summary.Queued), "queued")
-	report(jobsDesc, float64(summary.Running), "running")
-	report(jobsDesc, float64(summary.Ended), "ended")
-	report(waitingTasksDesc, float64(summary.WaitingTasks))
-	report(attemptsDesc, float64(summary.Attempts))
-	report(workersDesc, float64(summary.ReachableWorkers), "true")
-	report(workersDesc, float64(summary.Workers-summary.ReachableWorkers), "false")
+	send(epochDesc, float64(epoch))
+	send(jobsDesc, float64(summary.Queued), "queued")
+	send(jobsDesc, float64(summary.Running), "running")
+	send(jobsDesc, float64(summary.Ended), "ended")
+	send(waitingTasksDesc, float64(summary.WaitingTasks))
+	send(attemptsDesc, float64(summary.Attempts))
+	send(workersDesc, float64(summary.ReachableWorkers), "true")
+	send(workersDesc, float64(summary.Workers-summary.ReachableWorkers), "false")
 }
--- a/internal/controlplane/feed/configurationcatalog_test.go
+++ b/internal/controlplane/feed/configurationcatalog_test.go
@@ -10,8 +10,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// body is a configuration of some kilobytes; versions differ in their first line and in one later line.
-func body(version uint64) []byte {
+// configurationOf is a configuration of some kilobytes; versions differ in their first line and in one later line.
+func configurationOf(version uint64) []byte {
 	text := fmt.Appendf(nil, "version %d\n", version)
 	for line := range uint64(2000) {
 		if line == 1000 {
@@ -45,15 +45,15 @@
 	Convey("Given a catalog with some versions", t, func() {
 		var catalog ConfigurationCatalog
 		for version := uint64(1); version <= maxPreviousVersions+5; version++ {
-			catalog.Publish(version, body(version))
+			catalog.Publish(version, configurationOf(version))
 		}
-		newest := body(maxPreviousVersions + 5)
+		newest := configurationOf(maxPreviousVersions + 5)
 
 		Convey("a reader of a recent version gets the chunks that differ, and needs no other", func() {
 			version, offer := catalog.Offer(maxPreviousVersions, 64<<10)
 			So(version, ShouldEqual, maxPreviousVersions+5)
 			So(len(offer.Chunks), ShouldBeLessThanOrEqualTo, 4)
-			content, err := assembled(offer, body(maxPreviousVersions)).Content()
+			content, err := assembled(offer, configurationOf(maxPreviousVersions)).Content()
 			So(err, ShouldBeNil)
 			So(bytes.Equal(content, newest), ShouldBeTrue)
 		})
@@ -76,11 +76,11 @@
 			So(len(catalog.Chunks(sums, 0)), ShouldEqual, 1)
 			So(len(catalog.Chunks(sums, 1<<20)), ShouldEqual, len(sums))
 			So(catalog.Chunks([]chunks.Sum{{1}}, 1<<20), ShouldBeEmpty)
-			old := chunks.SumOf(chunks.Split(body(1))[0])
+			old := chunks.SumOf(chunks.Split(configurationOf(1))[0])
 			So(catalog.Chunks([]chunks.Sum{old}, 1<<20), ShouldBeEmpty)
 		})
 		Convey("an older version is not published", func() {
-			catalog.Publish(3, body(3))
+			catalog.Publish(3, configurationOf(3))
 			version, _ := catalog.Offer(2, 0)
 			So(version, ShouldEqual, maxPreviousVersions+5)
 		})
@@ -90,7 +90,7 @@
 func TestConfigurationsAreOfferedByChunks(t *testing.T) {
 	Convey("Given a store with a configuration", t, func() {
 		store := NewSnapshotStore()
-		store.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: body(5), Core: []string{"a:1"}})
+		store.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: configurationOf(5), Core: []string{"a:1"}})
 		update, _ := store.UpdateSince(Digest{})
 		Convey("a reader that takes chunks gets it by chunks", func() {
 			offered := store.AsOffer(update, Digest{}, 1<<20)
@@ -99,7 +99,7 @@
 			So(offered.Core, ShouldResemble, []string{"a:1"})
 			content, err := assembled(offered.Offer, nil).Content()
 			So(err, ShouldBeNil)
-			So(bytes.Equal(content, body(5)), ShouldBeTrue)
+			So(bytes.Equal(content, configurationOf(5)), ShouldBeTrue)
 			So(update.Configuration, ShouldNotBeEmpty)
 		})
 		Convey("a reader that takes no chunks, as of an older build, gets it whole", func() {
--- a/internal/controlplane/feedserver/agentset.go
+++ b/internal/controlplane/feedserver/agentset.go
@@ -19,39 +19,39 @@
 type agentSet struct {
 	mutex       sync.Mutex
 	lastContact map[string]time.Time
-	droppedAt   map[string]time.Time // when a suspicion removed an agent, so that an older contact does not add it again
+	removedAt   map[string]time.Time // when a suspicion removed an agent, so that an older contact does not add it again
 }
 
 func newAgentSet() *agentSet {
-	return &agentSet{lastContact: make(map[string]time.Time), droppedAt: make(map[string]time.Time)}
+	return &agentSet{lastContact: make(map[string]time.Time), removedAt: make(map[string]time.Time)}
 }
 
 // recordContact records that an agent called at a time, and tells whether it was added.
 func (a *agentSet) recordContact(address string, at time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if dropped, was := a.droppedAt[address]; was && !at.After(dropped) {
+	if removed, found := a.removedAt[address]; found && !at.After(removed) {
 		return false
 	}
-	last, there := a.lastContact[address]
-	if there && !at.After(last) {
+	last, active := a.lastContact[address]
+	if active && !at.After(last) {
 		return false
 	}
 	a.lastContact[address] = at
-	delete(a.droppedAt, address)
-	return !there
+	delete(a.removedAt, address)
+	return !active
 }
 
 // reportSuspect removes an agent that has not called for some time, and tells whether it did.
 func (a *agentSet) reportSuspect(address string, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	last, there := a.lastContact[address]
-	if !there || now.Sub(last) < minSilenceOfSuspect {
+	last, active := a.lastContact[address]
+	if !active || now.Sub(last) < minSilenceOfSuspect {
 		return false
 	}
 	delete(a.lastContact, address)
-	a.droppedAt[address] = now
+	a.removedAt[address] = now
 	return true
 }
 
@@ -60,7 +60,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	forgetExpired(a.lastContact, now)
-	forgetExpired(a.droppedAt, now)
+	forgetExpired(a.removedAt, now)
 	addresses := make([]string, 0, len(a.lastContact))
 	for address := range a.lastContact {
 		addresses = append(addresses, address)
--- a/internal/controlplane/feedserver/publish.go
+++ b/internal/controlplane/feedserver/publish.go
@@ -42,10 +42,10 @@
 	timer := time.NewTimer(expiryInterval)
 	defer timer.Stop()
 	due := time.Now().Add(expiryInterval)
-	scheduleBy := func(pause time.Duration) {
-		if at := time.Now().Add(pause); at.Before(due) {
+	scheduleBy := func(delay time.Duration) {
+		if at := time.Now().Add(delay); at.Before(due) {
 			due = at
-			timer.Reset(pause)
+			timer.Reset(delay)
 		}
 	}
 	for {
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -49,7 +49,7 @@
 	drainVersion uint64
 	drainOutcome jobreport.DrainOutcome
 	version      uint64       // of the configuration
-	alone        bool         // the node has no contact to a majority
+	isolated     bool         // the node has no contact to a majority
 	confirm      func() error // a quorum read
 	cancels      []jobapi.Cancel
 	// jobState is the state that leaders report of jobs, and cancelled their reply to a cancellation, if set.
@@ -104,7 +104,7 @@
 			return c.changed
 		},
 		Configuration: func() (uint64, []byte) { return c.version, nil },
-		InContact:     func() bool { return !c.alone },
+		InContact:     func() bool { return !c.isolated },
 		Confirm:       func(context.Context) error { return c.confirm() },
 		Rebuilt:       func() bool { return true },
 		Agents:        func() []string { return []string{"10.0.1.1:7661"} },
@@ -129,7 +129,7 @@
 			return err
 		}
 	}
-	content, err := c.answer(request)
+	content, err := c.reply(request)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (c *fakeCore) answer(request any) (any, error) {
+func (c *fakeCore) reply(request any) (any, error) {
 	switch asked := request.(type) {
 	case jobreport.SummaryRequest:
 		return jobreport.SummaryReply{Summary: jobreport.Summary{Running: 2}}, nil
@@ -165,9 +165,9 @@
 	return nil, errors.New("unknown request")
 }
 
-func (c *fakeCore) list(asked jobreport.JobsRequest) jobreport.JobsReply {
-	reply := jobreport.JobsReply{Total: len(c.jobs[asked.Group])}
-	for _, id := range c.jobs[asked.Group] {
+func (c *fakeCore) list(request jobreport.JobsRequest) jobreport.JobsReply {
+	reply := jobreport.JobsReply{Total: len(c.jobs[request.Group])}
+	for _, id := range c.jobs[request.Group] {
 		reply.Jobs = append(reply.Jobs, jobreport.Job{ID: job.ID(id), State: job.Running})
 	}
 	return reply
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -50,15 +50,15 @@
 // merge takes jobs of the services in turn, up to a limit.
 func (list *Jobs) merge(replies []leaderReply[jobreport.JobsReply], limit int) {
 	longest := 0
-	for _, one := range replies {
-		list.Total += one.reply.Total
-		longest = max(longest, len(one.reply.Jobs))
+	for _, result := range replies {
+		list.Total += result.reply.Total
+		longest = max(longest, len(result.reply.Jobs))
 	}
 	for position := range longest {
-		for _, one := range replies {
-			if position < len(one.reply.Jobs) && len(list.Jobs) < limit {
-				entry := one.reply.Jobs[position]
-				entry.Service = serviceOf(one.group)
+		for _, result := range replies {
+			if position < len(result.reply.Jobs) && len(list.Jobs) < limit {
+				entry := result.reply.Jobs[position]
+				entry.Service = serviceOf(result.group)
 				list.Jobs = append(list.Jobs, entry)
 			}
 		}
@@ -110,14 +110,14 @@
 func onlyMatch(id job.ID, replies []leaderReply[jobreport.JobReply]) (locatedJob, error) {
 	var matches []locatedJob
 	var failure error
-	for _, one := range replies {
+	for _, result := range replies {
 		switch {
-		case one.err != nil:
-			failure = one.err
-		case one.reply.Known:
-			detail := one.reply.Job
-			detail.Service = serviceOf(one.group)
-			matches = append(matches, locatedJob{group: one.group, detail: detail})
+		case result.err != nil:
+			failure = result.err
+		case result.reply.Known:
+			detail := result.reply.Job
+			detail.Service = serviceOf(result.group)
+			matches = append(matches, locatedJob{group: result.group, detail: detail})
 		}
 	}
 	switch {
--- a/internal/controlplane/operations/leadercalls.go
+++ b/internal/controlplane/operations/leadercalls.go
@@ -117,10 +117,10 @@
 func unanswered[Reply any](replies []leaderReply[Reply]) ([]Unanswered, error) {
 	var withoutReply []Unanswered
 	var failures []error
-	for _, one := range replies {
-		if one.err != nil {
-			withoutReply = append(withoutReply, Unanswered{Service: serviceOf(one.group), Error: one.err.Error()})
-			failures = append(failures, one.err)
+	for _, result := range replies {
+		if result.err != nil {
+			withoutReply = append(withoutReply, Unanswered{Service: serviceOf(result.group), Error: result.err.Error()})
+			failures = append(failures, result.err)
 		}
 	}
 	if len(failures) == len(replies) {
--- a/internal/controlplane/operations/staterejections_test.go
+++ b/internal/controlplane/operations/staterejections_test.go
@@ -33,30 +33,30 @@
 }
 
 func TestStateIsConfirmedBeforeRejections(t *testing.T) {
-	for _, one := range rejections() {
-		Convey("Given a request that is rejected: "+one.name, t, func() {
+	for _, rejected := range rejections() {
+		Convey("Given a request that is rejected: "+rejected.name, t, func() {
 			c := newFakeCore()
 			c.jobState, c.cancelled = job.Completed, &jobapi.Cancelled{Known: true, State: job.Completed}
-			So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, one.status)
+			So(request(c.handler(), rejected.method, rejected.path, nil).Code, ShouldEqual, rejected.status)
 
 			Convey("it is answered by 503 if no majority confirms that state", func() {
 				c.confirm = func() error { return errReset }
-				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				So(request(c.handler(), rejected.method, rejected.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
 			Convey("it is answered by 503 if contact has been lost meanwhile", func() {
 				c.confirm = func() error {
-					c.alone = true
+					c.isolated = true
 					return nil
 				}
-				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				So(request(c.handler(), rejected.method, rejected.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
 			Convey("it is answered by 503 if a majority has a newer configuration", func() {
 				c.confirm = func() error {
 					c.version++
 					return nil
 				}
-				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
-				So(request(c.handler(), one.method, one.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				So(request(c.handler(), rejected.method, rejected.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
+				So(request(c.handler(), rejected.method, rejected.path, nil).Code, ShouldEqual, http.StatusServiceUnavailable)
 			})
 		})
 	}
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -29,9 +29,9 @@
 
 func (h *Handler) members() []Member {
 	var members []Member
-	for _, one := range h.options.Sources.Members() {
+	for _, member := range h.options.Sources.Members() {
 		members = append(members, Member{
-			Address: one.Address, Alive: one.Alive, Ready: one.Ready, Heard: one.Contacted, HeardAgoMS: one.SinceContact.Milliseconds(),
+			Address: member.Address, Alive: member.Alive, Ready: member.Ready, Heard: member.Contacted, HeardAgoMS: member.SinceContact.Milliseconds(),
 		})
 	}
 	return members
--- a/internal/controlplane/operations/workers.go
+++ b/internal/controlplane/operations/workers.go
@@ -22,8 +22,8 @@
 		h.writeError(w, r, err)
 		return
 	}
-	for _, one := range replies {
-		list.Workers = append(list.Workers, one.reply.Workers...)
+	for _, result := range replies {
+		list.Workers = append(list.Workers, result.reply.Workers...)
 	}
 	control.WriteJSON(w, http.StatusOK, list)
 }
@@ -48,12 +48,12 @@
 		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, BaseVersion: onTopOf}
 	})
 	var failure error
-	for _, one := range replies {
+	for _, result := range replies {
 		switch {
-		case one.err != nil:
-			failure = lessCertain(failure, one.err)
-		case one.reply.Known:
-			h.writeDrain(w, r, one.reply)
+		case result.err != nil:
+			failure = lessCertain(failure, result.err)
+		case result.reply.Known:
+			h.writeDrain(w, r, result.reply)
 			return
 		}
 	}
--- a/internal/operatorclient/client_test.go
+++ b/internal/operatorclient/client_test.go
@@ -26,8 +26,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// says responds with a status and a text.
-func says(status int, text string) http.HandlerFunc {
+// respondWith responds with a status and a text.
+func respondWith(status int, text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		io.WriteString(w, text)
@@ -46,8 +46,8 @@
 }
 
 const (
-	enough = time.Minute
-	little = 50 * time.Millisecond
+	longTimeout  = time.Minute
+	shortTimeout = 50 * time.Millisecond
 )
 
 func TestNodesAreTriedInTurn(t *testing.T) {
@@ -58,10 +58,10 @@
 			io.WriteString(w, r.URL.Path+" "+r.URL.Query().Get("service"))
 		})
 		for _, bad := range []string{
-			closedAddress, node(says(503, "")), node(says(500, "")), node(says(408, "")), node(says(429, "")),
+			closedAddress, node(respondWith(503, "")), node(respondWith(500, "")), node(respondWith(408, "")), node(respondWith(429, "")),
 			node(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }),
 		} {
-			answer, err := do(enough, read, bad, good)
+			answer, err := do(longTimeout, read, bad, good)
 			So(err, ShouldBeNil)
 			So(string(answer.Body), ShouldEqual, "/-/status a b")
 			So(answer.Version, ShouldEqual, `"7"`)
@@ -75,12 +75,12 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		})
-		_, err := do(enough, read, closedAddress, late)
+		_, err := do(longTimeout, read, closedAddress, late)
 		So(err, ShouldBeNil)
 		So(calls.Load(), ShouldEqual, 3)
 	})
 	Convey("Redirects are followed twice", t, func() {
-		good := node(says(200, "there"))
+		good := node(respondWith(200, "there"))
 		redirects := func(to string) string {
 			return node(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Location", "http://"+to+r.URL.RequestURI())
@@ -88,10 +88,10 @@
 			})
 		}
 		second := redirects(good)
-		answer, err := do(enough, read, redirects(second))
+		answer, err := do(longTimeout, read, redirects(second))
 		So(err, ShouldBeNil)
 		So(string(answer.Body), ShouldEqual, "there")
-		_, err = do(little, read, redirects(redirects(second)))
+		_, err = do(shortTimeout, read, redirects(redirects(second)))
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, "too many redirects")
 	})
@@ -99,19 +99,19 @@
 
 func TestRejectionsAreDefinitive(t *testing.T) {
 	Convey("A definitive rejection ends the request, with the node's text", t, func() {
-		var asked atomic.Int32
-		other := node(func(http.ResponseWriter, *http.Request) { asked.Add(1) })
+		var calls atomic.Int32
+		other := node(func(http.ResponseWriter, *http.Request) { calls.Add(1) })
 		for _, status := range []int{400, 404, 409, 412, 422} {
-			_, err := do(enough, Request{Method: http.MethodDelete, Path: "/"}, node(says(status, `{"error":"no"}`)), other)
+			_, err := do(longTimeout, Request{Method: http.MethodDelete, Path: "/"}, node(respondWith(status, `{"error":"no"}`)), other)
 			var refused *RefusedError
 			So(errors.As(err, &refused), ShouldBeTrue)
 			So(refused.Status, ShouldEqual, status)
 			So(refused.Text, ShouldEqual, "no")
 		}
-		So(asked.Load(), ShouldEqual, 0)
+		So(calls.Load(), ShouldEqual, 0)
 	})
 	Convey("A text that is not a node's form of an error is shown as it is", t, func() {
-		_, err := do(enough, Request{Method: http.MethodGet, Path: "/"}, node(says(404, "page not found\n")))
+		_, err := do(longTimeout, Request{Method: http.MethodGet, Path: "/"}, node(respondWith(404, "page not found\n")))
 		So(err.Error(), ShouldEqual, "answered 404: page not found")
 	})
 }
@@ -127,16 +127,16 @@
 		{"no listener", http.MethodPost, func() string { return closedAddress }, false},
 		{"a read", http.MethodGet, func() string { return node(mute) }, false},
 		{"a drain without an answer", http.MethodPost, func() string { return node(mute) }, true},
-		{"a drain that was not done", http.MethodPost, func() string { return node(says(503, "")) }, false},
-		{"a drain that may have been done", http.MethodPost, func() string { return node(says(504, "")) }, true},
-		{"a drain during which the node failed", http.MethodPost, func() string { return node(says(500, "")) }, true},
-		{"a drain that was not read", http.MethodPost, func() string { return node(says(408, "")) }, false},
-		{"a drain that was rejected for its rate", http.MethodPost, func() string { return node(says(429, "")) }, false},
-		{"a configuration that may have been taken", http.MethodPut, func() string { return node(says(503, "")) }, true},
+		{"a drain that was not done", http.MethodPost, func() string { return node(respondWith(503, "")) }, false},
+		{"a drain that may have been done", http.MethodPost, func() string { return node(respondWith(504, "")) }, true},
+		{"a drain during which the node failed", http.MethodPost, func() string { return node(respondWith(500, "")) }, true},
+		{"a drain that was not read", http.MethodPost, func() string { return node(respondWith(408, "")) }, false},
+		{"a drain that was rejected for its rate", http.MethodPost, func() string { return node(respondWith(429, "")) }, false},
+		{"a configuration that may have been taken", http.MethodPut, func() string { return node(respondWith(503, "")) }, true},
 	}
 	for _, c := range cases {
 		Convey("The error says whether the request may have been executed: "+c.name, t, func() {
-			_, err := do(little, Request{Method: c.method, Path: "/"}, c.address())
+			_, err := do(shortTimeout, Request{Method: c.method, Path: "/"}, c.address())
 			var unreachable *UnreachableError
 			So(errors.As(err, &unreachable), ShouldBeTrue)
 			So(unreachable.MayHaveBeenExecuted, ShouldEqual, c.unclear)
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -13,15 +13,15 @@
 
 // knownProcess is an entry: an identity, and a reading of the process's clock.
 type knownProcess struct {
-	identity     Identity
-	headerText   string        // of identity, as each call needs it
-	clock        time.Duration // since the process's start
-	clockAskedAt time.Time     // when the call was sent whose response gave clock
+	identity         Identity
+	headerText       string        // of identity, as each call needs it
+	clock            time.Duration // since the process's start
+	clockRequestedAt time.Time     // when the call was sent whose response gave clock
 }
 
 // clockAfter is the process's clock at now plus delay. It may be ahead by the time that the call took which read the clock.
 func (p knownProcess) clockAfter(now time.Time, delay time.Duration) time.Duration {
-	return p.clock + now.Sub(p.clockAskedAt) + delay
+	return p.clock + now.Sub(p.clockRequestedAt) + delay
 }
 
 func newDirectory() *directory { return &directory{processes: make(map[string]knownProcess)} }
--- a/internal/transport/handle.go
+++ b/internal/transport/handle.go
@@ -73,7 +73,7 @@
 func writeReply(w http.ResponseWriter, reply any) {
 	buffer := replyBuffers.Get().(*bytes.Buffer) //nolint:forcetypeassert // the pool has nothing else
 	defer func() {
-		if buffer.Cap() <= keptBufferBytes {
+		if buffer.Cap() <= maxPooledBufferBytes {
 			replyBuffers.Put(buffer)
 		}
 	}()
--- a/internal/transport/protocol.go
+++ b/internal/transport/protocol.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	contentType       = "application/msgpack"
-	contentTypeHeader = "Content-Type"
-	maxBodyBytes      = 64 << 20
-	maxErrorBytes     = 4 << 10
-	keptBufferBytes   = 256 << 10 // larger buffers are not kept for later replies
-	idleTimeout       = 30 * time.Second
-	idlePerAddress    = 8
-	maxStartDelay     = 2 * time.Second // how long after it was sent an at-most-once call may start
+	contentType          = "application/msgpack"
+	contentTypeHeader    = "Content-Type"
+	maxBodyBytes         = 64 << 20
+	maxErrorBytes        = 4 << 10
+	maxPooledBufferBytes = 256 << 10 // larger buffers are not kept for later replies
+	idleTimeout          = 30 * time.Second
+	idlePerAddress       = 8
+	maxStartDelay        = 2 * time.Second // how long after it was sent an at-most-once call may start
 )
 
 // Caller sends one request to a node, at an address host:port, and decodes its response into reply, a pointer. It does not
--- a/internal/transport/resets_test.go
+++ b/internal/transport/resets_test.go
@@ -45,7 +45,7 @@
 	idempotentCall = transport.NewIdempotent[echo, echo]("/run-again")
 )
 
-// outcome is how one call ended, before all that was sent has been received.
+// outcome is how one call ended for its caller; the callee may not have received all of it yet.
 type outcome struct {
 	number    uint64
 	direction resettest.Direction
@@ -56,8 +56,8 @@
 // callKind is a way to send a call.
 type callKind struct {
 	name          string
-	reused        bool // on a connection that a call was sent on before, to a process that is known
-	needsIdentity bool // who serves the address, as the process is not known
+	reused        bool // the connection, to a known process
+	needsIdentity bool // of the process, which is not known, and is requested first
 	send          func(ctx context.Context, client *transport.Client, address string, request echo) (echo, error)
 }
 
@@ -77,23 +77,23 @@
 }
 
 // call makes one call whose connection is reset at an offset of one direction.
-func (b *resetFixture) call(t *testing.T, kind callKind, cut resettest.Direction, after int) outcome {
+func (b *resetFixture) call(t *testing.T, kind callKind, direction resettest.Direction, offset int) outcome {
 	client := transport.NewClientFor(testCluster)
 	defer client.Close()
-	b.relay.Arm(cut, resettest.NoReset)
+	b.relay.Arm(direction, resettest.NoReset)
 	if kind.reused {
 		if _, err := sendIdempotent(t.Context(), client, b.relay.Address(), echo{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.relay.Arm(cut, after)
+	b.relay.Arm(direction, offset)
 	b.number++
 	request := echo{Number: b.number, Text: "so that the call has some length"}
 	reply, err := kind.send(t.Context(), client, b.relay.Address(), request)
 	if err == nil && (reply.Number != request.Number || reply.Text != request.Text) {
 		t.Fatalf("reply %v to %v", reply, request)
 	}
-	return outcome{b.number, cut, after, err}
+	return outcome{b.number, direction, offset, err}
 }
 
 // TestConnectionsResetAtEachByte resets a connection at each byte of a request and of its response.
@@ -103,37 +103,37 @@
 			b := newResetFixture(t)
 			So(b.call(t, kind, resettest.Requests, resettest.NoReset).err, ShouldBeNil)
 			lengths := [2]int{b.relay.Passed(resettest.Requests), b.relay.Passed(resettest.Responses)}
-			var results []outcome
-			for _, cut := range []resettest.Direction{resettest.Requests, resettest.Responses} {
-				for after := range lengths[cut] {
-					results = append(results, b.call(t, kind, cut, after))
+			var outcomes []outcome
+			for _, direction := range []resettest.Direction{resettest.Requests, resettest.Responses} {
+				for offset := range lengths[direction] {
+					outcomes = append(outcomes, b.call(t, kind, direction, offset))
 				}
 			}
 			last := b.call(t, kind, resettest.Responses, lengths[resettest.Responses])
 			So(last.err, ShouldBeNil)
 			b.server.Close() // returns when all that was received has been executed
-			faults := 0
-			for _, r := range results {
-				if !b.satisfies(kind, r) {
-					faults++
+			violations := 0
+			for _, r := range outcomes {
+				if !b.isConsistent(kind, r) {
+					violations++
 					t.Errorf("%s, reset after byte %d of direction %d: executed %d times, error %v", kind.name, r.offset, r.direction, b.callee.executions[r.number].Load(), r.err)
 				}
 			}
-			So(faults, ShouldEqual, 0)
+			So(violations, ShouldEqual, 0)
 			So(b.callee.executions[last.number].Load(), ShouldEqual, 1)
 		})
 	}
 }
 
-// satisfies tells whether the outcome of a call whose connection was reset is right.
-func (b *resetFixture) satisfies(kind callKind, r outcome) bool {
-	runs := b.callee.executions[r.number].Load()
-	if r.err == nil || runs > 1 {
+// isConsistent tells whether the outcome of a call whose connection was reset is right.
+func (b *resetFixture) isConsistent(kind callKind, r outcome) bool {
+	executions := b.callee.executions[r.number].Load()
+	if r.err == nil || executions > 1 {
 		return false
 	}
 	if kind.needsIdentity {
-		return runs == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
+		return executions == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
 	}
 	executedBefore := r.direction == resettest.Responses // the request had arrived, and the response comes after the execution
-	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (runs == 1) == executedBefore
+	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (executions == 1) == executedBefore
 }
--- a/internal/transport/responses_test.go
+++ b/internal/transport/responses_test.go
@@ -195,15 +195,15 @@
 			t.Error("a call that has not arrived yet was reported as not executed:", err)
 		}
 		time.Sleep(time.Minute)
-		if runs := process.executions.Load(); runs != 1 {
-			t.Errorf("a call that arrived 19 s after its time-out was executed: %d executions", runs)
+		if executions := process.executions.Load(); executions != 1 {
+			t.Errorf("a call that arrived 19 s after its time-out was executed: %d executions", executions)
 		}
 		if err := send(repeatable); err == nil {
 			t.Error("a call that is delayed by 20 s got a reply within 1 s")
 		}
 		time.Sleep(time.Minute)
-		if runs := process.executions.Load(); runs != 2 {
-			t.Errorf("a late idempotent call was not executed: %d executions", runs)
+		if executions := process.executions.Load(); executions != 2 {
+			t.Errorf("a late idempotent call was not executed: %d executions", executions)
 		}
 		if err := send(countCall); err != nil || process.executions.Load() != 3 {
 			t.Error("a call in time was rejected:", err)
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -25,7 +25,7 @@
 const (
 	schedulesVariable = "PUFFINLINK_TRANSPORT_SCHEDULES" // how many schedules, instead of the usual number
 	seedVariable      = "PUFFINLINK_TRANSPORT_SEED"      // replays one schedule
-	usualSchedules    = 2100
+	defaultSchedules  = 2100
 )
 
 // Size of a schedule.
@@ -65,7 +65,7 @@
 type modelCall struct {
 	token      token
 	atMostOnce bool
-	intended   transport.Identity // the process that the caller had met at the address; zero for none
+	intended   transport.Identity // the process that the caller knew at the address; zero for none
 	reply      modelReply
 	err        error
 	executedAt []transport.Identity // in order
@@ -107,7 +107,7 @@
 		defer s.mutex.Unlock()
 		call := s.calls[request.Token]
 		call.executedAt = append(call.executedAt, self)
-		if request.Token.Number%5 == 4 { // so that refusals by a handler occur as well, and after the run
+		if request.Token.Number%5 == 4 { // so that handlers fail as well, and after the execution
 			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("failed in the middle"))
 		}
 		return modelReply{Token: request.Token, Responder: self, Bulk: request.Bulk}, nil
@@ -152,11 +152,11 @@
 
 // modelCaller is one process that calls.
 type modelCaller struct {
-	world  *simulation
-	index  int
-	number int
-	caller transport.Caller
-	known  map[string]transport.Identity // by address
+	simulation *simulation
+	index      int
+	number     int
+	caller     transport.Caller
+	known      map[string]transport.Identity // by address
 }
 
 func (c *modelCaller) run(random *rand.Rand) {
@@ -168,26 +168,26 @@
 }
 
 // call makes one call and records its outcome.
-func (c *modelCaller) call(address string, once bool, limit time.Duration, bulk int) *modelCall {
+func (c *modelCaller) call(address string, atMostOnce bool, limit time.Duration, bulk int) *modelCall {
 	c.number++
-	call := &modelCall{token: token{c.index, c.number}, atMostOnce: once, intended: c.known[address]}
-	c.world.mutex.Lock()
-	c.world.calls[call.token] = call
-	c.world.mutex.Unlock()
+	call := &modelCall{token: token{c.index, c.number}, atMostOnce: atMostOnce, intended: c.known[address]}
+	c.simulation.mutex.Lock()
+	c.simulation.calls[call.token] = call
+	c.simulation.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	request := modelRequest{Token: call.token, Bulk: make([]byte, bulk)}
-	if once {
+	if atMostOnce {
 		call.reply, call.err = modelAtMostOnceCall.Call(ctx, c.caller, address, request)
 	} else {
 		call.reply, call.err = modelIdempotentCall.Call(ctx, c.caller, address, request)
 	}
-	c.noteResponder(address, call)
+	c.updateKnown(address, call)
 	return call
 }
 
-// noteResponder records what the caller may conclude about who serves the address.
-func (c *modelCaller) noteResponder(address string, call *modelCall) {
+// updateKnown records what the caller may conclude about who serves the address.
+func (c *modelCaller) updateKnown(address string, call *modelCall) {
 	var misdirected *transport.MisdirectedError
 	switch {
 	case call.err == nil:
@@ -203,7 +203,7 @@
 	var running sync.WaitGroup
 	var callers []*modelCaller
 	for i := range modelCallers {
-		caller := &modelCaller{world: s, index: i, known: map[string]transport.Identity{}}
+		caller := &modelCaller{simulation: s, index: i, known: map[string]transport.Identity{}}
 		caller.caller = s.network.CallerOf(testCluster, fmt.Sprintf("10.1.0.%d:1", i))
 		callers = append(callers, caller)
 		own := rand.New(rand.NewPCG(random.Uint64(), 2))
@@ -224,7 +224,7 @@
 
 // TestCallsInSimulatedSchedules runs seeded schedules of calls while processes and machines replace each other at the addresses.
 func TestCallsInSimulatedSchedules(t *testing.T) {
-	first, schedules := uint64(1), usualSchedules
+	first, schedules := uint64(1), defaultSchedules
 	if text := os.Getenv(schedulesVariable); text != "" {
 		schedules, _ = strconv.Atoi(text)
 	}
@@ -232,32 +232,32 @@
 		first, _ = strconv.ParseUint(text, 10, 64)
 		schedules = 1
 	}
-	var worlds sync.WaitGroup
+	var running sync.WaitGroup
 	parts := uint64(runtime.GOMAXPROCS(0))
 	for part := range parts {
-		worlds.Go(func() {
+		running.Go(func() {
 			for seed := first + part; seed < first+uint64(schedules); seed += parts {
 				runSchedule(t, seed)
 			}
 		})
 	}
-	worlds.Wait()
+	running.Wait()
 	t.Logf("%d schedules from seed %d", schedules, first)
 }
 
 // TestSchedulesReplayFromTheirSeed runs schedules twice, as a printed seed is of use only if its schedule can be replayed.
 func TestSchedulesReplayFromTheirSeed(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
-		ends := [2]string{}
-		for i := range ends {
+		outcomes := [2]string{}
+		for i := range outcomes {
 			virtualtime.Test(t, func(*testing.T) {
 				s := newSimulation(seed)
 				s.run()
-				ends[i] = s.outcomes()
+				outcomes[i] = s.outcomes()
 			})
 		}
-		if ends[0] != ends[1] {
-			t.Errorf("seed %d has two outcomes:\n%s\n%s", seed, ends[0], ends[1])
+		if outcomes[0] != outcomes[1] {
+			t.Errorf("seed %d has two outcomes:\n%s\n%s", seed, outcomes[0], outcomes[1])
 		}
 	}
 }
