--- /dev/null
+++ b/policy/callrecords.go
@@ -0,0 +1,74 @@
+package policy
+
+import (
+	"slices"
+)
+
+// Records of calls in flight.
+
+// startCall records a call of sub to b, in this step's shared call where that has room.
+func (a *Aggregator) startCall(sub *subquery, b *backend) *call {
+	if !a.canShareCall(b) {
+		b.shared = &sharedCall{step: a.step}
+		b.callsInFlight++
+	}
+	b.shared.subqueries++
+	b.shared.live++
+	if sub.attempts == 0 {
+		sub.firstSent = a.now
+	} else {
+		a.recordTime(&a.retryTimes)
+		a.reserveRetry(sub, false)
+	}
+	b.lastUsedAt = a.now
+	b.expectAnswer(a.now)
+	c := &call{subquery: sub, no: CallNo(sub.attempts), backend: b, sent: a.now, shared: b.shared}
+	sub.attempts++
+	sub.calls = append(sub.calls, c)
+	b.calls = append(b.calls, c)
+	return c
+}
+
+// canShareCall tells whether another subquery may share the call that goes to b in this step.
+func (a *Aggregator) canShareCall(b *backend) bool {
+	return b.shared != nil && b.shared.step == a.step && b.shared.subqueries < a.settings.Layout.CallSubqueries
+}
+
+// removeCall removes a call that has ended from the records; nil if it is not among them.
+func (a *Aggregator) removeCall(id SubqueryID, no CallNo) *call {
+	sub := a.subqueries[id]
+	if sub == nil {
+		return nil
+	}
+	i := slices.IndexFunc(sub.calls, func(c *call) bool { return c.no == no })
+	if i < 0 {
+		return nil
+	}
+	c := sub.calls[i]
+	sub.calls = slices.Delete(sub.calls, i, i+1)
+	c.backend.calls = slices.DeleteFunc(c.backend.calls, func(o *call) bool { return o == c })
+	a.removeIfClosed(sub)
+	return c
+}
+
+// leaveSharedCall ends one subquery's share of a call; with the last one the call is no longer in flight.
+func (a *Aggregator) leaveSharedCall(b *backend, t *sharedCall) {
+	if t.live--; t.live == 0 {
+		b.callsInFlight--
+	}
+}
+
+// cancel emits the cancellation of a call once, where the deployment permits cancellations.
+func (a *Aggregator) cancel(c *call) {
+	if a.settings.Limits.Cancel && !c.canceled {
+		c.canceled = true
+		a.emit(Action{Kind: Cancel, Subquery: c.subquery.id, Call: c.no})
+	}
+}
+
+// cancelAll cancels all calls of a subquery.
+func (a *Aggregator) cancelAll(sub *subquery) {
+	for _, c := range sub.calls {
+		a.cancel(c)
+	}
+}
