--- a/internal/controlplane/feed/digest.go
+++ b/internal/controlplane/feed/digest.go
@@ -9,13 +9,13 @@
 
 // Digest returns the digest of the snapshot.
 func (s *Snapshot) Digest() Digest {
-	epochs := make(map[string]uint64, len(s.Leaders))
+	terms := make(map[string]uint64, len(s.Leaders))
 	for group, leader := range s.Leaders {
-		epochs[group] = leader.Term
+		terms[group] = leader.Term
 	}
 	return Digest{
 		ConfigurationVersion: s.ConfigurationVersion,
-		LeaderTerms:          epochs,
+		LeaderTerms:          terms,
 		MembersSum:           membersSum(s.Core, s.Agents),
 	}
 }
@@ -42,8 +42,8 @@
 	if other.ConfigurationVersion > d.ConfigurationVersion {
 		return true
 	}
-	for group, epoch := range other.LeaderTerms {
-		if epoch > d.LeaderTerms[group] {
+	for group, term := range other.LeaderTerms {
+		if term > d.LeaderTerms[group] {
 			return true
 		}
 	}
@@ -55,7 +55,7 @@
 	return other.MembersSum != 0 && other.MembersSum != d.MembersSum
 }
 
-// mergedWith is s with the newer configuration and the newer leaders of both. Versions and epochs never decrease.
+// mergedWith is s with the newer configuration and the newer leaders of both. Versions and terms never decrease.
 func (s Snapshot) mergedWith(update *Snapshot) Snapshot {
 	if update.ConfigurationVersion > s.ConfigurationVersion && len(update.Configuration) > 0 {
 		s.ConfigurationVersion = update.ConfigurationVersion
--- a/internal/controlplane/feed/messages.go
+++ b/internal/controlplane/feed/messages.go
@@ -5,7 +5,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. They are idempotent: what they carry has versions, epochs or ages.
+// Internal calls. They are idempotent: what they carry has versions, terms or ages.
 var (
 	// WatchCall is served by core nodes: it answers once something differs from the reader's digest.
 	WatchCall = transport.NewIdempotent[WatchRequest, WatchReply]("/feed/watch")
@@ -19,7 +19,7 @@
 	AgentContactsCall = transport.NewIdempotent[AgentContacts, AgentContacts]("/feed/front")
 )
 
-// Leader is who leads a replication group. The higher epoch is the newer one.
+// Leader is who leads a replication group. The higher term is the newer one.
 type Leader struct {
 	Address string `msgpack:"a"` // internal address, host:port
 	Term    uint64 `msgpack:"e"`
--- a/internal/controlplane/feed/snapshotstore_test.go
+++ b/internal/controlplane/feed/snapshotstore_test.go
@@ -11,11 +11,11 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func snapshotOf(version uint64, epoch uint64, core ...string) *Snapshot {
+func snapshotOf(version uint64, term uint64, core ...string) *Snapshot {
 	return &Snapshot{
 		ConfigurationVersion: version,
 		Configuration:        []byte{byte(version)},
-		Leaders:              map[string]Leader{"g": {Address: "a:1", Term: epoch}},
+		Leaders:              map[string]Leader{"g": {Address: "a:1", Term: term}},
 		Core:                 core,
 	}
 }
