--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -62,108 +62,108 @@
 }
 
 // runSchedule runs the schedule of a seed, and returns it with its violations.
-func runSchedule(t *testing.T, seed uint64, size int, broken ruleMutant) (m *faultSchedule) {
+func runSchedule(t *testing.T, seed uint64, size int, broken ruleMutant) (s *faultSchedule) {
 	t.Helper()
 	disks := foundedDisks(t, size)
 	virtualtime.Test(t, func(t *testing.T) {
-		m = &faultSchedule{
+		s = &faultSchedule{
 			seed: seed, random: rand.New(rand.NewPCG(seed, 7)), tolerated: (size - 1) / 2, lossy: isLossy(seed), machines: size,
 			failedUntil: make(map[string]time.Time), acknowledged: make(map[string]bool), groupAcknowledged: make(map[string]bool),
 			start: time.Now(), groupLastAcknowledged: time.Now(),
 		}
-		m.cluster = newCluster(t, seed, addresses(size), broken)
-		m.logged = m.observe()
-		m.leads = func(p *coreNode) replication.Handler { return &proposingLeader{m, p} }
-		m.network.SetFaults(reliableNetwork)
+		s.cluster = newCluster(t, seed, addresses(size), broken)
+		s.logged = s.observe()
+		s.leads = func(p *coreNode) replication.Handler { return &proposingLeader{s, p} }
+		s.network.SetFaults(reliableNetwork)
 		for address, disk := range disks {
-			m.startOn(address, disk)
+			s.startOn(address, disk)
 		}
-		m.checkViews()
+		s.checkViews()
 		<-time.After(time.Second)
-		if m.lossy {
-			m.network.SetFaults(lossyNetwork)
+		if s.lossy {
+			s.network.SetFaults(lossyNetwork)
 		}
-		m.run()
-		m.end()
+		s.run()
+		s.end()
 	})
-	return m
+	return s
 }
 
 // startOn starts a member on a copy of a disk.
-func (m *faultSchedule) startOn(address string, disk storage.Tables) {
+func (s *faultSchedule) startOn(address string, disk storage.Tables) {
 	memory := storage.NewMemory()
 	for table, entries := range disk {
 		for key, value := range entries {
 			memory.Write(storage.Change{Table: table, Key: key, Value: value})
 		}
 	}
-	m.cluster.start(address, "zone of "+address, memory, false)
+	s.cluster.start(address, "zone of "+address, memory, false)
 }
 
 // run injects faults while clients write, then ends all faults and checks the final state.
-func (m *faultSchedule) run() {
+func (s *faultSchedule) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), scheduleTime)
 	defer cancel()
 	var running sync.WaitGroup
 	for client := range scheduleClients {
-		running.Go(func() { m.runClient(ctx.Done(), client, rand.New(rand.NewPCG(m.seed, uint64(client)+11))) })
+		running.Go(func() { s.runClient(ctx.Done(), client, rand.New(rand.NewPCG(s.seed, uint64(client)+11))) })
 	}
-	running.Go(func() { m.watchViews(ctx) })
+	running.Go(func() { s.watchViews(ctx) })
 	for ctx.Err() == nil {
-		<-time.After(time.Duration(m.random.Int64N(int64(maxScheduledFaultGap))))
-		m.injectFault()
+		<-time.After(time.Duration(s.random.Int64N(int64(maxScheduledFaultGap))))
+		s.injectFault()
 	}
-	m.faults.Wait()
+	s.faults.Wait()
 	running.Wait()
-	m.network.SetFaults(reliableNetwork)
+	s.network.SetFaults(reliableNetwork)
 	<-time.After(catchUpTime)
-	m.checkViews()
-	m.checkEnd()
-	for _, p := range m.sorted() {
-		m.logEvent("%s: view %d %v, ready %v, leaders %v", p.address, p.manager.View().Version, p.manager.View().Members,
+	s.checkViews()
+	s.checkEnd()
+	for _, p := range s.sorted() {
+		s.logEvent("%s: view %d %v, ready %v, leaders %v", p.address, p.manager.View().Version, p.manager.View().Members,
 			p.rebuilder.Ready(), p.node.Leaders())
 	}
 }
 
 // observe records the replication nodes' logs, for the report.
-func (m *faultSchedule) observe() *observer.ObservedLogs {
+func (s *faultSchedule) observe() *observer.ObservedLogs {
 	recorder, logs := observer.New(zap.InfoLevel)
-	m.log = zap.New(recorder)
+	s.log = zap.New(recorder)
 	return logs
 }
 
 // runClient appends tokens to the register, and reads it now and then, until done is closed.
-func (m *faultSchedule) runClient(done <-chan struct{}, client int, random *rand.Rand) {
+func (s *faultSchedule) runClient(done <-chan struct{}, client int, random *rand.Rand) {
 	for i := 0; !isClosed(done); i++ {
-		if p := m.pickHealthy(random); p != nil {
-			m.runOperation(p, client, i, random.IntN(4) == 0)
+		if p := s.pickHealthy(random); p != nil {
+			s.runOperation(p, client, i, random.IntN(4) == 0)
 		}
 		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
 	}
 }
 
 // pickHealthy returns a running member that does not count as failed; nil where there is none.
-func (m *faultSchedule) pickHealthy(random *rand.Rand) *coreNode {
-	m.state.Lock()
-	defer m.state.Unlock()
+func (s *faultSchedule) pickHealthy(random *rand.Rand) *coreNode {
+	s.state.Lock()
+	defer s.state.Unlock()
 	now := time.Now()
 	var healthy []string
-	for _, address := range m.views.newest.Members {
-		if m.failedUntil[address].Before(now) && m.at(address) != nil {
+	for _, address := range s.views.newest.Members {
+		if s.failedUntil[address].Before(now) && s.at(address) != nil {
 			healthy = append(healthy, address)
 		}
 	}
 	if len(healthy) == 0 {
 		return nil
 	}
-	return m.at(healthy[random.IntN(len(healthy))])
+	return s.at(healthy[random.IntN(len(healthy))])
 }
 
 // runOperation runs one write or read at a process, and checks the reply.
-func (m *faultSchedule) runOperation(p *coreNode, client, number int, read bool) {
+func (s *faultSchedule) runOperation(p *coreNode, client, number int, read bool) {
 	ctx, cancel := context.WithTimeout(p.ctx, recoveryTimeout)
 	defer cancel()
-	before := m.acknowledgedTokens()
+	before := s.acknowledgedTokens()
 	var do operation
 	if !read {
 		do.token = fmt.Sprintf("%d-%d.", client, number)
@@ -171,110 +171,110 @@
 	value, err := do.perform(ctx, p.register)
 	switch {
 	case err == nil:
-		m.checkReply(do.token, string(value), before)
-	case m.mustSucceed(p):
-		m.violation("no reply from %s within %v: %v", p.address, recoveryTimeout, err)
+		s.checkReply(do.token, string(value), before)
+	case s.mustSucceed(p):
+		s.violation("no reply from %s within %v: %v", p.address, recoveryTimeout, err)
 	}
 }
 
 // mustSucceed tells whether a member has never failed, so that its operation had to succeed.
-func (m *faultSchedule) mustSucceed(p *coreNode) bool {
-	m.state.Lock()
-	defer m.state.Unlock()
-	_, hasFailed := m.failedUntil[p.address]
-	return !m.lossy && !hasFailed && m.views.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
+func (s *faultSchedule) mustSucceed(p *coreNode) bool {
+	s.state.Lock()
+	defer s.state.Unlock()
+	_, hasFailed := s.failedUntil[p.address]
+	return !s.lossy && !hasFailed && s.views.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
 }
 
 // checkReply wants a reply to have all tokens that were acknowledged before the request.
-func (m *faultSchedule) checkReply(token, value string, before []string) {
+func (s *faultSchedule) checkReply(token, value string, before []string) {
 	for _, earlier := range before {
 		if !containsToken(value, earlier) {
-			m.violation("%q was acknowledged, and is not in a later reply", earlier)
+			s.violation("%q was acknowledged, and is not in a later reply", earlier)
 			return
 		}
 	}
-	m.state.Lock()
-	defer m.state.Unlock()
+	s.state.Lock()
+	defer s.state.Unlock()
 	if token != "" {
-		m.acknowledged[token] = true
+		s.acknowledged[token] = true
 	}
 }
 
 func containsToken(value, token string) bool { return strings.Contains("."+value, "."+token) }
 
 // acknowledgedTokens lists the tokens of the register whose write was acknowledged so far.
-func (m *faultSchedule) acknowledgedTokens() []string {
-	m.state.Lock()
-	defer m.state.Unlock()
-	all := make([]string, 0, len(m.acknowledged))
-	for token := range m.acknowledged {
+func (s *faultSchedule) acknowledgedTokens() []string {
+	s.state.Lock()
+	defer s.state.Unlock()
+	all := make([]string, 0, len(s.acknowledged))
+	for token := range s.acknowledged {
 		all = append(all, token)
 	}
 	return all
 }
 
 // checkEnd wants a write, a read and a commit of the group after the end of all faults, with all that was ever acknowledged.
-func (m *faultSchedule) checkEnd() {
-	random := rand.New(rand.NewPCG(m.seed, 5))
+func (s *faultSchedule) checkEnd() {
+	random := rand.New(rand.NewPCG(s.seed, 5))
 	for i := range 2 {
-		p := m.pickHealthy(random)
+		p := s.pickHealthy(random)
 		if p == nil {
-			m.violation("no healthy member at the end")
+			s.violation("no healthy member at the end")
 			return
 		}
-		m.runOperation(p, scheduleClients, i, i == 1)
+		s.runOperation(p, scheduleClients, i, i == 1)
 	}
-	m.state.Lock()
-	idle := time.Since(m.groupLastAcknowledged)
-	m.state.Unlock()
+	s.state.Lock()
+	idle := time.Since(s.groupLastAcknowledged)
+	s.state.Unlock()
 	if idle > time.Second {
-		m.violation("the group has acknowledged nothing for %v at the end", idle)
+		s.violation("the group has acknowledged nothing for %v at the end", idle)
 	}
-	if !slices.Contains(m.acknowledgedTokens(), fmt.Sprintf("%d-0.", scheduleClients)) {
-		m.violation("no write succeeds at the end")
+	if !slices.Contains(s.acknowledgedTokens(), fmt.Sprintf("%d-0.", scheduleClients)) {
+		s.violation("no write succeeds at the end")
 	}
 }
 
 // violation records that the promises do not hold.
-func (m *faultSchedule) violation(format string, values ...any) {
-	m.state.Lock()
-	defer m.state.Unlock()
-	m.violations = append(m.violations, fmt.Sprintf("after %v: ", time.Since(m.start))+fmt.Sprintf(format, values...))
+func (s *faultSchedule) violation(format string, values ...any) {
+	s.state.Lock()
+	defer s.state.Unlock()
+	s.violations = append(s.violations, fmt.Sprintf("after %v: ", time.Since(s.start))+fmt.Sprintf(format, values...))
 }
 
 // watchViews checks the views of all processes at intervals.
-func (m *faultSchedule) watchViews(ctx context.Context) {
+func (s *faultSchedule) watchViews(ctx context.Context) {
 	for ctx.Err() == nil {
-		m.checkViews()
+		s.checkViews()
 		<-time.After(observationInterval)
 	}
 }
 
 // checkViews records the views of all processes. It wants one view of each version, and at most one in whose members a quorum
 // votes.
-func (m *faultSchedule) checkViews() {
+func (s *faultSchedule) checkViews() {
 	voters := make(map[uint64]int)
 	var views []replicaset.View
-	for _, p := range m.all() {
+	for _, p := range s.all() {
 		view := p.manager.View()
 		views = append(views, view)
 		if view.Has(p.address) && p.rebuilder.Ready() {
 			voters[view.Version]++
 		}
 	}
-	m.state.Lock()
-	defer m.state.Unlock()
+	s.state.Lock()
+	defer s.state.Unlock()
 	active := make(map[uint64]bool)
 	for _, view := range views {
-		if !m.views.record(view) {
-			m.violations = append(m.violations, fmt.Sprintf("two views %d", view.Version))
+		if !s.views.record(view) {
+			s.violations = append(s.violations, fmt.Sprintf("two views %d", view.Version))
 		}
 		if voters[view.Version] >= view.Quorum() {
 			active[view.Version] = true
 		}
 	}
 	if len(active) > 1 {
-		m.violations = append(m.violations, fmt.Sprintf("after %v: two active views", time.Since(m.start)))
+		s.violations = append(s.violations, fmt.Sprintf("after %v: two active views", time.Since(s.start)))
 	}
 }
 
--- a/internal/controlplane/replicaset/killable_test.go
+++ b/internal/controlplane/replicaset/killable_test.go
@@ -48,9 +48,9 @@
 }
 
 // Call implements transport.Caller.
-func (m killableCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
-	if !m.store.alive() {
+func (c killableCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+	if !c.store.alive() {
 		return rpcerror.WrapNotExecuted(errKilled, 0)
 	}
-	return m.Caller.Call(ctx, address, route, request, reply)
+	return c.Caller.Call(ctx, address, route, request, reply)
 }
--- a/internal/controlplane/replicaset/losses_test.go
+++ b/internal/controlplane/replicaset/losses_test.go
@@ -48,13 +48,13 @@
 }
 
 // report describes the schedule, its violations, faults and logs.
-func (m *faultSchedule) report() string {
+func (s *faultSchedule) report() string {
 	var logs []string
-	for _, entry := range m.logged.All() {
-		logs = append(logs, fmt.Sprintf("%v: %s %v", entry.Time.Sub(m.start), entry.Message, entry.ContextMap()))
+	for _, entry := range s.logged.All() {
+		logs = append(logs, fmt.Sprintf("%v: %s %v", entry.Time.Sub(s.start), entry.Message, entry.ContextMap()))
 	}
-	return fmt.Sprintf("seed %d (-modelseed %d):\n%s\nFaults:\n%s\nLog:\n%s", m.seed, m.seed,
-		strings.Join(m.violations, "\n"), strings.Join(m.events, "\n"), strings.Join(logs, "\n"))
+	return fmt.Sprintf("seed %d (-modelseed %d):\n%s\nFaults:\n%s\nLog:\n%s", s.seed, s.seed,
+		strings.Join(s.violations, "\n"), strings.Join(s.events, "\n"), strings.Join(logs, "\n"))
 }
 
 // As long as no more machines fail than is tolerated, nothing acknowledged is lost, a write succeeds within the time to catch
@@ -62,9 +62,9 @@
 func TestLossesAndReplacements(t *testing.T) {
 	if *scheduleSeed >= 0 {
 		seed := uint64(*scheduleSeed)
-		m := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
-		t.Log(m.report())
-		if len(m.violations) > 0 {
+		s := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
+		t.Log(s.report())
+		if len(s.violations) > 0 {
 			t.Fail()
 		}
 		return
@@ -77,12 +77,12 @@
 			t.Run(strconv.FormatUint(worker, 10), func(t *testing.T) {
 				t.Parallel()
 				for seed := worker; seed < total; seed += scheduleWorkers {
-					m := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
-					if len(m.violations) > 0 {
-						t.Error(m.report())
+					s := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
+					if len(s.violations) > 0 {
+						t.Error(s.report())
 					}
-					acknowledged.Add(int64(len(m.acknowledged) + len(m.groupAcknowledged)))
-					replaced.Add(int64(m.views.newest.Version - 1))
+					acknowledged.Add(int64(len(s.acknowledged) + len(s.groupAcknowledged)))
+					replaced.Add(int64(s.views.newest.Version - 1))
 				}
 			})
 		}
@@ -114,8 +114,8 @@
 					if isLossy(seed) {
 						continue // on such a network the defect may not be what is found
 					}
-					if m := runSchedule(t, seed, scheduleSize(seed), defect.broken); len(m.violations) > 0 {
-						t.Logf("%s: seed %d: %s", defect.broken.name, seed, m.violations[0])
+					if s := runSchedule(t, seed, scheduleSize(seed), defect.broken); len(s.violations) > 0 {
+						t.Logf("%s: seed %d: %s", defect.broken.name, seed, s.violations[0])
 						return
 					}
 				}
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -18,17 +18,17 @@
 
 // Elected implements replication.Handler: the state must have all that was acknowledged, and from now on the leader proposes.
 func (l *proposingLeader) Elected(term *replication.Term, state map[string][]byte) {
-	m := l.schedule
-	m.state.Lock()
-	for key := range m.groupAcknowledged {
+	s := l.schedule
+	s.state.Lock()
+	for key := range s.groupAcknowledged {
 		if _, found := state[key]; !found {
-			m.violations = append(m.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was acknowledged",
-				time.Since(m.start), term.Number(), l.node.address, key))
+			s.violations = append(s.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was acknowledged",
+				time.Since(s.start), term.Number(), l.node.address, key))
 			break
 		}
 	}
-	m.state.Unlock()
-	m.tasks.Go(func() { l.lead(term) })
+	s.state.Unlock()
+	s.tasks.Go(func() { l.lead(term) })
 }
 
 // Deposed implements replication.Handler.
@@ -49,10 +49,10 @@
 }
 
 // groupCommitted records that an entry was committed and acknowledged.
-func (m *faultSchedule) groupCommitted(key string) {
-	m.state.Lock()
-	defer m.state.Unlock()
-	m.groupAcknowledged[key] = true
-	m.slowest = max(m.slowest, time.Since(m.groupLastAcknowledged))
-	m.groupLastAcknowledged = time.Now()
+func (s *faultSchedule) groupCommitted(key string) {
+	s.state.Lock()
+	defer s.state.Unlock()
+	s.groupAcknowledged[key] = true
+	s.slowest = max(s.slowest, time.Since(s.groupLastAcknowledged))
+	s.groupLastAcknowledged = time.Now()
 }
