--- a/internal/controlplane/configuration/run_test.go
+++ b/internal/controlplane/configuration/run_test.go
@@ -27,7 +27,7 @@
 		var running sync.WaitGroup
 		running.Go(func() { here.Run(ctx) })
 		synctest.Wait()
-		Convey("A change that nobody told of is known after the next read", t, func() {
+		Convey("An update that nobody announced is cached after the next read", t, func() {
 			So(here.Fresh(time.Millisecond), ShouldBeTrue)
 			So(elsewhere.Put(ctx, 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			changed := here.Changed()
@@ -37,7 +37,7 @@
 			version, _ := here.Current()
 			So(version, ShouldEqual, 5)
 		})
-		Convey("Without a majority it is soon not fresh, but known", t, func() {
+		Convey("Without a majority the cached configuration is soon not fresh, but still there", t, func() {
 			register.set(func(r *fakeRegister) { r.refuse = true })
 			<-time.After(2 * time.Second) // virtual time
 			So(here.Fresh(1500*time.Millisecond), ShouldBeFalse)
@@ -58,7 +58,7 @@
 		register := &fakeRegister{}
 		view := replicaset.View{Version: 1, Members: []string{"a:1", "b:1", "c:1"}}
 		muxes := make(map[string]*transport.Mux)
-		caller := callerFunc(func(ctx context.Context, address string, route transport.Route, request, reply any) error {
+		caller := callerFunc(func(_ context.Context, address string, route transport.Route, request, reply any) error {
 			return callMux(muxes[address], route, request, reply)
 		})
 		members := make(map[string]*Configurator)
@@ -72,13 +72,13 @@
 			running.Go(func() { member.Run(ctx) })
 		}
 		synctest.Wait()
-		learn := func(told Announcement) (AnnouncementReply, error) {
+		announce := func(announcement Announcement) (AnnouncementReply, error) {
 			var reply AnnouncementReply
-			err := caller(context.Background(), "b:1", AnnounceCall.Route(), told, &reply)
+			err := caller(context.Background(), "b:1", AnnounceCall.Route(), announcement, &reply)
 			return reply, err
 		}
 
-		Convey("Members hear of an accepted change without the next regular read, and know the same order", t, func() {
+		Convey("Members read an accepted update before the next regular read, and recognise it when it is sent again", t, func() {
 			began := time.Now()
 			So(members["a:1"].Put(context.Background(), 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			synctest.Wait()
@@ -92,33 +92,33 @@
 			So(members["c:1"].Put(context.Background(), 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			So(register.changeCount(), ShouldEqual, before)
 		})
-		Convey("A version that is known already makes nobody read", t, func() {
+		Convey("The announcement of a version that is cached already causes no read", t, func() {
 			before := members["b:1"].lastReadAt()
 			<-time.After(time.Millisecond)
-			reply, err := learn(Announcement{Version: 5})
+			reply, err := announce(Announcement{Version: 5})
 			So(err, ShouldBeNil)
 			So(reply.Version, ShouldEqual, 5)
 			synctest.Wait()
 			So(members["b:1"].lastReadAt(), ShouldEqual, before)
 		})
-		Convey("What a member is told of but no majority holds is not taken", t, func() {
-			_, err := learn(Announcement{Version: 6})
+		Convey("A version that is announced but not committed is not adopted", t, func() {
+			_, err := announce(Announcement{Version: 6})
 			So(err, ShouldBeNil)
 			synctest.Wait()
 			version, _ := members["b:1"].Current()
 			So(version, ShouldEqual, 5)
 		})
-		Convey("From older builds they take values, never go back, and refuse what they cannot read", t, func() {
+		Convey("From older builds they adopt values, never an older one, and refuse what they cannot decode", t, func() {
 			older, err := State{Version: 5, Body: bodyOf(5, 1000)}.Encode()
 			So(err, ShouldBeNil)
 			newer, err := State{Version: 7, Body: bodyOf(7, 1000)}.Encode()
 			So(err, ShouldBeNil)
-			_, err = learn(Announcement{Value: newer})
+			_, err = announce(Announcement{Value: newer})
 			So(err, ShouldBeNil)
-			reply, err := learn(Announcement{Value: older})
+			reply, err := announce(Announcement{Value: older})
 			So(err, ShouldBeNil)
 			So(reply.Version, ShouldEqual, 7)
-			_, err = learn(Announcement{Value: []byte("\xc1")})
+			_, err = announce(Announcement{Value: []byte("\xc1")})
 			So(err, ShouldNotBeNil)
 			version, _ := members["b:1"].Current()
 			So(version, ShouldEqual, 7)
