--- a/internal/jobs/workerclient/doc.go
+++ b/internal/jobs/workerclient/doc.go
@@ -23,7 +23,7 @@
 //     time-out begins.
 //
 // Time-outs follow the measured round trips (roundtrip.go). Before each call, and once more when its connection is there
-// (permit.go), the link checks that the leader lease of this process is valid: nothing is sent after it.
+// (permit.go), the link checks that the leader lease of this process is valid.
 //
 // One lock, Link.mu, guards the state of a link. The types of that state (leaseState, health, activity, commandQueue, pollState,
 // roundTrips) do no I/O and can be tested without it.
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -21,7 +21,7 @@
 	maxCommandsInFlight    = 5                       // at once; the renewal and the out-of-band poll have connections besides
 	unreachablePollTimeout = 600 * time.Millisecond  // of the renewal loop's polls while the worker is unreachable
 
-	// overduePollMargin is how much longer a renewal may last than the poll made once it is overdue: usually that poll decides about the renewal.
+	// overduePollMargin is how much longer a renewal may last than the poll made once it is overdue: usually that poll decides.
 	overduePollMargin = 100 * time.Millisecond
 )
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// NewLink makes a link. Nothing is sent before Run; the link counts towards its budget until Run has returned.
+// NewLink makes a link, which counts towards its budget until Run has returned. No lease is granted, and so no start sent, before Run.
 func NewLink(config Config) *Link {
 	l := &Link{
 		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -12,7 +12,6 @@
 	firstBackoff       = 150 * time.Millisecond // after a call of the renewal loop that failed
 	maxBackoff         = 600 * time.Millisecond
 	earlyResponseDelay = 100 * time.Millisecond // after a long poll that was answered early without a completion
-
 )
 
 // pendingRenewal is the newest call of the renewal loop.
--- a/internal/jobs/workerclient/renewal_test.go
+++ b/internal/jobs/workerclient/renewal_test.go
@@ -85,3 +85,23 @@
 		convey.So(paceFor(time.Hour), convey.ShouldResemble, pace{longPollWait, renewalAge, minLeaseLead, maxIdleInterval})
 	})
 }
+
+func TestRenewalProgress(t *testing.T) {
+	t.Parallel()
+	convey.Convey("Given a renewal under way", t, func() {
+		cancelled := false
+		renewal := pendingRenewal{cancel: func() { cancelled = true }}
+		convey.Convey("the response to a poll does not cancel it while its own may come in time", func() {
+			renewal.supersede()
+			convey.So(cancelled, convey.ShouldBeFalse)
+			convey.So(renewal.progress, convey.ShouldEqual, inTime)
+		})
+		convey.Convey("the response to a poll cancels it once it is overdue, for good", func() {
+			renewal.markOverdue()
+			renewal.supersede()
+			convey.So(cancelled, convey.ShouldBeTrue)
+			renewal.markOverdue()
+			convey.So(renewal.progress, convey.ShouldEqual, superseded)
+		})
+	})
+}
