--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -1,9 +1,11 @@
-// Package consensus lets some of the nodes, the voters, agree on the little that needs agreement: contracts, quotas, who
-// votes by which directory, and, by who leads them, which node grants. Its machine is go.etcd.io/raft (Ongaro and
-// Ousterhout, 2014), which does no I/O; this package adds the founding, voters that come back with an empty directory, and
-// the state that is agreed on. Whoever runs it saves what Work hands out before it calls Done.
+// Package consensus lets a few of the nodes, the voters, agree on contracts and quotas, on which directory each voter votes
+// by, and, through the election of a leader, on the node that grants. It uses go.etcd.io/raft (Ongaro and Ousterhout, "In
+// search of an understandable consensus algorithm", 2014; the sections cited below are of Ongaro's dissertation), which does
+// no I/O. This package adds the founding, the replacement of a voter that lost its directory, and the replicated state.
 //
-// One thing is not drawn from a seed: the library draws its election times itself.
+// Whoever runs a Machine saves what NextSave returns before it calls Saved, and sends messages only afterwards.
+//
+// A Machine is deterministic but for the election time-outs, which the library draws itself.
 package consensus
 
 import (
@@ -21,19 +23,20 @@
 )
 
 const (
-	// TickSeconds is the length of a tick: a leader is heard each, and missed after electionTicks to twice as many, 1 to 2 s.
+	// TickSeconds is the length of a tick. A leader sends a heartbeat each tick; a voter starts an election after electionTicks
+	// to twice as many without one, 1 to 2 s.
 	TickSeconds   = 0.1
 	electionTicks = 10
-	// snapshotInterval so many entries the log is cut: at 200 bytes each under a megabyte in memory.
+	// snapshotInterval is after how many entries the log is compacted: at 200 bytes each it takes under a megabyte in memory.
 	snapshotInterval    = 2000
 	maxMessageBytes     = 256 << 10
 	maxInflightMessages = 32
 )
 
-// ReadNumber names a question whether we still lead.
+// ReadNumber identifies a Read.
 type ReadNumber uint64
 
-// Stored is what a directory held.
+// Stored is what a voter's directory contains.
 type Stored struct {
 	ID       uint64 // drawn when the directory was new; never 0
 	Hard     *pb.HardState
@@ -41,14 +44,14 @@
 	Entries  []*pb.Entry
 }
 
-// founded tells whether the directory took part in a consensus before.
-func (k *Stored) founded() bool { return k.Snapshot != nil || k.Hard != nil || len(k.Entries) > 0 }
+// hasState tells whether the directory was part of a consensus group before.
+func (k *Stored) hasState() bool { return k.Snapshot != nil || k.Hard != nil || len(k.Entries) > 0 }
 
-// Save is what has to be on disk before Done. Nil fields change nothing.
+// Save is what has to be on disk before Saved is called. Nil fields change nothing.
 type Save struct {
 	Hard     *pb.HardState
-	Snapshot *pb.Snapshot // takes the place of all entries up to its index
-	Entries  []*pb.Entry  // take the place of all that are held from the first one's index on
+	Snapshot *pb.Snapshot // replaces all entries up to its index
+	Entries  []*pb.Entry  // replace all entries from the first one's index on
 }
 
 // Empty tells that nothing has to be saved.
@@ -60,65 +63,67 @@
 	Data []byte
 }
 
-// Result is what came of the work in hand.
+// Result is what follows once a save is on disk.
 type Result struct {
 	Outgoing     []Outgoing
-	Applied      []AppliedCommand // commands that acted
-	Reads        []ReadNumber     // at which we led for sure
-	StateChanged bool             // the state has changed
+	Applied      []AppliedCommand // commands that were committed
+	Reads        []ReadNumber     // confirmed: this voter led when they were sent
+	StateChanged bool
 }
 
-// Machine is one voter.
+// Machine is one voter. One goroutine uses it.
 type Machine struct {
 	self            membership.Name
-	voterNames      []membership.Name // all voters of the membership
+	voterNames      []membership.Name // of the membership
 	id              uint64
 	node            *raft.RawNode // nil before the founding
 	storage         *raft.MemoryStorage
 	state           State
 	confState       *pb.ConfState
 	ready           *raft.Ready
-	pendingSnapshot *pb.Snapshot   // waits to be saved
-	unconfirmed     map[uint64]int // ticks since a snapshot went to a voter, while we lead
-	receivedIDs     map[membership.Name]uint64
-	nonce           uint64
-	emptyPeers      map[membership.Name]uint64 // of the others, that are empty as of our nonce
+	pendingSnapshot *pb.Snapshot   // of our own, to be saved
+	unconfirmed     map[uint64]int // ticks since a snapshot was sent to a voter, while we lead
+	// receivedIDs are those that voters gave in introductions.
+	receivedIDs map[membership.Name]uint64
+	nonce       uint64
+	emptyPeers  map[membership.Name]uint64 // IDs of the voters that answered our nonce from an empty directory
 }
 
-// New makes a voter from what its directory held.
-func New(self membership.Name, voters []membership.Name, kept Stored) (*Machine, error) {
-	if kept.ID == 0 {
+// New makes a voter from what its directory contains. The error says why that is no voter's state; the library's panic about
+// it is one.
+func New(self membership.Name, voters []membership.Name, stored Stored) (*Machine, error) {
+	if stored.ID == 0 {
 		return nil, errNoDirectoryID
 	}
-	m := &Machine{self: self, voterNames: slices.Sorted(slices.Values(voters)), id: kept.ID, storage: raft.NewMemoryStorage(),
+	m := &Machine{self: self, voterNames: slices.Sorted(slices.Values(voters)), id: stored.ID, storage: raft.NewMemoryStorage(),
 		receivedIDs: map[membership.Name]uint64{}, emptyPeers: map[membership.Name]uint64{}, confState: &pb.ConfState{}, unconfirmed: map[uint64]int{}}
-	if !kept.founded() {
+	if !stored.hasState() {
 		return m, nil
 	}
-	return m, m.start(kept)
+	return m, m.start(stored)
 }
 
-// startFromDisk makes the library's machine. What a directory holds may be what the library takes for impossible.
-func (m *Machine) start(kept Stored) (err error) {
+// start makes the library's node. It panics about impossible contents of a directory.
+func (m *Machine) start(stored Stored) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			m.node, err = nil, directoryError{p}
 		}
 	}()
-	if kept.Snapshot != nil {
-		if err := m.storage.ApplySnapshot(kept.Snapshot); err != nil {
+	if stored.Snapshot != nil {
+		if err := m.storage.ApplySnapshot(stored.Snapshot); err != nil {
 			return err
 		}
-		if err := m.restore(kept.Snapshot); err != nil {
+		if err := m.restore(stored.Snapshot); err != nil {
 			return err
 		}
 	}
-	if kept.Hard != nil {
-		if err := m.storage.SetHardState(kept.Hard); err != nil {
+	if stored.Hard != nil {
+		if err := m.storage.SetHardState(stored.Hard); err != nil {
 			return err
 		}
 	}
-	if err := m.storage.Append(kept.Entries); err != nil {
+	if err := m.storage.Append(stored.Entries); err != nil {
 		return err
 	}
 	m.node, err = raft.NewRawNode(&raft.Config{ID: m.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: m.storage,
@@ -136,18 +141,18 @@
 	return nil
 }
 
-// State is what is agreed on as far as this voter knows. It is not to be changed.
+// State is what this voter knows to be agreed on. It must not be modified.
 func (m *Machine) State() *State { return &m.state }
 
-// Founded tells whether this voter takes part in a consensus.
+// Founded tells whether this voter takes part in a consensus group.
 func (m *Machine) Founded() bool { return m.node != nil }
 
-// Leads tells whether this voter thinks that it leads; only a Read tells whether it is so.
+// Leads tells whether this voter believes that it leads; a Read confirms it.
 func (m *Machine) Leads() bool {
 	return m.node != nil && m.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Term is that of the voter, Leader the name of who leads as far as it knows.
+// Term is the voter's, 0 before the founding.
 func (m *Machine) Term() uint64 {
 	if m.node == nil {
 		return 0
@@ -163,6 +168,7 @@
 	return m.name(m.node.BasicStatus().Lead)
 }
 
+// name is the voter with an ID, "" for none.
 func (m *Machine) name(id uint64) membership.Name {
 	if id == m.id && id != 0 {
 		return m.self
@@ -180,7 +186,7 @@
 	return ""
 }
 
-// Tick tells that a tick has passed.
+// Tick advances the time-outs by TickSeconds.
 func (m *Machine) Tick() {
 	if m.node == nil {
 		return
@@ -189,7 +195,8 @@
 	m.resendSnapshots()
 }
 
-// Step takes what another voter said. What can't be read changes nothing.
+// Step takes a message of another voter. An error says that it is unreadable or comes under another voter's ID; it changed
+// nothing.
 func (m *Machine) Step(from membership.Name, data []byte) error {
 	if m.node == nil || !slices.Contains(m.voterNames, from) {
 		return nil
@@ -198,7 +205,7 @@
 	if err := proto.Unmarshal(data, msg); err != nil {
 		return err
 	}
-	if msg.GetTo() != m.id { // for another directory of ours
+	if msg.GetTo() != m.id { // for a directory that we had before
 		return nil
 	}
 	if m.name(msg.GetFrom()) == "" {
@@ -210,7 +217,8 @@
 	return m.node.Step(msg)
 }
 
-// Propose asks the consensus for a command. Whether it acts shows in a Result; it may get lost.
+// Propose starts replication of a command. A Result tells once it is applied; it may get lost. The error is ErrNotLeader or
+// the library's.
 func (m *Machine) Propose(c *Command) error {
 	if !m.Leads() {
 		return ErrNotLeader
@@ -218,114 +226,114 @@
 	return m.node.Propose(encoded(c))
 }
 
-// Read asks whether we lead.
+// Read asks whether we still lead (a read index, section 6.4); a Result confirms it.
 func (m *Machine) Read(no ReadNumber) {
 	if m.Leads() {
 		m.node.ReadIndex(encoded(no))
 	}
 }
 
-// NextSave hands out what has to be saved, once what was handed out before is Done.
-func (m *Machine) NextSave() (s Save, has bool) {
+// NextSave returns what has to be saved next; false where there is nothing to do, or the save before is not Saved.
+func (m *Machine) NextSave() (save Save, has bool) {
 	if m.node == nil || m.ready != nil || m.pendingSnapshot == nil && !m.node.HasReady() {
-		return s, false
+		return save, false
 	}
-	rd := m.node.Ready()
-	m.ready = &rd
-	s.Entries = rd.Entries
-	if !raft.IsEmptyHardState(rd.HardState) {
-		s.Hard = rd.HardState
+	ready := m.node.Ready()
+	m.ready = &ready
+	save.Entries = ready.Entries
+	if !raft.IsEmptyHardState(ready.HardState) {
+		save.Hard = ready.HardState
 	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		s.Snapshot = rd.Snapshot
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		save.Snapshot = ready.Snapshot
 	} else if m.pendingSnapshot != nil {
-		s.Snapshot = m.pendingSnapshot
+		save.Snapshot = m.pendingSnapshot
 	}
 	m.pendingSnapshot = nil
-	return s, true
+	return save, true
 }
 
-// Done goes on after the work in hand was saved.
-func (m *Machine) Saved() (r Result, err error) {
-	rd := m.ready
-	if rd == nil {
-		return r, nil
+// Saved goes on once the last save is on disk. After an error the machine must not be used any more.
+func (m *Machine) Saved() (result Result, err error) {
+	ready := m.ready
+	if ready == nil {
+		return result, nil
 	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := m.storage.ApplySnapshot(rd.Snapshot); err != nil {
-			return r, err
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		if err := m.storage.ApplySnapshot(ready.Snapshot); err != nil {
+			return result, err
 		}
-		if err := m.restore(rd.Snapshot); err != nil {
-			return r, err
+		if err := m.restore(ready.Snapshot); err != nil {
+			return result, err
 		}
-		r.StateChanged = true
+		result.StateChanged = true
 	}
-	if !raft.IsEmptyHardState(rd.HardState) {
-		if err := m.storage.SetHardState(rd.HardState); err != nil {
-			return r, err
+	if !raft.IsEmptyHardState(ready.HardState) {
+		if err := m.storage.SetHardState(ready.HardState); err != nil {
+			return result, err
 		}
 	}
-	if err := m.storage.Append(rd.Entries); err != nil {
-		return r, err
+	if err := m.storage.Append(ready.Entries); err != nil {
+		return result, err
 	}
-	for _, msg := range rd.Messages {
+	for _, msg := range ready.Messages {
 		if to := m.name(msg.GetTo()); to != "" {
 			data, err := proto.Marshal(msg)
 			if err != nil {
-				return r, err
+				return result, err
 			}
-			r.Outgoing = append(r.Outgoing, Outgoing{to, data})
+			result.Outgoing = append(result.Outgoing, Outgoing{to, data})
 		}
 	}
-	reseated := false
-	for _, e := range rd.CommittedEntries {
-		seats, err := m.commit(e, &r)
+	votersChanged := false
+	for _, e := range ready.CommittedEntries {
+		changed, err := m.commit(e, &result)
 		if err != nil {
-			return r, err
+			return result, err
 		}
-		reseated = reseated || seats
+		votersChanged = votersChanged || changed
 	}
-	for _, read := range rd.ReadStates {
+	for _, read := range ready.ReadStates {
 		var no ReadNumber
 		if cbor.Unmarshal(read.RequestCtx, &no) == nil {
-			r.Reads = append(r.Reads, no)
+			result.Reads = append(result.Reads, no)
 		}
 	}
 	m.ready = nil
-	m.node.Advance(*rd)
-	if first, _ := m.storage.FirstIndex(); reseated || m.state.Index > first+snapshotInterval {
+	m.node.Advance(*ready)
+	if first, _ := m.storage.FirstIndex(); votersChanged || m.state.Index > first+snapshotInterval {
 		err = m.compact()
 	}
-	return r, err
+	return result, err
 }
 
-// commit takes an entry that is agreed on, and tells whether it changed who votes.
-func (m *Machine) commit(e *pb.Entry, r *Result) (seats bool, err error) {
-	m.state.Index = e.GetIndex()
-	switch e.GetType() {
+// commit applies a committed entry, and tells whether it changed the voters.
+func (m *Machine) commit(entry *pb.Entry, result *Result) (votersChanged bool, err error) {
+	m.state.Index = entry.GetIndex()
+	switch entry.GetType() {
 	case pb.EntryNormal:
-		if len(e.Data) == 0 { // a leader's first
+		if len(entry.Data) == 0 { // a new leader's empty entry
 			return false, nil
 		}
-		var c Command
-		if err := cbor.Unmarshal(e.Data, &c); err != nil {
-			return false, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
+		var command Command
+		if err := cbor.Unmarshal(entry.Data, &command); err != nil {
+			return false, fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
 		}
-		r.Applied, r.StateChanged = append(r.Applied, m.state.apply(e.GetIndex(), &c)), true
+		result.Applied, result.StateChanged = append(result.Applied, m.state.apply(entry.GetIndex(), &command)), true
 		return false, nil
 	case pb.EntryConfChangeV2:
-		cc := &pb.ConfChangeV2{}
-		if err := proto.Unmarshal(e.Data, cc); err != nil {
+		change := &pb.ConfChangeV2{}
+		if err := proto.Unmarshal(entry.Data, change); err != nil {
 			return false, err
 		}
-		var v Voter
-		if len(cc.Context) > 0 {
-			if err := cbor.Unmarshal(cc.Context, &v); err != nil {
+		var voter Voter
+		if len(change.Context) > 0 {
+			if err := cbor.Unmarshal(change.Context, &voter); err != nil {
 				return false, err
 			}
-			m.state.replace(v)
+			m.state.replace(voter)
 		}
-		m.confState, r.StateChanged = m.node.ApplyConfChange(cc), true
+		m.confState, result.StateChanged = m.node.ApplyConfChange(change), true
 		return true, nil
 	}
 	return false, nil
--- a/internal/controlplane/fleet/consensus/errors.go
+++ b/internal/controlplane/fleet/consensus/errors.go
@@ -7,17 +7,17 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// ErrNotLeader is the error of a proposal at a voter that does not lead.
+// ErrNotLeader is Propose's at a voter that does not lead.
 var ErrNotLeader = errors.New("this mixer does not lead the council")
 
 var errNoDirectoryID = errors.New("the directory has no number")
 
-// directoryError is a panic of the library over what a directory holds.
+// directoryError is a panic of the library about what a directory contains.
 type directoryError struct{ value any }
 
 func (e directoryError) Error() string { return fmt.Sprintf("the directory: %v", e.value) }
 
-// impostorError names a member that speaks under the number of another voter.
+// impostorError names a member that sends under another voter's ID.
 type impostorError struct {
 	from   membership.Name
 	number uint64
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s speaks as %x, which is another voter's", e.from, e.number)
 }
 
-// staleTableError says that a table of a file is not newer than the one that is held.
+// staleTableError says that a table of a file is not newer than the one last applied from a file.
 type staleTableError struct {
 	table       string
 	found, held uint64
--- a/internal/controlplane/fleet/consensus/snapshots.go
+++ b/internal/controlplane/fleet/consensus/snapshots.go
@@ -5,11 +5,11 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// snapshotTicks is how long a snapshot may be on its way to a voter until it counts as lost.
+// snapshotTicks is how long a snapshot may be on its way until it counts as lost.
 const snapshotTicks = 2 * electionTicks
 
-// resendSnapshots counts a snapshot as lost whose voter has not confirmed it in time, so that it is sent again. The library sends
-// that voter nothing else and waits for word of the snapshot for ever, and a message of ours may get lost unseen.
+// resendSnapshots reports a snapshot as lost whose voter has not confirmed it in time, so that the library sends it again.
+// Until then it sends that voter nothing else, and waits for ever: it does not know that messages may get lost.
 func (m *Machine) resendSnapshots() {
 	if !m.Leads() {
 		clear(m.unconfirmed)
@@ -31,7 +31,7 @@
 	}
 }
 
-// cut makes a snapshot of the state and lets go of the entries before it. A voter that is new finds itself in it.
+// compact makes a snapshot of the state and drops the entries before it. A new voter finds itself in the snapshot.
 func (m *Machine) compact() error {
 	s, err := m.storage.CreateSnapshot(m.state.Index, m.confState, encoded(&m.state))
 	if err != nil {
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -12,10 +12,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// CommandID names a command, so that one sent twice acts once.
+// CommandID identifies a command, so that one that is sent twice is applied once.
 type CommandID string
 
-// Command is what the consensus agrees on. One of its parts is set.
+// Command is what the voters agree on. One of Contract, Quota and File is set.
 type Command struct {
 	ID     CommandID `cbor:"1,keyasint"`
 	Author string    `cbor:"2,keyasint,omitempty"`
@@ -26,20 +26,20 @@
 	File     *FileTables     `cbor:"6,keyasint,omitempty"`
 }
 
-// ContractChange sets a tenant's contract, or takes it away where there is none.
+// ContractChange sets a tenant's contract, or removes it where Contract is nil.
 type ContractChange struct {
 	Tenant   residency.Tenant    `cbor:"1,keyasint"`
 	Contract *residency.Contract `cbor:"2,keyasint,omitempty"`
 }
 
-// QuotaChange sets a tenant's quota, or takes it away where there is none.
+// QuotaChange sets a tenant's quota, or removes it where Quota is nil.
 type QuotaChange struct {
 	Tenant quota.Tenant `cbor:"1,keyasint"`
 	Quota  *quota.Quota `cbor:"2,keyasint,omitempty"`
 }
 
-// FileTables are those of an operator's file. Each takes the place of all that holds where its version is above the last
-// one taken from a file, and is ignored where it is not: what was set since by a command stands.
+// FileTables are those of an operator's file. Each replaces the current table where its version is above the last one applied
+// from a file, and is ignored elsewhere: then what a command has set since stays.
 type FileTables struct {
 	ContractsVersion int                                     `cbor:"1,keyasint,omitempty"`
 	Contracts        map[residency.Tenant]residency.Contract `cbor:"2,keyasint,omitempty"`
@@ -50,7 +50,7 @@
 // QuotasVersion orders tables of quotas, as residency.Version does those of contracts.
 type QuotasVersion uint64
 
-// Voter is one of the consensus: a name of the membership, with the number of the directory that it votes by.
+// Voter is a member that votes, with the ID of the directory that it votes by.
 type Voter struct {
 	Name membership.Name `cbor:"1,keyasint"`
 	ID   uint64          `cbor:"2,keyasint"`
@@ -62,13 +62,13 @@
 	Burst float64 `cbor:"2,keyasint"`
 }
 
-// State is what has been agreed on.
+// State is the replicated state.
 type State struct {
 	Index         uint64                       `cbor:"1,keyasint"`
 	Contracts     residency.Table              `cbor:"2,keyasint"`
 	Quotas        map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
 	QuotasVersion QuotasVersion                `cbor:"4,keyasint"`
-	// LargestMinimums are the largest that a tenant ever had: a node that is cut off may still go by them.
+	// LargestMinimums are the largest that each tenant ever had: a node that is partitioned may still go by them.
 	LargestMinimums map[quota.Tenant]MinimumRate `cbor:"5,keyasint"`
 	FileContracts   int                          `cbor:"6,keyasint"` // versions last taken from a file
 	FileQuotas      int                          `cbor:"7,keyasint"`
@@ -77,17 +77,17 @@
 	Founders        []Voter                      `cbor:"10,keyasint"`
 }
 
-// Done is a command that has acted.
+// AppliedCommand is a command that was committed.
 type AppliedCommand struct {
 	ID      CommandID `cbor:"1,keyasint"`
 	Index   uint64    `cbor:"2,keyasint"`
 	Failure string    `cbor:"3,keyasint,omitempty"` // why it changed nothing
 }
 
-// maxAppliedRemembered is how many commands are known again when they come twice: hours of what operators send.
+// maxAppliedRemembered is how many commands are recognized when they come again: hours of what operators send.
 const maxAppliedRemembered = 1024
 
-// FindApplied finds a command that has acted.
+// FindApplied finds a command that was applied.
 func (s *State) FindApplied(id CommandID) (AppliedCommand, bool) {
 	i := slices.IndexFunc(s.Applied, func(d AppliedCommand) bool { return d.ID == id })
 	if id == "" || i < 0 {
@@ -96,9 +96,9 @@
 	return s.Applied[i], true
 }
 
-// apply takes a command at a place of the log. Every node of the consensus does the same with it.
+// apply applies the command of an entry. It is deterministic: all voters come to the same state.
 func (s *State) apply(index uint64, c *Command) AppliedCommand {
-	if d, again := s.FindApplied(c.ID); again {
+	if d, applied := s.FindApplied(c.ID); applied {
 		return d
 	}
 	d := AppliedCommand{ID: c.ID, Index: index}
@@ -134,28 +134,28 @@
 	return nil
 }
 
-// applyFile takes the tables of a file that are newer than those last taken.
-func (s *State) applyFile(index uint64, f *FileTables) error {
-	var wrong error
+// applyFile takes the tables of a file that are newer than those last applied from one.
+func (s *State) applyFile(index uint64, file *FileTables) error {
+	var err error
 	switch {
-	case f.ContractsVersion == 0:
-	case f.ContractsVersion <= s.FileContracts:
-		wrong = staleTableError{"contracts", uint64(f.ContractsVersion), uint64(s.FileContracts)}
+	case file.ContractsVersion == 0:
+	case file.ContractsVersion <= s.FileContracts:
+		err = staleTableError{"contracts", uint64(file.ContractsVersion), uint64(s.FileContracts)}
 	default:
-		s.FileContracts = f.ContractsVersion
-		s.Contracts = residency.Table{Version: residency.Version(index), Contracts: f.Contracts}
+		s.FileContracts = file.ContractsVersion
+		s.Contracts = residency.Table{Version: residency.Version(index), Contracts: file.Contracts}
 	}
 	switch {
-	case f.QuotasVersion == 0:
-	case f.QuotasVersion <= s.FileQuotas:
-		wrong = errors.Join(wrong, staleTableError{"quotas", uint64(f.QuotasVersion), uint64(s.FileQuotas)})
+	case file.QuotasVersion == 0:
+	case file.QuotasVersion <= s.FileQuotas:
+		err = errors.Join(err, staleTableError{"quotas", uint64(file.QuotasVersion), uint64(s.FileQuotas)})
 	default:
-		s.FileQuotas, s.QuotasVersion, s.Quotas = f.QuotasVersion, QuotasVersion(index), map[quota.Tenant]quota.Quota{}
-		for tenant, q := range f.Quotas {
+		s.FileQuotas, s.QuotasVersion, s.Quotas = file.QuotasVersion, QuotasVersion(index), map[quota.Tenant]quota.Quota{}
+		for tenant, q := range file.Quotas {
 			s.setQuota(tenant, q)
 		}
 	}
-	return wrong
+	return err
 }
 
 func (s *State) setQuota(tenant quota.Tenant, q quota.Quota) {
@@ -171,7 +171,7 @@
 	s.LargestMinimums[tenant] = MinimumRate{max(s.LargestMinimums[tenant].PerS, perS), max(s.LargestMinimums[tenant].Burst, burst)}
 }
 
-// replace gives a voter another number.
+// replace gives a voter another ID.
 func (s *State) replace(v Voter) {
 	s.Voters = slices.Clone(s.Voters)
 	for i := range s.Voters {
@@ -183,7 +183,7 @@
 	s.Voters = append(s.Voters, v)
 }
 
-// encode is canonical, so that the same state is the same bytes everywhere.
+// encode is canonical: equal states are equal bytes at all voters.
 var encode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
--- a/internal/controlplane/fleet/failpoint/on.go
+++ b/internal/controlplane/fleet/failpoint/on.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Pass counts a pass of a point, and lets go wrong there what is armed.
+// Pass counts a pass of a point, and injects the fault that is armed there.
 func Pass(p Point) (f Fault) {
 	n := passes[p].Add(1)
 	if n == 1 && list != nil {
--- a/internal/controlplane/fleet/failuredetector/failuredetector.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -1,10 +1,12 @@
-// Package failuredetector knows which nodes of the membership live, as SWIM does it (Das, Gupta and Motivala, 2002): each period one
-// other is asked, straight and then through some others; who does not answer is suspected before it is called dead, and
-// who is suspected may say otherwise by a higher incarnation. Of Lifeguard (Dadgar, Phillips and Currey, 2018) come the
-// doubt in oneself, suspicions that end sooner the more others share them, and telling the suspected one first. Unlike in
-// both, the dead are asked on: the membership is fixed, so a cut that heals is seen without anybody joining.
+// Package failuredetector tells which nodes of the membership are alive. It is SWIM (Das, Gupta and Motivala, "SWIM: scalable
+// weakly-consistent infection-style process group membership protocol", 2002): each period one other node is pinged, and, if
+// it does not answer, through some others; who does not answer is suspected before it is declared dead, and may refute that
+// by a higher incarnation. From Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more accurate
+// failure detection", 2018) come the local health score, suspicions that time out sooner the more nodes confirm them, and
+// telling a suspect first. Unlike in both, dead nodes are still pinged: the membership is fixed, so that nobody has to join
+// again after a partition.
 //
-// It does no I/O, reads no clock and starts no goroutine.
+// It does no I/O, reads no clock and starts no goroutine; times are in seconds.
 package failuredetector
 
 import (
@@ -18,7 +20,7 @@
 // Status is what is held of another node.
 type Status uint8
 
-// The states of a member.
+// The statuses.
 const (
 	Alive Status = 1 << iota
 	Suspect
@@ -29,80 +31,82 @@
 	return map[Status]string{Alive: "alive", Suspect: "suspect", Dead: "dead"}[s]
 }
 
-// Incarnation orders what is said of one node; it begins at its process's and rises as it denies suspicions.
+// Incarnation orders what is said of one node; it starts with its process's and rises as it refutes suspicions.
 type Incarnation uint64
 
-// Seq names a probe.
+// Seq identifies a probe.
 type Seq uint64
 
 // The kinds of messages.
 const (
-	Ping        MessageKind = iota // answer me
-	Ack                            // I live; or, with a Target, that one does
-	PingRequest                    // ask Target for me
-	Nack                           // I asked Target for you, and have no answer yet
+	Ping        MessageKind = iota // asks for an Ack
+	Ack                            // the sender is alive; or, with a Target, that one is
+	PingRequest                    // asks to ping Target
+	Nack                           // Target, which the recipient asked to ping, has not answered yet
 )
 
 // Settings are times in seconds.
 type Settings struct {
-	Period           float64 // in which one other is asked
-	Timeout          float64 // after which others are asked to ask it
-	IsolationTimeout float64 // without a word from anybody: we hear nothing
+	Period           float64 // between two probes
+	Timeout          float64 // of a ping, after which others are asked to ping too
+	IsolationTimeout float64 // without any message, after which we count as isolated
 }
 
-// Defaults find a crash in a few seconds at a few hundred bytes a second: period and time-out are a tenth and a third of
-// SWIM's own, for one data centre's network; deaf is after three periods, in which several others are asked.
+// Defaults detect a crash in a few seconds at a few hundred bytes a second: period and time-out are a tenth and a third of
+// SWIM's own, for the network of one data centre; isolation takes three periods, in which several others are pinged.
 func Defaults() Settings { return Settings{Period: 0.5, Timeout: 0.15, IsolationTimeout: 1.5} }
 
 const (
-	indirectProbes       = 3 // others asked to ask; Das and others, section 3.2
-	maxConfirmations     = 3 // suspicions by others that end one soonest; Lifeguard, section IV-B
-	maxSuspicionFactor   = 3 // the longest suspicion against the least
-	minSuspicionPeriods  = 3 // periods that the least suspicion lasts, times log10 of the fleet
-	maxLocalHealth       = 8 // of oneself, times which waits are longer; Lifeguard, section IV-A
-	maxUpdatesPerMessage = 8 // pieces of news that a message takes along: with names of 64 bytes still a datagram
-	retransmitFactor     = 4 // times log10 of the fleet that one is passed on
-	nackTimeoutFactor    = 0.8
+	indirectProbes       = 3 // nodes asked to ping; Das and others, section 3.2
+	maxConfirmations     = 3 // confirmations that shorten a suspicion most; Lifeguard, section IV-B
+	maxSuspicionFactor   = 3 // the longest suspicion, as a multiple of the shortest
+	minSuspicionPeriods  = 3 // periods of the shortest suspicion, times log10 of the fleet's size
+	maxLocalHealth       = 8 // Lifeguard, section IV-A
+	maxUpdatesPerMessage = 8 // with names of 64 bytes still a datagram
+	retransmitFactor     = 4 // times log10 of the fleet's size that an update is sent
+	// nackTimeoutFactor is the part of Timeout after which a Nack is sent.
+	nackTimeoutFactor = 0.8
 )
 
-// member lives as long as the machine.
+// member is another node, as long as the machine exists.
 type member struct {
 	name        membership.Name
 	status      Status
 	incarnation Incarnation
 	receivedAt  float64
-	suspectedAt float64                  // suspected
-	accuser     membership.Name          // who did so first
-	confirmedBy map[membership.Name]bool // who suspects it
+	suspectedAt float64                  // while it is Suspect
+	accuser     membership.Name          // who suspected it first
+	confirmedBy map[membership.Name]bool // the others who suspect it
 }
 
-// probe is the one in hand.
+// probe is the one in progress.
 type probe struct {
 	seq          Seq
 	to           *member
 	at           float64
-	indirectSent int // others, to ask it
+	indirectSent int // nodes that were asked to ping
 	nacks        int
-	acknowledged bool // answered
+	acknowledged bool
 	indirect     bool
 }
 
-// indirectProbe is a probe for another node.
+// indirectProbe is a ping on another node's request.
 type indirectProbe struct {
 	seq          Seq // our own
 	requester    membership.Name
 	requesterSeq Seq
 	to           membership.Name
-	nackAt       float64 // when to say that there is no answer
+	nackAt       float64 // infinite once the Nack is sent
 	expiresAt    float64
 }
 
+// pendingUpdate is an update that is still to be sent.
 type pendingUpdate struct {
 	Update
 	transmissions int
 }
 
-// Machine is one node's view.
+// Machine is one node's view of the others. One goroutine uses it.
 type Machine struct {
 	settings       Settings
 	self           membership.Name
@@ -111,43 +115,44 @@
 	random         random.PCG
 	members        []*member
 	byName         map[membership.Name]*member
-	round          []*member // still to be asked in this round
+	round          []*member // still to be pinged in this round
 	probe          probe
-	nextProbeAt    float64 // when the next probe begins
+	nextProbeAt    float64
 	seq            Seq
 	localHealth    int
-	receivedAt     float64 // last word from anybody
+	receivedAt     float64 // the last message of any node
 	indirectProbes []indirectProbe
 	pendingUpdates []pendingUpdate
 	out            []Outgoing
 	changes        []Change
 }
 
-// New makes a view in which all others live, as nothing else is known.
+// New makes a view in which all others are alive, as nothing else is known.
 func New(set Settings, self membership.Name, own Incarnation, others []membership.Name, seed uint64, now float64) *Machine {
 	m := &Machine{settings: set, self: self, incarnation: own, now: now, random: random.PCG(seed), byName: map[membership.Name]*member{}, receivedAt: now}
 	for _, name := range others {
 		x := &member{name: name, status: Alive, receivedAt: now}
 		m.members, m.byName[name] = append(m.members, x), x
 	}
-	m.nextProbeAt = now + set.Period*m.random.Unit() // nodes started together must not ask together
+	m.nextProbeAt = now + set.Period*m.random.Unit() // nodes that start together must not ping together
 	return m
 }
 
 const (
-	refuted           event = 1 << iota // it is said to live, by a higher incarnation
-	suspectedByPeer                     // somebody suspects it, by the incarnation that is known
-	declaredDead                        // somebody calls it dead
-	probeFailed                         // our own probe had no answer
-	suspicionTimedOut                   // the suspicion was not denied in its time
+	refuted           event = 1 << iota // it is alive, by a higher incarnation
+	suspectedByPeer                     // another node suspects it
+	declaredDead                        // another node declares it dead
+	probeFailed                         // our own probe was not answered
+	suspicionTimedOut                   // the suspicion was not refuted in time
 )
 
-// Isolated tells that nobody was heard for so long that it is we who are cut off. Nobody is called dead meanwhile.
+// Isolated tells that no message has come for so long that it is rather this node that is partitioned. It declares nobody
+// dead meanwhile.
 func (m *Machine) Isolated() bool {
 	return len(m.members) > 0 && m.now-m.receivedAt >= m.settings.IsolationTimeout
 }
 
-// Status of a node; of ourselves Alive, and Dead for none of the membership.
+// Status of a node: Alive for this one, and Dead for none of the membership.
 func (m *Machine) Status(name membership.Name) Status {
 	if name == m.self {
 		return Alive
@@ -158,7 +163,7 @@
 	return Dead
 }
 
-// ReceivedAt is when a node last said anything to us.
+// ReceivedAt is when the last message of a node came.
 func (m *Machine) ReceivedAt(name membership.Name) float64 {
 	if x := m.byName[name]; x != nil {
 		return x.receivedAt
@@ -166,13 +171,13 @@
 	return 0
 }
 
-// LocalHealth is that in ourselves: 0 for none.
+// LocalHealth is Lifeguard's score of this node: 0 is healthy, maxLocalHealth the worst. It stretches the time-outs.
 func (m *Machine) LocalHealth() int { return m.localHealth }
 
-// Incarnation is our own.
+// Incarnation is this node's.
 func (m *Machine) Incarnation() Incarnation { return m.incarnation }
 
-// Tick does what is due, and tells when to come again.
+// Tick does what is due, and returns when to call it next.
 func (m *Machine) Tick(now float64) (next float64) {
 	m.now = now
 	if len(m.members) == 0 {
@@ -185,11 +190,11 @@
 		}
 	}
 	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(e indirectProbe) bool { return e.expiresAt <= now })
-	deaf := m.Isolated()
+	isolated := m.Isolated()
 	for _, x := range m.members {
 		switch {
 		case x.status != Suspect:
-		case deaf: // it may be us: the suspicion begins anew once we hear again
+		case isolated: // the fault may be ours: the suspicion starts again once messages come
 			x.suspectedAt = now
 		case now-x.suspectedAt >= m.suspicionTimeout(x):
 			m.apply(x, suspicionTimedOut)
@@ -221,8 +226,8 @@
 	return next
 }
 
-// finishProbe ends the probe in hand. Without an answer, and without a word from those that were to ask, it is rather we who
-// are slow or cut off.
+// finishProbe ends the probe in progress. If neither its target nor all of the nodes that were asked to ping it answered, it
+// is rather this node that is slow or partitioned.
 func (m *Machine) finishProbe() {
 	p := &m.probe
 	if p.to == nil || p.acknowledged {
@@ -239,7 +244,8 @@
 	}
 }
 
-// startProbe asks the next one of a round in which each comes once, in an order drawn anew.
+// startProbe pings the next node of a round. In each round every node is pinged once, in a new random order (SWIM, section
+// 4.3).
 func (m *Machine) startProbe() {
 	if len(m.round) == 0 {
 		m.round = m.sample(len(m.members), nil)
@@ -250,16 +256,16 @@
 	m.send(m.probe.to.name, Message{Kind: Ping, Seq: m.seq})
 }
 
-// sample draws up to n others but one; the dead only where all are drawn.
-func (m *Machine) sample(n int, not *member) (list []*member) {
-	for _, x := range m.members {
-		if x != not && (x.status != Dead || n >= len(m.members)) {
-			list = append(list, x)
+// sample draws up to n others but one; dead ones only where all are drawn.
+func (m *Machine) sample(n int, excluded *member) (candidates []*member) {
+	for _, candidate := range m.members {
+		if candidate != excluded && (candidate.status != Dead || n >= len(m.members)) {
+			candidates = append(candidates, candidate)
 		}
 	}
-	for i := range list {
-		j := i + int(m.random.Unit()*float64(len(list)-i))
-		list[i], list[j] = list[j], list[i]
+	for i := range candidates {
+		j := i + int(m.random.Unit()*float64(len(candidates)-i))
+		candidates[i], candidates[j] = candidates[j], candidates[i]
 	}
-	return list[:min(n, len(list))]
+	return candidates[:min(n, len(candidates))]
 }
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -7,18 +7,18 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// News is what is passed on of a node.
+// Update is a node's status as one node tells it another.
 type Update struct {
 	Name        membership.Name `cbor:"1,keyasint"`
 	Status      Status          `cbor:"2,keyasint"`
 	Incarnation Incarnation     `cbor:"3,keyasint"`
-	By          membership.Name `cbor:"4,keyasint,omitempty"` // of a suspicion: whose
+	By          membership.Name `cbor:"4,keyasint,omitempty"` // who suspects it, for a suspicion
 }
 
-// What says what a message is.
+// MessageKind says what a message asks or answers.
 type MessageKind uint8
 
-// Message is what members say to each other.
+// Message is what nodes send to each other, with the updates that it carries along.
 type Message struct {
 	Kind        MessageKind     `cbor:"1,keyasint"`
 	Seq         Seq             `cbor:"2,keyasint"`
@@ -27,26 +27,27 @@
 	Updates     []Update        `cbor:"5,keyasint,omitempty"`
 }
 
-// Outgoing is a message on its way out.
+// Outgoing is a message to send.
 type Outgoing struct {
 	To membership.Name
 	Message
 }
 
-// Change is what became of another node, to be counted and logged.
+// Change is a change of another node's status, to be counted and logged.
 type Change struct {
 	Name     membership.Name
 	Was, Now Status
 }
 
-// TakeOutput hands out what is to be sent and what changed since the last time.
+// TakeOutput returns what is to be sent and what has changed since the last call.
 func (m *Machine) TakeOutput() (out []Outgoing, changes []Change) {
 	out, changes = m.out, m.changes
 	m.out, m.changes = nil, nil
 	return out, changes
 }
 
-// RecordContact notes a word of any kind: whoever speaks lives, though a suspicion is only ended by its own denial.
+// RecordContact notes a message of any kind, which shows that its sender is alive. Only a refutation ends a suspicion,
+// though.
 func (m *Machine) RecordContact(now float64, from membership.Name) {
 	m.now = now
 	if x := m.byName[from]; x != nil {
@@ -54,22 +55,22 @@
 	}
 }
 
-// Receive takes a message.
+// Receive takes a message. One of no member changes nothing.
 func (m *Machine) Receive(now float64, from membership.Name, msg *Message) {
-	x := m.byName[from]
-	if x == nil {
+	sender := m.byName[from]
+	if sender == nil {
 		return
 	}
 	m.RecordContact(now, from)
 	m.receiveUpdate(Update{Name: from, Status: Alive, Incarnation: msg.Incarnation})
-	for _, n := range msg.Updates {
-		m.receiveUpdate(n)
+	for _, update := range msg.Updates {
+		m.receiveUpdate(update)
 	}
 	switch msg.Kind {
 	case Ping:
 		m.send(from, Message{Kind: Ack, Seq: msg.Seq})
 	case PingRequest:
-		if to := m.byName[msg.Target]; to != nil && len(m.indirectProbes) < 4*len(m.members) {
+		if target := m.byName[msg.Target]; target != nil && len(m.indirectProbes) < 4*len(m.members) {
 			m.seq++
 			m.indirectProbes = append(m.indirectProbes, indirectProbe{m.seq, from, msg.Seq, msg.Target, now + nackTimeoutFactor*m.settings.Timeout, now + 2*m.settings.Period})
 			m.send(msg.Target, Message{Kind: Ping, Seq: m.seq})
@@ -83,9 +84,9 @@
 			m.probe.acknowledged, m.localHealth = true, max(0, m.localHealth-1)
 			return
 		}
-		for i, e := range m.indirectProbes {
-			if e.seq == msg.Seq && e.to == from {
-				m.send(e.requester, Message{Kind: Ack, Seq: e.requesterSeq, Target: e.to})
+		for i, indirect := range m.indirectProbes {
+			if indirect.seq == msg.Seq && indirect.to == from {
+				m.send(indirect.requester, Message{Kind: Ack, Seq: indirect.requesterSeq, Target: indirect.to})
 				m.indirectProbes = slices.Delete(m.indirectProbes, i, i+1)
 				return
 			}
@@ -93,50 +94,50 @@
 	}
 }
 
-// receiveUpdate takes a piece of news. What an older incarnation said counts no more.
-func (m *Machine) receiveUpdate(n Update) {
-	if n.Name == m.self {
-		if n.Status != Alive && n.Incarnation >= m.incarnation { // deny it, and doubt ourselves: others did not hear us in time
-			m.incarnation = n.Incarnation + 1
+// receiveUpdate takes an update. One about an older incarnation changes nothing.
+func (m *Machine) receiveUpdate(update Update) {
+	if update.Name == m.self {
+		if update.Status != Alive && update.Incarnation >= m.incarnation { // refute it; our answers were late, so that our health score rises
+			m.incarnation = update.Incarnation + 1
 			m.localHealth = min(maxLocalHealth, m.localHealth+1)
 			m.broadcast(Update{Name: m.self, Status: Alive, Incarnation: m.incarnation})
 		}
 		return
 	}
-	x := m.byName[n.Name]
-	if x == nil || n.Incarnation < x.incarnation {
+	subject := m.byName[update.Name]
+	if subject == nil || update.Incarnation < subject.incarnation {
 		return
 	}
-	newer := n.Incarnation > x.incarnation
-	x.incarnation = n.Incarnation
-	switch n.Status {
+	newer := update.Incarnation > subject.incarnation
+	subject.incarnation = update.Incarnation
+	switch update.Status {
 	case Alive:
 		if newer {
-			m.apply(x, refuted)
+			m.apply(subject, refuted)
 		}
 	case Suspect:
-		if newer && x.status == Dead {
-			return // a suspicion of a process that we have not heard of is no sign of its life
+		if newer && subject.status == Dead {
+			return // a suspicion of a process that is unknown here does not show that it is alive
 		}
-		if x.status == Alive {
-			x.accuser = n.By
+		if subject.status == Alive {
+			subject.accuser = update.By
 		}
-		m.apply(x, suspectedByPeer)
-		if x.status == Suspect && n.By != x.accuser && n.By != "" && !x.confirmedBy[n.By] && len(x.confirmedBy) < maxConfirmations {
-			x.confirmedBy[n.By] = true
-			m.broadcastStatus(x, n.By)
+		m.apply(subject, suspectedByPeer)
+		if subject.status == Suspect && update.By != subject.accuser && update.By != "" && !subject.confirmedBy[update.By] && len(subject.confirmedBy) < maxConfirmations {
+			subject.confirmedBy[update.By] = true
+			m.broadcastStatus(subject, update.By)
 		}
 	case Dead:
-		m.apply(x, declaredDead)
+		m.apply(subject, declaredDead)
 	}
 }
 
 func (m *Machine) send(to membership.Name, msg Message) {
 	msg.Incarnation = m.incarnation
-	if x := m.byName[to]; x != nil && x.status != Alive { // it first: so it can deny it
-		msg.Updates = append(msg.Updates, Update{x.name, x.status, x.incarnation, m.self})
+	if recipient := m.byName[to]; recipient != nil && recipient.status != Alive { // tell it first, so that it can refute that
+		msg.Updates = append(msg.Updates, Update{recipient.name, recipient.status, recipient.incarnation, m.self})
 	}
-	most := int(math.Ceil(retransmitFactor * m.logClusterSize()))
+	maxTransmissions := int(math.Ceil(retransmitFactor * m.logClusterSize()))
 	slices.SortStableFunc(m.pendingUpdates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
 	for i := range m.pendingUpdates {
 		if r := &m.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && r.Name != to {
@@ -144,6 +145,6 @@
 			r.transmissions++
 		}
 	}
-	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(r pendingUpdate) bool { return r.transmissions >= most })
+	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(r pendingUpdate) bool { return r.transmissions >= maxTransmissions })
 	m.out = append(m.out, Outgoing{to, msg})
 }
--- a/internal/controlplane/fleet/failuredetector/transitions.go
+++ b/internal/controlplane/fleet/failuredetector/transitions.go
@@ -7,10 +7,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// event is what may happen to a member's status.
+// event is what may change a member's status.
 type event uint8
 
-// transition is a row of the table: in one of these states, on one of these inputs, go to the next and do this.
+// transition is a row of the table: in one of these states, on one of these events, go to the next state and run the action.
 type transition struct {
 	state Status
 	on    event
@@ -18,7 +18,7 @@
 	do    func(*Machine, *member)
 }
 
-// What the table does not list changes nothing.
+// transitions is the state machine of a member. An event that it does not list for a state changes nothing.
 var transitions = []transition{}
 
 func init() {
@@ -30,12 +30,12 @@
 	}
 }
 
-func (m *Machine) apply(x *member, on event) {
+func (m *Machine) apply(subject *member, on event) {
 	for i := range transitions {
-		if r := &transitions[i]; r.state&x.status != 0 && r.on&on != 0 {
-			m.changes = append(m.changes, Change{x.name, x.status, r.next})
-			x.status = r.next
-			r.do(m, x)
+		if r := &transitions[i]; r.state&subject.status != 0 && r.on&on != 0 {
+			m.changes = append(m.changes, Change{subject.name, subject.status, r.next})
+			subject.status = r.next
+			r.do(m, subject)
 			return
 		}
 	}
@@ -50,30 +50,32 @@
 
 func (m *Machine) markDead(x *member) { x.confirmedBy = nil; m.broadcastStatus(x, "") }
 
-// broadcastStatus passes on what is held of a member.
+// broadcastStatus sends on what is believed of a member, and, for a suspicion, who suspects it.
 func (m *Machine) broadcastStatus(x *member, by membership.Name) {
 	m.broadcast(Update{x.name, x.status, x.incarnation, by})
 }
 
-// broadcast puts a piece of news first, in place of what was told of the same node.
-func (m *Machine) broadcast(n Update) {
-	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(r pendingUpdate) bool { return r.Name == n.Name })
-	m.pendingUpdates = append(m.pendingUpdates, pendingUpdate{Update: n})
+// broadcast puts an update first in the queue, in place of an earlier one on the same node.
+func (m *Machine) broadcast(update Update) {
+	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(pending pendingUpdate) bool { return pending.Name == update.Name })
+	m.pendingUpdates = append(m.pendingUpdates, pendingUpdate{Update: update})
 }
 
+// logClusterSize is the logarithm that times and transmissions grow with, at least 1.
 func (m *Machine) logClusterSize() float64 { return math.Max(1, math.Log10(float64(len(m.members)+1))) }
 
-// suspicionTimeout is how long a member stays suspect: the longest for a suspicion that nobody shares, the least once enough do.
-func (m *Machine) suspicionTimeout(x *member) float64 {
-	least := minSuspicionPeriods * m.logClusterSize() * m.settings.Period
-	most := maxSuspicionFactor * least
-	others := min(maxConfirmations, len(m.members)-1) // that could share it
-	if others < 1 {
-		return least
+// suspicionTimeout is how long a member stays suspect: longest without a confirmation, shortest with maxConfirmations
+// (Lifeguard, section IV-B).
+func (m *Machine) suspicionTimeout(suspect *member) float64 {
+	shortest := minSuspicionPeriods * m.logClusterSize() * m.settings.Period
+	longest := maxSuspicionFactor * shortest
+	confirmers := min(maxConfirmations, len(m.members)-1) // nodes that could confirm it
+	if confirmers < 1 {
+		return shortest
 	}
-	shared := math.Log(float64(len(x.confirmedBy))+1) / math.Log(float64(others)+1)
-	return math.Max(least, most-(most-least)*shared)
+	confirmed := math.Log(float64(len(suspect.confirmedBy))+1) / math.Log(float64(confirmers)+1)
+	return math.Max(shortest, longest-(longest-shortest)*confirmed)
 }
 
-// stretch stretches times by the doubt in ourselves.
-func (m *Machine) stretch(s float64) float64 { return s * float64(1+m.localHealth) }
+// stretch lengthens a time-out by the local health score.
+func (m *Machine) stretch(seconds float64) float64 { return seconds * float64(1+m.localHealth) }
--- a/internal/controlplane/fleet/membership/membership.go
+++ b/internal/controlplane/fleet/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership says which nodes make a fleet: names, addresses, locations, and who votes. It does no I/O and decides
-// nothing but whether a membership can be one.
+// Package membership says which nodes a fleet has: names, addresses, locations, and which of them vote. The set is fixed by
+// the operator's file, where its key is roster. The package does no I/O.
 package membership
 
 import (
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Name is a node's, as the membership has it.
+// Name is a node's, unique in the set.
 type Name string
 
 // Member is one node.
@@ -19,53 +19,53 @@
 	Votes    bool
 }
 
-// Set is all of them, in one order everywhere.
+// Set is all nodes, in the same order at each of them.
 type Set struct {
 	Version int
 	Members []Member
 }
 
 const (
-	// MinVoters is how many a consensus has at the least: with fewer no voter may fail.
+	// MinVoters is the least number of voters: with fewer none may fail.
 	MinVoters = 3
-	// MaxVoters is how many it has at most: with more each decision waits for more disks than it gains in safety
+	// MaxVoters is the largest: with more, each commit waits for more disks than it gains in safety
 	// (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4).
 	MaxVoters = 7
-	// maxMembers nodes: far over any fleet asked for, so that a file's slip does not size tables.
+	// maxMembers is far above any fleet's size, so that a mistake in a file does not size tables.
 	maxMembers = 4096
 )
 
-// Check tells all that is wrong with a membership.
-func (r *Set) Check() (wrong []string) {
-	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
+// Check lists all that is wrong with a set, in words for the operator who wrote it.
+func (r *Set) Check() (problems []string) {
+	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	if r.Version < 1 {
-		say("version is %d, expected 1 or more", r.Version)
+		report("version is %d, expected 1 or more", r.Version)
 	}
 	if len(r.Members) > maxMembers {
-		say("has %d mixers, expected at most %d", len(r.Members), maxMembers)
+		report("has %d mixers, expected at most %d", len(r.Members), maxMembers)
 	}
 	names, addresses := map[Name]bool{}, map[string]bool{}
 	for _, m := range r.Members {
 		if m.Name == "" || len(m.Name) > 64 {
-			say("a mixer's name has %d bytes, expected 1 to 64", len(m.Name))
+			report("a mixer's name has %d bytes, expected 1 to 64", len(m.Name))
 		}
 		if names[m.Name] {
-			say("two mixers are named %q", m.Name)
+			report("two mixers are named %q", m.Name)
 		}
 		if _, _, err := net.SplitHostPort(m.Address); err != nil {
-			say("%s: address is %q, expected HOST:PORT", m.Name, m.Address)
+			report("%s: address is %q, expected HOST:PORT", m.Name, m.Address)
 		} else if addresses[m.Address] {
-			say("%s: address %s is another mixer's too", m.Name, m.Address)
+			report("%s: address %s is another mixer's too", m.Name, m.Address)
 		}
 		names[m.Name], addresses[m.Address] = true, true
 	}
 	if n := len(r.Voters()); n < MinVoters || n > MaxVoters || n%2 == 0 {
-		say("%d mixers vote, expected 3, 5 or 7", n)
+		report("%d mixers vote, expected 3, 5 or 7", n)
 	}
-	return wrong
+	return problems
 }
 
-// Find is the member of a name, nil if none has it.
+// Find is the member of a name, nil if there is none.
 func (r *Set) Find(name Name) *Member {
 	if i := slices.IndexFunc(r.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
 		return &r.Members[i]
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Voters lists who votes.
+// Voters lists the names of the members that vote.
 func (r *Set) Voters() (names []Name) {
 	for _, m := range r.Members {
 		if m.Votes {
@@ -83,7 +83,7 @@
 	return names
 }
 
-// Others lists all but one.
+// Others lists the names of all members but one.
 func (r *Set) Others(self Name) (names []Name) {
 	for _, m := range r.Members {
 		if m.Name != self {
--- a/internal/controlplane/fleet/quota/client.go
+++ b/internal/controlplane/fleet/quota/client.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	slotCount = 4 // grants that a bucket holds at once: one being spent, one in reserve, and two that run out
-	// aheadSeconds is for how long of its demand a node holds tokens: two requests and what one takes, each of which may get lost.
+	slotCount = 4 // grants that a bucket has at once: one being spent, one in reserve, and two that expire
+	// aheadSeconds is for how long of its demand a node has tokens: two requests and a response, each of which may get lost.
 	aheadSeconds = 0.5
-	// spareFactor is how many times that it may hold before it gives the rest back.
+	// spareFactor times that may be left over before a node gives a grant back.
 	spareFactor = 2
-	// demandDecaySeconds is over which time demand is forgotten once it is gone.
+	// demandDecaySeconds is the time constant with which past demand is forgotten.
 	demandDecaySeconds = 0.5
-	// clockGrain is what a clock of Unix seconds in a float rounds off: without it a minimum of one query never admits it.
+	// clockGrain is the rounding of Unix seconds in a float64: without it a minimum of one query would never admit it.
 	clockGrain = 1e-6
-	// maxUsageReports is how many grants one Ask tells of.
+	// maxUsageReports is how many grants one Request reports on.
 	maxUsageReports = 2 * slotCount
 )
 
-// slot is a grant as it is spent from. Whoever takes a token has taken it once left was above 0.
+// slot is a grant that is spent from. Whoever decrements remaining from above 0 has a token.
 type slot struct {
 	number    GrantNumber
 	tokens    int64
@@ -28,22 +28,22 @@
 	until     float64
 }
 
-// minimum is what a node may spend of its own.
+// minimum is what a node may spend without a grant.
 type minimum struct{ perS, burst float64 }
 
-// Bucket is one tenant's at one node. Any goroutine may spend from it; only one fills it.
+// Bucket is one tenant's at one node. Any goroutine may spend from it, without a lock; only the Client's fills it.
 type Bucket struct {
 	slots   [slotCount]atomic.Pointer[slot]
 	minimum atomic.Pointer[minimum]
-	// full is the time at which the minimum's bucket will be full, as bits of a float: the form of a bucket that one
-	// compare-and-swap spends from (the generic cell rate algorithm, ITU-T I.371).
+	// minimumFullAt is the time at which the minimum's bucket will be full, as bits of a float64: the form of a token bucket
+	// that one compare-and-swap spends from (the generic cell rate algorithm, ITU-T I.371).
 	minimumFullAt atomic.Uint64
-	requested     atomic.Int64 // queries that came
-	rejected      atomic.Int64 // of these, that found nothing
+	requested     atomic.Int64 // queries that asked for a token
+	rejected      atomic.Int64 // queries that got none
 	retryAt       atomic.Uint64
 }
 
-// newBucket has an empty minimum: a process before this one may have spent all of it a moment ago.
+// newBucket starts with an empty minimum: the process before this one may just have spent all of it.
 func newBucket(now, perS, burst float64) *Bucket {
 	b := &Bucket{}
 	b.setMinimum(now, perS, burst)
@@ -51,7 +51,7 @@
 }
 
 func (b *Bucket) setMinimum(now, perS, burst float64) {
-	if f := b.minimum.Load(); f != nil && *f == (minimum{perS, burst}) {
+	if current := b.minimum.Load(); current != nil && *current == (minimum{perS, burst}) {
 		return
 	}
 	b.minimumFullAt.Store(math.Float64bits(math.Inf(1)))
@@ -77,18 +77,18 @@
 }
 
 func (b *Bucket) spendMinimum(now float64) bool {
-	f := b.minimum.Load()
-	if f.perS <= 0 || f.burst < 1 {
+	minimum := b.minimum.Load()
+	if minimum.perS <= 0 || minimum.burst < 1 {
 		return false
 	}
-	rate := f.perS * FillFactor
+	rate := minimum.perS * FillFactor
 	for {
-		was := b.minimumFullAt.Load()
-		full := max(now, math.Float64frombits(was)) + 1/rate
-		if full-now > f.burst/rate+clockGrain {
+		before := b.minimumFullAt.Load()
+		full := max(now, math.Float64frombits(before)) + 1/rate
+		if full-now > minimum.burst/rate+clockGrain {
 			return false
 		}
-		if b.minimumFullAt.CompareAndSwap(was, math.Float64bits(full)) {
+		if b.minimumFullAt.CompareAndSwap(before, math.Float64bits(full)) {
 			return true
 		}
 	}
@@ -97,26 +97,26 @@
 // Wait is in how many seconds there may be a token again: by the minimum, or sooner by what the granter said.
 func (b *Bucket) Wait(now float64) float64 {
 	wait := math.Inf(1)
-	if f := b.minimum.Load(); f.perS > 0 && f.burst >= 1 {
-		wait = max(0, math.Float64frombits(b.minimumFullAt.Load())-(f.burst-1)/(f.perS*FillFactor)-now)
+	if minimum := b.minimum.Load(); minimum.perS > 0 && minimum.burst >= 1 {
+		wait = max(0, math.Float64frombits(b.minimumFullAt.Load())-(minimum.burst-1)/(minimum.perS*FillFactor)-now)
 	}
-	if next := math.Float64frombits(b.retryAt.Load()); next > 0 {
-		wait = min(wait, max(0, next-now))
+	if retryAt := math.Float64frombits(b.retryAt.Load()); retryAt > 0 {
+		wait = min(wait, max(0, retryAt-now))
 	}
 	return wait
 }
 
-// Demand tells how many queries came, and how many of them found nothing.
-func (b *Bucket) Demand() (asked, short int64) { return b.requested.Load(), b.rejected.Load() }
+// Demand tells how many queries asked for a token, and how many of them got none.
+func (b *Bucket) Demand() (requested, rejected int64) { return b.requested.Load(), b.rejected.Load() }
 
-// closedGrant is a grant that nothing more is spent from, until the granter is known to have heard so.
+// closedGrant is a grant that nothing more is spent from, until the granter has acknowledged its report.
 type closedGrant struct {
 	GrantUsage
 	until      float64
-	reportedIn uint64 // the first asking that said so, 0 for none
+	reportedIn uint64 // number of the first request that reported it, 0 for none
 }
 
-// account is what the holder knows of one bucket.
+// account is what the client knows of one bucket.
 type account struct {
 	bucket    *Bucket
 	quota     Quota
@@ -127,7 +127,7 @@
 	closed    []closedGrant
 }
 
-// Client fills the buckets of one node. One goroutine uses it.
+// Client fills the buckets of one node, from the grants that it asks for. One goroutine uses it.
 type Client struct {
 	lease    float64
 	nodes    int
@@ -135,12 +135,12 @@
 	order    []Tenant
 }
 
-// NewClient makes one of a fleet of so many; grants last so many seconds from the asking.
+// NewClient makes one of a fleet of so many nodes; grants last for lease seconds from the sending of the request.
 func NewClient(lease float64, nodes int) *Client {
 	return &Client{lease: lease, nodes: nodes, accounts: map[Tenant]*account{}}
 }
 
-// Set takes the quotas that hold from now on, and hands out the buckets by tenant. One whose quota is gone is gone too.
+// Set takes the quotas that apply from now on, and returns the buckets by tenant. A tenant without a quota loses its bucket.
 func (h *Client) Set(now float64, quotas map[Tenant]Quota) map[Tenant]*Bucket {
 	buckets := make(map[Tenant]*Bucket, len(quotas))
 	for tenant, q := range quotas {
@@ -165,34 +165,33 @@
 	return buckets
 }
 
-// Requests is what to ask and tell the granter in the asking of a number: of each tenant that wants something or has
-// something to tell.
-func (h *Client) Requests(now float64, no uint64) (list []Request) {
+// Requests is what the request of a number asks for and reports: an entry for each tenant that needs tokens or has grants.
+func (h *Client) Requests(now float64, number uint64) (requests []Request) {
 	for _, tenant := range h.order {
 		a := h.accounts[tenant]
 		a.update(now)
-		ask := Request{Tenant: tenant, Tokens: a.tokensNeeded(now)}
+		request := Request{Tenant: tenant, Tokens: a.tokensNeeded(now)}
 		for i := range a.bucket.slots {
 			if s := a.bucket.slots[i].Load(); s != nil {
-				ask.Spent = append(ask.Spent, GrantUsage{Number: s.number, Spent: float64(s.tokens - max(0, s.remaining.Load()))})
+				request.Spent = append(request.Spent, GrantUsage{Number: s.number, Spent: float64(s.tokens - max(0, s.remaining.Load()))})
 			}
 		}
 		for i := range a.closed {
-			if c := &a.closed[i]; len(ask.Spent) < maxUsageReports {
+			if c := &a.closed[i]; len(request.Spent) < maxUsageReports {
 				if c.reportedIn == 0 {
-					c.reportedIn = no
+					c.reportedIn = number
 				}
-				ask.Spent = append(ask.Spent, c.GrantUsage)
+				request.Spent = append(request.Spent, c.GrantUsage)
 			}
 		}
-		if ask.Tokens >= 1 || len(ask.Spent) > 0 {
-			list = append(list, ask)
+		if request.Tokens >= 1 || len(request.Spent) > 0 {
+			requests = append(requests, request)
 		}
 	}
-	return list
+	return requests
 }
 
-// Urgent tells whether a query found nothing since the last asking.
+// Urgent tells whether a query got no token since the last request.
 func (h *Client) Urgent() bool {
 	for _, a := range h.accounts {
 		if a.bucket.rejected.Load() > a.rejected {
@@ -202,109 +201,108 @@
 	return false
 }
 
-// update closes what has run out, is spent, or is more than is needed, and reckons the demand.
+// update closes the grants that have expired, are spent, or exceed the demand, and estimates the demand.
 func (a *account) update(now float64) {
-	asked, dt := a.bucket.requested.Load(), now-a.updatedAt
-	if dt > 0 {
-		a.demand = max(float64(asked-a.requested)/max(dt, 0.05), a.demand*math.Exp(-dt/demandDecaySeconds))
+	requested, elapsed := a.bucket.requested.Load(), now-a.updatedAt
+	if elapsed > 0 {
+		a.demand = max(float64(requested-a.requested)/max(elapsed, 0.05), a.demand*math.Exp(-elapsed/demandDecaySeconds))
 	}
-	a.requested, a.updatedAt = asked, now
+	a.requested, a.updatedAt = requested, now
 	a.closed = slices.DeleteFunc(a.closed, func(c closedGrant) bool { return now >= c.until })
-	left, most, fattest := 0.0, 0.0, -1
+	remaining, most, largest := 0.0, 0.0, -1
 	for i := range a.bucket.slots {
 		s := a.bucket.slots[i].Load()
 		if s == nil {
 			continue
 		}
-		n := float64(max(0, s.remaining.Load()))
+		tokens := float64(max(0, s.remaining.Load()))
 		switch {
-		case now >= s.until || n == 0:
+		case now >= s.until || tokens == 0:
 			a.closeSlot(i)
-		case n > most:
-			most, fattest = n, i
+		case tokens > most:
+			most, largest = tokens, i
 			fallthrough
 		default:
-			left += n
+			remaining += tokens
 		}
 	}
-	if fattest >= 0 && left > 1+spareFactor*aheadSeconds*a.demand {
-		a.closeSlot(fattest)
+	if largest >= 0 && remaining > 1+spareFactor*aheadSeconds*a.demand {
+		a.closeSlot(largest)
 	}
 }
 
-// closeSlot closes a slot. Tokens that are taken at the same moment are taken before, or not at all.
+// closeSlot closes a slot. A token that is taken concurrently is taken before that, or not at all.
 func (a *account) closeSlot(i int) {
 	s := a.bucket.slots[i].Swap(nil)
-	left := max(0, s.remaining.Swap(math.MinInt64/2))
-	a.closed = append(a.closed, closedGrant{GrantUsage: GrantUsage{Number: s.number, Spent: float64(s.tokens - left), Closed: true}, until: s.until})
+	remaining := max(0, s.remaining.Swap(math.MinInt64/2))
+	a.closed = append(a.closed, closedGrant{GrantUsage: GrantUsage{Number: s.number, Spent: float64(s.tokens - remaining), Closed: true}, until: s.until})
 }
 
-// tokensNeeded is how many tokens more are needed.
+// tokensNeeded is how many further tokens to ask for.
 func (a *account) tokensNeeded(now float64) float64 {
-	short := a.bucket.rejected.Load()
-	need := aheadSeconds * a.demand
-	if short > a.rejected {
-		need = max(need, 1)
+	rejected := a.bucket.rejected.Load()
+	needed := aheadSeconds * a.demand
+	if rejected > a.rejected {
+		needed = max(needed, 1)
 	}
-	a.rejected = short
+	a.rejected = rejected
 	for i := range a.bucket.slots {
 		if s := a.bucket.slots[i].Load(); s != nil && now < s.until {
-			need -= float64(max(0, s.remaining.Load()))
+			needed -= float64(max(0, s.remaining.Load()))
 		}
 	}
-	if need <= 0.25 { // a demand that has faded to nothing asks no more
+	if needed <= 0.25 { // the demand has decayed
 		return 0
 	}
-	return min(math.Ceil(need), a.quota.Burst)
+	return min(math.Ceil(needed), a.quota.Burst)
 }
 
-// Take puts a grant into its bucket. It ends a lease after its asking, which was before the granter's answer, whenever
-// that came.
-func (h *Client) ReceiveGrant(now, asked float64, no uint64, g *Grant) {
-	a := h.accounts[g.Tenant]
-	if a == nil {
+// ReceiveGrant puts a grant into its bucket. It expires a lease after its request was sent, whenever the response came.
+func (h *Client) ReceiveGrant(now, requestedAt float64, requestNumber uint64, grant *Grant) {
+	account := h.accounts[grant.Tenant]
+	if account == nil {
 		return
 	}
-	a.closed = slices.DeleteFunc(a.closed, func(c closedGrant) bool { return c.reportedIn > 0 && c.reportedIn <= no })
-	if g.RetryAfter > 0 {
-		a.bucket.retryAt.Store(math.Float64bits(now + g.RetryAfter))
+	account.closed = slices.DeleteFunc(account.closed, func(c closedGrant) bool { return c.reportedIn > 0 && c.reportedIn <= requestNumber })
+	if grant.RetryAfter > 0 {
+		account.bucket.retryAt.Store(math.Float64bits(now + grant.RetryAfter))
 	} else {
-		a.bucket.retryAt.Store(0)
+		account.bucket.retryAt.Store(0)
 	}
-	until := asked + h.lease
-	if g.Tokens < 1 || now >= until {
+	until := requestedAt + h.lease
+	if grant.Tokens < 1 || now >= until {
 		return
 	}
 	free := -1
-	for i := range a.bucket.slots {
-		s := a.bucket.slots[i].Load()
+	for i := range account.bucket.slots {
+		s := account.bucket.slots[i].Load()
 		switch {
 		case s == nil:
 			free = i
-		case s.number == g.Number:
+		case s.number == grant.Number:
 			return
 		}
 	}
 	if free < 0 {
 		free = 0
-		for i := range a.bucket.slots {
-			if a.bucket.slots[i].Load().until < a.bucket.slots[free].Load().until {
+		for i := range account.bucket.slots {
+			if account.bucket.slots[i].Load().until < account.bucket.slots[free].Load().until {
 				free = i
 			}
 		}
-		a.closeSlot(free)
+		account.closeSlot(free)
 	}
-	s := &slot{number: g.Number, tokens: int64(g.Tokens), until: until}
+	s := &slot{number: grant.Number, tokens: int64(grant.Tokens), until: until}
 	s.remaining.Store(s.tokens)
-	a.bucket.slots[free].Store(s)
+	account.bucket.slots[free].Store(s)
 }
 
-// DropMinimums ends all minimums: another process has them from here on.
+// DropMinimums ends all minimums: the next process of this node has them from here on.
 func (h *Client) DropMinimums() {
 	for _, a := range h.accounts {
 		a.bucket.setMinimum(0, 0, 0)
 	}
 }
 
-// Empty is a bucket that nothing is ever in.
+// Empty is a bucket without a minimum or a grant.
 func Empty() *Bucket { return newBucket(0, 0, 0) }
--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -1,6 +1,9 @@
-// Package residency keeps each tenant's queries inside the zones that its contract allows. It knows the contracts, makes
-// masks of zones from them, knows at a node for how long they are sure, and at the consensus's leader where a changed one
-// holds. It does no I/O, reads no clock and starts no goroutine.
+// Package residency keeps each tenant's queries inside the zones that its contract allows. It compiles contracts into masks
+// of zones (Rules), knows at each node until when its contracts are confirmed to be the newest (Lease), and at the leader
+// which nodes apply a changed one (Rollout). Leases as in Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism
+// for distributed file cache consistency", 1989.
+//
+// It does no I/O, reads no clock and starts no goroutine; times are in seconds.
 package residency
 
 import (
@@ -12,28 +15,28 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Tenant is one by its name, as quotas have it.
+// Tenant is a tenant's name, as quotas have it.
 type Tenant = quota.Tenant
 
-// Version orders tables of contracts: the place of the last change in the consensus's log.
+// Version orders tables of contracts: the index of the last change in the log of the consensus.
 type Version uint64
 
 // Contract is what one tenant's allows.
 type Contract struct {
 	Zones []string `cbor:"1,keyasint" json:"zones"`
-	// Own keeps queries to nodes in these zones as well, where the data may not pass elsewhere either.
+	// Own restricts the aggregators as well to these zones, for data that may not pass through others.
 	Own bool `cbor:"2,keyasint,omitempty" json:"own,omitempty"`
-	// Indexes are those that it is about, all if there are none.
+	// Indexes are those that the contract is about; none means all.
 	Indexes []string `cbor:"3,keyasint,omitempty" json:"indexes,omitempty"`
 }
 
-// Table is all contracts as of a version. It never changes.
+// Table is all contracts as of a version. It is immutable.
 type Table struct {
 	Version   Version             `cbor:"1,keyasint" json:"version"`
 	Contracts map[Tenant]Contract `cbor:"2,keyasint" json:"contracts"`
 }
 
-// With is the table with one tenant's contract changed, or, with a nil one, taken away.
+// With is the table with one tenant's contract changed, or, with a nil one, removed.
 func (t *Table) With(version Version, tenant Tenant, c *Contract) *Table {
 	next := &Table{Version: version, Contracts: maps.Clone(t.Contracts)}
 	if next.Contracts == nil {
@@ -47,62 +50,62 @@
 	return next
 }
 
-// NameSpace is what contracts are about, by the settings' names.
+// NameSpace lists the names that the settings have.
 type NameSpace struct{ Zones, Indexes, Tenants []string }
 
-// Check tells what is wrong with a contract.
-func (s *NameSpace) Check(tenant Tenant, c *Contract) error {
+// Check tells what is wrong with a contract. The error is a ContractError.
+func (s *NameSpace) Check(tenant Tenant, contract *Contract) error {
 	switch {
 	case !slices.Contains(s.Tenants, string(tenant)):
 		return invalid("tenant %q is none that the settings know, expected one of %q", tenant, s.Tenants)
-	case len(c.Zones) == 0:
+	case len(contract.Zones) == 0:
 		return invalid("tenant %q has no zone, expected one at the least", tenant)
 	}
-	for _, z := range c.Zones {
-		if !slices.Contains(s.Zones, z) {
-			return invalid("zone %q of tenant %q is none that the settings know, expected some of %q", z, tenant, s.Zones)
+	for _, zone := range contract.Zones {
+		if !slices.Contains(s.Zones, zone) {
+			return invalid("zone %q of tenant %q is none that the settings know, expected some of %q", zone, tenant, s.Zones)
 		}
 	}
-	for _, x := range c.Indexes {
-		if !slices.Contains(s.Indexes, x) {
-			return invalid("index %q of tenant %q is none that the settings know, expected some of %q", x, tenant, s.Indexes)
+	for _, index := range contract.Indexes {
+		if !slices.Contains(s.Indexes, index) {
+			return invalid("index %q of tenant %q is none that the settings know, expected some of %q", index, tenant, s.Indexes)
 		}
 	}
 	return nil
 }
 
-// Rule is what holds for the queries of one tenant and index.
+// Rule is what applies to the queries of one tenant and index.
 type Rule struct {
-	Zones *policy.Zones // nil where no contract speaks of them
-	// Here tells whether this node may take them at all.
+	Zones *policy.Zones // nil where no contract restricts them
+	// Here tells whether this node may serve them at all.
 	Here bool
 }
 
-// Rules is a table made ready for queries: a rule by customer and index.
+// Rules is a table compiled for queries: a rule by customer and index. It is immutable.
 type Rules struct {
 	Table *Table
 	rules map[policy.CustomerID][]Rule
 }
 
-// Compile makes the rules of a node that stands in a zone. Zones that the settings do not know stand in no mask, so that
-// a backend of such a zone, or of none, is outside of all of them.
-func (s *NameSpace) Compile(t *Table, own string) *Rules {
+// Compile makes the rules of a node in a location. Zones that the settings do not have are in no mask, so that a backend of
+// such a zone, or of none, is outside of every contract.
+func (s *NameSpace) Compile(t *Table, location string) *Rules {
 	r := &Rules{Table: t, rules: map[policy.CustomerID][]Rule{}}
 	for i, tenant := range s.Tenants {
-		c, has := t.Contracts[Tenant(tenant)]
+		contract, has := t.Contracts[Tenant(tenant)]
 		if !has {
 			continue
 		}
 		zones := policy.NewZones()
-		for j, z := range s.Zones {
-			if z != "" && slices.Contains(c.Zones, z) {
+		for j, zone := range s.Zones {
+			if zone != "" && slices.Contains(contract.Zones, zone) {
 				zones.Allow(policy.LocationID(j))
 			}
 		}
-		here := !c.Own || own != "" && slices.Contains(c.Zones, own)
+		here := !contract.Own || location != "" && slices.Contains(contract.Zones, location)
 		rules := make([]Rule, len(s.Indexes))
 		for k, index := range s.Indexes {
-			if rules[k].Here = true; len(c.Indexes) == 0 || slices.Contains(c.Indexes, index) {
+			if rules[k].Here = true; len(contract.Indexes) == 0 || slices.Contains(contract.Indexes, index) {
 				rules[k] = Rule{zones, here}
 			}
 		}
@@ -111,7 +114,7 @@
 	return r
 }
 
-// Of is the rule of a query.
+// Of is the rule for a query.
 func (r *Rules) Of(customer policy.CustomerID, index policy.IndexID) Rule {
 	if rules := r.rules[customer]; int(index) < len(rules) {
 		return rules[index]
@@ -119,21 +122,23 @@
 	return Rule{Here: true}
 }
 
-// Lease is how long a node knows the contracts for sure. Its goroutine alone uses it; what traffic goes by is Until.
+// Lease is how long a node knows its contracts to be the newest. One goroutine uses it; traffic goes by Until.
 type Lease struct {
 	length  float64 // from the asking
-	margin  float64 // and by how much sooner queries are refused, so that those taken have ended by then
+	margin  float64 // by which it ends sooner for new queries, so that those accepted have ended by then
 	until   float64
 	renewed bool
 }
 
-// NewLease makes one; stop is the longest that a query may last.
-func NewLease(length, stop float64) *Lease { return &Lease{length: length, margin: stop} }
+// NewLease makes one; margin is the longest that a query may last.
+func NewLease(length, margin float64) *Lease { return &Lease{length: length, margin: margin} }
 
-// Renew takes the answer to an asking: the contracts that we hold were the newest after it.
-func (l *Lease) Renew(asked float64) { l.until, l.renewed = max(l.until, asked+l.length), true }
+// Renew takes the response to a request that was sent at a time: our contracts were the newest after it.
+func (l *Lease) Renew(requestedAt float64) {
+	l.until, l.renewed = max(l.until, requestedAt+l.length), true
+}
 
-// Until is when the contracts are sure no more, for queries that begin; 0 before anything was heard.
+// Until is until when queries may be accepted by the contracts; 0 before any response.
 func (l *Lease) Until() float64 {
 	if !l.renewed {
 		return 0
@@ -141,14 +146,14 @@
 	return l.until - l.margin
 }
 
-// Progress is how far a version got, node by node.
+// Progress tells how far a version is rolled out.
 type Progress struct {
 	Version Version     `cbor:"version" json:"version"`
 	Applied bool        `cbor:"held" json:"held"`
 	Nodes   []NodeState `cbor:"mixers" json:"mixers"`
 }
 
-// NodeState tells of one node how it stands to a version.
+// NodeState is how one node stands to a version.
 type NodeState struct {
 	Node        membership.Name `cbor:"mixer" json:"mixer"`
 	State       string          `cbor:"state" json:"state"`
@@ -163,72 +168,71 @@
 	StateOld     = "old"     // it may go by an older one
 )
 
-// nodeProgress is what the leader knows of one.
+// nodeProgress is what the leader knows of one node.
 type nodeProgress struct {
 	applied   Version
-	leaseEnds float64 // when its lease has run out for sure, if it hears nothing more
+	leaseEnds float64 // when its lease has expired for sure, unless it is renewed
 }
 
-// Rollout is the leader's knowledge of which contracts nodes hold.
+// Rollout is the leader's knowledge of which contracts the nodes apply.
 type Rollout struct {
-	lease       float64 // as granted, with its slack
+	leaseEnd    float64 // as granted, with its slack
 	ignoreUntil float64 // until when another leader may still hand out what it knew
 	nodes       map[membership.Name]*nodeProgress
 	names       []membership.Name
 }
 
-// NewRollout makes one for a fleet; leases are of so many seconds at the nodes.
+// NewRollout makes one for a fleet; lease is as granted to the nodes.
 func NewRollout(lease float64, names []membership.Name) *Rollout {
-	return &Rollout{lease: lease * quota.WaitFactor, names: slices.Sorted(slices.Values(names)), nodes: map[membership.Name]*nodeProgress{}}
+	return &Rollout{leaseEnd: lease * quota.WaitFactor, names: slices.Sorted(slices.Values(names)), nodes: map[membership.Name]*nodeProgress{}}
 }
 
-// Begin forgets what another leader may have known: until its authority has ended it may renew leases, and each of those
-// lasts for a lease. It may also hand an older table to a node that begins anew after it told us of a newer one, so that
-// nothing that nodes say counts before then.
+// Begin starts a leadership. The leader before may renew leases for authority seconds more, and each lasts for a lease. It
+// may also send an older table to a node that restarts after it reported a newer one, so that no report counts before then.
 func (s *Rollout) Begin(now, authority float64) {
 	clear(s.nodes)
 	s.ignoreUntil = now + authority*quota.WaitFactor
 	for _, name := range s.names {
-		s.nodes[name] = &nodeProgress{leaseEnds: now + authority*quota.WaitFactor + s.lease}
+		s.nodes[name] = &nodeProgress{leaseEnds: now + authority*quota.WaitFactor + s.leaseEnd}
 	}
 }
 
-// RecordApplied takes what a node says it holds.
-func (s *Rollout) RecordApplied(now float64, from membership.Name, holds Version) {
-	if m := s.nodes[from]; m != nil && now >= s.ignoreUntil {
-		m.applied = holds // a process that begins anew holds less than the one before it
+// RecordApplied takes the version that a node reports to apply.
+func (s *Rollout) RecordApplied(now float64, from membership.Name, applied Version) {
+	if node := s.nodes[from]; node != nil && now >= s.ignoreUntil {
+		node.applied = applied // a process that begins anew holds less than the one before it
 	}
 }
 
 // RecordRenewal notes that a node's lease is renewed now.
 func (s *Rollout) RecordRenewal(now float64, name membership.Name) {
-	if m := s.nodes[name]; m != nil {
-		m.leaseEnds = max(m.leaseEnds, now+s.lease)
+	if node := s.nodes[name]; node != nil {
+		node.leaseEnds = max(node.leaseEnds, now+s.leaseEnd)
 	}
 }
 
-// Progress tells how far a version got. It is held once each node holds it, or refuses whom it is about, where that
-// tenant is strict.
-func (s *Rollout) Progress(now float64, v Version, strict bool) Progress {
-	p := Progress{Version: v, Applied: len(s.nodes) > 0}
+// Progress tells how far a version is rolled out. It applies everywhere once each node applies it, or, where the tenant is
+// strict, refuses its queries.
+func (s *Rollout) Progress(now float64, version Version, strict bool) Progress {
+	progress := Progress{Version: version, Applied: len(s.nodes) > 0}
 	for _, name := range s.names {
-		m := s.nodes[name]
-		if m == nil {
+		node := s.nodes[name]
+		if node == nil {
 			continue
 		}
-		x := NodeState{Node: name, State: StateOld, Applied: m.applied}
+		state := NodeState{Node: name, State: StateOld, Applied: node.applied}
 		switch {
-		case m.applied >= v:
-			x.State = StateApplied
-		case strict && now >= m.leaseEnds:
-			x.State = StateRefuses
+		case node.applied >= version:
+			state.State = StateApplied
+		case strict && now >= node.leaseEnds:
+			state.State = StateRefuses
 		default:
-			p.Applied = false
+			progress.Applied = false
 			if strict {
-				x.LeaseEndsIn = m.leaseEnds - now
+				state.LeaseEndsIn = node.leaseEnds - now
 			}
 		}
-		p.Nodes = append(p.Nodes, x)
+		progress.Nodes = append(progress.Nodes, state)
 	}
-	return p
+	return progress
 }
--- a/internal/controlplane/fleet/sealedmessage/sealedmessage.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage.go
@@ -1,9 +1,10 @@
-// Package sealedmessage seals what nodes say to each other, and opens it. It does no I/O and reads no clock. What is unknown,
-// altered, replayed, too long, of another version, or too much, is told apart and never acted on.
+// Package sealedmessage authenticates the messages between nodes, and rejects replayed ones. It does no I/O and reads no clock.
+// Bodies are not encrypted. A message that is rejected is reported with its Verdict, and must not be acted on.
 //
-// A message as it travels: version (1 byte), who it is from and for (8 bytes each, hashes of names), the sender's
-// incarnation and the message's number (8 bytes each, big endian), its kind (1 byte), the body, and a keyed hash of all
-// that (16 bytes of BLAKE3). Who it is for is under the hash too: a message to one node is none to another.
+// On the wire: version (1 byte), sender and recipient (8 bytes each, XXH3 hashes of names), the sender's incarnation and the
+// message's number (8 bytes each, big endian), its kind (1 byte), the body, and a message authentication code over all that:
+// the first 16 bytes of BLAKE3 in keyed mode. The recipient is authenticated too: a message to one node is invalid at another.
+// Replays are found with a sliding window over the numbers of an incarnation, as in RFC 4303, section 3.4.3.
 package sealedmessage
 
 import (
@@ -25,47 +26,48 @@
 // Number counts the messages of an incarnation to one other node, from 1.
 type Number uint64
 
-// Kind is what a message is about; the fleet's actor knows which there are.
+// Kind is what a message is about; package fleet defines them.
 type Kind uint8
 
 const (
-	// Version of the messages. Another one is refused.
+	// Version of the wire form. Messages of another one are rejected.
 	Version = 1
 	// KeyBytes is the length of the key that all of a fleet share.
 	KeyBytes   = 32
 	headerSize = 1 + 8 + 8 + 8 + 8 + 1
 	macSize    = 16
-	// Overhead is what sealing adds to a body.
+	// Overhead is how many bytes sealing adds to a body.
 	Overhead = headerSize + macSize
-	// MaxDatagramBytes is what goes as a datagram: under the least MTU of IPv6, less heads.
+	// MaxDatagramBytes is the longest sealed message that is sent as a datagram: within IPv6's minimum MTU, without headers.
 	MaxDatagramBytes = 1200
-	// MaxBytes bounds the rest: some 10,000 contracts of 200 bytes.
+	// MaxBytes is the longest sealed message: some 10,000 contracts of 200 bytes.
 	MaxBytes = 2 << 20
-	// windowWords x 64 numbers behind the highest are known to have come or not; those before are taken for replayed.
+	// windowWords times 64 numbers up to the highest are remembered; those before count as replayed.
 	windowWords = 16
 )
 
-// Verdict tells why a message was not opened.
+// Verdict tells whether a message may be acted on, or why not.
 type Verdict uint8
 
-// The reasons.
+// The verdicts.
 const (
 	Accepted     Verdict = iota
 	OtherVersion         // than ours
 	TooLong
-	UnknownSender  // from none of the membership
+	UnknownSender  // from no member
 	WrongRecipient // for another node
-	BadMAC         // its hash is another
-	OldIncarnation // of an incarnation before one that was heard
-	Replayed       // its number came before, or is too far behind to tell
-	RateLimited    // more bytes a second than a node may send
+	BadMAC         // altered, or sealed with another key
+	OldIncarnation // of an earlier incarnation than one that was received
+	Replayed       // its number was received before, or is behind the window
+	RateLimited    // its sender exceeds Limits
 )
 
+// String is the verdict as counters name it.
 func (w Verdict) String() string {
 	return [...]string{"good", "other_version", "too_long", "unknown", "not_ours", "altered", "old", "replayed", "too_much"}[w]
 }
 
-// Message is one that was opened.
+// Message is an opened message. Body is a part of the bytes that were opened.
 type Message struct {
 	From        membership.Name
 	Incarnation Incarnation
@@ -74,29 +76,29 @@
 	Body        []byte
 }
 
-// Limits bound what one other node may make us take in.
+// Limits bound what is accepted from each other node: bytes a second, and bytes at once.
 type Limits struct{ BytesPerS, Burst float64 }
 
-// window knows which numbers of an incarnation came: the highest, and a bit for each of those close behind.
+// window remembers which numbers of an incarnation were received: the highest, and a bit for each of those close behind.
 type window struct {
 	incarnation Incarnation
 	highest     Number
 	seen        [windowWords]uint64
 }
 
-// accept notes a number, and tells whether it is the first time that it came.
-func (w *window) accept(n Number) bool {
+// accept records a number, and tells whether it was not received before.
+func (w *window) accept(number Number) bool {
 	const size = windowWords * 64
 	switch {
-	case n > w.highest:
-		for i := w.highest + 1; i <= n && i <= w.highest+size; i++ {
+	case number > w.highest:
+		for i := w.highest + 1; i <= number && i <= w.highest+size; i++ {
 			w.seen[i/64%windowWords] &^= 1 << (i % 64)
 		}
-		w.highest = n
-	case w.highest-n >= size:
+		w.highest = number
+	case w.highest-number >= size:
 		return false
 	}
-	bit, word := uint64(1)<<(n%64), &w.seen[n/64%windowWords]
+	bit, word := uint64(1)<<(number%64), &w.seen[number/64%windowWords]
 	if *word&bit != 0 {
 		return false
 	}
@@ -104,7 +106,7 @@
 	return true
 }
 
-// peer lives as long as the sealer.
+// peer is another node, as long as the sealer exists.
 type peer struct {
 	name    membership.Name
 	id      uint64
@@ -113,7 +115,7 @@
 	limiter *rate.Limiter
 }
 
-// Sealer seals and opens for one node.
+// Sealer seals and opens the messages of one node. One goroutine uses it.
 type Sealer struct {
 	self        uint64
 	incarnation Incarnation
@@ -122,20 +124,21 @@
 	byID        map[uint64]*peer
 }
 
-func id(name membership.Name) uint64 { return xxh3.HashString(string(name)) }
+func nameHash(name membership.Name) uint64 { return xxh3.HashString(string(name)) }
 
-// NameCollisionError is a name whose hash is another one's too: messages could not tell the two apart.
+// NameCollisionError is a name whose hash is another member's too: messages could not tell the two apart.
 type NameCollisionError membership.Name
 
+// Error says so to whoever chose the name.
 func (e NameCollisionError) Error() string {
 	return fmt.Sprintf("the name %q looks like another one: expected a name with another hash", string(e))
 }
 
-// New makes the sealer of a node and the others of its membership.
-func New(self membership.Name, incarnation Incarnation, key [KeyBytes]byte, others []membership.Name, lim Limits) (*Sealer, error) {
-	s := &Sealer{self: id(self), incarnation: incarnation, key: key, byName: map[membership.Name]*peer{}, byID: map[uint64]*peer{}}
+// New makes the sealer of a node among its peers. The error is a NameCollisionError.
+func New(self membership.Name, incarnation Incarnation, key [KeyBytes]byte, others []membership.Name, limits Limits) (*Sealer, error) {
+	s := &Sealer{self: nameHash(self), incarnation: incarnation, key: key, byName: map[membership.Name]*peer{}, byID: map[uint64]*peer{}}
 	for _, name := range others {
-		p := &peer{name: name, id: id(name), limiter: rate.NewLimiter(rate.Limit(lim.BytesPerS), int(lim.Burst))}
+		p := &peer{name: name, id: nameHash(name), limiter: rate.NewLimiter(rate.Limit(limits.BytesPerS), int(limits.Burst))}
 		if other := s.byID[p.id]; other != nil || p.id == s.self {
 			return nil, NameCollisionError(name)
 		}
@@ -144,11 +147,11 @@
 	return s, nil
 }
 
-// Incarnation is that of this process.
+// Incarnation is this process's.
 func (s *Sealer) Incarnation() Incarnation { return s.incarnation }
 
-// RaiseIncarnation takes a higher incarnation, where another node knows of one as high as ours: a clock that went back, or a second
-// process under our name.
+// RaiseIncarnation takes an incarnation above one that another node has received under our name, where that is as high as ours:
+// the clock went back, or a second process has our name.
 func (s *Sealer) RaiseIncarnation(above Incarnation) {
 	if above < s.incarnation {
 		return
@@ -168,66 +171,66 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Seal makes a message ready to travel; nil if it is for none of the membership or too long.
+// Seal makes a message to a member; nil if there is no such member or the body is too long.
 func (s *Sealer) Seal(to membership.Name, kind Kind, body []byte) []byte {
-	p := s.byName[to]
-	if p == nil || len(body) > MaxBytes-Overhead {
+	recipient := s.byName[to]
+	if recipient == nil || len(body) > MaxBytes-Overhead {
 		return nil
 	}
-	p.sent++
-	out := make([]byte, 0, Overhead+len(body))
-	out = append(out, Version)
-	out = binary.BigEndian.AppendUint64(out, s.self)
-	out = binary.BigEndian.AppendUint64(out, p.id)
-	out = binary.BigEndian.AppendUint64(out, uint64(s.incarnation))
-	out = binary.BigEndian.AppendUint64(out, uint64(p.sent))
-	out = append(append(out, byte(kind)), body...)
-	return append(out, s.mac(out)...)
+	recipient.sent++
+	sealed := make([]byte, 0, Overhead+len(body))
+	sealed = append(sealed, Version)
+	sealed = binary.BigEndian.AppendUint64(sealed, s.self)
+	sealed = binary.BigEndian.AppendUint64(sealed, recipient.id)
+	sealed = binary.BigEndian.AppendUint64(sealed, uint64(s.incarnation))
+	sealed = binary.BigEndian.AppendUint64(sealed, uint64(recipient.sent))
+	sealed = append(append(sealed, byte(kind)), body...)
+	return append(sealed, s.mac(sealed)...)
 }
 
-// Open opens what came at a time in seconds. Why is Good for a message to act on; of an Old one the message tells who it is
-// from, so that its sender can be told the incarnation that Known has.
-func (s *Sealer) Open(now float64, in []byte) (l Message, why Verdict) {
+// Open checks a message that was received at a time in seconds. The verdict is Accepted for one to act on; of one with an
+// OldIncarnation the message names the sender, so that it can be notified of the incarnation that KnownIncarnation has.
+func (s *Sealer) Open(now float64, sealed []byte) (message Message, verdict Verdict) {
 	switch {
-	case len(in) > MaxBytes:
-		return l, TooLong
-	case len(in) < Overhead:
-		return l, BadMAC
-	case in[0] != Version:
-		return l, OtherVersion
+	case len(sealed) > MaxBytes:
+		return message, TooLong
+	case len(sealed) < Overhead:
+		return message, BadMAC
+	case sealed[0] != Version:
+		return message, OtherVersion
 	}
-	p := s.byID[binary.BigEndian.Uint64(in[1:])]
+	sender := s.byID[binary.BigEndian.Uint64(sealed[1:])]
 	switch {
-	case p == nil:
-		return l, UnknownSender
-	case binary.BigEndian.Uint64(in[9:]) != s.self:
-		return l, WrongRecipient
+	case sender == nil:
+		return message, UnknownSender
+	case binary.BigEndian.Uint64(sealed[9:]) != s.self:
+		return message, WrongRecipient
 	}
-	body := in[:len(in)-macSize]
+	body := sealed[:len(sealed)-macSize]
 	switch {
-	case subtle.ConstantTimeCompare(s.mac(body), in[len(in)-macSize:]) != 1:
-		return l, BadMAC
-	// After the hash: else whoever forges a sender could use up what that one may send.
-	case !p.limiter.AllowN(time.Unix(0, int64(now*1e9)), len(in)):
-		return l, RateLimited
+	case subtle.ConstantTimeCompare(s.mac(body), sealed[len(sealed)-macSize:]) != 1:
+		return message, BadMAC
+	// After the authentication: else forged messages could use up the limit of the node that they name.
+	case !sender.limiter.AllowN(time.Unix(0, int64(now*1e9)), len(sealed)):
+		return message, RateLimited
 	}
-	l = Message{From: p.name, Incarnation: Incarnation(binary.BigEndian.Uint64(in[17:])), Number: Number(binary.BigEndian.Uint64(in[25:])),
-		Kind: Kind(in[33]), Body: body[headerSize:]}
-	switch w := &p.window; {
-	case l.Incarnation < w.incarnation:
-		return l, OldIncarnation
-	case l.Incarnation > w.incarnation:
-		*w = window{incarnation: l.Incarnation}
+	message = Message{From: sender.name, Incarnation: Incarnation(binary.BigEndian.Uint64(sealed[17:])), Number: Number(binary.BigEndian.Uint64(sealed[25:])),
+		Kind: Kind(sealed[33]), Body: body[headerSize:]}
+	switch replay := &sender.window; {
+	case message.Incarnation < replay.incarnation:
+		return message, OldIncarnation
+	case message.Incarnation > replay.incarnation:
+		*replay = window{incarnation: message.Incarnation}
 		fallthrough
 	default:
-		if !w.accept(l.Number) {
-			return l, Replayed
+		if !replay.accept(message.Number) {
+			return message, Replayed
 		}
 	}
-	return l, Accepted
+	return message, Accepted
 }
 
-// KnownIncarnation is the highest incarnation heard of a node, 0 for none.
+// KnownIncarnation is the highest incarnation received from a node, 0 for none.
 func (s *Sealer) KnownIncarnation(name membership.Name) Incarnation {
 	if p := s.byName[name]; p != nil {
 		return p.window.incarnation
--- a/internal/controlplane/fleet/udptransport/udptransport.go
+++ b/internal/controlplane/fleet/udptransport/udptransport.go
@@ -1,6 +1,8 @@
-// Package udptransport carries sealed messages between nodes: datagrams over UDP, and what is longer over TCP, both at the one
-// address that the membership gives a node. It opens nothing and decides nothing. Whoever sends is never held up: what finds
-// no room is dropped, as a network drops it, and counted.
+// Package udptransport carries sealed messages between nodes: datagrams over UDP, and longer messages over TCP, both at the
+// one address that the membership gives a node. It neither opens messages nor retries them. Send never blocks: a message that
+// finds its queue full is dropped, as a network would drop it, and counted.
+//
+// A long message is framed by its length, in 4 bytes, big endian.
 package udptransport
 
 import (
@@ -18,19 +20,19 @@
 )
 
 const (
-	// receiveQueueLength messages: some rounds of all that a fleet of hundreds may say at once.
+	// receiveQueueLength is in messages: several rounds of what a fleet of hundreds may send at once.
 	receiveQueueLength = 4096
-	// longQueueLength for one other node; what matters is said again.
+	// longQueueLength is in messages to one other node; senders repeat what matters.
 	longQueueLength = 8
 	dialTimeout     = time.Second
-	frameTimeout    = 5 * time.Second  // for a long message, once it has begun
-	idleTimeout     = 10 * time.Second // a connection without one is closed
-	maxConnections  = 64               // taken in at once
+	frameTimeout    = 5 * time.Second  // for a frame, once its header has come
+	idleTimeout     = 10 * time.Second // then a connection without a frame is closed
+	maxConnections  = 64               // accepted at once
 )
 
-// Transport is the sockets of one node.
+// Transport is the sockets of one node. Send may be called from one goroutine, Close once.
 type Transport struct {
-	Received chan []byte // sealed messages as they came
+	Received chan []byte // sealed messages, in the order of their arrival
 
 	udp         *net.UDPConn
 	tcp         net.Listener
@@ -44,36 +46,37 @@
 	closed      bool
 }
 
-// Listen opens the sockets of a node. Its address is a lock too: a second process under the same name gets an error.
-func Listen(self string, others map[membership.Name]string, count *counters.Set) (*Transport, error) {
-	s := &Transport{Received: make(chan []byte, receiveQueueLength), counters: count, addresses: map[membership.Name]*net.UDPAddr{}, longQueues: map[membership.Name]chan []byte{},
+// Listen opens the sockets of a node and resolves its peers' addresses. The address is a lock too: a second process under the
+// same name gets an error.
+func Listen(self string, peers map[membership.Name]string, counters *counters.Set) (*Transport, error) {
+	transport := &Transport{Received: make(chan []byte, receiveQueueLength), counters: counters, addresses: map[membership.Name]*net.UDPAddr{}, longQueues: map[membership.Name]chan []byte{},
 		closing: make(chan struct{}), connections: map[net.Conn]bool{}}
-	at, err := net.ResolveUDPAddr("udp", self)
+	address, err := net.ResolveUDPAddr("udp", self)
 	if err != nil {
 		return nil, err
 	}
-	for name, address := range others {
-		if s.addresses[name], err = net.ResolveUDPAddr("udp", address); err != nil {
+	for name, address := range peers {
+		if transport.addresses[name], err = net.ResolveUDPAddr("udp", address); err != nil {
 			return nil, err
 		}
-		s.longQueues[name] = make(chan []byte, longQueueLength)
+		transport.longQueues[name] = make(chan []byte, longQueueLength)
 	}
-	if s.udp, err = net.ListenUDP("udp", at); err != nil {
+	if transport.udp, err = net.ListenUDP("udp", address); err != nil {
 		return nil, err
 	}
-	if s.tcp, err = net.Listen("tcp", self); err != nil {
-		s.udp.Close()
+	if transport.tcp, err = net.Listen("tcp", self); err != nil {
+		transport.udp.Close()
 		return nil, err
 	}
-	s.goroutines.Go(s.readDatagrams)
-	s.goroutines.Go(s.accept)
-	for name, queue := range s.longQueues {
-		s.goroutines.Go(func() { s.sendLong(others[name], queue) })
+	transport.goroutines.Go(transport.readDatagrams)
+	transport.goroutines.Go(transport.accept)
+	for name, queue := range transport.longQueues {
+		transport.goroutines.Go(func() { transport.sendLong(peers[name], queue) })
 	}
-	return s, nil
+	return transport, nil
 }
 
-// Close ends all of it.
+// Close closes the sockets, and returns once all goroutines have ended.
 func (s *Transport) Close() {
 	close(s.closing)
 	s.udp.Close()
@@ -87,7 +90,7 @@
 	s.goroutines.Wait()
 }
 
-// Send sends a message, by datagram if it fits one.
+// Send sends a message, by datagram if it fits into one.
 func (s *Transport) Send(to membership.Name, sealed []byte) {
 	if len(sealed) == 0 || s.addresses[to] == nil {
 		s.counters.Add("fleet_dropped", "not_sent", 1)
@@ -101,8 +104,8 @@
 		}
 		return
 	}
-	f := failpoint.Pass(failpoint.SendDatagram)
-	for range f.Times() {
+	fault := failpoint.Pass(failpoint.SendDatagram)
+	for range fault.Times() {
 		if _, err := s.udp.WriteToUDP(sealed, s.addresses[to]); err != nil {
 			s.counters.Add("fleet_dropped", "not_sent", 1)
 		}
@@ -110,10 +113,10 @@
 	}
 }
 
-// enqueue hands in what came. A node that is stopped for a while must not find hours of old messages: the oldest wait, and
-// what comes with no room left is dropped.
-func (s *Transport) enqueue(sealed []byte, f failpoint.Fault) {
-	for range f.Times() {
+// enqueue hands a message to the reader of Received. The queue is bounded, so that a process that was paused does not find hours
+// of old messages: the newest are dropped.
+func (s *Transport) enqueue(sealed []byte, fault failpoint.Fault) {
+	for range fault.Times() {
 		select {
 		case s.Received <- sealed:
 		default:
@@ -129,7 +132,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // a refused datagram of ours comes back as an error
+		case err != nil: // an ICMP error for a datagram of ours is reported here
 			continue
 		}
 		s.counters.Add("fleet_bytes", "taken", int64(n))
@@ -137,12 +140,12 @@
 	}
 }
 
-// sendLong takes long messages to one other node, one after the other on a connection that it opens when there is one.
+// sendLong sends long messages to one other node, one after the other, over a connection that it opens for the first of them.
 func (s *Transport) sendLong(address string, queue chan []byte) {
-	var c net.Conn
+	var connection net.Conn
 	defer func() {
-		if c != nil {
-			c.Close()
+		if connection != nil {
+			connection.Close()
 		}
 	}()
 	idle := time.NewTimer(idleTimeout)
@@ -151,39 +154,39 @@
 		case <-s.closing:
 			return
 		case <-idle.C:
-			if c != nil {
-				c.Close()
-				c = nil
+			if connection != nil {
+				connection.Close()
+				connection = nil
 			}
 		case sealed := <-queue:
 			idle.Reset(idleTimeout)
 			frame := binary.BigEndian.AppendUint32(nil, uint32(len(sealed)))
 			frame = append(frame, sealed...)
 			for range failpoint.Pass(failpoint.SendLong).Times() {
-				c = s.writeFrame(c, address, frame)
+				connection = s.writeFrame(connection, address, frame)
 			}
 		}
 	}
 }
 
-// writeFrame writes a frame on a connection, or on a new one where that has ended meanwhile.
-func (s *Transport) writeFrame(c net.Conn, address string, frame []byte) net.Conn {
+// writeFrame writes a frame to a connection, or to a new one where that was closed meanwhile. It returns the connection to use next.
+func (s *Transport) writeFrame(connection net.Conn, address string, frame []byte) net.Conn {
 	for range 2 {
-		fresh := c == nil
-		if fresh {
+		dialed := connection == nil
+		if dialed {
 			var err error
-			if c, err = net.DialTimeout("tcp", address, dialTimeout); err != nil {
+			if connection, err = net.DialTimeout("tcp", address, dialTimeout); err != nil {
 				s.counters.Add("fleet_dropped", "no_line", 1)
 				return nil
 			}
 		}
-		c.SetWriteDeadline(time.Now().Add(frameTimeout))
-		if _, err := c.Write(frame); err == nil {
+		connection.SetWriteDeadline(time.Now().Add(frameTimeout))
+		if _, err := connection.Write(frame); err == nil {
 			s.counters.Add("fleet_bytes", "sent", int64(len(frame)))
-			return c
+			return connection
 		}
-		c.Close()
-		if c = nil; fresh {
+		connection.Close()
+		if connection = nil; dialed {
 			break
 		}
 	}
@@ -193,52 +196,52 @@
 
 func (s *Transport) accept() {
 	for {
-		c, err := s.tcp.Accept()
+		connection, err := s.tcp.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // no descriptor left: others end
+			time.Sleep(10 * time.Millisecond) // no file descriptor is left: wait for others to be closed
 			continue
 		}
 		s.mu.Lock()
-		room := !s.closed && len(s.connections) < maxConnections
-		if room {
-			s.connections[c] = true
-			s.goroutines.Go(func() { s.readFrames(c) })
+		accepted := !s.closed && len(s.connections) < maxConnections
+		if accepted {
+			s.connections[connection] = true
+			s.goroutines.Go(func() { s.readFrames(connection) })
 		}
 		s.mu.Unlock()
-		if !room {
-			c.Close()
+		if !accepted {
+			connection.Close()
 		}
 	}
 }
 
-// readFrames takes long messages from a connection. No memory is taken on the word of a length: it grows with what comes.
-func (s *Transport) readFrames(c net.Conn) {
+// readFrames reads long messages from a connection. Memory grows with the bytes that come, and not by the length in the header.
+func (s *Transport) readFrames(connection net.Conn) {
 	defer func() {
-		c.Close()
+		connection.Close()
 		s.mu.Lock()
-		delete(s.connections, c)
+		delete(s.connections, connection)
 		s.mu.Unlock()
 	}()
 	for {
-		var head [4]byte
-		c.SetReadDeadline(time.Now().Add(idleTimeout + frameTimeout))
-		if _, err := io.ReadFull(c, head[:]); err != nil {
+		var header [4]byte
+		connection.SetReadDeadline(time.Now().Add(idleTimeout + frameTimeout))
+		if _, err := io.ReadFull(connection, header[:]); err != nil {
 			return
 		}
-		n := binary.BigEndian.Uint32(head[:])
-		if n > sealedmessage.MaxBytes {
+		length := binary.BigEndian.Uint32(header[:])
+		if length > sealedmessage.MaxBytes {
 			s.counters.Add("fleet_dropped", sealedmessage.TooLong.String(), 1)
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(frameTimeout))
-		sealed, err := io.ReadAll(io.LimitReader(c, int64(n)))
-		if err != nil || len(sealed) < int(n) {
+		connection.SetReadDeadline(time.Now().Add(frameTimeout))
+		sealed, err := io.ReadAll(io.LimitReader(connection, int64(length)))
+		if err != nil || len(sealed) < int(length) {
 			return
 		}
-		s.counters.Add("fleet_bytes", "taken", int64(n))
+		s.counters.Add("fleet_bytes", "taken", int64(length))
 		s.enqueue(sealed, failpoint.Pass(failpoint.ReceiveLong))
 	}
 }
