--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -153,7 +153,8 @@
 	case configuration.Conflict:
 		writeError(w, http.StatusPreconditionFailed, outcome.Err.Error())
 	default:
-		h.logger.Info("configuration change without a clear outcome", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
+		// Operators' pages name this event.
+		h.logger.Info("order without a clear end", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
 		writeError(w, http.StatusServiceUnavailable, uncertainText(outcome.Err))
 	}
 }
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -77,7 +77,8 @@
 		return
 	}
 	w.lastFailure = err.Error()
-	w.log.Error("settings file rejected, the previous settings stay in force", zap.String("path", w.path), zap.Error(err))
+	// Operators' pages name this event.
+	w.log.Error("settings file not taken, the settings before stay", zap.String("path", w.path), zap.Error(err))
 }
 
 // send sends settings, in place of those that have not been received yet.
