--- a/cmd/puffinlink/whyprint.go
+++ b/cmd/puffinlink/whyprint.go
@@ -60,8 +60,8 @@
 		return
 	}
 	fmt.Fprintf(stdout, "  waiting for %v; stages that come first: %d\n", milliseconds(w.AgeMS), w.Ahead)
-	if len(w.Open) > 0 {
-		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(w.Open, " "))
+	if len(w.OpenWorkers) > 0 {
+		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(w.OpenWorkers, " "))
 	}
 	if w.Reason == jobreport.ReasonNoWorker && len(w.Excluded) == 0 {
 		fmt.Fprintln(stdout, "  no searcher of the service is known: look at the platform's list")
--- a/internal/jobs/jobreport/explanation.go
+++ b/internal/jobs/jobreport/explanation.go
@@ -45,17 +45,17 @@
 
 // Waiting is the tasks of one stage that wait.
 type Waiting struct {
-	Repetition int           `msgpack:"r" json:"repetition"`
-	Stage      int           `msgpack:"s" json:"stage"`
-	Tasks      int           `msgpack:"t" json:"tasks"`
-	Reason     Reason        `msgpack:"w" json:"reason"`
-	DependsOn  []int         `msgpack:"d" json:"dependsOn,omitempty"` // earlier stages that are not complete
-	DueMS      int64         `msgpack:"m" json:"dueMs,omitzero"`      // milliseconds since 1970
-	AgeMS      int64         `msgpack:"a" json:"ageMs,omitzero"`      // since the stage last began to wait
-	Ahead      int           `msgpack:"h" json:"ahead,omitzero"`      // stages that come before this one in the present order
-	Request    job.Resources `msgpack:"q" json:"request"`             // of one task
-	Open       []string      `msgpack:"o" json:"open,omitempty"`      // the first few workers that could take one
-	Excluded   []Excluded    `msgpack:"x" json:"ruledOut,omitempty"`
+	Repetition  int           `msgpack:"r" json:"repetition"`
+	Stage       int           `msgpack:"s" json:"stage"`
+	Tasks       int           `msgpack:"t" json:"tasks"`
+	Reason      Reason        `msgpack:"w" json:"reason"`
+	DependsOn   []int         `msgpack:"d" json:"dependsOn,omitempty"` // earlier stages that are not complete
+	DueMS       int64         `msgpack:"m" json:"dueMs,omitzero"`      // milliseconds since 1970
+	AgeMS       int64         `msgpack:"a" json:"ageMs,omitzero"`      // since the stage last began to wait
+	Ahead       int           `msgpack:"h" json:"ahead,omitzero"`      // stages that come before this one in the present order
+	Request     job.Resources `msgpack:"q" json:"request"`             // of one task
+	OpenWorkers []string      `msgpack:"o" json:"open,omitempty"`      // the first few workers that could take one
+	Excluded    []Excluded    `msgpack:"x" json:"ruledOut,omitempty"`
 }
 
 // Why explains why a job's tasks wait.
--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -45,29 +45,29 @@
 
 // Worker is one incarnation of a worker as the leader of its service's jobs sees it.
 type Worker struct {
-	ID               string        `msgpack:"i" json:"id"`
-	Service          string        `msgpack:"s" json:"service"`
-	Address          string        `msgpack:"a" json:"address"`
-	Zone             string        `msgpack:"z" json:"zone"`
-	Version          string        `msgpack:"v" json:"version"`
-	Rack             string        `msgpack:"k" json:"rack"`
-	Labels           []string      `msgpack:"l" json:"labels"`
-	State            WorkerState   `msgpack:"t" json:"state"`
-	Reachable        bool          `msgpack:"h" json:"reachable"`
-	Draining         bool          `msgpack:"d" json:"draining"`
-	OperatorDraining bool          `msgpack:"o" json:"operatorDraining"`
-	DrainVersion     uint64        `msgpack:"q" json:"drainVersion"`   // number of operators' changes to its drain that were taken
-	Window           int           `msgpack:"w" json:"window"`         // attempts that it may have at the same time
-	LatencyMS        float64       `msgpack:"m" json:"latencyMs"`      // smoothed duration of its attempts; 0 before the first
-	FailureRate      float64       `msgpack:"f" json:"faultShare"`     // smoothed share of its attempts that fail, 0 to 1
-	Attempts         int           `msgpack:"r" json:"runs"`           // that may be under way there
-	WaitingTasks     int           `msgpack:"b" json:"waitingTasks"`   // that are bound to this worker
-	Orphans          int           `msgpack:"y" json:"unwantedRuns"`   // attempts that no job wants, being stopped
-	Used             job.Resources `msgpack:"u" json:"used"`           // by attempts
-	Free             job.Resources `msgpack:"e" json:"free"`           // may be below 0 at a worker that takes more than it has
-	Capacity         job.Resources `msgpack:"c" json:"capacity"`       // of the whole worker
-	RemainingMS      int64         `msgpack:"n" json:"remainingMs"`    // least time left to one that the platform drains
-	MissingLists     int           `msgpack:"g" json:"missingInLists"` // complete lists of the platform in a row without it
+	ID                string        `msgpack:"i" json:"id"`
+	Service           string        `msgpack:"s" json:"service"`
+	Address           string        `msgpack:"a" json:"address"`
+	Zone              string        `msgpack:"z" json:"zone"`
+	Version           string        `msgpack:"v" json:"version"`
+	Rack              string        `msgpack:"k" json:"rack"`
+	Labels            []string      `msgpack:"l" json:"labels"`
+	State             WorkerState   `msgpack:"t" json:"state"`
+	Reachable         bool          `msgpack:"h" json:"reachable"`
+	Draining          bool          `msgpack:"d" json:"draining"`
+	OperatorDraining  bool          `msgpack:"o" json:"operatorDraining"`
+	DrainVersion      uint64        `msgpack:"q" json:"drainVersion"`   // number of operators' changes to its drain that were taken
+	Window            int           `msgpack:"w" json:"window"`         // attempts that it may have at the same time
+	LatencyMS         float64       `msgpack:"m" json:"latencyMs"`      // smoothed duration of its attempts; 0 before the first
+	FailureRate       float64       `msgpack:"f" json:"faultShare"`     // smoothed share of its attempts that fail, 0 to 1
+	Attempts          int           `msgpack:"r" json:"runs"`           // that may be under way there
+	WaitingTasks      int           `msgpack:"b" json:"waitingTasks"`   // that are bound to this worker
+	Orphans           int           `msgpack:"y" json:"unwantedRuns"`   // attempts that no job wants, being stopped
+	Used              job.Resources `msgpack:"u" json:"used"`           // by attempts
+	Free              job.Resources `msgpack:"e" json:"free"`           // may be below 0 at a worker that takes more than it has
+	Capacity          job.Resources `msgpack:"c" json:"capacity"`       // of the whole worker
+	RemainingMS       int64         `msgpack:"n" json:"remainingMs"`    // least time left to one that the platform drains
+	MissedInventories int           `msgpack:"g" json:"missingInLists"` // complete lists of the platform in a row without it
 }
 
 // TaskCounts counts the tasks of a stage or a job by state.
--- a/internal/jobs/scheduler/effects.go
+++ b/internal/jobs/scheduler/effects.go
@@ -40,9 +40,9 @@
 	return effects
 }
 
-// StillWanted tells whether a start that has become durable is still to be sent: meanwhile its attempt may have been
+// StillNeeded tells whether a start that has become durable is still to be sent: meanwhile its attempt may have been
 // stopped, or its worker removed.
-func (s *Scheduler) StillWanted(id workerclient.WorkerID, command *workerclient.StartCommand) bool {
+func (s *Scheduler) StillNeeded(id workerclient.WorkerID, command *workerclient.StartCommand) bool {
 	worker := s.workers[id]
 	if worker == nil {
 		return false
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -78,8 +78,8 @@
 			continue
 		}
 		open++
-		if len(waiting.Open) < maxNamedWorkers {
-			waiting.Open = append(waiting.Open, string(worker.ID))
+		if len(waiting.OpenWorkers) < maxNamedWorkers {
+			waiting.OpenWorkers = append(waiting.OpenWorkers, string(worker.ID))
 		}
 	}
 	waiting.Reason = s.waitingReason(now, stage, open)
@@ -104,13 +104,13 @@
 // isStageBackingOff tells whether no task of the stage may start at present, after starts that failed. A gang backs off
 // with any of its members.
 func isStageBackingOff(now Now, stage *stageState) bool {
-	paused := 0
+	backingOff := 0
 	for _, task := range stage.waiting {
 		if now.Monotonic.Before(task.backoffUntil) {
-			paused++
+			backingOff++
 		}
 	}
-	return paused == len(stage.waiting) || stage.GangScheduled && paused > 0
+	return backingOff == len(stage.waiting) || stage.GangScheduled && backingOff > 0
 }
 
 // placeableMembers counts the members of a gang that could start at present, on any racks.
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -123,7 +123,7 @@
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := explain(w, w.submitStages(1, gang))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangCapacity)
-			So(len(waiting.Open), ShouldEqual, maxNamedWorkers)
+			So(len(waiting.OpenWorkers), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
 			facts := &jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -198,7 +198,7 @@
 			w.sendStop(worker, *command.Stop, w.epoch, w.scheduler)
 			continue
 		}
-		if w.scheduler.StillWanted(command.Worker, command.Start) {
+		if w.scheduler.StillNeeded(command.Worker, command.Start) {
 			w.sendStart(worker, *command.Start, w.epoch, w.scheduler)
 		}
 	}
