--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"puffinlink.example/puffinlink/internal/controlplane/register/registertest"
 	"puffinlink.example/puffinlink/internal/rpcerror"
 	"puffinlink.example/puffinlink/internal/transport"
 )
@@ -104,7 +105,7 @@
 	}
 }
 
-// resumeDelay waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
+// waitWhileFrozen waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
 // what resumes at one moment.
 func (n *simulatedNetwork) waitWhileFrozen(address string, after time.Duration) {
 	n.mutex.Lock()
@@ -200,7 +201,7 @@
 // Call implements transport.Caller.
 func (c simulatedCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if !c.alive() {
-		return rpcerror.WrapNotExecuted(errKilled, 0)
+		return rpcerror.WrapNotExecuted(registertest.ErrKilled, 0)
 	}
 	body, err := msgpack.Marshal(request)
 	if err != nil {
