--- a/internal/jobs/jobreport/jobreport.go
+++ b/internal/jobs/jobreport/jobreport.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Only the leader of a group answers them; any other node refuses as rpcerror.NotExecuted. All are
+// Internal calls. Only the leader of a group answers them; any other node rejects them as rpcerror.NotExecuted. All are
 // idempotent: a drain that is set or ended again stays as it is.
 var (
 	SummaryCall = transport.NewIdempotent[SummaryRequest, SummaryReply]("/jobs/report/summary")
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -41,7 +41,7 @@
 	return why.Waiting[0]
 }
 
-// excludedBy is how many workers a cause rules out.
+// excludedBy is how many workers a cause excludes.
 func excludedBy(waiting jobreport.Waiting, cause jobreport.Cause) int {
 	for _, excluded := range waiting.Excluded {
 		if excluded.Cause == cause {
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -90,7 +90,7 @@
 	return order
 }
 
-// completeSome ends some runs at workers, so that capacity, queues and latencies change.
+// completeSome completes some attempts, so that capacity, queues and latencies change.
 func completeSome(s *Scheduler, now Now, round int) {
 	for i, worker := range s.sortedWorkers {
 		if (i+round)%3 != 0 {
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -44,7 +44,7 @@
 	do func()
 }
 
-// machine is one life of a worker.
+// simulatedWorker is one incarnation of a worker.
 type simulatedWorker struct {
 	workerclient.Instance
 	fencingToken      uint64
@@ -330,7 +330,7 @@
 	w.violations = append(w.violations, fmt.Sprintf("at %v: ", w.elapsed)+fmt.Sprintf(format, values...))
 }
 
-// outcomeOf checks one start. Promises with a time bound do not cover starts that a worker carried out late.
+// checkStart checks one start. Promises with a time bound do not cover starts that a worker executed late.
 func (w *simulation) checkStart(worker *simulatedWorker, command workerclient.StartCommand, facts *jobFacts, stage *job.Stage, late bool) {
 	id := command.Task
 	recorded := w.facts(id)
@@ -401,7 +401,7 @@
 	})
 }
 
-// completion ends a run and, as its workers do, the other members of its gang.
+// complete ends an attempt and, as workers do, those of the other members of its gang.
 func (w *simulation) complete(worker *simulatedWorker, id job.TaskID, outcome job.Outcome) {
 	attempt := worker.running[id]
 	delete(worker.running, id)
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -36,7 +36,7 @@
 	storedBegin = time.UnixMilli(1_700_000_000_000).UTC()
 )
 
-// storedGroup plays the leadership of one group whose records are kept in a table.
+// storedGroup simulates the leadership of one group whose records are kept in a table.
 type storedGroup struct {
 	table            string
 	store            storage.Store
@@ -69,7 +69,7 @@
 
 func (g *storedGroup) clock() Now { return Now{Monotonic: g.now, WallMS: g.now.UnixMilli()} }
 
-// commit stores the records of what was decided, and answers all starts.
+// commit stores the records of what was decided, and confirms all starts.
 func (g *storedGroup) commit() {
 	g.scheduler.Dispatch(g.clock())
 	effects := g.scheduler.TakeEffects()
@@ -232,7 +232,7 @@
 	}
 }
 
-// summarizeTables is the account of the schedulers of both groups, some time after the records were written.
+// summarizeTables summarizes the schedulers of both groups, some time after the records were written.
 func summarizeTables(tables storage.Tables) (string, error) {
 	text := ""
 	for _, table := range []string{storedRender, storedMail} {
--- a/internal/jobs/scheduler/unplaceable.go
+++ b/internal/jobs/scheduler/unplaceable.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// isDominated tells whether a request is at least as large as one of those refused.
+// isDominated tells whether a request is at least as large as one of those given.
 func isDominated(requests []job.Resources, request job.Resources) bool {
 	for _, smaller := range requests {
 		if request.Fits(smaller) {
