--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -116,7 +116,7 @@
 
 	n, err := start(signals, func(ctx context.Context) (*node.Node, error) { return node.Start(ctx, c, set, file, log, count) })
 	if errors.Is(err, context.Canceled) {
-		log.Info("told to stop before it served")
+		log.Info("stopped before serving")
 		return nil
 	} else if err != nil {
 		return err
@@ -129,9 +129,9 @@
 				log.Info("counters", zap.Inline(count))
 			case syscall.SIGHUP:
 				if err := reload(n); err != nil {
-					log.Error("config not taken, all stays as it is", zap.String("text", err.Error()))
+					log.Error("configuration file rejected", zap.String("text", err.Error()))
 				} else {
-					log.Info("config taken")
+					log.Info("configuration file reloaded")
 				}
 			default:
 				n.Drain()
--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -98,7 +98,7 @@
 		_ = l.lock.Close() // which holds nothing but the lock
 		path := filepath.Join(dir, logName)
 		if err = os.Rename(path, fmt.Sprintf("%s.spoilt-%x", path, kept.ID)); err == nil {
-			log.Error("spoilt file put aside, nothing of it holds", zap.String("file", path), zap.String("text", corrupt.Error()))
+			log.Error("corrupt file set aside", zap.String("file", path), zap.String("text", corrupt.Error()))
 			return OpenLog(dir, wait, log)
 		}
 	}
--- a/internal/aggregatorstore/store.go
+++ b/internal/aggregatorstore/store.go
@@ -100,7 +100,7 @@
 		return nil, "", fmt.Errorf("%s: %w", path, err)
 	}
 	aside = fmt.Sprintf("%s.spoilt-%d", path, time.Now().UnixNano())
-	log.Error("spoilt file put aside, nothing of it holds", zap.String("file", path), zap.String("aside", aside), zap.String("text", err.Error()))
+	log.Error("corrupt file set aside", zap.String("file", path), zap.String("aside", aside), zap.String("text", err.Error()))
 	if err = os.Rename(path, aside); err != nil {
 		return nil, "", err
 	}
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -154,7 +154,7 @@
 		writeError(w, http.StatusPreconditionFailed, outcome.Err.Error())
 	default:
 		// Operators' pages name this event.
-		h.logger.Info("order without a clear end", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
+		h.logger.Info("configuration change outcome unknown", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
 		writeError(w, http.StatusServiceUnavailable, uncertainText(outcome.Err))
 	}
 }
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open the store in %s: %w", settings.DataDirectory, err)
 	}
-	log.Info("store opened", zap.Any("opened", opened))
+	log.Info("store opened", zap.Bool("empty", opened.Empty), zap.Int64("truncated_bytes", opened.TruncatedBytes))
 	c := &Coordinator{
 		settings: settings, log: log, store: store, caller: transport.NewClientFor(settings.Cluster),
 		workers: workerclient.NewConnections(workerLimits(&settings.Limits)), platformHTTP: newPlatformClient(),
--- a/internal/controlplane/coordinator/run.go
+++ b/internal/controlplane/coordinator/run.go
@@ -18,7 +18,7 @@
 // grace period of the settings, and then shuts down. It closes the listeners. The error is nil after a stop by the context.
 func (c *Coordinator) Run(ctx context.Context, listeners Listeners) error {
 	if c.settings.Commands != commandsByInvocation {
-		c.log.Error("commands: only commands=invocation is supported, searchers are called all the same",
+		c.log.Error("unsupported commands setting ignored; workers are called",
 			zap.String("commands", c.settings.Commands))
 	}
 	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/controlplane/feedserver/feedserver.go
+++ b/internal/controlplane/feedserver/feedserver.go
@@ -117,7 +117,7 @@
 	changed := request.Agent != "" && s.agents.recordContact(request.Agent, now)
 	for _, address := range request.Suspects {
 		if s.agents.reportSuspect(address, now) {
-			s.options.Logger.Info("agent dropped", zap.String("agent", address), zap.String("reporter", request.Agent))
+			s.options.Logger.Info("agent removed from the feed", zap.String("agent", address), zap.String("reporter", request.Agent))
 			changed = true
 		}
 	}
--- a/internal/controlplane/feedserver/publish.go
+++ b/internal/controlplane/feedserver/publish.go
@@ -108,7 +108,7 @@
 	defer cancel()
 	reply, err := feed.AgentContactsCall.Call(bounded, s.options.Caller, core, s.agents.contacts(time.Now()))
 	if err != nil {
-		s.options.Logger.Debug("agents not shared", zap.String("core", core), zap.Error(err))
+		s.options.Logger.Debug("agent list not shared", zap.String("core", core), zap.Error(err))
 		return
 	}
 	s.mergeContacts(reply, time.Now())
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -168,7 +168,7 @@
 		h.writeError(w, r, err)
 		return
 	}
-	h.options.Logger.Info("operator's cancellation", zap.String("service", match.detail.Service), zap.String("job", string(match.detail.ID)))
+	h.options.Logger.Info("operator cancelled job", zap.String("service", match.detail.Service), zap.String("job", string(match.detail.ID)))
 	control.WriteJSON(w, http.StatusOK, Cancelled{ID: string(match.detail.ID), Service: match.detail.Service})
 }
 
--- a/internal/controlplane/rebuild/rebuild.go
+++ b/internal/controlplane/rebuild/rebuild.go
@@ -57,7 +57,7 @@
 	if r.Ready() {
 		return nil
 	}
-	r.config.Logger.Warn("this disk is empty or incomplete; it is rebuilt from the other members")
+	r.config.Logger.Warn("disk empty or incomplete; rebuilding it from the other members")
 	if err := sleep(ctx, openRoundsWait-time.Since(r.start)); err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 		return fmt.Errorf("rebuild: %w", err)
 	}
 	r.markComplete(absences)
-	r.config.Logger.Info("the disk is rebuilt", zap.Int("snapshots", len(snapshots)))
+	r.config.Logger.Info("disk rebuilt", zap.Int("snapshots", len(snapshots)))
 	return nil
 }
 
--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -92,7 +92,7 @@
 	switch {
 	case err == nil:
 	case rpcerror.ExecutionOf(err) == rpcerror.NotExecuted:
-		m.config.Logger.Warn("view of the replicas not stored", zap.Uint64("version", view.Version), zap.Error(err))
+		m.config.Logger.Warn("view not stored", zap.Uint64("version", view.Version), zap.Error(err))
 	default:
 		select {
 		case m.storeFailures <- err:
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	m.setView(view, absences)
-	m.config.Logger.Info("view of the replicas", zap.Uint64("version", view.Version), zap.Strings("members", view.Members))
+	m.config.Logger.Info("view changed", zap.Uint64("version", view.Version), zap.Strings("members", view.Members))
 	return nil
 }
 
--- a/internal/controlplane/replication/diskhealth.go
+++ b/internal/controlplane/replication/diskhealth.go
@@ -22,7 +22,7 @@
 		c.fail(err)
 		return
 	}
-	c.log.Warn("the disk refuses writes; this replica does not vote for a while", zap.Error(err))
+	c.log.Warn("disk rejects writes; replica does not vote", zap.Error(err))
 	c.writesRejectedUntil = c.now + rejectionBackoff
 	c.resignAll(false)
 }
@@ -32,7 +32,7 @@
 	if c.failed {
 		return
 	}
-	c.log.Error("the store failed; this replica votes no more", zap.Error(err))
+	c.log.Error("store failed; replica no longer votes", zap.Error(err))
 	c.failed = true
 	c.resignAll(false)
 }
--- a/internal/controlplane/storage/options.go
+++ b/internal/controlplane/storage/options.go
@@ -14,7 +14,7 @@
 	// Empty is true where no store had ever been completely made in the directory.
 	Empty bool
 	// TruncatedBytes is the length of the incomplete last record that was truncated.
-	TruncatedBytes int64 `json:"CutBytes"` // the key of the log line
+	TruncatedBytes int64
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -38,7 +38,7 @@
 			}
 			a.peers.record(peer, err == nil)
 			if err != nil {
-				a.config.Logger.Debug("no exchange", zap.String("peer", peer), zap.Error(err))
+				a.config.Logger.Debug("agent exchange failed", zap.String("peer", peer), zap.Error(err))
 			}
 		}
 	}
--- a/internal/dataplane/agent/fetch.go
+++ b/internal/dataplane/agent/fetch.go
@@ -71,12 +71,12 @@
 	elapsed := time.Since(began)
 	if err != nil {
 		a.download.failed(call)
-		a.config.Logger.Debug("no parts", zap.String("source", call.source), zap.Error(err))
+		a.config.Logger.Debug("chunk request failed", zap.String("source", call.source), zap.Error(err))
 		return minBackoff
 	}
 	if err := a.download.arrived(call, reply, elapsed); err != nil {
 		a.download.failed(call)
-		a.config.Logger.Warn("parts not taken", zap.String("source", call.source), zap.Error(err))
+		a.config.Logger.Warn("chunks rejected", zap.String("source", call.source), zap.Error(err))
 		return minBackoff
 	}
 	if err := a.finishDownload(); err != nil {
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -96,7 +96,7 @@
 		return
 	}
 	f.coordinators.failed(coordinator, time.Now())
-	f.agent.config.Logger.Debug("core mixer passed over", zap.String("core", coordinator), zap.Error(err))
+	f.agent.config.Logger.Debug("coordinator skipped", zap.String("coordinator", coordinator), zap.Error(err))
 }
 
 // poll makes one call for updates, which the coordinator may hold for wait and must answer within limit, and takes over what
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -62,7 +62,7 @@
 func (m *Aggregator) send(a *policy.Action, now time.Time) {
 	ref, held := m.subqueries[a.Subquery]
 	if !held {
-		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(a.Subquery)))
+		m.log.Warn("send of an unknown subquery", zap.Uint64("part", uint64(a.Subquery)))
 		return
 	}
 	q, p := ref.query, &ref.query.Subqueries[ref.no]
--- a/internal/dataplane/aggregator/gate.go
+++ b/internal/dataplane/aggregator/gate.go
@@ -113,7 +113,7 @@
 	m.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
 	if now.Sub(m.admission.loggedAt) >= time.Second { // one in a second tells enough
 		m.admission.loggedAt = now
-		m.log.Warn("shards without a holder inside the zones of the contract",
+		m.log.Warn("shards without a replica in the zones of the contract",
 			zap.String("lookup", q.ID),
 			zap.Int("customer", int(q.Customer)),
 			zap.Ints("shards", shards),
--- a/internal/dataplane/aggregator/lookups.go
+++ b/internal/dataplane/aggregator/lookups.go
@@ -93,7 +93,7 @@
 func (m *Aggregator) finishQuery(id policy.QueryID, reason string, reply Reply, now time.Time) {
 	q := m.queries[id]
 	if q == nil {
-		m.log.Warn("answer for a lookup that is not held", zap.Uint64("lookup", uint64(id)), zap.String("end", reason))
+		m.log.Warn("answer for an unknown query", zap.Uint64("lookup", uint64(id)), zap.String("end", reason))
 		return
 	}
 	m.removeQuery(q)
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -240,7 +240,7 @@
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
 		if n.store, contents, err = aggregatorstore.Open(dir, n.log); err != nil {
-			n.log.Error("overrides can't be kept, commands are refused", zap.String("text", err.Error()))
+			n.log.Error("override store unavailable; commands are rejected", zap.String("text", err.Error()))
 		}
 		persistent, in = n.store, dir
 	}
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -40,7 +40,7 @@
 	for {
 		epoch, err := c.attempt(ctx, call, retrier.attemptTime(c.now().Sub(begun)), reply)
 		if err != nil {
-			c.log.Debug("try failed", zap.String("path", call.route.Path()), zap.String("group", call.group), zap.Error(err))
+			c.log.Debug("attempt failed", zap.String("path", call.route.Path()), zap.String("group", call.group), zap.Error(err))
 		}
 		decision := retrier.next(attemptOf(err), c.now().Sub(begun))
 		if decision.finished {
--- a/internal/dataplane/proxy/merge.go
+++ b/internal/dataplane/proxy/merge.go
@@ -48,7 +48,7 @@
 	router, err := f.build(snapshot.Configuration)
 	if err != nil {
 		f.unreadable = snapshot.ConfigurationVersion
-		f.log.Error("configuration not read, the one before stays",
+		f.log.Error("configuration not readable; the previous one stays in force",
 			zap.Uint64("version", snapshot.ConfigurationVersion), zap.Error(err))
 		return nil
 	}
--- a/internal/jobs/inventory/reader.go
+++ b/internal/jobs/inventory/reader.go
@@ -64,7 +64,7 @@
 			return
 		}
 		if err != nil {
-			log.Info("list of workers not read", zap.Error(err), zap.Duration("backoff", backoff))
+			log.Info("worker list not read", zap.Error(err), zap.Duration("backoff", backoff))
 			sleep(ctx, jittered(backoff))
 			backoff = min(2*backoff, maxBackoff)
 			continue
--- a/internal/jobs/manager/operatorcalls.go
+++ b/internal/jobs/manager/operatorcalls.go
@@ -158,7 +158,7 @@
 		return reply, rpcerror.WrapNotExecuted(errNoInventory, noInventoryRetry)
 	}
 	if err == nil && reply.Known {
-		m.config.Log.Info("operator's drain", zap.String("group", request.Group), zap.String("worker_id", request.Worker),
+		m.config.Log.Info("operator changed drain", zap.String("group", request.Group), zap.String("worker_id", request.Worker),
 			zap.Bool("draining", request.Draining), zap.Uint64("version", reply.Worker.DrainVersion),
 			zap.Bool("taken", reply.Outcome == jobreport.DrainTaken))
 	}
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -78,7 +78,7 @@
 	}
 	w.lastFailure = err.Error()
 	// Operators' pages name this event.
-	w.log.Error("settings file not taken, the settings before stay", zap.String("path", w.path), zap.Error(err))
+	w.log.Error("settings file rejected; the previous settings stay in force", zap.String("path", w.path), zap.Error(err))
 }
 
 // send sends settings, in place of those that have not been received yet.
--- a/internal/operators/api/listener.go
+++ b/internal/operators/api/listener.go
@@ -124,7 +124,7 @@
 func (s *Server) Serve(l net.Listener) {
 	l = netutil.LimitListener(l, mostConnections)
 	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		s.log.Error("operators' listener ended", zap.String("text", err.Error()))
+		s.log.Error("operator listener ended", zap.String("text", err.Error()))
 	}
 	close(s.closed)
 }
--- a/internal/operators/controller/controller.go
+++ b/internal/operators/controller/controller.go
@@ -282,7 +282,7 @@
 	c.inHand = nil
 	if err != nil {
 		c.count.Add("overrides", "not_kept", 1)
-		c.log.Error("override not kept, refused", zap.String("text", err.Error()), zap.Uint64("revision", uint64(c.change.Revision)))
+		c.log.Error("override not stored; command rejected", zap.String("text", err.Error()), zap.Uint64("revision", uint64(c.change.Revision)))
 		n.reply <- Result{c.change, false, err}
 		return
 	}
@@ -304,7 +304,7 @@
 		c.store.Save(changes, func(err error) {
 			if err != nil {
 				c.count.Add("overrides", "end_not_kept", int64(len(changes)))
-				c.log.Error("end of overrides not kept; after a restart they end again", zap.String("text", err.Error()))
+				c.log.Error("end of overrides not stored; they end again after a restart", zap.String("text", err.Error()))
 			}
 		})
 	}
