--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -72,10 +72,10 @@
 // OpenLog opens the file of a directory, or makes it. A corrupt one is put aside: whoever kept it begins anew, as if the
 // directory were lost. It waits so long for a process that still holds the directory.
 func OpenLog(dir string, wait time.Duration, log *zap.Logger) (*Log, LogContents, error) {
-	l, kept := &Log{requests: eventqueue.New[logSaveRequest](), stopped: make(chan struct{}), logger: log}, LogContents{}
+	l, contents := &Log{requests: eventqueue.New[logSaveRequest](), stopped: make(chan struct{}), logger: log}, LogContents{}
 	var err error
 	if l.lock, err = lockDirectory(dir, logLockName, wait); err != nil {
-		return nil, kept, err
+		return nil, contents, err
 	}
 	prepare := func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{bucketMeta, bucketValues, bucketLog} {
@@ -88,16 +88,16 @@
 		id[7] |= 1 // not 0
 		return errors.Join(tx.Bucket(bucketMeta).Put(keyVersion, encodeUint64(logVersion)), tx.Bucket(bucketMeta).Put(keyID, id))
 	}
-	aside := ""
-	l.db, aside, err = openOrQuarantine(filepath.Join(dir, logName), log, prepare, func(*bolt.Tx) error { return nil })
+	quarantined := ""
+	l.db, quarantined, err = openOrQuarantine(filepath.Join(dir, logName), log, prepare, func(*bolt.Tx) error { return nil })
 	if err == nil {
-		err = l.db.View(kept.read)
+		err = l.db.View(contents.read)
 	}
 	if corrupt := (*corruptError)(nil); errors.As(err, &corrupt) {
 		closeFile(l.db, log)
 		_ = l.lock.Close() // which holds nothing but the lock
 		path := filepath.Join(dir, logName)
-		if err = os.Rename(path, fmt.Sprintf("%s.spoilt-%x", path, kept.ID)); err == nil {
+		if err = os.Rename(path, fmt.Sprintf("%s.spoilt-%x", path, contents.ID)); err == nil {
 			log.Error("spoilt file put aside, nothing of it holds", zap.String("file", path), zap.String("text", corrupt.Error()))
 			return OpenLog(dir, wait, log)
 		}
@@ -105,11 +105,11 @@
 	if err != nil {
 		closeFile(l.db, log)
 		_ = l.lock.Close() // which holds nothing but the lock
-		return nil, kept, err
+		return nil, contents, err
 	}
-	kept.Quarantined = aside
+	contents.Quarantined = quarantined
 	go l.run()
-	return l, kept, nil
+	return l, contents, nil
 }
 
 func (k *LogContents) read(tx *bolt.Tx) error {
--- a/internal/aggregatorstore/store.go
+++ b/internal/aggregatorstore/store.go
@@ -31,23 +31,23 @@
 	lockTimeout = 10 * time.Second
 	// maxAuditRecords is the length of the audit trail: years of what operators send, in some 50 MB.
 	maxAuditRecords = 100_000
-	// Recent is how much of it is read at the start, to be shown.
-	Recent = 1000
+	// MaxRecent is how much of it is read at the start, to be shown.
+	MaxRecent = 1000
 )
 
 var (
-	bucketMeta  = []byte("meta")
-	bucketHeld  = []byte("held")
-	bucketAudit = []byte("audit")
-	keyVersion  = []byte("version")
-	keyRevision = []byte("revision")
-	keyAudited  = []byte("audited") // how many records the audit trail has
+	bucketMeta   = []byte("meta")
+	bucketActive = []byte("held")
+	bucketAudit  = []byte("audit")
+	keyVersion   = []byte("version")
+	keyRevision  = []byte("revision")
+	keyAudited   = []byte("audited") // how many records the audit trail has
 )
 
-// Contents is what a file held at its opening.
-type Contents struct {
+// OverrideContents is what a file held at its opening.
+type OverrideContents struct {
 	Revision    override.Revision
-	Held        []override.Override
+	Active      []override.Override
 	Recent      []override.Change // oldest first
 	Quarantined string            // where a corrupt file was put, "" for none
 }
@@ -58,8 +58,8 @@
 	stop    bool
 }
 
-// Store writes in a goroutine of its own: whoever waits for a disk, it is no query and no list.
-type Store struct {
+// OverrideStore writes in a goroutine of its own: whoever waits for a disk, it is no query and no list.
+type OverrideStore struct {
 	db       *bolt.DB
 	lock     *os.File // nobody else reads or writes the directory while it is held
 	requests *eventqueue.Queue[saveRequest]
@@ -68,14 +68,14 @@
 	logger   *zap.Logger
 }
 
-// Open opens the file in a directory, or makes it. A corrupt one is put aside under another name and a new one begun. Its
+// OpenOverrides opens the file in a directory, or makes it. A corrupt one is put aside under another name and a new one begun. Its
 // error says that nothing can be kept there; the Store then refuses every change with it.
-func Open(dir string, log *zap.Logger) (s *Store, kept Contents, err error) {
-	return openWithin(dir, lockTimeout, log)
+func OpenOverrides(dir string, log *zap.Logger) (s *OverrideStore, kept OverrideContents, err error) {
+	return openOverridesWithin(dir, lockTimeout, log)
 }
 
-func openWithin(dir string, wait time.Duration, log *zap.Logger) (s *Store, kept Contents, err error) {
-	s = &Store{requests: eventqueue.New[saveRequest](), stopped: make(chan struct{}), logger: log}
+func openOverridesWithin(dir string, wait time.Duration, log *zap.Logger) (s *OverrideStore, kept OverrideContents, err error) {
+	s = &OverrideStore{requests: eventqueue.New[saveRequest](), stopped: make(chan struct{}), logger: log}
 	defer func() {
 		s.failure = err
 		go s.run()
@@ -86,7 +86,7 @@
 	aside := ""
 	s.db, aside, err = openOrQuarantine(filepath.Join(dir, overridesFileName), log, createOverrideBuckets, kept.read)
 	if aside != "" || err != nil { // what was read of it before the fault counts no more
-		kept = Contents{Quarantined: aside}
+		kept = OverrideContents{Quarantined: aside}
 	}
 	return s, kept, err
 }
@@ -178,7 +178,7 @@
 
 // createOverrideBuckets makes what a new file holds, in one transaction.
 func createOverrideBuckets(tx *bolt.Tx) error {
-	for _, name := range [][]byte{bucketMeta, bucketHeld, bucketAudit} {
+	for _, name := range [][]byte{bucketMeta, bucketActive, bucketAudit} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
 		}
@@ -215,15 +215,15 @@
 	return nil
 }
 
-func (k *Contents) read(tx *bolt.Tx) error {
+func (k *OverrideContents) read(tx *bolt.Tx) error {
 	switch had := tx.Bucket(bucketMeta).Get(keyVersion); {
-	case len(had) != 8 || tx.Bucket(bucketHeld) == nil || tx.Bucket(bucketAudit) == nil:
+	case len(had) != 8 || tx.Bucket(bucketActive) == nil || tx.Bucket(bucketAudit) == nil:
 		return &corruptError{invalidContents("no version, or a bucket is missing")}
 	case decodeUint64(had) != overridesVersion:
 		return versionError{decodeUint64(had), overridesVersion}
 	}
 	k.Revision = override.Revision(decodeUint64(tx.Bucket(bucketMeta).Get(keyRevision)))
-	err := tx.Bucket(bucketHeld).ForEach(func(id, v []byte) error {
+	err := tx.Bucket(bucketActive).ForEach(func(id, v []byte) error {
 		var o override.Override
 		if err := unseal(v, &o); err != nil {
 			return err
@@ -231,14 +231,14 @@
 		if decodeUint64(id) != uint64(o.ID) {
 			return &corruptError{invalidContents("override %d stands under %d", o.ID, decodeUint64(id))}
 		}
-		k.Held = append(k.Held, o)
+		k.Active = append(k.Active, o)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
 	c := tx.Bucket(bucketAudit).Cursor()
-	for key, v := c.Last(); key != nil && len(k.Recent) < Recent; key, v = c.Prev() {
+	for key, v := c.Last(); key != nil && len(k.Recent) < MaxRecent; key, v = c.Prev() {
 		var change override.Change
 		if err := unseal(v, &change); err != nil {
 			return err
@@ -257,17 +257,17 @@
 
 // Save writes changes, all or none, and tells when they are on disk or why they are not. It never blocks; done is
 // called from another goroutine, in the order of the calls.
-func (s *Store) Save(changes []override.Change, done func(error)) {
+func (s *OverrideStore) Save(changes []override.Change, done func(error)) {
 	s.requests.Put(saveRequest{changes: changes, done: done})
 }
 
 // Stop ends the store after all that waits is written.
-func (s *Store) Stop() {
+func (s *OverrideStore) Stop() {
 	s.requests.Put(saveRequest{stop: true})
 	<-s.stopped
 }
 
-func (s *Store) run() {
+func (s *OverrideStore) run() {
 	defer close(s.stopped)
 	debug.SetPanicOnFault(true)
 	var jobs []saveRequest
@@ -294,7 +294,7 @@
 	}
 }
 
-func (s *Store) write(changes []override.Change) (err error) {
+func (s *OverrideStore) write(changes []override.Change) (err error) {
 	if s.failure != nil {
 		return s.failure
 	}
@@ -305,12 +305,12 @@
 		}
 	}()
 	return s.db.Update(func(tx *bolt.Tx) error {
-		meta, held, audit := tx.Bucket(bucketMeta), tx.Bucket(bucketHeld), tx.Bucket(bucketAudit)
+		meta, held, audit := tx.Bucket(bucketMeta), tx.Bucket(bucketActive), tx.Bucket(bucketAudit)
 		audited := decodeUint64(meta.Get(keyAudited))
 		last := decodeUint64(meta.Get(keyRevision))
 		for i := range changes {
 			c := &changes[i]
-			if err := apply(held, c); err != nil {
+			if err := applyChange(held, c); err != nil {
 				return err
 			}
 			record, err := seal(c)
@@ -338,7 +338,7 @@
 	})
 }
 
-func apply(held *bolt.Bucket, c *override.Change) error {
+func applyChange(held *bolt.Bucket, c *override.Change) error {
 	id := encodeUint64(uint64(c.Override.ID))
 	if c.What != override.WasSet {
 		return held.Delete(id)
--- a/internal/aggregatorstore/store_test.go
+++ b/internal/aggregatorstore/store_test.go
@@ -27,14 +27,14 @@
 	case "writer":
 		writer(dir)
 	case "full":
-		full(dir)
+		fillDisk(dir)
 	default:
 		os.Exit(m.Run())
 	}
 }
 
-// keepNow keeps changes and waits.
-func keepNow(s *Store, changes ...override.Change) error {
+// saveNow keeps changes and waits.
+func saveNow(s *OverrideStore, changes ...override.Change) error {
 	done := make(chan error, 1)
 	s.Save(changes, func(err error) { done <- err })
 	return <-done
@@ -51,7 +51,7 @@
 }
 
 // held is what holds after n changes.
-func held(n uint64) map[override.Revision]bool {
+func activeAfter(n uint64) map[override.Revision]bool {
 	list := map[override.Revision]bool{}
 	for i := uint64(1); i <= n; i++ {
 		if c := change(i); c.What == override.WasSet {
@@ -65,13 +65,13 @@
 
 // writer goes on where the file ends, and says each revision once it is kept.
 func writer(dir string) {
-	s, kept, err := Open(dir, zap.NewNop())
+	s, kept, err := OpenOverrides(dir, zap.NewNop())
 	if err != nil {
 		fmt.Println("failed", err)
 		return
 	}
 	for n := uint64(kept.Revision) + 1; ; n++ {
-		if err := keepNow(s, change(n)); err != nil {
+		if err := saveNow(s, change(n)); err != nil {
 			fmt.Println("failed", err)
 			return
 		}
@@ -79,7 +79,7 @@
 	}
 }
 
-func child(t *testing.T, role, dir string) (*exec.Cmd, *bufio.Scanner) {
+func startChild(t *testing.T, role, dir string) (*exec.Cmd, *bufio.Scanner) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), childVar+"="+role+":"+dir)
 	out, err := cmd.StdoutPipe()
@@ -101,9 +101,9 @@
 		rounds = 20
 	}
 	for round := range rounds {
-		cmd, lines := child(t, "writer", dir)
-		said := 1 + rng.IntN(5)
-		for range said {
+		cmd, lines := startChild(t, "writer", dir)
+		reported := 1 + rng.IntN(5)
+		for range reported {
 			if !lines.Scan() {
 				break
 			}
@@ -117,7 +117,7 @@
 			fmt.Sscan(lines.Text(), &acknowledged)
 		}
 		cmd.Wait()
-		s, kept, err := Open(dir, zap.NewNop())
+		s, kept, err := OpenOverrides(dir, zap.NewNop())
 		if err != nil || kept.Quarantined != "" {
 			t.Fatalf("round %d: %v, put aside %q", round, err, kept.Quarantined)
 		}
@@ -125,15 +125,15 @@
 		if n := uint64(kept.Revision); n < acknowledged || n > acknowledged+1 {
 			t.Fatalf("round %d: revision %d is kept, %d was acknowledged", round, n, acknowledged)
 		}
-		want := held(uint64(kept.Revision))
-		for _, o := range kept.Held {
-			if !want[o.ID] {
+		active := activeAfter(uint64(kept.Revision))
+		for _, o := range kept.Active {
+			if !active[o.ID] {
 				t.Fatalf("round %d: override %d holds after revision %d", round, o.ID, kept.Revision)
 			}
-			delete(want, o.ID)
+			delete(active, o.ID)
 		}
-		if len(want) > 0 {
-			t.Fatalf("round %d: lost %v of revision %d", round, want, kept.Revision)
+		if len(active) > 0 {
+			t.Fatalf("round %d: lost %v of revision %d", round, active, kept.Revision)
 		}
 		if last := len(kept.Recent) - 1; kept.Recent[last].Revision != kept.Revision {
 			t.Fatalf("round %d: the audit trail ends with %d", round, kept.Recent[last].Revision)
@@ -143,10 +143,10 @@
 	t.Logf("killed %d times, %d revisions acknowledged", rounds, acknowledged)
 }
 
-// full writes under a limit on the size of files, which is what a full disk looks like without one, and then without it.
-func full(dir string) {
+// fillDisk writes under a limit on the size of files, which is what a full disk looks like without one, and then without it.
+func fillDisk(dir string) {
 	signal.Ignore(syscall.SIGXFSZ)
-	s, _, err := Open(dir, zap.NewNop())
+	s, _, err := OpenOverrides(dir, zap.NewNop())
 	fmt.Println("open", err)
 	var was syscall.Rlimit
 	syscall.Getrlimit(syscall.RLIMIT_FSIZE, &was)
@@ -154,21 +154,21 @@
 	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: uint64(info.Size()), Max: was.Max})
 	n, refused := uint64(1), 0
 	for ; refused == 0 && n < 100000; n++ {
-		if keepNow(s, change(n), change(n+1000000), change(n+2000001)) != nil {
+		if saveNow(s, change(n), change(n+1000000), change(n+2000001)) != nil {
 			refused++
 		}
 	}
 	fmt.Println("refused", refused)
 	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was)
-	fmt.Println("again", keepNow(s, change(n-1)))
+	fmt.Println("again", saveNow(s, change(n-1)))
 	s.Stop()
-	_, kept, err := Open(dir, zap.NewNop())
-	fmt.Println("kept", err, kept.Quarantined == "", len(kept.Held) > 0)
+	_, kept, err := OpenOverrides(dir, zap.NewNop())
+	fmt.Println("kept", err, kept.Quarantined == "", len(kept.Active) > 0)
 }
 
 // A full disk refuses a change, and nothing else: what was kept stays, and later ones are kept again.
 func TestFullDiskRefusesChangesAndRecovers(t *testing.T) {
-	cmd, lines := child(t, "full", t.TempDir())
+	cmd, lines := startChild(t, "full", t.TempDir())
 	var said []string
 	for lines.Scan() {
 		said = append(said, lines.Text())
@@ -181,10 +181,10 @@
 	}
 }
 
-// filled makes a file with some history.
-func filled(t *testing.T) (dir string, revision uint64) {
+// filledStore makes a file with some history.
+func filledStore(t *testing.T) (dir string, revision uint64) {
 	dir, revision = t.TempDir(), 400
-	s, _, err := Open(dir, zap.NewNop())
+	s, _, err := OpenOverrides(dir, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 		for i := range uint64(8) {
 			some = append(some, change(n+i))
 		}
-		if err := keepNow(s, some...); err != nil {
+		if err := saveNow(s, some...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -202,14 +202,14 @@
 }
 
 // Whatever is done to a file, it is read right or put aside under another name, and a new one is begun.
-func TestCorruptFilesArePutAside(t *testing.T) {
-	dir, revision := filled(t)
+func TestCorruptFilesAreQuarantined(t *testing.T) {
+	dir, revision := filledStore(t)
 	good, err := os.ReadFile(filepath.Join(dir, overridesFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(5, 1))
-	aside, cases := 0, 120
+	quarantined, cases := 0, 120
 	for i := range cases {
 		text := bytes.Clone(good)
 		what := ""
@@ -235,48 +235,48 @@
 		if err := os.WriteFile(filepath.Join(dir, overridesFileName), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, kept, err := Open(dir, zap.NewNop())
+		s, contents, err := OpenOverrides(dir, zap.NewNop())
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		switch want := held(revision); {
-		case kept.Quarantined != "":
-			aside++
-			if saved, err := os.ReadFile(kept.Quarantined); err != nil || !bytes.Equal(saved, text) || len(kept.Held) > 0 {
-				t.Fatalf("%s: put aside as %d bytes, %v, %d held", what, len(saved), err, len(kept.Held))
+		switch want := activeAfter(revision); {
+		case contents.Quarantined != "":
+			quarantined++
+			if saved, err := os.ReadFile(contents.Quarantined); err != nil || !bytes.Equal(saved, text) || len(contents.Active) > 0 {
+				t.Fatalf("%s: put aside as %d bytes, %v, %d held", what, len(saved), err, len(contents.Active))
 			}
 		case len(text) == 0: // as good as none
-		case uint64(kept.Revision) != revision && uint64(kept.Revision) != revision-8:
-			t.Fatalf("%s: revision %d", what, kept.Revision)
-		case uint64(kept.Revision) == revision && len(kept.Held) != len(want):
-			t.Fatalf("%s: %d held, expected %d", what, len(kept.Held), len(want))
+		case uint64(contents.Revision) != revision && uint64(contents.Revision) != revision-8:
+			t.Fatalf("%s: revision %d", what, contents.Revision)
+		case uint64(contents.Revision) == revision && len(contents.Active) != len(want):
+			t.Fatalf("%s: %d held, expected %d", what, len(contents.Active), len(want))
 		}
-		if err := keepNow(s, change(uint64(kept.Revision)+1)); err != nil {
+		if err := saveNow(s, change(uint64(contents.Revision)+1)); err != nil {
 			t.Fatalf("%s: nothing is kept any more: %v", what, err)
 		}
 		s.Stop()
 	}
-	if aside < cases/3 {
-		t.Fatalf("only %d of %d spoilt files were seen", aside, cases)
+	if quarantined < cases/3 {
+		t.Fatalf("only %d of %d spoilt files were seen", quarantined, cases)
 	}
-	t.Logf("%d of %d put aside", aside, cases)
+	t.Logf("%d of %d put aside", quarantined, cases)
 }
 
 func TestFileInUseIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	first, _, err := Open(dir, zap.NewNop())
+	first, _, err := OpenOverrides(dir, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, kept, err := openWithin(dir, 100*time.Millisecond, zap.NewNop())
+	second, kept, err := openOverridesWithin(dir, 100*time.Millisecond, zap.NewNop())
 	if err == nil || !strings.Contains(err.Error(), "another process") || kept.Quarantined != "" {
 		t.Fatalf("got %v, %+v", err, kept)
 	}
-	if err := keepNow(second, change(1)); err == nil {
+	if err := saveNow(second, change(1)); err == nil {
 		t.Fatal("a store without a file kept something")
 	}
 	second.Stop()
-	if err := keepNow(first, change(1)); err != nil {
+	if err := saveNow(first, change(1)); err != nil {
 		t.Fatal(err)
 	}
 	first.Stop()
--- a/internal/aggregatorstore/stored_test.go
+++ b/internal/aggregatorstore/stored_test.go
@@ -20,8 +20,8 @@
 	updateVariable  = "GOLDEN_UPDATE"           // set to 1, the stored data is made anew
 )
 
-// storedHeld are overrides of all kinds, by the changes that set them.
-var storedHeld = []override.Override{
+// storedActive are overrides of all kinds, by the changes that set them.
+var storedActive = []override.Override{
 	{ID: 1, Since: 1000.5, Spec: override.Spec{Kind: override.Weight, Location: "north", Index: "reads", Factor: 0.25, Author: "ann", Reason: "slow", End: 5000}},
 	{ID: 2, Since: 1001, Started: 900.25, Spec: override.Spec{Kind: override.Out, Backend: "s-1", Author: "bob", Reason: "ill", End: 6000, UntilRestart: true}},
 	{ID: 4, Since: 1003, Spec: override.Spec{Kind: override.Pin, Backend: "s-2", From: 3, To: 70000, Strict: true, Author: "ann", Reason: "hot", End: 7000}},
@@ -29,17 +29,17 @@
 
 // storedChanges are all changes that were made, of all kinds.
 func storedChanges() []override.Change {
-	set := func(revision override.Revision, held override.Override, key override.Key) override.Change {
-		return override.Change{Revision: revision, At: held.Since, What: override.WasSet, Override: held, Author: held.Author, Reason: held.Reason,
+	set := func(revision override.Revision, active override.Override, key override.Key) override.Change {
+		return override.Change{Revision: revision, At: active.Since, What: override.WasSet, Override: active, Author: active.Author, Reason: active.Reason,
 			Key: key, Digest: 0xfedcba9876543210, Forced: nil}
 	}
 	short := override.Override{ID: 3, Since: 1002, Spec: override.Spec{Kind: override.Out, Location: "south", Author: "bob", Reason: "works", End: 1004}}
 	cleared := override.Override{ID: 6, Since: 1005, Spec: override.Spec{Kind: override.Weight, Backend: "s-3", Factor: 1, Author: "ann", Reason: "try", End: 9000}}
 	restarted := override.Override{ID: 7, Since: 1006, Started: 7, Spec: override.Spec{Kind: override.Out, Backend: "s-4", Author: "ann", End: 9000, UntilRestart: true}}
-	forced := set(2, storedHeld[1], "k-2")
+	forced := set(2, storedActive[1], "k-2")
 	forced.Forced = []string{"last_holder", "shard_capacity"}
 	return []override.Change{
-		set(1, storedHeld[0], "k-1"), forced, set(3, short, ""), set(4, storedHeld[2], "k-4"),
+		set(1, storedActive[0], "k-1"), forced, set(3, short, ""), set(4, storedActive[2], "k-4"),
 		{Revision: 5, At: 1004, What: override.HasEnded, Override: short},
 		set(6, cleared, "k-6"), set(7, restarted, "k-7"),
 		{Revision: 8, At: 1007, What: override.WasCleared, Override: cleared, Author: "bob", Reason: "done", Key: "k-8", Digest: 1},
@@ -55,13 +55,13 @@
 
 func makeStoredOverrides(t *testing.T) {
 	os.RemoveAll(storedOverrides)
-	s, _, err := Open(storedOverrides, zap.NewNop())
+	s, _, err := OpenOverrides(storedOverrides, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	changes := storedChanges()
 	for _, part := range [][]override.Change{changes[:2], changes[2:]} {
-		if err := keepNow(s, part...); err != nil {
+		if err := saveNow(s, part...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -140,16 +140,16 @@
 		So(dumpOverrides(t, folder), ShouldEqual, string(golden))
 
 		Convey("all of them are read, and all changes", func() {
-			s, kept, err := Open(folder, zap.NewNop())
+			s, kept, err := OpenOverrides(folder, zap.NewNop())
 			So(err, ShouldBeNil)
 			defer s.Stop()
-			So(kept, ShouldResemble, Contents{Revision: 9, Held: storedHeld, Recent: storedChanges()})
+			So(kept, ShouldResemble, OverrideContents{Revision: 9, Active: storedActive, Recent: storedChanges()})
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
 			other := t.TempDir()
-			s, _, err := Open(other, zap.NewNop())
+			s, _, err := OpenOverrides(other, zap.NewNop())
 			So(err, ShouldBeNil)
-			So(keepNow(s, storedChanges()...), ShouldBeNil)
+			So(saveNow(s, storedChanges()...), ShouldBeNil)
 			s.Stop()
 			So(dumpOverrides(t, other), ShouldEqual, string(golden))
 		})
--- a/internal/aggregatorstore/wire_test.go
+++ b/internal/aggregatorstore/wire_test.go
@@ -15,7 +15,7 @@
 		goldentest.Constant{Have: overridesFileName, Want: "overrides.db"},
 		goldentest.Constant{Have: overridesLockName, Want: "overrides.lock"},
 		goldentest.Constant{Have: string(bucketMeta), Want: "meta"},
-		goldentest.Constant{Have: string(bucketHeld), Want: "held"},
+		goldentest.Constant{Have: string(bucketActive), Want: "held"},
 		goldentest.Constant{Have: string(bucketAudit), Want: "audit"},
 		goldentest.Constant{Have: string(keyVersion), Want: "version"},
 		goldentest.Constant{Have: string(keyRevision), Want: "revision"},
--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -286,17 +286,17 @@
 		}
 	}
 	votersChanged := false
-	for _, e := range ready.CommittedEntries {
-		changed, err := m.commit(e, &result)
+	for _, entry := range ready.CommittedEntries {
+		changed, err := m.commit(entry, &result)
 		if err != nil {
 			return result, err
 		}
 		votersChanged = votersChanged || changed
 	}
 	for _, read := range ready.ReadStates {
-		var no ReadNumber
-		if cbor.Unmarshal(read.RequestCtx, &no) == nil {
-			result.Reads = append(result.Reads, no)
+		var number ReadNumber
+		if cbor.Unmarshal(read.RequestCtx, &number) == nil {
+			result.Reads = append(result.Reads, number)
 		}
 	}
 	m.ready = nil
--- a/internal/controlplane/fleet/consensus/consensus_test.go
+++ b/internal/controlplane/fleet/consensus/consensus_test.go
@@ -126,7 +126,7 @@
 			w.send(inFlight{from: name, to: o.To, data: o.Data})
 		}
 		for _, d := range r.Applied {
-			if had, known := w.applied[d.Index]; known && had != d && !d.again(had) {
+			if had, known := w.applied[d.Index]; known && had != d && !d.sameCommand(had) {
 				w.Fatalf("%s applied %+v at %d, another %+v", name, d, d.Index, had)
 			}
 			w.applied[d.Index] = d
@@ -141,7 +141,7 @@
 	}
 }
 
-func (d AppliedCommand) again(o AppliedCommand) bool { return d.ID == o.ID }
+func (d AppliedCommand) sameCommand(o AppliedCommand) bool { return d.ID == o.ID }
 
 // ticks plays some.
 func (w *simulation) ticks(n int) {
@@ -149,28 +149,28 @@
 		w.tick++
 		waiting := w.messages
 		w.messages = nil
-		for _, l := range waiting {
+		for _, message := range waiting {
 			switch {
-			case l.at > w.tick:
-				w.messages = append(w.messages, l)
-			case l.intro != nil:
-				answer, save, err := w.voters[l.to].ReceiveIntroduction(l.from, l.intro)
+			case message.at > w.tick:
+				w.messages = append(w.messages, message)
+			case message.intro != nil:
+				answer, save, err := w.voters[message.to].ReceiveIntroduction(message.from, message.intro)
 				if err != nil {
 					w.Fatal(err)
 				}
-				w.disks[l.to].save(&save)
+				w.disks[message.to].save(&save)
 				if answer != nil {
-					w.send(inFlight{from: l.to, to: l.from, intro: answer})
+					w.send(inFlight{from: message.to, to: message.from, intro: answer})
 				}
 			default:
-				w.voters[l.to].Step(l.from, l.data)
+				w.voters[message.to].Step(message.from, message.data)
 			}
-			w.work(l.to)
+			w.work(message.to)
 		}
 		for _, name := range w.names {
 			m := w.voters[name]
 			m.Tick()
-			if in, say := m.Introduce(1000 + uint64(w.tick/10)); say {
+			if in, introduces := m.Introduce(1000 + uint64(w.tick/10)); introduces {
 				for _, to := range w.names {
 					if to != name {
 						w.send(inFlight{from: name, to: to, intro: &in})
@@ -331,13 +331,13 @@
 // A directory that holds what can't be is an error, and ends nobody.
 func TestInconsistentDirectoryIsAnError(t *testing.T) {
 	names := []membership.Name{"a", "b", "c"}
-	for what, kept := range map[string]Stored{
+	for what, stored := range map[string]Stored{
 		"no number":               {},
 		"a commit beyond the log": {ID: 1, Hard: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(99)}},
 		"a snapshot of no state":  {ID: 1, Snapshot: &pb.Snapshot{Data: []byte{0xff}, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(3), Term: proto.Uint64(1)}}},
 		"a log with a gap in it":  {ID: 1, Entries: []*pb.Entry{{Index: proto.Uint64(7), Term: proto.Uint64(1)}}},
 	} {
-		if m, err := New("a", names, kept); err == nil || m != nil && m.Founded() {
+		if m, err := New("a", names, stored); err == nil || m != nil && m.Founded() {
 			t.Errorf("%s is taken: %v", what, err)
 		}
 	}
@@ -409,8 +409,8 @@
 	if d := file("b", 1, 3, "south"); d.Failure == "" || s.Contracts.Contracts["t"].Zones[0] != "north" || s.Quotas["t"].PerS != 3 {
 		t.Errorf("an older contract beside newer quotas: %q %+v", d.Failure, s)
 	}
-	if again := file("b", 9, 9, "west"); again.Failure == "" || s.FileContracts != 2 {
-		t.Errorf("the same command acted twice: %+v", again)
+	if repeated := file("b", 9, 9, "west"); repeated.Failure == "" || s.FileContracts != 2 {
+		t.Errorf("the same command acted twice: %+v", repeated)
 	}
 	s.apply(90, &Command{ID: "q", Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{PerS: 1, Burst: 1, MinimumShare: 0.1}}})
 	if s.LargestMinimums["t"].PerS < 0.6-1e-9 {
--- a/internal/controlplane/fleet/consensus/errors.go
+++ b/internal/controlplane/fleet/consensus/errors.go
@@ -29,10 +29,10 @@
 
 // staleTableError says that a table of a file is not newer than the one last applied from a file.
 type staleTableError struct {
-	table       string
-	found, held uint64
+	table          string
+	found, current uint64
 }
 
 func (e staleTableError) Error() string {
-	return fmt.Sprintf("%s: version %d is not above %d, which is held", e.table, e.found, e.held)
+	return fmt.Sprintf("%s: version %d is not above %d, which is held", e.table, e.found, e.current)
 }
--- a/internal/controlplane/fleet/failuredetector/failuredetector.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -70,13 +70,13 @@
 
 // member is another node, as long as the machine exists.
 type member struct {
-	name        membership.Name
-	status      Status
-	incarnation Incarnation
-	receivedAt  float64
-	suspectedAt float64                  // while it is Suspect
-	accuser     membership.Name          // who suspected it first
-	confirmedBy map[membership.Name]bool // the others who suspect it
+	name             membership.Name
+	status           Status
+	incarnation      Incarnation
+	receivedAt       float64
+	suspectedAt      float64                  // while it is Suspect
+	firstSuspectedBy membership.Name          // who suspected it first
+	confirmedBy      map[membership.Name]bool // the others who suspect it
 }
 
 // probe is the one in progress.
@@ -184,27 +184,27 @@
 		return now + m.settings.Period
 	}
 	for i := range m.indirectProbes {
-		if e := &m.indirectProbes[i]; e.nackAt <= now {
-			m.send(e.requester, Message{Kind: Nack, Seq: e.requesterSeq})
-			e.nackAt = math.Inf(1)
+		if request := &m.indirectProbes[i]; request.nackAt <= now {
+			m.send(request.requester, Message{Kind: Nack, Seq: request.requesterSeq})
+			request.nackAt = math.Inf(1)
 		}
 	}
-	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(e indirectProbe) bool { return e.expiresAt <= now })
+	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(request indirectProbe) bool { return request.expiresAt <= now })
 	isolated := m.Isolated()
-	for _, x := range m.members {
+	for _, suspect := range m.members {
 		switch {
-		case x.status != Suspect:
+		case suspect.status != Suspect:
 		case isolated: // the fault may be ours: the suspicion starts again once messages come
-			x.suspectedAt = now
-		case now-x.suspectedAt >= m.suspicionTimeout(x):
-			m.apply(x, suspicionTimedOut)
+			suspect.suspectedAt = now
+		case now-suspect.suspectedAt >= m.suspicionTimeout(suspect):
+			m.apply(suspect, suspicionTimedOut)
 		}
 	}
-	if p := &m.probe; p.to != nil && !p.acknowledged && !p.indirect && now-p.at >= m.stretch(m.settings.Timeout) {
-		p.indirect = true
-		for _, x := range m.sample(indirectProbes, p.to) {
-			p.indirectSent++
-			m.send(x.name, Message{Kind: PingRequest, Seq: p.seq, Target: p.to.name})
+	if probe := &m.probe; probe.to != nil && !probe.acknowledged && !probe.indirect && now-probe.at >= m.stretch(m.settings.Timeout) {
+		probe.indirect = true
+		for _, suspect := range m.sample(indirectProbes, probe.to) {
+			probe.indirectSent++
+			m.send(suspect.name, Message{Kind: PingRequest, Seq: probe.seq, Target: probe.to.name})
 		}
 	}
 	if now >= m.nextProbeAt {
@@ -238,7 +238,7 @@
 	}
 	if !m.Isolated() {
 		if p.to.status == Alive {
-			p.to.accuser = m.self
+			p.to.firstSuspectedBy = m.self
 		}
 		m.apply(p.to, probeFailed)
 	}
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -120,10 +120,10 @@
 			return // a suspicion of a process that is unknown here does not show that it is alive
 		}
 		if subject.status == Alive {
-			subject.accuser = update.By
+			subject.firstSuspectedBy = update.By
 		}
 		m.apply(subject, suspectedByPeer)
-		if subject.status == Suspect && update.By != subject.accuser && update.By != "" && !subject.confirmedBy[update.By] && len(subject.confirmedBy) < maxConfirmations {
+		if subject.status == Suspect && update.By != subject.firstSuspectedBy && update.By != "" && !subject.confirmedBy[update.By] && len(subject.confirmedBy) < maxConfirmations {
 			subject.confirmedBy[update.By] = true
 			m.broadcastStatus(subject, update.By)
 		}
--- a/internal/controlplane/fleet/failuredetector/transitions.go
+++ b/internal/controlplane/fleet/failuredetector/transitions.go
@@ -45,7 +45,7 @@
 
 func (m *Machine) markSuspect(x *member) {
 	x.suspectedAt, x.confirmedBy = m.now, map[membership.Name]bool{}
-	m.broadcastStatus(x, x.accuser)
+	m.broadcastStatus(x, x.firstSuspectedBy)
 }
 
 func (m *Machine) markDead(x *member) { x.confirmedBy = nil; m.broadcastStatus(x, "") }
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -29,7 +29,7 @@
 	if s := validSettings(); s.Check() != nil {
 		t.Fatal(s.Check())
 	}
-	for want, change := range map[string]func(*Settings){
+	for expected, change := range map[string]func(*Settings){
 		`line 2: fleet.roster: no mixer is named "z", as this one is`:         func(s *Settings) { s.Self = "z" },
 		`line 2: fleet.directory: expected one, as "a" votes`:                 func(s *Settings) { s.Directory = "" },
 		`line 2: fleet.roster: location "west" of "b" is none`:                func(s *Settings) { s.Membership.Members[1].Location = "west" },
@@ -45,8 +45,8 @@
 	} {
 		s := validSettings()
 		change(&s)
-		if err := s.Check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, expected %q", err, want)
+		if err := s.Check(); err == nil || !strings.Contains(err.Error(), expected) {
+			t.Errorf("got %v, expected %q", err, expected)
 		}
 	}
 }
--- a/internal/controlplane/fleet/outlier/outlier_test.go
+++ b/internal/controlplane/fleet/outlier/outlier_test.go
@@ -41,7 +41,7 @@
 	return names
 }
 
-func TestVerdictsNeedWitnesses(t *testing.T) {
+func TestVerdictsRequireWitnesses(t *testing.T) {
 	one := NewReport("b", 1, observations("s1"))
 	two := NewReport("c", 1, observations("s1"))
 	fine := NewReport("d", 1, observations())
@@ -71,8 +71,8 @@
 // A node that calls most backends bad is sick itself and counts for nothing, and with many sick ones each shard keeps
 // half of its holders; what is old counts no more.
 func TestVerdictsLeaveEnoughReplicas(t *testing.T) {
-	sick := func(origin membership.Name) Report { return NewReport(origin, 1, observations("s1", "s2")) }
-	if list := store(sick("b"), sick("c"), sick("d")).Verdicts(100, holders); len(list) > 0 {
+	unhealthy := func(origin membership.Name) Report { return NewReport(origin, 1, observations("s1", "s2")) }
+	if list := store(unhealthy("b"), unhealthy("c"), unhealthy("d")).Verdicts(100, holders); len(list) > 0 {
 		t.Errorf("judged by sick ones: %+v", list)
 	}
 	g := random.PCG(5)
--- a/internal/controlplane/fleet/quota/client.go
+++ b/internal/controlplane/fleet/quota/client.go
@@ -155,7 +155,7 @@
 	}
 	h.order = h.order[:0]
 	for tenant := range h.accounts {
-		if _, kept := quotas[tenant]; !kept {
+		if _, has := quotas[tenant]; !has {
 			delete(h.accounts, tenant)
 			continue
 		}
@@ -208,16 +208,16 @@
 		a.demand = max(float64(requested-a.requested)/max(elapsed, 0.05), a.demand*math.Exp(-elapsed/demandDecaySeconds))
 	}
 	a.requested, a.updatedAt = requested, now
-	a.closed = slices.DeleteFunc(a.closed, func(c closedGrant) bool { return now >= c.until })
+	a.closed = slices.DeleteFunc(a.closed, func(grant closedGrant) bool { return now >= grant.until })
 	remaining, most, largest := 0.0, 0.0, -1
 	for i := range a.bucket.slots {
-		s := a.bucket.slots[i].Load()
-		if s == nil {
+		slot := a.bucket.slots[i].Load()
+		if slot == nil {
 			continue
 		}
-		tokens := float64(max(0, s.remaining.Load()))
+		tokens := float64(max(0, slot.remaining.Load()))
 		switch {
-		case now >= s.until || tokens == 0:
+		case now >= slot.until || tokens == 0:
 			a.closeSlot(i)
 		case tokens > most:
 			most, largest = tokens, i
@@ -263,7 +263,7 @@
 	if account == nil {
 		return
 	}
-	account.closed = slices.DeleteFunc(account.closed, func(c closedGrant) bool { return c.reportedIn > 0 && c.reportedIn <= requestNumber })
+	account.closed = slices.DeleteFunc(account.closed, func(closed closedGrant) bool { return closed.reportedIn > 0 && closed.reportedIn <= requestNumber })
 	if grant.RetryAfter > 0 {
 		account.bucket.retryAt.Store(math.Float64bits(now + grant.RetryAfter))
 	} else {
--- a/internal/controlplane/fleet/quota/quota_test.go
+++ b/internal/controlplane/fleet/quota/quota_test.go
@@ -427,14 +427,14 @@
 		})
 	}
 	put, back := 0.0, 0.0
-	told := map[GrantNumber]bool{}
+	notified := map[GrantNumber]bool{}
 	for no := range uint64(3000) {
 		h.ReceiveGrant(1, 0.5, no+1, &Grant{Tenant: "t", Number: GrantNumber(no + 1), Tokens: 7})
 		put += 7
 		for _, a := range h.Requests(1+float64(no)/1e6, no+1) {
 			for _, g := range a.Spent {
-				if g.Closed && !told[g.Number] {
-					told[g.Number] = true
+				if g.Closed && !notified[g.Number] {
+					notified[g.Number] = true
 					back += 7 - g.Spent
 				}
 			}
--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -17,7 +17,7 @@
 
 func TestRulesOfContracts(t *testing.T) {
 	table := (&Table{}).With(5, "acme", &Contract{Zones: []string{"south", "gone", ""}, Own: true, Indexes: []string{"orders"}})
-	here, away := site.Compile(table, "south"), site.Compile(table, "north")
+	here, elsewhere := site.Compile(table, "south"), site.Compile(table, "north")
 	if r := here.Of(0, 0); r.Zones != nil || !r.Here {
 		t.Errorf("an index that no contract names: %+v", r)
 	}
@@ -28,7 +28,7 @@
 		t.Errorf("one that is not known: %+v", r)
 	}
 	r := here.Of(0, 1)
-	if !r.Here || away.Of(0, 1).Here || site.Compile(table, "").Of(0, 1).Here {
+	if !r.Here || elsewhere.Of(0, 1).Here || site.Compile(table, "").Of(0, 1).Here {
 		t.Error("the mixers' own zone does not count")
 	}
 	for at, want := range map[policy.LocationID]bool{0: false, 1: true, 2: false, 3: false, -1: false} {
@@ -104,10 +104,10 @@
 		begin(m)
 		nodes = append(nodes, m)
 	}
-	latest, accepted, told := Version(1), 0.0, Version(0)
+	latest, accepted, reported := Version(1), 0.0, Version(0)
 	leaders := []*simLeader{{spread: NewRollout(lease, names), version: 1}}
 	leaders[0].spread.Begin(0, authority)
-	cut := map[int]float64{}
+	partitioned := map[int]float64{}
 	const step = 0.02
 	for now := 0.0; now < 60; now += step {
 		newest := leaders[len(leaders)-1]
@@ -124,16 +124,16 @@
 			latest, accepted = latest+1, now
 			newest.version = latest
 		case u < 0.014:
-			cut[int(g.Unit()*4)] = now + 9*g.Unit()
+			partitioned[int(g.Unit()*4)] = now + 9*g.Unit()
 		case u < 0.018:
 			nodes[int(g.Unit()*4)].stops = now + 6*g.Unit()
 		case u < 0.020:
 			begin(nodes[int(g.Unit()*4)])
 		}
 		if p := newest.spread.Progress(now, latest, true); p.Applied || b.reportEarly && slices.ContainsFunc(p.Nodes, func(x NodeState) bool { return x.State != StateOld }) {
-			told = max(told, latest)
+			reported = max(reported, latest)
 		}
-		must := told
+		must := reported
 		if now > accepted+bound*quota.WaitFactor+step {
 			must = latest
 		}
@@ -157,7 +157,7 @@
 					return fmt.Errorf("at %.2f s: %s sends by version %d, %d must hold", now, m.name, l.version, must)
 				}
 			}
-			if now < m.next || now < cut[i] {
+			if now < m.next || now < partitioned[i] {
 				continue
 			}
 			m.next = now + 0.2
@@ -180,8 +180,8 @@
 			m.lease.Renew(clock - 0.05)
 		}
 	}
-	if told < 2 {
-		return fmt.Errorf("only version %d was ever told as held", told)
+	if reported < 2 {
+		return fmt.Errorf("only version %d was ever told as held", reported)
 	}
 	return nil
 }
--- a/internal/controlplane/fleet/status.go
+++ b/internal/controlplane/fleet/status.go
@@ -60,7 +60,7 @@
 }
 
 func (f *Fleet) status() Status {
-	s := Status{
+	status := Status{
 		Node:                  f.settings.Self,
 		Open:                  f.detector != nil,
 		OpenError:             f.openError,
@@ -76,27 +76,27 @@
 		Outliers:              []outlierStatus{},
 	}
 	for tenant, q := range f.tables.quotas {
-		s.Quotas[string(tenant)] = q
+		status.Quotas[string(tenant)] = q
 	}
-	if s.Leads {
-		s.GrantsIn = max(0, f.leadership.granter.ReadyAt()-f.now)
+	if status.Leads {
+		status.GrantsIn = max(0, f.leadership.granter.ReadyAt()-f.now)
 	}
 	if f.detector == nil {
-		return s
+		return status
 	}
-	s.Isolated, s.LocalHealth, s.Votes = f.detector.Isolated(), f.detector.LocalHealth(), f.voter.machine != nil
+	status.Isolated, status.LocalHealth, status.Votes = f.detector.Isolated(), f.detector.LocalHealth(), f.voter.machine != nil
 	if f.voter.machine != nil {
-		s.Leader = f.voter.machine.Leader()
+		status.Leader = f.voter.machine.Leader()
 	}
 	for _, name := range f.peers {
-		s.Members = append(s.Members, MemberStatus{name, f.detector.Status(name).String(), f.now - f.detector.ReceivedAt(name)})
+		status.Members = append(status.Members, MemberStatus{name, f.detector.Status(name).String(), f.now - f.detector.ReceivedAt(name)})
 	}
-	s.Reports = f.outliers.store.Summaries(f.now)
+	status.Reports = f.outliers.store.Summaries(f.now)
 	for name, at := range f.outliers.verdictAt {
-		s.Outliers = append(s.Outliers, outlierStatus{string(name), f.now - at})
+		status.Outliers = append(status.Outliers, outlierStatus{string(name), f.now - at})
 	}
-	slices.SortFunc(s.Outliers, func(a, b outlierStatus) int { return cmp.Compare(a.Backend, b.Backend) })
-	return s
+	slices.SortFunc(status.Outliers, func(a, b outlierStatus) int { return cmp.Compare(a.Backend, b.Backend) })
+	return status
 }
 
 // Explanation says which contract, lease and quota decide about a tenant's queries of an index at this node.
@@ -135,9 +135,9 @@
 		e.Zones = contract.Zones
 		explain("contract: parts go to searchers in %q alone, whatever a pin or an override says", contract.Zones)
 	}
-	if q, has := s.Quotas[string(tenant)]; has {
-		perS, burst := q.NodeMinimum(len(f.settings.Membership.Members))
-		explain("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", q.PerS, q.Burst, perS, burst)
+	if tenantQuota, has := s.Quotas[string(tenant)]; has {
+		perS, burst := tenantQuota.NodeMinimum(len(f.settings.Membership.Members))
+		explain("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.PerS, tenantQuota.Burst, perS, burst)
 	} else {
 		explain("quota: none")
 	}
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -186,22 +186,22 @@
 			So(f.tables.received, ShouldBeTrue)
 		})
 		Convey("the votes, the snapshot and the entries are read", func() {
-			kept, err := decodeConsensusState(&contents)
+			stored, err := decodeConsensusState(&contents)
 			So(err, ShouldBeNil)
-			want := storedSave()
-			So(kept.ID, ShouldEqual, contents.ID)
-			So(proto.Equal(kept.Hard, want.Hard), ShouldBeTrue)
-			So(proto.Equal(kept.Snapshot, want.Snapshot), ShouldBeTrue)
-			So(len(kept.Entries), ShouldEqual, len(want.Entries))
-			for i := range want.Entries {
-				So(proto.Equal(kept.Entries[i], want.Entries[i]), ShouldBeTrue)
+			expected := storedSave()
+			So(stored.ID, ShouldEqual, contents.ID)
+			So(proto.Equal(stored.Hard, expected.Hard), ShouldBeTrue)
+			So(proto.Equal(stored.Snapshot, expected.Snapshot), ShouldBeTrue)
+			So(len(stored.Entries), ShouldEqual, len(expected.Entries))
+			for i := range expected.Entries {
+				So(proto.Equal(stored.Entries[i], expected.Entries[i]), ShouldBeTrue)
 			}
 		})
 		Convey("a voter goes on from the snapshot to what is agreed on", func() {
-			kept, err := decodeConsensusState(&contents)
+			stored, err := decodeConsensusState(&contents)
 			So(err, ShouldBeNil)
-			kept.ID = storedFounders[0].ID
-			machine, err := consensus.New(storedSelf, storedNames, kept)
+			stored.ID = storedFounders[0].ID
+			machine, err := consensus.New(storedSelf, storedNames, stored)
 			So(err, ShouldBeNil)
 			So(*machine.State(), ShouldResemble, storedState)
 			So(applyCommitted(t, machine), ShouldResemble, storedAgreed)
@@ -210,9 +210,9 @@
 		Convey("this build writes the same, so that the earlier one can read it", func() {
 			out, err := encodeSave(storedSave())
 			So(err, ShouldBeNil)
-			again := aggregatorstore.LogContents{ID: contents.ID, Values: out.Values, Entries: out.Entries}
-			again.Values[valueTables] = canonical(&storedTables)
-			So(dumpLog(again), ShouldEqual, string(golden))
+			rewritten := aggregatorstore.LogContents{ID: contents.ID, Values: out.Values, Entries: out.Entries}
+			rewritten.Values[valueTables] = canonical(&storedTables)
+			So(dumpLog(rewritten), ShouldEqual, string(golden))
 		})
 	})
 }
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -62,10 +62,10 @@
 
 // MarshalLogObject adds all counters to a log line as fields name.reason, sorted. It implements zapcore.ObjectMarshaler and has
 // no error.
-func (s *Set) MarshalLogObject(line zapcore.ObjectEncoder) error {
+func (s *Set) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	counts := s.gather()
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
-		line.AddInt64(key, counts[key])
+		encoder.AddInt64(key, counts[key])
 	}
 	return nil
 }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -155,7 +155,7 @@
 	server     *clients.Server
 	fleet      *fleet.Fleet           // nil where the operator's file has none
 	controller *controller.Controller // nil where the operator's file has neither overrides nor a listener
-	store      *aggregatorstore.Store
+	store      *aggregatorstore.OverrideStore
 	operators  *api.Server
 	captures   *capture.Writer
 	drained    chan struct{}
@@ -235,17 +235,17 @@
 func (n *Node) openController(set settings.Settings, file operatorfile.File) {
 	lim := file.Overrides.Limits
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
-	var kept aggregatorstore.Contents
+	var kept aggregatorstore.OverrideContents
 	persistent, in := controller.Store(nil), ""
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
-		if n.store, kept, err = aggregatorstore.Open(dir, n.log); err != nil {
+		if n.store, kept, err = aggregatorstore.OpenOverrides(dir, n.log); err != nil {
 			n.log.Error("overrides can't be kept, commands are refused", zap.String("text", err.Error()))
 		}
 		persistent, in = n.store, dir
 	}
 	n.controller = controller.New(lim, n.aggregator.In, persistent, in, n.log, n.count)
-	n.controller.Restore(kept.Revision, kept.Held, kept.Recent)
+	n.controller.Restore(kept.Revision, kept.Active, kept.Recent)
 }
 
 // join makes the aggregator one of a fleet.
