--- a/internal/aggregatorstore/errors.go
+++ b/internal/aggregatorstore/errors.go
@@ -28,3 +28,11 @@
 func invalidContents(format string, arguments ...any) error {
 	return contentsError(fmt.Sprintf(format, arguments...))
 }
+
+// corruptError says that a file is there and can be read, and not be trusted.
+type corruptError struct{ err error }
+
+func (e *corruptError) Error() string { return "spoilt: " + e.err.Error() }
+
+// Unwrap gives what is wrong with the file.
+func (e *corruptError) Unwrap() error { return e.err }
--- /dev/null
+++ b/internal/aggregatorstore/overrides.go
@@ -0,0 +1,160 @@
+package aggregatorstore
+
+import (
+	"path/filepath"
+	"slices"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/operators/override"
+)
+
+const (
+	overridesFileName = "overrides.db"
+	overridesLockName = "overrides.lock"
+	// overridesVersion is of the records' form. A file of a later version is refused, and stays as it is.
+	overridesVersion = 1
+	// maxAuditRecords is the length of the audit trail: years of what operators send, in some 50 MB.
+	maxAuditRecords = 100_000
+	// MaxRecent is how many records of the audit trail are read when the file is opened.
+	MaxRecent = 1000
+)
+
+var (
+	bucketActive = []byte("held")
+	bucketAudit  = []byte("audit")
+	keyRevision  = []byte("revision")
+	keyAudited   = []byte("audited") // how many records the audit trail has
+)
+
+// OverrideContents is what a file contained when it was opened.
+type OverrideContents struct {
+	Revision    override.Revision // of the last change
+	Active      []override.Override
+	Recent      []override.Change // the last MaxRecent, oldest first
+	Quarantined string            // to what a corrupt file was renamed, "" for none
+}
+
+// OverrideStore saves the overrides. Its methods may be called from any goroutine.
+type OverrideStore struct{ *fileWriter }
+
+// OpenOverrides opens the file in a directory, or makes it. A corrupt one is renamed, and a new one made. The error says why
+// nothing can be saved there; the OverrideStore, which is never nil, then fails every Save with it.
+func OpenOverrides(dir string, logger *zap.Logger) (s *OverrideStore, contents OverrideContents, err error) {
+	return openOverridesWithin(dir, lockTimeout, logger)
+}
+
+func openOverridesWithin(dir string, wait time.Duration, logger *zap.Logger) (s *OverrideStore, contents OverrideContents, err error) {
+	s = &OverrideStore{newFileWriter(logger)}
+	defer func() {
+		s.failure = err
+		go s.run()
+	}()
+	if s.lock, err = lockDirectory(dir, overridesLockName, wait); err != nil {
+		return s, contents, err
+	}
+	quarantined := ""
+	s.db, quarantined, err = openOrQuarantine(filepath.Join(dir, overridesFileName), logger, createOverrideBuckets, contents.read)
+	if quarantined != "" || err != nil { // what was read before the fault does not count
+		contents = OverrideContents{Quarantined: quarantined}
+	}
+	return s, contents, err
+}
+
+func createOverrideBuckets(tx *bolt.Tx) error {
+	return createBuckets(tx, overridesVersion, bucketActive, bucketAudit)
+}
+
+func (c *OverrideContents) read(tx *bolt.Tx) error {
+	switch version := tx.Bucket(bucketMeta).Get(keyVersion); {
+	case len(version) != 8 || tx.Bucket(bucketActive) == nil || tx.Bucket(bucketAudit) == nil:
+		return &corruptError{invalidContents("no version, or a bucket is missing")}
+	case decodeUint64(version) != overridesVersion:
+		return versionError{decodeUint64(version), overridesVersion}
+	}
+	c.Revision = override.Revision(decodeUint64(tx.Bucket(bucketMeta).Get(keyRevision)))
+	err := tx.Bucket(bucketActive).ForEach(func(id, record []byte) error {
+		var active override.Override
+		if err := unseal(record, &active); err != nil {
+			return err
+		}
+		if decodeUint64(id) != uint64(active.ID) {
+			return &corruptError{invalidContents("override %d stands under %d", active.ID, decodeUint64(id))}
+		}
+		c.Active = append(c.Active, active)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	cursor := tx.Bucket(bucketAudit).Cursor()
+	for key, record := cursor.Last(); key != nil && len(c.Recent) < MaxRecent; key, record = cursor.Prev() {
+		var change override.Change
+		if err := unseal(record, &change); err != nil {
+			return err
+		}
+		if decodeUint64(key) != uint64(change.Revision) {
+			return &corruptError{invalidContents("revision %d stands under %d", change.Revision, decodeUint64(key))}
+		}
+		c.Recent = append(c.Recent, change)
+	}
+	slices.Reverse(c.Recent)
+	if n := len(c.Recent); n > 0 && c.Recent[n-1].Revision != c.Revision {
+		return &corruptError{invalidContents("revision is %d, the last change %d", c.Revision, c.Recent[n-1].Revision)}
+	}
+	return nil
+}
+
+// Save saves changes, all or none, and calls done once they are on disk or have failed. It does not block; done is called from
+// another goroutine, in the order of the calls.
+func (s *OverrideStore) Save(changes []override.Change, done func(error)) {
+	s.save(func(tx *bolt.Tx) error { return writeChanges(tx, changes) }, done)
+}
+
+func writeChanges(tx *bolt.Tx, changes []override.Change) error {
+	meta, active, audit := tx.Bucket(bucketMeta), tx.Bucket(bucketActive), tx.Bucket(bucketAudit)
+	audited := decodeUint64(meta.Get(keyAudited))
+	last := decodeUint64(meta.Get(keyRevision))
+	for i := range changes {
+		change := &changes[i]
+		if err := applyChange(active, change); err != nil {
+			return err
+		}
+		record, err := seal(change)
+		if err != nil {
+			return err
+		}
+		if err := audit.Put(encodeUint64(uint64(change.Revision)), record); err != nil {
+			return err
+		}
+		audited++
+		last = max(last, uint64(change.Revision))
+	}
+	for cursor := audit.Cursor(); audited > maxAuditRecords; audited-- {
+		if key, _ := cursor.First(); key == nil {
+			break
+		}
+		if err := cursor.Delete(); err != nil {
+			return err
+		}
+	}
+	if err := meta.Put(keyAudited, encodeUint64(audited)); err != nil {
+		return err
+	}
+	return meta.Put(keyRevision, encodeUint64(last))
+}
+
+// applyChange adds or removes the override that a change is about.
+func applyChange(active *bolt.Bucket, change *override.Change) error {
+	id := encodeUint64(uint64(change.Override.ID))
+	if change.What != override.WasSet {
+		return active.Delete(id)
+	}
+	record, err := seal(&change.Override)
+	if err != nil {
+		return err
+	}
+	return active.Put(id, record)
+}
