--- a/internal/aggregatorstore/pages.go
+++ b/internal/aggregatorstore/pages.go
@@ -9,11 +9,12 @@
 	"os"
 )
 
-// The library's own check of a file runs in a goroutine of its own, and a page that leads back to itself ends the process
-// there: a corrupt file would keep an aggregator from starting. So pages are checked here before the library sees any of them, by
-// the layout that it documents. What the records hold is checked by their own sums.
+// The library's own check of a file runs in a goroutine of its own, and a cycle of pages ends the process there: a corrupt file would
+// keep an aggregator from starting. So the pages are checked here before the library reads them, by the layout that bbolt
+// documents (go.etcd.io/bbolt, page.go and node.go). The contents of records are checked by their checksums.
 const (
 	pageHeaderSize    = 16
+	bucketHeaderSize  = 16 // of a bucket in an element: its root page and a sequence
 	elementSize       = 16
 	branchPage        = 0x01
 	leafPage          = 0x02
@@ -28,7 +29,7 @@
 
 var native = binary.NativeEndian
 
-// pageReader reads one file.
+// pageReader reads the pages of one file.
 type pageReader struct {
 	file      io.ReaderAt
 	fileSize  int64
@@ -37,9 +38,22 @@
 	reached   map[uint64]bool
 }
 
+// page is one with the pages that it overflows into.
+type page struct {
+	data         []byte
+	flags, count uint16
+}
+
+// newPage reads the header of a page, or of a bucket that is inline in an element.
+func newPage(data []byte) page {
+	return page{data, native.Uint16(data[8:]), native.Uint16(data[10:])}
+}
+
+// metaPage is what a meta page says.
 type metaPage struct{ pageSize, root, freelist, pageCount, transaction uint64 }
 
-// validatePages tells whether a file's pages make sense: nil also for one that is empty or not there.
+// validatePages checks a file's pages; a file that is empty or missing is valid. The error is a corruptError where the pages
+// contradict each other.
 func validatePages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -67,7 +81,7 @@
 	return nil
 }
 
-// meta finds the later of the two meta pages that are good.
+// readMeta finds the later of the two meta pages that are valid.
 func (p *pageReader) readMeta() (last metaPage, err error) {
 	size := uint64(os.Getpagesize())
 	for i := range uint64(2) {
@@ -95,28 +109,28 @@
 	return last, nil
 }
 
-// readPage reads a page with all that it runs over into, which nothing else may have been found in.
-func (p *pageReader) readPage(id uint64) (b []byte, flags, count uint16, err error) {
-	head := make([]byte, pageHeaderSize)
+// readPage reads a page with those that it overflows into. None of them may have been reached before.
+func (p *pageReader) readPage(id uint64) (page, error) {
+	header := make([]byte, pageHeaderSize)
 	if id < 2 || id >= p.pageCount || int64((id+1)*p.pageSize) > p.fileSize {
-		return nil, 0, 0, invalidContents("page %d is beyond the %d there are", id, p.pageCount)
+		return page{}, invalidContents("page %d is beyond the %d there are", id, p.pageCount)
 	}
-	if _, err := p.file.ReadAt(head, int64(id*p.pageSize)); err != nil {
-		return nil, 0, 0, err
+	if _, err := p.file.ReadAt(header, int64(id*p.pageSize)); err != nil {
+		return page{}, err
 	}
-	over := uint64(native.Uint32(head[12:]))
-	if native.Uint64(head) != id || over >= p.pageCount || id+over >= p.pageCount || int64((id+over+1)*p.pageSize) > p.fileSize {
-		return nil, 0, 0, invalidContents("page %d calls itself %d, with %d more", id, native.Uint64(head), over)
+	over := uint64(native.Uint32(header[12:]))
+	if native.Uint64(header) != id || over >= p.pageCount || id+over >= p.pageCount || int64((id+over+1)*p.pageSize) > p.fileSize {
+		return page{}, invalidContents("page %d calls itself %d, with %d more", id, native.Uint64(header), over)
 	}
 	for i := id; i <= id+over; i++ {
 		if p.reached[i] {
-			return nil, 0, 0, invalidContents("page %d is led to twice", i)
+			return page{}, invalidContents("page %d is led to twice", i)
 		}
 		p.reached[i] = true
 	}
-	b = make([]byte, (1+over)*p.pageSize)
-	_, err = p.file.ReadAt(b, int64(id*p.pageSize))
-	return b, native.Uint16(head[8:]), native.Uint16(head[10:]), err
+	data := make([]byte, (1+over)*p.pageSize)
+	_, err := p.file.ReadAt(data, int64(id*p.pageSize))
+	return newPage(data), err
 }
 
 // checkTree checks a page and all below it.
@@ -124,61 +138,40 @@
 	if depth > maxDepth {
 		return invalidContents("page %d lies deeper than %d", id, maxDepth)
 	}
-	b, flags, count, err := p.readPage(id)
+	tree, err := p.readPage(id)
 	if err != nil {
 		return err
 	}
-	return p.checkElements(b, flags, count, id, depth)
+	return p.checkElements(tree, id, depth)
 }
 
-func (p *pageReader) checkElements(b []byte, flags, count uint16, id uint64, depth int) error {
-	if flags != branchPage && flags != leafPage || flags == branchPage && count == 0 {
-		return invalidContents("page %d is of kind %#x with %d elements", id, flags, count)
-	}
-	var before []byte
-	for i := range int(count) {
-		at := pageHeaderSize + i*elementSize
-		if at+elementSize > len(b) {
-			return invalidContents("page %d has %d elements", id, count)
+// checkElements checks a page's elements, and the pages that they lead to.
+func (p *pageReader) checkElements(tree page, id uint64, depth int) error {
+	if tree.flags != branchPage && tree.flags != leafPage || tree.flags == branchPage && tree.count == 0 {
+		return invalidContents("page %d is of kind %#x with %d elements", id, tree.flags, tree.count)
+	}
+	var previous []byte
+	for i := range int(tree.count) {
+		offset := pageHeaderSize + i*elementSize
+		if offset+elementSize > len(tree.data) {
+			return invalidContents("page %d has %d elements", id, tree.count)
 		}
-		e := b[at:]
-		if flags == branchPage {
-			pos, size := uint64(native.Uint32(e)), uint64(native.Uint32(e[4:]))
-			key, err := slice(b, uint64(at), pos, size)
-			if err != nil || i > 0 && bytes.Compare(before, key) >= 0 {
-				return invalidContents("page %d, element %d: a key out of order or place", id, i)
-			}
-			before = key
-			if err := p.checkTree(native.Uint64(e[8:]), depth+1); err != nil {
-				return err
-			}
-			continue
+		element := tree.data[offset:]
+		var key []byte
+		var err error
+		if tree.flags == branchPage {
+			key, err = slice(tree.data, uint64(offset), uint64(native.Uint32(element)), uint64(native.Uint32(element[4:])))
+		} else {
+			key, err = slice(tree.data, uint64(offset), uint64(native.Uint32(element[4:])), uint64(native.Uint32(element[8:])))
 		}
-		pos, keySize, valueSize := uint64(native.Uint32(e[4:])), uint64(native.Uint32(e[8:])), uint64(native.Uint32(e[12:]))
-		key, err := slice(b, uint64(at), pos, keySize)
-		if err != nil || i > 0 && bytes.Compare(before, key) >= 0 {
+		if err != nil || i > 0 && bytes.Compare(previous, key) >= 0 {
 			return invalidContents("page %d, element %d: a key out of order or place", id, i)
 		}
-		before = key
-		value, err := slice(b, uint64(at), pos+keySize, valueSize)
-		if err != nil {
-			return invalidContents("page %d, element %d: a value out of place", id, i)
-		}
-		if native.Uint32(e)&bucketLeaf == 0 {
-			continue
-		}
-		if len(value) < 16 {
-			return invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
-		}
-		root := native.Uint64(value)
-		switch {
-		case root != 0:
-			err = p.checkTree(root, depth+1)
-		case len(value) < 16+pageHeaderSize:
-			err = invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
-		default: // small enough to stand in its own element
-			in := value[16:]
-			err = p.checkElements(in, native.Uint16(in[8:]), native.Uint16(in[10:]), id, depth+1)
+		previous = key
+		if tree.flags == branchPage {
+			err = p.checkTree(native.Uint64(element[8:]), depth+1)
+		} else {
+			err = p.checkLeaf(tree.data, offset, id, i, depth)
 		}
 		if err != nil {
 			return err
@@ -187,7 +180,31 @@
 	return nil
 }
 
-// slice takes so many bytes that begin so far behind an element.
+// checkLeaf checks a leaf element's value, and, where that is a bucket, the bucket's pages.
+func (p *pageReader) checkLeaf(data []byte, offset int, id uint64, i, depth int) error {
+	element := data[offset:]
+	position, keySize, valueSize := uint64(native.Uint32(element[4:])), uint64(native.Uint32(element[8:])), uint64(native.Uint32(element[12:]))
+	value, err := slice(data, uint64(offset), position+keySize, valueSize)
+	if err != nil {
+		return invalidContents("page %d, element %d: a value out of place", id, i)
+	}
+	if native.Uint32(element)&bucketLeaf == 0 {
+		return nil
+	}
+	if len(value) < bucketHeaderSize {
+		return invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
+	}
+	switch root := native.Uint64(value); {
+	case root != 0:
+		return p.checkTree(root, depth+1)
+	case len(value) < bucketHeaderSize+pageHeaderSize:
+		return invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
+	default: // small enough to be inline in its own element
+		return p.checkElements(newPage(value[bucketHeaderSize:]), id, depth+1)
+	}
+}
+
+// slice is so many bytes at a position relative to an element.
 func slice(b []byte, at, pos, size uint64) ([]byte, error) {
 	if from := at + pos; from+size <= uint64(len(b)) {
 		return b[from : from+size], nil
@@ -195,20 +212,21 @@
 	return nil, io.ErrUnexpectedEOF
 }
 
-// free checks that no page that is listed as free is in use.
+// checkFreelist checks that no page is both free and in use.
 func (p *pageReader) checkFreelist(id uint64) error {
 	if id == freelistNotStored {
 		return nil
 	}
-	b, flags, count, err := p.readPage(id)
+	list, err := p.readPage(id)
 	if err != nil {
 		return err
 	}
-	if flags != freePage {
-		return invalidContents("page %d is of kind %#x, expected the list of free ones", id, flags)
+	if list.flags != freePage {
+		return invalidContents("page %d is of kind %#x, expected the list of free ones", id, list.flags)
 	}
-	n, from := uint64(count), uint64(pageHeaderSize)
-	if count == 0xFFFF {
+	b := list.data
+	n, from := uint64(list.count), uint64(pageHeaderSize)
+	if list.count == 0xFFFF {
 		n, from = native.Uint64(b[pageHeaderSize:]), pageHeaderSize+8
 	}
 	if n > uint64(len(b))/8 || from+8*n > uint64(len(b)) {
