--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -23,73 +23,73 @@
 	no       policy.CallNo
 }
 
-func (m *Aggregator) execute(a *policy.Action, now time.Time) {
-	switch a.Kind {
+func (m *Aggregator) execute(action *policy.Action, now time.Time) {
+	switch action.Kind {
 	case policy.Send:
-		m.send(a, now)
+		m.send(action, now)
 	case policy.Cancel:
-		if c, out := m.inFlight[callKey{a.Subquery, a.Call}]; out {
+		if c, out := m.inFlight[callKey{action.Subquery, action.Call}]; out {
 			m.sendBatch(c.backend)
-			m.backends.Cancel(c.backend, a.Subquery, a.Call)
+			m.backends.Cancel(c.backend, action.Subquery, action.Call)
 		}
 	case policy.Answer:
-		m.finishQuery(a.Query, "satisfied", Reply{End: Satisfied, Complete: a.Complete}, now)
+		m.finishQuery(action.Query, "satisfied", Reply{End: Satisfied, Complete: action.Complete}, now)
 	case policy.Nack:
-		m.finishQuery(a.Query, "nacked", Reply{End: Nacked, RetryAfter: a.Wait}, now)
+		m.finishQuery(action.Query, "nacked", Reply{End: Nacked, RetryAfter: action.Wait}, now)
 	case policy.Abort:
-		m.finishQuery(a.Query, "aborted", Reply{End: Aborted}, now)
+		m.finishQuery(action.Query, "aborted", Reply{End: Aborted}, now)
 	case policy.SetTimer:
-		m.setTimer(a, now)
+		m.setTimer(action, now)
 	case policy.Probe:
-		m.sendBatch(a.Backend)
+		m.sendBatch(action.Backend)
 		m.counters.Add("probes", "sent", 1)
-		m.backends.Probe(a.Backend, a.SeparateConnection)
+		m.backends.Probe(action.Backend, action.SeparateConnection)
 	case policy.CloseIdle:
-		m.sendBatch(a.Backend)
-		m.backends.CloseIdle(a.Backend)
+		m.sendBatch(action.Backend)
+		m.backends.CloseIdle(action.Backend)
 	case policy.Subscribe:
-		m.discovery.Subscribe(a.On)
+		m.discovery.Subscribe(action.On)
 	case policy.RequestFullList:
 		m.discovery.RequestFullList()
 	case policy.NotifyPeer:
 		m.counters.Add("messages", "no_way_to_mixers", 1)
 	case policy.LogNote:
-		m.log.Info("module", zap.String("note", a.Text))
+		m.log.Info("module", zap.String("note", action.Text))
 	}
 }
 
 // send puts a call on the trip to its backend; what one step sends there shares calls, up to the number set.
-func (m *Aggregator) send(a *policy.Action, now time.Time) {
-	ref, held := m.subqueries[a.Subquery]
-	if !held {
-		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(a.Subquery)))
+func (m *Aggregator) send(action *policy.Action, now time.Time) {
+	ref, open := m.subqueries[action.Subquery]
+	if !open {
+		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(action.Subquery)))
 		return
 	}
-	q, p := ref.query, &ref.query.Subqueries[ref.no]
+	q, sub := ref.query, &ref.query.Subqueries[ref.no]
 	stop := q.Arrived.Add(time.Duration(q.Timeout * float64(time.Second)))
-	if at := m.wallTime(a.StopAt); a.StopAt > 0 && at.Before(stop) {
+	if at := m.wallTime(action.StopAt); action.StopAt > 0 && at.Before(stop) {
 		stop = at
 	}
 	begin := stop
-	if at := m.wallTime(a.BeginBy); a.BeginBy > 0 && at.Before(begin) {
+	if at := m.wallTime(action.BeginBy); action.BeginBy > 0 && at.Before(begin) {
 		begin = at
 	}
-	key := callKey{a.Subquery, p.attempts}
-	p.attempts++
-	c := inFlightCall{backend: a.Backend, index: q.Index, customer: q.Customer}
+	key := callKey{action.Subquery, sub.attempts}
+	sub.attempts++
+	call := inFlightCall{backend: action.Backend, index: q.Index, customer: q.Customer}
 	if m.recorder != nil {
-		c.seat, c.alone = m.recorder.Sent(m.policyTime(now), a.Backend)
+		call.seat, call.alone = m.recorder.Sent(m.policyTime(now), action.Backend)
 	}
-	m.inFlight[key] = c
+	m.inFlight[key] = call
 	m.counters.Add("calls", "sent", 1)
-	trip := m.batches[a.Backend]
-	trip = append(trip, Call{key.subquery, key.no, q, p.Shard, now, stop, begin})
+	trip := m.batches[action.Backend]
+	trip = append(trip, Call{key.subquery, key.no, q, sub.Shard, now, stop, begin})
 	if len(trip) == 1 {
-		m.batchOrder = append(m.batchOrder, a.Backend)
+		m.batchOrder = append(m.batchOrder, action.Backend)
 	}
-	m.batches[a.Backend] = trip
+	m.batches[action.Backend] = trip
 	if len(trip) >= max(1, m.settings.Layout.CallSubqueries) {
-		m.sendBatch(a.Backend)
+		m.sendBatch(action.Backend)
 	}
 }
 
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -12,7 +12,7 @@
 var recorderNames = capture.Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
 
 // What the actor tells a recorder is what came and what became of it.
-func TestTheLoadIsCaptured(t *testing.T) {
+func TestRecorderCapturesTheLoad(t *testing.T) {
 	r := newFixture(nil)
 	var got []capture.Interval
 	r.Capture(capture.New("n1", recorderNames, 0.1), func(i capture.Interval) { got = append(got, i) })
--- a/internal/dataplane/aggregator/crossings_test.go
+++ b/internal/dataplane/aggregator/crossings_test.go
@@ -32,7 +32,7 @@
 
 // The ends of both calls, the client's leaving and the hard deadline come in one and the same step, in each order, however the calls end and
 // whatever the index allows: there is one final answer, or the client has gone, and nothing of the query goes out after that or stays.
-func TestAllEndsOfALookupInOneStep(t *testing.T) {
+func TestAllEndsOfAQueryInOneStep(t *testing.T) {
 	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.Rejected, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Canceled, policy.NotSent}
 	for index := range policy.IndexID(2) {
 		for _, first := range outcomes {
@@ -80,7 +80,7 @@
 }
 
 // A client that left while its query waited in the queue, or for a backend to have room: nothing of it is sent, neither then nor later.
-func TestNothingOfAClientThatLeftIsSent(t *testing.T) {
+func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Rules.SlowStartShare = 0.2 })
 	e := r.query("aa", 0, 4)
 	r.put(e, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: e.ClientQuery})
--- a/internal/dataplane/aggregator/gate.go
+++ b/internal/dataplane/aggregator/gate.go
@@ -72,19 +72,19 @@
 
 // admit asks the gate for a query, and answers one that is refused.
 func (m *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
-	v := m.admission.admission.Admit(q.Customer, q.Index)
-	if v.Reason != "" {
-		m.counters.Add("lookups", v.Reason, 1)
-		q.Done <- Reply{End: Nacked, RetryAfter: min(v.RetryAfter, m.settings.Limits.MaxRetryAfter), Text: v.Text}
+	decision := m.admission.admission.Admit(q.Customer, q.Index)
+	if decision.Reason != "" {
+		m.counters.Add("lookups", decision.Reason, 1)
+		q.Done <- Reply{End: Nacked, RetryAfter: min(decision.RetryAfter, m.settings.Limits.MaxRetryAfter), Text: decision.Text}
 		return nil, false
 	}
-	if v.MaxTimeout > 0 {
-		q.Timeout = min(q.Timeout, now.Sub(q.Arrived).Seconds()+v.MaxTimeout)
+	if decision.MaxTimeout > 0 {
+		q.Timeout = min(q.Timeout, now.Sub(q.Arrived).Seconds()+decision.MaxTimeout)
 	}
-	if v.Zones != nil {
-		m.logUncovered(q, v.Zones, now)
+	if decision.Zones != nil {
+		m.logUncovered(q, decision.Zones, now)
 	}
-	return v.Zones, true
+	return decision.Zones, true
 }
 
 // logUncovered logs the shards of a query that no holder inside its zones has: the module gives their parts up at once.
@@ -92,10 +92,10 @@
 	covered, width := m.admission.coveredCells[zones], max(1, m.settings.Layout.Width)
 	if covered == nil {
 		covered = make([]bool, max(1, m.settings.Layout.Cells))
-		for _, p := range m.admission.placements {
+		for _, placement := range m.admission.placements {
 			for j := range width {
-				if c := (int(p.cell) - j) % len(covered); !p.removed && !p.relocated && zones.Allows(p.location) {
-					covered[(c+len(covered))%len(covered)] = true
+				if cell := (int(placement.cell) - j) % len(covered); !placement.removed && !placement.relocated && zones.Allows(placement.location) {
+					covered[(cell+len(covered))%len(covered)] = true
 				}
 			}
 		}
@@ -103,8 +103,8 @@
 	}
 	var shards []int
 	for i := range q.Subqueries {
-		if s := int(q.Subqueries[i].Shard); !covered[s%len(covered)] {
-			shards = append(shards, s)
+		if shard := int(q.Subqueries[i].Shard); !covered[shard%len(covered)] {
+			shards = append(shards, shard)
 		}
 	}
 	if len(shards) == 0 {
@@ -178,9 +178,9 @@
 			ids[p.name] = id
 		}
 	}
-	for _, j := range e.PeerObservations {
-		if id := ids[j.Backend]; id != 0 {
-			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: j.LatencyMultiple, Until: m.policyTime(now) + j.ValidS})
+	for _, observation := range e.PeerObservations {
+		if id := ids[observation.Backend]; id != 0 {
+			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: observation.LatencyMultiple, Until: m.policyTime(now) + observation.ValidS})
 		}
 	}
 }
--- a/internal/dataplane/aggregator/lookups.go
+++ b/internal/dataplane/aggregator/lookups.go
@@ -39,23 +39,23 @@
 	m.lastID++
 	q.id = policy.QueryID(m.lastID)
 	m.queries[q.id], m.byClientID[q.ID] = q, q
-	left := q.Timeout - now.Sub(q.Arrived).Seconds()
-	e := policy.Event{Kind: policy.QueryReceived, Query: q.id, No: policy.QueryNo(q.id), Index: q.Index,
-		Customer: q.Customer, Key: q.Key, HasKey: q.HasKey, Remaining: left, Subqueries: len(q.Subqueries), Resent: q.Resent, Zones: zones}
+	remaining := q.Timeout - now.Sub(q.Arrived).Seconds()
+	event := policy.Event{Kind: policy.QueryReceived, Query: q.id, No: policy.QueryNo(q.id), Index: q.Index,
+		Customer: q.Customer, Key: q.Key, HasKey: q.HasKey, Remaining: remaining, Subqueries: len(q.Subqueries), Resent: q.Resent, Zones: zones}
 	for i := range q.Subqueries {
-		e.Hint += q.Subqueries[i].Hint
+		event.Hint += q.Subqueries[i].Hint
 	}
-	m.events = append(m.events, e)
+	m.events = append(m.events, event)
 	if m.recorder != nil {
-		m.recorder.Taken(m.policyTime(now), q.Index, q.Customer, q.Resent, e.Hint, q.shards)
+		m.recorder.Taken(m.policyTime(now), q.Index, q.Customer, q.Resent, event.Hint, q.shards)
 	}
-	e.Kind, e.Subqueries = policy.SubqueryReceived, 0
+	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
 	for i := range q.Subqueries {
-		p := &q.Subqueries[i]
+		sub := &q.Subqueries[i]
 		m.lastID++
-		e.Subquery, e.Shard, e.Weight, e.Hint, e.Key, e.HasKey = policy.SubqueryID(m.lastID), p.Shard, p.Weight, p.Hint, p.Key, p.HasKey
-		m.subqueries[e.Subquery] = subqueryRef{q, i}
-		m.events = append(m.events, e)
+		event.Subquery, event.Shard, event.Weight, event.Hint, event.Key, event.HasKey = policy.SubqueryID(m.lastID), sub.Shard, sub.Weight, sub.Hint, sub.Key, sub.HasKey
+		m.subqueries[event.Subquery] = subqueryRef{q, i}
+		m.events = append(m.events, event)
 	}
 }
 
@@ -69,9 +69,9 @@
 }
 
 // recordEnd tells the recorder of a query's end, where there is one.
-func (m *Aggregator) recordEnd(q *Query, how capture.End, now time.Time) {
+func (m *Aggregator) recordEnd(q *Query, end capture.End, now time.Time) {
 	if m.recorder != nil {
-		m.recorder.Ended(m.policyTime(now), q.Index, q.Customer, how, now.Sub(q.Arrived).Seconds())
+		m.recorder.Ended(m.policyTime(now), q.Index, q.Customer, end, now.Sub(q.Arrived).Seconds())
 	}
 }
 
--- a/internal/dataplane/aggregator/mixer.go
+++ b/internal/dataplane/aggregator/mixer.go
@@ -160,17 +160,17 @@
 		m.counters.Add("lookups", "gone", 1)
 	case policy.CallEnded:
 		key := callKey{e.Subquery, e.Call}
-		c, out := m.inFlight[key]
+		call, inFlight := m.inFlight[key]
 		delete(m.inFlight, key)
-		if out && m.recorder != nil {
-			m.recorder.Called(m.policyTime(now), c.seat, c.index, e.Outcome, e.Elapsed, c.alone, e.Load)
+		if inFlight && m.recorder != nil {
+			m.recorder.Called(m.policyTime(now), call.seat, call.index, e.Outcome, e.Elapsed, call.alone, e.Load)
 		}
-		if out && m.admission.admission != nil {
-			m.admission.admission.CallEnded(now, m.admission.placements[c.backend].name, e.Outcome, e.Elapsed)
+		if inFlight && m.admission.admission != nil {
+			m.admission.admission.CallEnded(now, m.admission.placements[call.backend].name, e.Outcome, e.Elapsed)
 		}
-		if ref, held := m.subqueries[e.Subquery]; held && e.Outcome == policy.Answered {
-			if p := &ref.query.Subqueries[ref.no]; !p.Answered {
-				p.Answered, p.Value = true, e.Value
+		if ref, open := m.subqueries[e.Subquery]; open && e.Outcome == policy.Answered {
+			if sub := &ref.query.Subqueries[ref.no]; !sub.Answered {
+				sub.Answered, sub.Value = true, e.Value
 			}
 		}
 	case policy.ListChanged:
@@ -188,11 +188,11 @@
 			}
 		}
 		if e.List != policy.ListPatch {
-			keep := make(map[policy.BackendID]bool, len(e.Entries))
+			listed := make(map[policy.BackendID]bool, len(e.Entries))
 			for i := range e.Entries {
-				keep[e.Entries[i].Backend] = true
+				listed[e.Entries[i].Backend] = true
 			}
-			m.backends.Retain(keep)
+			m.backends.Retain(listed)
 		}
 		if m.admission.admission != nil {
 			m.updatePlacements(e)
--- a/internal/dataplane/aggregator/mixer_test.go
+++ b/internal/dataplane/aggregator/mixer_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestALookupFromEndToEnd(t *testing.T) {
+func TestQueryFromEndToEnd(t *testing.T) {
 	r := newFixture(nil)
 	e := r.query("aa", 0, 2)
 	q := e.ClientQuery
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestTheMostHeldAndTwins(t *testing.T) {
+func TestRejectsBeyondMaxPendingAndDuplicates(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Limits.MaxPending = 4 })
 	first, twin, second, third := r.query("aa", 0, 2), r.query("aa", 0, 2), r.query("bb", 0, 1), r.query("cc", 0, 1)
 	r.put(first, twin, second, third)
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestTheClockIsUnixTimeAndTakesBackWhatItGives(t *testing.T) {
+func TestPolicyTimeIsUnixTimeAndConvertsBack(t *testing.T) {
 	r := newFixture(nil)
 	at := time.Now()
 	if s := r.policyTime(at); s < float64(at.UnixNano())/1e9-1 || s > float64(at.UnixNano())/1e9+1 {
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestStepsKeepTheirDistance(t *testing.T) {
+func TestStepsKeepTheMinimumInterval(t *testing.T) {
 	r := newFixture(nil)
 	go r.Run(r, r)
 	begin := time.Now()
--- a/internal/dataplane/aggregator/timers.go
+++ b/internal/dataplane/aggregator/timers.go
@@ -32,11 +32,11 @@
 
 // setTimer sets a timer. One that comes again and again counts from when it was due, not from when its step came,
 // or each step's lateness would add up.
-func (m *Aggregator) setTimer(a *policy.Action, now time.Time) {
+func (m *Aggregator) setTimer(action *policy.Action, now time.Time) {
 	from := now
-	wait := time.Duration(math.Ceil(a.Wait * float64(time.Second)))
-	if due, again := m.due[a.Timer]; again && due.Add(wait).After(now) {
+	wait := time.Duration(math.Ceil(action.Wait * float64(time.Second)))
+	if due, repeated := m.due[action.Timer]; repeated && due.Add(wait).After(now) {
 		from = due
 	}
-	heap.Push(&m.timers, timer{from.Add(wait), a.Timer})
+	heap.Push(&m.timers, timer{from.Add(wait), action.Timer})
 }
--- a/internal/dataplane/asynclog/mixerlog_test.go
+++ b/internal/dataplane/asynclog/mixerlog_test.go
@@ -28,7 +28,7 @@
 	Lived      float64 `json:"lived_s"`
 }
 
-func TestLines(t *testing.T) {
+func TestLogLines(t *testing.T) {
 	Convey("A log of a mixer", t, func() {
 		var out bytes.Buffer
 		log := New(zapcore.AddSync(&out)).With(zap.String("mixer", "n1"))
@@ -71,8 +71,8 @@
 	})
 }
 
-// BenchmarkLine writes the line that an aggregator writes most often, when a client's connection ends.
-func BenchmarkLine(b *testing.B) {
+// BenchmarkLogLine writes the line that an aggregator writes most often, when a client's connection ends.
+func BenchmarkLogLine(b *testing.B) {
 	out := NewWriter(io.Discard, 1024, func() {})
 	defer out.Close()
 	log := New(out).With(zap.String("mixer", "n1"))
--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// named takes what the list says. Connections to another address, or older than the backend's last start, lead to a
+// list takes what the list says. Connections to another address, or older than the backend's last start, lead to a
 // process that is no more.
 func (a *actor) updateEntry(n *message) {
 	if a.draining = n.entry.Phase != policy.Ready; a.draining {
--- a/internal/dataplane/backends/crossings_test.go
+++ b/internal/dataplane/backends/crossings_test.go
@@ -42,7 +42,7 @@
 	if _, err := io.CopyN(io.Discard, p.in, int64(n)); err != nil {
 		p.r.Fatal(err)
 	}
-	p.say('R', "large.0 done 0 -\n") // so that it is idle, and closed where that is asked for
+	p.writeFrame('R', "large.0 done 0 -\n") // so that it is idle, and closed where that is asked for
 	p.r.ended(1, policy.Answered)
 	p.r.hub.CloseIdle(1)
 	text, _ := io.ReadAll(p.in)
@@ -50,7 +50,7 @@
 }
 
 // A call that was taken back while it waited behind a write is not written after it, and neither is its withdrawal.
-func TestTakenBackBehindAWriteIsNeverSent(t *testing.T) {
+func TestCallCanceledBehindAWriteIsNotSent(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
@@ -62,7 +62,7 @@
 }
 
 // One whose time passed while it waited: nobody waits for its answer.
-func TestOverdueBehindAWriteIsNeverSent(t *testing.T) {
+func TestCallTimedOutBehindAWriteIsNotSent(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", 20*time.Millisecond, 1)
@@ -74,7 +74,7 @@
 
 // A call that is on its way to its backend ends once that was told: before, another call of its part would be a second copy,
 // which a deployment may not allow.
-func TestACallEndsOnceItsBackendWasTold(t *testing.T) {
+func TestCanceledCallEndsOnceTheCancelFrameIsWritten(t *testing.T) {
 	r := newFixture(t, nil)
 	r.hub.writeTimeout = patience
 	calls := r.send("aa", "q", time.Minute, 1)
@@ -95,12 +95,12 @@
 	}
 	p.expect('C', "aa.0")
 	r.ended(calls[0].Subquery, policy.Canceled)
-	p.say('R', "large.0 done 0 -\n")
+	p.writeFrame('R', "large.0 done 0 -\n")
 	r.ended(large[0].Subquery, policy.Answered)
 }
 
 // A repeat that waits for its connection, or behind a write, until it would no longer be known as one.
-func TestARepeatBeyondItsWindowIsNeverSent(t *testing.T) {
+func TestRetryBeyondItsDedupWindowIsNotSent(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
@@ -125,13 +125,13 @@
 }
 
 // A drain, or the end, takes back at once what waits for a connect that does not come up; later calls are not begun either.
-func TestADrainTakesBackWhatWaitsForAConnect(t *testing.T) {
+func TestDrainRevokesCallsWaitingForAConnect(t *testing.T) {
 	for _, phase := range []policy.Phase{policy.Draining, policy.Removed} {
 		r := newFixture(t, func(n *settings.Net) { n.Connect = 50 })
-		address := r.deaf()
-		r.named(address, policy.Ready, 0)
+		address := r.unresponsive()
+		r.list(address, policy.Ready, 0)
 		calls := r.send("aa", "q", time.Minute, 2)
-		r.named(address, phase, 0)
+		r.list(address, phase, 0)
 		for range calls {
 			if e := r.event(); e.Kind != policy.CallEnded || e.Outcome != policy.NotSent {
 				t.Fatalf("got %+v", e.Event)
@@ -143,18 +143,18 @@
 
 // The same for what waits behind a write: it is not written once the connection is read again, whether by then the connection was given
 // up or not.
-func TestADrainTakesBackWhatWaitsBehindAWrite(t *testing.T) {
+func TestDrainRevokesCallsWaitingBehindAWrite(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.stuck()
 	calls := r.send("bb", "q", time.Minute, 1)
-	r.named(r.peer.Addr().String(), policy.Draining, 0)
+	r.list(r.peer.Addr().String(), policy.Draining, 0)
 	r.ended(calls[0].Subquery, policy.NotSent)
 	got, err := io.Copy(io.Discard, io.LimitReader(p.in, int64(4+1+len("large.0 0 d=59999 16777216\n")+16<<20)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got > 16<<20 { // it was not given up
-		p.say('R', "large.0 done 0 -\n")
+		p.writeFrame('R', "large.0 done 0 -\n")
 	}
 	if e := r.event(); e.Subquery != 1 {
 		t.Fatalf("got %+v", e.Event)
@@ -166,9 +166,9 @@
 }
 
 // A stop does not wait for connects that nobody needs any more.
-func TestAStopEndsConnects(t *testing.T) {
+func TestStopCancelsConnects(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 3600 })
-	r.named(r.deaf(), policy.Ready, 0)
+	r.list(r.unresponsive(), policy.Ready, 0)
 	r.send("aa", "q", time.Hour, 1)
 	for late := time.Now().Add(patience); r.hub.counters.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
@@ -184,13 +184,13 @@
 	}
 }
 
-// held is a connection that is not read until it is let go: what comes meanwhile is here, unread.
-type held struct {
+// heldSocket is a connection that is not read until it is let go: what comes meanwhile is here, unread.
+type heldSocket struct {
 	net.Conn
 	let chan struct{}
 }
 
-func (h held) Read(b []byte) (int, error) {
+func (h heldSocket) Read(b []byte) (int, error) {
 	<-h.let
 	return h.Conn.Read(b)
 }
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	let, notes = make(chan struct{}), make(chan message, 100)
-	conn = &connection{socket: held{socket, let}, writeTimeout: patience, out: eventqueue.New[outgoing](), canceledUntil: map[string]time.Time{}}
+	conn = &connection{socket: heldSocket{socket, let}, writeTimeout: patience, out: eventqueue.New[outgoing](), canceledUntil: map[string]time.Time{}}
 	go func() { notes <- conn.run(func(n message) { notes <- n }) }()
 	return conn, p.(*net.TCPConn), let, notes
 }
@@ -257,7 +257,7 @@
 }
 
 // The same where the connection is closed as its backend was started anew.
-func TestAnAnswerBeforeAnEndOfOursCounts(t *testing.T) {
+func TestAnAnswerBeforeOurCloseCounts(t *testing.T) {
 	conn, peer, let, notes := heldConnection(t)
 	defer peer.Close()
 	peer.Write(appendFrame(nil, frameAnswer, []byte("aa.0 done 0 -\nvalue")...))
@@ -267,15 +267,15 @@
 	answeredThenEnded(t, notes)
 }
 
-// gate holds connects that have come up until the test lets them go.
-type gate struct {
+// dialGate holds connects that have come up until the test lets them go.
+type dialGate struct {
 	up  chan struct{} // one has come up
 	let chan struct{}
 }
 
 // holdDials comes before anything is sent.
-func (r *fixture) holdDials() gate {
-	g := gate{make(chan struct{}, 100), make(chan struct{})}
+func (r *fixture) holdDials() dialGate {
+	g := dialGate{make(chan struct{}, 100), make(chan struct{})}
 	dial := r.hub.dialer
 	r.hub.dialer = func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error) {
 		c, err := dial(ctx, timeout, address)
@@ -288,7 +288,7 @@
 
 // A connect comes up late: after its call was withdrawn, timed out or could no longer begin, its backend drained, was gone or moved. What it was
 // for has ended long before and is never written. A connection of use is kept for the next call, any other is closed.
-func TestALateConnectSendsNothingThatIsOver(t *testing.T) {
+func TestLateConnectSendsNoEndedCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait time.Duration
 		do   func(*fixture, policy.SubqueryID)
@@ -297,8 +297,8 @@
 	}{
 		"withdrawn": {time.Minute, func(r *fixture, subquery policy.SubqueryID) { r.hub.Cancel(1, subquery, 0) }, policy.Canceled, true},
 		"timed out": {time.Millisecond, func(*fixture, policy.SubqueryID) {}, policy.TimedOut, true},
-		"draining":  {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named(r.peer.Addr().String(), policy.Draining, 0) }, policy.NotSent, false},
-		"gone":      {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.named("", policy.Removed, 0) }, policy.NotSent, false},
+		"draining":  {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.list(r.peer.Addr().String(), policy.Draining, 0) }, policy.NotSent, false},
+		"gone":      {time.Minute, func(r *fixture, _ policy.SubqueryID) { r.list("", policy.Removed, 0) }, policy.NotSent, false},
 	} {
 		r := newFixture(t, func(n *settings.Net) { n.Idle, n.Connect = 60, 2 })
 		g := r.holdDials()
@@ -316,7 +316,7 @@
 		}
 		next := r.send("bb", "q", time.Minute, 1)
 		p.expect('S', "bb.0") // the first that is written on it
-		p.say('R', "bb.0 done 0 -\n")
+		p.writeFrame('R', "bb.0 done 0 -\n")
 		r.ended(next[0].Subquery, policy.Answered)
 		if n := r.hub.counters.Get("lines", "dialled"); n != 1 {
 			t.Fatalf("%s: %d connects, expected 1", name, n)
@@ -332,7 +332,7 @@
 	<-g.up
 	old := r.accept(r.peer)
 	to := r.listen()
-	r.named(to.Addr().String(), policy.Ready, 0)
+	r.list(to.Addr().String(), policy.Ready, 0)
 	<-g.up
 	close(g.let)
 	p := r.accept(to)
@@ -340,7 +340,7 @@
 	if text, _ := io.ReadAll(old.in); len(text) > 0 {
 		t.Fatalf("%q was written to the old address", text)
 	}
-	p.say('R', "aa.0 done 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 }
 
--- a/internal/dataplane/backends/searchers_test.go
+++ b/internal/dataplane/backends/searchers_test.go
@@ -43,7 +43,7 @@
 	r.hub = New(set, 100, r.told.Queue, zap.NewNop(), counters.New())
 	t.Cleanup(r.hub.Stop)
 	r.peer = r.listen()
-	r.named(r.peer.Addr().String(), policy.Ready, 0)
+	r.list(r.peer.Addr().String(), policy.Ready, 0)
 	return r
 }
 
@@ -56,7 +56,7 @@
 	return l
 }
 
-func (r *fixture) named(address string, phase policy.Phase, started float64) {
+func (r *fixture) list(address string, phase policy.Phase, started float64) {
 	r.hub.Update(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
 
@@ -99,7 +99,7 @@
 	return string(rest)
 }
 
-func (p *peerConnection) say(frameType byte, rest string) {
+func (p *peerConnection) writeFrame(frameType byte, rest string) {
 	p.Write(appendFrame(nil, frameType, []byte(rest)...))
 }
 
@@ -130,9 +130,9 @@
 	if fmt.Sscanf(p.expect('S', "bb.0 0 d="), "bb.0 0 d=%d 0", &left); left <= 0 || left > 1000 {
 		t.Fatalf("says that the mixer waits %d ms", left)
 	}
-	p.say('R', "bb.0 full 0 -\n")
-	p.say('R', "bb.0 full 0 -\n") // a second copy is no news
-	p.say('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
+	p.writeFrame('R', "bb.0 full 0 -\n")
+	p.writeFrame('R', "bb.0 full 0 -\n") // a second copy is no news
+	p.writeFrame('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
 	r.ended(b[0].Subquery, policy.Rejected)
 	e := r.ended(a[0].Subquery, policy.Answered)
 	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasQueued|policy.HasService || e.Load.Queued != 3 || e.Load.ServiceS != 0.02 {
@@ -147,13 +147,13 @@
 	if got := p.expect('S', "aa.0 0 d="); !strings.Contains(got, " 1\nqaa.1 1 d=") {
 		t.Fatalf("got %q", got)
 	}
-	p.say('R', "aa.1 failed 0 -\n")
+	p.writeFrame('R', "aa.1 failed 0 -\n")
 	r.ended(calls[1].Subquery, policy.Errored)
-	p.say('R', "aa.0 done 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 }
 
-func TestRefusedConnectNeverRan(t *testing.T) {
+func TestRefusedConnectIsNotExecuted(t *testing.T) {
 	r := newFixture(t, nil)
 	r.peer.Close()
 	calls := r.send("aa", "q", time.Second, 2)
@@ -167,9 +167,9 @@
 }
 
 // A connect that never comes up proves that nothing ran; for a probe too, however close its own time-out is.
-func TestConnectThatNeverComesUp(t *testing.T) {
+func TestConnectTimesOut(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.1 })
-	r.named(r.deaf(), policy.Ready, 0)
+	r.list(r.unresponsive(), policy.Ready, 0)
 	calls := r.send("aa", "q", time.Minute, 1)
 	r.ended(calls[0].Subquery, policy.NotConnected)
 	r.hub.Probe(1, false)
@@ -181,13 +181,13 @@
 // What waits for a connect to an address that the list takes back goes to the new one.
 func TestAddressChangesWhileConnecting(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.5 })
-	r.named(r.deaf(), policy.Ready, 0)
+	r.list(r.unresponsive(), policy.Ready, 0)
 	calls := r.send("aa", "q", time.Minute, 1)
-	r.named(r.peer.Addr().String(), policy.Ready, 0)
+	r.list(r.peer.Addr().String(), policy.Ready, 0)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	time.Sleep(600 * time.Millisecond) // the old connect fails meanwhile
-	p.say('R', "aa.0 done 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 }
 
@@ -197,12 +197,12 @@
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	p.say('R', "aa.0 done 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 }
 
-// deaf is an address where no connect is ever answered.
-func (r *fixture) deaf() string {
+// unresponsive is an address where no connect is ever answered.
+func (r *fixture) unresponsive() string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		r.Fatal(err)
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestConnectionLostAfterTheFrameMayHaveRun(t *testing.T) {
+func TestConnectionBrokenAfterTheFrameMayHaveExecuted(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Second, 1)
 	p := r.accept(r.peer)
@@ -234,7 +234,7 @@
 	again := r.send("ab", "q", time.Second, 1) // on a new connection
 	p = r.accept(r.peer)
 	p.expect('S', "ab.0")
-	p.say('F', "no more")
+	p.writeFrame('F', "no more")
 	r.ended(again[0].Subquery, policy.Broken)
 }
 
@@ -247,11 +247,11 @@
 		"no letter":           func(p *peerConnection) { p.Write(make([]byte, 4)) },
 		"3 GB that keep on":   func(p *peerConnection) { io.WriteString(p, "\xb0\x00\x00\x00Raa.0 done 1 -\n"+long) },
 		"a length too long":   func(p *peerConnection) { io.WriteString(p, "\x00\x00\x01\x00Raa.0 done 1 -\nvalue") },
-		"a line without end":  func(p *peerConnection) { p.say('R', "aa.0 done 1 -"+long[:1000]) },
-		"an unknown letter":   func(p *peerConnection) { p.say('Q', "aa.0 done 1 -\nvalue") },
-		"an unknown end":      func(p *peerConnection) { p.say('R', "aa.0 dome 1 -\nvalue") },
-		"an unknown id":       func(p *peerConnection) { p.say('R', "ab.0 done 1 -\nvalue") },
-		"a value not in UTF8": func(p *peerConnection) { p.say('R', "aa.0 done 1 -\nval\xc3") },
+		"a line without end":  func(p *peerConnection) { p.writeFrame('R', "aa.0 done 1 -"+long[:1000]) },
+		"an unknown letter":   func(p *peerConnection) { p.writeFrame('Q', "aa.0 done 1 -\nvalue") },
+		"an unknown end":      func(p *peerConnection) { p.writeFrame('R', "aa.0 dome 1 -\nvalue") },
+		"an unknown id":       func(p *peerConnection) { p.writeFrame('R', "ab.0 done 1 -\nvalue") },
+		"a value not in UTF8": func(p *peerConnection) { p.writeFrame('R', "aa.0 done 1 -\nval\xc3") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, nil)
@@ -277,13 +277,13 @@
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
-	p.say('R', "bb.0 what 1 -\nvalue")
+	p.writeFrame('R', "bb.0 what 1 -\nvalue")
 	r.ended(calls[1].Subquery, policy.Errored)
 	r.ended(calls[0].Subquery, policy.Broken)
 }
 
 // An answer counts whatever comes behind it, and the next call on the connection is not hurt by that.
-func TestWhatFollowsAGoodAnswerHurtsNothing(t *testing.T) {
+func TestCorruptDataAfterAnAnswerKeepsTheAnswer(t *testing.T) {
 	for _, behind := range []string{"noise behind it", "\x00\x00\x00\x14Raa.0 done 1 -\nother", "\x00\x00\x00\x99Raa.0", "\x00", "\x00\x00\x00\x09Rzz.0 wha"} {
 		r := newFixture(t, nil)
 		calls := r.send("aa", "q", time.Minute, 1)
@@ -301,7 +301,7 @@
 			p = r.accept(r.peer)
 			p.expect('S', "bb.0")
 		}
-		p.say('R', "bb.0 done 1 -\nown")
+		p.writeFrame('R', "bb.0 done 1 -\nown")
 		if e := r.ended(next[0].Subquery, policy.Answered); string(e.Value) != "own" {
 			t.Fatalf("%q: got %q", behind, e.Value)
 		}
@@ -309,14 +309,14 @@
 }
 
 // separate has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
-func (r *fixture) apart(on *peerConnection) *peerConnection {
+func (r *fixture) separateProbe(on *peerConnection) *peerConnection {
 	r.Helper()
 	r.hub.Probe(1, true)
 	if on == nil {
 		on = r.accept(r.peer)
 	}
 	on.expect('M', "")
-	on.say('M', "-")
+	on.writeFrame('M', "-")
 	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Answered {
 		r.Fatalf("got %+v, expected a probe that was answered", e.Event)
 	}
@@ -325,7 +325,7 @@
 
 // A connection that has fallen silent takes nothing new, and its backend is heard again on another; what is out on it may
 // still be answered, and then it is as good as before.
-func TestASilentConnectionIsNoSilentBackend(t *testing.T) {
+func TestUnresponsiveConnectionDoesNotFailItsBackend(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.1 })
 	out := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
@@ -335,7 +335,7 @@
 		if want == policy.Answered {
 			other := r.accept(r.peer)
 			other.expect('M', "")
-			other.say('M', "-")
+			other.writeFrame('M', "-")
 		}
 		if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != want {
 			t.Fatalf("got %+v", e.Event)
@@ -343,7 +343,7 @@
 	}
 	p.expect('M', "")
 	p.expect('M', "") // asked by itself as well, once it had no answer in its time
-	p.say('R', "aa.0 done 1 -\nvalue")
+	p.writeFrame('R', "aa.0 done 1 -\nvalue")
 	r.ended(out[0].Subquery, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
@@ -351,39 +351,39 @@
 
 // A backend whose queue is long answers probes at once, on a connection of its own as on that of a call that waits: the
 // connection lives, and the call with it. It was taken for a connection fallen silent, and so were scores in every second.
-func TestALongQueueIsNoSilentConnection(t *testing.T) {
+func TestLongQueueDoesNotMakeAConnectionUnresponsive(t *testing.T) {
 	const connect = 50 * time.Millisecond
 	r := newFixture(t, func(n *settings.Net) { n.Connect = connect.Seconds() })
 	out := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	other := r.apart(nil)
+	other := r.separateProbe(nil)
 	p.expect('M', "")
-	p.say('M', "-")
+	p.writeFrame('M', "-")
 	for begun := time.Now(); time.Since(begun) < 4*connect; { // a silent connection would have ended by then
-		r.apart(other)
+		r.separateProbe(other)
 	}
-	p.say('R', "aa.0 done 1 -\nvalue")
+	p.writeFrame('R', "aa.0 done 1 -\nvalue")
 	r.ended(out[0].Subquery, policy.Answered)
 }
 
 // Asked apart, a backend is heard at once on a connection of its own, and the one that has said nothing takes nothing new.
-func TestAProbeApartFindsASilentConnection(t *testing.T) {
+func TestSeparateProbeDetectsAnUnresponsiveConnection(t *testing.T) {
 	// The connect's time is what a silent connection is given: far longer than a busy machine keeps this test from running.
 	r := newFixture(t, func(n *settings.Net) { n.Connect = 2 })
 	out := r.send("aa", "q", time.Hour, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
-	other := r.apart(nil)
+	other := r.separateProbe(nil)
 	r.send("bb", "q", time.Minute, 1)
 	other.expect('S', "bb.0")
 	p.expect('M', "")
-	p.say('R', "aa.0 done 1 -\nvalue") // it was only slow
+	p.writeFrame('R', "aa.0 done 1 -\nvalue") // it was only slow
 	r.ended(out[0].Subquery, policy.Answered)
 	lost := r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
-	r.apart(nil) // neither connection is idle
-	other.say('R', "bb.0 done 1 -\nvalue")
+	r.separateProbe(nil) // neither connection is idle
+	other.writeFrame('R', "bb.0 done 1 -\nvalue")
 	r.event()
 	r.ended(lost[0].Subquery, policy.TimedOut) // long before its deadline
 	p.expect('M', "")
@@ -393,13 +393,13 @@
 }
 
 // Once the list no longer names a backend, its actor ends with its last call, and its connections with it.
-func TestGoneBackendsAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreReleased(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	r.hub.Retain(map[policy.BackendID]bool{})
-	p.say('R', "aa.0 done 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the connection goes on: %v", err)
@@ -416,20 +416,20 @@
 	r.ended(r.send("ab", "q", time.Minute, 1)[0].Subquery, policy.NotConnected)
 }
 
-func TestConnectionsKeepToTheDescriptors(t *testing.T) {
+func TestConnectionsStayWithinTheDescriptorLimit(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.Streams = 1 })
 	r.hub.descriptors = make(chan struct{}, 1)
 	first := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.peer)
 	p.expect('S', "aa.0")
 	r.ended(r.send("bb", "q", time.Minute, 1)[0].Subquery, policy.NotSent)
-	p.say('R', "aa.0 done 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.ended(first[0].Subquery, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
 
-func TestHalfWrittenFrameNeverRan(t *testing.T) {
+func TestPartlyWrittenFrameIsNotExecuted(t *testing.T) {
 	r := newFixture(t, nil)
 	large := r.send("aa", strings.Repeat("q", 16<<20), time.Minute, 1) // more than sockets hold unread
 	behind := r.send("bb", "q", time.Minute, 1)
@@ -446,7 +446,7 @@
 	}
 }
 
-func TestTimeOutAndWithdrawalAreToldAndLateAnswersDropped(t *testing.T) {
+func TestTimeoutAndCancelAreSentAndLateAnswersDropped(t *testing.T) {
 	r := newFixture(t, nil)
 	slow, kept := r.send("aa", "q", 60*time.Millisecond, 1), r.send("bb", "q", time.Minute, 1)
 	p := r.accept(r.peer)
@@ -462,15 +462,15 @@
 	r.hub.Send(1, kept)
 	other := r.accept(r.peer)
 	other.expect('S', "bb.0")
-	p.say('R', "bb.0 full 0 -\n")
-	p.say('R', "aa.0 done 0 -\nlate")
-	other.say('R', "bb.0 done 0 -\nown")
+	p.writeFrame('R', "bb.0 full 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\nlate")
+	other.writeFrame('R', "bb.0 done 0 -\nown")
 	if e := r.ended(kept[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
 		t.Fatalf("got %+v", e)
 	}
 }
 
-func TestWithdrawnBeforeAConnectionIsNeverSent(t *testing.T) {
+func TestCallCanceledBeforeAConnectionIsNotSent(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 2)
 	r.hub.Cancel(1, calls[0].Subquery, 0)
@@ -516,7 +516,7 @@
 		}
 		p.expect('M', "") // on the connection that is open
 		if c.say != "" {
-			p.say('M', c.say)
+			p.writeFrame('M', c.say)
 		}
 		if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != c.want {
 			t.Fatalf("%q: got %+v", c.say, e.Event)
@@ -531,7 +531,7 @@
 	}
 }
 
-func TestOldConnectionsEndAndTellOnce(t *testing.T) {
+func TestConnectionsToAnOldAddressEndOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		started float64
 		moves   bool
@@ -543,13 +543,13 @@
 		if c.moves {
 			to = r.listen()
 		}
-		r.named(to.Addr().String(), policy.Ready, c.started)
+		r.list(to.Addr().String(), policy.Ready, c.started)
 		r.ended(calls[0].Subquery, policy.Broken)
 		next := r.send("ab", "q", time.Minute, 1)
 		p := r.accept(to)
 		p.expect('S', "ab.0")
-		r.named("", policy.Removed, 0) // completes what it has
-		p.say('R', "ab.0 done 0 -\n")
+		r.list("", policy.Removed, 0) // completes what it has
+		p.writeFrame('R', "ab.0 done 0 -\n")
 		if e := r.ended(next[0].Subquery, policy.Answered); len(r.told.Rest()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
 		}
@@ -564,7 +564,7 @@
 	p.expect('S', "aa.0")
 	r.hub.CloseIdle(1)
 	time.Sleep(150 * time.Millisecond) // longer than it may be idle
-	p.say('R', "aa.0 done 0 -\n")
+	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("got %v", err)
@@ -572,7 +572,7 @@
 	calls = r.send("ab", "q", time.Minute, 1)
 	p = r.accept(r.peer)
 	p.expect('S', "ab.0")
-	p.say('R', "ab.0 done 0 -\n")
+	p.writeFrame('R', "ab.0 done 0 -\n")
 	r.ended(calls[0].Subquery, policy.Answered)
 	r.hub.CloseIdle(1)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
--- a/internal/dataplane/clients/clients_test.go
+++ b/internal/dataplane/clients/clients_test.go
@@ -112,7 +112,9 @@
 
 const goodHead = "Req-Id: ab12\r\nReq-Kind: reads\r\nReq-Owner: acme\r\nReq-Deadline: 0.480\r\n"
 
-func (c *client) ask() { io.WriteString(c, request("/reads?key=7f3a9c21e0b4d655", goodHead, goodBody)) }
+func (c *client) sendQuery() {
+	io.WriteString(c, request("/reads?key=7f3a9c21e0b4d655", goodHead, goodBody))
+}
 
 // answer reads a whole answer; no status means that the connection ended without one.
 func (c *client) answer() (status int, head http.Header, body string) {
@@ -157,7 +159,7 @@
 		{aggregator.Reply{End: aggregator.Duplicate}, 409, "", "a lookup of this id is already held.\n"},
 	} {
 		before := time.Now()
-		c.ask()
+		c.sendQuery()
 		q := r.event(policy.QueryReceived)
 		if q.Arrived.Before(before) || q.Arrived.After(time.Now()) {
 			t.Fatalf("arrived %v after it was sent", q.Arrived.Sub(before))
@@ -175,7 +177,7 @@
 	}
 }
 
-func TestWhatCannotBeReadNeverReachesTheModule(t *testing.T) {
+func TestMalformedRequestsNeverReachThePolicy(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	for _, c := range []struct {
 		path, head, body string
@@ -250,7 +252,7 @@
 	l.expect(200)
 }
 
-func TestTimeCountsFromTheFirstByte(t *testing.T) {
+func TestTimeoutCountsFromTheFirstByte(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	text := request("/reads", goodHead, goodBody)
@@ -270,17 +272,17 @@
 	}
 }
 
-func TestAClientThatLeavesIsToldOnce(t *testing.T) {
+func TestClientDisconnectIsReportedOnce(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
-	c.ask()
+	c.sendQuery()
 	q := r.event(policy.QueryReceived)
 	c.Close()
 	if r.event(policy.ClientDisconnected) != q {
 		t.Fatal("another lookup's client is told to have gone")
 	}
 	c = r.dial() // one that closes its own direction only is never told that it was served
-	c.ask()
+	c.sendQuery()
 	r.event(policy.QueryReceived)
 	c.Conn.(*net.TCPConn).CloseWrite()
 	r.event(policy.ClientDisconnected)
@@ -289,13 +291,13 @@
 	}
 }
 
-func TestARequestThatStopsHalfWayEndsAlone(t *testing.T) {
+func TestStalledRequestTimesOutWithoutHarmingOthers(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.http.ReadTimeout = 50 * time.Millisecond })
 	text := request("/reads", goodHead, goodBody)
 	for _, stops := range []int{10, len(text) - 10} {
 		c, other := r.dial(), r.dial()
 		io.WriteString(c, text[:stops])
-		other.ask()
+		other.sendQuery()
 		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		other.expect(500)
 		if status, _, _ := c.answer(); status != 0 && status != 400 {
@@ -305,23 +307,23 @@
 		r.ended(reasonRequestTimeout)
 	}
 	c := r.dial() // one that is held for longer than reading may take is not taken to have left
-	c.ask()
+	c.sendQuery()
 	q := r.event(policy.QueryReceived)
 	time.Sleep(100 * time.Millisecond)
 	q.Done <- aggregator.Reply{End: aggregator.Nacked}
 	c.expect(429)
 }
 
-func TestAtTheCapIdleConnectionsGoAndNewcomersAreTold(t *testing.T) {
+func TestAtTheLimitIdleConnectionsAreEvictedAndNewQueriesRejected(t *testing.T) {
 	r := newFixture(t, 5, nil)
 	idle := r.dial()
-	idle.ask()
+	idle.sendQuery()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
 	r.idle(idle) // until then its query counts as held
 	for range 4 {
 		busy := r.dial()
-		busy.ask()
+		busy.sendQuery()
 		held := r.event(policy.QueryReceived)
 		defer func() {
 			held.Done <- aggregator.Reply{End: aggregator.Aborted}
@@ -329,7 +331,7 @@
 		}()
 	}
 	last := r.dial() // all that may be held is held
-	last.ask()
+	last.sendQuery()
 	if head, _ := last.expect(503); head.Get("Connection") != "close" {
 		t.Fatalf("got %v", head)
 	}
@@ -339,16 +341,16 @@
 }
 
 // Clients that ask once and keep their connections do not use up those that clients may have: the longest idle ones close.
-func TestFewConnectionsAreKeptIdle(t *testing.T) {
+func TestIdleConnectionsAreLimited(t *testing.T) {
 	r := newFixture(t, 10, nil)
 	held := r.dial()
-	held.ask()
+	held.sendQuery()
 	reply := r.event(policy.QueryReceived).Done
 	var once []*client
 	for range 5 {
 		c := r.dial()
 		once = append(once, c)
-		c.ask()
+		c.sendQuery()
 		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 		r.idle(c) // else a later one may go in its place
@@ -359,7 +361,7 @@
 		}
 	}
 	for _, c := range once[2:] {
-		c.ask()
+		c.sendQuery()
 		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
@@ -368,10 +370,10 @@
 }
 
 // A connection that is idle for long is closed, and one that says nothing, or that stops half way, gets its end in time.
-func TestConnectionsThatAskNothingEnd(t *testing.T) {
+func TestConnectionsWithoutARequestTimeOut(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.http.ReadTimeout, s.http.IdleTimeout = 100*time.Millisecond, 50*time.Millisecond })
 	idle, silent, endless := r.dial(), r.dial(), r.dial()
-	idle.ask()
+	idle.sendQuery()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	idle.expect(500)
 	io.WriteString(endless, "POST /reads HTTP/1.1\r\nA: "+strings.Repeat("a", 4*maxHeader))
@@ -388,7 +390,7 @@
 }
 
 // Large bodies take memory by turns.
-func TestLargeBodiesAreFew(t *testing.T) {
+func TestLargeBodiesAreLimited(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.largeBodies = make(chan struct{}, 1) })
 	large := strings.Replace(goodBody, "c4", strings.Repeat("c", 2*smallBody), 1)
 	for range 2 {
@@ -405,14 +407,14 @@
 	}
 }
 
-func TestAClientThatDoesNotReadHoldsUpNobody(t *testing.T) {
+func TestClientThatDoesNotReadDelaysNoOther(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.answerTimeout = 100 * time.Millisecond })
 	c, other := r.dial(), r.dial()
-	c.ask()
+	c.sendQuery()
 	q := r.event(policy.QueryReceived)
 	q.Subqueries[0].Answered, q.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
 	q.Done <- aggregator.Reply{End: aggregator.Satisfied}
-	other.ask()
+	other.sendQuery()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	other.expect(500)
 	r.ended(reasonAnswerUnwritten)
@@ -420,10 +422,10 @@
 
 // A new connection, and one half way in a request, may hold what nobody has read yet: they are not taken for idle at once.
 // Then they go before any connection that served a query.
-func TestConnectionsThatStopHalfWayMakeRoomAfterAWhile(t *testing.T) {
+func TestStalledConnectionsAreEvictedAfterAWhile(t *testing.T) {
 	r := newFixture(t, 8, nil)
 	served := r.dial()
-	served.ask()
+	served.sendQuery()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 	began := time.Now()
@@ -436,7 +438,7 @@
 	}
 	third, fourth := r.dial(), r.dial()
 	for _, c := range []*client{third, fourth} {
-		c.ask()
+		c.sendQuery()
 		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 		c.expect(500)
 	}
@@ -448,13 +450,13 @@
 			t.Fatalf("a connection that asked nothing got status %d", status)
 		}
 	}
-	served.ask()
+	served.sendQuery()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Aborted}
 	served.expect(500)
 }
 
 // Far more clients than connections at once: each gets an answer, and none finds its connection closed without one.
-func TestACrowdIsAnsweredToTheLast(t *testing.T) {
+func TestABurstOfClientsIsAnsweredCompletely(t *testing.T) {
 	r := newFixture(t, 8, nil)
 	done := make(chan struct{})
 	go func() {
@@ -475,7 +477,7 @@
 	var crowd []*client
 	for range 400 {
 		c := r.dial()
-		c.ask()
+		c.sendQuery()
 		crowd = append(crowd, c)
 	}
 	for i, c := range crowd {
@@ -487,10 +489,10 @@
 
 // A stopping aggregator serves on while it surely lives: connections stay open, queries that come then get their answers in that
 // time, and only after it do answers close their connections.
-func TestDrainServesOnAndAnswersAllThatIsHeld(t *testing.T) {
+func TestDrainKeepsServingAndAnswersAllPendingQueries(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.servePeriod = 600 * time.Millisecond })
 	busy, idle := r.dial(), r.dial()
-	busy.ask()
+	busy.sendQuery()
 	held := r.event(policy.QueryReceived)
 	drained := make(chan struct{})
 	go func() { r.Drain(); close(drained) }()
--- a/internal/dataplane/clients/crossings_test.go
+++ b/internal/dataplane/clients/crossings_test.go
@@ -23,8 +23,8 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// forgotten waits until the server holds nothing of any client.
-func (r *fixture) forgotten() {
+// noConnections waits until the server holds nothing of any client.
+func (r *fixture) noConnections() {
 	r.Helper()
 	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		open, half := r.connections.remaining()
@@ -40,17 +40,17 @@
 	}
 }
 
-func again(id string) string {
+func pipelined(id string) string {
 	return request("/reads", strings.Replace(goodHead, "ab12", id, 1), goodBody)
 }
 
 // A client that leaves behind what it sent ahead is told of as soon as one that sent nothing, however it leaves.
-func TestAClientThatLeavesBehindWhatItSentAhead(t *testing.T) {
-	for name, ahead := range map[string]string{"byte": "P", "request": again("second"), "many": strings.Repeat(again("second"), 100)} {
+func TestDisconnectBehindPipelinedRequests(t *testing.T) {
+	for name, ahead := range map[string]string{"byte": "P", "request": pipelined("second"), "many": strings.Repeat(pipelined("second"), 100)} {
 		for _, how := range []string{"fin", "half", "reset"} {
 			r := newFixture(t, 100, nil)
 			c := r.dial()
-			io.WriteString(c, again("first")+ahead)
+			io.WriteString(c, pipelined("first")+ahead)
 			q := r.event(policy.QueryReceived)
 			switch tcp := c.Conn.(*net.TCPConn); how {
 			case "fin":
@@ -65,7 +65,7 @@
 				t.Fatalf("%s, %s: lookup %q is told to have no client", name, how, gone.ID)
 			}
 			c.Close()
-			r.forgotten()
+			r.noConnections()
 			if rest := r.told.Rest(); len(rest) != 0 { // of what it sent behind
 				t.Fatalf("%s, %s: %q is sent on", name, how, rest[0].ClientQuery.ID)
 			}
@@ -74,18 +74,18 @@
 }
 
 // What is sent ahead is answered in its turn as long as it is little, the last one too.
-func TestRequestsSentAheadAreAnsweredInTurn(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
-	io.WriteString(c, again("a")+again("b"))
+	io.WriteString(c, pipelined("a")+pipelined("b"))
 	for _, id := range []string{"a", "b", "c"} {
 		q := r.event(policy.QueryReceived)
 		if q.ID != id {
 			t.Fatalf("got %q, expected %q", q.ID, id)
 		}
 		if id == "a" {
-			io.WriteString(c, again("c")[:40])
-			io.WriteString(c, again("c")[40:])
+			io.WriteString(c, pipelined("c")[:40])
+			io.WriteString(c, pipelined("c")[40:])
 		}
 		q.Done <- aggregator.Reply{End: aggregator.Nacked}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
@@ -95,16 +95,16 @@
 }
 
 // More is not kept: the answer in hand is whole, and the last; nothing of the rest reaches the module.
-func TestAFloodBehindARequestEndsWithItsAnswer(t *testing.T) {
+func TestPipelinedBytesBeyondTheLimitEndTheConnection(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
-	io.WriteString(c, again("first"))
+	io.WriteString(c, pipelined("first"))
 	q := r.event(policy.QueryReceived)
-	if _, err := io.WriteString(c, strings.Repeat(again("more"), 2*maxReadAhead/len(again("more")))); err != nil {
+	if _, err := io.WriteString(c, strings.Repeat(pipelined("more"), 2*maxReadAhead/len(pipelined("more")))); err != nil {
 		t.Fatal(err)
 	}
 	r.overrun()
-	other.ask()
+	other.sendQuery()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 	other.expect(429)
 	q.Done <- aggregator.Reply{End: aggregator.Nacked}
@@ -116,7 +116,7 @@
 	}
 	c.Close()
 	other.Close()
-	r.forgotten()
+	r.noConnections()
 	if rest := r.told.Rest(); len(rest) != 0 {
 		t.Fatalf("%d events", len(rest))
 	}
@@ -144,7 +144,7 @@
 func TestAnAnswerBeforeUnreadBytesIsNotReset(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
-	io.WriteString(c, strings.Replace(again("x"), "Req-Deadline: 0.480", "Req-Deadline: never", 1)+strings.Repeat("x", 100<<10))
+	io.WriteString(c, strings.Replace(pipelined("x"), "Req-Deadline: 0.480", "Req-Deadline: never", 1)+strings.Repeat("x", 100<<10))
 	if head, _ := c.expect(400); head.Get("Connection") != "close" {
 		t.Fatal("the connection stays open")
 	}
@@ -155,14 +155,14 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	r.forgotten()
+	r.noConnections()
 }
 
 // A client that rests until it is told is told by an end and not by a reset. A request that crosses with it is never sent on.
-func TestWhatComesAfterTheEndIsNeverSentOn(t *testing.T) {
+func TestBytesAfterTheCloseAreDiscarded(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.servePeriod = time.Millisecond })
 	rests, half := r.dial(), r.dial()
-	rests.ask()
+	rests.sendQuery()
 	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 	rests.expect(429)
 	io.WriteString(half, "POST /reads HTTP/1.1\r\nReq-Id: half")
@@ -173,7 +173,7 @@
 			t.Fatalf("ended by %v, expected io.EOF", err)
 		}
 	}
-	if _, err := io.WriteString(rests, again("after")); err != nil {
+	if _, err := io.WriteString(rests, pipelined("after")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := rests.in.ReadByte(); err != io.EOF {
@@ -182,7 +182,7 @@
 	rests.Close()
 	half.Close()
 	<-drained
-	r.forgotten()
+	r.noConnections()
 	if rest := r.told.Rest(); len(rest) != 0 {
 		t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 	}
@@ -190,22 +190,22 @@
 
 // A stop ends in time whatever clients do: one does not read its answer, one trickles a head, one a body. Those that are held are answered
 // before.
-func TestAStopDoesNotWaitForClientsThatNeverLeave(t *testing.T) {
+func TestStopDoesNotWaitForClientsThatNeverClose(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) {
 		s.servePeriod, s.answerTimeout = time.Millisecond, time.Hour
 		s.http.ReadTimeout, s.http.IdleTimeout = time.Hour, time.Hour
 	})
 	deaf, held, head, body := r.dial(), r.dial(), r.dial(), r.dial()
-	deaf.ask()
+	deaf.sendQuery()
 	q := r.event(policy.QueryReceived)
 	q.Subqueries[0].Answered, q.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
 	q.Done <- aggregator.Reply{End: aggregator.Satisfied}
 	if _, err := deaf.in.Peek(1); err != nil { // its answer is on its way
 		t.Fatal(err)
 	}
-	held.ask()
+	held.sendQuery()
 	q = r.event(policy.QueryReceived)
-	text := again("trickles")
+	text := pipelined("trickles")
 	io.WriteString(head, text[:20])
 	io.WriteString(body, text[:len(text)-20])
 	drained := make(chan struct{})
@@ -231,7 +231,7 @@
 			if rest := r.told.Rest(); len(rest) != 0 {
 				t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 			}
-			r.forgotten()
+			r.noConnections()
 			return
 		case <-late:
 			t.Fatal("it waits for them")
@@ -240,15 +240,15 @@
 }
 
 // One that rests on for ever is left after a while, and at once where its place is needed.
-func TestARestingClientIsLeftAfterAWhile(t *testing.T) {
+func TestLingeringCloseTimesOut(t *testing.T) {
 	r := newFixture(t, 2, nil)
 	for range 6 {
 		c := r.dial()
-		c.ask()
+		c.sendQuery()
 		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 		c.expect(429)
 	}
-	r.forgotten()
+	r.noConnections()
 }
 
 // taken is a connection whose bytes were taken from the kernel, and are not told of until the test lets go.
@@ -266,8 +266,8 @@
 	return n, err
 }
 
-// loose is a connection that net/http does not read, and its client.
-func loose(t *testing.T) (*connection, net.Conn) {
+// newUnservedConnection is a connection that net/http does not read, and its client.
+func newUnservedConnection(t *testing.T) (*connection, net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -292,8 +292,8 @@
 
 // net/http stops its own read by a deadline that has passed, and takes it back. That may find who follows instead, where a client asks anew
 // right behind its answer: the next request is read all the same.
-func TestADeadlineThatIsTakenBackEndsNothing(t *testing.T) {
-	l, client := loose(t)
+func TestDeadlineThatIsResetEndsNothing(t *testing.T) {
+	l, client := newUnservedConnection(t)
 	io.WriteString(client, "P")
 	if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil { // as net/http looks for its client's leaving
 		t.Fatal(n, err)
@@ -313,8 +313,8 @@
 }
 
 // Another deadline that is set while a reader waits for who follows does not leave it waiting.
-func TestADeadlineSetMeanwhileDoesNotHoldUpAReader(t *testing.T) {
-	l, client := loose(t)
+func TestDeadlineSetDuringTheCloseDoesNotBlockTheReader(t *testing.T) {
+	l, client := newUnservedConnection(t)
 	for range 200 {
 		io.WriteString(client, "P")
 		if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil {
@@ -339,10 +339,10 @@
 
 // A request that was read as its connection is told to end is not dropped: it is read to its end and can be answered.
 func TestARequestReadAsItsConnectionEndsIsAnswered(t *testing.T) {
-	l, client := loose(t)
+	l, client := newUnservedConnection(t)
 	held := &taken{l.Conn, make(chan struct{}), make(chan struct{})}
 	l.Conn = held
-	request := again("x")
+	request := pipelined("x")
 	io.WriteString(client, request[:100])
 	text := make(chan string)
 	go func() {
@@ -379,14 +379,14 @@
 }
 
 // Clients that leave in a burst, each with a query held: all are told of, and nothing of them is left.
-func TestABurstOfClientsLeaves(t *testing.T) {
+func TestABurstOfClientsDisconnects(t *testing.T) {
 	r := newFixture(t, 1000, nil)
 	var crowd []*client
 	for i := range 300 {
 		c := r.dial()
-		c.ask()
+		c.sendQuery()
 		if i%3 == 0 {
-			io.WriteString(c, again("ahead"))
+			io.WriteString(c, pipelined("ahead"))
 		}
 		crowd = append(crowd, c)
 	}
@@ -402,11 +402,11 @@
 	for range crowd {
 		r.event(policy.ClientDisconnected)
 	}
-	r.forgotten()
+	r.noConnections()
 }
 
 // A client that leaves as its answer is decided is ended once, whichever comes first: by its answer, or by word of its leaving, not by both.
-func TestAnAnswerCrossesWithItsClientsLeaving(t *testing.T) {
+func TestAnswerRacesWithItsClientsDisconnect(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	gone := map[*aggregator.Query]bool{}
 	hear := func(e aggregator.Event) {
@@ -418,7 +418,7 @@
 	answered := map[*aggregator.Query]bool{}
 	for i := range 100 {
 		c := r.dial()
-		c.ask()
+		c.sendQuery()
 		e := r.told.Next(t)
 		for ; e.Kind != policy.QueryReceived; e = r.told.Next(t) {
 			hear(e) // of the round before
@@ -444,7 +444,7 @@
 		}
 		c.Close()
 	}
-	r.forgotten()
+	r.noConnections()
 	for _, e := range r.told.Rest() {
 		hear(e)
 	}
--- a/internal/dataplane/discovery/crossings_test.go
+++ b/internal/dataplane/discovery/crossings_test.go
@@ -40,7 +40,7 @@
 	r := &bare{T: t, told: queuetest.New[aggregator.Event](), server: l}
 	set := settings.Settings{}
 	set.ListOnRequest = asked
-	r.Client, err = New(l.Addr().String(), []byte(line(41, true, backend("s1", "SERVING"))), set, r.told.Queue, zap.NewNop(), counters.New())
+	r.Client, err = New(l.Addr().String(), []byte(listLine(41, true, backend("s1", "SERVING"))), set, r.told.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,9 +90,9 @@
 }
 
 // What was not ended by its line break before a reset is no list, though it can be read; what was, counts. The watch goes on from there.
-func TestAResetIsNoEndOfAWatchsLine(t *testing.T) {
+func TestConnectionResetDoesNotEndALine(t *testing.T) {
 	r := newBare(t, false, nil)
-	list := line(43, false, backend("s2", "SERVING"))
+	list := listLine(43, false, backend("s2", "SERVING"))
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(strings.TrimSpace(list)), "", " "); err != nil {
 		t.Fatal(err)
@@ -115,9 +115,9 @@
 }
 
 // Neither is a whole list that is reset, in whatever form it came; and what is cut short is none either.
-func TestAResetIsNoEndOfAWholeList(t *testing.T) {
+func TestConnectionResetDoesNotEndAFullList(t *testing.T) {
 	r := newBare(t, true, nil)
-	list := line(43, true, backend("s2", "SERVING"))
+	list := listLine(43, true, backend("s2", "SERVING"))
 	for _, text := range []string{noLength + list, chunked + chunk(list), "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + list} {
 		r.RequestFullList()
 		c := r.accept("/discovery/hosts")
@@ -137,7 +137,7 @@
 }
 
 // A whole list that was asked for at the old address, or before what a watch has told since, is asked for anew.
-func TestAWholeListThatIsOvertakenIsAskedForAnew(t *testing.T) {
+func TestOutdatedFullListIsRequestedAgain(t *testing.T) {
 	r, other := newBare(t, true, nil), newBare(t, true, nil)
 	r.RequestFullList()
 	old := r.accept("/discovery/hosts")
@@ -146,19 +146,19 @@
 	}
 	r.Subscribe(true) // told behind the move: its watch shows that the move was taken
 	c := other.accept("/discovery/hosts?stream=1&index=41")
-	old.Write([]byte(noLength + line(99, true, backend("s9", "SERVING"))))
+	old.Write([]byte(noLength + listLine(99, true, backend("s9", "SERVING"))))
 	old.Close()
 	again := other.accept("/discovery/hosts")
 	r.nothing()
-	c.Write([]byte(chunked + chunk(line(44, false, backend("s1", "DRAINING")))))
+	c.Write([]byte(chunked + chunk(listLine(44, false, backend("s1", "DRAINING")))))
 	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
-	again.Write([]byte(noLength + line(41, true, backend("s1", "SERVING")))) // as it was before the drain
+	again.Write([]byte(noLength + listLine(41, true, backend("s1", "SERVING")))) // as it was before the drain
 	again.Close()
 	third := other.accept("/discovery/hosts")
 	r.nothing()
-	third.Write([]byte(noLength + line(45, true, backend("s1", "DRAINING"))))
+	third.Write([]byte(noLength + listLine(45, true, backend("s1", "DRAINING"))))
 	third.Close()
 	if e := r.told.Next(t); e.List != policy.ListComplete || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
@@ -167,9 +167,9 @@
 
 // A watch that falls silent is renewed wherever it stands: with its request taken and no head, with a head and no line, with half a
 // line, behind heartbeats. What the old one says late counts no more.
-func TestAWatchSilentAtAnyPointIsRenewed(t *testing.T) {
+func TestWatchStalledAtAnyPointIsRenewed(t *testing.T) {
 	r := newBare(t, false, func(r *Client) { r.watchTimeout = 200 * time.Millisecond })
-	list := line(43, false, backend("s9", "SERVING"))
+	list := listLine(43, false, backend("s9", "SERVING"))
 	var old []*net.TCPConn
 	for _, text := range []string{"", "HTTP/1.1 200", chunked, noLength, chunked + chunk(list[:50]), chunked + chunk("\n") + chunk(list[:50])} {
 		c := r.accept("/discovery/hosts?stream=1&index=41")
@@ -180,7 +180,7 @@
 	for _, o := range old {
 		o.Write([]byte(chunked + chunk(list)))
 	}
-	c.Write([]byte(chunked + chunk(line(44, false, backend("s1", "DRAINING")))))
+	c.Write([]byte(chunked + chunk(listLine(44, false, backend("s1", "DRAINING")))))
 	if e := r.told.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 || e.Entries[0].Backend != 1 {
 		t.Fatalf("told %+v", e)
 	}
@@ -190,9 +190,9 @@
 
 // A register that comes back after a while is heard at once: of what it has, the first line counts, drains above all. The waits between
 // tries have grown by then, and go back with the first heartbeat: the next silence has 6 s of its own.
-func TestAHeartbeatEndsTheBackOff(t *testing.T) {
+func TestHeartbeatResetsTheBackoff(t *testing.T) {
 	queue := eventqueue.New[aggregator.Event]()
-	r, err := New("127.0.0.1:1", []byte(line(41, true)), settings.Settings{}, queue, zap.NewNop(), counters.New())
+	r, err := New("127.0.0.1:1", []byte(listLine(41, true)), settings.Settings{}, queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 
 // Outage and return: while nobody listens at the register's address the list stays as it is; once somebody does, the watch is there
 // within the longest wait between tries.
-func TestARegisterThatComesBackIsWatched(t *testing.T) {
+func TestRegistryThatRecoversIsWatched(t *testing.T) {
 	r := newBare(t, false, nil)
 	address := r.server.Addr().(*net.TCPAddr)
 	c := r.accept("/discovery/hosts?stream=1&index=41")
@@ -237,7 +237,7 @@
 	}
 	defer r.server.Close()
 	c = r.accept("/discovery/hosts?stream=1&index=41")
-	c.Write([]byte(chunked + chunk(line(50, false, backend("s1", "DRAINING")))))
+	c.Write([]byte(chunked + chunk(listLine(50, false, backend("s1", "DRAINING")))))
 	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -29,19 +29,19 @@
 	*testing.T
 	*Client
 	told   *queuetest.Ear[aggregator.Event]
-	asks   chan ask
+	asks   chan listRequest
 	server string // its address
 }
 
-type ask struct {
+type listRequest struct {
 	query string
 	write func(text string)
 	end   context.CancelFunc
 	gone  <-chan struct{}
 }
 
-func line(version int, whole bool, entries ...string) string {
-	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, whole, strings.Join(entries, ","))
+func listLine(version int, complete bool, entries ...string) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, complete, strings.Join(entries, ","))
 }
 
 func backend(id, state string) string {
@@ -50,11 +50,11 @@
 }
 
 func newFixture(t *testing.T, asked bool, change func(*Client)) *fixture {
-	r := &fixture{T: t, told: queuetest.New[aggregator.Event](), asks: make(chan ask, 100)}
+	r := &fixture{T: t, told: queuetest.New[aggregator.Event](), asks: make(chan listRequest, 100)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		ctx, end := context.WithCancel(q.Context())
 		out := make(chan string, 10)
-		r.asks <- ask{q.URL.String(), func(text string) { out <- text }, end, q.Context().Done()}
+		r.asks <- listRequest{q.URL.String(), func(text string) { out <- text }, end, q.Context().Done()}
 		for {
 			select {
 			case text := <-out:
@@ -69,7 +69,7 @@
 	set.ListOnRequest = asked
 	var err error
 	r.server = strings.TrimPrefix(server.URL, "http://")
-	r.Client, err = New(r.server, []byte(line(41, true, backend("s1", "SERVING"))), set,
+	r.Client, err = New(r.server, []byte(listLine(41, true, backend("s1", "SERVING"))), set,
 		r.told.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	return r
 }
 
-func (r *fixture) ask(query string) ask {
+func (r *fixture) expectRequest(query string) listRequest {
 	r.Helper()
 	select {
 	case a := <-r.asks:
@@ -94,7 +94,7 @@
 	case <-time.After(patience):
 		r.Fatal("nothing was asked")
 	}
-	return ask{}
+	return listRequest{}
 }
 
 // expect waits for a list event with these backends and phases.
@@ -112,29 +112,29 @@
 	return e
 }
 
-func TestChangesComeInOrderAndTheWatchGoesOnWhereItStopped(t *testing.T) {
+func TestChangesAreOrderedAndTheWatchResumesAtItsVersion(t *testing.T) {
 	r := newFixture(t, false, nil)
-	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write("\n" + line(43, false, backend("s2", "DRAINING")) + line(44, false, backend("s2", "DELETED")))
+	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
+	w.write("\n" + listLine(43, false, backend("s2", "DRAINING")) + listLine(44, false, backend("s2", "DELETED")))
 	e := r.expect(policy.ListPatch, "s2:1")
 	if x := e.Entries[0]; x.Backend != 2 || x.Location != 1 || x.Cell != 3 || x.Share != 2 || x.StartedAt != 1.5 {
 		t.Fatalf("got %+v", x)
 	}
 	r.expect(policy.ListPatch, "s2:2")
 	w.end()
-	w = r.ask("/discovery/hosts?stream=1&index=44")
-	w.write(line(50, true, backend("s3", "SERVING"), backend("s1", "SERVING")))
+	w = r.expectRequest("/discovery/hosts?stream=1&index=44")
+	w.write(listLine(50, true, backend("s3", "SERVING"), backend("s1", "SERVING")))
 	if e = r.expect(policy.ListComplete, "s3:0", "s1:0"); e.Entries[1].Backend != 1 {
 		t.Fatalf("s1 became %d", e.Entries[1].Backend)
 	}
 }
 
 // A name that comes again after it was gone is another backend's, and nothing is kept of those that are gone.
-func TestGoneNamesAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreReleased(t *testing.T) {
 	r := newFixture(t, false, nil)
-	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write(line(42, false, backend("s2", "SERVING"), backend("s7", "DELETED")) + line(43, false, backend("s2", "DELETED")) +
-		line(44, false, backend("s2", "SERVING")))
+	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
+	w.write(listLine(42, false, backend("s2", "SERVING"), backend("s7", "DELETED")) + listLine(43, false, backend("s2", "DELETED")) +
+		listLine(44, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
 	if e := r.expect(policy.ListPatch, "s2:2"); e.Entries[0].Backend != 2 {
 		t.Fatalf("s2 is gone as %d", e.Entries[0].Backend)
@@ -142,7 +142,7 @@
 	if e := r.expect(policy.ListPatch, "s2:0"); e.Entries[0].Backend != 3 {
 		t.Fatalf("the new s2 is %d", e.Entries[0].Backend)
 	}
-	w.write(line(45, true, backend("s4", "SERVING")) + line(46, true, backend("s1", "SERVING")))
+	w.write(listLine(45, true, backend("s4", "SERVING")) + listLine(46, true, backend("s1", "SERVING")))
 	r.expect(policy.ListComplete, "s4:0")
 	if e := r.expect(policy.ListComplete, "s1:0"); e.Entries[0].Backend != 5 || len(r.ids) != 1 {
 		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Backend, r.ids)
@@ -150,11 +150,11 @@
 }
 
 // At a new address the watch goes on from the version last read; the old one is left, and what it says ignored.
-func TestTheRegisterMoves(t *testing.T) {
+func TestServiceRegistryMoves(t *testing.T) {
 	r, other := newFixture(t, false, nil), newFixture(t, false, nil)
-	other.ask("/discovery/hosts?stream=1&index=41").end()
-	old := r.ask("/discovery/hosts?stream=1&index=41")
-	old.write(line(47, false, backend("s2", "SERVING")))
+	other.expectRequest("/discovery/hosts?stream=1&index=41").end()
+	old := r.expectRequest("/discovery/hosts?stream=1&index=41")
+	old.write(listLine(47, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
 	for _, address := range []string{"nowhere", "127.0.0.1:none", ""} {
 		if r.MoveTo(address) == nil {
@@ -164,7 +164,7 @@
 	if err := r.MoveTo(other.server); err != nil {
 		t.Fatal(err)
 	}
-	var w ask
+	var w listRequest
 	for w.query != "/discovery/hosts?stream=1&index=47" { // but for the watches of the other fixture's own register
 		w = <-other.asks
 	}
@@ -173,16 +173,16 @@
 	case <-time.After(patience):
 		t.Fatal("the old watch stays open")
 	}
-	w.write(line(48, false, backend("s2", "DRAINING")))
+	w.write(listLine(48, false, backend("s2", "DRAINING")))
 	r.expect(policy.ListPatch, "s2:1")
 }
 
-func TestAnUnknownStateEndsTheWatchAndTellsNothingOfIt(t *testing.T) {
+func TestUnknownStateEndsTheWatchWithoutAListChange(t *testing.T) {
 	r := newFixture(t, false, nil)
-	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write(line(42, false, backend("s1", "DELETED"), backend("s4", "ASLEEP")) + line(43, false, backend("s5", "SERVING")))
-	w2 := r.ask("/discovery/hosts?stream=1&index=41")
-	w2.write(line(43, false, backend("s6", "SERVING")) + line(44, false, backend("s1", "DRAINING")))
+	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
+	w.write(listLine(42, false, backend("s1", "DELETED"), backend("s4", "ASLEEP")) + listLine(43, false, backend("s5", "SERVING")))
+	w2 := r.expectRequest("/discovery/hosts?stream=1&index=41")
+	w2.write(listLine(43, false, backend("s6", "SERVING")) + listLine(44, false, backend("s1", "DRAINING")))
 	r.expect(policy.ListPatch, "s6:0")
 	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Backend != 1 { // it was never told to be gone
 		t.Fatalf("s1 became %d", e.Entries[0].Backend)
@@ -195,18 +195,18 @@
 }
 
 // A weight that can't be one counts as none stated: refusing the list for it would cost the drains that it tells of.
-func TestAListCountsThoughAWeightCannot(t *testing.T) {
+func TestListWithAnInvalidWeightIsApplied(t *testing.T) {
 	r := newFixture(t, false, nil)
-	w := r.ask("/discovery/hosts?stream=1&index=41")
-	w.write(line(42, false, strings.Replace(backend("s4", "SERVING"), `"weight":2`, `"weight":0`, 1), backend("s1", "DRAINING")))
+	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
+	w.write(listLine(42, false, strings.Replace(backend("s4", "SERVING"), `"weight":2`, `"weight":0`, 1), backend("s1", "DRAINING")))
 	if e := r.expect(policy.ListPatch, "s4:0", "s1:1"); e.Entries[0].Share != 1 || e.Entries[1].Share != 2 {
 		t.Fatalf("got shares %v and %v, expected 1 and 2", e.Entries[0].Share, e.Entries[1].Share)
 	}
 }
 
-func TestASilentWatchIsRenewed(t *testing.T) {
+func TestWatchWithoutHeartbeatsIsRenewed(t *testing.T) {
 	r := newFixture(t, false, func(r *Client) { r.watchTimeout = 600 * time.Millisecond })
-	w := r.ask("/discovery/hosts?stream=1&index=41")
+	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	for range 8 { // heartbeats keep it
 		time.Sleep(100 * time.Millisecond)
 		w.write("\n")
@@ -214,10 +214,10 @@
 	if len(r.asks) > 0 {
 		t.Fatal("a watch with beats was given up")
 	}
-	r.ask("/discovery/hosts?stream=1&index=41").write(line(42, false, backend("s2", "SERVING")))
+	r.expectRequest("/discovery/hosts?stream=1&index=41").write(listLine(42, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
-	w.write(line(42, false, backend("s9", "SERVING"))) // the old one is heard no more
-	r.ask("/discovery/hosts?stream=1&index=42")
+	w.write(listLine(42, false, backend("s9", "SERVING"))) // the old one is heard no more
+	r.expectRequest("/discovery/hosts?stream=1&index=42")
 	if rest := r.told.Rest(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
 	}
@@ -226,7 +226,7 @@
 // A list may come indented, over several lines; one that breaks off ends the watch at the next heartbeat, and not later.
 func TestIndentedLists(t *testing.T) {
 	r := newFixture(t, false, nil)
-	w := r.ask("/discovery/hosts?stream=1&index=41")
+	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	indented := func(text string) string {
 		var out bytes.Buffer
 		if err := json.Indent(&out, []byte(text), "", "  "); err != nil {
@@ -234,15 +234,15 @@
 		}
 		return out.String()
 	}
-	w.write(indented(line(42, false, backend("s{2", "SERVING"))) + "\n\n" + line(43, false, backend("s3", "SERVING")))
+	w.write(indented(listLine(42, false, backend("s{2", "SERVING"))) + "\n\n" + listLine(43, false, backend("s3", "SERVING")))
 	r.expect(policy.ListPatch, "s{2:0")
 	r.expect(policy.ListPatch, "s3:0")
-	whole := indented(line(44, true, backend("s3", "DRAINING")))
+	whole := indented(listLine(44, true, backend("s3", "DRAINING")))
 	w.write(whole[:len(whole)/2])
 	w.write(whole[len(whole)/2:] + "\n")
 	r.expect(policy.ListComplete, "s3:1")
 	w.write(whole[:strings.LastIndex(whole, "}")] + "\n\n")
-	r.ask("/discovery/hosts?stream=1&index=44")
+	r.expectRequest("/discovery/hosts?stream=1&index=44")
 	if rest := r.told.Rest(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
 	}
@@ -250,16 +250,16 @@
 
 // What a watch that fell silent misses counts as told 6 s later, and drains then have 2 s of grace. Should the watch that takes its
 // place be silent too, a third one stands within that; nobody is called gone meanwhile, as nothing says so.
-func TestASilentWatchAfterASilentWatch(t *testing.T) {
+func TestNewWatchWithoutHeartbeatsIsRenewedSooner(t *testing.T) {
 	const scale = 50 // times faster
 	r := newFixture(t, false, func(r *Client) { r.watchTimeout /= scale })
-	r.ask("/discovery/hosts?stream=1&index=41").write("\n")
-	r.ask("/discovery/hosts?stream=1&index=41")
+	r.expectRequest("/discovery/hosts?stream=1&index=41").write("\n")
+	r.expectRequest("/discovery/hosts?stream=1&index=41")
 	go func() { // the third, and on a busy machine those after it
 		for {
 			select {
 			case w := <-r.asks:
-				w.write(line(42, false, backend("s1", "DRAINING")))
+				w.write(listLine(42, false, backend("s1", "DRAINING")))
 			case <-t.Context().Done():
 				return
 			}
@@ -277,26 +277,26 @@
 	}
 }
 
-func TestWhereTheListIsAskedForTheModuleSaysWhen(t *testing.T) {
+func TestListOnRequestIsRequestedByThePolicy(t *testing.T) {
 	r := newFixture(t, true, nil)
 	r.Subscribe(true)
-	w := r.ask("/discovery/hosts?stream=1&index=41")
+	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	w.end()
 	r.expect(policy.ListFailed)
 	r.RequestFullList()
-	w = r.ask("/discovery/hosts")
-	w.write(line(60, true, backend("s8", "SERVING")))
+	w = r.expectRequest("/discovery/hosts")
+	w.write(listLine(60, true, backend("s8", "SERVING")))
 	w.end()
 	r.expect(policy.ListComplete, "s8:0")
 	r.RequestFullList()
-	r.ask("/discovery/hosts").end()
+	r.expectRequest("/discovery/hosts").end()
 	r.expect(policy.ListFailed)
 	r.Subscribe(true)
-	r.ask("/discovery/hosts?stream=1&index=60")
+	r.expectRequest("/discovery/hosts?stream=1&index=60")
 }
 
 func FuzzLines(f *testing.F) {
-	for _, s := range []string{line(1, true, backend("a", "SERVING"), backend("b", "DELETED")), `{"generation":1}`,
+	for _, s := range []string{listLine(1, true, backend("a", "SERVING"), backend("b", "DELETED")), `{"generation":1}`,
 		`{"generation":2,"instances":[{"lifecycle":"SERVING"}]}`, `{"instances":[]}`, `null`, "{",
 		`{"generation":3,"instances":[{"instanceId":"x","hostPort":"y","lifecycle":"DRAINING","cell":-1}]}`} {
 		f.Add([]byte(s))
--- a/internal/dataplane/node/crossings_test.go
+++ b/internal/dataplane/node/crossings_test.go
@@ -271,7 +271,7 @@
 
 // Told to stop twice and to reload between, with discovery silent, all backends hung and clients that never leave: what is held gets its
 // whole final answer, nothing that comes later is sent on, and it ends.
-func TestAStopAmongAllThatHangs(t *testing.T) {
+func TestStopWhileEverythingHangs(t *testing.T) {
 	hung := newPeer(t, func(string) does { return hangs })
 	h := host(t, silent(t), oneClass, "[]", 2, hung)
 	rests, err := net.Dial("tcp", h.at)
@@ -315,7 +315,7 @@
 }
 
 // A stop while it waits for the address that the process before it still holds ends the wait.
-func TestAStopWhileStarting(t *testing.T) {
+func TestStopDuringTheStart(t *testing.T) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -28,8 +28,8 @@
 // measure makes tests hold figures to their aims, for a machine that does nothing else; without it they check rules.
 var measure = os.Getenv("PUFFINLINK_MEASURE") != ""
 
-// world is a site on loopback: a register, backends, one aggregator with overrides, and a load on it.
-type world struct {
+// cluster is a site on loopback: a register, backends, one aggregator with overrides, and a load on it.
+type cluster struct {
 	*testing.T
 	site     fakes.Site
 	register *fakes.Register
@@ -42,9 +42,9 @@
 	asked    fakes.Tally
 }
 
-func newWorld(t *testing.T, perS float64, service time.Duration) *world {
-	w := &world{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Aggregators: 1,
-		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 2, Hard: 8, Gain: 1}, {Name: "orders", Effect: "once", Soft: 2, Hard: 8, Gain: 3}}}}
+func newCluster(t *testing.T, perS float64, service time.Duration) *cluster {
+	w := &cluster{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Aggregators: 1,
+		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 2, Hard: 8, Value: 1}, {Name: "orders", Effect: "once", Soft: 2, Hard: 8, Value: 3}}}}
 	var err error
 	if w.register, err = fakes.NewRegister(); err != nil {
 		t.Fatal(err)
@@ -77,14 +77,14 @@
 		t.Fatal(err)
 	}
 	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, PerS: perS, Mixes: []fakes.Mix{
-		{Index: "reads", Share: 0.9, Parts: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Parts: 2, Deadline: 8 * time.Second}}}
+		{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Subqueries: 2, Deadline: 8 * time.Second}}}
 	if perS > 0 {
 		w.load.Run(w.Context())
 	}
 	return w
 }
 
-func (w *world) start() {
+func (w *cluster) start() {
 	w.Helper()
 	n, err := StartText(w.Context(), w.site.Config("n1", w.listen, w.register, 0), w.file, zap.NewNop(), counters.New())
 	if err != nil {
@@ -94,14 +94,14 @@
 }
 
 // take adds what came of the load.
-func (w *world) take() fakes.Tally {
+func (w *cluster) take() fakes.Tally {
 	t := w.load.Take()
 	w.asked.Add(t)
 	return t
 }
 
 // until waits for something that is to come.
-func (w *world) until(what string, is func() bool) {
+func (w *cluster) until(what string, is func() bool) {
 	w.Helper()
 	for late := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(late) {
@@ -111,7 +111,7 @@
 }
 
 // calls sums the part calls of all backends.
-func (w *world) calls() (n int64) {
+func (w *cluster) calls() (n int64) {
 	for _, s := range w.fleet {
 		n += s.Calls()
 	}
@@ -119,13 +119,13 @@
 }
 
 // goesOn waits until so many more part calls have been made.
-func (w *world) goesOn(more int64) {
+func (w *cluster) goesOn(more int64) {
 	w.Helper()
 	from := w.calls()
 	w.until("more part calls", func() bool { return w.calls() >= from+more })
 }
 
-func (w *world) view() (v api.View) {
+func (w *cluster) view() (v api.View) {
 	w.Helper()
 	for {
 		err := w.client.Get(context.Background(), "/v1/overrides", &v)
@@ -140,7 +140,7 @@
 	}
 }
 
-func (w *world) set(c api.Command) api.Change {
+func (w *cluster) set(c api.Command) api.Change {
 	w.Helper()
 	v := w.view()
 	c.Revision, c.Author, c.Reason = &v.Revision, "ann", "slow"
@@ -154,27 +154,27 @@
 	return made
 }
 
-func (w *world) clear(id uint64) { w.set(api.Command{Clear: id}) }
+func (w *cluster) clear(id uint64) { w.set(api.Command{Clear: id}) }
 
-// ends stops the load, and checks that each query had exactly one final answer and no once-only part ran twice.
-func (w *world) ends() {
+// checkLogEnds stops the load, and checks that each query had exactly one final answer and no once-only part ran twice.
+func (w *cluster) checkLogEnds() {
 	w.Helper()
 	w.load.Stop()
 	w.take()
 	eachAnswered(w.T, w.asked)
-	w.Logf("%+v; %d once-only parts ran", w.asked, ranOnce(w.T, w.fleet))
+	w.Logf("%+v; %d once-only parts ran", w.asked, executedOnce(w.T, w.fleet))
 }
 
 // eachAnswered checks that each query had exactly one final answer, and some of them what they asked for.
 func eachAnswered(t *testing.T, a fakes.Tally) {
 	t.Helper()
-	if a.Lost > 0 || a.Asked != a.Satisfied+a.Nacked+a.Aborted || a.Satisfied == 0 {
+	if a.Lost > 0 || a.Sent != a.Satisfied+a.Nacked+a.Aborted || a.Satisfied == 0 {
 		t.Fatalf("not each lookup had its answer: %+v", a)
 	}
 }
 
-// ranOnce checks that no once-only part ran twice, and tells how many ran.
-func ranOnce(t *testing.T, fleet []*fakes.Backend) int {
+// executedOnce checks that no once-only part ran twice, and tells how many ran.
+func executedOnce(t *testing.T, fleet []*fakes.Backend) int {
 	t.Helper()
 	ran := map[string]int64{}
 	for _, s := range fleet {
@@ -193,7 +193,7 @@
 }
 
 // restartAggregator starts the aggregator anew in the same place, as a release does. What it then held is the clients' to ask again.
-func (w *world) restartAggregator() {
+func (w *cluster) restartAggregator() {
 	w.Helper()
 	w.load.Stop()
 	w.take()
@@ -203,8 +203,8 @@
 }
 
 // Out gives a backend no part call, whatever becomes of the list, the register, the backend and the aggregator.
-func TestOutHoldsThroughEverything(t *testing.T) {
-	w := newWorld(t, 150, 2*time.Millisecond)
+func TestExclusionHoldsThroughRestartsAndFaults(t *testing.T) {
+	w := newCluster(t, 150, 2*time.Millisecond)
 	s := w.fleet[3]
 	w.until("calls of the searcher", func() bool { return s.Calls() > 50 })
 	w.set(api.Command{Kind: "out", Backend: s.Name})
@@ -214,7 +214,7 @@
 		name string
 		do   func()
 	}{
-		{"whole list", w.register.Whole},
+		{"whole list", w.register.SendFullList},
 		{"patch", func() { w.register.Set(w.fleet[0].Entry("SERVING", true)) }},
 		{"register out of reach", func() { w.register.Down(true) }},
 		{"register back", func() { w.register.Down(false) }},
@@ -242,12 +242,12 @@
 	}
 	w.clear(v.Overrides[0].ID)
 	w.until("it takes part calls again", func() bool { return s.Calls() > was+50 })
-	w.ends()
+	w.checkLogEnds()
 }
 
 // A pin takes all of its shard through the same; a drain wins over it within 2 s, and it comes back after.
-func TestPinTakesItsShardAndYieldsToADrain(t *testing.T) {
-	w := newWorld(t, 150, 2*time.Millisecond)
+func TestPinServesItsShardAndYieldsToADrain(t *testing.T) {
+	w := newCluster(t, 150, 2*time.Millisecond)
 	s, sibling := w.fleet[5], w.fleet[6] // shard 5 is held by cells 5 and 6
 	w.set(api.Command{Kind: "pin", Backend: s.Name, From: 5, To: 5})
 	w.goesOn(100)
@@ -261,7 +261,7 @@
 		}
 	}
 	settled("set")
-	w.register.Whole()
+	w.register.SendFullList()
 	settled("whole list")
 	w.register.Down(true)
 	settled("register out of reach")
@@ -296,12 +296,12 @@
 	s.Kill() // not strict: its siblings take the shard
 	before = sibling.CallsOf(5)
 	w.until("the sibling serves the shard of the dead one", func() bool { return sibling.CallsOf(5) > before+20 })
-	w.ends()
+	w.checkLogEnds()
 }
 
 // A strict pin to a backend that died is refused at once, not held to the deadline.
-func TestStrictPinIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, 100, 2*time.Millisecond)
+func TestStrictPinToAnUnreachableBackendIsRejectedAtOnce(t *testing.T) {
+	w := newCluster(t, 100, 2*time.Millisecond)
 	s := w.fleet[5]
 	w.set(api.Command{Kind: "pin", Backend: s.Name, From: 0, To: 15, Strict: true, Force: true})
 	w.goesOn(50)
@@ -321,7 +321,7 @@
 	if measure {
 		perS, parts = 300, 20000
 	}
-	w := newWorld(t, perS, 10*time.Millisecond)
+	w := newCluster(t, perS, 10*time.Millisecond)
 	s := w.fleet[3]
 	share := func() float64 {
 		all, own := w.calls(), s.Calls()
@@ -338,7 +338,7 @@
 	if got > 0.6 || measure && math.Abs(got-0.25) > 0.15*0.25 {
 		t.Errorf("a weight of 0.25 gives %.3f of the usual part calls", got)
 	}
-	w.register.Whole()
+	w.register.SendFullList()
 	w.register.Down(true)
 	w.register.Down(false)
 	w.register.SetState(s.Name, "DRAINING")
@@ -360,15 +360,15 @@
 	if back := share() / usual; back < 0.6 || measure && math.Abs(back-1) > 0.15 {
 		t.Errorf("back at %.3f of the usual part calls", back)
 	}
-	w.ends()
+	w.checkLogEnds()
 }
 
 // At the end of an out the backend comes back by steps, and the tail of latencies stays.
-func TestReturnIsNoBlow(t *testing.T) {
+func TestBackendReturnsWithoutOverload(t *testing.T) {
 	if !measure {
 		t.Skip("holds latencies to their aims: run alone, with PUFFINLINK_MEASURE=1")
 	}
-	w := newWorld(t, 300, 4*time.Millisecond)
+	w := newCluster(t, 300, 4*time.Millisecond)
 	s := w.fleet[3]
 	time.Sleep(3 * time.Second)
 	w.set(api.Command{Kind: "out", Backend: s.Name, For: 10})
@@ -382,12 +382,12 @@
 	if float64(after.P99) > 1.5*float64(before.P99) {
 		t.Errorf("the p99 of the 5 s after is %.2f times that of the 5 s before", float64(after.P99)/float64(before.P99))
 	}
-	w.ends()
+	w.checkLogEnds()
 }
 
 // Operators that hold all connections, say half a request or ask without end cost queries nothing.
-func TestRudeOperatorsDelayNoQuery(t *testing.T) {
-	w := newWorld(t, 150, 4*time.Millisecond)
+func TestMisbehavingOperatorClientsDelayNoQuery(t *testing.T) {
+	w := newCluster(t, 150, 4*time.Millisecond)
 	queries := int64(300)
 	if measure {
 		queries = 1500
@@ -431,13 +431,13 @@
 	if measure && float64(pressed.P99) > 1.1*float64(calm.P99) {
 		t.Errorf("the p99 is %.2f times that without", float64(pressed.P99)/float64(calm.P99))
 	}
-	w.ends()
+	w.checkLogEnds()
 }
 
 // Without a directory overrides end with the process, and the answer says so. Of a directory that can't be used commands
 // are refused and queries are served.
-func TestWhereOverridesAreKept(t *testing.T) {
-	w := newWorld(t, 0, time.Millisecond)
+func TestOverridesNeedAWritableDirectory(t *testing.T) {
+	w := newCluster(t, 0, time.Millisecond)
 	w.node.Stop()
 	w.file.Overrides.Directory = ""
 	w.start()
@@ -458,5 +458,5 @@
 	w.load.Aggregators, w.load.PerS = []string{w.listen}, 100
 	w.load.Run(t.Context())
 	w.goesOn(50)
-	w.ends()
+	w.checkLogEnds()
 }
--- a/internal/dataplane/node/shapes_test.go
+++ b/internal/dataplane/node/shapes_test.go
@@ -24,7 +24,7 @@
 }
 
 // satisfied is the share of what was asked since the tally was last cleared.
-func (s *shape) satisfied() float64 { return float64(s.asked.Satisfied) / float64(s.asked.Asked) }
+func (s *shape) satisfied() float64 { return float64(s.asked.Satisfied) / float64(s.asked.Sent) }
 
 // During a move aggregators of the old shape (shards on two neighbouring cells, a call for each part, whole answers) and of the
 // new one (sets, calls that parts share, answers in part, parts that a fingerprint guards) run before the same backends.
@@ -35,7 +35,7 @@
 func TestOldAndNewShapeBeforeTheSameBackends(t *testing.T) {
 	const cells, service = 6, 50 * time.Millisecond
 	index := func(name, effect string, gain, floor float64) fakes.Index {
-		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Gain: gain, Floor: floor, RepeatS: 0.05}
+		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Value: gain, Minimum: floor, DedupS: 0.05}
 	}
 	register, err := fakes.NewRegister()
 	if err != nil {
@@ -43,9 +43,9 @@
 	}
 	t.Cleanup(register.Close)
 	shapes := map[string]*shape{
-		"old": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 2, Shards: 2 * cells, Aggregators: 4, ColdS: 2,
+		"old": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 2, Shards: 2 * cells, Aggregators: 4, SlowStartS: 2,
 			Indexes: []fakes.Index{index("reads", "repeatable", 1, 0), index("orders", "once", 3, 0)}}},
-		"new": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 1, Shards: 2 * cells, Aggregators: 4, ColdS: 2, CallParts: 8, CallCostS: 0.002,
+		"new": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 1, Shards: 2 * cells, Aggregators: 4, SlowStartS: 2, CallSubqueries: 8, CallCostS: 0.002,
 			Indexes: []fakes.Index{index("maps", "repeatable", 5, 0.7), index("notes", "by_key", 1, 0)}}},
 	}
 	var fleet []*fakes.Backend
@@ -73,7 +73,7 @@
 		}
 		var mixes []fakes.Mix
 		for i, x := range sh.site.Indexes {
-			mixes = append(mixes, fakes.Mix{Index: x.Name, Share: []float64{0.6, 0.4}[i], Parts: []int{6, 2}[i], Deadline: 3 * time.Second})
+			mixes = append(mixes, fakes.Mix{Index: x.Name, Share: []float64{0.6, 0.4}[i], Subqueries: []int{6, 2}[i], Deadline: 3 * time.Second})
 		}
 		// 12 backends with two slots of 50 ms do 480 parts a second: each shape asks for 220, and for a while a fourth of them is gone.
 		sh.load = &fakes.Load{Aggregators: aggregators, Site: sh.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
@@ -168,5 +168,5 @@
 	if n := len(gaps); n > 0 && gaps[n-1] > 200*time.Millisecond {
 		t.Errorf("a fingerprinted part came again %v after it first did, expected at most 50 ms and a busy machine's 150", gaps[n-1])
 	}
-	ranOnce(t, fleet)
+	executedOnce(t, fleet)
 }
--- a/internal/dataplane/settings/settings_test.go
+++ b/internal/dataplane/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-func TestModuleAndSocketsReadTheSameObject(t *testing.T) {
+func TestReadsPolicyAndNetworkSettings(t *testing.T) {
 	s, err := Read(7, []byte(`{"granularityS":0.005,"ordinal":1,"siblings":3,"zone":1,"azs":["a","b"],"models":["m"],
 		"membershipMode":"subscribe","stats":{"how":"probe"},"tenants":[{"name":"t","portion":0.5,"quotaPerS":2}],
 		"requestClasses":[{"name":"reads","effect":"by_key","promiseS":1,"giveUpS":4,"worth":2,"lateWorth":0.1,"repeatWindowS":5}],
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -19,12 +19,12 @@
 
 // Mix is what a load asks for of one index.
 type Mix struct {
-	Index    string
-	Share    float64 // of all queries
-	Parts    int
-	Deadline time.Duration
-	Soft     time.Duration // within which an answer has its whole gain
-	Gain     float64
+	Index      string
+	Share      float64 // of all queries
+	Subqueries int
+	Deadline   time.Duration
+	Soft       time.Duration // within which an answer has its whole gain
+	Value      float64
 }
 
 // Load asks aggregators for queries at a steady mean rate, by itself: a slow answer holds up no arrival.
@@ -40,20 +40,20 @@
 	client *http.Client
 	wg     sync.WaitGroup
 	stop   context.CancelFunc
-	asked  atomic.Int64
+	sent   atomic.Int64
 	nextID atomic.Int64
 
 	mu      sync.Mutex
 	ends    map[string]int64 // satisfied, nacked, aborted, lost
 	why     string           // the last query was lost
-	gain    [2]float64       // asked for, and answered within the soft deadline
+	value   [2]float64       // asked for, and answered within the soft deadline
 	latency *hdrhistogram.Histogram
 }
 
 // Run starts asking, until Stop. The context only carries values: what was asked is answered after its end too.
 func (l *Load) Run(ctx context.Context) {
-	asking := context.WithoutCancel(ctx)
-	ctx, stop := context.WithCancel(asking)
+	calls := context.WithoutCancel(ctx)
+	ctx, stop := context.WithCancel(calls)
 	l.stop, l.ends, l.latency = stop, map[string]int64{}, newHistogram()
 	l.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	l.wg.Go(func() {
@@ -67,14 +67,14 @@
 				return
 			}
 			mix, aggregator := l.Mixes[len(l.Mixes)-1], l.Aggregators[rng.IntN(len(l.Aggregators))]
-			for u, i := rng.Float64(), 0; i < len(l.Mixes); i++ {
-				if u -= l.Mixes[i].Share; u < 0 {
+			for draw, i := rng.Float64(), 0; i < len(l.Mixes); i++ {
+				if draw -= l.Mixes[i].Share; draw < 0 {
 					mix = l.Mixes[i]
 					break
 				}
 			}
-			shards := l.shards(rng, min(mix.Parts, l.Site.Shards))
-			l.wg.Go(func() { l.ask(asking, aggregator, mix, shards) })
+			shards := l.shards(rng, min(mix.Subqueries, l.Site.Shards))
+			l.wg.Go(func() { l.sendQuery(calls, aggregator, mix, shards) })
 		}
 	})
 }
@@ -111,25 +111,25 @@
 	l.client.CloseIdleConnections()
 }
 
-// ask sends one query, and sends it again where it is nacked and the clients do that. The query names it, so that a part
+// sendQuery sends one query, and sends it again where it is nacked and the clients do that. The query names it, so that a part
 // that runs twice is seen.
-func (l *Load) ask(ctx context.Context, aggregator string, mix Mix, shards []int) {
-	l.asked.Add(1)
+func (l *Load) sendQuery(ctx context.Context, aggregator string, mix Mix, shards []int) {
+	l.sent.Add(1)
 	query := fmt.Sprintf("%s-%016x", mix.Index, l.nextID.Add(1))
 	body := []byte(`{"targets":[`)
-	for i, s := range shards {
+	for i, shard := range shards {
 		if i > 0 {
 			body = append(body, ',')
 		}
-		body = fmt.Appendf(body, `{"partition":%d,"share":%.6f}`, s, 1/float64(len(shards)))
+		body = fmt.Appendf(body, `{"partition":%d,"share":%.6f}`, shard, 1/float64(len(shards)))
 	}
 	body = fmt.Appendf(body, `],"query":"%s"}`, query)
 	began := time.Now()
 	end, why, wait := "", "", time.Duration(0)
-	for tries := 0; ; tries++ {
-		end, why, wait = l.try(ctx, aggregator, mix, body, mix.Deadline-time.Since(began))
+	for attempts := 0; ; attempts++ {
+		end, why, wait = l.attempt(ctx, aggregator, mix, body, mix.Deadline-time.Since(began))
 		wait = max(wait, time.Duration(float64(l.Backoff)*(0.5+rand.Float64())))
-		if end != "nacked" || tries >= l.Retries || time.Since(began)+wait >= mix.Deadline {
+		if end != "nacked" || attempts >= l.Retries || time.Since(began)+wait >= mix.Deadline {
 			break
 		}
 		time.Sleep(wait)
@@ -140,24 +140,24 @@
 	defer l.mu.Unlock()
 	l.ends[end]++
 	l.why = cmp.Or(why, l.why)
-	l.gain[0] += mix.Gain
+	l.value[0] += mix.Value
 	if end == "satisfied" {
 		// One beyond the histogram's minute is left out of it, and counted among the ends all the same.
 		_ = l.latency.RecordValue(max(1, took.Microseconds()))
 		if took <= mix.Soft {
-			l.gain[1] += mix.Gain
+			l.value[1] += mix.Value
 		}
 	}
 }
 
-// try sends a query once.
-func (l *Load) try(ctx context.Context, aggregator string, mix Mix, body []byte, left time.Duration) (end, why string, wait time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, left+2*time.Second)
+// attempt sends a query once.
+func (l *Load) attempt(ctx context.Context, aggregator string, mix Mix, body []byte, remaining time.Duration) (end, why string, wait time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, remaining+2*time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+aggregator+"/"+mix.Index, bytes.NewReader(body))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", l.nextID.Add(1))}, "Req-Kind": {mix.Index},
 		"Idempotency-Key": {}, // not sent: it lets the client ask once more on a new connection, where the aggregator closed an idle one meanwhile
-		"Req-Deadline":    {strconv.FormatFloat(left.Seconds(), 'f', 3, 64)}}
+		"Req-Deadline":    {strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64)}}
 	res, err := l.client.Do(req)
 	if err == nil {
 		_, err = io.Copy(io.Discard, res.Body)
@@ -165,7 +165,7 @@
 	}
 	switch {
 	case err != nil:
-		return "lost", fmt.Sprintf("given %v: %v", left, err), 0
+		return "lost", fmt.Sprintf("given %v: %v", remaining, err), 0
 	case res.StatusCode == http.StatusOK:
 		return "satisfied", "", 0
 	case res.StatusCode == http.StatusTooManyRequests, res.StatusCode == http.StatusServiceUnavailable:
@@ -177,15 +177,15 @@
 
 // Tally is what came of some queries.
 type Tally struct {
-	Asked, Satisfied, Nacked, Aborted, Lost int64
-	Gain                                    float64       // share of it that was answered within the soft deadline
-	P50, P99                                time.Duration // of the satisfied
-	Why                                     string        // the last query was lost
+	Sent, Satisfied, Nacked, Aborted, Lost int64
+	Value                                  float64       // share of it that was answered within the soft deadline
+	P50, P99                               time.Duration // of the satisfied
+	Why                                    string        // the last query was lost
 }
 
 // Add adds the counts of another.
 func (t *Tally) Add(o Tally) {
-	t.Asked += o.Asked
+	t.Sent += o.Sent
 	t.Satisfied += o.Satisfied
 	t.Nacked += o.Nacked
 	t.Aborted += o.Aborted
@@ -207,12 +207,12 @@
 func (l *Load) Take() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := Tally{Asked: l.asked.Swap(0), Satisfied: l.ends["satisfied"], Nacked: l.ends["nacked"], Aborted: l.ends["aborted"], Lost: l.ends["lost"], Why: l.why,
+	t := Tally{Sent: l.sent.Swap(0), Satisfied: l.ends["satisfied"], Nacked: l.ends["nacked"], Aborted: l.ends["aborted"], Lost: l.ends["lost"], Why: l.why,
 		P50: time.Duration(l.latency.ValueAtQuantile(50)) * time.Microsecond, P99: time.Duration(l.latency.ValueAtQuantile(99)) * time.Microsecond}
-	if t.Gain = 1; l.gain[0] > 0 {
-		t.Gain = l.gain[1] / l.gain[0]
+	if t.Value = 1; l.value[0] > 0 {
+		t.Value = l.value[1] / l.value[0]
 	}
-	l.gain, l.why = [2]float64{}, ""
+	l.value, l.why = [2]float64{}, ""
 	clear(l.ends)
 	l.latency.Reset()
 	return t
--- a/internal/fakes/register.go
+++ b/internal/fakes/register.go
@@ -29,7 +29,7 @@
 
 type page struct {
 	Version   int64   `json:"generation"`
-	Whole     bool    `json:"reset"`
+	Complete  bool    `json:"reset"`
 	Instances []Entry `json:"instances"`
 }
 
@@ -87,8 +87,8 @@
 	return r.encode(true, r.entries)
 }
 
-func (r *Register) encode(whole bool, entries []Entry) []byte {
-	text, _ := json.Marshal(page{r.version, whole, slices.Clone(entries)})
+func (r *Register) encode(complete bool, entries []Entry) []byte {
+	text, _ := json.Marshal(page{r.version, complete, slices.Clone(entries)})
 	return append(text, '\n')
 }
 
@@ -106,7 +106,7 @@
 	case e.State != "DELETED":
 		r.entries = append(r.entries, e)
 	}
-	r.tell(r.encode(false, []Entry{e}))
+	r.notify(r.encode(false, []Entry{e}))
 }
 
 // SetState changes what a backend is listed as.
@@ -124,11 +124,11 @@
 }
 
 // Whole tells the whole list anew.
-func (r *Register) Whole() {
+func (r *Register) SendFullList() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
-	r.tell(r.encode(true, r.entries))
+	r.notify(r.encode(true, r.entries))
 }
 
 // Down ends all watches and refuses new ones, until it is up again.
@@ -144,8 +144,8 @@
 	}
 }
 
-// tell puts a line into each watch; one that takes none is ended.
-func (r *Register) tell(line []byte) {
+// notify puts a line into each watch; one that takes none is ended.
+func (r *Register) notify(line []byte) {
 	for w := range r.watches {
 		select {
 		case w.lines <- line:
@@ -169,15 +169,15 @@
 		out.Write(line)
 		return
 	}
-	w := &watch{make(chan []byte, 1000), make(chan struct{})}
+	watcher := &watch{make(chan []byte, 1000), make(chan struct{})}
 	if had, _ := strconv.ParseInt(q.FormValue("index"), 10, 64); had != r.version {
-		w.lines <- r.encode(true, r.entries)
+		watcher.lines <- r.encode(true, r.entries)
 	}
-	r.watches[w] = true
+	r.watches[watcher] = true
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		delete(r.watches, w)
+		delete(r.watches, watcher)
 		r.mu.Unlock()
 	}()
 	flush := http.NewResponseController(out)
@@ -188,11 +188,11 @@
 	defer tick.Stop()
 	for {
 		select {
-		case line := <-w.lines:
+		case line := <-watcher.lines:
 			out.Write(line)
 		case <-tick.C:
 			out.Write([]byte("\n"))
-		case <-w.end:
+		case <-watcher.end:
 			return
 		case <-q.Context().Done():
 			return
@@ -208,9 +208,9 @@
 	Name       string
 	Effect     string  // repeatable, by_key, once
 	Soft, Hard float64 // seconds
-	Gain       float64
-	Floor      float64 // least share of an answer; 0 for all of it
-	RepeatS    float64 // how long a repeated part is dropped; 0 for 5 s
+	Value      float64
+	Minimum    float64 // least share of an answer; 0 for all of it
+	DedupS     float64 // how long a repeated part is dropped; 0 for 5 s
 }
 
 // Site is a small deployment: so many cells, each shard held by Width of them.
@@ -221,21 +221,21 @@
 	Width       int
 	Shards      int
 	Aggregators int
-	ColdS       float64 // how long a backend is cold; 0 for never
+	SlowStartS  float64 // how long a backend is cold; 0 for never
 
 	Tenants []string // whose the queries are; none for those of nobody
 
-	CallParts int     // parts that may share a call; 0 for one
-	CallCostS float64 // work of a call beside its parts
+	CallSubqueries int     // parts that may share a call; 0 for one
+	CallCostS      float64 // work of a call beside its parts
 }
 
 // Settings is the object that an aggregator of the site starts from.
 func (s Site) Settings(ordinal int) []byte {
-	var classes, ones, floors []string
-	for _, x := range s.Indexes {
+	var classes, ones, minimums []string
+	for _, index := range s.Indexes {
 		classes = append(classes, fmt.Sprintf(`{"name":%q,"effect":%q,"promiseS":%g,"giveUpS":%g,"worth":%g,"lateWorth":0.1,"repeatWindowS":%g}`,
-			x.Name, x.Effect, x.Soft, x.Hard, x.Gain, cmp.Or(x.RepeatS, 5)))
-		ones, floors = append(ones, "1"), append(floors, strconv.FormatFloat(cmp.Or(x.Floor, 1), 'g', -1, 64))
+			index.Name, index.Effect, index.Soft, index.Hard, index.Value, cmp.Or(index.DedupS, 5)))
+		ones, minimums = append(ones, "1"), append(minimums, strconv.FormatFloat(cmp.Or(index.Minimum, 1), 'g', -1, 64))
 	}
 	zones, _ := json.Marshal(s.Zones)
 	tenants := []map[string]any{}
@@ -249,7 +249,7 @@
 		"connectTimeoutS":0.25,"maxRetryAfterS":1,"mostHeld":20000},
 		"invariants":{"answerSlackS":0.02,"coldS":%g,"coldShare":0.25,"drainGraceS":2,"fallMultiple":2,"fallS":1},"prices":{"crossZone":0.02}}`,
 		zones, ordinal, max(1, s.Aggregators), ordinal%max(1, len(s.Zones)), strings.Join(classes, ","), owners, s.Cells, s.Width, s.Shards,
-		max(1, s.CallParts), s.CallCostS, strings.Join(ones, ","), strings.Join(floors, ","), s.ColdS)
+		max(1, s.CallSubqueries), s.CallCostS, strings.Join(ones, ","), strings.Join(minimums, ","), s.SlowStartS)
 }
 
 // Config is an aggregator's config file.
--- a/internal/fakes/searcher.go
+++ b/internal/fakes/searcher.go
@@ -20,26 +20,26 @@
 	Name string
 	Cell int
 	Zone string
-	// Heard, where it is set before the first call, hears of each part call its query's text and shard, as it comes.
-	Heard func(query string, shard int)
+	// OnCall, where it is set before the first call, hears of each part call its query's text and shard, as it comes.
+	OnCall func(query string, shard int)
 
-	listener net.Listener
-	started  time.Time
-	slots    chan struct{}
-	service  atomic.Int64 // mean, ns
-	failing  atomic.Bool
-	silent   atomic.Bool
+	listener     net.Listener
+	started      time.Time
+	slots        chan struct{}
+	service      atomic.Int64 // mean, ns
+	failing      atomic.Bool
+	unresponsive atomic.Bool
 
 	mu          sync.Mutex
 	connections map[net.Conn]bool
 	closed      bool
 
-	calls    atomic.Int64
-	out      atomic.Int64
-	mostOut  atomic.Int64
-	byShard  [1024]atomic.Int64
-	executed map[string]int64    // by part id; mu guards it
-	arrived  map[string]arrivals // by part id; mu guards it
+	calls       atomic.Int64
+	inFlight    atomic.Int64
+	maxInFlight atomic.Int64
+	byShard     [1024]atomic.Int64
+	executed    map[string]int64    // by part id; mu guards it
+	arrived     map[string]arrivals // by part id; mu guards it
 }
 
 // arrivals are when a part arrived for the first and the last time.
@@ -95,8 +95,8 @@
 // SetFailing lets it fail each call.
 func (s *Backend) SetFailing(on bool) { s.failing.Store(on) }
 
-// SetSilent lets it answer nothing.
-func (s *Backend) SetSilent(on bool) { s.silent.Store(on) }
+// SetUnresponsive lets it answer nothing.
+func (s *Backend) SetUnresponsive(on bool) { s.unresponsive.Store(on) }
 
 // Calls is how many part calls it has taken.
 func (s *Backend) Calls() int64 { return s.calls.Load() }
@@ -104,11 +104,11 @@
 // CallsOf is how many part calls of one shard it has taken.
 func (s *Backend) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
 
-// Out is how many part calls are in it.
-func (s *Backend) Out() int64 { return s.out.Load() }
+// InFlight is how many part calls are in it.
+func (s *Backend) InFlight() int64 { return s.inFlight.Load() }
 
-// MostOut is the peak of Out since the last call of MostOut.
-func (s *Backend) MostOut() int64 { return s.mostOut.Swap(s.out.Load()) }
+// MaxInFlight is the peak of Out since the last call of MaxInFlight.
+func (s *Backend) MaxInFlight() int64 { return s.maxInFlight.Swap(s.inFlight.Load()) }
 
 // Executed tells how often each part was executed here.
 func (s *Backend) Executed(f func(id string, times int64)) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// arrives notes a part's arrival.
-func (s *Backend) arrives(id string) {
+// recordArrival notes a part's arrival.
+func (s *Backend) recordArrival(id string) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,8 +142,10 @@
 	s.arrived[id] = at
 }
 
-// named is a part's name among all queries: its query's text and its shard.
-func named(id, query string) string { return query + " " + id[bytes.IndexByte([]byte(id), '.')+1:] }
+// subqueryName is a part's name among all queries: its query's text and its shard.
+func subqueryName(id, query string) string {
+	return query + " " + id[bytes.IndexByte([]byte(id), '.')+1:]
+}
 
 func (s *Backend) accept(l net.Listener) {
 	for {
@@ -168,9 +170,9 @@
 	mu sync.Mutex
 }
 
-func (conn *connection) say(frameType byte, rest []byte) {
-	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(rest)))
-	frame = append(append(frame, frameType), rest...)
+func (conn *connection) writeFrame(frameType byte, payload []byte) {
+	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)))
+	frame = append(append(frame, frameType), payload...)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
@@ -185,45 +187,45 @@
 		s.mu.Unlock()
 	}()
 	conn := &connection{Conn: c}
-	given := sync.Map{} // ids given up
-	in := bufio.NewReader(c)
+	canceled := sync.Map{} // ids given up
+	reader := bufio.NewReader(c)
 	for {
 		var head [4]byte
-		if _, err := io.ReadFull(in, head[:]); err != nil {
+		if _, err := io.ReadFull(reader, head[:]); err != nil {
 			return
 		}
 		frame := make([]byte, binary.BigEndian.Uint32(head[:]))
-		if _, err := io.ReadFull(in, frame); err != nil || len(frame) == 0 {
+		if _, err := io.ReadFull(reader, frame); err != nil || len(frame) == 0 {
 			return
 		}
-		switch rest := frame[1:]; frame[0] {
+		switch payload := frame[1:]; frame[0] {
 		case 'S':
-			if !s.call(conn, rest, &given) {
-				conn.say('F', []byte("can't be read"))
+			if !s.call(conn, payload, &canceled) {
+				conn.writeFrame('F', []byte("can't be read"))
 				return
 			}
 		case 'C':
-			given.Store(string(rest), true)
+			canceled.Store(string(payload), true)
 		case 'H', 'M':
-			if s.silent.Load() {
+			if s.unresponsive.Load() {
 				continue
 			}
 			answer := "done"
 			if frame[0] == 'M' {
 				answer = "-"
 			}
-			conn.say(frame[0], []byte(answer))
+			conn.writeFrame(frame[0], []byte(answer))
 		default:
-			conn.say('F', []byte("unknown letter"))
+			conn.writeFrame('F', []byte("unknown letter"))
 			return
 		}
 	}
 }
 
 // call takes the parts of one frame.
-func (s *Backend) call(conn *connection, rest []byte, given *sync.Map) bool {
-	for len(rest) > 0 {
-		head, after, found := bytes.Cut(rest, []byte{'\n'})
+func (s *Backend) call(conn *connection, remaining []byte, canceled *sync.Map) bool {
+	for len(remaining) > 0 {
+		head, after, found := bytes.Cut(remaining, []byte{'\n'})
 		fields := bytes.Fields(head)
 		if !found || len(fields) != 4 {
 			return false
@@ -235,37 +237,37 @@
 		}
 		s.calls.Add(1)
 		s.byShard[shard].Add(1)
-		if out := s.out.Add(1); out > s.mostOut.Load() {
-			s.mostOut.Store(out)
+		if inFlight := s.inFlight.Add(1); inFlight > s.maxInFlight.Load() {
+			s.maxInFlight.Store(inFlight)
 		}
-		if s.Heard != nil {
-			s.Heard(string(after[:n]), shard)
+		if s.OnCall != nil {
+			s.OnCall(string(after[:n]), shard)
 		}
-		s.arrives(named(string(fields[0]), string(after[:n])))
-		go s.work(conn, string(fields[0]), string(after[:n]), given)
-		rest = after[n:]
+		s.recordArrival(subqueryName(string(fields[0]), string(after[:n])))
+		go s.work(conn, string(fields[0]), string(after[:n]), canceled)
+		remaining = after[n:]
 	}
 	return true
 }
 
-func (s *Backend) work(conn *connection, id, query string, given *sync.Map) {
-	defer s.out.Add(-1)
+func (s *Backend) work(conn *connection, id, query string, canceled *sync.Map) {
+	defer s.inFlight.Add(-1)
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
-	if _, gone := given.Load(id); gone {
+	if _, isCanceled := canceled.Load(id); isCanceled {
 		return
 	}
 	s.mu.Lock()
-	s.executed[named(id, query)]++
+	s.executed[subqueryName(id, query)]++
 	s.mu.Unlock()
 	mean := float64(s.service.Load())
 	time.Sleep(time.Duration(mean * (0.5 + rand.Float64())))
 	end := "done"
 	switch {
-	case s.silent.Load():
+	case s.unresponsive.Load():
 		return
 	case s.failing.Load():
 		end = "failed"
 	}
-	conn.say('R', fmt.Appendf(nil, "%s %s 1 -\nv-%s", id, end, s.Name))
+	conn.writeFrame('R', fmt.Appendf(nil, "%s %s 1 -\nv-%s", id, end, s.Name))
 }
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -53,8 +53,8 @@
 // site is the demo's deployment.
 func site(o Options) fakes.Site {
 	return fakes.Site{Zones: []string{"north", "south"}, Cells: o.Backends, Width: min(width, o.Backends), Shards: shardsACell * o.Backends,
-		Aggregators: o.Aggregators, Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1},
-			{Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Gain: 3}}}
+		Aggregators: o.Aggregators, Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1},
+			{Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}
 }
 
 type demo struct {
@@ -100,7 +100,7 @@
 	d.load.Stop()
 	seconds := time.Since(began).Seconds()
 	d.take()
-	sum = Summary{seconds, d.all.Asked, d.all.Satisfied, d.all.Nacked, d.all.Aborted, d.all.Lost, map[string]int64{}}
+	sum = Summary{seconds, d.all.Sent, d.all.Satisfied, d.all.Nacked, d.all.Aborted, d.all.Lost, map[string]int64{}}
 	for _, s := range d.fleet {
 		sum.PartCalls[s.Name] = s.Calls()
 	}
@@ -129,8 +129,8 @@
 	if d.Log != nil {
 		log = asynclog.New(zapcore.Lock(zapcore.AddSync(d.Log)))
 	}
-	d.load = &fakes.Load{Site: d.site, PerS: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Parts: 4, Deadline: 2 * time.Second},
-		{Index: "orders", Share: 0.1, Parts: 2, Deadline: 2 * time.Second}}}
+	d.load = &fakes.Load{Site: d.site, PerS: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 2 * time.Second},
+		{Index: "orders", Share: 0.1, Subqueries: 2, Deadline: 2 * time.Second}}}
 	for i := range d.Aggregators {
 		n, address, err := d.aggregator(ctx, i, log)
 		if err != nil {
@@ -195,7 +195,7 @@
 	fmt.Fprintln(w, "SEARCHER\tLOCATION\tPART CALLS/S\tOUT AT MOST\t")
 	for _, s := range d.fleet {
 		calls := s.Calls()
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%d\t\n", s.Name, s.Zone, float64(calls-d.last[s.Name])/per, s.MostOut())
+		fmt.Fprintf(w, "%s\t%s\t%.0f\t%d\t\n", s.Name, s.Zone, float64(calls-d.last[s.Name])/per, s.MaxInFlight())
 		d.last[s.Name] = calls
 	}
 	w.Flush()
--- a/internal/tools/fleettest/fleettest_test.go
+++ b/internal/tools/fleettest/fleettest_test.go
@@ -125,7 +125,7 @@
 	w := &World{TB: t, Options: o, relays: map[[2]int]*Relay{}, Judge: NewJudge(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
 		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Backends, Width: 2, Shards: o.Backends, Aggregators: o.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
-			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Gain: 1, Floor: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Gain: 3}}}}
+			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1, Minimum: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}}
 	var err error
 	w.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
 	w.must(err)
@@ -143,7 +143,7 @@
 	w.Helper()
 	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
 	w.must(err)
-	s.Heard = func(query string, _ int) { w.Judge.Called(s.Name, s.Zone, query) }
+	s.OnCall = func(query string, _ int) { w.Judge.Called(s.Name, s.Zone, query) }
 	w.Cleanup(s.Kill)
 	w.Backends = append(w.Backends, s)
 }
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -200,9 +200,9 @@
 		r.Figures = append(r.Figures, Figure{name, predicted, happened, e})
 		r.Worst = math.Max(r.Worst, math.Abs(e))
 	}
-	answered := float64(got.Satisfied) / float64(max(1, got.Asked))
+	answered := float64(got.Satisfied) / float64(max(1, got.Sent))
 	add("satisfied", 1-want.Nacked-want.Aborted, answered)
-	add("gain in time", want.Gain, got.Gain)
+	add("gain in time", want.Gain, got.Value)
 	add("p50 ms", 1000*want.P50, float64(got.P50.Microseconds())/1000)
 	add("p99 ms", 1000*want.P99, float64(got.P99.Microseconds())/1000)
 	return r, nil
@@ -213,7 +213,7 @@
 	site := fakes.Site{Zones: s.Site.Locations, Cells: s.Site.Cells, Width: s.Site.Width, Shards: s.Site.Shards, Aggregators: s.Site.Aggregators}
 	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Fingerprinted: "by_key", policy.OnceOnly: "once"}
 	for _, x := range s.Site.Indexes {
-		site.Indexes = append(site.Indexes, fakes.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Gain: x.Gain})
+		site.Indexes = append(site.Indexes, fakes.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Value: x.Gain})
 	}
 	register, err := fakes.NewRegister()
 	if err != nil {
@@ -232,8 +232,8 @@
 	load := &fakes.Load{Site: site, PerS: s.Ask.PerS, Popular: s.Ask.Popular, Retries: s.Site.Retries, Backoff: time.Duration(s.Site.Backoff * float64(time.Second))}
 	for _, m := range s.Ask.Mix {
 		x := s.Site.Indexes[m.Index]
-		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Of, Parts: m.Subqueries, Deadline: time.Duration(x.Hard * float64(time.Second)),
-			Soft: time.Duration(x.Soft * float64(time.Second)), Gain: x.Gain})
+		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Of, Subqueries: m.Subqueries, Deadline: time.Duration(x.Hard * float64(time.Second)),
+			Soft: time.Duration(x.Soft * float64(time.Second)), Value: x.Gain})
 	}
 	for i := range s.Site.Aggregators {
 		address, err := fakes.FreeAddress()
@@ -262,7 +262,7 @@
 	rest := load.Take() // what was due then
 	// Queries that were due then are few against the others, and their gain is left out.
 	t.Add(rest)
-	t.Asked = t.Satisfied + t.Nacked + t.Aborted + t.Lost
+	t.Sent = t.Satisfied + t.Nacked + t.Aborted + t.Lost
 	return t, ctx.Err()
 }
 
