--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -41,7 +41,7 @@
 	return why.Waiting[0]
 }
 
-// excludedBy is how many workers a cause rules out.
+// excludedBy is how many workers a cause excludes.
 func excludedBy(waiting jobreport.Waiting, cause jobreport.Cause) int {
 	for _, excluded := range waiting.Excluded {
 		if excluded.Cause == cause {
@@ -123,7 +123,7 @@
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := explain(w, w.submitStages(1, gang))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangCapacity)
-			So(len(waiting.Open), ShouldEqual, maxNamedWorkers)
+			So(len(waiting.OpenWorkers), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
 			facts := &jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
