--- /dev/null
+++ b/internal/dataplane/aggregator/admission.go
@@ -0,0 +1,198 @@
+package aggregator
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/policy"
+)
+
+// AdmissionDecision is what a gate says of a query that asks to be taken.
+type AdmissionDecision struct {
+	Reason     string  // the reason's code, "" where it is taken
+	Text       string  // the same as a sentence
+	RetryAfter float64 // advice when to come back, 0 for none
+	Zones      *policy.Zones
+	MaxTimeout float64 // seconds that it may be held at the most, 0 for as long as its client waits
+}
+
+// Admission says which queries may be taken and where their parts may go, by what aggregators agree on. None of its methods may
+// block; all are called by the module's actor.
+type Admission interface {
+	Admit(customer policy.CustomerID, index policy.IndexID) AdmissionDecision
+	// CallEnded hears how a part call ended at a backend, so many seconds after it was sent.
+	CallEnded(at time.Time, backend string, how policy.Outcome, elapsed float64)
+	// BackendsChanged hears which backends the list names.
+	BackendsChanged([]Placement)
+}
+
+// Placement is where a backend stands, as the list has it.
+type Placement struct {
+	Name string
+	Cell policy.CellID
+}
+
+// Rules are what queries go by from here on, those that are held as well. Held is called once all that is out does.
+type Rules struct {
+	Zones   func(policy.CustomerID, policy.IndexID) *policy.Zones
+	InForce func()
+}
+
+// Judged is what others found of a backend: so many times the usual latency, which counts for so many seconds while we
+// know little.
+type PeerObservation struct {
+	Backend         string
+	LatencyMultiple float64
+	ValidS          float64
+}
+
+// placement is what the actor remembers of a backend where there is a gate.
+type placement struct {
+	name      string
+	location  policy.LocationID
+	cell      policy.CellID
+	removed   bool
+	relocated bool // another location was named under its number: it may stand anywhere
+}
+
+// gated is what the actor keeps for a gate.
+type admissionState struct {
+	admission    Admission
+	placements   map[policy.BackendID]placement
+	rules        *Rules // not held yet
+	coveredCells map[*policy.Zones][]bool
+	loggedAt     time.Time
+}
+
+// SetAdmission puts a gate before the module. It comes before the first list.
+func (m *Aggregator) SetAdmission(g Admission) {
+	m.admission = admissionState{admission: g, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
+}
+
+// admit asks the gate for a query, and answers one that is refused.
+func (m *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
+	decision := m.admission.admission.Admit(q.Customer, q.Index)
+	if decision.Reason != "" {
+		m.counters.Add("lookups", decision.Reason, 1)
+		q.Done <- Reply{End: Nacked, RetryAfter: min(decision.RetryAfter, m.settings.Limits.MaxRetryAfter), Text: decision.Text}
+		return nil, false
+	}
+	if decision.MaxTimeout > 0 {
+		q.Timeout = min(q.Timeout, now.Sub(q.Arrived).Seconds()+decision.MaxTimeout)
+	}
+	if decision.Zones != nil {
+		m.logUncovered(q, decision.Zones, now)
+	}
+	return decision.Zones, true
+}
+
+// logUncovered logs the shards of a query that no holder inside its zones has: the module gives their parts up at once.
+func (m *Aggregator) logUncovered(q *Query, zones *policy.Zones, now time.Time) {
+	covered, width := m.admission.coveredCells[zones], max(1, m.settings.Layout.Width)
+	if covered == nil {
+		covered = make([]bool, max(1, m.settings.Layout.Cells))
+		for _, placement := range m.admission.placements {
+			for j := range width {
+				if cell := (int(placement.cell) - j) % len(covered); !placement.removed && !placement.relocated && zones.Allows(placement.location) {
+					covered[(cell+len(covered))%len(covered)] = true
+				}
+			}
+		}
+		m.admission.coveredCells[zones] = covered
+	}
+	var shards []int
+	for i := range q.Subqueries {
+		if shard := int(q.Subqueries[i].Shard); !covered[shard%len(covered)] {
+			shards = append(shards, shard)
+		}
+	}
+	if len(shards) == 0 {
+		return
+	}
+	m.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
+	if now.Sub(m.admission.loggedAt) >= time.Second { // one in a second tells enough
+		m.admission.loggedAt = now
+		m.log.Warn("shards without a holder inside the zones of the contract",
+			zap.String("lookup", q.ID),
+			zap.Int("customer", int(q.Customer)),
+			zap.Ints("shards", shards),
+			zap.String("reason", "no_holder_by_contract"))
+	}
+}
+
+// updatePlacements takes what a list says of where backends stand.
+func (m *Aggregator) updatePlacements(e *Event) {
+	g := &m.admission
+	clear(g.coveredCells)
+	if e.List != policy.ListPatch {
+		for id, p := range g.placements {
+			p.removed = true
+			g.placements[id] = p
+		}
+	}
+	for i, r := range e.Entries {
+		p, seen := g.placements[r.Backend]
+		p = placement{e.Names[i].Backend, r.Location, r.Cell, r.Phase == policy.Removed, p.relocated || seen && !p.removed && p.location != r.Location}
+		g.placements[r.Backend] = p
+	}
+	var list []Placement
+	for id, p := range g.placements {
+		if !p.removed {
+			list = append(list, Placement{p.name, p.cell})
+		} else if !m.hasCallsTo(id) {
+			delete(g.placements, id)
+		}
+	}
+	g.admission.BackendsChanged(list)
+}
+
+func (m *Aggregator) hasCallsTo(id policy.BackendID) bool {
+	for _, c := range m.inFlight {
+		if c.backend == id {
+			return true
+		}
+	}
+	return false
+}
+
+// applyAgreed takes rules and judgements into the module's event.
+func (m *Aggregator) applyAgreed(e *Event, now time.Time) {
+	if e.Override == nil {
+		e.Override = &policy.Overrides{}
+	}
+	if e.Rules != nil {
+		m.admission.rules = e.Rules
+		clear(m.admission.coveredCells)
+		for id, q := range m.queries {
+			zones := e.Rules.Zones(q.Customer, q.Index)
+			e.Override.Zones = append(e.Override.Zones, policy.ZonesOverride{Query: id, Zones: zones})
+		}
+	}
+	if len(e.PeerObservations) == 0 {
+		return
+	}
+	ids := make(map[string]policy.BackendID, len(m.admission.placements))
+	for id, p := range m.admission.placements {
+		if !p.removed {
+			ids[p.name] = id
+		}
+	}
+	for _, observation := range e.PeerObservations {
+		if id := ids[observation.Backend]; id != 0 {
+			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: observation.LatencyMultiple, Until: m.policyTime(now) + observation.ValidS})
+		}
+	}
+}
+
+// confirmRules tells that rules hold once no call is out where they let none go.
+func (m *Aggregator) confirmRules() {
+	for _, c := range m.inFlight {
+		zones := m.admission.rules.Zones(c.customer, c.index)
+		if p := m.admission.placements[c.backend]; zones != nil && (p.relocated || !zones.Allows(p.location)) {
+			return
+		}
+	}
+	m.admission.rules.InForce()
+	m.admission.rules = nil
+}
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -12,7 +12,7 @@
 var recorderNames = capture.Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
 
 // What the actor tells a recorder is what came and what became of it.
-func TestTheLoadIsCaptured(t *testing.T) {
+func TestRecorderCapturesTheLoad(t *testing.T) {
 	r := newFixture(nil)
 	var got []capture.Interval
 	r.Capture(capture.New("n1", recorderNames, 0.1), func(i capture.Interval) { got = append(got, i) })
@@ -24,7 +24,7 @@
 	}
 	gone := r.query("cc", 0, 1)
 	r.put(gone)
-	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, Taken: gone.Taken})
+	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: gone.ClientQuery})
 	for range 30 {
 		r.put(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
 	}
@@ -66,7 +66,7 @@
 			r.put(ends...)
 			took[i] += time.Since(began)
 			select {
-			case <-e.Taken.Done:
+			case <-e.ClientQuery.Done:
 			default:
 				b.Fatal("no answer")
 			}
--- /dev/null
+++ b/internal/dataplane/discovery/list.go
@@ -0,0 +1,114 @@
+package discovery
+
+import (
+	"encoding/json"
+
+	"puffinlink.example/puffinlink/internal/dataplane/aggregator"
+	"puffinlink.example/puffinlink/policy"
+)
+
+// entry and page are the register's form.
+type entry struct {
+	ID        string   `json:"instanceId"`
+	Address   string   `json:"hostPort"`
+	Zone      string   `json:"zone"`
+	Kind      string   `json:"machineType"`
+	Cell      int      `json:"cell"`
+	State     string   `json:"lifecycle"`
+	Weight    *float64 `json:"weight"`
+	StartedMs float64  `json:"startedAtMs"`
+}
+
+// weight is the backend's size; where none is stated, or none that can be, all count alike.
+func (e *entry) weight() float64 {
+	if e.Weight == nil || *e.Weight <= 0 {
+		return 1
+	}
+	return *e.Weight
+}
+
+type page struct {
+	Version   *int64  `json:"generation"`
+	Complete  bool    `json:"reset"`
+	Instances []entry `json:"instances"`
+}
+
+var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
+
+// applyList reads a line of the register's and tells the module, unless anything in it can't be read: half a list
+// would be worse than an old one.
+func (r *Client) applyList(line []byte, known bool) error {
+	var list page
+	if err := json.Unmarshal(line, &list); err != nil {
+		return err
+	}
+	if list.Version == nil {
+		return malformed("no generation")
+	}
+	event := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
+	switch {
+	case known:
+		event.List = policy.ListStale
+	case list.Complete:
+		event.List = policy.ListComplete
+	}
+	for i := range list.Instances { // all of them, before the first one counts
+		instance := &list.Instances[i]
+		phase, is := phases[instance.State]
+		switch {
+		case !is:
+			return malformed("searcher %q: unknown state %q", instance.ID, instance.State)
+		case instance.ID == "":
+			return malformed("searcher without an id")
+		case phase != policy.Removed && instance.Address == "":
+			return malformed("searcher %q without an address", instance.ID)
+		case instance.Cell < 0:
+			return malformed("searcher %q: cell %d", instance.ID, instance.Cell)
+		// In a config it is a slip. A list that comes later is not refused for a figure: its drains count more.
+		case known && instance.Weight != nil && *instance.Weight <= 0:
+			return malformed("searcher %q: weight is %g, expected more than 0", instance.ID, *instance.Weight)
+		}
+	}
+	before := r.ids
+	if event.List != policy.ListPatch { // those that it leaves out are gone
+		r.ids = make(map[string]policy.BackendID, len(list.Instances))
+	}
+	for i := range list.Instances {
+		instance := &list.Instances[i]
+		phase := phases[instance.State]
+		id, seen := r.ids[instance.ID]
+		if !seen {
+			id, seen = before[instance.ID]
+		}
+		switch {
+		case !seen && phase == policy.Removed:
+			continue
+		case !seen:
+			r.lastID++
+			id = r.lastID
+		}
+		if phase == policy.Removed { // should the name come again, it is another backend's
+			delete(r.ids, instance.ID)
+		} else {
+			r.ids[instance.ID] = id
+		}
+		event.Entries = append(event.Entries, policy.Entry{Backend: id, Location: policy.LocationID(number(r.locations, instance.Zone)),
+			Kind: number(r.kinds, instance.Kind), Cell: policy.CellID(instance.Cell), Phase: phase, Share: instance.weight(),
+			StartedAt: instance.StartedMs / 1000})
+		event.Addresses = append(event.Addresses, instance.Address)
+		event.Names = append(event.Names, aggregator.Name{Backend: instance.ID, Location: instance.Zone})
+	}
+	r.version = *list.Version
+	r.listener.Put(event)
+	return nil
+}
+
+// number gives names that the settings leave out numbers of their own, beyond those.
+func number(names map[string]int, name string) int {
+	no, known := names[name]
+	if !known {
+		no = len(names)
+		names[name] = no
+	}
+	return no
+}
