--- a/internal/controlplane/configuration/announce.go
+++ b/internal/controlplane/configuration/announce.go
@@ -67,6 +67,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	if _, err := AnnounceCall.Call(ctx, c.options.Caller, member, Announcement{Version: version}); err != nil {
-		c.options.Logger.Debug("member not told of the configuration", zap.String("member", member), zap.Error(err))
+		c.options.Logger.Debug("announcement of the configuration failed", zap.String("member", member), zap.Error(err))
 	}
 }
--- a/internal/controlplane/configuration/readloop.go
+++ b/internal/controlplane/configuration/readloop.go
@@ -54,7 +54,7 @@
 		return readInterval
 	}
 	if !errors.Is(err, context.Canceled) {
-		c.options.Logger.Debug("no quorum read of the configuration", zap.Error(err))
+		c.options.Logger.Debug("quorum read of the configuration failed", zap.Error(err))
 	}
 	return readRetry
 }
