--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -155,7 +155,7 @@
 	server     *clients.Server
 	fleet      *fleet.Fleet           // nil where the operator's file has none
 	controller *controller.Controller // nil where the operator's file has neither overrides nor a listener
-	store      *aggregatorstore.Store
+	store      *aggregatorstore.OverrideStore
 	operators  *api.Server
 	captures   *capture.Writer
 	drained    chan struct{}
@@ -235,17 +235,17 @@
 func (n *Node) openController(set settings.Settings, file operatorfile.File) {
 	limits := file.Overrides.Limits
 	limits.Indexes, limits.Shards, limits.Cells, limits.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
-	var contents aggregatorstore.Contents
+	var contents aggregatorstore.OverrideContents
 	persistent, in := controller.Store(nil), ""
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
-		if n.store, contents, err = aggregatorstore.Open(dir, n.log); err != nil {
+		if n.store, contents, err = aggregatorstore.OpenOverrides(dir, n.log); err != nil {
 			n.log.Error("override store unavailable; commands are rejected", zap.String("text", err.Error()))
 		}
 		persistent, in = n.store, dir
 	}
 	n.controller = controller.New(limits, n.aggregator.Inbox, persistent, in, n.log, n.counters)
-	n.controller.Restore(contents.Revision, contents.Held, contents.Recent)
+	n.controller.Restore(contents.Revision, contents.Active, contents.Recent)
 }
 
 // joinFleet makes the aggregator one of a fleet.
