--- a/internal/systemtest/checker/activeconfiguration.go
+++ b/internal/systemtest/checker/activeconfiguration.go
@@ -7,17 +7,17 @@
 
 func version(change *configuration) string { return fmt.Sprintf("version %d", change.Version) }
 
-// handling is what a client's answer tells about the configuration in force.
-type handling uint8
+// routePresence is what a client's answer tells about the configuration in force.
+type routePresence uint8
 
 const (
-	unclear  handling = iota
-	hasRoute          // the path has a queue
-	noRoute           // it has none
+	unclear  routePresence = iota
+	hasRoute               // the path has a queue
+	noRoute                // it has none
 )
 
-// handlingOf reads a client's answer. A rejected or lost call tells nothing.
-func handlingOf(request *Request) handling {
+// routePresenceOf reads a client's answer. A rejected or lost call tells nothing.
+func routePresenceOf(request *Request) routePresence {
 	switch {
 	case request.Status == statusNotFound:
 		return noRoute
@@ -27,34 +27,34 @@
 	return unclear
 }
 
-// agrees tells whether a configuration lets a request be handled as it was.
-func (c *configuration) agrees(request *Request, seen handling) bool {
+// explains tells whether a configuration lets a request be handled as it was.
+func (c *configuration) explains(request *Request, seen routePresence) bool {
 	_, found := c.match(request.Host, request.Path)
 	return found == (seen == hasRoute)
 }
 
-// checkInForce checks that clients' requests are handled by the configuration that must be in force.
-func (c *checker) checkInForce() {
-	newestSeen := map[incarnation][]effect{}
+// checkActiveConfiguration checks that clients' requests are handled by the configuration that must be in force.
+func (c *checker) checkActiveConfiguration() {
+	newestSeen := map[incarnation][]observedVersion{}
 	for i := range c.Requests {
 		request := &c.Requests[i]
-		seen := handlingOf(request)
+		seen := routePresenceOf(request)
 		if seen == unclear {
 			continue
 		}
 		at := incarnation{request.Machine, request.Incarnation}
-		lowest, highest, found := c.agreeing(request, seen)
+		lowest, highest, found := c.agreeingVersions(request, seen)
 		if !found {
 			if seen == hasRoute {
 				c.report(Config, request.Path, request.AnsweredAt, "a route was served that is only in a configuration that was refused, or in none")
-			} else if c.ackedBefore(request.SentAt) != nil {
+			} else if c.newestAcknowledgedBefore(request.SentAt) != nil {
 				c.report(Config, request.Path, request.AnsweredAt, "a route was refused that every configuration has")
 			}
 			continue
 		}
 		c.checkApplied(request, highest)
 		c.checkRegress(request, highest, newestSeen[at])
-		newestSeen[at] = append(newestSeen[at], effect{lowest, request.AnsweredAt})
+		newestSeen[at] = append(newestSeen[at], observedVersion{lowest, request.AnsweredAt})
 	}
 }
 
@@ -64,20 +64,20 @@
 	number  int
 }
 
-// effect is the lowest version whose effect was seen at a moment.
-type effect struct {
+// observedVersion is the lowest version whose effect was seen at a moment.
+type observedVersion struct {
 	version int64
 	at      time.Time
 }
 
-// agreeing returns the lowest and the highest version that agree with how a request was handled. Before the first
+// agreeingVersions returns the lowest and the highest version that agree with how a request was handled. Before the first
 // configuration, no path has a queue.
-func (c *checker) agreeing(request *Request, seen handling) (lowest, highest int64, found bool) {
+func (c *checker) agreeingVersions(request *Request, seen routePresence) (lowest, highest int64, found bool) {
 	if seen == noRoute {
 		lowest, highest, found = 0, 0, true
 	}
 	for _, change := range c.changes {
-		if !change.possible() || change.sentAt.After(request.AnsweredAt) || !change.agrees(request, seen) {
+		if !change.mayBeActive() || change.sentAt.After(request.AnsweredAt) || !change.explains(request, seen) {
 			continue
 		}
 		if !found {
@@ -89,14 +89,14 @@
 }
 
 func (c *checker) checkApplied(request *Request, highest int64) {
-	must := c.ackedBefore(request.SentAt.Add(-c.Bounds.ConfigurationApply))
-	if must != nil && highest < must.Version && c.inTouch(request.Machine, request.SentAt) {
+	must := c.newestAcknowledgedBefore(request.SentAt.Add(-c.Bounds.ConfigurationApply))
+	if must != nil && highest < must.Version && c.inContact(request.Machine, request.SentAt) {
 		c.report(Config, version(must), request.SentAt, fmt.Sprintf("%s %s was answered %d, as only version %d or older allows",
 			request.Method, request.Path, request.Status, highest))
 	}
 }
 
-func (c *checker) checkRegress(request *Request, highest int64, before []effect) {
+func (c *checker) checkRegress(request *Request, highest int64, before []observedVersion) {
 	for _, earlier := range before {
 		if highest < earlier.version && request.SentAt.After(earlier.at.Add(c.Bounds.RollbackSlack)) {
 			c.report(Config, fmt.Sprintf("version %d", earlier.version), request.SentAt,
--- a/internal/systemtest/checker/answers.go
+++ b/internal/systemtest/checker/answers.go
@@ -18,7 +18,7 @@
 		return
 	}
 	for _, j := range c.jobs {
-		c.checkFinished(j)
+		c.checkFinalState(j)
 	}
 }
 
@@ -26,19 +26,19 @@
 func (c *checker) checkStatus(j *jobRecord, request *Request) {
 	switch {
 	case request.Status == statusGone:
-		c.checkGone(j, request)
+		c.checkNotFound(j, request)
 	case request.Status != statusOK:
 	default:
 		c.checkState(j, request, stateOf(request))
 	}
 }
 
-func (c *checker) checkGone(j *jobRecord, request *Request) {
+func (c *checker) checkNotFound(j *jobRecord, request *Request) {
 	uncancelled := j.cancelSent.IsZero() || j.cancelSent.After(request.AnsweredAt)
 	if j.accepted.IsZero() || !uncancelled || !j.accepted.Add(c.Bounds.Visible).Before(request.SentAt) {
 		return
 	}
-	if c.inTouch(request.Machine, request.SentAt) {
+	if c.inContact(request.Machine, request.SentAt) {
 		c.report(Lost, j.id, request.AnsweredAt, "an accepted job is not known at "+request.Machine)
 	}
 }
@@ -47,11 +47,11 @@
 	switch state {
 	case "queued", "running":
 	case "completed":
-		if missing := c.unfinished(j, request.AnsweredAt); missing != "" {
-			c.report(Mixed, j.id, request.AnsweredAt, "shown as completed, but no run of "+missing+" has ended done")
+		if missing := c.firstUnfinishedStage(j, request.AnsweredAt); missing != "" {
+			c.report(InconsistentState, j.id, request.AnsweredAt, "shown as completed, but no run of "+missing+" has ended done")
 		}
 	case "failed":
-		if !c.exhausted(j, request.AnsweredAt) {
+		if !c.attemptsExhausted(j, request.AnsweredAt) {
 			c.report(Lost, j.id, request.AnsweredAt, "shown as failed although no task has used up its attempts")
 		}
 	case "cancelled":
@@ -59,13 +59,13 @@
 			c.report(Lost, j.id, request.AnsweredAt, "shown as cancelled although nobody has cancelled it")
 		}
 	default:
-		c.report(Mixed, j.id, request.AnsweredAt, fmt.Sprintf("its state cannot be read: %q", request.Answer))
+		c.report(InconsistentState, j.id, request.AnsweredAt, fmt.Sprintf("its state cannot be read: %q", request.Answer))
 	}
 }
 
-// unfinished names a step that is not done; empty when all are.
-func (c *checker) unfinished(j *jobRecord, by time.Time) string {
-	for repetition := range j.spec.times() {
+// firstUnfinishedStage names a step that is not done; empty when all are.
+func (c *checker) firstUnfinishedStage(j *jobRecord, by time.Time) string {
+	for repetition := range j.spec.repetitions() {
 		for number := range j.spec.Stages {
 			if !c.stageDone(j, repetition, number, by) {
 				return fmt.Sprintf("step %d of time %d", number, repetition)
@@ -75,14 +75,14 @@
 	return ""
 }
 
-// exhausted tells whether a task, or all members of a gang together, have failed as often as they may.
-func (c *checker) exhausted(j *jobRecord, by time.Time) bool {
-	least, _ := c.attempts(j)
-	for repetition := range j.spec.times() {
+// attemptsExhausted tells whether a task, or all members of a gang together, have failed as often as they may.
+func (c *checker) attemptsExhausted(j *jobRecord, by time.Time) bool {
+	least, _ := c.attemptLimits(j)
+	for repetition := range j.spec.repetitions() {
 		for number, stage := range j.spec.Stages {
 			gang := map[uint64]bool{}
 			for index := range stage.Count {
-				failed := c.failedRuns(task{j.id, repetition, number, index}, by)
+				failed := c.failedAttempts(task{j.id, repetition, number, index}, by)
 				if !stage.GangScheduled {
 					gang = map[uint64]bool{}
 				}
@@ -98,27 +98,27 @@
 	return false
 }
 
-// failedRuns lists the executions of a task that had ended failed.
-func (c *checker) failedRuns(of task, by time.Time) []uint64 {
+// failedAttempts lists the executions of a task that had ended failed.
+func (c *checker) failedAttempts(of task, by time.Time) []uint64 {
 	var executions []uint64
 	for _, r := range c.byTask[of] {
-		if r.How == "failed" && !r.EndedAt.After(by) {
-			executions = append(executions, r.Execution)
+		if r.Outcome == "failed" && !r.EndedAt.After(by) {
+			executions = append(executions, r.Number)
 		}
 	}
 	return executions
 }
 
-// checkCuts looks for requests that a machine gave up while it was stopped in order.
-func (c *checker) checkCuts() {
+// checkAbortedRequests looks for requests that a machine gave up while it was stopped in order.
+func (c *checker) checkAbortedRequests() {
 	const forceSlack = time.Second
-	for _, cut := range c.Cuts {
+	for _, cut := range c.AbortedRequests {
 		if cut.At.Sub(cut.SentAt) <= c.Bounds.LossSlack {
 			continue
 		}
 		stopped, unplanned := false, false
 		for _, fault := range c.Faults {
-			unplanned = unplanned || !fault.Planned && fault.over(cut.SentAt.Add(-c.Bounds.Contact), cut.At)
+			unplanned = unplanned || !fault.Planned && fault.overlaps(cut.SentAt.Add(-c.Bounds.Contact), cut.At)
 			stopped = stopped || fault.Planned && fault.Machine == cut.Machine && within(cut.At, fault.From, fault.From.Add(c.Bounds.Grace+forceSlack))
 		}
 		if stopped && !unplanned {
@@ -127,9 +127,9 @@
 	}
 }
 
-// checkFinished looks for accepted jobs whose last answer, long after the load, is not a final state.
-func (c *checker) checkFinished(j *jobRecord) {
-	if j.accepted.IsZero() || j.lasting() {
+// checkFinalState looks for accepted jobs whose last answer, long after the load, is not a final state.
+func (c *checker) checkFinalState(j *jobRecord) {
+	if j.accepted.IsZero() || j.runsUntilCancelled() {
 		return
 	}
 	asked := c.SeenUntil
@@ -155,8 +155,8 @@
 	}
 }
 
-// lasting tells whether a job runs until it is cancelled, and nobody has.
-func (j *jobRecord) lasting() bool {
+// runsUntilCancelled tells whether a job runs until it is cancelled, and nobody has.
+func (j *jobRecord) runsUntilCancelled() bool {
 	if !j.cancelSent.IsZero() {
 		return false
 	}
--- a/internal/systemtest/checker/attempts.go
+++ b/internal/systemtest/checker/attempts.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// checkAsked checks that a start is of a task that a client sent, with the client's text and a checkpoint of the task's.
-func (c *checker) checkAsked(r *placedRun) bool {
+// checkRequested checks that a start is of a task that a client sent, with the client's text and a checkpoint of the task's.
+func (c *checker) checkRequested(r *attemptRecord) bool {
 	if !r.known {
-		c.report(Unasked, r.Task, r.StartedAt, "no client sent such a task")
+		c.report(Unrequested, r.Task, r.StartedAt, "no client sent such a task")
 		return false
 	}
 	if r.Specification != r.job.spec.Text {
-		c.report(Unasked, r.Task, r.StartedAt, "started with another specification")
+		c.report(Unrequested, r.Task, r.StartedAt, "started with another specification")
 	}
 	if r.Checkpoint != "" && !c.ownCheckpoint(r) {
-		c.report(Unasked, r.Task, r.StartedAt, "started with checkpoint "+r.Checkpoint+", which is not the task's")
+		c.report(Unrequested, r.Task, r.StartedAt, "started with checkpoint "+r.Checkpoint+", which is not the task's")
 	}
 	if r.stage.GangScheduled {
 		c.checkSameCheckpoint(r)
@@ -26,7 +26,7 @@
 }
 
 // ownCheckpoint tells whether a worker has listed the checkpoint for the task, or for any member of its gang.
-func (c *checker) ownCheckpoint(r *placedRun) bool {
+func (c *checker) ownCheckpoint(r *attemptRecord) bool {
 	for _, checkpoint := range c.Checkpoints {
 		of, ok := parseTask(checkpoint.Task)
 		if !ok || checkpoint.Text != r.Checkpoint {
@@ -39,28 +39,28 @@
 	return false
 }
 
-func (c *checker) checkSameCheckpoint(r *placedRun) {
+func (c *checker) checkSameCheckpoint(r *attemptRecord) {
 	for index := range r.task.index {
 		member := r.task
 		member.index = index
 		for _, other := range c.byTask[member] {
-			if other.Execution == r.Execution && other.Checkpoint != r.Checkpoint {
-				c.report(Unasked, r.Task, r.StartedAt, "members of one gang were started with different checkpoints")
+			if other.Number == r.Number && other.Checkpoint != r.Checkpoint {
+				c.report(Unrequested, r.Task, r.StartedAt, "members of one gang were started with different checkpoints")
 				return
 			}
 		}
 	}
 }
 
-// checkLimit adds up what a worker that does not guard itself had running.
-func (c *checker) checkLimit(r *placedRun) {
+// checkCapacity adds up what a worker that does not guard itself had running.
+func (c *checker) checkCapacity(r *attemptRecord) {
 	worker := c.workers[r.Worker]
 	if worker == nil || worker.Guards {
 		return
 	}
 	used := r.stage.Resources
 	for _, other := range c.byWorker[r.Worker] {
-		if other != r && other.known && !other.StartedAt.After(r.StartedAt) && other.ends().After(r.StartedAt) {
+		if other != r && other.known && !other.StartedAt.After(r.StartedAt) && other.endOrForever().After(r.StartedAt) {
 			used.Processors += other.stage.Processors
 			used.MemoryMB += other.stage.MemoryMB
 			used.Accelerators += other.stage.Accelerators
@@ -68,66 +68,66 @@
 	}
 	capacity := worker.Capacity
 	if used.Processors > capacity.Processors || used.MemoryMB > capacity.MemoryMB || used.Accelerators > capacity.Accelerators {
-		c.report(Limit, r.Task, r.StartedAt, fmt.Sprintf("brings %s to %+v of %+v", r.Worker, used, capacity))
+		c.report(OverCapacity, r.Task, r.StartedAt, fmt.Sprintf("brings %s to %+v of %+v", r.Worker, used, capacity))
 	}
 }
 
-// checkTwice looks for another run of the task at the same time.
-func (c *checker) checkTwice(r *placedRun) {
+// checkConcurrentAttempts looks for another run of the task at the same time.
+func (c *checker) checkConcurrentAttempts(r *attemptRecord) {
 	if r.stage.AtLeastOnce {
 		return
 	}
 	for _, other := range c.byTask[r.task] {
-		if other == r || other.StartedAt.After(r.StartedAt) || !other.ends().After(r.StartedAt) {
+		if other == r || other.StartedAt.After(r.StartedAt) || !other.endOrForever().After(r.StartedAt) {
 			continue
 		}
-		if other.StartedAt.Equal(r.StartedAt) && other.Execution > r.Execution {
+		if other.StartedAt.Equal(r.StartedAt) && other.Number > r.Number {
 			continue // counted from the other side
 		}
-		c.report(Twice, r.Task, r.StartedAt, fmt.Sprintf("run %d starts at %s while run %d is there at %s", r.Execution, r.Worker, other.Execution, other.Worker))
+		c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("run %d starts at %s while run %d is there at %s", r.Number, r.Worker, other.Number, other.Worker))
 	}
 }
 
-// noted tells whether an end was taken note of before the worker's hold lapsed.
-func (c *checker) noted(r *placedRun) bool {
-	if r.NotedAt.IsZero() {
+// acknowledged tells whether an end was taken note of before the worker's hold lapsed.
+func (c *checker) acknowledged(r *attemptRecord) bool {
+	if r.AcknowledgedAt.IsZero() {
 		return false
 	}
-	for _, lapse := range c.Lapses {
-		if lapse.Worker == r.Worker && within(lapse.At, r.EndedAt, r.NotedAt) {
+	for _, lapse := range c.LeaseExpiries {
+		if lapse.Worker == r.Worker && within(lapse.At, r.EndedAt, r.AcknowledgedAt) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkDone looks for an end of the task that was done before, and for the end of its job.
-func (c *checker) checkDone(r *placedRun) {
-	late := r.StartedAt.Add(-c.Bounds.Note)
-	bound := !r.Late && c.inTouch(r.Sender, r.StartedAt)
+// checkAfterCompletion looks for an end of the task that was done before, and for the end of its job.
+func (c *checker) checkAfterCompletion(r *attemptRecord) {
+	late := r.StartedAt.Add(-c.Bounds.AcknowledgeLag)
+	bound := !r.Late && c.inContact(r.Sender, r.StartedAt)
 	for _, other := range c.byTask[r.task] {
-		if other.How != "done" || r.stage.LongRunning || other.EndedAt.After(r.StartedAt) || !c.noted(other) {
+		if other.Outcome != "done" || r.stage.LongRunning || other.EndedAt.After(r.StartedAt) || !c.acknowledged(other) {
 			continue
 		}
-		if !r.stage.AtLeastOnce || bound && other.NotedAt.Before(late) {
-			c.report(Twice, r.Task, r.StartedAt, fmt.Sprintf("run %d starts after run %d has ended done", r.Execution, other.Execution))
+		if !r.stage.AtLeastOnce || bound && other.AcknowledgedAt.Before(late) {
+			c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("run %d starts after run %d has ended done", r.Number, other.Number))
 		}
 	}
 	if !r.job.completed.IsZero() && r.job.completed.Before(late) && bound {
-		c.report(Twice, r.Task, r.StartedAt, "starts after its job was shown as completed")
+		c.report(DuplicateAttempt, r.Task, r.StartedAt, "starts after its job was shown as completed")
 	}
 }
 
-// checkOrder checks that earlier steps were done and the time has come.
-func (c *checker) checkOrder(r *placedRun) {
+// checkStageOrder checks that earlier steps were done and the time has come.
+func (c *checker) checkStageOrder(r *attemptRecord) {
 	for _, earlierStage := range r.stage.DependsOn {
-		if earlierStage >= 0 && earlierStage < len(r.job.spec.Stages) && !c.stageDone(r.job, r.task.time, earlierStage, r.StartedAt) {
-			c.report(InOrder, r.Task, r.StartedAt, fmt.Sprintf("starts before step %d is done", earlierStage))
+		if earlierStage >= 0 && earlierStage < len(r.job.spec.Stages) && !c.stageDone(r.job, r.task.repetition, earlierStage, r.StartedAt) {
+			c.report(StageOrder, r.Task, r.StartedAt, fmt.Sprintf("starts before step %d is done", earlierStage))
 		}
 	}
-	due := r.job.spec.due(r.task.time)
+	due := r.job.spec.due(r.task.repetition)
 	if !due.IsZero() && r.StartedAt.Before(due.Add(-c.Bounds.Early)) {
-		c.report(InOrder, r.Task, r.StartedAt, fmt.Sprintf("starts %v before its time", due.Sub(r.StartedAt).Round(time.Millisecond)))
+		c.report(StageOrder, r.Task, r.StartedAt, fmt.Sprintf("starts %v before its time", due.Sub(r.StartedAt).Round(time.Millisecond)))
 	}
 }
 
@@ -146,33 +146,33 @@
 }
 
 func (c *checker) taskDone(of task, by time.Time) bool {
-	return slices.ContainsFunc(c.byTask[of], func(r *placedRun) bool { return r.How == "done" && !r.EndedAt.After(by) })
+	return slices.ContainsFunc(c.byTask[of], func(r *attemptRecord) bool { return r.Outcome == "done" && !r.EndedAt.After(by) })
 }
 
-// checkRoute checks service, label and antiAffinity.
-func (c *checker) checkRoute(r *placedRun) {
+// checkPlacement checks service, label and antiAffinity.
+func (c *checker) checkPlacement(r *attemptRecord) {
 	worker := c.workers[r.Worker]
 	if worker == nil {
 		return
 	}
 	if !c.serviceOf(r.job, worker.Service) {
-		c.report(OnRoute, r.Task, r.StartedAt, "no configuration sends its queue to service "+worker.Service)
+		c.report(Placement, r.Task, r.StartedAt, "no configuration sends its queue to service "+worker.Service)
 	}
 	for _, label := range r.stage.labels() {
 		if !slices.Contains(worker.Labels, label) {
-			c.report(OnRoute, r.Task, r.StartedAt, "searcher "+worker.ID+" lacks label "+label)
+			c.report(Placement, r.Task, r.StartedAt, "searcher "+worker.ID+" lacks label "+label)
 		}
 	}
-	if r.stage.AntiAffinity > 0 && c.besides(r)+1 > r.stage.AntiAffinity {
-		c.report(OnRoute, r.Task, r.StartedAt, fmt.Sprintf("more than %d tasks of the step at %s", r.stage.AntiAffinity, worker.ID))
+	if r.stage.AntiAffinity > 0 && c.otherTasksOfStage(r)+1 > r.stage.AntiAffinity {
+		c.report(Placement, r.Task, r.StartedAt, fmt.Sprintf("more than %d tasks of the step at %s", r.stage.AntiAffinity, worker.ID))
 	}
 }
 
-// besides counts the step's other tasks at the worker when a run started.
-func (c *checker) besides(r *placedRun) int {
+// otherTasksOfStage counts the step's other tasks at the worker when a run started.
+func (c *checker) otherTasksOfStage(r *attemptRecord) int {
 	count := 0
 	for _, other := range c.byWorker[r.Worker] {
-		if other.task != r.task && other.task.first() == r.task.first() && !other.StartedAt.After(r.StartedAt) && other.ends().After(r.StartedAt) {
+		if other.task != r.task && other.task.first() == r.task.first() && !other.StartedAt.After(r.StartedAt) && other.endOrForever().After(r.StartedAt) {
 			count++
 		}
 	}
@@ -188,11 +188,11 @@
 	return false
 }
 
-// attempts returns the least and the most attempts that a configuration gives a job's tasks.
-func (c *checker) attempts(j *jobRecord) (least, most int) {
+// attemptLimits returns the least and the most attempts that a configuration gives a job's tasks.
+func (c *checker) attemptLimits(j *jobRecord) (least, most int) {
 	for _, change := range c.changes {
 		found, ok := change.match(j.host, j.path)
-		if !ok || !change.possible() {
+		if !ok || !change.mayBeActive() {
 			continue
 		}
 		if least == 0 || found.MaxAttempts < least {
@@ -203,73 +203,73 @@
 	return least, most
 }
 
-// checkBudget counts the noted ends failed before a start.
-func (c *checker) checkBudget(r *placedRun) {
+// checkAttemptBudget counts the noted ends failed before a start.
+func (c *checker) checkAttemptBudget(r *attemptRecord) {
 	if r.stage.LongRunning {
 		return
 	}
 	failed, last := 0, time.Time{}
 	for _, other := range c.byTask[r.task] {
-		if other.How == "failed" && !other.EndedAt.After(r.StartedAt) && c.noted(other) {
+		if other.Outcome == "failed" && !other.EndedAt.After(r.StartedAt) && c.acknowledged(other) {
 			failed++
-			if other.NotedAt.After(last) {
-				last = other.NotedAt
+			if other.AcknowledgedAt.After(last) {
+				last = other.AcknowledgedAt
 			}
 		}
 	}
-	_, most := c.attempts(r.job)
+	_, most := c.attemptLimits(r.job)
 	if failed < max(1, most) {
 		return
 	}
-	if r.stage.AtLeastOnce && (r.Late || !c.inTouch(r.Sender, r.StartedAt) || r.StartedAt.Before(last.Add(c.Bounds.Note))) {
+	if r.stage.AtLeastOnce && (r.Late || !c.inContact(r.Sender, r.StartedAt) || r.StartedAt.Before(last.Add(c.Bounds.AcknowledgeLag))) {
 		return
 	}
-	c.report(Budget, r.Task, r.StartedAt, fmt.Sprintf("run %d starts after %d runs have failed", r.Execution, failed))
+	c.report(AttemptBudget, r.Task, r.StartedAt, fmt.Sprintf("run %d starts after %d runs have failed", r.Number, failed))
 }
 
 // checkGang looks for members that waited for the others in vain.
-func (c *checker) checkGang(r *placedRun) {
-	if r.How != "alone" || r.Late || !r.job.cancelSent.IsZero() && r.job.cancelSent.Before(r.EndedAt) {
+func (c *checker) checkGang(r *attemptRecord) {
+	if r.Outcome != "alone" || r.Late || !r.job.cancelSent.IsZero() && r.job.cancelSent.Before(r.EndedAt) {
 		return
 	}
-	if c.inTouch(r.Sender, r.StartedAt) && !c.troubled(r.StartedAt.Add(-c.Bounds.Contact), r.EndedAt) {
-		c.report(Gang, r.Task, r.EndedAt, fmt.Sprintf("run %d ended alone", r.Execution))
+	if c.inContact(r.Sender, r.StartedAt) && !c.anyFault(r.StartedAt.Add(-c.Bounds.Contact), r.EndedAt) {
+		c.report(Gang, r.Task, r.EndedAt, fmt.Sprintf("run %d ended alone", r.Number))
 	}
 }
 
 // checkCancelled looks for starts and runs after the job's cancellation.
-func (c *checker) checkCancelled(r *placedRun) {
+func (c *checker) checkCancelled(r *attemptRecord) {
 	if r.job.cancelled.IsZero() || r.Late {
 		return
 	}
 	latest := r.job.cancelled.Add(c.Bounds.Cancel)
 	if r.StartedAt.After(latest) {
-		if c.inTouch(r.Sender, r.StartedAt) {
-			c.report(Unasked, r.Task, r.StartedAt, "starts after its job was cancelled")
+		if c.inContact(r.Sender, r.StartedAt) {
+			c.report(Unrequested, r.Task, r.StartedAt, "starts after its job was cancelled")
 		}
 		return
 	}
 	latest = latest.Add(c.Bounds.Stop)
-	if r.ends().After(latest) && latest.Before(c.SeenUntil) && !c.troubled(r.job.cancelled.Add(-c.Bounds.Contact), latest) {
-		c.report(Unasked, r.Task, latest, "still runs after its job was cancelled")
+	if r.endOrForever().After(latest) && latest.Before(c.SeenUntil) && !c.anyFault(r.job.cancelled.Add(-c.Bounds.Contact), latest) {
+		c.report(Unrequested, r.Task, latest, "still runs after its job was cancelled")
 	}
 }
 
-// checkRefused looks for starts of jobs that were never taken.
-func (c *checker) checkRefused(r *placedRun) {
-	if r.job.refusedOnly {
-		c.report(Refused, r.Task, r.StartedAt, "starts although every try to hand the job in was rejected")
+// checkRejectedJob looks for starts of jobs that were never taken.
+func (c *checker) checkRejectedJob(r *attemptRecord) {
+	if r.job.rejectedOnly {
+		c.report(RejectedJob, r.Task, r.StartedAt, "starts although every try to hand the job in was rejected")
 	}
 }
 
-// checkDrained looks for starts at a worker long after a machine in touch had learned that it drains.
-func (c *checker) checkDrained(r *placedRun) {
-	if r.Late || !c.inTouch(r.Sender, r.StartedAt) {
+// checkDrainingWorker looks for starts at a worker long after a machine in touch had learned that it drains.
+func (c *checker) checkDrainingWorker(r *attemptRecord) {
+	if r.Late || !c.inContact(r.Sender, r.StartedAt) {
 		return
 	}
-	for _, list := range c.Lists {
-		if slices.Contains(list.Draining, r.Worker) && list.At.Add(c.Bounds.Drain).Before(r.StartedAt) && c.inTouch(list.Machine, list.At) {
-			c.report(Drained, r.Task, r.StartedAt, "starts at "+r.Worker+", which drains since "+strings.TrimSpace(list.At.Format("15:04:05.000")))
+	for _, list := range c.Inventories {
+		if slices.Contains(list.Draining, r.Worker) && list.At.Add(c.Bounds.Drain).Before(r.StartedAt) && c.inContact(list.Machine, list.At) {
+			c.report(DrainingWorker, r.Task, r.StartedAt, "starts at "+r.Worker+", which drains since "+strings.TrimSpace(list.At.Format("15:04:05.000")))
 			return
 		}
 	}
--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -26,12 +26,12 @@
 		Name string `json:"name"`
 	} `json:"services"`
 
-	builtOn int64
-	body    []byte
-	valid   bool
-	sentAt  time.Time
-	acked   time.Time // the first acknowledgement
-	refused bool      // a clear refusal, and no acknowledgement
+	builtOn        int64
+	body           []byte
+	valid          bool
+	sentAt         time.Time
+	acknowledgedAt time.Time // the first acknowledgement
+	rejected       bool      // a clear refusal, and no acknowledgement
 }
 
 // match finds the route of a path: the longest prefix.
@@ -73,26 +73,26 @@
 	return true
 }
 
-// takeOrders gathers the tries of each change.
-func (c *checker) takeOrders() {
-	for i := range c.Orders {
-		order := &c.Orders[i]
+// indexChanges gathers the tries of each change.
+func (c *checker) indexChanges() {
+	for i := range c.OperatorRequests {
+		order := &c.OperatorRequests[i]
 		if order.Method != http.MethodPut {
 			continue
 		}
-		change := c.changeOf(order)
+		change := c.findOrAddChange(order)
 		switch {
 		case success(order.Status):
-			change.acked = earlier(change.acked, order.AnsweredAt)
-			change.refused = false
+			change.acknowledgedAt = earlier(change.acknowledgedAt, order.AnsweredAt)
+			change.rejected = false
 		case order.Status >= 400 && order.Status < 500 && order.Status != 408 && order.Status != statusTooMany:
-			change.refused = change.acked.IsZero()
+			change.rejected = change.acknowledgedAt.IsZero()
 		}
 	}
 	slices.SortStableFunc(c.changes, func(a, b *configuration) int { return int(a.Version - b.Version) })
 }
 
-func (c *checker) changeOf(order *Order) *configuration {
+func (c *checker) findOrAddChange(order *OperatorRequest) *configuration {
 	for _, change := range c.changes {
 		if change.builtOn == order.BuiltOn && bytes.Equal(change.body, order.Body) {
 			change.sentAt = earlier(change.sentAt, order.SentAt)
@@ -105,38 +105,38 @@
 	return change
 }
 
-// possible tells whether a change may be in force.
-func (c *configuration) possible() bool { return c.valid && !c.refused }
+// mayBeActive tells whether a change may be in force.
+func (c *configuration) mayBeActive() bool { return c.valid && !c.rejected }
 
-// checkOrders checks the answers that operators got.
-func (c *checker) checkOrders() {
+// checkOperatorRequests checks the answers that operators got.
+func (c *checker) checkOperatorRequests() {
 	for i, change := range c.changes {
-		if change.acked.IsZero() {
+		if change.acknowledgedAt.IsZero() {
 			continue
 		}
 		if !change.valid {
-			c.report(Config, version(change), change.acked, "an invalid configuration was acknowledged")
+			c.report(Config, version(change), change.acknowledgedAt, "an invalid configuration was acknowledged")
 		}
 		for _, other := range c.changes[i+1:] {
-			if !other.acked.IsZero() && other.builtOn == change.builtOn {
-				c.report(Config, version(other), other.acked, "two changes on top of the same version were acknowledged")
+			if !other.acknowledgedAt.IsZero() && other.builtOn == change.builtOn {
+				c.report(Config, version(other), other.acknowledgedAt, "two changes on top of the same version were acknowledged")
 			}
 		}
 	}
-	for i := range c.Orders {
-		if c.Orders[i].Method == http.MethodPut {
-			c.checkResent(&c.Orders[i])
+	for i := range c.OperatorRequests {
+		if c.OperatorRequests[i].Method == http.MethodPut {
+			c.checkRetriedChange(&c.OperatorRequests[i])
 		} else {
-			c.checkReadBack(&c.Orders[i])
+			c.checkReadBack(&c.OperatorRequests[i])
 		}
 	}
 }
 
-// checkResent looks for the refusal of a change that was acknowledged and is the newest.
-func (c *checker) checkResent(order *Order) {
-	change := c.changeOf(order)
+// checkRetriedChange looks for the refusal of a change that was acknowledged and is the newest.
+func (c *checker) checkRetriedChange(order *OperatorRequest) {
+	change := c.findOrAddChange(order)
 	refusal := order.Status >= 400 && order.Status < 500 && order.Status != 408 && order.Status != statusTooMany
-	if change.acked.IsZero() || !refusal || order.SentAt.Before(change.acked) {
+	if change.acknowledgedAt.IsZero() || !refusal || order.SentAt.Before(change.acknowledgedAt) {
 		return
 	}
 	for _, other := range c.changes {
@@ -148,8 +148,8 @@
 }
 
 // checkReadBack compares a configuration that was read with what had been acknowledged before.
-func (c *checker) checkReadBack(order *Order) {
-	newest := c.ackedBefore(order.SentAt)
+func (c *checker) checkReadBack(order *OperatorRequest) {
+	newest := c.newestAcknowledgedBefore(order.SentAt)
 	if order.Status == statusNotFound && newest != nil {
 		c.report(Lost, version(newest), order.AnsweredAt, "the acknowledged configuration is not there")
 	}
@@ -162,18 +162,18 @@
 		return
 	}
 	for _, change := range c.changes {
-		if change.Version == read.Version && change.possible() && sameJSON(change.body, order.Answer) {
+		if change.Version == read.Version && change.mayBeActive() && sameJSON(change.body, order.Answer) {
 			return
 		}
 	}
 	c.report(Config, version(read), order.AnsweredAt, "a configuration was read back that is not what was sent under its number")
 }
 
-// ackedBefore is the newest version acknowledged before a moment; nil without one.
-func (c *checker) ackedBefore(at time.Time) *configuration {
+// newestAcknowledgedBefore is the newest version acknowledged before a moment; nil without one.
+func (c *checker) newestAcknowledgedBefore(at time.Time) *configuration {
 	var newest *configuration
 	for _, change := range c.changes {
-		if change.valid && !change.acked.IsZero() && change.acked.Before(at) {
+		if change.valid && !change.acknowledgedAt.IsZero() && change.acknowledgedAt.Before(at) {
 			newest = change
 		}
 	}
--- a/internal/systemtest/checker/configurations_test.go
+++ b/internal/systemtest/checker/configurations_test.go
@@ -5,63 +5,63 @@
 	"testing"
 )
 
-// change adds the second configuration, taken at 20 s.
-func change(h *History) {
-	h.Orders = append(h.Orders, put(secondText, 3, 20, 200), read(secondText, 20.5, 200))
+// withSecondConfiguration adds the second configuration, taken at 20 s.
+func withSecondConfiguration(h *History) {
+	h.OperatorRequests = append(h.OperatorRequests, putRequest(secondText, 3, 20, 200), readRequest(secondText, 20.5, 200))
 }
 
-func TestConfigurationsAreJudged(t *testing.T) {
+func TestConfigurationRules(t *testing.T) {
 	with := func(add func(*History)) func(*History) {
-		return func(h *History) { change(h); add(h) }
+		return func(h *History) { withSecondConfiguration(h); add(h) }
 	}
-	orders := func(orders ...Order) func(*History) {
-		return with(func(h *History) { h.Orders = append(h.Orders, orders...) })
+	orders := func(orders ...OperatorRequest) func(*History) {
+		return with(func(h *History) { h.OperatorRequests = append(h.OperatorRequests, orders...) })
 	}
 	requests := func(requests ...Request) func(*History) {
 		return with(func(h *History) { h.Requests = append(h.Requests, requests...) })
 	}
 	restarted := func(request Request) Request { request.Incarnation++; return request }
 	checkAll(t, []history{
-		{"A change breaks nothing", change, ""},
-		{"A new route applied", requests(counted(newPrefix, 20.05, 404), counted(newPrefix, 23, 200), counted(oldPrefix, 23, 404)), ""},
-		{"A new route not applied in time", requests(counted(newPrefix, 22.5, 404)), Config},
-		{"A dropped route served too long", requests(counted(oldPrefix, 22.5, 200)), Config},
+		{"A change breaks nothing", withSecondConfiguration, ""},
+		{"A new route applied", requests(routeRequest(newPrefix, 20.05, 404), routeRequest(newPrefix, 23, 200), routeRequest(oldPrefix, 23, 404)), ""},
+		{"A new route not applied in time", requests(routeRequest(newPrefix, 22.5, 404)), Config},
+		{"A dropped route served too long", requests(routeRequest(oldPrefix, 22.5, 200)), Config},
 		{"A new route not applied in time by a machine out of touch", with(func(h *History) {
-			h.Requests = append(h.Requests, counted(newPrefix, 22.5, 404))
+			h.Requests = append(h.Requests, routeRequest(newPrefix, 22.5, 404))
 			h.Faults = []Fault{{Machine: "front-1", From: at(10), To: at(20)}}
 		}), ""},
 		{"A new route not applied in time while the core is unstable", with(func(h *History) {
-			h.Requests = append(h.Requests, counted(newPrefix, 22.5, 404))
+			h.Requests = append(h.Requests, routeRequest(newPrefix, 22.5, 404))
 			h.Faults = []Fault{{Machine: "core-3", From: at(20)}}
 		}), ""},
 		{"A new route not applied while a core machine is long gone", with(func(h *History) {
-			h.Requests = append(h.Requests, counted(newPrefix, 25, 404))
+			h.Requests = append(h.Requests, routeRequest(newPrefix, 25, 404))
 			h.Faults = []Fault{{Machine: "core-3", From: at(20)}}
 		}), Config},
-		{"A machine that goes back", requests(counted(newPrefix, 20.2, 200), counted(newPrefix, 21, 404)), Config},
-		{"A machine that goes back after its restart", requests(counted(newPrefix, 20.2, 200), restarted(counted(newPrefix, 21, 404))), ""},
-		{"An acknowledged change refused when sent again", orders(put(secondText, 3, 22, 412)), Config},
-		{"An acknowledged change refused after the next one", orders(put(rivalText, 5, 22, 200), put(secondText, 3, 23, 412), read(rivalText, 30, 200)), ""},
-		{"An acknowledged change without a clear answer when sent again", orders(put(secondText, 3, 22, 503)), ""},
-		{"Two changes on top of the same version", orders(put(rivalText, 3, 21, 200), read(rivalText, 30, 200)), Config},
-		{"One of two changes on top of the same version", orders(put(rivalText, 3, 21, 412)), ""},
+		{"A machine that goes back", requests(routeRequest(newPrefix, 20.2, 200), routeRequest(newPrefix, 21, 404)), Config},
+		{"A machine that goes back after its restart", requests(routeRequest(newPrefix, 20.2, 200), restarted(routeRequest(newPrefix, 21, 404))), ""},
+		{"An acknowledged change refused when sent again", orders(putRequest(secondText, 3, 22, 412)), Config},
+		{"An acknowledged change refused after the next one", orders(putRequest(rivalText, 5, 22, 200), putRequest(secondText, 3, 23, 412), readRequest(rivalText, 30, 200)), ""},
+		{"An acknowledged change without a clear answer when sent again", orders(putRequest(secondText, 3, 22, 503)), ""},
+		{"Two changes on top of the same version", orders(putRequest(rivalText, 3, 21, 200), readRequest(rivalText, 30, 200)), Config},
+		{"One of two changes on top of the same version", orders(putRequest(rivalText, 3, 21, 412)), ""},
 		{"A refused configuration in force", with(func(h *History) {
-			h.Orders = append(h.Orders, put(rivalText, 3, 21, 412))
-			h.Requests = append(h.Requests, counted("/rival/", 23, 200))
+			h.OperatorRequests = append(h.OperatorRequests, putRequest(rivalText, 3, 21, 412))
+			h.Requests = append(h.Requests, routeRequest("/rival/", 23, 200))
 		}), Config},
 		{"An invalid configuration in force", with(func(h *History) {
-			h.Orders = append(h.Orders, put(badText, 5, 21, 0))
-			h.Requests = append(h.Requests, counted("/bad/", 23, 200))
+			h.OperatorRequests = append(h.OperatorRequests, putRequest(badText, 5, 21, 0))
+			h.Requests = append(h.Requests, routeRequest("/bad/", 23, 200))
 		}), Config},
-		{"An invalid configuration acknowledged", orders(put(badText, 5, 21, 200)), Config},
-		{"An old version acknowledged", orders(put(strings.Replace(secondText, `"version":5`, `"version":4`, 1), 5, 21, 200)), Config},
+		{"An invalid configuration acknowledged", orders(putRequest(badText, 5, 21, 200)), Config},
+		{"An old version acknowledged", orders(putRequest(strings.Replace(secondText, `"version":5`, `"version":4`, 1), 5, 21, 200)), Config},
 		{"An unclear change in force", with(func(h *History) {
-			h.Orders = append(h.Orders, put(rivalText, 5, 21, 0), read(rivalText, 30, 200))
-			h.Requests = append(h.Requests, counted("/rival/", 23, 200))
+			h.OperatorRequests = append(h.OperatorRequests, putRequest(rivalText, 5, 21, 0), readRequest(rivalText, 30, 200))
+			h.Requests = append(h.Requests, routeRequest("/rival/", 23, 200))
 		}), ""},
-		{"An older configuration read back", orders(read(firstText, 30, 200)), Lost},
-		{"No configuration read back", orders(read("", 30, 404)), Lost},
-		{"Another configuration under the same number", orders(read(strings.Replace(secondText, "added", "other", 1), 30, 200)), Config},
-		{"A route refused that all have", requests(counted(prefix, 25, 404)), Config},
+		{"An older configuration read back", orders(readRequest(firstText, 30, 200)), Lost},
+		{"No configuration read back", orders(readRequest("", 30, 404)), Lost},
+		{"Another configuration under the same number", orders(readRequest(strings.Replace(secondText, "added", "other", 1), 30, 200)), Config},
+		{"A route refused that all have", requests(routeRequest(prefix, 25, 404)), Config},
 	})
 }
--- a/internal/systemtest/checker/faultwindows.go
+++ b/internal/systemtest/checker/faultwindows.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// over tells whether a trouble touches the time from one moment to another, both included.
-func (t Fault) over(from, to time.Time) bool {
+// overlaps tells whether a trouble touches the time from one moment to another, both included.
+func (t Fault) overlaps(from, to time.Time) bool {
 	return !t.From.After(to) && (t.To.IsZero() || !t.To.Before(from))
 }
 
@@ -12,11 +12,11 @@
 	return !moment.IsZero() && !moment.Before(from) && !moment.After(to)
 }
 
-// inTouch tells whether the rules that are bound by time hold for a machine at a moment.
-func (c *checker) inTouch(machine string, at time.Time) bool {
+// inContact tells whether the rules that are bound by time hold for a machine at a moment.
+func (c *checker) inContact(machine string, at time.Time) bool {
 	from := at.Add(-c.Bounds.Contact)
 	for _, fault := range c.Faults {
-		if fault.Kind == MachineFault && fault.Machine == machine && fault.over(from, at) {
+		if fault.Kind == MachineFault && fault.Machine == machine && fault.overlaps(from, at) {
 			return false
 		}
 	}
@@ -34,17 +34,17 @@
 		if within(fault.From, from, at) || within(fault.To, from, at) {
 			return false
 		}
-		if fault.over(at, at) {
+		if fault.overlaps(at, at) {
 			down[fault.Machine] = true
 		}
 	}
 	return 2*(len(c.core)-len(down)) > len(c.core)
 }
 
-// troubled tells whether there was any trouble in a span.
-func (c *checker) troubled(from, to time.Time) bool {
+// anyFault tells whether there was any trouble in a span.
+func (c *checker) anyFault(from, to time.Time) bool {
 	for _, fault := range c.Faults {
-		if fault.over(from, to) {
+		if fault.overlaps(from, to) {
 			return true
 		}
 	}
--- a/internal/systemtest/checker/history.go
+++ b/internal/systemtest/checker/history.go
@@ -17,24 +17,24 @@
 	Early              time.Duration
 	LossSlack          time.Duration // from a request's last byte until a stop in order must answer it
 	Grace              time.Duration // from a stop in order until its end by force
-	Note               time.Duration // from an end's acknowledgement or a job's completion until nothing starts any more
+	AcknowledgeLag     time.Duration // from an end's acknowledgement or a job's completion until nothing starts any more
 }
 
 // History is everything that was seen.
 type History struct {
-	Bounds      Bounds
-	Core        []string // machines that hold the control state
-	Faults      []Fault
-	Workers     []Worker
-	Runs        []Run
-	Checkpoints []Checkpoint
-	Lapses      []Lapse
-	Lists       []List
-	Requests    []Request
-	Orders      []Order
-	Cuts        []Cut
-	EndedAt     time.Time // when the load ended; what is asked after it must show jobs that can end as ended
-	SeenUntil   time.Time // when the history ends
+	Bounds           Bounds
+	Core             []string // machines that hold the control state
+	Faults           []Fault
+	Workers          []Worker
+	Attempts         []Attempt
+	Checkpoints      []Checkpoint
+	LeaseExpiries    []LeaseExpiry
+	Inventories      []Inventory
+	Requests         []Request
+	OperatorRequests []OperatorRequest
+	AbortedRequests  []AbortedRequest
+	EndedAt          time.Time // when the load ended; what is asked after it must show jobs that can end as ended
+	SeenUntil        time.Time // when the history ends
 }
 
 // FaultKind says what trouble was made.
@@ -72,19 +72,19 @@
 	Guards   bool
 }
 
-// Run is one run that a worker has begun on an order.
-type Run struct {
-	Worker        string // the identifier of its life
-	Task          string // as on the wire
-	Execution     uint64
-	Specification string
-	Checkpoint    string
-	Late          bool   // carried out after its order had been left unanswered
-	Sender        string // the machine that ordered it; empty where that is not known
-	StartedAt     time.Time
-	EndedAt       time.Time // the zero time while it runs
-	How           string    // empty while it runs, and when its worker crashed
-	NotedAt       time.Time // when a hold's lastSeen reached its end; the zero time before
+// Attempt is one run that a worker has begun on an order.
+type Attempt struct {
+	Worker         string // the identifier of its life
+	Task           string // as on the wire
+	Number         uint64
+	Specification  string
+	Checkpoint     string
+	Late           bool   // carried out after its order had been left unanswered
+	Sender         string // the machine that ordered it; empty where that is not known
+	StartedAt      time.Time
+	EndedAt        time.Time // the zero time while it runs
+	Outcome        string    // empty while it runs, and when its worker crashed
+	AcknowledgedAt time.Time // when a hold's lastSeen reached its end; the zero time before
 }
 
 // Checkpoint is one that a worker has listed for a task.
@@ -93,14 +93,14 @@
 	Text string
 }
 
-// Lapse is a moment at which nothing was granted to a worker any more.
-type Lapse struct {
+// LeaseExpiry is a moment at which nothing was granted to a worker any more.
+type LeaseExpiry struct {
 	Worker string
 	At     time.Time
 }
 
-// List is an answer of the platform that shows a worker as draining.
-type List struct {
+// Inventory is an answer of the platform that shows a worker as draining.
+type Inventory struct {
 	Machine  string // that asked
 	Draining []string
 	At       time.Time
@@ -120,16 +120,16 @@
 	Answer      []byte
 }
 
-// Cut is a client's request that a machine had read whole, and whose connection it closed without a whole answer.
-type Cut struct {
+// AbortedRequest is a client's request that a machine had read whole, and whose connection it closed without a whole answer.
+type AbortedRequest struct {
 	Machine string
 	Path    string
 	SentAt  time.Time
 	At      time.Time
 }
 
-// Order is one call of an operator to one machine.
-type Order struct {
+// OperatorRequest is one call of an operator to one machine.
+type OperatorRequest struct {
 	Machine    string
 	Method     string
 	BuiltOn    int64
@@ -155,16 +155,16 @@
 
 // The rules.
 const (
-	Limit   = "LIMIT"
-	Twice   = "TWICE"
-	InOrder = "ORDER"
-	OnRoute = "ROUTE"
-	Budget  = "BUDGET"
-	Gang    = "GANG"
-	Unasked = "UNASKED"
-	Refused = "REFUSED"
-	Drained = "DRAIN"
-	Mixed   = "MIXED"
-	Lost    = "LOST"
-	Config  = "CONFIG"
+	OverCapacity      = "LIMIT"
+	DuplicateAttempt  = "TWICE"
+	StageOrder        = "ORDER"
+	Placement         = "ROUTE"
+	AttemptBudget     = "BUDGET"
+	Gang              = "GANG"
+	Unrequested       = "UNASKED"
+	RejectedJob       = "REFUSED"
+	DrainingWorker    = "DRAIN"
+	InconsistentState = "MIXED"
+	Lost              = "LOST"
+	Config            = "CONFIG"
 )
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -45,7 +45,7 @@
 	IntervalMS  int64   `json:"intervalMs"`
 }
 
-func (s specification) times() int { return max(1, s.Repetitions) }
+func (s specification) repetitions() int { return max(1, s.Repetitions) }
 
 // due is when a time's steps may start; the zero time for jobs without a schedule.
 func (s specification) due(repetition int) time.Time {
@@ -57,22 +57,22 @@
 
 // jobRecord is what clients did about one job.
 type jobRecord struct {
-	id          string
-	path        string
-	host        string
-	spec        specification
-	submitted   bool
-	accepted    time.Time // the first answer of success; the zero time without one
-	refusedOnly bool      // each try to hand it in was rejected
-	cancelSent  time.Time
-	cancelled   time.Time // the first acknowledgement of a cancel
-	completed   time.Time // when it was first shown as completed
+	id           string
+	path         string
+	host         string
+	spec         specification
+	submitted    bool
+	accepted     time.Time // the first answer of success; the zero time without one
+	rejectedOnly bool      // each try to hand it in was rejected
+	cancelSent   time.Time
+	cancelled    time.Time // the first acknowledgement of a cancel
+	completed    time.Time // when it was first shown as completed
 }
 
 // task is a task's name.
 type task struct {
-	job                string
-	time, stage, index int
+	job                      string
+	repetition, stage, index int
 }
 
 // parseTask reads ID.K.STEP.INDEX.
@@ -93,7 +93,7 @@
 }
 
 // first is the name of a step's first task.
-func (t task) first() task { return task{t.job, t.time, t.stage, 0} }
+func (t task) first() task { return task{t.job, t.repetition, t.stage, 0} }
 
 // jobID is the last part of a path.
 func jobID(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
@@ -114,8 +114,8 @@
 	return status == statusTooMany || status == statusNoService || status == statusNotFound
 }
 
-// takeRequests reads what clients did.
-func (c *checker) takeRequests() {
+// indexRequests reads what clients did.
+func (c *checker) indexRequests() {
 	for i := range c.Requests {
 		request := &c.Requests[i]
 		id := jobID(request.Path)
@@ -124,17 +124,17 @@
 		}
 		j := c.jobs[id]
 		if j == nil {
-			j = &jobRecord{id: id, refusedOnly: true}
+			j = &jobRecord{id: id, rejectedOnly: true}
 			c.jobs[id] = j
 		}
-		j.take(request)
+		j.addRequest(request)
 	}
 }
 
-func (j *jobRecord) take(request *Request) {
+func (j *jobRecord) addRequest(request *Request) {
 	switch request.Method {
 	case http.MethodPost:
-		j.takeSubmit(request)
+		j.addSubmit(request)
 	case http.MethodDelete:
 		j.cancelSent = earlier(j.cancelSent, request.SentAt)
 		if success(request.Status) {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (j *jobRecord) takeSubmit(request *Request) {
+func (j *jobRecord) addSubmit(request *Request) {
 	if !j.submitted {
 		_ = json.Unmarshal(request.Body, &j.spec) // of a body that cannot be read nothing may run
 		j.path, j.host, j.submitted = request.Path, request.Host, true
@@ -156,7 +156,7 @@
 		j.accepted = earlier(j.accepted, request.AnsweredAt)
 	}
 	if !rejected(request.Status) {
-		j.refusedOnly = false
+		j.rejectedOnly = false
 	}
 }
 
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -128,7 +128,7 @@
 }
 
 // takenOrders are the changes that have been acknowledged so far.
-func (s *system) takenOrders() (taken []checker.Order) {
+func (s *system) takenOrders() (taken []checker.OperatorRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, order := range s.orders {
@@ -140,12 +140,12 @@
 }
 
 // coreDoubts ask a core machine for what it may remember wrongly. They get the newest change from before it stood still.
-var coreDoubts = []func(s *system, ctx context.Context, m *machine, before checker.Order){
+var coreDoubts = []func(s *system, ctx context.Context, m *machine, before checker.OperatorRequest){
 	(*system).doubtReading, (*system).doubtRefusal, (*system).doubtRepetition, (*system).doubtJobs,
 }
 
 // doubtReading reads the configuration.
-func (s *system) doubtReading(ctx context.Context, m *machine, _ checker.Order) {
+func (s *system) doubtReading(ctx context.Context, m *machine, _ checker.OperatorRequest) {
 	newest := s.newestAcknowledged()
 	read := s.order(ctx, m, http.MethodGet, 0, nil)
 	if read.Status == http.StatusOK && versionOf(read.Answer) < newest || read.Status == http.StatusNotFound {
@@ -154,7 +154,7 @@
 }
 
 // doubtRefusal sends a change on a version that was replaced long ago.
-func (s *system) doubtRefusal(ctx context.Context, m *machine, before checker.Order) {
+func (s *system) doubtRefusal(ctx context.Context, m *machine, before checker.OperatorRequest) {
 	newest := s.newestAcknowledged()
 	late := s.order(ctx, m, http.MethodPut, before.BuiltOn, encodeConfiguration(newest+100, []routePlan{renderRoute}))
 	if late.Status == http.StatusOK || late.Status == http.StatusPreconditionFailed && currentOf(late.Answer) < newest {
@@ -164,7 +164,7 @@
 }
 
 // doubtRepetition sends a change that was taken once more.
-func (s *system) doubtRepetition(ctx context.Context, m *machine, before checker.Order) {
+func (s *system) doubtRepetition(ctx context.Context, m *machine, before checker.OperatorRequest) {
 	again := s.order(ctx, m, http.MethodPut, before.BuiltOn, before.Body)
 	if isClear(again.Status) && again.Status != http.StatusOK {
 		s.fail(fmt.Errorf("%s answers %d %s to a change that was taken before", m.name, again.Status, again.Answer))
@@ -180,7 +180,7 @@
 }
 
 // doubtJobs asks a core machine as an operator does, and all fronts, for the job that was accepted last.
-func (s *system) doubtJobs(ctx context.Context, m *machine, _ checker.Order) {
+func (s *system) doubtJobs(ctx context.Context, m *machine, _ checker.OperatorRequest) {
 	path, id := s.newestJob()
 	if path == "" {
 		return
--- a/internal/systemtest/operators_test.go
+++ b/internal/systemtest/operators_test.go
@@ -87,10 +87,10 @@
 }
 
 // order makes one call of an operator to one machine and records it.
-func (s *system) order(ctx context.Context, core *machine, method string, builtOn int64, body []byte) checker.Order {
+func (s *system) order(ctx context.Context, core *machine, method string, builtOn int64, body []byte) checker.OperatorRequest {
 	ctx, cancel := context.WithTimeout(ctx, operatorPatience)
 	defer cancel()
-	record := checker.Order{Machine: core.name, Method: method, BuiltOn: builtOn, Body: body, SentAt: time.Now()}
+	record := checker.OperatorRequest{Machine: core.name, Method: method, BuiltOn: builtOn, Body: body, SentAt: time.Now()}
 	record.Status, record.Answer = s.sendOrder(ctx, core, method, builtOn, body)
 	record.AnsweredAt = time.Now()
 	s.mu.Lock()
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -30,9 +30,9 @@
 	ends        map[endName]runName
 	noted       map[runName]time.Time
 	heldUntil   map[string]time.Time
-	lapses      []checker.Lapse
+	lapses      []checker.LeaseExpiry
 	checkpoints map[checker.Checkpoint]bool
-	lists       []checker.List
+	lists       []checker.Inventory
 	lines       []line
 	leaders     map[string]string // the machine that last held, by a worker's address
 }
@@ -104,7 +104,7 @@
 func (r *recorder) hold(life string, validUntil, clock int64, now time.Time) {
 	until := r.heldUntil[life]
 	if !until.IsZero() && now.After(until) {
-		r.lapses = append(r.lapses, checker.Lapse{Worker: life, At: until})
+		r.lapses = append(r.lapses, checker.LeaseExpiry{Worker: life, At: until})
 		delete(r.heldUntil, life)
 	}
 	if validUntil <= clock {
@@ -159,7 +159,7 @@
 	if json.Unmarshal(c.answer, &list) != nil {
 		return
 	}
-	seen := checker.List{Machine: c.from, At: time.Now()}
+	seen := checker.Inventory{Machine: c.from, At: time.Now()}
 	for _, instance := range list.Instances {
 		if instance.State == "draining" {
 			seen.Draining = append(seen.Draining, instance.Identifier)
@@ -185,26 +185,26 @@
 	defer r.mu.Unlock()
 	for _, record := range runs {
 		name := runName{record.Worker, record.Task.String(), record.Execution}
-		run := checker.Run{
-			Worker: record.Worker, Task: name.task, Execution: record.Execution, Specification: record.Specification,
+		run := checker.Attempt{
+			Worker: record.Worker, Task: name.task, Number: record.Execution, Specification: record.Specification,
 			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[name], StartedAt: record.StartedAt,
-			EndedAt: record.EndedAt, How: string(record.How),
+			EndedAt: record.EndedAt, Outcome: string(record.How),
 		}
 		if record.Acknowledged {
-			run.NotedAt = r.noted[name]
-			if run.NotedAt.IsZero() {
-				run.NotedAt = record.EndedAt // the answer was lost
+			run.AcknowledgedAt = r.noted[name]
+			if run.AcknowledgedAt.IsZero() {
+				run.AcknowledgedAt = record.EndedAt // the answer was lost
 			}
 		}
-		h.Runs = append(h.Runs, run)
+		h.Attempts = append(h.Attempts, run)
 	}
 	for life, until := range r.heldUntil {
 		if until.Before(h.SeenUntil) {
-			r.lapses = append(r.lapses, checker.Lapse{Worker: life, At: until})
+			r.lapses = append(r.lapses, checker.LeaseExpiry{Worker: life, At: until})
 		}
 	}
 	for checkpoint := range r.checkpoints {
 		h.Checkpoints = append(h.Checkpoints, checkpoint)
 	}
-	h.Lapses, h.Lists = r.lapses, r.lists
+	h.LeaseExpiries, h.Inventories = r.lapses, r.lists
 }
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -72,8 +72,8 @@
 	mu       sync.Mutex
 	faults   []checker.Fault
 	requests []checker.Request
-	orders   []checker.Order
-	cuts     []checker.Cut
+	orders   []checker.OperatorRequest
+	cuts     []checker.AbortedRequest
 	lives    map[string]checker.Worker // by identifier
 	failures []error
 	jobs     []jobPlan
@@ -239,7 +239,7 @@
 func (s *system) noteCut(c call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cuts = append(s.cuts, checker.Cut{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
+	s.cuts = append(s.cuts, checker.AbortedRequest{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
 }
 
 // finish notes that all trouble with a machine or a worker is over.
@@ -268,7 +268,7 @@
 	return checker.Bounds{
 		Contact: 3*time.Second + busySlack, ConfigurationApply: 2*time.Second + busySlack, RollbackSlack: 250*time.Millisecond + busySlack,
 		Drain: drainTime + busySlack, Cancel: 3*time.Second + busySlack, Stop: stopTime + busySlack, Visible: 3*time.Second + busySlack,
-		Early: 250 * time.Millisecond, Note: time.Second + busySlack, LossSlack: lossSlack, Grace: gracePeriod,
+		Early: 250 * time.Millisecond, AcknowledgeLag: time.Second + busySlack, LossSlack: lossSlack, Grace: gracePeriod,
 	}
 }
 
@@ -278,7 +278,7 @@
 	defer s.mu.Unlock()
 	h := checker.History{
 		Bounds: s.bounds(),
-		Faults: s.faults, Requests: s.requests, Orders: s.orders, Cuts: s.cuts, EndedAt: endedAt, SeenUntil: time.Now(),
+		Faults: s.faults, Requests: s.requests, OperatorRequests: s.orders, AbortedRequests: s.cuts, EndedAt: endedAt, SeenUntil: time.Now(),
 	}
 	for _, m := range s.core {
 		h.Core = append(h.Core, m.name)
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -20,12 +20,12 @@
 
 func summarize(h checker.History) summary {
 	result := summary{
-		Runs: len(h.Runs), Lapses: len(h.Lapses), Checkpoints: len(h.Checkpoints), Lists: len(h.Lists), Requests: len(h.Requests),
-		Orders: len(h.Orders), Cuts: len(h.Cuts), Ends: map[string]int{}, Answers: map[int]int{},
+		Runs: len(h.Attempts), Lapses: len(h.LeaseExpiries), Checkpoints: len(h.Checkpoints), Lists: len(h.Inventories), Requests: len(h.Requests),
+		Orders: len(h.OperatorRequests), Cuts: len(h.AbortedRequests), Ends: map[string]int{}, Answers: map[int]int{},
 	}
-	for _, run := range h.Runs {
-		result.Ends[run.How]++
-		if !run.NotedAt.IsZero() {
+	for _, run := range h.Attempts {
+		result.Ends[run.Outcome]++
+		if !run.AcknowledgedAt.IsZero() {
 			result.Noted++
 		}
 		if run.Sender == "" {
@@ -88,7 +88,7 @@
 			lines = append(lines, accountLine{request.AnsweredAt, text})
 		}
 	}
-	for _, run := range h.Runs {
+	for _, run := range h.Attempts {
 		if strings.HasPrefix(run.Task, id) {
 			lines = append(lines, accountLine{run.StartedAt, fmt.Sprintf("run %+v", run)})
 		}
@@ -99,7 +99,7 @@
 			lines = append(lines, accountLine{one.at, text})
 		}
 	}
-	for _, order := range h.Orders {
+	for _, order := range h.OperatorRequests {
 		if strings.HasPrefix(id, "version") || strings.HasPrefix(id, "/") {
 			text := fmt.Sprintf("%s %s on %d at %s: %d %s", order.Method, order.Body, order.BuiltOn, order.Machine, order.Status, order.Answer)
 			lines = append(lines, accountLine{order.AnsweredAt, text})
