--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -23,8 +23,8 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// partVariable holds what a process of the system is started with.
-const partVariable = "PUFFINLINK_SYSTEMTEST_PART"
+// childVariable holds what a process of the system is started with.
+const childVariable = "PUFFINLINK_SYSTEMTEST_PART"
 
 // readyLine is written once a part listens.
 const readyLine = "ready"
@@ -38,29 +38,29 @@
 	proxyRole       role = "proxy"
 )
 
-// partSpec is what one process starts with. Its addresses are those at which it listens; others know those of the relays
+// childSpec is what one process starts with. Its addresses are those at which it listens; others know those of the relays
 // before it.
-type partSpec struct {
-	Role     role
-	Settings string // lines of a settings file
-	First    string // internal calls of a coordinator or an agent; clients of a proxy
-	Second   string // operators of a coordinator; the proxy of an agent; readiness of a proxy
-	Agent    string // of a proxy: its agent's address
+type childSpec struct {
+	Role      role
+	Settings  string // lines of a settings file
+	Primary   string // internal calls of a coordinator or an agent; clients of a proxy
+	Secondary string // operators of a coordinator; the proxy of an agent; readiness of a proxy
+	Agent     string // of a proxy: its agent's address
 }
 
-// runPart is the whole life of a process of the system.
-func runPart(text string) (code int) {
+// runChild is the whole life of a process of the system.
+func runChild(text string) (code int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if err := startPart(ctx, text); err != nil {
+	if err := startChild(ctx, text); err != nil {
 		fmt.Fprintln(os.Stderr, "part failed:", err)
 		return 1
 	}
 	return 0
 }
 
-func startPart(ctx context.Context, text string) error {
-	var spec partSpec
+func startChild(ctx context.Context, text string) error {
+	var spec childSpec
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
 		return err
 	}
@@ -76,21 +76,21 @@
 	if err != nil {
 		return err
 	}
-	first, err := net.Listen("tcp", spec.First)
+	first, err := net.Listen("tcp", spec.Primary)
 	if err != nil {
 		return err
 	}
-	second, err := net.Listen("tcp", spec.Second)
+	second, err := net.Listen("tcp", spec.Secondary)
 	if err != nil {
 		return err
 	}
-	runs := map[role]func(context.Context, partSpec, nodesettings.Settings, *zap.Logger, net.Listener, net.Listener) error{
+	runs := map[role]func(context.Context, childSpec, nodesettings.Settings, *zap.Logger, net.Listener, net.Listener) error{
 		coordinatorRole: runCoordinator, agentRole: runAgent, proxyRole: runProxy,
 	}
 	return runs[spec.Role](ctx, spec, settings, log, first, second)
 }
 
-func runCoordinator(ctx context.Context, _ partSpec, settings nodesettings.Settings, log *zap.Logger, internal, control net.Listener) error {
+func runCoordinator(ctx context.Context, _ childSpec, settings nodesettings.Settings, log *zap.Logger, internal, control net.Listener) error {
 	core, err := coordinator.New(settings, log)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 // agentLinger is how long an agent serves on after it was told to stop, as its proxy needs it while it drains.
 const agentLinger = 3500 * time.Millisecond
 
-func runAgent(ctx context.Context, _ partSpec, settings nodesettings.Settings, log *zap.Logger, peers, local net.Listener) error {
+func runAgent(ctx context.Context, _ childSpec, settings nodesettings.Settings, log *zap.Logger, peers, local net.Listener) error {
 	link := agent.New(agent.Config{
 		Address: settings.InternalAddress(agentOffset), Seeds: settings.SeedInternalAddresses(), Caller: transport.NewClientFor(settings.Cluster), Logger: log,
 	})
@@ -118,7 +118,7 @@
 	return link.Run(lingering)
 }
 
-func runProxy(ctx context.Context, spec partSpec, settings nodesettings.Settings, log *zap.Logger, front, readiness net.Listener) error {
+func runProxy(ctx context.Context, spec childSpec, settings nodesettings.Settings, log *zap.Logger, front, readiness net.Listener) error {
 	const mostConnections, mostBytes = 500, 16 << 20
 	server := proxy.New(proxy.Config{
 		AgentAddress: spec.Agent, Caller: transport.NewClientFor(settings.Cluster), BuildRouter: buildRouter, GracePeriod: settings.Bounds.GracePeriod,
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	clientDeadline = 3 * time.Second
-	clientPatience = 30 * time.Second // from the first try to the last
-	retryPause     = 150 * time.Millisecond
-	watchPause     = 300 * time.Millisecond
-	finishPatience = 45 * time.Second // from a job's first send until its end
+	clientDeadline    = 3 * time.Second
+	clientTimeout     = 30 * time.Second // from the first try to the last
+	retryInterval     = 150 * time.Millisecond
+	statePollInterval = 300 * time.Millisecond
+	completionTimeout = 45 * time.Second // from a job's first send until its end
 )
 
-// ask makes one call of a client and records it.
-func (s *system) ask(ctx context.Context, front *machine, method, path string, body []byte) checker.Request {
+// clientRequest makes one call of a client and records it.
+func (s *system) clientRequest(ctx context.Context, front *machine, method, path string, body []byte) checker.Request {
 	ctx, cancel := context.WithTimeout(ctx, clientDeadline+time.Second)
 	defer cancel()
 	record := checker.Request{Machine: front.name, Incarnation: front.incarnation(), Method: method, Host: routeHost, Path: path, Body: body, SentAt: time.Now()}
@@ -33,7 +33,7 @@
 	return record
 }
 
-// send makes a client's call.
+// sendUntilClear makes a client's call.
 func (s *system) send(ctx context.Context, method, url string, body []byte) (status int, answer []byte) {
 	return s.sendWith(ctx, http.Header{"Deadline-Remaining": {"3000"}}, method, url, body)
 }
@@ -59,8 +59,8 @@
 	return response.StatusCode, answer
 }
 
-// pause waits, or ends with the context.
-func pause(ctx context.Context, length time.Duration) error {
+// sleep waits, or ends with the context.
+func sleep(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
@@ -71,16 +71,16 @@
 	}
 }
 
-// eventually asks one front after the other until an answer serves.
-func (s *system) eventually(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
-	ctx, cancel := context.WithTimeout(ctx, clientPatience)
+// retryUntil asks one front after the other until an answer serves.
+func (s *system) retryUntil(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	for try := random.IntN(len(s.fronts)); ; try++ {
-		answer := s.ask(ctx, s.fronts[try%len(s.fronts)], method, path, body)
+		answer := s.clientRequest(ctx, s.fronts[try%len(s.fronts)], method, path, body)
 		if serves(answer.Status) {
 			return answer, nil
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return answer, err
 		}
 	}
@@ -89,38 +89,38 @@
 func isSuccess(status int) bool { return status == http.StatusOK }
 
 // play hands a job in, follows it to its end, and cancels it where that is planned. It tells whether the job was accepted.
-func (s *system) play(ctx context.Context, random *rand.Rand, plan jobPlan) bool {
+func (s *system) runJob(ctx context.Context, random *rand.Rand, plan jobPlan) bool {
 	s.plans.add(plan)
 	path := plan.route.prefix + string(plan.id)
-	if _, err := s.eventually(ctx, random, http.MethodPost, path, plan.encode(), isSuccess); err != nil {
+	if _, err := s.retryUntil(ctx, random, http.MethodPost, path, plan.encode(), isSuccess); err != nil {
 		return false
 	}
-	if plan.cancelAfter > 0 && pause(ctx, plan.cancelAfter) == nil {
+	if plan.cancelAfter > 0 && sleep(ctx, plan.cancelAfter) == nil {
 		s.cancel(ctx, random, path)
 	}
-	if plan.kind != lastingJob {
-		s.follow(ctx, random, path)
+	if plan.kind != longRunningJob {
+		s.awaitFinalState(ctx, random, path)
 	}
 	return true
 }
 
 func (s *system) cancel(ctx context.Context, random *rand.Rand, path string) {
-	s.eventually(ctx, random, http.MethodDelete, path, nil, func(status int) bool { return status == http.StatusOK || status == http.StatusGone })
+	s.retryUntil(ctx, random, http.MethodDelete, path, nil, func(status int) bool { return status == http.StatusOK || status == http.StatusGone })
 }
 
-// follow asks for a job's state until it is final.
-func (s *system) follow(ctx context.Context, random *rand.Rand, path string) {
-	ctx, cancel := context.WithTimeout(ctx, finishPatience)
+// awaitFinalState asks for a job's state until it is final.
+func (s *system) awaitFinalState(ctx context.Context, random *rand.Rand, path string) {
+	ctx, cancel := context.WithTimeout(ctx, completionTimeout)
 	defer cancel()
-	for pause(ctx, watchPause) == nil {
-		answer := s.ask(ctx, s.fronts[random.IntN(len(s.fronts))], http.MethodGet, path, nil)
-		if answer.Status == http.StatusOK && finalState(answer.Answer) {
+	for sleep(ctx, statePollInterval) == nil {
+		answer := s.clientRequest(ctx, s.fronts[random.IntN(len(s.fronts))], http.MethodGet, path, nil)
+		if answer.Status == http.StatusOK && isFinalState(answer.Answer) {
 			return
 		}
 	}
 }
 
-func finalState(answer []byte) bool {
+func isFinalState(answer []byte) bool {
 	var content struct{ State string }
 	json.Unmarshal(answer, &content)
 	return content.State == "completed" || content.State == "failed" || content.State == "cancelled"
--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -16,22 +16,22 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// judgeAttempts holds all answers that core machines gave, also those that nobody got, against each other: an order that
+// checkDeliveries holds all answers that core machines gave, also those that nobody got, against each other: an order that
 // was taken is refused nowhere and at no time, and no number is confirmed for two bodies, nor are two bodies on top of
 // one version.
-func judgeAttempts(attempts []attempt) (broken []string) {
-	taken := map[orderKey]attempt{}
+func checkDeliveries(attempts []delivery) (broken []string) {
+	taken := map[commandKey]delivery{}
 	for _, one := range attempts {
 		if one.status == http.StatusOK && one.method != http.MethodGet {
 			taken[one.key()] = one
 		}
 	}
 	for _, one := range attempts {
-		if confirmed, found := taken[one.key()]; found && isClear(one.status) && one.status != http.StatusOK {
+		if confirmed, found := taken[one.key()]; found && isDefinite(one.status) && one.status != http.StatusOK {
 			broken = append(broken, fmt.Sprintf("refused though it was taken: %v; taken: %v", one, confirmed))
 		}
 	}
-	byNumber, byBase := map[int64]orderKey{}, map[string]orderKey{}
+	byNumber, byBase := map[int64]commandKey{}, map[string]commandKey{}
 	for key, one := range taken {
 		if key.method != http.MethodPut {
 			continue
@@ -51,34 +51,34 @@
 	return broken
 }
 
-// TestJudgeOfAttempts shows that each rule finds what breaks it.
-func TestJudgeOfAttempts(t *testing.T) {
-	put := func(ifMatch int64, body string, status int) attempt {
-		one := putAttempt(ifMatch, []byte(body))
+// TestDeliveryChecker shows that each rule finds what breaks it.
+func TestDeliveryChecker(t *testing.T) {
+	put := func(ifMatch int64, body string, status int) delivery {
+		one := putCommand(ifMatch, []byte(body))
 		one.status, one.answer = status, body
 		return one
 	}
 	one, other := `{"version":3}`, `{"version":3,"routes":[]}`
 	Convey("Confirmed, refused and unclear orders that agree are fine", t, func() {
-		So(judgeAttempts([]attempt{put(2, one, 200), put(2, one, 503), put(2, one, 0), put(2, one, 200), put(2, other, 412)}), ShouldBeEmpty)
+		So(checkDeliveries([]delivery{put(2, one, 200), put(2, one, 503), put(2, one, 0), put(2, one, 200), put(2, other, 412)}), ShouldBeEmpty)
 	})
 	Convey("A refusal of a taken order is found, before and after its confirmation", t, func() {
-		So(judgeAttempts([]attempt{put(2, one, 200), put(2, one, 412)}), ShouldHaveLength, 1)
-		So(judgeAttempts([]attempt{put(2, one, 412), put(2, one, 200)}), ShouldHaveLength, 1)
-		cancel := attempt{method: http.MethodDelete, path: "/-/jobs/1", status: 200}
+		So(checkDeliveries([]delivery{put(2, one, 200), put(2, one, 412)}), ShouldHaveLength, 1)
+		So(checkDeliveries([]delivery{put(2, one, 412), put(2, one, 200)}), ShouldHaveLength, 1)
+		cancel := delivery{method: http.MethodDelete, path: "/-/jobs/1", status: 200}
 		again := cancel
 		again.status = 409
-		So(judgeAttempts([]attempt{cancel, again}), ShouldHaveLength, 1)
+		So(checkDeliveries([]delivery{cancel, again}), ShouldHaveLength, 1)
 	})
 	Convey("A number that is confirmed for two bodies is found, and two bodies on top of one version", t, func() {
-		So(judgeAttempts([]attempt{put(1, one, 200), put(2, other, 200)}), ShouldHaveLength, 1)
-		So(judgeAttempts([]attempt{put(2, one, 200), put(2, `{"version":4}`, 200)}), ShouldHaveLength, 1)
+		So(checkDeliveries([]delivery{put(1, one, 200), put(2, other, 200)}), ShouldHaveLength, 1)
+		So(checkDeliveries([]delivery{put(2, one, 200), put(2, `{"version":4}`, 200)}), ShouldHaveLength, 1)
 	})
 }
 
 // confirmedChanges are the changes that some machine confirmed, by version.
-func confirmedChanges(attempts []attempt) map[int64]attempt {
-	confirmed := map[int64]attempt{}
+func confirmedChanges(attempts []delivery) map[int64]delivery {
+	confirmed := map[int64]delivery{}
 	for _, one := range attempts {
 		if one.status == http.StatusOK && one.method == http.MethodPut {
 			confirmed[versionOf([]byte(one.body))] = one
@@ -89,7 +89,7 @@
 
 // historyOnDisk reads the history of taken changes that an ended core machine's disk holds.
 func historyOnDisk(m *machine) (state configuration.State, err error) {
-	store, _, err := storage.Open(storage.OperatingSystem{}, m.data, storage.Options{})
+	store, _, err := storage.Open(storage.OperatingSystem{}, m.dataDirectory, storage.Options{})
 	if err != nil {
 		return state, err
 	}
@@ -101,9 +101,9 @@
 	return configuration.DecodeState(value)
 }
 
-// agrees tells what in a history speaks against what was confirmed: it must hold each confirmed change, under its number
+// checkAppliedHistory tells what in a history speaks against what was confirmed: it must hold each confirmed change, under its number
 // and on top of its version, and nothing that was refused.
-func agrees(state configuration.State, attempts []attempt) (broken []string) {
+func checkAppliedHistory(state configuration.State, attempts []delivery) (broken []string) {
 	recorded := map[uint64]configuration.AppliedUpdate{}
 	for i, one := range state.Applied {
 		recorded[one.Version] = one
@@ -114,7 +114,7 @@
 	confirmed := confirmedChanges(attempts)
 	for version, change := range confirmed {
 		one, found := recorded[uint64(version)]
-		if !found || strconv.FormatUint(one.IfMatch, 10) != change.ifMatch || one.Sum != sumOf(change.body) {
+		if !found || strconv.FormatUint(one.IfMatch, 10) != change.ifMatch || one.Sum != checksumOf(change.body) {
 			broken = append(broken, fmt.Sprintf("version %d was confirmed, and the history has %+v (%v)", version, one, found))
 		}
 	}
@@ -122,7 +122,7 @@
 		if one.method != http.MethodPut || one.status != http.StatusPreconditionFailed {
 			continue
 		}
-		if held, found := recorded[uint64(versionOf([]byte(one.body)))]; found && held.Sum == sumOf(one.body) {
+		if held, found := recorded[uint64(versionOf([]byte(one.body)))]; found && held.Sum == checksumOf(one.body) {
 			broken = append(broken, fmt.Sprintf("refused, and in the history: %v", one))
 		}
 	}
@@ -139,8 +139,8 @@
 	return register.New(register.Config{Name: "configuration", Self: "disk", Acceptor: acceptor, View: view}).Read(context.Background())
 }
 
-// sumOf is the checksum under which the history names a body.
-func sumOf(body string) (sum [16]byte) {
+// checksumOf is the checksum under which the history names a body.
+func checksumOf(body string) (sum [16]byte) {
 	whole := sha256.Sum256([]byte(body))
 	copy(sum[:], whole[:])
 	return sum
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	shortly  = 500 * time.Millisecond
-	awhile   = 3 * time.Second // longer than any lease
-	longStop = 4 * time.Second
+	shortOutage       = 500 * time.Millisecond
+	outageBeyondLease = 3 * time.Second // longer than any lease
+	partitionLength   = 4 * time.Second
 
-	pollPause = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 )
 
 // faultFunc makes faults while the load runs.
@@ -48,77 +48,77 @@
 }
 
 func killLeader(wipe bool) faultFunc {
-	return onLeader(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortly, wipe) })
+	return onLeader(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, wipe) })
 }
 
 func killFollower(wipe bool) faultFunc {
-	return onFollower(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortly, wipe) })
+	return onFollower(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, wipe) })
 }
 
-var freezeLeader = onLeader(func(ctx context.Context, s *system, m *machine) { s.stopMachine(ctx, m, awhile) })
+var freezeLeader = onLeader(func(ctx context.Context, s *system, m *machine) { s.pauseMachine(ctx, m, outageBeyondLease) })
 
-func cutLeader(bothWays bool) faultFunc {
-	return onLeader(func(ctx context.Context, s *system, m *machine) { s.cutOff(ctx, m, longStop, bothWays) })
+func partitionLeader(bothWays bool) faultFunc {
+	return onLeader(func(ctx context.Context, s *system, m *machine) { s.partitionFor(ctx, m, partitionLength, bothWays) })
 }
 
-func killCore(ctx context.Context, s *system) error {
+func killAllCore(ctx context.Context, s *system) error {
 	var all sync.WaitGroup
 	for _, m := range s.core {
-		all.Go(func() { s.crashMachine(ctx, m, shortly, false) })
+		all.Go(func() { s.crashMachine(ctx, m, shortOutage, false) })
 	}
 	all.Wait()
 	return nil
 }
 
 func killFronts(ctx context.Context, s *system) error {
-	s.crashProcess(ctx, s.fronts[0], proxyRole, shortly)
-	s.crashProcess(ctx, s.fronts[1], agentRole, shortly)
+	s.crashProcess(ctx, s.fronts[0], proxyRole, shortOutage)
+	s.crashProcess(ctx, s.fronts[1], agentRole, shortOutage)
 	return nil
 }
 
-// breakGang crashes a worker on which a member of a gang has worked for long enough to have saved.
-func breakGang(ctx context.Context, s *system) error {
+// crashGangMember crashes a worker on which a member of a gang has worked for long enough to have saved.
+func crashGangMember(ctx context.Context, s *system) error {
 	for {
 		for _, run := range s.cluster.Runs() {
 			kind := s.plans.kindOf(string(run.Task.Job))
-			if kind == gangJob && run.EndedAt.IsZero() && time.Since(run.StartedAt) > 2*saveEvery {
-				s.crashLife(run.Worker)
+			if kind == gangJob && run.EndedAt.IsZero() && time.Since(run.StartedAt) > 2*checkpointInterval {
+				s.crashIncarnation(run.Worker)
 				return nil
 			}
 		}
-		if err := pause(ctx, pollPause); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return fmt.Errorf("no gang has worked for long: %w", err)
 		}
 	}
 }
 
-// workerFault crashes one worker, lets another carry orders out late, a third be silent, and a fourth drain and leave.
-func workerFault(ctx context.Context, s *system) error {
-	if err := breakGang(ctx, s); err != nil {
+// workerFaults crashes one worker, lets another carry orders out late, a third be silent, and a fourth drain and leave.
+func workerFaults(ctx context.Context, s *system) error {
+	if err := crashGangMember(ctx, s); err != nil {
 		return err
 	}
 	const lateBy, upset = 2 * time.Second, 3 * time.Second
-	s.disturb(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: lateBy, FromArrival: true}))
-	s.disturb(s.workers[2], cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+	s.beginCallFaults(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: lateBy, FromArrival: true}))
+	s.beginCallFaults(s.workers[2], cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 	s.drain(s.workers[3])
-	if err := pause(ctx, upset); err != nil {
+	if err := sleep(ctx, upset); err != nil {
 		return err
 	}
-	s.calm(s.workers[1])
-	s.calm(s.workers[2])
+	s.endCallFaults(s.workers[1])
+	s.endCallFaults(s.workers[2])
 	s.workers[3].Leave()
 	s.crash(s.workers[4])
 	return nil
 }
 
-// drainLong lists a worker of each service as draining, lets them stay, and hands more jobs in much later.
-func drainLong(ctx context.Context, s *system) error {
+// drainWithoutLeaving lists a worker of each service as draining, lets them stay, and hands more jobs in much later.
+func drainWithoutLeaving(ctx context.Context, s *system) error {
 	s.drain(s.workers[1])
 	s.drain(s.workers[len(s.workers)-1])
-	if err := pause(ctx, s.bounds().Drain+shortly); err != nil {
+	if err := sleep(ctx, s.bounds().Drain+shortOutage); err != nil {
 		return err
 	}
-	wait := s.beginLoad(ctx, rand.New(rand.NewPCG(1, 5)))
+	wait := s.startLoad(ctx, rand.New(rand.NewPCG(1, 5)))
 	wait()
 	return nil
 }
@@ -130,36 +130,36 @@
 	probing, stopProbing := context.WithCancel(ctx)
 	defer stopProbing()
 	for _, front := range s.fronts {
-		s.repairs.Go(func() { s.probe(probing, front, added, one, other) })
+		s.recoveries.Go(func() { s.pollRoutes(probing, front, added, one, other) })
 	}
-	s.network.arm(point{path: "/-/configuration", number: 1, phase: beforeAnswer, drop: true})
+	s.network.arm(injection{path: "/-/configuration", number: 1, phase: beforeReply, drop: true})
 	if !s.configured.set(ctx, 1, renderRoute, mailRoute, added) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
-	s.network.arm(point{path: "/-/configuration", number: 2, phase: beforeAnswer, drop: true})
+	s.network.arm(injection{path: "/-/configuration", number: 2, phase: beforeReply, drop: true})
 	s.configured.race(ctx, []routePlan{renderRoute, mailRoute, added, one}, []routePlan{renderRoute, mailRoute, added, other})
 	s.configured.sendInvalid(ctx)
 	s.configured.resend(ctx)
 	if !s.configured.set(ctx, 2, renderRoute, mailRoute) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
-	return s.awaitGone(ctx, added)
+	return s.awaitRouteRemoved(ctx, added)
 }
 
-// probe counts the jobs of some routes over and over.
-func (s *system) probe(ctx context.Context, front *machine, routes ...routePlan) {
-	for pause(ctx, retryPause) == nil {
+// pollRoutes counts the jobs of some routes over and over.
+func (s *system) pollRoutes(ctx context.Context, front *machine, routes ...routePlan) {
+	for sleep(ctx, retryInterval) == nil {
 		for _, route := range routes {
-			s.ask(ctx, front, http.MethodGet, route.prefix, nil)
+			s.clientRequest(ctx, front, http.MethodGet, route.prefix, nil)
 		}
 	}
 }
 
-// awaitGone waits until all fronts refuse a route.
-func (s *system) awaitGone(ctx context.Context, route routePlan) error {
+// awaitRouteRemoved waits until all fronts refuse a route.
+func (s *system) awaitRouteRemoved(ctx context.Context, route routePlan) error {
 	for _, front := range s.fronts {
-		for s.ask(ctx, front, http.MethodGet, route.prefix, nil).Status != http.StatusNotFound {
-			if err := pause(ctx, retryPause); err != nil {
+		for s.clientRequest(ctx, front, http.MethodGet, route.prefix, nil).Status != http.StatusNotFound {
+			if err := sleep(ctx, retryInterval); err != nil {
 				return fmt.Errorf("%s serves %s still: %w", front.name, route.prefix, err)
 			}
 		}
@@ -167,14 +167,14 @@
 	return nil
 }
 
-// rollAll stops and starts all machines in turn.
-func rollAll(ctx context.Context, s *system) error { return s.roll(ctx, s.machines()) }
+// restartInTurn stops and starts all machines in turn.
+func restartInTurn(ctx context.Context, s *system) error { return s.rollingRestart(ctx, s.machines()) }
 
 // slowCore makes all that the core machines say to each other take longer.
 func slowCore(_ context.Context, s *system) error {
 	const slow = 120 * time.Millisecond
 	for _, from := range s.core {
-		s.begin(from.name)
+		s.faultBegan(from.name)
 		for _, to := range s.core {
 			s.network.setDelay(from.name, to.name, slow)
 		}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// together makes several faults one after the other.
-func together(faults ...faultFunc) faultFunc {
+// inSequence makes several faults one after the other.
+func inSequence(faults ...faultFunc) faultFunc {
 	return func(ctx context.Context, s *system) error {
 		for _, fault := range faults {
 			if err := fault(ctx, s); err != nil {
@@ -194,52 +194,52 @@
 	}
 }
 
-// afterRepair makes a fault once those before it are over.
-func afterRepair(fault faultFunc) faultFunc {
+// afterRecovery makes a fault once those before it are over.
+func afterRecovery(fault faultFunc) faultFunc {
 	return func(ctx context.Context, s *system) error {
-		s.repairs.Wait()
+		s.recoveries.Wait()
 		return fault(ctx, s)
 	}
 }
 
-// finalCore kills all core machines right after a configuration was acknowledged, and empties the disk of one.
-func finalCore(ctx context.Context, s *system) error {
+// killCoreAfterChange kills all core machines right after a configuration was acknowledged, and empties the disk of one.
+func killCoreAfterChange(ctx context.Context, s *system) error {
 	if !s.configured.set(ctx, 1, renderRoute, mailRoute, routePlan{"/last/", guardedService}) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
 	var all sync.WaitGroup
 	for i, m := range slices.Clone(s.core) {
-		all.Go(func() { s.crashMachine(ctx, m, shortly, i == 0) })
+		all.Go(func() { s.crashMachine(ctx, m, shortOutage, i == 0) })
 	}
 	all.Wait()
 	return nil
 }
 
-// ordinary are the scenarios of each run.
-var ordinary = []scenario{
+// defaultScenarios are the scenarios of each run.
+var defaultScenarios = []scenario{
 	{name: "leader-killed", seed: 2, faults: killLeader(false)},
 	{name: "leader-frozen", seed: 3, faults: freezeLeader},
-	{name: "leader-cut", seed: 4, faults: together(cutLeader(true), killFronts)},
-	{name: "core-killed", seed: 5, faults: killCore},
-	{name: "searchers", seed: 6, faults: workerFault},
-	{name: "configuration-and-wiped-disk", seed: 7, faults: together(killFollower(true), changeConfiguration)},
+	{name: "leader-cut", seed: 4, faults: inSequence(partitionLeader(true), killFronts)},
+	{name: "core-killed", seed: 5, faults: killAllCore},
+	{name: "searchers", seed: 6, faults: workerFaults},
+	{name: "configuration-and-wiped-disk", seed: 7, faults: inSequence(killFollower(true), changeConfiguration)},
 }
 
-// further are those of a whole run.
-var further = []scenario{
+// extendedScenarios are those of a whole run.
+var extendedScenarios = []scenario{
 	{name: "calm", seed: 1},
 	{name: "follower-killed", seed: 11, faults: killFollower(false)},
 	{name: "leader-wiped", seed: 12, faults: killLeader(true)},
-	{name: "leader-cut-one-way", seed: 13, faults: cutLeader(false)},
+	{name: "leader-cut-one-way", seed: 13, faults: partitionLeader(false)},
 	{name: "configuration", seed: 14, faults: changeConfiguration},
-	{name: "configuration-and-killed-leader", seed: 15, faults: together(killLeader(false), changeConfiguration)},
-	{name: "configuration-and-cut-leader", seed: 16, faults: together(cutLeader(true), changeConfiguration)},
-	{name: "searchers-and-killed-leader", seed: 17, faults: together(killLeader(false), workerFault)},
-	{name: "searchers-and-frozen-leader", seed: 18, faults: together(freezeLeader, workerFault)},
-	{name: "leaders-killed-in-turn", seed: 19, faults: together(killLeader(false), afterRepair(killLeader(false)), afterRepair(killLeader(true)))},
-	{name: "rolled", seed: 21, faults: rollAll},
+	{name: "configuration-and-killed-leader", seed: 15, faults: inSequence(killLeader(false), changeConfiguration)},
+	{name: "configuration-and-cut-leader", seed: 16, faults: inSequence(partitionLeader(true), changeConfiguration)},
+	{name: "searchers-and-killed-leader", seed: 17, faults: inSequence(killLeader(false), workerFaults)},
+	{name: "searchers-and-frozen-leader", seed: 18, faults: inSequence(freezeLeader, workerFaults)},
+	{name: "leaders-killed-in-turn", seed: 19, faults: inSequence(killLeader(false), afterRecovery(killLeader(false)), afterRecovery(killLeader(true)))},
+	{name: "rolled", seed: 21, faults: restartInTurn},
 	{name: "slow-core", seed: 22, faults: slowCore},
-	{name: "slow-core-and-killed-leader", seed: 23, faults: together(slowCore, killLeader(false))},
-	{name: "drained-long", seed: 24, faults: drainLong},
-	{name: "final", seed: 20, faults: finalCore},
+	{name: "slow-core-and-killed-leader", seed: 23, faults: inSequence(slowCore, killLeader(false))},
+	{name: "drained-long", seed: 24, faults: drainWithoutLeaving},
+	{name: "final", seed: 20, faults: killCoreAfterChange},
 }
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -19,47 +19,47 @@
 )
 
 const (
-	handOverPatience = 3 * time.Minute
-	handOverGrace    = 40 * time.Second // of the core machines: a busy machine needs more than the usual 6 s
-	waitsLongEnough  = 500 * time.Millisecond
-	announcePath     = "/replicaset/announce"
-	readyPath        = "/rebuild/ready"
+	handOverTimeout = 3 * time.Minute
+	handOverGrace   = 40 * time.Second // of the core machines: a busy machine needs more than the usual 6 s
+	minAnnounceSpan = 500 * time.Millisecond
+	announcePath    = "/replicaset/announce"
+	readyPath       = "/rebuild/ready"
 )
 
-// tellsReady is a field of the answer to readyPath that says yes, as msgpack.
-var tellsReady = []byte{0xa1, 'r', 0xc3}
+// readyField is a field of the answer to readyPath that says yes, as msgpack.
+var readyField = []byte{0xa1, 'r', 0xc3}
 
 // handOver is a system of three core machines of which one is told to stop while a fourth waits for a place.
 type handOver struct {
 	*system
-	leaving, lagging, failing, joiningMember *machine
+	departing, lagging, failing, joiningMember *machine
 
-	mu        sync.Mutex
-	announced map[string][2]time.Time // the joining member's first and last announcement, by who heard it
-	rebuilt   time.Time               // when the joining member first told the leaving member that it may vote
-	ended     time.Time               // when the leaving member's process had ended
-	told      time.Time               // when it was told to stop
+	mu                sync.Mutex
+	announced         map[string][2]time.Time // the joining member's first and last announcement, by who heard it
+	rebuilt           time.Time               // when the joining member first told the leaving member that it may vote
+	ended             time.Time               // when the leaving member's process had ended
+	shutdownRequested time.Time               // when it was told to stop
 }
 
 // A member leads a group and holds its newest batch and the newest configuration together with one other, which fails in
 // that moment; the third member got neither. The first is told to stop while a joining member waits. It stays until the joining member
 // has been rebuilt and may vote, within its grace period, and what was acknowledged is there at the two that are left.
-func TestAMemberThatIsToldToStopHandsOver(t *testing.T) {
+func TestGracefulShutdownHandsOverMembership(t *testing.T) {
 	t.Parallel()
-	ctx, s := startSystem(t, "member-hands-over", againSize, handOverPatience)
+	ctx, s := startSystem(t, "member-hands-over", smallSize, handOverTimeout)
 	h := &handOver{system: s, announced: map[string][2]time.Time{}}
 	failure := h.run(ctx)
 	s.stop()
 	if !h.rebuilt.IsZero() {
 		t.Logf("the newcomer could vote %v and the member had ended %v after it was told to stop",
-			h.rebuilt.Sub(h.told).Round(time.Millisecond), h.ended.Sub(h.told).Round(time.Millisecond))
+			h.rebuilt.Sub(h.shutdownRequested).Round(time.Millisecond), h.ended.Sub(h.shutdownRequested).Round(time.Millisecond))
 	}
 	Convey("The newcomer counts before the member that it replaces is gone, and nothing acknowledged is lost", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
-		So(h.rebuilt, ShouldHappenBetween, h.told, h.ended)
-		So(h.ended.Sub(h.told), ShouldBeLessThan, handOverGrace)
+		So(h.rebuilt, ShouldHappenBetween, h.shutdownRequested, h.ended)
+		So(h.ended.Sub(h.shutdownRequested), ShouldBeLessThan, handOverGrace)
 	})
 }
 
@@ -83,13 +83,13 @@
 		return err
 	}
 	h.stopMember()
-	if lost := h.network.setLoss(nil); lost == 0 {
+	if lost := h.network.setDropFilter(nil); lost == 0 {
 		return errors.New("no call to the member that lags was lost")
 	}
 	if err := h.checkLog(); err != nil {
 		return err
 	}
-	return h.checkWhatIsLeft(ctx, random, acknowledged, version)
+	return h.checkRemaining(ctx, random, acknowledged, version)
 }
 
 // prepare gives a core machine its grace period, and watches the calls that it answers.
@@ -97,13 +97,13 @@
 	for _, p := range core.processes {
 		p.spec.Settings += fmt.Sprintf("bounds.gracePeriodS=%d\n", int(handOverGrace.Seconds()))
 		for _, r := range core.relays[p] {
-			r.seen = h.see
+			r.onReply = h.observe
 		}
 	}
 }
 
-// see notes the joining member's announcements, and its word that it may vote.
-func (h *handOver) see(c call) {
+// observe notes the joining member's announcements, and its word that it may vote.
+func (h *handOver) observe(c call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -115,7 +115,7 @@
 		}
 		times[1] = now
 		h.announced[c.to] = times
-	case c.path == readyPath && h.joiningMember != nil && c.to == h.joiningMember.name && c.from == h.leaving.name && bytes.Contains(c.answer, tellsReady):
+	case c.path == readyPath && h.joiningMember != nil && c.to == h.joiningMember.name && c.from == h.departing.name && bytes.Contains(c.answer, readyField):
 		if h.rebuilt.IsZero() {
 			h.rebuilt = now
 		}
@@ -128,13 +128,13 @@
 	if err != nil {
 		return err
 	}
-	m.data = filepath.Join(h.folder, m.name, "data")
-	if err := os.Mkdir(m.data, 0o755); err != nil {
+	m.dataDirectory = filepath.Join(h.folder, m.name, "data")
+	if err := os.Mkdir(m.dataDirectory, 0o755); err != nil {
 		return err
 	}
-	if err := m.add(partSpec{
+	if err := m.addProcess(childSpec{
 		Role: coordinatorRole, Settings: h.settings(m, false),
-		First: m.address(coordinatorOffset + behindOffset), Second: m.address(controlOffset + behindOffset),
+		Primary: m.address(coordinatorOffset + targetPortOffset), Secondary: m.address(controlOffset + targetPortOffset),
 	}, coordinatorOffset, controlOffset); err != nil {
 		return err
 	}
@@ -152,10 +152,10 @@
 func (h *handOver) chooseRoles() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leaving = h.leaderOf(guardedService)
+	h.departing = h.leaderOf(guardedService)
 	for _, core := range h.core {
 		switch {
-		case core == h.leaving || core == h.joiningMember:
+		case core == h.departing || core == h.joiningMember:
 		case h.lagging == nil:
 			h.lagging = core
 		default:
@@ -166,32 +166,32 @@
 
 // awaitJoiningMember waits until the members that will vote on its place have heard the joining member for long enough.
 func (h *handOver) awaitJoiningMember(ctx context.Context) error {
-	for !h.waits(h.leaving) || !h.waits(h.lagging) {
-		if err := pause(ctx, pollPause); err != nil {
+	for !h.hasAnnounced(h.departing) || !h.hasAnnounced(h.lagging) {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return fmt.Errorf("the newcomer does not announce itself: %w", err)
 		}
 	}
 	return nil
 }
 
-func (h *handOver) waits(at *machine) bool {
+func (h *handOver) hasAnnounced(at *machine) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	times := h.announced[at.name]
-	return times[1].Sub(times[0]) >= waitsLongEnough
+	return times[1].Sub(times[0]) >= minAnnounceSpan
 }
 
 // writeWithoutLagging hands a job in and changes the configuration while the member that lags is told of neither. Both are
 // acknowledged by the other two.
 func (h *handOver) writeWithoutLagging(ctx context.Context, random *rand.Rand) (acknowledged jobPlan, version int64, err error) {
 	lagging := h.lagging.name
-	h.network.setLoss(func(c call) bool {
+	h.network.setDropFilter(func(c call) bool {
 		replicates := strings.HasPrefix(c.path, "/replication/") && c.path != "/replication/ping"
 		return replicates && (c.from == lagging || c.to == lagging) || c.path == acceptPath && c.to == lagging
 	})
-	acknowledged = makePlan(random, lastingJob, renderRoute)
+	acknowledged = newJobPlan(random, longRunningJob, renderRoute)
 	h.plans.add(acknowledged)
-	if _, err := h.eventually(ctx, random, http.MethodPost, acknowledged.route.prefix+string(acknowledged.id), acknowledged.encode(), isSuccess); err != nil {
+	if _, err := h.retryUntil(ctx, random, http.MethodPost, acknowledged.route.prefix+string(acknowledged.id), acknowledged.encode(), isSuccess); err != nil {
 		return acknowledged, 0, fmt.Errorf("the job was not accepted: %w", err)
 	}
 	if !h.configured.set(ctx, 0, renderRoute, mailRoute, routePlan{"/newest/", guardedService}) {
@@ -204,9 +204,9 @@
 func (h *handOver) stopMember() {
 	h.failing.kill()
 	h.mu.Lock()
-	h.told = time.Now()
+	h.shutdownRequested = time.Now()
 	h.mu.Unlock()
-	for _, p := range h.leaving.processes {
+	for _, p := range h.departing.processes {
 		force := time.AfterFunc(handOverGrace, func() { p.signal(syscall.SIGKILL) })
 		p.end(syscall.SIGTERM)
 		force.Stop()
@@ -214,8 +214,8 @@
 	h.mu.Lock()
 	h.ended = time.Now()
 	h.mu.Unlock()
-	for _, p := range h.leaving.processes {
-		for _, r := range h.leaving.relays[p] {
+	for _, p := range h.departing.processes {
+		for _, r := range h.departing.relays[p] {
 			r.close()
 		}
 	}
@@ -223,7 +223,7 @@
 
 // checkLog looks whether the member wrote, before it ended, that its joining member may vote.
 func (h *handOver) checkLog() error {
-	log, err := os.ReadFile(h.leaving.processes[0].log.Name())
+	log, err := os.ReadFile(h.departing.processes[0].log.Name())
 	if err != nil {
 		return err
 	}
@@ -233,8 +233,8 @@
 	return nil
 }
 
-// checkWhatIsLeft asks the two members that are left for what was acknowledged, and lets them take more.
-func (h *handOver) checkWhatIsLeft(ctx context.Context, random *rand.Rand, acknowledged jobPlan, version int64) error {
+// checkRemaining asks the two members that are left for what was acknowledged, and lets them take more.
+func (h *handOver) checkRemaining(ctx context.Context, random *rand.Rand, acknowledged jobPlan, version int64) error {
 	for _, core := range []*machine{h.lagging, h.joiningMember} {
 		if err := h.awaitConfiguration(ctx, core, version); err != nil {
 			return err
@@ -246,23 +246,23 @@
 	if !h.configured.set(ctx, 0, renderRoute, mailRoute) {
 		return errors.New("the members that are left take no change")
 	}
-	further := makePlan(random, plainJob, renderRoute)
+	further := newJobPlan(random, plainJob, renderRoute)
 	h.plans.add(further)
-	_, err := h.eventually(ctx, random, http.MethodPost, further.route.prefix+string(further.id), further.encode(), isSuccess)
+	_, err := h.retryUntil(ctx, random, http.MethodPost, further.route.prefix+string(further.id), further.encode(), isSuccess)
 	return err
 }
 
 // awaitConfiguration waits until a machine answers with the configuration, which is the one that was acknowledged last.
 func (h *handOver) awaitConfiguration(ctx context.Context, core *machine, version int64) error {
 	for {
-		read := h.order(ctx, core, http.MethodGet, 0, nil)
+		read := h.operatorRequest(ctx, core, http.MethodGet, 0, nil)
 		switch {
 		case read.Status == http.StatusOK && versionOf(read.Answer) == version:
 			return nil
-		case isClear(read.Status):
+		case isDefinite(read.Status):
 			return fmt.Errorf("version %d was acknowledged, and %s tells %d %s", version, core.name, read.Status, read.Answer)
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("%s does not tell the configuration: %w", core.name, err)
 		}
 	}
@@ -271,14 +271,14 @@
 // awaitJob waits until a front knows the job's state, which must not be that there is none.
 func (h *handOver) awaitJob(ctx context.Context, acknowledged jobPlan) error {
 	for {
-		got := h.ask(ctx, h.fronts[0], http.MethodGet, acknowledged.route.prefix+string(acknowledged.id), nil)
+		got := h.clientRequest(ctx, h.fronts[0], http.MethodGet, acknowledged.route.prefix+string(acknowledged.id), nil)
 		switch {
 		case got.Status == http.StatusOK:
 			return nil
-		case isClear(got.Status):
+		case isDefinite(got.Status):
 			return fmt.Errorf("job %s was acknowledged, and the front tells %d %s", acknowledged.id, got.Status, got.Answer)
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("nobody knows job %s: %w", acknowledged.id, err)
 		}
 	}
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -22,61 +22,65 @@
 	controlPath = "/-/configuration"
 )
 
-// place is a numbered place on the way of a job or a configuration.
-type place struct {
+// callPoint is a numbered place on the way of a job or a configuration.
+type callPoint struct {
 	name  string
 	path  string
 	phase phase
 	only  func(call) bool
 }
 
-func listsEnds(c call) bool    { return bytes.Contains(c.answer, []byte(`"finished":[[`)) }
-func acknowledges(c call) bool { return !bytes.Contains(c.body, []byte(`"lastSeen":0,`)) }
-
-// places are all of them: before and after what is written, sent, listed and acknowledged.
-var places = []place{
-	{"submit-sent", jobapi.SubmitCall.Path(), beforeCall, nil},
-	{"submit-durable", jobapi.SubmitCall.Path(), beforeAnswer, nil},
-	{"cancel-durable", jobapi.CancelCall.Path(), beforeAnswer, nil},
-	{"append-sent", appendPath, beforeCall, nil},
-	{"append-written", appendPath, beforeAnswer, nil},
-	{"order-committed", string(cluster.StartCall), beforeCall, nil},
-	{"order-carried-out", string(cluster.StartCall), beforeAnswer, nil},
-	{"stop-committed", string(cluster.StopCall), beforeCall, nil},
-	{"end-listed", string(cluster.HoldCall), beforeAnswer, listsEnds},
-	{"end-durable", string(cluster.HoldCall), beforeCall, acknowledges},
-	{"end-acknowledged", string(cluster.HoldCall), beforeAnswer, acknowledges},
-	{"prepare-sent", preparePath, beforeCall, nil},
-	{"prepare-promised", preparePath, beforeAnswer, nil},
-	{"accept-sent", acceptPath, beforeCall, nil},
-	{"accept-written", acceptPath, beforeAnswer, nil},
-	{"configuration-sent", controlPath, beforeCall, nil},
-	{"configuration-taken", controlPath, beforeAnswer, nil},
-	{"feed-told", feed.WatchCall.Path(), beforeAnswer, nil},
+func reportsCompletions(c call) bool      { return bytes.Contains(c.answer, []byte(`"finished":[[`)) }
+func acknowledgesCompletions(c call) bool { return !bytes.Contains(c.body, []byte(`"lastSeen":0,`)) }
+
+// callPoints are all of them: before and after what is written, sent, listed and acknowledged.
+var callPoints = []callPoint{
+	{"submit-sent", jobapi.SubmitCall.Path(), beforeDelivery, nil},
+	{"submit-durable", jobapi.SubmitCall.Path(), beforeReply, nil},
+	{"cancel-durable", jobapi.CancelCall.Path(), beforeReply, nil},
+	{"append-sent", appendPath, beforeDelivery, nil},
+	{"append-written", appendPath, beforeReply, nil},
+	{"order-committed", string(cluster.StartCall), beforeDelivery, nil},
+	{"order-carried-out", string(cluster.StartCall), beforeReply, nil},
+	{"stop-committed", string(cluster.StopCall), beforeDelivery, nil},
+	{"end-listed", string(cluster.HoldCall), beforeReply, reportsCompletions},
+	{"end-durable", string(cluster.HoldCall), beforeDelivery, acknowledgesCompletions},
+	{"end-acknowledged", string(cluster.HoldCall), beforeReply, acknowledgesCompletions},
+	{"prepare-sent", preparePath, beforeDelivery, nil},
+	{"prepare-promised", preparePath, beforeReply, nil},
+	{"accept-sent", acceptPath, beforeDelivery, nil},
+	{"accept-written", acceptPath, beforeReply, nil},
+	{"configuration-sent", controlPath, beforeDelivery, nil},
+	{"configuration-taken", controlPath, beforeReply, nil},
+	{"feed-told", feed.WatchCall.Path(), beforeReply, nil},
 }
 
-// damage is what strikes at a place.
-type damage struct {
+// faultKind is what strikes at a place.
+type faultKind struct {
 	name   string
 	drop   bool
-	strike func(ctx context.Context, s *system, c call)
+	action func(ctx context.Context, s *system, c call)
 }
 
-// damages are all kinds. Those on a machine are left out where the call has none on that side.
-var damages = []damage{
+// faultKinds are all kinds. Those on a machine are left out where the call has none on that side.
+var faultKinds = []faultKind{
 	{"dropped", true, nil},
 	{"caller-killed", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.from, false) }},
 	{"callee-killed", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.to, false) }},
 	{"callee-wiped", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.to, true) }},
-	{"caller-frozen", false, func(ctx context.Context, s *system, c call) { s.stopMachine(ctx, s.machineNamed(c.from), awhile) }},
-	{"callee-frozen", false, func(ctx context.Context, s *system, c call) { s.stopMachine(ctx, s.machineNamed(c.to), awhile) }},
-	{"core-killed", true, func(ctx context.Context, s *system, _ call) { killCore(ctx, s) }},
+	{"caller-frozen", false, func(ctx context.Context, s *system, c call) {
+		s.pauseMachine(ctx, s.machineNamed(c.from), outageBeyondLease)
+	}},
+	{"callee-frozen", false, func(ctx context.Context, s *system, c call) {
+		s.pauseMachine(ctx, s.machineNamed(c.to), outageBeyondLease)
+	}},
+	{"core-killed", true, func(ctx context.Context, s *system, _ call) { killAllCore(ctx, s) }},
 }
 
 // crashNamed kills a machine; only a core machine has a disk to lose, and a worker loses its life.
 func (s *system) crashNamed(ctx context.Context, name string, wipe bool) {
 	if m := s.machineNamed(name); m != nil {
-		s.crashMachine(ctx, m, shortly, wipe && m.data != "")
+		s.crashMachine(ctx, m, shortOutage, wipe && m.dataDirectory != "")
 		return
 	}
 	for _, one := range s.workers {
@@ -87,25 +91,25 @@
 }
 
 // strike is damage at the n-th call that comes to a place.
-type strike struct {
-	at     place
-	by     damage
+type plannedInjection struct {
+	at     callPoint
+	by     faultKind
 	number int
 }
 
 // arm sets the strike.
-func (one strike) arm(ctx context.Context, s *system) *point {
-	return s.network.arm(point{path: one.at.path, phase: one.at.phase, only: one.at.only, number: one.number, drop: one.by.drop, strike: func(c call) {
-		if one.by.strike != nil {
-			one.by.strike(ctx, s, c)
+func (one plannedInjection) arm(ctx context.Context, s *system) *injection {
+	return s.network.arm(injection{path: one.at.path, phase: one.at.phase, only: one.at.only, number: one.number, drop: one.by.drop, action: func(c call) {
+		if one.by.action != nil {
+			one.by.action(ctx, s, c)
 		}
 	}})
 }
 
-// strikeAll sets strikes, changes the configuration where one of them concerns that, and waits until all have struck.
-func strikeAll(strikes ...strike) faultFunc {
+// injectAll sets strikes, changes the configuration where one of them concerns that, and waits until all have struck.
+func injectAll(strikes ...plannedInjection) faultFunc {
 	return func(ctx context.Context, s *system) error {
-		var armed []*point
+		var armed []*injection
 		configures := false
 		for _, one := range strikes {
 			armed = append(armed, one.arm(ctx, s))
@@ -122,12 +126,12 @@
 	}
 }
 
-func concernsConfiguration(at place) bool {
+func concernsConfiguration(at callPoint) bool {
 	return strings.HasPrefix(at.path, "/register/") || at.path == controlPath
 }
 
 // await waits until a point has struck.
-func (p *point) await(ctx context.Context) error {
+func (p *injection) await(ctx context.Context) error {
 	const patience = 20 * time.Second
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -141,8 +145,8 @@
 	}
 }
 
-// fewest is how many calls come to a place at least.
-func (p place) fewest() int {
+// minCalls is how many calls come to a place at least.
+func (p callPoint) minCalls() int {
 	switch p.path {
 	case controlPath, jobapi.CancelCall.Path():
 		return 1
@@ -152,13 +156,13 @@
 	return 3
 }
 
-// everyPoint is a scenario for each place and kind of damage.
-func everyPoint() []scenario {
+// everyInjection is a scenario for each place and kind of damage.
+func everyInjection() []scenario {
 	var all []scenario
-	for i, at := range places {
-		for j, by := range damages {
+	for i, at := range callPoints {
+		for j, by := range faultKinds {
 			name := at.name + "-" + by.name
-			all = append(all, scenario{name: name, seed: uint64(1000 + 10*i + j), faults: strikeAll(strike{at, by, 1 + j%at.fewest()})})
+			all = append(all, scenario{name: name, seed: uint64(1000 + 10*i + j), faults: injectAll(plannedInjection{at, by, 1 + j%at.minCalls()})})
 		}
 	}
 	return all
@@ -169,10 +173,10 @@
 	random := rand.New(rand.NewPCG(seed, 4))
 	var all []scenario
 	for i := range count {
-		one, other := places[random.IntN(len(places))], places[random.IntN(len(places))]
-		by, then := damages[random.IntN(len(damages))], damages[random.IntN(len(damages))]
+		one, other := callPoints[random.IntN(len(callPoints))], callPoints[random.IntN(len(callPoints))]
+		by, then := faultKinds[random.IntN(len(faultKinds))], faultKinds[random.IntN(len(faultKinds))]
 		name := fmt.Sprintf("pair-%d-%d-%s-%s-%s-%s", seed, i, one.name, by.name, other.name, then.name)
-		all = append(all, scenario{name: name, seed: seed + uint64(i), faults: strikeAll(strike{one, by, 1}, strike{other, then, 1})})
+		all = append(all, scenario{name: name, seed: seed + uint64(i), faults: injectAll(plannedInjection{one, by, 1}, plannedInjection{other, then, 1})})
 	}
 	return all
 }
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -18,7 +18,7 @@
 	route       routePlan
 	body        job.Specification
 	work        time.Duration
-	hopeless    bool // each run ends failed
+	alwaysFails bool // each run ends failed
 	cancelAfter time.Duration
 }
 
@@ -27,14 +27,14 @@
 
 const (
 	plainJob jobKind = iota
-	stepsJob
+	multiStageJob
 	gangJob
-	timedJob
-	copiesJob
-	lastingJob
-	poisonJob
+	scheduledJob
+	atLeastOnceJob
+	longRunningJob
+	failingJob
 	cancelledJob
-	spreadJob
+	antiAffinityJob
 	jobKinds
 )
 
@@ -72,41 +72,41 @@
 	if stage.LongRunning {
 		profile.Duration = 0
 	}
-	if plan.hopeless {
+	if plan.alwaysFails {
 		profile.Ends = job.OutcomeFailed
 	}
 	return profile
 }
 
-// makePlan makes a job of a kind.
-func makePlan(random *rand.Rand, kind jobKind, route routePlan) jobPlan {
+// newJobPlan makes a job of a kind.
+func newJobPlan(random *rand.Rand, kind jobKind, route routePlan) jobPlan {
 	plan := jobPlan{id: job.ID(fmt.Sprintf("%016x", random.Uint64())), kind: kind, route: route}
 	plan.work = time.Duration(150+random.IntN(500)) * time.Millisecond
 	plan.body = job.Specification{Text: fmt.Sprintf("do \"%s\"\n", plan.id), Stages: []job.Stage{plainStage(random, 1+random.IntN(3))}}
 	first := &plan.body.Stages[0]
 	switch kind {
-	case stepsJob:
+	case multiStageJob:
 		second, third := plainStage(random, 2), plainStage(random, 1)
 		second.DependsOn, third.DependsOn = []int{0}, []int{0, 1}
 		plan.body.Stages = append(plan.body.Stages, second, third)
 	case gangJob:
 		first.Count, first.GangScheduled, first.SameRack, first.Checkpoints = 3, true, random.IntN(2) == 0, true
 		plan.work = 2500 * time.Millisecond
-	case timedJob:
+	case scheduledJob:
 		plan.body.Repetitions, plan.body.IntervalMS = 3, 700
 		plan.body.FirstRunMS = time.Now().Add(time.Second).UnixMilli()
 		first.Count = 1
-	case copiesJob:
+	case atLeastOnceJob:
 		first.AtLeastOnce = true
-	case lastingJob:
+	case longRunningJob:
 		first.LongRunning, first.Count = true, 1
-	case poisonJob:
-		plan.hopeless = true
+	case failingJob:
+		plan.alwaysFails = true
 	case cancelledJob:
 		first.Checkpoints = true
 		plan.work = 4 * time.Second
 		plan.cancelAfter = time.Second
-	case spreadJob:
+	case antiAffinityJob:
 		first.Count, first.AntiAffinity, first.Checkpoints = 3, 1, true
 		plan.work = 1200 * time.Millisecond
 		plan.body.Stages = append(plan.body.Stages, plainStage(random, 1))
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	standstill   = 20 * time.Second
-	beforeWaking = 400 * time.Millisecond // when the process is asked that stands still; it answers once it goes on
-	doubtTime    = 3 * time.Second        // after that, in which it is asked again and again
-	changePause  = 1500 * time.Millisecond
-	staleness    = 5 * time.Second // by which a proxy without its agent is not ready
-	jobsPath     = "/-/jobs/"
+	pauseLength    = 20 * time.Second
+	probeLeadTime  = 400 * time.Millisecond // when the process is asked that stands still; it answers once it goes on
+	probeDuration  = 3 * time.Second        // after that, in which it is asked again and again
+	changeInterval = 1500 * time.Millisecond
+	staleness      = 5 * time.Second // by which a proxy without its agent is not ready
+	jobsPath       = "/-/jobs/"
 )
 
-// longStops let one process, or all of a machine, stand still for 20 s, while the configuration changes and jobs come.
-var longStops = []scenario{
-	{name: "leader-stopped-long", seed: 31, faults: onLeader(stopCoreLong)},
-	{name: "follower-stopped-long", seed: 32, faults: onFollower(stopCoreLong)},
-	{name: "agent-stopped-long", seed: 33, faults: stopAgentLong},
+// longPauseScenarios let one process, or all of a machine, stand still for 20 s, while the configuration changes and jobs come.
+var longPauseScenarios = []scenario{
+	{name: "leader-stopped-long", seed: 31, faults: onLeader(pauseCoreLong)},
+	{name: "follower-stopped-long", seed: 32, faults: onFollower(pauseCoreLong)},
+	{name: "agent-stopped-long", seed: 33, faults: pauseAgentLong},
 }
 
-// TestNothingOldAfterALongStop plays them side by side, as each takes that long whatever the machine does.
-func TestNothingOldAfterALongStop(t *testing.T) {
+// TestNoStaleStateAfterLongPause plays them side by side, as each takes that long whatever the machine does.
+func TestNoStaleStateAfterLongPause(t *testing.T) {
 	t.Parallel()
-	outcomes := make([]outcome, len(longStops))
+	outcomes := make([]outcome, len(longPauseScenarios))
 	var all sync.WaitGroup
-	for i, sc := range longStops {
+	for i, sc := range longPauseScenarios {
 		folder := scenarioFolder(t, sc.name)
 		all.Go(func() { outcomes[i] = sc.run(folder) })
 	}
 	all.Wait()
-	for i, sc := range longStops {
+	for i, sc := range longPauseScenarios {
 		result := outcomes[i]
 		t.Logf("%s: %d jobs accepted, %v; seen %+v", sc.name, result.accepted, result.took, result.seen)
 		Convey("No rule is broken, and nothing old is told: "+sc.name, t, func() {
@@ -60,7 +60,7 @@
 func (s *system) newestAcknowledged() (newest int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, order := range s.orders {
+	for _, order := range s.operatorRequests {
 		if order.Method == http.MethodPut && order.Status == http.StatusOK {
 			newest = max(newest, versionOf(order.Body))
 		}
@@ -85,53 +85,53 @@
 			routes = append(routes, extra)
 		}
 		if !s.configured.set(ctx, number, routes...) {
-			s.fail(errors.New("a change was not acknowledged"))
+			s.recordFailure(errors.New("a change was not acknowledged"))
 			return
 		}
-		if pause(ctx, changePause) != nil {
+		if sleep(ctx, changeInterval) != nil {
 			return
 		}
 	}
 }
 
-// stopCoreLong lets a core machine stand still, and asks it before and after it goes on.
-func stopCoreLong(ctx context.Context, s *system, m *machine) {
-	if !m.take() {
-		s.fail(errors.New("the machine has another trouble"))
+// pauseCoreLong lets a core machine stand still, and asks it before and after it goes on.
+func pauseCoreLong(ctx context.Context, s *system, m *machine) {
+	if !m.reserve() {
+		s.recordFailure(errors.New("the machine has another trouble"))
 		return
 	}
 	defer m.release()
-	old := s.takenOrders()
+	old := s.acknowledgedChanges()
 	m.freeze()
-	wake := time.Now().Add(standstill)
-	s.whileStopped(ctx, wake)
+	wake := time.Now().Add(pauseLength)
+	s.changeWhilePaused(ctx, wake)
 	var asked sync.WaitGroup
-	for _, doubt := range coreDoubts {
+	for _, doubt := range staleStateProbes {
 		asked.Go(func() { doubt(s, ctx, m, old[len(old)-1]) })
 	}
-	s.fail(pause(ctx, time.Until(wake)))
-	m.thaw()
+	s.recordFailure(sleep(ctx, time.Until(wake)))
+	m.resume()
 	asked.Wait()
-	for end := time.Now().Add(doubtTime); time.Now().Before(end); {
-		for _, doubt := range coreDoubts {
+	for end := time.Now().Add(probeDuration); time.Now().Before(end); {
+		for _, doubt := range staleStateProbes {
 			doubt(s, ctx, m, old[len(old)-1])
 		}
 	}
 }
 
-// whileStopped changes the configuration and hands jobs in until shortly before the process goes on.
-func (s *system) whileStopped(ctx context.Context, wake time.Time) {
-	wait := s.beginLoad(ctx, rand.New(rand.NewPCG(1, 8)))
-	s.repairs.Go(func() { wait() })
-	s.changeFor(ctx, time.Until(wake)-4*changePause)
-	s.fail(pause(ctx, time.Until(wake)-beforeWaking))
+// changeWhilePaused changes the configuration and hands jobs in until shortly before the process goes on.
+func (s *system) changeWhilePaused(ctx context.Context, wake time.Time) {
+	wait := s.startLoad(ctx, rand.New(rand.NewPCG(1, 8)))
+	s.recoveries.Go(func() { wait() })
+	s.changeFor(ctx, time.Until(wake)-4*changeInterval)
+	s.recordFailure(sleep(ctx, time.Until(wake)-probeLeadTime))
 }
 
-// takenOrders are the changes that have been acknowledged so far.
-func (s *system) takenOrders() (taken []checker.OperatorRequest) {
+// acknowledgedChanges are the changes that have been acknowledged so far.
+func (s *system) acknowledgedChanges() (taken []checker.OperatorRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, order := range s.orders {
+	for _, order := range s.operatorRequests {
 		if order.Method == http.MethodPut && order.Status == http.StatusOK {
 			taken = append(taken, order)
 		}
@@ -139,35 +139,35 @@
 	return taken
 }
 
-// coreDoubts ask a core machine for what it may remember wrongly. They get the newest change from before it stood still.
-var coreDoubts = []func(s *system, ctx context.Context, m *machine, before checker.OperatorRequest){
-	(*system).doubtReading, (*system).doubtRefusal, (*system).doubtRepetition, (*system).doubtJobs,
+// staleStateProbes ask a core machine for what it may remember wrongly. They get the newest change from before it stood still.
+var staleStateProbes = []func(s *system, ctx context.Context, m *machine, before checker.OperatorRequest){
+	(*system).probeRead, (*system).probeStaleChange, (*system).probeRetriedChange, (*system).probeJobs,
 }
 
-// doubtReading reads the configuration.
-func (s *system) doubtReading(ctx context.Context, m *machine, _ checker.OperatorRequest) {
+// probeRead reads the configuration.
+func (s *system) probeRead(ctx context.Context, m *machine, _ checker.OperatorRequest) {
 	newest := s.newestAcknowledged()
-	read := s.order(ctx, m, http.MethodGet, 0, nil)
+	read := s.operatorRequest(ctx, m, http.MethodGet, 0, nil)
 	if read.Status == http.StatusOK && versionOf(read.Answer) < newest || read.Status == http.StatusNotFound {
-		s.fail(fmt.Errorf("%s hands out version %d, though %d was acknowledged before", m.name, versionOf(read.Answer), newest))
+		s.recordFailure(fmt.Errorf("%s hands out version %d, though %d was acknowledged before", m.name, versionOf(read.Answer), newest))
 	}
 }
 
-// doubtRefusal sends a change on a version that was replaced long ago.
-func (s *system) doubtRefusal(ctx context.Context, m *machine, before checker.OperatorRequest) {
+// probeStaleChange sends a change on a version that was replaced long ago.
+func (s *system) probeStaleChange(ctx context.Context, m *machine, before checker.OperatorRequest) {
 	newest := s.newestAcknowledged()
-	late := s.order(ctx, m, http.MethodPut, before.BuiltOn, encodeConfiguration(newest+100, []routePlan{renderRoute}))
+	late := s.operatorRequest(ctx, m, http.MethodPut, before.BuiltOn, encodeConfiguration(newest+100, []routePlan{renderRoute}))
 	if late.Status == http.StatusOK || late.Status == http.StatusPreconditionFailed && currentOf(late.Answer) < newest {
-		s.fail(fmt.Errorf("%s answers %d %s to a change on version %d, though %d was acknowledged before",
+		s.recordFailure(fmt.Errorf("%s answers %d %s to a change on version %d, though %d was acknowledged before",
 			m.name, late.Status, late.Answer, before.BuiltOn, newest))
 	}
 }
 
-// doubtRepetition sends a change that was taken once more.
-func (s *system) doubtRepetition(ctx context.Context, m *machine, before checker.OperatorRequest) {
-	again := s.order(ctx, m, http.MethodPut, before.BuiltOn, before.Body)
-	if isClear(again.Status) && again.Status != http.StatusOK {
-		s.fail(fmt.Errorf("%s answers %d %s to a change that was taken before", m.name, again.Status, again.Answer))
+// probeRetriedChange sends a change that was taken once more.
+func (s *system) probeRetriedChange(ctx context.Context, m *machine, before checker.OperatorRequest) {
+	again := s.operatorRequest(ctx, m, http.MethodPut, before.BuiltOn, before.Body)
+	if isDefinite(again.Status) && again.Status != http.StatusOK {
+		s.recordFailure(fmt.Errorf("%s answers %d %s to a change that was taken before", m.name, again.Status, again.Answer))
 	}
 }
 
@@ -179,21 +179,21 @@
 	return current
 }
 
-// doubtJobs asks a core machine as an operator does, and all fronts, for the job that was accepted last.
-func (s *system) doubtJobs(ctx context.Context, m *machine, _ checker.OperatorRequest) {
+// probeJobs asks a core machine as an operator does, and all fronts, for the job that was accepted last.
+func (s *system) probeJobs(ctx context.Context, m *machine, _ checker.OperatorRequest) {
 	path, id := s.newestJob()
 	if path == "" {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, operatorPatience)
+	bounded, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	status, answer := s.sendWith(bounded, http.Header{}, http.MethodGet, "http://"+m.address(controlOffset)+jobsPath+id, nil)
 	if status == http.StatusNotFound {
-		s.fail(fmt.Errorf("%s knows nothing of job %s, which was accepted before: %s", m.name, id, answer))
+		s.recordFailure(fmt.Errorf("%s knows nothing of job %s, which was accepted before: %s", m.name, id, answer))
 	}
 	for _, front := range s.fronts {
-		if got := s.ask(ctx, front, http.MethodGet, path, nil); got.Status == http.StatusGone || got.Status == http.StatusNotFound {
-			s.fail(fmt.Errorf("%s answers %d about job %s, which was accepted before", front.name, got.Status, id))
+		if got := s.clientRequest(ctx, front, http.MethodGet, path, nil); got.Status == http.StatusGone || got.Status == http.StatusNotFound {
+			s.recordFailure(fmt.Errorf("%s answers %d about job %s, which was accepted before", front.name, got.Status, id))
 		}
 	}
 }
@@ -210,53 +210,53 @@
 	return path, path[strings.LastIndex(path, "/")+1:]
 }
 
-// stopAgentLong lets the agent beside a proxy stand still.
-func stopAgentLong(ctx context.Context, s *system) error {
+// pauseAgentLong lets the agent beside a proxy stand still.
+func pauseAgentLong(ctx context.Context, s *system) error {
 	front := s.fronts[0]
-	if !front.take() {
+	if !front.reserve() {
 		return errors.New("the machine has another trouble")
 	}
 	defer front.release()
-	s.begin(front.name)
+	s.faultBegan(front.name)
 	front.signalRole(agentRole, syscall.SIGSTOP)
-	stopped, wake := time.Now(), time.Now().Add(standstill)
-	s.repairs.Go(func() {
-		if pause(ctx, staleness) == nil && s.ready(ctx, front) {
-			s.fail(fmt.Errorf("%s is ready %v after its agent stopped", front.name, time.Since(stopped)))
+	stopped, wake := time.Now(), time.Now().Add(pauseLength)
+	s.recoveries.Go(func() {
+		if sleep(ctx, staleness) == nil && s.ready(ctx, front) {
+			s.recordFailure(fmt.Errorf("%s is ready %v after its agent stopped", front.name, time.Since(stopped)))
 		}
 	})
-	s.whileStopped(ctx, wake)
+	s.changeWhilePaused(ctx, wake)
 	added := routePlan{"/late/", guardedService}
 	if !s.configured.set(ctx, 1, renderRoute, mailRoute, added) {
 		return errors.New("a change was not acknowledged")
 	}
 	var asked sync.WaitGroup
 	for range 3 {
-		asked.Go(func() { s.doubtFront(ctx, front, added) })
+		asked.Go(func() { s.probeFront(ctx, front, added) })
 	}
-	err := pause(ctx, time.Until(wake))
+	err := sleep(ctx, time.Until(wake))
 	front.signalRole(agentRole, syscall.SIGCONT)
-	s.finish(front.name)
+	s.faultEnded(front.name)
 	asked.Wait()
-	for end := time.Now().Add(doubtTime); time.Now().Before(end); {
-		s.doubtFront(ctx, front, added)
+	for end := time.Now().Add(probeDuration); time.Now().Before(end); {
+		s.probeFront(ctx, front, added)
 	}
 	if !s.ready(ctx, front) {
-		s.fail(fmt.Errorf("%s is not ready %v after its agent went on", front.name, doubtTime))
+		s.recordFailure(fmt.Errorf("%s is not ready %v after its agent went on", front.name, probeDuration))
 	}
 	return err
 }
 
-// doubtFront asks a front whose agent stood still for a route that came meanwhile: it may not say that there is none, nor
+// probeFront asks a front whose agent stood still for a route that came meanwhile: it may not say that there is none, nor
 // that there is no job.
-func (s *system) doubtFront(ctx context.Context, front *machine, added routePlan) {
+func (s *system) probeFront(ctx context.Context, front *machine, added routePlan) {
 	wasReady := s.ready(ctx, front)
-	if got := s.ask(ctx, front, http.MethodGet, added.prefix, nil); got.Status == http.StatusNotFound {
-		s.fail(fmt.Errorf("%s answers 404 for a route that was acknowledged before; ready: %v", front.name, wasReady))
+	if got := s.clientRequest(ctx, front, http.MethodGet, added.prefix, nil); got.Status == http.StatusNotFound {
+		s.recordFailure(fmt.Errorf("%s answers 404 for a route that was acknowledged before; ready: %v", front.name, wasReady))
 	}
 	if path, id := s.newestJob(); path != "" {
-		if got := s.ask(ctx, front, http.MethodGet, path, nil); got.Status == http.StatusGone {
-			s.fail(fmt.Errorf("%s answers 410 about job %s, which was accepted before", front.name, id))
+		if got := s.clientRequest(ctx, front, http.MethodGet, path, nil); got.Status == http.StatusGone {
+			s.recordFailure(fmt.Errorf("%s answers 410 about job %s, which was accepted before", front.name, id))
 		}
 	}
 }
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -21,21 +21,21 @@
 	frontOffset       = 3
 	controlOffset     = 4
 	readinessOffset   = 5
-	behindOffset      = 100
+	targetPortOffset  = 100
 )
 
 // machine is one machine of the system: its processes and the relays before them.
 type machine struct {
-	system    *system
-	name      string
-	ip        string
-	data      string // the data directory; empty without a disk
-	processes []*process
-	relays    map[*process][]*relay
-	lives     int // starts of the machine
+	system        *system
+	name          string
+	ip            string
+	dataDirectory string // the data directory; empty without a disk
+	processes     []*process
+	relays        map[*process][]*relay
+	incarnations  int // starts of the machine
 
-	mu   sync.Mutex
-	down bool // ended, frozen, or being brought back
+	mu     sync.Mutex
+	faulty bool // ended, frozen, or being brought back
 }
 
 // address is one of the machine's, at an offset from the first port.
@@ -47,8 +47,8 @@
 	return m, os.MkdirAll(filepath.Join(s.folder, name), 0o755)
 }
 
-// add gives the machine a process, with a relay before each of the offsets named.
-func (m *machine) add(spec partSpec, offsets ...int) error {
+// addProcess gives the machine a process, with a relay before each of the offsets named.
+func (m *machine) addProcess(spec childSpec, offsets ...int) error {
 	log, err := os.Create(filepath.Join(m.system.folder, m.name, string(spec.Role)+".log"))
 	if err != nil {
 		return err
@@ -57,12 +57,12 @@
 	p := &process{name: m.name + " " + string(spec.Role), spec: spec, log: log}
 	m.processes = append(m.processes, p)
 	for _, offset := range offsets {
-		r := &relay{network: m.system.network, to: m.name, address: m.address(offset), behind: m.address(offset + behindOffset)}
+		r := &relay{network: m.system.network, to: m.name, address: m.address(offset), target: m.address(offset + targetPortOffset)}
 		if offset != frontOffset && offset != controlOffset {
 			r.caller = m.system.callerName
 		}
 		if offset == frontOffset {
-			r.lost = m.system.noteCut
+			r.onAbort = m.system.recordAborted
 		}
 		m.relays[p] = append(m.relays[p], r)
 	}
@@ -74,7 +74,7 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	if p.other != "" { // it listens where callers look for it
+	if p.otherBuild != "" { // it listens where callers look for it
 		return nil
 	}
 	for _, r := range m.relays[p] {
@@ -89,31 +89,31 @@
 func (m *machine) startAll(planned bool) error {
 	var failures []error
 	m.system.addFault(checker.Fault{Machine: m.name, Planned: planned})
-	m.addLife()
+	m.nextIncarnation()
 	for _, p := range m.processes {
 		failures = append(failures, m.start(p))
 	}
-	m.system.finish(m.name)
+	m.system.faultEnded(m.name)
 	return errors.Join(failures...)
 }
 
-// addLife counts a start of the machine, or of one of its processes.
-func (m *machine) addLife() {
+// nextIncarnation counts a start of the machine, or of one of its processes.
+func (m *machine) nextIncarnation() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lives++
+	m.incarnations++
 }
 
 // incarnation is the number of the present life.
 func (m *machine) incarnation() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lives
+	return m.incarnations
 }
 
-// end ends a process by a signal: SIGKILL, or SIGTERM for an end in order.
-func (m *machine) end(p *process, signal syscall.Signal) {
-	m.system.begin(m.name)
+// endProcess ends a process by a signal: SIGKILL, or SIGTERM for an end in order.
+func (m *machine) endProcess(p *process, signal syscall.Signal) {
+	m.system.faultBegan(m.name)
 	p.end(signal)
 	for _, r := range m.relays[p] {
 		r.close()
@@ -140,7 +140,7 @@
 // kill ends all processes of the machine at once.
 func (m *machine) kill() {
 	for _, p := range m.processes {
-		m.end(p, syscall.SIGKILL)
+		m.endProcess(p, syscall.SIGKILL)
 	}
 }
 
@@ -152,49 +152,49 @@
 	return m.startAll(planned)
 }
 
-// wipe empties the disk of a machine that does not run.
-func (m *machine) wipe() error {
-	if err := os.RemoveAll(m.data); err != nil {
+// eraseDisk empties the disk of a machine that does not run.
+func (m *machine) eraseDisk() error {
+	if err := os.RemoveAll(m.dataDirectory); err != nil {
 		return err
 	}
-	return os.Mkdir(m.data, 0o755)
+	return os.Mkdir(m.dataDirectory, 0o755)
 }
 
 // freeze stops the machine's processes until thaw lets them go on.
 func (m *machine) freeze() {
-	m.system.begin(m.name)
+	m.system.faultBegan(m.name)
 	for _, p := range m.processes {
 		p.signal(syscall.SIGSTOP)
 	}
 }
 
-func (m *machine) thaw() {
+func (m *machine) resume() {
 	for _, p := range m.processes {
 		p.signal(syscall.SIGCONT)
 	}
-	m.system.finish(m.name)
+	m.system.faultEnded(m.name)
 }
 
 // cut closes the ways between machines, both ways or only from the first to the others.
-func (s *system) cut(from *machine, others []*machine, bothWays bool) {
-	s.setCuts(from, others, bothWays, true)
+func (s *system) partition(from *machine, others []*machine, bothWays bool) {
+	s.setPartitions(from, others, bothWays, true)
 	for _, other := range append([]*machine{from}, others...) {
-		s.begin(other.name)
+		s.faultBegan(other.name)
 	}
 }
 
 func (s *system) heal(from *machine, others []*machine, bothWays bool) {
-	s.setCuts(from, others, bothWays, false)
+	s.setPartitions(from, others, bothWays, false)
 	for _, other := range append([]*machine{from}, others...) {
-		s.finish(other.name)
+		s.faultEnded(other.name)
 	}
 }
 
-func (s *system) setCuts(from *machine, others []*machine, bothWays, cut bool) {
+func (s *system) setPartitions(from *machine, others []*machine, bothWays, cut bool) {
 	for _, other := range others {
-		s.network.setCut(from.name, other.name, cut)
+		s.network.setPartition(from.name, other.name, cut)
 		if bothWays {
-			s.network.setCut(other.name, from.name, cut)
+			s.network.setPartition(other.name, from.name, cut)
 		}
 	}
 }
@@ -211,7 +211,7 @@
 	}
 	for _, m := range *known {
 		for _, p := range m.processes {
-			if pid := p.pid(); pid != 0 && holds(pid, socket) {
+			if pid := p.pid(); pid != 0 && ownsSocket(pid, socket) {
 				return m.name
 			}
 		}
--- a/internal/systemtest/machinefaults_test.go
+++ b/internal/systemtest/machinefaults_test.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// take reserves a machine for a fault; it is false while another one holds it.
-func (m *machine) take() bool {
+// reserve reserves a machine for a fault; it is false while another one holds it.
+func (m *machine) reserve() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.down {
+	if m.faulty {
 		return false
 	}
-	m.down = true
+	m.faulty = true
 	return true
 }
 
 func (m *machine) release() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.down = false
+	m.faulty = false
 }
 
 // crashMachine kills a machine at once and brings it back after a while, perhaps with an empty disk.
 func (s *system) crashMachine(ctx context.Context, m *machine, away time.Duration, wipe bool) {
-	if m == nil || !m.take() {
+	if m == nil || !m.reserve() {
 		return
 	}
 	m.kill()
 	if wipe {
-		s.fail(m.wipe())
+		s.recordFailure(m.eraseDisk())
 	}
-	s.repairs.Go(func() {
+	s.recoveries.Go(func() {
 		defer m.release()
-		if pause(ctx, away) == nil {
-			s.fail(m.restart(false))
+		if sleep(ctx, away) == nil {
+			s.recordFailure(m.restart(false))
 		}
 	})
 }
 
 // crashProcess kills one process of a machine at once and brings it back after a while.
 func (s *system) crashProcess(ctx context.Context, m *machine, of role, away time.Duration) {
-	if !m.take() {
+	if !m.reserve() {
 		return
 	}
 	for _, p := range m.processes {
 		if p.spec.Role != of {
 			continue
 		}
-		m.end(p, syscall.SIGKILL)
-		s.repairs.Go(func() {
+		m.endProcess(p, syscall.SIGKILL)
+		s.recoveries.Go(func() {
 			defer m.release()
-			if pause(ctx, away) == nil {
-				m.addLife()
-				s.fail(m.start(p))
-				s.finish(m.name)
+			if sleep(ctx, away) == nil {
+				m.nextIncarnation()
+				s.recordFailure(m.start(p))
+				s.faultEnded(m.name)
 			}
 		})
 	}
 }
 
-// roll stops the machines in order and starts them again, one after the other.
-func (s *system) roll(ctx context.Context, machines []*machine) error {
+// rollingRestart stops the machines in order and starts them again, one after the other.
+func (s *system) rollingRestart(ctx context.Context, machines []*machine) error {
 	for _, m := range machines {
-		if !m.take() {
+		if !m.reserve() {
 			continue
 		}
 		m.shutDown()
@@ -73,29 +73,29 @@
 		if err != nil {
 			return err
 		}
-		if err := pause(ctx, shortly); err != nil {
+		if err := sleep(ctx, shortOutage); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// stopMachine freezes a machine and wakes it after a while.
-func (s *system) stopMachine(ctx context.Context, m *machine, away time.Duration) {
-	if m == nil || !m.take() {
+// pauseMachine freezes a machine and wakes it after a while.
+func (s *system) pauseMachine(ctx context.Context, m *machine, away time.Duration) {
+	if m == nil || !m.reserve() {
 		return
 	}
 	m.freeze()
-	s.repairs.Go(func() {
+	s.recoveries.Go(func() {
 		defer m.release()
-		pause(ctx, away)
-		m.thaw()
+		sleep(ctx, away)
+		m.resume()
 	})
 }
 
-// cutOff cuts a machine off from the other core machines for a while. Workers, platform and operators still reach it.
-func (s *system) cutOff(ctx context.Context, m *machine, away time.Duration, bothWays bool) {
-	if m == nil || !m.take() {
+// partitionFor cuts a machine off from the other core machines for a while. Workers, platform and operators still reach it.
+func (s *system) partitionFor(ctx context.Context, m *machine, away time.Duration, bothWays bool) {
+	if m == nil || !m.reserve() {
 		return
 	}
 	var others []*machine
@@ -104,10 +104,10 @@
 			others = append(others, other)
 		}
 	}
-	s.cut(m, others, bothWays)
-	s.repairs.Go(func() {
+	s.partition(m, others, bothWays)
+	s.recoveries.Go(func() {
 		defer m.release()
-		pause(ctx, away)
+		sleep(ctx, away)
 		s.heal(m, others, bothWays)
 	})
 }
--- a/internal/systemtest/main_test.go
+++ b/internal/systemtest/main_test.go
@@ -9,8 +9,8 @@
 
 // TestMain runs the tests, or one process of the system where this program was started as that.
 func TestMain(m *testing.M) {
-	if text := os.Getenv(partVariable); text != "" {
-		os.Exit(runPart(text))
+	if text := os.Getenv(childVariable); text != "" {
+		os.Exit(runChild(text))
 	}
 	leaktest.Main(m)
 }
--- a/internal/systemtest/mixedversions_test.go
+++ b/internal/systemtest/mixedversions_test.go
@@ -23,42 +23,42 @@
 	"puffinlink.example/puffinlink/internal/nodesettings"
 )
 
-// otherVariable names a puffinlink program of another build.
-const otherVariable = "PUFFINLINK_OTHER_BUILD"
+// otherBuildVariable names a puffinlink program of another build.
+const otherBuildVariable = "PUFFINLINK_OTHER_BUILD"
 
-// useOther lets processes of a machine be started from the other build, if there is one. That listens where its settings
+// useOtherBuild lets processes of a machine be started from the other build, if there is one. That listens where its settings
 // say, without relays. Its agent and its proxy meet at the loopback address of the standard port, which is the same for all
 // machines: a system can have one such front.
-func (m *machine) useOther(roles ...role) {
-	program := os.Getenv(otherVariable)
+func (m *machine) useOtherBuild(roles ...role) {
+	program := os.Getenv(otherBuildVariable)
 	if program == "" {
 		return
 	}
 	for _, p := range m.processes {
 		if slices.Contains(roles, p.spec.Role) {
-			p.other, p.listen, p.reached = program, m.listenLines(p.spec.Role), m.relays[p][0].address
+			p.otherBuild, p.listenSettings, p.dialAddress = program, m.listenSettings(p.spec.Role), m.relays[p][0].address
 		}
 		switch p.spec.Role {
 		case agentRole:
-			p.spec.Second = m.loopback()
+			p.spec.Secondary = m.loopback()
 		case proxyRole:
 			p.spec.Agent = m.loopback()
 		}
 	}
 }
 
-// useThis lets all processes of a machine be started from this build again.
-func (m *machine) useThis() {
+// useThisBuild lets all processes of a machine be started from this build again.
+func (m *machine) useThisBuild() {
 	for _, p := range m.processes {
-		p.other = ""
+		p.otherBuild = ""
 	}
 }
 
 // loopback is where the agent and the proxy of a machine meet by the standard.
 func (m *machine) loopback() string { return fmt.Sprintf("127.0.0.1:%d", m.system.port+localOffset) }
 
-// listenLines are the settings of the addresses at which a process listens.
-func (m *machine) listenLines(of role) string {
+// listenSettings are the settings of the addresses at which a process listens.
+func (m *machine) listenSettings(of role) string {
 	switch of {
 	case coordinatorRole:
 		return "listenAddresses.control=" + m.address(controlOffset) + "\n"
@@ -71,10 +71,10 @@
 // newOtherCommand is the command that starts the process from the other build.
 func (p *process) newOtherCommand() (*exec.Cmd, error) {
 	path := strings.TrimSuffix(p.log.Name(), ".log") + ".conf"
-	if err := os.WriteFile(path, []byte(p.spec.Settings+p.listen), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(p.spec.Settings+p.listenSettings), 0o600); err != nil {
 		return nil, err
 	}
-	command := exec.Command(p.other, string(p.spec.Role), "--log-level", "debug")
+	command := exec.Command(p.otherBuild, string(p.spec.Role), "--log-level", "debug")
 	command.Env = append(os.Environ(), nodesettings.PathVariable+"="+path, "GOMAXPROCS=2")
 	return command, nil
 }
@@ -82,7 +82,7 @@
 // awaitListening closes ready once a process of the other build takes connections.
 func (p *process) awaitListening(ready, ended chan struct{}) {
 	for {
-		connection, err := net.Dial("tcp", p.reached)
+		connection, err := net.Dial("tcp", p.dialAddress)
 		if err == nil {
 			connection.Close()
 			close(ready)
@@ -91,44 +91,44 @@
 		select {
 		case <-ended:
 			return
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // withBuilds checks that each process runs its build, and makes a fault then.
 func withBuilds(fault faultFunc) faultFunc {
-	return together(func(_ context.Context, s *system) error { return s.checkBuilds() }, fault)
+	return inSequence(func(_ context.Context, s *system) error { return s.checkBuilds() }, fault)
 }
 
 // mixedScenarios play a scenario with the processes of both builds side by side: by machines, and within machines.
 var mixedScenarios = []scenario{
 	{name: "mixed-machines", seed: 31, faults: withBuilds(killLeader(false)), prepare: func(s *system) {
-		s.core[1].useOther(coordinatorRole)
-		s.fronts[0].useOther(agentRole, proxyRole)
+		s.core[1].useOtherBuild(coordinatorRole)
+		s.fronts[0].useOtherBuild(agentRole, proxyRole)
 	}},
 	{name: "mixed-agent", seed: 32, faults: withBuilds(killLeader(false)), prepare: func(s *system) {
-		s.core[0].useOther(coordinatorRole)
-		s.core[2].useOther(coordinatorRole)
-		s.fronts[0].useOther(agentRole)
+		s.core[0].useOtherBuild(coordinatorRole)
+		s.core[2].useOtherBuild(coordinatorRole)
+		s.fronts[0].useOtherBuild(agentRole)
 	}},
 	{name: "mixed-proxy", seed: 33, faults: withBuilds(killFollower(true)), prepare: func(s *system) {
-		s.core[0].useOther(coordinatorRole)
-		s.fronts[1].useOther(proxyRole)
+		s.core[0].useOtherBuild(coordinatorRole)
+		s.fronts[1].useOtherBuild(proxyRole)
 	}},
 }
 
 // logBuilds tells which builds take part.
 func logBuilds(t *testing.T) {
-	if program := os.Getenv(otherVariable); program != "" {
+	if program := os.Getenv(otherBuildVariable); program != "" {
 		t.Logf("the other build is %s", program)
 		return
 	}
-	t.Logf("%s is not set: this build takes the place of the other one", otherVariable)
+	t.Logf("%s is not set: this build takes the place of the other one", otherBuildVariable)
 }
 
-// TestTwoBuildsAtOnce plays scenarios with coordinators, agents and proxies of two builds in one system.
-func TestTwoBuildsAtOnce(t *testing.T) {
+// TestMixedVersions plays scenarios with coordinators, agents and proxies of two builds in one system.
+func TestMixedVersions(t *testing.T) {
 	t.Parallel()
 	logBuilds(t)
 	outcomes := make([]outcome, len(mixedScenarios))
@@ -149,39 +149,39 @@
 	}
 }
 
-const upgradePatience = 3 * time.Minute
+const upgradeTimeout = 3 * time.Minute
 
 var oneFront = size{fronts: 1, workers: usualSize.workers}
 
 // upgrade is a system that runs on the other build first and on this one afterwards, with the same disks.
 type upgrade struct {
 	*system
-	random *rand.Rand
-	jobs   []jobPlan
-	before map[string]string // states of the jobs when the other build was told to stop, by identifier
+	random       *rand.Rand
+	jobs         []jobPlan
+	statesBefore map[string]string // states of the jobs when the other build was told to stop, by identifier
 }
 
-// TestThisBuildGoesOnFromTheOther starts a whole system on the other build, hands work in, stops all of it, starts this build
+// TestUpgradeKeepsState starts a whole system on the other build, hands work in, stops all of it, starts this build
 // on the same disks, and compares what is known.
-func TestThisBuildGoesOnFromTheOther(t *testing.T) {
+func TestUpgradeKeepsState(t *testing.T) {
 	t.Parallel()
 	logBuilds(t)
-	ctx, s := startSystem(t, "upgraded", oneFront, upgradePatience)
-	u := &upgrade{system: s, random: rand.New(rand.NewPCG(41, 1)), before: map[string]string{}}
+	ctx, s := startSystem(t, "upgraded", oneFront, upgradeTimeout)
+	u := &upgrade{system: s, random: rand.New(rand.NewPCG(41, 1)), statesBefore: map[string]string{}}
 	failure := u.run(ctx)
 	s.stop()
-	t.Logf("states before: %v", u.before)
+	t.Logf("states before: %v", u.statesBefore)
 	Convey("What was known before is known after", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
-		So(u.before, ShouldNotBeEmpty)
+		So(u.statesBefore, ShouldNotBeEmpty)
 	})
 }
 
 func (u *upgrade) run(ctx context.Context) error {
 	for _, m := range u.machines() {
-		m.useOther(coordinatorRole, agentRole, proxyRole)
+		m.useOtherBuild(coordinatorRole, agentRole, proxyRole)
 	}
 	if err := u.bringUp(ctx); err != nil {
 		return err
@@ -189,16 +189,16 @@
 	if !u.configured.set(ctx, 0, renderRoute, mailRoute, routePlan{"/second/", guardedService}) {
 		return errors.New("the second configuration was not acknowledged")
 	}
-	if err := u.handIn(ctx); err != nil {
+	if err := u.submitJobs(ctx); err != nil {
 		return err
 	}
-	if err := u.awaitOperations(ctx, http.MethodPost, workersPath+"/"+u.drained()+"/drain", func(string) bool { return true }); err != nil {
+	if err := u.awaitOperations(ctx, http.MethodPost, workersPath+"/"+u.drainedWorker()+"/drain", func(string) bool { return true }); err != nil {
 		return err
 	}
 	if err := u.checkBuilds(); err != nil {
 		return err
 	}
-	if err := u.noteStates(ctx); err != nil {
+	if err := u.recordStates(ctx); err != nil {
 		return err
 	}
 	u.stopAll()
@@ -206,9 +206,9 @@
 		return err
 	}
 	for _, m := range u.machines() {
-		m.useThis()
+		m.useThisBuild()
 	}
-	if err := u.startAgain(); err != nil {
+	if err := u.restartAll(); err != nil {
 		return err
 	}
 	if err := u.checkBuilds(); err != nil {
@@ -217,17 +217,17 @@
 	return u.check(ctx)
 }
 
-// handIn hands in two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
-func (u *upgrade) handIn(ctx context.Context) error {
+// submitJobs hands in two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
+func (u *upgrade) submitJobs(ctx context.Context) error {
 	for kind := range jobKinds {
 		for _, route := range []routePlan{renderRoute, mailRoute} {
-			plan := makePlan(u.random, kind, route)
-			if kind == timedJob { // some repetitions are due after the change only
+			plan := newJobPlan(u.random, kind, route)
+			if kind == scheduledJob { // some repetitions are due after the change only
 				plan.body.Repetitions, plan.body.IntervalMS = 4, 6000
 			}
 			u.plans.add(plan)
 			u.jobs = append(u.jobs, plan)
-			if _, err := u.eventually(ctx, u.random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
+			if _, err := u.retryUntil(ctx, u.random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
 				return fmt.Errorf("job %s was not accepted: %w", plan.id, err)
 			}
 			if kind == cancelledJob {
@@ -235,29 +235,29 @@
 			}
 		}
 	}
-	return pause(ctx, 2*time.Second)
+	return sleep(ctx, 2*time.Second)
 }
 
 func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
 
-// noteStates asks for all jobs' states.
-func (u *upgrade) noteStates(ctx context.Context) error {
+// recordStates asks for all jobs' states.
+func (u *upgrade) recordStates(ctx context.Context) error {
 	for _, plan := range u.jobs {
-		answer, err := u.eventually(ctx, u.random, http.MethodGet, plan.path(), nil, isSuccess)
+		answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isSuccess)
 		if err != nil {
 			return fmt.Errorf("job %s is not known: %w", plan.id, err)
 		}
-		u.before[string(plan.id)] = stateOf(answer.Answer)
+		u.statesBefore[string(plan.id)] = stateOf(answer.Answer)
 	}
 	return nil
 }
 
-// drained names the worker that an operator drains: one that no job needs.
-func (u *upgrade) drained() string { return u.workers[2].ID() }
+// drainedWorker names the worker that an operator drains: one that no job needs.
+func (u *upgrade) drainedWorker() string { return u.workers[2].ID() }
 
 // awaitOperations makes an operator's call until each core machine has answered it as it should.
 func (u *upgrade) awaitOperations(ctx context.Context, method, path string, serves func(answer string) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, resendPatience)
+	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for _, core := range u.core {
 		for {
@@ -265,7 +265,7 @@
 			if status == http.StatusOK && serves(string(answer)) {
 				break
 			}
-			if err := pause(ctx, retryPause); err != nil {
+			if err := sleep(ctx, retryInterval); err != nil {
 				return fmt.Errorf("%s answers %s %s by %d %s: %w", core.name, method, path, status, answer, err)
 			}
 		}
@@ -281,7 +281,7 @@
 			if err != nil {
 				return err
 			}
-			if want := cmp.Or(p.other, os.Args[0]); filepath.Base(program) != filepath.Base(want) {
+			if want := cmp.Or(p.otherBuild, os.Args[0]); filepath.Base(program) != filepath.Base(want) {
 				return fmt.Errorf("%s runs %s, not %s", p.name, program, want)
 			}
 		}
@@ -309,7 +309,7 @@
 // checkDisks checks that each core machine has a store.
 func (u *upgrade) checkDisks() error {
 	for _, m := range u.core {
-		info, err := os.Stat(filepath.Join(m.data, "store.log"))
+		info, err := os.Stat(filepath.Join(m.dataDirectory, "store.log"))
 		if err != nil {
 			return err
 		}
@@ -320,8 +320,8 @@
 	return nil
 }
 
-// startAgain starts all machines on the disks that they have.
-func (u *upgrade) startAgain() error {
+// restartAll starts all machines on the disks that they have.
+func (u *upgrade) restartAll() error {
 	failures := make(chan error)
 	for _, m := range u.machines() {
 		go func() { failures <- m.restart(true) }()
@@ -343,7 +343,7 @@
 	if err := u.awaitRoute(ctx, u.fronts[0], routePlan{"/second/", guardedService}); err != nil {
 		return err
 	}
-	if err := u.awaitOperations(ctx, http.MethodGet, workersPath, func(answer string) bool { return tellsDrained(answer, u.drained()) }); err != nil {
+	if err := u.awaitOperations(ctx, http.MethodGet, workersPath, func(answer string) bool { return showsOperatorDraining(answer, u.drainedWorker()) }); err != nil {
 		return err
 	}
 	for _, plan := range u.jobs {
@@ -351,9 +351,9 @@
 			return err
 		}
 	}
-	further := makePlan(u.random, plainJob, renderRoute)
+	further := newJobPlan(u.random, plainJob, renderRoute)
 	u.plans.add(further)
-	if _, err := u.eventually(ctx, u.random, http.MethodPost, further.path(), further.encode(), isSuccess); err != nil {
+	if _, err := u.retryUntil(ctx, u.random, http.MethodPost, further.path(), further.encode(), isSuccess); err != nil {
 		return err
 	}
 	return u.awaitState(ctx, further, "completed")
@@ -363,14 +363,14 @@
 func (u *upgrade) awaitVersion(ctx context.Context, core *machine) error {
 	want := encodeConfiguration(u.configured.newest, u.configured.routes)
 	for {
-		read := u.order(ctx, core, http.MethodGet, 0, nil)
+		read := u.operatorRequest(ctx, core, http.MethodGet, 0, nil)
 		if read.Status == http.StatusOK {
 			if string(read.Answer) != string(want) {
 				return fmt.Errorf("%s tells the configuration %s, and %s was acknowledged", core.name, read.Answer, want)
 			}
 			return nil
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("%s does not tell the configuration: %w", core.name, err)
 		}
 	}
@@ -378,23 +378,23 @@
 
 // checkJob checks that a job has not gone back in its life, and goes on to the end that it should have.
 func (u *upgrade) checkJob(ctx context.Context, plan jobPlan) error {
-	answer, err := u.eventually(ctx, u.random, http.MethodGet, plan.path(), nil, isClear)
+	answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isDefinite)
 	if err != nil || answer.Status != http.StatusOK {
 		return fmt.Errorf("job %s was known, and the front tells %d %s (%w)", plan.id, answer.Status, answer.Answer, err)
 	}
-	before, after := u.before[string(plan.id)], stateOf(answer.Answer)
+	before, after := u.statesBefore[string(plan.id)], stateOf(answer.Answer)
 	rank := map[string]int{"queued": 0, "running": 1, "completed": 2, "failed": 2, "cancelled": 2}
 	if rank[after] < rank[before] || rank[before] == 2 && after != before {
 		return fmt.Errorf("job %s was %s before and is %s now", plan.id, before, after)
 	}
 	switch plan.kind {
-	case lastingJob:
+	case longRunningJob:
 		if after != "running" {
 			return fmt.Errorf("lasting job %s was %s before and is %s now", plan.id, before, after)
 		}
 		u.cancel(ctx, u.random, plan.path())
 		return u.awaitState(ctx, plan, "cancelled")
-	case poisonJob:
+	case failingJob:
 		return u.awaitState(ctx, plan, "failed")
 	case cancelledJob:
 		return u.awaitState(ctx, plan, "cancelled")
@@ -404,18 +404,18 @@
 
 // awaitState waits until a job has ended as it should.
 func (u *upgrade) awaitState(ctx context.Context, plan jobPlan, want string) error {
-	ctx, cancel := context.WithTimeout(ctx, finishPatience)
+	ctx, cancel := context.WithTimeout(ctx, completionTimeout)
 	defer cancel()
 	state := ""
 	for state != want {
-		answer := u.ask(ctx, u.fronts[0], http.MethodGet, plan.path(), nil)
+		answer := u.clientRequest(ctx, u.fronts[0], http.MethodGet, plan.path(), nil)
 		if answer.Status == http.StatusOK {
 			state = stateOf(answer.Answer)
 		}
-		if finalState(answer.Answer) && state != want {
+		if isFinalState(answer.Answer) && state != want {
 			return fmt.Errorf("job %s has ended as %s, expected %s", plan.id, state, want)
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("job %s is %s, expected %s: %w", plan.id, state, want, err)
 		}
 	}
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -8,13 +8,13 @@
 
 // call is one call that passes a relay.
 type call struct {
-	from, to string // machines; outside for clients, operators and stand-ins
-	path     string
-	life     string // of a worker: the life that is meant
-	body     []byte
-	sentAt   time.Time
-	status   int // of the answer
-	answer   []byte
+	from, to    string // machines; outside for clients, operators and stand-ins
+	path        string
+	incarnation string // of a worker: the life that is meant
+	body        []byte
+	sentAt      time.Time
+	status      int // of the answer
+	answer      []byte
 }
 
 // outside is the name of all that is no machine of the system.
@@ -24,19 +24,19 @@
 type phase uint8
 
 const (
-	beforeCall   phase = iota // it has not been delivered
-	beforeAnswer              // it was carried out, and its answer has not been delivered
+	beforeDelivery phase = iota // it has not been delivered
+	beforeReply                 // it was carried out, and its answer has not been delivered
 )
 
-// point is a numbered place at which a fault strikes: the n-th call on a path, counted from when it is armed.
-type point struct {
+// injection is a numbered place at which a fault strikes: the n-th call on a path, counted from when it is armed.
+type injection struct {
 	path   string
 	from   string // the caller's machine; empty for any
 	to     string // the callee's machine; empty for any
 	number int    // from 1
 	phase  phase
 	drop   bool       // the call or its answer is lost
-	strike func(call) // what happens meanwhile; may be nil
+	action func(call) // what happens meanwhile; may be nil
 	only   func(call) bool
 
 	seen  int
@@ -48,30 +48,30 @@
 
 // network decides what passes the relays.
 type network struct {
-	mu      sync.Mutex
-	cut     map[link]bool
-	delays  map[link]time.Duration
-	points  []*point
-	changed chan struct{} // closed at the next change of cut
-	loss    func(call) bool
-	lost    int // calls that loss has kept back
+	mu          sync.Mutex
+	partitioned map[link]bool
+	delays      map[link]time.Duration
+	injections  []*injection
+	changed     chan struct{} // closed at the next change of cut
+	dropFilter  func(call) bool
+	dropped     int // calls that loss has kept back
 }
 
 func newNetwork() *network {
-	return &network{cut: map[link]bool{}, delays: map[link]time.Duration{}, changed: make(chan struct{})}
+	return &network{partitioned: map[link]bool{}, delays: map[link]time.Duration{}, changed: make(chan struct{})}
 }
 
 // arm sets a point; it strikes once.
-func (n *network) arm(p point) *point {
+func (n *network) arm(p injection) *injection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p.fired = make(chan struct{})
-	n.points = append(n.points, &p)
+	n.injections = append(n.injections, &p)
 	return &p
 }
 
 // hasFired tells whether a point has struck.
-func (p *point) hasFired() bool {
+func (p *injection) hasFired() bool {
 	select {
 	case <-p.fired:
 		return true
@@ -80,30 +80,30 @@
 	}
 }
 
-// setLoss loses all calls that a function picks, until it is set to nil, which returns how many were lost.
-func (n *network) setLoss(loss func(call) bool) (lost int) {
+// setDropFilter loses all calls that a function picks, until it is set to nil, which returns how many were lost.
+func (n *network) setDropFilter(loss func(call) bool) (lost int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss = loss
-	return n.lost
+	n.dropFilter = loss
+	return n.dropped
 }
 
-// loses tells whether a call is lost on its way.
-func (n *network) loses(c call) bool {
+// drops tells whether a call is lost on its way.
+func (n *network) drops(c call) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.loss == nil || !n.loss(c) {
+	if n.dropFilter == nil || !n.dropFilter(c) {
 		return false
 	}
-	n.lost++
+	n.dropped++
 	return true
 }
 
-// setCut opens or closes the way from one machine to another.
-func (n *network) setCut(from, to string, cut bool) {
+// setPartition opens or closes the way from one machine to another.
+func (n *network) setPartition(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[link{from, to}] = cut
+	n.partitioned[link{from, to}] = cut
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
@@ -115,14 +115,14 @@
 	n.delays[link{from, to}] = delay
 }
 
-// pass waits until the way is open; the error is the context's.
-func (n *network) pass(ctx context.Context, from, to string) error {
+// awaitLink waits until the way is open; the error is the context's.
+func (n *network) awaitLink(ctx context.Context, from, to string) error {
 	if err := n.delay(ctx, from, to); err != nil {
 		return err
 	}
 	for {
 		n.mu.Lock()
-		cut, changed := n.cut[link{from, to}], n.changed
+		cut, changed := n.partitioned[link{from, to}], n.changed
 		n.mu.Unlock()
 		if !cut {
 			return ctx.Err()
@@ -152,11 +152,11 @@
 	}
 }
 
-// reach lets the points strike that a call has come to, and tells whether it is lost there.
-func (n *network) reach(c call, at phase) (dropped bool) {
-	var struck []*point
+// fireInjections lets the points strike that a call has come to, and tells whether it is lost there.
+func (n *network) fireInjections(c call, at phase) (dropped bool) {
+	var struck []*injection
 	n.mu.Lock()
-	for _, p := range n.points {
+	for _, p := range n.injections {
 		if p.hasFired() || !p.matches(c, at) {
 			continue
 		}
@@ -167,14 +167,14 @@
 	}
 	n.mu.Unlock()
 	for _, p := range struck {
-		if p.strike != nil {
-			p.strike(c)
+		if p.action != nil {
+			p.action(c)
 		}
 		dropped = dropped || p.drop
 	}
 	return dropped
 }
 
-func (p *point) matches(c call, at phase) bool {
+func (p *injection) matches(c call, at phase) bool {
 	return p.phase == at && p.path == c.path && (p.from == "" || p.from == c.from) && (p.to == "" || p.to == c.to) && (p.only == nil || p.only(c))
 }
--- a/internal/systemtest/operators_test.go
+++ b/internal/systemtest/operators_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	routeHost        = "jobs.example"
-	operatorPatience = time.Second      // for one answer
-	orderPatience    = 40 * time.Second // from the first try to the last
-	maxAttempts      = 3
+	routeHost            = "jobs.example"
+	operatorTimeout      = time.Second      // for one answer
+	operatorRetryTimeout = 40 * time.Second // from the first try to the last
+	maxAttempts          = 3
 )
 
 // routePlan is a route of the configurations.
@@ -87,19 +87,19 @@
 }
 
 // order makes one call of an operator to one machine and records it.
-func (s *system) order(ctx context.Context, core *machine, method string, builtOn int64, body []byte) checker.OperatorRequest {
-	ctx, cancel := context.WithTimeout(ctx, operatorPatience)
+func (s *system) operatorRequest(ctx context.Context, core *machine, method string, builtOn int64, body []byte) checker.OperatorRequest {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	record := checker.OperatorRequest{Machine: core.name, Method: method, BuiltOn: builtOn, Body: body, SentAt: time.Now()}
-	record.Status, record.Answer = s.sendOrder(ctx, core, method, builtOn, body)
+	record.Status, record.Answer = s.sendOperatorRequest(ctx, core, method, builtOn, body)
 	record.AnsweredAt = time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.orders = append(s.orders, record)
+	s.operatorRequests = append(s.operatorRequests, record)
 	return record
 }
 
-func (s *system) sendOrder(ctx context.Context, core *machine, method string, builtOn int64, body []byte) (int, []byte) {
+func (s *system) sendOperatorRequest(ctx context.Context, core *machine, method string, builtOn int64, body []byte) (int, []byte) {
 	header := http.Header{}
 	if method == http.MethodPut {
 		header.Set("If-Match", strconv.FormatInt(builtOn, 10))
@@ -107,24 +107,24 @@
 	return s.sendWith(ctx, header, method, "http://"+core.address(controlOffset)+"/-/configuration", body)
 }
 
-// put sends a change to one machine after the other until an answer is clear. It returns the status, 0 without a clear one.
-func (s *system) put(ctx context.Context, first int, builtOn int64, body []byte) int {
-	ctx, cancel := context.WithTimeout(ctx, orderPatience)
+// putUntilClear sends a change to one machine after the other until an answer is clear. It returns the status, 0 without a clear one.
+func (s *system) putUntilClear(ctx context.Context, first int, builtOn int64, body []byte) int {
+	ctx, cancel := context.WithTimeout(ctx, operatorRetryTimeout)
 	defer cancel()
-	wait := retryPause
+	wait := retryInterval
 	for try := first; ; try++ {
-		answer := s.order(ctx, s.core[try%len(s.core)], http.MethodPut, builtOn, body)
-		if isClear(answer.Status) {
+		answer := s.operatorRequest(ctx, s.core[try%len(s.core)], http.MethodPut, builtOn, body)
+		if isDefinite(answer.Status) {
 			return answer.Status
 		}
-		if pause(ctx, wait) != nil {
+		if sleep(ctx, wait) != nil {
 			return 0
 		}
 		wait = min(2*wait, time.Second)
 	}
 }
 
-func isClear(status int) bool {
+func isDefinite(status int) bool {
 	return status != 0 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
@@ -133,7 +133,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	version := c.newest + 2
-	if c.system.put(ctx, first, c.newest, encodeConfiguration(version, routes)) != http.StatusOK {
+	if c.system.putUntilClear(ctx, first, c.newest, encodeConfiguration(version, routes)) != http.StatusOK {
 		return false
 	}
 	c.builtOn, c.newest, c.routes = c.newest, version, routes
@@ -149,7 +149,7 @@
 	proposals := [][]routePlan{one, other}
 	for i, routes := range proposals {
 		both.Go(func() {
-			statuses[i] = c.system.put(ctx, i, c.newest, encodeConfiguration(c.newest+3+int64(i), routes))
+			statuses[i] = c.system.putUntilClear(ctx, i, c.newest, encodeConfiguration(c.newest+3+int64(i), routes))
 		})
 	}
 	both.Wait()
@@ -165,29 +165,29 @@
 func (c *configurations) sendInvalid(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.system.put(ctx, 0, c.newest, encodeConfiguration(c.newest+1, []routePlan{{"/bad/", "nobody"}}))
-	c.system.put(ctx, 1, c.newest, encodeConfiguration(c.newest, c.routes[:1]))
-	c.system.put(ctx, 2, c.newest, []byte("{"))
+	c.system.putUntilClear(ctx, 0, c.newest, encodeConfiguration(c.newest+1, []routePlan{{"/bad/", "nobody"}}))
+	c.system.putUntilClear(ctx, 1, c.newest, encodeConfiguration(c.newest, c.routes[:1]))
+	c.system.putUntilClear(ctx, 2, c.newest, []byte("{"))
 }
 
 // resend sends the newest change once more.
 func (c *configurations) resend(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.system.put(ctx, 2, c.builtOn, encodeConfiguration(c.newest, c.routes))
+	c.system.putUntilClear(ctx, 2, c.builtOn, encodeConfiguration(c.newest, c.routes))
 }
 
 // readBack reads the configuration at every core machine until one answers.
 func (s *system) readBack(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, orderPatience)
+	ctx, cancel := context.WithTimeout(ctx, operatorRetryTimeout)
 	defer cancel()
 	for {
 		for _, core := range s.core {
-			if s.order(ctx, core, http.MethodGet, 0, nil).Status == http.StatusOK {
+			if s.operatorRequest(ctx, core, http.MethodGet, 0, nil).Status == http.StatusOK {
 				return
 			}
 		}
-		if pause(ctx, retryPause) != nil {
+		if sleep(ctx, retryInterval) != nil {
 			return
 		}
 	}
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// startPatience bounds the start of a process.
-const startPatience = time.Minute
+// startTimeout bounds the start of a process.
+const startTimeout = time.Minute
 
 // process is one process of the system, which may be ended and started again.
 type process struct {
 	name string // of its machine and its role
-	spec partSpec
+	spec childSpec
 	log  *os.File
-	// other is a program of another build that is started in place of this one; empty for this build. It has no relays
+	// otherBuild is a program of another build that is started in place of this one; empty for this build. It has no relays
 	// before it: listen are the settings that tell it where to listen, and reached is where callers find it.
-	other, listen, reached string
+	otherBuild, listenSettings, dialAddress string
 
-	mu       sync.Mutex
-	command  *exec.Cmd
-	ended    chan struct{} // closed when the present one has ended
-	expected bool          // its end was wanted
-	failure  error         // an end that was not
+	mu          sync.Mutex
+	command     *exec.Cmd
+	ended       chan struct{} // closed when the present one has ended
+	endExpected bool          // its end was wanted
+	failure     error         // an end that was not
 }
 
 // start starts the process and waits until it listens.
@@ -50,11 +50,11 @@
 	}
 	ended := make(chan struct{})
 	p.mu.Lock()
-	p.command, p.ended, p.expected = command, ended, false
+	p.command, p.ended, p.endExpected = command, ended, false
 	p.mu.Unlock()
 	ready := make(chan struct{})
 	go func() {
-		if p.other != "" {
+		if p.otherBuild != "" {
 			go p.awaitListening(ready, ended)
 			io.Copy(p.log, output)
 		}
@@ -71,14 +71,14 @@
 		return nil
 	case <-ended:
 		return fmt.Errorf("%s ended before it listened", p.name)
-	case <-time.After(startPatience):
+	case <-time.After(startTimeout):
 		return fmt.Errorf("%s does not listen", p.name)
 	}
 }
 
 // newCommand is the command that starts the process.
 func (p *process) newCommand() (*exec.Cmd, error) {
-	if p.other != "" {
+	if p.otherBuild != "" {
 		return p.newOtherCommand()
 	}
 	text, err := json.Marshal(p.spec)
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), partVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
+	command.Env = append(os.Environ(), childVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
 	return command, nil
 }
 
@@ -94,7 +94,7 @@
 	err := command.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.expected && p.failure == nil {
+	if !p.endExpected && p.failure == nil {
 		p.failure = fmt.Errorf("%s ended by itself: %v", p.name, err) //nolint:errorlint // nil where it ended with 0
 	}
 	close(ended)
@@ -109,14 +109,14 @@
 	}
 }
 
-// end ends the process by a signal and waits for that.
+// endProcess ends the process by a signal and waits for that.
 func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	if p.command == nil {
 		p.mu.Unlock()
 		return
 	}
-	p.expected = true
+	p.endExpected = true
 	ended := p.ended
 	p.mu.Unlock()
 	p.signal(signal)
--- a/internal/systemtest/relay_test.go
+++ b/internal/systemtest/relay_test.go
@@ -14,16 +14,16 @@
 
 // relay stands before one address of a machine and carries calls to the one behind it.
 type relay struct {
-	network *network
-	to      string                   // the machine behind it
-	address string                   // where callers find it
-	behind  string                   // where the machine listens
-	caller  func(net.Conn) string    // names who calls; nil for outside
-	seen    func(call)               // takes each call that was answered; may be nil
-	sent    func(call)               // takes each call that is delivered; may be nil
-	lost    func(call)               // takes each call that was delivered and got no answer; may be nil
-	rewrite func(body []byte) []byte // changes answers; may be nil
-	client  *http.Transport
+	network    *network
+	to         string                   // the machine behind it
+	address    string                   // where callers find it
+	target     string                   // where the machine listens
+	caller     func(net.Conn) string    // names who calls; nil for outside
+	onReply    func(call)               // takes each call that was answered; may be nil
+	onDelivery func(call)               // takes each call that is delivered; may be nil
+	onAbort    func(call)               // takes each call that was delivered and got no answer; may be nil
+	rewrite    func(body []byte) []byte // changes answers; may be nil
+	client     *http.Transport
 
 	mu     sync.Mutex
 	server *http.Server // nil while closed
@@ -72,21 +72,21 @@
 	if err != nil || source == "" {
 		panic(http.ErrAbortHandler)
 	}
-	c := call{from: source, to: r.to, path: request.URL.Path, life: request.Header.Get("Expect-Instance"), body: body, sentAt: time.Now()}
-	r.guard(request.Context(), c, beforeCall)
-	if r.sent != nil {
-		r.sent(c)
+	c := call{from: source, to: r.to, path: request.URL.Path, incarnation: request.Header.Get("Expect-Instance"), body: body, sentAt: time.Now()}
+	r.applyFaults(request.Context(), c, beforeDelivery)
+	if r.onDelivery != nil {
+		r.onDelivery(c)
 	}
-	answer, err := r.carry(request, body)
+	answer, err := r.forward(request, body)
 	if err != nil {
-		r.noteLost(request.Context(), c, err)
+		r.reportAborted(request.Context(), c, err)
 		panic(http.ErrAbortHandler)
 	}
 	c.status, c.answer = answer.StatusCode, answer.body
-	if r.seen != nil {
-		r.seen(c)
+	if r.onReply != nil {
+		r.onReply(c)
 	}
-	r.guard(request.Context(), c, beforeAnswer)
+	r.applyFaults(request.Context(), c, beforeReply)
 	for key, values := range answer.Header {
 		w.Header()[key] = values
 	}
@@ -95,52 +95,52 @@
 	w.Write(answer.body)
 }
 
-// noteLost reports a call whose connection the callee has closed, unless the caller gave up or no connection came up.
-func (r *relay) noteLost(ctx context.Context, c call, err error) {
+// reportAborted reports a call whose connection the callee has closed, unless the caller gave up or no connection came up.
+func (r *relay) reportAborted(ctx context.Context, c call, err error) {
 	var operation *net.OpError
 	refused := errors.As(err, &operation) && operation.Op == "dial"
-	if r.lost != nil && !refused && ctx.Err() == nil {
-		r.lost(c)
+	if r.onAbort != nil && !refused && ctx.Err() == nil {
+		r.onAbort(c)
 	}
 }
 
-// guard lets a call or its answer pass, or ends it without an answer.
-func (r *relay) guard(ctx context.Context, c call, at phase) {
+// applyFaults lets a call or its answer pass, or ends it without an answer.
+func (r *relay) applyFaults(ctx context.Context, c call, at phase) {
 	from, to := c.from, c.to
-	if at == beforeAnswer {
+	if at == beforeReply {
 		from, to = to, from
 	}
-	if r.network.reach(c, at) || at == beforeCall && r.network.loses(c) {
+	if r.network.fireInjections(c, at) || at == beforeDelivery && r.network.drops(c) {
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
-	if r.network.pass(ctx, from, to) != nil {
+	if r.network.awaitLink(ctx, from, to) != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// wholeAnswer is an answer that was read to its end.
-type wholeAnswer struct {
+// completeReply is an answer that was read to its end.
+type completeReply struct {
 	*http.Response
 	body []byte
 }
 
-func (r *relay) carry(request *http.Request, body []byte) (wholeAnswer, error) {
+func (r *relay) forward(request *http.Request, body []byte) (completeReply, error) {
 	r.mu.Lock()
 	client := r.client
 	r.mu.Unlock()
 	forwarded := request.Clone(request.Context())
 	forwarded.RequestURI = ""
-	forwarded.URL.Scheme, forwarded.URL.Host = "http", r.behind
+	forwarded.URL.Scheme, forwarded.URL.Host = "http", r.target
 	forwarded.Body = io.NopCloser(bytes.NewReader(body))
 	answer, err := client.RoundTrip(forwarded)
 	if err != nil {
-		return wholeAnswer{}, err
+		return completeReply{}, err
 	}
 	defer answer.Body.Close()
 	content, err := io.ReadAll(answer.Body)
 	if err == nil && r.rewrite != nil {
 		content = r.rewrite(content)
 	}
-	return wholeAnswer{answer, content}, err
+	return completeReply{answer, content}, err
 }
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -19,41 +19,41 @@
 )
 
 const (
-	changeRounds  = 9 // in which two operators change the configuration at once
-	sameEach      = 3 // in each third round both send the same body
-	againPatience = 4 * time.Minute
-	workersPath   = "/-/searchers"
+	changeRounds           = 9 // in which two operators change the configuration at once
+	sameBodyEvery          = 3 // in each third round both send the same body
+	retriedCommandsTimeout = 4 * time.Minute
+	workersPath            = "/-/searchers"
 )
 
-// againSize is a small system, as the load is that of operators.
-var againSize = size{fronts: 1, workers: []workerPlan{{guardedService, 2, true}, {unguardedService, 1, false}}}
+// smallSize is a small system, as the load is that of operators.
+var smallSize = size{fronts: 1, workers: []workerPlan{{guardedService, 2, true}, {unguardedService, 1, false}}}
 
-// againTest is a system under operators whose answers are lost.
-type againTest struct {
+// retriedCommandsTest is a system under operators whose answers are lost.
+type retriedCommandsTest struct {
 	*system
 	relays *lossyRelays
 
-	votes []*point // answers of members that are lost
+	lostVotes []*injection // answers of members that are lost
 
-	mu   sync.Mutex
-	lost int // orders that were sent again after their confirmation was swallowed
+	mu               sync.Mutex
+	retriedAfterLoss int // orders that were sent again after their confirmation was swallowed
 }
 
 // Two operators change the configuration at once through different core machines, cancel one job and drain one worker,
 // behind relays that swallow the first confirmation of each order and deliver copies of requests seconds later. What was
 // taken is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
 // bodies; and what each core machine tells and holds at the end is what was confirmed.
-func TestOrdersThatAreSentAgain(t *testing.T) {
+func TestRetriedCommandsAreIdempotent(t *testing.T) {
 	t.Parallel()
-	ctx, s := startSystem(t, "orders-sent-again", againSize, againPatience)
-	test := &againTest{system: s}
+	ctx, s := startSystem(t, "orders-sent-again", smallSize, retriedCommandsTimeout)
+	test := &retriedCommandsTest{system: s}
 	began := time.Now()
 	failure := test.run(ctx)
 	s.stop()
-	broken := judgeAttempts(test.relays.all())
-	disks := test.judgeDisks()
+	broken := checkDeliveries(test.relays.allDeliveries())
+	disks := test.checkDisks()
 	t.Logf("%d answers of core machines, %d orders sent again after a lost confirmation, %d versions confirmed, %d of %d votes lost, %v",
-		len(test.relays.all()), test.lost, len(confirmedChanges(test.relays.all())), test.votesLost(), len(test.votes),
+		len(test.relays.allDeliveries()), test.retriedAfterLoss, len(confirmedChanges(test.relays.allDeliveries())), test.droppedVotes(), len(test.lostVotes),
 		time.Since(began).Round(time.Millisecond))
 	Convey("What was taken is confirmed or left unclear, and each core machine holds it", t, func() {
 		So(failure, ShouldBeNil)
@@ -61,8 +61,8 @@
 		So(s.processProblems(), ShouldBeEmpty)
 		So(broken, ShouldBeEmpty)
 		So(disks, ShouldBeEmpty)
-		So(test.lost, ShouldBeGreaterThanOrEqualTo, changeRounds+2)
-		So(test.votesLost(), ShouldBeGreaterThan, 0)
+		So(test.retriedAfterLoss, ShouldBeGreaterThanOrEqualTo, changeRounds+2)
+		So(test.droppedVotes(), ShouldBeGreaterThan, 0)
 	})
 }
 
@@ -79,23 +79,23 @@
 }
 
 // run plays all of it; the core machines are stopped in order at the end.
-func (a *againTest) run(ctx context.Context) error {
+func (a *retriedCommandsTest) run(ctx context.Context) error {
 	a.relays = newLossyRelays(a.system)
 	defer a.relays.close()
 	if err := a.bringUp(ctx); err != nil {
 		return err
 	}
-	if err := a.changeTogether(ctx); err != nil {
+	if err := a.changeConcurrently(ctx); err != nil {
 		return err
 	}
 	cancelled, drained, err := a.cancelAndDrain(ctx)
 	if err != nil {
 		return err
 	}
-	onLeader(func(ctx context.Context, s *system, leader *machine) { s.crashMachine(ctx, leader, shortly, false) })(ctx, a.system)
-	a.repairs.Wait()
-	a.relays.copies.Wait()
-	if err := errors.Join(a.sendAllAgain(ctx), a.compareReadings(ctx), a.compareJob(ctx, cancelled), a.compareDrain(ctx, drained)); err != nil {
+	onLeader(func(ctx context.Context, s *system, leader *machine) { s.crashMachine(ctx, leader, shortOutage, false) })(ctx, a.system)
+	a.recoveries.Wait()
+	a.relays.duplicates.Wait()
+	if err := errors.Join(a.resendAll(ctx), a.checkConfigurations(ctx), a.awaitCancelledJob(ctx, cancelled), a.awaitDrainedWorker(ctx, drained)); err != nil {
 		return err
 	}
 	for _, core := range a.core {
@@ -104,18 +104,18 @@
 	return nil
 }
 
-// changeTogether lets two operators change the same version at once, round after round.
-func (a *againTest) changeTogether(ctx context.Context) error {
+// changeConcurrently lets two operators change the same version at once, round after round.
+func (a *retriedCommandsTest) changeConcurrently(ctx context.Context) error {
 	current := a.configured.newest
 	for round := range changeRounds {
-		if round%sameEach == 1 {
-			a.loseVotes(round)
+		if round%sameBodyEvery == 1 {
+			a.dropVotes(round)
 		}
 		bodies := [2][]byte{a.bodyOf(round, 0, current+1), a.bodyOf(round, 1, current+1)}
 		var both sync.WaitGroup
 		var statuses [2]int
 		for operator, body := range bodies {
-			both.Go(func() { statuses[operator] = a.sendLossy(ctx, round+operator, putAttempt(current, body)) })
+			both.Go(func() { statuses[operator] = a.sendThroughRelays(ctx, round+operator, putCommand(current, body)) })
 		}
 		both.Wait()
 		if !slices.Contains(statuses[:], http.StatusOK) {
@@ -130,29 +130,29 @@
 }
 
 // bodyOf is what an operator sends in a round: of a number that both use, in each third round the same.
-func (a *againTest) bodyOf(round, operator int, version int64) []byte {
-	if round%sameEach == 2 {
+func (a *retriedCommandsTest) bodyOf(round, operator int, version int64) []byte {
+	if round%sameBodyEvery == 2 {
 		operator = 2
 	}
 	return encodeConfiguration(version, []routePlan{renderRoute, mailRoute, {fmt.Sprintf("/of-%d-%d/", round, operator), guardedService}})
 }
 
-// loseVotes loses the next answers by which two members accept a change, so that its proposer cannot tell whether a
+// dropVotes loses the next answers by which two members accept a change, so that its proposer cannot tell whether a
 // majority took it.
-func (a *againTest) loseVotes(round int) {
+func (a *retriedCommandsTest) dropVotes(round int) {
 	proposer := a.core[round%len(a.core)]
 	for _, voter := range a.core {
 		if voter != proposer {
-			a.votes = append(a.votes, a.network.arm(point{
-				path: acceptPath, from: proposer.name, to: voter.name, number: 1, phase: beforeAnswer, drop: true,
+			a.lostVotes = append(a.lostVotes, a.network.arm(injection{
+				path: acceptPath, from: proposer.name, to: voter.name, number: 1, phase: beforeReply, drop: true,
 			}))
 		}
 	}
 }
 
-// votesLost counts the votes whose answers were lost.
-func (a *againTest) votesLost() (count int) {
-	for _, one := range a.votes {
+// droppedVotes counts the votes whose answers were lost.
+func (a *retriedCommandsTest) droppedVotes() (count int) {
+	for _, one := range a.lostVotes {
 		if one.hasFired() {
 			count++
 		}
@@ -160,34 +160,34 @@
 	return count
 }
 
-// sendLossy sends an order through the relays until an answer is clear, and counts it if a confirmation was lost before.
-func (a *againTest) sendLossy(ctx context.Context, first int, asked attempt) int {
-	status, _, tries := a.relays.send(ctx, a.system, first, asked)
+// sendThroughRelays sends an order through the relays until an answer is clear, and counts it if a confirmation was lost before.
+func (a *retriedCommandsTest) sendThroughRelays(ctx context.Context, first int, asked delivery) int {
+	status, _, tries := a.relays.sendUntilClear(ctx, a.system, first, asked)
 	if status == http.StatusOK && tries > 1 {
 		a.mu.Lock()
-		a.lost++
+		a.retriedAfterLoss++
 		a.mu.Unlock()
 	}
 	return status
 }
 
 // cancelAndDrain hands in a job that lasts, and lets both operators cancel it and drain a worker at once.
-func (a *againTest) cancelAndDrain(ctx context.Context) (cancelled, drained string, err error) {
+func (a *retriedCommandsTest) cancelAndDrain(ctx context.Context) (cancelled, drained string, err error) {
 	random := rand.New(rand.NewPCG(8, 1))
-	plan := makePlan(random, lastingJob, renderRoute)
+	plan := newJobPlan(random, longRunningJob, renderRoute)
 	a.plans.add(plan)
-	if _, err := a.eventually(ctx, random, http.MethodPost, plan.route.prefix+string(plan.id), plan.encode(), isSuccess); err != nil {
+	if _, err := a.retryUntil(ctx, random, http.MethodPost, plan.route.prefix+string(plan.id), plan.encode(), isSuccess); err != nil {
 		return "", "", fmt.Errorf("the job was not accepted: %w", err)
 	}
 	drained = a.workers[0].ID()
-	orders := []attempt{
+	orders := []delivery{
 		{method: http.MethodDelete, path: jobsPath + string(plan.id)},
 		{method: http.MethodPost, path: workersPath + "/" + drained + "/drain"},
 	}
 	statuses := make([]int, 2*len(orders))
 	var all sync.WaitGroup
 	for i := range statuses {
-		all.Go(func() { statuses[i] = a.sendLossy(ctx, i, orders[i/2]) })
+		all.Go(func() { statuses[i] = a.sendThroughRelays(ctx, i, orders[i/2]) })
 	}
 	all.Wait()
 	for i, status := range statuses {
@@ -198,19 +198,19 @@
 	return string(plan.id), drained, err
 }
 
-// sendAllAgain sends each order that there was to each core machine, without a relay, until the answer is clear.
-func (a *againTest) sendAllAgain(ctx context.Context) error {
-	orders := map[orderKey]attempt{}
-	for _, one := range a.relays.all() {
+// resendAll sends each order that there was to each core machine, without a relay, until the answer is clear.
+func (a *retriedCommandsTest) resendAll(ctx context.Context) error {
+	orders := map[commandKey]delivery{}
+	for _, one := range a.relays.allDeliveries() {
 		if one.method != http.MethodGet {
-			orders[one.key()] = attempt{method: one.method, path: one.path, ifMatch: one.ifMatch, body: one.body}
+			orders[one.key()] = delivery{method: one.method, path: one.path, ifMatch: one.ifMatch, body: one.body}
 		}
 	}
 	var failures []error
 	for _, asked := range orders {
 		for _, core := range a.core {
 			asked.machine = core.name
-			if got := a.askUntilClear(ctx, core, asked); !isClear(got.status) {
+			if got := a.deliverUntilClear(ctx, core, asked); !isDefinite(got.status) {
 				failures = append(failures, fmt.Errorf("no clear answer at the end: %v", got))
 			}
 		}
@@ -218,29 +218,29 @@
 	return errors.Join(failures...)
 }
 
-// askUntilClear sends a request to one core machine until its answer is clear, and notes each answer.
-func (a *againTest) askUntilClear(ctx context.Context, core *machine, asked attempt) attempt {
-	ctx, cancel := context.WithTimeout(ctx, resendPatience)
+// deliverUntilClear sends a request to one core machine until its answer is clear, and notes each answer.
+func (a *retriedCommandsTest) deliverUntilClear(ctx context.Context, core *machine, asked delivery) delivery {
+	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for {
 		got := a.relays.deliver(asked, core)
-		a.relays.note(got)
-		if isClear(got.status) || pause(ctx, retryPause) != nil {
+		a.relays.record(got)
+		if isDefinite(got.status) || sleep(ctx, retryInterval) != nil {
 			return got
 		}
 	}
 }
 
-// compareReadings reads the configuration at each core machine: it is the newest that was confirmed.
-func (a *againTest) compareReadings(ctx context.Context) error {
-	confirmed := confirmedChanges(a.relays.all())
+// checkConfigurations reads the configuration at each core machine: it is the newest that was confirmed.
+func (a *retriedCommandsTest) checkConfigurations(ctx context.Context) error {
+	confirmed := confirmedChanges(a.relays.allDeliveries())
 	newest := int64(0)
 	for version := range confirmed {
 		newest = max(newest, version)
 	}
 	var failures []error
 	for _, core := range a.core {
-		read := a.askUntilClear(ctx, core, attempt{machine: core.name, method: http.MethodGet, path: controlPath})
+		read := a.deliverUntilClear(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: controlPath})
 		if read.answer != confirmed[newest].body {
 			failures = append(failures, fmt.Errorf("version %d was confirmed last, and %s tells %v", newest, core.name, read))
 		}
@@ -248,33 +248,33 @@
 	return errors.Join(failures...)
 }
 
-// compareJob waits until each core machine tells that a job is cancelled.
-func (a *againTest) compareJob(ctx context.Context, id string) error {
-	return a.awaitTold(ctx, jobsPath+id, func(answer string) bool { return strings.Contains(answer, `"state":"cancelled"`) })
+// awaitCancelledJob waits until each core machine tells that a job is cancelled.
+func (a *retriedCommandsTest) awaitCancelledJob(ctx context.Context, id string) error {
+	return a.awaitReply(ctx, jobsPath+id, func(answer string) bool { return strings.Contains(answer, `"state":"cancelled"`) })
 }
 
-// compareDrain waits until each core machine tells that a worker is drained by an operator.
-func (a *againTest) compareDrain(ctx context.Context, id string) error {
-	return a.awaitTold(ctx, workersPath, func(answer string) bool { return tellsDrained(answer, id) })
+// awaitDrainedWorker waits until each core machine tells that a worker is drained by an operator.
+func (a *retriedCommandsTest) awaitDrainedWorker(ctx context.Context, id string) error {
+	return a.awaitReply(ctx, workersPath, func(answer string) bool { return showsOperatorDraining(answer, id) })
 }
 
-// tellsDrained tells whether a list of workers has one as drained by an operator.
-func tellsDrained(answer, id string) bool {
+// showsOperatorDraining tells whether a list of workers has one as drained by an operator.
+func showsOperatorDraining(answer, id string) bool {
 	_, of, found := strings.Cut(answer, `"id":"`+id+`"`)
 	of, _, _ = strings.Cut(of, `"id":`)
 	return found && strings.Contains(of, `"operatorDraining":true`)
 }
 
-func (a *againTest) awaitTold(ctx context.Context, path string, serves func(answer string) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, resendPatience)
+func (a *retriedCommandsTest) awaitReply(ctx context.Context, path string, serves func(answer string) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for _, core := range a.core {
 		for {
-			got := a.askUntilClear(ctx, core, attempt{machine: core.name, method: http.MethodGet, path: path})
+			got := a.deliverUntilClear(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: path})
 			if got.status == http.StatusOK && serves(got.answer) {
 				break
 			}
-			if pause(ctx, retryPause) != nil {
+			if sleep(ctx, retryInterval) != nil {
 				return fmt.Errorf("at the end: %v", got)
 			}
 		}
@@ -282,10 +282,10 @@
 	return nil
 }
 
-// judgeDisks compares the history that each core machine's disk holds with what was confirmed. A majority holds all of it;
+// checkDisks compares the history that each core machine's disk holds with what was confirmed. A majority holds all of it;
 // the last record of another one may be of a change that did not come to be.
-func (a *againTest) judgeDisks() (broken []string) {
-	attempts := a.relays.all()
+func (a *retriedCommandsTest) checkDisks() (broken []string) {
+	attempts := a.relays.allDeliveries()
 	var whole []configuration.State
 	states := make([]configuration.State, len(a.core))
 	for i, core := range a.core {
@@ -293,7 +293,7 @@
 		if states[i], err = historyOnDisk(core); err != nil {
 			return append(broken, fmt.Sprintf("%s: %v", core.name, err))
 		}
-		if found := agrees(states[i], attempts); len(found) == 0 {
+		if found := checkAppliedHistory(states[i], attempts); len(found) == 0 {
 			whole = append(whole, states[i])
 		} else {
 			broken = append(broken, fmt.Sprintf("%s: %v", core.name, found))
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -30,10 +30,10 @@
 }
 
 const (
-	scenarioPatience = 2 * time.Minute
+	scenarioTimeout  = 2 * time.Minute
 	loadLength       = 4 * time.Second
 	jobsPerKind      = 2
-	settled          = 1500 * time.Millisecond // of load before the faults
+	loadBeforeFaults = 1500 * time.Millisecond // of load before the faults
 )
 
 // outcome is what came of a scenario.
@@ -55,7 +55,7 @@
 
 // run plays a scenario in a folder of its own.
 func (sc scenario) run(folder string) outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), scenarioPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
 	s, err := newSystem(folder, usualSize)
 	if err != nil {
@@ -68,31 +68,31 @@
 	began := time.Now()
 	func() {
 		defer s.stop()
-		result.accepted = sc.play(ctx, s)
+		result.accepted = sc.runFaults(ctx, s)
 	}()
 	result.took = time.Since(began).Round(time.Millisecond)
-	return s.judged(result)
+	return s.checked(result)
 }
 
 // play runs the system with its load and faults, and returns how many jobs were accepted.
-func (sc scenario) play(ctx context.Context, s *system) int {
+func (sc scenario) runFaults(ctx context.Context, s *system) int {
 	random := rand.New(rand.NewPCG(sc.seed, 1))
 	if err := s.bringUp(ctx); err != nil {
-		s.fail(err)
+		s.recordFailure(err)
 		return 0
 	}
-	load := s.beginLoad(ctx, random)
-	s.fail(pause(ctx, settled))
+	load := s.startLoad(ctx, random)
+	s.recordFailure(sleep(ctx, loadBeforeFaults))
 	if sc.faults != nil {
-		s.fail(sc.faults(ctx, s))
+		s.recordFailure(sc.faults(ctx, s))
 	}
 	accepted := load()
-	s.repairs.Wait()
-	s.cancelLasting(ctx, random)
+	s.recoveries.Wait()
+	s.cancelLongRunning(ctx, random)
 	s.endedAt = time.Now()
-	s.askForAll(ctx, random)
+	s.awaitFinalStates(ctx, random)
 	s.readBack(ctx)
-	s.awaitQuiet(ctx)
+	s.awaitNoRunningTasks(ctx)
 	return accepted
 }
 
@@ -114,21 +114,21 @@
 
 func (s *system) awaitRoute(ctx context.Context, front *machine, route routePlan) error {
 	for {
-		if s.ask(ctx, front, http.MethodGet, route.prefix, nil).Status == http.StatusOK {
+		if s.clientRequest(ctx, front, http.MethodGet, route.prefix, nil).Status == http.StatusOK {
 			return nil
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("%s does not serve %s: %w", front.name, route.prefix, err)
 		}
 	}
 }
 
-// beginLoad hands jobs of all kinds in, over some seconds. The function returned waits for their ends.
-func (s *system) beginLoad(ctx context.Context, random *rand.Rand) (wait func() (accepted int)) {
+// startLoad hands jobs of all kinds in, over some seconds. The function returned waits for their ends.
+func (s *system) startLoad(ctx context.Context, random *rand.Rand) (wait func() (accepted int)) {
 	var jobs []jobPlan
 	for kind := range jobKinds {
 		for i := range jobsPerKind {
-			jobs = append(jobs, makePlan(random, kind, []routePlan{renderRoute, mailRoute}[i%2]))
+			jobs = append(jobs, newJobPlan(random, kind, []routePlan{renderRoute, mailRoute}[i%2]))
 		}
 	}
 	random.Shuffle(len(jobs), func(i, j int) { jobs[i], jobs[j] = jobs[j], jobs[i] })
@@ -139,7 +139,7 @@
 	for i, plan := range jobs {
 		at := time.Duration(i) * loadLength / time.Duration(len(jobs))
 		own := rand.New(rand.NewPCG(random.Uint64(), 2))
-		go func() { accepted <- pause(ctx, at) == nil && s.play(ctx, own, plan) }()
+		go func() { accepted <- sleep(ctx, at) == nil && s.runJob(ctx, own, plan) }()
 	}
 	return func() (count int) {
 		for range jobs {
@@ -151,13 +151,13 @@
 	}
 }
 
-// askForAll asks for the state of each job at the end, until it is final or the patience is over.
-func (s *system) askForAll(ctx context.Context, random *rand.Rand) {
+// awaitFinalStates asks for the state of each job at the end, until it is final or the patience is over.
+func (s *system) awaitFinalStates(ctx context.Context, random *rand.Rand) {
 	var all sync.WaitGroup
 	for _, plan := range s.jobs {
 		own := rand.New(rand.NewPCG(random.Uint64(), 3))
 		all.Go(func() {
-			s.eventually(ctx, own, http.MethodGet, plan.route.prefix+string(plan.id), nil, func(status int) bool {
+			s.retryUntil(ctx, own, http.MethodGet, plan.route.prefix+string(plan.id), nil, func(status int) bool {
 				return status == http.StatusOK || status == http.StatusGone
 			})
 		})
@@ -165,28 +165,28 @@
 	all.Wait()
 }
 
-func (s *system) cancelLasting(ctx context.Context, random *rand.Rand) {
+func (s *system) cancelLongRunning(ctx context.Context, random *rand.Rand) {
 	for _, plan := range s.jobs {
-		if plan.kind == lastingJob {
+		if plan.kind == longRunningJob {
 			s.cancel(ctx, random, plan.route.prefix+string(plan.id))
 		}
 	}
 }
 
-// awaitQuiet waits until nothing runs any more, as all jobs have ended; at the most until that is a broken rule.
-func (s *system) awaitQuiet(ctx context.Context) {
+// awaitNoRunningTasks waits until nothing runs any more, as all jobs have ended; at the most until that is a broken rule.
+func (s *system) awaitNoRunningTasks(ctx context.Context) {
 	bounds := s.bounds()
 	ctx, cancel := context.WithTimeout(ctx, bounds.Cancel+bounds.Stop+time.Second)
 	defer cancel()
 	for slices.ContainsFunc(s.cluster.Runs(), func(run cluster.RunRecord) bool { return run.EndedAt.IsZero() }) {
-		if pause(ctx, pollPause) != nil {
+		if sleep(ctx, pollInterval) != nil {
 			return
 		}
 	}
 }
 
-// judged judges what was seen, and writes an account of each broken rule into the system's folder.
-func (s *system) judged(result outcome) outcome {
+// checked judges what was seen, and writes an account of each broken rule into the system's folder.
+func (s *system) checked(result outcome) outcome {
 	h := s.history(s.endedAt)
 	result.violations = checker.Check(h)
 	result.seen = summarize(h)
@@ -198,14 +198,14 @@
 			}
 		}
 	}
-	s.writeAccount(h, result)
+	s.writeViolationReport(h, result)
 	return result
 }
 
 // awaitLeader waits until a core machine has told a service's workers something.
 func (s *system) awaitLeader(ctx context.Context, service string) error {
 	for s.leaderOf(service) == nil {
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("nobody leads %s: %w", service, err)
 		}
 	}
--- a/internal/systemtest/scenarios_test.go
+++ b/internal/systemtest/scenarios_test.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	atOnce       = 3 // systems that run side by side
-	allVariable  = "PUFFINLINK_SYSTEMTEST_ALL"
-	seedVariable = "PUFFINLINK_SYSTEMTEST_SEED"
-	onlyVariable = "PUFFINLINK_SYSTEMTEST_ONLY"
-	pairCount    = 60
+	concurrentSystems = 3 // systems that run side by side
+	allVariable       = "PUFFINLINK_SYSTEMTEST_ALL"
+	seedVariable      = "PUFFINLINK_SYSTEMTEST_SEED"
+	onlyVariable      = "PUFFINLINK_SYSTEMTEST_ONLY"
+	pairCount         = 60
 )
 
-// chosen are the scenarios that the environment asks for.
-func chosen() []scenario {
-	scenarios := ordinary
+// selectedScenarios are the scenarios that the environment asks for.
+func selectedScenarios() []scenario {
+	scenarios := defaultScenarios
 	if os.Getenv(allVariable) != "" {
 		seed, _ := strconv.ParseUint(os.Getenv(seedVariable), 10, 64)
-		scenarios = append(append(append([]scenario{}, ordinary...), further...), append(everyPoint(), pairs(seed, pairCount)...)...)
+		scenarios = append(append(append([]scenario{}, defaultScenarios...), extendedScenarios...), append(everyInjection(), pairs(seed, pairCount)...)...)
 	}
 	only := os.Getenv(onlyVariable)
 	if only == "" {
@@ -37,8 +37,8 @@
 }
 
 func TestScenarios(t *testing.T) {
-	scenarios := chosen()
-	places := make(chan struct{}, atOnce)
+	scenarios := selectedScenarios()
+	places := make(chan struct{}, concurrentSystems)
 	outcomes := make([]chan outcome, len(scenarios))
 	for i, sc := range scenarios {
 		outcomes[i] = make(chan outcome, 1)
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -19,15 +19,15 @@
 
 // The bounds of the deployment, and how much later a busy machine may be.
 const (
-	stopTime     = 400 * time.Millisecond
-	gangWait     = 3 * time.Second
-	saveEvery    = 500 * time.Millisecond
-	restoreTime  = 50 * time.Millisecond
-	drainTime    = 3 * time.Second
-	gracePeriod  = 6 * time.Second
-	lossSlack    = time.Second // busy machines deliver late
-	busySlack    = 2 * time.Second
-	coreMachines = 3
+	stopTime           = 400 * time.Millisecond
+	gangWait           = 3 * time.Second
+	checkpointInterval = 500 * time.Millisecond
+	restoreTime        = 50 * time.Millisecond
+	drainTime          = 3 * time.Second
+	gracePeriod        = 6 * time.Second
+	lossSlack          = time.Second // busy machines deliver late
+	busySlack          = 2 * time.Second
+	coreMachines       = 3
 )
 
 // size is how large a system is.
@@ -67,17 +67,17 @@
 	clients      *http.Client
 	logs         []*os.File
 	configured   *configurations
-	repairs      sync.WaitGroup
+	recoveries   sync.WaitGroup
 
-	mu       sync.Mutex
-	faults   []checker.Fault
-	requests []checker.Request
-	orders   []checker.OperatorRequest
-	cuts     []checker.AbortedRequest
-	lives    map[string]checker.Worker // by identifier
-	failures []error
-	jobs     []jobPlan
-	endedAt  time.Time
+	mu                 sync.Mutex
+	faults             []checker.Fault
+	requests           []checker.Request
+	operatorRequests   []checker.OperatorRequest
+	abortedRequests    []checker.AbortedRequest
+	workerIncarnations map[string]checker.Worker // by identifier
+	failures           []error
+	jobs               []jobPlan
+	endedAt            time.Time
 }
 
 var systems atomic.Int32 // of this process so far
@@ -85,7 +85,7 @@
 // newSystem makes a system; nothing runs yet.
 func newSystem(folder string, of size) (*system, error) {
 	s := &system{
-		folder: folder, network: newNetwork(), recorder: newRecorder(), lives: map[string]checker.Worker{},
+		folder: folder, network: newNetwork(), recorder: newRecorder(), workerIncarnations: map[string]checker.Worker{},
 		subnet:  fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, systems.Add(1)),
 		clients: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}},
 	}
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	s.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		HoldMax: holdMax, GangWait: gangWait, StopTime: stopTime, SaveEvery: saveEvery, Restore: restoreTime, Describe: s.plans.describe,
+		HoldMax: maxLease, GangWait: gangWait, StopTime: stopTime, SaveEvery: checkpointInterval, Restore: restoreTime, Describe: s.plans.describe,
 	})
 	if err := s.addSurroundings(of); err != nil {
 		return nil, err
@@ -125,8 +125,8 @@
 		if err != nil {
 			return err
 		}
-		m.data = filepath.Join(s.folder, m.name, "data")
-		if err := os.Mkdir(m.data, 0o755); err != nil {
+		m.dataDirectory = filepath.Join(s.folder, m.name, "data")
+		if err := os.Mkdir(m.dataDirectory, 0o755); err != nil {
 			return err
 		}
 		s.core = append(s.core, m)
@@ -144,19 +144,19 @@
 func (s *system) addProcesses() error {
 	var failures []error
 	for _, m := range s.core {
-		failures = append(failures, m.add(partSpec{
+		failures = append(failures, m.addProcess(childSpec{
 			Role: coordinatorRole, Settings: s.settings(m, true),
-			First: m.address(coordinatorOffset + behindOffset), Second: m.address(controlOffset + behindOffset),
+			Primary: m.address(coordinatorOffset + targetPortOffset), Secondary: m.address(controlOffset + targetPortOffset),
 		}, coordinatorOffset, controlOffset))
 	}
 	for _, m := range s.fronts {
-		failures = append(failures, m.add(partSpec{
+		failures = append(failures, m.addProcess(childSpec{
 			Role: agentRole, Settings: s.settings(m, true),
-			First: m.address(agentOffset + behindOffset), Second: m.address(localOffset),
+			Primary: m.address(agentOffset + targetPortOffset), Secondary: m.address(localOffset),
 		}, agentOffset))
-		failures = append(failures, m.add(partSpec{
+		failures = append(failures, m.addProcess(childSpec{
 			Role: proxyRole, Settings: s.settings(m, true),
-			First: m.address(frontOffset + behindOffset), Second: m.address(readinessOffset), Agent: m.address(localOffset),
+			Primary: m.address(frontOffset + targetPortOffset), Secondary: m.address(readinessOffset), Agent: m.address(localOffset),
 		}, frontOffset))
 	}
 	return errors.Join(failures...)
@@ -173,13 +173,13 @@
 		fmt.Sprintf("internalPortRange=%d,%d", s.port, s.port+15),
 		"seedNodes=" + strings.Join(seeds, ","), fmt.Sprintf("firstStart=%v", firstStart),
 		"faultTolerance.machines=1", "limits.memoryMb=284", "limits.fileDescriptors=4100",
-		fmt.Sprintf("bounds.holdMaxMs=%d", holdMax.Milliseconds()), fmt.Sprintf("bounds.stop_ms=%d", stopTime.Milliseconds()),
+		fmt.Sprintf("bounds.holdMaxMs=%d", maxLease.Milliseconds()), fmt.Sprintf("bounds.stop_ms=%d", stopTime.Milliseconds()),
 		fmt.Sprintf("bounds.gang_ms=%d", gangWait.Milliseconds()), fmt.Sprintf("bounds.drainMs=%d", drainTime.Milliseconds()),
 		"bounds.save_s=0.5", fmt.Sprintf("bounds.restore_ms=%d", restoreTime.Milliseconds()),
 		"cloudApi.address=" + s.platform.address, "cloudApi.ratePerS=30",
 	}
-	if m.data != "" {
-		lines = append(lines, "dataDirectory="+m.data, "countsForQuorum=true")
+	if m.dataDirectory != "" {
+		lines = append(lines, "dataDirectory="+m.dataDirectory, "countsForQuorum=true")
 	}
 	return strings.Join(lines, "\n") + "\n"
 }
@@ -206,7 +206,7 @@
 	for _, m := range s.machines() {
 		for _, p := range m.processes {
 			p.signal(syscall.SIGCONT)
-			m.end(p, syscall.SIGKILL)
+			m.endProcess(p, syscall.SIGKILL)
 		}
 	}
 	for _, one := range s.workers {
@@ -220,11 +220,11 @@
 	}
 }
 
-// begin notes that trouble with a machine begins.
-func (s *system) begin(machine string) { s.addFault(checker.Fault{Machine: machine}) }
+// faultBegan notes that trouble with a machine begins.
+func (s *system) faultBegan(machine string) { s.addFault(checker.Fault{Machine: machine}) }
 
-// beginWorker notes that trouble with a worker begins.
-func (s *system) beginWorker(one *worker) {
+// workerFaultBegan notes that trouble with a worker begins.
+func (s *system) workerFaultBegan(one *worker) {
 	s.addFault(checker.Fault{Kind: checker.WorkerFault, Machine: one.relay.to})
 }
 
@@ -235,15 +235,15 @@
 	s.faults = append(s.faults, fault)
 }
 
-// noteCut notes a client's request that a machine has given up.
-func (s *system) noteCut(c call) {
+// recordAborted notes a client's request that a machine has given up.
+func (s *system) recordAborted(c call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cuts = append(s.cuts, checker.AbortedRequest{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
+	s.abortedRequests = append(s.abortedRequests, checker.AbortedRequest{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
 }
 
-// finish notes that all trouble with a machine or a worker is over.
-func (s *system) finish(name string) {
+// faultEnded notes that all trouble with a machine or a worker is over.
+func (s *system) faultEnded(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.faults {
@@ -253,8 +253,8 @@
 	}
 }
 
-// fail notes that something went wrong with the test itself.
-func (s *system) fail(err error) {
+// recordFailure notes that something went wrong with the test itself.
+func (s *system) recordFailure(err error) {
 	if err == nil {
 		return
 	}
@@ -278,12 +278,12 @@
 	defer s.mu.Unlock()
 	h := checker.History{
 		Bounds: s.bounds(),
-		Faults: s.faults, Requests: s.requests, OperatorRequests: s.orders, AbortedRequests: s.cuts, EndedAt: endedAt, SeenUntil: time.Now(),
+		Faults: s.faults, Requests: s.requests, OperatorRequests: s.operatorRequests, AbortedRequests: s.abortedRequests, EndedAt: endedAt, SeenUntil: time.Now(),
 	}
 	for _, m := range s.core {
 		h.Core = append(h.Core, m.name)
 	}
-	for _, life := range s.lives {
+	for _, life := range s.workerIncarnations {
 		h.Workers = append(h.Workers, life)
 	}
 	s.recorder.fill(&h, s.cluster.Runs())
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -13,23 +13,23 @@
 
 // summary counts what a history holds, to see that there was something to judge.
 type summary struct {
-	Runs, Noted, Unsent, Lapses, Checkpoints, Lists, Requests, Orders, Cuts int
-	Ends                                                                    map[string]int // of runs
-	Answers                                                                 map[int]int    // to clients, by status
+	Attempts, Acknowledged, UnknownSender, LeaseExpiries, Checkpoints, Inventories, Requests, OperatorRequests, AbortedRequests int
+	Outcomes                                                                                                                    map[string]int // of runs
+	Answers                                                                                                                     map[int]int    // to clients, by status
 }
 
 func summarize(h checker.History) summary {
 	result := summary{
-		Runs: len(h.Attempts), Lapses: len(h.LeaseExpiries), Checkpoints: len(h.Checkpoints), Lists: len(h.Inventories), Requests: len(h.Requests),
-		Orders: len(h.OperatorRequests), Cuts: len(h.AbortedRequests), Ends: map[string]int{}, Answers: map[int]int{},
+		Attempts: len(h.Attempts), LeaseExpiries: len(h.LeaseExpiries), Checkpoints: len(h.Checkpoints), Inventories: len(h.Inventories), Requests: len(h.Requests),
+		OperatorRequests: len(h.OperatorRequests), AbortedRequests: len(h.AbortedRequests), Outcomes: map[string]int{}, Answers: map[int]int{},
 	}
 	for _, run := range h.Attempts {
-		result.Ends[run.Outcome]++
+		result.Outcomes[run.Outcome]++
 		if !run.AcknowledgedAt.IsZero() {
-			result.Noted++
+			result.Acknowledged++
 		}
 		if run.Sender == "" {
-			result.Unsent++
+			result.UnknownSender++
 		}
 	}
 	for _, request := range h.Requests {
@@ -38,8 +38,8 @@
 	return result
 }
 
-// writeAccount writes all that was seen of the subjects of broken rules, by time.
-func (s *system) writeAccount(h checker.History, result outcome) {
+// writeViolationReport writes all that was seen of the subjects of broken rules, by time.
+func (s *system) writeViolationReport(h checker.History, result outcome) {
 	if len(result.violations) == 0 {
 		return
 	}
@@ -47,19 +47,19 @@
 	for _, violation := range result.violations {
 		fmt.Fprintln(&text, violation)
 	}
-	var lines []accountLine
+	var lines []reportedEvent
 	for _, subject := range subjects(result.violations) {
-		lines = append(lines, s.about(h, subject)...)
+		lines = append(lines, s.eventsOf(h, subject)...)
 	}
-	slices.SortStableFunc(lines, func(a, b accountLine) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(lines, func(a, b reportedEvent) int { return a.at.Compare(b.at) })
 	for _, one := range lines {
 		fmt.Fprintln(&text, one.at.Format("15:04:05.000"), one.text)
 	}
 	os.WriteFile(filepath.Join(s.folder, "account.txt"), []byte(text.String()), 0o644)
 }
 
-// accountLine is one thing that was seen.
-type accountLine struct {
+// reportedEvent is one thing that was seen.
+type reportedEvent struct {
 	at   time.Time
 	text string
 }
@@ -76,33 +76,33 @@
 	return found
 }
 
-// about gathers what was seen of a job.
-func (s *system) about(h checker.History, id string) []accountLine {
-	var lines []accountLine
+// eventsOf gathers what was seen of a job.
+func (s *system) eventsOf(h checker.History, id string) []reportedEvent {
+	var lines []reportedEvent
 	for _, fault := range h.Faults {
-		lines = append(lines, accountLine{fault.From, "trouble with " + fault.Machine + " until " + fault.To.Format("15:04:05.000")})
+		lines = append(lines, reportedEvent{fault.From, "trouble with " + fault.Machine + " until " + fault.To.Format("15:04:05.000")})
 	}
 	for _, request := range h.Requests {
 		if strings.Contains(request.Path, id) {
 			text := fmt.Sprintf("%s %s at %s: %d %s", request.Method, request.Path, request.Machine, request.Status, request.Answer)
-			lines = append(lines, accountLine{request.AnsweredAt, text})
+			lines = append(lines, reportedEvent{request.AnsweredAt, text})
 		}
 	}
 	for _, run := range h.Attempts {
 		if strings.HasPrefix(run.Task, id) {
-			lines = append(lines, accountLine{run.StartedAt, fmt.Sprintf("run %+v", run)})
+			lines = append(lines, reportedEvent{run.StartedAt, fmt.Sprintf("run %+v", run)})
 		}
 	}
-	for _, one := range s.recorder.lines {
+	for _, one := range s.recorder.calls {
 		if strings.Contains(string(one.call.body), id) || strings.Contains(string(one.call.answer), id) {
 			text := fmt.Sprintf("%s -> %s %s %s: %d %s", one.call.from, one.call.to, one.call.path, one.call.body, one.call.status, one.call.answer)
-			lines = append(lines, accountLine{one.at, text})
+			lines = append(lines, reportedEvent{one.at, text})
 		}
 	}
 	for _, order := range h.OperatorRequests {
 		if strings.HasPrefix(id, "version") || strings.HasPrefix(id, "/") {
 			text := fmt.Sprintf("%s %s on %d at %s: %d %s", order.Method, order.Body, order.BuiltOn, order.Machine, order.Status, order.Answer)
-			lines = append(lines, accountLine{order.AnsweredAt, text})
+			lines = append(lines, reportedEvent{order.AnsweredAt, text})
 		}
 	}
 	return lines
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -13,9 +13,9 @@
 // worker is a stand-in with the relay before it.
 type worker struct {
 	*cluster.Worker
-	relay *relay
-	fact  checker.Worker
-	lives int
+	relay        *relay
+	fact         checker.Worker
+	incarnations int
 }
 
 // addSurroundings makes the workers and the platform, each behind a relay.
@@ -29,8 +29,8 @@
 	}
 	platform := s.cluster.AddPlatform(cluster.PlatformConfig{Lag: 200 * time.Millisecond, RatePerS: 30})
 	s.platform = &relay{
-		network: s.network, to: "platform", address: s.subnet + ".200:0", behind: platform.Address(), caller: s.callerName,
-		seen: s.recorder.listed, rewrite: s.rewriteList,
+		network: s.network, to: "platform", address: s.subnet + ".200:0", target: platform.Address(), caller: s.callerName,
+		onReply: s.recorder.recordInventory, rewrite: s.rewriteList,
 	}
 	return s.platform.open()
 }
@@ -50,22 +50,22 @@
 		ID: name + "-life-1", Service: plan.service, Zone: "north", Version: "v1", Slots: 8, Capacity: capacity, Labels: labels, Guards: plan.guards,
 		ClockRate: 1 - 0.01*float64(number%3), ClockZero: time.Duration(number+1) * time.Hour,
 	})
-	added.lives = 1
+	added.incarnations = 1
 	added.relay = &relay{
-		network: s.network, to: name, address: fmt.Sprintf("%s.%d:0", s.subnet, 100+len(s.workers)), behind: added.Address(),
-		caller: s.callerName, sent: s.recorder.delivered, seen: s.recorder.answered,
+		network: s.network, to: name, address: fmt.Sprintf("%s.%d:0", s.subnet, 100+len(s.workers)), target: added.Address(),
+		caller: s.callerName, onDelivery: s.recorder.recordDelivery, onReply: s.recorder.recordReply,
 	}
 	s.workers = append(s.workers, added)
-	s.noteLife(added)
+	s.recordIncarnation(added)
 	return added.relay.open()
 }
 
-func (s *system) noteLife(of *worker) {
+func (s *system) recordIncarnation(of *worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fact := of.fact
 	fact.ID = of.ID()
-	s.lives[fact.ID] = fact
+	s.workerIncarnations[fact.ID] = fact
 }
 
 // rewriteList names the relays where the platform names the workers.
@@ -78,15 +78,15 @@
 
 // crash ends a worker's life and begins another.
 func (s *system) crash(one *worker) {
-	s.beginWorker(one)
-	one.lives++
-	one.Crash(fmt.Sprintf("%s-life-%d", one.relay.to, one.lives))
-	s.noteLife(one)
-	s.finish(one.relay.to)
+	s.workerFaultBegan(one)
+	one.incarnations++
+	one.Crash(fmt.Sprintf("%s-life-%d", one.relay.to, one.incarnations))
+	s.recordIncarnation(one)
+	s.faultEnded(one.relay.to)
 }
 
-// crashLife ends the life of a worker if it goes on still.
-func (s *system) crashLife(life string) {
+// crashIncarnation ends the life of a worker if it goes on still.
+func (s *system) crashIncarnation(life string) {
 	for _, one := range s.workers {
 		if one.ID() == life {
 			s.crash(one)
@@ -94,19 +94,19 @@
 	}
 }
 
-// disturb lets the calls to a worker go wrong until calm is called.
-func (s *system) disturb(one *worker, faults func(cluster.Call) cluster.Fault) {
-	s.beginWorker(one)
+// beginCallFaults lets the calls to a worker go wrong until calm is called.
+func (s *system) beginCallFaults(one *worker, faults func(cluster.Call) cluster.Fault) {
+	s.workerFaultBegan(one)
 	one.SetFaults(faults)
 }
 
-func (s *system) calm(one *worker) {
+func (s *system) endCallFaults(one *worker) {
 	one.SetFaults(nil)
-	s.finish(one.relay.to)
+	s.faultEnded(one.relay.to)
 }
 
 // drain lists a worker as about to leave.
 func (s *system) drain(one *worker) {
-	s.beginWorker(one)
+	s.workerFaultBegan(one)
 	one.Drain(drainTime)
 }
