--- a/internal/aggregatorstore/log_test.go
+++ b/internal/aggregatorstore/log_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 )
 
-// A file that is refused is let go: who opens it next meets the same error, and not a lock that the first attempt has left.
+// A file that is refused is released: the next process gets the same error, and not that of a lock which the first has left.
 func TestLogOfAnotherVersionIsRefusedAndReleased(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := OpenLog(dir, time.Second, zap.NewNop())
--- a/internal/aggregatorstore/overrides_test.go
+++ b/internal/aggregatorstore/overrides_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// saveNow keeps changes and waits.
+// saveNow saves changes and waits.
 func saveNow(s *OverrideStore, changes ...override.Change) error {
 	done := make(chan error, 1)
 	s.Save(changes, func(err error) { done <- err })
@@ -50,7 +50,7 @@
 	return c
 }
 
-// held is what holds after n changes.
+// activeAfter is which overrides are active after n changes.
 func activeAfter(n uint64) map[override.Revision]bool {
 	list := map[override.Revision]bool{}
 	for i := uint64(1); i <= n; i++ {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// writer goes on where the file ends, and says each revision once it is kept.
+// writer goes on where the file ends, and prints each revision once it is saved.
 func writer(dir string) {
 	s, kept, err := OpenOverrides(dir, zap.NewNop())
 	if err != nil {
@@ -93,7 +93,7 @@
 	return cmd, bufio.NewScanner(out)
 }
 
-// A process killed at any moment of a write loses nothing that it acknowledged, and keeps nothing by half.
+// A process that is killed at any moment of a write loses nothing that it acknowledged, and saves nothing in part.
 func TestCommittedChangesSurviveAKill(t *testing.T) {
 	dir, rng := t.TempDir(), rand.New(rand.NewPCG(3, 9))
 	rounds, acknowledged := 120, uint64(0)
@@ -119,16 +119,16 @@
 		cmd.Wait()
 		s, kept, err := OpenOverrides(dir, zap.NewNop())
 		if err != nil || kept.Quarantined != "" {
-			t.Fatalf("round %d: %v, put aside %q", round, err, kept.Quarantined)
+			t.Fatalf("round %d: %v, quarantined %q", round, err, kept.Quarantined)
 		}
 		s.Stop()
 		if n := uint64(kept.Revision); n < acknowledged || n > acknowledged+1 {
-			t.Fatalf("round %d: revision %d is kept, %d was acknowledged", round, n, acknowledged)
+			t.Fatalf("round %d: revision %d is saved, %d was acknowledged", round, n, acknowledged)
 		}
 		active := activeAfter(uint64(kept.Revision))
 		for _, o := range kept.Active {
 			if !active[o.ID] {
-				t.Fatalf("round %d: override %d holds after revision %d", round, o.ID, kept.Revision)
+				t.Fatalf("round %d: override %d is active after revision %d", round, o.ID, kept.Revision)
 			}
 			delete(active, o.ID)
 		}
@@ -166,7 +166,7 @@
 	fmt.Println("kept", err, kept.Quarantined == "", len(kept.Active) > 0)
 }
 
-// A full disk refuses a change, and nothing else: what was kept stays, and later ones are kept again.
+// A full disk fails a change, and nothing else: what was saved stays, and later changes are saved again.
 func TestFullDiskRefusesChangesAndRecovers(t *testing.T) {
 	cmd, lines := startChild(t, "full", t.TempDir())
 	var said []string
@@ -201,7 +201,7 @@
 	return dir, revision
 }
 
-// Whatever is done to a file, it is read right or put aside under another name, and a new one is begun.
+// Whatever is done to a file, it is read correctly or renamed, and a new one made.
 func TestCorruptFilesAreQuarantined(t *testing.T) {
 	dir, revision := filledStore(t)
 	good, err := os.ReadFile(filepath.Join(dir, overridesFileName))
@@ -243,23 +243,23 @@
 		case contents.Quarantined != "":
 			quarantined++
 			if saved, err := os.ReadFile(contents.Quarantined); err != nil || !bytes.Equal(saved, text) || len(contents.Active) > 0 {
-				t.Fatalf("%s: put aside as %d bytes, %v, %d held", what, len(saved), err, len(contents.Active))
+				t.Fatalf("%s: quarantined as %d bytes, %v, %d active", what, len(saved), err, len(contents.Active))
 			}
 		case len(text) == 0: // as good as none
 		case uint64(contents.Revision) != revision && uint64(contents.Revision) != revision-8:
 			t.Fatalf("%s: revision %d", what, contents.Revision)
 		case uint64(contents.Revision) == revision && len(contents.Active) != len(want):
-			t.Fatalf("%s: %d held, expected %d", what, len(contents.Active), len(want))
+			t.Fatalf("%s: %d active, expected %d", what, len(contents.Active), len(want))
 		}
 		if err := saveNow(s, change(uint64(contents.Revision)+1)); err != nil {
-			t.Fatalf("%s: nothing is kept any more: %v", what, err)
+			t.Fatalf("%s: nothing is saved any more: %v", what, err)
 		}
 		s.Stop()
 	}
 	if quarantined < cases/3 {
-		t.Fatalf("only %d of %d spoilt files were seen", quarantined, cases)
+		t.Fatalf("only %d of %d corrupt files were found", quarantined, cases)
 	}
-	t.Logf("%d of %d put aside", quarantined, cases)
+	t.Logf("%d of %d quarantined", quarantined, cases)
 }
 
 func TestFileInUseIsRefused(t *testing.T) {
@@ -273,7 +273,7 @@
 		t.Fatalf("got %v, %+v", err, kept)
 	}
 	if err := saveNow(second, change(1)); err == nil {
-		t.Fatal("a store without a file kept something")
+		t.Fatal("a store without a file saved something")
 	}
 	second.Stop()
 	if err := saveNow(first, change(1)); err != nil {
--- a/internal/aggregatorstore/stored_test.go
+++ b/internal/aggregatorstore/stored_test.go
@@ -91,7 +91,7 @@
 	l.Stop()
 }
 
-// dumpOverrides writes all records of a file down, as the texts that they are.
+// dumpOverrides is all records of a file as JSON texts.
 func dumpOverrides(t *testing.T, folder string) string {
 	db, err := bolt.Open(folder+"/"+overridesFileName, 0o600, &bolt.Options{ReadOnly: true})
 	if err != nil {
@@ -134,12 +134,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	Convey("Given the overrides that an earlier build kept", t, func() {
+	Convey("Given the overrides that an earlier build saved", t, func() {
 		folder := t.TempDir()
 		So(os.CopyFS(folder, os.DirFS(storedOverrides)), ShouldBeNil)
 		So(dumpOverrides(t, folder), ShouldEqual, string(golden))
 
-		Convey("all of them are read, and all changes", func() {
+		Convey("all overrides and all changes are read", func() {
 			s, kept, err := OpenOverrides(folder, zap.NewNop())
 			So(err, ShouldBeNil)
 			defer s.Stop()
@@ -160,7 +160,7 @@
 	if os.Getenv(updateVariable) == "1" {
 		makeStoredLog(t)
 	}
-	Convey("Given a log that an earlier build kept, all of it is read", t, func() {
+	Convey("Given a log that an earlier build saved, all of it is read", t, func() {
 		folder := t.TempDir()
 		So(os.CopyFS(folder, os.DirFS(storedLog)), ShouldBeNil)
 		l, kept, err := OpenLog(folder, time.Second, zap.NewNop())
--- a/internal/controlplane/fleet/consensus/consensus_test.go
+++ b/internal/controlplane/fleet/consensus/consensus_test.go
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// disk is what a voter saved, as its store would hold it.
+// disk is what a voter saved, as its store would have it.
 type disk struct{ stored Stored }
 
 func (d *disk) save(s *Save) {
@@ -45,8 +45,8 @@
 	intro    *Introduction
 }
 
-// simulation plays a consensus by ticks: messages lost, late and doubled, voters that crash between saving and speaking, that come
-// back with what they saved or with nothing.
+// simulation runs a group of voters by ticks: messages are lost, late and duplicated; voters crash between saving and
+// sending, and restart with what they saved or with an empty directory.
 type simulation struct {
 	testing.TB
 	random.PCG
@@ -80,7 +80,7 @@
 	return w
 }
 
-// startEmpty begins a voter with an empty directory, start with what it saved.
+// startEmpty starts a voter with an empty directory, startFromDisk with what it saved.
 func (w *simulation) startEmpty(name membership.Name) {
 	w.lost++
 	w.disks[name] = &disk{Stored{ID: 1000*w.lost + uint64(len(name))}}
@@ -143,7 +143,7 @@
 
 func (d AppliedCommand) sameCommand(o AppliedCommand) bool { return d.ID == o.ID }
 
-// ticks plays some.
+// ticks advances the simulation by n ticks.
 func (w *simulation) ticks(n int) {
 	for range n {
 		w.tick++
@@ -188,12 +188,12 @@
 	}
 }
 
-// checkSingleLeader holds what must be so after each step: no two voters led for sure at the same time.
+// checkSingleLeader is checked after each step: no two voters had their leadership confirmed for the same time.
 func (w *simulation) checkSingleLeader() {
 	for a, at := range w.reads {
 		for b, other := range w.reads {
 			if a < b && at == other && at > 0 {
-				w.Fatalf("%s and %s both led for sure at tick %d", a, b, at)
+				w.Fatalf("%s and %s were both confirmed leaders at tick %d", a, b, at)
 			}
 		}
 	}
@@ -224,7 +224,7 @@
 	w.Fatalf("not within %d ticks: %s", ticks, what)
 }
 
-// applyCommand gives the consensus a command and waits until it acts.
+// applyCommand proposes a command until it is applied.
 func (w *simulation) applyCommand(id string) {
 	w.Helper()
 	c := &Command{ID: CommandID(id), Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{PerS: float64(len(w.appliedAt) + 1), Burst: 5, MinimumShare: 0.1}}}
@@ -250,8 +250,8 @@
 	return true
 }
 
-// toleratesAnotherLoss tells whether one voter more may be missing: of each set of voters that has to agree, a majority would still be there. While
-// a voter's new directory takes the place of the lost one both sets have to, and the lost one stands in the older.
+// toleratesAnotherLoss tells whether one voter more may be missing: of each set of voters that has to agree, a majority would
+// still be up. While a voter's ID is being replaced both sets have to, and the lost directory is in the older one.
 func (w *simulation) toleratesAnotherLoss() bool {
 	there := map[uint64]bool{}
 	for _, m := range w.voters {
@@ -275,8 +275,8 @@
 	return true
 }
 
-// A consensus is founded once, acts through the loss of any minority, and a voter that lost its directory takes part again by
-// another number: all with the same state.
+// A group is founded once, applies commands through the loss of any minority, and lets a voter that lost its directory take
+// part again under another ID: all with the same state.
 func TestVotersAgreeThroughLossOfAMinority(t *testing.T) {
 	for _, n := range []int{3, 5, 7} {
 		w := newSimulation(t, n, uint64(n))
@@ -302,8 +302,7 @@
 	}
 }
 
-// No majority with empty directories makes a consensus of its own beside one that is there, and none is founded before all
-// voters were heard.
+// No majority with empty directories founds a second group, and none is founded before all voters were heard from.
 func TestFoundingNeedsAllVoters(t *testing.T) {
 	w := newSimulation(t, 3, 5)
 	w.partitioned["v2"] = true
@@ -319,16 +318,16 @@
 	w.startEmpty("v1")
 	w.ticks(200)
 	if w.leader() != nil {
-		t.Fatal("two voters that lost everything lead a new council")
+		t.Fatal("two voters that lost everything lead a new group")
 	}
 	delete(w.partitioned, "v2")
 	w.ticks(200)
 	if w.leader() != nil { // the way back is an operator's
-		t.Fatal("a council that lost its majority for good came back by itself")
+		t.Fatal("a group that lost its majority for good came back by itself")
 	}
 }
 
-// A directory that holds what can't be is an error, and ends nobody.
+// A directory with impossible contents is an error, and no panic.
 func TestInconsistentDirectoryIsAnError(t *testing.T) {
 	names := []membership.Name{"a", "b", "c"}
 	for what, stored := range map[string]Stored{
@@ -343,7 +342,7 @@
 	}
 }
 
-// Whoever wrote the consensus down first may fail at once: the other founders lead without it.
+// The voter that founds the group first may fail at once: the other founders lead without it.
 func TestOtherFoundersLeadWhenTheFirstFails(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newSimulation(t, 3, seed+1)
@@ -366,8 +365,8 @@
 	}
 }
 
-// Under loss, delay, doubling and crashes between saving and speaking, all apply the same, each command once, and no two
-// lead for sure at one time.
+// Under loss, delay, duplication and crashes between saving and sending all voters apply the same, each command once, and no
+// two are confirmed leaders at one time.
 func TestVotersAgreeUnderLossDelayAndCrashes(t *testing.T) {
 	seeds := uint64(40)
 	if testing.Short() {
@@ -381,7 +380,7 @@
 			victim := w.names[int(w.Unit()*float64(len(w.names)))]
 			switch u := w.Unit(); {
 			case u < 0.3:
-				w.eventually(400, "the council bears another loss", w.toleratesAnotherLoss)
+				w.eventually(400, "the group tolerates another loss", w.toleratesAnotherLoss)
 				w.partitioned[victim] = true
 			case u < 0.6:
 				w.startFromDisk(victim)
@@ -414,7 +413,7 @@
 	}
 	s.apply(90, &Command{ID: "q", Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{PerS: 1, Burst: 1, MinimumShare: 0.1}}})
 	if s.LargestMinimums["t"].PerS < 0.6-1e-9 {
-		t.Errorf("the largest floor is forgotten: %+v", s.LargestMinimums)
+		t.Errorf("the largest minimum is forgotten: %+v", s.LargestMinimums)
 	}
 	if d := s.apply(91, &Command{ID: "x"}); d.Failure == "" {
 		t.Error("a command of nothing is taken")
--- a/internal/controlplane/fleet/consensus/snapshots_test.go
+++ b/internal/controlplane/fleet/consensus/snapshots_test.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A voter that begins anew gets all there is in one message. Were that lost, and nothing sent again, it took no part until another
-// led.
+// A voter that starts empty gets all there is in one snapshot. Were that lost and not sent again, it would take no part until
+// the leader changed.
 func TestLostSnapshotIsResent(t *testing.T) {
 	w := newSimulation(t, 3, 7)
 	w.eventually(400, "somebody leads", func() bool { return w.leader() != nil })
--- a/internal/controlplane/fleet/failpoint/failpoint_test.go
+++ b/internal/controlplane/fleet/failpoint/failpoint_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// The plain build has nothing of it: no variable that arms a point, and no name of one.
+// The plain build has neither the variable that arms a point nor the name of one.
 func TestPlainBuildHasNoFailpoints(t *testing.T) {
 	has := func(tags string) bool {
 		path := filepath.Join(t.TempDir(), "mixer")
--- a/internal/controlplane/fleet/failuredetector/failuredetector_test.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// simulation plays a fleet in virtual time. Whatever happens, what a machine may never do is checked after each step.
+// simulation runs a fleet in virtual time. What a machine must never do is checked after each step.
 type simulation struct {
 	testing.TB
 	random.PCG
@@ -83,12 +83,12 @@
 			w.Fatalf("%s: %+v", from, c)
 		}
 		if c.Now == Dead && w.machines[from].Isolated() {
-			w.Fatalf("%s hears nothing and calls %s dead", from, c.Name)
+			w.Fatalf("%s is isolated and declares %s dead", from, c.Name)
 		}
 	}
 	for _, s := range out {
 		if len(s.Updates) > maxUpdatesPerMessage {
-			w.Fatalf("%d pieces of news in a message", len(s.Updates))
+			w.Fatalf("%d updates in a message", len(s.Updates))
 		}
 		w.bytes += 60 + 20*len(s.Updates)
 		if !w.partitioned(from, s.To) && w.Unit() >= w.lossRate {
@@ -97,7 +97,7 @@
 	}
 }
 
-// allReport tells whether everybody that runs holds a status of one.
+// allReport tells whether all running nodes have a status for one.
 func (w *simulation) allReport(of membership.Name, is Status) bool {
 	for _, name := range w.names {
 		if name != of && !w.dead[name] && !w.stopped[name] && w.machines[name].Status(of) != is {
@@ -118,8 +118,8 @@
 	return w.now - from
 }
 
-// A crash is known everywhere within seconds at any size, at a cost for each that hardly grows; the process that comes after it
-// is too, and where one in five messages is lost nobody that lives is dead for long.
+// A crash is detected everywhere within seconds at any size, at a cost for each node that hardly grows; so is the process
+// that comes after it.
 func TestCrashIsDetectedAtAnySize(t *testing.T) {
 	for _, n := range []int{3, 9, 30, 100} {
 		w := newSimulation(t, n, uint64(n))
@@ -168,8 +168,8 @@
 	}
 }
 
-// Who hears nothing knows it in IsolationTimeout and a probe's time, calls nobody dead, and after the cut all agree again. Who is heard by
-// nobody, in one direction, doubts itself.
+// A node that receives nothing knows it after IsolationTimeout and a probe, declares nobody dead, and agrees with all others
+// after the partition. The health score of one that can receive and not send rises.
 func TestIsolatedMemberDeclaresNobodyDead(t *testing.T) {
 	w := newSimulation(t, 9, 3)
 	w.until(10)
@@ -178,19 +178,20 @@
 	w.eventually(20, "m0 is dead to the others", func() bool { return w.allReport("m0", Dead) })
 	for _, name := range w.names[1:] {
 		if w.machines["m0"].Status(name) == Dead {
-			t.Errorf("%s is dead to m0, which hears nothing", name)
+			t.Errorf("%s is dead to m0, which is isolated", name)
 		}
 	}
 	w.partitioned = func(_, _ membership.Name) bool { return false }
 	healed := w.eventually(20, "m0 lives to all", func() bool { return w.allReport("m0", Alive) && !w.machines["m0"].Isolated() })
 	t.Logf("deaf after %.2f s, healed after %.1f s", took, healed)
-	w.partitioned = func(from, _ membership.Name) bool { return from == "m0" } // it hears, and is not heard
+	w.partitioned = func(from, _ membership.Name) bool { return from == "m0" } // it receives, and none of its messages arrive
 	w.eventually(20, "m0 doubts itself", func() bool { return w.machines["m0"].LocalHealth() > 2 })
 	w.partitioned = func(_, _ membership.Name) bool { return false }
 	w.eventually(30, "m0 lives to all", func() bool { return w.allReport("m0", Alive) })
 }
 
-// One that stands still for longer than a suspicion is dead, and lives again once it goes on; what waited for it does no harm.
+// A node that pauses for longer than a suspicion is declared dead, and alive again once it goes on; the messages that waited
+// for it do no harm.
 func TestPausedMemberRefutesItsSuspicion(t *testing.T) {
 	w := newSimulation(t, 5, 8)
 	w.until(5)
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 		Lines: map[string]int{LineFleet: 2, LineStrict: 9, ContractLine("x"): 11, QuotaLine("x"): 17}}
 }
 
-// What file and settings say against each other is told with the file's line and what was expected.
+// What contradicts the settings is reported with the line of the file and what was expected.
 func TestSettingsAreValidated(t *testing.T) {
 	if s := validSettings(); s.Check() != nil {
 		t.Fatal(s.Check())
@@ -52,6 +52,7 @@
 }
 
 func freeAddress(t testing.TB) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,8 +61,9 @@
 	return l.Addr().String()
 }
 
-// startAlone is a fleet whose others are not there, on addresses that were free a moment ago.
+// startAlone starts a node whose peers are not running, on addresses that were free a moment ago.
 func startAlone(t testing.TB, change func(*Settings)) *Fleet {
+	t.Helper()
 	s := validSettings()
 	s.Directory = t.TempDir()
 	for i := range s.Membership.Members {
@@ -79,8 +81,8 @@
 	return f
 }
 
-// A node that never heard the consensus refuses strict tenants, and all tenants where quotas are held, as it does not know
-// which have one; without either it takes all.
+// A node that never received tables refuses strict tenants, and all tenants where the file has quotas, as it does not know
+// which have one; else it accepts all.
 func TestAdmissionOfANodeWithoutTables(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Settings)
@@ -95,7 +97,7 @@
 	}
 }
 
-// Messages that can't be read, of kinds that are not known, or that answer nothing we asked, change nothing and end nothing.
+// Messages that are unreadable, of an unknown kind, or that answer no request, change nothing and end nothing.
 func FuzzMessages(f *testing.F) {
 	fl := startAlone(f, nil)
 	for kind := range byte(12) {
@@ -112,7 +114,7 @@
 		}})
 		<-done
 		if v := fl.Admit(0, 0); v.Reason != "" {
-			t.Errorf("a letter made this mixer refuse: %+v", v)
+			t.Errorf("a message made this node refuse: %+v", v)
 		}
 	})
 }
--- a/internal/controlplane/fleet/outlier/outlier_test.go
+++ b/internal/controlplane/fleet/outlier/outlier_test.go
@@ -14,7 +14,7 @@
 	holders = ShardReplicas{{"s0", "s1"}, {"s1", "s2"}, {"s2", "s3"}, {"s3", "s0"}}
 )
 
-// observations is what a node sees of four backends, some of which are bad to it.
+// observations is what a node observes of four backends, some of them bad.
 func observations(bad ...Backend) (list []Observation) {
 	for _, s := range []Backend{"s0", "s1", "s2", "s3"} {
 		x := Observation{s, 10, 0, 0.01}
@@ -46,7 +46,7 @@
 	two := NewReport("c", 1, observations("s1"))
 	fine := NewReport("d", 1, observations())
 	if list := store(one).Verdicts(100, holders); len(list) > 0 {
-		t.Errorf("judged by one: %+v", list)
+		t.Errorf("a verdict of one witness: %+v", list)
 	}
 	if list := store(NewReport("a", 1, observations("s1")), one).Verdicts(100, holders); len(list) > 0 {
 		t.Errorf("what we saw ourselves counts as a witness: %+v", list)
@@ -68,12 +68,12 @@
 	}
 }
 
-// A node that calls most backends bad is sick itself and counts for nothing, and with many sick ones each shard keeps
-// half of its holders; what is old counts no more.
+// A node that finds most backends bad is unhealthy itself and counts for nothing, and each shard keeps half of its replicas
+// whatever is reported; old reports do not count.
 func TestVerdictsLeaveEnoughReplicas(t *testing.T) {
 	unhealthy := func(origin membership.Name) Report { return NewReport(origin, 1, observations("s1", "s2")) }
 	if list := store(unhealthy("b"), unhealthy("c"), unhealthy("d")).Verdicts(100, holders); len(list) > 0 {
-		t.Errorf("judged by sick ones: %+v", list)
+		t.Errorf("a verdict of unhealthy witnesses: %+v", list)
 	}
 	g := random.PCG(5)
 	for range 2000 {
@@ -108,11 +108,11 @@
 		t.Error("what is old still counts")
 	}
 	if only := store(NewReport("b", 1, observations("s1")), NewReport("c", 1, observations("s1"))).Verdicts(100, ShardReplicas{{"s1"}}); len(only) > 0 {
-		t.Error("the only holder of a shard is judged")
+		t.Error("the only replica of a shard is an outlier")
 	}
 }
 
-// Reports may come late, twice, in any order and over others: all who hear of them end with the same.
+// Reports may come late, twice, in any order and through other nodes: all that receive them end with the same.
 func TestReportsAreReceivedInAnyOrder(t *testing.T) {
 	g := random.PCG(9)
 	for range 300 {
@@ -143,7 +143,7 @@
 	}
 }
 
-// A report reaches all of a hundred nodes, over others, in a few rounds.
+// A report reaches all of a hundred nodes through gossip in a few rounds.
 func TestReportsReachAllNodes(t *testing.T) {
 	var all []membership.Name
 	for i := range 100 {
@@ -177,7 +177,7 @@
 		}
 	}
 	if len(where) < 90 { // the few hear of the next one instead
-		t.Errorf("%d of 100 heard of it", len(where))
+		t.Errorf("%d of 100 received it", len(where))
 	}
-	t.Logf("%d of 100 heard of a report, each passing it on to %d others %d times", len(where), gossipFanout, maxTransmissions)
+	t.Logf("%d of 100 received a report, each sending it on to %d others %d times", len(where), gossipFanout, maxTransmissions)
 }
--- a/internal/controlplane/fleet/quota/quota_test.go
+++ b/internal/controlplane/fleet/quota/quota_test.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// broken is a copy of the rules with one left out, which the judge has to find.
+// omittedRule is a rule that the simulation leaves out, which the checker has to find.
 type omittedRule struct {
 	ignoreMinimums bool // minimums are not subtracted
 	grantAtOnce    bool // a new granter does not wait
@@ -20,7 +20,7 @@
 	startFull      bool // a process begins with a full minimum
 }
 
-// message is what is on its way between two nodes in virtual time.
+// message is one on its way between two nodes in virtual time.
 type message struct {
 	at       float64
 	to       int
@@ -47,9 +47,9 @@
 	weightDue    float64
 }
 
-// simulation plays one tenant's quota over a fleet in virtual time, with messages lost, late, doubled and out of order, nodes that
-// stand still, restart and hear nothing, clocks that differ by a hundredth, and granters that change while the one before
-// still believes to be it. The judge is a bucket by true time: what it overflows by is a breach in some window.
+// simulation runs one tenant's quota over a fleet in virtual time: messages are lost, late, duplicated and out of order;
+// nodes pause, restart and are isolated; clocks differ by a hundredth; granters change while the one before still believes to
+// be it. The checker is a token bucket by true time: what it overflows by is a breach in some window.
 type simulation struct {
 	random.PCG
 	quota            Quota
@@ -60,7 +60,7 @@
 	now              float64
 	leader           int
 	epoch            uint64
-	level            float64 // the judge's
+	level            float64 // the checker's
 	at               float64
 	admitted         float64
 	partitionedUntil map[int]float64 // until when a node hears nobody
@@ -85,7 +85,7 @@
 	return s
 }
 
-// start begins a process.
+// start starts a process.
 func (s *simulation) start(m *simNode) {
 	lease := s.lease
 	if s.omitted.ignoreExpiry {
@@ -143,7 +143,7 @@
 	}
 }
 
-// step plays a step, with so many queries a second asked of each node by its weight.
+// step runs a step, with so many queries a second over all nodes, each by its weight.
 func (s *simulation) step(perS float64) error {
 	s.now += simStep
 	switch u := s.Unit(); { // faults, some a minute
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// deliver hands over what has arrived; what is said in answer waits for the next step.
+// deliver hands over the messages that have arrived; what they are answered waits for the next step.
 func (s *simulation) deliver() {
 	waiting := s.messages
 	s.messages = nil
@@ -281,7 +281,7 @@
 	t.Logf("%.3f of the quotas used under all these faults", admitted/float64(seeds))
 }
 
-// The judge finds each rule that is left out.
+// The checker finds each rule that is left out.
 func TestCheckerFindsOmittedRules(t *testing.T) {
 	for name, b := range map[string]omittedRule{"floors not subtracted": {ignoreMinimums: true}, "a new granter does not wait": {grantAtOnce: true},
 		"leases are not looked at": {ignoreExpiry: true}, "a process begins with a full floor": {startFull: true}} {
@@ -312,7 +312,7 @@
 	return s
 }
 
-// calmStep is a step with no faults drawn: it spends and asks alone.
+// calmStep is a step without faults.
 func (s *simulation) calmStep(perS float64) (admitted float64, err error) {
 	was := s.admitted
 	s.now += simStep
@@ -350,7 +350,7 @@
 	return s.admitted - was, nil
 }
 
-// Without a fault a tenant has 95% of its quota, whether its queries are spread, sit at one node, or have moved to another
+// Without a fault a tenant gets 95% of its quota, whether its queries are spread, come to one node, or have moved to another
 // a second ago.
 func TestQuotaIsUsedInFull(t *testing.T) {
 	for _, q := range []Quota{{100, 100, 0.04}, {20, 20, 0.04}, {3, 6, 0}} {
@@ -389,7 +389,7 @@
 	}
 }
 
-// A minimum of just one query admits it, at clocks as they are, and its rate from then on; cut off it needs nobody.
+// A minimum of just one query admits it, with Unix time as it is, and its rate from then on, without any other node.
 func TestMinimumOfOneQueryAdmitsIt(t *testing.T) {
 	const began = 1.79e9
 	h := NewClient(3, 9)
@@ -405,7 +405,7 @@
 	}
 }
 
-// Many goroutines spend from a bucket while it is filled and closed: never more than was put in.
+// Many goroutines spend from a bucket while grants come and are closed: never more than was granted.
 func TestConcurrentSpendingNeverOverdraws(t *testing.T) {
 	h := NewClient(1000, 3)
 	b := h.Set(0, map[Tenant]Quota{"t": {PerS: 1000, Burst: 1000}})["t"]
--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -29,7 +29,7 @@
 	}
 	r := here.Of(0, 1)
 	if !r.Here || elsewhere.Of(0, 1).Here || site.Compile(table, "").Of(0, 1).Here {
-		t.Error("the mixers' own zone does not count")
+		t.Error("the node's own zone does not count")
 	}
 	for at, want := range map[policy.LocationID]bool{0: false, 1: true, 2: false, 3: false, -1: false} {
 		if r.Zones.Allows(at) != want {
@@ -49,12 +49,12 @@
 	}
 }
 
-// omittedRule leaves one rule out, which the judge has to find.
+// omittedRule is a rule that the simulation leaves out, which the checker has to find.
 type omittedRule struct {
-	reportEarly          bool // told as held before all hold it
-	ignorePreviousLeader bool // a new leader forgets that the one before may have renewed
-	ignoreExpiry         bool // nodes do not look at their lease's end
-	reportUnapplied      bool // a node says that it holds what its queries do not go by yet
+	reportEarly          bool // reported as applied before all nodes apply it
+	ignorePreviousLeader bool // a new leader ignores that the one before may have renewed leases
+	ignoreExpiry         bool // nodes ignore the end of their lease
+	reportUnapplied      bool // a node reports a version that its queries do not go by yet
 }
 
 const (
@@ -62,7 +62,7 @@
 	bound                     = lease + authority // after which an accepted contract holds at strict tenants
 )
 
-// simNode is one node. Its queries are taken by the table that it has, and each may send part calls until it ends.
+// simNode is one node. Its queries are accepted by the table that it has, and each may send subqueries until it ends.
 type simNode struct {
 	name      membership.Name
 	rate      float64
@@ -86,9 +86,9 @@
 	confirmedUntil float64 // until when, by true time
 }
 
-// play plays one strict tenant's contract, narrowed again and again, at nodes that are cut off, stand still and restart,
-// under leaders that come and go while the one before still acts on what it was sure of. Version v allows no part call that
-// v-1 allowed, so that a call is outside where its query goes by an older version than must hold.
+// play runs one strict tenant's contract, narrowed again and again, at nodes that are partitioned, pause and restart, under
+// leaders that come and go while the one before still acts on its last confirmation. Version v allows no subquery that v-1
+// allowed, so that a subquery is outside where its query goes by an older version than has to be applied.
 func play(seed uint64, b omittedRule) error {
 	g := random.PCG(seed)
 	var names []membership.Name
@@ -181,7 +181,7 @@
 		}
 	}
 	if reported < 2 {
-		return fmt.Errorf("only version %d was ever told as held", reported)
+		return fmt.Errorf("only version %d was ever reported as applied", reported)
 	}
 	return nil
 }
@@ -213,7 +213,7 @@
 	}
 }
 
-// A tenant that is served past its lease is never told to be held by time alone, and the nodes that are behind are named.
+// A tenant that is served past its lease never counts as applied by time alone, and the nodes that are behind are named.
 func TestLenientTenantsWaitForAllNodes(t *testing.T) {
 	s := NewRollout(lease, []membership.Name{"a", "b"})
 	s.Begin(0, authority)
--- a/internal/controlplane/fleet/sealedmessage/sealedmessage_test.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage_test.go
@@ -33,14 +33,14 @@
 		t.Fatalf("%v %+v", why, l)
 	}
 	if _, why := s.Open(1, sealed); why != Replayed {
-		t.Errorf("the same letter again: %v", why)
+		t.Errorf("a replayed message: %v", why)
 	}
 	if _, why := a.Open(1, sealed); why != UnknownSender { // our own, turned back
-		t.Errorf("our own letter: %v", why)
+		t.Errorf("our own message: %v", why)
 	}
 	c, _ := New("c", 1, key, []membership.Name{"a", "b"}, wide)
 	if _, why := c.Open(1, sealed); why != WrongRecipient {
-		t.Errorf("a letter to another: %v", why)
+		t.Errorf("a message to another node: %v", why)
 	}
 	for i := range sealed {
 		altered := bytes.Clone(sealed)
@@ -54,15 +54,15 @@
 		t.Errorf("another key: %v", why)
 	}
 	if a.Seal("nobody", 1, nil) != nil || a.Seal("b", 1, make([]byte, MaxBytes)) != nil {
-		t.Error("a letter to nobody, or too long, is sealed")
+		t.Error("a message to no member, or too long, is sealed")
 	}
 	if _, why := s.Open(1, make([]byte, MaxBytes+1)); why != TooLong {
 		t.Errorf("too long: %v", why)
 	}
 }
 
-// A process that comes after another of its name ends what that one sent; its own messages begin at 1 again. One whose clock
-// went back is told, and rises.
+// A process that starts after another of its name ends what that one sent; its own messages begin at 1 again. One whose clock
+// went back is notified, and raises its incarnation.
 func TestOlderIncarnationIsRejected(t *testing.T) {
 	a, s := sealers(t, wide)
 	old := a.Seal("b", 1, nil)
@@ -79,7 +79,7 @@
 	}
 }
 
-// Whoever sends too much is not heard for a while; others are.
+// The messages of a node that sends too much are rejected for a while; those of others are not.
 func TestBytesPerSecondAreLimited(t *testing.T) {
 	a, s := sealers(t, Limits{BytesPerS: 1000, Burst: 1000})
 	c, _ := New("c", 1, key, []membership.Name{"b"}, wide)
@@ -90,17 +90,17 @@
 		}
 	}
 	if opened < 8 || opened > 11 {
-		t.Errorf("%d letters of 100 bytes opened at once, expected 10", opened)
+		t.Errorf("%d messages of 100 bytes opened at once, expected 10", opened)
 	}
 	if _, why := s.Open(5, c.Seal("b", 1, nil)); why != Accepted {
-		t.Errorf("another mixer: %v", why)
+		t.Errorf("another node: %v", why)
 	}
 	if _, why := s.Open(6, a.Seal("b", 1, nil)); why != Accepted {
 		t.Errorf("a second later: %v", why)
 	}
 }
 
-// The window is right whatever comes in which order: never twice, and never refused while it is close behind.
+// The window accepts each number once, in whatever order they come, while it is close behind the highest.
 func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, seen, highest := window{}, map[Number]bool{}, Number(0)
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -70,7 +70,7 @@
 	}
 )
 
-// canonical encodes as the consensus does.
+// canonical encodes as package consensus does.
 func canonical(value any) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -83,7 +83,7 @@
 	return encoded
 }
 
-// storedSave is what a voter has saved: votes, a snapshot, three commands that are agreed on, and one that is not.
+// storedSave is what a voter has saved: a hard state, a snapshot, three committed commands, and one that is not committed.
 func storedSave() *consensus.Save {
 	save := &consensus.Save{
 		Hard: &pb.HardState{Term: proto.Uint64(4), Vote: proto.Uint64(0x22), Commit: proto.Uint64(10)},
@@ -103,6 +103,7 @@
 }
 
 func openStoredLog(t *testing.T, folder string) (*aggregatorstore.Log, aggregatorstore.LogContents) {
+	t.Helper()
 	log, contents, err := aggregatorstore.OpenLog(folder, time.Second, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -111,6 +112,7 @@
 }
 
 func saveNow(t *testing.T, log *aggregatorstore.Log, save aggregatorstore.LogSave) {
+	t.Helper()
 	saved := make(chan error, 1)
 	log.Save(save, func(err error) { saved <- err })
 	if err := <-saved; err != nil {
@@ -118,7 +120,7 @@
 	}
 }
 
-// dumpLog writes what a log held down, in hex.
+// dumpLog is a log's contents as JSON, the bytes in hex.
 func dumpLog(contents aggregatorstore.LogContents) string {
 	dump := map[string]map[string]string{"values": {}, "entries": {}, "of the file": {"id": strconv.FormatUint(contents.ID, 16)}}
 	for name, value := range contents.Values {
@@ -135,6 +137,7 @@
 }
 
 func makeStoredLog(t *testing.T) {
+	t.Helper()
 	os.RemoveAll(storedFolder)
 	log, _ := openStoredLog(t, storedFolder)
 	saveNow(t, log, aggregatorstore.LogSave{Entries: []aggregatorstore.Entry{{Index: 7, Data: []byte("cut off")}, {Index: 8, Data: []byte("replaced")}}})
@@ -152,8 +155,9 @@
 	}
 }
 
-// applyCommitted applies what a voter knows to be agreed on.
+// applyCommitted applies the committed entries.
 func applyCommitted(t *testing.T, machine *consensus.Machine) consensus.State {
+	t.Helper()
 	for {
 		if _, has := machine.NextSave(); !has {
 			return *machine.State()
@@ -180,12 +184,12 @@
 		So(contents.Quarantined, ShouldBeEmpty)
 		So(dumpLog(contents), ShouldEqual, string(golden))
 
-		Convey("the tables of the mixer are read", func() {
+		Convey("the tables are read", func() {
 			f := &Fleet{stored: contents, logger: zap.NewNop()}
 			So(f.readTables(), ShouldResemble, storedTables)
 			So(f.tables.received, ShouldBeTrue)
 		})
-		Convey("the votes, the snapshot and the entries are read", func() {
+		Convey("the hard state, the snapshot and the entries are read", func() {
 			stored, err := decodeConsensusState(&contents)
 			So(err, ShouldBeNil)
 			expected := storedSave()
@@ -197,7 +201,7 @@
 				So(proto.Equal(stored.Entries[i], expected.Entries[i]), ShouldBeTrue)
 			}
 		})
-		Convey("a voter goes on from the snapshot to what is agreed on", func() {
+		Convey("a voter applies the committed entries after the snapshot", func() {
 			stored, err := decodeConsensusState(&contents)
 			So(err, ShouldBeNil)
 			stored.ID = storedFounders[0].ID
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,8 +1,6 @@
-// Package counters counts what an aggregator receives, sends and rejects, by name and reason. It uses Prometheus' client library,
-// but the counts are written to the log, as one line, and are not served; package metrics serves the scheduler's metrics.
-//
-// The two packages stay apart because they share no output: the names here are fields of a log line that operators' tools read, and
-// metrics listens at an address, which an aggregator does not.
+// Package counters counts what an aggregator accepts, sends and answers, by name and reason, in a registry of Prometheus'
+// client library. An aggregator serves no metrics: it writes its counters into its log, as one object. Processes of the
+// control plane and workers serve theirs over HTTP; see package metrics.
 package counters
 
 import (
@@ -14,10 +12,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Set is a set of counters by name and reason. Its methods may be called from any goroutine.
+// Set is a set of counters by name and reason. Any goroutine may use it.
 type Set struct {
 	registry *prometheus.Registry
-	gauges   *prometheus.GaugeVec // and not counters, as counts of what is pending go down again
+	gauges   *prometheus.GaugeVec // which may go down: some count what is in use
 	mutex    sync.RWMutex
 	byLabels map[[2]string]prometheus.Gauge // by name and reason; spares the look-up of labels in gauges
 }
@@ -30,7 +28,7 @@
 	return s
 }
 
-// Add adds to the counter of a name and a reason. A negative number counts down.
+// Add adds to the counter of a name and a reason, and makes it where there is none.
 func (s *Set) Add(name, reason string, by int64) {
 	key := [2]string{name, reason}
 	s.mutex.RLock()
@@ -45,7 +43,7 @@
 	gauge.Add(float64(by))
 }
 
-// Get returns a counter; 0 where nothing was counted.
+// Get is a counter's value, 0 where there is none.
 func (s *Set) Get(name, reason string) int64 { return s.gather()[name+"."+reason] }
 
 // gather returns all counters by name.reason.
@@ -60,8 +58,7 @@
 	return counts
 }
 
-// MarshalLogObject adds all counters to a log line as fields name.reason, sorted. It implements zapcore.ObjectMarshaler and has
-// no error.
+// MarshalLogObject writes all counters as fields NAME.REASON, sorted; its error is nil.
 func (s *Set) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	counts := s.gather()
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/jsonc/errors.go
+++ b/internal/jsonc/errors.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// SyntaxError says where a text is no JSON.
+// SyntaxError says where a text is not JSON, beginning with a space and the line.
 type SyntaxError string
 
 func (e SyntaxError) Error() string { return " " + string(e) }
 
-// TypeError is a value of another type than the form's.
+// TypeError is a value of another type than its field's.
 type TypeError struct{ Field, Found, Expected string }
 
 func (e TypeError) Error() string {
 	return fmt.Sprintf("%s is a %s, expected %s", e.Field, e.Found, e.Expected)
 }
 
-// UnknownKeyError is a key, in its quotes, that the form has no place for.
+// UnknownKeyError is a key, in quotes, that there is no field for.
 type UnknownKeyError string
 
 func (e UnknownKeyError) Error() string { return string(e) + " is not known" }
--- a/internal/jsonc/jsonc.go
+++ b/internal/jsonc/jsonc.go
@@ -1,4 +1,4 @@
-// Package jsonc reads JSON with comments into a form, and tells a mistake with its line.
+// Package jsonc decodes JSON with comments and trailing commas, and reports a mistake with its line.
 package jsonc
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// Decode reads all of a text. Its error begins with the line, as "3: ..." or, of what is no JSON at all, as " line 3, ...";
-// a key that the form has no place for is one.
+// Decode decodes all of a text into a pointer, strictly: a key that it has no field for is an error. The error begins with
+// the line, as "3: ...", and wraps an UnknownKeyError, a TypeError or encoding/json's; of a text that is no JSON it is a
+// SyntaxError, " line 3, ...".
 func Decode(text []byte, into any) error {
 	plain, err := hujson.Standardize(bytes.Clone(text))
 	if err != nil {
