--- a/internal/aggregatorstore/file.go
+++ b/internal/aggregatorstore/file.go
@@ -133,7 +133,7 @@
 		return nil, "", fmt.Errorf("%s: %w", path, err)
 	}
 	quarantined = fmt.Sprintf("%s.spoilt-%d", path, time.Now().UnixNano())
-	logger.Error("spoilt file put aside, nothing of it holds", zap.String("file", path), zap.String("aside", quarantined), zap.String("text", err.Error()))
+	logger.Error("corrupt file set aside", zap.String("file", path), zap.String("aside", quarantined), zap.String("text", err.Error()))
 	if err = os.Rename(path, quarantined); err != nil {
 		return nil, "", err
 	}
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -62,7 +62,7 @@
 func (m *Aggregator) send(action *policy.Action, now time.Time) {
 	ref, open := m.subqueries[action.Subquery]
 	if !open {
-		m.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(action.Subquery)))
+		m.log.Warn("send of an unknown subquery", zap.Uint64("part", uint64(action.Subquery)))
 		return
 	}
 	q, sub := ref.query, &ref.query.Subqueries[ref.no]
