--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -125,7 +125,7 @@
 // least. What it returns is the last answer.
 func waitHeld(ctx context.Context, client *api.Client, version uint64, tenant string, wait time.Duration) (p residency.Progress, err error) {
 	for until := time.Now().Add(wait); ; time.Sleep(heldPause) {
-		p, err = client.Held(ctx, version, tenant)
+		p, err = client.Progress(ctx, version, tenant)
 		if err == nil && p.Applied || !time.Now().Before(until) {
 			return p, err
 		}
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -64,7 +64,7 @@
 	if c.JSON {
 		return asJSON(v)
 	}
-	fmt.Fprintf(stdout, "mixer %s, revision %d, kept in %s\n", v.Aggregator, v.Revision, v.Kept)
+	fmt.Fprintf(stdout, "mixer %s, revision %d, kept in %s\n", v.Aggregator, v.Revision, v.Storage)
 	rows := [][]string{}
 	for i := range v.Overrides {
 		o := &v.Overrides[i]
@@ -72,14 +72,14 @@
 		rows = append(rows, []string{strconv.FormatUint(o.ID, 10), target, does, left(o.EndsIn), o.Author, o.Reason, o.State})
 	}
 	table(stdout, "ID TARGET DOES ENDS-IN AUTHOR REASON STATE", rows)
-	if len(v.Returning) > 0 {
+	if len(v.Recoveries) > 0 {
 		rows = rows[:0]
-		for _, r := range v.Returning {
+		for _, r := range v.Recoveries {
 			shard := "all"
 			if r.Shard != nil {
 				shard = strconv.Itoa(*r.Shard)
 			}
-			rows = append(rows, []string{r.Backend, shard, r.Index, fmt.Sprintf("%.0f%%", 100*r.Level), fmt.Sprintf("%.0f%%", 100*r.Want)})
+			rows = append(rows, []string{r.Backend, shard, r.Index, fmt.Sprintf("%.0f%%", 100*r.Level), fmt.Sprintf("%.0f%%", 100*r.Desired)})
 		}
 		fmt.Fprintln(stdout)
 		table(stdout, "RETURNING SHARD INDEX NOW UP-TO", rows)
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -187,7 +187,7 @@
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	if n.controller != nil {
-		n.controller.Settle()
+		n.controller.ProcessPending()
 	}
 	address, err := net.ResolveTCPAddr("tcp", c.Listen)
 	if err != nil {
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -64,7 +64,7 @@
 	}
 	w.file = operatorfile.Defaults()
 	w.file.Overrides.On, w.file.Overrides.Directory = true, t.TempDir()
-	w.file.Overrides.Limits.Ramp = 2
+	w.file.Overrides.Limits.SlowStart = 2
 	dir, err := os.MkdirTemp("", "pl") // a socket's path is short
 	if err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 		}
 	}
 	v := w.view()
-	if len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Kept == "memory" {
+	if len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Storage == "memory" {
 		t.Fatalf("got %+v", v)
 	}
 	w.clear(v.Overrides[0].ID)
@@ -280,12 +280,12 @@
 		t.Fatal("later than 2 s")
 	}
 	w.register.SetState(s.Name, "SERVING")
-	w.until("the pin acts", func() bool { v := w.view(); return v.Overrides[0].State == "acts" && len(v.Returning) == 0 })
+	w.until("the pin acts", func() bool { v := w.view(); return v.Overrides[0].State == "acts" && len(v.Recoveries) == 0 })
 	settled("back")
 	w.register.SetState(s.Name, "DELETED")
 	w.until("the pin waits", func() bool { return strings.HasPrefix(w.view().Overrides[0].State, "waits") })
 	w.register.Set(s.Entry("SERVING", true))
-	acts := func() bool { v := w.view(); return v.Overrides[0].State == "acts" && len(v.Returning) == 0 }
+	acts := func() bool { v := w.view(); return v.Overrides[0].State == "acts" && len(v.Recoveries) == 0 }
 	w.until("the pin acts after a return", acts)
 	settled("returned")
 	w.register.Set(s.Entry("SERVING", false))
@@ -355,7 +355,7 @@
 		t.Logf("after lists, a drain, a return and a restart %.3f of the usual", through)
 	}
 	w.clear(made.Override.ID)
-	w.until("it is back", func() bool { return len(w.view().Returning) == 0 })
+	w.until("it is back", func() bool { return len(w.view().Recoveries) == 0 })
 	w.goesOn(parts / 4)
 	if back := share() / usual; back < 0.6 || measure && math.Abs(back-1) > 0.15 {
 		t.Errorf("back at %.3f of the usual part calls", back)
@@ -442,7 +442,7 @@
 	w.file.Overrides.Directory = ""
 	w.start()
 	w.set(api.Command{Kind: "out", Backend: "s-1"})
-	if v := w.view(); v.Kept != "memory" || len(v.Overrides) != 1 {
+	if v := w.view(); v.Storage != "memory" || len(v.Overrides) != 1 {
 		t.Fatalf("got %+v", v)
 	}
 	w.node.Stop()
--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -44,7 +44,7 @@
 		list.Addresses, list.Names = append(list.Addresses, "x:1"), append(list.Names, aggregator.Name{Backend: fmt.Sprint("s-", i), Location: "north"})
 	}
 	d.Put(list)
-	d.Settle()
+	d.ProcessPending()
 	go d.Run()
 	var err error
 	if r.Server, err = New("n1", set, d, nil, zap.NewNop(), counters.New()); err != nil {
@@ -120,7 +120,7 @@
 		t.Errorf("got %s", why)
 	}
 	var v View
-	if why := r.get("/v1/overrides", &v); why != "" || len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Kept != "memory" || v.Overrides[0].EndsIn > 60 {
+	if why := r.get("/v1/overrides", &v); why != "" || len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Storage != "memory" || v.Overrides[0].EndsIn > 60 {
 		t.Fatalf("got %+v, %s", v, why)
 	}
 	var w Why
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -85,7 +85,7 @@
 // serveFleet serves the fleet's part of the listener, where there is a fleet.
 func (s *Server) serveFleet(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/fleet", s.read(s.showFleet))
-	mux.HandleFunc("GET /v1/fleet/held", s.read(s.heldFleet))
+	mux.HandleFunc("GET /v1/fleet/held", s.read(s.progressFleet))
 	mux.HandleFunc("GET /v1/fleet/why", s.read(s.whyFleet))
 	mux.HandleFunc("POST /v1/fleet", s.guarded(true, s.commandFleet))
 }
@@ -104,7 +104,7 @@
 	reply(w, http.StatusOK, shown)
 }
 
-func (s *Server) heldFleet(w http.ResponseWriter, r *http.Request, _ string) {
+func (s *Server) progressFleet(w http.ResponseWriter, r *http.Request, _ string) {
 	version, err := strconv.ParseUint(r.FormValue("version"), 10, 64)
 	if err != nil {
 		s.fail(w, http.StatusBadRequest, "invalid", "version is "+strconv.Quote(r.FormValue("version"))+", expected that of a contract")
@@ -162,8 +162,8 @@
 	return s, err
 }
 
-// Held reads how far a version of the contracts got, for a tenant.
-func (c *Client) Held(ctx context.Context, version uint64, tenant string) (p residency.Progress, err error) {
+// Progress reads how far a version of the contracts got, for a tenant.
+func (c *Client) Progress(ctx context.Context, version uint64, tenant string) (p residency.Progress, err error) {
 	err = c.Get(ctx, "/v1/fleet/held?version="+strconv.FormatUint(version, 10)+"&tenant="+url.QueryEscape(tenant), &p)
 	return p, err
 }
--- a/internal/operators/api/handlers.go
+++ b/internal/operators/api/handlers.go
@@ -15,19 +15,19 @@
 
 func (s *Server) list(w http.ResponseWriter, _ *http.Request, _ string) {
 	v := s.controller.View()
-	out := View{Aggregator: s.aggregator, Revision: uint64(v.Revision), Now: v.Now, Kept: v.Kept, Overrides: []Override{}, Returning: []Return{}}
+	out := View{Aggregator: s.aggregator, Revision: uint64(v.Revision), Now: v.Now, Storage: v.Storage, Overrides: []Override{}, Recoveries: []Recovery{}}
 	for i := range v.Overrides {
 		o := shown(&v.Overrides[i].Override, v.Now)
 		o.State = v.Overrides[i].State
 		out.Overrides = append(out.Overrides, o)
 	}
-	for _, r := range v.Returns {
-		back := Return{Backend: r.Backend, Index: r.Index, Level: r.Level, Want: r.Want}
+	for _, r := range v.Recoveries {
+		back := Recovery{Backend: r.Backend, Index: r.Index, Level: r.Level, Desired: r.Desired}
 		if r.Pin {
 			shard := int(r.Shard)
 			back.Shard = &shard
 		}
-		out.Returning = append(out.Returning, back)
+		out.Recoveries = append(out.Recoveries, back)
 	}
 	reply(w, http.StatusOK, out)
 }
@@ -108,7 +108,7 @@
 			return
 		}
 		out := changed(&res.Change, res.Change.At)
-		out.Again = res.Again
+		out.Again = res.Repeated
 		reply(w, http.StatusOK, out)
 	case <-s.controller.Ended():
 		s.fail(w, http.StatusServiceUnavailable, "stopping", "the mixer stops; whether the command was kept shows at its next start")
--- a/internal/operators/api/wire.go
+++ b/internal/operators/api/wire.go
@@ -35,18 +35,18 @@
 	Aggregator string     `json:"mixer"`
 	Revision   uint64     `json:"revision"`
 	Now        float64    `json:"now"`
-	Kept       string     `json:"kept"`
+	Storage    string     `json:"kept"`
 	Overrides  []Override `json:"overrides"`
-	Returning  []Return   `json:"returning"`
+	Recoveries []Recovery `json:"returning"`
 }
 
-// Return is what comes back from an override that has ended.
-type Return struct {
+// Recovery is what comes back from an override that has ended.
+type Recovery struct {
 	Backend string  `json:"searcher"`
 	Shard   *int    `json:"shard,omitempty"`
 	Index   string  `json:"index"`
 	Level   float64 `json:"level"`
-	Want    float64 `json:"want"`
+	Desired float64 `json:"want"`
 }
 
 // Change is one revision.
--- a/internal/operators/api/wire_test.go
+++ b/internal/operators/api/wire_test.go
@@ -14,7 +14,7 @@
 		goldentest.Form{Name: "quota", Value: new(Quota)},
 		goldentest.Form{Name: "override", Value: new(Override)},
 		goldentest.Form{Name: "view", Value: new(View)},
-		goldentest.Form{Name: "return", Value: new(Return)},
+		goldentest.Form{Name: "return", Value: new(Recovery)},
 		goldentest.Form{Name: "change", Value: new(Change)},
 		goldentest.Form{Name: "command", Value: new(Command)},
 		goldentest.Form{Name: "why", Value: new(Why)},
--- a/internal/operators/controller/controller.go
+++ b/internal/operators/controller/controller.go
@@ -20,9 +20,9 @@
 const (
 	// recent is how many changes are kept in memory, to be shown and to be told to whoever watches from a revision.
 	recent = 1000
-	// behind is how many changes a watcher may lag; then it is let go, to begin anew.
-	behind = 256
-	// waiting commands: as many as the listener's connections, each of which sends one at a time, and a margin.
+	// watcherLag is how many changes a watcher may lag; then it is let go, to begin anew.
+	watcherLag = 256
+	// pending commands: as many as the listener's connections, each of which sends one at a time, and a margin.
 	mostWaiting = 64
 )
 
@@ -33,96 +33,98 @@
 
 // Result is what became of a command: a *override.Refusal, or an error of the keeper's.
 type Result struct {
-	Change override.Change
-	Again  bool // it had acted before
-	Err    error
+	Change   override.Change
+	Repeated bool // it had acted before
+	Err      error
 }
 
 // View is what holds, as it is shown.
 type View struct {
-	Revision  override.Revision
-	Now       float64
-	Kept      string // where: "memory" or a directory
-	Overrides []override.Status
-	Returns   []override.Return
+	Revision   override.Revision
+	Now        float64
+	Storage    string // where: "memory" or a directory
+	Overrides  []override.Status
+	Recoveries []override.Recovery
 }
 
-type noteKind uint8
+type messageKind uint8
 
 const (
-	listCame noteKind = iota // events
+	membershipChanged messageKind = iota // events
 	commanded
 	stored // err, of the command in hand
-	asked
+	requested
 	unwatched
 	stop
 )
 
-type note struct {
-	kind    noteKind
+type message struct {
+	kind    messageKind
 	events  []aggregator.Event
 	command override.Command
 	reply   chan Result
 	err     error
-	ask     func(*Controller)
+	request func(*Controller)
 	watcher *Watcher
 }
 
 // Controller is the actor.
 type Controller struct {
-	in       *eventqueue.Queue[note]
-	tell     *eventqueue.Queue[aggregator.Event]
-	table    *override.Table
-	store    Store
-	storedIn string
-	log      *zap.Logger
-	count    *counters.Set
-	start    time.Time
-	unix     float64
-	recent   []override.Change
-	watchers []*Watcher
-	waiting  []note // commands behind the one in hand
-	inHand   *note
-	change   override.Change // that is being kept
-	ended    chan struct{}
+	in            *eventqueue.Queue[message]
+	moduleEvents  *eventqueue.Queue[aggregator.Event]
+	table         *override.Table
+	store         Store
+	storedIn      string
+	log           *zap.Logger
+	count         *counters.Set
+	start         time.Time
+	unix          float64
+	recent        []override.Change
+	watchers      []*Watcher
+	pending       []message // commands behind the one in hand
+	current       *message
+	pendingChange override.Change // that is being kept
+	ended         chan struct{}
 }
 
 // New makes the actor before the first list. A nil keeper keeps nothing beyond the process.
-func New(lim override.Limits, tell *eventqueue.Queue[aggregator.Event], store Store, storedIn string, log *zap.Logger, count *counters.Set) *Controller {
+func New(lim override.Limits, moduleEvents *eventqueue.Queue[aggregator.Event], store Store, storedIn string, log *zap.Logger, count *counters.Set) *Controller {
 	now := time.Now()
 	if storedIn == "" {
 		storedIn = "memory"
 	}
-	return &Controller{in: eventqueue.New[note](), tell: tell, table: override.New(lim), store: store, storedIn: storedIn, log: log, count: count,
+	return &Controller{in: eventqueue.New[message](), moduleEvents: moduleEvents, table: override.New(lim), store: store, storedIn: storedIn, log: log, count: count,
 		start: now, unix: float64(now.UnixNano()) / 1e9, ended: make(chan struct{})}
 }
 
 // Restore takes what was kept, before anything else is told.
-func (c *Controller) Restore(revision override.Revision, held []override.Override, changes []override.Change) {
+func (c *Controller) Restore(revision override.Revision, live []override.Override, changes []override.Change) {
 	c.recent = append(c.recent, changes...)
-	c.ends(c.table.Restore(c.Now(), revision, held, changes))
+	c.storeEnded(c.table.Restore(c.Now(), revision, live, changes))
 }
 
 // Now is the clock in Unix seconds, by its monotonic reading since the start.
 func (c *Controller) Now() float64 { return c.unix + time.Since(c.start).Seconds() }
 
 // Put takes what the register tells. What is known at the start may be taken before Run, by Settle.
-func (c *Controller) Put(events ...aggregator.Event) { c.in.Put(note{kind: listCame, events: events}) }
+func (c *Controller) Put(events ...aggregator.Event) {
+	c.in.Put(message{kind: membershipChanged, events: events})
+}
 
-// Settle does at once all that waits, so that the module hears of what holds before its first query. Run has not begun.
-func (c *Controller) Settle() { c.work(nil) }
+// ProcessPending does at once all that waits, so that the module hears of what holds before its first query. Run has not begun.
+func (c *Controller) ProcessPending() { c.process(nil) }
 
 // Do sends a command; its result comes once it is kept. A full controller refuses it at once.
 func (c *Controller) Do(command override.Command) <-chan Result {
-	n := note{kind: commanded, command: command, reply: make(chan Result, 1)}
+	n := message{kind: commanded, command: command, reply: make(chan Result, 1)}
 	c.in.Put(n)
 	return n.reply
 }
 
-// asks runs a question on the controller's goroutine. It reports whether the controller still runs.
-func (c *Controller) asks(f func(*Controller)) bool {
+// request runs a question on the controller's goroutine. It reports whether the controller still runs.
+func (c *Controller) request(f func(*Controller)) bool {
 	done := make(chan struct{})
-	c.in.Put(note{kind: asked, ask: func(c *Controller) { f(c); close(done) }})
+	c.in.Put(message{kind: requested, request: func(c *Controller) { f(c); close(done) }})
 	select {
 	case <-done:
 		return true
@@ -133,27 +135,27 @@
 
 // View tells what holds.
 func (c *Controller) View() (v View) {
-	c.asks(func(c *Controller) {
-		v = View{c.table.Revision(), c.Now(), c.storedIn, c.table.Status(), c.table.Returns()}
+	c.request(func(c *Controller) {
+		v = View{c.table.Revision(), c.Now(), c.storedIn, c.table.Status(), c.table.Recoveries()}
 	})
 	return v
 }
 
 // Explain says why parts of a shard go to a backend or not.
 func (c *Controller) Explain(s policy.ShardID, index, backend string) (e override.Explanation, err error) {
-	c.asks(func(c *Controller) { e, err = c.table.Explain(s, index, backend) })
+	c.request(func(c *Controller) { e, err = c.table.Explain(s, index, backend) })
 	return e, err
 }
 
 // History tells the last changes, oldest first.
 func (c *Controller) History(most int) (list []override.Change) {
-	c.asks(func(c *Controller) { list = slices.Clone(c.recent[max(0, len(c.recent)-most):]) })
+	c.request(func(c *Controller) { list = slices.Clone(c.recent[max(0, len(c.recent)-most):]) })
 	return list
 }
 
 // Stop ends the actor; commands that wait get no result.
 func (c *Controller) Stop() {
-	c.in.Put(note{kind: stop})
+	c.in.Put(message{kind: stop})
 	<-c.ended
 }
 
@@ -168,7 +170,7 @@
 			c.drop(w)
 		}
 	}()
-	var notes []note
+	var notes []message
 	timer := time.NewTimer(0)
 	for {
 		select {
@@ -176,7 +178,7 @@
 		case <-timer.C:
 		}
 		var on bool
-		if notes, on = c.work(notes); !on {
+		if notes, on = c.process(notes); !on {
 			return
 		}
 		if next := c.table.Next(c.Now()); math.IsInf(next, 1) {
@@ -187,47 +189,47 @@
 	}
 }
 
-// work does all that waits, and what the time alone brings.
-func (c *Controller) work(notes []note) (spare []note, on bool) {
+// process does all that waits, and what the time alone brings.
+func (c *Controller) process(notes []message) (spare []message, on bool) {
 	notes = c.in.Take(notes)
 	for i := range notes {
 		if notes[i].kind == stop {
 			return notes, false
 		}
-		c.hear(&notes[i])
+		c.receive(&notes[i])
 	}
-	c.ends(c.table.Due(c.Now()))
+	c.storeEnded(c.table.Due(c.Now()))
 	c.patch()
 	return notes, true
 }
 
-func (c *Controller) hear(n *note) {
+func (c *Controller) receive(n *message) {
 	switch n.kind {
-	case listCame:
+	case membershipChanged:
 		for i := range n.events {
-			c.listed(&n.events[i])
+			c.applyMembership(&n.events[i])
 		}
 	case commanded:
-		if len(c.waiting) >= mostWaiting {
+		if len(c.pending) >= mostWaiting {
 			n.reply <- Result{Err: &override.Refusal{Code: override.TooMany, Text: "too many commands wait for the disk"}}
 			return
 		}
-		c.waiting = append(c.waiting, *n)
+		c.pending = append(c.pending, *n)
 		c.next()
 	case stored:
 		c.finish(n.err)
 		c.next()
-	case asked:
-		n.ask(c)
+	case requested:
+		n.request(c)
 	case unwatched:
 		c.drop(n.watcher)
 	}
 }
 
-// listed takes the list to the table, and on to the module together with what changes by it.
-func (c *Controller) listed(e *aggregator.Event) {
+// applyMembership takes the list to the table, and on to the module together with what changes by it.
+func (c *Controller) applyMembership(e *aggregator.Event) {
 	if e.Kind != policy.ListChanged || e.List == policy.ListFailed {
-		c.tell.Put(*e)
+		c.moduleEvents.Put(*e)
 		return
 	}
 	members := make([]override.Member, len(e.Entries))
@@ -235,12 +237,12 @@
 		members[i] = override.Member{Name: e.Names[i].Backend, ID: r.Backend, Location: e.Names[i].Location, Cell: r.Cell,
 			Phase: r.Phase, Share: r.Share, Started: r.StartedAt}
 	}
-	c.ends(c.table.List(c.Now(), e.List != policy.ListPatch, members))
+	c.storeEnded(c.table.UpdateMembership(c.Now(), e.List != policy.ListPatch, members))
 	if patch := c.table.Patch(c.Now()); patch != nil {
-		c.tell.Put(*e, overridden(patch))
+		c.moduleEvents.Put(*e, overridden(patch))
 		return
 	}
-	c.tell.Put(*e)
+	c.moduleEvents.Put(*e)
 }
 
 func overridden(patch *policy.Overrides) aggregator.Event {
@@ -249,56 +251,56 @@
 
 func (c *Controller) patch() {
 	if patch := c.table.Patch(c.Now()); patch != nil {
-		c.tell.Put(overridden(patch))
+		c.moduleEvents.Put(overridden(patch))
 	}
 }
 
 // next takes the next command in hand, once the one before is kept.
 func (c *Controller) next() {
-	for c.inHand == nil && len(c.waiting) > 0 {
-		n := c.waiting[0]
-		c.waiting = c.waiting[1:]
-		change, again, err := c.table.Decide(c.Now(), &n.command)
-		if again || err != nil {
+	for c.current == nil && len(c.pending) > 0 {
+		n := c.pending[0]
+		c.pending = c.pending[1:]
+		change, repeated, err := c.table.Decide(c.Now(), &n.command)
+		if repeated || err != nil {
 			if err != nil {
 				c.count.Add("overrides", "refused", 1)
 			}
-			n.reply <- Result{change, again, err}
+			n.reply <- Result{change, repeated, err}
 			continue
 		}
 		c.table.Reserve(change)
-		c.inHand, c.change = &n, change
+		c.current, c.pendingChange = &n, change
 		if c.store == nil {
 			c.finish(nil)
 			continue
 		}
-		c.store.Save([]override.Change{change}, func(err error) { c.in.Put(note{kind: stored, err: err}) })
+		c.store.Save([]override.Change{change}, func(err error) { c.in.Put(message{kind: stored, err: err}) })
 	}
 }
 
 // finish ends the command in hand, once it is kept or can't be.
 func (c *Controller) finish(err error) {
-	n := c.inHand
-	c.inHand = nil
+	n := c.current
+	c.current = nil
 	if err != nil {
 		c.count.Add("overrides", "not_kept", 1)
-		c.log.Error("override not stored; command rejected", zap.String("text", err.Error()), zap.Uint64("revision", uint64(c.change.Revision)))
-		n.reply <- Result{c.change, false, err}
+		c.log.Error("override not stored; command rejected", zap.String("text", err.Error()), zap.Uint64("revision", uint64(c.pendingChange.Revision)))
+		n.reply <- Result{c.pendingChange, false, err}
 		return
 	}
-	c.table.Apply(c.change)
+	c.table.Apply(c.pendingChange)
 	c.patch() // the module hears of it before its sender does
-	c.told(c.change)
-	n.reply <- Result{Change: c.change}
+	c.notify(c.pendingChange)
+	n.reply <- Result{Change: c.pendingChange}
 }
 
-// ends keeps and tells what has ended by itself; it has ended whether it is kept or not.
-func (c *Controller) ends(changes []override.Change) {
+// storeEnded keeps and tells what has ended by itself; it has ended whether it is kept or not.
+func (c *Controller) storeEnded(changes []override.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, change := range changes {
-		c.told(change)
+		c.notify(change)
 	}
 	if c.store != nil {
 		c.store.Save(changes, func(err error) {
--- a/internal/operators/controller/controller_test.go
+++ b/internal/operators/controller/controller_test.go
@@ -34,7 +34,7 @@
 	r := &fixture{T: t, told: queuetest.New[aggregator.Event]()}
 	r.Controller = New(lim, r.told.Queue, keeper, "", zap.NewNop(), counters.New())
 	r.list(policy.Ready)
-	r.Settle()
+	r.ProcessPending()
 	r.event(policy.ListChanged)
 	go r.Controller.Run()
 	t.Cleanup(r.Stop)
@@ -129,13 +129,13 @@
 			if c.Revision != last+1 {
 				heard <- 0
 			}
-			if last = c.Revision; last >= recent+behind+10 {
+			if last = c.Revision; last >= recent+watcherLag+10 {
 				break
 			}
 		}
 		heard <- last
 	}()
-	for n := override.Revision(0); n < recent+behind+10; n++ {
+	for n := override.Revision(0); n < recent+watcherLag+10; n++ {
 		c := out(n)
 		if n%2 == 1 {
 			c = override.Command{For: n, Op: override.Clear, ID: n, Author: "ann", Reason: "done"}
@@ -146,7 +146,7 @@
 	}
 	select {
 	case last := <-heard:
-		if last != recent+behind+10 {
+		if last != recent+watcherLag+10 {
 			t.Fatalf("heard up to %d", last)
 		}
 	case <-time.After(patience):
@@ -156,10 +156,10 @@
 	for range lazy.C { // what it has, and then its end
 		n++
 	}
-	if n != recent+behind {
+	if n != recent+watcherLag {
 		t.Fatalf("the lazy one was left with %d", n)
 	}
-	if got := r.History(3); len(got) != 3 || got[2].Revision != recent+behind+10 {
+	if got := r.History(3); len(got) != 3 || got[2].Revision != recent+watcherLag+10 {
 		t.Fatalf("got %+v", got)
 	}
 	r.Unwatch(eager)
--- a/internal/operators/controller/watcher.go
+++ b/internal/operators/controller/watcher.go
@@ -10,14 +10,14 @@
 
 // Watcher hears of changes. Its channel closes when it has fallen too far behind, or with the controller.
 type Watcher struct {
-	C   chan override.Change
-	out bool
+	C      chan override.Change
+	closed bool
 }
 
 // Watch tells the changes after a revision that are still in memory, and all that come.
 func (c *Controller) Watch(from override.Revision) *Watcher {
-	w := &Watcher{C: make(chan override.Change, recent+behind)}
-	if !c.asks(func(c *Controller) {
+	w := &Watcher{C: make(chan override.Change, recent+watcherLag)}
+	if !c.request(func(c *Controller) {
 		for _, c := range c.recent[max(0, len(c.recent)-recent):] {
 			if c.Revision > from {
 				w.C <- c
@@ -31,9 +31,9 @@
 }
 
 // Unwatch lets a watcher go.
-func (c *Controller) Unwatch(w *Watcher) { c.in.Put(note{kind: unwatched, watcher: w}) }
+func (c *Controller) Unwatch(w *Watcher) { c.in.Put(message{kind: unwatched, watcher: w}) }
 
-func (c *Controller) told(change override.Change) {
+func (c *Controller) notify(change override.Change) {
 	c.count.Add("overrides", change.What.String(), 1)
 	o := &change.Override
 	c.log.Info("override",
@@ -60,8 +60,8 @@
 }
 
 func (c *Controller) drop(w *Watcher) {
-	if !w.out {
-		w.out = true
+	if !w.closed {
+		w.closed = true
 		close(w.C)
 	}
 	c.watchers = slices.DeleteFunc(c.watchers, func(o *Watcher) bool { return o == w })
--- a/internal/operators/operatorfile/keys.go
+++ b/internal/operators/operatorfile/keys.go
@@ -102,13 +102,13 @@
 var keys = []key{
 	{name: "overrides", kind: object, begin: func(f *File, _ int) { f.Overrides.On = true }, keys: []key{
 		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Overrides.Directory })},
-		{name: "most_hours", kind: number, take: scaled(func(f *File, v float64) { f.Overrides.Limits.MostTime = 3600 * v }, 0.01, mostHours)},
-		{name: "most", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.Most }, most)},
-		{name: "most_pinned_shards", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.MostPins }, 10*most)},
-		{name: "shard_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.ShardGone }, 0, 1)},
-		{name: "location_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.PlaceGone }, 0, 1)},
-		{name: "ramp_s", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.Ramp }, 1, mostRamp)},
-		{name: "return_share_per_s", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.Together }, 0.001, 1)},
+		{name: "most_hours", kind: number, take: scaled(func(f *File, v float64) { f.Overrides.Limits.MaxDuration = 3600 * v }, 0.01, mostHours)},
+		{name: "most", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.MaxOverrides }, most)},
+		{name: "most_pinned_shards", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.MaxPins }, 10*most)},
+		{name: "shard_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.MaxShardLoss }, 0, 1)},
+		{name: "location_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.MaxLocationLoss }, 0, 1)},
+		{name: "ramp_s", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.SlowStart }, 1, mostRamp)},
+		{name: "return_share_per_s", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.RecoveryRate }, 0.001, 1)},
 	}},
 	{name: "capture", kind: object, keys: []key{
 		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Capture.Directory })},
--- a/internal/operators/operatorfile/operatorfile_test.go
+++ b/internal/operators/operatorfile/operatorfile_test.go
@@ -42,7 +42,7 @@
 
 func TestWhatIsStatedCounts(t *testing.T) {
 	f, err := Parse([]byte("{}"))
-	if err != nil || f.Overrides.On || f.Operators.Listen != "" || f.Overrides.Limits.Ramp != override.Defaults().Ramp {
+	if err != nil || f.Overrides.On || f.Operators.Listen != "" || f.Overrides.Limits.SlowStart != override.Defaults().SlowStart {
 		t.Fatalf("an empty file: %+v, %v", f, err)
 	}
 	at := filepath.Join(t.TempDir(), "operator.json5")
@@ -54,8 +54,8 @@
 		t.Fatal(err)
 	}
 	f, err = Read(at)
-	if o := f.Overrides; err != nil || !o.On || o.Directory != "/var/lib/p" || o.Limits.MostTime != 7200 || o.Limits.Ramp != 30 ||
-		o.Limits.PlaceGone != 0.25 || o.Limits.Most != 10000 || f.Operators.Listen != "unix:/run/p.sock" {
+	if o := f.Overrides; err != nil || !o.On || o.Directory != "/var/lib/p" || o.Limits.MaxDuration != 7200 || o.Limits.SlowStart != 30 ||
+		o.Limits.MaxLocationLoss != 0.25 || o.Limits.MaxOverrides != 10000 || f.Operators.Listen != "unix:/run/p.sock" {
 		t.Fatalf("got %+v, %v", f, err)
 	}
 	if f, err = Read("../../../deploy/operator.json5"); err != nil || f.Overrides.On || f.Operators.Listen != "" {
@@ -69,7 +69,7 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"overrides": {"ramp_s": 3}}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if file, err := Parse(in); err == nil && !(file.Overrides.Limits.Ramp >= 1 && file.Overrides.Limits.Most >= 1) {
+		if file, err := Parse(in); err == nil && !(file.Overrides.Limits.SlowStart >= 1 && file.Overrides.Limits.MaxOverrides >= 1) {
 			t.Fatalf("%q: %+v", in, file)
 		}
 	})
--- a/internal/operators/override/bench_test.go
+++ b/internal/operators/override/bench_test.go
@@ -12,13 +12,13 @@
 func fleet(tb testing.TB, overrides int) *Table {
 	lim := Defaults()
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads", "orders"}, 5000, 500, 1
-	lim.Most, lim.MostPins = 1<<20, 1<<20
+	lim.MaxOverrides, lim.MaxPins = 1<<20, 1<<20
 	b := New(lim)
 	var list []Member
 	for i := range 1000 {
 		list = append(list, Member{Name: name(i), ID: policy.BackendID(i + 1), Location: name(i % 10), Cell: policy.CellID(i % 500)})
 	}
-	b.List(0, true, list)
+	b.UpdateMembership(0, true, list)
 	for i := range overrides {
 		s := Spec{Backend: name(i % 1000), Author: "ann", Reason: "slow", End: 1000 + float64(i)}
 		switch i % 3 {
--- a/internal/operators/override/decide.go
+++ b/internal/operators/override/decide.go
@@ -28,47 +28,47 @@
 
 // Decide tells what a command would change, without changing anything. Its error is a *Refusal. A command that has
 // acted already gives the change that it made, and again is true.
-func (t *Table) Decide(now float64, c *Command) (change Change, again bool, err error) {
+func (t *Table) Decide(now float64, c *Command) (change Change, repeated bool, err error) {
 	sum := digest(c)
-	if had, known := t.keys[c.Key]; known && c.Key != "" {
-		if had.digest != sum {
-			return change, false, refuse(KeyReused, "key %q was that of another command, of revision %d", c.Key, had.change.Revision)
+	if previous, known := t.keys[c.Key]; known && c.Key != "" {
+		if previous.digest != sum {
+			return change, false, refuse(KeyReused, "key %q was that of another command, of revision %d", c.Key, previous.change.Revision)
 		}
-		return had.change, true, nil
+		return previous.change, true, nil
 	}
 	if c.For != t.revision {
 		return change, false, refuse(Conflict, "made for revision %d, the book is at %d: look again at what holds", c.For, t.revision)
 	}
 	change = Change{Revision: t.revision + 1, At: now, Key: c.Key, Digest: sum}
 	if c.Op == Clear {
-		o := t.live[c.ID]
-		if o == nil {
+		entry := t.live[c.ID]
+		if entry == nil {
 			return change, false, refuse(Unknown, "no override %d holds", c.ID)
 		}
-		if err := saidBy(c.Author, c.Reason); err != nil {
+		if err := checkAttribution(c.Author, c.Reason); err != nil {
 			return change, false, err
 		}
-		change.What, change.Override, change.Author, change.Reason = WasCleared, *o, c.Author, c.Reason
+		change.What, change.Override, change.Author, change.Reason = WasCleared, *entry, c.Author, c.Reason
 		return change, false, nil
 	}
-	o := Override{Spec: c.Spec, ID: change.Revision, Since: now}
+	entry := Override{Spec: c.Spec, ID: change.Revision, Since: now}
 	if c.Lasts != 0 {
-		o.End = now + c.Lasts
+		entry.End = now + c.Lasts
 	}
-	if err := t.valid(now, &o); err != nil {
+	if err := t.valid(now, &entry); err != nil {
 		return change, false, err
 	}
-	for _, guard := range t.guarded(&o) {
+	for _, guard := range t.guarded(&entry) {
 		if !c.Force {
 			return change, false, guard
 		}
 		change.Forced = append(change.Forced, guard.Error())
 	}
-	change.What, change.Override, change.Author, change.Reason = WasSet, o, o.Author, o.Reason
+	change.What, change.Override, change.Author, change.Reason = WasSet, entry, entry.Author, entry.Reason
 	return change, false, nil
 }
 
-func saidBy(author, reason string) error {
+func checkAttribution(author, reason string) error {
 	for _, f := range []struct{ name, text string }{{"author", author}, {"reason", reason}} {
 		if f.text == "" || len(f.text) > longestText {
 			return refuse(Invalid, "%s has %d bytes, expected 1 to %d", f.name, len(f.text), longestText)
@@ -79,7 +79,7 @@
 
 // valid checks what can't be meant. It notes the start that an until-restart counts from.
 func (t *Table) valid(now float64, o *Override) error {
-	if err := saidBy(o.Author, o.Reason); err != nil {
+	if err := checkAttribution(o.Author, o.Reason); err != nil {
 		return err
 	}
 	_, known := t.indexes[o.Index]
@@ -93,32 +93,32 @@
 	case (o.Backend == "") == (o.Location == ""):
 		return refuse(Invalid, "expected either a searcher or a location")
 	case o.Index != "" && !known:
-		return refuse(Invalid, "index %q is not one of %q", o.Index, t.lim.Indexes)
+		return refuse(Invalid, "index %q is not one of %q", o.Index, t.limits.Indexes)
 	case o.Kind == Weight && !(o.Factor > 0 && o.Factor <= 1):
 		return refuse(Invalid, "weight is %g, expected over 0 and up to 1; for none at all take it out", o.Factor)
 	case o.Kind != Weight && o.Factor != 0:
 		return refuse(Invalid, "a weight is stated for %s", o.Kind)
 	case o.Kind == Pin && o.Backend == "":
 		return refuse(Invalid, "a pin goes to a searcher, not to a location")
-	case o.Kind == Pin && (o.From < 0 || o.To < o.From || int(o.To) >= t.lim.Shards):
-		return refuse(Invalid, "shards %d to %d, expected some from 0 to %d", o.From, o.To, t.lim.Shards-1)
+	case o.Kind == Pin && (o.From < 0 || o.To < o.From || int(o.To) >= t.limits.Shards):
+		return refuse(Invalid, "shards %d to %d, expected some from 0 to %d", o.From, o.To, t.limits.Shards-1)
 	case o.Kind != Pin && (o.Strict || o.From != 0 || o.To != 0):
 		return refuse(Invalid, "shards and strict belong to a pin, not to %s", o.Kind)
 	case math.IsNaN(o.End) || o.End <= now:
 		return refuse(Invalid, "ends %.0f s ago, expected an end to come", now-o.End)
-	case o.End > now+t.lim.MostTime:
-		return refuse(Invalid, "ends in %.0f s, at most %.0f s are allowed", o.End-now, t.lim.MostTime)
-	case len(t.live) >= t.lim.Most:
+	case o.End > now+t.limits.MaxDuration:
+		return refuse(Invalid, "ends in %.0f s, at most %.0f s are allowed", o.End-now, t.limits.MaxDuration)
+	case len(t.live) >= t.limits.MaxOverrides:
 		return refuse(TooMany, "%d overrides hold, as many as may", len(t.live))
-	case t.pinned+cover > t.lim.MostPins:
-		return refuse(TooMany, "%d shards are pinned, %d more would be over %d", t.pinned, cover, t.lim.MostPins)
+	case t.pinned+cover > t.limits.MaxPins:
+		return refuse(TooMany, "%d shards are pinned, %d more would be over %d", t.pinned, cover, t.limits.MaxPins)
 	}
 	if o.UntilRestart {
-		m := t.members[o.Backend]
-		if m == nil || !m.listed {
+		target := t.members[o.Backend]
+		if target == nil || !target.listed {
 			return refuse(Invalid, "until restart needs one searcher that is listed, as its start must be known")
 		}
-		o.Started = m.Started
+		o.Started = target.Started
 	}
 	return nil
 }
@@ -129,14 +129,14 @@
 		list = append(list, &Refusal{code, fmt.Sprintf(format, args...)})
 	}
 	switch m := t.members[o.Backend]; {
-	case o.Location != "" && (t.places[o.Location] == nil || len(t.places[o.Location].members) == 0):
+	case o.Location != "" && (t.locations[o.Location] == nil || len(t.locations[o.Location].members) == 0):
 		add(Absent, "no listed searcher stands at %q", o.Location)
 	case o.Backend != "" && (m == nil || !m.listed):
 		add(Absent, "the list does not name %q: the override would wait for it", o.Backend)
 	case o.Kind == Pin:
 		for s := o.From; s <= o.To; s++ {
-			if !t.holds(m, s) {
-				add(NoHolder, "%q holds no shard %d: the pin would have no effect there", o.Backend, s)
+			if !t.isReplica(m, s) {
+				add(NotAReplica, "%q holds no shard %d: the pin would have no effect there", o.Backend, s)
 				break
 			}
 		}
@@ -152,22 +152,22 @@
 	if o.Backend != "" {
 		concerned[o.Backend] = t.members[o.Backend]
 	} else {
-		for name, m := range t.places[o.Location].members {
+		for name, m := range t.locations[o.Location].members {
 			concerned[name] = m
 		}
 	}
 	starts, places := map[policy.ShardID]bool{}, map[string]bool{}
 	for _, m := range concerned {
 		places[m.Location] = true
-		for j := range min(t.lim.Width, t.lim.Cells) { // shards that begin at these cells
-			starts[policy.ShardID(((int(m.Cell)-j)%t.lim.Cells+t.lim.Cells)%t.lim.Cells)] = true
+		for j := range min(t.limits.Width, t.limits.Cells) { // shards that begin at these cells
+			starts[policy.ShardID(((int(m.Cell)-j)%t.limits.Cells+t.limits.Cells)%t.limits.Cells)] = true
 		}
 	}
 	worst := map[Code]struct {
 		gone float64
 		text string
 	}{}
-	for k := range t.lim.Indexes {
+	for k := range t.limits.Indexes {
 		k := policy.IndexID(k)
 		if !t.covers(o, k) {
 			continue
@@ -184,36 +184,36 @@
 			}
 		}
 		over := func(code Code, most float64, what string, id any) {
-			if gone := sum.gone(); sum.worse && gone > most+1e-9 && gone > worst[code].gone {
+			if gone := sum.lostShare(); sum.worse && gone > most+1e-9 && gone > worst[code].gone {
 				worst[code] = struct {
 					gone float64
 					text string
-				}{gone, fmt.Sprintf("%.0f%% of %s %v for index %q would be gone by overrides, at most %.0f%% may be", 100*gone, what, id, t.lim.Indexes[k], 100*most)}
+				}{gone, fmt.Sprintf("%.0f%% of %s %v for index %q would be gone by overrides, at most %.0f%% may be", 100*gone, what, id, t.limits.Indexes[k], 100*most)}
 			}
 		}
 		for s := range starts {
-			if int(s) >= t.lim.Shards { // no shard begins there
+			if int(s) >= t.limits.Shards { // no shard begins there
 				continue
 			}
 			sum = tally{}
-			t.holders(s, add)
-			if sum.used > 0 && sum.left == 0 {
-				worst[LastHolder] = struct {
+			t.forEachReplica(s, add)
+			if sum.servingBefore > 0 && sum.servingAfter == 0 {
+				worst[LastReplica] = struct {
 					gone float64
 					text string
-				}{1, fmt.Sprintf("nobody who serves would be left for shard %d of index %q", s, t.lim.Indexes[k])}
+				}{1, fmt.Sprintf("nobody who serves would be left for shard %d of index %q", s, t.limits.Indexes[k])}
 			}
-			over(ShardShare, t.lim.ShardGone, "shard", s)
+			over(ShardCapacity, t.limits.MaxShardLoss, "shard", s)
 		}
 		for name := range places {
 			sum = tally{}
-			for _, m := range t.places[name].members {
+			for _, m := range t.locations[name].members {
 				add(m)
 			}
-			over(PlaceShare, t.lim.PlaceGone, "location", name)
+			over(LocationCapacity, t.limits.MaxLocationLoss, "location", name)
 		}
 	}
-	for _, code := range []Code{LastHolder, ShardShare, PlaceShare} {
+	for _, code := range []Code{LastReplica, ShardCapacity, LocationCapacity} {
 		if w, is := worst[code]; is {
 			list = append(list, &Refusal{code, w.text})
 		}
@@ -223,29 +223,29 @@
 
 // tally sums the capacity of some backends that serve.
 type tally struct {
-	all, kept  float64
-	used, left int // backends that take anything before, and after
-	worse      bool
+	all, retained               float64
+	servingBefore, servingAfter int // backends that take anything before, and after
+	worse                       bool
 }
 
 func (t *tally) add(size, before, after float64) {
 	t.all += size
-	t.kept += size * after
+	t.retained += size * after
 	t.worse = t.worse || after < before
 	if before > 0 {
-		t.used++
+		t.servingBefore++
 	}
 	if after > 0 {
-		t.left++
+		t.servingAfter++
 	}
 }
 
-// gone is the share that overrides take.
-func (t *tally) gone() float64 {
+// lostShare is the share that overrides take.
+func (t *tally) lostShare() float64 {
 	if t.all == 0 {
 		return 0
 	}
-	return 1 - t.kept/t.all
+	return 1 - t.retained/t.all
 }
 
 // size is a backend's capacity against others'.
--- a/internal/operators/override/ends.go
+++ b/internal/operators/override/ends.go
@@ -30,8 +30,8 @@
 	if len(t.ends) > 0 {
 		next = t.ends[0].End
 	}
-	if len(t.rising)+len(t.waning) > 0 {
-		next = min(next, now+returnStep)
+	if len(t.recovering)+len(t.changingPins) > 0 {
+		next = min(next, now+recoveryStep)
 	}
 	return next
 }
--- a/internal/operators/override/members.go
+++ b/internal/operators/override/members.go
@@ -9,7 +9,7 @@
 func (t *Table) member(name string) *member {
 	m := t.members[name]
 	if m == nil {
-		m = &member{Member: Member{Name: name, Phase: policy.Removed}, levels: make([]share, len(t.lim.Indexes))}
+		m = &member{Member: Member{Name: name, Phase: policy.Removed}, levels: make([]share, len(t.limits.Indexes))}
 		for k := range m.levels {
 			m.levels[k] = share{level{1, 1}, 1}
 		}
@@ -18,19 +18,19 @@
 	return m
 }
 
-func (t *Table) place(name string) *place {
-	p := t.places[name]
+func (t *Table) location(name string) *location {
+	p := t.locations[name]
 	if p == nil {
-		p = &place{members: map[string]*member{}}
-		t.places[name] = p
+		p = &location{members: map[string]*member{}}
+		t.locations[name] = p
 	}
 	return p
 }
 
-// List takes what the list says: all of it, or what changed. It tells which overrides ended by a backend's restart;
+// UpdateMembership takes what the list says: all of it, or what changed. It tells which overrides ended by a backend's restart;
 // they have ended already.
-func (t *Table) List(now float64, whole bool, entries []Member) (ended []Change) {
-	if whole {
+func (t *Table) UpdateMembership(now float64, complete bool, entries []Member) (ended []Change) {
+	if complete {
 		named := make(map[string]bool, len(entries))
 		for i := range entries {
 			named[entries[i].Name] = true
@@ -42,7 +42,7 @@
 		}
 	}
 	for i := range entries {
-		ended = append(ended, t.named(now, &entries[i])...)
+		ended = append(ended, t.updateMember(now, &entries[i])...)
 	}
 	return ended
 }
@@ -52,71 +52,71 @@
 	m.drained = m.Phase == policy.Draining && len(m.pins) > 0
 	m.listed, m.Phase = false, policy.Removed
 	t.listed--
-	t.out(m)
+	t.removeFromIndexes(m)
 	t.touchMember(m)
 }
 
-func (t *Table) out(m *member) {
+func (t *Table) removeFromIndexes(m *member) {
 	delete(t.byCell[m.Cell], m.Name)
-	delete(t.place(m.Location).members, m.Name)
+	delete(t.location(m.Location).members, m.Name)
 }
 
-func (t *Table) named(now float64, e *Member) (ended []Change) {
-	m := t.members[e.Name]
-	if e.Phase == policy.Removed {
-		if m != nil && m.listed {
-			t.unlist(m)
+func (t *Table) updateMember(now float64, entry *Member) (ended []Change) {
+	known := t.members[entry.Name]
+	if entry.Phase == policy.Removed {
+		if known != nil && known.listed {
+			t.unlist(known)
 		}
 		return nil
 	}
-	m = t.member(e.Name)
-	if m.listed && m.Member == *e {
+	known = t.member(entry.Name)
+	if known.listed && known.Member == *entry {
 		return nil
 	}
-	if m.listed {
-		t.out(m)
+	if known.listed {
+		t.removeFromIndexes(known)
 	} else {
 		t.listed++
 	}
-	if m.ID != e.ID { // the module knows nothing of this number
-		for k := range m.levels {
-			m.levels[k].told = 1
+	if known.ID != entry.ID { // the module knows nothing of this number
+		for k := range known.levels {
+			known.levels[k].notified = 1
 		}
 	}
-	m.Member, m.listed, m.drained = *e, true, false
-	if t.byCell[m.Cell] == nil {
-		t.byCell[m.Cell] = map[string]*member{}
+	known.Member, known.listed, known.drained = *entry, true, false
+	if t.byCell[known.Cell] == nil {
+		t.byCell[known.Cell] = map[string]*member{}
 	}
-	t.byCell[m.Cell][m.Name] = m
-	t.place(m.Location).members[m.Name] = m
-	for _, o := range slices.Concat(m.own, m.pins) {
-		if o.UntilRestart && e.Started > o.Started {
+	t.byCell[known.Cell][known.Name] = known
+	t.location(known.Location).members[known.Name] = known
+	for _, o := range slices.Concat(known.own, known.pins) {
+		if o.UntilRestart && entry.Started > o.Started {
 			ended = append(ended, t.end(now, o, HasRestarted, "its searcher has started anew"))
 		}
 	}
-	t.touchMember(m)
+	t.touchMember(known)
 	return ended
 }
 
-// forgotten drops a name that nothing concerns any more.
-func (t *Table) forgotten(m *member) {
-	if m.listed || len(m.own)+len(m.pins) > 0 || t.rising[m] {
+// dropUnused drops a name that nothing concerns any more.
+func (t *Table) dropUnused(m *member) {
+	if m.listed || len(m.own)+len(m.pins) > 0 || t.recovering[m] {
 		return
 	}
 	delete(t.members, m.Name)
 }
 
-// holders lists the listed backends that hold a shard.
-func (t *Table) holders(s policy.ShardID, each func(*member)) {
-	for j := range min(t.lim.Width, t.lim.Cells) {
-		for _, m := range t.byCell[policy.CellID((int(s)+j)%t.lim.Cells)] {
+// forEachReplica lists the listed backends that hold a shard.
+func (t *Table) forEachReplica(s policy.ShardID, each func(*member)) {
+	for j := range min(t.limits.Width, t.limits.Cells) {
+		for _, m := range t.byCell[policy.CellID((int(s)+j)%t.limits.Cells)] {
 			each(m)
 		}
 	}
 }
 
-// holds tells whether a backend holds a shard.
-func (t *Table) holds(m *member, s policy.ShardID) bool {
-	behind := (int(m.Cell) - int(s)) % t.lim.Cells
-	return m.listed && (behind+t.lim.Cells)%t.lim.Cells < t.lim.Width
+// isReplica tells whether a backend holds a shard.
+func (t *Table) isReplica(m *member, s policy.ShardID) bool {
+	behind := (int(m.Cell) - int(s)) % t.limits.Cells
+	return m.listed && (behind+t.limits.Cells)%t.limits.Cells < t.limits.Width
 }
--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -128,20 +128,20 @@
 
 // The codes of refusals.
 const (
-	Invalid    Code = "invalid"        // it can't be meant; force changes nothing
-	Conflict   Code = "conflict"       // made for another revision
-	KeyReused  Code = "key_reused"     // the key was another command's
-	Unknown    Code = "unknown"        // no such override
-	TooMany    Code = "too_many"       // a cap is reached
-	LastHolder Code = "last_holder"    // a shard would be left with nobody
-	ShardShare Code = "shard_capacity" // too much of a shard's capacity would be gone
-	PlaceShare Code = "place_capacity" // too much of a location's capacity would be gone
-	NoHolder   Code = "not_a_holder"   // the backend does not hold the shards of the pin
-	Absent     Code = "absent"         // the list does not name it
+	Invalid          Code = "invalid"        // it can't be meant; force changes nothing
+	Conflict         Code = "conflict"       // made for another revision
+	KeyReused        Code = "key_reused"     // the key was another command's
+	Unknown          Code = "unknown"        // no such override
+	TooMany          Code = "too_many"       // a cap is reached
+	LastReplica      Code = "last_holder"    // a shard would be left with nobody
+	ShardCapacity    Code = "shard_capacity" // too much of a shard's capacity would be gone
+	LocationCapacity Code = "place_capacity" // too much of a location's capacity would be gone
+	NotAReplica      Code = "not_a_holder"   // the backend does not hold the shards of the pin
+	Absent           Code = "absent"         // the list does not name it
 )
 
 // guards are the codes that force overrules.
-var guards = map[Code]bool{LastHolder: true, ShardShare: true, PlaceShare: true, NoHolder: true, Absent: true}
+var guards = map[Code]bool{LastReplica: true, ShardCapacity: true, LocationCapacity: true, NotAReplica: true, Absent: true}
 
 // Refusal is the error of a command that is not taken.
 type Refusal struct {
@@ -168,22 +168,22 @@
 
 // Limits are a table's caps and figures. Times are seconds.
 type Limits struct {
-	Indexes   []string `json:"Indexes"`
-	Shards    int      `json:"Shards"`
-	Cells     int      `json:"Cells"`
-	Width     int      `json:"Width"`
-	MostTime  float64  `json:"MostTime"`  // the longest that an override may hold
-	Most      int      `json:"Most"`      // overrides at once
-	MostPins  int      `json:"MostPins"`  // shards pinned at once, each counted as often as it is
-	ShardGone float64  `json:"ShardGone"` // share of a shard's capacity that overrides may take together
-	PlaceGone float64  `json:"PlaceGone"` // the same of a location's
-	Ramp      float64  `json:"Ramp"`      // how long one backend alone takes to come back from nothing
-	Together  float64  `json:"Together"`  // share of all backends, and of all shards, that may come back in a second
+	Indexes         []string `json:"Indexes"`
+	Shards          int      `json:"Shards"`
+	Cells           int      `json:"Cells"`
+	Width           int      `json:"Width"`
+	MaxDuration     float64  `json:"MostTime"`  // the longest that an override may hold
+	MaxOverrides    int      `json:"Most"`      // overrides at once
+	MaxPins         int      `json:"MostPins"`  // shards pinned at once, each counted as often as it is
+	MaxShardLoss    float64  `json:"ShardGone"` // share of a shard's capacity that overrides may take together
+	MaxLocationLoss float64  `json:"PlaceGone"` // the same of a location's
+	SlowStart       float64  `json:"Ramp"`      // how long one backend alone takes to come back from nothing
+	RecoveryRate    float64  `json:"Together"`  // share of all backends, and of all shards, that may come back in a second
 }
 
 // Defaults are what holds where the operator's file says nothing. A working day is the longest for which whoever set
 // one can be asked; half of a shard is one of two replicas; in a ramp's time a window grows from its start to many
 // times that; together a fleet comes back in half a minute.
 func Defaults() Limits {
-	return Limits{MostTime: 12 * 3600, Most: 10000, MostPins: 65536, ShardGone: 0.5, PlaceGone: 0.5, Ramp: 10, Together: 1.0 / 30}
+	return Limits{MaxDuration: 12 * 3600, MaxOverrides: 10000, MaxPins: 65536, MaxShardLoss: 0.5, MaxLocationLoss: 0.5, SlowStart: 10, RecoveryRate: 1.0 / 30}
 }
--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -101,7 +101,7 @@
 	now     float64
 	indexes []string
 	told    map[policy.BackendID]map[policy.IndexID]policy.BackendOverride
-	pins    map[spot]policy.PinOverride
+	pins    map[pinKey]policy.PinOverride
 	nextID  policy.BackendID
 	err     error
 }
@@ -109,9 +109,9 @@
 func newWorld() *world {
 	lim := Defaults()
 	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads", "orders"}, 4, cells, width
-	lim.MostTime, lim.Most = 100, 6
+	lim.MaxDuration, lim.MaxOverrides = 100, 6
 	w := &world{Table: New(lim), now: 1000, indexes: lim.Indexes, told: map[policy.BackendID]map[policy.IndexID]policy.BackendOverride{},
-		pins: map[spot]policy.PinOverride{}, model: model{list: map[string]Member{}, drops: map[string]bool{}}}
+		pins: map[pinKey]policy.PinOverride{}, model: model{list: map[string]Member{}, drops: map[string]bool{}}}
 	for i := range 4 {
 		w.phase(i, policy.Ready)
 	}
@@ -129,7 +129,7 @@
 			w.forgetDrops()
 			delete(w.list, name(i))
 		}
-		w.heard(w.List(w.now, false, []Member{{Name: name(i), Phase: policy.Removed}}))
+		w.heard(w.UpdateMembership(w.now, false, []Member{{Name: name(i), Phase: policy.Removed}}))
 		return
 	case !listed:
 		w.nextID++
@@ -138,14 +138,14 @@
 	e.Phase = phase
 	w.list[e.Name] = e
 	delete(w.drops, e.Name)
-	w.heard(w.List(w.now, false, []Member{e}))
+	w.heard(w.UpdateMembership(w.now, false, []Member{e}))
 }
 
 func (w *world) restart(i int) {
 	if e, listed := w.list[name(i)]; listed {
 		e.Started = w.now
 		w.list[name(i)] = e
-		w.heard(w.List(w.now, false, []Member{e}))
+		w.heard(w.UpdateMembership(w.now, false, []Member{e}))
 		w.held = slices.DeleteFunc(w.held, func(o Override) bool { return o.UntilRestart && o.Backend == e.Name && o.Started < w.now })
 	}
 }
@@ -218,7 +218,7 @@
 		w.told[s.Backend][s.Index] = s
 	}
 	for _, p := range patch.Pins {
-		w.pins[spot{p.Shard, p.Index}] = p
+		w.pins[pinKey{p.Shard, p.Index}] = p
 	}
 }
 
@@ -248,10 +248,10 @@
 	}
 	for s := range policy.ShardID(4) {
 		for k, index := range w.indexes {
-			want, got := w.pin(s, index), w.pins[spot{s, policy.IndexID(k)}]
+			want, got := w.pin(s, index), w.pins[pinKey{s, policy.IndexID(k)}]
 			to := w.list[want].ID
 			if e, listed := w.list[want]; want != "" && !listed {
-				to = nobody
+				to = noBackend
 			} else if listed && e.Phase == policy.Removed {
 				to = 0
 			}
@@ -274,13 +274,13 @@
 	}
 	for s := range policy.ShardID(4) {
 		for k, index := range w.indexes {
-			got, pin := w.pins[spot{s, policy.IndexID(k)}], w.pin(s, index)
+			got, pin := w.pins[pinKey{s, policy.IndexID(k)}], w.pin(s, index)
 			if (pin != "") != (got.Backend != 0) || pin != "" && got.Share != 1 {
 				w.fail("shard %d, %s: settled at %+v, wanted %q", s, index, got, pin)
 			}
 		}
 	}
-	if r := w.Returns(); len(r) > 0 {
+	if r := w.Recoveries(); len(r) > 0 {
 		w.fail("still returning: %+v", r)
 	}
 }
@@ -414,11 +414,11 @@
 		"shards 3 to 9":           {Invalid, func(s *Spec, _ *world) { s.Kind, s.Factor, s.From, s.To = Pin, 0, 3, 9 }},
 		"belong to a pin":         {Invalid, func(s *Spec, _ *world) { s.Strict = true }},
 		"does not name \"s-9\"":   {Absent, func(s *Spec, _ *world) { s.Backend = "s-9" }},
-		"holds no shard 1":        {NoHolder, func(s *Spec, _ *world) { s.Kind, s.Factor, s.From, s.To = Pin, 0, 0, 1 }},
+		"holds no shard 1":        {NotAReplica, func(s *Spec, _ *world) { s.Kind, s.Factor, s.From, s.To = Pin, 0, 0, 1 }},
 		"no listed searcher":      {Absent, func(s *Spec, _ *world) { s.Backend, s.Location = "", "west" }},
-		"nobody who serves":       {LastHolder, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Kind, s.Factor, s.Backend = Out, 0, "s-1" }},
-		"of shard":                {ShardShare, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Factor, s.Backend = 0.3, "s-1" }},
-		"of location":             {PlaceShare, func(s *Spec, _ *world) { s.Backend, s.Location, s.Factor = "", "north", 0.4 }},
+		"nobody who serves":       {LastReplica, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Kind, s.Factor, s.Backend = Out, 0, "s-1" }},
+		"of shard":                {ShardCapacity, func(s *Spec, w *world) { w.phase(2, policy.Draining); s.Factor, s.Backend = 0.3, "s-1" }},
+		"of location":             {LocationCapacity, func(s *Spec, _ *world) { s.Backend, s.Location, s.Factor = "", "north", 0.4 }},
 		"needs one searcher":      {Invalid, func(s *Spec, _ *world) { s.Backend, s.UntilRestart = "s-9", true }},
 	} {
 		w, spec := newWorld(), good
@@ -450,7 +450,7 @@
 		t.Fatalf("while one is being kept: %v", err)
 	}
 	w.Apply(first)
-	if second, again, err := w.Decide(w.now+1, &c); err != nil || !again || second.Revision != 1 || len(w.Live()) != 1 {
+	if second, again, err := w.Decide(w.now+1, &c); err != nil || !again || second.Revision != 1 || len(w.LiveOverrides()) != 1 {
 		t.Fatalf("sent twice: %+v, %t, %v", second, again, err)
 	}
 	c.Reason = "other"
@@ -460,15 +460,15 @@
 	if _, _, err := w.Decide(w.now, &Command{For: 1, Op: Clear, ID: 7, Author: "ann", Reason: "done"}); code(err) != Unknown {
 		t.Fatalf("got %v", err)
 	}
-	other := New(w.lim)
-	if ended := other.Restore(w.now+10, 1, w.Live(), []Change{first}); len(ended) > 0 || len(other.Live()) != 1 {
-		t.Fatalf("restored %+v, ended %+v", other.Live(), ended)
+	other := New(w.limits)
+	if ended := other.Restore(w.now+10, 1, w.LiveOverrides(), []Change{first}); len(ended) > 0 || len(other.LiveOverrides()) != 1 {
+		t.Fatalf("restored %+v, ended %+v", other.LiveOverrides(), ended)
 	}
 	c.Reason = ""
 	if _, again, err := other.Decide(w.now, &c); err != nil || !again {
 		t.Fatalf("sent again after a restart: %t, %v", again, err)
 	}
-	if ended := New(w.lim).Restore(w.now+60, 1, w.Live(), nil); len(ended) != 1 || ended[0].What != HasEnded || ended[0].Revision != 2 {
+	if ended := New(w.limits).Restore(w.now+60, 1, w.LiveOverrides(), nil); len(ended) != 1 || ended[0].What != HasEnded || ended[0].Revision != 2 {
 		t.Fatalf("got %+v", ended)
 	}
 }
@@ -476,13 +476,13 @@
 // Many that end together come back together no faster than the stated share of the fleet in a second.
 func TestManyEndsAreNoBurst(t *testing.T) {
 	lim := Defaults()
-	lim.Indexes, lim.Shards, lim.Cells, lim.Width, lim.PlaceGone, lim.ShardGone = []string{"reads"}, 300, 300, 2, 1, 1
+	lim.Indexes, lim.Shards, lim.Cells, lim.Width, lim.MaxLocationLoss, lim.MaxShardLoss = []string{"reads"}, 300, 300, 2, 1, 1
 	b := New(lim)
 	var list []Member
 	for i := range 300 {
 		list = append(list, Member{Name: name(i), ID: policy.BackendID(i + 1), Cell: policy.CellID(i)})
 	}
-	b.List(0, true, list)
+	b.UpdateMembership(0, true, list)
 	for i := range 200 {
 		c := Command{For: b.Revision(), Force: true, Spec: Spec{Kind: Out, Backend: name(i), Author: "ann", Reason: "slow", End: 100}}
 		change, _, err := b.Decide(1, &c)
@@ -494,7 +494,7 @@
 	b.Patch(1)
 	level := func() (sum float64) {
 		for _, m := range b.members {
-			sum += m.levels[0].now
+			sum += m.levels[0].current
 		}
 		return sum
 	}
@@ -504,12 +504,12 @@
 	b.Due(100)
 	b.Patch(100)
 	was, took := level(), 0.0
-	if was > 100+200*least {
+	if was > 100+200*leastLevel {
 		t.Fatalf("%g of 300 at the first blow", was)
 	}
-	for now := 100 + returnStep; len(b.rising) > 0; now += returnStep {
+	for now := 100 + recoveryStep; len(b.recovering) > 0; now += recoveryStep {
 		b.Patch(now)
-		if got := level(); got-was > 300*lim.Together*returnStep+1e-6 {
+		if got := level(); got-was > 300*lim.RecoveryRate*recoveryStep+1e-6 {
 			t.Fatalf("at %g %g came back at once", now, got-was)
 		} else {
 			was = got
--- a/internal/operators/override/patch.go
+++ b/internal/operators/override/patch.go
@@ -12,123 +12,123 @@
 // the last call.
 func (t *Table) Patch(now float64) *policy.Overrides {
 	var patch policy.Overrides
-	dt := max(0, now-t.movedAt)
-	t.movedAt = now
-	t.move(min(dt, 1)) // a late caller is no reason for a blow
-	t.wantAll()
+	dt := max(0, now-t.advancedAt)
+	t.advancedAt = now
+	t.advance(min(dt, 1)) // a late caller is no reason for a blow
+	t.updateDesired()
 	for _, name := range slices.Sorted(maps.Keys(t.dirtyMembers)) {
-		t.tellMember(t.dirtyMembers[name], &patch)
+		t.notifyMember(t.dirtyMembers[name], &patch)
 	}
-	for _, at := range slices.SortedFunc(maps.Keys(t.dirtySpots), func(x, y spot) int {
+	for _, at := range slices.SortedFunc(maps.Keys(t.dirtyPins), func(x, y pinKey) int {
 		return cmp.Or(cmp.Compare(x.shard, y.shard), cmp.Compare(x.index, y.index))
 	}) {
-		t.tellSpot(at, &patch)
+		t.notifyPin(at, &patch)
 	}
 	clear(t.dirtyMembers)
-	clear(t.dirtySpots)
+	clear(t.dirtyPins)
 	if len(patch.Backends)+len(patch.Pins) == 0 {
 		return nil
 	}
 	return &patch
 }
 
-// wantAll works out anew what is wanted where something was touched.
-func (t *Table) wantAll() {
+// updateDesired works out anew what is wanted where something was touched.
+func (t *Table) updateDesired() {
 	for _, m := range t.dirtyMembers {
 		for k := range m.levels {
 			l := &m.levels[k]
-			l.want, _ = t.target(m, policy.IndexID(k), nil)
-			if l.now >= l.want {
-				l.now = l.want
+			l.desired, _ = t.target(m, policy.IndexID(k), nil)
+			if l.current >= l.desired {
+				l.current = l.desired
 			} else {
-				l.now = max(l.now, min(least, l.want))
-				t.rising[m] = true
+				l.current = max(l.current, min(leastLevel, l.desired))
+				t.recovering[m] = true
 			}
 		}
 	}
-	for at := range t.dirtySpots {
-		t.wantSpot(at)
+	for at := range t.dirtyPins {
+		t.updateDesiredPin(at)
 	}
 }
 
-// wantSpot: a pin takes its shard at once; one that ended lets go of it bit by bit, as its siblings come back. One that
+// updateDesiredPin: a pin takes its shard at once; one that ended lets go of it bit by bit, as its siblings come back. One that
 // is suspended lets go at once, and comes back bit by bit.
-func (t *Table) wantSpot(at spot) {
-	o, why := t.pinOf(at)
-	p := t.spots[at]
+func (t *Table) updateDesiredPin(at pinKey) {
+	pin, why := t.pinOf(at)
+	state := t.pinnedShards[at]
 	switch {
-	case o == nil && p == nil:
+	case pin == nil && state == nil:
 		return
-	case p == nil:
-		p = &pinState{}
-		t.spots[at] = p
-		p.now = 1
+	case state == nil:
+		state = &pinState{}
+		t.pinnedShards[at] = state
+		state.current = 1
 	}
 	switch {
-	case o == nil:
-		p.want = 0
-		m := t.members[p.to]
-		if m == nil || !m.listed || m.Phase != policy.Ready || m.ID != p.id {
-			p.now = 0
+	case pin == nil:
+		state.desired = 0
+		target := t.members[state.to]
+		if target == nil || !target.listed || target.Phase != policy.Ready || target.ID != state.id {
+			state.current = 0
 		}
-		p.strict, p.by = false, 0
+		state.strict, state.by = false, 0
 	case why != "":
-		p.want, p.now = 0, 0
-		p.to, p.strict, p.by = o.Backend, o.Strict, o.ID
+		state.desired, state.current = 0, 0
+		state.to, state.strict, state.by = pin.Backend, pin.Strict, pin.ID
 	default:
-		m := t.member(o.Backend)
+		target := t.member(pin.Backend)
 		switch {
-		case o.ID > p.by: // as told by its operator, at once
-			p.now = 1
-		case p.by != o.ID && p.to != o.Backend: // the one above it has ended
-			p.now = 0
+		case pin.ID > state.by: // as told by its operator, at once
+			state.current = 1
+		case state.by != pin.ID && state.to != pin.Backend: // the one above it has ended
+			state.current = 0
 		}
-		p.to, p.id, p.strict, p.by, p.want = o.Backend, m.ID, o.Strict, o.ID, 1
-		if !m.listed {
-			p.id, p.now = nobody, 1
+		state.to, state.id, state.strict, state.by, state.desired = pin.Backend, target.ID, pin.Strict, pin.ID, 1
+		if !target.listed {
+			state.id, state.current = noBackend, 1
 		}
 	}
-	if p.now != p.want {
-		t.waning[at] = true
+	if state.current != state.desired {
+		t.changingPins[at] = true
 	}
 }
 
-// move lets what comes back come back by so many seconds: each by its ramp, and all together by no more than their share
+// advance lets what comes back come back by so many seconds: each by its ramp, and all together by no more than their share
 // of the fleet, or of the shards, in a second.
-func (t *Table) move(dt float64) {
+func (t *Table) advance(dt float64) {
 	if dt == 0 {
 		return
 	}
-	step := t.step(dt, t.listed, len(t.rising))
-	for m := range t.rising {
+	step := t.step(dt, t.listed, len(t.recovering))
+	for target := range t.recovering {
 		done := true
-		for k := range m.levels {
-			l := &m.levels[k]
-			if l.now < l.want {
-				l.now = min(l.want, l.now+step)
-				done = done && l.now == l.want
+		for k := range target.levels {
+			levelOfIndex := &target.levels[k]
+			if levelOfIndex.current < levelOfIndex.desired {
+				levelOfIndex.current = min(levelOfIndex.desired, levelOfIndex.current+step)
+				done = done && levelOfIndex.current == levelOfIndex.desired
 			}
 		}
-		t.dirtyMembers[m.Name] = m
+		t.dirtyMembers[target.Name] = target
 		if done {
-			delete(t.rising, m)
+			delete(t.recovering, target)
 		}
 	}
-	step = t.step(dt, t.lim.Shards*len(t.lim.Indexes), len(t.waning))
-	for at := range t.waning {
-		p := t.spots[at]
-		if p == nil {
-			delete(t.waning, at)
+	step = t.step(dt, t.limits.Shards*len(t.limits.Indexes), len(t.changingPins))
+	for key := range t.changingPins {
+		state := t.pinnedShards[key]
+		if state == nil {
+			delete(t.changingPins, key)
 			continue
 		}
-		if p.now < p.want {
-			p.now = min(p.want, p.now+step)
+		if state.current < state.desired {
+			state.current = min(state.desired, state.current+step)
 		} else {
-			p.now = max(p.want, p.now-step)
+			state.current = max(state.desired, state.current-step)
 		}
-		t.dirtySpots[at] = true
-		if p.now == p.want {
-			delete(t.waning, at)
+		t.dirtyPins[key] = true
+		if state.current == state.desired {
+			delete(t.changingPins, key)
 		}
 	}
 }
@@ -138,44 +138,44 @@
 	if moving == 0 {
 		return 0
 	}
-	each := 1 / max(t.lim.Ramp, returnStep)
-	return dt * min(each, max(t.lim.Together*float64(all), each)/float64(moving))
+	each := 1 / max(t.limits.SlowStart, recoveryStep)
+	return dt * min(each, max(t.limits.RecoveryRate*float64(all), each)/float64(moving))
 }
 
-func (t *Table) tellMember(m *member, patch *policy.Overrides) {
+func (t *Table) notifyMember(m *member, patch *policy.Overrides) {
 	if !m.listed {
-		t.forgotten(m)
+		t.dropUnused(m)
 		return
 	}
 	for k := range m.levels {
 		l := &m.levels[k]
-		if l.now == l.told {
+		if l.current == l.notified {
 			continue
 		}
-		l.told = l.now
-		w := policy.BackendOverride{Backend: m.ID, Index: policy.IndexID(k), Weight: l.now}
-		if l.now == 0 {
+		l.notified = l.current
+		w := policy.BackendOverride{Backend: m.ID, Index: policy.IndexID(k), Weight: l.current}
+		if l.current == 0 {
 			w.Excluded, w.Weight = true, 1
 		}
 		patch.Backends = append(patch.Backends, w)
 	}
 }
 
-func (t *Table) tellSpot(at spot, patch *policy.Overrides) {
-	p := t.spots[at]
-	if p == nil {
+func (t *Table) notifyPin(at pinKey, patch *policy.Overrides) {
+	state := t.pinnedShards[at]
+	if state == nil {
 		return
 	}
-	tell := policy.PinOverride{Shard: at.shard, Index: at.index}
-	if p.now > 0 {
-		tell.Backend, tell.Strict, tell.Share = p.id, p.strict, p.now
+	update := policy.PinOverride{Shard: at.shard, Index: at.index}
+	if state.current > 0 {
+		update.Backend, update.Strict, update.Share = state.id, state.strict, state.current
 	}
-	if tell != p.told && (tell.Backend != 0 || p.told.Backend != 0) {
-		patch.Pins = append(patch.Pins, tell)
+	if update != state.notified && (update.Backend != 0 || state.notified.Backend != 0) {
+		patch.Pins = append(patch.Pins, update)
 	}
-	p.told = tell
-	if o, _ := t.pinOf(at); o == nil && p.now == 0 {
-		delete(t.spots, at)
-		delete(t.waning, at)
+	state.notified = update
+	if o, _ := t.pinOf(at); o == nil && state.current == 0 {
+		delete(t.pinnedShards, at)
+		delete(t.changingPins, at)
 	}
 }
--- a/internal/operators/override/precedence.go
+++ b/internal/operators/override/precedence.go
@@ -44,7 +44,7 @@
 }
 
 func (t *Table) pinnedThere(m *member, s policy.ShardID, k policy.IndexID) *claim {
-	o, why := t.pinOf(spot{s, k})
+	o, why := t.pinOf(pinKey{s, k})
 	switch {
 	case o == nil || why != "":
 		return nil
@@ -93,7 +93,7 @@
 	} else if more != nil && more.Location == m.Location {
 		there = more
 	}
-	all := t.place(m.Location).own
+	all := t.location(m.Location).own
 	for _, o := range []*Override{t.strongest(m.own, Out, k, here), t.strongest(all, Out, k, there)} {
 		if o != nil {
 			return 0, o
@@ -109,7 +109,7 @@
 }
 
 // pinOf finds the pin that holds for a shard of an index, and why it is suspended or waits; "" if it acts.
-func (t *Table) pinOf(at spot) (o *Override, why string) {
+func (t *Table) pinOf(at pinKey) (o *Override, why string) {
 	if o = t.strongest(t.byShard[at.shard], Pin, at.index, nil); o == nil {
 		return nil, ""
 	}
@@ -122,7 +122,7 @@
 		return o, "suspended: its searcher has drained and left"
 	case !m.listed && !o.Strict:
 		return o, "waits: the list does not name its searcher"
-	case m.listed && !t.holds(m, at.shard):
+	case m.listed && !t.isReplica(m, at.shard):
 		return o, "waits: its searcher does not hold the shard"
 	case m.listed && factor == 0:
 		return o, "suspended: its searcher is out of service"
--- a/internal/operators/override/table.go
+++ b/internal/operators/override/table.go
@@ -11,8 +11,8 @@
 // keysRemembered is how many commands are remembered by their keys: far more than are sent while a sender still tries again.
 const keysRemembered = 4096
 
-// nobody is a number that no backend has: what is pinned to it strictly goes nowhere.
-const nobody = ^policy.BackendID(0)
+// noBackend is a number that no backend has: what is pinned to it strictly goes nowhere.
+const noBackend = ^policy.BackendID(0)
 
 // member lives while the list names a backend, and on while an override or a return concerns its name.
 type member struct {
@@ -27,72 +27,72 @@
 // level is how much of its usual part calls a backend may have of an index, or a pinned backend of a shard: it
 // falls at once to what is wanted and rises by steps.
 type level struct {
-	now, want float64
+	current, desired float64
 }
 
 // share is a backend's level of an index, and what the module was last told of it.
 type share struct {
 	level
-	told float64
+	notified float64
 }
 
-// place lives as the table does.
-type place struct {
+// location lives as the table does.
+type location struct {
 	own     []*Override
 	members map[string]*member
 }
 
-// spot is a shard of an index that is pinned, or was a moment ago.
-type spot struct {
+// pinKey is a shard of an index that is pinned, or was a moment ago.
+type pinKey struct {
 	shard policy.ShardID
 	index policy.IndexID
 }
 
 type pinState struct {
 	level
-	to     string   // whose it is, or was while it wanes
-	by     Revision // the pin that holds
-	id     policy.BackendID
-	strict bool
-	told   policy.PinOverride
+	to       string   // whose it is, or was while it wanes
+	by       Revision // the pin that holds
+	id       policy.BackendID
+	strict   bool
+	notified policy.PinOverride
 }
 
-type keyed struct {
+type keyedChange struct {
 	digest uint64
 	change Change
 }
 
 // Table is what one aggregator knows of overrides. One goroutine alone uses it.
 type Table struct {
-	lim      Limits
-	indexes  map[string]policy.IndexID
-	revision Revision
-	live     map[Revision]*Override
-	ends     ends
-	pinned   int // shards of all pins
-	members  map[string]*member
-	byCell   map[policy.CellID]map[string]*member
-	places   map[string]*place
-	byShard  map[policy.ShardID][]*Override
-	spots    map[spot]*pinState
-	keys     map[Key]keyed
-	keyOrder []Key
-	listed   int
+	limits       Limits
+	indexes      map[string]policy.IndexID
+	revision     Revision
+	live         map[Revision]*Override
+	ends         ends
+	pinned       int // shards of all pins
+	members      map[string]*member
+	byCell       map[policy.CellID]map[string]*member
+	locations    map[string]*location
+	byShard      map[policy.ShardID][]*Override
+	pinnedShards map[pinKey]*pinState
+	keys         map[Key]keyedChange
+	keyOrder     []Key
+	listed       int
 
 	dirtyMembers map[string]*member
-	dirtySpots   map[spot]bool
-	rising       map[*member]bool
-	waning       map[spot]bool
-	movedAt      float64
+	dirtyPins    map[pinKey]bool
+	recovering   map[*member]bool
+	changingPins map[pinKey]bool
+	advancedAt   float64
 }
 
 // New makes an empty table.
 func New(lim Limits) *Table {
 	lim.Cells, lim.Width = max(1, lim.Cells), max(1, lim.Width)
-	t := &Table{lim: lim, indexes: map[string]policy.IndexID{}, live: map[Revision]*Override{}, members: map[string]*member{},
-		byCell: map[policy.CellID]map[string]*member{}, places: map[string]*place{}, byShard: map[policy.ShardID][]*Override{},
-		spots: map[spot]*pinState{}, keys: map[Key]keyed{}, dirtyMembers: map[string]*member{}, dirtySpots: map[spot]bool{},
-		rising: map[*member]bool{}, waning: map[spot]bool{}}
+	t := &Table{limits: lim, indexes: map[string]policy.IndexID{}, live: map[Revision]*Override{}, members: map[string]*member{},
+		byCell: map[policy.CellID]map[string]*member{}, locations: map[string]*location{}, byShard: map[policy.ShardID][]*Override{},
+		pinnedShards: map[pinKey]*pinState{}, keys: map[Key]keyedChange{}, dirtyMembers: map[string]*member{}, dirtyPins: map[pinKey]bool{},
+		recovering: map[*member]bool{}, changingPins: map[pinKey]bool{}}
 	for i, name := range lim.Indexes {
 		t.indexes[name] = policy.IndexID(i)
 	}
@@ -104,13 +104,13 @@
 
 // Restore takes what was kept before a restart: the revision then, and what held. What has ended meanwhile is left
 // out, and told as changes to be kept. It comes before the first list.
-func (t *Table) Restore(now float64, revision Revision, held []Override, keys []Change) (ended []Change) {
+func (t *Table) Restore(now float64, revision Revision, live []Override, keys []Change) (ended []Change) {
 	t.revision = revision
 	for _, c := range keys {
 		t.remember(c)
 	}
-	for _, o := range held {
-		t.enter(&o)
+	for _, o := range live {
+		t.insert(&o)
 	}
 	return t.Due(now)
 }
@@ -122,7 +122,7 @@
 	if _, known := t.keys[c.Key]; !known {
 		t.keyOrder = append(t.keyOrder, c.Key)
 	}
-	t.keys[c.Key] = keyed{c.Digest, c}
+	t.keys[c.Key] = keyedChange{c.Digest, c}
 	if len(t.keyOrder) > keysRemembered {
 		delete(t.keys, t.keyOrder[0])
 		t.keyOrder = t.keyOrder[1:]
@@ -139,13 +139,13 @@
 	t.remember(c)
 	if c.What == WasSet {
 		o := c.Override
-		t.enter(&o)
+		t.insert(&o)
 	} else if o := t.live[c.Override.ID]; o != nil {
-		t.leave(o)
+		t.remove(o)
 	}
 }
 
-func (t *Table) enter(o *Override) {
+func (t *Table) insert(o *Override) {
 	t.live[o.ID] = o
 	heap.Push(&t.ends, o)
 	switch {
@@ -160,38 +160,38 @@
 		m := t.member(o.Backend)
 		m.own = append(m.own, o)
 	default:
-		p := t.place(o.Location)
+		p := t.location(o.Location)
 		p.own = append(p.own, o)
 	}
 	t.touch(o)
 }
 
-func (t *Table) leave(o *Override) {
-	delete(t.live, o.ID)
+func (t *Table) remove(removed *Override) {
+	delete(t.live, removed.ID)
 	if len(t.ends) > 2*len(t.live)+64 { // those that were cleared are not kept until their end
 		t.ends = slices.DeleteFunc(t.ends, func(e *Override) bool { return t.live[e.ID] != e })
 		heap.Init(&t.ends)
 	}
-	is := func(x *Override) bool { return x == o }
+	isRemoved := func(x *Override) bool { return x == removed }
 	switch {
-	case o.Kind == Pin:
-		m := t.member(o.Backend)
-		m.pins = slices.DeleteFunc(m.pins, is)
+	case removed.Kind == Pin:
+		m := t.member(removed.Backend)
+		m.pins = slices.DeleteFunc(m.pins, isRemoved)
 		m.drained = m.drained && len(m.pins) > 0
-		for s := o.From; s <= o.To; s++ {
-			if t.byShard[s] = slices.DeleteFunc(t.byShard[s], is); len(t.byShard[s]) == 0 {
+		for s := removed.From; s <= removed.To; s++ {
+			if t.byShard[s] = slices.DeleteFunc(t.byShard[s], isRemoved); len(t.byShard[s]) == 0 {
 				delete(t.byShard, s)
 			}
 			t.pinned--
 		}
-	case o.Backend != "":
-		m := t.member(o.Backend)
-		m.own = slices.DeleteFunc(m.own, is)
+	case removed.Backend != "":
+		m := t.member(removed.Backend)
+		m.own = slices.DeleteFunc(m.own, isRemoved)
 	default:
-		p := t.place(o.Location)
-		p.own = slices.DeleteFunc(p.own, is)
+		p := t.location(removed.Location)
+		p.own = slices.DeleteFunc(p.own, isRemoved)
 	}
-	t.touch(o)
+	t.touch(removed)
 }
 
 // touch marks what an override concerns, so that a change costs by that.
@@ -202,7 +202,7 @@
 	case o.Backend != "":
 		t.touchMember(t.member(o.Backend))
 	default:
-		for _, m := range t.place(o.Location).members {
+		for _, m := range t.location(o.Location).members {
 			t.touchMember(m)
 		}
 	}
@@ -210,9 +210,9 @@
 
 func (t *Table) touchPin(o *Override) {
 	for s := o.From; s <= o.To; s++ {
-		for k := range t.lim.Indexes {
+		for k := range t.limits.Indexes {
 			if k := policy.IndexID(k); t.covers(o, k) {
-				t.dirtySpots[spot{s, k}] = true
+				t.dirtyPins[pinKey{s, k}] = true
 			}
 		}
 	}
@@ -231,8 +231,8 @@
 	return o.Index == "" || t.indexes[o.Index] == k
 }
 
-// Live lists what holds, oldest first.
-func (t *Table) Live() []Override {
+// LiveOverrides lists what holds, oldest first.
+func (t *Table) LiveOverrides() []Override {
 	list := make([]Override, 0, len(t.live))
 	for _, o := range t.live {
 		list = append(list, *o)
--- a/internal/operators/override/view.go
+++ b/internal/operators/override/view.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// returnStep is how often a return goes on: short against the ramp, and few patches a second.
-	returnStep = 0.25
-	// least is the level from which a return begins, and the least that a weight tells the module: some part calls
+	// recoveryStep is how often a return goes on: short against the ramp, and few patches a second.
+	recoveryStep = 0.25
+	// leastLevel is the level from which a return begins, and the least that a weight tells the module: some part calls
 	// must go there or nothing is learnt of it.
-	least = 0.05
+	leastLevel = 0.05
 )
 
 // Status is an override as it is shown.
@@ -25,7 +25,7 @@
 
 // Status shows what holds, oldest first.
 func (t *Table) Status() []Status {
-	live := t.Live()
+	live := t.LiveOverrides()
 	list := make([]Status, len(live))
 	for i := range live {
 		list[i] = Status{live[i], t.state(t.live[live[i].ID])}
@@ -38,10 +38,10 @@
 	if o.Kind == Pin {
 		return t.pinStates(o)
 	}
-	list := t.place(o.Location).own
+	list := t.location(o.Location).own
 	if o.Backend != "" {
 		m := t.member(o.Backend)
-		defer t.forgotten(m)
+		defer t.dropUnused(m)
 		list = m.own
 		if !m.listed {
 			return "waits: the list does not name its searcher"
@@ -49,13 +49,13 @@
 		if m.Phase == policy.Draining {
 			return "suspended: its searcher drains"
 		}
-	} else if len(t.place(o.Location).members) == 0 {
+	} else if len(t.location(o.Location).members) == 0 {
 		return "waits: no listed searcher stands there"
 	}
 	acts := 0
 	var above *Override
 	covered := 0
-	for k := range t.lim.Indexes {
+	for k := range t.limits.Indexes {
 		k := policy.IndexID(k)
 		if !t.covers(o, k) {
 			continue
@@ -71,7 +71,7 @@
 			above = by
 		}
 	}
-	return shown(acts, covered, above, "")
+	return describeState(acts, covered, above, "")
 }
 
 func (t *Table) pinStates(o *Override) string {
@@ -79,13 +79,13 @@
 	var above *Override
 	hindered := ""
 	for s := o.From; s <= o.To; s++ {
-		for k := range t.lim.Indexes {
+		for k := range t.limits.Indexes {
 			k := policy.IndexID(k)
 			if !t.covers(o, k) {
 				continue
 			}
 			covered++
-			switch by, why := t.pinOf(spot{s, k}); {
+			switch by, why := t.pinOf(pinKey{s, k}); {
 			case by != o:
 				above = by
 			case why != "":
@@ -95,10 +95,10 @@
 			}
 		}
 	}
-	return shown(acts, covered, above, hindered)
+	return describeState(acts, covered, above, hindered)
 }
 
-func shown(acts, of int, above *Override, hindered string) string {
+func describeState(acts, of int, above *Override, hindered string) string {
 	switch {
 	case acts == of:
 		return "acts"
@@ -112,31 +112,31 @@
 	return fmt.Sprintf("suspended: override %d stands above it", above.ID)
 }
 
-// Return is a backend that comes back, or a shard that a pin lets go.
-type Return struct {
+// Recovery is a backend that comes back, or a shard that a pin lets go.
+type Recovery struct {
 	Backend string
 	Shard   policy.ShardID // of a pin
 	Pin     bool
 	Index   string
 	Level   float64 // share of its usual part calls now
-	Want    float64
+	Desired float64
 }
 
-// Returns lists what comes back at present.
-func (t *Table) Returns() (list []Return) {
-	for m := range t.rising {
+// Recoveries lists what comes back at present.
+func (t *Table) Recoveries() (list []Recovery) {
+	for m := range t.recovering {
 		for k, l := range m.levels {
-			if l.now < l.want {
-				list = append(list, Return{Backend: m.Name, Index: t.lim.Indexes[k], Level: l.now, Want: l.want})
+			if l.current < l.desired {
+				list = append(list, Recovery{Backend: m.Name, Index: t.limits.Indexes[k], Level: l.current, Desired: l.desired})
 			}
 		}
 	}
-	for at := range t.waning {
-		if p := t.spots[at]; p != nil && p.now != p.want {
-			list = append(list, Return{Backend: p.to, Shard: at.shard, Pin: true, Index: t.lim.Indexes[at.index], Level: p.now, Want: p.want})
+	for at := range t.changingPins {
+		if p := t.pinnedShards[at]; p != nil && p.current != p.desired {
+			list = append(list, Recovery{Backend: p.to, Shard: at.shard, Pin: true, Index: t.limits.Indexes[at.index], Level: p.current, Desired: p.desired})
 		}
 	}
-	slices.SortFunc(list, func(x, y Return) int {
+	slices.SortFunc(list, func(x, y Recovery) int {
 		return cmp.Or(cmp.Compare(x.Backend, y.Backend), cmp.Compare(x.Index, y.Index), cmp.Compare(x.Shard, y.Shard))
 	})
 	return list
@@ -163,12 +163,12 @@
 	m := t.members[backend]
 	switch {
 	case !known:
-		return e, refuse(Invalid, "index %q is not one of %q", index, t.lim.Indexes)
-	case s < 0 || int(s) >= t.lim.Shards:
-		return e, refuse(Invalid, "shard %d, expected one from 0 to %d", s, t.lim.Shards-1)
+		return e, refuse(Invalid, "index %q is not one of %q", index, t.limits.Indexes)
+	case s < 0 || int(s) >= t.limits.Shards:
+		return e, refuse(Invalid, "shard %d, expected one from 0 to %d", s, t.limits.Shards-1)
 	case m == nil:
 		return e, refuse(Unknown, "neither the list nor an override names %q", backend)
-	case m.listed && !t.holds(m, s):
+	case m.listed && !t.isReplica(m, s):
 		return Explanation{Lines: []Line{{"layout", true, 0, "it does not hold the shard"}}}, nil
 	}
 	e.Goes, e.Share = true, 1
@@ -198,9 +198,9 @@
 			e.Share, _ = t.target(m, k, nil)
 		}
 	}
-	if l := m.levels[k]; e.Goes && l.now < l.want && !acted {
-		e.Share = math.Min(e.Share, l.now)
-		e.Lines = append(e.Lines, Line{"return", true, 0, fmt.Sprintf("it comes back by steps and is at %.0f%%", 100*l.now)})
+	if l := m.levels[k]; e.Goes && l.current < l.desired && !acted {
+		e.Share = math.Min(e.Share, l.current)
+		e.Lines = append(e.Lines, Line{"return", true, 0, fmt.Sprintf("it comes back by steps and is at %.0f%%", 100*l.current)})
 	}
 	if !acted && len(e.Lines) == 0 {
 		e.Lines = append(e.Lines, Line{"none", true, 0, "nothing overrides it: the decision module weighs latency and load alone"})
--- a/internal/operators/override/wire_test.go
+++ b/internal/operators/override/wire_test.go
@@ -31,10 +31,10 @@
 		goldentest.Constant{Have: KeyReused, Want: "key_reused"},
 		goldentest.Constant{Have: Unknown, Want: "unknown"},
 		goldentest.Constant{Have: TooMany, Want: "too_many"},
-		goldentest.Constant{Have: LastHolder, Want: "last_holder"},
-		goldentest.Constant{Have: ShardShare, Want: "shard_capacity"},
-		goldentest.Constant{Have: PlaceShare, Want: "place_capacity"},
-		goldentest.Constant{Have: NoHolder, Want: "not_a_holder"},
+		goldentest.Constant{Have: LastReplica, Want: "last_holder"},
+		goldentest.Constant{Have: ShardCapacity, Want: "shard_capacity"},
+		goldentest.Constant{Have: LocationCapacity, Want: "place_capacity"},
+		goldentest.Constant{Have: NotAReplica, Want: "not_a_holder"},
 		goldentest.Constant{Have: Absent, Want: "absent"},
 	)
 }
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -61,7 +61,7 @@
 	time.Sleep(askPause)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
 	defer cancel()
-	p, err := m.Client().Held(ctx, version, tenant)
+	p, err := m.Client().Progress(ctx, version, tenant)
 	if err != nil {
 		return false, nil
 	}
