--- a/internal/leaktest/leaktest.go
+++ b/internal/leaktest/leaktest.go
@@ -12,8 +12,8 @@
 	"go.uber.org/goleak"
 )
 
-// patience bounds the wait for what closes behind a test, which does at once unless it is leaked.
-const patience = 10 * time.Second
+// closeTimeout bounds the wait for what closes behind a test, which does at once unless it is leaked.
+const closeTimeout = 10 * time.Second
 
 // Main runs tests. Where they pass it fails if a goroutine is left, but for those that the options name, or a descriptor.
 func Main(m *testing.M, options ...goleak.Option) {
@@ -23,7 +23,7 @@
 	before := descriptors()
 	code := m.Run()
 	if code == 0 {
-		if err := left(before, patience, options); err != nil {
+		if err := findLeaks(before, closeTimeout, options); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			code = 1
 		}
@@ -31,20 +31,20 @@
 	os.Exit(code)
 }
 
-// leftOpenError says that tests have left descriptors open.
-type leftOpenError struct{ open, before int }
+// descriptorLeakError says that tests have left descriptors open.
+type descriptorLeakError struct{ open, before int }
 
-func (e leftOpenError) Error() string {
+func (e descriptorLeakError) Error() string {
 	return fmt.Sprintf("%d descriptors are open, expected the %d before the tests", e.open, e.before)
 }
 
-func left(before int, patience time.Duration, options []goleak.Option) error {
+func findLeaks(before int, patience time.Duration, options []goleak.Option) error {
 	if err := goleak.Find(options...); err != nil {
 		return err
 	}
 	for late := time.Now().Add(patience); descriptors() > before; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(late) {
-			return leftOpenError{descriptors(), before}
+			return descriptorLeakError{descriptors(), before}
 		}
 	}
 	return nil
--- a/internal/leaktest/leaktest_test.go
+++ b/internal/leaktest/leaktest_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is left is found, and what was closed is not.
-func TestWhatIsLeftIsFound(t *testing.T) {
+func TestLeaksAreFound(t *testing.T) {
 	before := descriptors()
 	f, err := os.Open(os.DevNull)
 	if err != nil {
@@ -17,16 +17,16 @@
 	stop := make(chan struct{})
 	ended := make(chan struct{})
 	go func() { <-stop; close(ended) }()
-	if err := left(before, 50*time.Millisecond, nil); err == nil || !strings.Contains(err.Error(), "unexpected goroutines") {
+	if err := findLeaks(before, 50*time.Millisecond, nil); err == nil || !strings.Contains(err.Error(), "unexpected goroutines") {
 		t.Errorf("got %v with a goroutine left", err)
 	}
 	close(stop)
 	<-ended
-	if err := left(before, 50*time.Millisecond, nil); before > 0 && (err == nil || !strings.Contains(err.Error(), "descriptors are open")) {
+	if err := findLeaks(before, 50*time.Millisecond, nil); before > 0 && (err == nil || !strings.Contains(err.Error(), "descriptors are open")) {
 		t.Errorf("got %v with a descriptor left", err)
 	}
 	f.Close()
-	if err := left(before, 50*time.Millisecond, nil); err != nil {
+	if err := findLeaks(before, 50*time.Millisecond, nil); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	operatorCount    = 2
-	clientCount      = 2
-	operatorPatience = time.Second
-	operatorTries    = 8
-	callPatience     = 1200 * time.Millisecond
-	longestPause     = 800 * time.Millisecond // between two requests of an actor
+	operatorCount      = 2
+	clientCount        = 2
+	operatorTimeout    = time.Second
+	operatorAttempts   = 8
+	callTimeout        = 1200 * time.Millisecond
+	maxRequestInterval = 800 * time.Millisecond // between two requests of an actor
 )
 
-// act sets operators, clients, and readers of the feed to work until the context ends.
-func (w *world) act(ctx context.Context) {
+// startActors sets operators, clients, and readers of the feed to work until the context ends.
+func (w *simulation) startActors(ctx context.Context) {
 	for i := range operatorCount {
 		random := rand.New(rand.NewPCG(w.seed, uint64(100+i)))
 		w.actors.Go(func() { (&operator{w, random, i, 0}).run(ctx) })
@@ -37,31 +37,31 @@
 		w.actors.Go(func() { (&client{w, random, i, nil, endpoint{w.network, w.outside, 0}}).run(ctx) })
 	}
 	for _, m := range append(w.cores, w.agents...) {
-		w.actors.Go(func() { w.read(ctx, m) })
+		w.actors.Go(func() { w.pollFeed(ctx, m) })
 	}
 }
 
-// rest waits between two requests; false once the context has ended.
-func rest(ctx context.Context, random *rand.Rand) bool {
+// waitForNextRequest waits between two requests; false once the context has ended.
+func waitForNextRequest(ctx context.Context, random *rand.Rand) bool {
 	select {
-	case <-time.After(time.Duration(random.Int64N(int64(longestPause)))):
+	case <-time.After(time.Duration(random.Int64N(int64(maxRequestInterval)))):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// operator changes the configuration, beside others.
+// operatorHandler changes the configuration, beside others.
 type operator struct {
-	world  *world
-	random *rand.Rand
-	number int
-	orders int
+	simulation *simulation
+	random     *rand.Rand
+	number     int
+	changes    int
 }
 
 func (o *operator) run(ctx context.Context) {
 	newest := uint64(0)
-	for rest(ctx, o.random) {
+	for waitForNextRequest(ctx, o.random) {
 		if version, read := o.get(); read {
 			newest = version
 		}
@@ -69,11 +69,11 @@
 		if newest > 0 && o.random.IntN(6) == 0 {
 			builtOn-- // which another version has replaced, or which never was
 		}
-		o.orders++
+		o.changes++
 		version := newest + 1 + uint64(o.random.IntN(2))
 		body := fmt.Sprintf(`{"version":%d,"routes":[{"name":"r-%d-%d","host":"h","pathPrefix":"/","timeoutMs":1000,"service":"%s"}],"services":[{"name":"%s"}]}`,
-			version, o.number, o.orders, service, service)
-		if o.put(order{version, builtOn, body}) {
+			version, o.number, o.changes, service, service)
+		if o.put(change{version, builtOn, body}) {
 			newest = version
 		}
 	}
@@ -90,9 +90,9 @@
 func (o *operator) call(m *machine, request *http.Request) answer {
 	answers := make(chan answer, 1)
 	go func() {
-		life := m.standStill()
+		incarnation := m.awaitResume()
 		m.mutex.Lock()
-		handler, up := m.operator, m.up
+		handler, up := m.operatorHandler, m.up
 		m.mutex.Unlock()
 		if !up {
 			answers <- answer{status: http.StatusServiceUnavailable}
@@ -100,20 +100,20 @@
 		}
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, request)
-		m.standStill()
-		if m.lives(life) {
+		m.awaitResume()
+		if m.isCurrent(incarnation) {
 			answers <- answer{recorder.Code, recorder.Header().Get("ETag"), recorder.Body.String()}
 		}
 	}()
 	select {
 	case answer := <-answers:
 		return answer
-	case <-time.After(operatorPatience):
+	case <-time.After(operatorTimeout):
 		return answer{}
 	}
 }
 
-func (o *operator) pick() *machine { return o.world.cores[o.random.IntN(coreCount)] }
+func (o *operator) pick() *machine { return o.simulation.cores[o.random.IntN(coreCount)] }
 
 func (o *operator) get() (version uint64, read bool) {
 	m, sent := o.pick(), time.Now()
@@ -122,19 +122,19 @@
 		return 0, false
 	}
 	version, _ = strconv.ParseUint(strings.Trim(got.etag, `"`), 10, 64)
-	o.world.judge.get(m.address, sent, got.status, version)
+	o.simulation.checker.checkGet(m.address, sent, got.status, version)
 	return version, got.status == http.StatusOK || got.status == http.StatusNotFound
 }
 
-// put sends an order to one node after the other until the answer is clear.
-func (o *operator) put(asked order) (taken bool) {
-	for range operatorTries {
+// checkPut sends an order to one node after the other until the answer is clear.
+func (o *operator) put(requested change) (taken bool) {
+	for range operatorAttempts {
 		m, sent := o.pick(), time.Now()
-		request := httptest.NewRequest(http.MethodPut, control.Path, strings.NewReader(asked.body))
-		request.Header.Set("If-Match", strconv.FormatUint(asked.builtOn, 10))
+		request := httptest.NewRequest(http.MethodPut, control.Path, strings.NewReader(requested.body))
+		request.Header.Set("If-Match", strconv.FormatUint(requested.builtOn, 10))
 		got := o.call(m, request)
 		if got.status != 0 {
-			o.world.judge.put(m.address, sent, asked, got.status, currentIn(got.body))
+			o.simulation.checker.checkPut(m.address, sent, requested, got.status, currentIn(got.body))
 		}
 		if got.status == http.StatusOK || got.status == http.StatusPreconditionFailed {
 			return got.status == http.StatusOK
@@ -154,15 +154,15 @@
 
 // client hands jobs in, and asks and cancels.
 type client struct {
-	world  *world
-	random *rand.Rand
-	number int
-	jobs   []job.ID
-	caller endpoint
+	simulation *simulation
+	random     *rand.Rand
+	number     int
+	jobs       []job.ID
+	caller     endpoint
 }
 
 func (c *client) run(ctx context.Context) {
-	for rest(ctx, c.random) {
+	for waitForNextRequest(ctx, c.random) {
 		switch choice := c.random.IntN(6); {
 		case choice < 3 || len(c.jobs) == 0:
 			c.submit()
@@ -176,16 +176,16 @@
 
 // call asks whom an agent names as the leader, or any node, as a proxy with an old feed would.
 func (c *client) call(route transport.Route, request, reply any) (member string, err error) {
-	leader := c.world.agents[c.random.IntN(agentCount)].agentNow().Snapshot().Leaders[group]
+	leader := c.simulation.agents[c.random.IntN(agentCount)].currentAgent().Snapshot().Leaders[group]
 	member = leader.Address
 	if member == "" || c.random.IntN(4) == 0 {
-		member = c.world.cores[c.random.IntN(coreCount)].address
+		member = c.simulation.cores[c.random.IntN(coreCount)].address
 	}
 	return member, c.callAt(member, route, request, reply)
 }
 
 func (c *client) callAt(member string, route transport.Route, request, reply any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	return c.caller.Call(ctx, member, route, request, reply)
 }
@@ -201,7 +201,7 @@
 	for range 3 {
 		var reply jobapi.Submitted
 		if _, err := c.call(jobapi.SubmitCall.Route(), request, &reply); err == nil {
-			c.world.judge.submitted(id)
+			c.simulation.checker.recordSubmit(id)
 			return
 		}
 	}
@@ -211,7 +211,7 @@
 	id, sent := c.jobs[c.random.IntN(len(c.jobs))], time.Now()
 	var reply jobapi.StatusReply
 	if member, err := c.call(jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply); err == nil {
-		c.world.judge.told(member, "status", sent, id, reply.Known, reply.State)
+		c.simulation.checker.checkJobReply(member, "status", sent, id, reply.Known, reply.State)
 	}
 }
 
@@ -219,25 +219,25 @@
 	id, sent := c.jobs[c.random.IntN(len(c.jobs))], time.Now()
 	var reply jobapi.Cancelled
 	if member, err := c.call(jobapi.CancelCall.Route(), jobapi.Cancel{Group: group, ID: id}, &reply); err == nil {
-		c.world.judge.told(member, "cancel", sent, id, reply.Known, reply.State)
+		c.simulation.checker.checkJobReply(member, "cancel", sent, id, reply.Known, reply.State)
 	}
 }
 
-// read asks a core node as an agent does, or an agent as its proxy does, and judges what calls itself current.
-func (w *world) read(ctx context.Context, m *machine) {
+// pollFeed asks a core node as an agent does, or an agent as its proxy does, and judges what calls itself current.
+func (w *simulation) pollFeed(ctx context.Context, m *machine) {
 	random := rand.New(rand.NewPCG(w.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
 	route, age := feed.WatchCall.Route(), feedAge
 	if strings.HasPrefix(m.address, "agent") {
 		route, age = feed.LocalCall.Route(), agentAge
 	}
-	for rest(ctx, random) {
+	for waitForNextRequest(ctx, random) {
 		sent := time.Now()
-		call, cancel := context.WithTimeout(context.Background(), callPatience)
+		call, cancel := context.WithTimeout(context.Background(), callTimeout)
 		var reply feed.WatchReply
 		err := endpoint{w.network, w.outside, 0}.Call(call, m.address, route, feed.WatchRequest{}, &reply)
 		cancel()
 		if err == nil && reply.Current && reply.Snapshot != nil {
-			w.judge.fed(m.address, sent, age, reply.Snapshot.ConfigurationVersion)
+			w.checker.checkFeed(m.address, sent, age, reply.Snapshot.ConfigurationVersion)
 		}
 	}
 }
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -25,60 +25,60 @@
 )
 
 // order is a change that an operator wants.
-type order struct {
+type change struct {
 	version, builtOn uint64
 	body             string
 }
 
-// leadership names a term.
-type leadership struct {
+// termKey names a term.
+type termKey struct {
 	member string
 	epoch  uint64
 }
 
-// judge knows what was promised to whom, and notes what breaks it. Its moments are those of the callers, who know least.
-type judge struct {
-	mutex    sync.Mutex
-	begin    time.Time
-	broken   []string
-	versions []moment // acknowledged, in the order of the acknowledgements
-	accepted map[order]bool
-	refused  map[order]bool
-	jobs     map[job.ID]time.Time // acknowledged at
-	order    []job.ID             // the same, by that
-	finals   map[job.ID]final
-	terms    map[leadership]*replication.Term
-	ended    map[leadership]time.Time
-	late     []lateOrder
-	tokens   map[string]uint64 // the highest that a worker has taken
-	seen     map[string]int    // what was judged, by kind
+// checker knows what was promised to whom, and notes what breaks it. Its moments are those of the callers, who know least.
+type checker struct {
+	mutex        sync.Mutex
+	startedAt    time.Time
+	violations   []string
+	acknowledged []acknowledgedVersion // acknowledged, in the order of the acknowledgements
+	accepted     map[change]bool
+	refused      map[change]bool
+	jobs         map[job.ID]time.Time // acknowledged at
+	acceptedJobs []job.ID             // the same, by that
+	finals       map[job.ID]finalState
+	terms        map[termKey]*replication.Term
+	ended        map[termKey]time.Time
+	lateCommands []lateCommand
+	tokens       map[string]uint64 // the highest that a worker has taken
+	counts       map[string]int    // what was judged, by kind
 }
 
-type moment struct {
+type acknowledgedVersion struct {
 	version uint64
 	at      time.Time
 }
 
-type final struct {
+type finalState struct {
 	state job.State
 	at    time.Time
 }
 
-func newJudge() *judge {
-	return &judge{
-		begin: time.Now(), accepted: map[order]bool{}, refused: map[order]bool{}, jobs: map[job.ID]time.Time{},
-		finals: map[job.ID]final{}, terms: map[leadership]*replication.Term{}, ended: map[leadership]time.Time{}, tokens: map[string]uint64{}, seen: map[string]int{},
+func newChecker() *checker {
+	return &checker{
+		startedAt: time.Now(), accepted: map[change]bool{}, refused: map[change]bool{}, jobs: map[job.ID]time.Time{},
+		finals: map[job.ID]finalState{}, terms: map[termKey]*replication.Term{}, ended: map[termKey]time.Time{}, tokens: map[string]uint64{}, counts: map[string]int{},
 	}
 }
 
-func (j *judge) failf(format string, arguments ...any) {
+func (j *checker) failf(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
-	j.broken = append(j.broken, fmt.Sprintf("at %v: %s", time.Since(j.begin).Round(time.Millisecond), text))
+	j.violations = append(j.violations, fmt.Sprintf("at %v: %s", time.Since(j.startedAt).Round(time.Millisecond), text))
 }
 
 // newestBy is the newest version that was acknowledged by a moment. The mutex is held.
-func (j *judge) newestBy(at time.Time) (newest uint64) {
-	for _, one := range j.versions {
+func (j *checker) newestBy(at time.Time) (newest uint64) {
+	for _, one := range j.acknowledged {
 		if !one.at.After(at) {
 			newest = max(newest, one.version)
 		}
@@ -86,22 +86,22 @@
 	return newest
 }
 
-// put judges an operator's answer to an order.
-func (j *judge) put(member string, sent time.Time, asked order, status int, current uint64) {
+// checkPut judges an operator's answer to an order.
+func (j *checker) checkPut(member string, sent time.Time, requested change, status int, current uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen[fmt.Sprint("put ", status)]++
+	j.counts[fmt.Sprint("put ", status)]++
 	switch status {
 	case http.StatusOK:
-		j.versions = append(j.versions, moment{asked.version, time.Now()})
-		j.accepted[asked] = true
+		j.acknowledged = append(j.acknowledged, acknowledgedVersion{requested.version, time.Now()})
+		j.accepted[requested] = true
 		for other := range j.accepted {
-			if other.builtOn == asked.builtOn && other != asked {
-				j.failf("%s confirmed version %d on %d, on which version %d was built", member, asked.version, asked.builtOn, other.version)
+			if other.builtOn == requested.builtOn && other != requested {
+				j.failf("%s confirmed version %d on %d, on which version %d was built", member, requested.version, requested.builtOn, other.version)
 			}
 		}
 	case http.StatusPreconditionFailed:
-		j.refused[asked] = true
+		j.refused[requested] = true
 		if newest := j.newestBy(sent); current < newest {
 			j.failf("%s refused an order on version %d, older than %d, which was acknowledged before the order was sent", member, current, newest)
 		}
@@ -109,16 +109,16 @@
 	default:
 		j.failf("%s answered %d to an order", member, status)
 	}
-	if j.accepted[asked] && j.refused[asked] {
-		j.failf("%s: version %d on %d is both refused and confirmed", member, asked.version, asked.builtOn)
+	if j.accepted[requested] && j.refused[requested] {
+		j.failf("%s: version %d on %d is both refused and confirmed", member, requested.version, requested.builtOn)
 	}
 }
 
-// get judges an operator's reading.
-func (j *judge) get(member string, sent time.Time, status int, version uint64) {
+// checkGet judges an operator's reading.
+func (j *checker) checkGet(member string, sent time.Time, status int, version uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen[fmt.Sprint("get ", status)]++
+	j.counts[fmt.Sprint("get ", status)]++
 	if status == http.StatusServiceUnavailable {
 		return
 	}
@@ -127,37 +127,37 @@
 	}
 }
 
-// fed judges a feed that calls itself current.
-func (j *judge) fed(member string, sent time.Time, age time.Duration, version uint64) {
+// checkFeed judges a feed that calls itself current.
+func (j *checker) checkFeed(member string, sent time.Time, age time.Duration, version uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen["feed of "+member[:4]]++
+	j.counts["feed of "+member[:4]]++
 	if newest := j.newestBy(sent.Add(-age)); version < newest {
 		j.failf("%s calls version %d current, though %d had been acknowledged %v before it was asked", member, version, newest, age)
 	}
 }
 
-// submitted notes an accepted job.
-func (j *judge) submitted(id job.ID) {
+// recordSubmit notes an accepted job.
+func (j *checker) recordSubmit(id job.ID) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen["submit"]++
+	j.counts["submit"]++
 	j.jobs[id] = time.Now()
-	j.order = append(j.order, id)
+	j.acceptedJobs = append(j.acceptedJobs, id)
 }
 
 // newestJobs are the jobs accepted last.
-func (j *judge) newestJobs(most int) []job.ID {
+func (j *checker) newestJobs(most int) []job.ID {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	return slices.Clone(j.order[max(0, len(j.order)-most):])
+	return slices.Clone(j.acceptedJobs[max(0, len(j.acceptedJobs)-most):])
 }
 
-// told judges a leader's answer about a job, to a reading or a cancellation.
-func (j *judge) told(member, call string, sent time.Time, id job.ID, known bool, state job.State) {
+// checkJobReply judges a leader's answer about a job, to a reading or a cancellation.
+func (j *checker) checkJobReply(member, call string, sent time.Time, id job.ID, known bool, state job.State) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen[fmt.Sprint(call, " ", known)]++
+	j.counts[fmt.Sprint(call, " ", known)]++
 	if at, accepted := j.jobs[id]; accepted && at.Before(sent) && !known {
 		j.failf("%s says to a %s that there is no job %s, which was accepted before", member, call, id)
 	}
@@ -168,16 +168,16 @@
 		j.failf("%s says to a %s that job %s is %s, and it was %s before", member, call, id, state, before.state)
 	}
 	if state.Final() {
-		j.finals[id] = final{state, time.Now()}
+		j.finals[id] = finalState{state, time.Now()}
 	}
 }
 
-// elected notes a term, and when it ends.
-func (j *judge) elected(member string, term *replication.Term) {
+// recordTerm notes a term, and when it ends.
+func (j *checker) recordTerm(member string, term *replication.Term) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen["elections"]++
-	name := leadership{member, term.Number()}
+	j.counts["elections"]++
+	name := termKey{member, term.Number()}
 	j.terms[name] = term
 	go func() {
 		<-term.Ended()
@@ -187,40 +187,40 @@
 	}()
 }
 
-// lateOrder is an order that was handed to its connection without a lease, or at the moment at which its term was given up.
-type lateOrder struct {
-	under leadership
+// lateCommand is an order that was handed to its connection without a lease, or at the moment at which its term was given up.
+type lateCommand struct {
+	under termKey
 	kind  cluster.Call
 	at    time.Time
 }
 
-// sending looks at an order at the moment at which a node hands it to its connection.
-func (j *judge) sending(member string, kind cluster.Call, token uint64) {
+// recordCommand looks at an order at the moment at which a node hands it to its connection.
+func (j *checker) recordCommand(member string, kind cluster.Call, token uint64) {
 	if kind == cluster.HoldCall {
 		return
 	}
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen["order "+string(kind)]++
-	name := leadership{member, token}
+	j.counts["order "+string(kind)]++
+	name := termKey{member, token}
 	if term := j.terms[name]; term == nil || !term.Valid() {
-		j.late = append(j.late, lateOrder{name, kind, time.Now()})
+		j.lateCommands = append(j.lateCommands, lateCommand{name, kind, time.Now()})
 	}
 }
 
-// lateOrders judges them at the end, when it is known which terms were given up at the very moment.
-func (j *judge) lateOrders() {
+// checkLateCommands judges them at the end, when it is known which terms were given up at the very moment.
+func (j *checker) checkLateCommands() {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	for _, one := range j.late {
+	for _, one := range j.lateCommands {
 		if j.ended[one.under] != one.at {
-			j.failf("%s sent %s under token %d at %v after its lease", one.under.member, one.kind, one.under.epoch, one.at.Sub(j.begin))
+			j.failf("%s sent %s under token %d at %v after its lease", one.under.member, one.kind, one.under.epoch, one.at.Sub(j.startedAt))
 		}
 	}
 }
 
-// answered judges what a worker has taken.
-func (j *judge) answered(worker string, kind cluster.Call, token uint64, status int) {
+// checkWorkerReply judges what a worker has taken.
+func (j *checker) checkWorkerReply(worker string, kind cluster.Call, token uint64, status int) {
 	if status != http.StatusOK {
 		return
 	}
@@ -232,11 +232,11 @@
 	j.tokens[worker] = max(j.tokens[worker], token)
 }
 
-// ran judges all runs at the end: one of a task at a time.
-func (j *judge) ran(runs []cluster.RunRecord) {
+// checkAttempts judges all runs at the end: one of a task at a time.
+func (j *checker) checkAttempts(runs []cluster.RunRecord) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	j.seen["runs"] += len(runs)
+	j.counts["runs"] += len(runs)
 	for i, one := range runs {
 		for _, other := range runs[i+1:] {
 			if one.Task == other.Task && (one.EndedAt.IsZero() || other.StartedAt.Before(one.EndedAt)) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// history judges the changes that a majority has taken, at the end.
-func (j *judge) history(state configuration.State) {
+// checkHistory judges the changes that a majority has taken, at the end.
+func (j *checker) checkHistory(state configuration.State) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	taken := map[configuration.AppliedUpdate]bool{}
@@ -259,20 +259,20 @@
 		on = one.Version
 		taken[one] = true
 	}
-	for asked := range j.accepted {
-		if !taken[asked.record()] {
-			j.failf("version %d on %d was confirmed and is lost", asked.version, asked.builtOn)
+	for requested := range j.accepted {
+		if !taken[requested.appliedUpdate()] {
+			j.failf("version %d on %d was confirmed and is lost", requested.version, requested.builtOn)
 		}
 	}
-	for asked := range j.refused {
-		if taken[asked.record()] {
-			j.failf("version %d on %d was refused and is in force", asked.version, asked.builtOn)
+	for requested := range j.refused {
+		if taken[requested.appliedUpdate()] {
+			j.failf("version %d on %d was refused and is in force", requested.version, requested.builtOn)
 		}
 	}
 }
 
-// record is how a change is remembered once it is taken.
-func (o order) record() configuration.AppliedUpdate {
+// appliedUpdate is how a change is remembered once it is taken.
+func (o change) appliedUpdate() configuration.AppliedUpdate {
 	record := configuration.AppliedUpdate{Version: o.version, IfMatch: o.builtOn}
 	sum := sha256.Sum256([]byte(o.body))
 	copy(record.Sum[:], sum[:])
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -23,38 +23,38 @@
 )
 
 const (
-	service = "x"
-	holdMax = 6 * time.Second
+	service  = "x"
+	maxLease = 6 * time.Second
 )
 
 var group = feed.GroupOf(service)
 
 // machine is a core node or an agent, with one process.
 type machine struct {
-	world   *world
-	address string
-	disk    *storage.Memory // nil at an agent
-
-	mutex   sync.Mutex
-	life    int // number of the present process
-	up      bool
-	taken   bool          // some trouble has it
-	froze   time.Time     // it has stood still since then
-	thaws   time.Time     // and will until then
-	stalled time.Duration // that each write takes
-	handler http.Handler  // of internal calls
-	end     context.CancelFunc
-	tasks   *sync.WaitGroup
-
-	register     *register.Register
-	configurator *configuration.Configurator
-	operator     http.Handler
-	node         *replication.Node
-	jobs         *manager.Manager
-	agent        *agent.Agent
+	simulation *simulation
+	address    string
+	disk       *storage.Memory // nil at an agent
+
+	mutex       sync.Mutex
+	incarnation int // number of the present process
+	up          bool
+	hasFault    bool          // some trouble has it
+	pausedAt    time.Time     // it has stood still since then
+	pausedUntil time.Time     // and will until then
+	writeDelay  time.Duration // that each write takes
+	handler     http.Handler  // of internal calls
+	end         context.CancelFunc
+	tasks       *sync.WaitGroup
+
+	register        *register.Register
+	configurator    *configuration.Configurator
+	operatorHandler http.Handler
+	node            *replication.Node
+	jobs            *manager.Manager
+	agent           *agent.Agent
 }
 
-func (m *machine) agentNow() *agent.Agent {
+func (m *machine) currentAgent() *agent.Agent {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.agent
@@ -66,11 +66,11 @@
 	return m.up
 }
 
-// lives tells whether the process of that number is the present one.
-func (m *machine) lives(life int) bool {
+// isCurrent tells whether the process of that number is the present one.
+func (m *machine) isCurrent(incarnation int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.up && m.life == life
+	return m.up && m.incarnation == incarnation
 }
 
 func (m *machine) mux() http.Handler {
@@ -79,24 +79,24 @@
 	return m.handler
 }
 
-// standStill waits while the process stands still, and returns its number.
-func (m *machine) standStill() (life int) {
+// awaitResume waits while the process stands still, and returns its number.
+func (m *machine) awaitResume() (incarnation int) {
 	for {
 		m.mutex.Lock()
-		life = m.life
-		left := time.Until(m.thaws)
+		incarnation = m.incarnation
+		remaining := time.Until(m.pausedUntil)
 		m.mutex.Unlock()
-		if left <= 0 {
-			return life
+		if remaining <= 0 {
+			return incarnation
 		}
-		<-time.After(left)
+		<-time.After(remaining)
 	}
 }
 
-func (m *machine) freeze(length time.Duration) {
+func (m *machine) pause(length time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.froze, m.thaws = time.Now(), time.Now().Add(length)
+	m.pausedAt, m.pausedUntil = time.Now(), time.Now().Add(length)
 }
 
 // Now implements replication.Clock. A process that stands still sees no time pass, and then a leap.
@@ -104,42 +104,42 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	if now.Before(m.thaws) {
-		now = m.froze
+	if now.Before(m.pausedUntil) {
+		now = m.pausedAt
 	}
-	return now.Sub(m.world.begin)
+	return now.Sub(m.simulation.begin)
 }
 
-func (m *machine) stall(each time.Duration) {
+func (m *machine) setWriteDelay(each time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.stalled = each
+	m.writeDelay = each
 }
 
 // diskTime is how long a write takes.
 func (m *machine) diskTime() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return 2*time.Millisecond + m.stalled
+	return 2*time.Millisecond + m.writeDelay
 }
 
 // store is a process's disk, whose writes take time and end with the process. The register's acceptor writes under a lock, and
 // virtual time stands still while anyone waits for a lock; its writes take no time, and its answers wait for the disk instead.
 type store struct {
 	*storage.Memory
-	machine *machine
-	life    int
+	machine     *machine
+	incarnation int
 }
 
 // Write implements storage.Store.
 func (s store) Write(changes ...storage.Change) error {
-	s.machine.standStill()
+	s.machine.awaitResume()
 	<-time.After(s.machine.diskTime())
-	if !s.machine.lives(s.life) {
+	if !s.machine.isCurrent(s.incarnation) {
 		return errDown
 	}
 	err := s.Memory.Write(changes...)
-	s.machine.standStill()
+	s.machine.awaitResume()
 	return err
 }
 
@@ -147,14 +147,14 @@
 func (m *machine) startCore() {
 	ctx, end := context.WithCancel(context.Background())
 	m.mutex.Lock()
-	m.life++
-	life := m.life
+	m.incarnation++
+	incarnation := m.incarnation
 	m.mutex.Unlock()
-	w := m.world
-	caller := endpoint{w.network, m, life}
-	view := func() replicaset.View { return w.view }
+	w := m.simulation
+	caller := endpoint{w.network, m, incarnation}
+	view := func() replicaset.View { return w.membership }
 	ready := func() bool { return true }
-	disk := store{m.disk, m, life}
+	disk := store{m.disk, m, incarnation}
 	mux := transport.NewMux()
 	acceptor := register.NewAcceptor(register.AcceptorConfig{Name: "configuration", Store: m.disk, Ready: ready, View: view})
 	acceptor.Serve(mux)
@@ -164,15 +164,15 @@
 	})
 	configurator.Mount(mux)
 	jobs := manager.New(manager.Config{
-		HTTP: &http.Client{Transport: &orders{w, m, life}}, Log: zap.NewNop(),
+		HTTP: &http.Client{Transport: &workerTransport{w, m, incarnation}}, Log: zap.NewNop(),
 		Settings: scheduler.Settings{
 			RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-			MaxLease: holdMax, DrainTime: 3 * time.Second, StatusRetention: time.Hour,
+			MaxLease: maxLease, DrainTime: 3 * time.Second, StatusRetention: time.Hour,
 		},
 	})
 	jobs.SetInventory(w.instances)
 	node, err := replication.NewNode(replication.Config{
-		Self: m.address, Store: disk, Caller: caller, View: view, Ready: ready, Handler: &witness{jobs, w.judge, m.address}, Clock: m,
+		Self: m.address, Store: disk, Caller: caller, View: view, Ready: ready, Handler: &electionObserver{jobs, w.checker, m.address}, Clock: m,
 	})
 	if err != nil {
 		panic(err)
@@ -182,7 +182,7 @@
 	server := feedserver.New(feedserver.Options{
 		Caller: caller, Address: m.address, Logger: zap.NewNop(),
 		Sources: feedserver.Sources{
-			Configuration: configurator.Current, Leaders: node.Leaders, Core: func() []string { return w.view.Members },
+			Configuration: configurator.Current, Leaders: node.Leaders, Core: func() []string { return w.membership.Members },
 			InContact: func() bool { return node.InContact() && configurator.Fresh(configuration.FreshAge) },
 			Changed:   []func() <-chan struct{}{configurator.Changed, node.Changed},
 		},
@@ -195,7 +195,7 @@
 	node.Ensure(group)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.handler, m.operator, m.configurator = mux, control.New(ctx, configurator, zap.NewNop()), configurator
+	m.handler, m.operatorHandler, m.configurator = mux, control.New(ctx, configurator, zap.NewNop()), configurator
 	m.register, m.node, m.jobs, m.up, m.end, m.tasks = proposer, node, jobs, true, end, tasks
 }
 
@@ -204,9 +204,9 @@
 	ctx, end := context.WithCancel(context.Background())
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.life++
+	m.incarnation++
 	m.agent = agent.New(agent.Config{
-		Address: m.address, Seeds: m.world.view.Members, Caller: endpoint{m.world.network, m, m.life}, Logger: zap.NewNop(),
+		Address: m.address, Seeds: m.simulation.membership.Members, Caller: endpoint{m.simulation.network, m, m.incarnation}, Logger: zap.NewNop(),
 	})
 	mux := transport.NewMux()
 	m.agent.Mount(mux)
@@ -218,7 +218,7 @@
 // kill ends the process at once: nothing of it leaves or reaches the disk any more.
 func (m *machine) kill() {
 	m.mutex.Lock()
-	m.up, m.thaws = false, time.Time{}
+	m.up, m.pausedUntil = false, time.Time{}
 	end, tasks, jobs := m.end, m.tasks, m.jobs
 	m.mutex.Unlock()
 	end()
--- a/internal/systemtest/controlmodel/main_test.go
+++ b/internal/systemtest/controlmodel/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// garbage is how much of it may gather, in percent of what is in use: the worlds are small and short-lived.
-const garbage = 800
+// gcPercent is how much of it may gather, in percent of what is in use: the worlds are small and short-lived.
+const gcPercent = 800
 
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(garbage)
+	debug.SetGCPercent(gcPercent)
 	os.Exit(m.Run())
 }
--- a/internal/systemtest/controlmodel/network_test.go
+++ b/internal/systemtest/controlmodel/network_test.go
@@ -26,44 +26,44 @@
 )
 
 const (
-	longestWay    = 4 * time.Millisecond
-	longestDelay  = 900 * time.Millisecond // of a message that is late
+	maxTransfer   = 4 * time.Millisecond
+	maxDelay      = 900 * time.Millisecond // of a message that is late
 	registerPaths = "/register/"
 	largeBytes    = 120 // of messages that a link with trouble of that kind loses
 )
 
-// way is one direction between two machines.
-type way struct{ from, to string }
+// link is one direction between two machines.
+type link struct{ from, to string }
 
 // network carries calls between machines. What happens to a message depends on the seed, its way and its number there, and
 // not on the order in which goroutines run.
 type network struct {
 	seed uint64
 
-	mutex    sync.Mutex
-	machines map[string]*machine
-	numbers  map[string]uint64
-	cuts     map[way]bool
-	narrow   map[string]bool // machines whose large messages to and from others are lost
-	loss     float64
-	double   float64
-	late     float64
+	mutex       sync.Mutex
+	machines    map[string]*machine
+	numbers     map[string]uint64
+	partitioned map[link]bool
+	losesLarge  map[string]bool // machines whose large messages to and from others are lost
+	loss        float64
+	duplication float64
+	delay       float64
 }
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		seed: seed, machines: map[string]*machine{}, numbers: map[string]uint64{}, cuts: map[way]bool{}, narrow: map[string]bool{},
+		seed: seed, machines: map[string]*machine{}, numbers: map[string]uint64{}, partitioned: map[link]bool{}, losesLarge: map[string]bool{},
 	}
 }
 
-// fate is what happens to a message.
-type fate struct {
-	lost, doubled bool
-	delay, again  time.Duration
+// messageFate is what happens to a message.
+type messageFate struct {
+	lost, duplicated      bool
+	delay, duplicateDelay time.Duration
 }
 
 // draw decides on the next message of a way and a path.
-func (n *network) draw(from, to, path string, size int) fate {
+func (n *network) draw(from, to, path string, size int) messageFate {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	key := from + " " + to + path
@@ -72,18 +72,18 @@
 		hash := xxh3.HashStringSeed(key, n.seed^n.numbers[key]<<8^use<<56)
 		return float64(hash>>11) / (1 << 53)
 	}
-	f := fate{lost: n.cuts[way{from, to}] || chances(1) < n.loss, doubled: chances(2) < n.double}
-	f.lost = f.lost || size > largeBytes && (n.narrow[from] || n.narrow[to])
-	f.delay = time.Duration(chances(3) * float64(longestWay))
-	f.again = time.Duration(chances(4) * float64(longestDelay))
-	if chances(5) < n.late {
-		f.delay = f.again
+	f := messageFate{lost: n.partitioned[link{from, to}] || chances(1) < n.loss, duplicated: chances(2) < n.duplication}
+	f.lost = f.lost || size > largeBytes && (n.losesLarge[from] || n.losesLarge[to])
+	f.delay = time.Duration(chances(3) * float64(maxTransfer))
+	f.duplicateDelay = time.Duration(chances(4) * float64(maxDelay))
+	if chances(5) < n.delay {
+		f.delay = f.duplicateDelay
 	}
 	return f
 }
 
-// set changes the network's troubles.
-func (n *network) set(change func(*network)) {
+// update changes the network's troubles.
+func (n *network) update(change func(*network)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	change(n)
@@ -97,9 +97,9 @@
 
 // endpoint is one process's transport.Caller; it stops with the process.
 type endpoint struct {
-	network *network
-	from    *machine
-	life    int
+	network     *network
+	from        *machine
+	incarnation int
 }
 
 // Call implements transport.Caller.
@@ -109,24 +109,24 @@
 	if err != nil {
 		return rpcerror.WrapNotExecuted(err, 0)
 	}
-	e.from.standStill()
-	if !e.from.lives(e.life) {
+	e.from.awaitResume()
+	if !e.from.isCurrent(e.incarnation) {
 		return rpcerror.WrapNotExecuted(errDown, 0)
 	}
 	answers := make(chan *httptest.ResponseRecorder, 2)
 	sent := e.network.draw(e.from.address, address, path, len(body))
 	if !sent.lost {
 		go e.network.deliver(ctx, sent.delay, e.from.address, address, path, body, answers)
-		if sent.doubled {
-			go e.network.deliver(ctx, sent.again, e.from.address, address, path, body, make(chan *httptest.ResponseRecorder, 1))
+		if sent.duplicated {
+			go e.network.deliver(ctx, sent.duplicateDelay, e.from.address, address, path, body, make(chan *httptest.ResponseRecorder, 1))
 		}
 	}
 	select {
 	case answer := <-answers:
-		e.from.standStill()
+		e.from.awaitResume()
 		return decode(answer, reply)
 	case <-ctx.Done():
-		e.from.standStill()
+		e.from.awaitResume()
 		return rpcerror.WrapMayHaveExecuted(errLost)
 	}
 }
@@ -141,14 +141,14 @@
 		answers <- answer
 		return
 	}
-	life := target.standStill()
+	incarnation := target.awaitResume()
 	target.mux().ServeHTTP(answer, request(ctx, path, body))
-	target.standStill()
+	target.awaitResume()
 	if strings.HasPrefix(path, registerPaths) {
 		<-time.After(target.diskTime())
 	}
 	back := n.draw(to, from, path, answer.Body.Len())
-	if back.lost || !target.lives(life) {
+	if back.lost || !target.isCurrent(incarnation) {
 		return
 	}
 	<-time.After(back.delay)
--- a/internal/systemtest/controlmodel/schedules_test.go
+++ b/internal/systemtest/controlmodel/schedules_test.go
@@ -32,7 +32,7 @@
 		first, _ = strconv.ParseUint(text, 10, 64)
 		count = 1
 	}
-	seen := &sums{counts: map[string]int{}}
+	seen := &checkCounts{counts: map[string]int{}}
 	t.Run("seeds", func(t *testing.T) {
 		shards := uint64(runtime.GOMAXPROCS(0))
 		for shard := range shards {
@@ -47,23 +47,23 @@
 	t.Logf("%d schedules: %v", count, seen.counts)
 }
 
-func playSeed(t *testing.T, seed uint64, seen *sums) {
+func playSeed(t *testing.T, seed uint64, seen *checkCounts) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWorld(seed)
-		for _, violation := range w.play() {
+		w := newSimulation(seed)
+		for _, violation := range w.run() {
 			t.Errorf("seed %d: %s\n%v", seed, violation, w)
 		}
-		seen.add(w.judge.seen)
+		seen.add(w.checker.counts)
 	})
 }
 
-// sums counts what was judged, to see that there was something to judge.
-type sums struct {
+// checkCounts counts what was judged, to see that there was something to judge.
+type checkCounts struct {
 	mutex  sync.Mutex
 	counts map[string]int
 }
 
-func (s *sums) add(seen map[string]int) {
+func (s *checkCounts) add(seen map[string]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for kind, count := range seen {
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -14,7 +14,7 @@
 )
 
 // Many goroutines look at timers that are due at one moment. Without the limit this ends the process under the race detector.
-func TestTimersOfOneMoment(t *testing.T) {
+func TestSimultaneousTimers(t *testing.T) {
 	const goroutines, rounds = 64, 400
 	Test(t, func(t *testing.T) {
 		var all sync.WaitGroup
@@ -36,7 +36,7 @@
 }
 
 // The limit holds while any bubble runs, and ends with the last.
-func TestProcessorLimit(t *testing.T) {
+func TestProcessorLimitLastsUntilTheLastBubbleEnds(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	var limit processorLimit
 	limit.limit()
@@ -57,7 +57,7 @@
 }
 
 // Every bubble of the repository goes through this package.
-func TestNoOtherBubbles(t *testing.T) {
+func TestOnlyThisPackageStartsBubbles(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
