--- a/internal/tools/fleettest/binaries_test.go
+++ b/internal/tools/fleettest/binaries_test.go
@@ -23,8 +23,8 @@
 	return m.Run()
 }
 
-// withPoints is the tag of a build whose numbered points can be armed.
-const withPoints = "failpoints"
+// failpointsTag is the tag of a build whose numbered points can be armed.
+const failpointsTag = "failpoints"
 
 // Build hands out the binary with the tags named. All are made before the first is handed out: a compiler takes every core,
 // and no world is to run beside one.
@@ -39,7 +39,7 @@
 			t.Fatal(err)
 		}
 		b.dir, b.made = dir, map[string]string{}
-		for _, each := range []string{"", withPoints} {
+		for _, each := range []string{"", failpointsTag} {
 			path := filepath.Join(dir, "puffinlink-"+each)
 			if out, err := exec.Command("go", "build", "-tags", each, "-o", path, "puffinlink.example/puffinlink/cmd/puffinlink").CombinedOutput(); err != nil {
 				t.Fatalf("%v: %s", err, out)
@@ -53,8 +53,8 @@
 	return b.made[tags]
 }
 
-// Broken makes a binary of a copy in which a piece of a file of the repository is another, as a mistake would have it.
-func Broken(t testing.TB, file, old, fresh string) (path string) {
+// BuildModified makes a binary of a copy in which a piece of a file of the repository is another, as a mistake would have it.
+func BuildModified(t testing.TB, file, old, fresh string) (path string) {
 	t.Helper()
 	full, err := filepath.Abs(filepath.Join("..", "..", file))
 	if err != nil {
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Judge notes what clients and backends saw, and holds it against what was agreed on. It knows nothing of how aggregators do it.
-type Judge struct {
-	mu        sync.Mutex
-	queries   []query
-	calls     []partCall
-	contracts []contract
+// Checker notes what clients and backends saw, and holds it against what was agreed on. It knows nothing of how aggregators do it.
+type Checker struct {
+	mu         sync.Mutex
+	queries    []query
+	subqueries []subquery
+	contracts  []contract
 }
 
 // query is one that ended: it was admitted at some time from sent to ended, if at all.
@@ -24,7 +24,7 @@
 	text               string // of an answer that is none: why
 }
 
-type partCall struct {
+type subquery struct {
 	backend, zone, tenant string
 	at                    time.Time
 }
@@ -37,29 +37,31 @@
 	until  time.Time // zero for still
 }
 
-// NewJudge has seen nothing.
-func NewJudge() *Judge { return &Judge{} }
+// NewChecker has seen nothing.
+func NewChecker() *Checker { return &Checker{} }
 
-// Called notes a part call at a backend, by its query, which begins with the tenant's name.
-func (j *Judge) Called(backend, zone, query string) {
+// RecordSubquery notes a part call at a backend, by its query, which begins with the tenant's name.
+func (j *Checker) RecordSubquery(backend, zone, query string) {
 	tenant, _, _ := strings.Cut(query, " ")
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls = append(j.calls, partCall{backend, zone, tenant, time.Now()})
+	j.subqueries = append(j.subqueries, subquery{backend, zone, tenant, time.Now()})
 }
 
-// Ended notes the end of a query.
-func (j *Judge) Ended(aggregator, tenant string, sent time.Time, status int, text string) {
+// RecordQuery notes the end of a query.
+func (j *Checker) RecordQuery(aggregator, tenant string, sent time.Time, status int, text string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.queries = append(j.queries, query{aggregator, tenant, sent, time.Now(), status, text})
 }
 
-// Holds says that from now on no part call of a tenant may begin outside of zones; what it held before it says no more.
-func (j *Judge) Holds(tenant string, zones ...string) { j.HoldsFrom(time.Now(), tenant, zones...) }
+// RequireZones says that from now on no part call of a tenant may begin outside of zones; what it held before it says no more.
+func (j *Checker) RequireZones(tenant string, zones ...string) {
+	j.RequireZonesFrom(time.Now(), tenant, zones...)
+}
 
-// HoldsFrom is the same from a time on.
-func (j *Judge) HoldsFrom(from time.Time, tenant string, zones ...string) {
+// RequireZonesFrom is the same from a time on.
+func (j *Checker) RequireZonesFrom(from time.Time, tenant string, zones ...string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i := range j.contracts {
@@ -70,11 +72,11 @@
 	j.contracts = append(j.contracts, contract{tenant: tenant, zones: zones, from: from})
 }
 
-// Outside tells the part calls that began where a contract let none go.
-func (j *Judge) Outside() (wrong []string) {
+// ContractViolations tells the part calls that began where a contract let none go.
+func (j *Checker) ContractViolations() (wrong []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, c := range j.calls {
+	for _, c := range j.subqueries {
 		for _, k := range j.contracts {
 			if c.tenant == k.tenant && c.at.After(k.from) && (k.until.IsZero() || c.at.Before(k.until)) && !slices.Contains(k.zones, c.zone) {
 				wrong = append(wrong, fmt.Sprintf("%s: a part call began at %s in %s, %s after the contract held that allows %q", c.tenant, c.backend, c.zone,
@@ -86,7 +88,7 @@
 }
 
 // admitted lists those of a tenant that were.
-func (j *Judge) admitted(tenant string, aggregator string) (list []query) {
+func (j *Checker) admitted(tenant string, aggregator string) (list []query) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, l := range j.queries {
@@ -97,10 +99,10 @@
 	return list
 }
 
-// Over tells by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
+// QuotaExcess tells by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
 // window only where sending and answer both lie in it, so that nothing is counted that may have been admitted outside. A
 // query that is refused after it was admitted, or lost, is not seen, which only lessens the count.
-func (j *Judge) Over(tenant string, perS, burst float64) (over float64, window string) {
+func (j *Checker) QuotaExcess(tenant string, perS, burst float64) (over float64, window string) {
 	list := j.admitted(tenant, "")
 	if len(list) == 0 {
 		return 0, ""
@@ -136,7 +138,7 @@
 }
 
 // Rate is how many of a tenant's queries were admitted a second between two times, at one aggregator or at all.
-func (j *Judge) Rate(tenant, aggregator string, from, to time.Time) float64 {
+func (j *Checker) Rate(tenant, aggregator string, from, to time.Time) float64 {
 	n := 0
 	for _, l := range j.admitted(tenant, aggregator) {
 		if l.sent.After(from) && l.ended.Before(to) {
@@ -146,8 +148,8 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-// Lost counts queries without a final answer, but for those of aggregators that were killed.
-func (j *Judge) Lost(but ...string) (n int) {
+// Unanswered counts queries without a final answer, but for those of aggregators that were killed.
+func (j *Checker) Unanswered(but ...string) (n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, l := range j.queries {
@@ -158,8 +160,8 @@
 	return n
 }
 
-// Reasons counts the queries that were not admitted, by aggregator, status and text.
-func (j *Judge) Reasons() map[string]int {
+// RejectionReasons counts the queries that were not admitted, by aggregator, status and text.
+func (j *Checker) RejectionReasons() map[string]int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := map[string]int{}
@@ -171,8 +173,8 @@
 	return n
 }
 
-// Statuses counts a tenant's answers since a time, at one aggregator or at all.
-func (j *Judge) Statuses(tenant, aggregator string, since time.Time) map[int]int {
+// StatusCounts counts a tenant's answers since a time, at one aggregator or at all.
+func (j *Checker) StatusCounts(tenant, aggregator string, since time.Time) map[int]int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := map[int]int{}
@@ -185,7 +187,7 @@
 }
 
 // P99 is the time that 99 of 100 of a tenant's answers took, of those asked between two times.
-func (j *Judge) P99(tenant string, from, to time.Time) time.Duration {
+func (j *Checker) P99(tenant string, from, to time.Time) time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var took []time.Duration
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Ask sends a query and tells its answer's status, 0 where there is none. What is answered well or in part is noted as
+// Query sends a query and tells its answer's status, 0 where there is none. What is answered well or in part is noted as
 // admitted, at some time between its sending and its answer.
-func (w *World) Ask(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
+func (w *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
 	id := w.lastID.Add(1)
 	var body strings.Builder
 	body.WriteString(`{"targets":[`)
@@ -33,25 +33,25 @@
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
 	res, request, err := w.send(req, query)
-	if err != nil && request.unasked() { // once more, as every client may that has not asked yet
+	if err != nil && request.closedBeforeSend() { // once more, as every client may that has not asked yet
 		req.Body, _ = req.GetBody()
 		res, request, err = w.send(req, query)
 	}
 	if err != nil {
-		w.Judge.Ended(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
+		w.Checker.RecordQuery(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
 	answer, _ := io.ReadAll(res.Body)
-	w.Judge.Ended(m.Name, tenant, sent, res.StatusCode, string(answer))
+	w.Checker.RecordQuery(m.Name, tenant, sent, res.StatusCode, string(answer))
 	return res.StatusCode, string(answer)
 }
 
-// silenceMost is how long an aggregator lets a connection stand on which nothing was asked yet (clients are owed an end by then).
-const silenceMost = 2 * time.Second
+// idleTimeout is how long an aggregator lets a connection stand on which nothing was asked yet (clients are owed an end by then).
+const idleTimeout = 2 * time.Second
 
-// request is what the client's side of one saw of its connection; zero times for what did not happen.
-type request struct {
+// connectionTrace is what the client's side of one saw of its connection; zero times for what did not happen.
+type connectionTrace struct {
 	mu           sync.Mutex
 	began, ended time.Time
 	// connected is when the connection was begun, only where this is the first on it: on a machine that stands still the other side
@@ -59,19 +59,19 @@
 	connected, wrote time.Time
 }
 
-// unasked tells whether the connection stood silent for so long before the request was written, as on a machine that stands
+// closedBeforeSend tells whether the connection stood silent for so long before the request was written, as on a machine that stands
 // still, that the aggregator had ended it by then: nobody was asked.
-func (r *request) unasked() bool {
+func (r *connectionTrace) closedBeforeSend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	spoke := r.wrote
 	if spoke.IsZero() {
 		spoke = r.ended
 	}
-	return !r.connected.IsZero() && spoke.Sub(r.connected) >= silenceMost
+	return !r.connected.IsZero() && spoke.Sub(r.connected) >= idleTimeout
 }
 
-func (r *request) String() string {
+func (r *connectionTrace) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := func(t time.Time) string {
@@ -84,9 +84,9 @@
 }
 
 // send sends a request and notes how its connection was used, and how often the query went out.
-func (w *World) send(req *http.Request, query string) (*http.Response, *request, error) {
-	r := &request{began: time.Now()}
-	counted, _ := w.sent.LoadOrStore(query, &atomic.Int64{})
+func (w *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
+	r := &connectionTrace{began: time.Now()}
+	counted, _ := w.timesSent.LoadOrStore(query, &atomic.Int64{})
 	note := func(at *time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -112,7 +112,7 @@
 }
 
 // Load asks at a mean rate until it is stopped, each query by itself.
-func (w *World) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
+func (w *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -124,7 +124,7 @@
 				return
 			}
 			if m := pick(n); m != nil {
-				all.Go(func() { w.Ask(m, tenant, index, n%w.Site.Shards, (n+1)%w.Site.Shards) })
+				all.Go(func() { w.Query(m, tenant, index, n%w.Site.Shards, (n+1)%w.Site.Shards) })
 			}
 		}
 	})
@@ -132,10 +132,10 @@
 	return func() { end(); all.Wait() }
 }
 
-// sentTimes is how often the client sent a query, of which a part is named by its text and its shard.
-func (w *World) sentTimes(part string) int64 {
+// timesSentOf is how often the client sent a query, of which a part is named by its text and its shard.
+func (w *Cluster) timesSentOf(part string) int64 {
 	query := part[:max(0, strings.LastIndexByte(part, ' '))]
-	if n, known := w.sent.Load(query); known {
+	if n, known := w.timesSent.Load(query); known {
 		return n.(*atomic.Int64).Load()
 	}
 	return 1
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -23,41 +23,41 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-// Patience bounds what is waited for, which comes soon unless something is broken.
-const Patience = time.Minute
+// Timeout bounds what is waited for, which comes soon unless something is broken.
+const Timeout = time.Minute
 
 // Options are a world's.
 type Options struct {
-	Aggregators int
-	Voters      int
-	LeaseS      float64
-	Quotas      string // the section's text; "" for none
-	Contracts   string
-	Tenants     []string // beside acme, bolt and cato
-	Plain       bool     // without numbered points
-	NoFleet     bool     // aggregators share nothing, to compare with
-	Keeps       bool     // all aggregators keep a directory, and not the voters alone
-	Backends    int
-	Service     time.Duration
-	Env         func(aggregator int) []string
-	Binary      string // to start instead of the program as it is
-	Tended      bool   // from the first moment on, as processes may be killed by what Env arms
+	Aggregators       int
+	Voters            int
+	LeaseS            float64
+	Quotas            string // the section's text; "" for none
+	Contracts         string
+	Tenants           []string // beside acme, bolt and cato
+	WithoutFailpoints bool     // without numbered points
+	NoFleet           bool     // aggregators share nothing, to compare with
+	DirectoryForAll   bool     // all aggregators keep a directory, and not the voters alone
+	Backends          int
+	Service           time.Duration
+	Env               func(aggregator int) []string
+	Binary            string // to start instead of the program as it is
+	Supervised        bool   // from the first moment on, as processes may be killed by what Env arms
 }
 
-// World is a fleet with all that is around it.
-type World struct {
+// Cluster is a fleet with all that is around it.
+type Cluster struct {
 	testing.TB
 	Options
-	Site        fakes.Site
-	Aggregators []*Aggregator
-	Backends    []*fakes.Backend
-	Judge       *Judge
-	relays      map[[2]int]*Relay // from one aggregator to another
-	dir         string
-	client      *http.Client
-	lastID      atomic.Int64
-	sent        sync.Map                      // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
-	Tending     func() (killed []*Aggregator) // ends the tending and tells who was killed
+	Site            fakes.Site
+	Aggregators     []*Aggregator
+	Backends        []*fakes.Backend
+	Checker         *Checker
+	relays          map[[2]int]*Relay // from one aggregator to another
+	dir             string
+	client          *http.Client
+	lastID          atomic.Int64
+	timesSent       sync.Map                      // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
+	StopSupervising func() (killed []*Aggregator) // ends the tending and tells who was killed
 }
 
 // Aggregator is one process, with what only it sees.
@@ -65,27 +65,27 @@
 	Name, Zone string
 	Listen     string
 
-	world    *World
-	no       int
-	twin     string // sets a second process of one name apart
-	address  string // of its own fleet's sockets
-	register *fakes.Register
-	before   []*Relay // of each backend
-	dir      string
-	env      []string
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	ended    chan struct{}
-	log      string
-	client   *api.Client
+	cluster       *Cluster
+	index         int
+	suffix        string // sets a second process of one name apart
+	address       string // of its own fleet's sockets
+	discovery     *fakes.Register
+	backendRelays []*Relay // of each backend
+	dir           string
+	env           []string
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	ended         chan struct{}
+	log           string
+	client        *api.Client
 }
 
 // Start starts a world. Aggregators and backends stand in zones a, b and c by turns; each shard is held in two zones.
-func Start(t testing.TB, o Options) *World {
+func Start(t testing.TB, o Options) *Cluster {
 	t.Helper()
-	Build(t, withPoints)
-	takePlaces(t, o.Aggregators)
-	w := newWorld(t, o)
+	Build(t, failpointsTag)
+	acquireSlots(t, o.Aggregators)
+	w := newCluster(t, o)
 	for i := range w.Options.Backends {
 		w.addBackend(i)
 	}
@@ -96,15 +96,15 @@
 	for _, m := range w.Aggregators {
 		m.Start()
 	}
-	if o.Tended {
-		stop := w.tend()
+	if o.Supervised {
+		stop := w.supervise()
 		var killed []*Aggregator
 		once := sync.OnceFunc(func() { killed = stop() })
-		w.Tending = func() []*Aggregator { once(); return killed }
+		w.StopSupervising = func() []*Aggregator { once(); return killed }
 	}
-	t.Cleanup(w.end)
+	t.Cleanup(w.shutDown)
 	for _, m := range w.Aggregators {
-		w.Until(m.Name+" serves", func() bool { return m.up() })
+		w.Await(m.Name+" serves", func() bool { return m.isServing() })
 	}
 	return w
 }
@@ -117,12 +117,12 @@
 	usualService  = 2 * time.Millisecond
 )
 
-// newWorld is one with its directory and key, and nothing else yet.
-func newWorld(t testing.TB, o Options) *World {
+// newCluster is one with its directory and key, and nothing else yet.
+func newCluster(t testing.TB, o Options) *Cluster {
 	t.Helper()
 	o.Backends, o.Voters = max(o.Backends, leastBackends), max(o.Voters, leastVoters)
 	o.LeaseS, o.Service = cmp.Or(o.LeaseS, usualLeaseS), cmp.Or(o.Service, usualService)
-	w := &World{TB: t, Options: o, relays: map[[2]int]*Relay{}, Judge: NewJudge(),
+	w := &Cluster{TB: t, Options: o, relays: map[[2]int]*Relay{}, Checker: NewChecker(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
 		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Backends, Width: 2, Shards: o.Backends, Aggregators: o.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
 			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1, Minimum: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}}
@@ -139,32 +139,32 @@
 }
 
 // addBackend starts a stand-in for a backend, whose calls the judge notes.
-func (w *World) addBackend(i int) {
+func (w *Cluster) addBackend(i int) {
 	w.Helper()
 	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
 	w.must(err)
-	s.OnCall = func(query string, _ int) { w.Judge.Called(s.Name, s.Zone, query) }
+	s.OnCall = func(query string, _ int) { w.Checker.RecordSubquery(s.Name, s.Zone, query) }
 	w.Cleanup(s.Kill)
 	w.Backends = append(w.Backends, s)
 }
 
 // addAggregator prepares an aggregator: its addresses, its list of backends, and a relay before each of them. It does not start it.
-func (w *World) addAggregator(i int) {
+func (w *Cluster) addAggregator(i int) {
 	w.Helper()
-	m := &Aggregator{world: w, no: i, Name: fmt.Sprintf("m%d", i), Zone: w.Site.Zones[i%3], dir: w.path(fmt.Sprintf("d%d", i))}
+	m := &Aggregator{cluster: w, index: i, Name: fmt.Sprintf("m%d", i), Zone: w.Site.Zones[i%3], dir: w.path(fmt.Sprintf("d%d", i))}
 	m.Listen, m.address = w.port(), w.port()
 	var err error
-	m.register, err = fakes.NewRegister()
+	m.discovery, err = fakes.NewRegister()
 	w.must(err)
-	w.Cleanup(m.register.Close)
+	w.Cleanup(m.discovery.Close)
 	for j, s := range w.Backends {
 		e := s.Entry("SERVING", true)
 		r, err := NewRelay(e.Address, false, uint64(1000*i+j))
 		w.must(err)
 		w.Cleanup(r.Close)
 		e.Address = r.Address()
-		m.before = append(m.before, r)
-		m.register.Set(e)
+		m.backendRelays = append(m.backendRelays, r)
+		m.discovery.Set(e)
 	}
 	if w.Env != nil {
 		m.env = w.Env(i)
@@ -173,7 +173,7 @@
 }
 
 // addLinks starts a relay from each aggregator to each other.
-func (w *World) addLinks() {
+func (w *Cluster) addLinks() {
 	w.Helper()
 	for i, from := range w.Aggregators {
 		for j, to := range w.Aggregators {
@@ -183,15 +183,15 @@
 			r, err := NewRelay(to.address, true, uint64(i*64+j))
 			w.must(err)
 			w.Cleanup(r.Close)
-			w.relays[[2]int{from.no, to.no}] = r
+			w.relays[[2]int{from.index, to.index}] = r
 		}
 	}
 }
 
-// end kills all processes, and tells of a test that failed what its queries were told and where the logs are.
-func (w *World) end() {
-	if w.Tending != nil {
-		w.Tending()
+// shutDown kills all processes, and tells of a test that failed what its queries were told and where the logs are.
+func (w *Cluster) shutDown() {
+	if w.StopSupervising != nil {
+		w.StopSupervising()
 	}
 	for _, m := range w.Aggregators {
 		m.Kill()
@@ -199,7 +199,7 @@
 	if !w.Failed() {
 		return
 	}
-	for text, n := range w.Judge.Reasons() { // of what was not admitted
+	for text, n := range w.Checker.RejectionReasons() { // of what was not admitted
 		w.Logf("%d lookups: %s", n, text)
 	}
 	w.Logf("logs are in %s", w.dir)
@@ -209,7 +209,7 @@
 // a relay that starts meanwhile could get one; another run of the tests begins elsewhere.
 var lastPort atomic.Int64
 
-func (w *World) port() string {
+func (w *Cluster) port() string {
 	w.Helper()
 	for range 10000 {
 		at := fmt.Sprintf("127.0.0.1:%d", 12000+(int64(os.Getpid())*97+lastPort.Add(1))%18000)
@@ -228,25 +228,25 @@
 	return ""
 }
 
-func (w *World) path(name string) string { return filepath.Join(w.dir, name) }
+func (w *Cluster) path(name string) string { return filepath.Join(w.dir, name) }
 
-func (w *World) must(err error) {
+func (w *Cluster) must(err error) {
 	w.Helper()
 	if err != nil {
 		w.Fatal(err)
 	}
 }
 
-// askPause keeps what tests ask under the rate that operators may ask at.
-const askPause = 100 * time.Millisecond
+// operatorCallInterval keeps what tests ask under the rate that operators may ask at.
+const operatorCallInterval = 100 * time.Millisecond
 
-// Until waits for something that is to come.
-func (w *World) Until(what string, is func() bool) {
+// Await waits for something that is to come.
+func (w *Cluster) Await(what string, is func() bool) {
 	w.Helper()
-	for late := time.Now().Add(Patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for late := time.Now().Add(Timeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			for _, m := range w.Aggregators {
-				text, _ := json.Marshal(m.Show())
+				text, _ := json.Marshal(m.FleetStatus())
 				w.Logf("%s shows %s", m.Name, text)
 			}
 			w.Fatalf("never: %s", what)
@@ -255,10 +255,10 @@
 }
 
 // Link is the relay from one aggregator to another.
-func (w *World) Link(from, to int) *Relay { return w.relays[[2]int{from, to}] }
+func (w *Cluster) Link(from, to int) *Relay { return w.relays[[2]int{from, to}] }
 
-// Links sets a fault on every link between two aggregators of which either says so.
-func (w *World) Links(f Fault, either func(from, to int) bool) {
+// SetLinkFaults sets a fault on every link between two aggregators of which either says so.
+func (w *Cluster) SetLinkFaults(f Fault, either func(from, to int) bool) {
 	for pair, r := range w.relays {
 		if either(pair[0], pair[1]) {
 			r.Set(f)
@@ -267,33 +267,33 @@
 }
 
 // Cut cuts a side of the fleet off from the others; with no one named it heals all links.
-func (w *World) Cut(side ...int) {
+func (w *Cluster) Partition(side ...int) {
 	in := map[int]bool{}
 	for _, i := range side {
 		in[i] = true
 	}
 	for pair, r := range w.relays {
-		r.Set(Fault{Cut: in[pair[0]] != in[pair[1]]})
+		r.Set(Fault{Partitioned: in[pair[0]] != in[pair[1]]})
 	}
 }
 
-// All picks every aggregator by turns.
-func (w *World) All(n int) *Aggregator { return w.Aggregators[n%len(w.Aggregators)] }
+// RoundRobin picks every aggregator by turns.
+func (w *Cluster) RoundRobin(n int) *Aggregator { return w.Aggregators[n%len(w.Aggregators)] }
 
 // Arming is the variable that arms a point.
 func Arming(p failpoint.Point, pass int, fault string) string {
 	return "PUFFINLINK_FAILPOINT=" + strconv.Itoa(int(p)) + ":" + strconv.Itoa(pass) + ":" + fault
 }
 
-// Rules checks what holds in every scenario: each query of an aggregator that was not killed got its answer, no order ran more often than
+// CheckInvariants checks what holds in every scenario: each query of an aggregator that was not killed got its answer, no order ran more often than
 // its client sent it, and no part call began outside of a contract.
-func (w *World) Rules(killed ...*Aggregator) {
+func (w *Cluster) CheckInvariants(killed ...*Aggregator) {
 	w.Helper()
 	var but []string
 	for _, m := range killed {
 		but = append(but, m.Name)
 	}
-	if n := w.Judge.Lost(but...); n > 0 {
+	if n := w.Checker.Unanswered(but...); n > 0 {
 		w.Errorf("%d lookups had no final answer", n)
 	}
 	times := map[string]int64{}
@@ -301,24 +301,24 @@
 		s.Executed(func(id string, n int64) { times[id] += n })
 	}
 	for id, n := range times {
-		if tenant, _, _ := strings.Cut(id, " "); n > max(1, w.sentTimes(id)) && tenant == OrdersOf {
-			w.Errorf("part %q of an order ran %d times, and was sent %d times", id, n, w.sentTimes(id))
+		if tenant, _, _ := strings.Cut(id, " "); n > max(1, w.timesSentOf(id)) && tenant == OrdersTenant {
+			w.Errorf("part %q of an order ran %d times, and was sent %d times", id, n, w.timesSentOf(id))
 		}
 	}
-	for i, wrong := range w.Judge.Outside() {
+	for i, wrong := range w.Checker.ContractViolations() {
 		if i < 5 {
 			w.Error(wrong)
 		}
 	}
 }
 
-// Quota checks that a tenant's queries stayed within its quota in every window.
-func (w *World) Quota(tenant string, perS, burst float64) {
+// CheckQuota checks that a tenant's queries stayed within its quota in every window.
+func (w *Cluster) CheckQuota(tenant string, perS, burst float64) {
 	w.Helper()
-	if over, window := w.Judge.Over(tenant, perS, burst); over > 0 {
+	if over, window := w.Checker.QuotaExcess(tenant, perS, burst); over > 0 {
 		w.Errorf("%s: %.1f over the quota: %s", tenant, over, window)
 	}
 }
 
-// OrdersOf is the tenant whose queries are orders, which run once.
-const OrdersOf = "bolt"
+// OrdersTenant is the tenant whose queries are orders, which run once.
+const OrdersTenant = "bolt"
--- a/internal/tools/fleettest/command_test.go
+++ b/internal/tools/fleettest/command_test.go
@@ -9,7 +9,7 @@
 )
 
 // electionsWon counts how often any aggregator became the council's leader.
-func (w *World) electionsWon() (count int) {
+func (w *Cluster) electionsWon() (count int) {
 	w.Helper()
 	for _, m := range w.Aggregators {
 		text, err := os.ReadFile(m.log)
@@ -21,18 +21,18 @@
 
 // What an operator does with a fleet by the command line, at an aggregator that need not lead: a contract is set and waited for,
 // a quota set, a mistake told, the same command sent again acts once, and each is shown and explained.
-func TestCommandLineOfAFleet(t *testing.T) {
+func TestFleetCommandLine(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 3, Contracts: contracts})
-	m := w.Aggregators[(w.grants().no+1)%3]
-	ask := func(args ...string) string {
+	m := w.Aggregators[(w.awaitGranter().index+1)%3]
+	command := func(args ...string) string {
 		cmd := exec.Command(Build(t, "failpoints"), append(append([]string{"fleet"}, args...), "--at", "unix:"+m.socket())...)
 		out, _ := cmd.CombinedOutput()
 		return string(out)
 	}
 	run := func(want string, args ...string) string {
 		t.Helper()
-		out := ask(args...)
+		out := command(args...)
 		if !strings.Contains(out, want) {
 			t.Errorf("fleet %s: got %q, expected %q", strings.Join(args, " "), out, want)
 		}
@@ -40,19 +40,19 @@
 	}
 	elections := w.electionsWon()
 	first := run("held everywhere", "contract", "cato", "--zones", "a", "--reason", "signed", "--id", "one")
-	if again := run("held everywhere", "contract", "cato", "--zones", "a", "--reason", "signed", "--id", "one"); again != first {
-		t.Errorf("sent again it is another version: %q and %q", again, first)
+	if retried := run("held everywhere", "contract", "cato", "--zones", "a", "--reason", "signed", "--id", "one"); retried != first {
+		t.Errorf("sent again it is another version: %q and %q", retried, first)
 	}
 	run(`zone "mars" of tenant "cato" is none that the settings know`, "contract", "cato", "--zones", "mars", "--reason", "r")
 	run("has no zone", "contract", "cato", "--reason", "r")
 	run("burst has to be 1 or more", "quota", "acme", "--per-s", "5", "--burst", "0", "--reason", "r")
 	run("accepted as version", "quota", "acme", "--per-s", "5", "--burst", "50", "--reason", "r")
-	w.Until("the quota is heard", func() bool {
-		s := m.Show()
+	w.Await("the quota is heard", func() bool {
+		s := m.FleetStatus()
 		return s != nil && len(s["quotas"].(map[string]any)) > 0
 	})
-	w.Until("it hears of a leader", func() bool { // none is for a while where a busy machine let the last one's time run out
-		s := m.Show()
+	w.Await("it hears of a leader", func() bool { // none is for a while where a busy machine let the last one's time run out
+		s := m.FleetStatus()
 		return s != nil && s["leader"] != nil && s["leader"] != ""
 	})
 	if shown := run("leader m", "show"); !strings.Contains(shown, "contract cato") || !strings.Contains(shown, "quota acme") {
@@ -61,8 +61,8 @@
 	run(`parts go to searchers in ["a"] alone`, "why", "cato", "reads")
 	run("5 a second and a burst of 50 over all mixers", "why", "acme", "reads")
 	version := strings.Fields(first)[3]
-	if told := ask("held", version, "cato"); !strings.Contains(told, "held everywhere: true") && w.electionsWon() == elections {
-		t.Errorf("the leader that told that version %s is held now tells %q", version, told)
+	if reply := command("held", version, "cato"); !strings.Contains(reply, "held everywhere: true") && w.electionsWon() == elections {
+		t.Errorf("the leader that told that version %s is held now tells %q", version, reply)
 	}
 	run("held everywhere: true", "held", version, "cato", "--wait", "40s") // a leader elected meanwhile has to hear it from all first
 	run("accepted as version", "contract", "cato", "--clear", "--reason", "left")
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -11,10 +11,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
 )
 
-// all plays every point with every fault, and not the sample that CI plays.
-var all = os.Getenv("PUFFINLINK_FAILPOINTS_ALL") != ""
+// allFailpoints plays every point with every fault, and not the sample that CI plays.
+var allFailpoints = os.Getenv("PUFFINLINK_FAILPOINTS_ALL") != ""
 
-var faults = []string{"kill", "stop", "drop", "delay", "double", "fail"}
+var failpointFaults = []string{"kill", "stop", "drop", "delay", "double", "fail"}
 
 // workload passes all points: it starts a fleet, spends a quota, narrows a contract, restarts an aggregator that keeps a directory.
 func workload(t *testing.T, env func(aggregator int) []string) {
@@ -25,26 +25,26 @@
 		tenants = append(tenants, fmt.Sprintf("tenant-%d", i))
 		table += fmt.Sprintf(`, {"tenant": "tenant-%d", "zones": ["a", "b", "c"]}`, i)
 	}
-	w := Start(t, Options{Aggregators: 4, Quotas: quotas, Contracts: table + "]}", Tenants: tenants, Env: env, Tended: true})
-	w.grants()
-	stops := []func(){w.Load(120, "acme", "reads", w.All), w.Load(20, OrdersOf, "orders", w.All), w.Load(20, "cato", "reads", w.All)}
+	w := Start(t, Options{Aggregators: 4, Quotas: quotas, Contracts: table + "]}", Tenants: tenants, Env: env, Supervised: true})
+	w.awaitGranter()
+	stops := []func(){w.Load(120, "acme", "reads", w.RoundRobin), w.Load(20, OrdersTenant, "orders", w.RoundRobin), w.Load(20, "cato", "reads", w.RoundRobin)}
 	version := uint64(0)
-	w.Until("the contract is accepted", func() bool {
+	w.Await("the contract is accepted", func() bool {
 		v, err := w.Aggregators[3].Command(map[string]any{"id": "narrow", "author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"a", "b"}}})
 		if version = v; err != nil {
-			time.Sleep(askPause)
+			time.Sleep(operatorCallInterval)
 		}
 		return err == nil
 	})
-	w.Until("it holds", func() bool { held, _ := w.Aggregators[3].Held(version, "cato"); return held })
-	w.Judge.Holds("cato", "a", "b")
+	w.Await("it holds", func() bool { held, _ := w.Aggregators[3].ContractApplied(version, "cato"); return held })
+	w.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(2 * time.Second)
-	w.Until("tenants are served at every mixer", func() bool {
+	w.Await("tenants are served at every mixer", func() bool {
 		for _, m := range w.Aggregators {
-			if a, _ := w.Ask(m, "acme", "reads", 0, 1); a != 200 {
+			if a, _ := w.Query(m, "acme", "reads", 0, 1); a != 200 {
 				return false
 			}
-			if c, _ := w.Ask(m, "cato", "reads", 0, 1); c != 200 {
+			if c, _ := w.Query(m, "cato", "reads", 0, 1); c != 200 {
 				return false
 			}
 		}
@@ -53,9 +53,9 @@
 	for _, stop := range stops {
 		stop()
 	}
-	killed := w.Tending()
-	w.Quota("acme", perS, burst)
-	w.Rules(killed...)
+	killed := w.StopSupervising()
+	w.CheckQuota("acme", perS, burst)
+	w.CheckInvariants(killed...)
 }
 
 // Each numbered point goes wrong in turn, at whichever aggregator passes it first, and every promise holds: CI plays a fixed sample,
@@ -69,10 +69,10 @@
 	}
 	sample := []one{{failpoint.Spend, 40, "stop"}, {failpoint.RespondToGrantRequest, 25, "kill"}, {failpoint.ReceiveGrant, 12, "delay"}, {failpoint.SaveConsensus, 4, "fail"},
 		{failpoint.ApplyContract, 2, "drop"}, {failpoint.Renew, 20, "stop"}, {failpoint.ConsensusSaved, 3, "kill"}, {failpoint.SendDatagram, 90, "double"}}
-	if all {
+	if allFailpoints {
 		sample = nil
 		for p := failpoint.Point(1); int(p) < len(failpoint.Names); p++ {
-			for _, f := range faults {
+			for _, f := range failpointFaults {
 				sample = append(sample, one{p, 1 + int(p)%3, f})
 			}
 		}
--- a/internal/tools/fleettest/idleconnection_test.go
+++ b/internal/tools/fleettest/idleconnection_test.go
@@ -11,15 +11,15 @@
 
 // A client that stands still between dialling and asking finds its connection ended, as an aggregator owes an end to one that says nothing.
 // It asks once more and gets its answer, and nothing counts as lost; the aggregator heard of the query once.
-func TestASilentConnectionHasAskedNobody(t *testing.T) {
+func TestIdleConnectionSendsNoQuery(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 1, NoFleet: true, Plain: true})
+	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
 	var dials atomic.Int64
 	w.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if err == nil && dials.Add(1) == 1 {
 			var one [1]byte
-			c.SetReadDeadline(time.Now().Add(Patience))
+			c.SetReadDeadline(time.Now().Add(Timeout))
 			if n, err := c.Read(one[:]); n > 0 || err == nil {
 				t.Error("the mixer spoke first")
 			}
@@ -27,11 +27,11 @@
 		}
 		return c, err
 	}}}
-	if status, text := w.Ask(w.Aggregators[0], OrdersOf, "orders", 0, 1); status != http.StatusOK {
+	if status, text := w.Query(w.Aggregators[0], OrdersTenant, "orders", 0, 1); status != http.StatusOK {
 		t.Errorf("got %d %s", status, text)
 	}
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections, expected the silent one and another", n)
 	}
-	w.Rules()
+	w.CheckInvariants()
 }
--- a/internal/tools/fleettest/massrestart_test.go
+++ b/internal/tools/fleettest/massrestart_test.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// readyWithin is the longest time that nine in ten aggregators may take until they serve again.
-const readyWithin = 6 * time.Second
+// restartTimeout is the longest time that nine in ten aggregators may take until they serve again.
+const restartTimeout = 6 * time.Second
 
-// All aggregators die at once under load and come back: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
-func TestNineInTenAreReadyAfterARestart(t *testing.T) {
+// RoundRobin aggregators die at once under load and come back: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
+func TestNineInTenServeSoonAfterMassRestart(t *testing.T) {
 	t.Parallel()
 	for name, reachable := range map[string]bool{"discovery in reach": true, "discovery out of reach": false} {
 		t.Run(name, func(t *testing.T) {
-			w := Start(t, Options{Aggregators: 10, NoFleet: true, Plain: true})
-			stop := w.Load(50, OrdersOf, "orders", w.All)
-			w.Until("lookups are answered", func() bool { return w.Judge.Statuses(OrdersOf, "", time.Time{})[200] > 20 })
+			w := Start(t, Options{Aggregators: 10, NoFleet: true, WithoutFailpoints: true})
+			stop := w.Load(50, OrdersTenant, "orders", w.RoundRobin)
+			w.Await("lookups are answered", func() bool { return w.Checker.StatusCounts(OrdersTenant, "", time.Time{})[200] > 20 })
 			for _, m := range w.Aggregators {
 				m.Kill()
 				if !reachable {
-					m.register.Close()
+					m.discovery.Close()
 				}
 			}
 			took := w.restartAll()
 			stop()
 			t.Logf("serving again after %s", took)
-			if most := took[len(took)*9/10-1]; most > readyWithin {
-				t.Errorf("nine in ten serve again after %s, expected %s at most", most, readyWithin)
+			if most := took[len(took)*9/10-1]; most > restartTimeout {
+				t.Errorf("nine in ten serve again after %s, expected %s at most", most, restartTimeout)
 			}
-			w.Rules(w.Aggregators...)
+			w.CheckInvariants(w.Aggregators...)
 		})
 	}
 }
 
 // restartAll starts all processes at once, and tells how long each took until it served, the shortest first.
-func (w *World) restartAll() (took []time.Duration) {
+func (w *Cluster) restartAll() (took []time.Duration) {
 	began := time.Now()
 	for _, m := range w.Aggregators {
 		m.Start()
@@ -45,7 +45,7 @@
 	var all sync.WaitGroup
 	for i, m := range w.Aggregators {
 		all.Go(func() {
-			for late := began.Add(Patience); !m.up() && time.Now().Before(late); {
+			for late := began.Add(Timeout); !m.isServing() && time.Now().Before(late); {
 				time.Sleep(5 * time.Millisecond)
 			}
 			took[i] = time.Since(began)
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -11,60 +11,60 @@
 	"time"
 )
 
-// measured is for a machine that does nothing else: it prints the figures of docs/results.md.
-func measured(t *testing.T) {
+// requireMeasuring is for a machine that does nothing else: it prints the figures of docs/results.md.
+func requireMeasuring(t *testing.T) {
 	if os.Getenv("PUFFINLINK_MEASURE") == "" {
 		t.Skip("PUFFINLINK_MEASURE is not set")
 	}
 }
 
-// cpu is what a process has used, in seconds.
-func (m *Aggregator) cpu() float64 {
+// cpuSeconds is what a process has used, in seconds.
+func (m *Aggregator) cpuSeconds() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
-	m.world.must(err)
+	m.cluster.must(err)
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+2:])
 	user, _ := strconv.ParseFloat(string(fields[11]), 64)
 	system, _ := strconv.ParseFloat(string(fields[12]), 64)
 	return (user + system) / 100
 }
 
-// memory is what it has resident, in MB.
-func (m *Aggregator) memory() float64 {
+// memoryMB is what it has resident, in MB.
+func (m *Aggregator) memoryMB() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", m.cmd.Process.Pid))
-	m.world.must(err)
+	m.cluster.must(err)
 	pages, _ := strconv.ParseFloat(string(bytes.Fields(text)[1]), 64)
 	return pages * 4096 / (1 << 20)
 }
 
-const wide = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 1e6, "burst": 1e6, "floor_share": 0.1}, {"tenant": "cato", "per_s": 1e6, "burst": 1e6}]}`
+const wideQuotas = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 1e6, "burst": 1e6, "floor_share": 0.1}, {"tenant": "cato", "per_s": 1e6, "burst": 1e6}]}`
 
 // The cost of a query with and without a fleet, by turns in one run, one aggregator of three asked by four clients one after the
 // other; what the fleet itself costs at rest is taken off and told apart.
 func TestMeasureCost(t *testing.T) {
-	measured(t)
-	with := Start(t, Options{Aggregators: 3, Plain: true, Quotas: wide, Contracts: `{"version": 1, "strict": ["*"], "tenants": [{"tenant": "acme", "zones": ["a", "b"]}]}`, Backends: 12, Service: time.Millisecond})
-	without := Start(t, Options{Aggregators: 3, Plain: true, NoFleet: true, Backends: 12, Service: time.Millisecond})
-	with.grants()
-	with.Until("acme is served", func() bool { s, _ := with.Ask(with.Aggregators[0], "acme", "reads", 0, 1); return s == 200 })
-	rest := func(w *World) float64 {
-		was := w.Aggregators[0].cpu()
+	requireMeasuring(t)
+	with := Start(t, Options{Aggregators: 3, WithoutFailpoints: true, Quotas: wideQuotas, Contracts: `{"version": 1, "strict": ["*"], "tenants": [{"tenant": "acme", "zones": ["a", "b"]}]}`, Backends: 12, Service: time.Millisecond})
+	without := Start(t, Options{Aggregators: 3, WithoutFailpoints: true, NoFleet: true, Backends: 12, Service: time.Millisecond})
+	with.awaitGranter()
+	with.Await("acme is served", func() bool { s, _ := with.Query(with.Aggregators[0], "acme", "reads", 0, 1); return s == 200 })
+	idleCPU := func(w *Cluster) float64 {
+		was := w.Aggregators[0].cpuSeconds()
 		time.Sleep(5 * time.Second)
-		return (w.Aggregators[0].cpu() - was) / 5
+		return (w.Aggregators[0].cpuSeconds() - was) / 5
 	}
-	idleWith, idleWithout := rest(with), rest(without)
-	play := func(w *World, n int) (cpu, took float64) {
-		was, began := w.Aggregators[0].cpu(), time.Now()
+	idleWith, idleWithout := idleCPU(with), idleCPU(without)
+	play := func(w *Cluster, n int) (cpu, took float64) {
+		was, began := w.Aggregators[0].cpuSeconds(), time.Now()
 		var all sync.WaitGroup
 		for c := range 4 {
 			all.Go(func() {
 				for i := range n / 4 {
-					w.Ask(w.Aggregators[0], "acme", "reads", (c+3*i)%12, (c+3*i+4)%12)
+					w.Query(w.Aggregators[0], "acme", "reads", (c+3*i)%12, (c+3*i+4)%12)
 				}
 			})
 		}
 		all.Wait()
 		took = time.Since(began).Seconds()
-		return w.Aggregators[0].cpu() - was, took
+		return w.Aggregators[0].cpuSeconds() - was, took
 	}
 	var on, off, onTook, offTook float64
 	for round := range 8 {
@@ -75,22 +75,22 @@
 		}
 	}
 	t.Logf("CPU of a lookup: %.0f us without, %.0f with, %.3f; wall %.3f; at rest %.4f and %.4f of a core; memory %.1f and %.1f MB",
-		off/28000*1e6, on/28000*1e6, on/off, onTook/offTook, idleWithout, idleWith, without.Aggregators[0].memory(), with.Aggregators[0].memory())
+		off/28000*1e6, on/28000*1e6, on/off, onTook/offTook, idleWithout, idleWith, without.Aggregators[0].memoryMB(), with.Aggregators[0].memoryMB())
 }
 
 // What an aggregator says to others, by the fleet's size, with a tenant that uses its quota at all of them; how long a crash takes to be
 // known, and who is told of a crawling backend.
-func TestMeasureTalk(t *testing.T) {
-	measured(t)
+func TestMeasureTraffic(t *testing.T) {
+	requireMeasuring(t)
 	for _, n := range []int{3, 9, 30} {
-		w := Start(t, Options{Aggregators: n, Plain: true, Voters: min(n, 5),
+		w := Start(t, Options{Aggregators: n, WithoutFailpoints: true, Voters: min(n, 5),
 			Quotas: `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90}]}`})
-		w.grants()
-		stop := w.Load(120, "acme", "reads", w.All)
+		w.awaitGranter()
+		stop := w.Load(120, "acme", "reads", w.RoundRobin)
 		time.Sleep(2 * time.Second)
 		sent, cpu := make([]float64, n), make([]float64, n)
 		for i, m := range w.Aggregators {
-			sent[i], cpu[i] = m.Counter("fleet_bytes.sent"), m.cpu()
+			sent[i], cpu[i] = m.Counter("fleet_bytes.sent"), m.cpuSeconds()
 		}
 		from := time.Now()
 		time.Sleep(10 * time.Second)
@@ -99,7 +99,7 @@
 			b := (m.Counter("fleet_bytes.sent") - sent[i]) / time.Since(from).Seconds()
 			most, sum = max(most, b), sum+b
 		}
-		rate := w.Judge.Rate("acme", "", from, time.Now())
+		rate := w.Checker.Rate("acme", "", from, time.Now())
 		stop()
 		victim := w.Aggregators[n-1]
 		if w.Leader() == victim {
@@ -107,12 +107,12 @@
 		}
 		victim.Kill()
 		killed := time.Now()
-		w.Until("all know", func() bool {
+		w.Await("all know", func() bool {
 			for _, m := range w.Aggregators {
 				if m == victim {
 					continue
 				}
-				s := m.Show()
+				s := m.FleetStatus()
 				if s == nil {
 					return false
 				}
@@ -125,56 +125,56 @@
 			return true
 		})
 		t.Logf("%d mixers: %.0f bytes a second each, %.0f at the granter; %.1f of %.0f a second admitted; a crash known everywhere after %.1f s", n, sum/float64(n), most, rate, perS, time.Since(killed).Seconds())
-		w.Quota("acme", perS, burst)
+		w.CheckQuota("acme", perS, burst)
 		victim.Start()
 	}
 }
 
 // How much of a quota is used by where a tenant's queries come: spread, at one aggregator, and in the first seconds at another.
 func TestMeasureSkew(t *testing.T) {
-	measured(t)
+	requireMeasuring(t)
 	for _, n := range []int{3, 9} {
-		w := Start(t, Options{Aggregators: n, Plain: true, Voters: min(n, 5),
+		w := Start(t, Options{Aggregators: n, WithoutFailpoints: true, Voters: min(n, 5),
 			Quotas: `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90}]}`})
-		w.grants()
+		w.awaitGranter()
 		play := func(what string, skip, seconds int, pick func(int) *Aggregator) {
 			stop := w.Load(120, "acme", "reads", pick)
 			time.Sleep(time.Duration(skip) * time.Second)
 			from := time.Now()
 			time.Sleep(time.Duration(seconds) * time.Second)
-			t.Logf("%d mixers, %s: %.3f of the quota", n, what, w.Judge.Rate("acme", "", from, time.Now())/perS)
+			t.Logf("%d mixers, %s: %.3f of the quota", n, what, w.Checker.Rate("acme", "", from, time.Now())/perS)
 			stop()
 		}
-		play("spread", 3, 10, w.All)
+		play("spread", 3, 10, w.RoundRobin)
 		play("at one", 3, 10, func(int) *Aggregator { return w.Aggregators[0] })
 		play("moved to another a second ago", 1, 10, func(int) *Aggregator { return w.Aggregators[1] })
-		w.Quota("acme", perS, burst)
+		w.CheckQuota("acme", perS, burst)
 	}
 }
 
 // How many slow queries a crawling backend costs a fleet of nine, each aggregator with few queries, with judgements and without.
-func TestMeasureCrawl(t *testing.T) {
-	measured(t)
+func TestMeasureSlowBackend(t *testing.T) {
+	requireMeasuring(t)
 	for _, alone := range []bool{true, false, true, false} {
-		w := Start(t, Options{Aggregators: 9, Plain: true, NoFleet: alone})
+		w := Start(t, Options{Aggregators: 9, WithoutFailpoints: true, NoFleet: alone})
 		if !alone {
-			w.grants()
+			w.awaitGranter()
 		}
 		for _, m := range w.Aggregators {
-			w.slowAt(m, 300*time.Millisecond, 1)
+			w.slowBackends(m, 300*time.Millisecond, 1)
 		}
 		stop := w.Load(18, "cato", "reads", func(n int) *Aggregator { return w.Aggregators[n*5%9] })
 		time.Sleep(20 * time.Second)
 		stop()
 		slow, calls := 0, w.Backends[1].Calls()
-		w.Judge.mu.Lock()
-		for _, l := range w.Judge.queries {
+		w.Checker.mu.Lock()
+		for _, l := range w.Checker.queries {
 			if l.ended.Sub(l.sent) > 100*time.Millisecond {
 				slow++
 			}
 		}
-		n := len(w.Judge.queries)
-		w.Judge.mu.Unlock()
+		n := len(w.Checker.queries)
+		w.Checker.mu.Unlock()
 		t.Logf("judgements %t: %d of %d lookups over 100 ms, %d part calls at the crawling searcher", !alone, slow, n, calls)
 		for _, m := range w.Aggregators {
 			m.Signal(syscall.SIGKILL)
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -11,34 +11,34 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-// Client is its operators' client, one for all: the listener takes few connections.
-func (m *Aggregator) Client() *api.Client {
+// OperatorClient is its operators' client, one for all: the listener takes few connections.
+func (m *Aggregator) OperatorClient() *api.Client {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.client == nil {
 		var err error
 		m.client, err = api.NewClient("unix:"+m.socket(), "")
-		m.world.must(err)
+		m.cluster.must(err)
 	}
 	return m.client
 }
 
-// Show is what it tells operators of the fleet, as JSON tells it; nil where it does not answer.
-func (m *Aggregator) Show() map[string]any {
-	time.Sleep(askPause)
+// FleetStatus is what it tells operators of the fleet, as JSON tells it; nil where it does not answer.
+func (m *Aggregator) FleetStatus() map[string]any {
+	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var s map[string]any
-	if m.Client().Get(ctx, "/v1/fleet", &s) != nil {
+	if m.OperatorClient().Get(ctx, "/v1/fleet", &s) != nil {
 		return nil
 	}
 	return s
 }
 
 // Leader is the aggregator that leads and grants, as it says itself; nil for none.
-func (w *World) Leader() *Aggregator {
+func (w *Cluster) Leader() *Aggregator {
 	for _, m := range w.Aggregators {
-		if s := m.Show(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
+		if s := m.FleetStatus(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
 			return m
 		}
 	}
@@ -51,17 +51,17 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	var c api.FleetCommand
-	m.world.must(json.Unmarshal(body, &c))
-	r, err := m.Client().Change(ctx, c)
+	m.cluster.must(json.Unmarshal(body, &c))
+	r, err := m.OperatorClient().Change(ctx, c)
 	return r.Version, err
 }
 
-// Held asks through one aggregator how a version stands.
-func (m *Aggregator) Held(version uint64, tenant string) (held bool, states map[string]string) {
-	time.Sleep(askPause)
+// ContractApplied asks through one aggregator how a version stands.
+func (m *Aggregator) ContractApplied(version uint64, tenant string) (held bool, states map[string]string) {
+	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
 	defer cancel()
-	p, err := m.Client().Held(ctx, version, tenant)
+	p, err := m.OperatorClient().Held(ctx, version, tenant)
 	if err != nil {
 		return false, nil
 	}
@@ -74,11 +74,11 @@
 
 // Counter reads a counter of the process from its log, after a SIGUSR1.
 func (m *Aggregator) Counter(name string) (value float64) {
-	m.world.Helper()
+	m.cluster.Helper()
 	text, _ := os.ReadFile(m.log)
 	from := len(text)
 	m.Signal(syscall.SIGUSR1)
-	m.world.Until("counters of "+m.Name, func() bool {
+	m.cluster.Await("counters of "+m.Name, func() bool {
 		text, _ := os.ReadFile(m.log)
 		for line := range bytes.Lines(text[min(from, len(text)):]) {
 			var fields map[string]any
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -10,10 +10,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 )
 
-// slowAt makes some backends crawl for some aggregators alone.
-func (w *World) slowAt(m *Aggregator, delay time.Duration, backends ...int) {
+// slowBackends makes some backends crawl for some aggregators alone.
+func (w *Cluster) slowBackends(m *Aggregator, delay time.Duration, backends ...int) {
 	for _, i := range backends {
-		m.before[i].Set(Fault{Delay: delay})
+		m.backendRelays[i].Set(Fault{Delay: delay})
 	}
 }
 
@@ -24,15 +24,15 @@
 	return list
 }
 
-// calledLately is for how long an aggregator that called a backend is a witness of it: calls seen fade over 10 s.
-const calledLately = 5 * time.Second
+// recentCallWindow is for how long an aggregator that called a backend is a witness of it: calls seen fade over 10 s.
+const recentCallWindow = 5 * time.Second
 
 // A backend crawls, and two aggregators that have queries see it. A third that had none takes it for slow from their word alone; one
 // sick aggregator, to which half of all backends crawl, is believed by nobody.
-func TestJudgementsOfOthers(t *testing.T) {
+func TestOutlierReportsOfPeers(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 5})
-	w.grants()
+	w.awaitGranter()
 	// Each of the two asks for shards 0 and 1, which s-1 in their zone holds, twice as often as for 3 and 4, which s-4 does; the sick
 	// one asks for others. So s-1 is the one that both call most.
 	two := w.Load(60, "cato", "reads", func(n int) *Aggregator {
@@ -50,14 +50,14 @@
 	stop := func() { two(); one() }
 	judged := func(m *Aggregator) string {
 		var s map[string]any
-		w.Until(m.Name+" shows what it judges", func() bool { s = m.Show(); return s != nil })
+		w.Await(m.Name+" shows what it judges", func() bool { s = m.FleetStatus(); return s != nil })
 		return strings.TrimSpace(fmt.Sprint(s["judged"]))
 	}
 	// look reads what the third aggregator has heard: whom the sick one blames while no other has for as long as a judgement stands, and
 	// whether both others have called s-1 of late without fault.
 	othersBlamed, called := map[outlier.Backend]time.Time{}, map[string]time.Time{}
-	look := func() (shown map[string]any, alone []outlier.Backend, sound bool) {
-		if shown = w.Aggregators[2].Show(); shown == nil {
+	readReports := func() (shown map[string]any, alone []outlier.Backend, sound bool) {
+		if shown = w.Aggregators[2].FleetStatus(); shown == nil {
 			return nil, nil, false
 		}
 		var sick []outlier.Backend
@@ -78,13 +78,13 @@
 				alone = append(alone, name)
 			}
 		}
-		return shown, alone, time.Since(called["m1"]) < calledLately && time.Since(called["m4"]) < calledLately
+		return shown, alone, time.Since(called["m1"]) < recentCallWindow && time.Since(called["m4"]) < recentCallWindow
 	}
-	w.Until("two mixers call the searcher and find no fault", func() bool { _, _, sound := look(); return sound })
-	w.slowAt(w.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the sick one, to which half of all backends crawl
-	var first time.Time                                       // that it alone found fault; what is heard is judged within a second
-	w.Until("the sick mixer alone finds fault", func() bool {
-		shown, alone, sound := look()
+	w.Await("two mixers call the searcher and find no fault", func() bool { _, _, sound := readReports(); return sound })
+	w.slowBackends(w.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the sick one, to which half of all backends crawl
+	var first time.Time                                             // that it alone found fault; what is heard is judged within a second
+	w.Await("the sick mixer alone finds fault", func() bool {
+		shown, alone, sound := readReports()
 		for _, name := range alone {
 			if first.IsZero() {
 				first = time.Now()
@@ -96,15 +96,15 @@
 		return sound && len(alone) > 0 && time.Since(first) > 2*time.Second
 	})
 	for _, i := range []int{1, 2, 4} { // s-1 stands in the zone of the first and the last of them, which have queries
-		w.slowAt(w.Aggregators[i], 200*time.Millisecond, 1)
+		w.slowBackends(w.Aggregators[i], 200*time.Millisecond, 1)
 	}
 	began := time.Now()
-	w.Until("the third has it from the two others", func() bool { return strings.Contains(judged(w.Aggregators[2]), "s-1") })
+	w.Await("the third has it from the two others", func() bool { return strings.Contains(judged(w.Aggregators[2]), "s-1") })
 	t.Logf("a crawling searcher is known to a mixer without lookups after %.1f s", time.Since(began).Seconds())
 	stop()
 	before := w.Backends[1].Calls()
 	for range 20 {
-		w.Ask(w.Aggregators[2], "cato", "reads", 0) // held by s-0 and s-1, both in other zones than the third aggregator's
+		w.Query(w.Aggregators[2], "cato", "reads", 0) // held by s-0 and s-1, both in other zones than the third aggregator's
 	}
 	calls := w.Backends[1].Calls() - before
 	if t.Logf("of its first 20 lookups of a shard that it holds %d go to it", calls); calls > 0 {
@@ -113,5 +113,5 @@
 	if strings.Contains(judged(w.Aggregators[2]), "s-0") {
 		t.Error("the sick mixer's word counts")
 	}
-	w.Rules()
+	w.CheckInvariants()
 }
--- a/internal/tools/fleettest/process_test.go
+++ b/internal/tools/fleettest/process_test.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// file is an aggregator's operator's file: of its peers it knows the relays' addresses.
-func (m *Aggregator) file() string {
-	w := m.world
+// operatorFile is an aggregator's operator's file: of its peers it knows the relays' addresses.
+func (m *Aggregator) operatorFile() string {
+	w := m.cluster
 	var b strings.Builder
 	fmt.Fprintf(&b, "{\n\"operators\": {\"listen\": \"unix:%s\"},\n", m.socket())
 	if !w.NoFleet {
 		directory := ""
-		if m.no < w.Voters || w.Keeps {
+		if m.index < w.Voters || w.DirectoryForAll {
 			directory = fmt.Sprintf("\"directory\": %q, ", m.dir)
 		}
 		fmt.Fprintf(&b, "\"fleet\": {\"key_file\": %q, %s\"lease_s\": %g, \"version\": 1, \"mixers\": [\n", w.path("key"), directory, w.LeaseS)
 		for _, o := range w.Aggregators {
 			address := o.address
 			if o.Name != m.Name {
-				address = w.Link(m.no, o.no).Address()
+				address = w.Link(m.index, o.index).Address()
 			}
-			fmt.Fprintf(&b, "  {\"name\": %q, \"address\": %q, \"location\": %q, \"votes\": %t},\n", o.Name, address, o.Zone, o.no < w.Voters)
+			fmt.Fprintf(&b, "  {\"name\": %q, \"address\": %q, \"location\": %q, \"votes\": %t},\n", o.Name, address, o.Zone, o.index < w.Voters)
 		}
 		b.WriteString("]},\n")
 		if w.Quotas != "" {
@@ -44,20 +44,20 @@
 	return b.String()
 }
 
-func (m *Aggregator) socket() string { return filepath.Join(m.world.dir, m.Name+m.twin+".s") }
+func (m *Aggregator) socket() string { return filepath.Join(m.cluster.dir, m.Name+m.suffix+".s") }
 
 // Start starts the process.
 func (m *Aggregator) Start() {
-	w := m.world
+	w := m.cluster
 	w.Helper()
-	config, file := w.path(m.Name+m.twin+".json"), w.path(m.Name+m.twin+".json5")
-	w.must(os.WriteFile(config, w.Site.Config(m.Name, m.Listen, m.register, m.no), 0o600))
-	w.must(os.WriteFile(file, []byte(m.file()), 0o600))
-	tags := withPoints
-	if w.Plain {
+	config, file := w.path(m.Name+m.suffix+".json"), w.path(m.Name+m.suffix+".json5")
+	w.must(os.WriteFile(config, w.Site.Config(m.Name, m.Listen, m.discovery, m.index), 0o600))
+	w.must(os.WriteFile(file, []byte(m.operatorFile()), 0o600))
+	tags := failpointsTag
+	if w.WithoutFailpoints {
 		tags = ""
 	}
-	m.log = w.path(m.Name + m.twin + ".log")
+	m.log = w.path(m.Name + m.suffix + ".log")
 	out, err := os.OpenFile(m.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	w.must(err)
 	m.mu.Lock()
@@ -78,14 +78,14 @@
 	}(m.cmd, m.ended)
 }
 
-// Twin starts a second process of the same name, address and directory, which listens elsewhere for clients.
-func (m *Aggregator) Twin() *Aggregator {
-	w := m.world
+// StartTwin starts a second process of the same name, address and directory, which listens elsewhere for clients.
+func (m *Aggregator) StartTwin() *Aggregator {
+	w := m.cluster
 	w.Helper()
-	t := &Aggregator{Name: m.Name, Zone: m.Zone, Listen: w.port(), world: w, no: m.no, twin: "-2", address: m.address, register: m.register, before: m.before, dir: m.dir}
+	t := &Aggregator{Name: m.Name, Zone: m.Zone, Listen: w.port(), cluster: w, index: m.index, suffix: "-2", address: m.address, discovery: m.discovery, backendRelays: m.backendRelays, dir: m.dir}
 	t.Start()
 	w.Cleanup(t.Kill)
-	w.Until("the twin serves", t.up)
+	w.Await("the twin serves", t.isServing)
 	return t
 }
 
@@ -102,7 +102,7 @@
 	<-m.ended
 }
 
-// Ended tells whether the process has ended.
+// RecordQuery tells whether the process has ended.
 func (m *Aggregator) Ended() bool {
 	select {
 	case <-m.ended:
@@ -123,17 +123,17 @@
 
 // Restart kills the process and starts it anew, with an empty directory where that is lost.
 func (m *Aggregator) Restart(lost bool) {
-	m.world.Helper()
+	m.cluster.Helper()
 	m.Kill()
 	if lost {
-		m.world.must(os.RemoveAll(m.dir))
+		m.cluster.must(os.RemoveAll(m.dir))
 	}
 	m.Start()
-	m.world.Until(m.Name+" serves again", m.up)
+	m.cluster.Await(m.Name+" serves again", m.isServing)
 }
 
-// tend keeps a fleet going as its machines would: who was killed starts again, who stands still goes on after 3 s.
-func (w *World) tend() (stop func() (killed []*Aggregator)) {
+// supervise keeps a fleet going as its machines would: who was killed starts again, who stands still goes on after 3 s.
+func (w *Cluster) supervise() (stop func() (killed []*Aggregator)) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -166,11 +166,11 @@
 // Arm lets its next start have a point armed.
 func (m *Aggregator) Arm(env ...string) { m.env = env }
 
-func (m *Aggregator) up() bool {
+func (m *Aggregator) isServing() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Listen+"/up", nil)
-	res, err := m.world.client.Do(req)
+	res, err := m.cluster.client.Do(req)
 	if err != nil {
 		return false
 	}
--- a/internal/tools/fleettest/processslots_test.go
+++ b/internal/tools/fleettest/processslots_test.go
@@ -8,41 +8,41 @@
 
 // places bounds how many processes of all worlds run at once. A world whose processes wait for a core measures the machine
 // and not the program: its time-outs, latencies and leases are of real time.
-var places = newPlaceQueue(runtime.NumCPU())
+var processSlots = newSlotQueue(runtime.NumCPU())
 
-// placeQueue hands out a fixed number of places in the order in which they are asked for, so that a large world is not passed over
+// slotQueue hands out a fixed number of places in the order in which they are asked for, so that a large world is not passed over
 // by small ones for ever.
-type placeQueue struct {
+type slotQueue struct {
 	mu      sync.Mutex
 	size    int
 	free    int
-	waiting []*placeRequest
+	waiting []*slotRequest
 	holders map[testing.TB]bool
 }
 
-// placeRequest is somebody who waits for so many places.
-type placeRequest struct {
-	places  int
+// slotRequest is somebody who waits for so many places.
+type slotRequest struct {
+	slots   int
 	granted chan struct{}
 }
 
-func newPlaceQueue(size int) *placeQueue {
-	return &placeQueue{size: size, free: size, holders: map[testing.TB]bool{}}
+func newSlotQueue(size int) *slotQueue {
+	return &slotQueue{size: size, free: size, holders: map[testing.TB]bool{}}
 }
 
-// take waits for places and tells how many it got: never more than there are.
-func (q *placeQueue) take(wanted int) (got int) {
-	request := &placeRequest{places: min(wanted, q.size), granted: make(chan struct{})}
+// acquire waits for places and tells how many it got: never more than there are.
+func (q *slotQueue) acquire(wanted int) (got int) {
+	request := &slotRequest{slots: min(wanted, q.size), granted: make(chan struct{})}
 	q.mu.Lock()
 	q.waiting = append(q.waiting, request)
 	q.grant()
 	q.mu.Unlock()
 	<-request.granted
-	return request.places
+	return request.slots
 }
 
-// give returns places.
-func (q *placeQueue) give(count int) {
+// release returns places.
+func (q *slotQueue) release(count int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.free += count
@@ -50,16 +50,16 @@
 }
 
 // grant serves those who wait, the first first. The caller holds the lock.
-func (q *placeQueue) grant() {
-	for len(q.waiting) > 0 && q.waiting[0].places <= q.free {
-		q.free -= q.waiting[0].places
+func (q *slotQueue) grant() {
+	for len(q.waiting) > 0 && q.waiting[0].slots <= q.free {
+		q.free -= q.waiting[0].slots
 		close(q.waiting[0].granted)
 		q.waiting = q.waiting[1:]
 	}
 }
 
-// holds tells whether a test has places, and notes that it now does.
-func (q *placeQueue) holds(t testing.TB) (before bool) {
+// markHolder tells whether a test has places, and notes that it now does.
+func (q *slotQueue) markHolder(t testing.TB) (before bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	before = q.holders[t]
@@ -67,25 +67,25 @@
 	return before
 }
 
-// takePlaces waits until a world's processes may run; the test's end gives the places back, after its worlds have ended. A test
+// acquireSlots waits until a world's processes may run; the test's end gives the places back, after its worlds have ended. A test
 // that starts several worlds, one after the other, plays the later ones on the places of the first: it could wait for itself.
-func takePlaces(t testing.TB, processes int) {
-	if places.holds(t) {
+func acquireSlots(t testing.TB, processes int) {
+	if processSlots.markHolder(t) {
 		return
 	}
-	got := places.take(processes)
-	t.Cleanup(func() { places.give(got) })
+	got := processSlots.acquire(processes)
+	t.Cleanup(func() { processSlots.release(got) })
 }
 
-func TestPlacesGoByTurns(t *testing.T) {
-	q := newPlaceQueue(4)
-	if got := q.take(9); got != 4 {
+func TestSlotsAreGrantedInOrder(t *testing.T) {
+	q := newSlotQueue(4)
+	if got := q.acquire(9); got != 4 {
 		t.Fatalf("%d places of 4 for one that wants 9", got)
 	}
-	q.give(1)
-	large, small := &placeRequest{places: 3, granted: make(chan struct{})}, &placeRequest{places: 1, granted: make(chan struct{})}
+	q.release(1)
+	large, small := &slotRequest{slots: 3, granted: make(chan struct{})}, &slotRequest{slots: 1, granted: make(chan struct{})}
 	q.waiting = append(q.waiting, large, small)
-	q.give(1)
+	q.release(1)
 	select {
 	case <-large.granted:
 		t.Fatal("three places handed out of two")
@@ -93,9 +93,9 @@
 		t.Fatal("a small world passed a large one over")
 	default:
 	}
-	q.give(1)
+	q.release(1)
 	<-large.granted
-	q.give(1)
+	q.release(1)
 	<-small.granted
 	if q.free != 0 {
 		t.Errorf("%d places free, expected none", q.free)
--- a/internal/tools/fleettest/relay_test.go
+++ b/internal/tools/fleettest/relay_test.go
@@ -12,11 +12,11 @@
 
 // Fault is what a relay does to what goes through it.
 type Fault struct {
-	Cut    bool
-	Drop   float64 // share of datagrams
-	Double float64 // the same
-	Delay  time.Duration
-	Mix    time.Duration // more delay, drawn anew for each datagram, so that they change places
+	Partitioned bool
+	Drop        float64 // share of datagrams
+	Duplicate   float64 // the same
+	Delay       time.Duration
+	Jitter      time.Duration // more delay, drawn anew for each datagram, so that they change places
 }
 
 // Relay stands before one address for one other process: datagrams and connections that come to it go on there, as its fault
@@ -54,7 +54,7 @@
 	}
 	go r.accept()
 	if r.udp != nil {
-		go r.datagrams()
+		go r.forwardDatagrams()
 	}
 	return r, nil
 }
@@ -65,7 +65,7 @@
 // Set changes its fault. A cut ends all connections.
 func (r *Relay) Set(f Fault) {
 	r.fault.Store(&f)
-	if f.Cut {
+	if f.Partitioned {
 		r.mu.Lock()
 		for c := range r.connections {
 			c.Close()
@@ -80,7 +80,7 @@
 	if r.udp != nil {
 		r.udp.Close()
 	}
-	r.Set(Fault{Cut: true})
+	r.Set(Fault{Partitioned: true})
 }
 
 func (r *Relay) draw() float64 {
@@ -89,7 +89,7 @@
 	return r.rng.Float64()
 }
 
-func (r *Relay) datagrams() {
+func (r *Relay) forwardDatagrams() {
 	to, err := net.ResolveUDPAddr("udp", r.to)
 	if err != nil {
 		return
@@ -104,21 +104,21 @@
 			continue
 		}
 		f := r.fault.Load()
-		if f.Cut || f.Drop > 0 && r.draw() < f.Drop {
+		if f.Partitioned || f.Drop > 0 && r.draw() < f.Drop {
 			continue
 		}
 		packet, times := append([]byte(nil), buffer[:n]...), 1
-		if f.Double > 0 && r.draw() < f.Double {
+		if f.Duplicate > 0 && r.draw() < f.Duplicate {
 			times = 2
 		}
 		for range times {
-			wait := f.Delay + time.Duration(r.draw()*float64(f.Mix))
+			wait := f.Delay + time.Duration(r.draw()*float64(f.Jitter))
 			if wait == 0 {
 				r.udp.WriteToUDP(packet, to)
 				continue
 			}
 			time.AfterFunc(wait, func() {
-				if !r.fault.Load().Cut {
+				if !r.fault.Load().Partitioned {
 					r.udp.WriteToUDP(packet, to)
 				}
 			})
@@ -132,16 +132,16 @@
 		if err != nil {
 			return
 		}
-		if r.fault.Load().Cut {
+		if r.fault.Load().Partitioned {
 			c.Close()
 			continue
 		}
-		go r.join(c)
+		go r.forward(c)
 	}
 }
 
-// join carries one connection both ways. Delay holds up what is said towards the address, each piece for as long.
-func (r *Relay) join(c net.Conn) {
+// forward carries one connection both ways. Delay holds up what is said towards the address, each piece for as long.
+func (r *Relay) forward(c net.Conn) {
 	out, err := net.DialTimeout("tcp", r.to, time.Second)
 	if err != nil {
 		c.Close()
--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -16,9 +16,9 @@
 
 // After SIGTERM clients send on every connection that stays open, up to SIGKILL: each query gets its final answer, the last one on
 // a connection says that it closes, and no connection ends under a query.
-func TestStopWithOpenConnections(t *testing.T) {
+func TestShutdownAnswersOpenConnections(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 1, NoFleet: true, Plain: true, Service: 5 * time.Millisecond})
+	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, Service: 5 * time.Millisecond})
 	m := w.Aggregators[0]
 	var answered, closed, after atomic.Int64
 	var stopping atomic.Bool
@@ -33,9 +33,9 @@
 			defer c.Close()
 			in := bufio.NewReader(c)
 			for n := 0; ; n++ {
-				body := fmt.Sprintf(`{"targets":[{"partition":%d,"share":0.5},{"partition":%d,"share":0.5}],"query":"%s %d.%d"}`, n%6, (n+1)%6, OrdersOf, i, n)
+				body := fmt.Sprintf(`{"targets":[{"partition":%d,"share":0.5},{"partition":%d,"share":0.5}],"query":"%s %d.%d"}`, n%6, (n+1)%6, OrdersTenant, i, n)
 				_, err := fmt.Fprintf(c, "POST /orders HTTP/1.1\r\nHost: m\r\nReq-Id: %d.%d\r\nReq-Kind: orders\r\nReq-Owner: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s",
-					i, n, OrdersOf, len(body), body)
+					i, n, OrdersTenant, len(body), body)
 				sent := time.Now()
 				res, err2 := http.ReadResponse(in, nil)
 				if err != nil || err2 != nil {
@@ -56,13 +56,13 @@
 			}
 		})
 	}
-	w.Until("lookups are answered", func() bool { return answered.Load() > 200 })
+	w.Await("lookups are answered", func() bool { return answered.Load() > 200 })
 	stopping.Store(true)
 	m.Signal(syscall.SIGTERM)
 	connections.Wait()
-	w.Until("the process ends", m.Ended)
+	w.Await("the process ends", m.Ended)
 	if t.Logf("%d lookups answered after SIGTERM", after.Load()); after.Load() < 24 || closed.Load() != 24 {
 		t.Errorf("%d answered after SIGTERM, %d of 24 connections told that they close", after.Load(), closed.Load())
 	}
-	w.Rules()
+	w.CheckInvariants()
 }
