--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// inFlightCall is a part call that is out.
+// inFlightCall is a call in flight.
 type inFlightCall struct {
 	backend  policy.BackendID
 	index    policy.IndexID
@@ -23,6 +23,7 @@
 	no       policy.CallNo
 }
 
+// execute executes an action of the policy.
 func (m *Aggregator) execute(action *policy.Action, now time.Time) {
 	switch action.Kind {
 	case policy.Send:
@@ -58,7 +59,7 @@
 	}
 }
 
-// send puts a call on the trip to its backend; what one step sends there shares calls, up to the number set.
+// send adds a call to the batch for its backend; subqueries that one step sends there share calls, up to the layout's number.
 func (m *Aggregator) send(action *policy.Action, now time.Time) {
 	ref, open := m.subqueries[action.Subquery]
 	if !open {
@@ -93,6 +94,7 @@
 	}
 }
 
+// sendBatch sends the batch for a backend, if there is one.
 func (m *Aggregator) sendBatch(to policy.BackendID) {
 	if trip := m.batches[to]; len(trip) > 0 {
 		delete(m.batches, to)
--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// AdmissionDecision is what a gate says of a query that asks to be taken.
+// AdmissionDecision says whether a query is admitted, and with which restrictions.
 type AdmissionDecision struct {
 	Reason     string  // the reason's code, "" where it is taken
 	Text       string  // the same as a sentence
@@ -17,37 +17,37 @@
 	MaxTimeout float64 // seconds that it may be held at the most, 0 for as long as its client waits
 }
 
-// Admission says which queries may be taken and where their parts may go, by what aggregators agree on. None of its methods may
-// block; all are called by the module's actor.
+// Admission decides which queries are admitted and which locations may serve them, by what aggregators agree on (quotas and
+// contracts). None of its methods may block; all are called by the policy's actor.
 type Admission interface {
 	Admit(customer policy.CustomerID, index policy.IndexID) AdmissionDecision
-	// CallEnded hears how a part call ended at a backend, so many seconds after it was sent.
+	// CallEnded hears how a call ended at a backend, so many seconds after it was sent.
 	CallEnded(at time.Time, backend string, how policy.Outcome, elapsed float64)
 	// BackendsChanged hears which backends the list names.
 	BackendsChanged([]Placement)
 }
 
-// Placement is where a backend stands, as the list has it.
+// Placement is a backend's cell, as the list has it.
 type Placement struct {
 	Name string
 	Cell policy.CellID
 }
 
-// Rules are what queries go by from here on, those that are held as well. Held is called once all that is out does.
+// Rules apply to all queries from now on, those in progress included. InForce is called once all calls in flight comply.
 type Rules struct {
 	Zones   func(policy.CustomerID, policy.IndexID) *policy.Zones
 	InForce func()
 }
 
-// Judged is what others found of a backend: so many times the usual latency, which counts for so many seconds while we
-// know little.
+// PeerObservation is what peers observed of a backend: a multiple of the usual latency, which is valid for ValidS seconds and
+// counts while there are few observations of our own.
 type PeerObservation struct {
 	Backend         string
 	LatencyMultiple float64
 	ValidS          float64
 }
 
-// placement is what the actor remembers of a backend where there is a gate.
+// placement is what the actor remembers of a backend for the admission.
 type placement struct {
 	name      string
 	location  policy.LocationID
@@ -56,7 +56,7 @@
 	relocated bool // another location was named under its number: it may stand anywhere
 }
 
-// gated is what the actor keeps for a gate.
+// admissionState is the actor's state for the admission.
 type admissionState struct {
 	admission    Admission
 	placements   map[policy.BackendID]placement
@@ -65,12 +65,12 @@
 	loggedAt     time.Time
 }
 
-// SetAdmission puts a gate before the module. It comes before the first list.
+// SetAdmission puts an admission before the policy. It must be called before the first list.
 func (m *Aggregator) SetAdmission(g Admission) {
 	m.admission = admissionState{admission: g, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
 }
 
-// admit asks the gate for a query, and answers one that is refused.
+// admit requests the admission of a query, and answers one that is refused.
 func (m *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
 	decision := m.admission.admission.Admit(q.Customer, q.Index)
 	if decision.Reason != "" {
@@ -87,7 +87,8 @@
 	return decision.Zones, true
 }
 
-// logUncovered logs the shards of a query that no holder inside its zones has: the module gives their parts up at once.
+// logUncovered logs the shards of a query of which no replica is inside its zones: the policy abandons their subqueries at
+// once.
 func (m *Aggregator) logUncovered(q *Query, zones *policy.Zones, now time.Time) {
 	covered, width := m.admission.coveredCells[zones], max(1, m.settings.Layout.Width)
 	if covered == nil {
@@ -121,7 +122,7 @@
 	}
 }
 
-// updatePlacements takes what a list says of where backends stand.
+// updatePlacements records a list's placements, and gives them to the admission.
 func (m *Aggregator) updatePlacements(e *Event) {
 	g := &m.admission
 	clear(g.coveredCells)
@@ -147,6 +148,7 @@
 	g.admission.BackendsChanged(list)
 }
 
+// hasCallsTo tells whether calls to a backend are in flight.
 func (m *Aggregator) hasCallsTo(id policy.BackendID) bool {
 	for _, c := range m.inFlight {
 		if c.backend == id {
@@ -156,7 +158,7 @@
 	return false
 }
 
-// applyAgreed takes rules and judgements into the module's event.
+// applyAgreed adds agreed rules and peers' observations to the policy's event.
 func (m *Aggregator) applyAgreed(e *Event, now time.Time) {
 	if e.Override == nil {
 		e.Override = &policy.Overrides{}
@@ -185,7 +187,7 @@
 	}
 }
 
-// confirmRules tells that rules hold once no call is out where they let none go.
+// confirmRules reports that rules are in force once no call is in flight to a location that they exclude.
 func (m *Aggregator) confirmRules() {
 	for _, c := range m.inFlight {
 		zones := m.admission.rules.Zones(c.customer, c.index)
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -1,5 +1,6 @@
-// Package aggregator is the actor of the decision module: it alone calls Step. It owns the clock, the timers and the
-// map of ids, and decides nothing.
+// Package aggregator is the actor around the decisions of package policy: it alone calls Step. It owns the clock, the timers
+// and the map of ids, turns events of clients, backends and the list into events of the policy, executes its actions, and
+// decides nothing.
 package aggregator
 
 import (
@@ -15,7 +16,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Aggregator is the actor.
+// Aggregator is the actor. Its fields but Inbox belong to the goroutine of Run.
 type Aggregator struct {
 	Inbox *eventqueue.Queue[Event]
 
@@ -60,10 +61,11 @@
 	return m
 }
 
-// policyTime is the module's clock: Unix time at the start and monotonic time since, so that it fits the starts of
-// backends and never jumps.
+// policyTime is a time on the policy's clock, in seconds: Unix time at the start and monotonic time since, so that it can be
+// compared with the starts of backends and never jumps.
 func (m *Aggregator) policyTime(t time.Time) float64 { return m.startUnix + t.Sub(m.start).Seconds() }
 
+// wallTime is the time of a reading of the policy's clock.
 func (m *Aggregator) wallTime(seconds float64) time.Time {
 	return m.start.Add(time.Duration((seconds - m.startUnix) * float64(time.Second)))
 }
@@ -102,13 +104,13 @@
 	}
 }
 
-// Stop ends the actor; what is held then gets no answer.
+// Stop ends the actor; queries that are pending then get no answer.
 func (m *Aggregator) Stop() {
 	close(m.stopping)
 	<-m.stopped
 }
 
-// step hands the module all that waits, and hands out what it says.
+// step gives the policy all waiting events, and executes the actions that it returns.
 func (m *Aggregator) step(now time.Time) {
 	m.waiting = m.Inbox.Take(m.waiting)
 	m.events = m.events[:0]
@@ -144,7 +146,7 @@
 	clear(m.actions)
 }
 
-// handleEvent turns what an actor told into the module's events, in the order of telling.
+// handleEvent turns an actor's event into those of the policy, in the order of arrival.
 func (m *Aggregator) handleEvent(e *Event, now time.Time) {
 	switch e.Kind {
 	case policy.QueryReceived:
--- a/internal/dataplane/aggregator/aggregator_test.go
+++ b/internal/dataplane/aggregator/aggregator_test.go
@@ -246,7 +246,7 @@
 			s.Limits.Hedge = rng.IntN(2) == 0
 		})
 		open := map[*Query]bool{}
-		never := map[policy.SubqueryID]bool{} // once-only parts all of whose calls surely never ran
+		never := map[policy.SubqueryID]bool{} // once-only subqueries all of whose calls surely never ran
 		seen, pending := 0, []sentCall(nil)
 		for i := range 1500 {
 			var events []Event
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkCapture tells, by turns in one run, what the actor's work for a query of four parts costs with a recorder against
+// BenchmarkCapture tells, by turns in one run, what the actor's work for a query of four subqueries costs with a recorder against
 // without. It is the actor's work alone: sockets, heads and bodies, several times as much, are not in it.
 func BenchmarkCapture(b *testing.B) {
 	with, without := newFixture(nil), newFixture(nil)
--- a/internal/dataplane/aggregator/interface.go
+++ b/internal/dataplane/aggregator/interface.go
@@ -6,9 +6,9 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Query is one that a client asked for. Until its Done has an answer it is the aggregator's.
+// Query is a client's query. Until Done has a reply it belongs to the aggregator.
 type Query struct {
-	ID         string // the client's; it is part of the names of part calls
+	ID         string // the client's; it is part of the names of calls
 	Index      policy.IndexID
 	Customer   policy.CustomerID
 	Key        uint64
@@ -16,14 +16,14 @@
 	Resent     bool
 	Arrived    time.Time
 	Timeout    float64 // how long from then the client waits
-	Query      []byte  // what each part carries
+	Query      []byte  // what each subquery carries
 	Subqueries []Subquery
 	Done       chan Reply // holds one
 
 	id policy.QueryID
 }
 
-// Subquery is one of a query's; its Value is there once it is In.
+// Subquery is the share of a query for one shard; Value is set once it is Answered.
 type Subquery struct {
 	Shard        policy.ShardID
 	Weight, Hint float64
@@ -32,7 +32,7 @@
 	Answered     bool
 	Value        []byte
 
-	attempts policy.CallNo // part calls so far
+	attempts policy.CallNo // calls so far
 }
 
 // End is how a query ended for its client.
@@ -43,7 +43,7 @@
 	Satisfied End = iota
 	Nacked
 	Aborted
-	QueueFull // the most that may be held is held; the module never saw it
+	QueueFull // the limit of pending queries is reached; the policy never saw it
 	Duplicate
 )
 
@@ -55,8 +55,8 @@
 	Text       string  // why a gate refused it
 }
 
-// Event is what an actor tells the module's: one of the module's own events with what it has no place for. A
-// query comes as one event, which brings its parts.
+// Event is an event for the aggregator: one of the policy's events with what it has no field for. A query comes as one
+// event, which brings its subqueries.
 type Event struct {
 	policy.Event
 	ClientQuery      *Query            // LookupTaken, and ClientGone
@@ -67,10 +67,10 @@
 	PeerObservations []PeerObservation // the same: what it makes of backends
 }
 
-// Name is what the list calls a backend and its location, where the module has numbers.
+// Name has the list's names of a backend and of its location, for which the policy has numbers.
 type Name struct{ Backend, Location string }
 
-// Call is one part call on its way to a backend.
+// Call is a subquery's call to a backend.
 type Call struct {
 	Subquery policy.SubqueryID
 	No       policy.CallNo
@@ -81,7 +81,7 @@
 	Begin    time.Time // by when it has to be on its way, whatever held it up; after it, it is not begun
 }
 
-// Backends takes what goes to backends. None of its methods may block.
+// Backends sends calls and probes to backends. None of its methods may block.
 type Backends interface {
 	Update(entry policy.Entry, address string)
 	Retain(keep map[policy.BackendID]bool)
@@ -91,7 +91,7 @@
 	CloseIdle(at policy.BackendID)
 }
 
-// Discovery takes what is asked of the list. None of its methods may block.
+// Discovery requests the list of backends. None of its methods may block.
 type Discovery interface {
 	Subscribe(on bool)
 	RequestFullList()
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -9,12 +9,13 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
+// subqueryRef is where the policy's id of a subquery leads.
 type subqueryRef struct {
 	query *Query
 	no    int
 }
 
-// addQuery takes a query in, its parts right behind it, unless the most that may be held is held.
+// addQuery passes a query and its subqueries to the policy, unless the limit of pending queries is reached.
 func (m *Aggregator) addQuery(q *Query, now time.Time) {
 	switch {
 	case m.settings.Limits.MaxPending > 0 && len(m.queries)+len(m.subqueries) >= m.settings.Limits.MaxPending:
@@ -22,7 +23,7 @@
 		m.recordEnd(q, capture.Full, now)
 		q.Done <- Reply{End: QueueFull}
 		return
-	case m.byClientID[q.ID] != nil: // its part calls could not be told from those of the other
+	case m.byClientID[q.ID] != nil: // its calls could not be told from those of the other
 		m.counters.Add("lookups", "twice", 1)
 		q.Done <- Reply{End: Duplicate}
 		return
@@ -59,7 +60,7 @@
 	}
 }
 
-// shards yields the shard of each part.
+// shards yields the shard of each subquery.
 func (q *Query) shards(yield func(policy.ShardID) bool) {
 	for i := range q.Subqueries {
 		if !yield(q.Subqueries[i].Shard) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// recordEnd tells the recorder of a query's end, where there is one.
+// recordEnd records a query's end, where there is a recorder.
 func (m *Aggregator) recordEnd(q *Query, end capture.End, now time.Time) {
 	if m.recorder != nil {
 		m.recorder.Ended(m.policyTime(now), q.Index, q.Customer, end, now.Sub(q.Arrived).Seconds())
@@ -77,10 +78,10 @@
 
 var captureEnds = [...]capture.End{Satisfied: capture.Answered, Nacked: capture.Nacked, Aborted: capture.Aborted}
 
-// isOpen tells whether a query was taken and has no final answer yet.
+// isOpen tells whether a query was received and has no final answer yet.
 func (m *Aggregator) isOpen(q *Query) bool { return m.queries[q.id] == q }
 
-// removeQuery lets go of a query that has its final answer, or no client.
+// removeQuery removes a query that has its final answer, or no client any more.
 func (m *Aggregator) removeQuery(q *Query) {
 	m.counters.Add("lookups", "held", -1)
 	delete(m.queries, q.id)
@@ -90,6 +91,7 @@
 	}
 }
 
+// finishQuery gives a query its final reply.
 func (m *Aggregator) finishQuery(id policy.QueryID, reason string, reply Reply, now time.Time) {
 	q := m.queries[id]
 	if q == nil {
--- a/internal/dataplane/aggregator/races_test.go
+++ b/internal/dataplane/aggregator/races_test.go
@@ -30,7 +30,7 @@
 	turn(0)
 }
 
-// The ends of both calls, the client's leaving and the hard deadline come in one and the same step, in each order, however the calls end and
+// The ends of both calls, the client's disconnect and the hard deadline come in one and the same step, in each order, however the calls end and
 // whatever the index allows: there is one final answer, or the client has gone, and nothing of the query goes out after that or stays.
 func TestAllEndsOfAQueryInOneStep(t *testing.T) {
 	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.Rejected, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Canceled, policy.NotSent}
@@ -52,7 +52,7 @@
 						what := fmt.Sprintf("index %d, outcomes %d and %d, order %v, %s late", index, first, second, order, late)
 						sent := len(r.sent)
 						for i := range 40 {
-							for _, c := range r.sent[2:] { // a part that went again before its client was known to have left
+							for _, c := range r.sent[2:] { // a subquery that went again before its client was known to have left
 								if _, out := r.inFlight[callKey{c.Subquery, c.No}]; out {
 									r.put(c.ends(policy.Canceled, ""))
 								}
--- a/internal/dataplane/aggregator/timers.go
+++ b/internal/dataplane/aggregator/timers.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// timer is one that the module set.
+// timer is a timer that the policy has set.
 type timer struct {
 	due time.Time
 	id  policy.TimerID
@@ -30,8 +30,8 @@
 	return last
 }
 
-// setTimer sets a timer. One that comes again and again counts from when it was due, not from when its step came,
-// or each step's lateness would add up.
+// setTimer sets a timer. A periodic one counts from when it was due, not from when its step came, or the lateness of steps
+// would add up.
 func (m *Aggregator) setTimer(action *policy.Action, now time.Time) {
 	from := now
 	wait := time.Duration(math.Ceil(action.Wait * float64(time.Second)))
--- a/internal/dataplane/asynclog/logger.go
+++ b/internal/dataplane/asynclog/logger.go
@@ -1,5 +1,5 @@
-// Package asynclog makes the log of an aggregator: one JSON object a line, with level, time (milliseconds since 1970), aggregator and message.
-// Whoever reads the log never holds up the aggregator that writes it.
+// Package asynclog is the log of an aggregator: one JSON object a line, with level, time (milliseconds since 1970) and message.
+// A slow reader of the log never delays the aggregator: lines that find no room are dropped and counted.
 package asynclog
 
 import (
--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -9,6 +9,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
+// messageKind is the kind of a message, each with the fields that count for it.
 type messageKind uint8
 
 const (
@@ -27,7 +28,7 @@
 	messageConnectionEnded // connection, why, text
 )
 
-// message is what an actor hears, from the module's or from its own connections.
+// message is a message to an actor, from the policy's actor or from the actor's own connections.
 type message struct {
 	kind       messageKind
 	frameType  byte
@@ -47,7 +48,7 @@
 	at         time.Time
 }
 
-// actor speaks with one backend.
+// actor has the calls, probes and connections of one backend. Its fields but in and ended belong to the goroutine of run.
 type actor struct {
 	hub            *Hub
 	id             policy.BackendID
@@ -87,6 +88,7 @@
 	}
 }
 
+// handle handles a message.
 func (a *actor) handle(n *message) {
 	switch n.kind {
 	case messageListed:
@@ -118,7 +120,7 @@
 	}
 }
 
-// messageStop closes all connections; the actor ends once they have.
+// stop closes all connections; the actor ends once they have.
 func (a *actor) stop() {
 	a.stopped = true
 	for _, conn := range a.connections {
@@ -126,7 +128,7 @@
 	}
 }
 
-// frameWritten notes that a frame is on its way to the last byte.
+// handleFrameWritten records that a frame was written to its last byte.
 func (a *actor) handleFrameWritten(n *message) {
 	n.connection.lastUsedAt = n.at
 	switch {
@@ -141,7 +143,7 @@
 	}
 }
 
-// frameReceived takes a frame that can be read: the connection is not silent.
+// handleFrameReceived handles a valid frame, which shows that the connection is alive.
 func (a *actor) handleFrameReceived(n *message) {
 	conn := n.connection
 	conn.lastUsedAt, conn.lastFrameAt, conn.partialFrame = n.at, n.at, false
@@ -156,8 +158,8 @@
 	}
 }
 
-// list takes what the list says. Connections to another address, or older than the backend's last start, lead to a
-// process that is no more.
+// updateEntry applies the list's entry. Connections to another address, or older than the backend's last start, lead to a
+// process that has ended.
 func (a *actor) updateEntry(n *message) {
 	if a.draining = n.entry.Phase != policy.Ready; a.draining {
 		a.revokeUnsent()
@@ -180,7 +182,7 @@
 	}
 }
 
-// checkTimeouts ends what has waited its time, and tells when to look again.
+// checkTimeouts ends calls, probes and connections whose time is up, and returns when to check again.
 func (a *actor) checkTimeouts(now time.Time) time.Time {
 	next := now.Add(time.Hour)
 	due := func(at time.Time) bool {
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -25,7 +25,7 @@
 
 const patience = queuetest.Patience
 
-// fixture is a hub with one backend, whose part the test plays.
+// fixture is a hub with one backend, whose subquery the test plays.
 type fixture struct {
 	*testing.T
 	hub  *Hub
@@ -60,7 +60,7 @@
 	r.hub.Update(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
 
-// messageSend sends parts of a query in one call; each part's shard is its place.
+// send sends subqueries of a query in one call; each subquery's shard is its place.
 func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
 	lk := &aggregator.Query{ID: id, Query: []byte(query)}
@@ -308,7 +308,7 @@
 	}
 }
 
-// separate has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
+// separateProbe has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
 func (r *fixture) separateProbe(on *peerConnection) *peerConnection {
 	r.Helper()
 	r.hub.Probe(1, true)
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -8,14 +8,14 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// call is one part call that is out. name, the Call and its trip never change.
+// call is a call in flight. name, the Call and shared never change.
 type call struct {
 	aggregator.Call
 	name          string
 	shared        *sharedCall
 	connection    *connection // nil while it waits for one
 	written       bool
-	canceled      bool           // given up, which its backend is being told
+	canceled      bool           // canceled, which its backend is being told
 	cancelOutcome policy.Outcome // then: as what
 	writeState    atomic.Int32   // its actor and its connection's writer settle by it which of them comes first
 }
@@ -26,7 +26,7 @@
 	writeRevoked
 )
 
-// begin tells its connection's writer whether its write may begin, however long it waited for that: it may not once it was
+// startWrite tells its connection's writer whether its write may begin, however long it waited for that: it may not once it was
 // taken back, its backend wants nothing new, nobody waits for it, or a repeat of it would no longer be known as one.
 func (c *call) startWrite(now time.Time) bool {
 	if now.After(c.Begin) {
@@ -35,18 +35,18 @@
 	return c.writeState.CompareAndSwap(writeWaiting, writeStarted)
 }
 
-// revokeWrite tells its actor whether it surely is not written and never will be.
+// revokeWrite tells its actor whether it surely was not written and never will be.
 func (c *call) revokeWrite() bool {
 	return c.connection == nil || c.writeState.CompareAndSwap(writeWaiting, writeRevoked) || c.writeState.Load() == writeRevoked
 }
 
-// trip is the calls that share one place on a connection.
+// sharedCall has the calls that share a frame; it counts as one on its connection.
 type sharedCall struct {
 	calls []*call
 	live  int
 }
 
-// outcome is that of a call whose connection can tell no more: what was never wholly written never ran.
+// outcome is that of a call whose connection has ended: a call that was not completely written was not executed.
 func (c *call) outcome() policy.Outcome {
 	switch {
 	case c.canceled:
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// withdraw gives up a call that the module takes back.
+// cancelCall cancels a call for the policy.
 func (a *actor) cancelCall(subquery policy.SubqueryID, no policy.CallNo) {
 	for _, c := range a.calls {
 		if c.Subquery == subquery && c.No == no {
@@ -19,7 +19,7 @@
 	}
 }
 
-// notBegun ends calls whose write may not begin any more.
+// endNotStarted ends calls whose write may not start any more.
 func (a *actor) endNotStarted(calls []*call) {
 	for _, c := range calls {
 		if a.calls[c.name] == c {
@@ -28,8 +28,8 @@
 	}
 }
 
-// revokeUnsent takes back all calls that are not on their way to a backend that wants nothing new: none of them begins any
-// more, be it that a connect or a write holds it up for longer than the grace.
+// revokeUnsent ends all calls whose write has not started, for a backend that drains: none of them may start later, when a
+// connect or a write has delayed it beyond the drain's grace.
 func (a *actor) revokeUnsent() {
 	for _, c := range a.calls {
 		switch {
@@ -41,6 +41,7 @@
 	}
 }
 
+// send takes calls that share a frame.
 func (a *actor) send(calls []aggregator.Call) {
 	t := &sharedCall{}
 	for _, c := range calls {
@@ -61,7 +62,8 @@
 	a.assign()
 }
 
-// assign puts what waits on the first connection that can take it, and opens more connections where there are too few.
+// assign gives waiting calls and the pending probe to the first connections that can take them, and dials more connections
+// where there are too few.
 func (a *actor) assign() {
 	var unassigned []*sharedCall
 	for _, t := range a.waiting {
@@ -91,7 +93,7 @@
 	}
 }
 
-// end takes a call off the records and tells the module how it ended.
+// end removes a call from the records and reports its end.
 func (a *actor) end(c *call, outcome policy.Outcome, at time.Time, with answer) {
 	if a.calls[c.name] == c {
 		delete(a.calls, c.name)
@@ -110,8 +112,8 @@
 	a.hub.notifyEnd(&c.Call, a.id, outcome, at, with)
 }
 
-// abandonCall gives up a call that nobody waits for any more. Its end is told once its backend was: until then another call of
-// its part would be a second copy. An answer that comes before that is taken.
+// abandonCall cancels a call that nobody waits for any more. Its end is reported once the cancel frame was written: until then
+// another call of its subquery would be a duplicate. An answer that comes before that counts.
 func (a *actor) abandonCall(c *call, outcome policy.Outcome) {
 	conn, now := c.connection, time.Now()
 	switch {
@@ -127,7 +129,7 @@
 	conn.out.Put(outgoing{frameType: frameCancel, calls: []*call{c}})
 }
 
-// cancelWritten ends a call that its backend was told is given up; what it may still say is dropped.
+// cancelWritten ends a call whose cancel frame was written; a later answer is dropped.
 func (a *actor) cancelWritten(conn *connection, c *call) {
 	if a.calls[c.name] != c {
 		return // answered meanwhile
@@ -138,8 +140,8 @@
 	a.end(c, c.cancelOutcome, now, answer{})
 }
 
-// handleAnswer takes an answer that can be read. One to a call given up is late, the last one may come twice; any other
-// that names no call of this connection is meant for one that it does not name.
+// handleAnswer handles a valid answer. One to a canceled call is late, and the last answer may come twice; any other that
+// names no call of this connection is corrupt, and meant for a call that it does not name.
 func (a *actor) handleAnswer(n *message) {
 	conn, name := n.connection, n.answer.name
 	c := a.calls[name]
@@ -156,8 +158,8 @@
 	}
 }
 
-// corrupted gives a connection up of which nothing can be trusted any more. The call that the bad answer names, or else the
-// only one that is out there, has run and failed; what becomes of the others is told by the connection's end.
+// handleCorrupted closes a connection on which no data can be trusted any more. The call that the corrupt answer names, or else
+// the only one in flight there, was executed and has failed; the others end with the connection.
 func (a *actor) handleCorrupted(conn *connection, name string, why reason, at time.Time) {
 	a.hub.counters.Add("late", "spoilt", 1)
 	meant := a.calls[name]
@@ -172,7 +174,7 @@
 			}
 		}
 	}
-	a.close(conn, why) // before its call's end is told, as another call of that part may go out then
+	a.close(conn, why) // before its call's end is told, as another call of that subquery may go out then
 	if meant != nil {
 		a.end(meant, policy.Errored, at, answer{})
 	}
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -13,14 +13,14 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// writeTimeout is how long a backend may leave what we write unread, after all that the kernel's buffers hold:
-// what waits behind it is not bounded otherwise.
+// writeTimeout is how long a backend may leave data unread once the kernel's buffers are full: what waits behind it is not
+// bounded otherwise.
 const writeTimeout = time.Second
 
-// finalReadTimeout is how long a connection that is over may still be read: what has come is here, it has to be taken up alone.
+// finalReadTimeout is how long a finished connection is still read: what has arrived only has to be taken from the buffers.
 const finalReadTimeout = 50 * time.Millisecond
 
-// outgoing is what a connection writes at once, in one piece or not at all as far as its backend's actor knows.
+// outgoing is a frame to write, all or nothing as far as its backend's actor knows.
 type outgoing struct {
 	frameType byte
 	calls     []*call // S, and C with one
@@ -40,7 +40,7 @@
 	opened          time.Time
 	lastUsedAt      time.Time            // last frame either way
 	sharedCalls     int                  // calls that it carries
-	canceledUntil   map[string]time.Time // names of calls given up on it, which may still be answered, and until when
+	canceledUntil   map[string]time.Time // names of calls canceled on it, which may still be answered, and until when
 	lastAnswer      string               // name of the last answer on it, which may come twice
 	lastFrameAt     time.Time            // last frame that came
 	unansweredSince time.Time            // first frame handed to it since; zero if none was
@@ -100,8 +100,8 @@
 	return message{kind: messageConnectionEnded, connection: conn, reason: why, text: text}
 }
 
-// finish ends what is written, and leaves the reader a moment for what has come already: an answer that is whole counts,
-// whatever became of its connection since.
+// finish ends writing, and lets the reader take what has arrived already: a complete answer counts, whatever became of its
+// connection since.
 func (conn *connection) finish() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -119,7 +119,7 @@
 	return conn.finished
 }
 
-// readBy sets when the read in hand has to be done, unless it is one of the last.
+// readBy sets the deadline of reads, unless the connection is read for the last time.
 func (conn *connection) readBy(at time.Time) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -183,7 +183,7 @@
 	}
 }
 
-// begin tells calls that may begin from those that may not any more.
+// splitStartable starts the writes of calls, and separates those that must not be written any more.
 func splitStartable(calls []*call, now time.Time) (startable, revoked []*call) {
 	for _, c := range calls {
 		if c.startWrite(now) {
@@ -195,7 +195,7 @@
 	return startable, revoked
 }
 
-// packetStart is where a packet begins.
+// packetStart is the offset of packet i, of packets that end at upTo.
 func packetStart(upTo []int, i int) int {
 	if i == 0 {
 		return 0
@@ -203,6 +203,7 @@
 	return upTo[i-1]
 }
 
+// write writes outgoing frames until the connection ends.
 func (conn *connection) write(notify func(message), stop chan struct{}, end func(reason, error)) {
 	var waiting []outgoing
 	var buf []byte
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -12,10 +12,12 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
+// idle tells whether nothing is in flight on a connection.
 func (a *actor) idle(conn *connection) bool {
 	return conn.sharedCalls == 0 && (a.pendingProbe == nil || a.pendingProbe.connection != conn)
 }
 
+// closeIdle closes all idle connections.
 func (a *actor) closeIdle(why reason) {
 	for _, conn := range a.connections {
 		if a.idle(conn) {
@@ -24,7 +26,7 @@
 	}
 }
 
-// close ends a connection; what is out on it is told when its goroutines have said all they know.
+// close closes a connection; calls in flight on it end once its goroutines have reported all they know.
 func (a *actor) close(conn *connection, why reason) {
 	if conn.closeReason != "" {
 		return
@@ -37,8 +39,8 @@
 	}
 }
 
-// connectionFor finds a connection for a trip. One on which a call of the same name was given up is no use: its late answer
-// could not be told from the new one's.
+// connectionFor finds a connection for a shared call. One on which a call of the same name was canceled can't be used: its
+// late answer could not be told from the new one's.
 func (a *actor) connectionFor(t *sharedCall) *connection {
 	for _, conn := range a.connections {
 		if !a.usable(conn) || a.hub.settings.Streams > 0 && conn.sharedCalls >= a.hub.settings.Streams {
@@ -51,22 +53,22 @@
 	return nil
 }
 
-// usable tells whether anything new may be asked on a connection. One that has fallen silent looks like a backend that is
-// silent: only another connection tells them apart, and a backend that lives must not be lost with its connection.
+// usable tells whether a connection may carry new calls and probes. One that has become unresponsive can't be told from an
+// unresponsive backend but by another connection, and a backend that is alive must not be lost with its connection.
 func (a *actor) usable(conn *connection) bool {
 	return conn.closeReason == "" && !conn.partialFrame && conn.silentSince.IsZero() && !a.nearIdleClose(conn)
 }
 
-// recordTimeout notes that a connection had no answer in its time to what was asked on it then. That time is a probe's at
-// least: what a client gives a call may be next to nothing.
+// recordTimeout records that a connection had no answer in time to what was sent on it. That time is at least a probe's, as a
+// client's time-out may be next to nothing.
 func (a *actor) recordTimeout(conn *connection, asked, now time.Time) {
 	if conn.lastFrameAt.Before(asked) && now.Sub(asked) >= seconds(a.hub.settings.Connect) {
 		a.markSilent(conn, now)
 	}
 }
 
-// markSilent begins the last wait for a connection that has said nothing, and asks it by a probe of its own, which a backend answers at
-// once however long its calls wait. Without one, slow backends lost connection after connection, with the work done for them.
+// markSilent starts the final time-out of an unresponsive connection, and sends a probe on it, which a backend answers at once
+// however long its calls wait. Without the probe, slow backends lost connection after connection, and the work done on them.
 func (a *actor) markSilent(conn *connection, now time.Time) {
 	if conn.closeReason != "" || !conn.silentSince.IsZero() {
 		return
@@ -75,16 +77,16 @@
 	conn.out.Put(outgoing{frameType: a.probeFrame()})
 }
 
-// ask notes that something is handed to a connection. It counts from here and not from when the writer tells of it: on a
-// busy machine that may come after the answer of a probe on another connection, which would then find nothing asked here.
+// expectAnswer records that a frame is passed to a connection. The time counts from here and not from the writer's report: on a
+// busy machine that may come after the answer of a probe on another connection, which would then find nothing unanswered here.
 func (conn *connection) expectAnswer(now time.Time) {
 	if conn.unansweredSince.IsZero() {
 		conn.unansweredSince = now
 	}
 }
 
-// nearIdleClose tells of a connection that its backend may close for being idle before a frame gets there: a frame is given
-// as long as a connect.
+// nearIdleClose tells whether the backend may close an idle connection before a frame gets there, which may take as long as a
+// connect.
 func (a *actor) nearIdleClose(conn *connection) bool {
 	idle := a.hub.settings.Idle
 	return idle > 0 && a.idle(conn) && time.Since(conn.lastUsedAt) >= a.idleLimit()
@@ -95,6 +97,7 @@
 	return seconds(max(a.hub.settings.Idle-a.hub.settings.Connect, a.hub.settings.Idle/2))
 }
 
+// dialsNeeded is the number of dials in progress that the waiting calls and the pending probe need.
 func (a *actor) dialsNeeded() int {
 	needed, per := len(a.waiting), a.hub.settings.Streams
 	if needed > 0 && per > 0 {
@@ -108,6 +111,7 @@
 	return needed
 }
 
+// dial dials a connection in a goroutine of its own, if a descriptor is free.
 func (a *actor) dial() {
 	a.dials++
 	a.dialsOfAllEras++
@@ -142,6 +146,7 @@
 	return conn.run(func(n message) { a.in.Put(n) })
 }
 
+// handleDialed handles the end of a dial.
 func (a *actor) handleDialed(n *message) {
 	a.dialsOfAllEras--
 	old := n.era != a.era
@@ -179,7 +184,8 @@
 	}
 }
 
-// connectionEnded tells once what was out on a connection: what was never wholly written never ran.
+// handleConnectionEnded ends the calls and the probe in flight on a connection, once: what was not completely written was not
+// executed.
 func (a *actor) handleConnectionEnded(n *message) {
 	conn, now := n.connection, time.Now()
 	a.connections = slices.DeleteFunc(a.connections, func(o *connection) bool { return o == conn })
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -34,13 +34,13 @@
 	frameRefuse = 'F'
 )
 
-// The words that answer a probe.
+// The answers to a probe.
 const (
 	probeDone   = "done"
 	probeFailed = "failed"
 )
 
-// answer is what frame R says of a part call.
+// answer is a decoded frame R.
 type answer struct {
 	name    string
 	outcome policy.Outcome
@@ -78,7 +78,7 @@
 	return payload[0], payload[1:], nil
 }
 
-// buffered tells whether the next frame is here to its last byte.
+// buffered tells whether the next frame is completely in the buffer.
 func buffered(r *bufio.Reader) bool {
 	have := r.Buffered()
 	if have < 4 {
@@ -93,12 +93,13 @@
 	return append(append(b, frameType), payload...)
 }
 
-// subqueryName names a part call on the wire.
+// subqueryName is a call's name on the wire.
 func subqueryName(c *aggregator.Call) string {
 	return c.Query.ID + "." + strconv.Itoa(int(c.Shard))
 }
 
-// appendCall writes the parts of one call; the time left is rounded down, never to say more than the client waits.
+// appendCall appends a frame with the subqueries of one call; the remaining time is rounded down, so that it is never more than
+// the client waits.
 func appendCall(b []byte, calls []*call, now time.Time) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, frameCall)
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -1,5 +1,5 @@
-// Package backends speaks with backends: an actor for each, with its connections, calls, probes and time-outs. What
-// is sent where is the module's to decide; here is only how.
+// Package backends is the network side towards backends: an actor for each, with its connections, calls, probes and
+// time-outs. What is sent where is the policy's decision.
 package backends
 
 import (
@@ -18,14 +18,15 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// lateAnswerPeriod is how long a call given up may still be answered: above any time that a backend goes on with work that
-// nobody waits for, and short enough that the names given up in it are few.
+// lateAnswerPeriod is how long after its cancellation a call may still be answered: longer than any backend works on a call
+// that nobody waits for, and short enough that the names to remember are few.
 const lateAnswerPeriod = 30 * time.Second
 
-// drainWriteTimeout is what is left to a write to a backend that wants nothing new: one that is not stuck is done by then.
+// drainWriteTimeout is the time-out of a write in progress to a backend that begins to drain: one that is not stuck is done by
+// then.
 const drainWriteTimeout = 100 * time.Millisecond
 
-// Hub hands each backend's actor what concerns it. It belongs to the module's actor.
+// Hub has the actors of all backends, and passes each its messages. Its methods are called by the policy's actor alone.
 type Hub struct {
 	settings     settings.Net
 	events       *eventqueue.Queue[aggregator.Event]
@@ -41,7 +42,7 @@
 	running      sync.WaitGroup
 }
 
-// New makes a hub that keeps no more than so many connections.
+// New makes a hub that has at most maxConnections connections, and puts its events into events.
 func New(set settings.Net, maxConnections int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Hub {
 	h := &Hub{settings: set, events: tell, log: log, counters: count, actors: map[policy.BackendID]*actor{},
 		removed: map[policy.BackendID]*actor{}, descriptors: make(chan struct{}, maxConnections), writeTimeout: writeTimeout}
@@ -52,8 +53,8 @@
 	return h
 }
 
-// Update takes what the list says of a backend, and starts its actor at the first naming. An actor whose backend is
-// gone ends with its last call; the register never names one again by the same number.
+// Update applies an entry of the list, and starts an actor for a new backend. The actor of a removed backend ends with its
+// last call; the list never uses its number again.
 func (h *Hub) Update(entry policy.Entry, address string) {
 	maps.DeleteFunc(h.removed, func(id policy.BackendID, a *actor) bool {
 		if a.ended.Load() {
@@ -75,7 +76,7 @@
 	a.in.Put(message{kind: messageListed, entry: entry, address: address})
 }
 
-// Retain takes those that a whole list leaves out for gone.
+// Retain removes the backends that a complete list does not name.
 func (h *Hub) Retain(keep map[policy.BackendID]bool) {
 	for id := range h.actors {
 		if !keep[id] {
@@ -84,13 +85,14 @@
 	}
 }
 
+// put passes a message to a backend's actor; for an unknown backend it does nothing.
 func (h *Hub) put(to policy.BackendID, n message) {
 	if a := h.actors[to]; a != nil {
 		a.in.Put(n)
 	}
 }
 
-// Send sends calls that share one place on a connection.
+// Send sends calls that share a frame, and count as one on their connection.
 func (h *Hub) Send(to policy.BackendID, calls []aggregator.Call) {
 	if a := h.actors[to]; a != nil && !a.ended.Load() {
 		a.in.Put(message{kind: messageSend, newCalls: calls})
@@ -101,19 +103,19 @@
 	}
 }
 
-// notifyEnd tells the module's actor how a call ended.
+// notifyEnd reports a call's end to the policy's actor.
 func (h *Hub) notifyEnd(c *aggregator.Call, backend policy.BackendID, outcome policy.Outcome, endedAt time.Time, with answer) {
 	h.counters.Add("calls", outcomeNames[outcome], 1)
 	h.events.Put(aggregator.Event{Value: with.value, Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No,
 		Backend: backend, Outcome: outcome, Elapsed: max(0, endedAt.Sub(c.Sent).Seconds()), Load: with.load}})
 }
 
-// Cancel gives a part call up: its answer counts no more.
+// Cancel cancels a call: its answer does not count any more.
 func (h *Hub) Cancel(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo) {
 	h.put(at, message{kind: messageCancel, subquery: subquery, no: no})
 }
 
-// Probe asks a backend whether it lives, apart from all that is out there if so wanted.
+// Probe sends a health check to a backend; with separate, on a connection with nothing else in flight.
 func (h *Hub) Probe(at policy.BackendID, separate bool) {
 	h.put(at, message{kind: messageProbe, separate: separate, at: time.Now()})
 }
@@ -121,7 +123,7 @@
 // CloseIdle closes the idle connections to a backend.
 func (h *Hub) CloseIdle(at policy.BackendID) { h.put(at, message{kind: messageCloseIdle}) }
 
-// Stop ends all actors and their connections; the module's actor has ended before.
+// Stop ends all actors and their connections; the policy's actor must have ended before.
 func (h *Hub) Stop() {
 	for _, a := range h.actors {
 		a.in.Put(message{kind: messageStop})
--- a/internal/dataplane/backends/probes.go
+++ b/internal/dataplane/backends/probes.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// pendingProbe is the probe that is out; the module has one at a time.
+// pendingProbe is the probe in flight; the policy has one per backend at a time.
 type pendingProbe struct {
 	sentAt     time.Time
 	separate   bool // on a connection with nothing else out
@@ -23,13 +23,14 @@
 	a.assign()
 }
 
+// sendProbe sends the pending probe on a connection.
 func (a *actor) sendProbe(conn *connection) {
 	a.pendingProbe.connection = conn
 	conn.expectAnswer(time.Now())
 	conn.out.Put(outgoing{frameType: a.probeFrame()})
 }
 
-// probeFrame is the type of frame that probes use.
+// probeFrame is the type of a probe's frame.
 func (a *actor) probeFrame() byte {
 	if a.hub.settings.Loads {
 		return frameLoad
@@ -37,8 +38,8 @@
 	return frameAlive
 }
 
-// handleProbeAnswer takes the answer of a probe. One that comes after its time-out may be taken for the next one's: a sign
-// of life it is all the same.
+// handleProbeAnswer handles the answer of a probe. One that comes after its time-out may be taken for the next one's; it still
+// shows that the backend is alive.
 func (a *actor) handleProbeAnswer(n *message) {
 	if p := a.pendingProbe; p == nil || p.connection != n.connection {
 		a.hub.counters.Add("late", "probes", 1)
@@ -57,6 +58,7 @@
 	}
 }
 
+// endProbe reports the end of the pending probe.
 func (a *actor) endProbe(outcome policy.Outcome, at time.Time, load policy.Load) {
 	elapsed := max(0, at.Sub(a.pendingProbe.sentAt).Seconds())
 	a.pendingProbe = nil
--- a/internal/dataplane/backends/races_test.go
+++ b/internal/dataplane/backends/races_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// writeTimeout sends a call that is larger than sockets hold unread, and returns its connection once the write of it has begun: what is
+// stuck sends a call that is larger than sockets hold unread, and returns its connection once the write of it has begun: what is
 // sent there next waits behind it until the connection is read.
 func (r *fixture) stuck() *peerConnection {
 	r.Helper()
@@ -72,7 +72,7 @@
 	}
 }
 
-// A call that is on its way to its backend ends once that was told: before, another call of its part would be a second copy,
+// A call that is on its way to its backend ends once that was told: before, another call of its subquery would be a second copy,
 // which a deployment may not allow.
 func TestCanceledCallEndsOnceTheCancelFrameIsWritten(t *testing.T) {
 	r := newFixture(t, nil)
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got > 16<<20 { // it was not given up
+	if got > 16<<20 { // it was not canceled
 		p.writeFrame('R', "large.0 done 0 -\n")
 	}
 	if e := r.event(); e.Subquery != 1 {
--- a/internal/dataplane/clients/connection.go
+++ b/internal/dataplane/clients/connection.go
@@ -16,8 +16,8 @@
 // reason is the code of why a client's connection ended, as docs/oncall.md lists them.
 type reason string
 
-// connection is a client's connection. It notes when a request's first byte came: the client's wait runs from its
-// sending, so the byte's time is the nearest and safe side, however late the request's turn comes.
+// connection is a client's connection. It records when a request's first byte arrived: the client's time-out runs from its
+// sending, and this is the closest time on the safe side, however late the request is handled.
 type connection struct {
 	net.Conn
 	table        *connections
@@ -46,7 +46,7 @@
 	readAhead     []byte        // what was read so
 	readAheadErr  error         // and how that ended
 	overrun       atomic.Bool   // more came than is kept
-	clientLeft    chan struct{} // closed once the client has left behind what it sent ahead
+	clientLeft    chan struct{} // closed once the client has disconnected behind what it pipelined
 
 	headMu       sync.Mutex
 	head         []byte // what came since the last answer, up to the end of the first head
@@ -69,7 +69,7 @@
 	return n, err
 }
 
-// recordHead keeps the bytes of a head, of which net/http does not tell all.
+// recordHead records the bytes of a request's head, as net/http does not report all of it.
 func (conn *connection) recordHead(b []byte) {
 	conn.headMu.Lock()
 	defer conn.headMu.Unlock()
@@ -84,11 +84,11 @@
 			return
 		}
 	}
-	conn.headComplete = len(conn.head) > 2*maxHeader // net/http has given up on it long before
+	conn.headComplete = len(conn.head) > 2*maxHeader // net/http has canceled on it long before
 }
 
-// hasOneLength tells whether a request states the length of its body once at most. Of one that came along with the request
-// before the head is not known: it may state a length, but not come in chunks, which could stand beside one.
+// hasOneLength tells whether a request states the length of its body at most once. The head of a pipelined request is not
+// recorded: it may state a length, but not be chunked, as a length could stand beside that.
 func (conn *connection) hasOneLength(r *http.Request) bool {
 	conn.headMu.Lock()
 	defer conn.headMu.Unlock()
@@ -106,7 +106,7 @@
 	return stated <= 1
 }
 
-// arrived is when the request in hand began to come in.
+// arrived is when the first byte of the current request arrived.
 func (conn *connection) arrived() time.Time {
 	if came := conn.firstByte.Load(); came != 0 {
 		return conn.opened.Add(time.Duration(came))
@@ -114,8 +114,8 @@
 	return time.Now() // it came along with the request before
 }
 
-// closable tells that the connection may be closed without loss: its client has had its answers, and sends a request that
-// crosses with the closing again; or it has stopped half way, and nothing whole can be lost. of.mu is held.
+// closable tells whether the connection may be closed without loss: its client has had its answers, and will retry a request
+// that races with the close; or a request has stalled, and no complete one can be lost. table.mu is held.
 func (conn *connection) closable() bool {
 	switch {
 	case conn.answering.Load():
@@ -126,10 +126,10 @@
 	return time.Since(conn.opened)-time.Duration(conn.lastByte.Load()) > stallTimeout
 }
 
-// setEndReason notes why the connection ends; the first reason stands.
+// setEndReason records why the connection ends; the first reason counts.
 func (conn *connection) setEndReason(why reason) { conn.endReason.CompareAndSwap(nil, &why) }
 
-// CloseWrite lets net/http end a connection so that its answer is not lost with it.
+// CloseWrite lets net/http close a connection without losing the answer.
 func (conn *connection) CloseWrite() error {
 	if tcp, isTCP := conn.Conn.(*net.TCPConn); isTCP {
 		return tcp.CloseWrite()
@@ -137,8 +137,8 @@
 	return errors.ErrUnsupported
 }
 
-// Close ends our side. Over bytes that nobody has read a close would be a reset, which may cost the client the answer
-// before it: so the other side is read to its end, or for a while, and nothing that comes then counts.
+// Close closes our side. With unread bytes a full close would be a reset, which may cost the client the answer before it: so
+// the client's side is read to its end, or for lingerTimeout, and discarded.
 func (conn *connection) Close() error {
 	conn.once.Do(func() {
 		conn.table.closedByUs(conn)
@@ -154,6 +154,7 @@
 	return nil
 }
 
+// linger discards what the client still sends, until its end or a time-out, and then closes both sides.
 func (conn *connection) linger() {
 	defer conn.closeBoth()
 	conn.readMu.Lock()
@@ -166,13 +167,13 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(conn.Conn, maxLinger)) // however it ends, our side is closed next
 }
 
-// closeBoth ends the other side too.
+// closeBoth closes the client's side too.
 func (conn *connection) closeBoth() {
 	conn.Conn.Close()
 	conn.table.closedByBoth(conn)
 }
 
-// lastByteAt is when its last byte came.
+// lastByteAt is when the last byte arrived.
 func (conn *connection) lastByteAt() time.Time {
 	return conn.opened.Add(time.Duration(conn.lastByte.Load()))
 }
--- a/internal/dataplane/clients/connections.go
+++ b/internal/dataplane/clients/connections.go
@@ -19,7 +19,7 @@
 	// known that the client has stopped half way.
 	stallTimeout = 300 * time.Millisecond
 	// queryShare of the connections may have a query held at once: far above what usual clients need. The others are for
-	// those that come and go, so that a newcomer never waits for a held query.
+	// those that come and go, so that a new connection never waits for a query in progress.
 	queryShare = 0.8
 	// idleShare of the connections may stand idle or held after a query. Clients have few descriptors for us themselves, and
 	// those that never ask again on a connection they keep would use them up: closed, it costs one that does a new connection.
@@ -44,8 +44,8 @@
 	reasonShutdown          reason = "shutdown"
 )
 
-// connections is the listener that net/http accepts from, and the table of its connections. At the cap it closes a connection that
-// asks nothing; where there is none yet, newcomers wait in the kernel's queue, where their requests are not lost.
+// connections is the listener that net/http accepts from, and the table of its connections. At the limit it evicts a connection
+// without a query; where there is none, new connections wait in the kernel's queue, where their requests are not lost.
 type connections struct {
 	listener     *net.TCPListener
 	limit        int
@@ -85,7 +85,7 @@
 	return conn, nil
 }
 
-// add records a new connection. At the cap it has to wait, for one that is told to leave, or for what is left of one that has.
+// add records a new connection. At the limit it fails, and evicts another connection or ends one that lingers.
 func (s *connections) add(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,8 +106,8 @@
 	return false
 }
 
-// evictable finds the connection that may be closed and has heard nothing longest; the lock is held. Connections
-// on which a query was served go only when there are no others: a crowd that says nothing must not cost them theirs.
+// evictable finds the closable connection that has been silent for longest; the lock is held. Connections that had a query are
+// evicted only where there are no others: a crowd that sends nothing must not cost them theirs.
 func (s *connections) evictable() *connection {
 	found, strangers := s.longestIdle(false)
 	if strangers == 0 {
@@ -116,8 +116,8 @@
 	return found
 }
 
-// longestIdle finds the connection that may be closed and has heard nothing longest, among those that had a query or those
-// that had none, and tells how many these are; the lock is held.
+// longestIdle finds the closable connection that has been silent for longest, among those that had a query or those that had
+// none, and counts these; the lock is held.
 func (s *connections) longestIdle(served bool) (found *connection, all int) {
 	for conn := range s.open {
 		if conn.closed || conn.hadQuery != served {
@@ -131,7 +131,7 @@
 	return found, all
 }
 
-// beginQuery tells whether another query may be held, and records it.
+// beginQuery records a query of a connection; it fails where the limit of queries in progress is reached.
 func (s *connections) beginQuery(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	return conn.idle
 }
 
-// endQuery records that no query of a connection is held any more; the lock is held.
+// endQuery records the end of a connection's query; the lock is held.
 func (s *connections) endQuery(conn *connection) {
 	if conn.hasQuery {
 		conn.hasQuery = false
@@ -159,7 +159,7 @@
 	}
 }
 
-// stateChanged hears from net/http what a connection does.
+// stateChanged is net/http's callback on a connection's state.
 func (s *connections) stateChanged(c net.Conn, state http.ConnState) {
 	conn, isOurs := c.(*connection)
 	if !isOurs {
@@ -180,7 +180,7 @@
 	}
 }
 
-// excessIdle finds the connection that is idle longest, where more are kept than may be; the lock is held.
+// excessIdle finds the connection that has been idle for longest, where more than the limit are; the lock is held.
 func (s *connections) excessIdle() *connection {
 	found, kept := s.longestIdle(true)
 	if float64(kept) <= idleShare*float64(s.limit) {
@@ -189,7 +189,7 @@
 	return found
 }
 
-// closedByUs notes that our side of a connection has ended: nothing of it is held any more but its descriptor.
+// closedByUs records that our side of a connection is closed: only its descriptor is still in use.
 func (s *connections) closedByUs(conn *connection) {
 	s.mu.Lock()
 	conn.closed = true
@@ -198,7 +198,7 @@
 	conn.setEndReason(reasonClosedAfterAnswer)
 }
 
-// ended notes that both have.
+// closedByBoth records that both sides are closed.
 func (s *connections) closedByBoth(conn *connection) {
 	s.mu.Lock()
 	delete(s.open, conn)
@@ -216,7 +216,7 @@
 		zap.Float64("lived_s", time.Since(conn.opened).Seconds()))
 }
 
-// left tells how many clients have a connection that is open on our side, and how many one that is on theirs alone.
+// remaining counts the connections that are open on our side, and those that are open on the client's side alone.
 func (s *connections) remaining() (open, half int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +230,7 @@
 	return open, half
 }
 
-// leave lets connections go that are between two requests.
+// closeIdle closes connections that are between two requests.
 func (s *connections) closeIdle(why reason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/clients/protocol.go
+++ b/internal/dataplane/clients/protocol.go
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// nameTable knows the settings' names by number.
+// nameTable maps the settings' names to numbers.
 type nameTable struct {
 	indexes   map[string]policy.IndexID
 	customers map[string]policy.CustomerID
@@ -26,14 +26,14 @@
 	return nameTable{settings.Numbered[policy.IndexID](set.Indexes), settings.Numbered[policy.CustomerID](set.Customers), set.Shards}
 }
 
-// index is the one that the first part of a path names.
+// index is the one that the first subquery of a path names.
 func (n *nameTable) index(path string) (policy.IndexID, bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	id, known := n.indexes[name]
 	return id, known
 }
 
-// target is a part as a client words it.
+// target is a subquery in a client's request.
 type target struct {
 	Partition *int     `json:"partition"`
 	Share     *float64 `json:"share"`
@@ -41,8 +41,8 @@
 	Route     string   `json:"route"`
 }
 
-// targets are a query's parts, of which there are no more than shards: an array that goes on is not read to its end,
-// as it would unfold into far more memory than its bytes.
+// targets are a query's subqueries, at most one for each shard: a longer array is not read to its end, as it would take far
+// more memory than its bytes.
 type targets struct {
 	limit int
 	list  []target
@@ -74,7 +74,7 @@
 	Query   jsontext.Value `json:"query"`
 }
 
-// readHead reads what a query's headers and address say; the error is for the client.
+// readHead reads a query's headers and URL; the error is for the client.
 func (n *nameTable) readHead(r *http.Request, q *aggregator.Query) error {
 	for name, values := range r.Header {
 		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // which one counts is anyone's guess
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readBody reads the parts; the query's text keeps its bytes. Names count in their own case only, and none may
+// readBody reads the subqueries; the query's text keeps its bytes. Names count in their own case only, and none may
 // come twice: what another reader would take for the query must not differ from what we do.
 func (n *nameTable) readBody(text []byte, q *aggregator.Query) error {
 	in := body{Targets: targets{limit: n.shards}}
@@ -170,7 +170,7 @@
 	return jsontext.AppendUnquote(nil, raw)
 }
 
-// appendResults writes the answer's body from the values that are in.
+// appendResults appends the body of an answer with the values of answered subqueries.
 func appendResults(b []byte, q *aggregator.Query, complete bool) []byte {
 	b = append(b, `{"whole":`...)
 	b = strconv.AppendBool(b, complete)
@@ -211,7 +211,7 @@
 	return append(b, '"')
 }
 
-// retryAfter words advice in seconds; to the millisecond, rounded up.
+// retryAfter formats seconds for Retry-After, rounded up to milliseconds.
 func retryAfter(s float64) string {
 	return strconv.FormatFloat(math.Ceil(s*1000)/1000, 'f', -1, 64)
 }
--- a/internal/dataplane/clients/races_test.go
+++ b/internal/dataplane/clients/races_test.go
@@ -44,7 +44,7 @@
 	return request("/reads", strings.Replace(goodHead, "ab12", id, 1), goodBody)
 }
 
-// A client that leaves behind what it sent ahead is told of as soon as one that sent nothing, however it leaves.
+// A client that leaves behind what it pipelined is told of as soon as one that sent nothing, however it leaves.
 func TestDisconnectBehindPipelinedRequests(t *testing.T) {
 	for name, ahead := range map[string]string{"byte": "P", "request": pipelined("second"), "many": strings.Repeat(pipelined("second"), 100)} {
 		for _, how := range []string{"fin", "half", "reset"} {
@@ -73,7 +73,7 @@
 	}
 }
 
-// What is sent ahead is answered in its turn as long as it is little, the last one too.
+// What is pipelined is answered in its turn as long as it is little, the last one too.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
@@ -94,7 +94,7 @@
 	}
 }
 
-// More is not kept: the answer in hand is whole, and the last; nothing of the rest reaches the module.
+// More is not kept: the answer in hand is whole, and the last; nothing of the rest reaches the policy.
 func TestPipelinedBytesBeyondTheLimitEndTheConnection(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
@@ -295,7 +295,7 @@
 func TestDeadlineThatIsResetEndsNothing(t *testing.T) {
 	l, client := newUnservedConnection(t)
 	io.WriteString(client, "P")
-	if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil { // as net/http looks for its client's leaving
+	if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil { // as net/http looks for its client's disconnect
 		t.Fatal(n, err)
 	}
 	l.SetReadDeadline(past)
--- a/internal/dataplane/clients/readahead.go
+++ b/internal/dataplane/clients/readahead.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// What is read from a client's connection, and when no more is. net/http reads one request and then a single byte, to see
-// its client leave; whoever sends more behind a request and leaves would be waited for until its query ends. And a
-// connection that is closed from elsewhere may have been read a moment before: only who reads can say that nothing was.
+// Reading of a client's connection, and its end. net/http reads one request and then a single byte, to notice a disconnect;
+// with pipelined bytes behind a request it would not notice one until the query ends. And a connection that is closed by
+// another goroutine may have been read a moment before: only the reader can tell that nothing was.
 
 // minReadAhead and maxReadAhead bound what is read ahead of the requests in hand, on one connection: at least a request or
 // two, at most as much as one body.
@@ -55,7 +55,7 @@
 	return n, err
 }
 
-// takeReadAhead takes from what was read ahead, or else the reading from who follows; it tells whether there was anything.
+// takeReadAhead reads from what was read ahead, or else stops watchClient and takes over reading; it tells whether it has read.
 func (conn *connection) takeReadAhead(b []byte, n *int, err *error) bool {
 	conn.readMu.Lock()
 	defer conn.readMu.Unlock()
@@ -79,7 +79,7 @@
 	return true
 }
 
-// stopWatching waits until nobody follows any more; readMu is held.
+// stopWatching stops watchClient and waits for it; readMu is held.
 func (conn *connection) stopWatching() {
 	for conn.watching {
 		conn.stopWatch = true
@@ -92,8 +92,8 @@
 	}
 }
 
-// watchClient reads on behind a request that is in hand, to hear of its client's leaving. What comes beyond the bound is not
-// kept, and so the connection ends with the answer in hand.
+// watchClient reads ahead while a request is handled, to notice its client's disconnect. Bytes beyond the limit are dropped, and
+// so the connection ends with the current answer.
 func (conn *connection) watchClient() {
 	b := make([]byte, minReadAhead)
 	for {
@@ -121,7 +121,7 @@
 	}
 }
 
-// clientHasLeft tells whether the client of a request is known to have left.
+// clientHasLeft tells whether the client of a request is known to have disconnected.
 func (conn *connection) clientHasLeft(request context.Context) bool {
 	select {
 	case <-conn.clientLeft:
@@ -149,7 +149,7 @@
 	return errors.Join(conn.SetReadDeadline(t), conn.SetWriteDeadline(t))
 }
 
-// applyReadDeadline sets the deadline that counts; readMu is held.
+// applyReadDeadline sets the read deadline that applies now; readMu is held.
 func (conn *connection) applyReadDeadline() error {
 	if conn.leaveReason != "" || conn.stopWatch {
 		return conn.Conn.SetReadDeadline(past)
@@ -157,8 +157,8 @@
 	return conn.Conn.SetReadDeadline(conn.deadline)
 }
 
-// leave lets a connection end before its next request: at once where none has begun. Who reads it decides that, so that
-// none is read and dropped.
+// closeAfterAnswer ends a connection before its next request, at once where none has begun. The reader decides that, so that no
+// request is read and dropped.
 func (conn *connection) closeAfterAnswer(why reason) {
 	conn.readMu.Lock()
 	defer conn.readMu.Unlock()
@@ -168,15 +168,15 @@
 	}
 }
 
-// closesAfterAnswer tells whether the answer in hand is the last.
+// closesAfterAnswer tells whether the current answer is the connection's last.
 func (conn *connection) closesAfterAnswer() bool {
 	conn.readMu.Lock()
 	defer conn.readMu.Unlock()
 	return conn.leaveReason != "" || conn.overrun.Load()
 }
 
-// continuesReading tells whether a read that its deadline ended goes on, as that was meant for a connection without a request:
-// what net/http reads behind a request only waits for its client's leaving, and a request that is coming in comes first.
+// continuesReading tells whether a read that ended by its deadline goes on, as that deadline was meant for a connection without a
+// request: a read behind a request only waits for a disconnect, and a request that is arriving takes precedence.
 func (conn *connection) continuesReading(behind bool) bool {
 	conn.readMu.Lock()
 	defer conn.readMu.Unlock()
@@ -184,7 +184,8 @@
 	return (behind || coming) && conn.restoreReadDeadline()
 }
 
-// restoreReadDeadline puts net/http's own deadline back in place of the one for leaving, unless that has passed too; readMu is held.
+// restoreReadDeadline puts net/http's own deadline back in place of closeAfterAnswer's, unless it has passed too; readMu is
+// held.
 func (conn *connection) restoreReadDeadline() bool {
 	if conn.closing || conn.leaveReason == "" || !conn.deadline.IsZero() && !time.Now().Before(conn.deadline) {
 		return false
@@ -192,7 +193,7 @@
 	return conn.Conn.SetReadDeadline(conn.deadline) == nil
 }
 
-// recordReadError notes why a read has ended.
+// recordReadError records why reading has ended.
 func (conn *connection) recordReadError(err error) {
 	conn.readMu.Lock()
 	leaves := conn.leaveReason
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -1,5 +1,5 @@
-// Package clients is the side of clients: net/http's server reads queries, the module's actor decides, and the
-// answer is written whole.
+// Package clients is the network side towards clients: net/http's server reads queries, the policy's actor decides, and the
+// answer is written in one piece.
 package clients
 
 import (
@@ -25,7 +25,7 @@
 
 const (
 	maxBody   = 64 << 10 // what the protocol lets a body hold
-	maxHeader = 8 << 10  // many times a query's: at net/http's own 1 MB the connections at the cap would not fit in memory
+	maxHeader = 8 << 10  // many times a query's: at net/http's own 1 MB the connections at the limit would not fit in memory
 	// A client that says nothing, or stops in the middle of a head or a body, is owed an end within 3 s of
 	// connecting; some of that passes before its connection is accepted.
 	requestTimeout = 2 * time.Second
@@ -53,7 +53,7 @@
 	drainPoll = 20 * time.Millisecond
 )
 
-// Server serves clients.
+// Server serves queries over HTTP/1.1.
 type Server struct {
 	http          *http.Server
 	connections   *connections
@@ -69,7 +69,8 @@
 	stopped       chan struct{}
 }
 
-// New makes a server that keeps no more than so many connections, in so many bytes of memory altogether.
+// New makes a server with at most maxConnections connections, which may take memory bytes altogether. It puts its events into
+// events.
 func New(set settings.Settings, maxConnections, memory int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
 	s := &Server{events: tell, log: log, counters: count, names: newNameTable(set.Net), retryAfter: set.Limits.RetryAfter, answerTimeout: answerTimeout,
 		connections: newConnections(maxConnections, memory, log, count), largeBodies: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeBodyMemory))), stopped: make(chan struct{}, 1)}
@@ -87,7 +88,7 @@
 	return s
 }
 
-// httpLog takes what net/http itself has to say, a handler's panic above all.
+// httpLog logs what net/http itself reports, a handler's panic above all.
 type httpLog struct{ log *zap.Logger }
 
 func (l httpLog) Write(text []byte) (int, error) {
@@ -95,7 +96,7 @@
 	return len(text), nil
 }
 
-// Serve begins to accept, until Drain.
+// Serve starts to accept connections, until Drain.
 func (s *Server) Serve(l *net.TCPListener) {
 	s.connections.listener = l
 	go func() {
@@ -104,9 +105,10 @@
 	}()
 }
 
-// Drain serves on for as long as a stopping aggregator surely lives, but for the time that the last answers take: a front may
-// not have another aggregator yet, and clients ask on on the connections they have. Then answers close their connections, the listener
-// closes once its queue is empty, and the idle connections close; it returns when all that was taken is answered.
+// Drain is the graceful shutdown. The server goes on serving for as long as a stopping aggregator surely lives, but for the time
+// of the last answers, as a front may not have another aggregator yet and clients reuse their connections. Then answers close
+// their connections, the listener closes once its queue is empty, and idle connections close. Drain returns once all queries
+// are answered.
 func (s *Server) Drain() {
 	s.answerBy.Store(time.Now().Add(s.servePeriod + closePeriod - closeReserve).UnixNano())
 	open := func() bool { n, _ := s.connections.remaining(); return n > 0 }
@@ -167,7 +169,7 @@
 	errBusy  = errors.New("too many large bodies")
 )
 
-// readAll reads a body; a large one takes a place until done is called.
+// readAll reads a body; a large one counts against the limit of large bodies until done is called.
 func (s *Server) readAll(w http.ResponseWriter, r *http.Request) (text []byte, done func(), err error) {
 	done = func() {}
 	body := http.MaxBytesReader(w, r.Body, maxBody)
@@ -184,7 +186,7 @@
 	return append(text, remainder...), done, err
 }
 
-// handleQuery reads one, hands it to the module's actor and writes what that says.
+// handleQuery reads a query, passes it to the policy's actor and writes the reply.
 func (s *Server) handleQuery(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
 	conn := connectionOf(r)
 	q := &aggregator.Query{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
@@ -210,7 +212,7 @@
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
-	if conn.clientHasLeft(r.Context()) { // this one was sent ahead, and nobody waits for its answer
+	if conn.clientHasLeft(r.Context()) { // this one was pipelined, and nobody waits for its answer
 		s.write(w, r, http.StatusInternalServerError, nil)
 		return
 	}
@@ -221,25 +223,27 @@
 	if ends := s.answerBy.Load(); ends > 0 { // a stopping aggregator can't be waited for longer than it lives
 		q.Timeout = min(q.Timeout, max(0, time.Unix(0, ends).Sub(q.Arrived).Seconds()))
 	}
-	// That of reading goes: from here net/http only watches for the client's leaving. It fails only on a closed connection, which that finds.
+	// That of reading goes: from here net/http only watches for the client's disconnect. It fails only on a closed connection, which that finds.
 	_ = conn.SetReadDeadline(time.Time{})
 	s.events.Put(aggregator.Event{ClientQuery: q, Event: policy.Event{Kind: policy.QueryReceived}})
 	select {
 	case reply := <-q.Done:
 		s.answer(w, r, q, reply)
-	case <-conn.clientLeft: // behind what it had sent ahead, which net/http does not see
+	case <-conn.clientLeft: // behind what it had pipelined, which net/http does not see
 		s.clientLeft(w, r, q)
 	case <-r.Context().Done():
 		s.clientLeft(w, r, q)
 	}
 }
 
+// clientLeft reports that a query's client has disconnected.
 func (s *Server) clientLeft(w http.ResponseWriter, r *http.Request, q *aggregator.Query) {
 	s.events.Put(aggregator.Event{ClientQuery: q, Event: policy.Event{Kind: policy.ClientDisconnected}})
 	// Should it still listen, having closed one direction only, net/http's own answer would be an empty 200.
 	s.write(w, r, http.StatusInternalServerError, nil)
 }
 
+// answer writes a query's reply.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, q *aggregator.Query, reply aggregator.Reply) {
 	switch reply.End {
 	case aggregator.Satisfied:
@@ -264,14 +268,15 @@
 	}
 }
 
-// refuse answers what never reaches the module with one plain sentence. What follows on such a connection can't be trusted
-// to begin where we would look for it, and who sends it again at once has to connect again.
+// refuse answers a request that never reaches the policy, with one plain sentence, and closes the connection: what follows on
+// it may not start where it should, and a client that retries at once has to connect again.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, sentence string) {
 	w.Header().Set("Connection", "close")
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	s.write(w, r, status, []byte(sentence+".\n"))
 }
 
+// write writes a response.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	conn := connectionOf(r)
 	conn.answering.Store(true)
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery is the actor of the register: the list as it was known at the start, the watch on its changes,
-// the whole list where it is asked for, and reconnects.
+// Package discovery is the client of the service registry: the list of backends known at the start, the watch on its changes,
+// the complete list on request, and reconnects.
 package discovery
 
 import (
@@ -21,11 +21,11 @@
 
 const (
 	// heartbeatInterval is how often the protocol sends an empty line while nothing changes; a watch silent for so many of them
-	// is dead or its register out of reach, and only a new one can tell. What the register has to say counts as
+	// is dead or its registry unreachable, and only a new one can tell. What the registry has to say counts as
 	// told 6 s later at the latest: a new watch must stand before.
 	heartbeatInterval = 2 * time.Second
 	missedHeartbeats  = 2.5
-	// Waits between watches grow, so that aggregators that lost the register together leave it room, but not far, for
+	// Waits between watches grow, so that aggregators that lost the registry together leave it room, but not far, for
 	// the same reason.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
@@ -55,10 +55,10 @@
 	err     error
 }
 
-// Listener hears of the list: the module's actor, or one that stands before it. Put may not block.
+// Listener receives changes of the list: the policy's actor, or one in front of it. Put may not block.
 type Listener interface{ Put(...aggregator.Event) }
 
-// Client is the actor.
+// Client is the registry's client, an actor. Its fields but in and finished belong to the goroutine of Run.
 type Client struct {
 	in           *eventqueue.Queue[message]
 	listener     Listener
@@ -66,7 +66,7 @@
 	counters     *counters.Set
 	url          string
 	watchTimeout time.Duration // of a watch, after which it is renewed
-	onRequest    bool          // the module asks for the list; else it comes unasked
+	onRequest    bool          // the policy asks for the list; else it comes unasked
 	client       *http.Client
 	locations    map[string]int
 	kinds        map[string]int
@@ -83,7 +83,7 @@
 	finished     chan struct{}
 }
 
-// New makes the actor and tells the module what was known at the start.
+// New makes a client and passes the list known at the start to the listener.
 func New(address string, known []byte, set settings.Settings, tell Listener, log *zap.Logger,
 	count *counters.Set) (*Client, error) {
 	if err := checkAddress(address); err != nil {
@@ -101,8 +101,8 @@
 	return r, nil
 }
 
-// MoveTo goes on at another address of the register, from the version last read: the list stays whole meanwhile.
-// An address that is not one changes nothing.
+// MoveTo continues with another address of the registry, from the version last read: the list stays complete meanwhile. An
+// invalid address changes nothing.
 func (r *Client) MoveTo(address string) error {
 	if err := checkAddress(address); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// checkAddress tells what is wrong with an address, which has to be host and port.
+// checkAddress checks that an address has a host and a port.
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -123,10 +123,10 @@
 
 func listURL(address string) string { return "http://" + address + "/discovery/hosts" }
 
-// Subscribe begins or ends watching, as the module asks.
+// Subscribe starts or ends the watch, for the policy.
 func (r *Client) Subscribe(on bool) { r.in.Put(message{kind: messageSubscribe, on: on}) }
 
-// RequestFullList asks for the whole list once, as the module asks.
+// RequestFullList requests the complete list once, for the policy.
 func (r *Client) RequestFullList() { r.in.Put(message{kind: messageRequestFullList}) }
 
 // Stop ends the actor.
@@ -203,7 +203,7 @@
 	}
 }
 
-// olderThan tells of a whole list that it is from before a version.
+// olderThan tells whether a complete list is older than a version.
 func (n *message) olderThan(version int64) bool {
 	var p page
 	return n.err == nil && json.Unmarshal(n.line, &p) == nil && p.Version != nil && *p.Version < version
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -23,7 +23,7 @@
 
 const patience = queuetest.Patience
 
-// fixture is a register's actor and the register it speaks with, which the test plays: each request comes as a
+// fixture is a register's actor and the registry it speaks with, which the test plays: each request comes as a
 // function that writes a line to it.
 type fixture struct {
 	*testing.T
--- a/internal/dataplane/discovery/lineassembler.go
+++ b/internal/dataplane/discovery/lineassembler.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// trackedBody is a body that remembers how it ended: a reset is no end. What came behind the last line break before one is no
-// line, even where it can be read.
+// trackedBody is a body that remembers how it ended. Bytes behind the last line break before a reset are no line, even where
+// they can be parsed.
 type trackedBody struct {
 	io.Reader
 	err error
@@ -26,16 +26,15 @@
 	return bufio.ScanLines(data, atEnd)
 }
 
-// lineAssembler puts together what comes in several lines, as indented lists do: the lines from the one that opens an object to
-// the one that closes it. An empty line in between is a heartbeat behind a list that broke off, which is then handed on as it
-// is, to be found bad.
+// lineAssembler joins the lines of an indented list: from the one that opens an object to the one that closes it. An empty line
+// in between is a heartbeat behind a truncated list, which is then passed on as it is, to be rejected.
 type lineAssembler struct {
 	text            []byte
 	depth           int
 	quoted, escaped bool
 }
 
-// add takes a line, and hands out what it completes: a list, or an empty line.
+// add adds a line, and returns what it completes: a list, or an empty line.
 func (g *lineAssembler) add(line []byte) (text []byte, done bool) {
 	if len(g.text) > 0 {
 		g.text = append(g.text, '\n')
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// entry and page are the register's form.
+// entry is a backend in the registry's JSON.
 type entry struct {
 	ID        string   `json:"instanceId"`
 	Address   string   `json:"hostPort"`
@@ -27,6 +27,7 @@
 	return *e.Weight
 }
 
+// page is a list of the registry, complete or a patch.
 type page struct {
 	Version   *int64  `json:"generation"`
 	Complete  bool    `json:"reset"`
@@ -35,8 +36,7 @@
 
 var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 
-// applyList reads a line of the register's and tells the module, unless anything in it can't be read: half a list
-// would be worse than an old one.
+// applyList parses a list and passes it to the listener, all or nothing: half a list would be worse than an old one.
 func (r *Client) applyList(line []byte, known bool) error {
 	var list page
 	if err := json.Unmarshal(line, &list); err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// number gives names that the settings leave out numbers of their own, beyond those.
+// number is a name's number; names that the settings do not have get further numbers.
 func number(names map[string]int, name string) int {
 	no, known := names[name]
 	if !known {
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -114,7 +114,7 @@
 	r.nothing()
 }
 
-// Neither is a whole list that is reset, in whatever form it came; and what is cut short is none either.
+// Neither is a complete list that is reset, in whatever form it came; and what is cut short is none either.
 func TestConnectionResetDoesNotEndAFullList(t *testing.T) {
 	r := newBare(t, true, nil)
 	list := listLine(43, true, backend("s2", "SERVING"))
@@ -216,7 +216,7 @@
 	}
 }
 
-// Outage and return: while nobody listens at the register's address the list stays as it is; once somebody does, the watch is there
+// Outage and return: while nobody listens at the registry's address the list stays as it is; once somebody does, the watch is there
 // within the longest wait between tries.
 func TestRegistryThatRecoversIsWatched(t *testing.T) {
 	r := newBare(t, false, nil)
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -15,8 +15,8 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// silent is when the watch in hand counts as silent. A new one that has said nothing at all gets half as long, in which a
-// heartbeat is due: should it be silent as the one before it was, a third one stands before drains have to be kept.
+// watchDeadline is when the current watch times out. A new one without any line yet gets half as long, in which a heartbeat is
+// due: if it is unresponsive as the one before, a third one is established before drains have to be in force.
 func (r *Client) watchDeadline() time.Time {
 	if r.lastLineAt.Equal(r.watchStarted) {
 		return r.lastLineAt.Add(r.watchTimeout / 2)
@@ -24,7 +24,7 @@
 	return r.lastLineAt.Add(r.watchTimeout)
 }
 
-// checkWatch begins a watch where one is due, ends one that is silent, and tells when to look again.
+// checkWatch starts a watch where one is due, ends one that has timed out, and returns when to check again.
 func (r *Client) checkWatch(now time.Time) time.Time {
 	deadline := r.watchDeadline()
 	if r.cancel != nil && !now.Before(deadline) {
@@ -43,6 +43,7 @@
 	return now.Add(time.Hour)
 }
 
+// startWatch starts a watch from the version last read.
 func (r *Client) startWatch(now time.Time) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.watchNo++
@@ -53,7 +54,7 @@
 	}(r.watchNo, r.url+"?stream=1&index="+strconv.FormatInt(r.version, 10))
 }
 
-// cancelWatch lets go of the watch in hand; what it may still say counts no more.
+// cancelWatch cancels the current watch; what it may still report is ignored.
 func (r *Client) cancelWatch() {
 	if r.cancel != nil {
 		r.cancel()
@@ -62,7 +63,7 @@
 	r.watchNo++
 }
 
-// endWatch lets go of a watch and says why.
+// endWatch cancels the current watch and logs the reason.
 func (r *Client) endWatch(reason string, err error) {
 	r.counters.Add("watches", reason, 1)
 	fields := []zap.Field{zap.String("peer", "register"), zap.String("reason", reason), zap.Float64("lived_s", time.Since(r.watchStarted).Seconds())}
@@ -73,18 +74,19 @@
 	r.cancelWatch()
 }
 
-// retryWatch lets go of a watch that came to nothing, and sets when to try again. Aggregators that lost the register
-// together must not come back together.
+// retryWatch ends a watch that has failed, and schedules the next one with backoff and jitter, as aggregators that lost the
+// registry together must not reconnect together.
 func (r *Client) retryWatch(reason string, err error) {
 	r.endWatch(reason, err)
 	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
 	r.nextWatchAt = time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(r.backoff)))
-	if r.onRequest { // the module says when to ask again
+	if r.onRequest { // the policy says when to ask again
 		r.subscribed = false
 		r.listener.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 	}
 }
 
+// get sends a GET; a status other than 200 is a StatusError.
 func (r *Client) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -121,7 +123,7 @@
 	return io.EOF
 }
 
-// fetch asks for the whole list once.
+// fetch requests the complete list once.
 func (r *Client) fetch(url string, version int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.watchTimeout)
 	defer cancel()
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -33,7 +33,7 @@
 	does     func(id string) does
 
 	mu    sync.Mutex
-	calls map[string]int // by part's name
+	calls map[string]int // by subquery's name
 }
 
 type does int
@@ -100,7 +100,7 @@
 	}
 }
 
-// sum is how often parts of a query were called at all of these.
+// sum is how often subqueries of a query were called at all of these.
 func sum(peers []*peer, query string) (n int) {
 	for _, p := range peers {
 		p.mu.Lock()
@@ -158,7 +158,7 @@
 	return l.Addr().String()
 }
 
-// ask asks for a query of one part on a connection of its own.
+// ask asks for a query of one subquery on a connection of its own.
 func (h *hosted) ask(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
 	return answer(t, h.send(t, index, id, tenant, deadline))
@@ -215,7 +215,7 @@
 	b := host(t, silent(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
 		newPeer(t, second), newPeer(t, second))
 	var wg sync.WaitGroup
-	for _, h := range []*hosted{a, b} { // side by side, each by turns, as parts of a step share calls
+	for _, h := range []*hosted{a, b} { // side by side, each by turns, as subqueries of a step share calls
 		wg.Go(func() {
 			tenant, status, calls := "acme", 200, 2
 			if h == b {
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts one aggregator together: its actors, their queues, and the order in which they start and stop. It
-// decides nothing.
+// Package node assembles an aggregator process: its configuration, its actors and their queues, and the order in which they
+// start and stop.
 package node
 
 import (
@@ -35,7 +35,7 @@
 )
 
 const (
-	// Shares of the descriptors: clients' connections, backends' connections; the rest is for the register, the listeners, the
+	// Shares of the descriptors: clients' connections, backends' connections; the rest is for the registry, the listeners, the
 	// log, the store and what Go itself opens.
 	clientShare  = 0.6
 	backendShare = 0.3
@@ -43,7 +43,7 @@
 	addressTimeout = 10 * time.Second
 )
 
-// Config is what an aggregator is told.
+// Config is the configuration file of an aggregator.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -58,7 +58,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Read takes the config file and, over it, what the environment says by itself.
+// Read reads the configuration file; environment variables override its fields.
 func Read(env func(string) string) (c Config, set settings.Settings, err error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
@@ -80,7 +80,7 @@
 	return c, set, err
 }
 
-// Check checks a config and reads its settings.
+// Check validates a configuration and reads its settings.
 func (c *Config) Check() (set settings.Settings, err error) {
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	switch {
@@ -104,7 +104,7 @@
 	return set, nil
 }
 
-// connectionLimits is how many connections clients and backends may have, and in how many bytes altogether.
+// connectionLimits are the numbers of connections for clients and backends, and their memory altogether in bytes.
 func (c *Config) connectionLimits() (clientConnections, backendConnections, memory int) {
 	clientConnections, backendConnections, memory = math.MaxInt32, math.MaxInt32, math.MaxInt32
 	if c.Limits.MemoryMB > 0 {
@@ -145,7 +145,7 @@
 	return Start(ctx, c, set, file, log, count)
 }
 
-// Node is an aggregator that runs.
+// Node is a running aggregator.
 type Node struct {
 	log        *zap.Logger
 	counters   *counters.Set
@@ -248,7 +248,7 @@
 	n.controller.Restore(contents.Revision, contents.Held, contents.Recent)
 }
 
-// joinFleet makes the aggregator one of a fleet.
+// joinFleet makes the aggregator a member of a fleet.
 func (n *Node) joinFleet(c Config, set settings.Settings, file operatorfile.File) error {
 	key, err := operatorfile.ReadKey(file.Fleet.KeyFile)
 	if err != nil {
@@ -303,7 +303,7 @@
 	return nil
 }
 
-// Reload takes of a config what may change under a running aggregator: where the register is.
+// Reload applies the part of a configuration that may change at run time: the registry's address.
 func (n *Node) Reload(c Config) error {
 	if err := n.discovery.MoveTo(c.Discovery); err != nil {
 		return fmt.Errorf("config: discovery: %w", err)
@@ -311,20 +311,20 @@
 	return nil
 }
 
-// Drain begins to stop; the channel closes once all that is held is answered. Drains of backends are still kept
-// meanwhile, wherever the register is.
+// Drain begins the graceful shutdown; the channel is closed once all queries are answered. Drains of backends are still
+// respected meanwhile, wherever the registry is.
 func (n *Node) Drain() <-chan struct{} {
 	n.drain()
 	return n.drained
 }
 
-// Drained is that channel, whether Drain was called or not.
+// Drained is the channel that Drain returns, without beginning the shutdown.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Count is what the aggregator counts.
+// Count is the aggregator's counters.
 func (n *Node) Count() *counters.Set { return n.counters }
 
-// Stop drains where that was not begun, and then ends all actors.
+// Stop drains if that was not begun yet, and then ends all actors.
 func (n *Node) Stop() {
 	<-n.Drain()
 	if n.operators != nil {
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// calls sums the part calls of all backends.
+// calls sums the calls of all backends.
 func (w *cluster) calls() (n int64) {
 	for _, s := range w.fleet {
 		n += s.Calls()
@@ -118,7 +118,7 @@
 	return n
 }
 
-// goesOn waits until so many more part calls have been made.
+// goesOn waits until so many more calls have been made.
 func (w *cluster) goesOn(more int64) {
 	w.Helper()
 	from := w.calls()
@@ -156,7 +156,7 @@
 
 func (w *cluster) clear(id uint64) { w.set(api.Command{Clear: id}) }
 
-// checkLogEnds stops the load, and checks that each query had exactly one final answer and no once-only part ran twice.
+// checkLogEnds stops the load, and checks that each query had exactly one final answer and no once-only subquery ran twice.
 func (w *cluster) checkLogEnds() {
 	w.Helper()
 	w.load.Stop()
@@ -173,7 +173,7 @@
 	}
 }
 
-// executedOnce checks that no once-only part ran twice, and tells how many ran.
+// executedOnce checks that no once-only subquery ran twice, and tells how many ran.
 func executedOnce(t *testing.T, fleet []*fakes.Backend) int {
 	t.Helper()
 	ran := map[string]int64{}
@@ -202,7 +202,7 @@
 	w.load.Run(w.Context())
 }
 
-// Out gives a backend no part call, whatever becomes of the list, the register, the backend and the aggregator.
+// Out gives a backend no call, whatever becomes of the list, the registry, the backend and the aggregator.
 func TestExclusionHoldsThroughRestartsAndFaults(t *testing.T) {
 	w := newCluster(t, 150, 2*time.Millisecond)
 	s := w.fleet[3]
@@ -315,7 +315,7 @@
 	}
 }
 
-// A weight of a quarter gives a quarter of the usual part calls.
+// A weight of a quarter gives a quarter of the usual calls.
 func TestWeightUnderLoad(t *testing.T) {
 	perS, parts := 150.0, int64(2000)
 	if measure {
--- a/internal/dataplane/node/upgrade_test.go
+++ b/internal/dataplane/node/upgrade_test.go
@@ -26,11 +26,11 @@
 // satisfied is the share of what was asked since the tally was last cleared.
 func (s *shape) satisfied() float64 { return float64(s.asked.Satisfied) / float64(s.asked.Sent) }
 
-// During a move aggregators of the old shape (shards on two neighbouring cells, a call for each part, whole answers) and of the
-// new one (sets, calls that parts share, answers in part, parts that a fingerprint guards) run before the same backends.
+// During a move aggregators of the old shape (shards on two neighbouring cells, a call for each subquery, whole answers) and of the
+// new one (sets, calls that subqueries share, answers in subquery, subqueries that a fingerprint guards) run before the same backends.
 // With more asked of these than they can do, one of them killed and back cold, two that hang and are killed, and one drained,
 // the rules hold for both kinds, and neither gets less than a third of what it got alone just before. Seen to fail where draining
-// backends count as ready, where once-only parts go again, where fingerprinted ones go again after their window, and where
+// backends count as ready, where once-only subqueries go again, where fingerprinted ones go again after their window, and where
 // the aggregators of one shape turn all away.
 func TestOldAndNewShapeBeforeTheSameBackends(t *testing.T) {
 	const cells, service = 6, 50 * time.Millisecond
@@ -75,7 +75,7 @@
 		for i, x := range sh.site.Indexes {
 			mixes = append(mixes, fakes.Mix{Index: x.Name, Share: []float64{0.6, 0.4}[i], Subqueries: []int{6, 2}[i], Deadline: 3 * time.Second})
 		}
-		// 12 backends with two slots of 50 ms do 480 parts a second: each shape asks for 220, and for a while a fourth of them is gone.
+		// 12 backends with two slots of 50 ms do 480 subqueries a second: each shape asks for 220, and for a while a fourth of them is gone.
 		sh.load = &fakes.Load{Aggregators: aggregators, Site: sh.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
 	}
 	take := func() {
@@ -113,7 +113,7 @@
 		}
 	}
 	answered(100)
-	for _, i := range []int{0, 10} { // they take parts, answer probes, and are killed with what they hold
+	for _, i := range []int{0, 10} { // they take subqueries, answer probes, and are killed with what they hold
 		fleet[i].SetService(4 * time.Second)
 	}
 	answered(100)
@@ -155,7 +155,7 @@
 			}
 		})
 	}
-	// A fingerprinted part goes again only within its window, which begins as it is first sent; the rest is a busy machine's.
+	// A fingerprinted subquery goes again only within its window, which begins as it is first sent; the rest is a busy machine's.
 	// A client's own retry is another query, but these come only where nothing may have run, so no part of them was sent.
 	var gaps []time.Duration
 	for id, from := range first {
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the object that every instance is handed at its start, once for both the
-// bench's adapter and the aggregator. It decides nothing.
+// Package settings reads and validates the settings object that every instance is given at its start, for both the
+// aggregator and the bench's adapter.
 package settings
 
 import (
@@ -9,13 +9,14 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Settings are what the module is told, with what only sockets need.
+// Settings are the policy's settings, with those of the network side.
 type Settings struct {
 	policy.Settings
 	Net Net
 }
 
-// Net is what sockets need beside the module: names, which the module does not know, and limits of connections.
+// Net are the settings of the network side: names, which the policy does not know, and limits of connections. Times are in
+// seconds.
 type Net struct {
 	Indexes, Customers, Locations, Kinds []string // each in the order of its ids
 	Shards                               int
@@ -25,7 +26,7 @@
 	Loads                                bool    // probes may ask for a load report
 }
 
-// wire holds the keys that either has a place for; others are ignored.
+// wire is the settings object's JSON, with the operators' keys; other keys are ignored.
 type wire struct {
 	GranularityS float64  `json:"granularityS"`
 	Ordinal      int      `json:"ordinal"`
@@ -104,8 +105,8 @@
 	"repeatable": policy.Idempotent, "by_key": policy.Fingerprinted, "once": policy.OnceOnly,
 }
 
-// Read takes the object as text. Every figure that is stated is checked, so that a slip in a site's files
-// shows at the start and not as an odd decision later.
+// Read parses the settings object. Every number is validated, so that a mistake in a site's files shows at the start and not as
+// an odd decision later; an error is a ValidationError.
 func Read(seed uint64, text []byte) (Settings, error) {
 	var raw wire
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -151,7 +152,7 @@
 	return result, check(&raw)
 }
 
-// Numbered gives names their ids, which are their places.
+// Numbered maps names to their ids, which are their indexes.
 func Numbered[ID ~int](names []string) map[string]ID {
 	m := make(map[string]ID, len(names))
 	for i, name := range names {
@@ -160,6 +161,7 @@
 	return m
 }
 
+// valueAt is list[i], or 0 beyond the list's end.
 func valueAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// Backend answers part calls, so many at once and the others behind them, each after a service time.
+// Backend answers calls, so many at once and the others queued, each after a service time.
 type Backend struct {
 	Name string
 	Cell int
 	Zone string
-	// OnCall, where it is set before the first call, hears of each part call its query's text and shard, as it comes.
+	// OnCall, where it is set before the first call, is called with each call's query text and shard, as it arrives.
 	OnCall func(query string, shard int)
 
 	listener     net.Listener
@@ -38,11 +38,11 @@
 	inFlight    atomic.Int64
 	maxInFlight atomic.Int64
 	byShard     [1024]atomic.Int64
-	executed    map[string]int64    // by part id; mu guards it
-	arrived     map[string]arrivals // by part id; mu guards it
+	executed    map[string]int64    // by subquery id; mu guards it
+	arrived     map[string]arrivals // by subquery id; mu guards it
 }
 
-// arrivals are when a part arrived for the first and the last time.
+// arrivals are when a subquery arrived for the first and the last time.
 type arrivals struct{ first, last time.Time }
 
 // NewBackend listens on loopback, with so many slots.
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Entry is how the register lists it; long past says that it started long ago.
+// Entry is how the registry lists it; long past says that it started long ago.
 func (s *Backend) Entry(state string, longPast bool) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,19 +98,19 @@
 // SetUnresponsive lets it answer nothing.
 func (s *Backend) SetUnresponsive(on bool) { s.unresponsive.Store(on) }
 
-// Calls is how many part calls it has taken.
+// Calls counts the calls that it has received.
 func (s *Backend) Calls() int64 { return s.calls.Load() }
 
-// CallsOf is how many part calls of one shard it has taken.
+// CallsOf counts the calls of one shard that it has received.
 func (s *Backend) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
 
-// InFlight is how many part calls are in it.
+// InFlight counts the calls that it has not finished.
 func (s *Backend) InFlight() int64 { return s.inFlight.Load() }
 
 // MaxInFlight is the peak of Out since the last call of MaxInFlight.
 func (s *Backend) MaxInFlight() int64 { return s.maxInFlight.Swap(s.inFlight.Load()) }
 
-// Executed tells how often each part was executed here.
+// Executed tells how often each subquery was executed here.
 func (s *Backend) Executed(f func(id string, times int64)) {
 	s.mu.Lock()
 	executed := maps.Clone(s.executed)
@@ -120,7 +120,7 @@
 	}
 }
 
-// Arrivals tells when each part came here first and last.
+// Arrivals tells when each subquery came here first and last.
 func (s *Backend) Arrivals(f func(id string, first, last time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// recordArrival notes a part's arrival.
+// recordArrival notes a subquery's arrival.
 func (s *Backend) recordArrival(id string) {
 	now := time.Now()
 	s.mu.Lock()
@@ -142,7 +142,7 @@
 	s.arrived[id] = at
 }
 
-// subqueryName is a part's name among all queries: its query's text and its shard.
+// subqueryName is a subquery's name among all queries: its query's text and its shard.
 func subqueryName(id, query string) string {
 	return query + " " + id[bytes.IndexByte([]byte(id), '.')+1:]
 }
@@ -187,7 +187,7 @@
 		s.mu.Unlock()
 	}()
 	conn := &connection{Conn: c}
-	canceled := sync.Map{} // ids given up
+	canceled := sync.Map{} // ids canceled
 	reader := bufio.NewReader(c)
 	for {
 		var head [4]byte
@@ -222,7 +222,7 @@
 	}
 }
 
-// call takes the parts of one frame.
+// call takes the subqueries of one frame.
 func (s *Backend) call(conn *connection, remaining []byte, canceled *sync.Map) bool {
 	for len(remaining) > 0 {
 		head, after, found := bytes.Cut(remaining, []byte{'\n'})
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -17,7 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Mix is what a load asks for of one index.
+// Mix is a load's queries of one index.
 type Mix struct {
 	Index      string
 	Share      float64 // of all queries
@@ -27,13 +27,13 @@
 	Value      float64
 }
 
-// Load asks aggregators for queries at a steady mean rate, by itself: a slow answer holds up no arrival.
+// Load sends queries to aggregators at a steady mean rate, as an open loop: a slow answer delays no arrival.
 type Load struct {
 	Aggregators []string // addresses
 	Site        Site
 	Mixes       []Mix
 	PerS        float64
-	Popular     []float64     // share of parts by shard; nil for all alike
+	Popular     []float64     // share of subqueries by shard; nil for all alike
 	Retries     int           // of a query that was nacked, within its deadline
 	Backoff     time.Duration // before each, at the least
 
@@ -50,7 +50,7 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Run starts asking, until Stop. The context only carries values: what was asked is answered after its end too.
+// Run starts sending, until Stop. The context only carries values: queries are answered after its end too.
 func (l *Load) Run(ctx context.Context) {
 	calls := context.WithoutCancel(ctx)
 	ctx, stop := context.WithCancel(calls)
@@ -104,15 +104,15 @@
 // newHistogram holds microseconds up to a minute, to three digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-// Stop asks no more and waits for the answers that are due.
+// Stop stops sending and waits for the answers that are due.
 func (l *Load) Stop() {
 	l.stop()
 	l.wg.Wait()
 	l.client.CloseIdleConnections()
 }
 
-// sendQuery sends one query, and sends it again where it is nacked and the clients do that. The query names it, so that a part
-// that runs twice is seen.
+// sendQuery sends a query, and retries it where it is nacked and the load has retries. The query's text is unique, so that a
+// subquery that is executed twice is noticed.
 func (l *Load) sendQuery(ctx context.Context, aggregator string, mix Mix, shards []int) {
 	l.sent.Add(1)
 	query := fmt.Sprintf("%s-%016x", mix.Index, l.nextID.Add(1))
@@ -175,7 +175,7 @@
 	return "aborted", "", 0
 }
 
-// Tally is what came of some queries.
+// Tally counts queries by their ends.
 type Tally struct {
 	Sent, Satisfied, Nacked, Aborted, Lost int64
 	Value                                  float64       // share of it that was answered within the soft deadline
@@ -203,7 +203,7 @@
 	return n
 }
 
-// Take tells what came since the last time that it was asked. A query that is still due counts where it ends.
+// Take returns the tally since its last call. A query counts when it ends.
 func (l *Load) Take() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -1,5 +1,5 @@
-// Package fakes is a register, backends and clients on loopback, for the demo and for tests. They speak the operators'
-// protocol from its pages and share no code with the aggregator, so that a mistake there is not made on both sides.
+// Package fakes has a service registry, backends and clients on loopback, for the demo and for tests. They implement the
+// operators' protocol from its pages and share no code with the aggregator, so that a mistake is not made on both sides.
 package fakes
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Entry is a backend as the register lists it.
+// Entry is a backend as the registry lists it.
 type Entry struct {
 	ID        string  `json:"instanceId"`
 	Address   string  `json:"hostPort"`
@@ -80,7 +80,7 @@
 // Close ends it and all its watches.
 func (r *Register) Close() { r.server.Close() }
 
-// Known is the whole list as an aggregator's config holds it.
+// Known is the complete list as an aggregator's config holds it.
 func (r *Register) Known() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +92,7 @@
 	return append(text, '\n')
 }
 
-// Set adds or changes a backend, and tells of it as a patch.
+// Set adds or changes a backend, and sends a patch to all watches.
 func (r *Register) Set(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +123,7 @@
 	r.Set(e)
 }
 
-// Whole tells the whole list anew.
+// SendFullList sends the complete list to all watches.
 func (r *Register) SendFullList() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// notify puts a line into each watch; one that takes none is ended.
+// notify puts a line into each watch; one without room is ended.
 func (r *Register) notify(line []byte) {
 	for w := range r.watches {
 		select {
@@ -210,7 +210,7 @@
 	Soft, Hard float64 // seconds
 	Value      float64
 	Minimum    float64 // least share of an answer; 0 for all of it
-	DedupS     float64 // how long a repeated part is dropped; 0 for 5 s
+	DedupS     float64 // how long a repeated subquery is dropped; 0 for 5 s
 }
 
 // Site is a small deployment: so many cells, each shard held by Width of them.
@@ -225,8 +225,8 @@
 
 	Tenants []string // whose the queries are; none for those of nobody
 
-	CallSubqueries int     // parts that may share a call; 0 for one
-	CallCostS      float64 // work of a call beside its parts
+	CallSubqueries int     // subqueries that may share a call; 0 for one
+	CallCostS      float64 // work of a call beside its subqueries
 }
 
 // Settings is the object that an aggregator of the site starts from.
