--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -10,20 +10,20 @@
 
 // AdmissionDecision says whether a query is admitted, and with which restrictions.
 type AdmissionDecision struct {
-	Reason     string  // the reason's code, "" where it is taken
+	Reason     string  // code of a rejection, "" if admitted
 	Text       string  // the same as a sentence
-	RetryAfter float64 // advice when to come back, 0 for none
+	RetryAfter float64 // seconds after which the client may retry, 0 for no advice
 	Zones      *policy.Zones
-	MaxTimeout float64 // seconds that it may be held at the most, 0 for as long as its client waits
+	MaxTimeout float64 // most seconds that it may take, 0 for its own time-out
 }
 
 // Admission decides which queries are admitted and which locations may serve them, by what aggregators agree on (quotas and
 // contracts). None of its methods may block; all are called by the policy's actor.
 type Admission interface {
 	Admit(customer policy.CustomerID, index policy.IndexID) AdmissionDecision
-	// CallEnded hears how a call ended at a backend, so many seconds after it was sent.
+	// CallEnded reports the end of a call to a backend, elapsed seconds after it was sent.
 	CallEnded(at time.Time, backend string, how policy.Outcome, elapsed float64)
-	// BackendsChanged hears which backends the list names.
+	// BackendsChanged reports the backends that the list names.
 	BackendsChanged([]Placement)
 }
 
@@ -60,47 +60,47 @@
 type admissionState struct {
 	admission    Admission
 	placements   map[policy.BackendID]placement
-	rules        *Rules // not held yet
+	rules        *Rules // not in force yet
 	coveredCells map[*policy.Zones][]bool
 	loggedAt     time.Time
 }
 
 // SetAdmission puts an admission before the policy. It must be called before the first list.
-func (m *Aggregator) SetAdmission(g Admission) {
-	m.admission = admissionState{admission: g, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
+func (a *Aggregator) SetAdmission(g Admission) {
+	a.admission = admissionState{admission: g, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
 }
 
 // admit requests the admission of a query, and answers one that is refused.
-func (m *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
-	decision := m.admission.admission.Admit(q.Customer, q.Index)
+func (a *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
+	decision := a.admission.admission.Admit(q.Customer, q.Index)
 	if decision.Reason != "" {
-		m.counters.Add("lookups", decision.Reason, 1)
-		q.Done <- Reply{End: Nacked, RetryAfter: min(decision.RetryAfter, m.settings.Limits.MaxRetryAfter), Text: decision.Text}
+		a.counters.Add("lookups", decision.Reason, 1)
+		q.Done <- Reply{End: Nacked, RetryAfter: min(decision.RetryAfter, a.settings.Limits.MaxRetryAfter), Text: decision.Text}
 		return nil, false
 	}
 	if decision.MaxTimeout > 0 {
 		q.Timeout = min(q.Timeout, now.Sub(q.Arrived).Seconds()+decision.MaxTimeout)
 	}
 	if decision.Zones != nil {
-		m.logUncovered(q, decision.Zones, now)
+		a.logUncovered(q, decision.Zones, now)
 	}
 	return decision.Zones, true
 }
 
 // logUncovered logs the shards of a query of which no replica is inside its zones: the policy abandons their subqueries at
 // once.
-func (m *Aggregator) logUncovered(q *Query, zones *policy.Zones, now time.Time) {
-	covered, width := m.admission.coveredCells[zones], max(1, m.settings.Layout.Width)
+func (a *Aggregator) logUncovered(q *Query, zones *policy.Zones, now time.Time) {
+	covered, width := a.admission.coveredCells[zones], max(1, a.settings.Layout.Width)
 	if covered == nil {
-		covered = make([]bool, max(1, m.settings.Layout.Cells))
-		for _, placement := range m.admission.placements {
+		covered = make([]bool, max(1, a.settings.Layout.Cells))
+		for _, placement := range a.admission.placements {
 			for j := range width {
 				if cell := (int(placement.cell) - j) % len(covered); !placement.removed && !placement.relocated && zones.Allows(placement.location) {
 					covered[(cell+len(covered))%len(covered)] = true
 				}
 			}
 		}
-		m.admission.coveredCells[zones] = covered
+		a.admission.coveredCells[zones] = covered
 	}
 	var shards []int
 	for i := range q.Subqueries {
@@ -111,10 +111,10 @@
 	if len(shards) == 0 {
 		return
 	}
-	m.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
-	if now.Sub(m.admission.loggedAt) >= time.Second { // one in a second tells enough
-		m.admission.loggedAt = now
-		m.log.Warn("shards without a holder inside the zones of the contract",
+	a.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
+	if now.Sub(a.admission.loggedAt) >= time.Second { // one in a second tells enough
+		a.admission.loggedAt = now
+		a.log.Warn("shards without a holder inside the zones of the contract",
 			zap.String("lookup", q.ID),
 			zap.Int("customer", int(q.Customer)),
 			zap.Ints("shards", shards),
@@ -123,8 +123,8 @@
 }
 
 // updatePlacements records a list's placements, and gives them to the admission.
-func (m *Aggregator) updatePlacements(e *Event) {
-	g := &m.admission
+func (a *Aggregator) updatePlacements(e *Event) {
+	g := &a.admission
 	clear(g.coveredCells)
 	if e.List != policy.ListPatch {
 		for id, p := range g.placements {
@@ -141,7 +141,7 @@
 	for id, p := range g.placements {
 		if !p.removed {
 			list = append(list, Placement{p.name, p.cell})
-		} else if !m.hasCallsTo(id) {
+		} else if !a.hasCallsTo(id) {
 			delete(g.placements, id)
 		}
 	}
@@ -149,8 +149,8 @@
 }
 
 // hasCallsTo tells whether calls to a backend are in flight.
-func (m *Aggregator) hasCallsTo(id policy.BackendID) bool {
-	for _, c := range m.inFlight {
+func (a *Aggregator) hasCallsTo(id policy.BackendID) bool {
+	for _, c := range a.inFlight {
 		if c.backend == id {
 			return true
 		}
@@ -159,14 +159,14 @@
 }
 
 // applyAgreed adds agreed rules and peers' observations to the policy's event.
-func (m *Aggregator) applyAgreed(e *Event, now time.Time) {
+func (a *Aggregator) applyAgreed(e *Event, now time.Time) {
 	if e.Override == nil {
 		e.Override = &policy.Overrides{}
 	}
 	if e.Rules != nil {
-		m.admission.rules = e.Rules
-		clear(m.admission.coveredCells)
-		for id, q := range m.queries {
+		a.admission.rules = e.Rules
+		clear(a.admission.coveredCells)
+		for id, q := range a.queries {
 			zones := e.Rules.Zones(q.Customer, q.Index)
 			e.Override.Zones = append(e.Override.Zones, policy.ZonesOverride{Query: id, Zones: zones})
 		}
@@ -174,27 +174,27 @@
 	if len(e.PeerObservations) == 0 {
 		return
 	}
-	ids := make(map[string]policy.BackendID, len(m.admission.placements))
-	for id, p := range m.admission.placements {
+	ids := make(map[string]policy.BackendID, len(a.admission.placements))
+	for id, p := range a.admission.placements {
 		if !p.removed {
 			ids[p.name] = id
 		}
 	}
 	for _, observation := range e.PeerObservations {
 		if id := ids[observation.Backend]; id != 0 {
-			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: observation.LatencyMultiple, Until: m.policyTime(now) + observation.ValidS})
+			e.Override.PeerObservations = append(e.Override.PeerObservations, policy.PeerObservation{Backend: id, LatencyMultiple: observation.LatencyMultiple, Until: a.policyTime(now) + observation.ValidS})
 		}
 	}
 }
 
 // confirmRules reports that rules are in force once no call is in flight to a location that they exclude.
-func (m *Aggregator) confirmRules() {
-	for _, c := range m.inFlight {
-		zones := m.admission.rules.Zones(c.customer, c.index)
-		if p := m.admission.placements[c.backend]; zones != nil && (p.relocated || !zones.Allows(p.location)) {
+func (a *Aggregator) confirmRules() {
+	for _, c := range a.inFlight {
+		zones := a.admission.rules.Zones(c.customer, c.index)
+		if p := a.admission.placements[c.backend]; zones != nil && (p.relocated || !zones.Allows(p.location)) {
 			return
 		}
 	}
-	m.admission.rules.InForce()
-	m.admission.rules = nil
+	a.admission.rules.InForce()
+	a.admission.rules = nil
 }
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -34,7 +34,7 @@
 	due        map[policy.TimerID]time.Time // when timers of this step were due
 	lastID     uint64
 	queries    map[policy.QueryID]*Query
-	byClientID map[string]*Query // held, by the client's id
+	byClientID map[string]*Query // pending, by the client's id
 	subqueries map[policy.SubqueryID]subqueryRef
 	inFlight   map[callKey]inFlightCall
 	admission  admissionState
@@ -52,125 +52,125 @@
 // New makes the actor; Run starts it.
 func New(set settings.Settings, log *zap.Logger, count *counters.Set) *Aggregator {
 	now := time.Now()
-	m := &Aggregator{Inbox: eventqueue.New[Event](), settings: set, log: log, counters: count, start: now,
+	a := &Aggregator{Inbox: eventqueue.New[Event](), settings: set, log: log, counters: count, start: now,
 		startUnix: float64(now.UnixNano()) / 1e9, due: map[policy.TimerID]time.Time{},
 		queries: map[policy.QueryID]*Query{}, byClientID: map[string]*Query{}, subqueries: map[policy.SubqueryID]subqueryRef{},
 		inFlight: map[callKey]inFlightCall{}, batches: map[policy.BackendID][]Call{},
 		stopping: make(chan struct{}), stopped: make(chan struct{})}
-	m.policy = policy.New(set.Settings, m.startUnix)
-	return m
+	a.policy = policy.New(set.Settings, a.startUnix)
+	return a
 }
 
 // policyTime is a time on the policy's clock, in seconds: Unix time at the start and monotonic time since, so that it can be
 // compared with the starts of backends and never jumps.
-func (m *Aggregator) policyTime(t time.Time) float64 { return m.startUnix + t.Sub(m.start).Seconds() }
+func (a *Aggregator) policyTime(t time.Time) float64 { return a.startUnix + t.Sub(a.start).Seconds() }
 
 // wallTime is the time of a reading of the policy's clock.
-func (m *Aggregator) wallTime(seconds float64) time.Time {
-	return m.start.Add(time.Duration((seconds - m.startUnix) * float64(time.Second)))
+func (a *Aggregator) wallTime(seconds float64) time.Time {
+	return a.start.Add(time.Duration((seconds - a.startUnix) * float64(time.Second)))
 }
 
 // Capture lets a recorder count the load; each of its intervals goes to done, which may not block. It comes before Run.
-func (m *Aggregator) Capture(recorder *capture.Recorder, done func(capture.Interval)) {
-	m.recorder, m.onInterval = recorder, done
+func (a *Aggregator) Capture(recorder *capture.Recorder, done func(capture.Interval)) {
+	a.recorder, a.onInterval = recorder, done
 }
 
 // Run is the actor's goroutine, until Stop.
-func (m *Aggregator) Run(backends Backends, register Discovery) {
-	defer close(m.stopped)
-	m.backends, m.discovery = backends, register
+func (a *Aggregator) Run(backends Backends, register Discovery) {
+	defer close(a.stopped)
+	a.backends, a.discovery = backends, register
 	wake := time.NewTimer(time.Hour)
 	for {
-		m.step(time.Now())
+		a.step(time.Now())
 		// Steps come no closer than the settings say, as on the bench.
-		next := m.lastStep.Add(time.Duration(m.settings.Step * float64(time.Second)))
+		next := a.lastStep.Add(time.Duration(a.settings.Step * float64(time.Second)))
 		wake.Reset(time.Until(next))
 		select {
 		case <-wake.C:
-		case <-m.stopping:
+		case <-a.stopping:
 			return
 		}
-		if len(m.timers) > 0 {
-			wake.Reset(time.Until(m.timers[0].due))
+		if len(a.timers) > 0 {
+			wake.Reset(time.Until(a.timers[0].due))
 		} else {
 			wake.Reset(time.Hour)
 		}
 		select {
-		case <-m.Inbox.Ready():
+		case <-a.Inbox.Ready():
 		case <-wake.C:
-		case <-m.stopping:
+		case <-a.stopping:
 			return
 		}
 	}
 }
 
 // Stop ends the actor; queries that are pending then get no answer.
-func (m *Aggregator) Stop() {
-	close(m.stopping)
-	<-m.stopped
+func (a *Aggregator) Stop() {
+	close(a.stopping)
+	<-a.stopped
 }
 
 // step gives the policy all waiting events, and executes the actions that it returns.
-func (m *Aggregator) step(now time.Time) {
-	m.waiting = m.Inbox.Take(m.waiting)
-	m.events = m.events[:0]
-	for i := range m.waiting {
-		m.handleEvent(&m.waiting[i], now)
+func (a *Aggregator) step(now time.Time) {
+	a.waiting = a.Inbox.Take(a.waiting)
+	a.events = a.events[:0]
+	for i := range a.waiting {
+		a.handleEvent(&a.waiting[i], now)
 	}
-	clear(m.due)
-	for len(m.timers) > 0 && !m.timers[0].due.After(now) {
-		t := m.timers[0]
-		heap.Pop(&m.timers)
-		m.due[t.id] = t.due
-		m.events = append(m.events, policy.Event{Kind: policy.TimerDue, Timer: t.id})
+	clear(a.due)
+	for len(a.timers) > 0 && !a.timers[0].due.After(now) {
+		t := a.timers[0]
+		heap.Pop(&a.timers)
+		a.due[t.id] = t.due
+		a.events = append(a.events, policy.Event{Kind: policy.TimerDue, Timer: t.id})
 	}
-	if len(m.events) == 0 {
+	if len(a.events) == 0 {
 		return
 	}
-	m.lastStep = now
-	m.actions = m.policy.Step(m.policyTime(now), m.events, m.actions[:0])
-	for i := range m.actions {
-		m.execute(&m.actions[i], now)
+	a.lastStep = now
+	a.actions = a.policy.Step(a.policyTime(now), a.events, a.actions[:0])
+	for i := range a.actions {
+		a.execute(&a.actions[i], now)
 	}
-	for _, to := range m.batchOrder {
-		m.sendBatch(to)
+	for _, to := range a.batchOrder {
+		a.sendBatch(to)
 	}
-	m.batchOrder = m.batchOrder[:0]
-	if m.admission.rules != nil {
-		m.confirmRules()
+	a.batchOrder = a.batchOrder[:0]
+	if a.admission.rules != nil {
+		a.confirmRules()
 	}
-	if m.recorder != nil && m.recorder.Due(m.policyTime(now)) {
-		m.onInterval(m.recorder.Cut(m.policyTime(now)))
+	if a.recorder != nil && a.recorder.Due(a.policyTime(now)) {
+		a.onInterval(a.recorder.Cut(a.policyTime(now)))
 	}
-	clear(m.events)
-	clear(m.actions)
+	clear(a.events)
+	clear(a.actions)
 }
 
 // handleEvent turns an actor's event into those of the policy, in the order of arrival.
-func (m *Aggregator) handleEvent(e *Event, now time.Time) {
+func (a *Aggregator) handleEvent(e *Event, now time.Time) {
 	switch e.Kind {
 	case policy.QueryReceived:
-		m.addQuery(e.ClientQuery, now)
+		a.addQuery(e.ClientQuery, now)
 		return
 	case policy.ClientDisconnected:
-		if !m.isOpen(e.ClientQuery) {
+		if !a.isOpen(e.ClientQuery) {
 			return // answered while it left
 		}
 		e.Query = e.ClientQuery.id
-		m.removeQuery(e.ClientQuery)
-		m.recordEnd(e.ClientQuery, capture.Gone, now)
-		m.counters.Add("lookups", "gone", 1)
+		a.removeQuery(e.ClientQuery)
+		a.recordEnd(e.ClientQuery, capture.Gone, now)
+		a.counters.Add("lookups", "gone", 1)
 	case policy.CallEnded:
 		key := callKey{e.Subquery, e.Call}
-		call, inFlight := m.inFlight[key]
-		delete(m.inFlight, key)
-		if inFlight && m.recorder != nil {
-			m.recorder.Called(m.policyTime(now), call.seat, call.index, e.Outcome, e.Elapsed, call.alone, e.Load)
+		call, inFlight := a.inFlight[key]
+		delete(a.inFlight, key)
+		if inFlight && a.recorder != nil {
+			a.recorder.Called(a.policyTime(now), call.seat, call.index, e.Outcome, e.Elapsed, call.alone, e.Load)
 		}
-		if inFlight && m.admission.admission != nil {
-			m.admission.admission.CallEnded(now, m.admission.placements[call.backend].name, e.Outcome, e.Elapsed)
+		if inFlight && a.admission.admission != nil {
+			a.admission.admission.CallEnded(now, a.admission.placements[call.backend].name, e.Outcome, e.Elapsed)
 		}
-		if ref, open := m.subqueries[e.Subquery]; open && e.Outcome == policy.Answered {
+		if ref, open := a.subqueries[e.Subquery]; open && e.Outcome == policy.Answered {
 			if sub := &ref.query.Subqueries[ref.no]; !sub.Answered {
 				sub.Answered, sub.Value = true, e.Value
 			}
@@ -180,13 +180,13 @@
 			break
 		}
 		for i := range e.Entries {
-			m.backends.Update(e.Entries[i], e.Addresses[i])
+			a.backends.Update(e.Entries[i], e.Addresses[i])
 			switch {
-			case m.recorder == nil:
+			case a.recorder == nil:
 			case e.Entries[i].Phase == policy.Removed:
-				m.recorder.Unnamed(e.Entries[i].Backend)
+				a.recorder.Unnamed(e.Entries[i].Backend)
 			default:
-				m.recorder.Named(e.Entries[i].Backend, e.Names[i].Backend, e.Names[i].Location)
+				a.recorder.Named(e.Entries[i].Backend, e.Names[i].Backend, e.Names[i].Location)
 			}
 		}
 		if e.List != policy.ListPatch {
@@ -194,15 +194,15 @@
 			for i := range e.Entries {
 				listed[e.Entries[i].Backend] = true
 			}
-			m.backends.Retain(listed)
+			a.backends.Retain(listed)
 		}
-		if m.admission.admission != nil {
-			m.updatePlacements(e)
+		if a.admission.admission != nil {
+			a.updatePlacements(e)
 		}
 	case policy.OverridesChanged:
 		if e.Rules != nil || len(e.PeerObservations) > 0 {
-			m.applyAgreed(e, now)
+			a.applyAgreed(e, now)
 		}
 	}
-	m.events = append(m.events, e.Event)
+	a.events = append(a.events, e.Event)
 }
--- a/internal/dataplane/aggregator/interface.go
+++ b/internal/dataplane/aggregator/interface.go
@@ -6,55 +6,6 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Query is a client's query. Until Done has a reply it belongs to the aggregator.
-type Query struct {
-	ID         string // the client's; it is part of the names of calls
-	Index      policy.IndexID
-	Customer   policy.CustomerID
-	Key        uint64
-	HasKey     bool
-	Resent     bool
-	Arrived    time.Time
-	Timeout    float64 // how long from then the client waits
-	Query      []byte  // what each subquery carries
-	Subqueries []Subquery
-	Done       chan Reply // holds one
-
-	id policy.QueryID
-}
-
-// Subquery is the share of a query for one shard; Value is set once it is Answered.
-type Subquery struct {
-	Shard        policy.ShardID
-	Weight, Hint float64
-	Key          uint64
-	HasKey       bool
-	Answered     bool
-	Value        []byte
-
-	attempts policy.CallNo // calls so far
-}
-
-// End is how a query ended for its client.
-type End uint8
-
-// The ends of a query.
-const (
-	Satisfied End = iota
-	Nacked
-	Aborted
-	QueueFull // the limit of pending queries is reached; the policy never saw it
-	Duplicate
-)
-
-// Reply is the final answer of a query.
-type Reply struct {
-	End        End
-	Complete   bool
-	RetryAfter float64 // advice when to come back, 0 for none
-	Text       string  // why a gate refused it
-}
-
 // Event is an event for the aggregator: one of the policy's events with what it has no field for. A query comes as one
 // event, which brings its subqueries.
 type Event struct {
--- a/internal/dataplane/aggregator/timers.go
+++ b/internal/dataplane/aggregator/timers.go
@@ -32,11 +32,11 @@
 
 // setTimer sets a timer. A periodic one counts from when it was due, not from when its step came, or the lateness of steps
 // would add up.
-func (m *Aggregator) setTimer(action *policy.Action, now time.Time) {
+func (a *Aggregator) setTimer(action *policy.Action, now time.Time) {
 	from := now
 	wait := time.Duration(math.Ceil(action.Wait * float64(time.Second)))
-	if due, repeated := m.due[action.Timer]; repeated && due.Add(wait).After(now) {
+	if due, repeated := a.due[action.Timer]; repeated && due.Add(wait).After(now) {
 		from = due
 	}
-	heap.Push(&m.timers, timer{from.Add(wait), action.Timer})
+	heap.Push(&a.timers, timer{from.Add(wait), action.Timer})
 }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -193,14 +193,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: listen: %w", err)
 	}
-	var forOperators net.Listener
-	if file.Operators.Listen != "" {
-		if n.operators, err = api.New(c.Name, file.Operators, n.controller, n.fleet, log, count); err != nil {
-			return nil, fmt.Errorf("operators: %w", err)
-		}
-		if forOperators, err = api.Listen(file.Operators.Listen); err != nil {
-			return nil, fmt.Errorf("operators: %w", err)
-		}
+	operatorsListener, err := n.openOperators(c.Name, file.Operators)
+	if err != nil {
+		return nil, fmt.Errorf("operators: %w", err)
 	}
 	listener, err := listen(ctx, address)
 	if err != nil {
@@ -224,12 +219,24 @@
 	go n.discovery.Run() //nolint:contextcheck // the context bounds the start, and the watches last until Stop
 	n.server.Serve(listener)
 	if n.operators != nil {
-		go n.operators.Serve(forOperators)
+		go n.operators.Serve(operatorsListener)
 	}
 	log.Info("started", zap.String("listen", c.Listen))
 	return n, nil
 }
 
+// openOperators makes the operators' server and its listener, where the operator's file has one; else the listener is nil.
+func (n *Node) openOperators(name string, file operatorfile.Operators) (net.Listener, error) {
+	if file.Listen == "" {
+		return nil, nil
+	}
+	var err error
+	if n.operators, err = api.New(name, file, n.controller, n.fleet, n.log, n.counters); err != nil {
+		return nil, err
+	}
+	return api.Listen(file.Listen)
+}
+
 // openController makes the controller, with what a store has kept. Where nothing can be kept it serves all the same, and refuses
 // commands, which would end with the process though their sender thinks them kept.
 func (n *Node) openController(set settings.Settings, file operatorfile.File) {
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -4,7 +4,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 
 	"puffinlink.example/puffinlink/policy"
 )
@@ -168,73 +167,3 @@
 	}
 	return 0
 }
-
-func check(raw *wire) error {
-	layout, rules := &raw.Specifics, &raw.Invariants
-	type figure struct {
-		name  string
-		value float64
-	}
-	atLeast0 := []figure{{"granularityS", raw.GranularityS}, {"siblings", float64(raw.Siblings)},
-		{"specifics.places", float64(layout.Places)}, {"specifics.width", float64(layout.Width)},
-		{"specifics.perCall", float64(layout.PerCall)}, {"specifics.callCostS", layout.CallCostS},
-		{"limits.mostTries", float64(raw.Limits.MostTries)}, {"limits.mostHeld", float64(raw.Limits.MostHeld)},
-		{"specifics.slices", float64(layout.Slices)}, {"limits.multiplex", float64(raw.Limits.Multiplex)},
-		{"limits.idleCloseS", raw.Limits.IdleCloseS}, {"limits.maxRetryAfterS", raw.Limits.MaxRetryAfterS}, {"limits.connectTimeoutS", raw.Limits.ConnectTimeoutS},
-		{"invariants.answerSlackS", rules.AnswerSlackS}, {"invariants.askEveryS", rules.AskEveryS},
-		{"invariants.coldS", rules.ColdS}, {"invariants.drainGraceS", rules.DrainGraceS},
-		{"invariants.fallMultiple", rules.FallMultiple}, {"invariants.fallS", rules.FallS},
-		{"invariants.freeResends", rules.FreeResends}}
-	shares := []figure{{"invariants.coldShare", rules.ColdShare}, {"overShareWorth", raw.OverShareWorth}}
-	if rules.ExtraShare != nil {
-		atLeast0 = append(atLeast0, figure{"invariants.extraShare", *rules.ExtraShare})
-	}
-	if rules.BudgetSpanS != nil {
-		atLeast0 = append(atLeast0, figure{"invariants.budgetSpanS", *rules.BudgetSpanS})
-	}
-	for i, c := range raw.RequestClasses {
-		name := fmt.Sprintf("requestClasses[%d].", i)
-		atLeast0 = append(atLeast0, figure{name + "promiseS", c.PromiseS}, figure{name + "giveUpS", c.GiveUpS},
-			figure{name + "worth", c.Worth}, figure{name + "repeatWindowS", c.RepeatWindowS})
-		shares = append(shares, figure{name + "lateWorth", c.LateWorth})
-	}
-	for i, c := range raw.Tenants {
-		shares = append(shares, figure{fmt.Sprintf("tenants[%d].portion", i), c.Portion})
-		atLeast0 = append(atLeast0, figure{fmt.Sprintf("tenants[%d].quotaPerS", i), c.QuotaPerS})
-	}
-	for _, list := range []struct {
-		name string
-		of   []float64
-	}{{"classNeed", layout.ClassNeed}, {"floorByClass", layout.FloorByClass}, {"shortWorth", layout.ShortWorth}} {
-		if n := len(list.of); n > 0 && n != len(raw.RequestClasses) {
-			return invalid("settings: specifics.%s has %d figures, expected one for each of %d classes",
-				list.name, n, len(raw.RequestClasses))
-		}
-		for i, v := range list.of {
-			shares = append(shares, figure{fmt.Sprintf("specifics.%s[%d]", list.name, i), v})
-		}
-	}
-	for i, floor := range layout.FloorByClass {
-		if need := valueAt(layout.ClassNeed, i); need > 0 && floor > need && floor < 1 { // 1 is what a class without a floor has
-			return invalid("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, floor, need)
-		}
-	}
-	if n := len(layout.SecondStep); n > 0 && n != len(raw.RequestClasses) {
-		return invalid("settings: specifics.secondStep has %d figures, expected one for each of %d classes",
-			n, len(raw.RequestClasses))
-	}
-	for i, n := range layout.SecondStep {
-		atLeast0 = append(atLeast0, figure{fmt.Sprintf("specifics.secondStep[%d]", i), float64(n)})
-	}
-	for _, f := range atLeast0 {
-		if f.value < 0 {
-			return invalid("settings: %s is %g, expected 0 or more", f.name, f.value)
-		}
-	}
-	for _, f := range shares {
-		if f.value < 0 || f.value > 1 {
-			return invalid("settings: %s is %g, expected a share from 0 to 1", f.name, f.value)
-		}
-	}
-	return nil
-}
--- a/policy/backendrecords.go
+++ b/policy/backendrecords.go
@@ -7,7 +7,7 @@
 
 // Records of backends: the list, overrides, and when they were last alive.
 
-// overridden tells whether operators override anything of b.
+// runOverridden tells whether operators override anything of b.
 func (b *backend) overridden() bool { return b.overrides != nil }
 
 // override is what operators override of b for an index.
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -12,24 +12,24 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		e := newEnv(seed).run(25)
+		e := newEmulation(seed).run(25)
 		if e.err != nil {
 			t.Fatal(e.err)
 		}
 		if e.answered == 0 {
 			t.Fatal("nothing was answered")
 		}
-		if again := newEnv(seed).run(25); !reflect.DeepEqual(e.log, again.log) {
+		if again := newEmulation(seed).run(25); !reflect.DeepEqual(e.log, again.log) {
 			t.Fatal("the same events led to other actions")
 		}
 	})
 }
 
 // Each checker is seen to fail: the actions of a sound instance are broken on the way out.
-func TestCheckersSeeBreaches(t *testing.T) {
-	type breaker func(*env, Action) []Action
-	turn := func(to func(*env, *host) bool) breaker { // sends go to another host of the cell
-		return func(e *env, a Action) []Action {
+func TestCheckerFindsViolations(t *testing.T) {
+	type breaker func(*emulation, Action) []Action
+	turn := func(to func(*emulation, *host) bool) breaker { // sends go to another host of the cell
+		return func(e *emulation, a Action) []Action {
 			for _, h := range e.fleet {
 				if a.Kind == Send && h.named && h.entry.Cell == e.host(a.Backend).entry.Cell && to(e, h) {
 					a.Backend = h.entry.Backend
@@ -39,8 +39,8 @@
 		}
 	}
 	twice := func(effect Effect) breaker {
-		return func(e *env, a Action) []Action {
-			if a.Kind == Send && e.set.Limits.Hedge && e.set.Indexes[e.pieces[a.Subquery].event.Index].Effect == effect {
+		return func(e *emulation, a Action) []Action {
+			if a.Kind == Send && e.set.Limits.Hedge && e.set.Indexes[e.subqueries[a.Subquery].event.Index].Effect == effect {
 				return []Action{a, a}
 			}
 			return []Action{a}
@@ -48,14 +48,14 @@
 	}
 	var kept Action
 	for name, broken := range map[string]breaker{
-		"lost: lookup": func(_ *env, a Action) []Action {
+		"lost: lookup": func(_ *emulation, a Action) []Action {
 			if a.Kind == Nack || a.Kind == Abort || a.Kind == Answer {
 				return nil
 			}
 			return []Action{a}
 		},
-		"after its lookup's end": func(e *env, a Action) []Action {
-			if kept.Kind == Send && kept.Subquery != 0 && e.pieces[kept.Subquery].ask.over {
+		"after its lookup's end": func(e *emulation, a Action) []Action {
+			if kept.Kind == Send && kept.Subquery != 0 && e.subqueries[kept.Subquery].query.ended {
 				return []Action{a, kept}
 			} else if a.Kind == Send {
 				kept = a
@@ -64,17 +64,17 @@
 		},
 		"duplicate": twice(OnceOnly),
 		"budget":    twice(Idempotent),
-		"drain": turn(func(e *env, h *host) bool {
-			return h.toldAt > 0 && e.now > h.toldAt+e.set.Rules.DrainGrace
+		"drain": turn(func(e *emulation, h *host) bool {
+			return h.knownAt > 0 && e.now > h.knownAt+e.set.Rules.DrainGrace
 		}),
-		"cold": turn(func(_ *env, h *host) bool { return h.told > 0 && h.toldAt == 0 }),
-		"honest": func(_ *env, a Action) []Action {
+		"cold": turn(func(_ *emulation, h *host) bool { return h.knownStart > 0 && h.knownAt == 0 }),
+		"honest": func(_ *emulation, a Action) []Action {
 			if a.Kind == Nack || a.Kind == Abort {
 				a.Kind = Answer
 			}
 			return []Action{a}
 		},
-		"whole": func(_ *env, a Action) []Action {
+		"whole": func(_ *emulation, a Action) []Action {
 			a.Complete = true
 			return []Action{a}
 		},
@@ -82,8 +82,8 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(400) {
 				kept = Action{}
-				e := newEnv(seed)
-				e.sabotage = func(e *env, actions []Action) (more []Action) {
+				e := newEmulation(seed)
+				e.sabotage = func(e *emulation, actions []Action) (more []Action) {
 					for _, a := range actions {
 						more = append(more, broken(e, a)...)
 					}
@@ -113,8 +113,8 @@
 	}
 }
 
-// fill takes queries until the windows of the only backend are full.
-func fill(s *scene) (subqueries []SubqueryID) {
+// fillWindows takes queries until the windows of the only backend are full.
+func fillWindows(s *scene) (subqueries []SubqueryID) {
 	for range 4 {
 		p, done := s.take(6, 1)
 		if len(only(Send, done)) != 1 {
@@ -125,9 +125,9 @@
 	return subqueries
 }
 
-func TestHeldSubqueriesLeaveInMakespanOrder(t *testing.T) {
+func TestPendingSubqueriesAreSentInMakespanOrder(t *testing.T) {
 	s := newScene(t, nil, Entry{Backend: 1})
-	subqueries := fill(s)
+	subqueries := fillWindows(s)
 	long, _ := s.take(6, 1, 1, 1)
 	brief, done := s.take(6, 1, 2)
 	if len(only(Send, done)) != 0 {
@@ -161,7 +161,7 @@
 
 func TestLateSubqueryIsDroppedAndQueryDeclinedAtOnce(t *testing.T) {
 	s := newScene(t, nil, Entry{Backend: 1})
-	fill(s)
+	fillWindows(s)
 	_, done := s.take(0.5, 1) // unheard: latency counts as the soft deadline of 2 s
 	if n := only(Nack, done); len(n) != 1 || len(only(Send, done)) != 0 {
 		t.Errorf("expected a nack and no send, got %v", done)
@@ -170,7 +170,7 @@
 
 // A list change that ends a query once tripped over the list of open queries.
 // Also an aggregator that has heard nobody yet says when to come back.
-func TestNackSaysWhenToComeBack(t *testing.T) {
+func TestNackHasRetryAfter(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Limits.RetryAfter, set.Limits.MaxRetryAfter = true, 1 }, Entry{Backend: 1})
 	p, done := s.take(6, 1)
 	done = append(done, s.end(0.1, p[0], 1, NotConnected, 0.1)...)
@@ -194,7 +194,7 @@
 
 // Resets on a live backend once counted as restarts: the whole fleet was then held to a cold share.
 // Backends come and go all day: those that are gone are kept while a call to them is out, and no longer.
-func TestGoneBackendsAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreReleased(t *testing.T) {
 	named := func(phase Phase, ids ...BackendID) Event {
 		e := Event{Kind: ListChanged}
 		for _, id := range ids {
@@ -249,9 +249,9 @@
 }
 
 // A backend that answers others' calls but lost this one: the call is taken back and sent to the sibling.
-func TestLostCallIsTakenBack(t *testing.T) {
+func TestLostCallIsCanceledAndRetried(t *testing.T) {
 	s := newScene(t, nil)
-	warm(s)
+	warmUp(s)
 	lostSubquery, done := s.take(6, 1)
 	at := only(Send, done)[0].Backend
 	for range 40 {
@@ -270,9 +270,9 @@
 
 // One that says nothing is asked at once, apart from the calls it may have lost with their connection; should it answer, it
 // is in reach at once.
-func TestSilentBackendIsAskedApart(t *testing.T) {
+func TestUnresponsiveBackendIsProbedOnASeparateConnection(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1})
-	warm(s)
+	warmUp(s)
 	s.take(6, 1)
 	s.take(6, 1)
 	for range 100 {
@@ -293,7 +293,7 @@
 	t.Fatal("never asked")
 }
 
-func warm(s *scene) {
+func warmUp(s *scene) {
 	for range 20 {
 		_, done := s.take(6, 1)
 		s.serve(done, 0.1, 0.1)
@@ -301,9 +301,9 @@
 }
 
 // Half the fleet cut off: calls hang without an end. The silent backend is shunned, its sibling serves.
-func TestSilentBackendIsShunned(t *testing.T) {
+func TestUnresponsiveBackendIsAvoided(t *testing.T) {
 	s := newScene(t, nil)
-	warm(s)
+	warmUp(s)
 	for range 30 {
 		_, done := s.take(6, 1, 1, 1)
 		for _, a := range only(Send, done) {
@@ -319,7 +319,7 @@
 }
 
 // Overload once became usual: windows stayed wide and backends queued longer than the soft deadline.
-func TestOverloadDoesNotBecomeUsual(t *testing.T) {
+func TestOverloadDoesNotRaiseTheUsualLatency(t *testing.T) {
 	s := newScene(t, nil, Entry{Backend: 1})
 	for range 300 {
 		_, done := s.take(6, 1)
@@ -354,7 +354,7 @@
 func TestConnectionIdleTooLongIsClosed(t *testing.T) {
 	for _, alive := range []bool{true, false} { // no probe answered: the backend, not its connection, is to blame
 		s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1}, Entry{Backend: 2})
-		warm(s)
+		warmUp(s)
 		closed := false
 		for range 12 {
 			s.now++
@@ -380,7 +380,7 @@
 
 // Scores of aggregators that each send a cold backend one part at once push it over: together they send a share that
 // grows as it warms, though each takes a query only now and then.
-func TestManyAggregatorsThinWhatGoesToColdBackend(t *testing.T) {
+func TestManyAggregatorsSendLittleToABackendInSlowStart(t *testing.T) {
 	const aggregators = 50
 	sent := 0
 	for i := range aggregators {
@@ -396,20 +396,20 @@
 	}
 }
 
-// alone is a scene of one warm backend, which may be probed and would be cold after a start.
-func alone(t *testing.T) *scene {
+// singleBackend is a scene of one warm backend, which may be probed and would be cold after a start.
+func singleBackend(t *testing.T) *scene {
 	s := newScene(t, func(set *Settings) {
 		set.Limits.Probe = true
 		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, CrashMultiple: 2, CrashWindowS: 1}
 	}, Entry{Backend: 1})
-	warm(s)
+	warmUp(s)
 	return s
 }
 
 // A backend silent for a while was once shunned for good, and then taken for new: it is asked after each pause,
 // and one that answers keeps its figures and is not cold. One that turns probes away is not silent.
-func TestBackendIsAskedAgainAfterSilence(t *testing.T) {
-	s := alone(t)
+func TestUnresponsiveBackendIsProbedAgain(t *testing.T) {
+	s := singleBackend(t)
 	s.take(60, 1)
 	x := s.m.backends[1]
 	for i := range 400 {
@@ -435,10 +435,10 @@
 }
 
 // At a few hot cells calls were taken back towards siblings with the same long queue, over and over.
-func TestCallIsTakenBackOnlyTowardsSiblingThatLives(t *testing.T) {
+func TestCallIsHedgedOnlyToALiveSibling(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		s := newScene(t, func(set *Settings) { set.Limits.Probe = true })
-		warm(s)
+		warmUp(s)
 		s.take(30, 1)
 		backs := 0
 		for range 100 {
@@ -457,9 +457,9 @@
 }
 
 // Connections that break at once after a pause: once that was taken for a fault of every backend.
-func TestConnectionThatBreaksAfterPauseIsClosed(t *testing.T) {
+func TestConnectionThatBreaksAfterIdlingIsClosed(t *testing.T) {
 	s := newScene(t, nil, Entry{Backend: 1})
-	warm(s)
+	warmUp(s)
 	closed := 0
 	for range 20 {
 		s.now++
@@ -487,7 +487,7 @@
 
 // Backends of one location fail by turns, each called seldom: what others there did counts for one not yet known,
 // and its own answers outweigh that.
-func TestFaultsOfALocationCountUntilASearcherIsKnown(t *testing.T) {
+func TestFaultsOfALocationCountUntilABackendIsKnown(t *testing.T) {
 	s := newScene(t, nil, Entry{Backend: 1, Location: 1}, Entry{Backend: 2, Location: 1}, Entry{Backend: 3})
 	m := s.m
 	for range 20 {
@@ -507,9 +507,9 @@
 
 // In troubled times a part goes to the holder that first gives a sign of life, not to one that may be dead.
 // A backend at home that fails most calls, and quickly, must not look cheaper than crossing to its sibling.
-func TestCrossingIsCheaperThanFaultsAtHome(t *testing.T) {
+func TestCrossingLocationsIsCheaperThanFaultsAtHome(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Prices.CrossLocation = 0.05 }, Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
-	warm(s)
+	warmUp(s)
 	home, away := s.m.backends[1], s.m.backends[2]
 	home.latency, away.latency, home.latencyAt, away.latencyAt = s.m.usualLatency/4, s.m.usualLatency, s.now, s.now
 	subqueries, _ := s.take(6, 1)
@@ -525,9 +525,9 @@
 	}
 }
 
-func TestLooksBeforeSendingInTroubledTimes(t *testing.T) {
+func TestProbesBeforeSendingWhenBackendsAreUnhealthy(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Limits.Probe = true })
-	warm(s)
+	warmUp(s)
 	s.now += 3
 	for range 30 {
 		s.m.unhealthyShare.add(1, s.now, unhealthyMemory*s.m.longestSoft)
@@ -543,9 +543,9 @@
 }
 
 // Scores of aggregators with a window of one each make a long queue: windows go below one, and the rest waits its turn.
-func TestLongQueuesOfOthersNarrow(t *testing.T) {
+func TestLongQueuesShrinkTheWindow(t *testing.T) {
 	s := newScene(t, nil, Entry{Backend: 1})
-	warm(s)
+	warmUp(s)
 	for range 12 {
 		p, _ := s.take(6, 1)
 		s.end(1.5, p[0], 1, Answered, 1.5)
@@ -557,7 +557,7 @@
 
 // A client's last try gives all that is left, often more than its first ones gave: once such a one was seen, first
 // tries were taken for late ones and nacked on arrival.
-func TestSoftDeadlineCountsFromTheFirstTry(t *testing.T) {
+func TestSoftDeadlineCountsFromTheFirstAttempt(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Limits.MaxAttempts = 1 })
 	for i, c := range []struct{ left, spent float64 }{
 		{3.74, 0}, {3.75, 0}, {5.99, 0.01}, {3.75, 0}, {5, 1}, {5, 1}, {3.73, 0}, {2.2, 3.8}, {3.76, 0},
--- a/policy/emulation_test.go
+++ b/policy/emulation_test.go
@@ -9,57 +9,57 @@
 	"testing"
 )
 
-// env is a small world around one instance. It keeps books of its own and checks the six rules after every
+// emulation is a small world around one instance. It keeps books of its own and checks the six rules after every
 // step from those alone; err holds the first breach.
-type env struct {
+type emulation struct {
 	set            Settings
 	rng            *rand.Rand
 	now            float64
 	aggregator     *Aggregator
 	next           uint64
 	fleet          []*host
-	asks           map[QueryID]*ask
-	pieces         map[SubqueryID]*piece
+	queries        map[QueryID]*clientQuery
+	subqueries     map[SubqueryID]*querySubquery
 	due            []dueEvent
 	taken, further []float64
 	log            []Action
 	answered       int
-	sabotage       func(e *env, actions []Action) []Action
-	extra          func(e *env) []Event // told before all else in each step
-	zoned          func(*ask) *Zones    // of a query that is taken
-	renamed        func(BackendID)      // what was known by this number is forgotten
+	sabotage       func(e *emulation, actions []Action) []Action
+	extra          func(e *emulation) []Event // told before all else in each step
+	zoned          func(*clientQuery) *Zones  // of a query that is taken
+	renamed        func(BackendID)            // what was known by this number is forgotten
 	err            error
 }
 
 type host struct {
-	entry          Entry
-	named          bool
-	toldPhase      Phase   // as last told
-	toldAt         float64 // when the instance heard that it drains or is gone; 0 if it did not
-	mood           int     // 0 sound, 1 fails fast, 2 silent, 3 refuses, 4 slow
-	works          []sentWork
-	told, toldCold float64 // the start that the instance was told of, and when
+	entry                    Entry
+	named                    bool
+	knownPhase               Phase   // as last told
+	knownAt                  float64 // when the instance heard that it drains or is gone; 0 if it did not
+	fault                    int     // 0 sound, 1 fails fast, 2 silent, 3 refuses, 4 slow
+	sentWork                 []sentWork
+	knownStart, knownStartAt float64 // the start that the instance was told of, and when
 }
 
-type ask struct {
-	event                Event
-	pieces               []*piece
-	ends                 float64
-	over, stepped, short bool
+type clientQuery struct {
+	event                 Event
+	subqueries            []*querySubquery
+	ends                  float64
+	ended, stepped, short bool
 }
 
-type piece struct {
-	event    Event
-	ask      *ask
-	calls    []*attempt
-	first    float64
-	in, shut bool // answered; of a step that is over
+type querySubquery struct {
+	event            Event
+	query            *clientQuery
+	calls            []*attempt
+	first            float64
+	answered, closed bool // answered; of a step that is over
 }
 
 type attempt struct {
-	at                *host
-	sent              float64
-	open, never, back bool
+	host                        *host
+	sent                        float64
+	open, notExecuted, canceled bool
 }
 
 type dueEvent struct {
@@ -88,9 +88,9 @@
 	return set
 }
 
-func newEnv(seed uint64) *env {
+func newEmulation(seed uint64) *emulation {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	e := &env{set: randomSettings(rng), rng: rng, now: 100, asks: map[QueryID]*ask{}, pieces: map[SubqueryID]*piece{}}
+	e := &emulation{set: randomSettings(rng), rng: rng, now: 100, queries: map[QueryID]*clientQuery{}, subqueries: map[SubqueryID]*querySubquery{}}
 	for i := range 10 {
 		e.fleet = append(e.fleet, &host{entry: Entry{Backend: BackendID(1000 + 37*i), Cell: CellID(i % 4),
 			Location: LocationID(i % 2), Share: 1}})
@@ -99,13 +99,13 @@
 	return e
 }
 
-func (e *env) fail(format string, args ...any) {
+func (e *emulation) fail(format string, args ...any) {
 	if e.err == nil {
 		e.err = fmt.Errorf("at %.3f: %s", e.now, fmt.Sprintf(format, args...))
 	}
 }
 
-func (e *env) run(seconds float64) *env {
+func (e *emulation) run(seconds float64) *emulation {
 	e.step([]Event{e.list(ListStale)})
 	for end := e.now + seconds; e.now < end && e.err == nil; {
 		e.now += e.set.Step
@@ -125,7 +125,7 @@
 		}
 		if e.rng.IntN(200) == 0 {
 			h := e.fleet[e.rng.IntN(len(e.fleet))]
-			h.mood = max(0, e.rng.IntN(9)-4)
+			h.fault = max(0, e.rng.IntN(9)-4)
 			switch e.rng.IntN(6) {
 			case 0:
 				h.entry.Phase = Phase(e.rng.IntN(3))
@@ -139,7 +139,7 @@
 	return e
 }
 
-func (e *env) list(kind ListKind) Event {
+func (e *emulation) list(kind ListKind) Event {
 	ev := Event{Kind: ListChanged, List: kind}
 	if kind == ListFailed {
 		return ev
@@ -152,70 +152,70 @@
 	return ev
 }
 
-// heed books what a list event tells the instance.
-func (e *env) heed(ev Event) {
+// applyList books what a list event tells the instance.
+func (e *emulation) applyList(ev Event) {
 	for _, h := range e.fleet {
 		i := slices.IndexFunc(ev.Entries, func(r Entry) bool { return r.Backend == h.entry.Backend })
 		switch {
 		case ev.List == ListFailed || i < 0 && ev.List == ListPatch:
 			continue
 		case i < 0 || ev.Entries[i].Phase != Ready:
-			h.toldAt = cmp.Or(h.toldAt, e.now)
+			h.knownAt = cmp.Or(h.knownAt, e.now)
 			if e.renamed != nil && (i < 0 || ev.Entries[i].Phase == Removed) {
 				e.renamed(h.entry.Backend)
 			}
 		default:
-			h.toldAt = 0
+			h.knownAt = 0
 		}
 		if i >= 0 {
-			h.toldPhase = ev.Entries[i].Phase
+			h.knownPhase = ev.Entries[i].Phase
 			h.named = h.named || ev.Entries[i].Phase != Removed
-			if at := ev.Entries[i].StartedAt; at > h.told {
-				h.told, h.toldCold = at, e.now
+			if at := ev.Entries[i].StartedAt; at > h.knownStart {
+				h.knownStart, h.knownStartAt = at, e.now
 			}
 		}
 	}
 }
 
-func (e *env) id() uint64 { e.next += 1 + e.rng.Uint64N(1000); return e.next }
+func (e *emulation) newID() uint64 { e.next += 1 + e.rng.Uint64N(1000); return e.next }
 
-func (e *env) arrival() []Event {
+func (e *emulation) arrival() []Event {
 	k := IndexID(e.rng.IntN(len(e.set.Indexes)))
 	n := 1 + e.rng.IntN(5)
-	lk := Event{Kind: QueryReceived, Query: QueryID(e.id()), No: QueryNo(e.id()), Index: k, Subqueries: n,
+	lk := Event{Kind: QueryReceived, Query: QueryID(e.newID()), No: QueryNo(e.newID()), Index: k, Subqueries: n,
 		Customer: CustomerID(e.rng.IntN(3)), Remaining: e.set.Indexes[k].Hard * (0.3 + 0.7*e.rng.Float64())}
-	a := &ask{event: lk, ends: e.now + lk.Remaining}
+	a := &clientQuery{event: lk, ends: e.now + lk.Remaining}
 	if e.zoned != nil {
 		lk.Zones = e.zoned(a)
 	}
-	e.asks[lk.Query] = a
+	e.queries[lk.Query] = a
 	e.taken = append(e.taken, e.now)
-	return append([]Event{lk}, e.newPieces(a, n)...)
+	return append([]Event{lk}, e.newSubqueries(a, n)...)
 }
 
-func (e *env) newPieces(a *ask, n int) (events []Event) {
+func (e *emulation) newSubqueries(a *clientQuery, n int) (events []Event) {
 	for range n {
-		ev := Event{Kind: SubqueryReceived, Subquery: SubqueryID(e.id()), No: a.event.No, Index: a.event.Index,
+		ev := Event{Kind: SubqueryReceived, Subquery: SubqueryID(e.newID()), No: a.event.No, Index: a.event.Index,
 			Shard: ShardID(e.rng.IntN(8)), Weight: 1 / float64(n), Remaining: a.ends - e.now, Hint: workOfSubquery}
-		p := &piece{event: ev, ask: a}
-		a.pieces = append(a.pieces, p)
-		e.pieces[ev.Subquery] = p
+		p := &querySubquery{event: ev, query: a}
+		a.subqueries = append(a.subqueries, p)
+		e.subqueries[ev.Subquery] = p
 		e.taken = append(e.taken, e.now)
 		events = append(events, ev)
 	}
 	return events
 }
 
-func (e *env) step(events []Event) {
+func (e *emulation) step(events []Event) {
 	for _, ev := range events {
 		if ev.Kind == ListChanged {
-			e.heed(ev)
+			e.applyList(ev)
 		}
 		if ev.Kind == CallEnded {
-			p := e.pieces[ev.Subquery]
+			p := e.subqueries[ev.Subquery]
 			c := p.calls[ev.Call]
-			c.open, c.never = false, slices.Contains([]Outcome{Rejected, NotConnected, NotSent}, ev.Outcome)
-			p.in = p.in || ev.Outcome == Answered && !p.shut
+			c.open, c.notExecuted = false, slices.Contains([]Outcome{Rejected, NotConnected, NotSent}, ev.Outcome)
+			p.answered = p.answered || ev.Outcome == Answered && !p.closed
 		}
 	}
 	actions := e.aggregator.Step(e.now, events, nil)
@@ -227,16 +227,16 @@
 		e.act(a)
 	}
 	for _, h := range e.fleet {
-		e.checkCold(h)
+		e.checkSlowStart(h)
 	}
-	for _, a := range e.asks {
-		if !a.over && e.now > a.ends+e.set.Rules.AnswerSlack {
+	for _, a := range e.queries {
+		if !a.ended && e.now > a.ends+e.set.Rules.AnswerSlack {
 			e.fail("lost: lookup %d has no final answer", a.event.Query)
 		}
 	}
 }
 
-func (e *env) act(a Action) {
+func (e *emulation) act(a Action) {
 	switch a.Kind {
 	case SetTimer:
 		e.due = append(e.due, dueEvent{e.now + max(a.Wait, e.set.Step/2), Event{Kind: TimerDue, Timer: a.Timer}})
@@ -244,41 +244,41 @@
 		e.due = append(e.due, dueEvent{e.now + 0.1, e.list(ListComplete)})
 	case Probe:
 		ev := Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered}
-		if h := e.host(a.Backend); h.mood >= 2 {
+		if h := e.host(a.Backend); h.fault >= 2 {
 			ev.Outcome = NotConnected
 		}
 		e.due = append(e.due, dueEvent{e.now + 0.2, ev})
 	case Cancel:
-		if c := e.pieces[a.Subquery].calls[a.Call]; c.open && !c.back {
-			c.back = true
-			e.ends(e.pieces[a.Subquery], int(a.Call), Canceled, 0.005)
+		if c := e.subqueries[a.Subquery].calls[a.Call]; c.open && !c.canceled {
+			c.canceled = true
+			e.scheduleEnd(e.subqueries[a.Subquery], int(a.Call), Canceled, 0.005)
 		}
 	case Send:
-		e.sent(a)
+		e.checkSend(a)
 	case Answer, Nack, Abort:
-		e.final(a)
+		e.checkFinal(a)
 	}
 }
 
-func (e *env) host(id BackendID) *host {
+func (e *emulation) host(id BackendID) *host {
 	return e.fleet[slices.IndexFunc(e.fleet, func(h *host) bool { return h.entry.Backend == id })]
 }
 
-func (e *env) ends(p *piece, no int, outcome Outcome, after float64) {
+func (e *emulation) scheduleEnd(p *querySubquery, no int, outcome Outcome, after float64) {
 	e.due = slices.DeleteFunc(e.due, func(d dueEvent) bool {
 		return d.event.Kind == CallEnded && d.event.Subquery == p.event.Subquery && d.event.Call == CallNo(no)
 	})
 	c := p.calls[no]
 	e.due = append(e.due, dueEvent{e.now + after, Event{Kind: CallEnded, Subquery: p.event.Subquery, Call: CallNo(no),
-		Backend: c.at.entry.Backend, Outcome: outcome, Elapsed: e.now + after - c.sent}})
+		Backend: c.host.entry.Backend, Outcome: outcome, Elapsed: e.now + after - c.sent}})
 }
 
-func (e *env) sent(a Action) {
-	p, h := e.pieces[a.Subquery], e.host(a.Backend)
+func (e *emulation) checkSend(a Action) {
+	p, h := e.subqueries[a.Subquery], e.host(a.Backend)
 	x, r := e.set.Indexes[p.event.Index], e.set.Rules
 	open, ran := 0, false
 	for _, c := range p.calls {
-		ran = ran || !c.never
+		ran = ran || !c.notExecuted
 		if c.open {
 			open++
 		}
@@ -289,14 +289,14 @@
 		breach bool
 		text   string
 	}{
-		{p.ask.over || p.shut, "lost: sent after its lookup's end"},
-		{p.in, "sent after its answer"},
+		{p.query.ended || p.closed, "lost: sent after its lookup's end"},
+		{p.answered, "sent after its answer"},
 		{away >= e.set.Layout.Width || !h.named, "sent to a searcher that does not hold it"},
 		{open > 0 && (!e.set.Limits.Hedge || x.Effect == OnceOnly), "duplicate: two calls out at once"},
 		{x.Effect == OnceOnly && ran, "duplicate: once-only, sent again"},
 		{x.Effect == Fingerprinted && ran && e.now > p.first+x.DedupS, "duplicate: sent again too late"},
 		{x.Effect == Fingerprinted && ran && !(a.BeginBy > 0 && a.BeginBy <= p.first+x.DedupS+1e-9), "duplicate: may begin too late"},
-		{h.toldAt > 0 && e.now > h.toldAt+r.DrainGrace, "drain: sent after the grace"},
+		{h.knownAt > 0 && e.now > h.knownAt+r.DrainGrace, "drain: sent after the grace"},
 		{e.set.Limits.MaxAttempts > 0 && len(p.calls) >= e.set.Limits.MaxAttempts, "too many calls"},
 	} {
 		if c.breach {
@@ -311,23 +311,23 @@
 		}
 	}
 	p.first = cmp.Or(p.first, e.now)
-	h.works = append(h.works, sentWork{e.now, workOfSubquery})
-	p.calls = append(p.calls, &attempt{at: h, sent: e.now, open: true})
+	h.sentWork = append(h.sentWork, sentWork{e.now, workOfSubquery})
+	p.calls = append(p.calls, &attempt{host: h, sent: e.now, open: true})
 	outcome, took := Answered, 0.05+0.2*e.rng.Float64()
-	switch h.mood {
+	switch h.fault {
 	case 1:
 		outcome, took = []Outcome{Errored, Broken, Rejected}[e.rng.IntN(3)], 0.01
 	case 2:
-		outcome, took = TimedOut, p.ask.ends-e.now+0.001
+		outcome, took = TimedOut, p.query.ends-e.now+0.001
 	case 3:
 		outcome, took = NotConnected, 0.1
 	case 4:
 		took *= 8
 	}
-	if left := p.ask.ends - e.now; took > left && !p.ask.over {
+	if left := p.query.ends - e.now; took > left && !p.query.ended {
 		outcome, took = TimedOut, left+0.001
 	}
-	e.ends(p, len(p.calls)-1, outcome, took)
+	e.scheduleEnd(p, len(p.calls)-1, outcome, took)
 }
 
 func after(times []float64, from float64) int {
@@ -335,21 +335,21 @@
 	return len(times) - i
 }
 
-func (e *env) final(a Action) {
-	k := e.asks[a.Query]
-	if k == nil || k.over {
+func (e *emulation) checkFinal(a Action) {
+	k := e.queries[a.Query]
+	if k == nil || k.ended {
 		e.fail("lost: lookup %d answered twice", a.Query)
 		return
 	}
 	x := e.set.Indexes[k.event.Index]
 	n, weight, ran := 0, 0.0, false
-	for _, p := range k.pieces {
-		if p.in && !p.shut {
+	for _, p := range k.subqueries {
+		if p.answered && !p.closed {
 			n, weight = n+1, weight+p.event.Weight
 		}
-		p.shut = true
+		p.closed = true
 		for _, c := range p.calls {
-			ran = ran || !c.never
+			ran = ran || !c.notExecuted
 		}
 	}
 	need := x.Required
@@ -369,27 +369,27 @@
 	}
 	if a.Kind == Answer && x.SecondStep > 0 && !k.stepped {
 		k.stepped, k.short = true, !a.Complete
-		for _, ev := range e.newPieces(k, min(n, x.SecondStep)) {
+		for _, ev := range e.newSubqueries(k, min(n, x.SecondStep)) {
 			e.due = append(e.due, dueEvent{e.now + e.set.Step/2, ev})
 		}
 		return
 	}
-	k.over = true
+	k.ended = true
 }
 
-// checkCold holds this instance to its share of what a cold backend may get, by the true capacity.
-func (e *env) checkCold(h *host) {
+// checkSlowStart holds this instance to its share of what a cold backend may get, by the true capacity.
+func (e *emulation) checkSlowStart(h *host) {
 	r := e.set.Rules
-	if h.told == 0 || e.now > h.told+r.SlowStartS {
+	if h.knownStart == 0 || e.now > h.knownStart+r.SlowStartS {
 		return
 	}
 	sum := 0.0
-	for _, w := range h.works {
-		if w.at > e.now-r.CrashWindowS && w.at >= h.toldCold {
+	for _, w := range h.sentWork {
+		if w.at > e.now-r.CrashWindowS && w.at >= h.knownStartAt {
 			sum += w.work
 		}
 	}
-	warmth := r.SlowStartShare + (1-r.SlowStartShare)*(e.now-h.told)/r.SlowStartS
+	warmth := r.SlowStartShare + (1-r.SlowStartShare)*(e.now-h.knownStart)/r.SlowStartS
 	most := r.CrashMultiple * warmth * capacity / float64(e.set.Aggregators) * r.CrashWindowS
 	if sum > math.Max(most, workOfSubquery+1e-9) {
 		e.fail("cold: %.2f of work sent to %d, at most %.2f", sum, h.entry.Backend, most)
--- a/policy/exceptions_test.go
+++ b/policy/exceptions_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// wide is a deployment of eight shards with two holders each, whose index may be answered in part.
-func wide(t *testing.T, floor float64, second int) *scene {
+// newWideScene is a deployment of eight shards with two holders each, whose index may be answered in part.
+func newWideScene(t *testing.T, floor float64, second int) *scene {
 	var entries []Entry
 	for i := range 16 {
 		entries = append(entries, Entry{Backend: BackendID(1 + i), Cell: CellID(i % 8)})
@@ -17,7 +17,7 @@
 		set.Limits.Hedge = true
 	}, entries...)
 	for range 20 {
-		s.serve(only(Send, acts(s.take(6, 1))), 0.02, 0.1)
+		s.serve(only(Send, actionsOf(s.take(6, 1))), 0.02, 0.1)
 	}
 	for lk := range s.m.queries { // what a second step left open
 		s.step(0.005, Event{Kind: ClientDisconnected, Query: s.m.queries[lk].id})
@@ -25,14 +25,14 @@
 	return s
 }
 
-func acts(_ []SubqueryID, done []Action) []Action { return done }
+func actionsOf(_ []SubqueryID, done []Action) []Action { return done }
 
 var eight = []float64{1, 1, 1, 1, 1, 1, 1, 0.5}
 
 // A query each of whose parts brings down the backend that begins it was sent to all its backends at once, and its
 // parts to their siblings after that.
 func TestQueryThatOnlyBreaksIsGivenUp(t *testing.T) {
-	s := wide(t, 1, 0)
+	s := newWideScene(t, 1, 0)
 	subqueries, done := s.take(6, eight...)
 	sends := only(Send, done)
 	if len(sends) != len(subqueries) {
@@ -63,8 +63,8 @@
 }
 
 // A crash takes some parts of a query with it. Its others are answered, so those go again at once.
-func TestSubqueriesBrokenByACrashGoAgain(t *testing.T) {
-	s := wide(t, 1, 0)
+func TestSubqueriesBrokenByACrashAreRetried(t *testing.T) {
+	s := newWideScene(t, 1, 0)
 	_, done := s.take(6, eight...)
 	sends := only(Send, done)
 	s.end(0.05, sends[0].Subquery, sends[0].Backend, Answered, 0.05)
@@ -91,7 +91,7 @@
 // The first answer of two leaves time for the second step: given at the soft deadline, it earned nothing.
 func TestFirstStepLeavesTimeForTheSecond(t *testing.T) {
 	for second, answered := range map[int]bool{0: false, 3: true} {
-		s := wide(t, 0.7, second)
+		s := newWideScene(t, 0.7, second)
 		_, done := s.take(6, eight...)
 		for _, a := range only(Send, done)[:6] {
 			s.end(0.01, a.Subquery, a.Backend, Answered, 0.1)
@@ -107,9 +107,9 @@
 }
 
 // Turned away is who has too little time for what the least answer needs, not for the slowest of all parts.
-func TestTurnedAwayByTheSlowestSubqueryThatIsNeeded(t *testing.T) {
+func TestRejectedByTheSlowestRequiredSubquery(t *testing.T) {
 	for floor, refused := range map[float64]bool{0.5: false, 1: true} {
-		s := wide(t, floor, 0)
+		s := newWideScene(t, floor, 0)
 		for _, x := range s.m.holdersByCell[0] {
 			x.latency, x.latencyAt, x.window = 5, s.now, 0.5
 		}
@@ -121,8 +121,8 @@
 }
 
 // Where it is crowded, half of the weight that a query may do without is not sent: what weighs least for its work.
-func TestCrowdedQueriesGoWithoutTheirLeastSubqueries(t *testing.T) {
-	s := wide(t, 0.5, 0)
+func TestOverloadShedsSubqueriesOfLeastWeight(t *testing.T) {
+	s := newWideScene(t, 0.5, 0)
 	for range 300 {
 		s.m.recentLatencies.add(2*s.m.usualLatency, s.now, s.m.shortestSoft)
 	}
@@ -136,7 +136,7 @@
 	if len(sends) != 6 {
 		t.Errorf("%d of 8 parts sent, expected 6", len(sends))
 	}
-	whole := wide(t, 1, 0)
+	whole := newWideScene(t, 1, 0)
 	for range 300 {
 		whole.m.recentLatencies.add(2*whole.m.usualLatency, whole.now, whole.m.shortestSoft)
 	}
@@ -146,9 +146,9 @@
 }
 
 // A call whose answer would come when a short one has been given need not be begun.
-func TestCallsStopWhereAShortAnswerIsDue(t *testing.T) {
+func TestCallsStopWhenAPartialAnswerIsDue(t *testing.T) {
 	for floor, stop := range map[float64]float64{0.5: 2, 1: 6} {
-		s := wide(t, floor, 0)
+		s := newWideScene(t, floor, 0)
 		_, done := s.take(6, eight...)
 		for _, a := range only(Send, done) {
 			if math.Abs(a.StopAt-s.now-stop) > 1e-9 {
@@ -163,7 +163,7 @@
 	dear := func(aggregators int) float64 {
 		s := newScene(t, func(set *Settings) { set.Aggregators, set.Prices.CrossLocation = aggregators, 0.03 },
 			Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
-		warm(s)
+		warmUp(s)
 		subqueries, _ := s.take(6, 1)
 		p := s.m.subqueries[subqueries[0]]
 		for len(p.calls) > 0 {
@@ -182,9 +182,9 @@
 
 // A full queue was no reason to go elsewhere: a busy sibling looked dearer, and the part spent its three calls on the full
 // one within milliseconds. A query of 56 parts was lost with it.
-func TestAFullBackendIsNotAskedAgainAtOnce(t *testing.T) {
+func TestBackendThatRejectsIsNotCalledAgainAtOnce(t *testing.T) {
 	s := newScene(t, nil)
-	warm(s)
+	warmUp(s)
 	s.m.backends[2].latency, s.m.backends[2].latencyAt = 5*s.m.usualLatency, s.now
 	subqueries, done := s.take(6, 1)
 	if at := only(Send, done)[0].Backend; at != 1 {
@@ -207,10 +207,10 @@
 
 // Probes answered beside a backend's queue say nothing of it: calls that ended without an answer taught nothing, and
 // the next part went there as before.
-func TestACallWithoutAnswerCountsThoughProbesAreAnswered(t *testing.T) {
+func TestUnansweredCallCountsThoughProbesAreAnswered(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Canceled} {
 		s := newScene(t, nil)
-		warm(s)
+		warmUp(s)
 		subqueries, done := s.take(6, 1)
 		at := only(Send, done)[0].Backend
 		s.step(0.3, Event{Kind: ProbeEnded, Backend: at, Outcome: Answered, Elapsed: 0.001})
@@ -223,9 +223,9 @@
 }
 
 // Where probes tell little, copies are late lest queues double; the last part of a query has one in time.
-func TestLastSubqueriesAreCopiedEarly(t *testing.T) {
+func TestLastSubqueriesAreHedgedEarly(t *testing.T) {
 	for _, answered := range []int{2, 7} {
-		s := wide(t, 1, 0)
+		s := newWideScene(t, 1, 0)
 		subqueries, done := s.take(6, 1, 1, 1, 1, 1, 1, 1, 1)
 		for _, a := range only(Send, done)[:answered] {
 			s.end(0.001, a.Subquery, a.Backend, Answered, 0.1)
@@ -242,8 +242,8 @@
 
 // An aggregator that stood still finds its answers, its clients and its timer all at once, the timer first. What it took so long to
 // hear is nobody's fault: nothing is copied, asked or blamed, and the query is answered.
-func TestAStallIsNoFaultOfBackends(t *testing.T) {
-	s := wide(t, 1, 0)
+func TestStallOfTheAggregatorIsNoFaultOfBackends(t *testing.T) {
+	s := newWideScene(t, 1, 0)
 	s.m.settings.Limits.Probe = true
 	subqueries, done := s.take(6, 1, 1, 1, 1)
 	sends := only(Send, done)
@@ -277,7 +277,7 @@
 // the time that the settings name, and soon all did. A process that is no more fails again and again.
 func TestAFailedConnectIsNoRestart(t *testing.T) {
 	for _, fails := range []int{1, 2, 3, 4} {
-		s := alone(t)
+		s := singleBackend(t)
 		x := s.m.backends[1]
 		subqueries, _ := s.take(60, 1)
 		s.end(0.25, subqueries[0], 1, NotConnected, 0.25)
@@ -299,8 +299,8 @@
 }
 
 // A failed connect that a call's answer on another connection has followed is no reason to take a silence, long after, for a restart.
-func TestAnAnswerEndsTheDoubtOfAFailedConnect(t *testing.T) {
-	s := alone(t)
+func TestAnswerClearsAFailedConnect(t *testing.T) {
+	s := singleBackend(t)
 	x := s.m.backends[1]
 	first, _ := s.take(60, 1)
 	second, _ := s.take(60, 1)
--- a/policy/override_test.go
+++ b/policy/override_test.go
@@ -13,12 +13,12 @@
 
 // trace is a hash over all that the instances of some seeds do; extra, where there is one, draws from a generator of
 // its own, so that the world stays as it is without.
-func trace(seeds uint64, extra func(*env, *rand.Rand) []Event) uint64 {
+func trace(seeds uint64, extra func(*emulation, *rand.Rand) []Event) uint64 {
 	h := fnv.New64a()
 	for seed := range seeds {
-		e := newEnv(seed)
+		e := newEmulation(seed)
 		if rng := rand.New(rand.NewPCG(seed, 8)); extra != nil {
-			e.extra = func(e *env) []Event { return extra(e, rng) }
+			e.extra = func(e *emulation) []Event { return extra(e, rng) }
 		}
 		for _, a := range e.run(25).log {
 			fmt.Fprintln(h, a.Kind, a.Complete, a.On, a.SeparateConnection, a.Query, a.Subquery, a.Backend, a.Call, a.StopAt, a.Wait, a.Timer)
@@ -29,8 +29,8 @@
 
 // Overrides that ask for what holds anyway change nothing: a weight of 1, nobody out, pins that are lifted.
 func TestNeutralOverridesChangeNothing(t *testing.T) {
-	weight := func(w float64) func(*env, *rand.Rand) []Event {
-		return func(e *env, rng *rand.Rand) []Event {
+	weight := func(w float64) func(*emulation, *rand.Rand) []Event {
+		return func(e *emulation, rng *rand.Rand) []Event {
 			if rng.IntN(20) > 0 {
 				return nil
 			}
@@ -56,7 +56,7 @@
 }
 
 // draw makes a patch at random.
-func (o *overrides) draw(e *env) *Overrides {
+func (o *overrides) draw(e *emulation) *Overrides {
 	patch := &Overrides{}
 	h, k := e.fleet[e.rng.IntN(len(e.fleet))], IndexID(e.rng.IntN(len(e.set.Indexes)))
 	if s := e.aggregator.backends[h.entry.Backend]; s == nil || s.removed {
@@ -82,11 +82,11 @@
 }
 
 // check fails on a part call that an override forbids, whatever has happened to the backends.
-func (o *overrides) check(e *env, a Action) {
+func (o *overrides) check(e *emulation, a Action) {
 	if a.Kind != Send {
 		return
 	}
-	ev := e.pieces[a.Subquery].event
+	ev := e.subqueries[a.Subquery].event
 	if o.out[a.Backend][ev.Index] {
 		e.fail("out: part %d goes to %d", a.Subquery, a.Backend)
 	}
@@ -94,23 +94,23 @@
 	if pin.Backend == 0 || !pin.Strict || pin.Backend == a.Backend || o.out[pin.Backend][ev.Index] {
 		return
 	}
-	if h := e.host(pin.Backend); h.toldPhase != Draining { // as told: a list that fails tells of no change
+	if h := e.host(pin.Backend); h.knownPhase != Draining { // as told: a list that fails tells of no change
 		e.fail("strict pin: part %d goes to %d and not to %d", a.Subquery, a.Backend, pin.Backend)
 	}
 }
 
 // overridesChanged plays a world with overrides at random; told is how each patch reaches the instance.
-func overridden(seed uint64, told func(*Overrides) *Overrides) error {
-	e := newEnv(seed)
+func runOverridden(seed uint64, told func(*Overrides) *Overrides) error {
+	e := newEmulation(seed)
 	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
-	e.extra = func(e *env) (events []Event) {
+	e.extra = func(e *emulation) (events []Event) {
 		if e.rng.IntN(20) == 0 {
 			events = append(events, Event{Kind: OverridesChanged, Override: told(o.draw(e))})
 		}
 		return events
 	}
 	e.renamed = func(id BackendID) { delete(o.out, id) }
-	e.sabotage = func(e *env, actions []Action) []Action {
+	e.sabotage = func(e *emulation, actions []Action) []Action {
 		for _, a := range actions {
 			o.check(e, a)
 		}
@@ -126,21 +126,21 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if err := overridden(seed, func(o *Overrides) *Overrides { return o }); err != nil {
+		if err := runOverridden(seed, func(o *Overrides) *Overrides { return o }); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
 // The checks are seen to fail where an instance is not told of what holds.
-func TestChecksSeeOverridesThatAreNotHeeded(t *testing.T) {
+func TestCheckerFindsIgnoredOverrides(t *testing.T) {
 	for what, deaf := range map[string]func(*Overrides) *Overrides{
 		"out:":        func(o *Overrides) *Overrides { return &Overrides{Pins: o.Pins} },
 		"strict pin:": func(o *Overrides) *Overrides { return &Overrides{Backends: o.Backends} },
 	} {
 		seen := 0
 		for seed := range uint64(20) {
-			if err := overridden(seed, deaf); err != nil && strings.Contains(err.Error(), what) {
+			if err := runOverridden(seed, deaf); err != nil && strings.Contains(err.Error(), what) {
 				seen++
 			}
 		}
@@ -205,7 +205,7 @@
 }
 
 // A weight gives its share of a backend's usual part calls, at any load at which its siblings have room.
-func TestAWeightGivesItsShareOfUsualSubqueryCalls(t *testing.T) {
+func TestWeightGivesItsShareOfTheUsualCalls(t *testing.T) {
 	for gap, seeds := range map[float64]uint64{0.2: 6, 0.02: 1, 0.01: 1} {
 		usual := 0.0
 		for seed := range seeds {
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestOutAndPinTakeAll(t *testing.T) {
+func TestExclusionAndPinAreComplete(t *testing.T) {
 	sent := shares(t, 1, 0.01, &Overrides{Backends: []BackendOverride{{Backend: 3, Excluded: true, Weight: 1}},
 		Pins: []PinOverride{{Shard: 5, Backend: 7, Share: 1}, {Shard: 6, Backend: 7, Share: 1}}})
 	usual := shares(t, 1, 0.01, nil)
@@ -287,7 +287,7 @@
 }
 
 // What is held for a backend that is taken out goes elsewhere in the same step; calls out there end well.
-func TestHeldSubqueriesLeaveASearcherTakenOut(t *testing.T) {
+func TestPendingSubqueriesLeaveAnExcludedBackend(t *testing.T) {
 	s := newScene(t, nil)
 	hints := make([]float64, 24) // more than two windows take
 	subqueries, done := s.take(6, hints...)
@@ -311,9 +311,9 @@
 
 // One that is out of every index is not asked whether it lives, however silent it is: nothing is to go there. Once it is
 // back it is taken for neither silent nor lost by what was asked before.
-func TestOneThatIsOutIsNotProbed(t *testing.T) {
+func TestExcludedBackendIsNotProbed(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Limits.Probe = true })
-	warm(s)
+	warmUp(s)
 	for range 4 { // some go to each, and are never answered
 		s.take(6, 1, 1)
 	}
@@ -418,7 +418,7 @@
 }
 
 // At the end of an out nothing is sent to the backend beyond its window.
-func TestAReturnKeepsToTheWindow(t *testing.T) {
+func TestReincludedBackendStartsWithTheInitialWindow(t *testing.T) {
 	s := newScene(t, nil)
 	s.step(0.01, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Excluded: true, Weight: 1}}}})
 	s.m.backends[1].window = 60 // from long ago
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -4,14 +4,14 @@
 
 // After a moment in which all calls took long nothing is out and every backend is idle. Who turns every query away hears of no
 // backend again: what was heard in that moment has to fade by itself, or queries are turned away for good.
-func TestABadMomentEnds(t *testing.T) {
+func TestRecoversFromAMomentOfOverload(t *testing.T) {
 	s := newScene(t, func(set *Settings) {
 		set.Indexes[0].Soft, set.Indexes[0].Hard, set.Indexes[0].Minimum = 0.5, 2, 0.5
 		set.Indexes = append(set.Indexes, set.Indexes[0])
 		set.Indexes[1].Value = 3
 	})
 	for range 20 {
-		s.serve(only(Send, acts(s.take(2, 1))), 0.003, 0.003)
+		s.serve(only(Send, actionsOf(s.take(2, 1))), 0.003, 0.003)
 	}
 	var out []Action
 	for range 40 { // taken at once, so that they run while latencies are still thought short
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,7 +10,7 @@
 // time, N being what the settings allow it then, though each aggregator knows its own alone, the list tells all at once, and its
 // sibling is gone, so that all parts are for it. They are half as much again as it can do warm, which slowStartLoad takes for
 // granted; what more would do is not guarded.
-func TestColdBudgetOverAllAggregators(t *testing.T) {
+func TestSlowStartLimitHoldsOverAllAggregators(t *testing.T) {
 	for _, fleet := range []int{10, 100, 300} {
 		for seed := range uint64(3) {
 			rng := rand.New(rand.NewPCG(seed, uint64(fleet)))
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -13,8 +13,8 @@
 	moved map[BackendID]bool
 }
 
-// someZones draws a set of the world's two locations, at times of none at all.
-func someZones(rng *rand.Rand) *Zones {
+// randomZones draws a set of the world's two locations, at times of none at all.
+func randomZones(rng *rand.Rand) *Zones {
 	z := NewZones()
 	for at := range 2 {
 		if rng.IntN(2) == 0 {
@@ -24,28 +24,28 @@
 	return z
 }
 
-// zoned plays a world in which two in three queries are kept to zones, some of them to others while they are held, where
+// runZoned plays a world in which two in three queries are kept to zones, some of them to others while they are held, where
 // backends change their location under their number, with overrides and others' judgements at random; told is how each
 // patch reaches the instance.
-func zoned(seed uint64, told func(*Overrides) *Overrides) error {
-	e, rng := newEnv(seed), rand.New(rand.NewPCG(seed, 9))
+func runZoned(seed uint64, told func(*Overrides) *Overrides) error {
+	e, rng := newEmulation(seed), rand.New(rand.NewPCG(seed, 9))
 	c := &contracts{zones: map[QueryID]*Zones{}, moved: map[BackendID]bool{}}
 	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
-	e.zoned = func(a *ask) *Zones {
+	e.zoned = func(a *clientQuery) *Zones {
 		if rng.IntN(3) > 0 {
-			c.zones[a.event.Query] = someZones(rng)
+			c.zones[a.event.Query] = randomZones(rng)
 		}
 		return c.zones[a.event.Query]
 	}
-	e.extra = func(e *env) (events []Event) {
+	e.extra = func(e *emulation) (events []Event) {
 		patch := &Overrides{}
 		if rng.IntN(30) == 0 {
 			patch = o.draw(e)
 		}
 		if rng.IntN(20) == 0 {
-			for id, a := range e.asks {
-				if z := c.zones[id]; z != nil && !a.over {
-					c.zones[id] = someZones(rng)
+			for id, a := range e.queries {
+				if z := c.zones[id]; z != nil && !a.ended {
+					c.zones[id] = randomZones(rng)
 					patch.Zones = append(patch.Zones, ZonesOverride{id, c.zones[id]})
 				}
 			}
@@ -55,19 +55,19 @@
 			patch.PeerObservations = append(patch.PeerObservations, PeerObservation{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
 		}
 		events = append(events, Event{Kind: OverridesChanged, Override: told(patch)})
-		if h := e.fleet[rng.IntN(len(e.fleet))]; rng.IntN(400) == 0 && h.toldPhase != Removed && h.named {
+		if h := e.fleet[rng.IntN(len(e.fleet))]; rng.IntN(400) == 0 && h.knownPhase != Removed && h.named {
 			h.entry.Location, c.moved[h.entry.Backend] = 1-h.entry.Location, true
 			events = append(events, Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{h.entry}})
 		}
 		return events
 	}
 	e.renamed = func(id BackendID) { delete(o.out, id); delete(c.moved, id) }
-	e.sabotage = func(e *env, actions []Action) []Action {
+	e.sabotage = func(e *emulation, actions []Action) []Action {
 		for _, a := range actions {
 			if a.Kind != Send {
 				continue
 			}
-			lk := e.pieces[a.Subquery].ask.event.Query
+			lk := e.subqueries[a.Subquery].query.event.Query
 			if z := c.zones[lk]; z != nil && c.moved[a.Backend] {
 				e.fail("zones: part %d goes to %d, which has moved", a.Subquery, a.Backend)
 			} else if !z.Allows(e.host(a.Backend).entry.Location) {
@@ -86,16 +86,16 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if err := zoned(seed, func(o *Overrides) *Overrides { return o }); err != nil {
+		if err := runZoned(seed, func(o *Overrides) *Overrides { return o }); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
 // The check is seen to fail where an instance is not told that zones have changed.
-func TestChecksSeeZonesThatAreNotHeeded(t *testing.T) {
+func TestCheckerFindsIgnoredZones(t *testing.T) {
 	for seed := range uint64(20) {
-		err := zoned(seed, func(o *Overrides) *Overrides { return &Overrides{Backends: o.Backends, Pins: o.Pins} })
+		err := runZoned(seed, func(o *Overrides) *Overrides { return &Overrides{Backends: o.Backends, Pins: o.Pins} })
 		if err != nil && strings.Contains(err.Error(), "zones:") {
 			return
 		}
@@ -104,7 +104,7 @@
 }
 
 // What no allowed backend holds is answered at once: refused, or in part where the index lets an answer do without it.
-func TestNoAllowedHolder(t *testing.T) {
+func TestZonesWithoutAReplica(t *testing.T) {
 	entries := []Entry{{Backend: 1, Location: 0}, {Backend: 2, Cell: 1, Location: 1}}
 	for floor, want := range map[float64]ActionKind{1: Nack, 0.5: Answer} {
 		s := newScene(t, func(set *Settings) { set.Layout = Layout{Cells: 2, Width: 1}; set.Indexes[0].Minimum = floor }, entries...)
@@ -129,7 +129,7 @@
 }
 
 // What others found slow is passed over by an aggregator that knows nobody, and is used again where its siblings are gone.
-func TestHearsay(t *testing.T) {
+func TestPeerObservations(t *testing.T) {
 	entries := []Entry{{Backend: 1}, {Backend: 2}}
 	judge := func(times, until float64) Event {
 		return Event{Kind: OverridesChanged, Override: &Overrides{PeerObservations: []PeerObservation{{1, times, until}}}}
