--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -17,7 +17,7 @@
 
 func TestRulesOfContracts(t *testing.T) {
 	table := (&Table{}).With(5, "acme", &Contract{Zones: []string{"south", "gone", ""}, Own: true, Indexes: []string{"orders"}})
-	here, away := site.Compile(table, "south"), site.Compile(table, "north")
+	here, elsewhere := site.Compile(table, "south"), site.Compile(table, "north")
 	if r := here.Of(0, 0); r.Zones != nil || !r.Here {
 		t.Errorf("an index that no contract names: %+v", r)
 	}
@@ -28,8 +28,8 @@
 		t.Errorf("one that is not known: %+v", r)
 	}
 	r := here.Of(0, 1)
-	if !r.Here || away.Of(0, 1).Here || site.Compile(table, "").Of(0, 1).Here {
-		t.Error("the mixers' own zone does not count")
+	if !r.Here || elsewhere.Of(0, 1).Here || site.Compile(table, "").Of(0, 1).Here {
+		t.Error("the node's own zone does not count")
 	}
 	for at, want := range map[policy.LocationID]bool{0: false, 1: true, 2: false, 3: false, -1: false} {
 		if r.Zones.Allows(at) != want {
@@ -49,12 +49,12 @@
 	}
 }
 
-// omittedRule leaves one rule out, which the judge has to find.
+// omittedRule is a rule that the simulation leaves out, which the checker has to find.
 type omittedRule struct {
-	reportEarly          bool // told as held before all hold it
-	ignorePreviousLeader bool // a new leader forgets that the one before may have renewed
-	ignoreExpiry         bool // nodes do not look at their lease's end
-	reportUnapplied      bool // a node says that it holds what its queries do not go by yet
+	reportEarly          bool // reported as applied before all nodes apply it
+	ignorePreviousLeader bool // a new leader ignores that the one before may have renewed leases
+	ignoreExpiry         bool // nodes ignore the end of their lease
+	reportUnapplied      bool // a node reports a version that its queries do not go by yet
 }
 
 const (
@@ -62,7 +62,7 @@
 	bound                     = lease + authority // after which an accepted contract holds at strict tenants
 )
 
-// simNode is one node. Its queries are taken by the table that it has, and each may send part calls until it ends.
+// simNode is one node. Its queries are accepted by the table that it has, and each may send subqueries until it ends.
 type simNode struct {
 	name      membership.Name
 	rate      float64
@@ -86,9 +86,9 @@
 	confirmedUntil float64 // until when, by true time
 }
 
-// play plays one strict tenant's contract, narrowed again and again, at nodes that are cut off, stand still and restart,
-// under leaders that come and go while the one before still acts on what it was sure of. Version v allows no part call that
-// v-1 allowed, so that a call is outside where its query goes by an older version than must hold.
+// play runs one strict tenant's contract, narrowed again and again, at nodes that are partitioned, pause and restart, under
+// leaders that come and go while the one before still acts on its last confirmation. Version v allows no subquery that v-1
+// allowed, so that a subquery is outside where its query goes by an older version than has to be applied.
 func play(seed uint64, b omittedRule) error {
 	g := random.PCG(seed)
 	var names []membership.Name
@@ -104,10 +104,10 @@
 		begin(m)
 		nodes = append(nodes, m)
 	}
-	latest, accepted, told := Version(1), 0.0, Version(0)
+	latest, accepted, reported := Version(1), 0.0, Version(0)
 	leaders := []*simLeader{{spread: NewRollout(lease, names), version: 1}}
 	leaders[0].spread.Begin(0, authority)
-	cut := map[int]float64{}
+	partitioned := map[int]float64{}
 	const step = 0.02
 	for now := 0.0; now < 60; now += step {
 		newest := leaders[len(leaders)-1]
@@ -124,16 +124,16 @@
 			latest, accepted = latest+1, now
 			newest.version = latest
 		case u < 0.014:
-			cut[int(g.Unit()*4)] = now + 9*g.Unit()
+			partitioned[int(g.Unit()*4)] = now + 9*g.Unit()
 		case u < 0.018:
 			nodes[int(g.Unit()*4)].stops = now + 6*g.Unit()
 		case u < 0.020:
 			begin(nodes[int(g.Unit()*4)])
 		}
 		if p := newest.spread.Progress(now, latest, true); p.Applied || b.reportEarly && slices.ContainsFunc(p.Nodes, func(x NodeState) bool { return x.State != StateOld }) {
-			told = max(told, latest)
+			reported = max(reported, latest)
 		}
-		must := told
+		must := reported
 		if now > accepted+bound*quota.WaitFactor+step {
 			must = latest
 		}
@@ -157,7 +157,7 @@
 					return fmt.Errorf("at %.2f s: %s sends by version %d, %d must hold", now, m.name, l.version, must)
 				}
 			}
-			if now < m.next || now < cut[i] {
+			if now < m.next || now < partitioned[i] {
 				continue
 			}
 			m.next = now + 0.2
@@ -180,8 +180,8 @@
 			m.lease.Renew(clock - 0.05)
 		}
 	}
-	if told < 2 {
-		return fmt.Errorf("only version %d was ever told as held", told)
+	if reported < 2 {
+		return fmt.Errorf("only version %d was ever reported as applied", reported)
 	}
 	return nil
 }
@@ -213,7 +213,7 @@
 	}
 }
 
-// A tenant that is served past its lease is never told to be held by time alone, and the nodes that are behind are named.
+// A tenant that is served past its lease never counts as applied by time alone, and the nodes that are behind are named.
 func TestLenientTenantsWaitForAllNodes(t *testing.T) {
 	s := NewRollout(lease, []membership.Name{"a", "b"})
 	s.Begin(0, authority)
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -63,7 +63,7 @@
 func (a *Aggregator) send(action *policy.Action, now time.Time) {
 	ref, open := a.subqueries[action.Subquery]
 	if !open {
-		a.log.Warn("send of a part that is not held", zap.Uint64("part", uint64(action.Subquery)))
+		a.log.Warn("send of an unknown subquery", zap.Uint64("part", uint64(action.Subquery)))
 		return
 	}
 	q, sub := ref.query, &ref.query.Subqueries[ref.no]
--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -114,7 +114,7 @@
 	a.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
 	if now.Sub(a.admission.loggedAt) >= time.Second { // one in a second tells enough
 		a.admission.loggedAt = now
-		a.log.Warn("shards without a holder inside the zones of the contract",
+		a.log.Warn("shards without a replica in the zones of the contract",
 			zap.String("lookup", q.ID),
 			zap.Int("customer", int(q.Customer)),
 			zap.Ints("shards", shards),
