--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -66,7 +66,7 @@
 	if corrupt := (*corruptError)(nil); errors.As(err, &corrupt) {
 		l.close()
 		if err = os.Rename(path, fmt.Sprintf("%s.spoilt-%x", path, contents.ID)); err == nil {
-			logger.Error("spoilt file put aside, nothing of it holds", zap.String("file", path), zap.String("text", corrupt.Error()))
+			logger.Error("corrupt file set aside", zap.String("file", path), zap.String("text", corrupt.Error()))
 			return OpenLog(dir, wait, logger)
 		}
 		return nil, contents, err
