--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -8,17 +8,17 @@
 
 // Offer is what a location has of backends.
 type Offer struct {
-	Location string
-	Price    float64 // of one backend
-	Capacity float64 // core seconds a second of one, at the use that keeps the goals
-	Most     int     // that may stand there
+	Location string  `json:"Location"`
+	Price    float64 `json:"Price"`    // of one backend
+	Capacity float64 `json:"Capacity"` // core seconds a second of one, at the use that keeps the goals
+	Most     int     `json:"Most"`     // that may stand there
 }
 
 // Buy is how many backends stand where.
 type Buy struct {
-	Counts []int // by offer
-	Price  float64
-	Bound  float64 // no purchase costs less; equal to Price where it is exact
+	Counts []int   `json:"Counts"` // by offer
+	Price  float64 `json:"Price"`
+	Bound  float64 `json:"Bound"` // no purchase costs less; equal to Price where it is exact
 }
 
 // mostExact is how many purchases are gone through one by one.
@@ -172,10 +172,10 @@
 
 // Placed is a placement and what it comes to.
 type Placed struct {
-	Copies Copies
-	Moves  int     // copies that stand elsewhere than today
-	Most   float64 // load of the fullest backend against its capacity
-	Bound  float64 // no placement has less
+	Copies Copies  `json:"Copies"`
+	Moves  int     `json:"Moves"` // copies that stand elsewhere than today
+	Most   float64 `json:"Most"`  // load of the fullest backend against its capacity
+	Bound  float64 `json:"Bound"` // no placement has less
 }
 
 // Place puts so many copies of each shard on backends, no two of one shard in one location, so that what is asked for is
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -32,17 +32,18 @@
 
 // Figure is one that is predicted and happens.
 type Figure struct {
-	Name                string
-	Predicted, Happened float64
-	Error               float64 // of the prediction, against what happened
+	Name      string  `json:"Name"`
+	Predicted float64 `json:"Predicted"`
+	Happened  float64 `json:"Happened"`
+	Error     float64 `json:"Error"` // of the prediction, against what happened
 }
 
 // Result is what came of a setting.
 type Result struct {
-	Setting string
-	Blind   bool
-	Figures []Figure
-	Worst   float64
+	Setting string   `json:"Setting"`
+	Blind   bool     `json:"Blind"`
+	Figures []Figure `json:"Figures"`
+	Worst   float64  `json:"Worst"`
 }
 
 // loop is what loopback, the kernel's timers and the clients' side add to each way of a part call and of a query, seconds:
