--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -34,8 +34,8 @@
 }
 
 // read reads both and puts them beside one another.
-func (p *planned) read() (f plan.Site, a plan.Ask, notes []string, err error) {
-	if f, err = planfile.Read(p.Arguments.Fleet); err != nil {
+func (p *planned) read() (f plan.Site, a plan.Workload, notes []string, err error) {
+	if f, err = planfile.ReadFile(p.Arguments.Fleet); err != nil {
 		return f, a, nil, err
 	}
 	c, err := opened(p.Capture)
@@ -49,7 +49,7 @@
 	if err = f.Check(); err != nil {
 		return f, a, notes, fmt.Errorf("%s: %w", p.Arguments.Fleet, err)
 	}
-	a, more, err := planfile.Ask(&f, c, &sum, p.Mean)
+	a, more, err := planfile.Workload(&f, c, &sum, p.Mean)
 	if err != nil {
 		return f, a, notes, err
 	}
@@ -80,13 +80,13 @@
 
 // reported is the report as JSON.
 type reported struct {
-	LookupsPerS float64       `json:"lookups_per_s"`
-	Notes       []string      `json:"notes"`
-	Limits      []plan.Limit  `json:"limits"`
-	Breaks      plan.Breaking `json:"breaks"`
-	WhatIfs     []whatIfRow   `json:"what_ifs"`
-	Recovers    bool          `json:"recovers_from_burst"` // of burstOf times the load
-	LeaveAt     float64       `json:"leave_at_per_s"`      // else the load to go down to
+	LookupsPerS float64           `json:"lookups_per_s"`
+	Notes       []string          `json:"notes"`
+	Limits      []plan.Limit      `json:"limits"`
+	Breaks      plan.BreakingLoad `json:"breaks"`
+	WhatIfs     []whatIfRow       `json:"what_ifs"`
+	Recovers    bool              `json:"recovers_from_burst"` // of burstOf times the load
+	LeaveAt     float64           `json:"leave_at_per_s"`      // else the load to go down to
 }
 
 // burstOf is how many times the load the burst is from which a plan tells whether a fleet recovers: month end against a
@@ -123,12 +123,12 @@
 		if w.Name == "as it is" {
 			r.Limits = o.Limits(&f)
 		}
-		keeps, _ := o.Meets(&w.Site)
-		r.WhatIfs = append(r.WhatIfs, whatIfRow{w.Name, o.Gain, o.Nacked, o.Aborted, o.P50, o.P99, w.Site.Backends[o.Hottest].Name, o.Use[o.Hottest], w.Lost, keeps})
+		keeps, _ := o.MeetsGoals(&w.Site)
+		r.WhatIfs = append(r.WhatIfs, whatIfRow{w.Name, o.ValueShare, o.Nacked, o.Aborted, o.P50, o.P99, w.Site.Backends[o.Hottest].Name, o.Use[o.Hottest], w.Lost, keeps})
 	}
 	r.Recovers, r.LeaveAt = plan.Recovers(&f, &a, burstOf, c.Seed)
 	var breakErr error
-	r.Breaks, breakErr = plan.Break(&f, &a, c.Seed, func(done, of int) {
+	r.Breaks, breakErr = plan.FindBreakingLoad(&f, &a, c.Seed, func(done, of int) {
 		if !c.JSON {
 			fmt.Fprintf(stderr, "\rlooking for where it breaks: %d of %d at most", done, of)
 		}
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := plan.Break(&f, &a, c.Seed, nil)
+	b, err := plan.FindBreakingLoad(&f, &a, c.Seed, nil)
 	if err != nil {
 		return err
 	}
@@ -205,12 +205,12 @@
 	for _, place := range f.Locations {
 		for _, s := range f.Backends {
 			if s.Location == place {
-				offers = append(offers, plan.Offer{Location: place, Price: max(s.Price, 1e-9), Capacity: busy / cores * float64(s.Cores), Most: c.Most})
+				offers = append(offers, plan.Offer{Location: place, Price: max(s.Price, 1e-9), Capacity: busy / cores * float64(s.Cores), Max: c.Most})
 				break
 			}
 		}
 	}
-	buy, err := plan.Fewest(offers, demand, c.Spare)
+	buy, err := plan.CheapestPurchase(offers, demand, c.Spare)
 	if err != nil {
 		return err
 	}
@@ -242,14 +242,14 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	var results []validate.Result
-	on := validate.Measure()
+	on := validate.MeasureTimers()
 	fmt.Fprintf(stderr, "sleeps take %.2f ms longer than asked here, one alone %.2f: added to the work of parts, and to mixers' steps\n", 1000*on.Work, 1000*on.Step)
-	for _, s := range validate.Settings(c.Drawn, c.Seed, c.Seconds) {
+	for _, s := range validate.Scenarios(c.Drawn, c.Seed, c.Seconds) {
 		if c.Only != "" && s.Name != c.Only {
 			continue
 		}
 		fmt.Fprintln(stderr, "playing", s.Name)
-		r, err := validate.Play(ctx, s, on, c.Seed)
+		r, err := validate.Run(ctx, s, on, c.Seed)
 		if err != nil {
 			return err
 		}
@@ -293,7 +293,7 @@
 		return s, err
 	}
 	o := plan.Emulate(&f, &a, p.Seed, 0)
-	s = side{Fleet: p.Arguments.Fleet, LookupsPerS: a.PerS, InTime: o.Gain, Nacked: o.Nacked, P50: o.P50, P99: o.P99, Use: o.Use[o.Hottest], WorstInTime: 1}
+	s = side{Fleet: p.Arguments.Fleet, LookupsPerS: a.PerS, InTime: o.ValueShare, Nacked: o.Nacked, P50: o.P50, P99: o.P99, Use: o.Use[o.Hottest], WorstInTime: 1}
 	for _, x := range f.Backends {
 		s.Price += x.Price
 	}
@@ -302,11 +302,11 @@
 		if len(left.Backends) == 0 || len(left.Backends) == len(f.Backends) {
 			continue
 		}
-		if lost := plan.Emulate(&left, &a, p.Seed, 0); lost.Gain <= s.WorstInTime {
-			s.Worst, s.WorstInTime = place, lost.Gain
+		if lost := plan.Emulate(&left, &a, p.Seed, 0); lost.ValueShare <= s.WorstInTime {
+			s.Worst, s.WorstInTime = place, lost.ValueShare
 		}
 	}
-	b, err := plan.Break(&f, &a, p.Seed, nil)
+	b, err := plan.FindBreakingLoad(&f, &a, p.Seed, nil)
 	if s.Breaks = b.PerS; err != nil {
 		s.Text = err.Error()
 	}
--- a/internal/fakes/cluster/calls.go
+++ b/internal/fakes/cluster/calls.go
@@ -45,7 +45,7 @@
 		return
 	}
 	s.cluster.mu.Lock()
-	of := s.life
+	of := s.incarnation
 	fault := s.receive(Call(r.URL.Path))
 	s.cluster.mu.Unlock()
 	if r.Header.Get("Expect-Instance") != of.id {
@@ -53,7 +53,7 @@
 		return
 	}
 	var q request
-	if json.Unmarshal(body, &q) != nil || !s.known(Call(r.URL.Path), &q) {
+	if json.Unmarshal(body, &q) != nil || !s.decode(Call(r.URL.Path), &q) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -76,9 +76,9 @@
 	return s.faults(call)
 }
 
-// known tells whether a call makes sense, and reads its task's name.
-func (s *Worker) known(call Call, q *request) bool {
-	if call == HoldCall {
+// decode tells whether a call makes sense, and reads its task's name.
+func (s *Worker) decode(call Call, q *request) bool {
+	if call == LeaseCall {
 		return q.WaitMS <= longestWait.Milliseconds() && q.WaitMS >= 0
 	}
 	task, err := job.ParseTaskID(q.Task)
@@ -86,7 +86,7 @@
 	return err == nil && (call == StartCall || call == StopCall) && (call == StopCall || q.ValidUntilMS != nil)
 }
 
-func (s *Worker) fail(w http.ResponseWriter, r *http.Request, of *life, q request, fault Fault) {
+func (s *Worker) fail(w http.ResponseWriter, r *http.Request, of *incarnation, q request, fault Fault) {
 	switch fault.Kind {
 	case Refuse:
 		w.WriteHeader(fault.Status)
@@ -94,19 +94,19 @@
 	case Reset:
 		panic(http.ErrAbortHandler)
 	case Mute:
-		s.carryOut(of, Call(r.URL.Path), q)
+		s.execute(of, Call(r.URL.Path), q)
 	case Late:
-		s.carryOutLate(of, Call(r.URL.Path), q, fault)
+		s.executeLate(of, Call(r.URL.Path), q, fault)
 	}
 	select { // without an answer
 	case <-r.Context().Done():
-	case <-of.over:
+	case <-of.crashed:
 	case <-s.cluster.closed:
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Worker) carryOutLate(of *life, call Call, q request, fault Fault) {
+func (s *Worker) executeLate(of *incarnation, call Call, q request, fault Fault) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	arrived := s.clockNow()
@@ -118,16 +118,16 @@
 			s.cluster.mu.Unlock()
 			q.ValidUntilMS = &shifted
 		}
-		s.carryOut(of, call, q)
+		s.execute(of, call, q)
 	})
 }
 
 // answer carries a call out and answers it, a hold perhaps once a run has ended. The answer is on its way for a while.
-func (s *Worker) answer(w http.ResponseWriter, r *http.Request, of *life, q request, way time.Duration) {
+func (s *Worker) answer(w http.ResponseWriter, r *http.Request, of *incarnation, q request, way time.Duration) {
 	call := Call(r.URL.Path)
-	status, answer := s.carryOut(of, call, q)
-	if call == HoldCall && status == http.StatusOK {
-		s.awaitEnd(r, of, time.Duration(q.WaitMS)*time.Millisecond)
+	status, answer := s.execute(of, call, q)
+	if call == LeaseCall && status == http.StatusOK {
+		s.awaitCompletion(r, of, time.Duration(q.WaitMS)*time.Millisecond)
 		answer = s.lists(of)
 	}
 	body, err := json.Marshal(answer)
@@ -143,7 +143,7 @@
 }
 
 // delay waits for a while; it tells whether the caller is still there then.
-func (s *Worker) delay(r *http.Request, of *life, way time.Duration) bool {
+func (s *Worker) delay(r *http.Request, of *incarnation, way time.Duration) bool {
 	over := make(chan struct{})
 	cancel := s.cluster.clock.AfterFunc(way, func() { close(over) })
 	defer cancel()
@@ -151,32 +151,32 @@
 	case <-over:
 		return true
 	case <-r.Context().Done():
-	case <-of.over:
+	case <-of.crashed:
 	case <-s.cluster.closed:
 	}
 	return false
 }
 
-// carryOut does what a call asks for, unless that life is over.
-func (s *Worker) carryOut(of *life, call Call, q request) (int, response) {
+// execute does what a call asks for, unless that life is over.
+func (s *Worker) execute(of *incarnation, call Call, q request) (int, response) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	if s.life != of {
+	if s.incarnation != of {
 		return http.StatusMisdirectedRequest, response{}
 	}
-	if q.FencingToken < of.fence {
+	if q.FencingToken < of.fencingToken {
 		return s.reject("fence")
 	}
-	of.fence = q.FencingToken
+	of.fencingToken = q.FencingToken
 	switch call {
 	case StartCall:
 		return s.start(q)
 	case StopCall:
 		s.stop(q)
-	case HoldCall:
+	case LeaseCall:
 		s.acknowledge(q.LastSeen)
 		if q.ValidUntilMS != nil {
-			s.hold(time.Duration(*q.ValidUntilMS) * time.Millisecond)
+			s.renewLease(time.Duration(*q.ValidUntilMS) * time.Millisecond)
 		}
 	}
 	return http.StatusOK, response{ClockMS: s.clockNow().Milliseconds()}
@@ -192,13 +192,13 @@
 	if validUntil <= s.clockNow() {
 		return s.reject("late")
 	}
-	s.hold(validUntil)
-	for _, r := range s.life.running {
+	s.renewLease(validUntil)
+	for _, r := range s.incarnation.running {
 		if r.record.Task == q.task && r.record.Execution == q.Execution {
 			return http.StatusOK, accepted
 		}
 	}
-	if q.Execution <= s.life.barred[q.task] {
+	if q.Execution <= s.incarnation.barred[q.task] {
 		return s.reject("old")
 	}
 	profile := s.profile(q)
@@ -218,9 +218,9 @@
 }
 
 func (s *Worker) begin(q request, profile Profile, overCapacity bool) {
-	r := &run{worker: s, life: s.life, profile: profile}
+	r := &run{worker: s, life: s.incarnation, profile: profile}
 	r.record = RunRecord{
-		Worker: s.life.id, Task: q.task, Execution: q.Execution, FencingToken: q.FencingToken,
+		Worker: s.incarnation.id, Task: q.task, Execution: q.Execution, FencingToken: q.FencingToken,
 		Specification: q.Specification, Checkpoint: q.Checkpointed, Late: q.late,
 		StartedAt: s.cluster.clock.Now(), OverCapacity: overCapacity,
 	}
@@ -228,8 +228,8 @@
 }
 
 func (s *Worker) stop(q request) {
-	s.life.barred[q.task] = max(s.life.barred[q.task], q.Execution)
-	for _, r := range slices.Clone(s.life.running) {
+	s.incarnation.barred[q.task] = max(s.incarnation.barred[q.task], q.Execution)
+	for _, r := range slices.Clone(s.incarnation.running) {
 		if r.record.Task == q.task && r.record.Execution == q.Execution {
 			r.stop()
 		}
@@ -241,7 +241,7 @@
 	if lastSeen == nil {
 		return
 	}
-	s.life.ends = slices.DeleteFunc(s.life.ends, func(r *run) bool {
+	s.incarnation.completions = slices.DeleteFunc(s.incarnation.completions, func(r *run) bool {
 		if r.number > *lastSeen {
 			return false
 		}
@@ -250,13 +250,13 @@
 	})
 }
 
-// awaitEnd waits until an end is listed, for as long as the caller wants.
-func (s *Worker) awaitEnd(r *http.Request, of *life, wait time.Duration) {
+// awaitCompletion waits until an end is listed, for as long as the caller wants.
+func (s *Worker) awaitCompletion(r *http.Request, of *incarnation, wait time.Duration) {
 	if wait == 0 {
 		return
 	}
 	s.cluster.mu.Lock()
-	if len(of.ends) > 0 {
+	if len(of.completions) > 0 {
 		s.cluster.mu.Unlock()
 		return
 	}
@@ -268,7 +268,7 @@
 	select {
 	case <-waiter:
 	case <-over:
-	case <-of.over:
+	case <-of.crashed:
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
 	case <-s.cluster.closed:
@@ -279,7 +279,7 @@
 }
 
 // lists is a hold's answer.
-func (s *Worker) lists(of *life) response {
+func (s *Worker) lists(of *incarnation) response {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	answer := response{ClockMS: s.clockNow().Milliseconds(), Running: [][]any{}, Finished: [][]any{}}
@@ -287,8 +287,8 @@
 		entry := []any{r.record.Task.String(), r.record.Execution, r.checkpoint(false), r.percent()}
 		answer.Running = append(answer.Running, entry)
 	}
-	for _, r := range of.ends[:min(len(of.ends), finishedPerAnswer)] {
-		entry := []any{r.number, r.record.Task.String(), r.record.Execution, r.record.How, r.saved}
+	for _, r := range of.completions[:min(len(of.completions), finishedPerAnswer)] {
+		entry := []any{r.number, r.record.Task.String(), r.record.Execution, r.record.Outcome, r.saved}
 		answer.Finished = append(answer.Finished, entry)
 	}
 	return answer
--- a/internal/fakes/cluster/cluster.go
+++ b/internal/fakes/cluster/cluster.go
@@ -20,7 +20,7 @@
 
 // Settings are common to all workers of a cluster. A time of 0 means at once, and never for SaveEvery.
 type Settings struct {
-	HoldMax   time.Duration // on a worker's clock
+	LeaseMax  time.Duration // on a worker's clock
 	GangWait  time.Duration
 	StopTime  time.Duration
 	SaveEvery time.Duration
@@ -73,7 +73,7 @@
 	Late          bool   // carried out after its call had been left unanswered
 	StartedAt     time.Time
 	EndedAt       time.Time   // the zero time while it runs
-	How           job.Outcome // empty while it runs, and when its worker crashed
+	Outcome       job.Outcome // empty while it runs, and when its worker crashed
 	Acknowledged  bool        // a later hold's lastSeen has reached its end
 	OverCapacity  bool        // it was started without room for it
 }
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -63,7 +63,7 @@
 
 func virtual(settings Settings) (*VirtualClock, *Cluster) {
 	clock := NewVirtualClock(time.Unix(1000, 0))
-	settings.HoldMax = holdMax
+	settings.LeaseMax = holdMax
 	c := New(clock, settings)
 	convey.Reset(c.Close)
 	return clock, c
@@ -84,40 +84,40 @@
 
 		convey.Convey("they end by themselves, and the end is listed until it is acknowledged", func() {
 			clock.Advance(2 * time.Second)
-			_, answer := calls.call(s, HoldCall, `{"fencingToken":7}`)
+			_, answer := calls.call(s, LeaseCall, `{"fencingToken":7}`)
 			convey.So(answer.Finished, convey.ShouldResemble, [][]any{
 				{1.0, task(0).String(), 1.0, "done", checkpointText(task(0), 2*time.Second)}})
-			_, answer = calls.call(s, HoldCall, `{"fencingToken":7,"lastSeen":1}`)
+			_, answer = calls.call(s, LeaseCall, `{"fencingToken":7,"lastSeen":1}`)
 			convey.So(answer.Finished, convey.ShouldBeEmpty)
 			convey.So(c.Runs()[0].Acknowledged, convey.ShouldBeTrue)
 		})
 		convey.Convey("they checkpoint, and a start that brings a checkpoint goes on from there", func() {
 			clock.Advance(1200 * time.Millisecond)
-			_, answer := calls.call(s, HoldCall, `{"fencingToken":7}`)
+			_, answer := calls.call(s, LeaseCall, `{"fencingToken":7}`)
 			saved := checkpointText(task(0), time.Second)
 			convey.So(answer.Running, convey.ShouldResemble, [][]any{{task(0).String(), 1.0, saved, 60.0}})
 			calls.call(s, StartCall, startBody("1", `,"execution":1,"fencingToken":7,"checkpointed":"`+saved+`"`))
 			clock.Advance(1090 * time.Millisecond)
-			convey.So(c.Runs()[1].How, convey.ShouldBeEmpty)
+			convey.So(c.Runs()[1].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(10 * time.Millisecond)
-			convey.So(c.Runs()[1].How, convey.ShouldEqual, job.OutcomeDone)
+			convey.So(c.Runs()[1].Outcome, convey.ShouldEqual, job.OutcomeDone)
 		})
 		convey.Convey("a stop takes its time, saves, and bars the run and those below", func() {
 			clock.Advance(700 * time.Millisecond)
 			calls.call(s, StopCall, `{"task":"00000000000000aa.0.0.0","execution":1,"fencingToken":7}`)
 			clock.Advance(300 * time.Millisecond)
-			convey.So(c.Runs()[0].How, convey.ShouldBeEmpty)
+			convey.So(c.Runs()[0].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(100 * time.Millisecond)
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeStopped)
+			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeStopped)
 			status, answer := calls.call(s, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
 			convey.So(status, convey.ShouldEqual, http.StatusConflict)
 			convey.So(answer.Reason, convey.ShouldEqual, "old")
 		})
 		convey.Convey("they lapse once their hold is over, and a longer hold is cut down", func() {
-			calls.call(s, HoldCall, `{"fencingToken":7,"validUntilMs":9000}`)
-			convey.So(s.HeldUntil(), convey.ShouldEqual, clock.Now().Add(holdMax))
-			calls.call(s, HoldCall, `{"fencingToken":7,"validUntilMs":100}`)
-			convey.So(s.HeldUntil(), convey.ShouldEqual, clock.Now().Add(holdMax))
+			calls.call(s, LeaseCall, `{"fencingToken":7,"validUntilMs":9000}`)
+			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(holdMax))
+			calls.call(s, LeaseCall, `{"fencingToken":7,"validUntilMs":100}`)
+			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(holdMax))
 		})
 		convey.Convey("it guards its capacity and its fence, and knows its time", func() {
 			calls.call(s, StartCall, startBody("1", `,"execution":1,"fencingToken":7`))
@@ -137,9 +137,9 @@
 			convey.So(c.Runs()[0].EndedAt.IsZero(), convey.ShouldBeFalse)
 			convey.So(s.ID(), convey.ShouldEqual, "i-2")
 			calls.http.CloseIdleConnections() // as they may not be known to be cut yet
-			_, answer := calls.call(s, HoldCall, `{}`)
+			_, answer := calls.call(s, LeaseCall, `{}`)
 			convey.So(answer.Finished, convey.ShouldBeEmpty)
-			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(HoldCall), bytes.NewReader([]byte(`{}`)))
+			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(LeaseCall), bytes.NewReader([]byte(`{}`)))
 			request.Header.Set("Expect-Instance", "i-1")
 			other, err := calls.http.Do(request)
 			convey.So(err, convey.ShouldBeNil)
@@ -155,9 +155,9 @@
 		s := c.AddWorker(WorkerConfig{ID: "i-1", ClockRate: 0.98})
 		newClient(t).call(s, StartCall, startBody("0", `,"execution":1`))
 		clock.Advance(5050 * time.Millisecond)
-		convey.So(c.Runs()[0].How, convey.ShouldBeEmpty)
+		convey.So(c.Runs()[0].Outcome, convey.ShouldBeEmpty)
 		clock.Advance(100 * time.Millisecond)
-		convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeLeaseExpired)
+		convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeLeaseExpired)
 	})
 }
 
@@ -173,21 +173,21 @@
 		convey.Convey("a member waits for the other in vain", func() {
 			calls.call(two, StartCall, startBody("1", `,"execution":2`))
 			clock.Advance(3 * time.Second)
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeGangIncomplete)
+			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeGangIncomplete)
 		})
 		convey.Convey("both end together", func() {
 			clock.Advance(time.Second)
 			calls.call(two, StartCall, startBody("1", `,"execution":3`))
 			clock.Advance(999 * time.Millisecond)
-			convey.So(c.Runs()[0].How, convey.ShouldBeEmpty)
+			convey.So(c.Runs()[0].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(time.Millisecond)
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeDone)
-			convey.So(c.Runs()[1].How, convey.ShouldEqual, job.OutcomeDone)
+			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeDone)
+			convey.So(c.Runs()[1].Outcome, convey.ShouldEqual, job.OutcomeDone)
 		})
 		convey.Convey("one breaks when the other fails or crashes", func() {
 			calls.call(two, StartCall, startBody("1", `,"execution":3`))
 			two.Crash("i-3")
-			convey.So(c.Runs()[0].How, convey.ShouldEqual, job.OutcomeGangBroken)
+			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeGangBroken)
 		})
 	})
 }
@@ -217,7 +217,7 @@
 		clock.Advance(7 * time.Second)
 		convey.So(c.Runs(), convey.ShouldHaveLength, 1)
 		convey.So(c.Runs()[0].Late, convey.ShouldBeTrue)
-		convey.So(s.HeldUntil(), convey.ShouldEqual, clock.Now().Add(5*time.Second))
+		convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(5*time.Second))
 	})
 }
 
--- a/internal/fakes/cluster/faults.go
+++ b/internal/fakes/cluster/faults.go
@@ -9,7 +9,7 @@
 const (
 	StartCall Call = "/-/run-start"
 	StopCall  Call = "/-/run-stop"
-	HoldCall  Call = "/-/hold"
+	LeaseCall Call = "/-/hold"
 )
 
 // FaultKind says in which way a call goes wrong.
--- a/internal/fakes/cluster/memory_test.go
+++ b/internal/fakes/cluster/memory_test.go
@@ -13,12 +13,12 @@
 
 func TestMemoryClient(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		c := New(RealClock{}, Settings{HoldMax: holdMax, InMemory: true})
+		c := New(RealClock{}, Settings{LeaseMax: holdMax, InMemory: true})
 		defer c.Close()
 		s := c.AddWorker(WorkerConfig{ID: "i-1"})
 		client := c.MemoryClient(3 * time.Millisecond)
 		look := func() (status int, err error) {
-			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(HoldCall), strings.NewReader(`{}`))
+			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(LeaseCall), strings.NewReader(`{}`))
 			request.Header.Set("Expect-Instance", "i-1")
 			answer, err := client.Do(request)
 			if err != nil {
--- a/internal/fakes/cluster/platform.go
+++ b/internal/fakes/cluster/platform.go
@@ -106,7 +106,7 @@
 func (c *Cluster) list() []listEntry {
 	entries := make([]listEntry, 0, len(c.workers))
 	for _, s := range c.workers {
-		if s.life.id != "" {
+		if s.incarnation.id != "" {
 			entries = append(entries, s.listEntry())
 		}
 	}
@@ -121,7 +121,7 @@
 func (s *Worker) listEntry() listEntry {
 	entry := listEntry{
 		Service: s.config.Service, Address: s.server.address, Zone: s.config.Zone, Version: s.config.Version,
-		Slots: s.config.Slots, State: "ready", Capacity: s.config.Capacity, Labels: s.config.Labels, Identifier: s.life.id,
+		Slots: s.config.Slots, State: "ready", Capacity: s.config.Capacity, Labels: s.config.Labels, Identifier: s.incarnation.id,
 	}
 	if s.draining {
 		entry.State, entry.leavesAt = "draining", s.leavesAt
--- a/internal/fakes/cluster/runs.go
+++ b/internal/fakes/cluster/runs.go
@@ -13,7 +13,7 @@
 // run is one run of a task at a worker. It is guarded by the cluster's lock.
 type run struct {
 	worker  *Worker
-	life    *life
+	life    *incarnation
 	record  RunRecord
 	profile Profile
 	number  uint64 // of its end
@@ -54,11 +54,11 @@
 	r.workFrom = r.worker.cluster.clock.Now().Add(restore)
 	r.setTimer(nil)
 	if r.profile.Duration > 0 {
-		r.after(restore+max(0, r.profile.Duration-r.base), func() { r.finish(r.ownEnd()) })
+		r.after(restore+max(0, r.profile.Duration-r.base), func() { r.finish(r.ownOutcome()) })
 	}
 }
 
-func (r *run) ownEnd() job.Outcome {
+func (r *run) ownOutcome() job.Outcome {
 	if r.profile.Ends == "" {
 		return job.OutcomeDone
 	}
@@ -103,10 +103,10 @@
 	}
 	r.saved = r.checkpoint(how == job.OutcomeStopped)
 	r.remove()
-	r.record.EndedAt, r.record.How = r.worker.cluster.clock.Now(), how
-	r.life.number++
-	r.number = r.life.number
-	r.life.ends = append(r.life.ends, r)
+	r.record.EndedAt, r.record.Outcome = r.worker.cluster.clock.Now(), how
+	r.life.lastCompletion++
+	r.number = r.life.lastCompletion
+	r.life.completions = append(r.life.completions, r)
 	r.life.barred[r.record.Task] = max(r.life.barred[r.record.Task], r.record.Execution)
 	for waiter := range r.life.waiters {
 		close(waiter)
@@ -136,7 +136,7 @@
 func (r *run) gang() []*run {
 	var members []*run
 	for _, worker := range r.worker.cluster.workers {
-		for _, other := range worker.life.running {
+		for _, other := range worker.incarnation.running {
 			a, b := other.record, r.record
 			a.Task.Index, b.Task.Index = 0, 0
 			if a.Task == b.Task && a.Execution == b.Execution {
--- a/internal/fakes/cluster/searcher.go
+++ b/internal/fakes/cluster/searcher.go
@@ -26,31 +26,31 @@
 	cluster *Cluster
 	server  *server
 
-	config    WorkerConfig
-	startedAt time.Time
-	faults    func(Call) Fault
-	life      *life
-	calls     map[Call]int
-	draining  bool
-	leavesAt  time.Time
-}
-
-// life is what a worker forgets when it crashes.
-type life struct {
-	id        string
-	fence     uint64
-	heldUntil time.Duration // on the worker's clock
-	running   []*run
-	barred    map[job.TaskID]uint64 // the highest execution that was stopped or has ended
-	ends      []*run                // not acknowledged yet
-	number    uint64                // of the newest end
-	waiters   map[chan struct{}]bool
-	over      chan struct{} // closed when it crashes
-}
-
-func newLife(id string) *life {
-	return &life{
-		id: id, barred: make(map[job.TaskID]uint64), waiters: make(map[chan struct{}]bool), over: make(chan struct{}),
+	config      WorkerConfig
+	startedAt   time.Time
+	faults      func(Call) Fault
+	incarnation *incarnation
+	calls       map[Call]int
+	draining    bool
+	leavesAt    time.Time
+}
+
+// incarnation is what a worker forgets when it crashes.
+type incarnation struct {
+	id             string
+	fencingToken   uint64
+	leaseExpiry    time.Duration // on the worker's clock
+	running        []*run
+	barred         map[job.TaskID]uint64 // the highest execution that was stopped or has ended
+	completions    []*run                // not acknowledged yet
+	lastCompletion uint64                // of the newest end
+	waiters        map[chan struct{}]bool
+	crashed        chan struct{} // closed when it crashes
+}
+
+func newIncarnation(id string) *incarnation {
+	return &incarnation{
+		id: id, barred: make(map[job.TaskID]uint64), waiters: make(map[chan struct{}]bool), crashed: make(chan struct{}),
 	}
 }
 
@@ -60,7 +60,7 @@
 		config.ClockRate = 1
 	}
 	s := &Worker{
-		cluster: c, config: config, startedAt: c.clock.Now(), life: newLife(config.ID), calls: make(map[Call]int),
+		cluster: c, config: config, startedAt: c.clock.Now(), incarnation: newIncarnation(config.ID), calls: make(map[Call]int),
 	}
 	s.server = &server{address: config.ID}
 	if !c.settings.InMemory {
@@ -80,7 +80,7 @@
 func (s *Worker) ID() string {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	return s.life.id
+	return s.incarnation.id
 }
 
 // Connections is how many connections it has accepted so far.
@@ -93,11 +93,11 @@
 	return s.calls[kind]
 }
 
-// HeldUntil is the time up to which its runs are held, in the cluster's time and on the worker's own clock's pace.
-func (s *Worker) HeldUntil() time.Time {
+// LeaseExpiry is the time up to which its runs are held, in the cluster's time and on the worker's own clock's pace.
+func (s *Worker) LeaseExpiry() time.Time {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	return s.cluster.clock.Now().Add(s.delayUntil(s.life.heldUntil))
+	return s.cluster.clock.Now().Add(s.delayUntil(s.incarnation.leaseExpiry))
 }
 
 // NotRunningError says that a backend does not run a task.
@@ -114,27 +114,27 @@
 func (s *Worker) Finish(task job.TaskID, how job.Outcome) error {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	for _, r := range s.life.running {
+	for _, r := range s.incarnation.running {
 		if r.record.Task == task {
 			r.finish(how)
 			return nil
 		}
 	}
-	return NotRunningError{s.life.id, task}
+	return NotRunningError{s.incarnation.id, task}
 }
 
 // Crash kills all that runs, cuts the connections and begins a new life.
 func (s *Worker) Crash(newID string) {
 	s.cluster.mu.Lock()
-	old := s.life
+	old := s.incarnation
 	for _, r := range append([]*run(nil), old.running...) {
 		r.remove()
 		r.record.EndedAt = s.cluster.clock.Now()
 		r.breakGang()
 	}
-	s.life = newLife(newID)
+	s.incarnation = newIncarnation(newID)
 	s.draining = false
-	close(old.over)
+	close(old.crashed)
 	s.cluster.listChanged()
 	s.cluster.mu.Unlock()
 	s.server.cut()
@@ -169,26 +169,26 @@
 	return time.Duration(float64(clock-s.clockNow()) / s.config.ClockRate)
 }
 
-// hold takes in a validUntil, which never shortens what was granted.
-func (s *Worker) hold(validUntil time.Duration) {
+// renewLease takes in a validUntil, which never shortens what was granted.
+func (s *Worker) renewLease(validUntil time.Duration) {
 	now := s.clockNow()
-	if most := now + s.cluster.settings.HoldMax; validUntil > most {
+	if most := now + s.cluster.settings.LeaseMax; validUntil > most {
 		validUntil = most
 	}
-	if validUntil <= s.life.heldUntil || validUntil <= now {
+	if validUntil <= s.incarnation.leaseExpiry || validUntil <= now {
 		return
 	}
-	s.life.heldUntil = validUntil
-	s.awaitLapse(s.life)
+	s.incarnation.leaseExpiry = validUntil
+	s.expireLease(s.incarnation)
 }
 
-// awaitLapse kills all that runs once the hold is over.
-func (s *Worker) awaitLapse(of *life) {
-	heldUntil := of.heldUntil
+// expireLease kills all that runs once the hold is over.
+func (s *Worker) expireLease(of *incarnation) {
+	heldUntil := of.leaseExpiry
 	s.cluster.clock.AfterFunc(max(0, s.delayUntil(heldUntil))+time.Millisecond, func() {
 		s.cluster.mu.Lock()
 		defer s.cluster.mu.Unlock()
-		if s.life != of || of.heldUntil != heldUntil {
+		if s.incarnation != of || of.leaseExpiry != heldUntil {
 			return
 		}
 		for _, r := range append([]*run(nil), of.running...) {
@@ -200,7 +200,7 @@
 // used is the capacity taken by what runs, that being stopped included.
 func (s *Worker) used() job.Resources {
 	var sum job.Resources
-	for _, r := range s.life.running {
+	for _, r := range s.incarnation.running {
 		sum = sum.Add(r.profile.Resources)
 	}
 	return sum
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -42,7 +42,7 @@
 
 // serveFleet emulates workers until its standard input ends; it prints their list.
 func serveFleet(count int) {
-	workers := cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: fleetMaxLease, Describe: func(job.TaskID, string) cluster.Profile {
+	workers := cluster.New(cluster.RealClock{}, cluster.Settings{LeaseMax: fleetMaxLease, Describe: func(job.TaskID, string) cluster.Profile {
 		return cluster.Profile{Duration: fleetTaskTime, Resources: fleetRequest}
 	}})
 	instances := make([]workerclient.Instance, 0, count)
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -38,7 +38,7 @@
 func newBudgetFixture(t *testing.T, workers int, limits Limits) *budgetFixture {
 	f := &budgetFixture{
 		t: t, connections: NewConnections(limits), events: newRecorder(),
-		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{HoldMax: budgetMaxLease}),
+		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{LeaseMax: budgetMaxLease}),
 	}
 	f.events.onListing = func(Listing) { f.observeUsage() }
 	client := f.connections.HTTPClient()
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -26,7 +26,7 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a start without a response is unclear, and nothing is sent until the worker responds", func() {
-			unresponsive, lost := signalled(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent})
+			unresponsive, lost := signalled(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent})
 			f.worker.SetFaults(unresponsive)
 			<-lost // no renewal is under way that will be answered
 			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
@@ -35,7 +35,7 @@
 			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenAfter, before.Add(maxLateExecution))
 			convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent)
-			leaseEnd := f.worker.HeldUntil()
+			leaseEnd := f.worker.LeaseExpiry()
 
 			convey.Convey("polls find it reachable again", func() {
 				f.worker.SetFaults(nil)
@@ -43,7 +43,7 @@
 				convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 				convey.So(f.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
 				await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a renewal after the poll
-				convey.So(f.worker.HeldUntil(), convey.ShouldHappenAfter, leaseEnd)
+				convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, leaseEnd)
 			})
 		})
 	})
@@ -104,7 +104,7 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a worker that refuses renewals is unreachable until it answers them", func() {
-			f.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+			f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			f.worker.SetFaults(nil)
 			awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -118,7 +118,7 @@
 const testMaxLease = 6 * time.Second
 
 func newFixture(t testing.TB, settings cluster.Settings, config cluster.WorkerConfig) *fixture {
-	settings.HoldMax = testMaxLease
+	settings.LeaseMax = testMaxLease
 	config.ID = "i-1"
 	f := &fixture{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
 	f.client, f.timeout = NewHTTPClient(), maxCommandTimeout // as the machine may be busy
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -17,7 +17,7 @@
 func TestPollWithoutResponseIsHedged(t *testing.T) {
 	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		before := f.link.Counts()
-		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		f.link.Stop(StopCommand{task(5), 1})
 		stopped := await(t, f.events, anyEvent[StopResult])
 		poll := await(t, f.events, outOfBand)
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -177,7 +177,7 @@
 		for i := range runs {
 			await(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
 		}
-		f.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 		for i := range runs {
 			convey.So(f.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 		}
@@ -209,10 +209,10 @@
 			f.connect(1)
 			await(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
-			granted := f.worker.HeldUntil()
+			granted := f.worker.LeaseExpiry()
 			awaitAfter(t, f.events, len(eventsOf[Listing](f.events))+2, anyEvent[Listing])
-			convey.So(f.worker.HeldUntil(), convey.ShouldHappenAfter, granted)
-			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, f.worker.HeldUntil())
+			convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, granted)
+			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, f.worker.LeaseExpiry())
 		})
 		convey.Convey("one connection is made for renewals and few for commands", func() {
 			f.connect(1)
@@ -234,7 +234,7 @@
 			f.link.Close()
 			awaitReturn()
 			convey.So(await(t, f.events, anyEvent[StartResult]).Outcome, convey.ShouldEqual, NotSent)
-			convey.So(f.worker.Calls(cluster.HoldCall), convey.ShouldEqual, 0)
+			convey.So(f.worker.Calls(cluster.LeaseCall), convey.ShouldEqual, 0)
 			convey.So(f.link.LeasesExpiredBy().IsZero(), convey.ShouldBeTrue)
 		})
 	})
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -31,8 +31,8 @@
 
 // awaitRenewal waits until a renewal is under way that was sent after this call.
 func (f *fixture) awaitRenewal() {
-	calls := f.worker.Calls(cluster.HoldCall)
-	for f.worker.Calls(cluster.HoldCall) == calls {
+	calls := f.worker.Calls(cluster.LeaseCall)
+	for f.worker.Calls(cluster.LeaseCall) == calls {
 		time.Sleep(time.Millisecond)
 	}
 	synctest.Wait() // until the worker has executed it
@@ -86,7 +86,7 @@
 
 func TestOverdueRenewal(t *testing.T) {
 	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
+		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
 		f.awaitRenewal()
 		lost := time.Now()
 		poll := await(t, f.events, outOfBand)
@@ -98,7 +98,7 @@
 
 		f.awaitRenewal() // the next one follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
-		convey.So(f.worker.HeldUntil(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
+		convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
 		convey.So(f.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
 		ended := time.Now()
 		await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
@@ -114,7 +114,7 @@
 		f := newMemoryFixture(t, oneWayDelay)
 		defer f.close()
 		convey.Convey("Given a worker that does not respond to the first call", t, func() {
-			f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+			f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
 			began := time.Now()
 			f.connect(1)
 			listing := await(t, f.events, anyEvent[Listing])
@@ -129,7 +129,7 @@
 
 func TestHedgeWithoutAnswer(t *testing.T) {
 	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Only(cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
 		f.awaitRenewal()
 		lost := time.Now()
 		await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
@@ -187,7 +187,7 @@
 
 func TestLostPollIsRetried(t *testing.T) {
 	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
 		f.link.Stop(StopCommand{task(5), 1})
 		stopped := await(t, f.events, anyEvent[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
@@ -216,7 +216,7 @@
 func TestStaleListing(t *testing.T) {
 	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		f.acknowledgeAll()
-		f.worker.SetFaults(first(1, cluster.HoldCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
+		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
 		f.awaitRenewal()
 		sent := time.Now()
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Started)
@@ -268,13 +268,13 @@
 	const seconds, completions = 60, 12
 	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.acknowledgeAll()
-		before := f.worker.Calls(cluster.HoldCall)
+		before := f.worker.Calls(cluster.LeaseCall)
 		for i := range completions {
 			time.Sleep(seconds / completions * time.Second)
 			convey.So(f.start(startCommand(i+1, 1)), convey.ShouldEqual, Started)
 			convey.So(f.worker.Finish(task(i+1), job.OutcomeDone), convey.ShouldBeNil)
 		}
-		calls := f.worker.Calls(cluster.HoldCall) - before
+		calls := f.worker.Calls(cluster.LeaseCall) - before
 		convey.So(calls, convey.ShouldBeBetween, seconds-completions, seconds+completions)
 		counts := f.link.Counts()
 		convey.So(counts.Polls+counts.OverdueRenewals+counts.RepeatedCompletions, convey.ShouldEqual, 0)
@@ -300,9 +300,9 @@
 	const lost = 20 // one in so many
 	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
-		renewals, starts := every(lost, cluster.HoldCall, late), every(lost, cluster.StartCall, late)
+		renewals, starts := every(lost, cluster.LeaseCall, late), every(lost, cluster.StartCall, late)
 		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
-			if call == cluster.HoldCall {
+			if call == cluster.LeaseCall {
 				return renewals(call)
 			}
 			return starts(call)
@@ -314,6 +314,6 @@
 		}
 		convey.So(outcomes, convey.ShouldResemble, map[StartOutcome]int{Started: 190, Unclear: 10})
 		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
-		convey.So(f.worker.Calls(cluster.HoldCall), convey.ShouldBeLessThan, 250)
+		convey.So(f.worker.Calls(cluster.LeaseCall), convey.ShouldBeLessThan, 250)
 	})
 }
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -196,7 +196,7 @@
 
 // recordCommand looks at an order at the moment at which a node hands it to its connection.
 func (j *checker) recordCommand(member string, kind cluster.Call, token uint64) {
-	if kind == cluster.HoldCall {
+	if kind == cluster.LeaseCall {
 		return
 	}
 	j.mutex.Lock()
@@ -226,7 +226,7 @@
 	}
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if kind != cluster.HoldCall && token < j.tokens[worker] {
+	if kind != cluster.LeaseCall && token < j.tokens[worker] {
 		j.failf("%s took %s under token %d after token %d", worker, kind, token, j.tokens[worker])
 	}
 	j.tokens[worker] = max(j.tokens[worker], token)
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -52,7 +52,7 @@
 		membership: replicaset.View{Version: 1},
 	}
 	w.workers = cluster.New(cluster.RealClock{}, cluster.Settings{
-		InMemory: true, HoldMax: maxLease, StopTime: 200 * time.Millisecond,
+		InMemory: true, LeaseMax: maxLease, StopTime: 200 * time.Millisecond,
 		Describe: func(task job.TaskID, _ string) cluster.Profile {
 			length := time.Duration(100+100*(len(task.Job)+task.Index)%1200) * time.Millisecond
 			return cluster.Profile{Resources: job.Resources{Processors: 500}, Duration: length}
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -117,7 +117,7 @@
 }
 
 func (r *recorder) recordAcknowledgements(c call, o workerCall, now time.Time) {
-	if c.path != string(cluster.HoldCall) || c.status != 200 {
+	if c.path != string(cluster.LeaseCall) || c.status != 200 {
 		return
 	}
 	for number := o.LastSeen; number > 0; number-- {
@@ -188,7 +188,7 @@
 		run := checker.Attempt{
 			Worker: record.Worker, Task: name.task, Number: record.Execution, Specification: record.Specification,
 			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[name], StartedAt: record.StartedAt,
-			EndedAt: record.EndedAt, Outcome: string(record.How),
+			EndedAt: record.EndedAt, Outcome: string(record.Outcome),
 		}
 		if record.Acknowledged {
 			run.AcknowledgedAt = r.acknowledged[name]
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	s.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		HoldMax: maxLease, GangWait: gangWait, StopTime: stopTime, SaveEvery: checkpointInterval, Restore: restoreTime, Describe: s.plans.describe,
+		LeaseMax: maxLease, GangWait: gangWait, StopTime: stopTime, SaveEvery: checkpointInterval, Restore: restoreTime, Describe: s.plans.describe,
 	})
 	if err := s.addSurroundings(of); err != nil {
 		return nil, err
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -20,38 +20,38 @@
 		"expired": policy.TimedOut, "dial_failed": policy.NotConnected, "dropped": policy.Broken,
 		"revoked": policy.Canceled, "unused": policy.NotSent,
 	}
-	phases = map[string]policy.Phase{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
-	lists  = map[string]policy.ListKind{
+	phases    = map[string]policy.Phase{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
+	listKinds = map[string]policy.ListKind{
 		"patch": policy.ListPatch, "whole": policy.ListComplete, "stale_copy": policy.ListStale, "broken": policy.ListFailed,
 	}
 )
 
-// host is one instance of the module with the events of the batch in hand.
-type host struct {
+// instance is one instance of the module with the events of the batch in hand.
+type instance struct {
 	no         int64
 	aggregator *policy.Aggregator
 	events     []policy.Event
-	acted      bool
+	hasEvents  bool
 }
 
 type server struct {
-	in      *bufio.Reader
-	out     *bufio.Writer
-	line    []byte
-	lineNo  int
-	hosts   map[int64]*host
-	turn    []*host // instances with events in this batch, in the order of their first
-	current *host
-	pages   [16][]policy.Entry
-	actions []policy.Action
-	buf     []byte
+	in        *bufio.Reader
+	out       *bufio.Writer
+	line      []byte
+	lineNo    int
+	instances map[int64]*instance
+	active    []*instance // instances with events in this batch, in the order of their first
+	current   *instance
+	lists     [16][]policy.Entry
+	actions   []policy.Action
+	buf       []byte
 }
 
 // Serve answers batches until the input ends. Anything malformed is an error that names its line.
 func Serve(in io.Reader, out io.Writer) error {
-	s := &server{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), hosts: map[int64]*host{}}
+	s := &server{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), instances: map[int64]*instance{}}
 	for {
-		more, err := s.batch()
+		more, err := s.serveBatch()
 		if err != nil {
 			return fmt.Errorf("line %d: %w", s.lineNo, err)
 		}
@@ -61,8 +61,8 @@
 	}
 }
 
-// next reads one line; io.EOF only where nothing at all follows.
-func (s *server) next() error {
+// readLine reads one line; io.EOF only where nothing at all follows.
+func (s *server) readLine() error {
 	s.line = s.line[:0]
 	for {
 		chunk, err := s.in.ReadSlice('\n')
@@ -83,10 +83,10 @@
 	}
 }
 
-// batch answers one batch; more is false where the input has ended before it.
-func (s *server) batch() (more bool, err error) {
+// serveBatch answers one batch; more is false where the input has ended before it.
+func (s *server) serveBatch() (more bool, err error) {
 	for {
-		if err := s.next(); errors.Is(err, io.EOF) {
+		if err := s.readLine(); errors.Is(err, io.EOF) {
 			return false, nil
 		} else if err != nil {
 			return true, err
@@ -103,9 +103,9 @@
 	if err := f.done(); err != nil {
 		return true, err
 	}
-	s.current, s.turn = nil, s.turn[:0]
+	s.current, s.active = nil, s.active[:0]
 	for {
-		if err := s.next(); err != nil {
+		if err := s.readLine(); err != nil {
 			if errors.Is(err, io.EOF) {
 				return true, malformed("expected END, found the end of input")
 			}
@@ -114,12 +114,12 @@
 		if string(s.line) == "END" {
 			break
 		}
-		if err := s.event(now); err != nil {
+		if err := s.readEvent(now); err != nil {
 			return true, err
 		}
 	}
-	for _, h := range s.turn {
-		s.run(h, now)
+	for _, h := range s.active {
+		s.step(h, now)
 	}
 	s.buf = append(append(s.buf[:0], "ACK "...), strconv.FormatInt(seq, 10)...)
 	s.buf = append(s.buf, '\n')
@@ -129,9 +129,9 @@
 	return true, s.out.Flush()
 }
 
-// run hands an instance its events and writes its actions. A panic is the module's own; the wire has a word for it.
-func (s *server) run(h *host, now float64) {
-	h.acted = false
+// step hands an instance its events and writes its actions. A panic is the module's own; the wire has a word for it.
+func (s *server) step(h *instance, now float64) {
+	h.hasEvents = false
 	if h.aggregator == nil || len(h.events) == 0 {
 		return
 	}
@@ -148,27 +148,27 @@
 	b := append(append(s.buf[:0], "BY "...), strconv.FormatInt(h.no, 10)...)
 	b = append(b, '\n')
 	for i := range s.actions {
-		b = write(b, &s.actions[i])
+		b = appendAction(b, &s.actions[i])
 	}
 	s.buf = b
 	s.out.Write(b)
 }
 
-func (s *server) event(now float64) error {
+func (s *server) readEvent(now float64) error {
 	f := fields{rest: s.line}
 	name := string(f.word("message name"))
 	switch name {
 	case "ON":
 		no := f.integer("mixerId")
-		h := s.hosts[no]
+		h := s.instances[no]
 		if h == nil {
-			h = &host{no: no}
-			s.hosts[no] = h
+			h = &instance{no: no}
+			s.instances[no] = h
 		}
 		s.current = h
 		return f.done()
 	case "PAGE":
-		return s.page(&f)
+		return s.readList(&f)
 	}
 	h := s.current
 	if h == nil {
@@ -177,9 +177,9 @@
 	if h.aggregator == nil && name != "SPAWN" {
 		return malformed("expected SPAWN for instance %d before %s", h.no, name)
 	}
-	if !h.acted {
-		h.acted = true
-		s.turn = append(s.turn, h)
+	if !h.hasEvents {
+		h.hasEvents = true
+		s.active = append(s.active, h)
 	}
 	var e policy.Event
 	switch name {
@@ -200,15 +200,15 @@
 	case "BACKENDS_CHANGED":
 		page, _, kind := f.word("setId"), f.word("epoch"), f.word("kind")
 		known := false
-		if e.List, known = lists[string(kind)]; !known {
+		if e.List, known = listKinds[string(kind)]; !known {
 			f.fail("kind", "patch, whole, stale_copy or broken", kind)
 		}
 		e.Kind = policy.ListChanged
 		if e.List != policy.ListFailed {
-			if no, err := strconv.Atoi(string(page)); err != nil || no < 0 || no >= len(s.pages) {
+			if no, err := strconv.Atoi(string(page)); err != nil || no < 0 || no >= len(s.lists) {
 				f.fail("setId", "0 to 15", page)
 			} else {
-				e.Entries = s.pages[no]
+				e.Entries = s.lists[no]
 			}
 		}
 	case "REQUEST":
@@ -253,18 +253,18 @@
 	return nil
 }
 
-func (s *server) page(f *fields) error {
+func (s *server) readList(f *fields) error {
 	no, n := f.integer("setId"), f.integer("membersList")
 	if err := f.done(); err != nil {
 		return err
 	}
-	if no < 0 || no >= int64(len(s.pages)) || n < 0 {
+	if no < 0 || no >= int64(len(s.lists)) || n < 0 {
 		return malformed("expected a list number from 0 to 15 and a count, found %d and %d", no, n)
 	}
 	// A list may be superseded within one batch while events still hold the older one: never write over it.
 	entries := make([]policy.Entry, 0, min(n, 1<<16))
 	for range n {
-		if err := s.next(); err != nil {
+		if err := s.readLine(); err != nil {
 			return fmt.Errorf("expected %d ROW lines: %w", n, err)
 		}
 		f := fields{rest: s.line}
@@ -284,11 +284,11 @@
 		}
 		entries = append(entries, e)
 	}
-	s.pages[no] = entries
+	s.lists[no] = entries
 	return nil
 }
 
-func write(b []byte, a *policy.Action) []byte {
+func appendAction(b []byte, a *policy.Action) []byte {
 	verb := func(name string, id uint64) {
 		b = append(append(b, name...), ' ')
 		b = strconv.AppendUint(b, id, 10)
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	startTime   = 20 * time.Second // for the system to serve
-	settleTime  = 30 * time.Second // for the jobs to end after the load
-	restartTime = 2 * time.Second  // until a killed coordinator is started again
-	askPause    = 200 * time.Millisecond
-	stopTime    = 8 * time.Second // for a process to stop in order
+	startTimeout      = 20 * time.Second // for the system to serve
+	completionTimeout = 30 * time.Second // for the jobs to end after the load
+	restartDelay      = 2 * time.Second  // until a killed coordinator is started again
+	pollInterval      = 200 * time.Millisecond
+	stopTimeout       = 8 * time.Second // for a process to stop in order
 )
 
 // Options say what the demo does.
@@ -69,7 +69,7 @@
 	began    time.Time
 	site     *site
 	cluster  *cluster.Cluster
-	worker   []*cluster.Worker
+	workers  []*cluster.Worker
 	load     *load
 	http     *http.Client
 	printing sync.Mutex // held while a line is printed
@@ -103,10 +103,10 @@
 	running, stop := context.WithCancel(ctx)
 	var watching, playing sync.WaitGroup
 	watching.Go(func() { d.showProgress(running) })
-	playing.Go(func() { d.playFaults(ctx) })
+	playing.Go(func() { d.injectFaults(ctx) })
 	d.load.run(loading, ctx, options.PerS)
 	playing.Wait()
-	settled := d.load.wait(ctx, settleTime)
+	settled := d.load.wait(ctx, completionTimeout)
 	stop()
 	watching.Wait()
 	if ctx.Err() != nil {
@@ -135,9 +135,9 @@
 		}
 	}
 	d.load.targets = d.site.frontAddresses()
-	d.say("started %d coordinators, %d fronts and %d searchers", coreMachines, frontMachines, len(d.worker))
-	d.say("operators reach it at: %s", d.site.operatorFlags())
-	starting, cancel := context.WithTimeout(ctx, startTime)
+	d.printLine("started %d coordinators, %d fronts and %d searchers", coreMachines, frontMachines, len(d.workers))
+	d.printLine("operators reach it at: %s", d.site.operatorFlags())
+	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := d.configure(starting); err != nil {
 		return err
@@ -150,7 +150,7 @@
 	if _, err := d.operator().Do(ctx, request); err != nil {
 		return fmt.Errorf("put the first configuration: %w", err)
 	}
-	d.say("configuration version 1 is in force")
+	d.printLine("configuration version 1 is in force")
 	return nil
 }
 
@@ -162,12 +162,12 @@
 func (d *demo) awaitReadiness(ctx context.Context) error {
 	for _, address := range d.site.readinessAddresses() {
 		for !d.ready(ctx, address) {
-			if !pause(ctx, askPause) {
+			if !pause(ctx, pollInterval) {
 				return fmt.Errorf("front at %s is not ready: %w", address, context.Cause(ctx))
 			}
 		}
 	}
-	d.say("both fronts are ready")
+	d.printLine("both fronts are ready")
 	return nil
 }
 
@@ -206,7 +206,7 @@
 // end stops a process in order, and kills it if that takes too long.
 func (p *Process) end() {
 	p.Stop()
-	late := time.NewTimer(stopTime)
+	late := time.NewTimer(stopTimeout)
 	defer late.Stop()
 	select {
 	case <-p.Ended:
@@ -216,7 +216,7 @@
 	}
 }
 
-func (d *demo) say(format string, arguments ...any) {
+func (d *demo) printLine(format string, arguments ...any) {
 	d.printing.Lock()
 	defer d.printing.Unlock()
 	fmt.Fprintf(d.options.Out, "%5.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, arguments...))
@@ -226,8 +226,8 @@
 func (d *demo) showProgress(ctx context.Context) {
 	for pause(ctx, d.options.Every) {
 		counts := d.load.counts()
-		d.say("jobs handed in %d, accepted %d, ended %d; runs started %d, under way %d", counts.submitted, counts.accepted, counts.ended,
-			len(d.cluster.Runs()), underWay(d.cluster.Runs()))
+		d.printLine("jobs handed in %d, accepted %d, ended %d; runs started %d, under way %d", counts.submitted, counts.accepted, counts.ended,
+			len(d.cluster.Runs()), runningCount(d.cluster.Runs()))
 	}
 }
 
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	tryTime    = 2 * time.Second
-	submitTime = 20 * time.Second // for a job to be accepted
-	retryPause = 150 * time.Millisecond
-	pollPause  = 400 * time.Millisecond
-	host       = "jobs.example"
+	attemptTimeout = 2 * time.Second
+	submitTimeout  = 20 * time.Second // for a job to be accepted
+	retryPause     = 150 * time.Millisecond
+	pollPause      = 400 * time.Millisecond
+	host           = "jobs.example"
 )
 
 // services are those of the configuration.
@@ -34,8 +34,8 @@
 {"name":"stress","healthCheckPath":"/health","maxConnections":64,"protocol":"h1","guards":true}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-// shapes are the kinds of jobs handed in, by service.
-var shapes = map[string][]job.Specification{
+// jobKinds are the kinds of jobs handed in, by service.
+var jobKinds = map[string][]job.Specification{
 	"pricing": {
 		{Text: "quick", Stages: []job.Stage{{Count: 2, Resources: job.Resources{Processors: 1000, MemoryMB: 256}, EstimatedDurationMS: 250}}},
 		{Text: "chain", Stages: []job.Stage{
@@ -50,8 +50,8 @@
 	},
 }
 
-// handedIn is one job from its client's side.
-type handedIn struct {
+// submission is one job from its client's side.
+type submission struct {
 	id            job.ID
 	service       string
 	specification *job.Specification
@@ -67,13 +67,15 @@
 	clients sync.WaitGroup
 
 	mutex sync.Mutex
-	jobs  map[job.ID]*handedIn
+	jobs  map[job.ID]*submission
 }
 
-func newLoad(client *http.Client) *load { return &load{http: client, jobs: make(map[job.ID]*handedIn)} }
+func newLoad(client *http.Client) *load {
+	return &load{http: client, jobs: make(map[job.ID]*submission)}
+}
 
-// describe tells a stand-in worker what a task needs and does.
-func (l *load) describe(task job.TaskID, _ string) cluster.Profile {
+// profile tells a stand-in worker what a task needs and does.
+func (l *load) profile(task job.TaskID, _ string) cluster.Profile {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	handed := l.jobs[task.Job]
@@ -95,8 +97,8 @@
 	interval := time.Duration(float64(time.Second) / perS)
 	for pause(loading, interval) {
 		service := pick(services)
-		specification := pick(shapes[service])
-		handed := &handedIn{id: job.ID(fmt.Sprintf("%016x", rand.Uint64())), service: service, specification: &specification}
+		specification := pick(jobKinds[service])
+		handed := &submission{id: job.ID(fmt.Sprintf("%016x", rand.Uint64())), service: service, specification: &specification}
 		l.mutex.Lock()
 		l.jobs[handed.id] = handed
 		l.mutex.Unlock()
@@ -120,14 +122,14 @@
 }
 
 // follow hands a job in and asks for its state until it is final.
-func (l *load) follow(ctx context.Context, handed *handedIn) {
-	ctx, cancel := context.WithTimeout(ctx, submitTime+settleTime)
+func (l *load) follow(ctx context.Context, handed *submission) {
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout+completionTimeout)
 	defer cancel()
 	if !l.submit(ctx, handed) {
 		return
 	}
 	for pause(ctx, pollPause) {
-		state := l.ask(ctx, handed)
+		state := l.pollState(ctx, handed)
 		l.mutex.Lock()
 		if state != "" {
 			handed.state = state
@@ -140,8 +142,8 @@
 }
 
 // submit hands a job in, at any front, until it is accepted. The same ID remains one job.
-func (l *load) submit(ctx context.Context, handed *handedIn) bool {
-	ctx, cancel := context.WithTimeout(ctx, submitTime)
+func (l *load) submit(ctx context.Context, handed *submission) bool {
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	body, err := json.Marshal(handed.specification)
 	if err != nil {
@@ -166,8 +168,8 @@
 	}
 }
 
-// ask reads a job's state; empty when there was no answer. A job that is unknown counts as failed.
-func (l *load) ask(ctx context.Context, handed *handedIn) job.State {
+// pollState reads a job's state; empty when there was no answer. A job that is unknown counts as failed.
+func (l *load) pollState(ctx context.Context, handed *submission) job.State {
 	status, body := l.call(ctx, http.MethodGet, handed, nil)
 	if status == http.StatusGone {
 		return job.Failed
@@ -182,8 +184,8 @@
 }
 
 // call makes one call at a random front; the status is 0 without an answer.
-func (l *load) call(ctx context.Context, method string, handed *handedIn, body []byte) (status int, answer []byte) {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+func (l *load) call(ctx context.Context, method string, handed *submission, body []byte) (status int, answer []byte) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s/%s/%s", pick(l.targets), handed.service, handed.id)
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -222,11 +224,11 @@
 	return counts
 }
 
-// handedJobs returns copies of all jobs.
-func (l *load) handedJobs() []handedIn {
+// submissions returns copies of all jobs.
+func (l *load) submissions() []submission {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	jobs := make([]handedIn, 0, len(l.jobs))
+	jobs := make([]submission, 0, len(l.jobs))
 	for _, handed := range l.jobs {
 		jobs = append(jobs, *handed)
 	}
--- a/internal/tools/demo/cluster/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -27,12 +27,12 @@
 
 func (d *demo) startWorkers() {
 	d.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		HoldMax: holdMax, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
-		Restore: 100 * time.Millisecond, Describe: d.load.describe,
+		LeaseMax: holdMax, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
+		Restore: 100 * time.Millisecond, Describe: d.load.profile,
 	})
 	for _, service := range services {
 		for number := range d.options.Workers {
-			d.worker = append(d.worker, d.cluster.AddWorker(cluster.WorkerConfig{
+			d.workers = append(d.workers, d.cluster.AddWorker(cluster.WorkerConfig{
 				ID: fmt.Sprintf("%s-%d", service, number), Service: service, Zone: "demo", Version: "v1", Slots: 8,
 				Capacity: job.Resources{Processors: 8000, MemoryMB: 16000, Accelerators: 2},
 				Labels:   []string{"standard", fmt.Sprintf("rack-%d", number/workersPerRack)}, Guards: true,
@@ -83,8 +83,8 @@
 	}
 }
 
-// playFaults kills a worker and later the leader of a service's jobs, which it starts again.
-func (d *demo) playFaults(ctx context.Context) {
+// injectFaults kills a worker and later the leader of a service's jobs, which it starts again.
+func (d *demo) injectFaults(ctx context.Context) {
 	if !pause(ctx, time.Duration(workerFault*float64(d.options.For))) {
 		return
 	}
@@ -94,11 +94,11 @@
 	}
 	number, err := d.awaitLeader(ctx)
 	if err != nil {
-		d.say("no leader to kill: %v", err)
+		d.printLine("no leader to kill: %v", err)
 		return
 	}
 	d.killCoordinator(number)
-	if pause(ctx, restartTime) {
+	if pause(ctx, restartDelay) {
 		d.restartCoordinator(number)
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	id := victim.ID()
 	victim.Crash(id + "-again")
-	d.note("killed searcher %s with %d runs; it is back as %s", id, runs, victim.ID())
+	d.recordFault("killed searcher %s with %d runs; it is back as %s", id, runs, victim.ID())
 }
 
 // busiest is the worker with the most runs under way.
@@ -124,8 +124,8 @@
 			busy[record.Worker]++
 		}
 	}
-	victim = d.worker[0]
-	for _, worker := range d.worker {
+	victim = d.workers[0]
+	for _, worker := range d.workers {
 		if busy[worker.ID()] > busy[victim.ID()] {
 			victim = worker
 		}
@@ -139,7 +139,7 @@
 	defer cancel()
 	for {
 		number, err = d.findLeader(ctx)
-		if err == nil || !pause(ctx, askPause) {
+		if err == nil || !pause(ctx, pollInterval) {
 			return number, err
 		}
 	}
@@ -172,7 +172,7 @@
 	d.mutex.Unlock()
 	m.process.Kill()
 	<-m.process.Ended
-	d.note("killed coordinator %s, the leader of service %s", m.name, services[0])
+	d.recordFault("killed coordinator %s, the leader of service %s", m.name, services[0])
 }
 
 func (d *demo) restartCoordinator(number int) {
@@ -182,7 +182,7 @@
 		process, err = d.options.Launcher.Coordinator(file, d.options.Log)
 	}
 	if err != nil {
-		d.say("coordinator core-%d does not start again: %v", number, err)
+		d.printLine("coordinator core-%d does not start again: %v", number, err)
 		return
 	}
 	d.mutex.Lock()
@@ -190,18 +190,18 @@
 	m.process, m.stopping = process, false
 	d.mutex.Unlock()
 	go d.watch(m, process)
-	d.say("started %s again with its disk", m.name)
+	d.printLine("started %s again with its disk", m.name)
 }
 
-func (d *demo) note(format string, arguments ...any) {
+func (d *demo) recordFault(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
-	d.say("%s", text)
+	d.printLine("%s", text)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.faults = append(d.faults, text)
 }
 
-// underWay counts the runs that have not ended.
-func underWay(records []cluster.RunRecord) int {
+// runningCount counts the runs that have not ended.
+func runningCount(records []cluster.RunRecord) int {
 	return len(slices.DeleteFunc(records, func(record cluster.RunRecord) bool { return !record.EndedAt.IsZero() }))
 }
--- a/internal/tools/demo/cluster/summary.go
+++ b/internal/tools/demo/cluster/summary.go
@@ -54,7 +54,7 @@
 }
 
 func (d *demo) summarize(settled bool) Summary {
-	summary := count(d.load.handedJobs(), d.cluster.Runs())
+	summary := count(d.load.submissions(), d.cluster.Runs())
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	summary.Faults = d.faults
@@ -64,13 +64,13 @@
 }
 
 // count compares the jobs as their clients saw them with the runs as the workers saw them.
-func count(jobs []handedIn, records []cluster.RunRecord) Summary {
-	summary := Summary{Jobs: len(jobs), Runs: len(records), DoubledTasks: len(doubled(records))}
+func count(jobs []submission, records []cluster.RunRecord) Summary {
+	summary := Summary{Jobs: len(jobs), Runs: len(records), DoubledTasks: len(duplicated(records))}
 	done := map[job.TaskID]bool{}
 	runs := map[job.ID]int{}
 	for _, record := range records {
 		runs[record.Task.Job]++
-		if record.How == job.OutcomeDone {
+		if record.Outcome == job.OutcomeDone {
 			done[record.Task] = true
 		}
 	}
@@ -80,7 +80,7 @@
 	return summary
 }
 
-func (s *Summary) add(handed *handedIn, done map[job.TaskID]bool, runs int) {
+func (s *Summary) add(handed *submission, done map[job.TaskID]bool, runs int) {
 	if handed.refused {
 		s.Refused++
 		s.RefusedRuns += runs
@@ -111,15 +111,15 @@
 	}
 }
 
-// doubled finds the tasks with two runs at the same time, or with a run that started after one whose end done was taken
+// duplicated finds the tasks with two runs at the same time, or with a run that started after one whose end done was taken
 // note of.
-func doubled(records []cluster.RunRecord) map[job.TaskID]bool {
+func duplicated(records []cluster.RunRecord) map[job.TaskID]bool {
 	found := map[job.TaskID]bool{}
 	byTask := map[job.TaskID][]cluster.RunRecord{}
 	for _, record := range records { // in the order of their starts
 		for _, earlier := range byTask[record.Task] {
 			overlaps := earlier.EndedAt.IsZero() || earlier.EndedAt.After(record.StartedAt)
-			if overlaps || earlier.How == job.OutcomeDone && earlier.Acknowledged {
+			if overlaps || earlier.Outcome == job.OutcomeDone && earlier.Acknowledged {
 				found[record.Task] = true
 			}
 		}
--- a/internal/tools/demo/cluster/summary_test.go
+++ b/internal/tools/demo/cluster/summary_test.go
@@ -15,7 +15,7 @@
 
 // ran is a run of the only task of job a, from one second to another; it goes on if the latter is 0.
 func ran(from, to int, how job.Outcome, acknowledged bool) cluster.RunRecord {
-	record := cluster.RunRecord{Task: job.TaskID{Job: "a"}, StartedAt: begin.Add(time.Duration(from) * time.Second), How: how, Acknowledged: acknowledged}
+	record := cluster.RunRecord{Task: job.TaskID{Job: "a"}, StartedAt: begin.Add(time.Duration(from) * time.Second), Outcome: how, Acknowledged: acknowledged}
 	if to > 0 {
 		record.EndedAt = begin.Add(time.Duration(to) * time.Second)
 	}
@@ -36,7 +36,7 @@
 		{"a run beside one that goes on", []cluster.RunRecord{ran(1, 0, "", false), ran(2, 3, job.OutcomeDone, true)}, 1},
 	}
 	for _, c := range cases {
-		Convey("Doubled: "+c.name, t, func() { So(doubled(c.runs), ShouldHaveLength, c.doubled) })
+		Convey("Doubled: "+c.name, t, func() { So(duplicated(c.runs), ShouldHaveLength, c.doubled) })
 	}
 }
 
@@ -44,11 +44,11 @@
 	Convey("Given a job of one task", t, func() {
 		specification := &job.Specification{Stages: []job.Stage{{Count: 1}}}
 		done := []cluster.RunRecord{ran(1, 2, job.OutcomeDone, true)}
-		handed := handedIn{id: "a", specification: specification, accepted: true, state: job.Completed}
+		handed := submission{id: "a", specification: specification, accepted: true, state: job.Completed}
 		good := Summary{Jobs: 1, Accepted: 1, Completed: 1, Tasks: 1, DoneTasks: 1, Runs: 1}
 
 		Convey("one that is completed and was done is good, if all was played", func() {
-			summary := count([]handedIn{handed}, done)
+			summary := count([]submission{handed}, done)
 			So(summary, ShouldResemble, good)
 			So(summary.Good(), ShouldBeFalse)
 			summary.Settled, summary.Faults = true, []string{"one", "two"}
@@ -64,18 +64,18 @@
 			}
 		})
 		Convey("one that is shown as completed but was not done has lost a task", func() {
-			So(count([]handedIn{handed}, nil).LostTasks, ShouldEqual, 1)
+			So(count([]submission{handed}, nil).LostTasks, ShouldEqual, 1)
 		})
 		Convey("one that was accepted and is not completed is lost, unless it was cancelled", func() {
 			handed.state = job.Running
-			So(count([]handedIn{handed}, nil).LostJobs, ShouldEqual, 1)
+			So(count([]submission{handed}, nil).LostJobs, ShouldEqual, 1)
 			handed.state = job.Cancelled
-			summary := count([]handedIn{handed}, nil)
+			summary := count([]submission{handed}, nil)
 			So(summary.LostJobs, ShouldEqual, 0)
 			So(summary.Cancelled, ShouldEqual, 1)
 		})
 		Convey("a run of a refused one is counted", func() {
-			So(count([]handedIn{{id: "a", specification: specification, refused: true}}, done).RefusedRuns, ShouldEqual, 1)
+			So(count([]submission{{id: "a", specification: specification, refused: true}}, done).RefusedRuns, ShouldEqual, 1)
 		})
 		Convey("the counts are printed", func() {
 			var out bytes.Buffer
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -39,7 +39,7 @@
 // Summary is what came of a demo.
 type Summary struct {
 	Seconds   float64          `json:"seconds"`
-	Asked     int64            `json:"asked"`
+	Requested int64            `json:"asked"`
 	Satisfied int64            `json:"satisfied"`
 	Nacked    int64            `json:"nacked"`
 	Aborted   int64            `json:"aborted"`
@@ -66,7 +66,7 @@
 	sockets  []string
 	load     *fakes.Load
 	dir      string
-	all      fakes.Tally
+	total    fakes.Tally
 	last     map[string]int64
 }
 
@@ -81,7 +81,7 @@
 	if err := d.start(ctx); err != nil {
 		return sum, err
 	}
-	d.hello()
+	d.printIntroduction()
 	if o.For > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, o.For)
@@ -92,15 +92,15 @@
 	for tick := time.NewTicker(o.Every); ctx.Err() == nil; {
 		select {
 		case <-tick.C:
-			d.show()
+			d.printTable()
 		case <-ctx.Done():
 			tick.Stop()
 		}
 	}
 	d.load.Stop()
 	seconds := time.Since(began).Seconds()
-	d.take()
-	sum = Summary{seconds, d.all.Sent, d.all.Satisfied, d.all.Nacked, d.all.Aborted, d.all.Lost, map[string]int64{}}
+	d.collect()
+	sum = Summary{seconds, d.total.Sent, d.total.Satisfied, d.total.Nacked, d.total.Aborted, d.total.Lost, map[string]int64{}}
 	for _, s := range d.fleet {
 		sum.PartCalls[s.Name] = s.Calls()
 	}
@@ -160,7 +160,7 @@
 	return n, address, err
 }
 
-func (d *demo) hello() {
+func (d *demo) printIntroduction() {
 	if d.JSON {
 		return
 	}
@@ -172,21 +172,21 @@
 	fmt.Fprintln(d.Out)
 }
 
-// take adds what came of queries since the last time.
-func (d *demo) take() fakes.Tally {
+// collect adds what came of queries since the last time.
+func (d *demo) collect() fakes.Tally {
 	t := d.load.Take()
-	d.all.Add(t)
+	d.total.Add(t)
 	return t
 }
 
-func (d *demo) show() {
-	t := d.take()
+func (d *demo) printTable() {
+	t := d.collect()
 	if d.JSON {
 		return
 	}
 	if d.Live {
 		fmt.Fprint(d.Out, "\x1b[H\x1b[2J")
-		d.hello()
+		d.printIntroduction()
 	}
 	per := d.Every.Seconds()
 	fmt.Fprintf(d.Out, "%s  satisfied %.0f/s  nacked %.0f/s  aborted %.0f/s  lost %d  p50 %s  p99 %s\n", time.Now().Format(time.TimeOnly),
@@ -217,5 +217,5 @@
 
 // Print shows a summary to people.
 func (s Summary) Print(out io.Writer) {
-	fmt.Fprintf(out, "%.0f s: %d lookups, %d satisfied, %d nacked, %d aborted, %d lost\n", s.Seconds, s.Asked, s.Satisfied, s.Nacked, s.Aborted, s.Lost)
+	fmt.Fprintf(out, "%.0f s: %d lookups, %d satisfied, %d nacked, %d aborted, %d lost\n", s.Seconds, s.Requested, s.Satisfied, s.Nacked, s.Aborted, s.Lost)
 }
--- a/internal/tools/plan/bench_test.go
+++ b/internal/tools/plan/bench_test.go
@@ -17,8 +17,8 @@
 			for b.Loop() {
 				o = Emulate(&f, &a, 1, 0)
 			}
-			b.ReportMetric(float64(o.Asked), "lookups")
-			b.ReportMetric(o.Gain, "gain")
+			b.ReportMetric(float64(o.Requested), "lookups")
+			b.ReportMetric(o.ValueShare, "gain")
 		})
 	}
 }
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -11,68 +11,68 @@
 	Location string  `json:"Location"`
 	Price    float64 `json:"Price"`    // of one backend
 	Capacity float64 `json:"Capacity"` // core seconds a second of one, at the use that keeps the goals
-	Most     int     `json:"Most"`     // that may stand there
+	Max      int     `json:"Most"`     // that may stand there
 }
 
-// Buy is how many backends stand where.
-type Buy struct {
+// Purchase is how many backends stand where.
+type Purchase struct {
 	Counts []int   `json:"Counts"` // by offer
 	Price  float64 `json:"Price"`
 	Bound  float64 `json:"Bound"` // no purchase costs less; equal to Price where it is exact
 }
 
-// mostExact is how many purchases are gone through one by one.
-const mostExact = 2_000_000
+// maxExactPurchases is how many purchases are gone through one by one.
+const maxExactPurchases = 2_000_000
 
-// Fewest finds the cheapest purchase whose capacity bears demand with any one location lost and, besides, so many backends
+// CheapestPurchase finds the cheapest purchase whose capacity bears demand with any one location lost and, besides, so many backends
 // lost wherever it hurts most. Small ones are gone through one by one, with the cheaper ones first cut off by the best
 // found; for large ones the bound says how far it may be from the best.
-func Fewest(offers []Offer, demand float64, spare int) (Buy, error) {
+func CheapestPurchase(offers []Offer, demand float64, spare int) (Purchase, error) {
 	if len(offers) < 2 {
-		return Buy{}, wrong("%d locations: expected two at least, or the loss of one leaves nothing", len(offers))
+		return Purchase{}, wrong("%d locations: expected two at least, or the loss of one leaves nothing", len(offers))
 	}
 	for _, o := range offers {
-		if !(o.Capacity > 0) || !(o.Price > 0) || o.Most < 1 {
-			return Buy{}, wrong("location %s offers capacity %g at %g, %d at most: expected more than none of each", o.Location, o.Capacity, o.Price, o.Most)
+		if !(o.Capacity > 0) || !(o.Price > 0) || o.Max < 1 {
+			return Purchase{}, wrong("location %s offers capacity %g at %g, %d at most: expected more than none of each", o.Location, o.Capacity, o.Price, o.Max)
 		}
 	}
-	best := Buy{Price: math.Inf(1)}
+	best := Purchase{Price: math.Inf(1)}
 	all := make([]int, len(offers))
 	for i, o := range offers {
-		all[i] = o.Most
+		all[i] = o.Max
 	}
-	if !bears(offers, all, demand, spare) {
+	if !sustains(offers, all, demand, spare) {
 		return best, wrong("all searchers that may stand there do not bear %.3g core seconds a second with a location lost", demand)
 	}
 	n := 1.0
 	for _, o := range offers {
-		n *= float64(o.Most + 1)
+		n *= float64(o.Max + 1)
 	}
-	if n <= mostExact {
+	if n <= maxExactPurchases {
 		counts := make([]int, len(offers))
-		exact(offers, demand, spare, 0, 0, counts, &best)
+		searchAll(offers, demand, spare, 0, 0, counts, &best)
 		best.Bound = best.Price
 		return best, nil
 	}
 	best = greedy(offers, demand, spare)
-	best.Bound = bound(offers, demand)
+	best.Bound = lowerBound(offers, demand)
 	return best, nil
 }
 
-// bears tells whether a purchase bears the demand through the worst loss.
-func bears(offers []Offer, counts []int, demand float64, spare int) bool {
+// sustains tells whether a purchase bears the demand through the worst loss.
+func sustains(offers []Offer, counts []int, demand float64, spare int) bool {
 	for lost := range offers {
 		left := 0.0
 		var sizes []Offer
 		for i, o := range offers {
 			if i != lost && counts[i] > 0 {
 				left += o.Capacity * float64(counts[i])
-				sizes = append(sizes, Offer{Capacity: o.Capacity, Most: counts[i]})
+				sizes = append(sizes, Offer{Capacity: o.Capacity, Max: counts[i]})
 			}
 		}
 		slices.SortFunc(sizes, func(x, y Offer) int { return cmp.Compare(y.Capacity, x.Capacity) })
 		for n := spare; n > 0 && len(sizes) > 0; sizes = sizes[1:] {
-			gone := min(n, sizes[0].Most)
+			gone := min(n, sizes[0].Max)
 			left -= float64(gone) * sizes[0].Capacity
 			n -= gone
 		}
@@ -83,30 +83,30 @@
 	return true
 }
 
-func exact(offers []Offer, demand float64, spare, i int, price float64, counts []int, best *Buy) {
+func searchAll(offers []Offer, demand float64, spare, i int, price float64, counts []int, best *Purchase) {
 	if price >= best.Price-1e-12 {
 		return
 	}
 	if i == len(offers) {
-		if bears(offers, counts, demand, spare) {
-			*best = Buy{Counts: slices.Clone(counts), Price: price}
+		if sustains(offers, counts, demand, spare) {
+			*best = Purchase{Counts: slices.Clone(counts), Price: price}
 		}
 		return
 	}
-	for n := 0; n <= offers[i].Most; n++ {
+	for n := 0; n <= offers[i].Max; n++ {
 		counts[i] = n
-		exact(offers, demand, spare, i+1, price+float64(n)*offers[i].Price, counts, best)
+		searchAll(offers, demand, spare, i+1, price+float64(n)*offers[i].Price, counts, best)
 	}
 	counts[i] = 0
 }
 
 // greedy takes backends off the fullest purchase while it still bears, the dearest for its capacity first, and then
 // tries to swap one for a cheaper one.
-func greedy(offers []Offer, demand float64, spare int) (b Buy) {
+func greedy(offers []Offer, demand float64, spare int) (b Purchase) {
 	counts := make([]int, len(offers))
 	order := make([]int, len(offers))
 	for i, o := range offers {
-		counts[i], order[i] = o.Most, i
+		counts[i], order[i] = o.Max, i
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
 		return cmp.Compare(offers[y].Price/offers[y].Capacity, offers[x].Price/offers[x].Capacity)
@@ -117,7 +117,7 @@
 			for step := max(1, counts[i]/2); step > 0 && counts[i] > 0; {
 				step = min(step, counts[i])
 				counts[i] -= step
-				if bears(offers, counts, demand, spare) {
+				if sustains(offers, counts, demand, spare) {
 					changed = true
 				} else {
 					counts[i] += step
@@ -127,14 +127,14 @@
 		}
 		for _, i := range order { // one more of a cheap one may save two dear ones
 			for _, j := range order {
-				if i == j || counts[j] == offers[j].Most || counts[i] == 0 {
+				if i == j || counts[j] == offers[j].Max || counts[i] == 0 {
 					continue
 				}
 				counts[j]++
 				n := 0
 				for counts[i] > 0 {
 					counts[i]--
-					if !bears(offers, counts, demand, spare) {
+					if !sustains(offers, counts, demand, spare) {
 						counts[i]++
 						break
 					}
@@ -156,9 +156,9 @@
 	return b
 }
 
-// bound is a price that no purchase beats. With a location lost the others bear the demand, for each location: summed
+// lowerBound is a price that no purchase beats. With a location lost the others bear the demand, for each location: summed
 // over all of them, (locations - 1) x capacity >= locations x demand, and capacity costs at least the cheapest.
-func bound(offers []Offer, demand float64) float64 {
+func lowerBound(offers []Offer, demand float64) float64 {
 	cheapest := math.Inf(1)
 	for _, o := range offers {
 		cheapest = min(cheapest, o.Price/o.Capacity)
@@ -170,8 +170,8 @@
 // Copies is where the copies of each shard stand, by places of backends.
 type Copies [][]int
 
-// Placed is a placement and what it comes to.
-type Placed struct {
+// Placement is a placement and what it comes to.
+type Placement struct {
 	Copies Copies  `json:"Copies"`
 	Moves  int     `json:"Moves"` // copies that stand elsewhere than today
 	Most   float64 `json:"Most"`  // load of the fullest backend against its capacity
@@ -181,7 +181,7 @@
 // Place puts so many copies of each shard on backends, no two of one shard in one location, so that what is asked for is
 // balanced; of those about as good, the one that moves least from today's. load is what each shard brings, all copies
 // together; capacity of a backend is its Cores x Speed.
-func Place(f *Site, load []float64, copies int, today Copies) (Placed, error) {
+func Place(f *Site, load []float64, copies int, today Copies) (Placement, error) {
 	places := map[string]bool{}
 	capacity, all := make([]float64, len(f.Backends)), 0.0
 	for i, s := range f.Backends {
@@ -190,9 +190,9 @@
 		all += capacity[i]
 	}
 	if copies < 1 || len(places) < copies {
-		return Placed{}, wrong("%d copies in %d locations: expected a location for each copy", copies, len(places))
+		return Placement{}, wrong("%d copies in %d locations: expected a location for each copy", copies, len(places))
 	}
-	p := Placed{Copies: make(Copies, len(load))}
+	p := Placement{Copies: make(Copies, len(load))}
 	sum, largest := 0.0, 0.0
 	for _, l := range load {
 		sum += l
@@ -226,7 +226,7 @@
 			p.Copies[s] = append(p.Copies[s], best)
 		}
 	}
-	p.level(f, load, copies, used, capacity)
+	p.rebalance(f, load, copies, used, capacity)
 	for s, list := range p.Copies {
 		for _, i := range list {
 			if !stands(s, i) {
@@ -243,8 +243,8 @@
 // roomToStay is how much above the least possible a backend may be filled by what stands there already.
 const roomToStay = 0.05
 
-// level moves copies off the fullest backend while that helps.
-func (p *Placed) level(f *Site, load []float64, copies int, used, capacity []float64) {
+// rebalance moves copies off the fullest backend while that helps.
+func (p *Placement) rebalance(f *Site, load []float64, copies int, used, capacity []float64) {
 	for range 4 * len(load) {
 		from := 0
 		for i := range used {
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -39,13 +39,13 @@
 			queue = s.Queue
 		}
 	}
-	add("queue", "the fullest searcher", float64(o.MostQueue), float64(queue))
-	add("most held", "each mixer", float64(o.MostHeld), float64(f.MostHeld))
+	add("queue", "the fullest searcher", float64(o.MaxQueue), float64(queue))
+	add("most held", "each mixer", float64(o.MaxPending), float64(f.MaxPending))
 	lines := float64(len(f.Backends)) // one to each at least
 	if f.Multiplex > 0 {
-		lines = max(lines, math.Ceil(float64(o.MostOut)/float64(f.Multiplex)))
+		lines = max(lines, math.Ceil(float64(o.MaxInFlight)/float64(f.Multiplex)))
 	}
-	add("descriptors", "each mixer", lines, float64(f.Lines))
+	add("descriptors", "each mixer", lines, float64(f.Descriptors))
 	for _, s := range f.Backends {
 		if s.Connections > 0 {
 			add("connections", s.Name, float64(f.Aggregators)*max(1, lines/float64(len(f.Backends))), float64(s.Connections))
@@ -56,8 +56,8 @@
 	return list
 }
 
-// Meets tells whether an outcome keeps the goals of the indexes that were asked, and which falls short most, "" for none.
-func (o *Outcome) Meets(f *Site) (bool, string) {
+// MeetsGoals tells whether an outcome keeps the goals of the indexes that were asked, and which falls short most, "" for none.
+func (o *Outcome) MeetsGoals(f *Site) (bool, string) {
 	worst, by := "", 0.0
 	for k, x := range f.Indexes {
 		if short := x.Goal - o.ByIndex[k]; o.Queries[k] > 0 && short > by {
@@ -67,8 +67,8 @@
 	return worst == "", worst
 }
 
-// Breaking is where the goals break as a load grows.
-type Breaking struct {
+// BreakingLoad is where the goals break as a load grows.
+type BreakingLoad struct {
 	PerS     float64 `json:"PerS"`     // the most that keeps them, queries a second
 	Fails    float64 `json:"Fails"`    // the least that was seen to break them
 	Index    string  `json:"Index"`    // whose goal breaks first
@@ -77,32 +77,32 @@
 }
 
 const (
-	// closeEnough is how near the two sides of a breaking load are brought: a third of what predictions are held to.
-	closeEnough = 0.05
-	// mostUse is the use of a backend's cores beyond which its queue grows for good: within an emulation's seconds that
+	// bracketTolerance is how near the two sides of a breaking load are brought: a third of what predictions are held to.
+	bracketTolerance = 0.05
+	// maxUtilization is the use of a backend's cores beyond which its queue grows for good: within an emulation's seconds that
 	// breaks no goal yet, within an hour it does.
-	mostUse = 0.97
-	// mostSearch bounds the search.
-	mostSearch = 24
+	maxUtilization = 0.97
+	// maxEmulations bounds the search.
+	maxEmulations = 24
 )
 
-// Break finds the load at which the goals break, by doubling and halving. A fleet without goals never does.
-func Break(f *Site, a *Ask, seed uint64, progress func(done, of int)) (Breaking, error) {
+// FindBreakingLoad finds the load at which the goals break, by doubling and halving. A fleet without goals never does.
+func FindBreakingLoad(f *Site, a *Workload, seed uint64, progress func(done, of int)) (BreakingLoad, error) {
 	if !slices.ContainsFunc(f.Indexes, func(x Index) bool { return x.Goal > 0 }) {
-		return Breaking{}, wrong("no index has a goal: state one, as 0.99")
+		return BreakingLoad{}, wrong("no index has a goal: state one, as 0.99")
 	}
-	var b Breaking
+	var b BreakingLoad
 	low, high := 0.0, 0.0
 	try := a.PerS
-	for b.Searched < mostSearch && (low == 0 || high == 0 || high/low > 1+closeEnough) {
+	for b.Searched < maxEmulations && (low == 0 || high == 0 || high/low > 1+bracketTolerance) {
 		b.Searched++
 		if progress != nil {
-			progress(b.Searched, mostSearch)
+			progress(b.Searched, maxEmulations)
 		}
 		asked := a.Scaled(try / a.PerS)
 		o := Emulate(f, &asked, seed, 0)
-		ok, index := o.Meets(f)
-		if ok && o.Use[o.Hottest] > mostUse {
+		ok, index := o.MeetsGoals(f)
+		if ok && o.Use[o.Hottest] > maxUtilization {
 			ok, index = false, "all of them, by a queue that grows"
 		}
 		if ok {
@@ -133,12 +133,12 @@
 type WhatIf struct {
 	Name string
 	Site Site
-	Ask  Ask
+	Ask  Workload
 	Lost []int // shards that no backend holds any more: they are lost, not overloaded
 }
 
 // WhatIfs are the usual ones: as it is, a burst, all slower, each location lost, both, and all traffic to each index.
-func WhatIfs(f *Site, a *Ask) (list []WhatIf) {
+func WhatIfs(f *Site, a *Workload) (list []WhatIf) {
 	list = append(list, WhatIf{Name: "as it is", Site: *f, Ask: *a},
 		WhatIf{Name: "burst x 2", Site: *f, Ask: a.Scaled(2)},
 		WhatIf{Name: "all 1.5 times slower", Site: f.Slower(1.5), Ask: *a})
@@ -162,27 +162,27 @@
 
 // Recovers plays a burst and then the usual load, and tells whether the usual load keeps the goals again: clients that
 // come back may hold a fleet down that would bear them one by one. Where it does not, Leave is the load to go down to.
-func Recovers(f *Site, a *Ask, burst float64, seed uint64) (recovers bool, leave float64) {
+func Recovers(f *Site, a *Workload, burst float64, seed uint64) (recovers bool, leave float64) {
 	for share := 1.0; share > 0.1; share -= 0.1 {
 		asked := a.Scaled(share)
-		w := newWorld(f, &asked, seed)
+		w := newSimulation(f, &asked, seed)
 		usual := asked.PerS
-		w.warm = mostWarm + mostBurst*2
-		w.end = w.warm + max(3*leastTime, sureQueries/usual)
-		w.at(mostWarm, func() { asked.PerS = burst * a.PerS })
-		w.at(mostWarm+mostBurst, func() { asked.PerS = usual })
+		w.warm = maxWarmUp + burstDuration*2
+		w.end = w.warm + max(3*minDuration, measuredQueries/usual)
+		w.schedule(maxWarmUp, func() { asked.PerS = burst * a.PerS })
+		w.schedule(maxWarmUp+burstDuration, func() { asked.PerS = usual })
 		w.arrive()
-		for len(w.agenda) > 0 && w.agenda[0].at < w.end+10 {
-			w.next()
+		for len(w.pending) > 0 && w.pending[0].at < w.end+10 {
+			w.runNextEvent()
 		}
-		if o := w.outcome(); first(o.Meets(f)) {
+		if o := w.summarize(); first(o.MeetsGoals(f)) {
 			return share == 1, share * a.PerS
 		}
 	}
 	return false, 0
 }
 
-// mostBurst is how long a burst lasts that Recovers plays, seconds.
-const mostBurst = 3.0
+// burstDuration is how long a burst lasts that Recovers plays, seconds.
+const burstDuration = 3.0
 
 func first(ok bool, _ string) bool { return ok }
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -14,16 +14,16 @@
 )
 
 func fleet(backends, cores int) Site {
-	f := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, Step: 0.005, Network: 0.0002, MostTries: 3,
-		Indexes: []Index{{Name: "reads", Soft: 0.5, Hard: 2, Gain: 1, Late: 0.1, Work: 0.01, Scv: 0.3, Goal: 0.98}}}
+	f := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, Step: 0.005, Network: 0.0002, MaxAttempts: 3,
+		Indexes: []Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Scv: 0.3, Goal: 0.98}}}
 	for i := range backends {
 		f.Backends = append(f.Backends, Backend{Name: fmt.Sprint("s-", i), Location: f.Locations[i%2], Cell: i, Cores: cores, Speed: 1, Price: 1})
 	}
 	return f
 }
 
-func ask(perS float64, subqueries int) Ask {
-	return Ask{PerS: perS, Mix: []Share{{0, 1, subqueries}}}
+func ask(perS float64, subqueries int) Workload {
+	return Workload{PerS: perS, Mix: []Share{{0, 1, subqueries}}}
 }
 
 func TestMistakesInAFleetAreTold(t *testing.T) {
@@ -67,7 +67,7 @@
 	if again := Emulate(&f, &a, 1, 0); !reflect.DeepEqual(o, again) {
 		t.Fatal("the same seed gives other figures")
 	}
-	if o.Gain < 0.99 || o.Nacked+o.Aborted > 0 || o.Tries < 1 {
+	if o.ValueShare < 0.99 || o.Nacked+o.Aborted > 0 || o.Attempts < 1 {
 		t.Fatalf("a low load comes to %+v", o)
 	}
 	use := 0.0 // 100 queries of 4 parts of 10 ms on 24 cores
@@ -106,23 +106,23 @@
 // The load at which the goal breaks lies below what the cores bear, and more cores bear more.
 func TestBreakingLoad(t *testing.T) {
 	f, a := fleet(4, 2), ask(50, 2)
-	b, err := Break(&f, &a, 1, nil)
+	b, err := FindBreakingLoad(&f, &a, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	bears := 4 * 2 / 0.01 / 2.0 // 400 queries a second
-	if b.PerS < 0.5*bears || b.PerS > 1.05*bears || b.Fails/b.PerS > 1+closeEnough+0.01 || b.Index == "" || b.First.What != "cores" {
+	if b.PerS < 0.5*bears || b.PerS > 1.05*bears || b.Fails/b.PerS > 1+bracketTolerance+0.01 || b.Index == "" || b.First.What != "cores" {
 		t.Fatalf("breaks at %+v, cores bear %g", b, bears)
 	}
 	if raceflag.On { // the race detector has nothing to find where there is no goroutine
 		return
 	}
 	larger := fleet(4, 4)
-	if more, err := Break(&larger, &a, 1, nil); err != nil || more.PerS < 1.6*b.PerS {
+	if more, err := FindBreakingLoad(&larger, &a, 1, nil); err != nil || more.PerS < 1.6*b.PerS {
 		t.Fatalf("twice the cores break at %g against %g, %v", more.PerS, b.PerS, err)
 	}
 	f.Indexes[0].Goal = 0
-	if _, err := Break(&f, &a, 1, nil); err == nil {
+	if _, err := FindBreakingLoad(&f, &a, 1, nil); err == nil {
 		t.Fatal("no goal, and it breaks")
 	}
 }
@@ -136,11 +136,11 @@
 		for i, n := range counts {
 			price += float64(n) * offers[i].Price
 		}
-		if price < best && bears(offers, counts, demand, spare) {
+		if price < best && sustains(offers, counts, demand, spare) {
 			best = price
 		}
 		i := 0
-		for ; i < len(counts) && counts[i] == offers[i].Most; i++ {
+		for ; i < len(counts) && counts[i] == offers[i].Max; i++ {
 			counts[i] = 0
 		}
 		if i == len(counts) {
@@ -159,7 +159,7 @@
 			offers = append(offers, Offer{fmt.Sprint("l-", i), 1 + 3*rng.Float64(), 1 + 3*rng.Float64(), 4 + rng.IntN(5)})
 		}
 		demand, spare := 1+8*rng.Float64(), rng.IntN(3)
-		got, err := Fewest(offers, demand, spare)
+		got, err := CheapestPurchase(offers, demand, spare)
 		want := brute(offers, demand, spare)
 		if math.IsInf(want, 1) != (err != nil) {
 			t.Fatalf("seed %d: %v, the best costs %g", seed, err, want)
@@ -167,12 +167,12 @@
 		if err != nil {
 			continue
 		}
-		if math.Abs(got.Price-want) > 1e-9 || !bears(offers, got.Counts, demand, spare) {
+		if math.Abs(got.Price-want) > 1e-9 || !sustains(offers, got.Counts, demand, spare) {
 			t.Fatalf("seed %d: %+v, the best costs %g", seed, got, want)
 		}
 		quick := greedy(offers, demand, spare)
-		if !bears(offers, quick.Counts, demand, spare) || quick.Price < want-1e-9 || bound(offers, demand) > want+1e-9 {
-			t.Fatalf("seed %d: quick %+v, bound %g, the best costs %g", seed, quick, bound(offers, demand), want)
+		if !sustains(offers, quick.Counts, demand, spare) || quick.Price < want-1e-9 || lowerBound(offers, demand) > want+1e-9 {
+			t.Fatalf("seed %d: quick %+v, bound %g, the best costs %g", seed, quick, lowerBound(offers, demand), want)
 		}
 		sum, worst, n = sum+quick.Price/want, max(worst, quick.Price/want), n+1
 	}
@@ -180,14 +180,14 @@
 	if sum/float64(n) > 1.1 {
 		t.Errorf("%.3f of the best in the mean", sum/float64(n))
 	}
-	if _, err := Fewest([]Offer{{"a", 1, 1, 5}}, 1, 0); err == nil {
+	if _, err := CheapestPurchase([]Offer{{"a", 1, 1, 5}}, 1, 0); err == nil {
 		t.Error("one location bears its own loss")
 	}
 	var large []Offer
 	for i := range 12 {
 		large = append(large, Offer{fmt.Sprint("l-", i), 1 + float64(i%3), 8, 100})
 	}
-	if b, err := Fewest(large, 3000, 4); err != nil || b.Price > 1.5*b.Bound {
+	if b, err := CheapestPurchase(large, 3000, 4); err != nil || b.Price > 1.5*b.Bound {
 		t.Errorf("got %+v, %v", b, err)
 	}
 }
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -25,14 +25,14 @@
 
 // Index is one index of a fleet. Times are seconds.
 type Index struct {
-	Name       string
-	Effect     policy.Effect
-	Soft, Hard float64
-	Gain, Late float64   // of a query, and the share of it after the soft deadline
-	Work       float64   // of a part, in the mean
-	Scv        float64   // squared coefficient of variation of that, where no shape is stated: work is lognormal then
-	Shape      []float64 // quantiles of work against its mean, evenly apart from the least to the most; nil for none
-	Goal       float64   // share of gain within the soft deadline; 0 for none
+	Name             string
+	Effect           policy.Effect
+	Soft, Hard       float64
+	Value, LateValue float64   // of a query, and the share of it after the soft deadline
+	Work             float64   // of a part, in the mean
+	Scv              float64   // squared coefficient of variation of that, where no shape is stated: work is lognormal then
+	Shape            []float64 // quantiles of work against its mean, evenly apart from the least to the most; nil for none
+	Goal             float64   // share of gain within the soft deadline; 0 for none
 }
 
 // Site is what a load meets. Times are seconds.
@@ -44,14 +44,14 @@
 	Backends    []Backend
 	Indexes     []Index
 	Aggregators int
-	MostHeld    int     // queries and parts that an aggregator may hold; 0 for no limit
+	MaxPending  int     // queries and parts that an aggregator may hold; 0 for no limit
 	Step        float64 // least time between two steps of an aggregator
 	Network     float64 // one way, aggregator to backend
-	MostTries   int     // part calls of a part
+	MaxAttempts int     // part calls of a part
 	Retries     int     // of a client whose query was nacked
 	Backoff     float64 // before each
 	Multiplex   int     // calls that one connection carries; 0 for no limit
-	Lines       int     // descriptors that an aggregator has for backends; 0 for no limit
+	Descriptors int     // descriptors that an aggregator has for backends; 0 for no limit
 }
 
 // Check tells every mistake with what to do about it, a line each.
@@ -83,7 +83,7 @@
 			say("searcher %s is of cell %d: expected 0 to %d", s.Name, s.Cell, f.Cells-1)
 		}
 	}
-	for _, s := range f.unheld() {
+	for _, s := range f.unowned() {
 		if s < f.Cells && !lost { // the others are held by the same cells
 			say("shard %d has no holder: put a searcher into one of the cells %d to %d", s, s, (s+f.Width-1)%f.Cells)
 		}
@@ -105,7 +105,7 @@
 			say("index %s has a goal of %g: expected a share from 0 to 1, as 0.99", x.Name, x.Goal)
 		case len(x.Shape) == 1 || !slices.IsSorted(x.Shape) || len(x.Shape) > 0 && !(x.Shape[0] >= 0):
 			say("index %s has a shape of %v: expected two quantiles or more, rising from 0 or above", x.Name, x.Shape)
-		case x.Scv < 0 || x.Gain < 0 || x.Late < 0 || x.Late > 1:
+		case x.Scv < 0 || x.Value < 0 || x.LateValue < 0 || x.LateValue > 1:
 			say("index %s has a figure below 0, or a late gain above 1", x.Name)
 		}
 		seen[x.Name] = true
@@ -119,18 +119,18 @@
 	return nil
 }
 
-// unheld lists the shards that no backend holds.
-func (f *Site) unheld() (list []int) {
-	held := make([]bool, f.Cells)
+// unowned lists the shards that no backend holds.
+func (f *Site) unowned() (list []int) {
+	owned := make([]bool, f.Cells)
 	for _, s := range f.Backends {
 		if s.Cell >= 0 && s.Cell < f.Cells {
-			held[s.Cell] = true
+			owned[s.Cell] = true
 		}
 	}
 	for s := range f.Shards {
 		found := false
 		for j := range f.Width {
-			found = found || held[(s+j)%f.Cells]
+			found = found || owned[(s+j)%f.Cells]
 		}
 		if !found {
 			list = append(list, s)
@@ -148,7 +148,7 @@
 			left.Backends = append(left.Backends, s)
 		}
 	}
-	return left, left.unheld()
+	return left, left.unowned()
 }
 
 // Slower is the fleet with every backend taking so many times as long.
@@ -160,8 +160,8 @@
 	return f
 }
 
-// Ask is a steady load.
-type Ask struct {
+// Workload is a steady load.
+type Workload struct {
 	PerS    float64 // queries
 	Mix     []Share
 	Popular []float64 // share of parts by shard; nil for all alike
@@ -171,18 +171,18 @@
 // Share is one kind of query in it.
 type Share struct {
 	Index      int // place in the fleet's indexes
-	Of         float64
+	Fraction   float64
 	Subqueries int
 }
 
 // Check tells what of a load does not fit a fleet.
-func (a *Ask) Check(f *Site) error {
+func (a *Workload) Check(f *Site) error {
 	if !(a.PerS > 0) || len(a.Mix) == 0 {
 		return wrong("%g lookups a second of %d kinds: expected more than none", a.PerS, len(a.Mix))
 	}
 	for _, m := range a.Mix {
-		if m.Index < 0 || m.Index >= len(f.Indexes) || !(m.Of > 0) || m.Subqueries < 1 || m.Subqueries > f.Shards {
-			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Of, m.Subqueries, m.Index, f.Shards)
+		if m.Index < 0 || m.Index >= len(f.Indexes) || !(m.Fraction > 0) || m.Subqueries < 1 || m.Subqueries > f.Shards {
+			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Fraction, m.Subqueries, m.Index, f.Shards)
 		}
 	}
 	if a.Popular != nil && len(a.Popular) != f.Shards {
@@ -192,15 +192,15 @@
 }
 
 // subqueries is how many a query has in the mean.
-func (a *Ask) subqueries() (n float64) {
+func (a *Workload) subqueries() (n float64) {
 	for _, m := range a.Mix {
-		n += m.Of * float64(m.Subqueries)
+		n += m.Fraction * float64(m.Subqueries)
 	}
 	return n
 }
 
 // Scaled is the load at another rate.
-func (a Ask) Scaled(times float64) Ask {
+func (a Workload) Scaled(times float64) Workload {
 	a.PerS *= times
 	return a
 }
--- a/internal/tools/plan/stations.go
+++ b/internal/tools/plan/stations.go
@@ -4,51 +4,51 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// reach puts a call on a core, into the queue, or turns it away.
-func (w *world) reach(s *station, c *work) {
+// deliver puts a call on a core, into the queue, or turns it away.
+func (w *simulation) deliver(s *queue, c *call) {
 	s.calls++
 	switch {
 	case s.busy < s.Cores:
 		w.serve(s, c)
-	case s.Queue > 0 && len(s.queue) >= s.Queue:
-		s.refused++
-		w.at(w.now+w.f.Network, func() { w.finish(c, s, policy.Rejected) })
+	case s.Queue > 0 && len(s.waiting) >= s.Queue:
+		s.rejected++
+		w.schedule(w.now+w.site.Network, func() { w.completeCall(c, s, policy.Rejected) })
 	default:
-		s.queue = append(s.queue, c)
-		s.most = max(s.most, len(s.queue))
+		s.waiting = append(s.waiting, c)
+		s.maxLength = max(s.maxLength, len(s.waiting))
 	}
 }
 
-func (w *world) serve(s *station, c *work) {
+func (w *simulation) serve(s *queue, c *call) {
 	s.busy++
-	took := w.g.work(&w.f.Indexes[c.k]) / s.Speed
+	took := w.random.work(&w.site.Indexes[c.index]) / s.Speed
 	if w.now >= w.warm {
 		s.used += min(took, max(0, w.end-w.now))
 	}
-	w.at(w.now+took, func() {
+	w.schedule(w.now+took, func() {
 		s.busy--
-		w.at(w.now+w.f.Network, func() { w.finish(c, s, policy.Answered) })
-		for len(s.queue) > 0 && s.busy < s.Cores {
-			next := s.queue[0]
-			s.queue = s.queue[1:]
-			if !next.gone {
+		w.schedule(w.now+w.site.Network, func() { w.completeCall(c, s, policy.Answered) })
+		for len(s.waiting) > 0 && s.busy < s.Cores {
+			next := s.waiting[0]
+			s.waiting = s.waiting[1:]
+			if !next.completed {
 				w.serve(s, next)
 			}
 		}
 	})
 }
 
-// finish tells an aggregator once how a call ended.
-func (w *world) finish(c *work, s *station, how policy.Outcome) {
+// completeCall tells an aggregator once how a call ended.
+func (w *simulation) completeCall(c *call, s *queue, how policy.Outcome) {
 	key := callKey{c.subquery, c.no}
-	if c.gone || c.aggregator.out[key] != c {
+	if c.completed || c.aggregator.inFlight[key] != c {
 		return
 	}
-	c.gone = true
-	delete(c.aggregator.out, key)
+	c.completed = true
+	delete(c.aggregator.inFlight, key)
 	id := policy.BackendID(0)
 	if s != nil {
 		id = s.id
 	}
-	w.tell(c.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: c.subquery, Call: c.no, Backend: id, Outcome: how, Elapsed: w.now - c.sent})
+	w.notify(c.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: c.subquery, Call: c.no, Backend: id, Outcome: how, Elapsed: w.now - c.sent})
 }
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -21,7 +21,7 @@
 		Width  int `json:"width"`
 		Shards int `json:"shards"`
 	} `json:"layout"`
-	Backends []group `json:"searchers"`
+	Backends []backendGroup `json:"searchers"`
 	Indexes  []struct {
 		Name     string  `json:"name"`
 		Effect   string  `json:"effect"`
@@ -48,9 +48,9 @@
 	NetworkS float64 `json:"network_s"`
 }
 
-// group is backends that are alike but for name and cell: {n} in the name is their number, and cells count up from the
+// backendGroup is backends that are alike but for name and cell: {n} in the name is their number, and cells count up from the
 // first.
-type group struct {
+type backendGroup struct {
 	Name        string  `json:"name"`
 	Count       int     `json:"count"`
 	Location    string  `json:"location"`
@@ -65,11 +65,11 @@
 
 var effects = map[string]policy.Effect{"": policy.Idempotent, "idempotent": policy.Idempotent, "fingerprinted": policy.Fingerprinted, "once-only": policy.OnceOnly}
 
-// mostBackends is ten times the largest fleet that a plan is made for.
-const mostBackends = 10000
+// maxBackends is ten times the largest fleet that a plan is made for.
+const maxBackends = 10000
 
-// Read reads and checks a description. work may be left out where a capture tells it: Fill comes before Check then.
-func Read(path string) (f plan.Site, err error) {
+// ReadFile reads and checks a description. work may be left out where a capture tells it: Fill comes before Check then.
+func ReadFile(path string) (f plan.Site, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return f, err
@@ -87,15 +87,15 @@
 		return f, err
 	}
 	f = plan.Site{Locations: in.Locations, Cells: in.Layout.Cells, Width: in.Layout.Width, Shards: in.Layout.Shards, Aggregators: in.Aggregators.Count,
-		MostHeld: in.Aggregators.MostHeld, Step: in.Aggregators.StepS, Network: in.NetworkS, MostTries: max(1, in.Aggregators.MostTries), Retries: in.Clients.Retries,
-		Backoff: in.Clients.BackoffS, Multiplex: in.Aggregators.Multiplex, Lines: in.Aggregators.Descriptors}
+		MaxPending: in.Aggregators.MostHeld, Step: in.Aggregators.StepS, Network: in.NetworkS, MaxAttempts: max(1, in.Aggregators.MostTries), Retries: in.Clients.Retries,
+		Backoff: in.Clients.BackoffS, Multiplex: in.Aggregators.Multiplex, Descriptors: in.Aggregators.Descriptors}
 	for _, g := range in.Backends {
 		if g.Speed == 0 {
 			g.Speed = 1
 		}
 		for n := range max(1, g.Count) {
-			if len(f.Backends) >= mostBackends {
-				return f, wrong("1: more than %d searchers", mostBackends)
+			if len(f.Backends) >= maxBackends {
+				return f, wrong("1: more than %d searchers", maxBackends)
 			}
 			cell := g.Cell + n*g.CellStep
 			if f.Cells > 0 {
@@ -110,7 +110,7 @@
 		if !known {
 			return f, wrong("1: index %s has effect %q, expected idempotent, fingerprinted or once-only", x.Name, x.Effect)
 		}
-		f.Indexes = append(f.Indexes, plan.Index{Name: x.Name, Effect: effect, Soft: x.SoftS, Hard: x.HardS, Gain: x.Gain, Late: x.LateGain, Work: x.WorkS, Scv: x.WorkScv, Goal: x.Goal})
+		f.Indexes = append(f.Indexes, plan.Index{Name: x.Name, Effect: effect, Soft: x.SoftS, Hard: x.HardS, Value: x.Gain, LateValue: x.LateGain, Work: x.WorkS, Scv: x.WorkScv, Goal: x.Goal})
 	}
 	return f, nil
 }
@@ -166,9 +166,9 @@
 	return list
 }
 
-// Ask is the load of a capture at its busiest interval, or in the mean of all of them, whose sum is given as a day's takes a
+// Workload is the load of a capture at its busiest interval, or in the mean of all of them, whose sum is given as a day's takes a
 // while. The notes say what was left out.
-func Ask(f *plan.Site, c capture.Capture, sum *capture.Interval, mean bool) (a plan.Ask, notes []string, err error) {
+func Workload(f *plan.Site, c capture.Capture, sum *capture.Interval, mean bool) (a plan.Workload, notes []string, err error) {
 	if len(c.Intervals) == 0 {
 		return a, nil, wrong("the capture holds no interval")
 	}
@@ -211,7 +211,7 @@
 	a.PerS = all / i.Span
 	for k := range f.Indexes {
 		if v := by[k]; v[0] > 0 {
-			a.Mix = append(a.Mix, plan.Share{Index: k, Of: v[0] / all, Subqueries: max(1, int(v[1]/v[0]+0.5))})
+			a.Mix = append(a.Mix, plan.Share{Index: k, Fraction: v[0] / all, Subqueries: max(1, int(v[1]/v[0]+0.5))})
 		}
 	}
 	a.Popular = make([]float64, f.Shards)
--- a/internal/tools/planfile/planfile_test.go
+++ b/internal/tools/planfile/planfile_test.go
@@ -45,16 +45,16 @@
 	if err := f.Check(); err != nil {
 		t.Fatal(err)
 	}
-	a, notes, err := Ask(&f, c, &sum, false)
+	a, notes, err := Workload(&f, c, &sum, false)
 	if err != nil || len(notes) > 0 || a.PerS < 59 || a.PerS > 61 || a.Mix[0].Subqueries != 3 || a.Popular[0] <= a.Popular[7] {
 		t.Fatalf("got %+v, %v, %v", a, notes, err)
 	}
-	if a, _, err = Ask(&f, c, &sum, true); err != nil || a.PerS < 26 || a.PerS > 27.5 {
+	if a, _, err = Workload(&f, c, &sum, true); err != nil || a.PerS < 26 || a.PerS > 27.5 {
 		t.Fatalf("in the mean %+v, %v", a, err)
 	}
 	holed := capture.Capture{Intervals: append(c.Intervals[:1:1], c.Intervals[3:]...)}
 	holedSum := holed.Sum()
-	if _, notes, err := Ask(&f, holed, &holedSum, true); err != nil || len(notes) != 1 || !strings.Contains(notes[0], "for 20 s") {
+	if _, notes, err := Workload(&f, holed, &holedSum, true); err != nil || len(notes) != 1 || !strings.Contains(notes[0], "for 20 s") {
 		t.Fatalf("got %v, %v", notes, err)
 	}
 }
@@ -77,11 +77,11 @@
 		t.Errorf("got %v", err)
 	}
 	f.Shards = 4
-	if _, _, err := Ask(&f, c, &sum, true); err == nil || !strings.Contains(err.Error(), "the fleet holds 4") {
+	if _, _, err := Workload(&f, c, &sum, true); err == nil || !strings.Contains(err.Error(), "the fleet holds 4") {
 		t.Errorf("got %v", err)
 	}
 	f.Indexes[0].Name = "writes"
-	if _, _, err := Ask(&f, c, &sum, true); err == nil || !strings.Contains(err.Error(), "does not describe") {
+	if _, _, err := Workload(&f, c, &sum, true); err == nil || !strings.Contains(err.Error(), "does not describe") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/tools/validate/prove_test.go
+++ b/internal/tools/validate/prove_test.go
@@ -19,12 +19,12 @@
 	if measure {
 		seconds = 8
 	}
-	on := Measure()
-	for _, s := range Settings(1, 3, seconds) {
+	on := MeasureTimers()
+	for _, s := range Scenarios(1, 3, seconds) {
 		if !slices.Contains([]string{"low load", "drawn 1"}, s.Name) {
 			continue
 		}
-		r, err := Play(context.Background(), s, on, 1)
+		r, err := Run(context.Background(), s, on, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,11 +33,11 @@
 		t.Logf("\n%s", out.String())
 		for _, f := range r.Figures {
 			if measure && math.Abs(f.Error) > 0.15 {
-				t.Errorf("%s: %s is predicted as %.3g and happened as %.3g", s.Name, f.Name, f.Predicted, f.Happened)
+				t.Errorf("%s: %s is predicted as %.3g and happened as %.3g", s.Name, f.Name, f.Predicted, f.Measured)
 			}
 			// A busy machine is slower than predicted, never faster, and nothing goes without its answer.
-			if f.Name == "p50 ms" && !(f.Happened > 0.7*f.Predicted) || f.Name == "satisfied" && f.Predicted < 0.99 {
-				t.Errorf("%s: %s is predicted as %.3g and happened as %.3g", s.Name, f.Name, f.Predicted, f.Happened)
+			if f.Name == "p50 ms" && !(f.Measured > 0.7*f.Predicted) || f.Name == "satisfied" && f.Predicted < 0.99 {
+				t.Errorf("%s: %s is predicted as %.3g and happened as %.3g", s.Name, f.Name, f.Predicted, f.Measured)
 			}
 		}
 		if !strings.Contains(out.String(), "gain in time") {
@@ -48,7 +48,7 @@
 
 // The drawn settings are the seed's, and all that are played fit their fleets.
 func TestSettings(t *testing.T) {
-	one, two := Settings(8, 5, 1), Settings(8, 5, 1)
+	one, two := Scenarios(8, 5, 1), Scenarios(8, 5, 1)
 	if len(one) != 24 {
 		t.Fatalf("%d settings", len(one))
 	}
@@ -56,14 +56,14 @@
 		if err := s.Site.CheckLost(); err != nil {
 			t.Errorf("%s: %v", s.Name, err)
 		}
-		if err := s.Ask.Check(&s.Site); err != nil {
+		if err := s.Workload.Check(&s.Site); err != nil {
 			t.Errorf("%s: %v", s.Name, err)
 		}
-		if s.Ask.PerS != two[i].Ask.PerS || s.Blind != strings.HasPrefix(s.Name, "drawn") {
+		if s.Workload.PerS != two[i].Workload.PerS || s.Blind != strings.HasPrefix(s.Name, "drawn") {
 			t.Errorf("%s is not what its seed says", s.Name)
 		}
 	}
-	if other := Settings(8, 6, 1); other[20].Ask.PerS == one[20].Ask.PerS {
+	if other := Scenarios(8, 6, 1); other[20].Workload.PerS == one[20].Workload.PerS {
 		t.Error("another seed draws the same")
 	}
 }
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -21,107 +21,111 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Setting is one that is played.
-type Setting struct {
-	Name    string
-	Site    plan.Site
-	Ask     plan.Ask
-	Blind   bool // drawn by a seed that was never looked at while tuning
-	Seconds float64
+// Scenario is one that is played.
+type Scenario struct {
+	Name     string
+	Site     plan.Site
+	Workload plan.Workload
+	Blind    bool // drawn by a seed that was never looked at while tuning
+	Seconds  float64
 }
 
 // Figure is one that is predicted and happens.
 type Figure struct {
 	Name      string  `json:"Name"`
 	Predicted float64 `json:"Predicted"`
-	Happened  float64 `json:"Happened"`
+	Measured  float64 `json:"Happened"`
 	Error     float64 `json:"Error"` // of the prediction, against what happened
 }
 
 // Result is what came of a setting.
 type Result struct {
-	Setting string   `json:"Setting"`
-	Blind   bool     `json:"Blind"`
-	Figures []Figure `json:"Figures"`
-	Worst   float64  `json:"Worst"`
+	Scenario string   `json:"Setting"`
+	Blind    bool     `json:"Blind"`
+	Figures  []Figure `json:"Figures"`
+	Worst    float64  `json:"Worst"`
 }
 
-// loop is what loopback, the kernel's timers and the clients' side add to each way of a part call and of a query, seconds:
+// loopbackDelay is what loopback, the kernel's timers and the clients' side add to each way of a part call and of a query, seconds:
 // measured by one query at a time on an idle machine.
-const loop = 0.0002
+const loopbackDelay = 0.0002
 
-// sure is how many queries a prediction rests on: at high load a p99 of fewer differs from seed to seed by more than it is
+// predictionQueries is how many queries a prediction rests on: at high load a p99 of fewer differs from seed to seed by more than it is
 // held to.
-const sure = 12000
+const predictionQueries = 12000
 
-// evenly is the shape of the stand-ins' service times, from half to one and a half of their mean.
-var evenly = []float64{0.5, 1.5}
+// uniformShape is the shape of the stand-ins' service times, from half to one and a half of their mean.
+var uniformShape = []float64{0.5, 1.5}
 
-// Settings are the ones that are always played, and so many that a seed draws.
-func Settings(blind int, seed uint64, seconds float64) (list []Setting) {
-	base := func(name string) Setting {
-		f := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, Step: 0.005, Network: loop, MostTries: 3, Multiplex: 100,
-			Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Gain: 1, Late: 0.1, Work: 0.01, Shape: evenly, Goal: 0.99},
-				{Name: "orders", Effect: policy.OnceOnly, Soft: 0.5, Hard: 2, Gain: 3, Late: 0.1, Work: 0.01, Shape: evenly, Goal: 0.99}}}
+// Scenarios are the ones that are always played, and so many that a seed draws.
+func Scenarios(blind int, seed uint64, seconds float64) (list []Scenario) {
+	base := func(name string) Scenario {
+		f := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, Step: 0.005, Network: loopbackDelay, MaxAttempts: 3, Multiplex: 100,
+			Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99},
+				{Name: "orders", Effect: policy.OnceOnly, Soft: 0.5, Hard: 2, Value: 3, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99}}}
 		for i := range 6 {
 			f.Backends = append(f.Backends, plan.Backend{Name: fmt.Sprint("s-", i+1), Location: f.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
 		}
-		return Setting{Name: name, Site: f, Ask: plan.Ask{PerS: 100, Mix: []plan.Share{{Index: 0, Of: 0.9, Subqueries: 4}, {Index: 1, Of: 0.1, Subqueries: 2}}}, Seconds: seconds}
+		return Scenario{Name: name, Site: f, Workload: plan.Workload{PerS: 100, Mix: []plan.Share{{Index: 0, Fraction: 0.9, Subqueries: 4}, {Index: 1, Fraction: 0.1, Subqueries: 2}}}, Seconds: seconds}
 	}
-	add := func(name string, change func(*Setting)) {
+	add := func(name string, change func(*Scenario)) {
 		s := base(name)
 		change(&s)
 		list = append(list, s)
 	}
 	// Six backends of four cores and 10 ms a part bear 2,400 parts a second: some 630 queries of 3.8 parts.
-	add("low load", func(s *Setting) { s.Ask.PerS = 60 })
-	add("half load", func(s *Setting) { s.Ask.PerS = 310 })
-	add("high load", func(s *Setting) { s.Ask.PerS = 500 })
-	add("many parts", func(s *Setting) { s.Ask.PerS = 150; s.Ask.Mix[0].Subqueries = 10 })
-	add("popular shards", func(s *Setting) {
-		s.Ask.PerS = 250
-		s.Ask.Popular = make([]float64, 12)
-		for i := range s.Ask.Popular {
-			s.Ask.Popular[i] = 1 / float64(i+1)
+	add("low load", func(s *Scenario) { s.Workload.PerS = 60 })
+	add("half load", func(s *Scenario) { s.Workload.PerS = 310 })
+	add("high load", func(s *Scenario) { s.Workload.PerS = 500 })
+	add("many parts", func(s *Scenario) { s.Workload.PerS = 150; s.Workload.Mix[0].Subqueries = 10 })
+	add("popular shards", func(s *Scenario) {
+		s.Workload.PerS = 250
+		s.Workload.Popular = make([]float64, 12)
+		for i := range s.Workload.Popular {
+			s.Workload.Popular[i] = 1 / float64(i+1)
 		}
 	})
-	add("all twice as slow", func(s *Setting) { s.Site = s.Site.Slower(2); s.Ask.PerS = 200 })
-	add("once-only alone", func(s *Setting) { s.Ask.Mix = s.Ask.Mix[1:]; s.Ask.Mix[0].Of = 1; s.Ask.PerS = 400 })
-	add("a location lost", func(s *Setting) {
+	add("all twice as slow", func(s *Scenario) { s.Site = s.Site.Slower(2); s.Workload.PerS = 200 })
+	add("once-only alone", func(s *Scenario) {
+		s.Workload.Mix = s.Workload.Mix[1:]
+		s.Workload.Mix[0].Fraction = 1
+		s.Workload.PerS = 400
+	})
+	add("a location lost", func(s *Scenario) {
 		s.Site, _ = s.Site.Without("south")
-		s.Ask.PerS = 150
+		s.Workload.PerS = 150
 	})
-	add("high load, popular shards", func(s *Setting) {
-		s.Ask.PerS = 330
-		s.Ask.Popular = make([]float64, 12)
-		for i := range s.Ask.Popular {
-			s.Ask.Popular[i] = 1 / math.Sqrt(float64(i+1))
+	add("high load, popular shards", func(s *Scenario) {
+		s.Workload.PerS = 330
+		s.Workload.Popular = make([]float64, 12)
+		for i := range s.Workload.Popular {
+			s.Workload.Popular[i] = 1 / math.Sqrt(float64(i+1))
 		}
 	})
-	add("one part", func(s *Setting) {
-		s.Ask.PerS = 1200
-		s.Ask.Mix = s.Ask.Mix[:1]
-		s.Ask.Mix[0] = plan.Share{Index: 0, Of: 1, Subqueries: 1}
+	add("one part", func(s *Scenario) {
+		s.Workload.PerS = 1200
+		s.Workload.Mix = s.Workload.Mix[:1]
+		s.Workload.Mix[0] = plan.Share{Index: 0, Fraction: 1, Subqueries: 1}
 	})
-	add("every shard", func(s *Setting) {
-		s.Ask.PerS = 110
-		s.Ask.Mix = s.Ask.Mix[:1]
-		s.Ask.Mix[0] = plan.Share{Index: 0, Of: 1, Subqueries: 12}
+	add("every shard", func(s *Scenario) {
+		s.Workload.PerS = 110
+		s.Workload.Mix = s.Workload.Mix[:1]
+		s.Workload.Mix[0] = plan.Share{Index: 0, Fraction: 1, Subqueries: 12}
 	})
-	add("four mixers", func(s *Setting) { s.Ask.PerS = 400; s.Site.Aggregators = 4 })
-	add("a location lost under load", func(s *Setting) {
+	add("four mixers", func(s *Scenario) { s.Workload.PerS = 400; s.Site.Aggregators = 4 })
+	add("a location lost under load", func(s *Scenario) {
 		s.Site, _ = s.Site.Without("south")
-		s.Ask.PerS = 260
+		s.Workload.PerS = 260
 	})
-	add("a location lost with both copies", func(s *Setting) {
+	add("a location lost with both copies", func(s *Scenario) {
 		for i := range s.Site.Backends { // cells 0 to 2 stand in north: shards 0 and 1 have both copies there
 			s.Site.Backends[i].Location = s.Site.Locations[i/3]
 		}
 		s.Site, _ = s.Site.Without("north")
-		s.Ask.PerS = 60
+		s.Workload.PerS = 60
 	})
-	add("too much", func(s *Setting) { s.Ask.PerS = 850 })
-	add("too much, clients come back", func(s *Setting) { s.Ask.PerS = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
+	add("too much", func(s *Scenario) { s.Workload.PerS = 850 })
+	add("too much, clients come back", func(s *Scenario) { s.Workload.PerS = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
 	g := seed
 	unit := func() float64 { // splitmix64
 		g += 0x9e3779b97f4a7c15
@@ -140,24 +144,24 @@
 		for i := range s.Site.Backends {
 			s.Site.Backends[i].Cores = cores
 		}
-		s.Ask.Mix[0].Subqueries = parts
+		s.Workload.Mix[0].Subqueries = parts
 		each := 0.9*float64(parts) + 0.1*2
-		s.Ask.PerS = (0.1 + 0.7*unit()) * float64(6*cores) / work / each
+		s.Workload.PerS = (0.1 + 0.7*unit()) * float64(6*cores) / work / each
 		list = append(list, s)
 	}
 	return list
 }
 
-// Machine is what timers do on this machine, seconds.
-type Machine struct {
+// TimerOverrun is what timers do on this machine, seconds.
+type TimerOverrun struct {
 	Work float64 // by how much a sleep beside others overruns: stand-ins work by sleeping
 	Step float64 // by how much one alone does, as an aggregator's wait between two steps: an idle process rounds its waits up
 }
 
-// Measure times some sleeps, before anything is played: what it finds is no fit to what is predicted.
-func Measure() Machine { return Machine{overrun(8), overrun(1)} }
+// MeasureTimers times some sleeps, before anything is played: what it finds is no fit to what is predicted.
+func MeasureTimers() TimerOverrun { return TimerOverrun{meanSleepOverrun(8), meanSleepOverrun(1)} }
 
-func overrun(sleepers int) float64 {
+func meanSleepOverrun(sleepers int) float64 {
 	const times, long = 40, 5 * time.Millisecond
 	over := make(chan time.Duration, sleepers*times)
 	for range sleepers {
@@ -176,8 +180,8 @@
 	return sum / float64(sleepers*times)
 }
 
-// Play plays one setting, predicted and on sockets.
-func Play(ctx context.Context, s Setting, on Machine, seed uint64) (r Result, err error) {
+// Run plays one setting, predicted and on sockets.
+func Run(ctx context.Context, s Scenario, on TimerOverrun, seed uint64) (r Result, err error) {
 	if err := s.Site.CheckLost(); err != nil {
 		return r, err
 	}
@@ -187,12 +191,12 @@
 		known.Indexes[i].Work += on.Work * known.Backends[0].Speed
 	}
 	known.Step += on.Step
-	want := plan.Emulate(&known, &s.Ask, seed, sure)
-	got, err := happen(ctx, s)
+	want := plan.Emulate(&known, &s.Workload, seed, predictionQueries)
+	got, err := runOnSockets(ctx, s)
 	if err != nil {
 		return r, err
 	}
-	r = Result{Setting: s.Name, Blind: s.Blind}
+	r = Result{Scenario: s.Name, Blind: s.Blind}
 	add := func(name string, predicted, happened float64) {
 		e := 0.0
 		if happened != predicted {
@@ -203,18 +207,18 @@
 	}
 	answered := float64(got.Satisfied) / float64(max(1, got.Sent))
 	add("satisfied", 1-want.Nacked-want.Aborted, answered)
-	add("gain in time", want.Gain, got.Value)
+	add("gain in time", want.ValueShare, got.Value)
 	add("p50 ms", 1000*want.P50, float64(got.P50.Microseconds())/1000)
 	add("p99 ms", 1000*want.P99, float64(got.P99.Microseconds())/1000)
 	return r, nil
 }
 
-// happen plays a setting on sockets: real aggregators, stand-ins for the rest.
-func happen(ctx context.Context, s Setting) (t fakes.Tally, err error) {
+// runOnSockets plays a setting on sockets: real aggregators, stand-ins for the rest.
+func runOnSockets(ctx context.Context, s Scenario) (t fakes.Tally, err error) {
 	site := fakes.Site{Zones: s.Site.Locations, Cells: s.Site.Cells, Width: s.Site.Width, Shards: s.Site.Shards, Aggregators: s.Site.Aggregators}
 	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Fingerprinted: "by_key", policy.OnceOnly: "once"}
 	for _, x := range s.Site.Indexes {
-		site.Indexes = append(site.Indexes, fakes.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Value: x.Gain})
+		site.Indexes = append(site.Indexes, fakes.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Value: x.Value})
 	}
 	register, err := fakes.NewRegister()
 	if err != nil {
@@ -230,11 +234,11 @@
 		defer h.Kill()
 		register.Set(h.Entry("SERVING", true))
 	}
-	load := &fakes.Load{Site: site, PerS: s.Ask.PerS, Popular: s.Ask.Popular, Retries: s.Site.Retries, Backoff: time.Duration(s.Site.Backoff * float64(time.Second))}
-	for _, m := range s.Ask.Mix {
+	load := &fakes.Load{Site: site, PerS: s.Workload.PerS, Popular: s.Workload.Popular, Retries: s.Site.Retries, Backoff: time.Duration(s.Site.Backoff * float64(time.Second))}
+	for _, m := range s.Workload.Mix {
 		x := s.Site.Indexes[m.Index]
-		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Of, Subqueries: m.Subqueries, Deadline: time.Duration(x.Hard * float64(time.Second)),
-			Soft: time.Duration(x.Soft * float64(time.Second)), Value: x.Gain})
+		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Fraction, Subqueries: m.Subqueries, Deadline: time.Duration(x.Hard * float64(time.Second)),
+			Soft: time.Duration(x.Soft * float64(time.Second)), Value: x.Value})
 	}
 	for i := range s.Site.Aggregators {
 		address, err := fakes.FreeAddress()
@@ -273,7 +277,7 @@
 	fmt.Fprintln(w, "SETTING\tFIGURE\tPREDICTED\tHAPPENED\tERROR")
 	for _, r := range results {
 		for _, f := range r.Figures {
-			fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%+.1f%%\n", r.Setting, f.Name, f.Predicted, f.Happened, 100*f.Error)
+			fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%+.1f%%\n", r.Scenario, f.Name, f.Predicted, f.Measured, 100*f.Error)
 		}
 	}
 	w.Flush()
