--- a/internal/systemtest/checker/answers.go
+++ b/internal/systemtest/checker/answers.go
@@ -112,17 +112,17 @@
 // checkAbortedRequests looks for requests that a machine gave up while it was stopped in order.
 func (c *checker) checkAbortedRequests() {
 	const forceSlack = time.Second
-	for _, cut := range c.AbortedRequests {
-		if cut.At.Sub(cut.SentAt) <= c.Bounds.LossSlack {
+	for _, aborted := range c.AbortedRequests {
+		if aborted.At.Sub(aborted.SentAt) <= c.Bounds.LossSlack {
 			continue
 		}
 		stopped, unplanned := false, false
 		for _, fault := range c.Faults {
-			unplanned = unplanned || !fault.Planned && fault.overlaps(cut.SentAt.Add(-c.Bounds.Contact), cut.At)
-			stopped = stopped || fault.Planned && fault.Machine == cut.Machine && within(cut.At, fault.From, fault.From.Add(c.Bounds.Grace+forceSlack))
+			unplanned = unplanned || !fault.Planned && fault.overlaps(aborted.SentAt.Add(-c.Bounds.Contact), aborted.At)
+			stopped = stopped || fault.Planned && fault.Machine == aborted.Machine && within(aborted.At, fault.From, fault.From.Add(c.Bounds.Grace+forceSlack))
 		}
 		if stopped && !unplanned {
-			c.report(Lost, cut.Path, cut.At, cut.Machine+" closed the connection of a request that it had read")
+			c.report(Lost, aborted.Path, aborted.At, aborted.Machine+" closed the connection of a request that it had read")
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	if j.accepted.IsZero() || j.runsUntilCancelled() {
 		return
 	}
-	asked := c.SeenUntil
+	seenUntil := c.SeenUntil
 	last, answered := "", false
 	for i := range c.Requests {
 		request := &c.Requests[i]
@@ -147,11 +147,11 @@
 	}
 	switch {
 	case !answered:
-		c.report(Lost, j.id, asked, "no answer about an accepted job at the end")
+		c.report(Lost, j.id, seenUntil, "no answer about an accepted job at the end")
 	case last == "gone" && j.cancelSent.IsZero():
-		c.report(Lost, j.id, asked, "an accepted job is not known at the end")
+		c.report(Lost, j.id, seenUntil, "an accepted job is not known at the end")
 	case last == "queued", last == "running":
-		c.report(Lost, j.id, asked, "an accepted job has not ended: "+last)
+		c.report(Lost, j.id, seenUntil, "an accepted job has not ended: "+last)
 	}
 }
 
--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -117,9 +117,9 @@
 		if !change.valid {
 			c.report(Config, version(change), change.acknowledgedAt, "an invalid configuration was acknowledged")
 		}
-		for _, other := range c.changes[i+1:] {
-			if !other.acknowledgedAt.IsZero() && other.builtOn == change.builtOn {
-				c.report(Config, version(other), other.acknowledgedAt, "two changes on top of the same version were acknowledged")
+		for _, rival := range c.changes[i+1:] {
+			if !rival.acknowledgedAt.IsZero() && rival.builtOn == change.builtOn {
+				c.report(Config, version(rival), rival.acknowledgedAt, "two changes on top of the same version were acknowledged")
 			}
 		}
 	}
--- a/internal/systemtest/checker/faultwindows.go
+++ b/internal/systemtest/checker/faultwindows.go
@@ -8,8 +8,8 @@
 }
 
 // within tells whether a moment, if it is set, lies between two others, both included.
-func within(moment, from, to time.Time) bool {
-	return !moment.IsZero() && !moment.Before(from) && !moment.After(to)
+func within(instant, from, to time.Time) bool {
+	return !instant.IsZero() && !instant.Before(from) && !instant.After(to)
 }
 
 // inContact tells whether the rules that are bound by time hold for a machine at a moment.
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -23,8 +23,8 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// childVariable holds what a process of the system is started with.
-const childVariable = "PUFFINLINK_SYSTEMTEST_PART"
+// childSpecVariable holds what a process of the system is started with.
+const childSpecVariable = "PUFFINLINK_SYSTEMTEST_PART"
 
 // readyLine is written once a part listens.
 const readyLine = "ready"
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -75,8 +75,8 @@
 func (s *system) retryUntil(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
-	for try := random.IntN(len(s.fronts)); ; try++ {
-		answer := s.clientRequest(ctx, s.fronts[try%len(s.fronts)], method, path, body)
+	for attempt := random.IntN(len(s.fronts)); ; attempt++ {
+		answer := s.clientRequest(ctx, s.fronts[attempt%len(s.fronts)], method, path, body)
 		if serves(answer.Status) {
 			return answer, nil
 		}
--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -66,9 +66,9 @@
 		So(checkDeliveries([]delivery{put(2, one, 200), put(2, one, 412)}), ShouldHaveLength, 1)
 		So(checkDeliveries([]delivery{put(2, one, 412), put(2, one, 200)}), ShouldHaveLength, 1)
 		cancel := delivery{method: http.MethodDelete, path: "/-/jobs/1", status: 200}
-		again := cancel
-		again.status = 409
-		So(checkDeliveries([]delivery{cancel, again}), ShouldHaveLength, 1)
+		retried := cancel
+		retried.status = 409
+		So(checkDeliveries([]delivery{cancel, retried}), ShouldHaveLength, 1)
 	})
 	Convey("A number that is confirmed for two bodies is found, and two bodies on top of one version", t, func() {
 		So(checkDeliveries([]delivery{put(1, one, 200), put(2, other, 200)}), ShouldHaveLength, 1)
@@ -122,7 +122,7 @@
 		if one.method != http.MethodPut || one.status != http.StatusPreconditionFailed {
 			continue
 		}
-		if held, found := recorded[uint64(versionOf([]byte(one.body)))]; found && held.Sum == checksumOf(one.body) {
+		if applied, found := recorded[uint64(versionOf([]byte(one.body)))]; found && applied.Sum == checksumOf(one.body) {
 			broken = append(broken, fmt.Sprintf("refused, and in the history: %v", one))
 		}
 	}
@@ -141,7 +141,7 @@
 
 // checksumOf is the checksum under which the history names a body.
 func checksumOf(body string) (sum [16]byte) {
-	whole := sha256.Sum256([]byte(body))
-	copy(sum[:], whole[:])
+	full := sha256.Sum256([]byte(body))
+	copy(sum[:], full[:])
 	return sum
 }
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -60,12 +60,12 @@
 
 // probeJobs asks a node for the jobs that were accepted last, wherever that was.
 func (w *simulation) probeJobs(m *machine) {
-	asked := client{simulation: w, caller: endpoint{w.network, w.outside, 0}}
+	requester := client{simulation: w, caller: endpoint{w.network, w.outside, 0}}
 	for _, id := range w.checker.newestJobs(probedJobs) {
 		w.actors.Go(func() {
 			sent := time.Now()
 			var reply jobapi.StatusReply
-			if asked.callAt(m.address, jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply) == nil {
+			if requester.callAt(m.address, jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply) == nil {
 				w.checker.checkJobReply(m.address, "status after a freeze", sent, id, reply.Known, reply.State)
 			}
 		})
@@ -74,14 +74,14 @@
 
 // partition cuts the ways from a machine to others, to it from others, or both.
 func (w *simulation) partition(m *machine, others []*machine, out, in bool) (heal func()) {
-	set := func(cut bool) {
+	set := func(partitioned bool) {
 		w.network.update(func(n *network) {
 			for _, other := range others {
 				if other != m && out {
-					n.partitioned[link{m.address, other.address}] = cut
+					n.partitioned[link{m.address, other.address}] = partitioned
 				}
 				if other != m && in {
-					n.partitioned[link{other.address, m.address}] = cut
+					n.partitioned[link{other.address, m.address}] = partitioned
 				}
 			}
 		})
--- a/internal/systemtest/controlmodel/network_test.go
+++ b/internal/systemtest/controlmodel/network_test.go
@@ -161,8 +161,8 @@
 	case http.StatusOK:
 		return msgpack.Unmarshal(answer.Body.Bytes(), reply)
 	case http.StatusServiceUnavailable, http.StatusNotFound:
-		pause, _ := strconv.Atoi(answer.Header().Get(transport.RetryAfterHeader))
-		return rpcerror.WrapNotExecuted(errors.New(answer.Body.String()), time.Duration(pause)*time.Millisecond)
+		retryAfter, _ := strconv.Atoi(answer.Header().Get(transport.RetryAfterHeader))
+		return rpcerror.WrapNotExecuted(errors.New(answer.Body.String()), time.Duration(retryAfter)*time.Millisecond)
 	}
 	return rpcerror.WrapMayHaveExecuted(errors.New(answer.Body.String()))
 }
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -47,12 +47,12 @@
 	}
 }
 
-func killLeader(wipe bool) faultFunc {
-	return onLeader(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, wipe) })
+func killLeader(eraseDisk bool) faultFunc {
+	return onLeader(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, eraseDisk) })
 }
 
-func killFollower(wipe bool) faultFunc {
-	return onFollower(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, wipe) })
+func killFollower(eraseDisk bool) faultFunc {
+	return onFollower(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, eraseDisk) })
 }
 
 var freezeLeader = onLeader(func(ctx context.Context, s *system, m *machine) { s.pauseMachine(ctx, m, outageBeyondLease) })
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -78,9 +78,9 @@
 }
 
 // crashNamed kills a machine; only a core machine has a disk to lose, and a worker loses its life.
-func (s *system) crashNamed(ctx context.Context, name string, wipe bool) {
+func (s *system) crashNamed(ctx context.Context, name string, eraseDisk bool) {
 	if m := s.machineNamed(name); m != nil {
-		s.crashMachine(ctx, m, shortOutage, wipe && m.dataDirectory != "")
+		s.crashMachine(ctx, m, shortOutage, eraseDisk && m.dataDirectory != "")
 		return
 	}
 	for _, one := range s.workers {
@@ -132,8 +132,8 @@
 
 // await waits until a point has struck.
 func (p *injection) await(ctx context.Context) error {
-	const patience = 20 * time.Second
-	timer := time.NewTimer(patience)
+	const timeout = 20 * time.Second
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-p.fired:
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -105,13 +105,13 @@
 	m.freeze()
 	wake := time.Now().Add(pauseLength)
 	s.changeWhilePaused(ctx, wake)
-	var asked sync.WaitGroup
+	var command sync.WaitGroup
 	for _, doubt := range staleStateProbes {
-		asked.Go(func() { doubt(s, ctx, m, old[len(old)-1]) })
+		command.Go(func() { doubt(s, ctx, m, old[len(old)-1]) })
 	}
 	s.recordFailure(sleep(ctx, time.Until(wake)))
 	m.resume()
-	asked.Wait()
+	command.Wait()
 	for end := time.Now().Add(probeDuration); time.Now().Before(end); {
 		for _, doubt := range staleStateProbes {
 			doubt(s, ctx, m, old[len(old)-1])
@@ -165,9 +165,9 @@
 
 // probeRetriedChange sends a change that was taken once more.
 func (s *system) probeRetriedChange(ctx context.Context, m *machine, before checker.OperatorRequest) {
-	again := s.operatorRequest(ctx, m, http.MethodPut, before.BuiltOn, before.Body)
-	if isDefinite(again.Status) && again.Status != http.StatusOK {
-		s.recordFailure(fmt.Errorf("%s answers %d %s to a change that was taken before", m.name, again.Status, again.Answer))
+	retried := s.operatorRequest(ctx, m, http.MethodPut, before.BuiltOn, before.Body)
+	if isDefinite(retried.Status) && retried.Status != http.StatusOK {
+		s.recordFailure(fmt.Errorf("%s answers %d %s to a change that was taken before", m.name, retried.Status, retried.Answer))
 	}
 }
 
@@ -230,14 +230,14 @@
 	if !s.configured.set(ctx, 1, renderRoute, mailRoute, added) {
 		return errors.New("a change was not acknowledged")
 	}
-	var asked sync.WaitGroup
+	var command sync.WaitGroup
 	for range 3 {
-		asked.Go(func() { s.probeFront(ctx, front, added) })
+		command.Go(func() { s.probeFront(ctx, front, added) })
 	}
 	err := sleep(ctx, time.Until(wake))
 	front.signalRole(agentRole, syscall.SIGCONT)
 	s.faultEnded(front.name)
-	asked.Wait()
+	command.Wait()
 	for end := time.Now().Add(probeDuration); time.Now().Before(end); {
 		s.probeFront(ctx, front, added)
 	}
--- a/internal/systemtest/lossyrelay_test.go
+++ b/internal/systemtest/lossyrelay_test.go
@@ -86,9 +86,9 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	asked := delivery{machine: core.name, method: r.Method, path: r.URL.Path, ifMatch: r.Header.Get("If-Match"), body: string(body)}
-	l.duplicateLater(asked, core)
-	got := l.deliver(asked, core)
+	command := delivery{machine: core.name, method: r.Method, path: r.URL.Path, ifMatch: r.Header.Get("If-Match"), body: string(body)}
+	l.duplicateLater(command, core)
+	got := l.deliver(command, core)
 	if l.dropsReply(&got) {
 		panic(http.ErrAbortHandler)
 	}
@@ -98,20 +98,20 @@
 }
 
 // duplicateLater delivers an order's first request a second time, later.
-func (l *lossyRelays) duplicateLater(asked delivery, core *machine) {
+func (l *lossyRelays) duplicateLater(command delivery, core *machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if asked.method == http.MethodGet || l.stateOf(asked).duplicated {
+	if command.method == http.MethodGet || l.stateOf(command).duplicated {
 		return
 	}
-	l.stateOf(asked).duplicated = true
+	l.stateOf(command).duplicated = true
 	delay := firstDuplicateDelay + time.Duration(l.duplicated%duplicateDelaySteps)*duplicateDelayStep
 	l.duplicated++
-	asked.duplicate = true
+	command.duplicate = true
 	l.duplicates.Add(1)
 	time.AfterFunc(delay, func() {
 		defer l.duplicates.Done()
-		l.record(l.deliver(asked, core))
+		l.record(l.deliver(command, core))
 	})
 }
 
@@ -124,27 +124,27 @@
 }
 
 // deliver sends an attempt to its machine and returns it with the answer.
-func (l *lossyRelays) deliver(asked delivery, core *machine) (answered delivery) {
+func (l *lossyRelays) deliver(command delivery, core *machine) (answered delivery) {
 	ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 	defer cancel()
-	asked.sentAt = time.Now()
+	command.sentAt = time.Now()
 	defer func() { answered.answeredAt = time.Now() }()
-	request, err := http.NewRequestWithContext(ctx, asked.method, "http://"+core.address(controlOffset)+asked.path, bytes.NewReader([]byte(asked.body)))
+	request, err := http.NewRequestWithContext(ctx, command.method, "http://"+core.address(controlOffset)+command.path, bytes.NewReader([]byte(command.body)))
 	if err != nil {
-		return asked
+		return command
 	}
-	if asked.ifMatch != "" {
-		request.Header.Set("If-Match", asked.ifMatch)
+	if command.ifMatch != "" {
+		request.Header.Set("If-Match", command.ifMatch)
 	}
 	response, err := l.client.Do(request)
 	if err != nil {
-		return asked
+		return command
 	}
 	defer response.Body.Close()
 	if content, err := io.ReadAll(response.Body); err == nil {
-		asked.status, asked.answer = response.StatusCode, string(content)
+		command.status, command.answer = response.StatusCode, string(content)
 	}
-	return asked
+	return command
 }
 
 // dropsReply notes an attempt and tells whether its answer is thrown away.
@@ -175,30 +175,30 @@
 
 // sendUntilClear sends an order through the relay before one core machine after the other until an answer is clear and arrives. It
 // returns the status, 0 where none was clear, and how many tries that took.
-func (l *lossyRelays) sendUntilClear(ctx context.Context, s *system, first int, asked delivery) (status int, answer []byte, tries int) {
+func (l *lossyRelays) sendUntilClear(ctx context.Context, s *system, first int, command delivery) (status int, answer []byte, attempts int) {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		server := l.servers[(first+tries)%len(l.servers)]
-		tries++
-		status, answer = s.sendCommandOnce(ctx, server.URL, asked)
+		server := l.servers[(first+attempts)%len(l.servers)]
+		attempts++
+		status, answer = s.sendCommandOnce(ctx, server.URL, command)
 		if isDefinite(status) {
-			return status, answer, tries
+			return status, answer, attempts
 		}
 		sleep(ctx, retryInterval)
 	}
-	return 0, nil, tries
+	return 0, nil, attempts
 }
 
 // sendCommandOnce makes one try of an order, with an operator's patience.
-func (s *system) sendCommandOnce(ctx context.Context, server string, asked delivery) (status int, answer []byte) {
+func (s *system) sendCommandOnce(ctx context.Context, server string, command delivery) (status int, answer []byte) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	header := http.Header{}
-	if asked.ifMatch != "" {
-		header.Set("If-Match", asked.ifMatch)
+	if command.ifMatch != "" {
+		header.Set("If-Match", command.ifMatch)
 	}
-	return s.sendWith(ctx, header, asked.method, server+asked.path, []byte(asked.body))
+	return s.sendWith(ctx, header, command.method, server+command.path, []byte(command.body))
 }
 
 // putCommand is the order to replace a version by a body.
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -175,7 +175,7 @@
 	m.system.faultEnded(m.name)
 }
 
-// cut closes the ways between machines, both ways or only from the first to the others.
+// partitioned closes the ways between machines, both ways or only from the first to the others.
 func (s *system) partition(from *machine, others []*machine, bothWays bool) {
 	s.setPartitions(from, others, bothWays, true)
 	for _, other := range append([]*machine{from}, others...) {
@@ -190,11 +190,11 @@
 	}
 }
 
-func (s *system) setPartitions(from *machine, others []*machine, bothWays, cut bool) {
+func (s *system) setPartitions(from *machine, others []*machine, bothWays, partitioned bool) {
 	for _, other := range others {
-		s.network.setPartition(from.name, other.name, cut)
+		s.network.setPartition(from.name, other.name, partitioned)
 		if bothWays {
-			s.network.setPartition(other.name, from.name, cut)
+			s.network.setPartition(other.name, from.name, partitioned)
 		}
 	}
 }
--- a/internal/systemtest/machinefaults_test.go
+++ b/internal/systemtest/machinefaults_test.go
@@ -24,24 +24,24 @@
 }
 
 // crashMachine kills a machine at once and brings it back after a while, perhaps with an empty disk.
-func (s *system) crashMachine(ctx context.Context, m *machine, away time.Duration, wipe bool) {
+func (s *system) crashMachine(ctx context.Context, m *machine, outage time.Duration, eraseDisk bool) {
 	if m == nil || !m.reserve() {
 		return
 	}
 	m.kill()
-	if wipe {
+	if eraseDisk {
 		s.recordFailure(m.eraseDisk())
 	}
 	s.recoveries.Go(func() {
 		defer m.release()
-		if sleep(ctx, away) == nil {
+		if sleep(ctx, outage) == nil {
 			s.recordFailure(m.restart(false))
 		}
 	})
 }
 
 // crashProcess kills one process of a machine at once and brings it back after a while.
-func (s *system) crashProcess(ctx context.Context, m *machine, of role, away time.Duration) {
+func (s *system) crashProcess(ctx context.Context, m *machine, of role, outage time.Duration) {
 	if !m.reserve() {
 		return
 	}
@@ -52,7 +52,7 @@
 		m.endProcess(p, syscall.SIGKILL)
 		s.recoveries.Go(func() {
 			defer m.release()
-			if sleep(ctx, away) == nil {
+			if sleep(ctx, outage) == nil {
 				m.nextIncarnation()
 				s.recordFailure(m.start(p))
 				s.faultEnded(m.name)
@@ -81,20 +81,20 @@
 }
 
 // pauseMachine freezes a machine and wakes it after a while.
-func (s *system) pauseMachine(ctx context.Context, m *machine, away time.Duration) {
+func (s *system) pauseMachine(ctx context.Context, m *machine, outage time.Duration) {
 	if m == nil || !m.reserve() {
 		return
 	}
 	m.freeze()
 	s.recoveries.Go(func() {
 		defer m.release()
-		sleep(ctx, away)
+		sleep(ctx, outage)
 		m.resume()
 	})
 }
 
 // partitionFor cuts a machine off from the other core machines for a while. Workers, platform and operators still reach it.
-func (s *system) partitionFor(ctx context.Context, m *machine, away time.Duration, bothWays bool) {
+func (s *system) partitionFor(ctx context.Context, m *machine, outage time.Duration, bothWays bool) {
 	if m == nil || !m.reserve() {
 		return
 	}
@@ -107,7 +107,7 @@
 	s.partition(m, others, bothWays)
 	s.recoveries.Go(func() {
 		defer m.release()
-		sleep(ctx, away)
+		sleep(ctx, outage)
 		s.heal(m, others, bothWays)
 	})
 }
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -100,10 +100,10 @@
 }
 
 // setPartition opens or closes the way from one machine to another.
-func (n *network) setPartition(from, to string, cut bool) {
+func (n *network) setPartition(from, to string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned[link{from, to}] = cut
+	n.partitioned[link{from, to}] = partitioned
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
@@ -122,9 +122,9 @@
 	}
 	for {
 		n.mu.Lock()
-		cut, changed := n.partitioned[link{from, to}], n.changed
+		partitioned, changed := n.partitioned[link{from, to}], n.changed
 		n.mu.Unlock()
-		if !cut {
+		if !partitioned {
 			return ctx.Err()
 		}
 		select {
--- a/internal/systemtest/operators_test.go
+++ b/internal/systemtest/operators_test.go
@@ -112,8 +112,8 @@
 	ctx, cancel := context.WithTimeout(ctx, operatorRetryTimeout)
 	defer cancel()
 	wait := retryInterval
-	for try := first; ; try++ {
-		answer := s.operatorRequest(ctx, s.core[try%len(s.core)], http.MethodPut, builtOn, body)
+	for attempt := first; ; attempt++ {
+		answer := s.operatorRequest(ctx, s.core[attempt%len(s.core)], http.MethodPut, builtOn, body)
 		if isDefinite(answer.Status) {
 			return answer.Status
 		}
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), childVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
+	command.Env = append(os.Environ(), childSpecVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
 	return command, nil
 }
 
@@ -142,8 +142,8 @@
 	defer p.mu.Unlock()
 	log, err := os.ReadFile(p.log.Name())
 	if err == nil {
-		for _, mark := range []string{"WARNING: DATA RACE", "panic:", "part failed:"} {
-			if at := strings.Index(string(log), mark); at >= 0 {
+		for _, marker := range []string{"WARNING: DATA RACE", "panic:", "part failed:"} {
+			if at := strings.Index(string(log), marker); at >= 0 {
 				err = errors.Join(err, fmt.Errorf("%s: %s", p.name, string(log[at:min(at+3000, len(log))])))
 			}
 		}
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -101,18 +101,18 @@
 }
 
 // recordLease takes in a grant, and notes a lapse between it and the one before.
-func (r *recorder) recordLease(life string, validUntil, clock int64, now time.Time) {
-	until := r.leaseUntil[life]
+func (r *recorder) recordLease(incarnation string, validUntil, clock int64, now time.Time) {
+	until := r.leaseUntil[incarnation]
 	if !until.IsZero() && now.After(until) {
-		r.leaseExpiries = append(r.leaseExpiries, checker.LeaseExpiry{Worker: life, At: until})
-		delete(r.leaseUntil, life)
+		r.leaseExpiries = append(r.leaseExpiries, checker.LeaseExpiry{Worker: incarnation, At: until})
+		delete(r.leaseUntil, incarnation)
 	}
 	if validUntil <= clock {
 		return
 	}
-	left := min(time.Duration(validUntil-clock)*time.Millisecond, maxLease)
-	if granted := now.Add(left); granted.After(r.leaseUntil[life]) {
-		r.leaseUntil[life] = granted
+	remaining := min(time.Duration(validUntil-clock)*time.Millisecond, maxLease)
+	if granted := now.Add(remaining); granted.After(r.leaseUntil[incarnation]) {
+		r.leaseUntil[incarnation] = granted
 	}
 }
 
@@ -129,14 +129,14 @@
 	}
 }
 
-func (r *recorder) recordTasks(life string, a workerReply) {
+func (r *recorder) recordTasks(incarnation string, a workerReply) {
 	const task, execution, how, saved = 0, 1, 2, 3 // columns
 	for _, entry := range a.Running {
 		r.checkpoints[checker.Checkpoint{Task: textOf(entry[task]), Text: textOf(entry[how])}] = true
 	}
 	for _, entry := range a.Finished {
 		number, row := numberOf(entry[0]), entry[1:]
-		r.completions[completionKey{life, number}] = attemptKey{life, textOf(row[task]), numberOf(row[execution])}
+		r.completions[completionKey{incarnation, number}] = attemptKey{incarnation, textOf(row[task]), numberOf(row[execution])}
 		r.checkpoints[checker.Checkpoint{Task: textOf(row[task]), Text: textOf(row[saved])}] = true
 	}
 }
@@ -198,9 +198,9 @@
 		}
 		h.Attempts = append(h.Attempts, run)
 	}
-	for life, until := range r.leaseUntil {
+	for incarnation, until := range r.leaseUntil {
 		if until.Before(h.SeenUntil) {
-			r.leaseExpiries = append(r.leaseExpiries, checker.LeaseExpiry{Worker: life, At: until})
+			r.leaseExpiries = append(r.leaseExpiries, checker.LeaseExpiry{Worker: incarnation, At: until})
 		}
 	}
 	for checkpoint := range r.checkpoints {
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -161,9 +161,9 @@
 }
 
 // sendThroughRelays sends an order through the relays until an answer is clear, and counts it if a confirmation was lost before.
-func (a *retriedCommandsTest) sendThroughRelays(ctx context.Context, first int, asked delivery) int {
-	status, _, tries := a.relays.sendUntilClear(ctx, a.system, first, asked)
-	if status == http.StatusOK && tries > 1 {
+func (a *retriedCommandsTest) sendThroughRelays(ctx context.Context, first int, command delivery) int {
+	status, _, attempts := a.relays.sendUntilClear(ctx, a.system, first, command)
+	if status == http.StatusOK && attempts > 1 {
 		a.mu.Lock()
 		a.retriedAfterLoss++
 		a.mu.Unlock()
@@ -207,10 +207,10 @@
 		}
 	}
 	var failures []error
-	for _, asked := range orders {
+	for _, command := range orders {
 		for _, core := range a.core {
-			asked.machine = core.name
-			if got := a.deliverUntilClear(ctx, core, asked); !isDefinite(got.status) {
+			command.machine = core.name
+			if got := a.deliverUntilClear(ctx, core, command); !isDefinite(got.status) {
 				failures = append(failures, fmt.Errorf("no clear answer at the end: %v", got))
 			}
 		}
@@ -219,11 +219,11 @@
 }
 
 // deliverUntilClear sends a request to one core machine until its answer is clear, and notes each answer.
-func (a *retriedCommandsTest) deliverUntilClear(ctx context.Context, core *machine, asked delivery) delivery {
+func (a *retriedCommandsTest) deliverUntilClear(ctx context.Context, core *machine, command delivery) delivery {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for {
-		got := a.relays.deliver(asked, core)
+		got := a.relays.deliver(command, core)
 		a.relays.record(got)
 		if isDefinite(got.status) || sleep(ctx, retryInterval) != nil {
 			return got
@@ -286,7 +286,7 @@
 // the last record of another one may be of a change that did not come to be.
 func (a *retriedCommandsTest) checkDisks() (broken []string) {
 	attempts := a.relays.allDeliveries()
-	var whole []configuration.State
+	var complete []configuration.State
 	states := make([]configuration.State, len(a.core))
 	for i, core := range a.core {
 		var err error
@@ -294,16 +294,16 @@
 			return append(broken, fmt.Sprintf("%s: %v", core.name, err))
 		}
 		if found := checkAppliedHistory(states[i], attempts); len(found) == 0 {
-			whole = append(whole, states[i])
+			complete = append(complete, states[i])
 		} else {
 			broken = append(broken, fmt.Sprintf("%s: %v", core.name, found))
 		}
 	}
-	if len(whole) <= len(a.core)/2 {
+	if len(complete) <= len(a.core)/2 {
 		return broken
 	}
 	for i, state := range states {
-		if known := max(len(state.Applied)-1, 0); known > len(whole[0].Applied) || !slices.Equal(state.Applied[:known], whole[0].Applied[:known]) {
+		if known := max(len(state.Applied)-1, 0); known > len(complete[0].Applied) || !slices.Equal(state.Applied[:known], complete[0].Applied[:known]) {
 			return append(broken, fmt.Sprintf("%s holds another history than a majority", a.core[i].name))
 		}
 	}
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -68,14 +68,14 @@
 	began := time.Now()
 	func() {
 		defer s.stop()
-		result.accepted = sc.runFaults(ctx, s)
+		result.accepted = sc.runWithLoad(ctx, s)
 	}()
 	result.took = time.Since(began).Round(time.Millisecond)
 	return s.checked(result)
 }
 
 // play runs the system with its load and faults, and returns how many jobs were accepted.
-func (sc scenario) runFaults(ctx context.Context, s *system) int {
+func (sc scenario) runWithLoad(ctx context.Context, s *system) int {
 	random := rand.New(rand.NewPCG(sc.seed, 1))
 	if err := s.bringUp(ctx); err != nil {
 		s.recordFailure(err)
@@ -242,8 +242,8 @@
 
 // scenarioFolder is where a scenario's logs stay when it fails; the test's own folder goes with the test.
 func scenarioFolder(t *testing.T, name string) string {
-	if kept := os.Getenv("PUFFINLINK_SYSTEMTEST_KEEP"); kept != "" {
-		folder := filepath.Join(kept, name)
+	if keepFolder := os.Getenv("PUFFINLINK_SYSTEMTEST_KEEP"); keepFolder != "" {
+		folder := filepath.Join(keepFolder, name)
 		os.RemoveAll(folder)
 		if err := os.MkdirAll(folder, 0o755); err != nil {
 			t.Fatal(err)
--- a/internal/systemtest/scenarios_test.go
+++ b/internal/systemtest/scenarios_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	concurrentSystems = 3 // systems that run side by side
-	allVariable       = "PUFFINLINK_SYSTEMTEST_ALL"
-	seedVariable      = "PUFFINLINK_SYSTEMTEST_SEED"
-	onlyVariable      = "PUFFINLINK_SYSTEMTEST_ONLY"
-	pairCount         = 60
+	maxConcurrentSystems = 3 // systems that run side by side
+	allVariable          = "PUFFINLINK_SYSTEMTEST_ALL"
+	seedVariable         = "PUFFINLINK_SYSTEMTEST_SEED"
+	onlyVariable         = "PUFFINLINK_SYSTEMTEST_ONLY"
+	pairCount            = 60
 )
 
 // selectedScenarios are the scenarios that the environment asks for.
@@ -38,7 +38,7 @@
 
 func TestScenarios(t *testing.T) {
 	scenarios := selectedScenarios()
-	places := make(chan struct{}, concurrentSystems)
+	places := make(chan struct{}, maxConcurrentSystems)
 	outcomes := make([]chan outcome, len(scenarios))
 	for i, sc := range scenarios {
 		outcomes[i] = make(chan outcome, 1)
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -283,8 +283,8 @@
 	for _, m := range s.core {
 		h.Core = append(h.Core, m.name)
 	}
-	for _, life := range s.workerIncarnations {
-		h.Workers = append(h.Workers, life)
+	for _, incarnation := range s.workerIncarnations {
+		h.Workers = append(h.Workers, incarnation)
 	}
 	s.recorder.fill(&h, s.cluster.Runs())
 	return h
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -86,9 +86,9 @@
 }
 
 // crashIncarnation ends the life of a worker if it goes on still.
-func (s *system) crashIncarnation(life string) {
+func (s *system) crashIncarnation(incarnation string) {
 	for _, one := range s.workers {
-		if one.ID() == life {
+		if one.ID() == incarnation {
 			s.crash(one)
 		}
 	}
--- a/internal/tools/fleettest/brokencopies_test.go
+++ b/internal/tools/fleettest/brokencopies_test.go
@@ -36,7 +36,7 @@
 		w.Partition(alone.index)
 		version, err := w.Leader().Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"b"}}})
 		w.must(err)
-		w.Await("told", func() bool { held, _ := w.Leader().ContractApplied(version, "cato"); return held })
+		w.Await("told", func() bool { applied, _ := w.Leader().ContractApplied(version, "cato"); return applied })
 		w.Checker.RequireZones("cato", "b")
 		time.Sleep(time.Second)
 		stop()
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -36,7 +36,7 @@
 		}
 		return err == nil
 	})
-	w.Await("it holds", func() bool { held, _ := w.Aggregators[3].ContractApplied(version, "cato"); return held })
+	w.Await("it holds", func() bool { applied, _ := w.Aggregators[3].ContractApplied(version, "cato"); return applied })
 	w.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(2 * time.Second)
 	w.Await("tenants are served at every mixer", func() bool {
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -57,7 +57,7 @@
 }
 
 // ContractApplied asks through one aggregator how a version stands.
-func (m *Aggregator) ContractApplied(version uint64, tenant string) (held bool, states map[string]string) {
+func (m *Aggregator) ContractApplied(version uint64, tenant string) (applied bool, states map[string]string) {
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
 	defer cancel()
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -60,10 +60,10 @@
 		if shown = w.Aggregators[2].FleetStatus(); shown == nil {
 			return nil, nil, false
 		}
-		var sick []outlier.Backend
+		var unhealthy []outlier.Backend
 		for _, r := range reportsIn(shown) {
 			if r.Origin == "m3" {
-				sick = r.Bad
+				unhealthy = r.Bad
 				continue
 			}
 			for _, name := range r.Bad {
@@ -73,7 +73,7 @@
 				called[string(r.Origin)] = time.Now()
 			}
 		}
-		for _, name := range sick {
+		for _, name := range unhealthy {
 			if time.Since(othersBlamed[name]).Seconds() > outlier.VerdictSeconds {
 				alone = append(alone, name)
 			}
--- a/internal/tools/fleettest/scenarios_test.go
+++ b/internal/tools/fleettest/scenarios_test.go
@@ -72,11 +72,11 @@
 			stop := w.loadAllTenants()
 			began := time.Now()
 			w.awaitFullUse("the whole quota is used")
-			cut := time.Now()
+			partitionedAt := time.Now()
 			w.Partition(alone.index)
 			w.Await("it hears nothing", func() bool { s := alone.FleetStatus(); return s != nil && s["hears_nothing"] == true })
-			isolated := time.Since(cut)
-			time.Sleep(time.Until(cut.Add(leaseAndSlack)))
+			isolated := time.Since(partitionedAt)
+			time.Sleep(time.Until(partitionedAt.Add(leaseAndSlack)))
 			from := time.Now()
 			time.Sleep(5 * time.Second)
 			to := time.Now()
@@ -91,7 +91,7 @@
 			if n := w.Checker.StatusCounts("cato", alone.Name, from); n[200] > 0 || n[429] == 0 {
 				t.Errorf("a strict tenant where contracts are not sure: %v", n)
 			}
-			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, cut), w.Checker.P99(OrdersTenant, cut, to))
+			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, to))
 			w.Partition()
 			healed := time.Now()
 			w.awaitFullUse("the whole quota is used again")
@@ -171,7 +171,7 @@
 		}
 		return requested, version
 	}
-	held := func(version uint64) (states map[string]string) {
+	awaitApplied := func(version uint64) (states map[string]string) {
 		w.Await("it is told as held", func() bool {
 			is := false
 			is, states = w.Aggregators[0].ContractApplied(version, "cato")
@@ -180,7 +180,7 @@
 		return states
 	}
 	accepted, version := narrow("a", "b")
-	held(version)
+	awaitApplied(version)
 	t.Logf("held everywhere %.2f s after it was given", time.Since(accepted).Seconds())
 	w.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(time.Second)
@@ -189,11 +189,11 @@
 	if w.awaitGranter() == alone {
 		alone = w.Aggregators[1]
 	}
-	began, cut := accepted, time.Now()
+	began, partitionedAt := accepted, time.Now()
 	w.Partition(alone.index)
 	accepted, version = narrow("b")
 	w.Checker.RequireZonesFrom(accepted.Add(leaseAndSlack), "cato", "b")
-	states := held(version)
+	states := awaitApplied(version)
 	notified := time.Now()
 	t.Logf("with %s cut off told as held %.2f s after it was given: %v", alone.Name, notified.Sub(accepted).Seconds(), states)
 	if notified.Sub(accepted) > leaseAndSlack {
@@ -204,7 +204,7 @@
 	}
 	w.Checker.RequireZones("cato", "b")
 	time.Sleep(time.Second)
-	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, cut), w.Checker.P99(OrdersTenant, cut, time.Now()))
+	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
 	w.Partition()
 	w.Await("it is served at the mixer that was cut off, by the new contract", func() bool { status, _ := w.Query(alone, "cato", "reads", 0, 1); return status == 200 })
 
@@ -249,7 +249,7 @@
 	w.awaitGranter()
 	stop := w.Load(2*perS, "acme", "reads", w.RoundRobin)
 	calm := w.Load(40, OrdersTenant, "orders", w.RoundRobin)
-	settled := time.Now()
+	measuredFrom := time.Now()
 	w.awaitFullUse("the whole quota is used")
 	quiet := time.Now()
 	w.SetLinkFaults(Fault{Drop: 0.2, Duplicate: 0.1, Jitter: 30 * time.Millisecond}, func(int, int) bool { return true })
@@ -271,7 +271,7 @@
 	p99 := func(a, b time.Time) time.Duration {
 		return w.Checker.P99(OrdersTenant, a, b).Round(100 * time.Microsecond)
 	}
-	t.Logf("with a fifth lost %.1f of %.0f a second are used; p99 of others %s without, %s with loss, %s with 2 s of delay", used, perS, p99(settled, quiet), p99(from, lossy), p99(lossy, to))
+	t.Logf("with a fifth lost %.1f of %.0f a second are used; p99 of others %s without, %s with loss, %s with 2 s of delay", used, perS, p99(measuredFrom, quiet), p99(from, lossy), p99(lossy, to))
 	if used < 0.6*perS {
 		t.Errorf("with a fifth of the letters lost %.1f a second are used of %.0f", used, perS)
 	}
