--- a/internal/systemtest/checker/activeconfiguration.go
+++ b/internal/systemtest/checker/activeconfiguration.go
@@ -27,7 +27,7 @@
 	return unclear
 }
 
-// explains tells whether a configuration lets a request be handled as it was.
+// explains reports whether a configuration lets a request be handled as it was.
 func (c *configuration) explains(request *Request, seen routePresence) bool {
 	_, found := c.match(request.Host, request.Path)
 	return found == (seen == hasRoute)
@@ -58,7 +58,7 @@
 	}
 }
 
-// incarnation is one life of a machine's processes.
+// incarnation names one start of a machine's processes.
 type incarnation struct {
 	machine string
 	number  int
--- a/internal/systemtest/checker/answers.go
+++ b/internal/systemtest/checker/answers.go
@@ -48,7 +48,7 @@
 	case "queued", "running":
 	case "completed":
 		if missing := c.firstUnfinishedStage(j, request.AnsweredAt); missing != "" {
-			c.report(InconsistentState, j.id, request.AnsweredAt, "shown as completed, but no run of "+missing+" has ended done")
+			c.report(InconsistentState, j.id, request.AnsweredAt, "shown as completed, but no attempt of "+missing+" has ended done")
 		}
 	case "failed":
 		if !c.attemptsExhausted(j, request.AnsweredAt) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// firstUnfinishedStage names a step that is not done; empty when all are.
+// firstUnfinishedStage names a stage that is not done; empty when all are.
 func (c *checker) firstUnfinishedStage(j *jobRecord, by time.Time) string {
 	for repetition := range j.spec.repetitions() {
 		for number := range j.spec.Stages {
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// attemptsExhausted tells whether a task, or all members of a gang together, have failed as often as they may.
+// attemptsExhausted reports whether a task, or all members of a gang together, have failed as often as they may.
 func (c *checker) attemptsExhausted(j *jobRecord, by time.Time) bool {
 	least, _ := c.attemptLimits(j)
 	for repetition := range j.spec.repetitions() {
@@ -109,7 +109,7 @@
 	return executions
 }
 
-// checkAbortedRequests looks for requests that a machine gave up while it was stopped in order.
+// checkAbortedRequests looks for requests that a machine gave up during a graceful shutdown.
 func (c *checker) checkAbortedRequests() {
 	const forceSlack = time.Second
 	for _, aborted := range c.AbortedRequests {
@@ -155,7 +155,7 @@
 	}
 }
 
-// runsUntilCancelled tells whether a job runs until it is cancelled, and nobody has.
+// runsUntilCancelled reports whether a job runs until it is cancelled, and nobody has.
 func (j *jobRecord) runsUntilCancelled() bool {
 	if !j.cancelSent.IsZero() {
 		return false
--- a/internal/systemtest/checker/attempts.go
+++ b/internal/systemtest/checker/attempts.go
@@ -25,7 +25,7 @@
 	return true
 }
 
-// ownCheckpoint tells whether a worker has listed the checkpoint for the task, or for any member of its gang.
+// ownCheckpoint reports whether a worker has listed the checkpoint for the task, or for any member of its gang.
 func (c *checker) ownCheckpoint(r *attemptRecord) bool {
 	for _, checkpoint := range c.Checkpoints {
 		of, ok := parseTask(checkpoint.Task)
@@ -84,11 +84,11 @@
 		if other.StartedAt.Equal(r.StartedAt) && other.Number > r.Number {
 			continue // counted from the other side
 		}
-		c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("run %d starts at %s while run %d is there at %s", r.Number, r.Worker, other.Number, other.Worker))
+		c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("attempt %d starts at %s while attempt %d is there at %s", r.Number, r.Worker, other.Number, other.Worker))
 	}
 }
 
-// acknowledged tells whether an end was taken note of before the worker's hold lapsed.
+// acknowledged reports whether a completion was acknowledged before the worker's lease expired.
 func (c *checker) acknowledged(r *attemptRecord) bool {
 	if r.AcknowledgedAt.IsZero() {
 		return false
@@ -110,7 +110,7 @@
 			continue
 		}
 		if !r.stage.AtLeastOnce || bound && other.AcknowledgedAt.Before(late) {
-			c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("run %d starts after run %d has ended done", r.Number, other.Number))
+			c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("attempt %d starts after attempt %d has ended done", r.Number, other.Number))
 		}
 	}
 	if !r.job.completed.IsZero() && r.job.completed.Before(late) && bound {
@@ -118,11 +118,11 @@
 	}
 }
 
-// checkStageOrder checks that earlier steps were done and the time has come.
+// checkStageOrder checks that earlier stages were done and the time has come.
 func (c *checker) checkStageOrder(r *attemptRecord) {
 	for _, earlierStage := range r.stage.DependsOn {
 		if earlierStage >= 0 && earlierStage < len(r.job.spec.Stages) && !c.stageDone(r.job, r.task.repetition, earlierStage, r.StartedAt) {
-			c.report(StageOrder, r.Task, r.StartedAt, fmt.Sprintf("starts before step %d is done", earlierStage))
+			c.report(StageOrder, r.Task, r.StartedAt, fmt.Sprintf("starts before stage %d is done", earlierStage))
 		}
 	}
 	due := r.job.spec.due(r.task.repetition)
@@ -131,7 +131,7 @@
 	}
 }
 
-// stageDone tells whether every task of a step had ended done by a moment.
+// stageDone reports whether every task of a stage had ended done by a moment.
 func (c *checker) stageDone(j *jobRecord, repetition, number int, by time.Time) bool {
 	for index := range j.spec.Stages[number].Count {
 		done := c.taskDone(task{j.id, repetition, number, index}, by)
@@ -160,15 +160,15 @@
 	}
 	for _, label := range r.stage.labels() {
 		if !slices.Contains(worker.Labels, label) {
-			c.report(Placement, r.Task, r.StartedAt, "searcher "+worker.ID+" lacks label "+label)
+			c.report(Placement, r.Task, r.StartedAt, "worker "+worker.ID+" lacks label "+label)
 		}
 	}
 	if r.stage.AntiAffinity > 0 && c.otherTasksOfStage(r)+1 > r.stage.AntiAffinity {
-		c.report(Placement, r.Task, r.StartedAt, fmt.Sprintf("more than %d tasks of the step at %s", r.stage.AntiAffinity, worker.ID))
+		c.report(Placement, r.Task, r.StartedAt, fmt.Sprintf("more than %d tasks of the stage at %s", r.stage.AntiAffinity, worker.ID))
 	}
 }
 
-// otherTasksOfStage counts the step's other tasks at the worker when a run started.
+// otherTasksOfStage counts the stage's other tasks at the worker when an attempt started.
 func (c *checker) otherTasksOfStage(r *attemptRecord) int {
 	count := 0
 	for _, other := range c.byWorker[r.Worker] {
@@ -203,7 +203,7 @@
 	return least, most
 }
 
-// checkAttemptBudget counts the noted ends failed before a start.
+// checkAttemptBudget counts the acknowledged completions that failed before a start.
 func (c *checker) checkAttemptBudget(r *attemptRecord) {
 	if r.stage.LongRunning {
 		return
@@ -224,7 +224,7 @@
 	if r.stage.AtLeastOnce && (r.Late || !c.inContact(r.Sender, r.StartedAt) || r.StartedAt.Before(last.Add(c.Bounds.AcknowledgeLag))) {
 		return
 	}
-	c.report(AttemptBudget, r.Task, r.StartedAt, fmt.Sprintf("run %d starts after %d runs have failed", r.Number, failed))
+	c.report(AttemptBudget, r.Task, r.StartedAt, fmt.Sprintf("attempt %d starts after %d attempts have failed", r.Number, failed))
 }
 
 // checkGang looks for members that waited for the others in vain.
@@ -233,7 +233,7 @@
 		return
 	}
 	if c.inContact(r.Sender, r.StartedAt) && !c.anyFault(r.StartedAt.Add(-c.Bounds.Contact), r.EndedAt) {
-		c.report(Gang, r.Task, r.EndedAt, fmt.Sprintf("run %d ended alone", r.Number))
+		c.report(Gang, r.Task, r.EndedAt, fmt.Sprintf("attempt %d ended alone", r.Number))
 	}
 }
 
@@ -258,11 +258,11 @@
 // checkRejectedJob looks for starts of jobs that were never taken.
 func (c *checker) checkRejectedJob(r *attemptRecord) {
 	if r.job.rejectedOnly {
-		c.report(RejectedJob, r.Task, r.StartedAt, "starts although every try to hand the job in was rejected")
+		c.report(RejectedJob, r.Task, r.StartedAt, "starts although every attempt to submit the job was rejected")
 	}
 }
 
-// checkDrainingWorker looks for starts at a worker long after a machine in touch had learned that it drains.
+// checkDrainingWorker looks for starts at a worker long after a machine in contact had learned that it drains.
 func (c *checker) checkDrainingWorker(r *attemptRecord) {
 	if r.Late || !c.inContact(r.Sender, r.StartedAt) {
 		return
--- a/internal/systemtest/checker/checker.go
+++ b/internal/systemtest/checker/checker.go
@@ -19,7 +19,7 @@
 	violations []Violation
 }
 
-// attemptRecord is a run with what its name says.
+// attemptRecord is an attempt with what its name says.
 type attemptRecord struct {
 	*Attempt
 	task  task
@@ -28,7 +28,7 @@
 	job   *jobRecord
 }
 
-// endOrForever is when a run was over; a moment after everything while it runs.
+// endOrForever is when an attempt was over; a moment after everything while it runs.
 func (r *attemptRecord) endOrForever() time.Time {
 	if r.EndedAt.IsZero() {
 		return forever
--- a/internal/systemtest/checker/checker_test.go
+++ b/internal/systemtest/checker/checker_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// finishedAttempt is a run of the job's task (time.step.index) from one moment to another, noted half a second later.
+// finishedAttempt is an attempt of the job's task (time.stage.index) from one moment to another, acknowledged half a second later.
 func finishedAttempt(name string, execution uint64, worker string, from, to float64, how string) Attempt {
 	run := Attempt{
 		Worker: worker, Task: jobName + "." + name, Number: execution, Specification: "text", Sender: "core-1",
@@ -88,7 +88,7 @@
 	return OperatorRequest{Machine: "core-1", Method: "GET", SentAt: at(seconds), AnsweredAt: at(seconds + 0.1), Status: status, Answer: []byte(text)}
 }
 
-// validHistory is a history that keeps all rules: one job of two steps, a change of the configuration.
+// validHistory is a history that keeps all rules: one job of two stages, a change of the configuration.
 func validHistory() History {
 	return History{
 		Bounds: testBounds,
@@ -116,7 +116,7 @@
 	}
 }
 
-// replaceStages replaces the job's stages and forgets its runs.
+// replaceStages replaces the job's stages and forgets its attempts.
 func replaceStages(h *History, stages, more string) {
 	h.Requests[0].Body = body(stages, more)
 	h.Attempts = nil
@@ -177,9 +177,9 @@
 	checkAll(t, []history{
 		{"A sound history breaks nothing", func(*History) {}, ""},
 
-		{"An unguarded searcher over its capacity", tasksOf(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
+		{"An unguarded worker over its capacity", tasksOf(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 			finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 12, 13, "done")), OverCapacity},
-		{"A guarded one is not judged", func(h *History) {
+		{"A guarded one is not checked", func(h *History) {
 			tasksOf(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 				finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 12, 13, "done"))(h)
 			h.Workers[0].Guards = true
@@ -187,27 +187,27 @@
 		{"One after the other keep to the capacity", tasksOf(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 			finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 13, 14, "done")), ""},
 
-		{"Two runs at once", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
-		{"Two runs at once, the order late", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), late(finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done"))), DuplicateAttempt},
-		{"Two runs at once, the first not ended", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 0, ""), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
+		{"Two attempts at once", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
+		{"Two attempts at once, the command late", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), late(finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done"))), DuplicateAttempt},
+		{"Two attempts at once, the first not ended", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 0, ""), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
 		{"Copies may run at once", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "stopped"), finishedAttempt("0.0.0", 2, "s-2", 14, 14.5, "done")), ""},
-		{"A start after an end that was noted later", tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
-		{"A start after an end that was never noted", tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
-		{"A start after an end that was noted after a lapse", func(h *History) {
+		{"A start after an end that was acknowledged later", tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
+		{"A start after an end that was never acknowledged", tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
+		{"A start after an end that was acknowledged after a lease expiry", func(h *History) {
 			tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done"))(h)
 			h.LeaseExpiries = []LeaseExpiry{{"s-1", at(18)}}
 		}, ""},
-		{"A copy long after the end was noted", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 14, 15, "done")), DuplicateAttempt},
-		{"A copy soon after the end was noted", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 13, 15, "done")), ""},
+		{"A copy long after the end was acknowledged", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 14, 15, "done")), DuplicateAttempt},
+		{"A copy soon after the end was acknowledged", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 13, 15, "done")), ""},
 		{"A start after the job was shown as completed", func(h *History) {
 			tasksOf(one+`,"atLeastOnce":true}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 20, 0, ""))(h)
 			h.Requests = append(h.Requests, statusRequest(jobName, 13, 200, "completed"))
 		}, DuplicateAttempt},
 
-		{"A step before its turn", func(h *History) { h.Attempts[3].StartedAt = at(13.5) }, StageOrder},
-		{"A step after one member of a gang is done", tasksOf(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
+		{"A stage before its turn", func(h *History) { h.Attempts[3].StartedAt = at(13.5) }, StageOrder},
+		{"A stage after one member of a gang is done", tasksOf(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
 			finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.1", 1, "s-2", 11, 12, "broken"), finishedAttempt("0.1.0", 1, "s-1", 13, 14, "done")), ""},
-		{"A step after a gang of which no member is done", tasksOf(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
+		{"A stage after a gang of which no member is done", tasksOf(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
 			finishedAttempt("0.0.0", 1, "s-1", 11, 12, "stopped"), finishedAttempt("0.0.1", 1, "s-2", 11, 12, "stopped"), finishedAttempt("0.1.0", 1, "s-1", 13, 14, "done")), StageOrder},
 		{"A time too early", func(h *History) {
 			replaceStages(h, one+`}`, fmt.Sprintf(`,"repetitions":2,"firstRunMs":%d,"intervalMs":5000`, at(12).UnixMilli()))
@@ -218,19 +218,19 @@
 			h.Attempts = []Attempt{finishedAttempt("0.0.0", 1, "s-1", 12, 13, "done"), finishedAttempt("1.0.0", 1, "s-1", 16.8, 18, "done")}
 		}, ""},
 
-		{"A searcher of another service", func(h *History) { h.Attempts[0].Worker = "s-3" }, Placement},
-		{"A searcher without the label", tasksOf(one+`,"requirements":"big"}`, finishedAttempt("0.0.0", 1, "s-2", 11, 12, "done")), Placement},
-		{"A searcher with the label", tasksOf(one+`,"requirements":["big"]}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done")), ""},
-		{"Too many tasks of a step at one searcher", func(h *History) { h.Attempts[1].Worker = "s-1" }, Placement},
+		{"A worker of another service", func(h *History) { h.Attempts[0].Worker = "s-3" }, Placement},
+		{"A worker without the label", tasksOf(one+`,"requirements":"big"}`, finishedAttempt("0.0.0", 1, "s-2", 11, 12, "done")), Placement},
+		{"A worker with the label", tasksOf(one+`,"requirements":["big"]}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done")), ""},
+		{"Too many tasks of a stage at one worker", func(h *History) { h.Attempts[1].Worker = "s-1" }, Placement},
 
-		{"A run after the last attempt", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), AttemptBudget},
+		{"An attempt after the last attempt", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), AttemptBudget},
 		{"A copy soon after the last attempt", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
 		{"A copy long after the last attempt", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 16, 17, "done")), AttemptBudget},
 		{"A lasting task has no last attempt", tasksOf(one+`,"longRunning":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "failed")), ""},
 		{"Ends that are no attempts", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "lapsed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "stopped"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
 
 		{"A member without its gang", tasksOf(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone")), Gang},
-		{"A member without its gang in trouble", func(h *History) {
+		{"A member without its gang during a fault", func(h *History) {
 			tasksOf(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone"))(h)
 			h.Faults = []Fault{{Kind: WorkerFault, Machine: "s-2", From: at(12), To: at(13)}}
 		}, ""},
@@ -263,7 +263,7 @@
 			tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 14, 15, "stopped"))(h)
 			h.Requests = append(h.Requests, cancelRequest(jobName, 12))
 		}, ""},
-		{"A run long after a cancel", func(h *History) {
+		{"An attempt long after a cancel", func(h *History) {
 			tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 17, "stopped"))(h)
 			h.Requests = append(h.Requests, cancelRequest(jobName, 12))
 		}, Unrequested},
@@ -277,9 +277,9 @@
 			h.Requests[0].Status = 504
 		}, ""},
 
-		{"A start at a searcher that drains", func(h *History) { h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(11)}} }, DrainingWorker},
+		{"A start at a worker that drains", func(h *History) { h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(11)}} }, DrainingWorker},
 		{"A start soon after it began to drain", func(h *History) { h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(12.5)}} }, ""},
-		{"A start by a machine out of touch", func(h *History) {
+		{"A start by a machine out of contact", func(h *History) {
 			h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(11)}}
 			h.Faults = []Fault{{Machine: "core-1", From: at(13), To: at(14)}}
 		}, ""},
@@ -295,7 +295,7 @@
 			h.Requests = append(h.Requests, statusRequest(jobName, 26, 410, ""), statusRequest(jobName, 31, 200, "completed"))
 		}, Lost},
 		{"A job that is not known yet", func(h *History) { h.Requests = append(h.Requests, statusRequest(jobName, 11, 410, "")) }, ""},
-		{"A job that is not known at a machine out of touch", func(h *History) {
+		{"A job that is not known at a machine out of contact", func(h *History) {
 			h.Requests = append(h.Requests, statusRequest(jobName, 26, 410, ""), statusRequest(jobName, 31, 200, "completed"))
 			h.Faults = []Fault{{Machine: "front-1", From: at(24), To: at(25)}}
 		}, ""},
@@ -308,19 +308,19 @@
 		{"Cancelled by nobody", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "cancelled") }, Lost},
 		{"Not ended at the end", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "running") }, Lost},
 		{"Not known at the end", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 410, "") }, Lost},
-		{"A request cut by a stop in order", func(h *History) {
+		{"A request aborted by a graceful shutdown", func(h *History) {
 			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25), Planned: true}}
 			h.AbortedRequests = []AbortedRequest{{"front-1", prefix + jobName, at(20), at(21)}}
 		}, Lost},
-		{"A request cut by a stop in order before it was read", func(h *History) {
+		{"A request aborted by a graceful shutdown before it was read", func(h *History) {
 			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25), Planned: true}}
 			h.AbortedRequests = []AbortedRequest{{"front-1", prefix + jobName, at(20), at(20.1)}}
 		}, ""},
-		{"A request cut by a stop in order and by trouble", func(h *History) {
+		{"A request aborted by a graceful shutdown during another fault", func(h *History) {
 			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25), Planned: true}, {Machine: "core-1", From: at(19)}}
 			h.AbortedRequests = []AbortedRequest{{"front-1", prefix + jobName, at(20), at(21)}}
 		}, ""},
-		{"A request cut by a kill", func(h *History) {
+		{"A request aborted by a kill", func(h *History) {
 			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25)}}
 			h.AbortedRequests = []AbortedRequest{{"front-1", prefix + jobName, at(20), at(21)}}
 		}, ""},
--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -46,7 +46,7 @@
 	return best, found
 }
 
-// parseConfiguration reads a body and tells whether it is valid on top of a version.
+// parseConfiguration reads a body and reports whether it is valid on top of a version.
 func parseConfiguration(body []byte, builtOn int64) *configuration {
 	c := &configuration{builtOn: builtOn, body: body}
 	if json.Unmarshal(body, c) != nil {
@@ -105,7 +105,7 @@
 	return change
 }
 
-// mayBeActive tells whether a change may be in force.
+// mayBeActive reports whether a change may be in force.
 func (c *configuration) mayBeActive() bool { return c.valid && !c.rejected }
 
 // checkOperatorRequests checks the answers that operators got.
--- a/internal/systemtest/checker/configurations_test.go
+++ b/internal/systemtest/checker/configurations_test.go
@@ -26,7 +26,7 @@
 		{"A new route applied", requests(routeRequest(newPrefix, 20.05, 404), routeRequest(newPrefix, 23, 200), routeRequest(oldPrefix, 23, 404)), ""},
 		{"A new route not applied in time", requests(routeRequest(newPrefix, 22.5, 404)), Config},
 		{"A dropped route served too long", requests(routeRequest(oldPrefix, 22.5, 200)), Config},
-		{"A new route not applied in time by a machine out of touch", with(func(h *History) {
+		{"A new route not applied in time by a machine out of contact", with(func(h *History) {
 			h.Requests = append(h.Requests, routeRequest(newPrefix, 22.5, 404))
 			h.Faults = []Fault{{Machine: "front-1", From: at(10), To: at(20)}}
 		}), ""},
--- a/internal/systemtest/checker/history.go
+++ b/internal/systemtest/checker/history.go
@@ -7,7 +7,7 @@
 
 // Bounds are the times that the rules name.
 type Bounds struct {
-	Contact            time.Duration // without trouble for that long, a machine is in touch
+	Contact            time.Duration // without a fault for that long, a machine is in contact
 	ConfigurationApply time.Duration
 	RollbackSlack      time.Duration
 	Drain              time.Duration
@@ -15,8 +15,8 @@
 	Stop               time.Duration
 	Visible            time.Duration
 	Early              time.Duration
-	LossSlack          time.Duration // from a request's last byte until a stop in order must answer it
-	Grace              time.Duration // from a stop in order until its end by force
+	LossSlack          time.Duration // from a request's last byte until a graceful shutdown must have answered it
+	Grace              time.Duration // from the begin of a graceful shutdown until the process is killed
 	AcknowledgeLag     time.Duration // from an end's acknowledgement or a job's completion until nothing starts any more
 }
 
@@ -37,13 +37,13 @@
 	SeenUntil        time.Time // when the history ends
 }
 
-// FaultKind says what trouble was made.
+// FaultKind is what a fault concerns.
 type FaultKind uint8
 
 const (
 	// MachineFault is a kill, start, freeze or cut of a machine of the system.
 	MachineFault FaultKind = iota
-	// WorkerFault is a crash, silence, late order, drain or loss of a worker.
+	// WorkerFault is a crash, silence, late command, drain or loss of a worker.
 	WorkerFault
 )
 
@@ -53,7 +53,7 @@
 	Machine string // or the worker's identifier
 	From    time.Time
 	To      time.Time // the zero time while it lasts
-	Planned bool      // a stop in order, and the start after it
+	Planned bool      // a graceful shutdown, and the start after it
 }
 
 // Resources are what a task asks for and what a worker has.
@@ -63,7 +63,7 @@
 	Accelerators int64 `json:"accelerators"`
 }
 
-// Worker is one life of a worker.
+// Worker is one incarnation of a worker.
 type Worker struct {
 	ID       string
 	Service  string
@@ -72,19 +72,19 @@
 	Guards   bool
 }
 
-// Attempt is one run that a worker has begun on an order.
+// Attempt is one attempt of a task that a worker has begun on a command.
 type Attempt struct {
-	Worker         string // the identifier of its life
+	Worker         string // the identifier of its incarnation
 	Task           string // as on the wire
 	Number         uint64
 	Specification  string
 	Checkpoint     string
-	Late           bool   // carried out after its order had been left unanswered
+	Late           bool   // carried out after its command had been left unanswered
 	Sender         string // the machine that ordered it; empty where that is not known
 	StartedAt      time.Time
 	EndedAt        time.Time // the zero time while it runs
 	Outcome        string    // empty while it runs, and when its worker crashed
-	AcknowledgedAt time.Time // when a hold's lastSeen reached its end; the zero time before
+	AcknowledgedAt time.Time // when a lease renewal's lastSeen reached its end; the zero time before
 }
 
 // Checkpoint is one that a worker has listed for a task.
@@ -116,11 +116,11 @@
 	Body        []byte
 	SentAt      time.Time
 	AnsweredAt  time.Time
-	Status      int // 0 where there was no whole answer
+	Status      int // 0 where there was no complete reply
 	Answer      []byte
 }
 
-// AbortedRequest is a client's request that a machine had read whole, and whose connection it closed without a whole answer.
+// AbortedRequest is a client's request that a machine had read completely, and whose connection it closed without a complete reply.
 type AbortedRequest struct {
 	Machine string
 	Path    string
@@ -136,7 +136,7 @@
 	Body       []byte
 	SentAt     time.Time
 	AnsweredAt time.Time
-	Status     int // 0 where there was no whole answer
+	Status     int // 0 where there was no complete reply
 	Answer     []byte
 }
 
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stage is one step of a job, as its client wrote it.
+// stage is one stage of a job, as its client wrote it.
 type stage struct {
 	Resources
 	Count         int             `json:"count"`
@@ -47,7 +47,7 @@
 
 func (s specification) repetitions() int { return max(1, s.Repetitions) }
 
-// due is when a time's steps may start; the zero time for jobs without a schedule.
+// due is when a time's stages may start; the zero time for jobs without a schedule.
 func (s specification) due(repetition int) time.Time {
 	if s.Repetitions == 0 {
 		return time.Time{}
@@ -63,7 +63,7 @@
 	spec         specification
 	submitted    bool
 	accepted     time.Time // the first answer of success; the zero time without one
-	rejectedOnly bool      // each try to hand it in was rejected
+	rejectedOnly bool      // each attempt to submit it was rejected
 	cancelSent   time.Time
 	cancelled    time.Time // the first acknowledgement of a cancel
 	completed    time.Time // when it was first shown as completed
@@ -92,7 +92,7 @@
 	return task{parts[0], numbers[0], numbers[1], numbers[2]}, true
 }
 
-// first is the name of a step's first task.
+// first is the name of a stage's first task.
 func (t task) first() task { return task{t.job, t.repetition, t.stage, 0} }
 
 // jobID is the last part of a path.
@@ -109,7 +109,7 @@
 
 func success(status int) bool { return status >= statusOK && status < statusMultiple }
 
-// rejected tells whether a status says that a job was not taken and never runs.
+// rejected reports whether a status says that a job was not taken and never runs.
 func rejected(status int) bool {
 	return status == statusTooMany || status == statusNoService || status == statusNotFound
 }
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -23,10 +23,10 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// childSpecVariable holds what a process of the system is started with.
+// childSpecVariable is the environment variable with the childSpec of a process, as JSON.
 const childSpecVariable = "PUFFINLINK_SYSTEMTEST_PART"
 
-// readyLine is written once a part listens.
+// readyLine is written to standard output once a child process listens.
 const readyLine = "ready"
 
 // role is a kind of process.
@@ -48,7 +48,7 @@
 	Agent     string // of a proxy: its agent's address
 }
 
-// runChild is the whole life of a process of the system.
+// runChild runs one process of the system from its start to its exit code.
 func runChild(text string) (code int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -99,7 +99,7 @@
 	return core.Run(ctx, coordinator.Listeners{Internal: internal, Control: control})
 }
 
-// agentLinger is how long an agent serves on after it was told to stop, as its proxy needs it while it drains.
+// agentLinger is how long an agent serves on after it was asked to shut down, as its proxy needs it while it drains.
 const agentLinger = 3500 * time.Millisecond
 
 func runAgent(ctx context.Context, _ childSpec, settings nodesettings.Settings, log *zap.Logger, peers, local net.Listener) error {
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -14,7 +14,7 @@
 
 const (
 	clientDeadline    = 3 * time.Second
-	clientTimeout     = 30 * time.Second // from the first try to the last
+	clientTimeout     = 30 * time.Second // from the first attempt to the last
 	retryInterval     = 150 * time.Millisecond
 	statePollInterval = 300 * time.Millisecond
 	completionTimeout = 45 * time.Second // from a job's first send until its end
@@ -33,12 +33,12 @@
 	return record
 }
 
-// sendUntilClear makes a client's call.
+// send makes a client's call.
 func (s *system) send(ctx context.Context, method, url string, body []byte) (status int, answer []byte) {
 	return s.sendWith(ctx, http.Header{"Deadline-Remaining": {"3000"}}, method, url, body)
 }
 
-// sendWith makes a call; the status is 0 without a whole answer.
+// sendWith makes a call; the status is 0 without a complete reply.
 func (s *system) sendWith(ctx context.Context, header http.Header, method, url string, body []byte) (status int, answer []byte) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -88,7 +88,7 @@
 
 func isSuccess(status int) bool { return status == http.StatusOK }
 
-// play hands a job in, follows it to its end, and cancels it where that is planned. It tells whether the job was accepted.
+// runJob submits a job, follows it to its end, and cancels it where that is planned. It reports whether the job was accepted.
 func (s *system) runJob(ctx context.Context, random *rand.Rand, plan jobPlan) bool {
 	s.plans.add(plan)
 	path := plan.route.prefix + string(plan.id)
--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -16,7 +16,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// checkDeliveries holds all answers that core machines gave, also those that nobody got, against each other: an order that
+// checkDeliveries holds all answers that core machines gave, also those that nobody got, against each other: a command that
 // was taken is refused nowhere and at no time, and no number is confirmed for two bodies, nor are two bodies on top of
 // one version.
 func checkDeliveries(attempts []delivery) (broken []string) {
@@ -59,10 +59,10 @@
 		return one
 	}
 	one, other := `{"version":3}`, `{"version":3,"routes":[]}`
-	Convey("Confirmed, refused and unclear orders that agree are fine", t, func() {
+	Convey("Confirmed, refused and indefinite replies that agree break no rule", t, func() {
 		So(checkDeliveries([]delivery{put(2, one, 200), put(2, one, 503), put(2, one, 0), put(2, one, 200), put(2, other, 412)}), ShouldBeEmpty)
 	})
-	Convey("A refusal of a taken order is found, before and after its confirmation", t, func() {
+	Convey("A refusal of an accepted command is found, before and after its confirmation", t, func() {
 		So(checkDeliveries([]delivery{put(2, one, 200), put(2, one, 412)}), ShouldHaveLength, 1)
 		So(checkDeliveries([]delivery{put(2, one, 412), put(2, one, 200)}), ShouldHaveLength, 1)
 		cancel := delivery{method: http.MethodDelete, path: "/-/jobs/1", status: 200}
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// operatorHandler changes the configuration, beside others.
+// operator changes the configuration, concurrently with others.
 type operator struct {
 	simulation *simulation
 	random     *rand.Rand
@@ -126,7 +126,7 @@
 	return version, got.status == http.StatusOK || got.status == http.StatusNotFound
 }
 
-// checkPut sends an order to one node after the other until the answer is clear.
+// put sends a change to one node after the other until the answer is definite.
 func (o *operator) put(requested change) (taken bool) {
 	for range operatorAttempts {
 		m, sent := o.pick(), time.Now()
@@ -152,7 +152,7 @@
 	return version
 }
 
-// client hands jobs in, and asks and cancels.
+// client submits jobs, and asks and cancels.
 type client struct {
 	simulation *simulation
 	random     *rand.Rand
@@ -223,7 +223,7 @@
 	}
 }
 
-// pollFeed asks a core node as an agent does, or an agent as its proxy does, and judges what calls itself current.
+// pollFeed asks a core node as an agent does, or an agent as its proxy does, and checks what calls itself current.
 func (w *simulation) pollFeed(ctx context.Context, m *machine) {
 	random := rand.New(rand.NewPCG(w.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
 	route, age := feed.WatchCall.Route(), feedAge
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -24,7 +24,7 @@
 	agentAge = feedAge + 1300*time.Millisecond + 1500*time.Millisecond
 )
 
-// order is a change that an operator wants.
+// change is a change of the configuration that an operator sends.
 type change struct {
 	version, builtOn uint64
 	body             string
@@ -51,7 +51,7 @@
 	ended        map[termKey]time.Time
 	lateCommands []lateCommand
 	tokens       map[string]uint64 // the highest that a worker has taken
-	counts       map[string]int    // what was judged, by kind
+	counts       map[string]int    // what was checked, by kind
 }
 
 type acknowledgedVersion struct {
@@ -86,7 +86,7 @@
 	return newest
 }
 
-// checkPut judges an operator's answer to an order.
+// checkPut checks an operator's answer to a command.
 func (j *checker) checkPut(member string, sent time.Time, requested change, status int, current uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -103,18 +103,18 @@
 	case http.StatusPreconditionFailed:
 		j.refused[requested] = true
 		if newest := j.newestBy(sent); current < newest {
-			j.failf("%s refused an order on version %d, older than %d, which was acknowledged before the order was sent", member, current, newest)
+			j.failf("%s refused a command on version %d, older than %d, which was acknowledged before the command was sent", member, current, newest)
 		}
 	case http.StatusServiceUnavailable:
 	default:
-		j.failf("%s answered %d to an order", member, status)
+		j.failf("%s answered %d to a command", member, status)
 	}
 	if j.accepted[requested] && j.refused[requested] {
 		j.failf("%s: version %d on %d is both refused and confirmed", member, requested.version, requested.builtOn)
 	}
 }
 
-// checkGet judges an operator's reading.
+// checkGet checks an operator's reading.
 func (j *checker) checkGet(member string, sent time.Time, status int, version uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// checkFeed judges a feed that calls itself current.
+// checkFeed checks a feed that calls itself current.
 func (j *checker) checkFeed(member string, sent time.Time, age time.Duration, version uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -137,7 +137,7 @@
 	}
 }
 
-// recordSubmit notes an accepted job.
+// recordSubmit records an accepted job.
 func (j *checker) recordSubmit(id job.ID) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -153,7 +153,7 @@
 	return slices.Clone(j.acceptedJobs[max(0, len(j.acceptedJobs)-most):])
 }
 
-// checkJobReply judges a leader's answer about a job, to a reading or a cancellation.
+// checkJobReply checks a leader's answer about a job, to a reading or a cancellation.
 func (j *checker) checkJobReply(member, call string, sent time.Time, id job.ID, known bool, state job.State) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -172,7 +172,7 @@
 	}
 }
 
-// recordTerm notes a term, and when it ends.
+// recordTerm records a term, and when it ends.
 func (j *checker) recordTerm(member string, term *replication.Term) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -187,14 +187,14 @@
 	}()
 }
 
-// lateCommand is an order that was handed to its connection without a lease, or at the moment at which its term was given up.
+// lateCommand is a command that was handed to its connection without a lease, or at the moment at which its term was given up.
 type lateCommand struct {
 	under termKey
 	kind  cluster.Call
 	at    time.Time
 }
 
-// recordCommand looks at an order at the moment at which a node hands it to its connection.
+// recordCommand looks at a command at the moment at which a node hands it to its connection.
 func (j *checker) recordCommand(member string, kind cluster.Call, token uint64) {
 	if kind == cluster.HoldCall {
 		return
@@ -208,7 +208,7 @@
 	}
 }
 
-// checkLateCommands judges them at the end, when it is known which terms were given up at the very moment.
+// checkLateCommands checks them at the end, when it is known which terms were given up at the very moment.
 func (j *checker) checkLateCommands() {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// checkWorkerReply judges what a worker has taken.
+// checkWorkerReply checks what a worker has taken.
 func (j *checker) checkWorkerReply(worker string, kind cluster.Call, token uint64, status int) {
 	if status != http.StatusOK {
 		return
@@ -232,7 +232,7 @@
 	j.tokens[worker] = max(j.tokens[worker], token)
 }
 
-// checkAttempts judges all runs at the end: one of a task at a time.
+// checkAttempts checks all runs at the end: one of a task at a time.
 func (j *checker) checkAttempts(runs []cluster.RunRecord) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -246,7 +246,7 @@
 	}
 }
 
-// checkHistory judges the changes that a majority has taken, at the end.
+// checkHistory checks the changes that a majority has taken, at the end.
 func (j *checker) checkHistory(state configuration.State) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
--- a/internal/systemtest/controlmodel/doc.go
+++ b/internal/systemtest/controlmodel/doc.go
@@ -1,7 +1,7 @@
 // Package controlmodel has tests of the control side on a virtual clock, network and disk: core nodes, agents, operators,
-// clients and workers, with faults by seeded schedules. It judges what each of them is told against the promises of
-// docs/control-safety.md on old state: nothing old is handed out, nothing refused or confirmed on it, no order sent.
+// clients and workers, with faults by seeded schedules. It checks what each of them is told against the promises of
+// docs/control-safety.md on old state: no stale state is served, nothing is refused or confirmed on it, and no command is sent.
 //
-// The parts are the real ones, but for sockets, disks and the list of the platform. A process that stands still is modelled
+// The parts are the real ones, but for sockets, disks and the list of the platform. A process that is paused is modelled
 // by its messages and its writes, which wait before and after each of them, while its timers go on.
 package controlmodel
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	probeLeadTime = 100 * time.Millisecond // before a machine that stands still goes on
+	probeLeadTime = 100 * time.Millisecond // before a machine that is paused resumes
 	probedJobs    = 4                      // questions that wait for it then
 )
 
-// fault is one kind of what may happen to a machine.
+// faultKind is one kind of fault of a machine.
 type faultKind struct {
 	name string
 	// inject begins it, and returns what ends it.
@@ -46,7 +46,7 @@
 	{"cut from the core", func(w *simulation, m *machine, _ time.Duration) func() { return w.partition(m, w.cores, true, true) }},
 }
 
-// freeze lets a machine stand still. Shortly before it goes on, it is asked what has come to pass in the meantime.
+// pauseMachine pauses a machine. Shortly before it resumes it gets requests about what happened in the meantime.
 func pauseMachine(w *simulation, m *machine, length time.Duration) func() {
 	m.pause(length)
 	if m.disk != nil {
@@ -90,7 +90,7 @@
 	return func() { set(false) }
 }
 
-// fault lets troubles strike, one after the other or at the same time, at any two machines at most.
+// scheduleFaults injects faults, one after the other or at the same time, at any machines.
 func (w *simulation) scheduleFaults() {
 	background := []float64{0, 0, 0.01, 0.05}[w.random.IntN(4)]
 	w.network.update(func(n *network) { n.loss, n.duplication, n.delay = background, background, background })
@@ -115,7 +115,7 @@
 	}
 }
 
-// inject lets one trouble happen, unless the machine has another one.
+// inject injects one fault, unless the machine has another one.
 func (w *simulation) inject(kind faultKind, m *machine, toLeader bool, at, length time.Duration) {
 	<-time.After(at)
 	if leader := w.leader(); toLeader && leader != nil && m.disk != nil {
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -38,8 +38,8 @@
 	mutex       sync.Mutex
 	incarnation int // number of the present process
 	up          bool
-	hasFault    bool          // some trouble has it
-	pausedAt    time.Time     // it has stood still since then
+	hasFault    bool          // reserved for a fault
+	pausedAt    time.Time     // it has been paused since then
 	pausedUntil time.Time     // and will until then
 	writeDelay  time.Duration // that each write takes
 	handler     http.Handler  // of internal calls
@@ -66,7 +66,7 @@
 	return m.up
 }
 
-// isCurrent tells whether the process of that number is the present one.
+// isCurrent reports whether the process of that number is the present one.
 func (m *machine) isCurrent(incarnation int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -79,7 +79,7 @@
 	return m.handler
 }
 
-// awaitResume waits while the process stands still, and returns its number.
+// awaitResume waits while the process is paused, and returns its number.
 func (m *machine) awaitResume() (incarnation int) {
 	for {
 		m.mutex.Lock()
@@ -99,7 +99,7 @@
 	m.pausedAt, m.pausedUntil = time.Now(), time.Now().Add(length)
 }
 
-// Now implements replication.Clock. A process that stands still sees no time pass, and then a leap.
+// Now implements replication.Clock. A process that is paused sees no time pass, and then a leap.
 func (m *machine) Now() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -124,7 +124,7 @@
 }
 
 // store is a process's disk, whose writes take time and end with the process. The register's acceptor writes under a lock, and
-// virtual time stands still while anyone waits for a lock; its writes take no time, and its answers wait for the disk instead.
+// virtual time does not advance while anyone waits for a lock; its writes take no time, and its answers wait for the disk instead.
 type store struct {
 	*storage.Memory
 	machine     *machine
--- a/internal/systemtest/controlmodel/network_test.go
+++ b/internal/systemtest/controlmodel/network_test.go
@@ -29,7 +29,7 @@
 	maxTransfer   = 4 * time.Millisecond
 	maxDelay      = 900 * time.Millisecond // of a message that is late
 	registerPaths = "/register/"
-	largeBytes    = 120 // of messages that a link with trouble of that kind loses
+	largeBytes    = 120 // of messages that a link with a fault of that kind loses
 )
 
 // link is one direction between two machines.
@@ -82,7 +82,7 @@
 	return f
 }
 
-// update changes the network's troubles.
+// update changes the network's faults.
 func (n *network) update(change func(*network)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/systemtest/controlmodel/schedules_test.go
+++ b/internal/systemtest/controlmodel/schedules_test.go
@@ -19,7 +19,7 @@
 	seedVariable      = "PUFFINLINK_CONTROLMODEL_SEED"      // plays this one alone
 )
 
-// TestSchedules plays seeded schedules of troubles. A failure names its seed; with seedVariable it is played alone.
+// TestSchedules plays seeded schedules of faults. A failure names its seed; with seedVariable it is played alone.
 func TestSchedules(t *testing.T) {
 	first, count := uint64(1), uint64(schedules)
 	if raceflag.On {
@@ -57,7 +57,7 @@
 	})
 }
 
-// checkCounts counts what was judged, to see that there was something to judge.
+// checkCounts counts what was checked, to see that there was something to check.
 type checkCounts struct {
 	mutex  sync.Mutex
 	counts map[string]int
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -20,10 +20,10 @@
 	agentCount  = 2
 	workerCount = 2
 
-	warmUp            = 1200 * time.Millisecond // until the first troubles
+	warmUp            = 1200 * time.Millisecond // until the first faults
 	faultPhase        = 2 * time.Second         // until the last ones have begun
-	recoveryPhase     = 1500 * time.Millisecond // after that, without trouble
-	longestFault      = 3500 * time.Millisecond // of one trouble
+	recoveryPhase     = 1500 * time.Millisecond // after that, without fault
+	longestFault      = 3500 * time.Millisecond // of one fault
 	shortestFault     = 300 * time.Millisecond
 	completionTimeout = 10 * time.Second // for what is under way
 )
@@ -95,7 +95,7 @@
 	return w.checker.violations
 }
 
-// checkFinalState judges what is left when all is calm, and ends the system.
+// checkFinalState checks what is left when all is calm, and ends the system.
 func (w *simulation) checkFinalState() {
 	w.checker.checkAttempts(w.workers.Runs())
 	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
--- a/internal/systemtest/controlmodel/workercalls_test.go
+++ b/internal/systemtest/controlmodel/workercalls_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
-// electionObserver passes leaderships on to a node's jobs, and tells the judge of them.
+// electionObserver passes elections on to a node's jobs, and reports them to the checker.
 type electionObserver struct {
 	replication.Handler
 	checker *checker
@@ -24,7 +24,7 @@
 	h.Handler.Elected(term, state)
 }
 
-// orders carries a node's calls to the workers, and tells the judge of them.
+// workerTransport carries a node's calls to the workers, and reports them to the checker.
 type workerTransport struct {
 	simulation  *simulation
 	from        *machine
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// workerFaults crashes one worker, lets another carry orders out late, a third be silent, and a fourth drain and leave.
+// workerFaults crashes one worker, lets another carry commands out late, a third be silent, and a fourth drain and leave.
 func workerFaults(ctx context.Context, s *system) error {
 	if err := crashGangMember(ctx, s); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// drainWithoutLeaving lists a worker of each service as draining, lets them stay, and hands more jobs in much later.
+// drainWithoutLeaving lists a worker of each service as draining, lets them stay, and submits more jobs much later.
 func drainWithoutLeaving(ctx context.Context, s *system) error {
 	s.drain(s.workers[1])
 	s.drain(s.workers[len(s.workers)-1])
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -29,7 +29,7 @@
 // readyField is a field of the answer to readyPath that says yes, as msgpack.
 var readyField = []byte{0xa1, 'r', 0xc3}
 
-// handOver is a system of three core machines of which one is told to stop while a fourth waits for a place.
+// handOver is a system of three core machines of which one is asked to shut down while a fourth waits for a place.
 type handOver struct {
 	*system
 	departing, lagging, failing, joiningMember *machine
@@ -38,11 +38,11 @@
 	announced         map[string][2]time.Time // the joining member's first and last announcement, by who heard it
 	rebuilt           time.Time               // when the joining member first told the leaving member that it may vote
 	ended             time.Time               // when the leaving member's process had ended
-	shutdownRequested time.Time               // when it was told to stop
+	shutdownRequested time.Time               // when it was asked to shut down
 }
 
 // A member leads a group and holds its newest batch and the newest configuration together with one other, which fails in
-// that moment; the third member got neither. The first is told to stop while a joining member waits. It stays until the joining member
+// that moment; the third member got neither. The first is asked to shut down while a joining member waits. It stays until the joining member
 // has been rebuilt and may vote, within its grace period, and what was acknowledged is there at the two that are left.
 func TestGracefulShutdownHandsOverMembership(t *testing.T) {
 	t.Parallel()
@@ -51,10 +51,10 @@
 	failure := h.run(ctx)
 	s.stop()
 	if !h.rebuilt.IsZero() {
-		t.Logf("the newcomer could vote %v and the member had ended %v after it was told to stop",
+		t.Logf("the joining member could vote %v and the member had ended %v after it was asked to shut down",
 			h.rebuilt.Sub(h.shutdownRequested).Round(time.Millisecond), h.ended.Sub(h.shutdownRequested).Round(time.Millisecond))
 	}
-	Convey("The newcomer counts before the member that it replaces is gone, and nothing acknowledged is lost", t, func() {
+	Convey("The joining member votes before the member that it replaces has ended, and nothing acknowledged is lost", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
@@ -102,7 +102,7 @@
 	}
 }
 
-// observe notes the joining member's announcements, and its word that it may vote.
+// observe records the joining member's announcements, and its word that it may vote.
 func (h *handOver) observe(c call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +148,7 @@
 	return m.startAll(false)
 }
 
-// chooseRoles lets the leader of the guarded service's jobs be the one that is told to stop.
+// chooseRoles lets the leader of the guarded service's jobs be the one that is asked to shut down.
 func (h *handOver) chooseRoles() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -168,7 +168,7 @@
 func (h *handOver) awaitJoiningMember(ctx context.Context) error {
 	for !h.hasAnnounced(h.departing) || !h.hasAnnounced(h.lagging) {
 		if err := sleep(ctx, pollInterval); err != nil {
-			return fmt.Errorf("the newcomer does not announce itself: %w", err)
+			return fmt.Errorf("the joining member does not announce itself: %w", err)
 		}
 	}
 	return nil
@@ -181,7 +181,7 @@
 	return times[1].Sub(times[0]) >= minAnnounceSpan
 }
 
-// writeWithoutLagging hands a job in and changes the configuration while the member that lags is told of neither. Both are
+// writeWithoutLagging submits a job and changes the configuration while the member that lags is told of neither. Both are
 // acknowledged by the other two.
 func (h *handOver) writeWithoutLagging(ctx context.Context, random *rand.Rand) (acknowledged jobPlan, version int64, err error) {
 	lagging := h.lagging.name
@@ -228,7 +228,7 @@
 		return err
 	}
 	if !bytes.Contains(log, []byte(`"handed over before shutdown","joining_member_rebuilt":true`)) {
-		return errors.New("the member ended without its newcomer")
+		return errors.New("the member ended before its joining member could vote")
 	}
 	return nil
 }
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -22,7 +22,7 @@
 	controlPath = "/-/configuration"
 )
 
-// callPoint is a numbered place on the way of a job or a configuration.
+// callPoint is a kind of internal call, and the phase of it, at which faults are injected.
 type callPoint struct {
 	name  string
 	path  string
@@ -55,7 +55,7 @@
 	{"feed-told", feed.WatchCall.Path(), beforeReply, nil},
 }
 
-// faultKind is what strikes at a place.
+// faultKind is what an injection does at a call point.
 type faultKind struct {
 	name   string
 	drop   bool
@@ -77,7 +77,7 @@
 	{"core-killed", true, func(ctx context.Context, s *system, _ call) { killAllCore(ctx, s) }},
 }
 
-// crashNamed kills a machine; only a core machine has a disk to lose, and a worker loses its life.
+// crashNamed kills a machine; only a core machine has a disk to lose, and a worker is restarted as another incarnation.
 func (s *system) crashNamed(ctx context.Context, name string, eraseDisk bool) {
 	if m := s.machineNamed(name); m != nil {
 		s.crashMachine(ctx, m, shortOutage, eraseDisk && m.dataDirectory != "")
@@ -90,14 +90,14 @@
 	}
 }
 
-// strike is damage at the n-th call that comes to a place.
+// plannedInjection is a fault at the n-th call that reaches a call point.
 type plannedInjection struct {
 	at     callPoint
 	by     faultKind
 	number int
 }
 
-// arm sets the strike.
+// arm registers the injection.
 func (one plannedInjection) arm(ctx context.Context, s *system) *injection {
 	return s.network.arm(injection{path: one.at.path, phase: one.at.phase, only: one.at.only, number: one.number, drop: one.by.drop, action: func(c call) {
 		if one.by.action != nil {
@@ -106,7 +106,7 @@
 	}})
 }
 
-// injectAll sets strikes, changes the configuration where one of them concerns that, and waits until all have struck.
+// injectAll arms injections, changes the configuration where one of them concerns that, and waits until all have fired.
 func injectAll(strikes ...plannedInjection) faultFunc {
 	return func(ctx context.Context, s *system) error {
 		var armed []*injection
@@ -130,7 +130,7 @@
 	return strings.HasPrefix(at.path, "/register/") || at.path == controlPath
 }
 
-// await waits until a point has struck.
+// await waits until an injection has fired.
 func (p *injection) await(ctx context.Context) error {
 	const timeout = 20 * time.Second
 	timer := time.NewTimer(timeout)
@@ -145,7 +145,7 @@
 	}
 }
 
-// minCalls is how many calls come to a place at least.
+// minCalls is how many calls reach the point in every run.
 func (p callPoint) minCalls() int {
 	switch p.path {
 	case controlPath, jobapi.CancelCall.Path():
@@ -156,7 +156,7 @@
 	return 3
 }
 
-// everyInjection is a scenario for each place and kind of damage.
+// everyInjection is a scenario for each call point and kind of fault.
 func everyInjection() []scenario {
 	var all []scenario
 	for i, at := range callPoints {
@@ -168,7 +168,7 @@
 	return all
 }
 
-// pairs are scenarios of two points that were drawn.
+// pairs are scenarios with two randomly drawn injections.
 func pairs(seed uint64, count int) []scenario {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var all []scenario
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -21,14 +21,14 @@
 
 const (
 	pauseLength    = 20 * time.Second
-	probeLeadTime  = 400 * time.Millisecond // when the process is asked that stands still; it answers once it goes on
-	probeDuration  = 3 * time.Second        // after that, in which it is asked again and again
+	probeLeadTime  = 400 * time.Millisecond // before the process resumes: requests that wait for it then
+	probeDuration  = 3 * time.Second        // after it resumed, in which it gets further requests
 	changeInterval = 1500 * time.Millisecond
 	staleness      = 5 * time.Second // by which a proxy without its agent is not ready
 	jobsPath       = "/-/jobs/"
 )
 
-// longPauseScenarios let one process, or all of a machine, stand still for 20 s, while the configuration changes and jobs come.
+// longPauseScenarios pause one process, or all of a machine, for 20 s, while the configuration changes and jobs arrive.
 var longPauseScenarios = []scenario{
 	{name: "leader-stopped-long", seed: 31, faults: onLeader(pauseCoreLong)},
 	{name: "follower-stopped-long", seed: 32, faults: onFollower(pauseCoreLong)},
@@ -48,7 +48,7 @@
 	for i, sc := range longPauseScenarios {
 		result := outcomes[i]
 		t.Logf("%s: %d jobs accepted, %v; seen %+v", sc.name, result.accepted, result.took, result.seen)
-		Convey("No rule is broken, and nothing old is told: "+sc.name, t, func() {
+		Convey("No rule is broken, and no stale state is served: "+sc.name, t, func() {
 			So(result.failures, ShouldBeEmpty)
 			So(result.violations, ShouldBeEmpty)
 			So(result.accepted, ShouldBeGreaterThan, 0)
@@ -94,10 +94,10 @@
 	}
 }
 
-// pauseCoreLong lets a core machine stand still, and asks it before and after it goes on.
+// pauseCoreLong pauses a core machine, and sends it requests shortly before and after it resumes.
 func pauseCoreLong(ctx context.Context, s *system, m *machine) {
 	if !m.reserve() {
-		s.recordFailure(errors.New("the machine has another trouble"))
+		s.recordFailure(errors.New("the machine has another fault"))
 		return
 	}
 	defer m.release()
@@ -119,7 +119,7 @@
 	}
 }
 
-// changeWhilePaused changes the configuration and hands jobs in until shortly before the process goes on.
+// changeWhilePaused changes the configuration and submits jobs until shortly before the process resumes.
 func (s *system) changeWhilePaused(ctx context.Context, wake time.Time) {
 	wait := s.startLoad(ctx, rand.New(rand.NewPCG(1, 8)))
 	s.recoveries.Go(func() { wait() })
@@ -139,7 +139,8 @@
 	return taken
 }
 
-// staleStateProbes ask a core machine for what it may remember wrongly. They get the newest change from before it stood still.
+// staleStateProbes request from a core machine what its state from before the pause may answer wrongly. They get the newest change from
+// before the pause.
 var staleStateProbes = []func(s *system, ctx context.Context, m *machine, before checker.OperatorRequest){
 	(*system).probeRead, (*system).probeStaleChange, (*system).probeRetriedChange, (*system).probeJobs,
 }
@@ -210,11 +211,11 @@
 	return path, path[strings.LastIndex(path, "/")+1:]
 }
 
-// pauseAgentLong lets the agent beside a proxy stand still.
+// pauseAgentLong pauses the agent beside a proxy.
 func pauseAgentLong(ctx context.Context, s *system) error {
 	front := s.fronts[0]
 	if !front.reserve() {
-		return errors.New("the machine has another trouble")
+		return errors.New("the machine has another fault")
 	}
 	defer front.release()
 	s.faultBegan(front.name)
@@ -242,12 +243,12 @@
 		s.probeFront(ctx, front, added)
 	}
 	if !s.ready(ctx, front) {
-		s.recordFailure(fmt.Errorf("%s is not ready %v after its agent went on", front.name, probeDuration))
+		s.recordFailure(fmt.Errorf("%s is not ready %v after its agent resumed", front.name, probeDuration))
 	}
 	return err
 }
 
-// probeFront asks a front whose agent stood still for a route that came meanwhile: it may not say that there is none, nor
+// probeFront requests from a front whose agent was paused a route that was added meanwhile: it may not say that there is none, nor
 // that there is no job.
 func (s *system) probeFront(ctx context.Context, front *machine, added routePlan) {
 	wasReady := s.ready(ctx, front)
--- a/internal/systemtest/lossyrelay_test.go
+++ b/internal/systemtest/lossyrelay_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Times of a lossy relay. A copy comes later than the first attempt's own bound of 3 s for some orders, and earlier for others.
+// Times of a lossy relay. A copy comes later than the first attempt's own bound of 3 s for some commands, and earlier for others.
 const (
 	firstDuplicateDelay = 700 * time.Millisecond
 	duplicateDelayStep  = 800 * time.Millisecond
 	duplicateDelaySteps = 4
 	deliveryTimeout     = 20 * time.Second // for one request at the machine behind, also where its sender is gone
-	commandRetryTimeout = 60 * time.Second // from the first try of an order to the last
+	commandRetryTimeout = 60 * time.Second // from the first attempt of a command to the last
 )
 
-// delivery is one delivery of an order to a core machine, with the answer that the machine gave, whoever got it.
+// delivery is one delivery of a command to a core machine, with the machine's reply, also where that was dropped.
 type delivery struct {
 	machine      string
 	method       string
@@ -36,7 +36,7 @@
 	answeredAt   time.Time
 }
 
-// commandKey names an order: attempts with the same key are the same order.
+// commandKey names a command: deliveries with the same key are of the same command.
 type commandKey struct{ method, path, ifMatch, body string }
 
 func (a delivery) key() commandKey { return commandKey{a.method, a.path, a.ifMatch, a.body} }
@@ -47,7 +47,7 @@
 }
 
 // lossyRelays stand between operators and the core machines' control addresses. They swallow the first confirmation of
-// each order and each third answer after that, and deliver a copy of each order's first request seconds later.
+// each command and each third answer after that, and deliver a copy of each command's first request seconds later.
 type lossyRelays struct {
 	client     *http.Client
 	servers    []*httptest.Server
@@ -56,11 +56,11 @@
 	mu         sync.Mutex
 	deliveries []delivery
 	commands   map[commandKey]*commandState
-	duplicated int // orders that were copied
+	duplicated int // commands that were copied
 	replies    int // to operators
 }
 
-// commandState is what the relays remember of an order.
+// commandState is what the relays remember of a command.
 type commandState struct{ duplicated, confirmed bool }
 
 // newLossyRelays opens a relay before each core machine.
@@ -97,7 +97,7 @@
 	io.WriteString(w, got.answer)
 }
 
-// duplicateLater delivers an order's first request a second time, later.
+// duplicateLater delivers a command's first request a second time, later.
 func (l *lossyRelays) duplicateLater(command delivery, core *machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +115,7 @@
 	})
 }
 
-// stateOf is what is remembered of an attempt's order. The mutex is held.
+// stateOf is what is remembered of a delivery's command. The mutex is held.
 func (l *lossyRelays) stateOf(one delivery) *commandState {
 	if l.commands[one.key()] == nil {
 		l.commands[one.key()] = &commandState{}
@@ -147,7 +147,7 @@
 	return command
 }
 
-// dropsReply notes an attempt and tells whether its answer is thrown away.
+// dropsReply records a delivery and reports whether its reply is dropped.
 func (l *lossyRelays) dropsReply(got *delivery) bool {
 	l.mu.Lock()
 	l.replies++
@@ -166,14 +166,14 @@
 	l.deliveries = append(l.deliveries, got)
 }
 
-// allDeliveries are the attempts so far, in the order of their answers.
+// allDeliveries are the deliveries so far, in the order of their replies.
 func (l *lossyRelays) allDeliveries() []delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]delivery{}, l.deliveries...)
 }
 
-// sendUntilClear sends an order through the relay before one core machine after the other until an answer is clear and arrives. It
+// sendUntilClear sends a command through the relay before one core machine after the other until a definite reply arrives. It
 // returns the status, 0 where none was clear, and how many tries that took.
 func (l *lossyRelays) sendUntilClear(ctx context.Context, s *system, first int, command delivery) (status int, answer []byte, attempts int) {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
@@ -190,7 +190,7 @@
 	return 0, nil, attempts
 }
 
-// sendCommandOnce makes one try of an order, with an operator's patience.
+// sendCommandOnce sends a command once, with an operator's time-out.
 func (s *system) sendCommandOnce(ctx context.Context, server string, command delivery) (status int, answer []byte) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -201,7 +201,7 @@
 	return s.sendWith(ctx, header, command.method, server+command.path, []byte(command.body))
 }
 
-// putCommand is the order to replace a version by a body.
+// putCommand is the command that replaces a version by a body.
 func putCommand(ifMatch int64, body []byte) delivery {
 	return delivery{method: http.MethodPut, path: controlPath, ifMatch: strconv.FormatInt(ifMatch, 10), body: string(body)}
 }
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// startAll starts the machine's processes; planned tells whether they had been stopped in order.
+// startAll starts the machine's processes; planned says that they had been shut down gracefully.
 func (m *machine) startAll(planned bool) error {
 	var failures []error
 	m.system.addFault(checker.Fault{Machine: m.name, Planned: planned})
@@ -104,14 +104,14 @@
 	m.incarnations++
 }
 
-// incarnation is the number of the present life.
+// incarnation is the number of the machine's current incarnation.
 func (m *machine) incarnation() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.incarnations
 }
 
-// endProcess ends a process by a signal: SIGKILL, or SIGTERM for an end in order.
+// endProcess ends a process by a signal: SIGKILL, or SIGTERM for a graceful shutdown.
 func (m *machine) endProcess(p *process, signal syscall.Signal) {
 	m.system.faultBegan(m.name)
 	p.end(signal)
@@ -120,7 +120,7 @@
 	}
 }
 
-// shutDown ends all processes of the machine in order, and by force after the grace period.
+// shutDown ends all processes of the machine gracefully, and by force after the grace period.
 func (m *machine) shutDown() {
 	m.system.addFault(checker.Fault{Machine: m.name, Planned: true})
 	var all sync.WaitGroup
@@ -175,7 +175,7 @@
 	m.system.faultEnded(m.name)
 }
 
-// partitioned closes the ways between machines, both ways or only from the first to the others.
+// partition closes the links between machines, in both directions or only from the first to the others.
 func (s *system) partition(from *machine, others []*machine, bothWays bool) {
 	s.setPartitions(from, others, bothWays, true)
 	for _, other := range append([]*machine{from}, others...) {
--- a/internal/systemtest/machinefaults_test.go
+++ b/internal/systemtest/machinefaults_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// rollingRestart stops the machines in order and starts them again, one after the other.
+// rollingRestart shuts the machines down gracefully and restarts them, one after the other.
 func (s *system) rollingRestart(ctx context.Context, machines []*machine) error {
 	for _, m := range machines {
 		if !m.reserve() {
--- a/internal/systemtest/mixedversions_test.go
+++ b/internal/systemtest/mixedversions_test.go
@@ -158,10 +158,10 @@
 	*system
 	random       *rand.Rand
 	jobs         []jobPlan
-	statesBefore map[string]string // states of the jobs when the other build was told to stop, by identifier
+	statesBefore map[string]string // states of the jobs when the other build was asked to shut down, by identifier
 }
 
-// TestUpgradeKeepsState starts a whole system on the other build, hands work in, stops all of it, starts this build
+// TestUpgradeKeepsState starts a whole system on the other build, submits jobs, stops all of it, starts this build
 // on the same disks, and compares what is known.
 func TestUpgradeKeepsState(t *testing.T) {
 	t.Parallel()
@@ -171,7 +171,7 @@
 	failure := u.run(ctx)
 	s.stop()
 	t.Logf("states before: %v", u.statesBefore)
-	Convey("What was known before is known after", t, func() {
+	Convey("Jobs, configuration and drained workers survive the upgrade", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
@@ -217,7 +217,7 @@
 	return u.check(ctx)
 }
 
-// submitJobs hands in two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
+// submitJobs submits two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
 func (u *upgrade) submitJobs(ctx context.Context) error {
 	for kind := range jobKinds {
 		for _, route := range []routePlan{renderRoute, mailRoute} {
@@ -295,7 +295,7 @@
 	return content.State
 }
 
-// stopAll stops all machines in order, the fronts first.
+// stopAll stops all machines gracefully, the fronts first.
 func (u *upgrade) stopAll() {
 	for _, machines := range [][]*machine{u.fronts, u.core} {
 		var all sync.WaitGroup
@@ -333,7 +333,7 @@
 	return joined
 }
 
-// check compares what is known now with what was known before, lets the jobs end, and hands in a further one.
+// check compares the state after the upgrade with that before, waits for the jobs' ends, and submits a further one.
 func (u *upgrade) check(ctx context.Context) error {
 	for _, core := range u.core {
 		if err := u.awaitVersion(ctx, core); err != nil {
@@ -376,7 +376,7 @@
 	}
 }
 
-// checkJob checks that a job has not gone back in its life, and goes on to the end that it should have.
+// checkJob checks that a job's state has not gone back, and that it reaches the final state that it should.
 func (u *upgrade) checkJob(ctx context.Context, plan jobPlan) error {
 	answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isDefinite)
 	if err != nil || answer.Status != http.StatusOK {
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -8,9 +8,9 @@
 
 // call is one call that passes a relay.
 type call struct {
-	from, to    string // machines; outside for clients, operators and stand-ins
+	from, to    string // machines; outside for clients, operators and fakes
 	path        string
-	incarnation string // of a worker: the life that is meant
+	incarnation string // the incarnation that a call to a worker expects
 	body        []byte
 	sentAt      time.Time
 	status      int // of the answer
@@ -28,7 +28,7 @@
 	beforeReply                 // it was carried out, and its answer has not been delivered
 )
 
-// injection is a numbered place at which a fault strikes: the n-th call on a path, counted from when it is armed.
+// injection injects a fault at the n-th call on a path, counted from when it is armed.
 type injection struct {
 	path   string
 	from   string // the caller's machine; empty for any
@@ -61,7 +61,7 @@
 	return &network{partitioned: map[link]bool{}, delays: map[link]time.Duration{}, changed: make(chan struct{})}
 }
 
-// arm sets a point; it strikes once.
+// arm registers an injection, which fires once.
 func (n *network) arm(p injection) *injection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,7 +70,7 @@
 	return &p
 }
 
-// hasFired tells whether a point has struck.
+// hasFired reports whether an injection has fired.
 func (p *injection) hasFired() bool {
 	select {
 	case <-p.fired:
@@ -88,7 +88,7 @@
 	return n.dropped
 }
 
-// drops tells whether a call is lost on its way.
+// drops reports whether a call is lost on its way.
 func (n *network) drops(c call) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -152,7 +152,7 @@
 	}
 }
 
-// fireInjections lets the points strike that a call has come to, and tells whether it is lost there.
+// fireInjections fires the injections that a call has reached, and reports whether it is lost there.
 func (n *network) fireInjections(c call, at phase) (dropped bool) {
 	var struck []*injection
 	n.mu.Lock()
--- a/internal/systemtest/operators_test.go
+++ b/internal/systemtest/operators_test.go
@@ -14,7 +14,7 @@
 const (
 	routeHost            = "jobs.example"
 	operatorTimeout      = time.Second      // for one answer
-	operatorRetryTimeout = 40 * time.Second // from the first try to the last
+	operatorRetryTimeout = 40 * time.Second // from the first attempt to the last
 	maxAttempts          = 3
 )
 
@@ -36,7 +36,7 @@
 	builtOn int64 // what it was built on
 }
 
-// encode writes a configuration.
+// encodeConfiguration writes a configuration.
 func encodeConfiguration(version int64, routes []routePlan) []byte {
 	type service struct {
 		Name            string `json:"name"`
@@ -86,7 +86,7 @@
 	return body
 }
 
-// order makes one call of an operator to one machine and records it.
+// operatorRequest makes one call of an operator to one machine and records it.
 func (s *system) operatorRequest(ctx context.Context, core *machine, method string, builtOn int64, body []byte) checker.OperatorRequest {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -128,7 +128,7 @@
 	return status != 0 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// set brings the next version, with these routes, and tells whether it was acknowledged.
+// set brings the next version, with these routes, and reports whether it was acknowledged.
 func (c *configurations) set(ctx context.Context, first int, routes ...routePlan) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// endProcess ends the process by a signal and waits for that.
+// end ends the process by a signal and waits for that.
 func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	if p.command == nil {
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -11,13 +11,13 @@
 
 const maxLease = 6 * time.Second // the longest time for which a worker holds its runs
 
-// attemptKey names a run across all lives of workers.
+// attemptKey names an attempt across all incarnations of workers.
 type attemptKey struct {
 	incarnation, task string
 	number            uint64
 }
 
-// completionKey names an end by its number.
+// completionKey names a completion by its number.
 type completionKey struct {
 	incarnation string
 	number      uint64
@@ -50,7 +50,7 @@
 	}
 }
 
-// order is what the recorder reads of a call to a worker.
+// workerCall is what the recorder reads of a call to a worker.
 type workerCall struct {
 	Task         string `json:"task"`
 	Execution    uint64 `json:"execution"`
@@ -65,7 +65,7 @@
 	Finished [][]json.RawMessage `json:"finished"`
 }
 
-// delivered takes a call to a worker on its way there.
+// recordDelivery records a call to a worker before it is delivered.
 func (r *recorder) recordDelivery(c call) {
 	var o workerCall
 	if json.Unmarshal(c.body, &o) != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// recordReply takes a call to a worker with its answer.
+// recordReply records a call to a worker with its reply.
 func (r *recorder) recordReply(c call) {
 	var o workerCall
 	var a workerReply
@@ -100,7 +100,7 @@
 	r.recordTasks(c.incarnation, a)
 }
 
-// recordLease takes in a grant, and notes a lapse between it and the one before.
+// recordLease records a lease renewal, and an expiry between it and the renewal before.
 func (r *recorder) recordLease(incarnation string, validUntil, clock int64, now time.Time) {
 	until := r.leaseUntil[incarnation]
 	if !until.IsZero() && now.After(until) {
@@ -151,7 +151,7 @@
 	return number
 }
 
-// recordInventory takes an answer of the platform.
+// recordInventory records an inventory that the platform has sent.
 func (r *recorder) recordInventory(c call) {
 	var list struct {
 		Instances []struct{ Identifier, State string }
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -36,11 +36,11 @@
 	lostVotes []*injection // answers of members that are lost
 
 	mu               sync.Mutex
-	retriedAfterLoss int // orders that were sent again after their confirmation was swallowed
+	retriedAfterLoss int // commands that were retried after their confirmation was dropped
 }
 
 // Two operators change the configuration at once through different core machines, cancel one job and drain one worker,
-// behind relays that swallow the first confirmation of each order and deliver copies of requests seconds later. What was
+// behind relays that drop the first confirmation of each command and deliver duplicates of requests seconds later. What was
 // taken is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
 // bodies; and what each core machine tells and holds at the end is what was confirmed.
 func TestRetriedCommandsAreIdempotent(t *testing.T) {
@@ -52,10 +52,10 @@
 	s.stop()
 	broken := checkDeliveries(test.relays.allDeliveries())
 	disks := test.checkDisks()
-	t.Logf("%d answers of core machines, %d orders sent again after a lost confirmation, %d versions confirmed, %d of %d votes lost, %v",
+	t.Logf("%d answers of core machines, %d commands sent again after a lost confirmation, %d versions confirmed, %d of %d votes lost, %v",
 		len(test.relays.allDeliveries()), test.retriedAfterLoss, len(confirmedChanges(test.relays.allDeliveries())), test.droppedVotes(), len(test.lostVotes),
 		time.Since(began).Round(time.Millisecond))
-	Convey("What was taken is confirmed or left unclear, and each core machine holds it", t, func() {
+	Convey("An accepted command is confirmed or left indefinite on every retry, and each core machine stores it", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
@@ -78,7 +78,7 @@
 	return problems
 }
 
-// run plays all of it; the core machines are stopped in order at the end.
+// run plays all of it; the core machines are stopped gracefully at the end.
 func (a *retriedCommandsTest) run(ctx context.Context) error {
 	a.relays = newLossyRelays(a.system)
 	defer a.relays.close()
@@ -122,7 +122,7 @@
 			return fmt.Errorf("round %d on top of version %d: got %v, and neither was confirmed", round, current, statuses)
 		}
 		if bytes.Equal(bodies[0], bodies[1]) && statuses[0] != statuses[1] {
-			return fmt.Errorf("round %d: the same order got %v", round, statuses)
+			return fmt.Errorf("round %d: the same command got %v", round, statuses)
 		}
 		current++
 	}
@@ -160,7 +160,7 @@
 	return count
 }
 
-// sendThroughRelays sends an order through the relays until an answer is clear, and counts it if a confirmation was lost before.
+// sendThroughRelays sends a command through the relays until an answer is clear, and counts it if a confirmation was lost before.
 func (a *retriedCommandsTest) sendThroughRelays(ctx context.Context, first int, command delivery) int {
 	status, _, attempts := a.relays.sendUntilClear(ctx, a.system, first, command)
 	if status == http.StatusOK && attempts > 1 {
@@ -171,7 +171,7 @@
 	return status
 }
 
-// cancelAndDrain hands in a job that lasts, and lets both operators cancel it and drain a worker at once.
+// cancelAndDrain submits a job that lasts, and lets both operators cancel it and drain a worker at once.
 func (a *retriedCommandsTest) cancelAndDrain(ctx context.Context) (cancelled, drained string, err error) {
 	random := rand.New(rand.NewPCG(8, 1))
 	plan := newJobPlan(random, longRunningJob, renderRoute)
@@ -198,7 +198,7 @@
 	return string(plan.id), drained, err
 }
 
-// resendAll sends each order that there was to each core machine, without a relay, until the answer is clear.
+// resendAll sends each command that there was to each core machine, without a relay, until the answer is clear.
 func (a *retriedCommandsTest) resendAll(ctx context.Context) error {
 	orders := map[commandKey]delivery{}
 	for _, one := range a.relays.allDeliveries() {
@@ -258,7 +258,7 @@
 	return a.awaitReply(ctx, workersPath, func(answer string) bool { return showsOperatorDraining(answer, id) })
 }
 
-// showsOperatorDraining tells whether a list of workers has one as drained by an operator.
+// showsOperatorDraining reports whether a list of workers has one as drained by an operator.
 func showsOperatorDraining(answer, id string) bool {
 	_, of, found := strings.Cut(answer, `"id":"`+id+`"`)
 	of, _, _ = strings.Cut(of, `"id":`)
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -45,7 +45,7 @@
 	seen       summary
 }
 
-// matches tells whether a scenario's name has the shape of one of the patterns, which are joined by commas.
+// matches reports whether a scenario's name has the shape of one of the patterns, which are joined by commas.
 func (sc scenario) matches(patterns string) bool {
 	return slices.ContainsFunc(strings.Split(patterns, ","), func(pattern string) bool {
 		matched, err := path.Match(pattern, sc.name)
@@ -74,7 +74,7 @@
 	return s.checked(result)
 }
 
-// play runs the system with its load and faults, and returns how many jobs were accepted.
+// runWithLoad runs the system with its load and faults, and returns how many jobs were accepted.
 func (sc scenario) runWithLoad(ctx context.Context, s *system) int {
 	random := rand.New(rand.NewPCG(sc.seed, 1))
 	if err := s.bringUp(ctx); err != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// startLoad hands jobs of all kinds in, over some seconds. The function returned waits for their ends.
+// startLoad submits jobs of all kinds, over some seconds. The function returned waits for their ends.
 func (s *system) startLoad(ctx context.Context, random *rand.Rand) (wait func() (accepted int)) {
 	var jobs []jobPlan
 	for kind := range jobKinds {
@@ -151,7 +151,7 @@
 	}
 }
 
-// awaitFinalStates asks for the state of each job at the end, until it is final or the patience is over.
+// awaitFinalStates asks for the state of each job at the end, until it is final or the time-out is over.
 func (s *system) awaitFinalStates(ctx context.Context, random *rand.Rand) {
 	var all sync.WaitGroup
 	for _, plan := range s.jobs {
@@ -185,7 +185,7 @@
 	}
 }
 
-// checked judges what was seen, and writes an account of each broken rule into the system's folder.
+// checked checks what was seen, and writes a report on each violation into the system's folder.
 func (s *system) checked(result outcome) outcome {
 	h := s.history(s.endedAt)
 	result.violations = checker.Check(h)
--- a/internal/systemtest/socketowner_test.go
+++ b/internal/systemtest/socketowner_test.go
@@ -13,7 +13,7 @@
 // A relay has to know who calls, but all calls come from the same address. The system tells the number of the socket at
 // the other end of a connection, and the descriptors of a process tell whether that is its own.
 
-// ownsSocket tells whether a process has the socket.
+// ownsSocket reports whether a process has the socket.
 func ownsSocket(pid int, socket string) bool {
 	folder := filepath.Join("/proc", fmt.Sprint(pid), "fd")
 	directory, err := os.Open(folder)
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -220,10 +220,10 @@
 	}
 }
 
-// faultBegan notes that trouble with a machine begins.
+// faultBegan records the begin of a fault of a machine.
 func (s *system) faultBegan(machine string) { s.addFault(checker.Fault{Machine: machine}) }
 
-// workerFaultBegan notes that trouble with a worker begins.
+// workerFaultBegan records the begin of a fault of a worker.
 func (s *system) workerFaultBegan(one *worker) {
 	s.addFault(checker.Fault{Kind: checker.WorkerFault, Machine: one.relay.to})
 }
@@ -235,14 +235,14 @@
 	s.faults = append(s.faults, fault)
 }
 
-// recordAborted notes a client's request that a machine has given up.
+// recordAborted records a client's request that a machine has given up.
 func (s *system) recordAborted(c call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abortedRequests = append(s.abortedRequests, checker.AbortedRequest{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
 }
 
-// faultEnded notes that all trouble with a machine or a worker is over.
+// faultEnded records the end of all faults of a machine or a worker.
 func (s *system) faultEnded(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -253,7 +253,7 @@
 	}
 }
 
-// recordFailure notes that something went wrong with the test itself.
+// recordFailure records that something went wrong with the test itself.
 func (s *system) recordFailure(err error) {
 	if err == nil {
 		return
@@ -263,7 +263,7 @@
 	s.failures = append(s.failures, err)
 }
 
-// bounds are those that the judge holds the system to.
+// bounds are those that the checker holds the system to.
 func (s *system) bounds() checker.Bounds {
 	return checker.Bounds{
 		Contact: 3*time.Second + busySlack, ConfigurationApply: 2*time.Second + busySlack, RollbackSlack: 250*time.Millisecond + busySlack,
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// summary counts what a history holds, to see that there was something to judge.
+// summary counts what a history holds, to see that there was something to check.
 type summary struct {
 	Attempts, Acknowledged, UnknownSender, LeaseExpiries, Checkpoints, Inventories, Requests, OperatorRequests, AbortedRequests int
 	Outcomes                                                                                                                    map[string]int // of runs
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// worker is a stand-in with the relay before it.
+// worker is a fake with the relay before it.
 type worker struct {
 	*cluster.Worker
 	relay        *relay
@@ -76,7 +76,7 @@
 	return body
 }
 
-// crash ends a worker's life and begins another.
+// crash ends a worker's incarnation and begins another.
 func (s *system) crash(one *worker) {
 	s.workerFaultBegan(one)
 	one.incarnations++
@@ -85,7 +85,7 @@
 	s.faultEnded(one.relay.to)
 }
 
-// crashIncarnation ends the life of a worker if it goes on still.
+// crashIncarnation crashes the worker whose current incarnation this is, if any.
 func (s *system) crashIncarnation(incarnation string) {
 	for _, one := range s.workers {
 		if one.ID() == incarnation {
--- a/internal/tools/fleettest/binaries_test.go
+++ b/internal/tools/fleettest/binaries_test.go
@@ -27,7 +27,7 @@
 const failpointsTag = "failpoints"
 
 // Build hands out the binary with the tags named. All are made before the first is handed out: a compiler takes every core,
-// and no world is to run beside one.
+// and no cluster is to run beside one.
 func Build(t testing.TB, tags string) string {
 	t.Helper()
 	b := &binaries
--- a/internal/tools/fleettest/brokencopies_test.go
+++ b/internal/tools/fleettest/brokencopies_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The judges are seen to fail on copies of the program with one rule left out. Built and played only where all points are.
+// The checkers report violations on builds of the program with one rule removed. Built and run only where all failpoints are.
 func TestCheckersDetectBrokenBuilds(t *testing.T) {
 	if !allFailpoints {
 		t.Skip("PUFFINLINK_FAILPOINTS_ALL is not set")
@@ -22,7 +22,7 @@
 			stop()
 			over, window := w.Checker.QuotaExcess("acme", 60, 60)
 			if t.Logf("broken %t: %.1f over, %s", binary != "", over, window); (over > 0) != (binary != "") {
-				t.Errorf("broken %t: %.1f lookups over", binary != "", over)
+				t.Errorf("broken %t: %.1f queries over", binary != "", over)
 			}
 		}
 	})
@@ -43,7 +43,7 @@
 		if wrong := w.Checker.ContractViolations(); len(wrong) == 0 {
 			t.Error("nobody saw it")
 		} else {
-			t.Logf("%d part calls outside, the first: %s", len(wrong), wrong[0])
+			t.Logf("%d subqueries outside, the first: %s", len(wrong), wrong[0])
 		}
 	})
 	t.Run("a judgement of one sick witness", func(t *testing.T) {
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -40,7 +40,7 @@
 // NewChecker has seen nothing.
 func NewChecker() *Checker { return &Checker{} }
 
-// RecordSubquery notes a part call at a backend, by its query, which begins with the tenant's name.
+// RecordSubquery records a subquery at a backend, by its query, which begins with the tenant's name.
 func (j *Checker) RecordSubquery(backend, zone, query string) {
 	tenant, _, _ := strings.Cut(query, " ")
 	j.mu.Lock()
@@ -48,14 +48,14 @@
 	j.subqueries = append(j.subqueries, subquery{backend, zone, tenant, time.Now()})
 }
 
-// RecordQuery notes the end of a query.
+// RecordQuery records the end of a query.
 func (j *Checker) RecordQuery(aggregator, tenant string, sent time.Time, status int, text string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.queries = append(j.queries, query{aggregator, tenant, sent, time.Now(), status, text})
 }
 
-// RequireZones says that from now on no part call of a tenant may begin outside of zones; what it held before it says no more.
+// RequireZones says that from now on no subquery of a tenant may begin outside of zones; what it held before it says no more.
 func (j *Checker) RequireZones(tenant string, zones ...string) {
 	j.RequireZonesFrom(time.Now(), tenant, zones...)
 }
@@ -72,7 +72,7 @@
 	j.contracts = append(j.contracts, contract{tenant: tenant, zones: zones, from: from})
 }
 
-// ContractViolations tells the part calls that began where a contract let none go.
+// ContractViolations tells the subqueries that began where a contract let none go.
 func (j *Checker) ContractViolations() (wrong []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -54,12 +54,12 @@
 type connectionTrace struct {
 	mu           sync.Mutex
 	began, ended time.Time
-	// connected is when the connection was begun, only where this is the first on it: on a machine that stands still the other side
-	// may have it long before this one hears of that.
+	// connected is when the connection was begun, only where this is the first on it: on a machine that is paused the other side
+	// may have it long before this one learns of that.
 	connected, wrote time.Time
 }
 
-// closedBeforeSend tells whether the connection stood silent for so long before the request was written, as on a machine that stands
+// closedBeforeSend reports whether the connection stood silent for so long before the request was written, as on a machine that stands
 // still, that the aggregator had ended it by then: nobody was asked.
 func (r *connectionTrace) closedBeforeSend() bool {
 	r.mu.Lock()
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -1,5 +1,5 @@
-// Package fleettest starts several real processes of the program on loopback, before stand-ins, with a relay between every two,
-// and judges what came of them. Only tests use it. What judges here shares no code with what it judges.
+// Package fleettest starts several real processes of the program on loopback, before fakes, with a relay between every two,
+// and checks what came of them. Only tests use it. What checks here shares no code with what it checks.
 package fleettest
 
 import (
@@ -26,7 +26,7 @@
 // Timeout bounds what is waited for, which comes soon unless something is broken.
 const Timeout = time.Minute
 
-// Options are a world's.
+// Options are a cluster's.
 type Options struct {
 	Aggregators       int
 	Voters            int
@@ -80,7 +80,7 @@
 	client        *api.Client
 }
 
-// Start starts a world. Aggregators and backends stand in zones a, b and c by turns; each shard is held in two zones.
+// Start starts a cluster. Aggregators and backends stand in zones a, b and c by turns; each shard is held in two zones.
 func Start(t testing.TB, o Options) *Cluster {
 	t.Helper()
 	Build(t, failpointsTag)
@@ -109,7 +109,7 @@
 	return w
 }
 
-// The usual settings of a world.
+// The usual settings of a cluster.
 const (
 	leastBackends = 6
 	leastVoters   = 3
@@ -138,7 +138,7 @@
 	return w
 }
 
-// addBackend starts a stand-in for a backend, whose calls the judge notes.
+// addBackend starts a fake for a backend, whose calls the checker notes.
 func (w *Cluster) addBackend(i int) {
 	w.Helper()
 	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
@@ -200,7 +200,7 @@
 		return
 	}
 	for text, n := range w.Checker.RejectionReasons() { // of what was not admitted
-		w.Logf("%d lookups: %s", n, text)
+		w.Logf("%d queries: %s", n, text)
 	}
 	w.Logf("logs are in %s", w.dir)
 }
@@ -266,7 +266,7 @@
 	}
 }
 
-// Cut cuts a side of the fleet off from the others; with no one named it heals all links.
+// Partition partitions one side of the fleet from the others; without arguments it heals all links.
 func (w *Cluster) Partition(side ...int) {
 	in := map[int]bool{}
 	for _, i := range side {
@@ -286,7 +286,7 @@
 }
 
 // CheckInvariants checks what holds in every scenario: each query of an aggregator that was not killed got its answer, no order ran more often than
-// its client sent it, and no part call began outside of a contract.
+// its client sent it, and no subquery began outside of a contract.
 func (w *Cluster) CheckInvariants(killed ...*Aggregator) {
 	w.Helper()
 	var but []string
@@ -294,7 +294,7 @@
 		but = append(but, m.Name)
 	}
 	if n := w.Checker.Unanswered(but...); n > 0 {
-		w.Errorf("%d lookups had no final answer", n)
+		w.Errorf("%d queries had no final answer", n)
 	}
 	times := map[string]int64{}
 	for _, s := range w.Backends {
--- a/internal/tools/fleettest/command_test.go
+++ b/internal/tools/fleettest/command_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// electionsWon counts how often any aggregator became the council's leader.
+// electionsWon counts how often any aggregator became the consensus group's leader.
 func (w *Cluster) electionsWon() (count int) {
 	w.Helper()
 	for _, m := range w.Aggregators {
@@ -47,11 +47,11 @@
 	run("has no zone", "contract", "cato", "--reason", "r")
 	run("burst has to be 1 or more", "quota", "acme", "--per-s", "5", "--burst", "0", "--reason", "r")
 	run("accepted as version", "quota", "acme", "--per-s", "5", "--burst", "50", "--reason", "r")
-	w.Await("the quota is heard", func() bool {
+	w.Await("the quota is received", func() bool {
 		s := m.FleetStatus()
 		return s != nil && len(s["quotas"].(map[string]any)) > 0
 	})
-	w.Await("it hears of a leader", func() bool { // none is for a while where a busy machine let the last one's time run out
+	w.Await("it knows a leader", func() bool { // none is for a while where a busy machine let the last one's time run out
 		s := m.FleetStatus()
 		return s != nil && s["leader"] != nil && s["leader"] != ""
 	})
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -39,7 +39,7 @@
 	w.Await("it holds", func() bool { applied, _ := w.Aggregators[3].ContractApplied(version, "cato"); return applied })
 	w.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(2 * time.Second)
-	w.Await("tenants are served at every mixer", func() bool {
+	w.Await("tenants are served at every aggregator", func() bool {
 		for _, m := range w.Aggregators {
 			if a, _ := w.Query(m, "acme", "reads", 0, 1); a != 200 {
 				return false
@@ -103,7 +103,7 @@
 				return []string{Arming(c.point, c.pass, c.fault), "PUFFINLINK_FAILPOINT_ONCE=" + once}
 			})
 			if _, err := os.Stat(once); err != nil {
-				t.Errorf("the point was not passed %d times by any mixer", c.pass)
+				t.Errorf("the point was not passed %d times by any aggregator", c.pass)
 			}
 		})
 	}
--- a/internal/tools/fleettest/idleconnection_test.go
+++ b/internal/tools/fleettest/idleconnection_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A client that stands still between dialling and asking finds its connection ended, as an aggregator owes an end to one that says nothing.
-// It asks once more and gets its answer, and nothing counts as lost; the aggregator heard of the query once.
+// A client that is paused between dialling and asking finds its connection ended, as an aggregator owes an end to one that says nothing.
+// It asks once more and gets its answer, and nothing counts as lost; the aggregator received the query once.
 func TestIdleConnectionSendsNoQuery(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
@@ -21,7 +21,7 @@
 			var one [1]byte
 			c.SetReadDeadline(time.Now().Add(Timeout))
 			if n, err := c.Read(one[:]); n > 0 || err == nil {
-				t.Error("the mixer spoke first")
+				t.Error("the aggregator spoke first")
 			}
 			c.SetReadDeadline(time.Time{})
 		}
--- a/internal/tools/fleettest/massrestart_test.go
+++ b/internal/tools/fleettest/massrestart_test.go
@@ -10,14 +10,14 @@
 // restartTimeout is the longest time that nine in ten aggregators may take until they serve again.
 const restartTimeout = 6 * time.Second
 
-// RoundRobin aggregators die at once under load and come back: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
+// All aggregators are killed at once under load and restarted: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
 func TestNineInTenServeSoonAfterMassRestart(t *testing.T) {
 	t.Parallel()
 	for name, reachable := range map[string]bool{"discovery in reach": true, "discovery out of reach": false} {
 		t.Run(name, func(t *testing.T) {
 			w := Start(t, Options{Aggregators: 10, NoFleet: true, WithoutFailpoints: true})
 			stop := w.Load(50, OrdersTenant, "orders", w.RoundRobin)
-			w.Await("lookups are answered", func() bool { return w.Checker.StatusCounts(OrdersTenant, "", time.Time{})[200] > 20 })
+			w.Await("queries are answered", func() bool { return w.Checker.StatusCounts(OrdersTenant, "", time.Time{})[200] > 20 })
 			for _, m := range w.Aggregators {
 				m.Kill()
 				if !reachable {
@@ -35,7 +35,7 @@
 	}
 }
 
-// restartAll starts all processes at once, and tells how long each took until it served, the shortest first.
+// restartAll starts all processes at once, and returns how long each took until it served, the shortest first.
 func (w *Cluster) restartAll() (took []time.Duration) {
 	began := time.Now()
 	for _, m := range w.Aggregators {
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -74,12 +74,12 @@
 			on, off, onTook, offTook = on+a-idleWith*at, off+b-idleWithout*bt, onTook+at, offTook+bt
 		}
 	}
-	t.Logf("CPU of a lookup: %.0f us without, %.0f with, %.3f; wall %.3f; at rest %.4f and %.4f of a core; memory %.1f and %.1f MB",
+	t.Logf("CPU of a query: %.0f us without, %.0f with, %.3f; wall %.3f; at rest %.4f and %.4f of a core; memory %.1f and %.1f MB",
 		off/28000*1e6, on/28000*1e6, on/off, onTook/offTook, idleWithout, idleWith, without.Aggregators[0].memoryMB(), with.Aggregators[0].memoryMB())
 }
 
 // What an aggregator says to others, by the fleet's size, with a tenant that uses its quota at all of them; how long a crash takes to be
-// known, and who is told of a crawling backend.
+// known, and who is told of a slow backend.
 func TestMeasureTraffic(t *testing.T) {
 	requireMeasuring(t)
 	for _, n := range []int{3, 9, 30} {
@@ -124,7 +124,7 @@
 			}
 			return true
 		})
-		t.Logf("%d mixers: %.0f bytes a second each, %.0f at the granter; %.1f of %.0f a second admitted; a crash known everywhere after %.1f s", n, sum/float64(n), most, rate, perS, time.Since(killed).Seconds())
+		t.Logf("%d aggregators: %.0f bytes a second each, %.0f at the granter; %.1f of %.0f a second admitted; a crash known everywhere after %.1f s", n, sum/float64(n), most, rate, perS, time.Since(killed).Seconds())
 		w.CheckQuota("acme", perS, burst)
 		victim.Start()
 	}
@@ -142,7 +142,7 @@
 			time.Sleep(time.Duration(skip) * time.Second)
 			from := time.Now()
 			time.Sleep(time.Duration(seconds) * time.Second)
-			t.Logf("%d mixers, %s: %.3f of the quota", n, what, w.Checker.Rate("acme", "", from, time.Now())/perS)
+			t.Logf("%d aggregators, %s: %.3f of the quota", n, what, w.Checker.Rate("acme", "", from, time.Now())/perS)
 			stop()
 		}
 		play("spread", 3, 10, w.RoundRobin)
@@ -152,7 +152,7 @@
 	}
 }
 
-// How many slow queries a crawling backend costs a fleet of nine, each aggregator with few queries, with judgements and without.
+// How many slow queries a slow backend costs a fleet of nine, each aggregator with few queries, with judgements and without.
 func TestMeasureSlowBackend(t *testing.T) {
 	requireMeasuring(t)
 	for _, alone := range []bool{true, false, true, false} {
@@ -175,7 +175,7 @@
 		}
 		n := len(w.Checker.queries)
 		w.Checker.mu.Unlock()
-		t.Logf("judgements %t: %d of %d lookups over 100 ms, %d part calls at the crawling searcher", !alone, slow, n, calls)
+		t.Logf("judgements %t: %d of %d queries over 100 ms, %d subqueries at the slow backend", !alone, slow, n, calls)
 		for _, m := range w.Aggregators {
 			m.Signal(syscall.SIGKILL)
 		}
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -10,14 +10,14 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/outlier"
 )
 
-// slowBackends makes some backends crawl for some aggregators alone.
+// slowBackends delays the calls of one aggregator to some backends.
 func (w *Cluster) slowBackends(m *Aggregator, delay time.Duration, backends ...int) {
 	for _, i := range backends {
 		m.backendRelays[i].Set(Fault{Delay: delay})
 	}
 }
 
-// reportsIn are the reports that an aggregator shows to have heard of others.
+// reportsIn are the reports that an aggregator shows to have received of others.
 func reportsIn(shown map[string]any) (list []outlier.Summary) {
 	text, _ := json.Marshal(shown["reports"])
 	json.Unmarshal(text, &list)
@@ -27,13 +27,13 @@
 // recentCallWindow is for how long an aggregator that called a backend is a witness of it: calls seen fade over 10 s.
 const recentCallWindow = 5 * time.Second
 
-// A backend crawls, and two aggregators that have queries see it. A third that had none takes it for slow from their word alone; one
-// sick aggregator, to which half of all backends crawl, is believed by nobody.
+// A backend is slow, and two aggregators that have queries see it. A third that had none takes it for slow from their word alone; one
+// unhealthy aggregator, to which half of all backends are slow, is believed by nobody.
 func TestOutlierReportsOfPeers(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 5})
 	w.awaitGranter()
-	// Each of the two asks for shards 0 and 1, which s-1 in their zone holds, twice as often as for 3 and 4, which s-4 does; the sick
+	// Each of the two asks for shards 0 and 1, which s-1 in their zone holds, twice as often as for 3 and 4, which s-4 does; the unhealthy
 	// one asks for others. So s-1 is the one that both call most.
 	two := w.Load(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 0 {
@@ -53,7 +53,7 @@
 		w.Await(m.Name+" shows what it judges", func() bool { s = m.FleetStatus(); return s != nil })
 		return strings.TrimSpace(fmt.Sprint(s["judged"]))
 	}
-	// look reads what the third aggregator has heard: whom the sick one blames while no other has for as long as a judgement stands, and
+	// readReports reads what the third aggregator has received: whom the unhealthy one blames while no other has for as long as a judgement stands, and
 	// whether both others have called s-1 of late without fault.
 	othersBlamed, called := map[outlier.Backend]time.Time{}, map[string]time.Time{}
 	readReports := func() (shown map[string]any, alone []outlier.Backend, sound bool) {
@@ -80,17 +80,17 @@
 		}
 		return shown, alone, time.Since(called["m1"]) < recentCallWindow && time.Since(called["m4"]) < recentCallWindow
 	}
-	w.Await("two mixers call the searcher and find no fault", func() bool { _, _, sound := readReports(); return sound })
-	w.slowBackends(w.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the sick one, to which half of all backends crawl
-	var first time.Time                                             // that it alone found fault; what is heard is judged within a second
-	w.Await("the sick mixer alone finds fault", func() bool {
+	w.Await("two aggregators call the backend and find no fault", func() bool { _, _, sound := readReports(); return sound })
+	w.slowBackends(w.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the unhealthy one, to which half of all backends are slow
+	var first time.Time                                             // that it alone found fault; what is received is judged within a second
+	w.Await("the unhealthy aggregator alone finds fault", func() bool {
 		shown, alone, sound := readReports()
 		for _, name := range alone {
 			if first.IsZero() {
 				first = time.Now()
 			}
 			if strings.Contains(fmt.Sprint(shown["judged"]), string(name)) {
-				t.Errorf("one sick mixer's word is believed: %s", shown["judged"])
+				t.Errorf("one unhealthy aggregator's word is believed: %s", shown["judged"])
 			}
 		}
 		return sound && len(alone) > 0 && time.Since(first) > 2*time.Second
@@ -100,18 +100,18 @@
 	}
 	began := time.Now()
 	w.Await("the third has it from the two others", func() bool { return strings.Contains(judged(w.Aggregators[2]), "s-1") })
-	t.Logf("a crawling searcher is known to a mixer without lookups after %.1f s", time.Since(began).Seconds())
+	t.Logf("a slow backend is known to an aggregator without queries after %.1f s", time.Since(began).Seconds())
 	stop()
 	before := w.Backends[1].Calls()
 	for range 20 {
 		w.Query(w.Aggregators[2], "cato", "reads", 0) // held by s-0 and s-1, both in other zones than the third aggregator's
 	}
 	calls := w.Backends[1].Calls() - before
-	if t.Logf("of its first 20 lookups of a shard that it holds %d go to it", calls); calls > 0 {
-		t.Errorf("%d of 20 lookups meet the searcher that others called slow", calls)
+	if t.Logf("of its first 20 queries of a shard that it holds %d go to it", calls); calls > 0 {
+		t.Errorf("%d of 20 queries meet the backend that others called slow", calls)
 	}
 	if strings.Contains(judged(w.Aggregators[2]), "s-0") {
-		t.Error("the sick mixer's word counts")
+		t.Error("the unhealthy aggregator's word counts")
 	}
 	w.CheckInvariants()
 }
--- a/internal/tools/fleettest/process_test.go
+++ b/internal/tools/fleettest/process_test.go
@@ -102,7 +102,7 @@
 	<-m.ended
 }
 
-// RecordQuery tells whether the process has ended.
+// Ended reports whether the process has ended.
 func (m *Aggregator) Ended() bool {
 	select {
 	case <-m.ended:
@@ -112,7 +112,7 @@
 	}
 }
 
-// Stopped tells whether the process stands still, as after SIGSTOP.
+// Stopped reports whether the process is paused, as after SIGSTOP.
 func (m *Aggregator) Stopped() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,7 +132,7 @@
 	m.cluster.Await(m.Name+" serves again", m.isServing)
 }
 
-// supervise keeps a fleet going as its machines would: who was killed starts again, who stands still goes on after 3 s.
+// supervise keeps a fleet going as its machines would: who was killed starts again, who is paused resumes after 3 s.
 func (w *Cluster) supervise() (stop func() (killed []*Aggregator)) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
--- a/internal/tools/fleettest/processslots_test.go
+++ b/internal/tools/fleettest/processslots_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// places bounds how many processes of all worlds run at once. A world whose processes wait for a core measures the machine
+// processSlots bounds how many processes of all clusters run at once. A cluster whose processes wait for a core measures the machine
 // and not the program: its time-outs, latencies and leases are of real time.
 var processSlots = newSlotQueue(runtime.NumCPU())
 
-// slotQueue hands out a fixed number of places in the order in which they are asked for, so that a large world is not passed over
+// slotQueue hands out a fixed number of slots in the order in which they are asked for, so that a large cluster is not passed over
 // by small ones for ever.
 type slotQueue struct {
 	mu      sync.Mutex
@@ -20,7 +20,7 @@
 	holders map[testing.TB]bool
 }
 
-// slotRequest is somebody who waits for so many places.
+// slotRequest is somebody who waits for so many slots.
 type slotRequest struct {
 	slots   int
 	granted chan struct{}
@@ -30,7 +30,7 @@
 	return &slotQueue{size: size, free: size, holders: map[testing.TB]bool{}}
 }
 
-// acquire waits for places and tells how many it got: never more than there are.
+// acquire waits for slots and returns how many it got: never more than there are.
 func (q *slotQueue) acquire(wanted int) (got int) {
 	request := &slotRequest{slots: min(wanted, q.size), granted: make(chan struct{})}
 	q.mu.Lock()
@@ -41,7 +41,7 @@
 	return request.slots
 }
 
-// release returns places.
+// release returns slots.
 func (q *slotQueue) release(count int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// markHolder tells whether a test has places, and notes that it now does.
+// markHolder reports whether a test has slots, and records that it now does.
 func (q *slotQueue) markHolder(t testing.TB) (before bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,8 +67,8 @@
 	return before
 }
 
-// acquireSlots waits until a world's processes may run; the test's end gives the places back, after its worlds have ended. A test
-// that starts several worlds, one after the other, plays the later ones on the places of the first: it could wait for itself.
+// acquireSlots waits until a cluster's processes may run; the test's end gives the slots back, after its clusters have ended. A test
+// that starts several clusters, one after the other, plays the later ones on the slots of the first: it could wait for itself.
 func acquireSlots(t testing.TB, processes int) {
 	if processSlots.markHolder(t) {
 		return
@@ -80,7 +80,7 @@
 func TestSlotsAreGrantedInOrder(t *testing.T) {
 	q := newSlotQueue(4)
 	if got := q.acquire(9); got != 4 {
-		t.Fatalf("%d places of 4 for one that wants 9", got)
+		t.Fatalf("%d slots of 4 for one that wants 9", got)
 	}
 	q.release(1)
 	large, small := &slotRequest{slots: 3, granted: make(chan struct{})}, &slotRequest{slots: 1, granted: make(chan struct{})}
@@ -88,9 +88,9 @@
 	q.release(1)
 	select {
 	case <-large.granted:
-		t.Fatal("three places handed out of two")
+		t.Fatal("three slots handed out of two")
 	case <-small.granted:
-		t.Fatal("a small world passed a large one over")
+		t.Fatal("a small cluster passed a large one over")
 	default:
 	}
 	q.release(1)
@@ -98,6 +98,6 @@
 	q.release(1)
 	<-small.granted
 	if q.free != 0 {
-		t.Errorf("%d places free, expected none", q.free)
+		t.Errorf("%d slots free, expected none", q.free)
 	}
 }
--- a/internal/tools/fleettest/relay_test.go
+++ b/internal/tools/fleettest/relay_test.go
@@ -62,7 +62,7 @@
 // Address is where it listens.
 func (r *Relay) Address() string { return r.tcp.Addr().String() }
 
-// Set changes its fault. A cut ends all connections.
+// Set changes its fault. A partition ends all connections.
 func (r *Relay) Set(f Fault) {
 	r.fault.Store(&f)
 	if f.Partitioned {
--- a/internal/tools/fleettest/scenarios_test.go
+++ b/internal/tools/fleettest/scenarios_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// requireStrictContracts waits until strict tenants are served everywhere, and from then on holds their part calls to the contract.
+// requireStrictContracts waits until strict tenants are served everywhere, and from then on holds their subqueries to the contract.
 func (w *Cluster) requireStrictContracts() {
 	w.Helper()
 	for _, m := range w.Aggregators {
@@ -56,8 +56,8 @@
 	w.Checker.RequireZones("cato", "a", "b")
 }
 
-// An aggregator that is cut off admits its floor and no more; the side that holds the majority has the rest of the quota within a
-// lease of the cut, be it the granter that is cut off or another. Strict tenants are refused where contracts are not sure.
+// An aggregator that is partitioned admits its floor and no more; the side that holds the majority has the rest of the quota within a
+// lease of the cut, be it the granter that is partitioned or another. Strict tenants are refused where contracts are not sure.
 func TestPartitionedAggregatorKeepsToItsFloor(t *testing.T) {
 	t.Parallel()
 	for _, granter := range []bool{false, true} {
@@ -74,14 +74,14 @@
 			w.awaitFullUse("the whole quota is used")
 			partitionedAt := time.Now()
 			w.Partition(alone.index)
-			w.Await("it hears nothing", func() bool { s := alone.FleetStatus(); return s != nil && s["hears_nothing"] == true })
+			w.Await("it receives nothing", func() bool { s := alone.FleetStatus(); return s != nil && s["hears_nothing"] == true })
 			isolated := time.Since(partitionedAt)
 			time.Sleep(time.Until(partitionedAt.Add(leaseAndSlack)))
 			from := time.Now()
 			time.Sleep(5 * time.Second)
 			to := time.Now()
 			all, own := w.Checker.Rate("acme", "", from, to), w.Checker.Rate("acme", alone.Name, from, to)
-			t.Logf("hears nothing after %.1f s; alone %.2f a second of a floor of %.2f, the others %.1f of %.1f", isolated.Seconds(), own, floorPerS, all-own, perS-floorPerS)
+			t.Logf("receives nothing after %.1f s; alone %.2f a second of a floor of %.2f, the others %.1f of %.1f", isolated.Seconds(), own, floorPerS, all-own, perS-floorPerS)
 			if own < 0.5*floorPerS || own > 1.5*floorPerS+1 {
 				t.Errorf("alone it admits %.2f a second, expected its floor of %.2f", own, floorPerS)
 			}
@@ -104,7 +104,7 @@
 	}
 }
 
-// The granter is killed; the next one is stopped for longer than a lease and goes on, in the middle of spending; then all
+// The granter is killed; the next one is stopped for longer than a lease and resumes, in the middle of spending; then all
 // are killed together, and a voter comes back with an empty directory. The quota holds in every window through all of it.
 func TestQuotaHoldsWhenGranterIsKilledOrPaused(t *testing.T) {
 	t.Parallel()
@@ -154,8 +154,8 @@
 	w.CheckInvariants(w.Aggregators...)
 }
 
-// A contract is narrowed while one aggregator is cut off, and again while a backend moves to another zone under its name. No part
-// call begins outside from when the operator is told that it holds, and none later than a lease after it was accepted.
+// A contract is narrowed while one aggregator is partitioned, and again while a backend moves to another zone under its name. No
+// subquery begins outside of it once it is reported as applied, and none later than a lease after it was accepted.
 func TestNarrowedContractHoldsWithinALease(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1)})
@@ -172,7 +172,7 @@
 		return requested, version
 	}
 	awaitApplied := func(version uint64) (states map[string]string) {
-		w.Await("it is told as held", func() bool {
+		w.Await("it is reported as applied", func() bool {
 			is := false
 			is, states = w.Aggregators[0].ContractApplied(version, "cato")
 			return is
@@ -181,7 +181,7 @@
 	}
 	accepted, version := narrow("a", "b")
 	awaitApplied(version)
-	t.Logf("held everywhere %.2f s after it was given", time.Since(accepted).Seconds())
+	t.Logf("applied everywhere %.2f s after it was accepted", time.Since(accepted).Seconds())
 	w.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(time.Second)
 
@@ -195,18 +195,18 @@
 	w.Checker.RequireZonesFrom(accepted.Add(leaseAndSlack), "cato", "b")
 	states := awaitApplied(version)
 	notified := time.Now()
-	t.Logf("with %s cut off told as held %.2f s after it was given: %v", alone.Name, notified.Sub(accepted).Seconds(), states)
+	t.Logf("with %s partitioned reported as applied %.2f s after it was accepted: %v", alone.Name, notified.Sub(accepted).Seconds(), states)
 	if notified.Sub(accepted) > leaseAndSlack {
-		t.Errorf("told %s after it was given, expected a lease at most", notified.Sub(accepted))
+		t.Errorf("reported as applied %s after it was accepted, expected a lease at most", notified.Sub(accepted))
 	}
 	if states[alone.Name] != "refuses" {
-		t.Errorf("the mixer that is cut off is shown as %q", states[alone.Name])
+		t.Errorf("the aggregator that is partitioned is shown as %q", states[alone.Name])
 	}
 	w.Checker.RequireZones("cato", "b")
 	time.Sleep(time.Second)
 	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
 	w.Partition()
-	w.Await("it is served at the mixer that was cut off, by the new contract", func() bool { status, _ := w.Query(alone, "cato", "reads", 0, 1); return status == 200 })
+	w.Await("it is served at the aggregator that was partitioned, by the new contract", func() bool { status, _ := w.Query(alone, "cato", "reads", 0, 1); return status == 200 })
 
 	// s-1 and s-4 stand in b. s-1 now moves to c under its name: it is outside wherever the list calls it so.
 	moved := w.Backends[1]
@@ -231,7 +231,7 @@
 	stop()
 	orders()
 	if now > was+int64(len(w.Checker.admitted(OrdersTenant, ""))) { // orders have no contract and may go there
-		t.Errorf("%d part calls to a searcher that moved", now-was)
+		t.Errorf("%d subqueries to a backend that moved", now-was)
 	}
 	for _, s := range w.Backends {
 		if s == moved {
@@ -242,7 +242,7 @@
 }
 
 // A tenant asks for twice its quota at all aggregators at once, while links drop a fifth of all messages, double and reorder
-// others; then everything takes 2 s longer. The quota holds, queries of others wait for nothing.
+// others; then everything takes 2 s longer. The quota holds, and queries of other tenants are not delayed.
 func TestQuotaHoldsOnLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 3, Quotas: quotas})
@@ -260,7 +260,7 @@
 	used := w.Checker.Rate("acme", "", from, lossy)
 	for _, m := range w.Aggregators {
 		if m.Counter("fleet_dropped.replayed") == 0 {
-			t.Errorf("%s opened every letter that came twice", m.Name)
+			t.Errorf("%s opened every message that came twice", m.Name)
 		}
 	}
 	w.SetLinkFaults(Fault{Delay: 2 * time.Second}, func(int, int) bool { return true })
@@ -273,7 +273,7 @@
 	}
 	t.Logf("with a fifth lost %.1f of %.0f a second are used; p99 of others %s without, %s with loss, %s with 2 s of delay", used, perS, p99(measuredFrom, quiet), p99(from, lossy), p99(lossy, to))
 	if used < 0.6*perS {
-		t.Errorf("with a fifth of the letters lost %.1f a second are used of %.0f", used, perS)
+		t.Errorf("with a fifth of the messages lost %.1f a second are used of %.0f", used, perS)
 	}
 	w.CheckQuota("acme", perS, burst)
 	w.CheckInvariants()
@@ -293,7 +293,7 @@
 	twin := m.StartTwin()
 	for range 20 {
 		if status, _ := w.Query(twin, "acme", "reads", 0, 1); status == 200 {
-			t.Fatal("a second process of one name admits lookups of a quota")
+			t.Fatal("a second process of one name admits queries of a quota")
 		}
 		if status, _ := w.Query(twin, "cato", "reads", 0, 1); status == 200 {
 			t.Fatal("a second process of one name serves a strict tenant")
@@ -311,7 +311,7 @@
 }
 
 // A voter's directory is put back from an old copy, which is a mistake that nothing can tell from a start: the voter may give up
-// its part, but the aggregator goes on, and so does the council of the others.
+// its part, but the aggregator continues, and so does the consensus group of the others.
 func TestAggregatorServesAfterOldDirectoryIsRestored(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 3, Quotas: quotas})
@@ -321,7 +321,7 @@
 	m.Start()
 	w.Await("it serves", m.isServing)
 	change := func(i int) {
-		w.Await("the council acts", func() bool {
+		w.Await("the consensus group acts", func() bool {
 			_, err := w.Aggregators[m.index].Command(map[string]any{"id": fmt.Sprint("c", i), "author": "t", "reason": "r", "tenant": "cato", "quota": map[string]any{"per_s": 100 + i, "burst": 100}})
 			return err == nil
 		})
@@ -339,7 +339,7 @@
 	change(9)
 	stop()
 	if m.Ended() {
-		t.Error("the mixer ended")
+		t.Error("the aggregator ended")
 	}
 	text, _ := os.ReadFile(m.log)
 	t.Logf("the library gave up: %t", strings.Contains(string(text), "gave up"))
--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -39,7 +39,7 @@
 				sent := time.Now()
 				res, err2 := http.ReadResponse(in, nil)
 				if err != nil || err2 != nil {
-					t.Errorf("connection %d, lookup %d, sent %s before: no answer: %v %v", i, n, time.Since(sent), err, err2)
+					t.Errorf("connection %d, query %d, sent %s before: no answer: %v %v", i, n, time.Since(sent), err, err2)
 					return
 				}
 				io.Copy(io.Discard, res.Body)
@@ -56,12 +56,12 @@
 			}
 		})
 	}
-	w.Await("lookups are answered", func() bool { return answered.Load() > 200 })
+	w.Await("queries are answered", func() bool { return answered.Load() > 200 })
 	stopping.Store(true)
 	m.Signal(syscall.SIGTERM)
 	connections.Wait()
 	w.Await("the process ends", m.Ended)
-	if t.Logf("%d lookups answered after SIGTERM", after.Load()); after.Load() < 24 || closed.Load() != 24 {
+	if t.Logf("%d queries answered after SIGTERM", after.Load()); after.Load() < 24 || closed.Load() != 24 {
 		t.Errorf("%d answered after SIGTERM, %d of 24 connections told that they close", after.Load(), closed.Load())
 	}
 	w.CheckInvariants()
