--- a/cmd/puffinlink/capture.go
+++ b/cmd/puffinlink/capture.go
@@ -11,15 +11,15 @@
 	"puffinlink.example/puffinlink/internal/operators/capture"
 )
 
-type captureCmd struct {
-	Show  captureShowCmd  `command:"show" description:"What a capture holds. Example: puffinlink capture show /var/lib/puffinlink/capture"`
-	Merge captureMergeCmd `command:"merge" description:"Several mixers' captures as one. Example: puffinlink capture merge --out all.capture n1 n2 n3"`
-	Cut   captureCutCmd   `command:"cut" description:"A part of a capture. Example: puffinlink capture cut all.capture --from 2026-11-30T08:00:00Z --for 1h --out morning.capture"`
-	Synth captureSynthCmd `command:"synth" description:"A capture of a load that is stated. Example: puffinlink capture synth load.json5 --out load.capture"`
+type captureCommand struct {
+	Show  captureShowCommand  `command:"show" description:"What a capture holds. Example: puffinlink capture show /var/lib/puffinlink/capture"`
+	Merge captureMergeCommand `command:"merge" description:"Several mixers' captures as one. Example: puffinlink capture merge --out all.capture n1 n2 n3"`
+	Cut   captureCutCommand   `command:"cut" description:"A part of a capture. Example: puffinlink capture cut all.capture --from 2026-11-30T08:00:00Z --for 1h --out morning.capture"`
+	Synth captureSynthCommand `command:"synth" description:"A capture of a load that is stated. Example: puffinlink capture synth load.json5 --out load.capture"`
 }
 
-// opened reads a capture, and tells where it is cut off.
-func opened(path string) (capture.Capture, error) {
+// openCapture reads a capture, and tells where it is cut off.
+func openCapture(path string) (capture.Capture, error) {
 	c, cuts, err := capture.Open(path)
 	for _, cut := range cuts {
 		fmt.Fprintln(stderr, "puffinlink:", cut)
@@ -30,27 +30,29 @@
 	return c, err
 }
 
-func when(at float64) string { return time.UnixMilli(int64(1000 * at)).UTC().Format(time.RFC3339) }
+func formatSeconds(at float64) string {
+	return time.UnixMilli(int64(1000 * at)).UTC().Format(time.RFC3339)
+}
 
-type captureShowCmd struct {
+type captureShowCommand struct {
 	JSON      bool `long:"json" description:"The sum, as JSON."`
 	Arguments struct {
 		Path string `positional-arg-name:"path" description:"A file, or a directory of them."`
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (s *captureShowCmd) Execute([]string) error {
-	c, err := opened(s.Arguments.Path)
+func (s *captureShowCommand) Execute([]string) error {
+	c, err := openCapture(s.Arguments.Path)
 	if err != nil {
 		return err
 	}
 	sum := c.Sum()
 	if s.JSON {
-		return asJSON(sum)
+		return printJSON(sum)
 	}
-	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), when(sum.At), when(sum.At+sum.Span), strings.Join(sum.Aggregators, ", "))
+	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), formatSeconds(sum.At), formatSeconds(sum.At+sum.Span), strings.Join(sum.Aggregators, ", "))
 	for _, h := range c.Holes() {
-		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", when(h.From), when(h.To))
+		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", formatSeconds(h.From), formatSeconds(h.To))
 	}
 	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", sum.Held.Mean, sum.Held.Most, sum.Out.Mean, sum.Out.Most)
 	rows := [][]string{}
@@ -62,22 +64,22 @@
 	table(stdout, "INDEX CUSTOMER LOOKUPS A-SECOND PARTS RESENT SATISFIED LATE NACKED ABORTED GONE FULL", rows)
 	rows = rows[:0]
 	for _, x := range sum.Indexes {
-		rows = append(rows, []string{x.Index, n(x.Latency.Count()), ms(x.Latency.Quantile(0.5)), ms(x.Latency.Quantile(0.99)), ms(x.Latency.Quantile(1))})
+		rows = append(rows, []string{x.Index, n(x.Latency.Count()), formatMilliseconds(x.Latency.Quantile(0.5)), formatMilliseconds(x.Latency.Quantile(0.99)), formatMilliseconds(x.Latency.Quantile(1))})
 	}
 	fmt.Fprintln(stdout)
 	table(stdout, "INDEX ANSWERED P50 P99 MOST", rows)
 	rows = rows[:0]
 	for _, x := range sum.Backends {
-		rows = append(rows, []string{x.Backend, x.Location, x.Index, n(x.Calls), n(x.Failed), n(x.TurnedAway), ms(x.Latency.Quantile(0.5)), ms(x.Latency.Quantile(0.99)), ms(x.Alone.Mean())})
+		rows = append(rows, []string{x.Backend, x.Location, x.Index, n(x.Calls), n(x.Failed), n(x.TurnedAway), formatMilliseconds(x.Latency.Quantile(0.5)), formatMilliseconds(x.Latency.Quantile(0.99)), formatMilliseconds(x.Alone.Mean())})
 	}
 	fmt.Fprintln(stdout)
 	table(stdout, "SEARCHER LOCATION INDEX CALLS FAILED TURNED-AWAY P50 P99 ALONE", rows)
 	return nil
 }
 
-func ms(s float64) string { return fmt.Sprintf("%.1f ms", 1000*s) }
+func formatMilliseconds(s float64) string { return fmt.Sprintf("%.1f ms", 1000*s) }
 
-type captureMergeCmd struct {
+type captureMergeCommand struct {
 	Span      time.Duration `long:"span" value-name:"DURATION" default:"10s" description:"Of an interval."`
 	Out       string        `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
@@ -85,10 +87,10 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (m *captureMergeCmd) Execute([]string) error {
+func (m *captureMergeCommand) Execute([]string) error {
 	var all []capture.Capture
 	for _, p := range m.Arguments.Paths {
-		c, err := opened(p)
+		c, err := openCapture(p)
 		if err != nil {
 			return err
 		}
@@ -101,8 +103,8 @@
 	return capture.Save(m.Out, merged)
 }
 
-type captureCutCmd struct {
-	From      moment        `long:"from" value-name:"TIME" required:"yes" description:"As 2026-11-30T08:00:00Z."`
+type captureCutCommand struct {
+	From      timeFlag      `long:"from" value-name:"TIME" required:"yes" description:"As 2026-11-30T08:00:00Z."`
 	For       time.Duration `long:"for" value-name:"DURATION" required:"yes" description:"As 1h."`
 	Out       string        `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
@@ -110,8 +112,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (m *captureCutCmd) Execute([]string) error {
-	c, err := opened(m.Arguments.Path)
+func (m *captureCutCommand) Execute([]string) error {
+	c, err := openCapture(m.Arguments.Path)
 	if err != nil {
 		return err
 	}
@@ -122,7 +124,7 @@
 	return capture.Save(m.Out, c)
 }
 
-type captureSynthCmd struct {
+type captureSynthCommand struct {
 	Out       string `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
 		File string `positional-arg-name:"file" description:"The load, as docs/operators/planning.md shows it."`
@@ -131,16 +133,16 @@
 
 // synthFile is the form of a stated load.
 type synthFile struct {
-	Begins         time.Time `json:"begins"`
-	LastsS         float64   `json:"lasts_s"`
-	IntervalS      float64   `json:"interval_s"`
-	LookupsPerS    float64   `json:"lookups_per_s"`
-	Shards         int       `json:"shards"`
-	Skew           float64   `json:"skew"`
-	Day            []float64 `json:"day"`
-	MonthEndFactor float64   `json:"month_end_factor"`
-	Seed           uint64    `json:"seed"`
-	Indexes        []struct {
+	Begins           time.Time `json:"begins"`
+	LastsS           float64   `json:"lasts_s"`
+	IntervalS        float64   `json:"interval_s"`
+	QueriesPerSecond float64   `json:"lookups_per_s"`
+	Shards           int       `json:"shards"`
+	Skew             float64   `json:"skew"`
+	Day              []float64 `json:"day"`
+	MonthEndFactor   float64   `json:"month_end_factor"`
+	Seed             uint64    `json:"seed"`
+	Indexes          []struct {
 		Index    string  `json:"index"`
 		Customer string  `json:"customer"`
 		Share    float64 `json:"share"`
@@ -154,7 +156,7 @@
 	} `json:"bursts"`
 }
 
-func (m *captureSynthCmd) Execute([]string) error {
+func (m *captureSynthCommand) Execute([]string) error {
 	text, err := os.ReadFile(m.Arguments.File)
 	if err != nil {
 		return err
@@ -163,7 +165,7 @@
 	if err := jsonc.Decode(text, &f); err != nil {
 		return fmt.Errorf("%s:%w", m.Arguments.File, err)
 	}
-	s := capture.Synth{For: f.LastsS, Span: f.IntervalS, PerS: f.LookupsPerS, Shards: f.Shards, Skew: f.Skew, Day: f.Day, MonthEnd: f.MonthEndFactor, Seed: f.Seed}
+	s := capture.Synth{For: f.LastsS, Span: f.IntervalS, PerS: f.QueriesPerSecond, Shards: f.Shards, Skew: f.Skew, Day: f.Day, MonthEnd: f.MonthEndFactor, Seed: f.Seed}
 	if !f.Begins.IsZero() {
 		s.At = float64(f.Begins.UnixMilli()) / 1000
 	}
--- a/cmd/puffinlink/commands_test.go
+++ b/cmd/puffinlink/commands_test.go
@@ -21,7 +21,7 @@
 	wasOut, wasErr := stdout, stderr
 	stdout, stderr = &text, &text
 	defer func() { stdout, stderr = wasOut, wasErr }()
-	code = command(args)
+	code = runCommandLine(args)
 	return code, text.String()
 }
 
@@ -72,7 +72,7 @@
 	t.Setenv("PUFFINLINK_OPERATOR", operator)
 	t.Setenv("PUFFINLINK_OPERATORS", socket)
 	ended := make(chan error, 1)
-	go func() { ended <- run(operator) }()
+	go func() { ended <- serveAggregator(operator) }()
 	for late := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("unix", dir+"/s"); err == nil {
 			c.Close()
--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -18,14 +18,14 @@
 	"puffinlink.example/puffinlink/internal/tools/demo/cluster"
 )
 
-// systemDemoTime is how long the load of the demo lasts where it is not stated.
-const systemDemoTime = 20 * time.Second
+// systemDemoDuration is how long the load of the demo lasts where it is not stated.
+const systemDemoDuration = 20 * time.Second
 
 // errDemoFailed is the end of a demo in which something was lost, doubled or not played.
 var errDemoFailed = errors.New("the demo did not end as it should: see the counts above")
 
 // runSystem runs the demo of the cluster scheduler.
-func (c *demoCmd) runSystem(ctx context.Context) (err error) {
+func (c *demoCommand) runSystem(ctx context.Context) (err error) {
 	directory, remove, err := c.workDirectory()
 	if err != nil {
 		return err
@@ -37,11 +37,11 @@
 	}
 	defer func() { err = errors.Join(err, closeLog()) }()
 	options := cluster.Options{
-		For: c.For, Every: c.Every, Workers: c.Searchers, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
+		For: c.For, Every: c.Every, Workers: c.Backends, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
 		Launcher: launcher{c.LogLevel}.functions(),
 	}
 	if options.For == 0 {
-		options.For = systemDemoTime
+		options.For = systemDemoDuration
 	}
 	if c.JSON {
 		options.Out = io.Discard
@@ -68,11 +68,11 @@
 }
 
 // workDirectory is the directory that was named, or one that is removed at the end.
-func (c *demoCmd) workDirectory() (directory string, remove func(), err error) {
+func (c *demoCommand) workDirectory() (directory string, remove func(), err error) {
 	if c.Directory != "" {
 		entries, err := os.ReadDir(c.Directory)
 		if err == nil && len(entries) > 0 {
-			err = unusable("--directory %s is not empty: name an empty one, or none", c.Directory)
+			err = usageErrorf("--directory %s is not empty: name an empty one, or none", c.Directory)
 		}
 		return c.Directory, func() {}, err
 	}
@@ -81,7 +81,7 @@
 	return directory, func() { _ = os.RemoveAll(directory) }, err
 }
 
-func (c *demoCmd) openLog() (log io.Writer, closeLog func() error, err error) {
+func (c *demoCommand) openLog() (log io.Writer, closeLog func() error, err error) {
 	if c.Log == "" {
 		return io.Discard, func() error { return nil }, nil
 	}
--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -13,24 +13,24 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-type fleetCmd struct {
-	Show     fleetShowCmd     `command:"show" description:"What one mixer knows. Example: puffinlink fleet show"`
-	Contract fleetContractCmd `command:"contract" description:"Set or clear a tenant's contract, and wait until it holds. Example: puffinlink fleet contract acme --zones north --reason 'signed'"`
-	Quota    fleetQuotaCmd    `command:"quota" description:"Set or clear a tenant's quota. Example: puffinlink fleet quota acme --per-s 200 --burst 200 --reason 'signed'"`
-	Held     fleetHeldCmd     `command:"held" description:"How far a contract got, mixer by mixer. Example: puffinlink fleet held 17 acme"`
-	Why      fleetWhyCmd      `command:"why" description:"Which contract, lease and quota decide. Example: puffinlink fleet why acme reads"`
+type fleetCommand struct {
+	Show     fleetShowCommand     `command:"show" description:"What one mixer knows. Example: puffinlink fleet show"`
+	Contract fleetContractCommand `command:"contract" description:"Set or clear a tenant's contract, and wait until it holds. Example: puffinlink fleet contract acme --zones north --reason 'signed'"`
+	Quota    fleetQuotaCommand    `command:"quota" description:"Set or clear a tenant's quota. Example: puffinlink fleet quota acme --per-s 200 --burst 200 --reason 'signed'"`
+	Progress fleetProgressCommand `command:"held" description:"How far a contract got, mixer by mixer. Example: puffinlink fleet held 17 acme"`
+	Why      fleetWhyCommand      `command:"why" description:"Which contract, lease and quota decide. Example: puffinlink fleet why acme reads"`
 }
 
-// asker asks a mixer's listener within a time.
-func (d *door) asker(most time.Duration) (*api.Client, context.Context, context.CancelFunc, error) {
+// clientWithTimeout asks a mixer's listener within a time.
+func (d *operatorConnection) clientWithTimeout(most time.Duration) (*api.Client, context.Context, context.CancelFunc, error) {
 	c, err := d.client()
 	ctx, cancel := context.WithTimeout(context.Background(), most)
 	return c, ctx, cancel, err
 }
 
-// change sends a command and tells that it was accepted; what follows may take so long more.
-func (d *door) change(command api.FleetCommand, more time.Duration) (*api.Client, context.Context, context.CancelFunc, fleet.Result, error) {
-	client, ctx, cancel, err := d.asker(2*patience + more)
+// submitFleetChange sends a command and tells that it was accepted; what follows may take so long more.
+func (d *operatorConnection) submitFleetChange(command api.FleetCommand, more time.Duration) (*api.Client, context.Context, context.CancelFunc, fleet.Result, error) {
+	client, ctx, cancel, err := d.clientWithTimeout(2*answerTimeout + more)
 	var res fleet.Result
 	if err == nil {
 		res, err = client.Change(ctx, command)
@@ -41,15 +41,15 @@
 	return client, ctx, cancel, res, err
 }
 
-type fleetShowCmd struct{ door }
+type fleetShowCommand struct{ operatorConnection }
 
-func (c *fleetShowCmd) Execute([]string) error {
+func (c *fleetShowCommand) Execute([]string) error {
 	var s fleet.Status
 	if err := c.get("/v1/fleet", &s); err != nil {
 		return err
 	}
 	if c.JSON {
-		return asJSON(s)
+		return printJSON(s)
 	}
 	fmt.Fprintf(stdout, "%s: open %t, hears nothing %t, leader %s, contracts of version %d sure for %.1f s, quotas of version %d\n",
 		s.Node, s.Open, s.Isolated, s.Leader, s.Contracts.Version, s.ContractsConfirmedFor, s.QuotasVersion)
@@ -69,44 +69,44 @@
 	return w.Flush()
 }
 
-// stated is who says why.
-type stated struct {
+// changeOptions is who says why.
+type changeOptions struct {
 	Author string `long:"author" value-name:"STRING" description:"Who; the user's name unless a token says it."`
 	Reason string `long:"reason" value-name:"STRING" required:"yes" description:"Why."`
 	ID     string `long:"id" value-name:"STRING" description:"The same command sent again under it acts once."`
 }
 
-func (s *stated) command(tenant string) api.FleetCommand {
+func (s *changeOptions) command(tenant string) api.FleetCommand {
 	if u, err := user.Current(); s.Author == "" && err == nil {
 		s.Author = u.Username
 	}
 	return api.FleetCommand{ID: s.ID, Author: s.Author, Reason: s.Reason, Tenant: tenant}
 }
 
-type fleetContractCmd struct {
-	door
-	stated
-	Zones     commaList     `long:"zones" value-name:"LIST" description:"Where its lookups may go."`
-	Indexes   commaList     `long:"indexes" value-name:"LIST" description:"Those that it is about; all if none is named."`
-	MixersToo bool          `long:"mixers-too" description:"Mixers in other zones do not take them either."`
-	Clear     bool          `long:"clear" description:"Take the contract away."`
-	Wait      time.Duration `long:"wait" value-name:"DURATION" default:"30s" description:"How long to wait until it holds everywhere."`
-	Arguments struct {
+type fleetContractCommand struct {
+	operatorConnection
+	changeOptions
+	Zones          commaList     `long:"zones" value-name:"LIST" description:"Where its lookups may go."`
+	Indexes        commaList     `long:"indexes" value-name:"LIST" description:"Those that it is about; all if none is named."`
+	AggregatorsToo bool          `long:"mixers-too" description:"Mixers in other zones do not take them either."`
+	Clear          bool          `long:"clear" description:"Take the contract away."`
+	Wait           time.Duration `long:"wait" value-name:"DURATION" default:"30s" description:"How long to wait until it holds everywhere."`
+	Arguments      struct {
 		Tenant string `positional-arg-name:"tenant"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *fleetContractCmd) Execute([]string) error {
+func (c *fleetContractCommand) Execute([]string) error {
 	command := c.command(c.Arguments.Tenant)
 	if command.Clear = "contract"; !c.Clear {
-		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, AggregatorsToo: c.MixersToo, Indexes: c.Indexes}
+		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, AggregatorsToo: c.AggregatorsToo, Indexes: c.Indexes}
 	}
-	client, ctx, cancel, res, err := c.change(command, c.Wait)
+	client, ctx, cancel, res, err := c.submitFleetChange(command, c.Wait)
 	defer cancel()
 	if err != nil {
 		return err
 	}
-	p, err := waitHeld(ctx, client, res.Version, c.Arguments.Tenant, c.Wait)
+	p, err := waitUntilApplied(ctx, client, res.Version, c.Arguments.Tenant, c.Wait)
 	switch {
 	case err != nil:
 		return err
@@ -114,17 +114,17 @@
 		fmt.Fprintln(stdout, "held everywhere")
 		return nil
 	}
-	progress(&p)
-	return notHeldError{c.Wait, res.Version, c.Arguments.Tenant}
+	printProgress(&p)
+	return notAppliedError{c.Wait, res.Version, c.Arguments.Tenant}
 }
 
-// heldPause is the time between two questions how far a version got.
-const heldPause = 200 * time.Millisecond
+// progressPollInterval is the time between two questions how far a version got.
+const progressPollInterval = 200 * time.Millisecond
 
-// waitHeld asks how far a version of the contracts got until it is held everywhere, or for as long as wait says; it asks once at the
+// waitUntilApplied asks how far a version of the contracts got until it is held everywhere, or for as long as wait says; it asks once at the
 // least. What it returns is the last answer.
-func waitHeld(ctx context.Context, client *api.Client, version uint64, tenant string, wait time.Duration) (p residency.Progress, err error) {
-	for until := time.Now().Add(wait); ; time.Sleep(heldPause) {
+func waitUntilApplied(ctx context.Context, client *api.Client, version uint64, tenant string, wait time.Duration) (p residency.Progress, err error) {
+	for until := time.Now().Add(wait); ; time.Sleep(progressPollInterval) {
 		p, err = client.Held(ctx, version, tenant)
 		if err == nil && p.Applied || !time.Now().Before(until) {
 			return p, err
@@ -132,7 +132,7 @@
 	}
 }
 
-func progress(p *residency.Progress) {
+func printProgress(p *residency.Progress) {
 	for _, m := range p.Nodes {
 		fmt.Fprintf(stdout, "%s: %s, tells version %d", m.Node, m.State, m.Applied)
 		if m.LeaseEndsIn > 0 {
@@ -142,8 +142,8 @@
 	}
 }
 
-type fleetHeldCmd struct {
-	door
+type fleetProgressCommand struct {
+	operatorConnection
 	Wait      time.Duration `long:"wait" value-name:"DURATION" description:"How long to wait until it holds everywhere: a new leader knows only after a while."`
 	Arguments struct {
 		Version uint64 `positional-arg-name:"version"`
@@ -151,27 +151,27 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *fleetHeldCmd) Execute([]string) error {
-	client, ctx, cancel, err := c.asker(c.Wait + patience + patience/2)
+func (c *fleetProgressCommand) Execute([]string) error {
+	client, ctx, cancel, err := c.clientWithTimeout(c.Wait + answerTimeout + answerTimeout/2)
 	defer cancel()
 	if err != nil {
 		return err
 	}
-	p, err := waitHeld(ctx, client, c.Arguments.Version, c.Arguments.Tenant, c.Wait)
+	p, err := waitUntilApplied(ctx, client, c.Arguments.Version, c.Arguments.Tenant, c.Wait)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return asJSON(p)
+		return printJSON(p)
 	}
 	fmt.Fprintf(stdout, "version %d held everywhere: %t\n", p.Version, p.Applied)
-	progress(&p)
+	printProgress(&p)
 	return nil
 }
 
-type fleetQuotaCmd struct {
-	door
-	stated
+type fleetQuotaCommand struct {
+	operatorConnection
+	changeOptions
 	PerS       float64 `long:"per-s" value-name:"NUMBER" description:"Lookups a second, all mixers together."`
 	Burst      float64 `long:"burst" value-name:"NUMBER" description:"Lookups at once."`
 	FloorShare float64 `long:"floor-share" value-name:"NUMBER" default:"0.04" description:"Share of it that mixers have by themselves."`
@@ -181,26 +181,26 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *fleetQuotaCmd) Execute([]string) error {
+func (c *fleetQuotaCommand) Execute([]string) error {
 	command := c.command(c.Arguments.Tenant)
 	if command.Clear = "quota"; !c.Clear {
 		command.Clear, command.Quota = "", &api.Quota{PerS: c.PerS, Burst: c.Burst, Floor: c.FloorShare}
 	}
-	_, _, cancel, _, err := c.change(command, 0)
+	_, _, cancel, _, err := c.submitFleetChange(command, 0)
 	defer cancel()
 	return err
 }
 
-type fleetWhyCmd struct {
-	door
+type fleetWhyCommand struct {
+	operatorConnection
 	Arguments struct {
 		Tenant string `positional-arg-name:"tenant"`
 		Index  string `positional-arg-name:"index"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *fleetWhyCmd) Execute([]string) error {
-	client, ctx, cancel, err := c.asker(patience)
+func (c *fleetWhyCommand) Execute([]string) error {
+	client, ctx, cancel, err := c.clientWithTimeout(answerTimeout)
 	defer cancel()
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 		return err
 	}
 	if c.JSON {
-		return asJSON(e)
+		return printJSON(e)
 	}
 	fmt.Fprintf(stdout, "taken: %t\n", e.Accepted)
 	for _, line := range e.Rules {
--- a/cmd/puffinlink/internalserver.go
+++ b/cmd/puffinlink/internalserver.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	listenPatience        = 5 * time.Second // for an address that the process before may still hold
-	listenPause           = 100 * time.Millisecond
+	listenTimeout         = 5 * time.Second // for an address that the process before may still hold
+	listenRetryInterval   = 100 * time.Millisecond
 	internalHeaderTimeout = 5 * time.Second
 	internalIdleTimeout   = time.Minute // longer than callers keep a connection, so that they are the ones to close it
 )
@@ -32,7 +32,7 @@
 	if address == "" {
 		return nil, errNoAddress
 	}
-	latest := time.Now().Add(listenPatience)
+	latest := time.Now().Add(listenTimeout)
 	for {
 		listener, err := net.Listen("tcp", address)
 		if err == nil || time.Now().After(latest) {
@@ -41,7 +41,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(listenPause):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
--- a/cmd/puffinlink/main.go
+++ b/cmd/puffinlink/main.go
@@ -18,15 +18,15 @@
 // What commands print goes here; a mixer that serves writes its log to standard output itself.
 var stdout, stderr io.Writer = os.Stdout, os.Stderr
 
-func main() { os.Exit(command(os.Args[1:])) }
+func main() { os.Exit(runCommandLine(os.Args[1:])) }
 
-// command runs a command line and tells its exit code.
-func command(args []string) int {
+// runCommandLine runs a command line and tells its exit code.
+func runCommandLine(args []string) int {
 	if process, found := findSystemProcess(args); found {
-		return systemCommand(process, args[1:])
+		return runSystemCommand(process, args[1:])
 	}
-	if findOperation(args) {
-		return operationCommand(args)
+	if isOperation(args) {
+		return runOperationCommand(args)
 	}
-	return mixerCommand(args)
+	return runAggregatorCommand(args)
 }
--- a/cmd/puffinlink/main_test.go
+++ b/cmd/puffinlink/main_test.go
@@ -57,7 +57,7 @@
 		"floorByClass[0] is 0.6, expected at most classNeed, 0.5":   {"x:1", "x:1", strings.Replace(goodSettings, `"classNeed":[1]`, `"classNeed":[0.5],"floorByClass":[0.6]`, 1)},
 	} {
 		configured(t, c[0], c[1], "y:1", c[2])
-		if err := run(""); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := serveAggregator(""); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("got %v, expected %q", err, want)
 		}
 	}
@@ -68,12 +68,12 @@
 			t.Fatal(err)
 		}
 		os.WriteFile(os.Getenv("LB_CONFIG"), bytes.Replace(text, []byte(`"weight":1.0`), []byte(`"weight":`+weight), 1), 0o600)
-		if err := run(""); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := serveAggregator(""); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("got %v, expected %q", err, want)
 		}
 	}
 	t.Setenv("LB_CONFIG", "")
-	if err := run(""); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
+	if err := serveAggregator(""); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
 		t.Errorf("got %v", err)
 	}
 }
@@ -93,7 +93,7 @@
 		}
 	}()
 	<-begun
-	if err := run(""); err == nil {
+	if err := serveAggregator(""); err == nil {
 		t.Error("an address without a port was taken")
 	}
 	<-ended
@@ -142,7 +142,7 @@
 	configured(t, listen, register.Listener.Addr().String(), peer.Addr().String(), goodSettings)
 	t.Setenv("LB_DISCOVERY", register.Listener.Addr().String())
 	ended := make(chan error, 1)
-	go func() { ended <- run("") }()
+	go func() { ended <- serveAggregator("") }()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
 		res, err := http.Get("http://" + listen + "/up")
 		if err == nil {
@@ -241,7 +241,7 @@
 	signal.Notify(ours, syscall.SIGTERM)
 	defer signal.Stop(ours)
 	ended := make(chan error, 1)
-	go func() { ended <- run("") }()
+	go func() { ended <- serveAggregator("") }()
 	again := time.NewTicker(10 * time.Millisecond)
 	defer again.Stop()
 	for {
@@ -262,7 +262,7 @@
 // What comes while it starts is kept for the mixer that runs, in its order.
 func TestSignalsWhileStartingAreKept(t *testing.T) {
 	signals := make(chan os.Signal, 16)
-	begun, err := start(signals, func(ctx context.Context) (*node.Node, error) {
+	begun, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) {
 		signals <- syscall.SIGHUP
 		signals <- syscall.SIGTERM
 		<-ctx.Done()
@@ -306,7 +306,7 @@
 	}
 	t.Setenv("LB_CONFIG", pipe)
 	ended := make(chan error, 1)
-	go func() { ended <- run("") }()
+	go func() { ended <- serveAggregator("") }()
 	if err := os.WriteFile(pipe, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/puffinlink/mixercommands.go
+++ b/cmd/puffinlink/mixercommands.go
@@ -11,21 +11,21 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// mixerCommands are the commands of a mixer and of its operators, by the order of the help.
-type mixerCommands struct {
-	Serve    serveCmd    `command:"serve" description:"Serve lookups, as LB_CONFIG says. Example: LB_CONFIG=config.json puffinlink"`
-	Check    checkCmd    `command:"check" description:"Check an operator's file. Example: puffinlink check deploy/operator.json5"`
-	Override overrideCmd `command:"override" description:"List, set, clear, watch and explain overrides of a running mixer. Example: puffinlink override list --at unix:/run/p.sock"`
-	Fleet    fleetCmd    `command:"fleet" description:"Show, set and explain what the mixers of a fleet agree on. Example: puffinlink fleet show --at unix:/run/p.sock"`
-	Capture  captureCmd  `command:"capture" description:"Show, merge, cut and make captures of load. Example: puffinlink capture show all.capture"`
-	Plan     planCmd     `command:"plan" description:"Plan a fleet for a load. Example: puffinlink plan report fleet.json5 --capture all.capture"`
-	Token    tokenCmd    `command:"token" description:"Make an operator's token. Example: puffinlink token --key-file /etc/puffinlink/key"`
-	Demo     demoCmd     `command:"demo" description:"Run stand-ins, mixers and a small load on this machine. Example: puffinlink demo --for 10s"`
-	Version  versionCmd  `command:"version" description:"Print the version. Example: puffinlink version --json"`
+// aggregatorCommands are the commands of a mixer and of its operators, by the order of the help.
+type aggregatorCommands struct {
+	Serve    serveCommand    `command:"serve" description:"Serve lookups, as LB_CONFIG says. Example: LB_CONFIG=config.json puffinlink"`
+	Check    checkCommand    `command:"check" description:"Check an operator's file. Example: puffinlink check deploy/operator.json5"`
+	Override overrideCommand `command:"override" description:"List, set, clear, watch and explain overrides of a running mixer. Example: puffinlink override list --at unix:/run/p.sock"`
+	Fleet    fleetCommand    `command:"fleet" description:"Show, set and explain what the mixers of a fleet agree on. Example: puffinlink fleet show --at unix:/run/p.sock"`
+	Capture  captureCommand  `command:"capture" description:"Show, merge, cut and make captures of load. Example: puffinlink capture show all.capture"`
+	Plan     planCommand     `command:"plan" description:"Plan a fleet for a load. Example: puffinlink plan report fleet.json5 --capture all.capture"`
+	Token    tokenCommand    `command:"token" description:"Make an operator's token. Example: puffinlink token --key-file /etc/puffinlink/key"`
+	Demo     demoCommand     `command:"demo" description:"Run stand-ins, mixers and a small load on this machine. Example: puffinlink demo --for 10s"`
+	Version  versionCommand  `command:"version" description:"Print the version. Example: puffinlink version --json"`
 }
 
 const (
-	mixerDescription = "A mixer: it reads many shards for one lookup. The processes of the cluster scheduler are puffinlink proxy, agent and coordinator; " +
+	aggregatorDescription = "A mixer: it reads many shards for one lookup. The processes of the cluster scheduler are puffinlink proxy, agent and coordinator; " +
 		"its operators use status, searchers, jobs, job, why, drain, undrain, cancel, apply and check-settings."
 	exampleMark = " Example: "
 )
@@ -33,13 +33,13 @@
 // defaultCommand is what an empty command line means.
 const defaultCommand = "serve"
 
-// mixerCommand runs one of the mixer's commands and tells its exit code.
-func mixerCommand(args []string) int {
+// runAggregatorCommand runs one of the mixer's commands and tells its exit code.
+func runAggregatorCommand(args []string) int {
 	if len(args) == 0 {
 		args = []string{defaultCommand}
 	}
-	parser := newMixerParser()
-	chosen, err := parseMixer(parser, args)
+	parser := newAggregatorParser()
+	chosen, err := parseAggregatorCommand(parser, args)
 	if flags.WroteHelp(err) {
 		if parser.Active == nil {
 			writeOverview(stdout, parser)
@@ -54,34 +54,34 @@
 	}
 	if err := chosen.Execute(nil); err != nil {
 		fmt.Fprintln(stderr, "puffinlink:", err)
-		return coded(err)
+		return exitCode(err)
 	}
 	return 0
 }
 
-// newMixerParser makes a parser of the mixer's commands. The help of each one ends with its example.
-func newMixerParser() *flags.Parser {
+// newAggregatorParser makes a parser of the mixer's commands. The help of each one ends with its example.
+func newAggregatorParser() *flags.Parser {
 	parser := flags.NewNamedParser("puffinlink", flags.HelpFlag|flags.PassDoubleDash|flags.AllowBoolValues)
-	parser.LongDescription = mixerDescription
-	if _, err := parser.AddGroup("Options", "", new(mixerCommands)); err != nil {
+	parser.LongDescription = aggregatorDescription
+	if _, err := parser.AddGroup("Options", "", new(aggregatorCommands)); err != nil {
 		panic(err) // a mistake in the tags
 	}
-	describe(parser.Commands())
+	setDescriptions(parser.Commands())
 	return parser
 }
 
-// describe gives all commands their whole text as the description that their own help shows, and the text without the example as the one
+// setDescriptions gives all commands their whole text as the description that their own help shows, and the text without the example as the one
 // that lists show.
-func describe(commands []*flags.Command) {
+func setDescriptions(commands []*flags.Command) {
 	for _, one := range commands {
 		one.LongDescription = one.ShortDescription
 		one.ShortDescription, _, _ = strings.Cut(one.LongDescription, exampleMark)
-		describe(one.Commands())
+		setDescriptions(one.Commands())
 	}
 }
 
-// parseMixer finds the command that a line means, with its flags set. All errors are the line's.
-func parseMixer(parser *flags.Parser, args []string) (flags.Commander, error) {
+// parseAggregatorCommand finds the command that a line means, with its flags set. All errors are the line's.
+func parseAggregatorCommand(parser *flags.Parser, args []string) (flags.Commander, error) {
 	var chosen flags.Commander
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
 		if len(rest) > 0 {
@@ -93,7 +93,7 @@
 	rest, err := parser.ParseArgs(args)
 	var number *strconv.NumError // of an argument; for flags the parser names them
 	if errors.As(err, &number) {
-		return nil, unusable("expected a number but got %q", number.Num)
+		return nil, usageErrorf("expected a number but got %q", number.Num)
 	}
 	var usage *flags.Error
 	if !errors.As(err, &usage) {
@@ -104,13 +104,13 @@
 		return nil, unexpected(rest[0])
 	case flags.ErrRequired:
 		if missing := missingFlags(parser.Command); len(missing) > 0 {
-			return nil, unusable("missing flags: %s", strings.Join(missing, ", "))
+			return nil, usageErrorf("missing flags: %s", strings.Join(missing, ", "))
 		}
 	}
 	return nil, err
 }
 
-func unexpected(argument string) error { return unusable("unexpected argument %s", argument) }
+func unexpected(argument string) error { return usageErrorf("unexpected argument %s", argument) }
 
 // missingFlags lists the flags that the chosen command needs and the line lacks.
 func missingFlags(chosen *flags.Command) []string {
@@ -127,7 +127,7 @@
 
 // writeOverview prints all commands, those within others too.
 func writeOverview(out io.Writer, parser *flags.Parser) {
-	fmt.Fprintf(out, "Usage: puffinlink <command>\n\n%s\n\nCommands:\n", mixerDescription)
+	fmt.Fprintf(out, "Usage: puffinlink <command>\n\n%s\n\nCommands:\n", aggregatorDescription)
 	rows := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	writeCommands(rows, "  ", parser.Commands())
 	rows.Flush()
--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -112,18 +112,18 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// order sends an order on the searcher's drain on top of the version that is in force, so that a copy of it that arrives late, after a
+// changeDrain sends an order on the searcher's drain on top of the version that is in force, so that a copy of it that arrives late, after a
 // later order, changes nothing. A searcher that no leader lists is ordered without a version.
-func (o *drainOptions) order(method string, printReport func(report *jobreport.Worker)) error {
+func (o *drainOptions) changeDrain(method string, printReport func(report *jobreport.Worker)) error {
 	var list control.Workers
 	if _, err := o.call(operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: o.query()}, &list); err != nil {
 		return err
 	}
 	path := control.WorkersPath + "/" + url.PathEscape(o.Arguments.ID) + control.DrainSuffix
 	request := operatorclient.Request{Method: method, Path: path, Query: o.query()}
-	for _, searcher := range list.Workers {
-		if searcher.ID == o.Arguments.ID {
-			request.IfMatch = entitytag.Format(searcher.DrainVersion)
+	for _, worker := range list.Workers {
+		if worker.ID == o.Arguments.ID {
+			request.IfMatch = entitytag.Format(worker.DrainVersion)
 		}
 	}
 	var report jobreport.Worker
@@ -134,7 +134,7 @@
 
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
-	return c.order(http.MethodPost, func(report *jobreport.Worker) {
+	return c.changeDrain(http.MethodPost, func(report *jobreport.Worker) {
 		fmt.Fprintf(stdout, "searcher %s gets no new starts; runs that go on there: %d\n", report.ID, report.Attempts)
 	})
 }
@@ -143,7 +143,7 @@
 
 // Execute implements flags.Commander.
 func (c *undrainCommand) Execute([]string) error {
-	return c.order(http.MethodDelete, func(report *jobreport.Worker) {
+	return c.changeDrain(http.MethodDelete, func(report *jobreport.Worker) {
 		fmt.Fprintf(stdout, "searcher %s gets starts again; it is %s\n", report.ID, report.State)
 	})
 }
--- a/cmd/puffinlink/operations.go
+++ b/cmd/puffinlink/operations.go
@@ -62,8 +62,8 @@
 	Timeout time.Duration `long:"timeout" default:"10s" description:"How long to try."`
 }
 
-// findOperation tells whether a command line is one of these commands.
-func findOperation(args []string) bool {
+// isOperation tells whether a command line is one of these commands.
+func isOperation(args []string) bool {
 	for _, one := range operations {
 		if len(args) > 0 && one.name == args[0] {
 			return true
@@ -72,8 +72,8 @@
 	return false
 }
 
-// operationCommand runs one of these commands and tells its exit code.
-func operationCommand(args []string) int {
+// runOperationCommand runs one of these commands and tells its exit code.
+func runOperationCommand(args []string) int {
 	parser := flags.NewNamedParser("puffinlink", flags.HelpFlag|flags.PassDoubleDash)
 	for _, one := range operations {
 		if _, err := parser.AddCommand(one.name, one.short, one.description+operationUsage+one.example, one.make()); err != nil {
--- a/cmd/puffinlink/operationsprint.go
+++ b/cmd/puffinlink/operationsprint.go
@@ -22,11 +22,11 @@
 }
 
 func printStatus(s *control.Status) {
-	fmt.Fprintf(stdout, "mixer %s (%s, zone %s): up %v, %s, contact to a majority: %s\n", s.Node.Name, s.Node.Address, orNone(s.Node.Zone),
-		milliseconds(s.UptimeMS).Round(time.Second), part(s), yesNo(s.InContact))
+	fmt.Fprintf(stdout, "mixer %s (%s, zone %s): up %v, %s, contact to a majority: %s\n", s.Node.Name, s.Node.Address, orDash(s.Node.Zone),
+		milliseconds(s.UptimeMS).Round(time.Second), replicaRole(s), yesNo(s.InContact))
 	fmt.Fprintf(stdout, "configuration: version %d\n", s.ConfigurationVersion)
 	fmt.Fprintf(stdout, "view of the replicas: version %d, %s\n", s.View.Version, strings.Join(s.View.Members, " "))
-	fmt.Fprintf(stdout, "agents: %s\n\n", orNone(strings.Join(s.Agents, " ")))
+	fmt.Fprintf(stdout, "agents: %s\n\n", orDash(strings.Join(s.Agents, " ")))
 	rows := [][]string{{"MEMBER", "ALIVE", "VOTES", "HEARD"}}
 	for _, member := range s.Members {
 		heard := "never"
@@ -39,7 +39,7 @@
 	fmt.Fprintln(stdout)
 	rows = [][]string{{"SERVICE", "LEADER", "EPOCH", "QUEUED", "RUNNING", "ENDED", "WAITING-TASKS", "RUNS", "SEARCHERS"}}
 	for _, group := range s.Groups {
-		row := []string{group.Service, orNone(group.Leader), fmt.Sprint(group.Epoch)}
+		row := []string{group.Service, orDash(group.Leader), fmt.Sprint(group.Epoch)}
 		if group.Summary == nil {
 			rows = append(rows, append(row, "("+group.Error+")"))
 			continue
@@ -51,8 +51,8 @@
 	printTable(rows)
 }
 
-// part is the part that the answering mixer has among the replicas.
-func part(s *control.Status) string {
+// replicaRole is the part that the answering mixer has among the replicas.
+func replicaRole(s *control.Status) string {
 	switch {
 	case s.View.Version > 0 && !slices.Contains(s.View.Members, s.Node.Address):
 		return "stands by as no member of the view"
@@ -65,7 +65,7 @@
 func printWorkers(s *control.Workers) {
 	rows := [][]string{{"SEARCHER", "SERVICE", "STATE", "ZONE", "RACK", "RUNS", "WINDOW", "LATENCY", "FAULTS", "FREE", "CAPACITY"}}
 	for _, one := range s.Workers {
-		rows = append(rows, []string{one.ID, one.Service, string(one.State), orNone(one.Zone), orNone(one.Rack), fmt.Sprint(one.Attempts), fmt.Sprint(one.Window),
+		rows = append(rows, []string{one.ID, one.Service, string(one.State), orDash(one.Zone), orDash(one.Rack), fmt.Sprint(one.Attempts), fmt.Sprint(one.Window),
 			choose(one.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", one.LatencyMS)), fmt.Sprintf("%.0f%%", 100*one.FailureRate), resources(one.Free), resources(one.Capacity)})
 	}
 	printTable(rows)
@@ -75,7 +75,7 @@
 func printJobs(jobs *control.Jobs) {
 	rows := [][]string{{"JOB", "SERVICE", "ROUTE", "PRIORITY", "STATE", "BLOCKED", "WAITING", "RUNNING", "DONE"}}
 	for _, one := range jobs.Jobs {
-		row := []string{string(one.ID), orNone(one.Service), orNone(one.Route), fmt.Sprint(one.Priority), string(one.State)}
+		row := []string{string(one.ID), orDash(one.Service), orDash(one.Route), fmt.Sprint(one.Priority), string(one.State)}
 		if one.State.Final() {
 			row[3] = "-"
 			rows = append(rows, append(row, "-", "-", "-", "-"))
@@ -93,12 +93,12 @@
 func printJob(j *jobreport.JobDetail) {
 	fmt.Fprintf(stdout, "job %s of service %s: %s\n", j.ID, j.Service, j.State)
 	if j.State.Final() {
-		fmt.Fprintf(stdout, "ended: %s\n", wall(j.EndedMS))
+		fmt.Fprintf(stdout, "ended: %s\n", formatUnixMilliseconds(j.EndedMS))
 		return
 	}
 	fmt.Fprintf(stdout, "route %s, priority %d, at most %d attempts a task; repetitions complete: %d of %d\n", j.Route, j.Priority, j.MaxAttempts, j.CompleteRepetitions, j.Repetitions)
 	if j.NextDueMS != 0 {
-		fmt.Fprintf(stdout, "next repetition: %s\n", wall(j.NextDueMS))
+		fmt.Fprintf(stdout, "next repetition: %s\n", formatUnixMilliseconds(j.NextDueMS))
 	}
 	fmt.Fprintln(stdout)
 	rows := [][]string{{"REPETITION", "STAGE", "KIND", "REQUEST", "BLOCKED", "WAITING", "RUNNING", "DONE"}}
@@ -109,7 +109,7 @@
 	printTable(rows)
 	if len(j.Attempts) > 0 {
 		fmt.Fprintln(stdout)
-		printRuns(j.Attempts)
+		printAttempts(j.Attempts)
 	}
 	for _, failure := range j.Failures {
 		fmt.Fprintf(stdout, "task %s has failed %d times (runs %v)\n", failure.Task, len(failure.Attempts), failure.Attempts)
@@ -119,7 +119,7 @@
 	}
 }
 
-func printRuns(runs []jobreport.Attempt) {
+func printAttempts(runs []jobreport.Attempt) {
 	rows := [][]string{{"TASK", "RUN", "SEARCHER", "AGE", "PROGRESS", "STATE"}}
 	for _, run := range runs {
 		state := choose(run.Confirmed, "running", "ordered")
@@ -152,9 +152,11 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-func wall(milliseconds int64) string { return time.UnixMilli(milliseconds).UTC().Format(time.RFC3339) }
+func formatUnixMilliseconds(milliseconds int64) string {
+	return time.UnixMilli(milliseconds).UTC().Format(time.RFC3339)
+}
 
-func orNone(text string) string { return choose(text == "", "-", text) }
+func orDash(text string) string { return choose(text == "", "-", text) }
 
 func yesNo(yes bool) string { return choose(yes, "yes", "no") }
 
--- a/cmd/puffinlink/operatorclient.go
+++ b/cmd/puffinlink/operatorclient.go
@@ -16,17 +16,17 @@
 	"puffinlink.example/puffinlink/internal/operators/override"
 )
 
-// patience is how long a mixer may take for an answer; a command that waits for a disk takes longest.
-const patience = 10 * time.Second
+// answerTimeout is how long a mixer may take for an answer; a command that waits for a disk takes longest.
+const answerTimeout = 10 * time.Second
 
-// door is where a mixer's listener is, and how to come in.
-type door struct {
+// operatorConnection is where a mixer's listener is, and how to come in.
+type operatorConnection struct {
 	At        string `long:"at" value-name:"ADDRESS" required:"yes" env:"PUFFINLINK_OPERATORS" description:"The listener: unix:/PATH or HOST:PORT."`
 	TokenFile string `long:"token-file" value-name:"FILE" description:"Holds the token; PUFFINLINK_TOKEN may hold it instead."`
 	JSON      bool   `long:"json" description:"As JSON, for programs."`
 }
 
-func (d *door) client() (*api.Client, error) {
+func (d *operatorConnection) client() (*api.Client, error) {
 	token := os.Getenv("PUFFINLINK_TOKEN")
 	if d.TokenFile != "" {
 		text, err := os.ReadFile(d.TokenFile)
@@ -38,18 +38,18 @@
 	return api.NewClient(d.At, token)
 }
 
-func (d *door) get(path string, into any) error {
+func (d *operatorConnection) get(path string, into any) error {
 	c, err := d.client()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	return c.Get(ctx, path, into)
 }
 
-// coded is the exit code of an error.
-func coded(err error) int {
+// exitCode is the exit code of an error.
+func exitCode(err error) int {
 	e := (*api.Error)(nil)
 	switch {
 	case errors.As(err, &e) && (e.Code == string(override.Conflict) || e.Code == string(override.KeyReused)):
@@ -63,7 +63,7 @@
 	return exitFailed
 }
 
-func asJSON(v any) error {
+func printJSON(v any) error {
 	enc := json.NewEncoder(stdout)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -18,17 +18,17 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-type overrideCmd struct {
-	List    listCmd    `command:"list" description:"What holds. Example: puffinlink override list --at unix:/run/p.sock"`
-	Set     setCmd     `command:"set" description:"Set one. Example: puffinlink override set out s-12 --for 30m --reason 'slow disk'"`
-	Clear   clearCmd   `command:"clear" description:"Clear one. Example: puffinlink override clear 17 --reason 'disk changed'"`
-	Watch   watchCmd   `command:"watch" description:"Print changes as they come. Example: puffinlink override watch --json"`
-	History historyCmd `command:"history" description:"The last changes. Example: puffinlink override history --most 20"`
-	Why     whyCmd     `command:"why" description:"Why a shard does or does not go to a searcher. Example: puffinlink override why 7 reads s-12"`
+type overrideCommand struct {
+	List    overrideListCommand    `command:"list" description:"What holds. Example: puffinlink override list --at unix:/run/p.sock"`
+	Set     overrideSetCommand     `command:"set" description:"Set one. Example: puffinlink override set out s-12 --for 30m --reason 'slow disk'"`
+	Clear   overrideClearCommand   `command:"clear" description:"Clear one. Example: puffinlink override clear 17 --reason 'disk changed'"`
+	Watch   overrideWatchCommand   `command:"watch" description:"Print changes as they come. Example: puffinlink override watch --json"`
+	History overrideHistoryCommand `command:"history" description:"The last changes. Example: puffinlink override history --most 20"`
+	Why     overrideWhyCommand     `command:"why" description:"Why a shard does or does not go to a searcher. Example: puffinlink override why 7 reads s-12"`
 }
 
-// what says in a few words what an override does.
-func what(o *api.Override) (target, does string) {
+// describeOverride says in a few words what an override does.
+func describeOverride(o *api.Override) (target, does string) {
 	target = o.Backend
 	if o.Location != "" {
 		target = "@" + o.Location
@@ -50,26 +50,26 @@
 	return target, does
 }
 
-func left(s float64) string {
+func formatRemaining(s float64) string {
 	return time.Duration(s * float64(time.Second)).Round(time.Second).String()
 }
 
-type listCmd struct{ door }
+type overrideListCommand struct{ operatorConnection }
 
-func (c *listCmd) Execute([]string) error {
+func (c *overrideListCommand) Execute([]string) error {
 	var v api.View
 	if err := c.get("/v1/overrides", &v); err != nil {
 		return err
 	}
 	if c.JSON {
-		return asJSON(v)
+		return printJSON(v)
 	}
 	fmt.Fprintf(stdout, "mixer %s, revision %d, kept in %s\n", v.Aggregator, v.Revision, v.Kept)
 	rows := [][]string{}
 	for i := range v.Overrides {
 		o := &v.Overrides[i]
-		target, does := what(o)
-		rows = append(rows, []string{strconv.FormatUint(o.ID, 10), target, does, left(o.EndsIn), o.Author, o.Reason, o.State})
+		target, does := describeOverride(o)
+		rows = append(rows, []string{strconv.FormatUint(o.ID, 10), target, does, formatRemaining(o.EndsIn), o.Author, o.Reason, o.State})
 	}
 	table(stdout, "ID TARGET DOES ENDS-IN AUTHOR REASON STATE", rows)
 	if len(v.Returning) > 0 {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-type setCmd struct {
-	door
+type overrideSetCommand struct {
+	operatorConnection
 	Weight       float64       `long:"weight" value-name:"NUMBER" description:"Of a weight: over 0 and up to 1."`
 	Shards       string        `long:"shards" value-name:"STRING" description:"Of a pin: one shard or a range, as 7 or 7-9."`
 	Strict       bool          `long:"strict" description:"Of a pin: refuse the shard while its searcher is dead, instead of giving it to siblings."`
@@ -117,12 +117,12 @@
 		to, err = strconv.Atoi(last)
 	}
 	if err != nil {
-		return 0, 0, unusable("shards are %q, expected one as 7 or a range as 7-9", s)
+		return 0, 0, usageErrorf("shards are %q, expected one as 7 or a range as 7-9", s)
 	}
 	return from, to, nil
 }
 
-func (c *setCmd) Execute([]string) error {
+func (c *overrideSetCommand) Execute([]string) error {
 	cmd := api.Command{Kind: string(c.Arguments.Kind), Index: c.Index, Weight: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
 		For: c.For.Seconds(), UntilRestart: c.UntilRestart, Force: c.Force, Key: c.Key}
 	if place, is := strings.CutPrefix(c.Arguments.Target, "@"); is {
@@ -136,18 +136,18 @@
 			return err
 		}
 	} else if c.Arguments.Kind == overridePin {
-		return unusable("a pin needs --shards")
+		return usageErrorf("a pin needs --shards")
 	}
-	return c.send(cmd, c.Revision)
+	return c.sendOverride(cmd, c.Revision)
 }
 
-// send sends a command, for the present revision where none is stated; it goes again where the connection broke, under one key.
-func (d *door) send(cmd api.Command, revision int64) error {
+// sendOverride sends a command, for the present revision where none is stated; it goes again where the connection broke, under one key.
+func (d *operatorConnection) sendOverride(cmd api.Command, revision int64) error {
 	client, err := d.client()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	if revision >= 0 {
 		r := uint64(revision)
@@ -172,14 +172,14 @@
 		return err
 	}
 	if d.JSON {
-		return asJSON(made)
+		return printJSON(made)
 	}
 	printChange(stdout, &made)
 	return nil
 }
 
 func printChange(out io.Writer, c *api.Change) {
-	target, does := what(&c.Override)
+	target, does := describeOverride(&c.Override)
 	at := time.UnixMilli(int64(1000 * c.At)).Format(time.DateTime)
 	line := fmt.Sprintf("%s  revision %d: override %d %s: %s %s, by %s: %s", at, c.Revision, c.Override.ID, c.What, target, does, c.Author, c.Reason)
 	for _, f := range c.Forced {
@@ -191,8 +191,8 @@
 	fmt.Fprintln(out, line)
 }
 
-type clearCmd struct {
-	door
+type overrideClearCommand struct {
+	operatorConnection
 	Reason    string `long:"reason" value-name:"STRING" required:"yes" description:"Why."`
 	Author    string `long:"author" value-name:"STRING" env:"USER" default:"operator" description:"Who, where the listener has no tokens."`
 	Revision  int64  `long:"revision" value-name:"NUMBER" default:"-1" description:"Made for this revision; the present one where it is not stated."`
@@ -202,19 +202,19 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *clearCmd) Execute([]string) error {
+func (c *overrideClearCommand) Execute([]string) error {
 	if c.Arguments.ID == 0 {
-		return unusable("override 0, expected an id as `override list` shows it")
+		return usageErrorf("override 0, expected an id as `override list` shows it")
 	}
-	return c.send(api.Command{Clear: c.Arguments.ID, Author: c.Author, Reason: c.Reason, Key: c.Key}, c.Revision)
+	return c.sendOverride(api.Command{Clear: c.Arguments.ID, Author: c.Author, Reason: c.Reason, Key: c.Key}, c.Revision)
 }
 
-type watchCmd struct {
-	door
+type overrideWatchCommand struct {
+	operatorConnection
 	From uint64 `long:"from" value-name:"NUMBER" description:"Begin after this revision."`
 }
 
-func (c *watchCmd) Execute([]string) error {
+func (c *overrideWatchCommand) Execute([]string) error {
 	client, err := c.client()
 	if err != nil {
 		return err
@@ -234,18 +234,18 @@
 	return err
 }
 
-type historyCmd struct {
-	door
+type overrideHistoryCommand struct {
+	operatorConnection
 	Most int `long:"most" value-name:"NUMBER" default:"100" description:"How many, 1000 at most."`
 }
 
-func (c *historyCmd) Execute([]string) error {
+func (c *overrideHistoryCommand) Execute([]string) error {
 	var list []api.Change
 	if err := c.get("/v1/history?most="+strconv.Itoa(c.Most), &list); err != nil {
 		return err
 	}
 	if c.JSON {
-		return asJSON(list)
+		return printJSON(list)
 	}
 	for i := range list {
 		printChange(stdout, &list[i])
@@ -253,8 +253,8 @@
 	return nil
 }
 
-type whyCmd struct {
-	door
+type overrideWhyCommand struct {
+	operatorConnection
 	Arguments struct {
 		Shard    int    `positional-arg-name:"shard" description:"The shard."`
 		Index    string `positional-arg-name:"index" description:"The index."`
@@ -262,14 +262,14 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *whyCmd) Execute([]string) error {
+func (c *overrideWhyCommand) Execute([]string) error {
 	var w api.Why
 	q := url.Values{"shard": {strconv.Itoa(c.Arguments.Shard)}, "index": {c.Arguments.Index}, "searcher": {c.Arguments.Searcher}}
 	if err := c.get("/v1/why?"+q.Encode(), &w); err != nil {
 		return err
 	}
 	if c.JSON {
-		return asJSON(w)
+		return printJSON(w)
 	}
 	verdict := "does not go"
 	if w.Goes {
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -14,15 +14,15 @@
 	"puffinlink.example/puffinlink/internal/tools/validate"
 )
 
-type planCmd struct {
-	Report  planReportCmd  `command:"report" description:"What breaks first, what it bears, what losing a location does. Example: puffinlink plan report fleet.json5 --capture all.capture"`
-	Buy     planBuyCmd     `command:"buy" description:"Fewest searchers that keep the goals with a location lost. Example: puffinlink plan buy fleet.json5 --capture all.capture --spare 1"`
-	Compare planCompareCmd `command:"compare" description:"Two fleets, or one under two captures, side by side. Example: puffinlink plan compare a.json5 b.json5 --capture all.capture"`
-	Prove   planProveCmd   `command:"prove" description:"Hold predictions to what happens on this machine. Example: puffinlink plan prove --seconds 10"`
+type planCommand struct {
+	Report   planReportCommand   `command:"report" description:"What breaks first, what it bears, what losing a location does. Example: puffinlink plan report fleet.json5 --capture all.capture"`
+	Buy      planBuyCommand      `command:"buy" description:"Fewest searchers that keep the goals with a location lost. Example: puffinlink plan buy fleet.json5 --capture all.capture --spare 1"`
+	Compare  planCompareCommand  `command:"compare" description:"Two fleets, or one under two captures, side by side. Example: puffinlink plan compare a.json5 b.json5 --capture all.capture"`
+	Validate planValidateCommand `command:"prove" description:"Hold predictions to what happens on this machine. Example: puffinlink plan prove --seconds 10"`
 }
 
-// planned is what a plan is made of.
-type planned struct {
+// planOptions is what a plan is made of.
+type planOptions struct {
 	Capture   string  `long:"capture" value-name:"STRING" required:"yes" description:"A capture: a file, or a directory of them."`
 	Mean      bool    `long:"mean" description:"Plan for the capture's mean, not its busiest interval."`
 	Times     float64 `long:"times" value-name:"NUMBER" default:"1" description:"Multiply the load."`
@@ -33,12 +33,12 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// read reads both and puts them beside one another.
-func (p *planned) read() (f plan.Site, a plan.Ask, notes []string, err error) {
+// load reads both and puts them beside one another.
+func (p *planOptions) load() (f plan.Site, a plan.Ask, notes []string, err error) {
 	if f, err = planfile.Read(p.Arguments.Fleet); err != nil {
 		return f, a, nil, err
 	}
-	c, err := opened(p.Capture)
+	c, err := openCapture(p.Capture)
 	if err != nil {
 		return f, a, nil, err
 	}
@@ -55,17 +55,17 @@
 	}
 	notes = append(notes, more...)
 	if !(p.Times > 0) {
-		return f, a, notes, unusable("times is %g, expected more than none", p.Times)
+		return f, a, notes, usageErrorf("times is %g, expected more than none", p.Times)
 	}
 	a = a.Scaled(p.Times)
-	if seen := busiest(c); a.PerS > seen*1.001 {
+	if seen := peakQueriesPerSecond(c); a.PerS > seen*1.001 {
 		notes = append(notes, fmt.Sprintf("%.0f lookups a second are beyond the %.0f that the capture saw: how clients come back and what is popular then is not known, take figures as good to %s", a.PerS, seen, "a quarter"))
 	}
 	return f, a, notes, nil
 }
 
-// busiest is the most lookups a second that a capture saw.
-func busiest(c capture.Capture) (most float64) {
+// peakQueriesPerSecond is the most lookups a second that a capture saw.
+func peakQueriesPerSecond(c capture.Capture) (most float64) {
 	for i := range c.Intervals {
 		n := 0.0
 		for _, l := range c.Intervals[i].Loads {
@@ -76,22 +76,22 @@
 	return most
 }
 
-type planReportCmd struct{ planned }
+type planReportCommand struct{ planOptions }
 
-// reported is the report as JSON.
-type reported struct {
-	LookupsPerS float64       `json:"lookups_per_s"`
-	Notes       []string      `json:"notes"`
-	Limits      []plan.Limit  `json:"limits"`
-	Breaks      plan.Breaking `json:"breaks"`
-	WhatIfs     []whatIfRow   `json:"what_ifs"`
-	Recovers    bool          `json:"recovers_from_burst"` // of burstOf times the load
-	LeaveAt     float64       `json:"leave_at_per_s"`      // else the load to go down to
+// planReport is the report as JSON.
+type planReport struct {
+	QueriesPerSecond float64       `json:"lookups_per_s"`
+	Notes            []string      `json:"notes"`
+	Limits           []plan.Limit  `json:"limits"`
+	Breaks           plan.Breaking `json:"breaks"`
+	WhatIfs          []whatIfRow   `json:"what_ifs"`
+	Recovers         bool          `json:"recovers_from_burst"` // of burstFactor times the load
+	LeaveAt          float64       `json:"leave_at_per_s"`      // else the load to go down to
 }
 
-// burstOf is how many times the load the burst is from which a plan tells whether a fleet recovers: month end against a
+// burstFactor is how many times the load the burst is from which a plan tells whether a fleet recovers: month end against a
 // usual day.
-const burstOf = 3
+const burstFactor = 3
 
 type whatIfRow struct {
 	Name     string  `json:"name"`
@@ -106,15 +106,15 @@
 	KeepsAll bool    `json:"keeps_goals"`
 }
 
-func (c *planReportCmd) Execute([]string) error {
+func (c *planReportCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	f, a, notes, err := c.read()
+	f, a, notes, err := c.load()
 	if err != nil {
 		return err
 	}
-	var r reported
-	r.LookupsPerS, r.Notes = a.PerS, notes
+	var r planReport
+	r.QueriesPerSecond, r.Notes = a.PerS, notes
 	for _, w := range plan.WhatIfs(&f, &a) {
 		if ctx.Err() != nil {
 			return errInterrupted
@@ -126,7 +126,7 @@
 		keeps, _ := o.Meets(&w.Site)
 		r.WhatIfs = append(r.WhatIfs, whatIfRow{w.Name, o.Gain, o.Nacked, o.Aborted, o.P50, o.P99, w.Site.Backends[o.Hottest].Name, o.Use[o.Hottest], w.Lost, keeps})
 	}
-	r.Recovers, r.LeaveAt = plan.Recovers(&f, &a, burstOf, c.Seed)
+	r.Recovers, r.LeaveAt = plan.Recovers(&f, &a, burstFactor, c.Seed)
 	var breakErr error
 	r.Breaks, breakErr = plan.Break(&f, &a, c.Seed, func(done, of int) {
 		if !c.JSON {
@@ -138,7 +138,7 @@
 		}
 	})
 	if c.JSON {
-		return asJSON(r)
+		return printJSON(r)
 	}
 	fmt.Fprintln(stderr)
 	fmt.Fprintf(stdout, "%.1f lookups a second\n", a.PerS)
@@ -153,11 +153,11 @@
 	}
 	switch {
 	case r.Recovers:
-		fmt.Fprintf(stdout, "after a burst of %d times this load the goals are kept again\n", burstOf)
+		fmt.Fprintf(stdout, "after a burst of %d times this load the goals are kept again\n", burstFactor)
 	case r.LeaveAt > 0:
-		fmt.Fprintf(stdout, "after a burst of %d times this load the goals stay broken until it goes down to %.0f lookups a second\n", burstOf, r.LeaveAt)
+		fmt.Fprintf(stdout, "after a burst of %d times this load the goals stay broken until it goes down to %.0f lookups a second\n", burstFactor, r.LeaveAt)
 	default:
-		fmt.Fprintf(stdout, "after a burst of %d times this load the goals stay broken down to a tenth of it\n", burstOf)
+		fmt.Fprintf(stdout, "after a burst of %d times this load the goals stay broken down to a tenth of it\n", burstFactor)
 	}
 	rows := [][]string{}
 	for _, l := range r.Limits {
@@ -171,7 +171,7 @@
 		if w.KeepsAll {
 			keeps = "yes"
 		}
-		rows = append(rows, []string{w.Name, fmt.Sprintf("%.3f", w.InTime), fmt.Sprintf("%.3f", w.Nacked), fmt.Sprintf("%.3f", w.Aborted), ms(w.P50), ms(w.P99),
+		rows = append(rows, []string{w.Name, fmt.Sprintf("%.3f", w.InTime), fmt.Sprintf("%.3f", w.Nacked), fmt.Sprintf("%.3f", w.Aborted), formatMilliseconds(w.P50), formatMilliseconds(w.P99),
 			fmt.Sprintf("%s %.0f%%", w.Hottest, 100*w.Use), strconv.Itoa(len(w.Lost)), keeps})
 	}
 	fmt.Fprintln(stdout)
@@ -179,14 +179,14 @@
 	return nil
 }
 
-type planBuyCmd struct {
-	planned
+type planBuyCommand struct {
+	planOptions
 	Spare int `long:"spare" value-name:"NUMBER" description:"Searchers that may be lost besides a location."`
 	Most  int `long:"most" value-name:"NUMBER" default:"100" description:"That may stand in one location."`
 }
 
-func (c *planBuyCmd) Execute([]string) error {
-	f, a, notes, err := c.read()
+func (c *planBuyCommand) Execute([]string) error {
+	f, a, notes, err := c.load()
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 		return err
 	}
 	if c.JSON {
-		return asJSON(map[string]any{"offers": offers, "buy": buy, "demand_cores": demand, "notes": notes})
+		return printJSON(map[string]any{"offers": offers, "buy": buy, "demand_cores": demand, "notes": notes})
 	}
 	for _, n := range notes {
 		fmt.Fprintln(stdout, "note:", n)
@@ -230,7 +230,7 @@
 	return nil
 }
 
-type planProveCmd struct {
+type planValidateCommand struct {
 	Seconds float64 `long:"seconds" value-name:"NUMBER" default:"10" description:"That each setting is played, after 2 s to learn."`
 	Drawn   int     `long:"drawn" value-name:"NUMBER" default:"4" description:"Settings that a seed draws, beside the known ones."`
 	Seed    uint64  `long:"seed" value-name:"NUMBER" default:"1" description:"Of the drawn ones."`
@@ -238,7 +238,7 @@
 	JSON    bool    `long:"json" description:"As JSON."`
 }
 
-func (c *planProveCmd) Execute([]string) error {
+func (c *planValidateCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	var results []validate.Result
@@ -256,14 +256,14 @@
 		results = append(results, r)
 	}
 	if c.JSON {
-		return asJSON(results)
+		return printJSON(results)
 	}
 	validate.Print(stdout, results)
 	return nil
 }
 
-type planCompareCmd struct {
-	planned
+type planCompareCommand struct {
+	planOptions
 	OtherCapture string `long:"other-capture" value-name:"STRING" description:"The other capture; the same one where it is not stated."`
 	Second       struct {
 		Other string `positional-arg-name:"other" description:"The fleet to compare with."`
@@ -271,29 +271,29 @@
 }
 
 // side is one side of a comparison.
-type side struct {
-	Fleet       string  `json:"fleet"`
-	LookupsPerS float64 `json:"lookups_per_s"`
-	InTime      float64 `json:"share_of_gain_in_time"`
-	Nacked      float64 `json:"nacked"`
-	P50         float64 `json:"p50_s"`
-	P99         float64 `json:"p99_s"`
-	Use         float64 `json:"use_of_hottest"`
-	Breaks      float64 `json:"breaks_at_per_s"`
-	Worst       string  `json:"worst_location"`
-	WorstInTime float64 `json:"in_time_with_it_lost"`
-	Price       float64 `json:"price"`
-	Text        string  `json:"note,omitempty"`
+type planComparison struct {
+	Fleet            string  `json:"fleet"`
+	QueriesPerSecond float64 `json:"lookups_per_s"`
+	InTime           float64 `json:"share_of_gain_in_time"`
+	Nacked           float64 `json:"nacked"`
+	P50              float64 `json:"p50_s"`
+	P99              float64 `json:"p99_s"`
+	Use              float64 `json:"use_of_hottest"`
+	Breaks           float64 `json:"breaks_at_per_s"`
+	Worst            string  `json:"worst_location"`
+	WorstInTime      float64 `json:"in_time_with_it_lost"`
+	Price            float64 `json:"price"`
+	Note             string  `json:"note,omitempty"`
 }
 
 // side plays one side.
-func (p *planned) side() (s side, err error) {
-	f, a, _, err := p.read()
+func (p *planOptions) evaluate() (s planComparison, err error) {
+	f, a, _, err := p.load()
 	if err != nil {
 		return s, err
 	}
 	o := plan.Emulate(&f, &a, p.Seed, 0)
-	s = side{Fleet: p.Arguments.Fleet, LookupsPerS: a.PerS, InTime: o.Gain, Nacked: o.Nacked, P50: o.P50, P99: o.P99, Use: o.Use[o.Hottest], WorstInTime: 1}
+	s = planComparison{Fleet: p.Arguments.Fleet, QueriesPerSecond: a.PerS, InTime: o.Gain, Nacked: o.Nacked, P50: o.P50, P99: o.P99, Use: o.Use[o.Hottest], WorstInTime: 1}
 	for _, x := range f.Backends {
 		s.Price += x.Price
 	}
@@ -308,36 +308,36 @@
 	}
 	b, err := plan.Break(&f, &a, p.Seed, nil)
 	if s.Breaks = b.PerS; err != nil {
-		s.Text = err.Error()
+		s.Note = err.Error()
 	}
 	return s, nil
 }
 
-func (c *planCompareCmd) Execute([]string) error {
-	other := c.planned
+func (c *planCompareCommand) Execute([]string) error {
+	other := c.planOptions
 	if other.Arguments.Fleet = c.Second.Other; c.OtherCapture != "" {
 		other.Capture = c.OtherCapture
 	}
-	var sides []side
-	for _, p := range []planned{c.planned, other} {
-		s, err := p.side()
+	var sides []planComparison
+	for _, p := range []planOptions{c.planOptions, other} {
+		s, err := p.evaluate()
 		if err != nil {
 			return err
 		}
 		sides = append(sides, s)
 	}
 	if c.JSON {
-		return asJSON(sides)
+		return printJSON(sides)
 	}
 	rows := [][]string{}
 	for _, s := range sides {
-		rows = append(rows, []string{s.Fleet, fmt.Sprintf("%.1f", s.LookupsPerS), fmt.Sprintf("%.3f", s.InTime), fmt.Sprintf("%.3f", s.Nacked), ms(s.P50), ms(s.P99),
+		rows = append(rows, []string{s.Fleet, fmt.Sprintf("%.1f", s.QueriesPerSecond), fmt.Sprintf("%.3f", s.InTime), fmt.Sprintf("%.3f", s.Nacked), formatMilliseconds(s.P50), formatMilliseconds(s.P99),
 			fmt.Sprintf("%.0f%%", 100*s.Use), fmt.Sprintf("%.0f", s.Breaks), fmt.Sprintf("%s %.3f", s.Worst, s.WorstInTime), fmt.Sprintf("%.4g", s.Price)})
 	}
 	table(stdout, "FLEET LOOKUPS/S IN-TIME NACKED P50 P99 USE BREAKS-AT WORST-LOCATION-LOST PRICE", rows)
 	for _, s := range sides {
-		if s.Text != "" {
-			fmt.Fprintln(stdout, "note:", s.Fleet+":", s.Text)
+		if s.Note != "" {
+			fmt.Fprintln(stdout, "note:", s.Fleet+":", s.Note)
 		}
 	}
 	return nil
--- a/cmd/puffinlink/proxy.go
+++ b/cmd/puffinlink/proxy.go
@@ -13,12 +13,12 @@
 
 // Shares of the proxy's resources.
 const (
-	connectionMemory    = 64 << 10 // bytes of the memory limit for each client's connection
-	otherDescriptors    = 400      // descriptors that are not for clients' connections
-	leastConnections    = 64
-	bodyMemoryPart      = 8 // one part in so many of the memory limit holds request bodies
-	bytesInMegabyte     = 1 << 20
-	connectionShareMost = 0.9 // of the descriptors left
+	connectionMemory   = 64 << 10 // bytes of the memory limit for each client's connection
+	otherDescriptors   = 400      // descriptors that are not for clients' connections
+	minConnections     = 64
+	bodyMemoryDivisor  = 8 // one part in so many of the memory limit holds request bodies
+	bytesInMegabyte    = 1 << 20
+	maxConnectionShare = 0.9 // of the descriptors left
 )
 
 // runProxy serves clients until the context ends.
@@ -46,7 +46,7 @@
 		BuildRouter:    buildRouter,
 		GracePeriod:    settings.Bounds.GracePeriod,
 		MaxConnections: maxConnections(settings.Limits),
-		MaxBodyBytes:   settings.Limits.MemoryMB * bytesInMegabyte / bodyMemoryPart,
+		MaxBodyBytes:   settings.Limits.MemoryMB * bytesInMegabyte / bodyMemoryDivisor,
 		Log:            node.log,
 	})
 	stopMetrics, err := serveMetrics(node, server.Metrics)
@@ -68,9 +68,9 @@
 
 // maxConnections is how many clients' connections the limits bear.
 func maxConnections(limits nodesettings.Limits) int {
-	byDescriptors := int(connectionShareMost * float64(limits.FileDescriptors-otherDescriptors))
+	byDescriptors := int(maxConnectionShare * float64(limits.FileDescriptors-otherDescriptors))
 	byMemory := int(limits.MemoryMB * bytesInMegabyte / connectionMemory)
-	return max(leastConnections, min(byDescriptors, byMemory))
+	return max(minConnections, min(byDescriptors, byMemory))
 }
 
 // configurationRouter adapts a table of the configuration for the proxy.
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -23,32 +23,32 @@
 const (
 	// heapShare of the memory limit is the soft limit of Go's heap: stacks, the kernel's part and files come on top.
 	heapShare = 0.6
-	// growth lets the heap grow to so many percent beyond what lives, as what lives is small: fewer collections.
-	growth = 400
-	// logLines may wait for whoever reads the log: those of all connections that a mixer may have, ending at once.
-	logLines = 1024
+	// heapGrowthPercent lets the heap grow to so many percent beyond what lives, as what lives is small: fewer collections.
+	heapGrowthPercent = 400
+	// logQueueLines may wait for whoever reads the log: those of all connections that a mixer may have, ending at once.
+	logQueueLines = 1024
 )
 
-type serveCmd struct {
+type serveCommand struct {
 	Operator string `long:"operator" value-name:"FILE" env:"PUFFINLINK_OPERATOR" description:"The operator's file, as deploy/operator.json5 shows it."`
 }
 
-func (s *serveCmd) Execute([]string) error { return run(s.Operator) }
+func (s *serveCommand) Execute([]string) error { return serveAggregator(s.Operator) }
 
-// limit keeps Go within the machine's share.
-func limit(c node.Config) {
+// limitRuntime keeps Go within the machine's share.
+func limitRuntime(c node.Config) {
 	if c.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Floor(c.Limits.Cores))))
 	}
 	if c.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapShare * c.Limits.MemoryMB * (1 << 20)))
-		debug.SetGCPercent(growth)
+		debug.SetGCPercent(heapGrowthPercent)
 	}
 }
 
-// reload reads the config file anew. All of it has to be valid, but only discovery changes under a running mixer.
+// reloadConfiguration reads the config file anew. All of it has to be valid, but only discovery changes under a running mixer.
 // LB_DISCOVERY stands over the file at the start alone: a new file is meant to change it.
-func reload(n *node.Node) error {
+func reloadConfiguration(n *node.Node) error {
 	c, _, err := node.Read(func(name string) string {
 		if name == "LB_DISCOVERY" {
 			return ""
@@ -61,9 +61,9 @@
 	return n.Reload(c)
 }
 
-// start starts a mixer, which may take a while. A signal to stop ends that; one that comes as it is done, and all others, are kept for
+// startInterruptibly starts a mixer, which may take a while. A signal to stop ends that; one that comes as it is done, and all others, are kept for
 // the mixer that runs.
-func start(signals chan os.Signal, begin func(context.Context) (*node.Node, error)) (n *node.Node, err error) {
+func startInterruptibly(signals chan os.Signal, begin func(context.Context) (*node.Node, error)) (n *node.Node, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	begun := make(chan struct{})
@@ -93,7 +93,7 @@
 	}
 }
 
-func run(operatorFile string) error {
+func serveAggregator(operatorFile string) error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -107,14 +107,14 @@
 			return err
 		}
 	}
-	limit(c)
+	limitRuntime(c)
 	// Whoever reads the log must not hold up the mixer: lines that find no room are dropped and counted.
 	count := counters.New()
-	out := asynclog.NewWriter(os.Stdout, logLines, func() { count.Add("log", "dropped", 1) })
+	out := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
 	defer out.Close()
 	log := asynclog.New(out).With(zap.String("mixer", c.Name))
 
-	n, err := start(signals, func(ctx context.Context) (*node.Node, error) { return node.Start(ctx, c, set, file, log, count) })
+	n, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) { return node.Start(ctx, c, set, file, log, count) })
 	if errors.Is(err, context.Canceled) {
 		log.Info("stopped before serving")
 		return nil
@@ -128,7 +128,7 @@
 			case syscall.SIGUSR1:
 				log.Info("counters", zap.Inline(count))
 			case syscall.SIGHUP:
-				if err := reload(n); err != nil {
+				if err := reloadConfiguration(n); err != nil {
 					log.Error("configuration file rejected", zap.String("text", err.Error()))
 				} else {
 					log.Info("configuration file reloaded")
@@ -145,14 +145,14 @@
 	return nil
 }
 
-type checkCmd struct {
+type checkCommand struct {
 	JSON      bool `long:"json" description:"Print what the file states, as JSON."`
 	Arguments struct {
 		File string `positional-arg-name:"file" description:"The file."`
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (c *checkCmd) Execute([]string) error {
+func (c *checkCommand) Execute([]string) error {
 	f, err := operatorfile.Read(c.Arguments.File)
 	if err != nil {
 		return err
@@ -176,11 +176,11 @@
 	return nil
 }
 
-type versionCmd struct {
+type versionCommand struct {
 	JSON bool `long:"json" description:"As JSON."`
 }
 
-func (v *versionCmd) Execute([]string) error {
+func (v *versionCommand) Execute([]string) error {
 	version, revision := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
--- a/cmd/puffinlink/system.go
+++ b/cmd/puffinlink/system.go
@@ -90,8 +90,8 @@
 	return systemProcess{}, false
 }
 
-// systemCommand runs a process of the cluster scheduler and tells its exit code.
-func systemCommand(process systemProcess, args []string) int {
+// runSystemCommand runs a process of the cluster scheduler and tells its exit code.
+func runSystemCommand(process systemProcess, args []string) int {
 	var options systemOptions
 	if code, done := parseSystemFlags(process, args, &options); done {
 		return code
@@ -123,7 +123,7 @@
 		return 0, true
 	}
 	if err == nil && len(rest) > 0 {
-		err = unusable("unexpected argument %s", rest[0])
+		err = usageErrorf("unexpected argument %s", rest[0])
 	}
 	if err != nil {
 		fmt.Fprintf(stderr, "puffinlink %s: %v; see puffinlink %s --help\n", process.name, err, process.name)
--- a/cmd/puffinlink/system_test.go
+++ b/cmd/puffinlink/system_test.go
@@ -98,7 +98,7 @@
 	Convey("Connections are bounded by descriptors and by memory", t, func() {
 		So(maxConnections(nodesettings.Limits{FileDescriptors: 4100, MemoryMB: 284}), ShouldEqual, 3330)
 		So(maxConnections(nodesettings.Limits{FileDescriptors: 4100, MemoryMB: 184}), ShouldEqual, 2944)
-		So(maxConnections(nodesettings.Limits{FileDescriptors: 100, MemoryMB: 184}), ShouldEqual, leastConnections)
+		So(maxConnections(nodesettings.Limits{FileDescriptors: 100, MemoryMB: 184}), ShouldEqual, minConnections)
 	})
 }
 
@@ -181,7 +181,7 @@
 	Convey("An address that is in use is taken once it is free", t, func() {
 		held, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		time.AfterFunc(listenPause, func() { held.Close() })
+		time.AfterFunc(listenRetryInterval, func() { held.Close() })
 		listener, err := listen(context.Background(), held.Addr().String())
 		So(err, ShouldBeNil)
 		listener.Close()
--- a/cmd/puffinlink/token.go
+++ b/cmd/puffinlink/token.go
@@ -12,13 +12,13 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-type tokenCmd struct {
+type tokenCommand struct {
 	KeyFile string `long:"key-file" value-name:"FILE" required:"yes" description:"The key of the hashes; it is made where there is none."`
 	Name    string `long:"name" value-name:"STRING" default:"ann" description:"Whose it is."`
 	Role    string `long:"role" value-name:"STRING" default:"read" choice:"read" choice:"write" description:"read or write."`
 }
 
-func (c *tokenCmd) Execute([]string) error {
+func (c *tokenCommand) Execute([]string) error {
 	if _, err := os.Stat(c.KeyFile); errors.Is(err, os.ErrNotExist) {
 		key := make([]byte, 32)
 		rand.Read(key)
@@ -34,12 +34,12 @@
 	if err != nil {
 		return err
 	}
-	line, err := json.Marshal(opfileToken{c.Name, c.Role, hash})
+	line, err := json.Marshal(tokenEntry{c.Name, c.Role, hash})
 	fmt.Fprintf(stdout, "token, for its holder alone: %s\nfor operators.tokens: %s\n", token, line)
 	return err
 }
 
-type opfileToken struct {
+type tokenEntry struct {
 	Name string `json:"name"`
 	Role string `json:"role"`
 	Hash string `json:"hash"`
--- a/cmd/puffinlink/values.go
+++ b/cmd/puffinlink/values.go
@@ -19,11 +19,11 @@
 	return nil
 }
 
-// moment is a flag's time, as 2026-11-30T08:00:00Z.
-type moment struct{ time.Time }
+// timeFlag is a flag's time, as 2026-11-30T08:00:00Z.
+type timeFlag struct{ time.Time }
 
 // UnmarshalFlag reads a time in the form of RFC 3339.
-func (m *moment) UnmarshalFlag(value string) error {
+func (m *timeFlag) UnmarshalFlag(value string) error {
 	at, err := time.Parse(time.RFC3339, value)
 	if err != nil {
 		return &flags.Error{Type: flags.ErrMarshal, Message: fmt.Sprintf("expected a time as 2026-11-30T08:00:00Z but got %q", value)}
@@ -37,16 +37,16 @@
 
 const (
 	overrideWeight overrideKind = "weight"
-	overrideOut    overrideKind = "out"
+	overrideEject  overrideKind = "out"
 	overridePin    overrideKind = "pin"
 )
 
 // UnmarshalFlag takes one of the kinds.
 func (k *overrideKind) UnmarshalFlag(value string) error {
 	switch kind := overrideKind(value); kind {
-	case overrideWeight, overrideOut, overridePin:
+	case overrideWeight, overrideEject, overridePin:
 		*k = kind
 		return nil
 	}
-	return unusable("<kind> must be one of %q,%q,%q but got %q", overrideWeight, overrideOut, overridePin, value)
+	return usageErrorf("<kind> must be one of %q,%q,%q but got %q", overrideWeight, overrideEject, overridePin, value)
 }
--- a/cmd/puffinlink/whyprint.go
+++ b/cmd/puffinlink/whyprint.go
@@ -51,7 +51,7 @@
 
 func printWaiting(w *jobreport.Waiting) {
 	if w.Reason == jobreport.ReasonNotDue {
-		fmt.Fprintf(stdout, "repetition %d: not due until %s\n", w.Repetition, wall(w.DueMS))
+		fmt.Fprintf(stdout, "repetition %d: not due until %s\n", w.Repetition, formatUnixMilliseconds(w.DueMS))
 		return
 	}
 	fmt.Fprintf(stdout, "repetition %d, stage %d: waiting tasks %d, each of %s: %s\n", w.Repetition, w.Stage, w.Tasks, resources(w.Request), reasonTexts[w.Reason])
--- a/cmd/puffinlink/wire_test.go
+++ b/cmd/puffinlink/wire_test.go
@@ -26,10 +26,10 @@
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "applied", Value: new(applied)},
-		goldentest.Form{Name: "plan report", Value: new(reported)},
-		goldentest.Form{Name: "plan side", Value: new(side)},
+		goldentest.Form{Name: "plan report", Value: new(planReport)},
+		goldentest.Form{Name: "plan side", Value: new(planComparison)},
 		goldentest.Form{Name: "synth file", Value: new(synthFile)},
-		goldentest.Form{Name: "operators' file token", Value: new(opfileToken)},
+		goldentest.Form{Name: "operators' file token", Value: new(tokenEntry)},
 		goldentest.Form{Name: "operators' file", Value: new(operatorfile.File)},
 		goldentest.Form{Name: "system demo summary", Value: new(cluster.Summary)},
 		goldentest.Form{Name: "demo summary", Value: new(demo.Summary)},
