--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -27,6 +27,25 @@
 	return *e.Weight
 }
 
+// check checks an entry; known says that it is of the list that the configuration has.
+func (e *entry) check(known bool) error {
+	phase, valid := phases[e.State]
+	switch {
+	case !valid:
+		return malformed("searcher %q: unknown state %q", e.ID, e.State)
+	case e.ID == "":
+		return malformed("searcher without an id")
+	case phase != policy.Removed && e.Address == "":
+		return malformed("searcher %q without an address", e.ID)
+	case e.Cell < 0:
+		return malformed("searcher %q: cell %d", e.ID, e.Cell)
+	// In a configuration it is a mistake. A later list is not rejected for a weight: its drains are more important.
+	case known && e.Weight != nil && *e.Weight <= 0:
+		return malformed("searcher %q: weight is %g, expected more than 0", e.ID, *e.Weight)
+	}
+	return nil
+}
+
 // page is a list of the registry, complete or a patch.
 type page struct {
 	Version   *int64  `json:"generation"`
@@ -52,21 +71,9 @@
 	case list.Complete:
 		event.List = policy.ListComplete
 	}
-	for i := range list.Instances { // all of them, before the first one counts
-		instance := &list.Instances[i]
-		phase, is := phases[instance.State]
-		switch {
-		case !is:
-			return malformed("searcher %q: unknown state %q", instance.ID, instance.State)
-		case instance.ID == "":
-			return malformed("searcher without an id")
-		case phase != policy.Removed && instance.Address == "":
-			return malformed("searcher %q without an address", instance.ID)
-		case instance.Cell < 0:
-			return malformed("searcher %q: cell %d", instance.ID, instance.Cell)
-		// In a config it is a slip. A list that comes later is not refused for a figure: its drains count more.
-		case known && instance.Weight != nil && *instance.Weight <= 0:
-			return malformed("searcher %q: weight is %g, expected more than 0", instance.ID, *instance.Weight)
+	for i := range list.Instances { // all of them, before the first one is applied
+		if err := list.Instances[i].check(known); err != nil {
+			return err
 		}
 	}
 	before := r.ids
