--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -54,7 +54,7 @@
 		a.discovery.RequestFullList()
 	case policy.NotifyPeer:
 		a.counters.Add("messages", "no_way_to_mixers", 1)
-	case policy.LogNote:
+	case policy.Log:
 		a.log.Info("module", zap.String("note", action.Text))
 	}
 }
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -28,10 +28,10 @@
 // fixture is a hub with one backend, whose subquery the test plays.
 type fixture struct {
 	*testing.T
-	hub  *Hub
-	told *queuetest.Ear[aggregator.Event]
-	peer net.Listener
-	next policy.SubqueryID
+	hub    *Hub
+	events *queuetest.Ear[aggregator.Event]
+	peer   net.Listener
+	next   policy.SubqueryID
 }
 
 func newFixture(t *testing.T, change func(*settings.Net)) *fixture {
@@ -39,8 +39,8 @@
 	if change != nil {
 		change(&set)
 	}
-	r := &fixture{T: t, told: queuetest.New[aggregator.Event]()}
-	r.hub = New(set, 100, r.told.Queue, zap.NewNop(), counters.New())
+	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
+	r.hub = New(set, 100, r.events.Queue, zap.NewNop(), counters.New())
 	t.Cleanup(r.hub.Stop)
 	r.peer = r.listen()
 	r.list(r.peer.Addr().String(), policy.Ready, 0)
@@ -106,7 +106,7 @@
 // event waits for the next thing told.
 func (r *fixture) event() aggregator.Event {
 	r.Helper()
-	e := r.told.Next(r.T)
+	e := r.events.Next(r.T)
 	return e
 }
 
@@ -550,7 +550,7 @@
 		p.expect('S', "ab.0")
 		r.list("", policy.Removed, 0) // completes what it has
 		p.writeFrame('R', "ab.0 done 0 -\n")
-		if e := r.ended(next[0].Subquery, policy.Answered); len(r.told.Rest()) > 0 {
+		if e := r.ended(next[0].Subquery, policy.Answered); len(r.events.Rest()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
 		}
 	}
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -61,8 +61,8 @@
 
 // recordTimeout records that a connection had no answer in time to what was sent on it. That time is at least a probe's, as a
 // client's time-out may be next to nothing.
-func (a *actor) recordTimeout(conn *connection, asked, now time.Time) {
-	if conn.lastFrameAt.Before(asked) && now.Sub(asked) >= seconds(a.hub.settings.Connect) {
+func (a *actor) recordTimeout(conn *connection, sentAt, now time.Time) {
+	if conn.lastFrameAt.Before(sentAt) && now.Sub(sentAt) >= seconds(a.hub.settings.Connect) {
 		a.markSilent(conn, now)
 	}
 }
--- a/internal/dataplane/backends/errors.go
+++ b/internal/dataplane/backends/errors.go
@@ -7,9 +7,10 @@
 
 func (e refusedError) Error() string { return fmt.Sprintf("%.200q", string(e)) }
 
-// FrameError says what of a frame is not as the protocol has it.
+// FrameError says what is wrong with a frame.
 type FrameError string
 
+// Error is the text, with what was expected.
 func (e FrameError) Error() string { return string(e) }
 
 func malformed(format string, arguments ...any) error {
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -119,17 +119,17 @@
 // parseAnswer reads the rest of an R frame; the value keeps its bytes. With an error, name is still the word in
 // the id's place, so that the call it may mean can be told at once.
 func parseAnswer(payload []byte) (a answer, err error) {
-	line, value, found := bytes.Cut(payload, []byte{'\n'})
-	name, _, _ := bytes.Cut(line, []byte{' '})
+	header, value, found := bytes.Cut(payload, []byte{'\n'})
+	name, _, _ := bytes.Cut(header, []byte{' '})
 	a.name = string(name)
 	// Only id and end are read strictly: the report may hold anything, and the answer beside it stands.
-	fields := bytes.SplitN(line, []byte{' '}, 4)
+	fields := bytes.SplitN(header, []byte{' '}, 4)
 	if !found || len(fields) != 4 {
-		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", line)
+		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", header)
 	}
 	known := false
 	if a.outcome, known = outcomesByWord[string(fields[1])]; !known {
-		return a, malformed("answer %.80q: unknown end", line)
+		return a, malformed("answer %.80q: unknown end", header)
 	}
 	if !utf8.Valid(value) {
 		return a, errNotText
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -43,8 +43,8 @@
 }
 
 // New makes a hub that has at most maxConnections connections, and puts its events into events.
-func New(set settings.Net, maxConnections int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Hub {
-	h := &Hub{settings: set, events: tell, log: log, counters: count, actors: map[policy.BackendID]*actor{},
+func New(set settings.Net, maxConnections int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Hub {
+	h := &Hub{settings: set, events: events, log: log, counters: count, actors: map[policy.BackendID]*actor{},
 		removed: map[policy.BackendID]*actor{}, descriptors: make(chan struct{}, maxConnections), writeTimeout: writeTimeout}
 	h.dialContext, h.cancelDials = context.WithCancel(context.Background())
 	h.dialer = func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error) {
@@ -77,9 +77,9 @@
 }
 
 // Retain removes the backends that a complete list does not name.
-func (h *Hub) Retain(keep map[policy.BackendID]bool) {
+func (h *Hub) Retain(listed map[policy.BackendID]bool) {
 	for id := range h.actors {
-		if !keep[id] {
+		if !listed[id] {
 			h.Update(policy.Entry{Backend: id, Phase: policy.Removed}, "")
 		}
 	}
--- a/internal/dataplane/clients/connection.go
+++ b/internal/dataplane/clients/connection.go
@@ -92,12 +92,12 @@
 func (conn *connection) hasOneLength(r *http.Request) bool {
 	conn.headMu.Lock()
 	defer conn.headMu.Unlock()
-	start, rest, _ := bytes.Cut(bytes.TrimLeft(conn.head, "\r\n"), []byte{'\n'})
+	start, fields, _ := bytes.Cut(bytes.TrimLeft(conn.head, "\r\n"), []byte{'\n'})
 	if !conn.headComplete || !bytes.HasPrefix(start, []byte(r.Method+" "+r.RequestURI+" ")) {
 		return len(r.TransferEncoding) == 0
 	}
 	stated := 0
-	for field := range bytes.SplitSeq(rest, []byte{'\n'}) {
+	for field := range bytes.SplitSeq(fields, []byte{'\n'}) {
 		name, _, _ := bytes.Cut(field, []byte{':'})
 		if bytes.EqualFold(name, []byte("Content-Length")) || bytes.EqualFold(name, []byte("Transfer-Encoding")) {
 			stated++
@@ -108,8 +108,8 @@
 
 // arrived is when the first byte of the current request arrived.
 func (conn *connection) arrived() time.Time {
-	if came := conn.firstByte.Load(); came != 0 {
-		return conn.opened.Add(time.Duration(came))
+	if firstByte := conn.firstByte.Load(); firstByte != 0 {
+		return conn.opened.Add(time.Duration(firstByte))
 	}
 	return time.Now() // it came along with the request before
 }
--- a/internal/dataplane/clients/connections.go
+++ b/internal/dataplane/clients/connections.go
@@ -182,8 +182,8 @@
 
 // excessIdle finds the connection that has been idle for longest, where more than the limit are; the lock is held.
 func (s *connections) excessIdle() *connection {
-	found, kept := s.longestIdle(true)
-	if float64(kept) <= idleShare*float64(s.limit) {
+	found, idle := s.longestIdle(true)
+	if float64(idle) <= idleShare*float64(s.limit) {
 		return nil
 	}
 	return found
@@ -205,11 +205,11 @@
 	s.mu.Unlock()
 	why := string(*conn.endReason.Load())
 	s.counters.Add("client_lines", why, 1)
-	line := s.log.Check(zap.InfoLevel, "connection ended")
-	if line == nil {
+	entry := s.log.Check(zap.InfoLevel, "connection ended")
+	if entry == nil {
 		return
 	}
-	line.Write(
+	entry.Write(
 		zap.String("peer", "client"),
 		zap.String("reason", why),
 		zap.Stringer("address", conn.RemoteAddr()),
--- a/internal/dataplane/clients/races_test.go
+++ b/internal/dataplane/clients/races_test.go
@@ -66,7 +66,7 @@
 			}
 			c.Close()
 			r.noConnections()
-			if rest := r.told.Rest(); len(rest) != 0 { // of what it sent behind
+			if rest := r.events.Rest(); len(rest) != 0 { // of what it sent behind
 				t.Fatalf("%s, %s: %q is sent on", name, how, rest[0].ClientQuery.ID)
 			}
 		}
@@ -117,7 +117,7 @@
 	c.Close()
 	other.Close()
 	r.noConnections()
-	if rest := r.told.Rest(); len(rest) != 0 {
+	if rest := r.events.Rest(); len(rest) != 0 {
 		t.Fatalf("%d events", len(rest))
 	}
 }
@@ -183,7 +183,7 @@
 	half.Close()
 	<-drained
 	r.noConnections()
-	if rest := r.told.Rest(); len(rest) != 0 {
+	if rest := r.events.Rest(); len(rest) != 0 {
 		t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 	}
 }
@@ -228,7 +228,7 @@
 			if sent < 2 {
 				t.Fatal("it ended with a lookup held")
 			}
-			if rest := r.told.Rest(); len(rest) != 0 {
+			if rest := r.events.Rest(); len(rest) != 0 {
 				t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 			}
 			r.noConnections()
@@ -419,8 +419,8 @@
 	for i := range 100 {
 		c := r.dial()
 		c.sendQuery()
-		e := r.told.Next(t)
-		for ; e.Kind != policy.QueryReceived; e = r.told.Next(t) {
+		e := r.events.Next(t)
+		for ; e.Kind != policy.QueryReceived; e = r.events.Next(t) {
 			hear(e) // of the round before
 		}
 		go c.Conn.(*net.TCPConn).CloseWrite()
@@ -445,7 +445,7 @@
 		c.Close()
 	}
 	r.noConnections()
-	for _, e := range r.told.Rest() {
+	for _, e := range r.events.Rest() {
 		hear(e)
 	}
 	for q := range gone {
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -71,8 +71,8 @@
 
 // New makes a server with at most maxConnections connections, which may take memory bytes altogether. It puts its events into
 // events.
-func New(set settings.Settings, maxConnections, memory int, tell *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
-	s := &Server{events: tell, log: log, counters: count, names: newNameTable(set.Net), retryAfter: set.Limits.RetryAfter, answerTimeout: answerTimeout,
+func New(set settings.Settings, maxConnections, memory int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
+	s := &Server{events: events, log: log, counters: count, names: newNameTable(set.Net), retryAfter: set.Limits.RetryAfter, answerTimeout: answerTimeout,
 		connections: newConnections(maxConnections, memory, log, count), largeBodies: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeBodyMemory))), stopped: make(chan struct{}, 1)}
 	longest := 0.0
 	for _, x := range set.Indexes {
--- a/internal/dataplane/clients/server_test.go
+++ b/internal/dataplane/clients/server_test.go
@@ -28,15 +28,15 @@
 type fixture struct {
 	*testing.T
 	*Server
-	told    *queuetest.Ear[aggregator.Event]
+	events  *queuetest.Ear[aggregator.Event]
 	address string
 }
 
 func newFixture(t *testing.T, most int, change func(*Server)) *fixture {
 	set := settings.Settings{Net: settings.Net{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Shards: 8}}
 	set.Limits.RetryAfter = true
-	r := &fixture{T: t, told: queuetest.New[aggregator.Event]()}
-	r.Server = New(set, most, 64<<20, r.told.Queue, zap.NewNop(), counters.New())
+	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
+	r.Server = New(set, most, 64<<20, r.events.Queue, zap.NewNop(), counters.New())
 	if change != nil {
 		change(r.Server)
 	}
@@ -52,7 +52,7 @@
 
 func (r *fixture) event(kind policy.EventKind) *aggregator.Query {
 	r.Helper()
-	e := r.told.Next(r.T)
+	e := r.events.Next(r.T)
 	if e.Kind != kind {
 		r.Fatalf("got %+v", e)
 	}
@@ -244,7 +244,7 @@
 	l = r.dial()
 	io.WriteString(l, "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
 	l.expect(404)
-	if told := r.told.Queue.Take(nil); len(told) > 0 {
+	if told := r.events.Queue.Take(nil); len(told) > 0 {
 		t.Fatalf("told %+v", told)
 	}
 	l = r.dial()
@@ -462,8 +462,8 @@
 	go func() {
 		for {
 			select {
-			case <-r.told.Queue.Ready():
-				for _, e := range r.told.Queue.Take(nil) {
+			case <-r.events.Queue.Ready():
+				for _, e := range r.events.Queue.Take(nil) {
 					if e.Kind == policy.QueryReceived {
 						e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Nacked}
 					}
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -84,12 +84,12 @@
 }
 
 // New makes a client and passes the list known at the start to the listener.
-func New(address string, known []byte, set settings.Settings, tell Listener, log *zap.Logger,
+func New(address string, known []byte, set settings.Settings, listener Listener, log *zap.Logger,
 	count *counters.Set) (*Client, error) {
 	if err := checkAddress(address); err != nil {
 		return nil, err
 	}
-	r := &Client{in: eventqueue.New[message](), listener: tell, log: log, counters: count,
+	r := &Client{in: eventqueue.New[message](), listener: listener, log: log, counters: count,
 		url: listURL(address), watchTimeout: time.Duration(missedHeartbeats * float64(heartbeatInterval)), onRequest: set.ListOnRequest, subscribed: !set.ListOnRequest,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: heartbeatInterval}).DialContext}},
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -28,7 +28,7 @@
 type fixture struct {
 	*testing.T
 	*Client
-	told   *queuetest.Ear[aggregator.Event]
+	events *queuetest.Ear[aggregator.Event]
 	asks   chan listRequest
 	server string // its address
 }
@@ -50,7 +50,7 @@
 }
 
 func newFixture(t *testing.T, asked bool, change func(*Client)) *fixture {
-	r := &fixture{T: t, told: queuetest.New[aggregator.Event](), asks: make(chan listRequest, 100)}
+	r := &fixture{T: t, events: queuetest.New[aggregator.Event](), asks: make(chan listRequest, 100)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		ctx, end := context.WithCancel(q.Context())
 		out := make(chan string, 10)
@@ -70,7 +70,7 @@
 	var err error
 	r.server = strings.TrimPrefix(server.URL, "http://")
 	r.Client, err = New(r.server, []byte(listLine(41, true, backend("s1", "SERVING"))), set,
-		r.told.Queue, zap.NewNop(), counters.New())
+		r.events.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 // expect waits for a list event with these backends and phases.
 func (r *fixture) expect(kind policy.ListKind, entries ...string) aggregator.Event {
 	r.Helper()
-	e := r.told.Next(r.T)
+	e := r.events.Next(r.T)
 	var got []string
 	for i, x := range e.Entries {
 		name := strings.TrimSuffix(strings.TrimPrefix(e.Addresses[i], "h-"), ":1")
@@ -218,7 +218,7 @@
 	r.expect(policy.ListPatch, "s2:0")
 	w.write(listLine(42, false, backend("s9", "SERVING"))) // the old one is heard no more
 	r.expectRequest("/discovery/hosts?stream=1&index=42")
-	if rest := r.told.Rest(); len(rest) > 0 {
+	if rest := r.events.Rest(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
 	}
 }
@@ -243,7 +243,7 @@
 	r.expect(policy.ListComplete, "s3:1")
 	w.write(whole[:strings.LastIndex(whole, "}")] + "\n\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=44")
-	if rest := r.told.Rest(); len(rest) > 0 {
+	if rest := r.events.Rest(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
 	}
 }
@@ -266,7 +266,7 @@
 		}
 	}()
 	r.expect(policy.ListPatch, "s1:1")
-	for _, e := range r.told.Rest() { // told again at most
+	for _, e := range r.events.Rest() { // told again at most
 		if e.List != policy.ListPatch {
 			t.Fatalf("told %+v", e)
 		}
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -28,7 +28,7 @@
 type bare struct {
 	*testing.T
 	*Client
-	told   *queuetest.Ear[aggregator.Event]
+	events *queuetest.Ear[aggregator.Event]
 	server *net.TCPListener
 }
 
@@ -37,10 +37,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &bare{T: t, told: queuetest.New[aggregator.Event](), server: l}
+	r := &bare{T: t, events: queuetest.New[aggregator.Event](), server: l}
 	set := settings.Settings{}
 	set.ListOnRequest = asked
-	r.Client, err = New(l.Addr().String(), []byte(listLine(41, true, backend("s1", "SERVING"))), set, r.told.Queue, zap.NewNop(), counters.New())
+	r.Client, err = New(l.Addr().String(), []byte(listLine(41, true, backend("s1", "SERVING"))), set, r.events.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 	go r.Client.Run()
 	t.Cleanup(func() { r.Stop(); l.Close() })
-	r.told.Next(t) // what was known
+	r.events.Next(t) // what was known
 	return r
 }
 
@@ -84,7 +84,7 @@
 // nothing expects that nothing was told by now.
 func (r *bare) nothing() {
 	r.Helper()
-	if rest := r.told.Rest(); len(rest) > 0 {
+	if rest := r.events.Rest(); len(rest) > 0 {
 		r.Fatalf("told %+v", rest)
 	}
 }
@@ -106,7 +106,7 @@
 	c := r.accept("/discovery/hosts?stream=1&index=41")
 	r.nothing()
 	c.Write([]byte(chunked + chunk(list) + chunk(`{"generation":44`)))
-	if e := r.told.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 {
+	if e := r.events.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 {
 		t.Fatalf("told %+v", e)
 	}
 	reset(c)
@@ -123,7 +123,7 @@
 		c := r.accept("/discovery/hosts")
 		c.Write([]byte(text))
 		reset(c)
-		if e := r.told.Next(t); e.List != policy.ListFailed {
+		if e := r.events.Next(t); e.List != policy.ListFailed {
 			t.Fatalf("%q: told %+v", text, e)
 		}
 	}
@@ -131,7 +131,7 @@
 	c := r.accept("/discovery/hosts")
 	c.Write([]byte(noLength + list))
 	c.Close()
-	if e := r.told.Next(t); e.List != policy.ListComplete {
+	if e := r.events.Next(t); e.List != policy.ListComplete {
 		t.Fatalf("told %+v", e)
 	}
 }
@@ -151,7 +151,7 @@
 	again := other.accept("/discovery/hosts")
 	r.nothing()
 	c.Write([]byte(chunked + chunk(listLine(44, false, backend("s1", "DRAINING")))))
-	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
+	if e := r.events.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
 	again.Write([]byte(noLength + listLine(41, true, backend("s1", "SERVING")))) // as it was before the drain
@@ -160,7 +160,7 @@
 	r.nothing()
 	third.Write([]byte(noLength + listLine(45, true, backend("s1", "DRAINING"))))
 	third.Close()
-	if e := r.told.Next(t); e.List != policy.ListComplete || e.Entries[0].Phase != policy.Draining {
+	if e := r.events.Next(t); e.List != policy.ListComplete || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
 }
@@ -181,7 +181,7 @@
 		o.Write([]byte(chunked + chunk(list)))
 	}
 	c.Write([]byte(chunked + chunk(listLine(44, false, backend("s1", "DRAINING")))))
-	if e := r.told.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 || e.Entries[0].Backend != 1 {
+	if e := r.events.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 || e.Entries[0].Backend != 1 {
 		t.Fatalf("told %+v", e)
 	}
 	r.accept("/discovery/hosts?stream=1&index=44")
@@ -238,7 +238,7 @@
 	defer r.server.Close()
 	c = r.accept("/discovery/hosts?stream=1&index=41")
 	c.Write([]byte(chunked + chunk(listLine(50, false, backend("s1", "DRAINING")))))
-	if e := r.told.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
+	if e := r.events.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
 		t.Fatalf("told %+v", e)
 	}
 }
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -148,8 +148,8 @@
 	return &hosted{n, at, peers}
 }
 
-// silent is an address where connects come up and nothing is ever said.
-func silent(t *testing.T) string {
+// newUnresponsivePeer is an address where connects come up and nothing is ever said.
+func newUnresponsivePeer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -158,8 +158,8 @@
 	return l.Addr().String()
 }
 
-// ask asks for a query of one subquery on a connection of its own.
-func (h *hosted) ask(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
+// query asks for a query of one subquery on a connection of its own.
+func (h *hosted) query(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
 	return answer(t, h.send(t, index, id, tenant, deadline))
 }
@@ -211,8 +211,8 @@
 	const class = `{"name":%q,"effect":%q,"promiseS":4,"giveUpS":8,"worth":1,"lateWorth":0.1}`
 	first, second := failFirst(), failFirst()
 	// With two tries a busy machine, on which an answer is overdue, gets no third call.
-	a := host(t, silent(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newPeer(t, first), newPeer(t, first))
-	b := host(t, silent(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
+	a := host(t, newUnresponsivePeer(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newPeer(t, first), newPeer(t, first))
+	b := host(t, newUnresponsivePeer(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
 		newPeer(t, second), newPeer(t, second))
 	var wg sync.WaitGroup
 	for _, h := range []*hosted{a, b} { // side by side, each by turns, as subqueries of a step share calls
@@ -223,12 +223,12 @@
 			}
 			for i := range 6 {
 				for w := range 3 {
-					if got, body := h.ask(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); got != 200 {
+					if got, body := h.query(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); got != 200 {
 						t.Errorf("%s: got %d %s, expected 200", tenant, got, body)
 					}
 				}
 				id := fmt.Sprintf("x%d", i) // the same on both, as clients of two deployments know nothing of each other
-				if got, body := h.ask(t, "reads", id, tenant, "8"); got != status || sum(h.peers, id) != calls {
+				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || sum(h.peers, id) != calls {
 					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, got, body, sum(h.peers, id), status, calls)
 				}
 			}
@@ -240,7 +240,7 @@
 		index, tenant string
 		status        int
 	}{{a, "orders", "acme", 404}, {a, "reads", "other", 400}, {b, "reads", "acme", 400}} {
-		if got, body := bad.of.ask(t, bad.index, "bad", bad.tenant, "8"); got != bad.status {
+		if got, body := bad.of.query(t, bad.index, "bad", bad.tenant, "8"); got != bad.status {
 			t.Errorf("%s of %s: got %d %s, expected %d", bad.index, bad.tenant, got, body, bad.status)
 		}
 	}
@@ -255,7 +255,7 @@
 		t.Fatal(err)
 	}
 	gone.Close()
-	for _, discovery := range []string{silent(t), gone.Addr().String()} {
+	for _, discovery := range []string{newUnresponsivePeer(t), gone.Addr().String()} {
 		h := host(t, discovery, oneClass, "[]", 2, newPeer(t, func(string) does { return answers }))
 		res, err := http.Get("http://" + h.at + "/up")
 		if err != nil || res.StatusCode != http.StatusOK {
@@ -263,7 +263,7 @@
 		}
 		res.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
-		if got, body := h.ask(t, "reads", "aa", "", "5"); got != 200 {
+		if got, body := h.query(t, "reads", "aa", "", "5"); got != 200 {
 			t.Fatalf("got %d %s", got, body)
 		}
 	}
@@ -273,7 +273,7 @@
 // whole final answer, nothing that comes later is sent on, and it ends.
 func TestStopWhileEverythingHangs(t *testing.T) {
 	hung := newPeer(t, func(string) does { return hangs })
-	h := host(t, silent(t), oneClass, "[]", 2, hung)
+	h := host(t, newUnresponsivePeer(t), oneClass, "[]", 2, hung)
 	rests, err := net.Dial("tcp", h.at)
 	if err != nil {
 		t.Fatal(err)
@@ -293,7 +293,7 @@
 	if err := h.Reload(Config{Discovery: "nowhere"}); err == nil {
 		t.Fatal("an address that is none was taken")
 	}
-	if err := h.Reload(Config{Discovery: silent(t)}); err != nil {
+	if err := h.Reload(Config{Discovery: newUnresponsivePeer(t)}); err != nil {
 		t.Fatal(err)
 	}
 	h.Drain()
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -39,7 +39,7 @@
 	node     *Node
 	client   *api.Client
 	load     *fakes.Load
-	asked    fakes.Tally
+	tally    fakes.Tally
 }
 
 func newCluster(t *testing.T, perS float64, service time.Duration) *cluster {
@@ -96,7 +96,7 @@
 // take adds what came of the load.
 func (w *cluster) take() fakes.Tally {
 	t := w.load.Take()
-	w.asked.Add(t)
+	w.tally.Add(t)
 	return t
 }
 
@@ -161,8 +161,8 @@
 	w.Helper()
 	w.load.Stop()
 	w.take()
-	eachAnswered(w.T, w.asked)
-	w.Logf("%+v; %d once-only parts ran", w.asked, executedOnce(w.T, w.fleet))
+	eachAnswered(w.T, w.tally)
+	w.Logf("%+v; %d once-only parts ran", w.tally, executedOnce(w.T, w.fleet))
 }
 
 // eachAnswered checks that each query had exactly one final answer, and some of them what they asked for.
@@ -308,10 +308,10 @@
 	s.Kill()
 	w.register.SetState(s.Name, "DELETED")
 	w.take()
-	w.until("nacks", func() bool { w.take(); return w.asked.Nacked > 20 })
+	w.until("nacks", func() bool { w.take(); return w.tally.Nacked > 20 })
 	w.load.Stop()
-	if w.take(); w.asked.Aborted+w.asked.Lost > 0 {
-		t.Fatalf("got %+v", w.asked)
+	if w.take(); w.tally.Aborted+w.tally.Lost > 0 {
+		t.Fatalf("got %+v", w.tally)
 	}
 }
 
--- a/internal/dataplane/node/upgrade_test.go
+++ b/internal/dataplane/node/upgrade_test.go
@@ -19,12 +19,12 @@
 	site  fakes.Site
 	nodes []*Node
 	load  *fakes.Load
-	asked fakes.Tally
+	tally fakes.Tally
 	alone float64 // share satisfied while the other shape was asked for nothing
 }
 
 // satisfied is the share of what was asked since the tally was last cleared.
-func (s *shape) satisfied() float64 { return float64(s.asked.Satisfied) / float64(s.asked.Sent) }
+func (s *shape) satisfied() float64 { return float64(s.tally.Satisfied) / float64(s.tally.Sent) }
 
 // During a move aggregators of the old shape (shards on two neighbouring cells, a call for each subquery, whole answers) and of the
 // new one (sets, calls that subqueries share, answers in subquery, subqueries that a fingerprint guards) run before the same backends.
@@ -32,10 +32,10 @@
 // the rules hold for both kinds, and neither gets less than a third of what it got alone just before. Seen to fail where draining
 // backends count as ready, where once-only subqueries go again, where fingerprinted ones go again after their window, and where
 // the aggregators of one shape turn all away.
-func TestOldAndNewShapeBeforeTheSameBackends(t *testing.T) {
+func TestOldAndNewLayoutShareBackendsDuringAMigration(t *testing.T) {
 	const cells, service = 6, 50 * time.Millisecond
-	index := func(name, effect string, gain, floor float64) fakes.Index {
-		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Value: gain, Minimum: floor, DedupS: 0.05}
+	index := func(name, effect string, value, minimum float64) fakes.Index {
+		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Value: value, Minimum: minimum, DedupS: 0.05}
 	}
 	register, err := fakes.NewRegister()
 	if err != nil {
@@ -80,14 +80,14 @@
 	}
 	take := func() {
 		for _, sh := range shapes {
-			sh.asked.Add(sh.load.Take())
+			sh.tally.Add(sh.load.Take())
 		}
 	}
 	stop := func(name string, sh *shape) {
 		sh.load.Stop()
-		sh.asked.Add(sh.load.Take())
-		eachAnswered(t, sh.asked)
-		t.Logf("%s: %+v", name, sh.asked)
+		sh.tally.Add(sh.load.Take())
+		eachAnswered(t, sh.tally)
+		t.Logf("%s: %+v", name, sh.tally)
 	}
 	for name, sh := range shapes {
 		sh.load.Run(t.Context())
@@ -97,7 +97,7 @@
 			}
 		}
 		stop(name, sh)
-		sh.alone, sh.asked = sh.satisfied(), fakes.Tally{}
+		sh.alone, sh.tally = sh.satisfied(), fakes.Tally{}
 	}
 	for _, sh := range shapes {
 		sh.load.Run(t.Context())
@@ -105,10 +105,10 @@
 	answered := func(each int64) {
 		t.Helper()
 		take()
-		old, fresh := shapes["old"].asked.Satisfied+each, shapes["new"].asked.Satisfied+each
-		for late := time.Now().Add(patience); shapes["old"].asked.Satisfied < old || shapes["new"].asked.Satisfied < fresh; time.Sleep(10 * time.Millisecond) {
+		old, fresh := shapes["old"].tally.Satisfied+each, shapes["new"].tally.Satisfied+each
+		for late := time.Now().Add(patience); shapes["old"].tally.Satisfied < old || shapes["new"].tally.Satisfied < fresh; time.Sleep(10 * time.Millisecond) {
 			if take(); time.Now().After(late) {
-				t.Fatalf("one starves: old %+v, new %+v", shapes["old"].asked, shapes["new"].asked)
+				t.Fatalf("one starves: old %+v, new %+v", shapes["old"].tally, shapes["new"].tally)
 			}
 		}
 	}
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -345,7 +345,7 @@
 		yes(a.On)
 	case policy.RequestFullList:
 		b = append(b, "LOOKUP"...)
-	case policy.LogNote:
+	case policy.Log:
 		b = append(append(b, "PRINT "...), strings.ReplaceAll(a.Text, "\n", " ")...)
 	default:
 		panic(fmt.Sprintf("action kind %d has no word on the wire", a.Kind))
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -16,7 +16,7 @@
 	NotifyPeer                        // Peer (AllPeers for every one), Message
 	Subscribe                         // On
 	RequestFullList                   // no fields
-	LogNote                           // Text
+	Log                               // Text
 )
 
 // AllPeers addresses a message to every other aggregator.
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -73,9 +73,9 @@
 
 // addIndex adds the settings of an index.
 func (a *Aggregator) addIndex(row *IndexSettings) {
-	need := cmp.Or(row.Required, 1)
-	a.indexes = append(a.indexes, indexRow{soft: row.Soft, hard: row.Hard, value: row.Value, lateValue: row.LateValue, required: need,
-		partialValue: row.PartialValue, minimum: min(need, cmp.Or(row.Minimum, need)), effect: row.Effect, faultCost: faultCost[row.Effect], dedupWindow: row.DedupS,
+	required := cmp.Or(row.Required, 1)
+	a.indexes = append(a.indexes, indexRow{soft: row.Soft, hard: row.Hard, value: row.Value, lateValue: row.LateValue, required: required,
+		partialValue: row.PartialValue, minimum: min(required, cmp.Or(row.Minimum, required)), effect: row.Effect, faultCost: faultCost[row.Effect], dedupWindow: row.DedupS,
 		secondStep: row.SecondStep})
 	a.topValue = max(a.topValue, row.Value)
 	a.longestSoft, a.shortestSoft = max(a.longestSoft, row.Soft), min(a.shortestSoft, row.Soft)
@@ -86,14 +86,14 @@
 
 // recordTimeout finds the timeout that most clients' attempts give, by a majority vote (Boyer and Moore) with at most most
 // votes; timeouts within apart seconds are equal.
-func (row *indexRow) recordTimeout(left, apart, most float64) {
+func (row *indexRow) recordTimeout(timeout, apart, most float64) {
 	switch {
-	case math.Abs(left-row.clientTimeout) <= apart:
+	case math.Abs(timeout-row.clientTimeout) <= apart:
 		row.timeoutVotes = min(row.timeoutVotes+1, most)
 	case row.timeoutVotes > 0:
 		row.timeoutVotes--
 	default:
-		row.clientTimeout, row.timeoutVotes = left, 1
+		row.clientTimeout, row.timeoutVotes = timeout, 1
 	}
 }
 
--- a/policy/backendrecords.go
+++ b/policy/backendrecords.go
@@ -122,16 +122,16 @@
 // it decays to the usual latency: else a moment in which all were slow would reject all queries for good, as no answer
 // would ever come in again.
 func (a *Aggregator) meanLatency(counts func(*backend) bool) float64 {
-	sum, n, lastHeard := 0.0, 0.0, 0.0
+	sum, n, latestAt := 0.0, 0.0, 0.0
 	for _, b := range a.fleet {
 		if b.latency > 0 && counts(b) {
-			sum, n, lastHeard = sum+b.latency, n+1, max(lastHeard, b.latencyAt)
+			sum, n, latestAt = sum+b.latency, n+1, max(latestAt, b.latencyAt)
 		}
 	}
 	if n == 0 {
 		return a.averageLatency
 	}
-	return a.usualLatency + decaying{sum/n - a.usualLatency, lastHeard}.valueAt(a.now, estimateMemory*a.longestSoft)
+	return a.usualLatency + decaying{sum/n - a.usualLatency, latestAt}.valueAt(a.now, estimateMemory*a.longestSoft)
 }
 
 // holdersOf lists the backends that hold a replica of a subquery's shard.
--- a/policy/binding.go
+++ b/policy/binding.go
@@ -110,12 +110,12 @@
 	return b.faults[index].mean(locationShare, faultPrior, a.now, faultMemory*a.longestSoft)
 }
 
-// choose finds the replica of least ranking cost, without except; with withRoom, among those with capacity. Near ties are
+// choose finds the replica of least ranking cost, without except; with withCapacity, among those with capacity. Near ties are
 // broken at random, as aggregators that start alike must not all choose alike.
-func (a *Aggregator) choose(sub *subquery, except *backend, withRoom bool) (best *backend) {
+func (a *Aggregator) choose(sub *subquery, except *backend, withCapacity bool) (best *backend) {
 	least := math.Inf(1)
 	for _, b := range a.holdersOf(sub) {
-		if b == except || !b.ready || !a.mayServe(sub, b) || withRoom && !a.hasCapacity(sub, b) {
+		if b == except || !b.ready || !a.mayServe(sub, b) || withCapacity && !a.hasCapacity(sub, b) {
 			continue
 		}
 		if cost := a.rankingCost(sub, b) * (1 + 0.01*a.random.unit()); cost < least {
--- a/policy/exceptions_test.go
+++ b/policy/exceptions_test.go
@@ -6,14 +6,14 @@
 )
 
 // newWideScene is a deployment of eight shards with two holders each, whose index may be answered in part.
-func newWideScene(t *testing.T, floor float64, second int) *scene {
+func newWideScene(t *testing.T, minimum float64, second int) *scene {
 	var entries []Entry
 	for i := range 16 {
 		entries = append(entries, Entry{Backend: BackendID(1 + i), Cell: CellID(i % 8)})
 	}
 	s := newScene(t, func(set *Settings) {
 		set.Aggregators, set.Layout.Cells = 60, 8
-		set.Indexes[0].Minimum, set.Indexes[0].PartialValue, set.Indexes[0].SecondStep = floor, 0.9, second
+		set.Indexes[0].Minimum, set.Indexes[0].PartialValue, set.Indexes[0].SecondStep = minimum, 0.9, second
 		set.Limits.Hedge = true
 	}, entries...)
 	for range 20 {
--- a/policy/override_test.go
+++ b/policy/override_test.go
@@ -100,12 +100,12 @@
 }
 
 // overridesChanged plays a world with overrides at random; told is how each patch reaches the instance.
-func runOverridden(seed uint64, told func(*Overrides) *Overrides) error {
+func runOverridden(seed uint64, change func(*Overrides) *Overrides) error {
 	e := newEmulation(seed)
 	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
 	e.extra = func(e *emulation) (events []Event) {
 		if e.rng.IntN(20) == 0 {
-			events = append(events, Event{Kind: OverridesChanged, Override: told(o.draw(e))})
+			events = append(events, Event{Kind: OverridesChanged, Override: change(o.draw(e))})
 		}
 		return events
 	}
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -115,7 +115,7 @@
 				sub = subqueries[len(subqueries)-1-i] // the smallest one
 			}
 			if sub.state == statePending && (!mayFail || a.unreachable(sub)) {
-				a.trySend(sub)
+				a.attemptSend(sub)
 			}
 			if canary && sub.state == stateInFlight {
 				break
@@ -135,8 +135,8 @@
 	return sub.query.deadline-a.now < a.expectedLatency(b, sub.query.index)
 }
 
-// trySend sends a pending subquery to its backend or a better sibling, abandons it, or leaves it pending.
-func (a *Aggregator) trySend(sub *subquery) {
+// attemptSend sends a pending subquery to its backend or a better sibling, abandons it, or leaves it pending.
+func (a *Aggregator) attemptSend(sub *subquery) {
 	if sub.assigned != nil && !a.mayServe(sub, sub.assigned) { // the pinned backend serves again, or no longer
 		a.bind(sub)
 	}
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -27,7 +27,7 @@
 // runZoned plays a world in which two in three queries are kept to zones, some of them to others while they are held, where
 // backends change their location under their number, with overrides and others' judgements at random; told is how each
 // patch reaches the instance.
-func runZoned(seed uint64, told func(*Overrides) *Overrides) error {
+func runZoned(seed uint64, change func(*Overrides) *Overrides) error {
 	e, rng := newEmulation(seed), rand.New(rand.NewPCG(seed, 9))
 	c := &contracts{zones: map[QueryID]*Zones{}, moved: map[BackendID]bool{}}
 	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
@@ -54,7 +54,7 @@
 			h := e.fleet[rng.IntN(len(e.fleet))]
 			patch.PeerObservations = append(patch.PeerObservations, PeerObservation{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
 		}
-		events = append(events, Event{Kind: OverridesChanged, Override: told(patch)})
+		events = append(events, Event{Kind: OverridesChanged, Override: change(patch)})
 		if h := e.fleet[rng.IntN(len(e.fleet))]; rng.IntN(400) == 0 && h.knownPhase != Removed && h.named {
 			h.entry.Location, c.moved[h.entry.Backend] = 1-h.entry.Location, true
 			events = append(events, Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{h.entry}})
