--- a/internal/dataplane/aggregator/interface.go
+++ b/internal/dataplane/aggregator/interface.go
@@ -6,57 +6,8 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Query is one that a client asked for. Until its Done has an answer it is the aggregator's.
-type Query struct {
-	ID         string // the client's; it is part of the names of part calls
-	Index      policy.IndexID
-	Customer   policy.CustomerID
-	Key        uint64
-	HasKey     bool
-	Resent     bool
-	Arrived    time.Time
-	Timeout    float64 // how long from then the client waits
-	Query      []byte  // what each part carries
-	Subqueries []Subquery
-	Done       chan Reply // holds one
-
-	id policy.QueryID
-}
-
-// Subquery is one of a query's; its Value is there once it is In.
-type Subquery struct {
-	Shard        policy.ShardID
-	Weight, Hint float64
-	Key          uint64
-	HasKey       bool
-	Answered     bool
-	Value        []byte
-
-	attempts policy.CallNo // part calls so far
-}
-
-// End is how a query ended for its client.
-type End uint8
-
-// The ends of a query.
-const (
-	Satisfied End = iota
-	Nacked
-	Aborted
-	QueueFull // the most that may be held is held; the module never saw it
-	Duplicate
-)
-
-// Reply is the final answer of a query.
-type Reply struct {
-	End        End
-	Complete   bool
-	RetryAfter float64 // advice when to come back, 0 for none
-	Text       string  // why a gate refused it
-}
-
-// Event is what an actor tells the module's: one of the module's own events with what it has no place for. A
-// query comes as one event, which brings its parts.
+// Event is an event for the aggregator: one of the policy's events with what it has no field for. A query comes as one
+// event, which brings its subqueries.
 type Event struct {
 	policy.Event
 	ClientQuery      *Query            // LookupTaken, and ClientGone
@@ -67,10 +18,10 @@
 	PeerObservations []PeerObservation // the same: what it makes of backends
 }
 
-// Name is what the list calls a backend and its location, where the module has numbers.
+// Name has the list's names of a backend and of its location, for which the policy has numbers.
 type Name struct{ Backend, Location string }
 
-// Call is one part call on its way to a backend.
+// Call is a subquery's call to a backend.
 type Call struct {
 	Subquery policy.SubqueryID
 	No       policy.CallNo
@@ -81,7 +32,7 @@
 	Begin    time.Time // by when it has to be on its way, whatever held it up; after it, it is not begun
 }
 
-// Backends takes what goes to backends. None of its methods may block.
+// Backends sends calls and probes to backends. None of its methods may block.
 type Backends interface {
 	Update(entry policy.Entry, address string)
 	Retain(keep map[policy.BackendID]bool)
@@ -91,7 +42,7 @@
 	CloseIdle(at policy.BackendID)
 }
 
-// Discovery takes what is asked of the list. None of its methods may block.
+// Discovery requests the list of backends. None of its methods may block.
 type Discovery interface {
 	Subscribe(on bool)
 	RequestFullList()
