--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -2,9 +2,6 @@
 
 import (
 	"crypto/rand"
-	"errors"
-	"fmt"
-	"os"
 	"path/filepath"
 	"time"
 
@@ -58,22 +55,14 @@
 	if l.lock, err = lockDirectory(dir, logLockName, wait); err != nil {
 		return nil, contents, err
 	}
-	path, quarantined := filepath.Join(dir, logName), ""
-	l.db, quarantined, err = openOrQuarantine(path, logger, createLogBuckets, func(*bolt.Tx) error { return nil })
-	if err == nil {
+	quarantined := ""
+	l.db, quarantined, err = openOrQuarantine(filepath.Join(dir, logName), logger, createLogBuckets, contents.read)
+	if err == nil && (quarantined != "" || contents.ID == 0) { // the file is new
 		err = l.db.View(contents.read)
 	}
-	if corrupt := (*corruptError)(nil); errors.As(err, &corrupt) {
-		l.close()
-		if err = os.Rename(path, fmt.Sprintf("%s.spoilt-%x", path, contents.ID)); err == nil {
-			logger.Error("corrupt file set aside", zap.String("file", path), zap.String("text", corrupt.Error()))
-			return OpenLog(dir, wait, logger)
-		}
-		return nil, contents, err
-	}
 	if err != nil {
 		l.close()
-		return nil, contents, err
+		return nil, LogContents{}, err
 	}
 	contents.Quarantined = quarantined
 	go l.run()
--- a/internal/aggregatorstore/log_test.go
+++ b/internal/aggregatorstore/log_test.go
@@ -1,7 +1,9 @@
 package aggregatorstore
 
 import (
+	"bytes"
 	"errors"
+	"os"
 	"path/filepath"
 	"testing"
 	"time"
@@ -33,3 +35,44 @@
 		}
 	}
 }
+
+// A log with a record that fails its checksum is renamed as it is, which the contents say, and a new one with another ID made.
+func TestLogWithACorruptRecordIsQuarantined(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, logName)
+	l, before, err := OpenLog(dir, time.Second, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	saved := make(chan error, 1)
+	l.Save(LogSave{Values: map[string][]byte{"name": []byte("value")}, Entries: []Entry{{Index: 1, Data: []byte("entry")}}}, func(err error) { saved <- err })
+	if err := <-saved; err != nil {
+		t.Fatal(err)
+	}
+	l.Stop()
+	db, err := bolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = db.Update(func(tx *bolt.Tx) error {
+		return tx.Bucket(bucketLog).Put(encodeUint64(2), []byte("no checksum of this"))
+	})
+	if err := errors.Join(err, db.Close()); err != nil {
+		t.Fatal(err)
+	}
+	corrupt, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l, contents, err := OpenLog(dir, time.Second, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Stop()
+	if contents.ID == 0 || contents.ID == before.ID || len(contents.Values) > 0 || len(contents.Entries) > 0 {
+		t.Errorf("the new log has ID %x after %x, and %+v", contents.ID, before.ID, contents)
+	}
+	if quarantined, err := os.ReadFile(contents.Quarantined); err != nil || !bytes.Equal(quarantined, corrupt) {
+		t.Errorf("quarantined as %q, %d bytes: %v", contents.Quarantined, len(quarantined), err)
+	}
+}
