--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -45,7 +45,7 @@
 }
 
 // hasState tells whether the directory was part of a consensus group before.
-func (k *Stored) hasState() bool { return k.Snapshot != nil || k.Hard != nil || len(k.Entries) > 0 }
+func (s *Stored) hasState() bool { return s.Snapshot != nil || s.Hard != nil || len(s.Entries) > 0 }
 
 // Save is what has to be on disk before Saved is called. Nil fields change nothing.
 type Save struct {
--- a/internal/controlplane/fleet/membership/membership.go
+++ b/internal/controlplane/fleet/membership/membership.go
@@ -36,46 +36,46 @@
 )
 
 // Check lists all that is wrong with a set, in words for the operator who wrote it.
-func (r *Set) Check() (problems []string) {
+func (s *Set) Check() (problems []string) {
 	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
-	if r.Version < 1 {
-		report("version is %d, expected 1 or more", r.Version)
+	if s.Version < 1 {
+		report("version is %d, expected 1 or more", s.Version)
 	}
-	if len(r.Members) > maxMembers {
-		report("has %d mixers, expected at most %d", len(r.Members), maxMembers)
+	if len(s.Members) > maxMembers {
+		report("has %d mixers, expected at most %d", len(s.Members), maxMembers)
 	}
 	names, addresses := map[Name]bool{}, map[string]bool{}
-	for _, m := range r.Members {
-		if m.Name == "" || len(m.Name) > 64 {
-			report("a mixer's name has %d bytes, expected 1 to 64", len(m.Name))
+	for _, member := range s.Members {
+		if member.Name == "" || len(member.Name) > 64 {
+			report("a mixer's name has %d bytes, expected 1 to 64", len(member.Name))
 		}
-		if names[m.Name] {
-			report("two mixers are named %q", m.Name)
+		if names[member.Name] {
+			report("two mixers are named %q", member.Name)
 		}
-		if _, _, err := net.SplitHostPort(m.Address); err != nil {
-			report("%s: address is %q, expected HOST:PORT", m.Name, m.Address)
-		} else if addresses[m.Address] {
-			report("%s: address %s is another mixer's too", m.Name, m.Address)
+		if _, _, err := net.SplitHostPort(member.Address); err != nil {
+			report("%s: address is %q, expected HOST:PORT", member.Name, member.Address)
+		} else if addresses[member.Address] {
+			report("%s: address %s is another mixer's too", member.Name, member.Address)
 		}
-		names[m.Name], addresses[m.Address] = true, true
+		names[member.Name], addresses[member.Address] = true, true
 	}
-	if n := len(r.Voters()); n < MinVoters || n > MaxVoters || n%2 == 0 {
+	if n := len(s.Voters()); n < MinVoters || n > MaxVoters || n%2 == 0 {
 		report("%d mixers vote, expected 3, 5 or 7", n)
 	}
 	return problems
 }
 
 // Find is the member of a name, nil if there is none.
-func (r *Set) Find(name Name) *Member {
-	if i := slices.IndexFunc(r.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
-		return &r.Members[i]
+func (s *Set) Find(name Name) *Member {
+	if i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
+		return &s.Members[i]
 	}
 	return nil
 }
 
 // Voters lists the names of the members that vote.
-func (r *Set) Voters() (names []Name) {
-	for _, m := range r.Members {
+func (s *Set) Voters() (names []Name) {
+	for _, m := range s.Members {
 		if m.Votes {
 			names = append(names, m.Name)
 		}
@@ -84,8 +84,8 @@
 }
 
 // Others lists the names of all members but one.
-func (r *Set) Others(self Name) (names []Name) {
-	for _, m := range r.Members {
+func (s *Set) Others(self Name) (names []Name) {
+	for _, m := range s.Members {
 		if m.Name != self {
 			names = append(names, m.Name)
 		}
--- a/internal/controlplane/fleet/quota/client.go
+++ b/internal/controlplane/fleet/quota/client.go
@@ -141,34 +141,34 @@
 }
 
 // Set takes the quotas that apply from now on, and returns the buckets by tenant. A tenant without a quota loses its bucket.
-func (h *Client) Set(now float64, quotas map[Tenant]Quota) map[Tenant]*Bucket {
+func (c *Client) Set(now float64, quotas map[Tenant]Quota) map[Tenant]*Bucket {
 	buckets := make(map[Tenant]*Bucket, len(quotas))
 	for tenant, q := range quotas {
-		perS, burst := q.NodeMinimum(h.nodes)
-		a := h.accounts[tenant]
+		perS, burst := q.NodeMinimum(c.nodes)
+		a := c.accounts[tenant]
 		if a == nil {
 			a = &account{bucket: newBucket(now, perS, burst), updatedAt: now}
-			h.accounts[tenant] = a
+			c.accounts[tenant] = a
 		}
 		a.bucket.setMinimum(now, perS, burst)
 		a.quota, buckets[tenant] = q, a.bucket
 	}
-	h.order = h.order[:0]
-	for tenant := range h.accounts {
+	c.order = c.order[:0]
+	for tenant := range c.accounts {
 		if _, has := quotas[tenant]; !has {
-			delete(h.accounts, tenant)
+			delete(c.accounts, tenant)
 			continue
 		}
-		h.order = append(h.order, tenant)
+		c.order = append(c.order, tenant)
 	}
-	slices.Sort(h.order)
+	slices.Sort(c.order)
 	return buckets
 }
 
 // Requests is what the request of a number asks for and reports: an entry for each tenant that needs tokens or has grants.
-func (h *Client) Requests(now float64, number uint64) (requests []Request) {
-	for _, tenant := range h.order {
-		a := h.accounts[tenant]
+func (c *Client) Requests(now float64, number uint64) (requests []Request) {
+	for _, tenant := range c.order {
+		a := c.accounts[tenant]
 		a.update(now)
 		request := Request{Tenant: tenant, Tokens: a.tokensNeeded(now)}
 		for i := range a.bucket.slots {
@@ -177,11 +177,11 @@
 			}
 		}
 		for i := range a.closed {
-			if c := &a.closed[i]; len(request.Spent) < maxUsageReports {
-				if c.reportedIn == 0 {
-					c.reportedIn = number
+			if grant := &a.closed[i]; len(request.Spent) < maxUsageReports {
+				if grant.reportedIn == 0 {
+					grant.reportedIn = number
 				}
-				request.Spent = append(request.Spent, c.GrantUsage)
+				request.Spent = append(request.Spent, grant.GrantUsage)
 			}
 		}
 		if request.Tokens >= 1 || len(request.Spent) > 0 {
@@ -192,8 +192,8 @@
 }
 
 // Urgent tells whether a query got no token since the last request.
-func (h *Client) Urgent() bool {
-	for _, a := range h.accounts {
+func (c *Client) Urgent() bool {
+	for _, a := range c.accounts {
 		if a.bucket.rejected.Load() > a.rejected {
 			return true
 		}
@@ -258,8 +258,8 @@
 }
 
 // ReceiveGrant puts a grant into its bucket. It expires a lease after its request was sent, whenever the response came.
-func (h *Client) ReceiveGrant(now, requestedAt float64, requestNumber uint64, grant *Grant) {
-	account := h.accounts[grant.Tenant]
+func (c *Client) ReceiveGrant(now, requestedAt float64, requestNumber uint64, grant *Grant) {
+	account := c.accounts[grant.Tenant]
 	if account == nil {
 		return
 	}
@@ -269,7 +269,7 @@
 	} else {
 		account.bucket.retryAt.Store(0)
 	}
-	until := requestedAt + h.lease
+	until := requestedAt + c.lease
 	if grant.Tokens < 1 || now >= until {
 		return
 	}
@@ -298,8 +298,8 @@
 }
 
 // DropMinimums ends all minimums: the next process of this node has them from here on.
-func (h *Client) DropMinimums() {
-	for _, a := range h.accounts {
+func (c *Client) DropMinimums() {
+	for _, a := range c.accounts {
 		a.bucket.setMinimum(0, 0, 0)
 	}
 }
--- a/internal/controlplane/fleet/quota/granter.go
+++ b/internal/controlplane/fleet/quota/granter.go
@@ -118,7 +118,7 @@
 // MinimumsFunc sums what nodes may spend of a tenant's quota without a grant.
 type MinimumsFunc func(Tenant) (perS, burst float64)
 
-// Granter grants tokens while its node is the granter for sure. One goroutine uses it.
+// Granter grants tokens while no other node can. One goroutine uses it.
 type Granter struct {
 	lease      float64 // length of a grant, from the sending of its request
 	grantFrom  float64 // no grant before
--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -54,21 +54,21 @@
 type NameSpace struct{ Zones, Indexes, Tenants []string }
 
 // Check tells what is wrong with a contract. The error is a ContractError.
-func (s *NameSpace) Check(tenant Tenant, contract *Contract) error {
+func (n *NameSpace) Check(tenant Tenant, contract *Contract) error {
 	switch {
-	case !slices.Contains(s.Tenants, string(tenant)):
-		return invalid("tenant %q is none that the settings know, expected one of %q", tenant, s.Tenants)
+	case !slices.Contains(n.Tenants, string(tenant)):
+		return invalid("tenant %q is none that the settings know, expected one of %q", tenant, n.Tenants)
 	case len(contract.Zones) == 0:
 		return invalid("tenant %q has no zone, expected one at the least", tenant)
 	}
 	for _, zone := range contract.Zones {
-		if !slices.Contains(s.Zones, zone) {
-			return invalid("zone %q of tenant %q is none that the settings know, expected some of %q", zone, tenant, s.Zones)
+		if !slices.Contains(n.Zones, zone) {
+			return invalid("zone %q of tenant %q is none that the settings know, expected some of %q", zone, tenant, n.Zones)
 		}
 	}
 	for _, index := range contract.Indexes {
-		if !slices.Contains(s.Indexes, index) {
-			return invalid("index %q of tenant %q is none that the settings know, expected some of %q", index, tenant, s.Indexes)
+		if !slices.Contains(n.Indexes, index) {
+			return invalid("index %q of tenant %q is none that the settings know, expected some of %q", index, tenant, n.Indexes)
 		}
 	}
 	return nil
@@ -89,22 +89,22 @@
 
 // Compile makes the rules of a node in a location. Zones that the settings do not have are in no mask, so that a backend of
 // such a zone, or of none, is outside of every contract.
-func (s *NameSpace) Compile(t *Table, location string) *Rules {
+func (n *NameSpace) Compile(t *Table, location string) *Rules {
 	r := &Rules{Table: t, rules: map[policy.CustomerID][]Rule{}}
-	for i, tenant := range s.Tenants {
+	for i, tenant := range n.Tenants {
 		contract, has := t.Contracts[Tenant(tenant)]
 		if !has {
 			continue
 		}
 		zones := policy.NewZones()
-		for j, zone := range s.Zones {
+		for j, zone := range n.Zones {
 			if zone != "" && slices.Contains(contract.Zones, zone) {
 				zones.Allow(policy.LocationID(j))
 			}
 		}
 		here := !contract.Own || location != "" && slices.Contains(contract.Zones, location)
-		rules := make([]Rule, len(s.Indexes))
-		for k, index := range s.Indexes {
+		rules := make([]Rule, len(n.Indexes))
+		for k, index := range n.Indexes {
 			if rules[k].Here = true; len(contract.Indexes) == 0 || slices.Contains(contract.Indexes, index) {
 				rules[k] = Rule{zones, here}
 			}
@@ -124,7 +124,7 @@
 
 // Lease is how long a node knows its contracts to be the newest. One goroutine uses it; traffic goes by Until.
 type Lease struct {
-	length  float64 // from the asking
+	length  float64 // from the sending of the request
 	margin  float64 // by which it ends sooner for new queries, so that those accepted have ended by then
 	until   float64
 	renewed bool
@@ -157,14 +157,14 @@
 type NodeState struct {
 	Node        membership.Name `cbor:"mixer" json:"mixer"`
 	State       string          `cbor:"state" json:"state"`
-	Applied     Version         `cbor:"holds" json:"holds"` // that it has told of
+	Applied     Version         `cbor:"holds" json:"holds"` // the version that it reported to apply
 	LeaseEndsIn float64         `cbor:"in_s,omitempty" json:"in_s,omitempty"`
 }
 
 // How a node stands to a version.
 const (
-	StateApplied = "holds"   // it told us, once no part call outside was out any more
-	StateRefuses = "refuses" // its lease has run out for sure: strict tenants are refused there
+	StateApplied = "holds"   // it reported so, once no subquery outside was in flight
+	StateRefuses = "refuses" // its lease has expired for sure: strict tenants are refused there
 	StateOld     = "old"     // it may go by an older one
 )
 
@@ -189,34 +189,34 @@
 
 // Begin starts a leadership. The leader before may renew leases for authority seconds more, and each lasts for a lease. It
 // may also send an older table to a node that restarts after it reported a newer one, so that no report counts before then.
-func (s *Rollout) Begin(now, authority float64) {
-	clear(s.nodes)
-	s.ignoreUntil = now + authority*quota.WaitFactor
-	for _, name := range s.names {
-		s.nodes[name] = &nodeProgress{leaseEnds: now + authority*quota.WaitFactor + s.leaseEnd}
+func (r *Rollout) Begin(now, authority float64) {
+	clear(r.nodes)
+	r.ignoreUntil = now + authority*quota.WaitFactor
+	for _, name := range r.names {
+		r.nodes[name] = &nodeProgress{leaseEnds: now + authority*quota.WaitFactor + r.leaseEnd}
 	}
 }
 
 // RecordApplied takes the version that a node reports to apply.
-func (s *Rollout) RecordApplied(now float64, from membership.Name, applied Version) {
-	if node := s.nodes[from]; node != nil && now >= s.ignoreUntil {
-		node.applied = applied // a process that begins anew holds less than the one before it
+func (r *Rollout) RecordApplied(now float64, from membership.Name, applied Version) {
+	if node := r.nodes[from]; node != nil && now >= r.ignoreUntil {
+		node.applied = applied // a restarted process may apply an older version than the one before it
 	}
 }
 
 // RecordRenewal notes that a node's lease is renewed now.
-func (s *Rollout) RecordRenewal(now float64, name membership.Name) {
-	if node := s.nodes[name]; node != nil {
-		node.leaseEnds = max(node.leaseEnds, now+s.leaseEnd)
+func (r *Rollout) RecordRenewal(now float64, name membership.Name) {
+	if node := r.nodes[name]; node != nil {
+		node.leaseEnds = max(node.leaseEnds, now+r.leaseEnd)
 	}
 }
 
 // Progress tells how far a version is rolled out. It applies everywhere once each node applies it, or, where the tenant is
 // strict, refuses its queries.
-func (s *Rollout) Progress(now float64, version Version, strict bool) Progress {
-	progress := Progress{Version: version, Applied: len(s.nodes) > 0}
-	for _, name := range s.names {
-		node := s.nodes[name]
+func (r *Rollout) Progress(now float64, version Version, strict bool) Progress {
+	progress := Progress{Version: version, Applied: len(r.nodes) > 0}
+	for _, name := range r.names {
+		node := r.nodes[name]
 		if node == nil {
 			continue
 		}
--- a/internal/controlplane/fleet/sealedmessage/sealedmessage.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage.go
@@ -63,8 +63,8 @@
 )
 
 // String is the verdict as counters name it.
-func (w Verdict) String() string {
-	return [...]string{"good", "other_version", "too_long", "unknown", "not_ours", "altered", "old", "replayed", "too_much"}[w]
+func (v Verdict) String() string {
+	return [...]string{"good", "other_version", "too_long", "unknown", "not_ours", "altered", "old", "replayed", "too_much"}[v]
 }
 
 // Message is an opened message. Body is a part of the bytes that were opened.
