--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -176,7 +176,7 @@
 
 // Rollout is the leader's knowledge of which contracts the nodes apply.
 type Rollout struct {
-	leaseEnd    float64 // as granted, with its slack
+	lease       float64 // as granted, with its slack
 	ignoreUntil float64 // until when another leader may still hand out what it knew
 	nodes       map[membership.Name]*nodeProgress
 	names       []membership.Name
@@ -184,7 +184,7 @@
 
 // NewRollout makes one for a fleet; lease is as granted to the nodes.
 func NewRollout(lease float64, names []membership.Name) *Rollout {
-	return &Rollout{leaseEnd: lease * quota.WaitFactor, names: slices.Sorted(slices.Values(names)), nodes: map[membership.Name]*nodeProgress{}}
+	return &Rollout{lease: lease * quota.WaitFactor, names: slices.Sorted(slices.Values(names)), nodes: map[membership.Name]*nodeProgress{}}
 }
 
 // Begin starts a leadership. The leader before may renew leases for authority seconds more, and each lasts for a lease. It
@@ -193,7 +193,7 @@
 	clear(r.nodes)
 	r.ignoreUntil = now + authority*quota.WaitFactor
 	for _, name := range r.names {
-		r.nodes[name] = &nodeProgress{leaseEnds: now + authority*quota.WaitFactor + r.leaseEnd}
+		r.nodes[name] = &nodeProgress{leaseEnds: now + authority*quota.WaitFactor + r.lease}
 	}
 }
 
@@ -207,7 +207,7 @@
 // RecordRenewal notes that a node's lease is renewed now.
 func (r *Rollout) RecordRenewal(now float64, name membership.Name) {
 	if node := r.nodes[name]; node != nil {
-		node.leaseEnds = max(node.leaseEnds, now+r.leaseEnd)
+		node.leaseEnds = max(node.leaseEnds, now+r.lease)
 	}
 }
 
