--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -34,13 +34,13 @@
 	frameRefuse = 'F'
 )
 
-// The words that answer a probe.
+// The answers to a probe.
 const (
 	probeDone   = "done"
 	probeFailed = "failed"
 )
 
-// answer is what frame R says of a part call.
+// answer is a decoded frame R.
 type answer struct {
 	name    string
 	outcome policy.Outcome
@@ -78,7 +78,7 @@
 	return payload[0], payload[1:], nil
 }
 
-// buffered tells whether the next frame is here to its last byte.
+// buffered tells whether the next frame is completely in the buffer.
 func buffered(r *bufio.Reader) bool {
 	have := r.Buffered()
 	if have < 4 {
@@ -93,12 +93,13 @@
 	return append(append(b, frameType), payload...)
 }
 
-// subqueryName names a part call on the wire.
+// subqueryName is a call's name on the wire.
 func subqueryName(c *aggregator.Call) string {
 	return c.Query.ID + "." + strconv.Itoa(int(c.Shard))
 }
 
-// appendCall writes the parts of one call; the time left is rounded down, never to say more than the client waits.
+// appendCall appends a frame with the subqueries of one call; the remaining time is rounded down, so that it is never more than
+// the client waits.
 func appendCall(b []byte, calls []*call, now time.Time) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, frameCall)
@@ -118,17 +119,17 @@
 // parseAnswer reads the rest of an R frame; the value keeps its bytes. With an error, name is still the word in
 // the id's place, so that the call it may mean can be told at once.
 func parseAnswer(payload []byte) (a answer, err error) {
-	line, value, found := bytes.Cut(payload, []byte{'\n'})
-	name, _, _ := bytes.Cut(line, []byte{' '})
+	header, value, found := bytes.Cut(payload, []byte{'\n'})
+	name, _, _ := bytes.Cut(header, []byte{' '})
 	a.name = string(name)
 	// Only id and end are read strictly: the report may hold anything, and the answer beside it stands.
-	fields := bytes.SplitN(line, []byte{' '}, 4)
+	fields := bytes.SplitN(header, []byte{' '}, 4)
 	if !found || len(fields) != 4 {
-		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", line)
+		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", header)
 	}
 	known := false
 	if a.outcome, known = outcomesByWord[string(fields[1])]; !known {
-		return a, malformed("answer %.80q: unknown end", line)
+		return a, malformed("answer %.80q: unknown end", header)
 	}
 	if !utf8.Valid(value) {
 		return a, errNotText
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// entry and page are the register's form.
+// entry is a backend in the registry's JSON.
 type entry struct {
 	ID        string   `json:"instanceId"`
 	Address   string   `json:"hostPort"`
@@ -27,6 +27,26 @@
 	return *e.Weight
 }
 
+// check checks an entry; known says that it is of the list that the configuration has.
+func (e *entry) check(known bool) error {
+	phase, valid := phases[e.State]
+	switch {
+	case !valid:
+		return malformed("searcher %q: unknown state %q", e.ID, e.State)
+	case e.ID == "":
+		return malformed("searcher without an id")
+	case phase != policy.Removed && e.Address == "":
+		return malformed("searcher %q without an address", e.ID)
+	case e.Cell < 0:
+		return malformed("searcher %q: cell %d", e.ID, e.Cell)
+	// In a configuration it is a mistake. A later list is not rejected for a weight: its drains are more important.
+	case known && e.Weight != nil && *e.Weight <= 0:
+		return malformed("searcher %q: weight is %g, expected more than 0", e.ID, *e.Weight)
+	}
+	return nil
+}
+
+// page is a list of the registry, complete or a patch.
 type page struct {
 	Version   *int64  `json:"generation"`
 	Complete  bool    `json:"reset"`
@@ -35,8 +55,7 @@
 
 var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 
-// applyList reads a line of the register's and tells the module, unless anything in it can't be read: half a list
-// would be worse than an old one.
+// applyList parses a list and passes it to the listener, all or nothing: half a list would be worse than an old one.
 func (r *Client) applyList(line []byte, known bool) error {
 	var list page
 	if err := json.Unmarshal(line, &list); err != nil {
@@ -52,21 +71,9 @@
 	case list.Complete:
 		event.List = policy.ListComplete
 	}
-	for i := range list.Instances { // all of them, before the first one counts
-		instance := &list.Instances[i]
-		phase, is := phases[instance.State]
-		switch {
-		case !is:
-			return malformed("searcher %q: unknown state %q", instance.ID, instance.State)
-		case instance.ID == "":
-			return malformed("searcher without an id")
-		case phase != policy.Removed && instance.Address == "":
-			return malformed("searcher %q without an address", instance.ID)
-		case instance.Cell < 0:
-			return malformed("searcher %q: cell %d", instance.ID, instance.Cell)
-		// In a config it is a slip. A list that comes later is not refused for a figure: its drains count more.
-		case known && instance.Weight != nil && *instance.Weight <= 0:
-			return malformed("searcher %q: weight is %g, expected more than 0", instance.ID, *instance.Weight)
+	for i := range list.Instances { // all of them, before the first one is applied
+		if err := list.Instances[i].check(known); err != nil {
+			return err
 		}
 	}
 	before := r.ids
@@ -103,7 +110,7 @@
 	return nil
 }
 
-// number gives names that the settings leave out numbers of their own, beyond those.
+// number is a name's number; names that the settings do not have get further numbers.
 func number(names map[string]int, name string) int {
 	no, known := names[name]
 	if !known {
--- a/internal/systemtest/checker/answers.go
+++ b/internal/systemtest/checker/answers.go
@@ -48,7 +48,7 @@
 	case "queued", "running":
 	case "completed":
 		if missing := c.firstUnfinishedStage(j, request.AnsweredAt); missing != "" {
-			c.report(InconsistentState, j.id, request.AnsweredAt, "shown as completed, but no run of "+missing+" has ended done")
+			c.report(InconsistentState, j.id, request.AnsweredAt, "shown as completed, but no attempt of "+missing+" has ended done")
 		}
 	case "failed":
 		if !c.attemptsExhausted(j, request.AnsweredAt) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// firstUnfinishedStage names a step that is not done; empty when all are.
+// firstUnfinishedStage names a stage that is not done; empty when all are.
 func (c *checker) firstUnfinishedStage(j *jobRecord, by time.Time) string {
 	for repetition := range j.spec.repetitions() {
 		for number := range j.spec.Stages {
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// attemptsExhausted tells whether a task, or all members of a gang together, have failed as often as they may.
+// attemptsExhausted reports whether a task, or all members of a gang together, have failed as often as they may.
 func (c *checker) attemptsExhausted(j *jobRecord, by time.Time) bool {
 	least, _ := c.attemptLimits(j)
 	for repetition := range j.spec.repetitions() {
@@ -109,20 +109,20 @@
 	return executions
 }
 
-// checkAbortedRequests looks for requests that a machine gave up while it was stopped in order.
+// checkAbortedRequests looks for requests that a machine gave up during a graceful shutdown.
 func (c *checker) checkAbortedRequests() {
 	const forceSlack = time.Second
-	for _, cut := range c.AbortedRequests {
-		if cut.At.Sub(cut.SentAt) <= c.Bounds.LossSlack {
+	for _, aborted := range c.AbortedRequests {
+		if aborted.At.Sub(aborted.SentAt) <= c.Bounds.LossSlack {
 			continue
 		}
 		stopped, unplanned := false, false
 		for _, fault := range c.Faults {
-			unplanned = unplanned || !fault.Planned && fault.overlaps(cut.SentAt.Add(-c.Bounds.Contact), cut.At)
-			stopped = stopped || fault.Planned && fault.Machine == cut.Machine && within(cut.At, fault.From, fault.From.Add(c.Bounds.Grace+forceSlack))
+			unplanned = unplanned || !fault.Planned && fault.overlaps(aborted.SentAt.Add(-c.Bounds.Contact), aborted.At)
+			stopped = stopped || fault.Planned && fault.Machine == aborted.Machine && within(aborted.At, fault.From, fault.From.Add(c.Bounds.Grace+forceSlack))
 		}
 		if stopped && !unplanned {
-			c.report(Lost, cut.Path, cut.At, cut.Machine+" closed the connection of a request that it had read")
+			c.report(Lost, aborted.Path, aborted.At, aborted.Machine+" closed the connection of a request that it had read")
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	if j.accepted.IsZero() || j.runsUntilCancelled() {
 		return
 	}
-	asked := c.SeenUntil
+	seenUntil := c.SeenUntil
 	last, answered := "", false
 	for i := range c.Requests {
 		request := &c.Requests[i]
@@ -147,15 +147,15 @@
 	}
 	switch {
 	case !answered:
-		c.report(Lost, j.id, asked, "no answer about an accepted job at the end")
+		c.report(Lost, j.id, seenUntil, "no answer about an accepted job at the end")
 	case last == "gone" && j.cancelSent.IsZero():
-		c.report(Lost, j.id, asked, "an accepted job is not known at the end")
+		c.report(Lost, j.id, seenUntil, "an accepted job is not known at the end")
 	case last == "queued", last == "running":
-		c.report(Lost, j.id, asked, "an accepted job has not ended: "+last)
+		c.report(Lost, j.id, seenUntil, "an accepted job has not ended: "+last)
 	}
 }
 
-// runsUntilCancelled tells whether a job runs until it is cancelled, and nobody has.
+// runsUntilCancelled reports whether a job runs until it is cancelled, and nobody has.
 func (j *jobRecord) runsUntilCancelled() bool {
 	if !j.cancelSent.IsZero() {
 		return false
