--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -25,13 +25,13 @@
 
 const patience = queuetest.Patience
 
-// fixture is a hub with one backend, whose part the test plays.
+// fixture is a hub with one backend, whose subquery the test plays.
 type fixture struct {
 	*testing.T
-	hub  *Hub
-	told *queuetest.Ear[aggregator.Event]
-	peer net.Listener
-	next policy.SubqueryID
+	hub    *Hub
+	events *queuetest.Ear[aggregator.Event]
+	peer   net.Listener
+	next   policy.SubqueryID
 }
 
 func newFixture(t *testing.T, change func(*settings.Net)) *fixture {
@@ -39,8 +39,8 @@
 	if change != nil {
 		change(&set)
 	}
-	r := &fixture{T: t, told: queuetest.New[aggregator.Event]()}
-	r.hub = New(set, 100, r.told.Queue, zap.NewNop(), counters.New())
+	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
+	r.hub = New(set, 100, r.events.Queue, zap.NewNop(), counters.New())
 	t.Cleanup(r.hub.Stop)
 	r.peer = r.listen()
 	r.list(r.peer.Addr().String(), policy.Ready, 0)
@@ -60,7 +60,7 @@
 	r.hub.Update(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
 
-// messageSend sends parts of a query in one call; each part's shard is its place.
+// send sends subqueries of a query in one call; each subquery's shard is its place.
 func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
 	lk := &aggregator.Query{ID: id, Query: []byte(query)}
@@ -106,7 +106,7 @@
 // event waits for the next thing told.
 func (r *fixture) event() aggregator.Event {
 	r.Helper()
-	e := r.told.Next(r.T)
+	e := r.events.Next(r.T)
 	return e
 }
 
@@ -308,7 +308,7 @@
 	}
 }
 
-// separate has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
+// separateProbe has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
 func (r *fixture) separateProbe(on *peerConnection) *peerConnection {
 	r.Helper()
 	r.hub.Probe(1, true)
@@ -550,7 +550,7 @@
 		p.expect('S', "ab.0")
 		r.list("", policy.Removed, 0) // completes what it has
 		p.writeFrame('R', "ab.0 done 0 -\n")
-		if e := r.ended(next[0].Subquery, policy.Answered); len(r.told.Rest()) > 0 {
+		if e := r.ended(next[0].Subquery, policy.Answered); len(r.events.Rest()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
 		}
 	}
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -39,7 +39,7 @@
 	node     *Node
 	client   *api.Client
 	load     *fakes.Load
-	asked    fakes.Tally
+	tally    fakes.Tally
 }
 
 func newCluster(t *testing.T, perS float64, service time.Duration) *cluster {
@@ -96,7 +96,7 @@
 // take adds what came of the load.
 func (w *cluster) take() fakes.Tally {
 	t := w.load.Take()
-	w.asked.Add(t)
+	w.tally.Add(t)
 	return t
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-// calls sums the part calls of all backends.
+// calls sums the calls of all backends.
 func (w *cluster) calls() (n int64) {
 	for _, s := range w.fleet {
 		n += s.Calls()
@@ -118,7 +118,7 @@
 	return n
 }
 
-// goesOn waits until so many more part calls have been made.
+// goesOn waits until so many more calls have been made.
 func (w *cluster) goesOn(more int64) {
 	w.Helper()
 	from := w.calls()
@@ -156,13 +156,13 @@
 
 func (w *cluster) clear(id uint64) { w.set(api.Command{Clear: id}) }
 
-// checkLogEnds stops the load, and checks that each query had exactly one final answer and no once-only part ran twice.
+// checkLogEnds stops the load, and checks that each query had exactly one final answer and no once-only subquery ran twice.
 func (w *cluster) checkLogEnds() {
 	w.Helper()
 	w.load.Stop()
 	w.take()
-	eachAnswered(w.T, w.asked)
-	w.Logf("%+v; %d once-only parts ran", w.asked, executedOnce(w.T, w.fleet))
+	eachAnswered(w.T, w.tally)
+	w.Logf("%+v; %d once-only parts ran", w.tally, executedOnce(w.T, w.fleet))
 }
 
 // eachAnswered checks that each query had exactly one final answer, and some of them what they asked for.
@@ -173,7 +173,7 @@
 	}
 }
 
-// executedOnce checks that no once-only part ran twice, and tells how many ran.
+// executedOnce checks that no once-only subquery ran twice, and tells how many ran.
 func executedOnce(t *testing.T, fleet []*fakes.Backend) int {
 	t.Helper()
 	ran := map[string]int64{}
@@ -202,7 +202,7 @@
 	w.load.Run(w.Context())
 }
 
-// Out gives a backend no part call, whatever becomes of the list, the register, the backend and the aggregator.
+// Out gives a backend no call, whatever becomes of the list, the registry, the backend and the aggregator.
 func TestExclusionHoldsThroughRestartsAndFaults(t *testing.T) {
 	w := newCluster(t, 150, 2*time.Millisecond)
 	s := w.fleet[3]
@@ -308,14 +308,14 @@
 	s.Kill()
 	w.register.SetState(s.Name, "DELETED")
 	w.take()
-	w.until("nacks", func() bool { w.take(); return w.asked.Nacked > 20 })
+	w.until("nacks", func() bool { w.take(); return w.tally.Nacked > 20 })
 	w.load.Stop()
-	if w.take(); w.asked.Aborted+w.asked.Lost > 0 {
-		t.Fatalf("got %+v", w.asked)
+	if w.take(); w.tally.Aborted+w.tally.Lost > 0 {
+		t.Fatalf("got %+v", w.tally)
 	}
 }
 
-// A weight of a quarter gives a quarter of the usual part calls.
+// A weight of a quarter gives a quarter of the usual calls.
 func TestWeightUnderLoad(t *testing.T) {
 	perS, parts := 150.0, int64(2000)
 	if measure {
