--- a/internal/controlplane/fleet/errors.go
+++ b/internal/controlplane/fleet/errors.go
@@ -10,6 +10,7 @@
 // RefusedError is why commands that wait get no outcome.
 type RefusedError string
 
+// Error is the reason, for the operator who sent the command.
 func (e RefusedError) Error() string { return string(e) }
 
 // panicError is a panic of the consensus library.
@@ -26,6 +27,7 @@
 // ValidationError says what is wrong with a command, or how the operator's file contradicts the settings.
 type ValidationError string
 
+// Error is the message, for the operator who wrote the file or the command.
 func (e ValidationError) Error() string { return string(e) }
 
 func invalid(format string, arguments ...any) error {
--- a/internal/controlplane/fleet/failuredetector/failuredetector.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -27,6 +27,7 @@
 	Dead
 )
 
+// String is the status as counters and logs name it.
 func (s Status) String() string {
 	return map[Status]string{Alive: "alive", Suspect: "suspect", Dead: "dead"}[s]
 }
