--- a/internal/dataplane/clients/races_test.go
+++ b/internal/dataplane/clients/races_test.go
@@ -44,7 +44,7 @@
 	return request("/reads", strings.Replace(goodHead, "ab12", id, 1), goodBody)
 }
 
-// A client that leaves behind what it sent ahead is told of as soon as one that sent nothing, however it leaves.
+// A client that leaves behind what it pipelined is told of as soon as one that sent nothing, however it leaves.
 func TestDisconnectBehindPipelinedRequests(t *testing.T) {
 	for name, ahead := range map[string]string{"byte": "P", "request": pipelined("second"), "many": strings.Repeat(pipelined("second"), 100)} {
 		for _, how := range []string{"fin", "half", "reset"} {
@@ -66,14 +66,14 @@
 			}
 			c.Close()
 			r.noConnections()
-			if rest := r.told.Rest(); len(rest) != 0 { // of what it sent behind
+			if rest := r.events.Rest(); len(rest) != 0 { // of what it sent behind
 				t.Fatalf("%s, %s: %q is sent on", name, how, rest[0].ClientQuery.ID)
 			}
 		}
 	}
 }
 
-// What is sent ahead is answered in its turn as long as it is little, the last one too.
+// What is pipelined is answered in its turn as long as it is little, the last one too.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
@@ -94,7 +94,7 @@
 	}
 }
 
-// More is not kept: the answer in hand is whole, and the last; nothing of the rest reaches the module.
+// More is not kept: the answer in hand is whole, and the last; nothing of the rest reaches the policy.
 func TestPipelinedBytesBeyondTheLimitEndTheConnection(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
@@ -117,7 +117,7 @@
 	c.Close()
 	other.Close()
 	r.noConnections()
-	if rest := r.told.Rest(); len(rest) != 0 {
+	if rest := r.events.Rest(); len(rest) != 0 {
 		t.Fatalf("%d events", len(rest))
 	}
 }
@@ -183,7 +183,7 @@
 	half.Close()
 	<-drained
 	r.noConnections()
-	if rest := r.told.Rest(); len(rest) != 0 {
+	if rest := r.events.Rest(); len(rest) != 0 {
 		t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 	}
 }
@@ -228,7 +228,7 @@
 			if sent < 2 {
 				t.Fatal("it ended with a lookup held")
 			}
-			if rest := r.told.Rest(); len(rest) != 0 {
+			if rest := r.events.Rest(); len(rest) != 0 {
 				t.Fatalf("%+v was sent on", rest[0].ClientQuery)
 			}
 			r.noConnections()
@@ -295,7 +295,7 @@
 func TestDeadlineThatIsResetEndsNothing(t *testing.T) {
 	l, client := newUnservedConnection(t)
 	io.WriteString(client, "P")
-	if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil { // as net/http looks for its client's leaving
+	if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil { // as net/http looks for its client's disconnect
 		t.Fatal(n, err)
 	}
 	l.SetReadDeadline(past)
@@ -419,8 +419,8 @@
 	for i := range 100 {
 		c := r.dial()
 		c.sendQuery()
-		e := r.told.Next(t)
-		for ; e.Kind != policy.QueryReceived; e = r.told.Next(t) {
+		e := r.events.Next(t)
+		for ; e.Kind != policy.QueryReceived; e = r.events.Next(t) {
 			hear(e) // of the round before
 		}
 		go c.Conn.(*net.TCPConn).CloseWrite()
@@ -445,7 +445,7 @@
 		c.Close()
 	}
 	r.noConnections()
-	for _, e := range r.told.Rest() {
+	for _, e := range r.events.Rest() {
 		hear(e)
 	}
 	for q := range gone {
