--- a/internal/controlplane/coordinator/diskfull.go
+++ b/internal/controlplane/coordinator/diskfull.go
@@ -9,6 +9,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/nodesettings"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -36,7 +37,7 @@
 		if !warned {
 			log.Warn("disk full, waiting for free space", zap.Error(err))
 		}
-		if !sleep(ctx, fullDiskRetryInterval) {
+		if !timer.Sleep(ctx, fullDiskRetryInterval) {
 			return result, err
 		}
 	}
@@ -46,20 +47,8 @@
 func retryWhileWritesRejected(ctx context.Context, part func() error) error {
 	for {
 		err := part()
-		if !errors.Is(err, storage.ErrWriteRejected) || !sleep(ctx, fullDiskRetryInterval) {
+		if !errors.Is(err, storage.ErrWriteRejected) || !timer.Sleep(ctx, fullDiskRetryInterval) {
 			return err
 		}
 	}
 }
-
-// sleep waits and returns true, or false once the context has ended.
-func sleep(ctx context.Context, duration time.Duration) bool {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -17,6 +17,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 	"puffinlink.example/puffinlink/internal/nodesettings"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -90,7 +91,7 @@
 		if err == nil {
 			return
 		}
-		if !sleep(ctx, 50*time.Millisecond) {
+		if !timer.Sleep(ctx, 50*time.Millisecond) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/controlplane/rebuild/fetch.go
+++ b/internal/controlplane/rebuild/fetch.go
@@ -12,6 +12,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/rpcerror"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -70,7 +71,7 @@
 			return
 		}
 		r.config.Logger.Debug("snapshot transfer failed", zap.String("member", member), zap.Error(err))
-		if sleep(ctx, fetchRetryInterval) != nil {
+		if !timer.Sleep(ctx, fetchRetryInterval) {
 			return
 		}
 	}
--- a/internal/controlplane/rebuild/handover.go
+++ b/internal/controlplane/rebuild/handover.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -42,7 +43,7 @@
 // awaitRebuilds waits while another member replies that it is being rebuilt. It does not wait for members that do not reply.
 func (r *Rebuilder) awaitRebuilds(ctx context.Context) {
 	for r.anyRebuilding(ctx) {
-		if sleep(ctx, readyInterval) != nil {
+		if !timer.Sleep(ctx, readyInterval) {
 			return
 		}
 	}
@@ -62,7 +63,7 @@
 		if rebuilding, unreachable := r.countNotReady(ctx, joined, readyTimeout); rebuilding+unreachable == 0 {
 			return true
 		}
-		if sleep(ctx, readyInterval) != nil {
+		if !timer.Sleep(ctx, readyInterval) {
 			return false
 		}
 	}
--- a/internal/controlplane/rebuild/install.go
+++ b/internal/controlplane/rebuild/install.go
@@ -8,6 +8,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 // installInterval is the time between attempts to write the merged snapshots to a full disk.
@@ -39,8 +40,8 @@
 			return err
 		}
 		r.config.Logger.Warn("disk full: merged snapshots not written", zap.Error(err))
-		if err := sleep(ctx, installInterval); err != nil {
-			return err
+		if !timer.Sleep(ctx, installInterval) {
+			return context.Cause(ctx)
 		}
 	}
 }
--- a/internal/controlplane/rebuild/rebuild.go
+++ b/internal/controlplane/rebuild/rebuild.go
@@ -11,6 +11,7 @@
 
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 // openRoundsWait is how long after its start a member asks for snapshots. It exceeds the time-out of a quorum round.
@@ -58,8 +59,8 @@
 		return nil
 	}
 	r.config.Logger.Warn("disk empty or incomplete; rebuilding it from the other members")
-	if err := sleep(ctx, openRoundsWait-time.Since(r.start)); err != nil {
-		return err
+	if !timer.Sleep(ctx, openRoundsWait-time.Since(r.start)) {
+		return context.Cause(ctx)
 	}
 	snapshots, absences, err := r.collect(ctx)
 	if err != nil {
--- a/internal/controlplane/replicaset/calls.go
+++ b/internal/controlplane/replicaset/calls.go
@@ -85,9 +85,4 @@
 }
 
 // wakeRun lets Run check at once whether a member is to be replaced.
-func (m *Manager) wakeRun() {
-	select {
-	case m.wake <- struct{}{}:
-	default:
-	}
-}
+func (m *Manager) wakeRun() { m.wake.Notify() }
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 // ErrInvalidView is the refusal of a view without a version or without members.
@@ -21,7 +23,7 @@
 	incarnation       uint64        // of this process, drawn at its start
 	departing         atomic.Bool   // this process is about to stop
 	founders          []string      // sorted; empty where this process takes no part in the founding
-	wake              chan struct{} // a joining member announced itself, or a member sent a leave request
+	wake              wakeup.Signal // a joining member announced itself, or a member sent a leave request
 	storeFailures     chan error    // that end Run
 	observation       observation   // belongs to Run, as do the next three
 	lastLivenessCheck time.Time
@@ -45,7 +47,7 @@
 func NewManager(config Config) (*Manager, error) {
 	m := &Manager{
 		config: config, start: time.Now(), incarnation: max(1, rand.Uint64()),
-		wake: make(chan struct{}, 1), storeFailures: make(chan error, 1),
+		wake: wakeup.New(), storeFailures: make(chan error, 1),
 		memberSince: make(map[string]time.Time), changed: make(chan struct{}),
 		joiningMembers: make(joiningMembers), leaveReceived: make(map[string]time.Time),
 	}
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -5,6 +5,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -70,7 +72,7 @@
 				limited, cancel := context.WithTimeout(ctx, callTimeout)
 				call(limited, address)
 				cancel()
-				sleep(ctx, pollInterval)
+				timer.Sleep(ctx, pollInterval)
 			}
 		})
 	}
@@ -125,13 +127,3 @@
 		}
 	}
 }
-
-// sleep waits unless the context ends before.
-func sleep(ctx context.Context, duration time.Duration) {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -16,6 +16,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 	"puffinlink.example/puffinlink/internal/random"
 	"puffinlink.example/puffinlink/internal/transport"
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 // Config is what a Node needs.
@@ -45,7 +46,7 @@
 	ctx    context.Context // of calls and handlers
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
-	wakeUp chan struct{}
+	wakeUp wakeup.Signal
 
 	mu   sync.Mutex
 	core *core
@@ -67,7 +68,7 @@
 	if config.Log == nil {
 		config.Log = zap.NewNop()
 	}
-	n := &Node{config: config, log: config.Log, wakeUp: make(chan struct{}, 1)}
+	n := &Node{config: config, log: config.Log, wakeUp: wakeup.New()}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	seed := xxh3.HashString(config.Self) ^ uint64(time.Now().UnixNano())
 	n.core = newCore(config, random.PCG(seed))
--- a/internal/controlplane/replication/noderun.go
+++ b/internal/controlplane/replication/noderun.go
@@ -21,12 +21,7 @@
 	return work
 }
 
-func (n *Node) wake() {
-	select {
-	case n.wakeUp <- struct{}{}:
-	default:
-	}
-}
+func (n *Node) wake() { n.wakeUp.Notify() }
 
 // runStep runs a step whose caller must not wait for its effects.
 func (n *Node) runStep(step func()) { n.perform(n.step(step), false) }
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -7,6 +7,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -26,7 +27,7 @@
 // exchangeRegularly exchanges with one other agent after the other until ctx ends.
 func (a *Agent) exchangeRegularly(ctx context.Context) {
 	for {
-		sleep(ctx, a.exchangeDelay())
+		timer.Sleep(ctx, a.exchangeDelay())
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/dataplane/agent/fetch.go
+++ b/internal/dataplane/agent/fetch.go
@@ -7,6 +7,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -57,7 +58,7 @@
 			}
 			continue
 		}
-		sleep(ctx, a.fetchOnce(ctx, call))
+		timer.Sleep(ctx, a.fetchOnce(ctx, call))
 	}
 }
 
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -8,6 +8,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -50,7 +51,7 @@
 	candidates := f.agent.candidates()
 	coordinator, free := f.coordinators.choose(candidates, time.Now())
 	if !free {
-		sleep(ctx, f.backoff)
+		timer.Sleep(ctx, f.backoff)
 		f.backoff = max(minBackoff, min(2*f.backoff, maxBackoff/time.Duration(max(1, len(candidates)))))
 	}
 	if coordinator == "" || ctx.Err() != nil {
@@ -74,7 +75,7 @@
 	f.coordinators.worked(coordinator)
 	f.backoff = minBackoff
 	if !progress {
-		sleep(ctx, minBackoff)
+		timer.Sleep(ctx, minBackoff)
 	}
 }
 
@@ -156,12 +157,3 @@
 	defer a.mutex.Unlock()
 	a.membersConfirmed = now
 }
-
-func sleep(ctx context.Context, delay time.Duration) {
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -16,6 +16,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/timer"
 	"puffinlink.example/puffinlink/internal/transport"
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
@@ -103,7 +104,7 @@
 		answer.Changed, answer.Snapshot = true, &c.snapshot
 		return nil
 	}
-	sleep(ctx, watchWait)
+	timer.Sleep(ctx, watchWait)
 	return ctx.Err()
 }
 
@@ -171,7 +172,7 @@
 
 func takes(d time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
-		sleep(ctx, d)
+		timer.Sleep(ctx, d)
 		return ctx.Err()
 	}
 }
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -12,6 +12,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
+	"puffinlink.example/puffinlink/internal/timer"
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
@@ -97,10 +98,10 @@
 		switch {
 		case err != nil:
 			f.log.Debug("feed not read", zap.Error(err))
-			sleep(ctx, retry)
+			timer.Sleep(ctx, retry)
 			retry = min(2*retry, longestRetry)
 		case !progress:
-			sleep(ctx, idleAnswer)
+			timer.Sleep(ctx, idleAnswer)
 		default:
 			retry = firstRetry
 		}
@@ -193,12 +194,3 @@
 		}
 	}
 }
-
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/jobs/inventory/reader.go
+++ b/internal/jobs/inventory/reader.go
@@ -19,6 +19,7 @@
 	"go.uber.org/zap"
 
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -65,13 +66,13 @@
 		}
 		if err != nil {
 			log.Info("worker list not read", zap.Error(err), zap.Duration("backoff", backoff))
-			sleep(ctx, jittered(backoff))
+			timer.Sleep(ctx, jittered(backoff))
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
 		backoff = firstBackoff
 		deliver(instances)
-		sleep(ctx, r.readInterval(interval, pages)-time.Since(began))
+		timer.Sleep(ctx, r.readInterval(interval, pages)-time.Since(began))
 	}
 }
 
@@ -143,7 +144,7 @@
 		if rateLimited > maxRateLimitedPerPage || failures > maxFailuresPerPage {
 			return p, err
 		}
-		sleep(ctx, jittered(r.retryInterval()))
+		timer.Sleep(ctx, jittered(r.retryInterval()))
 		if ctx.Err() != nil {
 			return page{}, ctx.Err()
 		}
@@ -193,13 +194,3 @@
 func jittered(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * (1 + backoffJitter*(2*rand.Float64()-1)))
 }
-
-// sleep returns after the pause, or as the context ends.
-func sleep(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(pause)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/jobs/manager/leadership.go
+++ b/internal/jobs/manager/leadership.go
@@ -10,6 +10,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 const (
@@ -33,7 +34,7 @@
 	tickedAt     time.Time                      // last tick
 	plannedDueMS int64                          // next due time that the loop waits for, milliseconds since 1970; 0 for none
 	loadLoggedAt time.Time
-	wake         chan struct{} // the loop is to compute its wait anew
+	wake         wakeup.Signal // the loop is to compute its wait anew
 }
 
 // newLeadership restores the group's scheduler from its replicated state.
@@ -45,7 +46,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	return &leadership{
 		config: config, term: term, ctx: ctx, stop: stop, scheduler: jobs,
-		links: map[workerclient.WorkerID]*workerclient.Link{}, unreachable: map[workerclient.WorkerID]bool{}, wake: make(chan struct{}, 1),
+		links: map[workerclient.WorkerID]*workerclient.Link{}, unreachable: map[workerclient.WorkerID]bool{}, wake: wakeup.New(),
 	}, nil
 }
 
@@ -124,9 +125,4 @@
 }
 
 // wakeLoop lets the loop compute its wait anew.
-func (l *leadership) wakeLoop() {
-	select {
-	case l.wake <- struct{}{}:
-	default:
-	}
-}
+func (l *leadership) wakeLoop() { l.wake.Notify() }
--- a/internal/jobs/workerclient/acknowledgement.go
+++ b/internal/jobs/workerclient/acknowledgement.go
@@ -12,10 +12,7 @@
 	l.mu.Lock()
 	l.acknowledged = max(l.acknowledged, number)
 	l.mu.Unlock()
-	select {
-	case l.acknowledgementArrived <- struct{}{}:
-	default:
-	}
+	l.acknowledgementArrived.Notify()
 }
 
 // awaitAcknowledgement waits until the completions up to a number are durable: for a short time after new ones, so that further
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -25,10 +25,7 @@
 // expectAttempt ends the idle time of the renewal loop: there will be an attempt. The caller holds the lock.
 func (l *Link) expectAttempt() {
 	l.activity.mayHaveWork = true
-	select {
-	case l.commandQueued <- struct{}{}:
-	default:
-	}
+	l.commandQueued.Notify()
 }
 
 // Stop queues a stop, which is retried until it is answered or the link ends; that is reported to Events. While the worker is
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
 // The times of a link. Those that depend on how long a lease may be are shares of the longest lease where that is short (see paceFor).
@@ -64,8 +66,8 @@
 	context                context.Context // of all calls
 	cancel                 context.CancelFunc
 	done                   chan struct{} // closed when the link ends
-	acknowledgementArrived chan struct{} // signals Acknowledge to the renewal loop
-	commandQueued          chan struct{} // signals Start and Stop to the renewal loop
+	acknowledgementArrived wakeup.Signal // signals Acknowledge to the renewal loop
+	commandQueued          wakeup.Signal // signals Start and Stop to the renewal loop
 
 	deliveryHistory   deliveryHistory // used by one delivery at a time, without the lock
 	awaitedCompletion uint64          // the newest one whose acknowledgement was awaited; used by the renewal loop only
@@ -113,8 +115,8 @@
 		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
 		events:                 eventQueue{events: config.Events},
 		done:                   make(chan struct{}),
-		acknowledgementArrived: make(chan struct{}, 1),
-		commandQueued:          make(chan struct{}, 1),
+		acknowledgementArrived: wakeup.New(),
+		commandQueued:          wakeup.New(),
 	}
 	if l.config.Connections == nil {
 		l.config.Connections = unlimited()
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -16,6 +16,7 @@
 	"github.com/go-json-experiment/json"
 
 	"puffinlink.example/puffinlink/internal/controlplane/operations"
+	"puffinlink.example/puffinlink/internal/timer"
 )
 
 const (
@@ -100,7 +101,7 @@
 				failures[i] = fmt.Errorf("%s: %w", address, err)
 			}
 		}
-		if sleep(ctx, backoff) != nil {
+		if !timer.Sleep(ctx, backoff) {
 			return Answer{}, &UnreachableError{Failures: failures, MayHaveBeenExecuted: maybeExecuted}
 		}
 	}
@@ -204,14 +205,3 @@
 	}
 	return Answer{Status: response.StatusCode, Version: response.Header.Get("ETag"), Body: body}, "", nil
 }
-
-func sleep(ctx context.Context, duration time.Duration) error {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
