--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -85,13 +85,18 @@
 		case success(order.Status):
 			change.acknowledgedAt = earlier(change.acknowledgedAt, order.AnsweredAt)
 			change.rejected = false
-		case order.Status >= 400 && order.Status < 500 && order.Status != 408 && order.Status != statusTooMany:
+		case definiteRefusal(order.Status):
 			change.rejected = change.acknowledgedAt.IsZero()
 		}
 	}
 	slices.SortStableFunc(c.changes, func(a, b *configuration) int { return int(a.Version - b.Version) })
 }
 
+// definiteRefusal reports whether a status says that a change was refused, and not that it may be sent again.
+func definiteRefusal(status int) bool {
+	return status >= 400 && status < 500 && status != statusRequestTimeout && status != statusTooMany
+}
+
 func (c *checker) findOrAddChange(order *OperatorRequest) *configuration {
 	for _, change := range c.changes {
 		if change.builtOn == order.BuiltOn && bytes.Equal(change.body, order.Body) {
@@ -135,8 +140,7 @@
 // checkRetriedChange looks for the refusal of a change that was acknowledged and is the newest.
 func (c *checker) checkRetriedChange(order *OperatorRequest) {
 	change := c.findOrAddChange(order)
-	refusal := order.Status >= 400 && order.Status < 500 && order.Status != 408 && order.Status != statusTooMany
-	if change.acknowledgedAt.IsZero() || !refusal || order.SentAt.Before(change.acknowledgedAt) {
+	if change.acknowledgedAt.IsZero() || !definiteRefusal(order.Status) || order.SentAt.Before(change.acknowledgedAt) {
 		return
 	}
 	for _, other := range c.changes {
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -99,12 +99,13 @@
 func jobID(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
 
 const (
-	statusOK        = 200
-	statusMultiple  = 300
-	statusNotFound  = 404
-	statusGone      = 410
-	statusTooMany   = 429
-	statusNoService = 503
+	statusOK             = 200
+	statusRequestTimeout = 408
+	statusMultiple       = 300
+	statusNotFound       = 404
+	statusGone           = 410
+	statusTooMany        = 429
+	statusNoService      = 503
 )
 
 func success(status int) bool { return status >= statusOK && status < statusMultiple }
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -90,20 +91,27 @@
 
 // runJob submits a job, follows it to its end, and cancels it where that is planned. It reports whether the job was accepted.
 func (s *system) runJob(ctx context.Context, random *rand.Rand, plan jobPlan) bool {
-	s.plans.add(plan)
-	path := plan.route.prefix + string(plan.id)
-	if _, err := s.retryUntil(ctx, random, http.MethodPost, path, plan.encode(), isSuccess); err != nil {
+	if s.submit(ctx, random, plan) != nil {
 		return false
 	}
 	if plan.cancelAfter > 0 && sleep(ctx, plan.cancelAfter) == nil {
-		s.cancel(ctx, random, path)
+		s.cancel(ctx, random, plan.path())
 	}
 	if plan.kind != longRunningJob {
-		s.awaitFinalState(ctx, random, path)
+		s.awaitFinalState(ctx, random, plan.path())
 	}
 	return true
 }
 
+// submit submits a job until a front accepts it.
+func (s *system) submit(ctx context.Context, random *rand.Rand, plan jobPlan) error {
+	s.plans.add(plan)
+	if _, err := s.retryUntil(ctx, random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
+		return fmt.Errorf("job %s was not accepted: %w", plan.id, err)
+	}
+	return nil
+}
+
 func (s *system) cancel(ctx context.Context, random *rand.Rand, path string) {
 	s.retryUntil(ctx, random, http.MethodDelete, path, nil, func(status int) bool { return status == http.StatusOK || status == http.StatusGone })
 }
@@ -121,7 +129,13 @@
 }
 
 func isFinalState(answer []byte) bool {
+	state := stateOf(answer)
+	return state == "completed" || state == "failed" || state == "cancelled"
+}
+
+// stateOf is the state of a job in an answer to a client.
+func stateOf(answer []byte) string {
 	var content struct{ State string }
 	json.Unmarshal(answer, &content)
-	return content.State == "completed" || content.State == "failed" || content.State == "cancelled"
+	return content.State
 }
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -132,11 +132,11 @@
 	for _, front := range s.fronts {
 		s.recoveries.Go(func() { s.pollRoutes(probing, front, added, one, other) })
 	}
-	s.network.arm(injection{path: "/-/configuration", number: 1, phase: beforeReply, drop: true})
+	s.network.arm(injection{path: controlPath, number: 1, phase: beforeReply, drop: true})
 	if !s.configured.set(ctx, 1, renderRoute, mailRoute, added) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
-	s.network.arm(injection{path: "/-/configuration", number: 2, phase: beforeReply, drop: true})
+	s.network.arm(injection{path: controlPath, number: 2, phase: beforeReply, drop: true})
 	s.configured.race(ctx, []routePlan{renderRoute, mailRoute, added, one}, []routePlan{renderRoute, mailRoute, added, other})
 	s.configured.sendInvalid(ctx)
 	s.configured.resend(ctx)
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -8,10 +8,8 @@
 	"math/rand/v2"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
@@ -124,18 +122,11 @@
 
 // addJoiningMember starts a fourth core machine.
 func (h *handOver) addJoiningMember() error {
-	m, err := h.newMachine("core-4")
+	m, err := h.newCoreMachine("core-4")
 	if err != nil {
 		return err
 	}
-	m.dataDirectory = filepath.Join(h.folder, m.name, "data")
-	if err := os.Mkdir(m.dataDirectory, 0o755); err != nil {
-		return err
-	}
-	if err := m.addProcess(childSpec{
-		Role: coordinatorRole, Settings: h.settings(m, false),
-		Primary: m.address(coordinatorOffset + targetPortOffset), Secondary: m.address(controlOffset + targetPortOffset),
-	}, coordinatorOffset, controlOffset); err != nil {
+	if err := m.addCoordinator(false); err != nil {
 		return err
 	}
 	h.prepare(m)
@@ -190,9 +181,8 @@
 		return replicates && (c.from == lagging || c.to == lagging) || c.path == acceptPath && c.to == lagging
 	})
 	acknowledged = newJobPlan(random, longRunningJob, renderRoute)
-	h.plans.add(acknowledged)
-	if _, err := h.retryUntil(ctx, random, http.MethodPost, acknowledged.route.prefix+string(acknowledged.id), acknowledged.encode(), isSuccess); err != nil {
-		return acknowledged, 0, fmt.Errorf("the job was not accepted: %w", err)
+	if err := h.submit(ctx, random, acknowledged); err != nil {
+		return acknowledged, 0, err
 	}
 	if !h.configured.set(ctx, 0, renderRoute, mailRoute, routePlan{"/newest/", guardedService}) {
 		return acknowledged, 0, errors.New("the change was not acknowledged")
@@ -207,17 +197,13 @@
 	h.shutdownRequested = time.Now()
 	h.mu.Unlock()
 	for _, p := range h.departing.processes {
-		force := time.AfterFunc(handOverGrace, func() { p.signal(syscall.SIGKILL) })
-		p.end(syscall.SIGTERM)
-		force.Stop()
+		p.terminate(handOverGrace)
 	}
 	h.mu.Lock()
 	h.ended = time.Now()
 	h.mu.Unlock()
 	for _, p := range h.departing.processes {
-		for _, r := range h.departing.relays[p] {
-			r.close()
-		}
+		h.departing.closeRelays(p)
 	}
 }
 
@@ -246,10 +232,7 @@
 	if !h.configured.set(ctx, 0, renderRoute, mailRoute) {
 		return errors.New("the members that are left take no change")
 	}
-	further := newJobPlan(random, plainJob, renderRoute)
-	h.plans.add(further)
-	_, err := h.retryUntil(ctx, random, http.MethodPost, further.route.prefix+string(further.id), further.encode(), isSuccess)
-	return err
+	return h.submit(ctx, random, newJobPlan(random, plainJob, renderRoute))
 }
 
 // awaitConfiguration waits until a machine answers with the configuration, which is the one that was acknowledged last.
@@ -271,7 +254,7 @@
 // awaitJob waits until a front knows the job's state, which must not be that there is none.
 func (h *handOver) awaitJob(ctx context.Context, acknowledged jobPlan) error {
 	for {
-		got := h.clientRequest(ctx, h.fronts[0], http.MethodGet, acknowledged.route.prefix+string(acknowledged.id), nil)
+		got := h.clientRequest(ctx, h.fronts[0], http.MethodGet, acknowledged.path(), nil)
 		switch {
 		case got.Status == http.StatusOK:
 			return nil
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -22,6 +22,9 @@
 	cancelAfter time.Duration
 }
 
+// path is the path of the job at a front.
+func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
+
 // jobKind is a kind of job of the load.
 type jobKind uint8
 
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -14,8 +14,6 @@
 	"testing"
 	"time"
 
-	. "github.com/smartystreets/goconvey/convey"
-
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
@@ -38,22 +36,7 @@
 // TestNoStaleStateAfterLongPause plays them side by side, as each takes that long whatever the machine does.
 func TestNoStaleStateAfterLongPause(t *testing.T) {
 	t.Parallel()
-	outcomes := make([]outcome, len(longPauseScenarios))
-	var all sync.WaitGroup
-	for i, sc := range longPauseScenarios {
-		folder := scenarioFolder(t, sc.name)
-		all.Go(func() { outcomes[i] = sc.run(folder) })
-	}
-	all.Wait()
-	for i, sc := range longPauseScenarios {
-		result := outcomes[i]
-		t.Logf("%s: %d jobs accepted, %v; seen %+v", sc.name, result.accepted, result.took, result.seen)
-		Convey("No rule is broken, and no stale state is served: "+sc.name, t, func() {
-			So(result.failures, ShouldBeEmpty)
-			So(result.violations, ShouldBeEmpty)
-			So(result.accepted, ShouldBeGreaterThan, 0)
-		})
-	}
+	runScenarios(t, longPauseScenarios, len(longPauseScenarios), "No rule is broken, and no stale state is served: ")
 }
 
 // newestAcknowledged is the newest version that an operator was told is in force.
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"sync"
 	"syscall"
-	"time"
 
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
@@ -47,6 +46,16 @@
 	return m, os.MkdirAll(filepath.Join(s.folder, name), 0o755)
 }
 
+// newCoreMachine makes a machine with a data directory.
+func (s *system) newCoreMachine(name string) (*machine, error) {
+	m, err := s.newMachine(name)
+	if err != nil {
+		return nil, err
+	}
+	m.dataDirectory = filepath.Join(s.folder, name, "data")
+	return m, os.Mkdir(m.dataDirectory, 0o755)
+}
+
 // addProcess gives the machine a process, with a relay before each of the offsets named.
 func (m *machine) addProcess(spec childSpec, offsets ...int) error {
 	log, err := os.Create(filepath.Join(m.system.folder, m.name, string(spec.Role)+".log"))
@@ -69,6 +78,14 @@
 	return nil
 }
 
+// addCoordinator gives a core machine its coordinator.
+func (m *machine) addCoordinator(firstStart bool) error {
+	return m.addProcess(childSpec{
+		Role: coordinatorRole, Settings: m.system.settings(m, firstStart),
+		Primary: m.address(coordinatorOffset + targetPortOffset), Secondary: m.address(controlOffset + targetPortOffset),
+	}, coordinatorOffset, controlOffset)
+}
+
 // start starts a process and lets callers in.
 func (m *machine) start(p *process) error {
 	if err := p.start(); err != nil {
@@ -115,6 +132,11 @@
 func (m *machine) endProcess(p *process, signal syscall.Signal) {
 	m.system.faultBegan(m.name)
 	p.end(signal)
+	m.closeRelays(p)
+}
+
+// closeRelays closes the relays before a process.
+func (m *machine) closeRelays(p *process) {
 	for _, r := range m.relays[p] {
 		r.close()
 	}
@@ -126,12 +148,8 @@
 	var all sync.WaitGroup
 	for _, p := range m.processes {
 		all.Go(func() {
-			force := time.AfterFunc(gracePeriod, func() { p.signal(syscall.SIGKILL) })
-			defer force.Stop()
-			p.end(syscall.SIGTERM)
-			for _, r := range m.relays[p] {
-				r.close()
-			}
+			p.terminate(gracePeriod)
+			m.closeRelays(p)
 		})
 	}
 	all.Wait()
--- a/internal/systemtest/mixedversions_test.go
+++ b/internal/systemtest/mixedversions_test.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -131,22 +130,7 @@
 func TestMixedVersions(t *testing.T) {
 	t.Parallel()
 	logBuilds(t)
-	outcomes := make([]outcome, len(mixedScenarios))
-	var all sync.WaitGroup
-	for i, sc := range mixedScenarios {
-		folder := scenarioFolder(t, sc.name)
-		all.Go(func() { outcomes[i] = sc.run(folder) })
-	}
-	all.Wait()
-	for i, sc := range mixedScenarios {
-		result := outcomes[i]
-		t.Logf("%s: %d jobs accepted, %v, seen %+v", sc.name, result.accepted, result.took, result.seen)
-		Convey("No rule is broken: "+sc.name, t, func() {
-			So(result.failures, ShouldBeEmpty)
-			So(result.violations, ShouldBeEmpty)
-			So(result.accepted, ShouldBeGreaterThan, 0)
-		})
-	}
+	runScenarios(t, mixedScenarios, len(mixedScenarios), "No rule is broken: ")
 }
 
 const upgradeTimeout = 3 * time.Minute
@@ -225,10 +209,9 @@
 			if kind == scheduledJob { // some repetitions are due after the change only
 				plan.body.Repetitions, plan.body.IntervalMS = 4, 6000
 			}
-			u.plans.add(plan)
 			u.jobs = append(u.jobs, plan)
-			if _, err := u.retryUntil(ctx, u.random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
-				return fmt.Errorf("job %s was not accepted: %w", plan.id, err)
+			if err := u.submit(ctx, u.random, plan); err != nil {
+				return err
 			}
 			if kind == cancelledJob {
 				u.cancel(ctx, u.random, plan.path())
@@ -238,8 +221,6 @@
 	return sleep(ctx, 2*time.Second)
 }
 
-func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
-
 // recordStates asks for all jobs' states.
 func (u *upgrade) recordStates(ctx context.Context) error {
 	for _, plan := range u.jobs {
@@ -289,12 +270,6 @@
 	return nil
 }
 
-func stateOf(answer []byte) string {
-	var content struct{ State string }
-	json.Unmarshal(answer, &content)
-	return content.State
-}
-
 // stopAll stops all machines gracefully, the fronts first.
 func (u *upgrade) stopAll() {
 	for _, machines := range [][]*machine{u.fronts, u.core} {
@@ -322,15 +297,7 @@
 
 // restartAll starts all machines on the disks that they have.
 func (u *upgrade) restartAll() error {
-	failures := make(chan error)
-	for _, m := range u.machines() {
-		go func() { failures <- m.restart(true) }()
-	}
-	var joined error
-	for range u.machines() {
-		joined = errors.Join(joined, <-failures)
-	}
-	return joined
+	return u.onAllMachines(func(m *machine) error { return m.restart(true) })
 }
 
 // check compares the state after the upgrade with that before, waits for the jobs' ends, and submits a further one.
@@ -352,8 +319,7 @@
 		}
 	}
 	further := newJobPlan(u.random, plainJob, renderRoute)
-	u.plans.add(further)
-	if _, err := u.retryUntil(ctx, u.random, http.MethodPost, further.path(), further.encode(), isSuccess); err != nil {
+	if err := u.submit(ctx, u.random, further); err != nil {
 		return err
 	}
 	return u.awaitState(ctx, further, "completed")
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -142,14 +142,7 @@
 	if delay == 0 {
 		return nil
 	}
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+	return sleep(ctx, delay)
 }
 
 // fireInjections fires the injections that a call has reached, and reports whether it is lost there.
--- a/internal/systemtest/operators_test.go
+++ b/internal/systemtest/operators_test.go
@@ -104,7 +104,7 @@
 	if method == http.MethodPut {
 		header.Set("If-Match", strconv.FormatInt(builtOn, 10))
 	}
-	return s.sendWith(ctx, header, method, "http://"+core.address(controlOffset)+"/-/configuration", body)
+	return s.sendWith(ctx, header, method, "http://"+core.address(controlOffset)+controlPath, body)
 }
 
 // putUntilClear sends a change to one machine after the other until an answer is clear. It returns the status, 0 without a clear one.
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -126,6 +126,13 @@
 	p.command = nil
 }
 
+// terminate asks the process to shut down, kills it after a grace period, and waits for its end.
+func (p *process) terminate(grace time.Duration) {
+	force := time.AfterFunc(grace, func() { p.signal(syscall.SIGKILL) })
+	defer force.Stop()
+	p.end(syscall.SIGTERM)
+}
+
 // pid is the process's number; 0 while there is none.
 func (p *process) pid() int {
 	p.mu.Lock()
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -175,9 +175,8 @@
 func (a *retriedCommandsTest) cancelAndDrain(ctx context.Context) (cancelled, drained string, err error) {
 	random := rand.New(rand.NewPCG(8, 1))
 	plan := newJobPlan(random, longRunningJob, renderRoute)
-	a.plans.add(plan)
-	if _, err := a.retryUntil(ctx, random, http.MethodPost, plan.route.prefix+string(plan.id), plan.encode(), isSuccess); err != nil {
-		return "", "", fmt.Errorf("the job was not accepted: %w", err)
+	if err := a.submit(ctx, random, plan); err != nil {
+		return "", "", err
 	}
 	drained = a.workers[0].ID()
 	orders := []delivery{
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -157,7 +157,7 @@
 	for _, plan := range s.jobs {
 		own := rand.New(rand.NewPCG(random.Uint64(), 3))
 		all.Go(func() {
-			s.retryUntil(ctx, own, http.MethodGet, plan.route.prefix+string(plan.id), nil, func(status int) bool {
+			s.retryUntil(ctx, own, http.MethodGet, plan.path(), nil, func(status int) bool {
 				return status == http.StatusOK || status == http.StatusGone
 			})
 		})
@@ -168,7 +168,7 @@
 func (s *system) cancelLongRunning(ctx context.Context, random *rand.Rand) {
 	for _, plan := range s.jobs {
 		if plan.kind == longRunningJob {
-			s.cancel(ctx, random, plan.route.prefix+string(plan.id))
+			s.cancel(ctx, random, plan.path())
 		}
 	}
 }
@@ -191,13 +191,7 @@
 	result.violations = checker.Check(h)
 	result.seen = summarize(h)
 	result.failures = append(result.failures, s.failures...)
-	for _, m := range s.machines() {
-		for _, p := range m.processes {
-			if err := p.problem(); err != nil {
-				result.failures = append(result.failures, err)
-			}
-		}
-	}
+	result.failures = append(result.failures, s.processProblems()...)
 	s.writeViolationReport(h, result)
 	return result
 }
--- a/internal/systemtest/scenarios_test.go
+++ b/internal/systemtest/scenarios_test.go
@@ -37,15 +37,20 @@
 }
 
 func TestScenarios(t *testing.T) {
-	scenarios := selectedScenarios()
-	places := make(chan struct{}, maxConcurrentSystems)
+	runScenarios(t, selectedScenarios(), maxConcurrentSystems, "No rule is broken: ")
+}
+
+// runScenarios runs scenarios, some of them concurrently, and checks each outcome under a Convey text that begins with the claim.
+func runScenarios(t *testing.T, scenarios []scenario, concurrent int, claim string) {
+	t.Helper()
+	slots := make(chan struct{}, concurrent)
 	outcomes := make([]chan outcome, len(scenarios))
 	for i, sc := range scenarios {
 		outcomes[i] = make(chan outcome, 1)
 		folder := scenarioFolder(t, sc.name)
 		go func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			outcomes[i] <- sc.run(folder)
 		}()
 	}
@@ -53,7 +58,7 @@
 		result := <-outcomes[i]
 		t.Logf("%s: %d jobs accepted, %v, %d violations, %d failures; seen %+v",
 			sc.name, result.accepted, result.took, len(result.violations), len(result.failures), result.seen)
-		Convey("No rule is broken: "+sc.name, t, func() {
+		Convey(claim+sc.name, t, func() {
 			So(result.failures, ShouldBeEmpty)
 			So(result.violations, ShouldBeEmpty)
 			So(result.accepted, ShouldBeGreaterThan, 0)
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -121,14 +120,10 @@
 
 func (s *system) addMachines(of size) error {
 	for i := range coreMachines {
-		m, err := s.newMachine(fmt.Sprintf("core-%d", i+1))
+		m, err := s.newCoreMachine(fmt.Sprintf("core-%d", i+1))
 		if err != nil {
 			return err
 		}
-		m.dataDirectory = filepath.Join(s.folder, m.name, "data")
-		if err := os.Mkdir(m.dataDirectory, 0o755); err != nil {
-			return err
-		}
 		s.core = append(s.core, m)
 	}
 	for i := range of.fronts {
@@ -144,10 +139,7 @@
 func (s *system) addProcesses() error {
 	var failures []error
 	for _, m := range s.core {
-		failures = append(failures, m.addProcess(childSpec{
-			Role: coordinatorRole, Settings: s.settings(m, true),
-			Primary: m.address(coordinatorOffset + targetPortOffset), Secondary: m.address(controlOffset + targetPortOffset),
-		}, coordinatorOffset, controlOffset))
+		failures = append(failures, m.addCoordinator(true))
 	}
 	for _, m := range s.fronts {
 		failures = append(failures, m.addProcess(childSpec{
@@ -190,9 +182,14 @@
 
 // start starts all machines at once.
 func (s *system) start() error {
+	return s.onAllMachines(func(m *machine) error { return m.startAll(false) })
+}
+
+// onAllMachines does something to all machines at once, and joins the errors.
+func (s *system) onAllMachines(do func(m *machine) error) error {
 	failures := make(chan error)
 	for _, m := range s.machines() {
-		go func() { failures <- m.startAll(false) }()
+		go func() { failures <- do(m) }()
 	}
 	var joined error
 	for range s.machines() {
--- a/internal/tools/fleettest/brokencopies_test.go
+++ b/internal/tools/fleettest/brokencopies_test.go
@@ -32,7 +32,7 @@
 			Binary: BuildModified(t, "internal/controlplane/fleet/residency/residency.go", "			p.Held = false\n", "")})
 		alone := w.Aggregators[(w.awaitGranter().index+1)%3]
 		stop := w.Load(100, "cato", "reads", w.RoundRobin)
-		w.Await("it is served", func() bool { status, _ := w.Query(alone, "cato", "reads", 0, 1); return status == 200 })
+		w.Await("it is served", func() bool { return w.isServed(alone, "cato") })
 		w.Partition(alone.index)
 		version, err := w.Leader().Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"b"}}})
 		w.must(err)
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -47,6 +47,12 @@
 	return res.StatusCode, string(answer)
 }
 
+// isServed sends a tenant's query to an aggregator, and reports whether it was answered with 200.
+func (w *Cluster) isServed(m *Aggregator, tenant string) bool {
+	status, _ := w.Query(m, tenant, "reads", 0, 1)
+	return status == http.StatusOK
+}
+
 // idleTimeout is how long an aggregator lets a connection stand on which nothing was asked yet (clients are owed an end by then).
 const idleTimeout = 2 * time.Second
 
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -103,10 +103,16 @@
 		w.StopSupervising = func() []*Aggregator { once(); return killed }
 	}
 	t.Cleanup(w.shutDown)
+	w.awaitAllServing()
+	return w
+}
+
+// awaitAllServing waits until all aggregators serve.
+func (w *Cluster) awaitAllServing() {
+	w.Helper()
 	for _, m := range w.Aggregators {
-		w.Await(m.Name+" serves", func() bool { return m.isServing() })
+		w.Await(m.Name+" serves", m.isServing)
 	}
-	return w
 }
 
 // The usual settings of a cluster.
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -41,10 +41,10 @@
 	time.Sleep(2 * time.Second)
 	w.Await("tenants are served at every aggregator", func() bool {
 		for _, m := range w.Aggregators {
-			if a, _ := w.Query(m, "acme", "reads", 0, 1); a != 200 {
+			if !w.isServed(m, "acme") {
 				return false
 			}
-			if c, _ := w.Query(m, "cato", "reads", 0, 1); c != 200 {
+			if !w.isServed(m, "cato") {
 				return false
 			}
 		}
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -45,7 +45,7 @@
 	with := Start(t, Options{Aggregators: 3, WithoutFailpoints: true, Quotas: wideQuotas, Contracts: `{"version": 1, "strict": ["*"], "tenants": [{"tenant": "acme", "zones": ["a", "b"]}]}`, Backends: 12, Service: time.Millisecond})
 	without := Start(t, Options{Aggregators: 3, WithoutFailpoints: true, NoFleet: true, Backends: 12, Service: time.Millisecond})
 	with.awaitGranter()
-	with.Await("acme is served", func() bool { s, _ := with.Query(with.Aggregators[0], "acme", "reads", 0, 1); return s == 200 })
+	with.Await("acme is served", func() bool { return with.isServed(with.Aggregators[0], "acme") })
 	idleCPU := func(w *Cluster) float64 {
 		was := w.Aggregators[0].cpuSeconds()
 		time.Sleep(5 * time.Second)
--- a/internal/tools/fleettest/scenarios_test.go
+++ b/internal/tools/fleettest/scenarios_test.go
@@ -51,7 +51,7 @@
 func (w *Cluster) requireStrictContracts() {
 	w.Helper()
 	for _, m := range w.Aggregators {
-		w.Await("cato is served at "+m.Name, func() bool { status, _ := w.Query(m, "cato", "reads", 0, 1); return status == 200 })
+		w.Await("cato is served at "+m.Name, func() bool { return w.isServed(m, "cato") })
 	}
 	w.Checker.RequireZones("cato", "a", "b")
 }
@@ -95,7 +95,7 @@
 			w.Partition()
 			healed := time.Now()
 			w.awaitFullUse("the whole quota is used again")
-			w.Await("the strict tenant is served again", func() bool { status, _ := w.Query(alone, "cato", "reads", 0, 1); return status == 200 })
+			w.Await("the strict tenant is served again", func() bool { return w.isServed(alone, "cato") })
 			t.Logf("all is used and served again %.1f s after the cut has healed, 2 s of them measured", time.Since(healed).Seconds())
 			stop()
 			w.CheckQuota("acme", perS, burst)
@@ -136,9 +136,7 @@
 		}
 		m.Start()
 	}
-	for _, m := range w.Aggregators {
-		w.Await(m.Name+" serves", m.isServing)
-	}
+	w.awaitAllServing()
 	w.awaitGranter()
 	w.Await("the voter whose directory was lost votes again", func() bool {
 		s := w.Aggregators[1].FleetStatus()
@@ -206,7 +204,7 @@
 	time.Sleep(time.Second)
 	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
 	w.Partition()
-	w.Await("it is served at the aggregator that was partitioned, by the new contract", func() bool { status, _ := w.Query(alone, "cato", "reads", 0, 1); return status == 200 })
+	w.Await("it is served at the aggregator that was partitioned, by the new contract", func() bool { return w.isServed(alone, "cato") })
 
 	// s-1 and s-4 stand in b. s-1 now moves to c under its name: it is outside wherever the list calls it so.
 	moved := w.Backends[1]
@@ -292,18 +290,17 @@
 	}
 	twin := m.StartTwin()
 	for range 20 {
-		if status, _ := w.Query(twin, "acme", "reads", 0, 1); status == 200 {
+		if w.isServed(twin, "acme") {
 			t.Fatal("a second process of one name admits queries of a quota")
 		}
-		if status, _ := w.Query(twin, "cato", "reads", 0, 1); status == 200 {
+		if w.isServed(twin, "cato") {
 			t.Fatal("a second process of one name serves a strict tenant")
 		}
 	}
 	m.Signal(syscall.SIGTERM)
 	w.Await("the twin takes over", func() bool {
-		a, _ := w.Query(twin, "acme", "reads", 0, 1)
-		b, _ := w.Query(twin, "cato", "reads", 0, 1)
-		return a == 200 && b == 200
+		acme, cato := w.isServed(twin, "acme"), w.isServed(twin, "cato")
+		return acme && cato
 	})
 	<-m.ended
 	w.CheckQuota("acme", perS, burst)
