--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -46,7 +46,7 @@
 	return best, found
 }
 
-// parseConfiguration reads a body and tells whether it is valid on top of a version.
+// parseConfiguration reads a body and reports whether it is valid on top of a version.
 func parseConfiguration(body []byte, builtOn int64) *configuration {
 	c := &configuration{builtOn: builtOn, body: body}
 	if json.Unmarshal(body, c) != nil {
@@ -85,13 +85,18 @@
 		case success(order.Status):
 			change.acknowledgedAt = earlier(change.acknowledgedAt, order.AnsweredAt)
 			change.rejected = false
-		case order.Status >= 400 && order.Status < 500 && order.Status != 408 && order.Status != statusTooMany:
+		case definiteRefusal(order.Status):
 			change.rejected = change.acknowledgedAt.IsZero()
 		}
 	}
 	slices.SortStableFunc(c.changes, func(a, b *configuration) int { return int(a.Version - b.Version) })
 }
 
+// definiteRefusal reports whether a status says that a change was refused, and not that it may be sent again.
+func definiteRefusal(status int) bool {
+	return status >= 400 && status < 500 && status != statusRequestTimeout && status != statusTooMany
+}
+
 func (c *checker) findOrAddChange(order *OperatorRequest) *configuration {
 	for _, change := range c.changes {
 		if change.builtOn == order.BuiltOn && bytes.Equal(change.body, order.Body) {
@@ -105,7 +110,7 @@
 	return change
 }
 
-// mayBeActive tells whether a change may be in force.
+// mayBeActive reports whether a change may be in force.
 func (c *configuration) mayBeActive() bool { return c.valid && !c.rejected }
 
 // checkOperatorRequests checks the answers that operators got.
@@ -117,9 +122,9 @@
 		if !change.valid {
 			c.report(Config, version(change), change.acknowledgedAt, "an invalid configuration was acknowledged")
 		}
-		for _, other := range c.changes[i+1:] {
-			if !other.acknowledgedAt.IsZero() && other.builtOn == change.builtOn {
-				c.report(Config, version(other), other.acknowledgedAt, "two changes on top of the same version were acknowledged")
+		for _, rival := range c.changes[i+1:] {
+			if !rival.acknowledgedAt.IsZero() && rival.builtOn == change.builtOn {
+				c.report(Config, version(rival), rival.acknowledgedAt, "two changes on top of the same version were acknowledged")
 			}
 		}
 	}
@@ -135,8 +140,7 @@
 // checkRetriedChange looks for the refusal of a change that was acknowledged and is the newest.
 func (c *checker) checkRetriedChange(order *OperatorRequest) {
 	change := c.findOrAddChange(order)
-	refusal := order.Status >= 400 && order.Status < 500 && order.Status != 408 && order.Status != statusTooMany
-	if change.acknowledgedAt.IsZero() || !refusal || order.SentAt.Before(change.acknowledgedAt) {
+	if change.acknowledgedAt.IsZero() || !definiteRefusal(order.Status) || order.SentAt.Before(change.acknowledgedAt) {
 		return
 	}
 	for _, other := range c.changes {
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -14,7 +15,7 @@
 
 const (
 	clientDeadline    = 3 * time.Second
-	clientTimeout     = 30 * time.Second // from the first try to the last
+	clientTimeout     = 30 * time.Second // from the first attempt to the last
 	retryInterval     = 150 * time.Millisecond
 	statePollInterval = 300 * time.Millisecond
 	completionTimeout = 45 * time.Second // from a job's first send until its end
@@ -33,12 +34,12 @@
 	return record
 }
 
-// sendUntilClear makes a client's call.
+// send makes a client's call.
 func (s *system) send(ctx context.Context, method, url string, body []byte) (status int, answer []byte) {
 	return s.sendWith(ctx, http.Header{"Deadline-Remaining": {"3000"}}, method, url, body)
 }
 
-// sendWith makes a call; the status is 0 without a whole answer.
+// sendWith makes a call; the status is 0 without a complete reply.
 func (s *system) sendWith(ctx context.Context, header http.Header, method, url string, body []byte) (status int, answer []byte) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -75,8 +76,8 @@
 func (s *system) retryUntil(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
-	for try := random.IntN(len(s.fronts)); ; try++ {
-		answer := s.clientRequest(ctx, s.fronts[try%len(s.fronts)], method, path, body)
+	for attempt := random.IntN(len(s.fronts)); ; attempt++ {
+		answer := s.clientRequest(ctx, s.fronts[attempt%len(s.fronts)], method, path, body)
 		if serves(answer.Status) {
 			return answer, nil
 		}
@@ -88,22 +89,29 @@
 
 func isSuccess(status int) bool { return status == http.StatusOK }
 
-// play hands a job in, follows it to its end, and cancels it where that is planned. It tells whether the job was accepted.
+// runJob submits a job, follows it to its end, and cancels it where that is planned. It reports whether the job was accepted.
 func (s *system) runJob(ctx context.Context, random *rand.Rand, plan jobPlan) bool {
-	s.plans.add(plan)
-	path := plan.route.prefix + string(plan.id)
-	if _, err := s.retryUntil(ctx, random, http.MethodPost, path, plan.encode(), isSuccess); err != nil {
+	if s.submit(ctx, random, plan) != nil {
 		return false
 	}
 	if plan.cancelAfter > 0 && sleep(ctx, plan.cancelAfter) == nil {
-		s.cancel(ctx, random, path)
+		s.cancel(ctx, random, plan.path())
 	}
 	if plan.kind != longRunningJob {
-		s.awaitFinalState(ctx, random, path)
+		s.awaitFinalState(ctx, random, plan.path())
 	}
 	return true
 }
 
+// submit submits a job until a front accepts it.
+func (s *system) submit(ctx context.Context, random *rand.Rand, plan jobPlan) error {
+	s.plans.add(plan)
+	if _, err := s.retryUntil(ctx, random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
+		return fmt.Errorf("job %s was not accepted: %w", plan.id, err)
+	}
+	return nil
+}
+
 func (s *system) cancel(ctx context.Context, random *rand.Rand, path string) {
 	s.retryUntil(ctx, random, http.MethodDelete, path, nil, func(status int) bool { return status == http.StatusOK || status == http.StatusGone })
 }
@@ -121,7 +129,13 @@
 }
 
 func isFinalState(answer []byte) bool {
+	state := stateOf(answer)
+	return state == "completed" || state == "failed" || state == "cancelled"
+}
+
+// stateOf is the state of a job in an answer to a client.
+func stateOf(answer []byte) string {
 	var content struct{ State string }
 	json.Unmarshal(answer, &content)
-	return content.State == "completed" || content.State == "failed" || content.State == "cancelled"
+	return content.State
 }
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	probeLeadTime = 100 * time.Millisecond // before a machine that stands still goes on
+	probeLeadTime = 100 * time.Millisecond // before a machine that is paused resumes
 	probedJobs    = 4                      // questions that wait for it then
 )
 
-// fault is one kind of what may happen to a machine.
+// faultKind is one kind of fault of a machine.
 type faultKind struct {
 	name string
 	// inject begins it, and returns what ends it.
@@ -46,7 +46,7 @@
 	{"cut from the core", func(w *simulation, m *machine, _ time.Duration) func() { return w.partition(m, w.cores, true, true) }},
 }
 
-// freeze lets a machine stand still. Shortly before it goes on, it is asked what has come to pass in the meantime.
+// pauseMachine pauses a machine. Shortly before it resumes it gets requests about what happened in the meantime.
 func pauseMachine(w *simulation, m *machine, length time.Duration) func() {
 	m.pause(length)
 	if m.disk != nil {
@@ -60,12 +60,12 @@
 
 // probeJobs asks a node for the jobs that were accepted last, wherever that was.
 func (w *simulation) probeJobs(m *machine) {
-	asked := client{simulation: w, caller: endpoint{w.network, w.outside, 0}}
+	requester := client{simulation: w, caller: endpoint{w.network, w.outside, 0}}
 	for _, id := range w.checker.newestJobs(probedJobs) {
 		w.actors.Go(func() {
 			sent := time.Now()
 			var reply jobapi.StatusReply
-			if asked.callAt(m.address, jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply) == nil {
+			if requester.callAt(m.address, jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply) == nil {
 				w.checker.checkJobReply(m.address, "status after a freeze", sent, id, reply.Known, reply.State)
 			}
 		})
@@ -74,14 +74,14 @@
 
 // partition cuts the ways from a machine to others, to it from others, or both.
 func (w *simulation) partition(m *machine, others []*machine, out, in bool) (heal func()) {
-	set := func(cut bool) {
+	set := func(partitioned bool) {
 		w.network.update(func(n *network) {
 			for _, other := range others {
 				if other != m && out {
-					n.partitioned[link{m.address, other.address}] = cut
+					n.partitioned[link{m.address, other.address}] = partitioned
 				}
 				if other != m && in {
-					n.partitioned[link{other.address, m.address}] = cut
+					n.partitioned[link{other.address, m.address}] = partitioned
 				}
 			}
 		})
@@ -90,7 +90,7 @@
 	return func() { set(false) }
 }
 
-// fault lets troubles strike, one after the other or at the same time, at any two machines at most.
+// scheduleFaults injects faults, one after the other or at the same time, at any machines.
 func (w *simulation) scheduleFaults() {
 	background := []float64{0, 0, 0.01, 0.05}[w.random.IntN(4)]
 	w.network.update(func(n *network) { n.loss, n.duplication, n.delay = background, background, background })
@@ -115,7 +115,7 @@
 	}
 }
 
-// inject lets one trouble happen, unless the machine has another one.
+// inject injects one fault, unless the machine has another one.
 func (w *simulation) inject(kind faultKind, m *machine, toLeader bool, at, length time.Duration) {
 	<-time.After(at)
 	if leader := w.leader(); toLeader && leader != nil && m.disk != nil {
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -20,10 +20,10 @@
 	agentCount  = 2
 	workerCount = 2
 
-	warmUp            = 1200 * time.Millisecond // until the first troubles
+	warmUp            = 1200 * time.Millisecond // until the first faults
 	faultPhase        = 2 * time.Second         // until the last ones have begun
-	recoveryPhase     = 1500 * time.Millisecond // after that, without trouble
-	longestFault      = 3500 * time.Millisecond // of one trouble
+	recoveryPhase     = 1500 * time.Millisecond // after that, without fault
+	longestFault      = 3500 * time.Millisecond // of one fault
 	shortestFault     = 300 * time.Millisecond
 	completionTimeout = 10 * time.Second // for what is under way
 )
@@ -52,7 +52,7 @@
 		membership: replicaset.View{Version: 1},
 	}
 	w.workers = cluster.New(cluster.RealClock{}, cluster.Settings{
-		InMemory: true, HoldMax: maxLease, StopTime: 200 * time.Millisecond,
+		InMemory: true, LeaseMax: maxLease, StopTime: 200 * time.Millisecond,
 		Describe: func(task job.TaskID, _ string) cluster.Profile {
 			length := time.Duration(100+100*(len(task.Job)+task.Index)%1200) * time.Millisecond
 			return cluster.Profile{Resources: job.Resources{Processors: 500}, Duration: length}
@@ -95,7 +95,7 @@
 	return w.checker.violations
 }
 
-// checkFinalState judges what is left when all is calm, and ends the system.
+// checkFinalState checks what is left when all is calm, and ends the system.
 func (w *simulation) checkFinalState() {
 	w.checker.checkAttempts(w.workers.Runs())
 	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
