--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -14,8 +14,8 @@
 	backend  policy.BackendID
 	index    policy.IndexID
 	customer policy.CustomerID
-	seat     *capture.Seat // nil where nothing is captured
-	alone    bool          // nothing else of ours was there when it went
+	seat     *capture.BackendCalls // nil where nothing is captured
+	alone    bool                  // nothing else of ours was there when it went
 }
 
 type callKey struct {
@@ -79,7 +79,7 @@
 	sub.attempts++
 	call := inFlightCall{backend: action.Backend, index: q.Index, customer: q.Customer}
 	if a.recorder != nil {
-		call.seat, call.alone = a.recorder.Sent(a.policyTime(now), action.Backend)
+		call.seat, call.alone = a.recorder.CallSent(a.policyTime(now), action.Backend)
 	}
 	a.inFlight[key] = call
 	a.counters.Add("calls", "sent", 1)
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -140,7 +140,7 @@
 		a.confirmRules()
 	}
 	if a.recorder != nil && a.recorder.Due(a.policyTime(now)) {
-		a.onInterval(a.recorder.Cut(a.policyTime(now)))
+		a.onInterval(a.recorder.EndInterval(a.policyTime(now)))
 	}
 	clear(a.events)
 	clear(a.actions)
@@ -158,14 +158,14 @@
 		}
 		e.Query = e.ClientQuery.id
 		a.removeQuery(e.ClientQuery)
-		a.recordEnd(e.ClientQuery, capture.Gone, now)
+		a.recordEnd(e.ClientQuery, capture.Disconnected, now)
 		a.counters.Add("lookups", "gone", 1)
 	case policy.CallEnded:
 		key := callKey{e.Subquery, e.Call}
 		call, inFlight := a.inFlight[key]
 		delete(a.inFlight, key)
 		if inFlight && a.recorder != nil {
-			a.recorder.Called(a.policyTime(now), call.seat, call.index, e.Outcome, e.Elapsed, call.alone, e.Load)
+			a.recorder.CallEnded(a.policyTime(now), call.seat, call.index, e.Outcome, e.Elapsed, call.alone, e.Load)
 		}
 		if inFlight && a.admission.admission != nil {
 			a.admission.admission.CallEnded(now, a.admission.placements[call.backend].name, e.Outcome, e.Elapsed)
@@ -184,9 +184,9 @@
 			switch {
 			case a.recorder == nil:
 			case e.Entries[i].Phase == policy.Removed:
-				a.recorder.Unnamed(e.Entries[i].Backend)
+				a.recorder.BackendRemoved(e.Entries[i].Backend)
 			default:
-				a.recorder.Named(e.Entries[i].Backend, e.Names[i].Backend, e.Names[i].Location)
+				a.recorder.BackendAdded(e.Entries[i].Backend, e.Names[i].Backend, e.Names[i].Location)
 			}
 		}
 		if e.List != policy.ListPatch {
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -32,15 +32,15 @@
 		t.Fatal("no interval")
 	}
 	sum := capture.Capture{Intervals: got}.Sum()
-	if l := sum.Loads; len(l) != 2 || l[1].Queries != 2 || l[1].Parts != 3 || l[1].Ends.Satisfied != 1 || l[1].Ends.Gone != 1 || l[0].Ends.Satisfied != 1 {
+	if l := sum.Loads; len(l) != 2 || l[1].Queries != 2 || l[1].Parts != 3 || l[1].Ends.Satisfied != 1 || l[1].Ends.Disconnected != 1 || l[0].Ends.Satisfied != 1 {
 		t.Fatalf("got %+v", l)
 	}
 	calls, alone := int64(0), int64(0)
 	for _, s := range sum.Backends {
 		calls, alone = calls+s.Calls, alone+s.Alone.Count()
 	}
-	if calls != 3 || alone == 0 || sum.Held.Most != 2 {
-		t.Fatalf("%d calls, %d alone, held %+v", calls, alone, sum.Held)
+	if calls != 3 || alone == 0 || sum.InFlight.Most != 2 {
+		t.Fatalf("%d calls, %d alone, held %+v", calls, alone, sum.InFlight)
 	}
 }
 
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -48,7 +48,7 @@
 	}
 	a.events = append(a.events, event)
 	if a.recorder != nil {
-		a.recorder.Taken(a.policyTime(now), q.Index, q.Customer, q.Resent, event.Hint, q.shards)
+		a.recorder.QueryStarted(a.policyTime(now), q.Index, q.Customer, q.Resent, event.Hint, q.shards)
 	}
 	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
 	for i := range q.Subqueries {
@@ -72,7 +72,7 @@
 // recordEnd records a query's end, where there is a recorder.
 func (a *Aggregator) recordEnd(q *Query, end capture.End, now time.Time) {
 	if a.recorder != nil {
-		a.recorder.Ended(a.policyTime(now), q.Index, q.Customer, end, now.Sub(q.Arrived).Seconds())
+		a.recorder.QueryEnded(a.policyTime(now), q.Index, q.Customer, end, now.Sub(q.Arrived).Seconds())
 	}
 }
 
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -22,9 +22,9 @@
 	Shards             int
 }
 
-// Seat is a backend in a recorder: its part calls out, and what came of the interval's. It lives while the list names the
+// BackendCalls is a backend in a recorder: its part calls out, and what came of the interval's. It lives while the list names the
 // backend or a call to it is out.
-type Seat struct {
+type BackendCalls struct {
 	name, location string
 	out            int
 	rows           []*BackendLoad // by index; nil where nothing came
@@ -33,45 +33,45 @@
 
 // Recorder counts one aggregator's load. One goroutine alone uses it.
 type Recorder struct {
-	aggregator string
-	names      Names
-	span       float64
-	begun      bool
-	from       float64
-	loads      [][]Load // by index and customer
-	parts      []map[int]int64
-	latency    []Hist
-	shards     [][]int64
-	seats      map[policy.BackendID]*Seat
-	kept       int // rows
-	held       meter
-	out        meter
+	aggregator      string
+	names           Names
+	span            float64
+	started         bool
+	from            float64
+	loads           [][]Load // by index and customer
+	parts           []map[int]int64
+	latency         []Hist
+	shards          [][]int64
+	backends        map[policy.BackendID]*BackendCalls
+	rowCount        int
+	queriesInFlight meter
+	callsInFlight   meter
 }
 
 // meter is the integral of a count over time.
 type meter struct {
-	now, most int64
-	at, sum   float64
+	current, most int64
+	at, sum       float64
 }
 
 func (m *meter) move(now float64, by int64) {
-	m.sum += float64(m.now) * max(0, now-m.at)
+	m.sum += float64(m.current) * max(0, now-m.at)
 	m.at = now
-	m.now = max(0, m.now+by)
-	m.most = max(m.most, m.now)
+	m.current = max(0, m.current+by)
+	m.most = max(m.most, m.current)
 }
 
 // cut ends an interval and begins the next.
-func (m *meter) cut(now, span float64) Level {
+func (m *meter) endInterval(now, span float64) Level {
 	m.move(now, 0)
 	l := Level{m.sum / span, m.most}
-	m.sum, m.most = 0, m.now
+	m.sum, m.most = 0, m.current
 	return l
 }
 
 // New makes a recorder of an aggregator with intervals of span seconds.
 func New(aggregator string, names Names, span float64) *Recorder {
-	rec := &Recorder{aggregator: aggregator, names: names, span: span, seats: map[policy.BackendID]*Seat{}}
+	rec := &Recorder{aggregator: aggregator, names: names, span: span, backends: map[policy.BackendID]*BackendCalls{}}
 	rec.clear()
 	return rec
 }
@@ -83,27 +83,27 @@
 		rec.loads[k] = make([]Load, len(rec.names.Customers)+1)
 		rec.parts[k], rec.shards[k] = map[int]int64{}, make([]int64, rec.names.Shards)
 	}
-	rec.kept = 0
+	rec.rowCount = 0
 }
 
-// Named notes a backend's name and location.
-func (rec *Recorder) Named(id policy.BackendID, name, location string) {
-	s := rec.seat(id)
+// BackendAdded notes a backend's name and location.
+func (rec *Recorder) BackendAdded(id policy.BackendID, name, location string) {
+	s := rec.backend(id)
 	s.name, s.location, s.unnamed = name, location, false
 }
 
-// Unnamed lets go of a backend that the list no longer names, with the interval in hand.
-func (rec *Recorder) Unnamed(id policy.BackendID) {
-	if s := rec.seats[id]; s != nil {
+// BackendRemoved lets go of a backend that the list no longer names, with the interval in hand.
+func (rec *Recorder) BackendRemoved(id policy.BackendID) {
+	if s := rec.backends[id]; s != nil {
 		s.unnamed = true
 	}
 }
 
-func (rec *Recorder) seat(id policy.BackendID) *Seat {
-	s := rec.seats[id]
+func (rec *Recorder) backend(id policy.BackendID) *BackendCalls {
+	s := rec.backends[id]
 	if s == nil {
-		s = &Seat{rows: make([]*BackendLoad, len(rec.names.Indexes))}
-		rec.seats[id] = s
+		s = &BackendCalls{rows: make([]*BackendLoad, len(rec.names.Indexes))}
+		rec.backends[id] = s
 	}
 	return s
 }
@@ -116,24 +116,24 @@
 	return &list[c]
 }
 
-// Taken counts a query with its parts; the hint is of all of them, seconds.
-func (rec *Recorder) Taken(now float64, k policy.IndexID, c policy.CustomerID, resent bool, hint float64, shards func(yield func(policy.ShardID) bool)) {
-	l := rec.load(k, c)
-	l.Queries++
-	l.Hint += hint
+// QueryStarted counts a query with its parts; the hint is of all of them, seconds.
+func (rec *Recorder) QueryStarted(now float64, k policy.IndexID, c policy.CustomerID, resent bool, hint float64, shards func(yield func(policy.ShardID) bool)) {
+	load := rec.load(k, c)
+	load.Queries++
+	load.Hint += hint
 	if resent {
-		l.Resent++
+		load.Resent++
 	}
-	n := 0
+	count := 0
 	for s := range shards {
-		n++
+		count++
 		if int(s) < len(rec.shards[k]) {
 			rec.shards[k][s]++
 		}
 	}
-	l.Parts += int64(n)
-	rec.parts[k][n]++
-	rec.held.move(now, 1)
+	load.Parts += int64(count)
+	rec.parts[k][count]++
+	rec.queriesInFlight.move(now, 1)
 }
 
 // End is how a query ended.
@@ -144,12 +144,12 @@
 	Answered End = iota
 	Nacked
 	Aborted
-	Gone
+	Disconnected
 	Full // it was never taken
 )
 
-// Ended counts the end of a query, so many seconds after it came.
-func (rec *Recorder) Ended(now float64, k policy.IndexID, c policy.CustomerID, how End, took float64) {
+// QueryEnded counts the end of a query, so many seconds after it came.
+func (rec *Recorder) QueryEnded(now float64, k policy.IndexID, c policy.CustomerID, how End, took float64) {
 	e := &rec.load(k, c).Ends
 	switch how {
 	case Answered:
@@ -163,36 +163,36 @@
 		e.Nacked++
 	case Aborted:
 		e.Aborted++
-	case Gone:
-		e.Gone++
+	case Disconnected:
+		e.Disconnected++
 	case Full:
 		e.Full++
 		return
 	}
-	rec.held.move(now, -1)
+	rec.queriesInFlight.move(now, -1)
 }
 
-// Sent counts a part call that goes out, and tells where it sits and whether it found nothing else of this aggregator there.
-func (rec *Recorder) Sent(now float64, id policy.BackendID) (s *Seat, alone bool) {
-	rec.out.move(now, 1)
-	s = rec.seat(id)
+// CallSent counts a part call that goes out, and tells where it sits and whether it found nothing else of this aggregator there.
+func (rec *Recorder) CallSent(now float64, id policy.BackendID) (s *BackendCalls, alone bool) {
+	rec.callsInFlight.move(now, 1)
+	s = rec.backend(id)
 	s.out++
 	return s, s.out == 1
 }
 
-func (rec *Recorder) row(s *Seat, k policy.IndexID) *BackendLoad {
+func (rec *Recorder) row(s *BackendCalls, k policy.IndexID) *BackendLoad {
 	if s.rows[k] == nil {
 		s.rows[k] = &BackendLoad{Backend: s.name, Location: s.location, Index: rec.names.Indexes[k]}
-		if rec.kept++; rec.kept > mostRows {
+		if rec.rowCount++; rec.rowCount > mostRows {
 			s.rows[k].Backend, s.rows[k].Location = others, ""
 		}
 	}
 	return s.rows[k]
 }
 
-// Called counts the end of a part call: its outcome, how long it took, and whether it was alone there when it went.
-func (rec *Recorder) Called(now float64, s *Seat, k policy.IndexID, outcome policy.Outcome, elapsed float64, alone bool, load policy.Load) {
-	rec.out.move(now, -1)
+// CallEnded counts the end of a part call: its outcome, how long it took, and whether it was alone there when it went.
+func (rec *Recorder) CallEnded(now float64, s *BackendCalls, k policy.IndexID, outcome policy.Outcome, elapsed float64, alone bool, load policy.Load) {
+	rec.callsInFlight.move(now, -1)
 	s.out--
 	r := rec.row(s, k)
 	r.Calls++
@@ -206,7 +206,7 @@
 			r.Alone.Add(elapsed, 1)
 		}
 	case policy.Rejected:
-		r.TurnedAway++
+		r.Rejected++
 	case policy.Canceled, policy.NotSent: // ours
 	default:
 		r.Failed++
@@ -220,49 +220,49 @@
 
 // Due tells whether the interval in hand is over.
 func (rec *Recorder) Due(now float64) bool {
-	if !rec.begun {
-		rec.begun, rec.from = true, now
-		rec.held.at, rec.out.at = now, now
+	if !rec.started {
+		rec.started, rec.from = true, now
+		rec.queriesInFlight.at, rec.callsInFlight.at = now, now
 	}
 	return now >= rec.from+rec.span
 }
 
 // Cut ends the interval in hand.
-func (rec *Recorder) Cut(now float64) Interval {
+func (rec *Recorder) EndInterval(now float64) Interval {
 	span := max(now-rec.from, 1e-3)
-	i := Interval{At: rec.from, Span: span, Aggregators: []string{rec.aggregator}, Held: rec.held.cut(now, span), Out: rec.out.cut(now, span)}
+	interval := Interval{At: rec.from, Span: span, Aggregators: []string{rec.aggregator}, InFlight: rec.queriesInFlight.endInterval(now, span), CallsInFlight: rec.callsInFlight.endInterval(now, span)}
 	for k, index := range rec.names.Indexes {
-		for c, l := range rec.loads[k] {
-			if l.Queries == 0 && l.Ends == (Ends{}) {
+		for c, load := range rec.loads[k] {
+			if load.Queries == 0 && load.Ends == (Ends{}) {
 				continue
 			}
-			if l.Index = index; c < len(rec.names.Customers) {
-				l.Customer = rec.names.Customers[c]
+			if load.Index = index; c < len(rec.names.Customers) {
+				load.Customer = rec.names.Customers[c]
 			}
-			i.Loads = append(i.Loads, l)
+			interval.Loads = append(interval.Loads, load)
 		}
 		if len(rec.parts[k]) > 0 || rec.latency[k].Count() > 0 {
-			i.Indexes = append(i.Indexes, IndexLoad{index, rec.parts[k], rec.latency[k]})
+			interval.Indexes = append(interval.Indexes, IndexLoad{index, rec.parts[k], rec.latency[k]})
 		}
-		for s, n := range rec.shards[k] {
+		for shard, n := range rec.shards[k] {
 			if n > 0 {
-				i.Shards = append(i.Shards, ShardLoad{index, s, n})
+				interval.Shards = append(interval.Shards, ShardLoad{index, shard, n})
 			}
 		}
 	}
-	for id, s := range rec.seats {
-		for k, r := range s.rows {
-			if r != nil {
-				i.Backends = append(i.Backends, *r)
-				s.rows[k] = nil
+	for id, backend := range rec.backends {
+		for k, row := range backend.rows {
+			if row != nil {
+				interval.Backends = append(interval.Backends, *row)
+				backend.rows[k] = nil
 			}
 		}
-		if s.unnamed && s.out == 0 {
-			delete(rec.seats, id)
+		if backend.unnamed && backend.out == 0 {
+			delete(rec.backends, id)
 		}
 	}
-	i.sort()
+	interval.sort()
 	rec.clear()
 	rec.from = now
-	return i
+	return interval
 }
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -26,34 +26,34 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	rec := New(aggregator, names, 1)
 	for s := range 4 {
-		rec.Named(policy.BackendID(s+1), fmt.Sprint("s-", s), "north")
+		rec.BackendAdded(policy.BackendID(s+1), fmt.Sprint("s-", s), "north")
 	}
 	type out struct {
-		s     *Seat
+		s     *BackendCalls
 		alone bool
 	}
 	var open []out
 	for now := 1000.0; now < 1000+seconds; now += 0.01 {
 		if rec.Due(now) {
-			list = append(list, rec.Cut(now))
+			list = append(list, rec.EndInterval(now))
 		}
 		k, n := policy.IndexID(rng.IntN(2)), 1+rng.IntN(3)
-		rec.Taken(now, k, policy.CustomerID(rng.IntN(2)), rng.IntN(9) == 0, 0.01*float64(n), func(yield func(policy.ShardID) bool) {
+		rec.QueryStarted(now, k, policy.CustomerID(rng.IntN(2)), rng.IntN(9) == 0, 0.01*float64(n), func(yield func(policy.ShardID) bool) {
 			for s := range n {
 				yield(policy.ShardID(s))
 			}
 		})
 		queries, parts = queries+1, parts+int64(n)
-		rec.Ended(now, k, 0, End(rng.IntN(4)), 2*rng.Float64())
+		rec.QueryEnded(now, k, 0, End(rng.IntN(4)), 2*rng.Float64())
 		s := policy.BackendID(1 + rng.IntN(4))
-		seat, alone := rec.Sent(now, s)
+		seat, alone := rec.CallSent(now, s)
 		open = append(open, out{seat, alone})
 		if len(open) > 5 {
-			rec.Called(now, open[0].s, k, policy.Outcome(rng.IntN(8)), 0.02, open[0].alone, policy.Load{})
+			rec.CallEnded(now, open[0].s, k, policy.Outcome(rng.IntN(8)), 0.02, open[0].alone, policy.Load{})
 			open, calls = open[1:], calls+1
 		}
 	}
-	return append(list, rec.Cut(1000+seconds)), queries, parts, calls
+	return append(list, rec.EndInterval(1000+seconds)), queries, parts, calls
 }
 
 func total(list []Interval) (queries, parts, calls, ends int64) {
@@ -61,7 +61,7 @@
 		for _, l := range i.Loads {
 			queries, parts = queries+l.Queries, parts+l.Parts
 			e := l.Ends
-			ends += e.Satisfied + e.Late + e.Nacked + e.Aborted + e.Gone
+			ends += e.Satisfied + e.Late + e.Nacked + e.Aborted + e.Disconnected
 		}
 		for _, s := range i.Backends {
 			calls += s.Calls
@@ -81,9 +81,9 @@
 	}
 	b := *New("n1", names, 1)
 	b.Due(0)
-	b.Taken(0, 0, 0, false, 0, func(func(policy.ShardID) bool) {})
-	b.Ended(0.5, 0, 0, Answered, 0.5)
-	if got := b.Cut(1).Held; math.Abs(got.Mean-0.5) > 1e-9 || got.Most != 1 {
+	b.QueryStarted(0, 0, 0, false, 0, func(func(policy.ShardID) bool) {})
+	b.QueryEnded(0.5, 0, 0, Answered, 0.5)
+	if got := b.EndInterval(1).InFlight; math.Abs(got.Mean-0.5) > 1e-9 || got.Most != 1 {
 		t.Fatalf("held %+v", got)
 	}
 }
@@ -113,7 +113,7 @@
 		t.Fatal("what was read is not what was written")
 	}
 	ends := map[int]bool{}
-	at := len(head)
+	at := len(fileHeader)
 	for i := range list {
 		ends[at] = true
 		block, _ := AppendBlock(nil, &list[i])
@@ -122,7 +122,7 @@
 	ends[at] = true
 	for n := range len(text) {
 		got, err := decoded(text[:n])
-		cut := (*CutError)(nil)
+		cut := (*TruncatedError)(nil)
 		if isCut := errors.As(err, &cut); isCut == ends[n] || isCut && cut.Blocks != len(got) || len(got) > len(list) {
 			t.Fatalf("cut at %d: %d intervals, %v", n, len(got), err)
 		}
@@ -144,8 +144,8 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(head))
-	f.Add([]byte(head + "\x00\x00\x00\x01aaaaaaaab"))
+	f.Add([]byte(fileHeader))
+	f.Add([]byte(fileHeader + "\x00\x00\x00\x01aaaaaaaab"))
 	f.Fuzz(func(_ *testing.T, in []byte) { decoded(in) })
 }
 
@@ -169,14 +169,14 @@
 	if _, err := Merge(2, Capture{one}, Capture{one}); err == nil || !strings.Contains(err.Error(), "given twice") {
 		t.Fatalf("got %v", err)
 	}
-	part, err := Capture{one}.Cut(1002, 1004)
+	part, err := Capture{one}.Between(1002, 1004)
 	if err != nil || len(part.Intervals) != 2 {
 		t.Fatalf("got %d, %v", len(part.Intervals), err)
 	}
-	if _, err := (Capture{one}).Cut(1, 2); err == nil {
+	if _, err := (Capture{one}).Between(1, 2); err == nil {
 		t.Fatal("nothing was cut out and nobody said so")
 	}
-	if holes := (Capture{append(one[:2:2], one[4:]...)}).Holes(); len(holes) != 1 || math.Abs(holes[0].To-holes[0].From-2) > 0.1 {
+	if holes := (Capture{append(one[:2:2], one[4:]...)}).Gaps(); len(holes) != 1 || math.Abs(holes[0].To-holes[0].From-2) > 0.1 {
 		t.Fatalf("got %v", holes)
 	}
 }
@@ -228,7 +228,7 @@
 		w.Put(i)
 	}
 	w.Stop()
-	files, _ := list(dir)
+	files, _ := listFiles(dir)
 	size := int64(0)
 	for _, f := range files {
 		size += f.size
@@ -246,7 +246,7 @@
 	if got := c.Intervals[len(c.Intervals)-1].At; got != 1398 {
 		t.Fatalf("the last one that is whole is of %g", got)
 	}
-	at := filepath.Join(dir, "all"+ending)
+	at := filepath.Join(dir, "all"+fileSuffix)
 	if err := Save(at, c); err != nil {
 		t.Fatal(err)
 	}
@@ -274,7 +274,7 @@
 	if err := w.write(&second); !errors.Is(err, os.ErrClosed) {
 		t.Fatalf("got %v", err)
 	}
-	if err := w.end(); err != nil {
+	if err := w.closeFile(); err != nil {
 		t.Fatal(err)
 	}
 	if c, _, err := Open(w.store.Directory); err != nil || len(c.Intervals) != 2 {
--- a/internal/operators/capture/files.go
+++ b/internal/operators/capture/files.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	ending = ".capture"
-	// files are as many as a directory's share is split into, so that the oldest eighth goes and not all.
-	files = 8
+	fileSuffix = ".capture"
+	// filesPerDirectory are as many as a directory's share is split into, so that the oldest eighth goes and not all.
+	filesPerDirectory = 8
 	// waiting intervals beyond these are dropped: a disk that takes none for a minute must not cost memory.
 	mostWaiting = 60
 )
@@ -77,7 +77,7 @@
 		list = w.in.Take(list)
 		for _, i := range list {
 			if i == nil {
-				if err := w.end(); err != nil {
+				if err := w.closeFile(); err != nil {
 					w.log.Error("capture not written", zap.String("text", err.Error()))
 				}
 				return
@@ -94,8 +94,8 @@
 	}
 }
 
-// end closes the file, if there is one. A failed close means that intervals may be missing from it.
-func (w *Writer) end() error {
+// closeFile closes the file, if there is one. A failed close means that intervals may be missing from it.
+func (w *Writer) closeFile() error {
 	if w.file == nil {
 		return nil
 	}
@@ -110,49 +110,49 @@
 	if err != nil {
 		return err
 	}
-	if w.file != nil && w.size+int64(len(block)) > w.store.MostBytes/files {
-		closed := w.end()
+	if w.file != nil && w.size+int64(len(block)) > w.store.MostBytes/filesPerDirectory {
+		closed := w.closeFile()
 		defer func() { err = errors.Join(err, closed) }()
 	}
 	if w.file == nil {
-		if err := w.begin(i.At); err != nil {
+		if err := w.openFile(i.At); err != nil {
 			return err
 		}
 	}
 	n, err := w.file.Write(block)
 	if w.size += int64(n); err != nil { // what stands there in part is where the file ends for whoever reads it
-		return errors.Join(err, w.end())
+		return errors.Join(err, w.closeFile())
 	}
 	return nil
 }
 
-// begin opens a new file, after the oldest ones have gone.
-func (w *Writer) begin(at float64) error {
-	if err := w.sweep(); err != nil {
+// openFile opens a new file, after the oldest ones have gone.
+func (w *Writer) openFile(at float64) error {
+	if err := w.removeOldFiles(); err != nil {
 		return err
 	}
-	path := filepath.Join(w.store.Directory, fmt.Sprintf("%017.3f%s", at, ending))
+	path := filepath.Join(w.store.Directory, fmt.Sprintf("%017.3f%s", at, fileSuffix))
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	if _, err := f.Write(Head()); err != nil {
+	if _, err := f.Write(FileHeader()); err != nil {
 		return errors.Join(err, f.Close(), os.Remove(path))
 	}
-	w.file, w.size = f, int64(len(head))
+	w.file, w.size = f, int64(len(fileHeader))
 	return nil
 }
 
-// sweep removes files that are too old, and the oldest ones until there is room for one more.
-func (w *Writer) sweep() error {
-	list, err := list(w.store.Directory)
+// removeOldFiles removes files that are too old, and the oldest ones until there is room for one more.
+func (w *Writer) removeOldFiles() error {
+	list, err := listFiles(w.store.Directory)
 	if err != nil {
 		return err
 	}
 	total := int64(0)
 	for _, f := range slices.Backward(list) {
 		total += f.size
-		if total > w.store.MostBytes*(files-1)/files || time.Since(f.changed) > w.store.MostAge {
+		if total > w.store.MostBytes*(filesPerDirectory-1)/filesPerDirectory || time.Since(f.changed) > w.store.MostAge {
 			if err := os.Remove(f.path); err != nil {
 				return err
 			}
@@ -162,21 +162,21 @@
 	return nil
 }
 
-type found struct {
+type captureFile struct {
 	path    string
 	size    int64
 	changed time.Time
 }
 
-// list is the captures of a directory, oldest first.
-func list(dir string) (out []found, err error) {
+// listFiles is the captures of a directory, oldest first.
+func listFiles(dir string) (out []captureFile, err error) {
 	entries, err := os.ReadDir(dir) // by name, which is by time
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range entries {
-		if info, err := e.Info(); err == nil && info.Mode().IsRegular() && strings.HasSuffix(e.Name(), ending) {
-			out = append(out, found{filepath.Join(dir, e.Name()), info.Size(), info.ModTime()})
+		if info, err := e.Info(); err == nil && info.Mode().IsRegular() && strings.HasSuffix(e.Name(), fileSuffix) {
+			out = append(out, captureFile{filepath.Join(dir, e.Name()), info.Size(), info.ModTime()})
 		}
 	}
 	return out, nil
@@ -184,39 +184,39 @@
 
 // Open reads a capture: a file, or all of a directory. A file that is cut off is read up to the cut, which is told; the
 // error is of what can't be read at all.
-func Open(path string) (c Capture, cuts []string, err error) {
+func Open(path string) (c Capture, truncations []string, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return c, nil, err
 	}
 	paths := []string{path}
 	if info.IsDir() {
-		all, err := list(path)
+		all, err := listFiles(path)
 		if err != nil {
 			return c, nil, err
 		}
 		if paths = nil; len(all) == 0 {
-			return c, nil, invalid("%s: no captures (*%s) there", path, ending)
+			return c, nil, invalid("%s: no captures (*%s) there", path, fileSuffix)
 		}
-		for _, f := range all {
-			paths = append(paths, f.path)
+		for _, file := range all {
+			paths = append(paths, file.path)
 		}
 	}
-	for _, p := range paths {
-		f, err := os.Open(p)
+	for _, name := range paths {
+		file, err := os.Open(name)
 		if err != nil {
-			return c, cuts, err
+			return c, truncations, err
 		}
-		err = Read(f, func(i *Interval) error { c.Intervals = append(c.Intervals, *i); return nil })
-		_ = f.Close() // it was only read
-		if cut := (*CutError)(nil); errors.As(err, &cut) {
-			cuts = append(cuts, p+": "+cut.Error())
+		err = Read(file, func(i *Interval) error { c.Intervals = append(c.Intervals, *i); return nil })
+		_ = file.Close() // it was only read
+		if truncated := (*TruncatedError)(nil); errors.As(err, &truncated) {
+			truncations = append(truncations, name+": "+truncated.Error())
 		} else if err != nil {
-			return c, cuts, fmt.Errorf("%s: %w", p, err)
+			return c, truncations, fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	c.sort()
-	return c, cuts, nil
+	return c, truncations, nil
 }
 
 // Save writes a capture to a file, whole or not at all.
@@ -241,7 +241,7 @@
 }
 
 func (c Capture) write(out io.Writer) error {
-	if _, err := out.Write(Head()); err != nil {
+	if _, err := out.Write(FileHeader()); err != nil {
 		return err
 	}
 	for n := range c.Intervals {
--- a/internal/operators/capture/histogram.go
+++ b/internal/operators/capture/histogram.go
@@ -65,13 +65,13 @@
 
 // Merge adds all that another holds.
 func (h *Hist) Merge(o Hist) {
-	for _, b := range o.bars() {
+	for _, b := range o.buckets() {
 		h.Add(float64(b[0])*unit, b[1])
 	}
 }
 
-// bars are the values that occur, in units, and how often.
-func (h Hist) bars() (list [][2]int64) {
+// buckets are the values that occur, in units, and how often.
+func (h Hist) buckets() (list [][2]int64) {
 	if h.of == nil {
 		return nil
 	}
@@ -84,7 +84,7 @@
 }
 
 // MarshalJSON writes the bars.
-func (h Hist) MarshalJSON() ([]byte, error) { return json.Marshal(h.bars()) }
+func (h Hist) MarshalJSON() ([]byte, error) { return json.Marshal(h.buckets()) }
 
 // UnmarshalJSON reads bars; a value or a count that no histogram can hold is an error.
 func (h *Hist) UnmarshalJSON(text []byte) error {
--- a/internal/operators/capture/load.go
+++ b/internal/operators/capture/load.go
@@ -7,12 +7,12 @@
 
 // Ends counts how queries ended.
 type Ends struct {
-	Satisfied int64 `json:"Satisfied"` // within the soft deadline
-	Late      int64 `json:"Late"`      // answered after it
-	Nacked    int64 `json:"Nacked"`
-	Aborted   int64 `json:"Aborted"`
-	Gone      int64 `json:"Gone"` // the client left
-	Full      int64 `json:"Full"` // the most held was held
+	Satisfied    int64 `json:"Satisfied"` // within the soft deadline
+	Late         int64 `json:"Late"`      // answered after it
+	Nacked       int64 `json:"Nacked"`
+	Aborted      int64 `json:"Aborted"`
+	Disconnected int64 `json:"Gone"` // the client left
+	Full         int64 `json:"Full"` // the most held was held
 }
 
 func (e *Ends) add(o Ends) {
@@ -20,7 +20,7 @@
 	e.Late += o.Late
 	e.Nacked += o.Nacked
 	e.Aborted += o.Aborted
-	e.Gone += o.Gone
+	e.Disconnected += o.Disconnected
 	e.Full += o.Full
 }
 
@@ -51,17 +51,17 @@
 
 // BackendLoad is what came of the part calls of one index to one backend.
 type BackendLoad struct {
-	Backend    string  `json:"Searcher"`
-	Location   string  `json:"Location"`
-	Index      string  `json:"Index"`
-	Calls      int64   `json:"Calls"`
-	Failed     int64   `json:"Failed"` // errors, broken and lost calls
-	TurnedAway int64   `json:"TurnedAway"`
-	Latency    Hist    `json:"Latency"`
-	Alone      Hist    `json:"Alone"`   // of calls that found nothing else of this aggregator there: near the work of a part
-	Reports    int64   `json:"Reports"` // load reports heard
-	Service    float64 `json:"Service"` // sum of the service times that they told, seconds
-	Util       float64 `json:"Util"`    // sum of the use that they told
+	Backend  string  `json:"Searcher"`
+	Location string  `json:"Location"`
+	Index    string  `json:"Index"`
+	Calls    int64   `json:"Calls"`
+	Failed   int64   `json:"Failed"` // errors, broken and lost calls
+	Rejected int64   `json:"TurnedAway"`
+	Latency  Hist    `json:"Latency"`
+	Alone    Hist    `json:"Alone"`   // of calls that found nothing else of this aggregator there: near the work of a part
+	Reports  int64   `json:"Reports"` // load reports heard
+	Service  float64 `json:"Service"` // sum of the service times that they told, seconds
+	Util     float64 `json:"Util"`    // sum of the use that they told
 }
 
 // Level is a figure over time.
@@ -72,15 +72,15 @@
 
 // Interval is what one or several aggregators saw in a span of time.
 type Interval struct {
-	At          float64       `json:"At"`   // Unix seconds
-	Span        float64       `json:"Span"` // seconds
-	Aggregators []string      `json:"Mixers"`
-	Loads       []Load        `json:"Loads"`
-	Indexes     []IndexLoad   `json:"Indexes"`
-	Shards      []ShardLoad   `json:"Shards"`
-	Backends    []BackendLoad `json:"Searchers"`
-	Held        Level         `json:"Held"` // queries
-	Out         Level         `json:"Out"`  // part calls
+	At            float64       `json:"At"`   // Unix seconds
+	Span          float64       `json:"Span"` // seconds
+	Aggregators   []string      `json:"Mixers"`
+	Loads         []Load        `json:"Loads"`
+	Indexes       []IndexLoad   `json:"Indexes"`
+	Shards        []ShardLoad   `json:"Shards"`
+	Backends      []BackendLoad `json:"Searchers"`
+	InFlight      Level         `json:"Held"` // queries
+	CallsInFlight Level         `json:"Out"`  // part calls
 }
 
 func (i *Interval) sort() {
--- a/internal/operators/capture/merge.go
+++ b/internal/operators/capture/merge.go
@@ -19,30 +19,30 @@
 		at         float64
 	}
 	seen := map[key]bool{}
-	byTime := map[int64]*summing{}
-	for _, c := range captures {
-		for n := range c.Intervals {
-			i := &c.Intervals[n]
-			for _, m := range i.Aggregators {
-				k := key{m, i.At}
-				if seen[k] {
-					return Capture{}, invalid("mixer %s has two intervals at %.3f: the same capture was given twice", m, i.At)
+	byTime := map[int64]*accumulator{}
+	for _, capture := range captures {
+		for n := range capture.Intervals {
+			interval := &capture.Intervals[n]
+			for _, aggregator := range interval.Aggregators {
+				aggregatorInterval := key{aggregator, interval.At}
+				if seen[aggregatorInterval] {
+					return Capture{}, invalid("mixer %s has two intervals at %.3f: the same capture was given twice", aggregator, interval.At)
 				}
-				seen[k] = true
+				seen[aggregatorInterval] = true
 			}
-			slot := int64(i.At / span)
-			into := byTime[slot]
-			if into == nil {
-				into = newSumming(float64(slot)*span, span)
-				byTime[slot] = into
+			number := int64(interval.At / span)
+			sum := byTime[number]
+			if sum == nil {
+				sum = newAccumulator(float64(number)*span, span)
+				byTime[number] = sum
 			}
-			into.add(i)
+			sum.add(interval)
 		}
 	}
 	var out Capture
-	for _, i := range byTime {
-		i.sort()
-		out.Intervals = append(out.Intervals, i.Interval)
+	for _, interval := range byTime {
+		interval.sort()
+		out.Intervals = append(out.Intervals, interval.Interval)
 	}
 	out.sort()
 	return out, nil
@@ -52,9 +52,9 @@
 	slices.SortFunc(c.Intervals, func(x, y Interval) int { return cmp.Compare(x.At, y.At) })
 }
 
-// summing is an interval into which others are summed, and where its rows stand: of a day's intervals each would
+// accumulator is an interval into which others are summed, and where its rows stand: of a day's intervals each would
 // otherwise be looked through for each other.
-type summing struct {
+type accumulator struct {
 	Interval
 	loads, backends map[[2]string]int
 	indexes         map[string]int
@@ -66,8 +66,8 @@
 	shard int
 }
 
-func newSumming(at, span float64) *summing {
-	return &summing{Interval{At: at, Span: span}, map[[2]string]int{}, map[[2]string]int{}, map[string]int{}, map[shardKey]int{}}
+func newAccumulator(at, span float64) *accumulator {
+	return &accumulator{Interval{At: at, Span: span}, map[[2]string]int{}, map[[2]string]int{}, map[string]int{}, map[shardKey]int{}}
 }
 
 // row finds a row by its key, and puts a fresh one where there is none.
@@ -82,15 +82,15 @@
 }
 
 // add sums an interval in. Held and out of several aggregators add up, means weighed by their spans.
-func (i *summing) add(o *Interval) {
+func (i *accumulator) add(o *Interval) {
 	for _, m := range o.Aggregators {
 		if !slices.Contains(i.Aggregators, m) {
 			i.Aggregators = append(i.Aggregators, m)
 		}
 	}
 	slices.Sort(i.Aggregators)
-	i.Held = Level{i.Held.Mean + o.Held.Mean*o.Span/i.Span, i.Held.Most + o.Held.Most}
-	i.Out = Level{i.Out.Mean + o.Out.Mean*o.Span/i.Span, i.Out.Most + o.Out.Most}
+	i.InFlight = Level{i.InFlight.Mean + o.InFlight.Mean*o.Span/i.Span, i.InFlight.Most + o.InFlight.Most}
+	i.CallsInFlight = Level{i.CallsInFlight.Mean + o.CallsInFlight.Mean*o.Span/i.Span, i.CallsInFlight.Most + o.CallsInFlight.Most}
 	for _, l := range o.Loads {
 		x := row(&i.Loads, i.loads, [2]string{l.Index, l.Customer}, Load{Index: l.Index, Customer: l.Customer})
 		x.Queries += l.Queries
@@ -113,7 +113,7 @@
 		x := row(&i.Backends, i.backends, [2]string{s.Backend, s.Index}, BackendLoad{Backend: s.Backend, Location: s.Location, Index: s.Index})
 		x.Calls += s.Calls
 		x.Failed += s.Failed
-		x.TurnedAway += s.TurnedAway
+		x.Rejected += s.Rejected
 		x.Reports += s.Reports
 		x.Service += s.Service
 		x.Util += s.Util
@@ -123,7 +123,7 @@
 }
 
 // Cut keeps what begins from a time on and before another, Unix seconds.
-func (c Capture) Cut(from, to float64) (out Capture, err error) {
+func (c Capture) Between(from, to float64) (out Capture, err error) {
 	for _, i := range c.Intervals {
 		if i.At >= from && i.At < to {
 			out.Intervals = append(out.Intervals, i)
@@ -135,15 +135,15 @@
 	return out, nil
 }
 
-// Hole is a time of which nothing was captured, Unix seconds.
-type Hole struct{ From, To float64 }
+// Gap is a time of which nothing was captured, Unix seconds.
+type Gap struct{ From, To float64 }
 
-// Holes lists where an interval is missing.
-func (c Capture) Holes() (list []Hole) {
+// Gaps lists where an interval is missing.
+func (c Capture) Gaps() (list []Gap) {
 	end := 0.0
 	for n, i := range c.Intervals {
 		if n > 0 && i.At > end+i.Span/2 {
-			list = append(list, Hole{end, i.At})
+			list = append(list, Gap{end, i.At})
 		}
 		end = max(end, i.At+i.Span)
 	}
@@ -156,12 +156,12 @@
 		return Interval{}
 	}
 	first, last := &c.Intervals[0], &c.Intervals[len(c.Intervals)-1]
-	sum := newSumming(first.At, last.At+last.Span-first.At)
+	sum := newAccumulator(first.At, last.At+last.Span-first.At)
 	for n := range c.Intervals {
 		i := &c.Intervals[n]
-		most := [2]int64{max(sum.Held.Most, i.Held.Most), max(sum.Out.Most, i.Out.Most)}
+		peaks := [2]int64{max(sum.InFlight.Most, i.InFlight.Most), max(sum.CallsInFlight.Most, i.CallsInFlight.Most)}
 		sum.add(i)
-		sum.Held.Most, sum.Out.Most = most[0], most[1]
+		sum.InFlight.Most, sum.CallsInFlight.Most = peaks[0], peaks[1]
 	}
 	sum.sort()
 	return sum.Interval
--- a/internal/operators/capture/stored_test.go
+++ b/internal/operators/capture/stored_test.go
@@ -29,14 +29,14 @@
 			At: 1000.5, Span: 2.5, Aggregators: []string{"n1", "n2"},
 			Loads: []Load{
 				{Index: "orders", Customer: "acme", Queries: 11, Resent: 2, Parts: 33, Hint: 0.75,
-					Ends: Ends{Satisfied: 1, Late: 2, Nacked: 3, Aborted: 4, Gone: 5, Full: 6}},
+					Ends: Ends{Satisfied: 1, Late: 2, Nacked: 3, Aborted: 4, Disconnected: 5, Full: 6}},
 				{Index: "reads", Queries: 1},
 			},
 			Indexes: []IndexLoad{{Index: "orders", Parts: map[int]int64{1: 4, 3: 7}, Latency: histogramOf(map[float64]int64{0.01: 3, 0.5: 1})}},
 			Shards:  []ShardLoad{{Index: "orders", Shard: 7, Parts: 20}, {Index: "orders", Shard: 8, Parts: 13}},
-			Backends: []BackendLoad{{Backend: "s-1", Location: "north", Index: "orders", Calls: 9, Failed: 1, TurnedAway: 2,
+			Backends: []BackendLoad{{Backend: "s-1", Location: "north", Index: "orders", Calls: 9, Failed: 1, Rejected: 2,
 				Latency: histogramOf(map[float64]int64{0.02: 5}), Alone: histogramOf(map[float64]int64{0.001: 2}), Reports: 8, Service: 0.125, Util: 4.5}},
-			Held: Level{Mean: 1.5, Most: 4}, Out: Level{Mean: 2.25, Most: 9},
+			InFlight: Level{Mean: 1.5, Most: 4}, CallsInFlight: Level{Mean: 2.25, Most: 9},
 		},
 		{At: 1003, Span: 2.5, Aggregators: []string{"n1", "n2"}},
 	}
--- a/internal/operators/capture/synth.go
+++ b/internal/operators/capture/synth.go
@@ -110,35 +110,35 @@
 	if err := s.check(); err != nil {
 		return err
 	}
-	g := random.PCG(s.Seed)
+	generator := random.PCG(s.Seed)
 	popular := Popularity(s.Shards, s.Skew)
-	left := make([][]float64, len(s.Indexes)) // what rounding owes each shard
-	for k := range left {
-		left[k] = make([]float64, s.Shards)
+	remainders := make([][]float64, len(s.Indexes)) // what rounding owes each shard
+	for k := range remainders {
+		remainders[k] = make([]float64, s.Shards)
 	}
 	for n := 0; float64(n)*s.Span < s.For-1e-9; n++ {
 		t := float64(n) * s.Span
-		i := Interval{At: s.At + t, Span: s.Span, Aggregators: []string{"synth"}}
+		interval := Interval{At: s.At + t, Span: s.Span, Aggregators: []string{"synth"}}
 		rate := s.PerS * s.factor(t+s.Span/2)
-		for k, x := range s.Indexes {
-			queries := around(&g, rate*x.Share*s.Span)
+		for k, load := range s.Indexes {
+			queries := around(&generator, rate*load.Share*s.Span)
 			if queries == 0 {
 				continue
 			}
-			parts := queries * int64(x.Parts)
-			i.Loads = append(i.Loads, Load{Index: x.Index, Customer: x.Customer, Queries: queries, Parts: parts, Hint: x.Hint * float64(parts)})
-			i.Indexes = append(i.Indexes, IndexLoad{Index: x.Index, Parts: map[int]int64{x.Parts: queries}})
+			parts := queries * int64(load.Parts)
+			interval.Loads = append(interval.Loads, Load{Index: load.Index, Customer: load.Customer, Queries: queries, Parts: parts, Hint: load.Hint * float64(parts)})
+			interval.Indexes = append(interval.Indexes, IndexLoad{Index: load.Index, Parts: map[int]int64{load.Parts: queries}})
 			for shard, share := range popular {
-				owed := left[k][shard] + float64(parts)*share
-				if whole := math.Floor(owed); whole > 0 {
-					i.Shards = append(i.Shards, ShardLoad{x.Index, shard, int64(whole)})
-					owed -= whole
+				remainder := remainders[k][shard] + float64(parts)*share
+				if complete := math.Floor(remainder); complete > 0 {
+					interval.Shards = append(interval.Shards, ShardLoad{load.Index, shard, int64(complete)})
+					remainder -= complete
 				}
-				left[k][shard] = owed
+				remainders[k][shard] = remainder
 			}
 		}
-		i.sort()
-		if err := each(&i); err != nil {
+		interval.sort()
+		if err := each(&interval); err != nil {
 			return err
 		}
 	}
--- a/internal/operators/capture/wire_test.go
+++ b/internal/operators/capture/wire_test.go
@@ -15,5 +15,5 @@
 	codec := goldentest.JSON
 	codec.Values = map[reflect.Type]any{reflect.TypeFor[Hist](): times}
 	goldentest.Check(t, codec, goldentest.Form{Name: "interval", Value: new(Interval)})
-	goldentest.CheckConstants(t, goldentest.Constant{Have: head, Want: "puffinlink capture 1\n"})
+	goldentest.CheckConstants(t, goldentest.Constant{Have: fileHeader, Want: "puffinlink capture 1\n"})
 }
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -185,7 +185,7 @@
 			}
 		}
 	}
-	for _, h := range c.Holes() {
+	for _, h := range c.Gaps() {
 		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", h.To-h.From))
 	}
 	all := 0.0
