--- a/internal/dataplane/aggregator/interface.go
+++ b/internal/dataplane/aggregator/interface.go
@@ -29,7 +29,7 @@
 	Shard    policy.ShardID
 	Sent     time.Time
 	Stop     time.Time // when to stop waiting
-	Begin    time.Time // by when it has to be on its way, whatever held it up; after it, it is not begun
+	Begin    time.Time // when its write must have started; after that it must not be written
 }
 
 // Backends sends calls and probes to backends. None of its methods may block.
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -23,7 +23,7 @@
 		a.recordEnd(q, capture.Full, now)
 		q.Done <- Reply{End: QueueFull}
 		return
-	case a.byClientID[q.ID] != nil: // its calls could not be told from those of the other
+	case a.byClientID[q.ID] != nil: // their calls would have the same names
 		a.counters.Add("lookups", "twice", 1)
 		q.Done <- Reply{End: Duplicate}
 		return
--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -55,17 +55,17 @@
 	in             *eventqueue.Queue[message]
 	address        string
 	stopped        bool
-	draining       bool        // the list says that it wants nothing new
+	draining       bool        // the list has it as not ready
 	removed        bool        // the list no longer names it
-	ended          atomic.Bool // it has ended
+	ended          atomic.Bool // run has returned
 	era            int         // of the address
 	connections    []*connection
 	dials          int           // connects to this address
 	dialsOfAllEras int           // connects to any
-	waiting        []*sharedCall // for a connection with room
+	waiting        []*sharedCall // for a connection
 	calls          map[string]*call
 	pendingProbe   *pendingProbe
-	lastFrameAt    time.Time // last frame that came on any connection
+	lastFrameAt    time.Time // last frame received on any connection
 }
 
 func (a *actor) run() {
@@ -201,7 +201,7 @@
 	}
 	if p := a.pendingProbe; p != nil && due(p.sentAt.Add(seconds(a.hub.settings.Connect))) {
 		outcome := policy.TimedOut
-		if p.connection == nil { // the connect that it waits for has as long, and may be told a moment later
+		if p.connection == nil { // the connect that it waits for has the same time-out, and may end a moment later
 			outcome = policy.NotConnected
 		} else if p.written {
 			a.recordTimeout(p.connection, p.sentAt, now)
@@ -214,7 +214,7 @@
 		case !conn.silentSince.IsZero():
 			// Its backend lives, and has had as long again as a probe to say something here: nobody waits any more.
 			if a.idle(conn) || !a.lastFrameAt.Before(conn.silentSince) && due(conn.silentSince.Add(seconds(a.hub.settings.Connect))) {
-				a.close(conn, reasonNoAnswer) // before any end on it is told
+				a.close(conn, reasonNoAnswer) // before any end on it is reported
 				for _, c := range a.calls {
 					if c.connection == conn {
 						a.end(c, policy.TimedOut, now, answer{})
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -15,9 +15,9 @@
 	shared        *sharedCall
 	connection    *connection // nil while it waits for one
 	written       bool
-	canceled      bool           // canceled, which its backend is being told
-	cancelOutcome policy.Outcome // then: as what
-	writeState    atomic.Int32   // its actor and its connection's writer settle by it which of them comes first
+	canceled      bool           // its cancel frame is being written
+	cancelOutcome policy.Outcome // the outcome of a canceled call
+	writeState    atomic.Int32   // decides whether its actor or its connection's writer comes first
 }
 
 const (
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -49,7 +49,7 @@
 	}
 	t.live = len(t.calls)
 	for _, c := range slices.Clone(t.calls) {
-		if a.draining || a.calls[c.name] != nil { // its answer could not be told from the other's
+		if a.draining || a.calls[c.name] != nil { // their answers would have the same name
 			a.end(c, policy.NotSent, time.Now(), answer{})
 			continue
 		}
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	a.close(conn, why) // before its call's end is told, as another call of that subquery may go out then
+	a.close(conn, why) // before its call's end is reported, as another call of that subquery may be sent then
 	if meant != nil {
 		a.end(meant, policy.Errored, at, answer{})
 	}
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -34,18 +34,18 @@
 	out          *eventqueue.Queue[outgoing]
 
 	mu       sync.Mutex
-	finished bool // nothing more is written, and only what has come is read
+	finished bool // nothing more is written, and only what has arrived is read
 
 	address         string
 	opened          time.Time
 	lastUsedAt      time.Time            // last frame either way
 	sharedCalls     int                  // calls that it carries
-	canceledUntil   map[string]time.Time // names of calls canceled on it, which may still be answered, and until when
+	canceledUntil   map[string]time.Time // names of calls canceled on it, and until when they may be answered
 	lastAnswer      string               // name of the last answer on it, which may come twice
 	lastFrameAt     time.Time            // last frame that came
-	unansweredSince time.Time            // first frame handed to it since; zero if none was
-	silentSince     time.Time            // when what was asked on it had had its time; zero if something has come since
-	partialFrame    bool                 // a frame has begun to come; what never ends must not take a call with it
+	unansweredSince time.Time            // first frame passed to it since; zero if none was
+	silentSince     time.Time            // when a frame sent on it timed out; zero if a frame was received since
+	partialFrame    bool                 // a frame has arrived in part; as it may never end, no new call is sent
 	closeReason     reason               // why we closed it; "" if we did not
 }
 
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -125,12 +125,12 @@
 	}
 	go func() {
 		last := a.connect(address, era, connect)
-		<-a.hub.descriptors // before the end is told: who hears of it may need the place
+		<-a.hub.descriptors // before the end is reported: its handler may need the descriptor
 		a.in.Put(last)
 	}()
 }
 
-// connect dials, and serves the connection where one comes up. It returns the last note of either, which is still to be told.
+// connect dials, and serves the connection where one comes up. It returns the last message of either, which the caller has to send.
 func (a *actor) connect(address string, era int, within time.Duration) (last message) {
 	socket, err := a.hub.dialer(a.hub.dialContext, within, address)
 	if err != nil {
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -17,7 +17,7 @@
 
 const (
 	// maxFrame is the longest frame that can be an answer: a client's whole answer holds at most 64 KiB, so no
-	// value is longer; id, end, score and report come on top. A longer one is told by its length alone.
+	// value is longer; id, end, score and report come on top. A longer one is rejected by its length alone.
 	maxFrame = 72 << 10
 	// frameTimeout is how long a frame that has begun may take: it is written in one piece, so the rest is here
 	// within a round trip, or its length is wrong and it never ends.
--- a/internal/dataplane/backends/probes.go
+++ b/internal/dataplane/backends/probes.go
@@ -44,7 +44,7 @@
 	if p := a.pendingProbe; p == nil || p.connection != n.connection {
 		a.hub.counters.Add("late", "probes", 1)
 		return
-	} else if p.separate { // the backend lives, and connections that were asked before and said nothing since do not
+	} else if p.separate { // the backend is alive, and connections with frames unanswered from before the probe are not
 		for _, conn := range a.connections {
 			if !conn.unansweredSince.IsZero() && conn.unansweredSince.Before(p.sentAt) {
 				a.markSilent(conn, n.at)
--- a/internal/dataplane/clients/connection.go
+++ b/internal/dataplane/clients/connection.go
@@ -24,15 +24,15 @@
 	opened       time.Time
 	firstByte    atomic.Int64 // when, in ns after opened; 0 until the first byte after an answer
 	lastByte     atomic.Int64 // the same of the last byte
-	answering    atomic.Bool  // the request is whole, and its answer is not
+	answering    atomic.Bool  // the request is complete, and its answer is not
 	answered     atomic.Bool  // some answer was given
 	clientClosed atomic.Bool  // by its client
 	endReason    atomic.Pointer[reason]
 	once         sync.Once
 
 	idle     bool // an answer is written and no request read since; guarded by of.mu, as are the next three
-	hasQuery bool // a query of it is held
-	hadQuery bool // one was, at any time
+	hasQuery bool // a query of it is in progress
+	hadQuery bool // a query of it was, at any time
 	closed   bool // on our side: it takes a descriptor until its client has ended too
 
 	readMu        sync.Mutex    // guards what follows, up to overrun
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -39,10 +39,10 @@
 	smallBody       = 4 << 10
 	largeBodyMemory = 4 * maxBody
 	bodyShare       = 0.2
-	// drainNotice is how long a front goes on handing out connections to an aggregator that was told to stop.
+	// drainNotice is how long a front goes on handing out connections to an aggregator that drains.
 	drainNotice = 500 * time.Millisecond
 	// A stopping aggregator is killed no sooner than a query's longest time, of which maxQueryTime at most, and killAfter more
-	// after it was told to stop.
+	// after the drain began.
 	maxQueryTime = 3 * time.Second
 	killAfter    = 700 * time.Millisecond
 	// Of that it serves on, as others may not be there yet, but for closePeriod: by then all that it took is answered
@@ -118,7 +118,7 @@
 	s.connections.draining.Store(true)
 	s.connections.listener.SetDeadline(time.Now().Add(drainPoll))
 	<-s.stopped
-	// Clients send on connections that stay open: each is to be told by an answer that its connection closes. A connection that is closed
+	// Clients send on connections that stay open: an answer tells each that its connection closes. A connection that is closed
 	// between two queries may be closed under one that is on its way, so that is left for those that say nothing.
 	for began := time.Now(); time.Since(began) < closePeriod-closeReserve && open(); {
 		time.Sleep(drainPoll)
@@ -153,7 +153,7 @@
 	switch {
 	case !conn.hasOneLength(r): // net/http has settled it in its own way, but another query may be hidden in the body
 		s.refuse(w, r, http.StatusBadRequest, "the length of the body is stated twice")
-	case r.ContentLength > maxBody: // told before any of it is read
+	case r.ContentLength > maxBody: // rejected before any of it is read
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, tooLarge)
 	case r.URL.Path == "/up" && r.Method == http.MethodGet:
 		s.write(w, r, http.StatusOK, nil)
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -21,8 +21,8 @@
 
 const (
 	// heartbeatInterval is how often the protocol sends an empty line while nothing changes; a watch silent for so many of them
-	// is dead or its registry unreachable, and only a new one can tell. What the registry has to say counts as
-	// told 6 s later at the latest: a new watch must stand before.
+	// is dead or its registry unreachable, and only a new one can tell. A change counts as
+	// known 6 s later at the latest: a new watch must be established before.
 	heartbeatInterval = 2 * time.Second
 	missedHeartbeats  = 2.5
 	// Waits between watches grow, so that aggregators that lost the registry together leave it room, but not far, for
@@ -188,7 +188,7 @@
 			r.retryWatch("watch_ended", n.err)
 		}
 	case messageFullList:
-		if n.address != r.url || n.version != r.version && n.olderThan(r.version) { // as it was elsewhere, or before what a watch told
+		if n.address != r.url || n.version != r.version && n.olderThan(r.version) { // of another address, or older than what a watch has delivered
 			go r.fetch(r.url, r.version)
 			return
 		}
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -77,7 +77,7 @@
 		}
 	}
 	before := r.ids
-	if event.List != policy.ListPatch { // those that it leaves out are gone
+	if event.List != policy.ListPatch { // those that it leaves out are removed
 		r.ids = make(map[string]policy.BackendID, len(list.Instances))
 	}
 	for i := range list.Instances {
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -80,7 +80,7 @@
 	r.endWatch(reason, err)
 	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
 	r.nextWatchAt = time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(r.backoff)))
-	if r.onRequest { // the policy says when to ask again
+	if r.onRequest { // the policy says when to subscribe again
 		r.subscribed = false
 		r.listener.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 	}
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -21,7 +21,7 @@
 	Shards                               int
 	Streams                              int     // calls that one connection carries at once
 	Idle                                 float64 // a connection idle for so long is closed by its backend
-	Connect                              float64 // a connect that takes longer has failed; a probe too, of which no other figure is told
+	Connect                              float64 // a connect that takes longer has failed; a probe too, as the settings have no other value for it
 	Loads                                bool    // probes may ask for a load report
 }
 
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -46,7 +46,7 @@
 	mu      sync.Mutex
 	ends    map[string]int64 // satisfied, nacked, aborted, lost
 	why     string           // the last query was lost
-	value   [2]float64       // asked for, and answered within the soft deadline
+	value   [2]float64       // of all queries, and of those answered within the soft deadline
 	latency *hdrhistogram.Histogram
 }
 
@@ -156,7 +156,7 @@
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+aggregator+"/"+mix.Index, bytes.NewReader(body))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", l.nextID.Add(1))}, "Req-Kind": {mix.Index},
-		"Idempotency-Key": {}, // not sent: it lets the client ask once more on a new connection, where the aggregator closed an idle one meanwhile
+		"Idempotency-Key": {}, // not sent: it lets the HTTP client retry on a new connection, where the aggregator closed an idle one meanwhile
 		"Req-Deadline":    {strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64)}}
 	res, err := l.client.Do(req)
 	if err == nil {
--- a/policy/queryrecords.go
+++ b/policy/queryrecords.go
@@ -151,7 +151,7 @@
 	a.openQueries = slices.DeleteFunc(a.openQueries, func(o *query) bool { return o == q })
 }
 
-// clientDisconnected ends a query whose client has gone away.
+// clientDisconnected ends a query whose client has disconnected.
 func (a *Aggregator) clientDisconnected(e *Event) {
 	if q := a.queries[a.numbers[e.Query]]; q != nil && q.id == e.Query {
 		a.applyToQuery(q, onDisconnect)
