--- a/internal/fakes/cluster/calls.go
+++ b/internal/fakes/cluster/calls.go
@@ -45,10 +45,10 @@
 		return
 	}
 	s.cluster.mu.Lock()
-	of := s.incarnation
+	incarnation := s.incarnation
 	fault := s.receive(Call(r.URL.Path))
 	s.cluster.mu.Unlock()
-	if r.Header.Get("Expect-Instance") != of.id {
+	if r.Header.Get("Expect-Instance") != incarnation.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -59,11 +59,11 @@
 	}
 	switch fault.Kind {
 	case None:
-		s.answer(w, r, of, q, 0)
+		s.answer(w, r, incarnation, q, 0)
 	case Slow:
-		s.answer(w, r, of, q, fault.Delay)
+		s.answer(w, r, incarnation, q, fault.Delay)
 	default:
-		s.fail(w, r, of, q, fault)
+		s.fail(w, r, incarnation, q, fault)
 	}
 }
 
@@ -86,7 +86,7 @@
 	return err == nil && (call == StartCall || call == StopCall) && (call == StopCall || q.ValidUntilMS != nil)
 }
 
-func (s *Worker) fail(w http.ResponseWriter, r *http.Request, of *incarnation, q request, fault Fault) {
+func (s *Worker) fail(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, fault Fault) {
 	switch fault.Kind {
 	case Refuse:
 		w.WriteHeader(fault.Status)
@@ -94,19 +94,19 @@
 	case Reset:
 		panic(http.ErrAbortHandler)
 	case Mute:
-		s.execute(of, Call(r.URL.Path), q)
+		s.execute(incarnation, Call(r.URL.Path), q)
 	case Late:
-		s.executeLate(of, Call(r.URL.Path), q, fault)
+		s.executeLate(incarnation, Call(r.URL.Path), q, fault)
 	}
 	select { // without an answer
 	case <-r.Context().Done():
-	case <-of.crashed:
+	case <-incarnation.crashed:
 	case <-s.cluster.closed:
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Worker) executeLate(of *incarnation, call Call, q request, fault Fault) {
+func (s *Worker) executeLate(incarnation *incarnation, call Call, q request, fault Fault) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	arrived := s.clockNow()
@@ -118,23 +118,23 @@
 			s.cluster.mu.Unlock()
 			q.ValidUntilMS = &shifted
 		}
-		s.execute(of, call, q)
+		s.execute(incarnation, call, q)
 	})
 }
 
 // answer carries a call out and answers it, a hold perhaps once a run has ended. The answer is on its way for a while.
-func (s *Worker) answer(w http.ResponseWriter, r *http.Request, of *incarnation, q request, way time.Duration) {
+func (s *Worker) answer(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, way time.Duration) {
 	call := Call(r.URL.Path)
-	status, answer := s.execute(of, call, q)
+	status, answer := s.execute(incarnation, call, q)
 	if call == LeaseCall && status == http.StatusOK {
-		s.awaitCompletion(r, of, time.Duration(q.WaitMS)*time.Millisecond)
-		answer = s.lists(of)
+		s.awaitCompletion(r, incarnation, time.Duration(q.WaitMS)*time.Millisecond)
+		answer = s.lists(incarnation)
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
 		panic(err)
 	}
-	if way > 0 && !s.delay(r, of, way) {
+	if way > 0 && !s.delay(r, incarnation, way) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -143,7 +143,7 @@
 }
 
 // delay waits for a while; it tells whether the caller is still there then.
-func (s *Worker) delay(r *http.Request, of *incarnation, way time.Duration) bool {
+func (s *Worker) delay(r *http.Request, incarnation *incarnation, way time.Duration) bool {
 	over := make(chan struct{})
 	cancel := s.cluster.clock.AfterFunc(way, func() { close(over) })
 	defer cancel()
@@ -151,23 +151,23 @@
 	case <-over:
 		return true
 	case <-r.Context().Done():
-	case <-of.crashed:
+	case <-incarnation.crashed:
 	case <-s.cluster.closed:
 	}
 	return false
 }
 
 // execute does what a call asks for, unless that life is over.
-func (s *Worker) execute(of *incarnation, call Call, q request) (int, response) {
+func (s *Worker) execute(incarnation *incarnation, call Call, q request) (int, response) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	if s.incarnation != of {
+	if s.incarnation != incarnation {
 		return http.StatusMisdirectedRequest, response{}
 	}
-	if q.FencingToken < of.fencingToken {
+	if q.FencingToken < incarnation.fencingToken {
 		return s.reject("fence")
 	}
-	of.fencingToken = q.FencingToken
+	incarnation.fencingToken = q.FencingToken
 	switch call {
 	case StartCall:
 		return s.start(q)
@@ -251,43 +251,43 @@
 }
 
 // awaitCompletion waits until an end is listed, for as long as the caller wants.
-func (s *Worker) awaitCompletion(r *http.Request, of *incarnation, wait time.Duration) {
+func (s *Worker) awaitCompletion(r *http.Request, incarnation *incarnation, wait time.Duration) {
 	if wait == 0 {
 		return
 	}
 	s.cluster.mu.Lock()
-	if len(of.completions) > 0 {
+	if len(incarnation.completions) > 0 {
 		s.cluster.mu.Unlock()
 		return
 	}
 	waiter, over := make(chan struct{}), make(chan struct{})
-	of.waiters[waiter] = true
+	incarnation.waiters[waiter] = true
 	s.cluster.mu.Unlock()
 	cancel := s.cluster.clock.AfterFunc(wait, func() { close(over) })
 	defer cancel()
 	select {
 	case <-waiter:
 	case <-over:
-	case <-of.crashed:
+	case <-incarnation.crashed:
 		panic(http.ErrAbortHandler)
 	case <-r.Context().Done():
 	case <-s.cluster.closed:
 	}
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	delete(of.waiters, waiter)
+	delete(incarnation.waiters, waiter)
 }
 
 // lists is a hold's answer.
-func (s *Worker) lists(of *incarnation) response {
+func (s *Worker) lists(incarnation *incarnation) response {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	answer := response{ClockMS: s.clockNow().Milliseconds(), Running: [][]any{}, Finished: [][]any{}}
-	for _, r := range of.running {
+	for _, r := range incarnation.running {
 		entry := []any{r.record.Task.String(), r.record.Execution, r.checkpoint(false), r.percent()}
 		answer.Running = append(answer.Running, entry)
 	}
-	for _, r := range of.completions[:min(len(of.completions), finishedPerAnswer)] {
+	for _, r := range incarnation.completions[:min(len(incarnation.completions), finishedPerAnswer)] {
 		entry := []any{r.number, r.record.Task.String(), r.record.Execution, r.record.Outcome, r.saved}
 		answer.Finished = append(answer.Finished, entry)
 	}
--- a/internal/fakes/cluster/worker.go
+++ b/internal/fakes/cluster/worker.go
@@ -183,15 +183,15 @@
 }
 
 // expireLease kills all that runs once the hold is over.
-func (s *Worker) expireLease(of *incarnation) {
-	heldUntil := of.leaseExpiry
+func (s *Worker) expireLease(incarnation *incarnation) {
+	heldUntil := incarnation.leaseExpiry
 	s.cluster.clock.AfterFunc(max(0, s.delayUntil(heldUntil))+time.Millisecond, func() {
 		s.cluster.mu.Lock()
 		defer s.cluster.mu.Unlock()
-		if s.incarnation != of || of.leaseExpiry != heldUntil {
+		if s.incarnation != incarnation || incarnation.leaseExpiry != heldUntil {
 			return
 		}
-		for _, r := range append([]*run(nil), of.running...) {
+		for _, r := range append([]*run(nil), incarnation.running...) {
 			r.end(job.OutcomeLeaseExpired)
 		}
 	})
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -95,12 +95,12 @@
 			break
 		}
 	}
-	f := fields{rest: s.line}
-	if name := f.word("TICK"); string(name) != "TICK" {
+	header := fields{rest: s.line}
+	if name := header.next("TICK"); string(name) != "TICK" {
 		return true, malformed("expected TICK, found %q", name)
 	}
-	now, seq := f.number("clock"), f.integer("batch number")
-	if err := f.done(); err != nil {
+	now, seq := header.number("clock"), header.integer("batch number")
+	if err := header.done(); err != nil {
 		return true, err
 	}
 	s.current, s.active = nil, s.active[:0]
@@ -118,8 +118,8 @@
 			return true, err
 		}
 	}
-	for _, h := range s.active {
-		s.step(h, now)
+	for _, target := range s.active {
+		s.step(target, now)
 	}
 	s.buf = append(append(s.buf[:0], "ACK "...), strconv.FormatInt(seq, 10)...)
 	s.buf = append(s.buf, '\n')
@@ -155,111 +155,111 @@
 }
 
 func (s *server) readEvent(now float64) error {
-	f := fields{rest: s.line}
-	name := string(f.word("message name"))
+	line := fields{rest: s.line}
+	name := string(line.next("message name"))
 	switch name {
 	case "ON":
-		no := f.integer("mixerId")
-		h := s.instances[no]
-		if h == nil {
-			h = &instance{no: no}
-			s.instances[no] = h
+		number := line.integer("mixerId")
+		target := s.instances[number]
+		if target == nil {
+			target = &instance{no: number}
+			s.instances[number] = target
 		}
-		s.current = h
-		return f.done()
+		s.current = target
+		return line.done()
 	case "PAGE":
-		return s.readList(&f)
+		return s.readList(&line)
 	}
-	h := s.current
-	if h == nil {
+	target := s.current
+	if target == nil {
 		return malformed("expected ON before %s", name)
 	}
-	if h.aggregator == nil && name != "SPAWN" {
-		return malformed("expected SPAWN for instance %d before %s", h.no, name)
+	if target.aggregator == nil && name != "SPAWN" {
+		return malformed("expected SPAWN for instance %d before %s", target.no, name)
 	}
-	if !h.hasEvents {
-		h.hasEvents = true
-		s.active = append(s.active, h)
+	if !target.hasEvents {
+		target.hasEvents = true
+		s.active = append(s.active, target)
 	}
-	var e policy.Event
+	var event policy.Event
 	switch name {
 	case "SPAWN":
-		seed := f.unsigned("rngSeed")
-		if f.err != nil {
-			return f.err
+		seed := line.unsigned("rngSeed")
+		if line.err != nil {
+			return line.err
 		}
-		set, err := settings.Read(seed, f.rest)
+		set, err := settings.Read(seed, line.rest)
 		if err != nil {
 			return err
 		}
-		h.aggregator, h.events = policy.New(set.Settings, now), h.events[:0]
+		target.aggregator, target.events = policy.New(set.Settings, now), target.events[:0]
 		return nil
 	case "HALT":
-		h.aggregator, h.events = nil, h.events[:0]
-		return f.done()
+		target.aggregator, target.events = nil, target.events[:0]
+		return line.done()
 	case "BACKENDS_CHANGED":
-		page, _, kind := f.word("setId"), f.word("epoch"), f.word("kind")
+		page, _, kind := line.next("setId"), line.next("epoch"), line.next("kind")
 		known := false
-		if e.List, known = listKinds[string(kind)]; !known {
-			f.fail("kind", "patch, whole, stale_copy or broken", kind)
+		if event.List, known = listKinds[string(kind)]; !known {
+			line.fail("kind", "patch, whole, stale_copy or broken", kind)
 		}
-		e.Kind = policy.ListChanged
-		if e.List != policy.ListFailed {
-			if no, err := strconv.Atoi(string(page)); err != nil || no < 0 || no >= len(s.lists) {
-				f.fail("setId", "0 to 15", page)
+		event.Kind = policy.ListChanged
+		if event.List != policy.ListFailed {
+			if number, err := strconv.Atoi(string(page)); err != nil || number < 0 || number >= len(s.lists) {
+				line.fail("setId", "0 to 15", page)
 			} else {
-				e.Entries = s.lists[no]
+				event.Entries = s.lists[number]
 			}
 		}
 	case "REQUEST":
-		id := f.unsigned("req")
-		e.Index, e.Customer = policy.IndexID(f.integer("cls")), policy.CustomerID(f.optional("owner"))
-		e.Key, e.HasKey = f.hex("object")
-		e.Remaining, e.Hint = f.number("timeBudgetS"), f.optional("costS")
-		e.No = policy.QueryNo(f.integer("queryNo"))
-		shard, amount := f.integer("shard"), f.number("amount")
-		e.Resent = f.optional("resent") != 0
-		f.optional("isWrite")
+		id := line.unsigned("req")
+		event.Index, event.Customer = policy.IndexID(line.integer("cls")), policy.CustomerID(line.optional("owner"))
+		event.Key, event.HasKey = line.hex("object")
+		event.Remaining, event.Hint = line.number("timeBudgetS"), line.optional("costS")
+		event.No = policy.QueryNo(line.integer("queryNo"))
+		shard, amount := line.integer("shard"), line.number("amount")
+		event.Resent = line.optional("resent") != 0
+		line.optional("isWrite")
 		if shard < 0 {
-			e.Kind, e.Query, e.Subqueries = policy.QueryReceived, policy.QueryID(id), int(amount)
+			event.Kind, event.Query, event.Subqueries = policy.QueryReceived, policy.QueryID(id), int(amount)
 		} else {
-			e.Kind, e.Subquery, e.Shard, e.Weight = policy.SubqueryReceived, policy.SubqueryID(id), policy.ShardID(shard), amount
+			event.Kind, event.Subquery, event.Shard, event.Weight = policy.SubqueryReceived, policy.SubqueryID(id), policy.ShardID(shard), amount
 		}
 	case "ESTABLISHED":
-		e.Kind, e.Subquery, e.Backend = policy.CallBegan, policy.SubqueryID(f.unsigned("req")), f.backend()
-		e.Call, e.Elapsed = policy.CallNo(f.integer("copy")), f.number("costTimeS")
+		event.Kind, event.Subquery, event.Backend = policy.CallBegan, policy.SubqueryID(line.unsigned("req")), line.backend()
+		event.Call, event.Elapsed = policy.CallNo(line.integer("copy")), line.number("costTimeS")
 	case "ATTEMPT_END":
-		e.Kind, e.Subquery, e.Call = policy.CallEnded, policy.SubqueryID(f.unsigned("req")), policy.CallNo(f.integer("copy"))
-		e.Backend, e.Outcome, e.Elapsed = f.backend(), f.outcome(), f.number("costTimeS")
-		f.integer("complete")
-		e.Load = f.load()
+		event.Kind, event.Subquery, event.Call = policy.CallEnded, policy.SubqueryID(line.unsigned("req")), policy.CallNo(line.integer("copy"))
+		event.Backend, event.Outcome, event.Elapsed = line.backend(), line.outcome(), line.number("costTimeS")
+		line.integer("complete")
+		event.Load = line.load()
 	case "PING_RESULT":
-		e.Kind, e.Elapsed, e.Outcome = policy.ProbeEnded, f.number("costTimeS"), f.outcome()
-		e.Backend, e.Load = f.backend(), f.load()
+		event.Kind, event.Elapsed, event.Outcome = policy.ProbeEnded, line.number("costTimeS"), line.outcome()
+		event.Backend, event.Load = line.backend(), line.load()
 	case "CLIENT_GONE":
-		e.Kind, e.Query = policy.ClientDisconnected, policy.QueryID(f.unsigned("req"))
+		event.Kind, event.Query = policy.ClientDisconnected, policy.QueryID(line.unsigned("req"))
 	case "TICK_DUE":
-		e.Kind, e.Timer = policy.TimerDue, policy.TimerID(f.integer("ctx"))
+		event.Kind, event.Timer = policy.TimerDue, policy.TimerID(line.integer("ctx"))
 	case "PEER_DATA":
-		e.Kind, e.Peer = policy.MessageArrived, policy.AggregatorNo(f.integer("originPeer"))
-		e.Message = f.bytes("blob")
+		event.Kind, event.Peer = policy.MessageArrived, policy.AggregatorNo(line.integer("originPeer"))
+		event.Message = line.bytes("blob")
 	default:
 		return malformed("unknown message %q", name)
 	}
-	if err := f.done(); err != nil {
+	if err := line.done(); err != nil {
 		return err
 	}
-	h.events = append(h.events, e)
+	target.events = append(target.events, event)
 	return nil
 }
 
 func (s *server) readList(f *fields) error {
-	no, n := f.integer("setId"), f.integer("membersList")
+	number, n := f.integer("setId"), f.integer("membersList")
 	if err := f.done(); err != nil {
 		return err
 	}
-	if no < 0 || no >= int64(len(s.lists)) || n < 0 {
-		return malformed("expected a list number from 0 to 15 and a count, found %d and %d", no, n)
+	if number < 0 || number >= int64(len(s.lists)) || n < 0 {
+		return malformed("expected a list number from 0 to 15 and a count, found %d and %d", number, n)
 	}
 	// A list may be superseded within one batch while events still hold the older one: never write over it.
 	entries := make([]policy.Entry, 0, min(n, 1<<16))
@@ -268,37 +268,37 @@
 			return fmt.Errorf("expected %d ROW lines: %w", n, err)
 		}
 		f := fields{rest: s.line}
-		if name := f.word("ROW"); string(name) != "ROW" {
+		if name := f.next("ROW"); string(name) != "ROW" {
 			return malformed("expected ROW, found %q", name)
 		}
-		e := policy.Entry{Backend: f.backend(), Location: policy.LocationID(f.integer("site")),
+		entry := policy.Entry{Backend: f.backend(), Location: policy.LocationID(f.integer("site")),
 			Kind: int(f.integer("type")), Cell: policy.CellID(f.integer("cell"))}
 		known := false
-		phase := f.word("phase")
-		if e.Phase, known = phases[string(phase)]; !known {
+		phase := f.next("phase")
+		if entry.Phase, known = phases[string(phase)]; !known {
 			f.fail("phase", "ready, draining or gone", phase)
 		}
-		e.Share, e.StartedAt = f.optional("share"), f.optional("startTimeS")
+		entry.Share, entry.StartedAt = f.optional("share"), f.optional("startTimeS")
 		if err := f.done(); err != nil {
 			return err
 		}
-		entries = append(entries, e)
+		entries = append(entries, entry)
 	}
-	s.lists[no] = entries
+	s.lists[number] = entries
 	return nil
 }
 
 func appendAction(b []byte, a *policy.Action) []byte {
-	verb := func(name string, id uint64) {
+	appendCommand := func(name string, id uint64) {
 		b = append(append(b, name...), ' ')
 		b = strconv.AppendUint(b, id, 10)
 	}
-	num := func(v float64) {
+	appendNumber := func(value float64) {
 		b = append(b, ' ')
-		b = strconv.AppendFloat(b, v, 'f', 6, 64)
+		b = strconv.AppendFloat(b, value, 'f', 6, 64)
 	}
-	yes := func(v bool) {
-		if v {
+	appendBool := func(value bool) {
+		if value {
 			b = append(b, " 1"...)
 		} else {
 			b = append(b, " 0"...)
@@ -306,28 +306,28 @@
 	}
 	switch a.Kind {
 	case policy.Send:
-		verb("SEND", uint64(a.Subquery))
+		appendCommand("SEND", uint64(a.Subquery))
 		b = strconv.AppendUint(append(b, ' '), uint64(a.Backend), 10)
-		num(a.StopAt)
+		appendNumber(a.StopAt)
 	case policy.Cancel:
-		verb("ABANDON", uint64(a.Subquery))
+		appendCommand("ABANDON", uint64(a.Subquery))
 		b = strconv.AppendInt(append(b, ' '), int64(a.Call), 10)
 	case policy.Answer:
-		verb("WRAP_UP", uint64(a.Query))
-		yes(a.Complete)
+		appendCommand("WRAP_UP", uint64(a.Query))
+		appendBool(a.Complete)
 	case policy.Nack:
-		verb("SAY_NO", uint64(a.Query))
-		num(a.Wait)
+		appendCommand("SAY_NO", uint64(a.Query))
+		appendNumber(a.Wait)
 	case policy.Abort:
-		verb("RESPOND_ERROR", uint64(a.Query))
+		appendCommand("RESPOND_ERROR", uint64(a.Query))
 	case policy.SetTimer:
 		b = append(b, "WAKE_ME"...)
-		num(a.Wait)
+		appendNumber(a.Wait)
 		b = strconv.AppendInt(append(b, ' '), int64(a.Timer), 10)
 	case policy.Probe:
-		verb("HEALTH_CHECK", uint64(a.Backend))
+		appendCommand("HEALTH_CHECK", uint64(a.Backend))
 	case policy.CloseIdle:
-		verb("FREE_LINKS", uint64(a.Backend))
+		appendCommand("FREE_LINKS", uint64(a.Backend))
 	case policy.NotifyPeer:
 		b = append(b, "PUBLISH "...)
 		if a.Peer == policy.AllPeers {
@@ -342,7 +342,7 @@
 		b = base64.StdEncoding.AppendEncode(b, a.Message)
 	case policy.Subscribe:
 		b = append(b, "LISTEN"...)
-		yes(a.On)
+		appendBool(a.On)
 	case policy.RequestFullList:
 		b = append(b, "LOOKUP"...)
 	case policy.Log:
--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func (f *fields) word(name string) []byte {
+func (f *fields) next(name string) []byte {
 	if len(f.rest) == 0 {
 		f.fail(name, "a value", nil)
 		return nil
@@ -42,7 +42,7 @@
 func text(w []byte) string { return unsafe.String(unsafe.SliceData(w), len(w)) }
 
 func (f *fields) integer(name string) int64 {
-	w := f.word(name)
+	w := f.next(name)
 	v, err := strconv.ParseInt(text(w), 10, 64)
 	if err != nil {
 		f.fail(name, "an integer", w)
@@ -51,7 +51,7 @@
 }
 
 func (f *fields) unsigned(name string) uint64 {
-	w := f.word(name)
+	w := f.next(name)
 	v, err := strconv.ParseUint(text(w), 10, 64)
 	if err != nil {
 		f.fail(name, "an id", w)
@@ -60,7 +60,7 @@
 }
 
 func (f *fields) backend() policy.BackendID {
-	w := f.word("searcher")
+	w := f.next("searcher")
 	v, err := strconv.ParseUint(text(w), 10, 32)
 	if err != nil {
 		f.fail("searcher", "a number below 2^32", w)
@@ -76,11 +76,11 @@
 	return v
 }
 
-func (f *fields) number(name string) float64 { return f.parse(name, f.word(name)) }
+func (f *fields) number(name string) float64 { return f.parse(name, f.next(name)) }
 
 // optional reads a value that may be absent; absent counts as 0.
 func (f *fields) optional(name string) float64 {
-	w := f.word(name)
+	w := f.next(name)
 	if len(w) == 1 && w[0] == '-' {
 		return 0
 	}
@@ -88,7 +88,7 @@
 }
 
 func (f *fields) hex(name string) (uint64, bool) {
-	w := f.word(name)
+	w := f.next(name)
 	if len(w) == 1 && w[0] == '-' {
 		return 0, false
 	}
@@ -100,7 +100,7 @@
 }
 
 func (f *fields) bytes(name string) []byte {
-	w := f.word(name)
+	w := f.next(name)
 	if len(w) == 1 && w[0] == '-' {
 		return nil
 	}
@@ -112,7 +112,7 @@
 }
 
 func (f *fields) outcome() policy.Outcome {
-	w := f.word("status")
+	w := f.next("status")
 	o, known := outcomes[string(w)]
 	if !known {
 		f.fail("status", "an outcome", w)
@@ -122,7 +122,7 @@
 
 // load reads a report. Names that are not known are left out: sites may add some.
 func (f *fields) load() (l policy.Load) {
-	w := f.word("usage")
+	w := f.next("usage")
 	if len(w) == 1 && w[0] == '-' {
 		return l
 	}
--- a/internal/tools/plan/bench_test.go
+++ b/internal/tools/plan/bench_test.go
@@ -10,12 +10,12 @@
 func BenchmarkEmulate(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := fleet(n, 4)
-			f.Shards, f.Aggregators = 10*n, max(2, n/10)
+			site := fleet(n, 4)
+			site.Shards, site.Aggregators = 10*n, max(2, n/10)
 			a := ask(float64(n)*4/0.01/4*0.5, 4)
 			var o Outcome
 			for b.Loop() {
-				o = Emulate(&f, &a, 1, 0)
+				o = Emulate(&site, &a, 1, 0)
 			}
 			b.ReportMetric(float64(o.Requested), "lookups")
 			b.ReportMetric(o.ValueShare, "gain")
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -43,206 +43,206 @@
 
 // Emulate plays a steady load on a fleet, so long that so many queries count (0 for the usual number). Both must have
 // been checked.
-func Emulate(f *Site, a *Workload, seed uint64, queries int) Outcome {
+func Emulate(site *Site, workload *Workload, seed uint64, queries int) Outcome {
 	if queries == 0 {
 		queries = measuredQueries
 	}
-	w := newSimulation(f, a, seed)
-	w.warm = max(warmUpQueries/a.PerS, min(maxWarmUp, max(minWarmUp, warmUpCalls*float64(len(f.Backends))/(a.PerS*a.subqueries()))))
-	w.end = w.warm + min(maxDuration, max(minDuration, float64(queries)/a.PerS))
-	w.arrive()
+	sim := newSimulation(site, workload, seed)
+	sim.warm = max(warmUpQueries/workload.PerS, min(maxWarmUp, max(minWarmUp, warmUpCalls*float64(len(site.Backends))/(workload.PerS*workload.subqueries()))))
+	sim.end = sim.warm + min(maxDuration, max(minDuration, float64(queries)/workload.PerS))
+	sim.arrive()
 	longest := 0.0
-	for _, x := range f.Indexes {
+	for _, x := range site.Indexes {
 		longest = max(longest, x.Hard)
 	}
-	for len(w.pending) > 0 && w.pending[0].at < w.end+longest+1 {
-		w.runNextEvent()
+	for len(sim.pending) > 0 && sim.pending[0].at < sim.end+longest+1 {
+		sim.runNextEvent()
 	}
-	return w.summarize()
+	return sim.summarize()
 }
 
 // runNextEvent lets the next thing happen.
-func (w *simulation) runNextEvent() {
-	h := w.pending[0]
-	heap.Pop(&w.pending)
-	w.now = h.at
+func (sim *simulation) runNextEvent() {
+	h := sim.pending[0]
+	heap.Pop(&sim.pending)
+	sim.now = h.at
 	h.run()
 }
 
-func newSimulation(f *Site, a *Workload, seed uint64) *simulation {
-	w := &simulation{site: f, workload: a, random: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.BackendID]*queue{}}
-	w.outcome.Queries, w.outcome.ByIndex = make([]int64, len(f.Indexes)), make([]float64, len(f.Indexes))
+func newSimulation(site *Site, workload *Workload, seed uint64) *simulation {
+	sim := &simulation{site: site, workload: workload, random: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.BackendID]*queue{}}
+	sim.outcome.Queries, sim.outcome.ByIndex = make([]int64, len(site.Indexes)), make([]float64, len(site.Indexes))
 	list := policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}
-	for i, s := range f.Backends {
-		st := &queue{Backend: s, id: policy.BackendID(i + 1)}
-		w.queues = append(w.queues, st)
-		w.byID[st.id] = st
-		list.Entries = append(list.Entries, policy.Entry{Backend: st.id, Location: policy.LocationID(slices.Index(f.Locations, s.Location)), Cell: policy.CellID(s.Cell), Share: 1})
+	for i, s := range site.Backends {
+		backendQueue := &queue{Backend: s, id: policy.BackendID(i + 1)}
+		sim.queues = append(sim.queues, backendQueue)
+		sim.byID[backendQueue.id] = backendQueue
+		list.Entries = append(list.Entries, policy.Entry{Backend: backendQueue.id, Location: policy.LocationID(slices.Index(site.Locations, s.Location)), Cell: policy.CellID(s.Cell), Share: 1})
 	}
-	sum := 0.0
-	for s := range f.Shards {
-		if a.Popular == nil {
-			sum += 1 / float64(f.Shards)
+	cumulative := 0.0
+	for s := range site.Shards {
+		if workload.Popular == nil {
+			cumulative += 1 / float64(site.Shards)
 		} else {
-			sum += a.Popular[s]
+			cumulative += workload.Popular[s]
 		}
-		w.popular = append(w.popular, sum)
+		sim.popular = append(sim.popular, cumulative)
 	}
-	for i := range f.Aggregators {
-		set := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: f.Aggregators, Location: policy.LocationID(i % max(1, len(f.Locations))),
-			Step: f.Step, Layout: policy.Layout{Cells: f.Cells, Width: f.Width, CallSubqueries: 1},
-			Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, f.MaxAttempts), MaxPending: f.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
+	for i := range site.Aggregators {
+		settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
+			Step: site.Step, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, CallSubqueries: 1},
+			Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, site.MaxAttempts), MaxPending: site.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
 			Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
-		for _, x := range f.Indexes {
-			set.Indexes = append(set.Indexes, policy.IndexSettings{Soft: x.Soft, Hard: x.Hard, Value: max(x.Value, 1e-9), LateValue: x.LateValue, Effect: x.Effect, Required: 1, Minimum: 1})
+		for _, index := range site.Indexes {
+			settings.Indexes = append(settings.Indexes, policy.IndexSettings{Soft: index.Soft, Hard: index.Hard, Value: max(index.Value, 1e-9), LateValue: index.LateValue, Effect: index.Effect, Required: 1, Minimum: 1})
 		}
-		m := &aggregator{policy: policy.New(set, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
+		node := &aggregator{policy: policy.New(settings, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
 			nextCall: map[policy.SubqueryID]policy.CallNo{}, inFlight: map[callKey]*call{}, lastStep: -1}
-		w.aggregators = append(w.aggregators, m)
-		w.notify(m, list)
+		sim.aggregators = append(sim.aggregators, node)
+		sim.notify(node, list)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) schedule(t float64, what func()) {
-	w.lastEventNo++
-	heap.Push(&w.pending, scheduledEvent{max(t, w.now), w.lastEventNo, what})
+func (sim *simulation) schedule(t float64, what func()) {
+	sim.lastEventNo++
+	heap.Push(&sim.pending, scheduledEvent{max(t, sim.now), sim.lastEventNo, what})
 }
 
 // arrive lets clients ask, until the end.
-func (w *simulation) arrive() {
-	if w.now >= w.end {
+func (sim *simulation) arrive() {
+	if sim.now >= sim.end {
 		return
 	}
-	u, share := w.random.Unit(), len(w.workload.Mix)-1
-	for i, m := range w.workload.Mix {
+	u, share := sim.random.Unit(), len(sim.workload.Mix)-1
+	for i, m := range sim.workload.Mix {
 		if u -= m.Fraction; u < 0 {
 			share = i
 			break
 		}
 	}
-	q := &query{mix: share, began: w.now, counted: w.now >= w.warm}
-	q.shards = w.shards(w.workload.Mix[share].Subqueries)
+	q := &query{mix: share, began: sim.now, counted: sim.now >= sim.warm}
+	q.shards = sim.shards(sim.workload.Mix[share].Subqueries)
 	if q.counted {
-		w.outcome.Requested++
-		w.outcome.Queries[w.workload.Mix[share].Index]++
+		sim.outcome.Requested++
+		sim.outcome.Queries[sim.workload.Mix[share].Index]++
 	}
-	w.sendQuery(q)
-	w.schedule(w.now+w.gap()/w.workload.PerS, w.arrive)
+	sim.sendQuery(q)
+	sim.schedule(sim.now+sim.gap()/sim.workload.PerS, sim.arrive)
 }
 
 // gap is the time between two queries against its mean.
-func (w *simulation) gap() float64 {
-	if w.workload.Bursts <= 0 || w.workload.Bursts == 1 {
-		return w.random.Exp()
+func (sim *simulation) gap() float64 {
+	if sim.workload.Bursts <= 0 || sim.workload.Bursts == 1 {
+		return sim.random.Exp()
 	}
-	return w.random.logNormal(1, w.workload.Bursts)
+	return sim.random.logNormal(1, sim.workload.Bursts)
 }
 
 // shards draws so many different ones by their popularity.
-func (w *simulation) shards(n int) (list []int) {
+func (sim *simulation) shards(n int) (list []int) {
 	for len(list) < n {
-		s, _ := slices.BinarySearch(w.popular, w.random.Unit()*w.popular[len(w.popular)-1])
-		for slices.Contains(list, s%w.site.Shards) { // all that are popular are in: the next one along
+		s, _ := slices.BinarySearch(sim.popular, sim.random.Unit()*sim.popular[len(sim.popular)-1])
+		for slices.Contains(list, s%sim.site.Shards) { // all that are popular are in: the next one along
 			s++
 		}
-		list = append(list, s%w.site.Shards)
+		list = append(list, s%sim.site.Shards)
 	}
 	return list
 }
 
 // sendQuery sends a query to an aggregator by chance.
-func (w *simulation) sendQuery(q *query) {
+func (sim *simulation) sendQuery(q *query) {
 	q.attempts++
 	if q.counted {
-		w.outcome.Attempts++
+		sim.outcome.Attempts++
 	}
-	m := w.aggregators[int(w.random.Unit()*float64(len(w.aggregators)))]
-	if w.site.MaxPending > 0 && len(m.queries)+len(m.subqueries) >= w.site.MaxPending {
-		w.nacked(q, 0)
+	target := sim.aggregators[int(sim.random.Unit()*float64(len(sim.aggregators)))]
+	if sim.site.MaxPending > 0 && len(target.queries)+len(target.subqueries) >= sim.site.MaxPending {
+		sim.nacked(q, 0)
 		return
 	}
-	k := w.workload.Mix[q.mix].Index
-	x := &w.site.Indexes[k]
-	m.lastID++
-	id, t := policy.QueryID(m.lastID), &pendingQuery{query: q}
-	m.queries[id] = t
-	e := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(k), Remaining: x.Hard - (w.now - q.began), Subqueries: len(q.shards), Resent: q.attempts > 1}
-	events := []policy.Event{e}
-	e.Kind, e.Subqueries = policy.SubqueryReceived, 0
+	indexNo := sim.workload.Mix[q.mix].Index
+	index := &sim.site.Indexes[indexNo]
+	target.lastID++
+	id, pending := policy.QueryID(target.lastID), &pendingQuery{query: q}
+	target.queries[id] = pending
+	event := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - q.began), Subqueries: len(q.shards), Resent: q.attempts > 1}
+	events := []policy.Event{event}
+	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
 	for _, s := range q.shards {
-		m.lastID++
-		e.Subquery, e.Shard, e.Weight = policy.SubqueryID(m.lastID), policy.ShardID(s), 1/float64(len(q.shards))
-		t.subqueries = append(t.subqueries, e.Subquery)
-		m.subqueries[e.Subquery] = policy.IndexID(k)
-		events = append(events, e)
+		target.lastID++
+		event.Subquery, event.Shard, event.Weight = policy.SubqueryID(target.lastID), policy.ShardID(s), 1/float64(len(q.shards))
+		pending.subqueries = append(pending.subqueries, event.Subquery)
+		target.subqueries[event.Subquery] = policy.IndexID(indexNo)
+		events = append(events, event)
 	}
-	m.maxPending = max(m.maxPending, len(m.queries)+len(m.subqueries))
-	w.notify(m, events...)
+	target.maxPending = max(target.maxPending, len(target.queries)+len(target.subqueries))
+	sim.notify(target, events...)
 }
 
 // notify hands events to an aggregator, which steps no sooner after its last step than it may.
-func (w *simulation) notify(m *aggregator, events ...policy.Event) {
+func (sim *simulation) notify(m *aggregator, events ...policy.Event) {
 	m.events = append(m.events, events...)
 	if !m.stepScheduled {
 		m.stepScheduled = true
-		w.schedule(max(w.now, m.lastStep+w.site.Step), func() { w.step(m) })
+		sim.schedule(max(sim.now, m.lastStep+sim.site.Step), func() { sim.step(m) })
 	}
 }
 
-func (w *simulation) step(m *aggregator) {
-	m.stepScheduled, m.lastStep = false, w.now
+func (sim *simulation) step(m *aggregator) {
+	m.stepScheduled, m.lastStep = false, sim.now
 	events := m.events
 	m.events = nil
-	m.actions = m.policy.Step(w.now, events, m.actions[:0])
+	m.actions = m.policy.Step(sim.now, events, m.actions[:0])
 	for i := range m.actions {
-		w.act(m, &m.actions[i])
+		sim.act(m, &m.actions[i])
 	}
 	m.maxInFlight = max(m.maxInFlight, len(m.inFlight))
 }
 
-func (w *simulation) act(m *aggregator, a *policy.Action) {
-	switch a.Kind {
+func (sim *simulation) act(m *aggregator, action *policy.Action) {
+	switch action.Kind {
 	case policy.Send:
-		k, held := m.subqueries[a.Subquery]
+		index, held := m.subqueries[action.Subquery]
 		if !held {
 			return
 		}
-		no := m.nextCall[a.Subquery]
-		m.nextCall[a.Subquery] = no + 1
-		c := &call{aggregator: m, subquery: a.Subquery, no: no, index: k, sent: w.now}
-		m.inFlight[callKey{a.Subquery, no}] = c
-		to := w.byID[a.Backend]
-		w.schedule(w.now+w.site.Network, func() { w.deliver(to, c) })
-		w.schedule(a.StopAt, func() { w.completeCall(c, to, policy.TimedOut) })
+		callNo := m.nextCall[action.Subquery]
+		m.nextCall[action.Subquery] = callNo + 1
+		sent := &call{aggregator: m, subquery: action.Subquery, no: callNo, index: index, sent: sim.now}
+		m.inFlight[callKey{action.Subquery, callNo}] = sent
+		to := sim.byID[action.Backend]
+		sim.schedule(sim.now+sim.site.Network, func() { sim.deliver(to, sent) })
+		sim.schedule(action.StopAt, func() { sim.completeCall(sent, to, policy.TimedOut) })
 	case policy.Cancel:
-		if c := m.inFlight[callKey{a.Subquery, a.Call}]; c != nil {
-			w.completeCall(c, nil, policy.Canceled)
+		if sent := m.inFlight[callKey{action.Subquery, action.Call}]; sent != nil {
+			sim.completeCall(sent, nil, policy.Canceled)
 		}
 	case policy.Answer:
-		w.answered(m, a.Query)
+		sim.answered(m, action.Query)
 	case policy.Nack, policy.Abort:
-		if t := w.close(m, a.Query); t != nil && a.Kind == policy.Nack {
-			w.nacked(t.query, a.Wait)
-		} else if t != nil && t.query.counted {
-			w.outcome.Aborted++
+		if closed := sim.close(m, action.Query); closed != nil && action.Kind == policy.Nack {
+			sim.nacked(closed.query, action.Wait)
+		} else if closed != nil && closed.query.counted {
+			sim.outcome.Aborted++
 		}
 	case policy.SetTimer:
-		timer := a.Timer
-		w.schedule(w.now+a.Wait, func() {
-			if w.now < w.end+60 {
-				w.notify(m, policy.Event{Kind: policy.TimerDue, Timer: timer})
+		timer := action.Timer
+		sim.schedule(sim.now+action.Wait, func() {
+			if sim.now < sim.end+60 {
+				sim.notify(m, policy.Event{Kind: policy.TimerDue, Timer: timer})
 			}
 		})
 	case policy.Probe:
-		id := a.Backend
-		w.schedule(w.now+2*w.site.Network, func() {
-			w.notify(m, policy.Event{Kind: policy.ProbeEnded, Backend: id, Outcome: policy.Answered, Elapsed: 2 * w.site.Network})
+		id := action.Backend
+		sim.schedule(sim.now+2*sim.site.Network, func() {
+			sim.notify(m, policy.Event{Kind: policy.ProbeEnded, Backend: id, Outcome: policy.Answered, Elapsed: 2 * sim.site.Network})
 		})
 	}
 }
 
-func (w *simulation) close(m *aggregator, id policy.QueryID) *pendingQuery {
+func (sim *simulation) close(m *aggregator, id policy.QueryID) *pendingQuery {
 	t := m.queries[id]
 	if t == nil {
 		return nil
@@ -254,58 +254,58 @@
 	return t
 }
 
-func (w *simulation) answered(m *aggregator, id policy.QueryID) {
-	t := w.close(m, id)
+func (sim *simulation) answered(m *aggregator, id policy.QueryID) {
+	t := sim.close(m, id)
 	if t == nil || !t.query.counted {
 		return
 	}
-	k := w.workload.Mix[t.query.mix].Index
-	took := w.now - t.query.began
-	w.outcome.latencies = append(w.outcome.latencies, took)
-	if took <= w.site.Indexes[k].Soft {
-		w.outcome.ByIndex[k]++
+	k := sim.workload.Mix[t.query.mix].Index
+	took := sim.now - t.query.began
+	sim.outcome.latencies = append(sim.outcome.latencies, took)
+	if took <= sim.site.Indexes[k].Soft {
+		sim.outcome.ByIndex[k]++
 	}
 }
 
 // nacked lets a client come back, where it has tries and time left.
-func (w *simulation) nacked(q *query, wait float64) {
-	k := w.workload.Mix[q.mix].Index
-	back := w.now + max(wait, w.site.Backoff*(0.5+w.random.Unit()))
-	if q.attempts <= w.site.Retries && back < q.began+w.site.Indexes[k].Hard {
-		w.schedule(back, func() { w.sendQuery(q) })
+func (sim *simulation) nacked(q *query, wait float64) {
+	k := sim.workload.Mix[q.mix].Index
+	back := sim.now + max(wait, sim.site.Backoff*(0.5+sim.random.Unit()))
+	if q.attempts <= sim.site.Retries && back < q.began+sim.site.Indexes[k].Hard {
+		sim.schedule(back, func() { sim.sendQuery(q) })
 	} else if q.counted {
-		w.outcome.Nacked++
+		sim.outcome.Nacked++
 	}
 }
 
-func (w *simulation) summarize() Outcome {
-	o := &w.outcome
-	n := max(1, float64(o.Requested))
-	gain, all := 0.0, 0.0
-	for k, x := range w.site.Indexes {
-		all += float64(o.Queries[k]) * x.Value
-		gain += o.ByIndex[k] * x.Value
-		o.ByIndex[k] /= max(1, float64(o.Queries[k]))
+func (sim *simulation) summarize() Outcome {
+	outcome := &sim.outcome
+	requested := max(1, float64(outcome.Requested))
+	earned, possible := 0.0, 0.0
+	for k, x := range sim.site.Indexes {
+		possible += float64(outcome.Queries[k]) * x.Value
+		earned += outcome.ByIndex[k] * x.Value
+		outcome.ByIndex[k] /= max(1, float64(outcome.Queries[k]))
 	}
-	o.ValueShare = gain / max(all, 1e-9)
-	o.Nacked, o.Aborted, o.Attempts = o.Nacked/n, o.Aborted/n, o.Attempts/n
-	slices.Sort(o.latencies)
-	if len(o.latencies) > 0 {
-		o.P50, o.P99 = o.latencies[len(o.latencies)/2], o.latencies[min(len(o.latencies)-1, len(o.latencies)*99/100)]
+	outcome.ValueShare = earned / max(possible, 1e-9)
+	outcome.Nacked, outcome.Aborted, outcome.Attempts = outcome.Nacked/requested, outcome.Aborted/requested, outcome.Attempts/requested
+	slices.Sort(outcome.latencies)
+	if len(outcome.latencies) > 0 {
+		outcome.P50, outcome.P99 = outcome.latencies[len(outcome.latencies)/2], outcome.latencies[min(len(outcome.latencies)-1, len(outcome.latencies)*99/100)]
 	}
 	subqueries := 0.0
-	for i, s := range w.queues {
-		o.Use = append(o.Use, s.used/(float64(s.Cores)*(w.end-w.warm)))
-		if o.Use[i] > o.Use[o.Hottest] {
-			o.Hottest = i
+	for i, s := range sim.queues {
+		outcome.Use = append(outcome.Use, s.used/(float64(s.Cores)*(sim.end-sim.warm)))
+		if outcome.Use[i] > outcome.Use[outcome.Hottest] {
+			outcome.Hottest = i
 		}
-		o.MaxQueue = max(o.MaxQueue, s.maxLength)
-		o.Rejected += s.rejected
+		outcome.MaxQueue = max(outcome.MaxQueue, s.maxLength)
+		outcome.Rejected += s.rejected
 		subqueries += float64(s.calls)
 	}
-	for _, m := range w.aggregators {
-		o.MaxPending, o.MaxInFlight = max(o.MaxPending, m.maxPending), max(o.MaxInFlight, m.maxInFlight)
+	for _, m := range sim.aggregators {
+		outcome.MaxPending, outcome.MaxInFlight = max(outcome.MaxPending, m.maxPending), max(outcome.MaxInFlight, m.maxInFlight)
 	}
-	o.Calls = subqueries / max(1, w.workload.subqueries()*w.workload.PerS*w.end)
-	return *o
+	outcome.Calls = subqueries / max(1, sim.workload.subqueries()*sim.workload.PerS*sim.end)
+	return *outcome
 }
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -44,11 +44,11 @@
 	if !sustains(offers, all, demand, spare) {
 		return best, wrong("all searchers that may stand there do not bear %.3g core seconds a second with a location lost", demand)
 	}
-	n := 1.0
+	combinations := 1.0
 	for _, o := range offers {
-		n *= float64(o.Max + 1)
+		combinations *= float64(o.Max + 1)
 	}
-	if n <= maxExactPurchases {
+	if combinations <= maxExactPurchases {
 		counts := make([]int, len(offers))
 		searchAll(offers, demand, spare, 0, 0, counts, &best)
 		best.Bound = best.Price
@@ -131,26 +131,26 @@
 					continue
 				}
 				counts[j]++
-				n := 0
+				removed := 0
 				for counts[i] > 0 {
 					counts[i]--
 					if !sustains(offers, counts, demand, spare) {
 						counts[i]++
 						break
 					}
-					n++
+					removed++
 				}
-				if float64(n)*offers[i].Price > offers[j].Price+1e-12 {
+				if float64(removed)*offers[i].Price > offers[j].Price+1e-12 {
 					changed = true
 				} else {
 					counts[j]--
-					counts[i] += n
+					counts[i] += removed
 				}
 			}
 		}
 	}
-	for i, n := range counts {
-		b.Price += float64(n) * offers[i].Price
+	for i, removed := range counts {
+		b.Price += float64(removed) * offers[i].Price
 	}
 	b.Counts = counts
 	return b
@@ -181,70 +181,70 @@
 // Place puts so many copies of each shard on backends, no two of one shard in one location, so that what is asked for is
 // balanced; of those about as good, the one that moves least from today's. load is what each shard brings, all copies
 // together; capacity of a backend is its Cores x Speed.
-func Place(f *Site, load []float64, copies int, today Copies) (Placement, error) {
-	places := map[string]bool{}
-	capacity, all := make([]float64, len(f.Backends)), 0.0
-	for i, s := range f.Backends {
-		places[s.Location] = true
+func Place(site *Site, load []float64, copies int, today Copies) (Placement, error) {
+	locations := map[string]bool{}
+	capacity, totalCapacity := make([]float64, len(site.Backends)), 0.0
+	for i, s := range site.Backends {
+		locations[s.Location] = true
 		capacity[i] = float64(s.Cores) * s.Speed
-		all += capacity[i]
+		totalCapacity += capacity[i]
 	}
-	if copies < 1 || len(places) < copies {
-		return Placement{}, wrong("%d copies in %d locations: expected a location for each copy", copies, len(places))
+	if copies < 1 || len(locations) < copies {
+		return Placement{}, wrong("%d copies in %d locations: expected a location for each copy", copies, len(locations))
 	}
-	p := Placement{Copies: make(Copies, len(load))}
-	sum, largest := 0.0, 0.0
+	placed := Placement{Copies: make(Copies, len(load))}
+	totalLoad, largest := 0.0, 0.0
 	for _, l := range load {
-		sum += l
+		totalLoad += l
 		largest = max(largest, l/float64(copies))
 	}
-	p.Bound = max(sum/all, largest/slices.Max(capacity))
+	placed.Bound = max(totalLoad/totalCapacity, largest/slices.Max(capacity))
 	order := make([]int, len(load))
 	for s := range order {
 		order[s] = s
 	}
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(load[y], load[x]) })
-	used := make([]float64, len(f.Backends))
-	stands := func(s, i int) bool { return s < len(today) && slices.Contains(today[s], i) }
+	used := make([]float64, len(site.Backends))
+	placedToday := func(s, i int) bool { return s < len(today) && slices.Contains(today[s], i) }
 	for _, s := range order {
-		each := load[s] / float64(copies)
+		perCopy := load[s] / float64(copies)
 		for range copies {
 			best, least := -1, math.Inf(1)
-			for i := range f.Backends {
-				if slices.ContainsFunc(p.Copies[s], func(o int) bool { return f.Backends[o].Location == f.Backends[i].Location }) {
+			for i := range site.Backends {
+				if slices.ContainsFunc(placed.Copies[s], func(o int) bool { return site.Backends[o].Location == site.Backends[i].Location }) {
 					continue
 				}
-				full := (used[i] + each) / capacity[i]
-				if stands(s, i) && full <= p.Bound*(1+roomToStay) {
-					full = -1 + full // it stays where it is while that is about as good
+				utilization := (used[i] + perCopy) / capacity[i]
+				if placedToday(s, i) && utilization <= placed.Bound*(1+roomToStay) {
+					utilization = -1 + utilization // it stays where it is while that is about as good
 				}
-				if full < least {
-					best, least = i, full
+				if utilization < least {
+					best, least = i, utilization
 				}
 			}
-			used[best] += each
-			p.Copies[s] = append(p.Copies[s], best)
+			used[best] += perCopy
+			placed.Copies[s] = append(placed.Copies[s], best)
 		}
 	}
-	p.rebalance(f, load, copies, used, capacity)
-	for s, list := range p.Copies {
+	placed.rebalance(site, load, copies, used, capacity)
+	for s, list := range placed.Copies {
 		for _, i := range list {
-			if !stands(s, i) {
-				p.Moves++
+			if !placedToday(s, i) {
+				placed.Moves++
 			}
 		}
 	}
 	for i := range used {
-		p.Most = max(p.Most, used[i]/capacity[i])
+		placed.Most = max(placed.Most, used[i]/capacity[i])
 	}
-	return p, nil
+	return placed, nil
 }
 
 // roomToStay is how much above the least possible a backend may be filled by what stands there already.
 const roomToStay = 0.05
 
 // rebalance moves copies off the fullest backend while that helps.
-func (p *Placement) rebalance(f *Site, load []float64, copies int, used, capacity []float64) {
+func (p *Placement) rebalance(site *Site, load []float64, copies int, used, capacity []float64) {
 	for range 4 * len(load) {
 		from := 0
 		for i := range used {
@@ -256,28 +256,28 @@
 		if worst <= p.Bound*(1+roomToStay/2) {
 			return
 		}
-		bestS, bestC, bestTo, least := -1, -1, -1, worst-1e-12
+		bestShard, bestCopy, bestTo, least := -1, -1, -1, worst-1e-12
 		for s, list := range p.Copies {
-			c := slices.Index(list, from)
-			if c < 0 {
+			copyNo := slices.Index(list, from)
+			if copyNo < 0 {
 				continue
 			}
 			each := load[s] / float64(copies)
-			for to := range f.Backends {
-				clash := slices.ContainsFunc(list, func(o int) bool { return o != from && f.Backends[o].Location == f.Backends[to].Location })
+			for to := range site.Backends {
+				clash := slices.ContainsFunc(list, func(o int) bool { return o != from && site.Backends[o].Location == site.Backends[to].Location })
 				if to == from || clash || each == 0 {
 					continue
 				}
 				if after := max((used[to]+each)/capacity[to], (used[from]-each)/capacity[from]); after < least {
-					bestS, bestC, bestTo, least = s, c, to, after
+					bestShard, bestCopy, bestTo, least = s, copyNo, to, after
 				}
 			}
 		}
-		if bestS < 0 {
+		if bestShard < 0 {
 			return
 		}
-		each := load[bestS] / float64(copies)
+		each := load[bestShard] / float64(copies)
 		used[from], used[bestTo] = used[from]-each, used[bestTo]+each
-		p.Copies[bestS][bestC] = bestTo
+		p.Copies[bestShard][bestCopy] = bestTo
 	}
 }
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -16,39 +16,39 @@
 }
 
 // Limits lists what may break, the nearest first. What has no limit is left out.
-func (o *Outcome) Limits(f *Site) (list []Limit) {
+func (o *Outcome) Limits(site *Site) (list []Limit) {
 	add := func(what, where string, used, most float64) {
 		if most > 0 && used > 0 {
 			list = append(list, Limit{what, where, used, most, most / used})
 		}
 	}
-	hot := f.Backends[o.Hottest]
-	add("cores", hot.Name, o.Use[o.Hottest]*float64(hot.Cores), float64(hot.Cores))
-	for _, place := range f.Locations {
+	hottest := site.Backends[o.Hottest]
+	add("cores", hottest.Name, o.Use[o.Hottest]*float64(hottest.Cores), float64(hottest.Cores))
+	for _, location := range site.Locations {
 		used, all := 0.0, 0.0
-		for i, s := range f.Backends {
-			if s.Location == place {
+		for i, s := range site.Backends {
+			if s.Location == location {
 				used, all = used+o.Use[i]*float64(s.Cores), all+float64(s.Cores)
 			}
 		}
-		add("cores", "location "+place, used, all)
+		add("cores", "location "+location, used, all)
 	}
 	queue := 0
-	for _, s := range f.Backends {
+	for _, s := range site.Backends {
 		if s.Queue > 0 && (queue == 0 || s.Queue < queue) {
 			queue = s.Queue
 		}
 	}
 	add("queue", "the fullest searcher", float64(o.MaxQueue), float64(queue))
-	add("most held", "each mixer", float64(o.MaxPending), float64(f.MaxPending))
-	lines := float64(len(f.Backends)) // one to each at least
-	if f.Multiplex > 0 {
-		lines = max(lines, math.Ceil(float64(o.MaxInFlight)/float64(f.Multiplex)))
+	add("most held", "each mixer", float64(o.MaxPending), float64(site.MaxPending))
+	descriptors := float64(len(site.Backends)) // one to each at least
+	if site.Multiplex > 0 {
+		descriptors = max(descriptors, math.Ceil(float64(o.MaxInFlight)/float64(site.Multiplex)))
 	}
-	add("descriptors", "each mixer", lines, float64(f.Descriptors))
-	for _, s := range f.Backends {
+	add("descriptors", "each mixer", descriptors, float64(site.Descriptors))
+	for _, s := range site.Backends {
 		if s.Connections > 0 {
-			add("connections", s.Name, float64(f.Aggregators)*max(1, lines/float64(len(f.Backends))), float64(s.Connections))
+			add("connections", s.Name, float64(site.Aggregators)*max(1, descriptors/float64(len(site.Backends))), float64(s.Connections))
 			break
 		}
 	}
@@ -57,9 +57,9 @@
 }
 
 // MeetsGoals tells whether an outcome keeps the goals of the indexes that were asked, and which falls short most, "" for none.
-func (o *Outcome) MeetsGoals(f *Site) (bool, string) {
+func (o *Outcome) MeetsGoals(site *Site) (bool, string) {
 	worst, by := "", 0.0
-	for k, x := range f.Indexes {
+	for k, x := range site.Indexes {
 		if short := x.Goal - o.ByIndex[k]; o.Queries[k] > 0 && short > by {
 			worst, by = x.Name, short
 		}
@@ -87,46 +87,46 @@
 )
 
 // FindBreakingLoad finds the load at which the goals break, by doubling and halving. A fleet without goals never does.
-func FindBreakingLoad(f *Site, a *Workload, seed uint64, progress func(done, of int)) (BreakingLoad, error) {
-	if !slices.ContainsFunc(f.Indexes, func(x Index) bool { return x.Goal > 0 }) {
+func FindBreakingLoad(site *Site, workload *Workload, seed uint64, progress func(done, of int)) (BreakingLoad, error) {
+	if !slices.ContainsFunc(site.Indexes, func(x Index) bool { return x.Goal > 0 }) {
 		return BreakingLoad{}, wrong("no index has a goal: state one, as 0.99")
 	}
-	var b BreakingLoad
+	var breaking BreakingLoad
 	low, high := 0.0, 0.0
-	try := a.PerS
-	for b.Searched < maxEmulations && (low == 0 || high == 0 || high/low > 1+bracketTolerance) {
-		b.Searched++
+	rate := workload.PerS
+	for breaking.Searched < maxEmulations && (low == 0 || high == 0 || high/low > 1+bracketTolerance) {
+		breaking.Searched++
 		if progress != nil {
-			progress(b.Searched, maxEmulations)
+			progress(breaking.Searched, maxEmulations)
 		}
-		asked := a.Scaled(try / a.PerS)
-		o := Emulate(f, &asked, seed, 0)
-		ok, index := o.MeetsGoals(f)
-		if ok && o.Use[o.Hottest] > maxUtilization {
+		scaled := workload.Scaled(rate / workload.PerS)
+		outcome := Emulate(site, &scaled, seed, 0)
+		ok, index := outcome.MeetsGoals(site)
+		if ok && outcome.Use[outcome.Hottest] > maxUtilization {
 			ok, index = false, "all of them, by a queue that grows"
 		}
 		if ok {
-			low = try
+			low = rate
 		} else {
-			high, b.Index = try, index
-			if limits := o.Limits(f); len(limits) > 0 {
-				b.First = limits[0]
+			high, breaking.Index = rate, index
+			if limits := outcome.Limits(site); len(limits) > 0 {
+				breaking.First = limits[0]
 			}
 		}
 		switch {
 		case high == 0:
-			try = low * 2
+			rate = low * 2
 		case low == 0:
-			try = high / 2
+			rate = high / 2
 		default:
-			try = math.Sqrt(low * high)
+			rate = math.Sqrt(low * high)
 		}
 	}
-	b.PerS, b.Fails = low, high
+	breaking.PerS, breaking.Fails = low, high
 	if low == 0 {
-		return b, wrong("the goals of %s are not kept at any load that was tried, down to %.3g lookups a second: they ask for more than the fleet's work and network allow", b.Index, high)
+		return breaking, wrong("the goals of %s are not kept at any load that was tried, down to %.3g lookups a second: they ask for more than the fleet's work and network allow", breaking.Index, high)
 	}
-	return b, nil
+	return breaking, nil
 }
 
 // WhatIf is a named change of fleet and load.
@@ -138,23 +138,23 @@
 }
 
 // WhatIfs are the usual ones: as it is, a burst, all slower, each location lost, both, and all traffic to each index.
-func WhatIfs(f *Site, a *Workload) (list []WhatIf) {
-	list = append(list, WhatIf{Name: "as it is", Site: *f, Ask: *a},
-		WhatIf{Name: "burst x 2", Site: *f, Ask: a.Scaled(2)},
-		WhatIf{Name: "all 1.5 times slower", Site: f.Slower(1.5), Ask: *a})
-	for _, place := range f.Locations {
-		left, lost := f.Without(place)
+func WhatIfs(site *Site, workload *Workload) (list []WhatIf) {
+	list = append(list, WhatIf{Name: "as it is", Site: *site, Ask: *workload},
+		WhatIf{Name: "burst x 2", Site: *site, Ask: workload.Scaled(2)},
+		WhatIf{Name: "all 1.5 times slower", Site: site.Slower(1.5), Ask: *workload})
+	for _, place := range site.Locations {
+		left, lost := site.Without(place)
 		if len(left.Backends) == 0 {
 			continue
 		}
-		list = append(list, WhatIf{"location " + place + " lost", left, *a, lost},
-			WhatIf{"location " + place + " lost, all 1.5 times slower", left.Slower(1.5), *a, lost})
+		list = append(list, WhatIf{"location " + place + " lost", left, *workload, lost},
+			WhatIf{"location " + place + " lost, all 1.5 times slower", left.Slower(1.5), *workload, lost})
 	}
-	if len(a.Mix) > 1 {
-		for _, m := range a.Mix {
-			moved := *a
+	if len(workload.Mix) > 1 {
+		for _, m := range workload.Mix {
+			moved := *workload
 			moved.Mix = []Share{{m.Index, 1, m.Subqueries}}
-			list = append(list, WhatIf{Name: "all traffic to " + f.Indexes[m.Index].Name, Site: *f, Ask: moved})
+			list = append(list, WhatIf{Name: "all traffic to " + site.Indexes[m.Index].Name, Site: *site, Ask: moved})
 		}
 	}
 	return list
@@ -162,21 +162,21 @@
 
 // Recovers plays a burst and then the usual load, and tells whether the usual load keeps the goals again: clients that
 // come back may hold a fleet down that would bear them one by one. Where it does not, Leave is the load to go down to.
-func Recovers(f *Site, a *Workload, burst float64, seed uint64) (recovers bool, leave float64) {
+func Recovers(site *Site, workload *Workload, burst float64, seed uint64) (recovers bool, leave float64) {
 	for share := 1.0; share > 0.1; share -= 0.1 {
-		asked := a.Scaled(share)
-		w := newSimulation(f, &asked, seed)
-		usual := asked.PerS
-		w.warm = maxWarmUp + burstDuration*2
-		w.end = w.warm + max(3*minDuration, measuredQueries/usual)
-		w.schedule(maxWarmUp, func() { asked.PerS = burst * a.PerS })
-		w.schedule(maxWarmUp+burstDuration, func() { asked.PerS = usual })
-		w.arrive()
-		for len(w.pending) > 0 && w.pending[0].at < w.end+10 {
-			w.runNextEvent()
+		scaled := workload.Scaled(share)
+		sim := newSimulation(site, &scaled, seed)
+		usual := scaled.PerS
+		sim.warm = maxWarmUp + burstDuration*2
+		sim.end = sim.warm + max(3*minDuration, measuredQueries/usual)
+		sim.schedule(maxWarmUp, func() { scaled.PerS = burst * workload.PerS })
+		sim.schedule(maxWarmUp+burstDuration, func() { scaled.PerS = usual })
+		sim.arrive()
+		for len(sim.pending) > 0 && sim.pending[0].at < sim.end+10 {
+			sim.runNextEvent()
 		}
-		if o := w.summarize(); first(o.MeetsGoals(f)) {
-			return share == 1, share * a.PerS
+		if o := sim.summarize(); first(o.MeetsGoals(site)) {
+			return share == 1, share * workload.PerS
 		}
 	}
 	return false, 0
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -14,12 +14,12 @@
 )
 
 func fleet(backends, cores int) Site {
-	f := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, Step: 0.005, Network: 0.0002, MaxAttempts: 3,
+	site := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, Step: 0.005, Network: 0.0002, MaxAttempts: 3,
 		Indexes: []Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Scv: 0.3, Goal: 0.98}}}
 	for i := range backends {
-		f.Backends = append(f.Backends, Backend{Name: fmt.Sprint("s-", i), Location: f.Locations[i%2], Cell: i, Cores: cores, Speed: 1, Price: 1})
+		site.Backends = append(site.Backends, Backend{Name: fmt.Sprint("s-", i), Location: site.Locations[i%2], Cell: i, Cores: cores, Speed: 1, Price: 1})
 	}
-	return f
+	return site
 }
 
 func ask(perS float64, subqueries int) Workload {
@@ -28,43 +28,43 @@
 
 func TestMistakesInAFleetAreTold(t *testing.T) {
 	for want, change := range map[string]func(*Site){
-		"shard 0 has no holder: put a searcher into one of the cells 0 to 1": func(f *Site) { f.Backends = f.Backends[2:5] },
-		`"s-1" is named twice`:           func(f *Site) { f.Backends[2].Name = "s-1" },
-		`stands at "west": expected`:     func(f *Site) { f.Backends[2].Location = "west" },
-		"0 cores":                        func(f *Site) { f.Backends[2].Cores = 0 },
-		"cell 9: expected 0 to 5":        func(f *Site) { f.Backends[2].Cell = 9 },
-		"goal of 99":                     func(f *Site) { f.Indexes[0].Goal = 99 },
-		"is it in milliseconds?":         func(f *Site) { f.Indexes[0].Work = 10 },
-		"2000 s: times are seconds, is":  func(f *Site) { f.Indexes[0].Hard = 2000 },
-		"read it from a capture":         func(f *Site) { f.Indexes[0].Work = 0 },
-		"expected two quantiles or more": func(f *Site) { f.Indexes[0].Shape = []float64{2, 1} },
-		"a width of no more than":        func(f *Site) { f.Width = 9 },
+		"shard 0 has no holder: put a searcher into one of the cells 0 to 1": func(site *Site) { site.Backends = site.Backends[2:5] },
+		`"s-1" is named twice`:           func(site *Site) { site.Backends[2].Name = "s-1" },
+		`stands at "west": expected`:     func(site *Site) { site.Backends[2].Location = "west" },
+		"0 cores":                        func(site *Site) { site.Backends[2].Cores = 0 },
+		"cell 9: expected 0 to 5":        func(site *Site) { site.Backends[2].Cell = 9 },
+		"goal of 99":                     func(site *Site) { site.Indexes[0].Goal = 99 },
+		"is it in milliseconds?":         func(site *Site) { site.Indexes[0].Work = 10 },
+		"2000 s: times are seconds, is":  func(site *Site) { site.Indexes[0].Hard = 2000 },
+		"read it from a capture":         func(site *Site) { site.Indexes[0].Work = 0 },
+		"expected two quantiles or more": func(site *Site) { site.Indexes[0].Shape = []float64{2, 1} },
+		"a width of no more than":        func(site *Site) { site.Width = 9 },
 	} {
-		f := fleet(6, 4)
-		change(&f)
-		if err := f.Check(); err == nil || !strings.Contains(err.Error(), want) {
+		site := fleet(6, 4)
+		change(&site)
+		if err := site.Check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, expected %q", err, want)
 		}
 	}
-	f, a := fleet(6, 4), ask(10, 99)
-	if err := a.Check(&f); err == nil || !strings.Contains(err.Error(), "1 to 12 parts") {
+	site, a := fleet(6, 4), ask(10, 99)
+	if err := a.Check(&site); err == nil || !strings.Contains(err.Error(), "1 to 12 parts") {
 		t.Errorf("got %v", err)
 	}
-	if a = ask(10, 2); a.Check(&f) != nil || f.Check() != nil {
+	if a = ask(10, 2); a.Check(&site) != nil || site.Check() != nil {
 		t.Error("a good fleet is refused")
 	}
 	a.Popular = make([]float64, 5)
-	if err := a.Check(&f); err == nil || !strings.Contains(err.Error(), "asks for 5 shards, the fleet holds 12") {
+	if err := a.Check(&site); err == nil || !strings.Contains(err.Error(), "asks for 5 shards, the fleet holds 12") {
 		t.Errorf("got %v", err)
 	}
 }
 
 // What the emulation comes to where a formula tells it.
 func TestEmulationAgainstFormulas(t *testing.T) {
-	f := fleet(6, 4)
+	site := fleet(6, 4)
 	a := ask(100, 4)
-	o := Emulate(&f, &a, 1, 0)
-	if again := Emulate(&f, &a, 1, 0); !reflect.DeepEqual(o, again) {
+	o := Emulate(&site, &a, 1, 0)
+	if again := Emulate(&site, &a, 1, 0); !reflect.DeepEqual(o, again) {
 		t.Fatal("the same seed gives other figures")
 	}
 	if o.ValueShare < 0.99 || o.Nacked+o.Aborted > 0 || o.Attempts < 1 {
@@ -79,20 +79,20 @@
 	}
 	// Alone, a query of one part takes its work, two ways, and some steps.
 	one := ask(5, 1)
-	f.Indexes[0].Scv = 0
-	if o := Emulate(&f, &one, 2, 500); o.P50 < 0.0104 || o.P50 > 0.0104+2*f.Step {
+	site.Indexes[0].Scv = 0
+	if o := Emulate(&site, &one, 2, 500); o.P50 < 0.0104 || o.P50 > 0.0104+2*site.Step {
 		t.Errorf("a part of 10 ms takes %.4f s", o.P50)
 	}
 	// Far beyond what the cores bear, no more than they bear is answered, and most of that.
 	over := ask(1200, 4) // twice the 600 that they bear
-	o = Emulate(&f, &over, 3, 4000)
+	o = Emulate(&site, &over, 3, 4000)
 	if answered := 1 - o.Nacked - o.Aborted; answered > 0.56 || answered < 0.3 {
 		t.Errorf("at twice what the cores bear a share of %.2f is answered", answered)
 	}
-	if limits := o.Limits(&f); limits[0].What != "cores" || limits[0].Margin > 1.15 {
+	if limits := o.Limits(&site); limits[0].What != "cores" || limits[0].Margin > 1.15 {
 		t.Errorf("nearest its limit: %+v", limits[0])
 	}
-	lost, shards := f.Without("south")
+	lost, shards := site.Without("south")
 	if len(lost.Backends) != 3 || len(shards) != 0 {
 		t.Errorf("without south: %d searchers, lost %v", len(lost.Backends), shards)
 	}
@@ -105,8 +105,8 @@
 
 // The load at which the goal breaks lies below what the cores bear, and more cores bear more.
 func TestBreakingLoad(t *testing.T) {
-	f, a := fleet(4, 2), ask(50, 2)
-	b, err := FindBreakingLoad(&f, &a, 1, nil)
+	site, a := fleet(4, 2), ask(50, 2)
+	b, err := FindBreakingLoad(&site, &a, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,8 +121,8 @@
 	if more, err := FindBreakingLoad(&larger, &a, 1, nil); err != nil || more.PerS < 1.6*b.PerS {
 		t.Fatalf("twice the cores break at %g against %g, %v", more.PerS, b.PerS, err)
 	}
-	f.Indexes[0].Goal = 0
-	if _, err := FindBreakingLoad(&f, &a, 1, nil); err == nil {
+	site.Indexes[0].Goal = 0
+	if _, err := FindBreakingLoad(&site, &a, 1, nil); err == nil {
 		t.Fatal("no goal, and it breaks")
 	}
 }
@@ -193,22 +193,22 @@
 }
 
 // bestPlacement goes through every placement of two copies.
-func bestPlacement(f *Site, load []float64) float64 {
+func bestPlacement(site *Site, load []float64) float64 {
 	best := math.Inf(1)
-	used := make([]float64, len(f.Backends))
+	used := make([]float64, len(site.Backends))
 	var put func(s int)
 	put = func(s int) {
 		if s == len(load) {
 			most := 0.0
 			for i, u := range used {
-				most = max(most, u/float64(f.Backends[i].Cores))
+				most = max(most, u/float64(site.Backends[i].Cores))
 			}
 			best = min(best, most)
 			return
 		}
-		for i := range f.Backends {
+		for i := range site.Backends {
 			for j := range i {
-				if f.Backends[i].Location != f.Backends[j].Location {
+				if site.Backends[i].Location != site.Backends[j].Location {
 					used[i], used[j] = used[i]+load[s]/2, used[j]+load[s]/2
 					put(s + 1)
 					used[i], used[j] = used[i]-load[s]/2, used[j]-load[s]/2
@@ -224,29 +224,29 @@
 	worst := 1.0
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		f := fleet(4, 1)
-		for i := range f.Backends {
-			f.Backends[i].Cores = 1 + rng.IntN(3)
+		site := fleet(4, 1)
+		for i := range site.Backends {
+			site.Backends[i].Cores = 1 + rng.IntN(3)
 		}
 		load := make([]float64, 5)
 		for s := range load {
 			load[s] = 0.1 + rng.Float64()
 		}
-		p, err := Place(&f, load, 2, nil)
+		p, err := Place(&site, load, 2, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		best := bestPlacement(&f, load)
+		best := bestPlacement(&site, load)
 		if p.Most < best-1e-9 || p.Bound > best+1e-9 {
 			t.Fatalf("seed %d: %g, bound %g, the best is %g", seed, p.Most, p.Bound, best)
 		}
 		worst = max(worst, p.Most/best)
 		for s, list := range p.Copies {
-			if len(list) != 2 || f.Backends[list[0]].Location == f.Backends[list[1]].Location {
+			if len(list) != 2 || site.Backends[list[0]].Location == site.Backends[list[1]].Location {
 				t.Fatalf("seed %d: copies of shard %d stand at %v", seed, s, list)
 			}
 		}
-		again, err := Place(&f, load, 2, p.Copies)
+		again, err := Place(&site, load, 2, p.Copies)
 		if err != nil || again.Moves > 0 && p.Most <= p.Bound*(1+roomToStay/2) {
 			t.Fatalf("seed %d: %d moves from a placement that is as good as it gets, %v", seed, again.Moves, err)
 		}
@@ -255,21 +255,21 @@
 	if worst > 1.35 {
 		t.Errorf("%.3f of the best at worst", worst)
 	}
-	f := fleet(4, 1)
-	for i := range f.Backends {
-		f.Backends[i].Location = "north"
+	site := fleet(4, 1)
+	for i := range site.Backends {
+		site.Backends[i].Location = "north"
 	}
-	if _, err := Place(&f, []float64{1}, 2, nil); err == nil {
+	if _, err := Place(&site, []float64{1}, 2, nil); err == nil {
 		t.Error("two copies in one location")
 	}
 }
 
 // An emulation keeps the modules' rules: a once-only part is never called twice where a call may have run.
 func TestEmulationOfOnceOnly(t *testing.T) {
-	f, a := fleet(6, 2), ask(400, 3)
-	f.Indexes[0].Effect = policy.OnceOnly
-	f.Backends[2].Queue = 2
-	o := Emulate(&f, &a, 4, 3000)
+	site, a := fleet(6, 2), ask(400, 3)
+	site.Indexes[0].Effect = policy.OnceOnly
+	site.Backends[2].Queue = 2
+	o := Emulate(&site, &a, 4, 3000)
 	if o.Calls > 1.05 {
 		t.Fatalf("%.3f calls a part", o.Calls)
 	}
@@ -277,16 +277,16 @@
 
 // A fleet with room recovers from a burst; one that is asked for more than it bears does not, and is told how far to go down.
 func TestRecovery(t *testing.T) {
-	f, a := fleet(4, 2), ask(100, 2) // its cores bear 400
-	f.Retries, f.Backoff = 2, 0.05
-	if recovers, leave := Recovers(&f, &a, 3, 1); !recovers || leave != a.PerS {
+	site, a := fleet(4, 2), ask(100, 2) // its cores bear 400
+	site.Retries, site.Backoff = 2, 0.05
+	if recovers, leave := Recovers(&site, &a, 3, 1); !recovers || leave != a.PerS {
 		t.Errorf("a quarter of what the cores bear: %t, leave at %g", recovers, leave)
 	}
 	if raceflag.On {
 		return
 	}
 	a = ask(600, 2)
-	if recovers, leave := Recovers(&f, &a, 2, 1); recovers || leave < 150 || leave > 420 {
+	if recovers, leave := Recovers(&site, &a, 2, 1); recovers || leave < 150 || leave > 420 {
 		t.Errorf("one and a half times what the cores bear: %t, leave at %g", recovers, leave)
 	}
 }
--- a/internal/tools/plan/queue.go
+++ b/internal/tools/plan/queue.go
@@ -5,50 +5,50 @@
 )
 
 // deliver puts a call on a core, into the queue, or turns it away.
-func (w *simulation) deliver(s *queue, c *call) {
+func (sim *simulation) deliver(s *queue, received *call) {
 	s.calls++
 	switch {
 	case s.busy < s.Cores:
-		w.serve(s, c)
+		sim.serve(s, received)
 	case s.Queue > 0 && len(s.waiting) >= s.Queue:
 		s.rejected++
-		w.schedule(w.now+w.site.Network, func() { w.completeCall(c, s, policy.Rejected) })
+		sim.schedule(sim.now+sim.site.Network, func() { sim.completeCall(received, s, policy.Rejected) })
 	default:
-		s.waiting = append(s.waiting, c)
+		s.waiting = append(s.waiting, received)
 		s.maxLength = max(s.maxLength, len(s.waiting))
 	}
 }
 
-func (w *simulation) serve(s *queue, c *call) {
+func (sim *simulation) serve(s *queue, served *call) {
 	s.busy++
-	took := w.random.work(&w.site.Indexes[c.index]) / s.Speed
-	if w.now >= w.warm {
-		s.used += min(took, max(0, w.end-w.now))
+	took := sim.random.work(&sim.site.Indexes[served.index]) / s.Speed
+	if sim.now >= sim.warm {
+		s.used += min(took, max(0, sim.end-sim.now))
 	}
-	w.schedule(w.now+took, func() {
+	sim.schedule(sim.now+took, func() {
 		s.busy--
-		w.schedule(w.now+w.site.Network, func() { w.completeCall(c, s, policy.Answered) })
+		sim.schedule(sim.now+sim.site.Network, func() { sim.completeCall(served, s, policy.Answered) })
 		for len(s.waiting) > 0 && s.busy < s.Cores {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
 			if !next.completed {
-				w.serve(s, next)
+				sim.serve(s, next)
 			}
 		}
 	})
 }
 
 // completeCall tells an aggregator once how a call ended.
-func (w *simulation) completeCall(c *call, s *queue, how policy.Outcome) {
-	key := callKey{c.subquery, c.no}
-	if c.completed || c.aggregator.inFlight[key] != c {
+func (sim *simulation) completeCall(ended *call, s *queue, outcome policy.Outcome) {
+	key := callKey{ended.subquery, ended.no}
+	if ended.completed || ended.aggregator.inFlight[key] != ended {
 		return
 	}
-	c.completed = true
-	delete(c.aggregator.inFlight, key)
+	ended.completed = true
+	delete(ended.aggregator.inFlight, key)
 	id := policy.BackendID(0)
 	if s != nil {
 		id = s.id
 	}
-	w.notify(c.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: c.subquery, Call: c.no, Backend: id, Outcome: how, Elapsed: w.now - c.sent})
+	sim.notify(ended.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: ended.subquery, Call: ended.no, Backend: id, Outcome: outcome, Elapsed: sim.now - ended.sent})
 }
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -55,82 +55,82 @@
 }
 
 // Check tells every mistake with what to do about it, a line each.
-func (f *Site) Check() error { return f.check(false) }
+func (site *Site) Check() error { return site.check(false) }
 
 // CheckLost is Check for what a loss has left of a fleet, in which shards may have no holder.
-func (f *Site) CheckLost() error { return f.check(true) }
-
-func (f *Site) check(lost bool) error {
-	var wrong []string
-	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
-	if f.Cells < 1 || f.Width < 1 || f.Width > f.Cells || f.Shards < 1 || f.Aggregators < 1 {
-		say("%d cells of width %d with %d shards and %d mixers: expected at least one of each, and a width of no more than the cells", f.Cells, f.Width, f.Shards, f.Aggregators)
-		return DescriptionError(strings.Join(wrong, "\n"))
+func (site *Site) CheckLost() error { return site.check(true) }
+
+func (site *Site) check(lost bool) error {
+	var mistakes []string
+	report := func(format string, args ...any) { mistakes = append(mistakes, fmt.Sprintf(format, args...)) }
+	if site.Cells < 1 || site.Width < 1 || site.Width > site.Cells || site.Shards < 1 || site.Aggregators < 1 {
+		report("%d cells of width %d with %d shards and %d mixers: expected at least one of each, and a width of no more than the cells", site.Cells, site.Width, site.Shards, site.Aggregators)
+		return DescriptionError(strings.Join(mistakes, "\n"))
 	}
 	names := map[string]bool{}
-	for _, s := range f.Backends {
-		if names[s.Name] || s.Name == "" {
-			say("searcher %q is named twice, or not at all: give each a name of its own", s.Name)
+	for _, backend := range site.Backends {
+		if names[backend.Name] || backend.Name == "" {
+			report("searcher %q is named twice, or not at all: give each a name of its own", backend.Name)
 		}
-		names[s.Name] = true
-		if !slices.Contains(f.Locations, s.Location) {
-			say("searcher %s stands at %q: expected one of %q", s.Name, s.Location, f.Locations)
+		names[backend.Name] = true
+		if !slices.Contains(site.Locations, backend.Location) {
+			report("searcher %s stands at %q: expected one of %q", backend.Name, backend.Location, site.Locations)
 		}
-		if s.Cores < 1 || !(s.Speed > 0) || s.Queue < 0 || s.Connections < 0 || s.Price < 0 {
-			say("searcher %s has %d cores of speed %g, a queue of %d, %d connections: expected at least one core, a speed above 0, and no figure below 0", s.Name, s.Cores, s.Speed, s.Queue, s.Connections)
+		if backend.Cores < 1 || !(backend.Speed > 0) || backend.Queue < 0 || backend.Connections < 0 || backend.Price < 0 {
+			report("searcher %s has %d cores of speed %g, a queue of %d, %d connections: expected at least one core, a speed above 0, and no figure below 0", backend.Name, backend.Cores, backend.Speed, backend.Queue, backend.Connections)
 		}
-		if s.Cell < 0 || s.Cell >= f.Cells {
-			say("searcher %s is of cell %d: expected 0 to %d", s.Name, s.Cell, f.Cells-1)
+		if backend.Cell < 0 || backend.Cell >= site.Cells {
+			report("searcher %s is of cell %d: expected 0 to %d", backend.Name, backend.Cell, site.Cells-1)
 		}
 	}
-	for _, s := range f.unowned() {
-		if s < f.Cells && !lost { // the others are held by the same cells
-			say("shard %d has no holder: put a searcher into one of the cells %d to %d", s, s, (s+f.Width-1)%f.Cells)
+	for _, backend := range site.unowned() {
+		if backend < site.Cells && !lost { // the others are held by the same cells
+			report("shard %d has no holder: put a searcher into one of the cells %d to %d", backend, backend, (backend+site.Width-1)%site.Cells)
 		}
 	}
 	seen := map[string]bool{}
-	for _, x := range f.Indexes {
+	for _, index := range site.Indexes {
 		switch {
-		case x.Name == "" || seen[x.Name]:
-			say("index %q is named twice, or not at all", x.Name)
-		case !(x.Soft > 0) || x.Hard < x.Soft:
-			say("index %s has deadlines of %g and %g s: expected a soft one above 0 and a hard one no sooner", x.Name, x.Soft, x.Hard)
-		case x.Hard > 600:
-			say("index %s has a hard deadline of %g s: times are seconds, is it in milliseconds?", x.Name, x.Hard)
-		case !(x.Work > 0):
-			say("index %s states no work of a part: state it in seconds, or read it from a capture with low load", x.Name)
-		case x.Work > x.Soft:
-			say("index %s has a part's work of %g s, more than its soft deadline of %g s: times are seconds, is it in milliseconds?", x.Name, x.Work, x.Soft)
-		case x.Goal < 0 || x.Goal > 1:
-			say("index %s has a goal of %g: expected a share from 0 to 1, as 0.99", x.Name, x.Goal)
-		case len(x.Shape) == 1 || !slices.IsSorted(x.Shape) || len(x.Shape) > 0 && !(x.Shape[0] >= 0):
-			say("index %s has a shape of %v: expected two quantiles or more, rising from 0 or above", x.Name, x.Shape)
-		case x.Scv < 0 || x.Value < 0 || x.LateValue < 0 || x.LateValue > 1:
-			say("index %s has a figure below 0, or a late gain above 1", x.Name)
+		case index.Name == "" || seen[index.Name]:
+			report("index %q is named twice, or not at all", index.Name)
+		case !(index.Soft > 0) || index.Hard < index.Soft:
+			report("index %s has deadlines of %g and %g s: expected a soft one above 0 and a hard one no sooner", index.Name, index.Soft, index.Hard)
+		case index.Hard > 600:
+			report("index %s has a hard deadline of %g s: times are seconds, is it in milliseconds?", index.Name, index.Hard)
+		case !(index.Work > 0):
+			report("index %s states no work of a part: state it in seconds, or read it from a capture with low load", index.Name)
+		case index.Work > index.Soft:
+			report("index %s has a part's work of %g s, more than its soft deadline of %g s: times are seconds, is it in milliseconds?", index.Name, index.Work, index.Soft)
+		case index.Goal < 0 || index.Goal > 1:
+			report("index %s has a goal of %g: expected a share from 0 to 1, as 0.99", index.Name, index.Goal)
+		case len(index.Shape) == 1 || !slices.IsSorted(index.Shape) || len(index.Shape) > 0 && !(index.Shape[0] >= 0):
+			report("index %s has a shape of %v: expected two quantiles or more, rising from 0 or above", index.Name, index.Shape)
+		case index.Scv < 0 || index.Value < 0 || index.LateValue < 0 || index.LateValue > 1:
+			report("index %s has a figure below 0, or a late gain above 1", index.Name)
 		}
-		seen[x.Name] = true
+		seen[index.Name] = true
 	}
-	if len(f.Indexes) == 0 {
-		say("expected at least one index")
+	if len(site.Indexes) == 0 {
+		report("expected at least one index")
 	}
-	if len(wrong) > 0 {
-		return DescriptionError(strings.Join(wrong, "\n"))
+	if len(mistakes) > 0 {
+		return DescriptionError(strings.Join(mistakes, "\n"))
 	}
 	return nil
 }
 
 // unowned lists the shards that no backend holds.
-func (f *Site) unowned() (list []int) {
-	owned := make([]bool, f.Cells)
-	for _, s := range f.Backends {
-		if s.Cell >= 0 && s.Cell < f.Cells {
+func (site *Site) unowned() (list []int) {
+	owned := make([]bool, site.Cells)
+	for _, s := range site.Backends {
+		if s.Cell >= 0 && s.Cell < site.Cells {
 			owned[s.Cell] = true
 		}
 	}
-	for s := range f.Shards {
+	for s := range site.Shards {
 		found := false
-		for j := range f.Width {
-			found = found || owned[(s+j)%f.Cells]
+		for j := range site.Width {
+			found = found || owned[(s+j)%site.Cells]
 		}
 		if !found {
 			list = append(list, s)
@@ -140,10 +140,10 @@
 }
 
 // Without is the fleet with a location lost, and the shards of which no holder is left.
-func (f Site) Without(location string) (left Site, lost []int) {
-	left = f
+func (site Site) Without(location string) (left Site, lost []int) {
+	left = site
 	left.Backends = nil
-	for _, s := range f.Backends {
+	for _, s := range site.Backends {
 		if s.Location != location {
 			left.Backends = append(left.Backends, s)
 		}
@@ -152,12 +152,12 @@
 }
 
 // Slower is the fleet with every backend taking so many times as long.
-func (f Site) Slower(times float64) Site {
-	f.Backends = slices.Clone(f.Backends)
-	for i := range f.Backends {
-		f.Backends[i].Speed /= times
+func (site Site) Slower(times float64) Site {
+	site.Backends = slices.Clone(site.Backends)
+	for i := range site.Backends {
+		site.Backends[i].Speed /= times
 	}
-	return f
+	return site
 }
 
 // Workload is a steady load.
@@ -176,17 +176,17 @@
 }
 
 // Check tells what of a load does not fit a fleet.
-func (a *Workload) Check(f *Site) error {
+func (a *Workload) Check(site *Site) error {
 	if !(a.PerS > 0) || len(a.Mix) == 0 {
 		return wrong("%g lookups a second of %d kinds: expected more than none", a.PerS, len(a.Mix))
 	}
 	for _, m := range a.Mix {
-		if m.Index < 0 || m.Index >= len(f.Indexes) || !(m.Fraction > 0) || m.Subqueries < 1 || m.Subqueries > f.Shards {
-			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Fraction, m.Subqueries, m.Index, f.Shards)
+		if m.Index < 0 || m.Index >= len(site.Indexes) || !(m.Fraction > 0) || m.Subqueries < 1 || m.Subqueries > site.Shards {
+			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Fraction, m.Subqueries, m.Index, site.Shards)
 		}
 	}
-	if a.Popular != nil && len(a.Popular) != f.Shards {
-		return wrong("the load asks for %d shards, the fleet holds %d: describe the fleet that the capture was taken on", len(a.Popular), f.Shards)
+	if a.Popular != nil && len(a.Popular) != site.Shards {
+		return wrong("the load asks for %d shards, the fleet holds %d: describe the fleet that the capture was taken on", len(a.Popular), site.Shards)
 	}
 	return nil
 }
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -81,38 +81,38 @@
 }
 
 // Parse reads a description; its figures are not checked yet.
-func Parse(text []byte) (f plan.Site, err error) {
-	var in file
-	if err := jsonc.Decode(text, &in); err != nil {
-		return f, err
-	}
-	f = plan.Site{Locations: in.Locations, Cells: in.Layout.Cells, Width: in.Layout.Width, Shards: in.Layout.Shards, Aggregators: in.Aggregators.Count,
-		MaxPending: in.Aggregators.MostHeld, Step: in.Aggregators.StepS, Network: in.NetworkS, MaxAttempts: max(1, in.Aggregators.MostTries), Retries: in.Clients.Retries,
-		Backoff: in.Clients.BackoffS, Multiplex: in.Aggregators.Multiplex, Descriptors: in.Aggregators.Descriptors}
-	for _, g := range in.Backends {
-		if g.Speed == 0 {
-			g.Speed = 1
+func Parse(text []byte) (site plan.Site, err error) {
+	var parsed file
+	if err := jsonc.Decode(text, &parsed); err != nil {
+		return site, err
+	}
+	site = plan.Site{Locations: parsed.Locations, Cells: parsed.Layout.Cells, Width: parsed.Layout.Width, Shards: parsed.Layout.Shards, Aggregators: parsed.Aggregators.Count,
+		MaxPending: parsed.Aggregators.MostHeld, Step: parsed.Aggregators.StepS, Network: parsed.NetworkS, MaxAttempts: max(1, parsed.Aggregators.MostTries), Retries: parsed.Clients.Retries,
+		Backoff: parsed.Clients.BackoffS, Multiplex: parsed.Aggregators.Multiplex, Descriptors: parsed.Aggregators.Descriptors}
+	for _, group := range parsed.Backends {
+		if group.Speed == 0 {
+			group.Speed = 1
 		}
-		for n := range max(1, g.Count) {
-			if len(f.Backends) >= maxBackends {
-				return f, wrong("1: more than %d searchers", maxBackends)
+		for n := range max(1, group.Count) {
+			if len(site.Backends) >= maxBackends {
+				return site, wrong("1: more than %d searchers", maxBackends)
 			}
-			cell := g.Cell + n*g.CellStep
-			if f.Cells > 0 {
-				cell %= f.Cells
+			cell := group.Cell + n*group.CellStep
+			if site.Cells > 0 {
+				cell %= site.Cells
 			}
-			f.Backends = append(f.Backends, plan.Backend{Name: strings.ReplaceAll(g.Name, "{n}", fmt.Sprint(n+1)), Location: g.Location,
-				Cell: cell, Cores: g.Cores, Speed: g.Speed, Queue: g.Queue, Connections: g.Connections, Price: g.Price})
+			site.Backends = append(site.Backends, plan.Backend{Name: strings.ReplaceAll(group.Name, "{n}", fmt.Sprint(n+1)), Location: group.Location,
+				Cell: cell, Cores: group.Cores, Speed: group.Speed, Queue: group.Queue, Connections: group.Connections, Price: group.Price})
 		}
 	}
-	for _, x := range in.Indexes {
-		effect, known := effects[x.Effect]
+	for _, index := range parsed.Indexes {
+		effect, known := effects[index.Effect]
 		if !known {
-			return f, wrong("1: index %s has effect %q, expected idempotent, fingerprinted or once-only", x.Name, x.Effect)
+			return site, wrong("1: index %s has effect %q, expected idempotent, fingerprinted or once-only", index.Name, index.Effect)
 		}
-		f.Indexes = append(f.Indexes, plan.Index{Name: x.Name, Effect: effect, Soft: x.SoftS, Hard: x.HardS, Value: x.Gain, LateValue: x.LateGain, Work: x.WorkS, Scv: x.WorkScv, Goal: x.Goal})
+		site.Indexes = append(site.Indexes, plan.Index{Name: index.Name, Effect: effect, Soft: index.SoftS, Hard: index.HardS, Value: index.Gain, LateValue: index.LateGain, Work: index.WorkS, Scv: index.WorkScv, Goal: index.Goal})
 	}
-	return f, nil
+	return site, nil
 }
 
 // leastAlone is how many calls that were alone at their backend it takes to read an index's work from them.
@@ -168,58 +168,58 @@
 
 // Workload is the load of a capture at its busiest interval, or in the mean of all of them, whose sum is given as a day's takes a
 // while. The notes say what was left out.
-func Workload(f *plan.Site, c capture.Capture, sum *capture.Interval, mean bool) (a plan.Workload, notes []string, err error) {
+func Workload(site *plan.Site, c capture.Capture, sum *capture.Interval, mean bool) (workload plan.Workload, notes []string, err error) {
 	if len(c.Intervals) == 0 {
-		return a, nil, wrong("the capture holds no interval")
+		return workload, nil, wrong("the capture holds no interval")
 	}
-	i := sum
+	interval := sum
 	if !mean {
 		best := -1.0
 		for n := range c.Intervals {
 			parts := 0.0
-			for _, l := range c.Intervals[n].Loads {
-				parts += float64(l.Parts) / c.Intervals[n].Span
+			for _, load := range c.Intervals[n].Loads {
+				parts += float64(load.Parts) / c.Intervals[n].Span
 			}
 			if parts > best {
-				best, i = parts, &c.Intervals[n]
+				best, interval = parts, &c.Intervals[n]
 			}
 		}
 	}
 	for _, h := range c.Holes() {
 		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", h.To-h.From))
 	}
-	all := 0.0
-	for _, l := range i.Loads {
-		all += float64(l.Queries - l.Resent)
+	queries := 0.0
+	for _, load := range interval.Loads {
+		queries += float64(load.Queries - load.Resent)
 	}
-	place := map[string]int{}
-	for k, x := range f.Indexes {
-		place[x.Name] = k
+	indexNo := map[string]int{}
+	for index, x := range site.Indexes {
+		indexNo[x.Name] = index
 	}
-	by := map[int][2]float64{}
-	for _, l := range i.Loads {
-		k, known := place[l.Index]
+	byIndex := map[int][2]float64{}
+	for _, load := range interval.Loads {
+		index, known := indexNo[load.Index]
 		if !known {
-			return a, notes, wrong("the capture has lookups of index %s, which the fleet does not describe: add it", l.Index)
+			return workload, notes, wrong("the capture has lookups of index %s, which the fleet does not describe: add it", load.Index)
 		}
-		v := by[k]
-		by[k] = [2]float64{v[0] + float64(l.Queries-l.Resent), v[1] + float64(l.Parts)*float64(l.Queries-l.Resent)/float64(max(1, l.Queries))}
+		totals := byIndex[index]
+		byIndex[index] = [2]float64{totals[0] + float64(load.Queries-load.Resent), totals[1] + float64(load.Parts)*float64(load.Queries-load.Resent)/float64(max(1, load.Queries))}
 	}
-	if all <= 0 {
-		return a, notes, wrong("the capture holds no lookups")
+	if queries <= 0 {
+		return workload, notes, wrong("the capture holds no lookups")
 	}
-	a.PerS = all / i.Span
-	for k := range f.Indexes {
-		if v := by[k]; v[0] > 0 {
-			a.Mix = append(a.Mix, plan.Share{Index: k, Fraction: v[0] / all, Subqueries: max(1, int(v[1]/v[0]+0.5))})
+	workload.PerS = queries / interval.Span
+	for index := range site.Indexes {
+		if totals := byIndex[index]; totals[0] > 0 {
+			workload.Mix = append(workload.Mix, plan.Share{Index: index, Fraction: totals[0] / queries, Subqueries: max(1, int(totals[1]/totals[0]+0.5))})
 		}
 	}
-	a.Popular = make([]float64, f.Shards)
+	workload.Popular = make([]float64, site.Shards)
 	for _, s := range sum.Shards {
-		if s.Shard >= f.Shards {
-			return a, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", s.Shard, f.Shards)
+		if s.Shard >= site.Shards {
+			return workload, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", s.Shard, site.Shards)
 		}
-		a.Popular[s.Shard] += float64(s.Parts)
+		workload.Popular[s.Shard] += float64(s.Parts)
 	}
-	return a, notes, a.Check(f)
+	return workload, notes, workload.Check(site)
 }
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -126,10 +126,10 @@
 	})
 	add("too much", func(s *Scenario) { s.Workload.PerS = 850 })
 	add("too much, clients come back", func(s *Scenario) { s.Workload.PerS = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
-	g := seed
+	state := seed
 	unit := func() float64 { // splitmix64
-		g += 0x9e3779b97f4a7c15
-		z := (g ^ g>>30) * 0xbf58476d1ce4e5b9
+		state += 0x9e3779b97f4a7c15
+		z := (state ^ state>>30) * 0xbf58476d1ce4e5b9
 		z = (z ^ z>>27) * 0x94d049bb133111eb
 		return float64(z^z>>31) / (1 << 64)
 	}
@@ -145,8 +145,8 @@
 			s.Site.Backends[i].Cores = cores
 		}
 		s.Workload.Mix[0].Subqueries = parts
-		each := 0.9*float64(parts) + 0.1*2
-		s.Workload.PerS = (0.1 + 0.7*unit()) * float64(6*cores) / work / each
+		subqueriesPerQuery := 0.9*float64(parts) + 0.1*2
+		s.Workload.PerS = (0.1 + 0.7*unit()) * float64(6*cores) / work / subqueriesPerQuery
 		list = append(list, s)
 	}
 	return list
@@ -181,22 +181,22 @@
 }
 
 // Run plays one setting, predicted and on sockets.
-func Run(ctx context.Context, s Scenario, on TimerOverrun, seed uint64) (r Result, err error) {
-	if err := s.Site.CheckLost(); err != nil {
+func Run(ctx context.Context, scenario Scenario, overrun TimerOverrun, seed uint64) (r Result, err error) {
+	if err := scenario.Site.CheckLost(); err != nil {
 		return r, err
 	}
-	known := s.Site
-	known.Indexes = slices.Clone(known.Indexes)
-	for i := range known.Indexes { // all backends of a setting are of one speed
-		known.Indexes[i].Work += on.Work * known.Backends[0].Speed
+	adjusted := scenario.Site
+	adjusted.Indexes = slices.Clone(adjusted.Indexes)
+	for i := range adjusted.Indexes { // all backends of a setting are of one speed
+		adjusted.Indexes[i].Work += overrun.Work * adjusted.Backends[0].Speed
 	}
-	known.Step += on.Step
-	want := plan.Emulate(&known, &s.Workload, seed, predictionQueries)
-	got, err := runOnSockets(ctx, s)
+	adjusted.Step += overrun.Step
+	predicted := plan.Emulate(&adjusted, &scenario.Workload, seed, predictionQueries)
+	measured, err := runOnSockets(ctx, scenario)
 	if err != nil {
 		return r, err
 	}
-	r = Result{Scenario: s.Name, Blind: s.Blind}
+	r = Result{Scenario: scenario.Name, Blind: scenario.Blind}
 	add := func(name string, predicted, happened float64) {
 		e := 0.0
 		if happened != predicted {
@@ -205,49 +205,49 @@
 		r.Figures = append(r.Figures, Figure{name, predicted, happened, e})
 		r.Worst = math.Max(r.Worst, math.Abs(e))
 	}
-	answered := float64(got.Satisfied) / float64(max(1, got.Sent))
-	add("satisfied", 1-want.Nacked-want.Aborted, answered)
-	add("gain in time", want.ValueShare, got.Value)
-	add("p50 ms", 1000*want.P50, float64(got.P50.Microseconds())/1000)
-	add("p99 ms", 1000*want.P99, float64(got.P99.Microseconds())/1000)
+	answered := float64(measured.Satisfied) / float64(max(1, measured.Sent))
+	add("satisfied", 1-predicted.Nacked-predicted.Aborted, answered)
+	add("gain in time", predicted.ValueShare, measured.Value)
+	add("p50 ms", 1000*predicted.P50, float64(measured.P50.Microseconds())/1000)
+	add("p99 ms", 1000*predicted.P99, float64(measured.P99.Microseconds())/1000)
 	return r, nil
 }
 
 // runOnSockets plays a setting on sockets: real aggregators, stand-ins for the rest.
-func runOnSockets(ctx context.Context, s Scenario) (t fakes.Tally, err error) {
-	site := fakes.Site{Zones: s.Site.Locations, Cells: s.Site.Cells, Width: s.Site.Width, Shards: s.Site.Shards, Aggregators: s.Site.Aggregators}
+func runOnSockets(ctx context.Context, scenario Scenario) (tally fakes.Tally, err error) {
+	site := fakes.Site{Zones: scenario.Site.Locations, Cells: scenario.Site.Cells, Width: scenario.Site.Width, Shards: scenario.Site.Shards, Aggregators: scenario.Site.Aggregators}
 	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Fingerprinted: "by_key", policy.OnceOnly: "once"}
-	for _, x := range s.Site.Indexes {
-		site.Indexes = append(site.Indexes, fakes.Index{Name: x.Name, Effect: effects[x.Effect], Soft: x.Soft, Hard: x.Hard, Value: x.Value})
+	for _, index := range scenario.Site.Indexes {
+		site.Indexes = append(site.Indexes, fakes.Index{Name: index.Name, Effect: effects[index.Effect], Soft: index.Soft, Hard: index.Hard, Value: index.Value})
 	}
 	register, err := fakes.NewRegister()
 	if err != nil {
-		return t, err
+		return tally, err
 	}
 	defer register.Close()
-	for _, x := range s.Site.Backends {
-		service := time.Duration(s.Site.Indexes[0].Work / x.Speed * float64(time.Second))
-		h, err := fakes.NewBackend(x.Name, x.Location, x.Cell, x.Cores, service)
+	for _, index := range scenario.Site.Backends {
+		service := time.Duration(scenario.Site.Indexes[0].Work / index.Speed * float64(time.Second))
+		backend, err := fakes.NewBackend(index.Name, index.Location, index.Cell, index.Cores, service)
 		if err != nil {
-			return t, err
+			return tally, err
 		}
-		defer h.Kill()
-		register.Set(h.Entry("SERVING", true))
+		defer backend.Kill()
+		register.Set(backend.Entry("SERVING", true))
 	}
-	load := &fakes.Load{Site: site, PerS: s.Workload.PerS, Popular: s.Workload.Popular, Retries: s.Site.Retries, Backoff: time.Duration(s.Site.Backoff * float64(time.Second))}
-	for _, m := range s.Workload.Mix {
-		x := s.Site.Indexes[m.Index]
-		load.Mixes = append(load.Mixes, fakes.Mix{Index: x.Name, Share: m.Fraction, Subqueries: m.Subqueries, Deadline: time.Duration(x.Hard * float64(time.Second)),
-			Soft: time.Duration(x.Soft * float64(time.Second)), Value: x.Value})
+	load := &fakes.Load{Site: site, PerS: scenario.Workload.PerS, Popular: scenario.Workload.Popular, Retries: scenario.Site.Retries, Backoff: time.Duration(scenario.Site.Backoff * float64(time.Second))}
+	for _, mix := range scenario.Workload.Mix {
+		index := scenario.Site.Indexes[mix.Index]
+		load.Mixes = append(load.Mixes, fakes.Mix{Index: index.Name, Share: mix.Fraction, Subqueries: mix.Subqueries, Deadline: time.Duration(index.Hard * float64(time.Second)),
+			Soft: time.Duration(index.Soft * float64(time.Second)), Value: index.Value})
 	}
-	for i := range s.Site.Aggregators {
+	for i := range scenario.Site.Aggregators {
 		address, err := fakes.FreeAddress()
 		if err != nil {
-			return t, err
+			return tally, err
 		}
 		n, err := node.StartText(ctx, site.Config(fmt.Sprint("n", i+1), address, register, i), operatorfile.Defaults(), zap.NewNop(), counters.New())
 		if err != nil {
-			return t, err
+			return tally, err
 		}
 		defer n.Stop()
 		load.Aggregators = append(load.Aggregators, address)
@@ -261,14 +261,14 @@
 	}
 	pause(2) // windows and latencies are learnt
 	load.Take()
-	pause(s.Seconds)
-	t = load.Take()
+	pause(scenario.Seconds)
+	tally = load.Take()
 	load.Stop()
 	rest := load.Take() // what was due then
 	// Queries that were due then are few against the others, and their gain is left out.
-	t.Add(rest)
-	t.Sent = t.Satisfied + t.Nacked + t.Aborted + t.Lost
-	return t, ctx.Err()
+	tally.Add(rest)
+	tally.Sent = tally.Satisfied + tally.Nacked + tally.Aborted + tally.Lost
+	return tally, ctx.Err()
 }
 
 // Print shows results, the worst first among the known and among the drawn ones.
