--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -154,18 +154,14 @@
 	s.out.Write(b)
 }
 
+// readEvent takes one line of a batch: it chooses the instance that the next lines are for, takes a list, or adds an event
+// to the chosen instance's batch.
 func (s *server) readEvent(now float64) error {
 	line := fields{rest: s.line}
 	name := string(line.next("message name"))
 	switch name {
 	case "ON":
-		number := line.integer("mixerId")
-		target := s.instances[number]
-		if target == nil {
-			target = &instance{no: number}
-			s.instances[number] = target
-		}
-		s.current = target
+		s.selectInstance(line.integer("mixerId"))
 		return line.done()
 	case "PAGE":
 		return s.readList(&line)
@@ -181,50 +177,56 @@
 		target.hasEvents = true
 		s.active = append(s.active, target)
 	}
-	var event policy.Event
 	switch name {
 	case "SPAWN":
-		seed := line.unsigned("rngSeed")
-		if line.err != nil {
-			return line.err
-		}
-		set, err := settings.Read(seed, line.rest)
-		if err != nil {
-			return err
-		}
-		target.aggregator, target.events = policy.New(set.Settings, now), target.events[:0]
-		return nil
+		return target.spawn(&line, now)
 	case "HALT":
 		target.aggregator, target.events = nil, target.events[:0]
 		return line.done()
+	}
+	var event policy.Event
+	if err := s.decodeEvent(name, &line, &event); err != nil {
+		return err
+	}
+	if err := line.done(); err != nil {
+		return err
+	}
+	target.events = append(target.events, event)
+	return nil
+}
+
+// selectInstance makes an instance the one that the next lines are for.
+func (s *server) selectInstance(number int64) {
+	target := s.instances[number]
+	if target == nil {
+		target = &instance{no: number}
+		s.instances[number] = target
+	}
+	s.current = target
+}
+
+// spawn starts the instance's module anew, by the settings that the rest of the line holds.
+func (h *instance) spawn(line *fields, now float64) error {
+	seed := line.unsigned("rngSeed")
+	if line.err != nil {
+		return line.err
+	}
+	set, err := settings.Read(seed, line.rest)
+	if err != nil {
+		return err
+	}
+	h.aggregator, h.events = policy.New(set.Settings, now), h.events[:0]
+	return nil
+}
+
+// decodeEvent reads the values of an event's line. Mistakes in values are kept by line; the error says that there is no
+// such message.
+func (s *server) decodeEvent(name string, line *fields, event *policy.Event) error {
+	switch name {
 	case "BACKENDS_CHANGED":
-		page, _, kind := line.next("setId"), line.next("epoch"), line.next("kind")
-		known := false
-		if event.List, known = listKinds[string(kind)]; !known {
-			line.fail("kind", "patch, whole, stale_copy or broken", kind)
-		}
-		event.Kind = policy.ListChanged
-		if event.List != policy.ListFailed {
-			if number, err := strconv.Atoi(string(page)); err != nil || number < 0 || number >= len(s.lists) {
-				line.fail("setId", "0 to 15", page)
-			} else {
-				event.Entries = s.lists[number]
-			}
-		}
+		s.decodeListChange(line, event)
 	case "REQUEST":
-		id := line.unsigned("req")
-		event.Index, event.Customer = policy.IndexID(line.integer("cls")), policy.CustomerID(line.optional("owner"))
-		event.Key, event.HasKey = line.hex("object")
-		event.Remaining, event.Hint = line.number("timeBudgetS"), line.optional("costS")
-		event.No = policy.QueryNo(line.integer("queryNo"))
-		shard, amount := line.integer("shard"), line.number("amount")
-		event.Resent = line.optional("resent") != 0
-		line.optional("isWrite")
-		if shard < 0 {
-			event.Kind, event.Query, event.Subqueries = policy.QueryReceived, policy.QueryID(id), int(amount)
-		} else {
-			event.Kind, event.Subquery, event.Shard, event.Weight = policy.SubqueryReceived, policy.SubqueryID(id), policy.ShardID(shard), amount
-		}
+		decodeQuery(line, event)
 	case "ESTABLISHED":
 		event.Kind, event.Subquery, event.Backend = policy.CallBegan, policy.SubqueryID(line.unsigned("req")), line.backend()
 		event.Call, event.Elapsed = policy.CallNo(line.integer("copy")), line.number("costTimeS")
@@ -246,13 +248,44 @@
 	default:
 		return malformed("unknown message %q", name)
 	}
-	if err := line.done(); err != nil {
-		return err
-	}
-	target.events = append(target.events, event)
 	return nil
 }
 
+// decodeListChange reads which kind of change it is, and takes the entries of the list that was sent before under its
+// number.
+func (s *server) decodeListChange(line *fields, event *policy.Event) {
+	page, _, kind := line.next("setId"), line.next("epoch"), line.next("kind")
+	known := false
+	if event.List, known = listKinds[string(kind)]; !known {
+		line.fail("kind", "patch, whole, stale_copy or broken", kind)
+	}
+	event.Kind = policy.ListChanged
+	if event.List != policy.ListFailed {
+		if number, err := strconv.Atoi(string(page)); err != nil || number < 0 || number >= len(s.lists) {
+			line.fail("setId", "0 to 15", page)
+		} else {
+			event.Entries = s.lists[number]
+		}
+	}
+}
+
+// decodeQuery reads a query, or one of its subqueries where the line names a shard.
+func decodeQuery(line *fields, event *policy.Event) {
+	id := line.unsigned("req")
+	event.Index, event.Customer = policy.IndexID(line.integer("cls")), policy.CustomerID(line.optional("owner"))
+	event.Key, event.HasKey = line.hex("object")
+	event.Remaining, event.Hint = line.number("timeBudgetS"), line.optional("costS")
+	event.No = policy.QueryNo(line.integer("queryNo"))
+	shard, amount := line.integer("shard"), line.number("amount")
+	event.Resent = line.optional("resent") != 0
+	line.optional("isWrite")
+	if shard < 0 {
+		event.Kind, event.Query, event.Subqueries = policy.QueryReceived, policy.QueryID(id), int(amount)
+	} else {
+		event.Kind, event.Subquery, event.Shard, event.Weight = policy.SubqueryReceived, policy.SubqueryID(id), policy.ShardID(shard), amount
+	}
+}
+
 func (s *server) readList(f *fields) error {
 	number, n := f.integer("setId"), f.integer("membersList")
 	if err := f.done(); err != nil {
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -67,6 +67,21 @@
 		report("%d cells of width %d with %d shards and %d mixers: expected at least one of each, and a width of no more than the cells", site.Cells, site.Width, site.Shards, site.Aggregators)
 		return DescriptionError(strings.Join(mistakes, "\n"))
 	}
+	site.checkBackends(report)
+	for _, shard := range site.unowned() {
+		if shard < site.Cells && !lost { // the others are held by the same cells
+			report("shard %d has no holder: put a searcher into one of the cells %d to %d", shard, shard, (shard+site.Width-1)%site.Cells)
+		}
+	}
+	site.checkIndexes(report)
+	if len(mistakes) > 0 {
+		return DescriptionError(strings.Join(mistakes, "\n"))
+	}
+	return nil
+}
+
+// checkBackends reports the mistakes in single backends.
+func (site *Site) checkBackends(report func(format string, args ...any)) {
 	names := map[string]bool{}
 	for _, backend := range site.Backends {
 		if names[backend.Name] || backend.Name == "" {
@@ -83,11 +98,10 @@
 			report("searcher %s is of cell %d: expected 0 to %d", backend.Name, backend.Cell, site.Cells-1)
 		}
 	}
-	for _, backend := range site.unowned() {
-		if backend < site.Cells && !lost { // the others are held by the same cells
-			report("shard %d has no holder: put a searcher into one of the cells %d to %d", backend, backend, (backend+site.Width-1)%site.Cells)
-		}
-	}
+}
+
+// checkIndexes reports the mistakes in indexes, the first of each.
+func (site *Site) checkIndexes(report func(format string, args ...any)) {
 	seen := map[string]bool{}
 	for _, index := range site.Indexes {
 		switch {
@@ -113,10 +127,6 @@
 	if len(site.Indexes) == 0 {
 		report("expected at least one index")
 	}
-	if len(mistakes) > 0 {
-		return DescriptionError(strings.Join(mistakes, "\n"))
-	}
-	return nil
 }
 
 // unowned lists the shards that no backend holds.
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -59,19 +59,10 @@
 
 // Scenarios are the ones that are always played, and so many that a seed draws.
 func Scenarios(blind int, seed uint64, seconds float64) (list []Scenario) {
-	base := func(name string) Scenario {
-		f := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, Step: 0.005, Network: loopbackDelay, MaxAttempts: 3, Multiplex: 100,
-			Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99},
-				{Name: "orders", Effect: policy.OnceOnly, Soft: 0.5, Hard: 2, Value: 3, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99}}}
-		for i := range 6 {
-			f.Backends = append(f.Backends, plan.Backend{Name: fmt.Sprint("s-", i+1), Location: f.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
-		}
-		return Scenario{Name: name, Site: f, Workload: plan.Workload{PerS: 100, Mix: []plan.Share{{Index: 0, Fraction: 0.9, Subqueries: 4}, {Index: 1, Fraction: 0.1, Subqueries: 2}}}, Seconds: seconds}
-	}
 	add := func(name string, change func(*Scenario)) {
-		s := base(name)
-		change(&s)
-		list = append(list, s)
+		scenario := baseScenario(name, seconds)
+		change(&scenario)
+		list = append(list, scenario)
 	}
 	// Six backends of four cores and 10 ms a part bear 2,400 parts a second: some 630 queries of 3.8 parts.
 	add("low load", func(s *Scenario) { s.Workload.PerS = 60 })
@@ -126,6 +117,22 @@
 	})
 	add("too much", func(s *Scenario) { s.Workload.PerS = 850 })
 	add("too much, clients come back", func(s *Scenario) { s.Workload.PerS = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
+	return append(list, drawnScenarios(blind, seed, seconds)...)
+}
+
+// baseScenario is the one that all others change.
+func baseScenario(name string, seconds float64) Scenario {
+	site := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, Step: 0.005, Network: loopbackDelay, MaxAttempts: 3, Multiplex: 100,
+		Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99},
+			{Name: "orders", Effect: policy.OnceOnly, Soft: 0.5, Hard: 2, Value: 3, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99}}}
+	for i := range 6 {
+		site.Backends = append(site.Backends, plan.Backend{Name: fmt.Sprint("s-", i+1), Location: site.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
+	}
+	return Scenario{Name: name, Site: site, Workload: plan.Workload{PerS: 100, Mix: []plan.Share{{Index: 0, Fraction: 0.9, Subqueries: 4}, {Index: 1, Fraction: 0.1, Subqueries: 2}}}, Seconds: seconds}
+}
+
+// drawnScenarios are so many that a seed draws.
+func drawnScenarios(count int, seed uint64, seconds float64) (list []Scenario) {
 	state := seed
 	unit := func() float64 { // splitmix64
 		state += 0x9e3779b97f4a7c15
@@ -133,8 +140,8 @@
 		z = (z ^ z>>27) * 0x94d049bb133111eb
 		return float64(z^z>>31) / (1 << 64)
 	}
-	for n := range blind {
-		s := base(fmt.Sprintf("drawn %d", n+1))
+	for n := range count {
+		s := baseScenario(fmt.Sprintf("drawn %d", n+1), seconds)
 		s.Blind = true
 		work := 0.005 + 0.02*unit()
 		for i := range s.Site.Indexes {
@@ -225,9 +232,9 @@
 		return tally, err
 	}
 	defer register.Close()
-	for _, index := range scenario.Site.Backends {
-		service := time.Duration(scenario.Site.Indexes[0].Work / index.Speed * float64(time.Second))
-		backend, err := fakes.NewBackend(index.Name, index.Location, index.Cell, index.Cores, service)
+	for _, described := range scenario.Site.Backends {
+		service := time.Duration(scenario.Site.Indexes[0].Work / described.Speed * float64(time.Second))
+		backend, err := fakes.NewBackend(described.Name, described.Location, described.Cell, described.Cores, service)
 		if err != nil {
 			return tally, err
 		}
