--- /dev/null
+++ b/cmd/puffinlink/planbuy.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"fmt"
+	"strconv"
+
+	"puffinlink.example/puffinlink/internal/tools/plan"
+)
+
+type planBuyCommand struct {
+	planOptions
+	Spare int `long:"spare" value-name:"NUMBER" description:"Searchers that may be lost besides a location."`
+	Most  int `long:"most" value-name:"NUMBER" default:"100" description:"That may stand in one location."`
+}
+
+// Execute implements flags.Commander.
+func (c *planBuyCommand) Execute([]string) error {
+	input, err := c.load()
+	if err != nil {
+		return err
+	}
+	breaks, err := plan.Break(&input.fleet, &input.load, c.Seed, nil)
+	if err != nil {
+		return err
+	}
+	breakingLoad := input.load.Scaled(breaks.PerS / input.load.PerS)
+	outcome := plan.Emulate(&input.fleet, &breakingLoad, c.Seed, 0)
+	busyCores, cores := 0.0, 0.0
+	for i, backend := range input.fleet.Backends {
+		busyCores, cores = busyCores+outcome.Use[i]*float64(backend.Cores), cores+float64(backend.Cores)
+	}
+	demand := busyCores / breaks.PerS * input.load.PerS
+	offers := c.offers(&input.fleet, busyCores/cores)
+	purchase, err := plan.Fewest(offers, demand, c.Spare)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return printJSON(map[string]any{"offers": offers, "buy": purchase, "demand_cores": demand, "notes": input.notes})
+	}
+	printNotes(input.notes)
+	fmt.Fprintf(stdout, "%.1f cores of work a second at %.0f lookups a second; the goals break at a use of %.0f%%\n", demand, input.load.PerS, 100*busyCores/cores)
+	rows := [][]string{}
+	for i, offer := range offers {
+		rows = append(rows, []string{offer.Location, strconv.Itoa(purchase.Counts[i]), fmt.Sprintf("%.4g", offer.Price)})
+	}
+	table(stdout, "LOCATION SEARCHERS PRICE-EACH", rows)
+	fmt.Fprintf(stdout, "price %.4g; no purchase costs less than %.4g\n", purchase.Price, purchase.Bound)
+	return nil
+}
+
+// offers are the backends that can be bought: in each location one like its first. A backend's cores can be used up to the share usable
+// before the goals break.
+func (c *planBuyCommand) offers(fleet *plan.Site, usable float64) []plan.Offer {
+	var offers []plan.Offer
+	for _, location := range fleet.Locations {
+		for _, backend := range fleet.Backends {
+			if backend.Location == location {
+				offers = append(offers, plan.Offer{Location: location, Price: max(backend.Price, 1e-9), Capacity: usable * float64(backend.Cores), Most: c.Most})
+				break
+			}
+		}
+	}
+	return offers
+}
--- /dev/null
+++ b/cmd/puffinlink/plancompare.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"fmt"
+
+	"puffinlink.example/puffinlink/internal/tools/plan"
+)
+
+type planCompareCommand struct {
+	planOptions
+	OtherCapture string `long:"other-capture" value-name:"STRING" description:"The other capture; the same one where it is not stated."`
+	Second       struct {
+		Other string `positional-arg-name:"other" description:"The fleet to compare with."`
+	} `positional-args:"yes" required:"yes"`
+}
+
+// side is one side of a comparison.
+type planComparison struct {
+	Fleet            string  `json:"fleet"`
+	QueriesPerSecond float64 `json:"lookups_per_s"`
+	InTime           float64 `json:"share_of_gain_in_time"`
+	Nacked           float64 `json:"nacked"`
+	P50              float64 `json:"p50_s"`
+	P99              float64 `json:"p99_s"`
+	Use              float64 `json:"use_of_hottest"`
+	Breaks           float64 `json:"breaks_at_per_s"`
+	Worst            string  `json:"worst_location"`
+	WorstInTime      float64 `json:"in_time_with_it_lost"`
+	Price            float64 `json:"price"`
+	Note             string  `json:"note,omitempty"`
+}
+
+// evaluate plays one side of a comparison: the fleet as it is, with each location lost, and at its breaking load.
+func (p *planOptions) evaluate() (result planComparison, err error) {
+	input, err := p.load()
+	if err != nil {
+		return result, err
+	}
+	outcome := plan.Emulate(&input.fleet, &input.load, p.Seed, 0)
+	result = planComparison{
+		Fleet: p.Arguments.Fleet, QueriesPerSecond: input.load.PerS, InTime: outcome.Gain, Nacked: outcome.Nacked, P50: outcome.P50, P99: outcome.P99,
+		Use: outcome.Use[outcome.Hottest], WorstInTime: 1,
+	}
+	for _, backend := range input.fleet.Backends {
+		result.Price += backend.Price
+	}
+	for _, location := range input.fleet.Locations {
+		left, _ := input.fleet.Without(location)
+		if len(left.Backends) == 0 || len(left.Backends) == len(input.fleet.Backends) {
+			continue
+		}
+		if lost := plan.Emulate(&left, &input.load, p.Seed, 0); lost.Gain <= result.WorstInTime {
+			result.Worst, result.WorstInTime = location, lost.Gain
+		}
+	}
+	breaks, err := plan.Break(&input.fleet, &input.load, p.Seed, nil)
+	if result.Breaks = breaks.PerS; err != nil {
+		result.Note = err.Error()
+	}
+	return result, nil
+}
+
+// Execute implements flags.Commander.
+func (c *planCompareCommand) Execute([]string) error {
+	other := c.planOptions
+	if other.Arguments.Fleet = c.Second.Other; c.OtherCapture != "" {
+		other.Capture = c.OtherCapture
+	}
+	var sides []planComparison
+	for _, p := range []planOptions{c.planOptions, other} {
+		s, err := p.evaluate()
+		if err != nil {
+			return err
+		}
+		sides = append(sides, s)
+	}
+	if c.JSON {
+		return printJSON(sides)
+	}
+	rows := [][]string{}
+	for _, s := range sides {
+		rows = append(rows, []string{s.Fleet, fmt.Sprintf("%.1f", s.QueriesPerSecond), fmt.Sprintf("%.3f", s.InTime), fmt.Sprintf("%.3f", s.Nacked), formatMilliseconds(s.P50), formatMilliseconds(s.P99),
+			fmt.Sprintf("%.0f%%", 100*s.Use), fmt.Sprintf("%.0f", s.Breaks), fmt.Sprintf("%s %.3f", s.Worst, s.WorstInTime), fmt.Sprintf("%.4g", s.Price)})
+	}
+	table(stdout, "FLEET LOOKUPS/S IN-TIME NACKED P50 P99 USE BREAKS-AT WORST-LOCATION-LOST PRICE", rows)
+	for _, s := range sides {
+		if s.Note != "" {
+			fmt.Fprintln(stdout, "note:", s.Fleet+":", s.Note)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/puffinlink/planvalidate.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+
+	"puffinlink.example/puffinlink/internal/tools/validate"
+)
+
+type planValidateCommand struct {
+	Seconds float64 `long:"seconds" value-name:"NUMBER" default:"10" description:"That each setting is played, after 2 s to learn."`
+	Drawn   int     `long:"drawn" value-name:"NUMBER" default:"4" description:"Settings that a seed draws, beside the known ones."`
+	Seed    uint64  `long:"seed" value-name:"NUMBER" default:"1" description:"Of the drawn ones."`
+	Only    string  `long:"only" value-name:"STRING" description:"The setting of this name alone."`
+	JSON    bool    `long:"json" description:"As JSON."`
+}
+
+// Execute implements flags.Commander.
+func (c *planValidateCommand) Execute([]string) error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
+	defer stop()
+	var results []validate.Result
+	machine := validate.Measure()
+	fmt.Fprintf(stderr, "sleeps take %.2f ms longer than asked here, one alone %.2f: added to the work of parts, and to mixers' steps\n", 1000*machine.Work, 1000*machine.Step)
+	for _, setting := range validate.Settings(c.Drawn, c.Seed, c.Seconds) {
+		if c.Only != "" && setting.Name != c.Only {
+			continue
+		}
+		fmt.Fprintln(stderr, "playing", setting.Name)
+		result, err := validate.Play(ctx, setting, machine, c.Seed)
+		if err != nil {
+			return err
+		}
+		results = append(results, result)
+	}
+	if c.JSON {
+		return printJSON(results)
+	}
+	validate.Print(stdout, results)
+	return nil
+}
