--- a/internal/systemtest/mixedversions_test.go
+++ b/internal/systemtest/mixedversions_test.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -131,22 +130,7 @@
 func TestMixedVersions(t *testing.T) {
 	t.Parallel()
 	logBuilds(t)
-	outcomes := make([]outcome, len(mixedScenarios))
-	var all sync.WaitGroup
-	for i, sc := range mixedScenarios {
-		folder := scenarioFolder(t, sc.name)
-		all.Go(func() { outcomes[i] = sc.run(folder) })
-	}
-	all.Wait()
-	for i, sc := range mixedScenarios {
-		result := outcomes[i]
-		t.Logf("%s: %d jobs accepted, %v, seen %+v", sc.name, result.accepted, result.took, result.seen)
-		Convey("No rule is broken: "+sc.name, t, func() {
-			So(result.failures, ShouldBeEmpty)
-			So(result.violations, ShouldBeEmpty)
-			So(result.accepted, ShouldBeGreaterThan, 0)
-		})
-	}
+	runScenarios(t, mixedScenarios, len(mixedScenarios), "No rule is broken: ")
 }
 
 const upgradeTimeout = 3 * time.Minute
@@ -158,10 +142,10 @@
 	*system
 	random       *rand.Rand
 	jobs         []jobPlan
-	statesBefore map[string]string // states of the jobs when the other build was told to stop, by identifier
+	statesBefore map[string]string // states of the jobs when the other build was asked to shut down, by identifier
 }
 
-// TestUpgradeKeepsState starts a whole system on the other build, hands work in, stops all of it, starts this build
+// TestUpgradeKeepsState starts a whole system on the other build, submits jobs, stops all of it, starts this build
 // on the same disks, and compares what is known.
 func TestUpgradeKeepsState(t *testing.T) {
 	t.Parallel()
@@ -171,7 +155,7 @@
 	failure := u.run(ctx)
 	s.stop()
 	t.Logf("states before: %v", u.statesBefore)
-	Convey("What was known before is known after", t, func() {
+	Convey("Jobs, configuration and drained workers survive the upgrade", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
@@ -217,7 +201,7 @@
 	return u.check(ctx)
 }
 
-// submitJobs hands in two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
+// submitJobs submits two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
 func (u *upgrade) submitJobs(ctx context.Context) error {
 	for kind := range jobKinds {
 		for _, route := range []routePlan{renderRoute, mailRoute} {
@@ -225,10 +209,9 @@
 			if kind == scheduledJob { // some repetitions are due after the change only
 				plan.body.Repetitions, plan.body.IntervalMS = 4, 6000
 			}
-			u.plans.add(plan)
 			u.jobs = append(u.jobs, plan)
-			if _, err := u.retryUntil(ctx, u.random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
-				return fmt.Errorf("job %s was not accepted: %w", plan.id, err)
+			if err := u.submit(ctx, u.random, plan); err != nil {
+				return err
 			}
 			if kind == cancelledJob {
 				u.cancel(ctx, u.random, plan.path())
@@ -238,8 +221,6 @@
 	return sleep(ctx, 2*time.Second)
 }
 
-func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
-
 // recordStates asks for all jobs' states.
 func (u *upgrade) recordStates(ctx context.Context) error {
 	for _, plan := range u.jobs {
@@ -289,13 +270,7 @@
 	return nil
 }
 
-func stateOf(answer []byte) string {
-	var content struct{ State string }
-	json.Unmarshal(answer, &content)
-	return content.State
-}
-
-// stopAll stops all machines in order, the fronts first.
+// stopAll stops all machines gracefully, the fronts first.
 func (u *upgrade) stopAll() {
 	for _, machines := range [][]*machine{u.fronts, u.core} {
 		var all sync.WaitGroup
@@ -322,18 +297,10 @@
 
 // restartAll starts all machines on the disks that they have.
 func (u *upgrade) restartAll() error {
-	failures := make(chan error)
-	for _, m := range u.machines() {
-		go func() { failures <- m.restart(true) }()
-	}
-	var joined error
-	for range u.machines() {
-		joined = errors.Join(joined, <-failures)
-	}
-	return joined
+	return u.onAllMachines(func(m *machine) error { return m.restart(true) })
 }
 
-// check compares what is known now with what was known before, lets the jobs end, and hands in a further one.
+// check compares the state after the upgrade with that before, waits for the jobs' ends, and submits a further one.
 func (u *upgrade) check(ctx context.Context) error {
 	for _, core := range u.core {
 		if err := u.awaitVersion(ctx, core); err != nil {
@@ -352,8 +319,7 @@
 		}
 	}
 	further := newJobPlan(u.random, plainJob, renderRoute)
-	u.plans.add(further)
-	if _, err := u.retryUntil(ctx, u.random, http.MethodPost, further.path(), further.encode(), isSuccess); err != nil {
+	if err := u.submit(ctx, u.random, further); err != nil {
 		return err
 	}
 	return u.awaitState(ctx, further, "completed")
@@ -376,7 +342,7 @@
 	}
 }
 
-// checkJob checks that a job has not gone back in its life, and goes on to the end that it should have.
+// checkJob checks that a job's state has not gone back, and that it reaches the final state that it should.
 func (u *upgrade) checkJob(ctx context.Context, plan jobPlan) error {
 	answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isDefinite)
 	if err != nil || answer.Status != http.StatusOK {
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), childVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
+	command.Env = append(os.Environ(), childSpecVariable+"="+string(text), "GOMAXPROCS=2", "GORACE=halt_on_error=1")
 	return command, nil
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// endProcess ends the process by a signal and waits for that.
+// end ends the process by a signal and waits for that.
 func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	if p.command == nil {
@@ -126,6 +126,13 @@
 	p.command = nil
 }
 
+// terminate asks the process to shut down, kills it after a grace period, and waits for its end.
+func (p *process) terminate(grace time.Duration) {
+	force := time.AfterFunc(grace, func() { p.signal(syscall.SIGKILL) })
+	defer force.Stop()
+	p.end(syscall.SIGTERM)
+}
+
 // pid is the process's number; 0 while there is none.
 func (p *process) pid() int {
 	p.mu.Lock()
@@ -142,8 +149,8 @@
 	defer p.mu.Unlock()
 	log, err := os.ReadFile(p.log.Name())
 	if err == nil {
-		for _, mark := range []string{"WARNING: DATA RACE", "panic:", "part failed:"} {
-			if at := strings.Index(string(log), mark); at >= 0 {
+		for _, marker := range []string{"WARNING: DATA RACE", "panic:", "part failed:"} {
+			if at := strings.Index(string(log), marker); at >= 0 {
 				err = errors.Join(err, fmt.Errorf("%s: %s", p.name, string(log[at:min(at+3000, len(log))])))
 			}
 		}
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -96,7 +95,7 @@
 		return nil, err
 	}
 	s.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		HoldMax: maxLease, GangWait: gangWait, StopTime: stopTime, SaveEvery: checkpointInterval, Restore: restoreTime, Describe: s.plans.describe,
+		LeaseMax: maxLease, GangWait: gangWait, StopTime: stopTime, SaveEvery: checkpointInterval, Restore: restoreTime, Describe: s.plans.describe,
 	})
 	if err := s.addSurroundings(of); err != nil {
 		return nil, err
@@ -121,14 +120,10 @@
 
 func (s *system) addMachines(of size) error {
 	for i := range coreMachines {
-		m, err := s.newMachine(fmt.Sprintf("core-%d", i+1))
+		m, err := s.newCoreMachine(fmt.Sprintf("core-%d", i+1))
 		if err != nil {
 			return err
 		}
-		m.dataDirectory = filepath.Join(s.folder, m.name, "data")
-		if err := os.Mkdir(m.dataDirectory, 0o755); err != nil {
-			return err
-		}
 		s.core = append(s.core, m)
 	}
 	for i := range of.fronts {
@@ -144,10 +139,7 @@
 func (s *system) addProcesses() error {
 	var failures []error
 	for _, m := range s.core {
-		failures = append(failures, m.addProcess(childSpec{
-			Role: coordinatorRole, Settings: s.settings(m, true),
-			Primary: m.address(coordinatorOffset + targetPortOffset), Secondary: m.address(controlOffset + targetPortOffset),
-		}, coordinatorOffset, controlOffset))
+		failures = append(failures, m.addCoordinator(true))
 	}
 	for _, m := range s.fronts {
 		failures = append(failures, m.addProcess(childSpec{
@@ -190,9 +182,14 @@
 
 // start starts all machines at once.
 func (s *system) start() error {
+	return s.onAllMachines(func(m *machine) error { return m.startAll(false) })
+}
+
+// onAllMachines does something to all machines at once, and joins the errors.
+func (s *system) onAllMachines(do func(m *machine) error) error {
 	failures := make(chan error)
 	for _, m := range s.machines() {
-		go func() { failures <- m.startAll(false) }()
+		go func() { failures <- do(m) }()
 	}
 	var joined error
 	for range s.machines() {
@@ -220,10 +217,10 @@
 	}
 }
 
-// faultBegan notes that trouble with a machine begins.
+// faultBegan records the begin of a fault of a machine.
 func (s *system) faultBegan(machine string) { s.addFault(checker.Fault{Machine: machine}) }
 
-// workerFaultBegan notes that trouble with a worker begins.
+// workerFaultBegan records the begin of a fault of a worker.
 func (s *system) workerFaultBegan(one *worker) {
 	s.addFault(checker.Fault{Kind: checker.WorkerFault, Machine: one.relay.to})
 }
@@ -235,14 +232,14 @@
 	s.faults = append(s.faults, fault)
 }
 
-// recordAborted notes a client's request that a machine has given up.
+// recordAborted records a client's request that a machine has given up.
 func (s *system) recordAborted(c call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abortedRequests = append(s.abortedRequests, checker.AbortedRequest{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
 }
 
-// faultEnded notes that all trouble with a machine or a worker is over.
+// faultEnded records the end of all faults of a machine or a worker.
 func (s *system) faultEnded(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -253,7 +250,7 @@
 	}
 }
 
-// recordFailure notes that something went wrong with the test itself.
+// recordFailure records that something went wrong with the test itself.
 func (s *system) recordFailure(err error) {
 	if err == nil {
 		return
@@ -263,7 +260,7 @@
 	s.failures = append(s.failures, err)
 }
 
-// bounds are those that the judge holds the system to.
+// bounds are those that the checker holds the system to.
 func (s *system) bounds() checker.Bounds {
 	return checker.Bounds{
 		Contact: 3*time.Second + busySlack, ConfigurationApply: 2*time.Second + busySlack, RollbackSlack: 250*time.Millisecond + busySlack,
@@ -283,8 +280,8 @@
 	for _, m := range s.core {
 		h.Core = append(h.Core, m.name)
 	}
-	for _, life := range s.workerIncarnations {
-		h.Workers = append(h.Workers, life)
+	for _, incarnation := range s.workerIncarnations {
+		h.Workers = append(h.Workers, incarnation)
 	}
 	s.recorder.fill(&h, s.cluster.Runs())
 	return h
--- a/internal/tools/fleettest/brokencopies_test.go
+++ b/internal/tools/fleettest/brokencopies_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The judges are seen to fail on copies of the program with one rule left out. Built and played only where all points are.
+// The checkers report violations on builds of the program with one rule removed. Built and run only where all failpoints are.
 func TestCheckersDetectBrokenBuilds(t *testing.T) {
 	if !allFailpoints {
 		t.Skip("PUFFINLINK_FAILPOINTS_ALL is not set")
@@ -22,7 +22,7 @@
 			stop()
 			over, window := w.Checker.QuotaExcess("acme", 60, 60)
 			if t.Logf("broken %t: %.1f over, %s", binary != "", over, window); (over > 0) != (binary != "") {
-				t.Errorf("broken %t: %.1f lookups over", binary != "", over)
+				t.Errorf("broken %t: %.1f queries over", binary != "", over)
 			}
 		}
 	})
@@ -32,18 +32,18 @@
 			Binary: BuildModified(t, "internal/controlplane/fleet/residency/residency.go", "			p.Held = false\n", "")})
 		alone := w.Aggregators[(w.awaitGranter().index+1)%3]
 		stop := w.Load(100, "cato", "reads", w.RoundRobin)
-		w.Await("it is served", func() bool { status, _ := w.Query(alone, "cato", "reads", 0, 1); return status == 200 })
+		w.Await("it is served", func() bool { return w.isServed(alone, "cato") })
 		w.Partition(alone.index)
 		version, err := w.Leader().Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"b"}}})
 		w.must(err)
-		w.Await("told", func() bool { held, _ := w.Leader().ContractApplied(version, "cato"); return held })
+		w.Await("told", func() bool { applied, _ := w.Leader().ContractApplied(version, "cato"); return applied })
 		w.Checker.RequireZones("cato", "b")
 		time.Sleep(time.Second)
 		stop()
 		if wrong := w.Checker.ContractViolations(); len(wrong) == 0 {
 			t.Error("nobody saw it")
 		} else {
-			t.Logf("%d part calls outside, the first: %s", len(wrong), wrong[0])
+			t.Logf("%d subqueries outside, the first: %s", len(wrong), wrong[0])
 		}
 	})
 	t.Run("a judgement of one sick witness", func(t *testing.T) {
