--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -26,9 +26,9 @@
 // backend or a call to it is out.
 type BackendCalls struct {
 	name, location string
-	out            int
+	inFlight       int
 	rows           []*BackendLoad // by index; nil where nothing came
-	unnamed        bool
+	removed        bool
 }
 
 // Recorder counts one aggregator's load. One goroutine alone uses it.
@@ -40,7 +40,7 @@
 	from            float64
 	loads           [][]Load // by index and customer
 	parts           []map[int]int64
-	latency         []Hist
+	latency         []Histogram
 	shards          [][]int64
 	backends        map[policy.BackendID]*BackendCalls
 	rowCount        int
@@ -78,7 +78,7 @@
 
 func (rec *Recorder) clear() {
 	n := len(rec.names.Indexes)
-	rec.loads, rec.parts, rec.latency, rec.shards = make([][]Load, n), make([]map[int]int64, n), make([]Hist, n), make([][]int64, n)
+	rec.loads, rec.parts, rec.latency, rec.shards = make([][]Load, n), make([]map[int]int64, n), make([]Histogram, n), make([][]int64, n)
 	for k := range n {
 		rec.loads[k] = make([]Load, len(rec.names.Customers)+1)
 		rec.parts[k], rec.shards[k] = map[int]int64{}, make([]int64, rec.names.Shards)
@@ -89,13 +89,13 @@
 // BackendAdded notes a backend's name and location.
 func (rec *Recorder) BackendAdded(id policy.BackendID, name, location string) {
 	s := rec.backend(id)
-	s.name, s.location, s.unnamed = name, location, false
+	s.name, s.location, s.removed = name, location, false
 }
 
 // BackendRemoved lets go of a backend that the list no longer names, with the interval in hand.
 func (rec *Recorder) BackendRemoved(id policy.BackendID) {
 	if s := rec.backends[id]; s != nil {
-		s.unnamed = true
+		s.removed = true
 	}
 }
 
@@ -176,8 +176,8 @@
 func (rec *Recorder) CallSent(now float64, id policy.BackendID) (s *BackendCalls, alone bool) {
 	rec.callsInFlight.move(now, 1)
 	s = rec.backend(id)
-	s.out++
-	return s, s.out == 1
+	s.inFlight++
+	return s, s.inFlight == 1
 }
 
 func (rec *Recorder) row(s *BackendCalls, k policy.IndexID) *BackendLoad {
@@ -193,13 +193,13 @@
 // CallEnded counts the end of a part call: its outcome, how long it took, and whether it was alone there when it went.
 func (rec *Recorder) CallEnded(now float64, s *BackendCalls, k policy.IndexID, outcome policy.Outcome, elapsed float64, alone bool, load policy.Load) {
 	rec.callsInFlight.move(now, -1)
-	s.out--
+	s.inFlight--
 	r := rec.row(s, k)
 	r.Calls++
 	switch outcome {
 	case policy.Answered:
-		if r.Latency.of == nil {
-			r.Latency, r.Alone = newHist(1), newHist(1)
+		if r.Latency.histogram == nil {
+			r.Latency, r.Alone = newHistogram(1), newHistogram(1)
 		}
 		r.Latency.Add(elapsed, 1)
 		if alone {
@@ -257,7 +257,7 @@
 				backend.rows[k] = nil
 			}
 		}
-		if backend.unnamed && backend.out == 0 {
+		if backend.removed && backend.inFlight == 0 {
 			delete(rec.backends, id)
 		}
 	}
--- a/internal/operators/capture/load.go
+++ b/internal/operators/capture/load.go
@@ -39,7 +39,7 @@
 type IndexLoad struct {
 	Index   string        `json:"Index"`
 	Parts   map[int]int64 `json:"Parts"`   // queries by their number of parts
-	Latency Hist          `json:"Latency"` // of answered queries
+	Latency Histogram     `json:"Latency"` // of answered queries
 }
 
 // ShardLoad is how often a shard was asked for.
@@ -51,17 +51,17 @@
 
 // BackendLoad is what came of the part calls of one index to one backend.
 type BackendLoad struct {
-	Backend  string  `json:"Searcher"`
-	Location string  `json:"Location"`
-	Index    string  `json:"Index"`
-	Calls    int64   `json:"Calls"`
-	Failed   int64   `json:"Failed"` // errors, broken and lost calls
-	Rejected int64   `json:"TurnedAway"`
-	Latency  Hist    `json:"Latency"`
-	Alone    Hist    `json:"Alone"`   // of calls that found nothing else of this aggregator there: near the work of a part
-	Reports  int64   `json:"Reports"` // load reports heard
-	Service  float64 `json:"Service"` // sum of the service times that they told, seconds
-	Util     float64 `json:"Util"`    // sum of the use that they told
+	Backend  string    `json:"Searcher"`
+	Location string    `json:"Location"`
+	Index    string    `json:"Index"`
+	Calls    int64     `json:"Calls"`
+	Failed   int64     `json:"Failed"` // errors, broken and lost calls
+	Rejected int64     `json:"TurnedAway"`
+	Latency  Histogram `json:"Latency"`
+	Alone    Histogram `json:"Alone"`   // of calls that found nothing else of this aggregator there: near the work of a part
+	Reports  int64     `json:"Reports"` // load reports heard
+	Service  float64   `json:"Service"` // sum of the service times that they told, seconds
+	Util     float64   `json:"Util"`    // sum of the use that they told
 }
 
 // Level is a figure over time.
--- a/internal/operators/capture/merge.go
+++ b/internal/operators/capture/merge.go
@@ -82,43 +82,43 @@
 }
 
 // add sums an interval in. Held and out of several aggregators add up, means weighed by their spans.
-func (i *accumulator) add(o *Interval) {
-	for _, m := range o.Aggregators {
-		if !slices.Contains(i.Aggregators, m) {
-			i.Aggregators = append(i.Aggregators, m)
+func (i *accumulator) add(interval *Interval) {
+	for _, aggregator := range interval.Aggregators {
+		if !slices.Contains(i.Aggregators, aggregator) {
+			i.Aggregators = append(i.Aggregators, aggregator)
 		}
 	}
 	slices.Sort(i.Aggregators)
-	i.InFlight = Level{i.InFlight.Mean + o.InFlight.Mean*o.Span/i.Span, i.InFlight.Most + o.InFlight.Most}
-	i.CallsInFlight = Level{i.CallsInFlight.Mean + o.CallsInFlight.Mean*o.Span/i.Span, i.CallsInFlight.Most + o.CallsInFlight.Most}
-	for _, l := range o.Loads {
-		x := row(&i.Loads, i.loads, [2]string{l.Index, l.Customer}, Load{Index: l.Index, Customer: l.Customer})
-		x.Queries += l.Queries
-		x.Resent += l.Resent
-		x.Parts += l.Parts
-		x.Hint += l.Hint
-		x.Ends.add(l.Ends)
+	i.InFlight = Level{i.InFlight.Mean + interval.InFlight.Mean*interval.Span/i.Span, i.InFlight.Most + interval.InFlight.Most}
+	i.CallsInFlight = Level{i.CallsInFlight.Mean + interval.CallsInFlight.Mean*interval.Span/i.Span, i.CallsInFlight.Most + interval.CallsInFlight.Most}
+	for _, l := range interval.Loads {
+		sum := row(&i.Loads, i.loads, [2]string{l.Index, l.Customer}, Load{Index: l.Index, Customer: l.Customer})
+		sum.Queries += l.Queries
+		sum.Resent += l.Resent
+		sum.Parts += l.Parts
+		sum.Hint += l.Hint
+		sum.Ends.add(l.Ends)
 	}
-	for _, l := range o.Indexes {
-		x := row(&i.Indexes, i.indexes, l.Index, IndexLoad{Index: l.Index, Parts: map[int]int64{}})
+	for _, l := range interval.Indexes {
+		sum := row(&i.Indexes, i.indexes, l.Index, IndexLoad{Index: l.Index, Parts: map[int]int64{}})
 		for parts, queries := range l.Parts {
-			x.Parts[parts] += queries
+			sum.Parts[parts] += queries
 		}
-		x.Latency.Merge(l.Latency)
+		sum.Latency.Merge(l.Latency)
 	}
-	for _, s := range o.Shards {
+	for _, s := range interval.Shards {
 		row(&i.Shards, i.shards, shardKey{s.Index, s.Shard}, ShardLoad{Index: s.Index, Shard: s.Shard}).Parts += s.Parts
 	}
-	for _, s := range o.Backends {
-		x := row(&i.Backends, i.backends, [2]string{s.Backend, s.Index}, BackendLoad{Backend: s.Backend, Location: s.Location, Index: s.Index})
-		x.Calls += s.Calls
-		x.Failed += s.Failed
-		x.Rejected += s.Rejected
-		x.Reports += s.Reports
-		x.Service += s.Service
-		x.Util += s.Util
-		x.Latency.Merge(s.Latency)
-		x.Alone.Merge(s.Alone)
+	for _, s := range interval.Backends {
+		sum := row(&i.Backends, i.backends, [2]string{s.Backend, s.Index}, BackendLoad{Backend: s.Backend, Location: s.Location, Index: s.Index})
+		sum.Calls += s.Calls
+		sum.Failed += s.Failed
+		sum.Rejected += s.Rejected
+		sum.Reports += s.Reports
+		sum.Service += s.Service
+		sum.Util += s.Util
+		sum.Latency.Merge(s.Latency)
+		sum.Alone.Merge(s.Alone)
 	}
 }
 
--- a/internal/operators/capture/stored_test.go
+++ b/internal/operators/capture/stored_test.go
@@ -15,7 +15,7 @@
 	updateVariable = "GOLDEN_UPDATE"        // set to 1, the stored data is made anew
 )
 
-func histogramOf(bars map[float64]int64) (h Hist) {
+func histogramOf(bars map[float64]int64) (h Histogram) {
 	for seconds, count := range bars {
 		h.Add(seconds, count)
 	}
--- a/internal/operators/capture/wire_test.go
+++ b/internal/operators/capture/wire_test.go
@@ -9,11 +9,11 @@
 
 // TestWireForms pins the intervals of a capture's file.
 func TestWireForms(t *testing.T) {
-	var times Hist
+	var times Histogram
 	times.Add(0.002, 3)
 	times.Add(0.25, 1)
 	codec := goldentest.JSON
-	codec.Values = map[reflect.Type]any{reflect.TypeFor[Hist](): times}
+	codec.Values = map[reflect.Type]any{reflect.TypeFor[Histogram](): times}
 	goldentest.Check(t, codec, goldentest.Form{Name: "interval", Value: new(Interval)})
 	goldentest.CheckConstants(t, goldentest.Constant{Have: fileHeader, Want: "puffinlink capture 1\n"})
 }
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -126,7 +126,7 @@
 		if x.Work > 0 {
 			continue
 		}
-		var alone capture.Hist
+		var alone capture.Histogram
 		n := int64(0)
 		for _, s := range c.Backends {
 			if s.Index == x.Name {
@@ -149,7 +149,7 @@
 const quantiles = 41
 
 // shape is the quantiles of some times, less what is no work, against their own mean as they are drawn.
-func shape(h capture.Hist, less float64) (list []float64) {
+func shape(h capture.Histogram, less float64) (list []float64) {
 	sum := 0.0
 	for i := range quantiles {
 		list = append(list, max(0, h.Quantile(float64(i)/(quantiles-1))-less))
