--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -2,7 +2,8 @@
 // and lists go in; a patch for the decision module, and what changed, come out. It does no I/O, has no clock and no
 // goroutine. A command is decided, then kept by whoever keeps it, then applied: between the two nothing has changed.
 //
-// Files: this one holds what goes in and out, decide.go the commands and their guard rails, table.go, members.go and
+// Files: this one holds what goes in and out, decide.go the commands and their guard rails, capacity.go
+// the guard rails of capacity, table.go, members.go and
 // ends.go what is remembered, precedence.go which override stands above which, patch.go the patches, view.go what is shown.
 package override
 
@@ -30,11 +31,13 @@
 
 var kindNames = [...]string{"weight", "out", "pin"}
 
+// String is the kind's name, as commands state it.
 func (k Kind) String() string { return kindNames[k] }
 
 // UnknownKindError is a kind's name that there is not.
 type UnknownKindError string
 
+// Error names the kind and those that there are.
 func (e UnknownKindError) Error() string {
 	return fmt.Sprintf("kind is %q, expected weight, out or pin", string(e))
 }
@@ -108,6 +111,7 @@
 
 var whatNames = [...]string{"set", "cleared", "ended", "restarted"}
 
+// String names what the change did, as changes are shown and counted.
 func (w What) String() string { return whatNames[w] }
 
 // Change is one revision, as it is kept and as it is told to who watches.
@@ -149,6 +153,7 @@
 	Text string // what is wrong, and what was expected
 }
 
+// Error is the code and the text.
 func (r *Refusal) Error() string { return string(r.Code) + ": " + r.Text }
 
 func refuse(code Code, format string, args ...any) error {
