--- a/internal/systemtest/checker/activeconfiguration.go
+++ b/internal/systemtest/checker/activeconfiguration.go
@@ -7,7 +7,7 @@
 
 func version(change *configuration) string { return fmt.Sprintf("version %d", change.Version) }
 
-// routePresence is what a client's answer tells about the configuration in force.
+// routePresence is what a client's answer shows of the active configuration.
 type routePresence uint8
 
 const (
@@ -16,7 +16,7 @@
 	noRoute                // it has none
 )
 
-// routePresenceOf reads a client's answer. A rejected or lost call tells nothing.
+// routePresenceOf reads a client's answer. A rejected or lost call shows nothing.
 func routePresenceOf(request *Request) routePresence {
 	switch {
 	case request.Status == statusNotFound:
@@ -64,7 +64,7 @@
 	number  int
 }
 
-// observedVersion is the lowest version whose effect was seen at a moment.
+// observedVersion is the lowest version whose effect was seen at an instant.
 type observedVersion struct {
 	version int64
 	at      time.Time
--- a/internal/systemtest/checker/answers.go
+++ b/internal/systemtest/checker/answers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// checkJobs checks what clients were told about jobs, and that jobs end.
+// checkJobs checks the answers to clients about jobs, and that jobs end.
 func (c *checker) checkJobs() {
 	for i := range c.Requests {
 		request := &c.Requests[i]
--- a/internal/systemtest/checker/attempts.go
+++ b/internal/systemtest/checker/attempts.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// checkConcurrentAttempts looks for another run of the task at the same time.
+// checkConcurrentAttempts looks for another attempt of the task at the same time.
 func (c *checker) checkConcurrentAttempts(r *attemptRecord) {
 	if r.stage.AtLeastOnce {
 		return
@@ -237,7 +237,7 @@
 	}
 }
 
-// checkCancelled looks for starts and runs after the job's cancellation.
+// checkCancelled looks for attempts that start or run after the job's cancellation.
 func (c *checker) checkCancelled(r *attemptRecord) {
 	if r.job.cancelled.IsZero() || r.Late {
 		return
--- a/internal/systemtest/checker/history.go
+++ b/internal/systemtest/checker/history.go
@@ -1,5 +1,5 @@
 // Package checker checks histories of a running system against its rules. A history holds only what could be seen from
-// outside: the calls of clients and operators, the platform's answers, and what workers were told and did. The package
+// outside: the calls of clients and operators, the platform's answers, and what workers received and did. The package
 // shares no code with the system. Only tests import it.
 package checker
 
@@ -33,7 +33,7 @@
 	Requests         []Request
 	OperatorRequests []OperatorRequest
 	AbortedRequests  []AbortedRequest
-	EndedAt          time.Time // when the load ended; what is asked after it must show jobs that can end as ended
+	EndedAt          time.Time // when the load ended; requests after it must show jobs that can end as ended
 	SeenUntil        time.Time // when the history ends
 }
 
@@ -41,7 +41,7 @@
 type FaultKind uint8
 
 const (
-	// MachineFault is a kill, start, freeze or cut of a machine of the system.
+	// MachineFault is a kill, start, pause or partition of a machine of the system.
 	MachineFault FaultKind = iota
 	// WorkerFault is a crash, silence, late command, drain or loss of a worker.
 	WorkerFault
@@ -63,7 +63,7 @@
 	Accelerators int64 `json:"accelerators"`
 }
 
-// Worker is one incarnation of a worker.
+// Worker is one incarnation of a worker, from its start to its crash.
 type Worker struct {
 	ID       string
 	Service  string
@@ -80,7 +80,7 @@
 	Specification  string
 	Checkpoint     string
 	Late           bool   // carried out after its command had been left unanswered
-	Sender         string // the machine that ordered it; empty where that is not known
+	Sender         string // the machine that sent the command; empty where that is not known
 	StartedAt      time.Time
 	EndedAt        time.Time // the zero time while it runs
 	Outcome        string    // empty while it runs, and when its worker crashed
@@ -93,7 +93,7 @@
 	Text string
 }
 
-// LeaseExpiry is a moment at which nothing was granted to a worker any more.
+// LeaseExpiry is an instant at which a worker's lease ran out.
 type LeaseExpiry struct {
 	Worker string
 	At     time.Time
@@ -101,7 +101,7 @@
 
 // Inventory is an answer of the platform that shows a worker as draining.
 type Inventory struct {
-	Machine  string // that asked
+	Machine  string // that requested it
 	Draining []string
 	At       time.Time
 }
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -110,7 +110,7 @@
 
 func success(status int) bool { return status >= statusOK && status < statusMultiple }
 
-// rejected reports whether a status says that a job was not taken and never runs.
+// rejected reports whether a status says that a job was not accepted and never runs.
 func rejected(status int) bool {
 	return status == statusTooMany || status == statusNoService || status == statusNotFound
 }
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// retryUntil asks one front after the other until an answer serves.
+// retryUntil sends a request to one front after the other until an answer's status is accepted.
 func (s *system) retryUntil(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -116,7 +116,7 @@
 	s.retryUntil(ctx, random, http.MethodDelete, path, nil, func(status int) bool { return status == http.StatusOK || status == http.StatusGone })
 }
 
-// awaitFinalState asks for a job's state until it is final.
+// awaitFinalState polls a job's state until it is final.
 func (s *system) awaitFinalState(ctx context.Context, random *rand.Rand, path string) {
 	ctx, cancel := context.WithTimeout(ctx, completionTimeout)
 	defer cancel()
--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -16,8 +16,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// checkDeliveries holds all answers that core machines gave, also those that nobody got, against each other: a command that
-// was taken is refused nowhere and at no time, and no number is confirmed for two bodies, nor are two bodies on top of
+// checkDeliveries compares all replies of core machines, also the dropped ones, with each other: a command that was accepted
+// is refused nowhere and at no time, and no version is confirmed for two bodies, nor are two bodies on top of
 // one version.
 func checkDeliveries(attempts []delivery) (broken []string) {
 	taken := map[commandKey]delivery{}
@@ -87,7 +87,7 @@
 	return confirmed
 }
 
-// historyOnDisk reads the history of taken changes that an ended core machine's disk holds.
+// historyOnDisk reads the history of applied changes from the disk of a core machine that has ended.
 func historyOnDisk(m *machine) (state configuration.State, err error) {
 	store, _, err := storage.Open(storage.OperatingSystem{}, m.dataDirectory, storage.Options{})
 	if err != nil {
@@ -101,7 +101,7 @@
 	return configuration.DecodeState(value)
 }
 
-// checkAppliedHistory tells what in a history speaks against what was confirmed: it must hold each confirmed change, under its number
+// checkAppliedHistory returns what in a history contradicts the confirmations: it must hold each confirmed change, under its number
 // and on top of its version, and nothing that was refused.
 func checkAppliedHistory(state configuration.State, attempts []delivery) (broken []string) {
 	recorded := map[uint64]configuration.AppliedUpdate{}
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -152,7 +152,7 @@
 	return version
 }
 
-// client submits jobs, and asks and cancels.
+// client submits, polls and cancels jobs.
 type client struct {
 	simulation *simulation
 	random     *rand.Rand
@@ -174,7 +174,7 @@
 	}
 }
 
-// call asks whom an agent names as the leader, or any node, as a proxy with an old feed would.
+// call calls the leader that an agent names, or any node, as a proxy with a stale feed would.
 func (c *client) call(route transport.Route, request, reply any) (member string, err error) {
 	leader := c.simulation.agents[c.random.IntN(agentCount)].currentAgent().Snapshot().Leaders[group]
 	member = leader.Address
@@ -223,7 +223,7 @@
 	}
 }
 
-// pollFeed asks a core node as an agent does, or an agent as its proxy does, and checks what calls itself current.
+// pollFeed polls a core node as an agent does, or an agent as its proxy does, and checks feeds that are marked as current.
 func (w *simulation) pollFeed(ctx context.Context, m *machine) {
 	random := rand.New(rand.NewPCG(w.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
 	route, age := feed.WatchCall.Route(), feedAge
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// slack covers the ways and the gathering of changes between a check and its answer's arrival.
+// slack covers the transfer and the batching of changes between a check and its answer's arrival.
 const slack = 100 * time.Millisecond
 
 const (
@@ -36,7 +36,7 @@
 	epoch  uint64
 }
 
-// checker knows what was promised to whom, and notes what breaks it. Its moments are those of the callers, who know least.
+// checker records what was acknowledged to whom, and the violations. Its instants are those of the callers, who know least.
 type checker struct {
 	mutex        sync.Mutex
 	startedAt    time.Time
@@ -50,7 +50,7 @@
 	terms        map[termKey]*replication.Term
 	ended        map[termKey]time.Time
 	lateCommands []lateCommand
-	tokens       map[string]uint64 // the highest that a worker has taken
+	tokens       map[string]uint64 // the highest that a worker has accepted
 	counts       map[string]int    // what was checked, by kind
 }
 
@@ -76,7 +76,7 @@
 	j.violations = append(j.violations, fmt.Sprintf("at %v: %s", time.Since(j.startedAt).Round(time.Millisecond), text))
 }
 
-// newestBy is the newest version that was acknowledged by a moment. The mutex is held.
+// newestBy is the newest version that was acknowledged by an instant. The mutex is held.
 func (j *checker) newestBy(at time.Time) (newest uint64) {
 	for _, one := range j.acknowledged {
 		if !one.at.After(at) {
@@ -123,7 +123,7 @@
 		return
 	}
 	if newest := j.newestBy(sent); version < newest {
-		j.failf("%s told version %d (status %d), though %d had been acknowledged before it was asked", member, version, status, newest)
+		j.failf("%s answered version %d (status %d), though %d had been acknowledged before the request", member, version, status, newest)
 	}
 }
 
@@ -133,7 +133,7 @@
 	defer j.mutex.Unlock()
 	j.counts["feed of "+member[:4]]++
 	if newest := j.newestBy(sent.Add(-age)); version < newest {
-		j.failf("%s calls version %d current, though %d had been acknowledged %v before it was asked", member, version, newest, age)
+		j.failf("%s marks version %d as current, though %d had been acknowledged %v before the request", member, version, newest, age)
 	}
 }
 
@@ -159,13 +159,13 @@
 	defer j.mutex.Unlock()
 	j.counts[fmt.Sprint(call, " ", known)]++
 	if at, accepted := j.jobs[id]; accepted && at.Before(sent) && !known {
-		j.failf("%s says to a %s that there is no job %s, which was accepted before", member, call, id)
+		j.failf("%s answers to a %s that there is no job %s, which was accepted before", member, call, id)
 	}
 	if !known {
 		return
 	}
 	if before, ended := j.finals[id]; ended && before.at.Before(sent) && state != before.state {
-		j.failf("%s says to a %s that job %s is %s, and it was %s before", member, call, id, state, before.state)
+		j.failf("%s answers to a %s that job %s is %s, and it was %s before", member, call, id, state, before.state)
 	}
 	if state.Final() {
 		j.finals[id] = finalState{state, time.Now()}
@@ -187,14 +187,14 @@
 	}()
 }
 
-// lateCommand is a command that was handed to its connection without a lease, or at the moment at which its term was given up.
+// lateCommand is a command that was passed to its connection without a lease, or at the instant at which its term was given up.
 type lateCommand struct {
 	under termKey
 	kind  cluster.Call
 	at    time.Time
 }
 
-// recordCommand looks at a command at the moment at which a node hands it to its connection.
+// recordCommand checks a command at the instant at which a node passes it to its connection.
 func (j *checker) recordCommand(member string, kind cluster.Call, token uint64) {
 	if kind == cluster.LeaseCall {
 		return
@@ -208,7 +208,7 @@
 	}
 }
 
-// checkLateCommands checks them at the end, when it is known which terms were given up at the very moment.
+// checkLateCommands checks them at the end, when it is known which terms were given up at that instant.
 func (j *checker) checkLateCommands() {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// checkWorkerReply checks what a worker has taken.
+// checkWorkerReply checks the fencing token of a command that a worker has accepted.
 func (j *checker) checkWorkerReply(worker string, kind cluster.Call, token uint64, status int) {
 	if status != http.StatusOK {
 		return
@@ -232,7 +232,7 @@
 	j.tokens[worker] = max(j.tokens[worker], token)
 }
 
-// checkAttempts checks all runs at the end: one of a task at a time.
+// checkAttempts checks all attempts at the end: a task has one at a time.
 func (j *checker) checkAttempts(runs []cluster.RunRecord) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -246,7 +246,7 @@
 	}
 }
 
-// checkHistory checks the changes that a majority has taken, at the end.
+// checkHistory checks the changes that a majority has accepted, at the end.
 func (j *checker) checkHistory(state configuration.State) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -254,7 +254,7 @@
 	on := uint64(0)
 	for _, one := range state.Applied {
 		if one.IfMatch != on {
-			j.failf("version %d was taken on %d, after %d", one.Version, one.IfMatch, on)
+			j.failf("version %d was accepted on %d, after %d", one.Version, one.IfMatch, on)
 		}
 		on = one.Version
 		taken[one] = true
@@ -271,7 +271,7 @@
 	}
 }
 
-// appliedUpdate is how a change is remembered once it is taken.
+// appliedUpdate is how the history stores a change once it is accepted.
 func (o change) appliedUpdate() configuration.AppliedUpdate {
 	record := configuration.AppliedUpdate{Version: o.version, IfMatch: o.builtOn}
 	sum := sha256.Sum256([]byte(o.body))
--- a/internal/systemtest/controlmodel/doc.go
+++ b/internal/systemtest/controlmodel/doc.go
@@ -1,5 +1,5 @@
 // Package controlmodel has tests of the control side on a virtual clock, network and disk: core nodes, agents, operators,
-// clients and workers, with faults by seeded schedules. It checks what each of them is told against the promises of
+// clients and workers, with faults by seeded schedules. It checks the answers to each of them against the promises of
 // docs/control-safety.md on old state: no stale state is served, nothing is refused or confirmed on it, and no command is sent.
 //
 // The parts are the real ones, but for sockets, disks and the list of the platform. A process that is paused is modelled
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -58,7 +58,7 @@
 	return func() {}
 }
 
-// probeJobs asks a node for the jobs that were accepted last, wherever that was.
+// probeJobs requests from a node the jobs that were accepted last by any node.
 func (w *simulation) probeJobs(m *machine) {
 	requester := client{simulation: w, caller: endpoint{w.network, w.outside, 0}}
 	for _, id := range w.checker.newestJobs(probedJobs) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// partition cuts the ways from a machine to others, to it from others, or both.
+// partition closes the links from a machine to others, from others to it, or both.
 func (w *simulation) partition(m *machine, others []*machine, out, in bool) (heal func()) {
 	set := func(partitioned bool) {
 		w.network.update(func(n *network) {
--- a/internal/systemtest/controlmodel/network_test.go
+++ b/internal/systemtest/controlmodel/network_test.go
@@ -35,7 +35,7 @@
 // link is one direction between two machines.
 type link struct{ from, to string }
 
-// network carries calls between machines. What happens to a message depends on the seed, its way and its number there, and
+// network carries calls between machines. What happens to a message depends on the seed, its link and its number there, and
 // not on the order in which goroutines run.
 type network struct {
 	seed uint64
@@ -62,7 +62,7 @@
 	delay, duplicateDelay time.Duration
 }
 
-// draw decides on the next message of a way and a path.
+// draw decides on the next message of a link and a path.
 func (n *network) draw(from, to, path string, size int) messageFate {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -32,7 +32,7 @@
 type simulation struct {
 	seed          uint64
 	begin         time.Time
-	random        *rand.Rand // of the schedule and of who asks whom
+	random        *rand.Rand // of the schedule and of who calls whom
 	network       *network
 	membership    replicaset.View
 	cores         []*machine
@@ -79,7 +79,7 @@
 	return w
 }
 
-// run runs a schedule from start to end, and returns what was broken.
+// run runs a schedule from start to end, and returns the violations.
 func (w *simulation) run() []string {
 	w.startAll()
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -20,7 +20,7 @@
 	pollInterval = 50 * time.Millisecond
 )
 
-// faultFunc makes faults while the load runs.
+// faultFunc injects faults while the load runs.
 type faultFunc = func(ctx context.Context, s *system) error
 
 // onLeader does something to the machine that leads the guarded service's jobs.
@@ -170,7 +170,7 @@
 // restartInTurn stops and starts all machines in turn.
 func restartInTurn(ctx context.Context, s *system) error { return s.rollingRestart(ctx, s.machines()) }
 
-// slowCore makes all that the core machines say to each other take longer.
+// slowCore delays all messages between core machines.
 func slowCore(_ context.Context, s *system) error {
 	const slow = 120 * time.Millisecond
 	for _, from := range s.core {
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// defaultScenarios are the scenarios of each run.
+// defaultScenarios are the scenarios of every run.
 var defaultScenarios = []scenario{
 	{name: "leader-killed", seed: 2, faults: killLeader(false)},
 	{name: "leader-frozen", seed: 3, faults: freezeLeader},
@@ -225,7 +225,7 @@
 	{name: "configuration-and-wiped-disk", seed: 7, faults: inSequence(killFollower(true), changeConfiguration)},
 }
 
-// extendedScenarios are those of a whole run.
+// extendedScenarios are the further ones of a run with PUFFINLINK_SYSTEMTEST_ALL.
 var extendedScenarios = []scenario{
 	{name: "calm", seed: 1},
 	{name: "follower-killed", seed: 11, faults: killFollower(false)},
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -24,17 +24,17 @@
 	readyPath       = "/rebuild/ready"
 )
 
-// readyField is a field of the answer to readyPath that says yes, as msgpack.
+// readyField is the field of a reply to readyPath that is true, in msgpack.
 var readyField = []byte{0xa1, 'r', 0xc3}
 
-// handOver is a system of three core machines of which one is asked to shut down while a fourth waits for a place.
+// handOver is a system of three core machines of which one is asked to shut down while a fourth waits to become a member.
 type handOver struct {
 	*system
 	departing, lagging, failing, joiningMember *machine
 
 	mu                sync.Mutex
-	announced         map[string][2]time.Time // the joining member's first and last announcement, by who heard it
-	rebuilt           time.Time               // when the joining member first told the leaving member that it may vote
+	announced         map[string][2]time.Time // the joining member's first and last announcement, by receiver
+	rebuilt           time.Time               // when the joining member first reported to the departing member that it may vote
 	ended             time.Time               // when the leaving member's process had ended
 	shutdownRequested time.Time               // when it was asked to shut down
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// observe records the joining member's announcements, and its word that it may vote.
+// observe records the joining member's announcements, and its report that it may vote.
 func (h *handOver) observe(c call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// awaitJoiningMember waits until the members that will vote on its place have heard the joining member for long enough.
+// awaitJoiningMember waits until the members that vote on its admission have received its announcements for long enough.
 func (h *handOver) awaitJoiningMember(ctx context.Context) error {
 	for !h.hasAnnounced(h.departing) || !h.hasAnnounced(h.lagging) {
 		if err := sleep(ctx, pollInterval); err != nil {
@@ -172,7 +172,7 @@
 	return times[1].Sub(times[0]) >= minAnnounceSpan
 }
 
-// writeWithoutLagging submits a job and changes the configuration while the member that lags is told of neither. Both are
+// writeWithoutLagging submits a job and changes the configuration while the lagging member receives neither. Both are
 // acknowledged by the other two.
 func (h *handOver) writeWithoutLagging(ctx context.Context, random *rand.Rand) (acknowledged jobPlan, version int64, err error) {
 	lagging := h.lagging.name
@@ -190,7 +190,7 @@
 	return acknowledged, h.configured.newest, nil
 }
 
-// stopMember kills the member that holds the same, tells the other one to stop, and waits for its end.
+// stopMember kills the member with the same state, asks the departing one to shut down, and waits for its end.
 func (h *handOver) stopMember() {
 	h.failing.kill()
 	h.mu.Lock()
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// checkRemaining asks the two members that are left for what was acknowledged, and lets them take more.
+// checkRemaining checks that the two remaining members have what was acknowledged, and that they accept more.
 func (h *handOver) checkRemaining(ctx context.Context, random *rand.Rand, acknowledged jobPlan, version int64) error {
 	for _, core := range []*machine{h.lagging, h.joiningMember} {
 		if err := h.awaitConfiguration(ctx, core, version); err != nil {
@@ -243,10 +243,10 @@
 		case read.Status == http.StatusOK && versionOf(read.Answer) == version:
 			return nil
 		case isDefinite(read.Status):
-			return fmt.Errorf("version %d was acknowledged, and %s tells %d %s", version, core.name, read.Status, read.Answer)
+			return fmt.Errorf("version %d was acknowledged, and %s answers %d %s", version, core.name, read.Status, read.Answer)
 		}
 		if err := sleep(ctx, retryInterval); err != nil {
-			return fmt.Errorf("%s does not tell the configuration: %w", core.name, err)
+			return fmt.Errorf("%s does not answer with the configuration: %w", core.name, err)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 		case got.Status == http.StatusOK:
 			return nil
 		case isDefinite(got.Status):
-			return fmt.Errorf("job %s was acknowledged, and the front tells %d %s", acknowledged.id, got.Status, got.Answer)
+			return fmt.Errorf("job %s was acknowledged, and the front answers %d %s", acknowledged.id, got.Status, got.Answer)
 		}
 		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("nobody knows job %s: %w", acknowledged.id, err)
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// The paths of internal calls at which faults strike.
+// The paths of internal calls at which faults are injected.
 const (
 	appendPath  = "/replication/append"
 	preparePath = "/register/configuration/prepare"
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -18,7 +18,7 @@
 	route       routePlan
 	body        job.Specification
 	work        time.Duration
-	alwaysFails bool // each run ends failed
+	alwaysFails bool // each attempt fails
 	cancelAfter time.Duration
 }
 
@@ -41,7 +41,7 @@
 	jobKinds
 )
 
-// plans tells what tasks need and do.
+// plans describes to the fake workers what tasks need and do.
 type plans struct {
 	mu    sync.Mutex
 	byJob map[string]jobPlan
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -147,11 +147,11 @@
 	}
 }
 
-// probeRetriedChange sends a change that was taken once more.
+// probeRetriedChange retries a change that was accepted.
 func (s *system) probeRetriedChange(ctx context.Context, m *machine, before checker.OperatorRequest) {
 	retried := s.operatorRequest(ctx, m, http.MethodPut, before.BuiltOn, before.Body)
 	if isDefinite(retried.Status) && retried.Status != http.StatusOK {
-		s.recordFailure(fmt.Errorf("%s answers %d %s to a change that was taken before", m.name, retried.Status, retried.Answer))
+		s.recordFailure(fmt.Errorf("%s answers %d %s to a change that was accepted before", m.name, retried.Status, retried.Answer))
 	}
 }
 
@@ -163,7 +163,7 @@
 	return current
 }
 
-// probeJobs asks a core machine as an operator does, and all fronts, for the job that was accepted last.
+// probeJobs requests the job that was accepted last, from a core machine as an operator does, and from all fronts.
 func (s *system) probeJobs(ctx context.Context, m *machine, _ checker.OperatorRequest) {
 	path, id := s.newestJob()
 	if path == "" {
@@ -231,7 +231,7 @@
 	return err
 }
 
-// probeFront requests from a front whose agent was paused a route that was added meanwhile: it may not say that there is none, nor
+// probeFront requests from a front whose agent was paused a route that was added meanwhile: it must not answer that there is none, nor
 // that there is no job.
 func (s *system) probeFront(ctx context.Context, front *machine, added routePlan) {
 	wasReady := s.ready(ctx, front)
@@ -245,7 +245,7 @@
 	}
 }
 
-// ready asks as the platform does.
+// ready reports the readiness of a front, as the platform sees it.
 func (s *system) ready(ctx context.Context, front *machine) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/systemtest/lossyrelay_test.go
+++ b/internal/systemtest/lossyrelay_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Times of a lossy relay. A copy comes later than the first attempt's own bound of 3 s for some commands, and earlier for others.
+// Times of a lossy relay. A duplicate comes later than the first attempt's own bound of 3 s for some commands, and earlier for others.
 const (
 	firstDuplicateDelay = 700 * time.Millisecond
 	duplicateDelayStep  = 800 * time.Millisecond
@@ -46,8 +46,8 @@
 		a.method, a.path, a.ifMatch, a.machine, a.duplicate, a.replyDropped, a.status, a.answer, a.answeredAt.Sub(a.sentAt).Round(time.Millisecond))
 }
 
-// lossyRelays stand between operators and the core machines' control addresses. They swallow the first confirmation of
-// each command and each third answer after that, and deliver a copy of each command's first request seconds later.
+// lossyRelays stand between operators and the core machines' control addresses. They drop the first confirmation of
+// each command and each third reply after that, and deliver a duplicate of each command's first request seconds later.
 type lossyRelays struct {
 	client     *http.Client
 	servers    []*httptest.Server
@@ -174,7 +174,7 @@
 }
 
 // sendUntilClear sends a command through the relay before one core machine after the other until a definite reply arrives. It
-// returns the status, 0 where none was clear, and how many tries that took.
+// returns the status, 0 where none was clear, and how many attempts that took.
 func (l *lossyRelays) sendUntilClear(ctx context.Context, s *system, first int, command delivery) (status int, answer []byte, attempts int) {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
--- a/internal/systemtest/mixedversions_test.go
+++ b/internal/systemtest/mixedversions_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// useThisBuild lets all processes of a machine be started from this build again.
+// useThisBuild lets the next start of all processes of a machine be of this build.
 func (m *machine) useThisBuild() {
 	for _, p := range m.processes {
 		p.otherBuild = ""
@@ -95,7 +95,7 @@
 	}
 }
 
-// withBuilds checks that each process runs its build, and makes a fault then.
+// withBuilds checks that each process runs its build, and injects a fault then.
 func withBuilds(fault faultFunc) faultFunc {
 	return inSequence(func(_ context.Context, s *system) error { return s.checkBuilds() }, fault)
 }
@@ -221,7 +221,7 @@
 	return sleep(ctx, 2*time.Second)
 }
 
-// recordStates asks for all jobs' states.
+// recordStates records all jobs' states.
 func (u *upgrade) recordStates(ctx context.Context) error {
 	for _, plan := range u.jobs {
 		answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isSuccess)
@@ -236,7 +236,7 @@
 // drainedWorker names the worker that an operator drains: one that no job needs.
 func (u *upgrade) drainedWorker() string { return u.workers[2].ID() }
 
-// awaitOperations makes an operator's call until each core machine has answered it as it should.
+// awaitOperations makes an operator's call until each core machine has given the expected answer.
 func (u *upgrade) awaitOperations(ctx context.Context, method, path string, serves func(answer string) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
@@ -325,19 +325,19 @@
 	return u.awaitState(ctx, further, "completed")
 }
 
-// awaitVersion waits until a core machine tells the configuration that was acknowledged last, all of it.
+// awaitVersion waits until a core machine answers with the complete configuration that was acknowledged last.
 func (u *upgrade) awaitVersion(ctx context.Context, core *machine) error {
 	want := encodeConfiguration(u.configured.newest, u.configured.routes)
 	for {
 		read := u.operatorRequest(ctx, core, http.MethodGet, 0, nil)
 		if read.Status == http.StatusOK {
 			if string(read.Answer) != string(want) {
-				return fmt.Errorf("%s tells the configuration %s, and %s was acknowledged", core.name, read.Answer, want)
+				return fmt.Errorf("%s answers with the configuration %s, and %s was acknowledged", core.name, read.Answer, want)
 			}
 			return nil
 		}
 		if err := sleep(ctx, retryInterval); err != nil {
-			return fmt.Errorf("%s does not tell the configuration: %w", core.name, err)
+			return fmt.Errorf("%s does not answer with the configuration: %w", core.name, err)
 		}
 	}
 }
@@ -346,7 +346,7 @@
 func (u *upgrade) checkJob(ctx context.Context, plan jobPlan) error {
 	answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isDefinite)
 	if err != nil || answer.Status != http.StatusOK {
-		return fmt.Errorf("job %s was known, and the front tells %d %s (%w)", plan.id, answer.Status, answer.Answer, err)
+		return fmt.Errorf("job %s was known, and the front answers %d %s (%w)", plan.id, answer.Status, answer.Answer, err)
 	}
 	before, after := u.statesBefore[string(plan.id)], stateOf(answer.Answer)
 	rank := map[string]int{"queued": 0, "running": 1, "completed": 2, "failed": 2, "cancelled": 2}
@@ -368,7 +368,7 @@
 	return u.awaitState(ctx, plan, "completed")
 }
 
-// awaitState waits until a job has ended as it should.
+// awaitState waits until a job is in the expected state.
 func (u *upgrade) awaitState(ctx context.Context, plan jobPlan, want string) error {
 	ctx, cancel := context.WithTimeout(ctx, completionTimeout)
 	defer cancel()
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -20,7 +20,7 @@
 // outside is the name of all that is no machine of the system.
 const outside = "outside"
 
-// phase is a place on a call's way.
+// phase is a phase of a call.
 type phase uint8
 
 const (
@@ -43,7 +43,7 @@
 	fired chan struct{}
 }
 
-// link is a way from one machine to another.
+// link is one direction between two machines.
 type link struct{ from, to string }
 
 // network decides what passes the relays.
@@ -52,7 +52,7 @@
 	partitioned map[link]bool
 	delays      map[link]time.Duration
 	injections  []*injection
-	changed     chan struct{} // closed at the next change of cut
+	changed     chan struct{} // closed at the next change of partitioned
 	dropFilter  func(call) bool
 	dropped     int // calls that loss has kept back
 }
@@ -99,7 +99,7 @@
 	return true
 }
 
-// setPartition opens or closes the way from one machine to another.
+// setPartition closes or opens the link from one machine to another.
 func (n *network) setPartition(from, to string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -108,14 +108,14 @@
 	n.changed = make(chan struct{})
 }
 
-// setDelay makes everything on a way take longer.
+// setDelay delays everything on a link.
 func (n *network) setDelay(from, to string, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delays[link{from, to}] = delay
 }
 
-// awaitLink waits until the way is open; the error is the context's.
+// awaitLink waits until the link is open; the error is the context's.
 func (n *network) awaitLink(ctx context.Context, from, to string) error {
 	if err := n.delay(ctx, from, to); err != nil {
 		return err
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -23,7 +23,7 @@
 	spec childSpec
 	log  *os.File
 	// otherBuild is a program of another build that is started in place of this one; empty for this build. It has no relays
-	// before it: listen are the settings that tell it where to listen, and reached is where callers find it.
+	// before it: listenSettings tell it where to listen, and dialAddress is where callers find it.
 	otherBuild, listenSettings, dialAddress string
 
 	mu          sync.Mutex
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-const maxLease = 6 * time.Second // the longest time for which a worker holds its runs
+const maxLease = 6 * time.Second // the longest time of a worker's lease
 
 // attemptKey names an attempt across all incarnations of workers.
 type attemptKey struct {
@@ -23,7 +23,7 @@
 	number      uint64
 }
 
-// recorder reads what passes between machines and workers.
+// recorder records the calls between machines and workers.
 type recorder struct {
 	mu            sync.Mutex
 	senders       map[attemptKey]string
@@ -34,10 +34,10 @@
 	checkpoints   map[checker.Checkpoint]bool
 	inventories   []checker.Inventory
 	calls         []recordedCall
-	leaders       map[string]string // the machine that last held, by a worker's address
+	leaders       map[string]string // the machine that last sent a command or a lease renewal, by worker
 }
 
-// recordedCall is one call for the account of a broken rule.
+// recordedCall is one call for the report on a violation.
 type recordedCall struct {
 	at   time.Time
 	call call
@@ -58,7 +58,7 @@
 	LastSeen     uint64 `json:"lastSeen"`
 }
 
-// workerReply is what it reads of an answer.
+// workerReply is what the recorder reads of a worker's reply.
 type workerReply struct {
 	ClockMS  int64               `json:"clockMs"`
 	Running  [][]json.RawMessage `json:"running"`
@@ -172,7 +172,7 @@
 	}
 }
 
-// leader is the machine that last told a worker anything.
+// leader is the machine that last sent anything to a worker.
 func (r *recorder) leader(worker string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -41,8 +41,8 @@
 
 // Two operators change the configuration at once through different core machines, cancel one job and drain one worker,
 // behind relays that drop the first confirmation of each command and deliver duplicates of requests seconds later. What was
-// taken is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
-// bodies; and what each core machine tells and holds at the end is what was confirmed.
+// accepted is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
+// bodies; and what each core machine answers and stores at the end is what was confirmed.
 func TestRetriedCommandsAreIdempotent(t *testing.T) {
 	t.Parallel()
 	ctx, s := startSystem(t, "orders-sent-again", smallSize, retriedCommandsTimeout)
@@ -78,7 +78,7 @@
 	return problems
 }
 
-// run plays all of it; the core machines are stopped gracefully at the end.
+// run runs the test; the core machines are shut down gracefully at the end.
 func (a *retriedCommandsTest) run(ctx context.Context) error {
 	a.relays = newLossyRelays(a.system)
 	defer a.relays.close()
@@ -217,7 +217,7 @@
 	return errors.Join(failures...)
 }
 
-// deliverUntilClear sends a request to one core machine until its answer is clear, and notes each answer.
+// deliverUntilClear sends a request to one core machine until its reply is definite, and records each reply.
 func (a *retriedCommandsTest) deliverUntilClear(ctx context.Context, core *machine, command delivery) delivery {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
@@ -241,18 +241,18 @@
 	for _, core := range a.core {
 		read := a.deliverUntilClear(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: controlPath})
 		if read.answer != confirmed[newest].body {
-			failures = append(failures, fmt.Errorf("version %d was confirmed last, and %s tells %v", newest, core.name, read))
+			failures = append(failures, fmt.Errorf("version %d was confirmed last, and %s answers %v", newest, core.name, read))
 		}
 	}
 	return errors.Join(failures...)
 }
 
-// awaitCancelledJob waits until each core machine tells that a job is cancelled.
+// awaitCancelledJob waits until each core machine answers that a job is cancelled.
 func (a *retriedCommandsTest) awaitCancelledJob(ctx context.Context, id string) error {
 	return a.awaitReply(ctx, jobsPath+id, func(answer string) bool { return strings.Contains(answer, `"state":"cancelled"`) })
 }
 
-// awaitDrainedWorker waits until each core machine tells that a worker is drained by an operator.
+// awaitDrainedWorker waits until each core machine answers that a worker is drained by an operator.
 func (a *retriedCommandsTest) awaitDrainedWorker(ctx context.Context, id string) error {
 	return a.awaitReply(ctx, workersPath, func(answer string) bool { return showsOperatorDraining(answer, id) })
 }
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -23,7 +23,7 @@
 type scenario struct {
 	name string
 	seed uint64
-	// faults strike while the load runs. It returns once all that it made is over.
+	// faults injects faults while the load runs. It returns once those are over.
 	faults func(ctx context.Context, s *system) error
 	// prepare changes the system before it starts; nil for nothing.
 	prepare func(s *system)
@@ -53,7 +53,7 @@
 	})
 }
 
-// run plays a scenario in a folder of its own.
+// run runs a scenario in a folder of its own.
 func (sc scenario) run(folder string) outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
@@ -151,7 +151,7 @@
 	}
 }
 
-// awaitFinalStates asks for the state of each job at the end, until it is final or the time-out is over.
+// awaitFinalStates polls the state of each job at the end, until it is final or the time-out is over.
 func (s *system) awaitFinalStates(ctx context.Context, random *rand.Rand) {
 	var all sync.WaitGroup
 	for _, plan := range s.jobs {
@@ -173,7 +173,7 @@
 	}
 }
 
-// awaitNoRunningTasks waits until nothing runs any more, as all jobs have ended; at the most until that is a broken rule.
+// awaitNoRunningTasks waits until nothing runs any more, as all jobs have ended; at the most until that is a violation.
 func (s *system) awaitNoRunningTasks(ctx context.Context) {
 	bounds := s.bounds()
 	ctx, cancel := context.WithTimeout(ctx, bounds.Cancel+bounds.Stop+time.Second)
@@ -196,7 +196,7 @@
 	return result
 }
 
-// awaitLeader waits until a core machine has told a service's workers something.
+// awaitLeader waits until a core machine has sent something to a service's workers.
 func (s *system) awaitLeader(ctx context.Context, service string) error {
 	for s.leaderOf(service) == nil {
 		if err := sleep(ctx, retryInterval); err != nil {
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// leaderOf is the core machine that last told a service's workers anything.
+// leaderOf is the core machine that last sent anything to a service's workers.
 func (s *system) leaderOf(service string) *machine {
 	for _, one := range s.workers {
 		if one.fact.Service != service {
--- a/internal/systemtest/scenarios_test.go
+++ b/internal/systemtest/scenarios_test.go
@@ -16,7 +16,7 @@
 	pairCount            = 60
 )
 
-// selectedScenarios are the scenarios that the environment asks for.
+// selectedScenarios are the scenarios that the environment variables select.
 func selectedScenarios() []scenario {
 	scenarios := defaultScenarios
 	if os.Getenv(allVariable) != "" {
--- a/internal/systemtest/socketowner_test.go
+++ b/internal/systemtest/socketowner_test.go
@@ -55,7 +55,7 @@
 	defer syscall.Close(handle)
 	request := diagnosisRequest(connection.RemoteAddr().(*net.TCPAddr), connection.LocalAddr().(*net.TCPAddr))
 	if err := syscall.Sendto(handle, request, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
-		return "", fmt.Errorf("ask the table of sockets: %w", err)
+		return "", fmt.Errorf("request the table of sockets: %w", err)
 	}
 	buffer := make([]byte, os.Getpagesize())
 	length, _, err := syscall.Recvfrom(handle, buffer, 0)
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Checker notes what clients and backends saw, and holds it against what was agreed on. It knows nothing of how aggregators do it.
+// Checker records what clients and backends saw, and compares it with quotas and contracts. It shares no code with aggregators.
 type Checker struct {
 	mu         sync.Mutex
 	queries    []query
@@ -29,7 +29,7 @@
 	at                    time.Time
 }
 
-// contract is what a tenant's says from a time on, from which no call outside may begin.
+// contract is a tenant's contract from a time on, from which no subquery outside of it may begin.
 type contract struct {
 	tenant string
 	zones  []string
@@ -55,7 +55,7 @@
 	j.queries = append(j.queries, query{aggregator, tenant, sent, time.Now(), status, text})
 }
 
-// RequireZones says that from now on no subquery of a tenant may begin outside of zones; what it held before it says no more.
+// RequireZones requires that from now on no subquery of a tenant begins outside of zones; it replaces the requirement before.
 func (j *Checker) RequireZones(tenant string, zones ...string) {
 	j.RequireZonesFrom(time.Now(), tenant, zones...)
 }
@@ -72,7 +72,7 @@
 	j.contracts = append(j.contracts, contract{tenant: tenant, zones: zones, from: from})
 }
 
-// ContractViolations tells the subqueries that began where a contract let none go.
+// ContractViolations lists the subqueries that began in a zone that a contract did not allow.
 func (j *Checker) ContractViolations() (wrong []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -99,7 +99,7 @@
 	return list
 }
 
-// QuotaExcess tells by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
+// QuotaExcess returns by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
 // window only where sending and answer both lie in it, so that nothing is counted that may have been admitted outside. A
 // query that is refused after it was admitted, or lost, is not seen, which only lessens the count.
 func (j *Checker) QuotaExcess(tenant string, perS, burst float64) (over float64, window string) {
@@ -186,7 +186,7 @@
 	return n
 }
 
-// P99 is the time that 99 of 100 of a tenant's answers took, of those asked between two times.
+// P99 is the time that 99 of 100 of a tenant's answers took, of those sent between two times.
 func (j *Checker) P99(tenant string, from, to time.Time) time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Query sends a query and tells its answer's status, 0 where there is none. What is answered well or in part is noted as
+// Query sends a query and returns its answer's status, 0 where there is none. A complete or partial answer is recorded as
 // admitted, at some time between its sending and its answer.
 func (w *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
 	id := w.lastID.Add(1)
@@ -29,11 +29,11 @@
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Listen+"/"+index, strings.NewReader(body.String()))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", id)}, "Req-Kind": {index}, "Req-Owner": {tenant}, "Req-Deadline": {"2"},
-		"Idempotency-Key": {}} // not sent: it lets the client ask once more on a new connection, where the aggregator closed an idle one meanwhile
+		"Idempotency-Key": {}} // not sent: it lets the client retry on a new connection, where the aggregator closed an idle one meanwhile
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
 	res, request, err := w.send(req, query)
-	if err != nil && request.closedBeforeSend() { // once more, as every client may that has not asked yet
+	if err != nil && request.closedBeforeSend() { // a retry, as every client may make that has not sent its query yet
 		req.Body, _ = req.GetBody()
 		res, request, err = w.send(req, query)
 	}
@@ -53,7 +53,7 @@
 	return status == http.StatusOK
 }
 
-// idleTimeout is how long an aggregator lets a connection stand on which nothing was asked yet (clients are owed an end by then).
+// idleTimeout is how long an aggregator keeps a connection open on which nothing was sent yet (it must have closed it by then).
 const idleTimeout = 2 * time.Second
 
 // connectionTrace is what the client's side of one saw of its connection; zero times for what did not happen.
@@ -66,7 +66,7 @@
 }
 
 // closedBeforeSend reports whether the connection stood silent for so long before the request was written, as on a machine that stands
-// still, that the aggregator had ended it by then: nobody was asked.
+// still, that the aggregator had closed it by then: no query was sent.
 func (r *connectionTrace) closedBeforeSend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +89,7 @@
 	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", at(r.connected), at(r.wrote), at(r.ended))
 }
 
-// send sends a request and notes how its connection was used, and how often the query went out.
+// send sends a request and records how its connection was used, and how often the query went out.
 func (w *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
 	r := &connectionTrace{began: time.Now()}
 	counted, _ := w.timesSent.LoadOrStore(query, &atomic.Int64{})
@@ -117,7 +117,7 @@
 	return res, r, err
 }
 
-// Load asks at a mean rate until it is stopped, each query by itself.
+// Load sends queries at a mean rate until it is stopped, without waiting for answers.
 func (w *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
 	var all sync.WaitGroup
@@ -138,7 +138,7 @@
 	return func() { end(); all.Wait() }
 }
 
-// timesSentOf is how often the client sent a query, of which a part is named by its text and its shard.
+// timesSentOf is how often the client sent a query, of which a subquery is named by the query's text and its shard.
 func (w *Cluster) timesSentOf(part string) int64 {
 	query := part[:max(0, strings.LastIndexByte(part, ' '))]
 	if n, known := w.timesSent.Load(query); known {
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -57,7 +57,7 @@
 	client          *http.Client
 	lastID          atomic.Int64
 	timesSent       sync.Map                      // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
-	StopSupervising func() (killed []*Aggregator) // ends the tending and tells who was killed
+	StopSupervising func() (killed []*Aggregator) // ends the supervision and returns who was killed
 }
 
 // Aggregator is one process, with what only it sees.
@@ -144,7 +144,7 @@
 	return w
 }
 
-// addBackend starts a fake for a backend, whose calls the checker notes.
+// addBackend starts a fake for a backend, whose subqueries the checker records.
 func (w *Cluster) addBackend(i int) {
 	w.Helper()
 	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
@@ -194,7 +194,7 @@
 	}
 }
 
-// shutDown kills all processes, and tells of a test that failed what its queries were told and where the logs are.
+// shutDown kills all processes, and logs for a failed test how its queries were answered and where the logs are.
 func (w *Cluster) shutDown() {
 	if w.StopSupervising != nil {
 		w.StopSupervising()
@@ -243,7 +243,7 @@
 	}
 }
 
-// operatorCallInterval keeps what tests ask under the rate that operators may ask at.
+// operatorCallInterval keeps the tests' calls under the rate limit of operators' calls.
 const operatorCallInterval = 100 * time.Millisecond
 
 // Await waits for something that is to come.
@@ -263,7 +263,7 @@
 // Link is the relay from one aggregator to another.
 func (w *Cluster) Link(from, to int) *Relay { return w.relays[[2]int{from, to}] }
 
-// SetLinkFaults sets a fault on every link between two aggregators of which either says so.
+// SetLinkFaults sets a fault on every link between two aggregators that the function selects.
 func (w *Cluster) SetLinkFaults(f Fault, either func(from, to int) bool) {
 	for pair, r := range w.relays {
 		if either(pair[0], pair[1]) {
@@ -308,7 +308,7 @@
 	}
 	for id, n := range times {
 		if tenant, _, _ := strings.Cut(id, " "); n > max(1, w.timesSentOf(id)) && tenant == OrdersTenant {
-			w.Errorf("part %q of an order ran %d times, and was sent %d times", id, n, w.timesSentOf(id))
+			w.Errorf("subquery %q of an order ran %d times, and was sent %d times", id, n, w.timesSentOf(id))
 		}
 	}
 	for i, wrong := range w.Checker.ContractViolations() {
--- a/internal/tools/fleettest/command_test.go
+++ b/internal/tools/fleettest/command_test.go
@@ -20,7 +20,7 @@
 }
 
 // What an operator does with a fleet by the command line, at an aggregator that need not lead: a contract is set and waited for,
-// a quota set, a mistake told, the same command sent again acts once, and each is shown and explained.
+// a quota set, a mistake reported, a retried command acts once, and each is shown and explained.
 func TestFleetCommandLine(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 3, Contracts: contracts})
@@ -41,7 +41,7 @@
 	elections := w.electionsWon()
 	first := run("held everywhere", "contract", "cato", "--zones", "a", "--reason", "signed", "--id", "one")
 	if retried := run("held everywhere", "contract", "cato", "--zones", "a", "--reason", "signed", "--id", "one"); retried != first {
-		t.Errorf("sent again it is another version: %q and %q", retried, first)
+		t.Errorf("a retried command made another version: %q and %q", retried, first)
 	}
 	run(`zone "mars" of tenant "cato" is none that the settings know`, "contract", "cato", "--zones", "mars", "--reason", "r")
 	run("has no zone", "contract", "cato", "--reason", "r")
@@ -62,9 +62,9 @@
 	run("5 a second and a burst of 50 over all mixers", "why", "acme", "reads")
 	version := strings.Fields(first)[3]
 	if reply := command("held", version, "cato"); !strings.Contains(reply, "held everywhere: true") && w.electionsWon() == elections {
-		t.Errorf("the leader that told that version %s is held now tells %q", version, reply)
+		t.Errorf("the leader that reported version %s as applied now answers %q", version, reply)
 	}
-	run("held everywhere: true", "held", version, "cato", "--wait", "40s") // a leader elected meanwhile has to hear it from all first
+	run("held everywhere: true", "held", version, "cato", "--wait", "40s") // a leader elected meanwhile needs the reports of all first
 	run("accepted as version", "contract", "cato", "--clear", "--reason", "left")
 	run("none speaks of this tenant", "why", "cato", "reads")
 }
--- a/internal/tools/fleettest/idleconnection_test.go
+++ b/internal/tools/fleettest/idleconnection_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A client that is paused between dialling and asking finds its connection ended, as an aggregator owes an end to one that says nothing.
-// It asks once more and gets its answer, and nothing counts as lost; the aggregator received the query once.
+// A client that pauses between dialling and sending finds its connection closed, as an aggregator closes connections that stay idle.
+// It retries and gets its answer, and nothing counts as lost; the aggregator received the query once.
 func TestIdleConnectionSendsNoQuery(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -39,7 +39,7 @@
 const wideQuotas = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 1e6, "burst": 1e6, "floor_share": 0.1}, {"tenant": "cato", "per_s": 1e6, "burst": 1e6}]}`
 
 // The cost of a query with and without a fleet, by turns in one run, one aggregator of three asked by four clients one after the
-// other; what the fleet itself costs at rest is taken off and told apart.
+// other; what the fleet itself costs at rest is subtracted and logged separately.
 func TestMeasureCost(t *testing.T) {
 	requireMeasuring(t)
 	with := Start(t, Options{Aggregators: 3, WithoutFailpoints: true, Quotas: wideQuotas, Contracts: `{"version": 1, "strict": ["*"], "tenants": [{"tenant": "acme", "zones": ["a", "b"]}]}`, Backends: 12, Service: time.Millisecond})
@@ -78,8 +78,8 @@
 		off/28000*1e6, on/28000*1e6, on/off, onTook/offTook, idleWithout, idleWith, without.Aggregators[0].memoryMB(), with.Aggregators[0].memoryMB())
 }
 
-// What an aggregator says to others, by the fleet's size, with a tenant that uses its quota at all of them; how long a crash takes to be
-// known, and who is told of a slow backend.
+// The traffic of an aggregator to others, by the fleet's size, with a tenant that uses its quota at all of them; how long a crash takes to be
+// known, and who learns of a slow backend.
 func TestMeasureTraffic(t *testing.T) {
 	requireMeasuring(t)
 	for _, n := range []int{3, 9, 30} {
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -23,7 +23,7 @@
 	return m.client
 }
 
-// FleetStatus is what it tells operators of the fleet, as JSON tells it; nil where it does not answer.
+// FleetStatus is the aggregator's status of the fleet for operators, as decoded JSON; nil where it does not answer.
 func (m *Aggregator) FleetStatus() map[string]any {
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -35,7 +35,7 @@
 	return s
 }
 
-// Leader is the aggregator that leads and grants, as it says itself; nil for none.
+// Leader is the aggregator that leads and grants, by its own status; nil for none.
 func (w *Cluster) Leader() *Aggregator {
 	for _, m := range w.Aggregators {
 		if s := m.FleetStatus(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Command sends a command through one aggregator, and tells the version that it made.
+// Command sends a command through one aggregator, and returns the version that it made.
 func (m *Aggregator) Command(command map[string]any) (version uint64, err error) {
 	body, _ := json.Marshal(command)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -56,7 +56,7 @@
 	return r.Version, err
 }
 
-// ContractApplied asks through one aggregator how a version stands.
+// ContractApplied requests from one aggregator whether a version is applied everywhere, and each node's state.
 func (m *Aggregator) ContractApplied(version uint64, tenant string) (applied bool, states map[string]string) {
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -27,7 +27,7 @@
 // recentCallWindow is for how long an aggregator that called a backend is a witness of it: calls seen fade over 10 s.
 const recentCallWindow = 5 * time.Second
 
-// A backend is slow, and two aggregators that have queries see it. A third that had none takes it for slow from their word alone; one
+// A backend is slow, and two aggregators that have queries see it. A third that had none takes it for slow from their reports alone; one
 // unhealthy aggregator, to which half of all backends are slow, is believed by nobody.
 func TestOutlierReportsOfPeers(t *testing.T) {
 	t.Parallel()
@@ -90,7 +90,7 @@
 				first = time.Now()
 			}
 			if strings.Contains(fmt.Sprint(shown["judged"]), string(name)) {
-				t.Errorf("one unhealthy aggregator's word is believed: %s", shown["judged"])
+				t.Errorf("one unhealthy aggregator's report is believed: %s", shown["judged"])
 			}
 		}
 		return sound && len(alone) > 0 && time.Since(first) > 2*time.Second
@@ -111,7 +111,7 @@
 		t.Errorf("%d of 20 queries meet the backend that others called slow", calls)
 	}
 	if strings.Contains(judged(w.Aggregators[2]), "s-0") {
-		t.Error("the unhealthy aggregator's word counts")
+		t.Error("the unhealthy aggregator's report counts")
 	}
 	w.CheckInvariants()
 }
--- a/internal/tools/fleettest/relay_test.go
+++ b/internal/tools/fleettest/relay_test.go
@@ -16,11 +16,11 @@
 	Drop        float64 // share of datagrams
 	Duplicate   float64 // the same
 	Delay       time.Duration
-	Jitter      time.Duration // more delay, drawn anew for each datagram, so that they change places
+	Jitter      time.Duration // more delay, drawn anew for each datagram, so that datagrams are reordered
 }
 
 // Relay stands before one address for one other process: datagrams and connections that come to it go on there, as its fault
-// allows. It goes one way: what is said back on a connection is let through, and datagrams back take the other one's relay.
+// allows. It works in one direction: replies on a connection pass without faults, and datagrams back take the other process's relay.
 type Relay struct {
 	to    string
 	udp   *net.UDPConn
@@ -140,7 +140,7 @@
 	}
 }
 
-// forward carries one connection both ways. Delay holds up what is said towards the address, each piece for as long.
+// forward carries one connection both ways. Delay applies to what is sent towards the address.
 func (r *Relay) forward(c net.Conn) {
 	out, err := net.DialTimeout("tcp", r.to, time.Second)
 	if err != nil {
--- a/internal/tools/fleettest/scenarios_test.go
+++ b/internal/tools/fleettest/scenarios_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { os.Exit(Main(m)) }
 
-// awaitGranter waits until somebody grants, and tells who.
+// awaitGranter waits until an aggregator grants, and returns it.
 func (w *Cluster) awaitGranter() *Aggregator {
 	w.Helper()
 	var m *Aggregator
@@ -29,7 +29,7 @@
 	return m
 }
 
-// loadAllTenants asks for all three tenants: acme for well over its quota at every aggregator, orders of bolt, reads of cato.
+// loadAllTenants sends queries of all three tenants: acme for well over its quota at every aggregator, orders of bolt, reads of cato.
 func (w *Cluster) loadAllTenants() (stop func()) {
 	acme := w.Load(150, "acme", "reads", w.RoundRobin)
 	orders := w.Load(20, OrdersTenant, "orders", w.RoundRobin)
@@ -37,7 +37,7 @@
 	return func() { acme(); orders(); cato() }
 }
 
-// awaitFullUse waits until acme, which asks for more than its quota, has nearly all of it, over two seconds at a time.
+// awaitFullUse waits until acme, which demands more than its quota, has nearly all of it, over two seconds at a time.
 func (w *Cluster) awaitFullUse(what string) {
 	w.Helper()
 	w.Await(what, func() bool {
@@ -57,7 +57,7 @@
 }
 
 // An aggregator that is partitioned admits its floor and no more; the side that holds the majority has the rest of the quota within a
-// lease of the cut, be it the granter that is partitioned or another. Strict tenants are refused where contracts are not sure.
+// lease of the partition, be it the granter that is partitioned or another. Strict tenants are refused where contracts are not sure.
 func TestPartitionedAggregatorKeepsToItsFloor(t *testing.T) {
 	t.Parallel()
 	for _, granter := range []bool{false, true} {
@@ -86,17 +86,17 @@
 				t.Errorf("alone it admits %.2f a second, expected its floor of %.2f", own, floorPerS)
 			}
 			if all-own < 0.85*(perS-floorPerS) {
-				t.Errorf("the majority admits %.1f a second a lease after the cut, expected nearly %.1f", all-own, perS-floorPerS)
+				t.Errorf("the majority admits %.1f a second a lease after the partition, expected nearly %.1f", all-own, perS-floorPerS)
 			}
 			if n := w.Checker.StatusCounts("cato", alone.Name, from); n[200] > 0 || n[429] == 0 {
 				t.Errorf("a strict tenant where contracts are not sure: %v", n)
 			}
-			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, to))
+			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, to))
 			w.Partition()
 			healed := time.Now()
 			w.awaitFullUse("the whole quota is used again")
 			w.Await("the strict tenant is served again", func() bool { return w.isServed(alone, "cato") })
-			t.Logf("all is used and served again %.1f s after the cut has healed, 2 s of them measured", time.Since(healed).Seconds())
+			t.Logf("all is used and served again %.1f s after the partition has healed, 2 s of them measured", time.Since(healed).Seconds())
 			stop()
 			w.CheckQuota("acme", perS, burst)
 			w.CheckInvariants()
@@ -202,7 +202,7 @@
 	}
 	w.Checker.RequireZones("cato", "b")
 	time.Sleep(time.Second)
-	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the cut", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
+	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
 	w.Partition()
 	w.Await("it is served at the aggregator that was partitioned, by the new contract", func() bool { return w.isServed(alone, "cato") })
 
@@ -239,7 +239,7 @@
 	w.CheckInvariants()
 }
 
-// A tenant asks for twice its quota at all aggregators at once, while links drop a fifth of all messages, double and reorder
+// A tenant demands twice its quota at all aggregators at once, while links drop a fifth of all messages, double and reorder
 // others; then everything takes 2 s longer. The quota holds, and queries of other tenants are not delayed.
 func TestQuotaHoldsOnLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
@@ -307,8 +307,8 @@
 	w.CheckInvariants()
 }
 
-// A voter's directory is put back from an old copy, which is a mistake that nothing can tell from a start: the voter may give up
-// its part, but the aggregator continues, and so does the consensus group of the others.
+// A voter's directory is restored from an old copy, which nothing can distinguish from a start: the voter may stop
+// voting, but the aggregator continues, and so does the consensus group of the others.
 func TestAggregatorServesAfterOldDirectoryIsRestored(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 3, Quotas: quotas})
--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -15,7 +15,7 @@
 )
 
 // After SIGTERM clients send on every connection that stays open, up to SIGKILL: each query gets its final answer, the last one on
-// a connection says that it closes, and no connection ends under a query.
+// a connection announces its close, and no connection is closed under a query.
 func TestShutdownAnswersOpenConnections(t *testing.T) {
 	t.Parallel()
 	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, Service: 5 * time.Millisecond})
@@ -62,7 +62,7 @@
 	connections.Wait()
 	w.Await("the process ends", m.Ended)
 	if t.Logf("%d queries answered after SIGTERM", after.Load()); after.Load() < 24 || closed.Load() != 24 {
-		t.Errorf("%d answered after SIGTERM, %d of 24 connections told that they close", after.Load(), closed.Load())
+		t.Errorf("%d answered after SIGTERM, %d of 24 connections announced their close", after.Load(), closed.Load())
 	}
 	w.CheckInvariants()
 }
