--- a/internal/systemtest/checker/checker_test.go
+++ b/internal/systemtest/checker/checker_test.go
@@ -165,7 +165,7 @@
 func TestTaskStartRules(t *testing.T) {
 	const one = `{"count":1,` + plainStage
 	const gang = `{"count":2,` + plainStage + `,"gangScheduled":true}`
-	noting := func(run Attempt, seconds float64) Attempt {
+	acknowledged := func(run Attempt, seconds float64) Attempt {
 		run.AcknowledgedAt = time.Time{}
 		if seconds > 0 {
 			run.AcknowledgedAt = at(seconds)
@@ -173,7 +173,7 @@
 		return run
 	}
 	late := func(run Attempt) Attempt { run.Late = true; return run }
-	with := func(run Attempt, checkpoint string) Attempt { run.Checkpoint = checkpoint; return run }
+	withCheckpoint := func(run Attempt, checkpoint string) Attempt { run.Checkpoint = checkpoint; return run }
 	checkAll(t, []history{
 		{"A sound history breaks nothing", func(*History) {}, ""},
 
@@ -191,16 +191,16 @@
 		{"Two attempts at once, the command late", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), late(finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done"))), DuplicateAttempt},
 		{"Two attempts at once, the first not ended", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 0, ""), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
 		{"Copies may run at once", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "stopped"), finishedAttempt("0.0.0", 2, "s-2", 14, 14.5, "done")), ""},
-		{"A start after an end that was acknowledged later", tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
-		{"A start after an end that was never acknowledged", tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
+		{"A start after an end that was acknowledged later", tasksOf(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
+		{"A start after an end that was never acknowledged", tasksOf(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
 		{"A start after an end that was acknowledged after a lease expiry", func(h *History) {
-			tasksOf(one+`}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done"))(h)
+			tasksOf(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done"))(h)
 			h.LeaseExpiries = []LeaseExpiry{{"s-1", at(18)}}
 		}, ""},
 		{"A copy long after the end was acknowledged", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 14, 15, "done")), DuplicateAttempt},
 		{"A copy soon after the end was acknowledged", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 13, 15, "done")), ""},
 		{"A start after the job was shown as completed", func(h *History) {
-			tasksOf(one+`,"atLeastOnce":true}`, noting(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 20, 0, ""))(h)
+			tasksOf(one+`,"atLeastOnce":true}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 20, 0, ""))(h)
 			h.Requests = append(h.Requests, statusRequest(jobName, 13, 200, "completed"))
 		}, DuplicateAttempt},
 
@@ -248,11 +248,11 @@
 			h.Checkpoints = []Checkpoint{{jobName + ".0.0.1", "c1"}}
 		}, ""},
 		{"Members of a gang with different checkpoints", func(h *History) {
-			tasksOf(gang, with(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"))(h)
+			tasksOf(gang, withCheckpoint(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"))(h)
 			h.Checkpoints = []Checkpoint{{jobName + ".0.0.1", "c1"}}
 		}, Unrequested},
 		{"Members of a gang with one member's checkpoint", func(h *History) {
-			tasksOf(gang, with(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), with(finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"), "c1"))(h)
+			tasksOf(gang, withCheckpoint(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), withCheckpoint(finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"), "c1"))(h)
 			h.Checkpoints = []Checkpoint{{jobName + ".0.0.1", "c1"}}
 		}, ""},
 		{"A start after a cancel", func(h *History) {
--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -76,16 +76,16 @@
 // indexChanges gathers the tries of each change.
 func (c *checker) indexChanges() {
 	for i := range c.OperatorRequests {
-		order := &c.OperatorRequests[i]
-		if order.Method != http.MethodPut {
+		request := &c.OperatorRequests[i]
+		if request.Method != http.MethodPut {
 			continue
 		}
-		change := c.findOrAddChange(order)
+		change := c.findOrAddChange(request)
 		switch {
-		case success(order.Status):
-			change.acknowledgedAt = earlier(change.acknowledgedAt, order.AnsweredAt)
+		case success(request.Status):
+			change.acknowledgedAt = earlier(change.acknowledgedAt, request.AnsweredAt)
 			change.rejected = false
-		case definiteRefusal(order.Status):
+		case definiteRefusal(request.Status):
 			change.rejected = change.acknowledgedAt.IsZero()
 		}
 	}
@@ -97,15 +97,15 @@
 	return status >= 400 && status < 500 && status != statusRequestTimeout && status != statusTooMany
 }
 
-func (c *checker) findOrAddChange(order *OperatorRequest) *configuration {
+func (c *checker) findOrAddChange(request *OperatorRequest) *configuration {
 	for _, change := range c.changes {
-		if change.builtOn == order.BuiltOn && bytes.Equal(change.body, order.Body) {
-			change.sentAt = earlier(change.sentAt, order.SentAt)
+		if change.builtOn == request.BuiltOn && bytes.Equal(change.body, request.Body) {
+			change.sentAt = earlier(change.sentAt, request.SentAt)
 			return change
 		}
 	}
-	change := parseConfiguration(order.Body, order.BuiltOn)
-	change.sentAt = order.SentAt
+	change := parseConfiguration(request.Body, request.BuiltOn)
+	change.sentAt = request.SentAt
 	c.changes = append(c.changes, change)
 	return change
 }
@@ -138,39 +138,39 @@
 }
 
 // checkRetriedChange looks for the refusal of a change that was acknowledged and is the newest.
-func (c *checker) checkRetriedChange(order *OperatorRequest) {
-	change := c.findOrAddChange(order)
-	if change.acknowledgedAt.IsZero() || !definiteRefusal(order.Status) || order.SentAt.Before(change.acknowledgedAt) {
+func (c *checker) checkRetriedChange(request *OperatorRequest) {
+	change := c.findOrAddChange(request)
+	if change.acknowledgedAt.IsZero() || !definiteRefusal(request.Status) || request.SentAt.Before(change.acknowledgedAt) {
 		return
 	}
 	for _, other := range c.changes {
-		if other.Version > change.Version && other.sentAt.Before(order.AnsweredAt) {
+		if other.Version > change.Version && other.sentAt.Before(request.AnsweredAt) {
 			return
 		}
 	}
-	c.report(Config, version(change), order.AnsweredAt, "an acknowledged change was refused when sent again")
+	c.report(Config, version(change), request.AnsweredAt, "an acknowledged change was refused when sent again")
 }
 
 // checkReadBack compares a configuration that was read with what had been acknowledged before.
-func (c *checker) checkReadBack(order *OperatorRequest) {
-	newest := c.newestAcknowledgedBefore(order.SentAt)
-	if order.Status == statusNotFound && newest != nil {
-		c.report(Lost, version(newest), order.AnsweredAt, "the acknowledged configuration is not there")
+func (c *checker) checkReadBack(request *OperatorRequest) {
+	newest := c.newestAcknowledgedBefore(request.SentAt)
+	if request.Status == statusNotFound && newest != nil {
+		c.report(Lost, version(newest), request.AnsweredAt, "the acknowledged configuration is not there")
 	}
-	if order.Status != statusOK {
+	if request.Status != statusOK {
 		return
 	}
-	read := parseConfiguration(order.Answer, -1)
+	read := parseConfiguration(request.Answer, -1)
 	if newest != nil && read.Version < newest.Version {
-		c.report(Lost, version(newest), order.AnsweredAt, "an older configuration was read back")
+		c.report(Lost, version(newest), request.AnsweredAt, "an older configuration was read back")
 		return
 	}
 	for _, change := range c.changes {
-		if change.Version == read.Version && change.mayBeActive() && sameJSON(change.body, order.Answer) {
+		if change.Version == read.Version && change.mayBeActive() && sameJSON(change.body, request.Answer) {
 			return
 		}
 	}
-	c.report(Config, version(read), order.AnsweredAt, "a configuration was read back that is not what was sent under its number")
+	c.report(Config, version(read), request.AnsweredAt, "a configuration was read back that is not what was sent under its number")
 }
 
 // newestAcknowledgedBefore is the newest version acknowledged before a moment; nil without one.
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -76,18 +76,18 @@
 	if err != nil {
 		return err
 	}
-	first, err := net.Listen("tcp", spec.Primary)
+	primary, err := net.Listen("tcp", spec.Primary)
 	if err != nil {
 		return err
 	}
-	second, err := net.Listen("tcp", spec.Secondary)
+	secondary, err := net.Listen("tcp", spec.Secondary)
 	if err != nil {
 		return err
 	}
 	runs := map[role]func(context.Context, childSpec, nodesettings.Settings, *zap.Logger, net.Listener, net.Listener) error{
 		coordinatorRole: runCoordinator, agentRole: runAgent, proxyRole: runProxy,
 	}
-	return runs[spec.Role](ctx, spec, settings, log, first, second)
+	return runs[spec.Role](ctx, spec, settings, log, primary, secondary)
 }
 
 func runCoordinator(ctx context.Context, _ childSpec, settings nodesettings.Settings, log *zap.Logger, internal, control net.Listener) error {
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -27,17 +27,17 @@
 )
 
 // startActors sets operators, clients, and readers of the feed to work until the context ends.
-func (w *simulation) startActors(ctx context.Context) {
+func (s *simulation) startActors(ctx context.Context) {
 	for i := range operatorCount {
-		random := rand.New(rand.NewPCG(w.seed, uint64(100+i)))
-		w.actors.Go(func() { (&operator{w, random, i, 0}).run(ctx) })
+		random := rand.New(rand.NewPCG(s.seed, uint64(100+i)))
+		s.actors.Go(func() { (&operator{s, random, i, 0}).run(ctx) })
 	}
 	for i := range clientCount {
-		random := rand.New(rand.NewPCG(w.seed, uint64(200+i)))
-		w.actors.Go(func() { (&client{w, random, i, nil, endpoint{w.network, w.outside, 0}}).run(ctx) })
+		random := rand.New(rand.NewPCG(s.seed, uint64(200+i)))
+		s.actors.Go(func() { (&client{s, random, i, nil, endpoint{s.network, s.outside, 0}}).run(ctx) })
 	}
-	for _, m := range append(w.cores, w.agents...) {
-		w.actors.Go(func() { w.pollFeed(ctx, m) })
+	for _, m := range append(s.cores, s.agents...) {
+		s.actors.Go(func() { s.pollFeed(ctx, m) })
 	}
 }
 
@@ -224,8 +224,8 @@
 }
 
 // pollFeed polls a core node as an agent does, or an agent as its proxy does, and checks feeds that are marked as current.
-func (w *simulation) pollFeed(ctx context.Context, m *machine) {
-	random := rand.New(rand.NewPCG(w.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
+func (s *simulation) pollFeed(ctx context.Context, m *machine) {
+	random := rand.New(rand.NewPCG(s.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
 	route, age := feed.WatchCall.Route(), feedAge
 	if strings.HasPrefix(m.address, "agent") {
 		route, age = feed.LocalCall.Route(), agentAge
@@ -234,10 +234,10 @@
 		sent := time.Now()
 		call, cancel := context.WithTimeout(context.Background(), callTimeout)
 		var reply feed.WatchReply
-		err := endpoint{w.network, w.outside, 0}.Call(call, m.address, route, feed.WatchRequest{}, &reply)
+		err := endpoint{s.network, s.outside, 0}.Call(call, m.address, route, feed.WatchRequest{}, &reply)
 		cancel()
 		if err == nil && reply.Current && reply.Snapshot != nil {
-			w.checker.checkFeed(m.address, sent, age, reply.Snapshot.ConfigurationVersion)
+			s.checker.checkFeed(m.address, sent, age, reply.Snapshot.ConfigurationVersion)
 		}
 	}
 }
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -71,14 +71,14 @@
 	}
 }
 
-func (j *checker) failf(format string, arguments ...any) {
+func (c *checker) failf(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
-	j.violations = append(j.violations, fmt.Sprintf("at %v: %s", time.Since(j.startedAt).Round(time.Millisecond), text))
+	c.violations = append(c.violations, fmt.Sprintf("at %v: %s", time.Since(c.startedAt).Round(time.Millisecond), text))
 }
 
 // newestBy is the newest version that was acknowledged by an instant. The mutex is held.
-func (j *checker) newestBy(at time.Time) (newest uint64) {
-	for _, one := range j.acknowledged {
+func (c *checker) newestBy(at time.Time) (newest uint64) {
+	for _, one := range c.acknowledged {
 		if !one.at.After(at) {
 			newest = max(newest, one.version)
 		}
@@ -87,103 +87,103 @@
 }
 
 // checkPut checks an operator's answer to a command.
-func (j *checker) checkPut(member string, sent time.Time, requested change, status int, current uint64) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts[fmt.Sprint("put ", status)]++
+func (c *checker) checkPut(member string, sent time.Time, requested change, status int, current uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts[fmt.Sprint("put ", status)]++
 	switch status {
 	case http.StatusOK:
-		j.acknowledged = append(j.acknowledged, acknowledgedVersion{requested.version, time.Now()})
-		j.accepted[requested] = true
-		for other := range j.accepted {
+		c.acknowledged = append(c.acknowledged, acknowledgedVersion{requested.version, time.Now()})
+		c.accepted[requested] = true
+		for other := range c.accepted {
 			if other.builtOn == requested.builtOn && other != requested {
-				j.failf("%s confirmed version %d on %d, on which version %d was built", member, requested.version, requested.builtOn, other.version)
+				c.failf("%s confirmed version %d on %d, on which version %d was built", member, requested.version, requested.builtOn, other.version)
 			}
 		}
 	case http.StatusPreconditionFailed:
-		j.refused[requested] = true
-		if newest := j.newestBy(sent); current < newest {
-			j.failf("%s refused a command on version %d, older than %d, which was acknowledged before the command was sent", member, current, newest)
+		c.refused[requested] = true
+		if newest := c.newestBy(sent); current < newest {
+			c.failf("%s refused a command on version %d, older than %d, which was acknowledged before the command was sent", member, current, newest)
 		}
 	case http.StatusServiceUnavailable:
 	default:
-		j.failf("%s answered %d to a command", member, status)
+		c.failf("%s answered %d to a command", member, status)
 	}
-	if j.accepted[requested] && j.refused[requested] {
-		j.failf("%s: version %d on %d is both refused and confirmed", member, requested.version, requested.builtOn)
+	if c.accepted[requested] && c.refused[requested] {
+		c.failf("%s: version %d on %d is both refused and confirmed", member, requested.version, requested.builtOn)
 	}
 }
 
 // checkGet checks an operator's reading.
-func (j *checker) checkGet(member string, sent time.Time, status int, version uint64) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts[fmt.Sprint("get ", status)]++
+func (c *checker) checkGet(member string, sent time.Time, status int, version uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts[fmt.Sprint("get ", status)]++
 	if status == http.StatusServiceUnavailable {
 		return
 	}
-	if newest := j.newestBy(sent); version < newest {
-		j.failf("%s answered version %d (status %d), though %d had been acknowledged before the request", member, version, status, newest)
+	if newest := c.newestBy(sent); version < newest {
+		c.failf("%s answered version %d (status %d), though %d had been acknowledged before the request", member, version, status, newest)
 	}
 }
 
 // checkFeed checks a feed that calls itself current.
-func (j *checker) checkFeed(member string, sent time.Time, age time.Duration, version uint64) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts["feed of "+member[:4]]++
-	if newest := j.newestBy(sent.Add(-age)); version < newest {
-		j.failf("%s marks version %d as current, though %d had been acknowledged %v before the request", member, version, newest, age)
+func (c *checker) checkFeed(member string, sent time.Time, age time.Duration, version uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["feed of "+member[:4]]++
+	if newest := c.newestBy(sent.Add(-age)); version < newest {
+		c.failf("%s marks version %d as current, though %d had been acknowledged %v before the request", member, version, newest, age)
 	}
 }
 
 // recordSubmit records an accepted job.
-func (j *checker) recordSubmit(id job.ID) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts["submit"]++
-	j.jobs[id] = time.Now()
-	j.acceptedJobs = append(j.acceptedJobs, id)
+func (c *checker) recordSubmit(id job.ID) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["submit"]++
+	c.jobs[id] = time.Now()
+	c.acceptedJobs = append(c.acceptedJobs, id)
 }
 
 // newestJobs are the jobs accepted last.
-func (j *checker) newestJobs(most int) []job.ID {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return slices.Clone(j.acceptedJobs[max(0, len(j.acceptedJobs)-most):])
+func (c *checker) newestJobs(most int) []job.ID {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return slices.Clone(c.acceptedJobs[max(0, len(c.acceptedJobs)-most):])
 }
 
 // checkJobReply checks a leader's answer about a job, to a reading or a cancellation.
-func (j *checker) checkJobReply(member, call string, sent time.Time, id job.ID, known bool, state job.State) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts[fmt.Sprint(call, " ", known)]++
-	if at, accepted := j.jobs[id]; accepted && at.Before(sent) && !known {
-		j.failf("%s answers to a %s that there is no job %s, which was accepted before", member, call, id)
+func (c *checker) checkJobReply(member, call string, sent time.Time, id job.ID, known bool, state job.State) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts[fmt.Sprint(call, " ", known)]++
+	if at, accepted := c.jobs[id]; accepted && at.Before(sent) && !known {
+		c.failf("%s answers to a %s that there is no job %s, which was accepted before", member, call, id)
 	}
 	if !known {
 		return
 	}
-	if before, ended := j.finals[id]; ended && before.at.Before(sent) && state != before.state {
-		j.failf("%s answers to a %s that job %s is %s, and it was %s before", member, call, id, state, before.state)
+	if before, ended := c.finals[id]; ended && before.at.Before(sent) && state != before.state {
+		c.failf("%s answers to a %s that job %s is %s, and it was %s before", member, call, id, state, before.state)
 	}
 	if state.Final() {
-		j.finals[id] = finalState{state, time.Now()}
+		c.finals[id] = finalState{state, time.Now()}
 	}
 }
 
 // recordTerm records a term, and when it ends.
-func (j *checker) recordTerm(member string, term *replication.Term) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts["elections"]++
+func (c *checker) recordTerm(member string, term *replication.Term) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["elections"]++
 	name := termKey{member, term.Number()}
-	j.terms[name] = term
+	c.terms[name] = term
 	go func() {
 		<-term.Ended()
-		j.mutex.Lock()
-		defer j.mutex.Unlock()
-		j.ended[name] = time.Now()
+		c.mutex.Lock()
+		defer c.mutex.Unlock()
+		c.ended[name] = time.Now()
 	}()
 }
 
@@ -195,78 +195,78 @@
 }
 
 // recordCommand checks a command at the instant at which a node passes it to its connection.
-func (j *checker) recordCommand(member string, kind cluster.Call, token uint64) {
+func (c *checker) recordCommand(member string, kind cluster.Call, token uint64) {
 	if kind == cluster.LeaseCall {
 		return
 	}
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts["order "+string(kind)]++
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["order "+string(kind)]++
 	name := termKey{member, token}
-	if term := j.terms[name]; term == nil || !term.Valid() {
-		j.lateCommands = append(j.lateCommands, lateCommand{name, kind, time.Now()})
+	if term := c.terms[name]; term == nil || !term.Valid() {
+		c.lateCommands = append(c.lateCommands, lateCommand{name, kind, time.Now()})
 	}
 }
 
 // checkLateCommands checks them at the end, when it is known which terms were given up at that instant.
-func (j *checker) checkLateCommands() {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	for _, one := range j.lateCommands {
-		if j.ended[one.under] != one.at {
-			j.failf("%s sent %s under token %d at %v after its lease", one.under.member, one.kind, one.under.epoch, one.at.Sub(j.startedAt))
+func (c *checker) checkLateCommands() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, one := range c.lateCommands {
+		if c.ended[one.under] != one.at {
+			c.failf("%s sent %s under token %d at %v after its lease", one.under.member, one.kind, one.under.epoch, one.at.Sub(c.startedAt))
 		}
 	}
 }
 
 // checkWorkerReply checks the fencing token of a command that a worker has accepted.
-func (j *checker) checkWorkerReply(worker string, kind cluster.Call, token uint64, status int) {
+func (c *checker) checkWorkerReply(worker string, kind cluster.Call, token uint64, status int) {
 	if status != http.StatusOK {
 		return
 	}
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if kind != cluster.LeaseCall && token < j.tokens[worker] {
-		j.failf("%s took %s under token %d after token %d", worker, kind, token, j.tokens[worker])
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if kind != cluster.LeaseCall && token < c.tokens[worker] {
+		c.failf("%s took %s under token %d after token %d", worker, kind, token, c.tokens[worker])
 	}
-	j.tokens[worker] = max(j.tokens[worker], token)
+	c.tokens[worker] = max(c.tokens[worker], token)
 }
 
 // checkAttempts checks all attempts at the end: a task has one at a time.
-func (j *checker) checkAttempts(runs []cluster.RunRecord) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.counts["runs"] += len(runs)
+func (c *checker) checkAttempts(runs []cluster.RunRecord) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["runs"] += len(runs)
 	for i, one := range runs {
 		for _, other := range runs[i+1:] {
 			if one.Task == other.Task && (one.EndedAt.IsZero() || other.StartedAt.Before(one.EndedAt)) {
-				j.failf("task %v ran twice at a time: %+v and %+v", one.Task, one, other)
+				c.failf("task %v ran twice at a time: %+v and %+v", one.Task, one, other)
 			}
 		}
 	}
 }
 
 // checkHistory checks the changes that a majority has accepted, at the end.
-func (j *checker) checkHistory(state configuration.State) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+func (c *checker) checkHistory(state configuration.State) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	taken := map[configuration.AppliedUpdate]bool{}
 	on := uint64(0)
 	for _, one := range state.Applied {
 		if one.IfMatch != on {
-			j.failf("version %d was accepted on %d, after %d", one.Version, one.IfMatch, on)
+			c.failf("version %d was accepted on %d, after %d", one.Version, one.IfMatch, on)
 		}
 		on = one.Version
 		taken[one] = true
 	}
-	for requested := range j.accepted {
+	for requested := range c.accepted {
 		if !taken[requested.appliedUpdate()] {
-			j.failf("version %d on %d was confirmed and is lost", requested.version, requested.builtOn)
+			c.failf("version %d on %d was confirmed and is lost", requested.version, requested.builtOn)
 		}
 	}
-	for requested := range j.refused {
+	for requested := range c.refused {
 		if taken[requested.appliedUpdate()] {
-			j.failf("version %d on %d was refused and is in force", requested.version, requested.builtOn)
+			c.failf("version %d on %d was refused and is in force", requested.version, requested.builtOn)
 		}
 	}
 }
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -150,9 +150,9 @@
 	m.incarnation++
 	incarnation := m.incarnation
 	m.mutex.Unlock()
-	w := m.simulation
-	caller := endpoint{w.network, m, incarnation}
-	view := func() replicaset.View { return w.membership }
+	s := m.simulation
+	caller := endpoint{s.network, m, incarnation}
+	view := func() replicaset.View { return s.membership }
 	ready := func() bool { return true }
 	disk := store{m.disk, m, incarnation}
 	mux := transport.NewMux()
@@ -164,15 +164,15 @@
 	})
 	configurator.Mount(mux)
 	jobs := manager.New(manager.Config{
-		HTTP: &http.Client{Transport: &workerTransport{w, m, incarnation}}, Log: zap.NewNop(),
+		HTTP: &http.Client{Transport: &workerTransport{s, m, incarnation}}, Log: zap.NewNop(),
 		Settings: scheduler.Settings{
 			RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
 			MaxLease: maxLease, DrainTime: 3 * time.Second, StatusRetention: time.Hour,
 		},
 	})
-	jobs.SetInventory(w.instances)
+	jobs.SetInventory(s.instances)
 	node, err := replication.NewNode(replication.Config{
-		Self: m.address, Store: disk, Caller: caller, View: view, Ready: ready, Handler: &electionObserver{jobs, w.checker, m.address}, Clock: m,
+		Self: m.address, Store: disk, Caller: caller, View: view, Ready: ready, Handler: &electionObserver{jobs, s.checker, m.address}, Clock: m,
 	})
 	if err != nil {
 		panic(err)
@@ -182,7 +182,7 @@
 	server := feedserver.New(feedserver.Options{
 		Caller: caller, Address: m.address, Logger: zap.NewNop(),
 		Sources: feedserver.Sources{
-			Configuration: configurator.Current, Leaders: node.Leaders, Core: func() []string { return w.membership.Members },
+			Configuration: configurator.Current, Leaders: node.Leaders, Core: func() []string { return s.membership.Members },
 			InContact: func() bool { return node.InContact() && configurator.Fresh(configuration.FreshAge) },
 			Changed:   []func() <-chan struct{}{configurator.Changed, node.Changed},
 		},
--- a/internal/systemtest/controlmodel/schedules_test.go
+++ b/internal/systemtest/controlmodel/schedules_test.go
@@ -49,11 +49,11 @@
 
 func playSeed(t *testing.T, seed uint64, seen *checkCounts) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newSimulation(seed)
-		for _, violation := range w.run() {
-			t.Errorf("seed %d: %s\n%v", seed, violation, w)
+		s := newSimulation(seed)
+		for _, violation := range s.run() {
+			t.Errorf("seed %d: %s\n%v", seed, violation, s)
 		}
-		seen.add(w.checker.counts)
+		seen.add(s.checker.counts)
 	})
 }
 
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -47,11 +47,11 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{
+	s := &simulation{
 		seed: seed, begin: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), network: newNetwork(seed), checker: newChecker(),
 		membership: replicaset.View{Version: 1},
 	}
-	w.workers = cluster.New(cluster.RealClock{}, cluster.Settings{
+	s.workers = cluster.New(cluster.RealClock{}, cluster.Settings{
 		InMemory: true, LeaseMax: maxLease, StopTime: 200 * time.Millisecond,
 		Describe: func(task job.TaskID, _ string) cluster.Profile {
 			length := time.Duration(100+100*(len(task.Job)+task.Index)%1200) * time.Millisecond
@@ -59,63 +59,63 @@
 		},
 	})
 	for i := range workerCount {
-		worker := w.workers.AddWorker(cluster.WorkerConfig{
+		worker := s.workers.AddWorker(cluster.WorkerConfig{
 			ID: fmt.Sprintf("i-%d", i), Service: service, Capacity: job.Resources{Processors: 4000}, Slots: 8,
 		})
-		w.instances = append(w.instances, workerclient.Instance{
+		s.instances = append(s.instances, workerclient.Instance{
 			ID: workerclient.WorkerID(worker.ID()), Address: worker.Address(), Service: service, Slots: 8,
 			Capacity: job.Resources{Processors: 4000},
 		})
 	}
 	for i := range coreCount {
-		w.membership.Members = append(w.membership.Members, fmt.Sprintf("core-%d:7000", i))
+		s.membership.Members = append(s.membership.Members, fmt.Sprintf("core-%d:7000", i))
 	}
-	for _, address := range w.membership.Members {
-		w.cores = append(w.cores, w.addMachine(address))
+	for _, address := range s.membership.Members {
+		s.cores = append(s.cores, s.addMachine(address))
 	}
 	for i := range agentCount {
-		w.agents = append(w.agents, w.addMachine(fmt.Sprintf("agent-%d:7001", i)))
+		s.agents = append(s.agents, s.addMachine(fmt.Sprintf("agent-%d:7001", i)))
 	}
-	return w
+	return s
 }
 
 // run runs a schedule from start to end, and returns the violations.
-func (w *simulation) run() []string {
-	w.startAll()
+func (s *simulation) run() []string {
+	s.startAll()
 	ctx, stop := context.WithCancel(context.Background())
-	w.startActors(ctx)
+	s.startActors(ctx)
 	<-time.After(warmUp)
-	w.scheduleFaults()
-	w.pendingFaults.Wait()
-	w.network.update(func(n *network) { n.loss, n.duplication, n.delay = 0, 0, 0 })
+	s.scheduleFaults()
+	s.pendingFaults.Wait()
+	s.network.update(func(n *network) { n.loss, n.duplication, n.delay = 0, 0, 0 })
 	<-time.After(recoveryPhase)
 	stop()
-	w.actors.Wait()
-	w.checkFinalState()
-	return w.checker.violations
+	s.actors.Wait()
+	s.checkFinalState()
+	return s.checker.violations
 }
 
 // checkFinalState checks what is left when all is calm, and ends the system.
-func (w *simulation) checkFinalState() {
-	w.checker.checkAttempts(w.workers.Runs())
+func (s *simulation) checkFinalState() {
+	s.checker.checkAttempts(s.workers.Runs())
 	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
 	defer cancel()
-	value, err := w.cores[0].register.Read(ctx)
+	value, err := s.cores[0].register.Read(ctx)
 	if err == nil {
 		var state configuration.State
 		if state, err = configuration.DecodeState(value); err == nil {
-			w.checker.checkHistory(state)
+			s.checker.checkHistory(state)
 		}
 	}
 	if err != nil {
-		w.checker.failf("the configuration cannot be read at the end: %v", err)
+		s.checker.failf("the configuration cannot be read at the end: %v", err)
 	}
-	for _, m := range append(w.agents, w.cores...) {
+	for _, m := range append(s.agents, s.cores...) {
 		m.kill()
 	}
-	w.workers.Close()
+	s.workers.Close()
 	<-time.After(completionTimeout) // calls that were lost have ended
-	w.checker.checkLateCommands()
+	s.checker.checkLateCommands()
 }
 
-func (w *simulation) String() string { return strings.Join(w.schedule, "\n") }
+func (s *simulation) String() string { return strings.Join(s.schedule, "\n") }
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -168,8 +168,8 @@
 	return all
 }
 
-// pairs are scenarios with two randomly drawn injections.
-func pairs(seed uint64, count int) []scenario {
+// randomPairs are scenarios with two randomly drawn injections.
+func randomPairs(seed uint64, count int) []scenario {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var all []scenario
 	for i := range count {
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -67,8 +67,8 @@
 
 // recordDelivery records a call to a worker before it is delivered.
 func (r *recorder) recordDelivery(c call) {
-	var o workerCall
-	if json.Unmarshal(c.body, &o) != nil {
+	var request workerCall
+	if json.Unmarshal(c.body, &request) != nil {
 		return
 	}
 	now := time.Now()
@@ -77,7 +77,7 @@
 	r.leaders[c.to] = c.from
 	r.calls = append(r.calls, recordedCall{now, c})
 	if c.path == string(cluster.StartCall) {
-		name := attemptKey{c.incarnation, o.Task, o.Execution}
+		name := attemptKey{c.incarnation, request.Task, request.Execution}
 		if r.senders[name] == "" {
 			r.senders[name] = c.from
 		}
@@ -86,18 +86,18 @@
 
 // recordReply records a call to a worker with its reply.
 func (r *recorder) recordReply(c call) {
-	var o workerCall
-	var a workerReply
-	if json.Unmarshal(c.body, &o) != nil || json.Unmarshal(c.answer, &a) != nil {
+	var request workerCall
+	var reply workerReply
+	if json.Unmarshal(c.body, &request) != nil || json.Unmarshal(c.answer, &reply) != nil {
 		return
 	}
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, recordedCall{now, c})
-	r.recordLease(c.incarnation, o.ValidUntilMS, a.ClockMS, now)
-	r.recordAcknowledgements(c, o, now)
-	r.recordTasks(c.incarnation, a)
+	r.recordLease(c.incarnation, request.ValidUntilMS, reply.ClockMS, now)
+	r.recordAcknowledgements(c, request, now)
+	r.recordTasks(c.incarnation, reply)
 }
 
 // recordLease records a lease renewal, and an expiry between it and the renewal before.
@@ -116,11 +116,11 @@
 	}
 }
 
-func (r *recorder) recordAcknowledgements(c call, o workerCall, now time.Time) {
+func (r *recorder) recordAcknowledgements(c call, request workerCall, now time.Time) {
 	if c.path != string(cluster.LeaseCall) || c.status != 200 {
 		return
 	}
-	for number := o.LastSeen; number > 0; number-- {
+	for number := request.LastSeen; number > 0; number-- {
 		name, known := r.completions[completionKey{c.incarnation, number}]
 		if !known || !r.acknowledged[name].IsZero() {
 			return
@@ -129,15 +129,15 @@
 	}
 }
 
-func (r *recorder) recordTasks(incarnation string, a workerReply) {
-	const task, execution, how, saved = 0, 1, 2, 3 // columns
-	for _, entry := range a.Running {
-		r.checkpoints[checker.Checkpoint{Task: textOf(entry[task]), Text: textOf(entry[how])}] = true
+func (r *recorder) recordTasks(incarnation string, reply workerReply) {
+	const task, attemptNumber, outcome, checkpoint = 0, 1, 2, 3 // columns
+	for _, entry := range reply.Running {
+		r.checkpoints[checker.Checkpoint{Task: textOf(entry[task]), Text: textOf(entry[outcome])}] = true
 	}
-	for _, entry := range a.Finished {
+	for _, entry := range reply.Finished {
 		number, row := numberOf(entry[0]), entry[1:]
-		r.completions[completionKey{incarnation, number}] = attemptKey{incarnation, textOf(row[task]), numberOf(row[execution])}
-		r.checkpoints[checker.Checkpoint{Task: textOf(row[task]), Text: textOf(row[saved])}] = true
+		r.completions[completionKey{incarnation, number}] = attemptKey{incarnation, textOf(row[task]), numberOf(row[attemptNumber])}
+		r.checkpoints[checker.Checkpoint{Task: textOf(row[task]), Text: textOf(row[checkpoint])}] = true
 	}
 }
 
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -179,19 +179,19 @@
 		return "", "", err
 	}
 	drained = a.workers[0].ID()
-	orders := []delivery{
+	commands := []delivery{
 		{method: http.MethodDelete, path: jobsPath + string(plan.id)},
 		{method: http.MethodPost, path: workersPath + "/" + drained + "/drain"},
 	}
-	statuses := make([]int, 2*len(orders))
+	statuses := make([]int, 2*len(commands))
 	var all sync.WaitGroup
 	for i := range statuses {
-		all.Go(func() { statuses[i] = a.sendThroughRelays(ctx, i, orders[i/2]) })
+		all.Go(func() { statuses[i] = a.sendThroughRelays(ctx, i, commands[i/2]) })
 	}
 	all.Wait()
 	for i, status := range statuses {
 		if status != http.StatusOK {
-			err = errors.Join(err, fmt.Errorf("%s %s got %d", orders[i/2].method, orders[i/2].path, status))
+			err = errors.Join(err, fmt.Errorf("%s %s got %d", commands[i/2].method, commands[i/2].path, status))
 		}
 	}
 	return string(plan.id), drained, err
@@ -199,14 +199,14 @@
 
 // resendAll sends each command that there was to each core machine, without a relay, until the answer is clear.
 func (a *retriedCommandsTest) resendAll(ctx context.Context) error {
-	orders := map[commandKey]delivery{}
+	commands := map[commandKey]delivery{}
 	for _, one := range a.relays.allDeliveries() {
 		if one.method != http.MethodGet {
-			orders[one.key()] = delivery{method: one.method, path: one.path, ifMatch: one.ifMatch, body: one.body}
+			commands[one.key()] = delivery{method: one.method, path: one.path, ifMatch: one.ifMatch, body: one.body}
 		}
 	}
 	var failures []error
-	for _, command := range orders {
+	for _, command := range commands {
 		for _, core := range a.core {
 			command.machine = core.name
 			if got := a.deliverUntilClear(ctx, core, command); !isDefinite(got.status) {
--- a/internal/systemtest/scenarios_test.go
+++ b/internal/systemtest/scenarios_test.go
@@ -21,7 +21,7 @@
 	scenarios := defaultScenarios
 	if os.Getenv(allVariable) != "" {
 		seed, _ := strconv.ParseUint(os.Getenv(seedVariable), 10, 64)
-		scenarios = append(append(append([]scenario{}, defaultScenarios...), extendedScenarios...), append(everyInjection(), pairs(seed, pairCount)...)...)
+		scenarios = append(append(append([]scenario{}, defaultScenarios...), extendedScenarios...), append(everyInjection(), randomPairs(seed, pairCount)...)...)
 	}
 	only := os.Getenv(onlyVariable)
 	if only == "" {
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -65,8 +65,8 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i := range j.contracts {
-		if c := &j.contracts[i]; c.tenant == tenant && c.until.IsZero() {
-			c.until = from
+		if active := &j.contracts[i]; active.tenant == tenant && active.until.IsZero() {
+			active.until = from
 		}
 	}
 	j.contracts = append(j.contracts, contract{tenant: tenant, zones: zones, from: from})
@@ -76,11 +76,11 @@
 func (j *Checker) ContractViolations() (wrong []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, c := range j.subqueries {
+	for _, call := range j.subqueries {
 		for _, k := range j.contracts {
-			if c.tenant == k.tenant && c.at.After(k.from) && (k.until.IsZero() || c.at.Before(k.until)) && !slices.Contains(k.zones, c.zone) {
-				wrong = append(wrong, fmt.Sprintf("%s: a part call began at %s in %s, %s after the contract held that allows %q", c.tenant, c.backend, c.zone,
-					c.at.Sub(k.from).Round(time.Millisecond), k.zones))
+			if call.tenant == k.tenant && call.at.After(k.from) && (k.until.IsZero() || call.at.Before(k.until)) && !slices.Contains(k.zones, call.zone) {
+				wrong = append(wrong, fmt.Sprintf("%s: a part call began at %s in %s, %s after the contract held that allows %q", call.tenant, call.backend, call.zone,
+					call.at.Sub(k.from).Round(time.Millisecond), k.zones))
 			}
 		}
 	}
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -100,8 +100,8 @@
 	}
 	trace := &httptrace.ClientTrace{
 		ConnectStart: func(string, string) { note(&r.connected) },
-		GotConn: func(c httptrace.GotConnInfo) {
-			if c.Reused { // another's, and what was dialled meanwhile is not used
+		GotConn: func(info httptrace.GotConnInfo) {
+			if info.Reused { // another's, and what was dialled meanwhile is not used
 				r.mu.Lock()
 				defer r.mu.Unlock()
 				r.connected = time.Time{}
--- a/internal/tools/fleettest/idleconnection_test.go
+++ b/internal/tools/fleettest/idleconnection_test.go
@@ -16,16 +16,16 @@
 	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
 	var dials atomic.Int64
 	w.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
+		connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if err == nil && dials.Add(1) == 1 {
 			var one [1]byte
-			c.SetReadDeadline(time.Now().Add(Timeout))
-			if n, err := c.Read(one[:]); n > 0 || err == nil {
+			connection.SetReadDeadline(time.Now().Add(Timeout))
+			if n, err := connection.Read(one[:]); n > 0 || err == nil {
 				t.Error("the aggregator spoke first")
 			}
-			c.SetReadDeadline(time.Time{})
+			connection.SetReadDeadline(time.Time{})
 		}
-		return c, err
+		return connection, err
 	}}}
 	if status, text := w.Query(w.Aggregators[0], OrdersTenant, "orders", 0, 1); status != http.StatusOK {
 		t.Errorf("got %d %s", status, text)
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -55,10 +55,10 @@
 	play := func(w *Cluster, n int) (cpu, took float64) {
 		was, began := w.Aggregators[0].cpuSeconds(), time.Now()
 		var all sync.WaitGroup
-		for c := range 4 {
+		for client := range 4 {
 			all.Go(func() {
 				for i := range n / 4 {
-					w.Query(w.Aggregators[0], "acme", "reads", (c+3*i)%12, (c+3*i+4)%12)
+					w.Query(w.Aggregators[0], "acme", "reads", (client+3*i)%12, (client+3*i+4)%12)
 				}
 			})
 		}
--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -25,16 +25,16 @@
 	var connections sync.WaitGroup
 	for i := range 24 {
 		connections.Go(func() {
-			c, err := net.Dial("tcp", m.Listen)
+			connection, err := net.Dial("tcp", m.Listen)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer c.Close()
-			in := bufio.NewReader(c)
+			defer connection.Close()
+			in := bufio.NewReader(connection)
 			for n := 0; ; n++ {
 				body := fmt.Sprintf(`{"targets":[{"partition":%d,"share":0.5},{"partition":%d,"share":0.5}],"query":"%s %d.%d"}`, n%6, (n+1)%6, OrdersTenant, i, n)
-				_, err := fmt.Fprintf(c, "POST /orders HTTP/1.1\r\nHost: m\r\nReq-Id: %d.%d\r\nReq-Kind: orders\r\nReq-Owner: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s",
+				_, err := fmt.Fprintf(connection, "POST /orders HTTP/1.1\r\nHost: m\r\nReq-Id: %d.%d\r\nReq-Kind: orders\r\nReq-Owner: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s",
 					i, n, OrdersTenant, len(body), body)
 				sent := time.Now()
 				res, err2 := http.ReadResponse(in, nil)
