--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -41,43 +41,43 @@
 func NewChecker() *Checker { return &Checker{} }
 
 // RecordSubquery records a subquery at a backend, by its query, which begins with the tenant's name.
-func (j *Checker) RecordSubquery(backend, zone, query string) {
+func (c *Checker) RecordSubquery(backend, zone, query string) {
 	tenant, _, _ := strings.Cut(query, " ")
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.subqueries = append(j.subqueries, subquery{backend, zone, tenant, time.Now()})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.subqueries = append(c.subqueries, subquery{backend, zone, tenant, time.Now()})
 }
 
 // RecordQuery records the end of a query.
-func (j *Checker) RecordQuery(aggregator, tenant string, sent time.Time, status int, text string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.queries = append(j.queries, query{aggregator, tenant, sent, time.Now(), status, text})
+func (c *Checker) RecordQuery(aggregator, tenant string, sent time.Time, status int, text string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.queries = append(c.queries, query{aggregator, tenant, sent, time.Now(), status, text})
 }
 
 // RequireZones requires that from now on no subquery of a tenant begins outside of zones; it replaces the requirement before.
-func (j *Checker) RequireZones(tenant string, zones ...string) {
-	j.RequireZonesFrom(time.Now(), tenant, zones...)
+func (c *Checker) RequireZones(tenant string, zones ...string) {
+	c.RequireZonesFrom(time.Now(), tenant, zones...)
 }
 
 // RequireZonesFrom is the same from a time on.
-func (j *Checker) RequireZonesFrom(from time.Time, tenant string, zones ...string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for i := range j.contracts {
-		if active := &j.contracts[i]; active.tenant == tenant && active.until.IsZero() {
+func (c *Checker) RequireZonesFrom(from time.Time, tenant string, zones ...string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i := range c.contracts {
+		if active := &c.contracts[i]; active.tenant == tenant && active.until.IsZero() {
 			active.until = from
 		}
 	}
-	j.contracts = append(j.contracts, contract{tenant: tenant, zones: zones, from: from})
+	c.contracts = append(c.contracts, contract{tenant: tenant, zones: zones, from: from})
 }
 
 // ContractViolations lists the subqueries that began in a zone that a contract did not allow.
-func (j *Checker) ContractViolations() (wrong []string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, call := range j.subqueries {
-		for _, k := range j.contracts {
+func (c *Checker) ContractViolations() (wrong []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, call := range c.subqueries {
+		for _, k := range c.contracts {
 			if call.tenant == k.tenant && call.at.After(k.from) && (k.until.IsZero() || call.at.Before(k.until)) && !slices.Contains(k.zones, call.zone) {
 				wrong = append(wrong, fmt.Sprintf("%s: a part call began at %s in %s, %s after the contract held that allows %q", call.tenant, call.backend, call.zone,
 					call.at.Sub(k.from).Round(time.Millisecond), k.zones))
@@ -88,10 +88,10 @@
 }
 
 // admitted lists those of a tenant that were.
-func (j *Checker) admitted(tenant string, aggregator string) (list []query) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, l := range j.queries {
+func (c *Checker) admitted(tenant string, aggregator string) (list []query) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, l := range c.queries {
 		if l.tenant == tenant && (aggregator == "" || l.aggregator == aggregator) && l.status == 200 {
 			list = append(list, l)
 		}
@@ -102,8 +102,8 @@
 // QuotaExcess returns by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
 // window only where sending and answer both lie in it, so that nothing is counted that may have been admitted outside. A
 // query that is refused after it was admitted, or lost, is not seen, which only lessens the count.
-func (j *Checker) QuotaExcess(tenant string, perS, burst float64) (over float64, window string) {
-	list := j.admitted(tenant, "")
+func (c *Checker) QuotaExcess(tenant string, perS, burst float64) (over float64, window string) {
+	list := c.admitted(tenant, "")
 	if len(list) == 0 {
 		return 0, ""
 	}
@@ -138,9 +138,9 @@
 }
 
 // Rate is how many of a tenant's queries were admitted a second between two times, at one aggregator or at all.
-func (j *Checker) Rate(tenant, aggregator string, from, to time.Time) float64 {
+func (c *Checker) Rate(tenant, aggregator string, from, to time.Time) float64 {
 	n := 0
-	for _, l := range j.admitted(tenant, aggregator) {
+	for _, l := range c.admitted(tenant, aggregator) {
 		if l.sent.After(from) && l.ended.Before(to) {
 			n++
 		}
@@ -149,10 +149,10 @@
 }
 
 // Unanswered counts queries without a final answer, but for those of aggregators that were killed.
-func (j *Checker) Unanswered(but ...string) (n int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, l := range j.queries {
+func (c *Checker) Unanswered(but ...string) (n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, l := range c.queries {
 		if l.status == 0 && !slices.Contains(but, l.aggregator) {
 			n++
 		}
@@ -161,11 +161,11 @@
 }
 
 // RejectionReasons counts the queries that were not admitted, by aggregator, status and text.
-func (j *Checker) RejectionReasons() map[string]int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) RejectionReasons() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := map[string]int{}
-	for _, l := range j.queries {
+	for _, l := range c.queries {
 		if l.status != 200 {
 			n[fmt.Sprintf("%s: %s: %d %s", l.aggregator, l.tenant, l.status, l.text)]++
 		}
@@ -174,11 +174,11 @@
 }
 
 // StatusCounts counts a tenant's answers since a time, at one aggregator or at all.
-func (j *Checker) StatusCounts(tenant, aggregator string, since time.Time) map[int]int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) StatusCounts(tenant, aggregator string, since time.Time) map[int]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := map[int]int{}
-	for _, l := range j.queries {
+	for _, l := range c.queries {
 		if l.tenant == tenant && (aggregator == "" || l.aggregator == aggregator) && !l.sent.Before(since) {
 			n[l.status]++
 		}
@@ -187,11 +187,11 @@
 }
 
 // P99 is the time that 99 of 100 of a tenant's answers took, of those sent between two times.
-func (j *Checker) P99(tenant string, from, to time.Time) time.Duration {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) P99(tenant string, from, to time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var took []time.Duration
-	for _, l := range j.queries {
+	for _, l := range c.queries {
 		if l.tenant == tenant && l.sent.After(from) && l.sent.Before(to) && l.status == 200 {
 			took = append(took, l.ended.Sub(l.sent))
 		}
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -14,8 +14,8 @@
 
 // Query sends a query and returns its answer's status, 0 where there is none. A complete or partial answer is recorded as
 // admitted, at some time between its sending and its answer.
-func (w *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
-	id := w.lastID.Add(1)
+func (c *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
+	id := c.lastID.Add(1)
 	var body strings.Builder
 	body.WriteString(`{"targets":[`)
 	for i, s := range shards {
@@ -32,24 +32,24 @@
 		"Idempotency-Key": {}} // not sent: it lets the client retry on a new connection, where the aggregator closed an idle one meanwhile
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
-	res, request, err := w.send(req, query)
+	res, request, err := c.send(req, query)
 	if err != nil && request.closedBeforeSend() { // a retry, as every client may make that has not sent its query yet
 		req.Body, _ = req.GetBody()
-		res, request, err = w.send(req, query)
+		res, request, err = c.send(req, query)
 	}
 	if err != nil {
-		w.Checker.RecordQuery(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
+		c.Checker.RecordQuery(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
 	answer, _ := io.ReadAll(res.Body)
-	w.Checker.RecordQuery(m.Name, tenant, sent, res.StatusCode, string(answer))
+	c.Checker.RecordQuery(m.Name, tenant, sent, res.StatusCode, string(answer))
 	return res.StatusCode, string(answer)
 }
 
 // isServed sends a tenant's query to an aggregator, and reports whether it was answered with 200.
-func (w *Cluster) isServed(m *Aggregator, tenant string) bool {
-	status, _ := w.Query(m, tenant, "reads", 0, 1)
+func (c *Cluster) isServed(m *Aggregator, tenant string) bool {
+	status, _ := c.Query(m, tenant, "reads", 0, 1)
 	return status == http.StatusOK
 }
 
@@ -90,9 +90,9 @@
 }
 
 // send sends a request and records how its connection was used, and how often the query went out.
-func (w *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
+func (c *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
 	r := &connectionTrace{began: time.Now()}
-	counted, _ := w.timesSent.LoadOrStore(query, &atomic.Int64{})
+	counted, _ := c.timesSent.LoadOrStore(query, &atomic.Int64{})
 	note := func(at *time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -112,13 +112,13 @@
 			note(&r.wrote)
 		},
 	}
-	res, err := w.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
+	res, err := c.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 	note(&r.ended)
 	return res, r, err
 }
 
 // Load sends queries at a mean rate until it is stopped, without waiting for answers.
-func (w *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
+func (c *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -130,7 +130,7 @@
 				return
 			}
 			if m := pick(n); m != nil {
-				all.Go(func() { w.Query(m, tenant, index, n%w.Site.Shards, (n+1)%w.Site.Shards) })
+				all.Go(func() { c.Query(m, tenant, index, n%c.Site.Shards, (n+1)%c.Site.Shards) })
 			}
 		}
 	})
@@ -139,9 +139,9 @@
 }
 
 // timesSentOf is how often the client sent a query, of which a subquery is named by the query's text and its shard.
-func (w *Cluster) timesSentOf(part string) int64 {
+func (c *Cluster) timesSentOf(part string) int64 {
 	query := part[:max(0, strings.LastIndexByte(part, ' '))]
-	if n, known := w.timesSent.Load(query); known {
+	if n, known := c.timesSent.Load(query); known {
 		return n.(*atomic.Int64).Load()
 	}
 	return 1
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -85,33 +85,33 @@
 	t.Helper()
 	Build(t, failpointsTag)
 	acquireSlots(t, o.Aggregators)
-	w := newCluster(t, o)
-	for i := range w.Options.Backends {
-		w.addBackend(i)
+	c := newCluster(t, o)
+	for i := range c.Options.Backends {
+		c.addBackend(i)
 	}
-	for i := range w.Options.Aggregators {
-		w.addAggregator(i)
+	for i := range c.Options.Aggregators {
+		c.addAggregator(i)
 	}
-	w.addLinks()
-	for _, m := range w.Aggregators {
+	c.addLinks()
+	for _, m := range c.Aggregators {
 		m.Start()
 	}
 	if o.Supervised {
-		stop := w.supervise()
+		stop := c.supervise()
 		var killed []*Aggregator
 		once := sync.OnceFunc(func() { killed = stop() })
-		w.StopSupervising = func() []*Aggregator { once(); return killed }
+		c.StopSupervising = func() []*Aggregator { once(); return killed }
 	}
-	t.Cleanup(w.shutDown)
-	w.awaitAllServing()
-	return w
+	t.Cleanup(c.shutDown)
+	c.awaitAllServing()
+	return c
 }
 
 // awaitAllServing waits until all aggregators serve.
-func (w *Cluster) awaitAllServing() {
-	w.Helper()
-	for _, m := range w.Aggregators {
-		w.Await(m.Name+" serves", m.isServing)
+func (c *Cluster) awaitAllServing() {
+	c.Helper()
+	for _, m := range c.Aggregators {
+		c.Await(m.Name+" serves", m.isServing)
 	}
 }
 
@@ -128,95 +128,95 @@
 	t.Helper()
 	o.Backends, o.Voters = max(o.Backends, leastBackends), max(o.Voters, leastVoters)
 	o.LeaseS, o.Service = cmp.Or(o.LeaseS, usualLeaseS), cmp.Or(o.Service, usualService)
-	w := &Cluster{TB: t, Options: o, relays: map[[2]int]*Relay{}, Checker: NewChecker(),
+	c := &Cluster{TB: t, Options: o, relays: map[[2]int]*Relay{}, Checker: NewChecker(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
 		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Backends, Width: 2, Shards: o.Backends, Aggregators: o.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
 			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1, Minimum: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}}
 	var err error
-	w.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
-	w.must(err)
+	c.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
+	c.must(err)
 	t.Cleanup(func() {
 		if !t.Failed() {
-			os.RemoveAll(w.dir)
+			os.RemoveAll(c.dir)
 		}
 	})
-	w.must(os.WriteFile(w.path("key"), []byte(strings.Repeat("5a", 32)), 0o600))
-	return w
+	c.must(os.WriteFile(c.path("key"), []byte(strings.Repeat("5a", 32)), 0o600))
+	return c
 }
 
 // addBackend starts a fake for a backend, whose subqueries the checker records.
-func (w *Cluster) addBackend(i int) {
-	w.Helper()
-	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), w.Site.Zones[i%3], i, 16, w.Service)
-	w.must(err)
-	s.OnCall = func(query string, _ int) { w.Checker.RecordSubquery(s.Name, s.Zone, query) }
-	w.Cleanup(s.Kill)
-	w.Backends = append(w.Backends, s)
+func (c *Cluster) addBackend(i int) {
+	c.Helper()
+	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), c.Site.Zones[i%3], i, 16, c.Service)
+	c.must(err)
+	s.OnCall = func(query string, _ int) { c.Checker.RecordSubquery(s.Name, s.Zone, query) }
+	c.Cleanup(s.Kill)
+	c.Backends = append(c.Backends, s)
 }
 
 // addAggregator prepares an aggregator: its addresses, its list of backends, and a relay before each of them. It does not start it.
-func (w *Cluster) addAggregator(i int) {
-	w.Helper()
-	m := &Aggregator{cluster: w, index: i, Name: fmt.Sprintf("m%d", i), Zone: w.Site.Zones[i%3], dir: w.path(fmt.Sprintf("d%d", i))}
-	m.Listen, m.address = w.port(), w.port()
+func (c *Cluster) addAggregator(i int) {
+	c.Helper()
+	m := &Aggregator{cluster: c, index: i, Name: fmt.Sprintf("m%d", i), Zone: c.Site.Zones[i%3], dir: c.path(fmt.Sprintf("d%d", i))}
+	m.Listen, m.address = c.port(), c.port()
 	var err error
 	m.discovery, err = fakes.NewRegister()
-	w.must(err)
-	w.Cleanup(m.discovery.Close)
-	for j, s := range w.Backends {
+	c.must(err)
+	c.Cleanup(m.discovery.Close)
+	for j, s := range c.Backends {
 		e := s.Entry("SERVING", true)
 		r, err := NewRelay(e.Address, false, uint64(1000*i+j))
-		w.must(err)
-		w.Cleanup(r.Close)
+		c.must(err)
+		c.Cleanup(r.Close)
 		e.Address = r.Address()
 		m.backendRelays = append(m.backendRelays, r)
 		m.discovery.Set(e)
 	}
-	if w.Env != nil {
-		m.env = w.Env(i)
+	if c.Env != nil {
+		m.env = c.Env(i)
 	}
-	w.Aggregators = append(w.Aggregators, m)
+	c.Aggregators = append(c.Aggregators, m)
 }
 
 // addLinks starts a relay from each aggregator to each other.
-func (w *Cluster) addLinks() {
-	w.Helper()
-	for i, from := range w.Aggregators {
-		for j, to := range w.Aggregators {
+func (c *Cluster) addLinks() {
+	c.Helper()
+	for i, from := range c.Aggregators {
+		for j, to := range c.Aggregators {
 			if i == j {
 				continue
 			}
 			r, err := NewRelay(to.address, true, uint64(i*64+j))
-			w.must(err)
-			w.Cleanup(r.Close)
-			w.relays[[2]int{from.index, to.index}] = r
+			c.must(err)
+			c.Cleanup(r.Close)
+			c.relays[[2]int{from.index, to.index}] = r
 		}
 	}
 }
 
 // shutDown kills all processes, and logs for a failed test how its queries were answered and where the logs are.
-func (w *Cluster) shutDown() {
-	if w.StopSupervising != nil {
-		w.StopSupervising()
+func (c *Cluster) shutDown() {
+	if c.StopSupervising != nil {
+		c.StopSupervising()
 	}
-	for _, m := range w.Aggregators {
+	for _, m := range c.Aggregators {
 		m.Kill()
 	}
-	if !w.Failed() {
+	if !c.Failed() {
 		return
 	}
-	for text, n := range w.Checker.RejectionReasons() { // of what was not admitted
-		w.Logf("%d queries: %s", n, text)
+	for text, n := range c.Checker.RejectionReasons() { // of what was not admitted
+		c.Logf("%d queries: %s", n, text)
 	}
-	w.Logf("logs are in %s", w.dir)
+	c.Logf("logs are in %s", c.dir)
 }
 
 // lastPort counts ports that processes are told to listen on. They lie below those that the system hands out by itself, or
 // a relay that starts meanwhile could get one; another run of the tests begins elsewhere.
 var lastPort atomic.Int64
 
-func (w *Cluster) port() string {
-	w.Helper()
+func (c *Cluster) port() string {
+	c.Helper()
 	for range 10000 {
 		at := fmt.Sprintf("127.0.0.1:%d", 12000+(int64(os.Getpid())*97+lastPort.Add(1))%18000)
 		l, err := net.Listen("tcp", at)
@@ -230,16 +230,16 @@
 			return at
 		}
 	}
-	w.Fatal("no free port")
+	c.Fatal("no free port")
 	return ""
 }
 
-func (w *Cluster) path(name string) string { return filepath.Join(w.dir, name) }
+func (c *Cluster) path(name string) string { return filepath.Join(c.dir, name) }
 
-func (w *Cluster) must(err error) {
-	w.Helper()
+func (c *Cluster) must(err error) {
+	c.Helper()
 	if err != nil {
-		w.Fatal(err)
+		c.Fatal(err)
 	}
 }
 
@@ -247,25 +247,25 @@
 const operatorCallInterval = 100 * time.Millisecond
 
 // Await waits for something that is to come.
-func (w *Cluster) Await(what string, is func() bool) {
-	w.Helper()
+func (c *Cluster) Await(what string, is func() bool) {
+	c.Helper()
 	for late := time.Now().Add(Timeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
-			for _, m := range w.Aggregators {
+			for _, m := range c.Aggregators {
 				text, _ := json.Marshal(m.FleetStatus())
-				w.Logf("%s shows %s", m.Name, text)
+				c.Logf("%s shows %s", m.Name, text)
 			}
-			w.Fatalf("never: %s", what)
+			c.Fatalf("never: %s", what)
 		}
 	}
 }
 
 // Link is the relay from one aggregator to another.
-func (w *Cluster) Link(from, to int) *Relay { return w.relays[[2]int{from, to}] }
+func (c *Cluster) Link(from, to int) *Relay { return c.relays[[2]int{from, to}] }
 
 // SetLinkFaults sets a fault on every link between two aggregators that the function selects.
-func (w *Cluster) SetLinkFaults(f Fault, either func(from, to int) bool) {
-	for pair, r := range w.relays {
+func (c *Cluster) SetLinkFaults(f Fault, either func(from, to int) bool) {
+	for pair, r := range c.relays {
 		if either(pair[0], pair[1]) {
 			r.Set(f)
 		}
@@ -273,18 +273,18 @@
 }
 
 // Partition partitions one side of the fleet from the others; without arguments it heals all links.
-func (w *Cluster) Partition(side ...int) {
+func (c *Cluster) Partition(side ...int) {
 	in := map[int]bool{}
 	for _, i := range side {
 		in[i] = true
 	}
-	for pair, r := range w.relays {
+	for pair, r := range c.relays {
 		r.Set(Fault{Partitioned: in[pair[0]] != in[pair[1]]})
 	}
 }
 
 // RoundRobin picks every aggregator by turns.
-func (w *Cluster) RoundRobin(n int) *Aggregator { return w.Aggregators[n%len(w.Aggregators)] }
+func (c *Cluster) RoundRobin(n int) *Aggregator { return c.Aggregators[n%len(c.Aggregators)] }
 
 // Arming is the variable that arms a point.
 func Arming(p failpoint.Point, pass int, fault string) string {
@@ -293,36 +293,36 @@
 
 // CheckInvariants checks what holds in every scenario: each query of an aggregator that was not killed got its answer, no order ran more often than
 // its client sent it, and no subquery began outside of a contract.
-func (w *Cluster) CheckInvariants(killed ...*Aggregator) {
-	w.Helper()
+func (c *Cluster) CheckInvariants(killed ...*Aggregator) {
+	c.Helper()
 	var but []string
 	for _, m := range killed {
 		but = append(but, m.Name)
 	}
-	if n := w.Checker.Unanswered(but...); n > 0 {
-		w.Errorf("%d queries had no final answer", n)
+	if n := c.Checker.Unanswered(but...); n > 0 {
+		c.Errorf("%d queries had no final answer", n)
 	}
 	times := map[string]int64{}
-	for _, s := range w.Backends {
+	for _, s := range c.Backends {
 		s.Executed(func(id string, n int64) { times[id] += n })
 	}
 	for id, n := range times {
-		if tenant, _, _ := strings.Cut(id, " "); n > max(1, w.timesSentOf(id)) && tenant == OrdersTenant {
-			w.Errorf("subquery %q of an order ran %d times, and was sent %d times", id, n, w.timesSentOf(id))
+		if tenant, _, _ := strings.Cut(id, " "); n > max(1, c.timesSentOf(id)) && tenant == OrdersTenant {
+			c.Errorf("subquery %q of an order ran %d times, and was sent %d times", id, n, c.timesSentOf(id))
 		}
 	}
-	for i, wrong := range w.Checker.ContractViolations() {
+	for i, wrong := range c.Checker.ContractViolations() {
 		if i < 5 {
-			w.Error(wrong)
+			c.Error(wrong)
 		}
 	}
 }
 
 // CheckQuota checks that a tenant's queries stayed within its quota in every window.
-func (w *Cluster) CheckQuota(tenant string, perS, burst float64) {
-	w.Helper()
-	if over, window := w.Checker.QuotaExcess(tenant, perS, burst); over > 0 {
-		w.Errorf("%s: %.1f over the quota: %s", tenant, over, window)
+func (c *Cluster) CheckQuota(tenant string, perS, burst float64) {
+	c.Helper()
+	if over, window := c.Checker.QuotaExcess(tenant, perS, burst); over > 0 {
+		c.Errorf("%s: %.1f over the quota: %s", tenant, over, window)
 	}
 }
 
--- a/internal/tools/fleettest/command_test.go
+++ b/internal/tools/fleettest/command_test.go
@@ -9,11 +9,11 @@
 )
 
 // electionsWon counts how often any aggregator became the consensus group's leader.
-func (w *Cluster) electionsWon() (count int) {
-	w.Helper()
-	for _, m := range w.Aggregators {
+func (c *Cluster) electionsWon() (count int) {
+	c.Helper()
+	for _, m := range c.Aggregators {
 		text, err := os.ReadFile(m.log)
-		w.must(err)
+		c.must(err)
 		count += bytes.Count(text, []byte(`"fleet: this mixer leads the council"`))
 	}
 	return count
@@ -23,8 +23,8 @@
 // a quota set, a mistake reported, a retried command acts once, and each is shown and explained.
 func TestFleetCommandLine(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 3, Contracts: contracts})
-	m := w.Aggregators[(w.awaitGranter().index+1)%3]
+	c := Start(t, Options{Aggregators: 3, Contracts: contracts})
+	m := c.Aggregators[(c.awaitGranter().index+1)%3]
 	command := func(args ...string) string {
 		cmd := exec.Command(Build(t, "failpoints"), append(append([]string{"fleet"}, args...), "--at", "unix:"+m.socket())...)
 		out, _ := cmd.CombinedOutput()
@@ -38,7 +38,7 @@
 		}
 		return out
 	}
-	elections := w.electionsWon()
+	elections := c.electionsWon()
 	first := run("held everywhere", "contract", "cato", "--zones", "a", "--reason", "signed", "--id", "one")
 	if retried := run("held everywhere", "contract", "cato", "--zones", "a", "--reason", "signed", "--id", "one"); retried != first {
 		t.Errorf("a retried command made another version: %q and %q", retried, first)
@@ -47,11 +47,11 @@
 	run("has no zone", "contract", "cato", "--reason", "r")
 	run("burst has to be 1 or more", "quota", "acme", "--per-s", "5", "--burst", "0", "--reason", "r")
 	run("accepted as version", "quota", "acme", "--per-s", "5", "--burst", "50", "--reason", "r")
-	w.Await("the quota is received", func() bool {
+	c.Await("the quota is received", func() bool {
 		s := m.FleetStatus()
 		return s != nil && len(s["quotas"].(map[string]any)) > 0
 	})
-	w.Await("it knows a leader", func() bool { // none is for a while where a busy machine let the last one's time run out
+	c.Await("it knows a leader", func() bool { // none is for a while where a busy machine let the last one's time run out
 		s := m.FleetStatus()
 		return s != nil && s["leader"] != nil && s["leader"] != ""
 	})
@@ -61,7 +61,7 @@
 	run(`parts go to searchers in ["a"] alone`, "why", "cato", "reads")
 	run("5 a second and a burst of 50 over all mixers", "why", "acme", "reads")
 	version := strings.Fields(first)[3]
-	if reply := command("held", version, "cato"); !strings.Contains(reply, "held everywhere: true") && w.electionsWon() == elections {
+	if reply := command("held", version, "cato"); !strings.Contains(reply, "held everywhere: true") && c.electionsWon() == elections {
 		t.Errorf("the leader that reported version %s as applied now answers %q", version, reply)
 	}
 	run("held everywhere: true", "held", version, "cato", "--wait", "40s") // a leader elected meanwhile needs the reports of all first
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -25,26 +25,26 @@
 		tenants = append(tenants, fmt.Sprintf("tenant-%d", i))
 		table += fmt.Sprintf(`, {"tenant": "tenant-%d", "zones": ["a", "b", "c"]}`, i)
 	}
-	w := Start(t, Options{Aggregators: 4, Quotas: quotas, Contracts: table + "]}", Tenants: tenants, Env: env, Supervised: true})
-	w.awaitGranter()
-	stops := []func(){w.Load(120, "acme", "reads", w.RoundRobin), w.Load(20, OrdersTenant, "orders", w.RoundRobin), w.Load(20, "cato", "reads", w.RoundRobin)}
+	c := Start(t, Options{Aggregators: 4, Quotas: quotas, Contracts: table + "]}", Tenants: tenants, Env: env, Supervised: true})
+	c.awaitGranter()
+	stops := []func(){c.Load(120, "acme", "reads", c.RoundRobin), c.Load(20, OrdersTenant, "orders", c.RoundRobin), c.Load(20, "cato", "reads", c.RoundRobin)}
 	version := uint64(0)
-	w.Await("the contract is accepted", func() bool {
-		v, err := w.Aggregators[3].Command(map[string]any{"id": "narrow", "author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"a", "b"}}})
+	c.Await("the contract is accepted", func() bool {
+		v, err := c.Aggregators[3].Command(map[string]any{"id": "narrow", "author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"a", "b"}}})
 		if version = v; err != nil {
 			time.Sleep(operatorCallInterval)
 		}
 		return err == nil
 	})
-	w.Await("it holds", func() bool { applied, _ := w.Aggregators[3].ContractApplied(version, "cato"); return applied })
-	w.Checker.RequireZones("cato", "a", "b")
+	c.Await("it holds", func() bool { applied, _ := c.Aggregators[3].ContractApplied(version, "cato"); return applied })
+	c.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(2 * time.Second)
-	w.Await("tenants are served at every aggregator", func() bool {
-		for _, m := range w.Aggregators {
-			if !w.isServed(m, "acme") {
+	c.Await("tenants are served at every aggregator", func() bool {
+		for _, m := range c.Aggregators {
+			if !c.isServed(m, "acme") {
 				return false
 			}
-			if !w.isServed(m, "cato") {
+			if !c.isServed(m, "cato") {
 				return false
 			}
 		}
@@ -53,9 +53,9 @@
 	for _, stop := range stops {
 		stop()
 	}
-	killed := w.StopSupervising()
-	w.CheckQuota("acme", perS, burst)
-	w.CheckInvariants(killed...)
+	killed := c.StopSupervising()
+	c.CheckQuota("acme", perS, burst)
+	c.CheckInvariants(killed...)
 }
 
 // Each numbered point goes wrong in turn, at whichever aggregator passes it first, and every promise holds: CI plays a fixed sample,
--- a/internal/tools/fleettest/idleconnection_test.go
+++ b/internal/tools/fleettest/idleconnection_test.go
@@ -13,9 +13,9 @@
 // It retries and gets its answer, and nothing counts as lost; the aggregator received the query once.
 func TestIdleConnectionSendsNoQuery(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
+	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
 	var dials atomic.Int64
-	w.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+	c.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if err == nil && dials.Add(1) == 1 {
 			var one [1]byte
@@ -27,11 +27,11 @@
 		}
 		return connection, err
 	}}}
-	if status, text := w.Query(w.Aggregators[0], OrdersTenant, "orders", 0, 1); status != http.StatusOK {
+	if status, text := c.Query(c.Aggregators[0], OrdersTenant, "orders", 0, 1); status != http.StatusOK {
 		t.Errorf("got %d %s", status, text)
 	}
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections, expected the silent one and another", n)
 	}
-	w.CheckInvariants()
+	c.CheckInvariants()
 }
--- a/internal/tools/fleettest/massrestart_test.go
+++ b/internal/tools/fleettest/massrestart_test.go
@@ -15,35 +15,35 @@
 	t.Parallel()
 	for name, reachable := range map[string]bool{"discovery in reach": true, "discovery out of reach": false} {
 		t.Run(name, func(t *testing.T) {
-			w := Start(t, Options{Aggregators: 10, NoFleet: true, WithoutFailpoints: true})
-			stop := w.Load(50, OrdersTenant, "orders", w.RoundRobin)
-			w.Await("queries are answered", func() bool { return w.Checker.StatusCounts(OrdersTenant, "", time.Time{})[200] > 20 })
-			for _, m := range w.Aggregators {
+			c := Start(t, Options{Aggregators: 10, NoFleet: true, WithoutFailpoints: true})
+			stop := c.Load(50, OrdersTenant, "orders", c.RoundRobin)
+			c.Await("queries are answered", func() bool { return c.Checker.StatusCounts(OrdersTenant, "", time.Time{})[200] > 20 })
+			for _, m := range c.Aggregators {
 				m.Kill()
 				if !reachable {
 					m.discovery.Close()
 				}
 			}
-			took := w.restartAll()
+			took := c.restartAll()
 			stop()
 			t.Logf("serving again after %s", took)
 			if most := took[len(took)*9/10-1]; most > restartTimeout {
 				t.Errorf("nine in ten serve again after %s, expected %s at most", most, restartTimeout)
 			}
-			w.CheckInvariants(w.Aggregators...)
+			c.CheckInvariants(c.Aggregators...)
 		})
 	}
 }
 
 // restartAll starts all processes at once, and returns how long each took until it served, the shortest first.
-func (w *Cluster) restartAll() (took []time.Duration) {
+func (c *Cluster) restartAll() (took []time.Duration) {
 	began := time.Now()
-	for _, m := range w.Aggregators {
+	for _, m := range c.Aggregators {
 		m.Start()
 	}
-	took = make([]time.Duration, len(w.Aggregators))
+	took = make([]time.Duration, len(c.Aggregators))
 	var all sync.WaitGroup
-	for i, m := range w.Aggregators {
+	for i, m := range c.Aggregators {
 		all.Go(func() {
 			for late := began.Add(Timeout); !m.isServing() && time.Now().Before(late); {
 				time.Sleep(5 * time.Millisecond)
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -46,25 +46,25 @@
 	without := Start(t, Options{Aggregators: 3, WithoutFailpoints: true, NoFleet: true, Backends: 12, Service: time.Millisecond})
 	with.awaitGranter()
 	with.Await("acme is served", func() bool { return with.isServed(with.Aggregators[0], "acme") })
-	idleCPU := func(w *Cluster) float64 {
-		was := w.Aggregators[0].cpuSeconds()
+	idleCPU := func(c *Cluster) float64 {
+		was := c.Aggregators[0].cpuSeconds()
 		time.Sleep(5 * time.Second)
-		return (w.Aggregators[0].cpuSeconds() - was) / 5
+		return (c.Aggregators[0].cpuSeconds() - was) / 5
 	}
 	idleWith, idleWithout := idleCPU(with), idleCPU(without)
-	play := func(w *Cluster, n int) (cpu, took float64) {
-		was, began := w.Aggregators[0].cpuSeconds(), time.Now()
+	play := func(c *Cluster, n int) (cpu, took float64) {
+		was, began := c.Aggregators[0].cpuSeconds(), time.Now()
 		var all sync.WaitGroup
 		for client := range 4 {
 			all.Go(func() {
 				for i := range n / 4 {
-					w.Query(w.Aggregators[0], "acme", "reads", (client+3*i)%12, (client+3*i+4)%12)
+					c.Query(c.Aggregators[0], "acme", "reads", (client+3*i)%12, (client+3*i+4)%12)
 				}
 			})
 		}
 		all.Wait()
 		took = time.Since(began).Seconds()
-		return w.Aggregators[0].cpuSeconds() - was, took
+		return c.Aggregators[0].cpuSeconds() - was, took
 	}
 	var on, off, onTook, offTook float64
 	for round := range 8 {
@@ -83,32 +83,32 @@
 func TestMeasureTraffic(t *testing.T) {
 	requireMeasuring(t)
 	for _, n := range []int{3, 9, 30} {
-		w := Start(t, Options{Aggregators: n, WithoutFailpoints: true, Voters: min(n, 5),
+		c := Start(t, Options{Aggregators: n, WithoutFailpoints: true, Voters: min(n, 5),
 			Quotas: `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90}]}`})
-		w.awaitGranter()
-		stop := w.Load(120, "acme", "reads", w.RoundRobin)
+		c.awaitGranter()
+		stop := c.Load(120, "acme", "reads", c.RoundRobin)
 		time.Sleep(2 * time.Second)
 		sent, cpu := make([]float64, n), make([]float64, n)
-		for i, m := range w.Aggregators {
+		for i, m := range c.Aggregators {
 			sent[i], cpu[i] = m.Counter("fleet_bytes.sent"), m.cpuSeconds()
 		}
 		from := time.Now()
 		time.Sleep(10 * time.Second)
 		most, sum := 0.0, 0.0
-		for i, m := range w.Aggregators {
+		for i, m := range c.Aggregators {
 			b := (m.Counter("fleet_bytes.sent") - sent[i]) / time.Since(from).Seconds()
 			most, sum = max(most, b), sum+b
 		}
-		rate := w.Checker.Rate("acme", "", from, time.Now())
+		rate := c.Checker.Rate("acme", "", from, time.Now())
 		stop()
-		victim := w.Aggregators[n-1]
-		if w.Leader() == victim {
-			victim = w.Aggregators[n-2]
+		victim := c.Aggregators[n-1]
+		if c.Leader() == victim {
+			victim = c.Aggregators[n-2]
 		}
 		victim.Kill()
 		killed := time.Now()
-		w.Await("all know", func() bool {
-			for _, m := range w.Aggregators {
+		c.Await("all know", func() bool {
+			for _, m := range c.Aggregators {
 				if m == victim {
 					continue
 				}
@@ -125,7 +125,7 @@
 			return true
 		})
 		t.Logf("%d aggregators: %.0f bytes a second each, %.0f at the granter; %.1f of %.0f a second admitted; a crash known everywhere after %.1f s", n, sum/float64(n), most, rate, perS, time.Since(killed).Seconds())
-		w.CheckQuota("acme", perS, burst)
+		c.CheckQuota("acme", perS, burst)
 		victim.Start()
 	}
 }
@@ -134,21 +134,21 @@
 func TestMeasureSkew(t *testing.T) {
 	requireMeasuring(t)
 	for _, n := range []int{3, 9} {
-		w := Start(t, Options{Aggregators: n, WithoutFailpoints: true, Voters: min(n, 5),
+		c := Start(t, Options{Aggregators: n, WithoutFailpoints: true, Voters: min(n, 5),
 			Quotas: `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90}]}`})
-		w.awaitGranter()
+		c.awaitGranter()
 		play := func(what string, skip, seconds int, pick func(int) *Aggregator) {
-			stop := w.Load(120, "acme", "reads", pick)
+			stop := c.Load(120, "acme", "reads", pick)
 			time.Sleep(time.Duration(skip) * time.Second)
 			from := time.Now()
 			time.Sleep(time.Duration(seconds) * time.Second)
-			t.Logf("%d aggregators, %s: %.3f of the quota", n, what, w.Checker.Rate("acme", "", from, time.Now())/perS)
+			t.Logf("%d aggregators, %s: %.3f of the quota", n, what, c.Checker.Rate("acme", "", from, time.Now())/perS)
 			stop()
 		}
-		play("spread", 3, 10, w.RoundRobin)
-		play("at one", 3, 10, func(int) *Aggregator { return w.Aggregators[0] })
-		play("moved to another a second ago", 1, 10, func(int) *Aggregator { return w.Aggregators[1] })
-		w.CheckQuota("acme", perS, burst)
+		play("spread", 3, 10, c.RoundRobin)
+		play("at one", 3, 10, func(int) *Aggregator { return c.Aggregators[0] })
+		play("moved to another a second ago", 1, 10, func(int) *Aggregator { return c.Aggregators[1] })
+		c.CheckQuota("acme", perS, burst)
 	}
 }
 
@@ -156,27 +156,27 @@
 func TestMeasureSlowBackend(t *testing.T) {
 	requireMeasuring(t)
 	for _, alone := range []bool{true, false, true, false} {
-		w := Start(t, Options{Aggregators: 9, WithoutFailpoints: true, NoFleet: alone})
+		c := Start(t, Options{Aggregators: 9, WithoutFailpoints: true, NoFleet: alone})
 		if !alone {
-			w.awaitGranter()
+			c.awaitGranter()
 		}
-		for _, m := range w.Aggregators {
-			w.slowBackends(m, 300*time.Millisecond, 1)
+		for _, m := range c.Aggregators {
+			c.slowBackends(m, 300*time.Millisecond, 1)
 		}
-		stop := w.Load(18, "cato", "reads", func(n int) *Aggregator { return w.Aggregators[n*5%9] })
+		stop := c.Load(18, "cato", "reads", func(n int) *Aggregator { return c.Aggregators[n*5%9] })
 		time.Sleep(20 * time.Second)
 		stop()
-		slow, calls := 0, w.Backends[1].Calls()
-		w.Checker.mu.Lock()
-		for _, l := range w.Checker.queries {
+		slow, calls := 0, c.Backends[1].Calls()
+		c.Checker.mu.Lock()
+		for _, l := range c.Checker.queries {
 			if l.ended.Sub(l.sent) > 100*time.Millisecond {
 				slow++
 			}
 		}
-		n := len(w.Checker.queries)
-		w.Checker.mu.Unlock()
+		n := len(c.Checker.queries)
+		c.Checker.mu.Unlock()
 		t.Logf("judgements %t: %d of %d queries over 100 ms, %d subqueries at the slow backend", !alone, slow, n, calls)
-		for _, m := range w.Aggregators {
+		for _, m := range c.Aggregators {
 			m.Signal(syscall.SIGKILL)
 		}
 	}
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -36,8 +36,8 @@
 }
 
 // Leader is the aggregator that leads and grants, by its own status; nil for none.
-func (w *Cluster) Leader() *Aggregator {
-	for _, m := range w.Aggregators {
+func (c *Cluster) Leader() *Aggregator {
+	for _, m := range c.Aggregators {
 		if s := m.FleetStatus(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
 			return m
 		}
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -11,7 +11,7 @@
 )
 
 // slowBackends delays the calls of one aggregator to some backends.
-func (w *Cluster) slowBackends(m *Aggregator, delay time.Duration, backends ...int) {
+func (c *Cluster) slowBackends(m *Aggregator, delay time.Duration, backends ...int) {
 	for _, i := range backends {
 		m.backendRelays[i].Set(Fault{Delay: delay})
 	}
@@ -31,33 +31,33 @@
 // unhealthy aggregator, to which half of all backends are slow, is believed by nobody.
 func TestOutlierReportsOfPeers(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 5})
-	w.awaitGranter()
+	c := Start(t, Options{Aggregators: 5})
+	c.awaitGranter()
 	// Each of the two asks for shards 0 and 1, which s-1 in their zone holds, twice as often as for 3 and 4, which s-4 does; the unhealthy
 	// one asks for others. So s-1 is the one that both call most.
-	two := w.Load(60, "cato", "reads", func(n int) *Aggregator {
+	two := c.Load(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 0 {
 			return nil
 		}
-		return []*Aggregator{w.Aggregators[1], w.Aggregators[1], w.Aggregators[1], nil, w.Aggregators[4], w.Aggregators[4], w.Aggregators[4], nil}[n/3%8]
+		return []*Aggregator{c.Aggregators[1], c.Aggregators[1], c.Aggregators[1], nil, c.Aggregators[4], c.Aggregators[4], c.Aggregators[4], nil}[n/3%8]
 	})
-	one := w.Load(60, "cato", "reads", func(n int) *Aggregator {
+	one := c.Load(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 2 {
 			return nil
 		}
-		return w.Aggregators[3]
+		return c.Aggregators[3]
 	})
 	stop := func() { two(); one() }
 	judged := func(m *Aggregator) string {
 		var s map[string]any
-		w.Await(m.Name+" shows what it judges", func() bool { s = m.FleetStatus(); return s != nil })
+		c.Await(m.Name+" shows what it judges", func() bool { s = m.FleetStatus(); return s != nil })
 		return strings.TrimSpace(fmt.Sprint(s["judged"]))
 	}
 	// readReports reads what the third aggregator has received: whom the unhealthy one blames while no other has for as long as a judgement stands, and
 	// whether both others have called s-1 of late without fault.
 	othersBlamed, called := map[outlier.Backend]time.Time{}, map[string]time.Time{}
 	readReports := func() (shown map[string]any, alone []outlier.Backend, sound bool) {
-		if shown = w.Aggregators[2].FleetStatus(); shown == nil {
+		if shown = c.Aggregators[2].FleetStatus(); shown == nil {
 			return nil, nil, false
 		}
 		var unhealthy []outlier.Backend
@@ -80,10 +80,10 @@
 		}
 		return shown, alone, time.Since(called["m1"]) < recentCallWindow && time.Since(called["m4"]) < recentCallWindow
 	}
-	w.Await("two aggregators call the backend and find no fault", func() bool { _, _, sound := readReports(); return sound })
-	w.slowBackends(w.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the unhealthy one, to which half of all backends are slow
+	c.Await("two aggregators call the backend and find no fault", func() bool { _, _, sound := readReports(); return sound })
+	c.slowBackends(c.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the unhealthy one, to which half of all backends are slow
 	var first time.Time                                             // that it alone found fault; what is received is judged within a second
-	w.Await("the unhealthy aggregator alone finds fault", func() bool {
+	c.Await("the unhealthy aggregator alone finds fault", func() bool {
 		shown, alone, sound := readReports()
 		for _, name := range alone {
 			if first.IsZero() {
@@ -96,22 +96,22 @@
 		return sound && len(alone) > 0 && time.Since(first) > 2*time.Second
 	})
 	for _, i := range []int{1, 2, 4} { // s-1 stands in the zone of the first and the last of them, which have queries
-		w.slowBackends(w.Aggregators[i], 200*time.Millisecond, 1)
+		c.slowBackends(c.Aggregators[i], 200*time.Millisecond, 1)
 	}
 	began := time.Now()
-	w.Await("the third has it from the two others", func() bool { return strings.Contains(judged(w.Aggregators[2]), "s-1") })
+	c.Await("the third has it from the two others", func() bool { return strings.Contains(judged(c.Aggregators[2]), "s-1") })
 	t.Logf("a slow backend is known to an aggregator without queries after %.1f s", time.Since(began).Seconds())
 	stop()
-	before := w.Backends[1].Calls()
+	before := c.Backends[1].Calls()
 	for range 20 {
-		w.Query(w.Aggregators[2], "cato", "reads", 0) // held by s-0 and s-1, both in other zones than the third aggregator's
+		c.Query(c.Aggregators[2], "cato", "reads", 0) // held by s-0 and s-1, both in other zones than the third aggregator's
 	}
-	calls := w.Backends[1].Calls() - before
+	calls := c.Backends[1].Calls() - before
 	if t.Logf("of its first 20 queries of a shard that it holds %d go to it", calls); calls > 0 {
 		t.Errorf("%d of 20 queries meet the backend that others called slow", calls)
 	}
-	if strings.Contains(judged(w.Aggregators[2]), "s-0") {
+	if strings.Contains(judged(c.Aggregators[2]), "s-0") {
 		t.Error("the unhealthy aggregator's report counts")
 	}
-	w.CheckInvariants()
+	c.CheckInvariants()
 }
--- a/internal/tools/fleettest/process_test.go
+++ b/internal/tools/fleettest/process_test.go
@@ -16,28 +16,28 @@
 
 // operatorFile is an aggregator's operator's file: of its peers it knows the relays' addresses.
 func (m *Aggregator) operatorFile() string {
-	w := m.cluster
+	c := m.cluster
 	var b strings.Builder
 	fmt.Fprintf(&b, "{\n\"operators\": {\"listen\": \"unix:%s\"},\n", m.socket())
-	if !w.NoFleet {
+	if !c.NoFleet {
 		directory := ""
-		if m.index < w.Voters || w.DirectoryForAll {
+		if m.index < c.Voters || c.DirectoryForAll {
 			directory = fmt.Sprintf("\"directory\": %q, ", m.dir)
 		}
-		fmt.Fprintf(&b, "\"fleet\": {\"key_file\": %q, %s\"lease_s\": %g, \"version\": 1, \"mixers\": [\n", w.path("key"), directory, w.LeaseS)
-		for _, o := range w.Aggregators {
+		fmt.Fprintf(&b, "\"fleet\": {\"key_file\": %q, %s\"lease_s\": %g, \"version\": 1, \"mixers\": [\n", c.path("key"), directory, c.LeaseS)
+		for _, o := range c.Aggregators {
 			address := o.address
 			if o.Name != m.Name {
-				address = w.Link(m.index, o.index).Address()
+				address = c.Link(m.index, o.index).Address()
 			}
-			fmt.Fprintf(&b, "  {\"name\": %q, \"address\": %q, \"location\": %q, \"votes\": %t},\n", o.Name, address, o.Zone, o.index < w.Voters)
+			fmt.Fprintf(&b, "  {\"name\": %q, \"address\": %q, \"location\": %q, \"votes\": %t},\n", o.Name, address, o.Zone, o.index < c.Voters)
 		}
 		b.WriteString("]},\n")
-		if w.Quotas != "" {
-			fmt.Fprintf(&b, "\"quotas\": %s,\n", w.Quotas)
+		if c.Quotas != "" {
+			fmt.Fprintf(&b, "\"quotas\": %s,\n", c.Quotas)
 		}
-		if w.Contracts != "" {
-			fmt.Fprintf(&b, "\"contracts\": %s,\n", w.Contracts)
+		if c.Contracts != "" {
+			fmt.Fprintf(&b, "\"contracts\": %s,\n", c.Contracts)
 		}
 	}
 	b.WriteString("}\n")
@@ -48,28 +48,28 @@
 
 // Start starts the process.
 func (m *Aggregator) Start() {
-	w := m.cluster
-	w.Helper()
-	config, file := w.path(m.Name+m.suffix+".json"), w.path(m.Name+m.suffix+".json5")
-	w.must(os.WriteFile(config, w.Site.Config(m.Name, m.Listen, m.discovery, m.index), 0o600))
-	w.must(os.WriteFile(file, []byte(m.operatorFile()), 0o600))
+	c := m.cluster
+	c.Helper()
+	config, file := c.path(m.Name+m.suffix+".json"), c.path(m.Name+m.suffix+".json5")
+	c.must(os.WriteFile(config, c.Site.Config(m.Name, m.Listen, m.discovery, m.index), 0o600))
+	c.must(os.WriteFile(file, []byte(m.operatorFile()), 0o600))
 	tags := failpointsTag
-	if w.WithoutFailpoints {
+	if c.WithoutFailpoints {
 		tags = ""
 	}
-	m.log = w.path(m.Name + m.suffix + ".log")
+	m.log = c.path(m.Name + m.suffix + ".log")
 	out, err := os.OpenFile(m.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	w.must(err)
+	c.must(err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	binary := w.Binary
+	binary := c.Binary
 	if binary == "" {
-		binary = Build(w.TB, tags)
+		binary = Build(c.TB, tags)
 	}
 	m.cmd = exec.Command(binary, "serve", "--operator", file)
 	m.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+config), m.env...)
 	m.cmd.Stdout, m.cmd.Stderr = out, out
-	w.must(m.cmd.Start())
+	c.must(m.cmd.Start())
 	m.ended = make(chan struct{})
 	go func(cmd *exec.Cmd, ended chan struct{}) {
 		cmd.Wait()
@@ -80,12 +80,12 @@
 
 // StartTwin starts a second process of the same name, address and directory, which listens elsewhere for clients.
 func (m *Aggregator) StartTwin() *Aggregator {
-	w := m.cluster
-	w.Helper()
-	t := &Aggregator{Name: m.Name, Zone: m.Zone, Listen: w.port(), cluster: w, index: m.index, suffix: "-2", address: m.address, discovery: m.discovery, backendRelays: m.backendRelays, dir: m.dir}
+	c := m.cluster
+	c.Helper()
+	t := &Aggregator{Name: m.Name, Zone: m.Zone, Listen: c.port(), cluster: c, index: m.index, suffix: "-2", address: m.address, discovery: m.discovery, backendRelays: m.backendRelays, dir: m.dir}
 	t.Start()
-	w.Cleanup(t.Kill)
-	w.Await("the twin serves", t.isServing)
+	c.Cleanup(t.Kill)
+	c.Await("the twin serves", t.isServing)
 	return t
 }
 
@@ -133,12 +133,12 @@
 }
 
 // supervise keeps a fleet going as its machines would: who was killed starts again, who is paused resumes after 3 s.
-func (w *Cluster) supervise() (stop func() (killed []*Aggregator)) {
+func (c *Cluster) supervise() (stop func() (killed []*Aggregator)) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var killed []*Aggregator
-	for _, m := range w.Aggregators {
+	for _, m := range c.Aggregators {
 		all.Go(func() {
 			for {
 				select {
--- a/internal/tools/fleettest/scenarios_test.go
+++ b/internal/tools/fleettest/scenarios_test.go
@@ -22,38 +22,38 @@
 func TestMain(m *testing.M) { os.Exit(Main(m)) }
 
 // awaitGranter waits until an aggregator grants, and returns it.
-func (w *Cluster) awaitGranter() *Aggregator {
-	w.Helper()
+func (c *Cluster) awaitGranter() *Aggregator {
+	c.Helper()
 	var m *Aggregator
-	w.Await("somebody grants", func() bool { m = w.Leader(); return m != nil })
+	c.Await("somebody grants", func() bool { m = c.Leader(); return m != nil })
 	return m
 }
 
 // loadAllTenants sends queries of all three tenants: acme for well over its quota at every aggregator, orders of bolt, reads of cato.
-func (w *Cluster) loadAllTenants() (stop func()) {
-	acme := w.Load(150, "acme", "reads", w.RoundRobin)
-	orders := w.Load(20, OrdersTenant, "orders", w.RoundRobin)
-	cato := w.Load(20, "cato", "reads", w.RoundRobin)
+func (c *Cluster) loadAllTenants() (stop func()) {
+	acme := c.Load(150, "acme", "reads", c.RoundRobin)
+	orders := c.Load(20, OrdersTenant, "orders", c.RoundRobin)
+	cato := c.Load(20, "cato", "reads", c.RoundRobin)
 	return func() { acme(); orders(); cato() }
 }
 
 // awaitFullUse waits until acme, which demands more than its quota, has nearly all of it, over two seconds at a time.
-func (w *Cluster) awaitFullUse(what string) {
-	w.Helper()
-	w.Await(what, func() bool {
+func (c *Cluster) awaitFullUse(what string) {
+	c.Helper()
+	c.Await(what, func() bool {
 		from := time.Now()
 		time.Sleep(2 * time.Second)
-		return w.Checker.Rate("acme", "", from, time.Now()) > 0.85*perS
+		return c.Checker.Rate("acme", "", from, time.Now()) > 0.85*perS
 	})
 }
 
 // requireStrictContracts waits until strict tenants are served everywhere, and from then on holds their subqueries to the contract.
-func (w *Cluster) requireStrictContracts() {
-	w.Helper()
-	for _, m := range w.Aggregators {
-		w.Await("cato is served at "+m.Name, func() bool { return w.isServed(m, "cato") })
+func (c *Cluster) requireStrictContracts() {
+	c.Helper()
+	for _, m := range c.Aggregators {
+		c.Await("cato is served at "+m.Name, func() bool { return c.isServed(m, "cato") })
 	}
-	w.Checker.RequireZones("cato", "a", "b")
+	c.Checker.RequireZones("cato", "a", "b")
 }
 
 // An aggregator that is partitioned admits its floor and no more; the side that holds the majority has the rest of the quota within a
@@ -63,24 +63,24 @@
 	for _, granter := range []bool{false, true} {
 		t.Run(fmt.Sprintf("granter=%t", granter), func(t *testing.T) {
 			t.Parallel()
-			w := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts})
-			alone := w.awaitGranter()
-			w.requireStrictContracts()
+			c := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts})
+			alone := c.awaitGranter()
+			c.requireStrictContracts()
 			if !granter {
-				alone = w.Aggregators[(alone.index+1)%3]
+				alone = c.Aggregators[(alone.index+1)%3]
 			}
-			stop := w.loadAllTenants()
+			stop := c.loadAllTenants()
 			began := time.Now()
-			w.awaitFullUse("the whole quota is used")
+			c.awaitFullUse("the whole quota is used")
 			partitionedAt := time.Now()
-			w.Partition(alone.index)
-			w.Await("it receives nothing", func() bool { s := alone.FleetStatus(); return s != nil && s["hears_nothing"] == true })
+			c.Partition(alone.index)
+			c.Await("it receives nothing", func() bool { s := alone.FleetStatus(); return s != nil && s["hears_nothing"] == true })
 			isolated := time.Since(partitionedAt)
 			time.Sleep(time.Until(partitionedAt.Add(leaseAndSlack)))
 			from := time.Now()
 			time.Sleep(5 * time.Second)
 			to := time.Now()
-			all, own := w.Checker.Rate("acme", "", from, to), w.Checker.Rate("acme", alone.Name, from, to)
+			all, own := c.Checker.Rate("acme", "", from, to), c.Checker.Rate("acme", alone.Name, from, to)
 			t.Logf("receives nothing after %.1f s; alone %.2f a second of a floor of %.2f, the others %.1f of %.1f", isolated.Seconds(), own, floorPerS, all-own, perS-floorPerS)
 			if own < 0.5*floorPerS || own > 1.5*floorPerS+1 {
 				t.Errorf("alone it admits %.2f a second, expected its floor of %.2f", own, floorPerS)
@@ -88,18 +88,18 @@
 			if all-own < 0.85*(perS-floorPerS) {
 				t.Errorf("the majority admits %.1f a second a lease after the partition, expected nearly %.1f", all-own, perS-floorPerS)
 			}
-			if n := w.Checker.StatusCounts("cato", alone.Name, from); n[200] > 0 || n[429] == 0 {
+			if n := c.Checker.StatusCounts("cato", alone.Name, from); n[200] > 0 || n[429] == 0 {
 				t.Errorf("a strict tenant where contracts are not sure: %v", n)
 			}
-			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, to))
-			w.Partition()
+			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", c.Checker.P99(OrdersTenant, began, partitionedAt), c.Checker.P99(OrdersTenant, partitionedAt, to))
+			c.Partition()
 			healed := time.Now()
-			w.awaitFullUse("the whole quota is used again")
-			w.Await("the strict tenant is served again", func() bool { return w.isServed(alone, "cato") })
+			c.awaitFullUse("the whole quota is used again")
+			c.Await("the strict tenant is served again", func() bool { return c.isServed(alone, "cato") })
 			t.Logf("all is used and served again %.1f s after the partition has healed, 2 s of them measured", time.Since(healed).Seconds())
 			stop()
-			w.CheckQuota("acme", perS, burst)
-			w.CheckInvariants()
+			c.CheckQuota("acme", perS, burst)
+			c.CheckInvariants()
 		})
 	}
 }
@@ -108,71 +108,71 @@
 // are killed together, and a voter comes back with an empty directory. The quota holds in every window through all of it.
 func TestQuotaHoldsWhenGranterIsKilledOrPaused(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts, DirectoryForAll: true})
-	first := w.awaitGranter()
-	w.requireStrictContracts()
-	stop := w.loadAllTenants()
+	c := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts, DirectoryForAll: true})
+	first := c.awaitGranter()
+	c.requireStrictContracts()
+	stop := c.loadAllTenants()
 	began := time.Now()
-	w.awaitFullUse("the whole quota is used")
+	c.awaitFullUse("the whole quota is used")
 	killed := time.Now()
 	first.Kill()
 	var second *Aggregator
-	w.Await("another grants", func() bool { second = w.Leader(); return second != nil && second != first })
+	c.Await("another grants", func() bool { second = c.Leader(); return second != nil && second != first })
 	t.Logf("another grants %.1f s after the kill; p99 of a tenant that is not concerned: %s before, %s after", time.Since(killed).Seconds(),
-		w.Checker.P99(OrdersTenant, began, killed), w.Checker.P99(OrdersTenant, killed, time.Now()))
+		c.Checker.P99(OrdersTenant, began, killed), c.Checker.P99(OrdersTenant, killed, time.Now()))
 	first.Start()
 	time.Sleep(2 * time.Second)
 	second.Signal(syscall.SIGSTOP)
 	time.Sleep(leaseAndSlack)
 	second.Signal(syscall.SIGCONT)
 	time.Sleep(2 * time.Second)
-	w.CheckQuota("acme", perS, burst)
-	for _, m := range w.Aggregators {
+	c.CheckQuota("acme", perS, burst)
+	for _, m := range c.Aggregators {
 		m.Kill()
 	}
-	for i, m := range w.Aggregators {
+	for i, m := range c.Aggregators {
 		if i == 1 {
-			w.must(os.RemoveAll(m.dir))
+			c.must(os.RemoveAll(m.dir))
 		}
 		m.Start()
 	}
-	w.awaitAllServing()
-	w.awaitGranter()
-	w.Await("the voter whose directory was lost votes again", func() bool {
-		s := w.Aggregators[1].FleetStatus()
+	c.awaitAllServing()
+	c.awaitGranter()
+	c.Await("the voter whose directory was lost votes again", func() bool {
+		s := c.Aggregators[1].FleetStatus()
 		return s != nil && s["leader"] != nil && s["leader"] != "" && s["quotas_version"] != 0.0
 	})
 	from := time.Now()
 	time.Sleep(4 * time.Second)
-	if used := w.Checker.Rate("acme", "", from, time.Now()); used < 0.8*perS {
+	if used := c.Checker.Rate("acme", "", from, time.Now()); used < 0.8*perS {
 		t.Errorf("%.1f a second admitted after all came back, expected nearly %.0f", used, perS)
 	}
 	stop()
-	w.CheckQuota("acme", perS, burst)
-	w.CheckInvariants(w.Aggregators...)
+	c.CheckQuota("acme", perS, burst)
+	c.CheckInvariants(c.Aggregators...)
 }
 
 // A contract is narrowed while one aggregator is partitioned, and again while a backend moves to another zone under its name. No
 // subquery begins outside of it once it is reported as applied, and none later than a lease after it was accepted.
 func TestNarrowedContractHoldsWithinALease(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1)})
-	w.awaitGranter()
-	stop := w.Load(60, "cato", "reads", w.RoundRobin)
-	orders := w.Load(20, OrdersTenant, "orders", w.RoundRobin)
+	c := Start(t, Options{Aggregators: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1)})
+	c.awaitGranter()
+	stop := c.Load(60, "cato", "reads", c.RoundRobin)
+	orders := c.Load(20, OrdersTenant, "orders", c.RoundRobin)
 	narrow := func(zones ...string) (accepted time.Time, version uint64) {
 		t.Helper()
 		requested := time.Now()
-		version, err := w.Aggregators[0].Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": zones}})
+		version, err := c.Aggregators[0].Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": zones}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return requested, version
 	}
 	awaitApplied := func(version uint64) (states map[string]string) {
-		w.Await("it is reported as applied", func() bool {
+		c.Await("it is reported as applied", func() bool {
 			is := false
-			is, states = w.Aggregators[0].ContractApplied(version, "cato")
+			is, states = c.Aggregators[0].ContractApplied(version, "cato")
 			return is
 		})
 		return states
@@ -180,17 +180,17 @@
 	accepted, version := narrow("a", "b")
 	awaitApplied(version)
 	t.Logf("applied everywhere %.2f s after it was accepted", time.Since(accepted).Seconds())
-	w.Checker.RequireZones("cato", "a", "b")
+	c.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(time.Second)
 
-	alone := w.Aggregators[2]
-	if w.awaitGranter() == alone {
-		alone = w.Aggregators[1]
+	alone := c.Aggregators[2]
+	if c.awaitGranter() == alone {
+		alone = c.Aggregators[1]
 	}
 	began, partitionedAt := accepted, time.Now()
-	w.Partition(alone.index)
+	c.Partition(alone.index)
 	accepted, version = narrow("b")
-	w.Checker.RequireZonesFrom(accepted.Add(leaseAndSlack), "cato", "b")
+	c.Checker.RequireZonesFrom(accepted.Add(leaseAndSlack), "cato", "b")
 	states := awaitApplied(version)
 	notified := time.Now()
 	t.Logf("with %s partitioned reported as applied %.2f s after it was accepted: %v", alone.Name, notified.Sub(accepted).Seconds(), states)
@@ -200,22 +200,22 @@
 	if states[alone.Name] != "refuses" {
 		t.Errorf("the aggregator that is partitioned is shown as %q", states[alone.Name])
 	}
-	w.Checker.RequireZones("cato", "b")
+	c.Checker.RequireZones("cato", "b")
 	time.Sleep(time.Second)
-	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", w.Checker.P99(OrdersTenant, began, partitionedAt), w.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
-	w.Partition()
-	w.Await("it is served at the aggregator that was partitioned, by the new contract", func() bool { return w.isServed(alone, "cato") })
+	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", c.Checker.P99(OrdersTenant, began, partitionedAt), c.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
+	c.Partition()
+	c.Await("it is served at the aggregator that was partitioned, by the new contract", func() bool { return c.isServed(alone, "cato") })
 
 	// s-1 and s-4 stand in b. s-1 now moves to c under its name: it is outside wherever the list calls it so.
-	moved := w.Backends[1]
-	for _, m := range w.Aggregators {
+	moved := c.Backends[1]
+	for _, m := range c.Aggregators {
 		e := moved.Entry("SERVING", true)
 		e.Zone, e.Address = "c", m.backendRelays[1].Address()
 		m.discovery.Set(e)
 	}
-	w.Await("shards without another holder in b are refused", func() bool {
-		for _, m := range w.Aggregators {
-			if status, _ := w.Query(m, "cato", "reads", 1); status != 429 {
+	c.Await("shards without another holder in b are refused", func() bool {
+		for _, m := range c.Aggregators {
+			if status, _ := c.Query(m, "cato", "reads", 1); status != 429 {
 				return false
 			}
 		}
@@ -223,103 +223,103 @@
 	})
 	was := moved.CallsOf(0) + moved.CallsOf(1)
 	for range 50 {
-		w.Query(w.Aggregators[0], "cato", "reads", 0, 1)
+		c.Query(c.Aggregators[0], "cato", "reads", 0, 1)
 	}
 	now := moved.CallsOf(0) + moved.CallsOf(1)
 	stop()
 	orders()
-	if now > was+int64(len(w.Checker.admitted(OrdersTenant, ""))) { // orders have no contract and may go there
+	if now > was+int64(len(c.Checker.admitted(OrdersTenant, ""))) { // orders have no contract and may go there
 		t.Errorf("%d subqueries to a backend that moved", now-was)
 	}
-	for _, s := range w.Backends {
+	for _, s := range c.Backends {
 		if s == moved {
 			s.Zone = "c"
 		}
 	}
-	w.CheckInvariants()
+	c.CheckInvariants()
 }
 
 // A tenant demands twice its quota at all aggregators at once, while links drop a fifth of all messages, double and reorder
 // others; then everything takes 2 s longer. The quota holds, and queries of other tenants are not delayed.
 func TestQuotaHoldsOnLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 3, Quotas: quotas})
-	w.awaitGranter()
-	stop := w.Load(2*perS, "acme", "reads", w.RoundRobin)
-	calm := w.Load(40, OrdersTenant, "orders", w.RoundRobin)
+	c := Start(t, Options{Aggregators: 3, Quotas: quotas})
+	c.awaitGranter()
+	stop := c.Load(2*perS, "acme", "reads", c.RoundRobin)
+	calm := c.Load(40, OrdersTenant, "orders", c.RoundRobin)
 	measuredFrom := time.Now()
-	w.awaitFullUse("the whole quota is used")
+	c.awaitFullUse("the whole quota is used")
 	quiet := time.Now()
-	w.SetLinkFaults(Fault{Drop: 0.2, Duplicate: 0.1, Jitter: 30 * time.Millisecond}, func(int, int) bool { return true })
+	c.SetLinkFaults(Fault{Drop: 0.2, Duplicate: 0.1, Jitter: 30 * time.Millisecond}, func(int, int) bool { return true })
 	time.Sleep(time.Second)
 	from := time.Now()
 	time.Sleep(6 * time.Second)
 	lossy := time.Now()
-	used := w.Checker.Rate("acme", "", from, lossy)
-	for _, m := range w.Aggregators {
+	used := c.Checker.Rate("acme", "", from, lossy)
+	for _, m := range c.Aggregators {
 		if m.Counter("fleet_dropped.replayed") == 0 {
 			t.Errorf("%s opened every message that came twice", m.Name)
 		}
 	}
-	w.SetLinkFaults(Fault{Delay: 2 * time.Second}, func(int, int) bool { return true })
+	c.SetLinkFaults(Fault{Delay: 2 * time.Second}, func(int, int) bool { return true })
 	time.Sleep(leaseAndSlack)
 	to := time.Now()
 	stop()
 	calm()
 	p99 := func(a, b time.Time) time.Duration {
-		return w.Checker.P99(OrdersTenant, a, b).Round(100 * time.Microsecond)
+		return c.Checker.P99(OrdersTenant, a, b).Round(100 * time.Microsecond)
 	}
 	t.Logf("with a fifth lost %.1f of %.0f a second are used; p99 of others %s without, %s with loss, %s with 2 s of delay", used, perS, p99(measuredFrom, quiet), p99(from, lossy), p99(lossy, to))
 	if used < 0.6*perS {
 		t.Errorf("with a fifth of the messages lost %.1f a second are used of %.0f", used, perS)
 	}
-	w.CheckQuota("acme", perS, burst)
-	w.CheckInvariants()
+	c.CheckQuota("acme", perS, burst)
+	c.CheckInvariants()
 }
 
 // Two processes under one name: the second has neither floors nor leases until the first lets go of the address, as it does
 // when it begins to stop; its successor then takes over.
 func TestSecondProcessOfOneNameStaysPassive(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts, DirectoryForAll: true})
-	w.awaitGranter()
-	w.requireStrictContracts()
-	m := w.Aggregators[2]
-	if w.Leader() == m {
-		m = w.Aggregators[1]
+	c := Start(t, Options{Aggregators: 3, Quotas: quotas, Contracts: contracts, DirectoryForAll: true})
+	c.awaitGranter()
+	c.requireStrictContracts()
+	m := c.Aggregators[2]
+	if c.Leader() == m {
+		m = c.Aggregators[1]
 	}
 	twin := m.StartTwin()
 	for range 20 {
-		if w.isServed(twin, "acme") {
+		if c.isServed(twin, "acme") {
 			t.Fatal("a second process of one name admits queries of a quota")
 		}
-		if w.isServed(twin, "cato") {
+		if c.isServed(twin, "cato") {
 			t.Fatal("a second process of one name serves a strict tenant")
 		}
 	}
 	m.Signal(syscall.SIGTERM)
-	w.Await("the twin takes over", func() bool {
-		acme, cato := w.isServed(twin, "acme"), w.isServed(twin, "cato")
+	c.Await("the twin takes over", func() bool {
+		acme, cato := c.isServed(twin, "acme"), c.isServed(twin, "cato")
 		return acme && cato
 	})
 	<-m.ended
-	w.CheckQuota("acme", perS, burst)
-	w.CheckInvariants()
+	c.CheckQuota("acme", perS, burst)
+	c.CheckInvariants()
 }
 
 // A voter's directory is restored from an old copy, which nothing can distinguish from a start: the voter may stop
 // voting, but the aggregator continues, and so does the consensus group of the others.
 func TestAggregatorServesAfterOldDirectoryIsRestored(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 3, Quotas: quotas})
-	m := w.Aggregators[(w.awaitGranter().index+1)%3]
+	c := Start(t, Options{Aggregators: 3, Quotas: quotas})
+	m := c.Aggregators[(c.awaitGranter().index+1)%3]
 	m.Kill()
-	w.must(os.CopyFS(m.dir+"-copy", os.DirFS(m.dir)))
+	c.must(os.CopyFS(m.dir+"-copy", os.DirFS(m.dir)))
 	m.Start()
-	w.Await("it serves", m.isServing)
+	c.Await("it serves", m.isServing)
 	change := func(i int) {
-		w.Await("the consensus group acts", func() bool {
-			_, err := w.Aggregators[m.index].Command(map[string]any{"id": fmt.Sprint("c", i), "author": "t", "reason": "r", "tenant": "cato", "quota": map[string]any{"per_s": 100 + i, "burst": 100}})
+		c.Await("the consensus group acts", func() bool {
+			_, err := c.Aggregators[m.index].Command(map[string]any{"id": fmt.Sprint("c", i), "author": "t", "reason": "r", "tenant": "cato", "quota": map[string]any{"per_s": 100 + i, "burst": 100}})
 			return err == nil
 		})
 	}
@@ -327,11 +327,11 @@
 		change(i)
 	}
 	m.Kill()
-	w.must(os.RemoveAll(m.dir))
-	w.must(os.Rename(m.dir+"-copy", m.dir))
+	c.must(os.RemoveAll(m.dir))
+	c.must(os.Rename(m.dir+"-copy", m.dir))
 	m.Start()
-	w.Await("it serves", m.isServing)
-	stop := w.Load(40, OrdersTenant, "orders", w.RoundRobin)
+	c.Await("it serves", m.isServing)
+	stop := c.Load(40, OrdersTenant, "orders", c.RoundRobin)
 	time.Sleep(3 * time.Second)
 	change(9)
 	stop()
@@ -340,5 +340,5 @@
 	}
 	text, _ := os.ReadFile(m.log)
 	t.Logf("the library gave up: %t", strings.Contains(string(text), "gave up"))
-	w.CheckInvariants()
+	c.CheckInvariants()
 }
--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -18,8 +18,8 @@
 // a connection announces its close, and no connection is closed under a query.
 func TestShutdownAnswersOpenConnections(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, Service: 5 * time.Millisecond})
-	m := w.Aggregators[0]
+	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, Service: 5 * time.Millisecond})
+	m := c.Aggregators[0]
 	var answered, closed, after atomic.Int64
 	var stopping atomic.Bool
 	var connections sync.WaitGroup
@@ -56,13 +56,13 @@
 			}
 		})
 	}
-	w.Await("queries are answered", func() bool { return answered.Load() > 200 })
+	c.Await("queries are answered", func() bool { return answered.Load() > 200 })
 	stopping.Store(true)
 	m.Signal(syscall.SIGTERM)
 	connections.Wait()
-	w.Await("the process ends", m.Ended)
+	c.Await("the process ends", m.Ended)
 	if t.Logf("%d queries answered after SIGTERM", after.Load()); after.Load() < 24 || closed.Load() != 24 {
 		t.Errorf("%d answered after SIGTERM, %d of 24 connections announced their close", after.Load(), closed.Load())
 	}
-	w.CheckInvariants()
+	c.CheckInvariants()
 }
