--- a/cmd/puffinlink/aggregatorcommands.go
+++ b/cmd/puffinlink/aggregatorcommands.go
@@ -13,19 +13,19 @@
 
 // aggregatorCommands are the commands of a mixer and of its operators, by the order of the help.
 type aggregatorCommands struct {
-	Serve    serveCommand    `command:"serve" description:"Serve lookups, as LB_CONFIG says. Example: LB_CONFIG=config.json puffinlink"`
+	Serve    serveCommand    `command:"serve" description:"Serve queries with the configuration that LB_CONFIG names. Example: LB_CONFIG=config.json puffinlink"`
 	Check    checkCommand    `command:"check" description:"Check an operator's file. Example: puffinlink check deploy/operator.json5"`
-	Override overrideCommand `command:"override" description:"List, set, clear, watch and explain overrides of a running mixer. Example: puffinlink override list --at unix:/run/p.sock"`
-	Fleet    fleetCommand    `command:"fleet" description:"Show, set and explain what the mixers of a fleet agree on. Example: puffinlink fleet show --at unix:/run/p.sock"`
-	Capture  captureCommand  `command:"capture" description:"Show, merge, cut and make captures of load. Example: puffinlink capture show all.capture"`
-	Plan     planCommand     `command:"plan" description:"Plan a fleet for a load. Example: puffinlink plan report fleet.json5 --capture all.capture"`
-	Token    tokenCommand    `command:"token" description:"Make an operator's token. Example: puffinlink token --key-file /etc/puffinlink/key"`
-	Demo     demoCommand     `command:"demo" description:"Run stand-ins, mixers and a small load on this machine. Example: puffinlink demo --for 10s"`
+	Override overrideCommand `command:"override" description:"List, set, clear, watch and explain overrides of a running aggregator. Example: puffinlink override list --at unix:/run/p.sock"`
+	Fleet    fleetCommand    `command:"fleet" description:"Show, set and explain the contracts and quotas that a fleet's aggregators agree on. Example: puffinlink fleet show --at unix:/run/p.sock"`
+	Capture  captureCommand  `command:"capture" description:"Show, merge, cut and generate captures of load. Example: puffinlink capture show all.capture"`
+	Plan     planCommand     `command:"plan" description:"Plan a fleet's capacity for a load. Example: puffinlink plan report fleet.json5 --capture all.capture"`
+	Token    tokenCommand    `command:"token" description:"Create an operator's token. Example: puffinlink token --key-file /etc/puffinlink/key"`
+	Demo     demoCommand     `command:"demo" description:"Run fake backends, aggregators and a small load on this machine. Example: puffinlink demo --for 10s"`
 	Version  versionCommand  `command:"version" description:"Print the version. Example: puffinlink version --json"`
 }
 
 const (
-	aggregatorDescription = "A mixer: it reads many shards for one lookup. The processes of the cluster scheduler are puffinlink proxy, agent and coordinator; " +
+	aggregatorDescription = "An aggregator: it reads many shards for one query. The processes of the cluster scheduler are puffinlink proxy, agent and coordinator; " +
 		"its operators use status, searchers, jobs, job, why, drain, undrain, cancel, apply and check-settings."
 	exampleMark = " Example: "
 )
--- a/cmd/puffinlink/apply.go
+++ b/cmd/puffinlink/apply.go
@@ -17,7 +17,7 @@
 
 type applyCommand struct {
 	controlOptions
-	IfMatch   *uint64 `long:"if-match" value-name:"VERSION" description:"Version that the configuration builds on, 0 for the first; the one in force if it is not given."`
+	IfMatch   *uint64 `long:"if-match" value-name:"VERSION" description:"Version that the configuration is based on, 0 for the first; the current one by default."`
 	Arguments struct {
 		File string `positional-arg-name:"FILE" description:"The whole configuration, as JSON."`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/puffinlink/capture.go
+++ b/cmd/puffinlink/capture.go
@@ -12,10 +12,10 @@
 )
 
 type captureCommand struct {
-	Show  captureShowCommand  `command:"show" description:"What a capture holds. Example: puffinlink capture show /var/lib/puffinlink/capture"`
-	Merge captureMergeCommand `command:"merge" description:"Several mixers' captures as one. Example: puffinlink capture merge --out all.capture n1 n2 n3"`
-	Cut   captureCutCommand   `command:"cut" description:"A part of a capture. Example: puffinlink capture cut all.capture --from 2026-11-30T08:00:00Z --for 1h --out morning.capture"`
-	Synth captureSynthCommand `command:"synth" description:"A capture of a load that is stated. Example: puffinlink capture synth load.json5 --out load.capture"`
+	Show  captureShowCommand  `command:"show" description:"Summarize a capture. Example: puffinlink capture show /var/lib/puffinlink/capture"`
+	Merge captureMergeCommand `command:"merge" description:"Merge the captures of several aggregators. Example: puffinlink capture merge --out all.capture n1 n2 n3"`
+	Cut   captureCutCommand   `command:"cut" description:"Extract a time range of a capture. Example: puffinlink capture cut all.capture --from 2026-11-30T08:00:00Z --for 1h --out morning.capture"`
+	Synth captureSynthCommand `command:"synth" description:"Generate a capture from a description of a load. Example: puffinlink capture synth load.json5 --out load.capture"`
 }
 
 // openCapture reads a capture, and tells where it is cut off.
@@ -35,9 +35,9 @@
 }
 
 type captureShowCommand struct {
-	JSON      bool `long:"json" description:"The sum, as JSON."`
+	JSON      bool `long:"json" description:"Print the summary as JSON."`
 	Arguments struct {
-		Path string `positional-arg-name:"path" description:"A file, or a directory of them."`
+		Path string `positional-arg-name:"path" description:"A capture file, or a directory of capture files."`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -80,10 +80,10 @@
 func formatMilliseconds(s float64) string { return fmt.Sprintf("%.1f ms", 1000*s) }
 
 type captureMergeCommand struct {
-	Span      time.Duration `long:"span" value-name:"DURATION" default:"10s" description:"Of an interval."`
+	Span      time.Duration `long:"span" value-name:"DURATION" default:"10s" description:"Length of an interval."`
 	Out       string        `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
-		Paths []string `positional-arg-name:"paths" required:"1" description:"Files, or directories of them."`
+		Paths []string `positional-arg-name:"paths" required:"1" description:"Capture files, or directories of capture files."`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -104,11 +104,11 @@
 }
 
 type captureCutCommand struct {
-	From      timeFlag      `long:"from" value-name:"TIME" required:"yes" description:"As 2026-11-30T08:00:00Z."`
-	For       time.Duration `long:"for" value-name:"DURATION" required:"yes" description:"As 1h."`
+	From      timeFlag      `long:"from" value-name:"TIME" required:"yes" description:"Start of the range, for example 2026-11-30T08:00:00Z."`
+	For       time.Duration `long:"for" value-name:"DURATION" required:"yes" description:"Length of the range, for example 1h."`
 	Out       string        `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
-		Path string `positional-arg-name:"path" description:"A file, or a directory of them."`
+		Path string `positional-arg-name:"path" description:"A capture file, or a directory of capture files."`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -127,7 +127,7 @@
 type captureSynthCommand struct {
 	Out       string `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
-		File string `positional-arg-name:"file" description:"The load, as docs/operators/planning.md shows it."`
+		File string `positional-arg-name:"file" description:"Description of the load; see docs/operators/planning.md."`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -14,11 +14,11 @@
 )
 
 type fleetCommand struct {
-	Show     fleetShowCommand     `command:"show" description:"What one mixer knows. Example: puffinlink fleet show"`
-	Contract fleetContractCommand `command:"contract" description:"Set or clear a tenant's contract, and wait until it holds. Example: puffinlink fleet contract acme --zones north --reason 'signed'"`
+	Show     fleetShowCommand     `command:"show" description:"Show the state of the fleet as one aggregator knows it. Example: puffinlink fleet show"`
+	Contract fleetContractCommand `command:"contract" description:"Set or clear a tenant's contract, and wait until all aggregators apply it. Example: puffinlink fleet contract acme --zones north --reason 'signed'"`
 	Quota    fleetQuotaCommand    `command:"quota" description:"Set or clear a tenant's quota. Example: puffinlink fleet quota acme --per-s 200 --burst 200 --reason 'signed'"`
 	Progress fleetProgressCommand `command:"held" description:"How far a contract got, mixer by mixer. Example: puffinlink fleet held 17 acme"`
-	Why      fleetWhyCommand      `command:"why" description:"Which contract, lease and quota decide. Example: puffinlink fleet why acme reads"`
+	Why      fleetWhyCommand      `command:"why" description:"Show which contract, lease and quota decide about a tenant's queries. Example: puffinlink fleet why acme reads"`
 }
 
 // clientWithTimeout asks a mixer's listener within a time.
@@ -71,9 +71,9 @@
 
 // changeOptions is who says why.
 type changeOptions struct {
-	Author string `long:"author" value-name:"STRING" description:"Who; the user's name unless a token says it."`
-	Reason string `long:"reason" value-name:"STRING" required:"yes" description:"Why."`
-	ID     string `long:"id" value-name:"STRING" description:"The same command sent again under it acts once."`
+	Author string `long:"author" value-name:"STRING" description:"Author of the change; the user's name unless a token names one."`
+	Reason string `long:"reason" value-name:"STRING" required:"yes" description:"Reason for the change."`
+	ID     string `long:"id" value-name:"STRING" description:"Idempotency key: a command sent again with the same key is executed once."`
 }
 
 func (s *changeOptions) command(tenant string) api.FleetCommand {
@@ -86,11 +86,11 @@
 type fleetContractCommand struct {
 	operatorConnection
 	changeOptions
-	Zones          commaList     `long:"zones" value-name:"LIST" description:"Where its lookups may go."`
-	Indexes        commaList     `long:"indexes" value-name:"LIST" description:"Those that it is about; all if none is named."`
-	AggregatorsToo bool          `long:"mixers-too" description:"Mixers in other zones do not take them either."`
-	Clear          bool          `long:"clear" description:"Take the contract away."`
-	Wait           time.Duration `long:"wait" value-name:"DURATION" default:"30s" description:"How long to wait until it holds everywhere."`
+	Zones          commaList     `long:"zones" value-name:"LIST" description:"Comma-separated zones that the tenant's queries may go to."`
+	Indexes        commaList     `long:"indexes" value-name:"LIST" description:"Comma-separated indexes that the contract covers; all if none is given."`
+	AggregatorsToo bool          `long:"mixers-too" description:"Also forbid aggregators in other zones to accept the tenant's queries."`
+	Clear          bool          `long:"clear" description:"Remove the contract."`
+	Wait           time.Duration `long:"wait" value-name:"DURATION" default:"30s" description:"How long to wait until all aggregators apply it."`
 	Arguments      struct {
 		Tenant string `positional-arg-name:"tenant"`
 	} `positional-args:"yes" required:"yes"`
@@ -144,7 +144,7 @@
 
 type fleetProgressCommand struct {
 	operatorConnection
-	Wait      time.Duration `long:"wait" value-name:"DURATION" description:"How long to wait until it holds everywhere: a new leader knows only after a while."`
+	Wait      time.Duration `long:"wait" value-name:"DURATION" description:"How long to wait until all aggregators apply it; a new leader needs a while to learn their state."`
 	Arguments struct {
 		Version uint64 `positional-arg-name:"version"`
 		Tenant  string `positional-arg-name:"tenant"`
@@ -172,10 +172,10 @@
 type fleetQuotaCommand struct {
 	operatorConnection
 	changeOptions
-	PerS       float64 `long:"per-s" value-name:"NUMBER" description:"Lookups a second, all mixers together."`
-	Burst      float64 `long:"burst" value-name:"NUMBER" description:"Lookups at once."`
-	FloorShare float64 `long:"floor-share" value-name:"NUMBER" default:"0.04" description:"Share of it that mixers have by themselves."`
-	Clear      bool    `long:"clear" description:"Take the quota away."`
+	PerS       float64 `long:"per-s" value-name:"NUMBER" description:"Queries per second over all aggregators."`
+	Burst      float64 `long:"burst" value-name:"NUMBER" description:"Burst size in queries."`
+	FloorShare float64 `long:"floor-share" value-name:"NUMBER" default:"0.04" description:"Share of the quota that is split evenly among the aggregators and needs no grant."`
+	Clear      bool    `long:"clear" description:"Remove the quota."`
 	Arguments  struct {
 		Tenant string `positional-arg-name:"tenant"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -44,7 +44,7 @@
 	controlOptions
 	serviceOption
 	State string `long:"state" choice:"queued" choice:"running" choice:"completed" choice:"failed" choice:"cancelled" description:"Only jobs of this state."`
-	Limit int    `long:"limit" default:"100" description:"How many at most, up to 1000."`
+	Limit int    `long:"limit" default:"100" description:"Maximum number of jobs, up to 1000."`
 }
 
 // Execute implements flags.Commander.
@@ -108,7 +108,7 @@
 	controlOptions
 	serviceOption
 	Arguments struct {
-		ID string `positional-arg-name:"ID" description:"The searcher's identifier, as searchers lists it."`
+		ID string `positional-arg-name:"ID" description:"The worker's identifier, as the command searchers lists it."`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/puffinlink/operations.go
+++ b/cmd/puffinlink/operations.go
@@ -29,37 +29,37 @@
 
 // operations are the commands by the order of the help.
 var operations = []operation{
-	{"status", "Show the mixers, the leaders and the configuration's version",
-		"Shows the mixer that answers, the members it hears, who schedules the jobs of which service, and the configuration's version.",
+	{"status", "Show the nodes, the leaders and the configuration's version",
+		"Shows the node that answers, the members it receives heartbeats from, the leader of each service's jobs, and the configuration's version.",
 		"status --at 10.1.0.15:8146", func() flags.Commander { return new(statusCommand) }},
-	{"searchers", "List the searchers", "Lists the searchers with state, window, latency, faults, runs and capacity.",
+	{"searchers", "List the workers", "Lists the workers with state, window, latency, failures, attempts and capacity.",
 		"searchers --at 10.1.0.15:8146 --service kursmotor", func() flags.Commander { return new(workersCommand) }},
-	{"jobs", "List jobs", "Lists the newest jobs, those first that have not ended.",
+	{"jobs", "List jobs", "Lists the newest jobs, unfinished ones first.",
 		"jobs --at 10.1.0.15:8146 --state queued --limit 20", func() flags.Commander { return new(jobsCommand) }},
-	{"job", "Show one job", "Shows a job with its stages, tasks by state, runs and failures.",
+	{"job", "Show one job", "Shows a job with its stages, tasks by state, attempts and failures.",
 		"job 5c0e7a21d94b36f8 --at 10.1.0.15:8146", func() flags.Commander { return new(jobCommand) }},
-	{"why", "Tell why a job waits", "Tells for each stage with waiting tasks which searchers were ruled out, and by what.",
+	{"why", "Explain why a job waits", "Lists for each stage with waiting tasks the workers that were excluded, and why.",
 		"why 5c0e7a21d94b36f8 --at 10.1.0.15:8146", func() flags.Commander { return new(whyCommand) }},
-	{"drain", "Start nothing more at a searcher", "Lets a searcher get no new starts. What runs there goes on. Other leaders keep to it, until undrain.",
+	{"drain", "Stop starting tasks on a worker", "Starts no new tasks on a worker; running ones continue. Later leaders respect it until undrain.",
 		"drain i-7f3a91c2 --at 10.1.0.15:8146", func() flags.Commander { return new(drainCommand) }},
-	{"undrain", "Allow starts at a searcher again", "Ends an operator's drain.",
+	{"undrain", "Start tasks on a worker again", "Ends an operator's drain.",
 		"undrain i-7f3a91c2 --at 10.1.0.15:8146", func() flags.Commander { return new(undrainCommand) }},
 	{"cancel", "Cancel a job", "Cancels a job and stops its tasks. Cancelling it again changes nothing.",
 		"cancel 5c0e7a21d94b36f8 --at 10.1.0.15:8146", func() flags.Commander { return new(cancelCommand) }},
-	{"apply", "Put a configuration in force", "Checks a configuration and puts it in force. It builds on the version in force, which is read first, or on --if-match.",
+	{"apply", "Apply a configuration", "Validates a configuration and applies it. It is based on the version in force, which is read first, or on --if-match.",
 		"apply configuration.json --at 10.1.0.15:8146", func() flags.Commander { return new(applyCommand) }},
 	{"check-settings", "Check a settings file", "Checks the settings file of a process without starting it.",
 		"check-settings /etc/puffinlink/local.conf", func() flags.Commander { return new(checkSettingsCommand) }},
 }
 
-const operationUsage = "\n\nExit codes: 0 done, 1 failed or not valid, 2 command line not valid, 3 refused, 4 conflict, 5 no mixer gave a clear answer." +
+const operationUsage = "\n\nExit codes: 0 done, 1 failed or not valid, 2 command line not valid, 3 refused, 4 conflict, 5 no node gave a clear answer." +
 	"\n\nExample: puffinlink "
 
 // controlOptions are the flags of all commands that ask a mixer.
 type controlOptions struct {
-	At      []string      `long:"at" value-name:"HOST:PORT" required:"yes" env:"PUFFINLINK_CONTROL" env-delim:"," description:"Control address of a mixer; repeat it to name others that are tried in turn."`
-	JSON    bool          `long:"json" description:"Print the mixer's answer as JSON."`
-	Timeout time.Duration `long:"timeout" default:"10s" description:"How long to try."`
+	At      []string      `long:"at" value-name:"HOST:PORT" required:"yes" env:"PUFFINLINK_CONTROL" env-delim:"," description:"Control address of a node; repeat the flag to name further nodes, tried in turn."`
+	JSON    bool          `long:"json" description:"Print the node's response as JSON."`
+	Timeout time.Duration `long:"timeout" default:"10s" description:"Timeout of each request, over all addresses tried."`
 }
 
 // isOperation tells whether a command line is one of these commands.
--- a/cmd/puffinlink/operatorclient.go
+++ b/cmd/puffinlink/operatorclient.go
@@ -21,9 +21,9 @@
 
 // operatorConnection is where a mixer's listener is, and how to come in.
 type operatorConnection struct {
-	At        string `long:"at" value-name:"ADDRESS" required:"yes" env:"PUFFINLINK_OPERATORS" description:"The listener: unix:/PATH or HOST:PORT."`
-	TokenFile string `long:"token-file" value-name:"FILE" description:"Holds the token; PUFFINLINK_TOKEN may hold it instead."`
-	JSON      bool   `long:"json" description:"As JSON, for programs."`
+	At        string `long:"at" value-name:"ADDRESS" required:"yes" env:"PUFFINLINK_OPERATORS" description:"Address of the operators' listener: unix:/PATH or HOST:PORT."`
+	TokenFile string `long:"token-file" value-name:"FILE" description:"File that contains the token; the variable PUFFINLINK_TOKEN is the alternative."`
+	JSON      bool   `long:"json" description:"Print JSON."`
 }
 
 func (d *operatorConnection) client() (*api.Client, error) {
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -19,12 +19,12 @@
 )
 
 type overrideCommand struct {
-	List    overrideListCommand    `command:"list" description:"What holds. Example: puffinlink override list --at unix:/run/p.sock"`
-	Set     overrideSetCommand     `command:"set" description:"Set one. Example: puffinlink override set out s-12 --for 30m --reason 'slow disk'"`
-	Clear   overrideClearCommand   `command:"clear" description:"Clear one. Example: puffinlink override clear 17 --reason 'disk changed'"`
-	Watch   overrideWatchCommand   `command:"watch" description:"Print changes as they come. Example: puffinlink override watch --json"`
-	History overrideHistoryCommand `command:"history" description:"The last changes. Example: puffinlink override history --most 20"`
-	Why     overrideWhyCommand     `command:"why" description:"Why a shard does or does not go to a searcher. Example: puffinlink override why 7 reads s-12"`
+	List    overrideListCommand    `command:"list" description:"List the overrides in force. Example: puffinlink override list --at unix:/run/p.sock"`
+	Set     overrideSetCommand     `command:"set" description:"Set an override. Example: puffinlink override set out s-12 --for 30m --reason 'slow disk'"`
+	Clear   overrideClearCommand   `command:"clear" description:"Clear an override. Example: puffinlink override clear 17 --reason 'disk changed'"`
+	Watch   overrideWatchCommand   `command:"watch" description:"Print changes as they happen. Example: puffinlink override watch --json"`
+	History overrideHistoryCommand `command:"history" description:"Show the latest changes. Example: puffinlink override history --most 20"`
+	Why     overrideWhyCommand     `command:"why" description:"Explain why a shard's subqueries do or do not go to a backend. Example: puffinlink override why 7 reads s-12"`
 }
 
 // describeOverride says in a few words what an override does.
@@ -89,20 +89,20 @@
 
 type overrideSetCommand struct {
 	operatorConnection
-	Weight       float64       `long:"weight" value-name:"NUMBER" description:"Of a weight: over 0 and up to 1."`
-	Shards       string        `long:"shards" value-name:"STRING" description:"Of a pin: one shard or a range, as 7 or 7-9."`
-	Strict       bool          `long:"strict" description:"Of a pin: refuse the shard while its searcher is dead, instead of giving it to siblings."`
-	Index        string        `long:"index" value-name:"STRING" description:"For this index alone."`
-	For          time.Duration `long:"for" value-name:"DURATION" required:"yes" description:"When it ends, as 30m."`
-	UntilRestart bool          `long:"until-restart" description:"It ends earlier, with the next start of its searcher."`
-	Reason       string        `long:"reason" value-name:"STRING" required:"yes" description:"Why."`
-	Author       string        `long:"author" value-name:"STRING" env:"USER" default:"operator" description:"Who, where the listener has no tokens."`
-	Revision     int64         `long:"revision" value-name:"NUMBER" default:"-1" description:"Made for this revision; the present one where it is not stated."`
-	Key          string        `long:"key" value-name:"STRING" description:"Names the command, so that it acts once however often it is sent."`
-	Force        bool          `long:"force" description:"Overrule guard rails."`
+	Weight       float64       `long:"weight" value-name:"NUMBER" description:"For kind weight: the weight, above 0 and up to 1."`
+	Shards       string        `long:"shards" value-name:"STRING" description:"For kind pin: one shard or a range, for example 7 or 7-9."`
+	Strict       bool          `long:"strict" description:"For kind pin: reject the shard's subqueries while its backend is down instead of sending them to replicas."`
+	Index        string        `long:"index" value-name:"STRING" description:"Apply to this index only."`
+	For          time.Duration `long:"for" value-name:"DURATION" required:"yes" description:"How long the override lasts, for example 30m."`
+	UntilRestart bool          `long:"until-restart" description:"End the override earlier, when its backend restarts."`
+	Reason       string        `long:"reason" value-name:"STRING" required:"yes" description:"Reason for the change."`
+	Author       string        `long:"author" value-name:"STRING" env:"USER" default:"operator" description:"Author of the change if the listener uses no tokens."`
+	Revision     int64         `long:"revision" value-name:"NUMBER" default:"-1" description:"Revision that the change is based on; the current one by default."`
+	Key          string        `long:"key" value-name:"STRING" description:"Idempotency key: a command sent again with the same key is executed once."`
+	Force        bool          `long:"force" description:"Override the guard rails."`
 	Arguments    struct {
 		Kind   overrideKind `positional-arg-name:"kind" description:"weight, out or pin."`
-		Target string       `positional-arg-name:"target" description:"A searcher, or @ and a location."`
+		Target string       `positional-arg-name:"target" description:"A backend, or @ followed by a location."`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -193,10 +193,10 @@
 
 type overrideClearCommand struct {
 	operatorConnection
-	Reason    string `long:"reason" value-name:"STRING" required:"yes" description:"Why."`
-	Author    string `long:"author" value-name:"STRING" env:"USER" default:"operator" description:"Who, where the listener has no tokens."`
-	Revision  int64  `long:"revision" value-name:"NUMBER" default:"-1" description:"Made for this revision; the present one where it is not stated."`
-	Key       string `long:"key" value-name:"STRING" description:"Names the command, so that it acts once however often it is sent."`
+	Reason    string `long:"reason" value-name:"STRING" required:"yes" description:"Reason for the change."`
+	Author    string `long:"author" value-name:"STRING" env:"USER" default:"operator" description:"Author of the change if the listener uses no tokens."`
+	Revision  int64  `long:"revision" value-name:"NUMBER" default:"-1" description:"Revision that the change is based on; the current one by default."`
+	Key       string `long:"key" value-name:"STRING" description:"Idempotency key: a command sent again with the same key is executed once."`
 	Arguments struct {
 		ID uint64 `positional-arg-name:"id" description:"The override's id."`
 	} `positional-args:"yes" required:"yes"`
@@ -211,7 +211,7 @@
 
 type overrideWatchCommand struct {
 	operatorConnection
-	From uint64 `long:"from" value-name:"NUMBER" description:"Begin after this revision."`
+	From uint64 `long:"from" value-name:"NUMBER" description:"Start after this revision."`
 }
 
 func (c *overrideWatchCommand) Execute([]string) error {
@@ -236,7 +236,7 @@
 
 type overrideHistoryCommand struct {
 	operatorConnection
-	Most int `long:"most" value-name:"NUMBER" default:"100" description:"How many, 1000 at most."`
+	Most int `long:"most" value-name:"NUMBER" default:"100" description:"Maximum number of changes, up to 1000."`
 }
 
 func (c *overrideHistoryCommand) Execute([]string) error {
@@ -258,7 +258,7 @@
 	Arguments struct {
 		Shard    int    `positional-arg-name:"shard" description:"The shard."`
 		Index    string `positional-arg-name:"index" description:"The index."`
-		Searcher string `positional-arg-name:"searcher" description:"The searcher."`
+		Searcher string `positional-arg-name:"searcher" description:"The backend."`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -10,19 +10,19 @@
 )
 
 type planCommand struct {
-	Report   planReportCommand   `command:"report" description:"What breaks first, what it bears, what losing a location does. Example: puffinlink plan report fleet.json5 --capture all.capture"`
-	Buy      planBuyCommand      `command:"buy" description:"Fewest searchers that keep the goals with a location lost. Example: puffinlink plan buy fleet.json5 --capture all.capture --spare 1"`
-	Compare  planCompareCommand  `command:"compare" description:"Two fleets, or one under two captures, side by side. Example: puffinlink plan compare a.json5 b.json5 --capture all.capture"`
-	Validate planValidateCommand `command:"prove" description:"Hold predictions to what happens on this machine. Example: puffinlink plan prove --seconds 10"`
+	Report   planReportCommand   `command:"report" description:"Report the load at which goals are missed, the limits, and the effect of losing a location. Example: puffinlink plan report fleet.json5 --capture all.capture"`
+	Buy      planBuyCommand      `command:"buy" description:"Find the cheapest backends that meet the goals with a location lost. Example: puffinlink plan buy fleet.json5 --capture all.capture --spare 1"`
+	Compare  planCompareCommand  `command:"compare" description:"Compare two fleets, or one fleet under two captures. Example: puffinlink plan compare a.json5 b.json5 --capture all.capture"`
+	Validate planValidateCommand `command:"prove" description:"Compare the planner's predictions with measurements on this machine. Example: puffinlink plan prove --seconds 10"`
 }
 
 // planOptions is what a plan is made of.
 type planOptions struct {
 	Capture   string  `long:"capture" value-name:"STRING" required:"yes" description:"A capture: a file, or a directory of them."`
-	Mean      bool    `long:"mean" description:"Plan for the capture's mean, not its busiest interval."`
-	Times     float64 `long:"times" value-name:"NUMBER" default:"1" description:"Multiply the load."`
-	Seed      uint64  `long:"seed" value-name:"NUMBER" default:"1" description:"Of what chance adds."`
-	JSON      bool    `long:"json" description:"As JSON."`
+	Mean      bool    `long:"mean" description:"Plan for the capture's mean load instead of its busiest interval."`
+	Times     float64 `long:"times" value-name:"NUMBER" default:"1" description:"Factor that multiplies the load."`
+	Seed      uint64  `long:"seed" value-name:"NUMBER" default:"1" description:"Seed of the random numbers."`
+	JSON      bool    `long:"json" description:"Print JSON."`
 	Arguments struct {
 		Fleet string `positional-arg-name:"fleet" description:"The fleet's description, JSON with comments."`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/puffinlink/planbuy.go
+++ b/cmd/puffinlink/planbuy.go
@@ -9,8 +9,8 @@
 
 type planBuyCommand struct {
 	planOptions
-	Spare int `long:"spare" value-name:"NUMBER" description:"Searchers that may be lost besides a location."`
-	Most  int `long:"most" value-name:"NUMBER" default:"100" description:"That may stand in one location."`
+	Spare int `long:"spare" value-name:"NUMBER" description:"Number of backends that may be lost in addition to a location."`
+	Most  int `long:"most" value-name:"NUMBER" default:"100" description:"Maximum number of backends in one location."`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/puffinlink/plancompare.go
+++ b/cmd/puffinlink/plancompare.go
@@ -8,7 +8,7 @@
 
 type planCompareCommand struct {
 	planOptions
-	OtherCapture string `long:"other-capture" value-name:"STRING" description:"The other capture; the same one where it is not stated."`
+	OtherCapture string `long:"other-capture" value-name:"STRING" description:"Capture for the other fleet; the same one by default."`
 	Second       struct {
 		Other string `positional-arg-name:"other" description:"The fleet to compare with."`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/puffinlink/planvalidate.go
+++ b/cmd/puffinlink/planvalidate.go
@@ -10,11 +10,11 @@
 )
 
 type planValidateCommand struct {
-	Seconds float64 `long:"seconds" value-name:"NUMBER" default:"10" description:"That each setting is played, after 2 s to learn."`
-	Drawn   int     `long:"drawn" value-name:"NUMBER" default:"4" description:"Settings that a seed draws, beside the known ones."`
-	Seed    uint64  `long:"seed" value-name:"NUMBER" default:"1" description:"Of the drawn ones."`
-	Only    string  `long:"only" value-name:"STRING" description:"The setting of this name alone."`
-	JSON    bool    `long:"json" description:"As JSON."`
+	Seconds float64 `long:"seconds" value-name:"NUMBER" default:"10" description:"Seconds to run each scenario, after 2 s of warm-up."`
+	Drawn   int     `long:"drawn" value-name:"NUMBER" default:"4" description:"Number of random scenarios in addition to the fixed ones."`
+	Seed    uint64  `long:"seed" value-name:"NUMBER" default:"1" description:"Seed of the random scenarios."`
+	Only    string  `long:"only" value-name:"STRING" description:"Run only the scenario of this name."`
+	JSON    bool    `long:"json" description:"Print JSON."`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -30,7 +30,7 @@
 )
 
 type serveCommand struct {
-	Operator string `long:"operator" value-name:"FILE" env:"PUFFINLINK_OPERATOR" description:"The operator's file, as deploy/operator.json5 shows it."`
+	Operator string `long:"operator" value-name:"FILE" env:"PUFFINLINK_OPERATOR" description:"The operator's file; deploy/operator.json5 is an example."`
 }
 
 func (s *serveCommand) Execute([]string) error { return serveAggregator(s.Operator) }
@@ -146,7 +146,7 @@
 }
 
 type checkCommand struct {
-	JSON      bool `long:"json" description:"Print what the file states, as JSON."`
+	JSON      bool `long:"json" description:"Print the file's settings as JSON."`
 	Arguments struct {
 		File string `positional-arg-name:"file" description:"The file."`
 	} `positional-args:"yes" required:"yes"`
@@ -177,7 +177,7 @@
 }
 
 type versionCommand struct {
-	JSON bool `long:"json" description:"As JSON."`
+	JSON bool `long:"json" description:"Print JSON."`
 }
 
 func (v *versionCommand) Execute([]string) error {
--- a/cmd/puffinlink/system.go
+++ b/cmd/puffinlink/system.go
@@ -47,7 +47,7 @@
 
 // systemOptions are the flags of the sub-commands.
 type systemOptions struct {
-	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"Least level of the lines logged."`
+	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"Minimum level of logged lines."`
 	Metrics  string `long:"metrics" value-name:"ADDRESS" description:"Serve metrics for Prometheus at this address, host:port, under /metrics; off if it is not given."`
 }
 
@@ -56,7 +56,7 @@
 	{
 		name:        "proxy",
 		short:       "Serve clients on a front machine",
-		description: "Serves the clients of a front machine: it takes jobs and tells of their states. It needs the agent on the same machine.",
+		description: "Serves the clients of a front machine: it accepts jobs and reports their states. It needs the agent on the same machine.",
 		run:         runProxy,
 	},
 	{
--- a/cmd/puffinlink/token.go
+++ b/cmd/puffinlink/token.go
@@ -13,9 +13,9 @@
 )
 
 type tokenCommand struct {
-	KeyFile string `long:"key-file" value-name:"FILE" required:"yes" description:"The key of the hashes; it is made where there is none."`
-	Name    string `long:"name" value-name:"STRING" default:"ann" description:"Whose it is."`
-	Role    string `long:"role" value-name:"STRING" default:"read" choice:"read" choice:"write" description:"read or write."`
+	KeyFile string `long:"key-file" value-name:"FILE" required:"yes" description:"File of the key that hashes tokens; it is created if it does not exist."`
+	Name    string `long:"name" value-name:"STRING" default:"ann" description:"Name of the token's owner."`
+	Role    string `long:"role" value-name:"STRING" default:"read" choice:"read" choice:"write" description:"Permission: read or write."`
 }
 
 func (c *tokenCommand) Execute([]string) error {
