--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -61,7 +61,7 @@
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
 	defer cancel()
-	p, err := m.OperatorClient().Held(ctx, version, tenant)
+	p, err := m.OperatorClient().Progress(ctx, version, tenant)
 	if err != nil {
 		return false, nil
 	}
