--- a/internal/systemtest/checker/history.go
+++ b/internal/systemtest/checker/history.go
@@ -8,13 +8,13 @@
 // Bounds are the times that the rules name.
 type Bounds struct {
 	Contact            time.Duration // without a fault for that long, a machine is in contact
-	ConfigurationApply time.Duration
-	RollbackSlack      time.Duration
-	Drain              time.Duration
-	Cancel             time.Duration
-	Stop               time.Duration
-	Visible            time.Duration
-	Early              time.Duration
+	ConfigurationApply time.Duration // from a change's acknowledgement until every front in contact applies it
+	RollbackSlack      time.Duration // after a new version's effect was seen at a front, while the older one may still be seen there
+	Drain              time.Duration // from an inventory with a draining worker until nothing starts there any more
+	Cancel             time.Duration // from a cancellation's acknowledgement until nothing of the job starts any more
+	Stop               time.Duration // further until what runs of the job has stopped
+	Visible            time.Duration // from a job's acceptance until every front in contact knows it
+	Early              time.Duration // by which a scheduled repetition may start before its time
 	LossSlack          time.Duration // from a request's last byte until a graceful shutdown must have answered it
 	Grace              time.Duration // from the begin of a graceful shutdown until the process is killed
 	AcknowledgeLag     time.Duration // from an end's acknowledgement or a job's completion until nothing starts any more
@@ -153,18 +153,30 @@
 	return v.Rule + " " + v.Subject + " at " + v.At.Format("15:04:05.000") + ": " + v.Detail
 }
 
-// The rules.
+// The rules, as violations name them.
 const (
-	OverCapacity      = "LIMIT"
-	DuplicateAttempt  = "TWICE"
-	StageOrder        = "ORDER"
-	Placement         = "ROUTE"
-	AttemptBudget     = "BUDGET"
-	Gang              = "GANG"
-	Unrequested       = "UNASKED"
-	RejectedJob       = "REFUSED"
-	DrainingWorker    = "DRAIN"
+	// OverCapacity: attempts at a worker that does not enforce its limits need more than its capacity.
+	OverCapacity = "LIMIT"
+	// DuplicateAttempt: an attempt starts while another of its task runs, or after the task is done.
+	DuplicateAttempt = "TWICE"
+	// StageOrder: an attempt starts before the stages that it depends on are done, or before its time.
+	StageOrder = "ORDER"
+	// Placement: an attempt starts at a worker of another service, without a required label, or with too many of its stage.
+	Placement = "ROUTE"
+	// AttemptBudget: an attempt starts after the last one that the route allows has failed.
+	AttemptBudget = "BUDGET"
+	// Gang: a member of a gang waits for the others in vain although there was no fault.
+	Gang = "GANG"
+	// Unrequested: an attempt is of no submitted task, of another specification or checkpoint, or of a cancelled job.
+	Unrequested = "UNASKED"
+	// RejectedJob: an attempt starts although every submission of its job was rejected.
+	RejectedJob = "REFUSED"
+	// DrainingWorker: an attempt starts at a worker that has been draining for long.
+	DrainingWorker = "DRAIN"
+	// InconsistentState: a client is shown a state that the attempts contradict, or one that cannot be read.
 	InconsistentState = "MIXED"
-	Lost              = "LOST"
-	Config            = "CONFIG"
+	// Lost: an accepted job, an acknowledged configuration or a request during a graceful shutdown is lost.
+	Lost = "LOST"
+	// Config: an answer contradicts the configuration that must be active, or a change that was acknowledged.
+	Config = "CONFIG"
 )
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -24,7 +24,10 @@
 )
 
 // childSpecVariable is the environment variable with the childSpec of a process, as JSON.
-const childSpecVariable = "PUFFINLINK_SYSTEMTEST_PART"
+const childSpecVariable = "PUFFINLINK_SYSTEMTEST_CHILD"
+
+// childFailedMarker begins the line that a child process writes to standard error when it fails.
+const childFailedMarker = "child process failed:"
 
 // readyLine is written to standard output once a child process listens.
 const readyLine = "ready"
@@ -53,7 +56,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if err := startChild(ctx, text); err != nil {
-		fmt.Fprintln(os.Stderr, "part failed:", err)
+		fmt.Fprintln(os.Stderr, childFailedMarker, err)
 		return 1
 	}
 	return 0
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -28,9 +28,9 @@
 
 // longPauseScenarios pause one process, or all of a machine, for 20 s, while the configuration changes and jobs arrive.
 var longPauseScenarios = []scenario{
-	{name: "leader-stopped-long", seed: 31, faults: onLeader(pauseCoreLong)},
-	{name: "follower-stopped-long", seed: 32, faults: onFollower(pauseCoreLong)},
-	{name: "agent-stopped-long", seed: 33, faults: pauseAgentLong},
+	{name: "leader-paused-long", seed: 31, faults: onLeader(pauseCoreLong)},
+	{name: "follower-paused-long", seed: 32, faults: onFollower(pauseCoreLong)},
+	{name: "agent-paused-long", seed: 33, faults: pauseAgentLong},
 }
 
 // TestNoStaleStateAfterLongPause plays them side by side, as each takes that long whatever the machine does.
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -149,7 +149,7 @@
 	defer p.mu.Unlock()
 	log, err := os.ReadFile(p.log.Name())
 	if err == nil {
-		for _, marker := range []string{"WARNING: DATA RACE", "panic:", "part failed:"} {
+		for _, marker := range []string{"WARNING: DATA RACE", "panic:", childFailedMarker} {
 			if at := strings.Index(string(log), marker); at >= 0 {
 				err = errors.Join(err, fmt.Errorf("%s: %s", p.name, string(log[at:min(at+3000, len(log))])))
 			}
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -185,18 +185,18 @@
 	defer r.mu.Unlock()
 	for _, record := range runs {
 		name := attemptKey{record.Worker, record.Task.String(), record.Execution}
-		run := checker.Attempt{
+		attempt := checker.Attempt{
 			Worker: record.Worker, Task: name.task, Number: record.Execution, Specification: record.Specification,
 			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[name], StartedAt: record.StartedAt,
 			EndedAt: record.EndedAt, Outcome: string(record.Outcome),
 		}
 		if record.Acknowledged {
-			run.AcknowledgedAt = r.acknowledged[name]
-			if run.AcknowledgedAt.IsZero() {
-				run.AcknowledgedAt = record.EndedAt // the answer was lost
+			attempt.AcknowledgedAt = r.acknowledged[name]
+			if attempt.AcknowledgedAt.IsZero() {
+				attempt.AcknowledgedAt = record.EndedAt // the answer was lost
 			}
 		}
-		h.Attempts = append(h.Attempts, run)
+		h.Attempts = append(h.Attempts, attempt)
 	}
 	for incarnation, until := range r.leaseUntil {
 		if until.Before(h.SeenUntil) {
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -13,9 +13,13 @@
 
 // summary counts what a history holds, to see that there was something to check.
 type summary struct {
-	Attempts, Acknowledged, UnknownSender, LeaseExpiries, Checkpoints, Inventories, Requests, OperatorRequests, AbortedRequests int
-	Outcomes                                                                                                                    map[string]int // of runs
-	Answers                                                                                                                     map[int]int    // to clients, by status
+	Attempts, Acknowledged, UnknownSender int
+	LeaseExpiries, Checkpoints            int
+	Inventories                           int
+	Requests, AbortedRequests             int // of clients
+	OperatorRequests                      int
+	Outcomes                              map[string]int // of attempts
+	Answers                               map[int]int    // to clients, by status
 }
 
 func summarize(h checker.History) summary {
@@ -23,12 +27,12 @@
 		Attempts: len(h.Attempts), LeaseExpiries: len(h.LeaseExpiries), Checkpoints: len(h.Checkpoints), Inventories: len(h.Inventories), Requests: len(h.Requests),
 		OperatorRequests: len(h.OperatorRequests), AbortedRequests: len(h.AbortedRequests), Outcomes: map[string]int{}, Answers: map[int]int{},
 	}
-	for _, run := range h.Attempts {
-		result.Outcomes[run.Outcome]++
-		if !run.AcknowledgedAt.IsZero() {
+	for _, attempt := range h.Attempts {
+		result.Outcomes[attempt.Outcome]++
+		if !attempt.AcknowledgedAt.IsZero() {
 			result.Acknowledged++
 		}
-		if run.Sender == "" {
+		if attempt.Sender == "" {
 			result.UnknownSender++
 		}
 	}
@@ -38,7 +42,7 @@
 	return result
 }
 
-// writeViolationReport writes all that was seen of the subjects of broken rules, by time.
+// writeViolationReport writes all that was seen of the subjects of violations to violations.txt, by time.
 func (s *system) writeViolationReport(h checker.History, result outcome) {
 	if len(result.violations) == 0 {
 		return
@@ -55,7 +59,7 @@
 	for _, one := range lines {
 		fmt.Fprintln(&text, one.at.Format("15:04:05.000"), one.text)
 	}
-	os.WriteFile(filepath.Join(s.folder, "account.txt"), []byte(text.String()), 0o644)
+	os.WriteFile(filepath.Join(s.folder, "violations.txt"), []byte(text.String()), 0o644)
 }
 
 // reportedEvent is one thing that was seen.
@@ -64,7 +68,7 @@
 	text string
 }
 
-// subjects are the jobs that broken rules are about.
+// subjects are the jobs that violations are about.
 func subjects(violations []checker.Violation) []string {
 	var found []string
 	for _, violation := range violations {
@@ -88,9 +92,9 @@
 			lines = append(lines, reportedEvent{request.AnsweredAt, text})
 		}
 	}
-	for _, run := range h.Attempts {
-		if strings.HasPrefix(run.Task, id) {
-			lines = append(lines, reportedEvent{run.StartedAt, fmt.Sprintf("run %+v", run)})
+	for _, attempt := range h.Attempts {
+		if strings.HasPrefix(attempt.Task, id) {
+			lines = append(lines, reportedEvent{attempt.StartedAt, fmt.Sprintf("attempt %+v", attempt)})
 		}
 	}
 	for _, one := range s.recorder.calls {
