--- a/internal/tools/fleettest/binaries_test.go
+++ b/internal/tools/fleettest/binaries_test.go
@@ -53,21 +53,33 @@
 	return b.made[tags]
 }
 
-// BuildModified makes a binary of a copy in which a piece of a file of the repository is another, as a mistake would have it.
-func BuildModified(t testing.TB, file, old, fresh string) (path string) {
+// modification replaces a text of a source file, as a mistake would have it.
+type modification struct {
+	file             string // from the repository's root
+	old, replacement string
+}
+
+// apply returns the path of the source file and its text with the modification. The old text has to stand there once.
+func (m modification) apply(t testing.TB) (path string, text []byte) {
 	t.Helper()
-	full, err := filepath.Abs(filepath.Join("..", "..", file))
+	path, err := filepath.Abs(filepath.Join("..", "..", "..", m.file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(full)
+	text, err = os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := bytes.Count(text, []byte(old)); n != 1 {
-		t.Fatalf("%s: %q stands there %d times, expected once", file, old, n)
+	if n := bytes.Count(text, []byte(m.old)); n != 1 {
+		t.Fatalf("%s: %q stands there %d times, expected once", m.file, m.old, n)
 	}
-	text = bytes.Replace(text, []byte(old), []byte(fresh), 1)
+	return path, bytes.Replace(text, []byte(m.old), []byte(m.replacement), 1)
+}
+
+// BuildModified makes a binary of the program with a modification.
+func BuildModified(t testing.TB, m modification) (path string) {
+	t.Helper()
+	full, text := m.apply(t)
 	dir := t.TempDir()
 	copied, overlay := filepath.Join(dir, "copy.go"), filepath.Join(dir, "overlay.json")
 	names, _ := json.Marshal(map[string]any{"Replace": map[string]string{full: copied}})
