--- a/internal/systemtest/checker/checker_test.go
+++ b/internal/systemtest/checker/checker_test.go
@@ -68,14 +68,14 @@
 
 // finishedAttempt is an attempt of the job's task (time.stage.index) from one moment to another, acknowledged half a second later.
 func finishedAttempt(name string, execution uint64, worker string, from, to float64, how string) Attempt {
-	run := Attempt{
+	attempt := Attempt{
 		Worker: worker, Task: jobName + "." + name, Number: execution, Specification: "text", Sender: "core-1",
 		StartedAt: at(from), Outcome: how,
 	}
 	if to > 0 {
-		run.EndedAt, run.AcknowledgedAt = at(to), at(to+0.5)
+		attempt.EndedAt, attempt.AcknowledgedAt = at(to), at(to+0.5)
 	}
-	return run
+	return attempt
 }
 
 func putRequest(text string, builtOn int64, seconds float64, status int) OperatorRequest {
@@ -124,90 +124,90 @@
 	h.Requests = slices.Delete(h.Requests, 1, 3)
 }
 
-// history is a case: a change to the sound history, and the rule that it breaks.
-type history struct {
-	name   string
-	change func(*History)
-	broken string // empty where all rules are kept
+// historyCase is a case: a change to the valid history, and the rule that it breaks.
+type historyCase struct {
+	name         string
+	change       func(*History)
+	violatedRule string // empty where all rules are kept
 }
 
-func checkAll(t *testing.T, cases []history) {
+func checkAll(t *testing.T, cases []historyCase) {
 	for _, one := range cases {
 		Convey(one.name, t, func() {
 			h := validHistory()
 			one.change(&h)
 			violations := Check(h)
-			if one.broken == "" {
+			if one.violatedRule == "" {
 				So(violations, ShouldBeEmpty)
 				return
 			}
 			So(violations, ShouldNotBeEmpty)
 			for _, violation := range violations {
-				So(violation.Rule, ShouldEqual, one.broken)
+				So(violation.Rule, ShouldEqual, one.violatedRule)
 				So(violation.String(), ShouldContainSubstring, violation.Subject)
 			}
 		})
 	}
 }
 
-func addRuns(runs ...Attempt) func(*History) {
-	return func(h *History) { h.Attempts = append(h.Attempts, runs...) }
+func addAttempts(attempts ...Attempt) func(*History) {
+	return func(h *History) { h.Attempts = append(h.Attempts, attempts...) }
 }
 
-// tasksOf replaces the stages and the runs.
-func tasksOf(stages string, runs ...Attempt) func(*History) {
+// withTasks replaces the stages and the attempts.
+func withTasks(stages string, attempts ...Attempt) func(*History) {
 	return func(h *History) {
 		replaceStages(h, stages, "")
-		h.Attempts = runs
+		h.Attempts = attempts
 	}
 }
 
 func TestTaskStartRules(t *testing.T) {
 	const one = `{"count":1,` + plainStage
 	const gang = `{"count":2,` + plainStage + `,"gangScheduled":true}`
-	acknowledged := func(run Attempt, seconds float64) Attempt {
-		run.AcknowledgedAt = time.Time{}
+	acknowledged := func(attempt Attempt, seconds float64) Attempt {
+		attempt.AcknowledgedAt = time.Time{}
 		if seconds > 0 {
-			run.AcknowledgedAt = at(seconds)
+			attempt.AcknowledgedAt = at(seconds)
 		}
-		return run
+		return attempt
 	}
-	late := func(run Attempt) Attempt { run.Late = true; return run }
-	withCheckpoint := func(run Attempt, checkpoint string) Attempt { run.Checkpoint = checkpoint; return run }
-	checkAll(t, []history{
-		{"A sound history breaks nothing", func(*History) {}, ""},
+	late := func(attempt Attempt) Attempt { attempt.Late = true; return attempt }
+	withCheckpoint := func(attempt Attempt, checkpoint string) Attempt { attempt.Checkpoint = checkpoint; return attempt }
+	checkAll(t, []historyCase{
+		{"A valid history breaks no rule", func(*History) {}, ""},
 
-		{"An unguarded worker over its capacity", tasksOf(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
+		{"An unguarded worker over its capacity", withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 			finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 12, 13, "done")), OverCapacity},
 		{"A guarded one is not checked", func(h *History) {
-			tasksOf(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
+			withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 				finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 12, 13, "done"))(h)
 			h.Workers[0].Guards = true
 		}, ""},
-		{"One after the other keep to the capacity", tasksOf(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
+		{"One after the other keep to the capacity", withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 			finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 13, 14, "done")), ""},
 
-		{"Two attempts at once", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
-		{"Two attempts at once, the command late", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), late(finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done"))), DuplicateAttempt},
-		{"Two attempts at once, the first not ended", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 0, ""), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
-		{"Copies may run at once", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "stopped"), finishedAttempt("0.0.0", 2, "s-2", 14, 14.5, "done")), ""},
-		{"A start after an end that was acknowledged later", tasksOf(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
-		{"A start after an end that was never acknowledged", tasksOf(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
+		{"Two concurrent attempts", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
+		{"Two concurrent attempts, the command late", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), late(finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done"))), DuplicateAttempt},
+		{"Two concurrent attempts, the first not ended", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 0, ""), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
+		{"Attempts of an at-least-once task may run concurrently", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "stopped"), finishedAttempt("0.0.0", 2, "s-2", 14, 14.5, "done")), ""},
+		{"A start after an end that was acknowledged later", withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
+		{"A start after an end that was never acknowledged", withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
 		{"A start after an end that was acknowledged after a lease expiry", func(h *History) {
-			tasksOf(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done"))(h)
+			withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done"))(h)
 			h.LeaseExpiries = []LeaseExpiry{{"s-1", at(18)}}
 		}, ""},
-		{"A copy long after the end was acknowledged", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 14, 15, "done")), DuplicateAttempt},
-		{"A copy soon after the end was acknowledged", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 13, 15, "done")), ""},
+		{"An at-least-once attempt long after the end was acknowledged", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 14, 15, "done")), DuplicateAttempt},
+		{"An at-least-once attempt soon after the end was acknowledged", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 13, 15, "done")), ""},
 		{"A start after the job was shown as completed", func(h *History) {
-			tasksOf(one+`,"atLeastOnce":true}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 20, 0, ""))(h)
+			withTasks(one+`,"atLeastOnce":true}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 20, 0, ""))(h)
 			h.Requests = append(h.Requests, statusRequest(jobName, 13, 200, "completed"))
 		}, DuplicateAttempt},
 
 		{"A stage before its turn", func(h *History) { h.Attempts[3].StartedAt = at(13.5) }, StageOrder},
-		{"A stage after one member of a gang is done", tasksOf(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
+		{"A stage after one member of a gang is done", withTasks(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
 			finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.1", 1, "s-2", 11, 12, "broken"), finishedAttempt("0.1.0", 1, "s-1", 13, 14, "done")), ""},
-		{"A stage after a gang of which no member is done", tasksOf(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
+		{"A stage after a gang of which no member is done", withTasks(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
 			finishedAttempt("0.0.0", 1, "s-1", 11, 12, "stopped"), finishedAttempt("0.0.1", 1, "s-2", 11, 12, "stopped"), finishedAttempt("0.1.0", 1, "s-1", 13, 14, "done")), StageOrder},
 		{"A time too early", func(h *History) {
 			replaceStages(h, one+`}`, fmt.Sprintf(`,"repetitions":2,"firstRunMs":%d,"intervalMs":5000`, at(12).UnixMilli()))
@@ -219,24 +219,24 @@
 		}, ""},
 
 		{"A worker of another service", func(h *History) { h.Attempts[0].Worker = "s-3" }, Placement},
-		{"A worker without the label", tasksOf(one+`,"requirements":"big"}`, finishedAttempt("0.0.0", 1, "s-2", 11, 12, "done")), Placement},
-		{"A worker with the label", tasksOf(one+`,"requirements":["big"]}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done")), ""},
+		{"A worker without the label", withTasks(one+`,"requirements":"big"}`, finishedAttempt("0.0.0", 1, "s-2", 11, 12, "done")), Placement},
+		{"A worker with the label", withTasks(one+`,"requirements":["big"]}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done")), ""},
 		{"Too many tasks of a stage at one worker", func(h *History) { h.Attempts[1].Worker = "s-1" }, Placement},
 
-		{"An attempt after the last attempt", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), AttemptBudget},
-		{"A copy soon after the last attempt", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
-		{"A copy long after the last attempt", tasksOf(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 16, 17, "done")), AttemptBudget},
-		{"A lasting task has no last attempt", tasksOf(one+`,"longRunning":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "failed")), ""},
-		{"Ends that are no attempts", tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "lapsed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "stopped"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
+		{"An attempt after the last attempt", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), AttemptBudget},
+		{"An at-least-once attempt soon after the last attempt", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
+		{"An at-least-once attempt long after the last attempt", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 16, 17, "done")), AttemptBudget},
+		{"A lasting task has no last attempt", withTasks(one+`,"longRunning":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "failed")), ""},
+		{"Ends that are no attempts", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "lapsed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "stopped"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
 
-		{"A member without its gang", tasksOf(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone")), Gang},
+		{"A member without its gang", withTasks(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone")), Gang},
 		{"A member without its gang during a fault", func(h *History) {
-			tasksOf(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone"))(h)
+			withTasks(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone"))(h)
 			h.Faults = []Fault{{Kind: WorkerFault, Machine: "s-2", From: at(12), To: at(13)}}
 		}, ""},
 
-		{"A task of no job", addRuns(Attempt{Worker: "s-1", Task: otherJob + ".0.0.0", Number: 1, Specification: "text", StartedAt: at(11)}), Unrequested},
-		{"A task beyond the count", addRuns(finishedAttempt("0.1.1", 1, "s-2", 18, 19, "done")), Unrequested},
+		{"A task of no job", addAttempts(Attempt{Worker: "s-1", Task: otherJob + ".0.0.0", Number: 1, Specification: "text", StartedAt: at(11)}), Unrequested},
+		{"A task beyond the count", addAttempts(finishedAttempt("0.1.1", 1, "s-2", 18, 19, "done")), Unrequested},
 		{"Another specification", func(h *History) { h.Attempts[0].Specification = "other" }, Unrequested},
 		{"A checkpoint that nobody has listed", func(h *History) { h.Attempts[2].Checkpoint = "c1" }, Unrequested},
 		{"A checkpoint of another task", func(h *History) {
@@ -248,32 +248,32 @@
 			h.Checkpoints = []Checkpoint{{jobName + ".0.0.1", "c1"}}
 		}, ""},
 		{"Members of a gang with different checkpoints", func(h *History) {
-			tasksOf(gang, withCheckpoint(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"))(h)
+			withTasks(gang, withCheckpoint(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"))(h)
 			h.Checkpoints = []Checkpoint{{jobName + ".0.0.1", "c1"}}
 		}, Unrequested},
 		{"Members of a gang with one member's checkpoint", func(h *History) {
-			tasksOf(gang, withCheckpoint(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), withCheckpoint(finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"), "c1"))(h)
+			withTasks(gang, withCheckpoint(finishedAttempt("0.0.0", 2, "s-1", 11, 14, "done"), "c1"), withCheckpoint(finishedAttempt("0.0.1", 2, "s-2", 11, 14, "done"), "c1"))(h)
 			h.Checkpoints = []Checkpoint{{jobName + ".0.0.1", "c1"}}
 		}, ""},
 		{"A start after a cancel", func(h *History) {
-			tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 16, 17, "stopped"))(h)
+			withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 16, 17, "stopped"))(h)
 			h.Requests = append(h.Requests, cancelRequest(jobName, 12))
 		}, Unrequested},
 		{"A start soon after a cancel", func(h *History) {
-			tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 14, 15, "stopped"))(h)
+			withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 14, 15, "stopped"))(h)
 			h.Requests = append(h.Requests, cancelRequest(jobName, 12))
 		}, ""},
 		{"An attempt long after a cancel", func(h *History) {
-			tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 17, "stopped"))(h)
+			withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 17, "stopped"))(h)
 			h.Requests = append(h.Requests, cancelRequest(jobName, 12))
 		}, Unrequested},
 
 		{"A start although the job was rejected", func(h *History) {
-			tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"))(h)
+			withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"))(h)
 			h.Requests[0].Status = 429
 		}, RejectedJob},
 		{"A start after an unclear answer", func(h *History) {
-			tasksOf(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"))(h)
+			withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"))(h)
 			h.Requests[0].Status = 504
 		}, ""},
 
@@ -287,7 +287,7 @@
 }
 
 func TestClientAnswerRules(t *testing.T) {
-	checkAll(t, []history{
+	checkAll(t, []historyCase{
 		{"Completed before the last task has ended", func(h *History) { h.Requests[2].AnsweredAt = at(16) }, InconsistentState},
 		{"Completed although a task has failed", func(h *History) { h.Attempts[2].Outcome, h.Attempts = "failed", h.Attempts[:3] }, InconsistentState},
 		{"A state that cannot be read", func(h *History) { h.Requests[1].Answer = []byte("{") }, InconsistentState},
--- a/internal/systemtest/checker/configurations_test.go
+++ b/internal/systemtest/checker/configurations_test.go
@@ -21,7 +21,7 @@
 		return with(func(h *History) { h.Requests = append(h.Requests, clientRequests...) })
 	}
 	restarted := func(request Request) Request { request.Incarnation++; return request }
-	checkAll(t, []history{
+	checkAll(t, []historyCase{
 		{"A change breaks nothing", withSecondConfiguration, ""},
 		{"A new route applied", clientRequests(routeRequest(newPrefix, 20.05, 404), routeRequest(newPrefix, 23, 200), routeRequest(oldPrefix, 23, 404)), ""},
 		{"A new route not applied in time", clientRequests(routeRequest(newPrefix, 22.5, 404)), Config},
--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -19,36 +19,36 @@
 // checkDeliveries compares all replies of core machines, also the dropped ones, with each other: a command that was accepted
 // is refused nowhere and at no time, and no version is confirmed for two bodies, nor are two bodies on top of
 // one version.
-func checkDeliveries(attempts []delivery) (broken []string) {
-	taken := map[commandKey]delivery{}
-	for _, one := range attempts {
+func checkDeliveries(deliveries []delivery) (violations []string) {
+	accepted := map[commandKey]delivery{}
+	for _, one := range deliveries {
 		if one.status == http.StatusOK && one.method != http.MethodGet {
-			taken[one.key()] = one
+			accepted[one.key()] = one
 		}
 	}
-	for _, one := range attempts {
-		if confirmed, found := taken[one.key()]; found && isDefinite(one.status) && one.status != http.StatusOK {
-			broken = append(broken, fmt.Sprintf("refused though it was taken: %v; taken: %v", one, confirmed))
+	for _, one := range deliveries {
+		if confirmed, found := accepted[one.key()]; found && isDefinite(one.status) && one.status != http.StatusOK {
+			violations = append(violations, fmt.Sprintf("refused though it was accepted: %v; accepted: %v", one, confirmed))
 		}
 	}
 	byNumber, byBase := map[int64]commandKey{}, map[string]commandKey{}
-	for key, one := range taken {
+	for key, one := range accepted {
 		if key.method != http.MethodPut {
 			continue
 		}
 		number := versionOf([]byte(one.answer))
 		if other, found := byNumber[number]; found && other != key {
-			broken = append(broken, fmt.Sprintf("version %d is confirmed for two orders: %v and %v", number, key, other))
+			violations = append(violations, fmt.Sprintf("version %d is confirmed for two commands: %v and %v", number, key, other))
 		}
 		if other, found := byBase[key.ifMatch]; found && other != key {
-			broken = append(broken, fmt.Sprintf("two orders are confirmed on top of version %s: %v and %v", key.ifMatch, key, other))
+			violations = append(violations, fmt.Sprintf("two commands are confirmed on top of version %s: %v and %v", key.ifMatch, key, other))
 		}
 		if number != versionOf([]byte(key.body)) {
-			broken = append(broken, fmt.Sprintf("confirmed as version %d: %v", number, one))
+			violations = append(violations, fmt.Sprintf("confirmed as version %d: %v", number, one))
 		}
 		byNumber[number], byBase[key.ifMatch] = key, key
 	}
-	return broken
+	return violations
 }
 
 // TestDeliveryChecker shows that each rule finds what breaks it.
@@ -70,16 +70,16 @@
 		retried.status = 409
 		So(checkDeliveries([]delivery{cancel, retried}), ShouldHaveLength, 1)
 	})
-	Convey("A number that is confirmed for two bodies is found, and two bodies on top of one version", t, func() {
+	Convey("A version that is confirmed for two bodies is found, and two bodies on top of one version", t, func() {
 		So(checkDeliveries([]delivery{put(1, one, 200), put(2, other, 200)}), ShouldHaveLength, 1)
 		So(checkDeliveries([]delivery{put(2, one, 200), put(2, `{"version":4}`, 200)}), ShouldHaveLength, 1)
 	})
 }
 
 // confirmedChanges are the changes that some machine confirmed, by version.
-func confirmedChanges(attempts []delivery) map[int64]delivery {
+func confirmedChanges(deliveries []delivery) map[int64]delivery {
 	confirmed := map[int64]delivery{}
-	for _, one := range attempts {
+	for _, one := range deliveries {
 		if one.status == http.StatusOK && one.method == http.MethodPut {
 			confirmed[versionOf([]byte(one.body))] = one
 		}
@@ -103,30 +103,30 @@
 
 // checkAppliedHistory returns what in a history contradicts the confirmations: it must hold each confirmed change, under its number
 // and on top of its version, and nothing that was refused.
-func checkAppliedHistory(state configuration.State, attempts []delivery) (broken []string) {
+func checkAppliedHistory(state configuration.State, deliveries []delivery) (violations []string) {
 	recorded := map[uint64]configuration.AppliedUpdate{}
 	for i, one := range state.Applied {
 		recorded[one.Version] = one
 		if i > 0 && one.IfMatch != state.Applied[i-1].Version {
-			broken = append(broken, fmt.Sprintf("version %d builds on %d, not on %d before it", one.Version, one.IfMatch, state.Applied[i-1].Version))
+			violations = append(violations, fmt.Sprintf("version %d builds on %d, not on %d before it", one.Version, one.IfMatch, state.Applied[i-1].Version))
 		}
 	}
-	confirmed := confirmedChanges(attempts)
+	confirmed := confirmedChanges(deliveries)
 	for version, change := range confirmed {
 		one, found := recorded[uint64(version)]
 		if !found || strconv.FormatUint(one.IfMatch, 10) != change.ifMatch || one.Sum != checksumOf(change.body) {
-			broken = append(broken, fmt.Sprintf("version %d was confirmed, and the history has %+v (%v)", version, one, found))
+			violations = append(violations, fmt.Sprintf("version %d was confirmed, and the history has %+v (%v)", version, one, found))
 		}
 	}
-	for _, one := range attempts {
+	for _, one := range deliveries {
 		if one.method != http.MethodPut || one.status != http.StatusPreconditionFailed {
 			continue
 		}
 		if applied, found := recorded[uint64(versionOf([]byte(one.body)))]; found && applied.Sum == checksumOf(one.body) {
-			broken = append(broken, fmt.Sprintf("refused, and in the history: %v", one))
+			violations = append(violations, fmt.Sprintf("refused, and in the history: %v", one))
 		}
 	}
-	return broken
+	return violations
 }
 
 // acceptedValue is the value of the configuration's register that one disk holds.
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -127,7 +127,7 @@
 }
 
 // put sends a change to one node after the other until the answer is definite.
-func (o *operator) put(requested change) (taken bool) {
+func (o *operator) put(requested change) (accepted bool) {
 	for range operatorAttempts {
 		m, sent := o.pick(), time.Now()
 		request := httptest.NewRequest(http.MethodPut, control.Path, strings.NewReader(requested.body))
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -250,22 +250,22 @@
 func (c *checker) checkHistory(state configuration.State) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	taken := map[configuration.AppliedUpdate]bool{}
+	accepted := map[configuration.AppliedUpdate]bool{}
 	on := uint64(0)
 	for _, one := range state.Applied {
 		if one.IfMatch != on {
 			c.failf("version %d was accepted on %d, after %d", one.Version, one.IfMatch, on)
 		}
 		on = one.Version
-		taken[one] = true
+		accepted[one] = true
 	}
 	for requested := range c.accepted {
-		if !taken[requested.appliedUpdate()] {
+		if !accepted[requested.appliedUpdate()] {
 			c.failf("version %d on %d was confirmed and is lost", requested.version, requested.builtOn)
 		}
 	}
 	for requested := range c.refused {
-		if taken[requested.appliedUpdate()] {
+		if accepted[requested.appliedUpdate()] {
 			c.failf("version %d on %d was refused and is in force", requested.version, requested.builtOn)
 		}
 	}
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -21,16 +21,16 @@
 }
 
 var coreFaults = []faultKind{
-	{"cut from the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, true) }},
-	{"cut out of the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, false) }},
-	{"cut into the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, false, true) }},
-	{"cut from the agents", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.agents, true, true) }},
+	{"partitioned from the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, true) }},
+	{"partitioned towards the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, false) }},
+	{"partitioned from the core's messages", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, false, true) }},
+	{"partitioned from the agents", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.agents, true, true) }},
 	{"large messages lost", func(s *simulation, m *machine, _ time.Duration) func() {
 		s.network.update(func(n *network) { n.losesLarge[m.address] = true })
 		return func() { s.network.update(func(n *network) { delete(n.losesLarge, m.address) }) }
 	}},
-	{"frozen", pauseMachine},
-	{"frozen", pauseMachine},
+	{"paused", pauseMachine},
+	{"paused", pauseMachine},
 	{"restarted", func(_ *simulation, m *machine, _ time.Duration) func() {
 		m.kill()
 		return m.startCore
@@ -42,8 +42,8 @@
 }
 
 var agentFaults = []faultKind{
-	{"frozen", pauseMachine},
-	{"cut from the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, true) }},
+	{"paused", pauseMachine},
+	{"partitioned from the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, true) }},
 }
 
 // pauseMachine pauses a machine. Shortly before it resumes it gets requests about what happened in the meantime.
@@ -66,7 +66,7 @@
 			sent := time.Now()
 			var reply jobapi.StatusReply
 			if requester.callAt(m.address, jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply) == nil {
-				s.checker.checkJobReply(m.address, "status after a freeze", sent, id, reply.Known, reply.State)
+				s.checker.checkJobReply(m.address, "status after a pause", sent, id, reply.Known, reply.State)
 			}
 		})
 	}
@@ -94,11 +94,11 @@
 func (s *simulation) scheduleFaults() {
 	background := []float64{0, 0, 0.01, 0.05}[s.random.IntN(4)]
 	s.network.update(func(n *network) { n.loss, n.duplication, n.delay = background, background, background })
-	s.schedule = append(s.schedule, fmt.Sprintf("%.2f of messages lost, doubled, late", background))
-	if s.random.IntN(4) == 0 { // what the model is most about, alone: a leader wakes beside its successor
+	s.schedule = append(s.schedule, fmt.Sprintf("%.2f of messages lost, duplicated, delayed", background))
+	if s.random.IntN(4) == 0 { // the case that the model is most about, alone: a leader resumes beside its successor
 		at, length := time.Duration(s.random.Int64N(int64(faultPhase))), longestFault-time.Duration(s.random.Int64N(int64(time.Second)))
-		s.schedule = append(s.schedule, fmt.Sprintf("after %v the leader frozen for %v", at, length))
-		s.pendingFaults.Go(func() { s.inject(faultKind{"frozen", pauseMachine}, s.cores[0], true, at, length) })
+		s.schedule = append(s.schedule, fmt.Sprintf("after %v the leader paused for %v", at, length))
+		s.pendingFaults.Go(func() { s.inject(faultKind{"paused", pauseMachine}, s.cores[0], true, at, length) })
 		return
 	}
 	for range 1 + s.random.IntN(3) {
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -55,7 +55,7 @@
 	return onFollower(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, eraseDisk) })
 }
 
-var freezeLeader = onLeader(func(ctx context.Context, s *system, m *machine) { s.pauseMachine(ctx, m, outageBeyondLease) })
+var pauseLeader = onLeader(func(ctx context.Context, s *system, m *machine) { s.pauseMachine(ctx, m, outageBeyondLease) })
 
 func partitionLeader(bothWays bool) faultFunc {
 	return onLeader(func(ctx context.Context, s *system, m *machine) { s.partitionFor(ctx, m, partitionLength, bothWays) })
@@ -218,7 +218,7 @@
 // defaultScenarios are the scenarios of every run.
 var defaultScenarios = []scenario{
 	{name: "leader-killed", seed: 2, faults: killLeader(false)},
-	{name: "leader-frozen", seed: 3, faults: freezeLeader},
+	{name: "leader-paused", seed: 3, faults: pauseLeader},
 	{name: "leader-partitioned", seed: 4, faults: inSequence(partitionLeader(true), killFronts)},
 	{name: "core-killed", seed: 5, faults: killAllCore},
 	{name: "workers", seed: 6, faults: workerFaults},
@@ -235,7 +235,7 @@
 	{name: "configuration-and-killed-leader", seed: 15, faults: inSequence(killLeader(false), changeConfiguration)},
 	{name: "configuration-and-partitioned-leader", seed: 16, faults: inSequence(partitionLeader(true), changeConfiguration)},
 	{name: "workers-and-killed-leader", seed: 17, faults: inSequence(killLeader(false), workerFaults)},
-	{name: "workers-and-frozen-leader", seed: 18, faults: inSequence(freezeLeader, workerFaults)},
+	{name: "workers-and-paused-leader", seed: 18, faults: inSequence(pauseLeader, workerFaults)},
 	{name: "leaders-killed-in-turn", seed: 19, faults: inSequence(killLeader(false), afterRecovery(killLeader(false)), afterRecovery(killLeader(true)))},
 	{name: "rolling-restart", seed: 21, faults: restartInTurn},
 	{name: "slow-core", seed: 22, faults: slowCore},
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -68,10 +68,10 @@
 	{"caller-killed", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.from, false) }},
 	{"callee-killed", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.to, false) }},
 	{"callee-wiped", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.to, true) }},
-	{"caller-frozen", false, func(ctx context.Context, s *system, c call) {
+	{"caller-paused", false, func(ctx context.Context, s *system, c call) {
 		s.pauseMachine(ctx, s.machineNamed(c.from), outageBeyondLease)
 	}},
-	{"callee-frozen", false, func(ctx context.Context, s *system, c call) {
+	{"callee-paused", false, func(ctx context.Context, s *system, c call) {
 		s.pauseMachine(ctx, s.machineNamed(c.to), outageBeyondLease)
 	}},
 	{"core-killed", true, func(ctx context.Context, s *system, _ call) { killAllCore(ctx, s) }},
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -43,9 +43,9 @@
 func (s *system) newestAcknowledged() (newest int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, order := range s.operatorRequests {
-		if order.Method == http.MethodPut && order.Status == http.StatusOK {
-			newest = max(newest, versionOf(order.Body))
+	for _, request := range s.operatorRequests {
+		if request.Method == http.MethodPut && request.Status == http.StatusOK {
+			newest = max(newest, versionOf(request.Body))
 		}
 	}
 	return newest
@@ -59,7 +59,7 @@
 	return version
 }
 
-// changeFor brings one version after the other for a time, and adds and drops a route.
+// changeFor sets one version after the other for a time, and adds and removes a route.
 func (s *system) changeFor(ctx context.Context, length time.Duration) {
 	extra := routePlan{"/extra/", guardedService}
 	for number, end := 0, time.Now().Add(length); time.Now().Before(end); number++ {
@@ -84,20 +84,20 @@
 		return
 	}
 	defer m.release()
-	old := s.acknowledgedChanges()
-	m.freeze()
+	changes := s.acknowledgedChanges()
+	m.pause()
 	wake := time.Now().Add(pauseLength)
 	s.changeWhilePaused(ctx, wake)
-	var command sync.WaitGroup
-	for _, doubt := range staleStateProbes {
-		command.Go(func() { doubt(s, ctx, m, old[len(old)-1]) })
+	var probes sync.WaitGroup
+	for _, probe := range staleStateProbes {
+		probes.Go(func() { probe(s, ctx, m, changes[len(changes)-1]) })
 	}
 	s.recordFailure(sleep(ctx, time.Until(wake)))
 	m.resume()
-	command.Wait()
+	probes.Wait()
 	for end := time.Now().Add(probeDuration); time.Now().Before(end); {
-		for _, doubt := range staleStateProbes {
-			doubt(s, ctx, m, old[len(old)-1])
+		for _, probe := range staleStateProbes {
+			probe(s, ctx, m, changes[len(changes)-1])
 		}
 	}
 }
@@ -111,15 +111,15 @@
 }
 
 // acknowledgedChanges are the changes that have been acknowledged so far.
-func (s *system) acknowledgedChanges() (taken []checker.OperatorRequest) {
+func (s *system) acknowledgedChanges() (acknowledged []checker.OperatorRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, order := range s.operatorRequests {
-		if order.Method == http.MethodPut && order.Status == http.StatusOK {
-			taken = append(taken, order)
+	for _, request := range s.operatorRequests {
+		if request.Method == http.MethodPut && request.Status == http.StatusOK {
+			acknowledged = append(acknowledged, request)
 		}
 	}
-	return taken
+	return acknowledged
 }
 
 // staleStateProbes request from a core machine what its state from before the pause may answer wrongly. They get the newest change from
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -34,7 +34,7 @@
 	incarnations  int // starts of the machine
 
 	mu     sync.Mutex
-	faulty bool // ended, frozen, or being brought back
+	faulty bool // ended, paused, or being restarted
 }
 
 // address is one of the machine's, at an offset from the first port.
@@ -178,8 +178,8 @@
 	return os.Mkdir(m.dataDirectory, 0o755)
 }
 
-// freeze stops the machine's processes until thaw lets them go on.
-func (m *machine) freeze() {
+// pause stops the machine's processes until resume.
+func (m *machine) pause() {
 	m.system.faultBegan(m.name)
 	for _, p := range m.processes {
 		p.signal(syscall.SIGSTOP)
--- a/internal/systemtest/machinefaults_test.go
+++ b/internal/systemtest/machinefaults_test.go
@@ -80,12 +80,12 @@
 	return nil
 }
 
-// pauseMachine freezes a machine and wakes it after a while.
+// pauseMachine pauses a machine and resumes it after a while.
 func (s *system) pauseMachine(ctx context.Context, m *machine, outage time.Duration) {
 	if m == nil || !m.reserve() {
 		return
 	}
-	m.freeze()
+	m.pause()
 	s.recoveries.Go(func() {
 		defer m.release()
 		sleep(ctx, outage)
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -50,7 +50,7 @@
 	began := time.Now()
 	failure := test.run(ctx)
 	s.stop()
-	broken := checkDeliveries(test.relays.allDeliveries())
+	violations := checkDeliveries(test.relays.allDeliveries())
 	disks := test.checkDisks()
 	t.Logf("%d answers of core machines, %d commands sent again after a lost confirmation, %d versions confirmed, %d of %d votes lost, %v",
 		len(test.relays.allDeliveries()), test.retriedAfterLoss, len(confirmedChanges(test.relays.allDeliveries())), test.droppedVotes(), len(test.lostVotes),
@@ -59,7 +59,7 @@
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
-		So(broken, ShouldBeEmpty)
+		So(violations, ShouldBeEmpty)
 		So(disks, ShouldBeEmpty)
 		So(test.retriedAfterLoss, ShouldBeGreaterThanOrEqualTo, changeRounds+2)
 		So(test.droppedVotes(), ShouldBeGreaterThan, 0)
@@ -283,27 +283,27 @@
 
 // checkDisks compares the history that each core machine's disk holds with what was confirmed. A majority holds all of it;
 // the last record of another one may be of a change that did not come to be.
-func (a *retriedCommandsTest) checkDisks() (broken []string) {
-	attempts := a.relays.allDeliveries()
+func (a *retriedCommandsTest) checkDisks() (violations []string) {
+	deliveries := a.relays.allDeliveries()
 	var complete []configuration.State
 	states := make([]configuration.State, len(a.core))
 	for i, core := range a.core {
 		var err error
 		if states[i], err = historyOnDisk(core); err != nil {
-			return append(broken, fmt.Sprintf("%s: %v", core.name, err))
+			return append(violations, fmt.Sprintf("%s: %v", core.name, err))
 		}
-		if found := checkAppliedHistory(states[i], attempts); len(found) == 0 {
+		if found := checkAppliedHistory(states[i], deliveries); len(found) == 0 {
 			complete = append(complete, states[i])
 		} else {
-			broken = append(broken, fmt.Sprintf("%s: %v", core.name, found))
+			violations = append(violations, fmt.Sprintf("%s: %v", core.name, found))
 		}
 	}
 	if len(complete) <= len(a.core)/2 {
-		return broken
+		return violations
 	}
 	for i, state := range states {
 		if known := max(len(state.Applied)-1, 0); known > len(complete[0].Applied) || !slices.Equal(state.Applied[:known], complete[0].Applied[:known]) {
-			return append(broken, fmt.Sprintf("%s holds another history than a majority", a.core[i].name))
+			return append(violations, fmt.Sprintf("%s holds another history than a majority", a.core[i].name))
 		}
 	}
 	return nil
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -103,10 +103,10 @@
 			lines = append(lines, reportedEvent{one.at, text})
 		}
 	}
-	for _, order := range h.OperatorRequests {
+	for _, request := range h.OperatorRequests {
 		if strings.HasPrefix(id, "version") || strings.HasPrefix(id, "/") {
-			text := fmt.Sprintf("%s %s on %d at %s: %d %s", order.Method, order.Body, order.BuiltOn, order.Machine, order.Status, order.Answer)
-			lines = append(lines, reportedEvent{order.AnsweredAt, text})
+			text := fmt.Sprintf("%s %s on %d at %s: %d %s", request.Method, request.Body, request.BuiltOn, request.Machine, request.Status, request.Answer)
+			lines = append(lines, reportedEvent{request.AnsweredAt, text})
 		}
 	}
 	return lines
