--- /dev/null
+++ b/cmd/puffinlink/capturesynth.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"puffinlink.example/puffinlink/internal/jsonc"
+	"puffinlink.example/puffinlink/internal/operators/capture"
+)
+
+type captureSynthCommand struct {
+	Out       string `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
+	Arguments struct {
+		File string `positional-arg-name:"file" description:"Description of the load; see docs/operators/planning.md."`
+	} `positional-args:"yes" required:"yes"`
+}
+
+// synthFile is the form of a stated load.
+type synthFile struct {
+	Begins           time.Time `json:"begins"`
+	LastsS           float64   `json:"lasts_s"`
+	IntervalS        float64   `json:"interval_s"`
+	QueriesPerSecond float64   `json:"lookups_per_s"`
+	Shards           int       `json:"shards"`
+	Skew             float64   `json:"skew"`
+	Day              []float64 `json:"day"`
+	MonthEndFactor   float64   `json:"month_end_factor"`
+	Seed             uint64    `json:"seed"`
+	Indexes          []struct {
+		Index    string  `json:"index"`
+		Customer string  `json:"customer"`
+		Share    float64 `json:"share"`
+		Parts    int     `json:"parts"`
+		HintS    float64 `json:"hint_s"`
+	} `json:"indexes"`
+	Bursts []struct {
+		FromS  float64 `json:"from_s"`
+		ForS   float64 `json:"for_s"`
+		Factor float64 `json:"factor"`
+	} `json:"bursts"`
+}
+
+func (m *captureSynthCommand) Execute([]string) error {
+	text, err := os.ReadFile(m.Arguments.File)
+	if err != nil {
+		return err
+	}
+	f := synthFile{IntervalS: 10}
+	if err := jsonc.Decode(text, &f); err != nil {
+		return fmt.Errorf("%s:%w", m.Arguments.File, err)
+	}
+	s := capture.Synth{For: f.LastsS, Span: f.IntervalS, PerS: f.QueriesPerSecond, Shards: f.Shards, Skew: f.Skew, Day: f.Day, MonthEnd: f.MonthEndFactor, Seed: f.Seed}
+	if !f.Begins.IsZero() {
+		s.At = float64(f.Begins.UnixMilli()) / 1000
+	}
+	for _, x := range f.Indexes {
+		s.Indexes = append(s.Indexes, capture.SynthIndex{Index: x.Index, Customer: x.Customer, Share: x.Share, Parts: x.Parts, Hint: x.HintS})
+	}
+	for _, b := range f.Bursts {
+		s.Bursts = append(s.Bursts, capture.Burst{From: b.FromS, For: b.ForS, Factor: b.Factor})
+	}
+	var c capture.Capture
+	if err := s.Make(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
+		return fmt.Errorf("%s: %w", m.Arguments.File, err)
+	}
+	return capture.Save(m.Out, c)
+}
--- /dev/null
+++ b/cmd/puffinlink/fleetcontract.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"puffinlink.example/puffinlink/internal/operators/api"
+)
+
+type fleetContractCommand struct {
+	operatorConnection
+	changeOptions
+	Zones          commaList     `long:"zones" value-name:"LIST" description:"Comma-separated zones that the tenant's queries may go to."`
+	Indexes        commaList     `long:"indexes" value-name:"LIST" description:"Comma-separated indexes that the contract covers; all if none is given."`
+	AggregatorsToo bool          `long:"mixers-too" description:"Also forbid aggregators in other zones to accept the tenant's queries."`
+	Clear          bool          `long:"clear" description:"Remove the contract."`
+	Wait           time.Duration `long:"wait" value-name:"DURATION" default:"30s" description:"How long to wait until all aggregators apply it."`
+	Arguments      struct {
+		Tenant string `positional-arg-name:"tenant"`
+	} `positional-args:"yes" required:"yes"`
+}
+
+func (c *fleetContractCommand) Execute([]string) error {
+	command := c.command(c.Arguments.Tenant)
+	if command.Clear = "contract"; !c.Clear {
+		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, AggregatorsToo: c.AggregatorsToo, Indexes: c.Indexes}
+	}
+	client, ctx, cancel, res, err := c.submitFleetChange(command, c.Wait)
+	defer cancel()
+	if err != nil {
+		return err
+	}
+	p, err := waitUntilApplied(ctx, client, res.Version, c.Arguments.Tenant, c.Wait)
+	switch {
+	case err != nil:
+		return err
+	case p.Applied:
+		fmt.Fprintln(stdout, "held everywhere")
+		return nil
+	}
+	printProgress(&p)
+	return notAppliedError{c.Wait, res.Version, c.Arguments.Tenant}
+}
--- /dev/null
+++ b/cmd/puffinlink/fleetwhy.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"fmt"
+)
+
+type fleetWhyCommand struct {
+	operatorConnection
+	Arguments struct {
+		Tenant string `positional-arg-name:"tenant"`
+		Index  string `positional-arg-name:"index"`
+	} `positional-args:"yes" required:"yes"`
+}
+
+func (c *fleetWhyCommand) Execute([]string) error {
+	client, ctx, cancel, err := c.clientWithTimeout(answerTimeout)
+	defer cancel()
+	if err != nil {
+		return err
+	}
+	e, err := client.WhyFleet(ctx, c.Arguments.Tenant, c.Arguments.Index)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return printJSON(e)
+	}
+	fmt.Fprintf(stdout, "taken: %t\n", e.Accepted)
+	for _, line := range e.Rules {
+		fmt.Fprintln(stdout, line)
+	}
+	return nil
+}
