--- a/cmd/puffinlink/aggregatorcommands_test.go
+++ b/cmd/puffinlink/aggregatorcommands_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestMixerCommandLines(t *testing.T) {
+func TestAggregatorCommandLines(t *testing.T) {
 	for _, name := range []string{"PUFFINLINK_OPERATORS", "LB_CONFIG"} {
 		t.Setenv(name, "") // and back at the end
 		os.Unsetenv(name)
@@ -63,7 +63,7 @@
 	Convey("A mixer's command line ends with its code and says why", t, func() {
 		for _, c := range cases {
 			Convey("puffinlink "+c.line, func() {
-				code, out := said(t, strings.Fields(c.line)...)
+				code, out := runForTest(t, strings.Fields(c.line)...)
 				So(code, ShouldEqual, c.code)
 				So(out, ShouldContainSubstring, c.text)
 			})
@@ -71,19 +71,19 @@
 	})
 }
 
-// parsed reads a command line without running its command.
-func parsed(args ...string) flags.Commander {
+// parseForTest reads a command line without running its command.
+func parseForTest(args ...string) flags.Commander {
 	command, err := parseAggregatorCommand(newAggregatorParser(), args)
 	So(err, ShouldBeNil)
 	return command
 }
 
-func TestMixerFlags(t *testing.T) {
+func TestAggregatorFlags(t *testing.T) {
 	t.Setenv("PUFFINLINK_OPERATORS", "unix:/from-the-environment")
 	t.Setenv("USER", "ann")
 	Convey("Flags, arguments, defaults and the environment reach their command", t, func() {
 		Convey("of an override", func() {
-			set := parsed("override", "set", "pin", "s-1", "--shards", "7-9", "--for", "90m", "--reason", "two words", "--strict").(*overrideSetCommand)
+			set := parseForTest("override", "set", "pin", "s-1", "--shards", "7-9", "--for", "90m", "--reason", "two words", "--strict").(*overrideSetCommand)
 			So(set.At, ShouldEqual, "unix:/from-the-environment")
 			So(set.Arguments.Kind, ShouldEqual, overridePin)
 			So(set.Arguments.Target, ShouldEqual, "s-1")
@@ -96,7 +96,7 @@
 			So(set.Force, ShouldBeFalse)
 		})
 		Convey("of a contract, whose lists have commas or come in several flags", func() {
-			contract := parsed("fleet", "contract", "acme", "--zones", "a,b", "--zones=c", "--reason", "x", "--at", "unix:/s").(*fleetContractCommand)
+			contract := parseForTest("fleet", "contract", "acme", "--zones", "a,b", "--zones=c", "--reason", "x", "--at", "unix:/s").(*fleetContractCommand)
 			So(contract.At, ShouldEqual, "unix:/s")
 			So(contract.Arguments.Tenant, ShouldEqual, "acme")
 			So([]string(contract.Zones), ShouldResemble, []string{"a", "b", "c"})
@@ -104,21 +104,21 @@
 			So(contract.Wait, ShouldEqual, 30*time.Second)
 		})
 		Convey("of captures", func() {
-			cut := parsed("capture", "cut", "all", "--from", "2026-11-30T09:00:00+01:00", "--for", "1h", "--out", "x").(*captureCutCommand)
+			cut := parseForTest("capture", "cut", "all", "--from", "2026-11-30T09:00:00+01:00", "--for", "1h", "--out", "x").(*captureCutCommand)
 			So(cut.From.Equal(time.Date(2026, 11, 30, 8, 0, 0, 0, time.UTC)), ShouldBeTrue)
-			merge := parsed("capture", "merge", "n1", "n2", "--out", "x").(*captureMergeCommand)
+			merge := parseForTest("capture", "merge", "n1", "n2", "--out", "x").(*captureMergeCommand)
 			So(merge.Arguments.Paths, ShouldResemble, []string{"n1", "n2"})
 			So(merge.Span, ShouldEqual, 10*time.Second)
 		})
 		Convey("of plans", func() {
-			compare := parsed("plan", "compare", "a", "b", "--capture", "c").(*planCompareCommand)
+			compare := parseForTest("plan", "compare", "a", "b", "--capture", "c").(*planCompareCommand)
 			So(compare.Arguments.Fleet, ShouldEqual, "a")
 			So(compare.Second.Other, ShouldEqual, "b")
 			So(compare.Times, ShouldEqual, 1)
 			So(compare.Seed, ShouldEqual, 1)
 		})
 		Convey("of the demo", func() {
-			demo := parsed("demo").(*demoCommand)
+			demo := parseForTest("demo").(*demoCommand)
 			So(*demo, ShouldResemble, demoCommand{Aggregators: 2, Backends: 6, PerS: 200, Service: 5 * time.Millisecond, Every: time.Second, JobsPerS: 6, LogLevel: "info"})
 		})
 	})
--- a/cmd/puffinlink/capturesynth.go
+++ b/cmd/puffinlink/capturesynth.go
@@ -46,22 +46,22 @@
 	if err != nil {
 		return err
 	}
-	f := synthFile{IntervalS: 10}
-	if err := jsonc.Decode(text, &f); err != nil {
+	file := synthFile{IntervalS: 10}
+	if err := jsonc.Decode(text, &file); err != nil {
 		return fmt.Errorf("%s:%w", m.Arguments.File, err)
 	}
-	s := capture.Synth{For: f.LastsS, Span: f.IntervalS, PerS: f.QueriesPerSecond, Shards: f.Shards, Skew: f.Skew, Day: f.Day, MonthEnd: f.MonthEndFactor, Seed: f.Seed}
-	if !f.Begins.IsZero() {
-		s.At = float64(f.Begins.UnixMilli()) / 1000
+	synth := capture.Synth{For: file.LastsS, Span: file.IntervalS, PerS: file.QueriesPerSecond, Shards: file.Shards, Skew: file.Skew, Day: file.Day, MonthEnd: file.MonthEndFactor, Seed: file.Seed}
+	if !file.Begins.IsZero() {
+		synth.At = float64(file.Begins.UnixMilli()) / 1000
 	}
-	for _, x := range f.Indexes {
-		s.Indexes = append(s.Indexes, capture.SynthIndex{Index: x.Index, Customer: x.Customer, Share: x.Share, Parts: x.Parts, Hint: x.HintS})
+	for _, index := range file.Indexes {
+		synth.Indexes = append(synth.Indexes, capture.SynthIndex{Index: index.Index, Customer: index.Customer, Share: index.Share, Parts: index.Parts, Hint: index.HintS})
 	}
-	for _, b := range f.Bursts {
-		s.Bursts = append(s.Bursts, capture.Burst{From: b.FromS, For: b.ForS, Factor: b.Factor})
+	for _, burst := range file.Bursts {
+		synth.Bursts = append(synth.Bursts, capture.Burst{From: burst.FromS, For: burst.ForS, Factor: burst.Factor})
 	}
 	var c capture.Capture
-	if err := s.Make(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
+	if err := synth.Make(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
 		return fmt.Errorf("%s: %w", m.Arguments.File, err)
 	}
 	return capture.Save(m.Out, c)
--- a/cmd/puffinlink/check.go
+++ b/cmd/puffinlink/check.go
@@ -15,15 +15,15 @@
 }
 
 func (c *checkCommand) Execute([]string) error {
-	f, err := operatorfile.Read(c.Arguments.File)
+	file, err := operatorfile.Read(c.Arguments.File)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		for i := range f.Operators.Tokens {
-			f.Operators.Tokens[i].Hash = "(kept)"
+		for i := range file.Operators.Tokens {
+			file.Operators.Tokens[i].Hash = "(kept)"
 		}
-		return json.NewEncoder(stdout).Encode(f)
+		return json.NewEncoder(stdout).Encode(file)
 	}
 	on := func(is bool) string {
 		if is {
@@ -31,9 +31,9 @@
 		}
 		return "off"
 	}
-	fmt.Fprintf(stdout, "%s: good; overrides %s, operators' listener %s, fleet %s\n", c.Arguments.File, on(f.Overrides.On), on(f.Operators.Listen != ""), on(f.Fleet.On))
-	for _, w := range f.Warnings() {
-		fmt.Fprintf(stdout, "%s: note: %s\n", c.Arguments.File, w)
+	fmt.Fprintf(stdout, "%s: good; overrides %s, operators' listener %s, fleet %s\n", c.Arguments.File, on(file.Overrides.On), on(file.Operators.Listen != ""), on(file.Fleet.On))
+	for _, warning := range file.Warnings() {
+		fmt.Fprintf(stdout, "%s: note: %s\n", c.Arguments.File, warning)
 	}
 	return nil
 }
--- a/cmd/puffinlink/commands_test.go
+++ b/cmd/puffinlink/commands_test.go
@@ -14,8 +14,8 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-// said runs a command line and tells its exit code and what it printed.
-func said(t *testing.T, args ...string) (code int, out string) {
+// runForTest runs a command line and tells its exit code and what it printed.
+func runForTest(t *testing.T, args ...string) (code int, out string) {
 	t.Helper()
 	var text bytes.Buffer
 	wasOut, wasErr := stdout, stderr
@@ -25,7 +25,7 @@
 	return code, text.String()
 }
 
-func TestCommandLinesThatCannotBeMeant(t *testing.T) {
+func TestInvalidCommandLines(t *testing.T) {
 	t.Setenv("PUFFINLINK_OPERATORS", "") // and back at the end
 	os.Unsetenv("PUFFINLINK_OPERATORS")
 	bad := filepath.Join(t.TempDir(), "bad.json5")
@@ -48,7 +48,7 @@
 		"Example: puffinlink override set":        {0, "override set --help"},
 		`"go":"go1.`:                              {0, "version --json"},
 	} {
-		if code, out := said(t, strings.Fields(c.args)...); code != c.code || !strings.Contains(out, want) {
+		if code, out := runForTest(t, strings.Fields(c.args)...); code != c.code || !strings.Contains(out, want) {
 			t.Errorf("%s: exit code %d, expected %d with %q; it said:\n%s", c.args, code, c.code, want, out)
 		}
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configured(t, listen, "127.0.0.1:1", "127.0.0.1:2", goodSettings)
+	setConfiguration(t, listen, "127.0.0.1:1", "127.0.0.1:2", goodSettings)
 	socket := "unix:" + dir + "/s"
 	operator := filepath.Join(dir, "operator.json5")
 	os.WriteFile(operator, []byte(`{"overrides": {"directory": "`+dir+`/kept"}, "operators": {"listen": "`+socket+`"}}`), 0o600)
@@ -84,7 +84,7 @@
 	}
 	play := func(code int, want, line string) string {
 		t.Helper()
-		got, out := said(t, strings.Fields(line)...)
+		got, out := runForTest(t, strings.Fields(line)...)
 		if got != code || !strings.Contains(out, want) {
 			t.Fatalf("%s: exit code %d, expected %d with %q; it said:\n%s", line, got, code, want, out)
 		}
--- a/cmd/puffinlink/demosystem_test.go
+++ b/cmd/puffinlink/demosystem_test.go
@@ -78,7 +78,7 @@
 // operate plays an operator's session.
 func operate(t *testing.T, at []string) {
 	play := func(code int, says, line string) {
-		got, out := said(t, append(strings.Fields(line), at...)...)
+		got, out := runForTest(t, append(strings.Fields(line), at...)...)
 		So(out, ShouldContainSubstring, says)
 		So(got, ShouldEqual, code)
 	}
--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -19,9 +19,9 @@
 }
 
 // clientWithTimeout asks a mixer's listener within a time.
-func (d *operatorConnection) clientWithTimeout(most time.Duration) (*api.Client, context.Context, context.CancelFunc, error) {
+func (d *operatorConnection) clientWithTimeout(timeout time.Duration) (*api.Client, context.Context, context.CancelFunc, error) {
 	c, err := d.client()
-	ctx, cancel := context.WithTimeout(context.Background(), most)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	return c, ctx, cancel, err
 }
 
--- a/cmd/puffinlink/fleetshow.go
+++ b/cmd/puffinlink/fleetshow.go
@@ -11,27 +11,27 @@
 type fleetShowCommand struct{ operatorConnection }
 
 func (c *fleetShowCommand) Execute([]string) error {
-	var s fleet.Status
-	if err := c.get("/v1/fleet", &s); err != nil {
+	var status fleet.Status
+	if err := c.get("/v1/fleet", &status); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(s)
+		return printJSON(status)
 	}
 	fmt.Fprintf(stdout, "%s: open %t, hears nothing %t, leader %s, contracts of version %d sure for %.1f s, quotas of version %d\n",
-		s.Node, s.Open, s.Isolated, s.Leader, s.Contracts.Version, s.ContractsConfirmedFor, s.QuotasVersion)
-	w := tabwriter.NewWriter(stdout, 0, 8, 2, ' ', 0)
-	for _, m := range s.Members {
-		fmt.Fprintf(w, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.SinceReceived)
+		status.Node, status.Open, status.Isolated, status.Leader, status.Contracts.Version, status.ContractsConfirmedFor, status.QuotasVersion)
+	writer := tabwriter.NewWriter(stdout, 0, 8, 2, ' ', 0)
+	for _, m := range status.Members {
+		fmt.Fprintf(writer, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.SinceReceived)
 	}
-	for tenant, x := range s.Contracts.Contracts {
-		fmt.Fprintf(w, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
+	for tenant, x := range status.Contracts.Contracts {
+		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
 	}
-	for tenant, q := range s.Quotas {
-		fmt.Fprintf(w, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.MinimumShare)
+	for tenant, q := range status.Quotas {
+		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.MinimumShare)
 	}
-	for _, j := range s.Outliers {
-		fmt.Fprintf(w, "judged %s\t%.1f s ago\n", j.Backend, j.Age)
+	for _, j := range status.Outliers {
+		fmt.Fprintf(writer, "judged %s\t%.1f s ago\n", j.Backend, j.Age)
 	}
-	return w.Flush()
+	return writer.Flush()
 }
--- a/cmd/puffinlink/main_test.go
+++ b/cmd/puffinlink/main_test.go
@@ -30,7 +30,7 @@
 	"specifics":{"places":1,"width":1,"slices":4,"classNeed":[1]},
 	"limits":{"mostTries":2,"multiplex":100,"idleCloseS":15,"connectTimeoutS":1}}`
 
-func configured(t *testing.T, listen, discovery, searcher, settings string) {
+func setConfiguration(t *testing.T, listen, discovery, searcher, settings string) {
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":4,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":%q,"zone":"a","machineType":"m","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0}]},
@@ -45,7 +45,7 @@
 	t.Setenv("LB_CONFIG", path)
 }
 
-func TestBadConfigIsOnePlainLine(t *testing.T) {
+func TestInvalidConfigurationIsReportedInOneLine(t *testing.T) {
 	for want, c := range map[string][3]string{
 		"listen":                        {"", "x:1", goodSettings},
 		"expected a JSON object":        {"x:1", "x:1", `7`},
@@ -56,13 +56,13 @@
 		"requestClasses[0].repeatWindowS is -1, expected 0 or more": {"x:1", "x:1", strings.Replace(goodSettings, `"repeatable"`, `"by_key","repeatWindowS":-1`, 1)},
 		"floorByClass[0] is 0.6, expected at most classNeed, 0.5":   {"x:1", "x:1", strings.Replace(goodSettings, `"classNeed":[1]`, `"classNeed":[0.5],"floorByClass":[0.6]`, 1)},
 	} {
-		configured(t, c[0], c[1], "y:1", c[2])
+		setConfiguration(t, c[0], c[1], "y:1", c[2])
 		if err := serveAggregator(""); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("got %v, expected %q", err, want)
 		}
 	}
 	for weight, want := range map[string]string{"0": `searcher "s-1": weight is 0, expected more than 0`, `"NaN"`: "weight of type float64"} {
-		configured(t, "x:1", "x:1", "y:1", goodSettings)
+		setConfiguration(t, "x:1", "x:1", "y:1", goodSettings)
 		text, err := os.ReadFile(os.Getenv("LB_CONFIG"))
 		if err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 
 // TestStartLeavesTheLogAlone: connections that end with one mixer are logged while another starts, which sets nothing that they read.
 func TestStartLeavesTheLogAlone(t *testing.T) {
-	configured(t, "x", "x:1", "y:1", goodSettings) // its address stops it, after its log is there
+	setConfiguration(t, "x", "x:1", "y:1", goodSettings) // its address stops it, after its log is there
 	begun, ended := make(chan bool), make(chan bool)
 	go func() {
 		defer close(ended)
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configured(t, listen, register.Listener.Addr().String(), peer.Addr().String(), goodSettings)
+	setConfiguration(t, listen, register.Listener.Addr().String(), peer.Addr().String(), goodSettings)
 	t.Setenv("LB_DISCOVERY", register.Listener.Addr().String())
 	ended := make(chan error, 1)
 	go func() { ended <- serveAggregator("") }()
@@ -230,13 +230,13 @@
 }
 
 // A stop while the process before still holds the address ends at once and well, whenever it comes; so does one more.
-func TestAStopWhileStarting(t *testing.T) {
+func TestStopWhileStarting(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer held.Close()
-	configured(t, held.Addr().String(), "127.0.0.1:1", "127.0.0.1:1", goodSettings)
+	setConfiguration(t, held.Addr().String(), "127.0.0.1:1", "127.0.0.1:1", goodSettings)
 	ours := make(chan os.Signal, 1) // so that one that comes before it listens for signals ends nothing
 	signal.Notify(ours, syscall.SIGTERM)
 	defer signal.Stop(ours)
@@ -280,7 +280,7 @@
 
 // A reload in the very moment of a start: the file changes once it was read, while the mixer still waits for its address. It
 // goes by the new file once it runs, and is not ended by the signal.
-func TestAReloadWhileStarting(t *testing.T) {
+func TestReloadWhileStarting(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -293,7 +293,7 @@
 	}))
 	defer moved.Close()
 	const before = "127.0.0.1:1"
-	configured(t, held.Addr().String(), before, "127.0.0.1:1", goodSettings)
+	setConfiguration(t, held.Addr().String(), before, "127.0.0.1:1", goodSettings)
 	path := os.Getenv("LB_CONFIG")
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/puffinlink/metrics_test.go
+++ b/cmd/puffinlink/metrics_test.go
@@ -17,7 +17,7 @@
 func readMetrics(t *testing.T, address string) string {
 	t.Helper()
 	url := "http://" + address + "/metrics"
-	askUntilServed(t, url)
+	requestUntilServed(t, url)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := client.Get(url)
 	if err != nil {
--- a/cmd/puffinlink/operations_test.go
+++ b/cmd/puffinlink/operations_test.go
@@ -34,14 +34,14 @@
 	}
 	for _, c := range cases {
 		Convey(c.args+" says what it should", t, func() {
-			code, out := said(t, strings.Fields(c.args)...)
+			code, out := runForTest(t, strings.Fields(c.args)...)
 			So(code, ShouldEqual, c.code)
 			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.says)
 		})
 	}
 	Convey("The address may come from the environment", t, func() {
 		t.Setenv(controlVariable, "127.0.0.1:1,127.0.0.1:2")
-		code, out := said(t, "status", "--timeout", "10ms")
+		code, out := runForTest(t, "status", "--timeout", "10ms")
 		So(code, ShouldEqual, exitUnreachable)
 		So(out, ShouldContainSubstring, "127.0.0.1:2: ")
 	})
@@ -52,18 +52,18 @@
 		path := filepath.Join(t.TempDir(), "local.conf")
 		good := "nodeName=core-1\nmachineClass=core\nserves=control\nipAddress=10.1.0.12\ninternalPortRange=7660,7675\n"
 		So(os.WriteFile(path, []byte(good), 0o600), ShouldBeNil)
-		code, out := said(t, "check-settings", path)
+		code, out := runForTest(t, "check-settings", path)
 		So(code, ShouldEqual, 0)
 		So(out, ShouldContainSubstring, "good; node core-1, class core, serves [control]")
 		So(os.WriteFile(path, []byte("nodeName=n\nipAddress=here\nbounds.contactMs=soon\n"), 0o600), ShouldBeNil)
-		code, out = said(t, "check-settings", path)
+		code, out = runForTest(t, "check-settings", path)
 		So(code, ShouldEqual, exitFailed)
 		So(out, ShouldContainSubstring, "bounds.contactMs=soon: want a number")
 	})
 }
 
-// controlStub plays a mixer: the configuration and one answer for all other paths.
-type controlStub struct {
+// fakeControl plays a mixer: the configuration and one answer for all other paths.
+type fakeControl struct {
 	version int
 	body    string
 	status  int    // of all answers but those to reads of the configuration; 200 if 0
@@ -71,7 +71,7 @@
 	orders  []string
 }
 
-func (c *controlStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeControl) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/configuration" && r.Method == http.MethodGet {
 		if c.version == 0 {
 			w.WriteHeader(http.StatusNotFound)
@@ -89,7 +89,7 @@
 }
 
 // serve serves the stub until the Convey scope ends, and returns its address.
-func (c *controlStub) serve() string {
+func (c *fakeControl) serve() string {
 	server := httptest.NewServer(c)
 	Reset(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -99,44 +99,44 @@
 	Convey("Given a configuration's file and a mixer", t, func() {
 		path := filepath.Join(t.TempDir(), "configuration.json")
 		So(os.WriteFile(path, []byte(testConfigurationText), 0o600), ShouldBeNil)
-		stub := &controlStub{version: 5, body: "another"}
+		stub := &fakeControl{version: 5, body: "another"}
 		at := stub.serve()
 
 		Convey("it builds on the version in force", func() {
-			code, out := said(t, "apply", path, "--at", at)
+			code, out := runForTest(t, "apply", path, "--at", at)
 			So(code, ShouldEqual, 0)
 			So(out, ShouldContainSubstring, "version 7 is in force; it was built on version 5")
 			So(stub.orders, ShouldResemble, []string{"PUT /-/configuration 5"})
 		})
 		Convey("or on none, or on the one that is named", func() {
 			stub.version = 0
-			said(t, "apply", path, "--at", at)
-			said(t, "apply", path, "--at", at, "--if-match", "3")
+			runForTest(t, "apply", path, "--at", at)
+			runForTest(t, "apply", path, "--at", at, "--if-match", "3")
 			So(stub.orders, ShouldResemble, []string{"PUT /-/configuration 0", "PUT /-/configuration 3"})
 		})
 		Convey("the very same configuration is not sent again", func() {
 			stub.body = testConfigurationText
-			code, out := said(t, "apply", path, "--at", at, "--json")
+			code, out := runForTest(t, "apply", path, "--at", at, "--json")
 			So(code, ShouldEqual, 0)
 			So(out, ShouldContainSubstring, `{"version":7,"builtOn":"5","changed":false}`)
 			So(stub.orders, ShouldBeEmpty)
 		})
 		Convey("a conflict is told with the version that is current", func() {
 			stub.status, stub.text = http.StatusPreconditionFailed, `{"error":"version 9 is current; read it"}`
-			code, out := said(t, "apply", path, "--at", at)
+			code, out := runForTest(t, "apply", path, "--at", at)
 			So(code, ShouldEqual, exitConflict)
 			So(out, ShouldContainSubstring, "conflict: it was built on version 5: version 9 is current")
 		})
 		Convey("a refusal is told", func() {
 			stub.status, stub.text = http.StatusBadRequest, `{"error":"invalid configuration: version: is too low"}`
-			code, out := said(t, "apply", path, "--at", at)
+			code, out := runForTest(t, "apply", path, "--at", at)
 			So(code, ShouldEqual, exitRefused)
 			So(out, ShouldContainSubstring, "version: is too low")
 		})
 		Convey("what is not valid is not sent; key and remedy are told", func() {
 			bad := strings.Replace(testConfigurationText, `"timeoutMs":3000`, `"timeoutMs":0`, 1)
 			So(os.WriteFile(path, []byte(bad), 0o600), ShouldBeNil)
-			code, out := said(t, "apply", path, "--at", at)
+			code, out := runForTest(t, "apply", path, "--at", at)
 			So(code, ShouldEqual, exitFailed)
 			So(out, ShouldContainSubstring, "routes[0].timeoutMs: is 0; set it above 0")
 			So(stub.orders, ShouldBeEmpty)
@@ -144,7 +144,7 @@
 	})
 }
 
-func TestOperationsAskMixers(t *testing.T) {
+func TestOperationsSendRequests(t *testing.T) {
 	cases := []struct{ args, orders, answer, says string }{
 		{"searchers --service a", "GET /-/searchers?service=a ", `{"searchers":[{"id":"i-1","service":"a","state":"resting","window":4,"latencyMs":12.4}]}`, "i-1 a resting"},
 		{"jobs --state queued --limit 5", "GET /-/jobs?limit=5&state=queued ", `{"jobs":[{"id":"00000000000000aa","state":"queued","tasks":{"waiting":3}}],"total":9}`, "1 of 9"},
@@ -157,13 +157,13 @@
 	}
 	for _, c := range cases {
 		Convey("puffinlink "+c.args+" asks and prints", t, func() {
-			stub := &controlStub{text: c.answer}
+			stub := &fakeControl{text: c.answer}
 			at := stub.serve()
-			code, out := said(t, append(strings.Fields(c.args), "--at", at)...)
+			code, out := runForTest(t, append(strings.Fields(c.args), "--at", at)...)
 			So(code, ShouldEqual, 0)
 			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.says)
 			So(stub.orders, ShouldResemble, strings.Split(c.orders, ";"))
-			code, out = said(t, append(strings.Fields(c.args), "--json", "--at", at)...)
+			code, out = runForTest(t, append(strings.Fields(c.args), "--json", "--at", at)...)
 			So(code, ShouldEqual, 0)
 			So(strings.Join(strings.Fields(out), ""), ShouldEqual, strings.Join(strings.Fields(c.answer), ""))
 		})
@@ -175,22 +175,22 @@
 			`{"mixer":{"address":"a:1"},"rebuilt":false,"view":{"version":2,"members":["b:1"]}}`: "stands by as no member of the view",
 			`{"mixer":{"address":"a:1"},"rebuilt":true,"view":{}}`:                               "its disk is complete",
 		} {
-			stub := &controlStub{text: answer}
-			_, out := said(t, "status", "--at", stub.serve())
+			stub := &fakeControl{text: answer}
+			_, out := runForTest(t, "status", "--at", stub.serve())
 			So(out, ShouldContainSubstring, says)
 		}
 	})
 	Convey("Refusals have exit codes of their own", t, func() {
 		for status, code := range map[int]int{404: exitRefused, 400: exitRefused, 409: exitConflict} {
-			stub := &controlStub{status: status, text: `{"error":"no"}`}
-			got, out := said(t, "cancel", "00000000000000aa", "--at", stub.serve())
+			stub := &fakeControl{status: status, text: `{"error":"no"}`}
+			got, out := runForTest(t, "cancel", "00000000000000aa", "--at", stub.serve())
 			So(got, ShouldEqual, code)
 			So(out, ShouldContainSubstring, "puffinlink cancel: no")
 		}
 	})
 	Convey("An answer that is not one is told", t, func() {
-		stub := &controlStub{text: "<html>"}
-		code, out := said(t, "status", "--at", stub.serve())
+		stub := &fakeControl{text: "<html>"}
+		code, out := runForTest(t, "status", "--at", stub.serve())
 		So(code, ShouldEqual, exitFailed)
 		So(out, ShouldContainSubstring, "cannot be read")
 	})
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -46,7 +46,7 @@
 }
 
 // sendOverride sends a command, for the present revision where none is stated; it goes again where the connection broke, under one key.
-func (d *operatorConnection) sendOverride(cmd api.Command, revision int64) error {
+func (d *operatorConnection) sendOverride(command api.Command, revision int64) error {
 	client, err := d.client()
 	if err != nil {
 		return err
@@ -55,30 +55,30 @@
 	defer cancel()
 	if revision >= 0 {
 		r := uint64(revision)
-		cmd.Revision = &r
+		command.Revision = &r
 	} else {
-		var v api.View
-		if err := client.Get(ctx, "/v1/overrides", &v); err != nil {
+		var view api.View
+		if err := client.Get(ctx, "/v1/overrides", &view); err != nil {
 			return err
 		}
-		cmd.Revision = &v.Revision
+		command.Revision = &view.Revision
 	}
-	if cmd.Key == "" {
+	if command.Key == "" {
 		key := make([]byte, 16)
 		rand.Read(key)
-		cmd.Key = hex.EncodeToString(key)
+		command.Key = hex.EncodeToString(key)
 	}
-	made, err := client.Send(ctx, cmd)
+	change, err := client.Send(ctx, command)
 	if u := (*url.Error)(nil); errors.As(err, &u) && ctx.Err() == nil {
-		made, err = client.Send(ctx, cmd)
+		change, err = client.Send(ctx, command)
 	}
 	if err != nil {
 		return err
 	}
 	if d.JSON {
-		return printJSON(made)
+		return printJSON(change)
 	}
-	printChange(stdout, &made)
+	printChange(stdout, &change)
 	return nil
 }
 
--- a/cmd/puffinlink/overrideset.go
+++ b/cmd/puffinlink/overrideset.go
@@ -44,20 +44,20 @@
 }
 
 func (c *overrideSetCommand) Execute([]string) error {
-	cmd := api.Command{Kind: string(c.Arguments.Kind), Index: c.Index, Weight: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
+	command := api.Command{Kind: string(c.Arguments.Kind), Index: c.Index, Weight: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
 		For: c.For.Seconds(), UntilRestart: c.UntilRestart, Force: c.Force, Key: c.Key}
-	if place, is := strings.CutPrefix(c.Arguments.Target, "@"); is {
-		cmd.Location = place
+	if location, is := strings.CutPrefix(c.Arguments.Target, "@"); is {
+		command.Location = location
 	} else {
-		cmd.Backend = c.Arguments.Target
+		command.Backend = c.Arguments.Target
 	}
 	if c.Shards != "" {
 		var err error
-		if cmd.From, cmd.To, err = shardRange(c.Shards); err != nil {
+		if command.From, command.To, err = shardRange(c.Shards); err != nil {
 			return err
 		}
 	} else if c.Arguments.Kind == overridePin {
 		return usageErrorf("a pin needs --shards")
 	}
-	return c.sendOverride(cmd, c.Revision)
+	return c.sendOverride(command, c.Revision)
 }
--- a/cmd/puffinlink/overridewhy.go
+++ b/cmd/puffinlink/overridewhy.go
@@ -18,29 +18,29 @@
 }
 
 func (c *overrideWhyCommand) Execute([]string) error {
-	var w api.Why
-	q := url.Values{"shard": {strconv.Itoa(c.Arguments.Shard)}, "index": {c.Arguments.Index}, "searcher": {c.Arguments.Searcher}}
-	if err := c.get("/v1/why?"+q.Encode(), &w); err != nil {
+	var why api.Why
+	query := url.Values{"shard": {strconv.Itoa(c.Arguments.Shard)}, "index": {c.Arguments.Index}, "searcher": {c.Arguments.Searcher}}
+	if err := c.get("/v1/why?"+query.Encode(), &why); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(w)
+		return printJSON(why)
 	}
 	verdict := "does not go"
-	if w.Goes {
-		verdict = fmt.Sprintf("goes, at %.0f%% of its usual part calls,", 100*w.Share)
+	if why.Goes {
+		verdict = fmt.Sprintf("goes, at %.0f%% of its usual part calls,", 100*why.Share)
 	}
 	fmt.Fprintf(stdout, "shard %d of %s %s to %s\n", c.Arguments.Shard, c.Arguments.Index, verdict, c.Arguments.Searcher)
 	rows := [][]string{}
-	for _, r := range w.Rules {
+	for _, rule := range why.Rules {
 		by, acts := "-", "suspended"
-		if r.Override != 0 {
-			by = strconv.FormatUint(r.Override, 10)
+		if rule.Override != 0 {
+			by = strconv.FormatUint(rule.Override, 10)
 		}
-		if r.Acts {
+		if rule.Acts {
 			acts = "acts"
 		}
-		rows = append(rows, []string{r.Rule, acts, by, r.Text})
+		rows = append(rows, []string{rule.Rule, acts, by, rule.Text})
 	}
 	table(stdout, "RULE STATE OVERRIDE WHY", rows)
 	return nil
--- a/cmd/puffinlink/plancompare.go
+++ b/cmd/puffinlink/plancompare.go
@@ -68,24 +68,24 @@
 	}
 	var sides []planComparison
 	for _, p := range []planOptions{c.planOptions, other} {
-		s, err := p.evaluate()
+		side, err := p.evaluate()
 		if err != nil {
 			return err
 		}
-		sides = append(sides, s)
+		sides = append(sides, side)
 	}
 	if c.JSON {
 		return printJSON(sides)
 	}
 	rows := [][]string{}
-	for _, s := range sides {
-		rows = append(rows, []string{s.Fleet, fmt.Sprintf("%.1f", s.QueriesPerSecond), fmt.Sprintf("%.3f", s.InTime), fmt.Sprintf("%.3f", s.Nacked), formatMilliseconds(s.P50), formatMilliseconds(s.P99),
-			fmt.Sprintf("%.0f%%", 100*s.Use), fmt.Sprintf("%.0f", s.Breaks), fmt.Sprintf("%s %.3f", s.Worst, s.WorstInTime), fmt.Sprintf("%.4g", s.Price)})
+	for _, side := range sides {
+		rows = append(rows, []string{side.Fleet, fmt.Sprintf("%.1f", side.QueriesPerSecond), fmt.Sprintf("%.3f", side.InTime), fmt.Sprintf("%.3f", side.Nacked), formatMilliseconds(side.P50), formatMilliseconds(side.P99),
+			fmt.Sprintf("%.0f%%", 100*side.Use), fmt.Sprintf("%.0f", side.Breaks), fmt.Sprintf("%s %.3f", side.Worst, side.WorstInTime), fmt.Sprintf("%.4g", side.Price)})
 	}
 	table(stdout, "FLEET LOOKUPS/S IN-TIME NACKED P50 P99 USE BREAKS-AT WORST-LOCATION-LOST PRICE", rows)
-	for _, s := range sides {
-		if s.Note != "" {
-			fmt.Fprintln(stdout, "note:", s.Fleet+":", s.Note)
+	for _, side := range sides {
+		if side.Note != "" {
+			fmt.Fprintln(stdout, "note:", side.Fleet+":", side.Note)
 		}
 	}
 	return nil
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -95,7 +95,7 @@
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	c, set, err := node.Read(os.Getenv)
+	configuration, settings, err := node.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -105,40 +105,42 @@
 			return err
 		}
 	}
-	limitRuntime(c)
+	limitRuntime(configuration)
 	// Whoever reads the log must not hold up the mixer: lines that find no room are dropped and counted.
 	count := counters.New()
-	out := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
-	defer out.Close()
-	log := asynclog.New(out).With(zap.String("mixer", c.Name))
+	logWriter := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
+	defer logWriter.Close()
+	log := asynclog.New(logWriter).With(zap.String("mixer", configuration.Name))
 
-	n, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) { return node.Start(ctx, c, set, file, log, count) })
+	aggregator, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) {
+		return node.Start(ctx, configuration, settings, file, log, count)
+	})
 	if errors.Is(err, context.Canceled) {
 		log.Info("stopped before serving")
 		return nil
 	} else if err != nil {
 		return err
 	}
-	for on := true; on; {
+	for running := true; running; {
 		select {
 		case s := <-signals:
 			switch s {
 			case syscall.SIGUSR1:
 				log.Info("counters", zap.Inline(count))
 			case syscall.SIGHUP:
-				if err := reloadConfiguration(n); err != nil {
+				if err := reloadConfiguration(aggregator); err != nil {
 					log.Error("configuration file rejected", zap.String("text", err.Error()))
 				} else {
 					log.Info("configuration file reloaded")
 				}
 			default:
-				n.Drain()
+				aggregator.Drain()
 			}
-		case <-n.Drained():
-			on = false
+		case <-aggregator.Drained():
+			running = false
 		}
 	}
-	n.Stop()
+	aggregator.Stop()
 	log.Info("counters", zap.Inline(count))
 	return nil
 }
--- a/cmd/puffinlink/system_test.go
+++ b/cmd/puffinlink/system_test.go
@@ -37,7 +37,7 @@
 	for _, c := range cases {
 		Convey(c.args+" says what it should", t, func() {
 			t.Setenv(nodesettings.PathVariable, "")
-			code, out := said(t, strings.Fields(c.args)...)
+			code, out := runForTest(t, strings.Fields(c.args)...)
 			So(code, ShouldEqual, c.code)
 			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.says)
 		})
@@ -46,7 +46,7 @@
 		path := filepath.Join(t.TempDir(), "local.conf")
 		So(os.WriteFile(path, []byte("nodeName=n\nipAddress=10.1.0.12\n"), 0o600), ShouldBeNil)
 		t.Setenv(nodesettings.PathVariable, path)
-		code, out := said(t, "proxy")
+		code, out := runForTest(t, "proxy")
 		So(code, ShouldEqual, exitUsage)
 		So(out, ShouldContainSubstring, "internalPortRange=: missing")
 	})
@@ -54,7 +54,7 @@
 		path := filepath.Join(t.TempDir(), "local.conf")
 		So(os.WriteFile(path, []byte("nodeName=n\nipAddress=127.0.0.1\ninternalPortRange=7660,7675\n"), 0o600), ShouldBeNil)
 		t.Setenv(nodesettings.PathVariable, path)
-		code, out := said(t, "proxy")
+		code, out := runForTest(t, "proxy")
 		So(code, ShouldEqual, exitFailed)
 		lines := strings.Split(strings.TrimSpace(out), "\n")
 		var last struct{ Level, Node, Process, Error string }
@@ -149,10 +149,10 @@
 		ended := make(chan error, 2)
 		go func() { ended <- runAgent(ctx, node()) }()
 		go func() { ended <- runProxy(ctx, node()) }()
-		status, retryAfter := askUntilServed(t, fmt.Sprintf("http://127.0.0.1:%d/lohu930/", port+3))
+		status, retryAfter := requestUntilServed(t, fmt.Sprintf("http://127.0.0.1:%d/lohu930/", port+3))
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
 		So(retryAfter, ShouldEqual, "1")
-		status, _ = askUntilServed(t, fmt.Sprintf("http://127.0.0.1:%d/-/readiness", port+4))
+		status, _ = requestUntilServed(t, fmt.Sprintf("http://127.0.0.1:%d/-/readiness", port+4))
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
 		stop()
 		So(<-ended, ShouldBeNil)
@@ -160,8 +160,8 @@
 	})
 }
 
-// askUntilServed asks until a connection comes up.
-func askUntilServed(t *testing.T, url string) (status int, retryAfter string) {
+// requestUntilServed asks until a connection comes up.
+func requestUntilServed(t *testing.T, url string) (status int, retryAfter string) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for late := time.Now().Add(time.Minute); time.Now().Before(late); {
