--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -4,9 +4,7 @@
 	"context"
 	"fmt"
 	"os/user"
-	"time"
 
-	"puffinlink.example/puffinlink/internal/controlplane/fleet"
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
@@ -18,24 +16,20 @@
 	Why      fleetWhyCommand      `command:"why" description:"Show which contract, lease and quota decide about a tenant's queries. Example: puffinlink fleet why acme reads"`
 }
 
-// clientWithTimeout asks a mixer's listener within a time.
-func (d *operatorConnection) clientWithTimeout(timeout time.Duration) (*api.Client, context.Context, context.CancelFunc, error) {
-	c, err := d.client()
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	return c, ctx, cancel, err
-}
+// changeTimeout is how long an aggregator may take to have a command accepted.
+const changeTimeout = 2 * answerTimeout
 
-// submitFleetChange sends a command and tells that it was accepted; what follows may take so long more.
-func (d *operatorConnection) submitFleetChange(command api.FleetCommand, more time.Duration) (*api.Client, context.Context, context.CancelFunc, fleet.Result, error) {
-	client, ctx, cancel, err := d.clientWithTimeout(2*answerTimeout + more)
-	var res fleet.Result
-	if err == nil {
-		res, err = client.Change(ctx, command)
+// submitFleetChange sends a command and prints that it was accepted, as which version. The client is for further requests.
+func (d *operatorConnection) submitFleetChange(ctx context.Context, command api.FleetCommand) (client *api.Client, version uint64, err error) {
+	if client, err = d.client(); err != nil {
+		return nil, 0, err
 	}
-	if err == nil {
-		fmt.Fprintf(stdout, "accepted as version %d\n", res.Version)
+	result, err := client.Change(ctx, command)
+	if err != nil {
+		return nil, 0, err
 	}
-	return client, ctx, cancel, res, err
+	fmt.Fprintf(stdout, "accepted as version %d\n", result.Version)
+	return client, result.Version, nil
 }
 
 // changeOptions is who says why.
--- a/cmd/puffinlink/fleetcontract.go
+++ b/cmd/puffinlink/fleetcontract.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"time"
 
@@ -25,19 +26,20 @@
 	if command.Clear = "contract"; !c.Clear {
 		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, AggregatorsToo: c.AggregatorsToo, Indexes: c.Indexes}
 	}
-	client, ctx, cancel, res, err := c.submitFleetChange(command, c.Wait)
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout+c.Wait)
 	defer cancel()
+	client, version, err := c.submitFleetChange(ctx, command)
 	if err != nil {
 		return err
 	}
-	p, err := waitUntilApplied(ctx, client, res.Version, c.Arguments.Tenant, c.Wait)
+	progress, err := waitUntilApplied(ctx, client, version, c.Arguments.Tenant, c.Wait)
 	switch {
 	case err != nil:
 		return err
-	case p.Applied:
+	case progress.Applied:
 		fmt.Fprintln(stdout, "held everywhere")
 		return nil
 	}
-	printProgress(&p)
-	return notAppliedError{c.Wait, res.Version, c.Arguments.Tenant}
+	printProgress(&progress)
+	return notAppliedError{c.Wait, version, c.Arguments.Tenant}
 }
--- a/cmd/puffinlink/fleetprogress.go
+++ b/cmd/puffinlink/fleetprogress.go
@@ -43,11 +43,12 @@
 }
 
 func (c *fleetProgressCommand) Execute([]string) error {
-	client, ctx, cancel, err := c.clientWithTimeout(c.Wait + answerTimeout + answerTimeout/2)
-	defer cancel()
+	client, err := c.client()
 	if err != nil {
 		return err
 	}
+	ctx, cancel := context.WithTimeout(context.Background(), c.Wait+answerTimeout+answerTimeout/2)
+	defer cancel()
 	p, err := waitUntilApplied(ctx, client, c.Arguments.Version, c.Arguments.Tenant, c.Wait)
 	if err != nil {
 		return err
--- a/cmd/puffinlink/fleetquota.go
+++ b/cmd/puffinlink/fleetquota.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"context"
+
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
@@ -21,7 +23,8 @@
 	if command.Clear = "quota"; !c.Clear {
 		command.Clear, command.Quota = "", &api.Quota{PerS: c.PerS, Burst: c.Burst, Floor: c.FloorShare}
 	}
-	_, _, cancel, _, err := c.submitFleetChange(command, 0)
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
+	_, _, err := c.submitFleetChange(ctx, command)
 	return err
 }
--- a/cmd/puffinlink/fleetwhy.go
+++ b/cmd/puffinlink/fleetwhy.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 )
 
@@ -13,11 +14,12 @@
 }
 
 func (c *fleetWhyCommand) Execute([]string) error {
-	client, ctx, cancel, err := c.clientWithTimeout(answerTimeout)
-	defer cancel()
+	client, err := c.client()
 	if err != nil {
 		return err
 	}
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	defer cancel()
 	e, err := client.WhyFleet(ctx, c.Arguments.Tenant, c.Arguments.Index)
 	if err != nil {
 		return err
--- a/cmd/puffinlink/operationsoutput.go
+++ b/cmd/puffinlink/operationsoutput.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"slices"
 	"strings"
 	"text/tabwriter"
@@ -12,9 +13,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// printTable prints rows of columns; the first row has the names.
-func printTable(rows [][]string) {
-	writer := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+// printTable prints rows of columns on standard output; the first row has the names.
+func printTable(rows [][]string) { writeTable(stdout, rows) }
+
+// writeTable writes rows in aligned columns.
+func writeTable(out io.Writer, rows [][]string) {
+	writer := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
 		fmt.Fprintln(writer, strings.Join(row, "\t"))
 	}
--- a/cmd/puffinlink/operatorclient.go
+++ b/cmd/puffinlink/operatorclient.go
@@ -4,12 +4,10 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"net/url"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"puffinlink.example/puffinlink/internal/operators/api"
@@ -69,12 +67,7 @@
 	return enc.Encode(v)
 }
 
-// table prints rows under a head.
+// table prints rows under a head, whose columns are separated by spaces.
 func table(out io.Writer, head string, rows [][]string) {
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, strings.ReplaceAll(head, " ", "\t"))
-	for _, row := range rows {
-		fmt.Fprintln(w, strings.Join(row, "\t"))
-	}
-	w.Flush()
+	writeTable(out, append([][]string{strings.Split(head, " ")}, rows...))
 }
