--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -24,7 +24,7 @@
 
 // Work that a stand-in has begun goes on for its time, as a backend's would; nothing of an aggregator may.
 func TestMain(m *testing.M) {
-	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Searcher).work"))
+	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Backend).work"))
 }
 
 // peer is a backend whose every call the test decides on.
