--- a/internal/controlplane/fleet/errors.go
+++ b/internal/controlplane/fleet/errors.go
@@ -16,7 +16,7 @@
 // panicError is a panic of the consensus library.
 type panicError struct{ value any }
 
-func (e panicError) Error() string { return fmt.Sprintf("%s: %v", textConsensusPanicked, e.value) }
+func (e panicError) Error() string { return fmt.Sprintf("consensus library panicked: %v", e.value) }
 
 // Unwrap gives the error that the panic was raised with, if it was one.
 func (e panicError) Unwrap() error {
--- a/internal/controlplane/fleet/leadership.go
+++ b/internal/controlplane/fleet/leadership.go
@@ -139,7 +139,7 @@
 		failpoint.Pass(failpoint.BeginGranting)
 		l.begin(f.now, f.voter.machine.Term())
 		f.counters.Add("fleet", "led", 1)
-		f.logger.Info(logLeadershipBegan, zap.Uint64("term", l.term), zap.Float64("grants_in_s", l.granter.ReadyAt()-f.now))
+		f.logger.Info("fleet leadership began", zap.Uint64("term", l.term), zap.Float64("grants_in_s", l.granter.ReadyAt()-f.now))
 	}
 	f.leadership.confirm(at)
 }
--- a/internal/controlplane/fleet/open.go
+++ b/internal/controlplane/fleet/open.go
@@ -33,7 +33,7 @@
 	f.due.open = f.now + reopenInterval
 	if text := err.Error(); text != f.openError {
 		f.openError = text
-		f.logger.Error(logNotOpened, zap.Error(err))
+		f.logger.Error("fleet not opened", zap.Error(err))
 	}
 }
 
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -115,7 +115,7 @@
 	}
 	for _, verdict := range f.outliers.record(f.now, verdicts) {
 		f.counters.Add("fleet", "judged", 1)
-		f.logger.Info(logOutlierDetected,
+		f.logger.Info("fleet outlier detected",
 			zap.String("backend", string(verdict.Backend)),
 			zap.Float64("latency_factor", verdict.LatencyFactor),
 			zap.Any("witnesses", verdict.Witnesses))
--- a/internal/controlplane/fleet/receive.go
+++ b/internal/controlplane/fleet/receive.go
@@ -74,7 +74,7 @@
 
 // receiveStaleIncarnation raises our incarnation: another process sent messages under this name, or the clock went back.
 func (f *Fleet) receiveStaleIncarnation(from membership.Name, stale *staleIncarnation) {
-	f.logger.Error(logIncarnationStale, zap.String("member", string(from)), zap.Uint64("known", uint64(stale.Highest)))
+	f.logger.Error("fleet incarnation stale", zap.String("member", string(from)), zap.Uint64("known", uint64(stale.Highest)))
 	f.sealer.RaiseIncarnation(stale.Highest)
 	f.saveTables()
 }
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if !save.Empty() { // the founding, or joining: saved before anything is said as a part of it
-		f.logger.Info(logVoterJoined, zap.String("member", string(from)))
+		f.logger.Info("fleet voter joined", zap.String("member", string(from)))
 		f.save(&save)
 		return
 	}
