--- a/cmd/puffinlink/planreport.go
+++ b/cmd/puffinlink/planreport.go
@@ -69,7 +69,7 @@
 		if ctx.Err() != nil {
 			return errInterrupted
 		}
-		outcome := plan.Emulate(&whatIf.Site, &whatIf.Ask, c.Seed, 0)
+		outcome := plan.Emulate(&whatIf.Site, &whatIf.Workload, c.Seed, 0)
 		if whatIf.Name == "as it is" {
 			report.Limits = outcome.Limits(&input.fleet)
 		}
--- a/internal/fakes/cluster/calls.go
+++ b/internal/fakes/cluster/calls.go
@@ -218,7 +218,7 @@
 }
 
 func (s *Worker) begin(q request, profile Profile, overCapacity bool) {
-	r := &run{worker: s, life: s.incarnation, profile: profile}
+	r := &run{worker: s, incarnation: s.incarnation, profile: profile}
 	r.record = RunRecord{
 		Worker: s.incarnation.id, Task: q.task, Execution: q.Execution, FencingToken: q.FencingToken,
 		Specification: q.Specification, Checkpoint: q.Checkpointed, Late: q.late,
--- a/internal/fakes/cluster/runs.go
+++ b/internal/fakes/cluster/runs.go
@@ -12,11 +12,11 @@
 
 // run is one run of a task at a worker. It is guarded by the cluster's lock.
 type run struct {
-	worker  *Worker
-	life    *incarnation
-	record  RunRecord
-	profile Profile
-	number  uint64 // of its end
+	worker      *Worker
+	incarnation *incarnation
+	record      RunRecord
+	profile     Profile
+	number      uint64 // of its end
 
 	working  bool
 	workFrom time.Time     // when it began to make progress
@@ -27,7 +27,7 @@
 
 // begin adds a run to its worker.
 func (r *run) begin() {
-	r.life.running = append(r.life.running, r)
+	r.incarnation.running = append(r.incarnation.running, r)
 	r.worker.cluster.runs = append(r.worker.cluster.runs, r)
 	r.base, r.saved = progressOf(r.record.Checkpoint), r.record.Checkpoint
 	if r.profile.Gang == 0 {
@@ -104,13 +104,13 @@
 	r.saved = r.checkpoint(how == job.OutcomeStopped)
 	r.remove()
 	r.record.EndedAt, r.record.Outcome = r.worker.cluster.clock.Now(), how
-	r.life.lastCompletion++
-	r.number = r.life.lastCompletion
-	r.life.completions = append(r.life.completions, r)
-	r.life.barred[r.record.Task] = max(r.life.barred[r.record.Task], r.record.Execution)
-	for waiter := range r.life.waiters {
+	r.incarnation.lastCompletion++
+	r.number = r.incarnation.lastCompletion
+	r.incarnation.completions = append(r.incarnation.completions, r)
+	r.incarnation.barred[r.record.Task] = max(r.incarnation.barred[r.record.Task], r.record.Execution)
+	for waiter := range r.incarnation.waiters {
 		close(waiter)
-		delete(r.life.waiters, waiter)
+		delete(r.incarnation.waiters, waiter)
 	}
 	if how != job.OutcomeDone {
 		r.breakGang()
@@ -129,7 +129,7 @@
 
 func (r *run) remove() {
 	r.setTimer(nil)
-	r.life.running = slices.DeleteFunc(r.life.running, func(other *run) bool { return other == r })
+	r.incarnation.running = slices.DeleteFunc(r.incarnation.running, func(other *run) bool { return other == r })
 }
 
 // gang is the members of its gang that are there now.
--- a/internal/fakes/cluster/server.go
+++ b/internal/fakes/cluster/server.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// cut ends the open connections.
-func (s *server) cut() {
+// closeConnections ends the open connections.
+func (s *server) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for connection := range s.connections {
--- a/internal/fakes/cluster/worker.go
+++ b/internal/fakes/cluster/worker.go
@@ -137,7 +137,7 @@
 	close(old.crashed)
 	s.cluster.listChanged()
 	s.cluster.mu.Unlock()
-	s.server.cut()
+	s.server.closeConnections()
 }
 
 // Leave ends the worker for good, with all that runs there, and takes it off the list.
@@ -184,11 +184,11 @@
 
 // expireLease kills all that runs once the hold is over.
 func (s *Worker) expireLease(incarnation *incarnation) {
-	heldUntil := incarnation.leaseExpiry
-	s.cluster.clock.AfterFunc(max(0, s.delayUntil(heldUntil))+time.Millisecond, func() {
+	expiry := incarnation.leaseExpiry
+	s.cluster.clock.AfterFunc(max(0, s.delayUntil(expiry))+time.Millisecond, func() {
 		s.cluster.mu.Lock()
 		defer s.cluster.mu.Unlock()
-		if s.incarnation != incarnation || incarnation.leaseExpiry != heldUntil {
+		if s.incarnation != incarnation || incarnation.leaseExpiry != expiry {
 			return
 		}
 		for _, r := range append([]*run(nil), incarnation.running...) {
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -162,7 +162,7 @@
 func (d *demo) awaitReadiness(ctx context.Context) error {
 	for _, address := range d.site.readinessAddresses() {
 		for !d.ready(ctx, address) {
-			if !pause(ctx, pollInterval) {
+			if !wait(ctx, pollInterval) {
 				return fmt.Errorf("front at %s is not ready: %w", address, context.Cause(ctx))
 			}
 		}
@@ -224,15 +224,15 @@
 
 // showProgress prints a line now and then.
 func (d *demo) showProgress(ctx context.Context) {
-	for pause(ctx, d.options.Every) {
+	for wait(ctx, d.options.Every) {
 		counts := d.load.counts()
 		d.printLine("jobs handed in %d, accepted %d, ended %d; runs started %d, under way %d", counts.submitted, counts.accepted, counts.ended,
 			len(d.cluster.Runs()), runningCount(d.cluster.Runs()))
 	}
 }
 
-// pause waits and tells whether the context is still going on.
-func pause(ctx context.Context, duration time.Duration) bool {
+// wait waits and tells whether the context is still going on.
+func wait(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	attemptTimeout = 2 * time.Second
-	submitTimeout  = 20 * time.Second // for a job to be accepted
-	retryPause     = 150 * time.Millisecond
-	pollPause      = 400 * time.Millisecond
-	host           = "jobs.example"
+	attemptTimeout  = 2 * time.Second
+	submitTimeout   = 20 * time.Second // for a job to be accepted
+	retryInterval   = 150 * time.Millisecond
+	pollingInterval = 400 * time.Millisecond
+	host            = "jobs.example"
 )
 
 // services are those of the configuration.
@@ -95,7 +95,7 @@
 // run hands jobs in until loading ends. Their clients go on until their jobs have ended, or until life ends.
 func (l *load) run(loading, life context.Context, perS float64) {
 	interval := time.Duration(float64(time.Second) / perS)
-	for pause(loading, interval) {
+	for wait(loading, interval) {
 		service := pick(services)
 		specification := pick(jobKinds[service])
 		handed := &submission{id: job.ID(fmt.Sprintf("%016x", rand.Uint64())), service: service, specification: &specification}
@@ -128,7 +128,7 @@
 	if !l.submit(ctx, handed) {
 		return
 	}
-	for pause(ctx, pollPause) {
+	for wait(ctx, pollingInterval) {
 		state := l.pollState(ctx, handed)
 		l.mutex.Lock()
 		if state != "" {
@@ -159,7 +159,7 @@
 			return true
 		}
 		unclear = unclear || status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests
-		if !pause(ctx, retryPause) {
+		if !wait(ctx, retryInterval) {
 			l.mutex.Lock()
 			defer l.mutex.Unlock()
 			handed.refused = !unclear
--- a/internal/tools/demo/cluster/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	holdMax        = 6 * time.Second
-	workersPerRack = 3
-	workerFault    = 0.3 // when a worker is killed, as a share of the load's time
-	leaderFault    = 0.55
-	victimTime     = 2 * time.Second // for a worker to be at work
-	victimPause    = 50 * time.Millisecond
-	leaderTime     = 10 * time.Second // for the jobs of a service to have a leader
+	leaseMax           = 6 * time.Second
+	workersPerRack     = 3
+	workerFault        = 0.3 // when a worker is killed, as a share of the load's time
+	leaderFault        = 0.55
+	victimTimeout      = 2 * time.Second // for a worker to be at work
+	victimPollInterval = 50 * time.Millisecond
+	leaderTimeout      = 10 * time.Second // for the jobs of a service to have a leader
 )
 
 func (d *demo) startWorkers() {
 	d.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		LeaseMax: holdMax, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
+		LeaseMax: leaseMax, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
 		Restore: 100 * time.Millisecond, Describe: d.load.profile,
 	})
 	for _, service := range services {
@@ -85,11 +85,11 @@
 
 // injectFaults kills a worker and later the leader of a service's jobs, which it starts again.
 func (d *demo) injectFaults(ctx context.Context) {
-	if !pause(ctx, time.Duration(workerFault*float64(d.options.For))) {
+	if !wait(ctx, time.Duration(workerFault*float64(d.options.For))) {
 		return
 	}
 	d.killWorker(ctx)
-	if !pause(ctx, time.Duration((leaderFault-workerFault)*float64(d.options.For))) {
+	if !wait(ctx, time.Duration((leaderFault-workerFault)*float64(d.options.For))) {
 		return
 	}
 	number, err := d.awaitLeader(ctx)
@@ -98,17 +98,17 @@
 		return
 	}
 	d.killCoordinator(number)
-	if pause(ctx, restartDelay) {
+	if wait(ctx, restartDelay) {
 		d.restartCoordinator(number)
 	}
 }
 
 // killWorker kills one that is at work, with all that runs there.
 func (d *demo) killWorker(ctx context.Context) {
-	waiting, cancel := context.WithTimeout(ctx, victimTime)
+	waiting, cancel := context.WithTimeout(ctx, victimTimeout)
 	defer cancel()
 	victim, runs := d.busiest()
-	for runs == 0 && pause(waiting, victimPause) {
+	for runs == 0 && wait(waiting, victimPollInterval) {
 		victim, runs = d.busiest()
 	}
 	id := victim.ID()
@@ -135,11 +135,11 @@
 
 // awaitLeader waits until the jobs of the first service have a leader.
 func (d *demo) awaitLeader(ctx context.Context) (number int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, leaderTime)
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	for {
 		number, err = d.findLeader(ctx)
-		if err == nil || !pause(ctx, pollInterval) {
+		if err == nil || !wait(ctx, pollInterval) {
 			return number, err
 		}
 	}
--- a/internal/tools/demo/cluster/site.go
+++ b/internal/tools/demo/cluster/site.go
@@ -136,7 +136,7 @@
 		fmt.Sprintf("internalPortRange=%d,%d", s.first, s.first+lastOffset),
 		"seedNodes=" + strings.Join(s.controlAddresses(), ","), fmt.Sprintf("firstStart=%t", firstStart),
 		fmt.Sprintf("limits.memoryMb=%d", demoMemoryMB), "limits.fileDescriptors=1000",
-		"bounds.gracePeriodS=2", fmt.Sprintf("bounds.holdMaxMs=%d", holdMax.Milliseconds()), "cloudApi.address=" + s.platform, "cloudApi.ratePerS=30",
+		"bounds.gracePeriodS=2", fmt.Sprintf("bounds.holdMaxMs=%d", leaseMax.Milliseconds()), "cloudApi.address=" + s.platform, "cloudApi.ratePerS=30",
 	}, more...)
 	path := filepath.Join(s.directory, name+".conf")
 	return path, os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), fileMode)
--- a/internal/tools/demo/cluster/summary_test.go
+++ b/internal/tools/demo/cluster/summary_test.go
@@ -22,7 +22,7 @@
 	return record
 }
 
-func TestDoubledRuns(t *testing.T) {
+func TestDuplicatedRuns(t *testing.T) {
 	cases := []struct {
 		name    string
 		runs    []cluster.RunRecord
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -61,7 +61,7 @@
 	Options
 	site     fakes.Site
 	register *fakes.Register
-	fleet    []*fakes.Backend
+	backends []*fakes.Backend
 	nodes    []*node.Node
 	sockets  []string
 	load     *fakes.Load
@@ -101,8 +101,8 @@
 	seconds := time.Since(began).Seconds()
 	d.collect()
 	sum = Summary{seconds, d.total.Sent, d.total.Satisfied, d.total.Nacked, d.total.Aborted, d.total.Lost, map[string]int64{}}
-	for _, s := range d.fleet {
-		sum.PartCalls[s.Name] = s.Calls()
+	for _, backend := range d.backends {
+		sum.PartCalls[backend.Name] = backend.Calls()
 	}
 	if sum.Lost > 0 {
 		err = LostError(sum.Lost)
@@ -118,12 +118,12 @@
 		return err
 	}
 	for i := range d.Backends {
-		s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i+1), d.site.Zones[i%len(d.site.Zones)], i, 8, d.Service)
+		backend, err := fakes.NewBackend(fmt.Sprintf("s-%d", i+1), d.site.Zones[i%len(d.site.Zones)], i, 8, d.Service)
 		if err != nil {
 			return err
 		}
-		d.fleet = append(d.fleet, s)
-		d.register.Set(s.Entry("SERVING", true))
+		d.backends = append(d.backends, backend)
+		d.register.Set(backend.Entry("SERVING", true))
 	}
 	log := zap.NewNop()
 	if d.Log != nil {
@@ -193,7 +193,7 @@
 		float64(t.Satisfied)/per, float64(t.Nacked)/per, float64(t.Aborted)/per, t.Lost, t.P50.Round(100*time.Microsecond), t.P99.Round(100*time.Microsecond))
 	w := tabwriter.NewWriter(d.Out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "SEARCHER\tLOCATION\tPART CALLS/S\tOUT AT MOST\t")
-	for _, s := range d.fleet {
+	for _, s := range d.backends {
 		calls := s.Calls()
 		fmt.Fprintf(w, "%s\t%s\t%.0f\t%d\t\n", s.Name, s.Zone, float64(calls-d.last[s.Name])/per, s.MaxInFlight())
 		d.last[s.Name] = calls
@@ -206,7 +206,7 @@
 	for _, n := range d.nodes {
 		n.Stop()
 	}
-	for _, s := range d.fleet {
+	for _, s := range d.backends {
 		s.Kill()
 	}
 	if d.register != nil {
--- a/internal/tools/plan/bench_test.go
+++ b/internal/tools/plan/bench_test.go
@@ -10,9 +10,9 @@
 func BenchmarkEmulate(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			site := fleet(n, 4)
+			site := testSite(n, 4)
 			site.Shards, site.Aggregators = 10*n, max(2, n/10)
-			a := ask(float64(n)*4/0.01/4*0.5, 4)
+			a := testWorkload(float64(n)*4/0.01/4*0.5, 4)
 			var o Outcome
 			for b.Loop() {
 				o = Emulate(&site, &a, 1, 0)
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -73,18 +73,18 @@
 	sim := &simulation{site: site, workload: workload, random: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.BackendID]*queue{}}
 	sim.outcome.Queries, sim.outcome.ByIndex = make([]int64, len(site.Indexes)), make([]float64, len(site.Indexes))
 	list := policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}
-	for i, s := range site.Backends {
-		backendQueue := &queue{Backend: s, id: policy.BackendID(i + 1)}
+	for i, backend := range site.Backends {
+		backendQueue := &queue{Backend: backend, id: policy.BackendID(i + 1)}
 		sim.queues = append(sim.queues, backendQueue)
 		sim.byID[backendQueue.id] = backendQueue
-		list.Entries = append(list.Entries, policy.Entry{Backend: backendQueue.id, Location: policy.LocationID(slices.Index(site.Locations, s.Location)), Cell: policy.CellID(s.Cell), Share: 1})
+		list.Entries = append(list.Entries, policy.Entry{Backend: backendQueue.id, Location: policy.LocationID(slices.Index(site.Locations, backend.Location)), Cell: policy.CellID(backend.Cell), Share: 1})
 	}
 	cumulative := 0.0
-	for s := range site.Shards {
+	for backend := range site.Shards {
 		if workload.Popular == nil {
 			cumulative += 1 / float64(site.Shards)
 		} else {
-			cumulative += workload.Popular[s]
+			cumulative += workload.Popular[backend]
 		}
 		sim.popular = append(sim.popular, cumulative)
 	}
@@ -170,9 +170,9 @@
 	event := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - q.began), Subqueries: len(q.shards), Resent: q.attempts > 1}
 	events := []policy.Event{event}
 	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
-	for _, s := range q.shards {
+	for _, shard := range q.shards {
 		target.lastID++
-		event.Subquery, event.Shard, event.Weight = policy.SubqueryID(target.lastID), policy.ShardID(s), 1/float64(len(q.shards))
+		event.Subquery, event.Shard, event.Weight = policy.SubqueryID(target.lastID), policy.ShardID(shard), 1/float64(len(q.shards))
 		pending.subqueries = append(pending.subqueries, event.Subquery)
 		target.subqueries[event.Subquery] = policy.IndexID(indexNo)
 		events = append(events, event)
@@ -204,17 +204,17 @@
 func (sim *simulation) act(m *aggregator, action *policy.Action) {
 	switch action.Kind {
 	case policy.Send:
-		index, held := m.subqueries[action.Subquery]
-		if !held {
+		index, known := m.subqueries[action.Subquery]
+		if !known {
 			return
 		}
 		callNo := m.nextCall[action.Subquery]
 		m.nextCall[action.Subquery] = callNo + 1
 		sent := &call{aggregator: m, subquery: action.Subquery, no: callNo, index: index, sent: sim.now}
 		m.inFlight[callKey{action.Subquery, callNo}] = sent
-		to := sim.byID[action.Backend]
-		sim.schedule(sim.now+sim.site.Network, func() { sim.deliver(to, sent) })
-		sim.schedule(action.StopAt, func() { sim.completeCall(sent, to, policy.TimedOut) })
+		backend := sim.byID[action.Backend]
+		sim.schedule(sim.now+sim.site.Network, func() { sim.deliver(backend, sent) })
+		sim.schedule(action.StopAt, func() { sim.completeCall(sent, backend, policy.TimedOut) })
 	case policy.Cancel:
 		if sent := m.inFlight[callKey{action.Subquery, action.Call}]; sent != nil {
 			sim.completeCall(sent, nil, policy.Canceled)
@@ -259,20 +259,20 @@
 	if t == nil || !t.query.counted {
 		return
 	}
-	k := sim.workload.Mix[t.query.mix].Index
-	took := sim.now - t.query.began
-	sim.outcome.latencies = append(sim.outcome.latencies, took)
-	if took <= sim.site.Indexes[k].Soft {
-		sim.outcome.ByIndex[k]++
+	index := sim.workload.Mix[t.query.mix].Index
+	latency := sim.now - t.query.began
+	sim.outcome.latencies = append(sim.outcome.latencies, latency)
+	if latency <= sim.site.Indexes[index].Soft {
+		sim.outcome.ByIndex[index]++
 	}
 }
 
 // nacked lets a client come back, where it has tries and time left.
 func (sim *simulation) nacked(q *query, wait float64) {
-	k := sim.workload.Mix[q.mix].Index
-	back := sim.now + max(wait, sim.site.Backoff*(0.5+sim.random.Unit()))
-	if q.attempts <= sim.site.Retries && back < q.began+sim.site.Indexes[k].Hard {
-		sim.schedule(back, func() { sim.sendQuery(q) })
+	index := sim.workload.Mix[q.mix].Index
+	retryAt := sim.now + max(wait, sim.site.Backoff*(0.5+sim.random.Unit()))
+	if q.attempts <= sim.site.Retries && retryAt < q.began+sim.site.Indexes[index].Hard {
+		sim.schedule(retryAt, func() { sim.sendQuery(q) })
 	} else if q.counted {
 		sim.outcome.Nacked++
 	}
@@ -282,10 +282,10 @@
 	outcome := &sim.outcome
 	requested := max(1, float64(outcome.Requested))
 	earned, possible := 0.0, 0.0
-	for k, x := range sim.site.Indexes {
-		possible += float64(outcome.Queries[k]) * x.Value
-		earned += outcome.ByIndex[k] * x.Value
-		outcome.ByIndex[k] /= max(1, float64(outcome.Queries[k]))
+	for indexNo, index := range sim.site.Indexes {
+		possible += float64(outcome.Queries[indexNo]) * index.Value
+		earned += outcome.ByIndex[indexNo] * index.Value
+		outcome.ByIndex[indexNo] /= max(1, float64(outcome.Queries[indexNo]))
 	}
 	outcome.ValueShare = earned / max(possible, 1e-9)
 	outcome.Nacked, outcome.Aborted, outcome.Attempts = outcome.Nacked/requested, outcome.Aborted/requested, outcome.Attempts/requested
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -31,22 +31,22 @@
 	if len(offers) < 2 {
 		return Purchase{}, wrong("%d locations: expected two at least, or the loss of one leaves nothing", len(offers))
 	}
-	for _, o := range offers {
-		if !(o.Capacity > 0) || !(o.Price > 0) || o.Max < 1 {
-			return Purchase{}, wrong("location %s offers capacity %g at %g, %d at most: expected more than none of each", o.Location, o.Capacity, o.Price, o.Max)
+	for _, offer := range offers {
+		if !(offer.Capacity > 0) || !(offer.Price > 0) || offer.Max < 1 {
+			return Purchase{}, wrong("location %s offers capacity %g at %g, %d at most: expected more than none of each", offer.Location, offer.Capacity, offer.Price, offer.Max)
 		}
 	}
 	best := Purchase{Price: math.Inf(1)}
 	all := make([]int, len(offers))
-	for i, o := range offers {
-		all[i] = o.Max
+	for i, offer := range offers {
+		all[i] = offer.Max
 	}
 	if !sustains(offers, all, demand, spare) {
 		return best, wrong("all searchers that may stand there do not bear %.3g core seconds a second with a location lost", demand)
 	}
 	combinations := 1.0
-	for _, o := range offers {
-		combinations *= float64(o.Max + 1)
+	for _, offer := range offers {
+		combinations *= float64(offer.Max + 1)
 	}
 	if combinations <= maxExactPurchases {
 		counts := make([]int, len(offers))
@@ -62,21 +62,21 @@
 // sustains tells whether a purchase bears the demand through the worst loss.
 func sustains(offers []Offer, counts []int, demand float64, spare int) bool {
 	for lost := range offers {
-		left := 0.0
+		remaining := 0.0
 		var sizes []Offer
 		for i, o := range offers {
 			if i != lost && counts[i] > 0 {
-				left += o.Capacity * float64(counts[i])
+				remaining += o.Capacity * float64(counts[i])
 				sizes = append(sizes, Offer{Capacity: o.Capacity, Max: counts[i]})
 			}
 		}
 		slices.SortFunc(sizes, func(x, y Offer) int { return cmp.Compare(y.Capacity, x.Capacity) })
 		for n := spare; n > 0 && len(sizes) > 0; sizes = sizes[1:] {
-			gone := min(n, sizes[0].Max)
-			left -= float64(gone) * sizes[0].Capacity
-			n -= gone
+			failed := min(n, sizes[0].Max)
+			remaining -= float64(failed) * sizes[0].Capacity
+			n -= failed
 		}
-		if left < demand-1e-9 {
+		if remaining < demand-1e-9 {
 			return false
 		}
 	}
@@ -105,8 +105,8 @@
 func greedy(offers []Offer, demand float64, spare int) (b Purchase) {
 	counts := make([]int, len(offers))
 	order := make([]int, len(offers))
-	for i, o := range offers {
-		counts[i], order[i] = o.Max, i
+	for i, offer := range offers {
+		counts[i], order[i] = offer.Max, i
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
 		return cmp.Compare(offers[y].Price/offers[y].Capacity, offers[x].Price/offers[x].Capacity)
@@ -184,9 +184,9 @@
 func Place(site *Site, load []float64, copies int, today Copies) (Placement, error) {
 	locations := map[string]bool{}
 	capacity, totalCapacity := make([]float64, len(site.Backends)), 0.0
-	for i, s := range site.Backends {
-		locations[s.Location] = true
-		capacity[i] = float64(s.Cores) * s.Speed
+	for i, shard := range site.Backends {
+		locations[shard.Location] = true
+		capacity[i] = float64(shard.Cores) * shard.Speed
 		totalCapacity += capacity[i]
 	}
 	if copies < 1 || len(locations) < copies {
@@ -194,28 +194,28 @@
 	}
 	placed := Placement{Copies: make(Copies, len(load))}
 	totalLoad, largest := 0.0, 0.0
-	for _, l := range load {
-		totalLoad += l
-		largest = max(largest, l/float64(copies))
+	for _, shardLoad := range load {
+		totalLoad += shardLoad
+		largest = max(largest, shardLoad/float64(copies))
 	}
 	placed.Bound = max(totalLoad/totalCapacity, largest/slices.Max(capacity))
 	order := make([]int, len(load))
-	for s := range order {
-		order[s] = s
+	for shard := range order {
+		order[shard] = shard
 	}
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(load[y], load[x]) })
 	used := make([]float64, len(site.Backends))
-	placedToday := func(s, i int) bool { return s < len(today) && slices.Contains(today[s], i) }
-	for _, s := range order {
-		perCopy := load[s] / float64(copies)
+	placedToday := func(shard, i int) bool { return shard < len(today) && slices.Contains(today[shard], i) }
+	for _, shard := range order {
+		perCopy := load[shard] / float64(copies)
 		for range copies {
 			best, least := -1, math.Inf(1)
 			for i := range site.Backends {
-				if slices.ContainsFunc(placed.Copies[s], func(o int) bool { return site.Backends[o].Location == site.Backends[i].Location }) {
+				if slices.ContainsFunc(placed.Copies[shard], func(other int) bool { return site.Backends[other].Location == site.Backends[i].Location }) {
 					continue
 				}
 				utilization := (used[i] + perCopy) / capacity[i]
-				if placedToday(s, i) && utilization <= placed.Bound*(1+roomToStay) {
+				if placedToday(shard, i) && utilization <= placed.Bound*(1+stayTolerance) {
 					utilization = -1 + utilization // it stays where it is while that is about as good
 				}
 				if utilization < least {
@@ -223,13 +223,13 @@
 				}
 			}
 			used[best] += perCopy
-			placed.Copies[s] = append(placed.Copies[s], best)
+			placed.Copies[shard] = append(placed.Copies[shard], best)
 		}
 	}
 	placed.rebalance(site, load, copies, used, capacity)
-	for s, list := range placed.Copies {
+	for shard, list := range placed.Copies {
 		for _, i := range list {
-			if !placedToday(s, i) {
+			if !placedToday(shard, i) {
 				placed.Moves++
 			}
 		}
@@ -240,36 +240,38 @@
 	return placed, nil
 }
 
-// roomToStay is how much above the least possible a backend may be filled by what stands there already.
-const roomToStay = 0.05
+// stayTolerance is how much above the least possible a backend may be filled by what stands there already.
+const stayTolerance = 0.05
 
 // rebalance moves copies off the fullest backend while that helps.
 func (p *Placement) rebalance(site *Site, load []float64, copies int, used, capacity []float64) {
 	for range 4 * len(load) {
-		from := 0
+		source := 0
 		for i := range used {
-			if used[i]/capacity[i] > used[from]/capacity[from] {
-				from = i
+			if used[i]/capacity[i] > used[source]/capacity[source] {
+				source = i
 			}
 		}
-		worst := used[from] / capacity[from]
-		if worst <= p.Bound*(1+roomToStay/2) {
+		worst := used[source] / capacity[source]
+		if worst <= p.Bound*(1+stayTolerance/2) {
 			return
 		}
-		bestShard, bestCopy, bestTo, least := -1, -1, -1, worst-1e-12
-		for s, list := range p.Copies {
-			copyNo := slices.Index(list, from)
+		bestShard, bestCopy, bestTarget, least := -1, -1, -1, worst-1e-12
+		for shard, list := range p.Copies {
+			copyNo := slices.Index(list, source)
 			if copyNo < 0 {
 				continue
 			}
-			each := load[s] / float64(copies)
-			for to := range site.Backends {
-				clash := slices.ContainsFunc(list, func(o int) bool { return o != from && site.Backends[o].Location == site.Backends[to].Location })
-				if to == from || clash || each == 0 {
+			each := load[shard] / float64(copies)
+			for target := range site.Backends {
+				clash := slices.ContainsFunc(list, func(other int) bool {
+					return other != source && site.Backends[other].Location == site.Backends[target].Location
+				})
+				if target == source || clash || each == 0 {
 					continue
 				}
-				if after := max((used[to]+each)/capacity[to], (used[from]-each)/capacity[from]); after < least {
-					bestShard, bestCopy, bestTo, least = s, copyNo, to, after
+				if after := max((used[target]+each)/capacity[target], (used[source]-each)/capacity[source]); after < least {
+					bestShard, bestCopy, bestTarget, least = shard, copyNo, target, after
 				}
 			}
 		}
@@ -277,7 +279,7 @@
 			return
 		}
 		each := load[bestShard] / float64(copies)
-		used[from], used[bestTo] = used[from]-each, used[bestTo]+each
-		p.Copies[bestShard][bestCopy] = bestTo
+		used[source], used[bestTarget] = used[source]-each, used[bestTarget]+each
+		p.Copies[bestShard][bestCopy] = bestTarget
 	}
 }
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -26,17 +26,17 @@
 	add("cores", hottest.Name, o.Use[o.Hottest]*float64(hottest.Cores), float64(hottest.Cores))
 	for _, location := range site.Locations {
 		used, all := 0.0, 0.0
-		for i, s := range site.Backends {
-			if s.Location == location {
-				used, all = used+o.Use[i]*float64(s.Cores), all+float64(s.Cores)
+		for i, backend := range site.Backends {
+			if backend.Location == location {
+				used, all = used+o.Use[i]*float64(backend.Cores), all+float64(backend.Cores)
 			}
 		}
 		add("cores", "location "+location, used, all)
 	}
 	queue := 0
-	for _, s := range site.Backends {
-		if s.Queue > 0 && (queue == 0 || s.Queue < queue) {
-			queue = s.Queue
+	for _, backend := range site.Backends {
+		if backend.Queue > 0 && (queue == 0 || backend.Queue < queue) {
+			queue = backend.Queue
 		}
 	}
 	add("queue", "the fullest searcher", float64(o.MaxQueue), float64(queue))
@@ -46,9 +46,9 @@
 		descriptors = max(descriptors, math.Ceil(float64(o.MaxInFlight)/float64(site.Multiplex)))
 	}
 	add("descriptors", "each mixer", descriptors, float64(site.Descriptors))
-	for _, s := range site.Backends {
-		if s.Connections > 0 {
-			add("connections", s.Name, float64(site.Aggregators)*max(1, descriptors/float64(len(site.Backends))), float64(s.Connections))
+	for _, backend := range site.Backends {
+		if backend.Connections > 0 {
+			add("connections", backend.Name, float64(site.Aggregators)*max(1, descriptors/float64(len(site.Backends))), float64(backend.Connections))
 			break
 		}
 	}
@@ -131,30 +131,30 @@
 
 // WhatIf is a named change of fleet and load.
 type WhatIf struct {
-	Name string
-	Site Site
-	Ask  Workload
-	Lost []int // shards that no backend holds any more: they are lost, not overloaded
+	Name     string
+	Site     Site
+	Workload Workload
+	Lost     []int // shards that no backend holds any more: they are lost, not overloaded
 }
 
 // WhatIfs are the usual ones: as it is, a burst, all slower, each location lost, both, and all traffic to each index.
 func WhatIfs(site *Site, workload *Workload) (list []WhatIf) {
-	list = append(list, WhatIf{Name: "as it is", Site: *site, Ask: *workload},
-		WhatIf{Name: "burst x 2", Site: *site, Ask: workload.Scaled(2)},
-		WhatIf{Name: "all 1.5 times slower", Site: site.Slower(1.5), Ask: *workload})
+	list = append(list, WhatIf{Name: "as it is", Site: *site, Workload: *workload},
+		WhatIf{Name: "burst x 2", Site: *site, Workload: workload.Scaled(2)},
+		WhatIf{Name: "all 1.5 times slower", Site: site.Slower(1.5), Workload: *workload})
 	for _, place := range site.Locations {
-		left, lost := site.Without(place)
-		if len(left.Backends) == 0 {
+		remaining, lost := site.Without(place)
+		if len(remaining.Backends) == 0 {
 			continue
 		}
-		list = append(list, WhatIf{"location " + place + " lost", left, *workload, lost},
-			WhatIf{"location " + place + " lost, all 1.5 times slower", left.Slower(1.5), *workload, lost})
+		list = append(list, WhatIf{"location " + place + " lost", remaining, *workload, lost},
+			WhatIf{"location " + place + " lost, all 1.5 times slower", remaining.Slower(1.5), *workload, lost})
 	}
 	if len(workload.Mix) > 1 {
 		for _, m := range workload.Mix {
 			moved := *workload
 			moved.Mix = []Share{{m.Index, 1, m.Subqueries}}
-			list = append(list, WhatIf{Name: "all traffic to " + site.Indexes[m.Index].Name, Site: *site, Ask: moved})
+			list = append(list, WhatIf{Name: "all traffic to " + site.Indexes[m.Index].Name, Site: *site, Workload: moved})
 		}
 	}
 	return list
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-func fleet(backends, cores int) Site {
+func testSite(backends, cores int) Site {
 	site := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, Step: 0.005, Network: 0.0002, MaxAttempts: 3,
 		Indexes: []Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Scv: 0.3, Goal: 0.98}}}
 	for i := range backends {
@@ -22,11 +22,11 @@
 	return site
 }
 
-func ask(perS float64, subqueries int) Workload {
+func testWorkload(perS float64, subqueries int) Workload {
 	return Workload{PerS: perS, Mix: []Share{{0, 1, subqueries}}}
 }
 
-func TestMistakesInAFleetAreTold(t *testing.T) {
+func TestCheckReportsMistakes(t *testing.T) {
 	for want, change := range map[string]func(*Site){
 		"shard 0 has no holder: put a searcher into one of the cells 0 to 1": func(site *Site) { site.Backends = site.Backends[2:5] },
 		`"s-1" is named twice`:           func(site *Site) { site.Backends[2].Name = "s-1" },
@@ -40,17 +40,17 @@
 		"expected two quantiles or more": func(site *Site) { site.Indexes[0].Shape = []float64{2, 1} },
 		"a width of no more than":        func(site *Site) { site.Width = 9 },
 	} {
-		site := fleet(6, 4)
+		site := testSite(6, 4)
 		change(&site)
 		if err := site.Check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, expected %q", err, want)
 		}
 	}
-	site, a := fleet(6, 4), ask(10, 99)
+	site, a := testSite(6, 4), testWorkload(10, 99)
 	if err := a.Check(&site); err == nil || !strings.Contains(err.Error(), "1 to 12 parts") {
 		t.Errorf("got %v", err)
 	}
-	if a = ask(10, 2); a.Check(&site) != nil || site.Check() != nil {
+	if a = testWorkload(10, 2); a.Check(&site) != nil || site.Check() != nil {
 		t.Error("a good fleet is refused")
 	}
 	a.Popular = make([]float64, 5)
@@ -61,8 +61,8 @@
 
 // What the emulation comes to where a formula tells it.
 func TestEmulationAgainstFormulas(t *testing.T) {
-	site := fleet(6, 4)
-	a := ask(100, 4)
+	site := testSite(6, 4)
+	a := testWorkload(100, 4)
 	o := Emulate(&site, &a, 1, 0)
 	if again := Emulate(&site, &a, 1, 0); !reflect.DeepEqual(o, again) {
 		t.Fatal("the same seed gives other figures")
@@ -78,13 +78,13 @@
 		t.Errorf("use %.4f, expected %.4f", use, want)
 	}
 	// Alone, a query of one part takes its work, two ways, and some steps.
-	one := ask(5, 1)
+	one := testWorkload(5, 1)
 	site.Indexes[0].Scv = 0
 	if o := Emulate(&site, &one, 2, 500); o.P50 < 0.0104 || o.P50 > 0.0104+2*site.Step {
 		t.Errorf("a part of 10 ms takes %.4f s", o.P50)
 	}
 	// Far beyond what the cores bear, no more than they bear is answered, and most of that.
-	over := ask(1200, 4) // twice the 600 that they bear
+	over := testWorkload(1200, 4) // twice the 600 that they bear
 	o = Emulate(&site, &over, 3, 4000)
 	if answered := 1 - o.Nacked - o.Aborted; answered > 0.56 || answered < 0.3 {
 		t.Errorf("at twice what the cores bear a share of %.2f is answered", answered)
@@ -96,7 +96,7 @@
 	if len(lost.Backends) != 3 || len(shards) != 0 {
 		t.Errorf("without south: %d searchers, lost %v", len(lost.Backends), shards)
 	}
-	same := fleet(6, 4)
+	same := testSite(6, 4)
 	same.Backends[1].Location, same.Backends[0].Location = "south", "south"
 	if _, shards := same.Without("south"); !slices.Contains(shards, 0) {
 		t.Errorf("both copies of shard 0 stand in south, lost are %v", shards)
@@ -105,7 +105,7 @@
 
 // The load at which the goal breaks lies below what the cores bear, and more cores bear more.
 func TestBreakingLoad(t *testing.T) {
-	site, a := fleet(4, 2), ask(50, 2)
+	site, a := testSite(4, 2), testWorkload(50, 2)
 	b, err := FindBreakingLoad(&site, &a, 1, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 	if raceflag.On { // the race detector has nothing to find where there is no goroutine
 		return
 	}
-	larger := fleet(4, 4)
+	larger := testSite(4, 4)
 	if more, err := FindBreakingLoad(&larger, &a, 1, nil); err != nil || more.PerS < 1.6*b.PerS {
 		t.Fatalf("twice the cores break at %g against %g, %v", more.PerS, b.PerS, err)
 	}
@@ -224,7 +224,7 @@
 	worst := 1.0
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		site := fleet(4, 1)
+		site := testSite(4, 1)
 		for i := range site.Backends {
 			site.Backends[i].Cores = 1 + rng.IntN(3)
 		}
@@ -247,7 +247,7 @@
 			}
 		}
 		again, err := Place(&site, load, 2, p.Copies)
-		if err != nil || again.Moves > 0 && p.Most <= p.Bound*(1+roomToStay/2) {
+		if err != nil || again.Moves > 0 && p.Most <= p.Bound*(1+stayTolerance/2) {
 			t.Fatalf("seed %d: %d moves from a placement that is as good as it gets, %v", seed, again.Moves, err)
 		}
 	}
@@ -255,7 +255,7 @@
 	if worst > 1.35 {
 		t.Errorf("%.3f of the best at worst", worst)
 	}
-	site := fleet(4, 1)
+	site := testSite(4, 1)
 	for i := range site.Backends {
 		site.Backends[i].Location = "north"
 	}
@@ -266,7 +266,7 @@
 
 // An emulation keeps the modules' rules: a once-only part is never called twice where a call may have run.
 func TestEmulationOfOnceOnly(t *testing.T) {
-	site, a := fleet(6, 2), ask(400, 3)
+	site, a := testSite(6, 2), testWorkload(400, 3)
 	site.Indexes[0].Effect = policy.OnceOnly
 	site.Backends[2].Queue = 2
 	o := Emulate(&site, &a, 4, 3000)
@@ -277,7 +277,7 @@
 
 // A fleet with room recovers from a burst; one that is asked for more than it bears does not, and is told how far to go down.
 func TestRecovery(t *testing.T) {
-	site, a := fleet(4, 2), ask(100, 2) // its cores bear 400
+	site, a := testSite(4, 2), testWorkload(100, 2) // its cores bear 400
 	site.Retries, site.Backoff = 2, 0.05
 	if recovers, leave := Recovers(&site, &a, 3, 1); !recovers || leave != a.PerS {
 		t.Errorf("a quarter of what the cores bear: %t, leave at %g", recovers, leave)
@@ -285,7 +285,7 @@
 	if raceflag.On {
 		return
 	}
-	a = ask(600, 2)
+	a = testWorkload(600, 2)
 	if recovers, leave := Recovers(&site, &a, 2, 1); recovers || leave < 150 || leave > 420 {
 		t.Errorf("one and a half times what the cores bear: %t, leave at %g", recovers, leave)
 	}
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -150,15 +150,15 @@
 }
 
 // Without is the fleet with a location lost, and the shards of which no holder is left.
-func (site Site) Without(location string) (left Site, lost []int) {
-	left = site
-	left.Backends = nil
+func (site Site) Without(location string) (remaining Site, lost []int) {
+	remaining = site
+	remaining.Backends = nil
 	for _, s := range site.Backends {
 		if s.Location != location {
-			left.Backends = append(left.Backends, s)
+			remaining.Backends = append(remaining.Backends, s)
 		}
 	}
-	return left, left.unowned()
+	return remaining, remaining.unowned()
 }
 
 // Slower is the fleet with every backend taking so many times as long.
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -35,7 +35,7 @@
 	} `json:"indexes"`
 	Aggregators struct {
 		Count       int     `json:"count"`
-		MostHeld    int     `json:"most_held"`
+		MaxPending  int     `json:"most_held"`
 		StepS       float64 `json:"step_s"`
 		MostTries   int     `json:"most_tries"`
 		Multiplex   int     `json:"multiplex"`
@@ -87,7 +87,7 @@
 		return site, err
 	}
 	site = plan.Site{Locations: parsed.Locations, Cells: parsed.Layout.Cells, Width: parsed.Layout.Width, Shards: parsed.Layout.Shards, Aggregators: parsed.Aggregators.Count,
-		MaxPending: parsed.Aggregators.MostHeld, Step: parsed.Aggregators.StepS, Network: parsed.NetworkS, MaxAttempts: max(1, parsed.Aggregators.MostTries), Retries: parsed.Clients.Retries,
+		MaxPending: parsed.Aggregators.MaxPending, Step: parsed.Aggregators.StepS, Network: parsed.NetworkS, MaxAttempts: max(1, parsed.Aggregators.MostTries), Retries: parsed.Clients.Retries,
 		Backoff: parsed.Clients.BackoffS, Multiplex: parsed.Aggregators.Multiplex, Descriptors: parsed.Aggregators.Descriptors}
 	for _, group := range parsed.Backends {
 		if group.Speed == 0 {
@@ -185,16 +185,16 @@
 			}
 		}
 	}
-	for _, h := range c.Holes() {
-		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", h.To-h.From))
+	for _, hole := range c.Holes() {
+		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", hole.To-hole.From))
 	}
 	queries := 0.0
 	for _, load := range interval.Loads {
 		queries += float64(load.Queries - load.Resent)
 	}
 	indexNo := map[string]int{}
-	for index, x := range site.Indexes {
-		indexNo[x.Name] = index
+	for index, described := range site.Indexes {
+		indexNo[described.Name] = index
 	}
 	byIndex := map[int][2]float64{}
 	for _, load := range interval.Loads {
@@ -215,11 +215,11 @@
 		}
 	}
 	workload.Popular = make([]float64, site.Shards)
-	for _, s := range sum.Shards {
-		if s.Shard >= site.Shards {
-			return workload, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", s.Shard, site.Shards)
+	for _, shard := range sum.Shards {
+		if shard.Shard >= site.Shards {
+			return workload, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", shard.Shard, site.Shards)
 		}
-		workload.Popular[s.Shard] += float64(s.Parts)
+		workload.Popular[shard.Shard] += float64(shard.Parts)
 	}
 	return workload, notes, workload.Check(site)
 }
--- a/internal/tools/planfile/planfile_test.go
+++ b/internal/tools/planfile/planfile_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestWhatDoesNotFitIsTold(t *testing.T) {
+func TestWorkloadReportsMismatches(t *testing.T) {
 	for want, in := range map[string]string{
 		"line 1":                        "{",
 		"3: \"coers\" is not known":     strings.Replace(good, `"cores": 4}`, `"coers": 4}`, 1),
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -205,12 +205,12 @@
 	}
 	r = Result{Scenario: scenario.Name, Blind: scenario.Blind}
 	add := func(name string, predicted, happened float64) {
-		e := 0.0
+		relativeError := 0.0
 		if happened != predicted {
-			e = (predicted - happened) / math.Max(happened, 1e-9)
+			relativeError = (predicted - happened) / math.Max(happened, 1e-9)
 		}
-		r.Figures = append(r.Figures, Figure{name, predicted, happened, e})
-		r.Worst = math.Max(r.Worst, math.Abs(e))
+		r.Figures = append(r.Figures, Figure{name, predicted, happened, relativeError})
+		r.Worst = math.Max(r.Worst, math.Abs(relativeError))
 	}
 	answered := float64(measured.Satisfied) / float64(max(1, measured.Sent))
 	add("satisfied", 1-predicted.Nacked-predicted.Aborted, answered)
@@ -260,20 +260,20 @@
 		load.Aggregators = append(load.Aggregators, address)
 	}
 	load.Run(ctx)
-	pause := func(seconds float64) {
+	wait := func(seconds float64) {
 		select {
 		case <-time.After(time.Duration(seconds * float64(time.Second))):
 		case <-ctx.Done():
 		}
 	}
-	pause(2) // windows and latencies are learnt
+	wait(2) // windows and latencies are learnt
 	load.Take()
-	pause(scenario.Seconds)
+	wait(scenario.Seconds)
 	tally = load.Take()
 	load.Stop()
-	rest := load.Take() // what was due then
+	remainder := load.Take() // what was due then
 	// Queries that were due then are few against the others, and their gain is left out.
-	tally.Add(rest)
+	tally.Add(remainder)
 	tally.Sent = tally.Satisfied + tally.Nacked + tally.Aborted + tally.Lost
 	return tally, ctx.Err()
 }
