--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -286,6 +286,7 @@
 	}
 }
 
+// readList takes the list of backends that follows, for the events that name its number.
 func (s *server) readList(f *fields) error {
 	number, n := f.integer("setId"), f.integer("membersList")
 	if err := f.done(); err != nil {
@@ -321,6 +322,7 @@
 	return nil
 }
 
+// appendAction writes an action as one line. An action that the wire has no line for is a mistake of this package: it panics.
 func appendAction(b []byte, a *policy.Action) []byte {
 	appendCommand := func(name string, id uint64) {
 		b = append(append(b, name...), ' ')
@@ -362,17 +364,7 @@
 	case policy.CloseIdle:
 		appendCommand("FREE_LINKS", uint64(a.Backend))
 	case policy.NotifyPeer:
-		b = append(b, "PUBLISH "...)
-		if a.Peer == policy.AllPeers {
-			b = append(b, '*')
-		} else {
-			b = strconv.AppendInt(b, int64(a.Peer), 10)
-		}
-		b = append(b, ' ')
-		if len(a.Message) == 0 {
-			b = append(b, '-')
-		}
-		b = base64.StdEncoding.AppendEncode(b, a.Message)
+		b = appendPublish(b, a)
 	case policy.Subscribe:
 		b = append(b, "LISTEN"...)
 		appendBool(a.On)
@@ -385,3 +377,18 @@
 	}
 	return append(b, '\n')
 }
+
+// appendPublish writes a message to one peer, or to all: its bytes in base64, or "-" where there are none.
+func appendPublish(b []byte, a *policy.Action) []byte {
+	b = append(b, "PUBLISH "...)
+	if a.Peer == policy.AllPeers {
+		b = append(b, '*')
+	} else {
+		b = strconv.AppendInt(b, int64(a.Peer), 10)
+	}
+	b = append(b, ' ')
+	if len(a.Message) == 0 {
+		b = append(b, '-')
+	}
+	return base64.StdEncoding.AppendEncode(b, a.Message)
+}
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -61,7 +61,7 @@
 	return sim.summarize()
 }
 
-// runNextEvent lets the next thing happen.
+// runNextEvent moves the time to the next scheduled event and runs it.
 func (sim *simulation) runNextEvent() {
 	h := sim.pending[0]
 	heap.Pop(&sim.pending)
@@ -69,6 +69,7 @@
 	h.run()
 }
 
+// newSimulation makes a site without load: idle backends, and aggregators that have been notified of all of them.
 func newSimulation(site *Site, workload *Workload, seed uint64) *simulation {
 	sim := &simulation{site: site, workload: workload, random: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.BackendID]*queue{}}
 	sim.outcome.Queries, sim.outcome.ByIndex = make([]int64, len(site.Indexes)), make([]float64, len(site.Indexes))
@@ -89,21 +90,27 @@
 		sim.popular = append(sim.popular, cumulative)
 	}
 	for i := range site.Aggregators {
-		settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
-			Step: site.Step, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, CallSubqueries: 1},
-			Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, site.MaxAttempts), MaxPending: site.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
-			Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
-		for _, index := range site.Indexes {
-			settings.Indexes = append(settings.Indexes, policy.IndexSettings{Soft: index.Soft, Hard: index.Hard, Value: max(index.Value, 1e-9), LateValue: index.LateValue, Effect: index.Effect, Required: 1, Minimum: 1})
-		}
-		node := &aggregator{policy: policy.New(settings, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
-			nextCall: map[policy.SubqueryID]policy.CallNo{}, inFlight: map[callKey]*call{}, lastStep: -1}
+		node := newAggregator(site, seed, i)
 		sim.aggregators = append(sim.aggregators, node)
 		sim.notify(node, list)
 	}
 	return sim
 }
 
+// newAggregator makes the decision module of the site's i-th aggregator, with no query yet.
+func newAggregator(site *Site, seed uint64, i int) *aggregator {
+	settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
+		Step: site.Step, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, CallSubqueries: 1},
+		Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, site.MaxAttempts), MaxPending: site.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
+		Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
+	for _, index := range site.Indexes {
+		settings.Indexes = append(settings.Indexes, policy.IndexSettings{Soft: index.Soft, Hard: index.Hard, Value: max(index.Value, 1e-9), LateValue: index.LateValue, Effect: index.Effect, Required: 1, Minimum: 1})
+	}
+	return &aggregator{policy: policy.New(settings, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
+		nextCall: map[policy.SubqueryID]policy.CallNo{}, inFlight: map[callKey]*call{}, lastStep: -1}
+}
+
+// schedule lets something happen at a time, or now if that is past.
 func (sim *simulation) schedule(t float64, what func()) {
 	sim.lastEventNo++
 	heap.Push(&sim.pending, scheduledEvent{max(t, sim.now), sim.lastEventNo, what})
@@ -190,6 +197,7 @@
 	}
 }
 
+// step lets an aggregator decide on what it was notified of since its last step.
 func (sim *simulation) step(m *aggregator) {
 	m.stepScheduled, m.lastStep = false, sim.now
 	events := m.events
@@ -201,6 +209,7 @@
 	m.maxInFlight = max(m.maxInFlight, len(m.inFlight))
 }
 
+// act carries out one action of an aggregator.
 func (sim *simulation) act(m *aggregator, action *policy.Action) {
 	switch action.Kind {
 	case policy.Send:
@@ -242,6 +251,7 @@
 	}
 }
 
+// close takes a query and its subqueries off an aggregator; nil where it has ended before.
 func (sim *simulation) close(m *aggregator, id policy.QueryID) *pendingQuery {
 	t := m.queries[id]
 	if t == nil {
@@ -254,6 +264,7 @@
 	return t
 }
 
+// answered records the latency of an answered query.
 func (sim *simulation) answered(m *aggregator, id policy.QueryID) {
 	t := sim.close(m, id)
 	if t == nil || !t.query.counted {
@@ -278,6 +289,7 @@
 	}
 }
 
+// summarize turns the counts into shares, and adds the latencies' percentiles and the utilization of backends.
 func (sim *simulation) summarize() Outcome {
 	outcome := &sim.outcome
 	requested := max(1, float64(outcome.Requested))
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -49,10 +49,10 @@
 		combinations *= float64(offer.Max + 1)
 	}
 	if combinations <= maxExactPurchases {
-		counts := make([]int, len(offers))
-		searchAll(offers, demand, spare, 0, 0, counts, &best)
-		best.Bound = best.Price
-		return best, nil
+		search := purchaseSearch{offers: offers, demand: demand, spare: spare, counts: make([]int, len(offers)), best: best}
+		search.from(0, 0)
+		search.best.Bound = search.best.Price
+		return search.best, nil
 	}
 	best = greedy(offers, demand, spare)
 	best.Bound = lowerBound(offers, demand)
@@ -83,21 +83,31 @@
 	return true
 }
 
-func searchAll(offers []Offer, demand float64, spare, i int, price float64, counts []int, best *Purchase) {
-	if price >= best.Price-1e-12 {
+// purchaseSearch goes through all purchases.
+type purchaseSearch struct {
+	offers []Offer
+	demand float64
+	spare  int
+	counts []int // of the purchase that is looked at
+	best   Purchase
+}
+
+// from goes through the counts of the i-th offer and of all after it; price is that of the ones before.
+func (search *purchaseSearch) from(i int, price float64) {
+	if price >= search.best.Price-1e-12 {
 		return
 	}
-	if i == len(offers) {
-		if sustains(offers, counts, demand, spare) {
-			*best = Purchase{Counts: slices.Clone(counts), Price: price}
+	if i == len(search.offers) {
+		if sustains(search.offers, search.counts, search.demand, search.spare) {
+			search.best = Purchase{Counts: slices.Clone(search.counts), Price: price}
 		}
 		return
 	}
-	for n := 0; n <= offers[i].Max; n++ {
-		counts[i] = n
-		searchAll(offers, demand, spare, i+1, price+float64(n)*offers[i].Price, counts, best)
+	for n := 0; n <= search.offers[i].Max; n++ {
+		search.counts[i] = n
+		search.from(i+1, price+float64(n)*search.offers[i].Price)
 	}
-	counts[i] = 0
+	search.counts[i] = 0
 }
 
 // greedy takes backends off the fullest purchase while it still bears, the dearest for its capacity first, and then
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -174,16 +174,7 @@
 	}
 	interval := sum
 	if !mean {
-		best := -1.0
-		for n := range c.Intervals {
-			parts := 0.0
-			for _, load := range c.Intervals[n].Loads {
-				parts += float64(load.Parts) / c.Intervals[n].Span
-			}
-			if parts > best {
-				best, interval = parts, &c.Intervals[n]
-			}
-		}
+		interval = busiest(c, sum)
 	}
 	for _, hole := range c.Holes() {
 		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", hole.To-hole.From))
@@ -223,3 +214,18 @@
 	}
 	return workload, notes, workload.Check(site)
 }
+
+// busiest is the interval of a capture with the most part calls a second, or otherwise where no interval has a rate.
+func busiest(c capture.Capture, otherwise *capture.Interval) *capture.Interval {
+	best, interval := -1.0, otherwise
+	for n := range c.Intervals {
+		parts := 0.0
+		for _, load := range c.Intervals[n].Loads {
+			parts += float64(load.Parts) / c.Intervals[n].Span
+		}
+		if parts > best {
+			best, interval = parts, &c.Intervals[n]
+		}
+	}
+	return interval
+}
