--- a/cmd/puffinlink/capture.go
+++ b/cmd/puffinlink/capture.go
@@ -12,10 +12,10 @@
 )
 
 type captureCommand struct {
-	Show  captureShowCommand  `command:"show" description:"What a capture holds. Example: puffinlink capture show /var/lib/puffinlink/capture"`
-	Merge captureMergeCommand `command:"merge" description:"Several mixers' captures as one. Example: puffinlink capture merge --out all.capture n1 n2 n3"`
-	Cut   captureCutCommand   `command:"cut" description:"A part of a capture. Example: puffinlink capture cut all.capture --from 2026-11-30T08:00:00Z --for 1h --out morning.capture"`
-	Synth captureSynthCommand `command:"synth" description:"A capture of a load that is stated. Example: puffinlink capture synth load.json5 --out load.capture"`
+	Show  captureShowCommand  `command:"show" description:"Summarize a capture. Example: puffinlink capture show /var/lib/puffinlink/capture"`
+	Merge captureMergeCommand `command:"merge" description:"Merge the captures of several aggregators. Example: puffinlink capture merge --out all.capture n1 n2 n3"`
+	Cut   captureCutCommand   `command:"cut" description:"Extract a time range of a capture. Example: puffinlink capture cut all.capture --from 2026-11-30T08:00:00Z --for 1h --out morning.capture"`
+	Synth captureSynthCommand `command:"synth" description:"Generate a capture from a description of a load. Example: puffinlink capture synth load.json5 --out load.capture"`
 }
 
 // openCapture reads a capture, and tells where it is cut off.
@@ -35,9 +35,9 @@
 }
 
 type captureShowCommand struct {
-	JSON      bool `long:"json" description:"The sum, as JSON."`
+	JSON      bool `long:"json" description:"Print the summary as JSON."`
 	Arguments struct {
-		Path string `positional-arg-name:"path" description:"A file, or a directory of them."`
+		Path string `positional-arg-name:"path" description:"A capture file, or a directory of capture files."`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -51,15 +51,15 @@
 		return printJSON(sum)
 	}
 	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), formatSeconds(sum.At), formatSeconds(sum.At+sum.Span), strings.Join(sum.Aggregators, ", "))
-	for _, h := range c.Holes() {
+	for _, h := range c.Gaps() {
 		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", formatSeconds(h.From), formatSeconds(h.To))
 	}
-	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", sum.Held.Mean, sum.Held.Most, sum.Out.Mean, sum.Out.Most)
+	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", sum.InFlight.Mean, sum.InFlight.Most, sum.CallsInFlight.Mean, sum.CallsInFlight.Most)
 	rows := [][]string{}
 	n := func(v int64) string { return strconv.FormatInt(v, 10) }
 	for _, l := range sum.Loads {
 		rows = append(rows, []string{l.Index, l.Customer, n(l.Queries), fmt.Sprintf("%.1f", float64(l.Queries)/sum.Span), fmt.Sprintf("%.1f", float64(l.Parts)/max(1, float64(l.Queries))),
-			n(l.Resent), n(l.Ends.Satisfied), n(l.Ends.Late), n(l.Ends.Nacked), n(l.Ends.Aborted), n(l.Ends.Gone), n(l.Ends.Full)})
+			n(l.Resent), n(l.Ends.Satisfied), n(l.Ends.Late), n(l.Ends.Nacked), n(l.Ends.Aborted), n(l.Ends.Disconnected), n(l.Ends.Full)})
 	}
 	table(stdout, "INDEX CUSTOMER LOOKUPS A-SECOND PARTS RESENT SATISFIED LATE NACKED ABORTED GONE FULL", rows)
 	rows = rows[:0]
@@ -70,7 +70,7 @@
 	table(stdout, "INDEX ANSWERED P50 P99 MOST", rows)
 	rows = rows[:0]
 	for _, x := range sum.Backends {
-		rows = append(rows, []string{x.Backend, x.Location, x.Index, n(x.Calls), n(x.Failed), n(x.TurnedAway), formatMilliseconds(x.Latency.Quantile(0.5)), formatMilliseconds(x.Latency.Quantile(0.99)), formatMilliseconds(x.Alone.Mean())})
+		rows = append(rows, []string{x.Backend, x.Location, x.Index, n(x.Calls), n(x.Failed), n(x.Rejected), formatMilliseconds(x.Latency.Quantile(0.5)), formatMilliseconds(x.Latency.Quantile(0.99)), formatMilliseconds(x.Alone.Mean())})
 	}
 	fmt.Fprintln(stdout)
 	table(stdout, "SEARCHER LOCATION INDEX CALLS FAILED TURNED-AWAY P50 P99 ALONE", rows)
@@ -80,10 +80,10 @@
 func formatMilliseconds(s float64) string { return fmt.Sprintf("%.1f ms", 1000*s) }
 
 type captureMergeCommand struct {
-	Span      time.Duration `long:"span" value-name:"DURATION" default:"10s" description:"Of an interval."`
+	Span      time.Duration `long:"span" value-name:"DURATION" default:"10s" description:"Length of an interval."`
 	Out       string        `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
-		Paths []string `positional-arg-name:"paths" required:"1" description:"Files, or directories of them."`
+		Paths []string `positional-arg-name:"paths" required:"1" description:"Capture files, or directories of capture files."`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -104,11 +104,11 @@
 }
 
 type captureCutCommand struct {
-	From      timeFlag      `long:"from" value-name:"TIME" required:"yes" description:"As 2026-11-30T08:00:00Z."`
-	For       time.Duration `long:"for" value-name:"DURATION" required:"yes" description:"As 1h."`
+	From      timeFlag      `long:"from" value-name:"TIME" required:"yes" description:"Start of the range, for example 2026-11-30T08:00:00Z."`
+	For       time.Duration `long:"for" value-name:"DURATION" required:"yes" description:"Length of the range, for example 1h."`
 	Out       string        `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
-		Path string `positional-arg-name:"path" description:"A file, or a directory of them."`
+		Path string `positional-arg-name:"path" description:"A capture file, or a directory of capture files."`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -118,7 +118,7 @@
 		return err
 	}
 	from := float64(m.From.UnixMilli()) / 1000
-	if c, err = c.Cut(from, from+m.For.Seconds()); err != nil {
+	if c, err = c.Between(from, from+m.For.Seconds()); err != nil {
 		return err
 	}
 	return capture.Save(m.Out, c)
@@ -127,7 +127,7 @@
 type captureSynthCommand struct {
 	Out       string `long:"out" value-name:"STRING" required:"yes" description:"The file to write."`
 	Arguments struct {
-		File string `positional-arg-name:"file" description:"The load, as docs/operators/planning.md shows it."`
+		File string `positional-arg-name:"file" description:"Description of the load; see docs/operators/planning.md."`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Query sends a query and tells its answer's status, 0 where there is none. What is answered well or in part is noted as
+// Query sends a query and returns its answer's status, 0 where there is none. A complete or partial answer is recorded as
 // admitted, at some time between its sending and its answer.
-func (w *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
-	id := w.lastID.Add(1)
+func (c *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
+	id := c.lastID.Add(1)
 	var body strings.Builder
 	body.WriteString(`{"targets":[`)
 	for i, s := range shards {
@@ -29,31 +29,31 @@
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Listen+"/"+index, strings.NewReader(body.String()))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", id)}, "Req-Kind": {index}, "Req-Owner": {tenant}, "Req-Deadline": {"2"},
-		"Idempotency-Key": {}} // not sent: it lets the client ask once more on a new connection, where the aggregator closed an idle one meanwhile
+		"Idempotency-Key": {}} // not sent: it lets the client retry on a new connection, where the aggregator closed an idle one meanwhile
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
-	res, request, err := w.send(req, query)
-	if err != nil && request.closedBeforeSend() { // once more, as every client may that has not asked yet
+	res, request, err := c.send(req, query)
+	if err != nil && request.closedBeforeSend() { // a retry, as every client may make that has not sent its query yet
 		req.Body, _ = req.GetBody()
-		res, request, err = w.send(req, query)
+		res, request, err = c.send(req, query)
 	}
 	if err != nil {
-		w.Checker.RecordQuery(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
+		c.Checker.RecordQuery(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
 	answer, _ := io.ReadAll(res.Body)
-	w.Checker.RecordQuery(m.Name, tenant, sent, res.StatusCode, string(answer))
+	c.Checker.RecordQuery(m.Name, tenant, sent, res.StatusCode, string(answer))
 	return res.StatusCode, string(answer)
 }
 
 // isServed sends a tenant's query to an aggregator, and reports whether it was answered with 200.
-func (w *Cluster) isServed(m *Aggregator, tenant string) bool {
-	status, _ := w.Query(m, tenant, "reads", 0, 1)
+func (c *Cluster) isServed(m *Aggregator, tenant string) bool {
+	status, _ := c.Query(m, tenant, "reads", 0, 1)
 	return status == http.StatusOK
 }
 
-// idleTimeout is how long an aggregator lets a connection stand on which nothing was asked yet (clients are owed an end by then).
+// idleTimeout is how long an aggregator keeps a connection open on which nothing was sent yet (it must have closed it by then).
 const idleTimeout = 2 * time.Second
 
 // connectionTrace is what the client's side of one saw of its connection; zero times for what did not happen.
@@ -66,7 +66,7 @@
 }
 
 // closedBeforeSend reports whether the connection stood silent for so long before the request was written, as on a machine that stands
-// still, that the aggregator had ended it by then: nobody was asked.
+// still, that the aggregator had closed it by then: no query was sent.
 func (r *connectionTrace) closedBeforeSend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,10 +89,10 @@
 	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", at(r.connected), at(r.wrote), at(r.ended))
 }
 
-// send sends a request and notes how its connection was used, and how often the query went out.
-func (w *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
+// send sends a request and records how its connection was used, and how often the query went out.
+func (c *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
 	r := &connectionTrace{began: time.Now()}
-	counted, _ := w.timesSent.LoadOrStore(query, &atomic.Int64{})
+	counted, _ := c.timesSent.LoadOrStore(query, &atomic.Int64{})
 	note := func(at *time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -100,8 +100,8 @@
 	}
 	trace := &httptrace.ClientTrace{
 		ConnectStart: func(string, string) { note(&r.connected) },
-		GotConn: func(c httptrace.GotConnInfo) {
-			if c.Reused { // another's, and what was dialled meanwhile is not used
+		GotConn: func(info httptrace.GotConnInfo) {
+			if info.Reused { // another's, and what was dialled meanwhile is not used
 				r.mu.Lock()
 				defer r.mu.Unlock()
 				r.connected = time.Time{}
@@ -112,13 +112,13 @@
 			note(&r.wrote)
 		},
 	}
-	res, err := w.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
+	res, err := c.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 	note(&r.ended)
 	return res, r, err
 }
 
-// Load asks at a mean rate until it is stopped, each query by itself.
-func (w *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
+// Load sends queries at a mean rate until it is stopped, without waiting for answers.
+func (c *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -130,7 +130,7 @@
 				return
 			}
 			if m := pick(n); m != nil {
-				all.Go(func() { w.Query(m, tenant, index, n%w.Site.Shards, (n+1)%w.Site.Shards) })
+				all.Go(func() { c.Query(m, tenant, index, n%c.Site.Shards, (n+1)%c.Site.Shards) })
 			}
 		}
 	})
@@ -138,10 +138,10 @@
 	return func() { end(); all.Wait() }
 }
 
-// timesSentOf is how often the client sent a query, of which a part is named by its text and its shard.
-func (w *Cluster) timesSentOf(part string) int64 {
+// timesSentOf is how often the client sent a query, of which a subquery is named by the query's text and its shard.
+func (c *Cluster) timesSentOf(part string) int64 {
 	query := part[:max(0, strings.LastIndexByte(part, ' '))]
-	if n, known := w.timesSent.Load(query); known {
+	if n, known := c.timesSent.Load(query); known {
 		return n.(*atomic.Int64).Load()
 	}
 	return 1
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -176,8 +176,8 @@
 	if !mean {
 		interval = busiest(c, sum)
 	}
-	for _, hole := range c.Holes() {
-		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", hole.To-hole.From))
+	for _, gap := range c.Gaps() {
+		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", gap.To-gap.From))
 	}
 	queries := 0.0
 	for _, load := range interval.Loads {
