--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -15,26 +15,26 @@
 )
 
 // After SIGTERM clients send on every connection that stays open, up to SIGKILL: each query gets its final answer, the last one on
-// a connection says that it closes, and no connection ends under a query.
+// a connection announces its close, and no connection is closed under a query.
 func TestShutdownAnswersOpenConnections(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, Service: 5 * time.Millisecond})
-	m := w.Aggregators[0]
+	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, Service: 5 * time.Millisecond})
+	m := c.Aggregators[0]
 	var answered, closed, after atomic.Int64
 	var stopping atomic.Bool
 	var connections sync.WaitGroup
 	for i := range 24 {
 		connections.Go(func() {
-			c, err := net.Dial("tcp", m.Listen)
+			connection, err := net.Dial("tcp", m.Listen)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer c.Close()
-			in := bufio.NewReader(c)
+			defer connection.Close()
+			in := bufio.NewReader(connection)
 			for n := 0; ; n++ {
 				body := fmt.Sprintf(`{"targets":[{"partition":%d,"share":0.5},{"partition":%d,"share":0.5}],"query":"%s %d.%d"}`, n%6, (n+1)%6, OrdersTenant, i, n)
-				_, err := fmt.Fprintf(c, "POST /orders HTTP/1.1\r\nHost: m\r\nReq-Id: %d.%d\r\nReq-Kind: orders\r\nReq-Owner: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s",
+				_, err := fmt.Fprintf(connection, "POST /orders HTTP/1.1\r\nHost: m\r\nReq-Id: %d.%d\r\nReq-Kind: orders\r\nReq-Owner: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s",
 					i, n, OrdersTenant, len(body), body)
 				sent := time.Now()
 				res, err2 := http.ReadResponse(in, nil)
@@ -56,13 +56,13 @@
 			}
 		})
 	}
-	w.Await("queries are answered", func() bool { return answered.Load() > 200 })
+	c.Await("queries are answered", func() bool { return answered.Load() > 200 })
 	stopping.Store(true)
 	m.Signal(syscall.SIGTERM)
 	connections.Wait()
-	w.Await("the process ends", m.Ended)
+	c.Await("the process ends", m.Ended)
 	if t.Logf("%d queries answered after SIGTERM", after.Load()); after.Load() < 24 || closed.Load() != 24 {
-		t.Errorf("%d answered after SIGTERM, %d of 24 connections told that they close", after.Load(), closed.Load())
+		t.Errorf("%d answered after SIGTERM, %d of 24 connections announced their close", after.Load(), closed.Load())
 	}
-	w.CheckInvariants()
+	c.CheckInvariants()
 }
