--- a/internal/tools/fleettest/idleconnection_test.go
+++ b/internal/tools/fleettest/idleconnection_test.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// A client that is paused between dialling and asking finds its connection ended, as an aggregator owes an end to one that says nothing.
-// It asks once more and gets its answer, and nothing counts as lost; the aggregator received the query once.
+// A client that pauses between dialling and sending finds its connection closed, as an aggregator closes connections that stay idle.
+// It retries and gets its answer, and nothing counts as lost; the aggregator received the query once.
 func TestIdleConnectionSendsNoQuery(t *testing.T) {
 	t.Parallel()
-	w := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
+	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
 	var dials atomic.Int64
-	w.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
+	c.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+		connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if err == nil && dials.Add(1) == 1 {
 			var one [1]byte
-			c.SetReadDeadline(time.Now().Add(Timeout))
-			if n, err := c.Read(one[:]); n > 0 || err == nil {
+			connection.SetReadDeadline(time.Now().Add(Timeout))
+			if n, err := connection.Read(one[:]); n > 0 || err == nil {
 				t.Error("the aggregator spoke first")
 			}
-			c.SetReadDeadline(time.Time{})
+			connection.SetReadDeadline(time.Time{})
 		}
-		return c, err
+		return connection, err
 	}}}
-	if status, text := w.Query(w.Aggregators[0], OrdersTenant, "orders", 0, 1); status != http.StatusOK {
+	if status, text := c.Query(c.Aggregators[0], OrdersTenant, "orders", 0, 1); status != http.StatusOK {
 		t.Errorf("got %d %s", status, text)
 	}
 	if n := dials.Load(); n != 2 {
 		t.Errorf("%d connections, expected the silent one and another", n)
 	}
-	w.CheckInvariants()
+	c.CheckInvariants()
 }
