--- /dev/null
+++ b/cmd/puffinlink/fleetshow.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"text/tabwriter"
+
+	"puffinlink.example/puffinlink/internal/controlplane/fleet"
+)
+
+type fleetShowCommand struct{ operatorConnection }
+
+func (c *fleetShowCommand) Execute([]string) error {
+	var status fleet.Status
+	if err := c.get("/v1/fleet", &status); err != nil {
+		return err
+	}
+	if c.JSON {
+		return printJSON(status)
+	}
+	fmt.Fprintf(stdout, "%s: open %t, hears nothing %t, leader %s, contracts of version %d sure for %.1f s, quotas of version %d\n",
+		status.Node, status.Open, status.Isolated, status.Leader, status.Contracts.Version, status.ContractsConfirmedFor, status.QuotasVersion)
+	writer := tabwriter.NewWriter(stdout, 0, 8, 2, ' ', 0)
+	for _, m := range status.Members {
+		fmt.Fprintf(writer, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.SinceReceived)
+	}
+	for tenant, x := range status.Contracts.Contracts {
+		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
+	}
+	for tenant, q := range status.Quotas {
+		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.MinimumShare)
+	}
+	for _, j := range status.Outliers {
+		fmt.Fprintf(writer, "judged %s\t%.1f s ago\n", j.Backend, j.Age)
+	}
+	return writer.Flush()
+}
--- a/cmd/puffinlink/operatorclient.go
+++ b/cmd/puffinlink/operatorclient.go
@@ -4,12 +4,10 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"net/url"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"puffinlink.example/puffinlink/internal/operators/api"
@@ -21,9 +19,9 @@
 
 // operatorConnection is where a mixer's listener is, and how to come in.
 type operatorConnection struct {
-	At        string `long:"at" value-name:"ADDRESS" required:"yes" env:"PUFFINLINK_OPERATORS" description:"The listener: unix:/PATH or HOST:PORT."`
-	TokenFile string `long:"token-file" value-name:"FILE" description:"Holds the token; PUFFINLINK_TOKEN may hold it instead."`
-	JSON      bool   `long:"json" description:"As JSON, for programs."`
+	At        string `long:"at" value-name:"ADDRESS" required:"yes" env:"PUFFINLINK_OPERATORS" description:"Address of the operators' listener: unix:/PATH or HOST:PORT."`
+	TokenFile string `long:"token-file" value-name:"FILE" description:"File that contains the token; the variable PUFFINLINK_TOKEN is the alternative."`
+	JSON      bool   `long:"json" description:"Print JSON."`
 }
 
 func (d *operatorConnection) client() (*api.Client, error) {
@@ -69,12 +67,7 @@
 	return enc.Encode(v)
 }
 
-// table prints rows under a head.
+// table prints rows under a head, whose columns are separated by spaces.
 func table(out io.Writer, head string, rows [][]string) {
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, strings.ReplaceAll(head, " ", "\t"))
-	for _, row := range rows {
-		fmt.Fprintln(w, strings.Join(row, "\t"))
-	}
-	w.Flush()
+	writeTable(out, append([][]string{strings.Split(head, " ")}, rows...))
 }
--- /dev/null
+++ b/cmd/puffinlink/overridewhy.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"fmt"
+	"net/url"
+	"strconv"
+
+	"puffinlink.example/puffinlink/internal/operators/api"
+)
+
+type overrideWhyCommand struct {
+	operatorConnection
+	Arguments struct {
+		Shard    int    `positional-arg-name:"shard" description:"The shard."`
+		Index    string `positional-arg-name:"index" description:"The index."`
+		Searcher string `positional-arg-name:"searcher" description:"The backend."`
+	} `positional-args:"yes" required:"yes"`
+}
+
+func (c *overrideWhyCommand) Execute([]string) error {
+	var why api.Why
+	query := url.Values{"shard": {strconv.Itoa(c.Arguments.Shard)}, "index": {c.Arguments.Index}, "searcher": {c.Arguments.Searcher}}
+	if err := c.get("/v1/why?"+query.Encode(), &why); err != nil {
+		return err
+	}
+	if c.JSON {
+		return printJSON(why)
+	}
+	verdict := "does not go"
+	if why.Goes {
+		verdict = fmt.Sprintf("goes, at %.0f%% of its usual part calls,", 100*why.Share)
+	}
+	fmt.Fprintf(stdout, "shard %d of %s %s to %s\n", c.Arguments.Shard, c.Arguments.Index, verdict, c.Arguments.Searcher)
+	rows := [][]string{}
+	for _, rule := range why.Rules {
+		by, acts := "-", "suspended"
+		if rule.Override != 0 {
+			by = strconv.FormatUint(rule.Override, 10)
+		}
+		if rule.Acts {
+			acts = "acts"
+		}
+		rows = append(rows, []string{rule.Rule, acts, by, rule.Text})
+	}
+	table(stdout, "RULE STATE OVERRIDE WHY", rows)
+	return nil
+}
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"math"
 	"os"
 	"os/signal"
@@ -30,7 +28,7 @@
 )
 
 type serveCommand struct {
-	Operator string `long:"operator" value-name:"FILE" env:"PUFFINLINK_OPERATOR" description:"The operator's file, as deploy/operator.json5 shows it."`
+	Operator string `long:"operator" value-name:"FILE" env:"PUFFINLINK_OPERATOR" description:"The operator's file; deploy/operator.json5 is an example."`
 }
 
 func (s *serveCommand) Execute([]string) error { return serveAggregator(s.Operator) }
@@ -97,7 +95,7 @@
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	c, set, err := node.Read(os.Getenv)
+	configuration, settings, err := node.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -107,92 +105,42 @@
 			return err
 		}
 	}
-	limitRuntime(c)
+	limitRuntime(configuration)
 	// Whoever reads the log must not hold up the mixer: lines that find no room are dropped and counted.
 	count := counters.New()
-	out := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
-	defer out.Close()
-	log := asynclog.New(out).With(zap.String("mixer", c.Name))
+	logWriter := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
+	defer logWriter.Close()
+	log := asynclog.New(logWriter).With(zap.String("mixer", configuration.Name))
 
-	n, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) { return node.Start(ctx, c, set, file, log, count) })
+	aggregator, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) {
+		return node.Start(ctx, configuration, settings, file, log, count)
+	})
 	if errors.Is(err, context.Canceled) {
 		log.Info("stopped before serving")
 		return nil
 	} else if err != nil {
 		return err
 	}
-	for on := true; on; {
+	for running := true; running; {
 		select {
 		case s := <-signals:
 			switch s {
 			case syscall.SIGUSR1:
 				log.Info("counters", zap.Inline(count))
 			case syscall.SIGHUP:
-				if err := reloadConfiguration(n); err != nil {
+				if err := reloadConfiguration(aggregator); err != nil {
 					log.Error("configuration file rejected", zap.String("text", err.Error()))
 				} else {
 					log.Info("configuration file reloaded")
 				}
 			default:
-				n.Drain()
+				aggregator.Drain()
 			}
-		case <-n.Drained():
-			on = false
+		case <-aggregator.Drained():
+			running = false
 		}
 	}
-	n.Stop()
+	aggregator.Stop()
 	log.Info("counters", zap.Inline(count))
 	return nil
 }
-
-type checkCommand struct {
-	JSON      bool `long:"json" description:"Print what the file states, as JSON."`
-	Arguments struct {
-		File string `positional-arg-name:"file" description:"The file."`
-	} `positional-args:"yes" required:"yes"`
-}
-
-func (c *checkCommand) Execute([]string) error {
-	f, err := operatorfile.Read(c.Arguments.File)
-	if err != nil {
-		return err
-	}
-	if c.JSON {
-		for i := range f.Operators.Tokens {
-			f.Operators.Tokens[i].Hash = "(kept)"
-		}
-		return json.NewEncoder(stdout).Encode(f)
-	}
-	on := func(is bool) string {
-		if is {
-			return "on"
-		}
-		return "off"
-	}
-	fmt.Fprintf(stdout, "%s: good; overrides %s, operators' listener %s, fleet %s\n", c.Arguments.File, on(f.Overrides.On), on(f.Operators.Listen != ""), on(f.Fleet.On))
-	for _, w := range f.Warnings() {
-		fmt.Fprintf(stdout, "%s: note: %s\n", c.Arguments.File, w)
-	}
-	return nil
-}
-
-type versionCommand struct {
-	JSON bool `long:"json" description:"As JSON."`
-}
-
-func (v *versionCommand) Execute([]string) error {
-	version, revision := "unknown", ""
-	if info, ok := debug.ReadBuildInfo(); ok {
-		version = info.Main.Version
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				revision = s.Value
-			}
-		}
-	}
-	if v.JSON {
-		return json.NewEncoder(stdout).Encode(map[string]string{"version": version, "revision": revision, "go": runtime.Version()})
-	}
-	fmt.Fprintln(stdout, "puffinlink", version, revision, runtime.Version())
-	return nil
-}
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -24,7 +24,10 @@
 )
 
 // childSpecVariable is the environment variable with the childSpec of a process, as JSON.
-const childSpecVariable = "PUFFINLINK_SYSTEMTEST_PART"
+const childSpecVariable = "PUFFINLINK_SYSTEMTEST_CHILD"
+
+// childFailedMarker begins the line that a child process writes to standard error when it fails.
+const childFailedMarker = "child process failed:"
 
 // readyLine is written to standard output once a child process listens.
 const readyLine = "ready"
@@ -53,7 +56,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if err := startChild(ctx, text); err != nil {
-		fmt.Fprintln(os.Stderr, "part failed:", err)
+		fmt.Fprintln(os.Stderr, childFailedMarker, err)
 		return 1
 	}
 	return 0
@@ -76,18 +79,18 @@
 	if err != nil {
 		return err
 	}
-	first, err := net.Listen("tcp", spec.Primary)
+	primary, err := net.Listen("tcp", spec.Primary)
 	if err != nil {
 		return err
 	}
-	second, err := net.Listen("tcp", spec.Secondary)
+	secondary, err := net.Listen("tcp", spec.Secondary)
 	if err != nil {
 		return err
 	}
 	runs := map[role]func(context.Context, childSpec, nodesettings.Settings, *zap.Logger, net.Listener, net.Listener) error{
 		coordinatorRole: runCoordinator, agentRole: runAgent, proxyRole: runProxy,
 	}
-	return runs[spec.Role](ctx, spec, settings, log, first, second)
+	return runs[spec.Role](ctx, spec, settings, log, primary, secondary)
 }
 
 func runCoordinator(ctx context.Context, _ childSpec, settings nodesettings.Settings, log *zap.Logger, internal, control net.Listener) error {
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// The paths of internal calls at which faults strike.
+// The paths of internal calls at which faults are injected.
 const (
 	appendPath  = "/replication/append"
 	preparePath = "/register/configuration/prepare"
@@ -40,19 +40,19 @@
 	{"cancel-durable", jobapi.CancelCall.Path(), beforeReply, nil},
 	{"append-sent", appendPath, beforeDelivery, nil},
 	{"append-written", appendPath, beforeReply, nil},
-	{"order-committed", string(cluster.StartCall), beforeDelivery, nil},
-	{"order-carried-out", string(cluster.StartCall), beforeReply, nil},
+	{"start-committed", string(cluster.StartCall), beforeDelivery, nil},
+	{"start-executed", string(cluster.StartCall), beforeReply, nil},
 	{"stop-committed", string(cluster.StopCall), beforeDelivery, nil},
-	{"end-listed", string(cluster.LeaseCall), beforeReply, reportsCompletions},
-	{"end-durable", string(cluster.LeaseCall), beforeDelivery, acknowledgesCompletions},
-	{"end-acknowledged", string(cluster.LeaseCall), beforeReply, acknowledgesCompletions},
+	{"completion-listed", string(cluster.LeaseCall), beforeReply, reportsCompletions},
+	{"completion-durable", string(cluster.LeaseCall), beforeDelivery, acknowledgesCompletions},
+	{"completion-acknowledged", string(cluster.LeaseCall), beforeReply, acknowledgesCompletions},
 	{"prepare-sent", preparePath, beforeDelivery, nil},
 	{"prepare-promised", preparePath, beforeReply, nil},
 	{"accept-sent", acceptPath, beforeDelivery, nil},
 	{"accept-written", acceptPath, beforeReply, nil},
 	{"configuration-sent", controlPath, beforeDelivery, nil},
-	{"configuration-taken", controlPath, beforeReply, nil},
-	{"feed-told", feed.WatchCall.Path(), beforeReply, nil},
+	{"configuration-accepted", controlPath, beforeReply, nil},
+	{"feed-sent", feed.WatchCall.Path(), beforeReply, nil},
 }
 
 // faultKind is what an injection does at a call point.
@@ -68,10 +68,10 @@
 	{"caller-killed", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.from, false) }},
 	{"callee-killed", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.to, false) }},
 	{"callee-wiped", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.to, true) }},
-	{"caller-frozen", false, func(ctx context.Context, s *system, c call) {
+	{"caller-paused", false, func(ctx context.Context, s *system, c call) {
 		s.pauseMachine(ctx, s.machineNamed(c.from), outageBeyondLease)
 	}},
-	{"callee-frozen", false, func(ctx context.Context, s *system, c call) {
+	{"callee-paused", false, func(ctx context.Context, s *system, c call) {
 		s.pauseMachine(ctx, s.machineNamed(c.to), outageBeyondLease)
 	}},
 	{"core-killed", true, func(ctx context.Context, s *system, _ call) { killAllCore(ctx, s) }},
@@ -168,8 +168,8 @@
 	return all
 }
 
-// pairs are scenarios with two randomly drawn injections.
-func pairs(seed uint64, count int) []scenario {
+// randomPairs are scenarios with two randomly drawn injections.
+func randomPairs(seed uint64, count int) []scenario {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var all []scenario
 	for i := range count {
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -23,7 +23,7 @@
 	spec childSpec
 	log  *os.File
 	// otherBuild is a program of another build that is started in place of this one; empty for this build. It has no relays
-	// before it: listen are the settings that tell it where to listen, and reached is where callers find it.
+	// before it: listenSettings tell it where to listen, and dialAddress is where callers find it.
 	otherBuild, listenSettings, dialAddress string
 
 	mu          sync.Mutex
@@ -149,7 +149,7 @@
 	defer p.mu.Unlock()
 	log, err := os.ReadFile(p.log.Name())
 	if err == nil {
-		for _, marker := range []string{"WARNING: DATA RACE", "panic:", "part failed:"} {
+		for _, marker := range []string{"WARNING: DATA RACE", "panic:", childFailedMarker} {
 			if at := strings.Index(string(log), marker); at >= 0 {
 				err = errors.Join(err, fmt.Errorf("%s: %s", p.name, string(log[at:min(at+3000, len(log))])))
 			}
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -41,8 +41,8 @@
 
 // Two operators change the configuration at once through different core machines, cancel one job and drain one worker,
 // behind relays that drop the first confirmation of each command and deliver duplicates of requests seconds later. What was
-// taken is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
-// bodies; and what each core machine tells and holds at the end is what was confirmed.
+// accepted is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
+// bodies; and what each core machine answers and stores at the end is what was confirmed.
 func TestRetriedCommandsAreIdempotent(t *testing.T) {
 	t.Parallel()
 	ctx, s := startSystem(t, "orders-sent-again", smallSize, retriedCommandsTimeout)
@@ -50,7 +50,7 @@
 	began := time.Now()
 	failure := test.run(ctx)
 	s.stop()
-	broken := checkDeliveries(test.relays.allDeliveries())
+	violations := checkDeliveries(test.relays.allDeliveries())
 	disks := test.checkDisks()
 	t.Logf("%d answers of core machines, %d commands sent again after a lost confirmation, %d versions confirmed, %d of %d votes lost, %v",
 		len(test.relays.allDeliveries()), test.retriedAfterLoss, len(confirmedChanges(test.relays.allDeliveries())), test.droppedVotes(), len(test.lostVotes),
@@ -59,7 +59,7 @@
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
-		So(broken, ShouldBeEmpty)
+		So(violations, ShouldBeEmpty)
 		So(disks, ShouldBeEmpty)
 		So(test.retriedAfterLoss, ShouldBeGreaterThanOrEqualTo, changeRounds+2)
 		So(test.droppedVotes(), ShouldBeGreaterThan, 0)
@@ -78,7 +78,7 @@
 	return problems
 }
 
-// run plays all of it; the core machines are stopped gracefully at the end.
+// run runs the test; the core machines are shut down gracefully at the end.
 func (a *retriedCommandsTest) run(ctx context.Context) error {
 	a.relays = newLossyRelays(a.system)
 	defer a.relays.close()
@@ -179,19 +179,19 @@
 		return "", "", err
 	}
 	drained = a.workers[0].ID()
-	orders := []delivery{
+	commands := []delivery{
 		{method: http.MethodDelete, path: jobsPath + string(plan.id)},
 		{method: http.MethodPost, path: workersPath + "/" + drained + "/drain"},
 	}
-	statuses := make([]int, 2*len(orders))
+	statuses := make([]int, 2*len(commands))
 	var all sync.WaitGroup
 	for i := range statuses {
-		all.Go(func() { statuses[i] = a.sendThroughRelays(ctx, i, orders[i/2]) })
+		all.Go(func() { statuses[i] = a.sendThroughRelays(ctx, i, commands[i/2]) })
 	}
 	all.Wait()
 	for i, status := range statuses {
 		if status != http.StatusOK {
-			err = errors.Join(err, fmt.Errorf("%s %s got %d", orders[i/2].method, orders[i/2].path, status))
+			err = errors.Join(err, fmt.Errorf("%s %s got %d", commands[i/2].method, commands[i/2].path, status))
 		}
 	}
 	return string(plan.id), drained, err
@@ -199,14 +199,14 @@
 
 // resendAll sends each command that there was to each core machine, without a relay, until the answer is clear.
 func (a *retriedCommandsTest) resendAll(ctx context.Context) error {
-	orders := map[commandKey]delivery{}
+	commands := map[commandKey]delivery{}
 	for _, one := range a.relays.allDeliveries() {
 		if one.method != http.MethodGet {
-			orders[one.key()] = delivery{method: one.method, path: one.path, ifMatch: one.ifMatch, body: one.body}
+			commands[one.key()] = delivery{method: one.method, path: one.path, ifMatch: one.ifMatch, body: one.body}
 		}
 	}
 	var failures []error
-	for _, command := range orders {
+	for _, command := range commands {
 		for _, core := range a.core {
 			command.machine = core.name
 			if got := a.deliverUntilClear(ctx, core, command); !isDefinite(got.status) {
@@ -217,7 +217,7 @@
 	return errors.Join(failures...)
 }
 
-// deliverUntilClear sends a request to one core machine until its answer is clear, and notes each answer.
+// deliverUntilClear sends a request to one core machine until its reply is definite, and records each reply.
 func (a *retriedCommandsTest) deliverUntilClear(ctx context.Context, core *machine, command delivery) delivery {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
@@ -241,18 +241,18 @@
 	for _, core := range a.core {
 		read := a.deliverUntilClear(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: controlPath})
 		if read.answer != confirmed[newest].body {
-			failures = append(failures, fmt.Errorf("version %d was confirmed last, and %s tells %v", newest, core.name, read))
+			failures = append(failures, fmt.Errorf("version %d was confirmed last, and %s answers %v", newest, core.name, read))
 		}
 	}
 	return errors.Join(failures...)
 }
 
-// awaitCancelledJob waits until each core machine tells that a job is cancelled.
+// awaitCancelledJob waits until each core machine answers that a job is cancelled.
 func (a *retriedCommandsTest) awaitCancelledJob(ctx context.Context, id string) error {
 	return a.awaitReply(ctx, jobsPath+id, func(answer string) bool { return strings.Contains(answer, `"state":"cancelled"`) })
 }
 
-// awaitDrainedWorker waits until each core machine tells that a worker is drained by an operator.
+// awaitDrainedWorker waits until each core machine answers that a worker is drained by an operator.
 func (a *retriedCommandsTest) awaitDrainedWorker(ctx context.Context, id string) error {
 	return a.awaitReply(ctx, workersPath, func(answer string) bool { return showsOperatorDraining(answer, id) })
 }
@@ -283,27 +283,27 @@
 
 // checkDisks compares the history that each core machine's disk holds with what was confirmed. A majority holds all of it;
 // the last record of another one may be of a change that did not come to be.
-func (a *retriedCommandsTest) checkDisks() (broken []string) {
-	attempts := a.relays.allDeliveries()
+func (a *retriedCommandsTest) checkDisks() (violations []string) {
+	deliveries := a.relays.allDeliveries()
 	var complete []configuration.State
 	states := make([]configuration.State, len(a.core))
 	for i, core := range a.core {
 		var err error
 		if states[i], err = historyOnDisk(core); err != nil {
-			return append(broken, fmt.Sprintf("%s: %v", core.name, err))
+			return append(violations, fmt.Sprintf("%s: %v", core.name, err))
 		}
-		if found := checkAppliedHistory(states[i], attempts); len(found) == 0 {
+		if found := checkAppliedHistory(states[i], deliveries); len(found) == 0 {
 			complete = append(complete, states[i])
 		} else {
-			broken = append(broken, fmt.Sprintf("%s: %v", core.name, found))
+			violations = append(violations, fmt.Sprintf("%s: %v", core.name, found))
 		}
 	}
 	if len(complete) <= len(a.core)/2 {
-		return broken
+		return violations
 	}
 	for i, state := range states {
 		if known := max(len(state.Applied)-1, 0); known > len(complete[0].Applied) || !slices.Equal(state.Applied[:known], complete[0].Applied[:known]) {
-			return append(broken, fmt.Sprintf("%s holds another history than a majority", a.core[i].name))
+			return append(violations, fmt.Sprintf("%s holds another history than a majority", a.core[i].name))
 		}
 	}
 	return nil
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -35,7 +35,7 @@
 	} `json:"indexes"`
 	Aggregators struct {
 		Count       int     `json:"count"`
-		MostHeld    int     `json:"most_held"`
+		MaxPending  int     `json:"most_held"`
 		StepS       float64 `json:"step_s"`
 		MostTries   int     `json:"most_tries"`
 		Multiplex   int     `json:"multiplex"`
@@ -87,7 +87,7 @@
 		return site, err
 	}
 	site = plan.Site{Locations: parsed.Locations, Cells: parsed.Layout.Cells, Width: parsed.Layout.Width, Shards: parsed.Layout.Shards, Aggregators: parsed.Aggregators.Count,
-		MaxPending: parsed.Aggregators.MostHeld, Step: parsed.Aggregators.StepS, Network: parsed.NetworkS, MaxAttempts: max(1, parsed.Aggregators.MostTries), Retries: parsed.Clients.Retries,
+		MaxPending: parsed.Aggregators.MaxPending, Step: parsed.Aggregators.StepS, Network: parsed.NetworkS, MaxAttempts: max(1, parsed.Aggregators.MostTries), Retries: parsed.Clients.Retries,
 		Backoff: parsed.Clients.BackoffS, Multiplex: parsed.Aggregators.Multiplex, Descriptors: parsed.Aggregators.Descriptors}
 	for _, group := range parsed.Backends {
 		if group.Speed == 0 {
@@ -174,27 +174,18 @@
 	}
 	interval := sum
 	if !mean {
-		best := -1.0
-		for n := range c.Intervals {
-			parts := 0.0
-			for _, load := range c.Intervals[n].Loads {
-				parts += float64(load.Parts) / c.Intervals[n].Span
-			}
-			if parts > best {
-				best, interval = parts, &c.Intervals[n]
-			}
-		}
+		interval = busiest(c, sum)
 	}
-	for _, h := range c.Gaps() {
-		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", h.To-h.From))
+	for _, gap := range c.Gaps() {
+		notes = append(notes, fmt.Sprintf("nothing was captured for %.0f s: what happened then is not in the plan", gap.To-gap.From))
 	}
 	queries := 0.0
 	for _, load := range interval.Loads {
 		queries += float64(load.Queries - load.Resent)
 	}
 	indexNo := map[string]int{}
-	for index, x := range site.Indexes {
-		indexNo[x.Name] = index
+	for index, described := range site.Indexes {
+		indexNo[described.Name] = index
 	}
 	byIndex := map[int][2]float64{}
 	for _, load := range interval.Loads {
@@ -215,11 +206,26 @@
 		}
 	}
 	workload.Popular = make([]float64, site.Shards)
-	for _, s := range sum.Shards {
-		if s.Shard >= site.Shards {
-			return workload, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", s.Shard, site.Shards)
+	for _, shard := range sum.Shards {
+		if shard.Shard >= site.Shards {
+			return workload, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", shard.Shard, site.Shards)
 		}
-		workload.Popular[s.Shard] += float64(s.Parts)
+		workload.Popular[shard.Shard] += float64(shard.Parts)
 	}
 	return workload, notes, workload.Check(site)
 }
+
+// busiest is the interval of a capture with the most part calls a second, or otherwise where no interval has a rate.
+func busiest(c capture.Capture, otherwise *capture.Interval) *capture.Interval {
+	best, interval := -1.0, otherwise
+	for n := range c.Intervals {
+		parts := 0.0
+		for _, load := range c.Intervals[n].Loads {
+			parts += float64(load.Parts) / c.Intervals[n].Span
+		}
+		if parts > best {
+			best, interval = parts, &c.Intervals[n]
+		}
+	}
+	return interval
+}
