--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -165,7 +165,8 @@
 		call, inFlight := a.inFlight[key]
 		delete(a.inFlight, key)
 		if inFlight && a.recorder != nil {
-			a.recorder.CallEnded(a.policyTime(now), call.seat, call.index, e.Outcome, e.Elapsed, call.alone, e.Load)
+			a.recorder.CallEnded(a.policyTime(now), call.seat,
+				capture.CallEnd{Index: call.index, Outcome: e.Outcome, Elapsed: e.Elapsed, Alone: call.alone, Load: e.Load})
 		}
 		if inFlight && a.admission.admission != nil {
 			a.admission.admission.CallEnded(now, a.admission.placements[call.backend].name, e.Outcome, e.Elapsed)
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -190,31 +190,40 @@
 	return s.rows[k]
 }
 
-// CallEnded counts the end of a part call: its outcome, how long it took, and whether it was alone there when it went.
-func (rec *Recorder) CallEnded(now float64, s *BackendCalls, k policy.IndexID, outcome policy.Outcome, elapsed float64, alone bool, load policy.Load) {
+// CallEnd is how a part call ended.
+type CallEnd struct {
+	Index   policy.IndexID
+	Outcome policy.Outcome
+	Elapsed float64 // seconds since it was sent
+	Alone   bool    // CallSent found nothing else of this aggregator at the backend
+	Load    policy.Load
+}
+
+// CallEnded counts the end of a part call to the backend that CallSent returned.
+func (rec *Recorder) CallEnded(now float64, backend *BackendCalls, end CallEnd) {
 	rec.callsInFlight.move(now, -1)
-	s.inFlight--
-	r := rec.row(s, k)
-	r.Calls++
-	switch outcome {
+	backend.inFlight--
+	row := rec.row(backend, end.Index)
+	row.Calls++
+	switch end.Outcome {
 	case policy.Answered:
-		if r.Latency.histogram == nil {
-			r.Latency, r.Alone = newHistogram(1), newHistogram(1)
+		if row.Latency.histogram == nil {
+			row.Latency, row.Alone = newHistogram(1), newHistogram(1)
 		}
-		r.Latency.Add(elapsed, 1)
-		if alone {
-			r.Alone.Add(elapsed, 1)
+		row.Latency.Add(end.Elapsed, 1)
+		if end.Alone {
+			row.Alone.Add(end.Elapsed, 1)
 		}
 	case policy.Rejected:
-		r.Rejected++
+		row.Rejected++
 	case policy.Canceled, policy.NotSent: // ours
 	default:
-		r.Failed++
+		row.Failed++
 	}
-	if load.Has&(policy.HasService|policy.HasUtil) != 0 {
-		r.Reports++
-		r.Service += load.ServiceS
-		r.Util += load.Util
+	if end.Load.Has&(policy.HasService|policy.HasUtil) != 0 {
+		row.Reports++
+		row.Service += end.Load.ServiceS
+		row.Util += end.Load.Util
 	}
 }
 
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -49,7 +49,7 @@
 		seat, alone := rec.CallSent(now, s)
 		open = append(open, out{seat, alone})
 		if len(open) > 5 {
-			rec.CallEnded(now, open[0].s, k, policy.Outcome(rng.IntN(8)), 0.02, open[0].alone, policy.Load{})
+			rec.CallEnded(now, open[0].s, CallEnd{Index: k, Outcome: policy.Outcome(rng.IntN(8)), Elapsed: 0.02, Alone: open[0].alone})
 			open, calls = open[1:], calls+1
 		}
 	}
--- a/internal/operators/controller/controller.go
+++ b/internal/operators/controller/controller.go
@@ -22,7 +22,7 @@
 	recent = 1000
 	// watcherLag is how many changes a watcher may lag; then it is let go, to begin anew.
 	watcherLag = 256
-	// pending commands: as many as the listener's connections, each of which sends one at a time, and a margin.
+	// mostWaiting commands may wait: as many as the listener's connections, each of which sends one at a time, and a margin.
 	mostWaiting = 64
 )
 
@@ -52,7 +52,7 @@
 const (
 	membershipChanged messageKind = iota // events
 	commanded
-	stored // err, of the command in hand
+	stored // err, of the current command
 	requested
 	unwatched
 	stop
@@ -81,9 +81,9 @@
 	unix          float64
 	recent        []override.Change
 	watchers      []*Watcher
-	pending       []message // commands behind the one in hand
+	pending       []message // commands behind the current one
 	current       *message
-	pendingChange override.Change // that is being kept
+	pendingChange override.Change // that is being stored
 	ended         chan struct{}
 }
 
@@ -97,7 +97,7 @@
 		start: now, unix: float64(now.UnixNano()) / 1e9, ended: make(chan struct{})}
 }
 
-// Restore takes what was kept, before anything else is told.
+// Restore takes what was stored, before any other event.
 func (c *Controller) Restore(revision override.Revision, live []override.Override, changes []override.Change) {
 	c.recent = append(c.recent, changes...)
 	c.storeEnded(c.table.Restore(c.Now(), revision, live, changes))
@@ -111,10 +111,10 @@
 	c.in.Put(message{kind: membershipChanged, events: events})
 }
 
-// ProcessPending does at once all that waits, so that the module hears of what holds before its first query. Run has not begun.
+// ProcessPending handles all pending messages at once, so that the module knows the overrides before its first query. Run has not begun.
 func (c *Controller) ProcessPending() { c.process(nil) }
 
-// Do sends a command; its result comes once it is kept. A full controller refuses it at once.
+// Do submits a command; its result comes once its change is stored. A controller with too many pending commands rejects it at once.
 func (c *Controller) Do(command override.Command) <-chan Result {
 	n := message{kind: commanded, command: command, reply: make(chan Result, 1)}
 	c.in.Put(n)
@@ -153,7 +153,7 @@
 	return list
 }
 
-// Stop ends the actor; commands that wait get no result.
+// Stop ends the actor; pending commands get no result.
 func (c *Controller) Stop() {
 	c.in.Put(message{kind: stop})
 	<-c.ended
@@ -255,7 +255,7 @@
 	}
 }
 
-// next takes the next command in hand, once the one before is kept.
+// next starts the next pending command, once the one before is stored.
 func (c *Controller) next() {
 	for c.current == nil && len(c.pending) > 0 {
 		n := c.pending[0]
@@ -278,7 +278,7 @@
 	}
 }
 
-// finish ends the command in hand, once it is kept or can't be.
+// finish completes the current command, once its change is stored or storing it has failed.
 func (c *Controller) finish(err error) {
 	n := c.current
 	c.current = nil
@@ -294,7 +294,7 @@
 	n.reply <- Result{Change: c.pendingChange}
 }
 
-// storeEnded keeps and tells what has ended by itself; it has ended whether it is kept or not.
+// storeEnded stores what has ended by itself and notifies watchers; it has ended whether it can be stored or not.
 func (c *Controller) storeEnded(changes []override.Change) {
 	if len(changes) == 0 {
 		return
