--- a/cmd/puffinlink/planreport.go
+++ b/cmd/puffinlink/planreport.go
@@ -131,7 +131,7 @@
 func printLimits(limits []plan.Limit) {
 	rows := [][]string{}
 	for _, limit := range limits {
-		rows = append(rows, []string{limit.What, limit.Where, fmt.Sprintf("%.3g", limit.Used), fmt.Sprintf("%.3g", limit.Most), fmt.Sprintf("%.2f", limit.Margin)})
+		rows = append(rows, []string{limit.What, limit.Where, fmt.Sprintf("%.3g", limit.Used), fmt.Sprintf("%.3g", limit.Max), fmt.Sprintf("%.2f", limit.Margin)})
 	}
 	table(stdout, "LIMIT WHERE USED MOST MARGIN", rows)
 }
--- a/internal/fakes/cluster/operator.go
+++ b/internal/fakes/cluster/operator.go
@@ -51,7 +51,7 @@
 func (o *Operator) call(ctx context.Context, method, ifMatch string, body []byte) (int, []byte, error) {
 	failures := []error{ErrNoClearAnswer}
 	for _, address := range o.Addresses {
-		status, answer, err := o.try(ctx, method, "http://"+address+configurationPath, ifMatch, body)
+		status, answer, err := o.callNode(ctx, method, "http://"+address+configurationPath, ifMatch, body)
 		if err == nil && isClear(status) {
 			return status, answer, nil
 		}
@@ -65,7 +65,8 @@
 	return status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-func (o *Operator) try(ctx context.Context, method, url, ifMatch string, body []byte) (int, []byte, error) {
+// callNode makes one request and follows its redirects, within the operator's patience.
+func (o *Operator) callNode(ctx context.Context, method, url, ifMatch string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorPatience)
 	defer cancel()
 	for range redirectsFollowed + 1 {
@@ -78,7 +79,8 @@
 	return 0, nil, errTooManyRedirects
 }
 
-func (o *Operator) send(ctx context.Context, method, url, ifMatch string, body []byte) (int, []byte, string, error) {
+// send makes one request; location is where a redirect leads.
+func (o *Operator) send(ctx context.Context, method, url, ifMatch string, body []byte) (status int, answer []byte, location string, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, "", err
@@ -94,6 +96,6 @@
 		return 0, nil, "", err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	answer, err = io.ReadAll(response.Body)
 	return response.StatusCode, answer, response.Header.Get("Location"), err
 }
--- a/internal/tools/benchadapter/benchadapter_test.go
+++ b/internal/tools/benchadapter/benchadapter_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestPanicBecomesTheWiresWord(t *testing.T) {
+func TestPanicIsReportedAsPanicLine(t *testing.T) {
 	out, err := serve(opening + "TICK 9 2\nON 3\nREQUEST 8 5 0 - 4 - 1 -1 1 0 0\nEND\n")
 	if err != nil || !strings.Contains(out, "BY 3\nPANIC ") || !strings.HasSuffix(out, "ACK 2\n") {
 		t.Fatalf("got %v, %q", err, out)
--- a/internal/tools/demo/cluster/errors.go
+++ b/internal/tools/demo/cluster/errors.go
@@ -18,6 +18,7 @@
 // OptionsError says which option is wrong, and what was expected.
 type OptionsError string
 
+// Error implements error.
 func (e OptionsError) Error() string { return string(e) }
 
 func invalid(format string, arguments ...any) error {
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -112,8 +112,8 @@
 
 // schedule lets something happen at a time, or now if that is past.
 func (sim *simulation) schedule(t float64, what func()) {
-	sim.lastEventNo++
-	heap.Push(&sim.pending, scheduledEvent{max(t, sim.now), sim.lastEventNo, what})
+	sim.lastSequence++
+	heap.Push(&sim.pending, scheduledEvent{max(t, sim.now), sim.lastSequence, what})
 }
 
 // arrive lets clients ask, until the end.
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -182,10 +182,10 @@
 
 // Placement is a placement and what it comes to.
 type Placement struct {
-	Copies Copies  `json:"Copies"`
-	Moves  int     `json:"Moves"` // copies that stand elsewhere than today
-	Most   float64 `json:"Most"`  // load of the fullest backend against its capacity
-	Bound  float64 `json:"Bound"` // no placement has less
+	Copies         Copies  `json:"Copies"`
+	Moves          int     `json:"Moves"` // copies that stand elsewhere than today
+	MaxUtilization float64 `json:"Most"`  // load of the fullest backend against its capacity
+	Bound          float64 `json:"Bound"` // no placement has less
 }
 
 // Place puts so many copies of each shard on backends, no two of one shard in one location, so that what is asked for is
@@ -245,7 +245,7 @@
 		}
 	}
 	for i := range used {
-		placed.Most = max(placed.Most, used[i]/capacity[i])
+		placed.MaxUtilization = max(placed.MaxUtilization, used[i]/capacity[i])
 	}
 	return placed, nil
 }
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -11,7 +11,7 @@
 	What   string  `json:"What"`  // cores, queue, most held, connections, descriptors
 	Where  string  `json:"Where"` // a backend, a location, or "each aggregator"
 	Used   float64 `json:"Used"`  // at this load, in the limit's own unit
-	Most   float64 `json:"Most"`
+	Max    float64 `json:"Most"`
 	Margin float64 `json:"Margin"` // most / used: 1 is at the limit
 }
 
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -60,7 +60,7 @@
 }
 
 // What the emulation comes to where a formula tells it.
-func TestEmulationAgainstFormulas(t *testing.T) {
+func TestEmulationMatchesFormulas(t *testing.T) {
 	site := testSite(6, 4)
 	a := testWorkload(100, 4)
 	o := Emulate(&site, &a, 1, 0)
@@ -127,8 +127,8 @@
 	}
 }
 
-// brute goes through every purchase.
-func brute(offers []Offer, demand float64, spare int) (best float64) {
+// cheapestByBruteForce goes through every purchase.
+func cheapestByBruteForce(offers []Offer, demand float64, spare int) (best float64) {
 	best = math.Inf(1)
 	counts := make([]int, len(offers))
 	for {
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestFewestBackends(t *testing.T) {
+func TestCheapestPurchase(t *testing.T) {
 	sum, worst, n := 0.0, 1.0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 8))
@@ -160,7 +160,7 @@
 		}
 		demand, spare := 1+8*rng.Float64(), rng.IntN(3)
 		got, err := CheapestPurchase(offers, demand, spare)
-		want := brute(offers, demand, spare)
+		want := cheapestByBruteForce(offers, demand, spare)
 		if math.IsInf(want, 1) != (err != nil) {
 			t.Fatalf("seed %d: %v, the best costs %g", seed, err, want)
 		}
@@ -237,17 +237,17 @@
 			t.Fatal(err)
 		}
 		best := bestPlacement(&site, load)
-		if p.Most < best-1e-9 || p.Bound > best+1e-9 {
-			t.Fatalf("seed %d: %g, bound %g, the best is %g", seed, p.Most, p.Bound, best)
+		if p.MaxUtilization < best-1e-9 || p.Bound > best+1e-9 {
+			t.Fatalf("seed %d: %g, bound %g, the best is %g", seed, p.MaxUtilization, p.Bound, best)
 		}
-		worst = max(worst, p.Most/best)
+		worst = max(worst, p.MaxUtilization/best)
 		for s, list := range p.Copies {
 			if len(list) != 2 || site.Backends[list[0]].Location == site.Backends[list[1]].Location {
 				t.Fatalf("seed %d: copies of shard %d stand at %v", seed, s, list)
 			}
 		}
 		again, err := Place(&site, load, 2, p.Copies)
-		if err != nil || again.Moves > 0 && p.Most <= p.Bound*(1+stayTolerance/2) {
+		if err != nil || again.Moves > 0 && p.MaxUtilization <= p.Bound*(1+stayTolerance/2) {
 			t.Fatalf("seed %d: %d moves from a placement that is as good as it gets, %v", seed, again.Moves, err)
 		}
 	}
@@ -265,7 +265,7 @@
 }
 
 // An emulation keeps the modules' rules: a once-only part is never called twice where a call may have run.
-func TestEmulationOfOnceOnly(t *testing.T) {
+func TestOnceOnlySubqueriesAreNotRetried(t *testing.T) {
 	site, a := testSite(6, 2), testWorkload(400, 3)
 	site.Indexes[0].Effect = policy.OnceOnly
 	site.Backends[2].Queue = 2
@@ -292,7 +292,7 @@
 }
 
 // Work is drawn by its shape: of its mean, and within its ends.
-func TestWorkByShape(t *testing.T) {
+func TestWorkFollowsItsDistribution(t *testing.T) {
 	for _, x := range []Index{{Work: 0.01, Shape: []float64{0.5, 1.5}}, {Work: 0.02, Shape: []float64{0, 0.5, 0.5, 3}}, {Work: 0.01, Scv: 0.5}} {
 		g, sum, want := pcg{9}, 0.0, x.Work
 		if n := len(x.Shape); n > 0 {
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -32,9 +32,9 @@
 
 // scheduledEvent is one thing to come in the emulated world.
 type scheduledEvent struct {
-	at  float64
-	no  int // order among those at one time
-	run func()
+	at       float64
+	sequence int // order among those at one time
+	run      func()
 }
 
 type eventHeap []scheduledEvent
@@ -42,7 +42,7 @@
 func (a eventHeap) Len() int { return len(a) }
 
 func (a eventHeap) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].no < a[j].no
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
 }
 
 func (a eventHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
@@ -55,7 +55,7 @@
 	return last
 }
 
-// call is a part call at a backend.
+// call is a call for one subquery at a backend.
 type call struct {
 	aggregator *aggregator
 	subquery   policy.SubqueryID
@@ -115,17 +115,17 @@
 
 // simulation is a fleet under a load.
 type simulation struct {
-	site        *Site
-	workload    *Workload
-	random      pcg
-	now         float64
-	pending     eventHeap
-	lastEventNo int
-	queues      []*queue
-	byID        map[policy.BackendID]*queue
-	aggregators []*aggregator
-	popular     []float64 // sums up to each shard
-	warm        float64
-	end         float64
-	outcome     Outcome
+	site         *Site
+	workload     *Workload
+	random       pcg
+	now          float64
+	pending      eventHeap
+	lastSequence int
+	queues       []*queue
+	byID         map[policy.BackendID]*queue
+	aggregators  []*aggregator
+	popular      []float64 // sums up to each shard
+	warm         float64
+	end          float64
+	outcome      Outcome
 }
--- a/internal/tools/validate/validate_test.go
+++ b/internal/tools/validate/validate_test.go
@@ -14,7 +14,7 @@
 // checked.
 var measure = os.Getenv("PUFFINLINK_MEASURE") != ""
 
-func TestPredictedAndHappened(t *testing.T) {
+func TestPredictionMatchesMeasurement(t *testing.T) {
 	seconds := 1.5
 	if measure {
 		seconds = 8
@@ -47,7 +47,7 @@
 }
 
 // The drawn settings are the seed's, and all that are played fit their fleets.
-func TestSettings(t *testing.T) {
+func TestScenariosFollowTheSeed(t *testing.T) {
 	one, two := Scenarios(8, 5, 1), Scenarios(8, 5, 1)
 	if len(one) != 24 {
 		t.Fatalf("%d settings", len(one))
