--- a/internal/tools/fleettest/command_test.go
+++ b/internal/tools/fleettest/command_test.go
@@ -14,7 +14,7 @@
 	for _, m := range c.Aggregators {
 		text, err := os.ReadFile(m.log)
 		c.must(err)
-		count += bytes.Count(text, []byte(`"fleet: this mixer leads the council"`))
+		count += bytes.Count(text, []byte(`"fleet leadership began"`))
 	}
 	return count
 }
