--- a/internal/operators/controller/controller.go
+++ b/internal/operators/controller/controller.go
@@ -170,7 +170,7 @@
 			c.drop(w)
 		}
 	}()
-	var notes []message
+	var messages []message
 	timer := time.NewTimer(0)
 	for {
 		select {
@@ -178,7 +178,7 @@
 		case <-timer.C:
 		}
 		var on bool
-		if notes, on = c.process(notes); !on {
+		if messages, on = c.process(messages); !on {
 			return
 		}
 		if next := c.table.Next(c.Now()); math.IsInf(next, 1) {
@@ -190,17 +190,17 @@
 }
 
 // process does all that waits, and what the time alone brings.
-func (c *Controller) process(notes []message) (spare []message, on bool) {
-	notes = c.in.Take(notes)
-	for i := range notes {
-		if notes[i].kind == stop {
-			return notes, false
+func (c *Controller) process(messages []message) (spare []message, on bool) {
+	messages = c.in.Take(messages)
+	for i := range messages {
+		if messages[i].kind == stop {
+			return messages, false
 		}
-		c.receive(&notes[i])
+		c.receive(&messages[i])
 	}
 	c.storeEnded(c.table.Due(c.Now()))
 	c.patch()
-	return notes, true
+	return messages, true
 }
 
 func (c *Controller) receive(n *message) {
--- a/internal/operators/operatorfile/fleet.go
+++ b/internal/operators/operatorfile/fleet.go
@@ -14,44 +14,44 @@
 	return r
 }
 
-// wholeFleet checks what no key of fleet, quotas and contracts can tell alone. What the aggregator's settings know of zones,
+// checkFleet checks what no key of fleet, quotas and contracts can tell alone. What the aggregator's settings know of zones,
 // tenants and indexes is checked where it starts.
-func (r *reader) wholeFleet() {
-	f, q, c := &r.file.Fleet, &r.file.Quotas, &r.file.Contracts
-	if !f.On {
-		if q.On {
-			r.failLine(q.Line, "quotas: expected a section fleet beside it, as all mixers hold them together")
+func (r *reader) checkFleet() {
+	fleet, quotas, contracts := &r.file.Fleet, &r.file.Quotas, &r.file.Contracts
+	if !fleet.On {
+		if quotas.On {
+			r.failLine(quotas.Line, "quotas: expected a section fleet beside it, as all mixers hold them together")
 		}
-		if c.On {
-			r.failLine(c.Line, "contracts: expected a section fleet beside it, as all mixers agree on them")
+		if contracts.On {
+			r.failLine(contracts.Line, "contracts: expected a section fleet beside it, as all mixers agree on them")
 		}
 		return
 	}
-	if f.KeyFile == "" {
-		r.failLine(f.Line, "fleet: expected key_file, a file of %d hex digits that all mixers have", 2*KeyBytes)
+	if fleet.KeyFile == "" {
+		r.failLine(fleet.Line, "fleet: expected key_file, a file of %d hex digits that all mixers have", 2*KeyBytes)
 	}
-	roster := f.Roster()
+	roster := fleet.Roster()
 	for _, wrong := range roster.Check() {
-		r.failLine(f.Line, "fleet: %s", wrong)
+		r.failLine(fleet.Line, "fleet: %s", wrong)
 	}
-	if q.On && q.Version == 0 {
-		r.failLine(q.Line, "quotas: expected version, a number that rises with each change")
+	if quotas.On && quotas.Version == 0 {
+		r.failLine(quotas.Line, "quotas: expected version, a number that rises with each change")
 	}
-	if c.On && c.Version == 0 {
-		r.failLine(c.Line, "contracts: expected version, a number that rises with each change")
+	if contracts.On && contracts.Version == 0 {
+		r.failLine(contracts.Line, "contracts: expected version, a number that rises with each change")
 	}
 	seen := map[string]bool{}
-	for _, t := range q.Tenants {
+	for _, t := range quotas.Tenants {
 		if t.Tenant == "" || seen[t.Tenant] {
 			r.failLine(t.Line, "quotas: tenant %q, expected a name that no other quota here has", t.Tenant)
 		}
 		seen[t.Tenant] = true
-		if wrong, _ := t.Quota().Check(len(f.Aggregators)); wrong != "" {
+		if wrong, _ := t.Quota().Check(len(fleet.Aggregators)); wrong != "" {
 			r.failLine(t.Line, "quotas: tenant %q: %s", t.Tenant, wrong)
 		}
 	}
 	clear(seen)
-	for _, t := range c.Tenants {
+	for _, t := range contracts.Tenants {
 		if t.Tenant == "" || seen[t.Tenant] {
 			r.failLine(t.Line, "contracts: tenant %q, expected a name that no other contract here has", t.Tenant)
 		}
--- a/internal/operators/operatorfile/parse.go
+++ b/internal/operators/operatorfile/parse.go
@@ -20,7 +20,7 @@
 	r := reader{text: in, file: &f}
 	r.object("", root, keys)
 	if len(r.wrong) == 0 {
-		r.whole(root)
+		r.checkFile(root)
 	}
 	if len(r.wrong) > 0 {
 		return f, ValidationError(strings.Join(r.wrong, "\n"))
@@ -45,8 +45,8 @@
 	return 1 + strings.Count(string(r.text[:min(at, len(r.text))]), "\n")
 }
 
-// whole checks what no key can tell alone.
-func (r *reader) whole(root hujson.Value) {
+// checkFile checks what no key can tell alone.
+func (r *reader) checkFile(root hujson.Value) {
 	o := &r.file.Operators
 	at := root.StartOffset
 	if v := root.Find("/operators"); v != nil {
@@ -61,7 +61,7 @@
 	if o.Listen == "" && (len(o.Tokens) > 0 || o.KeyFile != "") {
 		r.fail(at, "operators: expected listen, without which nothing else there counts")
 	}
-	r.wholeFleet()
+	r.checkFleet()
 	seen := map[string]bool{}
 	for _, t := range o.Tokens {
 		if seen[t.Name] {
@@ -74,25 +74,25 @@
 	}
 }
 
-func is(v hujson.Value, want kind) bool {
+func hasKind(v hujson.Value, desired kind) bool {
 	switch v := v.Value.(type) {
 	case *hujson.Object:
-		return want == object
+		return desired == object
 	case *hujson.Array:
-		return want == listing || want == texts && !slices.ContainsFunc(v.Elements, func(e hujson.Value) bool { return !is(e, text) })
+		return desired == listing || desired == texts && !slices.ContainsFunc(v.Elements, func(e hujson.Value) bool { return !hasKind(e, text) })
 	case hujson.Literal:
-		return v.Kind() == '0' && want == number || v.Kind() == '"' && want == text || (v.Kind() == 't' || v.Kind() == 'f') && want == flag
+		return v.Kind() == '0' && desired == number || v.Kind() == '"' && desired == text || (v.Kind() == 't' || v.Kind() == 'f') && desired == flag
 	}
 	return false
 }
 
-// literal is a value that is has found to be a text, a number or a flag, or the name of a member, which always is a text.
+// literal is a value that hasKind has found to be a text, a number or a flag, or the name of a member, which always is a text.
 func literal(v hujson.Value) hujson.Literal {
 	l, _ := v.Value.(hujson.Literal)
 	return l
 }
 
-// elements are those of a value that is has found to be a list.
+// elements are those of a value that hasKind has found to be a list.
 func elements(v hujson.Value) []hujson.Value {
 	if list, isList := v.Value.(*hujson.Array); isList {
 		return list.Elements
@@ -116,7 +116,7 @@
 			r.fail(m.Name.StartOffset, "%s is not known, the nearest key is %s", full, nearest(name, known))
 		case seen[name]:
 			r.fail(m.Name.StartOffset, "%s is stated twice", full)
-		case !is(m.Value, known[i].kind):
+		case !hasKind(m.Value, known[i].kind):
 			r.fail(m.Value.StartOffset, "%s is %.40s, expected %s", full, packed(m.Value), known[i].kind)
 		default:
 			r.value(full, m.Value, &known[i])
@@ -159,10 +159,10 @@
 
 // nearest is the known key that takes the fewest changes of letters.
 func nearest(name string, known []key) (best string) {
-	least := 1 << 30
+	smallest := 1 << 30
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(name, k.name); d < least {
-			best, least = k.name, d
+		if d := levenshtein.ComputeDistance(name, k.name); d < smallest {
+			best, smallest = k.name, d
 		}
 	}
 	return best
