--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -10,11 +10,11 @@
 
 // Outcome is what an emulation comes to.
 type Outcome struct {
-	Requested   int64   // queries, by their clients' first tries
+	Requested   int64   // queries, by their clients' first attempts
 	Queries     []int64 // of them, by index
 	Nacked      float64 // shares of all that ended so at last
 	Aborted     float64
-	ValueShare  float64   // share of gain within the soft deadline
+	ValueShare  float64   // share of value within the soft deadline
 	ByIndex     []float64 // share of queries answered within the soft deadline
 	P50, P99    float64   // of answered queries, seconds from the first try
 	Use         []float64
--- a/internal/tools/plan/queue.go
+++ b/internal/tools/plan/queue.go
@@ -4,7 +4,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// deliver puts a call on a core, into the queue, or turns it away.
+// deliver puts a call on a core, into the queue, or rejects it.
 func (sim *simulation) deliver(s *queue, received *call) {
 	s.calls++
 	switch {
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -65,7 +65,7 @@
 	completed  bool // its aggregator waits no more
 }
 
-// queue is a backend: so many cores, and a queue before them.
+// queue is a backend as queueing theory sees it: so many servers, its cores, and calls that wait before them.
 type queue struct {
 	Backend
 	id        policy.BackendID
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -18,7 +18,7 @@
 	Cell        int
 	Cores       int     // parts that it works on at once
 	Speed       float64 // 1 takes an index's work as stated, 2 half as long
-	Queue       int     // parts that may wait beyond those; more are turned away. 0 for no limit
+	Queue       int     // parts that may wait beyond those; more are rejected. 0 for no limit
 	Connections int     // connections that it takes; 0 for no limit
 	Price       float64
 }
@@ -32,7 +32,7 @@
 	Work             float64   // of a part, in the mean
 	Scv              float64   // squared coefficient of variation of that, where no shape is stated: work is lognormal then
 	Shape            []float64 // quantiles of work against its mean, evenly apart from the least to the most; nil for none
-	Goal             float64   // share of gain within the soft deadline; 0 for none
+	Goal             float64   // share of value within the soft deadline; 0 for none
 }
 
 // Site is what a load meets. Times are seconds.
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -1,4 +1,4 @@
-// Package validate holds the planner to what happens: it plays settings through real aggregators against stand-in backends with
+// Package validate compares the planner's predictions with measurements: it plays settings through real aggregators against fake backends with
 // known limits, and shows what was predicted, what happened and the error side by side. It decides nothing.
 package validate
 
