--- a/cmd/puffinlink/aggregatorcommands.go
+++ b/cmd/puffinlink/aggregatorcommands.go
@@ -11,7 +11,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// aggregatorCommands are the commands of a mixer and of its operators, by the order of the help.
+// aggregatorCommands are the commands of an aggregator and of its operators, by the order of the help.
 type aggregatorCommands struct {
 	Serve    serveCommand    `command:"serve" description:"Serve queries with the configuration that LB_CONFIG names. Example: LB_CONFIG=config.json puffinlink"`
 	Check    checkCommand    `command:"check" description:"Check an operator's file. Example: puffinlink check deploy/operator.json5"`
@@ -33,7 +33,7 @@
 // defaultCommand is what an empty command line means.
 const defaultCommand = "serve"
 
-// runAggregatorCommand runs one of the mixer's commands and tells its exit code.
+// runAggregatorCommand runs one of the aggregator's commands and tells its exit code.
 func runAggregatorCommand(args []string) int {
 	if len(args) == 0 {
 		args = []string{defaultCommand}
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// newAggregatorParser makes a parser of the mixer's commands. The help of each one ends with its example.
+// newAggregatorParser makes a parser of the aggregator's commands. The help of each one ends with its example.
 func newAggregatorParser() *flags.Parser {
 	parser := flags.NewNamedParser("puffinlink", flags.HelpFlag|flags.PassDoubleDash|flags.AllowBoolValues)
 	parser.LongDescription = aggregatorDescription
--- a/cmd/puffinlink/coordinator.go
+++ b/cmd/puffinlink/coordinator.go
@@ -9,7 +9,7 @@
 )
 
 // collectionGrowth is how much a coordinator's memory may grow, in hundredths of what is in use, until it is collected. The
-// stacks and connections of thousands of searchers make each collection dear; the memory limit comes first.
+// stacks and connections of thousands of workers make each collection dear; the memory limit comes first.
 const collectionGrowth = 200
 
 // coordinatorOffset is the coordinator's offset from the first internal port.
--- a/cmd/puffinlink/main.go
+++ b/cmd/puffinlink/main.go
@@ -1,4 +1,4 @@
-// Command puffinlink is a mixer, and what its operators do with it.
+// Command puffinlink runs an aggregator or a process of the cluster scheduler (proxy, agent, coordinator), and has the operators' commands.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	exitUnreachable = 5
 )
 
-// What commands print goes here; a mixer that serves writes its log to standard output itself.
+// What commands print goes here; an aggregator that serves writes its log to standard output itself.
 var stdout, stderr io.Writer = os.Stdout, os.Stderr
 
 func main() { os.Exit(runCommandLine(os.Args[1:])) }
--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -112,8 +112,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// changeDrain sends an order on the searcher's drain on top of the version that is in force, so that a copy of it that arrives late, after a
-// later order, changes nothing. A searcher that no leader lists is ordered without a version.
+// changeDrain sends a command on the worker's drain on top of the version that is in force, so that a copy of it that arrives late, after a
+// later command, changes nothing. For a worker that no leader lists the command has no version.
 func (o *drainOptions) changeDrain(method string, printReport func(report *jobreport.Worker)) error {
 	var list control.Workers
 	if _, err := o.call(operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: o.query()}, &list); err != nil {
--- a/cmd/puffinlink/operations.go
+++ b/cmd/puffinlink/operations.go
@@ -55,7 +55,7 @@
 const operationUsage = "\n\nExit codes: 0 done, 1 failed or not valid, 2 command line not valid, 3 refused, 4 conflict, 5 no node gave a clear answer." +
 	"\n\nExample: puffinlink "
 
-// controlOptions are the flags of all commands that ask a mixer.
+// controlOptions are the flags of all commands that send requests to a node.
 type controlOptions struct {
 	At      []string      `long:"at" value-name:"HOST:PORT" required:"yes" env:"PUFFINLINK_CONTROL" env-delim:"," description:"Control address of a node; repeat the flag to name further nodes, tried in turn."`
 	JSON    bool          `long:"json" description:"Print the node's response as JSON."`
--- a/cmd/puffinlink/operationsoutput.go
+++ b/cmd/puffinlink/operationsoutput.go
@@ -55,7 +55,7 @@
 	printTable(rows)
 }
 
-// replicaRole is the part that the answering mixer has among the replicas.
+// replicaRole is the role of the responding node among the replicas.
 func replicaRole(s *control.Status) string {
 	switch {
 	case s.View.Version > 0 && !slices.Contains(s.View.Members, s.Node.Address):
--- a/cmd/puffinlink/operatorclient.go
+++ b/cmd/puffinlink/operatorclient.go
@@ -14,10 +14,10 @@
 	"puffinlink.example/puffinlink/internal/operators/override"
 )
 
-// answerTimeout is how long a mixer may take for an answer; a command that waits for a disk takes longest.
+// answerTimeout is how long an aggregator may take for an answer; a command that waits for a disk takes longest.
 const answerTimeout = 10 * time.Second
 
-// operatorConnection is where a mixer's listener is, and how to come in.
+// operatorConnection has the flags that address an aggregator's operators' listener and authenticate to it.
 type operatorConnection struct {
 	At        string `long:"at" value-name:"ADDRESS" required:"yes" env:"PUFFINLINK_OPERATORS" description:"Address of the operators' listener: unix:/PATH or HOST:PORT."`
 	TokenFile string `long:"token-file" value-name:"FILE" description:"File that contains the token; the variable PUFFINLINK_TOKEN is the alternative."`
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -66,7 +66,7 @@
 	return input, nil
 }
 
-// peakQueriesPerSecond is the most lookups a second that a capture saw.
+// peakQueriesPerSecond is the most queries per second that a capture saw.
 func peakQueriesPerSecond(c capture.Capture) (most float64) {
 	for i := range c.Intervals {
 		n := 0.0
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -23,7 +23,7 @@
 	heapShare = 0.6
 	// heapGrowthPercent lets the heap grow to so many percent beyond what lives, as what lives is small: fewer collections.
 	heapGrowthPercent = 400
-	// logQueueLines may wait for whoever reads the log: those of all connections that a mixer may have, ending at once.
+	// logQueueLines may wait for whoever reads the log: those of all connections that an aggregator may have, ending at once.
 	logQueueLines = 1024
 )
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// reloadConfiguration reads the config file anew. All of it has to be valid, but only discovery changes under a running mixer.
+// reloadConfiguration reads the config file anew. All of it has to be valid, but only discovery changes under a running aggregator.
 // LB_DISCOVERY stands over the file at the start alone: a new file is meant to change it.
 func reloadConfiguration(n *node.Node) error {
 	c, _, err := node.Read(func(name string) string {
@@ -59,8 +59,8 @@
 	return n.Reload(c)
 }
 
-// startInterruptibly starts a mixer, which may take a while. A signal to stop ends that; one that comes as it is done, and all others, are kept for
-// the mixer that runs.
+// startInterruptibly starts an aggregator, which may take a while. A signal to stop ends that; one that comes as it is done, and all others, are kept for
+// the aggregator that runs.
 func startInterruptibly(signals chan os.Signal, begin func(context.Context) (*node.Node, error)) (n *node.Node, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -106,7 +106,7 @@
 		}
 	}
 	limitRuntime(configuration)
-	// Whoever reads the log must not hold up the mixer: lines that find no room are dropped and counted.
+	// Whoever reads the log must not hold up the aggregator: lines that find no room are dropped and counted.
 	count := counters.New()
 	logWriter := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
 	defer logWriter.Close()
--- a/cmd/puffinlink/whyoutput.go
+++ b/cmd/puffinlink/whyoutput.go
@@ -18,7 +18,7 @@
 	jobreport.ReasonTurn:         "searchers could take it; its turn has not come",
 }
 
-// causeTexts say what rules a searcher out.
+// causeTexts say what rules a worker out.
 var causeTexts = map[jobreport.Cause]string{
 	jobreport.CauseLabel:            "lack the label",
 	jobreport.CauseSize:             "are too small even when empty",
