--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -55,7 +55,7 @@
 	return onFollower(func(ctx context.Context, s *system, m *machine) { s.crashMachine(ctx, m, shortOutage, eraseDisk) })
 }
 
-var freezeLeader = onLeader(func(ctx context.Context, s *system, m *machine) { s.pauseMachine(ctx, m, outageBeyondLease) })
+var pauseLeader = onLeader(func(ctx context.Context, s *system, m *machine) { s.pauseMachine(ctx, m, outageBeyondLease) })
 
 func partitionLeader(bothWays bool) faultFunc {
 	return onLeader(func(ctx context.Context, s *system, m *machine) { s.partitionFor(ctx, m, partitionLength, bothWays) })
@@ -218,10 +218,10 @@
 // defaultScenarios are the scenarios of every run.
 var defaultScenarios = []scenario{
 	{name: "leader-killed", seed: 2, faults: killLeader(false)},
-	{name: "leader-frozen", seed: 3, faults: freezeLeader},
-	{name: "leader-cut", seed: 4, faults: inSequence(partitionLeader(true), killFronts)},
+	{name: "leader-paused", seed: 3, faults: pauseLeader},
+	{name: "leader-partitioned", seed: 4, faults: inSequence(partitionLeader(true), killFronts)},
 	{name: "core-killed", seed: 5, faults: killAllCore},
-	{name: "searchers", seed: 6, faults: workerFaults},
+	{name: "workers", seed: 6, faults: workerFaults},
 	{name: "configuration-and-wiped-disk", seed: 7, faults: inSequence(killFollower(true), changeConfiguration)},
 }
 
@@ -230,16 +230,16 @@
 	{name: "calm", seed: 1},
 	{name: "follower-killed", seed: 11, faults: killFollower(false)},
 	{name: "leader-wiped", seed: 12, faults: killLeader(true)},
-	{name: "leader-cut-one-way", seed: 13, faults: partitionLeader(false)},
+	{name: "leader-partitioned-one-way", seed: 13, faults: partitionLeader(false)},
 	{name: "configuration", seed: 14, faults: changeConfiguration},
 	{name: "configuration-and-killed-leader", seed: 15, faults: inSequence(killLeader(false), changeConfiguration)},
-	{name: "configuration-and-cut-leader", seed: 16, faults: inSequence(partitionLeader(true), changeConfiguration)},
-	{name: "searchers-and-killed-leader", seed: 17, faults: inSequence(killLeader(false), workerFaults)},
-	{name: "searchers-and-frozen-leader", seed: 18, faults: inSequence(freezeLeader, workerFaults)},
+	{name: "configuration-and-partitioned-leader", seed: 16, faults: inSequence(partitionLeader(true), changeConfiguration)},
+	{name: "workers-and-killed-leader", seed: 17, faults: inSequence(killLeader(false), workerFaults)},
+	{name: "workers-and-paused-leader", seed: 18, faults: inSequence(pauseLeader, workerFaults)},
 	{name: "leaders-killed-in-turn", seed: 19, faults: inSequence(killLeader(false), afterRecovery(killLeader(false)), afterRecovery(killLeader(true)))},
-	{name: "rolled", seed: 21, faults: restartInTurn},
+	{name: "rolling-restart", seed: 21, faults: restartInTurn},
 	{name: "slow-core", seed: 22, faults: slowCore},
 	{name: "slow-core-and-killed-leader", seed: 23, faults: inSequence(slowCore, killLeader(false))},
-	{name: "drained-long", seed: 24, faults: drainWithoutLeaving},
-	{name: "final", seed: 20, faults: killCoreAfterChange},
+	{name: "drained-without-leaving", seed: 24, faults: drainWithoutLeaving},
+	{name: "core-killed-after-change", seed: 20, faults: killCoreAfterChange},
 }
