--- a/internal/operators/override/decide.go
+++ b/internal/operators/override/decide.go
@@ -24,8 +24,8 @@
 	return hash.Sum64()
 }
 
-// Decide tells what a command would change, without changing anything. Its error is a *Refusal. A command that has
-// acted already gives the change that it made, and again is true.
+// Decide returns what a command would change, without changing anything. Its error is a *Refusal. A command that has
+// acted already gives the change that it made, and repeated is true.
 func (t *Table) Decide(now float64, c *Command) (change Change, repeated bool, err error) {
 	sum := digest(c)
 	if previous, known := t.keys[c.Key]; known && c.Key != "" {
--- a/internal/operators/override/ends.go
+++ b/internal/operators/override/ends.go
@@ -12,7 +12,7 @@
 	return c
 }
 
-// Due ends what has come to its end, and tells it, to be kept.
+// Due ends the overrides whose end has come, and returns the changes, to be stored.
 func (t *Table) Due(now float64) (ended []Change) {
 	for len(t.ends) > 0 && (t.ends[0].End <= now || t.live[t.ends[0].ID] != t.ends[0]) {
 		o := t.ends[0]
--- a/internal/operators/override/table.go
+++ b/internal/operators/override/table.go
@@ -30,7 +30,7 @@
 	current, desired float64
 }
 
-// share is a backend's level of an index, and what the module was last told of it.
+// share is a backend's level of an index, and the level of which the module was last notified.
 type share struct {
 	level
 	notified float64
@@ -102,8 +102,8 @@
 // Revision is that of the last change.
 func (t *Table) Revision() Revision { return t.revision }
 
-// Restore takes what was kept before a restart: the revision then, and what held. What has ended meanwhile is left
-// out, and told as changes to be kept. It comes before the first list.
+// Restore takes what was stored before a restart: the revision then, and the live overrides. What has ended meanwhile is left
+// out, and returned as changes to be stored. It comes before the first list.
 func (t *Table) Restore(now float64, revision Revision, live []Override, keys []Change) (ended []Change) {
 	t.revision = revision
 	for _, c := range keys {
@@ -129,11 +129,11 @@
 	}
 }
 
-// Reserve sets the revision of a decided change aside while it is being kept: whatever ends meanwhile gets a later one,
-// and any other command is made for another revision. One that can't be kept leaves a gap.
+// Reserve sets the revision of a decided change aside while it is being stored: whatever ends meanwhile gets a later one,
+// and any other command is made for another revision. One that can't be stored leaves a gap.
 func (t *Table) Reserve(c Change) { t.revision = max(t.revision, c.Revision) }
 
-// Apply takes a change that was decided by this table and kept since.
+// Apply takes a change that was decided by this table and stored since.
 func (t *Table) Apply(c Change) {
 	t.revision = max(t.revision, c.Revision)
 	t.remember(c)
