--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -236,7 +236,7 @@
 	return now >= rec.from+rec.span
 }
 
-// Cut ends the interval in hand.
+// EndInterval ends the current interval and returns it.
 func (rec *Recorder) EndInterval(now float64) Interval {
 	span := max(now-rec.from, 1e-3)
 	interval := Interval{At: rec.from, Span: span, Aggregators: []string{rec.aggregator}, InFlight: rec.queriesInFlight.endInterval(now, span), CallsInFlight: rec.callsInFlight.endInterval(now, span)}
--- a/internal/operators/capture/merge.go
+++ b/internal/operators/capture/merge.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// Cut keeps what begins from a time on and before another, Unix seconds.
+// Between keeps what begins from a time on and before another, both in Unix seconds.
 func (c Capture) Between(from, to float64) (out Capture, err error) {
 	for _, i := range c.Intervals {
 		if i.At >= from && i.At < to {
