--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -201,7 +201,7 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts["order "+string(kind)]++
+	c.counts["command "+string(kind)]++
 	name := termKey{member, token}
 	if term := c.terms[name]; term == nil || !term.Valid() {
 		c.lateCommands = append(c.lateCommands, lateCommand{name, kind, time.Now()})
--- a/internal/systemtest/lossyrelay_test.go
+++ b/internal/systemtest/lossyrelay_test.go
@@ -42,7 +42,7 @@
 func (a delivery) key() commandKey { return commandKey{a.method, a.path, a.ifMatch, a.body} }
 
 func (a delivery) String() string {
-	return fmt.Sprintf("%s %s on %q at %s (copy: %v, swallowed: %v) got %d %s after %v",
+	return fmt.Sprintf("%s %s on %q at %s (duplicate: %v, reply dropped: %v) got %d %s after %v",
 		a.method, a.path, a.ifMatch, a.machine, a.duplicate, a.replyDropped, a.status, a.answer, a.answeredAt.Sub(a.sentAt).Round(time.Millisecond))
 }
 
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -79,7 +79,7 @@
 	for _, call := range c.subqueries {
 		for _, k := range c.contracts {
 			if call.tenant == k.tenant && call.at.After(k.from) && (k.until.IsZero() || call.at.Before(k.until)) && !slices.Contains(k.zones, call.zone) {
-				wrong = append(wrong, fmt.Sprintf("%s: a part call began at %s in %s, %s after the contract held that allows %q", call.tenant, call.backend, call.zone,
+				wrong = append(wrong, fmt.Sprintf("%s: a subquery began at %s in %s, %s after the contract held that allows %q", call.tenant, call.backend, call.zone,
 					call.at.Sub(k.from).Round(time.Millisecond), k.zones))
 			}
 		}
@@ -130,7 +130,7 @@
 			}
 			n++
 			if excess := n - perS*l.ended.Sub(from).Seconds() - burst; excess > over {
-				over, window = excess, fmt.Sprintf("%g lookups in %s, %s after the first", n, l.ended.Sub(from).Round(time.Millisecond), from.Sub(first).Round(time.Millisecond))
+				over, window = excess, fmt.Sprintf("%g queries in %s, %s after the first", n, l.ended.Sub(from).Round(time.Millisecond), from.Sub(first).Round(time.Millisecond))
 			}
 		}
 	}
