--- a/internal/operators/override/decide.go
+++ b/internal/operators/override/decide.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"hash/fnv"
 	"math"
-
-	"puffinlink.example/puffinlink/policy"
 )
 
 // longestText bounds author and reason: a line of a log.
@@ -26,8 +24,8 @@
 	return hash.Sum64()
 }
 
-// Decide tells what a command would change, without changing anything. Its error is a *Refusal. A command that has
-// acted already gives the change that it made, and again is true.
+// Decide returns what a command would change, without changing anything. Its error is a *Refusal. A command that has
+// acted already gives the change that it made, and repeated is true.
 func (t *Table) Decide(now float64, c *Command) (change Change, repeated bool, err error) {
 	sum := digest(c)
 	if previous, known := t.keys[c.Key]; known && c.Key != "" {
@@ -145,113 +143,3 @@
 	}
 	return list
 }
-
-// capacity checks what an out or a weight leaves of the shards and locations that it concerns.
-func (t *Table) capacity(o *Override) (list []*Refusal) {
-	concerned := map[string]*member{}
-	if o.Backend != "" {
-		concerned[o.Backend] = t.members[o.Backend]
-	} else {
-		for name, m := range t.locations[o.Location].members {
-			concerned[name] = m
-		}
-	}
-	starts, places := map[policy.ShardID]bool{}, map[string]bool{}
-	for _, m := range concerned {
-		places[m.Location] = true
-		for j := range min(t.limits.Width, t.limits.Cells) { // shards that begin at these cells
-			starts[policy.ShardID(((int(m.Cell)-j)%t.limits.Cells+t.limits.Cells)%t.limits.Cells)] = true
-		}
-	}
-	worst := map[Code]struct {
-		gone float64
-		text string
-	}{}
-	for k := range t.limits.Indexes {
-		k := policy.IndexID(k)
-		if !t.covers(o, k) {
-			continue
-		}
-		var sum tally
-		add := func(m *member) {
-			if m.Phase == policy.Ready {
-				before, _ := t.target(m, k, nil)
-				after := before
-				if concerned[m.Name] != nil {
-					after, _ = t.target(m, k, o)
-				}
-				sum.add(size(m), before, after)
-			}
-		}
-		over := func(code Code, most float64, what string, id any) {
-			if gone := sum.lostShare(); sum.worse && gone > most+1e-9 && gone > worst[code].gone {
-				worst[code] = struct {
-					gone float64
-					text string
-				}{gone, fmt.Sprintf("%.0f%% of %s %v for index %q would be gone by overrides, at most %.0f%% may be", 100*gone, what, id, t.limits.Indexes[k], 100*most)}
-			}
-		}
-		for s := range starts {
-			if int(s) >= t.limits.Shards { // no shard begins there
-				continue
-			}
-			sum = tally{}
-			t.forEachReplica(s, add)
-			if sum.servingBefore > 0 && sum.servingAfter == 0 {
-				worst[LastReplica] = struct {
-					gone float64
-					text string
-				}{1, fmt.Sprintf("nobody who serves would be left for shard %d of index %q", s, t.limits.Indexes[k])}
-			}
-			over(ShardCapacity, t.limits.MaxShardLoss, "shard", s)
-		}
-		for name := range places {
-			sum = tally{}
-			for _, m := range t.locations[name].members {
-				add(m)
-			}
-			over(LocationCapacity, t.limits.MaxLocationLoss, "location", name)
-		}
-	}
-	for _, code := range []Code{LastReplica, ShardCapacity, LocationCapacity} {
-		if w, is := worst[code]; is {
-			list = append(list, &Refusal{code, w.text})
-		}
-	}
-	return list
-}
-
-// tally sums the capacity of some backends that serve.
-type tally struct {
-	all, retained               float64
-	servingBefore, servingAfter int // backends that take anything before, and after
-	worse                       bool
-}
-
-func (t *tally) add(size, before, after float64) {
-	t.all += size
-	t.retained += size * after
-	t.worse = t.worse || after < before
-	if before > 0 {
-		t.servingBefore++
-	}
-	if after > 0 {
-		t.servingAfter++
-	}
-}
-
-// lostShare is the share that overrides take.
-func (t *tally) lostShare() float64 {
-	if t.all == 0 {
-		return 0
-	}
-	return 1 - t.retained/t.all
-}
-
-// size is a backend's capacity against others'.
-func size(m *member) float64 {
-	if m.Share > 0 {
-		return m.Share
-	}
-	return 1
-}
