--- /dev/null
+++ b/internal/tools/layout/imports_test.go
@@ -0,0 +1,137 @@
+package layout
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"os/exec"
+	"strings"
+	"testing"
+)
+
+const (
+	root   = "../../.."
+	module = "puffinlink.example/puffinlink/"
+)
+
+// listedPackage is what go list tells of a package, with paths relative to the module.
+type listedPackage struct {
+	ImportPath string
+	Imports    []string // of its files but tests
+}
+
+// listPackages returns all packages of the module with those packages of it that they import.
+func listPackages(t *testing.T) []listedPackage {
+	t.Helper()
+	command := exec.CommandContext(t.Context(), "go", "list", "-json=ImportPath,Imports", "./...")
+	command.Dir = root
+	output, err := command.Output()
+	if err != nil {
+		t.Fatalf("list the packages: %v", err)
+	}
+	var packages []listedPackage
+	for decoder := json.NewDecoder(bytes.NewReader(output)); ; {
+		var one listedPackage
+		if err := decoder.Decode(&one); errors.Is(err, io.EOF) {
+			return packages
+		} else if err != nil {
+			t.Fatalf("decode what go list prints: %v", err)
+		}
+		one.ImportPath = strings.TrimPrefix(one.ImportPath, module)
+		var own []string
+		for _, imported := range one.Imports {
+			if path, found := strings.CutPrefix(imported, module); found {
+				own = append(own, path)
+			}
+		}
+		one.Imports = own
+		packages = append(packages, one)
+	}
+}
+
+// isWithin reports whether a path is one of the folders or below one of them.
+func isWithin(path string, folders ...string) bool {
+	for _, folder := range folders {
+		if path == folder || strings.HasPrefix(path, folder+"/") {
+			return true
+		}
+	}
+	return false
+}
+
+// The packages of the cluster scheduler and of the aggregator, the two products in one binary.
+func isScheduler(path string) bool {
+	return isWithin(path, "internal/jobs", "internal/dataplane/proxy", "internal/dataplane/agent", "internal/nodesettings", "internal/transport",
+		"internal/rpcerror", "internal/metrics", "internal/operatorclient") ||
+		isWithin(path, "internal/controlplane") && !isWithin(path, "internal/controlplane/fleet")
+}
+
+func isAggregator(path string) bool {
+	return isWithin(path, "policy", "internal/controlplane/fleet", "internal/operators", "internal/aggregatorstore", "internal/counters", "internal/eventqueue") ||
+		isWithin(path, "internal/dataplane") && !isScheduler(path)
+}
+
+// isForTests reports whether only tests may import a package.
+func isForTests(path string) bool {
+	return strings.HasSuffix(path, "test") || isWithin(path, "internal/virtualtime", "internal/raceflag", "internal/systemtest")
+}
+
+// isTool reports whether a package is no part of a running process of the product.
+func isTool(path string) bool { return isWithin(path, "cmd", "internal/tools", "internal/fakes") }
+
+// importRules are the rules of docs/architecture.md; each returns true for an import that breaks it.
+var importRules = []struct {
+	name   string
+	broken func(importer, imported string) bool
+}{
+	{"the decision module imports nothing of the module", func(importer, _ string) bool { return isWithin(importer, "policy") }},
+	{"the scheduler does not import the aggregator", func(importer, imported string) bool { return isScheduler(importer) && isAggregator(imported) }},
+	{"the aggregator does not import the scheduler", func(importer, imported string) bool { return isAggregator(importer) && isScheduler(imported) }},
+	{"only tests import what is for tests", func(importer, imported string) bool { return isForTests(imported) && !isForTests(importer) }},
+	{"only tools import tools and fakes", func(importer, imported string) bool { return isTool(imported) && !isTool(importer) }},
+	{"only commands and tools import assembled processes", func(importer, imported string) bool {
+		return isWithin(imported, "internal/controlplane/coordinator", "internal/dataplane/node") && !isTool(importer)
+	}},
+	{"proxies and agents import nothing that writes control state", func(importer, imported string) bool {
+		return isWithin(importer, "internal/dataplane/proxy", "internal/dataplane/agent") &&
+			isWithin(imported, "internal/controlplane/register", "internal/controlplane/replication", "internal/controlplane/replicaset", "internal/controlplane/storage")
+	}},
+}
+
+func TestImportRules(t *testing.T) {
+	packages := listPackages(t)
+	if len(packages) < 50 {
+		t.Fatalf("only %d packages are listed", len(packages))
+	}
+	for _, one := range packages {
+		for _, imported := range one.Imports {
+			for _, rule := range importRules {
+				if rule.broken(one.ImportPath, imported) {
+					t.Errorf("%s: %s imports %s", rule.name, one.ImportPath, imported)
+				}
+			}
+		}
+	}
+}
+
+// Each rule finds an import that breaks it.
+func TestImportRulesFindViolations(t *testing.T) {
+	violations := map[string][2]string{
+		"the decision module imports nothing of the module":           {"policy", "internal/random"},
+		"the scheduler does not import the aggregator":                {"internal/jobs/manager", "internal/counters"},
+		"the aggregator does not import the scheduler":                {"internal/dataplane/backends", "internal/transport"},
+		"only tests import what is for tests":                         {"internal/jobs/manager", "internal/leaktest"},
+		"only tools import tools and fakes":                           {"internal/jobs/manager", "internal/fakes/cluster"},
+		"only commands and tools import assembled processes":          {"internal/operators/api", "internal/dataplane/node"},
+		"proxies and agents import nothing that writes control state": {"internal/dataplane/proxy", "internal/controlplane/register"},
+	}
+	for _, rule := range importRules {
+		violation, found := violations[rule.name]
+		if !found {
+			t.Errorf("%s: no import that breaks it is known", rule.name)
+		} else if !rule.broken(violation[0], violation[1]) {
+			t.Errorf("%s: not broken by %s importing %s", rule.name, violation[0], violation[1])
+		}
+	}
+}
--- /dev/null
+++ b/internal/tools/layout/pages_test.go
@@ -0,0 +1,119 @@
+package layout
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+var (
+	codeSpan   = regexp.MustCompile("`([^`\n]+)`")
+	namedPath  = regexp.MustCompile(`^(\./)?(internal|cmd|docs|policy|deploy|scripts|tools)(/[\w.-]+)+/?$`)
+	namedFile  = regexp.MustCompile(`^([\w-]+/)*[\w-]+\.go$`)
+	pageLink   = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
+	historical = []string{"docs/results.md", "docs/further-account.md", "CHANGELOG.md"} // they name what was there then
+)
+
+// pages returns the paths of the pages that speak of the present tree.
+func pages(t *testing.T) []string {
+	t.Helper()
+	found, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ofOperators, err := filepath.Glob(filepath.Join(root, "docs", "operators", "*.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	found = append(append(found, ofOperators...), filepath.Join(root, "README.md"))
+	var present []string
+	for _, path := range found {
+		relative, err := filepath.Rel(root, path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !isWithin(relative, historical...) {
+			present = append(present, path)
+		}
+	}
+	return present
+}
+
+// goFiles returns the paths of all Go files, each with a leading slash.
+func goFiles(t *testing.T) []string {
+	t.Helper()
+	var files []string
+	for _, folder := range []string{"internal", "cmd", "policy"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ os.DirEntry, err error) error {
+			if err == nil && strings.HasSuffix(path, ".go") {
+				files = append(files, filepath.ToSlash(path))
+			}
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return files
+}
+
+// TestPagesNamePresentPaths holds the paths and Go files that pages name in code spans to the tree. A file may be named by the
+// end of its path.
+func TestPagesNamePresentPaths(t *testing.T) {
+	files := goFiles(t)
+	checked := 0
+	for _, page := range pages(t) {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+			name := span[1]
+			switch {
+			case namedPath.MatchString(name):
+				checked++
+				if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+					t.Errorf("%s names %s: %v", page, name, err)
+				}
+			case namedFile.MatchString(name):
+				checked++
+				if !hasSuffix(files, "/"+name) {
+					t.Errorf("%s names %s, which is no file of the tree", page, name)
+				}
+			}
+		}
+	}
+	if checked < 200 {
+		t.Errorf("only %d paths were found in the pages", checked)
+	}
+}
+
+func hasSuffix(files []string, suffix string) bool {
+	for _, file := range files {
+		if strings.HasSuffix(file, suffix) {
+			return true
+		}
+	}
+	return false
+}
+
+// TestPageLinks holds the links between pages to the tree.
+func TestPageLinks(t *testing.T) {
+	for _, page := range pages(t) {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, link := range pageLink.FindAllStringSubmatch(string(text), -1) {
+			target := link[1]
+			if strings.Contains(target, "://") {
+				continue
+			}
+			if _, err := os.Stat(filepath.Join(filepath.Dir(page), target)); err != nil {
+				t.Errorf("%s links to %s: %v", page, target, err)
+			}
+		}
+	}
+}
