--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
 )
 
-// assemble makes the parts in the order in which each one needs those before it.
+// assemble makes the components in the order in which each one needs those before it.
 func (c *Coordinator) assemble() error {
 	self := c.settings.InternalAddress(0)
 	if err := c.assembleReplicaSet(self); err != nil {
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -64,7 +64,7 @@
 	mux          *transport.Mux
 }
 
-// New opens the store and makes the parts of a coordinator. Nothing is served until Run.
+// New opens the store and makes the components of a coordinator. Nothing is served until Run.
 func New(settings nodesettings.Settings, log *zap.Logger) (*Coordinator, error) {
 	if settings.DataDirectory == "" {
 		return nil, errNoDisk
--- a/internal/controlplane/coordinator/diskfull.go
+++ b/internal/controlplane/coordinator/diskfull.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// retryWhileWritesRejected restarts a part as long as it ends because the store rejected a write.
+// retryWhileWritesRejected restarts a component as long as it ends because the store rejected a write.
 func retryWhileWritesRejected(ctx context.Context, part func() error) error {
 	for {
 		err := part()
--- a/internal/controlplane/coordinator/run.go
+++ b/internal/controlplane/coordinator/run.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// Run serves until the context ends or a part fails, such as the store. When the context ends it first hands over, within the
+// Run serves until the context ends or a component fails, such as the store. When the context ends it first hands over, within the
 // grace period of the settings, and then shuts down. It closes the listeners. The error is nil after a stop by the context.
 func (c *Coordinator) Run(ctx context.Context, listeners Listeners) error {
 	if c.settings.Commands != commandsByInvocation {
--- a/internal/controlplane/coordinator/shutdown.go
+++ b/internal/controlplane/coordinator/shutdown.go
@@ -11,12 +11,12 @@
 // Times of a shutdown.
 const (
 	shutdownTimeout    = 2 * time.Second        // for operators' requests in flight
-	finalRepliesTime   = 300 * time.Millisecond // in which callers are still told that this node has given up its leaderships
+	finalRepliesTime   = 300 * time.Millisecond // in which callers still get the answer that this node has given up its leaderships
 	shutdownReserve    = 3 * time.Second        // of the grace period, for what follows the hand-over
 	minHandOverDivisor = 4                      // of a grace period that is too short for shutdownReserve, this part is for the hand-over
 )
 
-// waitForStop waits for a requested stop, which is no error, or a failure of the store or another part.
+// waitForStop waits for a requested stop, which is no error, or a failure of the store or another component.
 func (c *Coordinator) waitForStop(ctx context.Context, failures <-chan error) error {
 	select {
 	case <-ctx.Done():
--- a/internal/controlplane/register/decision.go
+++ b/internal/controlplane/register/decision.go
@@ -31,7 +31,7 @@
 	refusal    error  // the error of the function, as a functionError
 }
 
-// afterPrepare decides what to commit after a prepare round, and whether that is settled already: then it rests on a
+// afterPrepare decides what to commit after a prepare round, and whether that is committed already: then it rests on a
 // committed state, and none of this change's proposals is open.
 func (p *proposer) afterPrepare(preparing *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
 	latest, committed := p.register.committed(preparing)
--- a/internal/controlplane/replicaset/joining.go
+++ b/internal/controlplane/replicaset/joining.go
@@ -11,7 +11,7 @@
 	announcementTimeout = time.Second            // after which a joining member that announces itself no more is forgotten
 )
 
-// joining is a core node that is no member and announces itself.
+// joiningMember is a core node that is no member and announces itself.
 type joiningMember struct {
 	address        string
 	zone           string
--- a/internal/controlplane/replicaset/replacement.go
+++ b/internal/controlplane/replicaset/replacement.go
@@ -56,7 +56,7 @@
 }
 
 // replacementCandidates returns the view, its members that may be replaced, and the joining members that may enter.
-// sinceContactBy is by address; a member without contact counts from when it entered the view.
+// sinceContactBy is by address; a member that has sent no message counts from when it entered the view.
 func (m *Manager) replacementCandidates(
 	now time.Time, connectedFor time.Duration, sinceContactBy map[string]time.Duration,
 ) (current View, replaceable []replaceableMember, joining []joiningMember) {
--- a/internal/controlplane/replication/liveness.go
+++ b/internal/controlplane/replication/liveness.go
@@ -6,7 +6,7 @@
 type Liveness struct {
 	Address      string
 	Alive        bool          // it sent a ping within Timing.LivenessTimeout
-	Ready        bool          // it may vote, as it last said
+	Ready        bool          // it may vote, by its newest answer
 	Contacted    bool          // it has sent a ping since this node started
 	SinceContact time.Duration // since its newest ping arrived; meaningless unless Contacted
 }
--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -26,7 +26,7 @@
 // Agent follows the feed. Its methods may be called from any goroutine.
 type Agent struct {
 	config  Config
-	board   *feed.SnapshotStore
+	board   *feed.SnapshotStore // what is in force here, and what peers and the proxy get
 	contact *contact
 	peers   *peers
 	// download gathers a configuration that is newer than the board's.
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -26,7 +26,7 @@
 )
 
 // download gathers a newer configuration by chunks, from those who have offered it. Chunks stay when a call ends, when a
-// source falls silent, and when a newer configuration takes the place of the one on its way.
+// source answers no more, and when a newer configuration takes the place of the one on its way.
 type download struct {
 	mutex      sync.Mutex
 	version    uint64 // on its way; 0 for none
@@ -35,7 +35,7 @@
 	pending    time.Time // since when a configuration is known that is newer than the one in force; zero for none
 	sources    []string  // who have it, to be asked in this order
 	requested  []string  // sources that are not asked again
-	bytes      int       // room of the next call
+	bytes      int       // how many bytes of chunks the next call may bring
 	wake       wakeup.Signal
 }
 
@@ -48,7 +48,7 @@
 	return d.bytes
 }
 
-// claimed returns the version that is on its way, or 0.
+// inProgress returns the version that is on its way, or 0.
 func (d *download) inProgress() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -192,7 +192,7 @@
 	d.requested = append(d.requested, call.source)
 }
 
-// measured adapts the room of a call to what the link carries beside the clients' requests.
+// measured adapts the size of a call to what the link carries beside the clients' requests.
 func (d *download) measured(elapsed time.Duration) {
 	switch {
 	case elapsed < quickCall:
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -14,7 +14,7 @@
 	// exchangeInterval is the pause between exchanges with other agents without contact to a coordinator, or while it is
 	// open whether a peer is gone.
 	exchangeInterval = 500 * time.Millisecond
-	// calmExchangeInterval is the pause otherwise. An agent that is cut off asks by itself, so that it waits for nobody.
+	// calmExchangeInterval is the pause otherwise. An agent that is partitioned off makes its own requests, so that it waits for nobody.
 	calmExchangeInterval = 1500 * time.Millisecond
 	// exchangeTimeout bounds one call.
 	exchangeTimeout = 450 * time.Millisecond
@@ -53,7 +53,7 @@
 	return exchangeInterval
 }
 
-// exchange asks a peer for what this agent lacks, and then tells it what it lacks itself.
+// exchange requests from a peer what this agent lacks, and then sends the peer what that one lacks.
 func (a *Agent) exchange(ctx context.Context, peer string) error {
 	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -79,7 +79,7 @@
 	return a.received(a.updateFor(request)), nil
 }
 
-// received is what this agent sends a peer.
+// received is the message that this agent sends a peer, as the receiver gets it; update is nil where the peer lacks nothing.
 func (a *Agent) received(update *feed.Snapshot) feed.Exchange {
 	return feed.Exchange{Known: a.digest(), Snapshot: update, Agent: a.config.Address, MaxBytes: a.download.callBytes()}
 }
@@ -111,7 +111,7 @@
 	return a.board.AsOffer(a.board.NewerThan(known), known, peer.MaxBytes)
 }
 
-// takeFromPeer merges what a peer told. Its members are taken over only if they are newer and the own ones are old.
+// takeFromPeer merges what a peer sent. Its members are taken over only if they are newer and the own ones are old.
 func (a *Agent) takeFromPeer(received feed.Exchange, peer string) error {
 	if received.Snapshot == nil {
 		return nil
--- a/internal/dataplane/agent/fetch.go
+++ b/internal/dataplane/agent/fetch.go
@@ -17,7 +17,7 @@
 	maxYield = 250 * time.Millisecond
 )
 
-// claimed names what this agent knows, with the configuration that is on its way in the place of the one in force, so that
+// knownOrInProgress names what this agent knows, with the configuration that is on its way in the place of the one in force, so that
 // nobody sends it again.
 func (a *Agent) knownOrInProgress() feed.Digest {
 	digest := a.board.Digest()
@@ -36,7 +36,7 @@
 	return true, a.finishDownload()
 }
 
-// finishDownload puts a configuration in force that has come whole.
+// finishDownload puts a configuration in force that has arrived completely.
 func (a *Agent) finishDownload() error {
 	version, body, err := a.download.finished()
 	if err != nil || version == 0 {
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -17,7 +17,7 @@
 	pollWait = 700 * time.Millisecond
 	// answerSlack is how much later than asked an answer may come.
 	answerSlack = 600 * time.Millisecond
-	// returnLimit bounds the look at a preferred coordinator while another one is followed, which waits meanwhile.
+	// returnLimit bounds the call to a preferred coordinator while another one is followed, which waits meanwhile.
 	returnLimit = 400 * time.Millisecond
 	// minBackoff and maxBackoff bound the pause before a coordinator is asked that has failed lately, where all have. The
 	// upper bound is shared by the candidates, so that each is asked about once in that time.
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -17,7 +17,7 @@
 type leaderCall struct {
 	kind    operation
 	group   string
-	route   transport.IdempotentRoute // as an attempt that may have run is followed by others
+	route   transport.IdempotentRoute // as an attempt that may have been executed is followed by others
 	request any
 	allowed time.Duration // by the client and the route
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// attempt sends a call to the leader known now, and returns that leader's epoch.
+// attempt sends a call to the leader known now, and returns that leader's term.
 func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, most time.Duration, reply any) (epoch uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -11,7 +11,7 @@
 	killReserve  = 500 * time.Millisecond // of the grace period, not used at all
 )
 
-// drain serves on after the order to stop: until no connection has been open for a while or the span for new requests
+// drain serves on after the request to stop: until no connection has been open for a while or the span for new requests
 // is over. Then it stops accepting, and ends once the requests under way are answered; those that take too long are
 // given up, so that they still get an answer. A connection counts as busy until its answer was handed to the operating system, which
 // sends it also after the process has ended.
@@ -38,7 +38,7 @@
 }
 
 // waitUntil waits for a condition on the connections, but not beyond a time. The condition may name a time at which
-// it is to be looked at again though no connection has changed.
+// it is to be evaluated again though no connection has changed.
 func waitUntil(tracker *connectionTracker, latest time.Time, condition func(occupancy) (bool, time.Time), now func() time.Time) {
 	for {
 		occupancy := tracker.occupancy()
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -65,7 +65,7 @@
 
 	mutex    sync.Mutex
 	view     *view
-	current  bool                        // as the agent said last
+	current  bool                        // by the agent's newest answer
 	received time.Time                   // the agent was asked then for the newest answer: this process may have been paused since
 	attempts map[*leaderAttempt]struct{} // under way
 }
@@ -176,7 +176,7 @@
 	attempt.cancel(nil)
 }
 
-// awaitNewer waits until the group's leader is newer than the epoch, at most the given time.
+// awaitNewer waits until the group's leader is of a later term than epoch, at most the given time.
 func (f *follower) awaitNewer(ctx context.Context, group string, epoch uint64, most time.Duration) {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
--- a/internal/dataplane/proxy/jobs.go
+++ b/internal/dataplane/proxy/jobs.go
@@ -39,7 +39,7 @@
 
 func outcomeOf(d decision) outcome { return outcome{status: d.status, retryAfter: d.retryAfter} }
 
-// submit hands a job in.
+// submit submits a job to the group of its route's service.
 func (s *jobService) submit(ctx context.Context, r jobRequest, specification job.Specification) outcome {
 	group := feed.GroupOf(r.queue.Service)
 	request := jobapi.Submit{Group: group, ID: r.id, Queue: r.queue, Specification: specification}
@@ -49,7 +49,7 @@
 }
 
 // status reads a job's state. A job may belong to the group of a service that its route had before, so all groups are
-// asked before the job is said not to exist.
+// asked before the answer is that the job does not exist.
 func (s *jobService) status(ctx context.Context, r jobRequest) outcome {
 	if state, found := s.ended.get(r.id); found {
 		return outcome{status: http.StatusOK, state: state}
@@ -101,7 +101,7 @@
 }
 
 // acrossGroups asks the group of the service, and the others if that one does not know the job. The job is gone only if
-// every group says so, also one whose leader is not known yet, and the feed, looked at after that, is current: else there
+// every group says so, also one whose leader is not known yet, and the feed, checked after that, is current: else there
 // may be a group that is not known here.
 func (s *jobService) acrossGroups(service string, request func(group string) outcome) outcome {
 	found := s.mostTelling(service, request)
--- a/internal/dataplane/proxy/pendingcounts.go
+++ b/internal/dataplane/proxy/pendingcounts.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	pendingAttemptLimit = 300 * time.Millisecond // for a leader to tell the number of pending jobs
+	pendingAttemptLimit = 300 * time.Millisecond // for a leader to answer with the number of pending jobs
 	pendingMaxRoutes    = 4096                   // numbers that are remembered
-	pendingAge          = 10 * time.Second       // up to which a number is told without a leader: several elections
+	pendingAge          = 10 * time.Second       // up to which a number is answered without a leader: several elections
 )
 
 // pendingCounts remembers the last known number of pending jobs of routes for a while.
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,7 +1,7 @@
 // Package proxy serves the clients of a front machine: it takes jobs, their states and their cancellations over HTTP,
 // and carries each request to the node that leads the jobs of the route's service. What it knows of routes and leaders
-// comes from the agent on the same machine. A client is told that a request was refused only when no try of it can
-// have run.
+// comes from the agent on the same machine. A client is told that a request was refused only when no attempt of it
+// can have been executed.
 package proxy
 
 import (
@@ -21,7 +21,7 @@
 	AgentAddress   string // the loopback address of the agent on this machine, host:port
 	Caller         transport.Caller
 	BuildRouter    BuildRouter
-	GracePeriod    time.Duration // from the order to stop until the process is killed
+	GracePeriod    time.Duration // from the request to stop until the process is killed
 	MaxConnections int           // of clients
 	MaxBodyBytes   int64         // of all request bodies held at the same time
 	Log            *zap.Logger
@@ -64,7 +64,7 @@
 func (p *Proxy) Ready() bool { return !p.stopping.Load() && p.feed.ready() }
 
 // Serve serves clients on one listener and the platform's question for readiness on the other, until the context ends,
-// which is the order to stop. Then it drains, and returns within the grace period. It closes the listeners.
+// which is the request to stop. Then it drains, and returns within the grace period. It closes the listeners.
 func (p *Proxy) Serve(ctx context.Context, front, readiness net.Listener) {
 	following, stopFollowing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopFollowing()
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -34,9 +34,9 @@
 
 const (
 	answered   result = iota
-	refused           // it did not run, and the callee named no time to come back: no leader, or not the leader
-	overloaded        // it did not run, and the callee named a time to come back
-	unclear           // it may have run
+	refused           // it was not executed, and the callee named no time for a retry: no leader, or not the leader
+	overloaded        // it was not executed, and the callee named a time for a retry
+	unclear           // it may have been executed
 )
 
 // attempt is one attempt's result.
@@ -59,16 +59,16 @@
 	}
 }
 
-// decision is what to do after an attempt: to finish with an answer, or to try once more after a wait.
+// decision is what to do after an attempt: to finish with an answer, or to make another attempt after a wait.
 type decision struct {
 	finished   bool
 	status     int           // of the answer
 	retryAfter time.Duration // of the answer, for statuses 429 and 503
-	wait       time.Duration // before the next attempt; a leader newer than the one tried ends it
+	wait       time.Duration // before the next attempt; a leader newer than that of the last attempt ends it
 }
 
 // retrier decides on the attempts of one request. Times are counted from the request's arrival. Its answer is 429 or 503
-// only when no try can have run.
+// only when no attempt can have been executed.
 type retrier struct {
 	limit        time.Duration // by when the answer is due
 	patience     time.Duration // by when a request that has not run is refused
--- a/internal/jobs/workerclient/commandqueue.go
+++ b/internal/jobs/workerclient/commandqueue.go
@@ -28,7 +28,7 @@
 type queuedStop struct {
 	command StopCommand
 	due     time.Time
-	backoff time.Duration // until the next try, should this one fail
+	backoff time.Duration // until the next attempt to send it, should this one fail
 }
 
 // answeredBefore reports whether no command is queued or under way and all results are older than a time.
--- a/internal/jobs/workerclient/lease.go
+++ b/internal/jobs/workerclient/lease.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// settle records what became of a call with a grant; nil is the grant of a call without one.
+// settle takes the grant of a call that has ended out of those that are open, by what became of the call; nil is the grant of a call without one.
 func (s *leaseState) settle(grant *leaseGrant, validUntil time.Duration, err error, received time.Time) {
 	switch {
 	case grant == nil:
--- a/internal/jobs/workerclient/leasegrants.go
+++ b/internal/jobs/workerclient/leasegrants.go
@@ -45,6 +45,7 @@
 // withdrawn records that the call was never sent, or was certainly not executed.
 func (l *leaseGrants) withdrawn(grant *leaseGrant) { l.settle(grant, time.Time{}) }
 
+// settle ends a grant: from now on only the time by which it has expired counts, the zero time where it never began.
 func (l *leaseGrants) settle(grant *leaseGrant, expiresBy time.Time) {
 	l.open = slices.DeleteFunc(l.open, func(other *leaseGrant) bool { return other == grant })
 	l.settledExpiry = later(l.settledExpiry, expiresBy)
--- a/internal/jobs/workerclient/listentries.go
+++ b/internal/jobs/workerclient/listentries.go
@@ -62,7 +62,7 @@
 	return entryReader{remaining: inner}
 }
 
-// nextCommand cuts off one element; it is empty for null.
+// next cuts off one element; it is empty for null.
 func (r *entryReader) next() []byte {
 	quoted := false
 	end := 0
--- a/internal/jobs/workerclient/permit.go
+++ b/internal/jobs/workerclient/permit.go
@@ -20,7 +20,7 @@
 type permit struct {
 	leaderLeaseValid func() bool
 	state            atomic.Int32
-	conn             net.Conn // of the present try; set before check is called for it
+	conn             net.Conn // of the present attempt; set before check is called for it
 }
 
 // connected records the connection that the call will be sent on. net/http may replace it by another one while nothing was sent.
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -203,7 +203,7 @@
 	}
 	l.mu.Lock()
 	pending := l.pendingRenewal
-	if pending.progress == inTime { // its connection broke, or this process stood still
+	if pending.progress == inTime { // its connection broke, or this process was paused
 		if l.now().Sub(c.sentAt) >= c.overdueAfter {
 			pending.markOverdue()
 		}
--- a/internal/jobs/workerclient/roundtrip.go
+++ b/internal/jobs/workerclient/roundtrip.go
@@ -78,7 +78,7 @@
 }
 
 // startTimeout is the time-out of a start. Where many starts get no response it is what the round trips suggest alone: the sooner a
-// poll looks for one of them, the sooner its task starts anew.
+// poll shows what became of one of them, the sooner its task starts anew.
 func (r *roundTrips) startTimeout() time.Duration {
 	if r.lossRate > toleratedLossRate {
 		return r.clamp(r.margin(), 0, maxCommandTimeout)
