--- a/internal/fakes/cluster/operator.go
+++ b/internal/fakes/cluster/operator.go
@@ -31,6 +31,7 @@
 // StatusError is the status of an answer that holds no configuration.
 type StatusError int
 
+// Error returns what is wrong, for a person.
 func (e StatusError) Error() string { return fmt.Sprintf("configuration: status %d", int(e)) }
 
 // Put sends a configuration once to every address in turn until one gives a clear answer, whose status is returned.
--- a/internal/fakes/cluster/worker.go
+++ b/internal/fakes/cluster/worker.go
@@ -106,6 +106,7 @@
 	Task    job.TaskID
 }
 
+// Error returns what is wrong, for a person.
 func (e NotRunningError) Error() string {
 	return fmt.Sprintf("searcher %s runs no task %v", e.Backend, e.Task)
 }
--- a/internal/operators/api/client.go
+++ b/internal/operators/api/client.go
@@ -40,6 +40,7 @@
 	Failure
 }
 
+// Error returns what is wrong, for a person.
 func (e *Error) Error() string { return e.Code + ": " + e.Text }
 
 func (c *Client) do(ctx context.Context, method, path string, body io.Reader) (*http.Response, error) {
--- a/internal/operators/api/errors.go
+++ b/internal/operators/api/errors.go
@@ -11,6 +11,7 @@
 // ValidationError says what is wrong with a command or a token, and what was expected.
 type ValidationError string
 
+// Error returns what is wrong, for a person.
 func (e ValidationError) Error() string { return string(e) }
 
 func invalid(format string, arguments ...any) error {
--- a/internal/operators/capture/block.go
+++ b/internal/operators/capture/block.go
@@ -30,6 +30,7 @@
 	Why    string
 }
 
+// Error returns what is wrong, for a person.
 func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("cut off or spoilt after %d intervals, at byte %d: %s", e.Blocks, e.At, e.Why)
 }
--- a/internal/operators/capture/errors.go
+++ b/internal/operators/capture/errors.go
@@ -11,6 +11,7 @@
 // ValidationError says what is wrong with a capture or with what one is to be made of, and what was expected.
 type ValidationError string
 
+// Error returns what is wrong, for a person.
 func (e ValidationError) Error() string { return string(e) }
 
 func invalid(format string, arguments ...any) error {
