--- a/internal/controlplane/register/state.go
+++ b/internal/controlplane/register/state.go
@@ -26,7 +26,7 @@
 
 // contains tells whether the proposal is among those that made the state, and whether its history reaches back to the
 // proposal's position in the sequence (cached): without that nobody can tell whether it is contained.
-func (s state) contains(proposal ProposalNumber, sequence uint64) (contained, cached bool) {
+func (s state) contains(proposal ProposalNumber, sequence uint64) (contained, inHistory bool) {
 	if slices.Contains(s.History, proposal) {
 		return true, true
 	}
--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -25,10 +25,10 @@
 
 // Agent follows the feed. Its methods may be called from any goroutine.
 type Agent struct {
-	config  Config
-	board   *feed.SnapshotStore // what is in force here, and what peers and the proxy get
-	contact *contact
-	peers   *peers
+	config    Config
+	snapshots *feed.SnapshotStore // what is in force here, and what peers and the proxy get
+	contact   *contact
+	peers     *peers
 	// download gathers a configuration that is newer than the board's.
 	download *download
 
@@ -41,11 +41,11 @@
 // New makes an Agent that knows nothing yet.
 func New(config Config) *Agent {
 	return &Agent{
-		config:  config,
-		board:   feed.NewSnapshotStore(),
-		contact: newContact(),
-		peers:   newPeers(config.Address),
-		seeds:   config.Seeds,
+		config:    config,
+		snapshots: feed.NewSnapshotStore(),
+		contact:   newContact(),
+		peers:     newPeers(config.Address),
+		seeds:     config.Seeds,
 
 		download: newDownload(),
 	}
@@ -69,7 +69,7 @@
 }
 
 // Snapshot returns what the agent knows. The caller must not modify it.
-func (a *Agent) Snapshot() feed.Snapshot { return a.board.Snapshot() }
+func (a *Agent) Snapshot() feed.Snapshot { return a.snapshots.Snapshot() }
 
 // InContact tells whether a coordinator has lately confirmed that the agent is up to date.
 func (a *Agent) InContact() bool { return a.contact.remaining(time.Now()) > 0 }
@@ -78,7 +78,7 @@
 func (a *Agent) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.ExchangeCall, a.handleExchange)
 	transport.Handle(mux, feed.ChunksCall, func(_ context.Context, request feed.ChunksRequest) (feed.ChunksReply, error) {
-		return a.board.Chunks(request), nil
+		return a.snapshots.Chunks(request), nil
 	})
 }
 
@@ -87,7 +87,7 @@
 
 // candidates lists the coordinators to follow: those that the feed names, and then the seeds.
 func (a *Agent) candidates() []string {
-	members := rank(a.config.Address, a.board.Snapshot().Core)
+	members := rank(a.config.Address, a.snapshots.Snapshot().Core)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return appendMissing(members, rank(a.config.Address, a.seeds))
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -31,7 +31,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		a.peers.setFront(a.board.Snapshot().Agents)
+		a.peers.setFront(a.snapshots.Snapshot().Agents)
 		if peer := a.peers.choose(); peer != "" {
 			err := a.exchange(ctx, peer)
 			if ctx.Err() != nil {
@@ -57,7 +57,7 @@
 func (a *Agent) exchange(ctx context.Context, peer string) error {
 	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.received(nil))
+	reply, err := feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.exchangeMessage(nil))
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	if update == nil {
 		return nil
 	}
-	_, err = feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.received(update))
+	_, err = feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.exchangeMessage(update))
 	return err
 }
 
@@ -76,11 +76,11 @@
 	if err := a.takeFromPeer(request, request.Agent); err != nil {
 		return feed.Exchange{}, err
 	}
-	return a.received(a.updateFor(request)), nil
+	return a.exchangeMessage(a.updateFor(request)), nil
 }
 
-// received is the message that this agent sends a peer, as the receiver gets it; update is nil where the peer lacks nothing.
-func (a *Agent) received(update *feed.Snapshot) feed.Exchange {
+// exchangeMessage is the message that this agent sends a peer, as the receiver gets it; update is nil where the peer lacks nothing.
+func (a *Agent) exchangeMessage(update *feed.Snapshot) feed.Exchange {
 	return feed.Exchange{Known: a.digest(), Snapshot: update, Agent: a.config.Address, MaxBytes: a.download.callBytes()}
 }
 
@@ -105,10 +105,10 @@
 	known := peer.Known
 	theirs := time.Duration(known.MembersAgeMS) * time.Millisecond
 	if theirs > oldMembers && a.membersAge(time.Now()) < theirs {
-		update, _ := a.board.UpdateSince(known)
-		return a.board.AsOffer(update, known, peer.MaxBytes)
+		update, _ := a.snapshots.UpdateSince(known)
+		return a.snapshots.AsOffer(update, known, peer.MaxBytes)
 	}
-	return a.board.AsOffer(a.board.NewerThan(known), known, peer.MaxBytes)
+	return a.snapshots.AsOffer(a.snapshots.NewerThan(known), known, peer.MaxBytes)
 }
 
 // takeFromPeer merges what a peer sent. Its members are taken over only if they are newer and the own ones are old.
@@ -123,10 +123,10 @@
 	theirs := max(0, time.Duration(received.Known.MembersAgeMS)*time.Millisecond)
 	mine := a.membersAge(now)
 	if mine <= oldMembers || theirs >= mine || len(received.Snapshot.Core) == 0 {
-		a.board.Merge(received.Snapshot)
+		a.snapshots.Merge(received.Snapshot)
 		return nil
 	}
-	a.board.MergeWithMembers(received.Snapshot)
+	a.snapshots.MergeWithMembers(received.Snapshot)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.membersConfirmed = now.Add(-theirs)
--- a/internal/dataplane/agent/fetch.go
+++ b/internal/dataplane/agent/fetch.go
@@ -20,17 +20,17 @@
 // knownOrInProgress names what this agent knows, with the configuration that is on its way in the place of the one in force, so that
 // nobody sends it again.
 func (a *Agent) knownOrInProgress() feed.Digest {
-	digest := a.board.Digest()
+	digest := a.snapshots.Digest()
 	digest.ConfigurationVersion = max(digest.ConfigurationVersion, a.download.inProgress())
 	return digest
 }
 
 // takeOffer begins or helps to fetch a configuration that a source has offered, and tells whether it was an update.
 func (a *Agent) takeOffer(received *feed.Snapshot, source string) (update bool, err error) {
-	if received.Offer == nil || received.ConfigurationVersion <= a.board.Digest().ConfigurationVersion {
+	if received.Offer == nil || received.ConfigurationVersion <= a.snapshots.Digest().ConfigurationVersion {
 		return false, nil
 	}
-	if err := a.download.offered(received.ConfigurationVersion, received.Offer, source, a.board.Chunk, time.Now()); err != nil {
+	if err := a.download.offered(received.ConfigurationVersion, received.Offer, source, a.snapshots.Chunk, time.Now()); err != nil {
 		return false, err
 	}
 	return true, a.finishDownload()
@@ -42,7 +42,7 @@
 	if err != nil || version == 0 {
 		return err
 	}
-	a.board.Merge(&feed.Snapshot{ConfigurationVersion: version, Configuration: body})
+	a.snapshots.Merge(&feed.Snapshot{ConfigurationVersion: version, Configuration: body})
 	a.download.inForce()
 	return nil
 }
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -144,9 +144,9 @@
 		return false, err
 	}
 	if reply.Current {
-		return a.board.MergeWithMembers(reply.Snapshot) || offered, nil
+		return a.snapshots.MergeWithMembers(reply.Snapshot) || offered, nil
 	}
-	return a.board.Merge(reply.Snapshot) || offered, nil
+	return a.snapshots.Merge(reply.Snapshot) || offered, nil
 }
 
 // confirm records that a coordinator in contact answered. While a newer configuration is on its way, contact is as old as
--- a/internal/dataplane/agent/local.go
+++ b/internal/dataplane/agent/local.go
@@ -16,7 +16,7 @@
 	deadline := time.Now().Add(wait)
 	for {
 		regained := a.contact.whenRegained()
-		update, changed := a.board.UpdateSince(request.Known)
+		update, changed := a.snapshots.UpdateSince(request.Known)
 		now := time.Now()
 		remaining := a.contact.remaining(now)
 		inContact := remaining > 0
--- a/internal/dataplane/agent/local_test.go
+++ b/internal/dataplane/agent/local_test.go
@@ -16,7 +16,7 @@
 
 func TestTheProxyIsFed(t *testing.T) {
 	inWorld(t, 3, 2, func(w *world) {
-		known := func() feed.Digest { return w.agents["agent-0"].board.Digest() }
+		known := func() feed.Digest { return w.agents["agent-0"].snapshots.Digest() }
 		Convey("A first call brings everything", t, func() {
 			w.setVersion(5)
 			<-time.After(50 * time.Millisecond)
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -38,7 +38,7 @@
 		return first
 	}
 	for {
-		epoch, err := c.attempt(ctx, call, retrier.attemptTime(c.now().Sub(begun)), reply)
+		term, err := c.attempt(ctx, call, retrier.attemptTime(c.now().Sub(begun)), reply)
 		if err != nil {
 			c.log.Debug("attempt failed", zap.String("path", call.route.Path()), zap.String("group", call.group), zap.Error(err))
 		}
@@ -46,7 +46,7 @@
 		if decision.finished {
 			return decision
 		}
-		c.feed.awaitNewer(ctx, call.group, epoch, decision.wait)
+		c.feed.awaitNewer(ctx, call.group, term, decision.wait)
 		if ctx.Err() != nil {
 			return retrier.giveUp()
 		}
@@ -54,7 +54,7 @@
 }
 
 // attempt sends a call to the leader known now, and returns that leader's term.
-func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, most time.Duration, reply any) (epoch uint64, err error) {
+func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, most time.Duration, reply any) (term uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	ctx, leader, end, known := c.feed.begin(ctx, call.group)
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -31,8 +31,8 @@
 	return &leaderCaller{feed: f, caller: caller, log: zap.NewNop(), now: time.Now}
 }
 
-func lead(f *follower, address string, epoch uint64) {
-	f.apply(update(1, configurationOf(1000), map[string]feed.Leader{testGroup: {Address: address, Term: epoch}}), f.now())
+func lead(f *follower, address string, term uint64) {
+	f.apply(update(1, configurationOf(1000), map[string]feed.Leader{testGroup: {Address: address, Term: term}}), f.now())
 }
 
 func submitCall(allowed time.Duration) leaderCall {
@@ -94,12 +94,12 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		random := random.PCG(7)
 		for round := range 2000 {
-			anyUnclear, lastErr, epoch := false, error(nil), uint64(1)
+			anyUnclear, lastErr, term := false, error(nil), uint64(1)
 			var c *leaderCaller
 			c = newTestLeaderCaller(func(ctx context.Context, _ string) error {
 				if random.Unit() < 0.2 {
-					epoch++
-					lead(c.feed, "next", epoch)
+					term++
+					lead(c.feed, "next", term)
 				}
 				lastErr = randomFailure(ctx, &random)
 				anyUnclear = anyUnclear || (lastErr != nil && rpcerror.ExecutionOf(lastErr) != rpcerror.NotExecuted)
--- a/internal/dataplane/proxy/feed_test.go
+++ b/internal/dataplane/proxy/feed_test.go
@@ -52,8 +52,8 @@
 
 func TestNothingGoesBack(t *testing.T) {
 	first, second := configurationOf(1000), configurationOf(2000)
-	leaders := func(epoch uint64) map[string]feed.Leader {
-		return map[string]feed.Leader{testGroup: {Address: fmt.Sprint("mixer-", epoch), Term: epoch}}
+	leaders := func(term uint64) map[string]feed.Leader {
+		return map[string]feed.Leader{testGroup: {Address: fmt.Sprint("mixer-", term), Term: term}}
 	}
 	Convey("An older configuration or leader is not taken", t, func() {
 		f := newTestFollower()
--- a/internal/dataplane/proxy/fixture_test.go
+++ b/internal/dataplane/proxy/fixture_test.go
@@ -91,9 +91,9 @@
 }
 
 // lead names another leader in the feed, and waits until the proxy has the leader's epoch.
-func (f *fixture) lead(leader string, epoch uint64) {
-	f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: leader, Term: epoch} })
-	f.await(func(v *view) bool { return v.leaders[testGroup].Term >= epoch })
+func (f *fixture) lead(leader string, term uint64) {
+	f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: leader, Term: term} })
+	f.await(func(v *view) bool { return v.leaders[testGroup].Term >= term })
 }
 
 // clientReply is what a client gets.
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -123,11 +123,11 @@
 
 func (f *follower) digest() feed.Digest {
 	view := f.newest()
-	epochs := make(map[string]uint64, len(view.leaders))
+	leaderTerms := make(map[string]uint64, len(view.leaders))
 	for group, leader := range view.leaders {
-		epochs[group] = leader.Term
+		leaderTerms[group] = leader.Term
 	}
-	return feed.Digest{ConfigurationVersion: view.version, LeaderTerms: epochs, MembersSum: view.members}
+	return feed.Digest{ConfigurationVersion: view.version, LeaderTerms: leaderTerms, MembersSum: view.members}
 }
 
 // newest is the newest view.
@@ -177,12 +177,12 @@
 }
 
 // awaitNewer waits until the group's leader is of a later term than epoch, at most the given time.
-func (f *follower) awaitNewer(ctx context.Context, group string, epoch uint64, most time.Duration) {
+func (f *follower) awaitNewer(ctx context.Context, group string, term uint64, most time.Duration) {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	for {
 		view := f.newest()
-		if view.leaders[group].Term > epoch {
+		if view.leaders[group].Term > term {
 			return
 		}
 		select {
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -33,10 +33,10 @@
 type result uint8
 
 const (
-	answered   result = iota
-	refused           // it was not executed, and the callee named no time for a retry: no leader, or not the leader
-	overloaded        // it was not executed, and the callee named a time for a retry
-	unclear           // it may have been executed
+	answered    result = iota
+	notExecuted        // it was not executed, and the callee named no time for a retry: no leader, or not the leader
+	overloaded         // it was not executed, and the callee named a time for a retry
+	unclear            // it may have been executed
 )
 
 // attempt is one attempt's result.
@@ -55,7 +55,7 @@
 	case rpcerror.RetryAfter(err) > 0:
 		return attempt{result: overloaded, delay: rpcerror.RetryAfter(err)}
 	default:
-		return attempt{result: refused}
+		return attempt{result: notExecuted}
 	}
 }
 
@@ -70,11 +70,11 @@
 // retrier decides on the attempts of one request. Times are counted from the request's arrival. Its answer is 429 or 503
 // only when no attempt can have been executed.
 type retrier struct {
-	limit        time.Duration // by when the answer is due
-	patience     time.Duration // by when a request that has not run is refused
-	attemptLimit time.Duration
-	mayHaveRun   bool
-	unclearNext  time.Duration // pause before the attempt after the next unclear one
+	limit           time.Duration // by when the answer is due
+	patience        time.Duration // by when a request that has not run is refused
+	attemptLimit    time.Duration
+	mayHaveExecuted bool
+	unclearNext     time.Duration // pause before the attempt after the next unclear one
 }
 
 // newRetrier begins a request for which the client and the route allow so much time.
@@ -109,9 +109,9 @@
 		return decision{finished: true, status: http.StatusOK}
 	}
 	if last.result == unclear {
-		r.mayHaveRun = true
+		r.mayHaveExecuted = true
 	}
-	if r.mayHaveRun {
+	if r.mayHaveExecuted {
 		return r.afterUnclear(last, elapsed)
 	}
 	if last.result == overloaded {
@@ -126,7 +126,7 @@
 
 // giveUp is the answer when there will be no more attempts.
 func (r *retrier) giveUp() decision {
-	if r.mayHaveRun {
+	if r.mayHaveExecuted {
 		return decision{finished: true, status: http.StatusGatewayTimeout}
 	}
 	return refusal(http.StatusServiceUnavailable, earlyRetryAfter)
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -42,16 +42,16 @@
 			{ms(5), attempt{overloaded, ms(1200)}, refusal(http.StatusTooManyRequests, ms(1200))},
 		}},
 		{"a refusal waits for a newer leader, and ends in a quarter of the time", submission, testAllowed, []step{
-			{ms(5), attempt{result: refused}, retryAfter(ms(400))},
-			{ms(410), attempt{result: refused}, retryAfter(ms(2850)/4 - ms(410))},
-			{ms(715), attempt{result: refused}, unavailable},
+			{ms(5), attempt{result: notExecuted}, retryAfter(ms(400))},
+			{ms(410), attempt{result: notExecuted}, retryAfter(ms(2850)/4 - ms(410))},
+			{ms(715), attempt{result: notExecuted}, unavailable},
 		}},
 		{"a reading waits longer for a newer leader", reading, testAllowed, []step{
-			{ms(800), attempt{result: refused}, retryAfter(ms(400))},
-			{ms(1400), attempt{result: refused}, unavailable},
+			{ms(800), attempt{result: notExecuted}, retryAfter(ms(400))},
+			{ms(1400), attempt{result: notExecuted}, unavailable},
 		}},
 		{"a late refusal is passed on at once", submission, testAllowed, []step{
-			{ms(900), attempt{result: refused}, unavailable},
+			{ms(900), attempt{result: notExecuted}, unavailable},
 		}},
 		{"an unclear try is repeated after pauses that grow, until the time is over", submission, testAllowed, []step{
 			{ms(5), attempt{result: unclear}, retryAfter(ms(50))},
@@ -63,9 +63,9 @@
 		}},
 		{"a refusal after an unclear try is no refusal", submission, testAllowed, []step{
 			{ms(5), attempt{result: unclear}, retryAfter(ms(50))},
-			{ms(60), attempt{result: refused}, retryAfter(ms(400))},
-			{ms(470), attempt{result: refused}, retryAfter(ms(400))},
-			{ms(2810), attempt{result: refused}, gatewayTimeout},
+			{ms(60), attempt{result: notExecuted}, retryAfter(ms(400))},
+			{ms(470), attempt{result: notExecuted}, retryAfter(ms(400))},
+			{ms(2810), attempt{result: notExecuted}, gatewayTimeout},
 		}},
 		{"an overload after an unclear try is no refusal", submission, testAllowed, []step{
 			{ms(5), attempt{result: unclear}, retryAfter(ms(50))},
@@ -78,7 +78,7 @@
 		}},
 		{"a cancellation that may have run is not refused either", cancellation, testAllowed, []step{
 			{ms(5), attempt{result: unclear}, retryAfter(ms(50))},
-			{ms(2840), attempt{result: refused}, gatewayTimeout},
+			{ms(2840), attempt{result: notExecuted}, gatewayTimeout},
 		}},
 		{"a reading is repeated after an unclear try", reading, testAllowed, []step{
 			{ms(900), attempt{result: unclear}, retryAfter(ms(50))},
@@ -121,7 +121,7 @@
 		So(attemptOf(nil).result, ShouldEqual, answered)
 		So(attemptOf(cause).result, ShouldEqual, unclear)
 		So(attemptOf(rpcerror.WrapMayHaveExecuted(cause)).result, ShouldEqual, unclear)
-		So(attemptOf(rpcerror.WrapNotExecuted(cause, 0)).result, ShouldEqual, refused)
+		So(attemptOf(rpcerror.WrapNotExecuted(cause, 0)).result, ShouldEqual, notExecuted)
 		So(attemptOf(rpcerror.WrapNotExecuted(cause, ms(7))), ShouldResemble, attempt{overloaded, ms(7)})
 	})
 }
@@ -132,7 +132,7 @@
 	case draw < 0.05:
 		return attempt{result: answered}
 	case draw < 0.5:
-		return attempt{result: refused}
+		return attempt{result: notExecuted}
 	case draw < 0.75:
 		return attempt{overloaded, time.Duration(random.Exp() * float64(ms(500)))}
 	default:
@@ -149,7 +149,7 @@
 		allowed := time.Duration(random.Unit() * float64(4*time.Second))
 		r := newRetrier(kind, allowed)
 		elapsed, anyUnclear := time.Duration(0), false
-		last := attempt{result: refused}
+		last := attempt{result: notExecuted}
 		d := r.begin(elapsed)
 		for attempts := 0; !d.finished; attempts++ {
 			if attempts > 100 {
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -259,10 +259,10 @@
 	a.changed = make(chan struct{})
 }
 
-func snapshotOf(c testConfiguration, leader string, epoch uint64) feed.Snapshot {
+func snapshotOf(c testConfiguration, leader string, term uint64) feed.Snapshot {
 	return feed.Snapshot{
 		ConfigurationVersion: 1,
 		Configuration:        c.raw(),
-		Leaders:              map[string]feed.Leader{testGroup: {Address: leader, Term: epoch}},
+		Leaders:              map[string]feed.Leader{testGroup: {Address: leader, Term: term}},
 	}
 }
--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -130,7 +130,7 @@
 				if err != nil || a.status != http.StatusOK {
 					b.Fatal(err, a.status)
 				}
-				link.settleListCall(c, a, err, time.Now())
+				link.handleListResponse(c, a, err, time.Now())
 				if n := len(link.listing(c, a).Running); n != entries {
 					b.Fatal(n)
 				}
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -158,7 +158,7 @@
 	c := l.beginStart()
 	body := appendStart(make([]byte, 0, startBytes(&command)), &command, c.validUntil.Milliseconds(), l.config.FencingToken)
 	response, err := l.caller.post(l.context, l.caller.start, body, c.timeout)
-	l.settleStart(c, response, err, l.now())
+	l.handleStartResponse(c, response, err, l.now())
 	l.reportStart(command, l.startOutcome(response, err))
 	if err != nil {
 		l.pollAfterCommand() // a poll shows whether the attempt is there
@@ -182,12 +182,12 @@
 	return c
 }
 
-// settleStart takes in what a response, or its absence, says about the worker's clock, its lease and health, and the round trips.
-func (l *Link) settleStart(c startCall, response workerResponse, err error, received time.Time) {
+// handleStartResponse takes in what a response, or its absence, says about the worker's clock, its lease and health, and the round trips.
+func (l *Link) handleStartResponse(c startCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease.observe(response, c.sentAt, received)
-	l.lease.settle(c.grant, c.validUntil, err, received)
+	l.lease.endGrant(c.grant, c.validUntil, err, received)
 	if err == nil || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		l.roundTrips.startEnded(err == nil)
 	}
--- a/internal/jobs/workerclient/lease.go
+++ b/internal/jobs/workerclient/lease.go
@@ -44,7 +44,7 @@
 }
 
 // settle takes the grant of a call that has ended out of those that are open, by what became of the call; nil is the grant of a call without one.
-func (s *leaseState) settle(grant *leaseGrant, validUntil time.Duration, err error, received time.Time) {
+func (s *leaseState) endGrant(grant *leaseGrant, validUntil time.Duration, err error, received time.Time) {
 	switch {
 	case grant == nil:
 	case err == nil:
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -99,7 +99,7 @@
 	c := s.link.beginRenewal()
 	wait := time.Duration(c.request.waitMS) * time.Millisecond
 	s.send(c.validUntil, wait, c.timeout, func(a workerResponse, err error, received time.Time) {
-		s.link.settleListCall(c, a, err, received)
+		s.link.handleListResponse(c, a, err, received)
 		if err != nil && rapid.Bool().Draw(s.t, "no look is answered instead") {
 			s.link.setContact(unreachable)
 		} else {
@@ -114,7 +114,7 @@
 func (s *simulation) poll() {
 	c := s.link.beginPoll(s.link.roundTrips.pollTimeout())
 	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
-		s.link.settleListCall(c, a, err, received)
+		s.link.handleListResponse(c, a, err, received)
 	})
 }
 
@@ -127,7 +127,7 @@
 	}
 	c := s.link.beginStart()
 	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
-		s.link.settleStart(c, a, err, received)
+		s.link.handleStartResponse(c, a, err, received)
 	})
 }
 
--- a/internal/jobs/workerclient/leasegrants.go
+++ b/internal/jobs/workerclient/leasegrants.go
@@ -19,8 +19,8 @@
 
 // leaseGrants knows by when everything that was ever granted has expired.
 type leaseGrants struct {
-	settledExpiry time.Time // of all calls that have ended
-	open          []*leaseGrant
+	endedExpiry time.Time // of all calls that have ended
+	open        []*leaseGrant
 }
 
 // begin records a call that carries a grant; it is sent between now and its time-out.
@@ -33,27 +33,27 @@
 // answered records that the call was executed before its response came, if at all. The grant lasts no longer than the span from the
 // response on.
 func (l *leaseGrants) answered(grant *leaseGrant, received time.Time, span time.Duration) {
-	l.settle(grant, received.Add(span))
+	l.end(grant, received.Add(span))
 }
 
 // unanswered records that the call was abandoned at a time; it was sent before that and may be executed later. It may then even count
 // its whole span from its arrival.
 func (l *leaseGrants) unanswered(grant *leaseGrant, abandoned time.Time) {
-	l.settle(grant, lateExpiry(abandoned, grant.span))
+	l.end(grant, lateExpiry(abandoned, grant.span))
 }
 
 // withdrawn records that the call was never sent, or was certainly not executed.
-func (l *leaseGrants) withdrawn(grant *leaseGrant) { l.settle(grant, time.Time{}) }
+func (l *leaseGrants) withdrawn(grant *leaseGrant) { l.end(grant, time.Time{}) }
 
 // settle ends a grant: from now on only the time by which it has expired counts, the zero time where it never began.
-func (l *leaseGrants) settle(grant *leaseGrant, expiresBy time.Time) {
+func (l *leaseGrants) end(grant *leaseGrant, expiresBy time.Time) {
 	l.open = slices.DeleteFunc(l.open, func(other *leaseGrant) bool { return other == grant })
-	l.settledExpiry = later(l.settledExpiry, expiresBy)
+	l.endedExpiry = later(l.endedExpiry, expiresBy)
 }
 
 // expiredBy is the local time by which all grants have expired; the zero time when nothing was granted.
 func (l *leaseGrants) expiredBy() time.Time {
-	latest := l.settledExpiry
+	latest := l.endedExpiry
 	for _, g := range l.open {
 		latest = later(latest, g.expiresBy)
 	}
--- a/internal/jobs/workerclient/listcall.go
+++ b/internal/jobs/workerclient/listcall.go
@@ -27,12 +27,12 @@
 	return listCall{request: request, sentAt: l.sendTime(), timeout: timeout}
 }
 
-// settleListCall takes in what a response, or its absence, says about the worker's clock, the lease and the round trips.
-func (l *Link) settleListCall(c listCall, response workerResponse, err error, received time.Time) {
+// handleListResponse takes in what a response, or its absence, says about the worker's clock, the lease and the round trips.
+func (l *Link) handleListResponse(c listCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease.observe(response, c.sentAt, received)
-	l.lease.settle(c.grant, c.validUntil, err, received)
+	l.lease.endGrant(c.grant, c.validUntil, err, received)
 	if err != nil {
 		return
 	}
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -69,7 +69,7 @@
 	if err == nil {
 		c.sentAt = sentAt
 	}
-	l.settleListCall(c, response, err, l.now())
+	l.handleListResponse(c, response, err, l.now())
 	switch {
 	case err != nil:
 		l.log.Debug("poll without response", zap.Error(err))
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -109,7 +109,7 @@
 		l.pool.endLongPoll()
 	}
 	received := l.now()
-	l.settleListCall(c, response, err, received)
+	l.handleListResponse(c, response, err, received)
 	if err != nil {
 		l.log.Debug("lease renewal without response", zap.Error(err))
 		return l.renewalFailed(c), renewalResult{}
--- a/internal/jobs/workerclient/renewal_test.go
+++ b/internal/jobs/workerclient/renewal_test.go
@@ -21,7 +21,7 @@
 			return &reading
 		}
 		answered := func(c listCall) {
-			link.settleListCall(c, workerResponse{http.StatusOK, responseBody{ClockMS: clockMS()}}, nil, now)
+			link.handleListResponse(c, workerResponse{http.StatusOK, responseBody{ClockMS: clockMS()}}, nil, now)
 			link.activity.listed = true
 			link.setContact(reachable)
 		}
@@ -55,7 +55,7 @@
 				convey.Convey("a call without a response is followed by a poll", func() {
 					now = now.Add(2 * time.Second)
 					renewal := link.beginRenewal()
-					link.settleListCall(renewal, workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), now)
+					link.handleListResponse(renewal, workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), now)
 					link.setContact(unreachable)
 					poll := link.beginRenewal()
 					convey.So(poll.request.waitMS, convey.ShouldEqual, 0)
@@ -68,7 +68,7 @@
 					before := link.LeasesExpiredBy()
 					renewal := link.beginRenewal()
 					convey.So(link.LeasesExpiredBy(), convey.ShouldHappenAfter, before)
-					link.settleListCall(renewal, workerResponse{}, rpcerror.WrapNotExecuted(errNoResponse, 0), now)
+					link.handleListResponse(renewal, workerResponse{}, rpcerror.WrapNotExecuted(errNoResponse, 0), now)
 					convey.So(link.LeasesExpiredBy(), convey.ShouldEqual, before)
 				})
 				convey.Convey("without renewal no start is sent in the end", func() {
