--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -14,7 +14,7 @@
 	// exchangeInterval is the pause between exchanges with other agents without contact to a coordinator, or while it is
 	// open whether a peer is gone.
 	exchangeInterval = 500 * time.Millisecond
-	// calmExchangeInterval is the pause otherwise. An agent that is cut off asks by itself, so that it waits for nobody.
+	// calmExchangeInterval is the pause otherwise. An agent that is partitioned off makes its own requests, so that it waits for nobody.
 	calmExchangeInterval = 1500 * time.Millisecond
 	// exchangeTimeout bounds one call.
 	exchangeTimeout = 450 * time.Millisecond
@@ -31,7 +31,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		a.peers.setFront(a.board.Snapshot().Agents)
+		a.peers.setFront(a.snapshots.Snapshot().Agents)
 		if peer := a.peers.choose(); peer != "" {
 			err := a.exchange(ctx, peer)
 			if ctx.Err() != nil {
@@ -53,11 +53,11 @@
 	return exchangeInterval
 }
 
-// exchange asks a peer for what this agent lacks, and then tells it what it lacks itself.
+// exchange requests from a peer what this agent lacks, and then sends the peer what that one lacks.
 func (a *Agent) exchange(ctx context.Context, peer string) error {
 	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.received(nil))
+	reply, err := feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.exchangeMessage(nil))
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	if update == nil {
 		return nil
 	}
-	_, err = feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.received(update))
+	_, err = feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.exchangeMessage(update))
 	return err
 }
 
@@ -76,11 +76,11 @@
 	if err := a.takeFromPeer(request, request.Agent); err != nil {
 		return feed.Exchange{}, err
 	}
-	return a.received(a.updateFor(request)), nil
+	return a.exchangeMessage(a.updateFor(request)), nil
 }
 
-// received is what this agent sends a peer.
-func (a *Agent) received(update *feed.Snapshot) feed.Exchange {
+// exchangeMessage is the message that this agent sends a peer, as the receiver gets it; update is nil where the peer lacks nothing.
+func (a *Agent) exchangeMessage(update *feed.Snapshot) feed.Exchange {
 	return feed.Exchange{Known: a.digest(), Snapshot: update, Agent: a.config.Address, MaxBytes: a.download.callBytes()}
 }
 
@@ -105,13 +105,13 @@
 	known := peer.Known
 	theirs := time.Duration(known.MembersAgeMS) * time.Millisecond
 	if theirs > oldMembers && a.membersAge(time.Now()) < theirs {
-		update, _ := a.board.UpdateSince(known)
-		return a.board.AsOffer(update, known, peer.MaxBytes)
+		update, _ := a.snapshots.UpdateSince(known)
+		return a.snapshots.AsOffer(update, known, peer.MaxBytes)
 	}
-	return a.board.AsOffer(a.board.NewerThan(known), known, peer.MaxBytes)
+	return a.snapshots.AsOffer(a.snapshots.NewerThan(known), known, peer.MaxBytes)
 }
 
-// takeFromPeer merges what a peer told. Its members are taken over only if they are newer and the own ones are old.
+// takeFromPeer merges what a peer sent. Its members are taken over only if they are newer and the own ones are old.
 func (a *Agent) takeFromPeer(received feed.Exchange, peer string) error {
 	if received.Snapshot == nil {
 		return nil
@@ -123,10 +123,10 @@
 	theirs := max(0, time.Duration(received.Known.MembersAgeMS)*time.Millisecond)
 	mine := a.membersAge(now)
 	if mine <= oldMembers || theirs >= mine || len(received.Snapshot.Core) == 0 {
-		a.board.Merge(received.Snapshot)
+		a.snapshots.Merge(received.Snapshot)
 		return nil
 	}
-	a.board.MergeWithMembers(received.Snapshot)
+	a.snapshots.MergeWithMembers(received.Snapshot)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.membersConfirmed = now.Add(-theirs)
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -17,7 +17,7 @@
 	pollWait = 700 * time.Millisecond
 	// answerSlack is how much later than asked an answer may come.
 	answerSlack = 600 * time.Millisecond
-	// returnLimit bounds the look at a preferred coordinator while another one is followed, which waits meanwhile.
+	// returnLimit bounds the call to a preferred coordinator while another one is followed, which waits meanwhile.
 	returnLimit = 400 * time.Millisecond
 	// minBackoff and maxBackoff bound the pause before a coordinator is asked that has failed lately, where all have. The
 	// upper bound is shared by the candidates, so that each is asked about once in that time.
@@ -144,9 +144,9 @@
 		return false, err
 	}
 	if reply.Current {
-		return a.board.MergeWithMembers(reply.Snapshot) || offered, nil
+		return a.snapshots.MergeWithMembers(reply.Snapshot) || offered, nil
 	}
-	return a.board.Merge(reply.Snapshot) || offered, nil
+	return a.snapshots.Merge(reply.Snapshot) || offered, nil
 }
 
 // confirm records that a coordinator in contact answered. While a newer configuration is on its way, contact is as old as
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -17,7 +17,7 @@
 type leaderCall struct {
 	kind    operation
 	group   string
-	route   transport.IdempotentRoute // as an attempt that may have run is followed by others
+	route   transport.IdempotentRoute // as an attempt that may have been executed is followed by others
 	request any
 	allowed time.Duration // by the client and the route
 }
@@ -38,7 +38,7 @@
 		return first
 	}
 	for {
-		epoch, err := c.attempt(ctx, call, retrier.attemptTime(c.now().Sub(begun)), reply)
+		term, err := c.attempt(ctx, call, retrier.attemptTime(c.now().Sub(begun)), reply)
 		if err != nil {
 			c.log.Debug("attempt failed", zap.String("path", call.route.Path()), zap.String("group", call.group), zap.Error(err))
 		}
@@ -46,15 +46,15 @@
 		if decision.finished {
 			return decision
 		}
-		c.feed.awaitNewer(ctx, call.group, epoch, decision.wait)
+		c.feed.awaitNewer(ctx, call.group, term, decision.wait)
 		if ctx.Err() != nil {
 			return retrier.giveUp()
 		}
 	}
 }
 
-// attempt sends a call to the leader known now, and returns that leader's epoch.
-func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, most time.Duration, reply any) (epoch uint64, err error) {
+// attempt sends a call to the leader known now, and returns that leader's term.
+func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, most time.Duration, reply any) (term uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	ctx, leader, end, known := c.feed.begin(ctx, call.group)
