--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -82,8 +82,10 @@
 	return jobs
 }
 
-// restoreRepetitions makes the repetitions of a job up to the last complete one, and those that are due.
+// restoreRepetitions makes the repetitions of a job up to the last complete one, and those that are due. A job with a complete one has
+// started, also where the records of its tasks are erased and the next repetition is not due yet.
 func (s *Scheduler) restoreRepetitions(now Now, j *jobState, complete []int) {
+	j.started = len(complete) > 0
 	begun := 0
 	for _, number := range complete {
 		begun = max(begun, number+1)
--- a/internal/jobs/scheduler/restore_test.go
+++ b/internal/jobs/scheduler/restore_test.go
@@ -48,3 +48,33 @@
 		}
 	})
 }
+
+// The records of a complete repetition's tasks are erased: between two repetitions only the repetition's own record tells that the
+// job has started. Its state must not go back to queued with a new leader.
+func TestRepeatedJobIsRunningBetweenItsRepetitions(t *testing.T) {
+	encode := func(record any) []byte {
+		value, err := msgpack.Marshal(record)
+		So(err, ShouldBeNil)
+		return value
+	}
+	Convey("Given a job whose first repetition is complete and whose second is not due yet", t, func() {
+		now := Now{Monotonic: time.Unix(1000, 0), WallMS: 1_000_000}
+		id := job.ID("00000000000000aa")
+		specification := job.Specification{Stages: []job.Stage{{Count: 1}}, Repetitions: 2, FirstRunMS: now.WallMS - 1000, IntervalMS: 3_600_000}
+		state := map[string][]byte{jobKey(id): encode(jobRecord{Specification: specification})}
+		status := func() job.State {
+			s, err := New(Settings{}, now, state)
+			So(err, ShouldBeNil)
+			reported, known := s.Status(id)
+			So(known, ShouldBeTrue)
+			return reported
+		}
+		Convey("a new leader reports it as running", func() {
+			state[repetitionKey(id, 0)] = encode(repetitionRecord{Complete: true})
+			So(status(), ShouldEqual, job.Running)
+		})
+		Convey("without a complete repetition it is queued", func() {
+			So(status(), ShouldEqual, job.Queued)
+		})
+	})
+}
