--- a/internal/controlplane/replication/scriptedpeer_test.go
+++ b/internal/controlplane/replication/scriptedpeer_test.go
@@ -9,7 +9,7 @@
 
 // answerWait is how long a scripted peer waits for an answer; all disks and links of the simulation are faster unless a
 // test slows them.
-const answerWait = 50 * time.Millisecond
+const answerWait = 100 * time.Millisecond
 
 // singleReplica is a simulation of which one member runs, and that member. The test is its scripted peer: it speaks to the
 // replica as the candidates and leaders of its groups.
