--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -111,7 +111,7 @@
 			})
 		}
 		submit := func(id job.ID, service string) {
-			request := jobapi.Submit{Group: feed.GroupOf(service), ID: id,
+			request := jobapi.SubmitRequest{Group: feed.GroupOf(service), ID: id,
 				Queue:         jobapi.Queue{Route: "r-0", Service: service, Priority: 1, MaxAttempts: 3, Extension: 2.5, TargetLatencyMS: 1000, Guards: true},
 				Specification: job.Specification{Text: "do it", Stages: []job.Stage{{Count: 2, Resources: job.Resources{Processors: 500}}}}}
 			retryUntilDone(ctx, t, func() error { _, err := jobapi.SubmitCall.Call(ctx, c.caller, storedSelf, request); return err })
@@ -120,7 +120,7 @@
 		submit(cancelledJob, "render")
 		submit(mailJob, "mail")
 		retryUntilDone(ctx, t, func() error {
-			_, err := jobapi.CancelCall.Call(ctx, c.caller, storedSelf, jobapi.Cancel{Group: feed.GroupOf("render"), ID: cancelledJob})
+			_, err := jobapi.CancelCall.Call(ctx, c.caller, storedSelf, jobapi.CancelRequest{Group: feed.GroupOf("render"), ID: cancelledJob})
 			return err
 		})
 	})
@@ -147,11 +147,11 @@
 		retryUntilDone(ctx, t, func() (err error) { version, body, err = c.configurator.Read(ctx); return err })
 		for id, service := range map[job.ID]string{queuedJob: "render", cancelledJob: "render", mailJob: "mail"} {
 			retryUntilDone(ctx, t, func() (err error) {
-				states[id], err = jobapi.StatusCall.Call(ctx, c.caller, storedSelf, jobapi.Status{Group: feed.GroupOf(service), ID: id})
+				states[id], err = jobapi.StatusCall.Call(ctx, c.caller, storedSelf, jobapi.StatusRequest{Group: feed.GroupOf(service), ID: id})
 				return err
 			})
 			retryUntilDone(ctx, t, func() error {
-				reply, err := jobapi.PendingCall.Call(ctx, c.caller, storedSelf, jobapi.Pending{Group: feed.GroupOf(service), Route: "r-0"})
+				reply, err := jobapi.PendingCall.Call(ctx, c.caller, storedSelf, jobapi.PendingRequest{Group: feed.GroupOf(service), Route: "r-0"})
 				pending[service] = reply.Count
 				return err
 			})
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -51,10 +51,10 @@
 	version      uint64       // of the configuration
 	isolated     bool         // the node has no contact to a majority
 	confirm      func() error // a quorum read
-	cancels      []jobapi.Cancel
+	cancels      []jobapi.CancelRequest
 	// jobState is the state that leaders report of jobs, and cancelled their reply to a cancellation, if set.
 	jobState  job.State
-	cancelled *jobapi.Cancelled
+	cancelled *jobapi.CancelReply
 	block     chan struct{} // if set, calls wait until it is closed
 	blocked   chan struct{} // receives one value for each call that waits
 }
@@ -155,12 +155,12 @@
 		return jobreport.JobReply{Known: known, Job: jobreport.JobDetail{Job: jobreport.Job{ID: asked.ID, State: cmp.Or(c.jobState, job.Running)}}}, nil
 	case jobreport.WhyRequest:
 		return jobreport.WhyReply{Known: true, Why: jobreport.Why{ID: asked.ID, State: job.Running}}, nil
-	case jobapi.Cancel:
+	case jobapi.CancelRequest:
 		c.cancels = append(c.cancels, asked)
 		if c.cancelled != nil {
 			return *c.cancelled, nil
 		}
-		return jobapi.Cancelled{Known: true, State: job.Cancelled}, nil
+		return jobapi.CancelReply{Known: true, State: job.Cancelled}, nil
 	}
 	return nil, errors.New("unknown request")
 }
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -175,8 +175,8 @@
 // cancelJob calls the job's leader. The outcome follows from the durable state in the reply and not from what was located
 // before: the job may have ended since, or that state may have been lost.
 func (h *Handler) cancelJob(ctx context.Context, match locatedJob) error {
-	var reply jobapi.Cancelled
-	err := h.callLeader(ctx, match.group, jobapi.CancelCall.Route(), jobapi.Cancel{Group: match.group, ID: match.detail.ID}, &reply)
+	var reply jobapi.CancelReply
+	err := h.callLeader(ctx, match.group, jobapi.CancelCall.Route(), jobapi.CancelRequest{Group: match.group, ID: match.detail.ID}, &reply)
 	switch {
 	case err != nil:
 		return err
--- a/internal/controlplane/operations/jobs_test.go
+++ b/internal/controlplane/operations/jobs_test.go
@@ -100,7 +100,7 @@
 			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusOK)
 		})
 		Convey("a job that completes while its cancellation is in flight is not reported as cancelled", func() {
-			c.cancelled = &jobapi.Cancelled{Known: true, State: job.Completed}
+			c.cancelled = &jobapi.CancelReply{Known: true, State: job.Completed}
 			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, &failure).Code, ShouldEqual, http.StatusConflict)
 			So(failure.Error, ShouldContainSubstring, "it is completed")
 		})
@@ -110,7 +110,7 @@
 			So(c.cancels, ShouldHaveLength, 1)
 		})
 		Convey("a job that is forgotten before its cancellation arrives is not reported as cancelled", func() {
-			c.cancelled = &jobapi.Cancelled{}
+			c.cancelled = &jobapi.CancelReply{}
 			So(request(c.handler(), "DELETE", JobsPath+"/"+priceJob, nil).Code, ShouldEqual, http.StatusNotFound)
 		})
 	})
--- a/internal/controlplane/operations/staterejections_test.go
+++ b/internal/controlplane/operations/staterejections_test.go
@@ -36,7 +36,7 @@
 	for _, rejected := range rejections() {
 		Convey("Given a request that is rejected: "+rejected.name, t, func() {
 			c := newFakeCore()
-			c.jobState, c.cancelled = job.Completed, &jobapi.Cancelled{Known: true, State: job.Completed}
+			c.jobState, c.cancelled = job.Completed, &jobapi.CancelReply{Known: true, State: job.Completed}
 			So(request(c.handler(), rejected.method, rejected.path, nil).Code, ShouldEqual, rejected.status)
 
 			Convey("it is answered by 503 if no majority confirms that state", func() {
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -25,10 +25,10 @@
 func TestSubmissions(t *testing.T) {
 	Convey("A job that the leader took is accepted, as the client wrote it", t, func() {
 		leader := newLeader(t)
-		got := make(chan jobapi.Submit, 1)
-		leader.submit = func(_ context.Context, s jobapi.Submit) (jobapi.Submitted, error) {
+		got := make(chan jobapi.SubmitRequest, 1)
+		leader.submit = func(_ context.Context, s jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 			got <- s
-			return jobapi.Submitted{}, nil
+			return jobapi.SubmitReply{}, nil
 		}
 		f := newFixture(t, snapshotOf(configurationOf(3000), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusOK)
@@ -40,8 +40,8 @@
 	})
 	Convey("An overload is passed on as 429, in whole seconds", t, func() {
 		leader := newLeader(t)
-		leader.submit = func(context.Context, jobapi.Submit) (jobapi.Submitted, error) {
-			return jobapi.Submitted{}, notRun("full", 1200*time.Millisecond)
+		leader.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
+			return jobapi.SubmitReply{}, notRun("full", 1200*time.Millisecond)
 		}
 		f := newFixture(t, snapshotOf(configurationOf(3000), leader.address(), 1))
 		reply := f.post()
@@ -53,9 +53,9 @@
 		old, next := newLeader(t), newLeader(t).accepting()
 		f := newFixture(t, snapshotOf(configurationOf(60_000), old.address(), 1))
 		asked := make(chan struct{}, 100)
-		old.submit = func(context.Context, jobapi.Submit) (jobapi.Submitted, error) {
+		old.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 			asked <- struct{}{}
-			return jobapi.Submitted{}, notRun("not the leader", 0)
+			return jobapi.SubmitReply{}, notRun("not the leader", 0)
 		}
 		replies := f.background(http.MethodPost, testPrefix+testID, testJob)
 		<-asked
@@ -105,8 +105,8 @@
 	})
 	Convey("A leader that stays silent ends with 504", t, func() {
 		leader := newLeader(t)
-		leader.submit = func(ctx context.Context, _ jobapi.Submit) (jobapi.Submitted, error) {
-			return jobapi.Submitted{}, leader.timeout(ctx)
+		leader.submit = func(ctx context.Context, _ jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
+			return jobapi.SubmitReply{}, leader.timeout(ctx)
 		}
 		f := newFixture(t, snapshotOf(configurationOf(500), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusGatewayTimeout)
@@ -114,13 +114,13 @@
 	Convey("A try at a silent leader is given up for a newer one, and counts as unclear", t, func() {
 		old, next := newLeader(t), newLeader(t)
 		asked, closed := make(chan struct{}), make(chan struct{})
-		old.submit = func(ctx context.Context, _ jobapi.Submit) (jobapi.Submitted, error) {
+		old.submit = func(ctx context.Context, _ jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 			close(asked)
 			defer close(closed)
-			return jobapi.Submitted{}, old.timeout(ctx)
+			return jobapi.SubmitReply{}, old.timeout(ctx)
 		}
-		next.submit = func(context.Context, jobapi.Submit) (jobapi.Submitted, error) {
-			return jobapi.Submitted{}, notRun("full", time.Hour)
+		next.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
+			return jobapi.SubmitReply{}, notRun("full", time.Hour)
 		}
 		f := newFixture(t, snapshotOf(configurationOf(60_000), old.address(), 1))
 		replies := f.background(http.MethodPost, testPrefix+testID, testJob)
@@ -144,11 +144,11 @@
 	Convey("A request goes on when its client has gone", t, func() {
 		leader := newLeader(t)
 		asked, goOn, finished := make(chan struct{}), make(chan struct{}), make(chan error, 1)
-		leader.submit = func(ctx context.Context, _ jobapi.Submit) (jobapi.Submitted, error) {
+		leader.submit = func(ctx context.Context, _ jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 			close(asked)
 			<-goOn
 			finished <- ctx.Err()
-			return jobapi.Submitted{}, nil
+			return jobapi.SubmitReply{}, nil
 		}
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		ctx, leave := context.WithCancel(context.Background())
@@ -240,7 +240,7 @@
 		f := newFixture(t, snapshotOf(configurationOf(3000), leader.address(), 1))
 		So(f.send(http.MethodGet, testPrefix, "").status, ShouldEqual, http.StatusServiceUnavailable) // 0 would be made up
 		leader.mutex.Lock()
-		leader.count = func(_ context.Context, p jobapi.Pending) (jobapi.PendingReply, error) {
+		leader.count = func(_ context.Context, p jobapi.PendingRequest) (jobapi.PendingReply, error) {
 			if p.Route != "r-1" || p.Group != testGroup {
 				return jobapi.PendingReply{}, errors.New("another route")
 			}
@@ -249,7 +249,7 @@
 		leader.mutex.Unlock()
 		So(f.send(http.MethodGet, testPrefix, "").text, ShouldEqual, `{"pending":12}`)
 		leader.mutex.Lock()
-		leader.count = func(ctx context.Context, _ jobapi.Pending) (jobapi.PendingReply, error) {
+		leader.count = func(ctx context.Context, _ jobapi.PendingRequest) (jobapi.PendingReply, error) {
 			return jobapi.PendingReply{}, leader.timeout(ctx)
 		}
 		leader.mutex.Unlock()
--- a/internal/dataplane/proxy/jobs.go
+++ b/internal/dataplane/proxy/jobs.go
@@ -42,9 +42,9 @@
 // submit submits a job to the group of its route's service.
 func (s *jobService) submit(ctx context.Context, r jobRequest, specification job.Specification) outcome {
 	group := feed.GroupOf(r.queue.Service)
-	request := jobapi.Submit{Group: group, ID: r.id, Queue: r.queue, Specification: specification}
+	request := jobapi.SubmitRequest{Group: group, ID: r.id, Queue: r.queue, Specification: specification}
 	call := leaderCall{kind: submission, group: group, route: jobapi.SubmitCall.Route(), request: request, allowed: r.allowed}
-	var reply jobapi.Submitted
+	var reply jobapi.SubmitReply
 	return outcomeOf(s.leaders.run(ctx, r.begun, call, &reply))
 }
 
@@ -66,7 +66,7 @@
 		kind:    reading,
 		group:   group,
 		route:   jobapi.StatusCall.Route(),
-		request: jobapi.Status{Group: group, ID: r.id},
+		request: jobapi.StatusRequest{Group: group, ID: r.id},
 		allowed: r.allowed,
 	}
 	var reply jobapi.StatusReply
@@ -85,10 +85,10 @@
 		kind:    cancellation,
 		group:   group,
 		route:   jobapi.CancelCall.Route(),
-		request: jobapi.Cancel{Group: group, ID: r.id},
+		request: jobapi.CancelRequest{Group: group, ID: r.id},
 		allowed: r.allowed,
 	}
-	var reply jobapi.Cancelled
+	var reply jobapi.CancelReply
 	result := outcomeOf(s.leaders.run(ctx, r.begun, call, &reply))
 	return goneUnlessKnown(result, reply.Known)
 }
@@ -152,7 +152,7 @@
 // count returns how many jobs of a queue are pending: by the leader, or as known from it a short time ago.
 func (s *jobService) count(ctx context.Context, r jobRequest) (count int, known bool) {
 	group := feed.GroupOf(r.queue.Service)
-	call := leaderCall{route: jobapi.PendingCall.Route(), group: group, request: jobapi.Pending{Group: group, Route: r.queue.Route}}
+	call := leaderCall{route: jobapi.PendingCall.Route(), group: group, request: jobapi.PendingRequest{Group: group, Route: r.queue.Route}}
 	var reply jobapi.PendingReply
 	if _, err := s.leaders.attempt(ctx, call, pendingAttemptLimit, &reply); err != nil {
 		return s.pending.get(r.queue.Route)
--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -26,11 +26,11 @@
 	times map[job.ID]int
 }
 
-func (h *handedIn) submit(_ context.Context, s jobapi.Submit) (jobapi.Submitted, error) {
+func (h *handedIn) submit(_ context.Context, s jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.times[s.ID]++
-	return jobapi.Submitted{}, nil
+	return jobapi.SubmitReply{}, nil
 }
 
 func (h *handedIn) count(number int) int {
@@ -96,7 +96,7 @@
 		const clients, requestsEach = 12, 40
 		leader := newLeader(t)
 		var late atomic.Int64
-		leader.status = func(ctx context.Context, s jobapi.Status) (jobapi.StatusReply, error) {
+		leader.status = func(ctx context.Context, s jobapi.StatusRequest) (jobapi.StatusReply, error) {
 			if late.Add(1)%16 == 0 { // beyond the time of an attempt
 				return jobapi.StatusReply{}, leader.timeout(ctx)
 			}
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -81,10 +81,10 @@
 	server *httptest.Server
 	ended  context.Context // ends with the test, for answers that stay out
 	mutex  sync.Mutex
-	submit func(context.Context, jobapi.Submit) (jobapi.Submitted, error)
-	status func(context.Context, jobapi.Status) (jobapi.StatusReply, error)
-	cancel func(context.Context, jobapi.Cancel) (jobapi.Cancelled, error)
-	count  func(context.Context, jobapi.Pending) (jobapi.PendingReply, error)
+	submit func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error)
+	status func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error)
+	cancel func(context.Context, jobapi.CancelRequest) (jobapi.CancelReply, error)
+	count  func(context.Context, jobapi.PendingRequest) (jobapi.PendingReply, error)
 	calls  int
 	breaks int // so many calls are read and then broken off
 
@@ -132,8 +132,8 @@
 func (l *standInLeader) replace(node string) (answers <-chan int) {
 	statuses := make(chan int, 1000)
 	mux := transport.NewMuxFor(transport.NewIdentity("", node))
-	transport.Handle(mux, jobapi.SubmitCall, func(context.Context, jobapi.Submit) (jobapi.Submitted, error) {
-		return jobapi.Submitted{}, notRun("not the leader", 0)
+	transport.Handle(mux, jobapi.SubmitCall, func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
+		return jobapi.SubmitReply{}, notRun("not the leader", 0)
 	})
 	stranger := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
@@ -174,16 +174,18 @@
 func (l *standInLeader) address() string { return l.server.Listener.Addr().String() }
 
 func (l *standInLeader) accepting() *standInLeader {
-	l.submit = func(context.Context, jobapi.Submit) (jobapi.Submitted, error) { return jobapi.Submitted{}, nil }
+	l.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
+		return jobapi.SubmitReply{}, nil
+	}
 	return l
 }
 
 func (l *standInLeader) knowing(known bool, state string) *standInLeader {
-	l.status = func(context.Context, jobapi.Status) (jobapi.StatusReply, error) {
+	l.status = func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error) {
 		return jobapi.StatusReply{Known: known, State: jobState(state)}, nil
 	}
-	l.cancel = func(context.Context, jobapi.Cancel) (jobapi.Cancelled, error) {
-		return jobapi.Cancelled{Known: known}, nil
+	l.cancel = func(context.Context, jobapi.CancelRequest) (jobapi.CancelReply, error) {
+		return jobapi.CancelReply{Known: known}, nil
 	}
 	return l
 }
--- a/internal/jobs/inventory/page.go
+++ b/internal/jobs/inventory/page.go
@@ -9,17 +9,17 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// stateDraining is the state of a worker that the platform is about to take away.
+// stateDraining is the state of a worker that the platform is about to remove.
 const stateDraining = "draining"
 
-// page is one answer of the platform, in its wire form.
+// page is one page of the platform's worker list, in its wire format.
 type page struct {
-	Instances     *[]entry `json:"instances"`
-	NextPageToken *string  `json:"nextPageToken"`
+	Instances     *[]instanceEntry `json:"instances"`
+	NextPageToken *string          `json:"nextPageToken"`
 }
 
-// entry is one worker on the list.
-type entry struct {
+// instanceEntry is one worker on a page.
+type instanceEntry struct {
 	Identifier        string        `json:"identifier"`
 	Service           string        `json:"service"`
 	Address           string        `json:"address"`
@@ -33,10 +33,11 @@
 	Labels            job.Labels    `json:"labels"`
 }
 
-func (p page) appendTo(instances []workerclient.Instance) []workerclient.Instance {
+// appendInstances appends the page's workers to instances. It skips entries without an identifier or an address.
+func (p page) appendInstances(instances []workerclient.Instance) []workerclient.Instance {
 	for _, e := range *p.Instances {
 		if e.Identifier == "" || e.Address == "" {
-			continue // nothing could be sent there
+			continue // the worker could not be addressed
 		}
 		instances = append(instances, workerclient.Instance{
 			ID: workerclient.WorkerID(e.Identifier), Service: e.Service, Address: e.Address, Zone: e.Zone, Version: e.Version,
@@ -47,7 +48,8 @@
 	return instances
 }
 
-// withoutDuplicates keeps the first entry of each worker: one may move between pages while they are read.
+// withoutDuplicates returns the first entry of each worker. A worker may appear twice if it moves to another page while the
+// list is being read. The result reuses the given slice.
 func withoutDuplicates(instances []workerclient.Instance) []workerclient.Instance {
 	seen := make(map[workerclient.WorkerID]bool, len(instances))
 	kept := instances[:0]
@@ -60,20 +62,20 @@
 	return kept
 }
 
-// parsePage reads an answer of the platform.
+// parsePage decodes a response of the platform. A status other than 200 is an error.
 func parsePage(status int, body []byte) (page, error) {
 	if status == http.StatusTooManyRequests {
 		return page{}, ErrRateLimited
 	}
 	if status != http.StatusOK {
-		return page{}, fmt.Errorf("list of workers: %w", &StatusError{Status: status})
+		return page{}, fmt.Errorf("request worker list: %w", &StatusError{Status: status})
 	}
-	var p page
-	if err := json.Unmarshal(body, &p); err != nil {
-		return page{}, fmt.Errorf("decode list of workers: %w", err)
+	var decoded page
+	if err := json.Unmarshal(body, &decoded); err != nil {
+		return page{}, fmt.Errorf("decode worker list: %w", err)
 	}
-	if p.Instances == nil {
-		return page{}, fmt.Errorf("list of workers: %w", ErrNoInstances)
+	if decoded.Instances == nil {
+		return page{}, fmt.Errorf("decode worker list: %w", ErrNoInstances)
 	}
-	return p, nil
+	return decoded, nil
 }
--- a/internal/jobs/inventory/ratelimit_test.go
+++ b/internal/jobs/inventory/ratelimit_test.go
@@ -13,59 +13,59 @@
 )
 
 // pages is a platform in memory: a list of one worker a page.
-type pages struct {
-	count   int
-	calls   int
-	refuses func(call int, token string) bool // with 429
+type pagedPlatform struct {
+	pageCount int
+	calls     int
+	rejects   func(call int, token string) bool // with 429
 }
 
 // RoundTrip implements http.RoundTripper.
-func (p *pages) RoundTrip(request *http.Request) (*http.Response, error) {
+func (p *pagedPlatform) RoundTrip(request *http.Request) (*http.Response, error) {
 	p.calls++
 	token := request.URL.Query().Get("pageToken")
-	if p.refuses(p.calls, token) {
-		return answer(http.StatusTooManyRequests, ""), nil
+	if p.rejects(p.calls, token) {
+		return newResponse(http.StatusTooManyRequests, ""), nil
 	}
 	number := 0
 	if token != "" {
 		fmt.Sscan(token, &number)
 	}
 	next := "null"
-	if number+1 < p.count {
+	if number+1 < p.pageCount {
 		next = fmt.Sprintf(`"%d"`, number+1)
 	}
-	return answer(http.StatusOK, fmt.Sprintf(`{"instances":[{"identifier":"i-%d","address":"a:1"}],"nextPageToken":%s}`, number, next)), nil
+	return newResponse(http.StatusOK, fmt.Sprintf(`{"instances":[{"identifier":"i-%d","address":"a:1"}],"nextPageToken":%s}`, number, next)), nil
 }
 
-func answer(status int, body string) *http.Response {
+func newResponse(status int, body string) *http.Response {
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body)), Header: http.Header{}}
 }
 
-func TestListBeyondTheRate(t *testing.T) {
-	read := func(p *pages) (count int, err error) {
+func TestPageRejectedForTheRateIsRequestedAgain(t *testing.T) {
+	read := func(p *pagedPlatform) (count int, err error) {
 		virtualtime.Test(t, func(t *testing.T) {
 			reader := Reader{Address: "platform:1", RatePerSecond: 4, HTTP: &http.Client{Transport: p}}
-			instances, _, failed := reader.ReadAll(t.Context())
-			count, err = len(instances), failed
+			instances, _, readErr := reader.ReadAll(t.Context())
+			count, err = len(instances), readErr
 		})
 		return count, err
 	}
 	Convey("A list of more pages than the platform accepts calls comes whole, with no page requested again that has come", t, func() {
-		p := &pages{count: 6, refuses: func(call int, _ string) bool { return call%2 == 0 }}
+		p := &pagedPlatform{pageCount: 6, rejects: func(call int, _ string) bool { return call%2 == 0 }}
 		count, err := read(p)
 		So(err, ShouldBeNil)
 		So(count, ShouldEqual, 6)
 		So(p.calls, ShouldEqual, 11)
 	})
 	Convey("A list that breaks off for good is no list", t, func() {
-		p := &pages{count: 3, refuses: func(_ int, token string) bool { return token == "1" }}
+		p := &pagedPlatform{pageCount: 3, rejects: func(_ int, token string) bool { return token == "1" }}
 		count, err := read(p)
 		So(err, ShouldWrap, ErrRateLimited)
 		So(count, ShouldEqual, 0)
 		So(p.calls, ShouldBeLessThan, 30)
 	})
 	Convey("A refused first page is left to the next reading", t, func() {
-		p := &pages{count: 3, refuses: func(int, string) bool { return true }}
+		p := &pagedPlatform{pageCount: 3, rejects: func(int, string) bool { return true }}
 		_, err := read(p)
 		So(err, ShouldWrap, ErrRateLimited)
 		So(p.calls, ShouldEqual, 1)
--- a/internal/jobs/inventory/reader_test.go
+++ b/internal/jobs/inventory/reader_test.go
@@ -40,7 +40,7 @@
 	return c, platform, &Reader{Address: platform.Address(), RatePerSecond: config.RatePerS, HTTP: client}
 }
 
-func TestReadAll(t *testing.T) {
+func TestReadAllReturnsCompleteListOrError(t *testing.T) {
 	convey.Convey("Given a list of several pages", t, func() {
 		c, platform, reader := newTestReader(7, cluster.PlatformConfig{PageSize: 3})
 		convey.Convey("it is read completely, each page once", func() {
@@ -65,11 +65,11 @@
 			convey.So(instances[7].RemainingMS, convey.ShouldBeBetween, 3_000_000, 3_600_001)
 		})
 		convey.Convey("the workers of each page are found at once, until the first list was read completely", func() {
-			var found []int
-			reader.OnPage = func(instances []workerclient.Instance) { found = append(found, len(instances)) }
+			var pageSizes []int
+			reader.OnPage = func(instances []workerclient.Instance) { pageSizes = append(pageSizes, len(instances)) }
 			reader.ReadAll(t.Context())
 			reader.ReadAll(t.Context())
-			convey.So(found, convey.ShouldResemble, []int{3, 3, 1})
+			convey.So(pageSizes, convey.ShouldResemble, []int{3, 3, 1})
 		})
 		convey.Convey("a page without an answer is requested again, and not the pages before it", func() {
 			var calls atomic.Int64 // a call that is aborted and the next one have goroutines of their own
@@ -92,9 +92,9 @@
 			convey.So(err, convey.ShouldWrap, ErrRateLimited)
 			platform.Fail(http.StatusInternalServerError)
 			_, _, err = reader.ReadAll(t.Context())
-			var unexpected *StatusError
-			convey.So(errors.As(err, &unexpected), convey.ShouldBeTrue)
-			convey.So(unexpected.Status, convey.ShouldEqual, http.StatusInternalServerError)
+			var statusErr *StatusError
+			convey.So(errors.As(err, &statusErr), convey.ShouldBeTrue)
+			convey.So(statusErr.Status, convey.ShouldEqual, http.StatusInternalServerError)
 		})
 	})
 	convey.Convey("Given a platform that sends malformed answers, there is no list", t, func() {
@@ -104,14 +104,14 @@
 		}))
 		convey.Reset(server.Close)
 		reader := &Reader{Address: server.Listener.Addr().String(), HTTP: server.Client()}
-		for _, strange := range []string{``, `{}`, `{"instances":null}`, `{"instances":[{}],"nextPageToken":"again"}`} {
-			body.Store(&strange)
+		for _, malformed := range []string{``, `{}`, `{"instances":null}`, `{"instances":[{}],"nextPageToken":"again"}`} {
+			body.Store(&malformed)
 			_, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldNotBeNil)
 		}
 		convey.Convey("but entries that cannot be used are passed over, and those that come twice count once", func() {
-			odd := `{"instances":[{},{"identifier":"i-1","address":"a:1","labels":"gpu"},{"identifier":"i-1","address":"a:1"}]}`
-			body.Store(&odd)
+			unusable := `{"instances":[{},{"identifier":"i-1","address":"a:1","labels":"gpu"},{"identifier":"i-1","address":"a:1"}]}`
+			body.Store(&unusable)
 			instances, pages, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(pages, convey.ShouldEqual, 1)
@@ -121,17 +121,17 @@
 	})
 }
 
-func TestRun(t *testing.T) {
+func TestRunDeliversEachCompleteList(t *testing.T) {
 	convey.Convey("Given a reader that runs", t, func() {
 		_, platform, reader := newTestReader(2, cluster.PlatformConfig{})
-		lists := make(chan []workerclient.Instance)
+		delivered := make(chan []workerclient.Instance)
 		ctx, cancel := context.WithCancel(t.Context())
 		returned := make(chan struct{})
 		run := func(interval time.Duration) {
 			go func() {
 				reader.Run(ctx, interval, func(instances []workerclient.Instance) {
 					select {
-					case lists <- instances:
+					case delivered <- instances:
 					case <-ctx.Done():
 					}
 				})
@@ -144,7 +144,7 @@
 		})
 		next := func() []workerclient.Instance {
 			select {
-			case list := <-lists:
+			case list := <-delivered:
 				return list
 			case <-time.After(testTimeout):
 				t.Fatal("no list")
@@ -162,9 +162,9 @@
 			convey.So(platform.Calls(), convey.ShouldEqual, 1)
 		})
 		convey.Convey("after a failure it is tried again, and nothing is delivered in between", func() {
-			answers := make(chan int)
+			statuses := make(chan int)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if status := <-answers; status != http.StatusOK {
+				if status := <-statuses; status != http.StatusOK {
 					w.WriteHeader(status)
 					return
 				}
@@ -172,17 +172,17 @@
 			}))
 			convey.Reset(server.Close)
 			reader.Address = server.Listener.Addr().String()
-			began := time.Now()
+			startedAt := time.Now()
 			run(time.Hour)
-			answers <- http.StatusServiceUnavailable
-			answers <- http.StatusOK
+			statuses <- http.StatusServiceUnavailable
+			statuses <- http.StatusOK
 			convey.So(next(), convey.ShouldHaveLength, 2)
-			convey.So(time.Since(began), convey.ShouldBeGreaterThan, firstBackoff*6/10)
+			convey.So(time.Since(startedAt), convey.ShouldBeGreaterThan, initialBackoff*6/10)
 		})
 	})
 }
 
-func TestSpacing(t *testing.T) {
+func TestReadIntervalGrowsWithPageCount(t *testing.T) {
 	convey.Convey("Reads of many pages come less often", t, func() {
 		reader := &Reader{RatePerSecond: 30}
 		convey.So(reader.readInterval(time.Second, 1), convey.ShouldEqual, time.Second)
--- a/internal/jobs/inventory/wire_test.go
+++ b/internal/jobs/inventory/wire_test.go
@@ -10,7 +10,7 @@
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "page", Value: new(page)},
-		goldentest.Form{Name: "entry", Value: new(entry)},
+		goldentest.Form{Name: "entry", Value: new(instanceEntry)},
 	)
 }
 
--- a/internal/jobs/jobapi/jobapi.go
+++ b/internal/jobs/jobapi/jobapi.go
@@ -1,5 +1,7 @@
-// Package jobapi holds the internal calls by which any node reaches the leader of a service's jobs. A node that does not
-// lead the group rejects each call as certainly not executed.
+// Package jobapi defines the internal RPCs by which any node reaches the leader that schedules a service's jobs.
+//
+// A node that does not lead the replication group rejects each call with an error that marks it as not executed, so that the
+// caller may send the call to another node.
 package jobapi
 
 import (
@@ -7,68 +9,70 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// The calls. All are idempotent: a job that is submitted or cancelled again stays one job with one final state.
+// The RPCs are idempotent: if a job is submitted or cancelled repeatedly, it remains one job with one final state.
 var (
-	SubmitCall  = transport.NewIdempotent[Submit, Submitted]("/jobs/submit")
-	StatusCall  = transport.NewIdempotent[Status, StatusReply]("/jobs/status")
-	CancelCall  = transport.NewIdempotent[Cancel, Cancelled]("/jobs/cancel")
-	PendingCall = transport.NewIdempotent[Pending, PendingReply]("/jobs/pending")
+	SubmitCall  = transport.NewIdempotent[SubmitRequest, SubmitReply]("/jobs/submit")
+	StatusCall  = transport.NewIdempotent[StatusRequest, StatusReply]("/jobs/status")
+	CancelCall  = transport.NewIdempotent[CancelRequest, CancelReply]("/jobs/cancel")
+	PendingCall = transport.NewIdempotent[PendingRequest, PendingReply]("/jobs/pending")
 )
 
-// Queue is what the configuration says of a job's route when the job is submitted. A later change of the configuration does
-// not change it.
+// Queue contains the settings of a job's route at the time when the job is submitted. Later changes of the configuration
+// do not affect the job.
 type Queue struct {
 	Route           string  `msgpack:"r"`
 	Service         string  `msgpack:"s"`
-	Priority        int     `msgpack:"p"` // 0 goes first
-	MaxAttempts     int     `msgpack:"a"` // failed attempts of a task with which its job fails; values below 1 count as 1
-	Extension       float64 `msgpack:"e"` // a job may take so many times its critical path; values below 1 count as 1
-	TargetLatencyMS int64   `msgpack:"t"` // and this much more, milliseconds
-	Guards          bool    `msgpack:"g"` // the service's workers reject what does not fit
+	Priority        int     `msgpack:"p"` // 0 is the highest priority
+	MaxAttempts     int     `msgpack:"a"` // number of failed attempts of a task after which the job fails; values below 1 count as 1
+	Extension       float64 `msgpack:"e"` // multiple of the critical path that a job may take; values below 1 count as 1
+	TargetLatencyMS int64   `msgpack:"t"` // time that a job may take in addition, milliseconds
+	Guards          bool    `msgpack:"g"` // the service's workers reject tasks that exceed their free capacity
 }
 
-// Submit adds a job. The same ID again is the same job.
-type Submit struct {
-	Group         string            `msgpack:"g"` // replication group that schedules the service
+// SubmitRequest adds a job. A repeated request with the same ID does not add another job.
+type SubmitRequest struct {
+	Group         string            `msgpack:"g"` // replication group that schedules the service's jobs
 	ID            job.ID            `msgpack:"i"`
 	Queue         Queue             `msgpack:"q"`
 	Specification job.Specification `msgpack:"s"`
 }
 
-// Submitted is the reply to Submit, sent once the job is durable. A rejection is an error with rpcerror.NotExecuted.
-type Submitted struct{}
+// SubmitReply is the reply to SubmitRequest. It is sent once the job is durable. A rejected request is answered by an error
+// with rpcerror.NotExecuted.
+type SubmitReply struct{}
 
-// Status requests a job's state.
-type Status struct {
+// StatusRequest requests a job's state.
+type StatusRequest struct {
 	Group string `msgpack:"g"`
 	ID    job.ID `msgpack:"i"`
 }
 
-// StatusReply is the state, if the group knows the job.
+// StatusReply is the reply to StatusRequest. State is empty if the group does not know the job.
 type StatusReply struct {
 	Known bool      `msgpack:"k"`
 	State job.State `msgpack:"s"`
 }
 
-// Cancel ends a job.
-type Cancel struct {
+// CancelRequest cancels a job.
+type CancelRequest struct {
 	Group string `msgpack:"g"`
 	ID    job.ID `msgpack:"i"`
 }
 
-// Cancelled is the reply to Cancel, sent once the cancellation is durable.
-type Cancelled struct {
+// CancelReply is the reply to CancelRequest. It is sent once the cancellation is durable.
+type CancelReply struct {
 	Known bool      `msgpack:"k"`
-	State job.State `msgpack:"s"` // of a known job afterwards; one that had ended before stays what it was
+	State job.State `msgpack:"s"` // state of a known job after the call; a job that had ended before keeps its state
 }
 
-// Pending requests the number of jobs of a route that have not ended. It may be ahead of what is durable.
-type Pending struct {
+// PendingRequest requests the number of a route's jobs that have not ended. The reply may include changes that are not durable
+// yet.
+type PendingRequest struct {
 	Group string `msgpack:"g"`
 	Route string `msgpack:"r"`
 }
 
-// PendingReply is that number.
+// PendingReply is the reply to PendingRequest.
 type PendingReply struct {
 	Count int `msgpack:"c"`
 }
--- a/internal/jobs/jobapi/wire_test.go
+++ b/internal/jobs/jobapi/wire_test.go
@@ -10,14 +10,14 @@
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "queue", Value: new(Queue)},
-		goldentest.Form{Name: "submit", Value: new(Submit)},
-		goldentest.Form{Name: "status", Value: new(Status)},
+		goldentest.Form{Name: "submit", Value: new(SubmitRequest)},
+		goldentest.Form{Name: "status", Value: new(StatusRequest)},
 		goldentest.Form{Name: "status reply", Value: new(StatusReply)},
-		goldentest.Form{Name: "cancel", Value: new(Cancel)},
-		goldentest.Form{Name: "cancelled", Value: new(Cancelled)},
-		goldentest.Form{Name: "pending", Value: new(Pending)},
+		goldentest.Form{Name: "cancel", Value: new(CancelRequest)},
+		goldentest.Form{Name: "cancelled", Value: new(CancelReply)},
+		goldentest.Form{Name: "pending", Value: new(PendingRequest)},
 		goldentest.Form{Name: "pending reply", Value: new(PendingReply)},
-		goldentest.Form{Name: "submitted", Value: new(Submitted)},
+		goldentest.Form{Name: "submitted", Value: new(SubmitReply)},
 	)
 }
 
--- a/internal/jobs/manager/debuglog.go
+++ b/internal/jobs/manager/debuglog.go
@@ -16,7 +16,7 @@
 func (l *leadership) tracing() bool { return l.config.Log.Core().Enabled(zapcore.DebugLevel) }
 
 // traceSubmit logs that a job was submitted; the job may have been known.
-func (l *leadership) traceSubmit(request *jobapi.Submit) {
+func (l *leadership) traceSubmit(request *jobapi.SubmitRequest) {
 	if l.tracing() {
 		l.config.Log.Debug("job submitted", zap.String("job", string(request.ID)), zap.String("route", request.Queue.Route))
 	}
--- a/internal/jobs/manager/debuglog_test.go
+++ b/internal/jobs/manager/debuglog_test.go
@@ -21,13 +21,13 @@
 	l := &leadership{config: Config{Log: zap.New(core)}, term: &replication.Term{}}
 	id := job.ID("00000000000000aa")
 	task := job.TaskID{Job: id, Stage: 1, Index: 2}
-	l.traceSubmit(&jobapi.Submit{ID: id})
+	l.traceSubmit(&jobapi.SubmitRequest{ID: id})
 	l.traceCommand(&scheduler.Command{Worker: "i-1", Start: &workerclient.StartCommand{Task: task, AttemptNumber: 1}})
 	l.traceCommand(&scheduler.Command{Worker: "i-1", Stop: &workerclient.StopCommand{Task: task, AttemptNumber: 1}})
 	l.traceCompletions(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, AttemptNumber: 1, Outcome: job.OutcomeDone}}})
 	jobs, err := scheduler.New(scheduler.Settings{}, scheduler.Now{}, nil)
 	So(err, ShouldBeNil)
-	jobs.Submit(scheduler.Now{}, &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
+	jobs.Submit(scheduler.Now{}, &jobapi.SubmitRequest{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
 	jobs.Cancel(scheduler.Now{}, id)
 	effects := jobs.TakeEffects()
 	l.traceEndedJobs(&effects)
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -162,7 +162,7 @@
 }
 
 func submit(m *Manager, number int) {
-	request := jobapi.Submit{Group: feed.GroupOf(fleetService), ID: job.ID(fmt.Sprintf("%016x", number)),
+	request := jobapi.SubmitRequest{Group: feed.GroupOf(fleetService), ID: job.ID(fmt.Sprintf("%016x", number)),
 		Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, TargetLatencyMS: 250, Extension: 2},
 		Specification: job.Specification{Text: "text", Stages: []job.Stage{
 			{Count: fleetTasksEach, EstimatedDurationMS: fleetTaskTime.Milliseconds(), Resources: fleetRequest},
--- a/internal/jobs/manager/idempotency_test.go
+++ b/internal/jobs/manager/idempotency_test.go
@@ -89,7 +89,7 @@
 		ctx := context.Background()
 		live, unknown := job.ID("00000000000000aa"), job.ID("00000000000000bb")
 		Convey("A cancellation replies with the state that it leaves, also when it is sent again", t, func() {
-			submit := jobapi.Submit{Group: soleGroup, ID: live, Specification: job.Specification{
+			submit := jobapi.SubmitRequest{Group: soleGroup, ID: live, Specification: job.Specification{
 				Text: "text", Stages: []job.Stage{{Count: 1}},
 			}}
 			for range 2 {
@@ -97,18 +97,18 @@
 				So(err, ShouldBeNil)
 			}
 			for range 2 {
-				reply, err := m.cancel(ctx, jobapi.Cancel{Group: soleGroup, ID: live})
+				reply, err := m.cancel(ctx, jobapi.CancelRequest{Group: soleGroup, ID: live})
 				So(err, ShouldBeNil)
-				So(reply, ShouldResemble, jobapi.Cancelled{Known: true, State: job.Cancelled})
+				So(reply, ShouldResemble, jobapi.CancelReply{Known: true, State: job.Cancelled})
 			}
 			_, err := m.submit(ctx, submit)
 			So(err, ShouldBeNil)
-			status, err := m.status(ctx, jobapi.Status{Group: soleGroup, ID: live})
+			status, err := m.status(ctx, jobapi.StatusRequest{Group: soleGroup, ID: live})
 			So(err, ShouldBeNil)
 			So(status, ShouldResemble, jobapi.StatusReply{Known: true, State: job.Cancelled})
-			reply, err := m.cancel(ctx, jobapi.Cancel{Group: soleGroup, ID: unknown})
+			reply, err := m.cancel(ctx, jobapi.CancelRequest{Group: soleGroup, ID: unknown})
 			So(err, ShouldBeNil)
-			So(reply, ShouldResemble, jobapi.Cancelled{})
+			So(reply, ShouldResemble, jobapi.CancelReply{})
 		})
 	})
 }
@@ -140,11 +140,11 @@
 			ask  func() error
 		}{
 			{"a job", func() error {
-				_, err := m.submit(ctx, jobapi.Submit{Group: soleGroup, ID: id, Specification: specification})
+				_, err := m.submit(ctx, jobapi.SubmitRequest{Group: soleGroup, ID: id, Specification: specification})
 				return err
 			}},
 			{"a cancellation", func() error {
-				_, err := m.cancel(ctx, jobapi.Cancel{Group: soleGroup, ID: id})
+				_, err := m.cancel(ctx, jobapi.CancelRequest{Group: soleGroup, ID: id})
 				return err
 			}},
 		}
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -24,9 +24,9 @@
 	unknownJob = job.ID("00000000000000bb")
 )
 
-func submission(id job.ID) jobapi.Submit {
+func submission(id job.ID) jobapi.SubmitRequest {
 	specification := job.Specification{Text: "x", Stages: []job.Stage{{Count: 1, Resources: job.Resources{Processors: 500}}}}
-	return jobapi.Submit{Group: testGroup, ID: id, Queue: jobapi.Queue{Route: "r", Service: "x", MaxAttempts: 1}, Specification: specification}
+	return jobapi.SubmitRequest{Group: testGroup, ID: id, Queue: jobapi.Queue{Route: "r", Service: "x", MaxAttempts: 1}, Specification: specification}
 }
 
 // leaderCall is one call that a leader answers.
@@ -42,15 +42,15 @@
 		{"submit", func(m *Manager) error { _, err := m.submit(ctx, submission(unknownJob)); return err }},
 		{"submit again", func(m *Manager) error { _, err := m.submit(ctx, submission(knownJob)); return err }},
 		{"cancel", func(m *Manager) error {
-			_, err := m.cancel(ctx, jobapi.Cancel{Group: testGroup, ID: unknownJob})
+			_, err := m.cancel(ctx, jobapi.CancelRequest{Group: testGroup, ID: unknownJob})
 			return err
 		}},
 		{"status", func(m *Manager) error {
-			_, err := m.status(ctx, jobapi.Status{Group: testGroup, ID: unknownJob})
+			_, err := m.status(ctx, jobapi.StatusRequest{Group: testGroup, ID: unknownJob})
 			return err
 		}},
 		{"pending", func(m *Manager) error {
-			_, err := m.pending(ctx, jobapi.Pending{Group: testGroup, Route: "r"})
+			_, err := m.pending(ctx, jobapi.PendingRequest{Group: testGroup, Route: "r"})
 			return err
 		}},
 		{"summary", func(m *Manager) error {
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -165,22 +165,22 @@
 	return leadership, nil
 }
 
-func (m *Manager) submit(ctx context.Context, request jobapi.Submit) (jobapi.Submitted, error) {
+func (m *Manager) submit(ctx context.Context, request jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 	if !request.ID.Valid() {
-		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(errInvalidJobID, 0)
+		return jobapi.SubmitReply{}, rpcerror.WrapNotExecuted(errInvalidJobID, 0)
 	}
 	if err := request.Specification.Validate(); err != nil {
-		return jobapi.Submitted{}, rpcerror.WrapNotExecuted(err, 0)
+		return jobapi.SubmitReply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
-		return jobapi.Submitted{}, err
+		return jobapi.SubmitReply{}, err
 	}
 	leadership.traceSubmit(&request)
-	return jobapi.Submitted{}, leadership.commit(ctx, func(now scheduler.Now) { leadership.scheduler.Submit(now, &request) })
+	return jobapi.SubmitReply{}, leadership.commit(ctx, func(now scheduler.Now) { leadership.scheduler.Submit(now, &request) })
 }
 
-func (m *Manager) cancel(ctx context.Context, request jobapi.Cancel) (reply jobapi.Cancelled, err error) {
+func (m *Manager) cancel(ctx context.Context, request jobapi.CancelRequest) (reply jobapi.CancelReply, err error) {
 	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
 		return reply, err
@@ -192,7 +192,7 @@
 	return reply, err
 }
 
-func (m *Manager) status(ctx context.Context, request jobapi.Status) (reply jobapi.StatusReply, err error) {
+func (m *Manager) status(ctx context.Context, request jobapi.StatusRequest) (reply jobapi.StatusReply, err error) {
 	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
 		return reply, err
@@ -201,7 +201,7 @@
 	return reply, err
 }
 
-func (m *Manager) pending(_ context.Context, request jobapi.Pending) (reply jobapi.PendingReply, err error) {
+func (m *Manager) pending(_ context.Context, request jobapi.PendingRequest) (reply jobapi.PendingReply, err error) {
 	err = m.readCurrent(request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Count = jobs.Pending(request.Route) })
 	return reply, err
 }
--- a/internal/jobs/scheduler/admission.go
+++ b/internal/jobs/scheduler/admission.go
@@ -4,8 +4,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// isEligible tells whether a worker may ever take tasks of a stage, whatever its load: it is schedulable, large enough,
-// and has the labels that the stage requires.
+// isEligible reports whether a worker could run tasks of a stage if it were idle: the worker is schedulable, its capacity
+// covers one task's request, and it has all labels that the stage requires.
 func (s *Scheduler) isEligible(stage *stageState, worker *workerState) bool {
 	if !s.isSchedulable(worker) || !worker.Capacity.Fits(stage.Resources) {
 		return false
@@ -18,14 +18,15 @@
 	return true
 }
 
-// isSchedulable tells whether a worker may take starts as far as the platform and operators are concerned.
+// isSchedulable reports whether the platform has listed the worker, and neither the platform nor an operator drains it.
 func (s *Scheduler) isSchedulable(worker *workerState) bool {
 	return worker.inInventory && !worker.Draining && !s.operatorDrains.isDraining(worker.ID)
 }
 
-// isOpen tells whether a worker takes starts at present. A worker on which an orphan is being stopped does not: its
-// capacity is not known until that has ended.
-func (s *Scheduler) isOpen(now Now, worker *workerState) bool {
+// acceptsStarts reports whether tasks may be started on a worker at present, apart from the capacity that they request.
+// No task is started on a worker while an orphaned attempt is being stopped there: the worker's free capacity is unknown
+// until the orphan has ended.
+func (s *Scheduler) acceptsStarts(now Now, worker *workerState) bool {
 	if !worker.reachable || !s.isSchedulable(worker) || worker.fencedAt.IsZero() || len(worker.orphans) > 0 {
 		return false
 	}
@@ -35,43 +36,45 @@
 	return !worker.isBackingOff(now)
 }
 
-// isBackingOff tells whether a worker takes no starts for a moment, after it rejected one or an attempt stalled there.
+// isBackingOff reports whether starts on a worker are suspended for a short time, because the worker rejected a start or an
+// attempt stalled there.
 func (worker *workerState) isBackingOff(now Now) bool {
 	return now.Monotonic.Before(worker.backoffUntil) || now.Monotonic.Before(worker.fullUntil)
 }
 
-// admits tells whether an open worker can take one more task of a stage, beside as many that are already planned there:
-// within its window, its free capacity and the job's anti-affinity.
-func (s *Scheduler) admits(stage *stageState, worker *workerState, planned int) bool {
-	if float64(len(worker.attempts)+planned) >= worker.window {
+// admits reports whether a worker that accepts starts can run one more task of a stage, in addition to plannedTasks tasks of
+// that stage that are already planned there. It checks the worker's attempt window, its free capacity, its eligibility and
+// the stage's anti-affinity limit.
+func (s *Scheduler) admits(stage *stageState, worker *workerState, plannedTasks int) bool {
+	if float64(len(worker.attempts)+plannedTasks) >= worker.window {
 		return false
 	}
-	free := worker.free()
-	if planned > 0 {
-		free = free.Subtract(stage.Times(int64(planned)))
+	free := worker.freeCapacity()
+	if plannedTasks > 0 {
+		free = free.Subtract(stage.Times(int64(plannedTasks)))
 	}
 	if !free.Fits(stage.Resources) || !s.isEligible(stage, worker) {
 		return false
 	}
-	return stage.AntiAffinity == 0 || worker.attemptsOfStage(stage)+planned < stage.AntiAffinity
+	return stage.AntiAffinity == 0 || worker.attemptsOfStage(stage)+plannedTasks < stage.AntiAffinity
 }
 
-// openWorkers lists the workers that take starts at present. They are listed once in a dispatch, and only if a task does
-// not fit at the worker that it is bound to.
-func (s *Scheduler) openWorkers(now Now) []*workerState {
+// workersAcceptingStarts returns the workers for which acceptsStarts is true. The list is computed at most once per dispatch,
+// when the first task cannot start on the worker that it is bound to.
+func (s *Scheduler) workersAcceptingStarts(now Now) []*workerState {
 	if s.openCached {
 		return s.openCache
 	}
 	s.openCached = true
 	for _, worker := range s.sortedWorkers {
-		if s.isOpen(now, worker) {
+		if s.acceptsStarts(now, worker) {
 			s.openCache = append(s.openCache, worker)
 		}
 	}
 	return s.openCache
 }
 
-// attemptsOfStage counts a stage's attempts at a worker.
+// attemptsOfStage returns the number of a stage's attempts on the worker.
 func (worker *workerState) attemptsOfStage(stage *stageState) int {
 	count := 0
 	for _, attempt := range worker.attempts {
@@ -82,12 +85,13 @@
 	return count
 }
 
-// free is the capacity that is left, by our count; below 0 where a worker takes more than it offers.
-func (worker *workerState) free() job.Resources { return worker.Capacity.Subtract(worker.used) }
+// freeCapacity returns the worker's capacity minus the requests of the attempts assigned to it. It is negative if these
+// requests exceed the capacity that the platform reports.
+func (worker *workerState) freeCapacity() job.Resources { return worker.Capacity.Subtract(worker.used) }
 
 func (worker *workerState) hasLabel(label string) bool {
-	for _, own := range worker.Labels {
-		if own == label {
+	for _, workerLabel := range worker.Labels {
+		if workerLabel == label {
 			return true
 		}
 	}
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -25,7 +25,7 @@
 		s.workers[instance.ID].window = maxWindow
 	}
 	for number := range jobs {
-		s.Submit(now, &jobapi.Submit{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, Priority: number % 3},
+		s.Submit(now, &jobapi.SubmitRequest{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, Priority: number % 3},
 			Specification: job.Specification{Text: "t", Stages: []job.Stage{{Count: 4, EstimatedDurationMS: 1000,
 				Resources: job.Resources{Processors: int64(2000 + number%5000), MemoryMB: 1000}}}}})
 	}
--- a/internal/jobs/scheduler/binding.go
+++ b/internal/jobs/scheduler/binding.go
@@ -4,7 +4,7 @@
 	"math"
 )
 
-// bindTask binds a task to the least costly worker that is reachable and eligible, and to none if there is none.
+// bindTask binds a task to the reachable, eligible worker of least cost. If there is no such worker, the task stays unbound.
 func (s *Scheduler) bindTask(task *taskState) {
 	s.unbindTask(task)
 	var best *workerState
@@ -20,7 +20,7 @@
 	task.bindTo(best)
 }
 
-// bindTo binds an unbound task to a worker; nil for none.
+// bindTo binds an unbound task to a worker. A nil worker leaves the task unbound.
 func (task *taskState) bindTo(worker *workerState) {
 	task.boundTo = worker
 	if worker != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// rebindTasks binds the tasks of a worker that cannot take them any more to others.
+// rebindTasks binds the waiting tasks of a worker to other workers, after the worker has become unable to run them.
 func (s *Scheduler) rebindTasks(worker *workerState) {
 	for _, stage := range s.waitingStages {
 		for _, task := range stage.waiting {
@@ -47,7 +47,7 @@
 	s.orderStale = true
 }
 
-// bindUnboundTasks binds the tasks for which no worker was eligible before.
+// bindUnboundTasks tries to bind the waiting tasks for which no reachable worker was eligible before.
 func (s *Scheduler) bindUnboundTasks() {
 	for _, stage := range s.waitingStages {
 		for _, task := range stage.waiting {
@@ -59,8 +59,8 @@
 	s.orderStale = true
 }
 
-// unitCosts are the workers that may take a stage's tasks, with their costs without load. All new tasks of a stage are
-// alike, so that these are computed once for all of them.
+// unitCosts lists the workers that can run a stage's tasks, each with its unit cost, which is its cost without load. All new
+// tasks of a stage have the same unit costs, so the list is computed once per stage.
 type unitCosts []unitCost
 
 type unitCost struct {
@@ -68,7 +68,8 @@
 	cost   float64
 }
 
-// unitCostsFor computes the unit costs of a stage. They are valid until the next call.
+// unitCostsFor computes the unit costs of a stage. The result is valid until the next call, which
+// reuses the buffer.
 func (s *Scheduler) unitCostsFor(stage *stageState) unitCosts {
 	costs := s.unitCostScratch[:0]
 	for _, worker := range s.sortedWorkers {
@@ -80,8 +81,8 @@
 	return costs
 }
 
-// bindLeastCost binds a new task, which avoids no worker yet, to the least costly one.
-func (u unitCosts) bindLeastCost(task *taskState) {
+// bindToLeastCost binds a new task to the worker of least cost. It ignores avoided workers, as a new task has none.
+func (u unitCosts) bindToLeastCost(task *taskState) {
 	var best *workerState
 	bestCost := math.Inf(1)
 	for i := range u {
--- a/internal/jobs/scheduler/commandresults.go
+++ b/internal/jobs/scheduler/commandresults.go
@@ -6,17 +6,17 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// LateCommandWindow is how long after it was sent an unanswered command may still be executed by its worker.
+// LateCommandWindow is the time after sending within which a worker may still execute a command that got no response.
 const LateCommandWindow = 12500 * time.Millisecond
 
 const (
-	backoffAfterUnhealthy   = time.Second            // no starts at a worker that rejected one as unhealthy
-	backoffAfterFull        = 300 * time.Millisecond // nor at one that had less capacity than we counted
-	backoffAfterFailedStart = 100 * time.Millisecond // of a task whose start was rejected or never sent
+	backoffAfterUnhealthy   = time.Second            // time without starts on a worker that rejected one as unhealthy
+	backoffAfterFull        = 300 * time.Millisecond // time without starts on a worker that had less capacity than the scheduler computed
+	backoffAfterFailedStart = 100 * time.Millisecond // time without a start of a task whose last one was rejected or never sent
 )
 
-// HandleStartResult takes what became of a start. A rejected one ends its attempt; one without an answer does not, as it
-// may still be executed (see handleMissing).
+// HandleStartResult processes the result of a start command. A rejected start ends its attempt. A start without a response
+// does not, as the worker may still execute it (see handleMissingAttempts).
 func (s *Scheduler) HandleStartResult(now Now, result *workerclient.StartResult) {
 	worker := s.workers[result.Worker]
 	if worker == nil {
@@ -35,7 +35,7 @@
 		attempt.startUnclearAt = result.At
 		return
 	case workerclient.RejectedFencingToken:
-		return // this leadership is over
+		return // a newer leader has replaced this one
 	case workerclient.RejectedCapacity:
 		worker.fullUntil = now.Monotonic.Add(backoffAfterFull)
 	case workerclient.RejectedUnhealthy:
@@ -49,7 +49,8 @@
 	s.dispatchNeeded = true
 }
 
-// HandleStopResult takes the answer to a stop: the attempt has ended or is ending, or will never begin.
+// HandleStopResult processes the result of a stop command. A response confirms that the attempt has ended, is ending or will
+// never start.
 func (s *Scheduler) HandleStopResult(result *workerclient.StopResult) {
 	worker := s.workers[result.Worker]
 	if worker == nil || !result.Answered {
--- a/internal/jobs/scheduler/completion.go
+++ b/internal/jobs/scheduler/completion.go
@@ -7,11 +7,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// maxAvoidedWorkers is how many workers a task avoids; the oldest is dropped for a further one.
+// maxAvoidedWorkers is the maximum number of workers that a task avoids. A further worker replaces the oldest one.
 const maxAvoidedWorkers = 4
 
-// handleCompletion takes one completion from a worker's report. A worker lists it until it is acknowledged, so that the
-// same one may come many times; each counts once, by its number. It may be of an attempt that is not known here any more.
+// handleCompletion processes one completion from a worker's report. A worker reports a completion until it is acknowledged,
+// so the same one may arrive many times. Completions that were processed before are recognized by their number and ignored.
+// The completion may belong to an attempt that is no longer known here.
 func (s *Scheduler) handleCompletion(now Now, worker *workerState, completion *workerclient.FinishedTask) {
 	if completion.CompletionNumber <= worker.lastCompletion {
 		return
@@ -35,7 +36,7 @@
 	}
 	switch {
 	case task.stage.LongRunning:
-		s.retry(now, task, completion.AttemptNumber) // started again whatever the outcome
+		s.retry(now, task, completion.AttemptNumber) // a long-running task restarts after any outcome
 	case completion.Outcome == job.OutcomeDone && (attempt != nil || len(task.attempts) == 0 || task.stage.AtLeastOnce):
 		s.handleSuccess(now, task)
 	case completion.Outcome == job.OutcomeFailed:
@@ -45,19 +46,19 @@
 	}
 }
 
-// handleSuccess completes a task, or a whole gang.
+// handleSuccess completes a task. If the task is a member of a gang, it completes all members.
 func (s *Scheduler) handleSuccess(now Now, task *taskState) {
 	if !task.stage.GangScheduled {
 		s.completeTask(now, task)
 		return
 	}
-	for _, member := range task.stage.tasks { // one such completion counts for all members
+	for _, member := range task.stage.tasks { // one successful member means that all have succeeded
 		s.completeTask(now, member)
 	}
 }
 
-// completeTask marks a task as done, and begins what depended on it: the next stages, the end of the repetition or of the
-// job.
+// completeTask marks a task as done and stops its other attempts. If this completes the stage, it starts the stages that are
+// now ready, or completes the repetition and possibly the job.
 func (s *Scheduler) completeTask(now Now, task *taskState) {
 	if task.done {
 		return
@@ -66,7 +67,7 @@
 	s.dequeue(task)
 	s.writeTaskRecord(task)
 	for _, attempt := range task.attempts {
-		if !task.stage.GangScheduled { // members of a gang end together without a stop
+		if !task.stage.GangScheduled { // the members of a gang end together without being stopped
 			s.stopAttempt(attempt)
 		}
 	}
@@ -76,7 +77,7 @@
 		return
 	}
 	if stage.GangScheduled {
-		s.abandonGangAttempt(now, stage, task.attemptNumber) // members that do not end soon are stopped
+		s.abandonGangAttempt(now, stage, task.attemptNumber) // members that have not ended after gangStopDelay are stopped
 	}
 	stage.repetition.incompleteStages--
 	if stage.repetition.incompleteStages == 0 {
@@ -87,27 +88,28 @@
 	s.beginReadyStages(now, stage.repetition)
 }
 
-// handleFailure counts a failed attempt. The job fails with the last one that its queue allows.
+// handleFailure counts a failed attempt and queues the task again. The job fails if the task has reached the number of failed
+// attempts that the job's queue allows. The failures of a gang are counted at its first member.
 func (s *Scheduler) handleFailure(now Now, task *taskState, worker *workerState, number uint64) {
-	counter := task
+	countedTask := task
 	if task.stage.GangScheduled {
-		counter = task.stage.tasks[0]
+		countedTask = task.stage.tasks[0]
 	}
-	if !slices.Contains(counter.failedAttempts, number) {
-		counter.failedAttempts = append(counter.failedAttempts, number)
+	if !slices.Contains(countedTask.failedAttempts, number) {
+		countedTask.failedAttempts = append(countedTask.failedAttempts, number)
 	}
-	if !task.stage.LongRunning && len(counter.failedAttempts) >= max(1, task.stage.job.Queue.MaxAttempts) {
+	if !task.stage.LongRunning && len(countedTask.failedAttempts) >= max(1, task.stage.job.Queue.MaxAttempts) {
 		s.endJob(now, task.stage.job, job.Failed)
 		return
 	}
-	if counter != task {
-		s.writeTaskRecord(counter)
+	if countedTask != task {
+		s.writeTaskRecord(countedTask)
 	}
 	task.avoidWorker(worker)
 	s.retry(now, task, number)
 }
 
-// avoidWorker makes a worker costlier for a task that has just failed or crawled there.
+// avoidWorker raises the cost of a worker for a task that has failed or run slowly there.
 func (task *taskState) avoidWorker(worker *workerState) {
 	task.avoidedWorkers = append(task.avoidedWorkers, worker.ID)
 	if len(task.avoidedWorkers) > maxAvoidedWorkers {
@@ -115,7 +117,7 @@
 	}
 }
 
-// recordCheckpoint sets the newest checkpoint, for the whole gang if the task is a member of one.
+// recordCheckpoint stores a task's newest checkpoint. A checkpoint of a gang member applies to all members.
 func (task *taskState) recordCheckpoint(checkpoint string) {
 	if !task.stage.Checkpoints {
 		return
@@ -129,7 +131,8 @@
 	}
 }
 
-// retry queues a task for another attempt once none that rules out a further one is under way.
+// retry queues a task for another attempt, unless an attempt that has not been released may still be running. It also writes
+// the task's record and abandons the attempt of a gang.
 func (s *Scheduler) retry(now Now, task *taskState, number uint64) {
 	if task.done || task.stage.job.ended {
 		return
@@ -146,7 +149,7 @@
 	s.enqueueAndBind(now, task)
 }
 
-// endAttempt ends an attempt that is certainly not under way any more although no completion was reported.
+// endAttempt removes an attempt that has certainly ended although no completion was reported, and retries its task.
 func (s *Scheduler) endAttempt(now Now, attempt *attemptState) {
 	task := attempt.task
 	s.removeAttempt(attempt)
@@ -159,7 +162,7 @@
 	s.retry(now, task, attempt.number)
 }
 
-// addAttempt adds an attempt to its task and its worker, and reserves its capacity.
+// addAttempt adds an attempt to its task and its worker, and reserves the requested capacity on the worker.
 func (s *Scheduler) addAttempt(attempt *attemptState) {
 	task, worker := attempt.task, attempt.worker
 	task.attempts = append(task.attempts, attempt)
@@ -167,7 +170,7 @@
 	worker.used = worker.used.Add(task.stage.Resources)
 }
 
-// removeAttempt takes an attempt off its task and its worker, and frees its capacity.
+// removeAttempt removes an attempt from its task and its worker, and releases the reserved capacity.
 func (s *Scheduler) removeAttempt(attempt *attemptState) {
 	worker := attempt.worker
 	if worker.attempts[attempt.task.id] != attempt {
--- a/internal/jobs/scheduler/deadlines.go
+++ b/internal/jobs/scheduler/deadlines.go
@@ -1,58 +1,61 @@
 package scheduler
 
-// Deadlines matter under overload alone: what can still meet its target goes before what is late, and what is too late to
-// matter goes last. Without overload everything is in time, and the order is SWAG's within a priority.
+// Deadlines affect the order only under overload. Within a priority, repetitions that can still meet their target go before
+// late ones. Worthless repetitions, whose completion is too late to be of use, go last. Without overload nothing is late, and
+// each priority is in SWAG's order.
 const (
-	lateFactor        = 3.0     // times its target time, after which a job's completion matters to nobody
-	estimateTolerance = 1.3     // estimates are rough: a job counts as worthless so many times later than they say
-	levelsPerPriority = 2       // in time, late
-	worthlessLevel    = 1 << 20 // added to a worthless job's level: above all others
+	worthlessAfterFactor = 3.0     // multiple of the allowed time after which the completion is of no use to the client
+	estimateTolerance    = 1.3     // multiplies worthlessAfterFactor, because clients' duration estimates are imprecise
+	levelsPerPriority    = 2       // one level for repetitions that can meet their target, one for late ones
+	worthlessLevelOffset = 1 << 20 // added to the level of a worthless repetition, so that it follows all others
 )
 
-// setDeadlines sets when a repetition should be complete, from its queue's target and its critical path.
+// setDeadlines computes the time by which a repetition should complete, and the time after which it is worthless, from the
+// queue's target latency and the repetition's critical path.
 func (repetition *repetitionState) setDeadlines(j *jobState) {
 	repetition.remainingMS = repetition.criticalPathMS()
-	beginMS := float64(j.ArrivedMS)
+	startMS := float64(j.ArrivedMS)
 	if dueMS := j.dueMS(repetition.number); dueMS > 0 {
-		beginMS = float64(dueMS)
+		startMS = float64(dueMS)
 	}
 	allowedMS := max(1, j.Queue.Extension)*repetition.remainingMS + float64(j.Queue.TargetLatencyMS)
-	repetition.targetMS = beginMS + allowedMS
-	repetition.worthlessAfterMS = beginMS + estimateTolerance*lateFactor*allowedMS
+	repetition.targetMS = startMS + allowedMS
+	repetition.worthlessAfterMS = startMS + estimateTolerance*worthlessAfterFactor*allowedMS
 }
 
-// criticalPathMS is the length of the longest chain of stages that are not complete, by the client's estimates, in
-// milliseconds.
+// criticalPathMS returns the length in milliseconds of the longest chain of dependent stages that are not complete, computed
+// from the client's estimates.
 func (repetition *repetitionState) criticalPathMS() float64 {
-	longest := 0.0
+	longestMS := 0.0
 	finishMS := make([]float64, len(repetition.stages))
 	for number, stage := range repetition.stages {
-		for _, earlier := range stage.DependsOn {
-			finishMS[number] = max(finishMS[number], finishMS[earlier])
+		for _, dependency := range stage.DependsOn {
+			finishMS[number] = max(finishMS[number], finishMS[dependency])
 		}
 		if stage.incompleteTasks > 0 {
 			finishMS[number] += float64(stage.EstimatedDurationMS)
 		}
-		longest = max(longest, finishMS[number])
+		longestMS = max(longestMS, finishMS[number])
 	}
-	return longest
+	return longestMS
 }
 
-// orderingLevel is a repetition's level in the queue, the lowest first: by priority, then what can be in time, then what
-// is late; worthless ones come after all others.
+// orderingLevel returns a repetition's level in the queue. Lower levels go first. Levels are ordered by priority, and within
+// a priority repetitions that can meet their target go before late ones. Worthless repetitions follow all others.
 func (repetition *repetitionState) orderingLevel(now Now, j *jobState) int {
 	nowMS := float64(now.WallMS)
 	level := j.Queue.Priority * levelsPerPriority
 	switch {
 	case nowMS > repetition.worthlessAfterMS && !repetition.isLongRunning():
-		return worthlessLevel + level
+		return worthlessLevelOffset + level
 	case nowMS+repetition.remainingMS > repetition.targetMS && !repetition.isLongRunning():
 		return level + 1
 	}
 	return level
 }
 
-// isLongRunning tells whether the repetition has a stage that never completes; such a one has no deadline.
+// isLongRunning reports whether the repetition has a long-running stage, which never completes. Such a repetition has no
+// deadline.
 func (repetition *repetitionState) isLongRunning() bool {
 	for _, stage := range repetition.stages {
 		if stage.LongRunning {
--- a/internal/jobs/scheduler/dispatch.go
+++ b/internal/jobs/scheduler/dispatch.go
@@ -7,8 +7,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// Dispatch starts waiting tasks in the queue's order, wherever a worker takes them. It ends as soon as no worker takes
-// starts.
+// Dispatch starts waiting tasks in queue order on workers that can run them. It returns early if no worker accepts starts.
 func (s *Scheduler) Dispatch(now Now) {
 	s.dispatchNeeded = false
 	s.orderQueue(now)
@@ -29,7 +28,8 @@
 	}
 }
 
-// startTasks starts as many of a stage's tasks as there is capacity for.
+// startTasks starts as many of a stage's waiting tasks as workers have capacity for. If a task cannot be placed, it records
+// the request in unplaceable.
 func (s *Scheduler) startTasks(now Now, stage *stageState, unplaceable *unplaceableRequests) {
 	localOnly := s.waitsForLocality(now, stage)
 	for _, task := range slices.Clone(stage.waiting) {
@@ -45,20 +45,20 @@
 			if !localOnly {
 				unplaceable.add(stage)
 			}
-			return // the stage's other tasks request the same
+			return // the stage's other tasks request the same resources
 		}
 	}
 }
 
-// chooseWorker picks an open worker with capacity left: the one that the task is bound to, else the least costly other
-// one; nil if there is none.
+// chooseWorker returns a worker that accepts starts and can run the task: preferably the worker that the task is bound to,
+// otherwise the worker of least cost. It returns nil if there is none.
 func (s *Scheduler) chooseWorker(now Now, task *taskState, localOnly bool) *workerState {
-	if bound := task.boundTo; bound != nil && s.isOpen(now, bound) && s.canPlace(task, bound, localOnly) && !slices.Contains(task.avoidedWorkers, bound.ID) {
+	if bound := task.boundTo; bound != nil && s.acceptsStarts(now, bound) && s.canPlace(task, bound, localOnly) && !slices.Contains(task.avoidedWorkers, bound.ID) {
 		return bound
 	}
 	var best *workerState
 	bestCost := math.Inf(1)
-	for _, worker := range s.openWorkers(now) {
+	for _, worker := range s.workersAcceptingStarts(now) {
 		if !s.canPlace(task, worker, localOnly) {
 			continue
 		}
@@ -69,16 +69,17 @@
 	return best
 }
 
-// canPlace tells whether an open worker can take a task; with localOnly, only near the task's data. No worker ever has two
-// attempts of one task.
+// canPlace reports whether a worker that accepts starts can run a task. With localOnly, only workers near the task's data
+// qualify. A worker never has two attempts of the same task.
 func (s *Scheduler) canPlace(task *taskState, worker *workerState, localOnly bool) bool {
-	if localOnly && s.distanceFactor(task.stage, worker) > 1 {
+	if localOnly && s.remoteFactor(task.stage, worker) > 1 {
 		return false
 	}
 	return s.admits(task.stage, worker, 0) && worker.attempts[task.id] == nil
 }
 
-// assign gives a task to a worker under a new attempt number. The number is recorded before the command is sent.
+// assign creates an attempt of a task on a worker, with a new attempt number. The number is durably recorded before the start
+// command is sent.
 func (s *Scheduler) assign(now Now, task *taskState, worker *workerState, number uint64) {
 	s.dequeue(task)
 	task.attemptNumber = number
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -117,7 +117,7 @@
 func (s *Scheduler) placeableMembers(now Now, stage *stageState) int {
 	members := 0
 	for _, worker := range s.sortedWorkers {
-		if !s.isOpen(now, worker) {
+		if !s.acceptsStarts(now, worker) {
 			continue
 		}
 		for planned := 0; members < stage.Count && s.admits(stage, worker, planned); planned++ {
@@ -129,7 +129,7 @@
 
 // exclusionCause is the first cause for which a worker does not take a task of a stage at present; empty if it could.
 func (s *Scheduler) exclusionCause(now Now, stage *stageState, worker *workerState) jobreport.Cause {
-	if s.isOpen(now, worker) && s.admits(stage, worker, 0) {
+	if s.acceptsStarts(now, worker) && s.admits(stage, worker, 0) {
 		return ""
 	}
 	if cause := s.ineligibilityCause(stage, worker); cause != "" {
@@ -148,7 +148,7 @@
 		return jobreport.CauseBackoff
 	case float64(len(worker.attempts)) >= worker.window:
 		return jobreport.CauseWindow
-	case !worker.free().Fits(stage.Resources):
+	case !worker.freeCapacity().Fits(stage.Resources):
 		return jobreport.CauseCapacity
 	case stage.AntiAffinity > 0 && worker.attemptsOfStage(stage) >= stage.AntiAffinity:
 		return jobreport.CauseAntiAffinity
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -22,7 +22,7 @@
 // submitStages submits a job with these stages; its tasks take up to a second.
 func (w *simulation) submitStages(number int, stages ...job.Stage) job.ID {
 	id := job.ID(fmt.Sprintf("%016x", number))
-	w.submit(&jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: id,
+	w.submit(&simulatedJob{request: jobapi.SubmitRequest{Group: "jobs/x", ID: id,
 		Queue:         jobapi.Queue{Route: "r", Service: "x", MaxAttempts: 3, TargetLatencyMS: 500},
 		Specification: job.Specification{Stages: stages},
 	}})
@@ -126,7 +126,7 @@
 			So(len(waiting.OpenWorkers), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
-			facts := &jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
+			facts := &simulatedJob{request: jobapi.SubmitRequest{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
 				Specification: job.Specification{Stages: []job.Stage{smallStage(1)}, Repetitions: 2, FirstRunMS: w.clock().WallMS + 60_000, IntervalMS: 1000}}}
 			w.submit(facts)
 			waiting := explain(w, facts.request.ID)
@@ -183,7 +183,7 @@
 		for _, stage := range w.scheduler.waitingStages {
 			for _, worker := range w.scheduler.sortedWorkers {
 				cause := w.scheduler.exclusionCause(w.clock(), stage, worker)
-				takes := w.scheduler.isOpen(w.clock(), worker) && w.scheduler.admits(stage, worker, 0)
+				takes := w.scheduler.acceptsStarts(w.clock(), worker) && w.scheduler.admits(stage, worker, 0)
 				if takes != (cause == "") {
 					t.Fatalf("worker %s takes a task: %t, cause %q", worker.ID, takes, cause)
 				}
@@ -194,7 +194,7 @@
 			}
 		}
 	}
-	simulate(3, 200, compare, partitions, crashes, drains, lateCommands)
+	simulate(3, 200, compare, workerPartitions, workerCrashes, platformDrain, lateCommands)
 	if compared == 0 || other > 0 {
 		t.Fatalf("%d compared, %d of them without a named cause", compared, other)
 	}
--- a/internal/jobs/scheduler/faults_test.go
+++ b/internal/jobs/scheduler/faults_test.go
@@ -14,17 +14,17 @@
 type fault func(w *simulation, step int)
 
 const (
-	arrivalSteps = 500  // of 20 ms, in which jobs arrive
-	endSteps     = 4000 // by then all jobs must have ended
+	arrivalStepCount = 500  // of 20 ms, in which jobs arrive
+	maxStepCount     = 4000 // by then all jobs must have ended
 )
 
 // simulate submits jobs under faults and then waits for the end of all of them.
 func simulate(seed uint64, jobs int, faults ...fault) *simulation {
 	w := newSimulation(seed, 9)
 	sent := 0
-	for step := range endSteps {
-		if step < arrivalSteps {
-			for sent < jobs*step/arrivalSteps {
+	for step := range maxStepCount {
+		if step < arrivalStepCount {
+			for sent < jobs*step/arrivalStepCount {
 				sent++
 				w.submit(w.randomJob(sent))
 			}
@@ -33,7 +33,7 @@
 			}
 		}
 		w.step()
-		if step > arrivalSteps && len(w.scheduler.jobs) == 0 && len(w.inFlight) == 0 {
+		if step > arrivalStepCount && len(w.scheduler.jobs) == 0 && len(w.inFlight) == 0 {
 			break
 		}
 	}
@@ -41,12 +41,12 @@
 }
 
 // check lists the violations, with the jobs that did not end as they should.
-func (w *simulation) check() []string {
+func (w *simulation) verify() []string {
 	broken := w.violations
 	for id, facts := range w.jobs {
 		state, known := w.scheduler.Status(id)
 		want := job.Completed
-		if facts.poison {
+		if facts.alwaysFails {
 			want = job.Failed
 		}
 		if known && (state == want || state == job.Cancelled && facts.cancelledAt > 0) {
@@ -62,35 +62,35 @@
 
 func (w *simulation) hasFailingWorker() bool {
 	for _, worker := range w.workers {
-		if worker.failing {
+		if worker.failsAllAttempts {
 			return true
 		}
 	}
 	return false
 }
 
-func takeovers(w *simulation, _ int) {
+func leaderTakeovers(w *simulation, _ int) {
 	if w.random.IntN(100) == 0 {
-		w.elect()
+		w.startLeadership()
 	}
 }
 
-func lateCommands(w *simulation, _ int) { w.lateShare = 0.08 }
+func lateCommands(w *simulation, _ int) { w.lateStartProbability = 0.08 }
 
-func crashes(w *simulation, _ int) {
+func workerCrashes(w *simulation, _ int) {
 	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(80) == 0 && worker.up {
 		w.crash(worker, fmt.Sprintf("%s+", worker.ID))
 	}
 }
 
-func partitions(w *simulation, _ int) {
+func workerPartitions(w *simulation, _ int) {
 	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(60) == 0 && worker.up && !worker.partitioned {
 		worker.partitioned = true
-		w.after(time.Duration(1+w.random.IntN(9))*time.Second, func() { worker.partitioned = false })
+		w.schedule(time.Duration(1+w.random.IntN(9))*time.Second, func() { worker.partitioned = false })
 	}
 }
 
-func cancels(w *simulation, _ int) {
+func jobCancellations(w *simulation, _ int) {
 	if w.random.IntN(20) != 0 {
 		return
 	}
@@ -100,26 +100,26 @@
 	}
 }
 
-func failures(w *simulation, step int) {
+func failingWorker(w *simulation, step int) {
 	if step == 100 {
-		w.workers[2].failing = true
+		w.workers[2].failsAllAttempts = true
 	}
 }
 
-func stalls(w *simulation, _ int) {
+func stalledAttempts(w *simulation, _ int) {
 	if w.random.IntN(50) != 0 {
 		return
 	}
 	for _, attempt := range w.workers[w.random.IntN(len(w.workers))].running {
-		attempt.stuck = true
+		attempt.stalled = true
 	}
 }
 
-func drains(w *simulation, step int) {
+func platformDrain(w *simulation, step int) {
 	if step == 150 {
 		w.workers[1].Draining = true
 		w.sendInventory()
-		w.after(4*time.Second, func() {
+		w.schedule(4*time.Second, func() {
 			w.workers[1].up = false
 			w.sendInventory()
 			w.scheduler.RemoveWorker(w.clock(), w.workers[1].ID)
@@ -128,30 +128,30 @@
 	}
 }
 
-func TestPromisesUnderFaults(t *testing.T) {
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults []fault
 	}{
 		{"calm", nil},
-		{"takeovers", []fault{takeovers}},
+		{"takeovers", []fault{leaderTakeovers}},
 		{"late commands", []fault{lateCommands}},
-		{"crashes", []fault{crashes}},
-		{"partitions", []fault{partitions}},
-		{"cancels", []fault{cancels}},
-		{"failures", []fault{failures}},
-		{"stalls", []fault{stalls}},
-		{"drains", []fault{drains}},
-		{"late commands and takeovers", []fault{lateCommands, takeovers}},
-		{"partitions and takeovers", []fault{partitions, takeovers}},
-		{"everything", []fault{takeovers, lateCommands, crashes, partitions, cancels, stalls, drains}},
+		{"crashes", []fault{workerCrashes}},
+		{"partitions", []fault{workerPartitions}},
+		{"cancels", []fault{jobCancellations}},
+		{"failures", []fault{failingWorker}},
+		{"stalls", []fault{stalledAttempts}},
+		{"drains", []fault{platformDrain}},
+		{"late commands and takeovers", []fault{lateCommands, leaderTakeovers}},
+		{"partitions and takeovers", []fault{workerPartitions, leaderTakeovers}},
+		{"everything", []fault{leaderTakeovers, lateCommands, workerCrashes, workerPartitions, jobCancellations, stalledAttempts, platformDrain}},
 	}
 	const seeds = 20
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				w := simulate(seed, 60, c.faults...)
-				if broken := w.check(); len(broken) > 0 {
+				if broken := w.verify(); len(broken) > 0 {
 					t.Fatalf("seed %d: %d broken, first %q", seed, len(broken), broken[:min(len(broken), 5)])
 				}
 			}
@@ -159,15 +159,15 @@
 	}
 }
 
-func TestSameEventsSameEffects(t *testing.T) {
+func TestSameSeedGivesSameDurableState(t *testing.T) {
 	Convey("Two simulations with one seed end in the same durable state", t, func() {
-		first := simulate(7, 40, takeovers, partitions)
-		second := simulate(7, 40, takeovers, partitions)
+		first := simulate(7, 40, leaderTakeovers, workerPartitions)
+		second := simulate(7, 40, leaderTakeovers, workerPartitions)
 		So(second.durable, ShouldResemble, first.durable)
 	})
 }
 
-func TestCheckerDetectsLostRecords(t *testing.T) {
+func TestLostRecordsAreReportedAsViolations(t *testing.T) {
 	Convey("A leader without its predecessor's records breaks promises, and the checker detects it", t, func() {
 		w := newSimulation(1, 9)
 		w.dropRecords = true
@@ -176,7 +176,7 @@
 		}
 		for step := range 600 {
 			if step%100 == 99 {
-				w.elect()
+				w.startLeadership()
 				for _, facts := range w.jobs {
 					w.scheduler.Submit(w.clock(), &facts.request)
 				}
--- a/internal/jobs/scheduler/gangs.go
+++ b/internal/jobs/scheduler/gangs.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// gangStopDelay is how long the members of an abandoned attempt have to end without a stop.
+// gangStopDelay is the time that the members of an abandoned gang attempt have to end by themselves before they are stopped.
 const gangStopDelay = 700 * time.Millisecond
 
-// startGang starts all members at once, under one attempt number, or none.
+// startGang starts all members of a gang at once, with the same attempt number, or none of them.
 func (s *Scheduler) startGang(now Now, stage *stageState) {
 	if len(stage.waiting) < stage.incompleteTasks || len(stage.waiting) < stage.Count {
-		return // a member's last attempt may still be under way
+		return // a member's last attempt may still be running
 	}
 	number := uint64(0)
 	for _, task := range stage.tasks {
@@ -21,33 +21,34 @@
 			return
 		}
 	}
-	placed := s.planGang(now, stage)
-	if placed == nil {
+	placement := s.planGang(now, stage)
+	if placement == nil {
 		return
 	}
 	for i, task := range stage.tasks {
-		s.assign(now, task, placed[i], number+1)
+		s.assign(now, task, placement[i], number+1)
 	}
 }
 
-// planGang finds a worker for each member: on one rack if the stage wants that and one has the capacity, else anywhere;
-// nil if there is not capacity for all, or a rack is worth waiting for.
+// planGang chooses a worker for each member. If the stage requests a single rack, it tries each rack first, and falls back to
+// any workers. It returns nil if the capacity does not suffice for all members. It also returns nil while the gang should
+// still wait for capacity on a single rack.
 func (s *Scheduler) planGang(now Now, stage *stageState) []*workerState {
 	if stage.SameRack {
-		for _, rack := range s.openRacks(now) {
-			if placed := s.planOnRack(now, stage, rack); placed != nil {
-				return placed
+		for _, rack := range s.racksAcceptingStarts(now) {
+			if placement := s.planGangOnRack(now, stage, rack); placement != nil {
+				return placement
 			}
 		}
-		if now.Monotonic.Sub(stage.waitingSince) < s.localityWait(stage) && s.fitsOneRack(stage) {
+		if now.Monotonic.Sub(stage.waitingSince) < s.localityWait(stage) && s.gangFitsOneRack(stage) {
 			return nil
 		}
 	}
-	return s.planOnRack(now, stage, "")
+	return s.planGangOnRack(now, stage, "")
 }
 
-// fitsOneRack tells whether some rack could take the complete gang if it were idle.
-func (s *Scheduler) fitsOneRack(stage *stageState) bool {
+// gangFitsOneRack reports whether the complete gang would fit on one rack if that rack were idle.
+func (s *Scheduler) gangFitsOneRack(stage *stageState) bool {
 	capacityByRack := map[string]int64{}
 	for _, worker := range s.sortedWorkers {
 		if worker.reachable && s.isEligible(stage, worker) {
@@ -62,10 +63,10 @@
 	return false
 }
 
-// openRacks lists the racks of open workers.
-func (s *Scheduler) openRacks(now Now) []string {
+// racksAcceptingStarts returns the racks of the workers that accept starts.
+func (s *Scheduler) racksAcceptingStarts(now Now) []string {
 	var racks []string
-	for _, worker := range s.openWorkers(now) {
+	for _, worker := range s.workersAcceptingStarts(now) {
 		if worker.rack != "" && !slices.Contains(racks, worker.rack) {
 			racks = append(racks, worker.rack)
 		}
@@ -73,29 +74,30 @@
 	return racks
 }
 
-// planOnRack places a gang on a rack ("" for any workers), filling the least costly ones first; nil if not all members fit.
-func (s *Scheduler) planOnRack(now Now, stage *stageState, rack string) []*workerState {
+// planGangOnRack chooses a worker on the given rack for each member of a gang. An empty rack permits all workers. Workers of
+// least cost are filled first. It returns nil if not all members fit.
+func (s *Scheduler) planGangOnRack(now Now, stage *stageState, rack string) []*workerState {
 	var candidates []*workerState
-	for _, worker := range s.openWorkers(now) {
+	for _, worker := range s.workersAcceptingStarts(now) {
 		if (rack == "" || worker.rack == rack) && s.admits(stage, worker, 0) {
 			candidates = append(candidates, worker)
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b *workerState) int { return cmp.Compare(s.cost(stage, a), s.cost(stage, b)) })
-	var placed []*workerState
+	slices.SortStableFunc(candidates, func(a, b *workerState) int { return cmp.Compare(s.stageCost(stage, a), s.stageCost(stage, b)) })
+	var placement []*workerState
 	for _, worker := range candidates {
-		for planned := 0; len(placed) < stage.Count && s.admits(stage, worker, planned); planned++ {
-			placed = append(placed, worker)
+		for planned := 0; len(placement) < stage.Count && s.admits(stage, worker, planned); planned++ {
+			placement = append(placement, worker)
 		}
 	}
-	if len(placed) < stage.Count {
+	if len(placement) < stage.Count {
 		return nil
 	}
-	return placed
+	return placement
 }
 
-// abandonGangAttempt gives up one attempt of a gang. Its members end without a stop; inspectAttempt stops those that do
-// not.
+// abandonGangAttempt marks one attempt of a gang as abandoned. Its members are expected to end by themselves. inspectAttempt
+// stops those that are still running after gangStopDelay.
 func (s *Scheduler) abandonGangAttempt(now Now, stage *stageState, number uint64) {
 	if number <= stage.abandonedAttempt {
 		return
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	initialWindow        = 4.0   // attempts that one worker may have at first
-	maxWindow            = 256.0 // above, its capacity is the bound
+	initialWindow        = 4.0   // attempt window of a new worker: the number of attempts that it may have at a time
+	maxWindow            = 256.0 // above this, only the worker's capacity limits its attempts
 	minWindow            = 1.0
 	latencyWeight        = 0.2  // weight of a new duration in a worker's smoothed latency
 	failureWeight        = 0.25 // weight of a new completion in a worker's failure rate
-	normalDurationFactor = 3.0  // times the expected duration: a completion within widens the window
+	normalDurationFactor = 3.0  // a success widens the window if it took at most this multiple of the expected duration
 
-	minStallTime       = 800 * time.Millisecond // an attempt without progress for so long may have stalled
-	gangStallAllowance = 2 * time.Second        // more while a gang's members may not all have begun
-	stallShare         = 0.24                   // and for this share of its expected duration, if that is longer
-	backoffAfterStall  = 4 * time.Second        // no starts at a worker on which an attempt has stalled
+	minStallTimeout      = 800 * time.Millisecond // shortest time without progress after which an attempt counts as stalled
+	gangStartAllowance   = 2 * time.Second        // added for a gang without progress, as its other members may not have started
+	stallTimeoutFraction = 0.24                   // fraction of the expected duration, used as the timeout if it exceeds minStallTimeout
+	backoffAfterStall    = 4 * time.Second        // time without starts on a worker after an attempt stalled there
 )
 
-// recordOutcome takes an attempt's outcome into its worker's window, latency and failure rate. The window grows by one
-// with each usual success and halves with a failure that is not the task's own.
+// recordOutcome updates a worker's attempt window, smoothed latency and failure rate with the outcome of an attempt. The
+// window grows by one after a success of normal duration. It is halved after a failure, unless the task itself may have
+// caused the failure.
 func (s *Scheduler) recordOutcome(now Now, attempt *attemptState, outcome job.Outcome) {
 	worker := attempt.worker
 	switch outcome {
@@ -32,19 +33,19 @@
 		}
 		s.recordLatency(worker, durationMS)
 		worker.failureRate -= failureWeight * worker.failureRate
-		if durationMS <= normalDurationFactor*s.expectedMS(attempt.task.stage, worker) {
+		if durationMS <= normalDurationFactor*s.expectedDurationMS(attempt.task.stage, worker) {
 			worker.window = min(maxWindow, worker.window+1)
 		}
 	case job.OutcomeFailed:
 		if len(attempt.task.failedAttempts) > 0 || attempt.stopping {
-			return // the task itself may be the cause
+			return // the task has failed before or was being stopped, so the worker may not be the cause
 		}
 		worker.failureRate += failureWeight * (1 - worker.failureRate)
 		worker.window = max(minWindow, worker.window/2)
 	}
 }
 
-// recordLatency takes a duration in milliseconds into a worker's smoothed latency.
+// recordLatency updates a worker's smoothed latency with the duration of an attempt in milliseconds.
 func (s *Scheduler) recordLatency(worker *workerState, durationMS float64) {
 	if worker.latencyMS == 0 {
 		worker.latencyMS = max(1, durationMS)
@@ -52,13 +53,13 @@
 		s.latencySumMS += worker.latencyMS
 		return
 	}
-	change := latencyWeight * (durationMS - worker.latencyMS)
-	worker.latencyMS += change
-	s.latencySumMS += change
+	deltaMS := latencyWeight * (durationMS - worker.latencyMS)
+	worker.latencyMS += deltaMS
+	s.latencySumMS += deltaMS
 }
 
-// forgetLatency forgets a worker's latency.
-func (s *Scheduler) forgetLatency(worker *workerState) {
+// clearLatency discards a worker's smoothed latency and removes it from the sum over all workers.
+func (s *Scheduler) clearLatency(worker *workerState) {
 	if worker.latencyMS > 0 {
 		s.latencyCount--
 		s.latencySumMS -= worker.latencyMS
@@ -66,19 +67,20 @@
 	}
 }
 
-// remainingMS estimates how long an attempt still takes, in milliseconds: from its progress, or else from the client's
-// estimate.
+// remainingMS estimates the remaining duration of an attempt in milliseconds. It extrapolates from the attempt's progress, or
+// uses the client's estimate if no progress is known.
 func (s *Scheduler) remainingMS(now Now, attempt *attemptState) float64 {
-	expected := s.expectedMS(attempt.task.stage, attempt.worker)
-	elapsed := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
+	expectedMS := s.expectedDurationMS(attempt.task.stage, attempt.worker)
+	elapsedMS := float64(now.Monotonic.Sub(attempt.assignedAt).Milliseconds())
 	if attempt.percent > 0 && attempt.percent < 100 {
-		return elapsed * float64(100-attempt.percent) / float64(attempt.percent)
+		return elapsedMS * float64(100-attempt.percent) / float64(attempt.percent)
 	}
-	return max(0, expected-elapsed)
+	return max(0, expectedMS-elapsedMS)
 }
 
-// inspectAttempts stops attempts that stalled or are to move off a slow worker, and members of gang attempts that were
-// abandoned.
+// inspectAttempts stops attempts that have stalled, that should migrate off a slow worker, or that belong to an abandoned gang
+// attempt. It also ends the attempts of unreachable workers that have not been fenced under this leadership, once the leases
+// that earlier leaderships granted to them have expired.
 func (s *Scheduler) inspectAttempts(now Now) {
 	s.updatePaceRatios()
 	for _, worker := range s.sortedWorkers {
@@ -93,6 +95,7 @@
 	}
 }
 
+// inspectAttempt stops an attempt if one of the reasons listed at inspectAttempts applies, or if its job has ended.
 func (s *Scheduler) inspectAttempt(now Now, attempt *attemptState) {
 	stage := attempt.task.stage
 	if attempt.stopping {
@@ -119,15 +122,15 @@
 	}
 }
 
-// isStalled tells whether an attempt makes no progress, by its worker's reports.
+// isStalled reports whether an attempt has made no progress for the stall timeout, according to its worker's reports.
 func (s *Scheduler) isStalled(attempt *attemptState) bool {
 	stage := attempt.task.stage
 	if !attempt.reported || attempt.progressedAt.IsZero() || stage.LongRunning || attempt.task.done {
 		return false
 	}
-	allowed := max(minStallTime, time.Duration(stallShare*s.expectedMS(stage, attempt.worker))*time.Millisecond)
+	timeout := max(minStallTimeout, time.Duration(stallTimeoutFraction*s.expectedDurationMS(stage, attempt.worker))*time.Millisecond)
 	if stage.GangScheduled && attempt.percent == 0 {
-		allowed += gangStallAllowance // it begins once all members are there
+		timeout += gangStartAllowance // a gang begins its work once all members have started
 	}
-	return attempt.reportedAt.Sub(attempt.progressedAt) > allowed
+	return attempt.reportedAt.Sub(attempt.progressedAt) > timeout
 }
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -8,11 +8,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// maxMissedInventories is after how many complete lists in a row without it an unreachable worker's incarnation counts as
-// over.
+// maxMissedInventories is the number of consecutive complete inventories without an unreachable worker after which the worker
+// is removed.
 const maxMissedInventories = 2
 
-// SetInventory takes the platform's complete list of the service's workers.
+// SetInventory updates the workers from the platform's complete list of the service's workers. It removes unreachable workers
+// that have been missing from maxMissedInventories consecutive lists.
 func (s *Scheduler) SetInventory(now Now, instances []workerclient.Instance) {
 	present := make(map[workerclient.WorkerID]bool, len(instances))
 	for i := range instances {
@@ -33,8 +34,8 @@
 	s.dispatchNeeded = true
 }
 
-// AddInventoryPage takes some of the service's workers, while the platform's list has not been read completely yet. A
-// worker that is not among them is not missing.
+// AddInventoryPage adds or updates some of the service's workers, before the platform's list has been read completely. Workers
+// that the page does not contain do not count as missing.
 func (s *Scheduler) AddInventoryPage(now Now, instances []workerclient.Instance) {
 	for i := range instances {
 		s.updateInstance(now, &instances[i])
@@ -42,13 +43,13 @@
 	s.dispatchNeeded = true
 }
 
-// KnowsWorker tells whether a worker's incarnation goes on, as far as is known.
+// KnowsWorker reports whether a worker's incarnation is known and has not been removed.
 func (s *Scheduler) KnowsWorker(id workerclient.WorkerID) bool { return s.workers[id] != nil }
 
-// WasRemoved tells whether a worker's incarnation is known to be over, although the platform may still list it.
+// WasRemoved reports whether a worker's incarnation has been removed. The platform may still list it for a while.
 func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.removed[id] }
 
-// updateInstance takes what the platform lists of one worker.
+// updateInstance adds or updates one worker from the platform's list. It ignores incarnations that were removed.
 func (s *Scheduler) updateInstance(now Now, instance *workerclient.Instance) {
 	if s.removed[instance.ID] {
 		return
@@ -57,11 +58,11 @@
 	if worker == nil {
 		worker = s.addWorker(instance.ID)
 	}
-	beginsDraining := instance.Draining && !worker.Draining
+	startsDraining := instance.Draining && !worker.Draining
 	worker.Instance = *instance
 	worker.inInventory = true
 	worker.rack = rackOf(instance)
-	if beginsDraining {
+	if startsDraining {
 		s.drainWorker(now, worker)
 	}
 }
@@ -69,12 +70,12 @@
 func (s *Scheduler) addWorker(id workerclient.WorkerID) *workerState {
 	worker := &workerState{Instance: workerclient.Instance{ID: id}, attempts: map[job.TaskID]*attemptState{}, window: initialWindow}
 	s.workers[id] = worker
-	at, _ := slices.BinarySearchFunc(s.sortedWorkers, worker, func(a, b *workerState) int { return cmp.Compare(a.ID, b.ID) })
-	s.sortedWorkers = slices.Insert(s.sortedWorkers, at, worker)
+	index, _ := slices.BinarySearchFunc(s.sortedWorkers, worker, func(a, b *workerState) int { return cmp.Compare(a.ID, b.ID) })
+	s.sortedWorkers = slices.Insert(s.sortedWorkers, index, worker)
 	return worker
 }
 
-// RemoveWorker takes that a worker's incarnation is over: nothing runs there any more.
+// RemoveWorker removes a worker whose incarnation is over. None of its attempts can be running any more, so they all end.
 func (s *Scheduler) RemoveWorker(now Now, id workerclient.WorkerID) {
 	worker := s.workers[id]
 	if worker == nil {
@@ -82,7 +83,7 @@
 	}
 	s.endAllAttempts(now, worker)
 	s.removed[id] = true
-	s.forgetLatency(worker)
+	s.clearLatency(worker)
 	delete(s.workers, id)
 	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == worker })
 	worker.reachable = false
@@ -90,7 +91,8 @@
 	s.dispatchNeeded = true
 }
 
-// drainWorker stops what cannot end before the platform may take the worker away, and rebinds what waits for it.
+// drainWorker stops the attempts that are not expected to end before the platform may remove the worker, including all
+// long-running ones, and binds the tasks waiting for the worker to others.
 func (s *Scheduler) drainWorker(now Now, worker *workerState) {
 	remainingMS := float64(worker.RemainingMS)
 	if worker.RemainingMS == 0 {
--- a/internal/jobs/scheduler/inventory_test.go
+++ b/internal/jobs/scheduler/inventory_test.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-func TestInventoryPagesAddWorkers(t *testing.T) {
+func TestInventoryPageAddsWorkersAndRemovesNone(t *testing.T) {
 	convey.Convey("Given a list that is read page by page", t, func() {
 		now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 		s, err := New(Settings{MaxLease: 6 * time.Second}, now, nil)
--- a/internal/jobs/scheduler/jobs.go
+++ b/internal/jobs/scheduler/jobs.go
@@ -6,7 +6,7 @@
 )
 
 // Submit adds a job. It is idempotent: an ID that is known, also of an ended job, changes nothing.
-func (s *Scheduler) Submit(now Now, request *jobapi.Submit) {
+func (s *Scheduler) Submit(now Now, request *jobapi.SubmitRequest) {
 	if s.isKnown(request.ID) {
 		return
 	}
--- a/internal/jobs/scheduler/jobs_test.go
+++ b/internal/jobs/scheduler/jobs_test.go
@@ -20,7 +20,7 @@
 		So(jobs.Cancel(now, id), ShouldBeFalse)
 		effects := jobs.TakeEffects()
 		So(effects.Empty(), ShouldBeTrue)
-		jobs.Submit(now, &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
+		jobs.Submit(now, &jobapi.SubmitRequest{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
 		state, known := jobs.Status(id)
 		So(known, ShouldBeTrue)
 		So(state, ShouldEqual, job.Queued)
@@ -32,7 +32,7 @@
 	const kept = time.Minute
 	settings := Settings{StatusRetention: kept, MaxLease: time.Second}
 	id := job.ID("00000000000000aa")
-	submit := &jobapi.Submit{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}}
+	submit := &jobapi.SubmitRequest{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}}
 	start := Now{Monotonic: time.Unix(1000, 0), WallMS: 1_000_000}
 	later := func(steady, wall time.Duration) Now {
 		return Now{Monotonic: start.Monotonic.Add(steady), WallMS: start.WallMS + wall.Milliseconds()}
--- a/internal/jobs/scheduler/load.go
+++ b/internal/jobs/scheduler/load.go
@@ -2,49 +2,50 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/job"
 
-// Load is a scheduler's load at one moment, for the log.
+// Load is a snapshot of a scheduler's load, which the leader logs.
 type Load struct {
-	Jobs        int           `json:"jobs"`      // that have not ended
-	Waiting     []int         `json:"waiting"`   // tasks that wait for a start, by priority
-	Gangs       int           `json:"gangs"`     // gangs that wait for a start
-	Running     int           `json:"running"`   // attempts that may be under way
-	Stopping    int           `json:"stopping"`  // of those, the ones that are being stopped
-	Workers     int           `json:"searchers"` // that take starts
-	Unreachable int           `json:"unreachable"`
-	Capacity    job.Resources `json:"capacity"` // of workers that take starts
-	Used        job.Resources `json:"used"`
-	Windows     int           `json:"windows"` // workers whose window is full
+	Jobs               int           `json:"jobs"`      // jobs that have not ended
+	WaitingTasks       []int         `json:"waiting"`   // tasks waiting to be started, by priority
+	WaitingGangs       int           `json:"gangs"`     // gangs waiting to be started
+	RunningAttempts    int           `json:"running"`   // attempts that may be running
+	StoppingAttempts   int           `json:"stopping"`  // those of RunningAttempts that are being stopped
+	AcceptingWorkers   int           `json:"searchers"` // workers that accept starts
+	UnreachableWorkers int           `json:"unreachable"`
+	Capacity           job.Resources `json:"capacity"` // of reachable workers that the platform does not drain
+	Used               job.Resources `json:"used"`     // part of Capacity that attempts request
+	FullWindows        int           `json:"windows"`  // workers whose attempt window is full
 }
 
-// loadPriorities is how many priorities a Load tells apart; the rest count as the last.
-const loadPriorities = 4
+// loadPriorityCount is the number of priorities that a Load distinguishes. Tasks of higher priority numbers count as the last
+// one.
+const loadPriorityCount = 4
 
-// CurrentLoad is the load at present.
+// CurrentLoad returns the load at present.
 func (s *Scheduler) CurrentLoad(now Now) Load {
-	load := Load{Jobs: len(s.jobs), Waiting: make([]int, loadPriorities)}
+	load := Load{Jobs: len(s.jobs), WaitingTasks: make([]int, loadPriorityCount)}
 	for _, stage := range s.waitingStages {
-		priority := max(0, min(stage.job.Queue.Priority, loadPriorities-1))
-		load.Waiting[priority] += len(stage.waiting)
+		priority := max(0, min(stage.job.Queue.Priority, loadPriorityCount-1))
+		load.WaitingTasks[priority] += len(stage.waiting)
 		if stage.GangScheduled && len(stage.waiting) > 0 {
-			load.Gangs++
+			load.WaitingGangs++
 		}
 	}
 	for _, worker := range s.sortedWorkers {
-		load.add(s, now, worker)
+		load.addWorker(s, now, worker)
 	}
 	return load
 }
 
-// add counts one worker.
-func (load *Load) add(s *Scheduler, now Now, worker *workerState) {
-	load.Running += len(worker.attempts)
+// addWorker adds one worker and its attempts to the load.
+func (load *Load) addWorker(s *Scheduler, now Now, worker *workerState) {
+	load.RunningAttempts += len(worker.attempts)
 	for _, attempt := range worker.attempts {
 		if attempt.stopping {
-			load.Stopping++
+			load.StoppingAttempts++
 		}
 	}
 	if !worker.reachable {
-		load.Unreachable++
+		load.UnreachableWorkers++
 		return
 	}
 	if worker.Draining {
@@ -52,10 +53,10 @@
 	}
 	load.Capacity = load.Capacity.Add(worker.Capacity)
 	load.Used = load.Used.Add(worker.used)
-	if s.isOpen(now, worker) {
-		load.Workers++
+	if s.acceptsStarts(now, worker) {
+		load.AcceptingWorkers++
 	}
 	if float64(len(worker.attempts)) >= worker.window {
-		load.Windows++
+		load.FullWindows++
 	}
 }
--- a/internal/jobs/scheduler/locality.go
+++ b/internal/jobs/scheduler/locality.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	localityWaitShare = 0.7             // of the time that a task loses away from its data, or a gang across racks
-	maxLocalityWait   = 2 * time.Second // whatever the estimate
+	localityWaitFraction = 0.7             // fraction of the estimated time that is lost by running on remote data or across racks
+	maxLocalityWait      = 2 * time.Second // upper bound, however long the estimate
 )
 
-// localityWait is how long tasks wait for capacity near their data rather than start elsewhere (delay scheduling): a share
-// of the time that starting elsewhere would cost.
+// localityWait returns how long a stage's tasks wait for capacity near their data before they start elsewhere. This is delay
+// scheduling: the wait is a fraction of the extra time that the tasks would take elsewhere. Gangs that request a single rack
+// use the same wait.
 func (s *Scheduler) localityWait(stage *stageState) time.Duration {
-	extra := (max(1, s.settings.RemoteFactor) - 1) * float64(stage.EstimatedDurationMS)
-	return min(maxLocalityWait, time.Duration(localityWaitShare*extra)*time.Millisecond)
+	extraMS := (max(1, s.settings.RemoteFactor) - 1) * float64(stage.EstimatedDurationMS)
+	return min(maxLocalityWait, time.Duration(localityWaitFraction*extraMS)*time.Millisecond)
 }
 
-// waitsForLocality tells whether a stage still waits for capacity near its data. It does not if no worker there could ever
-// take it.
+// waitsForLocality reports whether a stage should still wait for capacity near its data. It returns false if no reachable
+// worker near the data is eligible.
 func (s *Scheduler) waitsForLocality(now Now, stage *stageState) bool {
 	if stage.Affinity == "" || now.Monotonic.Sub(stage.waitingSince) >= s.localityWait(stage) {
 		return false
 	}
 	for _, worker := range s.sortedWorkers {
-		if worker.reachable && s.isEligible(stage, worker) && s.distanceFactor(stage, worker) == 1 {
+		if worker.reachable && s.isEligible(stage, worker) && s.remoteFactor(stage, worker) == 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// rackOf is a worker's rack, the last of its labels if there are several; empty if there is none.
+// rackOf returns a worker's rack, which is the last of its labels if it has at least two, and otherwise empty.
 func rackOf(instance *workerclient.Instance) string {
 	if len(instance.Labels) < 2 {
 		return ""
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -164,7 +164,7 @@
 			So(report.State, ShouldEqual, jobreport.WorkerOperatorDraining)
 		})
 		Convey("a successor keeps the drain", func() {
-			w.elect()
+			w.startLeadership()
 			w.steps(20)
 			w.submitStages(1, stage)
 			w.steps(50)
@@ -179,7 +179,7 @@
 			var record operatorDrainRecord // it stays for changes that arrive late
 			So(decodeRecord("", w.durable[operatorDrainKey("s00")], &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
-			w.elect()
+			w.startLeadership()
 			w.steps(20)
 			w.submitStages(1, stage)
 			w.steps(50)
@@ -225,7 +225,7 @@
 		})
 		Convey("and also where the incarnation ended while there was no leader", func() {
 			w.workers[0].up = false
-			w.elect()
+			w.startLeadership()
 			for range maxMissedInventories {
 				w.sendInventory()
 			}
--- a/internal/jobs/scheduler/operatorreports.go
+++ b/internal/jobs/scheduler/operatorreports.go
@@ -65,7 +65,7 @@
 		Draining: worker.Draining, OperatorDraining: s.operatorDrains.isDraining(worker.ID), DrainVersion: s.DrainVersion(worker.ID), RemainingMS: worker.RemainingMS,
 		Window: int(worker.window), LatencyMS: worker.latencyMS, FailureRate: worker.failureRate,
 		Attempts: len(worker.attempts), WaitingTasks: worker.boundTasks, Orphans: len(worker.orphans),
-		Used: worker.used, Free: worker.free(), Capacity: worker.Capacity, MissedInventories: worker.missedInventories,
+		Used: worker.used, Free: worker.freeCapacity(), Capacity: worker.Capacity, MissedInventories: worker.missedInventories,
 	}
 }
 
--- a/internal/jobs/scheduler/operatorreports_test.go
+++ b/internal/jobs/scheduler/operatorreports_test.go
@@ -57,7 +57,7 @@
 			So(ended[0].State, ShouldEqual, job.Cancelled)
 		})
 		Convey("failed attempts are listed", func() {
-			w.workers[0].failing, w.workers[1].failing, w.workers[2].failing = true, true, true
+			w.workers[0].failsAllAttempts, w.workers[1].failsAllAttempts, w.workers[2].failsAllAttempts = true, true, true
 			facts := w.submitStages(7, smallStage(1))
 			found := false
 			for range 100 {
--- a/internal/jobs/scheduler/ordering.go
+++ b/internal/jobs/scheduler/ordering.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-// maxRanked bounds the jobs of one level that an ordering ranks by makespan; the rest follow in order of arrival.
-const maxRanked = 64
+// maxRankedPerLevel is the maximum number of repetitions per level that are ranked by makespan. The rest follow in order of
+// arrival.
+const maxRankedPerLevel = 64
 
-// subjob is SWAG's sub-job: the tasks of one job that are bound to one worker.
+// subjob is a sub-job as defined by SWAG: the waiting tasks of one job that are bound to one worker.
 type subjob struct {
-	worker *workerState
-	size   int
+	worker    *workerState
+	taskCount int
 }
 
-// candidate is one repetition of a job with tasks that wait. It is kept from one ordering to the next, so that orderings
-// do not allocate.
+// candidate is one repetition of a job that has waiting tasks. It is reused by later orderings to avoid allocations.
 type candidate struct {
-	level          int // the lower goes first
-	job            *jobState
-	orderingNumber uint64 // the newest that it is part of
-	stages         []*stageState
-	subjobs        []subjob // by splitSubjobs
-	size           int      // by splitSubjobs
+	level        int // lower levels go first
+	job          *jobState
+	lastOrdering uint64 // number of the newest ordering that includes this candidate
+	stages       []*stageState
+	subjobs      []subjob // set by countSubjobs
+	taskCount    int      // set by countSubjobs; all waiting tasks, bound or not
 }
 
-// orderQueue sorts the stages that wait: by level, and within a level by SWAG's greedy order. Each worker's queue begins
-// at our attempts there. Each step picks the job of least makespan (ties: the smaller job), and adds its tasks to the
-// queues. It does nothing if the order is up to date.
+// orderQueue sorts the waiting stages by level, and within a level by SWAG's greedy order. The queue length of each worker is
+// initially the number of its attempts. Each step selects the job with the least makespan, and among equals the one with
+// fewer tasks, and adds its tasks to the workers' queue lengths. orderQueue does nothing if the order is up to date.
 func (s *Scheduler) orderQueue(now Now) {
 	if !s.orderStale {
 		return
 	}
 	s.orderStale = false
-	levels := byLevel(s.waitingCandidates(now))
+	levels := groupByLevel(s.waitingCandidates(now))
 	for _, level := range levels {
-		for _, c := range level[:min(len(level), maxRanked)] {
-			c.splitSubjobs()
+		for _, c := range level[:min(len(level), maxRankedPerLevel)] {
+			c.countSubjobs()
 		}
 	}
 	s.waitingStages = s.waitingStages[:0]
@@ -46,21 +46,22 @@
 	}
 }
 
-// byLevel groups candidates that are sorted by level into those of each level.
-func byLevel(candidates []*candidate) [][]*candidate {
+// groupByLevel splits candidates, which must be sorted by level, into one slice per level.
+func groupByLevel(candidates []*candidate) [][]*candidate {
 	var levels [][]*candidate
-	for begin := 0; begin < len(candidates); {
-		end := begin
-		for end < len(candidates) && candidates[end].level == candidates[begin].level {
+	for start := 0; start < len(candidates); {
+		end := start
+		for end < len(candidates) && candidates[end].level == candidates[start].level {
 			end++
 		}
-		levels = append(levels, candidates[begin:end])
-		begin = end
+		levels = append(levels, candidates[start:end])
+		start = end
 	}
 	return levels
 }
 
-// waitingCandidates lists the repetitions that wait by level and arrival, and drops stages without a waiting task.
+// waitingCandidates returns the repetitions with waiting tasks, sorted by level and arrival. It marks stages without a waiting
+// task as no longer queued.
 func (s *Scheduler) waitingCandidates(now Now) []*candidate {
 	s.orderingNumber++
 	candidates := s.candidateScratch[:0]
@@ -74,13 +75,13 @@
 			c = &candidate{job: stage.job}
 			stage.repetition.candidate = c
 		}
-		if c.orderingNumber != s.orderingNumber {
-			c.orderingNumber, c.level, c.stages = s.orderingNumber, stage.repetition.orderingLevel(now, stage.job), c.stages[:0]
+		if c.lastOrdering != s.orderingNumber {
+			c.lastOrdering, c.level, c.stages = s.orderingNumber, stage.repetition.orderingLevel(now, stage.job), c.stages[:0]
 			candidates = append(candidates, c)
 		}
 		c.stages = append(c.stages, stage)
 	}
-	clear(candidates[len(candidates):cap(candidates)]) // those of earlier orderings may have ended
+	clear(candidates[len(candidates):cap(candidates)]) // drop references to candidates of earlier orderings, whose jobs may have ended
 	s.candidateScratch = candidates
 	slices.SortFunc(candidates, func(a, b *candidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.job.Arrival, b.job.Arrival))
@@ -88,12 +89,13 @@
 	return candidates
 }
 
-// splitSubjobs counts the tasks that wait, all of them and by worker, and resets the queues of those workers to our
-// attempts there. It is done only for the candidates that are ranked by makespan: the others may be thousands.
-func (c *candidate) splitSubjobs() {
-	c.size, c.subjobs = 0, c.subjobs[:0]
+// countSubjobs counts the candidate's waiting tasks, in total and per worker, and resets the queue lengths of these workers to
+// their numbers of attempts. It is called only for candidates that are ranked by makespan, as there may be thousands of
+// others.
+func (c *candidate) countSubjobs() {
+	c.taskCount, c.subjobs = 0, c.subjobs[:0]
 	for _, stage := range c.stages {
-		c.size += len(stage.waiting)
+		c.taskCount += len(stage.waiting)
 		for _, task := range stage.waiting {
 			c.addSubjob(task.boundTo)
 		}
@@ -103,52 +105,52 @@
 	}
 }
 
-// addSubjob counts one task at the worker that it is bound to; nil for none.
-func (c *candidate) addSubjob(bound *workerState) {
-	if bound == nil {
+// addSubjob counts one task that is bound to a worker. It ignores a nil worker.
+func (c *candidate) addSubjob(worker *workerState) {
+	if worker == nil {
 		return
 	}
-	at := slices.IndexFunc(c.subjobs, func(p subjob) bool { return p.worker == bound })
-	if at < 0 {
-		c.subjobs = append(c.subjobs, subjob{worker: bound})
-		at = len(c.subjobs) - 1
+	index := slices.IndexFunc(c.subjobs, func(p subjob) bool { return p.worker == worker })
+	if index < 0 {
+		c.subjobs = append(c.subjobs, subjob{worker: worker})
+		index = len(c.subjobs) - 1
 	}
-	c.subjobs[at].size++
+	c.subjobs[index].taskCount++
 }
 
-// rankLevel appends the stages of the jobs of one level to the queue, in their order.
+// rankLevel ranks the candidates of one level and appends their stages to the queue in that order.
 func (s *Scheduler) rankLevel(remaining []*candidate) {
-	rest := remaining[min(len(remaining), maxRanked):]
-	remaining = slices.Clone(remaining[:min(len(remaining), maxRanked)])
+	unranked := remaining[min(len(remaining), maxRankedPerLevel):]
+	remaining = slices.Clone(remaining[:min(len(remaining), maxRankedPerLevel)])
 	for len(remaining) > 0 {
-		best, bestSpan := 0, math.Inf(1)
+		best, bestMakespan := 0, math.Inf(1)
 		for i, c := range remaining {
-			span := s.makespan(c, bestSpan)
-			if span < bestSpan || span == bestSpan && c.size < remaining[best].size {
-				best, bestSpan = i, span
+			makespan := s.makespan(c, bestMakespan)
+			if makespan < bestMakespan || makespan == bestMakespan && c.taskCount < remaining[best].taskCount {
+				best, bestMakespan = i, makespan
 			}
 		}
 		chosen := remaining[best]
 		for _, part := range chosen.subjobs {
-			part.worker.queueLength += float64(part.size)
+			part.worker.queueLength += float64(part.taskCount)
 		}
 		s.waitingStages = append(s.waitingStages, chosen.stages...)
 		remaining = slices.Delete(remaining, best, best+1)
 	}
-	for _, c := range rest {
+	for _, c := range unranked {
 		s.waitingStages = append(s.waitingStages, c.stages...)
 	}
 }
 
-// makespan is that of a job's slowest sub-job, in milliseconds: (queue + own tasks) x the worker's latency. One that
-// exceeds the bound is not computed further.
-func (s *Scheduler) makespan(c *candidate, bound float64) float64 {
-	longest := 0.0
+// makespan returns the makespan of a candidate in milliseconds, which is that of its slowest sub-job: (queue length + the
+// sub-job's tasks) x the worker's latency. The computation ends early once the result exceeds the limit.
+func (s *Scheduler) makespan(c *candidate, limit float64) float64 {
+	longestMS := 0.0
 	for _, part := range c.subjobs {
-		if longest > bound {
+		if longestMS > limit {
 			break
 		}
-		longest = max(longest, (part.worker.queueLength+float64(part.size))*s.latencyMS(c.job, part.worker))
+		longestMS = max(longestMS, (part.worker.queueLength+float64(part.taskCount))*s.latencyMS(c.job, part.worker))
 	}
-	return longest
+	return longestMS
 }
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -59,14 +59,14 @@
 			level = all[:end]
 		}
 		all = all[len(level):]
-		order = append(order, referenceRank(s, queues, level)...)
+		order = append(order, referenceRankLevel(s, queues, level)...)
 	}
 	return order
 }
 
-func referenceRank(s *Scheduler, queues map[*workerState]float64, level []*referenceCandidate) []*stageState {
+func referenceRankLevel(s *Scheduler, queues map[*workerState]float64, level []*referenceCandidate) []*stageState {
 	var order []*stageState
-	left, rest := slices.Clone(level[:min(len(level), maxRanked)]), level[min(len(level), maxRanked):]
+	left, rest := slices.Clone(level[:min(len(level), maxRankedPerLevel)]), level[min(len(level), maxRankedPerLevel):]
 	for len(left) > 0 {
 		best, bestSpan := 0, math.Inf(1)
 		for i, candidate := range left {
@@ -91,7 +91,7 @@
 }
 
 // completeSome completes some attempts, so that capacity, queues and latencies change.
-func completeSome(s *Scheduler, now Now, round int) {
+func completeSomeAttempts(s *Scheduler, now Now, round int) {
 	for i, worker := range s.sortedWorkers {
 		if (i+round)%3 != 0 {
 			continue
@@ -112,13 +112,13 @@
 	Convey("Under a backlog the queue has the order of a computation from scratch", t, func() {
 		s, now, _ := newLoadedScheduler(30, 600)
 		for round := range 20 {
-			completeSome(s, now, round)
+			completeSomeAttempts(s, now, round)
 			now.WallMS += 400 // jobs become late, and worthless
 			now.Monotonic = now.Monotonic.Add(400e6)
 			s.orderStale = true
 			expected := referenceOrder(s, now)
 			s.orderQueue(now)
-			So(len(s.waitingStages), ShouldBeGreaterThan, maxRanked)
+			So(len(s.waitingStages), ShouldBeGreaterThan, maxRankedPerLevel)
 			So(slices.Equal(s.waitingStages, expected), ShouldBeTrue)
 			s.Dispatch(now)
 			s.TakeEffects()
@@ -136,10 +136,10 @@
 	})
 }
 
-func TestDispatchChecksBoundWorkerFirst(t *testing.T) {
+func TestDispatchListsOtherWorkersOnlyIfBoundWorkerIsFull(t *testing.T) {
 	s, now, _ := newLoadedScheduler(30, 0)
 	submit := func(number, count int) {
-		s.Submit(now, &jobapi.Submit{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3},
+		s.Submit(now, &jobapi.SubmitRequest{ID: job.ID(fmt.Sprintf("%016x", number)), Queue: jobapi.Queue{Route: "r", MaxAttempts: 3},
 			Specification: job.Specification{Text: "t", Stages: []job.Stage{{Count: count, EstimatedDurationMS: 1000,
 				Resources: job.Resources{Processors: 16000, MemoryMB: 1000}}}}})
 		s.Dispatch(now)
--- a/internal/jobs/scheduler/queue.go
+++ b/internal/jobs/scheduler/queue.go
@@ -6,7 +6,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// findTask returns a task of a job that has not ended; nil if its repetition or stage has not begun, or is complete.
+// findTask returns a task of a job that has not ended. It returns nil if the job is not known or has ended, if its repetition
+// or stage has not started, or if the repetition is complete.
 func (s *Scheduler) findTask(id job.TaskID) *taskState {
 	j := s.jobs[id.Job]
 	if j == nil || id.Repetition >= len(j.repetitions) || j.repetitions[id.Repetition] == nil {
@@ -19,15 +20,15 @@
 	return stages[id.Stage].tasks[id.Index]
 }
 
-// enqueueAndBind queues a task for a start and binds it.
+// enqueueAndBind adds a task to the queue and binds it to a worker.
 func (s *Scheduler) enqueueAndBind(now Now, task *taskState) {
 	if s.enqueue(now, task) {
 		s.bindTask(task)
 	}
 }
 
-// enqueue queues a task for a start and leaves it unbound. It tells whether it did: not if the task is queued already or
-// needs no start.
+// enqueue adds a task to the queue and leaves it unbound. It returns false if the task is queued already, is done, or belongs
+// to a job that has ended.
 func (s *Scheduler) enqueue(now Now, task *taskState) bool {
 	stage := task.stage
 	if task.done || stage.job.ended || slices.Contains(stage.waiting, task) {
@@ -45,14 +46,14 @@
 	return true
 }
 
-// dequeue takes a task off the queue, if it is there.
+// dequeue removes a task from the queue, if it is queued, and unbinds it.
 func (s *Scheduler) dequeue(task *taskState) {
 	stage := task.stage
-	at := slices.Index(stage.waiting, task)
-	if at < 0 {
+	index := slices.Index(stage.waiting, task)
+	if index < 0 {
 		return
 	}
-	stage.waiting = slices.Delete(stage.waiting, at, at+1)
+	stage.waiting = slices.Delete(stage.waiting, index, index+1)
 	s.unbindTask(task)
 	s.orderStale = true
 }
--- a/internal/jobs/scheduler/reachability.go
+++ b/internal/jobs/scheduler/reachability.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// SetReachable takes whether a worker answers. The tasks of one that does not wait for others; its attempts go on until it
-// is certain that they have ended.
+// SetReachable records whether a worker responds. If it does not, the waiting tasks bound to it are bound to other workers.
+// Its attempts count as running until it is certain that they have ended.
 func (s *Scheduler) SetReachable(now Now, id workerclient.WorkerID, reachable bool) {
 	worker := s.workers[id]
 	if worker == nil {
@@ -23,7 +23,8 @@
 	s.dispatchNeeded = true
 }
 
-// releaseTask lets the task of an unreachable attempt start elsewhere at once, if its stage allows copies side by side.
+// releaseTask queues the task of an attempt on an unreachable worker for another attempt at once, if its stage has
+// at-least-once semantics. In such a stage, two attempts of a task may run at the same time.
 func (s *Scheduler) releaseTask(now Now, attempt *attemptState) {
 	if !attempt.task.stage.AtLeastOnce || attempt.released || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
 		return
@@ -32,8 +33,8 @@
 	s.retry(now, attempt.task, attempt.number)
 }
 
-// ExpireLease takes that all leases granted to an unreachable worker under this leadership have expired. Its attempts end
-// with them, once those of earlier leaderships have expired too.
+// ExpireLease records that all leases granted to an unreachable worker under this leadership have expired. It ends the
+// worker's attempts, unless leases granted by earlier leaderships may still be valid.
 func (s *Scheduler) ExpireLease(now Now, id workerclient.WorkerID) {
 	worker := s.workers[id]
 	if worker == nil || worker.reachable || now.Monotonic.Before(s.inheritedLeaseEnd(worker)) {
@@ -45,17 +46,17 @@
 	}
 }
 
-// inheritedLeaseEnd is when all leases that earlier leaderships granted to a worker have expired. Before its fencing token
-// was raised, a command of an earlier leader may still arrive and extend them.
+// inheritedLeaseEnd returns the time by which all leases that earlier leaderships granted to a worker have expired. Until the
+// worker's fencing token is raised, a delayed command of an earlier leader may still reach it and extend its lease.
 func (s *Scheduler) inheritedLeaseEnd(worker *workerState) time.Time {
-	lease := s.settings.MaxLease + s.settings.MaxLease/20 // its clock may run 2% slow
+	lease := s.settings.MaxLease + s.settings.MaxLease/20 // allows for a worker's clock that runs 2% slow
 	if !worker.fencedAt.IsZero() {
 		return worker.fencedAt.Add(lease)
 	}
 	return s.startedAt.Add(LateCommandWindow + lease)
 }
 
-// endAllAttempts ends all attempts at a worker.
+// endAllAttempts ends all attempts on a worker and discards its orphans.
 func (s *Scheduler) endAllAttempts(now Now, worker *workerState) {
 	for _, attempt := range worker.sortedAttempts() {
 		s.endAttempt(now, attempt)
--- a/internal/jobs/scheduler/repetitions.go
+++ b/internal/jobs/scheduler/repetitions.go
@@ -84,7 +84,7 @@
 		costs := s.unitCostsFor(stage)
 		for _, task := range stage.tasks {
 			if s.enqueue(now, task) {
-				costs.bindLeastCost(task)
+				costs.bindToLeastCost(task)
 			}
 		}
 	}
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -13,35 +13,37 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// simulation simulates workers, a replicated state and a leadership that may be replaced, in virtual time, and checks every
-// start against the promises that jobs have. It reads nothing of the scheduler's state.
+// simulation runs the scheduler in virtual time with simulated workers, replicated state and changes of leadership. It checks
+// every start against the scheduler's guarantees, without reading the scheduler's internal state.
 type simulation struct {
-	random     *rand.Rand
-	settings   Settings
-	startTime  time.Time
-	elapsed    time.Duration
-	scheduler  *Scheduler
-	epoch      uint64
-	durable    map[string][]byte
-	inFlight   []proposal // proposed, not durable yet
-	workers    []*simulatedWorker
-	events     []timedEvent // what arrives later
-	tasks      map[job.TaskID]*taskFacts
-	jobs       map[job.ID]*jobFacts
-	violations []string
-
-	lateShare   float64 // share of starts that get no answer and are executed late
-	dropRecords bool    // to test the checker: records are not kept
-}
-
+	random        *rand.Rand
+	settings      Settings
+	startTime     time.Time
+	elapsed       time.Duration
+	scheduler     *Scheduler
+	epoch         uint64
+	durable       map[string][]byte
+	inFlight      []proposal // proposed, but not durable yet
+	workers       []*simulatedWorker
+	events        []timedEvent // to be run when their time is reached
+	taskHistories map[job.TaskID]*taskHistory
+	jobs          map[job.ID]*simulatedJob
+	violations    []string
+
+	lateStartProbability float64 // fraction of starts that get no response and are executed late
+	dropRecords          bool    // discards all records, to test that the checks detect it
+}
+
+// proposal is a set of effects whose entries become durable at a given time.
 type proposal struct {
 	at      time.Duration
 	effects Effects
 }
 
+// timedEvent is a function to be run at a given time.
 type timedEvent struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
 // simulatedWorker is one incarnation of a worker.
@@ -51,184 +53,188 @@
 	running           map[job.TaskID]*simulatedAttempt
 	completions       []workerclient.FinishedTask
 	acknowledged      uint64
-	closedAttempts    map[job.TaskID]uint64 // highest attempt that was stopped or has ended here
+	closedAttempts    map[job.TaskID]uint64 // by task: highest attempt number that was stopped or has ended here
 	leaseEnd          time.Duration
 	partitioned       bool
 	up                bool
 	reportedAt        time.Duration
-	grantedUntil      time.Duration // when all granted leases have expired, as the leader knows
-	failing           bool
-	reachabilityKnown bool   // the scheduler knows whether it is reachable
-	reportedEpoch     uint64 // epoch whose leader has had a report
+	leaseGrantedUntil time.Duration // when all leases that the leader has granted expire
+	failsAllAttempts  bool
+	reachabilityKnown bool   // the current leader has been told whether the worker is reachable
+	reportedEpoch     uint64 // epoch of the leader that received the last report
 }
 
+// simulatedAttempt is an attempt that runs on a simulated worker.
 type simulatedAttempt struct {
 	number    uint64
 	endsAt    time.Duration
 	outcome   job.Outcome
 	startedAt time.Duration
-	length    time.Duration
-	stuck     bool
+	duration  time.Duration
+	stalled   bool
 }
 
-type taskFacts struct {
-	doneAcknowledged     bool
-	done                 bool
-	failuresAcknowledged map[uint64]bool
-	lastAttempt          uint64
+// taskHistory is what has happened to a task, as observed at the workers.
+type taskHistory struct {
+	completionAcknowledged bool
+	completed              bool
+	failuresAcknowledged   map[uint64]bool
+	lastAttempt            uint64
 }
 
-type jobFacts struct {
-	request     jobapi.Submit
-	poison      bool
-	cancelledAt time.Duration // 0: never
-	lengths     map[job.TaskID]time.Duration
+// simulatedJob is a submitted job with the behavior of its tasks.
+type simulatedJob struct {
+	request       jobapi.SubmitRequest
+	alwaysFails   bool
+	cancelledAt   time.Duration // 0 if it was not cancelled
+	taskDurations map[job.TaskID]time.Duration
 }
 
 func newSimulation(seed uint64, machines int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), startTime: time.Unix(1_700_000_000, 0), durable: map[string][]byte{},
-		tasks: map[job.TaskID]*taskFacts{}, jobs: map[job.ID]*jobFacts{}, epoch: 1,
+		taskHistories: map[job.TaskID]*taskHistory{}, jobs: map[job.ID]*simulatedJob{}, epoch: 1,
 		settings: Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
 			MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour},
 	}
 	for i := range machines {
-		w.addWorker(fmt.Sprintf("s%02d", i), i)
+		sim.addWorker(fmt.Sprintf("s%02d", i), i)
 	}
-	w.elect()
-	return w
+	sim.startLeadership()
+	return sim
 }
 
-func (w *simulation) addWorker(id string, number int) {
+func (sim *simulation) addWorker(id string, number int) {
 	worker := &simulatedWorker{
 		Instance: workerclient.Instance{ID: workerclient.WorkerID(id), Service: "x", Capacity: job.Resources{Processors: 8000, MemoryMB: 8000, Accelerators: 4},
 			Labels: []string{[]string{"a", "b"}[number%2], fmt.Sprintf("rack%d", number/3)}},
 		running: map[job.TaskID]*simulatedAttempt{}, closedAttempts: map[job.TaskID]uint64{}, up: true,
 	}
-	w.workers = append(w.workers, worker)
+	sim.workers = append(sim.workers, worker)
 }
 
-func (w *simulation) clock() Now {
-	at := w.startTime.Add(w.elapsed)
+func (sim *simulation) clock() Now {
+	at := sim.startTime.Add(sim.elapsed)
 	return Now{Monotonic: at, WallMS: at.UnixMilli()}
 }
 
-// elect begins a new leadership from what is durable; the rest is lost.
-func (w *simulation) elect() {
-	if w.scheduler != nil {
-		w.epoch++
+// startLeadership starts a new leadership from the durable state. All other state is lost.
+func (sim *simulation) startLeadership() {
+	if sim.scheduler != nil {
+		sim.epoch++
 	}
-	w.inFlight = nil
-	next, err := New(w.settings, w.clock(), maps.Clone(w.durable))
+	sim.inFlight = nil
+	successor, err := New(sim.settings, sim.clock(), maps.Clone(sim.durable))
 	if err != nil {
 		panic(err)
 	}
-	w.scheduler = next
-	for _, worker := range w.workers {
+	sim.scheduler = successor
+	for _, worker := range sim.workers {
 		worker.reachabilityKnown = false
 	}
-	w.sendInventory()
+	sim.sendInventory()
 }
 
-func (w *simulation) sendInventory() {
+func (sim *simulation) sendInventory() {
 	var instances []workerclient.Instance
-	for _, worker := range w.workers {
+	for _, worker := range sim.workers {
 		if worker.up {
 			instances = append(instances, worker.Instance)
 		}
 	}
-	w.scheduler.SetInventory(w.clock(), instances)
-	w.propose()
+	sim.scheduler.SetInventory(sim.clock(), instances)
+	sim.propose()
 }
 
-// propose takes the scheduler's effects; they are durable a little later.
-func (w *simulation) propose() {
-	w.scheduler.Dispatch(w.clock())
-	effects := w.scheduler.TakeEffects()
+// propose takes the scheduler's effects and makes them durable after 15 ms.
+func (sim *simulation) propose() {
+	sim.scheduler.Dispatch(sim.clock())
+	effects := sim.scheduler.TakeEffects()
 	if !effects.Empty() {
-		w.inFlight = append(w.inFlight, proposal{w.elapsed + 15*time.Millisecond, effects})
+		sim.inFlight = append(sim.inFlight, proposal{sim.elapsed + 15*time.Millisecond, effects})
 	}
 }
 
-func (w *simulation) worker(id workerclient.WorkerID) *simulatedWorker {
-	at := slices.IndexFunc(w.workers, func(worker *simulatedWorker) bool { return worker.ID == id })
+func (sim *simulation) worker(id workerclient.WorkerID) *simulatedWorker {
+	at := slices.IndexFunc(sim.workers, func(worker *simulatedWorker) bool { return worker.ID == id })
 	if at < 0 {
 		return nil
 	}
-	return w.workers[at]
+	return sim.workers[at]
 }
 
 // step advances the simulation by 20 ms.
-func (w *simulation) step() {
-	w.elapsed += 20 * time.Millisecond
-	for len(w.inFlight) > 0 && w.inFlight[0].at <= w.elapsed {
-		effects := w.inFlight[0].effects
-		w.inFlight = w.inFlight[1:]
-		w.commit(effects)
+func (sim *simulation) step() {
+	sim.elapsed += 20 * time.Millisecond
+	for len(sim.inFlight) > 0 && sim.inFlight[0].at <= sim.elapsed {
+		effects := sim.inFlight[0].effects
+		sim.inFlight = sim.inFlight[1:]
+		sim.commit(effects)
 	}
-	w.deliverEvents()
-	for _, worker := range w.workers {
-		w.runAttempts(worker)
-		w.sendReport(worker)
+	sim.deliverEvents()
+	for _, worker := range sim.workers {
+		sim.runAttempts(worker)
+		sim.sendReportIfDue(worker)
 	}
-	if w.elapsed%(200*time.Millisecond) == 0 {
-		w.scheduler.Tick(w.clock())
-		w.propose()
+	if sim.elapsed%(200*time.Millisecond) == 0 {
+		sim.scheduler.Tick(sim.clock())
+		sim.propose()
 	}
 }
 
-func (w *simulation) deliverEvents() {
-	due := slices.DeleteFunc(slices.Clone(w.events), func(e timedEvent) bool { return e.at > w.elapsed })
-	w.events = slices.DeleteFunc(w.events, func(e timedEvent) bool { return e.at <= w.elapsed })
+func (sim *simulation) deliverEvents() {
+	due := slices.DeleteFunc(slices.Clone(sim.events), func(e timedEvent) bool { return e.at > sim.elapsed })
+	sim.events = slices.DeleteFunc(sim.events, func(e timedEvent) bool { return e.at <= sim.elapsed })
 	for _, e := range due {
-		e.do()
+		e.run()
 	}
 }
 
-func (w *simulation) commit(effects Effects) {
-	if !w.dropRecords {
-		w.apply(effects.Entries)
+// commit applies durable entries, then sends the commands and acknowledges the completions.
+func (sim *simulation) commit(effects Effects) {
+	if !sim.dropRecords {
+		sim.apply(effects.Entries)
 	}
 	for _, command := range effects.Commands {
-		worker := w.worker(command.Worker)
+		worker := sim.worker(command.Worker)
 		if worker == nil {
 			continue
 		}
 		if command.Stop != nil {
-			w.sendStop(worker, *command.Stop, w.epoch, w.scheduler)
+			sim.sendStop(worker, *command.Stop, sim.epoch, sim.scheduler)
 			continue
 		}
-		if w.scheduler.StillNeeded(command.Worker, command.Start) {
-			w.sendStart(worker, *command.Start, w.epoch, w.scheduler)
+		if sim.scheduler.StillNeeded(command.Worker, command.Start) {
+			sim.sendStart(worker, *command.Start, sim.epoch, sim.scheduler)
 		}
 	}
 	for _, acknowledgement := range effects.Acknowledgements {
-		worker := w.worker(acknowledgement.Worker)
+		worker := sim.worker(acknowledgement.Worker)
 		if worker != nil && !worker.partitioned && worker.up {
-			w.acknowledge(worker, acknowledgement.CompletionNumber)
+			sim.acknowledge(worker, acknowledgement.CompletionNumber)
 		}
 	}
 }
 
-func (w *simulation) apply(entries []replication.Entry) {
+func (sim *simulation) apply(entries []replication.Entry) {
 	for _, entry := range entries {
 		if entry.Value == nil {
-			delete(w.durable, entry.Key)
+			delete(sim.durable, entry.Key)
 			continue
 		}
-		w.durable[entry.Key] = entry.Value
+		sim.durable[entry.Key] = entry.Value
 	}
 }
 
-func (w *simulation) acknowledge(worker *simulatedWorker, number uint64) {
+func (sim *simulation) acknowledge(worker *simulatedWorker, number uint64) {
 	for _, completion := range worker.completions {
 		if completion.CompletionNumber > number || completion.CompletionNumber <= worker.acknowledged {
 			continue
 		}
-		facts := w.facts(completion.Task)
-		facts.doneAcknowledged = facts.doneAcknowledged || completion.Outcome == job.OutcomeDone
+		history := sim.taskHistory(completion.Task)
+		history.completionAcknowledged = history.completionAcknowledged || completion.Outcome == job.OutcomeDone
 		if completion.Outcome == job.OutcomeFailed {
-			facts.failuresAcknowledged[completion.AttemptNumber] = true
+			history.failuresAcknowledged[completion.AttemptNumber] = true
 		}
 	}
 	worker.acknowledged = max(worker.acknowledged, number)
@@ -237,48 +243,48 @@
 	})
 }
 
-func (w *simulation) facts(id job.TaskID) *taskFacts {
-	if w.tasks[id] == nil {
-		w.tasks[id] = &taskFacts{failuresAcknowledged: map[uint64]bool{}}
+func (sim *simulation) taskHistory(id job.TaskID) *taskHistory {
+	if sim.taskHistories[id] == nil {
+		sim.taskHistories[id] = &taskHistory{failuresAcknowledged: map[uint64]bool{}}
 	}
-	return w.tasks[id]
+	return sim.taskHistories[id]
 }
 
-func (w *simulation) sendStart(worker *simulatedWorker, command workerclient.StartCommand, epoch uint64, sender *Scheduler) {
+func (sim *simulation) sendStart(worker *simulatedWorker, command workerclient.StartCommand, epoch uint64, sender *Scheduler) {
 	result := workerclient.StartResult{Worker: worker.ID, Command: command, Outcome: workerclient.Unclear}
-	wait := time.Duration(w.random.IntN(30)) * time.Millisecond
+	delay := time.Duration(sim.random.IntN(30)) * time.Millisecond
 	if worker.partitioned || !worker.up {
-		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
+		sim.schedule(900*time.Millisecond, func() { sim.deliverStartResult(result, sender) })
 		return
 	}
-	validUntil := w.elapsed + w.settings.MaxLease
-	if w.random.Float64() < w.lateShare {
-		late := 2*time.Second + time.Duration(w.random.Int64N(int64(10*time.Second)))
-		w.after(late, func() { w.executeStart(worker, command, epoch, validUntil, true) })
-		w.after(900*time.Millisecond, func() { w.startResult(result, sender) })
+	validUntil := sim.elapsed + sim.settings.MaxLease
+	if sim.random.Float64() < sim.lateStartProbability {
+		lateDelay := 2*time.Second + time.Duration(sim.random.Int64N(int64(10*time.Second)))
+		sim.schedule(lateDelay, func() { sim.executeStart(worker, command, epoch, validUntil, true) })
+		sim.schedule(900*time.Millisecond, func() { sim.deliverStartResult(result, sender) })
 		return
 	}
-	w.after(wait, func() {
-		result.Outcome = w.executeStart(worker, command, epoch, validUntil, false)
-		w.after(5*time.Millisecond, func() { w.startResult(result, sender) })
+	sim.schedule(delay, func() {
+		result.Outcome = sim.executeStart(worker, command, epoch, validUntil, false)
+		sim.schedule(5*time.Millisecond, func() { sim.deliverStartResult(result, sender) })
 	})
 }
 
-func (w *simulation) startResult(result workerclient.StartResult, sender *Scheduler) {
-	if sender != w.scheduler {
+func (sim *simulation) deliverStartResult(result workerclient.StartResult, sender *Scheduler) {
+	if sender != sim.scheduler {
 		return
 	}
-	result.At = w.clock().Monotonic
-	w.scheduler.HandleStartResult(w.clock(), &result)
-	w.propose()
+	result.At = sim.clock().Monotonic
+	sim.scheduler.HandleStartResult(sim.clock(), &result)
+	sim.propose()
 }
 
-func (w *simulation) after(pause time.Duration, do func()) {
-	w.events = append(w.events, timedEvent{w.elapsed + pause, do})
+func (sim *simulation) schedule(delay time.Duration, run func()) {
+	sim.events = append(sim.events, timedEvent{sim.elapsed + delay, run})
 }
 
-// executeStart executes a start command, as a worker does.
-func (w *simulation) executeStart(worker *simulatedWorker, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
+// executeStart executes a start command as a worker would.
+func (sim *simulation) executeStart(worker *simulatedWorker, command workerclient.StartCommand, epoch uint64, validUntil time.Duration, late bool) workerclient.StartOutcome {
 	if !worker.up {
 		return workerclient.Unclear
 	}
@@ -286,123 +292,123 @@
 		return workerclient.RejectedFencingToken
 	}
 	worker.fencingToken = epoch
-	if worker.leaseEnd = max(worker.leaseEnd, min(validUntil, w.elapsed+w.settings.MaxLease)); validUntil <= w.elapsed {
+	if worker.leaseEnd = max(worker.leaseEnd, min(validUntil, sim.elapsed+sim.settings.MaxLease)); validUntil <= sim.elapsed {
 		return workerclient.RejectedLeaseExpired
 	}
 	if command.AttemptNumber <= worker.closedAttempts[command.Task] {
 		return workerclient.RejectedStaleAttempt
 	}
-	if already := worker.running[command.Task]; already != nil {
+	if running := worker.running[command.Task]; running != nil {
 		return workerclient.Started
 	}
-	facts := w.jobs[command.Task.Job]
-	if facts == nil {
-		w.violation("UNASKED %v", command.Task)
+	submitted := sim.jobs[command.Task.Job]
+	if submitted == nil {
+		sim.recordViolation("start of %v, which was not submitted", command.Task)
 		return workerclient.RejectedInvalid
 	}
-	stage := &facts.request.Specification.Stages[command.Task.Stage]
-	if !worker.free(w).Fits(stage.Resources) {
-		w.violation("LIMIT %v at %s", command.Task, worker.ID)
+	stage := &submitted.request.Specification.Stages[command.Task.Stage]
+	if !worker.freeCapacity(sim).Fits(stage.Resources) {
+		sim.recordViolation("start of %v exceeds the capacity of %s", command.Task, worker.ID)
 		return workerclient.RejectedCapacity
 	}
-	w.checkStart(worker, command, facts, stage, late)
-	length := facts.lengths[command.Task]
-	attempt := &simulatedAttempt{number: command.AttemptNumber, outcome: job.OutcomeDone, startedAt: w.elapsed, length: length, endsAt: w.elapsed + length}
-	if facts.poison || worker.failing {
-		attempt.outcome, attempt.endsAt = job.OutcomeFailed, w.elapsed+length/2
+	sim.checkStart(worker, command, submitted, stage, late)
+	duration := submitted.taskDurations[command.Task]
+	attempt := &simulatedAttempt{number: command.AttemptNumber, outcome: job.OutcomeDone, startedAt: sim.elapsed, duration: duration, endsAt: sim.elapsed + duration}
+	if submitted.alwaysFails || worker.failsAllAttempts {
+		attempt.outcome, attempt.endsAt = job.OutcomeFailed, sim.elapsed+duration/2
 	}
 	if stage.LongRunning {
-		attempt.endsAt = w.elapsed + time.Hour
+		attempt.endsAt = sim.elapsed + time.Hour
 	}
 	worker.running[command.Task] = attempt
 	return workerclient.Started
 }
 
-func (worker *simulatedWorker) free(w *simulation) job.Resources {
-	left := worker.Capacity
+func (worker *simulatedWorker) freeCapacity(sim *simulation) job.Resources {
+	free := worker.Capacity
 	for id := range worker.running {
-		left = left.Subtract(w.jobs[id.Job].request.Specification.Stages[id.Stage].Resources)
+		free = free.Subtract(sim.jobs[id.Job].request.Specification.Stages[id.Stage].Resources)
 	}
-	return left
+	return free
 }
 
-func (w *simulation) violation(format string, values ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("at %v: ", w.elapsed)+fmt.Sprintf(format, values...))
+func (sim *simulation) recordViolation(format string, values ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("at %v: ", sim.elapsed)+fmt.Sprintf(format, values...))
 }
 
-// checkStart checks one start. Promises with a time bound do not cover starts that a worker executed late.
-func (w *simulation) checkStart(worker *simulatedWorker, command workerclient.StartCommand, facts *jobFacts, stage *job.Stage, late bool) {
+// checkStart checks one start. Guarantees with a time limit do not apply to starts that a worker executed late.
+func (sim *simulation) checkStart(worker *simulatedWorker, command workerclient.StartCommand, submitted *simulatedJob, stage *job.Stage, late bool) {
 	id := command.Task
-	recorded := w.facts(id)
+	history := sim.taskHistory(id)
 	if !stage.AtLeastOnce {
-		for _, other := range w.workers {
+		for _, other := range sim.workers {
 			if other != worker && other.up && other.running[id] != nil {
-				w.violation("TWICE %v at %s and %s", id, other.ID, worker.ID)
+				sim.recordViolation("two attempts of %v run at the same time, on %s and %s", id, other.ID, worker.ID)
 			}
 		}
-		if recorded.doneAcknowledged && !stage.LongRunning {
-			w.violation("TWICE %v starts after it was done", id)
+		if history.completionAcknowledged && !stage.LongRunning {
+			sim.recordViolation("%v starts after its completion was acknowledged", id)
 		}
 	}
-	if len(recorded.failuresAcknowledged) >= facts.request.Queue.MaxAttempts && !stage.LongRunning && (!late || !stage.AtLeastOnce) {
-		w.violation("BUDGET %v", id)
+	if len(history.failuresAcknowledged) >= submitted.request.Queue.MaxAttempts && !stage.LongRunning && (!late || !stage.AtLeastOnce) {
+		sim.recordViolation("%v starts after its last permitted failure", id)
 	}
 	for _, earlier := range stage.DependsOn {
-		for index := range facts.request.Specification.Stages[earlier].Count {
-			if !w.facts(job.TaskID{Job: id.Job, Repetition: id.Repetition, Stage: earlier, Index: index}).done {
-				w.violation("ORDER %v", id)
+		for index := range submitted.request.Specification.Stages[earlier].Count {
+			if !sim.taskHistory(job.TaskID{Job: id.Job, Repetition: id.Repetition, Stage: earlier, Index: index}).completed {
+				sim.recordViolation("%v starts before its dependencies are complete", id)
 			}
 		}
 	}
-	if dueMS := facts.request.Specification.FirstRunMS + int64(id.Repetition)*facts.request.Specification.IntervalMS; dueMS > w.clock().WallMS+250 {
-		w.violation("ORDER %v starts before its time", id)
+	if dueMS := submitted.request.Specification.FirstRunMS + int64(id.Repetition)*submitted.request.Specification.IntervalMS; dueMS > sim.clock().WallMS+250 {
+		sim.recordViolation("%v starts before its repetition is due", id)
 	}
 	for _, label := range stage.Requirements {
 		if !slices.Contains(worker.Labels, label) {
-			w.violation("ROUTE %v at %s", id, worker.ID)
+			sim.recordViolation("%v starts on %s, which lacks a required label", id, worker.ID)
 		}
 	}
-	same := 0
+	siblings := 0
 	for other := range worker.running {
 		if other.Job == id.Job && other.Repetition == id.Repetition && other.Stage == id.Stage {
-			same++
+			siblings++
 		}
 	}
-	if stage.AntiAffinity > 0 && same >= stage.AntiAffinity {
-		w.violation("ROUTE %v beyond antiAffinity at %s", id, worker.ID)
+	if stage.AntiAffinity > 0 && siblings >= stage.AntiAffinity {
+		sim.recordViolation("%v exceeds the anti-affinity limit on %s", id, worker.ID)
 	}
-	if !late && facts.cancelledAt > 0 && w.elapsed > facts.cancelledAt+3*time.Second {
-		w.violation("UNASKED %v starts after it was cancelled", id)
+	if !late && submitted.cancelledAt > 0 && sim.elapsed > submitted.cancelledAt+3*time.Second {
+		sim.recordViolation("%v starts more than 3 s after its job was cancelled", id)
 	}
-	if command.AttemptNumber <= recorded.lastAttempt && !stage.AtLeastOnce {
-		w.violation("execution %d of %v does not rise", command.AttemptNumber, id)
+	if command.AttemptNumber <= history.lastAttempt && !stage.AtLeastOnce {
+		sim.recordViolation("attempt number %d of %v does not exceed the previous one", command.AttemptNumber, id)
 	}
-	recorded.lastAttempt = max(recorded.lastAttempt, command.AttemptNumber)
+	history.lastAttempt = max(history.lastAttempt, command.AttemptNumber)
 }
 
-func (w *simulation) sendStop(worker *simulatedWorker, command workerclient.StopCommand, epoch uint64, sender *Scheduler) {
-	w.after(10*time.Millisecond, func() {
-		if sender != w.scheduler {
+func (sim *simulation) sendStop(worker *simulatedWorker, command workerclient.StopCommand, epoch uint64, sender *Scheduler) {
+	sim.schedule(10*time.Millisecond, func() {
+		if sender != sim.scheduler {
 			return
 		}
 		if worker.partitioned || !worker.up {
-			w.sendStop(worker, command, epoch, sender) // until it is answered
+			sim.sendStop(worker, command, epoch, sender) // repeats the stop until the worker responds
 			return
 		}
 		if epoch >= worker.fencingToken {
 			worker.fencingToken = epoch
 			if attempt := worker.running[command.Task]; attempt != nil && attempt.number <= command.AttemptNumber {
-				w.complete(worker, command.Task, job.OutcomeStopped)
+				sim.complete(worker, command.Task, job.OutcomeStopped)
 			}
 			worker.closedAttempts[command.Task] = max(worker.closedAttempts[command.Task], command.AttemptNumber)
 		}
-		w.scheduler.HandleStopResult(&workerclient.StopResult{Worker: worker.ID, Command: command, Answered: true, At: w.clock().Monotonic})
-		w.propose()
+		sim.scheduler.HandleStopResult(&workerclient.StopResult{Worker: worker.ID, Command: command, Answered: true, At: sim.clock().Monotonic})
+		sim.propose()
 	})
 }
 
-// complete ends an attempt and, as workers do, those of the other members of its gang.
-func (w *simulation) complete(worker *simulatedWorker, id job.TaskID, outcome job.Outcome) {
+// complete ends an attempt and those of the other members of its gang, as workers do.
+func (sim *simulation) complete(worker *simulatedWorker, id job.TaskID, outcome job.Outcome) {
 	attempt := worker.running[id]
 	delete(worker.running, id)
 	worker.closedAttempts[id] = max(worker.closedAttempts[id], attempt.number)
@@ -411,21 +417,21 @@
 		number = worker.completions[len(worker.completions)-1].CompletionNumber + 1
 	}
 	worker.completions = append(worker.completions, workerclient.FinishedTask{CompletionNumber: number, Task: id, AttemptNumber: attempt.number, Outcome: outcome})
-	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
+	stage := &sim.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if outcome == job.OutcomeDone {
-		w.facts(id).done = true
+		sim.taskHistory(id).completed = true
 	}
 	if !stage.GangScheduled {
 		return
 	}
-	others := job.OutcomeGangBroken
+	memberOutcome := job.OutcomeGangBroken
 	if outcome == job.OutcomeDone {
-		others = job.OutcomeDone
+		memberOutcome = job.OutcomeDone
 	}
-	for _, other := range w.workers {
+	for _, other := range sim.workers {
 		for _, member := range sortedTasks(other.running) {
 			if member.Job == id.Job && member.Stage == id.Stage && member.Repetition == id.Repetition && other.running[member] != nil && other.running[member].number == attempt.number {
-				w.complete(other, member, others)
+				sim.complete(other, member, memberOutcome)
 			}
 		}
 	}
@@ -435,33 +441,33 @@
 	return slices.SortedFunc(maps.Keys(running), compareTaskIDs)
 }
 
-func (w *simulation) runAttempts(worker *simulatedWorker) {
+func (sim *simulation) runAttempts(worker *simulatedWorker) {
 	if !worker.up {
 		return
 	}
-	if w.elapsed >= worker.leaseEnd {
+	if sim.elapsed >= worker.leaseEnd {
 		for _, id := range sortedTasks(worker.running) {
 			if worker.running[id] != nil {
-				w.complete(worker, id, job.OutcomeLeaseExpired)
+				sim.complete(worker, id, job.OutcomeLeaseExpired)
 			}
 		}
 		return
 	}
 	for _, id := range sortedTasks(worker.running) {
-		if attempt := worker.running[id]; attempt != nil && !attempt.stuck && attempt.endsAt <= w.elapsed && w.isGangComplete(id, attempt.number) {
-			w.complete(worker, id, attempt.outcome)
+		if attempt := worker.running[id]; attempt != nil && !attempt.stalled && attempt.endsAt <= sim.elapsed && sim.isGangComplete(id, attempt.number) {
+			sim.complete(worker, id, attempt.outcome)
 		}
 	}
 }
 
-// isGangComplete tells whether all members of an attempt are running.
-func (w *simulation) isGangComplete(id job.TaskID, number uint64) bool {
-	stage := &w.jobs[id.Job].request.Specification.Stages[id.Stage]
+// isGangComplete reports whether all members of a gang attempt are running. It returns true for other tasks.
+func (sim *simulation) isGangComplete(id job.TaskID, number uint64) bool {
+	stage := &sim.jobs[id.Job].request.Specification.Stages[id.Stage]
 	if !stage.GangScheduled {
 		return true
 	}
 	running := 0
-	for _, worker := range w.workers {
+	for _, worker := range sim.workers {
 		for other, attempt := range worker.running {
 			if other.Job == id.Job && other.Stage == id.Stage && other.Repetition == id.Repetition && attempt.number == number {
 				running++
@@ -471,102 +477,106 @@
 	return running == stage.Count
 }
 
-// sendReport reports a worker that is due.
-func (w *simulation) sendReport(worker *simulatedWorker) {
-	if w.elapsed-worker.reportedAt < 300*time.Millisecond && worker.reachabilityKnown {
+// sendReportIfDue delivers a worker's report to the scheduler every 300 ms, or reports that the worker is unreachable.
+func (sim *simulation) sendReportIfDue(worker *simulatedWorker) {
+	if sim.elapsed-worker.reportedAt < 300*time.Millisecond && worker.reachabilityKnown {
 		return
 	}
-	worker.reportedAt = w.elapsed
+	worker.reportedAt = sim.elapsed
 	if !worker.up {
 		return
 	}
 	if worker.partitioned {
-		w.unreachable(worker)
+		sim.reportUnreachable(worker)
 		return
 	}
 	worker.reachabilityKnown = true
-	worker.fencingToken = max(worker.fencingToken, w.epoch)
-	worker.leaseEnd = max(worker.leaseEnd, w.elapsed+w.settings.MaxLease)
-	worker.grantedUntil = worker.leaseEnd
-	listing := workerclient.Listing{Worker: worker.ID, SentAt: w.clock().Monotonic, First: worker.reportedEpoch != w.epoch, Finished: slices.Clone(worker.completions)}
-	worker.reportedEpoch = w.epoch
+	worker.fencingToken = max(worker.fencingToken, sim.epoch)
+	worker.leaseEnd = max(worker.leaseEnd, sim.elapsed+sim.settings.MaxLease)
+	worker.leaseGrantedUntil = worker.leaseEnd
+	listing := workerclient.Listing{Worker: worker.ID, SentAt: sim.clock().Monotonic, First: worker.reportedEpoch != sim.epoch, Finished: slices.Clone(worker.completions)}
+	worker.reportedEpoch = sim.epoch
 	for _, id := range sortedTasks(worker.running) {
 		attempt := worker.running[id]
-		percent := int(99 * (w.elapsed - attempt.startedAt) / max(attempt.length, 1))
-		if attempt.stuck {
+		percent := int(99 * (sim.elapsed - attempt.startedAt) / max(attempt.duration, 1))
+		if attempt.stalled {
 			percent = 0
 		}
 		listing.Running = append(listing.Running, workerclient.RunningTask{Task: id, AttemptNumber: attempt.number, Percent: min(percent, 99)})
 	}
-	w.scheduler.HandleReport(w.clock(), &listing)
-	w.propose()
+	sim.scheduler.HandleReport(sim.clock(), &listing)
+	sim.propose()
 }
 
-func (w *simulation) unreachable(worker *simulatedWorker) {
+// reportUnreachable tells the scheduler that a worker is unreachable, and when its leases have expired.
+func (sim *simulation) reportUnreachable(worker *simulatedWorker) {
 	if !worker.reachabilityKnown {
 		return
 	}
-	w.scheduler.SetReachable(w.clock(), worker.ID, false)
-	if w.elapsed > worker.grantedUntil+LateCommandWindow+7*time.Second {
-		w.scheduler.ExpireLease(w.clock(), worker.ID)
+	sim.scheduler.SetReachable(sim.clock(), worker.ID, false)
+	if sim.elapsed > worker.leaseGrantedUntil+LateCommandWindow+7*time.Second {
+		sim.scheduler.ExpireLease(sim.clock(), worker.ID)
 	}
-	w.propose()
+	sim.propose()
 }
 
-func (w *simulation) crash(worker *simulatedWorker, successor string) {
+// crash ends a worker and adds a successor incarnation. The scheduler is told of the crash after a second.
+func (sim *simulation) crash(worker *simulatedWorker, successor string) {
 	worker.up = false
-	w.addWorker(successor, len(w.workers))
-	w.after(time.Second, func() {
-		w.scheduler.RemoveWorker(w.clock(), worker.ID)
-		w.propose()
-		w.sendInventory()
+	sim.addWorker(successor, len(sim.workers))
+	sim.schedule(time.Second, func() {
+		sim.scheduler.RemoveWorker(sim.clock(), worker.ID)
+		sim.propose()
+		sim.sendInventory()
 	})
 }
 
-func (w *simulation) submit(facts *jobFacts) {
-	w.jobs[facts.request.ID] = facts
-	facts.lengths = map[job.TaskID]time.Duration{}
-	for repetition := range facts.request.Specification.RepetitionCount() {
-		for number, stage := range facts.request.Specification.Stages {
+func (sim *simulation) submit(submitted *simulatedJob) {
+	sim.jobs[submitted.request.ID] = submitted
+	submitted.taskDurations = map[job.TaskID]time.Duration{}
+	for repetition := range submitted.request.Specification.RepetitionCount() {
+		for number, stage := range submitted.request.Specification.Stages {
 			for index := range stage.Count {
-				length := time.Duration(100+w.random.IntN(900)) * time.Millisecond
-				facts.lengths[job.TaskID{Job: facts.request.ID, Repetition: repetition, Stage: number, Index: index}] = length
+				duration := time.Duration(100+sim.random.IntN(900)) * time.Millisecond
+				submitted.taskDurations[job.TaskID{Job: submitted.request.ID, Repetition: repetition, Stage: number, Index: index}] = duration
 			}
 		}
 	}
-	w.resubmit(facts)
+	sim.resubmit(submitted)
 }
 
-// resubmit submits a job until it is durable, as clients do.
-func (w *simulation) resubmit(facts *jobFacts) {
-	if w.durable[jobKey(facts.request.ID)] != nil || w.durable[endedKey(facts.request.ID)] != nil {
+// resubmit submits a job repeatedly until it is durable, as clients do.
+func (sim *simulation) resubmit(submitted *simulatedJob) {
+	if sim.durable[jobKey(submitted.request.ID)] != nil || sim.durable[endedKey(submitted.request.ID)] != nil {
 		return
 	}
-	w.scheduler.Submit(w.clock(), &facts.request)
-	w.propose()
-	w.after(500*time.Millisecond, func() { w.resubmit(facts) })
+	sim.scheduler.Submit(sim.clock(), &submitted.request)
+	sim.propose()
+	sim.schedule(500*time.Millisecond, func() { sim.resubmit(submitted) })
 }
 
-func (w *simulation) cancel(facts *jobFacts) {
-	if w.durable[endedKey(facts.request.ID)] != nil {
-		if facts.cancelledAt == 0 {
-			facts.cancelledAt = w.elapsed
+// cancel cancels a job repeatedly until its end is durable.
+func (sim *simulation) cancel(submitted *simulatedJob) {
+	if sim.durable[endedKey(submitted.request.ID)] != nil {
+		if submitted.cancelledAt == 0 {
+			submitted.cancelledAt = sim.elapsed
 		}
 		return
 	}
-	w.scheduler.Cancel(w.clock(), facts.request.ID)
-	w.propose()
-	w.after(500*time.Millisecond, func() { w.cancel(facts) })
+	sim.scheduler.Cancel(sim.clock(), submitted.request.ID)
+	sim.propose()
+	sim.schedule(500*time.Millisecond, func() { sim.cancel(submitted) })
 }
 
-func (w *simulation) randomJob(number int) *jobFacts {
-	random := w.random
-	facts := &jobFacts{poison: random.IntN(12) == 0}
-	request := jobapi.Submit{Group: "jobs/x", ID: job.ID(fmt.Sprintf("%016x", number)),
+// randomJob makes a job with random stages, requests and constraints. One job in 12 always fails.
+func (sim *simulation) randomJob(number int) *simulatedJob {
+	random := sim.random
+	submitted := &simulatedJob{alwaysFails: random.IntN(12) == 0}
+	request := jobapi.SubmitRequest{Group: "jobs/x", ID: job.ID(fmt.Sprintf("%016x", number)),
 		Queue: jobapi.Queue{Route: "r", Service: "x", Priority: random.IntN(3), MaxAttempts: 2 + random.IntN(3), TargetLatencyMS: 500}}
 	if random.IntN(8) == 0 {
 		request.Specification.Repetitions = 1 + random.IntN(3)
-		request.Specification.FirstRunMS = w.clock().WallMS + int64(random.IntN(3000))
+		request.Specification.FirstRunMS = sim.clock().WallMS + int64(random.IntN(3000))
 		request.Specification.IntervalMS = 700
 	}
 	for i := range 1 + random.IntN(3) {
@@ -589,6 +599,6 @@
 		}
 		request.Specification.Stages = append(request.Specification.Stages, stage)
 	}
-	facts.request = request
-	return facts
+	submitted.request = request
+	return submitted
 }
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -96,7 +96,7 @@
 }
 
 func (g *storedGroup) submit(id job.ID, queue jobapi.Queue, specification job.Specification) {
-	g.scheduler.Submit(g.clock(), &jobapi.Submit{ID: id, Queue: queue, Specification: specification})
+	g.scheduler.Submit(g.clock(), &jobapi.SubmitRequest{ID: id, Queue: queue, Specification: specification})
 	g.commit()
 }
 
--- a/internal/jobs/scheduler/stragglers.go
+++ b/internal/jobs/scheduler/stragglers.go
@@ -6,42 +6,44 @@
 )
 
 const (
-	paceWeight          = 0.25                   // weight of a new observation in a worker's pace ratio
-	minPaceObservation  = 500 * time.Millisecond // an attempt is observed for so long before its pace counts
-	slowWorkerFactor    = 2.5                    // times the median pace ratio: from there on a worker counts as slow
-	migrationGainFactor = 2.0                    // an attempt migrates if it needs so many times longer than a restart elsewhere
-	migrationCostMS     = 300.0                  // that a migration takes besides the stop
-	maxMigrations       = 2                      // of one task
-	paceRatioDecay      = 0.05                   // share of a worker's distance to the median that fades with each inspection
+	paceWeight             = 0.25                   // weight of a new observation in a worker's pace ratio
+	minPaceObservationTime = 500 * time.Millisecond // shortest time for which an attempt is observed before its pace is used
+	slowWorkerFactor       = 2.5                    // multiple of the median pace ratio from which a worker counts as slow
+	migrationGainFactor    = 2.0                    // least ratio of an attempt's remaining time to that of a restart elsewhere for a migration
+	migrationCostMS        = 300.0                  // time that a migration takes in addition to the stop, milliseconds
+	maxMigrations          = 2                      // migrations allowed per task
+	paceRatioDecay         = 0.05                   // fraction by which each inspection moves a worker's pace ratio towards the median
 )
 
-// observePace takes an attempt's pace into its worker's pace ratio: how many times longer than expected attempts take.
+// observePace updates a worker's pace ratio with the pace of one of its attempts. The pace ratio is the smoothed duration of
+// the worker's attempts relative to the expected duration.
 func (s *Scheduler) observePace(attempt *attemptState) {
 	pace, known := attempt.paceMS()
 	if !known {
 		return
 	}
-	ratio := pace / s.expectedMS(attempt.task.stage, attempt.worker)
+	ratio := pace / s.expectedDurationMS(attempt.task.stage, attempt.worker)
 	if attempt.worker.paceRatio == 0 {
 		attempt.worker.paceRatio = ratio
 	}
 	attempt.worker.paceRatio += paceWeight * (ratio - attempt.worker.paceRatio)
 }
 
-// paceMS is how long a complete attempt takes at the speed observed so far, in milliseconds. It is not known for attempts
-// that have not been observed for long enough, or whose progress is not newer than the last report.
+// paceMS returns the duration in milliseconds of a complete attempt at the speed observed so far. The pace is unknown until
+// the attempt has been observed for minPaceObservationTime, and if the last report shows no further progress. It is also
+// unknown for inherited and long-running attempts and for those being stopped.
 func (attempt *attemptState) paceMS() (pace float64, known bool) {
 	if !attempt.reported || attempt.inherited || attempt.stopping || attempt.task.stage.LongRunning {
 		return 0, false
 	}
-	watched := attempt.reportedAt.Sub(attempt.paceSince)
-	if watched < minPaceObservation || attempt.percent <= attempt.pacePercent || attempt.progressedAt.Before(attempt.reportedAt) {
+	observed := attempt.reportedAt.Sub(attempt.paceSince)
+	if observed < minPaceObservationTime || attempt.percent <= attempt.pacePercent || attempt.progressedAt.Before(attempt.reportedAt) {
 		return 0, false
 	}
-	return float64(watched.Milliseconds()) * 100 / float64(attempt.percent-attempt.pacePercent), true
+	return float64(observed.Milliseconds()) * 100 / float64(attempt.percent-attempt.pacePercent), true
 }
 
-// updatePaceRatios computes the median of the workers' pace ratios, and lets each ratio fade towards it.
+// updatePaceRatios computes the median pace ratio of the reachable workers and moves each worker's ratio towards it.
 func (s *Scheduler) updatePaceRatios() {
 	s.paceScratch = s.paceScratch[:0]
 	for _, worker := range s.sortedWorkers {
@@ -57,7 +59,7 @@
 	}
 }
 
-// median sorts values and returns the middle one; 0 if there is none.
+// median sorts the values in place and returns the middle one. It returns 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -66,8 +68,9 @@
 	return values[len(values)/2]
 }
 
-// shouldMigrate tells whether an attempt on a slow worker is expected to end sooner if it is stopped and the task started
-// elsewhere, from its checkpoint if there is one.
+// shouldMigrate reports whether an attempt on a slow worker should be stopped so that its task starts elsewhere, from its
+// checkpoint if it has one. The remaining time must be at least migrationGainFactor times the estimated time for the restart.
+// Gang members, tasks with several attempts and tasks that have migrated maxMigrations times never migrate.
 func (s *Scheduler) shouldMigrate(attempt *attemptState) bool {
 	stage := attempt.task.stage
 	if stage.GangScheduled || attempt.task.done || len(attempt.task.attempts) > 1 || attempt.task.migrations >= maxMigrations {
@@ -77,10 +80,10 @@
 	if !known || s.slowdown(attempt.worker) < slowWorkerFactor {
 		return false
 	}
-	restMS := pace * float64(100-attempt.percent) / 100
-	restartMS := s.expectedMS(stage, attempt.worker)*max(1, s.medianPace) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
+	remainingMS := pace * float64(100-attempt.percent) / 100
+	restartMS := s.expectedDurationMS(stage, attempt.worker)*max(1, s.medianPace) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
 	if stage.Checkpoints && attempt.checkpoint != "" {
 		restartMS = restartMS*float64(100-attempt.percent)/100 + float64(s.settings.RestoreTime.Milliseconds())
 	}
-	return restMS >= migrationGainFactor*restartMS
+	return remainingMS >= migrationGainFactor*restartMS
 }
--- a/internal/jobs/scheduler/unplaceable.go
+++ b/internal/jobs/scheduler/unplaceable.go
@@ -2,43 +2,47 @@
 
 import "puffinlink.example/puffinlink/internal/jobs/job"
 
-// unplaceableRequests are requests for which no worker had capacity during one dispatch. Capacity only shrinks in a
-// dispatch, so that a stage which requests at least as much cannot be placed either.
+// unplaceableRequests collects the resource requests for which no worker had capacity during one dispatch. Free capacity only
+// shrinks during a dispatch, so a stage that requests at least as much cannot be placed either.
 type unplaceableRequests struct {
-	unlabelled []job.Resources            // of stages that any worker may take
-	labelled   map[string][]job.Resources // of those that need a label
+	withoutLabel []job.Resources            // requests of stages that require no label
+	byLabel      map[string][]job.Resources // requests of stages that require exactly one label, by that label
 }
 
+// covers reports whether a stage cannot be placed, because it requests at least as much as a request recorded before and
+// requires the same label, if that one required any.
 func (r *unplaceableRequests) covers(stage *stageState) bool {
-	if isDominated(r.unlabelled, stage.Resources) {
+	if isDominated(r.withoutLabel, stage.Resources) {
 		return true
 	}
 	for _, label := range stage.Requirements {
-		if isDominated(r.labelled[label], stage.Resources) {
+		if isDominated(r.byLabel[label], stage.Resources) {
 			return true
 		}
 	}
 	return false
 }
 
+// add records the request of a stage that could not be placed. It ignores stages with anti-affinity, which may be the cause,
+// and stages that require several labels.
 func (r *unplaceableRequests) add(stage *stageState) {
 	switch {
 	case stage.AntiAffinity > 0:
 	case len(stage.Requirements) == 0:
-		r.unlabelled = append(r.unlabelled, stage.Resources)
+		r.withoutLabel = append(r.withoutLabel, stage.Resources)
 	case len(stage.Requirements) == 1:
-		if r.labelled == nil {
-			r.labelled = map[string][]job.Resources{}
+		if r.byLabel == nil {
+			r.byLabel = map[string][]job.Resources{}
 		}
 		label := stage.Requirements[0]
-		r.labelled[label] = append(r.labelled[label], stage.Resources)
+		r.byLabel[label] = append(r.byLabel[label], stage.Resources)
 	}
 }
 
-// isDominated tells whether a request is at least as large as one of those given.
+// isDominated reports whether a request is at least as large, in every resource, as one of the given requests.
 func isDominated(requests []job.Resources, request job.Resources) bool {
-	for _, smaller := range requests {
-		if request.Fits(smaller) {
+	for _, other := range requests {
+		if request.Fits(other) {
 			return true
 		}
 	}
--- a/internal/jobs/scheduler/workerends_test.go
+++ b/internal/jobs/scheduler/workerends_test.go
@@ -14,7 +14,7 @@
 const longRunningRestartLimit = 6 * time.Second
 
 // longRunningTasks starts workers with six tasks that keep running.
-func longRunningTasks() (*simulation, job.ID) {
+func newLongRunningSimulation() (*simulation, job.ID) {
 	w := newSimulation(1, 3)
 	w.steps(20)
 	stage := smallStage(6)
@@ -25,7 +25,7 @@
 }
 
 // runningAgainAfter plays until six tasks run, and returns how long that took.
-func runningAgainAfter(w *simulation) time.Duration {
+func timeUntilAllRunning(w *simulation) time.Duration {
 	began := w.elapsed
 	for w.elapsed < began+2*longRunningRestartLimit {
 		w.step()
@@ -36,9 +36,9 @@
 	return w.elapsed - began
 }
 
-func TestLongRunningTasksComeBack(t *testing.T) {
+func TestLongRunningTasksRestartAfterTheirAttemptEnds(t *testing.T) {
 	Convey("Given six tasks that keep running", t, func() {
-		w, id := longRunningTasks()
+		w, id := newLongRunningSimulation()
 		_, all := countRunning(w, "")
 		So(all, ShouldEqual, 6)
 
@@ -49,7 +49,7 @@
 						w.complete(worker, task, job.OutcomeFailed)
 					}
 				}
-				So(runningAgainAfter(w), ShouldBeLessThan, longRunningRestartLimit)
+				So(timeUntilAllRunning(w), ShouldBeLessThan, longRunningRestartLimit)
 			}
 			state, known := w.scheduler.Status(id)
 			So(known, ShouldBeTrue)
@@ -58,7 +58,7 @@
 		Convey("a worker crashes: its tasks run elsewhere in time", func() {
 			w.crash(w.worker("s00"), "s90")
 			w.worker("s00").running = map[job.TaskID]*simulatedAttempt{}
-			So(runningAgainAfter(w), ShouldBeLessThan, longRunningRestartLimit)
+			So(timeUntilAllRunning(w), ShouldBeLessThan, longRunningRestartLimit)
 		})
 		Convey("a worker is drained by the platform: its tasks run elsewhere in time", func() {
 			w.worker("s00").Draining, w.worker("s00").RemainingMS = true, 5000
@@ -73,7 +73,7 @@
 }
 
 // A worker that comes back at its old address may be of another kind. What was known of the incarnation before counts no more.
-func TestIncarnationOfAnotherKind(t *testing.T) {
+func TestNewIncarnationGetsOnlyTasksOfItsOwnLabelsAndCapacity(t *testing.T) {
 	Convey("Given a worker of the only kind that a job requires, which crashes and comes back as another kind", t, func() {
 		w := newSimulation(1, 1)
 		w.steps(20)
@@ -103,7 +103,7 @@
 }
 
 // A draining worker says how long it still runs at least. What cannot end by then is stopped and begins elsewhere; the rest stays.
-func TestRemainingTimeOfADrainingWorker(t *testing.T) {
+func TestDrainingWorkerStopsOnlyAttemptsBeyondItsRemainingTime(t *testing.T) {
 	for _, c := range []struct {
 		remainingMS int64
 		stopped     int
--- a/internal/jobs/scheduler/workerreports.go
+++ b/internal/jobs/scheduler/workerreports.go
@@ -9,7 +9,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// HandleReport takes a worker's report of the attempts that run there and of those that have completed.
+// HandleReport processes a worker's report, which lists its running attempts and the completions that have not been
+// acknowledged.
 func (s *Scheduler) HandleReport(now Now, report *workerclient.Listing) {
 	worker := s.workers[report.Worker]
 	if worker == nil {
@@ -26,18 +27,18 @@
 	for i := range report.Finished {
 		s.handleCompletion(now, worker, &report.Finished[i])
 	}
-	if !report.Stale { // a newer report has listed what runs there
-		listed := s.matchRunning(now, worker, report)
+	if !report.Stale { // a newer report has already listed the running attempts
+		listed := s.matchRunningAttempts(now, worker, report)
 		if !report.Partial {
-			s.handleMissing(now, worker, report, listed)
+			s.handleMissingAttempts(now, worker, report, listed)
 		}
 	}
 	s.dispatchNeeded = true
 }
 
-// matchRunning matches the reported attempts with ours, and returns the tasks of those that match. The others are orphans,
-// which are stopped.
-func (s *Scheduler) matchRunning(now Now, worker *workerState, report *workerclient.Listing) map[job.TaskID]bool {
+// matchRunningAttempts matches the reported attempts with those of the scheduler, and returns the tasks of the matching ones.
+// The other reported attempts are orphans, which it stops.
+func (s *Scheduler) matchRunningAttempts(now Now, worker *workerState, report *workerclient.Listing) map[job.TaskID]bool {
 	if len(report.Running) == 0 {
 		worker.orphans = nil
 		return nil
@@ -65,7 +66,7 @@
 	return listed
 }
 
-// recordProgress takes what a report says of one of our attempts.
+// recordProgress updates an attempt's progress, pace and checkpoint from a report.
 func (s *Scheduler) recordProgress(now Now, attempt *attemptState, entry *workerclient.RunningTask) {
 	if !attempt.reported {
 		attempt.reported = true
@@ -82,29 +83,29 @@
 	s.observePace(attempt)
 }
 
-// handleMissing handles the attempts of ours that a complete report does not list. One that was certainly there, or whose
-// stop was answered, before the report was requested has ended. One whose start got no answer may still begin: it is
-// stopped, after which the worker rejects that start.
-func (s *Scheduler) handleMissing(now Now, worker *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
+// handleMissingAttempts processes the attempts that a complete report does not list. An attempt has ended if its start or its
+// stop was confirmed before the report was requested, or if it was inherited from an earlier leadership. An attempt whose
+// start got no response may still begin, so it is stopped. After the stop the worker rejects that start.
+func (s *Scheduler) handleMissingAttempts(now Now, worker *workerState, report *workerclient.Listing, listed map[job.TaskID]bool) {
 	if len(worker.attempts) == len(listed) {
-		return // each listed task is one of ours
+		return // every attempt of the worker is listed, as listed contains only known tasks
 	}
 	for _, attempt := range worker.sortedAttempts() {
 		if listed[attempt.task.id] {
 			continue
 		}
-		started := !attempt.confirmedAt.IsZero() && attempt.confirmedAt.Before(report.SentAt)
-		stopped := !attempt.stopConfirmedAt.IsZero() && attempt.stopConfirmedAt.Before(report.SentAt)
+		startConfirmed := !attempt.confirmedAt.IsZero() && attempt.confirmedAt.Before(report.SentAt)
+		stopConfirmed := !attempt.stopConfirmedAt.IsZero() && attempt.stopConfirmedAt.Before(report.SentAt)
 		switch {
-		case attempt.inherited, started, stopped:
+		case attempt.inherited, startConfirmed, stopConfirmed:
 			s.endAttempt(now, attempt)
 		case !attempt.startUnclearAt.IsZero() && attempt.startUnclearAt.Before(report.SentAt):
-			s.stopAttempt(attempt) // from then on a start that arrives late is rejected
+			s.stopAttempt(attempt) // once stopped, the worker rejects a start that arrives late
 		}
 	}
 }
 
-// sortedAttempts lists a worker's attempts by task, so that the same events give the same effects.
+// sortedAttempts returns a worker's attempts sorted by task, so that the same events always have the same effects.
 func (worker *workerState) sortedAttempts() []*attemptState {
 	attempts := make([]*attemptState, 0, len(worker.attempts))
 	for _, attempt := range worker.attempts {
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -193,13 +193,13 @@
 func (c *client) submit() {
 	id := job.ID(fmt.Sprintf("%08x%08x", c.number+1, len(c.jobs)+1))
 	stages := []job.Stage{{Count: 1 + c.random.IntN(2), Resources: job.Resources{Processors: 500}, EstimatedDurationMS: 300}}
-	request := jobapi.Submit{
+	request := jobapi.SubmitRequest{
 		Group: group, ID: id, Queue: jobapi.Queue{Route: "r", Service: service, MaxAttempts: 2, Extension: 2, TargetLatencyMS: 1000},
 		Specification: job.Specification{Text: "t", Stages: stages},
 	}
 	c.jobs = append(c.jobs, id)
 	for range 3 {
-		var reply jobapi.Submitted
+		var reply jobapi.SubmitReply
 		if _, err := c.call(jobapi.SubmitCall.Route(), request, &reply); err == nil {
 			c.simulation.checker.recordSubmit(id)
 			return
@@ -210,15 +210,15 @@
 func (c *client) status() {
 	id, sent := c.jobs[c.random.IntN(len(c.jobs))], time.Now()
 	var reply jobapi.StatusReply
-	if member, err := c.call(jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply); err == nil {
+	if member, err := c.call(jobapi.StatusCall.Route(), jobapi.StatusRequest{Group: group, ID: id}, &reply); err == nil {
 		c.simulation.checker.checkJobReply(member, "status", sent, id, reply.Known, reply.State)
 	}
 }
 
 func (c *client) cancel() {
 	id, sent := c.jobs[c.random.IntN(len(c.jobs))], time.Now()
-	var reply jobapi.Cancelled
-	if member, err := c.call(jobapi.CancelCall.Route(), jobapi.Cancel{Group: group, ID: id}, &reply); err == nil {
+	var reply jobapi.CancelReply
+	if member, err := c.call(jobapi.CancelCall.Route(), jobapi.CancelRequest{Group: group, ID: id}, &reply); err == nil {
 		c.simulation.checker.checkJobReply(member, "cancel", sent, id, reply.Known, reply.State)
 	}
 }
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -65,7 +65,7 @@
 		s.actors.Go(func() {
 			sent := time.Now()
 			var reply jobapi.StatusReply
-			if requester.callAt(m.address, jobapi.StatusCall.Route(), jobapi.Status{Group: group, ID: id}, &reply) == nil {
+			if requester.callAt(m.address, jobapi.StatusCall.Route(), jobapi.StatusRequest{Group: group, ID: id}, &reply) == nil {
 				s.checker.checkJobReply(m.address, "status after a pause", sent, id, reply.Known, reply.State)
 			}
 		})
