--- a/internal/jobs/inventory/ratelimit_test.go
+++ b/internal/jobs/inventory/ratelimit_test.go
@@ -12,11 +12,11 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// pages is a platform in memory: a list of one worker a page.
+// pagedPlatform is an in-memory platform whose list has one worker per page.
 type pagedPlatform struct {
 	pageCount int
 	calls     int
-	rejects   func(call int, token string) bool // with 429
+	rejects   func(call int, token string) bool // reports whether a call is rejected with status 429
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -41,7 +41,7 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body)), Header: http.Header{}}
 }
 
-func TestPageRejectedForTheRateIsRequestedAgain(t *testing.T) {
+func TestRateLimitedPageIsRequestedAgain(t *testing.T) {
 	read := func(p *pagedPlatform) (count int, err error) {
 		virtualtime.Test(t, func(t *testing.T) {
 			reader := Reader{Address: "platform:1", RatePerSecond: 4, HTTP: &http.Client{Transport: p}}
@@ -50,21 +50,21 @@
 		})
 		return count, err
 	}
-	Convey("A list of more pages than the platform accepts calls comes whole, with no page requested again that has come", t, func() {
+	Convey("If the platform rejects every second call, the list is read completely, and no page that was received is requested again", t, func() {
 		p := &pagedPlatform{pageCount: 6, rejects: func(call int, _ string) bool { return call%2 == 0 }}
 		count, err := read(p)
 		So(err, ShouldBeNil)
 		So(count, ShouldEqual, 6)
 		So(p.calls, ShouldEqual, 11)
 	})
-	Convey("A list that breaks off for good is no list", t, func() {
+	Convey("If a page is rejected each time, there is an error and no workers are returned", t, func() {
 		p := &pagedPlatform{pageCount: 3, rejects: func(_ int, token string) bool { return token == "1" }}
 		count, err := read(p)
 		So(err, ShouldWrap, ErrRateLimited)
 		So(count, ShouldEqual, 0)
 		So(p.calls, ShouldBeLessThan, 30)
 	})
-	Convey("A refused first page is left to the next reading", t, func() {
+	Convey("A rejected first page is not retried within the same read", t, func() {
 		p := &pagedPlatform{pageCount: 3, rejects: func(int, string) bool { return true }}
 		_, err := read(p)
 		So(err, ShouldWrap, ErrRateLimited)
--- a/internal/jobs/inventory/reader_test.go
+++ b/internal/jobs/inventory/reader_test.go
@@ -22,7 +22,7 @@
 
 const testTimeout = 20 * time.Second
 
-// newTestReader is a cluster with a number of workers and a reader of its list.
+// newTestReader returns a cluster with the given number of workers, its platform and a reader of the worker list.
 func newTestReader(workers int, config cluster.PlatformConfig) (*cluster.Cluster, *cluster.Platform, *Reader) {
 	c := cluster.New(cluster.RealClock{}, cluster.Settings{})
 	for i := range workers {
@@ -41,9 +41,9 @@
 }
 
 func TestReadAllReturnsCompleteListOrError(t *testing.T) {
-	convey.Convey("Given a list of several pages", t, func() {
+	convey.Convey("Given a worker list of several pages", t, func() {
 		c, platform, reader := newTestReader(7, cluster.PlatformConfig{PageSize: 3})
-		convey.Convey("it is read completely, each page once", func() {
+		convey.Convey("all pages are read, each once", func() {
 			instances, pages, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(pages, convey.ShouldEqual, 3)
@@ -56,7 +56,7 @@
 				Capacity: job.Resources{Processors: 32000, MemoryMB: 65536}, Labels: []string{"a", "r1-3"},
 			})
 		})
-		convey.Convey("a draining worker is marked with the time it has left", func() {
+		convey.Convey("a draining worker is marked as such, with its remaining time", func() {
 			draining := c.AddWorker(cluster.WorkerConfig{ID: "i-7"})
 			draining.Drain(time.Hour)
 			instances, _, err := reader.ReadAll(t.Context())
@@ -64,15 +64,15 @@
 			convey.So(instances[7].Draining, convey.ShouldBeTrue)
 			convey.So(instances[7].RemainingMS, convey.ShouldBeBetween, 3_000_000, 3_600_001)
 		})
-		convey.Convey("the workers of each page are found at once, until the first list was read completely", func() {
+		convey.Convey("OnPage receives each page until the first list was read completely", func() {
 			var pageSizes []int
 			reader.OnPage = func(instances []workerclient.Instance) { pageSizes = append(pageSizes, len(instances)) }
 			reader.ReadAll(t.Context())
 			reader.ReadAll(t.Context())
 			convey.So(pageSizes, convey.ShouldResemble, []int{3, 3, 1})
 		})
-		convey.Convey("a page without an answer is requested again, and not the pages before it", func() {
-			var calls atomic.Int64 // a call that is aborted and the next one have goroutines of their own
+		convey.Convey("a page whose call fails is requested again, without the pages before it", func() {
+			var calls atomic.Int64 // atomic, as an aborted call and the next one are handled by different goroutines
 			flaky := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if call := calls.Add(1); call == 2 || call == 4 {
 					panic(http.ErrAbortHandler)
@@ -86,7 +86,7 @@
 			convey.So(instances, convey.ShouldHaveLength, 7)
 			convey.So(platform.Calls(), convey.ShouldEqual, 3)
 		})
-		convey.Convey("a rejected call is no list", func() {
+		convey.Convey("an error status is returned as an error", func() {
 			platform.Fail(http.StatusTooManyRequests)
 			_, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldWrap, ErrRateLimited)
@@ -97,7 +97,7 @@
 			convey.So(statusErr.Status, convey.ShouldEqual, http.StatusInternalServerError)
 		})
 	})
-	convey.Convey("Given a platform that sends malformed answers, there is no list", t, func() {
+	convey.Convey("If the platform sends malformed responses, ReadAll returns an error", t, func() {
 		var body atomic.Pointer[string]
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Write([]byte(*body.Load()))
@@ -109,7 +109,7 @@
 			_, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldNotBeNil)
 		}
-		convey.Convey("but entries that cannot be used are passed over, and those that come twice count once", func() {
+		convey.Convey("but entries without an identifier or an address are skipped, and duplicates are dropped", func() {
 			unusable := `{"instances":[{},{"identifier":"i-1","address":"a:1","labels":"gpu"},{"identifier":"i-1","address":"a:1"}]}`
 			body.Store(&unusable)
 			instances, pages, err := reader.ReadAll(t.Context())
@@ -122,7 +122,7 @@
 }
 
 func TestRunDeliversEachCompleteList(t *testing.T) {
-	convey.Convey("Given a reader that runs", t, func() {
+	convey.Convey("Given a running reader", t, func() {
 		_, platform, reader := newTestReader(2, cluster.PlatformConfig{})
 		delivered := make(chan []workerclient.Instance)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -147,21 +147,21 @@
 			case list := <-delivered:
 				return list
 			case <-time.After(testTimeout):
-				t.Fatal("no list")
+				t.Fatal("no worker list was delivered in time")
 				return nil
 			}
 		}
-		convey.Convey("each whole list is delivered", func() {
+		convey.Convey("each complete list is delivered", func() {
 			run(time.Millisecond)
 			convey.So(next(), convey.ShouldHaveLength, 2)
 			convey.So(next(), convey.ShouldHaveLength, 2)
 		})
-		convey.Convey("one call is made an interval", func() {
+		convey.Convey("the list is read once per interval", func() {
 			run(time.Hour)
 			convey.So(next(), convey.ShouldHaveLength, 2)
 			convey.So(platform.Calls(), convey.ShouldEqual, 1)
 		})
-		convey.Convey("after a failure it is tried again, and nothing is delivered in between", func() {
+		convey.Convey("after a failure the list is read again, and nothing is delivered in between", func() {
 			statuses := make(chan int)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if status := <-statuses; status != http.StatusOK {
@@ -183,7 +183,7 @@
 }
 
 func TestReadIntervalGrowsWithPageCount(t *testing.T) {
-	convey.Convey("Reads of many pages come less often", t, func() {
+	convey.Convey("The interval between reads grows with the number of pages", t, func() {
 		reader := &Reader{RatePerSecond: 30}
 		convey.So(reader.readInterval(time.Second, 1), convey.ShouldEqual, time.Second)
 		convey.So(reader.readInterval(time.Second, 60), convey.ShouldBeBetween, 3900*time.Millisecond, 4100*time.Millisecond)
--- a/internal/jobs/jobapi/wire_test.go
+++ b/internal/jobs/jobapi/wire_test.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
+// TestWireForms checks that the encodings of the types on the wire do not change.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "queue", Value: new(Queue)},
@@ -21,7 +21,7 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
+// TestWireConstants checks that the constants on the wire do not change.
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: SubmitCall.Path(), Want: "/jobs/submit"},
--- a/internal/jobs/scheduler/faults_test.go
+++ b/internal/jobs/scheduler/faults_test.go
@@ -10,58 +10,58 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// fault disturbs the simulation in one step.
-type fault func(w *simulation, step int)
+// fault injects a fault into the simulation in one step.
+type fault func(sim *simulation, step int)
 
 const (
-	arrivalStepCount = 500  // of 20 ms, in which jobs arrive
-	maxStepCount     = 4000 // by then all jobs must have ended
+	arrivalStepCount = 500  // number of 20 ms steps in which jobs arrive and faults are injected
+	maxStepCount     = 4000 // number of steps after which all jobs must have ended
 )
 
-// simulate submits jobs under faults and then waits for the end of all of them.
+// simulate submits jobs while it injects faults, and then runs until all jobs have ended or maxStepCount steps have passed.
 func simulate(seed uint64, jobs int, faults ...fault) *simulation {
-	w := newSimulation(seed, 9)
-	sent := 0
+	sim := newSimulation(seed, 9)
+	submittedCount := 0
 	for step := range maxStepCount {
 		if step < arrivalStepCount {
-			for sent < jobs*step/arrivalStepCount {
-				sent++
-				w.submit(w.randomJob(sent))
+			for submittedCount < jobs*step/arrivalStepCount {
+				submittedCount++
+				sim.submit(sim.randomJob(submittedCount))
 			}
-			for _, disturb := range faults {
-				disturb(w, step)
+			for _, inject := range faults {
+				inject(sim, step)
 			}
 		}
-		w.step()
-		if step > arrivalStepCount && len(w.scheduler.jobs) == 0 && len(w.inFlight) == 0 {
+		sim.step()
+		if step > arrivalStepCount && len(sim.scheduler.jobs) == 0 && len(sim.inFlight) == 0 {
 			break
 		}
 	}
-	return w
+	return sim
 }
 
-// check lists the violations, with the jobs that did not end as they should.
-func (w *simulation) verify() []string {
-	broken := w.violations
-	for id, facts := range w.jobs {
-		state, known := w.scheduler.Status(id)
-		want := job.Completed
-		if facts.alwaysFails {
-			want = job.Failed
+// verify returns the violations of single starts, and one for each job that did not end in the expected state.
+func (sim *simulation) verify() []string {
+	violations := sim.violations
+	for id, submitted := range sim.jobs {
+		state, known := sim.scheduler.Status(id)
+		expected := job.Completed
+		if submitted.alwaysFails {
+			expected = job.Failed
 		}
-		if known && (state == want || state == job.Cancelled && facts.cancelledAt > 0) {
+		if known && (state == expected || state == job.Cancelled && submitted.cancelledAt > 0) {
 			continue
 		}
-		if state == job.Failed && w.hasFailingWorker() {
+		if state == job.Failed && sim.hasFailingWorker() {
 			continue
 		}
-		broken = append(broken, fmt.Sprintf("job %s is %q, want %q", id, state, want))
+		violations = append(violations, fmt.Sprintf("job %s is in state %q, expected %q", id, state, expected))
 	}
-	return broken
+	return violations
 }
 
-func (w *simulation) hasFailingWorker() bool {
-	for _, worker := range w.workers {
+func (sim *simulation) hasFailingWorker() bool {
+	for _, worker := range sim.workers {
 		if worker.failsAllAttempts {
 			return true
 		}
@@ -69,61 +69,61 @@
 	return false
 }
 
-func leaderTakeovers(w *simulation, _ int) {
-	if w.random.IntN(100) == 0 {
-		w.startLeadership()
+func leaderTakeovers(sim *simulation, _ int) {
+	if sim.random.IntN(100) == 0 {
+		sim.startLeadership()
 	}
 }
 
-func lateCommands(w *simulation, _ int) { w.lateStartProbability = 0.08 }
+func lateCommands(sim *simulation, _ int) { sim.lateStartProbability = 0.08 }
 
-func workerCrashes(w *simulation, _ int) {
-	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(80) == 0 && worker.up {
-		w.crash(worker, fmt.Sprintf("%s+", worker.ID))
+func workerCrashes(sim *simulation, _ int) {
+	if worker := sim.workers[sim.random.IntN(len(sim.workers))]; sim.random.IntN(80) == 0 && worker.up {
+		sim.crash(worker, fmt.Sprintf("%s+", worker.ID))
 	}
 }
 
-func workerPartitions(w *simulation, _ int) {
-	if worker := w.workers[w.random.IntN(len(w.workers))]; w.random.IntN(60) == 0 && worker.up && !worker.partitioned {
+func workerPartitions(sim *simulation, _ int) {
+	if worker := sim.workers[sim.random.IntN(len(sim.workers))]; sim.random.IntN(60) == 0 && worker.up && !worker.partitioned {
 		worker.partitioned = true
-		w.schedule(time.Duration(1+w.random.IntN(9))*time.Second, func() { worker.partitioned = false })
+		sim.schedule(time.Duration(1+sim.random.IntN(9))*time.Second, func() { worker.partitioned = false })
 	}
 }
 
-func jobCancellations(w *simulation, _ int) {
-	if w.random.IntN(20) != 0 {
+func jobCancellations(sim *simulation, _ int) {
+	if sim.random.IntN(20) != 0 {
 		return
 	}
-	for _, facts := range w.jobs {
-		w.cancel(facts)
+	for _, submitted := range sim.jobs {
+		sim.cancel(submitted)
 		return
 	}
 }
 
-func failingWorker(w *simulation, step int) {
+func failingWorker(sim *simulation, step int) {
 	if step == 100 {
-		w.workers[2].failsAllAttempts = true
+		sim.workers[2].failsAllAttempts = true
 	}
 }
 
-func stalledAttempts(w *simulation, _ int) {
-	if w.random.IntN(50) != 0 {
+func stalledAttempts(sim *simulation, _ int) {
+	if sim.random.IntN(50) != 0 {
 		return
 	}
-	for _, attempt := range w.workers[w.random.IntN(len(w.workers))].running {
+	for _, attempt := range sim.workers[sim.random.IntN(len(sim.workers))].running {
 		attempt.stalled = true
 	}
 }
 
-func platformDrain(w *simulation, step int) {
+func platformDrain(sim *simulation, step int) {
 	if step == 150 {
-		w.workers[1].Draining = true
-		w.sendInventory()
-		w.schedule(4*time.Second, func() {
-			w.workers[1].up = false
-			w.sendInventory()
-			w.scheduler.RemoveWorker(w.clock(), w.workers[1].ID)
-			w.propose()
+		sim.workers[1].Draining = true
+		sim.sendInventory()
+		sim.schedule(4*time.Second, func() {
+			sim.workers[1].up = false
+			sim.sendInventory()
+			sim.scheduler.RemoveWorker(sim.clock(), sim.workers[1].ID)
+			sim.propose()
 		})
 	}
 }
@@ -133,26 +133,26 @@
 		name   string
 		faults []fault
 	}{
-		{"calm", nil},
-		{"takeovers", []fault{leaderTakeovers}},
+		{"no faults", nil},
+		{"leader takeovers", []fault{leaderTakeovers}},
 		{"late commands", []fault{lateCommands}},
-		{"crashes", []fault{workerCrashes}},
-		{"partitions", []fault{workerPartitions}},
-		{"cancels", []fault{jobCancellations}},
-		{"failures", []fault{failingWorker}},
-		{"stalls", []fault{stalledAttempts}},
-		{"drains", []fault{platformDrain}},
-		{"late commands and takeovers", []fault{lateCommands, leaderTakeovers}},
-		{"partitions and takeovers", []fault{workerPartitions, leaderTakeovers}},
-		{"everything", []fault{leaderTakeovers, lateCommands, workerCrashes, workerPartitions, jobCancellations, stalledAttempts, platformDrain}},
+		{"worker crashes", []fault{workerCrashes}},
+		{"worker partitions", []fault{workerPartitions}},
+		{"job cancellations", []fault{jobCancellations}},
+		{"failing worker", []fault{failingWorker}},
+		{"stalled attempts", []fault{stalledAttempts}},
+		{"platform drain", []fault{platformDrain}},
+		{"late commands and leader takeovers", []fault{lateCommands, leaderTakeovers}},
+		{"worker partitions and leader takeovers", []fault{workerPartitions, leaderTakeovers}},
+		{"combined faults", []fault{leaderTakeovers, lateCommands, workerCrashes, workerPartitions, jobCancellations, stalledAttempts, platformDrain}},
 	}
 	const seeds = 20
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				w := simulate(seed, 60, c.faults...)
-				if broken := w.verify(); len(broken) > 0 {
-					t.Fatalf("seed %d: %d broken, first %q", seed, len(broken), broken[:min(len(broken), 5)])
+				sim := simulate(seed, 60, c.faults...)
+				if violations := sim.verify(); len(violations) > 0 {
+					t.Fatalf("seed %d: %d violations, the first ones: %q", seed, len(violations), violations[:min(len(violations), 5)])
 				}
 			}
 		})
@@ -160,7 +160,7 @@
 }
 
 func TestSameSeedGivesSameDurableState(t *testing.T) {
-	Convey("Two simulations with one seed end in the same durable state", t, func() {
+	Convey("Two simulations with the same seed end in the same durable state", t, func() {
 		first := simulate(7, 40, leaderTakeovers, workerPartitions)
 		second := simulate(7, 40, leaderTakeovers, workerPartitions)
 		So(second.durable, ShouldResemble, first.durable)
@@ -168,22 +168,22 @@
 }
 
 func TestLostRecordsAreReportedAsViolations(t *testing.T) {
-	Convey("A leader without its predecessor's records breaks promises, and the checker detects it", t, func() {
-		w := newSimulation(1, 9)
-		w.dropRecords = true
+	Convey("If a leader lacks its predecessor's records, the simulation reports violations", t, func() {
+		sim := newSimulation(1, 9)
+		sim.dropRecords = true
 		for number := range 20 {
-			w.submit(w.randomJob(number + 1))
+			sim.submit(sim.randomJob(number + 1))
 		}
 		for step := range 600 {
 			if step%100 == 99 {
-				w.startLeadership()
-				for _, facts := range w.jobs {
-					w.scheduler.Submit(w.clock(), &facts.request)
+				sim.startLeadership()
+				for _, submitted := range sim.jobs {
+					sim.scheduler.Submit(sim.clock(), &submitted.request)
 				}
-				w.propose()
+				sim.propose()
 			}
-			w.step()
+			sim.step()
 		}
-		So(len(w.violations), ShouldBeGreaterThan, 0)
+		So(len(sim.violations), ShouldBeGreaterThan, 0)
 	})
 }
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -14,31 +14,31 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// referenceCandidate is a repetition that waits, as referenceOrder sees it.
+// referenceCandidate is a repetition with waiting tasks in referenceOrder.
 type referenceCandidate struct {
-	level   int
-	job     *jobState
-	stages  []*stageState
-	subjobs map[*workerState]int
-	size    int
+	level     int
+	job       *jobState
+	stages    []*stageState
+	subjobs   map[*workerState]int
+	taskCount int
 }
 
-// referenceOrder computes the order of the stages that wait from scratch.
+// referenceOrder computes the order of the waiting stages from scratch, without the buffers that orderQueue reuses.
 func referenceOrder(s *Scheduler, now Now) []*stageState {
 	var all []*referenceCandidate
-	of := map[*repetitionState]*referenceCandidate{}
+	byRepetition := map[*repetitionState]*referenceCandidate{}
 	for _, stage := range s.waitingStages {
 		if len(stage.waiting) == 0 {
 			continue
 		}
-		candidate := of[stage.repetition]
+		candidate := byRepetition[stage.repetition]
 		if candidate == nil {
 			candidate = &referenceCandidate{level: stage.repetition.orderingLevel(now, stage.job), job: stage.job, subjobs: map[*workerState]int{}}
-			of[stage.repetition] = candidate
+			byRepetition[stage.repetition] = candidate
 			all = append(all, candidate)
 		}
 		candidate.stages = append(candidate.stages, stage)
-		candidate.size += len(stage.waiting)
+		candidate.taskCount += len(stage.waiting)
 		for _, task := range stage.waiting {
 			if task.boundTo != nil {
 				candidate.subjobs[task.boundTo]++
@@ -48,9 +48,9 @@
 	slices.SortFunc(all, func(a, b *referenceCandidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.job.Arrival, b.job.Arrival))
 	})
-	queues := map[*workerState]float64{}
+	queueLengths := map[*workerState]float64{}
 	for _, worker := range s.sortedWorkers {
-		queues[worker] = float64(len(worker.attempts))
+		queueLengths[worker] = float64(len(worker.attempts))
 	}
 	var order []*stageState
 	for len(all) > 0 {
@@ -59,46 +59,48 @@
 			level = all[:end]
 		}
 		all = all[len(level):]
-		order = append(order, referenceRankLevel(s, queues, level)...)
+		order = append(order, rankReferenceLevel(s, queueLengths, level)...)
 	}
 	return order
 }
 
-func referenceRankLevel(s *Scheduler, queues map[*workerState]float64, level []*referenceCandidate) []*stageState {
+// rankReferenceLevel ranks the candidates of one level and returns their stages in that order.
+func rankReferenceLevel(s *Scheduler, queueLengths map[*workerState]float64, level []*referenceCandidate) []*stageState {
 	var order []*stageState
-	left, rest := slices.Clone(level[:min(len(level), maxRankedPerLevel)]), level[min(len(level), maxRankedPerLevel):]
-	for len(left) > 0 {
-		best, bestSpan := 0, math.Inf(1)
-		for i, candidate := range left {
-			span := 0.0
-			for at, size := range candidate.subjobs {
-				span = max(span, (queues[at]+float64(size))*s.latencyMS(candidate.job, at))
+	remaining, unranked := slices.Clone(level[:min(len(level), maxRankedPerLevel)]), level[min(len(level), maxRankedPerLevel):]
+	for len(remaining) > 0 {
+		best, bestMakespan := 0, math.Inf(1)
+		for i, candidate := range remaining {
+			makespan := 0.0
+			for worker, size := range candidate.subjobs {
+				makespan = max(makespan, (queueLengths[worker]+float64(size))*s.latencyMS(candidate.job, worker))
 			}
-			if span < bestSpan || span == bestSpan && candidate.size < left[best].size {
-				best, bestSpan = i, span
+			if makespan < bestMakespan || makespan == bestMakespan && candidate.taskCount < remaining[best].taskCount {
+				best, bestMakespan = i, makespan
 			}
 		}
-		for at, size := range left[best].subjobs {
-			queues[at] += float64(size)
+		for worker, size := range remaining[best].subjobs {
+			queueLengths[worker] += float64(size)
 		}
-		order = append(order, left[best].stages...)
-		left = slices.Delete(left, best, best+1)
+		order = append(order, remaining[best].stages...)
+		remaining = slices.Delete(remaining, best, best+1)
 	}
-	for _, candidate := range rest {
+	for _, candidate := range unranked {
 		order = append(order, candidate.stages...)
 	}
 	return order
 }
 
-// completeSome completes some attempts, so that capacity, queues and latencies change.
+// completeSomeAttempts completes the first attempt on every third worker, so that free capacity, queue lengths and
+// latencies change.
 func completeSomeAttempts(s *Scheduler, now Now, round int) {
-	for i, worker := range s.sortedWorkers {
-		if (i+round)%3 != 0 {
+	for position, worker := range s.sortedWorkers {
+		if (position+round)%3 != 0 {
 			continue
 		}
 		report := workerclient.Listing{Worker: worker.ID, SentAt: now.Monotonic}
-		for at, attempt := range worker.sortedAttempts() {
-			if at == 0 {
+		for i, attempt := range worker.sortedAttempts() {
+			if i == 0 {
 				report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: attempt.task.id, AttemptNumber: attempt.number, Outcome: job.OutcomeDone}}
 			} else {
 				report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, AttemptNumber: attempt.number})
@@ -109,11 +111,11 @@
 }
 
 func TestQueueOrderMatchesReference(t *testing.T) {
-	Convey("Under a backlog the queue has the order of a computation from scratch", t, func() {
+	Convey("Under a backlog the queue order equals the order computed from scratch", t, func() {
 		s, now, _ := newLoadedScheduler(30, 600)
 		for round := range 20 {
 			completeSomeAttempts(s, now, round)
-			now.WallMS += 400 // jobs become late, and worthless
+			now.WallMS += 400 // jobs become late and then worthless
 			now.Monotonic = now.Monotonic.Add(400e6)
 			s.orderStale = true
 			expected := referenceOrder(s, now)
@@ -124,7 +126,7 @@
 			s.TakeEffects()
 		}
 	})
-	Convey("An ordering does not allocate for each job that waits", t, func() {
+	Convey("Ordering the queue does not allocate memory per waiting job", t, func() {
 		const jobs = 1000
 		s, now, _ := newLoadedScheduler(30, jobs)
 		So(len(s.waitingStages), ShouldBeGreaterThan, jobs/2)
@@ -144,16 +146,16 @@
 				Resources: job.Resources{Processors: 16000, MemoryMB: 1000}}}}})
 		s.Dispatch(now)
 	}
-	Convey("Where each task fits at the worker that it is bound to, the others are not listed", t, func() {
+	Convey("If each task fits on the worker that it is bound to, Dispatch does not list the other workers", t, func() {
 		submit(1, 60)
 		So(s.openCached, ShouldBeFalse)
 		So(s.waitingStages[0].waiting, ShouldBeEmpty)
-		Convey("and otherwise any that takes starts is found, or none", func() {
+		Convey("and otherwise it starts the task on any worker with free capacity, or leaves it waiting", func() {
 			submit(2, 1)
 			So(s.openCached, ShouldBeTrue)
 			So(s.openCache, ShouldHaveLength, 30)
 			freed := s.sortedWorkers[7]
-			s.endAllAttempts(now, freed) // its two tasks wait again, bound to any worker
+			s.endAllAttempts(now, freed) // its two tasks wait again, bound to arbitrary workers
 			s.Dispatch(now)
 			So(freed.attempts, ShouldHaveLength, 2)
 		})
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -353,9 +353,9 @@
 	if len(history.failuresAcknowledged) >= submitted.request.Queue.MaxAttempts && !stage.LongRunning && (!late || !stage.AtLeastOnce) {
 		sim.recordViolation("%v starts after its last permitted failure", id)
 	}
-	for _, earlier := range stage.DependsOn {
-		for index := range submitted.request.Specification.Stages[earlier].Count {
-			if !sim.taskHistory(job.TaskID{Job: id.Job, Repetition: id.Repetition, Stage: earlier, Index: index}).completed {
+	for _, dependency := range stage.DependsOn {
+		for index := range submitted.request.Specification.Stages[dependency].Count {
+			if !sim.taskHistory(job.TaskID{Job: id.Job, Repetition: id.Repetition, Stage: dependency, Index: index}).completed {
 				sim.recordViolation("%v starts before its dependencies are complete", id)
 			}
 		}
--- a/internal/jobs/scheduler/workerends_test.go
+++ b/internal/jobs/scheduler/workerends_test.go
@@ -10,117 +10,119 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// longRunningRestartLimit is within which a task that is to keep running must run again after its last attempt.
+// longRunningRestartLimit is the maximum time from the end of a long-running task's attempt until the task runs again.
 const longRunningRestartLimit = 6 * time.Second
 
-// longRunningTasks starts workers with six tasks that keep running.
+// newLongRunningSimulation returns a simulation of three workers that run six long-running tasks of one job.
 func newLongRunningSimulation() (*simulation, job.ID) {
-	w := newSimulation(1, 3)
-	w.steps(20)
+	sim := newSimulation(1, 3)
+	sim.steps(20)
 	stage := smallStage(6)
 	stage.LongRunning = true
-	id := w.submitStages(1, stage)
-	w.steps(50)
-	return w, id
+	id := sim.submitStages(1, stage)
+	sim.steps(50)
+	return sim, id
 }
 
-// runningAgainAfter plays until six tasks run, and returns how long that took.
-func timeUntilAllRunning(w *simulation) time.Duration {
-	began := w.elapsed
-	for w.elapsed < began+2*longRunningRestartLimit {
-		w.step()
-		if _, all := countRunning(w, ""); all == 6 {
+// timeUntilAllRunning advances the simulation until six tasks run, at most for twice the limit, and returns the time taken.
+func timeUntilAllRunning(sim *simulation) time.Duration {
+	startedAt := sim.elapsed
+	for sim.elapsed < startedAt+2*longRunningRestartLimit {
+		sim.step()
+		if _, all := countRunning(sim, ""); all == 6 {
 			break
 		}
 	}
-	return w.elapsed - began
+	return sim.elapsed - startedAt
 }
 
 func TestLongRunningTasksRestartAfterTheirAttemptEnds(t *testing.T) {
-	Convey("Given six tasks that keep running", t, func() {
-		w, id := newLongRunningSimulation()
-		_, all := countRunning(w, "")
+	Convey("Given six long-running tasks", t, func() {
+		sim, id := newLongRunningSimulation()
+		_, all := countRunning(sim, "")
 		So(all, ShouldEqual, 6)
 
-		Convey("all of them fail, three times over: each runs again in time, as no number of attempts ends them", func() {
+		Convey("if all of them fail three times, each is restarted in time, because long-running tasks have no limit of failed attempts", func() {
 			for range 3 {
-				for _, worker := range w.workers {
+				for _, worker := range sim.workers {
 					for _, task := range sortedTasks(worker.running) {
-						w.complete(worker, task, job.OutcomeFailed)
+						sim.complete(worker, task, job.OutcomeFailed)
 					}
 				}
-				So(timeUntilAllRunning(w), ShouldBeLessThan, longRunningRestartLimit)
+				So(timeUntilAllRunning(sim), ShouldBeLessThan, longRunningRestartLimit)
 			}
-			state, known := w.scheduler.Status(id)
+			state, known := sim.scheduler.Status(id)
 			So(known, ShouldBeTrue)
 			So(state, ShouldEqual, job.Running)
 		})
-		Convey("a worker crashes: its tasks run elsewhere in time", func() {
-			w.crash(w.worker("s00"), "s90")
-			w.worker("s00").running = map[job.TaskID]*simulatedAttempt{}
-			So(timeUntilAllRunning(w), ShouldBeLessThan, longRunningRestartLimit)
+		Convey("if a worker crashes, its tasks are restarted on other workers in time", func() {
+			sim.crash(sim.worker("s00"), "s90")
+			sim.worker("s00").running = map[job.TaskID]*simulatedAttempt{}
+			So(timeUntilAllRunning(sim), ShouldBeLessThan, longRunningRestartLimit)
 		})
-		Convey("a worker is drained by the platform: its tasks run elsewhere in time", func() {
-			w.worker("s00").Draining, w.worker("s00").RemainingMS = true, 5000
-			w.sendInventory()
-			w.steps(int(longRunningRestartLimit / (20 * time.Millisecond)))
-			onDrained, all := countRunning(w, "s00")
+		Convey("if the platform drains a worker, its tasks are restarted on other workers in time", func() {
+			sim.worker("s00").Draining, sim.worker("s00").RemainingMS = true, 5000
+			sim.sendInventory()
+			sim.steps(int(longRunningRestartLimit / (20 * time.Millisecond)))
+			onDrained, all := countRunning(sim, "s00")
 			So(onDrained, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
-		Convey("nothing of it broke a promise", func() { So(w.violations, ShouldBeEmpty) })
+		Convey("no guarantee is violated", func() { So(sim.violations, ShouldBeEmpty) })
 	})
 }
 
-// A worker that comes back at its old address may be of another kind. What was known of the incarnation before counts no more.
+// A worker that restarts at the same address may have other labels and less capacity. This test guards against scheduling by
+// the labels or the capacity of the previous incarnation.
 func TestNewIncarnationGetsOnlyTasksOfItsOwnLabelsAndCapacity(t *testing.T) {
-	Convey("Given a worker of the only kind that a job requires, which crashes and comes back as another kind", t, func() {
-		w := newSimulation(1, 1)
-		w.steps(20)
-		w.crash(w.worker("s00"), "s90")
-		successor := w.worker("s90")
-		successor.Address, successor.Labels = w.worker("s00").Address, []string{"b", "rack0"}
+	Convey("Given a crashed worker whose new incarnation has another label and less capacity", t, func() {
+		sim := newSimulation(1, 1)
+		sim.steps(20)
+		sim.crash(sim.worker("s00"), "s90")
+		successor := sim.worker("s90")
+		successor.Address, successor.Labels = sim.worker("s00").Address, []string{"b", "rack0"}
 		successor.Capacity = job.Resources{Processors: 2000, MemoryMB: 500}
-		w.steps(100)
-		of := func(kind string, processors int64) job.Stage {
+		sim.steps(100)
+		requiring := func(label string, processors int64) job.Stage {
 			stage := smallStage(1)
-			stage.Requirements, stage.Processors = job.Labels{kind}, processors
+			stage.Requirements, stage.Processors = job.Labels{label}, processors
 			return stage
 		}
-		first, second, large := w.submitStages(1, of("a", 1000)), w.submitStages(2, of("b", 1000)), w.submitStages(3, of("b", 4000))
-		w.steps(100)
+		oldLabel, newLabel, tooLarge := sim.submitStages(1, requiring("a", 1000)), sim.submitStages(2, requiring("b", 1000)), sim.submitStages(3, requiring("b", 4000))
+		sim.steps(100)
 		state := func(id job.ID) job.State {
-			state, _ := w.scheduler.Status(id)
+			state, _ := sim.scheduler.Status(id)
 			return state
 		}
-		Convey("it gets what its own kind and capacity allow, and nothing else", func() {
-			So(state(first), ShouldEqual, job.Queued)
-			So(state(second), ShouldEqual, job.Completed)
-			So(state(large), ShouldEqual, job.Queued)
-			So(w.violations, ShouldBeEmpty)
+		Convey("only the job that fits its new label and capacity runs", func() {
+			So(state(oldLabel), ShouldEqual, job.Queued)
+			So(state(newLabel), ShouldEqual, job.Completed)
+			So(state(tooLarge), ShouldEqual, job.Queued)
+			So(sim.violations, ShouldBeEmpty)
 		})
 	})
 }
 
-// A draining worker says how long it still runs at least. What cannot end by then is stopped and begins elsewhere; the rest stays.
+// The platform reports how long a draining worker will still run. Attempts that are not expected to end within this time are
+// stopped, and the others continue.
 func TestDrainingWorkerStopsOnlyAttemptsBeyondItsRemainingTime(t *testing.T) {
 	for _, c := range []struct {
 		remainingMS int64
 		stopped     int
 	}{{60_000, 0}, {2_000, 1}} {
-		Convey("Given a short task and a long one on a worker that is drained", t, func() {
-			w := newSimulation(1, 1)
-			w.steps(20)
+		Convey("On a draining worker, only the attempt that exceeds the remaining time is stopped", t, func() {
+			sim := newSimulation(1, 1)
+			sim.steps(20)
 			short, long := smallStage(1), smallStage(1)
 			long.EstimatedDurationMS = 30_000
-			w.submitStages(1, short)
-			w.submitStages(2, long)
-			w.steps(3)
-			w.scheduler.TakeEffects()
-			w.worker("s00").Draining, w.worker("s00").RemainingMS = true, c.remainingMS
-			w.scheduler.SetInventory(w.clock(), []workerclient.Instance{w.worker("s00").Instance})
+			sim.submitStages(1, short)
+			sim.submitStages(2, long)
+			sim.steps(3)
+			sim.scheduler.TakeEffects()
+			sim.worker("s00").Draining, sim.worker("s00").RemainingMS = true, c.remainingMS
+			sim.scheduler.SetInventory(sim.clock(), []workerclient.Instance{sim.worker("s00").Instance})
 			stops := 0
-			for _, command := range w.scheduler.TakeEffects().Commands {
+			for _, command := range sim.scheduler.TakeEffects().Commands {
 				if command.Stop != nil {
 					stops++
 					So(command.Stop.Task.Job, ShouldEqual, job.ID("0000000000000002"))
