--- a/internal/jobs/inventory/reader.go
+++ b/internal/jobs/inventory/reader.go
@@ -5,7 +5,7 @@
 // a jittered pause. If a list cannot be read, the reader starts again from the first page after an exponential backoff.
 //
 // The reader never delivers a list that it could not read completely. Only Reader.OnPage receives single pages, until the
-// first complete list was read.
+// first complete list was read. Package coordinator runs a Reader while its node leads a group.
 package inventory
 
 import (
@@ -27,7 +27,7 @@
 
 const (
 	pageTimeout  = 900 * time.Millisecond // timeout of one call
-	maxPageBytes = 8 << 20                // longer responses are truncated
+	maxPageBytes = 8 << 20                // a longer response is truncated, and then cannot be decoded
 	maxPages     = 2000                   // maximum number of pages of a list
 
 	initialBackoff = 300 * time.Millisecond // pause after a list that could not be read; doubled after each further failure
--- a/internal/jobs/jobapi/jobapi.go
+++ b/internal/jobs/jobapi/jobapi.go
@@ -1,7 +1,7 @@
 // Package jobapi defines the internal RPCs by which any node reaches the leader that schedules a service's jobs.
 //
 // A node that does not lead the replication group rejects each call with an error that marks it as not executed, so that the
-// caller may send the call to another node.
+// caller may send the call to another node. Package manager serves the RPCs. Packages proxy and operations call them.
 package jobapi
 
 import (
--- a/internal/jobs/scheduler/health.go
+++ b/internal/jobs/scheduler/health.go
@@ -79,8 +79,8 @@
 }
 
 // inspectAttempts stops attempts that have stalled, that should migrate off a slow worker, or that belong to an abandoned gang
-// attempt. It also ends the attempts of unreachable workers that have not been fenced under this leadership, once the leases
-// that earlier leaderships granted to them have expired.
+// attempt. It also ends the attempts of unreachable workers whose fencing token this leadership has not raised, once the
+// leases that earlier leaderships granted to them have expired.
 func (s *Scheduler) inspectAttempts(now Now) {
 	s.updatePaceRatios()
 	for _, worker := range s.sortedWorkers {
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -156,11 +156,11 @@
 }
 
 func (sim *simulation) worker(id workerclient.WorkerID) *simulatedWorker {
-	at := slices.IndexFunc(sim.workers, func(worker *simulatedWorker) bool { return worker.ID == id })
-	if at < 0 {
+	index := slices.IndexFunc(sim.workers, func(worker *simulatedWorker) bool { return worker.ID == id })
+	if index < 0 {
 		return nil
 	}
-	return sim.workers[at]
+	return sim.workers[index]
 }
 
 // step advances the simulation by 20 ms.
@@ -571,7 +571,7 @@
 // randomJob makes a job with random stages, requests and constraints. One job in 12 always fails.
 func (sim *simulation) randomJob(number int) *simulatedJob {
 	random := sim.random
-	submitted := &simulatedJob{alwaysFails: random.IntN(12) == 0}
+	created := &simulatedJob{alwaysFails: random.IntN(12) == 0}
 	request := jobapi.SubmitRequest{Group: "jobs/x", ID: job.ID(fmt.Sprintf("%016x", number)),
 		Queue: jobapi.Queue{Route: "r", Service: "x", Priority: random.IntN(3), MaxAttempts: 2 + random.IntN(3), TargetLatencyMS: 500}}
 	if random.IntN(8) == 0 {
@@ -599,6 +599,6 @@
 		}
 		request.Specification.Stages = append(request.Specification.Stages, stage)
 	}
-	submitted.request = request
-	return submitted
+	created.request = request
+	return created
 }
--- a/internal/jobs/scheduler/stragglers.go
+++ b/internal/jobs/scheduler/stragglers.go
@@ -9,7 +9,7 @@
 	paceWeight             = 0.25                   // weight of a new observation in a worker's pace ratio
 	minPaceObservationTime = 500 * time.Millisecond // shortest time for which an attempt is observed before its pace is used
 	slowWorkerFactor       = 2.5                    // multiple of the median pace ratio from which a worker counts as slow
-	migrationGainFactor    = 2.0                    // least ratio of an attempt's remaining time to that of a restart elsewhere for a migration
+	migrationGainFactor    = 2.0                    // an attempt migrates only if its remaining time is at least this multiple of the restart time
 	migrationCostMS        = 300.0                  // time that a migration takes in addition to the stop, milliseconds
 	maxMigrations          = 2                      // migrations allowed per task
 	paceRatioDecay         = 0.05                   // fraction by which each inspection moves a worker's pace ratio towards the median
--- a/internal/jobs/scheduler/unplaceable.go
+++ b/internal/jobs/scheduler/unplaceable.go
@@ -23,8 +23,8 @@
 	return false
 }
 
-// add records the request of a stage that could not be placed. It ignores stages with anti-affinity, which may be the cause,
-// and stages that require several labels.
+// add records the request of a stage that could not be placed. It ignores stages with an anti-affinity limit, because that
+// limit may be the reason, and stages that require several labels.
 func (r *unplaceableRequests) add(stage *stageState) {
 	switch {
 	case stage.AntiAffinity > 0:
--- a/internal/jobs/scheduler/workerends_test.go
+++ b/internal/jobs/scheduler/workerends_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-// The platform reports how long a draining worker will still run. Attempts that are not expected to end within this time are
+// The platform reports the minimum time that a draining worker will still run. Attempts that are not expected to end within this time are
 // stopped, and the others continue.
 func TestDrainingWorkerStopsOnlyAttemptsBeyondItsRemainingTime(t *testing.T) {
 	for _, c := range []struct {
