--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -85,7 +85,7 @@
 
 // Execute implements flags.Commander.
 func (c *whyCommand) Execute([]string) error {
-	var report jobreport.Why
+	var report jobreport.Explanation
 	request := operatorclient.Request{Method: http.MethodGet, Path: c.path() + control.WhySuffix, Query: c.query()}
 	return c.show(request, &report, func() { printWhy(&report) })
 }
--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -96,8 +96,8 @@
 	c.jobs = manager.New(manager.Config{
 		HTTP: c.workerHTTP, Connections: c.workers, Log: c.log,
 		Settings: scheduler.Settings{
-			RemoteFactor: bounds.FarFactor, StopTime: bounds.Stop, RestoreTime: bounds.Restore,
-			MaxLease: bounds.HoldMax, DrainTime: bounds.Drain, StatusRetention: bounds.Status + completedJobMargin,
+			RemoteSlowdown: bounds.FarFactor, MaxStopDuration: bounds.Stop, RestoreDuration: bounds.Restore,
+			MaxLease: bounds.HoldMax, MinDrainDuration: bounds.Drain, StatusRetention: bounds.Status + completedJobMargin,
 		},
 	})
 	var err error
--- a/internal/controlplane/operations/fixture_test.go
+++ b/internal/controlplane/operations/fixture_test.go
@@ -153,8 +153,8 @@
 	case jobreport.JobRequest:
 		known := slices.Contains(c.jobs[asked.Group], string(asked.ID))
 		return jobreport.JobReply{Known: known, Job: jobreport.JobDetail{Job: jobreport.Job{ID: asked.ID, State: cmp.Or(c.jobState, job.Running)}}}, nil
-	case jobreport.WhyRequest:
-		return jobreport.WhyReply{Known: true, Why: jobreport.Why{ID: asked.ID, State: job.Running}}, nil
+	case jobreport.ExplainRequest:
+		return jobreport.ExplainReply{Known: true, Explanation: jobreport.Explanation{ID: asked.ID, State: job.Running}}, nil
 	case jobapi.Cancel:
 		c.cancels = append(c.cancels, asked)
 		if c.cancelled != nil {
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -75,11 +75,11 @@
 
 func parseLimit(text string) (int, error) {
 	if text == "" {
-		return jobreport.DefaultJobs, nil
+		return jobreport.DefaultJobLimit, nil
 	}
 	limit, err := strconv.Atoi(text)
-	if err != nil || limit < 1 || limit > jobreport.MaxJobs {
-		return 0, newStatusError(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MaxJobs))
+	if err != nil || limit < 1 || limit > jobreport.MaxJobLimit {
+		return 0, newStatusError(http.StatusBadRequest, fmt.Sprintf("limit %q: give a number from 1 to %d", text, jobreport.MaxJobLimit))
 	}
 	return limit, nil
 }
@@ -150,13 +150,13 @@
 		h.writeError(w, r, err)
 		return
 	}
-	var reply jobreport.WhyReply
-	request := jobreport.WhyRequest{Group: match.group, ID: match.detail.ID}
-	if err := h.callLeader(r.Context(), match.group, jobreport.WhyCall.Route(), request, &reply); err != nil {
+	var reply jobreport.ExplainReply
+	request := jobreport.ExplainRequest{Group: match.group, ID: match.detail.ID}
+	if err := h.callLeader(r.Context(), match.group, jobreport.ExplainCall.Route(), request, &reply); err != nil {
 		h.writeError(w, r, err)
 		return
 	}
-	control.WriteJSON(w, http.StatusOK, reply.Why)
+	control.WriteJSON(w, http.StatusOK, reply.Explanation)
 }
 
 func (h *Handler) cancel(w http.ResponseWriter, r *http.Request) {
--- a/internal/controlplane/operations/jobs_test.go
+++ b/internal/controlplane/operations/jobs_test.go
@@ -40,7 +40,7 @@
 			So(list.Jobs[1].ID, ShouldEqual, job.ID(stressJob))
 		})
 		Convey("an invalid state or limit is rejected", func() {
-			for _, query := range []string{"state=none", "limit=0", "limit=x", fmt.Sprint("limit=", jobreport.MaxJobs+1)} {
+			for _, query := range []string{"state=none", "limit=0", "limit=x", fmt.Sprint("limit=", jobreport.MaxJobLimit+1)} {
 				So(request(c.handler(), "GET", JobsPath+"?"+query, nil).Code, ShouldEqual, http.StatusBadRequest)
 			}
 		})
@@ -69,7 +69,7 @@
 		Convey("a job is located in any service", func() {
 			So(request(c.handler(), "GET", JobsPath+"/"+stressJob, &detail).Code, ShouldEqual, http.StatusOK)
 			So(detail.Service, ShouldEqual, "stress")
-			var why jobreport.Why
+			var why jobreport.Explanation
 			So(request(c.handler(), "GET", JobsPath+"/"+stressJob+"/why", &why).Code, ShouldEqual, http.StatusOK)
 			So(why.ID, ShouldEqual, job.ID(stressJob))
 		})
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -102,7 +102,7 @@
 			refused := request("DELETE", "7")
 			So(refused.Code, ShouldEqual, http.StatusPreconditionFailed)
 			So(refused.Body.String(), ShouldContainSubstring, "version 8 is in force")
-			c.drainOutcome = jobreport.DrainUnclear
+			c.drainOutcome = jobreport.DrainIndeterminate
 			So(request("POST", "9").Code, ShouldEqual, http.StatusGatewayTimeout)
 			So(request("POST", "x").Code, ShouldEqual, http.StatusBadRequest)
 			So(c.drains, ShouldHaveLength, 3)
--- a/internal/controlplane/operations/workers.go
+++ b/internal/controlplane/operations/workers.go
@@ -80,7 +80,7 @@
 func (h *Handler) writeDrain(w http.ResponseWriter, r *http.Request, reply jobreport.DrainReply) {
 	inForce := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Worker.DrainVersion, reply.Worker.OperatorDraining)
 	switch reply.Outcome {
-	case jobreport.DrainTaken:
+	case jobreport.DrainApplied:
 		w.Header().Set("ETag", entitytag.Format(reply.Worker.DrainVersion))
 		control.WriteJSON(w, http.StatusOK, reply.Worker)
 	case jobreport.DrainSuperseded:
--- a/internal/jobs/job/job_test.go
+++ b/internal/jobs/job/job_test.go
@@ -9,8 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func TestSpecifications(t *testing.T) {
-	Convey("A complete specification is read as it was written", t, func() {
+func TestParseSpecificationDecodesAndValidates(t *testing.T) {
+	Convey("All fields of a complete specification are decoded", t, func() {
 		s, err := ParseSpecification([]byte(`{"specification":"text","stages":[{"count":4,"processors":500,"memoryRequestMb":256,
 			"estimatedDurationMs":900,"affinity":"r1-3","requirements":"a"},{"count":20,"accelerators":2,"dependsOn":[0],"checkpoints":true,
 			"gangScheduled":true,"sameRack":true,"antiAffinity":3}],"repetitions":3,"firstRunMs":1700000000000,"intervalMs":500,"other":1}`))
@@ -20,7 +20,7 @@
 		So(s.Stages[0].Resources, ShouldResemble, Resources{Processors: 500, MemoryMB: 256})
 		So(s.Stages[1].DependsOn, ShouldResemble, []int{0})
 		So(s.Stages[1].GangScheduled && s.Stages[1].SameRack && s.Stages[1].Checkpoints, ShouldBeTrue)
-		Convey("and is the same after the internal encoding", func() {
+		Convey("and a MessagePack round trip preserves it", func() {
 			body, err := msgpack.Marshal(s)
 			So(err, ShouldBeNil)
 			var decoded Specification
@@ -28,7 +28,7 @@
 			So(decoded, ShouldResemble, s)
 		})
 	})
-	Convey("An error names what is wrong", t, func() {
+	Convey("The error for an invalid body names the invalid field", t, func() {
 		for body, wantText := range map[string]string{
 			`{"stages":[{"count":1}`:                                "job:",
 			`{"stages":[]}`:                                         "stages: 0",
@@ -47,37 +47,37 @@
 }
 
 func TestSpecificationErrorNamesTheField(t *testing.T) {
-	Convey("A specification that is not valid gives a SpecificationError", t, func() {
+	Convey("The error for an invalid specification is a SpecificationError with the field's name", t, func() {
 		_, err := ParseSpecification([]byte(`{"stages":[{"count":1},{"count":1,"dependsOn":[1]}]}`))
-		var invalid *SpecificationError
-		So(errors.As(err, &invalid), ShouldBeTrue)
-		So(invalid.Field, ShouldEqual, "stages[1].dependsOn")
+		var specificationError *SpecificationError
+		So(errors.As(err, &specificationError), ShouldBeTrue)
+		So(specificationError.Field, ShouldEqual, "stages[1].dependsOn")
 		So(err.Error(), ShouldEqual, "stages[1].dependsOn: 1 is not an earlier stage")
 	})
 }
 
-func TestTaskNames(t *testing.T) {
-	Convey("A task's name is read back", t, func() {
+func TestTaskAndJobIDsAreParsedStrictly(t *testing.T) {
+	Convey("Parsing the wire format of a task ID returns the task ID", t, func() {
 		id := TaskID{Job: "5c0e7a21d94b36f8", Repetition: 2, Stage: 1, Index: 17}
 		parsed, err := ParseTaskID(id.String())
 		So(err, ShouldBeNil)
 		So(parsed, ShouldResemble, id)
 	})
-	Convey("Other texts are rejected", t, func() {
+	Convey("Malformed task IDs are rejected", t, func() {
 		for _, text := range []string{"", "5c0e7a21d94b36f8.0.1", "5c0e7a21d94b36f8.0.1.-1", "5c0e7a21d94b36f8.0.1.x", "a.0.1.2.3"} {
 			_, err := ParseTaskID(text)
 			So(err, ShouldWrap, ErrInvalidTaskID)
 		}
 	})
-	Convey("Job IDs have 16 hexadecimal digits", t, func() {
+	Convey("A job ID is valid only if it has 16 hexadecimal digits", t, func() {
 		So(ID("5c0e7a21d94b36f8").Valid(), ShouldBeTrue)
 		So(ID("5c0e7a21d94b36f").Valid(), ShouldBeFalse)
 		So(ID("5c0e7a21d94b36fg").Valid(), ShouldBeFalse)
 	})
 }
 
-func TestResources(t *testing.T) {
-	Convey("A request fits only if each of its resources does", t, func() {
+func TestRequestFitsOnlyIfEachResourceFits(t *testing.T) {
+	Convey("Given the capacity of a worker, a request fits only if each of its resources does", t, func() {
 		capacity := Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}
 		So(capacity.Fits(Resources{Processors: 1000, MemoryMB: 600, Accelerators: 1}), ShouldBeTrue)
 		So(capacity.Fits(Resources{Accelerators: 2}), ShouldBeFalse)
@@ -87,7 +87,8 @@
 	})
 }
 
-// FuzzParseSpecification looks for bodies that end the process, or that are valid and break what the scheduler relies on.
+// FuzzParseSpecification checks that no body causes a panic, and that each accepted specification satisfies the conditions
+// that the scheduler relies on.
 func FuzzParseSpecification(f *testing.F) {
 	f.Add([]byte(`{"specification":"text","stages":[{"count":2,"requirements":["a","b"]},{"count":1,"dependsOn":[0]}],"repetitions":2}`))
 	f.Add([]byte(`{"stages":[{"count":1e3}]}`))
@@ -95,17 +96,17 @@
 		s, err := ParseSpecification(body)
 		if err != nil {
 			if strings.TrimSpace(err.Error()) == "" {
-				t.Fatal("an error says nothing")
+				t.Fatal("the error has an empty text")
 			}
 			return
 		}
 		for number, stage := range s.Stages {
 			if stage.Count < 1 || stage.Processors < 0 {
-				t.Fatalf("stage %d passed: %+v", number, stage)
+				t.Fatalf("invalid stage %d was accepted: %+v", number, stage)
 			}
 			for _, earlier := range stage.DependsOn {
 				if earlier >= number {
-					t.Fatalf("stage %d depends on %d", number, earlier)
+					t.Fatalf("accepted stage %d depends on stage %d, which is not earlier", number, earlier)
 				}
 			}
 		}
--- a/internal/jobs/job/wire_test.go
+++ b/internal/jobs/job/wire_test.go
@@ -6,8 +6,9 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles guards against accidental changes of the encoding of types that are stored or sent to
+// other processes.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "task id", Value: new(TaskID)},
 		goldentest.Form{Name: "resources", Value: new(Resources)},
@@ -21,8 +22,8 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged guards against accidental changes of constants that are stored or sent to other processes.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: Queued, Want: "queued"},
 		goldentest.Constant{Have: Running, Want: "running"},
--- a/internal/jobs/jobreport/calls.go
+++ b/internal/jobs/jobreport/calls.go
@@ -4,16 +4,16 @@
 
 // Limits of a list of jobs.
 const (
-	DefaultJobs = 100
-	MaxJobs     = 1000
+	DefaultJobLimit = 100  // number of jobs if the operator gives no limit
+	MaxJobLimit     = 1000 // largest permitted limit
 )
 
-// SummaryRequest requests a group's Summary.
+// SummaryRequest requests the Summary of a group.
 type SummaryRequest struct {
 	Group string `msgpack:"g"`
 }
 
-// SummaryReply is the reply.
+// SummaryReply is the reply to a SummaryRequest.
 type SummaryReply struct {
 	Summary Summary `msgpack:"s"`
 }
@@ -23,22 +23,22 @@
 	Group string `msgpack:"g"`
 }
 
-// WorkersReply lists them by ID.
+// WorkersReply is the reply to a WorkersRequest. The workers are sorted by ID.
 type WorkersReply struct {
 	Workers []Worker `msgpack:"s"`
 }
 
-// JobsRequest requests a group's jobs.
+// JobsRequest requests the newest jobs of a group.
 type JobsRequest struct {
 	Group string    `msgpack:"g"`
-	State job.State `msgpack:"s"` // empty for all
+	State job.State `msgpack:"s"` // only jobs in this state; empty for all states
 	Limit int       `msgpack:"l"` // 1 to MaxJobs
 }
 
-// JobsReply lists the newest of them.
+// JobsReply is the reply to a JobsRequest.
 type JobsReply struct {
 	Jobs  []Job `msgpack:"j"`
-	Total int   `msgpack:"t"` // that match, listed or not
+	Total int   `msgpack:"t"` // number of matching jobs, listed or not
 }
 
 // JobRequest requests one job.
@@ -47,45 +47,46 @@
 	ID    job.ID `msgpack:"i"`
 }
 
-// JobReply is all that is known of it.
+// JobReply is the reply to a JobRequest.
 type JobReply struct {
 	Known bool      `msgpack:"k"`
 	Job   JobDetail `msgpack:"j"`
 }
 
-// WhyRequest requests the reasons for which a job's tasks wait.
-type WhyRequest struct {
+// ExplainRequest requests an explanation of why a job's tasks wait.
+type ExplainRequest struct {
 	Group string `msgpack:"g"`
 	ID    job.ID `msgpack:"i"`
 }
 
-// WhyReply is the reply.
-type WhyReply struct {
-	Known bool `msgpack:"k"`
-	Why   Why  `msgpack:"w"`
+// ExplainReply is the reply to an ExplainRequest.
+type ExplainReply struct {
+	Known       bool        `msgpack:"k"`
+	Explanation Explanation `msgpack:"w"`
 }
 
-// DrainRequest sets or ends an operator's drain of a worker.
+// DrainRequest requests to drain or undrain a worker on behalf of an operator.
 type DrainRequest struct {
 	Group    string `msgpack:"g"`
 	Worker   string `msgpack:"s"`
 	Draining bool   `msgpack:"d"`
-	// BaseVersion is the drain version that the change builds on; nil for one without a version.
+	// BaseVersion is the drain version that the change is based on. If it is nil, the change applies to any version.
 	BaseVersion *uint64 `msgpack:"v,omitempty"`
 }
 
-// DrainOutcome is what a request to change a worker's drain came to.
+// DrainOutcome is the result of a request to drain or undrain a worker.
 type DrainOutcome int
 
-// The outcomes. A request without a version is always taken.
+// The outcomes of a DrainRequest. A request without a version is always applied. DrainApplied must be 0, because that is
+// what a leader of an earlier release answers: its reply has no outcome.
 const (
-	DrainTaken      DrainOutcome = iota // by this call or by an earlier one that requested the same; 0, as a leader of an earlier release answers
-	DrainSuperseded                     // another change was taken on top of that version; this one never will be
-	DrainUnclear                        // the version is not in force yet, or older than those that are kept
-	DrainUnknown                        // the worker is not known
+	DrainApplied       DrainOutcome = iota // the change was applied, by this call or by an earlier one that requested the same
+	DrainSuperseded                        // a different change was applied to the base version; this one will never be applied
+	DrainIndeterminate                     // the outcome cannot be determined: the base version is newer than the current one or older than the recorded history
+	DrainWorkerUnknown                     // the worker is not known
 )
 
-// DrainReply is sent once the change is durable.
+// DrainReply is the reply to a DrainRequest. It is sent once the change is durable.
 type DrainReply struct {
 	Known   bool         `msgpack:"k"` // the group knows the worker
 	Outcome DrainOutcome `msgpack:"o"`
--- a/internal/jobs/jobreport/wire_test.go
+++ b/internal/jobs/jobreport/wire_test.go
@@ -6,8 +6,9 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles guards against accidental changes of the encoding of types that are stored or sent to
+// other processes.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "summary request", Value: new(SummaryRequest)},
 		goldentest.Form{Name: "summary reply", Value: new(SummaryReply)},
@@ -17,8 +18,8 @@
 		goldentest.Form{Name: "jobs reply", Value: new(JobsReply)},
 		goldentest.Form{Name: "job request", Value: new(JobRequest)},
 		goldentest.Form{Name: "job reply", Value: new(JobReply)},
-		goldentest.Form{Name: "why request", Value: new(WhyRequest)},
-		goldentest.Form{Name: "why reply", Value: new(WhyReply)},
+		goldentest.Form{Name: "why request", Value: new(ExplainRequest)},
+		goldentest.Form{Name: "why reply", Value: new(ExplainReply)},
 		goldentest.Form{Name: "drain request", Value: new(DrainRequest)},
 		goldentest.Form{Name: "drain reply", Value: new(DrainReply)},
 		goldentest.Form{Name: "summary", Value: new(Summary)},
@@ -29,9 +30,9 @@
 		goldentest.Form{Name: "stage", Value: new(Stage)},
 		goldentest.Form{Name: "failure", Value: new(Failure)},
 		goldentest.Form{Name: "job detail", Value: new(JobDetail)},
-		goldentest.Form{Name: "ruled out", Value: new(Excluded)},
-		goldentest.Form{Name: "waiting", Value: new(Waiting)},
-		goldentest.Form{Name: "why", Value: new(Why)},
+		goldentest.Form{Name: "ruled out", Value: new(Exclusion)},
+		goldentest.Form{Name: "waiting", Value: new(WaitingStage)},
+		goldentest.Form{Name: "why", Value: new(Explanation)},
 	)
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "summary", Value: new(Summary)},
@@ -42,36 +43,36 @@
 		goldentest.Form{Name: "stage", Value: new(Stage)},
 		goldentest.Form{Name: "failure", Value: new(Failure)},
 		goldentest.Form{Name: "job detail", Value: new(JobDetail)},
-		goldentest.Form{Name: "ruled out", Value: new(Excluded)},
-		goldentest.Form{Name: "waiting", Value: new(Waiting)},
-		goldentest.Form{Name: "why", Value: new(Why)},
+		goldentest.Form{Name: "ruled out", Value: new(Exclusion)},
+		goldentest.Form{Name: "waiting", Value: new(WaitingStage)},
+		goldentest.Form{Name: "why", Value: new(Explanation)},
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged guards against accidental changes of constants that are stored or sent to other processes.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
-		goldentest.Constant{Have: DrainTaken, Want: 0},
+		goldentest.Constant{Have: DrainApplied, Want: 0},
 		goldentest.Constant{Have: DrainSuperseded, Want: 1},
-		goldentest.Constant{Have: DrainUnclear, Want: 2},
-		goldentest.Constant{Have: DrainUnknown, Want: 3},
+		goldentest.Constant{Have: DrainIndeterminate, Want: 2},
+		goldentest.Constant{Have: DrainWorkerUnknown, Want: 3},
 		goldentest.Constant{Have: WorkerUnreachable, Want: "unreachable"},
 		goldentest.Constant{Have: WorkerDraining, Want: "draining"},
 		goldentest.Constant{Have: WorkerOperatorDraining, Want: "operatorDraining"},
 		goldentest.Constant{Have: WorkerNotFenced, Want: "notFenced"},
 		goldentest.Constant{Have: WorkerBackoff, Want: "resting"},
 		goldentest.Constant{Have: WorkerReady, Want: "ready"},
-		goldentest.Constant{Have: CauseLabel, Want: "label"},
-		goldentest.Constant{Have: CauseSize, Want: "size"},
+		goldentest.Constant{Have: CauseMissingLabel, Want: "label"},
+		goldentest.Constant{Have: CauseTotalCapacity, Want: "size"},
 		goldentest.Constant{Have: CauseDraining, Want: "draining"},
 		goldentest.Constant{Have: CauseOperatorDraining, Want: "operatorDraining"},
-		goldentest.Constant{Have: CauseUnlisted, Want: "unlisted"},
+		goldentest.Constant{Have: CauseNotInInventory, Want: "unlisted"},
 		goldentest.Constant{Have: CauseUnreachable, Want: "unreachable"},
 		goldentest.Constant{Have: CauseNotFenced, Want: "notFenced"},
 		goldentest.Constant{Have: CauseOrphans, Want: "unwantedRuns"},
 		goldentest.Constant{Have: CauseBackoff, Want: "resting"},
 		goldentest.Constant{Have: CauseWindow, Want: "window"},
-		goldentest.Constant{Have: CauseCapacity, Want: "room"},
+		goldentest.Constant{Have: CauseFreeCapacity, Want: "room"},
 		goldentest.Constant{Have: CauseAntiAffinity, Want: "antiAffinity"},
 		goldentest.Constant{Have: CauseOther, Want: "other"},
 		goldentest.Constant{Have: ReasonDependsOn, Want: "dependsOn"},
@@ -80,12 +81,12 @@
 		goldentest.Constant{Have: ReasonGangCapacity, Want: "gangRoom"},
 		goldentest.Constant{Have: ReasonBackoff, Want: "pause"},
 		goldentest.Constant{Have: ReasonNoWorker, Want: "noSearcher"},
-		goldentest.Constant{Have: ReasonTurn, Want: "turn"},
+		goldentest.Constant{Have: ReasonQueueOrder, Want: "turn"},
 		goldentest.Constant{Have: SummaryCall.Path(), Want: "/jobs/report/summary"},
 		goldentest.Constant{Have: WorkersCall.Path(), Want: "/jobs/report/searchers"},
 		goldentest.Constant{Have: JobsCall.Path(), Want: "/jobs/report/jobs"},
 		goldentest.Constant{Have: JobCall.Path(), Want: "/jobs/report/job"},
-		goldentest.Constant{Have: WhyCall.Path(), Want: "/jobs/report/why"},
+		goldentest.Constant{Have: ExplainCall.Path(), Want: "/jobs/report/why"},
 		goldentest.Constant{Have: DrainCall.Path(), Want: "/jobs/report/drain"},
 	)
 }
--- a/internal/jobs/manager/debuglog.go
+++ b/internal/jobs/manager/debuglog.go
@@ -54,7 +54,7 @@
 		return
 	}
 	for i := range effects.Entries {
-		if id, state, ended := scheduler.EndedJob(&effects.Entries[i]); ended {
+		if id, state, ended := scheduler.DecodeEndedJob(&effects.Entries[i]); ended {
 			l.config.Log.Debug("job ended", zap.String("job", string(id)), zap.String("state", string(state)))
 		}
 	}
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -91,7 +91,7 @@
 		Connections: 2700, DialsPerS: 544, DialBurst: 256, PollsPerS: 600, MaxLongPolls: 600,
 	})
 	m := New(Config{
-		Settings: scheduler.Settings{RemoteFactor: 1.5, MaxLease: fleetMaxLease, StatusRetention: 5 * time.Minute},
+		Settings: scheduler.Settings{RemoteSlowdown: 1.5, MaxLease: fleetMaxLease, StatusRetention: 5 * time.Minute},
 		HTTP:     connections.HTTPClient(), Connections: connections, Log: zap.NewNop(),
 	})
 	node, err := replication.NewNode(replication.Config{
--- a/internal/jobs/manager/idempotency_test.go
+++ b/internal/jobs/manager/idempotency_test.go
@@ -182,13 +182,13 @@
 			return outcome
 		}
 		Convey("a copy of that drain that arrives after the change that ended it is confirmed, and changes nothing", func() {
-			So(order(false, 1), ShouldEqual, jobreport.DrainTaken)
-			So(order(true, 0), ShouldEqual, jobreport.DrainTaken)
+			So(order(false, 1), ShouldEqual, jobreport.DrainApplied)
+			So(order(true, 0), ShouldEqual, jobreport.DrainApplied)
 			So(jobs.IsOperatorDraining("i-1"), ShouldBeFalse)
 		})
 		Convey("another change on top of the same version is superseded, one on top of a later version is unclear", func() {
 			So(order(false, 0), ShouldEqual, jobreport.DrainSuperseded)
-			So(order(false, 2), ShouldEqual, jobreport.DrainUnclear)
+			So(order(false, 2), ShouldEqual, jobreport.DrainIndeterminate)
 			So(jobs.IsOperatorDraining("i-1"), ShouldBeTrue)
 		})
 		Convey("an unknown worker is reported as such", func() {
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -67,7 +67,7 @@
 			return err
 		}},
 		{"why", func(m *Manager) error {
-			_, err := m.why(ctx, jobreport.WhyRequest{Group: testGroup, ID: unknownJob})
+			_, err := m.why(ctx, jobreport.ExplainRequest{Group: testGroup, ID: unknownJob})
 			return err
 		}},
 		{"drain", func(m *Manager) error {
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -202,7 +202,7 @@
 }
 
 func (m *Manager) pending(_ context.Context, request jobapi.Pending) (reply jobapi.PendingReply, err error) {
-	err = m.readCurrent(request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Count = jobs.Pending(request.Route) })
+	err = m.readCurrent(request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Count = jobs.PendingJobs(request.Route) })
 	return reply, err
 }
 
--- a/internal/jobs/manager/operatorcalls.go
+++ b/internal/jobs/manager/operatorcalls.go
@@ -26,7 +26,7 @@
 	transport.Handle(mux, jobreport.WorkersCall, m.workers)
 	transport.Handle(mux, jobreport.JobsCall, m.jobs)
 	transport.Handle(mux, jobreport.JobCall, m.job)
-	transport.Handle(mux, jobreport.WhyCall, m.why)
+	transport.Handle(mux, jobreport.ExplainCall, m.why)
 	transport.Handle(mux, jobreport.DrainCall, m.drain)
 }
 
@@ -92,7 +92,7 @@
 }
 
 func (m *Manager) jobs(ctx context.Context, request jobreport.JobsRequest) (reply jobreport.JobsReply, err error) {
-	limit := min(max(1, request.Limit), jobreport.MaxJobs)
+	limit := min(max(1, request.Limit), jobreport.MaxJobLimit)
 	err = m.readCommitted(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) {
 		reply.Jobs, reply.Total = jobs.Jobs(request.State, limit)
 	})
@@ -106,9 +106,9 @@
 	return reply, err
 }
 
-func (m *Manager) why(ctx context.Context, request jobreport.WhyRequest) (reply jobreport.WhyReply, err error) {
+func (m *Manager) why(ctx context.Context, request jobreport.ExplainRequest) (reply jobreport.ExplainReply, err error) {
 	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) {
-		reply.Why, reply.Known = jobs.Why(now, request.ID)
+		reply.Explanation, reply.Known = jobs.Explain(now, request.ID)
 	})
 	return reply, err
 }
@@ -137,10 +137,10 @@
 func (l *leadership) changeDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
 	id := workerclient.WorkerID(request.Worker)
 	if request.BaseVersion == nil {
-		return l.scheduler.SetOperatorDrain(now, id, request.Draining), jobreport.DrainTaken
+		return l.scheduler.SetOperatorDrain(now, id, request.Draining), jobreport.DrainApplied
 	}
 	outcome = l.scheduler.ChangeOperatorDrain(now, id, scheduler.DrainChange{Draining: request.Draining, BaseVersion: *request.BaseVersion})
-	return outcome != jobreport.DrainUnknown, outcome
+	return outcome != jobreport.DrainWorkerUnknown, outcome
 }
 
 // drain sets or ends an operator's drain, and replies once that is durable.
@@ -160,7 +160,7 @@
 	if err == nil && reply.Known {
 		m.config.Log.Info("operator changed drain", zap.String("group", request.Group), zap.String("worker_id", request.Worker),
 			zap.Bool("draining", request.Draining), zap.Uint64("version", reply.Worker.DrainVersion),
-			zap.Bool("taken", reply.Outcome == jobreport.DrainTaken))
+			zap.Bool("taken", reply.Outcome == jobreport.DrainApplied))
 	}
 	return reply, err
 }
--- a/internal/jobs/manager/proposals.go
+++ b/internal/jobs/manager/proposals.go
@@ -111,7 +111,7 @@
 		link.Stop(*command.Stop)
 		return
 	}
-	if l.scheduler.StillNeeded(command.Worker, command.Start) {
+	if l.scheduler.ShouldSendStart(command.Worker, command.Start) {
 		l.traceCommand(command)
 		link.Start(*command.Start)
 	}
--- a/internal/jobs/scheduler/admission.go
+++ b/internal/jobs/scheduler/admission.go
@@ -59,16 +59,16 @@
 // openWorkers lists the workers that take starts at present. They are listed once in a dispatch, and only if a task does
 // not fit at the worker that it is bound to.
 func (s *Scheduler) openWorkers(now Now) []*workerState {
-	if s.openCached {
-		return s.openCache
+	if s.openWorkersCached {
+		return s.openWorkersCache
 	}
-	s.openCached = true
+	s.openWorkersCached = true
 	for _, worker := range s.sortedWorkers {
 		if s.isOpen(now, worker) {
-			s.openCache = append(s.openCache, worker)
+			s.openWorkersCache = append(s.openWorkersCache, worker)
 		}
 	}
-	return s.openCache
+	return s.openWorkersCache
 }
 
 // attemptsOfStage counts a stage's attempts at a worker.
--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -13,7 +13,7 @@
 // newLoadedScheduler is a scheduler with many workers, all of them full, and many jobs that wait.
 func newLoadedScheduler(workers, jobs int) (*Scheduler, Now, map[string][]byte) {
 	now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
-	s, _ := New(Settings{RemoteFactor: 2, MaxLease: 6 * time.Second}, now, nil)
+	s, _ := New(Settings{RemoteSlowdown: 2, MaxLease: 6 * time.Second}, now, nil)
 	var instances []workerclient.Instance
 	for i := range workers {
 		instances = append(instances, workerclient.Instance{ID: workerclient.WorkerID(fmt.Sprintf("s%03d", i)), Labels: []string{"a", fmt.Sprint("r", i/8)},
--- a/internal/jobs/scheduler/commandresults.go
+++ b/internal/jobs/scheduler/commandresults.go
@@ -32,7 +32,7 @@
 		worker.window = min(maxWindow, worker.window+1)
 		return
 	case workerclient.Unclear:
-		attempt.startUnclearAt = result.At
+		attempt.startUnansweredAt = result.At
 		return
 	case workerclient.RejectedFencingToken:
 		return // this leadership is over
--- a/internal/jobs/scheduler/completion.go
+++ b/internal/jobs/scheduler/completion.go
@@ -139,7 +139,7 @@
 		s.abandonGangAttempt(now, task.stage, number)
 	}
 	for _, attempt := range task.attempts {
-		if !attempt.released {
+		if !attempt.taskReleased {
 			return
 		}
 	}
--- a/internal/jobs/scheduler/cost.go
+++ b/internal/jobs/scheduler/cost.go
@@ -50,13 +50,13 @@
 	if stage.Affinity == "" || stage.Affinity == worker.rack || worker.hasLabel(stage.Affinity) {
 		return 1
 	}
-	return max(1, s.settings.RemoteFactor)
+	return max(1, s.settings.RemoteSlowdown)
 }
 
 // slowdown is how many times slower than the median a worker is; 1 for those that are not slower.
 func (s *Scheduler) slowdown(worker *workerState) float64 {
-	if worker.paceRatio == 0 || s.medianPace == 0 {
+	if worker.paceRatio == 0 || s.medianPaceRatio == 0 {
 		return 1
 	}
-	return max(1, worker.paceRatio/s.medianPace)
+	return max(1, worker.paceRatio/s.medianPaceRatio)
 }
--- a/internal/jobs/scheduler/dispatch.go
+++ b/internal/jobs/scheduler/dispatch.go
@@ -12,10 +12,10 @@
 func (s *Scheduler) Dispatch(now Now) {
 	s.dispatchNeeded = false
 	s.orderQueue(now)
-	s.openCache, s.openCached = s.openCache[:0], false
+	s.openWorkersCache, s.openWorkersCached = s.openWorkersCache[:0], false
 	var unplaceable unplaceableRequests
 	for _, stage := range s.waitingStages {
-		if s.openCached && len(s.openCache) == 0 {
+		if s.openWorkersCached && len(s.openWorkersCache) == 0 {
 			return
 		}
 		if len(stage.waiting) == 0 || unplaceable.covers(stage) {
--- a/internal/jobs/scheduler/doc.go
+++ b/internal/jobs/scheduler/doc.go
@@ -1,45 +1,55 @@
-// Package scheduler decides on the jobs of one service: which task starts on which worker and when, what a worker's
-// report means for its tasks, and when a job has ended. It is a pure state machine: no I/O, no clock, no goroutine, no
-// random numbers. The same events give the same effects, but for the order in which old records are erased.
+// Package scheduler decides about the jobs of one service: which task starts on which worker and when, how a worker's
+// report changes the state of its tasks, and when a job has ended.
 //
-// # Events and effects
-//
-// Each call of a Scheduler takes the time and one event, changes the state and gathers Effects. The caller makes the
-// gathered entries durable on a majority of replicas first, and only then sends the commands and acknowledges the
-// completions. Whatever a successor restores therefore covers every command that was ever sent: it knows of each
-// attempt that may be under way, and assigns only higher attempt numbers. Package manager is that caller.
+// The package is a pure state machine. It performs no I/O, reads no clock, starts no goroutine and uses no random numbers.
+// The same sequence of events produces the same effects. The only exception is the order in which old records are erased.
+// Package manager is the only caller outside tests and simulations.
 //
-// # The ordinary path
+// # Events and effects
 //
-// Jobs are scheduled by SWAG, after "Scheduling Jobs Across Geo-distributed Datacenters", section 4.2 and its algorithm
-// 3, as docs/design.md adapts it:
+// Each call of a Scheduler passes the current time and one event. It changes the state and appends to the Effects. The
+// caller first makes the collected entries durable on a majority of replicas. Only then does it send the commands and
+// acknowledge the completions. The state that a new leader restores therefore covers every command that was ever sent:
+// the new leader knows each attempt that may be under way, and assigns only higher attempt numbers.
+//
+// # Scheduling algorithm
+//
+// Jobs are scheduled by SWAG, from "Scheduling Jobs Across Geo-distributed Datacenters", section 4.2 and algorithm 3, as
+// adapted in docs/design.md:
+//
+//   - Binding (binding.go, cost.go). A task that is ready to start is bound to the worker of least cost. The cost is the
+//     worker's smoothed latency times one plus the number of our attempts and bound tasks there.
+//   - Ordering (ordering.go). Each worker's queue initially contains our attempts there. The job with the smallest
+//     makespan is scheduled next, and its tasks are added to the queues before the following job is chosen. A job's
+//     makespan is that of its slowest sub-job: the largest value, over its workers, of (queue + own tasks) x latency. Ties
+//     go to the smaller job.
+//   - Dispatch (dispatch.go). In this order, each task starts at the worker that it is bound to, if that worker accepts
+//     starts and has free capacity (admission.go). Otherwise the task starts at the least costly other worker that does.
+//
+// # Extensions of SWAG
+//
+//   - Priorities and deadlines (deadlines.go): SWAG's order applies within a level. A job that can still meet its target
+//     precedes a late one. A job that is so late that its result is worthless comes last.
+//   - Data locality (locality.go): a task waits for a limited time for capacity on the rack that holds its data.
+//   - Gangs (gangs.go): all members start at once or none does, on a single rack if the gang requests it.
+//   - Worker health (health.go): an adaptive limit on concurrent attempts, failure rates and stall detection.
+//   - Stragglers (stragglers.go): detection of slow workers, and migration of tasks away from them.
+//   - Draining, by the platform (inventory.go) and by operators (operatordrain.go).
 //
-//   - Binding (binding.go, cost.go). A task that may start is bound to the worker of least cost: smoothed latency times
-//     one plus our attempts and bound tasks there.
-//   - Order (ordering.go). Each worker's queue begins at our attempts there. The job of least makespan comes next, which
-//     is that of its slowest sub-job: the largest, over its workers, of (queue + own tasks) x latency. Ties go to the
-//     smaller job. Its tasks are added to the queues, and so on.
-//   - Dispatch (dispatch.go). In that order each task starts at the worker that it is bound to, or at the least costly
-//     other one, if that worker takes starts at present and has capacity left (admission.go).
+// # Lifecycle of an attempt
 //
-// # What comes on top
+// An attempt begins with assign, which records the attempt number before the command is sent. It ends with a completion
+// that its worker lists (completion.go), or as soon as it is certain that the attempt is no longer under way:
 //
-//   - Priorities and deadlines (deadlines.go): SWAG's order holds within a level; a job that can still meet its target
-//     goes before a late one, and one that is too late to matter goes last.
-//   - Data locality (locality.go): a task waits for a while for capacity on the rack that holds its data.
-//   - Gangs (gangs.go): all members start at once or none, on one rack if they want that.
-//   - Workers' health (health.go): a window of attempts, failure rates and stalled attempts; slow workers and migration
-//     off them (stragglers.go).
-//   - Draining, by the platform (inventory.go) and by operators (operatordrain.go).
+//   - a report that should list the attempt does not (workerreports.go),
+//   - the worker rejected the start (commandresults.go),
+//   - the worker was removed (inventory.go), or
+//   - all leases granted to the worker have expired (reachability.go).
 //
-// # The life of an attempt
+// Until then the task does not start elsewhere, unless its stage allows several attempts of a task at the same time.
 //
-// An attempt begins with assign, which records its number before the command is sent. It ends with a completion that its
-// worker lists (completion.go), or as soon as it is certain that it is not under way any more: a report that should list
-// it does not (workerreports.go), its start was rejected (commandresults.go), its worker was removed, or all leases
-// granted to that worker have expired (reachability.go). Until then the task does not start elsewhere, unless its stage
-// allows copies side by side.
+// # Files
 //
-// The state is in state.go, its durable form in records.go, and its recovery by a new leader in restore.go. explain.go
-// tells why tasks wait, operatorreports.go and load.go what there is.
+// The state is defined in state.go, its durable form in records.go, and its recovery by a new leader in restore.go.
+// explain.go explains why tasks wait. operatorreports.go and load.go report the current state.
 package scheduler
--- a/internal/jobs/scheduler/effects.go
+++ b/internal/jobs/scheduler/effects.go
@@ -6,43 +6,43 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// Command is a start or a stop for one worker; exactly one of Start and Stop is set.
+// Command is a start or stop command for one worker. Exactly one of Start and Stop is set.
 type Command struct {
 	Worker workerclient.WorkerID
 	Start  *workerclient.StartCommand
 	Stop   *workerclient.StopCommand
 }
 
-// Acknowledgement says that all of a worker's completions up to a number are covered by the entries gathered so far. The
-// worker may forget them once those are durable.
+// Acknowledgement confirms all completions of a worker up to a completion number. The entries collected so far record
+// these completions. Once the entries are durable, the worker may discard the completions.
 type Acknowledgement struct {
 	Worker           workerclient.WorkerID
 	CompletionNumber uint64
 }
 
-// Effects are what the calls since the last TakeEffects want done: first the entries made durable, in their order, then
-// the rest.
+// Effects are the actions that the calls since the last TakeEffects request. The caller must first make the entries
+// durable, in their order. Only then may it send the commands and acknowledgements.
 type Effects struct {
 	Entries          []replication.Entry
 	Commands         []Command
 	Acknowledgements []Acknowledgement
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there are no effects.
 func (e *Effects) Empty() bool {
 	return len(e.Entries) == 0 && len(e.Commands) == 0 && len(e.Acknowledgements) == 0
 }
 
-// TakeEffects returns the effects gathered since the last call.
+// TakeEffects returns the effects collected since the last call, and clears them.
 func (s *Scheduler) TakeEffects() Effects {
 	effects := s.effects
 	s.effects = Effects{}
 	return effects
 }
 
-// StillNeeded tells whether a start that has become durable is still to be sent: meanwhile its attempt may have been
-// stopped, or its worker removed.
-func (s *Scheduler) StillNeeded(id workerclient.WorkerID, command *workerclient.StartCommand) bool {
+// ShouldSendStart reports whether a start command must still be sent after its entry has become durable. In the meantime,
+// its attempt may have been stopped or its worker removed.
+func (s *Scheduler) ShouldSendStart(id workerclient.WorkerID, command *workerclient.StartCommand) bool {
 	worker := s.workers[id]
 	if worker == nil {
 		return false
@@ -51,8 +51,8 @@
 	return attempt != nil && attempt.number == command.AttemptNumber && !attempt.stopping
 }
 
-// acknowledgeCompletions gathers the acknowledgement of all completions that were taken from a worker, one for each
-// worker at most.
+// acknowledgeCompletions adds the acknowledgement of all completions of a worker that have been processed. The effects
+// contain at most one acknowledgement for each worker.
 func (s *Scheduler) acknowledgeCompletions(worker *workerState) {
 	for i := range s.effects.Acknowledgements {
 		if s.effects.Acknowledgements[i].Worker == worker.ID {
@@ -63,17 +63,17 @@
 	s.effects.Acknowledgements = append(s.effects.Acknowledgements, Acknowledgement{Worker: worker.ID, CompletionNumber: worker.lastCompletion})
 }
 
-// stopAttempt gathers the stop of an attempt, once.
+// stopAttempt adds a stop command for an attempt, unless the attempt is already being stopped.
 func (s *Scheduler) stopAttempt(attempt *attemptState) {
 	if attempt.stopping {
 		return
 	}
 	attempt.stopping = true
-	s.commandStop(attempt.worker, attempt.task.id, attempt.number)
+	s.addStopCommand(attempt.worker, attempt.task.id, attempt.number)
 }
 
-// commandStop gathers a stop of one attempt of a task at a worker.
-func (s *Scheduler) commandStop(worker *workerState, task job.TaskID, number uint64) {
+// addStopCommand adds a stop command for one attempt of a task at a worker.
+func (s *Scheduler) addStopCommand(worker *workerState, task job.TaskID, number uint64) {
 	command := &workerclient.StopCommand{Task: task, AttemptNumber: number}
 	s.effects.Commands = append(s.effects.Commands, Command{Worker: worker.ID, Stop: command})
 }
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -7,17 +7,17 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// Why explains why a job's tasks wait, and tells whether the job is known. It agrees with Dispatch: a task may start at a
-// worker exactly if no cause excludes the worker.
-func (s *Scheduler) Why(now Now, id job.ID) (why jobreport.Why, known bool) {
+// Explain returns the reasons why a job's tasks wait, and reports whether the job is known. The explanation is consistent
+// with Dispatch: a task may start at a worker if and only if no cause excludes the worker.
+func (s *Scheduler) Explain(now Now, id job.ID) (explanation jobreport.Explanation, known bool) {
 	state, known := s.Status(id)
 	if !known {
-		return why, false
+		return explanation, false
 	}
-	why = jobreport.Why{ID: id, State: state}
+	explanation = jobreport.Explanation{ID: id, State: state}
 	j := s.jobs[id]
 	if j == nil {
-		return why, true
+		return explanation, true
 	}
 	s.orderQueue(now)
 	for _, repetition := range j.repetitions {
@@ -25,34 +25,34 @@
 			continue
 		}
 		for _, stage := range repetition.stages {
-			s.explainStage(now, &why, stage)
+			s.explainStage(now, &explanation, stage)
 		}
 	}
 	if j.nextDueMS != 0 && j.nextDueMS > now.WallMS {
-		why.Waiting = append(why.Waiting, jobreport.Waiting{Repetition: len(j.repetitions), Reason: jobreport.ReasonNotDue, DueMS: j.nextDueMS})
+		explanation.WaitingStages = append(explanation.WaitingStages, jobreport.WaitingStage{Repetition: len(j.repetitions), Reason: jobreport.ReasonNotDue, DueMS: j.nextDueMS})
 	}
-	return why, true
+	return explanation, true
 }
 
-// explainStage adds the explanation of a stage, if tasks of it wait.
-func (s *Scheduler) explainStage(now Now, why *jobreport.Why, stage *stageState) {
+// explainStage adds a stage to the explanation if any of its tasks wait.
+func (s *Scheduler) explainStage(now Now, explanation *jobreport.Explanation, stage *stageState) {
 	if stage.incompleteTasks == 0 || stage.tasks != nil && len(stage.waiting) == 0 {
 		return
 	}
-	if len(why.Waiting) >= maxExplainedStages {
-		why.Truncated = true
+	if len(explanation.WaitingStages) >= maxExplainedStages {
+		explanation.Truncated = true
 		return
 	}
 	if stage.tasks == nil {
-		why.Waiting = append(why.Waiting, explainBlocked(stage))
+		explanation.WaitingStages = append(explanation.WaitingStages, explainBlocked(stage))
 		return
 	}
-	why.Waiting = append(why.Waiting, s.explainWaiting(now, stage))
+	explanation.WaitingStages = append(explanation.WaitingStages, s.explainWaiting(now, stage))
 }
 
-// explainBlocked explains a stage that depends on incomplete ones.
-func explainBlocked(stage *stageState) jobreport.Waiting {
-	waiting := jobreport.Waiting{
+// explainBlocked explains a stage that depends on incomplete stages.
+func explainBlocked(stage *stageState) jobreport.WaitingStage {
+	waiting := jobreport.WaitingStage{
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: stage.Count, Request: stage.Resources,
 		Reason: jobreport.ReasonDependsOn,
 	}
@@ -64,45 +64,46 @@
 	return waiting
 }
 
-// explainWaiting explains a stage whose tasks wait for a start: for each worker, whether it could take one.
-func (s *Scheduler) explainWaiting(now Now, stage *stageState) jobreport.Waiting {
-	waiting := jobreport.Waiting{
+// explainWaiting explains a stage whose tasks wait for a start. It checks for each worker whether it could take a task.
+func (s *Scheduler) explainWaiting(now Now, stage *stageState) jobreport.WaitingStage {
+	waiting := jobreport.WaitingStage{
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: len(stage.waiting), Request: stage.Resources,
-		AgeMS: now.Monotonic.Sub(stage.waitingSince).Milliseconds(), Ahead: max(0, slices.Index(s.waitingStages, stage)),
+		WaitMS: now.Monotonic.Sub(stage.waitingSince).Milliseconds(), StagesAhead: max(0, slices.Index(s.waitingStages, stage)),
 	}
-	open := 0
+	openCount := 0
 	for _, worker := range s.sortedWorkers {
 		cause := s.exclusionCause(now, stage, worker)
 		if cause != "" {
-			waiting.Excluded = addExcluded(waiting.Excluded, cause, string(worker.ID))
+			waiting.Exclusions = addExclusion(waiting.Exclusions, cause, string(worker.ID))
 			continue
 		}
-		open++
+		openCount++
 		if len(waiting.OpenWorkers) < maxNamedWorkers {
 			waiting.OpenWorkers = append(waiting.OpenWorkers, string(worker.ID))
 		}
 	}
-	waiting.Reason = s.waitingReason(now, stage, open)
+	waiting.Reason = s.waitingReason(now, stage, openCount)
 	return waiting
 }
 
-// waitingReason is the first reason that applies; open is the number of workers that could take a task.
-func (s *Scheduler) waitingReason(now Now, stage *stageState, open int) jobreport.Reason {
+// waitingReason returns the first reason that applies to a stage. openCount is the number of workers that could take a
+// task of it.
+func (s *Scheduler) waitingReason(now Now, stage *stageState, openCount int) jobreport.Reason {
 	switch {
 	case stage.GangScheduled && len(stage.waiting) < max(stage.incompleteTasks, stage.Count):
 		return jobreport.ReasonGangActive
 	case isStageBackingOff(now, stage):
 		return jobreport.ReasonBackoff
-	case open == 0:
+	case openCount == 0:
 		return jobreport.ReasonNoWorker
 	case stage.GangScheduled && s.placeableMembers(now, stage) < stage.Count:
 		return jobreport.ReasonGangCapacity
 	}
-	return jobreport.ReasonTurn
+	return jobreport.ReasonQueueOrder
 }
 
-// isStageBackingOff tells whether no task of the stage may start at present, after starts that failed. A gang backs off
-// with any of its members.
+// isStageBackingOff reports whether no task of the stage may start at present because of failed starts. A gang backs off as
+// a whole if any of its members does.
 func isStageBackingOff(now Now, stage *stageState) bool {
 	backingOff := 0
 	for _, task := range stage.waiting {
@@ -113,7 +114,7 @@
 	return backingOff == len(stage.waiting) || stage.GangScheduled && backingOff > 0
 }
 
-// placeableMembers counts the members of a gang that could start at present, on any racks.
+// placeableMembers returns the number of gang members that could start at present, regardless of racks.
 func (s *Scheduler) placeableMembers(now Now, stage *stageState) int {
 	members := 0
 	for _, worker := range s.sortedWorkers {
@@ -127,7 +128,8 @@
 	return members
 }
 
-// exclusionCause is the first cause for which a worker does not take a task of a stage at present; empty if it could.
+// exclusionCause returns the first cause that prevents a worker from taking a task of a stage at present. It returns an
+// empty cause if the worker could take one.
 func (s *Scheduler) exclusionCause(now Now, stage *stageState, worker *workerState) jobreport.Cause {
 	if s.isOpen(now, worker) && s.admits(stage, worker, 0) {
 		return ""
@@ -137,7 +139,7 @@
 	}
 	switch {
 	case !worker.inInventory:
-		return jobreport.CauseUnlisted
+		return jobreport.CauseNotInInventory
 	case !worker.reachable:
 		return jobreport.CauseUnreachable
 	case worker.fencedAt.IsZero():
@@ -149,23 +151,24 @@
 	case float64(len(worker.attempts)) >= worker.window:
 		return jobreport.CauseWindow
 	case !worker.free().Fits(stage.Resources):
-		return jobreport.CauseCapacity
+		return jobreport.CauseFreeCapacity
 	case stage.AntiAffinity > 0 && worker.attemptsOfStage(stage) >= stage.AntiAffinity:
 		return jobreport.CauseAntiAffinity
 	}
 	return jobreport.CauseOther
 }
 
-// ineligibilityCause is why a worker never takes tasks of a stage, whatever its load; empty if it may. See isEligible.
+// ineligibilityCause returns the cause that prevents a worker from taking tasks of a stage, whatever the worker's load. It
+// returns an empty cause if there is none. See isEligible.
 func (s *Scheduler) ineligibilityCause(stage *stageState, worker *workerState) jobreport.Cause {
 	for _, label := range stage.Requirements {
 		if !worker.hasLabel(label) {
-			return jobreport.CauseLabel
+			return jobreport.CauseMissingLabel
 		}
 	}
 	switch {
 	case !worker.Capacity.Fits(stage.Resources):
-		return jobreport.CauseSize
+		return jobreport.CauseTotalCapacity
 	case worker.Draining:
 		return jobreport.CauseDraining
 	case s.operatorDrains.isDraining(worker.ID):
@@ -174,16 +177,17 @@
 	return ""
 }
 
-// addExcluded counts a worker under the cause that excludes it, and names the first few of each cause.
-func addExcluded(list []jobreport.Excluded, cause jobreport.Cause, worker string) []jobreport.Excluded {
-	at := slices.IndexFunc(list, func(one jobreport.Excluded) bool { return one.Cause == cause })
-	if at < 0 {
-		list = append(list, jobreport.Excluded{Cause: cause})
-		at = len(list) - 1
-	}
-	list[at].Count++
-	if len(list[at].Workers) < maxNamedWorkers {
-		list[at].Workers = append(list[at].Workers, worker)
-	}
-	return list
+// addExclusion counts a worker under the cause that excludes it. For each cause, it lists the first maxNamedWorkers
+// workers.
+func addExclusion(exclusions []jobreport.Exclusion, cause jobreport.Cause, worker string) []jobreport.Exclusion {
+	index := slices.IndexFunc(exclusions, func(exclusion jobreport.Exclusion) bool { return exclusion.Cause == cause })
+	if index < 0 {
+		exclusions = append(exclusions, jobreport.Exclusion{Cause: cause})
+		index = len(exclusions) - 1
+	}
+	exclusions[index].Count++
+	if len(exclusions[index].Workers) < maxNamedWorkers {
+		exclusions[index].Workers = append(exclusions[index].Workers, worker)
+	}
+	return exclusions
 }
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -13,7 +13,7 @@
 )
 
 // steps advances the simulation by a number of steps.
-func (w *simulation) steps(count int) {
+func (w *simulation) runSteps(count int) {
 	for range count {
 		w.step()
 	}
@@ -34,16 +34,16 @@
 }
 
 // explain explains the only waiting stage of a job.
-func explain(w *simulation, id job.ID) jobreport.Waiting {
-	why, known := w.scheduler.Why(w.clock(), id)
+func explainOnlyWaitingStage(w *simulation, id job.ID) jobreport.WaitingStage {
+	why, known := w.scheduler.Explain(w.clock(), id)
 	So(known, ShouldBeTrue)
-	So(len(why.Waiting), ShouldEqual, 1)
-	return why.Waiting[0]
+	So(len(why.WaitingStages), ShouldEqual, 1)
+	return why.WaitingStages[0]
 }
 
 // excludedBy is how many workers a cause excludes.
-func excludedBy(waiting jobreport.Waiting, cause jobreport.Cause) int {
-	for _, excluded := range waiting.Excluded {
+func excludedWorkers(waiting jobreport.WaitingStage, cause jobreport.Cause) int {
+	for _, excluded := range waiting.Exclusions {
 		if excluded.Cause == cause {
 			return excluded.Count
 		}
@@ -54,22 +54,22 @@
 func TestWhy(t *testing.T) {
 	Convey("Given nine workers that have reported", t, func() {
 		w := newSimulation(1, 9)
-		w.steps(20)
+		w.runSteps(20)
 
 		Convey("a label that no worker has excludes all", func() {
 			stage := smallStage(2)
 			stage.Requirements = job.Labels{"none"}
-			waiting := explain(w, w.submitStages(1, stage))
+			waiting := explainOnlyWaitingStage(w, w.submitStages(1, stage))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(waiting.Tasks, ShouldEqual, 2)
-			So(excludedBy(waiting, jobreport.CauseLabel), ShouldEqual, 9)
+			So(excludedWorkers(waiting, jobreport.CauseMissingLabel), ShouldEqual, 9)
 		})
 		Convey("so does a request larger than any worker", func() {
 			stage := smallStage(1)
 			stage.Processors = 9000
-			waiting := explain(w, w.submitStages(1, stage))
+			waiting := explainOnlyWaitingStage(w, w.submitStages(1, stage))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
-			So(excludedBy(waiting, jobreport.CauseSize), ShouldEqual, 9)
+			So(excludedWorkers(waiting, jobreport.CauseTotalCapacity), ShouldEqual, 9)
 		})
 		Convey("causes that do not depend on load are reported first", func() {
 			w.workers[0].Draining = true
@@ -80,40 +80,40 @@
 			stage.Requirements = job.Labels{"none"}
 			w.submitStages(1, stage)
 			stage.Requirements, stage.Processors = nil, 8001
-			waiting := explain(w, w.submitStages(2, stage))
-			So(excludedBy(waiting, jobreport.CauseSize), ShouldEqual, 9)
+			waiting := explainOnlyWaitingStage(w, w.submitStages(2, stage))
+			So(excludedWorkers(waiting, jobreport.CauseTotalCapacity), ShouldEqual, 9)
 			stage.Processors = 1000
 			stage.Requirements = job.Labels{"a"} // of even numbers
 			stage.Count = 200
-			waiting = explain(w, w.submitStages(3, stage))
-			So(excludedBy(waiting, jobreport.CauseLabel), ShouldEqual, 4)
-			So(excludedBy(waiting, jobreport.CauseDraining), ShouldEqual, 1)
-			So(excludedBy(waiting, jobreport.CauseUnreachable), ShouldEqual, 1)
-			So(excludedBy(waiting, jobreport.CauseWindow), ShouldEqual, 3)
+			waiting = explainOnlyWaitingStage(w, w.submitStages(3, stage))
+			So(excludedWorkers(waiting, jobreport.CauseMissingLabel), ShouldEqual, 4)
+			So(excludedWorkers(waiting, jobreport.CauseDraining), ShouldEqual, 1)
+			So(excludedWorkers(waiting, jobreport.CauseUnreachable), ShouldEqual, 1)
+			So(excludedWorkers(waiting, jobreport.CauseWindow), ShouldEqual, 3)
 			stage.Requirements = job.Labels{"b"}
-			waiting = explain(w, w.submitStages(4, stage))
-			So(excludedBy(waiting, jobreport.CauseOperatorDraining), ShouldEqual, 1)
+			waiting = explainOnlyWaitingStage(w, w.submitStages(4, stage))
+			So(excludedWorkers(waiting, jobreport.CauseOperatorDraining), ShouldEqual, 1)
 		})
 		Convey("a task that fits nowhere at present waits for capacity", func() {
 			whole := smallStage(9)
 			whole.Processors = 8000
 			w.submitStages(1, whole)
-			waiting := explain(w, w.submitStages(2, smallStage(1)))
+			waiting := explainOnlyWaitingStage(w, w.submitStages(2, smallStage(1)))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
-			So(excludedBy(waiting, jobreport.CauseCapacity), ShouldEqual, 9)
-			So(len(waiting.Excluded[0].Workers), ShouldEqual, maxNamedWorkers)
+			So(excludedWorkers(waiting, jobreport.CauseFreeCapacity), ShouldEqual, 9)
+			So(len(waiting.Exclusions[0].Workers), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("antiAffinity excludes workers that have a task of the stage", func() {
 			stage := smallStage(12)
 			stage.AntiAffinity = 1
-			waiting := explain(w, w.submitStages(1, stage))
+			waiting := explainOnlyWaitingStage(w, w.submitStages(1, stage))
 			So(waiting.Tasks, ShouldEqual, 3)
-			So(excludedBy(waiting, jobreport.CauseAntiAffinity), ShouldEqual, 9)
+			So(excludedWorkers(waiting, jobreport.CauseAntiAffinity), ShouldEqual, 9)
 		})
 		Convey("a later stage waits for the earlier one", func() {
 			second := smallStage(2)
 			second.DependsOn = []int{0}
-			waiting := explain(w, w.submitStages(1, smallStage(1), second))
+			waiting := explainOnlyWaitingStage(w, w.submitStages(1, smallStage(1), second))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonDependsOn)
 			So(waiting.Stage, ShouldEqual, 1)
 			So(waiting.DependsOn, ShouldResemble, []int{0})
@@ -121,7 +121,7 @@
 		Convey("a gang waits until there is capacity for all of it", func() {
 			gang := smallStage(10)
 			gang.GangScheduled, gang.Processors = true, 8000
-			waiting := explain(w, w.submitStages(1, gang))
+			waiting := explainOnlyWaitingStage(w, w.submitStages(1, gang))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangCapacity)
 			So(len(waiting.OpenWorkers), ShouldEqual, maxNamedWorkers)
 		})
@@ -129,7 +129,7 @@
 			facts := &jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
 				Specification: job.Specification{Stages: []job.Stage{smallStage(1)}, Repetitions: 2, FirstRunMS: w.clock().WallMS + 60_000, IntervalMS: 1000}}}
 			w.submit(facts)
-			waiting := explain(w, facts.request.ID)
+			waiting := explainOnlyWaitingStage(w, facts.request.ID)
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNotDue)
 			So(waiting.DueMS, ShouldEqual, facts.request.Specification.FirstRunMS)
 		})
@@ -145,22 +145,22 @@
 			}
 			command := workerclient.StartCommand{Task: job.TaskID{Job: id}, AttemptNumber: 1}
 			w.scheduler.HandleStartResult(w.clock(), &workerclient.StartResult{Worker: unhealthy, Command: command, Outcome: workerclient.RejectedUnhealthy, At: w.clock().Monotonic})
-			waiting := explain(w, id)
+			waiting := explainOnlyWaitingStage(w, id)
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonBackoff)
-			So(excludedBy(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
-			So(excludedBy(waiting, jobreport.CauseBackoff), ShouldEqual, 1)
+			So(excludedWorkers(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
+			So(excludedWorkers(waiting, jobreport.CauseBackoff), ShouldEqual, 1)
 			resting, _ := w.scheduler.Worker(w.clock(), unhealthy)
 			So(resting.State, ShouldEqual, jobreport.WorkerBackoff)
 		})
 		Convey("an unknown job has no explanation, and one that has ended waits for nothing", func() {
-			_, known := w.scheduler.Why(w.clock(), "ffffffffffffffff")
+			_, known := w.scheduler.Explain(w.clock(), "ffffffffffffffff")
 			So(known, ShouldBeFalse)
 			id := w.submitStages(1, smallStage(1))
 			w.scheduler.Cancel(w.clock(), id)
-			why, known := w.scheduler.Why(w.clock(), id)
+			why, known := w.scheduler.Explain(w.clock(), id)
 			So(known, ShouldBeTrue)
 			So(why.State, ShouldEqual, job.Cancelled)
-			So(why.Waiting, ShouldBeEmpty)
+			So(why.WaitingStages, ShouldBeEmpty)
 		})
 	})
 	Convey("Before a worker has confirmed the fencing token it takes no start", t, func() {
@@ -168,8 +168,8 @@
 		for _, worker := range w.workers {
 			w.scheduler.SetReachable(w.clock(), worker.ID, true)
 		}
-		waiting := explain(w, w.submitStages(1, smallStage(1)))
-		So(excludedBy(waiting, jobreport.CauseNotFenced), ShouldEqual, 2)
+		waiting := explainOnlyWaitingStage(w, w.submitStages(1, smallStage(1)))
+		So(excludedWorkers(waiting, jobreport.CauseNotFenced), ShouldEqual, 2)
 	})
 }
 
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -46,11 +46,11 @@
 func (s *Scheduler) KnowsWorker(id workerclient.WorkerID) bool { return s.workers[id] != nil }
 
 // WasRemoved tells whether a worker's incarnation is known to be over, although the platform may still list it.
-func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.removed[id] }
+func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.removedWorkers[id] }
 
 // updateInstance takes what the platform lists of one worker.
 func (s *Scheduler) updateInstance(now Now, instance *workerclient.Instance) {
-	if s.removed[instance.ID] {
+	if s.removedWorkers[instance.ID] {
 		return
 	}
 	worker := s.workers[instance.ID]
@@ -81,7 +81,7 @@
 		return
 	}
 	s.endAllAttempts(now, worker)
-	s.removed[id] = true
+	s.removedWorkers[id] = true
 	s.forgetLatency(worker)
 	delete(s.workers, id)
 	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == worker })
@@ -94,7 +94,7 @@
 func (s *Scheduler) drainWorker(now Now, worker *workerState) {
 	remainingMS := float64(worker.RemainingMS)
 	if worker.RemainingMS == 0 {
-		remainingMS = float64(s.settings.DrainTime.Milliseconds())
+		remainingMS = float64(s.settings.MinDrainDuration.Milliseconds())
 	}
 	for _, attempt := range worker.sortedAttempts() {
 		if attempt.task.stage.LongRunning || s.remainingMS(now, attempt) > remainingMS {
--- a/internal/jobs/scheduler/jobs.go
+++ b/internal/jobs/scheduler/jobs.go
@@ -5,7 +5,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// Submit adds a job. It is idempotent: an ID that is known, also of an ended job, changes nothing.
+// Submit adds a job. It is idempotent: submitting an ID that is already known, even that of an ended job, has no effect.
 func (s *Scheduler) Submit(now Now, request *jobapi.Submit) {
 	if s.isKnown(request.ID) {
 		return
@@ -18,7 +18,7 @@
 	s.dispatchNeeded = true
 }
 
-// Status is a job's state, and whether the job is known.
+// Status returns a job's state and reports whether the job is known.
 func (s *Scheduler) Status(id job.ID) (job.State, bool) {
 	if j, active := s.jobs[id]; active {
 		if j.started {
@@ -26,27 +26,27 @@
 		}
 		return job.Queued, true
 	}
-	record, known := s.ended[id]
+	record, known := s.endedJobs[id]
 	return record.State, known
 }
 
-// Cancel ends a job, and tells whether the job is known. One that had ended before keeps its state.
+// Cancel ends a job and reports whether the job is known. A job that has already ended keeps its state.
 func (s *Scheduler) Cancel(now Now, id job.ID) bool {
 	if j, active := s.jobs[id]; active {
 		s.endJob(now, j, job.Cancelled)
 		s.dispatchNeeded = true
 		return true
 	}
-	_, known := s.ended[id]
+	_, known := s.endedJobs[id]
 	return known
 }
 
-// Pending counts a route's jobs that have not ended.
-func (s *Scheduler) Pending(route string) int { return s.pendingByRoute[route] }
+// PendingJobs returns the number of a route's jobs that have not ended.
+func (s *Scheduler) PendingJobs(route string) int { return s.pendingByRoute[route] }
 
 func (s *Scheduler) isKnown(id job.ID) bool {
 	_, active := s.jobs[id]
-	_, ended := s.ended[id]
+	_, ended := s.endedJobs[id]
 	return active || ended
 }
 
@@ -55,7 +55,8 @@
 	s.pendingByRoute[j.Queue.Route]++
 }
 
-// endJob ends a job for good: it stops the job's attempts and replaces its records by that of its final state.
+// endJob ends a job permanently. It stops the job's attempts and replaces the job's records by a record of its final
+// state.
 func (s *Scheduler) endJob(now Now, j *jobState, state job.State) {
 	j.ended = true
 	s.unscheduleRepetition(j)
@@ -73,14 +74,15 @@
 	record := endedRecord{State: state, EndedMS: now.WallMS}
 	s.writeRecord(endedKey(j.id), record)
 	record.endedAt = now.Monotonic
-	s.ended[j.id] = record
+	s.endedJobs[j.id] = record
 	delete(s.jobs, j.id)
 	if s.pendingByRoute[j.Queue.Route]--; s.pendingByRoute[j.Queue.Route] <= 0 {
 		delete(s.pendingByRoute, j.Queue.Route)
 	}
 }
 
-// abandonStage dequeues a stage's waiting tasks and stops the attempts of those that are not done.
+// abandonStage dequeues a stage's waiting tasks and stops its attempts. Attempts of completed gang members are not
+// stopped, because the members of a gang end together.
 func (s *Scheduler) abandonStage(stage *stageState) {
 	for len(stage.waiting) > 0 {
 		s.dequeue(stage.waiting[0])
@@ -94,16 +96,17 @@
 	}
 }
 
-// pruneEndedJobs forgets jobs that ended longer than StatusRetention ago. The time of day, which may be set, counts only
-// together with the monotonic clock: a job that is forgotten too early would run once more if it were submitted again.
+// pruneEndedJobs removes jobs that ended longer than StatusRetention ago. The wall clock alone is not sufficient, because
+// it may be set. The monotonic clock must confirm that the retention time has passed: a job that is removed too early
+// would run a second time if a client submitted it again.
 func (s *Scheduler) pruneEndedJobs(now Now) {
 	oldestMS := now.WallMS - s.settings.StatusRetention.Milliseconds()
-	for id, record := range s.ended {
+	for id, record := range s.endedJobs {
 		if now.Monotonic.Sub(record.endedAt) < s.settings.StatusRetention {
 			continue
 		}
 		if record.EndedMS < oldestMS || record.EndedMS > now.WallMS {
-			delete(s.ended, id)
+			delete(s.endedJobs, id)
 			s.eraseRecord(endedKey(id))
 		}
 	}
--- a/internal/jobs/scheduler/locality.go
+++ b/internal/jobs/scheduler/locality.go
@@ -14,7 +14,7 @@
 // localityWait is how long tasks wait for capacity near their data rather than start elsewhere (delay scheduling): a share
 // of the time that starting elsewhere would cost.
 func (s *Scheduler) localityWait(stage *stageState) time.Duration {
-	extra := (max(1, s.settings.RemoteFactor) - 1) * float64(stage.EstimatedDurationMS)
+	extra := (max(1, s.settings.RemoteSlowdown) - 1) * float64(stage.EstimatedDurationMS)
 	return min(maxLocalityWait, time.Duration(localityWaitShare*extra)*time.Millisecond)
 }
 
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -9,51 +9,53 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// operatorDrainPrefix is the prefix of the durable records of workers that operators have drained or undrained:
+// operatorDrainPrefix is the key prefix of the durable records of workers that operators have drained or undrained:
 //
-//	d/Worker  operatorDrainRecord
+//	d/WORKER  operatorDrainRecord
 const operatorDrainPrefix = "d/"
 
-// operatorDrainRecord says whether an operator drains a worker, and which changes were taken before. It stays after the end
-// of a drain, for as long as the worker's incarnation: a change that arrives late is recognized by its base version.
+// operatorDrainRecord stores whether an operator drains a worker, and the history of applied changes. The record is kept
+// after the end of a drain, until the worker's incarnation ends. This makes it possible to recognize a delayed change by
+// its base version.
 type operatorDrainRecord struct {
-	SinceMS int64  `msgpack:"t"` // of the newest change, milliseconds since 1970
-	Version uint64 `msgpack:"v"` // the number of changes that were taken
-	// History has a bit for each of the newest versions, the lowest for the newest one: whether the worker was drained then.
+	SinceMS int64  `msgpack:"t"` // time of the newest change, milliseconds since 1970
+	Version uint64 `msgpack:"v"` // number of changes that were applied
+	// History has one bit for each of the newest versions, which is set if the worker was drained in that version. The lowest
+	// bit stands for the newest version.
 	History uint64 `msgpack:"h"`
 }
 
-// drainHistory is the number of versions that a record remembers.
-const drainHistory = 64
+// drainHistoryLength is the number of versions in an operatorDrainRecord's history: one for each bit of History.
+const drainHistoryLength = 64
 
 func (r operatorDrainRecord) draining() bool { return r.History&1 == 1 }
 
-// next is the record after a further change.
-func (r operatorDrainRecord) next(now Now, draining bool) operatorDrainRecord {
-	after := operatorDrainRecord{SinceMS: now.WallMS, Version: r.Version + 1, History: r.History << 1}
+// afterChange returns the record that results from a further change.
+func (r operatorDrainRecord) afterChange(now Now, draining bool) operatorDrainRecord {
+	changed := operatorDrainRecord{SinceMS: now.WallMS, Version: r.Version + 1, History: r.History << 1}
 	if draining {
-		after.History |= 1
+		changed.History |= 1
 	}
-	return after
+	return changed
 }
 
-// outcomeOf tells what a change on top of a base version comes to. What was taken stays taken: the change that made version
-// N+1 is one that requested, on top of N, what N+1 is.
+// outcomeOf returns the outcome of a change that is based on some version. A repeated request has the same outcome as the
+// first one: if version N+1 is in the state that a change based on version N requests, the change counts as applied.
 func (r operatorDrainRecord) outcomeOf(change DrainChange) jobreport.DrainOutcome {
 	if change.BaseVersion == r.Version {
-		return jobreport.DrainTaken
+		return jobreport.DrainApplied
 	}
-	newerVersions := r.Version - change.BaseVersion - 1 // versions after the one made on top of the base version
+	newerVersions := r.Version - change.BaseVersion - 1 // number of versions after BaseVersion+1
 	switch {
-	case change.BaseVersion > r.Version || newerVersions >= drainHistory:
-		return jobreport.DrainUnclear
+	case change.BaseVersion > r.Version || newerVersions >= drainHistoryLength:
+		return jobreport.DrainIndeterminate
 	case (r.History>>newerVersions&1 == 1) == change.Draining:
-		return jobreport.DrainTaken
+		return jobreport.DrainApplied
 	}
 	return jobreport.DrainSuperseded
 }
 
-// DrainChange is an operator's request to drain a worker, or to end that, on top of the version that the operator has read.
+// DrainChange is an operator's request to drain or undrain a worker, based on the drain version that the operator has read.
 type DrainChange struct {
 	Draining    bool
 	BaseVersion uint64
@@ -62,16 +64,16 @@
 // operatorDrain is a worker that an operator has drained or undrained.
 type operatorDrain struct {
 	operatorDrainRecord
-	missedInventories int // complete lists in a row while the worker is not known
+	missedInventories int // number of consecutive complete inventories during which the worker is not known
 }
 
 func operatorDrainKey(id workerclient.WorkerID) string { return operatorDrainPrefix + string(id) }
 
-// SetOperatorDrain drains a worker, which then gets no new starts, or ends that; attempts under way go on. It tells whether
-// the worker is known, which is the case also for one that was drained under an earlier leadership and has not been listed
-// yet. It is idempotent.
+// SetOperatorDrain drains or undrains a worker. A drained worker gets no new starts, but its attempts under way continue.
+// SetOperatorDrain is idempotent. It reports whether the worker is known. A worker that was drained or undrained during an
+// earlier leadership is known even if no inventory has listed it yet.
 func (s *Scheduler) SetOperatorDrain(now Now, id workerclient.WorkerID, draining bool) bool {
-	if !s.mayDrain(id) {
+	if !s.canDrain(id) {
 		return false
 	}
 	if draining != s.operatorDrains.isDraining(id) {
@@ -80,10 +82,11 @@
 	return true
 }
 
-// ChangeOperatorDrain does the same on top of a version, so that a change that arrives late does not undo a newer one.
+// ChangeOperatorDrain drains or undrains a worker if the change is based on the current version. A delayed change therefore
+// does not undo a newer one.
 func (s *Scheduler) ChangeOperatorDrain(now Now, id workerclient.WorkerID, change DrainChange) jobreport.DrainOutcome {
-	if !s.mayDrain(id) {
-		return jobreport.DrainUnknown
+	if !s.canDrain(id) {
+		return jobreport.DrainWorkerUnknown
 	}
 	record := s.operatorDrains.record(id)
 	outcome := record.outcomeOf(change)
@@ -93,15 +96,15 @@
 	return outcome
 }
 
-// mayDrain tells whether an operator may drain or undrain a worker.
-func (s *Scheduler) mayDrain(id workerclient.WorkerID) bool {
+// canDrain reports whether a worker is known, so that an operator can drain or undrain it.
+func (s *Scheduler) canDrain(id workerclient.WorkerID) bool {
 	return s.workers[id] != nil || s.operatorDrains[id] != nil
 }
 
-// applyDrain records a change and rebinds tasks accordingly.
+// applyDrain records a change as a new version. If it changes the worker's state, waiting tasks are bound anew.
 func (s *Scheduler) applyDrain(now Now, id workerclient.WorkerID, draining bool) {
 	previous := s.operatorDrains.record(id)
-	record := previous.next(now, draining)
+	record := previous.afterChange(now, draining)
 	s.operatorDrains[id] = &operatorDrain{operatorDrainRecord: record}
 	s.writeRecord(operatorDrainKey(id), record)
 	switch {
@@ -115,23 +118,23 @@
 	s.dispatchNeeded = true
 }
 
-// DrainVersion is the number of operators' changes to a worker's drain that were taken in its incarnation.
+// DrainVersion returns the number of operators' changes to a worker's drain that were applied during its incarnation.
 func (s *Scheduler) DrainVersion(id workerclient.WorkerID) uint64 {
 	return s.operatorDrains.record(id).Version
 }
 
-// IsOperatorDraining tells whether an operator drains a worker.
+// IsOperatorDraining reports whether an operator drains a worker.
 func (s *Scheduler) IsOperatorDraining(id workerclient.WorkerID) bool {
 	return s.operatorDrains.isDraining(id)
 }
 
-// operatorDrains are the workers that operators have drained or undrained.
+// operatorDrains contains the workers that operators have drained or undrained, by ID.
 type operatorDrains map[workerclient.WorkerID]*operatorDrain
 
-// isDraining tells whether an operator drains a worker.
+// isDraining reports whether an operator drains a worker.
 func (d operatorDrains) isDraining(id workerclient.WorkerID) bool { return d.record(id).draining() }
 
-// record is a worker's record; the zero value if no operator has ever drained it.
+// record returns a worker's record, or the zero value if no operator has ever drained or undrained the worker.
 func (d operatorDrains) record(id workerclient.WorkerID) operatorDrainRecord {
 	if drain := d[id]; drain != nil {
 		return drain.operatorDrainRecord
@@ -139,12 +142,13 @@
 	return operatorDrainRecord{}
 }
 
-func (s *Scheduler) forgetOperatorDrain(id workerclient.WorkerID) {
+func (s *Scheduler) deleteOperatorDrain(id workerclient.WorkerID) {
 	delete(s.operatorDrains, id)
 	s.eraseRecord(operatorDrainKey(id))
 }
 
-// pruneOperatorDrains forgets the records of workers whose incarnations are over. It is called after each complete list.
+// pruneOperatorDrains erases the records of workers whose incarnations have ended. It is called after each complete
+// inventory.
 func (s *Scheduler) pruneOperatorDrains() {
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		drain := s.operatorDrains[id]
@@ -154,12 +158,12 @@
 		}
 		drain.missedInventories++
 		if s.WasRemoved(id) || drain.missedInventories >= maxMissedInventories {
-			s.forgetOperatorDrain(id)
+			s.deleteOperatorDrain(id)
 		}
 	}
 }
 
-// restoreOperatorDrains reads the durable records; the error is ErrCorruptState.
+// restoreOperatorDrains decodes the durable records of drains. Its error wraps ErrCorruptState.
 func restoreOperatorDrains(state map[string][]byte) (operatorDrains, error) {
 	drains := operatorDrains{}
 	for key, value := range state {
@@ -171,7 +175,7 @@
 		if err := decodeRecord(key, value, &drain.operatorDrainRecord); err != nil {
 			return nil, err
 		}
-		if drain.Version == 0 { // written by a release whose records were drains alone
+		if drain.Version == 0 { // written by a release without versions, in which a record always meant a drain in force
 			drain.operatorDrainRecord = operatorDrainRecord{SinceMS: drain.SinceMS, Version: 1, History: 1}
 		}
 		drains[workerclient.WorkerID(id)] = drain
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -14,10 +14,10 @@
 func TestRepeatedOperatorDrainUnderASuccessor(t *testing.T) {
 	Convey("Given a drain that was taken, and a successor that has not seen the worker yet", t, func() {
 		w := newSimulation(1, 3)
-		w.steps(20)
+		w.runSteps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 		w.propose()
-		w.steps(5)
+		w.runSteps(5)
 		successor, err := New(w.scheduler.settings, w.clock(), w.durable)
 		So(err, ShouldBeNil)
 		So(successor.KnowsWorker("s00"), ShouldBeFalse)
@@ -50,7 +50,7 @@
 func TestLateDrainWithoutAVersion(t *testing.T) {
 	Convey("A drain without a version arrives once more after the change that ended it", t, func() {
 		w := newSimulation(1, 3)
-		w.steps(20)
+		w.runSteps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
@@ -64,38 +64,38 @@
 	undrain := func(version uint64) DrainChange { return DrainChange{BaseVersion: version} }
 	Convey("Given a worker that was never drained", t, func() {
 		w := newSimulation(1, 3)
-		w.steps(20)
+		w.runSteps(20)
 		order := func(change DrainChange) jobreport.DrainOutcome {
 			return w.scheduler.ChangeOperatorDrain(w.clock(), "s00", change)
 		}
 
 		Convey("a drain that arrives after the change that ended it changes nothing", func() {
-			So(order(undrain(0)), ShouldEqual, jobreport.DrainTaken) // the operator gave up the drain, which is still on its way
+			So(order(undrain(0)), ShouldEqual, jobreport.DrainApplied) // the operator gave up the drain, which is still on its way
 			So(order(drain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
 		Convey("a change that was taken is confirmed again, also after later ones", func() {
-			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
-			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
+			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
+			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 1)
-			So(order(undrain(1)), ShouldEqual, jobreport.DrainTaken)
-			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
+			So(order(undrain(1)), ShouldEqual, jobreport.DrainApplied)
+			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 2)
 		})
 		Convey("one of two changes on top of one version is taken", func() {
-			So(order(drain(0)), ShouldEqual, jobreport.DrainTaken)
+			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeTrue)
 		})
 		Convey("the outcome of a change on top of a version that is not in force, or is forgotten, is unclear", func() {
-			So(order(drain(1)), ShouldEqual, jobreport.DrainUnclear)
-			So(order(undrain(math.MaxUint64)), ShouldEqual, jobreport.DrainUnclear)
-			for version := range uint64(drainHistory + 1) {
-				So(order(DrainChange{Draining: version%3 == 0, BaseVersion: version}), ShouldEqual, jobreport.DrainTaken)
+			So(order(drain(1)), ShouldEqual, jobreport.DrainIndeterminate)
+			So(order(undrain(math.MaxUint64)), ShouldEqual, jobreport.DrainIndeterminate)
+			for version := range uint64(drainHistoryLength + 1) {
+				So(order(DrainChange{Draining: version%3 == 0, BaseVersion: version}), ShouldEqual, jobreport.DrainApplied)
 			}
-			So(order(drain(0)), ShouldEqual, jobreport.DrainUnclear)
-			So(order(undrain(1)), ShouldEqual, jobreport.DrainTaken)
+			So(order(drain(0)), ShouldEqual, jobreport.DrainIndeterminate)
+			So(order(undrain(1)), ShouldEqual, jobreport.DrainApplied)
 			So(order(drain(1)), ShouldEqual, jobreport.DrainSuperseded)
 		})
 		Convey("a change without a version makes a new one, where it changes something", func() {
@@ -105,17 +105,17 @@
 			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 		})
 		Convey("an unknown worker is reported as such", func() {
-			So(w.scheduler.ChangeOperatorDrain(w.clock(), "nobody", drain(0)), ShouldEqual, jobreport.DrainUnknown)
+			So(w.scheduler.ChangeOperatorDrain(w.clock(), "nobody", drain(0)), ShouldEqual, jobreport.DrainWorkerUnknown)
 		})
 		Convey("a successor has the same versions", func() {
 			order(drain(0))
 			order(undrain(1))
 			w.propose()
-			w.steps(5)
+			w.runSteps(5)
 			successor, err := New(w.scheduler.settings, w.clock(), w.durable)
 			So(err, ShouldBeNil)
 			So(successor.DrainVersion("s00"), ShouldEqual, 2)
-			So(successor.ChangeOperatorDrain(w.clock(), "s00", drain(0)), ShouldEqual, jobreport.DrainTaken)
+			So(successor.ChangeOperatorDrain(w.clock(), "s00", drain(0)), ShouldEqual, jobreport.DrainApplied)
 			So(successor.ChangeOperatorDrain(w.clock(), "s00", undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(successor.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
@@ -134,7 +134,7 @@
 }
 
 // countRunning counts the attempts that run on one worker and on all.
-func countRunning(w *simulation, id workerclient.WorkerID) (running, all int) {
+func countRunningAttempts(w *simulation, id workerclient.WorkerID) (running, all int) {
 	for _, worker := range w.workers {
 		all += len(worker.running)
 		if worker.ID == id {
@@ -147,17 +147,17 @@
 func TestOperatorDrain(t *testing.T) {
 	Convey("Given workers, of which an operator drains one", t, func() {
 		w := newSimulation(1, 3)
-		w.steps(20)
+		w.runSteps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 		w.propose()
-		w.steps(5)
+		w.runSteps(5)
 		stage := smallStage(6)
 		stage.LongRunning = true
 
 		Convey("it gets no starts, and the others do", func() {
 			w.submitStages(1, stage)
-			w.steps(50)
-			running, all := countRunning(w, "s00")
+			w.runSteps(50)
+			running, all := countRunningAttempts(w, "s00")
 			So(running, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 			report, _ := w.scheduler.Worker(w.clock(), "s00")
@@ -165,25 +165,25 @@
 		})
 		Convey("a successor keeps the drain", func() {
 			w.elect()
-			w.steps(20)
+			w.runSteps(20)
 			w.submitStages(1, stage)
-			w.steps(50)
-			running, all := countRunning(w, "s00")
+			w.runSteps(50)
+			running, all := countRunningAttempts(w, "s00")
 			So(running, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
 		Convey("once it is ended the worker gets starts again, also under a successor", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 			w.propose()
-			w.steps(5)
+			w.runSteps(5)
 			var record operatorDrainRecord // it stays for changes that arrive late
 			So(decodeRecord("", w.durable[operatorDrainKey("s00")], &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
 			w.elect()
-			w.steps(20)
+			w.runSteps(20)
 			w.submitStages(1, stage)
-			w.steps(50)
-			running, _ := countRunning(w, "s00")
+			w.runSteps(50)
+			running, _ := countRunningAttempts(w, "s00")
 			So(running, ShouldBeGreaterThan, 0)
 		})
 		Convey("tasks that were bound to it are bound to others", func() {
@@ -207,20 +207,20 @@
 		Convey("the record is erased with the worker's incarnation", func() {
 			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
 			w.crash(w.workers[0], "s00+")
-			w.steps(100)
+			w.runSteps(100)
 			w.sendInventory()
-			w.steps(5)
+			w.runSteps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
 		Convey("so is that of a drain that was ended", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 			w.propose()
-			w.steps(5)
+			w.runSteps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
 			w.crash(w.workers[0], "s00+")
-			w.steps(100)
+			w.runSteps(100)
 			w.sendInventory()
-			w.steps(5)
+			w.runSteps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
 		Convey("and also where the incarnation ended while there was no leader", func() {
@@ -229,17 +229,17 @@
 			for range maxMissedInventories {
 				w.sendInventory()
 			}
-			w.steps(5)
+			w.runSteps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
 		Convey("attempts under way go on", func() {
 			w.submitStages(1, stage)
-			w.steps(50)
+			w.runSteps(50)
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
 			w.propose()
-			before, _ := countRunning(w, "s01")
-			w.steps(100)
-			after, _ := countRunning(w, "s01")
+			before, _ := countRunningAttempts(w, "s01")
+			w.runSteps(100)
+			after, _ := countRunningAttempts(w, "s01")
 			So(after, ShouldEqual, before)
 			So(before, ShouldBeGreaterThan, 0)
 		})
--- a/internal/jobs/scheduler/operatorreports_test.go
+++ b/internal/jobs/scheduler/operatorreports_test.go
@@ -12,11 +12,11 @@
 func TestReports(t *testing.T) {
 	Convey("Given a job with a stage done, one running and one blocked", t, func() {
 		w := newSimulation(1, 3)
-		w.steps(20)
+		w.runSteps(20)
 		second, third := smallStage(2), smallStage(1)
 		second.DependsOn, second.LongRunning, third.DependsOn = []int{0}, true, []int{1}
 		id := w.submitStages(1, smallStage(1), second, third)
-		w.steps(150)
+		w.runSteps(150)
 
 		Convey("the job's report counts its tasks and lists its attempts", func() {
 			report, known := w.scheduler.Job(w.clock(), id)
@@ -82,8 +82,8 @@
 		report, _ := w.scheduler.Job(w.clock(), id)
 		So(len(report.Stages), ShouldEqual, maxReportDetails)
 		So(report.Truncated, ShouldBeTrue)
-		why, _ := w.scheduler.Why(w.clock(), id)
-		So(len(why.Waiting), ShouldEqual, maxExplainedStages)
+		why, _ := w.scheduler.Explain(w.clock(), id)
+		So(len(why.WaitingStages), ShouldEqual, maxExplainedStages)
 		So(why.Truncated, ShouldBeTrue)
 	})
 }
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -146,12 +146,12 @@
 	}
 	Convey("Where each task fits at the worker that it is bound to, the others are not listed", t, func() {
 		submit(1, 60)
-		So(s.openCached, ShouldBeFalse)
+		So(s.openWorkersCached, ShouldBeFalse)
 		So(s.waitingStages[0].waiting, ShouldBeEmpty)
 		Convey("and otherwise any that takes starts is found, or none", func() {
 			submit(2, 1)
-			So(s.openCached, ShouldBeTrue)
-			So(s.openCache, ShouldHaveLength, 30)
+			So(s.openWorkersCached, ShouldBeTrue)
+			So(s.openWorkersCache, ShouldHaveLength, 30)
 			freed := s.sortedWorkers[7]
 			s.endAllAttempts(now, freed) // its two tasks wait again, bound to any worker
 			s.Dispatch(now)
--- a/internal/jobs/scheduler/reachability.go
+++ b/internal/jobs/scheduler/reachability.go
@@ -25,10 +25,10 @@
 
 // releaseTask lets the task of an unreachable attempt start elsewhere at once, if its stage allows copies side by side.
 func (s *Scheduler) releaseTask(now Now, attempt *attemptState) {
-	if !attempt.task.stage.AtLeastOnce || attempt.released || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
+	if !attempt.task.stage.AtLeastOnce || attempt.taskReleased || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
 		return
 	}
-	attempt.released = true
+	attempt.taskReleased = true
 	s.retry(now, attempt.task, attempt.number)
 }
 
--- a/internal/jobs/scheduler/records.go
+++ b/internal/jobs/scheduler/records.go
@@ -15,13 +15,13 @@
 
 // Durable records, by key:
 //
-//	j/ID          jobRecord         a job that has not ended
-//	t/ID/K.S.I    taskRecord        a task that was assigned at least once
-//	k/ID/K        repetitionRecord  a repetition that is complete; its tasks' records are erased
-//	e/ID          endedRecord       a job that has ended; its other records are erased
+//	j/ID          jobRecord            a job that has not ended
+//	t/ID/K.S.I    taskRecord           a task that was assigned at least once
+//	k/ID/K        repetitionRecord     a complete repetition; the records of its tasks are erased
+//	e/ID          endedRecord          a job that has ended; its other records are erased
 //	d/WORKER      operatorDrainRecord  see operatordrain.go
 //
-// ID is a job's, K.S.I a task's repetition, stage and index.
+// ID is the ID of a job. K, S and I are the repetition, stage and index of a task.
 const (
 	jobPrefix        = "j/"
 	taskPrefix       = "t/"
@@ -32,14 +32,14 @@
 type jobRecord struct {
 	Queue         jobapi.Queue      `msgpack:"q"`
 	Specification job.Specification `msgpack:"s"`
-	Arrival       uint64            `msgpack:"a"` // position in the order of arrival
+	Arrival       uint64            `msgpack:"a"` // arrival number: position in the order of submission
 	ArrivedMS     int64             `msgpack:"w"` // when it was submitted, milliseconds since 1970
 }
 
 type taskRecord struct {
-	AttemptNumber  uint64                `msgpack:"x"`           // the highest that was ever assigned
-	Worker         workerclient.WorkerID `msgpack:"s,omitempty"` // where that attempt was assigned; empty once it has ended
-	FailedAttempts []uint64              `msgpack:"f,omitempty"` // numbers of the attempts that ended failed, each once
+	AttemptNumber  uint64                `msgpack:"x"`           // highest attempt number that was ever assigned
+	Worker         workerclient.WorkerID `msgpack:"s,omitempty"` // worker of that attempt; empty once the attempt has ended
+	FailedAttempts []uint64              `msgpack:"f,omitempty"` // attempt numbers that ended as failed, without duplicates
 	Checkpoint     string                `msgpack:"c,omitempty"`
 	Done           bool                  `msgpack:"d,omitempty"`
 }
@@ -51,7 +51,7 @@
 type endedRecord struct {
 	State   job.State `msgpack:"s"`
 	EndedMS int64     `msgpack:"t"` // milliseconds since 1970
-	endedAt time.Time // on the monotonic clock: when this leadership ended the job, or began if that was later; not stored
+	endedAt time.Time // monotonic time at which this leadership ended the job, or began if the job had ended before; not stored
 }
 
 func jobKey(id job.ID) string   { return jobPrefix + string(id) }
@@ -63,21 +63,21 @@
 	return fmt.Sprintf("%s%s/%d", repetitionPrefix, id, repetition)
 }
 
-// writeRecord gathers a record to be made durable.
+// writeRecord adds a record to the entries to be made durable.
 func (s *Scheduler) writeRecord(key string, record any) {
 	value, err := msgpack.Marshal(record)
 	if err != nil {
-		panic(fmt.Sprintf("encode %T: %v", record, err)) // the record types above always encode
+		panic(fmt.Sprintf("encode %T: %v", record, err)) // encoding the record types above never fails
 	}
 	s.effects.Entries = append(s.effects.Entries, replication.Entry{Key: key, Value: value})
 }
 
-// eraseRecord gathers the removal of a record.
+// eraseRecord adds the removal of a record to the entries to be made durable.
 func (s *Scheduler) eraseRecord(key string) {
 	s.effects.Entries = append(s.effects.Entries, replication.Entry{Key: key})
 }
 
-// writeTaskRecord gathers a task's record as it is now.
+// writeTaskRecord writes a task's record with its current state.
 func (s *Scheduler) writeTaskRecord(task *taskState) {
 	record := taskRecord{AttemptNumber: task.attemptNumber, FailedAttempts: task.failedAttempts, Checkpoint: task.checkpoint, Done: task.done}
 	for _, attempt := range task.attempts {
@@ -89,8 +89,9 @@
 	s.writeRecord(taskKey(task.id), record)
 }
 
-// EndedJob tells whether an entry records the end of a job, and if so of which job and with which state.
-func EndedJob(entry *replication.Entry) (id job.ID, state job.State, ended bool) {
+// DecodeEndedJob reports whether an entry records the end of a job. If it does, DecodeEndedJob returns the job's ID and
+// final state.
+func DecodeEndedJob(entry *replication.Entry) (id job.ID, state job.State, ended bool) {
 	text, found := strings.CutPrefix(entry.Key, endedPrefix)
 	if !found || entry.Value == nil {
 		return "", "", false
--- a/internal/jobs/scheduler/repetitions.go
+++ b/internal/jobs/scheduler/repetitions.go
@@ -7,10 +7,11 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// dueJobs lists the jobs with a repetition that is due, in order of arrival, so that the same events give the same effects.
+// dueJobs returns the jobs with a due repetition. They are sorted by arrival, so that the same events produce the same
+// effects.
 func (s *Scheduler) dueJobs(now Now) []*jobState {
 	var due []*jobState
-	for j := range s.scheduled {
+	for j := range s.jobsAwaitingRepetition {
 		if j.nextDueMS <= now.WallMS {
 			due = append(due, j)
 		}
@@ -19,13 +20,14 @@
 	return due
 }
 
-// NextDueMS is the earliest time (milliseconds since 1970) at which a scheduled repetition begins; 0 when none waits.
+// NextDueMS returns the earliest due time of the repetitions that have not begun, in milliseconds since 1970. It returns 0
+// if there is none.
 func (s *Scheduler) NextDueMS() int64 {
 	if !s.nextDueStale {
 		return s.nextDueMS
 	}
 	s.nextDueMS, s.nextDueStale = 0, false
-	for j := range s.scheduled {
+	for j := range s.jobsAwaitingRepetition {
 		if s.nextDueMS == 0 || j.nextDueMS < s.nextDueMS {
 			s.nextDueMS = j.nextDueMS
 		}
@@ -36,14 +38,14 @@
 // scheduleRepetition sets when a job's next repetition begins.
 func (s *Scheduler) scheduleRepetition(j *jobState, dueMS int64) {
 	j.nextDueMS = dueMS
-	s.scheduled[j] = true
+	s.jobsAwaitingRepetition[j] = true
 	s.nextDueStale = true
 }
 
-// unscheduleRepetition takes a job off those with a repetition to begin.
+// unscheduleRepetition removes a job from the jobs that await a repetition.
 func (s *Scheduler) unscheduleRepetition(j *jobState) {
-	if s.scheduled[j] {
-		delete(s.scheduled, j)
+	if s.jobsAwaitingRepetition[j] {
+		delete(s.jobsAwaitingRepetition, j)
 		s.nextDueStale = true
 	}
 }
@@ -74,10 +76,10 @@
 	return repetition
 }
 
-// beginReadyStages queues the tasks of each stage that has not begun and all of whose dependencies are complete.
+// beginReadyStages queues the tasks of each stage that has not begun and whose dependencies are all complete.
 func (s *Scheduler) beginReadyStages(now Now, repetition *repetitionState) {
 	for _, stage := range repetition.stages {
-		if stage.tasks != nil || !repetition.areComplete(stage.DependsOn) {
+		if stage.tasks != nil || !repetition.stagesComplete(stage.DependsOn) {
 			continue
 		}
 		stage.createTasks()
@@ -90,7 +92,7 @@
 	}
 }
 
-func (repetition *repetitionState) areComplete(stages []int) bool {
+func (repetition *repetitionState) stagesComplete(stages []int) bool {
 	for _, number := range stages {
 		if repetition.stages[number].incompleteTasks > 0 {
 			return false
@@ -107,7 +109,8 @@
 	}
 }
 
-// completeRepetition ends the job with its last repetition, or replaces the records of the repetition's tasks by one.
+// completeRepetition marks a repetition as complete. If it is the last one, the job ends. Otherwise a single record
+// replaces the records of the repetition's tasks.
 func (s *Scheduler) completeRepetition(now Now, j *jobState, repetition *repetitionState) {
 	j.incompleteRepetitions--
 	if j.incompleteRepetitions == 0 {
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -13,12 +13,12 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// ErrCorruptState is returned where a durable record cannot be read, or contradicts the others.
-var ErrCorruptState = errors.New("corrupt state of jobs")
+// ErrCorruptState is returned if a durable record cannot be decoded or contradicts other records.
+var ErrCorruptState = errors.New("corrupt job state")
 
-// restore rebuilds the state from its durable records: first the jobs, then which of their repetitions are complete, then
-// the tasks that were ever assigned. What those records do not name waits for a start. Each attempt that a record names
-// counts as under way, under an earlier leadership, until a report or the end of all leases says otherwise.
+// restore rebuilds the state from the durable records: first the jobs, then their complete repetitions, then the tasks
+// that were assigned at least once. Tasks without a record wait for a start. An attempt that a record names counts as
+// under way and inherited from an earlier leadership, until a report or the expiry of all leases shows that it has ended.
 func (s *Scheduler) restore(now Now, state map[string][]byte) error {
 	if err := s.restoreJobs(now, state); err != nil {
 		return err
@@ -49,13 +49,13 @@
 				return err
 			}
 			record.endedAt = now.Monotonic
-			s.ended[job.ID(key[len(endedPrefix):])] = record
+			s.endedJobs[job.ID(key[len(endedPrefix):])] = record
 		}
 	}
 	return nil
 }
 
-// readCompleteRepetitions lists the numbers of each job's complete repetitions.
+// readCompleteRepetitions returns the numbers of each job's complete repetitions.
 func readCompleteRepetitions(state map[string][]byte) (map[job.ID][]int, error) {
 	complete := map[job.ID][]int{}
 	for key := range state {
@@ -72,7 +72,7 @@
 	return complete, nil
 }
 
-// jobsByArrival lists the jobs that have not ended in their order of arrival.
+// jobsByArrival returns the jobs that have not ended, in order of arrival.
 func (s *Scheduler) jobsByArrival() []*jobState {
 	var jobs []*jobState
 	for _, j := range s.jobs {
@@ -82,8 +82,8 @@
 	return jobs
 }
 
-// restoreRepetitions makes the repetitions of a job up to the last complete one, and those that are due. A job with a complete one has
-// started, also where the records of its tasks are erased and the next repetition is not due yet.
+// restoreRepetitions creates a job's repetitions up to the last complete one, and those that are due. A job with a complete
+// repetition has started, even if the records of its tasks are erased and its next repetition is not due yet.
 func (s *Scheduler) restoreRepetitions(now Now, j *jobState, complete []int) {
 	j.started = len(complete) > 0
 	begun := 0
@@ -101,10 +101,10 @@
 	for len(j.repetitions) < j.Specification.RepetitionCount() && j.dueMS(len(j.repetitions)) <= now.WallMS {
 		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions)))
 	}
-	s.beginDueRepetitions(now, j) // schedules the next one
+	s.beginDueRepetitions(now, j) // schedules the next repetition
 }
 
-// restoreTasks restores the tasks that have a record, and queues those that wait for a start.
+// restoreTasks restores the tasks that have a record, and then queues all tasks that wait for a start.
 func (s *Scheduler) restoreTasks(now Now, state map[string][]byte) error {
 	for key, value := range state {
 		if !strings.HasPrefix(key, taskPrefix) {
@@ -132,17 +132,17 @@
 	return nil
 }
 
-// restoreTask restores one task, and its newest attempt if that was not known to have ended.
+// restoreTask restores one task. It also restores the task's newest attempt, unless the record shows that it has ended.
 func (s *Scheduler) restoreTask(id job.TaskID, record taskRecord) error {
 	j := s.jobs[id.Job]
 	if j == nil {
 		return fmt.Errorf("%w: task %v: its job has no record", ErrCorruptState, id)
 	}
 	for id.Repetition >= len(j.repetitions) && len(j.repetitions) < j.Specification.RepetitionCount() {
-		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions))) // begun by a leader whose clock was ahead of ours
+		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions))) // begun by an earlier leader whose clock was ahead of ours
 	}
 	if id.Repetition >= len(j.repetitions) || j.repetitions[id.Repetition] == nil || id.Stage >= len(j.Specification.Stages) {
-		return fmt.Errorf("%w: task %v: its job has no such stage", ErrCorruptState, id)
+		return fmt.Errorf("%w: task %v: its job has no such repetition or stage", ErrCorruptState, id)
 	}
 	stage := j.repetitions[id.Repetition].stages[id.Stage]
 	if stage.tasks == nil {
@@ -173,10 +173,10 @@
 	return nil
 }
 
-// requeueTasks queues the tasks without an attempt under way of the stages whose dependencies are complete.
+// requeueTasks queues the tasks that have no attempt under way, in each stage whose dependencies are complete.
 func (s *Scheduler) requeueTasks(now Now, repetition *repetitionState) {
 	for _, stage := range repetition.stages {
-		if !repetition.areComplete(stage.DependsOn) {
+		if !repetition.stagesComplete(stage.DependsOn) {
 			continue
 		}
 		if stage.tasks == nil {
@@ -190,7 +190,7 @@
 	}
 }
 
-// decodeRecord reads the record of a key; the error is ErrCorruptState.
+// decodeRecord decodes the record that is stored under a key. Its error wraps ErrCorruptState.
 func decodeRecord(key string, value []byte, record any) error {
 	if err := msgpack.Unmarshal(value, record); err != nil {
 		return fmt.Errorf("%w: record %q: %w", ErrCorruptState, key, err)
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -7,72 +7,72 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// Settings are a deployment's bounds, from the settings file of the process.
+// Settings are the limits and estimates of a deployment, from the settings file of the process.
 type Settings struct {
-	RemoteFactor    float64       // how many times longer a task takes away from its data; values below 1 count as 1
-	StopTime        time.Duration // the longest time that a worker takes to stop an attempt
-	RestoreTime     time.Duration // how much longer a start from a checkpoint takes
-	MaxLease        time.Duration // the longest time for which a worker keeps attempts without a renewal
-	DrainTime       time.Duration // the shortest time for which a draining worker stays
-	StatusRetention time.Duration // how long the state of an ended job is kept
+	RemoteSlowdown   float64       // factor by which a task takes longer on a rack other than that of its data; values below 1 count as 1
+	MaxStopDuration  time.Duration // longest time that a worker takes to stop an attempt
+	RestoreDuration  time.Duration // additional time that a start from a checkpoint takes
+	MaxLease         time.Duration // longest time that a worker keeps running attempts without a lease renewal
+	MinDrainDuration time.Duration // shortest time that a worker remains available once the platform drains it
+	StatusRetention  time.Duration // how long the final state of an ended job is kept
 }
 
-// Now is the time of a call on both clocks.
+// Now is the time of a call, read from both clocks.
 type Now struct {
-	Monotonic time.Time // for intervals
-	WallMS    int64     // milliseconds since 1970, for due times; may jump
+	Monotonic time.Time // monotonic clock, for intervals
+	WallMS    int64     // wall clock, for due times; milliseconds since 1970; may jump in either direction
 }
 
-// Scheduler is the state of one service's jobs under one leadership. It is not safe for concurrent use.
+// Scheduler holds the state of one service's jobs during one leadership. It is not safe for concurrent use.
 type Scheduler struct {
 	settings  Settings
 	startedAt time.Time // when this leadership began
-	effects   Effects   // gathered since the last TakeEffects
+	effects   Effects   // collected since the last TakeEffects
 
 	// Jobs.
-	jobs           map[job.ID]*jobState   // that have not ended
-	ended          map[job.ID]endedRecord // that ended less than StatusRetention ago
-	pendingByRoute map[string]int         // jobs that have not ended; a route without any is absent
-	lastArrival    uint64                 // position of the newest job in the order of arrival
-	scheduled      map[*jobState]bool     // jobs with repetitions that have not begun
-	nextDueMS      int64                  // the earliest begin of those, milliseconds since 1970; 0 for none
-	nextDueStale   bool                   // nextDueMS must be computed anew
+	jobs                   map[job.ID]*jobState   // jobs that have not ended
+	endedJobs              map[job.ID]endedRecord // jobs that ended less than StatusRetention ago
+	pendingByRoute         map[string]int         // number of jobs that have not ended; routes without such jobs are absent
+	lastArrival            uint64                 // arrival number of the newest job
+	jobsAwaitingRepetition map[*jobState]bool     // jobs with a repetition that has not begun
+	nextDueMS              int64                  // earliest due time among jobsAwaitingRepetition, milliseconds since 1970; 0 for none
+	nextDueStale           bool                   // nextDueMS must be recomputed
 
 	// Workers.
-	workers        map[workerclient.WorkerID]*workerState
-	sortedWorkers  []*workerState                 // the same, by ID
-	removed        map[workerclient.WorkerID]bool // incarnations that are over
-	operatorDrains operatorDrains
-	latencyCount   int     // workers with a smoothed latency
-	latencySumMS   float64 // sum of those latencies
-	medianPace     float64 // median of the workers' pace ratios; 0 while none is known
+	workers         map[workerclient.WorkerID]*workerState
+	sortedWorkers   []*workerState                 // the same workers, sorted by ID
+	removedWorkers  map[workerclient.WorkerID]bool // incarnations that have ended
+	operatorDrains  operatorDrains
+	latencyCount    int     // number of workers with a smoothed latency
+	latencySumMS    float64 // sum of their smoothed latencies
+	medianPaceRatio float64 // median of the workers' pace ratios; 0 if none is known
 
-	// The queue of tasks that wait.
-	waitingStages  []*stageState // stages with tasks that wait for a start, in the order of the last orderQueue
-	orderStale     bool          // that order must be computed anew
-	dispatchNeeded bool          // something has happened that may let waiting tasks start
-	orderingNumber uint64        // counts the calls of waitingCandidates
+	// Queue of waiting tasks.
+	waitingStages  []*stageState // stages with tasks to be started, in the order computed by the last orderQueue
+	orderStale     bool          // the order of waitingStages must be recomputed
+	dispatchNeeded bool          // an event since the last Dispatch may allow waiting tasks to start
+	orderingNumber uint64        // number of calls of waitingCandidates so far
 
-	// Buffers, kept so that a dispatch does not allocate for each job that waits.
-	openCache        []*workerState // the workers that take starts, in the current dispatch
-	openCached       bool           // openCache was filled in the current dispatch
-	candidateScratch []*candidate
-	unitCostScratch  unitCosts
-	paceScratch      []float64
+	// Buffers that are reused, so that a dispatch does not allocate memory for each waiting job.
+	openWorkersCache  []*workerState // workers that accept starts, during the current dispatch
+	openWorkersCached bool           // openWorkersCache has been filled during the current dispatch
+	candidateScratch  []*candidate
+	unitCostScratch   unitCosts
+	paceRatioScratch  []float64
 }
 
-// New makes the scheduler of a leadership from the replicated state. The error is ErrCorruptState if a record cannot be
-// read.
+// New creates the scheduler of a new leadership from the replicated state. It returns an error that wraps ErrCorruptState
+// if a record cannot be decoded or contradicts other records.
 func New(settings Settings, now Now, state map[string][]byte) (*Scheduler, error) {
 	s := &Scheduler{
-		settings:       settings,
-		startedAt:      now.Monotonic,
-		jobs:           map[job.ID]*jobState{},
-		ended:          map[job.ID]endedRecord{},
-		workers:        map[workerclient.WorkerID]*workerState{},
-		pendingByRoute: map[string]int{},
-		removed:        map[workerclient.WorkerID]bool{},
-		scheduled:      map[*jobState]bool{},
+		settings:               settings,
+		startedAt:              now.Monotonic,
+		jobs:                   map[job.ID]*jobState{},
+		endedJobs:              map[job.ID]endedRecord{},
+		workers:                map[workerclient.WorkerID]*workerState{},
+		pendingByRoute:         map[string]int{},
+		removedWorkers:         map[workerclient.WorkerID]bool{},
+		jobsAwaitingRepetition: map[*jobState]bool{},
 	}
 	var err error
 	if s.operatorDrains, err = restoreOperatorDrains(state); err != nil {
@@ -84,11 +84,11 @@
 	return s, nil
 }
 
-// NeedsDispatch tells whether something has happened since the last Dispatch that may let waiting tasks start.
+// NeedsDispatch reports whether an event since the last Dispatch may allow waiting tasks to start.
 func (s *Scheduler) NeedsDispatch() bool { return s.dispatchNeeded }
 
-// Tick does what is due by time alone: it forgets old ended jobs, begins repetitions, and inspects the attempts under
-// way for stalls and slow workers.
+// Tick performs the time-based work: it prunes jobs that ended long ago, begins due repetitions, and checks the attempts
+// under way for stalls and slow workers.
 func (s *Scheduler) Tick(now Now) {
 	s.pruneEndedJobs(now)
 	for _, j := range s.dueJobs(now) {
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -89,8 +89,8 @@
 	w := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), startTime: time.Unix(1_700_000_000, 0), durable: map[string][]byte{},
 		tasks: map[job.TaskID]*taskFacts{}, jobs: map[job.ID]*jobFacts{}, epoch: 1,
-		settings: Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-			MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour},
+		settings: Settings{RemoteSlowdown: 2, MaxStopDuration: 400 * time.Millisecond, RestoreDuration: 200 * time.Millisecond,
+			MaxLease: 6 * time.Second, MinDrainDuration: 3 * time.Second, StatusRetention: time.Hour},
 	}
 	for i := range machines {
 		w.addWorker(fmt.Sprintf("s%02d", i), i)
@@ -198,7 +198,7 @@
 			w.sendStop(worker, *command.Stop, w.epoch, w.scheduler)
 			continue
 		}
-		if w.scheduler.StillNeeded(command.Worker, command.Start) {
+		if w.scheduler.ShouldSendStart(command.Worker, command.Start) {
 			w.sendStart(worker, *command.Start, w.epoch, w.scheduler)
 		}
 	}
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	storedFolder    = "testdata/stored"
-	storedDump      = "testdata/stored.json"  // the tables' bytes in hex
-	restoredSummary = "testdata/restored.txt" // what schedulers restore from them
-	updateVariable  = "GOLDEN_UPDATE"         // set to 1, the stored data is made anew
-	storedRender    = "group/jobs/render"
-	storedMail      = "group/jobs/mail"
+	storedFolder         = "testdata/stored"
+	storedDump           = "testdata/stored.json"  // the tables' bytes in hex
+	restoredSummary      = "testdata/restored.txt" // what schedulers restore from them
+	updateGoldenVariable = "GOLDEN_UPDATE"         // set to 1, the stored data is made anew
+	storedRender         = "group/jobs/render"
+	storedMail           = "group/jobs/mail"
 )
 
 var (
-	storedSettings = Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-		MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour}
-	storedBegin = time.UnixMilli(1_700_000_000_000).UTC()
+	storedSettings = Settings{RemoteSlowdown: 2, MaxStopDuration: 400 * time.Millisecond, RestoreDuration: 200 * time.Millisecond,
+		MaxLease: 6 * time.Second, MinDrainDuration: 3 * time.Second, StatusRetention: time.Hour}
+	storedStartTime = time.UnixMilli(1_700_000_000_000).UTC()
 )
 
 // storedGroup simulates the leadership of one group whose records are kept in a table.
@@ -48,7 +48,7 @@
 }
 
 func newStoredGroup(table string, store storage.Store, workers ...string) *storedGroup {
-	g := &storedGroup{table: table, store: store, now: storedBegin, assignedTo: map[job.TaskID]workerclient.WorkerID{},
+	g := &storedGroup{table: table, store: store, now: storedStartTime, assignedTo: map[job.TaskID]workerclient.WorkerID{},
 		attemptNumbers: map[job.TaskID]uint64{}, completionCounts: map[workerclient.WorkerID]uint64{}}
 	var err error
 	if g.scheduler, err = New(storedSettings, g.clock(), nil); err != nil {
@@ -185,7 +185,7 @@
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
 	line("arrivals %d, next due %d", s.lastArrival, s.NextDueMS())
 	for _, route := range slices.Sorted(maps.Keys(s.pendingByRoute)) {
-		line("route %s: %d jobs", route, s.Pending(route))
+		line("route %s: %d jobs", route, s.PendingJobs(route))
 	}
 	for _, j := range s.jobsByArrival() {
 		specification, err := json.Marshal(j.Specification)
@@ -206,8 +206,8 @@
 			summarizeRepetition(line, repetition)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.ended)) {
-		line("job %s: ended as %s at %d", id, s.ended[id].State, s.ended[id].EndedMS)
+	for _, id := range slices.Sorted(maps.Keys(s.endedJobs)) {
+		line("job %s: ended as %s at %d", id, s.endedJobs[id].State, s.endedJobs[id].EndedMS)
 	}
 	for _, worker := range s.sortedWorkers {
 		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", worker.ID, len(worker.attempts), worker.used.Processors, worker.used.MemoryMB, worker.used.Accelerators)
@@ -236,7 +236,7 @@
 func summarizeTables(tables storage.Tables) (string, error) {
 	text := ""
 	for _, table := range []string{storedRender, storedMail} {
-		later := storedBegin.Add(2500 * time.Millisecond)
+		later := storedStartTime.Add(2500 * time.Millisecond)
 		s, err := New(storedSettings, Now{Monotonic: later, WallMS: later.UnixMilli()}, tables[table])
 		if err != nil {
 			return "", err
@@ -286,7 +286,7 @@
 	return store
 }
 
-func makeStoredJobs(t *testing.T) {
+func regenerateStoredJobs(t *testing.T) {
 	t.Helper()
 	os.RemoveAll(storedFolder)
 	store := openStored(t, storedFolder)
@@ -312,8 +312,8 @@
 }
 
 func TestReadsStoredDataOfJobs(t *testing.T) {
-	if os.Getenv(updateVariable) == "1" {
-		makeStoredJobs(t)
+	if os.Getenv(updateGoldenVariable) == "1" {
+		regenerateStoredJobs(t)
 	}
 	records, restored := readGolden(t, storedDump), readGolden(t, restoredSummary)
 	Convey("Given the records of two groups that an earlier build stored", t, func() {
--- a/internal/jobs/scheduler/stragglers.go
+++ b/internal/jobs/scheduler/stragglers.go
@@ -34,25 +34,25 @@
 	if !attempt.reported || attempt.inherited || attempt.stopping || attempt.task.stage.LongRunning {
 		return 0, false
 	}
-	watched := attempt.reportedAt.Sub(attempt.paceSince)
-	if watched < minPaceObservation || attempt.percent <= attempt.pacePercent || attempt.progressedAt.Before(attempt.reportedAt) {
+	watched := attempt.reportedAt.Sub(attempt.firstReportedAt)
+	if watched < minPaceObservation || attempt.percent <= attempt.firstReportedPercent || attempt.progressedAt.Before(attempt.reportedAt) {
 		return 0, false
 	}
-	return float64(watched.Milliseconds()) * 100 / float64(attempt.percent-attempt.pacePercent), true
+	return float64(watched.Milliseconds()) * 100 / float64(attempt.percent-attempt.firstReportedPercent), true
 }
 
 // updatePaceRatios computes the median of the workers' pace ratios, and lets each ratio fade towards it.
 func (s *Scheduler) updatePaceRatios() {
-	s.paceScratch = s.paceScratch[:0]
+	s.paceRatioScratch = s.paceRatioScratch[:0]
 	for _, worker := range s.sortedWorkers {
 		if worker.paceRatio > 0 && worker.reachable {
-			s.paceScratch = append(s.paceScratch, worker.paceRatio)
+			s.paceRatioScratch = append(s.paceRatioScratch, worker.paceRatio)
 		}
 	}
-	s.medianPace = median(s.paceScratch)
+	s.medianPaceRatio = median(s.paceRatioScratch)
 	for _, worker := range s.sortedWorkers {
 		if worker.paceRatio > 0 {
-			worker.paceRatio += paceRatioDecay * (s.medianPace - worker.paceRatio)
+			worker.paceRatio += paceRatioDecay * (s.medianPaceRatio - worker.paceRatio)
 		}
 	}
 }
@@ -78,9 +78,9 @@
 		return false
 	}
 	restMS := pace * float64(100-attempt.percent) / 100
-	restartMS := s.expectedMS(stage, attempt.worker)*max(1, s.medianPace) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
+	restartMS := s.expectedMS(stage, attempt.worker)*max(1, s.medianPaceRatio) + migrationCostMS + float64(s.settings.MaxStopDuration.Milliseconds())
 	if stage.Checkpoints && attempt.checkpoint != "" {
-		restartMS = restartMS*float64(100-attempt.percent)/100 + float64(s.settings.RestoreTime.Milliseconds())
+		restartMS = restartMS*float64(100-attempt.percent)/100 + float64(s.settings.RestoreDuration.Milliseconds())
 	}
 	return restMS >= migrationGainFactor*restartMS
 }
--- a/internal/jobs/scheduler/wire_test.go
+++ b/internal/jobs/scheduler/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles guards against accidental changes of the encoding of types that are stored or logged.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "operator drain record", Value: new(operatorDrainRecord)},
 		goldentest.Form{Name: "job record", Value: new(jobRecord)},
@@ -20,8 +20,8 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged guards against accidental changes of the key prefixes of stored records.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: operatorDrainPrefix, Want: "d/"},
 		goldentest.Constant{Have: jobPrefix, Want: "j/"},
--- a/internal/jobs/scheduler/workerends_test.go
+++ b/internal/jobs/scheduler/workerends_test.go
@@ -16,11 +16,11 @@
 // longRunningTasks starts workers with six tasks that keep running.
 func longRunningTasks() (*simulation, job.ID) {
 	w := newSimulation(1, 3)
-	w.steps(20)
+	w.runSteps(20)
 	stage := smallStage(6)
 	stage.LongRunning = true
 	id := w.submitStages(1, stage)
-	w.steps(50)
+	w.runSteps(50)
 	return w, id
 }
 
@@ -29,7 +29,7 @@
 	began := w.elapsed
 	for w.elapsed < began+2*longRunningRestartLimit {
 		w.step()
-		if _, all := countRunning(w, ""); all == 6 {
+		if _, all := countRunningAttempts(w, ""); all == 6 {
 			break
 		}
 	}
@@ -39,7 +39,7 @@
 func TestLongRunningTasksComeBack(t *testing.T) {
 	Convey("Given six tasks that keep running", t, func() {
 		w, id := longRunningTasks()
-		_, all := countRunning(w, "")
+		_, all := countRunningAttempts(w, "")
 		So(all, ShouldEqual, 6)
 
 		Convey("all of them fail, three times over: each runs again in time, as no number of attempts ends them", func() {
@@ -63,8 +63,8 @@
 		Convey("a worker is drained by the platform: its tasks run elsewhere in time", func() {
 			w.worker("s00").Draining, w.worker("s00").RemainingMS = true, 5000
 			w.sendInventory()
-			w.steps(int(longRunningRestartLimit / (20 * time.Millisecond)))
-			onDrained, all := countRunning(w, "s00")
+			w.runSteps(int(longRunningRestartLimit / (20 * time.Millisecond)))
+			onDrained, all := countRunningAttempts(w, "s00")
 			So(onDrained, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
@@ -76,19 +76,19 @@
 func TestIncarnationOfAnotherKind(t *testing.T) {
 	Convey("Given a worker of the only kind that a job requires, which crashes and comes back as another kind", t, func() {
 		w := newSimulation(1, 1)
-		w.steps(20)
+		w.runSteps(20)
 		w.crash(w.worker("s00"), "s90")
 		successor := w.worker("s90")
 		successor.Address, successor.Labels = w.worker("s00").Address, []string{"b", "rack0"}
 		successor.Capacity = job.Resources{Processors: 2000, MemoryMB: 500}
-		w.steps(100)
+		w.runSteps(100)
 		of := func(kind string, processors int64) job.Stage {
 			stage := smallStage(1)
 			stage.Requirements, stage.Processors = job.Labels{kind}, processors
 			return stage
 		}
 		first, second, large := w.submitStages(1, of("a", 1000)), w.submitStages(2, of("b", 1000)), w.submitStages(3, of("b", 4000))
-		w.steps(100)
+		w.runSteps(100)
 		state := func(id job.ID) job.State {
 			state, _ := w.scheduler.Status(id)
 			return state
@@ -110,12 +110,12 @@
 	}{{60_000, 0}, {2_000, 1}} {
 		Convey("Given a short task and a long one on a worker that is drained", t, func() {
 			w := newSimulation(1, 1)
-			w.steps(20)
+			w.runSteps(20)
 			short, long := smallStage(1), smallStage(1)
 			long.EstimatedDurationMS = 30_000
 			w.submitStages(1, short)
 			w.submitStages(2, long)
-			w.steps(3)
+			w.runSteps(3)
 			w.scheduler.TakeEffects()
 			w.worker("s00").Draining, w.worker("s00").RemainingMS = true, c.remainingMS
 			w.scheduler.SetInventory(w.clock(), []workerclient.Instance{w.worker("s00").Instance})
--- a/internal/jobs/scheduler/workerreports.go
+++ b/internal/jobs/scheduler/workerreports.go
@@ -58,7 +58,7 @@
 		}
 		orphans[key] = true
 		if !worker.orphans[key] {
-			s.commandStop(worker, entry.Task, entry.AttemptNumber)
+			s.addStopCommand(worker, entry.Task, entry.AttemptNumber)
 		}
 	}
 	worker.orphans = orphans
@@ -69,7 +69,7 @@
 func (s *Scheduler) recordProgress(now Now, attempt *attemptState, entry *workerclient.RunningTask) {
 	if !attempt.reported {
 		attempt.reported = true
-		attempt.paceSince, attempt.pacePercent = now.Monotonic, entry.Percent
+		attempt.firstReportedAt, attempt.firstReportedPercent = now.Monotonic, entry.Percent
 	}
 	attempt.reportedAt = now.Monotonic
 	if entry.Percent > attempt.percent || attempt.progressedAt.IsZero() {
@@ -98,7 +98,7 @@
 		switch {
 		case attempt.inherited, started, stopped:
 			s.endAttempt(now, attempt)
-		case !attempt.startUnclearAt.IsZero() && attempt.startUnclearAt.Before(report.SentAt):
+		case !attempt.startUnansweredAt.IsZero() && attempt.startUnansweredAt.Before(report.SentAt):
 			s.stopAttempt(attempt) // from then on a start that arrives late is rejected
 		}
 	}
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -168,8 +168,8 @@
 	jobs := manager.New(manager.Config{
 		HTTP: &http.Client{Transport: &workerTransport{s, m, incarnation}}, Log: zap.NewNop(),
 		Settings: scheduler.Settings{
-			RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-			MaxLease: maxLease, DrainTime: 3 * time.Second, StatusRetention: time.Hour,
+			RemoteSlowdown: 2, MaxStopDuration: 400 * time.Millisecond, RestoreDuration: 200 * time.Millisecond,
+			MaxLease: maxLease, MinDrainDuration: 3 * time.Second, StatusRetention: time.Hour,
 		},
 	})
 	jobs.SetInventory(s.instances)
