--- a/internal/jobs/scheduler/bench_test.go
+++ b/internal/jobs/scheduler/bench_test.go
@@ -10,7 +10,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// newLoadedScheduler is a scheduler with many workers, all of them full, and many jobs that wait.
+// newLoadedScheduler returns a scheduler with fully loaded workers and a backlog of waiting jobs. It also returns the time
+// and the durable state.
 func newLoadedScheduler(workers, jobs int) (*Scheduler, Now, map[string][]byte) {
 	now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 	s, _ := New(Settings{RemoteSlowdown: 2, MaxLease: 6 * time.Second}, now, nil)
@@ -47,9 +48,9 @@
 			report.Running = append(report.Running, workerclient.RunningTask{Task: attempt.task.id, AttemptNumber: attempt.number})
 		}
 		if len(report.Running) > 0 {
-			ended := report.Running[0]
+			completed := report.Running[0]
 			report.Running = report.Running[1:]
-			report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: ended.Task, AttemptNumber: ended.AttemptNumber, Outcome: job.OutcomeStopped}}
+			report.Finished = []workerclient.FinishedTask{{CompletionNumber: worker.lastCompletion + 1, Task: completed.Task, AttemptNumber: completed.AttemptNumber, Outcome: job.OutcomeStopped}}
 		}
 		number++
 		s.HandleReport(now, &report)
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -12,14 +12,14 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// steps advances the simulation by a number of steps.
+// runSteps advances the simulation by a number of steps.
 func (w *simulation) runSteps(count int) {
 	for range count {
 		w.step()
 	}
 }
 
-// submitStages submits a job with these stages; its tasks take up to a second.
+// submitStages submits a job with the given stages and returns its ID.
 func (w *simulation) submitStages(number int, stages ...job.Stage) job.ID {
 	id := job.ID(fmt.Sprintf("%016x", number))
 	w.submit(&jobFacts{request: jobapi.Submit{Group: "jobs/x", ID: id,
@@ -29,34 +29,35 @@
 	return id
 }
 
+// smallStage returns a stage of tasks that request one core and 100 MB each.
 func smallStage(count int) job.Stage {
 	return job.Stage{Count: count, EstimatedDurationMS: 500, Resources: job.Resources{Processors: 1000, MemoryMB: 100}}
 }
 
-// explain explains the only waiting stage of a job.
+// explainOnlyWaitingStage returns the explanation of a job's waiting stage. It requires that exactly one stage waits.
 func explainOnlyWaitingStage(w *simulation, id job.ID) jobreport.WaitingStage {
-	why, known := w.scheduler.Explain(w.clock(), id)
+	explanation, known := w.scheduler.Explain(w.clock(), id)
 	So(known, ShouldBeTrue)
-	So(len(why.WaitingStages), ShouldEqual, 1)
-	return why.WaitingStages[0]
+	So(len(explanation.WaitingStages), ShouldEqual, 1)
+	return explanation.WaitingStages[0]
 }
 
-// excludedBy is how many workers a cause excludes.
+// excludedWorkers returns the number of workers that a cause excludes.
 func excludedWorkers(waiting jobreport.WaitingStage, cause jobreport.Cause) int {
-	for _, excluded := range waiting.Exclusions {
-		if excluded.Cause == cause {
-			return excluded.Count
+	for _, exclusion := range waiting.Exclusions {
+		if exclusion.Cause == cause {
+			return exclusion.Count
 		}
 	}
 	return 0
 }
 
-func TestWhy(t *testing.T) {
-	Convey("Given nine workers that have reported", t, func() {
+func TestExplanationNamesReasonsAndCauses(t *testing.T) {
+	Convey("Given nine workers that have sent reports", t, func() {
 		w := newSimulation(1, 9)
 		w.runSteps(20)
 
-		Convey("a label that no worker has excludes all", func() {
+		Convey("a required label that no worker has excludes all workers", func() {
 			stage := smallStage(2)
 			stage.Requirements = job.Labels{"none"}
 			waiting := explainOnlyWaitingStage(w, w.submitStages(1, stage))
@@ -64,7 +65,7 @@
 			So(waiting.Tasks, ShouldEqual, 2)
 			So(excludedWorkers(waiting, jobreport.CauseMissingLabel), ShouldEqual, 9)
 		})
-		Convey("so does a request larger than any worker", func() {
+		Convey("a request that exceeds the total capacity of each worker excludes all workers", func() {
 			stage := smallStage(1)
 			stage.Processors = 9000
 			waiting := explainOnlyWaitingStage(w, w.submitStages(1, stage))
@@ -83,7 +84,7 @@
 			waiting := explainOnlyWaitingStage(w, w.submitStages(2, stage))
 			So(excludedWorkers(waiting, jobreport.CauseTotalCapacity), ShouldEqual, 9)
 			stage.Processors = 1000
-			stage.Requirements = job.Labels{"a"} // of even numbers
+			stage.Requirements = job.Labels{"a"} // only workers with even numbers have this label
 			stage.Count = 200
 			waiting = explainOnlyWaitingStage(w, w.submitStages(3, stage))
 			So(excludedWorkers(waiting, jobreport.CauseMissingLabel), ShouldEqual, 4)
@@ -94,23 +95,23 @@
 			waiting = explainOnlyWaitingStage(w, w.submitStages(4, stage))
 			So(excludedWorkers(waiting, jobreport.CauseOperatorDraining), ShouldEqual, 1)
 		})
-		Convey("a task that fits nowhere at present waits for capacity", func() {
-			whole := smallStage(9)
-			whole.Processors = 8000
-			w.submitStages(1, whole)
+		Convey("a task that exceeds the free capacity of each worker waits for capacity", func() {
+			fullWorkers := smallStage(9)
+			fullWorkers.Processors = 8000
+			w.submitStages(1, fullWorkers)
 			waiting := explainOnlyWaitingStage(w, w.submitStages(2, smallStage(1)))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNoWorker)
 			So(excludedWorkers(waiting, jobreport.CauseFreeCapacity), ShouldEqual, 9)
 			So(len(waiting.Exclusions[0].Workers), ShouldEqual, maxNamedWorkers)
 		})
-		Convey("antiAffinity excludes workers that have a task of the stage", func() {
+		Convey("anti-affinity excludes workers that already have a task of the stage", func() {
 			stage := smallStage(12)
 			stage.AntiAffinity = 1
 			waiting := explainOnlyWaitingStage(w, w.submitStages(1, stage))
 			So(waiting.Tasks, ShouldEqual, 3)
 			So(excludedWorkers(waiting, jobreport.CauseAntiAffinity), ShouldEqual, 9)
 		})
-		Convey("a later stage waits for the earlier one", func() {
+		Convey("a stage waits for an earlier stage that it depends on", func() {
 			second := smallStage(2)
 			second.DependsOn = []int{0}
 			waiting := explainOnlyWaitingStage(w, w.submitStages(1, smallStage(1), second))
@@ -118,7 +119,7 @@
 			So(waiting.Stage, ShouldEqual, 1)
 			So(waiting.DependsOn, ShouldResemble, []int{0})
 		})
-		Convey("a gang waits until there is capacity for all of it", func() {
+		Convey("a gang waits until there is capacity for all of its members", func() {
 			gang := smallStage(10)
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := explainOnlyWaitingStage(w, w.submitStages(1, gang))
@@ -133,14 +134,14 @@
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonNotDue)
 			So(waiting.DueMS, ShouldEqual, facts.request.Specification.FirstRunMS)
 		})
-		Convey("a worker backs off after it rejected a start as unhealthy, and takes no start beside orphans", func() {
+		Convey("a worker that rejected a start as unhealthy backs off, and workers with orphans get no starts", func() {
 			id := w.submitStages(1, smallStage(1))
 			report, _ := w.scheduler.Job(w.clock(), id)
 			unhealthy := workerclient.WorkerID(report.Attempts[0].Worker)
-			unwanted := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, AttemptNumber: 1}}
+			orphans := []workerclient.RunningTask{{Task: job.TaskID{Job: "ffffffffffffffff"}, AttemptNumber: 1}}
 			for _, worker := range w.workers {
 				if worker.ID != unhealthy {
-					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: worker.ID, SentAt: w.clock().Monotonic, Running: unwanted})
+					w.scheduler.HandleReport(w.clock(), &workerclient.Listing{Worker: worker.ID, SentAt: w.clock().Monotonic, Running: orphans})
 				}
 			}
 			command := workerclient.StartCommand{Task: job.TaskID{Job: id}, AttemptNumber: 1}
@@ -149,21 +150,21 @@
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonBackoff)
 			So(excludedWorkers(waiting, jobreport.CauseOrphans), ShouldEqual, 8)
 			So(excludedWorkers(waiting, jobreport.CauseBackoff), ShouldEqual, 1)
-			resting, _ := w.scheduler.Worker(w.clock(), unhealthy)
-			So(resting.State, ShouldEqual, jobreport.WorkerBackoff)
+			workerReport, _ := w.scheduler.Worker(w.clock(), unhealthy)
+			So(workerReport.State, ShouldEqual, jobreport.WorkerBackoff)
 		})
-		Convey("an unknown job has no explanation, and one that has ended waits for nothing", func() {
+		Convey("an unknown job has no explanation, and an ended job has no waiting stages", func() {
 			_, known := w.scheduler.Explain(w.clock(), "ffffffffffffffff")
 			So(known, ShouldBeFalse)
 			id := w.submitStages(1, smallStage(1))
 			w.scheduler.Cancel(w.clock(), id)
-			why, known := w.scheduler.Explain(w.clock(), id)
+			explanation, known := w.scheduler.Explain(w.clock(), id)
 			So(known, ShouldBeTrue)
-			So(why.State, ShouldEqual, job.Cancelled)
-			So(why.WaitingStages, ShouldBeEmpty)
+			So(explanation.State, ShouldEqual, job.Cancelled)
+			So(explanation.WaitingStages, ShouldBeEmpty)
 		})
 	})
-	Convey("Before a worker has confirmed the fencing token it takes no start", t, func() {
+	Convey("A worker that has not confirmed the fencing token gets no starts", t, func() {
 		w := newSimulation(1, 2)
 		for _, worker := range w.workers {
 			w.scheduler.SetReachable(w.clock(), worker.ID, true)
@@ -173,9 +174,10 @@
 	})
 }
 
-// TestWhyAgreesWithDispatch compares, throughout a simulation under faults, explanations with what a dispatch decides.
-func TestWhyAgreesWithDispatch(t *testing.T) {
-	compared, other := 0, 0
+// TestExplanationAgreesWithDispatch runs a simulation with faults. It compares the explained causes with the decisions of a
+// dispatch, for each waiting stage and each worker.
+func TestExplanationAgreesWithDispatch(t *testing.T) {
+	compared, withoutNamedCause := 0, 0
 	compare := func(w *simulation, step int) {
 		if step%25 != 0 {
 			return
@@ -183,19 +185,19 @@
 		for _, stage := range w.scheduler.waitingStages {
 			for _, worker := range w.scheduler.sortedWorkers {
 				cause := w.scheduler.exclusionCause(w.clock(), stage, worker)
-				takes := w.scheduler.isOpen(w.clock(), worker) && w.scheduler.admits(stage, worker, 0)
-				if takes != (cause == "") {
-					t.Fatalf("worker %s takes a task: %t, cause %q", worker.ID, takes, cause)
+				accepts := w.scheduler.isOpen(w.clock(), worker) && w.scheduler.admits(stage, worker, 0)
+				if accepts != (cause == "") {
+					t.Fatalf("step %d: worker %s accepts a task: %t, but the exclusion cause is %q", step, worker.ID, accepts, cause)
 				}
 				if cause == jobreport.CauseOther {
-					other++
+					withoutNamedCause++
 				}
 				compared++
 			}
 		}
 	}
 	simulate(3, 200, compare, partitions, crashes, drains, lateCommands)
-	if compared == 0 || other > 0 {
-		t.Fatalf("%d compared, %d of them without a named cause", compared, other)
+	if compared == 0 || withoutNamedCause > 0 {
+		t.Fatalf("%d decisions compared (want more than 0), %d of them without a named cause (want 0)", compared, withoutNamedCause)
 	}
 }
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -11,8 +11,10 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-func TestRepeatedOperatorDrainUnderASuccessor(t *testing.T) {
-	Convey("Given a drain that was taken, and a successor that has not seen the worker yet", t, func() {
+// An operator may repeat a drain request after a change of leader, before the new leader has seen the worker. The new
+// leader knows the worker only from the record of its drain, and must confirm the request all the same.
+func TestRepeatedOperatorDrainIsConfirmedByNewLeader(t *testing.T) {
+	Convey("Given a drained worker, and a new leader that has received no inventory yet", t, func() {
 		w := newSimulation(1, 3)
 		w.runSteps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
@@ -22,33 +24,34 @@
 		So(err, ShouldBeNil)
 		So(successor.KnowsWorker("s00"), ShouldBeFalse)
 
-		Convey("the same drain again is confirmed, and changes nothing", func() {
+		Convey("repeating the drain is confirmed and has no effects", func() {
 			So(successor.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			effects := successor.TakeEffects()
 			So(effects.Empty(), ShouldBeTrue)
 			So(successor.IsOperatorDraining("s00"), ShouldBeTrue)
 		})
-		Convey("its end is taken as well", func() {
+		Convey("ending the drain is confirmed and recorded", func() {
 			So(successor.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 			So(successor.IsOperatorDraining("s00"), ShouldBeFalse)
 			entries := successor.TakeEffects().Entries
 			So(entries, ShouldHaveLength, 1)
 			So(entries[0].Key, ShouldEqual, operatorDrainKey("s00"))
-			var record operatorDrainRecord // it stays, so that a change that arrives late is recognized
+			var record operatorDrainRecord // the record is kept, so that a delayed change is recognized
 			So(decodeRecord(entries[0].Key, entries[0].Value, &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
 			So(record.Version, ShouldEqual, 2)
 		})
-		Convey("another worker is not known", func() {
+		Convey("drains of a worker without a record are rejected", func() {
 			So(successor.SetOperatorDrain(w.clock(), "s01", true), ShouldBeFalse)
 			So(successor.SetOperatorDrain(w.clock(), "s01", false), ShouldBeFalse)
 		})
 	})
 }
 
-// Without a version a drain that arrives after its end stays in force, as it looks like a new one; the operators' page says so.
-func TestLateDrainWithoutAVersion(t *testing.T) {
-	Convey("A drain without a version arrives once more after the change that ended it", t, func() {
+// A drain request without a version cannot be recognized as delayed: if it is delivered again after the drain has ended, it
+// drains the worker once more. The operators' documentation describes this.
+func TestDelayedDrainWithoutVersionDrainsAgain(t *testing.T) {
+	Convey("A drain without a version drains the worker again if it is delivered again after the end of the drain", t, func() {
 		w := newSimulation(1, 3)
 		w.runSteps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
@@ -59,57 +62,59 @@
 	})
 }
 
-func TestOperatorDrainVersions(t *testing.T) {
+// A drain change may be delayed or repeated on its way. Its base version must prevent it from undoing a newer change, and
+// its outcome must be the same each time.
+func TestDelayedDrainChangeDoesNotUndoNewerOne(t *testing.T) {
 	drain := func(version uint64) DrainChange { return DrainChange{Draining: true, BaseVersion: version} }
 	undrain := func(version uint64) DrainChange { return DrainChange{BaseVersion: version} }
 	Convey("Given a worker that was never drained", t, func() {
 		w := newSimulation(1, 3)
 		w.runSteps(20)
-		order := func(change DrainChange) jobreport.DrainOutcome {
+		request := func(change DrainChange) jobreport.DrainOutcome {
 			return w.scheduler.ChangeOperatorDrain(w.clock(), "s00", change)
 		}
 
-		Convey("a drain that arrives after the change that ended it changes nothing", func() {
-			So(order(undrain(0)), ShouldEqual, jobreport.DrainApplied) // the operator gave up the drain, which is still on its way
-			So(order(drain(0)), ShouldEqual, jobreport.DrainSuperseded)
+		Convey("a delayed drain has no effect if it arrives after the change that ended it", func() {
+			So(request(undrain(0)), ShouldEqual, jobreport.DrainApplied) // the operator withdrew a drain that has not arrived yet
+			So(request(drain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
-		Convey("a change that was taken is confirmed again, also after later ones", func() {
-			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
-			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
+		Convey("an applied change that is repeated is confirmed again, even after newer changes", func() {
+			So(request(drain(0)), ShouldEqual, jobreport.DrainApplied)
+			So(request(drain(0)), ShouldEqual, jobreport.DrainApplied)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 1)
-			So(order(undrain(1)), ShouldEqual, jobreport.DrainApplied)
-			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
+			So(request(undrain(1)), ShouldEqual, jobreport.DrainApplied)
+			So(request(drain(0)), ShouldEqual, jobreport.DrainApplied)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeFalse)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 2)
 		})
-		Convey("one of two changes on top of one version is taken", func() {
-			So(order(drain(0)), ShouldEqual, jobreport.DrainApplied)
-			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
+		Convey("only the first of two different changes with the same base version is applied", func() {
+			So(request(drain(0)), ShouldEqual, jobreport.DrainApplied)
+			So(request(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(w.scheduler.IsOperatorDraining("s00"), ShouldBeTrue)
 		})
-		Convey("the outcome of a change on top of a version that is not in force, or is forgotten, is unclear", func() {
-			So(order(drain(1)), ShouldEqual, jobreport.DrainIndeterminate)
-			So(order(undrain(math.MaxUint64)), ShouldEqual, jobreport.DrainIndeterminate)
+		Convey("the outcome is indeterminate if the base version is newer than the current one or older than the history", func() {
+			So(request(drain(1)), ShouldEqual, jobreport.DrainIndeterminate)
+			So(request(undrain(math.MaxUint64)), ShouldEqual, jobreport.DrainIndeterminate)
 			for version := range uint64(drainHistoryLength + 1) {
-				So(order(DrainChange{Draining: version%3 == 0, BaseVersion: version}), ShouldEqual, jobreport.DrainApplied)
+				So(request(DrainChange{Draining: version%3 == 0, BaseVersion: version}), ShouldEqual, jobreport.DrainApplied)
 			}
-			So(order(drain(0)), ShouldEqual, jobreport.DrainIndeterminate)
-			So(order(undrain(1)), ShouldEqual, jobreport.DrainApplied)
-			So(order(drain(1)), ShouldEqual, jobreport.DrainSuperseded)
+			So(request(drain(0)), ShouldEqual, jobreport.DrainIndeterminate)
+			So(request(undrain(1)), ShouldEqual, jobreport.DrainApplied)
+			So(request(drain(1)), ShouldEqual, jobreport.DrainSuperseded)
 		})
-		Convey("a change without a version makes a new one, where it changes something", func() {
+		Convey("a request without a version creates a new version only if it changes the drain", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			So(w.scheduler.DrainVersion("s00"), ShouldEqual, 1)
-			So(order(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
+			So(request(undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 		})
-		Convey("an unknown worker is reported as such", func() {
+		Convey("the outcome for an unknown worker is DrainWorkerUnknown", func() {
 			So(w.scheduler.ChangeOperatorDrain(w.clock(), "nobody", drain(0)), ShouldEqual, jobreport.DrainWorkerUnknown)
 		})
-		Convey("a successor has the same versions", func() {
-			order(drain(0))
-			order(undrain(1))
+		Convey("a new leader restores the versions", func() {
+			request(drain(0))
+			request(undrain(1))
 			w.propose()
 			w.runSteps(5)
 			successor, err := New(w.scheduler.settings, w.clock(), w.durable)
@@ -119,7 +124,7 @@
 			So(successor.ChangeOperatorDrain(w.clock(), "s00", undrain(0)), ShouldEqual, jobreport.DrainSuperseded)
 			So(successor.IsOperatorDraining("s00"), ShouldBeFalse)
 		})
-		Convey("a record of a release without versions is a drain in force", func() {
+		Convey("a record written by a release without versions is restored as a drain in force", func() {
 			type oldRecord struct {
 				SinceMS int64 `msgpack:"t"`
 			}
@@ -133,7 +138,7 @@
 	})
 }
 
-// countRunning counts the attempts that run on one worker and on all.
+// countRunningAttempts returns the number of attempts that run on one worker, and on all workers.
 func countRunningAttempts(w *simulation, id workerclient.WorkerID) (running, all int) {
 	for _, worker := range w.workers {
 		all += len(worker.running)
@@ -144,8 +149,8 @@
 	return running, all
 }
 
-func TestOperatorDrain(t *testing.T) {
-	Convey("Given workers, of which an operator drains one", t, func() {
+func TestWorkerDrainedByOperatorGetsNoStarts(t *testing.T) {
+	Convey("Given three workers, one of which is drained by an operator", t, func() {
 		w := newSimulation(1, 3)
 		w.runSteps(20)
 		So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
@@ -154,7 +159,7 @@
 		stage := smallStage(6)
 		stage.LongRunning = true
 
-		Convey("it gets no starts, and the others do", func() {
+		Convey("the drained worker gets no starts, and the others do", func() {
 			w.submitStages(1, stage)
 			w.runSteps(50)
 			running, all := countRunningAttempts(w, "s00")
@@ -163,7 +168,7 @@
 			report, _ := w.scheduler.Worker(w.clock(), "s00")
 			So(report.State, ShouldEqual, jobreport.WorkerOperatorDraining)
 		})
-		Convey("a successor keeps the drain", func() {
+		Convey("the drain remains in force under a new leader", func() {
 			w.elect()
 			w.runSteps(20)
 			w.submitStages(1, stage)
@@ -172,11 +177,11 @@
 			So(running, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
-		Convey("once it is ended the worker gets starts again, also under a successor", func() {
+		Convey("after the end of the drain the worker gets starts again, even under a new leader", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 			w.propose()
 			w.runSteps(5)
-			var record operatorDrainRecord // it stays for changes that arrive late
+			var record operatorDrainRecord // the record is kept, so that a delayed change is recognized
 			So(decodeRecord("", w.durable[operatorDrainKey("s00")], &record), ShouldBeNil)
 			So(record.draining(), ShouldBeFalse)
 			w.elect()
@@ -186,7 +191,7 @@
 			running, _ := countRunningAttempts(w, "s00")
 			So(running, ShouldBeGreaterThan, 0)
 		})
-		Convey("tasks that were bound to it are bound to others", func() {
+		Convey("tasks that are bound to a worker are bound to other workers once it is drained", func() {
 			stage.Count = 200
 			w.submitStages(1, stage)
 			before, _ := w.scheduler.Worker(w.clock(), "s01")
@@ -195,16 +200,16 @@
 			after, _ := w.scheduler.Worker(w.clock(), "s01")
 			So(after.WaitingTasks, ShouldEqual, 0)
 		})
-		Convey("the same drain again writes nothing", func() {
+		Convey("repeating the drain writes no record", func() {
 			w.scheduler.TakeEffects()
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", true), ShouldBeTrue)
 			effects := w.scheduler.TakeEffects()
 			So(effects.Empty(), ShouldBeTrue)
 		})
-		Convey("an unknown worker is not drained", func() {
+		Convey("a drain of an unknown worker is rejected", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "nobody", true), ShouldBeFalse)
 		})
-		Convey("the record is erased with the worker's incarnation", func() {
+		Convey("the record is erased when the worker's incarnation ends", func() {
 			So(w.durable[operatorDrainKey("s00")], ShouldNotBeNil)
 			w.crash(w.workers[0], "s00+")
 			w.runSteps(100)
@@ -212,7 +217,7 @@
 			w.runSteps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
-		Convey("so is that of a drain that was ended", func() {
+		Convey("the record of a drain that has ended is erased when the worker's incarnation ends", func() {
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s00", false), ShouldBeTrue)
 			w.propose()
 			w.runSteps(5)
@@ -223,7 +228,7 @@
 			w.runSteps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
-		Convey("and also where the incarnation ended while there was no leader", func() {
+		Convey("the record is erased even if the incarnation ended while there was no leader", func() {
 			w.workers[0].up = false
 			w.elect()
 			for range maxMissedInventories {
@@ -232,7 +237,7 @@
 			w.runSteps(5)
 			So(w.durable[operatorDrainKey("s00")], ShouldBeNil)
 		})
-		Convey("attempts under way go on", func() {
+		Convey("attempts under way continue after a drain", func() {
 			w.submitStages(1, stage)
 			w.runSteps(50)
 			So(w.scheduler.SetOperatorDrain(w.clock(), "s01", true), ShouldBeTrue)
--- a/internal/jobs/scheduler/operatorreports_test.go
+++ b/internal/jobs/scheduler/operatorreports_test.go
@@ -9,8 +9,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-func TestReports(t *testing.T) {
-	Convey("Given a job with a stage done, one running and one blocked", t, func() {
+func TestReportsMatchJobsAndWorkers(t *testing.T) {
+	Convey("Given a job with a complete stage, a running stage and a blocked stage", t, func() {
 		w := newSimulation(1, 3)
 		w.runSteps(20)
 		second, third := smallStage(2), smallStage(1)
@@ -29,17 +29,17 @@
 			So(report.Attempts[0].Confirmed, ShouldBeTrue)
 			So(report.Truncated, ShouldBeFalse)
 		})
-		Convey("the workers' reports add up", func() {
-			runs := 0
-			for _, one := range w.scheduler.Workers(w.clock()) {
-				So(one.State, ShouldEqual, jobreport.WorkerReady)
-				So(one.Used.Add(one.Free), ShouldResemble, one.Capacity)
-				runs += one.Attempts
+		Convey("the workers' reports are consistent with each other and with the summary", func() {
+			attempts := 0
+			for _, report := range w.scheduler.Workers(w.clock()) {
+				So(report.State, ShouldEqual, jobreport.WorkerReady)
+				So(report.Used.Add(report.Free), ShouldResemble, report.Capacity)
+				attempts += report.Attempts
 			}
-			So(runs, ShouldEqual, 2)
+			So(attempts, ShouldEqual, 2)
 			So(w.scheduler.Summary(), ShouldResemble, jobreport.Summary{Running: 1, Attempts: 2, Workers: 3, ReachableWorkers: 3})
 		})
-		Convey("lists are filtered, sorted and bounded", func() {
+		Convey("lists of jobs are filtered by state, sorted and limited", func() {
 			for number := 2; number <= 5; number++ {
 				w.submitStages(number, smallStage(1))
 			}
@@ -49,20 +49,20 @@
 			So(total, ShouldEqual, 6)
 			So(all[0].ID, ShouldEqual, job.ID("0000000000000005"))
 			So(all[5].ID, ShouldEqual, cancelled)
-			some, total := w.scheduler.Jobs("", 2)
-			So(len(some), ShouldEqual, 2)
+			limited, total := w.scheduler.Jobs("", 2)
+			So(len(limited), ShouldEqual, 2)
 			So(total, ShouldEqual, 6)
 			ended, total := w.scheduler.Jobs(job.Cancelled, 100)
 			So(total, ShouldEqual, 1)
 			So(ended[0].State, ShouldEqual, job.Cancelled)
 		})
-		Convey("failed attempts are listed", func() {
+		Convey("a job's report lists its failed attempts", func() {
 			w.workers[0].failing, w.workers[1].failing, w.workers[2].failing = true, true, true
-			facts := w.submitStages(7, smallStage(1))
+			failingJob := w.submitStages(7, smallStage(1))
 			found := false
 			for range 100 {
 				w.step()
-				report, _ := w.scheduler.Job(w.clock(), facts)
+				report, _ := w.scheduler.Job(w.clock(), failingJob)
 				found = found || len(report.Failures) == 1 && len(report.Failures[0].Attempts) > 0
 			}
 			So(found, ShouldBeTrue)
@@ -70,8 +70,8 @@
 	})
 }
 
-func TestReportsAreBounded(t *testing.T) {
-	Convey("A very large job's report is truncated and says so", t, func() {
+func TestReportsOfLargeJobsAreTruncated(t *testing.T) {
+	Convey("The report and the explanation of a very large job are truncated and marked as truncated", t, func() {
 		w := newSimulation(1, 3)
 		stages := make([]job.Stage, maxReportDetails+1)
 		for i := range stages {
@@ -82,8 +82,8 @@
 		report, _ := w.scheduler.Job(w.clock(), id)
 		So(len(report.Stages), ShouldEqual, maxReportDetails)
 		So(report.Truncated, ShouldBeTrue)
-		why, _ := w.scheduler.Explain(w.clock(), id)
-		So(len(why.WaitingStages), ShouldEqual, maxExplainedStages)
-		So(why.Truncated, ShouldBeTrue)
+		explanation, _ := w.scheduler.Explain(w.clock(), id)
+		So(len(explanation.WaitingStages), ShouldEqual, maxExplainedStages)
+		So(explanation.Truncated, ShouldBeTrue)
 	})
 }
--- a/internal/jobs/scheduler/repetitions_test.go
+++ b/internal/jobs/scheduler/repetitions_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNextDueTimeIsTheEarliest(t *testing.T) {
-	convey.Convey("The next due time is that of the earliest job that waits for one", t, func() {
+	convey.Convey("The next due time is the earliest due time of the jobs that await a repetition", t, func() {
 		now := Now{Monotonic: time.Unix(1_700_000_000, 0), WallMS: 1_700_000_000_000}
 		s, err := New(Settings{MaxLease: 6 * time.Second}, now, nil)
 		convey.So(err, convey.ShouldBeNil)
--- a/internal/jobs/scheduler/restore_test.go
+++ b/internal/jobs/scheduler/restore_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-func TestCorruptStateIsNotRestored(t *testing.T) {
+func TestCorruptStateIsRejected(t *testing.T) {
 	encode := func(record any) []byte {
 		value, err := msgpack.Marshal(record)
 		So(err, ShouldBeNil)
@@ -20,11 +20,11 @@
 	id := job.ID("00000000000000aa")
 	task := job.TaskID{Job: id}
 	oneTask := jobRecord{Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}}
-	Convey("Records that agree are restored", t, func() {
+	Convey("Consistent records are restored", t, func() {
 		_, err := New(Settings{}, now, map[string][]byte{jobKey(id): encode(oneTask), taskKey(task): encode(taskRecord{AttemptNumber: 1})})
 		So(err, ShouldBeNil)
 	})
-	Convey("A record that cannot be read, or contradicts others, makes no scheduler", t, func() {
+	Convey("A record that cannot be decoded or contradicts other records is rejected with ErrCorruptState", t, func() {
 		noStage, noTask := task, task
 		noStage.Stage, noTask.Index = 1, 1
 		for _, corrupt := range []struct {
@@ -36,10 +36,10 @@
 			{"a task that cannot be decoded", map[string][]byte{jobKey(id): encode(oneTask), taskKey(task): []byte("x")}},
 			{"a drain that cannot be decoded", map[string][]byte{operatorDrainKey("i-1"): []byte("x")}},
 			{"a repetition without a number", map[string][]byte{repetitionPrefix + string(id) + "/x": encode(repetitionRecord{Complete: true})}},
-			{"a task whose name has too few parts", map[string][]byte{taskPrefix + string(id) + "/0.0": encode(taskRecord{})}},
+			{"a task whose key has too few parts", map[string][]byte{taskPrefix + string(id) + "/0.0": encode(taskRecord{})}},
 			{"a task of a job without a record", map[string][]byte{taskKey(task): encode(taskRecord{AttemptNumber: 1})}},
-			{"a task of a stage that the job has not", map[string][]byte{jobKey(id): encode(oneTask), taskKey(noStage): encode(taskRecord{})}},
-			{"a task beyond the count of its own stage", map[string][]byte{jobKey(id): encode(oneTask), taskKey(noTask): encode(taskRecord{})}},
+			{"a task of a stage that the job does not have", map[string][]byte{jobKey(id): encode(oneTask), taskKey(noStage): encode(taskRecord{})}},
+			{"a task whose index exceeds the task count of its stage", map[string][]byte{jobKey(id): encode(oneTask), taskKey(noTask): encode(taskRecord{})}},
 		} {
 			Convey(corrupt.name, func() {
 				_, err := New(Settings{}, now, corrupt.state)
@@ -49,8 +49,8 @@
 	})
 }
 
-// The records of a complete repetition's tasks are erased: between two repetitions only the repetition's own record tells that the
-// job has started. Its state must not go back to queued with a new leader.
+// The task records of a complete repetition are erased. Between two repetitions, only the repetition's own record shows that
+// the job has started. The job's state must not revert to queued when a new leader restores it.
 func TestRepeatedJobIsRunningBetweenItsRepetitions(t *testing.T) {
 	encode := func(record any) []byte {
 		value, err := msgpack.Marshal(record)
@@ -73,7 +73,7 @@
 			state[repetitionKey(id, 0)] = encode(repetitionRecord{Complete: true})
 			So(status(), ShouldEqual, job.Running)
 		})
-		Convey("without a complete repetition it is queued", func() {
+		Convey("without a complete repetition, a new leader reports it as queued", func() {
 			So(status(), ShouldEqual, job.Queued)
 		})
 	})
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -18,7 +18,7 @@
 	ended                 bool
 }
 
-// repetitionState is one execution of all of a job's stages, from its begin until all stages are complete.
+// repetitionState is one execution of all of a job's stages, from its beginning until all stages are complete.
 type repetitionState struct {
 	number           int
 	stages           []*stageState
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -23,11 +23,11 @@
 
 const (
 	storedFolder         = "testdata/stored"
-	storedDump           = "testdata/stored.json"  // the tables' bytes in hex
-	restoredSummary      = "testdata/restored.txt" // what schedulers restore from them
-	updateGoldenVariable = "GOLDEN_UPDATE"         // set to 1, the stored data is made anew
-	storedRender         = "group/jobs/render"
-	storedMail           = "group/jobs/mail"
+	storedDump           = "testdata/stored.json"  // contents of the tables, values in hexadecimal
+	restoredSummary      = "testdata/restored.txt" // summary of the state that schedulers restore from the tables
+	updateGoldenVariable = "GOLDEN_UPDATE"         // environment variable; if it is 1, the stored data is regenerated
+	storedRender         = "group/jobs/render"     // table of the first group
+	storedMail           = "group/jobs/mail"       // table of the second group
 )
 
 var (
@@ -36,7 +36,7 @@
 	storedStartTime = time.UnixMilli(1_700_000_000_000).UTC()
 )
 
-// storedGroup simulates the leadership of one group whose records are kept in a table.
+// storedGroup simulates the leadership of one group, whose records are stored in one table.
 type storedGroup struct {
 	table            string
 	store            storage.Store
@@ -52,7 +52,7 @@
 		attemptNumbers: map[job.TaskID]uint64{}, completionCounts: map[workerclient.WorkerID]uint64{}}
 	var err error
 	if g.scheduler, err = New(storedSettings, g.clock(), nil); err != nil {
-		panic(err) // nothing is there to be decoded
+		panic(err) // cannot fail: there are no records to decode
 	}
 	var instances []workerclient.Instance
 	for i, id := range workers {
@@ -69,7 +69,7 @@
 
 func (g *storedGroup) clock() Now { return Now{Monotonic: g.now, WallMS: g.now.UnixMilli()} }
 
-// commit stores the records of what was decided, and confirms all starts.
+// commit dispatches tasks, stores the resulting records, and reports all starts as successful.
 func (g *storedGroup) commit() {
 	g.scheduler.Dispatch(g.clock())
 	effects := g.scheduler.TakeEffects()
@@ -89,8 +89,8 @@
 	}
 }
 
-func (g *storedGroup) advance(length time.Duration) {
-	g.now = g.now.Add(length)
+func (g *storedGroup) advance(duration time.Duration) {
+	g.now = g.now.Add(duration)
 	g.scheduler.Tick(g.clock())
 	g.commit()
 }
@@ -100,7 +100,7 @@
 	g.commit()
 }
 
-// complete reports that a task's newest attempt has ended.
+// complete reports a completion of a task's newest attempt.
 func (g *storedGroup) complete(id job.ID, repetition, stage, index int, outcome job.Outcome, checkpoint string) {
 	task := job.TaskID{Job: id, Repetition: repetition, Stage: stage, Index: index}
 	worker := g.assignedTo[task]
@@ -124,40 +124,40 @@
 	cancelledJob   = job.ID("000000000000000a")
 )
 
-// writeStoredJobs brings jobs into all of their states.
+// writeStoredJobs writes the records of two groups. They contain records of each kind, and jobs in each state.
 func writeStoredJobs(store storage.Store) {
 	queue := jobapi.Queue{Route: "render", Service: "render", Priority: 2, MaxAttempts: 3, Extension: 1.5, TargetLatencyMS: 700, Guards: true}
-	one := job.Stage{Count: 1, EstimatedDurationMS: 500, Resources: job.Resources{Processors: 1000, MemoryMB: 100}}
-	staged := func(stages ...job.Stage) job.Specification {
+	oneTask := job.Stage{Count: 1, EstimatedDurationMS: 500, Resources: job.Resources{Processors: 1000, MemoryMB: 100}}
+	specificationOf := func(stages ...job.Stage) job.Specification {
 		return job.Specification{Text: "do \"it\"\n", Stages: stages}
 	}
 	g := newStoredGroup(storedRender, store, "w-1", "w-2", "w-3")
 	waiting := job.Stage{Count: 2, Resources: job.Resources{Processors: 9000, MemoryMB: 70000, Accelerators: 5}, EstimatedDurationMS: 90000,
 		Checkpoints: true, GangScheduled: true, SameRack: true, Requirements: job.Labels{"none", "kind"}, Affinity: "rack-1", AntiAffinity: 1,
 		AtLeastOnce: true, LongRunning: true}
-	waitingToo := waiting
-	waitingToo.DependsOn = []int{0}
-	g.submit(waitingJob, queue, staged(waiting, waitingToo))
-	saving := one
-	saving.Count, saving.Checkpoints = 2, true
-	g.submit(runningJob, queue, staged(saving))
+	dependent := waiting
+	dependent.DependsOn = []int{0}
+	g.submit(waitingJob, queue, specificationOf(waiting, dependent))
+	checkpointing := oneTask
+	checkpointing.Count, checkpointing.Checkpoints = 2, true
+	g.submit(runningJob, queue, specificationOf(checkpointing))
 	g.complete(runningJob, 0, 0, 0, job.OutcomeFailed, "save-1")
 	g.advance(time.Second)
-	gang := one
+	gang := oneTask
 	gang.Count, gang.GangScheduled, gang.Checkpoints = 2, true, true
-	g.submit(gangJob, queue, staged(gang))
-	repeated := staged(one)
+	g.submit(gangJob, queue, specificationOf(gang))
+	repeated := specificationOf(oneTask)
 	repeated.Repetitions, repeated.FirstRunMS, repeated.IntervalMS = 4, g.now.UnixMilli(), 1000
 	g.submit(repeatedJob, queue, repeated)
 	g.complete(repeatedJob, 0, 0, 0, job.OutcomeDone, "")
 	g.advance(time.Second)
-	lasting := one
-	lasting.LongRunning = true
-	g.submit(longRunningJob, queue, staged(lasting))
+	longRunning := oneTask
+	longRunning.LongRunning = true
+	g.submit(longRunningJob, queue, specificationOf(longRunning))
 	g.complete(longRunningJob, 0, 0, 0, job.OutcomeDone, "")
-	second := one
+	second := oneTask
 	second.DependsOn, second.Affinity = []int{0}, "rack-2"
-	g.submit(stagesJob, queue, staged(one, second))
+	g.submit(stagesJob, queue, specificationOf(oneTask, second))
 	g.complete(stagesJob, 0, 0, 0, job.OutcomeDone, "")
 	g.scheduler.SetOperatorDrain(g.clock(), "w-3", true)
 	g.scheduler.SetOperatorDrain(g.clock(), "w-2", true)
@@ -166,12 +166,12 @@
 
 	g = newStoredGroup(storedMail, store, "w-8", "w-9")
 	queue = jobapi.Queue{Route: "mail", Service: "mail", MaxAttempts: 1}
-	copies := one
-	copies.AtLeastOnce = true
-	g.submit(atLeastOnceJob, queue, staged(copies))
-	g.submit(completedJob, queue, staged(one))
-	g.submit(failedJob, queue, staged(one))
-	g.submit(cancelledJob, queue, staged(one))
+	atLeastOnce := oneTask
+	atLeastOnce.AtLeastOnce = true
+	g.submit(atLeastOnceJob, queue, specificationOf(atLeastOnce))
+	g.submit(completedJob, queue, specificationOf(oneTask))
+	g.submit(failedJob, queue, specificationOf(oneTask))
+	g.submit(cancelledJob, queue, specificationOf(oneTask))
 	g.advance(300 * time.Millisecond)
 	g.complete(completedJob, 0, 0, 0, job.OutcomeDone, "")
 	g.complete(failedJob, 0, 0, 0, job.OutcomeFailed, "")
@@ -179,7 +179,8 @@
 	g.commit()
 }
 
-// summarizeState writes down all that a scheduler has restored, in words that do not depend on names in the code.
+// summarizeState returns a text that describes the whole state restored by a scheduler. The text does not depend on Go
+// identifiers, so that renaming them does not change the golden file.
 func summarizeState(s *Scheduler) string {
 	var text strings.Builder
 	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
@@ -190,7 +191,7 @@
 	for _, j := range s.jobsByArrival() {
 		specification, err := json.Marshal(j.Specification)
 		if err != nil {
-			panic(err) // it can be written
+			panic(err) // encoding a specification never fails
 		}
 		state, _ := s.Status(j.id)
 		queue := j.Queue
@@ -232,7 +233,8 @@
 	}
 }
 
-// summarizeTables summarizes the schedulers of both groups, some time after the records were written.
+// summarizeTables restores schedulers from the tables of both groups and summarizes their state. The restoration takes place
+// some time after the records were written.
 func summarizeTables(tables storage.Tables) (string, error) {
 	text := ""
 	for _, table := range []string{storedRender, storedMail} {
@@ -246,7 +248,7 @@
 	return text, nil
 }
 
-// dumpTables writes tables down, each value in hex.
+// dumpTables returns the contents of the tables as JSON, with values in hexadecimal.
 func dumpTables(tables storage.Tables) string {
 	values := make(map[string]map[string]string)
 	for name, table := range tables {
@@ -257,19 +259,19 @@
 	}
 	text, err := json.MarshalIndent(values, "", " ")
 	if err != nil {
-		panic(err) // maps of texts can be written
+		panic(err) // encoding maps of strings never fails
 	}
 	return string(text) + "\n"
 }
 
-// reencode decodes a record and encodes it again, as this build does.
+// reencode decodes a record and encodes it again with the code under test.
 func reencode(key string, value []byte) []byte {
 	record := map[string]any{
 		jobPrefix: &jobRecord{}, taskPrefix: &taskRecord{}, repetitionPrefix: &repetitionRecord{},
 		endedPrefix: &endedRecord{}, operatorDrainPrefix: &operatorDrainRecord{},
 	}[key[:2]]
 	if err := decodeRecord(key, value, record); err != nil {
-		panic(err) // schedulers have decoded it
+		panic(err) // cannot fail: a scheduler has already decoded this record
 	}
 	var s Scheduler
 	s.writeRecord(key, reflect.ValueOf(record).Elem().Interface())
@@ -286,6 +288,7 @@
 	return store
 }
 
+// regenerateStoredJobs overwrites the stored data and the golden files.
 func regenerateStoredJobs(t *testing.T) {
 	t.Helper()
 	os.RemoveAll(storedFolder)
@@ -311,7 +314,9 @@
 	return string(content)
 }
 
-func TestReadsStoredDataOfJobs(t *testing.T) {
+// This test guards against a change of the record format that this build or an earlier build cannot read. It restores
+// records that an earlier build stored, and encodes them again.
+func TestStoredRecordsOfEarlierBuildAreRestored(t *testing.T) {
 	if os.Getenv(updateGoldenVariable) == "1" {
 		regenerateStoredJobs(t)
 	}
@@ -322,12 +327,12 @@
 		store := openStored(t, folder)
 		So(dumpTables(store.Snapshot()), ShouldEqual, records)
 
-		Convey("schedulers restore all of them", func() {
+		Convey("schedulers restore the complete state", func() {
 			text, err := summarizeTables(store.Snapshot())
 			So(err, ShouldBeNil)
 			So(text, ShouldEqual, restored)
 		})
-		Convey("there is a record of each kind, and a job in each state", func() {
+		Convey("the records include each kind of record and each state of a job", func() {
 			for _, kind := range []string{jobPrefix, taskPrefix, repetitionPrefix, endedPrefix, operatorDrainPrefix} {
 				So(records, ShouldContainSubstring, `"`+kind)
 			}
@@ -335,7 +340,7 @@
 				So(restored, ShouldContainSubstring, string(state))
 			}
 		})
-		Convey("this build writes the same, so that the earlier one can read it", func() {
+		Convey("this build encodes the records identically, so that the earlier build can read them", func() {
 			reencoded := make(storage.Tables)
 			for name, table := range store.Snapshot() {
 				reencoded[name] = make(map[string][]byte)
@@ -345,7 +350,7 @@
 			}
 			So(dumpTables(reencoded), ShouldEqual, records)
 		})
-		Convey("this build names the records in the same way", func() {
+		Convey("this build uses the same record keys", func() {
 			task := job.TaskID{Job: repeatedJob, Repetition: 1, Stage: 2, Index: 3}
 			So(jobKey(waitingJob), ShouldEqual, "j/0000000000000001")
 			So(endedKey(waitingJob), ShouldEqual, "e/0000000000000001")
