--- a/internal/jobs/job/job_test.go
+++ b/internal/jobs/job/job_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestTaskAndJobIDsAreParsedStrictly(t *testing.T) {
+func TestMalformedTaskAndJobIDsAreRejected(t *testing.T) {
 	Convey("Parsing the wire format of a task ID returns the task ID", t, func() {
 		id := TaskID{Job: "5c0e7a21d94b36f8", Repetition: 2, Stage: 1, Index: 17}
 		parsed, err := ParseTaskID(id.String())
--- a/internal/jobs/scheduler/operatordrain.go
+++ b/internal/jobs/scheduler/operatordrain.go
@@ -21,7 +21,7 @@
 	SinceMS int64  `msgpack:"t"` // time of the newest change, milliseconds since 1970
 	Version uint64 `msgpack:"v"` // number of changes that were applied
 	// History has one bit for each of the newest versions, which is set if the worker was drained in that version. The lowest
-	// bit stands for the newest version.
+	// bit represents the newest version.
 	History uint64 `msgpack:"h"`
 }
 
@@ -101,7 +101,7 @@
 	return s.workers[id] != nil || s.operatorDrains[id] != nil
 }
 
-// applyDrain records a change as a new version. If it changes the worker's state, waiting tasks are bound anew.
+// applyDrain records a change as a new version. If it changes the worker's state, waiting tasks are bound again.
 func (s *Scheduler) applyDrain(now Now, id workerclient.WorkerID, draining bool) {
 	previous := s.operatorDrains.record(id)
 	record := previous.afterChange(now, draining)
--- a/internal/jobs/scheduler/operatordrain_test.go
+++ b/internal/jobs/scheduler/operatordrain_test.go
@@ -50,7 +50,7 @@
 
 // A drain request without a version cannot be recognized as delayed: if it is delivered again after the drain has ended, it
 // drains the worker once more. The operators' documentation describes this.
-func TestDelayedDrainWithoutVersionDrainsAgain(t *testing.T) {
+func TestDelayedDrainWithoutVersionIsApplied(t *testing.T) {
 	Convey("A drain without a version drains the worker again if it is delivered again after the end of the drain", t, func() {
 		w := newSimulation(1, 3)
 		w.runSteps(20)
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -183,10 +183,10 @@
 // identifiers, so that renaming them does not change the golden file.
 func summarizeState(s *Scheduler) string {
 	var text strings.Builder
-	line := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
-	line("arrivals %d, next due %d", s.lastArrival, s.NextDueMS())
+	writeLine := func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
+	writeLine("arrivals %d, next due %d", s.lastArrival, s.NextDueMS())
 	for _, route := range slices.Sorted(maps.Keys(s.pendingByRoute)) {
-		line("route %s: %d jobs", route, s.PendingJobs(route))
+		writeLine("route %s: %d jobs", route, s.PendingJobs(route))
 	}
 	for _, j := range s.jobsByArrival() {
 		specification, err := json.Marshal(j.Specification)
@@ -195,39 +195,39 @@
 		}
 		state, _ := s.Status(j.id)
 		queue := j.Queue
-		line("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.incompleteRepetitions, j.nextDueMS)
-		line("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
+		writeLine("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.incompleteRepetitions, j.nextDueMS)
+		writeLine("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
 			queue.Route, queue.Service, queue.Priority, queue.MaxAttempts, queue.Extension, queue.TargetLatencyMS, queue.Guards)
-		line("  specification: %s", specification)
+		writeLine("  specification: %s", specification)
 		for number, repetition := range j.repetitions {
 			if repetition == nil {
-				line("  repetition %d: complete", number)
+				writeLine("  repetition %d: complete", number)
 				continue
 			}
-			summarizeRepetition(line, repetition)
+			summarizeRepetition(writeLine, repetition)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.endedJobs)) {
-		line("job %s: ended as %s at %d", id, s.endedJobs[id].State, s.endedJobs[id].EndedMS)
+		writeLine("job %s: ended as %s at %d", id, s.endedJobs[id].State, s.endedJobs[id].EndedMS)
 	}
 	for _, worker := range s.sortedWorkers {
-		line("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", worker.ID, len(worker.attempts), worker.used.Processors, worker.used.MemoryMB, worker.used.Accelerators)
+		writeLine("worker %s: %d runs, used %d cores/1000 %d MB %d accelerators", worker.ID, len(worker.attempts), worker.used.Processors, worker.used.MemoryMB, worker.used.Accelerators)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.operatorDrains)) {
 		drain := s.operatorDrains[id]
-		line("drain of %s: since %d, version %d, history %b", id, drain.SinceMS, drain.Version, drain.History)
+		writeLine("drain of %s: since %d, version %d, history %b", id, drain.SinceMS, drain.Version, drain.History)
 	}
 	return text.String()
 }
 
-func summarizeRepetition(line func(format string, values ...any), repetition *repetitionState) {
-	line("  repetition %d: stages left %d", repetition.number, repetition.incompleteStages)
+func summarizeRepetition(writeLine func(format string, values ...any), repetition *repetitionState) {
+	writeLine("  repetition %d: stages left %d", repetition.number, repetition.incompleteStages)
 	for _, stage := range repetition.stages {
-		line("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
+		writeLine("    stage %d: tasks left %d, waiting %d", stage.number, stage.incompleteTasks, len(stage.waiting))
 		for _, task := range stage.tasks {
-			line("      task %s: execution %d, failed %v, checkpoint %q, done %v", task.id, task.attemptNumber, task.failedAttempts, task.checkpoint, task.done)
+			writeLine("      task %s: execution %d, failed %v, checkpoint %q, done %v", task.id, task.attemptNumber, task.failedAttempts, task.checkpoint, task.done)
 			for _, attempt := range slices.SortedFunc(slices.Values(task.attempts), func(a, b *attemptState) int { return cmp.Compare(a.number, b.number) }) {
-				line("        run %d at %s, inherited %v", attempt.number, attempt.worker.ID, attempt.inherited)
+				writeLine("        run %d at %s, inherited %v", attempt.number, attempt.worker.ID, attempt.inherited)
 			}
 		}
 	}
