--- a/internal/jobs/scheduler/admission.go
+++ b/internal/jobs/scheduler/admission.go
@@ -62,16 +62,16 @@
 // workersAcceptingStarts returns the workers for which acceptsStarts is true. The list is computed at most once per dispatch,
 // when the first task cannot start on the worker that it is bound to.
 func (s *Scheduler) workersAcceptingStarts(now Now) []*workerState {
-	if s.openCached {
-		return s.openCache
+	if s.openWorkersCached {
+		return s.openWorkersCache
 	}
-	s.openCached = true
+	s.openWorkersCached = true
 	for _, worker := range s.sortedWorkers {
 		if s.acceptsStarts(now, worker) {
-			s.openCache = append(s.openCache, worker)
+			s.openWorkersCache = append(s.openWorkersCache, worker)
 		}
 	}
-	return s.openCache
+	return s.openWorkersCache
 }
 
 // attemptsOfStage returns the number of a stage's attempts on the worker.
--- a/internal/jobs/scheduler/cost.go
+++ b/internal/jobs/scheduler/cost.go
@@ -54,14 +54,14 @@
 	if stage.Affinity == "" || stage.Affinity == worker.rack || worker.hasLabel(stage.Affinity) {
 		return 1
 	}
-	return max(1, s.settings.RemoteFactor)
+	return max(1, s.settings.RemoteSlowdown)
 }
 
 // slowdown returns the worker's pace ratio divided by the median pace ratio. The result is at least 1, and 1 if either ratio
 // is unknown.
 func (s *Scheduler) slowdown(worker *workerState) float64 {
-	if worker.paceRatio == 0 || s.medianPace == 0 {
+	if worker.paceRatio == 0 || s.medianPaceRatio == 0 {
 		return 1
 	}
-	return max(1, worker.paceRatio/s.medianPace)
+	return max(1, worker.paceRatio/s.medianPaceRatio)
 }
--- a/internal/jobs/scheduler/inventory.go
+++ b/internal/jobs/scheduler/inventory.go
@@ -47,11 +47,11 @@
 func (s *Scheduler) KnowsWorker(id workerclient.WorkerID) bool { return s.workers[id] != nil }
 
 // WasRemoved reports whether a worker's incarnation has been removed. The platform may still list it for a while.
-func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.removed[id] }
+func (s *Scheduler) WasRemoved(id workerclient.WorkerID) bool { return s.removedWorkers[id] }
 
 // updateInstance adds or updates one worker from the platform's list. It ignores incarnations that were removed.
 func (s *Scheduler) updateInstance(now Now, instance *workerclient.Instance) {
-	if s.removed[instance.ID] {
+	if s.removedWorkers[instance.ID] {
 		return
 	}
 	worker := s.workers[instance.ID]
@@ -82,7 +82,7 @@
 		return
 	}
 	s.endAllAttempts(now, worker)
-	s.removed[id] = true
+	s.removedWorkers[id] = true
 	s.clearLatency(worker)
 	delete(s.workers, id)
 	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(other *workerState) bool { return other == worker })
@@ -96,7 +96,7 @@
 func (s *Scheduler) drainWorker(now Now, worker *workerState) {
 	remainingMS := float64(worker.RemainingMS)
 	if worker.RemainingMS == 0 {
-		remainingMS = float64(s.settings.DrainTime.Milliseconds())
+		remainingMS = float64(s.settings.MinDrainDuration.Milliseconds())
 	}
 	for _, attempt := range worker.sortedAttempts() {
 		if attempt.task.stage.LongRunning || s.remainingMS(now, attempt) > remainingMS {
--- a/internal/jobs/scheduler/locality.go
+++ b/internal/jobs/scheduler/locality.go
@@ -15,7 +15,7 @@
 // scheduling: the wait is a fraction of the extra time that the tasks would take elsewhere. Gangs that request a single rack
 // use the same wait.
 func (s *Scheduler) localityWait(stage *stageState) time.Duration {
-	extraMS := (max(1, s.settings.RemoteFactor) - 1) * float64(stage.EstimatedDurationMS)
+	extraMS := (max(1, s.settings.RemoteSlowdown) - 1) * float64(stage.EstimatedDurationMS)
 	return min(maxLocalityWait, time.Duration(localityWaitFraction*extraMS)*time.Millisecond)
 }
 
--- a/internal/jobs/scheduler/reachability.go
+++ b/internal/jobs/scheduler/reachability.go
@@ -26,10 +26,10 @@
 // releaseTask queues the task of an attempt on an unreachable worker for another attempt at once, if its stage has
 // at-least-once semantics. In such a stage, two attempts of a task may run at the same time.
 func (s *Scheduler) releaseTask(now Now, attempt *attemptState) {
-	if !attempt.task.stage.AtLeastOnce || attempt.released || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
+	if !attempt.task.stage.AtLeastOnce || attempt.taskReleased || attempt.stopping || attempt.task.done || attempt.task.stage.GangScheduled {
 		return
 	}
-	attempt.released = true
+	attempt.taskReleased = true
 	s.retry(now, attempt.task, attempt.number)
 }
 
--- a/internal/jobs/scheduler/simulation_test.go
+++ b/internal/jobs/scheduler/simulation_test.go
@@ -94,8 +94,8 @@
 	sim := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), startTime: time.Unix(1_700_000_000, 0), durable: map[string][]byte{},
 		taskHistories: map[job.TaskID]*taskHistory{}, jobs: map[job.ID]*simulatedJob{}, epoch: 1,
-		settings: Settings{RemoteFactor: 2, StopTime: 400 * time.Millisecond, RestoreTime: 200 * time.Millisecond,
-			MaxLease: 6 * time.Second, DrainTime: 3 * time.Second, StatusRetention: time.Hour},
+		settings: Settings{RemoteSlowdown: 2, MaxStopDuration: 400 * time.Millisecond, RestoreDuration: 200 * time.Millisecond,
+			MaxLease: 6 * time.Second, MinDrainDuration: 3 * time.Second, StatusRetention: time.Hour},
 	}
 	for i := range machines {
 		sim.addWorker(fmt.Sprintf("s%02d", i), i)
@@ -204,7 +204,7 @@
 			sim.sendStop(worker, *command.Stop, sim.epoch, sim.scheduler)
 			continue
 		}
-		if sim.scheduler.StillNeeded(command.Worker, command.Start) {
+		if sim.scheduler.ShouldSendStart(command.Worker, command.Start) {
 			sim.sendStart(worker, *command.Start, sim.epoch, sim.scheduler)
 		}
 	}
--- a/internal/jobs/scheduler/stragglers.go
+++ b/internal/jobs/scheduler/stragglers.go
@@ -36,25 +36,25 @@
 	if !attempt.reported || attempt.inherited || attempt.stopping || attempt.task.stage.LongRunning {
 		return 0, false
 	}
-	observed := attempt.reportedAt.Sub(attempt.paceSince)
-	if observed < minPaceObservationTime || attempt.percent <= attempt.pacePercent || attempt.progressedAt.Before(attempt.reportedAt) {
+	observed := attempt.reportedAt.Sub(attempt.firstReportedAt)
+	if observed < minPaceObservationTime || attempt.percent <= attempt.firstReportedPercent || attempt.progressedAt.Before(attempt.reportedAt) {
 		return 0, false
 	}
-	return float64(observed.Milliseconds()) * 100 / float64(attempt.percent-attempt.pacePercent), true
+	return float64(observed.Milliseconds()) * 100 / float64(attempt.percent-attempt.firstReportedPercent), true
 }
 
 // updatePaceRatios computes the median pace ratio of the reachable workers and moves each worker's ratio towards it.
 func (s *Scheduler) updatePaceRatios() {
-	s.paceScratch = s.paceScratch[:0]
+	s.paceRatioScratch = s.paceRatioScratch[:0]
 	for _, worker := range s.sortedWorkers {
 		if worker.paceRatio > 0 && worker.reachable {
-			s.paceScratch = append(s.paceScratch, worker.paceRatio)
+			s.paceRatioScratch = append(s.paceRatioScratch, worker.paceRatio)
 		}
 	}
-	s.medianPace = median(s.paceScratch)
+	s.medianPaceRatio = median(s.paceRatioScratch)
 	for _, worker := range s.sortedWorkers {
 		if worker.paceRatio > 0 {
-			worker.paceRatio += paceRatioDecay * (s.medianPace - worker.paceRatio)
+			worker.paceRatio += paceRatioDecay * (s.medianPaceRatio - worker.paceRatio)
 		}
 	}
 }
@@ -81,9 +81,9 @@
 		return false
 	}
 	remainingMS := pace * float64(100-attempt.percent) / 100
-	restartMS := s.expectedDurationMS(stage, attempt.worker)*max(1, s.medianPace) + migrationCostMS + float64(s.settings.StopTime.Milliseconds())
+	restartMS := s.expectedDurationMS(stage, attempt.worker)*max(1, s.medianPaceRatio) + migrationCostMS + float64(s.settings.MaxStopDuration.Milliseconds())
 	if stage.Checkpoints && attempt.checkpoint != "" {
-		restartMS = restartMS*float64(100-attempt.percent)/100 + float64(s.settings.RestoreTime.Milliseconds())
+		restartMS = restartMS*float64(100-attempt.percent)/100 + float64(s.settings.RestoreDuration.Milliseconds())
 	}
 	return remainingMS >= migrationGainFactor*restartMS
 }
--- a/internal/jobs/scheduler/workerends_test.go
+++ b/internal/jobs/scheduler/workerends_test.go
@@ -16,11 +16,11 @@
 // newLongRunningSimulation returns a simulation of three workers that run six long-running tasks of one job.
 func newLongRunningSimulation() (*simulation, job.ID) {
 	sim := newSimulation(1, 3)
-	sim.steps(20)
+	sim.runSteps(20)
 	stage := smallStage(6)
 	stage.LongRunning = true
 	id := sim.submitStages(1, stage)
-	sim.steps(50)
+	sim.runSteps(50)
 	return sim, id
 }
 
@@ -29,7 +29,7 @@
 	startedAt := sim.elapsed
 	for sim.elapsed < startedAt+2*longRunningRestartLimit {
 		sim.step()
-		if _, all := countRunning(sim, ""); all == 6 {
+		if _, all := countRunningAttempts(sim, ""); all == 6 {
 			break
 		}
 	}
@@ -39,7 +39,7 @@
 func TestLongRunningTasksRestartAfterTheirAttemptEnds(t *testing.T) {
 	Convey("Given six long-running tasks", t, func() {
 		sim, id := newLongRunningSimulation()
-		_, all := countRunning(sim, "")
+		_, all := countRunningAttempts(sim, "")
 		So(all, ShouldEqual, 6)
 
 		Convey("if all of them fail three times, each is restarted in time, because long-running tasks have no limit of failed attempts", func() {
@@ -63,8 +63,8 @@
 		Convey("if the platform drains a worker, its tasks are restarted on other workers in time", func() {
 			sim.worker("s00").Draining, sim.worker("s00").RemainingMS = true, 5000
 			sim.sendInventory()
-			sim.steps(int(longRunningRestartLimit / (20 * time.Millisecond)))
-			onDrained, all := countRunning(sim, "s00")
+			sim.runSteps(int(longRunningRestartLimit / (20 * time.Millisecond)))
+			onDrained, all := countRunningAttempts(sim, "s00")
 			So(onDrained, ShouldEqual, 0)
 			So(all, ShouldEqual, 6)
 		})
@@ -77,19 +77,19 @@
 func TestNewIncarnationGetsOnlyTasksOfItsOwnLabelsAndCapacity(t *testing.T) {
 	Convey("Given a crashed worker whose new incarnation has another label and less capacity", t, func() {
 		sim := newSimulation(1, 1)
-		sim.steps(20)
+		sim.runSteps(20)
 		sim.crash(sim.worker("s00"), "s90")
 		successor := sim.worker("s90")
 		successor.Address, successor.Labels = sim.worker("s00").Address, []string{"b", "rack0"}
 		successor.Capacity = job.Resources{Processors: 2000, MemoryMB: 500}
-		sim.steps(100)
+		sim.runSteps(100)
 		requiring := func(label string, processors int64) job.Stage {
 			stage := smallStage(1)
 			stage.Requirements, stage.Processors = job.Labels{label}, processors
 			return stage
 		}
 		oldLabel, newLabel, tooLarge := sim.submitStages(1, requiring("a", 1000)), sim.submitStages(2, requiring("b", 1000)), sim.submitStages(3, requiring("b", 4000))
-		sim.steps(100)
+		sim.runSteps(100)
 		state := func(id job.ID) job.State {
 			state, _ := sim.scheduler.Status(id)
 			return state
@@ -112,12 +112,12 @@
 	}{{60_000, 0}, {2_000, 1}} {
 		Convey("On a draining worker, only the attempt that exceeds the remaining time is stopped", t, func() {
 			sim := newSimulation(1, 1)
-			sim.steps(20)
+			sim.runSteps(20)
 			short, long := smallStage(1), smallStage(1)
 			long.EstimatedDurationMS = 30_000
 			sim.submitStages(1, short)
 			sim.submitStages(2, long)
-			sim.steps(3)
+			sim.runSteps(3)
 			sim.scheduler.TakeEffects()
 			sim.worker("s00").Draining, sim.worker("s00").RemainingMS = true, c.remainingMS
 			sim.scheduler.SetInventory(sim.clock(), []workerclient.Instance{sim.worker("s00").Instance})
--- a/internal/jobs/scheduler/workerreports.go
+++ b/internal/jobs/scheduler/workerreports.go
@@ -59,7 +59,7 @@
 		}
 		orphans[key] = true
 		if !worker.orphans[key] {
-			s.commandStop(worker, entry.Task, entry.AttemptNumber)
+			s.addStopCommand(worker, entry.Task, entry.AttemptNumber)
 		}
 	}
 	worker.orphans = orphans
@@ -70,7 +70,7 @@
 func (s *Scheduler) recordProgress(now Now, attempt *attemptState, entry *workerclient.RunningTask) {
 	if !attempt.reported {
 		attempt.reported = true
-		attempt.paceSince, attempt.pacePercent = now.Monotonic, entry.Percent
+		attempt.firstReportedAt, attempt.firstReportedPercent = now.Monotonic, entry.Percent
 	}
 	attempt.reportedAt = now.Monotonic
 	if entry.Percent > attempt.percent || attempt.progressedAt.IsZero() {
@@ -99,7 +99,7 @@
 		switch {
 		case attempt.inherited, startConfirmed, stopConfirmed:
 			s.endAttempt(now, attempt)
-		case !attempt.startUnclearAt.IsZero() && attempt.startUnclearAt.Before(report.SentAt):
+		case !attempt.startUnansweredAt.IsZero() && attempt.startUnansweredAt.Before(report.SentAt):
 			s.stopAttempt(attempt) // once stopped, the worker rejects a start that arrives late
 		}
 	}
