--- a/cmd/puffinlink/whyoutput.go
+++ b/cmd/puffinlink/whyoutput.go
@@ -15,22 +15,22 @@
 	jobreport.ReasonGangCapacity: "there is no room for all members of the gang at once",
 	jobreport.ReasonBackoff:      "a short pause after a start that went wrong",
 	jobreport.ReasonNoWorker:     "every searcher is ruled out",
-	jobreport.ReasonQueueOrder:         "searchers could take it; its turn has not come",
+	jobreport.ReasonQueueOrder:   "searchers could take it; its turn has not come",
 }
 
 // causeTexts say what rules a worker out.
 var causeTexts = map[jobreport.Cause]string{
-	jobreport.CauseMissingLabel:            "lack the label",
-	jobreport.CauseTotalCapacity:             "are too small even when empty",
+	jobreport.CauseMissingLabel:     "lack the label",
+	jobreport.CauseTotalCapacity:    "are too small even when empty",
 	jobreport.CauseDraining:         "are drained by the platform",
 	jobreport.CauseOperatorDraining: "are drained by an operator",
-	jobreport.CauseNotInInventory:         "are not in the platform's list",
+	jobreport.CauseNotInInventory:   "are not in the platform's list",
 	jobreport.CauseUnreachable:      "do not answer",
 	jobreport.CauseNotFenced:        "have not confirmed the leader's fencing token yet",
 	jobreport.CauseOrphans:          "have runs that are being stopped as nobody wants them",
 	jobreport.CauseBackoff:          "rest for a moment after a refusal or a run that stood still",
 	jobreport.CauseWindow:           "have as many runs as their window allows",
-	jobreport.CauseFreeCapacity:         "have too little free",
+	jobreport.CauseFreeCapacity:     "have too little free",
 	jobreport.CauseAntiAffinity:     "have as many tasks of the stage as antiAffinity allows",
 	jobreport.CauseOther:            "are ruled out by something else",
 }
