--- a/internal/controlplane/coordinator/connections.go
+++ b/internal/controlplane/coordinator/connections.go
@@ -23,8 +23,8 @@
 func workerLimits(limits *nodesettings.Limits) workerclient.Limits {
 	connections := limits.ConnectionBudget().Workers
 	return workerclient.Limits{
-		Connections: connections, DialsPerS: limits.DialsPerSecond(), DialBurst: dialBurst,
-		PollsPerS: limits.PollsPerSecond(), MaxLongPolls: connections / idleWorkersDivisor,
+		Connections: connections, DialsPerSecond: limits.DialsPerSecond(), DialBurst: dialBurst,
+		PollsPerSecond: limits.PollsPerSecond(), MaxLongPolls: connections / idleWorkersDivisor,
 	}
 }
 
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -88,7 +88,7 @@
 	b.Helper()
 	const self = "127.0.0.1:1"
 	connections := workerclient.NewConnections(workerclient.Limits{
-		Connections: 2700, DialsPerS: 544, DialBurst: 256, PollsPerS: 600, MaxLongPolls: 600,
+		Connections: 2700, DialsPerSecond: 544, DialBurst: 256, PollsPerSecond: 600, MaxLongPolls: 600,
 	})
 	m := New(Config{
 		Settings: scheduler.Settings{RemoteFactor: 1.5, MaxLease: fleetMaxLease, StatusRetention: 5 * time.Minute},
@@ -145,11 +145,11 @@
 		}
 	}
 	load(fleetWarmUp)
-	before, began, opened := processorTime(), time.Now(), m.config.Connections.Usage().Opened
+	before, began, opened := processorTime(), time.Now(), m.config.Connections.Usage().TotalOpened
 	load(fleetMeasureTime)
 	b.ReportMetric(100*(processorTime()-before).Seconds()/time.Since(began).Seconds(), "%core")
 	b.ReportMetric(float64(m.config.Connections.Usage().Open), "connections")
-	b.ReportMetric(float64(m.config.Connections.Usage().Opened-opened)/time.Since(began).Seconds(), "opened/s")
+	b.ReportMetric(float64(m.config.Connections.Usage().TotalOpened-opened)/time.Since(began).Seconds(), "opened/s")
 	leadership, err := m.leadershipOf(feed.GroupOf(fleetService))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/jobs/workerclient/acknowledgement.go
+++ b/internal/jobs/workerclient/acknowledgement.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	acknowledgementTimeout     = 60 * time.Millisecond  // how long the renewal after new completions waits for their acknowledgement
-	repeatedCompletionsTimeout = 150 * time.Millisecond // and how long the one after completions that were listed before
+	acknowledgementTimeout     = 60 * time.Millisecond  // maximum wait for the acknowledgement of new completions before the next renewal
+	repeatedCompletionsTimeout = 150 * time.Millisecond // the same for completions that were listed before
 )
 
-// Acknowledge records that the completions up to a number are durable: the next renewal or poll lets the worker forget them.
+// Acknowledge records that the completions up to the given number are durable. The next renewal or poll lets the worker discard them.
 func (l *Link) Acknowledge(number uint64) {
 	l.mu.Lock()
 	l.acknowledged = max(l.acknowledged, number)
@@ -15,8 +15,8 @@
 	l.acknowledgementArrived.Notify()
 }
 
-// awaitAcknowledgement waits until the completions up to a number are durable: for a short time after new ones, so that further
-// completions are received soon in any case, and for longer when the same ones are listed again.
+// awaitAcknowledgement waits until the completions up to the given number are durable, or until a timeout. The timeout is short after
+// new completions, so that further ones are received soon. It is longer if the worker has listed the same completions again.
 func (l *Link) awaitAcknowledgement(number uint64) {
 	timeout := acknowledgementTimeout
 	if number <= l.awaitedCompletion {
@@ -24,34 +24,34 @@
 		l.countRepeatedCompletions()
 	}
 	l.awaitedCompletion = max(l.awaitedCompletion, number)
-	limit := time.NewTimer(timeout)
-	defer limit.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
 		l.mu.Lock()
-		over := l.acknowledged >= number || l.ending != open
+		finished := l.acknowledged >= number || l.endReason != notEnded
 		l.mu.Unlock()
-		if over {
+		if finished {
 			return
 		}
 		select {
 		case <-l.acknowledgementArrived:
 		case <-l.done:
-		case <-limit.C:
+		case <-timer.C:
 			return
 		}
 	}
 }
 
-// markIdleIfAcknowledged records that a worker is idle if its last response lists nothing but completions that are durable by now.
-// The next call acknowledges them, however late it is.
-func (l *Link) markIdleIfAcknowledged(last renewalResult, newest uint64) {
-	lists := &last.response.body
+// markIdleIfAcknowledged records that the worker is idle if its last response lists only completions that are durable by now. The
+// next call acknowledges them, even if that call is delayed because the worker is idle.
+func (l *Link) markIdleIfAcknowledged(lastResult renewalResult, newest uint64) {
+	lists := &lastResult.response.body
 	if len(lists.Running) > 0 || len(lists.Finished) >= maxFinishedPerResponse {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.acknowledged >= newest && l.commands.answeredBefore(last.call.sentAt) {
+	if l.acknowledged >= newest && l.commands.allAnsweredBefore(lastResult.call.sentAt) {
 		l.activity.mayHaveWork = false
 	}
 }
--- a/internal/jobs/workerclient/activity.go
+++ b/internal/jobs/workerclient/activity.go
@@ -1,16 +1,16 @@
 package workerclient
 
-// activity is what a link knows about whether its worker has anything to report. It decides whether a renewal waits at the worker (a long
-// poll) and how long an idle worker is left alone. It does no I/O; the link's lock guards it.
+// activity records whether the worker may have attempts or completions to report. It determines whether a renewal is a long poll and
+// how often an idle worker is polled. It does no I/O. The link's lock guards it.
 type activity struct {
-	listed      bool // the worker has answered a call with its lists
-	mayHaveWork bool // it may have attempts, or completions that are not acknowledged
+	listed      bool // the worker has returned its lists at least once
+	mayHaveWork bool // the worker may have attempts or unacknowledged completions
 	longPolled  bool // the newest call of the renewal loop was a long poll
 }
 
-// received takes in the lists of a response; commandsAnswered is whether all commands were answered before it was requested, so that none of
-// them can have begun an attempt since.
-func (a *activity) received(lists *responseBody, commandsAnswered bool) {
+// observeLists updates the activity from the lists of a response. commandsAnswered reports whether all commands were answered before the
+// lists were requested, so that no command can have started an attempt since.
+func (a *activity) observeLists(lists *responseBody, commandsAnswered bool) {
 	a.listed = true
 	empty := len(lists.Running)+len(lists.Finished) == 0
 	if !empty || commandsAnswered {
--- a/internal/jobs/workerclient/activity_test.go
+++ b/internal/jobs/workerclient/activity_test.go
@@ -11,17 +11,17 @@
 	convey.Convey("Given a worker that was sent a command", t, func() {
 		a := activity{mayHaveWork: true}
 		convey.Convey("empty lists make it idle only if all commands were answered before they were requested", func() {
-			a.received(&responseBody{}, false)
+			a.observeLists(&responseBody{}, false)
 			convey.So(a, convey.ShouldResemble, activity{listed: true, mayHaveWork: true})
-			a.received(&responseBody{}, true)
+			a.observeLists(&responseBody{}, true)
 			convey.So(a, convey.ShouldResemble, activity{listed: true})
 		})
 		convey.Convey("an attempt or a completion listed makes it busy in any case", func() {
 			a.mayHaveWork = false
-			a.received(&responseBody{Running: make([]runningEntry, 1)}, true)
+			a.observeLists(&responseBody{Running: make([]runningEntry, 1)}, true)
 			convey.So(a.mayHaveWork, convey.ShouldBeTrue)
 			a.mayHaveWork = false
-			a.received(&responseBody{Finished: make([]finishedEntry, 1)}, false)
+			a.observeLists(&responseBody{Finished: make([]finishedEntry, 1)}, false)
 			convey.So(a.mayHaveWork, convey.ShouldBeTrue)
 		})
 	})
--- a/internal/jobs/workerclient/admission.go
+++ b/internal/jobs/workerclient/admission.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// admitWaiting lets those calls go on that wait and can, in their order. The caller holds the lock.
+// admitWaiting admits waiting calls in order of arrival, as far as connections and the rate limit allow. The caller holds the lock.
 func (c *Connections) admitWaiting() {
 	for len(c.waiting) > 0 {
 		first := c.waiting[0]
@@ -27,27 +27,27 @@
 	c.admitWaiting()
 }
 
-// admit lets a call go on. The caller holds the lock.
-func (c *Connections) admit(at int) {
-	w := c.waiting[at]
-	c.remove(at)
+// admit removes a call from the waiting calls and lets it proceed. The caller holds the lock.
+func (c *Connections) admit(index int) {
+	w := c.waiting[index]
+	c.remove(index)
 	close(w.admitted)
 }
 
-// remove takes a call out of those that wait. The caller holds the lock.
-func (c *Connections) remove(at int) {
-	c.waiting[at].pool.waiting--
-	c.waiting = slices.Delete(c.waiting, at, at+1)
+// remove removes a call from the waiting calls. The caller holds the lock.
+func (c *Connections) remove(index int) {
+	c.waiting[index].pool.waiting--
+	c.waiting = slices.Delete(c.waiting, index, index+1)
 }
 
-// cancelWait takes a call out of those that wait.
+// cancelWait removes a call whose wait was cancelled. If it was admitted meanwhile, its slot is released.
 func (c *Connections) cancelWait(w *waiter) {
 	c.mu.Lock()
-	if at := slices.Index(c.waiting, w); at >= 0 {
-		c.remove(at)
+	if index := slices.Index(c.waiting, w); index >= 0 {
+		c.remove(index)
 		c.mu.Unlock()
 		return
 	}
 	c.mu.Unlock()
-	w.pool.releaseSlot() // it was admitted just now
+	w.pool.releaseSlot() // it was admitted meanwhile
 }
--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -14,7 +14,7 @@
 )
 
 // cannedServer answers every request on its connections with the same body and does as little as it can besides.
-func cannedServer(b *testing.B, body string) (address string) {
+func newFixedResponseServer(b *testing.B, body string) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -73,7 +73,7 @@
 	b.Cleanup(client.CloseIdleConnections)
 	events := discardEvents{make(chan StartOutcome, 1)}
 	return NewLink(Config{
-		Instance: Instance{ID: "i-1", Address: cannedServer(b, body)}, FencingToken: 1, MaxLease: testMaxLease,
+		Instance: Instance{ID: "i-1", Address: newFixedResponseServer(b, body)}, FencingToken: 1, MaxLease: testMaxLease,
 		LeaderLeaseValid: func() bool { return true }, Events: events, HTTP: client,
 	}), events
 }
@@ -121,17 +121,17 @@
 			}
 			body = append(body, `],"finished":[]}`...)
 			link, _ := newBenchmarkLink(b, string(body))
-			client := link.caller
+			client := link.rpc
 			b.ReportAllocs()
 			before := processorTime()
 			for b.Loop() {
 				c := link.beginRenewal()
-				a, err := client.post(context.Background(), client.renewal, c.request.append(nil), unreachablePollTimeout)
-				if err != nil || a.status != http.StatusOK {
-					b.Fatal(err, a.status)
+				response, err := client.post(context.Background(), client.renewal, c.request.append(nil), unreachablePollTimeout)
+				if err != nil || response.status != http.StatusOK {
+					b.Fatal(err, response.status)
 				}
-				link.handleListResponse(c, a, err, time.Now())
-				if n := len(link.listing(c, a).Running); n != entries {
+				link.handleListResponse(c, response, err, time.Now())
+				if n := len(link.listing(c, response).Running); n != entries {
 					b.Fatal(n)
 				}
 			}
--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -17,54 +17,55 @@
 )
 
 const (
-	// a renewal, a poll, the commands, hedged requests of polls and stops, and one in place of a connection that is being discarded
+	// maxConnectionsPerWorker covers a renewal, a poll, the commands, hedged requests of polls and stops, and the replacement of a
+	// connection that is being discarded.
 	maxConnectionsPerWorker = maxCommandsInFlight + maxHedgedRequests + 3
 	maxResponseBytes        = 16 << 20
-	maxPooledBufferBytes    = 64 << 10 // larger buffers do not go back to the pool
+	maxPooledBufferBytes    = 64 << 10 // larger buffers are not returned to the pool
 )
 
-// NewHTTPClient makes a client without a budget.
+// NewHTTPClient returns an HTTP client without a connection budget.
 func NewHTTPClient() *http.Client { return unlimited().HTTPClient() }
 
-// workerResponse is a complete response of a worker.
+// workerResponse is a complete response from a worker.
 type workerResponse struct {
 	status int
 	body   responseBody
 }
 
-// caller sends calls to one incarnation of a worker.
-type caller struct {
+// rpcClient sends calls to one incarnation of a worker.
+type rpcClient struct {
 	http             http.RoundTripper // redirects are not followed
-	leaderLeaseValid func() bool       // whether a call may be sent at this moment
+	leaderLeaseValid func() bool       // reports whether a call may be sent now
 	start            *url.URL
 	stop             *url.URL
 	renewal          *url.URL
-	headers          http.Header // shared by all calls, never changed
+	headers          http.Header // shared by all calls; read-only
 }
 
-func newCaller(client *http.Client, address string, id WorkerID, valid func() bool) *caller {
+func newRPCClient(client *http.Client, address string, id WorkerID, leaderLeaseValid func() bool) *rpcClient {
 	target := func(path string) *url.URL { return &url.URL{Scheme: "http", Host: address, Path: path} }
-	return &caller{
-		http: client.Transport, leaderLeaseValid: valid, start: target(startPath), stop: target(stopPath), renewal: target(renewalPath),
+	return &rpcClient{
+		http: client.Transport, leaderLeaseValid: leaderLeaseValid, start: target(startPath), stop: target(stopPath), renewal: target(renewalPath),
 		headers: http.Header{"Content-Type": {"application/json"}, "Expect-Instance": {string(id)}},
 	}
 }
 
 var responseBuffers sync.Pool // of *bytes.Buffer
 
-// post sends one call, once, and reads its response. An error means that there was no complete response in time; rpcerror tells
-// whether the call may have been executed.
-func (c *caller) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (workerResponse, error) {
+// post sends a call once and reads its response. An error means that no complete response arrived in time. Package rpcerror reports
+// whether the worker may have executed the call.
+func (c *rpcClient) post(ctx context.Context, target *url.URL, body []byte, timeout time.Duration) (workerResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	permit := &permit{leaderLeaseValid: c.leaderLeaseValid}
-	var sending transport.SendTracker
-	trace := httptrace.ClientTrace{WroteHeaders: permit.check, GotConn: func(got httptrace.GotConnInfo) {
-		permit.connected(got)
-		sending.GotConn(got)
+	var sendTracker transport.SendTracker
+	trace := httptrace.ClientTrace{WroteHeaders: permit.check, GotConn: func(info httptrace.GotConnInfo) {
+		permit.connected(info)
+		sendTracker.GotConn(info)
 	}}
 	httpResponse, err := c.http.RoundTrip(c.request(httptrace.WithClientTrace(ctx, &trace), target, body))
-	if err != nil && (permit.unsent() || sending.NothingSent()) {
+	if err != nil && (permit.notSent() || sendTracker.NothingSent()) {
 		return workerResponse{}, rpcerror.WrapNotExecuted(err, 0)
 	}
 	if err != nil {
@@ -78,8 +79,8 @@
 	return result, nil
 }
 
-// request is a call without GetBody: no transport can send it again by itself.
-func (c *caller) request(ctx context.Context, target *url.URL, body []byte) *http.Request {
+// request returns the HTTP request for a call. It has no GetBody, so that no transport can resend it.
+func (c *rpcClient) request(ctx context.Context, target *url.URL, body []byte) *http.Request {
 	request := &http.Request{
 		Method: http.MethodPost, URL: target, Host: target.Host, Header: c.headers,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -90,7 +91,7 @@
 
 var errResponseTooLong = errors.New("response too long")
 
-// readResponse reads a response completely, so that its connection can be used again. Only the bodies of 200 and 409 are decoded.
+// readResponse reads a response completely, so that its connection can be reused. It decodes the body only for status 200 and 409.
 func readResponse(httpResponse *http.Response) (workerResponse, error) {
 	buffer, pooled := responseBuffers.Get().(*bytes.Buffer)
 	if !pooled {
@@ -102,11 +103,11 @@
 		}
 	}()
 	buffer.Reset()
-	read, err := buffer.ReadFrom(io.LimitReader(httpResponse.Body, maxResponseBytes+1))
+	bytesRead, err := buffer.ReadFrom(io.LimitReader(httpResponse.Body, maxResponseBytes+1))
 	if err != nil {
 		return workerResponse{}, fmt.Errorf("read response: %w", err)
 	}
-	if read > maxResponseBytes {
+	if bytesRead > maxResponseBytes {
 		return workerResponse{}, errResponseTooLong
 	}
 	result := workerResponse{status: httpResponse.StatusCode}
--- a/internal/jobs/workerclient/commandqueue.go
+++ b/internal/jobs/workerclient/commandqueue.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	firstStopBackoff = 200 * time.Millisecond
+	firstStopBackoff = 200 * time.Millisecond // before the first retry of a stop; doubles with each retry
 	maxStopBackoff   = time.Second
 )
 
-// commandQueue holds the commands that are not under way, and knows those that are. It does no I/O; the link's lock guards it.
+// commandQueue holds the queued commands and counts those in flight. It does no I/O. The link's lock guards it.
 type commandQueue struct {
-	starts    []queuedStart // in the order in which they came
-	stops     []queuedStop
-	stopTimer *time.Timer // set for the first stop whose backoff is not over
-	suspended bool        // no command may be sent at present: the leader lease is not valid
-	senders   int         // goroutines that send commands
-	resultAt  time.Time   // of the newest result
+	starts        []queuedStart // in the order of arrival
+	stops         []queuedStop
+	stopTimer     *time.Timer // fires when the earliest backoff of a stop ends
+	suspended     bool        // no command may be sent because the leader lease is not valid
+	activeSenders int         // goroutines that send commands
+	lastResultAt  time.Time   // time of the newest result
 }
 
 type queuedStart struct {
@@ -28,21 +28,21 @@
 type queuedStop struct {
 	command StopCommand
 	due     time.Time
-	backoff time.Duration // until the next attempt to send it, should this one fail
+	backoff time.Duration // delay before the next retry if the next call fails
 }
 
-// answeredBefore reports whether no command is queued or under way and all results are older than a time.
-func (q *commandQueue) answeredBefore(at time.Time) bool {
-	return q.senders == 0 && len(q.starts)+len(q.stops) == 0 && q.resultAt.Before(at)
+// allAnsweredBefore reports whether no command is queued or in flight and all results are older than the given time.
+func (q *commandQueue) allAnsweredBefore(before time.Time) bool {
+	return q.activeSenders == 0 && len(q.starts)+len(q.stops) == 0 && q.lastResultAt.Before(before)
 }
 
-// dropFirstStart takes the oldest start out of the queue.
-func (q *commandQueue) dropFirstStart() {
+// removeFirstStart removes the oldest start from the queue.
+func (q *commandQueue) removeFirstStart() {
 	q.starts[0] = queuedStart{}
 	q.starts = q.starts[1:]
 }
 
-// earliestStop is the index of the stop that is due first. There must be one.
+// earliestStop returns the index of the stop that is due first. The queue must have a stop.
 func (q *commandQueue) earliestStop() int {
 	first := 0
 	for i, stop := range q.stops {
@@ -53,26 +53,26 @@
 	return first
 }
 
-// takeStop takes a stop out of the queue.
-func (q *commandQueue) takeStop(index int) queuedStop {
+// removeStop removes a stop from the queue and returns it.
+func (q *commandQueue) removeStop(index int) queuedStop {
 	stop := q.stops[index]
 	q.stops = slices.Delete(q.stops, index, index+1)
 	return stop
 }
 
-// retryStop queues a stop again that was not answered.
+// retryStop queues an unanswered stop again.
 func (q *commandQueue) retryStop(stop queuedStop, now time.Time) {
 	stop.due = now.Add(stop.backoff)
 	stop.backoff = min(2*stop.backoff, maxStopBackoff)
 	q.stops = append(q.stops, stop)
 }
 
-// sendTime is the local time for a call that is sent now: certainly after the results reported before, even if the clock has not moved
-// since.
-func (q *commandQueue) sendTime(now time.Time) time.Time { return later(now, q.resultAt.Add(1)) }
+// sendTime returns the local time to record for a call that is sent now. It is later than the time of every result reported before,
+// even if the clock has not advanced since.
+func (q *commandQueue) sendTime(now time.Time) time.Time { return later(now, q.lastResultAt.Add(1)) }
 
-// resultTime is the local time for a result that is reported now.
+// resultTime returns the local time to record for a result that is reported now.
 func (q *commandQueue) resultTime(now time.Time) time.Time {
-	q.resultAt = later(q.resultAt, now)
-	return q.resultAt
+	q.lastResultAt = later(q.lastResultAt, now)
+	return q.lastResultAt
 }
--- a/internal/jobs/workerclient/commandqueue_test.go
+++ b/internal/jobs/workerclient/commandqueue_test.go
@@ -16,31 +16,31 @@
 		second := queuedStop{command: StopCommand{task(2), 1}, due: now, backoff: firstStopBackoff}
 		q.stops = []queuedStop{first, second}
 		convey.Convey("the one that is due first is taken first", func() {
-			convey.So(q.takeStop(q.earliestStop()), convey.ShouldResemble, second)
-			convey.So(q.takeStop(q.earliestStop()), convey.ShouldResemble, first)
+			convey.So(q.removeStop(q.earliestStop()), convey.ShouldResemble, second)
+			convey.So(q.removeStop(q.earliestStop()), convey.ShouldResemble, first)
 			convey.So(q.stops, convey.ShouldBeEmpty)
 		})
 		convey.Convey("one without an answer is due again after its backoff, which doubles up to a limit", func() {
-			stop := q.takeStop(1)
+			stop := q.removeStop(1)
 			for _, backoff := range []time.Duration{firstStopBackoff, 2 * firstStopBackoff, 4 * firstStopBackoff, maxStopBackoff, maxStopBackoff} {
 				q.retryStop(stop, now)
-				stop = q.takeStop(1)
+				stop = q.removeStop(1)
 				convey.So(stop.due, convey.ShouldEqual, now.Add(backoff))
 			}
 		})
 	})
 	convey.Convey("Commands are answered once none is queued or under way, before any later time", t, func() {
 		var q commandQueue
-		convey.So(q.answeredBefore(now), convey.ShouldBeTrue)
-		q.senders = 1
-		convey.So(q.answeredBefore(now), convey.ShouldBeFalse)
-		q.senders = 0
+		convey.So(q.allAnsweredBefore(now), convey.ShouldBeTrue)
+		q.activeSenders = 1
+		convey.So(q.allAnsweredBefore(now), convey.ShouldBeFalse)
+		q.activeSenders = 0
 		q.starts = []queuedStart{{startCommand(0, 1), now}}
-		convey.So(q.answeredBefore(now), convey.ShouldBeFalse)
-		q.dropFirstStart()
+		convey.So(q.allAnsweredBefore(now), convey.ShouldBeFalse)
+		q.removeFirstStart()
 		q.resultTime(now)
-		convey.So(q.answeredBefore(now), convey.ShouldBeFalse)
+		convey.So(q.allAnsweredBefore(now), convey.ShouldBeFalse)
 		convey.So(q.sendTime(now), convey.ShouldHappenAfter, now)
-		convey.So(q.answeredBefore(q.sendTime(now)), convey.ShouldBeTrue)
+		convey.So(q.allAnsweredBefore(q.sendTime(now)), convey.ShouldBeTrue)
 	})
 }
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -9,66 +9,67 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// maxStartWait is how long a start waits for a lease that lasts.
+// maxStartWait is the maximum time that a start stays queued until the lease is long enough. After that its outcome is NotSent.
 const maxStartWait = 2 * time.Second
 
-// Start queues a start; its outcome is reported to Events. It is sent once at most, and not at all while the worker is unreachable or
-// in doubt, or its lease is about to expire.
+// Start queues a start command. Its outcome is reported to Events. The command is sent at most once. It is not sent while the worker
+// is unreachable or suspected, or while its lease is about to expire.
 func (l *Link) Start(command StartCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.commands.starts = append(l.commands.starts, queuedStart{command, l.now()})
-	l.expectAttempt()
+	l.markMayHaveWork()
 	l.dispatch()
 }
 
-// expectAttempt ends the idle time of the renewal loop: there will be an attempt. The caller holds the lock.
-func (l *Link) expectAttempt() {
+// markMayHaveWork records that the worker may soon have an attempt, and ends the wait of the renewal loop between two polls. The
+// caller holds the lock.
+func (l *Link) markMayHaveWork() {
 	l.activity.mayHaveWork = true
 	l.commandQueued.Notify()
 }
 
-// Stop queues a stop, which is retried until it is answered or the link ends; that is reported to Events. While the worker is
-// unreachable the stop stays queued.
+// Stop queues a stop command. It is retried until the worker answers it or the link ends, which is then reported to Events. It stays
+// queued while the worker is unreachable.
 func (l *Link) Stop(command StopCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.commands.stops = append(l.commands.stops, queuedStop{command, l.now(), firstStopBackoff})
-	l.expectAttempt()
+	l.markMayHaveWork()
 	l.dispatch()
 }
 
-// dispatch starts senders for the commands that may be sent now. The caller holds the lock.
+// dispatch starts goroutines that send the commands which may be sent now. The caller holds the lock.
 func (l *Link) dispatch() {
-	for idle := maxCommandsInFlight - l.commands.senders; idle > 0; idle-- {
-		work := l.nextCommand()
-		if work == nil {
+	for idle := maxCommandsInFlight - l.commands.activeSenders; idle > 0; idle-- {
+		action := l.nextAction()
+		if action == nil {
 			return
 		}
-		l.commands.senders++
-		go l.sendCommands(work)
+		l.commands.activeSenders++
+		go l.sendCommands(action)
 	}
 }
 
-// sendCommands carries out one command after another until none is left that may be sent now.
-func (l *Link) sendCommands(next func()) {
-	for next != nil {
-		next()
+// sendCommands runs the given action and those of further commands until no command is left that may be sent now.
+func (l *Link) sendCommands(action func()) {
+	for action != nil {
+		action()
 		l.mu.Lock()
-		if next = l.nextCommand(); next == nil {
-			l.commands.senders--
-			l.quiescent.Broadcast()
+		if action = l.nextAction(); action == nil {
+			l.commands.activeSenders--
+			l.inFlightChanged.Broadcast()
 		}
 		l.mu.Unlock()
 	}
 }
 
-// nextCommand takes a command from the queue, stops first, and returns what is to be done about it; nil when there is none. The
-// caller holds the lock.
-func (l *Link) nextCommand() func() {
+// nextAction removes a command from the queue, stops before starts, and returns the function that sends it or reports its result. It
+// returns nil if no command may be sent now. The caller holds the lock.
+func (l *Link) nextAction() func() {
 	now := l.now()
 	if stop, ok := l.nextStop(now); ok {
-		if l.ending != open {
+		if l.endReason != notEnded {
 			return func() { l.reportStop(stop.command, false) }
 		}
 		return func() { l.sendStop(stop) }
@@ -77,49 +78,50 @@
 		return nil
 	}
 	start := l.commands.starts[0]
-	var work func()
+	var action func()
 	switch {
-	case l.ending != open:
-		outcome := l.outcomeAtEnd(NotSent)
-		work = func() { l.reportStart(start.command, outcome) }
-	case l.commands.suspended || l.health.contact == unreachable || now.Sub(start.queuedAt) > maxStartWait:
-		work = func() { l.reportStart(start.command, NotSent) }
-	case l.startable(now):
-		work = func() { l.sendStart(start.command) }
+	case l.endReason != notEnded:
+		outcome := l.outcomeAfterEnd(NotSent)
+		action = func() { l.reportStart(start.command, outcome) }
+	case l.commands.suspended || l.health.reachability == unreachable || now.Sub(start.queuedAt) > maxStartWait:
+		action = func() { l.reportStart(start.command, NotSent) }
+	case l.canSendStart(now):
+		action = func() { l.sendStart(start.command) }
 	default:
 		return nil
 	}
-	l.commands.dropFirstStart()
-	return work
+	l.commands.removeFirstStart()
+	return action
 }
 
-// startable reports whether the lease lasts long enough for a start, and whether the worker is likely to respond to it. The caller
-// holds the lock.
-func (l *Link) startable(now time.Time) bool {
-	return l.health.doubt == confident && l.lease.remaining(now) >= l.pace.minLeaseLead
+// canSendStart reports whether the remaining lease is long enough for a start and the worker is not suspected to be unresponsive. The
+// caller holds the lock.
+func (l *Link) canSendStart(now time.Time) bool {
+	return l.health.suspicion == notSuspected && l.lease.remaining(now) >= l.timings.minRemainingLease
 }
 
-// stillStartable is startable once the command has its turn for a connection.
-func (l *Link) stillStartable() bool {
+// canStillSendStart checks canSendStart again after the command has waited for a connection.
+func (l *Link) canStillSendStart() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.startable(l.now())
+	return l.canSendStart(l.now())
 }
 
-// nextStop takes the first stop that is due, and sets the timer when all of them back off. The caller holds the lock.
+// nextStop removes the first stop that is due from the queue. If none is due yet, it sets the timer for the earliest one. The caller
+// holds the lock.
 func (l *Link) nextStop(now time.Time) (queuedStop, bool) {
-	if len(l.commands.stops) == 0 || l.ending == open && (l.commands.suspended || l.health.contact == unreachable) {
+	if len(l.commands.stops) == 0 || l.endReason == notEnded && (l.commands.suspended || l.health.reachability == unreachable) {
 		return queuedStop{}, false
 	}
 	earliest := l.commands.earliestStop()
-	if wait := l.commands.stops[earliest].due.Sub(now); wait > 0 && l.ending == open {
+	if wait := l.commands.stops[earliest].due.Sub(now); wait > 0 && l.endReason == notEnded {
 		l.setStopTimer(wait)
 		return queuedStop{}, false
 	}
-	return l.commands.takeStop(earliest), true
+	return l.commands.removeStop(earliest), true
 }
 
-// setStopTimer dispatches the queue again after a while. The caller holds the lock.
+// setStopTimer schedules the next dispatch after the given wait. The caller holds the lock.
 func (l *Link) setStopTimer(wait time.Duration) {
 	if l.commands.stopTimer != nil {
 		l.commands.stopTimer.Reset(wait)
@@ -132,40 +134,40 @@
 	})
 }
 
-// outcomeAtEnd is the outcome of a start when the link has ended for a reason that tells it, and otherwise the given one. The caller
-// holds the lock.
-func (l *Link) outcomeAtEnd(otherwise StartOutcome) StartOutcome {
+// outcomeAfterEnd returns the outcome of a start if the reason for the end of the link determines it, and otherwise the fallback. The
+// caller holds the lock.
+func (l *Link) outcomeAfterEnd(fallback StartOutcome) StartOutcome {
 	switch {
-	case l.ending == gone:
+	case l.endReason == incarnationOver:
 		return IncarnationOver
-	case l.ending == fenced && otherwise == NotSent:
+	case l.endReason == fencedOff && fallback == NotSent:
 		return RejectedFencingToken
 	}
-	return otherwise
+	return fallback
 }
 
-// sendStart makes one start call. It extends no lease: the new attempt goes on as long as those already there.
+// sendStart sends a start call. The call extends no lease: the new attempt shares the lease of the attempts on the worker.
 func (l *Link) sendStart(command StartCommand) {
 	if !l.pool.acquire(l.done) {
 		l.reportStart(command, NotSent)
 		return
 	}
 	defer l.pool.release()
-	if !l.config.LeaderLeaseValid() || !l.stillStartable() {
+	if !l.config.LeaderLeaseValid() || !l.canStillSendStart() {
 		l.reportStart(command, NotSent)
 		return
 	}
 	c := l.beginStart()
-	body := appendStart(make([]byte, 0, startBytes(&command)), &command, c.validUntil.Milliseconds(), l.config.FencingToken)
-	response, err := l.caller.post(l.context, l.caller.start, body, c.timeout)
+	body := appendStart(make([]byte, 0, estimatedStartBytes(&command)), &command, c.validUntil.Milliseconds(), l.config.FencingToken)
+	response, err := l.rpc.post(l.context, l.rpc.start, body, c.timeout)
 	l.handleStartResponse(c, response, err, l.now())
 	l.reportStart(command, l.startOutcome(response, err))
 	if err != nil {
-		l.pollAfterCommand() // a poll shows whether the attempt is there
+		l.pollAfterUnansweredCommand() // a poll shows whether the worker has the attempt
 	}
 }
 
-// startCall is a start call under way.
+// startCall is a start call in flight.
 type startCall struct {
 	sentAt     time.Time
 	timeout    time.Duration
@@ -173,44 +175,45 @@
 	grant      *leaseGrant
 }
 
-// beginStart records a start call and the lease that it carries.
+// beginStart records a start call and the lease that it contains.
 func (l *Link) beginStart() startCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := startCall{sentAt: l.now(), timeout: l.roundTrips.startTimeout(), validUntil: l.lease.confirmed.validUntil}
+	c := startCall{sentAt: l.now(), timeout: l.rtt.startTimeout(), validUntil: l.lease.confirmed.validUntil}
 	c.grant = l.lease.grant(c.validUntil, c.sentAt, c.timeout)
 	return c
 }
 
-// handleStartResponse takes in what a response, or its absence, says about the worker's clock, its lease and health, and the round trips.
+// handleStartResponse updates the worker's clock bounds, the lease, the health and the round-trip times from the response to a start
+// or from its failure.
 func (l *Link) handleStartResponse(c startCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lease.observe(response, c.sentAt, received)
 	l.lease.endGrant(c.grant, c.validUntil, err, received)
 	if err == nil || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
-		l.roundTrips.startEnded(err == nil)
+		l.rtt.recordStart(err == nil)
 	}
 	if err != nil {
-		l.health.commandUnanswered() // before the outcome is reported, as that may bring further starts
+		l.health.commandUnanswered() // before the outcome is reported, as the report may trigger further starts
 		return
 	}
-	l.roundTrips.observe(received.Sub(c.sentAt))
+	l.rtt.observe(received.Sub(c.sentAt))
 }
 
-// startBytes is about how long the body of a start call is.
-func startBytes(command *StartCommand) int {
-	const others = 192
-	return len(command.Specification) + len(command.Checkpoint) + others
+// estimatedStartBytes returns the approximate size of the body of a start call.
+func estimatedStartBytes(command *StartCommand) int {
+	const fixedFieldBytes = 192
+	return len(command.Specification) + len(command.Checkpoint) + fixedFieldBytes
 }
 
-// startOutcome is the outcome of a start call; it takes in what else the response says about the worker.
+// startOutcome returns the outcome of a start call. It also updates the state of the link from the response.
 func (l *Link) startOutcome(response workerResponse, err error) StartOutcome {
 	if err != nil {
 		l.log.Debug("start without response", zap.Error(err))
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.outcomeAtEnd(failureOutcome(err))
+		return l.outcomeAfterEnd(failureOutcome(err))
 	}
 	if l.endedBy(response) {
 		if response.status == http.StatusMisdirectedRequest {
@@ -218,7 +221,7 @@
 		}
 		return RejectedFencingToken
 	}
-	l.setContact(reachable)
+	l.setReachability(reachable)
 	return responseOutcome(response)
 }
 
@@ -227,7 +230,7 @@
 	l.events.post(func(e Events) { e.StartResult(result) })
 }
 
-// sendStop makes one stop call, and queues the stop again if it was not answered.
+// sendStop sends a stop call, and queues the stop again if it was not answered.
 func (l *Link) sendStop(stop queuedStop) {
 	if !l.pool.acquire(l.done) {
 		l.requeueStop(stop)
@@ -242,10 +245,10 @@
 	switch {
 	case err != nil:
 		l.log.Debug("stop without response", zap.Error(err))
-		l.pollAfterCommand()
+		l.pollAfterUnansweredCommand()
 	case l.endedBy(response):
 	default:
-		l.setContact(reachable)
+		l.setReachability(reachable)
 	}
 	if err != nil || response.status != http.StatusOK {
 		l.requeueStop(stop)
@@ -254,19 +257,19 @@
 	l.reportStop(stop.command, true)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.requestPoll(pollMergeDelay) // shows whether the attempt is there
+	l.requestPoll(pollMergeDelay) // shows whether the worker still has the attempt
 }
 
 func (l *Link) postStop(command StopCommand) (workerResponse, error) {
 	l.mu.Lock()
-	timeout := l.roundTrips.commandTimeout()
+	timeout := l.rtt.commandTimeout()
 	l.mu.Unlock()
-	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.stop, appendStop(nil, command, l.config.FencingToken), timeout})
+	response, sentAt, err := l.postIdempotent(idempotentCall{l.rpc.stop, appendStop(nil, command, l.config.FencingToken), timeout})
 	if err == nil {
 		received := l.now()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.roundTrips.observe(received.Sub(sentAt))
+		l.rtt.observe(received.Sub(sentAt))
 	}
 	return response, err
 }
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -8,71 +8,71 @@
 	"time"
 )
 
-// Limits bound what one process opens towards workers.
+// Limits are the limits on the connections and polls of one process.
 type Limits struct {
-	Connections  int     // open at once, those being opened included
-	DialsPerS    float64 // new connections a second in the long run, as of a token bucket
-	DialBurst    int     // the size of that bucket
-	PollsPerS    float64 // polls of idle workers a second, of all links together
-	MaxLongPolls int     // up to so many links there is a long poll at each worker, idle or not
+	Connections    int     // maximum number of open connections, including those being opened
+	DialsPerSecond float64 // rate of new connections, limited by a token bucket
+	DialBurst      int     // size of that token bucket
+	PollsPerSecond float64 // polls of idle workers per second, over all links
+	MaxLongPolls   int     // maximum number of links up to which every worker, idle or not, has a long poll
 }
 
-// Connections is the budget of connections to workers that all links of a process share. A call needs an idle connection of its
-// worker, or a slot for a new one. Where no slot is free an idle connection of another worker is closed; where none is idle the call
-// waits for its turn, in order of arrival, before its time-out begins.
+// Connections is the budget of connections to workers that all links of a process share. A call needs an idle connection to its worker
+// or a slot for a new one. If no slot is free, an idle connection to another worker is closed. If there is none, the call waits in
+// order of arrival. Its timeout begins after the wait.
 type Connections struct {
 	limits      Limits
 	now         func() time.Time
 	concurrency semaphore
 
-	mu           sync.Mutex
-	pools        map[string]*hostPool // by address
-	slotsTaken   int                  // connections that are open or reserved
-	links        int
-	longPolls    int
-	waiting      []*waiter
-	opened       uint64             // connections opened so far
-	onlyIdle     map[*hostPool]bool // pools whose only connection is idle
-	extraIdle    map[*hostPool]bool // pools with an idle connection beside another one
-	nextDialAt   time.Time          // by the rate limit, if its bucket had no size
-	dialTimerSet bool               // a timer will admit calls that wait for the rate limit
+	mu             sync.Mutex
+	pools          map[string]*hostPool // by address
+	slotsTaken     int                  // open or reserved connections
+	links          int
+	longPolls      int
+	waiting        []*waiter
+	opened         uint64             // connections opened so far
+	soleIdlePools  map[*hostPool]bool // pools whose only connection is idle
+	spareIdlePools map[*hostPool]bool // pools with an idle connection and at least one further connection
+	nextDialAt     time.Time          // earliest time of the next dial by the rate limit, without the burst allowance
+	dialTimerSet   bool               // a timer is set to admit calls that wait for the rate limit
 }
 
-// NewConnections makes a budget.
+// NewConnections returns a new budget.
 func NewConnections(limits Limits) *Connections {
 	return &Connections{
 		limits: limits, now: time.Now, concurrency: newSemaphore(),
-		pools: map[string]*hostPool{}, onlyIdle: map[*hostPool]bool{}, extraIdle: map[*hostPool]bool{},
+		pools: map[string]*hostPool{}, soleIdlePools: map[*hostPool]bool{}, spareIdlePools: map[*hostPool]bool{},
 	}
 }
 
-// unlimited is a budget that never makes a call wait.
+// unlimited returns a budget without limits, in which no call waits.
 func unlimited() *Connections {
 	c := NewConnections(Limits{
-		Connections: math.MaxInt, DialsPerS: math.Inf(1), PollsPerS: math.Inf(1), MaxLongPolls: math.MaxInt,
+		Connections: math.MaxInt, DialsPerSecond: math.Inf(1), PollsPerSecond: math.Inf(1), MaxLongPolls: math.MaxInt,
 	})
 	c.concurrency = nil
 	return c
 }
 
-// Usage is the state of a budget.
+// Usage is the current use of a budget.
 type Usage struct {
-	Open      int // connections, those being opened included
-	Links     int
-	LongPolls int
-	Waiting   int    // calls that wait for a connection
-	Opened    uint64 // connections opened so far
+	Open        int // open connections, including those being opened
+	Links       int
+	LongPolls   int
+	Waiting     int    // calls waiting for a connection
+	TotalOpened uint64 // connections opened so far
 }
 
-// Usage returns the state of the budget.
+// Usage returns the current use of the budget.
 func (c *Connections) Usage() Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Usage{Open: c.slotsTaken, Links: c.links, LongPolls: c.longPolls, Waiting: len(c.waiting), Opened: c.opened}
+	return Usage{Open: c.slotsTaken, Links: c.links, LongPolls: c.longPolls, Waiting: len(c.waiting), TotalOpened: c.opened}
 }
 
-// join adds a link to an address.
-func (c *Connections) join(address string) *hostPool {
+// addLink registers a link to an address and returns the pool of the address.
+func (c *Connections) addLink(address string) *hostPool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links++
@@ -81,7 +81,7 @@
 	return p
 }
 
-// pool returns the pool of an address. The caller holds the lock.
+// pool returns the pool of an address and creates it if necessary. The caller holds the lock.
 func (c *Connections) pool(address string) *hostPool {
 	p := c.pools[address]
 	if p == nil {
@@ -91,25 +91,25 @@
 	return p
 }
 
-// dialDelay is how long the next dial must wait for the rate limit. The caller holds the lock.
+// dialDelay returns the time until the rate limit allows the next dial. The caller holds the lock.
 func (c *Connections) dialDelay() time.Duration {
-	if math.IsInf(c.limits.DialsPerS, 1) {
+	if math.IsInf(c.limits.DialsPerSecond, 1) {
 		return 0
 	}
-	allowance := time.Duration(float64(c.limits.DialBurst) * float64(c.dialInterval()))
-	return c.nextDialAt.Add(-allowance).Sub(c.now())
+	burstAllowance := time.Duration(float64(c.limits.DialBurst) * float64(c.dialInterval()))
+	return c.nextDialAt.Add(-burstAllowance).Sub(c.now())
 }
 
 func (c *Connections) dialInterval() time.Duration {
-	return time.Duration(float64(time.Second) / c.limits.DialsPerS)
+	return time.Duration(float64(time.Second) / c.limits.DialsPerSecond)
 }
 
 func (c *Connections) recordDial() { c.nextDialAt = later(c.nextDialAt, c.now()).Add(c.dialInterval()) }
 
-// closeIdle closes a connection that no call needs, if there is one: that of a worker that has another one, before the
-// only one of a worker, which its next poll would open again. The caller holds the lock.
+// closeIdle closes an idle connection and reports whether there was one. It prefers a worker with further connections, because the next
+// poll of a worker without any would have to open one again. The caller holds the lock.
 func (c *Connections) closeIdle() bool {
-	for _, pools := range []map[*hostPool]bool{c.extraIdle, c.onlyIdle} {
+	for _, pools := range []map[*hostPool]bool{c.spareIdlePools, c.soleIdlePools} {
 		for p := range pools {
 			p.dropIdle()
 			return true
@@ -118,7 +118,7 @@
 	return false
 }
 
-// closeAllIdle closes the connections that no call uses.
+// closeAllIdle closes all idle connections.
 func (c *Connections) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,19 +129,20 @@
 	}
 }
 
-// overLongPollLimit reports whether there are too many workers for a long poll at each idle one.
+// overLongPollLimit reports whether there are too many links for a long poll at every idle worker.
 func (c *Connections) overLongPollLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.links > c.limits.MaxLongPolls
 }
 
-// idlePollInterval is how long an idle worker is left alone between two polls, at most longest; 0 where there is a long poll at it.
-func (c *Connections) idlePollInterval(longest time.Duration) time.Duration {
+// idlePollInterval returns the time between two polls of an idle worker, limited to maxInterval. It returns 0 if idle workers have a
+// long poll.
+func (c *Connections) idlePollInterval(maxInterval time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.links <= c.limits.MaxLongPolls {
 		return 0
 	}
-	return min(longest, time.Duration(float64(c.links)/c.limits.PollsPerS*float64(time.Second)))
+	return min(maxInterval, time.Duration(float64(c.links)/c.limits.PollsPerSecond*float64(time.Second)))
 }
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -27,7 +27,7 @@
 	links       []*Link
 	events      *recorder
 	maxOpen     atomic.Int64 // connections seen open at once
-	end         func()
+	close       func()
 }
 
 const (
@@ -49,12 +49,12 @@
 		link := NewLink(Config{
 			Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
 			FencingToken: 1, MaxLease: budgetMaxLease, LeaderLeaseValid: func() bool { return true },
-			Events: oneByOne{f.events}, HTTP: client, Connections: f.connections, MinTimeout: budgetedTimeout,
+			Events: sharedRecorder{f.events}, HTTP: client, Connections: f.connections, MinTimeout: budgetedTimeout,
 		})
 		f.workers, f.links = append(f.workers, worker), append(f.links, link)
 		go func() { link.Run(ctx); returned <- struct{}{} }()
 	}
-	f.end = func() {
+	f.close = func() {
 		cancel()
 		for range workers {
 			<-returned
@@ -66,7 +66,7 @@
 }
 
 // oneByOne passes on the reports of several links.
-type oneByOne struct{ *recorder }
+type sharedRecorder struct{ *recorder }
 
 func (f *budgetFixture) observeUsage() {
 	open := int64(f.connections.Usage().Open)
@@ -81,22 +81,22 @@
 	f.t.Helper()
 	for i := range f.workers {
 		id := WorkerID(fmt.Sprint("i-", i))
-		await(f.t, f.events, func(l Listing) bool { return l.Worker == id && condition(i, l) })
+		awaitEvent(f.t, f.events, func(l Listing) bool { return l.Worker == id && condition(i, l) })
 	}
 }
 
-func TestWorkersOutnumberTheBudget(t *testing.T) {
-	const workers, most = 40, 9
+func TestWorkersOutnumberingConnectionsShareThem(t *testing.T) {
+	const workers, maxConnections = 40, 9
 	convey.Convey("With far fewer connections than workers", t, func() {
-		f := newBudgetFixture(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
-		defer f.end()
+		f := newBudgetFixture(t, workers, Limits{Connections: maxConnections, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
+		defer f.close()
 		convey.Convey("the leases are renewed by turns, starts are sent and completions are received", func() {
 			f.awaitEach(func(int, Listing) bool { return true })
 			for i, link := range f.links {
 				link.Start(startCommand(i, 1))
 			}
 			for i := range f.links {
-				result := await(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) })
+				result := awaitEvent(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) })
 				convey.So(result.Outcome, convey.ShouldEqual, Started)
 			}
 			started := time.Now()
@@ -115,26 +115,26 @@
 			for _, record := range f.cluster.Runs() {
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
-			convey.So(f.maxOpen.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
+			convey.So(f.maxOpen.Load(), convey.ShouldBeBetweenOrEqual, maxConnections/2, maxConnections)
 			convey.So(eventsOf[ReachabilityChange](f.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
 			convey.So(f.connections.Usage().LongPolls, convey.ShouldBeZeroValue)
 		})
 	})
 }
 
-func TestOneConnectionForAnIdleWorker(t *testing.T) {
+func TestIdleWorkerUsesOneConnection(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where there are too many workers for a long poll at each, an idle one takes one connection", t, func() {
-		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
-		defer f.end()
+		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
+		defer f.close()
 		began := time.Now()
 		f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
 		convey.So(f.maxOpen.Load(), convey.ShouldEqual, workers)
 		convey.Convey("and there is a long poll at one with an attempt", func() {
 			f.links[0].Start(startCommand(0, 1))
-			await(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
+			awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
 			for f.connections.Usage().LongPolls != 1 {
-				awaitAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
+				awaitEventAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
 			}
 			for _, worker := range f.workers {
 				convey.So(worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 2)
@@ -161,14 +161,14 @@
 
 // allIdle reports whether each of so many workers has one connection, which no call uses.
 func allIdle(workers int) func(*Connections) bool {
-	return func(c *Connections) bool { return len(c.onlyIdle) == workers }
+	return func(c *Connections) bool { return len(c.soleIdlePools) == workers }
 }
 
-func TestCommandTakesTheConnectionOfAnIdleWorker(t *testing.T) {
+func TestCommandReusesConnectionOfIdleWorker(t *testing.T) {
 	const workers = 20
 	convey.Convey("Where an idle worker takes one connection", t, func() {
-		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
-		defer f.end()
+		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerSecond: math.Inf(1), PollsPerSecond: 1})
+		defer f.close()
 		f.awaitEach(func(_ int, l Listing) bool { return !l.First })
 		awaitState(t, f.connections, allIdle(workers))
 		for i, link := range f.links {
@@ -176,7 +176,7 @@
 		}
 		f.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
 		convey.Convey("a start and the renewal after it share that one", func() {
-			convey.So(f.connections.Usage().Opened, convey.ShouldEqual, workers)
+			convey.So(f.connections.Usage().TotalOpened, convey.ShouldEqual, workers)
 		})
 		convey.Convey("there is no long poll any more once all completions are acknowledged", func() {
 			for i, worker := range f.workers {
@@ -185,7 +185,7 @@
 			var renewals uint64
 			for i, link := range f.links {
 				id := WorkerID(f.workers[i].ID())
-				await(t, f.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
+				awaitEvent(t, f.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
 				renewals += link.Counts().Renewals
 				link.Acknowledge(1)
 			}
@@ -204,11 +204,11 @@
 	convey.Convey("New connections are rate limited", t, func() {
 		virtualtime.Test(t, func(t *testing.T) {
 			const dials = 40
-			c := NewConnections(Limits{Connections: dials, DialsPerS: 10, DialBurst: 5})
+			c := NewConnections(Limits{Connections: dials, DialsPerSecond: 10, DialBurst: 5})
 			var granted atomic.Int64
 			done := make(chan struct{})
 			for i := range dials {
-				l := c.join(fmt.Sprint(i))
+				l := c.addLink(fmt.Sprint(i))
 				go func() {
 					if l.awaitSlot(done) {
 						granted.Add(1)
@@ -238,8 +238,8 @@
 	closed := make(chan struct{})
 	close(closed)
 	convey.Convey("A budget of two connections", t, func() {
-		c := NewConnections(Limits{Connections: 2, DialsPerS: math.Inf(1)})
-		first, second, third := c.join("1"), c.join("2"), c.join("3")
+		c := NewConnections(Limits{Connections: 2, DialsPerSecond: math.Inf(1)})
+		first, second, third := c.addLink("1"), c.addLink("2"), c.addLink("3")
 		convey.So(first.awaitSlot(never), convey.ShouldBeTrue)
 		convey.So(second.awaitSlot(never), convey.ShouldBeTrue)
 		convey.Convey("lets no third call begin", func() {
@@ -258,17 +258,17 @@
 		})
 		convey.Convey("forgets an address that nobody uses", func() {
 			first.releaseSlot()
-			first.leave()
+			first.removeLink()
 			convey.So(c.pools, convey.ShouldHaveLength, 2)
 		})
 	})
 	convey.Convey("An idle connection beside another one is closed before the only one of a worker", t, func() {
 		const workers = 40
-		c := NewConnections(Limits{Connections: workers + 1, DialsPerS: math.Inf(1)})
+		c := NewConnections(Limits{Connections: workers + 1, DialsPerSecond: math.Inf(1)})
 		c.concurrency = nil
 		var pools []*hostPool
 		for i := range workers {
-			l := c.join(fmt.Sprint(i))
+			l := c.addLink(fmt.Sprint(i))
 			for range 1 + i/(workers-1) { // two for the last
 				convey.So(l.awaitSlot(never), convey.ShouldBeTrue)
 				l.reserved--
@@ -279,7 +279,7 @@
 			}
 			pools = append(pools, l)
 		}
-		another := c.join("another")
+		another := c.addLink("another")
 		convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
 		for _, l := range pools {
 			convey.So(l.slots, convey.ShouldEqual, 1)
@@ -290,20 +290,20 @@
 		})
 	})
 	convey.Convey("Long polls are allowed only while there is a connection for each worker and some for commands", t, func() {
-		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), MaxLongPolls: 10})
+		c := NewConnections(Limits{Connections: 40, DialsPerSecond: math.Inf(1), MaxLongPolls: 10})
 		var pools []*hostPool
 		for i := range 36 {
-			pools = append(pools, c.join(fmt.Sprint(i)))
+			pools = append(pools, c.addLink(fmt.Sprint(i)))
 		}
 		convey.So(pools[0].beginLongPoll(), convey.ShouldBeTrue)
 		convey.So(c.Usage().LongPolls, convey.ShouldEqual, 1)
 		pools[0].endLongPoll()
 		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
-		pools = append(pools, c.join("one more"))
+		pools = append(pools, c.addLink("one more"))
 		convey.So(pools[0].beginLongPoll(), convey.ShouldBeFalse)
 		convey.Convey("and at all workers while there are few", func() {
 			for _, l := range pools[10:] {
-				l.leave()
+				l.removeLink()
 			}
 			convey.So(pools[0].beginLongPoll(), convey.ShouldBeTrue)
 			convey.So(c.idlePollInterval(maxIdleInterval), convey.ShouldBeZeroValue)
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -11,15 +11,15 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-const readBufferBytes = 2 << 10 // of a connection; most responses are shorter
+const readBufferBytes = 2 << 10 // per connection; most responses are shorter
 
 var errNoConnectionSlot = errors.New("no connection left for workers")
 
-// HTTPClient makes the client that all links of a process share, within the budget. Connections that are discarded are reset, so that
-// nothing they still hold arrives later.
+// HTTPClient returns the HTTP client that all links of a process share. It opens connections within the budget. Discarded connections
+// are reset, so that unsent data in their buffers does not arrive later.
 func (c *Connections) HTTPClient() *http.Client {
 	return &http.Client{
-		Transport:     &exchanger{connections: c, dial: transport.DialFunc(transport.NewDialer())},
+		Transport:     &inlineTransport{connections: c, dial: transport.DialFunc(transport.NewDialer())},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
@@ -29,14 +29,14 @@
 	net.Conn
 	pool   *hostPool
 	reader *bufio.Reader
-	used   bool // a call was answered on it
-	closed bool // it was closed; guarded by the budget's lock
+	used   bool // a call was answered on this connection
+	closed bool // closed and its slot freed; guarded by the budget's lock
 }
 
-// dialFunction opens a connection that is reset when it is closed.
+// dialFunction opens a connection. Closing the connection resets it.
 type dialFunction func(ctx context.Context, network, address string) (net.Conn, error)
 
-// connect gives a call an idle connection of its pool, or a new one.
+// connect returns an idle connection of the pool, or a new one.
 func (c *Connections) connect(ctx context.Context, dial dialFunction, address string) (*connection, error) {
 	for {
 		idle := c.takeIdle(address)
@@ -50,7 +50,7 @@
 	}
 }
 
-// takeIdle takes the connection that was used last out of those that are idle; nil when there is none.
+// takeIdle removes the most recently used idle connection from the pool and returns it. It returns nil if there is none.
 func (c *Connections) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,14 +66,14 @@
 	return taken
 }
 
-// dial opens a connection on a slot that was reserved for a call, or on a free one.
-func (c *Connections) dial(address string, open func() (net.Conn, error)) (*connection, error) {
+// dial opens a connection in a slot reserved for a call, or in a free one.
+func (c *Connections) dial(address string, openConnection func() (net.Conn, error)) (*connection, error) {
 	p, err := c.claimSlot(address)
 	if err != nil {
 		return nil, err
 	}
 	c.concurrency.release()
-	opened, err := open()
+	conn, err := openConnection()
 	c.concurrency.acquire()
 	if err != nil {
 		c.mu.Lock()
@@ -82,18 +82,18 @@
 		c.admitWaiting()
 		return nil, err
 	}
-	c.recordOpened()
-	return &connection{Conn: opened, pool: p, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
+	c.countOpened()
+	return &connection{Conn: conn, pool: p, reader: bufio.NewReaderSize(conn, readBufferBytes)}, nil
 }
 
-func (c *Connections) recordOpened() {
+func (c *Connections) countOpened() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opened++
 }
 
-// claimSlot takes the slot for a connection that is about to be opened. A connection that broke after its call had begun is replaced
-// without a slot reserved.
+// claimSlot claims a reserved slot for a connection that is about to be opened. If none is reserved, because the call lost its
+// connection after it had begun, claimSlot takes a free slot.
 func (c *Connections) claimSlot(address string) (*hostPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,14 +112,14 @@
 	return p, nil
 }
 
-// freeSlot gives a slot back. The caller holds the lock.
+// freeSlot returns a slot to the budget. The caller holds the lock.
 func (c *Connections) freeSlot(p *hostPool) {
 	c.slotsTaken--
 	p.slots--
 	p.update()
 }
 
-// alive reports whether the peer has left an idle connection open and silent, without waiting.
+// alive reports whether an idle connection is open and has no unread data. It does not block.
 func (c *connection) alive() bool {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -131,15 +131,15 @@
 	}
 	openAndSilent := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, err := syscall.Read(int(descriptor), one[:])
+		var buffer [1]byte
+		_, err := syscall.Read(int(descriptor), buffer[:])
 		openAndSilent = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 		return true
 	})
 	return err == nil && openAndSilent
 }
 
-// discardKeepingSlot closes a connection whose peer has closed it, and keeps its slot for the call that was about to use it.
+// discardKeepingSlot closes a connection that is not usable any more. The call that was about to use it keeps its slot.
 func (c *connection) discardKeepingSlot() {
 	c.Close()
 	budget := c.pool.budget
@@ -160,13 +160,13 @@
 	budget.admitWaiting()
 }
 
-// closeIdle closes an idle connection. The caller holds the lock, so that no call takes it meanwhile.
+// closeIdle closes an idle connection. The caller holds the lock, so that no call can take the connection.
 func (c *connection) closeIdle() {
 	c.Close()
 	c.freeSlot()
 }
 
-// freeSlot gives the connection's slot back, once. The caller holds the lock.
+// freeSlot returns the connection's slot to the budget, at most once. The caller holds the lock.
 func (c *connection) freeSlot() {
 	if c.closed {
 		return
@@ -175,7 +175,7 @@
 	c.pool.budget.freeSlot(c.pool)
 }
 
-// returnToPool makes the connection idle after a complete response: the next call may take it.
+// returnToPool makes the connection available to the next call after a complete response.
 func (c *connection) returnToPool() {
 	c.used = true
 	budget := c.pool.budget
--- a/internal/jobs/workerclient/doc.go
+++ b/internal/jobs/workerclient/doc.go
@@ -1,30 +1,40 @@
-// Package workerclient is the leader's connection to one worker: it keeps the lease of the worker's attempts renewed, receives
-// which attempts run and which have completed, and sends commands that start and stop attempts.
-//
-// A Link is made for one incarnation of one worker under one fencing token, and is driven by Run. It reports through Events; what
-// a report means for jobs is decided in package scheduler. Five concerns act together in a link:
-//
-//   - Lease renewal (renewal.go, listcall.go, acknowledgement.go, lease.go, leasegrants.go, clock.go). One call after another,
-//     usually as a long poll that waits at the worker for a completion, renews the lease, acknowledges completions that are
-//     durable, and brings the lists of running and finished attempts. leaseState bounds the worker's clock, so that no start is
-//     sent that the lease would cut short, and knows by when everything that was ever granted has expired (Link.LeasesExpiredBy):
-//     only then may an attempt start elsewhere.
-//   - Polling (poll.go, idle.go, activity.go). A poll requests the lists at once and grants nothing. Out-of-band polls are made
-//     beside the renewal where its response is overdue and where the state of an attempt has to be known soon: after a start
-//     without a response and after a stop. Where there are too many workers for a long poll at each, activity decides how long an
-//     idle one is left alone.
-//   - Commands (commands.go, commandqueue.go, outcome.go). A start is sent once at most, as its execution twice, or late, would
-//     do harm; one without a response is Unclear. A stop is idempotent and retried until it is answered. Polls and stops are
-//     hedged (hedging.go): a further request is sent while the first one has no response.
-//   - Health (health.go). Calls without a response, and refused ones, raise doubt and in the end make the worker unreachable. In
-//     doubt no start is sent; while the worker is unreachable nothing is sent but polls.
-//   - Connections (connections.go, hostpool.go, admission.go, dial.go, exchange.go, semaphore.go). All links of a process share
-//     one budget of connections, with a rate limit on new ones. Each worker has its pool; a call waits for its turn before its
-//     time-out begins.
-//
-// Time-outs follow the measured round trips (roundtrip.go). Before each call, and once more when its connection is there
-// (permit.go), the link checks that the leader lease of this process is valid.
-//
-// One lock, Link.mu, guards the state of a link. The types of that state (leaseState, health, activity, commandQueue, pollState,
-// roundTrips) do no I/O and can be tested without it.
+// Package workerclient connects a leader to one worker. It renews the lease of the worker's attempts, receives the lists of running
+// and finished attempts, and sends the commands that start and stop attempts.
+//
+// A Link serves one incarnation of one worker under one fencing token. Link.Run drives it, and the link reports through Events.
+// Package scheduler decides what a report means for a job.
+//
+// A link guarantees:
+//
+//   - No start is sent that the worker's lease would cut short.
+//   - A start is sent at most once.
+//   - No call is sent after the leader lease of this process has expired, as far as this process can know. The link checks the lease
+//     before each call, and again once the call has a connection (permit.go).
+//   - Link.LeasesExpiredBy is never earlier than the expiry of any lease that the link has granted. An attempt may be started on
+//     another worker only after that time.
+//
+// A link never decides where an attempt runs, and it never stores anything.
+//
+// The package has five parts:
+//
+//   - Lease renewal (renewal.go, listcall.go, acknowledgement.go, lease.go, leasegrants.go, clock.go). Each renewal extends the lease,
+//     acknowledges completions that are durable, and returns the lists of running and finished attempts. Usually a renewal is a long
+//     poll: the worker waits for a completion before it responds. leaseState keeps bounds on the worker's clock and the expiry of all
+//     grants.
+//   - Polling (poll.go, idle.go, activity.go). A poll requests the lists at once and grants no lease. Out-of-band polls are sent in
+//     parallel to the renewal: when the response to the renewal is overdue, after a start without a response, and after a stop. If
+//     there are too many workers for a long poll at each of them, activity determines how often an idle worker is polled.
+//   - Commands (commands.go, commandqueue.go, outcome.go). A start that is executed twice or late does harm, so it is never retried.
+//     The outcome of a start without a response is Unclear. A stop is idempotent and is retried until the worker answers it. Polls and
+//     stops are hedged (hedging.go): further requests are sent while the first one has no response.
+//   - Health (health.go). Missing responses and refused calls raise the suspicion level and finally make the worker unreachable. No
+//     start is sent to a suspected worker. An unreachable worker receives only polls.
+//   - Connections (connections.go, hostpool.go, admission.go, dial.go, exchange.go, semaphore.go). All links of a process share one
+//     budget of connections and one rate limit for new connections. Each worker has a pool. A call waits for a connection before its
+//     timeout begins.
+//
+// Timeouts adapt to the measured round-trip times (roundtrip.go).
+//
+// Link.mu guards the state of a link. The types of that state (leaseState, health, activity, commandQueue, pollState, rttEstimator)
+// do no I/O and can be tested without the lock.
 package workerclient
--- a/internal/jobs/workerclient/eventqueue.go
+++ b/internal/jobs/workerclient/eventqueue.go
@@ -2,15 +2,16 @@
 
 import "sync"
 
-// eventQueue hands reports to Events one after another, in the order in which they were posted.
+// eventQueue delivers reports to Events one at a time, in the order in which they were posted.
 type eventQueue struct {
 	events     Events
 	mu         sync.Mutex
 	waiting    []func(Events)
-	delivering bool // some goroutine is handing them over
+	delivering bool // a goroutine is delivering reports
 }
 
-// post hands a report over, after those before it. It returns at once while another goroutine does that.
+// post delivers a report after those posted before. If another goroutine is delivering reports, post returns at once and leaves the
+// delivery to it.
 func (q *eventQueue) post(report func(Events)) {
 	q.mu.Lock()
 	q.waiting = append(q.waiting, report)
--- a/internal/jobs/workerclient/exchange.go
+++ b/internal/jobs/workerclient/exchange.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-const writeBufferBytes = 8 << 10 // a command with its specification
+const writeBufferBytes = 8 << 10 // holds a command with its specification
 
 var writers sync.Pool // of *bufio.Writer
 
-// exchanger is an http.RoundTripper that makes each call on the goroutine of its caller: thousands of connections that are mostly
-// idle need no goroutine each. It retries nothing.
-type exchanger struct {
+// inlineTransport is an http.RoundTripper that runs each call on the goroutine of its caller. Unlike http.Transport it needs no
+// goroutines per connection, as there are thousands of mostly idle connections. It retries nothing.
+type inlineTransport struct {
 	connections *Connections
 	dial        dialFunction
 }
 
 // RoundTrip implements http.RoundTripper.
-func (e *exchanger) RoundTrip(request *http.Request) (*http.Response, error) {
+func (e *inlineTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	ctx := request.Context()
 	c, err := e.connections.connect(ctx, e.dial, request.URL.Host)
 	if err != nil {
@@ -33,7 +33,7 @@
 		trace.GotConn(httptrace.GotConnInfo{Conn: c.Conn, Reused: c.used})
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	response, err := c.exchange(request)
+	response, err := c.roundTrip(request)
 	if err != nil {
 		stop()
 		c.discard()
@@ -43,11 +43,11 @@
 	return response, nil
 }
 
-// CloseIdleConnections is the method that http.Client.CloseIdleConnections calls.
-func (e *exchanger) CloseIdleConnections() { e.connections.closeAllIdle() }
+// CloseIdleConnections closes all idle connections. http.Client.CloseIdleConnections calls it.
+func (e *inlineTransport) CloseIdleConnections() { e.connections.closeAllIdle() }
 
-// exchange sends a request and reads the head of its response.
-func (c *connection) exchange(request *http.Request) (*http.Response, error) {
+// roundTrip sends a request and reads the status line and headers of its response.
+func (c *connection) roundTrip(request *http.Request) (*http.Response, error) {
 	writer, pooled := writers.Get().(*bufio.Writer)
 	if !pooled {
 		writer = bufio.NewWriterSize(nil, writeBufferBytes)
@@ -71,19 +71,19 @@
 	return http.ReadResponse(c.reader, request)
 }
 
-// pooledBody is the body of a response. It returns the connection to its pool once it was read to its end, and discards the
+// pooledBody is the body of a response. It returns the connection to its pool after the body was read completely, and discards the
 // connection otherwise.
 type pooledBody struct {
 	io.ReadCloser
 	connection *connection
-	stop       func() bool // detaches the connection from the context of the call; false if the context is over
+	stop       func() bool // detaches the connection from the context of the call; returns false if the context has ended
 	reusable   bool
 	finished   bool
 }
 
 // Read implements io.Reader.
-func (b *pooledBody) Read(to []byte) (int, error) {
-	n, err := b.ReadCloser.Read(to)
+func (b *pooledBody) Read(buffer []byte) (int, error) {
+	n, err := b.ReadCloser.Read(buffer)
 	if err != nil {
 		b.finish(err == io.EOF)
 	}
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -17,13 +17,13 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-func budgetedCaller(address string) (*Connections, *caller) {
-	c := NewConnections(Limits{Connections: 2, DialsPerS: math.Inf(1)})
+func newBudgetedRPCClient(address string) (*Connections, *rpcClient) {
+	c := NewConnections(Limits{Connections: 2, DialsPerSecond: math.Inf(1)})
 	c.concurrency = nil // the calls of these tests come from outside of a link
-	return c, newCaller(c.HTTPClient(), address, "i-1", func() bool { return true })
+	return c, newRPCClient(c.HTTPClient(), address, "i-1", func() bool { return true })
 }
 
-func TestConnectionsThatThePeerHasClosed(t *testing.T) {
+func TestConnectionClosedByPeerIsReplaced(t *testing.T) {
 	convey.Convey("A connection that the worker closed while it was idle is replaced before a call is sent on it", t, func() {
 		closed := make(chan struct{}, 1)
 		server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"clockMs":1}`) }))
@@ -34,7 +34,7 @@
 		}
 		server.Start()
 		defer server.Close()
-		connections, caller := budgetedCaller(server.Listener.Addr().String())
+		connections, caller := newBudgetedRPCClient(server.Listener.Addr().String())
 		defer connections.closeAllIdle()
 		for range 3 {
 			a, err := caller.post(context.Background(), caller.renewal, []byte(`{}`), eventTimeout)
@@ -71,7 +71,7 @@
 }
 
 func respondWithTrailingBytes(connection net.Conn) {
-	const orphan = "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\n\r\n{\"reason\":\"fence\"}"
+	const unsolicitedResponse = "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\n\r\n{\"reason\":\"fence\"}"
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -80,14 +80,14 @@
 			return
 		}
 		io.Copy(io.Discard, request.Body)
-		io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"+orphan)
+		io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"+unsolicitedResponse)
 	}
 }
 
-func TestUnsolicitedResponses(t *testing.T) {
+func TestUnsolicitedResponseIsDiscarded(t *testing.T) {
 	convey.Convey("What follows a response is not taken for that of the next call", t, func() {
 		address, accepted := trailingBytesServer(t)
-		connections, caller := budgetedCaller(address)
+		connections, caller := newBudgetedRPCClient(address)
 		defer connections.closeAllIdle()
 		for range 3 {
 			a, err := caller.post(context.Background(), caller.start, []byte(`{}`), eventTimeout)
@@ -98,21 +98,21 @@
 	})
 }
 
-func TestCancelledCalls(t *testing.T) {
+func TestCancelledCallMayHaveExecuted(t *testing.T) {
 	convey.Convey("A call that is cancelled after it was sent is unclear, and its connection is not used again", t, func() {
-		arrived, letGo := make(chan struct{}, 1), make(chan struct{})
-		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { arrived <- struct{}{}; <-letGo }))
+		arrived, release := make(chan struct{}, 1), make(chan struct{})
+		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { arrived <- struct{}{}; <-release }))
 		defer server.Close()
-		defer close(letGo)
-		connections, caller := budgetedCaller(server.Listener.Addr().String())
-		ctx, giveUp := context.WithCancel(context.Background())
+		defer close(release)
+		connections, caller := newBudgetedRPCClient(server.Listener.Addr().String())
+		ctx, cancel := context.WithCancel(context.Background())
 		failed := make(chan error, 1)
 		go func() {
 			_, err := caller.post(ctx, caller.start, []byte(`{}`), eventTimeout)
 			failed <- err
 		}()
 		<-arrived
-		giveUp()
+		cancel()
 		err := <-failed
 		convey.So(err, convey.ShouldWrap, context.Canceled)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
@@ -122,7 +122,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		listener.Close()
-		connections, caller := budgetedCaller(listener.Addr().String())
+		connections, caller := newBudgetedRPCClient(listener.Addr().String())
 		_, err = caller.post(context.Background(), caller.start, []byte(`{}`), eventTimeout)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(connections.Usage().Open, convey.ShouldBeZeroValue)
@@ -132,8 +132,8 @@
 func TestLongPollsDoNotHoldTheSemaphore(t *testing.T) {
 	const workers = 40
 	convey.Convey("Long polls do not hold a place of the semaphore", t, func() {
-		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1000, MaxLongPolls: workers})
-		defer f.end()
+		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000, MaxLongPolls: workers})
+		defer f.close()
 		convey.So(cap(f.connections.concurrency), convey.ShouldBeLessThan, workers)
 		limit := time.After(eventTimeout)
 		for f.connections.Usage().LongPolls < workers {
@@ -141,7 +141,7 @@
 			case <-limit:
 				t.Fatalf("%+v", f.connections.Usage())
 			default:
-				awaitAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
+				awaitEventAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
 			}
 		}
 	})
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -26,37 +26,37 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a start without a response is unclear, and nothing is sent until the worker responds", func() {
-			unresponsive, lost := signalled(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent})
+			unresponsive, lost := faultWithSignal(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent})
 			f.worker.SetFaults(unresponsive)
 			<-lost // no renewal is under way that will be answered
 			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
-			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
+			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenAfter, before.Add(maxLateExecution))
 			convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent)
 			leaseEnd := f.worker.LeaseExpiry()
 
 			convey.Convey("polls find it reachable again", func() {
 				f.worker.SetFaults(nil)
-				awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
+				awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 				convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 				convey.So(f.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
-				await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a renewal after the poll
+				awaitEvent(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a renewal after the poll
 				convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, leaseEnd)
 			})
 		})
 	})
 }
 
-func TestLateStart(t *testing.T) {
+func TestLateStartIsUnclearAndListedLater(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a start that is executed late is unclear, and its attempt is listed in the end", func() {
 			late := cluster.Fault{Kind: cluster.Late, Delay: 1200 * time.Millisecond}
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, late))
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
-			await(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
+			awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(f.cluster.Runs()[1].Late, convey.ShouldBeTrue)
 		})
 	})
@@ -66,20 +66,20 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a stop is retried until it is answered", func() {
-			refusal, refused := signalled(cluster.StopCall, cluster.Fault{Kind: cluster.Refuse, Status: 503})
+			refusal, refused := faultWithSignal(cluster.StopCall, cluster.Fault{Kind: cluster.Refuse, Status: 503})
 			f.worker.SetFaults(refusal)
 			f.link.Stop(StopCommand{task(0), 1})
 			<-refused
 			<-refused
 			f.worker.SetFaults(nil)
-			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
-			ended := await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
+			convey.So(awaitEvent(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+			ended := awaitEvent(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(ended.Finished[0].Outcome, convey.ShouldEqual, job.OutcomeStopped)
 		})
 	})
 }
 
-func TestBrokenConnection(t *testing.T) {
+func TestStartOnBrokenConnectionIsUnclear(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a connection that breaks makes the start unclear", func() {
@@ -89,25 +89,25 @@
 	})
 }
 
-func TestDeadWorker(t *testing.T) {
+func TestWorkerThatLeftGetsNoCommands(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a worker that has left gets no command", func() {
 			f.worker.Leave()
-			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
+			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
 		})
 	})
 }
 
-func TestRefusedRenewals(t *testing.T) {
+func TestWorkerRefusingRenewalsIsUnreachable(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a worker that refuses renewals is unreachable until it answers them", func() {
 			f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
-			await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
+			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			f.worker.SetFaults(nil)
-			awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
+			awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 		})
 	})
 }
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -24,24 +24,24 @@
 
 // recorder is an Events that keeps what it receives.
 type recorder struct {
-	inside     atomic.Int32
+	inProgress atomic.Int32
 	concurrent atomic.Bool // two events came at once
 	onListing  func(Listing)
 
-	mu      sync.Mutex
-	changed chan struct{} // closed at the next event
-	all     []any
+	mu       sync.Mutex
+	changed  chan struct{} // closed at the next event
+	received []any
 }
 
 func newRecorder() *recorder { return &recorder{changed: make(chan struct{})} }
 
 func (r *recorder) add(event any) {
-	if r.inside.Add(1) > 1 {
+	if r.inProgress.Add(1) > 1 {
 		r.concurrent.Store(true)
 	}
-	defer r.inside.Add(-1)
+	defer r.inProgress.Add(-1)
 	r.mu.Lock()
-	r.all = append(r.all, event)
+	r.received = append(r.received, event)
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []T
-	for _, event := range r.all {
+	for _, event := range r.received {
 		if e, ok := event.(T); ok {
 			found = append(found, e)
 		}
@@ -74,13 +74,13 @@
 }
 
 // await waits for the first event of a type that a condition holds for.
-func await[T any](t testing.TB, r *recorder, condition func(T) bool) T {
+func awaitEvent[T any](t testing.TB, r *recorder, condition func(T) bool) T {
 	t.Helper()
-	return awaitAfter(t, r, 0, condition)
+	return awaitEventAfter(t, r, 0, condition)
 }
 
 // awaitAfter skips the first events of the type.
-func awaitAfter[T any](t testing.TB, r *recorder, skip int, condition func(T) bool) T {
+func awaitEventAfter[T any](t testing.TB, r *recorder, skip int, condition func(T) bool) T {
 	t.Helper()
 	limit := time.After(eventTimeout)
 	for {
@@ -104,16 +104,16 @@
 
 // fixture is a worker with links to it.
 type fixture struct {
-	t               testing.TB
-	cluster         *cluster.Cluster
-	worker          *cluster.Worker
-	events          *recorder
-	leaderLeaseOver atomic.Bool // the leader lease is over
-	fencedOff       func()      // of all links, where set
-	link            *Link       // the newest one
-	client          *http.Client
-	timeout         time.Duration // the shortest one of a call
-	closers         []func()
+	t                  testing.TB
+	cluster            *cluster.Cluster
+	worker             *cluster.Worker
+	events             *recorder
+	leaderLeaseExpired atomic.Bool // the leader lease is over
+	onFencedOff        func()      // of all links, where set
+	link               *Link       // the newest one
+	client             *http.Client
+	minTimeout         time.Duration // the shortest one of a call
+	closers            []func()
 }
 
 const testMaxLease = 6 * time.Second
@@ -122,16 +122,16 @@
 	settings.LeaseMax = testMaxLease
 	config.ID = "i-1"
 	f := &fixture{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
-	f.client, f.timeout = NewHTTPClient(), maxCommandTimeout // as the machine may be busy
+	f.client, f.minTimeout = NewHTTPClient(), maxCommandTimeout // as the machine may be busy
 	f.worker = f.cluster.AddWorker(config)
 	f.closers = append(f.closers, f.cluster.Close, f.client.CloseIdleConnections)
 	return f
 }
 
 // newMemoryFixture is for use under synctest. Each call takes the given time to get there.
-func newMemoryFixture(t testing.TB, way time.Duration) *fixture {
+func newMemoryFixture(t testing.TB, delay time.Duration) *fixture {
 	f := newFixture(t, cluster.Settings{InMemory: true}, cluster.WorkerConfig{})
-	f.client, f.timeout = f.cluster.MemoryClient(way), 0
+	f.client, f.minTimeout = f.cluster.MemoryClient(delay), 0
 	return f
 }
 
@@ -149,13 +149,13 @@
 func (f *fixture) connectTo(worker *cluster.Worker, token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
-		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !f.leaderLeaseOver.Load() },
+		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !f.leaderLeaseExpired.Load() },
 		FencedOff: func() {
-			if f.fencedOff != nil {
-				f.fencedOff()
+			if f.onFencedOff != nil {
+				f.onFencedOff()
 			}
 		},
-		Events: f.events, HTTP: f.client, MinTimeout: f.timeout,
+		Events: f.events, HTTP: f.client, MinTimeout: f.minTimeout,
 	})
 	f.link = link
 	returned := make(chan struct{})
@@ -179,12 +179,12 @@
 	f.t.Helper()
 	before := len(eventsOf[StartResult](f.events))
 	f.link.Start(command)
-	result := awaitAfter(f.t, f.events, before, func(r StartResult) bool { return r.Command == command })
+	result := awaitEventAfter(f.t, f.events, before, func(r StartResult) bool { return r.Command == command })
 	return result.Outcome
 }
 
 // signalled is a fault that signals each call that it happens to.
-func signalled(kind cluster.Call, fault cluster.Fault) (decide func(cluster.Call) cluster.Fault, happened chan struct{}) {
+func faultWithSignal(kind cluster.Call, fault cluster.Fault) (decide func(cluster.Call) cluster.Fault, happened chan struct{}) {
 	happened = make(chan struct{}, 1000)
 	return func(call cluster.Call) cluster.Fault {
 		if call != kind {
@@ -197,6 +197,6 @@
 
 func task(index int) job.TaskID { return job.TaskID{Job: "00000000000000aa", Index: index} }
 
-func startCommand(index int, execution uint64) StartCommand {
-	return StartCommand{Task: task(index), AttemptNumber: execution, Specification: "sleep"}
+func startCommand(index int, attemptNumber uint64) StartCommand {
+	return StartCommand{Task: task(index), AttemptNumber: attemptNumber, Specification: "sleep"}
 }
--- a/internal/jobs/workerclient/health.go
+++ b/internal/jobs/workerclient/health.go
@@ -1,74 +1,74 @@
 package workerclient
 
-// toleratedRefusals is how many calls for the lists in a row may be refused before a worker counts as unreachable.
+// toleratedRefusals is the number of consecutive refused list calls that do not make a worker unreachable.
 const toleratedRefusals = 1
 
-// contact is what the calls so far have shown about a worker. It decides whether commands and lease grants are sent at all, and its
-// changes are reported as ReachabilityChange.
-type contact uint8
+// reachability is the reachability of a worker as observed by the calls so far. It determines whether commands and lease grants are sent
+// at all. Changes are reported as ReachabilityChange.
+type reachability uint8
 
 const (
-	untried     contact = iota // no call has shown anything yet
-	reachable                  // the newest response came from the worker
-	unreachable                // calls were left without a response, or refused, too often; only the renewal loop's polls are sent
+	reachabilityUnknown reachability = iota // no call has ended yet
+	reachable                               // the worker has responded
+	unreachable                             // too many calls got no response or were refused; only polls of the renewal loop are sent
 )
 
-// doubt is what calls without a response have raised since the last response. It is independent of the contact: a worker that was never
-// reached can be in doubt, too.
-type doubt uint8
+// suspicion is the level of suspicion that a worker is unresponsive. Calls without a response since the last response raise it. It is
+// independent of the reachability: a worker whose reachability is unknown can be suspected, too.
+type suspicion uint8
 
 const (
-	confident doubt = iota
-	doubtful        // a command got no response: no start is sent until a poll is answered
-	suspected       // a renewal or a poll got none: likewise, and a further poll without one makes the worker unreachable
+	notSuspected      suspicion = iota
+	weaklySuspected             // a command got no response; no start is sent until a poll is answered
+	stronglySuspected           // a renewal or poll got no response; no start is sent, and a further poll without a response makes the worker unreachable
 )
 
-// health is the state machine of a link's view of its worker. It does no I/O; the link's lock guards it.
+// health is the state machine of a worker's health as the link sees it. It does no I/O. The link's lock guards it.
 //
-//	event               doubt                    contact
-//	commandUnanswered   at least doubtful        -
-//	renewalUnanswered   suspected                -
-//	pollUnanswered      suspected                unreachable if it was suspected before
-//	listRefused         confident                unreachable after more than toleratedRefusals in a row
-//	responded           confident                reachable
+//	event               suspicion                reachability
+//	commandUnanswered   at least weaklySuspected -
+//	renewalUnanswered   stronglySuspected        -
+//	pollUnanswered      stronglySuspected        unreachable if it was stronglySuspected before
+//	listRefused         notSuspected             unreachable after more than toleratedRefusals in a row
+//	responded           notSuspected             reachable
 //
-// The methods return whether the worker is now to be taken as unreachable; the link then carries out the change of contact together with
-// what follows from it (Link.setContact).
+// Some methods report whether the worker is now unreachable. The link then changes the reachability with Link.setReachability, which
+// also applies the consequences of the change.
 type health struct {
-	contact  contact
-	doubt    doubt
-	refusals int // calls for the lists in a row that were answered without them
+	reachability reachability
+	suspicion    suspicion
+	refusals     int // consecutive refused list calls
 }
 
-// commandUnanswered records a start or a stop without a response.
-func (h *health) commandUnanswered() { h.doubt = max(h.doubt, doubtful) }
+// commandUnanswered records a start or stop without a response.
+func (h *health) commandUnanswered() { h.suspicion = max(h.suspicion, weaklySuspected) }
 
-// renewalUnanswered records a lease renewal whose response is overdue, or that failed. A poll decides what that means.
-func (h *health) renewalUnanswered() { h.doubt = suspected }
+// renewalUnanswered records a lease renewal that failed or whose response is overdue. A poll then shows whether the worker responds.
+func (h *health) renewalUnanswered() { h.suspicion = stronglySuspected }
 
 // pollUnanswered records a poll without a response.
 func (h *health) pollUnanswered() (nowUnreachable bool) {
-	nowUnreachable = h.doubt == suspected
-	h.doubt = suspected
+	nowUnreachable = h.suspicion == stronglySuspected
+	h.suspicion = stronglySuspected
 	return nowUnreachable
 }
 
-// listRefused records a call for the lists that was answered without them. A single one says little.
+// listRefused records a list call that was answered without the lists. A single refusal does not make the worker unreachable.
 func (h *health) listRefused() (nowUnreachable bool) {
 	h.refusals++
-	h.doubt = confident
+	h.suspicion = notSuspected
 	return h.refusals > toleratedRefusals
 }
 
-// listed records a call for the lists that was answered with them.
+// listed records a list call that returned the lists.
 func (h *health) listed() { h.refusals = 0 }
 
 // responded records a response to any call.
-func (h *health) responded() { h.doubt = confident }
+func (h *health) responded() { h.suspicion = notSuspected }
 
-// moveTo changes the contact and reports whether it was another one before.
-func (h *health) moveTo(to contact) (changed bool) {
-	changed = h.contact != to
-	h.contact = to
+// setReachability sets the reachability and reports whether it has changed.
+func (h *health) setReachability(to reachability) (changed bool) {
+	changed = h.reachability != to
+	h.reachability = to
 	return changed
 }
--- a/internal/jobs/workerclient/hedging.go
+++ b/internal/jobs/workerclient/hedging.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// maxHedgedRequests bounds the hedged requests that one link has under way.
+// maxHedgedRequests is the maximum number of concurrent hedged requests of one link.
 const maxHedgedRequests = maxCommandsInFlight
 
-// idempotentCall is a call that does no harm when it is carried out more than once, or late: a poll, which grants nothing, or a stop
-// of one attempt. A start is not one.
+// idempotentCall is a call that the worker may execute repeatedly or late without harm: a poll, which grants no lease, or a stop. A
+// start is not idempotent.
 type idempotentCall struct {
 	target  *url.URL
 	body    []byte
-	timeout time.Duration // of all requests together
+	timeout time.Duration // of the whole call, including hedged requests
 }
 
-// hedgedCall is an idempotent call with all requests that are sent for it: the first one, and hedged requests while there is no
-// response (J. Dean, L. A. Barroso, "The Tail at Scale", CACM 56(2), 2013). The first response to any of them ends the call.
+// hedgedCall is an idempotent call with all its requests: the first one, and hedged requests that are sent while there is no response
+// (J. Dean, L. A. Barroso, "The Tail at Scale", CACM 56(2), 2013). The first response to any of them ends the call.
 type hedgedCall struct {
 	link       *Link
 	call       idempotentCall
-	context    context.Context // of each request; it ends with the call
+	context    context.Context // of all requests; cancelled when the call ends
 	cancel     context.CancelFunc
-	hedgeAfter time.Duration // from one request to the next
-	done       chan struct{} // closed with the first response, or when no request is under way any more
+	hedgeAfter time.Duration // delay between two requests
+	done       chan struct{} // closed on the first response, or when no request is in flight any more
 
 	mu       sync.Mutex
 	ended    bool
@@ -34,18 +34,18 @@
 	timer    *time.Timer // sends the next hedged request
 	response workerResponse
 	sentAt   time.Time // of the request that was answered
-	err      error     // of the request that failed last
+	err      error     // of the last failed request
 }
 
-// postIdempotent makes an idempotent call. While no response has come within what is usual at this worker, a hedged request is sent
-// on another connection if one is free. It returns the first response, and when the request was sent that was answered. The caller
-// has acquired a slot of the pool, which the first request uses.
+// postIdempotent makes an idempotent call. If there is no response within the usual response time of the worker, it sends a hedged
+// request on another connection, if one is free. It returns the first response and the send time of the request that got it. The
+// caller has acquired a connection slot, which the first request uses.
 func (l *Link) postIdempotent(call idempotentCall) (response workerResponse, sentAt time.Time, err error) {
 	ctx, cancel := context.WithTimeout(l.context, call.timeout)
 	defer cancel()
 	c := &hedgedCall{link: l, call: call, context: ctx, cancel: cancel, done: make(chan struct{}), inFlight: 1}
 	l.mu.Lock()
-	c.hedgeAfter = l.roundTrips.hedgeDelay()
+	c.hedgeAfter = l.rtt.hedgeDelay()
 	l.mu.Unlock()
 	c.schedule()
 	c.send()
@@ -53,7 +53,7 @@
 	return c.result()
 }
 
-// schedule lets the next hedged request be sent after its delay.
+// schedule sets the timer for the next hedged request.
 func (c *hedgedCall) schedule() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,21 +62,21 @@
 	}
 }
 
-// sendHedge sends a hedged request unless the call has ended meanwhile or no connection is free for it.
+// sendHedge sends a hedged request, unless the call has ended or no connection is free.
 func (c *hedgedCall) sendHedge() {
 	if !c.begin() {
 		return
 	}
 	c.schedule()
 	if !c.link.beginHedge() {
-		c.finish(nil)
+		c.finishUnanswered(nil)
 		return
 	}
 	defer c.link.endHedge()
 	c.send()
 }
 
-// begin counts a hedged request that is about to be sent, if the call is still under way.
+// begin counts a hedged request that is about to be sent. It reports false if the call has ended.
 func (c *hedgedCall) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,10 +89,10 @@
 
 // send sends one request and waits for its response.
 func (c *hedgedCall) send() {
-	sentAt := c.link.lockedSendTime()
-	response, err := c.link.caller.post(c.context, c.call.target, c.call.body, c.call.timeout)
+	sentAt := c.link.currentSendTime()
+	response, err := c.link.rpc.post(c.context, c.call.target, c.call.body, c.call.timeout)
 	if err != nil {
-		c.finish(err)
+		c.finishUnanswered(err)
 		return
 	}
 	c.answered(response, sentAt)
@@ -110,8 +110,9 @@
 	c.end()
 }
 
-// finish records a request without a response; nil is the error of one that was not sent. The last one ends the call.
-func (c *hedgedCall) finish(err error) {
+// finishUnanswered records the end of a request without a response. The error is nil if the request was not sent. The call ends if no
+// other request is in flight.
+func (c *hedgedCall) finishUnanswered(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight--
@@ -134,14 +135,14 @@
 	close(c.done)
 }
 
-// awaitEnd waits, outside of the semaphore, for requests that may still be answered.
+// awaitEnd waits for the end of the call. It releases the semaphore meanwhile.
 func (c *hedgedCall) awaitEnd() {
 	select {
 	case <-c.done:
 		return
 	default:
 	}
-	c.link.config.Connections.concurrency.outside(func() { <-c.done })
+	c.link.config.Connections.concurrency.releaseWhile(func() { <-c.done })
 }
 
 func (c *hedgedCall) result() (response workerResponse, sentAt time.Time, err error) {
@@ -150,29 +151,29 @@
 	return c.response, c.sentAt, c.err
 }
 
-// beginHedge takes what a hedged request needs, without waiting for it, and reports whether the request may be sent.
+// beginHedge acquires the resources of a hedged request without waiting, and reports whether the request may be sent.
 func (l *Link) beginHedge() bool {
-	if !l.config.LeaderLeaseValid() || !l.countHedge() {
+	if !l.config.LeaderLeaseValid() || !l.reserveHedge() {
 		return false
 	}
 	if !l.pool.tryAcquire() {
-		l.uncountHedge()
+		l.releaseHedge()
 		return false
 	}
 	return true
 }
 
-// endHedge gives back what a hedged request has used.
+// endHedge releases the resources of a hedged request.
 func (l *Link) endHedge() {
 	l.pool.release()
-	l.uncountHedge()
+	l.releaseHedge()
 }
 
-// countHedge counts a hedged request that is about to be sent, unless there are too many.
-func (l *Link) countHedge() bool {
+// reserveHedge counts a hedged request that is about to be sent. It reports false if the limit is reached or the link has ended.
+func (l *Link) reserveHedge() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ending != open || l.hedges >= maxHedgedRequests {
+	if l.endReason != notEnded || l.hedges >= maxHedgedRequests {
 		return false
 	}
 	l.hedges++
@@ -180,15 +181,15 @@
 	return true
 }
 
-func (l *Link) uncountHedge() {
+func (l *Link) releaseHedge() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hedges--
-	l.quiescent.Broadcast()
+	l.inFlightChanged.Broadcast()
 }
 
-// lockedSendTime is sendTime for callers that do not hold the lock.
-func (l *Link) lockedSendTime() time.Time {
+// currentSendTime returns sendTime. The caller does not hold the lock.
+func (l *Link) currentSendTime() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sendTime()
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -12,16 +12,16 @@
 )
 
 // usualResponseTime is more than a calm worker takes to respond, and far less than any time-out.
-const usualResponseTime = hedgeMargin + 50*time.Millisecond
+const hedgedResponseTime = hedgeMargin + 50*time.Millisecond
 
 func TestPollWithoutResponseIsHedged(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		before := f.link.Counts()
-		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		f.link.Stop(StopCommand{task(5), 1})
-		stopped := await(t, f.events, anyEvent[StopResult])
-		poll := await(t, f.events, outOfBand)
-		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, usualResponseTime)
+		stopped := awaitEvent(t, f.events, anyEvent[StopResult])
+		poll := awaitEvent(t, f.events, isOutOfBand)
+		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, hedgedResponseTime)
 		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)      // of the request that was answered
 		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not of its response
 		after := f.link.Counts()
@@ -32,12 +32,12 @@
 }
 
 func TestStopWithoutResponseIsHedged(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(first(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(firstCalls(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		commandedAt := time.Now()
 		f.link.Stop(StopCommand{task(0), 1})
-		convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
-		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, usualResponseTime)
+		convey.So(awaitEvent(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, hedgedResponseTime)
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
 		time.Sleep(6 * time.Second) // the first one is executed, too
 		convey.So(f.start(startCommand(0, 2)), convey.ShouldEqual, Started)
@@ -46,9 +46,9 @@
 }
 
 func TestStartWithoutResponseIsNotHedged(t *testing.T) {
-	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
+	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		starts, hedged := f.worker.Calls(cluster.StartCall), f.link.Counts().HedgedRequests
-		f.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(firstCalls(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		time.Sleep(5 * time.Second)
 		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
@@ -56,9 +56,9 @@
 	})
 }
 
-func TestStartTimeoutFallsWithTheLossRate(t *testing.T) {
-	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
-		f.worker.SetFaults(first(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+func TestStartTimeoutShrinksWhenManyStartsAreLost(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
+		f.worker.SetFaults(firstCalls(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
 		took := func(index int) time.Duration {
 			commandedAt := time.Now()
 			convey.So(f.start(startCommand(index, 1)), convey.ShouldEqual, Unclear)
@@ -70,18 +70,18 @@
 		for i := range 10 {
 			convey.So(f.start(startCommand(4+i, 1)), convey.ShouldEqual, Started)
 		}
-		f.worker.SetFaults(first(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(firstCalls(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
 		convey.So(took(20), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
 		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each one once
 	})
 }
 
-func TestNoHedgeIsSentAfterTheLeaderLease(t *testing.T) {
-	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
+func TestNoHedgeIsSentAfterLeaderLeaseExpiry(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		f.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(hedgeMargin / 2)
-		f.leaderLeaseOver.Store(true)
+		f.leaderLeaseExpired.Store(true)
 		time.Sleep(time.Second)
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 1)
 		convey.So(f.link.Counts().HedgedRequests, convey.ShouldEqual, 0)
@@ -89,7 +89,7 @@
 }
 
 func TestHedgesAreBounded(t *testing.T) {
-	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
+	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
 		for i := range 3 * maxCommandsInFlight {
 			f.link.Stop(StopCommand{task(i), 1})
@@ -102,8 +102,8 @@
 	})
 }
 
-func TestAFailedHedgeLeavesTheCallToTheOthers(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+func TestFailedHedgeDoesNotFailTheCall(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		calls := 0
 		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call != cluster.StopCall {
@@ -112,23 +112,23 @@
 			calls++
 			switch calls {
 			case 1: // answered after the hedged request has failed
-				return cluster.Fault{Kind: cluster.Slow, Delay: 2 * spareMargin}
+				return cluster.Fault{Kind: cluster.Slow, Delay: 2 * responseTimeoutMargin}
 			default:
 				return cluster.Fault{Kind: cluster.Reset}
 			}
 		})
 		commandedAt := time.Now()
 		f.link.Stop(StopCommand{task(0), 1})
-		convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
-		convey.So(time.Since(commandedAt), convey.ShouldBeBetween, 2*spareMargin, 2*spareMargin+50*time.Millisecond)
+		convey.So(awaitEvent(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+		convey.So(time.Since(commandedAt), convey.ShouldBeBetween, 2*responseTimeoutMargin, 2*responseTimeoutMargin+50*time.Millisecond)
 		convey.So(f.link.Counts().HedgedRequests, convey.ShouldBeGreaterThan, 0)
 	})
 }
 
 func TestHedgesDoNotWaitForAConnection(t *testing.T) {
 	convey.Convey("Given a budget of one connection that is in use", t, func() {
-		connections := NewConnections(Limits{Connections: 1, DialsPerS: 100, DialBurst: 10})
-		busy, other := connections.join("a"), connections.join("b")
+		connections := NewConnections(Limits{Connections: 1, DialsPerSecond: 100, DialBurst: 10})
+		busy, other := connections.addLink("a"), connections.addLink("b")
 		convey.So(busy.acquire(nil), convey.ShouldBeTrue)
 		convey.So(other.tryAcquire(), convey.ShouldBeFalse)
 		convey.So(busy.tryAcquire(), convey.ShouldBeFalse)
--- a/internal/jobs/workerclient/hostpool.go
+++ b/internal/jobs/workerclient/hostpool.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// hostPool is the part of a budget that one address uses. The lock of the budget guards it.
+// hostPool is the pool of connections to one address within a budget. The lock of the budget guards it.
 type hostPool struct {
 	budget   *Connections
 	address  string
 	links    int
-	calls    int           // under way, or about to be sent
-	slots    int           // connections that are open or reserved
+	calls    int           // calls in flight or about to be sent
+	slots    int           // open or reserved connections
 	reserved int           // slots whose connection is not open yet
-	waiting  int           // calls that wait for their turn
-	idle     []*connection // the newest last
+	waiting  int           // calls waiting for a connection
+	idle     []*connection // ordered by last use, most recent last
 }
 
-// waiter is a call that waits for a connection.
+// waiter is a call waiting for a connection.
 type waiter struct {
 	pool     *hostPool
-	admitted chan struct{}
+	admitted chan struct{} // closed when the call may proceed
 }
 
-// leave removes a link.
-func (p *hostPool) leave() {
+// removeLink unregisters a link.
+func (p *hostPool) removeLink() {
 	c := p.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,8 +30,8 @@
 	p.update()
 }
 
-// acquire waits until a call may be sent, and reports whether it may; it may not once done is closed. The caller holds a place of the
-// semaphore then, until release.
+// acquire waits until a call may be sent. It reports false if done is closed before. On success the caller also holds the semaphore until
+// release.
 func (p *hostPool) acquire(done <-chan struct{}) bool {
 	if !p.awaitSlot(done) {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-// tryAcquire is acquire for a call that can be done without: it does not wait for a connection or a slot.
+// tryAcquire is like acquire, but does not wait for a connection or a slot.
 func (p *hostPool) tryAcquire() bool {
 	c := p.budget
 	c.mu.Lock()
@@ -52,7 +52,7 @@
 	return free
 }
 
-// awaitSlot waits for a connection or a slot for one.
+// awaitSlot waits for an idle connection or for a slot for a new one. It reports false if done is closed before.
 func (p *hostPool) awaitSlot(done <-chan struct{}) bool {
 	c := p.budget
 	c.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// release ends the use of a connection that acquire began.
+// release ends a use that began with acquire or tryAcquire.
 func (p *hostPool) release() {
 	p.budget.concurrency.release()
 	p.releaseSlot()
@@ -90,7 +90,7 @@
 	c.admitWaiting()
 }
 
-// reuseConnection takes a connection of the worker that no other call needs. The caller holds the lock.
+// reuseConnection claims an open or reserved connection of the pool that no other call needs. The caller holds the lock.
 func (p *hostPool) reuseConnection() bool {
 	if p.calls >= p.slots {
 		return false
@@ -100,7 +100,7 @@
 	return true
 }
 
-// reserveSlot takes a slot for a new connection if one is free and the rate limit allows it. The caller holds the lock.
+// reserveSlot reserves a slot for a new connection if one is free and the rate limit allows it. The caller holds the lock.
 func (p *hostPool) reserveSlot() bool {
 	c := p.budget
 	if c.dialDelay() > 0 || c.slotsTaken >= c.limits.Connections && !c.closeIdle() {
@@ -115,14 +115,14 @@
 	return true
 }
 
-// dropIdle closes the connection that has been idle for longest. The caller holds the lock.
+// dropIdle closes the connection that has been idle the longest. The caller holds the lock.
 func (p *hostPool) dropIdle() {
 	oldest := p.idle[0]
 	p.idle = slices.Delete(p.idle, 0, 1)
 	oldest.closeIdle()
 }
 
-// admitOwn lets a call of a pool go on with a connection that the pool has to itself. The caller holds the lock.
+// admitOwn admits a waiting call of this pool if the pool has a free connection. The caller holds the lock.
 func (p *hostPool) admitOwn() {
 	if p.waiting == 0 || !p.reuseConnection() {
 		return
@@ -131,10 +131,11 @@
 	p.budget.admit(own)
 }
 
-// update brings what is derived from a pool up to date. The caller holds the lock.
+// update releases unused reservations, updates the sets of pools with idle connections, and deletes an unused pool. The caller holds
+// the lock.
 func (p *hostPool) update() {
 	c := p.budget
-	if unused := min(p.reserved, p.reserved-p.calls); unused > 0 { // its call found another connection, or was cancelled
+	if unused := min(p.reserved, p.reserved-p.calls); unused > 0 { // their calls used other connections or were cancelled
 		p.reserved -= unused
 		p.slots -= unused
 		c.slotsTaken -= unused
@@ -145,24 +146,24 @@
 	}
 }
 
-// updateIdleSets records whether the pool can do without one of its idle connections. The caller holds the lock.
+// updateIdleSets records whether the pool has an idle connection that may be closed. The caller holds the lock.
 func (p *hostPool) updateIdleSets() {
-	dispensable := p.slots > p.calls && len(p.idle) > 0
-	setMembership(p.budget.onlyIdle, p, dispensable && p.slots == 1)
-	setMembership(p.budget.extraIdle, p, dispensable && p.slots > 1)
+	closable := p.slots > p.calls && len(p.idle) > 0
+	setMembership(p.budget.soleIdlePools, p, closable && p.slots == 1)
+	setMembership(p.budget.spareIdlePools, p, closable && p.slots > 1)
 }
 
-// setMembership adds a pool to a set, or takes it out.
-func setMembership(pools map[*hostPool]bool, p *hostPool, in bool) {
-	if in {
+// setMembership adds a pool to a set or removes it.
+func setMembership(pools map[*hostPool]bool, p *hostPool, member bool) {
+	if member {
 		pools[p] = true
 	} else {
 		delete(pools, p)
 	}
 }
 
-// beginLongPoll reports whether a renewal may wait at the worker, and counts it: a long poll keeps its connection, and commands need
-// another one for a moment, from a few that are left besides one for each worker.
+// beginLongPoll reports whether a renewal may be a long poll, and counts it if so. A long poll occupies its connection, and commands need
+// a further one for a short time. So a share of the connections is kept free for commands, beside one connection for each worker.
 func (p *hostPool) beginLongPoll() bool {
 	c := p.budget
 	c.mu.Lock()
@@ -174,7 +175,7 @@
 	return true
 }
 
-// commandReserveFraction is the fraction of the connections (one in so many) that is left for commands beside long polls.
+// commandReserveFraction is the divisor of the connection limit that gives the number of connections kept free for commands.
 const commandReserveFraction = 10
 
 func (p *hostPool) endLongPoll() {
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// commandPrecedence is how long a renewal lets commands that are under way go first.
-const commandPrecedence = 100 * time.Millisecond
+// commandYieldTimeout is the maximum time for which a renewal waits for the commands in flight.
+const commandYieldTimeout = 100 * time.Millisecond
 
-// busyPollInterval is the time between two polls of a worker with attempts, where no connection is left for a long poll.
+// busyPollInterval is the time between two polls of a worker with attempts if no connection is free for a long poll.
 const busyPollInterval = 250 * time.Millisecond
 
-// idleBetweenPolls leaves an idle worker alone for a while, where there are too many for a long poll at each. A command ends the
-// wait.
-func (l *Link) idleBetweenPolls() {
-	delay := l.config.Connections.idlePollInterval(l.pace.maxIdleInterval)
+// waitBetweenPolls waits before the next poll if there are too many workers for a long poll at each of them. A command ends the wait.
+func (l *Link) waitBetweenPolls() {
+	delay := l.config.Connections.idlePollInterval(l.timings.maxIdleInterval)
 	if delay == 0 {
 		return
 	}
 	select {
-	case <-l.commandQueued: // of a command that is known by now
+	case <-l.commandQueued: // discard the notification of an earlier command
 	default:
 	}
-	if delay = l.idleDelay(delay); delay == 0 {
+	if delay = l.delayBetweenPolls(delay); delay == 0 {
 		return
 	}
 	timer := time.NewTimer(delay)
@@ -31,52 +30,53 @@
 	}
 }
 
-// yieldToCommands lets commands that are under way go before the next renewal, where there are so many workers that an idle one has
-// one connection: the command takes it and the renewal after it, instead of both at once, for which one must be opened.
+// yieldToCommands delays the next renewal until the commands in flight have ended, if there are so many workers that an idle one has a
+// single connection. The command and the renewal then share that connection one after the other. Otherwise a second connection would
+// have to be opened.
 func (l *Link) yieldToCommands() {
 	if !l.config.Connections.overLongPollLimit() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.commands.senders == 0 {
+	if l.commands.activeSenders == 0 {
 		return
 	}
-	over := false
-	timer := time.AfterFunc(commandPrecedence, func() {
+	timedOut := false
+	timer := time.AfterFunc(commandYieldTimeout, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		over = true
-		l.quiescent.Broadcast()
+		timedOut = true
+		l.inFlightChanged.Broadcast()
 	})
 	defer timer.Stop()
-	for l.commands.senders > 0 && !over {
-		l.quiescent.Wait()
+	for l.commands.activeSenders > 0 && !timedOut {
+		l.inFlightChanged.Wait()
 	}
 }
 
-// idleDelay is how long the renewal loop waits before its next call; idle is how long an idle worker may be left alone. It is 0 where
-// a long poll is about to follow.
-func (l *Link) idleDelay(idle time.Duration) time.Duration {
+// delayBetweenPolls returns the delay before the next call of the renewal loop, given the poll interval of an idle worker. It returns 0
+// if a long poll follows.
+func (l *Link) delayBetweenPolls(idleInterval time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ending != open || l.lease.confirmed.validUntil == 0 || l.activity.mayHaveWork && l.activity.longPolled {
+	if l.endReason != notEnded || l.lease.confirmed.validUntil == 0 || l.activity.mayHaveWork && l.activity.longPolled {
 		return 0
 	}
-	delay := idle
+	delay := idleInterval
 	if l.activity.mayHaveWork {
 		delay = busyPollInterval
 	}
-	lead := l.lease.remaining(l.now()) - l.pace.minLeaseLead // starts may be sent for so long
-	return max(earlyResponseDelay, min(delay, lead))
+	startWindow := l.lease.remaining(l.now()) - l.timings.minRemainingLease // time for which starts may still be sent
+	return max(earlyResponseDelay, min(delay, startWindow))
 }
 
-// mayLongPoll reports whether the worker may wait for a completion before it responds: the lease lasts, and there is a connection for
-// its commands besides. The caller holds the lock, and ends the long poll if there is one.
+// mayLongPoll reports whether the next renewal may be a long poll: the lease is long enough, and a further connection is available for
+// commands. The caller holds the lock. If the result is true, the caller must end the long poll with hostPool.endLongPoll.
 func (l *Link) mayLongPoll(sentAt time.Time) bool {
-	if !l.activity.listed || l.lease.remaining(sentAt) < l.pace.minLeaseLead+l.pace.longPollWait {
+	if !l.activity.listed || l.lease.remaining(sentAt) < l.timings.minRemainingLease+l.timings.longPollWait {
 		return false
 	}
-	idle := !l.activity.mayHaveWork && l.config.Connections.idlePollInterval(l.pace.maxIdleInterval) > 0
+	idle := !l.activity.mayHaveWork && l.config.Connections.idlePollInterval(l.timings.maxIdleInterval) > 0
 	return !idle && l.pool.beginLongPoll()
 }
--- a/internal/jobs/workerclient/leasegrants.go
+++ b/internal/jobs/workerclient/leasegrants.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// A call without a response may be executed late: by maxLateExecution after it was sent at the latest. The margin covers its way.
+// A worker may execute a call late, even if the caller got no response.
 const (
-	maxLateExecution    = 12 * time.Second
-	lateExecutionMargin = 500 * time.Millisecond
+	maxLateExecution    = 12 * time.Second       // maximum time between the sending of a call and its execution
+	lateExecutionMargin = 500 * time.Millisecond // additional time for the transmission of the call
 )
 
-// leaseGrant is what one call grants: a time up to which the attempts on a worker go on. It is open until the call has ended.
+// leaseGrant is the lease that one call grants to the attempts on a worker. It is open until the call has ended.
 type leaseGrant struct {
-	span      time.Duration // the longest that it may last once the call is executed, in local time
-	expiresBy time.Time
+	maxDuration time.Duration // maximum duration after the execution of the call, in local time
+	expiresBy   time.Time
 }
 
-// leaseGrants knows by when everything that was ever granted has expired.
+// leaseGrants tracks the time by which all grants have expired.
 type leaseGrants struct {
-	endedExpiry time.Time // of all calls that have ended
-	open        []*leaseGrant
+	endedExpireBy time.Time // latest expiry of the grants whose calls have ended
+	open          []*leaseGrant
 }
 
-// begin records a call that carries a grant; it is sent between now and its time-out.
-func (l *leaseGrants) begin(span time.Duration, now time.Time, timeout time.Duration) *leaseGrant {
-	grant := &leaseGrant{span: span, expiresBy: lateExpiry(now.Add(timeout), span)}
+// begin records a grant whose call is sent between now and its timeout.
+func (l *leaseGrants) begin(maxDuration time.Duration, now time.Time, timeout time.Duration) *leaseGrant {
+	grant := &leaseGrant{maxDuration: maxDuration, expiresBy: latestExpiry(now.Add(timeout), maxDuration)}
 	l.open = append(l.open, grant)
 	return grant
 }
 
-// answered records that the call was executed before its response came, if at all. The grant lasts no longer than the span from the
-// response on.
-func (l *leaseGrants) answered(grant *leaseGrant, received time.Time, span time.Duration) {
-	l.end(grant, received.Add(span))
+// answered records that the call got a response. The worker has executed the call before the response arrived, or not at all, so the
+// grant lasts at most maxDuration from receivedAt.
+func (l *leaseGrants) answered(grant *leaseGrant, receivedAt time.Time, maxDuration time.Duration) {
+	l.end(grant, receivedAt.Add(maxDuration))
 }
 
-// unanswered records that the call was abandoned at a time; it was sent before that and may be executed later. It may then even count
-// its whole span from its arrival.
-func (l *leaseGrants) unanswered(grant *leaseGrant, abandoned time.Time) {
-	l.end(grant, lateExpiry(abandoned, grant.span))
+// unanswered records that the call was abandoned at the given time. It was sent before that time and may be executed later. The worker
+// may even count the full duration of the grant from the arrival of the call.
+func (l *leaseGrants) unanswered(grant *leaseGrant, abandonedAt time.Time) {
+	l.end(grant, latestExpiry(abandonedAt, grant.maxDuration))
 }
 
-// withdrawn records that the call was never sent, or was certainly not executed.
-func (l *leaseGrants) withdrawn(grant *leaseGrant) { l.end(grant, time.Time{}) }
+// notExecuted records that the call was never sent, or was certainly not executed.
+func (l *leaseGrants) notExecuted(grant *leaseGrant) { l.end(grant, time.Time{}) }
 
-// settle ends a grant: from now on only the time by which it has expired counts, the zero time where it never began.
+// end removes an open grant and keeps only its latest expiry, which is the zero time if the grant never took effect.
 func (l *leaseGrants) end(grant *leaseGrant, expiresBy time.Time) {
 	l.open = slices.DeleteFunc(l.open, func(other *leaseGrant) bool { return other == grant })
-	l.endedExpiry = later(l.endedExpiry, expiresBy)
+	l.endedExpireBy = later(l.endedExpireBy, expiresBy)
 }
 
-// expiredBy is the local time by which all grants have expired; the zero time when nothing was granted.
+// expiredBy returns the local time by which all grants have expired. It returns the zero time if nothing was granted.
 func (l *leaseGrants) expiredBy() time.Time {
-	latest := l.endedExpiry
+	latest := l.endedExpireBy
 	for _, g := range l.open {
 		latest = later(latest, g.expiresBy)
 	}
 	return latest
 }
 
-// lateExpiry is when a grant has expired at the latest whose call was sent by a time and not answered.
-func lateExpiry(sentBy time.Time, span time.Duration) time.Time {
-	return sentBy.Add(maxLateExecution + lateExecutionMargin + span)
+// latestExpiry returns the latest expiry of a grant whose call was sent no later than sentBy and got no response.
+func latestExpiry(sentBy time.Time, maxDuration time.Duration) time.Time {
+	return sentBy.Add(maxLateExecution + lateExecutionMargin + maxDuration)
 }
 
-// later returns the later one of two times.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -11,111 +11,116 @@
 	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
-// The times of a link. Those that depend on how long a lease may be are shares of the longest lease where that is short (see paceFor).
+// Durations of a link. Some of them are shortened if the maximum lease is short (see timingsFor).
 const (
-	longPollWait           = time.Second             // how long a worker may wait for a completion before it responds to a long poll
-	renewalAge             = 900 * time.Millisecond  // a lease that was requested longer ago is renewed
-	minLeaseLead           = 1500 * time.Millisecond // a start is sent only if the lease lasts for so much longer
-	leadFraction           = 4                       // minLeaseLead and longPollWait are at most this fraction of the longest lease
-	renewalFraction        = 6                       // renewalAge is at most this fraction of the longest lease
-	maxIdleInterval        = 3 * time.Second         // between two polls of an idle worker
-	idleFraction           = 2                       // maxIdleInterval is at most this fraction of the longest lease
-	maxCommandsInFlight    = 5                       // at once; the renewal and the out-of-band poll have connections besides
-	unreachablePollTimeout = 600 * time.Millisecond  // of the renewal loop's polls while the worker is unreachable
-
-	// overduePollMargin is how much longer a renewal may last than the poll made once it is overdue: usually that poll decides.
+	longPollWait             = time.Second             // maximum time for which a worker holds a long poll while it waits for a completion
+	renewalAge               = 900 * time.Millisecond  // a lease that was requested longer ago than this is renewed
+	minRemainingLease        = 1500 * time.Millisecond // a start is sent only if the lease is valid for at least this long
+	minRemainingLeaseDivisor = 4                       // minRemainingLease and longPollWait are limited to the maximum lease divided by this
+	renewalAgeDivisor        = 6                       // renewalAge is limited to the maximum lease divided by this
+	maxIdleInterval          = 3 * time.Second         // maximum time between two polls of an idle worker
+	idleIntervalDivisor      = 2                       // maxIdleInterval is limited to the maximum lease divided by this
+	maxCommandsInFlight      = 5                       // concurrent commands; the renewal and the out-of-band poll use further connections
+	unreachablePollTimeout   = 600 * time.Millisecond  // timeout of the renewal loop's polls while the worker is unreachable
+
+	// overduePollMargin is added to the timeout of a renewal. It lets the poll that is sent when the renewal is overdue end first, so
+	// that usually the poll determines whether the worker is reachable.
 	overduePollMargin = 100 * time.Millisecond
 )
 
-// Config describes a link. Instance, FencingToken, MaxLease, LeaderLeaseValid, Events and HTTP are needed.
+// Config configures a link. Instance, FencingToken, MaxLease, LeaderLeaseValid, Events and HTTP are required.
 type Config struct {
 	Instance         Instance
 	FencingToken     uint64
-	MaxLease         time.Duration // the longest lease that a worker takes; bounds.holdMaxMs of the settings
-	LeaderLeaseValid func() bool   // whether this process may send calls at this moment; called right before each one
-	// FencedOff is called as soon as the worker has refused a call since it has seen a higher fencing token, before that is
-	// reported, as reports may wait. It is to make LeaderLeaseValid false for good, for all links under the token. May be nil.
+	MaxLease         time.Duration // the longest lease that a worker accepts; setting bounds.holdMaxMs
+	LeaderLeaseValid func() bool   // reports whether this process may send calls now; called right before each call
+	// FencedOff is called as soon as the worker rejects a call because it has seen a higher fencing token. It is called before the
+	// rejection is reported, as reports may be delayed. It must make LeaderLeaseValid false permanently for all links under the
+	// token. May be nil.
 	FencedOff   func()
 	Events      Events
-	HTTP        *http.Client // shared by all links, from NewHTTPClient or of the budget
-	Connections *Connections // the budget of all links; nil for none
-	// MinTimeout is how long a call is given at least beyond the wait that it asks for; 0 to let the round trips decide.
+	HTTP        *http.Client // shared by all links; from NewHTTPClient or Connections.HTTPClient
+	Connections *Connections // budget shared by all links; nil for no limit
+	// MinTimeout is the minimum timeout of a call, not counting the requested long poll wait. 0 means that timeouts depend on the
+	// measured round-trip times only.
 	MinTimeout time.Duration
 	Log        *zap.Logger      // may be nil
-	Now        func() time.Time // the local monotonic clock; time.Now when nil
+	Now        func() time.Time // local monotonic clock; defaults to time.Now
 }
 
-// ending is why a link has ended. Only the first reason counts.
-type ending uint8
+// endReason is the reason why a link has ended. Only the first reason counts.
+type endReason uint8
 
 const (
-	open   ending = iota
-	closed        // by Close, or with the context of Run
-	gone          // the incarnation of the worker is over
-	fenced        // the worker has seen a higher fencing token
+	notEnded        endReason = iota
+	closedLocally             // by Close, or by the end of Run's context
+	incarnationOver           // the incarnation of the worker has ended
+	fencedOff                 // the worker has seen a higher fencing token
 )
 
-// Link is the connection to one incarnation of one worker under one fencing token. Its methods may be called from any goroutine; only
-// Run waits for the worker.
+// Link connects to one incarnation of one worker under one fencing token. Its methods are safe for concurrent use. Only Run waits for
+// the worker.
 type Link struct {
-	config Config
-	caller *caller
-	pool   *hostPool
-	log    *zap.Logger
-	now    func() time.Time
-	pace   pace
-	events eventQueue
-
-	context                context.Context // of all calls
+	config  Config
+	rpc     *rpcClient
+	pool    *hostPool
+	log     *zap.Logger
+	now     func() time.Time
+	timings timings
+	events  eventQueue
+
+	context                context.Context // parent of the contexts of all calls
 	cancel                 context.CancelFunc
 	done                   chan struct{} // closed when the link ends
-	acknowledgementArrived wakeup.Signal // signals Acknowledge to the renewal loop
-	commandQueued          wakeup.Signal // signals Start and Stop to the renewal loop
-
-	deliveryHistory   deliveryHistory // used by one delivery at a time, without the lock
-	awaitedCompletion uint64          // the newest one whose acknowledgement was awaited; used by the renewal loop only
-
-	mu             sync.Mutex
-	quiescent      sync.Cond // signalled when a sender of commands, a poll or a hedged request is over
-	ending         ending
-	health         health
-	activity       activity
-	acknowledged   uint64 // the number of the newest completion that is durable
-	lease          leaseState
-	roundTrips     roundTrips
-	pendingRenewal *pendingRenewal // nil before the first one
-	polls          pollState
-	commands       commandQueue
-	hedges         int // hedged requests under way
-	counts         Counts
+	acknowledgementArrived wakeup.Signal // notifies the renewal loop of Acknowledge
+	commandQueued          wakeup.Signal // notifies the renewal loop of Start and Stop
+
+	deliveryHistory   deliveryHistory // used by one delivery at a time; not guarded by mu
+	awaitedCompletion uint64          // newest completion whose acknowledgement was awaited; used by the renewal loop only
+
+	mu              sync.Mutex
+	inFlightChanged sync.Cond // signalled when a command sender, a poll or a hedged request has ended
+	endReason       endReason
+	health          health
+	activity        activity
+	acknowledged    uint64 // number of the newest durable completion
+	lease           leaseState
+	rtt             rttEstimator
+	pendingRenewal  *pendingRenewal // nil before the first renewal
+	polls           pollState
+	commands        commandQueue
+	hedges          int // hedged requests in flight
+	counts          Counts
 }
 
-// Counts is how many calls for the lists, and hedged requests, a link has made so far.
+// Counts holds the numbers of list calls and hedged requests that a link has made so far.
 type Counts struct {
-	Renewals            uint64 // calls of the renewal loop, its polls included
+	Renewals            uint64 // calls of the renewal loop, including its polls
 	Polls               uint64 // out-of-band polls
 	OverdueRenewals     uint64 // renewals whose response was overdue
-	RepeatedCompletions uint64 // responses to renewals that listed no newer completion than one before, as it was not acknowledged yet
-	HedgedRequests      uint64 // of polls and stops whose response was overdue
+	RepeatedCompletions uint64 // responses to renewals that listed only unacknowledged completions which were listed before
+	HedgedRequests      uint64 // hedged requests for polls and stops
 }
 
-// pace is the times of a link that depend on the longest lease.
-type pace struct{ longPollWait, renewalAge, minLeaseLead, maxIdleInterval time.Duration }
-
-// paceFor shortens the times for a worker whose leases are short, so that a lease is renewed several times before it expires.
-func paceFor(maxLease time.Duration) pace {
-	return pace{
-		longPollWait:    min(longPollWait, maxLease/leadFraction).Truncate(time.Millisecond),
-		renewalAge:      min(renewalAge, maxLease/renewalFraction),
-		minLeaseLead:    min(minLeaseLead, maxLease/leadFraction),
-		maxIdleInterval: min(maxIdleInterval, maxLease/idleFraction),
+// timings holds the durations of a link that depend on the maximum lease.
+type timings struct{ longPollWait, renewalAge, minRemainingLease, maxIdleInterval time.Duration }
+
+// timingsFor returns the durations for a maximum lease. They are shorter for short leases, so that a lease is renewed several times
+// before it expires.
+func timingsFor(maxLease time.Duration) timings {
+	return timings{
+		longPollWait:      min(longPollWait, maxLease/minRemainingLeaseDivisor).Truncate(time.Millisecond),
+		renewalAge:        min(renewalAge, maxLease/renewalAgeDivisor),
+		minRemainingLease: min(minRemainingLease, maxLease/minRemainingLeaseDivisor),
+		maxIdleInterval:   min(maxIdleInterval, maxLease/idleIntervalDivisor),
 	}
 }
 
-// NewLink makes a link, which counts towards its budget until Run has returned. No lease is granted, and so no start sent, before Run.
+// NewLink returns a new link. The link counts towards its connection budget until Run has returned. No lease is granted and no start
+// is sent before Run is called.
 func NewLink(config Config) *Link {
 	l := &Link{
-		config: config, log: config.Log, now: config.Now, pace: paceFor(config.MaxLease),
+		config: config, log: config.Log, now: config.Now, timings: timingsFor(config.MaxLease),
 		events:                 eventQueue{events: config.Events},
 		done:                   make(chan struct{}),
 		acknowledgementArrived: wakeup.New(),
@@ -124,9 +129,9 @@
 	if l.config.Connections == nil {
 		l.config.Connections = unlimited()
 	}
-	l.pool = l.config.Connections.join(config.Instance.Address)
-	l.caller = newCaller(config.HTTP, config.Instance.Address, config.Instance.ID, config.LeaderLeaseValid)
-	l.roundTrips.minTimeout = config.MinTimeout
+	l.pool = l.config.Connections.addLink(config.Instance.Address)
+	l.rpc = newRPCClient(config.HTTP, config.Instance.Address, config.Instance.ID, config.LeaderLeaseValid)
+	l.rtt.minTimeout = config.MinTimeout
 	if l.log == nil {
 		l.log = zap.NewNop()
 	}
@@ -135,41 +140,41 @@
 	}
 	l.log = l.log.With(zap.String("worker_id", string(config.Instance.ID)))
 	l.context, l.cancel = context.WithCancel(context.Background())
-	l.quiescent.L = &l.mu
+	l.inFlightChanged.L = &l.mu
 	return l
 }
 
-// LeasesExpiredBy is the local time by which every lease that this link has ever granted has certainly expired, provided that no
-// further one is granted. It is the zero time when none was granted.
+// LeasesExpiredBy returns the local time by which every lease granted by this link has certainly expired, provided that no further
+// lease is granted. It returns the zero time if no lease was granted.
 func (l *Link) LeasesExpiredBy() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lease.grants.expiredBy()
 }
 
-// Counts returns the counts so far.
+// Counts returns the numbers of calls made so far.
 func (l *Link) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Close ends the link. Calls under way are cancelled; their results and those of queued commands are still reported before Run
+// Close ends the link and cancels the calls in flight. Their results and those of queued commands are still reported before Run
 // returns.
-func (l *Link) Close() { l.end(closed) }
+func (l *Link) Close() { l.end(closedLocally) }
 
-// end ends the link, for the first reason that is given.
-func (l *Link) end(reason ending) {
+// end ends the link. Reasons after the first one are ignored.
+func (l *Link) end(reason endReason) {
 	switch {
-	case reason == closed:
+	case reason == closedLocally:
 		l.cancel()
-	case reason == fenced && l.config.FencedOff != nil:
+	case reason == fencedOff && l.config.FencedOff != nil:
 		l.config.FencedOff()
 	}
 	l.mu.Lock()
-	first := l.ending == open
+	first := l.endReason == notEnded
 	if first {
-		l.ending = reason
+		l.endReason = reason
 		close(l.done)
 		l.dispatch()
 	}
@@ -179,13 +184,13 @@
 	}
 }
 
-func (l *Link) reportEnd(reason ending) {
+func (l *Link) reportEnd(reason endReason) {
 	id := l.config.Instance.ID
 	switch reason {
-	case gone:
+	case incarnationOver:
 		l.log.Info("worker incarnation is over")
 		l.events.post(func(e Events) { e.Gone(Gone{id}) })
-	case fenced:
+	case fencedOff:
 		l.log.Info("worker has seen a higher fencing token", zap.Uint64("fencing_token", l.config.FencingToken))
 		l.events.post(func(e Events) { e.Fenced(Fenced{id}) })
 	}
@@ -194,27 +199,28 @@
 func (l *Link) ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ending != open
+	return l.endReason != notEnded
 }
 
-// endedBy ends the link if a response says that its incarnation is over or that its fencing token is outdated.
+// endedBy ends the link if the response shows that the incarnation has ended or that the link's fencing token is outdated. It reports
+// whether that is the case.
 func (l *Link) endedBy(response workerResponse) bool {
 	switch {
 	case response.status == http.StatusMisdirectedRequest:
-		l.end(gone)
+		l.end(incarnationOver)
 	case response.status == http.StatusConflict && response.body.Reason == reasonFencingToken:
-		l.end(fenced)
+		l.end(fencedOff)
 	default:
 		return false
 	}
 	return true
 }
 
-// setContact records what a call has shown about the worker, and reports a change. While a worker is unreachable it gets no commands
-// and no lease grants.
-func (l *Link) setContact(to contact) {
+// setReachability records whether the worker is reachable and reports a change. An unreachable worker receives no commands and no
+// lease grants.
+func (l *Link) setReachability(to reachability) {
 	l.mu.Lock()
-	changed := l.ending == open && l.health.moveTo(to)
+	changed := l.endReason == notEnded && l.health.setReachability(to)
 	if to == reachable {
 		l.health.responded()
 	}
@@ -231,10 +237,10 @@
 	l.events.post(func(e Events) { e.Reachability(report) })
 }
 
-// sendTime is the local time for a call that is sent now. The caller holds the lock.
+// sendTime returns the local time to record for a call that is sent now. The caller holds the lock.
 func (l *Link) sendTime() time.Time { return l.commands.sendTime(l.now()) }
 
-// resultTime is the local time for the result of a command.
+// resultTime returns the local time to record for the result of a command.
 func (l *Link) resultTime() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -13,19 +13,19 @@
 )
 
 // needsCores is a cluster whose tasks need one core each, or more by their index.
-func needsCores() cluster.Settings {
+func coresPerTask() cluster.Settings {
 	return cluster.Settings{Describe: func(task job.TaskID, _ string) cluster.Profile {
 		return cluster.Profile{Resources: job.Resources{Processors: int64(1000 * (1 + task.Index))}, Checkpoints: true}
 	}}
 }
 
-func TestOutcomes(t *testing.T) {
+func TestStartOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a worker of four cores that guards its capacity", t, func() {
-		f := newFixture(t, needsCores(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
+		f := newFixture(t, coresPerTask(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
 		convey.Reset(f.close)
 		awaitReturn := f.connect(7)
-		first := await(t, f.events, anyEvent[Listing])
+		first := awaitEvent(t, f.events, anyEvent[Listing])
 		convey.So(first.First, convey.ShouldBeTrue)
 
 		convey.Convey("a start is answered, also when the attempt is there already", func() {
@@ -39,7 +39,7 @@
 		})
 		convey.Convey("an attempt that was stopped before it came is rejected as stale", func() {
 			f.link.Stop(StopCommand{task(1), 3})
-			stopped := await(t, f.events, anyEvent[StopResult])
+			stopped := awaitEvent(t, f.events, anyEvent[StopResult])
 			convey.So(stopped.Answered, convey.ShouldBeTrue)
 			convey.So(f.start(startCommand(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
 			convey.So(f.start(startCommand(1, 4)), convey.ShouldEqual, Started)
@@ -59,23 +59,23 @@
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
 		})
 		convey.Convey("a start that never leaves is not sent", func() {
-			f.leaderLeaseOver.Store(true)
+			f.leaderLeaseExpired.Store(true)
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
 			f.link.Stop(StopCommand{task(1), 1})
-			f.leaderLeaseOver.Store(false)
-			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
+			f.leaderLeaseExpired.Store(false)
+			convey.So(awaitEvent(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		})
 		convey.Convey("a crash ends the link", func() {
 			f.worker.Crash("i-2")
-			await(t, f.events, anyEvent[Gone])
+			awaitEvent(t, f.events, anyEvent[Gone])
 			awaitReturn()
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, IncarnationOver)
 		})
 		convey.Convey("a higher fencing token ends the link", func() {
 			old := f.link
 			f.connect(8)
-			await(t, f.events, anyEvent[Fenced])
+			awaitEvent(t, f.events, anyEvent[Fenced])
 			convey.So(len(eventsOf[Fenced](f.events)), convey.ShouldEqual, 1)
 			f.link, old = old, f.link
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedFencingToken)
@@ -87,7 +87,7 @@
 			awaitReturn()
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 			f.link.Stop(StopCommand{task(0), 1})
-			convey.So(await(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeFalse)
+			convey.So(awaitEvent(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeFalse)
 		})
 	})
 }
@@ -105,10 +105,10 @@
 	})
 }
 
-func TestListings(t *testing.T) {
+func TestListingsReportAttemptsAndCompletions(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given attempts at a worker", t, func() {
-		f := newFixture(t, needsCores(), cluster.WorkerConfig{})
+		f := newFixture(t, coresPerTask(), cluster.WorkerConfig{})
 		convey.Reset(f.close)
 		f.connect(1)
 		const text = "quotes \" and \\ and \n and <ü> \u2028"
@@ -122,32 +122,32 @@
 			convey.So(record.Checkpoint, convey.ShouldEqual, "00000bb8")
 		})
 		convey.Convey("they are listed, and a completion is listed at once", func() {
-			both := await(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
+			both := awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
 			convey.So(both.Running[1].AttemptNumber, convey.ShouldEqual, 5)
 			convey.So(both.Running[0].Checkpoint, convey.ShouldEqual, "00000bb8")
 			convey.So(f.worker.Finish(task(1), job.OutcomeFailed), convey.ShouldBeNil)
-			listed := await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
+			listed := awaitEvent(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
 			convey.So(listed.Finished[0].CompletionNumber, convey.ShouldEqual, 1)
 			convey.So(listed.Finished[0].Outcome, convey.ShouldEqual, job.OutcomeFailed)
 			convey.So(listed.Partial, convey.ShouldBeFalse)
 
 			convey.Convey("again and again until it is acknowledged", func() {
 				seen := len(eventsOf[Listing](f.events))
-				awaitAfter(t, f.events, seen, func(l Listing) bool { return len(l.Finished) == 1 })
+				awaitEventAfter(t, f.events, seen, func(l Listing) bool { return len(l.Finished) == 1 })
 				f.link.Acknowledge(1)
 				acknowledged := time.Now()
-				next := await(t, f.events, func(l Listing) bool { return l.SentAt.After(acknowledged) })
+				next := awaitEvent(t, f.events, func(l Listing) bool { return l.SentAt.After(acknowledged) })
 				convey.So(next.Finished, convey.ShouldBeEmpty)
 				convey.So(f.cluster.Runs()[1].Acknowledged, convey.ShouldBeTrue)
 			})
 		})
 		convey.Convey("listings come in the order in which they were requested, but for polls, and one event at a time", func() {
 			for range 3 {
-				await(t, f.events, anyEvent[Listing])
+				awaitEvent(t, f.events, anyEvent[Listing])
 				f.link.Stop(StopCommand{task(0), 1})
 			}
-			awaitAfter(t, f.events, 3, anyEvent[Listing])
+			awaitEventAfter(t, f.events, 3, anyEvent[Listing])
 			listings := eventsOf[Listing](f.events)
 			listings = slices.DeleteFunc(listings, func(l Listing) bool { return l.OutOfBand })
 			for i, listing := range listings[1:] {
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestManyCompletions(t *testing.T) {
+func TestCompletionsBeyondOneResponseAreAllReceived(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given more completions than one response lists", t, func() {
 		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{})
@@ -175,7 +175,7 @@
 			f.link.Start(startCommand(i, 1))
 		}
 		for i := range runs {
-			await(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
+			awaitEvent(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
 		}
 		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 		for i := range runs {
@@ -184,7 +184,7 @@
 		f.worker.SetFaults(nil)
 		convey.Convey("all are received, and a full page is marked as partial", func() {
 			last := func(l Listing) bool { n := len(l.Finished); return n > 0 && l.Finished[n-1].CompletionNumber == runs }
-			await(t, f.events, last)
+			awaitEvent(t, f.events, last)
 			received := map[uint64]bool{}
 			for _, listing := range eventsOf[Listing](f.events) {
 				convey.So(listing.Partial, convey.ShouldEqual, len(listing.Finished) == maxFinishedPerResponse)
@@ -207,10 +207,10 @@
 		convey.Reset(f.close)
 		convey.Convey("nothing is granted before the first listing, and then the lease is renewed", func() {
 			f.connect(1)
-			await(t, f.events, anyEvent[Listing])
+			awaitEvent(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			granted := f.worker.LeaseExpiry()
-			awaitAfter(t, f.events, len(eventsOf[Listing](f.events))+2, anyEvent[Listing])
+			awaitEventAfter(t, f.events, len(eventsOf[Listing](f.events))+2, anyEvent[Listing])
 			convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, granted)
 			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, f.worker.LeaseExpiry())
 		})
@@ -222,18 +222,18 @@
 			convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
 		convey.Convey("a start that waits for a lease is given back when the leader lease ends before", func() {
-			f.events.onListing = func(Listing) { f.leaderLeaseOver.Store(true) }
+			f.events.onListing = func(Listing) { f.leaderLeaseExpired.Store(true) }
 			f.connect(1)
-			await(t, f.events, anyEvent[Listing])
+			awaitEvent(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 		})
 		convey.Convey("without a leader lease nothing is sent at all", func() {
-			f.leaderLeaseOver.Store(true)
+			f.leaderLeaseExpired.Store(true)
 			awaitReturn := f.connect(1)
 			f.link.Start(startCommand(0, 1))
 			f.link.Close()
 			awaitReturn()
-			convey.So(await(t, f.events, anyEvent[StartResult]).Outcome, convey.ShouldEqual, NotSent)
+			convey.So(awaitEvent(t, f.events, anyEvent[StartResult]).Outcome, convey.ShouldEqual, NotSent)
 			convey.So(f.worker.Calls(cluster.LeaseCall), convey.ShouldEqual, 0)
 			convey.So(f.link.LeasesExpiredBy().IsZero(), convey.ShouldBeTrue)
 		})
--- a/internal/jobs/workerclient/listcall.go
+++ b/internal/jobs/workerclient/listcall.go
@@ -7,27 +7,28 @@
 	"go.uber.org/zap"
 )
 
-// listCall is one call for both lists, the running and the finished tasks: a lease renewal or a poll.
+// listCall is a call that requests the lists of running and finished tasks: a lease renewal or a poll.
 type listCall struct {
 	request      listRequest
 	sentAt       time.Time
-	overdueAfter time.Duration // a poll is made when it has no response by then; 0 for never
+	overdueAfter time.Duration // delay after which an out-of-band poll is sent if there is no response; 0 for never
 	timeout      time.Duration
-	validUntil   time.Duration // the end of the lease that it grants, on the worker's clock; 0 for none
-	grant        *leaseGrant   // nil for none
+	validUntil   time.Duration // end of the granted lease on the worker's clock; 0 if the call grants no lease
+	grant        *leaseGrant   // nil if the call grants no lease
 }
 
-func (c *listCall) body() []byte { return c.request.append(make([]byte, 0, listRequestBytes)) }
+func (c *listCall) body() []byte { return c.request.append(make([]byte, 0, estimatedListRequestBytes)) }
 
 func (c *listCall) wait() time.Duration { return time.Duration(c.request.waitMS) * time.Millisecond }
 
-// beginPoll makes a call that requests both lists at once and grants nothing. The caller holds the lock.
+// beginPoll returns a call that requests both lists without waiting and grants no lease. The caller holds the lock.
 func (l *Link) beginPoll(timeout time.Duration) listCall {
 	request := listRequest{fencingToken: l.config.FencingToken, lastSeen: l.acknowledged}
 	return listCall{request: request, sentAt: l.sendTime(), timeout: timeout}
 }
 
-// handleListResponse takes in what a response, or its absence, says about the worker's clock, the lease and the round trips.
+// handleListResponse updates the worker's clock bounds, the lease and the round-trip times from the response to a list call or from its
+// failure.
 func (l *Link) handleListResponse(c listCall, response workerResponse, err error, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,15 +37,15 @@
 	if err != nil {
 		return
 	}
-	if trip := received.Sub(c.sentAt) - c.wait(); trip >= 0 { // otherwise the worker did not wait to the end
-		l.roundTrips.observe(trip)
+	if roundTrip := received.Sub(c.sentAt) - c.wait(); roundTrip >= 0 { // negative if the worker responded before the end of the requested wait
+		l.rtt.observe(roundTrip)
 	}
 	if c.grant != nil && response.status == http.StatusOK {
 		l.lease.confirmed = confirmedLease{c.validUntil, c.sentAt}
 	}
 }
 
-// listRefused records a call that was answered without the lists.
+// listRefused records a list call that was answered without the lists.
 func (l *Link) listRefused(status int) {
 	l.log.Debug("list call refused", zap.Int("status", status))
 	l.mu.Lock()
@@ -52,6 +53,6 @@
 	l.dispatch()
 	l.mu.Unlock()
 	if nowUnreachable {
-		l.setContact(unreachable)
+		l.setReachability(unreachable)
 	}
 }
--- a/internal/jobs/workerclient/listentries.go
+++ b/internal/jobs/workerclient/listentries.go
@@ -13,44 +13,44 @@
 
 // runningEntry is an entry of the running list, written as [task, attempt number, checkpoint, percent].
 type runningEntry struct {
-	task    RunningTask
-	nameErr error // the name of the task could not be read
+	task      RunningTask
+	taskIDErr error // the task ID could not be parsed
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (e *runningEntry) UnmarshalJSON(data []byte) error {
 	r := newEntryReader(data)
-	name := r.text()
-	e.task.AttemptNumber = r.count()
-	e.task.Checkpoint = r.text()
-	e.task.Percent = r.percent()
-	e.task.Task, e.nameErr = job.ParseTaskID(name)
+	name := r.readString()
+	e.task.AttemptNumber = r.readUint()
+	e.task.Checkpoint = r.readString()
+	e.task.Percent = r.readPercent()
+	e.task.Task, e.taskIDErr = job.ParseTaskID(name)
 	return r.err
 }
 
 // finishedEntry is an entry of the finished list, written as [completion number, task, attempt number, outcome, checkpoint].
 type finishedEntry struct {
-	task    FinishedTask
-	nameErr error // the name of the task could not be read
+	task      FinishedTask
+	taskIDErr error // the task ID could not be parsed
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (e *finishedEntry) UnmarshalJSON(data []byte) error {
 	r := newEntryReader(data)
-	e.task.CompletionNumber = r.count()
-	name := r.text()
-	e.task.AttemptNumber = r.count()
-	e.task.Outcome = job.Outcome(r.text())
-	e.task.Checkpoint = r.text()
-	e.task.Task, e.nameErr = job.ParseTaskID(name)
+	e.task.CompletionNumber = r.readUint()
+	name := r.readString()
+	e.task.AttemptNumber = r.readUint()
+	e.task.Outcome = job.Outcome(r.readString())
+	e.task.Checkpoint = r.readString()
+	e.task.Task, e.taskIDErr = job.ParseTaskID(name)
 	return r.err
 }
 
-// entryReader reads a list of texts and numbers that is known to be valid JSON, one element after another. Elements that
-// are null, or missing at the end, are read as zero.
+// entryReader reads the elements of a JSON array of strings and numbers. The array must be valid JSON. Elements that are null, or
+// missing at the end, are read as zero values.
 type entryReader struct {
 	remaining []byte
-	err       error // the first one
+	err       error // first error
 }
 
 func newEntryReader(data []byte) entryReader {
@@ -62,8 +62,8 @@
 	return entryReader{remaining: inner}
 }
 
-// next cuts off one element; it is empty for null.
-func (r *entryReader) next() []byte {
+// nextElement removes the next element and returns it. It returns nil for null.
+func (r *entryReader) nextElement() []byte {
 	quoted := false
 	end := 0
 scan:
@@ -85,44 +85,44 @@
 	return element
 }
 
-func (r *entryReader) text() string {
-	element := r.next()
+func (r *entryReader) readString() string {
+	element := r.nextElement()
 	if len(element) == 0 {
 		return ""
 	}
 	if element[0] != '"' {
-		r.fail(errEntryShape)
+		r.setError(errEntryShape)
 		return ""
 	}
 	if bytes.IndexByte(element, '\\') < 0 {
 		return string(element[1 : len(element)-1])
 	}
 	var text string
-	r.fail(json.Unmarshal(element, &text))
+	r.setError(json.Unmarshal(element, &text))
 	return text
 }
 
-func (r *entryReader) count() uint64 {
-	element := r.next()
+func (r *entryReader) readUint() uint64 {
+	element := r.nextElement()
 	if len(element) == 0 {
 		return 0
 	}
 	number, err := strconv.ParseUint(string(element), 10, 64)
-	r.fail(err)
+	r.setError(err)
 	return number
 }
 
-func (r *entryReader) percent() int {
-	element := r.next()
+func (r *entryReader) readPercent() int {
+	element := r.nextElement()
 	if len(element) == 0 {
 		return 0
 	}
 	number, err := strconv.ParseFloat(string(element), 64)
-	r.fail(err)
+	r.setError(err)
 	return int(number)
 }
 
-func (r *entryReader) fail(err error) {
+func (r *entryReader) setError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
--- a/internal/jobs/workerclient/listing.go
+++ b/internal/jobs/workerclient/listing.go
@@ -6,26 +6,26 @@
 	"go.uber.org/zap"
 )
 
-// redeliveryAge is the age after which completions without an acknowledgement are delivered again.
+// redeliveryAge is the time after which unacknowledged completions are delivered again.
 const redeliveryAge = time.Second
 
-// deliver reports the lists of a response.
+// deliver reports the lists of a response to Events.
 func (l *Link) deliver(c listCall, response workerResponse, outOfBand bool) {
 	listing := l.listing(c, response)
 	listing.OutOfBand = outOfBand
 	received := l.now()
 	l.mu.Lock()
 	l.health.listed()
-	l.activity.received(&response.body, l.commands.answeredBefore(c.sentAt))
+	l.activity.observeLists(&response.body, l.commands.allAnsweredBefore(c.sentAt))
 	l.mu.Unlock()
-	l.setContact(reachable)
+	l.setReachability(reachable)
 	l.events.post(func(e Events) {
-		l.deliveryHistory.add(&listing, response.body.ClockMS, received)
+		l.deliveryHistory.process(&listing, response.body.ClockMS, received)
 		e.Listing(listing)
 	})
 }
 
-// listing is the report of a response. Entries whose task cannot be read are left out, and logged.
+// listing converts a response to a Listing. Entries whose task ID cannot be parsed are skipped and logged.
 func (l *Link) listing(c listCall, response workerResponse) Listing {
 	listing := Listing{
 		Worker: l.config.Instance.ID, SentAt: c.sentAt, Partial: len(response.body.Finished) >= maxFinishedPerResponse,
@@ -33,15 +33,15 @@
 		Finished: make([]FinishedTask, 0, len(response.body.Finished)),
 	}
 	for _, entry := range response.body.Running {
-		if entry.nameErr != nil {
-			l.log.Warn("attempt skipped", zap.Error(entry.nameErr))
+		if entry.taskIDErr != nil {
+			l.log.Warn("attempt skipped", zap.Error(entry.taskIDErr))
 			continue
 		}
 		listing.Running = append(listing.Running, entry.task)
 	}
 	for _, entry := range response.body.Finished {
-		if entry.nameErr != nil {
-			l.log.Warn("completion skipped", zap.Error(entry.nameErr))
+		if entry.taskIDErr != nil {
+			l.log.Warn("completion skipped", zap.Error(entry.taskIDErr))
 			continue
 		}
 		listing.Finished = append(listing.Finished, entry.task)
@@ -49,31 +49,31 @@
 	return listing
 }
 
-// newestCompletion is the number of the newest completion listed whose task could be read; 0 when there is none.
+// newestCompletion returns the number of the newest listed completion whose task ID could be parsed, or 0 if there is none.
 func (response *workerResponse) newestCompletion() uint64 {
 	newest := uint64(0)
 	for i := range response.body.Finished {
-		if entry := &response.body.Finished[i]; entry.nameErr == nil {
+		if entry := &response.body.Finished[i]; entry.taskIDErr == nil {
 			newest = max(newest, entry.task.CompletionNumber)
 		}
 	}
 	return newest
 }
 
-// deliveryHistory knows which listings were delivered. It is used by one delivery at a time and needs no lock.
+// deliveryHistory records which listings were delivered. It is used by one delivery at a time and needs no lock.
 type deliveryHistory struct {
-	started          bool
-	sentAt           time.Time // the latest of all
-	clockMS          int64     // the worker's clock in the newest one
-	newestCompletion uint64    // the number of the newest completion
-	completionsAt    time.Time // when completions were delivered last
+	delivered        bool
+	sentAt           time.Time // latest SentAt of all listings
+	clockMS          int64     // latest clock reading of all listings
+	newestCompletion uint64    // number of the newest delivered completion
+	completionsAt    time.Time // time of the last delivery of completions
 }
 
-// add completes a listing that is delivered next: it marks the first one and stale ones, and drops completions that are not new.
-func (h *deliveryHistory) add(listing *Listing, clockMS *int64, now time.Time) {
-	listing.First = !h.started
-	listing.Stale = h.started && h.stale(listing.SentAt, clockMS)
-	h.started = true
+// process prepares a listing for delivery. It marks the first listing and stale listings, and drops completions delivered before.
+func (h *deliveryHistory) process(listing *Listing, clockMS *int64, now time.Time) {
+	listing.First = !h.delivered
+	listing.Stale = h.delivered && h.isStale(listing.SentAt, clockMS)
+	h.delivered = true
 	h.sentAt = later(h.sentAt, listing.SentAt)
 	if clockMS != nil {
 		h.clockMS = max(h.clockMS, *clockMS)
@@ -81,17 +81,17 @@
 	h.dropRepeated(listing, now)
 }
 
-// stale reports whether the worker may have listed its attempts before it did so for a listing delivered already. Responses on
-// different connections may overtake one another; the worker's clock shows in which order they were written.
-func (h *deliveryHistory) stale(sentAt time.Time, clockMS *int64) bool {
+// isStale reports whether the listing may be older than one that was delivered before. Responses on different connections may overtake
+// one another. The worker's clock shows in which order they were written.
+func (h *deliveryHistory) isStale(sentAt time.Time, clockMS *int64) bool {
 	if clockMS == nil || *clockMS == h.clockMS {
 		return sentAt.Before(h.sentAt)
 	}
 	return *clockMS < h.clockMS
 }
 
-// dropRepeated drops the completions of a listing that has no new one. They are delivered again once they have been left without an
-// acknowledgement for a while, and together with a new one.
+// dropRepeated drops the completions of a listing without new completions. They are delivered again together with a new completion, or
+// when redeliveryAge has passed.
 func (h *deliveryHistory) dropRepeated(listing *Listing, now time.Time) {
 	if len(listing.Finished) == 0 {
 		return
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// responseOutcome is the outcome of a start by the worker's response.
+// responseOutcome returns the outcome of a start from the worker's response.
 func responseOutcome(response workerResponse) StartOutcome {
 	switch response.status {
 	case http.StatusOK:
@@ -23,9 +23,9 @@
 	return Unclear
 }
 
-// rejection is the outcome of a start that was rejected with 409.
-func rejection(why reason) StartOutcome {
-	switch why {
+// rejection returns the outcome of a start that was rejected with status 409.
+func rejection(rejectedFor reason) StartOutcome {
+	switch rejectedFor {
 	case reasonFencingToken:
 		return RejectedFencingToken
 	case reasonStaleAttempt:
@@ -38,7 +38,7 @@
 	return Unclear
 }
 
-// failureOutcome is the outcome of a start without a response.
+// failureOutcome returns the outcome of a start without a response.
 func failureOutcome(err error) StartOutcome {
 	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return NotSent
--- a/internal/jobs/workerclient/permit.go
+++ b/internal/jobs/workerclient/permit.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// The states of a permit. The last two are for good.
+// The states of a permit. The last two are final.
 const (
 	unconnected int32 = iota
 	connected
@@ -14,35 +14,35 @@
 	withheld
 )
 
-// permit checks the leader lease at the last moment before a call is sent, as the call may have waited for its connection until the
-// lease was over. net/http writes the headers of a call into a buffer, calls WroteHeaders, adds the body, and sends both: a call
-// without a permit is withheld by closing its connection in between.
+// permit checks the leader lease immediately before a call is sent, because the lease may have expired while the call waited for its
+// connection. net/http writes the headers of a call into a buffer, calls WroteHeaders, adds the body, and sends both. If the lease has
+// expired, permit closes the connection in WroteHeaders, so that nothing is sent.
 type permit struct {
 	leaderLeaseValid func() bool
 	state            atomic.Int32
-	conn             net.Conn // of the present attempt; set before check is called for it
+	conn             net.Conn // connection of the current attempt to send; set before check is called
 }
 
-// connected records the connection that the call will be sent on. net/http may replace it by another one while nothing was sent.
+// connected records the connection of the call. net/http may replace it by another connection as long as nothing was sent.
 func (p *permit) connected(info httptrace.GotConnInfo) {
 	p.conn = info.Conn
 	p.state.CompareAndSwap(unconnected, connected)
 }
 
-// check lets the call pass or withholds it. One that was withheld stays so on any further connection.
+// check permits the call or withholds it. A withheld call stays withheld on any further connection.
 func (p *permit) check() {
-	next := permitted
+	nextState := permitted
 	if !p.leaderLeaseValid() {
-		next = withheld
+		nextState = withheld
 	}
-	p.state.CompareAndSwap(connected, next)
-	if p.state.Load() == withheld || next == withheld {
+	p.state.CompareAndSwap(connected, nextState)
+	if p.state.Load() == withheld || nextState == withheld {
 		p.conn.Close()
 	}
 }
 
-// unsent reports whether a call that has failed was certainly not sent: it got no connection, or no permit.
-func (p *permit) unsent() bool {
+// notSent reports whether a failed call was certainly not sent, because it got no connection or was withheld.
+func (p *permit) notSent() bool {
 	state := p.state.Load()
 	return state == unconnected || state == withheld
 }
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -15,7 +15,7 @@
 )
 
 // slowDial is a client whose connections wait until they are released.
-func slowDial(dialling chan<- struct{}, release <-chan struct{}) *http.Client {
+func newSlowDialClient(dialling chan<- struct{}, release <-chan struct{}) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxConnsPerHost: 1,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -26,21 +26,21 @@
 	}}
 }
 
-func TestCallsAreWithheldOnceTheLeaderLeaseIsOver(t *testing.T) {
+func TestCallWaitingForConnectionIsNotSentAfterLeaderLeaseExpiry(t *testing.T) {
 	Convey("Given a worker that is connected to slowly", t, func() {
-		var calls, over atomic.Int32
+		var calls, leaseExpired atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			calls.Add(1)
 			w.Write([]byte(`{"clockMs":1}`))
 		}))
 		Reset(server.Close)
 		dialling, release := make(chan struct{}, 10), make(chan struct{}, 10)
-		client := slowDial(dialling, release)
+		client := newSlowDialClient(dialling, release)
 		Reset(client.CloseIdleConnections)
-		caller := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return over.Load() == 0 })
+		rpc := newRPCClient(client, server.Listener.Addr().String(), "i-1", func() bool { return leaseExpired.Load() == 0 })
 		body := appendStop(nil, StopCommand{task(0), 1}, 1)
 		post := func() error {
-			_, err := caller.post(context.Background(), caller.stop, body, time.Minute)
+			_, err := rpc.post(context.Background(), rpc.stop, body, time.Minute)
 			return err
 		}
 
@@ -48,18 +48,18 @@
 			failures := make(chan error, 1)
 			go func() { failures <- post() }()
 			<-dialling
-			over.Store(1)
+			leaseExpired.Store(1)
 			release <- struct{}{}
 			err := <-failures
 			So(err, ShouldNotBeNil)
 			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			So(calls.Load(), ShouldEqual, 0)
 
-			over.Store(0)
+			leaseExpired.Store(0)
 			release <- struct{}{}
 			So(post(), ShouldBeNil)
 			So(calls.Load(), ShouldEqual, 1)
-			over.Store(1)
+			leaseExpired.Store(1)
 			close(release)
 			So(rpcerror.ExecutionOf(post()), ShouldEqual, rpcerror.NotExecuted)
 			So(calls.Load(), ShouldEqual, 1)
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -7,19 +7,19 @@
 	"go.uber.org/zap"
 )
 
-// pollMergeDelay is how long the poll after an answered stop waits for further stops to share it.
+// pollMergeDelay is the delay of the poll after an answered stop. Further stops that are answered within it share the poll.
 const pollMergeDelay = 5 * time.Millisecond
 
-// pollState is the state of the out-of-band polls, of which one at a time is under way.
+// pollState is the state of the out-of-band polls. At most one of them is in flight.
 type pollState struct {
-	busy      bool // a goroutine makes polls, or is about to begin
-	requested bool // a poll was requested since the last one was sent
+	busy      bool // a goroutine sends polls or is scheduled to do so
+	requested bool // a poll was requested after the last one was sent
 }
 
-// requestPoll requests a poll that begins after the delay, or another one after that under way. It grants nothing. While the worker
-// is unreachable the renewal loop polls anyway. The caller holds the lock.
+// requestPoll requests a poll after the delay. If a poll is in flight, the requested one follows it. A poll grants no lease. While the
+// worker is unreachable the request is ignored, because the renewal loop sends polls then. The caller holds the lock.
 func (l *Link) requestPoll(delay time.Duration) {
-	if l.ending != open || l.commands.suspended || l.health.contact == unreachable {
+	if l.endReason != notEnded || l.commands.suspended || l.health.reachability == unreachable {
 		return
 	}
 	l.polls.requested = true
@@ -30,14 +30,14 @@
 	time.AfterFunc(delay, l.runPolls)
 }
 
-// runPolls makes one poll after another while they are requested.
+// runPolls sends polls one after another while further ones are requested.
 func (l *Link) runPolls() {
-	for l.pollInTurn() {
+	for l.pollWithConnection() {
 	}
 }
 
-// pollInTurn makes one poll once there is a connection for it, and reports whether another one may be due.
-func (l *Link) pollInTurn() bool {
+// pollWithConnection waits for a connection, sends a poll if one is due, and reports whether it was due.
+func (l *Link) pollWithConnection() bool {
 	begun := l.pool.acquire(l.done)
 	if begun {
 		defer l.pool.release()
@@ -49,23 +49,23 @@
 	return due
 }
 
-// nextPoll begins the next poll if one is requested, and otherwise records that none is under way.
+// nextPoll returns the next poll if one is due. Otherwise it records that no goroutine sends polls.
 func (l *Link) nextPoll(valid bool) (c listCall, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !valid || !l.polls.requested || l.ending != open || l.health.contact == unreachable {
+	if !valid || !l.polls.requested || l.endReason != notEnded || l.health.reachability == unreachable {
 		l.polls = pollState{}
-		l.quiescent.Broadcast()
+		l.inFlightChanged.Broadcast()
 		return listCall{}, false
 	}
 	l.polls.requested = false
 	l.counts.Polls++
-	return l.beginPoll(l.roundTrips.pollTimeout()), true
+	return l.beginPoll(l.rtt.pollTimeout()), true
 }
 
-// pollOnce makes one poll and takes in its result.
+// pollOnce sends one poll and handles its result.
 func (l *Link) pollOnce(c listCall) {
-	response, sentAt, err := l.postIdempotent(idempotentCall{l.caller.renewal, c.body(), c.timeout})
+	response, sentAt, err := l.postIdempotent(idempotentCall{l.rpc.renewal, c.body(), c.timeout})
 	if err == nil {
 		c.sentAt = sentAt
 	}
@@ -77,7 +77,7 @@
 	case l.endedBy(response):
 	case response.status != http.StatusOK:
 		l.listRefused(response.status)
-		l.config.Connections.concurrency.outside(func() { l.wait(firstBackoff) })
+		l.config.Connections.concurrency.releaseWhile(func() { l.wait(firstBackoff) })
 		l.repeatPoll()
 	default:
 		l.deliver(c, response, true)
@@ -85,45 +85,46 @@
 	}
 }
 
-// pollFailed requests a further poll after one without a response, unless a renewal or a poll before it got none either: then the
-// worker is unreachable.
+// pollFailed handles a poll without a response. It requests a further poll. If the renewal or poll before it got no response either, the
+// worker becomes unreachable.
 func (l *Link) pollFailed() {
 	l.mu.Lock()
 	nowUnreachable := l.health.pollUnanswered()
 	l.polls.requested = true
 	l.mu.Unlock()
 	if nowUnreachable {
-		l.setContact(unreachable)
+		l.setReachability(unreachable)
 	}
 }
 
-// repeatPoll requests a further poll of the goroutine that makes them.
+// repeatPoll requests a further poll from the running goroutine.
 func (l *Link) repeatPoll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.polls.requested = true
 }
 
-// pollAfterCommand records a command without a response: no start is sent until a poll has shown whether the worker still responds.
-func (l *Link) pollAfterCommand() {
+// pollAfterUnansweredCommand records a command without a response and requests a poll. No start is sent until the poll has shown
+// whether the worker still responds.
+func (l *Link) pollAfterUnansweredCommand() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.health.commandUnanswered()
 	l.requestPoll(0)
 }
 
-// pollAfterRenewal records a renewal without a response: the worker is unreachable unless it answers a poll. The caller holds the
-// lock.
-func (l *Link) pollAfterRenewal() {
+// pollAfterUnansweredRenewal records a renewal without a response and requests a poll. If the poll gets no response either, the worker
+// becomes unreachable. The caller holds the lock.
+func (l *Link) pollAfterUnansweredRenewal() {
 	l.health.renewalUnanswered()
 	l.requestPoll(0)
 }
 
-// awaitPolls waits until no poll is under way.
+// awaitPolls waits until no out-of-band poll is in flight.
 func (l *Link) awaitPolls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.polls.busy {
-		l.quiescent.Wait()
+		l.inFlightChanged.Wait()
 	}
 }
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -15,9 +15,9 @@
 const oneWayDelay = 3 * time.Millisecond
 
 // simulate runs a test in virtual time with a link whose worker runs task 0 and has received the first long poll.
-func simulate(t *testing.T, way time.Duration, test func(t *testing.T, f *fixture)) {
+func runWithTask(t *testing.T, delay time.Duration, test func(t *testing.T, f *fixture)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		f := newMemoryFixture(t, way)
+		f := newMemoryFixture(t, delay)
 		defer f.close()
 		f.connect(1)
 		convey.Convey("Given a worker that runs a task", t, func() {
@@ -48,14 +48,14 @@
 }
 
 // every has a fault on the calls of a kind whose number, counted from the next one, is a multiple.
-func every(multiple int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
+func everyNth(n int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
 	count := 0
 	return func(call cluster.Call) cluster.Fault {
 		if call != kind {
 			return cluster.Fault{}
 		}
 		count++
-		if count%multiple != 0 {
+		if count%n != 0 {
 			return cluster.Fault{}
 		}
 		return fault
@@ -63,7 +63,7 @@
 }
 
 // firstReading has a fault on the next calls of a kind.
-func first(calls int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
+func firstCalls(calls int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
 	return func(call cluster.Call) cluster.Fault {
 		if call != kind || calls == 0 {
 			return cluster.Fault{}
@@ -82,14 +82,14 @@
 	return false
 }
 
-func outOfBand(l Listing) bool { return l.OutOfBand }
+func isOutOfBand(l Listing) bool { return l.OutOfBand }
 
-func TestOverdueRenewal(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
+func TestOverdueRenewalIsReplacedByPoll(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
 		f.awaitRenewal()
 		lost := time.Now()
-		poll := await(t, f.events, outOfBand)
+		poll := awaitEvent(t, f.events, isOutOfBand)
 		convey.So(poll.Running, convey.ShouldHaveLength, 1)
 		convey.So(poll.SentAt.Sub(lost), convey.ShouldBeBetween, longPollWait, longPollWait+minOverdueDelay+time.Millisecond)
 		abandoned := time.Now()
@@ -101,7 +101,7 @@
 		convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
 		convey.So(f.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
 		ended := time.Now()
-		await(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
+		awaitEvent(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 })
 		convey.So(time.Since(ended), convey.ShouldBeLessThan, 10*time.Millisecond)
 		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 		convey.So(f.link.Counts().OverdueRenewals, convey.ShouldEqual, 1)
@@ -114,42 +114,42 @@
 		f := newMemoryFixture(t, oneWayDelay)
 		defer f.close()
 		convey.Convey("Given a worker that does not respond to the first call", t, func() {
-			f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
+			f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
 			began := time.Now()
 			f.connect(1)
-			listing := await(t, f.events, anyEvent[Listing])
+			listing := awaitEvent(t, f.events, anyEvent[Listing])
 			convey.So(listing.First, convey.ShouldBeTrue)
 			convey.So(listing.OutOfBand, convey.ShouldBeTrue)
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
-			convey.So(time.Since(began), convey.ShouldBeLessThan, initialMargin+50*time.Millisecond)
+			convey.So(time.Since(began), convey.ShouldBeLessThan, initialResponseTimeout+50*time.Millisecond)
 			convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 		})
 	})
 }
 
-func TestHedgeWithoutAnswer(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+func TestSilentWorkerIsUnreachableAfterOverdueRenewalAndPoll(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
 		f.awaitRenewal()
 		lost := time.Now()
-		await(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
+		awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 		f.worker.SetFaults(nil)
 		convey.So(time.Since(lost), convey.ShouldBeBetween, 1550*time.Millisecond, 1650*time.Millisecond)
 		convey.So(f.link.Counts().Polls, convey.ShouldEqual, 1)
-		awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
+		awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 		convey.So(time.Since(lost), convey.ShouldBeLessThan, 1850*time.Millisecond)
 	})
 }
 
-func TestPollAfterUnclearStart(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+func TestUnclearStartIsFollowedByPoll(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}
-		f.worker.SetFaults(first(1, cluster.StartCall, late))
+		f.worker.SetFaults(firstCalls(1, cluster.StartCall, late))
 		renewals := f.link.Counts().Renewals
 		sent := time.Now()
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		convey.So(time.Since(sent), convey.ShouldBeLessThanOrEqualTo, minCommandTimeout)
-		poll := await(t, f.events, outOfBand)
+		poll := awaitEvent(t, f.events, isOutOfBand)
 		convey.So(time.Since(sent), convey.ShouldBeLessThan, minCommandTimeout+10*time.Millisecond)
 		result := eventsOf[StartResult](f.events)[1]
 		convey.So(poll.SentAt, convey.ShouldHappenAfter, result.At)
@@ -158,7 +158,7 @@
 		convey.So(f.link.Counts().Renewals, convey.ShouldEqual, renewals) // the renewal goes on meanwhile
 		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 
-		renewal := await(t, f.events, func(l Listing) bool {
+		renewal := awaitEvent(t, f.events, func(l Listing) bool {
 			return !l.OutOfBand && l.SentAt.After(sent.Add(-longPollWait)) && len(l.Running) == 2
 		})
 		convey.So(renewal.SentAt, convey.ShouldHappenBefore, poll.SentAt)
@@ -167,8 +167,8 @@
 	})
 }
 
-func TestUnresponsiveAfterAStart(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+func TestNoFurtherStartIsSentToUnresponsiveWorker(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 		f.awaitRenewal()
 		unresponsive := time.Now()
@@ -180,43 +180,43 @@
 		polls := minCommandTimeout + 2*minPollTimeout // those after the start
 		convey.So(time.Since(unresponsive), convey.ShouldBeLessThan, polls+10*time.Millisecond)
 		f.worker.SetFaults(nil)
-		awaitAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was cancelled
+		awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was cancelled
 		convey.So(time.Since(unresponsive), convey.ShouldBeLessThan, polls+firstBackoff+20*time.Millisecond)
 	})
 }
 
 func TestLostPollIsRetried(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
 		f.link.Stop(StopCommand{task(5), 1})
-		stopped := await(t, f.events, anyEvent[StopResult])
+		stopped := awaitEvent(t, f.events, anyEvent[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
-		poll := await(t, f.events, outOfBand)
+		poll := awaitEvent(t, f.events, isOutOfBand)
 		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeLessThan, minPollTimeout+50*time.Millisecond)
 		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 	})
 }
 
-func TestStopsShareAPoll(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+func TestConcurrentStopsShareOnePoll(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		for i := range 10 {
 			f.link.Stop(StopCommand{task(5 + i), 1})
 		}
 		for i := range 10 {
-			await(t, f.events, func(r StopResult) bool { return r.Command.Task == task(5+i) })
+			awaitEvent(t, f.events, func(r StopResult) bool { return r.Command.Task == task(5+i) })
 		}
 		last := time.Now()
-		poll := await(t, f.events, outOfBand)
+		poll := awaitEvent(t, f.events, isOutOfBand)
 		convey.So(poll.SentAt, convey.ShouldHappenWithin, 2*pollMergeDelay, last)
 		time.Sleep(time.Second)
 		convey.So(f.link.Counts().Polls, convey.ShouldEqual, 1)
 	})
 }
 
-func TestStaleListing(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+func TestOvertakenListingIsMarkedStale(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		f.acknowledgeAll()
-		f.worker.SetFaults(first(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
 		f.awaitRenewal()
 		sent := time.Now()
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Started)
@@ -224,11 +224,11 @@
 		time.Sleep(2 * time.Millisecond)
 		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 		f.link.Stop(StopCommand{task(5), 1})
-		poll := await(t, f.events, outOfBand)
+		poll := awaitEvent(t, f.events, isOutOfBand)
 		convey.So(poll.Running, convey.ShouldHaveLength, 2)
 		convey.So(poll.Finished, convey.ShouldHaveLength, 1)
 		convey.So(poll.Stale, convey.ShouldBeFalse)
-		renewal := await(t, f.events, func(l Listing) bool { return l.Stale })
+		renewal := awaitEvent(t, f.events, func(l Listing) bool { return l.Stale })
 		convey.So(renewal.OutOfBand, convey.ShouldBeFalse)
 		convey.So(renewal.SentAt, convey.ShouldHappenOnOrBefore, sent)
 		convey.So(renewal.Running, convey.ShouldHaveLength, 1)
@@ -236,15 +236,15 @@
 	})
 }
 
-func TestCompletionsBeforeAcknowledgement(t *testing.T) {
-	simulate(t, oneWayDelay, func(t *testing.T, f *fixture) {
+func TestUnacknowledgedCompletionsDoNotDelayNewOnes(t *testing.T) {
+	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		for i := range 5 {
 			convey.So(f.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 		}
 		for i := range 5 { // none of them is acknowledged
 			convey.So(f.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			ended := time.Now()
-			await(t, f.events, func(l Listing) bool { return len(l.Finished) == i+1 })
+			awaitEvent(t, f.events, func(l Listing) bool { return len(l.Finished) == i+1 })
 			convey.So(time.Since(ended), convey.ShouldBeLessThan, repeatedCompletionsTimeout+2*oneWayDelay)
 			time.Sleep(70 * time.Millisecond)
 		}
@@ -257,16 +257,16 @@
 		for _, listing := range eventsOf[Listing](f.events)[listings:] {
 			convey.So(listing.Finished, convey.ShouldBeEmpty)
 		}
-		awaitAfter(t, f.events, listings, func(l Listing) bool { return len(l.Finished) == 5 }) // again in the end
+		awaitEventAfter(t, f.events, listings, func(l Listing) bool { return len(l.Finished) == 5 }) // again in the end
 		f.link.Acknowledge(5)
 		time.Sleep(time.Second)
 		convey.So(f.cluster.Runs()[4].Acknowledged, convey.ShouldBeTrue)
 	})
 }
 
-func TestCallsInCalm(t *testing.T) {
+func TestResponsiveWorkerGetsOneRenewalPerSecond(t *testing.T) {
 	const seconds, completions = 60, 12
-	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
+	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.acknowledgeAll()
 		before := f.worker.Calls(cluster.LeaseCall)
 		for i := range completions {
@@ -281,8 +281,8 @@
 	})
 }
 
-func TestSlowWorkerIsNotHedged(t *testing.T) {
-	simulate(t, 150*time.Millisecond, func(_ *testing.T, f *fixture) {
+func TestSlowWorkerGetsNoOutOfBandPolls(t *testing.T) {
+	runWithTask(t, 150*time.Millisecond, func(_ *testing.T, f *fixture) {
 		time.Sleep(10 * time.Second)
 		before := f.link.Counts()
 		for i := range 20 {
@@ -296,11 +296,11 @@
 	})
 }
 
-func TestFewLostCalls(t *testing.T) {
+func TestFewLostCallsDoNotMakeWorkerUnreachable(t *testing.T) {
 	const lost = 20 // one in so many
-	simulate(t, oneWayDelay, func(_ *testing.T, f *fixture) {
+	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
-		renewals, starts := every(lost, cluster.LeaseCall, late), every(lost, cluster.StartCall, late)
+		renewals, starts := everyNth(lost, cluster.LeaseCall, late), everyNth(lost, cluster.StartCall, late)
 		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call == cluster.LeaseCall {
 				return renewals(call)
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	firstBackoff       = 150 * time.Millisecond // after a call of the renewal loop that failed
+	firstBackoff       = 150 * time.Millisecond // delay after a failed call of the renewal loop; doubles with each failure
 	maxBackoff         = 600 * time.Millisecond
-	earlyResponseDelay = 100 * time.Millisecond // after a long poll that was answered early without a completion
+	earlyResponseDelay = 100 * time.Millisecond // delay after a long poll that returned early without a completion
 )
 
 // pendingRenewal is the newest call of the renewal loop.
@@ -20,16 +20,16 @@
 	progress renewalProgress
 }
 
-// renewalProgress is how far a renewal without a response has come. It only grows.
+// renewalProgress is the state of a renewal without a response. It only increases.
 type renewalProgress uint8
 
 const (
-	inTime     renewalProgress = iota // its response may still come in time
-	overdue                           // the response should have come by now: a poll decides
-	superseded                        // a poll was answered instead, and the renewal cancelled
+	onTime     renewalProgress = iota // the response is not overdue yet
+	overdue                           // the response is overdue; a poll determines whether the worker is reachable
+	superseded                        // a poll was answered instead, and the renewal was cancelled
 )
 
-// markOverdue records that the response should have come by now.
+// markOverdue records that the response is overdue.
 func (r *pendingRenewal) markOverdue() { r.progress = max(r.progress, overdue) }
 
 // supersede cancels the renewal if it is overdue.
@@ -40,38 +40,38 @@
 	}
 }
 
-// Run polls the worker and then keeps its lease renewed, until the link is closed, the context ends, the worker's incarnation is over
-// or a higher fencing token was seen. It returns once everything was reported.
+// Run polls the worker and then renews its lease until the link is closed, the context ends, the worker's incarnation ends, or the
+// worker has seen a higher fencing token. It returns after all results were reported.
 func (l *Link) Run(ctx context.Context) {
-	defer l.pool.leave()
+	defer l.pool.removeLink()
 	defer l.cancel()
 	defer l.awaitSenders()
-	unlink := context.AfterFunc(ctx, l.Close)
-	defer unlink()
+	stopWatchingContext := context.AfterFunc(ctx, l.Close)
+	defer stopWatchingContext()
 	backoff := firstBackoff
 	for !l.ended() {
 		l.yieldToCommands()
-		proceed, last := l.renewInTurn() //nolint:contextcheck // all calls end with the link's own context, those of Start and Stop, too
+		proceed, lastResult := l.renewWithConnection() //nolint:contextcheck // all calls, including those of Start and Stop, use the link's own context
 		if !proceed {
 			l.wait(backoff)
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
 		backoff = firstBackoff
-		l.delayAfter(last)
-		l.idleBetweenPolls()
+		l.delayAfter(lastResult)
+		l.waitBetweenPolls()
 	}
 }
 
-// renewalResult is a call of the renewal loop with its response.
+// renewalResult is a call of the renewal loop and its response.
 type renewalResult struct {
 	call     listCall
 	response workerResponse
 	received time.Time
 }
 
-// renewInTurn makes one call once there is a connection for it, and reports whether the next one may follow without a backoff.
-func (l *Link) renewInTurn() (proceed bool, last renewalResult) {
+// renewWithConnection waits for a connection, makes one call, and reports whether the next call may follow without a backoff.
+func (l *Link) renewWithConnection() (proceed bool, result renewalResult) {
 	if !l.pool.acquire(l.done) {
 		return false, renewalResult{}
 	}
@@ -84,7 +84,7 @@
 	return l.renewOnce()
 }
 
-// setSuspended records whether commands may be sent at all, and dispatches those that are queued.
+// setSuspended records whether sending commands is suspended, and dispatches the queue.
 func (l *Link) setSuspended(suspended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,17 +92,17 @@
 	l.dispatch()
 }
 
-// awaitSenders waits until no command, poll or hedged request is under way.
+// awaitSenders waits until no command, poll or hedged request is in flight.
 func (l *Link) awaitSenders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.commands.senders > 0 || l.polls.busy || l.hedges > 0 {
-		l.quiescent.Wait()
+	for l.commands.activeSenders > 0 || l.polls.busy || l.hedges > 0 {
+		l.inFlightChanged.Wait()
 	}
 }
 
-// renewOnce makes one call and reports whether the next one may follow without a backoff.
-func (l *Link) renewOnce() (proceed bool, last renewalResult) {
+// renewOnce makes one call and reports whether the next call may follow without a backoff.
+func (l *Link) renewOnce() (proceed bool, result renewalResult) {
 	c := l.beginRenewal()
 	response, err := l.postRenewal(c)
 	if c.request.waitMS > 0 {
@@ -125,32 +125,32 @@
 	return true, renewalResult{c, response, received}
 }
 
-// beginRenewal decides what the next call of the renewal loop requests and records its grant: a poll while the worker is unreachable,
-// otherwise a renewal once the lists are known, as a long poll where that is allowed.
+// beginRenewal creates the next call of the renewal loop and records its grant. The call is a poll while the worker is unreachable or
+// has not listed its attempts yet. Otherwise it renews the lease if that is due, and is a long poll if that is allowed.
 func (l *Link) beginRenewal() listCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Renewals++
-	if l.health.contact == unreachable {
+	if l.health.reachability == unreachable {
 		return l.beginPoll(unreachablePollTimeout)
 	}
 	c := l.beginPoll(0)
 	l.activity.longPolled = l.mayLongPoll(c.sentAt)
 	if l.activity.longPolled {
-		c.request.waitMS = l.pace.longPollWait.Milliseconds()
+		c.request.waitMS = l.timings.longPollWait.Milliseconds()
 	}
-	c.overdueAfter = c.wait() + l.roundTrips.overdueDelay()
-	c.timeout = c.overdueAfter + l.roundTrips.pollTimeout() + overduePollMargin
-	if l.activity.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.pace.renewalAge {
+	c.overdueAfter = c.wait() + l.rtt.overdueDelay()
+	c.timeout = c.overdueAfter + l.rtt.pollTimeout() + overduePollMargin
+	if l.activity.listed && c.sentAt.Sub(l.lease.confirmed.requestedAt) > l.timings.renewalAge {
 		l.addGrant(&c)
 	}
 	return c
 }
 
-// addGrant makes the call renew the lease, if that makes it longer. The caller holds the lock.
+// addGrant makes the call renew the lease, if that extends it. The caller holds the lock.
 func (l *Link) addGrant(c *listCall) {
-	validUntil, longer := l.lease.extension(l.config.MaxLease, c.sentAt)
-	if !longer {
+	validUntil, extends := l.lease.extension(l.config.MaxLease, c.sentAt)
+	if !extends {
 		return
 	}
 	c.validUntil = validUntil
@@ -158,7 +158,7 @@
 	c.grant = l.lease.grant(validUntil, c.sentAt, c.timeout)
 }
 
-// postRenewal makes a call of the renewal loop. When its response is overdue a poll is made beside it.
+// postRenewal makes a call of the renewal loop. If its response is overdue, an out-of-band poll is sent.
 func (l *Link) postRenewal(c listCall) (workerResponse, error) {
 	ctx, cancel := context.WithCancel(l.context)
 	defer cancel()
@@ -170,10 +170,10 @@
 		timer := time.AfterFunc(c.overdueAfter, func() { l.renewalOverdue(pending) })
 		defer timer.Stop()
 	}
-	return l.caller.post(ctx, l.caller.renewal, c.body(), c.timeout)
+	return l.rpc.post(ctx, l.rpc.renewal, c.body(), c.timeout)
 }
 
-// renewalOverdue requests a poll of a worker that has left a renewal without a response.
+// renewalOverdue requests a poll because the response to a renewal is overdue.
 func (l *Link) renewalOverdue(pending *pendingRenewal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,7 +182,7 @@
 	}
 	pending.markOverdue()
 	l.counts.OverdueRenewals++
-	l.pollAfterRenewal()
+	l.pollAfterUnansweredRenewal()
 }
 
 // supersedeRenewal cancels an overdue renewal after a poll was answered.
@@ -194,42 +194,42 @@
 	}
 }
 
-// renewalFailed lets a poll decide what a renewal without a response means, and reports whether the next renewal may follow without a
-// backoff.
+// renewalFailed handles a renewal without a response. It waits for a poll that shows whether the worker is reachable, and reports
+// whether the next renewal may follow without a backoff.
 func (l *Link) renewalFailed(c listCall) bool {
 	if c.overdueAfter == 0 {
-		l.setContact(unreachable)
+		l.setReachability(unreachable)
 		return false
 	}
 	l.mu.Lock()
 	pending := l.pendingRenewal
-	if pending.progress == inTime { // its connection broke, or this process was paused
+	if pending.progress == onTime { // the connection broke, or this process was paused
 		if l.now().Sub(c.sentAt) >= c.overdueAfter {
 			pending.markOverdue()
 		}
-		l.pollAfterRenewal()
+		l.pollAfterUnansweredRenewal()
 	}
 	l.mu.Unlock()
-	l.config.Connections.concurrency.outside(l.awaitPolls)
+	l.config.Connections.concurrency.releaseWhile(l.awaitPolls)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return pending.progress == superseded
 }
 
-// delayAfter waits before the next renewal where the worker would respond to it at once: after completions, as it lists them until
-// they are acknowledged, and after a response that came early for no known reason.
-func (l *Link) delayAfter(last renewalResult) {
-	if newest := last.response.newestCompletion(); newest > 0 {
+// delayAfter waits before the next renewal if the worker would respond to it at once. That is the case after completions, because the
+// worker lists them until they are acknowledged. It may also be the case after a response that arrived early for no known reason.
+func (l *Link) delayAfter(lastResult renewalResult) {
+	if newest := lastResult.response.newestCompletion(); newest > 0 {
 		l.awaitAcknowledgement(newest)
-		l.markIdleIfAcknowledged(last, newest)
+		l.markIdleIfAcknowledged(lastResult, newest)
 		return
 	}
-	if waited := last.received.Sub(last.call.sentAt); last.call.request.waitMS > 0 && waited < l.pace.longPollWait/2 {
+	if waited := lastResult.received.Sub(lastResult.call.sentAt); lastResult.call.request.waitMS > 0 && waited < l.timings.longPollWait/2 {
 		l.wait(earlyResponseDelay)
 	}
 }
 
-// wait waits for a while, or until the link ends.
+// wait blocks for the given duration or until the link ends.
 func (l *Link) wait(duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
