--- a/internal/jobs/workerclient/renewal_test.go
+++ b/internal/jobs/workerclient/renewal_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-func TestRenewalPlan(t *testing.T) {
+func TestNextRenewalCallFollowsFromResponses(t *testing.T) {
 	convey.Convey("Given a link that knows the worker's clock by responses only", t, func() {
 		now := time.Unix(1000, 0)
 		link := NewLink(Config{
@@ -23,24 +23,24 @@
 		answered := func(c listCall) {
 			link.handleListResponse(c, workerResponse{http.StatusOK, responseBody{ClockMS: clockMS()}}, nil, now)
 			link.activity.listed = true
-			link.setContact(reachable)
+			link.setReachability(reachable)
 		}
 		convey.Convey("the first call is a poll that grants nothing", func() {
 			poll := link.beginRenewal()
 			convey.So(poll.request.waitMS, convey.ShouldEqual, 0)
 			convey.So(poll.grant, convey.ShouldBeNil)
-			convey.So(link.startable(now), convey.ShouldBeFalse)
-			convey.So(link.roundTrips.measured, convey.ShouldBeFalse)
+			convey.So(link.canSendStart(now), convey.ShouldBeFalse)
+			convey.So(link.rtt.measured, convey.ShouldBeFalse)
 			answered(poll)
-			convey.So(link.roundTrips.measured, convey.ShouldBeTrue)
+			convey.So(link.rtt.measured, convey.ShouldBeTrue)
 
 			convey.Convey("the second grants at once, and starts may be sent from then on", func() {
 				short := link.beginRenewal()
 				convey.So(short.request.waitMS, convey.ShouldEqual, 0)
 				convey.So(short.grant, convey.ShouldNotBeNil)
-				convey.So(link.startable(now), convey.ShouldBeFalse)
+				convey.So(link.canSendStart(now), convey.ShouldBeFalse)
 				answered(short)
-				convey.So(link.startable(now), convey.ShouldBeTrue)
+				convey.So(link.canSendStart(now), convey.ShouldBeTrue)
 
 				convey.Convey("the next ones are long polls, and grant when the last grant is old", func() {
 					renewal := link.beginRenewal()
@@ -56,7 +56,7 @@
 					now = now.Add(2 * time.Second)
 					renewal := link.beginRenewal()
 					link.handleListResponse(renewal, workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), now)
-					link.setContact(unreachable)
+					link.setReachability(unreachable)
 					poll := link.beginRenewal()
 					convey.So(poll.request.waitMS, convey.ShouldEqual, 0)
 					convey.So(poll.grant, convey.ShouldBeNil)
@@ -72,17 +72,17 @@
 					convey.So(link.LeasesExpiredBy(), convey.ShouldEqual, before)
 				})
 				convey.Convey("without renewal no start is sent in the end", func() {
-					now = now.Add(testMaxLease - minLeaseLead)
-					convey.So(link.startable(now), convey.ShouldBeFalse)
+					now = now.Add(testMaxLease - minRemainingLease)
+					convey.So(link.canSendStart(now), convey.ShouldBeFalse)
 				})
 			})
 		})
 	})
 	convey.Convey("Where leases are short, all times are shorter", t, func() {
-		p := paceFor(time.Second)
-		convey.So(p.longPollWait, convey.ShouldEqual, 250*time.Millisecond)
-		convey.So(p.minLeaseLead+p.longPollWait+p.renewalAge, convey.ShouldBeLessThan, time.Second)
-		convey.So(paceFor(time.Hour), convey.ShouldResemble, pace{longPollWait, renewalAge, minLeaseLead, maxIdleInterval})
+		short := timingsFor(time.Second)
+		convey.So(short.longPollWait, convey.ShouldEqual, 250*time.Millisecond)
+		convey.So(short.minRemainingLease+short.longPollWait+short.renewalAge, convey.ShouldBeLessThan, time.Second)
+		convey.So(timingsFor(time.Hour), convey.ShouldResemble, timings{longPollWait, renewalAge, minRemainingLease, maxIdleInterval})
 	})
 }
 
@@ -94,7 +94,7 @@
 		convey.Convey("the response to a poll does not cancel it while its own may come in time", func() {
 			renewal.supersede()
 			convey.So(cancelled, convey.ShouldBeFalse)
-			convey.So(renewal.progress, convey.ShouldEqual, inTime)
+			convey.So(renewal.progress, convey.ShouldEqual, onTime)
 		})
 		convey.Convey("the response to a poll cancels it once it is overdue, for good", func() {
 			renewal.markOverdue()
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -40,24 +40,24 @@
 }
 
 // TestStartsOnConnectionsThatAreReset resets the connection at each byte of a start and of its response.
-func TestStartsOnConnectionsThatAreReset(t *testing.T) {
+func TestStartOnResetConnectionIsExecutedAtMostOnce(t *testing.T) {
 	t.Parallel()
-	for name, usedBefore := range map[string]bool{"a new connection": false, "a connection used before": true} {
+	for name, reused := range map[string]bool{"a new connection": false, "a connection used before": true} {
 		convey.Convey("A start on "+name+" is executed once at most, and is unclear", t, func() {
 			counter := &startCounter{executions: map[string]int{}}
 			server := httptest.NewServer(counter)
 			relay := resettest.New(t, server.Listener.Addr().String())
-			send := func(execution uint64, resetAt resettest.Direction, after int) ([]byte, error) {
+			send := func(attemptNumber uint64, resetAt resettest.Direction, after int) ([]byte, error) {
 				client := NewHTTPClient()
 				defer client.CloseIdleConnections()
-				worker := newCaller(client, relay.Address(), "i-1", func() bool { return true })
+				worker := newRPCClient(client, relay.Address(), "i-1", func() bool { return true })
 				relay.Arm(resetAt, resettest.NoReset)
-				if usedBefore {
+				if reused {
 					_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 					convey.So(err, convey.ShouldBeNil)
 				}
 				relay.Arm(resetAt, after)
-				command := startCommand(0, execution)
+				command := startCommand(0, attemptNumber)
 				body := appendStart(nil, &command, time.Hour.Milliseconds(), 1)
 				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
 				return body, err
@@ -66,30 +66,30 @@
 			_, err := send(firstAttemptNumber, resettest.Requests, resettest.NoReset)
 			convey.So(err, convey.ShouldBeNil)
 			lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
-			execution, wrong := uint64(firstAttemptNumber), 0
+			attemptNumber, violations := uint64(firstAttemptNumber), 0
 			var resetsInRequest [][]byte
 			for _, resetAt := range []resettest.Direction{resettest.Requests, resettest.Responses} {
 				for after := range lengths[resetAt] {
-					execution++
-					body, err := send(execution, resetAt, after)
+					attemptNumber++
+					body, err := send(attemptNumber, resetAt, after)
 					if err == nil || rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
-						wrong++
+						violations++
 						t.Errorf("reset after byte %d of way %d: %v", after, resetAt, err)
 					}
 					if resetAt == resettest.Requests {
 						resetsInRequest = append(resetsInRequest, body)
 					} else if counter.count(body) != 1 {
-						wrong++
+						violations++
 					}
 				}
 			}
 			server.Close() // returns when all that arrived has run
 			for _, body := range resetsInRequest {
 				if counter.count(body) != 0 {
-					wrong++
+					violations++
 				}
 			}
-			convey.So(wrong, convey.ShouldEqual, 0)
+			convey.So(violations, convey.ShouldEqual, 0)
 		})
 	}
 }
@@ -108,7 +108,7 @@
 		defer server.Close()
 		client := NewHTTPClient()
 		defer client.CloseIdleConnections()
-		worker := newCaller(client, server.Listener.Addr().String(), "i-1", func() bool { return true })
+		worker := newRPCClient(client, server.Listener.Addr().String(), "i-1", func() bool { return true })
 		worker.headers.Set("Idempotency-Key", "1") // makes net/http retry
 		_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 		convey.So(err, convey.ShouldBeNil)
--- a/internal/jobs/workerclient/roundtrip.go
+++ b/internal/jobs/workerclient/roundtrip.go
@@ -3,73 +3,73 @@
 import "time"
 
 const (
-	initialMargin = 300 * time.Millisecond // before the first round trip is measured
-	spareMargin   = 100 * time.Millisecond // added to what the round trips suggest
-	hedgeMargin   = 25 * time.Millisecond  // the same before a hedged request
-	maxSample     = time.Second
+	initialResponseTimeout = 300 * time.Millisecond // response timeout before the first round trip was measured
+	responseTimeoutMargin  = 100 * time.Millisecond // added to the multiple of the measured round-trip time
+	hedgeMargin            = 25 * time.Millisecond  // used instead of responseTimeoutMargin for the delay of hedged requests
+	maxRTTSample           = time.Second
 
-	minOverdueDelay   = 200 * time.Millisecond
-	maxOverdueDelay   = 700 * time.Millisecond
-	minCommandTimeout = 300 * time.Millisecond
-	maxCommandTimeout = 900 * time.Millisecond
-	minPollTimeout    = 400 * time.Millisecond
-	maxPollTimeout    = 700 * time.Millisecond
-	commandMargin     = 100 * time.Millisecond // a command may take so much longer than a poll
-	smoothingDivisor  = 8                      // a sample's weight in the smoothed round trip, as in RFC 6298
-	variationDivisor  = 4                      // and in its variation
-	marginFactor      = 4
-	lossWeight        = 0.125 // a start's weight in the share of those without a response
-	toleratedLossRate = 0.2   // a single start that is lost does not exceed it; two of them in a short time do
+	minOverdueDelay      = 200 * time.Millisecond
+	maxOverdueDelay      = 700 * time.Millisecond
+	minCommandTimeout    = 300 * time.Millisecond
+	maxCommandTimeout    = 900 * time.Millisecond
+	minPollTimeout       = 400 * time.Millisecond
+	maxPollTimeout       = 700 * time.Millisecond
+	commandTimeoutMargin = 100 * time.Millisecond // additional time for a command, which may take longer than a poll
+	smoothingDivisor     = 8                      // reciprocal of a sample's weight in the smoothed round-trip time, as in RFC 6298
+	variationDivisor     = 4                      // reciprocal of its weight in the variation, as in RFC 6298
+	rttFactor            = 4
+	lossWeight           = 0.125 // weight of a single start in the loss rate
+	toleratedLossRate    = 0.2   // a single lost start does not exceed this rate; two lost starts in a short time do
 )
 
-// roundTrips estimates how long calls to a worker take, from those that were answered, as TCP does for its retransmission timer (RFC
-// 6298). The zero value knows nothing.
-type roundTrips struct {
-	minTimeout time.Duration // of all limits below
-	measured   bool
-	smoothed   time.Duration
-	variation  time.Duration // the smoothed distance of a sample from the smoothed round trip
-	lossRate   float64       // smoothed share of the starts that got no response
+// rttEstimator estimates the round-trip time of calls to a worker from the answered calls, as TCP does for its retransmission timer
+// (RFC 6298). The zero value has no measurement yet.
+type rttEstimator struct {
+	minTimeout   time.Duration // lower limit of all delays and timeouts
+	measured     bool
+	smoothedRTT  time.Duration
+	rttVariation time.Duration // smoothed deviation of the samples from smoothedRTT
+	lossRate     float64       // smoothed share of starts without a response
 }
 
-// observe takes in one round trip.
-func (r *roundTrips) observe(sample time.Duration) {
-	sample = min(sample, maxSample)
+// observe updates the estimate with one measured round trip.
+func (r *rttEstimator) observe(sample time.Duration) {
+	sample = min(sample, maxRTTSample)
 	if !r.measured {
-		r.measured, r.smoothed, r.variation = true, sample, sample/2
+		r.measured, r.smoothedRTT, r.rttVariation = true, sample, sample/2
 		return
 	}
-	distance := (sample - r.smoothed).Abs()
-	r.variation += (distance - r.variation) / variationDivisor
-	r.smoothed += (sample - r.smoothed) / smoothingDivisor
+	deviation := (sample - r.smoothedRTT).Abs()
+	r.rttVariation += (deviation - r.rttVariation) / variationDivisor
+	r.smoothedRTT += (sample - r.smoothedRTT) / smoothingDivisor
 }
 
-// margin is a time that nearly all responses take less than.
-func (r *roundTrips) margin() time.Duration {
+// responseTimeout returns a duration within which nearly all responses arrive.
+func (r *rttEstimator) responseTimeout() time.Duration {
 	if !r.measured {
-		return initialMargin
+		return initialResponseTimeout
 	}
-	return marginFactor*(r.smoothed+r.variation) + spareMargin
+	return rttFactor*(r.smoothedRTT+r.rttVariation) + responseTimeoutMargin
 }
 
-// clamp bounds a time-out: by the two limits, and by the configured minimum, which goes first.
-func (r *roundTrips) clamp(margin, shortest, longest time.Duration) time.Duration {
-	return max(r.minTimeout, min(max(margin, shortest), longest))
+// clamp limits a timeout to the given range. The configured minTimeout takes precedence.
+func (r *rttEstimator) clamp(timeout, minimum, maximum time.Duration) time.Duration {
+	return max(r.minTimeout, min(max(timeout, minimum), maximum))
 }
 
-// hedgeDelay is how long after an idempotent call was sent a hedged request follows. One that was not needed costs little, so little
-// is added to what the round trips suggest.
-func (r *roundTrips) hedgeDelay() time.Duration {
-	return r.clamp(r.margin()-spareMargin+hedgeMargin, 0, maxOverdueDelay)
+// hedgeDelay returns the delay between an idempotent call and a hedged request. An unnecessary hedged request is cheap, so the margin is
+// small.
+func (r *rttEstimator) hedgeDelay() time.Duration {
+	return r.clamp(r.responseTimeout()-responseTimeoutMargin+hedgeMargin, 0, maxOverdueDelay)
 }
 
-// overdueDelay is how long after its wait a renewal without a response is overdue.
-func (r *roundTrips) overdueDelay() time.Duration {
-	return r.clamp(r.margin(), minOverdueDelay, maxOverdueDelay)
+// overdueDelay returns the time after the requested wait of a renewal at which its response is overdue.
+func (r *rttEstimator) overdueDelay() time.Duration {
+	return r.clamp(r.responseTimeout(), minOverdueDelay, maxOverdueDelay)
 }
 
-// startEnded takes in whether a start was answered.
-func (r *roundTrips) startEnded(answered bool) {
+// recordStart updates the loss rate with the end of a start.
+func (r *rttEstimator) recordStart(answered bool) {
 	if answered {
 		r.lossRate -= lossWeight * r.lossRate
 		return
@@ -77,21 +77,21 @@
 	r.lossRate += lossWeight * (1 - r.lossRate)
 }
 
-// startTimeout is the time-out of a start. Where many starts get no response it is what the round trips suggest alone: the sooner a
-// poll shows what became of one of them, the sooner its task starts anew.
-func (r *roundTrips) startTimeout() time.Duration {
+// startTimeout returns the timeout of a start. It is shorter if many starts get no response: the sooner a poll shows whether the worker
+// has the attempt, the sooner the task can be started again.
+func (r *rttEstimator) startTimeout() time.Duration {
 	if r.lossRate > toleratedLossRate {
-		return r.clamp(r.margin(), 0, maxCommandTimeout)
+		return r.clamp(r.responseTimeout(), 0, maxCommandTimeout)
 	}
 	return r.commandTimeout()
 }
 
-// commandTimeout is the time-out of stops, and of starts while few are lost.
-func (r *roundTrips) commandTimeout() time.Duration {
-	return r.clamp(r.margin()+commandMargin, minCommandTimeout, maxCommandTimeout)
+// commandTimeout returns the timeout of stops, and of starts while few of them are lost.
+func (r *rttEstimator) commandTimeout() time.Duration {
+	return r.clamp(r.responseTimeout()+commandTimeoutMargin, minCommandTimeout, maxCommandTimeout)
 }
 
-// pollTimeout is the time-out of an out-of-band poll.
-func (r *roundTrips) pollTimeout() time.Duration {
-	return r.clamp(r.margin(), minPollTimeout, maxPollTimeout)
+// pollTimeout returns the timeout of an out-of-band poll.
+func (r *rttEstimator) pollTimeout() time.Duration {
+	return r.clamp(r.responseTimeout(), minPollTimeout, maxPollTimeout)
 }
--- a/internal/jobs/workerclient/semaphore.go
+++ b/internal/jobs/workerclient/semaphore.go
@@ -2,10 +2,9 @@
 
 import "runtime"
 
-// semaphore bounds how many of the goroutines that call workers run at once. The others wait outside of the runtime's queue of
-// goroutines, so that thousands of responses that come together do not delay what keeps the leader lease: its heartbeats queue behind
-// a few goroutines and not behind all of them. Whoever waits for the network or for a connection is outside. A nil semaphore bounds
-// nothing.
+// semaphore limits how many of the goroutines that call workers are runnable at once. Thousands of responses may arrive at the same
+// time. Without the limit the heartbeats that keep the leader lease would wait in the run queue of the Go scheduler behind all of these
+// goroutines. A goroutine does not hold the semaphore while it waits for the network or for a connection. A nil semaphore has no limit.
 type semaphore chan struct{}
 
 func newSemaphore() semaphore { return make(semaphore, 1+runtime.GOMAXPROCS(0)) }
@@ -16,8 +15,8 @@
 	}
 }
 
-// outside gives up the place while a function waits.
-func (s semaphore) outside(wait func()) {
+// releaseWhile releases the semaphore while the given function waits, and then acquires it again.
+func (s semaphore) releaseWhile(wait func()) {
 	s.release()
 	wait()
 	s.acquire()
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -6,10 +6,10 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// WorkerID is the identifier by which the platform knows one incarnation of a worker.
+// WorkerID identifies one incarnation of a worker on the platform.
 type WorkerID string
 
-// Instance is what the platform's list says about one incarnation of a worker.
+// Instance is the platform's entry for one incarnation of a worker.
 type Instance struct {
 	ID                WorkerID
 	Service           string
@@ -18,8 +18,8 @@
 	Version           string
 	Slots             int
 	Draining          bool
-	RemainingMS       int64 // the least time that a draining worker has left, in milliseconds; 0 when unknown
-	WarmupRemainingMS int64 // how long a new worker stays slow, in milliseconds
+	RemainingMS       int64 // minimum time until a draining worker shuts down, in milliseconds; 0 if unknown
+	WarmupRemainingMS int64 // time until a new worker reaches full speed, in milliseconds
 	Capacity          job.Resources
 	Labels            []string
 }
@@ -28,56 +28,56 @@
 type RunningTask struct {
 	Task          job.TaskID
 	AttemptNumber uint64
-	Checkpoint    string // the last one saved; empty when there is none
+	Checkpoint    string // last saved checkpoint; empty if there is none
 	Percent       int
 }
 
 // FinishedTask is the completion of an attempt, as a worker lists it.
 type FinishedTask struct {
-	CompletionNumber uint64 // counts the completions of one incarnation of a worker, from 1
+	CompletionNumber uint64 // sequence number within one incarnation of a worker, starting at 1
 	Task             job.TaskID
 	AttemptNumber    uint64
 	Outcome          job.Outcome
 	Checkpoint       string
 }
 
-// StartCommand asks a worker to begin an attempt of a task.
+// StartCommand requests that a worker start an attempt of a task.
 type StartCommand struct {
 	Task          job.TaskID
 	AttemptNumber uint64
 	Specification string
-	Checkpoint    string // where the attempt resumes; empty for the beginning
+	Checkpoint    string // checkpoint to resume from; empty to start from the beginning
 }
 
-// StopCommand asks a worker to end an attempt. One that is not there yet is rejected when it comes.
+// StopCommand requests that a worker stop an attempt. If the attempt has not been started yet, the worker rejects a later start of it.
 type StopCommand struct {
 	Task          job.TaskID
 	AttemptNumber uint64
 }
 
-// StartOutcome is what became of a start.
+// StartOutcome is the outcome of a start command.
 type StartOutcome uint8
 
 const (
-	// Unclear means that no response came: the start may be executed, even seconds later.
+	// Unclear means that there was no usable response. The worker may execute the start, even seconds later.
 	Unclear StartOutcome = iota
-	// Started means that the attempt is there.
+	// Started means that the worker has the attempt.
 	Started
 	// RejectedFencingToken means that the worker has seen a higher fencing token.
 	RejectedFencingToken
-	// RejectedStaleAttempt means that the attempt number is not above one that was stopped or has ended there.
+	// RejectedStaleAttempt means that an attempt with the same or a higher number was stopped or has ended on the worker.
 	RejectedStaleAttempt
-	// RejectedLeaseExpired means that the lease that the start carries was over.
+	// RejectedLeaseExpired means that the lease in the start command had expired.
 	RejectedLeaseExpired
 	// RejectedCapacity means that the worker has no capacity left for the task.
 	RejectedCapacity
-	// RejectedInvalid means that the worker could not read the command.
+	// RejectedInvalid means that the worker could not parse the command.
 	RejectedInvalid
-	// RejectedUnhealthy means that the worker refused to do anything at present.
+	// RejectedUnhealthy means that the worker was overloaded or unavailable and did not execute the command.
 	RejectedUnhealthy
 	// NotSent means that the command never left this process.
 	NotSent
-	// IncarnationOver means that the worker's incarnation is over.
+	// IncarnationOver means that the worker's incarnation has ended.
 	IncarnationOver
 )
 
@@ -95,36 +95,38 @@
 	return "unknown"
 }
 
-// Listing is what a worker reports: its attempts and the completions that were not acknowledged yet. The listings of one link come
-// one at a time, and in the order in which they were requested except for those of out-of-band polls, which may overtake renewals.
+// Listing is a worker's list of running attempts and unacknowledged completions. A link delivers its listings one at a time, in the
+// order in which they were requested. Only listings from out-of-band polls may overtake those from renewals.
 type Listing struct {
 	Worker WorkerID
-	// SentAt is the local time just before the listing was requested. An attempt may only be taken to be absent if its start
-	// was answered before that time.
+	// SentAt is the local time just before the listing was requested. A missing attempt is known to be absent only if its start was
+	// answered before that time.
 	SentAt time.Time
-	// First marks the first listing under the link's fencing token: from now on the worker ignores lower tokens.
+	// First marks the first listing under the link's fencing token. From then on the worker rejects lower tokens.
 	First bool
-	// Partial means that further completions are waiting, so an attempt missing here may be among those.
+	// Partial means that the worker has more completions than it listed. An attempt that is not listed may be among those.
 	Partial bool
-	// OutOfBand marks the response to a poll that was made beside a renewal: after a start without a response, after an answered
-	// stop, or as a renewal was overdue.
+	// OutOfBand marks the response to a poll that was sent in parallel to a renewal: after a start without a response, after an
+	// answered stop, or because the renewal was overdue.
 	OutOfBand bool
-	// Stale marks a listing whose running list may be older than that of one delivered before. Only its completions are of use.
+	// Stale marks a listing whose running list may be older than that of a listing delivered before. Only its completions are
+	// usable.
 	Stale   bool
 	Running []RunningTask
-	// Finished is empty where all completions were delivered before, unless they were left without an acknowledgement for a second.
+	// Finished is empty if all completions were delivered before. Completions that stay unacknowledged for a second are delivered
+	// again.
 	Finished []FinishedTask
 }
 
-// StartResult reports what became of a start.
+// StartResult reports the outcome of a start.
 type StartResult struct {
 	Worker  WorkerID
 	Command StartCommand
 	Outcome StartOutcome
-	At      time.Time // local time of the response, or when the start was given up
+	At      time.Time // local time at which the response arrived or the start was abandoned
 }
 
-// StopResult reports that a worker has answered a stop, or that the link ended before it did.
+// StopResult reports that a worker has answered a stop, or that the link ended before the worker answered.
 type StopResult struct {
 	Worker   WorkerID
 	Command  StopCommand
@@ -132,21 +134,21 @@
 	At       time.Time
 }
 
-// Gone reports that the incarnation of the worker is over: another one responds at its address. The link has ended.
+// Gone reports that the incarnation of the worker has ended, because another incarnation responds at its address. The link has ended.
 type Gone struct{ Worker WorkerID }
 
-// Fenced reports that the worker has seen a higher fencing token; the link has ended.
+// Fenced reports that the worker has seen a higher fencing token. The link has ended.
 type Fenced struct{ Worker WorkerID }
 
-// ReachabilityChange reports that a worker became unreachable or reachable (again). It is unreachable once two calls for the lists in
-// a row, with all their hedged requests, were left without a response, or were refused; a response makes it reachable again.
+// ReachabilityChange reports that a worker became reachable or unreachable. A worker is unreachable after two consecutive list calls,
+// including their hedged requests, got no response or were refused. Any response makes it reachable again.
 type ReachabilityChange struct {
 	Worker    WorkerID
 	Reachable bool
 }
 
-// Events receives what a link has to report: one call at a time per link, on any goroutine, never from within a method of the link.
-// Its methods may call those of the link.
+// Events receives the reports of a link. A link makes one call at a time, on any goroutine, and never from within one of its own methods
+// other than Run. The methods of Events may call the methods of the link.
 type Events interface {
 	Listing(Listing)
 	StartResult(StartResult)
--- a/internal/jobs/workerclient/wire.go
+++ b/internal/jobs/workerclient/wire.go
@@ -8,17 +8,17 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// The paths of a worker's calls.
+// The HTTP paths of the worker's API.
 const (
 	startPath   = "/-/run-start"
 	stopPath    = "/-/run-stop"
 	renewalPath = "/-/hold"
 )
 
-// maxFinishedPerResponse is how many completions one response lists at most.
+// maxFinishedPerResponse is the maximum number of completions in one response.
 const maxFinishedPerResponse = 500
 
-// reason is why a worker rejected a call with 409.
+// reason is the reason for which a worker rejected a call with status 409.
 type reason string
 
 const (
@@ -28,93 +28,93 @@
 	reasonCapacity     reason = "room"
 )
 
-// listRequest is the body of a call for both lists; it may renew the lease, and may wait for a completion.
+// listRequest is the body of a list call. The call may renew the lease and may wait for a completion.
 type listRequest struct {
 	fencingToken uint64
 	lastSeen     uint64
 	waitMS       int64
-	validUntilMS int64 // 0 to grant nothing
+	validUntilMS int64 // 0 to grant no lease
 }
 
-// listRequestBytes is about how long the body of a call for the lists is.
-const listRequestBytes = 128
+// estimatedListRequestBytes is the approximate size of the body of a list call.
+const estimatedListRequestBytes = 128
 
-func (r listRequest) append(to []byte) []byte {
-	to = append(to, `{"fencingToken":`...)
-	to = strconv.AppendUint(to, r.fencingToken, 10)
-	to = append(to, `,"lastSeen":`...)
-	to = strconv.AppendUint(to, r.lastSeen, 10)
-	to = append(to, `,"waitMs":`...)
-	to = strconv.AppendInt(to, r.waitMS, 10)
+func (r listRequest) append(dst []byte) []byte {
+	dst = append(dst, `{"fencingToken":`...)
+	dst = strconv.AppendUint(dst, r.fencingToken, 10)
+	dst = append(dst, `,"lastSeen":`...)
+	dst = strconv.AppendUint(dst, r.lastSeen, 10)
+	dst = append(dst, `,"waitMs":`...)
+	dst = strconv.AppendInt(dst, r.waitMS, 10)
 	if r.validUntilMS != 0 {
-		to = append(to, `,"validUntilMs":`...)
-		to = strconv.AppendInt(to, r.validUntilMS, 10)
+		dst = append(dst, `,"validUntilMs":`...)
+		dst = strconv.AppendInt(dst, r.validUntilMS, 10)
 	}
-	return append(to, '}')
+	return append(dst, '}')
 }
 
-// appendStart writes the body of a start call.
-func appendStart(to []byte, command *StartCommand, validUntilMS int64, fencingToken uint64) []byte {
-	to = append(to, `{"task":"`...)
-	to = appendTask(to, command.Task)
-	to = append(to, `","execution":`...)
-	to = strconv.AppendUint(to, command.AttemptNumber, 10)
-	to = append(to, `,"specification":`...)
-	to = appendText(to, command.Specification)
-	to = append(to, `,"validUntilMs":`...)
-	to = strconv.AppendInt(to, validUntilMS, 10)
-	to = append(to, `,"fencingToken":`...)
-	to = strconv.AppendUint(to, fencingToken, 10)
+// appendStart appends the body of a start call.
+func appendStart(dst []byte, command *StartCommand, validUntilMS int64, fencingToken uint64) []byte {
+	dst = append(dst, `{"task":"`...)
+	dst = appendTaskID(dst, command.Task)
+	dst = append(dst, `","execution":`...)
+	dst = strconv.AppendUint(dst, command.AttemptNumber, 10)
+	dst = append(dst, `,"specification":`...)
+	dst = appendString(dst, command.Specification)
+	dst = append(dst, `,"validUntilMs":`...)
+	dst = strconv.AppendInt(dst, validUntilMS, 10)
+	dst = append(dst, `,"fencingToken":`...)
+	dst = strconv.AppendUint(dst, fencingToken, 10)
 	if command.Checkpoint != "" {
-		to = append(to, `,"checkpointed":`...)
-		to = appendText(to, command.Checkpoint)
+		dst = append(dst, `,"checkpointed":`...)
+		dst = appendString(dst, command.Checkpoint)
 	}
-	return append(to, '}')
+	return append(dst, '}')
 }
 
-// appendStop writes the body of a stop call.
-func appendStop(to []byte, command StopCommand, fencingToken uint64) []byte {
-	to = append(to, `{"task":"`...)
-	to = appendTask(to, command.Task)
-	to = append(to, `","execution":`...)
-	to = strconv.AppendUint(to, command.AttemptNumber, 10)
-	to = append(to, `,"fencingToken":`...)
-	to = strconv.AppendUint(to, fencingToken, 10)
-	return append(to, '}')
+// appendStop appends the body of a stop call.
+func appendStop(dst []byte, command StopCommand, fencingToken uint64) []byte {
+	dst = append(dst, `{"task":"`...)
+	dst = appendTaskID(dst, command.Task)
+	dst = append(dst, `","execution":`...)
+	dst = strconv.AppendUint(dst, command.AttemptNumber, 10)
+	dst = append(dst, `,"fencingToken":`...)
+	dst = strconv.AppendUint(dst, fencingToken, 10)
+	return append(dst, '}')
 }
 
-// appendTask writes a task's name; a valid one needs no escapes.
-func appendTask(to []byte, task job.TaskID) []byte {
-	to = append(to, task.Job...)
-	to = strconv.AppendInt(append(to, '.'), int64(task.Repetition), 10)
-	to = strconv.AppendInt(append(to, '.'), int64(task.Stage), 10)
-	return strconv.AppendInt(append(to, '.'), int64(task.Index), 10)
+// appendTaskID appends a task ID. A valid ID needs no escaping.
+func appendTaskID(dst []byte, task job.TaskID) []byte {
+	dst = append(dst, task.Job...)
+	dst = strconv.AppendInt(append(dst, '.'), int64(task.Repetition), 10)
+	dst = strconv.AppendInt(append(dst, '.'), int64(task.Stage), 10)
+	return strconv.AppendInt(append(dst, '.'), int64(task.Index), 10)
 }
 
 const hexDigits = "0123456789abcdef"
 
-// appendText writes a JSON string that stands for exactly this text.
-func appendText(to []byte, text string) []byte {
-	to = append(to, '"')
-	plain := 0 // where the part that needs no escapes begins
+// appendString appends the text as a JSON string.
+func appendString(dst []byte, text string) []byte {
+	dst = append(dst, '"')
+	unescapedStart := 0 // start of the current run of bytes that need no escaping
 	for i := 0; i < len(text); i++ {
 		c := text[i]
 		if c >= ' ' && c != '"' && c != '\\' {
 			continue
 		}
-		to = append(to, text[plain:i]...)
-		plain = i + 1
+		dst = append(dst, text[unescapedStart:i]...)
+		unescapedStart = i + 1
 		if c == '"' || c == '\\' {
-			to = append(to, '\\', c)
+			dst = append(dst, '\\', c)
 			continue
 		}
-		to = append(to, '\\', 'u', '0', '0', hexDigits[c>>4], hexDigits[c&15])
+		dst = append(dst, '\\', 'u', '0', '0', hexDigits[c>>4], hexDigits[c&15])
 	}
-	to = append(to, text[plain:]...)
-	return append(to, '"')
+	dst = append(dst, text[unescapedStart:]...)
+	return append(dst, '"')
 }
 
-// responseBody is the body of any response. Lists and clock are left out where the worker rejected the call.
+// responseBody is the body of any response. The lists and the clock are missing if the worker rejected the call.
 type responseBody struct {
 	ClockMS  *int64          `json:"clockMs"`
 	Reason   reason          `json:"reason"`
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -13,11 +13,11 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-func TestAppendText(t *testing.T) {
+func TestAppendStringIsReversedByJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
 		var read string
-		if err := json.Unmarshal(appendText(nil, text), &read); err != nil || read != text || !utf8.ValidString(read) {
+		if err := json.Unmarshal(appendString(nil, text), &read); err != nil || read != text || !utf8.ValidString(read) {
 			t.Fatalf("%q became %q: %v", text, read, err)
 		}
 	})
@@ -56,8 +56,8 @@
 				58, job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 9}, 1, job.OutcomeDone, ""})
 		})
 		convey.Convey("a name that cannot be read is marked", func() {
-			convey.So(r.Finished[0].nameErr, convey.ShouldBeNil)
-			convey.So(r.Finished[1].nameErr, convey.ShouldNotBeNil)
+			convey.So(r.Finished[0].taskIDErr, convey.ShouldBeNil)
+			convey.So(r.Finished[1].taskIDErr, convey.ShouldNotBeNil)
 		})
 	})
 	convey.Convey("What is no response of a worker is an error", t, func() {
