--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// cannedServer answers every request on its connections with the same body and does as little as it can besides.
+// newFixedResponseServer starts a server that answers every request with the same body at minimal cost.
 func newFixedResponseServer(b *testing.B, body string) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 type discardEvents struct{ started chan StartOutcome }
 
 func (discardEvents) Listing(Listing)                 {}
-func (n discardEvents) StartResult(r StartResult)     { n.started <- r.Outcome }
+func (e discardEvents) StartResult(r StartResult)     { e.started <- r.Outcome }
 func (discardEvents) StopResult(StopResult)           {}
 func (discardEvents) Gone(Gone)                       {}
 func (discardEvents) Fenced(Fenced)                   {}
@@ -78,7 +78,7 @@
 	}), events
 }
 
-// processorTime is what the whole process has used.
+// processorTime returns the CPU time used by the whole process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -87,7 +87,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// reportProcessorTime adds the time used by the link and by the canned server together.
+// reportProcessorTime reports the CPU time per operation of the link and the server together.
 func reportProcessorTime(b *testing.B, before time.Duration) {
 	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
 }
@@ -121,12 +121,12 @@
 			}
 			body = append(body, `],"finished":[]}`...)
 			link, _ := newBenchmarkLink(b, string(body))
-			client := link.rpc
+			rpc := link.rpc
 			b.ReportAllocs()
 			before := processorTime()
 			for b.Loop() {
 				c := link.beginRenewal()
-				response, err := client.post(context.Background(), client.renewal, c.request.append(nil), unreachablePollTimeout)
+				response, err := rpc.post(context.Background(), rpc.renewal, c.request.append(nil), unreachablePollTimeout)
 				if err != nil || response.status != http.StatusOK {
 					b.Fatal(err, response.status)
 				}
--- a/internal/jobs/workerclient/commandqueue_test.go
+++ b/internal/jobs/workerclient/commandqueue_test.go
@@ -15,12 +15,12 @@
 		first := queuedStop{command: StopCommand{task(1), 1}, due: now.Add(time.Second), backoff: firstStopBackoff}
 		second := queuedStop{command: StopCommand{task(2), 1}, due: now, backoff: firstStopBackoff}
 		q.stops = []queuedStop{first, second}
-		convey.Convey("the one that is due first is taken first", func() {
+		convey.Convey("the stop that is due first is removed first", func() {
 			convey.So(q.removeStop(q.earliestStop()), convey.ShouldResemble, second)
 			convey.So(q.removeStop(q.earliestStop()), convey.ShouldResemble, first)
 			convey.So(q.stops, convey.ShouldBeEmpty)
 		})
-		convey.Convey("one without an answer is due again after its backoff, which doubles up to a limit", func() {
+		convey.Convey("an unanswered stop is due again after its backoff, which doubles up to a limit", func() {
 			stop := q.removeStop(1)
 			for _, backoff := range []time.Duration{firstStopBackoff, 2 * firstStopBackoff, 4 * firstStopBackoff, maxStopBackoff, maxStopBackoff} {
 				q.retryStop(stop, now)
@@ -29,7 +29,7 @@
 			}
 		})
 	})
-	convey.Convey("Commands are answered once none is queued or under way, before any later time", t, func() {
+	convey.Convey("All commands are answered once none is queued or in flight and all results are older", t, func() {
 		var q commandQueue
 		convey.So(q.allAnsweredBefore(now), convey.ShouldBeTrue)
 		q.activeSenders = 1
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -18,7 +18,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// budgetFixture is many workers with a link to each, all within one budget.
+// budgetFixture is a set of workers with a link to each of them, all within one budget.
 type budgetFixture struct {
 	t           *testing.T
 	connections *Connections
@@ -26,13 +26,13 @@
 	workers     []*cluster.Worker
 	links       []*Link
 	events      *recorder
-	maxOpen     atomic.Int64 // connections seen open at once
+	maxOpen     atomic.Int64 // highest observed number of open connections
 	close       func()
 }
 
 const (
 	budgetMaxLease  = 3 * time.Second
-	budgetedTimeout = 2 * time.Second // of a call at least, as the machine may be busy
+	budgetedTimeout = 2 * time.Second // minimum timeout of a call, long because the machine may be busy
 )
 
 func newBudgetFixture(t *testing.T, workers int, limits Limits) *budgetFixture {
@@ -65,7 +65,7 @@
 	return f
 }
 
-// oneByOne passes on the reports of several links.
+// sharedRecorder receives the reports of several links.
 type sharedRecorder struct{ *recorder }
 
 func (f *budgetFixture) observeUsage() {
@@ -86,11 +86,12 @@
 }
 
 func TestWorkersOutnumberingConnectionsShareThem(t *testing.T) {
-	const workers, maxConnections = 40, 9
-	convey.Convey("With far fewer connections than workers", t, func() {
+	const workers = 40
+	const maxConnections = 9
+	convey.Convey("Given far fewer connections than workers", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: maxConnections, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
 		defer f.close()
-		convey.Convey("the leases are renewed by turns, starts are sent and completions are received", func() {
+		convey.Convey("links take turns to renew leases, starts are sent and completions are received", func() {
 			f.awaitEach(func(int, Listing) bool { return true })
 			for i, link := range f.links {
 				link.Start(startCommand(i, 1))
@@ -116,7 +117,7 @@
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
 			convey.So(f.maxOpen.Load(), convey.ShouldBeBetweenOrEqual, maxConnections/2, maxConnections)
-			convey.So(eventsOf[ReachabilityChange](f.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
+			convey.So(eventsOf[ReachabilityChange](f.events), convey.ShouldHaveLength, workers) // each worker became reachable and stayed reachable
 			convey.So(f.connections.Usage().LongPolls, convey.ShouldBeZeroValue)
 		})
 	})
@@ -124,13 +125,13 @@
 
 func TestIdleWorkerUsesOneConnection(t *testing.T) {
 	const workers = 20
-	convey.Convey("Where there are too many workers for a long poll at each, an idle one takes one connection", t, func() {
+	convey.Convey("Given too many workers for a long poll at each of them, an idle worker uses one connection", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
 		defer f.close()
 		began := time.Now()
 		f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
 		convey.So(f.maxOpen.Load(), convey.ShouldEqual, workers)
-		convey.Convey("and there is a long poll at one with an attempt", func() {
+		convey.Convey("and a worker with an attempt has a long poll", func() {
 			f.links[0].Start(startCommand(0, 1))
 			awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
 			for f.connections.Usage().LongPolls != 1 {
@@ -143,7 +144,7 @@
 	})
 }
 
-// awaitState waits until a condition holds for a budget.
+// awaitState waits until a budget meets a condition.
 func awaitState(t *testing.T, c *Connections, condition func(*Connections) bool) {
 	t.Helper()
 	for limit := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
@@ -159,14 +160,14 @@
 	}
 }
 
-// allIdle reports whether each of so many workers has one connection, which no call uses.
+// allIdle returns a condition that is met if each of the workers has exactly one connection, and it is idle.
 func allIdle(workers int) func(*Connections) bool {
 	return func(c *Connections) bool { return len(c.soleIdlePools) == workers }
 }
 
 func TestCommandReusesConnectionOfIdleWorker(t *testing.T) {
 	const workers = 20
-	convey.Convey("Where an idle worker takes one connection", t, func() {
+	convey.Convey("Given workers that use one connection each while idle", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerSecond: math.Inf(1), PollsPerSecond: 1})
 		defer f.close()
 		f.awaitEach(func(_ int, l Listing) bool { return !l.First })
@@ -175,10 +176,10 @@
 			link.Start(startCommand(i, 1))
 		}
 		f.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
-		convey.Convey("a start and the renewal after it share that one", func() {
+		convey.Convey("a start and the renewal after it share that connection", func() {
 			convey.So(f.connections.Usage().TotalOpened, convey.ShouldEqual, workers)
 		})
-		convey.Convey("there is no long poll any more once all completions are acknowledged", func() {
+		convey.Convey("no long poll is sent after all completions are acknowledged", func() {
 			for i, worker := range f.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
@@ -205,29 +206,29 @@
 		virtualtime.Test(t, func(t *testing.T) {
 			const dials = 40
 			c := NewConnections(Limits{Connections: dials, DialsPerSecond: 10, DialBurst: 5})
-			var granted atomic.Int64
+			var admitted atomic.Int64
 			done := make(chan struct{})
 			for i := range dials {
 				l := c.addLink(fmt.Sprint(i))
 				go func() {
 					if l.awaitSlot(done) {
-						granted.Add(1)
+						admitted.Add(1)
 					}
 				}()
 			}
 			synctest.Wait()
-			if n := granted.Load(); n != 6 {
-				t.Errorf("%d at once, expected the first and five more", n)
+			if n := admitted.Load(); n != 6 {
+				t.Errorf("%d calls admitted at once, want 6: the first one and a burst of five", n)
 			}
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if n := granted.Load(); n != 16 {
-				t.Errorf("%d after a second, expected ten more", n)
+			if n := admitted.Load(); n != 16 {
+				t.Errorf("%d calls admitted after a second, want 16", n)
 			}
 			close(done)
 			synctest.Wait()
 			if usage := c.Usage(); usage.Waiting != 0 || usage.Open != 16 {
-				t.Errorf("%+v is left of calls that were given up", usage)
+				t.Errorf("usage after the waiting calls were cancelled: %+v, want 0 waiting and 16 open", usage)
 			}
 		})
 	})
@@ -235,41 +236,41 @@
 
 func TestConnectionSlots(t *testing.T) {
 	never := make(chan struct{})
-	closed := make(chan struct{})
-	close(closed)
+	alreadyClosed := make(chan struct{})
+	close(alreadyClosed)
 	convey.Convey("A budget of two connections", t, func() {
 		c := NewConnections(Limits{Connections: 2, DialsPerSecond: math.Inf(1)})
 		first, second, third := c.addLink("1"), c.addLink("2"), c.addLink("3")
 		convey.So(first.awaitSlot(never), convey.ShouldBeTrue)
 		convey.So(second.awaitSlot(never), convey.ShouldBeTrue)
-		convey.Convey("lets no third call begin", func() {
-			convey.So(third.awaitSlot(closed), convey.ShouldBeFalse)
+		convey.Convey("admits no third call", func() {
+			convey.So(third.awaitSlot(alreadyClosed), convey.ShouldBeFalse)
 			convey.So(c.Usage(), convey.ShouldResemble, Usage{Open: 2, Links: 3})
 		})
-		convey.Convey("reuses the slot of a connection that was not opened", func() {
+		convey.Convey("reuses the slot of a connection that was never opened", func() {
 			first.releaseSlot()
-			convey.So(third.awaitSlot(closed), convey.ShouldBeTrue)
+			convey.So(third.awaitSlot(alreadyClosed), convey.ShouldBeTrue)
 			convey.So(c.Usage().Open, convey.ShouldEqual, 2)
 		})
-		convey.Convey("opens none without a slot", func() {
+		convey.Convey("opens no connection without a slot", func() {
 			c.concurrency = nil
 			_, err := c.dial("3", func() (net.Conn, error) { return nil, io.EOF })
 			convey.So(err, convey.ShouldEqual, errNoConnectionSlot)
 		})
-		convey.Convey("forgets an address that nobody uses", func() {
+		convey.Convey("deletes the pool of an unused address", func() {
 			first.releaseSlot()
 			first.removeLink()
 			convey.So(c.pools, convey.ShouldHaveLength, 2)
 		})
 	})
-	convey.Convey("An idle connection beside another one is closed before the only one of a worker", t, func() {
+	convey.Convey("An idle connection of a worker with two is closed before the only connection of a worker", t, func() {
 		const workers = 40
 		c := NewConnections(Limits{Connections: workers + 1, DialsPerSecond: math.Inf(1)})
 		c.concurrency = nil
 		var pools []*hostPool
 		for i := range workers {
 			l := c.addLink(fmt.Sprint(i))
-			for range 1 + i/(workers-1) { // two for the last
+			for range 1 + i/(workers-1) { // two connections for the last worker
 				convey.So(l.awaitSlot(never), convey.ShouldBeTrue)
 				l.reserved--
 				l.idle = append(l.idle, &connection{Conn: stubConnection{}, pool: l})
@@ -279,13 +280,13 @@
 			}
 			pools = append(pools, l)
 		}
-		another := c.addLink("another")
-		convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
+		newPool := c.addLink("another")
+		convey.So(newPool.awaitSlot(alreadyClosed), convey.ShouldBeTrue)
 		for _, l := range pools {
 			convey.So(l.slots, convey.ShouldEqual, 1)
 		}
-		convey.Convey("which is closed where there is no other", func() {
-			convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
+		convey.Convey("which is closed if there is no other", func() {
+			convey.So(newPool.awaitSlot(alreadyClosed), convey.ShouldBeTrue)
 			convey.So(c.slotsTaken, convey.ShouldEqual, workers+1)
 		})
 	})
@@ -301,7 +302,7 @@
 		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
 		pools = append(pools, c.addLink("one more"))
 		convey.So(pools[0].beginLongPoll(), convey.ShouldBeFalse)
-		convey.Convey("and at all workers while there are few", func() {
+		convey.Convey("and at all workers while there are few workers", func() {
 			for _, l := range pools[10:] {
 				l.removeLink()
 			}
@@ -311,7 +312,7 @@
 	})
 }
 
-// stubConnection is a connection that can be closed and nothing else.
+// stubConnection is a connection that supports only Close.
 type stubConnection struct{ net.Conn }
 
 func (stubConnection) Close() error { return nil }
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -19,12 +19,12 @@
 
 func newBudgetedRPCClient(address string) (*Connections, *rpcClient) {
 	c := NewConnections(Limits{Connections: 2, DialsPerSecond: math.Inf(1)})
-	c.concurrency = nil // the calls of these tests come from outside of a link
+	c.concurrency = nil // these tests make calls without a link, so they do not hold the semaphore
 	return c, newRPCClient(c.HTTPClient(), address, "i-1", func() bool { return true })
 }
 
 func TestConnectionClosedByPeerIsReplaced(t *testing.T) {
-	convey.Convey("A connection that the worker closed while it was idle is replaced before a call is sent on it", t, func() {
+	convey.Convey("An idle connection that the worker has closed is replaced before a call is sent on it", t, func() {
 		closed := make(chan struct{}, 1)
 		server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"clockMs":1}`) }))
 		server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -34,12 +34,12 @@
 		}
 		server.Start()
 		defer server.Close()
-		connections, caller := newBudgetedRPCClient(server.Listener.Addr().String())
+		connections, rpc := newBudgetedRPCClient(server.Listener.Addr().String())
 		defer connections.closeAllIdle()
 		for range 3 {
-			a, err := caller.post(context.Background(), caller.renewal, []byte(`{}`), eventTimeout)
+			response, err := rpc.post(context.Background(), rpc.renewal, []byte(`{}`), eventTimeout)
 			convey.So(err, convey.ShouldBeNil)
-			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
+			convey.So(response.status, convey.ShouldEqual, http.StatusOK)
 			convey.So(connections.Usage().Open, convey.ShouldEqual, 1)
 			server.CloseClientConnections()
 			<-closed
@@ -47,7 +47,7 @@
 	})
 }
 
-// trailingBytesServer answers each call with more than its length announces, and counts its connections.
+// trailingBytesServer sends a second response after the response to each call, and counts its connections.
 func trailingBytesServer(t *testing.T) (address string, accepted *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,30 +85,30 @@
 }
 
 func TestUnsolicitedResponseIsDiscarded(t *testing.T) {
-	convey.Convey("What follows a response is not taken for that of the next call", t, func() {
+	convey.Convey("Data after a response is not read as the response to the next call", t, func() {
 		address, accepted := trailingBytesServer(t)
-		connections, caller := newBudgetedRPCClient(address)
+		connections, rpc := newBudgetedRPCClient(address)
 		defer connections.closeAllIdle()
 		for range 3 {
-			a, err := caller.post(context.Background(), caller.start, []byte(`{}`), eventTimeout)
+			response, err := rpc.post(context.Background(), rpc.start, []byte(`{}`), eventTimeout)
 			convey.So(err, convey.ShouldBeNil)
-			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
+			convey.So(response.status, convey.ShouldEqual, http.StatusOK)
 		}
 		convey.So(accepted.Load(), convey.ShouldEqual, 3)
 	})
 }
 
 func TestCancelledCallMayHaveExecuted(t *testing.T) {
-	convey.Convey("A call that is cancelled after it was sent is unclear, and its connection is not used again", t, func() {
+	convey.Convey("A call that is cancelled after it was sent may have executed, and its connection is not reused", t, func() {
 		arrived, release := make(chan struct{}, 1), make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { arrived <- struct{}{}; <-release }))
 		defer server.Close()
 		defer close(release)
-		connections, caller := newBudgetedRPCClient(server.Listener.Addr().String())
+		connections, rpc := newBudgetedRPCClient(server.Listener.Addr().String())
 		ctx, cancel := context.WithCancel(context.Background())
 		failed := make(chan error, 1)
 		go func() {
-			_, err := caller.post(ctx, caller.start, []byte(`{}`), eventTimeout)
+			_, err := rpc.post(ctx, rpc.start, []byte(`{}`), eventTimeout)
 			failed <- err
 		}()
 		<-arrived
@@ -118,12 +118,12 @@
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		convey.So(connections.Usage().Open, convey.ShouldBeZeroValue)
 	})
-	convey.Convey("One that could not connect was not executed", t, func() {
+	convey.Convey("A call that could not connect was not executed", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		listener.Close()
-		connections, caller := newBudgetedRPCClient(listener.Addr().String())
-		_, err = caller.post(context.Background(), caller.start, []byte(`{}`), eventTimeout)
+		connections, rpc := newBudgetedRPCClient(listener.Addr().String())
+		_, err = rpc.post(context.Background(), rpc.start, []byte(`{}`), eventTimeout)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(connections.Usage().Open, convey.ShouldBeZeroValue)
 	})
@@ -131,7 +131,7 @@
 
 func TestLongPollsDoNotHoldTheSemaphore(t *testing.T) {
 	const workers = 40
-	convey.Convey("Long polls do not hold a place of the semaphore", t, func() {
+	convey.Convey("Long polls do not hold the semaphore", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000, MaxLongPolls: workers})
 		defer f.close()
 		convey.So(cap(f.connections.concurrency), convey.ShouldBeLessThan, workers)
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -22,13 +22,13 @@
 	})
 }
 
-func TestUnresponsiveWorker(t *testing.T) {
+func TestUnresponsiveWorkerGetsNoCommands(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a start without a response is unclear, and nothing is sent until the worker responds", func() {
-			unresponsive, lost := faultWithSignal(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent})
-			f.worker.SetFaults(unresponsive)
-			<-lost // no renewal is under way that will be answered
+		convey.Convey("a start without a response is unclear, and no command is sent until the worker responds", func() {
+			noResponse, renewalLost := faultWithSignal(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent})
+			f.worker.SetFaults(noResponse)
+			<-renewalLost // no renewal in flight will be answered
 			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 			before := time.Now()
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
@@ -37,12 +37,12 @@
 			convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent)
 			leaseEnd := f.worker.LeaseExpiry()
 
-			convey.Convey("polls find it reachable again", func() {
+			convey.Convey("a poll finds it reachable again", func() {
 				f.worker.SetFaults(nil)
 				awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
 				convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 				convey.So(f.worker.Finish(task(2), job.OutcomeDone), convey.ShouldBeNil)
-				awaitEvent(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 }) // of a renewal after the poll
+				awaitEvent(t, f.events, func(l Listing) bool { return len(l.Finished) == 1 }) // from a renewal after the poll
 				convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, leaseEnd)
 			})
 		})
@@ -52,7 +52,7 @@
 func TestLateStartIsUnclearAndListedLater(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a start that is executed late is unclear, and its attempt is listed in the end", func() {
+		convey.Convey("a start that is executed late is unclear, and its attempt is listed later", func() {
 			late := cluster.Fault{Kind: cluster.Late, Delay: 1200 * time.Millisecond}
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, late))
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
@@ -92,7 +92,7 @@
 func TestWorkerThatLeftGetsNoCommands(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a worker that has left gets no command", func() {
+		convey.Convey("a worker that has left gets no commands", func() {
 			f.worker.Leave()
 			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
@@ -103,7 +103,7 @@
 func TestWorkerRefusingRenewalsIsUnreachable(t *testing.T) {
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
-		convey.Convey("a worker that refuses renewals is unreachable until it answers them", func() {
+		convey.Convey("a worker that refuses renewals is unreachable until it accepts them", func() {
 			f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			f.worker.SetFaults(nil)
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -19,17 +19,17 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m, goleak.IgnoreCurrent()) }
 
-// eventTimeout bounds what should come soon.
+// eventTimeout is the timeout for events that are expected soon.
 const eventTimeout = 20 * time.Second
 
-// recorder is an Events that keeps what it receives.
+// recorder is an Events that records all reports.
 type recorder struct {
 	inProgress atomic.Int32
-	concurrent atomic.Bool // two events came at once
+	concurrent atomic.Bool // two events were delivered concurrently
 	onListing  func(Listing)
 
 	mu       sync.Mutex
-	changed  chan struct{} // closed at the next event
+	changed  chan struct{} // closed on the next event
 	received []any
 }
 
@@ -60,7 +60,7 @@
 func (r *recorder) Fenced(e Fenced)                   { r.add(e) }
 func (r *recorder) Reachability(e ReachabilityChange) { r.add(e) }
 
-// eventsOf returns the events of one type so far.
+// eventsOf returns the events of one type recorded so far.
 func eventsOf[T any](r *recorder) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,13 +73,13 @@
 	return found
 }
 
-// await waits for the first event of a type that a condition holds for.
+// awaitEvent waits for the first event of a type that meets the condition.
 func awaitEvent[T any](t testing.TB, r *recorder, condition func(T) bool) T {
 	t.Helper()
 	return awaitEventAfter(t, r, 0, condition)
 }
 
-// awaitAfter skips the first events of the type.
+// awaitEventAfter is like awaitEvent, but skips the given number of events of the type.
 func awaitEventAfter[T any](t testing.TB, r *recorder, skip int, condition func(T) bool) T {
 	t.Helper()
 	limit := time.After(eventTimeout)
@@ -95,24 +95,24 @@
 		select {
 		case <-changed:
 		case <-limit:
-			t.Fatalf("no such %T; received %+v", *new(T), eventsOf[any](r))
+			t.Fatalf("no matching %T; received %+v", *new(T), eventsOf[any](r))
 		}
 	}
 }
 
 func anyEvent[T any](T) bool { return true }
 
-// fixture is a worker with links to it.
+// fixture is a worker with one or more links to it.
 type fixture struct {
 	t                  testing.TB
 	cluster            *cluster.Cluster
 	worker             *cluster.Worker
 	events             *recorder
-	leaderLeaseExpired atomic.Bool // the leader lease is over
-	onFencedOff        func()      // of all links, where set
-	link               *Link       // the newest one
+	leaderLeaseExpired atomic.Bool // the leader lease of all links has expired
+	onFencedOff        func()      // called by FencedOff of all links; may be nil
+	link               *Link       // newest link
 	client             *http.Client
-	minTimeout         time.Duration // the shortest one of a call
+	minTimeout         time.Duration // minimum timeout of a call
 	closers            []func()
 }
 
@@ -122,30 +122,30 @@
 	settings.LeaseMax = testMaxLease
 	config.ID = "i-1"
 	f := &fixture{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
-	f.client, f.minTimeout = NewHTTPClient(), maxCommandTimeout // as the machine may be busy
+	f.client, f.minTimeout = NewHTTPClient(), maxCommandTimeout // long timeouts, as the machine may be busy
 	f.worker = f.cluster.AddWorker(config)
 	f.closers = append(f.closers, f.cluster.Close, f.client.CloseIdleConnections)
 	return f
 }
 
-// newMemoryFixture is for use under synctest. Each call takes the given time to get there.
+// newMemoryFixture returns a fixture with an in-memory network for use under synctest. Each call takes the given delay to arrive.
 func newMemoryFixture(t testing.TB, delay time.Duration) *fixture {
 	f := newFixture(t, cluster.Settings{InMemory: true}, cluster.WorkerConfig{})
 	f.client, f.minTimeout = f.cluster.MemoryClient(delay), 0
 	return f
 }
 
-// close ends everything, the last that was begun first.
+// close runs the closers in reverse order.
 func (f *fixture) close() {
 	for _, closer := range slices.Backward(f.closers) {
 		closer()
 	}
 }
 
-// connect makes a link to the worker under a fencing token and runs it. The function returned waits until Run has returned.
+// connect creates a link to the worker under a fencing token and runs it. The returned function waits until Run has returned.
 func (f *fixture) connect(token uint64) (awaitReturn func()) { return f.connectTo(f.worker, token) }
 
-// connectTo is connect for any worker.
+// connectTo is like connect for any worker.
 func (f *fixture) connectTo(worker *cluster.Worker, token uint64) (awaitReturn func()) {
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
@@ -167,7 +167,7 @@
 		select {
 		case <-returned:
 		case <-time.After(eventTimeout):
-			f.t.Error("Run does not return")
+			f.t.Error("Run has not returned after the link was closed")
 		}
 	}
 	f.closers = append(f.closers, awaitReturn, link.Close)
@@ -183,7 +183,7 @@
 	return result.Outcome
 }
 
-// signalled is a fault that signals each call that it happens to.
+// faultWithSignal returns a fault on calls of one kind, and a channel that receives a value for each such call.
 func faultWithSignal(kind cluster.Call, fault cluster.Fault) (decide func(cluster.Call) cluster.Fault, happened chan struct{}) {
 	happened = make(chan struct{}, 1000)
 	return func(call cluster.Call) cluster.Fault {
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
-// usualResponseTime is more than a calm worker takes to respond, and far less than any time-out.
+// hedgedResponseTime is an upper bound of the response time of a hedged call. It is far below any timeout.
 const hedgedResponseTime = hedgeMargin + 50*time.Millisecond
 
 func TestPollWithoutResponseIsHedged(t *testing.T) {
@@ -22,8 +22,8 @@
 		stopped := awaitEvent(t, f.events, anyEvent[StopResult])
 		poll := awaitEvent(t, f.events, isOutOfBand)
 		convey.So(time.Since(stopped.At), convey.ShouldBeLessThan, hedgedResponseTime)
-		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)      // of the request that was answered
-		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not of its response
+		convey.So(poll.SentAt.Sub(stopped.At), convey.ShouldBeGreaterThan, hedgeMargin)      // send time of the answered request
+		convey.So(time.Since(poll.SentAt), convey.ShouldBeGreaterThanOrEqualTo, oneWayDelay) // and not the time of its response
 		after := f.link.Counts()
 		convey.So(after.Polls-before.Polls, convey.ShouldEqual, 1)
 		convey.So(after.HedgedRequests-before.HedgedRequests, convey.ShouldEqual, 1)
@@ -39,7 +39,7 @@
 		convey.So(awaitEvent(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
 		convey.So(time.Since(commandedAt), convey.ShouldBeLessThan, hedgedResponseTime)
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
-		time.Sleep(6 * time.Second) // the first one is executed, too
+		time.Sleep(6 * time.Second) // until the first request is executed, too
 		convey.So(f.start(startCommand(0, 2)), convey.ShouldEqual, Started)
 		convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 2)
 	})
@@ -59,20 +59,20 @@
 func TestStartTimeoutShrinksWhenManyStartsAreLost(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.worker.SetFaults(firstCalls(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
-		took := func(index int) time.Duration {
+		timeToUnclear := func(index int) time.Duration {
 			commandedAt := time.Now()
 			convey.So(f.start(startCommand(index, 1)), convey.ShouldEqual, Unclear)
 			return time.Since(commandedAt)
 		}
-		convey.So(took(1), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
-		convey.So(took(2), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
-		convey.So(took(3), convey.ShouldBeLessThan, minCommandTimeout/2)
+		convey.So(timeToUnclear(1), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
+		convey.So(timeToUnclear(2), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
+		convey.So(timeToUnclear(3), convey.ShouldBeLessThan, minCommandTimeout/2)
 		for i := range 10 {
 			convey.So(f.start(startCommand(4+i, 1)), convey.ShouldEqual, Started)
 		}
 		f.worker.SetFaults(firstCalls(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
-		convey.So(took(20), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
-		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each one once
+		convey.So(timeToUnclear(20), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
+		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each start is sent once
 	})
 }
 
@@ -94,11 +94,11 @@
 		for i := range 3 * maxCommandsInFlight {
 			f.link.Stop(StopCommand{task(i), 1})
 		}
-		time.Sleep(minCommandTimeout - time.Millisecond) // before the first ones time out
+		time.Sleep(minCommandTimeout - time.Millisecond) // before the first calls time out
 		synctest.Wait()
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, maxCommandsInFlight+maxHedgedRequests)
 		convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, maxConnectionsPerWorker)
-		f.link.Close() // cancels the hedged requests, too: Run returns
+		f.link.Close() // also cancels the hedged requests, so that Run returns
 	})
 }
 
@@ -111,7 +111,7 @@
 			}
 			calls++
 			switch calls {
-			case 1: // answered after the hedged request has failed
+			case 1: // is answered after the hedged request has failed
 				return cluster.Fault{Kind: cluster.Slow, Delay: 2 * responseTimeoutMargin}
 			default:
 				return cluster.Fault{Kind: cluster.Reset}
@@ -126,19 +126,19 @@
 }
 
 func TestHedgesDoNotWaitForAConnection(t *testing.T) {
-	convey.Convey("Given a budget of one connection that is in use", t, func() {
+	convey.Convey("Given a budget of one connection, which is in use", t, func() {
 		connections := NewConnections(Limits{Connections: 1, DialsPerSecond: 100, DialBurst: 10})
 		busy, other := connections.addLink("a"), connections.addLink("b")
 		convey.So(busy.acquire(nil), convey.ShouldBeTrue)
 		convey.So(other.tryAcquire(), convey.ShouldBeFalse)
 		convey.So(busy.tryAcquire(), convey.ShouldBeFalse)
 		convey.So(connections.Usage().Waiting, convey.ShouldEqual, 0)
-		convey.Convey("it is taken once it is free", func() {
+		convey.Convey("tryAcquire succeeds once it is free", func() {
 			busy.release()
 			convey.So(other.tryAcquire(), convey.ShouldBeTrue)
 			other.release()
 		})
-		convey.Convey("whoever waits for it goes first", func() {
+		convey.Convey("a waiting call is admitted first", func() {
 			done := make(chan struct{})
 			begun := make(chan bool)
 			go func() { begun <- other.acquire(done) }()
--- a/internal/jobs/workerclient/leaderlease_test.go
+++ b/internal/jobs/workerclient/leaderlease_test.go
@@ -10,24 +10,26 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// The leader lease may expire while a renewal is under way, so that the renewal loop has not noticed: each command checks it.
+// The leader lease may expire while a renewal is in flight, so that the renewal loop has not detected the expiry. Each command must
+// check the lease itself.
 func TestNoCommandIsSentAfterLeaderLeaseExpiry(t *testing.T) {
-	const delay, observationTime = time.Millisecond, 300 * time.Millisecond // shorter than a renewal, longer than a command
+	const delay = time.Millisecond
+	const observationTime = 300 * time.Millisecond // shorter than a renewal, longer than a command
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newMemoryFixture(t, delay)
 		defer f.close()
 		f.connect(1)
-		convey.Convey("Given a worker with a lease, so that commands are sent at once", t, func() {
+		convey.Convey("Given a worker with a valid lease", t, func() {
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 		})
-		convey.Convey("a start after the leader lease is not sent, and certainly not executed", t, func() {
+		convey.Convey("a start after the expiry of the leader lease is not sent", t, func() {
 			f.leaderLeaseExpired.Store(true)
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
 			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
 			convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 1)
 			f.leaderLeaseExpired.Store(false)
 		})
-		convey.Convey("a stop after the leader lease waits until it is valid again", t, func() {
+		convey.Convey("a stop after the expiry of the leader lease is sent once the lease is valid again", t, func() {
 			convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 			f.leaderLeaseExpired.Store(true)
 			f.link.Stop(StopCommand{task(2), 1})
@@ -39,8 +41,8 @@
 	})
 }
 
-// fencedLeader is a leader with links to two workers under one token, of which the first worker has seen a higher one. Its process
-// did nothing meanwhile, so that its commands are still queued, and believes on waking that its lease holds.
+// pausedLeader is a leader with links to two workers under one fencing token. The first worker has seen a higher token. The leader's
+// process was paused meanwhile: its commands are still queued, and when it resumes it assumes that its lease is valid.
 type pausedLeader struct {
 	*fixture
 	second     *cluster.Worker
@@ -49,7 +51,7 @@
 
 const queuedCommands = 30
 
-// newFencedLeader lets a leader's process wake up late.
+// newPausedLeader returns a leader that has queued commands and an invalid lease, as if its process was paused.
 func newPausedLeader(t *testing.T, delay time.Duration) *pausedLeader {
 	t.Helper()
 	f := newMemoryFixture(t, delay)
@@ -69,7 +71,7 @@
 	return l
 }
 
-// raise lets another leader use a higher token at the first worker.
+// raiseFencingToken makes the first worker see the higher token of another leader.
 func (l *pausedLeader) raiseFencingToken() {
 	successor := NewLink(Config{
 		Instance: Instance{ID: WorkerID(l.worker.ID()), Address: l.worker.Address()}, FencingToken: 9, MaxLease: testMaxLease,
@@ -82,7 +84,7 @@
 	<-returned
 }
 
-// calls counts the calls that both workers have got.
+// calls returns the number of calls that both workers have received.
 func (l *pausedLeader) calls() int {
 	total := 0
 	for _, kind := range []cluster.Call{cluster.StartCall, cluster.StopCall, cluster.LeaseCall} {
@@ -91,8 +93,8 @@
 	return total
 }
 
-// wakeUp lets the leader's process go on, and returns how many calls came once the first refusal had been received and what was under
-// way had arrived.
+// resume resumes the leader's process. It returns the number of calls that arrived after the leader had received the first rejection and
+// the calls in flight had arrived.
 func (l *pausedLeader) resume(delay time.Duration) (callsAfterRejection int) {
 	fencedOff := make(chan struct{}, 1000)
 	l.onFencedOff = func() {
@@ -107,7 +109,7 @@
 	select {
 	case <-fencedOff:
 	case <-time.After(eventTimeout):
-		l.t.Error("no refusal was received")
+		l.t.Error("the leader received no rejection")
 	}
 	<-time.After(2 * delay)
 	before := l.calls()
@@ -115,8 +117,8 @@
 	return l.calls() - before
 }
 
-// A refusal on account of a higher token ends all calls under the lower one, at every worker: renewals, polls, queued and repeated
-// commands, and hedged requests.
+// A rejection because of a higher fencing token must stop all calls under the lower token, at every worker: renewals, polls, queued and
+// retried commands, and hedged requests.
 func TestFencingRejectionStopsAllCallsOfTheLeader(t *testing.T) {
 	const delay = time.Millisecond
 	cases := []struct {
@@ -124,14 +126,14 @@
 		delay   time.Duration
 		prepare func(l *pausedLeader, release chan struct{})
 	}{
-		{"a process that wakes up", delay, func(*pausedLeader, chan struct{}) {}},
+		{"a process that resumes", delay, func(*pausedLeader, chan struct{}) {}},
 		{"a process and a network eight times as slow", 8 * delay, func(*pausedLeader, chan struct{}) {}},
-		{"reports that wait, as nobody takes them", delay, func(l *pausedLeader, release chan struct{}) {
+		{"reports whose delivery blocks", delay, func(l *pausedLeader, release chan struct{}) {
 			l.events.mu.Lock()
 			defer l.events.mu.Unlock()
 			l.events.onListing = func(Listing) { <-release }
 		}},
-		{"a refusal whose response is lost", delay, func(l *pausedLeader, _ chan struct{}) {
+		{"a rejection whose response is lost", delay, func(l *pausedLeader, _ chan struct{}) {
 			lost := 0
 			l.worker.SetFaults(func(cluster.Call) cluster.Fault {
 				if lost++; lost > 3 {
@@ -150,7 +152,7 @@
 			testCase.prepare(l, release)
 			callsAfterRejection := l.resume(testCase.delay)
 			close(release)
-			convey.Convey("No call is sent after the refusal was received: "+testCase.name, t, func() {
+			convey.Convey("No call is sent after the rejection was received: "+testCase.name, t, func() {
 				convey.So(callsAfterRejection, convey.ShouldEqual, 0)
 				convey.So(l.leaderLeaseExpired.Load(), convey.ShouldBeTrue)
 			})
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -11,23 +11,23 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-var errNoResponse = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// simulation is a link without a network: what becomes of its calls is drawn at random.
+// simulation is a link without a network. The outcomes of its calls are drawn at random.
 type simulation struct {
 	t             *rapid.T
 	link          *Link
 	now           time.Time
-	epoch         time.Time     // when the worker's clock showed its first reading
-	firstReading  time.Duration // that reading
+	epoch         time.Time     // local time of the first reading of the worker's clock
+	firstReading  time.Duration // value of that reading
 	clockRate     float64
-	leasesExpired time.Time // when all grants sent so far have expired, whatever is still to become of their calls
+	leasesExpired time.Time // expiry of all grants sent so far, including those whose calls have not ended
 	calls         []callInFlight
 }
 
-// callInFlight is a call whose outcome is known to the simulation only.
+// callInFlight is a call whose outcome is drawn, but not yet known to the link.
 type callInFlight struct {
-	due       time.Time // when the link learns of its end
+	endsAt    time.Time // time at which the call ends for the link
 	handleEnd func(received time.Time)
 }
 
@@ -50,45 +50,46 @@
 	return time.Duration(rapid.Int64Range(0, int64(limit)).Draw(s.t, label))
 }
 
-// executed records a grant that takes effect at a time; it may count from then on instead of from when it was sent.
-func (s *simulation) recordExecution(validUntil time.Duration, sent, at time.Time, fromArrival bool) {
+// recordExecution records that the worker executes a call with a grant. If fromArrival is true, the duration of the grant counts from
+// the execution instead of from the sending.
+func (s *simulation) recordExecution(validUntil time.Duration, sentAt, executedAt time.Time, fromArrival bool) {
 	if fromArrival {
-		validUntil += s.workerClock(at) - s.workerClock(sent)
+		validUntil += s.workerClock(executedAt) - s.workerClock(sentAt)
 	}
-	validUntil = min(validUntil, s.workerClock(at)+testMaxLease)
-	if validUntil <= s.workerClock(at) {
+	validUntil = min(validUntil, s.workerClock(executedAt)+testMaxLease)
+	if validUntil <= s.workerClock(executedAt) {
 		return
 	}
-	local := time.Duration(float64(validUntil-s.workerClock(at)) / s.clockRate)
-	s.leasesExpired = later(s.leasesExpired, at.Add(local))
+	local := time.Duration(float64(validUntil-s.workerClock(executedAt)) / s.clockRate)
+	s.leasesExpired = later(s.leasesExpired, executedAt.Add(local))
 }
 
-// send decides what becomes of a call: validUntil is 0 where it carries no grant.
-func (s *simulation) send(validUntil, wait, timeout time.Duration, handleEnd func(a workerResponse, err error, received time.Time)) {
-	sent := s.now
-	if validUntil > s.workerClock(sent)+testMaxLease {
-		s.t.Fatalf("grant reaches %v beyond the longest lease", validUntil-s.workerClock(sent)-testMaxLease)
+// send draws the outcome of a call. validUntil is 0 if the call grants no lease.
+func (s *simulation) send(validUntil, wait, timeout time.Duration, handleEnd func(response workerResponse, err error, received time.Time)) {
+	sentAt := s.now
+	if validUntil > s.workerClock(sentAt)+testMaxLease {
+		s.t.Fatalf("grant exceeds the maximum lease by %v", validUntil-s.workerClock(sentAt)-testMaxLease)
 	}
 	if rapid.IntRange(0, 3).Draw(s.t, "lost or late") == 0 {
-		if rapid.Bool().Draw(s.t, "given up early") {
-			timeout = s.drawDuration(timeout, "time-out")
+		if rapid.Bool().Draw(s.t, "abandoned early") {
+			timeout = s.drawDuration(timeout, "timeout")
 		}
-		left := sent.Add(s.drawDuration(timeout, "way there"))
+		departedAt := sentAt.Add(s.drawDuration(timeout, "send delay"))
 		if validUntil != 0 && rapid.Bool().Draw(s.t, "late") {
-			at := left.Add(s.drawDuration(maxLateExecution, "delay"))
-			s.recordExecution(validUntil, left, at, rapid.Bool().Draw(s.t, "from arrival"))
+			executedAt := departedAt.Add(s.drawDuration(maxLateExecution, "execution delay"))
+			s.recordExecution(validUntil, departedAt, executedAt, rapid.Bool().Draw(s.t, "from arrival"))
 		}
-		s.calls = append(s.calls, callInFlight{sent.Add(timeout), func(received time.Time) {
+		s.calls = append(s.calls, callInFlight{sentAt.Add(timeout), func(received time.Time) {
 			handleEnd(workerResponse{}, rpcerror.WrapMayHaveExecuted(errNoResponse), received)
 		}})
 		return
 	}
-	left := sent.Add(s.drawDuration(timeout, "way there"))
+	arrivedAt := sentAt.Add(s.drawDuration(timeout, "request delay"))
 	if validUntil != 0 {
-		s.recordExecution(validUntil, sent, left, false)
+		s.recordExecution(validUntil, sentAt, arrivedAt, false)
 	}
-	readAt := left.Add(s.drawDuration(wait, "wait"))
-	received := readAt.Add(s.drawDuration(100*time.Millisecond, "way back"))
+	readAt := arrivedAt.Add(s.drawDuration(wait, "wait"))
+	received := readAt.Add(s.drawDuration(100*time.Millisecond, "response delay"))
 	clockMS := s.workerClock(readAt).Milliseconds()
 	s.calls = append(s.calls, callInFlight{received, func(received time.Time) {
 		handleEnd(workerResponse{http.StatusOK, responseBody{ClockMS: &clockMS}}, nil, received)
@@ -98,9 +99,9 @@
 func (s *simulation) renew() {
 	c := s.link.beginRenewal()
 	wait := time.Duration(c.request.waitMS) * time.Millisecond
-	s.send(c.validUntil, wait, c.timeout, func(a workerResponse, err error, received time.Time) {
-		s.link.handleListResponse(c, a, err, received)
-		if err != nil && rapid.Bool().Draw(s.t, "no look is answered instead") {
+	s.send(c.validUntil, wait, c.timeout, func(response workerResponse, err error, received time.Time) {
+		s.link.handleListResponse(c, response, err, received)
+		if err != nil && rapid.Bool().Draw(s.t, "no poll is answered instead") {
 			s.link.setReachability(unreachable)
 		} else {
 			s.link.activity.listed = s.link.activity.listed || err == nil
@@ -110,11 +111,11 @@
 	})
 }
 
-// poll makes a call for the lists beside the renewal.
+// poll sends an out-of-band poll.
 func (s *simulation) poll() {
 	c := s.link.beginPoll(s.link.rtt.pollTimeout())
-	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
-		s.link.handleListResponse(c, a, err, received)
+	s.send(c.validUntil, 0, c.timeout, func(response workerResponse, err error, received time.Time) {
+		s.link.handleListResponse(c, response, err, received)
 	})
 }
 
@@ -123,21 +124,21 @@
 		return
 	}
 	if s.workerClock(s.now)+s.link.timings.minRemainingLease > s.link.lease.confirmed.validUntil {
-		s.t.Fatal("the lease of a start is too short")
+		s.t.Fatal("a start would be sent with too short a lease")
 	}
 	c := s.link.beginStart()
-	s.send(c.validUntil, 0, c.timeout, func(a workerResponse, err error, received time.Time) {
-		s.link.handleStartResponse(c, a, err, received)
+	s.send(c.validUntil, 0, c.timeout, func(response workerResponse, err error, received time.Time) {
+		s.link.handleStartResponse(c, response, err, received)
 	})
 }
 
-// advance moves the time to the next end of a call, or by the given time if there is none before.
+// advance moves the time forward by the given duration. Calls that end meanwhile are ended at their time, in order.
 func (s *simulation) advance(by time.Duration) {
 	end := s.now.Add(by)
 	for {
 		next := -1
-		for i, f := range s.calls {
-			if !f.due.After(end) && (next < 0 || f.due.Before(s.calls[next].due)) {
+		for i, call := range s.calls {
+			if !call.endsAt.After(end) && (next < 0 || call.endsAt.Before(s.calls[next].endsAt)) {
 				next = i
 			}
 		}
@@ -145,10 +146,10 @@
 			s.now = end
 			return
 		}
-		f := s.calls[next]
+		call := s.calls[next]
 		s.calls = append(s.calls[:next], s.calls[next+1:]...)
-		s.now = f.due
-		f.handleEnd(f.due)
+		s.now = call.endsAt
+		call.handleEnd(call.endsAt)
 		s.check()
 	}
 }
@@ -162,7 +163,7 @@
 	}
 	clock := s.workerClock(s.now)
 	if low, high := s.link.lease.clock.lowest(s.now), s.link.lease.clock.highest(s.now); low > clock || clock > high {
-		s.t.Fatalf("clock shows %v, bounds are %v and %v", clock, low, high)
+		s.t.Fatalf("worker clock is %v, outside of its bounds %v and %v", clock, low, high)
 	}
 }
 
@@ -175,7 +176,7 @@
 			if rapid.Bool().Draw(t, "start") {
 				s.start()
 			}
-			if rapid.Bool().Draw(t, "look") {
+			if rapid.Bool().Draw(t, "poll") {
 				s.poll()
 			}
 			s.check()
@@ -192,8 +193,8 @@
 		clock.observe(sent, received, 70_000)
 		g := grants.begin(clock.maxTimeUntil(76*time.Second, sent), sent, maxCommandTimeout)
 		grants.answered(g, received, clock.maxTimeUntil(76*time.Second, received))
-		if most := received.Add(6200 * time.Millisecond); grants.expiredBy().After(most) {
-			t.Fatalf("an answered grant of 6 s counts for %v", grants.expiredBy().Sub(received))
+		if limit := received.Add(6200 * time.Millisecond); grants.expiredBy().After(limit) {
+			t.Fatalf("an answered grant of 6 s expires after %v", grants.expiredBy().Sub(received))
 		}
 	})
 }
@@ -202,6 +203,6 @@
 	var grants leaseGrants
 	grants.notExecuted(grants.begin(time.Second, time.Unix(50, 0), maxCommandTimeout))
 	if !grants.expiredBy().IsZero() {
-		t.Fatalf("expires by %v", grants.expiredBy())
+		t.Fatalf("a grant whose call was not executed expires by %v", grants.expiredBy())
 	}
 }
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// needsCores is a cluster whose tasks need one core each, or more by their index.
+// coresPerTask returns cluster settings in which a task with index i needs i+1 cores.
 func coresPerTask() cluster.Settings {
 	return cluster.Settings{Describe: func(task job.TaskID, _ string) cluster.Profile {
 		return cluster.Profile{Resources: job.Resources{Processors: int64(1000 * (1 + task.Index))}, Checkpoints: true}
@@ -21,33 +21,33 @@
 
 func TestStartOutcomes(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Given a worker of four cores that guards its capacity", t, func() {
+	convey.Convey("Given a worker with four cores that enforces its capacity", t, func() {
 		f := newFixture(t, coresPerTask(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
 		convey.Reset(f.close)
 		awaitReturn := f.connect(7)
 		first := awaitEvent(t, f.events, anyEvent[Listing])
 		convey.So(first.First, convey.ShouldBeTrue)
 
-		convey.Convey("a start is answered, also when the attempt is there already", func() {
+		convey.Convey("a start is answered, also if the worker has the attempt already", func() {
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 1)
 			convey.So(f.cluster.Runs()[0].FencingToken, convey.ShouldEqual, 7)
 		})
-		convey.Convey("what does not fit is rejected", func() {
+		convey.Convey("a task that exceeds the capacity is rejected", func() {
 			convey.So(f.start(startCommand(4, 1)), convey.ShouldEqual, RejectedCapacity)
 		})
-		convey.Convey("an attempt that was stopped before it came is rejected as stale", func() {
+		convey.Convey("an attempt that was stopped before its start arrived is rejected as stale", func() {
 			f.link.Stop(StopCommand{task(1), 3})
 			stopped := awaitEvent(t, f.events, anyEvent[StopResult])
 			convey.So(stopped.Answered, convey.ShouldBeTrue)
 			convey.So(f.start(startCommand(1, 3)), convey.ShouldEqual, RejectedStaleAttempt)
 			convey.So(f.start(startCommand(1, 4)), convey.ShouldEqual, Started)
 		})
-		convey.Convey("a command that the worker cannot read is invalid", func() {
+		convey.Convey("a command that the worker cannot parse is invalid", func() {
 			convey.So(f.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
-		convey.Convey("an unhealthy worker executed nothing", func() {
+		convey.Convey("an unhealthy worker executes nothing", func() {
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
@@ -58,7 +58,7 @@
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 500}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
 		})
-		convey.Convey("a start that never leaves is not sent", func() {
+		convey.Convey("a start without a valid leader lease is not sent", func() {
 			f.leaderLeaseExpired.Store(true)
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 0)
@@ -94,7 +94,7 @@
 
 func TestResponseOutcomes(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Every response to a start has its outcome", t, func() {
+	convey.Convey("Every response to a start has an outcome", t, func() {
 		conflict := func(why reason) workerResponse { return workerResponse{http.StatusConflict, responseBody{Reason: why}} }
 		convey.So(responseOutcome(conflict(reasonLeaseExpired)), convey.ShouldEqual, RejectedLeaseExpired)
 		convey.So(responseOutcome(conflict(reasonFencingToken)), convey.ShouldEqual, RejectedFencingToken)
@@ -107,7 +107,7 @@
 
 func TestListingsReportAttemptsAndCompletions(t *testing.T) {
 	t.Parallel()
-	convey.Convey("Given attempts at a worker", t, func() {
+	convey.Convey("Given attempts on a worker", t, func() {
 		f := newFixture(t, coresPerTask(), cluster.WorkerConfig{})
 		convey.Reset(f.close)
 		f.connect(1)
@@ -121,7 +121,7 @@
 			convey.So(record.Specification, convey.ShouldEqual, text)
 			convey.So(record.Checkpoint, convey.ShouldEqual, "00000bb8")
 		})
-		convey.Convey("they are listed, and a completion is listed at once", func() {
+		convey.Convey("attempts are listed, and a completion is listed at once", func() {
 			both := awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(both.Running[0].Task, convey.ShouldEqual, task(0))
 			convey.So(both.Running[1].AttemptNumber, convey.ShouldEqual, 5)
@@ -132,7 +132,7 @@
 			convey.So(listed.Finished[0].Outcome, convey.ShouldEqual, job.OutcomeFailed)
 			convey.So(listed.Partial, convey.ShouldBeFalse)
 
-			convey.Convey("again and again until it is acknowledged", func() {
+			convey.Convey("repeatedly until it is acknowledged", func() {
 				seen := len(eventsOf[Listing](f.events))
 				awaitEventAfter(t, f.events, seen, func(l Listing) bool { return len(l.Finished) == 1 })
 				f.link.Acknowledge(1)
@@ -142,7 +142,7 @@
 				convey.So(f.cluster.Runs()[1].Acknowledged, convey.ShouldBeTrue)
 			})
 		})
-		convey.Convey("listings come in the order in which they were requested, but for polls, and one event at a time", func() {
+		convey.Convey("listings other than those of polls arrive in the order of their requests, and events arrive one at a time", func() {
 			for range 3 {
 				awaitEvent(t, f.events, anyEvent[Listing])
 				f.link.Stop(StopCommand{task(0), 1})
@@ -205,7 +205,7 @@
 	convey.Convey("Given a link to an idle worker", t, func() {
 		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
 		convey.Reset(f.close)
-		convey.Convey("nothing is granted before the first listing, and then the lease is renewed", func() {
+		convey.Convey("no lease is granted before the first listing, and then the lease is renewed", func() {
 			f.connect(1)
 			awaitEvent(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
@@ -214,20 +214,20 @@
 			convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, granted)
 			convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenOnOrAfter, f.worker.LeaseExpiry())
 		})
-		convey.Convey("one connection is made for renewals and few for commands", func() {
+		convey.Convey("one connection is opened for renewals and few for commands", func() {
 			f.connect(1)
 			for i := range 50 {
 				convey.So(f.start(startCommand(i, 1)), convey.ShouldEqual, Started)
 			}
 			convey.So(f.worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
-		convey.Convey("a start that waits for a lease is given back when the leader lease ends before", func() {
+		convey.Convey("a start that waits for a lease is not sent if the leader lease expires before", func() {
 			f.events.onListing = func(Listing) { f.leaderLeaseExpired.Store(true) }
 			f.connect(1)
 			awaitEvent(t, f.events, anyEvent[Listing])
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, NotSent)
 		})
-		convey.Convey("without a leader lease nothing is sent at all", func() {
+		convey.Convey("without a leader lease no call is sent", func() {
 			f.leaderLeaseExpired.Store(true)
 			awaitReturn := f.connect(1)
 			f.link.Start(startCommand(0, 1))
--- a/internal/jobs/workerclient/permit_test.go
+++ b/internal/jobs/workerclient/permit_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// slowDial is a client whose connections wait until they are released.
+// newSlowDialClient returns a client whose dials signal on dialling and then block until release.
 func newSlowDialClient(dialling chan<- struct{}, release <-chan struct{}) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxConnsPerHost: 1,
@@ -27,7 +27,7 @@
 }
 
 func TestCallWaitingForConnectionIsNotSentAfterLeaderLeaseExpiry(t *testing.T) {
-	Convey("Given a worker that is connected to slowly", t, func() {
+	Convey("Given a worker to which dialling is slow", t, func() {
 		var calls, leaseExpired atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			calls.Add(1)
@@ -44,7 +44,7 @@
 			return err
 		}
 
-		Convey("a call is not sent if the leader lease ends meanwhile, on a new connection or a used one", func() {
+		Convey("a call is not sent if the leader lease expires during the dial, on a new or reused connection", func() {
 			failures := make(chan error, 1)
 			go func() { failures <- post() }()
 			<-dialling
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -14,7 +14,7 @@
 
 const oneWayDelay = 3 * time.Millisecond
 
-// simulate runs a test in virtual time with a link whose worker runs task 0 and has received the first long poll.
+// runWithTask runs a test in virtual time, with a link whose worker runs task 0 and has received a long poll.
 func runWithTask(t *testing.T, delay time.Duration, test func(t *testing.T, f *fixture)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newMemoryFixture(t, delay)
@@ -22,14 +22,14 @@
 		f.connect(1)
 		convey.Convey("Given a worker that runs a task", t, func() {
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
-			time.Sleep(time.Second) // until the round trips are known
+			time.Sleep(time.Second) // until round trips have been measured
 			f.awaitRenewal()
 			test(t, f)
 		})
 	})
 }
 
-// awaitRenewal waits until a renewal is under way that was sent after this call.
+// awaitRenewal waits until a renewal that was sent after this call is in flight.
 func (f *fixture) awaitRenewal() {
 	calls := f.worker.Calls(cluster.LeaseCall)
 	for f.worker.Calls(cluster.LeaseCall) == calls {
@@ -47,7 +47,7 @@
 	}
 }
 
-// every has a fault on the calls of a kind whose number, counted from the next one, is a multiple.
+// everyNth returns a fault on every nth call of a kind.
 func everyNth(n int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
 	count := 0
 	return func(call cluster.Call) cluster.Fault {
@@ -62,7 +62,7 @@
 	}
 }
 
-// firstReading has a fault on the next calls of a kind.
+// firstCalls returns a fault on the next calls of a kind.
 func firstCalls(calls int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
 	return func(call cluster.Call) cluster.Fault {
 		if call != kind || calls == 0 {
@@ -96,7 +96,7 @@
 		synctest.Wait()
 		convey.So(f.link.LeasesExpiredBy(), convey.ShouldHappenAfter, abandoned.Add(maxLateExecution+testMaxLease-2*time.Second))
 
-		f.awaitRenewal() // the next one follows at once
+		f.awaitRenewal() // the next renewal follows at once
 		convey.So(time.Since(abandoned), convey.ShouldBeLessThan, 10*time.Millisecond)
 		convey.So(f.worker.LeaseExpiry(), convey.ShouldHappenAfter, abandoned.Add(testMaxLease-100*time.Millisecond))
 		convey.So(f.worker.Finish(task(0), job.OutcomeDone), convey.ShouldBeNil)
@@ -155,14 +155,14 @@
 		convey.So(poll.SentAt, convey.ShouldHappenAfter, result.At)
 		convey.So(poll.Running, convey.ShouldHaveLength, 1)
 		convey.So(poll.Stale, convey.ShouldBeFalse)
-		convey.So(f.link.Counts().Renewals, convey.ShouldEqual, renewals) // the renewal goes on meanwhile
+		convey.So(f.link.Counts().Renewals, convey.ShouldEqual, renewals) // the renewal stays in flight meanwhile
 		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, Started)
 
 		renewal := awaitEvent(t, f.events, func(l Listing) bool {
 			return !l.OutOfBand && l.SentAt.After(sent.Add(-longPollWait)) && len(l.Running) == 2
 		})
 		convey.So(renewal.SentAt, convey.ShouldHappenBefore, poll.SentAt)
-		convey.So(renewal.Stale, convey.ShouldBeFalse) // it was answered later
+		convey.So(renewal.Stale, convey.ShouldBeFalse) // it was answered later than the poll
 		convey.So(reportedUnreachable(f), convey.ShouldBeFalse)
 	})
 }
@@ -174,10 +174,10 @@
 		unresponsive := time.Now()
 		starts := f.worker.Calls(cluster.StartCall)
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
-		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // waited for the response to a poll
+		convey.So(f.start(startCommand(2, 1)), convey.ShouldEqual, NotSent) // was held back until a poll is answered
 		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
 		convey.So(reportedUnreachable(f), convey.ShouldBeTrue)
-		polls := minCommandTimeout + 2*minPollTimeout // those after the start
+		polls := minCommandTimeout + 2*minPollTimeout // the polls after the start
 		convey.So(time.Since(unresponsive), convey.ShouldBeLessThan, polls+10*time.Millisecond)
 		f.worker.SetFaults(nil)
 		awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable }) // the renewal was cancelled
@@ -257,7 +257,7 @@
 		for _, listing := range eventsOf[Listing](f.events)[listings:] {
 			convey.So(listing.Finished, convey.ShouldBeEmpty)
 		}
-		awaitEventAfter(t, f.events, listings, func(l Listing) bool { return len(l.Finished) == 5 }) // again in the end
+		awaitEventAfter(t, f.events, listings, func(l Listing) bool { return len(l.Finished) == 5 }) // delivered again after redeliveryAge
 		f.link.Acknowledge(5)
 		time.Sleep(time.Second)
 		convey.So(f.cluster.Runs()[4].Acknowledged, convey.ShouldBeTrue)
@@ -265,7 +265,8 @@
 }
 
 func TestResponsiveWorkerGetsOneRenewalPerSecond(t *testing.T) {
-	const seconds, completions = 60, 12
+	const seconds = 60
+	const completions = 12
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		f.acknowledgeAll()
 		before := f.worker.Calls(cluster.LeaseCall)
@@ -297,10 +298,10 @@
 }
 
 func TestFewLostCallsDoNotMakeWorkerUnreachable(t *testing.T) {
-	const lost = 20 // one in so many
+	const lossInterval = 20 // one of this many calls is lost
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
-		renewals, starts := everyNth(lost, cluster.LeaseCall, late), everyNth(lost, cluster.StartCall, late)
+		renewals, starts := everyNth(lossInterval, cluster.LeaseCall, late), everyNth(lossInterval, cluster.StartCall, late)
 		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
 			if call == cluster.LeaseCall {
 				return renewals(call)
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -15,35 +15,35 @@
 	"puffinlink.example/puffinlink/internal/transport/resettest"
 )
 
-// startCounter is a worker that counts how often each start was executed.
+// startCounter is a worker that counts the executions of each start.
 type startCounter struct {
-	mutex      sync.Mutex
-	executions map[string]int // by the body of the call
+	mu         sync.Mutex
+	executions map[string]int // by request body
 }
 
 // ServeHTTP implements http.Handler.
 func (s *startCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // a call that has not arrived completely is not executed
+		return // an incomplete call is not executed
 	}
-	s.mutex.Lock()
+	s.mu.Lock()
 	s.executions[string(body)]++
-	s.mutex.Unlock()
+	s.mu.Unlock()
 	w.Write([]byte(`{"clockMs":482113}`))
 }
 
 func (s *startCounter) count(body []byte) int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.executions[string(body)]
 }
 
-// TestStartsOnConnectionsThatAreReset resets the connection at each byte of a start and of its response.
+// TestStartOnResetConnectionIsExecutedAtMostOnce resets the connection at each byte of a start and of its response.
 func TestStartOnResetConnectionIsExecutedAtMostOnce(t *testing.T) {
 	t.Parallel()
 	for name, reused := range map[string]bool{"a new connection": false, "a connection used before": true} {
-		convey.Convey("A start on "+name+" is executed once at most, and is unclear", t, func() {
+		convey.Convey("A start on "+name+" is executed at most once, and is unclear", t, func() {
 			counter := &startCounter{executions: map[string]int{}}
 			server := httptest.NewServer(counter)
 			relay := resettest.New(t, server.Listener.Addr().String())
@@ -62,7 +62,7 @@
 				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
 				return body, err
 			}
-			const firstAttemptNumber = 1000 // so that all calls have one length
+			const firstAttemptNumber = 1000 // so that all calls have the same length
 			_, err := send(firstAttemptNumber, resettest.Requests, resettest.NoReset)
 			convey.So(err, convey.ShouldBeNil)
 			lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
@@ -74,7 +74,7 @@
 					body, err := send(attemptNumber, resetAt, after)
 					if err == nil || rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
 						violations++
-						t.Errorf("reset after byte %d of way %d: %v", after, resetAt, err)
+						t.Errorf("reset after byte %d in direction %d: %v", after, resetAt, err)
 					}
 					if resetAt == resettest.Requests {
 						resetsInRequest = append(resetsInRequest, body)
@@ -83,7 +83,7 @@
 					}
 				}
 			}
-			server.Close() // returns when all that arrived has run
+			server.Close() // returns after all received calls have been executed
 			for _, body := range resetsInRequest {
 				if counter.count(body) != 0 {
 					violations++
@@ -94,10 +94,11 @@
 	}
 }
 
-// TestStartsAreNotRetriedByNetHTTP lets a worker break off a connection that was used before, after it has executed a start.
+// TestStartsAreNotRetriedByNetHTTP uses a worker that executes a start and then closes the reused connection without a response.
+// net/http retries some requests in this case.
 func TestStartsAreNotRetriedByNetHTTP(t *testing.T) {
 	t.Parallel()
-	convey.Convey("A start whose response is broken off is not retried by net/http, whatever its headers say", t, func() {
+	convey.Convey("A start whose response is cut off is not retried by net/http, whatever its headers are", t, func() {
 		counter := &startCounter{executions: map[string]int{}}
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			counter.ServeHTTP(w, r)
--- a/internal/jobs/workerclient/roundtrip.go
+++ b/internal/jobs/workerclient/roundtrip.go
@@ -17,9 +17,9 @@
 	commandTimeoutMargin = 100 * time.Millisecond // additional time for a command, which may take longer than a poll
 	smoothingDivisor     = 8                      // reciprocal of a sample's weight in the smoothed round-trip time, as in RFC 6298
 	variationDivisor     = 4                      // reciprocal of its weight in the variation, as in RFC 6298
-	rttFactor            = 4
-	lossWeight           = 0.125 // weight of a single start in the loss rate
-	toleratedLossRate    = 0.2   // a single lost start does not exceed this rate; two lost starts in a short time do
+	rttFactor            = 4                      // multiple of the round-trip time and its variation in the response timeout
+	lossWeight           = 0.125                  // weight of a single start in the loss rate
+	toleratedLossRate    = 0.2                    // a single lost start does not exceed this rate; two lost starts in a short time do
 )
 
 // rttEstimator estimates the round-trip time of calls to a worker from the answered calls, as TCP does for its retransmission timer
--- a/internal/jobs/workerclient/wire_test.go
+++ b/internal/jobs/workerclient/wire_test.go
@@ -18,13 +18,13 @@
 		text := rapid.String().Draw(t, "text")
 		var read string
 		if err := json.Unmarshal(appendString(nil, text), &read); err != nil || read != text || !utf8.ValidString(read) {
-			t.Fatalf("%q became %q: %v", text, read, err)
+			t.Fatalf("%q was decoded as %q: %v", text, read, err)
 		}
 	})
 }
 
 func TestRequestBodies(t *testing.T) {
-	convey.Convey("Calls are written as the protocol has them", t, func() {
+	convey.Convey("Request bodies follow the protocol", t, func() {
 		one := job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 17}
 		start := StartCommand{one, 2, "(text)", "00000bb87a21d94b"}
 		convey.So(string(appendStart(nil, &start, 486000, 7)), convey.ShouldEqual, `{"task":"5c0e7a21d94b36f8.0.1.17",`+
@@ -45,7 +45,7 @@
 			` [ "5c0e7a21d94b36f8.0.1.18" , 1 , null , 0 ],["5c0e7a21d94b36f8.0.1.19",1,"a\\\",\u00fcb"]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],` +
 			`[59,"no task",1,"failed","","more"]]}`))
 		convey.So(err, convey.ShouldBeNil)
-		convey.Convey("both lists are read", func() {
+		convey.Convey("both lists are decoded", func() {
 			convey.So(*r.ClockMS, convey.ShouldEqual, 482113)
 			convey.So(r.Running[0].task, convey.ShouldResemble, RunningTask{
 				job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 17}, 2, "00000bb87a21d94b", 41})
@@ -55,12 +55,12 @@
 			convey.So(r.Finished[0].task, convey.ShouldResemble, FinishedTask{
 				58, job.TaskID{Job: "5c0e7a21d94b36f8", Stage: 1, Index: 9}, 1, job.OutcomeDone, ""})
 		})
-		convey.Convey("a name that cannot be read is marked", func() {
+		convey.Convey("an entry whose task ID cannot be parsed is marked", func() {
 			convey.So(r.Finished[0].taskIDErr, convey.ShouldBeNil)
 			convey.So(r.Finished[1].taskIDErr, convey.ShouldNotBeNil)
 		})
 	})
-	convey.Convey("What is no response of a worker is an error", t, func() {
+	convey.Convey("A malformed response is an error", t, func() {
 		for _, body := range []string{``, `{`, `[]`, `{"running":[["a","b"]]}`, `{"finished":[{}]}`,
 			`{"finished":[["1","a",2]]}`, `{"finished":[[-1,"a",2]]}`, `{"running":[[1,2]]}`, `{"running":[["a",1.5]]}`} {
 			_, err := decodeResponse([]byte(body))
@@ -69,7 +69,7 @@
 	})
 }
 
-// TestWireConstants pins the constants that leave the process.
+// TestWireConstants checks the constants that are part of the wire protocol.
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: startPath, Want: "/-/run-start"},
@@ -82,7 +82,7 @@
 	)
 }
 
-// TestWireForms pins the keys of a worker's response, which this package only reads.
+// TestWireForms checks the JSON keys of a worker's response. This package only decodes it.
 func TestWireForms(t *testing.T) {
 	text := `{"clockMs":5,"reason":"fence","running":[["a.1.2.3",4,"text 1",50]],"finished":[[6,"b.7.8.9",10,"done","text 2"]]}`
 	read, err := decodeResponse([]byte(text))
@@ -98,6 +98,6 @@
 			CompletionNumber: 6, Task: job.TaskID{Job: "b", Repetition: 7, Stage: 8, Index: 9}, AttemptNumber: 10, Outcome: job.OutcomeDone, Checkpoint: "text 2"}}},
 	}
 	if !reflect.DeepEqual(read, want) {
-		t.Errorf("read as %+v, want %+v", read, want)
+		t.Errorf("decoded as %+v, want %+v", read, want)
 	}
 }
