--- a/internal/jobs/workerclient/client.go
+++ b/internal/jobs/workerclient/client.go
@@ -89,7 +89,7 @@
 	return request.WithContext(ctx)
 }
 
-var errResponseTooLong = errors.New("response too long")
+var errResponseTooLong = errors.New("response exceeds the size limit")
 
 // readResponse reads a response completely, so that its connection can be reused. It decodes the body only for status 200 and 409.
 func readResponse(httpResponse *http.Response) (workerResponse, error) {
--- a/internal/jobs/workerclient/clock.go
+++ b/internal/jobs/workerclient/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// slowestClockRate is the minimum rate of the worker's monotonic clock relative to the local clock. The maximum rate is 1.
-const slowestClockRate = 0.98
+// minClockRate is the minimum rate of the worker's monotonic clock relative to the local clock. The maximum rate is 1.
+const minClockRate = 0.98
 
 // clockGranularity is the maximum rounding error of a clock reading in a response, which is in whole milliseconds.
 const clockGranularity = time.Millisecond
@@ -16,35 +16,35 @@
 
 // clockBounds holds the lower and upper bound of the worker's clock. The zero value has no bounds yet.
 type clockBounds struct {
-	known bool
-	lower clockReading // lower bound; advances at slowestClockRate
-	upper clockReading // upper bound; advances at the rate of the local clock
+	initialized bool
+	lower       clockReading // lower bound; advances at minClockRate
+	upper       clockReading // upper bound; advances at the rate of the local clock
 }
 
 // observe updates the bounds from a response. The worker read its clock between the two local times.
 func (b *clockBounds) observe(sentAt, receivedAt time.Time, clockMS int64) {
 	clock := time.Duration(clockMS) * time.Millisecond
 	lowest, highest := clock-clockGranularity, clock+clockGranularity
-	if !b.known || lowest > b.lowest(receivedAt) {
+	if !b.initialized || lowest > b.lowest(receivedAt) {
 		b.lower = clockReading{receivedAt, lowest}
 	}
-	if !b.known || highest < b.highest(sentAt) {
+	if !b.initialized || highest < b.highest(sentAt) {
 		b.upper = clockReading{sentAt, highest}
 	}
-	b.known = true
+	b.initialized = true
 }
 
 // lowest returns the lower bound of the worker's clock at a local time.
-func (b *clockBounds) lowest(at time.Time) time.Duration {
-	return b.lower.workerClock + time.Duration(float64(at.Sub(b.lower.localTime))*slowestClockRate)
+func (b *clockBounds) lowest(localTime time.Time) time.Duration {
+	return b.lower.workerClock + time.Duration(float64(localTime.Sub(b.lower.localTime))*minClockRate)
 }
 
 // highest returns the upper bound of the worker's clock at a local time.
-func (b *clockBounds) highest(at time.Time) time.Duration {
-	return b.upper.workerClock + at.Sub(b.upper.localTime)
+func (b *clockBounds) highest(localTime time.Time) time.Duration {
+	return b.upper.workerClock + localTime.Sub(b.upper.localTime)
 }
 
 // maxTimeUntil returns the maximum local duration, from a local time on, until the worker's clock has passed the given time.
-func (b *clockBounds) maxTimeUntil(workerTime time.Duration, at time.Time) time.Duration {
-	return max(0, time.Duration(float64(workerTime-b.lowest(at))/slowestClockRate)) + clockGranularity
+func (b *clockBounds) maxTimeUntil(workerTime time.Duration, localTime time.Time) time.Duration {
+	return max(0, time.Duration(float64(workerTime-b.lowest(localTime))/minClockRate)) + clockGranularity
 }
--- a/internal/jobs/workerclient/commandqueue.go
+++ b/internal/jobs/workerclient/commandqueue.go
@@ -44,13 +44,13 @@
 
 // earliestStop returns the index of the stop that is due first. The queue must have a stop.
 func (q *commandQueue) earliestStop() int {
-	first := 0
+	earliest := 0
 	for i, stop := range q.stops {
-		if stop.due.Before(q.stops[first].due) {
-			first = i
+		if stop.due.Before(q.stops[earliest].due) {
+			earliest = i
 		}
 	}
-	return first
+	return earliest
 }
 
 // removeStop removes a stop from the queue and returns it.
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -12,8 +12,8 @@
 // maxStartWait is the maximum time that a start stays queued until the lease is long enough. After that its outcome is NotSent.
 const maxStartWait = 2 * time.Second
 
-// Start queues a start command. Its outcome is reported to Events. The command is sent at most once. It is not sent while the worker
-// is unreachable or suspected, or while its lease is about to expire.
+// Start queues a start command. Its outcome is reported to Events. The command is sent at most once, and never while the worker is
+// unreachable, suspected to be unresponsive, or about to lose its lease.
 func (l *Link) Start(command StartCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 
 // dispatch starts goroutines that send the commands which may be sent now. The caller holds the lock.
 func (l *Link) dispatch() {
-	for idle := maxCommandsInFlight - l.commands.activeSenders; idle > 0; idle-- {
+	for freeSenders := maxCommandsInFlight - l.commands.activeSenders; freeSenders > 0; freeSenders-- {
 		action := l.nextAction()
 		if action == nil {
 			return
@@ -138,7 +138,7 @@
 // caller holds the lock.
 func (l *Link) outcomeAfterEnd(fallback StartOutcome) StartOutcome {
 	switch {
-	case l.endReason == incarnationOver:
+	case l.endReason == incarnationEnded:
 		return IncarnationOver
 	case l.endReason == fencedOff && fallback == NotSent:
 		return RejectedFencingToken
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -130,7 +130,7 @@
 }
 
 // overLongPollLimit reports whether there are too many links for a long poll at every idle worker.
-func (c *Connections) overLongPollLimit() bool {
+func (c *Connections) exceedsLongPollLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.links > c.limits.MaxLongPolls
--- a/internal/jobs/workerclient/dial.go
+++ b/internal/jobs/workerclient/dial.go
@@ -13,7 +13,7 @@
 
 const readBufferBytes = 2 << 10 // per connection; most responses are shorter
 
-var errNoConnectionSlot = errors.New("no connection left for workers")
+var errNoConnectionSlot = errors.New("connection limit for workers reached")
 
 // HTTPClient returns the HTTP client that all links of a process share. It opens connections within the budget. Discarded connections
 // are reset, so that unsent data in their buffers does not arrive later.
--- a/internal/jobs/workerclient/exchange.go
+++ b/internal/jobs/workerclient/exchange.go
@@ -13,7 +13,7 @@
 
 const writeBufferBytes = 8 << 10 // holds a command with its specification
 
-var writers sync.Pool // of *bufio.Writer
+var writerPool sync.Pool // of *bufio.Writer
 
 // inlineTransport is an http.RoundTripper that runs each call on the goroutine of its caller. Unlike http.Transport it needs no
 // goroutines per connection, as there are thousands of mostly idle connections. It retries nothing.
@@ -48,11 +48,11 @@
 
 // roundTrip sends a request and reads the status line and headers of its response.
 func (c *connection) roundTrip(request *http.Request) (*http.Response, error) {
-	writer, pooled := writers.Get().(*bufio.Writer)
+	writer, pooled := writerPool.Get().(*bufio.Writer)
 	if !pooled {
 		writer = bufio.NewWriterSize(nil, writeBufferBytes)
 	}
-	defer writers.Put(writer)
+	defer writerPool.Put(writer)
 	writer.Reset(c.Conn)
 	defer writer.Reset(nil)
 	if err := request.Write(writer); err != nil {
--- a/internal/jobs/workerclient/health.go
+++ b/internal/jobs/workerclient/health.go
@@ -8,8 +8,8 @@
 type reachability uint8
 
 const (
-	reachabilityUnknown reachability = iota // no call has ended yet
-	reachable                               // the worker has responded
+	reachabilityUnknown reachability = iota // no call has shown yet whether the worker responds
+	reachable                               // the worker responds
 	unreachable                             // too many calls got no response or were refused; only polls of the renewal loop are sent
 )
 
--- a/internal/jobs/workerclient/hostpool.go
+++ b/internal/jobs/workerclient/hostpool.go
@@ -127,8 +127,8 @@
 	if p.waiting == 0 || !p.reuseConnection() {
 		return
 	}
-	own := slices.IndexFunc(p.budget.waiting, func(w *waiter) bool { return w.pool == p })
-	p.budget.admit(own)
+	index := slices.IndexFunc(p.budget.waiting, func(w *waiter) bool { return w.pool == p })
+	p.budget.admit(index)
 }
 
 // update releases unused reservations, updates the sets of pools with idle connections, and deletes an unused pool. The caller holds
@@ -168,15 +168,15 @@
 	c := p.budget
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.links > c.limits.MaxLongPolls && c.links > c.limits.Connections-c.limits.Connections/commandReserveFraction {
+	if c.links > c.limits.MaxLongPolls && c.links > c.limits.Connections-c.limits.Connections/commandReserveDivisor {
 		return false
 	}
 	c.longPolls++
 	return true
 }
 
-// commandReserveFraction is the divisor of the connection limit that gives the number of connections kept free for commands.
-const commandReserveFraction = 10
+// commandReserveDivisor is the divisor of the connection limit that gives the number of connections kept free for commands.
+const commandReserveDivisor = 10
 
 func (p *hostPool) endLongPoll() {
 	c := p.budget
--- a/internal/jobs/workerclient/idle.go
+++ b/internal/jobs/workerclient/idle.go
@@ -34,7 +34,7 @@
 // single connection. The command and the renewal then share that connection one after the other. Otherwise a second connection would
 // have to be opened.
 func (l *Link) yieldToCommands() {
-	if !l.config.Connections.overLongPollLimit() {
+	if !l.config.Connections.exceedsLongPollLimit() {
 		return
 	}
 	l.mu.Lock()
--- a/internal/jobs/workerclient/lease.go
+++ b/internal/jobs/workerclient/lease.go
@@ -22,14 +22,14 @@
 
 // remaining returns the minimum remaining time of the confirmed lease, on the worker's clock. It is negative if the lease may have
 // expired.
-func (s *leaseState) remaining(at time.Time) time.Duration {
-	return s.confirmed.validUntil - s.clock.highest(at)
+func (s *leaseState) remaining(now time.Time) time.Duration {
+	return s.confirmed.validUntil - s.clock.highest(now)
 }
 
 // extension returns the end of the longest lease that the worker is certain to accept in full, and whether that extends the confirmed
 // lease.
-func (s *leaseState) extension(maxLease time.Duration, at time.Time) (validUntil time.Duration, extends bool) {
-	validUntil = (s.clock.lowest(at) + maxLease).Truncate(time.Millisecond)
+func (s *leaseState) extension(maxLease time.Duration, now time.Time) (validUntil time.Duration, extends bool) {
+	validUntil = (s.clock.lowest(now) + maxLease).Truncate(time.Millisecond)
 	return validUntil, validUntil > s.confirmed.validUntil
 }
 
--- a/internal/jobs/workerclient/leaseexpiry_test.go
+++ b/internal/jobs/workerclient/leaseexpiry_test.go
@@ -158,7 +158,7 @@
 	if expiredBy := s.link.LeasesExpiredBy(); expiredBy.Before(s.leasesExpired) {
 		s.t.Fatalf("LeasesExpiredBy is %v too early", s.leasesExpired.Sub(expiredBy))
 	}
-	if !s.link.lease.clock.known {
+	if !s.link.lease.clock.initialized {
 		return
 	}
 	clock := s.workerClock(s.now)
--- a/internal/jobs/workerclient/listentries.go
+++ b/internal/jobs/workerclient/listentries.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-var errEntryShape = errors.New("list entry is not an array of the expected types")
+var errMalformedEntry = errors.New("list entry is not an array of the expected types")
 
 // runningEntry is an entry of the running list, written as [task, attempt number, checkpoint, percent].
 type runningEntry struct {
@@ -57,7 +57,7 @@
 	inner, opened := bytes.CutPrefix(bytes.TrimSpace(data), []byte{'['})
 	inner, ended := bytes.CutSuffix(inner, []byte{']'})
 	if !opened || !ended {
-		return entryReader{err: errEntryShape}
+		return entryReader{err: errMalformedEntry}
 	}
 	return entryReader{remaining: inner}
 }
@@ -91,7 +91,7 @@
 		return ""
 	}
 	if element[0] != '"' {
-		r.setError(errEntryShape)
+		r.setError(errMalformedEntry)
 		return ""
 	}
 	if bytes.IndexByte(element, '\\') < 0 {
--- a/internal/jobs/workerclient/permit.go
+++ b/internal/jobs/workerclient/permit.go
@@ -8,10 +8,10 @@
 
 // The states of a permit. The last two are final.
 const (
-	unconnected int32 = iota
-	connected
-	permitted
-	withheld
+	unconnected int32 = iota // no connection yet
+	connected                // the leader lease was not checked on the connection yet
+	permitted                // the call may be sent
+	withheld                 // the call must not be sent
 )
 
 // permit checks the leader lease immediately before a call is sent, because the lease may have expired while the call waited for its
--- a/internal/jobs/workerclient/poll.go
+++ b/internal/jobs/workerclient/poll.go
@@ -12,7 +12,7 @@
 
 // pollState is the state of the out-of-band polls. At most one of them is in flight.
 type pollState struct {
-	busy      bool // a goroutine sends polls or is scheduled to do so
+	running   bool // a goroutine sends polls or is scheduled to do so
 	requested bool // a poll was requested after the last one was sent
 }
 
@@ -23,10 +23,10 @@
 		return
 	}
 	l.polls.requested = true
-	if l.polls.busy {
+	if l.polls.running {
 		return
 	}
-	l.polls.busy = true
+	l.polls.running = true
 	time.AfterFunc(delay, l.runPolls)
 }
 
@@ -38,11 +38,11 @@
 
 // pollWithConnection waits for a connection, sends a poll if one is due, and reports whether it was due.
 func (l *Link) pollWithConnection() bool {
-	begun := l.pool.acquire(l.done)
-	if begun {
+	acquired := l.pool.acquire(l.done)
+	if acquired {
 		defer l.pool.release()
 	}
-	c, due := l.nextPoll(begun && l.config.LeaderLeaseValid())
+	c, due := l.nextPoll(acquired && l.config.LeaderLeaseValid())
 	if due {
 		l.pollOnce(c)
 	}
@@ -50,10 +50,10 @@
 }
 
 // nextPoll returns the next poll if one is due. Otherwise it records that no goroutine sends polls.
-func (l *Link) nextPoll(valid bool) (c listCall, due bool) {
+func (l *Link) nextPoll(mayCall bool) (c listCall, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !valid || !l.polls.requested || l.endReason != notEnded || l.health.reachability == unreachable {
+	if !mayCall || !l.polls.requested || l.endReason != notEnded || l.health.reachability == unreachable {
 		l.polls = pollState{}
 		l.inFlightChanged.Broadcast()
 		return listCall{}, false
@@ -124,7 +124,7 @@
 func (l *Link) awaitPolls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.polls.busy {
+	for l.polls.running {
 		l.inFlightChanged.Wait()
 	}
 }
--- a/internal/jobs/workerclient/renewal.go
+++ b/internal/jobs/workerclient/renewal.go
@@ -96,7 +96,7 @@
 func (l *Link) awaitSenders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.commands.activeSenders > 0 || l.polls.busy || l.hedges > 0 {
+	for l.commands.activeSenders > 0 || l.polls.running || l.hedges > 0 {
 		l.inFlightChanged.Wait()
 	}
 }
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -99,8 +99,8 @@
 // order in which they were requested. Only listings from out-of-band polls may overtake those from renewals.
 type Listing struct {
 	Worker WorkerID
-	// SentAt is the local time just before the listing was requested. A missing attempt is known to be absent only if its start was
-	// answered before that time.
+	// SentAt is the local time just before the listing was requested. An attempt that is not listed counts as absent only if its start
+	// was answered before that time.
 	SentAt time.Time
 	// First marks the first listing under the link's fencing token. From then on the worker rejects lower tokens.
 	First bool
