--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -27,7 +27,7 @@
 	links       []*Link
 	events      *recorder
 	maxOpen     atomic.Int64 // highest observed number of open connections
-	close       func()
+	shutdown    func()
 }
 
 const (
@@ -54,7 +54,7 @@
 		f.workers, f.links = append(f.workers, worker), append(f.links, link)
 		go func() { link.Run(ctx); returned <- struct{}{} }()
 	}
-	f.close = func() {
+	f.shutdown = func() {
 		cancel()
 		for range workers {
 			<-returned
@@ -90,7 +90,7 @@
 	const maxConnections = 9
 	convey.Convey("Given far fewer connections than workers", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: maxConnections, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
-		defer f.close()
+		defer f.shutdown()
 		convey.Convey("links take turns to renew leases, starts are sent and completions are received", func() {
 			f.awaitEach(func(int, Listing) bool { return true })
 			for i, link := range f.links {
@@ -127,7 +127,7 @@
 	const workers = 20
 	convey.Convey("Given too many workers for a long poll at each of them, an idle worker uses one connection", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
-		defer f.close()
+		defer f.shutdown()
 		began := time.Now()
 		f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
 		convey.So(f.maxOpen.Load(), convey.ShouldEqual, workers)
@@ -169,7 +169,7 @@
 	const workers = 20
 	convey.Convey("Given workers that use one connection each while idle", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerSecond: math.Inf(1), PollsPerSecond: 1})
-		defer f.close()
+		defer f.shutdown()
 		f.awaitEach(func(_ int, l Listing) bool { return !l.First })
 		awaitState(t, f.connections, allIdle(workers))
 		for i, link := range f.links {
--- a/internal/jobs/workerclient/exchange_test.go
+++ b/internal/jobs/workerclient/exchange_test.go
@@ -133,7 +133,7 @@
 	const workers = 40
 	convey.Convey("Long polls do not hold the semaphore", t, func() {
 		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000, MaxLongPolls: workers})
-		defer f.close()
+		defer f.shutdown()
 		convey.So(cap(f.connections.concurrency), convey.ShouldBeLessThan, workers)
 		limit := time.After(eventTimeout)
 		for f.connections.Usage().LongPolls < workers {
--- a/internal/jobs/workerclient/health.go
+++ b/internal/jobs/workerclient/health.go
@@ -14,13 +14,13 @@
 )
 
 // suspicion is the level of suspicion that a worker is unresponsive. Calls without a response since the last response raise it. It is
-// independent of the reachability: a worker whose reachability is unknown can be suspected, too.
+// independent of the reachability: a worker whose reachability is unknown can be suspected, too. No start is sent to a suspected worker.
 type suspicion uint8
 
 const (
 	notSuspected      suspicion = iota
-	weaklySuspected             // a command got no response; no start is sent until a poll is answered
-	stronglySuspected           // a renewal or poll got no response; no start is sent, and a further poll without a response makes the worker unreachable
+	weaklySuspected             // a command got no response
+	stronglySuspected           // a renewal or poll got no response; another unanswered poll makes the worker unreachable
 )
 
 // health is the state machine of a worker's health as the link sees it. It does no I/O. The link's lock guards it.
