--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -18,7 +18,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// budgetFixture is many workers with a link to each, all within one budget.
+// budgetFixture is a set of workers with a link to each of them, all within one budget.
 type budgetFixture struct {
 	t           *testing.T
 	connections *Connections
@@ -26,13 +26,13 @@
 	workers     []*cluster.Worker
 	links       []*Link
 	events      *recorder
-	maxOpen     atomic.Int64 // connections seen open at once
-	end         func()
+	maxOpen     atomic.Int64 // highest observed number of open connections
+	shutdown    func()
 }
 
 const (
 	budgetMaxLease  = 3 * time.Second
-	budgetedTimeout = 2 * time.Second // of a call at least, as the machine may be busy
+	budgetedTimeout = 2 * time.Second // minimum timeout of a call, long because the machine may be busy
 )
 
 func newBudgetFixture(t *testing.T, workers int, limits Limits) *budgetFixture {
@@ -49,12 +49,12 @@
 		link := NewLink(Config{
 			Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
 			FencingToken: 1, MaxLease: budgetMaxLease, LeaderLeaseValid: func() bool { return true },
-			Events: oneByOne{f.events}, HTTP: client, Connections: f.connections, MinTimeout: budgetedTimeout,
+			Events: sharedRecorder{f.events}, HTTP: client, Connections: f.connections, MinTimeout: budgetedTimeout,
 		})
 		f.workers, f.links = append(f.workers, worker), append(f.links, link)
 		go func() { link.Run(ctx); returned <- struct{}{} }()
 	}
-	f.end = func() {
+	f.shutdown = func() {
 		cancel()
 		for range workers {
 			<-returned
@@ -65,8 +65,8 @@
 	return f
 }
 
-// oneByOne passes on the reports of several links.
-type oneByOne struct{ *recorder }
+// sharedRecorder receives the reports of several links.
+type sharedRecorder struct{ *recorder }
 
 func (f *budgetFixture) observeUsage() {
 	open := int64(f.connections.Usage().Open)
@@ -81,22 +81,23 @@
 	f.t.Helper()
 	for i := range f.workers {
 		id := WorkerID(fmt.Sprint("i-", i))
-		await(f.t, f.events, func(l Listing) bool { return l.Worker == id && condition(i, l) })
+		awaitEvent(f.t, f.events, func(l Listing) bool { return l.Worker == id && condition(i, l) })
 	}
 }
 
-func TestWorkersOutnumberTheBudget(t *testing.T) {
-	const workers, most = 40, 9
-	convey.Convey("With far fewer connections than workers", t, func() {
-		f := newBudgetFixture(t, workers, Limits{Connections: most, DialsPerS: math.Inf(1), PollsPerS: 1000})
-		defer f.end()
-		convey.Convey("the leases are renewed by turns, starts are sent and completions are received", func() {
+func TestWorkersOutnumberingConnectionsShareThem(t *testing.T) {
+	const workers = 40
+	const maxConnections = 9
+	convey.Convey("Given far fewer connections than workers", t, func() {
+		f := newBudgetFixture(t, workers, Limits{Connections: maxConnections, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
+		defer f.shutdown()
+		convey.Convey("links take turns to renew leases, starts are sent and completions are received", func() {
 			f.awaitEach(func(int, Listing) bool { return true })
 			for i, link := range f.links {
 				link.Start(startCommand(i, 1))
 			}
 			for i := range f.links {
-				result := await(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) })
+				result := awaitEvent(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) })
 				convey.So(result.Outcome, convey.ShouldEqual, Started)
 			}
 			started := time.Now()
@@ -115,26 +116,26 @@
 			for _, record := range f.cluster.Runs() {
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
-			convey.So(f.maxOpen.Load(), convey.ShouldBeBetweenOrEqual, most/2, most)
-			convey.So(eventsOf[ReachabilityChange](f.events), convey.ShouldHaveLength, workers) // each became reachable, and stayed so
+			convey.So(f.maxOpen.Load(), convey.ShouldBeBetweenOrEqual, maxConnections/2, maxConnections)
+			convey.So(eventsOf[ReachabilityChange](f.events), convey.ShouldHaveLength, workers) // each worker became reachable and stayed reachable
 			convey.So(f.connections.Usage().LongPolls, convey.ShouldBeZeroValue)
 		})
 	})
 }
 
-func TestOneConnectionForAnIdleWorker(t *testing.T) {
+func TestIdleWorkerUsesOneConnection(t *testing.T) {
 	const workers = 20
-	convey.Convey("Where there are too many workers for a long poll at each, an idle one takes one connection", t, func() {
-		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerS: math.Inf(1), PollsPerS: 1000})
-		defer f.end()
+	convey.Convey("Given too many workers for a long poll at each of them, an idle worker uses one connection", t, func() {
+		f := newBudgetFixture(t, workers, Limits{Connections: 30, DialsPerSecond: math.Inf(1), PollsPerSecond: 1000})
+		defer f.shutdown()
 		began := time.Now()
 		f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.Sub(began) > budgetMaxLease })
 		convey.So(f.maxOpen.Load(), convey.ShouldEqual, workers)
-		convey.Convey("and there is a long poll at one with an attempt", func() {
+		convey.Convey("and a worker with an attempt has a long poll", func() {
 			f.links[0].Start(startCommand(0, 1))
-			await(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
+			awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 1 })
 			for f.connections.Usage().LongPolls != 1 {
-				awaitAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
+				awaitEventAfter(t, f.events, len(eventsOf[Listing](f.events)), anyEvent[Listing])
 			}
 			for _, worker := range f.workers {
 				convey.So(worker.Connections(), convey.ShouldBeLessThanOrEqualTo, 2)
@@ -143,7 +144,7 @@
 	})
 }
 
-// awaitState waits until a condition holds for a budget.
+// awaitState waits until a budget meets a condition.
 func awaitState(t *testing.T, c *Connections, condition func(*Connections) bool) {
 	t.Helper()
 	for limit := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
@@ -159,33 +160,33 @@
 	}
 }
 
-// allIdle reports whether each of so many workers has one connection, which no call uses.
+// allIdle returns a condition that is met if each of the workers has exactly one connection, and it is idle.
 func allIdle(workers int) func(*Connections) bool {
-	return func(c *Connections) bool { return len(c.onlyIdle) == workers }
+	return func(c *Connections) bool { return len(c.soleIdlePools) == workers }
 }
 
-func TestCommandTakesTheConnectionOfAnIdleWorker(t *testing.T) {
+func TestCommandReusesConnectionOfIdleWorker(t *testing.T) {
 	const workers = 20
-	convey.Convey("Where an idle worker takes one connection", t, func() {
-		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerS: math.Inf(1), PollsPerS: 1})
-		defer f.end()
+	convey.Convey("Given workers that use one connection each while idle", t, func() {
+		f := newBudgetFixture(t, workers, Limits{Connections: 2 * workers, DialsPerSecond: math.Inf(1), PollsPerSecond: 1})
+		defer f.shutdown()
 		f.awaitEach(func(_ int, l Listing) bool { return !l.First })
 		awaitState(t, f.connections, allIdle(workers))
 		for i, link := range f.links {
 			link.Start(startCommand(i, 1))
 		}
 		f.awaitEach(func(_ int, l Listing) bool { return len(l.Running) == 1 })
-		convey.Convey("a start and the renewal after it share that one", func() {
-			convey.So(f.connections.Usage().Opened, convey.ShouldEqual, workers)
+		convey.Convey("a start and the renewal after it share that connection", func() {
+			convey.So(f.connections.Usage().TotalOpened, convey.ShouldEqual, workers)
 		})
-		convey.Convey("there is no long poll any more once all completions are acknowledged", func() {
+		convey.Convey("no long poll is sent after all completions are acknowledged", func() {
 			for i, worker := range f.workers {
 				convey.So(worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 			}
 			var renewals uint64
 			for i, link := range f.links {
 				id := WorkerID(f.workers[i].ID())
-				await(t, f.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
+				awaitEvent(t, f.events, func(l Listing) bool { return l.Worker == id && len(l.Finished) == 1 })
 				renewals += link.Counts().Renewals
 				link.Acknowledge(1)
 			}
@@ -204,30 +205,30 @@
 	convey.Convey("New connections are rate limited", t, func() {
 		virtualtime.Test(t, func(t *testing.T) {
 			const dials = 40
-			c := NewConnections(Limits{Connections: dials, DialsPerS: 10, DialBurst: 5})
-			var granted atomic.Int64
+			c := NewConnections(Limits{Connections: dials, DialsPerSecond: 10, DialBurst: 5})
+			var admitted atomic.Int64
 			done := make(chan struct{})
 			for i := range dials {
-				l := c.join(fmt.Sprint(i))
+				l := c.addLink(fmt.Sprint(i))
 				go func() {
 					if l.awaitSlot(done) {
-						granted.Add(1)
+						admitted.Add(1)
 					}
 				}()
 			}
 			synctest.Wait()
-			if n := granted.Load(); n != 6 {
-				t.Errorf("%d at once, expected the first and five more", n)
+			if n := admitted.Load(); n != 6 {
+				t.Errorf("%d calls admitted at once, want 6: the first one and a burst of five", n)
 			}
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if n := granted.Load(); n != 16 {
-				t.Errorf("%d after a second, expected ten more", n)
+			if n := admitted.Load(); n != 16 {
+				t.Errorf("%d calls admitted after a second, want 16", n)
 			}
 			close(done)
 			synctest.Wait()
 			if usage := c.Usage(); usage.Waiting != 0 || usage.Open != 16 {
-				t.Errorf("%+v is left of calls that were given up", usage)
+				t.Errorf("usage after the waiting calls were cancelled: %+v, want 0 waiting and 16 open", usage)
 			}
 		})
 	})
@@ -235,41 +236,41 @@
 
 func TestConnectionSlots(t *testing.T) {
 	never := make(chan struct{})
-	closed := make(chan struct{})
-	close(closed)
+	alreadyClosed := make(chan struct{})
+	close(alreadyClosed)
 	convey.Convey("A budget of two connections", t, func() {
-		c := NewConnections(Limits{Connections: 2, DialsPerS: math.Inf(1)})
-		first, second, third := c.join("1"), c.join("2"), c.join("3")
+		c := NewConnections(Limits{Connections: 2, DialsPerSecond: math.Inf(1)})
+		first, second, third := c.addLink("1"), c.addLink("2"), c.addLink("3")
 		convey.So(first.awaitSlot(never), convey.ShouldBeTrue)
 		convey.So(second.awaitSlot(never), convey.ShouldBeTrue)
-		convey.Convey("lets no third call begin", func() {
-			convey.So(third.awaitSlot(closed), convey.ShouldBeFalse)
+		convey.Convey("admits no third call", func() {
+			convey.So(third.awaitSlot(alreadyClosed), convey.ShouldBeFalse)
 			convey.So(c.Usage(), convey.ShouldResemble, Usage{Open: 2, Links: 3})
 		})
-		convey.Convey("reuses the slot of a connection that was not opened", func() {
+		convey.Convey("reuses the slot of a connection that was never opened", func() {
 			first.releaseSlot()
-			convey.So(third.awaitSlot(closed), convey.ShouldBeTrue)
+			convey.So(third.awaitSlot(alreadyClosed), convey.ShouldBeTrue)
 			convey.So(c.Usage().Open, convey.ShouldEqual, 2)
 		})
-		convey.Convey("opens none without a slot", func() {
+		convey.Convey("opens no connection without a slot", func() {
 			c.concurrency = nil
 			_, err := c.dial("3", func() (net.Conn, error) { return nil, io.EOF })
 			convey.So(err, convey.ShouldEqual, errNoConnectionSlot)
 		})
-		convey.Convey("forgets an address that nobody uses", func() {
+		convey.Convey("deletes the pool of an unused address", func() {
 			first.releaseSlot()
-			first.leave()
+			first.removeLink()
 			convey.So(c.pools, convey.ShouldHaveLength, 2)
 		})
 	})
-	convey.Convey("An idle connection beside another one is closed before the only one of a worker", t, func() {
+	convey.Convey("An idle connection of a worker with two is closed before the only connection of a worker", t, func() {
 		const workers = 40
-		c := NewConnections(Limits{Connections: workers + 1, DialsPerS: math.Inf(1)})
+		c := NewConnections(Limits{Connections: workers + 1, DialsPerSecond: math.Inf(1)})
 		c.concurrency = nil
 		var pools []*hostPool
 		for i := range workers {
-			l := c.join(fmt.Sprint(i))
-			for range 1 + i/(workers-1) { // two for the last
+			l := c.addLink(fmt.Sprint(i))
+			for range 1 + i/(workers-1) { // two connections for the last worker
 				convey.So(l.awaitSlot(never), convey.ShouldBeTrue)
 				l.reserved--
 				l.idle = append(l.idle, &connection{Conn: stubConnection{}, pool: l})
@@ -279,31 +280,31 @@
 			}
 			pools = append(pools, l)
 		}
-		another := c.join("another")
-		convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
+		newPool := c.addLink("another")
+		convey.So(newPool.awaitSlot(alreadyClosed), convey.ShouldBeTrue)
 		for _, l := range pools {
 			convey.So(l.slots, convey.ShouldEqual, 1)
 		}
-		convey.Convey("which is closed where there is no other", func() {
-			convey.So(another.awaitSlot(closed), convey.ShouldBeTrue)
+		convey.Convey("which is closed if there is no other", func() {
+			convey.So(newPool.awaitSlot(alreadyClosed), convey.ShouldBeTrue)
 			convey.So(c.slotsTaken, convey.ShouldEqual, workers+1)
 		})
 	})
 	convey.Convey("Long polls are allowed only while there is a connection for each worker and some for commands", t, func() {
-		c := NewConnections(Limits{Connections: 40, DialsPerS: math.Inf(1), MaxLongPolls: 10})
+		c := NewConnections(Limits{Connections: 40, DialsPerSecond: math.Inf(1), MaxLongPolls: 10})
 		var pools []*hostPool
 		for i := range 36 {
-			pools = append(pools, c.join(fmt.Sprint(i)))
+			pools = append(pools, c.addLink(fmt.Sprint(i)))
 		}
 		convey.So(pools[0].beginLongPoll(), convey.ShouldBeTrue)
 		convey.So(c.Usage().LongPolls, convey.ShouldEqual, 1)
 		pools[0].endLongPoll()
 		convey.So(c.Usage().LongPolls, convey.ShouldBeZeroValue)
-		pools = append(pools, c.join("one more"))
+		pools = append(pools, c.addLink("one more"))
 		convey.So(pools[0].beginLongPoll(), convey.ShouldBeFalse)
-		convey.Convey("and at all workers while there are few", func() {
+		convey.Convey("and at all workers while there are few workers", func() {
 			for _, l := range pools[10:] {
-				l.leave()
+				l.removeLink()
 			}
 			convey.So(pools[0].beginLongPoll(), convey.ShouldBeTrue)
 			convey.So(c.idlePollInterval(maxIdleInterval), convey.ShouldBeZeroValue)
@@ -311,7 +312,7 @@
 	})
 }
 
-// stubConnection is a connection that can be closed and nothing else.
+// stubConnection is a connection that supports only Close.
 type stubConnection struct{ net.Conn }
 
 func (stubConnection) Close() error { return nil }
