--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -122,7 +122,7 @@
 			Leaders:       c.node.Leaders,
 			Core:          func() []string { return c.replicas.View().Members },
 			InContact:     c.isCurrent,
-			Changed:       []func() <-chan struct{}{c.configurator.Changed, c.node.Changed, c.replicas.Changed},
+			Changed:       []func() <-chan struct{}{c.configurator.Changed, c.node.LeadersChanged, c.replicas.Changed},
 		},
 	})
 	c.feed.Mount(c.mux)
--- a/internal/controlplane/coordinator/operatorapi.go
+++ b/internal/controlplane/coordinator/operatorapi.go
@@ -24,7 +24,7 @@
 			Members:       c.node.Members,
 			Groups:        c.node.Groups,
 			Leaders:       c.node.Leaders,
-			Changed:       c.node.Changed,
+			Changed:       c.node.LeadersChanged,
 			Configuration: c.configurator.Current,
 			InContact:     c.isCurrent,
 			Confirm:       c.confirmConfiguration,
--- a/internal/controlplane/replication/appending.go
+++ b/internal/controlplane/replication/appending.go
@@ -6,55 +6,55 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// followerLease is what a replica has granted to a leader: until then it elects no other.
+// followerLease is the lease that a replica has granted to a leader. The replica votes for no other candidate before its end.
 type followerLease struct {
 	term   uint64
 	leader string
 	until  time.Duration
 }
 
-// acceptLeader renews the lease of a leader whose term is not below the current one.
+// acceptLeader renews the lease of a leader. Its term must not be lower than the current term.
 func (r *replica) acceptLeader(term uint64, leader string) {
 	r.advanceTerm(term, leader)
 	if r.lease.term <= term {
 		r.lease = followerLease{term, leader, r.core.now + r.core.timing.FollowerLease}
 	}
-	r.group.leaderContacted(term, leader)
+	r.group.recordLeaderContact(term, leader)
 }
 
-// heartbeat answers a heartbeat. It waits for the disk only when the term is new to this replica.
+// heartbeat answers a heartbeat. It waits for the disk only if the term of the leader is not yet synced.
 func (r *replica) heartbeat(term uint64, leader string, view uint64, reply func(appendReply)) {
 	if r.rejection(term, view) == accepted && term == r.durableTerm && term == r.currentTerm {
 		r.acceptLeader(term, leader)
 		reply(r.answer(accepted))
 		return
 	}
-	r.whenAccepted(term, view, reply, func() {
+	r.whenLeaderAccepted(term, view, reply, func() {
 		r.acceptLeader(term, leader)
 		r.answerOnceDurable(view, accepted, reply)
 	})
 }
 
-// append applies a batch or a snapshot, or one chunk of it.
+// append applies a batch, a snapshot, or one chunk of them.
 func (r *replica) append(request appendRequest, reply func(appendReply)) {
-	r.whenAccepted(request.Term, request.View, reply, func() { r.apply(request, reply) })
+	r.whenLeaderAccepted(request.Term, request.View, reply, func() { r.apply(request, reply) })
 }
 
-// whenAccepted runs an operation for a leader once no write is under way, unless the leader is rejected by then. One that
-// is rejected already does not wait for the disk, which may be stalled.
-func (r *replica) whenAccepted(term, view uint64, reply func(appendReply), operation func()) {
-	if r.rejects(term, view, reply) {
+// whenLeaderAccepted runs an operation for a leader once no write is in progress, unless the replica rejects the leader by
+// then. A leader that is rejected already gets its reply at once, without waiting for a disk that may be stalled.
+func (r *replica) whenLeaderAccepted(term, view uint64, reply func(appendReply), operation func()) {
+	if r.rejectLeader(term, view, reply) {
 		return
 	}
 	r.whenIdle(func() {
-		if !r.rejects(term, view, reply) {
+		if !r.rejectLeader(term, view, reply) {
 			operation()
 		}
 	})
 }
 
-// rejects answers a leader that is not to be followed, and returns whether it has.
-func (r *replica) rejects(term, view uint64, reply func(appendReply)) bool {
+// rejectLeader replies to a leader that must not be followed. It reports whether it has replied.
+func (r *replica) rejectLeader(term, view uint64, reply func(appendReply)) bool {
 	rejection := r.rejection(term, view)
 	if rejection == accepted {
 		return false
@@ -84,11 +84,11 @@
 	r.persist(r.appendChanges(request), func() {
 		r.durableTerm = request.Term
 		r.position = request.Position
-		reply(r.answer(r.ifStillVoting(request.View, accepted)))
+		reply(r.answer(r.unavailableUnlessMayVote(request.View, accepted)))
 	}, func() { reply(r.answer(unavailable)) })
 }
 
-// rejection is why a leader's message is not followed; accepted means that it is.
+// rejection returns the reason why messages of a leader are rejected, or accepted if they are not.
 func (r *replica) rejection(term, view uint64) appendOutcome {
 	if !r.core.mayVote(view) {
 		return unavailable
@@ -99,16 +99,16 @@
 	return accepted
 }
 
-// ifStillVoting is a result, or unavailable where a newer view came since the leader's message: another member may have
-// copied this state by then.
-func (r *replica) ifStillVoting(view uint64, result appendOutcome) appendOutcome {
+// unavailableUnlessMayVote returns outcome, or unavailable if this node may no longer vote in the leader's view. Once a newer
+// view is known, a member of it may already have copied this replica's state.
+func (r *replica) unavailableUnlessMayVote(view uint64, outcome appendOutcome) appendOutcome {
 	if !r.core.mayVote(view) {
 		return unavailable
 	}
-	return result
+	return outcome
 }
 
-// answerIncomplete tells a leader which chunk is missing.
+// answerIncomplete replies with the chunk that is expected next.
 func (r *replica) answerIncomplete(request appendRequest, reply func(appendReply)) {
 	r.answerOnceDurable(request.View, incomplete, func(answer appendReply) {
 		answer.NextChunk = r.nextChunk(request)
@@ -116,16 +116,16 @@
 	})
 }
 
-// answerOnceDurable answers a leader once the current term is on disk.
-func (r *replica) answerOnceDurable(view uint64, result appendOutcome, reply func(appendReply)) {
+// answerOnceDurable replies to a leader once the current term is synced to disk.
+func (r *replica) answerOnceDurable(view uint64, outcome appendOutcome, reply func(appendReply)) {
 	if r.durableTerm == r.currentTerm {
-		reply(r.answer(result))
+		reply(r.answer(outcome))
 		return
 	}
 	term := r.currentTerm
 	r.persist(termChanges(r.group.name, term, r.votedFor), func() {
 		r.durableTerm = term
-		reply(r.answer(r.ifStillVoting(view, result)))
+		reply(r.answer(r.unavailableUnlessMayVote(view, outcome)))
 	}, func() { reply(r.answer(unavailable)) })
 }
 
@@ -137,11 +137,11 @@
 	return append(changes, positionChange(r.group.name, request.Position))
 }
 
-func (r *replica) answer(result appendOutcome) appendReply {
-	return appendReply{Outcome: result, Term: r.currentTerm, Position: r.position}
+func (r *replica) answer(outcome appendOutcome) appendReply {
+	return appendReply{Outcome: outcome, Term: r.currentTerm, Position: r.position}
 }
 
-// releaseLease gives up the lease of a leader that has resigned.
+// releaseLease ends the lease of a leader that has resigned.
 func (r *replica) releaseLease(term uint64) {
 	if r.lease.term == term {
 		r.lease.until = r.core.now
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -1,6 +1,6 @@
 package replication
 
-// batch moves the state from one position to the next.
+// batch is a set of changes that moves the state from one position to the next.
 type batch struct {
 	previous, position Position
 	entries            []Entry
@@ -16,7 +16,7 @@
 	return b
 }
 
-// mergeBatches makes one batch of several in a row.
+// mergeBatches merges consecutive batches into one.
 func mergeBatches(batches []batch) batch {
 	if len(batches) == 1 {
 		return batches[0]
--- a/internal/controlplane/replication/callbacks.go
+++ b/internal/controlplane/replication/callbacks.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// callbackQueue runs functions one after another, on a goroutine that lives only while there are some.
+// callbackQueue runs functions one after another. Its goroutine exists only while functions are queued.
 type callbackQueue struct {
 	spawn   func(func())
 	last    func()
@@ -11,10 +11,10 @@
 	running bool
 }
 
-func (c *callbackQueue) add(call func()) {
+func (c *callbackQueue) add(callback func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queue = append(c.queue, call)
+	c.queue = append(c.queue, callback)
 	if !c.running {
 		c.running = true
 		c.spawn(c.run)
@@ -31,8 +31,8 @@
 		if len(batch) == 0 {
 			return
 		}
-		for _, call := range batch {
-			call()
+		for _, callback := range batch {
+			callback()
 		}
 	}
 }
--- a/internal/controlplane/replication/campaign.go
+++ b/internal/controlplane/replication/campaign.go
@@ -6,23 +6,23 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// campaign is one attempt to become leader. Its first phase is a pre-vote, which asks a majority whether they would vote
-// and disturbs no present leader (Ongaro's thesis, 9.6); the second asks for their votes in a new term.
+// campaign is one attempt to become leader. The first phase is a pre-vote, which asks the members whether they would grant a
+// vote and does not disturb a current leader (Ongaro's thesis, 9.6). The second phase requests votes in a new term.
 type campaign struct {
 	group        *group
 	view         replicaset.View
-	phaseStarted time.Duration // of the phase under way
+	phaseStarted time.Duration // start of the current phase
 	preVoting    bool
 	term         uint64 // 0 during the pre-vote
-	highestTerm  uint64 // the highest seen so far
+	highestTerm  uint64 // highest term seen so far
 	granted      map[string]voteReply
-	unanswered   int // calls without an answer
+	unanswered   int // number of members without a reply in this phase
 	ended        bool
 }
 
 func (g *group) startCampaign() {
-	g.campaigning = &campaign{group: g, view: g.core.view, highestTerm: g.core.leaders.byGroup[g.name].Term}
-	g.campaigning.startPreVote()
+	g.campaign = &campaign{group: g, view: g.core.view, highestTerm: g.core.leaders.byGroup[g.name].Term}
+	g.campaign.startPreVote()
 }
 
 func (c *campaign) startPreVote() {
@@ -36,7 +36,7 @@
 	c.requestVotes()
 }
 
-// requestVotes begins a phase: it asks all members, this one included.
+// requestVotes starts a phase by sending a request to all members, including this one.
 func (c *campaign) requestVotes() {
 	core := c.group.core
 	c.phaseStarted = core.now
@@ -62,7 +62,8 @@
 	})
 }
 
-// countVote takes one member's answer. An answer to an earlier phase, or one that comes too late, counts for nothing.
+// countVote processes the reply of one member. It ignores replies to an earlier phase, and fails the campaign if a reply
+// arrives after the timeout.
 func (c *campaign) countVote(address string, request voteRequest, reply voteReply, err error) {
 	c.highestTerm = max(c.highestTerm, reply.Term)
 	if c.ended || request.PreVote != c.preVoting {
@@ -84,9 +85,9 @@
 }
 
 func (c *campaign) advance() {
-	_, own := c.granted[c.group.core.self]
+	_, selfGranted := c.granted[c.group.core.self]
 	switch {
-	case own && len(c.granted) >= c.view.Quorum():
+	case selfGranted && len(c.granted) >= c.view.Quorum():
 		if c.preVoting {
 			c.preVoteWon()
 			return
@@ -97,35 +98,36 @@
 	}
 }
 
-// preVoteWon asks for the votes. Where a member has a newer state that does not fit into its vote, it first fetches that.
+// preVoteWon starts the vote. If a member has a newer state that does not fit into its vote, it starts a fetch of that state
+// instead.
 func (c *campaign) preVoteWon() {
-	best, newest := "", c.group.replica.position
+	holder, newest := "", c.group.replica.position
 	for address, reply := range c.granted {
 		if reply.StateOmitted && newest.Before(reply.Position) {
-			best, newest = address, reply.Position
+			holder, newest = address, reply.Position
 		}
 	}
-	if best == "" {
+	if holder == "" {
 		c.startVote()
 		return
 	}
 	c.abandon()
-	c.group.startFetch(best, newest)
+	c.group.startFetch(holder, newest)
 }
 
-// fail ends the campaign; the next begins after a random backoff.
+// fail ends the campaign. The next one starts after a random backoff.
 func (c *campaign) fail() {
 	c.abandon()
 	c.group.backOff()
 }
 
-// backOff lets the next campaign begin after a random backoff (the randomized timeouts of Ongaro's thesis, 3.4).
+// backOff delays the next campaign by a random backoff (see the randomized timeouts in Ongaro's thesis, 3.4).
 func (g *group) backOff() {
 	timing := g.core.timing
 	span := float64(timing.MaxCampaignBackoff - timing.MinCampaignBackoff)
 	backoff := timing.MinCampaignBackoff + time.Duration(g.core.random.Unit()*span)
 	g.campaignNotBefore = g.core.now + backoff
-	g.core.tickEarlier = true
+	g.core.tickRequested = true
 }
 
 func (c *campaign) abandon() {
@@ -133,10 +135,10 @@
 		return
 	}
 	c.ended = true
-	c.group.campaigning = nil
+	c.group.campaign = nil
 }
 
-// win adopts the newest state that the majority holds.
+// win starts a leadership with the newest state among the granted votes.
 func (c *campaign) win() {
 	c.abandon()
 	if c.group.replica.currentTerm != c.term {
@@ -148,7 +150,7 @@
 			newest = reply
 		}
 	}
-	if newest.StateOmitted { // it became newer than it was at the pre-vote; the next campaign fetches it
+	if newest.StateOmitted { // that member got a newer state since the pre-vote; the next campaign fetches it
 		c.group.backOff()
 		return
 	}
--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -126,10 +126,10 @@
 func quietClusterWith(seed uint64, limits Limits, groups ...string) *simulation {
 	s := newSimulation(seed, 3, defects{}, Timing{})
 	s.limits, s.groups = limits, groups
-	s.history = newChecker(s)
+	s.checker = newChecker(s)
 	s.start()
-	So(s.until(6*time.Second, s.led), ShouldBeNil)
-	So(s.led(), ShouldBeTrue)
+	So(s.runUntil(6*time.Second, s.allGroupsLed), ShouldBeNil)
+	So(s.allGroupsLed(), ShouldBeTrue)
 	So(s.run(2*time.Second), ShouldBeNil)
 	return s
 }
@@ -146,7 +146,7 @@
 			So(s.run(500*time.Millisecond), ShouldBeNil)
 			So(len(s.lagging("jobs/a")), ShouldEqual, 1)
 			s.slowLinks = nil
-			So(s.until(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
+			So(s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
 			So(s.lagging("jobs/a"), ShouldBeEmpty)
 			So(s.traffic.sentSnapshots(follower.address), ShouldEqual, 1)
 		})
@@ -158,7 +158,7 @@
 		s.slowDisks[leader.address] = 300 * time.Millisecond
 		So(s.run(time.Second), ShouldBeNil)
 		follower.start()
-		So(s.until(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
+		So(s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
 		So(s.lagging("jobs/a"), ShouldBeEmpty)
 	})
 	Convey("A follower of many groups gets their states one after the other, without a heartbeat between them", t, func() {
@@ -185,17 +185,17 @@
 	Convey("A leader whose processor takes long to make a snapshot keeps its term meanwhile, and needs no second one", t, func() {
 		s := quietClusterWith(4, narrow, "jobs/a")
 		leader, follower := withLaggingFollower(s)
-		term := leader.core.group("jobs/a").leading.termNumber
+		term := leader.core.group("jobs/a").leadership.termNumber
 		delete(s.traffic.snapshots, follower.address)
-		leader.core.spawn = func(work func()) { leader.later(3*time.Second, work) }
+		leader.core.spawn = func(work func()) { leader.runLater(3*time.Second, work) }
 		follower.start()
 		So(s.run(2500*time.Millisecond), ShouldBeNil)
 		So(s.traffic.snapshots[follower.address], ShouldBeEmpty) // it is being made, and no step waits for that
-		So(s.until(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
+		So(s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
 		So(s.lagging("jobs/a"), ShouldBeEmpty)
 		So(s.traffic.sentSnapshots(follower.address), ShouldEqual, 1)
 		So(s.leader("jobs/a") == leader, ShouldBeTrue)
-		So(leader.core.group("jobs/a").leading.termNumber, ShouldEqual, term)
+		So(leader.core.group("jobs/a").leadership.termNumber, ShouldEqual, term)
 	})
 	Convey("A follower that does not answer holds up no other's snapshot", t, func() {
 		s := quietClusterWith(4, narrow, "jobs/a")
@@ -206,7 +206,7 @@
 				others = append(others, n)
 			}
 		}
-		l := leader.core.group("jobs/a").leading
+		l := leader.core.group("jobs/a").leadership
 		l.core.receivingSnapshot[others[0].address] = true // one is under way there, without an answer
 		others[1].kill(false)
 		So(s.run(time.Second), ShouldBeNil)
@@ -232,13 +232,13 @@
 				}
 			}
 			leader.kill(false)
-			committed := s.history.committed["jobs/a"]
+			committed := s.checker.committed["jobs/a"]
 			old.start()
 			led := func() bool {
 				newest.core.group("jobs/a").campaignNotBefore = s.now + time.Minute // it never campaigns
-				return s.led()
+				return s.allGroupsLed()
 			}
-			So(s.until(6*time.Second, led), ShouldBeNil)
+			So(s.runUntil(6*time.Second, led), ShouldBeNil)
 			So(s.leader("jobs/a") == old, ShouldBeTrue)
 			So(s.traffic.fetched, ShouldBeGreaterThan, 1)
 			So(decodeVersion(old.disk.Table("group/jobs/a")[versionKey]).before(committed), ShouldBeFalse)
@@ -253,7 +253,7 @@
 			n.step(func() {
 				g := n.core.group("jobs/a")
 				g.startFetch("x", position)
-				g.fetching.receiveChunk(snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{99}}}}, nil)
+				g.fetch.receiveChunk(snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{99}}}}, nil)
 			})
 			So(s.run(50*time.Millisecond), ShouldBeNil)
 			return n.disk.Table("group/jobs/a")["key"][0]
@@ -281,8 +281,8 @@
 		s, n := singleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() { g.startFetch("x", Position{5, 9}) })
-		n.step(func() { g.fetching.receiveChunk(snapshotReply{}, nil) })
-		So(g.fetching == nil, ShouldBeTrue)
+		n.step(func() { g.fetch.receiveChunk(snapshotReply{}, nil) })
+		So(g.fetch == nil, ShouldBeTrue)
 		So(g.campaignNotBefore, ShouldBeGreaterThan, s.now)
 	})
 }
@@ -293,7 +293,7 @@
 		g := n.core.group("jobs/a")
 		n.step(func() {
 			g.startCampaign()
-			c := g.campaigning
+			c := g.campaign
 			c.startVote()
 			n.core.group("jobs/a").replica.currentTerm = c.term
 			c.granted = map[string]voteReply{
@@ -301,8 +301,8 @@
 			}
 			c.win()
 		})
-		So(g.leading == nil, ShouldBeTrue)
-		So(g.campaigning == nil, ShouldBeTrue)
+		So(g.leadership == nil, ShouldBeTrue)
+		So(g.campaign == nil, ShouldBeTrue)
 		So(g.campaignNotBefore, ShouldBeGreaterThan, s.now)
 	})
 }
--- a/internal/controlplane/replication/checker_test.go
+++ b/internal/controlplane/replication/checker_test.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// versionKey holds the mark of the newest proposal in each state of the simulation.
+// versionKey is the key of the version in each state of the simulation.
 const versionKey = "mark"
 
-// version numbers the proposals of a term from 1; a term's base state bears the mark of an earlier term.
+// version identifies a proposal by its term and its index in the term, from 1. A term starts with a state whose version is of
+// an earlier term.
 type version struct{ term, index uint64 }
 
-func (m version) before(other version) bool {
-	return m.term < other.term || m.term == other.term && m.index < other.index
+func (v version) before(other version) bool {
+	return v.term < other.term || v.term == other.term && v.index < other.index
 }
 
-func (m version) encode() []byte {
-	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, m.term), m.index)
+func (v version) encode() []byte {
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, v.term), v.index)
 }
 
 func decodeVersion(value []byte) version {
@@ -29,7 +30,7 @@
 	return version{binary.BigEndian.Uint64(value), binary.BigEndian.Uint64(value[8:])}
 }
 
-// recordedTerm is a term as its handler saw it.
+// recordedTerm records a term as observed by its handler.
 type recordedTerm struct {
 	term        *Term
 	owner       *simulatedNode
@@ -39,8 +40,8 @@
 	deposed     bool
 }
 
-// after is the state after so many of the term's proposals.
-func (r *recordedTerm) after(proposals uint64) map[string][]byte {
+// stateAfter returns the state after the given number of proposals of the term.
+func (r *recordedTerm) stateAfter(proposals uint64) map[string][]byte {
 	state := maps.Clone(r.base)
 	for _, entries := range r.proposals[:proposals] {
 		for _, entry := range entries {
@@ -54,11 +55,11 @@
 	return state
 }
 
-// checker compares what handlers see with what the package promises.
+// checker verifies that the calls of handlers meet the guarantees of the package.
 type checker struct {
 	simulation *simulation
 	terms      map[string]map[uint64]*recordedTerm // by group and term
-	committed  map[string]version                  // the highest
+	committed  map[string]version                  // highest committed version by group
 	commits    int
 	elections  int
 	err        error
@@ -78,24 +79,24 @@
 	}
 }
 
-// checkLeases verifies that no two terms of a group are valid at this moment.
+// checkLeases verifies that at most one term of each group is valid at this moment.
 func (c *checker) checkLeases() {
 	for _, group := range c.simulation.groups {
 		var leader *simulatedNode
 		for _, address := range c.simulation.machines {
 			n := c.simulation.nodes[address]
-			if !n.up || !n.valid(group) {
+			if !n.up || !n.holdsLease(group) {
 				continue
 			}
 			if leader != nil {
-				c.failf("%s: both %s and %s hold a lease", group, leader.address, address)
+				c.failf("%s: both %s and %s hold a valid lease", group, leader.address, address)
 			}
 			leader = n
 		}
 	}
 }
 
-func (c *checker) elected(owner *simulatedNode, term *Term, state map[string][]byte) *recordedTerm {
+func (c *checker) recordElection(owner *simulatedNode, term *Term, state map[string][]byte) *recordedTerm {
 	c.elections++
 	group, number := term.Group(), term.Number()
 	if c.terms[group][number] != nil {
@@ -103,11 +104,11 @@
 	}
 	base := decodeVersion(state[versionKey])
 	if base.term >= number {
-		c.failf("%s: term %d begins on a state of term %d", group, number, base.term)
+		c.failf("%s: term %d starts with a state of term %d", group, number, base.term)
 	}
 	for other, record := range c.terms[group] {
 		if other < number && record.commitIndex > 0 && base.before(version{other, record.commitIndex}) {
-			c.failf("%s: term %d begins at %v without what term %d had committed, %d", group, number, base, other, record.commitIndex)
+			c.failf("%s: term %d starts at %v without the committed proposals of term %d up to index %d", group, number, base, other, record.commitIndex)
 		}
 	}
 	c.checkState(group, number, base, state)
@@ -116,54 +117,54 @@
 	return record
 }
 
-// checkState verifies that a state is one that some term had.
+// checkState verifies that a term starts with a state that existed in an earlier term.
 func (c *checker) checkState(group string, term uint64, base version, state map[string][]byte) {
 	if base == (version{}) {
 		if len(state) > 0 {
-			c.failf("%s: term %d begins on an unknown state", group, term)
+			c.failf("%s: term %d starts with a state without a version", group, term)
 		}
 		return
 	}
 	origin := c.terms[group][base.term]
 	if origin == nil || base.index > uint64(len(origin.proposals)) {
-		c.failf("%s: term %d begins at %v, which nobody proposed", group, term, base)
+		c.failf("%s: term %d starts at %v, which was never proposed", group, term, base)
 		return
 	}
-	if !reflect.DeepEqual(origin.after(base.index), state) {
-		c.failf("%s: term %d begins at %v with another state", group, term, base)
+	if !reflect.DeepEqual(origin.stateAfter(base.index), state) {
+		c.failf("%s: term %d starts at %v with a different state", group, term, base)
 	}
 }
 
-func (c *checker) commit(record *recordedTerm, index uint64) {
+func (c *checker) recordCommit(record *recordedTerm, index uint64) {
 	c.commits++
 	group, term := record.term.Group(), record.term.Number()
-	if record.deposed || record.term.over() {
-		c.failf("%s: a callback came after term %d had ended", group, term)
+	if record.deposed || record.term.hasEnded() {
+		c.failf("%s: a commit callback ran after the end of term %d", group, term)
 	}
 	if index != record.commitIndex+1 {
-		c.failf("%s: term %d committed %d after %d", group, term, index, record.commitIndex)
+		c.failf("%s: term %d committed index %d after index %d", group, term, index, record.commitIndex)
 	}
 	record.commitIndex = index
 	for other, later := range c.terms[group] {
 		base := decodeVersion(later.base[versionKey])
 		if other > term && base.before(version{term, index}) {
-			c.failf("%s: term %d committed %d though term %d had begun at %v", group, term, index, other, base)
+			c.failf("%s: term %d committed index %d although term %d had started at %v", group, term, index, other, base)
 		}
 	}
 }
 
-// Elected implements Handler: it proposes as long as the term lasts.
+// Elected implements Handler. It proposes entries until the term ends.
 func (n *simulatedNode) Elected(term *Term, state map[string][]byte) {
-	record := n.simulation.history.elected(n, term, state)
+	record := n.simulation.checker.recordElection(n, term, state)
 	n.terms[term.Group()] = term
 	n.propose(record)
 }
 
 // Deposed implements Handler.
 func (n *simulatedNode) Deposed(term *Term) {
-	record := n.simulation.history.terms[term.Group()][term.Number()]
+	record := n.simulation.checker.terms[term.Group()][term.Number()]
 	if record == nil || record.deposed {
-		n.simulation.history.failf("%s: term %d was deposed wrongly", term.Group(), term.Number())
+		n.simulation.checker.failf("%s: term %d was deposed twice or without an election", term.Group(), term.Number())
 		return
 	}
 	record.deposed = true
@@ -171,7 +172,7 @@
 
 func (n *simulatedNode) propose(record *recordedTerm) {
 	s := n.simulation
-	if record.term.over() {
+	if record.term.hasEnded() {
 		return
 	}
 	if s.proposing {
@@ -181,11 +182,11 @@
 			entries = append(entries, n.randomEntry(index))
 		}
 		record.proposals = append(record.proposals, entries)
-		record.term.Propose(entries, func() { s.history.commit(record, index) })
+		record.term.Propose(entries, func() { s.checker.recordCommit(record, index) })
 		if s.random.IntN(5) == 0 {
 			record.term.Propose(nil, func() {
 				if record.commitIndex < index {
-					s.history.failf("%s: an empty proposal did not wait", record.term.Group())
+					s.checker.failf("%s: an empty proposal was confirmed before the proposal preceding it", record.term.Group())
 				}
 			})
 		}
@@ -194,7 +195,7 @@
 	if s.proposeOften {
 		interval = 2 * time.Millisecond
 	}
-	n.later(s.between(time.Millisecond, interval), func() { n.propose(record) })
+	n.runLater(s.randomBetween(time.Millisecond, interval), func() { n.propose(record) })
 }
 
 func (n *simulatedNode) randomEntry(index uint64) Entry {
--- a/internal/controlplane/replication/chunkfaults_test.go
+++ b/internal/controlplane/replication/chunkfaults_test.go
@@ -169,14 +169,14 @@
 func TestSnapshotLargerThanAMessage(t *testing.T) {
 	Convey("A replica without a state that fits into no message gets it in chunks, and counts in a majority", t, func() {
 		stores := make(map[string]*noticed)
-		c := startClusterOn(3, func(address string) storage.Store {
+		c := startClusterWithStores(3, func(address string) storage.Store {
 			if stores[address] == nil {
 				stores[address] = &noticed{storage.NewMemory(), make(chan struct{}, 1)}
 			}
 			return stores[address]
 		})
 		defer c.close()
-		leader := c.awaitValid()
+		leader := c.awaitValidElection()
 		lagging := c.notLeading(leader)
 		lagging.stop()
 		leader = c.proposeHuge(leader)
@@ -186,7 +186,7 @@
 		So(err, ShouldBeNil)
 		began := time.Now()
 		c.startNode(listener)
-		_, err = await(faults.midway)
+		_, err = receive(faults.midway)
 		So(err, ShouldBeNil)
 		// The leader may still hold the one batch that it could not deliver when the replica went.
 		So(len(stores[lagging.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, hugeChunk)
@@ -202,9 +202,9 @@
 		}
 		faults.check()
 		// It counts: with the one that is left it commits more.
-		next := c.awaitValid()
+		next := c.awaitValidElection()
 		for !commits(next.term, []Entry{{"after", []byte{1}}}) {
-			next = c.awaitValid()
+			next = c.awaitValidElection()
 		}
 	})
 }
@@ -217,7 +217,7 @@
 			entries = append(entries, Entry{hugeKey(i), hugeContent(i)})
 		}
 		for !commits(leader.term, entries) {
-			leader = c.awaitValid()
+			leader = c.awaitValidElection()
 		}
 	}
 	return leader
@@ -242,13 +242,13 @@
 // awaitHuge waits until a store holds as many entries as the state has; they come in one write.
 func (c *cluster) awaitHuge(store *noticed) {
 	for len(store.Table(stateTable("jobs/x"))) < hugeCount() {
-		_, err := await(store.written)
+		_, err := receive(store.written)
 		So(err, ShouldBeNil)
 	}
 }
 
 // notLeading is a node that does not lead.
-func (c *cluster) notLeading(leader election) *running {
+func (c *cluster) notLeading(leader election) *runningNode {
 	for _, r := range c.nodes {
 		if r != leader.node {
 			return r
@@ -275,7 +275,7 @@
 
 // callHarmed makes a call through the faults. The member that is harmed does not stand for election, as it would then fetch
 // the state and not be sent it.
-func (r *running) callHarmed(ctx context.Context, faults *chunkFaults, address string, route transport.Route, request, reply any) error {
+func (r *runningNode) callHarmed(ctx context.Context, faults *chunkFaults, address string, route transport.Route, request, reply any) error {
 	if r.address == faults.target && route == voteCall.Route() {
 		return errOnTheWay
 	}
--- a/internal/controlplane/replication/chunks_test.go
+++ b/internal/controlplane/replication/chunks_test.go
@@ -47,7 +47,7 @@
 		s.traffic.largest = max(s.traffic.largest, sum)
 	}
 	if most := s.limits.withDefaults().ChunkBytes; count > 1 && sum > most {
-		s.history.failf("a %T carries %d bytes of entries, more than a part of %d", message, sum, most)
+		s.checker.failf("a %T carries %d bytes of entries, more than a part of %d", message, sum, most)
 	}
 }
 
@@ -122,23 +122,23 @@
 func chunksSchedule(seed uint64, wrong defects, limits Limits) (traffic, error) {
 	s := newSimulation(seed, 3, wrong, Timing{})
 	s.limits, s.realStores, s.groups = limits, true, []string{"jobs/a"}
-	s.history = newChecker(s)
+	s.checker = newChecker(s)
 	defer s.close()
 	s.start()
-	if err := s.until(3*time.Second, s.led); err != nil {
+	if err := s.runUntil(3*time.Second, s.allGroupsLed); err != nil {
 		return s.traffic, err
 	}
 	for range 6 {
 		s.chunksFault()
-		if err := s.run(s.between(0, 900*time.Millisecond)); err != nil {
+		if err := s.run(s.randomBetween(0, 900*time.Millisecond)); err != nil {
 			return s.traffic, err
 		}
 	}
 	s.heal()
-	if err := s.until(10*time.Second, func() bool { return s.led() && s.allReady() }); err != nil {
+	if err := s.runUntil(10*time.Second, func() bool { return s.allGroupsLed() && s.allReady() }); err != nil {
 		return s.traffic, err
 	}
-	if err := s.until(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }); err != nil {
+	if err := s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }); err != nil {
 		return s.traffic, err
 	}
 	if behind := s.lagging("jobs/a"); len(behind) > 0 {
@@ -175,20 +175,20 @@
 func (s *simulation) chunksFault() {
 	switch s.random.IntN(4) {
 	case 0: // away for a while, and another one after it
-		s.restart(s.randomNode(), s.between(0, 1500*time.Millisecond), false)
+		s.restart(s.randomNode(), s.randomBetween(0, 1500*time.Millisecond), false)
 	case 1: // a leader goes while a replica lags behind it
 		if leader := s.leader("jobs/a"); leader != nil {
 			other := s.randomNode()
 			s.partitions[link{leader.address, other.address}] = true
-			s.at(s.between(0, 2*time.Second), func() { delete(s.partitions, link{leader.address, other.address}) })
-			s.at(s.between(0, time.Second), func() {
+			s.schedule(s.randomBetween(0, 2*time.Second), func() { delete(s.partitions, link{leader.address, other.address}) })
+			s.schedule(s.randomBetween(0, time.Second), func() {
 				if !s.healed {
-					s.restart(leader, s.between(0, time.Second), false)
+					s.restart(leader, s.randomBetween(0, time.Second), false)
 				}
 			})
 		}
 	default:
-		s.fault()
+		s.injectFault()
 	}
 }
 
--- a/internal/controlplane/replication/core.go
+++ b/internal/controlplane/replication/core.go
@@ -12,14 +12,14 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// tableReader is what the core reads of a store.
+// tableReader is the read access of the core to a store.
 type tableReader interface {
 	Tables() []string
 	Table(name string) map[string][]byte
 }
 
-// core is the whole protocol on one node, as a state machine without goroutines, input or output. It advances in steps, one
-// at a time; a step may leave effects, whose results are steps again.
+// core implements the protocol on one node as a state machine without goroutines or I/O. It runs in steps, one at a time.
+// A step may request effects, which are calls and writes. The result of each effect is processed in a further step.
 type core struct {
 	self    string
 	timing  Timing
@@ -28,15 +28,16 @@
 	handler Handler
 	clock   Clock
 	random  random.PCG
-	// runStep runs a step from outside of all steps, and spawn a function on a goroutine of its own.
+	// runStep runs a step; it must not be called within a step.
 	runStep func(step func())
-	spawn   func(func())
+	// spawn runs a function on a new goroutine.
+	spawn func(func())
 
 	now                 time.Duration
 	view                replicaset.View
 	ready               bool
-	failed              bool          // the store has failed for good
-	writesRejectedUntil time.Duration // the disk has rejected a write; no vote until then
+	failed              bool          // the store has failed permanently
+	writesRejectedUntil time.Duration // end of the backoff after the disk rejected a write; no votes until then
 	stopping            bool
 	groups              map[string]*group
 	leaders             *leaderTable
@@ -44,12 +45,12 @@
 	nextHeartbeat       time.Duration
 	limits              Limits
 	receivingSnapshot   map[string]bool // members to which this node is sending a snapshot
-	tickEarlier         bool            // something may be due earlier than planned
+	tickRequested       bool            // a deadline may have become earlier than the planned next tick
 	effects             effects
 }
 
-// observe takes in the time and what others decide; it comes first in each step.
-func (c *core) observe(now time.Duration, view replicaset.View, ready bool) {
+// updateInputs updates the time, the view and the readiness of this node. Each step calls it first.
+func (c *core) updateInputs(now time.Duration, view replicaset.View, ready bool) {
 	c.now = max(c.now, now)
 	if ready && !c.ready {
 		c.restore()
@@ -61,34 +62,34 @@
 	}
 }
 
-// restore reads all groups from the store. Leases granted before are not known, so no vote is given until they have
-// run out.
+// restore loads all groups from the store. Leases granted before the restart are unknown, so this node grants no votes until
+// they have expired.
 func (c *core) restore() {
 	for _, name := range storedGroups(c.store) {
 		g := c.group(name)
 		g.replica.load(c.now + c.timing.FollowerLease)
 		g.lastContact = c.now
 	}
-	c.tickEarlier = true
+	c.tickRequested = true
 }
 
 func (c *core) viewChanged() {
 	c.members.retain(c.view)
-	c.tickEarlier = true
+	c.tickRequested = true
 	for _, g := range c.sortedGroups() {
-		if g.campaigning != nil {
-			g.campaigning.fail()
+		if g.campaign != nil {
+			g.campaign.fail()
 		}
-		if g.leading != nil {
-			g.leading.checkLease()
+		if g.leadership != nil {
+			g.leadership.checkLease()
 		}
-		if g.leading != nil {
-			g.leading.updateFollowers()
+		if g.leadership != nil {
+			g.leadership.updateFollowers()
 		}
 	}
 }
 
-// mayVote tells whether this replica may vote on a request of a view's version.
+// mayVote reports whether this node may answer votes and leaders of a view with the given version.
 func (c *core) mayVote(view uint64) bool {
 	member := c.view.Version == 0 || c.view.Has(c.self)
 	return member && c.ready && c.storeWritable() && !c.stopping && view >= c.view.Version
@@ -108,15 +109,15 @@
 	return slices.SortedFunc(maps.Values(c.groups), byName)
 }
 
-func (c *core) ensure(name string) {
+func (c *core) ensureGroup(name string) {
 	g := c.group(name)
 	if !g.ensured {
 		g.ensured = true
-		c.tickEarlier = true
+		c.tickRequested = true
 	}
 }
 
-// stop resigns all terms for good.
+// stop resigns all terms permanently.
 func (c *core) stop() {
 	c.stopping = true
 	c.resignAll(true)
@@ -124,18 +125,18 @@
 
 func (c *core) resignAll(stopping bool) {
 	for _, g := range c.sortedGroups() {
-		if g.campaigning != nil {
-			g.campaigning.abandon()
+		if g.campaign != nil {
+			g.campaign.abandon()
 		}
-		if g.leading != nil {
-			g.leading.resign(stopping)
+		if g.leadership != nil {
+			g.leadership.resign(stopping)
 		}
 	}
 }
 
-// tick does what is due and returns when the next tick is.
+// tick performs all actions that are due, and returns the time of the next tick.
 func (c *core) tick() time.Duration {
-	c.tickEarlier = false
+	c.tickRequested = false
 	if c.stopping {
 		return c.now + c.timing.HeartbeatInterval
 	}
@@ -150,55 +151,55 @@
 	return next
 }
 
-// tickGroup does what is due in one group and returns what is due next in it.
+// tickGroup performs the actions that are due in one group, and returns the time of the next one.
 func (c *core) tickGroup(g *group) time.Duration {
 	switch {
-	case g.leading != nil:
-		g.leading.checkLease()
-		if g.leading == nil {
+	case g.leadership != nil:
+		g.leadership.checkLease()
+		if g.leadership == nil {
 			return c.nextHeartbeat
 		}
-		g.leading.advance()
-		return g.leading.deadline
-	case g.campaigning != nil:
-		if g.campaigning.expired() {
-			g.campaigning.fail()
+		g.leadership.advance()
+		return g.leadership.deadline
+	case g.campaign != nil:
+		if g.campaign.expired() {
+			g.campaign.fail()
 		}
 		return c.nextHeartbeat
-	case g.fetching != nil, !c.mayCampaign(g):
+	case g.fetch != nil, !c.mayCampaign(g):
 		return c.nextHeartbeat
 	}
-	due := g.campaignDue()
-	if c.now < due {
-		return due
+	campaignDue := g.campaignDue()
+	if c.now < campaignDue {
+		return campaignDue
 	}
 	g.startCampaign()
 	return c.nextHeartbeat
 }
 
 func (c *core) mayCampaign(g *group) bool {
-	return c.ready && c.storeWritable() && c.view.Version > 0 && c.view.Has(c.self) && g.exists()
+	return c.ready && c.storeWritable() && c.view.Version > 0 && c.view.Has(c.self) && g.needsLeader()
 }
 
-// requestVote serves voteCall.
+// requestVote handles voteCall.
 func (c *core) requestVote(request voteRequest, reply func(voteReply)) {
 	c.group(request.Group).replica.requestVote(request, reply)
 }
 
-// append serves appendCall.
+// append handles appendCall.
 func (c *core) append(request appendRequest, reply func(appendReply)) {
 	c.group(request.Group).replica.append(request, reply)
 }
 
-// serveSnapshot serves snapshotCall.
+// serveSnapshot handles snapshotCall.
 func (c *core) serveSnapshot(request snapshotRequest, reply func(snapshotReply)) {
 	c.group(request.Group).replica.serveSnapshot(request, reply)
 }
 
-// leaderResigned serves resignCall.
+// leaderResigned handles resignCall.
 func (c *core) leaderResigned(request resignRequest) {
 	if request.Stopping {
 		c.members.get(request.From).lastPing = never
 	}
-	c.group(request.Group).leaderResigned(request.Term)
+	c.group(request.Group).recordResignation(request.Term)
 }
--- a/internal/controlplane/replication/defects_test.go
+++ b/internal/controlplane/replication/defects_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// maxSchedules bounds the search for a defect. Most are found by one of the first fifty schedules.
+// maxSchedules bounds the search for a defect. One of the first fifty schedules finds most defects.
 const maxSchedules = 400
 
-// Each defect that breaks the protocol is found by some schedule of random faults; so the schedules that find nothing mean something. Three
-// defects that take a rare coincidence are brought about by TestVotesAndLeasesSurviveARestart instead.
-func TestRandomFaultsFindDefects(t *testing.T) {
+// TestRandomFaultsFindInjectedDefects checks that random faults detect a broken protocol. Otherwise a run without findings would
+// prove nothing. Three defects that only a rare coincidence exposes are covered by TestVotesAndLeasesSurviveRestart instead.
+func TestRandomFaultsFindInjectedDefects(t *testing.T) {
 	cases := []struct {
-		name      string
-		wrong     defects
-		timing    Timing
-		exchanges bool // of members
+		name           string
+		injected       defects
+		timing         Timing
+		replaceMembers bool // members are replaced during the run
 	}{
 		{"a minority commits", defects{forgeAcknowledgements: true}, Timing{}, false},
-		{"the leader's lease outlasts its followers'", defects{}, Timing{LeaderLease: 3 * time.Second}, false},
-		{"batches are accepted on any state", defects{acceptMismatch: true}, Timing{}, false},
-		{"a lost disk votes without a rebuild", defects{noRebuild: true}, Timing{}, false},
-		{"answers of an old view count", defects{ignoreViews: true}, Timing{}, true},
+		{"the leader's lease outlasts the followers' leases", defects{}, Timing{LeaderLease: 3 * time.Second}, false},
+		{"batches are accepted at any position", defects{acceptMismatchedBatches: true}, Timing{}, false},
+		{"a replica with a lost disk votes before its rebuild", defects{noRebuild: true}, Timing{}, false},
+		{"replies from an old view count", defects{ignoreViews: true}, Timing{}, true},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(maxSchedules) {
-				s := newSimulation(seed, 3, one.wrong, one.timing)
-				s.replacements = one.exchanges
-				if err := s.randomFaults(faultSpan); err != nil {
+				s := newSimulation(seed, 3, test.injected, test.timing)
+				s.replaceMembers = test.replaceMembers
+				if err := s.randomFaults(faultDuration); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Error("no schedule found it")
+			t.Error("no schedule found the defect")
 		})
 	}
 }
--- a/internal/controlplane/replication/diskhealth.go
+++ b/internal/controlplane/replication/diskhealth.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// rejectionBackoff is how long a replica neither votes nor campaigns after the disk has rejected a write. It leaves the
-	// others time to elect a leader.
+	// rejectionBackoff is the time during which a replica neither votes nor campaigns after the disk has rejected a write. It
+	// gives the other replicas time to elect a leader.
 	rejectionBackoff = time.Second
-	// stallLimit is how long a write may take until the disk counts as stalled.
+	// stallLimit is the duration of a write after which the disk counts as stalled.
 	stallLimit = time.Second
 )
 
-// writeFailed decides what a failed write means: a rejected one has left the store as it was, and later ones may succeed.
+// writeFailed handles a failed write. A rejected write has not changed the store, and later writes may succeed. Any other
+// failure is permanent.
 func (c *core) writeFailed(err error) {
 	if rpcerror.ExecutionOf(err) != rpcerror.NotExecuted {
 		c.fail(err)
@@ -27,7 +28,7 @@
 	c.resignAll(false)
 }
 
-// fail ends this node's voting and leading: a store that failed for good takes no more writes.
+// fail permanently stops this node from voting and leading, as a store that has failed accepts no more writes.
 func (c *core) fail(err error) {
 	if c.failed {
 		return
@@ -37,12 +38,12 @@
 	c.resignAll(false)
 }
 
-// storeWritable tells whether the disk takes writes, as far as is known.
+// storeWritable reports whether the disk is assumed to accept writes.
 func (c *core) storeWritable() bool {
 	return !c.failed && c.now >= c.writesRejectedUntil && !c.diskStalled()
 }
 
-// diskStalled tells whether a write has been on its way to the disk for too long.
+// diskStalled reports whether a write has been in progress for longer than stallLimit.
 func (c *core) diskStalled() bool {
 	for _, g := range c.groups {
 		if g.replica.writing && c.now-g.replica.writeStarted > stallLimit {
--- a/internal/controlplane/replication/doc.go
+++ b/internal/controlplane/replication/doc.go
@@ -1,5 +1,10 @@
-// Package replication keeps replicated key/value states, one per group, on the core nodes. A group has at most one acting
-// leader, which gathers changes into batches. A batch is committed once a majority of the replicas has synced it to disk.
+// Package replication replicates key/value state across the core nodes, one state per replication group. Each group has at
+// most one elected leader at a time. The leader collects proposed changes into batches and sends them to the other replicas.
+//
+// The package guarantees that a batch is committed only after a majority of the replicas has synced it to disk, that each new
+// leader starts from a state that contains every committed batch, and that at most one leader of a group holds a valid lease.
+// The coordinator starts a Node, and acts as leader through the Handler interface. The package never interprets keys or
+// values, and never changes the membership itself.
 //
 // # Relation to Raft
 //
@@ -7,38 +12,39 @@
 // Understandable Consensus Algorithm", USENIX ATC 2014; Ongaro, "Consensus: Bridging Theory and Practice", Stanford 2014,
 // here "the thesis"):
 //
-//   - A replica votes once in a term, and follows no leader of a lower one than its current term (thesis, 3.3 and 3.4).
-//     The vote is on disk before it is answered.
-//   - A campaign begins with a pre-vote, which asks whether a vote would be given and raises no term (thesis, 9.6). So a
-//     replica that was partitioned does not depose a leader when it returns.
-//   - A leader commits what a majority of matching indexes covers, and only batches of its own term: the first batch of a
-//     term is empty, and its commitment completes the election (thesis, 3.6.2 and 6.4).
-//
-// What differs:
-//
-//   - There is no log. A replica holds the state as of one Position, a batch moves it to the next, and a replica that is
-//     elsewhere gets a snapshot. An index counts the batches of its term from 1, so that a Position is what ZooKeeper's
-//     broadcast calls a zxid (Junqueira, Reed and Serafini, "Zab", DSN 2011).
-//   - A vote does not depend on whose state is newer. As with the promises of Paxos (Lamport, "Paxos Made Simple", 2001),
-//     votes carry the voters' positions, and the winner adopts the newest state among them; one that does not fit into the
-//     vote is fetched before the campaign goes on.
-//   - An answer counts in a majority for Timing.ReplyTimeout after its request was sent, so that one that was delayed for
-//     long commits and elects nothing.
-//   - Membership changes come from package replicaset, which numbers the views. A request of an older view than a replica
-//     knows is answered with unavailable.
+//   - A replica votes at most once per term, and rejects leaders whose term is lower than its current term (thesis, 3.3 and
+//     3.4). It syncs its vote to disk before it replies.
+//   - A campaign starts with a pre-vote, which asks the other replicas whether they would grant a vote and does not increase
+//     the term (thesis, 9.6). A replica that returns from a partition therefore does not depose the current leader.
+//   - A leader derives the commit index from the match indexes of a majority, and only counts batches of its own term. The
+//     first batch of a term is empty, and committing it completes the election (thesis, 3.6.2 and 6.4).
+//
+// The protocol differs from Raft in these points:
+//
+//   - There is no log. A replica stores the state as of one Position, and a batch moves the state to the next position. A
+//     replica at another position receives a snapshot. Indexes restart at 1 in each term, so a Position corresponds to a
+//     zxid of ZooKeeper's atomic broadcast (Junqueira, Reed and Serafini, "Zab", DSN 2011).
+//   - A replica grants its vote regardless of whose state is newer. As with promises in Paxos (Lamport, "Paxos Made Simple",
+//     2001), each vote carries the position of the voter, and the winner adopts the newest state among the votes. If that
+//     state is too large for a vote, the candidate fetches it before the campaign continues.
+//   - A reply counts towards a majority only within Timing.ReplyTimeout after its request was sent. A reply that was delayed
+//     for long can neither commit a batch nor elect a leader.
+//   - Package replicaset manages membership changes and numbers the views. A replica answers a request of an older view than
+//     its own with unavailable.
 //
 // # Leases
 //
-// A leader acts while its lease lasts, without a round of messages for each read (Gray and Cheriton, "Leases: An Efficient
-// Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP 1989; thesis, 6.4.1). A replica that follows a
-// leader elects no other for Timing.FollowerLease after it heard from it. The leader counts the shorter Timing.LeaderLease
-// from the moment at which it sent what a majority answered. The difference bounds how much clocks may drift apart during
-// one lease; they are steady clocks and are never compared between machines. A replica that has restarted does not know
-// which lease it had granted, and votes only after a whole one has passed, but for the node that it voted for last.
+// A leader serves reads without a round of messages while its lease is valid (Gray and Cheriton, "Leases: An Efficient
+// Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP 1989; thesis, 6.4.1). After a replica has received a
+// message from its leader, it votes for no other candidate for Timing.FollowerLease. The leader uses the shorter
+// Timing.LeaderLease, counted from the time at which it sent the requests that a majority answered. The difference bounds the
+// clock drift that is tolerated during one lease. The clocks are monotonic and are never compared between machines. A
+// restarted replica does not know which lease it had granted. Until a full lease has passed, it votes only for the node that
+// it voted for last.
 //
 // # Structure
 //
-// All decisions are made by the type core and what it consists of (replica, campaign, leadership, snapshotFetch). They know
-// neither goroutines nor sockets, take the time as an argument, and leave their calls and writes as effects. Node runs a
-// core on a real clock, store and network; the tests run several on a simulated one, and explore interleavings.
+// The type core and its parts (replica, campaign, leadership, snapshotFetch) make all decisions. They use no goroutines or
+// sockets, take the time as an argument, and return calls and writes as effects. Node runs a core on a real clock, store and
+// network. The tests run several cores on a simulated clock and network, and explore interleavings.
 package replication
--- a/internal/controlplane/replication/effects.go
+++ b/internal/controlplane/replication/effects.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// rpc is a request that the core wants sent. done runs within a step.
+// rpc is a request that the core wants to send. Its callback done runs within a step.
 type rpc struct {
 	address        string
 	route          transport.Route
@@ -16,13 +16,13 @@
 	done           func(err error)
 }
 
-// storeWrite is a change that the core wants synced. done runs within a step.
+// storeWrite is a list of changes that the core wants to sync to disk. Its callback done runs within a step.
 type storeWrite struct {
 	changes []storage.Change
 	done    func(err error)
 }
 
-// effects are what a step of the core asks for.
+// effects are the calls and writes that a step of the core has requested.
 type effects struct {
 	calls  []rpc
 	writes []storeWrite
@@ -32,7 +32,8 @@
 	c.effects.calls = append(c.effects.calls, rpc{address, route, timeout, request, reply, done})
 }
 
-// offload does work outside of the steps, which would be held up by it, and then runs a step. The work must not use the core.
+// offload runs work on another goroutine, as it would block other steps for too long, and then runs done as a step. The work
+// must not access the core.
 func (c *core) offload(work, done func()) {
 	c.spawn(func() {
 		work()
--- a/internal/controlplane/replication/endpoints_test.go
+++ b/internal/controlplane/replication/endpoints_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestResignationIsSentAtMostOnce(t *testing.T) {
-	Convey("A resignation runs once: a late copy would make a process that is back count as gone", t, func() {
+	Convey("A resignation is sent at most once, as a late duplicate would mark a restarted process as stopped", t, func() {
 		var route transport.Route = resignCall.Route()
 		_, once := route.(transport.AtMostOnceRoute)
 		So(once, ShouldBeTrue)
--- a/internal/controlplane/replication/exploration_test.go
+++ b/internal/controlplane/replication/exploration_test.go
@@ -10,15 +10,15 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-var exploreDepth = flag.Int("depth", 0, "actions in a row that the explorer of elections and batches goes through; 0 for the usual number")
+var exploreDepth = flag.Int("depth", 0, "maximum number of consecutive actions that the exploration of elections and batches covers; 0 for the default")
 
-// explorationStart is a state from which a world is explored.
+// explorationStart describes the state of a cluster from which an exploration starts.
 type explorationStart struct {
 	name               string
 	limits             Limits
-	snapshotInTransfer bool // the third member has missed a batch and gets a snapshot, in chunks
+	snapshotInTransfer bool // the third member has missed a batch and receives a snapshot in chunks
 	budget             budget
-	depth              int // that takes some seconds
+	depth              int // default depth, which takes some seconds
 }
 
 var explorationStarts = []explorationStart{
@@ -29,147 +29,148 @@
 		budget{drops: 1, crashes: 1, leaseExpiries: 1, campaigns: 1}, 7},
 }
 
-// prepared is a world with the member "a" as leader and its second batch proposed.
-func (b explorationStart) prepared(wrong explorerDefects) *exploredCluster {
-	w := newExploredCluster(b.limits, explorerDefects{})
-	a := w.members[0]
+// newCluster returns a cluster with the member "a" as leader and a second batch proposed.
+func (s explorationStart) newCluster(injected explorerDefects) *exploredCluster {
+	c := newExploredCluster(s.limits, explorerDefects{})
+	a := c.members[0]
 	a.event(startCampaign, 0, a.campaign)
-	w.completeAppends(-1)
-	a.event(sendHeartbeats, 0, a.core.pingAll) // so that it knows where both others are
-	w.completeAppends(-1)
-	leading := a.core.group(exploredGroup).leading
+	c.runUntilIdle(-1)
+	a.event(sendHeartbeats, 0, a.core.pingAll) // so that the leader learns the positions of both followers
+	c.runUntilIdle(-1)
+	leader := a.core.group(exploredGroup).leadership
 	propose := func(key string) {
-		a.event(startCampaign, 1, func() { leading.propose([]Entry{{key, []byte{1}}, {versionKey, []byte(key)}}, nil) })
+		a.event(startCampaign, 1, func() { leader.propose([]Entry{{key, []byte{1}}, {versionKey, []byte(key)}}, nil) })
 	}
-	if b.snapshotInTransfer {
+	if s.snapshotInTransfer {
 		for _, key := range []string{"k1", "k2", "k3"} {
 			propose(key)
-			w.completeAppends(2)
+			c.runUntilIdle(2)
 		}
-		w.inFlight = nil
-		third := leading.followers["c"]
-		third.sending, third.transfer, third.known = false, nil, true
-		third.position = w.members[2].core.group(exploredGroup).replica.position
+		c.inFlight = nil
+		third := leader.followers["c"]
+		third.sending, third.transfer, third.positionKnown = false, nil, true
+		third.position = c.members[2].core.group(exploredGroup).replica.position
 	}
 	propose("x")
 	propose("y")
-	w.remaining, w.defects = b.budget, wrong
-	return w
+	c.remaining, c.defects = s.budget, injected
+	return c
 }
 
-// completeAppends lets everything happen in order, but for messages to one member.
-func (w *exploredCluster) completeAppends(without int) {
-	for moved := true; moved; {
-		moved = false
-		for i, m := range w.members {
+// runUntilIdle delivers all messages and syncs all writes in order, except for messages to the excluded member.
+func (c *exploredCluster) runUntilIdle(excluded int) {
+	for progressed := true; progressed; {
+		progressed = false
+		for i, m := range c.members {
 			if len(m.writes) > 0 {
-				w.do(action{syncDisk, uint8(i)})
-				moved = true
+				c.perform(action{syncDisk, uint8(i)})
+				progressed = true
 			}
 		}
-		for i, next := range w.inFlight {
-			if next.to != without {
-				w.do(action{deliver, uint8(i)})
-				moved = true
+		for i, message := range c.inFlight {
+			if message.to != excluded {
+				c.perform(action{deliver, uint8(i)})
+				progressed = true
 				break
 			}
 		}
 	}
 }
 
-// path is a way through a world.
+// path is a sequence of actions from the start of an exploration.
 type path []action
 
-// replay makes the world that a path leads to.
-func (b explorationStart) replay(way path, wrong explorerDefects) *exploredCluster {
-	w := b.prepared(wrong)
-	for _, one := range way {
-		w.do(one)
+// replay returns the cluster after the actions of a path.
+func (s explorationStart) replay(actions path, injected explorerDefects) *exploredCluster {
+	c := s.newCluster(injected)
+	for _, step := range actions {
+		c.perform(step)
 	}
-	return w
+	return c
 }
 
-// exploration goes through all states up to a depth, nearest first.
+// exploration visits all states up to a depth, breadth first.
 type exploration struct {
-	start   explorationStart
-	defects explorerDefects
-	mutex   sync.Mutex
-	visited map[uint64]struct{}
-	next    []path
-	found   path
-	err     error
+	start       explorationStart
+	defects     explorerDefects
+	mu          sync.Mutex
+	visited     map[uint64]struct{}
+	next        []path
+	failingPath path
+	err         error
 }
 
-// run returns the way to the first fault; nil where there is none.
+// run explores up to a depth. It stops after the first level with a failed check, and records the path and the error.
 func (e *exploration) run(depth int) {
-	start := e.start.prepared(e.defects)
+	start := e.start.newCluster(e.defects)
 	e.visited = map[uint64]struct{}{start.histories().hash(): {}}
 	frontier := []path{nil}
 	for level := 0; level <= depth && e.err == nil && len(frontier) > 0; level++ {
 		e.next = nil
-		e.level(frontier, level < depth)
+		e.exploreLevel(frontier, level < depth)
 		frontier = e.next
 	}
 }
 
-func (e *exploration) level(frontier []path, further bool) {
-	ways := make(chan path)
+func (e *exploration) exploreLevel(frontier []path, expandNext bool) {
+	paths := make(chan path)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
-			for way := range ways {
-				e.expand(way, further)
+			for actions := range paths {
+				e.expand(actions, expandNext)
 			}
 		})
 	}
-	for _, way := range frontier {
-		ways <- way
+	for _, actions := range frontier {
+		paths <- actions
 	}
-	close(ways)
+	close(paths)
 	workers.Wait()
 }
 
-// expand judges a state, and notes all that one more action leads to.
-func (e *exploration) expand(way path, further bool) {
-	w := e.start.replay(way, e.defects)
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	if w.err != nil && e.err == nil {
-		e.err, e.found = w.err, way
+// expand checks the state after a path, and adds all unvisited states that are one action further.
+func (e *exploration) expand(actions path, expandNext bool) {
+	c := e.start.replay(actions, e.defects)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if c.err != nil && e.err == nil {
+		e.err, e.failingPath = c.err, actions
 	}
-	if !further {
+	if !expandNext {
 		return
 	}
-	for _, one := range w.actions() {
-		hash := w.after(one).hash()
+	for _, next := range c.actions() {
+		hash := c.historiesAfter(next).hash()
 		if _, known := e.visited[hash]; !known {
 			e.visited[hash] = struct{}{}
-			e.next = append(e.next, append(way[:len(way):len(way)], one))
+			e.next = append(e.next, append(actions[:len(actions):len(actions)], next))
 		}
 	}
 }
 
-func (e *exploration) String() string { return fmt.Sprintf("%v after %v", e.err, e.found) }
+func (e *exploration) String() string { return fmt.Sprintf("%v after %v", e.err, e.failingPath) }
 
-// exploreTo is the depth for a beginning. The race detector takes ten times as long, and has nothing to find in cores.
-func exploreTo(usual int) int {
+// explorationDepth returns the depth to explore. It is lower under the race detector, which takes ten times as long and has
+// nothing to find, as cores are not concurrent.
+func explorationDepth(defaultDepth int) int {
 	switch {
 	case *exploreDepth > 0:
 		return *exploreDepth
 	case raceflag.On || testing.Short():
-		return usual - 4
+		return defaultDepth - 4
 	}
-	return usual
+	return defaultDepth
 }
 
-// Each order in which messages arrive or are lost, disks sync, and a process ends and starts again, up to a number of
-// actions in a row: nothing committed is missing where a later leader begins, and all that are at one position hold the
-// same state.
-func TestEveryInterleaving(t *testing.T) {
-	for _, begin := range explorationStarts {
-		t.Run(begin.name, func(t *testing.T) {
-			e := &exploration{start: begin}
-			depth := exploreTo(begin.depth)
+// TestEveryInterleavingKeepsCommittedState explores every order in which messages arrive or are lost, writes are synced, and a
+// process crashes and restarts, up to a number of actions. Each new leader must start with all committed batches, and all
+// replicas at the same position must have the same state.
+func TestEveryInterleavingKeepsCommittedState(t *testing.T) {
+	for _, start := range explorationStarts {
+		t.Run(start.name, func(t *testing.T) {
+			e := &exploration{start: start}
+			depth := explorationDepth(start.depth)
 			e.run(depth)
 			t.Logf("%d states to a depth of %d", len(e.visited), depth)
 			if e.err != nil {
@@ -179,22 +180,23 @@
 	}
 }
 
-// The exploration finds what is wrong by a few actions; so it means something that it finds nothing.
-func TestExplorationFindsDefects(t *testing.T) {
+// TestExplorationFindsInjectedDefects checks that the exploration detects a broken protocol within a few actions. Otherwise a run
+// without findings would prove nothing.
+func TestExplorationFindsInjectedDefects(t *testing.T) {
 	cases := []struct {
-		name  string
-		wrong explorerDefects
-		begin int
+		name     string
+		injected explorerDefects
+		start    int
 	}{
-		{"replicas answer before their write is synced", explorerDefects{answersEarly: true}, 0},
-		{"a candidate adopts its own state and not the newest", explorerDefects{hidesNewer: true}, 1},
+		{"replicas reply before their write is synced", explorerDefects{answersBeforeSync: true}, 0},
+		{"a candidate adopts its own state and not the newest", explorerDefects{hidesNewerState: true}, 1},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			e := &exploration{start: explorationStarts[one.begin], defects: one.wrong}
-			e.run(explorationStarts[one.begin].depth)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			e := &exploration{start: explorationStarts[test.start], defects: test.injected}
+			e.run(explorationStarts[test.start].depth)
 			if e.err == nil {
-				t.Errorf("%d states and nothing found", len(e.visited))
+				t.Errorf("exploration did not find the defect in %d states", len(e.visited))
 			}
 			t.Log(e)
 		})
--- a/internal/controlplane/replication/explorationchecks_test.go
+++ b/internal/controlplane/replication/explorationchecks_test.go
@@ -7,50 +7,50 @@
 	"slices"
 )
 
-// check verifies after each step what must always hold.
-func (w *exploredCluster) check(m *exploredMember) {
-	if l := m.core.group(exploredGroup).leading; l != nil {
-		w.checkLeader(l)
+// check verifies the invariants of a member after each step.
+func (c *exploredCluster) check(m *exploredMember) {
+	if l := m.core.group(exploredGroup).leadership; l != nil {
+		c.checkLeader(l)
 	}
 }
 
-// checkState verifies after a write that all that are at one position hold the same state.
-func (w *exploredCluster) checkState(m *exploredMember) {
+// checkState verifies after a write that all members that ever reached a position had the same state there.
+func (c *exploredCluster) checkState(m *exploredMember) {
 	g := m.core.group(exploredGroup)
 	if len(m.writes) > 0 || g.replica.writing {
 		return
 	}
-	position, sum := g.replica.position, hashState(m.disk[stateTable(exploredGroup)])
-	if known, found := w.states[position]; found && known != sum {
-		w.failf("%s holds another state at %v than one before it", m.address, position)
+	position, hash := g.replica.position, hashState(m.disk[stateTable(exploredGroup)])
+	if known, found := c.stateHashes[position]; found && known != hash {
+		c.failf("%s has a different state at %v than an earlier member at this position", m.address, position)
 	}
-	w.states[position] = sum
+	c.stateHashes[position] = hash
 }
 
-func (w *exploredCluster) checkLeader(l *leadership) {
-	if _, known := w.bases[l.termNumber]; !known {
-		w.bases[l.termNumber] = l.history.batches[0].previous
+func (c *exploredCluster) checkLeader(l *leadership) {
+	if _, known := c.adopted[l.termNumber]; !known {
+		c.adopted[l.termNumber] = l.history.batches[0].previous
 	}
-	w.committed[l.termNumber] = max(w.committed[l.termNumber], l.commitIndex)
-	for later, base := range w.bases {
-		for term, sequence := range w.committed {
-			if term < later && sequence > 0 && base.Before(Position{term, sequence}) {
-				w.failf("term %d begins at %v without what term %d has committed, %d", later, base, term, sequence)
+	c.committed[l.termNumber] = max(c.committed[l.termNumber], l.commitIndex)
+	for laterTerm, base := range c.adopted {
+		for term, index := range c.committed {
+			if term < laterTerm && index > 0 && base.Before(Position{term, index}) {
+				c.failf("term %d starts at %v without the committed batches of term %d up to index %d", laterTerm, base, term, index)
 			}
 		}
 	}
 }
 
-func (w *exploredCluster) failf(format string, arguments ...any) {
-	if w.err == nil {
-		w.err = fmt.Errorf(format, arguments...)
+func (c *exploredCluster) failf(format string, arguments ...any) {
+	if c.err == nil {
+		c.err = fmt.Errorf(format, arguments...)
 	}
 }
 
 func hashState(state map[string][]byte) uint64 {
-	sum := fnv.New64a()
+	hash := fnv.New64a()
 	for _, key := range slices.Sorted(maps.Keys(state)) {
-		fmt.Fprintf(sum, "%q=%q ", key, state[key])
+		fmt.Fprintf(hash, "%q=%q ", key, state[key])
 	}
-	return sum.Sum64()
+	return hash.Sum64()
 }
--- a/internal/controlplane/replication/exploredcluster_test.go
+++ b/internal/controlplane/replication/exploredcluster_test.go
@@ -11,50 +11,51 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// The explored world is three cores without any chance: each message, write, crash and lapse of time is an action that a
-// test chooses. What a member does follows from what it has gone through, so its history stands for its state, and the
-// three histories for the state of the world.
+// An explored cluster consists of three deterministic cores. Each message, write, crash and passage of time is an action that a
+// test selects. The state of a member depends only on the actions that it has processed. The hash of this history therefore
+// identifies its state, and the three hashes identify the state of the cluster.
 
 const exploredGroup = "jobs/a"
 
-var errLost = errors.New("the message or its answer was lost")
+var errLost = errors.New("the request or its reply was lost")
 
-// actionKind is what can happen next in an explored world.
+// actionKind is a kind of action in an explored cluster.
 type actionKind uint8
 
 const (
 	deliver        actionKind = iota // a message arrives
-	drop                             // a message is lost, and its caller learns that there is no answer
-	syncDisk                         // a write reaches the disk and is answered
-	crash                            // a process ends with its write under way lost, and starts again
-	crashAfterSync                   // the same, but the write has reached the disk
-	expireLeases                     // so much time passes that every lease has run out
-	startCampaign                    // the second candidate asks for votes
-	sendHeartbeats                   // the first leader sends heartbeats
+	drop                             // a message is lost, and its caller gets an error
+	syncDisk                         // a write is synced, and its callback runs
+	crash                            // a process loses its write in progress and restarts
+	crashAfterSync                   // a process syncs its write in progress and restarts without running the callback
+	expireLeases                     // enough time passes for all leases to expire
+	startCampaign                    // the second member requests votes
+	sendHeartbeats                   // the first member sends heartbeats as leader
 )
 
-// action is one step; at counts messages or members.
+// action is one step of an exploration. Its index selects a message or a member, depending on the kind.
 type action struct {
-	kind actionKind
-	at   uint8
+	kind  actionKind
+	index uint8
 }
 
-// explorerDefects make the protocol wrong in ways that an exploration must find.
+// explorerDefects are defects of the protocol that an exploration must find.
 type explorerDefects struct {
-	answersEarly bool // replicas answer before their write is synced
-	hidesNewer   bool // a vote does not tell of a newer position, so that the candidate adopts its own state
+	answersBeforeSync bool // replicas reply before their write is synced
+	hidesNewerState   bool // votes do not contain newer positions, so a candidate adopts its own state
 }
 
-// budget bounds what can happen beside messages and writes.
+// budget bounds the number of actions other than deliveries and syncs.
 type budget struct{ drops, crashes, leaseExpiries, campaigns, heartbeats int }
 
+// inFlightMessage is a request or a reply that has not arrived yet.
 type inFlightMessage struct {
 	id          uint64
 	from        int // the caller
 	to          int
-	incarnation int // of the caller's process
+	incarnation int // incarnation of the caller's process
 	call        rpc
-	reply       func() // hands an answer to the caller; nil for a request
+	reply       func() // delivers the reply to the caller; nil for a request
 }
 
 type exploredMember struct {
@@ -66,7 +67,7 @@
 	core        *core
 	hash        uint64
 	calls       uint64
-	writes      []storeWrite // under way
+	writes      []storeWrite // in progress
 	offloaded   []func()
 }
 
@@ -78,29 +79,29 @@
 	defects   explorerDefects
 	view      replicaset.View
 
-	committed map[uint64]uint64   // newest sequence by term
-	bases     map[uint64]Position // adopted by term
-	states    map[Position]uint64 // hash of the state at a position
-	err       error
+	committed   map[uint64]uint64   // commit index by term
+	adopted     map[uint64]Position // position that the leader of a term adopted, by term
+	stateHashes map[Position]uint64 // hash of the state at a position
+	err         error
 }
 
 // Now implements Clock.
-func (w *exploredCluster) Now() time.Duration { return w.clock }
+func (c *exploredCluster) Now() time.Duration { return c.clock }
 
-func newExploredCluster(limits Limits, wrong explorerDefects) *exploredCluster {
-	w := &exploredCluster{
-		clock: time.Hour, defects: wrong, view: replicaset.View{Version: 1, Members: []string{"a", "b", "c"}},
-		committed: make(map[uint64]uint64), bases: make(map[uint64]Position), states: make(map[Position]uint64),
+func newExploredCluster(limits Limits, injected explorerDefects) *exploredCluster {
+	c := &exploredCluster{
+		clock: time.Hour, defects: injected, view: replicaset.View{Version: 1, Members: []string{"a", "b", "c"}},
+		committed: make(map[uint64]uint64), adopted: make(map[uint64]Position), stateHashes: make(map[Position]uint64),
 	}
-	for i, address := range w.view.Members {
-		w.members[i] = &exploredMember{cluster: w, index: i, address: address, disk: make(disk)}
-		w.members[i].start(limits)
+	for i, address := range c.view.Members {
+		c.members[i] = &exploredMember{cluster: c, index: i, address: address, disk: make(disk)}
+		c.members[i].start(limits)
 	}
-	return w
+	return c
 }
 
-// start begins a process on what the disk holds. Rounds have no limit in time here: how late an answer may count matters
-// only for lost disks.
+// start starts a process with the state on the disk. Replies do not time out here, as late replies only matter together with
+// lost disks.
 func (m *exploredMember) start(limits Limits) {
 	m.incarnation++
 	m.core = newCore(Config{
@@ -110,7 +111,7 @@
 	m.core.store = m.disk
 	m.core.runStep = m.step
 	m.core.spawn = func(task func()) { m.offloaded = append(m.offloaded, task) }
-	m.core.observe(m.cluster.clock, m.cluster.view, true)
+	m.core.updateInputs(m.cluster.clock, m.cluster.view, true)
 	m.core.group(exploredGroup).ensured = true
 }
 
@@ -120,7 +121,7 @@
 // Deposed implements Handler.
 func (m *exploredMember) Deposed(*Term) {}
 
-func mix(hash uint64, values ...uint64) uint64 {
+func combineHash(hash uint64, values ...uint64) uint64 {
 	for _, value := range values {
 		hash = (hash ^ value) * 0x9e3779b97f4a7c15
 		hash ^= hash >> 29
@@ -128,59 +129,59 @@
 	return hash
 }
 
-// histories are what the members have gone through, as hashes.
+// histories are the hashes of the actions that each member has processed.
 type histories [3]uint64
 
-func (h histories) hash() uint64 { return mix(1, h[0], h[1], h[2]) }
+func (h histories) hash() uint64 { return combineHash(1, h[0], h[1], h[2]) }
 
-func (w *exploredCluster) histories() histories {
-	return histories{w.members[0].hash, w.members[1].hash, w.members[2].hash}
+func (c *exploredCluster) histories() histories {
+	return histories{c.members[0].hash, c.members[1].hash, c.members[2].hash}
 }
 
-func historyWith(hash uint64, kind actionKind, what uint64) uint64 {
-	return mix(hash, uint64(kind)+1, what)
+func extendHistory(hash uint64, kind actionKind, detail uint64) uint64 {
+	return combineHash(hash, uint64(kind)+1, detail)
 }
 
-// after returns the histories that an action would lead to.
-func (w *exploredCluster) after(one action) histories {
-	next := w.histories()
-	member, what := int(one.at), uint64(0)
-	switch one.kind {
+// historiesAfter returns the histories that would result from an action.
+func (c *exploredCluster) historiesAfter(step action) histories {
+	next := c.histories()
+	member, detail := int(step.index), uint64(0)
+	switch step.kind {
 	case expireLeases:
 		for i := range next {
-			next[i] = historyWith(next[i], expireLeases, 0)
+			next[i] = extendHistory(next[i], expireLeases, 0)
 		}
 		return next
 	case deliver, drop:
-		message := w.inFlight[one.at]
-		member, what = message.from, message.id
-		if one.kind == deliver && message.reply == nil {
+		message := c.inFlight[step.index]
+		member, detail = message.from, message.id
+		if step.kind == deliver && message.reply == nil {
 			member = message.to
-		} else if w.members[member].incarnation != message.incarnation {
+		} else if c.members[member].incarnation != message.incarnation {
 			return next
 		}
 	}
-	next[member] = historyWith(next[member], one.kind, what)
+	next[member] = extendHistory(next[member], step.kind, detail)
 	return next
 }
 
-// event is an action at one member, which its history takes in.
-func (m *exploredMember) event(kind actionKind, what uint64, step func()) {
-	m.hash = historyWith(m.hash, kind, what)
+// event adds an action to the history of a member and runs its step.
+func (m *exploredMember) event(kind actionKind, detail uint64, step func()) {
+	m.hash = extendHistory(m.hash, kind, detail)
 	m.step(step)
 }
 
 func (m *exploredMember) step(step func()) {
-	m.core.observe(m.cluster.clock, m.cluster.view, true)
+	m.core.updateInputs(m.cluster.clock, m.cluster.view, true)
 	step()
 	effects := m.core.takeEffects()
-	for _, one := range effects.writes {
-		m.write(one)
+	for _, write := range effects.writes {
+		m.write(write)
 	}
-	for _, one := range effects.calls {
+	for _, call := range effects.calls {
 		m.calls++
-		id := mix(m.hash, m.calls)
-		m.cluster.inFlight = append(m.cluster.inFlight, inFlightMessage{id: id, from: m.index, to: m.cluster.indexOf(one.address), incarnation: m.incarnation, call: one})
+		id := combineHash(m.hash, m.calls)
+		m.cluster.inFlight = append(m.cluster.inFlight, inFlightMessage{id: id, from: m.index, to: m.cluster.indexOf(call.address), incarnation: m.incarnation, call: call})
 	}
 	for len(m.offloaded) > 0 {
 		task := m.offloaded[0]
@@ -190,44 +191,44 @@
 	m.cluster.check(m)
 }
 
-func (w *exploredCluster) indexOf(address string) int { return slices.Index(w.view.Members, address) }
+func (c *exploredCluster) indexOf(address string) int { return slices.Index(c.view.Members, address) }
 
-func (m *exploredMember) write(one storeWrite) {
-	if m.cluster.defects.answersEarly && m.index != 0 {
-		m.writes = append(m.writes, storeWrite{changes: one.changes, done: func(error) {}})
-		m.step(func() { one.done(nil) })
+func (m *exploredMember) write(write storeWrite) {
+	if m.cluster.defects.answersBeforeSync && m.index != 0 {
+		m.writes = append(m.writes, storeWrite{changes: write.changes, done: func(error) {}})
+		m.step(func() { write.done(nil) })
 		return
 	}
-	m.writes = append(m.writes, one)
+	m.writes = append(m.writes, write)
 }
 
-// actions lists what can happen next.
-func (w *exploredCluster) actions() []action {
+// actions returns all actions that are possible in the current state.
+func (c *exploredCluster) actions() []action {
 	var all []action
-	for i := range w.inFlight {
+	for i := range c.inFlight {
 		all = append(all, action{deliver, uint8(i)})
-		if w.remaining.drops > 0 {
+		if c.remaining.drops > 0 {
 			all = append(all, action{drop, uint8(i)})
 		}
 	}
-	for i, m := range w.members {
+	for i, m := range c.members {
 		if len(m.writes) > 0 {
 			all = append(all, action{syncDisk, uint8(i)})
 		}
-		if w.remaining.crashes > 0 {
+		if c.remaining.crashes > 0 {
 			all = append(all, action{crash, uint8(i)})
 			if len(m.writes) > 0 {
 				all = append(all, action{crashAfterSync, uint8(i)})
 			}
 		}
 	}
-	if w.remaining.leaseExpiries > 0 {
+	if c.remaining.leaseExpiries > 0 {
 		all = append(all, action{expireLeases, 0})
 	}
-	if w.remaining.campaigns > 0 && w.remaining.leaseExpiries == 0 && w.members[1].idle() {
+	if c.remaining.campaigns > 0 && c.remaining.leaseExpiries == 0 && c.members[1].idle() {
 		all = append(all, action{startCampaign, 1})
 	}
-	if w.remaining.heartbeats > 0 && w.members[0].core.group(exploredGroup).leading != nil {
+	if c.remaining.heartbeats > 0 && c.members[0].core.group(exploredGroup).leadership != nil {
 		all = append(all, action{sendHeartbeats, 0})
 	}
 	return all
@@ -235,106 +236,106 @@
 
 func (m *exploredMember) idle() bool {
 	g := m.core.group(exploredGroup)
-	return g.campaigning == nil && g.leading == nil
+	return g.campaign == nil && g.leadership == nil
 }
 
-// do carries out an action.
-func (w *exploredCluster) do(one action) {
-	m := w.members[one.at%3]
-	switch one.kind {
+// perform applies an action to the cluster.
+func (c *exploredCluster) perform(step action) {
+	m := c.members[step.index%3]
+	switch step.kind {
 	case deliver, drop:
-		next := w.inFlight[one.at]
-		w.inFlight = slices.Delete(w.inFlight, int(one.at), int(one.at)+1)
-		if one.kind == drop {
-			w.remaining.drops--
-			w.answer(next, func() { next.call.done(errLost) }, drop)
+		message := c.inFlight[step.index]
+		c.inFlight = slices.Delete(c.inFlight, int(step.index), int(step.index)+1)
+		if step.kind == drop {
+			c.remaining.drops--
+			c.answer(message, func() { message.call.done(errLost) }, drop)
 			return
 		}
-		if next.reply != nil {
-			w.answer(next, next.reply, deliver)
+		if message.reply != nil {
+			c.answer(message, message.reply, deliver)
 			return
 		}
-		w.members[next.to].event(deliver, next.id, func() { w.serve(next) })
+		c.members[message.to].event(deliver, message.id, func() { c.serve(message) })
 	case syncDisk:
-		w.syncOne(m)
+		c.syncOne(m)
 	case crash, crashAfterSync:
-		w.remaining.crashes--
-		w.restart(m, one.kind)
+		c.remaining.crashes--
+		c.restart(m, step.kind)
 	case expireLeases:
-		w.remaining.leaseExpiries--
-		w.clock += 2 * DefaultTiming.FollowerLease
-		for _, m := range w.members {
-			m.hash = historyWith(m.hash, expireLeases, 0)
+		c.remaining.leaseExpiries--
+		c.clock += 2 * DefaultTiming.FollowerLease
+		for _, m := range c.members {
+			m.hash = extendHistory(m.hash, expireLeases, 0)
 		}
 	case startCampaign:
-		w.remaining.campaigns--
+		c.remaining.campaigns--
 		m.event(startCampaign, 0, func() { m.campaign() })
 	case sendHeartbeats:
-		w.remaining.heartbeats--
+		c.remaining.heartbeats--
 		m.event(sendHeartbeats, 0, m.core.pingAll)
 	}
 }
 
-// campaign asks for votes, as a candidate does that has won its pre-vote.
+// campaign requests votes like a candidate that has won its pre-vote.
 func (m *exploredMember) campaign() {
 	g := m.core.group(exploredGroup)
-	g.campaigning = &campaign{group: g, view: m.core.view}
-	g.campaigning.startVote()
+	g.campaign = &campaign{group: g, view: m.core.view}
+	g.campaign.startVote()
 }
 
-func (w *exploredCluster) answer(next inFlightMessage, step func(), kind actionKind) {
-	if m := w.members[next.from]; m.incarnation == next.incarnation {
-		m.event(kind, next.id, step)
+func (c *exploredCluster) answer(message inFlightMessage, step func(), kind actionKind) {
+	if m := c.members[message.from]; m.incarnation == message.incarnation {
+		m.event(kind, message.id, step)
 	}
 }
 
-func (w *exploredCluster) syncOne(m *exploredMember) {
-	one := m.writes[0]
+func (c *exploredCluster) syncOne(m *exploredMember) {
+	write := m.writes[0]
 	m.writes = m.writes[1:]
-	m.disk.apply(one.changes, false)
+	m.disk.apply(write.changes, false)
 	m.event(syncDisk, 0, func() {
-		one.done(nil)
-		w.checkState(m)
+		write.done(nil)
+		c.checkState(m)
 	})
 }
 
-func (w *exploredCluster) restart(m *exploredMember, kind actionKind) {
+func (c *exploredCluster) restart(m *exploredMember, kind actionKind) {
 	if kind == crashAfterSync {
 		m.disk.apply(m.writes[0].changes, false)
 	}
 	m.writes, m.offloaded = nil, nil
-	w.inFlight = slices.DeleteFunc(w.inFlight, func(f inFlightMessage) bool { return f.from == m.index && f.reply != nil })
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(f inFlightMessage) bool { return f.from == m.index && f.reply != nil })
 	m.start(m.core.limits)
-	m.event(kind, 0, func() { w.checkState(m) })
+	m.event(kind, 0, func() { c.checkState(m) })
 }
 
-// serve handles a request, whose answer is a message as well.
-func (w *exploredCluster) serve(next inFlightMessage) {
-	m := w.members[next.to]
+// serve handles a request and sends the reply as a message.
+func (c *exploredCluster) serve(message inFlightMessage) {
+	m := c.members[message.to]
 	reply := func(fill func()) {
 		m.calls++
-		answered := next
-		answered.id = mix(m.hash, m.calls, 7)
-		answered.reply = func() {
+		response := message
+		response.id = combineHash(m.hash, m.calls, 7)
+		response.reply = func() {
 			fill()
-			next.call.done(nil)
+			message.call.done(nil)
 		}
-		w.inFlight = append(w.inFlight, answered)
+		c.inFlight = append(c.inFlight, response)
 	}
-	switch request := next.call.request.(type) {
+	switch request := message.call.request.(type) {
 	case voteRequest:
 		m.core.requestVote(request, func(answer voteReply) {
-			if w.defects.hidesNewer {
+			if c.defects.hidesNewerState {
 				answer.Position, answer.State = request.Position, nil
 			}
-			reply(func() { *next.call.reply.(*voteReply) = answer })
+			reply(func() { *message.call.reply.(*voteReply) = answer })
 		})
 	case appendRequest:
-		m.core.append(request, func(answer appendReply) { reply(func() { *next.call.reply.(*appendReply) = answer }) })
+		m.core.append(request, func(answer appendReply) { reply(func() { *message.call.reply.(*appendReply) = answer }) })
 	case pingRequest:
 		m.core.ping(request, func(answer pingReply) {
 			answer.Leaders = nil
-			reply(func() { *next.call.reply.(*pingReply) = answer })
+			reply(func() { *message.call.reply.(*pingReply) = answer })
 		})
 	case resignRequest:
 		m.core.leaderResigned(request)
--- a/internal/controlplane/replication/failover_test.go
+++ b/internal/controlplane/replication/failover_test.go
@@ -7,87 +7,87 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// quietCluster is a simulation that has its first leaders.
-func quietCluster(seed uint64, members int) *simulation {
+// clusterWithLeaders returns a simulation without faults in which all groups have leaders.
+func clusterWithLeaders(seed uint64, members int) *simulation {
 	s := newSimulation(seed, members, defects{}, Timing{})
 	s.start()
-	So(s.until(3*time.Second, s.led), ShouldBeNil)
-	So(s.led(), ShouldBeTrue)
+	So(s.runUntil(3*time.Second, s.allGroupsLed), ShouldBeNil)
+	So(s.allGroupsLed(), ShouldBeTrue)
 	So(s.run(2*time.Second), ShouldBeNil)
 	return s
 }
 
-// timeToLead is how long it takes until all groups are led.
-func (s *simulation) timeToLead() time.Duration {
-	began := s.now
-	So(s.until(10*time.Second, s.led), ShouldBeNil)
-	So(s.led(), ShouldBeTrue)
-	return s.now - began
+// timeUntilAllLed runs the simulation until all groups have leaders, and returns the time that this took.
+func (s *simulation) timeUntilAllLed() time.Duration {
+	start := s.now
+	So(s.runUntil(10*time.Second, s.allGroupsLed), ShouldBeNil)
+	So(s.allGroupsLed(), ShouldBeTrue)
+	return s.now - start
 }
 
-func TestFailOver(t *testing.T) {
+func TestFailoverCompletesWithinLimit(t *testing.T) {
 	for _, members := range []int{3, 5} {
-		Convey("Given leaders in calm", t, func() {
-			Convey("the first ones are there soon after the start", func() {
-				var worst time.Duration
+		Convey("Given a cluster without faults", t, func() {
+			Convey("the first leaders are elected within two seconds after the start", func() {
+				var longest time.Duration
 				for seed := range seeds(25) {
 					s := newSimulation(seed, members, defects{}, Timing{})
 					s.start()
-					worst = max(worst, s.timeToLead())
+					longest = max(longest, s.timeUntilAllLed())
 				}
-				t.Logf("%d members, first leaders: at most %v", members, worst)
-				So(worst, ShouldBeLessThan, 2*time.Second)
+				t.Logf("%d members, first leaders elected after at most %v", members, longest)
+				So(longest, ShouldBeLessThan, 2*time.Second)
 			})
-			Convey("when a leader is killed another follows within three seconds", func() {
-				var worst time.Duration
+			Convey("when a leader is killed, another is elected within three seconds", func() {
+				var longest time.Duration
 				for seed := range seeds(25) {
-					s := quietCluster(seed, members)
+					s := clusterWithLeaders(seed, members)
 					s.leader("jobs/a").kill(false)
-					worst = max(worst, s.timeToLead())
+					longest = max(longest, s.timeUntilAllLed())
 				}
-				t.Logf("%d members, a leader killed: at most %v", members, worst)
-				So(worst, ShouldBeLessThan, 3*time.Second)
+				t.Logf("%d members, leader killed: replaced after at most %v", members, longest)
+				So(longest, ShouldBeLessThan, 3*time.Second)
 			})
-			Convey("when a leader is cut off another follows, and the old one is not valid by then", func() {
+			Convey("when a leader is partitioned, its lease expires before another is elected", func() {
 				for seed := range seeds(25) {
-					s := quietCluster(seed, members)
+					s := clusterWithLeaders(seed, members)
 					old := s.leader("jobs/a")
 					s.isolate(old)
-					So(s.until(5*time.Second, func() bool { return !old.valid("jobs/a") }), ShouldBeNil)
-					So(s.timeToLead(), ShouldBeLessThan, 3*time.Second)
+					So(s.runUntil(5*time.Second, func() bool { return !old.holdsLease("jobs/a") }), ShouldBeNil)
+					So(s.timeUntilAllLed(), ShouldBeLessThan, 3*time.Second)
 				}
 			})
-			Convey("when a leader resigns another follows without waiting for the lease", func() {
-				var worst time.Duration
+			Convey("when a leader resigns, another is elected without waiting for the lease", func() {
+				var longest time.Duration
 				for seed := range seeds(25) {
-					s := quietCluster(seed, members)
+					s := clusterWithLeaders(seed, members)
 					s.leader("jobs/a").terms["jobs/a"].Resign()
-					worst = max(worst, s.timeToLead())
+					longest = max(longest, s.timeUntilAllLed())
 				}
-				t.Logf("%d members, a leader resigns: at most %v", members, worst)
-				So(worst, ShouldBeLessThan, 1200*time.Millisecond)
+				t.Logf("%d members, leader resigned: replaced after at most %v", members, longest)
+				So(longest, ShouldBeLessThan, 1200*time.Millisecond)
 			})
-			Convey("when all are killed at once leaders are back within three seconds of the return", func() {
-				var worst time.Duration
+			Convey("when all nodes are killed at once, leaders are elected within three seconds after the last restart", func() {
+				var longest time.Duration
 				for seed := range seeds(25) {
-					s := quietCluster(seed, members)
+					s := clusterWithLeaders(seed, members)
 					for _, n := range s.nodes {
 						n.kill(false)
 					}
 					for _, address := range s.view.Members {
-						s.at(s.between(0, time.Second), s.nodes[address].start)
+						s.schedule(s.randomBetween(0, time.Second), s.nodes[address].start)
 					}
 					So(s.run(time.Second), ShouldBeNil)
-					worst = max(worst, s.timeToLead())
+					longest = max(longest, s.timeUntilAllLed())
 				}
-				t.Logf("%d members, all killed: at most %v after the last return", members, worst)
-				So(worst, ShouldBeLessThan, 3*time.Second)
+				t.Logf("%d members, all killed: leaders elected at most %v after the last restart", members, longest)
+				So(longest, ShouldBeLessThan, 3*time.Second)
 			})
 		})
 	}
 }
 
-// isolate cuts a node off from all others.
+// isolate partitions a node from all others.
 func (s *simulation) isolate(n *simulatedNode) {
 	for _, address := range s.view.Members {
 		s.partitions[link{n.address, address}] = true
@@ -95,12 +95,12 @@
 	}
 }
 
-func TestLeadershipIsSticky(t *testing.T) {
+func TestRecoveredReplicaDoesNotDeposeLeader(t *testing.T) {
 	Convey("Given a leader", t, func() {
-		s := quietCluster(7, 3)
+		s := clusterWithLeaders(7, 3)
 		leader := s.leader("jobs/a")
 		term := leader.terms["jobs/a"].Number()
-		stays := func() {
+		expectSameLeader := func() {
 			So(s.leader("jobs/a") == leader, ShouldBeTrue)
 			So(leader.terms["jobs/a"].Number(), ShouldEqual, term)
 		}
@@ -108,42 +108,42 @@
 		if other == leader {
 			other = s.nodes[s.view.Members[1]]
 		}
-		Convey("a replica that comes back does not depose it", func() {
+		Convey("a restarted replica does not depose it", func() {
 			other.kill(false)
 			So(s.run(3*time.Second), ShouldBeNil)
 			other.start()
 			So(s.run(5*time.Second), ShouldBeNil)
-			stays()
+			expectSameLeader()
 		})
-		Convey("a replica that was cut off from it alone does not depose it", func() {
+		Convey("a replica that is partitioned only from the leader does not depose it", func() {
 			s.partitions[link{leader.address, other.address}] = true
 			s.partitions[link{other.address, leader.address}] = true
 			So(s.run(8*time.Second), ShouldBeNil)
-			stays()
+			expectSameLeader()
 			s.heal()
 			So(s.run(5*time.Second), ShouldBeNil)
-			stays()
+			expectSameLeader()
 		})
 		Convey("a replica that was frozen does not depose it", func() {
 			other.frozenUntil = s.now + 4*time.Second
 			So(s.run(8*time.Second), ShouldBeNil)
-			stays()
+			expectSameLeader()
 		})
-		Convey("a slow disk of a replica does not depose it or hold it up", func() {
+		Convey("a replica with a slow disk neither deposes it nor delays its commits", func() {
 			s.slowDisks[other.address] = 900 * time.Millisecond
 			So(s.run(time.Second), ShouldBeNil)
-			before := s.history.commits
+			before := s.checker.commits
 			So(s.run(5*time.Second), ShouldBeNil)
-			stays()
-			So(s.history.commits-before, ShouldBeGreaterThan, 150)
+			expectSameLeader()
+			So(s.checker.commits-before, ShouldBeGreaterThan, 150)
 		})
 	})
 }
 
 func TestLaggingReplicaCatchesUp(t *testing.T) {
-	Convey("Given a replica that was away or has lost its disk", t, func() {
+	Convey("A replica that was down or has lost its disk catches up with the leader", t, func() {
 		for _, loseDisk := range []bool{false, true} {
-			s := quietCluster(3, 3)
+			s := clusterWithLeaders(3, 3)
 			leader := s.leader("jobs/a")
 			other := s.nodes[s.view.Members[0]]
 			if other == leader {
@@ -161,35 +161,35 @@
 	})
 }
 
-func TestContactAndLeaders(t *testing.T) {
-	Convey("Given three nodes in calm", t, func() {
-		s := quietCluster(5, 3)
-		one := s.nodes[s.view.Members[0]]
+func TestIsolatedNodeLosesQuorumContact(t *testing.T) {
+	Convey("Given three nodes without faults", t, func() {
+		s := clusterWithLeaders(5, 3)
+		node := s.nodes[s.view.Members[0]]
 		contact := func(n *simulatedNode) bool { return n.core.members.contactsQuorum(s.view, s.now) }
-		Convey("each is in contact and knows the same leaders", func() {
+		Convey("each node is in contact with a majority and knows the same leaders", func() {
 			for _, n := range s.nodes {
 				So(contact(n), ShouldBeTrue)
-				So(n.core.leaders.byGroup, ShouldResemble, one.core.leaders.byGroup)
+				So(n.core.leaders.byGroup, ShouldResemble, node.core.leaders.byGroup)
 				So(len(n.core.leaders.byGroup), ShouldEqual, 2)
 			}
 		})
-		Convey("the one that is cut off is out of contact within a second and a quarter, and back after the cut", func() {
-			s.isolate(one)
+		Convey("an isolated node loses contact within 1.25 s, and regains it after the partition", func() {
+			s.isolate(node)
 			So(s.run(1250*time.Millisecond), ShouldBeNil)
-			So(contact(one), ShouldBeFalse)
+			So(contact(node), ShouldBeFalse)
 			s.heal()
 			So(s.run(time.Second), ShouldBeNil)
-			So(contact(one), ShouldBeTrue)
+			So(contact(node), ShouldBeTrue)
 		})
 	})
 }
 
-func TestLateAcknowledgementsCommitNothing(t *testing.T) {
-	Convey("Given a leader whose newest batch only one follower has answered", t, func() {
-		s := quietCluster(5, 3)
+func TestLateRepliesDoNotCountTowardsQuorum(t *testing.T) {
+	Convey("Given a leader whose newest batch only one follower has acknowledged", t, func() {
+		s := clusterWithLeaders(5, 3)
 		s.proposing = false
 		So(s.run(time.Second), ShouldBeNil)
-		l := s.leader("jobs/a").core.group("jobs/a").leading
+		l := s.leader("jobs/a").core.group("jobs/a").leadership
 		So(l.commitIndex, ShouldEqual, l.lastPosition.Index)
 		l.commitIndex--
 		for _, follower := range l.followers {
@@ -199,11 +199,11 @@
 			follower.matchIndex, follower.matchSentAt = l.lastPosition.Index, l.core.now-l.core.timing.ReplyTimeout-time.Millisecond
 			break
 		}
-		Convey("an answer to a request sent longer ago than a round lasts does not count", func() {
+		Convey("a reply to a request that was sent longer than ReplyTimeout ago does not count", func() {
 			l.advanceCommitIndex()
 			So(l.commitIndex, ShouldEqual, l.lastPosition.Index-1)
 		})
-		Convey("one to a later request does", func() {
+		Convey("a reply to a later request counts", func() {
 			for _, follower := range l.followers {
 				follower.matchSentAt += 2 * time.Millisecond
 			}
@@ -211,16 +211,16 @@
 			So(l.commitIndex, ShouldEqual, l.lastPosition.Index)
 		})
 	})
-	Convey("A campaign fails when the votes come later than a round lasts", t, func() {
+	Convey("A campaign fails if the votes arrive after ReplyTimeout", t, func() {
 		s := newSimulation(5, 3, defects{}, Timing{})
 		n := s.nodes[s.view.Members[0]]
 		n.start()
 		g := n.core.group("jobs/a")
 		g.startCampaign()
-		c := g.campaigning
+		c := g.campaign
 		n.core.now += n.core.timing.ReplyTimeout + time.Millisecond
 		c.countVote(s.view.Members[1], voteRequest{PreVote: true}, voteReply{Granted: true}, nil)
 		So(c.ended, ShouldBeTrue)
-		So(g.leading == nil, ShouldBeTrue)
+		So(g.leadership == nil, ShouldBeTrue)
 	})
 }
--- a/internal/controlplane/replication/follower.go
+++ b/internal/controlplane/replication/follower.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// follower is what a leader knows of one other replica.
+// follower is the replication progress of one other replica, as known to the leader.
 type follower struct {
-	// position is where the replica is, as far as known says that it is known.
+	// position is the position of the replica. It is only meaningful if positionKnown is set.
 	position        Position
-	known           bool
+	positionKnown   bool
 	sending         bool
-	transfer        *transfer     // what is being sent; nil where nothing is
-	catchingUp      bool          // since a snapshot was begun; the batches after it are retained for this replica
-	lastAppendEnded time.Duration // when the newest append ended; an answer to an earlier request may be out of date
+	transfer        *transfer     // the batch or snapshot that is being sent; nil if there is none
+	catchingUp      bool          // set when a snapshot is started; the batches after it are retained for this replica
+	lastAppendEnded time.Duration // when the newest append call ended; replies to earlier requests may be out of date
 
-	// matchIndex is the newest index of this term that the replica has synced, by its answer to a request that was sent at
-	// matchSentAt.
+	// matchIndex is the newest index of this term that the replica has synced, according to its reply to a request that was
+	// sent at matchSentAt.
 	matchIndex  uint64
 	matchSentAt time.Duration
-	// acknowledgedAt is when the newest request was sent that the replica acknowledged as this leader's follower.
+	// acknowledgedAt is the send time of the newest request that the replica acknowledged as a follower of this leader.
 	acknowledgedAt time.Duration
 }
 
@@ -24,18 +24,18 @@
 	return &follower{matchSentAt: never, acknowledgedAt: never, lastAppendEnded: never}
 }
 
-// acknowledge records an answer. A lower index replaces a higher one only when that has become too old to count.
-func (f *follower) acknowledge(index uint64, sent, now, replyTimeout time.Duration) {
+// acknowledge records a reply. A lower index replaces a higher one only if the higher one is too old to count.
+func (f *follower) acknowledge(index uint64, sentAt, now, replyTimeout time.Duration) {
 	if index >= f.matchIndex || now-f.matchSentAt > replyTimeout {
-		f.matchIndex, f.matchSentAt = index, sent
+		f.matchIndex, f.matchSentAt = index, sentAt
 	}
-	f.acknowledgedAt = max(f.acknowledgedAt, sent)
+	f.acknowledgedAt = max(f.acknowledgedAt, sentAt)
 }
 
-// updatePosition records where the replica is, by its answer to a request that was sent at a time.
-func (f *follower) updatePosition(position Position, sent time.Duration) {
-	if f.sending || sent < f.lastAppendEnded {
+// updatePosition records the position in a reply to a request that was sent at sentAt, unless it may be out of date.
+func (f *follower) updatePosition(position Position, sentAt time.Duration) {
+	if f.sending || sentAt < f.lastAppendEnded {
 		return
 	}
-	f.position, f.known = position, true
+	f.position, f.positionKnown = position, true
 }
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -6,19 +6,19 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// group is one replication group as this node sees it.
+// group is the state of this node in one replication group.
 type group struct {
 	core              *core
 	name              string
 	replica           replica
-	campaigning       *campaign
-	fetching          *snapshotFetch // of a newer state than the one here, before a campaign goes on
-	leading           *leadership
-	ensured           bool          // campaign although nothing is stored
-	lastContact       time.Duration // when a leader was heard from last
-	vacant            bool          // the last leader has resigned
-	resignedTerm      uint64        // term of the newest leader that has resigned
-	campaignNotBefore time.Duration // the backoff of the newest campaign
+	campaign          *campaign
+	fetch             *snapshotFetch // fetch of a newer state, which must end before the next campaign
+	leadership        *leadership
+	ensured           bool          // this node campaigns even if nothing is stored for the group
+	lastContact       time.Duration // when the newest message of a leader arrived
+	leaderless        bool          // the newest leader has resigned
+	resignedTerm      uint64        // term of the newest resigned leader
+	campaignNotBefore time.Duration // end of the backoff after the newest campaign
 }
 
 func newGroup(c *core, name string) *group {
@@ -27,54 +27,54 @@
 	return g
 }
 
-// leaderContacted records a message of a leader.
-func (g *group) leaderContacted(term uint64, leader string) {
-	g.lastContact, g.vacant = g.core.now, false
+// recordLeaderContact records that a message of a leader arrived.
+func (g *group) recordLeaderContact(term uint64, leader string) {
+	g.lastContact, g.leaderless = g.core.now, false
 	if leader == g.core.self {
 		return
 	}
 	g.core.leaders.updateGroup(g.name, feed.Leader{Address: leader, Term: term})
-	if g.campaigning != nil && g.campaigning.term <= term {
-		g.campaigning.abandon()
+	if g.campaign != nil && g.campaign.term <= term {
+		g.campaign.abandon()
 	}
 }
 
-// ledByOther tells whether this node leads the group and is not the candidate.
-func (g *group) ledByOther(candidate string) bool {
-	return g.leading != nil && candidate != g.core.self
+// hasLocalLeaderOtherThan reports whether this node leads the group and is not the candidate.
+func (g *group) hasLocalLeaderOtherThan(candidate string) bool {
+	return g.leadership != nil && candidate != g.core.self
 }
 
-// exists tells whether the group needs a leader: it was ensured, or has had a term.
-func (g *group) exists() bool { return g.ensured || g.replica.currentTerm > 0 }
+// needsLeader reports whether the group has been declared with Ensure or has had a term.
+func (g *group) needsLeader() bool { return g.ensured || g.replica.currentTerm > 0 }
 
-// ledBeforeRestart tells whether this node led the group when its process ended, and nobody has led since.
+// ledBeforeRestart reports whether this node led the group when its process ended, and no leader has made contact since.
 func (g *group) ledBeforeRestart() bool {
 	return g.replica.votedFor == g.core.self && g.replica.lease.term == 0 && g.replica.noVoteBefore > 0
 }
 
-// campaignDue is when to campaign next unless a leader is heard.
+// campaignDue returns the time of the next campaign, unless a leader makes contact before.
 func (g *group) campaignDue() time.Duration {
 	timing := g.core.timing
 	if g.ledBeforeRestart() {
 		return g.campaignNotBefore
 	}
 	wait := timing.ElectionTimeout
-	if g.vacant || g.replica.position == (Position{}) && g.replica.lease.term == 0 {
-		wait = timing.VacantElectionTimeout
+	if g.leaderless || g.replica.position == (Position{}) && g.replica.lease.term == 0 {
+		wait = timing.LeaderlessElectionTimeout
 	}
 	rank := g.core.campaignRank(g.name)
 	at := g.lastContact + wait + time.Duration(rank)*timing.RankDelay
 	return max(at, g.campaignNotBefore, g.replica.noVoteBefore)
 }
 
-// leaderResigned records that the leader of a term has resigned.
-func (g *group) leaderResigned(term uint64) {
+// recordResignation records that the leader of a term has resigned.
+func (g *group) recordResignation(term uint64) {
 	if term < g.replica.currentTerm {
 		return
 	}
 	g.replica.releaseLease(term)
-	g.vacant = true
+	g.leaderless = true
 	g.resignedTerm = term
 	g.lastContact = g.core.now
-	g.core.tickEarlier = true
+	g.core.tickRequested = true
 }
--- a/internal/controlplane/replication/heartbeat.go
+++ b/internal/controlplane/replication/heartbeat.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// maxPendingPings is how many pings may wait for one member's answer.
+// maxPendingPings bounds the number of unanswered pings per member.
 const maxPendingPings = 3
 
-// ping serves pingCall.
+// ping handles pingCall.
 func (c *core) ping(request pingRequest, reply func(pingReply)) {
 	sender := c.members.get(request.From)
 	sender.lastPing, sender.ready = c.now, request.Ready
@@ -13,27 +13,27 @@
 	if request.LeadersChecksum != c.leaders.checksum {
 		answer.Leaders = c.leaders.byGroup
 	}
-	missing := len(request.Heartbeats)
-	if missing == 0 {
+	unanswered := len(request.Heartbeats)
+	if unanswered == 0 {
 		reply(answer)
 		return
 	}
-	for i, one := range request.Heartbeats {
-		c.group(one.Group).replica.heartbeat(one.Term, request.From, request.View, func(result appendReply) {
+	for i, beat := range request.Heartbeats {
+		c.group(beat.Group).replica.heartbeat(beat.Term, request.From, request.View, func(result appendReply) {
 			answer.Heartbeats[i] = result
-			if missing--; missing == 0 {
+			if unanswered--; unanswered == 0 {
 				reply(answer)
 			}
 		})
 	}
 }
 
-// pingAll sends each other member a ping with the heartbeats of all groups led here.
+// pingAll sends a ping to each other member, with the heartbeats of all groups that this node leads.
 func (c *core) pingAll() {
 	request := pingRequest{From: c.self, Ready: c.ready && c.storeWritable(), View: c.view.Version, LeadersChecksum: c.leaders.checksum}
 	for _, g := range c.sortedGroups() {
-		if g.leading != nil {
-			request.Heartbeats = append(request.Heartbeats, heartbeat{Group: g.name, Term: g.leading.termNumber})
+		if g.leadership != nil {
+			request.Heartbeats = append(request.Heartbeats, heartbeat{Group: g.name, Term: g.leadership.termNumber})
 		}
 	}
 	for _, address := range c.view.Members {
@@ -49,26 +49,26 @@
 		return
 	}
 	peer.pendingPings++
-	sent := c.now
+	sentAt := c.now
 	reply := new(pingReply)
 	c.call(address, pingCall.Route(), c.timing.LeaderLease, request, reply, func(err error) {
 		peer.pendingPings--
 		if err == nil {
-			peer.lastAnswered = max(peer.lastAnswered, sent)
-			c.pingAnswered(address, request, *reply, sent)
+			peer.answeredPingSentAt = max(peer.answeredPingSentAt, sentAt)
+			c.handlePingReply(address, request, *reply, sentAt)
 		}
 	})
 }
 
-func (c *core) pingAnswered(address string, request pingRequest, reply pingReply, sent time.Duration) {
+func (c *core) handlePingReply(address string, request pingRequest, reply pingReply, sentAt time.Duration) {
 	c.leaders.update(reply.Leaders)
 	if len(reply.Heartbeats) != len(request.Heartbeats) {
 		return
 	}
-	for i, one := range request.Heartbeats {
-		leading := c.groups[one.Group].leading
-		if leading != nil && leading.termNumber == one.Term {
-			leading.heartbeatAnswered(address, reply.Heartbeats[i], sent)
+	for i, beat := range request.Heartbeats {
+		leading := c.groups[beat.Group].leadership
+		if leading != nil && leading.termNumber == beat.Term {
+			leading.handleHeartbeatReply(address, reply.Heartbeats[i], sentAt)
 		}
 	}
 }
--- a/internal/controlplane/replication/history.go
+++ b/internal/controlplane/replication/history.go
@@ -1,14 +1,14 @@
 package replication
 
-// history holds the newest batches of a term, in order.
+// history retains the newest batches of a term, in order.
 type history struct {
 	limits     Limits
-	catchingUp bool // a replica is catching up from a snapshot and needs what came after it
+	catchingUp bool // a replica is catching up from a snapshot and needs the batches after it
 	batches    []batch
 	bytes      int
 }
 
-// add appends a batch and drops the oldest ones beyond the limits; the newest always stays.
+// add appends a batch and drops the oldest batches beyond the limits. It always retains the newest batch.
 func (h *history) add(b batch) {
 	h.batches = append(h.batches, b)
 	h.bytes += b.bytes
@@ -24,7 +24,7 @@
 	return len(h.batches) > h.limits.RetainedBatches || h.bytes > h.limits.RetainedBytes
 }
 
-// withinRetention tells whether so few batches lead from a position to the newest that half of the usual limits retains them.
+// withinRetention reports whether the batches after a position fit into half of the normal retention limits.
 func (h *history) withinRetention(position Position) bool {
 	count, sum := 0, 0
 	for i := len(h.batches) - 1; i >= 0; i-- {
@@ -45,15 +45,15 @@
 	h.batches = h.batches[1:]
 }
 
-// discardThrough drops the batches up to an index; the newest always stays.
+// discardThrough drops the batches up to an index. It always retains the newest batch.
 func (h *history) discardThrough(index uint64) {
 	for len(h.batches) > 1 && h.batches[0].position.Index <= index {
 		h.dropOldest()
 	}
 }
 
-// after merges the batches after a position into one, as many as fit into a message, but at least one. It is not found
-// where no retained batch begins at the position.
+// after returns the batches after a position merged into one batch. It merges at least one batch, and otherwise as many as fit
+// into a message. It returns false if no retained batch starts at the position.
 func (h *history) after(position Position) (batch, bool) {
 	for i, b := range h.batches {
 		if b.previous == position {
@@ -63,7 +63,7 @@
 	return batch{}, false
 }
 
-// batchesPerMessage is how many batches in a row fit into a message, at least one.
+// batchesPerMessage returns how many consecutive batches, starting at index first, fit into a message. It is at least one.
 func (h *history) batchesPerMessage(first int) int {
 	count, sum := 1, h.batches[first].bytes
 	for _, b := range h.batches[first+1:] {
--- a/internal/controlplane/replication/largestate_test.go
+++ b/internal/controlplane/replication/largestate_test.go
@@ -38,7 +38,7 @@
 			entries[i] = Entry{fmt.Sprintf("task/%08d", first+i), bytes.Repeat([]byte{mark}, largeValue)}
 		}
 		for !commits(leader.term, entries) {
-			leader = c.awaitValid()
+			leader = c.awaitValidElection()
 		}
 	}
 	return leader
@@ -117,15 +117,15 @@
 			opened[address] = time.Since(began)
 			return stores[address]
 		}
-		c := startClusterOn(3, open)
+		c := startClusterWithStores(3, open)
 		defer func() {
 			c.close()
 			for _, store := range stores {
 				store.Close()
 			}
 		}()
-		leader := c.proposeAll(c.awaitValid(), entryCount(), 1)
-		var away *running
+		leader := c.proposeAll(c.awaitValidElection(), entryCount(), 1)
+		var away *runningNode
 		for _, r := range c.nodes {
 			if r != leader.node {
 				away = r
@@ -147,7 +147,7 @@
 			return newest > 0 && newest+200 > committed.Load()
 		}
 		for !caughtUp() {
-			_, err := await(stores[away.address].written)
+			_, err := receive(stores[away.address].written)
 			So(err, ShouldBeNil)
 		}
 		t.Logf("%d entries: open after %v, caught up after %v", entryCount(), opened[away.address], time.Since(began))
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -9,8 +9,8 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// leadership is this node's term as leader of a group: it gathers proposals into batches, sends them to the
-// followers, counts their acknowledgements, and renews the lease.
+// leadership is one term of this node as leader of a group. It collects proposals into batches, sends them to the followers,
+// counts acknowledgements, and renews the lease.
 type leadership struct {
 	core         *core
 	group        *group
@@ -18,18 +18,18 @@
 	handle       *Term
 	elected      bool
 	ended        bool
-	deadline     time.Duration // the term ends then unless a majority answers
+	deadline     time.Duration // when the term ends unless a majority replies before
 	followers    map[string]*follower
 	history      history
-	lastPosition Position // of the newest batch begun
-	commitIndex  uint64   // of the newest committed batch of the term; 0 before the first
+	lastPosition Position // position of the newest started batch
+	commitIndex  uint64   // index of the newest committed batch of the term; 0 before the first
 
-	pending           map[string][]byte // of the batch that comes next
-	pendingCallbacks  []func()          // to call once it is committed
-	inFlightCallbacks []func()          // to call once the batch under way is committed
+	pendingValues     map[string][]byte // values of the next batch, by key
+	pendingCallbacks  []func()          // commit callbacks of the next batch
+	inFlightCallbacks []func()          // commit callbacks of the batch in progress
 }
 
-// startLeading begins a term on an adopted state. Its first batch is empty, and its commitment completes the election.
+// startLeading starts a term with an adopted state. The first batch is empty, and committing it completes the election.
 func (g *group) startLeading(term uint64, adopted voteReply, votes map[string]voteReply) {
 	l := &leadership{
 		core: g.core, group: g, termNumber: term,
@@ -38,18 +38,18 @@
 	}
 	l.handle = newTerm(g.core, l)
 	l.history.limits = g.core.limits
-	g.leading = l
+	g.leadership = l
 	l.updateFollowers()
 	for address, reply := range votes {
 		if follower := l.followers[address]; follower != nil {
-			follower.position, follower.known = reply.Position, true
+			follower.position, follower.positionKnown = reply.Position, true
 		}
 	}
 	l.startBatch(adopted.Position, nil, l.adoptionRequest(adopted))
 	l.advance()
 }
 
-// adoptionRequest is the local write that begins the term.
+// adoptionRequest returns the local append request that starts the term.
 func (l *leadership) adoptionRequest(adopted voteReply) appendRequest {
 	request := l.appendRequestHeader()
 	request.Previous = adopted.Position
@@ -63,7 +63,7 @@
 	return request
 }
 
-// updateFollowers makes the followers those of the view.
+// updateFollowers adds and removes followers so that they match the view.
 func (l *leadership) updateFollowers() {
 	for _, address := range l.core.view.Members {
 		if address != l.core.self && l.followers[address] == nil {
@@ -82,7 +82,7 @@
 	return appendRequest{Group: l.group.name, Term: l.termNumber, Leader: l.core.self, View: l.core.view.Version}
 }
 
-// startBatch starts the next batch: it enters the history and is written here.
+// startBatch adds the next batch to the history and appends it to the local replica.
 func (l *leadership) startBatch(previous Position, values map[string][]byte, local appendRequest) {
 	l.lastPosition = Position{l.termNumber, l.lastPosition.Index + 1}
 	l.updateHistoryLimits()
@@ -96,30 +96,30 @@
 	})
 }
 
-// startPendingBatch starts a batch of what has been proposed, if the earlier one is committed and written here.
+// startPendingBatch starts a batch with the pending values, if the previous batch is committed and written locally.
 func (l *leadership) startPendingBatch() {
 	if !l.elected || l.commitIndex < l.lastPosition.Index || l.group.replica.position != l.lastPosition {
 		return
 	}
-	if len(l.pending) == 0 && !l.handle.Valid() {
-		return // another leader may have been elected; the next acknowledgement of a majority shows that none was
+	if len(l.pendingValues) == 0 && !l.handle.Valid() {
+		return // another leader may have been elected; acknowledgements of a majority will renew the lease and rule that out
 	}
-	values := l.pending
-	l.inFlightCallbacks, l.pendingCallbacks, l.pending = l.pendingCallbacks, nil, nil
+	values := l.pendingValues
+	l.inFlightCallbacks, l.pendingCallbacks, l.pendingValues = l.pendingCallbacks, nil, nil
 	if len(values) == 0 {
 		l.notifyCommitted()
 		return
 	}
 	previous := l.lastPosition
-	b := l.appendRequestHeader()
-	b.Previous = previous
+	request := l.appendRequestHeader()
+	request.Previous = previous
 	for key, value := range values {
-		b.Entries = append(b.Entries, Entry{key, value})
+		request.Entries = append(request.Entries, Entry{key, value})
 	}
-	l.startBatch(previous, values, b)
+	l.startBatch(previous, values, request)
 }
 
-// propose adds entries to the next batch.
+// propose adds entries to the next batch. It ignores entries with an empty key.
 func (l *leadership) propose(entries []Entry, committed func()) {
 	if l.checkLease(); l.ended {
 		return
@@ -128,10 +128,10 @@
 		if entry.Key == "" {
 			continue
 		}
-		if l.pending == nil {
-			l.pending = make(map[string][]byte)
+		if l.pendingValues == nil {
+			l.pendingValues = make(map[string][]byte)
 		}
-		l.pending[entry.Key] = entry.Value
+		l.pendingValues[entry.Key] = entry.Value
 	}
 	if committed != nil {
 		l.pendingCallbacks = append(l.pendingCallbacks, committed)
@@ -139,7 +139,7 @@
 	l.advance()
 }
 
-// advance does whatever has become possible.
+// advance performs all actions that the current state permits.
 func (l *leadership) advance() {
 	if l.ended {
 		return
@@ -156,34 +156,35 @@
 	l.trimHistory()
 }
 
-// advanceCommitIndex commits what a majority has synced, by acknowledgements that are not too old. The matching indexes are of
-// this term alone, as only those may be counted (Ongaro's thesis, 3.6.2).
+// advanceCommitIndex commits the batches that a majority has synced. It ignores acknowledgements older than
+// Timing.ReplyTimeout. The match indexes are all of this term, as only batches of the own term may be counted (Ongaro's
+// thesis, 3.6.2).
 func (l *leadership) advanceCommitIndex() {
-	sequences := make([]uint64, 0, len(l.followers)+1)
+	matchIndexes := make([]uint64, 0, len(l.followers)+1)
 	if l.group.replica.position.Term == l.termNumber {
-		sequences = append(sequences, l.group.replica.position.Index)
+		matchIndexes = append(matchIndexes, l.group.replica.position.Index)
 	}
 	for _, follower := range l.followers {
 		if l.core.now-follower.matchSentAt <= l.core.timing.ReplyTimeout {
-			sequences = append(sequences, follower.matchIndex)
+			matchIndexes = append(matchIndexes, follower.matchIndex)
 		}
 	}
 	quorum := l.core.view.Quorum()
-	if len(sequences) < quorum {
+	if len(matchIndexes) < quorum {
 		return
 	}
-	slices.Sort(sequences)
-	sequence := sequences[len(sequences)-quorum]
-	if sequence <= l.commitIndex {
+	slices.Sort(matchIndexes)
+	majorityIndex := matchIndexes[len(matchIndexes)-quorum]
+	if majorityIndex <= l.commitIndex {
 		return
 	}
-	l.commitIndex = sequence
-	if sequence == l.lastPosition.Index {
+	l.commitIndex = majorityIndex
+	if majorityIndex == l.lastPosition.Index {
 		l.notifyCommitted()
 	}
 }
 
-// notifyCommitted calls back the proposers of the batch that was under way.
+// notifyCommitted queues the commit callbacks of the batch that was in progress.
 func (l *leadership) notifyCommitted() {
 	for _, committed := range l.inFlightCallbacks {
 		l.handle.enqueue(committed)
@@ -191,7 +192,7 @@
 	l.inFlightCallbacks = nil
 }
 
-// completeElection completes the election once the adopted state is committed, is on this disk, and the lease holds.
+// completeElection completes the election once the adopted state is committed and on the local disk, and the lease is valid.
 func (l *leadership) completeElection() {
 	if l.elected || l.commitIndex == 0 || l.group.replica.position != l.lastPosition || !l.handle.Valid() {
 		return
@@ -203,33 +204,33 @@
 	l.core.leaders.updateGroup(l.group.name, feed.Leader{Address: l.core.self, Term: l.termNumber})
 }
 
-// renewLease extends the lease: it counts from when the newest requests were sent that a majority has acknowledged.
+// renewLease extends the lease, counted from the send time of the newest requests that a majority has acknowledged.
 func (l *leadership) renewLease() {
-	sent := make([]time.Duration, 0, len(l.followers)+1)
-	sent = append(sent, l.core.now)
+	sendTimes := make([]time.Duration, 0, len(l.followers)+1)
+	sendTimes = append(sendTimes, l.core.now)
 	for _, follower := range l.followers {
-		sent = append(sent, follower.acknowledgedAt)
+		sendTimes = append(sendTimes, follower.acknowledgedAt)
 	}
 	quorum := l.core.view.Quorum()
-	if len(sent) < quorum {
+	if len(sendTimes) < quorum {
 		return
 	}
-	slices.Sort(sent)
-	leaseEnd := sent[len(sent)-quorum] + l.core.timing.LeaderLease
-	l.handle.extend(leaseEnd)
+	slices.Sort(sendTimes)
+	leaseEnd := sendTimes[len(sendTimes)-quorum] + l.core.timing.LeaderLease
+	l.handle.extendLease(leaseEnd)
 	l.deadline = max(l.deadline, leaseEnd)
 }
 
-// trimHistory drops the batches that all followers have.
+// trimHistory discards the batches that all followers have synced.
 func (l *leadership) trimHistory() {
-	least := l.commitIndex
+	lowestMatchIndex := l.commitIndex
 	for _, follower := range l.followers {
-		least = min(least, follower.matchIndex)
+		lowestMatchIndex = min(lowestMatchIndex, follower.matchIndex)
 	}
-	l.history.discardThrough(least)
+	l.history.discardThrough(lowestMatchIndex)
 }
 
-// checkLease ends a term whose lease has run out, or whose node has left the view or has a stalled disk.
+// checkLease ends the term if its deadline has passed, if this node has left the view, or if the disk is stalled.
 func (l *leadership) checkLease() {
 	switch {
 	case !l.core.view.Has(l.core.self), l.core.diskStalled():
@@ -239,22 +240,22 @@
 	}
 }
 
-// end ends the term.
+// end ends the term and discards all proposals that are not committed.
 func (l *leadership) end(reason string) {
 	if l.ended {
 		return
 	}
 	l.ended = true
-	l.group.leading = nil
+	l.group.leadership = nil
 	l.group.lastContact = l.core.now
-	l.core.tickEarlier = true
+	l.core.tickRequested = true
 	l.core.log.Info("leadership ended", zap.String("group", l.group.name), zap.Uint64("term", l.termNumber),
 		zap.String("reason", reason))
 	l.handle.finish()
 	for address, follower := range l.followers {
 		l.endTransfer(address, follower)
 	}
-	l.pending, l.pendingCallbacks, l.inFlightCallbacks, l.history = nil, nil, nil, history{}
+	l.pendingValues, l.pendingCallbacks, l.inFlightCallbacks, l.history = nil, nil, nil, history{}
 }
 
 // resign ends the term and notifies the other members.
@@ -263,7 +264,7 @@
 		return
 	}
 	l.end("resigned")
-	l.group.leaderResigned(l.termNumber)
+	l.group.recordResignation(l.termNumber)
 	request := resignRequest{Group: l.group.name, Term: l.termNumber, From: l.core.self, Stopping: stopping}
 	for _, address := range l.core.view.Members {
 		if address == l.core.self {
--- a/internal/controlplane/replication/leadertable.go
+++ b/internal/controlplane/replication/leadertable.go
@@ -12,16 +12,16 @@
 
 // leaderTable holds the newest known leader of each group.
 type leaderTable struct {
-	byGroup  map[string]feed.Leader // replaced, never changed
-	checksum uint64                 // checksum of the content
-	changed  chan struct{}          // closed at the next change
+	byGroup  map[string]feed.Leader // copied on write; never modified in place
+	checksum uint64                 // checksum of byGroup
+	changed  chan struct{}          // closed on the next change
 }
 
 func newLeaderTable() *leaderTable {
 	return &leaderTable{byGroup: make(map[string]feed.Leader), changed: make(chan struct{})}
 }
 
-// update adopts the leaders with higher terms than those known.
+// update adds the leaders whose terms are higher than the known ones.
 func (t *leaderTable) update(leaders map[string]feed.Leader) {
 	var next map[string]feed.Leader
 	for group, leader := range leaders {
--- a/internal/controlplane/replication/lease_test.go
+++ b/internal/controlplane/replication/lease_test.go
@@ -7,34 +7,35 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A proposal without entries confirms what its proposer has read. It is called back at once where no batch is under way, so
-// the lease alone shows that no other leader has written in the meantime.
-func TestNothingIsCommittedAfterTheLease(t *testing.T) {
-	Convey("Given a leader that has just been elected and is partitioned from all others", t, func() {
+// TestEmptyProposalIsNotConfirmedAfterLeaseExpiry guards against stale reads. A proposal without entries confirms an earlier read
+// of its proposer. If no batch is in progress, it needs no messages, and only a valid lease ensures that no other leader has
+// written in the meantime.
+func TestEmptyProposalIsNotConfirmedAfterLeaseExpiry(t *testing.T) {
+	Convey("Given a newly elected leader that is partitioned from all others", t, func() {
 		s := newSimulation(3, 3, defects{}, Timing{})
 		s.proposing = false
 		s.start()
 		group := s.groups[0]
-		So(s.until(10*time.Second, func() bool { return s.leader(group) != nil }), ShouldBeNil)
+		So(s.runUntil(10*time.Second, func() bool { return s.leader(group) != nil }), ShouldBeNil)
 		leader := s.leader(group)
 		So(leader, ShouldNotBeNil)
 		term := leader.terms[group]
 		s.isolate(leader)
-		So(s.until(time.Second, func() bool { return !term.Valid() }), ShouldBeNil)
+		So(s.runUntil(time.Second, func() bool { return !term.Valid() }), ShouldBeNil)
 
-		Convey("it confirms nothing between the end of its lease and that of its term", func() {
-			So(term.over(), ShouldBeFalse)
+		Convey("it confirms nothing between the end of its lease and the end of its term", func() {
+			So(term.hasEnded(), ShouldBeFalse)
 			confirmed := false
 			term.Propose(nil, func() { confirmed = true })
 			So(s.run(2*time.Second), ShouldBeNil)
-			So(term.over(), ShouldBeTrue)
+			So(term.hasEnded(), ShouldBeTrue)
 			So(confirmed, ShouldBeFalse)
 		})
-		Convey("it confirms once a majority answers again", func() {
+		Convey("it confirms the proposal once a majority replies again", func() {
 			confirmed := false
 			term.Propose(nil, func() { confirmed = true })
 			clear(s.partitions)
-			So(s.until(time.Second, func() bool { return confirmed }), ShouldBeNil)
+			So(s.runUntil(time.Second, func() bool { return confirmed }), ShouldBeNil)
 			So(confirmed, ShouldBeTrue)
 		})
 	})
--- a/internal/controlplane/replication/liveness.go
+++ b/internal/controlplane/replication/liveness.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Liveness is what a node knows of one other member.
+// Liveness is the contact state of another member, as known to a node.
 type Liveness struct {
 	Address      string
-	Alive        bool          // it sent a ping within Timing.LivenessTimeout
-	Ready        bool          // it may vote, by its newest answer
-	Contacted    bool          // it has sent a ping since this node started
-	SinceContact time.Duration // since its newest ping arrived; meaningless unless Contacted
+	Alive        bool          // a ping arrived from it within Timing.LivenessTimeout
+	Ready        bool          // it may vote, according to its newest ping
+	Contacted    bool          // a ping arrived from it since this node started
+	SinceContact time.Duration // time since its newest ping arrived; only meaningful if Contacted
 }
 
-// Members returns the liveness of the other members of the view, in the view's order.
+// Members returns the liveness of the other members, in the order of the view.
 func (n *Node) Members() []Liveness {
 	view := n.config.View()
 	n.mu.Lock()
@@ -22,13 +22,13 @@
 		if address == n.config.Self {
 			continue
 		}
-		one := n.core.members.byAddress[address]
-		if one == nil || one.lastPing == never {
+		peer := n.core.members.byAddress[address]
+		if peer == nil || peer.lastPing == never {
 			members = append(members, Liveness{Address: address})
 			continue
 		}
-		ago := now - one.lastPing
-		members = append(members, Liveness{Address: address, Alive: ago <= n.core.members.livenessTimeout, Ready: one.ready, Contacted: true, SinceContact: ago})
+		ago := now - peer.lastPing
+		members = append(members, Liveness{Address: address, Alive: ago <= n.core.members.livenessTimeout, Ready: peer.ready, Contacted: true, SinceContact: ago})
 	}
 	return members
 }
--- a/internal/controlplane/replication/members.go
+++ b/internal/controlplane/replication/members.go
@@ -6,22 +6,22 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// never is a moment before every other.
+// never is a time before all others.
 const never = -1 << 62 * time.Nanosecond
 
-// member is what is known of another core node.
+// member is the contact state of another core node.
 type member struct {
-	lastPing     time.Duration // its newest ping arrived then
-	ready        bool          // it may vote, as its newest ping says
-	lastAnswered time.Duration // the newest of our pings that it answered was sent then
-	pendingPings int           // calls in flight
+	lastPing           time.Duration // when its newest ping arrived
+	ready              bool          // it may vote, according to its newest ping
+	answeredPingSentAt time.Duration // when this node sent the newest ping that the member answered
+	pendingPings       int           // pings in flight
 }
 
-// members tells which core nodes are alive and in contact.
+// members tracks which core nodes are alive and in contact with this node.
 type members struct {
 	self            string
 	livenessTimeout time.Duration
-	byAddress       map[string]*member // by address
+	byAddress       map[string]*member
 }
 
 func newMembers(self string, livenessTimeout time.Duration) *members {
@@ -29,15 +29,15 @@
 }
 
 func (m *members) get(address string) *member {
-	one := m.byAddress[address]
-	if one == nil {
-		one = &member{lastPing: never, lastAnswered: never}
-		m.byAddress[address] = one
+	peer := m.byAddress[address]
+	if peer == nil {
+		peer = &member{lastPing: never, answeredPingSentAt: never}
+		m.byAddress[address] = peer
 	}
-	return one
+	return peer
 }
 
-// retain drops all that are not in a view.
+// retain removes all members that are not in a view.
 func (m *members) retain(view replicaset.View) {
 	for address := range m.byAddress {
 		if !view.Has(address) {
@@ -46,18 +46,18 @@
 	}
 }
 
-// canVote tells whether a member is alive and may vote.
+// canVote reports whether a member is alive and may vote.
 func (m *members) canVote(address string, now time.Duration) bool {
-	one := m.byAddress[address]
-	return address == m.self || one != nil && one.ready && now-one.lastPing <= m.livenessTimeout
+	peer := m.byAddress[address]
+	return address == m.self || peer != nil && peer.ready && now-peer.lastPing <= m.livenessTimeout
 }
 
-// contactsQuorum tells whether a majority, with this node, has answered of late.
+// contactsQuorum reports whether a majority, including this node, answered pings sent within livenessTimeout.
 func (m *members) contactsQuorum(view replicaset.View, now time.Duration) bool {
 	count := 0
 	for _, address := range view.Members {
-		one := m.byAddress[address]
-		if address == m.self || one != nil && now-one.lastAnswered <= m.livenessTimeout {
+		peer := m.byAddress[address]
+		if address == m.self || peer != nil && now-peer.answeredPingSentAt <= m.livenessTimeout {
 			count++
 		}
 	}
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -5,8 +5,8 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Votes, batches and heartbeats have terms and positions, so that a duplicate changes nothing.
-// A late resignation would make a process that is back count as gone, so that one is sent at most once.
+// Internal calls. Votes, batches and heartbeats carry terms and positions, so processing a duplicate has no effect.
+// A resignation is sent at most once: a late duplicate would mark a restarted process as stopped.
 var (
 	voteCall     = transport.NewIdempotent[voteRequest, voteReply]("/replication/prepare")
 	appendCall   = transport.NewIdempotent[appendRequest, appendReply]("/replication/append")
@@ -21,12 +21,13 @@
 	Value []byte `msgpack:"v"`
 }
 
-// voteRequest asks for a vote. With PreVote set, it asks whether a vote would be given, and changes nothing.
+// voteRequest asks a replica for its vote. If PreVote is set, it asks whether the replica would grant a vote, without changing
+// the replica.
 type voteRequest struct {
 	Group     string   `msgpack:"g"`
 	Term      uint64   `msgpack:"e"`
 	Candidate string   `msgpack:"c"`
-	Position  Position `msgpack:"p"` // the candidate's own
+	Position  Position `msgpack:"p"` // the candidate's position
 	View      uint64   `msgpack:"w"` // version of the candidate's view
 	PreVote   bool     `msgpack:"b,omitempty"`
 }
@@ -35,28 +36,30 @@
 	Granted  bool              `msgpack:"g"`
 	Term     uint64            `msgpack:"m"` // the voter's current term
 	Position Position          `msgpack:"p"`
-	State    map[string][]byte `msgpack:"s,omitempty"` // only where Position is newer than the candidate's
-	// StateOmitted tells that Position is newer than the candidate's and that the state does not fit into this message. The
-	// candidate fetches it in chunks before it asks for votes.
+	State    map[string][]byte `msgpack:"s,omitempty"` // set only if Position is newer than the candidate's
+	// StateOmitted is set if Position is newer than the candidate's but the state does not fit into this message. The
+	// candidate then fetches the state in chunks before it requests votes.
 	StateOmitted bool `msgpack:"l,omitempty"`
 }
 
-// snapshotRequest asks for a chunk of a replica's state as of a position.
+// snapshotRequest asks for one chunk of a replica's state at a position.
 type snapshotRequest struct {
 	Group    string   `msgpack:"g"`
 	View     uint64   `msgpack:"w"`
 	Position Position `msgpack:"p"`
-	Chunk    uint32   `msgpack:"a"` // from 0
+	Chunk    uint32   `msgpack:"a"` // starts at 0
 }
 
-// snapshotReply is that chunk. Chunks is zero where the replica is not at the position, or may not vote.
+// snapshotReply carries the requested chunk. Chunks is the total number of chunks, or zero if the replica is not at the
+// requested position or may not vote.
 type snapshotReply struct {
 	Chunks  uint32  `msgpack:"n"`
 	Entries []Entry `msgpack:"t"`
 }
 
-// appendRequest moves a replica from Previous to Position, or with Snapshot set, from wherever it is. What does not fit
-// into one message comes in chunks, and moves the replica with the last one.
+// appendRequest moves a replica from Previous to Position. If Snapshot is set, Entries replace the whole state, whatever the
+// replica's position. Entries that do not fit into one message are sent in chunks. The replica moves to Position after the
+// last chunk.
 type appendRequest struct {
 	Group    string   `msgpack:"g"`
 	Term     uint64   `msgpack:"e"`
@@ -66,46 +69,46 @@
 	Previous Position `msgpack:"q"`
 	Position Position `msgpack:"p"`
 	Entries  []Entry  `msgpack:"t"`
-	Chunk    uint32   `msgpack:"a,omitempty"` // from 0
-	Chunks   uint32   `msgpack:"m,omitempty"` // how many there are; 0 and 1 both stand for one
+	Chunk    uint32   `msgpack:"a,omitempty"` // starts at 0
+	Chunks   uint32   `msgpack:"m,omitempty"` // total number of chunks; 0 and 1 both mean a single chunk
 }
 
-// appendOutcome is a replica's answer to its leader.
+// appendOutcome is the result of an append request or a heartbeat.
 type appendOutcome uint8
 
 const (
-	unavailable      appendOutcome = iota // the replica may not vote at present, or has a newer view
-	accepted                              // the replica follows the leader; its position is in the reply
-	positionMismatch                      // the replica follows the leader, but the batch does not continue its position
+	unavailable      appendOutcome = iota // the replica may not vote at the moment, or has a newer view
+	accepted                              // the replica follows the leader; the reply has its position
+	positionMismatch                      // the replica follows the leader, but the batch does not start at its position
 	staleTerm                             // the replica's current term is higher
-	incomplete                            // the replica follows the leader, and lacks the chunk that the reply names
+	incomplete                            // the replica follows the leader, and expects chunk NextChunk next
 )
 
 type appendReply struct {
 	Outcome   appendOutcome `msgpack:"o"`
 	Term      uint64        `msgpack:"m"`
 	Position  Position      `msgpack:"p"`
-	NextChunk uint32        `msgpack:"w,omitempty"` // with incomplete: the missing chunk
+	NextChunk uint32        `msgpack:"w,omitempty"` // the next expected chunk, if Outcome is incomplete
 }
 
-// heartbeat renews the lease of one group's leader.
+// heartbeat renews the lease of the leader of one group.
 type heartbeat struct {
 	Group string `msgpack:"g"`
 	Term  uint64 `msgpack:"e"`
 }
 
-// pingRequest shows a member that the sender is alive, and carries its heartbeats as a leader.
+// pingRequest shows that its sender is alive, and carries the heartbeats of all groups that the sender leads.
 type pingRequest struct {
 	From            string      `msgpack:"f"`
 	Ready           bool        `msgpack:"r"` // the sender may vote
 	View            uint64      `msgpack:"w"`
-	LeadersChecksum uint64      `msgpack:"s"` // checksum of the leaders that the sender knows
+	LeadersChecksum uint64      `msgpack:"s"` // checksum of the leaders known to the sender
 	Heartbeats      []heartbeat `msgpack:"b"`
 }
 
 type pingReply struct {
 	Heartbeats []appendReply          `msgpack:"b"`           // in the order of the request
-	Leaders    map[string]feed.Leader `msgpack:"l,omitempty"` // only where the checksums differ
+	Leaders    map[string]feed.Leader `msgpack:"l,omitempty"` // set only if the checksums differ
 }
 
 // resignRequest announces that a leader has ended its term.
@@ -113,7 +116,7 @@
 	Group    string `msgpack:"g"`
 	Term     uint64 `msgpack:"e"`
 	From     string `msgpack:"f"`
-	Stopping bool   `msgpack:"l"` // its process is stopping
+	Stopping bool   `msgpack:"l"` // the process of the leader is stopping
 }
 
 type resignReply struct{}
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -19,31 +19,31 @@
 	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
-// Config is what a Node needs.
+// Config configures a Node.
 type Config struct {
-	Self    string        // internal address, as in the view
-	Store   storage.Store // tables of the prefixes StateTablePrefix and MetaTablePrefix are the node's
+	Self    string        // internal address of this node, as in the view
+	Store   storage.Store // the node owns all tables with the prefixes StateTablePrefix and MetaTablePrefix
 	Caller  transport.Caller
-	View    func() replicaset.View // the newest known; must not call the node
-	Ready   func() bool            // the replica may vote; once true it stays so; must not call the node
+	View    func() replicaset.View // returns the newest known view; must not call the node
+	Ready   func() bool            // reports whether the replica may vote; stays true once true; must not call the node
 	Handler Handler
 	Log     *zap.Logger
-	Clock   Clock // the process's steady clock when nil
+	Clock   Clock // nil means a monotonic clock of the process
 	Timing  Timing
 	Limits  Limits
 }
 
 var (
-	errIncompleteConfig = errors.New("replication: a field of Config is missing")
+	errIncompleteConfig = errors.New("replication: required field missing in Config")
 	errLeaseTooLong     = errors.New("replication: LeaderLease must be shorter than FollowerLease")
-	errAbandoned        = errors.New("replication: the request was given up")
+	errRequestCancelled = errors.New("replication: request cancelled before a reply was available")
 )
 
-// Node is one core node's part in all replication groups.
+// Node runs the replicas of all replication groups on one core node.
 type Node struct {
 	config Config
 	log    *zap.Logger
-	ctx    context.Context // of calls and handlers
+	ctx    context.Context // context of all calls
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 	wakeUp wakeup.Signal
@@ -52,8 +52,9 @@
 	core *core
 }
 
-// NewNode makes a node on what its store holds. It votes from the start, and campaigns and leads while Run runs. The error tells
-// what is missing in the configuration, or that a leader's lease would outlast those of its followers.
+// NewNode creates a node and restores its groups from the store. The node votes from the start, but campaigns and leads only
+// while Run is running. NewNode returns an error if a required field of the configuration is missing, or if the lease of a
+// leader is not shorter than the leases of its followers.
 func NewNode(config Config) (*Node, error) {
 	config.Timing = config.Timing.withDefaults()
 	if config.Timing.LeaderLease >= config.Timing.FollowerLease {
@@ -63,7 +64,7 @@
 		return nil, errIncompleteConfig
 	}
 	if config.Clock == nil {
-		config.Clock = steadyClock{time.Now()}
+		config.Clock = monotonicClock{time.Now()}
 	}
 	if config.Log == nil {
 		config.Log = zap.NewNop()
@@ -89,10 +90,10 @@
 	}
 }
 
-// Ensure declares that a group exists, so that this node campaigns for it when due.
-func (n *Node) Ensure(group string) { n.runStep(func() { n.core.ensure(group) }) }
+// Ensure declares that a group exists, so that this node campaigns for it if it has no leader.
+func (n *Node) Ensure(group string) { n.runStep(func() { n.core.ensureGroup(group) }) }
 
-// Groups lists all groups known, sorted.
+// Groups returns the names of all known groups, sorted.
 func (n *Node) Groups() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -113,14 +114,14 @@
 	return maps.Clone(n.core.leaders.byGroup)
 }
 
-// Changed returns a channel that is closed at the next change of Leaders.
-func (n *Node) Changed() <-chan struct{} {
+// LeadersChanged returns a channel that is closed on the next change of Leaders.
+func (n *Node) LeadersChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.leaders.changed
 }
 
-// InContact tells whether a majority of the view, this node included, has answered within Timing.LivenessTimeout.
+// InContact reports whether a majority of the view, including this node, answered pings sent within Timing.LivenessTimeout.
 func (n *Node) InContact() bool {
 	view := n.config.View()
 	n.mu.Lock()
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -21,33 +21,34 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// patience bounds each wait of these tests; it is met at once unless something is wrong.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait in these tests. Without a fault the awaited event happens almost immediately.
+const waitTimeout = 20 * time.Second
 
-// quick are intervals that keep the tests short, though long enough for a busy machine.
-var quick = Timing{
+// fastTiming has intervals that keep the tests short, but that are long enough for a busy machine.
+var fastTiming = Timing{
 	HeartbeatInterval: 50 * time.Millisecond, LeaderLease: 1500 * time.Millisecond, FollowerLease: 1600 * time.Millisecond,
-	ElectionTimeout: 1700 * time.Millisecond, VacantElectionTimeout: 100 * time.Millisecond, RankDelay: 50 * time.Millisecond,
+	ElectionTimeout: 1700 * time.Millisecond, LeaderlessElectionTimeout: 100 * time.Millisecond, RankDelay: 50 * time.Millisecond,
 	MinCampaignBackoff: 20 * time.Millisecond, MaxCampaignBackoff: 100 * time.Millisecond,
 }
 
-// cluster is some nodes on loopback.
+// cluster is a set of nodes that listen on loopback addresses.
 type cluster struct {
-	view    replicaset.View
-	nodes   map[string]*running
-	elected chan election
-	deposed chan *Term
-	open    func(address string) storage.Store // makes a node's store
-	faults  atomic.Pointer[chunkFaults]        // what harms calls on their way; nil for nothing
+	view      replicaset.View
+	nodes     map[string]*runningNode
+	elected   chan election
+	deposed   chan *Term
+	openStore func(address string) storage.Store // creates the store of a node
+	faults    atomic.Pointer[chunkFaults]        // faults injected into calls; nil if there are none
 }
 
 type election struct {
-	node  *running
+	node  *runningNode
 	term  *Term
 	state map[string][]byte
 }
 
-type running struct {
+// runningNode is a started node with its server, client and store.
+type runningNode struct {
 	cluster  *cluster
 	address  string
 	listener net.Listener
@@ -61,20 +62,20 @@
 }
 
 // Elected implements Handler.
-func (r *running) Elected(term *Term, state map[string][]byte) {
+func (r *runningNode) Elected(term *Term, state map[string][]byte) {
 	r.cluster.elected <- election{r, term, state}
 }
 
 // Deposed implements Handler.
-func (r *running) Deposed(term *Term) { r.cluster.deposed <- term }
+func (r *runningNode) Deposed(term *Term) { r.cluster.deposed <- term }
 
 func startCluster(members int) *cluster {
-	return startClusterOn(members, func(string) storage.Store { return storage.NewMemory() })
+	return startClusterWithStores(members, func(string) storage.Store { return storage.NewMemory() })
 }
 
-func startClusterOn(members int, open func(address string) storage.Store) *cluster {
+func startClusterWithStores(members int, open func(address string) storage.Store) *cluster {
 	c := &cluster{
-		nodes: make(map[string]*running), elected: make(chan election, 100), deposed: make(chan *Term, 100), open: open,
+		nodes: make(map[string]*runningNode), elected: make(chan election, 100), deposed: make(chan *Term, 100), openStore: open,
 	}
 	c.view.Version = 1
 	var listeners []net.Listener
@@ -91,32 +92,32 @@
 }
 
 func (c *cluster) startNode(listener net.Listener) {
-	r := &running{
+	running := &runningNode{
 		cluster: c, address: listener.Addr().String(), listener: listener,
-		client: transport.NewClient(), store: c.open(listener.Addr().String()), ended: make(chan struct{}),
+		client: transport.NewClient(), store: c.openStore(listener.Addr().String()), ended: make(chan struct{}),
 	}
 	node, err := NewNode(Config{
-		Self: r.address, Store: r.store, Caller: r, Handler: r, Timing: quick,
+		Self: running.address, Store: running.store, Caller: running, Handler: running, Timing: fastTiming,
 		View:  func() replicaset.View { return c.view },
 		Ready: func() bool { return true },
 	})
 	So(err, ShouldBeNil)
 	mux := transport.NewMux()
 	node.Serve(mux)
-	r.node = node
-	r.server = &http.Server{Handler: mux}
-	go r.server.Serve(listener)
+	running.node = node
+	running.server = &http.Server{Handler: mux}
+	go running.server.Serve(listener)
 	ctx, cancel := context.WithCancel(context.Background())
-	r.cancel = cancel
-	go func() { defer close(r.ended); node.Run(ctx) }()
+	running.cancel = cancel
+	go func() { defer close(running.ended); node.Run(ctx) }()
 	node.Ensure("jobs/x")
-	c.nodes[r.address] = r
+	c.nodes[running.address] = running
 }
 
 // Call implements transport.Caller.
-func (r *running) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+func (r *runningNode) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
 	if r.killed.Load() {
-		return errors.New("killed")
+		return errors.New("node was killed")
 	}
 	if faults := r.cluster.faults.Load(); faults != nil {
 		return r.callHarmed(ctx, faults, address, route, request, reply)
@@ -124,14 +125,14 @@
 	return r.client.Call(ctx, address, route, request, reply)
 }
 
-// kill ends a node's contact with the others at once, and then the node itself.
-func (r *running) kill() {
+// kill disconnects a node from the others at once, and then stops it.
+func (r *runningNode) kill() {
 	r.killed.Store(true)
 	r.server.Close()
 	r.stop()
 }
 
-func (r *running) stop() {
+func (r *runningNode) stop() {
 	r.cancel()
 	<-r.ended
 	r.server.Close()
@@ -145,139 +146,139 @@
 	}
 }
 
-// await receives from a channel, within the test's patience.
-func await[T any](from <-chan T) (T, error) {
-	timer := time.NewTimer(patience)
+// receive receives a value from a channel. It returns an error after waitTimeout.
+func receive[T any](from <-chan T) (T, error) {
+	timer := time.NewTimer(waitTimeout)
 	defer timer.Stop()
 	select {
 	case value := <-from:
 		return value, nil
 	case <-timer.C:
 		var none T
-		return none, errors.New("nothing came")
+		return none, errors.New("timed out waiting for a value")
 	}
 }
 
-// awaitValid takes elections until one is of a term that still holds; a busy machine may lose leases.
-func (c *cluster) awaitValid() election {
+// awaitValidElection waits for an election whose term is still valid. On a busy machine a lease may expire before.
+func (c *cluster) awaitValidElection() election {
 	for {
-		one, err := await(c.elected)
+		elected, err := receive(c.elected)
 		So(err, ShouldBeNil)
-		if one.term.Valid() {
-			return one
+		if elected.term.Valid() {
+			return elected
 		}
 	}
 }
 
-func number(value uint64) []byte { return binary.BigEndian.AppendUint64(nil, value) }
+func encodeNumber(value uint64) []byte { return binary.BigEndian.AppendUint64(nil, value) }
 
-func TestNodesOnLoopback(t *testing.T) {
+func TestLoopbackClusterElectsNewLeaderWithCommittedState(t *testing.T) {
 	Convey("Given three nodes with a leader", t, func() {
 		c := startCluster(3)
 		defer c.close()
-		first := c.awaitValid()
+		first := c.awaitValidElection()
 		So(first.state, ShouldBeEmpty)
 
 		committed := make(chan uint64, 100)
 		for i := range uint64(50) {
-			first.term.Propose([]Entry{{"count", number(i)}, {"gone", number(i)}}, func() { committed <- i })
+			first.term.Propose([]Entry{{"count", encodeNumber(i)}, {"gone", encodeNumber(i)}}, func() { committed <- i })
 		}
 		first.term.Propose([]Entry{{"gone", nil}, {"empty", []byte{}}}, func() { committed <- 50 })
 		first.term.Propose(nil, func() { committed <- 51 })
 		for i := range uint64(52) {
-			got, err := await(committed)
+			got, err := receive(committed)
 			So(err, ShouldBeNil)
 			So(got, ShouldEqual, i)
 		}
 
-		Convey("the next leader after its death has all that was committed, and a higher term", func() {
+		Convey("when it is killed, the next leader has all committed entries and a higher term", func() {
 			first.node.kill()
-			second := c.awaitValid()
+			second := c.awaitValidElection()
 			So(second.node.address, ShouldNotEqual, first.node.address)
 			So(second.term.Number(), ShouldBeGreaterThan, first.term.Number())
-			So(second.state, ShouldResemble, map[string][]byte{"count": number(49), "empty": {}})
-			old, err := await(c.deposed)
+			So(second.state, ShouldResemble, map[string][]byte{"count": encodeNumber(49), "empty": {}})
+			old, err := receive(c.deposed)
 			So(err, ShouldBeNil)
 			So(old == first.term, ShouldBeTrue)
 			So(first.term.Valid(), ShouldBeFalse)
 		})
-		Convey("the next leader after its resignation comes soon, and its own term has ended at once", func() {
+		Convey("when it resigns, its term ends at once and another leader is elected", func() {
 			first.term.Resign()
 			So(first.term.Valid(), ShouldBeFalse)
-			_, err := await(first.term.Ended())
+			_, err := receive(first.term.Ended())
 			So(err, ShouldBeNil)
-			first.term.Propose([]Entry{{"count", number(99)}}, func() { t.Error("committed after the term's end") })
-			second := c.awaitValid()
+			first.term.Propose([]Entry{{"count", encodeNumber(99)}}, func() { t.Error("a proposal was committed after the end of its term") })
+			second := c.awaitValidElection()
 			So(second.term.Number(), ShouldBeGreaterThan, first.term.Number())
-			So(second.state["count"], ShouldResemble, number(49))
+			So(second.state["count"], ShouldResemble, encodeNumber(49))
 		})
-		Convey("every node learns who leads", func() {
+		Convey("every node learns the address and term of the leader", func() {
 			for _, r := range c.nodes {
 				for {
-					changed := r.node.Changed()
+					changed := r.node.LeadersChanged()
 					leader := r.node.Leaders()["jobs/x"]
 					if leader.Address == first.node.address && leader.Term == first.term.Number() {
 						break
 					}
-					_, err := await(changed)
+					_, err := receive(changed)
 					So(err, ShouldBeNil)
 				}
 				So(r.node.Groups(), ShouldResemble, []string{"jobs/x"})
 			}
 		})
-		Convey("a leader whose store fails resigns, and another leads", func() {
-			first.node.store.(*storage.Memory).Fail(errors.New("the disk is gone"))
-			first.term.Propose([]Entry{{"count", number(99)}}, func() {})
-			second := c.awaitValid()
+		Convey("when its store fails, another node is elected", func() {
+			first.node.store.(*storage.Memory).Fail(errors.New("disk failed"))
+			first.term.Propose([]Entry{{"count", encodeNumber(99)}}, func() {})
+			second := c.awaitValidElection()
 			So(second.node.address, ShouldNotEqual, first.node.address)
 		})
 	})
 }
 
-func TestProposalsFromManyGoroutines(t *testing.T) {
-	// A machine so busy that a lease of 1.5 s runs out ends a term, and the proposals that wait with it.
-	const mostTerms = 5
+func TestConcurrentProposalsAreAllCommitted(t *testing.T) {
+	// On a busy machine the lease of 1.5 s may expire. This ends the term, and its pending proposals are lost.
+	const maxTerms = 5
 	Convey("Proposals from many goroutines are all committed", t, func() {
 		c := startCluster(3)
 		defer c.close()
-		committed := false
-		for terms := 0; !committed && terms < mostTerms; terms++ {
-			committed = allCommitted(c.awaitValid().term)
+		allCommitted := false
+		for terms := 0; !allCommitted && terms < maxTerms; terms++ {
+			allCommitted = proposeConcurrently(c.awaitValidElection().term)
 		}
-		So(committed, ShouldBeTrue)
+		So(allCommitted, ShouldBeTrue)
 	})
 }
 
-// allCommitted proposes from many goroutines at once, and waits until all is committed. It returns false if the term has
-// ended before. In a term that lasts each proposal must be committed.
-func allCommitted(term *Term) bool {
+// proposeConcurrently proposes from many goroutines at once and waits until all proposals are committed. It returns false if
+// the term ends before. While the term lasts, each proposal must be committed.
+func proposeConcurrently(term *Term) bool {
 	const writers, each = 20, 50
 	committed := make(chan struct{}, writers*each)
 	var proposing sync.WaitGroup
 	for range writers {
 		proposing.Go(func() {
 			for i := range uint64(each) {
-				term.Propose([]Entry{{"key", number(i)}}, func() { committed <- struct{}{} })
+				term.Propose([]Entry{{"key", encodeNumber(i)}}, func() { committed <- struct{}{} })
 			}
 		})
 	}
 	proposing.Wait()
-	limit := time.NewTimer(patience)
-	defer limit.Stop()
+	timeout := time.NewTimer(waitTimeout)
+	defer timeout.Stop()
 	for range writers * each {
 		select {
 		case <-committed:
 		case <-term.Ended():
 			return false
-		case <-limit.C:
-			So("nothing came", ShouldBeEmpty)
+		case <-timeout.C:
+			So("timed out waiting for a commit", ShouldBeEmpty)
 		}
 	}
 	return true
 }
 
-func TestNewNodeChecksItsConfiguration(t *testing.T) {
-	Convey("NewNode rejects a configuration with a missing field, and a leader lease that outlasts those of followers", t, func() {
+func TestNewNodeRejectsInvalidConfig(t *testing.T) {
+	Convey("NewNode rejects a configuration with a missing field, or with a leader lease longer than the follower lease", t, func() {
 		_, err := NewNode(Config{})
 		So(err, ShouldNotBeNil)
 		_, err = NewNode(Config{Timing: Timing{LeaderLease: 2 * time.Second}})
--- a/internal/controlplane/replication/noderun.go
+++ b/internal/controlplane/replication/noderun.go
@@ -5,80 +5,80 @@
 	"time"
 )
 
-// step runs one step of the core. Its effects count as tasks from then on.
+// step runs one step of the core and returns its effects, which are counted as tasks until they are done.
 func (n *Node) step(step func()) effects {
 	view, ready := n.config.View(), n.config.Ready()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.core.observe(n.config.Clock.Now(), view, ready)
+	n.core.updateInputs(n.config.Clock.Now(), view, ready)
 	step()
-	if n.core.tickEarlier {
-		n.core.tickEarlier = false
+	if n.core.tickRequested {
+		n.core.tickRequested = false
 		n.wake()
 	}
-	work := n.core.takeEffects()
-	n.tasks.Add(len(work.writes) + len(work.calls))
-	return work
+	taken := n.core.takeEffects()
+	n.tasks.Add(len(taken.writes) + len(taken.calls))
+	return taken
 }
 
 func (n *Node) wake() { n.wakeUp.Notify() }
 
-// runStep runs a step whose caller must not wait for its effects.
+// runStep runs a step without waiting for its effects.
 func (n *Node) runStep(step func()) { n.perform(n.step(step), false) }
 
-// perform carries out effects, each on its own goroutine, but for the last one if the present goroutine may wait.
-func (n *Node) perform(work effects, mayWait bool) {
-	for mayWait && len(work.writes)+len(work.calls) == 1 {
-		if len(work.writes) == 1 {
-			work = n.write(work.writes[0])
+// perform runs each effect on a goroutine of its own. If mayWait is set, it runs a single effect on the current goroutine.
+func (n *Node) perform(pending effects, mayWait bool) {
+	for mayWait && len(pending.writes)+len(pending.calls) == 1 {
+		if len(pending.writes) == 1 {
+			pending = n.write(pending.writes[0])
 		} else {
-			work = n.send(work.calls[0])
+			pending = n.send(pending.calls[0])
 		}
 	}
-	for _, one := range work.writes {
-		go func() { n.perform(n.write(one), true) }()
+	for _, write := range pending.writes {
+		go func() { n.perform(n.write(write), true) }()
 	}
-	for _, one := range work.calls {
-		go func() { n.perform(n.send(one), true) }()
+	for _, call := range pending.calls {
+		go func() { n.perform(n.send(call), true) }()
 	}
 }
 
 func (n *Node) spawn(task func()) { n.tasks.Go(task) }
 
-func (n *Node) write(one storeWrite) effects {
+func (n *Node) write(write storeWrite) effects {
 	defer n.tasks.Done()
-	err := n.config.Store.Write(one.changes...)
-	return n.step(func() { one.done(err) })
+	err := n.config.Store.Write(write.changes...)
+	return n.step(func() { write.done(err) })
 }
 
-func (n *Node) send(one rpc) effects {
+func (n *Node) send(call rpc) effects {
 	defer n.tasks.Done()
-	ctx, cancel := context.WithTimeout(n.ctx, one.timeout)
+	ctx, cancel := context.WithTimeout(n.ctx, call.timeout)
 	defer cancel()
-	err := n.config.Caller.Call(ctx, one.address, one.route, one.request, one.reply)
-	return n.step(func() { one.done(err) })
+	err := n.config.Caller.Call(ctx, call.address, call.route, call.request, call.reply)
+	return n.step(func() { call.done(err) })
 }
 
-// Run campaigns and leads until the context ends; then it resigns all terms and waits for their handlers. The node
-// must not be used afterwards.
+// Run campaigns and leads until the context ends. It then resigns all terms and waits for their handlers. The node must not be
+// used afterwards.
 func (n *Node) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			n.shutdown() //nolint:contextcheck // its calls last until the node's own context ends
+			n.shutdown() //nolint:contextcheck // its calls end with the context of the node
 			return
 		case <-timer.C:
 		case <-n.wakeUp:
 		}
 		var next time.Duration
-		n.runStep(func() { next = n.core.tick() }) //nolint:contextcheck // effects end with the node's own context
+		n.runStep(func() { next = n.core.tick() }) //nolint:contextcheck // effects end with the context of the node
 		timer.Reset(max(next-n.config.Clock.Now(), time.Millisecond))
 	}
 }
 
-// shutdown gives the resignations the time of one heartbeat to arrive.
+// shutdown resigns all terms, and waits up to one HeartbeatInterval for the resignations to be delivered.
 func (n *Node) shutdown() {
 	n.runStep(n.core.stop)
 	ended := make(chan struct{})
--- a/internal/controlplane/replication/nodeserve.go
+++ b/internal/controlplane/replication/nodeserve.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Serve adds the node's internal calls to a mux.
+// Serve registers the handlers of the internal calls with a mux.
 func (n *Node) Serve(mux *transport.Mux) {
 	transport.Handle(mux, voteCall, func(ctx context.Context, request voteRequest) (voteReply, error) {
 		return serve(ctx, n, func(reply func(voteReply)) { n.core.requestVote(request, reply) })
@@ -29,15 +29,15 @@
 	})
 }
 
-// serve runs a request as a step and waits for the reply. A write that the step asks for runs on this goroutine, which
-// would only wait for it.
+// serve runs a request as a step and waits for the reply. If the step requests only a single write, the write runs on this
+// goroutine, which would only wait for it otherwise.
 func serve[Reply any](ctx context.Context, n *Node, step func(reply func(Reply))) (Reply, error) {
 	replies := make(chan Reply, 1)
-	work := n.step(func() { step(func(reply Reply) { replies <- reply }) })
-	if len(work.writes) == 1 && len(work.calls) == 0 {
-		work = n.write(work.writes[0])
+	pending := n.step(func() { step(func(reply Reply) { replies <- reply }) })
+	if len(pending.writes) == 1 && len(pending.calls) == 0 {
+		pending = n.write(pending.writes[0])
 	}
-	n.perform(work, false) //nolint:contextcheck // effects may outlive the request: they end with the node's own context
+	n.perform(pending, false) //nolint:contextcheck // effects may outlive the request and end with the context of the node
 	select {
 	case reply := <-replies:
 		return reply, nil
@@ -45,5 +45,5 @@
 	case <-n.ctx.Done():
 	}
 	var none Reply
-	return none, rpcerror.WrapMayHaveExecuted(errAbandoned)
+	return none, rpcerror.WrapMayHaveExecuted(errRequestCancelled)
 }
--- a/internal/controlplane/replication/randomfaults_test.go
+++ b/internal/controlplane/replication/randomfaults_test.go
@@ -11,39 +11,39 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-// fault brings one random fault and ends it some time later.
-func (s *simulation) fault() {
+// injectFault injects one random fault and schedules its end.
+func (s *simulation) injectFault() {
 	if s.diskFaults && s.random.IntN(4) == 0 {
-		s.diskFault()
+		s.injectDiskFault()
 		return
 	}
 	kinds := 10
-	if s.replacements {
+	if s.replaceMembers {
 		kinds++
 	}
 	switch s.random.IntN(kinds) {
 	case 0, 1:
-		s.restart(s.randomNode(), s.between(0, 2500*time.Millisecond), false)
+		s.restart(s.randomNode(), s.randomBetween(0, 2500*time.Millisecond), false)
 	case 2:
 		s.loseDisk()
 	case 3:
 		for _, address := range s.view.Members {
-			s.restart(s.nodes[address], s.between(0, time.Second), false)
+			s.restart(s.nodes[address], s.randomBetween(0, time.Second), false)
 		}
 	case 4, 5:
 		s.partition(s.random.IntN(2) == 0)
 	case 6:
 		n := s.randomNode()
-		n.frozenUntil = s.now + s.between(200*time.Millisecond, 3*time.Second)
+		n.frozenUntil = s.now + s.randomBetween(200*time.Millisecond, 3*time.Second)
 	case 7:
 		address := s.randomNode().address
-		s.slowDisks[address] = s.between(0, 700*time.Millisecond)
-		s.at(s.between(0, 4*time.Second), func() { delete(s.slowDisks, address) })
+		s.slowDisks[address] = s.randomBetween(0, 700*time.Millisecond)
+		s.schedule(s.randomBetween(0, 4*time.Second), func() { delete(s.slowDisks, address) })
 	case 8:
-		s.loss, s.duplicates = s.random.Float64()*0.3, s.random.Float64()*0.3
-		s.at(s.between(0, 3*time.Second), func() { s.loss, s.duplicates = 0, 0 })
+		s.lossRate, s.duplicateRate = s.random.Float64()*0.3, s.random.Float64()*0.3
+		s.schedule(s.randomBetween(0, 3*time.Second), func() { s.lossRate, s.duplicateRate = 0, 0 })
 	case 9:
-		s.resignOne()
+		s.resignLeader()
 	case 10:
 		s.replaceMember()
 	}
@@ -58,27 +58,27 @@
 		return
 	}
 	n.kill(loseDisk)
-	s.at(downtime, n.start)
+	s.schedule(downtime, n.start)
 }
 
-// loseDisk takes one disk unless as many are lost as may be borne.
+// loseDisk makes one node lose its disk, unless the cluster does not tolerate another lost disk.
 func (s *simulation) loseDisk() {
 	lost := 0
 	for _, n := range s.nodes {
-		if n.lost {
+		if n.diskLost {
 			lost++
 		}
 	}
-	if n := s.randomNode(); lost < (len(s.view.Members)-1)/2 && n.up && !n.lost {
-		s.restart(n, s.between(0, time.Second), true)
+	if n := s.randomNode(); lost < (len(s.view.Members)-1)/2 && n.up && !n.diskLost {
+		s.restart(n, s.randomBetween(0, time.Second), true)
 	}
 }
 
-// replaceMember exchanges a member for a new machine, unless a disk is missing. A majority of the members learns of it
-// at once, as it would have agreed on it; the others, the one that is replaced among them, learn of it later.
+// replaceMember replaces a member by a new machine, unless a disk is lost or a member has an old view. A majority of the old
+// members gets the new view at once, as it would have agreed on it. The other members get it later.
 func (s *simulation) replaceMember() {
 	for _, address := range s.view.Members {
-		if n := s.nodes[address]; n.lost || n.view.Version < s.view.Version {
+		if n := s.nodes[address]; n.diskLost || n.view.Version < s.view.Version {
 			return
 		}
 	}
@@ -93,30 +93,30 @@
 		n := s.nodes[old.Members[place]]
 		delay := time.Duration(0)
 		if i >= old.Quorum() {
-			delay = s.between(0, 8*time.Second)
+			delay = s.randomBetween(0, 8*time.Second)
 		}
-		s.at(delay, func() { n.view = view })
+		s.schedule(delay, func() { n.view = view })
 	}
-	n := s.add(entering)
-	n.lost = true
-	s.at(s.between(0, time.Second), n.start)
-	s.at(s.between(3*time.Second, 10*time.Second), func() { leaving.kill(true) })
+	n := s.addNode(entering)
+	n.diskLost = true
+	s.schedule(s.randomBetween(0, time.Second), n.start)
+	s.schedule(s.randomBetween(3*time.Second, 10*time.Second), func() { leaving.kill(true) })
 }
 
 func (s *simulation) partition(oneWay bool) {
-	one, other := s.randomNode().address, s.randomNode().address
-	length := s.between(200*time.Millisecond, 4*time.Second)
-	s.partitions[link{one, other}] = true
-	s.at(length, func() { delete(s.partitions, link{one, other}) })
+	first, second := s.randomNode().address, s.randomNode().address
+	duration := s.randomBetween(200*time.Millisecond, 4*time.Second)
+	s.partitions[link{first, second}] = true
+	s.schedule(duration, func() { delete(s.partitions, link{first, second}) })
 	if !oneWay {
-		s.partitions[link{other, one}] = true
-		s.at(length, func() { delete(s.partitions, link{other, one}) })
+		s.partitions[link{second, first}] = true
+		s.schedule(duration, func() { delete(s.partitions, link{second, first}) })
 	}
 }
 
-func (s *simulation) resignOne() {
+func (s *simulation) resignLeader() {
 	if n := s.leader(s.groups[s.random.IntN(len(s.groups))]); n != nil {
-		n.later(0, func() {
+		n.runLater(0, func() {
 			for _, group := range s.groups {
 				if term := n.terms[group]; term != nil {
 					term.Resign()
@@ -126,15 +126,16 @@
 	}
 }
 
-// randomFaults runs a simulation through faults, then heals everything and expects leaders again.
+// randomFaults injects random faults for a span of time. It then ends all faults, and returns an error if a check has failed or
+// the cluster does not recover.
 func (s *simulation) randomFaults(span time.Duration) error {
 	s.start()
 	if err := s.run(2 * time.Second); err != nil {
 		return err
 	}
 	for end := s.now + span; s.now < end; {
-		s.fault()
-		if err := s.run(s.between(0, 1200*time.Millisecond)); err != nil {
+		s.injectFault()
+		if err := s.run(s.randomBetween(0, 1200*time.Millisecond)); err != nil {
 			return err
 		}
 	}
@@ -142,55 +143,56 @@
 	if err := s.run(10 * time.Second); err != nil {
 		return err
 	}
-	before := s.history.commits
+	before := s.checker.commits
 	if err := s.run(time.Second); err != nil {
 		return err
 	}
-	if !s.led() || s.history.commits == before {
-		return fmt.Errorf("no leaders or no progress after the end of all faults")
+	if !s.allGroupsLed() || s.checker.commits == before {
+		return fmt.Errorf("no leaders or no commits after the end of all faults")
 	}
 	return nil
 }
 
-// faultSpan is long enough for a dozen faults.
-const faultSpan = 20 * time.Second
+// faultDuration is the simulated time during which faults are injected. It is long enough for a dozen faults.
+const faultDuration = 20 * time.Second
 
-// seeds is how many schedules of a kind there are. Nothing is concurrent in them, so few do under the race detector.
-func seeds(usual int) uint64 {
+// seeds returns the number of schedules to run. The simulation is not concurrent, so a few are enough under the race detector.
+func seeds(defaultCount int) uint64 {
 	if *randomFaultSeeds > 0 {
 		return uint64(*randomFaultSeeds)
 	}
 	if raceflag.On || testing.Short() {
 		return 2
 	}
-	return uint64(usual)
+	return uint64(defaultCount)
 }
 
-var randomFaultSeeds = flag.Int("fault-schedules", 0, "schedules of random faults of each kind; 0 for the usual number")
+var randomFaultSeeds = flag.Int("fault-schedules", 0, "number of schedules of each kind of random faults; 0 for the default")
 
-// Whatever happens, there is at most one leader with a lease, nothing committed is lost, and all goes on afterwards.
-func TestRandomFaults(t *testing.T) {
+// TestRandomFaultsPreserveInvariants checks that under random faults each group has at most one leader with a valid lease and no
+// committed entry is lost. After the faults all groups must have leaders and commit entries again.
+func TestRandomFaultsPreserveInvariants(t *testing.T) {
 	kinds := []struct {
-		name      string
-		members   int
-		exchanges bool
-		badDisks  bool
+		name           string
+		members        int
+		replaceMembers bool
+		diskFaults     bool
 	}{
 		{"three members", 3, false, false}, {"five members", 5, false, false},
-		{"three members, exchanged", 3, true, false}, {"five members, exchanged", 5, true, false},
-		{"three members, disk faults", 3, false, true}, {"five members, exchanged, disk faults", 5, true, true},
+		{"three members, replacements", 3, true, false}, {"five members, replacements", 5, true, false},
+		{"three members, disk faults", 3, false, true}, {"five members, replacements, disk faults", 5, true, true},
 	}
 	for _, kind := range kinds {
 		t.Run(kind.name, func(t *testing.T) {
 			commits, elections := 0, 0
 			for seed := range seeds(25) {
 				s := newSimulation(seed, kind.members, defects{}, Timing{})
-				s.replacements, s.diskFaults = kind.exchanges, kind.badDisks
-				if err := s.randomFaults(faultSpan); err != nil {
+				s.replaceMembers, s.diskFaults = kind.replaceMembers, kind.diskFaults
+				if err := s.randomFaults(faultDuration); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
-				commits += s.history.commits
-				elections += s.history.elections
+				commits += s.checker.commits
+				elections += s.checker.elections
 			}
 			t.Logf("%d commits, %d elections", commits, elections)
 		})
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -6,25 +6,25 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// replica holds one group's state on this machine and votes in its elections. Its writes are serial: while one is under way,
-// what needs the state waits in a queue.
+// replica stores the state of one group on this node and votes in the elections of the group. It writes one change at a
+// time. Operations that need the state wait in a queue while a write is in progress.
 type replica struct {
 	core         *core
 	group        *group
-	currentTerm  uint64   // no lower one is followed
-	votedFor     string   // whom the vote of the current term was given to, or who led it
-	durableTerm  uint64   // the current term as it is on disk
-	position     Position // of the state on disk
+	currentTerm  uint64   // leaders of lower terms are rejected
+	votedFor     string   // candidate that got the vote of the current term, or the leader of that term
+	durableTerm  uint64   // the newest term that is synced to disk
+	position     Position // position of the state on disk
 	lease        followerLease
-	noVoteBefore time.Duration // a lease of before the restart may last until then
+	noVoteBefore time.Duration // a lease granted before the restart may last until then
 	writing      bool
-	writeStarted time.Duration // when the newest write began
-	afterWrite   []func()
-	assembly     *assembly // of what a leader sends in chunks; nil where there is none
+	writeStarted time.Duration // when the newest write started
+	afterWrite   []func()      // operations that wait for the end of the write
+	assembly     *assembly     // of a batch or snapshot received in chunks; nil if there is none
 	served       servedSnapshot
 }
 
-// load reads what the store holds; the replica must have no write under way.
+// load reads the state of the replica from the store. No write may be in progress.
 func (r *replica) load(noVoteBefore time.Duration) {
 	m := decodeMeta(r.core.store.Table(metaTable(r.group.name)))
 	r.currentTerm, r.votedFor, r.durableTerm, r.position = m.term, m.votedFor, m.term, m.position
@@ -33,8 +33,8 @@
 	}
 }
 
-// whenIdle runs an operation as soon as no write is under way, after those that wait already: a leader that always has a
-// next batch must not hold up a snapshot or a vote for good.
+// whenIdle runs an operation once no write is in progress and all earlier operations in the queue have run. The order
+// matters: otherwise a leader that always has a next batch would block a snapshot or a vote forever.
 func (r *replica) whenIdle(operation func()) {
 	if r.writing || len(r.afterWrite) > 0 {
 		r.afterWrite = append(r.afterWrite, operation)
@@ -43,8 +43,9 @@
 	operation()
 }
 
-// persist writes changes, runs done once they are synced, or failed if they could not be, and then what has queued up.
-// What this replica has on disk is then as before; a term that it has not answered for may stay raised in memory.
+// persist writes changes and calls done once they are synced, or failed if the write fails. It then runs the queued
+// operations. A failed write leaves the disk unchanged. The current term in memory may stay higher than the term on disk, as
+// the replica has not replied in that term.
 func (r *replica) persist(changes []storage.Change, done, failed func()) {
 	r.writing, r.writeStarted = true, r.core.now
 	r.core.write(changes, func(err error) {
@@ -62,16 +63,16 @@
 	})
 }
 
-// state reads the state from the store, which is as of position while no write is under way.
+// state returns the state in the store. While no write is in progress, it is the state at r.position.
 func (r *replica) state() map[string][]byte { return r.core.store.Table(stateTable(r.group.name)) }
 
-// advanceTerm raises the current term. A leader on this machine with a lower one ends.
+// advanceTerm sets the current term if the given one is higher. It ends a leadership of this node with a lower term.
 func (r *replica) advanceTerm(term uint64, candidate string) {
 	if term > r.currentTerm {
 		r.currentTerm, r.votedFor = term, candidate
 		r.assembly = nil
 	}
-	if leading := r.group.leading; leading != nil && leading.termNumber < term {
+	if leading := r.group.leadership; leading != nil && leading.termNumber < term {
 		leading.end("this replica has entered a higher term")
 	}
 }
--- a/internal/controlplane/replication/replicate.go
+++ b/internal/controlplane/replication/replicate.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// replicate brings a follower nearer to the newest batch, with one call at a time.
+// replicate sends the next message that a follower needs to reach the newest batch. At most one call per follower is in flight.
 func (l *leadership) replicate(address string, follower *follower) {
-	if l.ended || follower.sending || !follower.known {
+	if l.ended || follower.sending || !follower.positionKnown {
 		return
 	}
 	if follower.transfer != nil && (!follower.transfer.advances(follower.position) || l.snapshotOutdated(follower.transfer)) {
@@ -18,8 +18,8 @@
 	}
 }
 
-// beginTransfer chooses what is sent next: the batches after the follower's position, or a snapshot where they are
-// not retained any more.
+// beginTransfer starts a transfer of the batches after the follower's position, or of a snapshot if these batches are no longer
+// retained.
 func (l *leadership) beginTransfer(address string, follower *follower) {
 	next, found := l.history.after(follower.position)
 	if found {
@@ -29,11 +29,11 @@
 	l.beginSnapshot(address, follower)
 }
 
-// endTransfer drops what is being sent to a follower, and lets the next group's snapshot go there.
+// endTransfer drops the current transfer to a follower. If it was a snapshot, the snapshot of another group may follow.
 func (l *leadership) endTransfer(address string, follower *follower) {
-	ended := follower.transfer
+	current := follower.transfer
 	follower.transfer = nil
-	if ended == nil || !ended.request.Snapshot {
+	if current == nil || !current.request.Snapshot {
 		return
 	}
 	l.core.snapshotEnded(address)
@@ -41,35 +41,35 @@
 
 func (l *leadership) sendChunk(address string, follower *follower) {
 	follower.sending = true
-	sent, sending := l.core.now, follower.transfer
-	request, reply := sending.chunkRequest(l.core.view.Version), new(appendReply)
-	l.core.call(address, appendCall.Route(), sending.timeout(l.core.timing), request, reply, func(err error) {
+	sentAt, current := l.core.now, follower.transfer
+	request, reply := current.chunkRequest(l.core.view.Version), new(appendReply)
+	l.core.call(address, appendCall.Route(), current.timeout(l.core.timing), request, reply, func(err error) {
 		follower.sending = false
 		follower.lastAppendEnded = l.core.now
-		follower.known = false
+		follower.positionKnown = false
 		if err == nil {
-			l.chunkAnswered(follower, sending, *reply)
-			l.appendAnswered(follower, *reply, sent)
+			l.handleChunkReply(follower, current, *reply)
+			l.handleAppendReply(follower, *reply, sentAt)
 		}
 		l.advance()
 	})
 }
 
-// chunkAnswered records where the follower is, and which chunk it lacks.
-func (l *leadership) chunkAnswered(follower *follower, sending *transfer, reply appendReply) {
+// handleChunkReply records the position of a follower and the chunk that it expects next.
+func (l *leadership) handleChunkReply(follower *follower, current *transfer, reply appendReply) {
 	follower.position = reply.Position
 	if l.history.withinRetention(reply.Position) {
 		follower.catchingUp = false
 	}
-	follower.known = reply.Outcome == accepted || reply.Outcome == positionMismatch || reply.Outcome == incomplete
-	if reply.Outcome == incomplete && reply.NextChunk < uint32(len(sending.chunks)) {
-		sending.nextChunk = reply.NextChunk
+	follower.positionKnown = reply.Outcome == accepted || reply.Outcome == positionMismatch || reply.Outcome == incomplete
+	if reply.Outcome == incomplete && reply.NextChunk < uint32(len(current.chunks)) {
+		current.nextChunk = reply.NextChunk
 	}
 }
 
-// appendAnswered handles a replica's answer to an append or a heartbeat that was sent at a time. After a failed call nothing more is
-// sent until a heartbeat is answered.
-func (l *leadership) appendAnswered(follower *follower, reply appendReply, sent time.Duration) {
+// handleAppendReply handles the reply to an append or heartbeat that was sent at sentAt. After a failed append the leader sends
+// nothing more to the follower until it answers a heartbeat.
+func (l *leadership) handleAppendReply(follower *follower, reply appendReply, sentAt time.Duration) {
 	if l.ended {
 		return
 	}
@@ -77,26 +77,26 @@
 	case staleTerm:
 		l.end("another replica is in a higher term")
 	case accepted, positionMismatch, incomplete:
-		l.recordAcknowledgement(follower, reply, sent)
+		l.recordAcknowledgement(follower, reply, sentAt)
 	}
 }
 
-// recordAcknowledgement counts the answer of a replica that follows this leader.
-func (l *leadership) recordAcknowledgement(follower *follower, reply appendReply, sent time.Duration) {
-	sequence := uint64(0)
+// recordAcknowledgement records the reply of a replica that follows this leader.
+func (l *leadership) recordAcknowledgement(follower *follower, reply appendReply, sentAt time.Duration) {
+	matchIndex := uint64(0)
 	if reply.Position.Term == l.termNumber {
-		sequence = reply.Position.Index
+		matchIndex = reply.Position.Index
 	}
-	follower.acknowledge(sequence, sent, l.core.now, l.core.timing.ReplyTimeout)
+	follower.acknowledge(matchIndex, sentAt, l.core.now, l.core.timing.ReplyTimeout)
 }
 
-// heartbeatAnswered handles the answer to a heartbeat that was sent at a time.
-func (l *leadership) heartbeatAnswered(address string, reply appendReply, sent time.Duration) {
+// handleHeartbeatReply handles the reply to a heartbeat that was sent at sentAt.
+func (l *leadership) handleHeartbeatReply(address string, reply appendReply, sentAt time.Duration) {
 	follower := l.followers[address]
 	if follower == nil || reply.Outcome == unavailable {
 		return
 	}
-	follower.updatePosition(reply.Position, sent)
-	l.appendAnswered(follower, reply, sent)
+	follower.updatePosition(reply.Position, sentAt)
+	l.handleAppendReply(follower, reply, sentAt)
 	l.advance()
 }
--- a/internal/controlplane/replication/simulateddisk_test.go
+++ b/internal/controlplane/replication/simulateddisk_test.go
@@ -8,10 +8,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
 )
 
-// compactAbove makes the stores of a simulation rewrite their file every few writes.
+// compactAbove is the file size in bytes above which a store compacts its file. It is so low that a store compacts after every
+// few writes.
 const compactAbove = 1 << 10
 
-// simulatedStore is a simulated node's real store on a disk that can lose power.
+// simulatedStore is a real store of a simulated node, on a disk that can lose power.
 type simulatedStore struct {
 	disk  *storagetest.Disk
 	store *storage.FileStore
@@ -25,25 +26,26 @@
 	return &simulatedStore{disk, store}
 }
 
-func (f *simulatedStore) write(changes []storage.Change) {
-	if err := f.store.Write(changes...); err != nil {
+func (s *simulatedStore) write(changes []storage.Change) {
+	if err := s.store.Write(changes...); err != nil {
 		panic(err)
 	}
 }
 
-// losePower cuts the power during a write, or between two writes where changes is nil, and opens what is left.
-func (f *simulatedStore) losePower(changes []storage.Change, random *rand.Rand) *simulatedStore {
+// losePower cuts the power during a write, or between two writes if changes is nil. It returns a store opened on the remaining
+// data.
+func (s *simulatedStore) losePower(changes []storage.Change, random *rand.Rand) *simulatedStore {
 	if changes != nil {
-		f.write(nil) // returns after the rewriting that earlier writes have led to, so that a schedule replays
-		f.disk.LosePowerAt(f.disk.Operations()+1+random.IntN(2), random.IntN(2) == 0)
-		f.store.Write(changes...)
+		s.write(nil) // waits for the compaction after earlier writes, so that schedules are reproducible
+		s.disk.LosePowerAt(s.disk.Operations()+1+random.IntN(2), random.IntN(2) == 0)
+		s.store.Write(changes...)
 	}
-	f.disk.LosePower()
-	f.store.Close()
-	return newSimulatedStore(f.disk.Restore(random))
+	s.disk.LosePower()
+	s.store.Close()
+	return newSimulatedStore(s.disk.Restore(random))
 }
 
-// makeDurable makes changes durable on a node.
+// makeDurable writes changes to the disk of a node.
 func (n *simulatedNode) makeDurable(changes []storage.Change) {
 	n.disk.apply(changes, n.simulation.defects.forgetTerms)
 	if n.realStore != nil {
@@ -51,33 +53,33 @@
 	}
 }
 
-// losePower ends the node's process with the power. Of the writes under way some have reached the disk, and one may have
-// in part; then it must be there as a whole or not at all, as must all that was acknowledged.
+// losePower cuts the power of a node. Some of the writes in progress have reached the disk, and one of them may be written in
+// part. After the restart the store must contain all acknowledged writes, and either all or nothing of the partial write.
 func (n *simulatedNode) losePower() {
 	random := n.simulation.random
 	var torn []storage.Change
-	for _, one := range n.pending {
-		if one.applied {
+	for _, write := range n.pendingWrites {
+		if write.applied {
 			continue
 		}
 		if random.IntN(2) == 0 {
-			torn = one.changes
+			torn = write.changes
 			break
 		}
 		if random.IntN(2) == 0 {
-			n.makeDurable(one.changes)
+			n.makeDurable(write.changes)
 		}
 	}
 	n.realStore = n.realStore.losePower(torn, random)
 	before := n.disk.clone()
 	found := disk(n.realStore.store.Snapshot())
 	if n.disk.apply(torn, false); !reflect.DeepEqual(found.clone(), before) && !reflect.DeepEqual(found.clone(), n.disk.clone()) {
-		n.simulation.history.failf("%s: after a loss of power the store holds neither what was synced nor the write under way", n.address)
+		n.simulation.checker.failf("%s: after a power loss the store has neither the synced content nor that content with the interrupted write", n.address)
 	}
 	n.disk = found
 }
 
-// replaceTables are the changes that replace tables by others.
+// replaceTables returns the changes that replace the content of tables.
 func replaceTables(tables map[string]map[string][]byte) []storage.Change {
 	var changes []storage.Change
 	for name, table := range tables {
--- a/internal/controlplane/replication/simulatednode_test.go
+++ b/internal/controlplane/replication/simulatednode_test.go
@@ -19,19 +19,19 @@
 }
 
 type simulatedNode struct {
-	simulation  *simulation
-	address     string
-	view        replicaset.View // known here
-	disk        disk
-	realStore   *simulatedStore // holds the same as disk, where the simulation has real stores
-	core        *core
-	terms       map[string]*Term // by group, as the handler knows them
-	pending     []*pendingWrite
-	up, ready   bool
-	lost        bool // the disk was lost and is not rebuilt
-	incarnation int
-	frozenUntil time.Duration
-	tickNumber  int
+	simulation    *simulation
+	address       string
+	view          replicaset.View // newest view known to this node
+	disk          disk
+	realStore     *simulatedStore // same content as disk; nil unless the simulation has real stores
+	core          *core
+	terms         map[string]*Term // newest term of this node by group
+	pendingWrites []*pendingWrite
+	up, ready     bool
+	diskLost      bool // the disk was lost and has not been rebuilt
+	incarnation   int
+	frozenUntil   time.Duration
+	tickNumber    int
 }
 
 func (n *simulatedNode) start() {
@@ -40,8 +40,8 @@
 		return
 	}
 	n.incarnation++
-	n.up, n.ready = true, !n.lost || s.defects.noRebuild
-	n.terms, n.pending = make(map[string]*Term), nil
+	n.up, n.ready = true, !n.diskLost || s.defects.noRebuild
+	n.terms, n.pendingWrites = make(map[string]*Term), nil
 	n.core = newCore(Config{
 		Self: n.address, Store: nil, Handler: n, Log: zap.NewNop(), Clock: s, Timing: s.timing, Limits: s.limits,
 	}, random.PCG(s.random.Uint64()))
@@ -53,10 +53,10 @@
 		n.core.store = n.realStore.store
 	}
 	n.core.runStep = n.step
-	n.core.spawn = func(run func()) { n.later(s.between(0, time.Millisecond), run) }
+	n.core.spawn = func(run func()) { n.runLater(s.randomBetween(0, time.Millisecond), run) }
 	n.core.restore()
 	if s.defects.forgetLeasesOnRestart {
-		n.later(0, func() {
+		n.runLater(0, func() {
 			for _, g := range n.core.groups {
 				g.replica.noVoteBefore = 0
 			}
@@ -64,16 +64,16 @@
 	}
 	n.step(func() {
 		for _, group := range s.groups {
-			n.core.ensure(group)
+			n.core.ensureGroup(group)
 		}
 	})
-	if n.lost && !s.defects.noRebuild {
-		n.later(2200*time.Millisecond, n.rebuild)
+	if n.diskLost && !s.defects.noRebuild {
+		n.runLater(2200*time.Millisecond, n.rebuild)
 	}
 	n.tick()
 }
 
-// rebuild copies the tables of a majority of the others, each at its own moment.
+// rebuild merges copies of the tables of a quorum of other members. Each copy is made at a different time.
 func (n *simulatedNode) rebuild() {
 	s := n.simulation
 	var copies []map[string]map[string][]byte
@@ -81,7 +81,7 @@
 		if address == n.address {
 			continue
 		}
-		n.later(s.between(0, 20*time.Millisecond), func() {
+		n.runLater(s.randomBetween(0, 20*time.Millisecond), func() {
 			other := s.nodes[address]
 			if !other.up || !other.ready || other.view.Version < n.view.Version || other.frozenUntil > s.now || s.partitions[link{n.address, address}] || s.partitions[link{address, n.address}] {
 				return
@@ -89,19 +89,19 @@
 			copies = append(copies, other.disk.clone())
 		})
 	}
-	n.later(40*time.Millisecond, func() {
+	n.runLater(40*time.Millisecond, func() {
 		if len(copies) < n.view.Quorum() {
-			n.later(100*time.Millisecond, n.rebuild)
+			n.runLater(100*time.Millisecond, n.rebuild)
 			return
 		}
 		n.makeDurable(replaceTables(MergeTables(copies)))
-		n.lost, n.ready = false, true
+		n.diskLost, n.ready = false, true
 		n.step(func() {})
 	})
 }
 
-// later runs something on this incarnation, after a freeze if there is one.
-func (n *simulatedNode) later(delay time.Duration, run func()) {
+// runLater runs a function after a delay, and after the end of a freeze. It does nothing if the process has ended by then.
+func (n *simulatedNode) runLater(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	var attempt func()
 	attempt = func() {
@@ -109,28 +109,28 @@
 			return
 		}
 		if wait := n.frozenUntil - n.simulation.now; wait > 0 {
-			n.simulation.at(wait, attempt)
+			n.simulation.schedule(wait, attempt)
 			return
 		}
 		run()
 	}
-	n.simulation.at(delay, attempt)
+	n.simulation.schedule(delay, attempt)
 }
 
-// kill ends the process. Writes under way have reached the disk or not.
+// kill ends the process. Each write in progress may or may not have reached the disk.
 func (n *simulatedNode) kill(loseDisk bool) {
 	if n.realStore != nil && n.up {
 		n.losePower()
-		n.pending = nil
+		n.pendingWrites = nil
 	}
-	for _, one := range n.pending {
-		if !one.applied && n.simulation.random.IntN(2) == 0 {
-			n.disk.apply(one.changes, n.simulation.defects.forgetTerms)
+	for _, write := range n.pendingWrites {
+		if !write.applied && n.simulation.random.IntN(2) == 0 {
+			n.disk.apply(write.changes, n.simulation.defects.forgetTerms)
 		}
 	}
 	n.up, n.ready, n.frozenUntil = false, false, 0
 	if loseDisk {
-		n.disk, n.lost = make(disk), true
+		n.disk, n.diskLost = make(disk), true
 		if n.realStore != nil {
 			n.realStore.store.Close()
 			n.realStore = newSimulatedStore(storagetest.NewDisk())
@@ -146,7 +146,7 @@
 	if n.tickNumber != number {
 		return
 	}
-	n.later(max(next-n.simulation.now, time.Millisecond), func() {
+	n.runLater(max(next-n.simulation.now, time.Millisecond), func() {
 		if n.tickNumber == number {
 			n.tick()
 		}
@@ -154,92 +154,92 @@
 }
 
 func (n *simulatedNode) step(step func()) {
-	n.core.observe(n.simulation.now, n.view, n.ready)
+	n.core.updateInputs(n.simulation.now, n.view, n.ready)
 	step()
-	work := n.core.takeEffects()
-	if n.core.tickEarlier {
-		n.core.tickEarlier = false
-		n.later(0, n.tick)
+	requested := n.core.takeEffects()
+	if n.core.tickRequested {
+		n.core.tickRequested = false
+		n.runLater(0, n.tick)
 	}
-	for _, one := range work.writes {
-		n.write(one)
+	for _, write := range requested.writes {
+		n.write(write)
 	}
-	for _, one := range work.calls {
-		n.call(one)
+	for _, call := range requested.calls {
+		n.call(call)
 	}
 }
 
-func (n *simulatedNode) write(one storeWrite) {
+func (n *simulatedNode) write(write storeWrite) {
 	s := n.simulation
-	pending := &pendingWrite{changes: one.changes}
-	n.pending = slices.DeleteFunc(n.pending, func(p *pendingWrite) bool { return p.applied })
-	n.pending = append(n.pending, pending)
-	delay := s.between(time.Millisecond, 8*time.Millisecond) + s.slowDisks[n.address] + max(0, s.stalls[n.address]-s.now)
-	n.later(delay, func() {
+	pending := &pendingWrite{changes: write.changes}
+	n.pendingWrites = slices.DeleteFunc(n.pendingWrites, func(p *pendingWrite) bool { return p.applied })
+	n.pendingWrites = append(n.pendingWrites, pending)
+	delay := s.randomBetween(time.Millisecond, 8*time.Millisecond) + s.slowDisks[n.address] + max(0, s.stalledUntil[n.address]-s.now)
+	n.runLater(delay, func() {
 		pending.applied = true
 		if s.fullDisks[n.address] {
-			n.step(func() { one.done(errDiskFull) })
+			n.step(func() { write.done(errDiskFull) })
 			return
 		}
-		n.makeDurable(one.changes)
-		n.step(func() { one.done(nil) })
+		n.makeDurable(write.changes)
+		n.step(func() { write.done(nil) })
 	})
 }
 
-func (s *simulation) delay() time.Duration {
+func (s *simulation) randomMessageDelay() time.Duration {
 	if s.random.IntN(50) == 0 {
-		return s.between(time.Millisecond, 250*time.Millisecond)
+		return s.randomBetween(time.Millisecond, 250*time.Millisecond)
 	}
-	return s.between(500*time.Microsecond, 3*time.Millisecond)
+	return s.randomBetween(500*time.Microsecond, 3*time.Millisecond)
 }
 
 func (s *simulation) drops(from, to string) bool {
-	return s.partitions[link{from, to}] || s.random.Float64() < s.loss
+	return s.partitions[link{from, to}] || s.random.Float64() < s.lossRate
 }
 
-func (n *simulatedNode) call(one rpc) {
+func (n *simulatedNode) call(call rpc) {
 	s := n.simulation
 	ended := false
 	finish := func(err error) {
 		if !ended {
 			ended = true
-			n.step(func() { one.done(err) })
+			n.step(func() { call.done(err) })
 		}
 	}
-	n.later(one.timeout, func() { finish(errTimeout) })
-	s.checkSize(one.request)
-	s.traffic.sent(one.address, one.request)
-	body := encode(one.request)
-	if s.drops(n.address, one.address) {
-		n.forgeAcknowledgement(one, finish)
+	n.runLater(call.timeout, func() { finish(errTimeout) })
+	s.checkSize(call.request)
+	s.traffic.sent(call.address, call.request)
+	body := encode(call.request)
+	if s.drops(n.address, call.address) {
+		n.forgeAcknowledgement(call, finish)
 		return
 	}
 	arrive := func() {
-		target := s.nodes[one.address]
+		target := s.nodes[call.address]
 		if target == nil || !target.up {
-			n.later(s.delay(), func() { finish(errRefused) })
+			n.runLater(s.randomMessageDelay(), func() { finish(errRefused) })
 			return
 		}
-		target.later(0, func() { target.serve(n, one, body, finish) })
+		target.runLater(0, func() { target.serve(n, call, body, finish) })
 	}
-	s.at(s.delay()+s.slowLinks[one.address], arrive)
-	if s.random.Float64() < s.duplicates {
-		s.at(s.between(0, 1200*time.Millisecond), func() {
-			if target := s.nodes[one.address]; target != nil && target.up {
-				target.later(0, func() { target.serve(n, one, body, func(error) {}) })
+	s.schedule(s.randomMessageDelay()+s.slowLinks[call.address], arrive)
+	if s.random.Float64() < s.duplicateRate {
+		s.schedule(s.randomBetween(0, 1200*time.Millisecond), func() {
+			if target := s.nodes[call.address]; target != nil && target.up {
+				target.runLater(0, func() { target.serve(n, call, body, func(error) {}) })
 			}
 		})
 	}
 }
 
-// forgeAcknowledgement answers a lost append as if it had been synced, when the defect is on.
-func (n *simulatedNode) forgeAcknowledgement(one rpc, finish func(error)) {
-	request, isAppend := one.request.(appendRequest)
+// forgeAcknowledgement acknowledges a lost append request if the defect forgeAcknowledgements is injected.
+func (n *simulatedNode) forgeAcknowledgement(call rpc, finish func(error)) {
+	request, isAppend := call.request.(appendRequest)
 	if !isAppend || !n.simulation.defects.forgeAcknowledgements {
 		return
 	}
-	n.later(time.Millisecond, func() {
-		*one.reply.(*appendReply) = appendReply{Outcome: accepted, Term: request.Term, Position: request.Position}
+	n.runLater(time.Millisecond, func() {
+		*call.reply.(*appendReply) = appendReply{Outcome: accepted, Term: request.Term, Position: request.Position}
 		finish(nil)
 	})
 }
@@ -260,23 +260,23 @@
 	return message
 }
 
-// serve handles a request on the target, and brings the reply to the caller.
-func (n *simulatedNode) serve(from *simulatedNode, one rpc, body []byte, finish func(error)) {
+// serve handles a request on the target node and sends the reply to the caller.
+func (n *simulatedNode) serve(from *simulatedNode, call rpc, body []byte, finish func(error)) {
 	reply := func(answer any) {
 		n.simulation.checkSize(answer)
 		content := encode(answer)
 		if n.simulation.drops(n.address, from.address) {
 			return
 		}
-		from.later(n.simulation.delay(), func() {
-			if err := msgpack.Unmarshal(content, one.reply); err != nil {
+		from.runLater(n.simulation.randomMessageDelay(), func() {
+			if err := msgpack.Unmarshal(content, call.reply); err != nil {
 				panic(err)
 			}
 			finish(nil)
 		})
 	}
 	n.step(func() {
-		switch one.route.Path() {
+		switch call.route.Path() {
 		case voteCall.Path():
 			request := decode[voteRequest](body)
 			n.corruptView(&request.View)
@@ -301,28 +301,29 @@
 	})
 }
 
-// corruptAppend makes the replica take what it must refuse, when the defect is on.
+// corruptAppend changes the position of the replica so that it accepts a request that it must reject, if such a defect is
+// injected.
 func (n *simulatedNode) corruptAppend(request appendRequest) {
 	r := &n.core.group(request.Group).replica
 	if r.writing || request.Term != r.currentTerm {
 		return
 	}
-	if n.simulation.defects.acceptStale && request.Snapshot {
+	if n.simulation.defects.acceptStaleSnapshots && request.Snapshot {
 		r.position = Position{}
 	}
-	if n.simulation.defects.acceptMismatch && !request.Snapshot {
+	if n.simulation.defects.acceptMismatchedBatches && !request.Snapshot {
 		r.position = request.Previous
 	}
 }
 
-// corruptView makes a request seem to be of this replica's view, when the defect is on.
+// corruptView raises the view of a request to the view of this node if the defect ignoreViews is injected.
 func (n *simulatedNode) corruptView(view *uint64) {
 	if n.simulation.defects.ignoreViews {
 		*view = max(*view, n.view.Version)
 	}
 }
 
-func (n *simulatedNode) valid(group string) bool {
+func (n *simulatedNode) holdsLease(group string) bool {
 	term := n.terms[group]
 	return term != nil && term.Valid()
 }
--- a/internal/controlplane/replication/snapshotfetch.go
+++ b/internal/controlplane/replication/snapshotfetch.go
@@ -17,7 +17,7 @@
 
 func (g *group) startFetch(from string, position Position) {
 	f := &snapshotFetch{group: g, from: from, position: position}
-	g.fetching = f
+	g.fetch = f
 	f.requestChunk()
 }
 
@@ -56,7 +56,7 @@
 func (f *snapshotFetch) needed() bool {
 	g := f.group
 	leased := g.core.now < g.replica.lease.until
-	return g.leading == nil && !leased && !g.core.stopping && g.core.mayCampaign(g) && g.replica.position.Before(f.position)
+	return g.leadership == nil && !leased && !g.core.stopping && g.core.mayCampaign(g) && g.replica.position.Before(f.position)
 }
 
 // install replaces the state here in one write.
@@ -80,6 +80,6 @@
 
 // finish lets this node campaign again.
 func (f *snapshotFetch) finish() {
-	f.group.fetching = nil
+	f.group.fetch = nil
 	f.group.backOff()
 }
