--- a/internal/controlplane/replication/snapshotsend.go
+++ b/internal/controlplane/replication/snapshotsend.go
@@ -50,8 +50,8 @@
 func (c *core) snapshotEnded(address string) {
 	delete(c.receivingSnapshot, address)
 	for _, g := range c.sortedGroups() {
-		if g.leading != nil && g.leading.followers[address] != nil {
-			g.leading.replicate(address, g.leading.followers[address])
+		if g.leadership != nil && g.leadership.followers[address] != nil {
+			g.leadership.replicate(address, g.leadership.followers[address])
 		}
 	}
 }
--- a/internal/controlplane/replication/voting.go
+++ b/internal/controlplane/replication/voting.go
@@ -1,18 +1,18 @@
 package replication
 
-// leasesAllow tells whether the replica may vote for a candidate as far as leases go. A lease from before a restart can
-// only be that of the node to which the newest vote was given. If that node is the candidate, it leads no more:
-// a node campaigns only after its own term has ended, or in a new process.
-func (r *replica) leasesAllow(candidate string) bool {
+// leasesPermitVote reports whether no lease prevents a vote for a candidate. A lease granted before a restart can only belong
+// to the node that got the newest vote. If this node is the candidate, it no longer leads: a node campaigns only after its
+// own term has ended, or in a new process.
+func (r *replica) leasesPermitVote(candidate string) bool {
 	now := r.core.now
-	remembers := now >= r.noVoteBefore || r.votedFor == candidate && candidate != ""
-	return remembers && (now >= r.lease.until || r.lease.leader == candidate) && !r.group.ledByOther(candidate)
+	priorLeaseExcluded := now >= r.noVoteBefore || r.votedFor == candidate && candidate != ""
+	return priorLeaseExcluded && (now >= r.lease.until || r.lease.leader == candidate) && !r.group.hasLocalLeaderOtherThan(candidate)
 }
 
-// requestVote answers a pre-vote, or grants or denies a vote.
+// requestVote answers a pre-vote or vote request.
 func (r *replica) requestVote(request voteRequest, reply func(voteReply)) {
 	if request.PreVote {
-		granted := r.core.mayVote(request.View) && r.leasesAllow(request.Candidate)
+		granted := r.core.mayVote(request.View) && r.leasesPermitVote(request.Candidate)
 		omitted := granted && request.Position.Before(r.position) && r.exceedsMessage(r.state())
 		reply(voteReply{Granted: granted, Term: r.currentTerm, Position: r.position, StateOmitted: omitted})
 		return
@@ -29,7 +29,7 @@
 }
 
 func (r *replica) grantVote(request voteRequest, reply func(voteReply)) {
-	if !r.core.mayVote(request.View) || request.Term <= r.currentTerm || !r.leasesAllow(request.Candidate) {
+	if !r.core.mayVote(request.View) || request.Term <= r.currentTerm || !r.leasesPermitVote(request.Candidate) {
 		reply(r.denyVote())
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 	r.persist(termChanges(r.group.name, request.Term, request.Candidate), func() {
 		r.durableTerm = request.Term
-		if !r.core.mayVote(request.View) { // a member of a newer view may have copied this state meanwhile
+		if !r.core.mayVote(request.View) { // a member of a newer view may have copied this state during the write
 			reply(r.denyVote())
 			return
 		}
@@ -52,7 +52,7 @@
 	}, func() { reply(r.denyVote()) })
 }
 
-// exceedsMessage tells whether a state does not fit into one message.
+// exceedsMessage reports whether a state is too large for one message.
 func (r *replica) exceedsMessage(state map[string][]byte) bool {
 	return stateBytes(state) > r.core.limits.ChunkBytes
 }
--- a/internal/controlplane/replication/wire_test.go
+++ b/internal/controlplane/replication/wire_test.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
+// TestWireForms checks the encoding of all message types against golden files.
 func TestWireForms(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "entry", Value: new(Entry)},
@@ -25,7 +25,7 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
+// TestWireConstants checks the values of all constants that are sent or stored.
 func TestWireConstants(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: unavailable, Want: 0},
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -186,7 +186,7 @@
 		Sources: feedserver.Sources{
 			Configuration: configurator.Current, Leaders: node.Leaders, Core: func() []string { return s.membership.Members },
 			InContact: func() bool { return node.InContact() && configurator.Fresh(configuration.FreshAge) },
-			Changed:   []func() <-chan struct{}{configurator.Changed, node.Changed},
+			Changed:   []func() <-chan struct{}{configurator.Changed, node.LeadersChanged},
 		},
 	})
 	server.Mount(mux)
