--- a/internal/controlplane/replication/callbacks.go
+++ b/internal/controlplane/replication/callbacks.go
@@ -5,7 +5,7 @@
 // callbackQueue runs functions one after another. Its goroutine exists only while functions are queued.
 type callbackQueue struct {
 	spawn   func(func())
-	last    func()
+	last    func() // final callback, which the owner of the queue adds; nil if there is none
 	mu      sync.Mutex
 	queue   []func()
 	running bool
--- a/internal/controlplane/replication/core.go
+++ b/internal/controlplane/replication/core.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// mayVote reports whether this node may answer votes and leaders of a view with the given version.
+// mayVote reports whether this node may vote, and follow leaders, in a view with the given version.
 func (c *core) mayVote(view uint64) bool {
 	member := c.view.Version == 0 || c.view.Has(c.self)
 	return member && c.ready && c.storeWritable() && !c.stopping && view >= c.view.Version
@@ -196,8 +196,8 @@
 	c.group(request.Group).replica.serveSnapshot(request, reply)
 }
 
-// leaderResigned handles resignCall.
-func (c *core) leaderResigned(request resignRequest) {
+// handleResignation handles resignCall.
+func (c *core) handleResignation(request resignRequest) {
 	if request.Stopping {
 		c.members.get(request.From).lastPing = never
 	}
--- a/internal/controlplane/replication/defects_test.go
+++ b/internal/controlplane/replication/defects_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxSchedules bounds the search for a defect. One of the first fifty schedules finds most defects.
+// maxSchedules bounds the search for a defect. Most defects are found within the first fifty schedules.
 const maxSchedules = 400
 
 // TestRandomFaultsFindInjectedDefects checks that random faults detect a broken protocol. Otherwise a run without findings would
--- a/internal/controlplane/replication/doc.go
+++ b/internal/controlplane/replication/doc.go
@@ -1,9 +1,10 @@
-// Package replication replicates key/value state across the core nodes, one state per replication group. Each group has at
-// most one elected leader at a time. The leader collects proposed changes into batches and sends them to the other replicas.
+// Package replication replicates key/value state across the core nodes, one state per replication group. The
+// replicas of a group elect a leader. The leader collects proposed changes into batches and sends them to the other replicas.
 //
-// The package guarantees that a batch is committed only after a majority of the replicas has synced it to disk, that each new
-// leader starts from a state that contains every committed batch, and that at most one leader of a group holds a valid lease.
-// The coordinator starts a Node, and acts as leader through the Handler interface. The package never interprets keys or
+// A batch is committed once a majority of the replicas has synced it to disk. Each new leader starts with a state that contains
+// all committed batches. At most one leader of a group holds a valid lease at any time, and only that leader acts.
+//
+// The coordinator starts a Node. The job manager implements Handler and acts as leader. The package never interprets keys or
 // values, and never changes the membership itself.
 //
 // # Relation to Raft
@@ -29,8 +30,8 @@
 //     state is too large for a vote, the candidate fetches it before the campaign continues.
 //   - A reply counts towards a majority only within Timing.ReplyTimeout after its request was sent. A reply that was delayed
 //     for long can neither commit a batch nor elect a leader.
-//   - Package replicaset manages membership changes and numbers the views. A replica answers a request of an older view than
-//     its own with unavailable.
+//   - Package replicaset manages membership changes and numbers the views. A replica rejects requests from an older view
+//     than its own.
 //
 // # Leases
 //
--- a/internal/controlplane/replication/exploredcluster_test.go
+++ b/internal/controlplane/replication/exploredcluster_test.go
@@ -338,6 +338,6 @@
 			reply(func() { *message.call.reply.(*pingReply) = answer })
 		})
 	case resignRequest:
-		m.core.leaderResigned(request)
+		m.core.handleResignation(request)
 	}
 }
--- a/internal/controlplane/replication/heartbeat.go
+++ b/internal/controlplane/replication/heartbeat.go
@@ -66,9 +66,9 @@
 		return
 	}
 	for i, beat := range request.Heartbeats {
-		leading := c.groups[beat.Group].leadership
-		if leading != nil && leading.termNumber == beat.Term {
-			leading.handleHeartbeatReply(address, reply.Heartbeats[i], sentAt)
+		l := c.groups[beat.Group].leadership
+		if l != nil && l.termNumber == beat.Term {
+			l.handleHeartbeatReply(address, reply.Heartbeats[i], sentAt)
 		}
 	}
 }
--- a/internal/controlplane/replication/liveness.go
+++ b/internal/controlplane/replication/liveness.go
@@ -27,8 +27,8 @@
 			members = append(members, Liveness{Address: address})
 			continue
 		}
-		ago := now - peer.lastPing
-		members = append(members, Liveness{Address: address, Alive: ago <= n.core.members.livenessTimeout, Ready: peer.ready, Contacted: true, SinceContact: ago})
+		sinceContact := now - peer.lastPing
+		members = append(members, Liveness{Address: address, Alive: sinceContact <= n.core.members.livenessTimeout, Ready: peer.ready, Contacted: true, SinceContact: sinceContact})
 	}
 	return members
 }
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -159,7 +159,8 @@
 	}
 }
 
-// awaitValidElection waits for an election whose term is still valid. On a busy machine a lease may expire before.
+// awaitValidElection waits for an election whose term is still valid. On a busy machine a lease may
+// expire before the test receives the election.
 func (c *cluster) awaitValidElection() election {
 	for {
 		elected, err := receive(c.elected)
--- a/internal/controlplane/replication/noderun.go
+++ b/internal/controlplane/replication/noderun.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// shutdown resigns all terms, and waits up to one HeartbeatInterval for the resignations to be delivered.
+// shutdown resigns all terms. It waits up to one HeartbeatInterval for the resignations to be delivered, and then cancels the
+// remaining calls.
 func (n *Node) shutdown() {
 	n.runStep(n.core.stop)
 	ended := make(chan struct{})
--- a/internal/controlplane/replication/nodeserve.go
+++ b/internal/controlplane/replication/nodeserve.go
@@ -23,7 +23,7 @@
 	})
 	transport.Handle(mux, resignCall, func(ctx context.Context, request resignRequest) (resignReply, error) {
 		return serve(ctx, n, func(reply func(resignReply)) {
-			n.core.leaderResigned(request)
+			n.core.handleResignation(request)
 			reply(resignReply{})
 		})
 	})
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -44,8 +44,8 @@
 }
 
 // persist writes changes and calls done once they are synced, or failed if the write fails. It then runs the queued
-// operations. A failed write leaves the disk unchanged. The current term in memory may stay higher than the term on disk, as
-// the replica has not replied in that term.
+// operations. A failed write leaves the disk unchanged. The current term in memory may then stay higher than the term on disk.
+// This is safe, as the replica has not replied in that term.
 func (r *replica) persist(changes []storage.Change, done, failed func()) {
 	r.writing, r.writeStarted = true, r.core.now
 	r.core.write(changes, func(err error) {
@@ -72,7 +72,7 @@
 		r.currentTerm, r.votedFor = term, candidate
 		r.assembly = nil
 	}
-	if leading := r.group.leadership; leading != nil && leading.termNumber < term {
-		leading.end("this replica has entered a higher term")
+	if l := r.group.leadership; l != nil && l.termNumber < term {
+		l.end("this replica has entered a higher term")
 	}
 }
--- a/internal/controlplane/replication/simulatednode_test.go
+++ b/internal/controlplane/replication/simulatednode_test.go
@@ -295,7 +295,7 @@
 			n.corruptView(&request.View)
 			n.core.ping(request, func(r pingReply) { reply(r) })
 		case resignCall.Path():
-			n.core.leaderResigned(decode[resignRequest](body))
+			n.core.handleResignation(decode[resignRequest](body))
 			reply(resignReply{})
 		}
 	})
--- a/internal/controlplane/replication/timing.go
+++ b/internal/controlplane/replication/timing.go
@@ -17,7 +17,7 @@
 	FollowerLease             time.Duration // a replica votes for no other candidate for this time after a message of its leader
 	ElectionTimeout           time.Duration // time without contact to a leader until a replica campaigns
 	LeaderlessElectionTimeout time.Duration // like ElectionTimeout, after a leader has resigned or before the first one
-	RankDelay                 time.Duration // additional election timeout per live replica that the group prefers as leader
+	RankDelay                 time.Duration // additional election timeout per live replica that the group prefers to this one
 	MinCampaignBackoff        time.Duration // minimum backoff after a failed campaign
 	MaxCampaignBackoff        time.Duration // maximum backoff after a failed campaign
 	ReplyTimeout              time.Duration // a reply later than this after sending its request counts towards no majority
--- a/internal/controlplane/replication/voting.go
+++ b/internal/controlplane/replication/voting.go
@@ -5,8 +5,8 @@
 // own term has ended, or in a new process.
 func (r *replica) leasesPermitVote(candidate string) bool {
 	now := r.core.now
-	priorLeaseExcluded := now >= r.noVoteBefore || r.votedFor == candidate && candidate != ""
-	return priorLeaseExcluded && (now >= r.lease.until || r.lease.leader == candidate) && !r.group.hasLocalLeaderOtherThan(candidate)
+	priorLeasePermits := now >= r.noVoteBefore || r.votedFor == candidate && candidate != ""
+	return priorLeasePermits && (now >= r.lease.until || r.lease.leader == candidate) && !r.group.hasLocalLeaderOtherThan(candidate)
 }
 
 // requestVote answers a pre-vote or vote request.
