--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -72,7 +72,7 @@
 		stop = at
 	}
 	begin := stop
-	if at := a.wallTime(action.BeginBy); action.BeginBy > 0 && at.Before(begin) {
+	if at := a.wallTime(action.StartBy); action.StartBy > 0 && at.Before(begin) {
 		begin = at
 	}
 	key := callKey{action.Subquery, sub.attempts}
@@ -89,7 +89,7 @@
 		a.batchOrder = append(a.batchOrder, action.Backend)
 	}
 	a.batches[action.Backend] = trip
-	if len(trip) >= max(1, a.settings.Layout.CallSubqueries) {
+	if len(trip) >= max(1, a.settings.Layout.SubqueriesPerCall) {
 		a.sendBatch(action.Backend)
 	}
 }
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -83,7 +83,7 @@
 	for {
 		a.step(time.Now())
 		// Steps come no closer than the settings say, as on the bench.
-		next := a.lastStep.Add(time.Duration(a.settings.Step * float64(time.Second)))
+		next := a.lastStep.Add(time.Duration(a.settings.StepInterval * float64(time.Second)))
 		wake.Reset(time.Until(next))
 		select {
 		case <-wake.C:
--- a/internal/dataplane/aggregator/aggregator_test.go
+++ b/internal/dataplane/aggregator/aggregator_test.go
@@ -46,11 +46,11 @@
 }
 
 func newFixture(change func(*settings.Settings)) *fixture {
-	set := settings.Settings{Settings: policy.Settings{Seed: 5, Aggregators: 2, Step: 0.005,
-		Indexes: []policy.IndexSettings{{Soft: 1, Hard: 4, Value: 1, LateValue: 0.1}, {Soft: 1, Hard: 4, Value: 3, Effect: policy.OnceOnly}},
-		Layout:  policy.Layout{Cells: 4, Width: 2, CallSubqueries: 1},
+	set := settings.Settings{Settings: policy.Settings{Seed: 5, Aggregators: 2, StepInterval: 0.005,
+		Indexes: []policy.IndexSettings{{Soft: 1, Hard: 4, Value: 1, LateValue: 0.1}, {Soft: 1, Hard: 4, Value: 3, Effect: policy.AtMostOnce}},
+		Layout:  policy.Layout{Cells: 4, Width: 2, SubqueriesPerCall: 1},
 		Limits:  policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 1},
-		Rules:   policy.Rules{SlowStartShare: 0.2, SlowStartS: 8, DrainGrace: 0.25, CrashMultiple: 2, CrashWindowS: 1}}}
+		Rules:   policy.Rules{SlowStartShare: 0.2, SlowStartS: 8, DrainGrace: 0.25, OverloadMultiple: 2, OverloadWindowS: 1}}}
 	if change != nil {
 		change(&set)
 	}
@@ -164,7 +164,7 @@
 
 func TestSubqueriesOfAStepShareCalls(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) {
-		s.Layout = policy.Layout{Cells: 1, Width: 1, CallSubqueries: 2}
+		s.Layout = policy.Layout{Cells: 1, Width: 1, SubqueriesPerCall: 2}
 	})
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}, Addresses: []string{""}}
 	list.Entries = []policy.Entry{{Backend: 1}}
@@ -242,7 +242,7 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		r := newFixture(func(s *settings.Settings) {
-			s.Seed, s.Limits.MaxPending, s.Layout.CallSubqueries = seed, 60, 1+rng.IntN(3)
+			s.Seed, s.Limits.MaxPending, s.Layout.SubqueriesPerCall = seed, 60, 1+rng.IntN(3)
 			s.Limits.Hedge = rng.IntN(2) == 0
 		})
 		open := map[*Query]bool{}
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -101,7 +101,7 @@
 }
 
 var effects = map[string]policy.Effect{
-	"repeatable": policy.Idempotent, "by_key": policy.Fingerprinted, "once": policy.OnceOnly,
+	"repeatable": policy.Idempotent, "by_key": policy.Deduplicated, "once": policy.AtMostOnce,
 }
 
 // Read parses the settings object. Every number is validated, so that a mistake in a site's files shows at the start and not as
@@ -116,19 +116,19 @@
 		Idle: limits.IdleCloseS, Connect: limits.ConnectTimeoutS, Loads: raw.Stats.How == "answers" || raw.Stats.How == "probe"}}
 	result.Settings = policy.Settings{
 		Seed: seed, Self: policy.AggregatorNo(raw.Ordinal), Aggregators: raw.Siblings, Location: policy.LocationID(raw.Zone),
-		Step: raw.GranularityS, OverShare: raw.OverShareWorth, ListOnRequest: raw.MembershipMode == "subscribe",
-		Layout: policy.Layout{Cells: layout.Places, Width: layout.Width, CallSubqueries: layout.PerCall, CallCost: layout.CallCostS},
+		StepInterval: raw.GranularityS, OverQuotaValue: raw.OverShareWorth, ListOnRequest: raw.MembershipMode == "subscribe",
+		Layout: policy.Layout{Cells: layout.Places, Width: layout.Width, SubqueriesPerCall: layout.PerCall, CallCost: layout.CallCostS},
 		Limits: policy.Limits{Cancel: limits.Cancel, Probe: limits.Probing, PeerMessages: limits.MayTell, Hedge: limits.MayDuplicate,
 			RetryAfter: limits.RetryAfter, MaxAttempts: limits.MostTries, MaxPending: limits.MostHeld,
 			MaxRetryAfter: limits.MaxRetryAfterS, ConnectTimeout: limits.ConnectTimeoutS},
 		Rules: policy.Rules{AnswerSlack: rules.AnswerSlackS, ListPollEvery: rules.AskEveryS, SlowStartShare: rules.ColdShare,
-			SlowStartS: rules.ColdS, DrainGrace: rules.DrainGraceS, CrashMultiple: rules.FallMultiple, CrashWindowS: rules.FallS,
-			RetryBudgetFree: rules.FreeResends},
-		Prices: policy.Prices{CrossLocation: prices.CrossZone, Waste: prices.Waste, Probe: prices.Probe, LateFail: prices.LateFail,
-			Handshake: prices.Handshake, Connection: prices.Connection, Peer: prices.Peer, Lists: prices.MembershipMode},
+			SlowStartS: rules.ColdS, DrainGrace: rules.DrainGraceS, OverloadMultiple: rules.FallMultiple, OverloadWindowS: rules.FallS,
+			RetryBudgetMin: rules.FreeResends},
+		Prices: policy.Prices{CrossLocation: prices.CrossZone, Waste: prices.Waste, Probe: prices.Probe, LateFailure: prices.LateFail,
+			Handshake: prices.Handshake, Connection: prices.Connection, Peer: prices.Peer, Membership: prices.MembershipMode},
 	}
 	if rules.ExtraShare != nil && rules.BudgetSpanS != nil {
-		result.Rules.RetryBudget, result.Rules.RetryBudgetPer, result.Rules.RetryBudgetS = true, *rules.ExtraShare, *rules.BudgetSpanS
+		result.Rules.RetryBudget, result.Rules.RetryBudgetRatio, result.Rules.RetryBudgetS = true, *rules.ExtraShare, *rules.BudgetSpanS
 	}
 	for i, class := range raw.RequestClasses {
 		effect, known := effects[class.Effect]
--- a/internal/dataplane/settings/settings_test.go
+++ b/internal/dataplane/settings/settings_test.go
@@ -21,8 +21,8 @@
 	if !reflect.DeepEqual(s.Net, want) {
 		t.Fatalf("got %+v", s.Net)
 	}
-	if x := s.Indexes[0]; s.Seed != 7 || !s.ListOnRequest || s.Layout.CallSubqueries != 2 || s.Limits.MaxPending != 9 ||
-		x.Effect != policy.Fingerprinted || x.Required != 0.9 || x.DedupS != 5 || s.Customers[0].QuotaPerS != 2 {
+	if x := s.Indexes[0]; s.Seed != 7 || !s.ListOnRequest || s.Layout.SubqueriesPerCall != 2 || s.Limits.MaxPending != 9 ||
+		x.Effect != policy.Deduplicated || x.Required != 0.9 || x.DedupS != 5 || s.Customers[0].QuotaPerS != 2 {
 		t.Fatalf("got %+v", s.Settings)
 	}
 	for _, bad := range []string{`{"limits":{"multiplex":-1}}`, `{"limits":{"idleCloseS":-1}}`, `{"specifics":{"slices":-1}}`,
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -228,7 +228,7 @@
 	case "REQUEST":
 		decodeQuery(line, event)
 	case "ESTABLISHED":
-		event.Kind, event.Subquery, event.Backend = policy.CallBegan, policy.SubqueryID(line.unsigned("req")), line.backend()
+		event.Kind, event.Subquery, event.Backend = policy.ResponseStarted, policy.SubqueryID(line.unsigned("req")), line.backend()
 		event.Call, event.Elapsed = policy.CallNo(line.integer("copy")), line.number("costTimeS")
 	case "ATTEMPT_END":
 		event.Kind, event.Subquery, event.Call = policy.CallEnded, policy.SubqueryID(line.unsigned("req")), policy.CallNo(line.integer("copy"))
@@ -243,7 +243,7 @@
 	case "TICK_DUE":
 		event.Kind, event.Timer = policy.TimerDue, policy.TimerID(line.integer("ctx"))
 	case "PEER_DATA":
-		event.Kind, event.Peer = policy.MessageArrived, policy.AggregatorNo(line.integer("originPeer"))
+		event.Kind, event.Peer = policy.MessageReceived, policy.AggregatorNo(line.integer("originPeer"))
 		event.Message = line.bytes("blob")
 	default:
 		return malformed("unknown message %q", name)
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -100,7 +100,7 @@
 // newAggregator makes the decision module of the site's i-th aggregator, with no query yet.
 func newAggregator(site *Site, seed uint64, i int) *aggregator {
 	settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
-		Step: site.Step, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, CallSubqueries: 1},
+		StepInterval: site.Step, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, SubqueriesPerCall: 1},
 		Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, site.MaxAttempts), MaxPending: site.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
 		Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
 	for _, index := range site.Indexes {
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -267,7 +267,7 @@
 // An emulation keeps the modules' rules: a once-only part is never called twice where a call may have run.
 func TestOnceOnlySubqueriesAreNotRetried(t *testing.T) {
 	site, a := testSite(6, 2), testWorkload(400, 3)
-	site.Indexes[0].Effect = policy.OnceOnly
+	site.Indexes[0].Effect = policy.AtMostOnce
 	site.Backends[2].Queue = 2
 	o := Emulate(&site, &a, 4, 3000)
 	if o.Calls > 1.05 {
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -63,7 +63,7 @@
 	Price       float64 `json:"price"`
 }
 
-var effects = map[string]policy.Effect{"": policy.Idempotent, "idempotent": policy.Idempotent, "fingerprinted": policy.Fingerprinted, "once-only": policy.OnceOnly}
+var effects = map[string]policy.Effect{"": policy.Idempotent, "idempotent": policy.Idempotent, "fingerprinted": policy.Deduplicated, "once-only": policy.AtMostOnce}
 
 // maxBackends is ten times the largest fleet that a plan is made for.
 const maxBackends = 10000
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -124,7 +124,7 @@
 func baseScenario(name string, seconds float64) Scenario {
 	site := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, Step: 0.005, Network: loopbackDelay, MaxAttempts: 3, Multiplex: 100,
 		Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99},
-			{Name: "orders", Effect: policy.OnceOnly, Soft: 0.5, Hard: 2, Value: 3, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99}}}
+			{Name: "orders", Effect: policy.AtMostOnce, Soft: 0.5, Hard: 2, Value: 3, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99}}}
 	for i := range 6 {
 		site.Backends = append(site.Backends, plan.Backend{Name: fmt.Sprint("s-", i+1), Location: site.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
 	}
@@ -223,7 +223,7 @@
 // runOnSockets plays a setting on sockets: real aggregators, stand-ins for the rest.
 func runOnSockets(ctx context.Context, scenario Scenario) (tally fakes.Tally, err error) {
 	site := fakes.Site{Zones: scenario.Site.Locations, Cells: scenario.Site.Cells, Width: scenario.Site.Width, Shards: scenario.Site.Shards, Aggregators: scenario.Site.Aggregators}
-	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Fingerprinted: "by_key", policy.OnceOnly: "once"}
+	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Deduplicated: "by_key", policy.AtMostOnce: "once"}
 	for _, index := range scenario.Site.Indexes {
 		site.Indexes = append(site.Indexes, fakes.Index{Name: index.Name, Effect: effects[index.Effect], Soft: index.Soft, Hard: index.Hard, Value: index.Value})
 	}
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,11 +1,11 @@
 package policy
 
-// ActionKind names what to do.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions, each with the fields that count for it.
+// The kinds of actions. Each comment lists the fields of Action that are set.
 const (
-	Send            ActionKind = iota // Subquery, Backend, StopAt, BeginBy
+	Send            ActionKind = iota // Subquery, Backend, StopAt, StartBy
 	Cancel                            // Subquery, Call
 	Answer                            // Query, Complete
 	Nack                              // Query, Wait
@@ -13,27 +13,27 @@
 	SetTimer                          // Timer, Wait
 	Probe                             // Backend, SeparateConnection
 	CloseIdle                         // Backend
-	NotifyPeer                        // Peer (AllPeers for every one), Message
+	NotifyPeer                        // Peer (AllPeers for all peers), Message
 	Subscribe                         // On
 	RequestFullList                   // no fields
 	Log                               // Text
 )
 
-// AllPeers addresses a message to every other aggregator.
+// AllPeers addresses a message to all other aggregators.
 const AllPeers AggregatorNo = -1
 
-// Action is one thing to do; its kind says which fields count.
+// Action is an output of Step. Its kind determines which fields are set.
 type Action struct {
 	Kind               ActionKind
 	Complete           bool
 	On                 bool
-	SeparateConnection bool // of a probe: it tests the backend, not an existing connection
+	SeparateConnection bool // the probe uses a new connection, so that it tests the backend and not an existing connection
 	Query              QueryID
 	Subquery           SubqueryID
 	Backend            BackendID
 	Call               CallNo
-	StopAt             float64 // clock time; 0 for the client's deadline
-	BeginBy            float64 // clock time after which it must not be executed; 0 for StopAt
+	StopAt             float64 // clock time at which the call ends; 0 for the client's deadline
+	StartBy            float64 // clock time after which the call must not be executed; 0 for StopAt
 	Wait               float64
 	Timer              TimerID
 	Peer               AggregatorNo
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// The start of an instance, and its records of customers, of the retry budget and of overrides.
+// Creation of an instance, and its records of customers, the retry budget and overrides.
 
-// New makes an instance; now is in seconds of the clock that Step is given. Settings are taken as valid.
-func New(set Settings, now float64) *Aggregator {
-	set.Aggregators, set.Layout.CallSubqueries = max(1, set.Aggregators), max(1, set.Layout.CallSubqueries)
-	set.Layout.Cells, set.Layout.Width = max(1, set.Layout.Cells), max(1, set.Layout.Width)
+// New creates an instance. The time now is in seconds of the clock that Step's caller uses. New does not validate settings.
+func New(settings Settings, now float64) *Aggregator {
+	settings.Aggregators, settings.Layout.SubqueriesPerCall = max(1, settings.Aggregators), max(1, settings.Layout.SubqueriesPerCall)
+	settings.Layout.Cells, settings.Layout.Width = max(1, settings.Layout.Cells), max(1, settings.Layout.Width)
 	listAt := math.Inf(1)
-	if set.ListOnRequest {
+	if settings.ListOnRequest {
 		listAt = now
 	}
 	a := &Aggregator{
-		listPollAt: listAt, settings: set, now: now, random: pcg(set.Seed), shortestSoft: math.Inf(1), idleLimit: math.Inf(1),
-		locationFaults: map[LocationID][]decayingMean{}, backends: map[BackendID]*backend{}, holdersByCell: make([][]*backend, set.Layout.Cells),
-		queries: map[QueryNo]*query{}, numbers: map[QueryID]QueryNo{}, subqueries: map[SubqueryID]*subquery{},
-		customers: make([]customer, len(set.Customers)), pins: map[pinKey]*PinOverride{},
+		listPollAt: listAt, settings: settings, now: now, random: pcg(settings.Seed), shortestSoftDeadline: math.Inf(1), maxConnectionIdleTime: math.Inf(1),
+		locationFaults: map[LocationID][]decayingMean{}, backends: map[BackendID]*backend{}, replicasByCell: make([][]*backend, settings.Layout.Cells),
+		queries: map[QueryNo]*query{}, queryNumbers: map[QueryID]QueryNo{}, subqueries: map[SubqueryID]*subquery{},
+		customers: make([]customer, len(settings.Customers)), pins: map[pinKey]*PinOverride{},
 	}
-	for i := range set.Indexes {
-		a.addIndex(&set.Indexes[i])
+	for i := range settings.Indexes {
+		a.addIndex(&settings.Indexes[i])
 	}
 	return a
 }
 
-// applyOverrides records a change of overrides, and lists the backends that are no longer excluded by it.
-func (a *Aggregator) applyOverrides(o *Overrides) (back []*backend) {
+// applyOverrides records a change of overrides. It returns the backends that the change no longer excludes.
+func (a *Aggregator) applyOverrides(o *Overrides) (readmitted []*backend) {
 	if len(o.Pins) > 0 {
 		a.pinsVersion++
 	}
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, zones := range o.Zones {
-		if q := a.queries[a.numbers[zones.Query]]; q != nil && q.id == zones.Query {
+		if q := a.queries[a.queryNumbers[zones.Query]]; q != nil && q.id == zones.Query {
 			q.zones = zones.Zones
 		}
 	}
@@ -59,46 +59,46 @@
 			b.overrides = slices.Repeat([]indexOverride{{weight: 1}}, len(a.indexes))
 		}
 		b.overrides[change.Index] = indexOverride{change.Excluded, change.Weight}
-		was := b.excluded
+		wasExcluded := b.excluded
 		b.excluded = !slices.ContainsFunc(b.overrides, func(x indexOverride) bool { return !x.excluded })
 		if !slices.ContainsFunc(b.overrides, func(x indexOverride) bool { return x != indexOverride{weight: 1} }) {
 			b.overrides = nil
 		}
-		if was && !b.excluded {
-			back = append(back, b)
+		if wasExcluded && !b.excluded {
+			readmitted = append(readmitted, b)
 		}
 	}
-	return back
+	return readmitted
 }
 
 // addIndex adds the settings of an index.
-func (a *Aggregator) addIndex(row *IndexSettings) {
-	required := cmp.Or(row.Required, 1)
-	a.indexes = append(a.indexes, indexRow{soft: row.Soft, hard: row.Hard, value: row.Value, lateValue: row.LateValue, required: required,
-		partialValue: row.PartialValue, minimum: min(required, cmp.Or(row.Minimum, required)), effect: row.Effect, faultCost: faultCost[row.Effect], dedupWindow: row.DedupS,
-		secondStep: row.SecondStep})
-	a.topValue = max(a.topValue, row.Value)
-	a.longestSoft, a.shortestSoft = max(a.longestSoft, row.Soft), min(a.shortestSoft, row.Soft)
+func (a *Aggregator) addIndex(index *IndexSettings) {
+	required := cmp.Or(index.Required, 1)
+	a.indexes = append(a.indexes, indexState{softDeadline: index.Soft, hardDeadline: index.Hard, value: index.Value, lateValue: index.LateValue, requiredWeight: required,
+		partialValue: index.PartialValue, minimumWeight: min(required, cmp.Or(index.Minimum, required)), effect: index.Effect, faultCost: faultCostByEffect[index.Effect], dedupWindow: index.DedupS,
+		secondStep: index.SecondStep})
+	a.maxQueryValue = max(a.maxQueryValue, index.Value)
+	a.longestSoftDeadline, a.shortestSoftDeadline = max(a.longestSoftDeadline, index.Soft), min(a.shortestSoftDeadline, index.Soft)
 }
 
-// emit appends an action to those that Step returns.
+// emit appends an action to the result of Step.
 func (a *Aggregator) emit(action Action) { a.actions = append(a.actions, action) }
 
-// recordTimeout finds the timeout that most clients' attempts give, by a majority vote (Boyer and Moore) with at most most
-// votes; timeouts within apart seconds are equal.
-func (row *indexRow) recordTimeout(timeout, apart, most float64) {
+// recordTimeout tracks the timeout that most client attempts state, by the majority vote algorithm of Boyer and Moore. The
+// leading timeout holds at most maxVotes votes. Timeouts that differ by at most tolerance seconds count as equal.
+func (index *indexState) recordTimeout(timeout, tolerance, maxVotes float64) {
 	switch {
-	case math.Abs(timeout-row.clientTimeout) <= apart:
-		row.timeoutVotes = min(row.timeoutVotes+1, most)
-	case row.timeoutVotes > 0:
-		row.timeoutVotes--
+	case math.Abs(timeout-index.clientTimeout) <= tolerance:
+		index.timeoutVotes = min(index.timeoutVotes+1, maxVotes)
+	case index.timeoutVotes > 0:
+		index.timeoutVotes--
 	default:
-		row.clientTimeout, row.timeoutVotes = timeout, 1
+		index.clientTimeout, index.timeoutVotes = timeout, 1
 	}
 }
 
-// exceedsQuota takes a token of a customer's bucket, which fills at this aggregator's share of the quota up to so many
-// seconds of it, and tells whether there was none.
+// exceedsQuota takes a token from a customer's token bucket and reports whether the bucket was empty. The bucket fills at
+// this aggregator's share of the quota. Its capacity is that rate times the given seconds.
 func (a *Aggregator) exceedsQuota(id CustomerID, seconds float64) bool {
 	if int(id) >= len(a.customers) {
 		return false
@@ -112,23 +112,23 @@
 	return false
 }
 
-// recordTime records the time of something that the retry budget counts, where there is a budget.
+// recordTime records the time of an event that the retry budget counts. Without a retry budget it does nothing.
 func (a *Aggregator) recordTime(times *[]float64) {
 	if !a.settings.Rules.RetryBudget {
 		return
 	}
-	if len(*times) == cap(*times) { // retrySpending drops them too, but only runs after failures
-		*times = dropBefore(*times, a.now-a.settings.Rules.RetryBudgetS-a.settings.Step)
+	if len(*times) == cap(*times) { // countRetries also drops old times, but is called only after failures
+		*times = dropBefore(*times, a.now-a.settings.Rules.RetryBudgetS-a.settings.StepInterval)
 	}
 	*times = append(*times, a.now)
 }
 
-// workOf is the work of a subquery of an index for its backend, that of the call included.
+// workOf returns the mean work of a subquery of an index for its backend, including the cost of the call.
 func (a *Aggregator) workOf(index IndexID) float64 {
 	return a.indexes[index].meanWork + a.settings.Layout.CallCost
 }
 
-// reserveRetry charges a retry of a subquery to the budget before it is sent, or releases that charge.
+// reserveRetry charges a retry of a subquery to the retry budget before it is sent, or releases that charge.
 func (a *Aggregator) reserveRetry(sub *subquery, reserved bool) {
 	if reserved != sub.retryReserved {
 		sub.retryReserved = reserved
@@ -140,10 +140,10 @@
 	}
 }
 
-// retrySpending counts the retries made or reserved since a time, one of sub included, and the queries and subqueries
-// received. At the edge of the window it counts to the retry's disadvantage.
-func (a *Aggregator) retrySpending(sub *subquery, from float64) (retries, received int) {
-	a.receivedTimes, a.retryTimes = dropBefore(a.receivedTimes, from+a.settings.Step), dropBefore(a.retryTimes, from-a.settings.Step)
+// countRetries returns the number of retries sent or reserved since a time, including a retry of sub, and the number of
+// queries and subqueries received since then. At the edge of the time window, both counts are rounded against the retry.
+func (a *Aggregator) countRetries(sub *subquery, from float64) (retries, received int) {
+	a.receivedTimes, a.retryTimes = dropBefore(a.receivedTimes, from+a.settings.StepInterval), dropBefore(a.retryTimes, from-a.settings.StepInterval)
 	retries = len(a.retryTimes) + a.retriesReserved
 	if !sub.retryReserved {
 		retries++
--- a/policy/backendhealth.go
+++ b/policy/backendhealth.go
@@ -5,76 +5,76 @@
 	"math"
 )
 
-// Backend health: what the ends of calls and probes say of a backend, its window, and whether it is unreachable.
+// Backend health: estimates of a backend from the outcomes of calls and probes, its window, and its reachability.
 
-// resetEstimates forgets the estimates of a backend that was restarted.
+// resetEstimates resets the estimates of a backend that was restarted.
 func (a *Aggregator) resetEstimates(b *backend) {
-	b.latency, b.window, b.unreachableUntil, b.unreachableBackoff, b.connectFailed = 0, windowStart, 0, 0, false
+	b.latency, b.window, b.unreachableUntil, b.unreachableBackoff, b.connectFailed = 0, initialWindow, 0, 0, false
 	clear(b.faults)
 }
 
-// detectSilence marks a backend unreachable that answers nothing, as it is dead, partitioned or stuck, until it answers a
-// probe. The probe is sent at once and on a connection of its own, as only the connection may be dead. Under overload the
-// average latency extends the time-out.
-func (a *Aggregator) detectSilence(b *backend) {
+// detectUnresponsive marks a backend unreachable that has not answered for some time, because it is dead, partitioned or
+// stuck. It remains unreachable until it answers a probe. The probe is sent immediately and on a separate connection, as the
+// fault may be in the connection only. Under overload, the average latency extends the timeout.
+func (a *Aggregator) detectUnresponsive(b *backend) {
 	if !b.ready || b.excluded || a.now < b.unreachableUntil {
 		return
 	}
-	patience := max(silenceLatencies*max(a.usualLatency, a.averageLatency), silenceMin*a.longestSoft)
-	silent := b.unansweredSince > 0 && a.now-b.unansweredSince > patience
-	if silent && b.unreachableBackoff == 0 && (len(b.calls) > 1 || b.probeFailed) {
+	timeout := max(unresponsiveTimeout*max(a.medianLatency, a.averageLatency), minUnresponsiveTimeout*a.longestSoftDeadline)
+	unresponsive := b.unansweredSince > 0 && a.now-b.unansweredSince > timeout
+	if unresponsive && b.unreachableBackoff == 0 && (len(b.calls) > 1 || b.probeFailed) {
 		a.markUnreachable(b)
 	}
-	if silent || b.unreachableBackoff > 0 {
+	if unresponsive || b.unreachableBackoff > 0 {
 		a.probe(b, true)
 	}
 }
 
-// probe sends a health check, unless one is under way or was sent lately: too many would load the backend.
-func (a *Aggregator) probe(b *backend, apart bool) {
-	if a.settings.Limits.Probe && !b.probing && a.now-b.probedAt >= aliveFor {
+// probe sends a probe unless one is in flight or was sent recently, as too many probes would load the backend.
+func (a *Aggregator) probe(b *backend, separateConnection bool) {
+	if a.settings.Limits.Probe && !b.probing && a.now-b.probedAt >= aliveTimeout {
 		b.probing, b.probedAt = true, a.now
 		b.expectAnswer(a.now)
-		a.emit(Action{Kind: Probe, Backend: b.id, SeparateConnection: apart})
+		a.emit(Action{Kind: Probe, Backend: b.id, SeparateConnection: separateConnection})
 	}
 }
 
-// probesFirst tells whether an aggregator needs a recent answer before it sends: where it calls a backend only every few
-// seconds, its own evidence comes too late against backends that fail by turns or hide a long queue.
-func (a *Aggregator) probesFirst() bool {
-	return a.settings.Limits.Probe && a.unhealthyShare.mean(0, priorSamples, a.now, unhealthyMemory*a.longestSoft) > probeFirstFrom
+// probesBeforeSending reports whether this aggregator sends only to backends that answered recently. An aggregator that calls
+// each backend only every few seconds learns too late from its calls that backends fail in turn or have a long queue.
+func (a *Aggregator) probesBeforeSending() bool {
+	return a.settings.Limits.Probe && a.unhealthyShare.mean(0, priorSamples, a.now, unhealthyDecay*a.longestSoftDeadline) > probeFirstThreshold
 }
 
-// crashesSuspected tells whether backends crash so often that a query may be the cause.
+// crashesSuspected reports whether backends crash so often that a query may be the cause.
 func (a *Aggregator) crashesSuspected() bool {
-	return a.crashShare.mean(0, priorSamples, a.now, faultMemory*a.longestSoft) > canaryFrom
+	return a.crashShare.mean(0, priorSamples, a.now, faultDecay*a.longestSoftDeadline) > canaryThreshold
 }
 
-// recentlyAlive tells whether an answer of a backend is recent enough to send to it.
-func (a *Aggregator) recentlyAlive(b *backend) bool { return a.now-b.aliveAt < aliveFor }
+// recentlyAlive reports whether a backend's last answer is recent enough to send to it.
+func (a *Aggregator) recentlyAlive(b *backend) bool { return a.now-b.aliveAt < aliveTimeout }
 
-// connectionLost guards against connections that die while idle, as calls on them never end or break at once. Such calls
-// show which idle time is too long; from there a connection is closed before use. Calls lost on connections in use count
-// against it.
-func (a *Aggregator) connectionLost(c *call) {
-	if c.idleBefore < idleMin {
-		a.idleLosses.add(-1, a.now, faultMemory*a.longestSoft)
+// recordConnectionLoss records a call that was lost with its connection. Connections may die while idle; calls on them never
+// end or break immediately. Such calls show which idle time is too long, and connections that were idle for longer are closed
+// before use. Calls lost on connections that were not idle are evidence against dead idle connections.
+func (a *Aggregator) recordConnectionLoss(c *call) {
+	if c.idleBefore < minSuspectIdleTime {
+		a.idleConnectionLosses.add(-1, a.now, faultDecay*a.longestSoftDeadline)
 		return
 	}
-	if a.idleLosses.add(1, a.now, faultMemory*a.longestSoft) <= idleLossesFrom {
-		a.idleLimit = math.Inf(1)
+	if a.idleConnectionLosses.add(1, a.now, faultDecay*a.longestSoftDeadline) <= idleLossThreshold {
+		a.maxConnectionIdleTime = math.Inf(1)
 	}
-	a.idleLimit = min(a.idleLimit, idleShare*c.idleBefore)
+	a.maxConnectionIdleTime = min(a.maxConnectionIdleTime, idleLimitShare*c.idleBefore)
 }
 
 // recordFault adds a sample, 1 for a fault and 0 for an answer, to the fault shares of a backend and of its location.
 func (a *Aggregator) recordFault(b *backend, index IndexID, fault float64) {
-	b.locationFaults[index].add(fault, a.now, estimateMemory*a.longestSoft)
-	b.faults[index].limitWeight(faultMost)
-	b.faults[index].add(fault, a.now, faultMemory*a.longestSoft)
+	b.locationFaults[index].add(fault, a.now, estimateDecay*a.longestSoftDeadline)
+	b.faults[index].limitWeight(maxFaultSamples)
+	b.faults[index].add(fault, a.now, faultDecay*a.longestSoftDeadline)
 }
 
-// callEnded records the outcome of a call, and ends, retries or abandons its subquery.
+// callEnded records the outcome of a call. It then completes, retries or abandons the subquery.
 func (a *Aggregator) callEnded(e *Event) {
 	c := a.removeCall(e.Subquery, e.Call)
 	if c == nil {
@@ -82,103 +82,106 @@
 	}
 	sub := c.subquery
 	a.leaveSharedCall(c.backend, c.shared)
-	sub.executed = sub.executed || !outcomeTable[e.Outcome].notExecuted
+	sub.maybeExecuted = sub.maybeExecuted || !outcomeTable[e.Outcome].notExecuted
 	a.recordOutcome(c, e)
 	q := sub.query
 	q.anyAnswered = q.anyAnswered || e.Outcome == Answered
-	if e.Outcome == Broken && (a.crashesSuspected() || !a.brokeIdle(c, e)) {
+	if e.Outcome == Broken && (a.crashesSuspected() || !a.brokeAfterIdling(c, e)) {
 		q.brokenCalls++
 	}
 	switch {
 	case e.Outcome == Answered:
 		a.applyToSubquery(sub, onAnswer)
 	case (q.brokenCalls > 1 || q.brokenCalls > 0 && a.crashesSuspected()) && !q.anyAnswered && !q.hasCallsInFlight():
-		a.applyToQuery(q, onGiveUp)
+		a.applyToQuery(q, onReject)
 	case sub.state != stateInFlight || len(sub.calls) > 0:
 	case a.mayRetry(sub):
-		sub.avoid = c.backend
+		sub.lastFailedBackend = c.backend
 		a.applyToSubquery(sub, onRetry)
 	default:
-		a.applyToSubquery(sub, onTooLate)
+		a.applyToSubquery(sub, onAbandon)
 	}
 }
 
-// recordOutcome updates a backend's estimates with the outcome of a call. Failures are no latency samples: fast ones would
-// make a failing backend look quick and attract subqueries.
+// recordOutcome updates a backend's estimates with the outcome of a call. Failures are not latency samples, because fast
+// failures would make a failing backend look fast and attract subqueries.
 func (a *Aggregator) recordOutcome(c *call, e *Event) {
 	b, index, outcome := c.backend, c.subquery.query.index, outcomeTable[e.Outcome]
 	sample := e.Elapsed / c.subquery.size
-	if a.brokeIdle(c, e) {
-		a.connectionLost(c) // it says nothing of the backend
+	if a.brokeAfterIdling(c, e) {
+		a.recordConnectionLoss(c) // not evidence about the backend
 		return
 	}
-	stuck := outcome.slow && b.answeredAt < c.sent // whatever a probe's answer was: the probe may not have waited in the queue
+	stuck := outcome.slow && b.answeredAt < c.sentAt // regardless of answered probes, as a probe may bypass the queue
 	failed := outcome.fault || outcome.unreachable || stuck && c.subquery.state == stateInFlight
 	if failed {
 		a.recordFault(b, index, 1)
 	}
-	a.crashShare.add(indicator(e.Outcome == Broken || outcome.unreachable), a.now, faultMemory*a.longestSoft)
-	a.unhealthyShare.add(indicator(failed || a.usualLatency > 0 && sample > slowFrom*a.usualLatency), a.now, unhealthyMemory*a.longestSoft)
+	a.crashShare.add(indicator(e.Outcome == Broken || outcome.unreachable), a.now, faultDecay*a.longestSoftDeadline)
+	a.unhealthyShare.add(indicator(failed || a.medianLatency > 0 && sample > slowLatencyThreshold*a.medianLatency), a.now, unhealthyDecay*a.longestSoftDeadline)
 	switch {
 	case e.Outcome == Answered:
 		b.answeredAt, b.lastUsedAt = a.now, a.now
 		b.recordAlive(a.now)
 		a.recordFault(b, index, 0)
-		if c.idleBefore >= idleMin {
-			a.idleLosses.add(-idleAnswerCredit, a.now, faultMemory*a.longestSoft)
+		if c.idleBefore >= minSuspectIdleTime {
+			a.idleConnectionLosses.add(-idleAnswerCredit, a.now, faultDecay*a.longestSoftDeadline)
 		}
 		a.recordLatency(b, sample)
-		a.recentLatencies.add(sample, a.now, a.shortestSoft)
+		a.recentLatencies.add(sample, a.now, a.shortestSoftDeadline)
 	case stuck && sample > a.expectedLatency(b, index):
 		a.recordLatency(b, sample)
-	case outcome.full: // it must not be called again at once
-		b.latency, b.latencyAt = max(a.expectedLatency(b, index), rejectedLatencies*a.usualLatency), a.now
-		a.shrinkWindow(b, min(windowShrinkMax, windowShrinkMax/b.window))
+	case outcome.full: // it must not be called again immediately
+		b.latency, b.latencyUpdatedAt = max(a.expectedLatency(b, index), rejectionLatency*a.medianLatency), a.now
+		a.shrinkWindow(b, min(maxWindowShrinkFactor, maxWindowShrinkFactor/b.window))
 	case outcome.unreachable:
 		b.connectFailed = true
 		a.markUnreachable(b)
 	}
 }
 
-// brokeIdle tells whether a call broke with a connection that had died while idle, and not with its backend.
-func (a *Aggregator) brokeIdle(c *call, e *Event) bool {
-	return e.Outcome == Broken && c.idleBefore >= idleMin && e.Elapsed < probeQueuedFrom*a.usualLatency
+// brokeAfterIdling reports whether a call broke because its connection had died while idle, and not because of its backend.
+func (a *Aggregator) brokeAfterIdling(c *call, e *Event) bool {
+	return e.Outcome == Broken && c.idleBefore >= minSuspectIdleTime && e.Elapsed < queuedProbeThreshold*a.medianLatency
 }
 
-// recordLatency smooths a backend's latency and adapts its window by comparison with the usual latency, a running median
-// over all backends that no single one can move. The usual latency is kept well under the soft deadlines, or overload would
-// become usual and the backends' queues would absorb all of the deadline.
+// recordLatency updates a backend's smoothed latency and its window. The window changes by comparison with the median latency,
+// a running median over all backends that no single backend can move. The median latency is limited to a small share of the
+// soft deadlines. Otherwise it would rise under overload until the backends' queues used up the whole deadline.
 func (a *Aggregator) recordLatency(b *backend, sample float64) {
-	a.usualLatency = cmp.Or(a.usualLatency, min(sample, usualMax*a.shortestSoft))
-	smooth(&b.latency, sample, smoothing)
-	b.latencyAt = a.now
+	a.medianLatency = cmp.Or(a.medianLatency, min(sample, maxMedianLatency*a.shortestSoftDeadline))
+	updateEWMA(&b.latency, sample, latencySmoothing)
+	b.latencyUpdatedAt = a.now
 	switch {
-	case sample <= usualUpTo*a.usualLatency && float64(b.callsInFlight)+1 >= math.Floor(b.window):
-		b.window += min(1/b.window, windowShrinkMax*b.window)
-	case sample > slowFrom*a.usualLatency && a.now-b.narrowedAt > sample:
-		a.shrinkWindow(b, min(windowShrink, max(windowShrinkMax, slowFrom*a.usualLatency/sample)))
-		b.narrowedAt = a.now
-	}
-	if sample > a.usualLatency {
-		a.usualLatency = min(a.usualLatency*(1+usualStep), usualMax*a.shortestSoft)
+	case sample <= fastLatencyLimit*a.medianLatency && float64(b.callsInFlight)+1 >= math.Floor(b.window):
+		b.window += min(1/b.window, maxWindowShrinkFactor*b.window)
+	case sample > slowLatencyThreshold*a.medianLatency && a.now-b.windowShrunkAt > sample:
+		a.shrinkWindow(b, min(windowShrinkFactor, max(maxWindowShrinkFactor, slowLatencyThreshold*a.medianLatency/sample)))
+		b.windowShrunkAt = a.now
+	}
+	if sample > a.medianLatency {
+		a.medianLatency = min(a.medianLatency*(1+movingMedianStep), maxMedianLatency*a.shortestSoftDeadline)
 	} else {
-		a.usualLatency *= 1 - usualStep
+		a.medianLatency *= 1 - movingMedianStep
 	}
 }
 
-// shrinkWindow may go below one call, as many aggregators with a window of one each still make a long queue.
-func (a *Aggregator) shrinkWindow(b *backend, by float64) { b.window = max(windowMin, b.window*by) }
+// shrinkWindow multiplies a backend's window by a factor. The window may become smaller than one call, as many aggregators
+// with a window of one call each still cause a long queue.
+func (a *Aggregator) shrinkWindow(b *backend, factor float64) {
+	b.window = max(minWindow, b.window*factor)
+}
 
-// markUnreachable takes a backend out of use for a backoff that doubles.
+// markUnreachable marks a backend as unreachable for a backoff time, which doubles with each failure.
 func (a *Aggregator) markUnreachable(b *backend) {
 	if a.now >= b.unreachableUntil {
-		b.unreachableBackoff = min(backoffMax, max(backoffFirst, 2*b.unreachableBackoff))
+		b.unreachableBackoff = min(maxBackoff, max(initialBackoff, 2*b.unreachableBackoff))
 		b.unreachableUntil = a.now + b.unreachableBackoff
 	}
 }
 
-// probeEnded records the outcome of a probe. A backend that answers after a failed connect or probe may be a new process
-// that the list does not show yet. One that rejects probes is alive, but its queue is unknown.
+// probeEnded records the outcome of a probe. A backend that answers after a failed connection attempt may be a new process
+// that the list does not contain yet. A backend that rejects a probe is alive, but the length of its queue is unknown.
 func (a *Aggregator) probeEnded(e *Event) {
 	b := a.backends[e.Backend]
 	if b == nil {
@@ -187,8 +190,8 @@
 	b.probing = false
 	switch {
 	case e.Outcome == Answered:
-		a.probesQueue = a.probesQueue || e.Elapsed > probeQueuedFrom*a.usualLatency
-		if b.unreachableBackoff > restartFrom && b.connectFailed {
+		a.probesQueue = a.probesQueue || e.Elapsed > queuedProbeThreshold*a.medianLatency
+		if b.unreachableBackoff > restartBackoff && b.connectFailed {
 			a.resetEstimates(b)
 			a.recordStart(b, a.now)
 		}
--- a/policy/callrecords.go
+++ b/policy/callrecords.go
@@ -6,35 +6,35 @@
 
 // Records of calls in flight.
 
-// startCall records a call of sub to b, in this step's shared call where that has room.
+// startCall records a call of sub to b. The subquery joins the shared call of this step if that has room.
 func (a *Aggregator) startCall(sub *subquery, b *backend) *call {
 	if !a.canShareCall(b) {
 		b.shared = &sharedCall{step: a.step}
 		b.callsInFlight++
 	}
 	b.shared.subqueries++
-	b.shared.live++
+	b.shared.unfinished++
 	if sub.attempts == 0 {
-		sub.firstSent = a.now
+		sub.firstSentAt = a.now
 	} else {
 		a.recordTime(&a.retryTimes)
 		a.reserveRetry(sub, false)
 	}
 	b.lastUsedAt = a.now
 	b.expectAnswer(a.now)
-	c := &call{subquery: sub, no: CallNo(sub.attempts), backend: b, sent: a.now, shared: b.shared}
+	c := &call{subquery: sub, no: CallNo(sub.attempts), backend: b, sentAt: a.now, shared: b.shared}
 	sub.attempts++
 	sub.calls = append(sub.calls, c)
 	b.calls = append(b.calls, c)
 	return c
 }
 
-// canShareCall tells whether another subquery may share the call that goes to b in this step.
+// canShareCall reports whether another subquery may share the call that is sent to b in this step.
 func (a *Aggregator) canShareCall(b *backend) bool {
-	return b.shared != nil && b.shared.step == a.step && b.shared.subqueries < a.settings.Layout.CallSubqueries
+	return b.shared != nil && b.shared.step == a.step && b.shared.subqueries < a.settings.Layout.SubqueriesPerCall
 }
 
-// removeCall removes a call that has ended from the records; nil if it is not among them.
+// removeCall removes a call that has ended from the records and returns it. It returns nil for an unknown call.
 func (a *Aggregator) removeCall(id SubqueryID, no CallNo) *call {
 	sub := a.subqueries[id]
 	if sub == nil {
@@ -51,14 +51,14 @@
 	return c
 }
 
-// leaveSharedCall ends one subquery's share of a call; with the last one the call is no longer in flight.
-func (a *Aggregator) leaveSharedCall(b *backend, t *sharedCall) {
-	if t.live--; t.live == 0 {
+// leaveSharedCall records the end of one subquery of a shared call. With the last one, the call is no longer in flight.
+func (a *Aggregator) leaveSharedCall(b *backend, shared *sharedCall) {
+	if shared.unfinished--; shared.unfinished == 0 {
 		b.callsInFlight--
 	}
 }
 
-// cancel emits the cancellation of a call once, where the deployment permits cancellations.
+// cancel emits the cancellation of a call, at most once and only if the deployment permits cancellations.
 func (a *Aggregator) cancel(c *call) {
 	if a.settings.Limits.Cancel && !c.canceled {
 		c.canceled = true
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -62,7 +62,7 @@
 			}
 			return []Action{a}
 		},
-		"duplicate": twice(OnceOnly),
+		"duplicate": twice(AtMostOnce),
 		"budget":    twice(Idempotent),
 		"drain": turn(func(e *emulation, h *host) bool {
 			return h.knownAt > 0 && e.now > h.knownAt+e.set.Rules.DrainGrace
@@ -147,7 +147,7 @@
 		for i, n := range at {
 			for range n {
 				p := m.addSubquery(l, &Event{Subquery: SubqueryID(100*int(no) + len(l.subqueries)), Shard: ShardID(i)})
-				m.assign(p, m.fleet[i])
+				m.assign(p, m.orderedBackends[i])
 			}
 		}
 		return l
@@ -211,8 +211,8 @@
 		s.step(0.01, named(Ready, i+2))
 		s.step(0.01, named(Removed, i+1))
 	}
-	if m := s.m; len(m.fleet) != 3 || len(m.backends) != 3 || len(m.holdersByCell[0]) != 3 {
-		t.Fatalf("%d searchers are kept, not the one with a call out, the one named and the last one gone", len(m.fleet))
+	if m := s.m; len(m.orderedBackends) != 3 || len(m.backends) != 3 || len(m.replicasByCell[0]) != 3 {
+		t.Fatalf("%d searchers are kept, not the one with a call out, the one named and the last one gone", len(m.orderedBackends))
 	}
 	if got := s.end(0.01, subqueries[0], 1, Answered, 0.1); len(only(Answer, got)) != 1 {
 		t.Fatalf("got %+v", got)
@@ -220,8 +220,8 @@
 	whole := named(Ready, 102)
 	whole.List = ListComplete
 	s.step(0.01, whole)
-	if s.step(0.01, whole); len(s.m.fleet) != 1 {
-		t.Fatalf("%d searchers are kept", len(s.m.fleet))
+	if s.step(0.01, whole); len(s.m.orderedBackends) != 1 {
+		t.Fatalf("%d searchers are kept", len(s.m.orderedBackends))
 	}
 }
 
@@ -238,7 +238,7 @@
 
 func TestBrokenCallIsNoRestart(t *testing.T) {
 	s := newScene(t, func(set *Settings) {
-		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, CrashMultiple: 2, CrashWindowS: 1}
+		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, OverloadMultiple: 2, OverloadWindowS: 1}
 	})
 	p, done := s.take(6, 1)
 	at := only(Send, done)[0].Backend
@@ -325,7 +325,7 @@
 		_, done := s.take(6, 1)
 		s.serve(done, 0.9, 1.9)
 	}
-	if w := s.m.backends[1].window; w >= windowStart {
+	if w := s.m.backends[1].window; w >= initialWindow {
 		t.Errorf("window %.1f after answers near the soft deadline", w)
 	}
 }
@@ -386,7 +386,7 @@
 	for i := range aggregators {
 		s := newScene(t, func(set *Settings) {
 			set.Seed, set.Aggregators = uint64(i), aggregators
-			set.Rules = Rules{SlowStartShare: 0.16, SlowStartS: 18, CrashMultiple: 2, CrashWindowS: 1.5}
+			set.Rules = Rules{SlowStartShare: 0.16, SlowStartS: 18, OverloadMultiple: 2, OverloadWindowS: 1.5}
 		}, Entry{Backend: 1, StartedAt: 0.01})
 		_, done := s.take(6, 0.2)
 		sent += len(only(Send, done))
@@ -400,7 +400,7 @@
 func singleBackend(t *testing.T) *scene {
 	s := newScene(t, func(set *Settings) {
 		set.Limits.Probe = true
-		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, CrashMultiple: 2, CrashWindowS: 1}
+		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, OverloadMultiple: 2, OverloadWindowS: 1}
 	}, Entry{Backend: 1})
 	warmUp(s)
 	return s
@@ -511,7 +511,7 @@
 	s := newScene(t, func(set *Settings) { set.Prices.CrossLocation = 0.05 }, Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
 	warmUp(s)
 	home, away := s.m.backends[1], s.m.backends[2]
-	home.latency, away.latency, home.latencyAt, away.latencyAt = s.m.usualLatency/4, s.m.usualLatency, s.now, s.now
+	home.latency, away.latency, home.latencyUpdatedAt, away.latencyUpdatedAt = s.m.medianLatency/4, s.m.medianLatency, s.now, s.now
 	subqueries, _ := s.take(6, 1)
 	p := s.m.subqueries[subqueries[0]]
 	if s.m.cost(p, home) > s.m.cost(p, away) {
@@ -530,7 +530,7 @@
 	warmUp(s)
 	s.now += 3
 	for range 30 {
-		s.m.unhealthyShare.add(1, s.now, unhealthyMemory*s.m.longestSoft)
+		s.m.unhealthyShare.add(1, s.now, unhealthyDecay*s.m.longestSoftDeadline)
 	}
 	p, done := s.take(6, 1)
 	if len(only(Send, done)) != 0 || len(only(Probe, done)) != 2 {
@@ -567,7 +567,7 @@
 		if lk == nil {
 			t.Fatalf("try %d was nacked on arrival", i)
 		}
-		if got := s.now + 2 - lk.soft; math.Abs(got-c.spent) > 1e-9 {
+		if got := s.now + 2 - lk.softDeadline; math.Abs(got-c.spent) > 1e-9 {
 			t.Fatalf("try %d, which gives %g s: %g s are taken for spent, expected %g", i, c.left, got, c.spent)
 		}
 	}
--- a/policy/emulation_test.go
+++ b/policy/emulation_test.go
@@ -72,12 +72,12 @@
 
 // randomSettings draws a deployment: every kind of index, with and without the optional rules.
 func randomSettings(rng *rand.Rand) Settings {
-	set := Settings{Seed: rng.Uint64(), Aggregators: 1 + rng.IntN(4), Step: 0.005, ListOnRequest: rng.IntN(2) == 0,
-		OverShare: 0.1, Layout: Layout{Cells: 4, Width: 1 + rng.IntN(3), CallSubqueries: 1 + 7*rng.IntN(2)},
+	set := Settings{Seed: rng.Uint64(), Aggregators: 1 + rng.IntN(4), StepInterval: 0.005, ListOnRequest: rng.IntN(2) == 0,
+		OverQuotaValue: 0.1, Layout: Layout{Cells: 4, Width: 1 + rng.IntN(3), SubqueriesPerCall: 1 + 7*rng.IntN(2)},
 		Limits: Limits{Cancel: rng.IntN(4) > 0, Probe: rng.IntN(2) == 0, Hedge: rng.IntN(2) == 0,
 			RetryAfter: rng.IntN(2) == 0, MaxAttempts: 1 + rng.IntN(4), MaxPending: 300, MaxRetryAfter: 1},
 		Rules: Rules{AnswerSlack: 0.02, ListPollEvery: 10, SlowStartShare: 0.2, SlowStartS: 8, DrainGrace: 0.25,
-			CrashMultiple: 2, CrashWindowS: 1.5, RetryBudget: rng.IntN(2) == 0, RetryBudgetFree: 3, RetryBudgetPer: 0.1, RetryBudgetS: 2},
+			OverloadMultiple: 2, OverloadWindowS: 1.5, RetryBudget: rng.IntN(2) == 0, RetryBudgetMin: 3, RetryBudgetRatio: 0.1, RetryBudgetS: 2},
 		Prices: Prices{CrossLocation: 0.04}}
 	set.Customers = []CustomerSettings{{0.7, 9}, {0.3, 4}}[:2*rng.IntN(2)]
 	for i := range 3 {
@@ -108,7 +108,7 @@
 func (e *emulation) run(seconds float64) *emulation {
 	e.step([]Event{e.list(ListStale)})
 	for end := e.now + seconds; e.now < end && e.err == nil; {
-		e.now += e.set.Step
+		e.now += e.set.StepInterval
 		var events []Event
 		if e.extra != nil {
 			events = e.extra(e)
@@ -239,7 +239,7 @@
 func (e *emulation) act(a Action) {
 	switch a.Kind {
 	case SetTimer:
-		e.due = append(e.due, dueEvent{e.now + max(a.Wait, e.set.Step/2), Event{Kind: TimerDue, Timer: a.Timer}})
+		e.due = append(e.due, dueEvent{e.now + max(a.Wait, e.set.StepInterval/2), Event{Kind: TimerDue, Timer: a.Timer}})
 	case Subscribe, RequestFullList:
 		e.due = append(e.due, dueEvent{e.now + 0.1, e.list(ListComplete)})
 	case Probe:
@@ -292,10 +292,10 @@
 		{p.query.ended || p.closed, "lost: sent after its lookup's end"},
 		{p.answered, "sent after its answer"},
 		{away >= e.set.Layout.Width || !h.named, "sent to a searcher that does not hold it"},
-		{open > 0 && (!e.set.Limits.Hedge || x.Effect == OnceOnly), "duplicate: two calls out at once"},
-		{x.Effect == OnceOnly && ran, "duplicate: once-only, sent again"},
-		{x.Effect == Fingerprinted && ran && e.now > p.first+x.DedupS, "duplicate: sent again too late"},
-		{x.Effect == Fingerprinted && ran && !(a.BeginBy > 0 && a.BeginBy <= p.first+x.DedupS+1e-9), "duplicate: may begin too late"},
+		{open > 0 && (!e.set.Limits.Hedge || x.Effect == AtMostOnce), "duplicate: two calls out at once"},
+		{x.Effect == AtMostOnce && ran, "duplicate: once-only, sent again"},
+		{x.Effect == Deduplicated && ran && e.now > p.first+x.DedupS, "duplicate: sent again too late"},
+		{x.Effect == Deduplicated && ran && !(a.StartBy > 0 && a.StartBy <= p.first+x.DedupS+1e-9), "duplicate: may begin too late"},
 		{h.knownAt > 0 && e.now > h.knownAt+r.DrainGrace, "drain: sent after the grace"},
 		{e.set.Limits.MaxAttempts > 0 && len(p.calls) >= e.set.Limits.MaxAttempts, "too many calls"},
 	} {
@@ -306,7 +306,7 @@
 	if len(p.calls) > 0 {
 		e.further = append(e.further, e.now)
 		from := e.now - r.RetryBudgetS
-		if r.RetryBudget && float64(after(e.further, from)) > r.RetryBudgetFree+r.RetryBudgetPer*float64(after(e.taken, from)) {
+		if r.RetryBudget && float64(after(e.further, from)) > r.RetryBudgetMin+r.RetryBudgetRatio*float64(after(e.taken, from)) {
 			e.fail("budget: %d further calls", after(e.further, from))
 		}
 	}
@@ -361,7 +361,7 @@
 		e.fail("honest: lookup %d answered from %.2f", a.Query, weight)
 	case a.Kind == Answer && a.Complete && (weight < need-1e-4 || k.short):
 		e.fail("honest: lookup %d called whole at %.2f", a.Query, weight)
-	case a.Kind == Nack && x.Effect == OnceOnly && ran:
+	case a.Kind == Nack && x.Effect == AtMostOnce && ran:
 		e.fail("duplicate: lookup %d nacked though a part may have run", a.Query)
 	}
 	if a.Kind == Answer {
@@ -370,7 +370,7 @@
 	if a.Kind == Answer && x.SecondStep > 0 && !k.stepped {
 		k.stepped, k.short = true, !a.Complete
 		for _, ev := range e.newSubqueries(k, min(n, x.SecondStep)) {
-			e.due = append(e.due, dueEvent{e.now + e.set.Step/2, ev})
+			e.due = append(e.due, dueEvent{e.now + e.set.StepInterval/2, ev})
 		}
 		return
 	}
@@ -385,12 +385,12 @@
 	}
 	sum := 0.0
 	for _, w := range h.sentWork {
-		if w.at > e.now-r.CrashWindowS && w.at >= h.knownStartAt {
+		if w.at > e.now-r.OverloadWindowS && w.at >= h.knownStartAt {
 			sum += w.work
 		}
 	}
 	warmth := r.SlowStartShare + (1-r.SlowStartShare)*(e.now-h.knownStart)/r.SlowStartS
-	most := r.CrashMultiple * warmth * capacity / float64(e.set.Aggregators) * r.CrashWindowS
+	most := r.OverloadMultiple * warmth * capacity / float64(e.set.Aggregators) * r.OverloadWindowS
 	if sum > math.Max(most, workOfSubquery+1e-9) {
 		e.fail("cold: %.2f of work sent to %d, at most %.2f", sum, h.entry.Backend, most)
 	}
@@ -406,7 +406,7 @@
 }
 
 func newScene(t *testing.T, change func(*Settings), entries ...Entry) *scene {
-	set := Settings{Seed: 1, Aggregators: 1, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
+	set := Settings{Seed: 1, Aggregators: 1, StepInterval: 0.005, Layout: Layout{Cells: 1, Width: 1},
 		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Value: 1, LateValue: 0.1, Required: 1, Minimum: 1}},
 		Limits:  Limits{Cancel: true, MaxAttempts: 3}}
 	if change != nil {
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,38 +1,38 @@
 package policy
 
-// EventKind names what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds of events, each with the fields that count for it.
+// The kinds of events. Each comment lists the fields of Event that are set.
 const (
-	ListChanged        EventKind = iota // List, Backends
+	ListChanged        EventKind = iota // List, Entries
 	QueryReceived                       // Query, No, Index, Customer, Remaining, Hint, Subqueries, Resent
 	SubqueryReceived                    // Subquery, No, Index, Remaining, Hint, Shard, Weight
-	CallBegan                           // Subquery, Call, Backend: a streamed answer has begun
+	ResponseStarted                     // Subquery, Call, Backend: the first part of a streamed answer was received
 	CallEnded                           // Subquery, Call, Backend, Outcome, Elapsed, Load
 	ClientDisconnected                  // Query
 	TimerDue                            // Timer
 	ProbeEnded                          // Backend, Outcome, Elapsed, Load
-	MessageArrived                      // Peer, Message
+	MessageReceived                     // Peer, Message
 	OverridesChanged                    // Override
 )
 
-// Outcome is how a call or a probe ended.
+// Outcome is the outcome of a call or a probe.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Answered     Outcome = iota
 	Errored              // the backend answered with an error
-	Rejected             // the backend rejected it without executing it
-	TimedOut             // no answer until its StopAt
-	NotConnected         // no connection could be made
+	Rejected             // the backend rejected the call without executing it
+	TimedOut             // there was no answer until StopAt
+	NotConnected         // no connection could be established
 	Broken               // the connection broke
-	Canceled             // by a Cancel action
-	NotSent              // given up before it was sent
+	Canceled             // a Cancel action ended the call
+	NotSent              // the call was dropped before it was sent
 )
 
-// ListKind tells what a list event holds.
+// ListKind states which entries a list event contains.
 type ListKind uint8
 
 // The kinds of list events.
@@ -40,7 +40,7 @@
 	ListPatch    ListKind = iota // the entries that changed
 	ListComplete                 // all entries
 	ListStale                    // all entries, from a copy that may be out of date
-	ListFailed                   // none: the list could not be read
+	ListFailed                   // no entries: reading the list failed
 )
 
 // Phase is a backend's phase in the list.
@@ -61,19 +61,19 @@
 	Cell      CellID
 	Phase     Phase
 	Share     float64
-	StartedAt float64 // 0: long past
+	StartedAt float64 // 0 if the start is long past
 }
 
-// Load is a backend's own load report; Has tells which fields are stated.
+// Load is a backend's own load report. Has states which fields are set.
 type Load struct {
 	Has                                                LoadField
 	InFlight, Queued, Util, ServiceS, ServedPS, FailPS float64
 }
 
-// LoadField is a bit for each field of a Load.
+// LoadField is a bit set of fields of Load.
 type LoadField uint8
 
-// The fields that a Load may state.
+// The fields that a load report may contain.
 const (
 	HasInFlight LoadField = 1 << iota
 	HasQueued
@@ -83,7 +83,7 @@
 	HasFail
 )
 
-// Event is one thing that happened; its kind says which fields count.
+// Event is an input of Step. Its kind determines which fields are set.
 type Event struct {
 	Kind       EventKind
 	List       ListKind
@@ -98,8 +98,8 @@
 	Shard      ShardID
 	Subqueries int
 	Key        uint64
-	Remaining  float64
-	Hint       float64 // expected work, 0 if not stated
+	Remaining  float64 // time until the client's deadline
+	Hint       float64 // expected work; 0 if not stated
 	Weight     float64
 	Call       CallNo
 	Backend    BackendID
@@ -107,7 +107,7 @@
 	Load       Load
 	Entries    []Entry
 	Override   *Overrides
-	Zones      *Zones // of a query: locations that may serve it, nil for all
+	Zones      *Zones // locations that may serve the query; nil for all
 	Timer      TimerID
 	Peer       AggregatorNo
 	Message    []byte
--- a/policy/exceptions_test.go
+++ b/policy/exceptions_test.go
@@ -80,7 +80,7 @@
 func TestNothingIsDroppedAsLateBeforeAnyAnswer(t *testing.T) {
 	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
 	for range 10 {
-		s.m.crashShare.add(1, s.now, faultMemory*s.m.longestSoft)
+		s.m.crashShare.add(1, s.now, faultDecay*s.m.longestSoftDeadline)
 	}
 	_, done := s.take(6, 1, 1)
 	if done = append(done, s.tick(0.3)...); len(only(Nack, done)) != 0 || len(only(Send, done)) != 1 {
@@ -97,7 +97,7 @@
 			s.end(0.01, a.Subquery, a.Backend, Answered, 0.1)
 		}
 		var short []Action
-		for s.now < s.m.openQueries[0].soft-1.2*s.m.averageLatency && len(short) == 0 {
+		for s.now < s.m.openQueries[0].softDeadline-1.2*s.m.averageLatency && len(short) == 0 {
 			short = only(Answer, s.tick(0.02))
 		}
 		if (len(short) > 0) != answered {
@@ -110,8 +110,8 @@
 func TestRejectedByTheSlowestRequiredSubquery(t *testing.T) {
 	for floor, refused := range map[float64]bool{0.5: false, 1: true} {
 		s := newWideScene(t, floor, 0)
-		for _, x := range s.m.holdersByCell[0] {
-			x.latency, x.latencyAt, x.window = 5, s.now, 0.5
+		for _, x := range s.m.replicasByCell[0] {
+			x.latency, x.latencyUpdatedAt, x.window = 5, s.now, 0.5
 		}
 		_, done := s.take(6, eight...)
 		if (len(only(Nack, done)) > 0) != refused {
@@ -124,7 +124,7 @@
 func TestOverloadShedsSubqueriesOfLeastWeight(t *testing.T) {
 	s := newWideScene(t, 0.5, 0)
 	for range 300 {
-		s.m.recentLatencies.add(2*s.m.usualLatency, s.now, s.m.shortestSoft)
+		s.m.recentLatencies.add(2*s.m.medianLatency, s.now, s.m.shortestSoftDeadline)
 	}
 	subqueries, done := s.take(6, 2, 2, 1, 1, 1, 1, 1, 1)
 	sends := only(Send, done)
@@ -138,7 +138,7 @@
 	}
 	whole := newWideScene(t, 1, 0)
 	for range 300 {
-		whole.m.recentLatencies.add(2*whole.m.usualLatency, whole.now, whole.m.shortestSoft)
+		whole.m.recentLatencies.add(2*whole.m.medianLatency, whole.now, whole.m.shortestSoftDeadline)
 	}
 	if _, done := whole.take(6, eight...); len(only(Send, done)) != 8 {
 		t.Errorf("an index that needs all went without some: %v", done)
@@ -170,10 +170,10 @@
 			s.end(0.001, p.id, p.calls[0].backend.id, Rejected, 0.001)
 		}
 		s.m.unassign(p)
-		for _, x := range s.m.fleet {
-			x.latency, x.latencyAt = s.m.usualLatency, s.now
+		for _, x := range s.m.orderedBackends {
+			x.latency, x.latencyUpdatedAt = s.m.medianLatency, s.now
 		}
-		return (s.m.cost(p, s.m.backends[2]) - s.m.cost(p, s.m.backends[1])) / s.m.usualLatency
+		return (s.m.cost(p, s.m.backends[2]) - s.m.cost(p, s.m.backends[1])) / s.m.medianLatency
 	}
 	if few, many := dear(3), dear(80); few < 1 || many > 0.8 {
 		t.Errorf("crossing adds %.2f usual latencies among 3 mixers and %.2f among 80", few, many)
@@ -185,7 +185,7 @@
 func TestBackendThatRejectsIsNotCalledAgainAtOnce(t *testing.T) {
 	s := newScene(t, nil)
 	warmUp(s)
-	s.m.backends[2].latency, s.m.backends[2].latencyAt = 5*s.m.usualLatency, s.now
+	s.m.backends[2].latency, s.m.backends[2].latencyUpdatedAt = 5*s.m.medianLatency, s.now
 	subqueries, done := s.take(6, 1)
 	if at := only(Send, done)[0].Backend; at != 1 {
 		t.Fatalf("bound to %d, expected the quick one", at)
@@ -215,9 +215,9 @@
 		at := only(Send, done)[0].Backend
 		s.step(0.3, Event{Kind: ProbeEnded, Backend: at, Outcome: Answered, Elapsed: 0.001})
 		s.end(0.7, subqueries[0], at, outcome, 1)
-		if l := s.m.backends[at].latency; l < 1.5*s.m.usualLatency || s.m.backends[at].faults[0].sum == 0 {
+		if l := s.m.backends[at].latency; l < 1.5*s.m.medianLatency || s.m.backends[at].faults[0].sum == 0 {
 			t.Errorf("outcome %d: latency %.2f and fault %.2f after a call of 1 s, %.2f is usual", outcome, l,
-				s.m.backends[at].faults[0].sum, s.m.usualLatency)
+				s.m.backends[at].faults[0].sum, s.m.medianLatency)
 		}
 	}
 }
@@ -263,9 +263,9 @@
 	}
 	s.step(1.2, events...)
 	s.end(0.005, sends[0].Subquery, sends[0].Backend, Answered, 0.1)
-	for _, x := range s.m.fleet {
-		if x.faults[0].sum > 0 || x.unreachableBackoff > 0 || x.window < 1 || x.latency > 1.1*s.m.usualLatency {
-			t.Errorf("searcher %d: fault %.2f, down %.2f, window %.2f, latency %.2f of %.2f", x.id, x.faults[0].sum, x.unreachableBackoff, x.window, x.latency, s.m.usualLatency)
+	for _, x := range s.m.orderedBackends {
+		if x.faults[0].sum > 0 || x.unreachableBackoff > 0 || x.window < 1 || x.latency > 1.1*s.m.medianLatency {
+			t.Errorf("searcher %d: fault %.2f, down %.2f, window %.2f, latency %.2f of %.2f", x.id, x.faults[0].sum, x.unreachableBackoff, x.window, x.latency, s.m.medianLatency)
 		}
 	}
 	if len(s.m.queries) != 0 {
--- a/policy/ids.go
+++ b/policy/ids.go
@@ -1,29 +1,29 @@
 package policy
 
-// Each kind of id is a type of its own. Ids carry no meaning beyond identity.
+// Each kind of identifier has its own type. An identifier carries no information beyond identity.
 type (
-	// QueryID names a query.
+	// QueryID identifies a query.
 	QueryID uint64
-	// QueryNo numbers the queries of a client.
+	// QueryNo is the sequence number of a client's query.
 	QueryNo int64
-	// SubqueryID names a subquery of a query.
+	// SubqueryID identifies a subquery.
 	SubqueryID uint64
-	// BackendID names a backend.
+	// BackendID identifies a backend.
 	BackendID uint32
-	// IndexID names an index.
+	// IndexID identifies an index.
 	IndexID int
-	// CustomerID names a customer.
+	// CustomerID identifies a customer.
 	CustomerID int
-	// LocationID names a location.
+	// LocationID identifies a location.
 	LocationID int
-	// ShardID names a shard.
+	// ShardID identifies a shard.
 	ShardID int
-	// CellID names a cell of the layout of shards on backends.
+	// CellID identifies a cell in the placement of shards on backends.
 	CellID int
-	// CallNo numbers the calls of a subquery.
+	// CallNo is the sequence number of a subquery's call.
 	CallNo int
-	// AggregatorNo numbers the aggregators.
+	// AggregatorNo is the sequence number of an aggregator.
 	AggregatorNo int
-	// TimerID names a timer.
+	// TimerID identifies a timer.
 	TimerID int
 )
--- a/policy/override_test.go
+++ b/policy/override_test.go
@@ -261,7 +261,7 @@
 		"is cold and strict": {started: 0.01, strict: true, waits: true},
 	} {
 		s := newScene(t, func(set *Settings) {
-			set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 100, CrashMultiple: 2, CrashWindowS: 1}
+			set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 100, OverloadMultiple: 2, OverloadWindowS: 1}
 		})
 		patch := &Overrides{Pins: []PinOverride{{Shard: 0, Backend: 1, Strict: c.strict, Share: 1}}}
 		if c.out {
@@ -352,7 +352,7 @@
 
 func newBusy(overrides int) *busy {
 	const backends = 1000
-	set := Settings{Seed: 1, Aggregators: 1, Step: 0.005, Layout: Layout{Cells: backends / 2, Width: 1},
+	set := Settings{Seed: 1, Aggregators: 1, StepInterval: 0.005, Layout: Layout{Cells: backends / 2, Width: 1},
 		Indexes: []IndexSettings{{Soft: 2, Hard: 6, Value: 1, Required: 1, Minimum: 1}, {Soft: 2, Hard: 6, Value: 1, Required: 1, Minimum: 1}},
 		Limits:  Limits{Cancel: true, MaxAttempts: 3}}
 	b := &busy{m: New(set, 0), rng: rand.New(rand.NewPCG(1, 1))}
--- a/policy/overrides.go
+++ b/policy/overrides.go
@@ -1,10 +1,10 @@
 package policy
 
-// Overrides is a change of operators' overrides; what it does not name stays. Drains, removals and the six rules take
-// precedence over overrides.
+// Overrides is a change of the operators' overrides. Overrides that it does not mention stay in effect. Drains, removals
+// and the six rules take precedence over overrides.
 //
-// What aggregators agree on comes the same way: zones take precedence over all overrides, and everything that an
-// aggregator observes itself over its peers' observations.
+// Decisions shared by all aggregators use the same type. Zones take precedence over all overrides. An aggregator's own
+// observations take precedence over those of its peers.
 type Overrides struct {
 	Backends         []BackendOverride
 	Pins             []PinOverride
@@ -12,35 +12,35 @@
 	PeerObservations []PeerObservation
 }
 
-// BackendOverride is the complete override of one backend and index from now on. It ends when the backend is removed: if
-// the list names it anew, the override has to be given anew.
+// BackendOverride replaces the override of one backend and index. It ends when the backend is removed. A backend that the
+// list contains again needs a new override.
 type BackendOverride struct {
 	Backend  BackendID
 	Index    IndexID
-	Excluded bool    // it gets no new calls; calls in flight go on
-	Weight   float64 // share of its usual calls, over 0 and up to 1
+	Excluded bool    // the backend gets no new calls; calls in flight continue
+	Weight   float64 // share of the backend's usual calls, above 0 and at most 1
 }
 
-// PinOverride is the complete pin of one shard of one index from now on.
+// PinOverride replaces the pin of one shard of one index.
 type PinOverride struct {
 	Shard   ShardID
 	Index   IndexID
 	Backend BackendID // 0 to remove the pin
-	Strict  bool      // while the backend is unreachable, subqueries are refused; else its siblings serve them
-	Share   float64   // of the subqueries that it applies to; below 1 while a pin is phased out
+	Strict  bool      // subqueries are rejected while the backend is unreachable; without it, siblings serve them
+	Share   float64   // share of the subqueries that the pin applies to; below 1 while a pin is phased out
 }
 
-// Zones is the set of locations that may serve a query. It must not be changed once it is in use.
-type Zones struct{ in map[LocationID]bool }
+// Zones is the set of locations that may serve a query. It must not be modified once it is in use.
+type Zones struct{ allowed map[LocationID]bool }
 
-// NewZones makes an empty set.
+// NewZones returns an empty set.
 func NewZones() *Zones { return &Zones{map[LocationID]bool{}} }
 
-// Allow adds a location.
-func (z *Zones) Allow(at LocationID) { z.in[at] = true }
+// Allow adds a location to the set.
+func (z *Zones) Allow(at LocationID) { z.allowed[at] = true }
 
-// Allows tells whether a location is in the set; a nil set has all.
-func (z *Zones) Allows(at LocationID) bool { return z == nil || z.in[at] }
+// Allows reports whether the set contains a location. A nil set contains all locations.
+func (z *Zones) Allows(at LocationID) bool { return z == nil || z.allowed[at] }
 
 // ZonesOverride changes the zones of a query that was received before.
 type ZonesOverride struct {
@@ -48,10 +48,10 @@
 	Zones *Zones
 }
 
-// PeerObservation is what other aggregators observed of a backend. Until its time it stands in for the average latency,
-// which counts while an aggregator has few observations of its own.
+// PeerObservation is what other aggregators observed of a backend. Until it expires, it raises the average latency assumed
+// for the backend. That average counts while an aggregator has few observations of its own.
 type PeerObservation struct {
 	Backend         BackendID
-	LatencyMultiple float64 // of the usual latency; 0 withdraws the observation
-	Until           float64 // clock time
+	LatencyMultiple float64 // multiple of the average latency; 0 withdraws the observation
+	Until           float64 // clock time at which the observation expires
 }
--- a/policy/queryrecords.go
+++ b/policy/queryrecords.go
@@ -4,18 +4,18 @@
 	"slices"
 )
 
-// Records of queries and of their subqueries.
+// Records of queries and their subqueries.
 
-// addQuery records a query that was received.
+// addQuery records a received query.
 func (a *Aggregator) addQuery(e *Event) *query {
-	row := &a.indexes[e.Index]
+	index := &a.indexes[e.Index]
 	a.recordTime(&a.receivedTimes)
-	q := &query{id: e.Query, no: e.No, index: e.Index, expected: e.Subqueries, deadline: a.now + e.Remaining,
-		soft: a.now + row.soft, required: row.required, state: stateLastStep, zones: e.Zones}
-	if row.secondStep > 0 {
+	q := &query{id: e.Query, no: e.No, index: e.Index, expectedSubqueries: e.Subqueries, deadline: a.now + e.Remaining,
+		softDeadline: a.now + index.softDeadline, requiredWeight: index.requiredWeight, state: stateLastStep, zones: e.Zones}
+	if index.secondStep > 0 {
 		q.state = stateFirstStep
 	}
-	a.queries[e.No], a.numbers[e.Query] = q, e.No
+	a.queries[e.No], a.queryNumbers[e.Query] = q, e.No
 	a.openQueries = append(a.openQueries, q)
 	return q
 }
@@ -23,14 +23,14 @@
 // addSubquery records a subquery of a query.
 func (a *Aggregator) addSubquery(q *query, e *Event) *subquery {
 	a.recordTime(&a.receivedTimes)
-	sub := &subquery{id: e.Subquery, query: q, shard: e.Shard, weight: e.Weight, size: 1, draw: a.random.unit(), state: statePending}
+	sub := &subquery{id: e.Subquery, query: q, shard: e.Shard, weight: e.Weight, size: 1, draw: a.random.uniform(), state: statePending}
 	q.subqueries = append(q.subqueries, sub)
-	q.unfinished++
+	q.openSubqueries++
 	a.subqueries[sub.id] = sub
 	return sub
 }
 
-// pendingSubqueries lists the pending subqueries of all queries, in order of arrival.
+// pendingSubqueries returns the pending subqueries of all queries, in order of arrival.
 func (a *Aggregator) pendingSubqueries() (list []*subquery) {
 	for _, q := range a.openQueries {
 		for _, sub := range q.subqueries {
@@ -42,34 +42,34 @@
 	return list
 }
 
-// sumWeights sums the weights of q's subqueries that count.
-func (q *query) sumWeights(counts func(*subquery) bool) (weight float64) {
+// sumWeights returns the total weight of the included subqueries of q.
+func (q *query) sumWeights(include func(*subquery) bool) (weight float64) {
 	for _, sub := range q.subqueries {
-		if counts(sub) {
+		if include(sub) {
 			weight += sub.weight
 		}
 	}
 	return weight
 }
 
-// openQueriesBySize lists the open queries in order of arrival, and sets their sizes: the calls that are pending for them.
-func (a *Aggregator) openQueriesBySize() []*query {
+// openQueriesWithPendingCalls returns the open queries in order of arrival and updates their numbers of pending calls.
+func (a *Aggregator) openQueriesWithPendingCalls() []*query {
 	for _, q := range a.openQueries {
-		q.size = 0
+		q.pendingCalls = 0
 		for _, assigned := range q.assignments {
-			q.size += float64(a.callsFor(q, assigned.backend))
+			q.pendingCalls += float64(a.pendingCallsFor(q, assigned.backend))
 		}
 	}
 	return slices.Clone(a.openQueries)
 }
 
-// hasCallsInFlight tells whether a call of some subquery is in flight.
+// hasCallsInFlight reports whether a call of any subquery is in flight.
 func (q *query) hasCallsInFlight() bool {
 	return slices.ContainsFunc(q.subqueries, func(sub *subquery) bool { return len(sub.calls) > 0 })
 }
 
-// assignedTo counts q's subqueries that are pending for b.
-func (q *query) assignedTo(b *backend) int {
+// pendingFor returns the number of q's subqueries that are pending for b.
+func (q *query) pendingFor(b *backend) int {
 	for _, assigned := range q.assignments {
 		if assigned.backend == b {
 			return assigned.subqueries
@@ -78,48 +78,48 @@
 	return 0
 }
 
-// callsFor counts the calls that q's subqueries pending for b will share.
-func (a *Aggregator) callsFor(q *query, b *backend) int {
-	per := a.settings.Layout.CallSubqueries
-	return (q.assignedTo(b) + per - 1) / per
+// pendingCallsFor returns the number of calls that q's subqueries pending for b will share.
+func (a *Aggregator) pendingCallsFor(q *query, b *backend) int {
+	perCall := a.settings.Layout.SubqueriesPerCall
+	return (q.pendingFor(b) + perCall - 1) / perCall
 }
 
-// addAssigned adds n to the subqueries of q that are pending for b.
-func (a *Aggregator) addAssigned(q *query, b *backend, n int) {
-	b.callsPending -= a.callsFor(q, b)
+// addPending adds n to the number of q's subqueries that are pending for b.
+func (a *Aggregator) addPending(q *query, b *backend, n int) {
+	b.callsPending -= a.pendingCallsFor(q, b)
 	i := slices.IndexFunc(q.assignments, func(t assignment) bool { return t.backend == b })
 	if i < 0 {
 		i = len(q.assignments)
 		q.assignments = append(q.assignments, assignment{backend: b})
 	}
 	q.assignments[i].subqueries += n
-	b.callsPending += a.callsFor(q, b)
+	b.callsPending += a.pendingCallsFor(q, b)
 }
 
-// assign makes a subquery pending for b, or for no backend where b is nil.
+// assign makes a subquery pending for b, or for no backend if b is nil.
 func (a *Aggregator) assign(sub *subquery, b *backend) {
 	a.unassign(sub)
-	if sub.assigned = b; b != nil {
-		a.addAssigned(sub.query, b, 1)
+	if sub.backend = b; b != nil {
+		a.addPending(sub.query, b, 1)
 	}
 }
 
-// unassign takes a subquery from the backend that it is pending for.
+// unassign makes a subquery pending for no backend.
 func (a *Aggregator) unassign(sub *subquery) {
-	if sub.assigned != nil {
-		a.addAssigned(sub.query, sub.assigned, -1)
+	if sub.backend != nil {
+		a.addPending(sub.query, sub.backend, -1)
 	}
-	sub.assigned = nil
+	sub.backend = nil
 }
 
-// removeIfClosed removes a closed subquery once no call of it is in flight.
+// removeIfClosed deletes a closed subquery that has no call in flight.
 func (a *Aggregator) removeIfClosed(sub *subquery) {
 	if sub.state == stateClosed && len(sub.calls) == 0 {
 		delete(a.subqueries, sub.id)
 	}
 }
 
-// closeSubqueries closes all subqueries of a query's step.
+// closeSubqueries closes all subqueries of a query's current step.
 func (a *Aggregator) closeSubqueries(q *query) {
 	for _, sub := range q.subqueries {
 		a.applyToSubquery(sub, onClose)
@@ -127,33 +127,34 @@
 		sub.state = stateClosed
 		a.removeIfClosed(sub)
 	}
-	q.subqueries, q.assignments, a.orderStale = nil, nil, true
+	q.subqueries, q.assignments, a.sendOrderStale = nil, nil, true
 }
 
-// nextStep begins the second step of a query, which needs all of its subqueries; those of the first step were executed.
+// nextStep begins the second step of a query. The second step needs all of its subqueries. There are as many as the first
+// step has answered subqueries, but at most limit.
 func (a *Aggregator) nextStep(q *query, limit int) {
-	n := 0
+	answered := 0
 	for _, sub := range q.subqueries {
 		if sub.state == stateAnswered {
-			n++
+			answered++
 		}
 	}
 	a.closeSubqueries(q)
 	q.firstStepDone = true
-	q.required, q.expected, q.answeredWeight, q.abandonedWeight, q.unfinished = 1, min(n, limit), 0, 0, 0
+	q.requiredWeight, q.expectedSubqueries, q.answeredWeight, q.abandonedWeight, q.openSubqueries = 1, min(answered, limit), 0, 0, 0
 }
 
-// removeQuery removes a query that has ended.
+// removeQuery deletes a query that has ended.
 func (a *Aggregator) removeQuery(q *query) {
 	a.closeSubqueries(q)
 	delete(a.queries, q.no)
-	delete(a.numbers, q.id)
+	delete(a.queryNumbers, q.id)
 	a.openQueries = slices.DeleteFunc(a.openQueries, func(o *query) bool { return o == q })
 }
 
 // clientDisconnected ends a query whose client has disconnected.
 func (a *Aggregator) clientDisconnected(e *Event) {
-	if q := a.queries[a.numbers[e.Query]]; q != nil && q.id == e.Query {
+	if q := a.queries[a.queryNumbers[e.Query]]; q != nil && q.id == e.Query {
 		a.applyToQuery(q, onDisconnect)
 	}
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -1,8 +1,8 @@
 package policy
 
-// The records of an instance, by how long they live, and the transitions of their states.
+// Records of an instance and the state machines of queries and subqueries.
 
-// state is a state of a subquery or of a query, and input an input of their state machines; the tables are in step.go.
+// state is a state of a subquery or of a query. The transition tables are in step.go.
 type state uint16
 
 const (
@@ -11,64 +11,65 @@
 	stateAnswered
 	stateAbandoned
 	stateClosed
-	stateFirstStep // a query with a second step to come
+	stateFirstStep // the first of a query's two steps
 	stateLastStep
 	stateEnded
 )
 
+// input is an input of the state machine of a subquery or of a query.
 type input uint16
 
 const (
 	onSend input = 1 << iota
-	onTooLate
+	onAbandon
 	onAnswer
 	onRetry
 	onClose
 	onComplete
 	onPartial
-	onGiveUp
+	onReject
 	onDisconnect
 )
 
-// indexRow has the settings and measures of an index.
-type indexRow struct {
-	soft, hard, value, lateValue    float64 // deadlines in seconds from arrival, value, and the value's share after the soft one
-	required, minimum, partialValue float64
-	effect                          Effect
-	faultCost                       float64 // what a fault of a backend adds to its cost, as a multiple
-	dedupWindow                     float64
-	secondStep                      int
-	clientTimeout, timeoutVotes     float64 // the timeout of most clients' attempts, and its lead in votes
-	meanWork                        float64 // mean hint of a subquery
+// indexState contains the settings and running statistics of an index.
+type indexState struct {
+	softDeadline, hardDeadline, value, lateValue float64 // deadlines in seconds from arrival; value of an answer; share of it after the soft deadline
+	requiredWeight, minimumWeight, partialValue  float64
+	effect                                       Effect
+	faultCost                                    float64 // relative cost that a fault share of 1 adds to a backend
+	dedupWindow                                  float64
+	secondStep                                   int
+	clientTimeout, timeoutVotes                  float64 // timeout that most client attempts state; its lead in votes
+	meanWork                                     float64 // mean work hint of a subquery
 }
 
-// rule is a row of a state machine's table: in one of these states, on one of these inputs, go to the next state and do
-// the effect.
-type rule[T any] struct {
-	state state
-	on    input
-	next  state
-	do    func(*Aggregator, T)
+// transition is a row of a state machine's table. In one of the states from, on one of the inputs on, the state becomes to
+// and do is called.
+type transition[T any] struct {
+	from state
+	on   input
+	to   state
+	do   func(*Aggregator, T)
 }
 
-// transition applies an input to a state by the first rule that matches.
-func transition[T any](a *Aggregator, table []rule[T], it T, at *state, on input) {
+// applyInput applies an input to a state by the first matching transition.
+func applyInput[T any](a *Aggregator, table []transition[T], item T, current *state, on input) {
 	for i := range table {
-		if r := &table[i]; r.state&*at != 0 && r.on&on != 0 {
-			*at = r.next
-			r.do(a, it)
+		if r := &table[i]; r.from&*current != 0 && r.on&on != 0 {
+			*current = r.to
+			r.do(a, item)
 			return
 		}
 	}
 }
 
 func (a *Aggregator) applyToSubquery(sub *subquery, on input) {
-	transition(a, subqueryTable, sub, &sub.state, on)
+	applyInput(a, subqueryTable, sub, &sub.state, on)
 }
 
 func (a *Aggregator) applyToQuery(q *query, on input) {
 	q.partial = q.partial || on == onPartial
-	transition(a, queryTable, q, &q.state, on)
+	applyInput(a, queryTable, q, &q.state, on)
 }
 
 // call is a call in flight.
@@ -76,88 +77,88 @@
 	subquery   *subquery
 	no         CallNo
 	backend    *backend
-	sent       float64
+	sentAt     float64
 	shared     *sharedCall
 	canceled   bool    // a cancellation was emitted
-	idleBefore float64 // seconds since the backend was last used, when the call was sent
+	idleBefore float64 // seconds for which the backend had not been used when the call was sent
 }
 
-// sharedCall is a call with which several subqueries of one step travel to a backend; it counts as one.
-type sharedCall struct{ step, subqueries, live int }
+// sharedCall is a call that carries several subqueries of one step to a backend. It counts as one call in flight.
+type sharedCall struct{ step, subqueries, unfinished int }
 
-// subquery lives until its query is answered, or longer while a call of it is in flight.
+// subquery is kept until its query is answered and no call of it is in flight.
 type subquery struct {
-	id            SubqueryID
-	query         *query
-	shard         ShardID
-	weight        float64
-	size          float64
-	state         state
-	assigned      *backend // where it is bound
-	avoid         *backend // where its last call failed
-	calls         []*call
-	attempts      int
-	firstSent     float64 // time of the first call
-	executed      bool    // some call of it may have been executed
-	retryReserved bool    // a retry after a cancellation is charged to the budget already
-	draw          float64
-	pin           *PinOverride // where operators pin it, as of pinsVersion
-	pinBackend    *backend     // the pin's backend; nil where there is none of that number
-	pinsVersion   int
+	id                SubqueryID
+	query             *query
+	shard             ShardID
+	weight            float64
+	size              float64
+	state             state
+	backend           *backend // the backend that it is pending for
+	lastFailedBackend *backend // the backend on which its last call failed
+	calls             []*call
+	attempts          int
+	firstSentAt       float64      // send time of the first call
+	maybeExecuted     bool         // some call that has ended may have been executed
+	retryReserved     bool         // a retry after a cancellation is already charged to the retry budget
+	draw              float64      // random number in [0, 1), for pins, weights and slow start
+	pin               *PinOverride // the pin that applies to it, as of pinsVersion
+	pinnedBackend     *backend     // the pin's backend; nil if it is unknown
+	pinsVersion       int
 }
 
-// mayHaveExecuted tells whether some call of sub may have been executed or may be yet.
-func (sub *subquery) mayHaveExecuted() bool { return sub.executed || len(sub.calls) > 0 }
+// mayHaveExecuted reports whether some call of sub may have been executed or may still be executed.
+func (sub *subquery) mayHaveExecuted() bool { return sub.maybeExecuted || len(sub.calls) > 0 }
 
-// query lives until its last answer, or until its client disconnects.
+// query is kept until it ends with an answer or a rejection, or until its client disconnects.
 type query struct {
 	id                              QueryID
 	no                              QueryNo
 	index                           IndexID
 	state                           state
-	overQuota                       bool // its customer is over its quota
-	partial                         bool // an answer of it was not complete
-	firstStepDone                   bool // its first step is answered
-	soft                            float64
+	overQuota                       bool // its customer exceeds the quota
+	partial                         bool // an answer to it was incomplete
+	firstStepDone                   bool // its first step was answered
+	softDeadline                    float64
 	deadline                        float64
-	expected                        int
-	required                        float64 // weight that completes this step
+	expectedSubqueries              int
+	requiredWeight                  float64 // weight of answered subqueries that completes this step
 	subqueries                      []*subquery
 	answeredWeight, abandonedWeight float64
-	brokenCalls                     int  // calls that broke, maybe by a crash of their backend
+	brokenCalls                     int  // calls that broke, possibly by a crash of their backend
 	anyAnswered                     bool // some call was answered
-	unfinished                      int  // subqueries neither answered nor abandoned
+	openSubqueries                  int  // subqueries that are neither answered nor abandoned
 	assignments                     []assignment
-	size                            float64
+	pendingCalls                    float64
 	zones                           *Zones // locations that may serve it
 }
 
-// assignment counts the subqueries of a query that are pending for a backend.
+// assignment is the number of a query's subqueries that are pending for a backend.
 type assignment struct {
 	backend    *backend
 	subqueries int
 }
 
-// backend lives as long as the list names it and as calls to it are in flight; a later change of the list removes it.
+// backend is kept while the list contains it or calls to it are in flight. The next change of the list deletes it.
 type backend struct {
 	id                 BackendID
 	location           LocationID
 	ready              bool
-	removed            bool    // the list no longer names it
-	started            float64 // last start, as listed or suspected; minus infinity if unknown
-	latency            float64 // smoothed, in seconds; 0 before the first answer
-	latencyAt          float64 // time of its last change
+	removed            bool    // the list no longer contains it
+	startedAt          float64 // time of its last listed or suspected start; minus infinity if unknown
+	latency            float64 // smoothed latency in seconds; 0 before the first answer
+	latencyUpdatedAt   float64 // time of the last change of latency
 	answeredAt         float64
-	aliveAt            float64 // last answer to a call or a probe
-	unansweredSince    float64 // time of the first call or probe since; 0 if there was none
+	aliveAt            float64 // time of the last answer to a call or a probe
+	unansweredSince    float64 // time of the first call or probe after that answer; 0 if there was none
 	probedAt           float64 // time of the last probe
-	probeFailed        bool    // a probe has failed since
+	probeFailed        bool    // a probe has failed after the last answer
 	lastUsedAt         float64
 	window             float64
-	narrowedAt         float64
-	callsInFlight      int // this aggregator's, a shared one counted once
+	windowShrunkAt     float64
+	callsInFlight      int // calls of this aggregator; a shared call counts once
 	callsPending       int
-	queue              float64 // scratch value of reorder
+	projectedQueue     float64 // temporary value of reorder
 	calls              []*call
 	shared             *sharedCall
 	faults             []decayingMean // by index
@@ -165,24 +166,24 @@
 	unreachableUntil   float64
 	unreachableBackoff float64
 	probing            bool
-	connectFailed      bool            // a connect has failed since its last answer
-	slowStartWork      []sentWork      // while in slow start
-	draw               float64         // random; with a subquery's, decides on slow start and weights
-	overrides          []indexOverride // by index; nil where there are none
-	excluded           bool            // from every index
-	relocated          bool            // the list has named another location for its number
-	peerLatency        decaying        // multiple of the usual latency that peers observed; it counts until at
-	withheld           times           // expected end of each call that a weight diverted from here
-	diverted           times           // and of each call that was diverted to here
+	connectFailed      bool            // a connection attempt has failed since its last answer
+	slowStartWork      []sentWork      // work sent during slow start
+	draw               float64         // random number in [0, 1); added to a subquery's draw for slow start and weights
+	overrides          []indexOverride // by index; nil if there are none
+	excluded           bool            // excluded from all indexes
+	relocated          bool            // the list has changed its location
+	peerLatency        decaying        // multiple of the average latency that peers observed; valid until its time
+	divertedOut        timestamps      // expected ends of the calls that its weight diverted to siblings
+	divertedIn         timestamps      // expected ends of the calls that siblings' weights diverted to it
 }
 
-// indexOverride is what operators override of a backend for one index.
+// indexOverride is the operators' override of a backend for one index.
 type indexOverride struct {
 	excluded bool
 	weight   float64
 }
 
-// pinKey names what a pin applies to.
+// pinKey identifies the shard of an index that a pin applies to.
 type pinKey struct {
 	shard ShardID
 	index IndexID
@@ -194,43 +195,43 @@
 // customer is the token bucket of a customer's quota.
 type customer struct{ tokens, at float64 }
 
-// Aggregator is an instance of the policy: a state machine that only Step moves. It is not safe for concurrent use.
+// Aggregator is an instance of the policy. Only Step changes its state. It is not safe for concurrent use.
 type Aggregator struct {
-	settings        Settings
-	indexes         []indexRow
-	customers       []customer
-	now             float64
-	step            int
-	random          pcg
-	actions         []Action
-	backends        map[BackendID]*backend
-	fleet           []*backend   // in the order of first listing: no decision may depend on a map's order
-	holdersByCell   [][]*backend // replicas by a shard's first cell
-	queries         map[QueryNo]*query
-	numbers         map[QueryID]QueryNo
-	subqueries      map[SubqueryID]*subquery
-	openQueries     []*query // in order of arrival
-	sendOrder       []*query
-	orderStale      bool
-	averageLatency  float64 // mean latency of usable backends; 0 before the first answer
-	usualLatency    float64 // running median of all answers
-	meanHint        float64
-	longestSoft     float64
-	shortestSoft    float64
-	topValue        float64
-	locationFaults  map[LocationID][]decayingMean // share of faults by index
-	crashShare      decayingMean                  // share of calls that broke or could not connect
-	unhealthyShare  decayingMean                  // share of calls that failed or were slow
-	recentLatencies decayingMean                  // of all backends
-	probesQueue     bool                          // probes wait in the backends' queues
-	idleLosses      decaying                      // calls lost on idle connections, less those answered
-	idleLimit       float64                       // a connection idle for longer may be dead
-	receivedTimes   []float64                     // of queries and subqueries, for the retry budget
-	retryTimes      []float64                     // of retries, for the retry budget
-	retriesReserved int
-	pins            map[pinKey]*PinOverride
-	pinsVersion     int  // counts changes of pins and of the list
-	ignoreWeights   bool // while chooseByWeight finds the cost without weights
-	listBackoff     float64
-	listPollAt      float64 // time of the next request of the list
+	settings              Settings
+	indexes               []indexState
+	customers             []customer
+	now                   float64
+	step                  int
+	random                pcg
+	actions               []Action
+	backends              map[BackendID]*backend
+	orderedBackends       []*backend   // in the order of first listing, as no decision may depend on the order of a map
+	replicasByCell        [][]*backend // replicas of the shards of each cell
+	queries               map[QueryNo]*query
+	queryNumbers          map[QueryID]QueryNo
+	subqueries            map[SubqueryID]*subquery
+	openQueries           []*query // in order of arrival
+	sendOrder             []*query
+	sendOrderStale        bool
+	averageLatency        float64 // mean latency of usable backends; 0 before the first answer
+	medianLatency         float64 // running median of the latency of all answers
+	meanWorkHint          float64
+	longestSoftDeadline   float64
+	shortestSoftDeadline  float64
+	maxQueryValue         float64
+	locationFaults        map[LocationID][]decayingMean // shares of faults, by index
+	crashShare            decayingMean                  // share of calls that broke or failed to connect
+	unhealthyShare        decayingMean                  // share of calls that failed or were slow
+	recentLatencies       decayingMean                  // latencies of recent answers of all backends
+	probesQueue           bool                          // probes wait in the queues of the backends
+	idleConnectionLosses  decaying                      // calls lost on idle connections, less a credit for those answered
+	maxConnectionIdleTime float64                       // a connection that was idle for longer may be dead
+	receivedTimes         []float64                     // receipt times of queries and subqueries, for the retry budget
+	retryTimes            []float64                     // send times of retries, for the retry budget
+	retriesReserved       int
+	pins                  map[pinKey]*PinOverride
+	pinsVersion           int  // number of changes of pins and of the list
+	ignoreWeights         bool // set while chooseByWeight calculates costs without weights
+	listBackoff           float64
+	listPollAt            float64 // time of the next request for the list
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -34,6 +34,6 @@
 		s.serve(only(Send, done), 0.003, 0.003)
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d lookups in the hour after are turned away; average %.3f, usual %.4f", refused, asked, s.m.averageLatency, s.m.usualLatency)
+		t.Errorf("%d of %d lookups in the hour after are turned away; average %.3f, usual %.4f", refused, asked, s.m.averageLatency, s.m.medianLatency)
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,41 +1,41 @@
 package policy
 
-// Effect tells whether a subquery may be executed twice.
+// Effect states whether a subquery may be executed more than once.
 type Effect uint8
 
-// The effects.
+// The effects of a repeated execution.
 const (
-	Idempotent    Effect = iota // harmless at any time
-	Fingerprinted               // harmless within DedupS, in which backends drop repeats
-	OnceOnly                    // not allowed
+	Idempotent   Effect = iota // a repeat is always harmless
+	Deduplicated               // a repeat is harmless within DedupS, while backends drop repeats
+	AtMostOnce                 // a repeat is not allowed
 )
 
-// Settings are an instance's settings. Times are in seconds; a zero value means not stated.
+// Settings are the settings of an instance. Times are in seconds. A zero value means that a setting is not stated.
 type Settings struct {
-	Seed          uint64
-	Self          AggregatorNo
-	Aggregators   int
-	Location      LocationID
-	Step          float64 // least time between two calls of Step
-	Indexes       []IndexSettings
-	Customers     []CustomerSettings
-	OverShare     float64 // value of a query over its customer's quota, as a share of its usual value
-	ListOnRequest bool    // the list comes only on request
-	Layout        Layout
-	Limits        Limits
-	Rules         Rules
-	Prices        Prices
+	Seed           uint64
+	Self           AggregatorNo
+	Aggregators    int
+	Location       LocationID
+	StepInterval   float64 // least time between two calls of Step
+	Indexes        []IndexSettings
+	Customers      []CustomerSettings
+	OverQuotaValue float64 // value of a query over its customer's quota, as a share of its usual value
+	ListOnRequest  bool    // the list of backends is sent on request only
+	Layout         Layout
+	Limits         Limits
+	Rules          Rules
+	Prices         Prices
 }
 
 // IndexSettings are the settings of an index.
 type IndexSettings struct {
 	Soft, Hard        float64 // deadlines, in seconds from arrival
-	Value, LateValue  float64 // of an answer; share of it after the soft deadline
+	Value, LateValue  float64 // value of an answer; share of it that remains after the soft deadline
 	Effect            Effect
-	DedupS            float64 // how many seconds backends drop repeats of a fingerprinted subquery
-	Required, Minimum float64 // shares of the weight for a complete answer, and for any
-	PartialValue      float64 // of a partial answer, by its share of the weight
-	SecondStep        int     // most subqueries of the second step, 0 for none
+	DedupS            float64 // seconds for which backends drop repeats of a deduplicated subquery
+	Required, Minimum float64 // shares of the weight that a complete answer and a partial answer need
+	PartialValue      float64 // value of a partial answer, relative to its share of the weight
+	SecondStep        int     // maximum number of subqueries in the second step; 0 for no second step
 }
 
 // CustomerSettings describe one customer's share of the service.
@@ -43,14 +43,14 @@
 	Share, QuotaPerS float64
 }
 
-// Layout says which backends hold a shard: those of cells shard, shard+1, ... shard+Width-1, modulo Cells.
+// Layout describes which backends hold a shard: those of the cells shard, shard+1, ... shard+Width-1, modulo Cells.
 type Layout struct {
-	Cells, Width   int
-	CallSubqueries int // subqueries that may share one call
-	CallCost       float64
+	Cells, Width      int
+	SubqueriesPerCall int     // subqueries that may share one call
+	CallCost          float64 // work of a call itself, in the unit of work hints
 }
 
-// Limits are what the deployment permits.
+// Limits describe what the deployment permits.
 type Limits struct {
 	Cancel, Probe, PeerMessages, Hedge, RetryAfter bool
 	MaxAttempts, MaxPending                        int
@@ -59,15 +59,15 @@
 
 // Rules are the parameters of the six rules of docs/design.md. Fields ending in S are in seconds.
 type Rules struct {
-	AnswerSlack, ListPollEvery                    float64
-	SlowStartShare, SlowStartS                    float64
-	DrainGrace                                    float64
-	CrashMultiple, CrashWindowS                   float64
-	RetryBudget                                   bool
-	RetryBudgetFree, RetryBudgetPer, RetryBudgetS float64
+	AnswerSlack, ListPollEvery                     float64
+	SlowStartShare, SlowStartS                     float64
+	DrainGrace                                     float64
+	OverloadMultiple, OverloadWindowS              float64
+	RetryBudget                                    bool
+	RetryBudgetMin, RetryBudgetRatio, RetryBudgetS float64
 }
 
-// Prices are deducted from the service's value, each times its rate.
+// Prices are the costs deducted from the value of the service. Each price is multiplied by its rate.
 type Prices struct {
-	CrossLocation, Waste, Probe, LateFail, Handshake, Connection, Peer, Lists float64
+	CrossLocation, Waste, Probe, LateFailure, Handshake, Connection, Peer, Membership float64
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -18,10 +18,10 @@
 			var aggregators []*Aggregator
 			now := 100.0
 			for i := range fleet {
-				m := New(Settings{Seed: rng.Uint64(), Self: AggregatorNo(i), Aggregators: fleet, Step: 0.005, Layout: Layout{Cells: 1, Width: 1},
+				m := New(Settings{Seed: rng.Uint64(), Self: AggregatorNo(i), Aggregators: fleet, StepInterval: 0.005, Layout: Layout{Cells: 1, Width: 1},
 					Indexes: []IndexSettings{{Soft: 0.5, Hard: 1, Value: 1, Required: 1, Minimum: 1}},
 					Limits:  Limits{Cancel: true, Probe: true, MaxAttempts: 3},
-					Rules:   Rules{AnswerSlack: 0.02, SlowStartShare: share, SlowStartS: cold, DrainGrace: 0.25, CrashMultiple: multiple, CrashWindowS: fall}}, now)
+					Rules:   Rules{AnswerSlack: 0.02, SlowStartShare: share, SlowStartS: cold, DrainGrace: 0.25, OverloadMultiple: multiple, OverloadWindowS: fall}}, now)
 				m.Step(now, []Event{{Kind: ListChanged, List: ListStale, Entries: []Entry{{Backend: 1, StartedAt: now}, {Backend: 2, Phase: Removed}}}}, nil)
 				aggregators = append(aggregators, m)
 			}
