--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -12,393 +12,398 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		e := newEmulation(seed).run(25)
+		e := newSimulation(seed).run(25)
 		if e.err != nil {
 			t.Fatal(e.err)
 		}
 		if e.answered == 0 {
-			t.Fatal("nothing was answered")
+			t.Fatal("no query was answered")
 		}
-		if again := newEmulation(seed).run(25); !reflect.DeepEqual(e.log, again.log) {
-			t.Fatal("the same events led to other actions")
+		if again := newSimulation(seed).run(25); !reflect.DeepEqual(e.emitted, again.emitted) {
+			t.Fatal("two runs with the same events gave different actions")
 		}
 	})
 }
 
-// Each checker is seen to fail: the actions of a sound instance are broken on the way out.
+// Verifies that each check of the simulation can fail, by changing the actions of a correct instance.
 func TestCheckerFindsViolations(t *testing.T) {
-	type breaker func(*emulation, Action) []Action
-	turn := func(to func(*emulation, *host) bool) breaker { // sends go to another host of the cell
-		return func(e *emulation, a Action) []Action {
-			for _, h := range e.fleet {
-				if a.Kind == Send && h.named && h.entry.Cell == e.host(a.Backend).entry.Cell && to(e, h) {
+	type breaker func(*simulation, Action) []Action
+	redirect := func(chosen func(*simulation, *simulatedBackend) bool) breaker { // sends to another backend of the same cell
+		return func(e *simulation, a Action) []Action {
+			for _, h := range e.backends {
+				if a.Kind == Send && h.listed && h.entry.Cell == e.backendByID(a.Backend).entry.Cell && chosen(e, h) {
 					a.Backend = h.entry.Backend
 				}
 			}
 			return []Action{a}
 		}
 	}
-	twice := func(effect Effect) breaker {
-		return func(e *emulation, a Action) []Action {
-			if a.Kind == Send && e.set.Limits.Hedge && e.set.Indexes[e.subqueries[a.Subquery].event.Index].Effect == effect {
+	duplicate := func(effect Effect) breaker {
+		return func(e *simulation, a Action) []Action {
+			if a.Kind == Send && e.settings.Limits.Hedge && e.settings.Indexes[e.subqueries[a.Subquery].event.Index].Effect == effect {
 				return []Action{a, a}
 			}
 			return []Action{a}
 		}
 	}
-	var kept Action
-	for name, broken := range map[string]breaker{
-		"lost: lookup": func(_ *emulation, a Action) []Action {
+	var earlier Action
+	for name, breakAction := range map[string]breaker{
+		"lost: query": func(_ *simulation, a Action) []Action {
 			if a.Kind == Nack || a.Kind == Abort || a.Kind == Answer {
 				return nil
 			}
 			return []Action{a}
 		},
-		"after its lookup's end": func(e *emulation, a Action) []Action {
-			if kept.Kind == Send && kept.Subquery != 0 && e.subqueries[kept.Subquery].query.ended {
-				return []Action{a, kept}
+		"after the end of its query": func(e *simulation, a Action) []Action {
+			if earlier.Kind == Send && earlier.Subquery != 0 && e.subqueries[earlier.Subquery].query.ended {
+				return []Action{a, earlier}
 			} else if a.Kind == Send {
-				kept = a
+				earlier = a
 			}
 			return []Action{a}
 		},
-		"duplicate": twice(AtMostOnce),
-		"budget":    twice(Idempotent),
-		"drain": turn(func(e *emulation, h *host) bool {
-			return h.knownAt > 0 && e.now > h.knownAt+e.set.Rules.DrainGrace
+		"duplicate": duplicate(AtMostOnce),
+		"budget":    duplicate(Idempotent),
+		"drain": redirect(func(e *simulation, h *simulatedBackend) bool {
+			return h.unavailableAt > 0 && e.now > h.unavailableAt+e.settings.Rules.DrainGrace
 		}),
-		"cold": turn(func(_ *emulation, h *host) bool { return h.knownStart > 0 && h.knownAt == 0 }),
-		"honest": func(_ *emulation, a Action) []Action {
+		"slow start": redirect(func(_ *simulation, h *simulatedBackend) bool { return h.reportedStart > 0 && h.unavailableAt == 0 }),
+		"minimum": func(_ *simulation, a Action) []Action {
 			if a.Kind == Nack || a.Kind == Abort {
 				a.Kind = Answer
 			}
 			return []Action{a}
 		},
-		"whole": func(_ *emulation, a Action) []Action {
+		"complete": func(_ *simulation, a Action) []Action {
 			a.Complete = true
 			return []Action{a}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(400) {
-				kept = Action{}
-				e := newEmulation(seed)
-				e.sabotage = func(e *emulation, actions []Action) (more []Action) {
+				earlier = Action{}
+				e := newSimulation(seed)
+				e.interceptActions = func(e *simulation, actions []Action) (result []Action) {
 					for _, a := range actions {
-						more = append(more, broken(e, a)...)
+						result = append(result, breakAction(e, a)...)
 					}
-					return more
+					return result
 				}
 				if e.run(15); e.err != nil && strings.Contains(e.err.Error(), name) {
 					return
 				}
 			}
-			t.Fatal("no run showed the breach")
+			t.Fatal("no run detected the violation")
 		})
 	}
 }
 
 func TestBindsToLeastLatencyTimesQueue(t *testing.T) {
-	s := newScene(t, nil)
+	s := newFixture(t, nil)
 	for range 6 { // backend 1 answers in 0.1 s, backend 2 in 0.5 s
-		p, done := s.take(6, 1)
-		at := only(Send, done)[0].Backend
-		s.end(0.1, p[0], at, Answered, map[BackendID]float64{1: 0.1, 2: 0.5}[at])
+		subqueries, actions := s.receive(6, 1)
+		target := ofKind(Send, actions)[0].Backend
+		s.endCall(0.1, subqueries[0], target, Answered, map[BackendID]float64{1: 0.1, 2: 0.5}[target])
 	}
-	_, done := s.take(6, 1, 1, 1)
-	for _, a := range only(Send, done) {
+	_, actions := s.receive(6, 1, 1, 1)
+	for _, a := range ofKind(Send, actions) {
 		if a.Backend != 1 {
-			t.Errorf("part %d went to the slow searcher", a.Subquery)
+			t.Errorf("subquery %d was sent to the slow backend", a.Subquery)
 		}
 	}
 }
 
-// fillWindows takes queries until the windows of the only backend are full.
-func fillWindows(s *scene) (subqueries []SubqueryID) {
+// fillWindows passes queries to the instance until the window of its only backend is full.
+func fillWindows(s *fixture) (subqueries []SubqueryID) {
 	for range 4 {
-		p, done := s.take(6, 1)
-		if len(only(Send, done)) != 1 {
-			s.t.Fatal("the window should start at 4")
+		sent, actions := s.receive(6, 1)
+		if len(ofKind(Send, actions)) != 1 {
+			s.t.Fatal("expected an initial window of 4 calls")
 		}
-		subqueries = append(subqueries, p[0])
+		subqueries = append(subqueries, sent[0])
 	}
 	return subqueries
 }
 
 func TestPendingSubqueriesAreSentInMakespanOrder(t *testing.T) {
-	s := newScene(t, nil, Entry{Backend: 1})
+	s := newFixture(t, nil, Entry{Backend: 1})
 	subqueries := fillWindows(s)
-	long, _ := s.take(6, 1, 1, 1)
-	brief, done := s.take(6, 1, 2)
-	if len(only(Send, done)) != 0 {
-		t.Fatal("sent beyond the window")
+	largeQuery, _ := s.receive(6, 1, 1, 1)
+	smallQuery, actions := s.receive(6, 1, 2)
+	if len(ofKind(Send, actions)) != 0 {
+		t.Fatal("sent more calls than the window permits")
 	}
-	sends := only(Send, s.end(0.05, subqueries[0], 1, Answered, 0.05))
-	if len(sends) == 0 || sends[0].Subquery != brief[1] {
-		t.Errorf("first out %v, expected the larger hint %d of the shorter lookup, not %v", sends, brief[1], long)
+	sends := ofKind(Send, s.endCall(0.05, subqueries[0], 1, Answered, 0.05))
+	if len(sends) == 0 || sends[0].Subquery != smallQuery[1] {
+		t.Errorf("got sends %v, expected first the subquery %d, which has the larger hint of the shorter query, and not %v", sends, smallQuery[1], largeQuery)
 	}
 }
 
-func TestEqualMakespanGoesToSmallerSize(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
-	m := s.m
-	lk := func(no QueryNo, at ...int) *query {
-		l := m.addQuery(&Event{Query: QueryID(no), No: no, Subqueries: len(at), Remaining: 6})
-		for i, n := range at {
+func TestEqualMakespansAreOrderedBySize(t *testing.T) {
+	s := newFixture(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
+	aggregator := s.aggregator
+	addQuery := func(no QueryNo, pendingCounts ...int) *query {
+		q := aggregator.addQuery(&Event{Query: QueryID(no), No: no, Subqueries: len(pendingCounts), Remaining: 6})
+		for i, n := range pendingCounts {
 			for range n {
-				p := m.addSubquery(l, &Event{Subquery: SubqueryID(100*int(no) + len(l.subqueries)), Shard: ShardID(i)})
-				m.assign(p, m.orderedBackends[i])
+				sub := aggregator.addSubquery(q, &Event{Subquery: SubqueryID(100*int(no) + len(q.subqueries)), Shard: ShardID(i)})
+				aggregator.assign(sub, aggregator.orderedBackends[i])
 			}
 		}
-		return l
+		return q
 	}
-	lk(1, 2, 2)
-	small := lk(2, 2, 1)
-	if m.reorder(); m.sendOrder[0] != small {
-		t.Error("the tie should go to the lookup of smaller total size")
+	addQuery(1, 2, 2)
+	smaller := addQuery(2, 2, 1)
+	if aggregator.reorder(); aggregator.sendOrder[0] != smaller {
+		t.Error("with equal makespans, the query with fewer pending calls should be first")
 	}
 }
 
-func TestLateSubqueryIsDroppedAndQueryDeclinedAtOnce(t *testing.T) {
-	s := newScene(t, nil, Entry{Backend: 1})
+func TestQueryThatCannotMeetItsDeadlineIsRejectedImmediately(t *testing.T) {
+	s := newFixture(t, nil, Entry{Backend: 1})
 	fillWindows(s)
-	_, done := s.take(0.5, 1) // unheard: latency counts as the soft deadline of 2 s
-	if n := only(Nack, done); len(n) != 1 || len(only(Send, done)) != 0 {
-		t.Errorf("expected a nack and no send, got %v", done)
+	_, actions := s.receive(0.5, 1) // before the first answer, the latency is assumed to be the soft deadline of 2 s
+	if nacks := ofKind(Nack, actions); len(nacks) != 1 || len(ofKind(Send, actions)) != 0 {
+		t.Errorf("expected a nack and no send, got %v", actions)
 	}
 }
 
-// A list change that ends a query once tripped over the list of open queries.
-// Also an aggregator that has heard nobody yet says when to come back.
-func TestNackHasRetryAfter(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.RetryAfter, set.Limits.MaxRetryAfter = true, 1 }, Entry{Backend: 1})
-	p, done := s.take(6, 1)
-	done = append(done, s.end(0.1, p[0], 1, NotConnected, 0.1)...)
-	nacks := only(Nack, append(done, s.tick(5.9)...))
+// A nack states a retry time even if the aggregator has not received any answer yet.
+func TestNackBeforeAnyAnswerHasRetryAfter(t *testing.T) {
+	s := newFixture(t, func(set *Settings) { set.Limits.RetryAfter, set.Limits.MaxRetryAfter = true, 1 }, Entry{Backend: 1})
+	subqueries, actions := s.receive(6, 1)
+	actions = append(actions, s.endCall(0.1, subqueries[0], 1, NotConnected, 0.1)...)
+	nacks := ofKind(Nack, append(actions, s.tick(5.9)...))
 	if len(nacks) != 1 || nacks[0].Wait != 1 {
 		t.Fatalf("got %+v", nacks)
 	}
 }
 
-func TestListChangeMayEndQueries(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.MaxAttempts = 9 })
+// Guards against a fault in which a list change that ended a query modified the list of open queries during iteration.
+func TestListChangeMayEndSeveralQueries(t *testing.T) {
+	s := newFixture(t, func(set *Settings) { set.Limits.MaxAttempts = 9 })
 	for range 8 {
-		p, done := s.take(6, 1)
-		for _, a := range only(Send, done) {
-			s.end(0.001, p[0], a.Backend, NotConnected, 0.001)
+		subqueries, actions := s.receive(6, 1)
+		for _, a := range ofKind(Send, actions) {
+			s.endCall(0.001, subqueries[0], a.Backend, NotConnected, 0.001)
 		}
 	}
 	s.step(0.01, Event{Kind: ListChanged, List: ListPatch,
 		Entries: []Entry{{Backend: 1, Phase: Removed}, {Backend: 2, Phase: Removed}}})
 }
 
-// Resets on a live backend once counted as restarts: the whole fleet was then held to a cold share.
-// Backends come and go all day: those that are gone are kept while a call to them is out, and no longer.
+// Backends are added and removed continuously. The record of a removed backend must be kept while a call to it is in flight,
+// and no longer.
 func TestRemovedBackendsAreReleased(t *testing.T) {
-	named := func(phase Phase, ids ...BackendID) Event {
+	listEvent := func(phase Phase, ids ...BackendID) Event {
 		e := Event{Kind: ListChanged}
 		for _, id := range ids {
 			e.Entries = append(e.Entries, Entry{Backend: id, Phase: phase, Share: 1})
 		}
 		return e
 	}
-	s := newScene(t, nil, Entry{Backend: 1, Share: 1})
-	subqueries, done := s.take(4, 0)
-	if sends := only(Send, done); len(sends) != 1 || sends[0].Backend != 1 {
-		t.Fatalf("got %+v", done)
+	s := newFixture(t, nil, Entry{Backend: 1, Share: 1})
+	subqueries, actions := s.receive(4, 0)
+	if sends := ofKind(Send, actions); len(sends) != 1 || sends[0].Backend != 1 {
+		t.Fatalf("got %+v", actions)
 	}
 	for i := range BackendID(100) {
-		s.step(0.01, named(Ready, i+2))
-		s.step(0.01, named(Removed, i+1))
+		s.step(0.01, listEvent(Ready, i+2))
+		s.step(0.01, listEvent(Removed, i+1))
 	}
-	if m := s.m; len(m.orderedBackends) != 3 || len(m.backends) != 3 || len(m.replicasByCell[0]) != 3 {
-		t.Fatalf("%d searchers are kept, not the one with a call out, the one named and the last one gone", len(m.orderedBackends))
+	if aggregator := s.aggregator; len(aggregator.orderedBackends) != 3 || len(aggregator.backends) != 3 || len(aggregator.replicasByCell[0]) != 3 {
+		t.Fatalf("got %d backends, expected the one with a call in flight, the listed one and the last removed one", len(aggregator.orderedBackends))
 	}
-	if got := s.end(0.01, subqueries[0], 1, Answered, 0.1); len(only(Answer, got)) != 1 {
+	if got := s.endCall(0.01, subqueries[0], 1, Answered, 0.1); len(ofKind(Answer, got)) != 1 {
 		t.Fatalf("got %+v", got)
 	}
-	whole := named(Ready, 102)
-	whole.List = ListComplete
-	s.step(0.01, whole)
-	if s.step(0.01, whole); len(s.m.orderedBackends) != 1 {
-		t.Fatalf("%d searchers are kept", len(s.m.orderedBackends))
+	complete := listEvent(Ready, 102)
+	complete.List = ListComplete
+	s.step(0.01, complete)
+	if s.step(0.01, complete); len(s.aggregator.orderedBackends) != 1 {
+		t.Fatalf("got %d backends, expected 1", len(s.aggregator.orderedBackends))
 	}
 }
 
-func TestBudgetRecordsHoldNoMoreThanTheyCount(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Rules.RetryBudget, set.Rules.RetryBudgetS = true, 1 }, Entry{Backend: 1, Share: 1})
+func TestRetryBudgetRecordsAreBounded(t *testing.T) {
+	s := newFixture(t, func(set *Settings) { set.Rules.RetryBudget, set.Rules.RetryBudgetS = true, 1 }, Entry{Backend: 1, Share: 1})
 	for range 2000 {
-		subqueries, _ := s.take(4, 0)
-		s.end(0.01, subqueries[0], 1, Answered, 0.01)
+		subqueries, _ := s.receive(4, 0)
+		s.endCall(0.01, subqueries[0], 1, Answered, 0.01)
 	}
-	if n := cap(s.m.receivedTimes); n > 1000 {
-		t.Fatalf("%d times are kept of 100 lookups in the span", n)
+	if n := cap(s.aggregator.receivedTimes); n > 1000 {
+		t.Fatalf("the records hold %d times, with 100 queries in the window", n)
 	}
 }
 
-func TestBrokenCallIsNoRestart(t *testing.T) {
-	s := newScene(t, func(set *Settings) {
+// Guards against a fault in which connection resets counted as restarts of a live backend, so that all backends were limited
+// to their slow start share.
+func TestBrokenCallDoesNotCountAsRestart(t *testing.T) {
+	s := newFixture(t, func(set *Settings) {
 		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, OverloadMultiple: 2, OverloadWindowS: 1}
 	})
-	p, done := s.take(6, 1)
-	at := only(Send, done)[0].Backend
-	s.end(0.1, p[0], at, Broken, 0.1)
-	if x := s.m.backends[at]; !usable(x) || s.m.slowStartFactor(x) < 1 {
-		t.Error("a broken call made its searcher unreachable or cold")
+	subqueries, actions := s.receive(6, 1)
+	at := ofKind(Send, actions)[0].Backend
+	s.endCall(0.1, subqueries[0], at, Broken, 0.1)
+	if b := s.aggregator.backends[at]; !usable(b) || s.aggregator.slowStartFactor(b) < 1 {
+		t.Error("a broken call made its backend unreachable or started its slow start")
 	}
 }
 
-// A backend that answers others' calls but lost this one: the call is taken back and sent to the sibling.
+// A backend answers other calls but has lost this one. The call must be canceled and retried on the sibling.
 func TestLostCallIsCanceledAndRetried(t *testing.T) {
-	s := newScene(t, nil)
+	s := newFixture(t, nil)
 	warmUp(s)
-	lostSubquery, done := s.take(6, 1)
-	at := only(Send, done)[0].Backend
+	lostSubquery, actions := s.receive(6, 1)
+	at := ofKind(Send, actions)[0].Backend
 	for range 40 {
-		_, done := s.take(6, 1)
-		s.serve(done, 0.05, 0.05)
-		if back := only(Cancel, s.tick(0.01)); len(back) == 1 {
-			sends := only(Send, s.end(0.005, lostSubquery[0], at, Canceled, s.now))
+		_, actions := s.receive(6, 1)
+		s.answerAll(actions, 0.05, 0.05)
+		if cancels := ofKind(Cancel, s.tick(0.01)); len(cancels) == 1 {
+			sends := ofKind(Send, s.endCall(0.005, lostSubquery[0], at, Canceled, s.now))
 			if len(sends) != 1 || sends[0].Backend == at {
-				t.Errorf("the part was not sent to the sibling: %v", sends)
+				t.Errorf("got %v, expected a retry on the sibling", sends)
 			}
 			return
 		}
 	}
-	t.Error("the lost call was never taken back")
+	t.Error("the lost call was not canceled")
 }
 
-// One that says nothing is asked at once, apart from the calls it may have lost with their connection; should it answer, it
-// is in reach at once.
+// An unresponsive backend is probed immediately, on a separate connection, as its calls may be lost with their connection.
+// If it answers, it is reachable immediately.
 func TestUnresponsiveBackendIsProbedOnASeparateConnection(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1})
+	s := newFixture(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1})
 	warmUp(s)
-	s.take(6, 1)
-	s.take(6, 1)
+	s.receive(6, 1)
+	s.receive(6, 1)
 	for range 100 {
-		if asked := only(Probe, s.tick(0.02)); len(asked) > 0 {
-			x := s.m.backends[1]
-			if !asked[0].SeparateConnection || usable(x) {
-				t.Fatalf("got %+v with the searcher in reach: %v", asked[0], usable(x))
+		if probes := ofKind(Probe, s.tick(0.02)); len(probes) > 0 {
+			b := s.aggregator.backends[1]
+			if !probes[0].SeparateConnection || usable(b) {
+				t.Fatalf("got %+v, backend usable: %v", probes[0], usable(b))
 			}
-			if _, done := s.take(6, 1); len(only(Send, done)) > 0 {
-				t.Fatal("sent to one that says nothing")
+			if _, actions := s.receive(6, 1); len(ofKind(Send, actions)) > 0 {
+				t.Fatal("sent a call to an unresponsive backend")
 			}
-			if done := s.step(0.005, Event{Kind: ProbeEnded, Backend: 1, Outcome: Answered}); len(only(Send, done)) != 1 {
-				t.Fatalf("not sent to one that answered: %+v", done)
+			if actions := s.step(0.005, Event{Kind: ProbeEnded, Backend: 1, Outcome: Answered}); len(ofKind(Send, actions)) != 1 {
+				t.Fatalf("got %+v, expected a call to the backend that answered", actions)
 			}
 			return
 		}
 	}
-	t.Fatal("never asked")
+	t.Fatal("the backend was not probed")
 }
 
-func warmUp(s *scene) {
+// warmUp answers 20 queries, so that the instance has estimates of latencies.
+func warmUp(s *fixture) {
 	for range 20 {
-		_, done := s.take(6, 1)
-		s.serve(done, 0.1, 0.1)
+		_, actions := s.receive(6, 1)
+		s.answerAll(actions, 0.1, 0.1)
 	}
 }
 
-// Half the fleet cut off: calls hang without an end. The silent backend is shunned, its sibling serves.
+// One of two backends is partitioned, so that calls to it never end. It must be marked unreachable while its sibling serves.
 func TestUnresponsiveBackendIsAvoided(t *testing.T) {
-	s := newScene(t, nil)
+	s := newFixture(t, nil)
 	warmUp(s)
 	for range 30 {
-		_, done := s.take(6, 1, 1, 1)
-		for _, a := range only(Send, done) {
+		_, actions := s.receive(6, 1, 1, 1)
+		for _, a := range ofKind(Send, actions) {
 			if a.Backend == 2 {
-				s.end(0.01, a.Subquery, 2, Answered, 0.1)
+				s.endCall(0.01, a.Subquery, 2, Answered, 0.1)
 			}
 		}
 		s.tick(0.05)
 	}
-	if usable(s.m.backends[1]) || !usable(s.m.backends[2]) {
-		t.Error("expected searcher 1 shunned and searcher 2 in use")
+	if usable(s.aggregator.backends[1]) || !usable(s.aggregator.backends[2]) {
+		t.Error("expected backend 1 unreachable and backend 2 usable")
 	}
 }
 
-// Overload once became usual: windows stayed wide and backends queued longer than the soft deadline.
-func TestOverloadDoesNotRaiseTheUsualLatency(t *testing.T) {
-	s := newScene(t, nil, Entry{Backend: 1})
+// Guards against a fault in which overload raised the median latency. Windows then stayed wide, and subqueries queued at
+// backends for longer than the soft deadline.
+func TestOverloadDoesNotWidenTheWindow(t *testing.T) {
+	s := newFixture(t, nil, Entry{Backend: 1})
 	for range 300 {
-		_, done := s.take(6, 1)
-		s.serve(done, 0.9, 1.9)
+		_, actions := s.receive(6, 1)
+		s.answerAll(actions, 0.9, 1.9)
 	}
-	if w := s.m.backends[1].window; w >= initialWindow {
+	if w := s.aggregator.backends[1].window; w >= initialWindow {
 		t.Errorf("window %.1f after answers near the soft deadline", w)
 	}
 }
 
-// Work on the other parts of a query is for nothing while one part's only holder cannot be reached.
-func TestSubqueriesWaitForUnreachableSibling(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
-	s.m.markUnreachable(s.m.backends[2])
-	if _, done := s.take(6, 1, 1); len(only(Send, done)) != 0 {
-		t.Errorf("got %v", done)
+// While the only replica of one shard is unreachable, work on a query's other subqueries would be wasted.
+func TestSubqueriesWaitWhileARequiredShardIsUnreachable(t *testing.T) {
+	s := newFixture(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
+	s.aggregator.markUnreachable(s.aggregator.backends[2])
+	if _, actions := s.receive(6, 1, 1); len(ofKind(Send, actions)) != 0 {
+		t.Errorf("got %v", actions)
 	}
 }
 
-// A client's late retry in the same step as the sweep was once dropped before it had its chance to go.
-func TestSweepComesAfterRelease(t *testing.T) {
-	s := newScene(t, nil)
-	s.take(6, 1)
+// Guards against a fault in which the sweep abandoned a client's late retry received in the same step, before it could be sent.
+func TestPendingSubqueriesAreSentBeforeTheSweep(t *testing.T) {
+	s := newFixture(t, nil)
+	s.receive(6, 1)
 	events := []Event{{Kind: QueryReceived, Query: 50, No: 50, Subqueries: 1, Remaining: 3},
 		{Kind: SubqueryReceived, Subquery: 500, No: 50, Weight: 1}, {Kind: TimerDue, Timer: sweepTimer}}
-	if done := s.step(0.005, events...); len(only(Send, done)) != 1 || len(only(Nack, done)) != 0 {
-		t.Errorf("got %v", done)
+	if actions := s.step(0.005, events...); len(ofKind(Send, actions)) != 1 || len(ofKind(Nack, actions)) != 0 {
+		t.Errorf("got %v", actions)
 	}
 }
 
-// Connections that die when idle: calls after a pause are lost, so such a connection is closed before it is used.
+// Connections die while idle, and calls sent after an idle time are lost. Such a connection must be closed before use.
 func TestConnectionIdleTooLongIsClosed(t *testing.T) {
-	for _, alive := range []bool{true, false} { // no probe answered: the backend, not its connection, is to blame
-		s := newScene(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1}, Entry{Backend: 2})
+	for _, probesAnswered := range []bool{true, false} { // without answers to probes, the fault is in the backend and not in its connection
+		s := newFixture(t, func(set *Settings) { set.Limits.Probe = true }, Entry{Backend: 1}, Entry{Backend: 2})
 		warmUp(s)
 		closed := false
 		for range 12 {
 			s.now++
-			_, done := s.take(6, 1)
-			closed = closed || len(only(CloseIdle, done)) > 0
+			_, actions := s.receive(6, 1)
+			closed = closed || len(ofKind(CloseIdle, actions)) > 0
 			for range 60 {
-				done = append(done, s.tick(0.05)...)
-				for _, a := range only(Probe, done) {
-					outcome := map[bool]Outcome{true: Answered, false: TimedOut}[alive]
-					s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: outcome, Elapsed: 0.1}) // it waits as a call does
+				actions = append(actions, s.tick(0.05)...)
+				for _, a := range ofKind(Probe, actions) {
+					outcome := map[bool]Outcome{true: Answered, false: TimedOut}[probesAnswered]
+					s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: outcome, Elapsed: 0.1}) // a probe waits in the queue as a call does
 				}
-				for _, a := range only(Cancel, done) {
-					s.end(0.005, a.Subquery, 0, Canceled, 1)
+				for _, a := range ofKind(Cancel, actions) {
+					s.endCall(0.005, a.Subquery, 0, Canceled, 1)
 				}
-				done = nil
+				actions = nil
 			}
 		}
-		if closed != alive {
-			t.Errorf("probes answered %v, line closed %v", alive, closed)
+		if closed != probesAnswered {
+			t.Errorf("probes answered: %v, connection closed: %v", probesAnswered, closed)
 		}
 	}
 }
 
-// Scores of aggregators that each send a cold backend one part at once push it over: together they send a share that
-// grows as it warms, though each takes a query only now and then.
+// Many aggregators that each send a subquery to a backend in slow start at the same time would overload it. Together they may
+// only send a share that grows during the slow start, although each one receives few queries.
 func TestManyAggregatorsSendLittleToABackendInSlowStart(t *testing.T) {
 	const aggregators = 50
 	sent := 0
 	for i := range aggregators {
-		s := newScene(t, func(set *Settings) {
+		s := newFixture(t, func(set *Settings) {
 			set.Seed, set.Aggregators = uint64(i), aggregators
 			set.Rules = Rules{SlowStartShare: 0.16, SlowStartS: 18, OverloadMultiple: 2, OverloadWindowS: 1.5}
 		}, Entry{Backend: 1, StartedAt: 0.01})
-		_, done := s.take(6, 0.2)
-		sent += len(only(Send, done))
+		_, actions := s.receive(6, 0.2)
+		sent += len(ofKind(Send, actions))
 	}
 	if sent == 0 || sent > aggregators/3 {
-		t.Errorf("%d of %d mixers sent a part at the start", sent, aggregators)
+		t.Errorf("%d of %d aggregators sent a subquery at the start", sent, aggregators)
 	}
 }
 
-// singleBackend is a scene of one warm backend, which may be probed and would be cold after a start.
-func singleBackend(t *testing.T) *scene {
-	s := newScene(t, func(set *Settings) {
+// newSingleBackendFixture returns a fixture with one backend that is not in slow start. Probes are permitted, and a restart
+// of the backend would begin a slow start.
+func newSingleBackendFixture(t *testing.T) *fixture {
+	s := newFixture(t, func(set *Settings) {
 		set.Limits.Probe = true
 		set.Rules = Rules{SlowStartShare: 0.1, SlowStartS: 10, OverloadMultiple: 2, OverloadWindowS: 1}
 	}, Entry{Backend: 1})
@@ -406,169 +411,171 @@
 	return s
 }
 
-// A backend silent for a while was once shunned for good, and then taken for new: it is asked after each pause,
-// and one that answers keeps its figures and is not cold. One that turns probes away is not silent.
-func TestUnresponsiveBackendIsProbedAgain(t *testing.T) {
-	s := singleBackend(t)
-	s.take(60, 1)
-	x := s.m.backends[1]
+// Guards against a fault in which a backend that was unresponsive for some time was never used again, and later counted as
+// restarted. It must be probed after each backoff. When it answers, it keeps its estimates and does not begin a slow start.
+// A backend that rejects probes is not unresponsive.
+func TestUnresponsiveBackendIsProbedUntilItAnswers(t *testing.T) {
+	s := newSingleBackendFixture(t)
+	s.receive(60, 1)
+	b := s.aggregator.backends[1]
 	for i := range 400 {
-		answer := TimedOut
+		outcome := TimedOut
 		if i > 300 {
-			answer = Answered
+			outcome = Answered
 		}
-		for _, a := range only(Probe, s.tick(0.05)) {
-			s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: answer})
+		for _, a := range ofKind(Probe, s.tick(0.05)) {
+			s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: outcome})
 		}
-		if i == 300 && usable(x) {
-			t.Fatal("a silent searcher counts as usable")
+		if i == 300 && usable(b) {
+			t.Fatal("an unresponsive backend counts as usable")
 		}
 	}
-	if !usable(x) || x.latency == 0 || s.m.slowStartFactor(x) < 1 {
-		t.Errorf("usable %v, latency %v, warmth %v after it answered", usable(x), x.latency, s.m.slowStartFactor(x))
+	if !usable(b) || b.latency == 0 || s.aggregator.slowStartFactor(b) < 1 {
+		t.Errorf("after an answer: usable %v, latency %v, slow start factor %v", usable(b), b.latency, s.aggregator.slowStartFactor(b))
 	}
-	quiet := x.unansweredSince
+	unansweredSince := b.unansweredSince
 	s.step(0.001, Event{Kind: ProbeEnded, Backend: 1, Outcome: Rejected})
-	if x.probeFailed || x.unansweredSince != quiet {
-		t.Error("a probe turned away counts as silence")
+	if b.probeFailed || b.unansweredSince != unansweredSince {
+		t.Error("a rejected probe counts as unanswered")
 	}
 }
 
-// At a few hot cells calls were taken back towards siblings with the same long queue, over and over.
+// Guards against a fault in which calls of overloaded cells were canceled repeatedly in favor of siblings with equally long
+// queues.
 func TestCallIsHedgedOnlyToALiveSibling(t *testing.T) {
-	for _, alive := range []bool{true, false} {
-		s := newScene(t, func(set *Settings) { set.Limits.Probe = true })
+	for _, siblingAlive := range []bool{true, false} {
+		s := newFixture(t, func(set *Settings) { set.Limits.Probe = true })
 		warmUp(s)
-		s.take(30, 1)
-		backs := 0
+		s.receive(30, 1)
+		cancels := 0
 		for range 100 {
-			done := s.tick(0.05)
-			backs += len(only(Cancel, done))
-			for _, a := range only(Probe, done) {
-				if alive {
+			actions := s.tick(0.05)
+			cancels += len(ofKind(Cancel, actions))
+			for _, a := range ofKind(Probe, actions) {
+				if siblingAlive {
 					s.step(0.001, Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered, Elapsed: 0.2})
 				}
 			}
 		}
-		if (backs > 0) != alive {
-			t.Errorf("sibling alive %v: %d calls taken back", alive, backs)
+		if (cancels > 0) != siblingAlive {
+			t.Errorf("sibling alive %v: %d calls canceled", siblingAlive, cancels)
 		}
 	}
 }
 
-// Connections that break at once after a pause: once that was taken for a fault of every backend.
+// Guards against a fault in which connections that broke immediately after an idle time counted as faults of their backends.
 func TestConnectionThatBreaksAfterIdlingIsClosed(t *testing.T) {
-	s := newScene(t, nil, Entry{Backend: 1})
+	s := newFixture(t, nil, Entry{Backend: 1})
 	warmUp(s)
 	closed := 0
 	for range 20 {
 		s.now++
-		p, done := s.take(6, 1)
+		subqueries, actions := s.receive(6, 1)
 		outcome := Broken
-		if len(only(CloseIdle, done)) > 0 {
+		if len(ofKind(CloseIdle, actions)) > 0 {
 			closed, outcome = closed+1, Answered
 		}
-		s.serve(s.end(0.005, p[0], 1, outcome, 0.005), 0.1, 0.1) // the further call, at once, finds a new connection
+		s.answerAll(s.endCall(0.005, subqueries[0], 1, outcome, 0.005), 0.1, 0.1) // the immediate retry uses a new connection
 	}
-	if f := s.m.backends[1].faults[0].sum; closed < 15 || f > 0.1 {
-		t.Errorf("closed %d times of 20, fault %.2f", closed, f)
+	if faults := s.aggregator.backends[1].faults[0].sum; closed < 15 || faults > 0.1 {
+		t.Errorf("connection closed before %d of 20 calls, faults %.2f", closed, faults)
 	}
 }
 
-// A quarter of the backends gone: what a query can do without must not hold its other parts.
-func TestSubqueriesGoWhereEnoughCanBeReached(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Layout.Cells, set.Indexes[0].Minimum = 2, 0.4 },
+// Dispensable subqueries without a reachable replica must not delay the other subqueries of a query.
+func TestSubqueriesAreSentWhileEnoughShardsAreReachable(t *testing.T) {
+	s := newFixture(t, func(set *Settings) { set.Layout.Cells, set.Indexes[0].Minimum = 2, 0.4 },
 		Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
-	s.m.markUnreachable(s.m.backends[2])
-	if _, done := s.take(6, 1, 1); len(only(Send, done)) != 1 {
-		t.Errorf("got %v", done)
+	s.aggregator.markUnreachable(s.aggregator.backends[2])
+	if _, actions := s.receive(6, 1, 1); len(ofKind(Send, actions)) != 1 {
+		t.Errorf("got %v", actions)
 	}
 }
 
-// Backends of one location fail by turns, each called seldom: what others there did counts for one not yet known,
-// and its own answers outweigh that.
-func TestFaultsOfALocationCountUntilABackendIsKnown(t *testing.T) {
-	s := newScene(t, nil, Entry{Backend: 1, Location: 1}, Entry{Backend: 2, Location: 1}, Entry{Backend: 3})
-	m := s.m
+// Backends of one location fail in turn, and each is called rarely. The faults of the others count for a backend without
+// samples of its own. Its own answers then outweigh them.
+func TestLocationFaultsCountUntilABackendHasOwnSamples(t *testing.T) {
+	s := newFixture(t, nil, Entry{Backend: 1, Location: 1}, Entry{Backend: 2, Location: 1}, Entry{Backend: 3})
+	aggregator := s.aggregator
 	for range 20 {
-		m.recordFault(m.backends[1], 0, 1)
-		m.recordFault(m.backends[3], 0, 0)
+		aggregator.recordFault(aggregator.backends[1], 0, 1)
+		aggregator.recordFault(aggregator.backends[3], 0, 0)
 	}
-	if a, b := m.faultShare(m.backends[2], 0), m.faultShare(m.backends[3], 0); a < 0.5 || b > 0.05 {
-		t.Errorf("unknown one beside faulty ones %.2f, sound one elsewhere %.2f", a, b)
+	if unknown, healthy := aggregator.faultShare(aggregator.backends[2], 0), aggregator.faultShare(aggregator.backends[3], 0); unknown < 0.5 || healthy > 0.05 {
+		t.Errorf("fault share: %.2f for a backend without samples in a faulty location, %.2f for a healthy one elsewhere", unknown, healthy)
 	}
 	for range 4 {
-		m.recordFault(m.backends[2], 0, 0)
+		aggregator.recordFault(aggregator.backends[2], 0, 0)
 	}
-	if a := m.faultShare(m.backends[2], 0); a > 0.2 {
-		t.Errorf("%.2f after its own answers", a)
+	if unknown := aggregator.faultShare(aggregator.backends[2], 0); unknown > 0.2 {
+		t.Errorf("fault share %.2f after answers of the backend itself", unknown)
 	}
 }
 
-// In troubled times a part goes to the holder that first gives a sign of life, not to one that may be dead.
-// A backend at home that fails most calls, and quickly, must not look cheaper than crossing to its sibling.
-func TestCrossingLocationsIsCheaperThanFaultsAtHome(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Prices.CrossLocation = 0.05 }, Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
+// A local backend that quickly fails most calls must not look cheaper than its sibling in another location.
+func TestCrossingLocationsCostsLessThanLocalFaults(t *testing.T) {
+	s := newFixture(t, func(set *Settings) { set.Prices.CrossLocation = 0.05 }, Entry{Backend: 1}, Entry{Backend: 2, Location: 1})
 	warmUp(s)
-	home, away := s.m.backends[1], s.m.backends[2]
-	home.latency, away.latency, home.latencyUpdatedAt, away.latencyUpdatedAt = s.m.medianLatency/4, s.m.medianLatency, s.now, s.now
-	subqueries, _ := s.take(6, 1)
-	p := s.m.subqueries[subqueries[0]]
-	if s.m.cost(p, home) > s.m.cost(p, away) {
-		t.Fatal("crosses from a sound searcher")
+	local, remote := s.aggregator.backends[1], s.aggregator.backends[2]
+	local.latency, remote.latency, local.latencyUpdatedAt, remote.latencyUpdatedAt = s.aggregator.medianLatency/4, s.aggregator.medianLatency, s.now, s.now
+	subqueries, _ := s.receive(6, 1)
+	sub := s.aggregator.subqueries[subqueries[0]]
+	if s.aggregator.cost(sub, local) > s.aggregator.cost(sub, remote) {
+		t.Fatal("the remote backend costs less than a healthy local one")
 	}
 	for i := range 40 {
-		s.m.recordFault(home, 0, indicator(i%5 > 0))
+		s.aggregator.recordFault(local, 0, indicator(i%5 > 0))
 	}
-	if s.m.cost(p, home) < s.m.cost(p, away) {
-		t.Fatalf("stays where %.0f%% of the calls fail", 100*s.m.faultShare(home, 0))
+	if s.aggregator.cost(sub, local) < s.aggregator.cost(sub, remote) {
+		t.Fatalf("a local backend that fails %.0f%% of the calls costs less than the remote one", 100*s.aggregator.faultShare(local, 0))
 	}
 }
 
+// If many calls fail or are slow, a subquery goes to the replica that first answers a probe, not to one that may be dead.
 func TestProbesBeforeSendingWhenBackendsAreUnhealthy(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.Probe = true })
+	s := newFixture(t, func(set *Settings) { set.Limits.Probe = true })
 	warmUp(s)
 	s.now += 3
 	for range 30 {
-		s.m.unhealthyShare.add(1, s.now, unhealthyDecay*s.m.longestSoftDeadline)
+		s.aggregator.unhealthyShare.add(1, s.now, unhealthyDecay*s.aggregator.longestSoftDeadline)
 	}
-	p, done := s.take(6, 1)
-	if len(only(Send, done)) != 0 || len(only(Probe, done)) != 2 {
-		t.Fatalf("expected both holders asked and nothing sent, got %v", done)
+	subqueries, actions := s.receive(6, 1)
+	if len(ofKind(Send, actions)) != 0 || len(ofKind(Probe, actions)) != 2 {
+		t.Fatalf("got %v, expected probes of both replicas and no send", actions)
 	}
-	done = only(Send, s.step(0.01, Event{Kind: ProbeEnded, Backend: 2, Outcome: Answered}))
-	if len(done) != 1 || done[0].Subquery != p[0] || done[0].Backend != 2 {
-		t.Errorf("got %v", done)
+	actions = ofKind(Send, s.step(0.01, Event{Kind: ProbeEnded, Backend: 2, Outcome: Answered}))
+	if len(actions) != 1 || actions[0].Subquery != subqueries[0] || actions[0].Backend != 2 {
+		t.Errorf("got %v", actions)
 	}
 }
 
-// Scores of aggregators with a window of one each make a long queue: windows go below one, and the rest waits its turn.
-func TestLongQueuesShrinkTheWindow(t *testing.T) {
-	s := newScene(t, nil, Entry{Backend: 1})
+// Many aggregators with a window of one call each cause a long queue, so windows must shrink below one call.
+func TestSlowAnswersShrinkTheWindowBelowOneCall(t *testing.T) {
+	s := newFixture(t, nil, Entry{Backend: 1})
 	warmUp(s)
 	for range 12 {
-		p, _ := s.take(6, 1)
-		s.end(1.5, p[0], 1, Answered, 1.5)
+		subqueries, _ := s.receive(6, 1)
+		s.endCall(1.5, subqueries[0], 1, Answered, 1.5)
 	}
-	if w := s.m.backends[1].window; w >= 1 {
+	if w := s.aggregator.backends[1].window; w >= 1 {
 		t.Errorf("window %.2f", w)
 	}
 }
 
-// A client's last try gives all that is left, often more than its first ones gave: once such a one was seen, first
-// tries were taken for late ones and nacked on arrival.
+// A client's last attempt states the whole remaining time, which is often longer than the timeout of its first attempts.
+// Guards against a fault in which, after such an attempt, first attempts were mistaken for late ones and rejected on receipt.
 func TestSoftDeadlineCountsFromTheFirstAttempt(t *testing.T) {
-	s := newScene(t, func(set *Settings) { set.Limits.MaxAttempts = 1 })
-	for i, c := range []struct{ left, spent float64 }{
+	s := newFixture(t, func(set *Settings) { set.Limits.MaxAttempts = 1 })
+	for i, c := range []struct{ remaining, elapsed float64 }{
 		{3.74, 0}, {3.75, 0}, {5.99, 0.01}, {3.75, 0}, {5, 1}, {5, 1}, {3.73, 0}, {2.2, 3.8}, {3.76, 0},
 	} {
-		s.take(c.left, 0.1)
-		lk := s.m.queries[QueryNo(s.next)]
-		if lk == nil {
-			t.Fatalf("try %d was nacked on arrival", i)
+		s.receive(c.remaining, 0.1)
+		q := s.aggregator.queries[QueryNo(s.lastID)]
+		if q == nil {
+			t.Fatalf("attempt %d was rejected on receipt", i)
 		}
-		if got := s.now + 2 - lk.softDeadline; math.Abs(got-c.spent) > 1e-9 {
-			t.Fatalf("try %d, which gives %g s: %g s are taken for spent, expected %g", i, c.left, got, c.spent)
+		if got := s.now + 2 - q.softDeadline; math.Abs(got-c.elapsed) > 1e-9 {
+			t.Fatalf("attempt %d with %g s remaining: %g s assumed to have elapsed, expected %g", i, c.remaining, got, c.elapsed)
 		}
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -2,38 +2,39 @@
 
 import "testing"
 
-// After a moment in which all calls took long nothing is out and every backend is idle. Who turns every query away hears of no
-// backend again: what was heard in that moment has to fade by itself, or queries are turned away for good.
-func TestRecoversFromAMomentOfOverload(t *testing.T) {
-	s := newScene(t, func(set *Settings) {
+// Guards against an aggregator that rejects all queries forever after a short overload. Once the slow calls have ended, no call
+// is in flight and all backends are idle. An aggregator that rejects every query gets no new latency samples, so the high
+// estimates must decay without them.
+func TestAdmissionRecoversFromAShortOverload(t *testing.T) {
+	s := newFixture(t, func(set *Settings) {
 		set.Indexes[0].Soft, set.Indexes[0].Hard, set.Indexes[0].Minimum = 0.5, 2, 0.5
 		set.Indexes = append(set.Indexes, set.Indexes[0])
 		set.Indexes[1].Value = 3
 	})
 	for range 20 {
-		s.serve(only(Send, actionsOf(s.take(2, 1))), 0.003, 0.003)
+		s.answerAll(ofKind(Send, actionsOf(s.receive(2, 1))), 0.003, 0.003)
 	}
-	var out []Action
-	for range 40 { // taken at once, so that they run while latencies are still thought short
-		_, done := s.take(2, 1)
-		out = append(out, only(Send, done)...)
+	var sends []Action
+	for range 40 { // all at once, so that they are sent while latency estimates are still low
+		_, actions := s.receive(2, 1)
+		sends = append(sends, ofKind(Send, actions)...)
 	}
-	for i := 0; i < len(out); i++ {
-		a := out[i]
-		out = append(out, only(Send, s.end(1, a.Subquery, a.Backend, Answered, 0.9))...)
+	for i := 0; i < len(sends); i++ {
+		a := sends[i]
+		sends = append(sends, ofKind(Send, s.endCall(1, a.Subquery, a.Backend, Answered, 0.9))...)
 	}
 	s.tick(5)
-	refused, asked := 0, 0
+	rejected, queries := 0, 0
 	for range 3600 {
 		s.tick(1)
-		_, done := s.take(2, 1)
-		asked++
-		if len(only(Nack, done)) > 0 {
-			refused++
+		_, actions := s.receive(2, 1)
+		queries++
+		if len(ofKind(Nack, actions)) > 0 {
+			rejected++
 		}
-		s.serve(only(Send, done), 0.003, 0.003)
+		s.answerAll(ofKind(Send, actions), 0.003, 0.003)
 	}
-	if refused > 0 {
-		t.Errorf("%d of %d lookups in the hour after are turned away; average %.3f, usual %.4f", refused, asked, s.m.averageLatency, s.m.medianLatency)
+	if rejected > 0 {
+		t.Errorf("%d of %d queries in the following hour were rejected; average latency %.3f, median %.4f", rejected, queries, s.aggregator.averageLatency, s.aggregator.medianLatency)
 	}
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -7,71 +7,71 @@
 	"testing"
 )
 
-// contracts keeps a test's own records of which zones each query is kept to, and of backends that moved.
-type contracts struct {
-	zones map[QueryID]*Zones
-	moved map[BackendID]bool
+// zonesChecker records the zones of each query and the backends that changed their location.
+type zonesChecker struct {
+	zones     map[QueryID]*Zones
+	relocated map[BackendID]bool
 }
 
-// randomZones draws a set of the world's two locations, at times of none at all.
+// randomZones returns a random subset of the simulation's two locations, which may be empty.
 func randomZones(rng *rand.Rand) *Zones {
-	z := NewZones()
-	for at := range 2 {
+	zones := NewZones()
+	for location := range 2 {
 		if rng.IntN(2) == 0 {
-			z.Allow(LocationID(at))
+			zones.Allow(LocationID(location))
 		}
 	}
-	return z
+	return zones
 }
 
-// runZoned plays a world in which two in three queries are kept to zones, some of them to others while they are held, where
-// backends change their location under their number, with overrides and others' judgements at random; told is how each
-// patch reaches the instance.
-func runZoned(seed uint64, change func(*Overrides) *Overrides) error {
-	e, rng := newEmulation(seed), rand.New(rand.NewPCG(seed, 9))
-	c := &contracts{zones: map[QueryID]*Zones{}, moved: map[BackendID]bool{}}
-	o := &overrides{out: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
-	e.zoned = func(a *clientQuery) *Zones {
+// runWithZones runs a simulation in which two of three queries have zones. Zones of open queries change, backends change their
+// location, and there are random overrides and peer observations. The function deliver returns the change that reaches the
+// instance.
+func runWithZones(seed uint64, deliver func(*Overrides) *Overrides) error {
+	e, rng := newSimulation(seed), rand.New(rand.NewPCG(seed, 9))
+	checker := &zonesChecker{zones: map[QueryID]*Zones{}, relocated: map[BackendID]bool{}}
+	overrideRecords := &overrideChecker{excluded: map[BackendID]map[IndexID]bool{}, pins: map[pinKey]PinOverride{}}
+	e.zonesFor = func(q *clientQuery) *Zones {
 		if rng.IntN(3) > 0 {
-			c.zones[a.event.Query] = randomZones(rng)
+			checker.zones[q.event.Query] = randomZones(rng)
 		}
-		return c.zones[a.event.Query]
+		return checker.zones[q.event.Query]
 	}
-	e.extra = func(e *emulation) (events []Event) {
-		patch := &Overrides{}
+	e.extraEvents = func(e *simulation) (events []Event) {
+		changes := &Overrides{}
 		if rng.IntN(30) == 0 {
-			patch = o.draw(e)
+			changes = overrideRecords.randomChange(e)
 		}
 		if rng.IntN(20) == 0 {
-			for id, a := range e.queries {
-				if z := c.zones[id]; z != nil && !a.ended {
-					c.zones[id] = randomZones(rng)
-					patch.Zones = append(patch.Zones, ZonesOverride{id, c.zones[id]})
+			for id, q := range e.queries {
+				if zones := checker.zones[id]; zones != nil && !q.ended {
+					checker.zones[id] = randomZones(rng)
+					changes.Zones = append(changes.Zones, ZonesOverride{id, checker.zones[id]})
 				}
 			}
 		}
 		if rng.IntN(20) == 0 {
-			h := e.fleet[rng.IntN(len(e.fleet))]
-			patch.PeerObservations = append(patch.PeerObservations, PeerObservation{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
+			h := e.backends[rng.IntN(len(e.backends))]
+			changes.PeerObservations = append(changes.PeerObservations, PeerObservation{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
 		}
-		events = append(events, Event{Kind: OverridesChanged, Override: change(patch)})
-		if h := e.fleet[rng.IntN(len(e.fleet))]; rng.IntN(400) == 0 && h.knownPhase != Removed && h.named {
-			h.entry.Location, c.moved[h.entry.Backend] = 1-h.entry.Location, true
+		events = append(events, Event{Kind: OverridesChanged, Override: deliver(changes)})
+		if h := e.backends[rng.IntN(len(e.backends))]; rng.IntN(400) == 0 && h.reportedPhase != Removed && h.listed {
+			h.entry.Location, checker.relocated[h.entry.Backend] = 1-h.entry.Location, true
 			events = append(events, Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{h.entry}})
 		}
 		return events
 	}
-	e.renamed = func(id BackendID) { delete(o.out, id); delete(c.moved, id) }
-	e.sabotage = func(e *emulation, actions []Action) []Action {
+	e.onRemoved = func(id BackendID) { delete(overrideRecords.excluded, id); delete(checker.relocated, id) }
+	e.interceptActions = func(e *simulation, actions []Action) []Action {
 		for _, a := range actions {
 			if a.Kind != Send {
 				continue
 			}
-			lk := e.subqueries[a.Subquery].query.event.Query
-			if z := c.zones[lk]; z != nil && c.moved[a.Backend] {
-				e.fail("zones: part %d goes to %d, which has moved", a.Subquery, a.Backend)
-			} else if !z.Allows(e.host(a.Backend).entry.Location) {
-				e.fail("zones: part %d goes to %d outside", a.Subquery, a.Backend)
+			queryID := e.subqueries[a.Subquery].query.event.Query
+			if zones := checker.zones[queryID]; zones != nil && checker.relocated[a.Backend] {
+				e.fail("zones: subquery %d was sent to %d, which has changed its location", a.Subquery, a.Backend)
+			} else if !zones.Allows(e.backendByID(a.Backend).entry.Location) {
+				e.fail("zones: subquery %d was sent to %d, which is outside its zones", a.Subquery, a.Backend)
 			}
 		}
 		return actions
@@ -79,67 +79,68 @@
 	return e.run(25).err
 }
 
-// Under any contracts the six rules hold, and no part call goes outside of its query's zones: first, further, second copy,
-// second step, pinned, or held while the zones change.
+// With any zones, the six rules hold, and no call leaves the zones of its query. This includes retries, hedged requests, second
+// steps, pinned subqueries, and subqueries that are pending while the zones change.
 func FuzzZones(f *testing.F) {
 	for seed := range uint64(80) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if err := runZoned(seed, func(o *Overrides) *Overrides { return o }); err != nil {
+		if err := runWithZones(seed, func(o *Overrides) *Overrides { return o }); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// The check is seen to fail where an instance is not told that zones have changed.
+// Verifies that the check of zones can fail, by not passing changes of zones to the instance.
 func TestCheckerFindsIgnoredZones(t *testing.T) {
 	for seed := range uint64(20) {
-		err := runZoned(seed, func(o *Overrides) *Overrides { return &Overrides{Backends: o.Backends, Pins: o.Pins} })
+		err := runWithZones(seed, func(o *Overrides) *Overrides { return &Overrides{Backends: o.Backends, Pins: o.Pins} })
 		if err != nil && strings.Contains(err.Error(), "zones:") {
 			return
 		}
 	}
-	t.Error("nobody saw it")
+	t.Error("no run detected the violation")
 }
 
-// What no allowed backend holds is answered at once: refused, or in part where the index lets an answer do without it.
-func TestZonesWithoutAReplica(t *testing.T) {
+// A query with a shard that no backend in its zones holds ends immediately. It is rejected, or answered in part if the index
+// permits an answer without that shard.
+func TestQueryWithoutAReplicaInItsZonesEndsImmediately(t *testing.T) {
 	entries := []Entry{{Backend: 1, Location: 0}, {Backend: 2, Cell: 1, Location: 1}}
-	for floor, want := range map[float64]ActionKind{1: Nack, 0.5: Answer} {
-		s := newScene(t, func(set *Settings) { set.Layout = Layout{Cells: 2, Width: 1}; set.Indexes[0].Minimum = floor }, entries...)
-		north := NewZones()
-		north.Allow(0)
+	for minimum, expected := range map[float64]ActionKind{1: Nack, 0.5: Answer} {
+		s := newFixture(t, func(set *Settings) { set.Layout = Layout{Cells: 2, Width: 1}; set.Indexes[0].Minimum = minimum }, entries...)
+		zones := NewZones()
+		zones.Allow(0)
 		no := QueryNo(77)
-		events := []Event{{Kind: QueryReceived, Query: 77, No: no, Subqueries: 2, Remaining: 3, Zones: north}}
+		events := []Event{{Kind: QueryReceived, Query: 77, No: no, Subqueries: 2, Remaining: 3, Zones: zones}}
 		for i := range 2 {
 			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(700 + i), No: no, Shard: ShardID(i), Weight: 0.5})
 		}
 		actions := s.step(0.005, events...)
-		for _, a := range only(Send, actions) {
+		for _, a := range ofKind(Send, actions) {
 			if a.Backend != 1 {
-				t.Errorf("floor %g: part %d goes to %d", floor, a.Subquery, a.Backend)
+				t.Errorf("minimum %g: subquery %d was sent to %d", minimum, a.Subquery, a.Backend)
 			}
-			actions = append(actions, s.end(0.01, a.Subquery, 1, Answered, 0.01)...)
+			actions = append(actions, s.endCall(0.01, a.Subquery, 1, Answered, 0.01)...)
 		}
-		if got := only(want, actions); len(got) != 1 {
-			t.Errorf("floor %g: %s", floor, fmt.Sprint(actions))
+		if got := ofKind(expected, actions); len(got) != 1 {
+			t.Errorf("minimum %g: got %s", minimum, fmt.Sprint(actions))
 		}
 	}
 }
 
-// What others found slow is passed over by an aggregator that knows nobody, and is used again where its siblings are gone.
-func TestPeerObservations(t *testing.T) {
+// An aggregator without samples avoids a backend that peers observed to be slow, but uses it if its siblings are removed.
+func TestPeerObservationsApplyWithoutOwnSamples(t *testing.T) {
 	entries := []Entry{{Backend: 1}, {Backend: 2}}
-	judge := func(times, until float64) Event {
-		return Event{Kind: OverridesChanged, Override: &Overrides{PeerObservations: []PeerObservation{{1, times, until}}}}
+	observe := func(multiple, until float64) Event {
+		return Event{Kind: OverridesChanged, Override: &Overrides{PeerObservations: []PeerObservation{{1, multiple, until}}}}
 	}
-	first := func(events ...Event) (n int) {
+	callsToFirst := func(events ...Event) (n int) {
 		for seed := range uint64(20) {
-			s := newScene(t, func(set *Settings) { set.Seed = seed; set.Layout = Layout{Cells: 1, Width: 1} }, entries...)
+			s := newFixture(t, func(set *Settings) { set.Seed = seed; set.Layout = Layout{Cells: 1, Width: 1} }, entries...)
 			s.step(0.005, events...)
-			_, done := s.take(3, 0.1)
-			for _, a := range only(Send, done) {
+			_, actions := s.receive(3, 0.1)
+			for _, a := range ofKind(Send, actions) {
 				if a.Backend == 1 {
 					n++
 				}
@@ -147,17 +148,17 @@
 		}
 		return n
 	}
-	if n := first(judge(8, 1e9)); n > 0 {
-		t.Errorf("of 20 mixers that know nobody %d go to the searcher that others found slow", n)
+	if n := callsToFirst(observe(8, 1e9)); n > 0 {
+		t.Errorf("%d of 20 aggregators without samples chose the backend that peers observed to be slow", n)
 	}
-	if n := first(); n == 0 || n == 20 {
-		t.Errorf("of 20 mixers that know nobody %d go to the first of two", n)
+	if n := callsToFirst(); n == 0 || n == 20 {
+		t.Errorf("%d of 20 aggregators without samples chose the first of two backends, expected some", n)
 	}
-	if n := first(judge(8, 0)); n == 0 {
-		t.Error("a judgement that is over still counts")
+	if n := callsToFirst(observe(8, 0)); n == 0 {
+		t.Error("an expired peer observation is still applied")
 	}
-	gone := Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{{Backend: 2, Phase: Removed}}}
-	if n := first(judge(1000, 1e9), gone); n != 20 {
-		t.Errorf("the only holder gets %d of 20 first parts because others found it slow", n)
+	removal := Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{{Backend: 2, Phase: Removed}}}
+	if n := callsToFirst(observe(1000, 1e9), removal); n != 20 {
+		t.Errorf("the only replica got %d of 20 subqueries after peers observed it to be slow", n)
 	}
 }
