--- a/policy/binding.go
+++ b/policy/binding.go
@@ -133,8 +133,8 @@
 func (a *Aggregator) bind(sub *subquery) {
 	a.sendOrderStale = true
 	a.assign(sub, a.chooseByWeight(sub))
-	excluded := func(b *backend) bool { return !a.mayServe(sub, b) } // without a replica that may serve it, the subquery is abandoned immediately
-	if sub.backend == nil && (sub.attempts > 0 || slices.ContainsFunc(a.replicasOf(sub), excluded)) {
+	mayNotServe := func(b *backend) bool { return !a.mayServe(sub, b) } // if overrides or zones leave no replica, the subquery is abandoned immediately
+	if sub.backend == nil && (sub.attempts > 0 || slices.ContainsFunc(a.replicasOf(sub), mayNotServe)) {
 		a.applyToSubquery(sub, onAbandon)
 	}
 }
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -30,9 +30,9 @@
 	type breaker func(*simulation, Action) []Action
 	redirect := func(chosen func(*simulation, *simulatedBackend) bool) breaker { // sends to another backend of the same cell
 		return func(e *simulation, a Action) []Action {
-			for _, h := range e.backends {
-				if a.Kind == Send && h.listed && h.entry.Cell == e.backendByID(a.Backend).entry.Cell && chosen(e, h) {
-					a.Backend = h.entry.Backend
+			for _, b := range e.backends {
+				if a.Kind == Send && b.listed && b.entry.Cell == e.backendByID(a.Backend).entry.Cell && chosen(e, b) {
+					a.Backend = b.entry.Backend
 				}
 			}
 			return []Action{a}
@@ -64,10 +64,10 @@
 		},
 		"duplicate": duplicate(AtMostOnce),
 		"budget":    duplicate(Idempotent),
-		"drain": redirect(func(e *simulation, h *simulatedBackend) bool {
-			return h.unavailableAt > 0 && e.now > h.unavailableAt+e.settings.Rules.DrainGrace
+		"drain": redirect(func(e *simulation, b *simulatedBackend) bool {
+			return b.unavailableAt > 0 && e.now > b.unavailableAt+e.settings.Rules.DrainGrace
 		}),
-		"slow start": redirect(func(_ *simulation, h *simulatedBackend) bool { return h.reportedStart > 0 && h.unavailableAt == 0 }),
+		"slow start": redirect(func(_ *simulation, b *simulatedBackend) bool { return b.reportedStart > 0 && b.unavailableAt == 0 }),
 		"minimum": func(_ *simulation, a Action) []Action {
 			if a.Kind == Nack || a.Kind == Abort {
 				a.Kind = Answer
--- a/policy/override_test.go
+++ b/policy/override_test.go
@@ -34,9 +34,9 @@
 			if rng.IntN(20) > 0 {
 				return nil
 			}
-			h, index := e.backends[rng.IntN(len(e.backends))], IndexID(rng.IntN(len(e.settings.Indexes)))
+			b, index := e.backends[rng.IntN(len(e.backends))], IndexID(rng.IntN(len(e.settings.Indexes)))
 			return []Event{{Kind: OverridesChanged, Override: &Overrides{
-				Backends: []BackendOverride{{Backend: h.entry.Backend, Index: index, Weight: w}},
+				Backends: []BackendOverride{{Backend: b.entry.Backend, Index: index, Weight: w}},
 				Pins:     []PinOverride{{Shard: ShardID(rng.IntN(40)), Index: index}}}}}
 		}
 	}
@@ -58,12 +58,12 @@
 // randomChange records and returns a random change of overrides.
 func (o *overrideChecker) randomChange(e *simulation) *Overrides {
 	change := &Overrides{}
-	h, index := e.backends[e.rng.IntN(len(e.backends))], IndexID(e.rng.IntN(len(e.settings.Indexes)))
-	if b := e.aggregator.backends[h.entry.Backend]; b == nil || b.removed {
+	simulated, index := e.backends[e.rng.IntN(len(e.backends))], IndexID(e.rng.IntN(len(e.settings.Indexes)))
+	if b := e.aggregator.backends[simulated.entry.Backend]; b == nil || b.removed {
 		return change // overrides of backends that are not in the list are ignored
 	}
 	if e.rng.IntN(2) == 0 {
-		override := BackendOverride{Backend: h.entry.Backend, Index: index, Excluded: e.rng.IntN(3) == 0, Weight: 1 - 0.9*e.rng.Float64()}
+		override := BackendOverride{Backend: simulated.entry.Backend, Index: index, Excluded: e.rng.IntN(3) == 0, Weight: 1 - 0.9*e.rng.Float64()}
 		if o.excluded[override.Backend] == nil {
 			o.excluded[override.Backend] = map[IndexID]bool{}
 		}
@@ -71,7 +71,7 @@
 		change.Backends = append(change.Backends, override)
 	} else {
 		shard := ShardID(e.rng.IntN(40))
-		pin := PinOverride{Shard: shard, Index: index, Backend: h.entry.Backend, Strict: e.rng.IntN(2) == 0, Share: 1}
+		pin := PinOverride{Shard: shard, Index: index, Backend: simulated.entry.Backend, Strict: e.rng.IntN(2) == 0, Share: 1}
 		if e.rng.IntN(3) == 0 {
 			pin.Backend = 0
 		}
@@ -94,7 +94,7 @@
 	if pin.Backend == 0 || !pin.Strict || pin.Backend == a.Backend || o.excluded[pin.Backend][event.Index] {
 		return
 	}
-	if h := e.backendByID(pin.Backend); h.reportedPhase != Draining { // the reported phase, as a failed list reports no change
+	if b := e.backendByID(pin.Backend); b.reportedPhase != Draining { // the reported phase, as a failed list reports no change
 		e.fail("strict pin: subquery %d was sent to %d and not to %d", a.Subquery, a.Backend, pin.Backend)
 	}
 }
--- a/policy/queries.go
+++ b/policy/queries.go
@@ -183,7 +183,7 @@
 	if a.indexes[q.index].effect != Idempotent && (q.firstStepDone || slices.ContainsFunc(q.subqueries, (*subquery).mayHaveExecuted)) {
 		action.Kind = Abort
 	} else if a.settings.Limits.RetryAfter {
-		action.Wait = min(a.settings.Limits.MaxRetryAfter, 2*a.expectedLatency(nil, q.index)) // the latency is also known before the first answer
+		action.Wait = min(a.settings.Limits.MaxRetryAfter, 2*a.expectedLatency(nil, q.index)) // expectedLatency also has a value before the first answer
 	}
 	a.emit(action)
 	a.removeQuery(q)
--- a/policy/records.go
+++ b/policy/records.go
@@ -129,8 +129,8 @@
 	anyAnswered                     bool // some call was answered
 	openSubqueries                  int  // subqueries that are neither answered nor abandoned
 	assignments                     []assignment
-	pendingCalls                    float64
-	zones                           *Zones // locations that may serve it
+	pendingCalls                    float64 // number of calls pending for it
+	zones                           *Zones  // locations that may serve it
 }
 
 // assignment is the number of a query's subqueries that are pending for a backend.
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -129,13 +129,13 @@
 			events = append(events, e.newQuery()...)
 		}
 		if e.rng.IntN(200) == 0 {
-			h := e.backends[e.rng.IntN(len(e.backends))]
-			h.fault = max(0, e.rng.IntN(9)-4)
+			b := e.backends[e.rng.IntN(len(e.backends))]
+			b.fault = max(0, e.rng.IntN(9)-4)
 			switch e.rng.IntN(6) {
 			case 0:
-				h.entry.Phase = Phase(e.rng.IntN(3))
+				b.entry.Phase = Phase(e.rng.IntN(3))
 			case 1:
-				h.entry.Phase, h.entry.StartedAt = Ready, e.now
+				b.entry.Phase, b.entry.StartedAt = Ready, e.now
 			}
 			events = append(events, e.listEvent(ListKind(e.rng.IntN(4))))
 		}
@@ -149,9 +149,9 @@
 	if kind == ListFailed {
 		return event
 	}
-	for _, h := range e.backends {
-		if kind == ListPatch || h.entry.Phase != Removed {
-			event.Entries = append(event.Entries, h.entry)
+	for _, b := range e.backends {
+		if kind == ListPatch || b.entry.Phase != Removed {
+			event.Entries = append(event.Entries, b.entry)
 		}
 	}
 	return event
@@ -159,24 +159,24 @@
 
 // applyList records what a list event reports to the instance.
 func (e *simulation) applyList(event Event) {
-	for _, h := range e.backends {
-		i := slices.IndexFunc(event.Entries, func(r Entry) bool { return r.Backend == h.entry.Backend })
+	for _, b := range e.backends {
+		i := slices.IndexFunc(event.Entries, func(r Entry) bool { return r.Backend == b.entry.Backend })
 		switch {
 		case event.List == ListFailed || i < 0 && event.List == ListPatch:
 			continue
 		case i < 0 || event.Entries[i].Phase != Ready:
-			h.unavailableAt = cmp.Or(h.unavailableAt, e.now)
+			b.unavailableAt = cmp.Or(b.unavailableAt, e.now)
 			if e.onRemoved != nil && (i < 0 || event.Entries[i].Phase == Removed) {
-				e.onRemoved(h.entry.Backend)
+				e.onRemoved(b.entry.Backend)
 			}
 		default:
-			h.unavailableAt = 0
+			b.unavailableAt = 0
 		}
 		if i >= 0 {
-			h.reportedPhase = event.Entries[i].Phase
-			h.listed = h.listed || event.Entries[i].Phase != Removed
-			if at := event.Entries[i].StartedAt; at > h.reportedStart {
-				h.reportedStart, h.reportedStartAt = at, e.now
+			b.reportedPhase = event.Entries[i].Phase
+			b.listed = b.listed || event.Entries[i].Phase != Removed
+			if at := event.Entries[i].StartedAt; at > b.reportedStart {
+				b.reportedStart, b.reportedStartAt = at, e.now
 			}
 		}
 	}
@@ -231,8 +231,8 @@
 	for _, a := range actions {
 		e.handleAction(a)
 	}
-	for _, h := range e.backends {
-		e.checkSlowStart(h)
+	for _, b := range e.backends {
+		e.checkSlowStart(b)
 	}
 	for _, q := range e.queries {
 		if !q.ended && e.now > q.deadline+e.settings.Rules.AnswerSlack {
@@ -249,7 +249,7 @@
 		e.scheduled = append(e.scheduled, scheduledEvent{e.now + 0.1, e.listEvent(ListComplete)})
 	case Probe:
 		event := Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered}
-		if h := e.backendByID(a.Backend); h.fault >= 2 {
+		if b := e.backendByID(a.Backend); b.fault >= 2 {
 			event.Outcome = NotConnected
 		}
 		e.scheduled = append(e.scheduled, scheduledEvent{e.now + 0.2, event})
@@ -266,7 +266,7 @@
 }
 
 func (e *simulation) backendByID(id BackendID) *simulatedBackend {
-	return e.backends[slices.IndexFunc(e.backends, func(h *simulatedBackend) bool { return h.entry.Backend == id })]
+	return e.backends[slices.IndexFunc(e.backends, func(b *simulatedBackend) bool { return b.entry.Backend == id })]
 }
 
 func (e *simulation) scheduleEnd(sub *querySubquery, callNo int, outcome Outcome, after float64) {
@@ -279,7 +279,7 @@
 }
 
 func (e *simulation) checkSend(a Action) {
-	sub, h := e.subqueries[a.Subquery], e.backendByID(a.Backend)
+	sub, b := e.subqueries[a.Subquery], e.backendByID(a.Backend)
 	index, rules := e.settings.Indexes[sub.event.Index], e.settings.Rules
 	inFlight, maybeExecuted := 0, false
 	for _, c := range sub.calls {
@@ -289,19 +289,19 @@
 		}
 	}
 	cells := e.settings.Layout.Cells
-	cellOffset := (int(h.entry.Cell) - int(sub.event.Shard)%cells + cells) % cells
+	cellOffset := (int(b.entry.Cell) - int(sub.event.Shard)%cells + cells) % cells
 	for _, c := range []struct {
 		violated bool
 		text     string
 	}{
 		{sub.query.ended || sub.closed, "lost: sent after the end of its query"},
 		{sub.answered, "sent after its answer"},
-		{cellOffset >= e.settings.Layout.Width || !h.listed, "sent to a backend that does not hold its shard"},
+		{cellOffset >= e.settings.Layout.Width || !b.listed, "sent to a backend that does not hold its shard"},
 		{inFlight > 0 && (!e.settings.Limits.Hedge || index.Effect == AtMostOnce), "duplicate: two calls in flight at the same time"},
 		{index.Effect == AtMostOnce && maybeExecuted, "duplicate: at-most-once subquery sent again"},
 		{index.Effect == Deduplicated && maybeExecuted && e.now > sub.firstSentAt+index.DedupS, "duplicate: sent again too late"},
 		{index.Effect == Deduplicated && maybeExecuted && !(a.StartBy > 0 && a.StartBy <= sub.firstSentAt+index.DedupS+1e-9), "duplicate: execution may start too late"},
-		{h.unavailableAt > 0 && e.now > h.unavailableAt+rules.DrainGrace, "drain: sent after the grace period"},
+		{b.unavailableAt > 0 && e.now > b.unavailableAt+rules.DrainGrace, "drain: sent after the grace period"},
 		{e.settings.Limits.MaxAttempts > 0 && len(sub.calls) >= e.settings.Limits.MaxAttempts, "too many calls"},
 	} {
 		if c.violated {
@@ -316,10 +316,10 @@
 		}
 	}
 	sub.firstSentAt = cmp.Or(sub.firstSentAt, e.now)
-	h.sentWork = append(h.sentWork, sentWork{e.now, workPerSubquery})
-	sub.calls = append(sub.calls, &attempt{backend: h, sentAt: e.now, inFlight: true})
+	b.sentWork = append(b.sentWork, sentWork{e.now, workPerSubquery})
+	sub.calls = append(sub.calls, &attempt{backend: b, sentAt: e.now, inFlight: true})
 	outcome, elapsed := Answered, 0.05+0.2*e.rng.Float64()
-	switch h.fault {
+	switch b.fault {
 	case 1:
 		outcome, elapsed = []Outcome{Errored, Broken, Rejected}[e.rng.IntN(3)], 0.01
 	case 2:
@@ -384,21 +384,21 @@
 
 // checkSlowStart checks that this instance sends at most its share of what a backend in slow start may get. The limit is
 // calculated from the true capacity.
-func (e *simulation) checkSlowStart(h *simulatedBackend) {
+func (e *simulation) checkSlowStart(b *simulatedBackend) {
 	rules := e.settings.Rules
-	if h.reportedStart == 0 || e.now > h.reportedStart+rules.SlowStartS {
+	if b.reportedStart == 0 || e.now > b.reportedStart+rules.SlowStartS {
 		return
 	}
 	sum := 0.0
-	for _, w := range h.sentWork {
-		if w.at > e.now-rules.OverloadWindowS && w.at >= h.reportedStartAt {
+	for _, w := range b.sentWork {
+		if w.at > e.now-rules.OverloadWindowS && w.at >= b.reportedStartAt {
 			sum += w.work
 		}
 	}
-	factor := rules.SlowStartShare + (1-rules.SlowStartShare)*(e.now-h.reportedStart)/rules.SlowStartS
+	factor := rules.SlowStartShare + (1-rules.SlowStartShare)*(e.now-b.reportedStart)/rules.SlowStartS
 	limit := rules.OverloadMultiple * factor * backendCapacity / float64(e.settings.Aggregators) * rules.OverloadWindowS
 	if sum > math.Max(limit, workPerSubquery+1e-9) {
-		e.fail("slow start: %.2f of work sent to %d, expected at most %.2f", sum, h.entry.Backend, limit)
+		e.fail("slow start: %.2f of work sent to %d, expected at most %.2f", sum, b.entry.Backend, limit)
 	}
 }
 
@@ -436,10 +436,10 @@
 	s.lastID++
 	no := QueryNo(s.lastID)
 	events := []Event{{Kind: QueryReceived, Query: QueryID(s.lastID), No: no, Subqueries: len(hints), Remaining: remaining}}
-	for _, h := range hints {
+	for _, b := range hints {
 		id := SubqueryID(1000*s.lastID) + SubqueryID(len(subqueries))
 		subqueries = append(subqueries, id)
-		events = append(events, Event{Kind: SubqueryReceived, Subquery: id, No: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: h})
+		events = append(events, Event{Kind: SubqueryReceived, Subquery: id, No: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: b})
 	}
 	return subqueries, s.step(0.005, events...)
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -51,13 +51,13 @@
 			}
 		}
 		if rng.IntN(20) == 0 {
-			h := e.backends[rng.IntN(len(e.backends))]
-			changes.PeerObservations = append(changes.PeerObservations, PeerObservation{h.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
+			b := e.backends[rng.IntN(len(e.backends))]
+			changes.PeerObservations = append(changes.PeerObservations, PeerObservation{b.entry.Backend, 50 * rng.Float64(), e.now + 3*rng.Float64()})
 		}
 		events = append(events, Event{Kind: OverridesChanged, Override: deliver(changes)})
-		if h := e.backends[rng.IntN(len(e.backends))]; rng.IntN(400) == 0 && h.reportedPhase != Removed && h.listed {
-			h.entry.Location, checker.relocated[h.entry.Backend] = 1-h.entry.Location, true
-			events = append(events, Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{h.entry}})
+		if b := e.backends[rng.IntN(len(e.backends))]; rng.IntN(400) == 0 && b.reportedPhase != Removed && b.listed {
+			b.entry.Location, checker.relocated[b.entry.Backend] = 1-b.entry.Location, true
+			events = append(events, Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{b.entry}})
 		}
 		return events
 	}
@@ -135,30 +135,30 @@
 	observe := func(multiple, until float64) Event {
 		return Event{Kind: OverridesChanged, Override: &Overrides{PeerObservations: []PeerObservation{{1, multiple, until}}}}
 	}
-	callsToFirst := func(events ...Event) (n int) {
+	callsToFirst := func(events ...Event) (calls int) {
 		for seed := range uint64(20) {
 			s := newFixture(t, func(set *Settings) { set.Seed = seed; set.Layout = Layout{Cells: 1, Width: 1} }, entries...)
 			s.step(0.005, events...)
 			_, actions := s.receive(3, 0.1)
 			for _, a := range ofKind(Send, actions) {
 				if a.Backend == 1 {
-					n++
+					calls++
 				}
 			}
 		}
-		return n
+		return calls
 	}
-	if n := callsToFirst(observe(8, 1e9)); n > 0 {
-		t.Errorf("%d of 20 aggregators without samples chose the backend that peers observed to be slow", n)
+	if calls := callsToFirst(observe(8, 1e9)); calls > 0 {
+		t.Errorf("%d of 20 aggregators without samples chose the backend that peers observed to be slow", calls)
 	}
-	if n := callsToFirst(); n == 0 || n == 20 {
-		t.Errorf("%d of 20 aggregators without samples chose the first of two backends, expected some", n)
+	if calls := callsToFirst(); calls == 0 || calls == 20 {
+		t.Errorf("%d of 20 aggregators without samples chose the first of two backends, expected some", calls)
 	}
-	if n := callsToFirst(observe(8, 0)); n == 0 {
+	if calls := callsToFirst(observe(8, 0)); calls == 0 {
 		t.Error("an expired peer observation is still applied")
 	}
 	removal := Event{Kind: ListChanged, List: ListPatch, Entries: []Entry{{Backend: 2, Phase: Removed}}}
-	if n := callsToFirst(observe(1000, 1e9), removal); n != 20 {
-		t.Errorf("the only replica got %d of 20 subqueries after peers observed it to be slow", n)
+	if calls := callsToFirst(observe(1000, 1e9), removal); calls != 20 {
+		t.Errorf("the only replica got %d of 20 subqueries after peers observed it to be slow", calls)
 	}
 }
