--- a/internal/controlplane/register/acceptor.go
+++ b/internal/controlplane/register/acceptor.go
@@ -15,43 +15,43 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// TablePrefix begins the names of the tables that hold registers.
+// TablePrefix is the prefix of the names of all tables that store registers.
 const TablePrefix = "register/"
 
-// notReadyRetry is after which time a proposer may retry at a member that is being rebuilt.
-const notReadyRetry = 200 * time.Millisecond
+// notReadyRetryDelay is the retry delay that a member sends to proposers while it is being rebuilt.
+const notReadyRetryDelay = 200 * time.Millisecond
 
-// ErrNotReady is the refusal of a member that may not vote. Proposers get it with rpcerror.NotExecuted.
+// ErrNotReady reports that a member may not vote yet. The member returns it with rpcerror.NotExecuted.
 var ErrNotReady = errors.New("member is not ready: it has lost its disk and is being rebuilt")
 
-// AcceptorConfig is what an Acceptor needs.
+// AcceptorConfig configures an Acceptor.
 type AcceptorConfig struct {
-	Name  string                 // of the register
-	Store storage.Store          // holds the table TablePrefix + Name
-	Ready func() bool            // whether this member may vote
+	Name  string                 // name of the register
+	Store storage.Store          // stores the table TablePrefix + Name
+	Ready func() bool            // reports whether this member may vote
 	View  func() replicaset.View // the current view
 }
 
-// Acceptor is one member's replica of a register. It stores each vote before it answers. Its methods may be called from any
-// goroutine.
+// Acceptor is the replica of a register on one member. It makes each vote durable before it replies. Its methods are safe for
+// concurrent use.
 type Acceptor struct {
 	config AcceptorConfig
-	// table returns the name of the store's table for a round in a view.
-	table func(viewVersion uint64) string
-	// validateValue refuses values that this member must not accept; nil where there are none.
+	// table returns the name of the table that stores the votes of a view.
+	tableName func(viewVersion uint64) string
+	// validateValue returns an error for values that this member must not accept. It is nil if every value is valid.
 	validateValue func(value []byte) error
-	voteMutex     sync.Mutex // locked while a vote is decided and stored
-	chunks        chunkCache // of large values
+	voteMutex     sync.Mutex // held while a vote is decided and stored
+	chunks        chunkCache // chunks of large values
 	lastLoaded    loadedValue
 }
 
-// NewAcceptor makes the acceptor of a register.
+// NewAcceptor returns the acceptor of a register.
 func NewAcceptor(config AcceptorConfig) *Acceptor {
 	table := TablePrefix + config.Name
-	return &Acceptor{config: config, table: func(uint64) string { return table }}
+	return &Acceptor{config: config, tableName: func(uint64) string { return table }}
 }
 
-// Serve registers the acceptor's internal calls.
+// Serve registers the handlers of the acceptor's internal calls.
 func (a *Acceptor) Serve(mux *transport.Mux) {
 	transport.Handle(mux, prepareCall(a.config.Name), a.servePrepare)
 	transport.Handle(mux, acceptCall(a.config.Name), a.accept)
@@ -61,7 +61,7 @@
 	transport.Handle(mux, fetchCall(a.config.Name), a.serveFetch)
 }
 
-// prepare promises to refuse lower proposal numbers (phase 1).
+// prepare stores a promise to refuse lower proposal numbers (phase 1).
 func (a *Acceptor) prepare(_ context.Context, request prepareRequest) (reply, error) {
 	a.voteMutex.Lock()
 	defer a.voteMutex.Unlock()
@@ -74,24 +74,24 @@
 		answer.Outcome = conflict
 		return answer, nil
 	}
-	promise, err := a.encode(request.ViewVersion, promisedKey, promised.promised)
+	promise, err := a.encodeChange(request.ViewVersion, promisedKey, promised.promised)
 	if err != nil {
 		return reply{}, err
 	}
 	if err := a.config.Store.Write(promise); err != nil {
 		return reply{}, fmt.Errorf("promise in register %s: %w", a.config.Name, err)
 	}
-	if now, err := a.checkMayVote(request.ViewVersion); err != nil || now.Outcome != granted {
-		return now, err
+	if recheck, err := a.checkMayVote(request.ViewVersion); err != nil || recheck.Outcome != granted {
+		return recheck, err
 	}
 	answer.Promised = request.ProposalNumber
-	if stored.accepted.ProposalNumber != request.Known {
+	if stored.accepted.ProposalNumber != request.CachedProposalNumber {
 		answer.State = stored.accepted.State
 	}
 	return answer, nil
 }
 
-// accept stores a state unless a higher proposal number was promised (phase 2).
+// accept stores a state unless this member has promised a higher proposal number (phase 2).
 func (a *Acceptor) accept(_ context.Context, request acceptRequest) (reply, error) {
 	a.voteMutex.Lock()
 	defer a.voteMutex.Unlock()
@@ -110,7 +110,7 @@
 		}
 	}
 	chunking := a.chunkLarge(request.State.Value)
-	promise, promiseErr := a.encode(request.ViewVersion, promisedKey, next.promised)
+	promise, promiseErr := a.encodeChange(request.ViewVersion, promisedKey, next.promised)
 	accepted, acceptedErr := a.encodeAccepted(request.ViewVersion, next.accepted, chunking)
 	if err := errors.Join(promiseErr, acceptedErr); err != nil {
 		return reply{}, err
@@ -118,32 +118,32 @@
 	if err := a.config.Store.Write(append([]storage.Change{promise}, accepted...)...); err != nil {
 		return reply{}, fmt.Errorf("accept in register %s: %w", a.config.Name, err)
 	}
-	if now, err := a.checkMayVote(request.ViewVersion); err != nil || now.Outcome != granted {
-		return now, err
+	if recheck, err := a.checkMayVote(request.ViewVersion); err != nil || recheck.Outcome != granted {
+		return recheck, err
 	}
 	answer.Promised = request.ProposalNumber
 	answer.Accepted = request.ProposalNumber
-	record := accepted[len(accepted)-1].Value // encodeAccepted puts the accepted state last
-	a.lastLoaded.set(a.table(request.ViewVersion), record, request.State.Value)
+	record := accepted[len(accepted)-1].Value // encodeAccepted returns the accepted state as the last change
+	a.lastLoaded.set(a.tableName(request.ViewVersion), record, request.State.Value)
 	a.chunks.replace(chunking, request.ProposalNumber, request.ViewVersion)
 	return answer, nil
 }
 
-// read answers with what is stored; a vote that is being written is not waited for.
+// read returns the stored state. It does not wait for a vote that is being written.
 func (a *Acceptor) read(_ context.Context, request readRequest) (reply, error) {
 	answer, stored, err := a.loadForRound(request.ViewVersion)
-	if err == nil && answer.Outcome == granted && stored.accepted.ProposalNumber != request.Known {
+	if err == nil && answer.Outcome == granted && stored.accepted.ProposalNumber != request.CachedProposalNumber {
 		answer.State = stored.accepted.State
 	}
 	return answer, err
 }
 
-// checkMayVote checks that this member may answer a proposer that works with a view; the answer's outcome is granted if so.
-// It is called again once a vote is stored: a vote that was stored after this member learned the next view counts for
-// nothing, as joining members may have copied this member's tables without it.
+// checkMayVote checks that this member may reply to a proposer with the given view. The outcome of the reply is granted if it
+// may. It is called before a vote is decided and again after the vote is stored. A vote must not count if it was stored after
+// this member learned the next view, because joining members may already have copied the tables without this vote.
 func (a *Acceptor) checkMayVote(viewVersion uint64) (reply, error) {
 	if !a.config.Ready() {
-		return reply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetry)
+		return reply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetryDelay)
 	}
 	view := a.config.View()
 	if view.Version != viewVersion {
@@ -152,7 +152,7 @@
 	return reply{Outcome: granted, View: replicaset.View{Version: view.Version}}, nil
 }
 
-// loadForRound checks that this member may answer a proposer, and loads what it has stored.
+// loadForRound checks that this member may reply to a proposer and loads the stored state.
 func (a *Acceptor) loadForRound(viewVersion uint64) (reply, acceptorState, error) {
 	answer, err := a.checkMayVote(viewVersion)
 	if err != nil || answer.Outcome != granted {
@@ -166,11 +166,11 @@
 	return answer, stored, nil
 }
 
-// encode returns the change that stores a value under a key of the table for a view.
-func (a *Acceptor) encode(viewVersion uint64, key string, value any) (storage.Change, error) {
+// encode returns the change that stores a value under a key in the table of a view.
+func (a *Acceptor) encodeChange(viewVersion uint64, key string, value any) (storage.Change, error) {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
 		return storage.Change{}, fmt.Errorf("encode %s of register %s: %w", key, a.config.Name, err)
 	}
-	return storage.Change{Table: a.table(viewVersion), Key: key, Value: encoded}, nil
+	return storage.Change{Table: a.tableName(viewVersion), Key: key, Value: encoded}, nil
 }
--- a/internal/controlplane/register/acceptordiskfull_test.go
+++ b/internal/controlplane/register/acceptordiskfull_test.go
@@ -13,27 +13,27 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-func TestAcceptorWhoseDiskRefusesWrites(t *testing.T) {
-	convey.Convey("Given an acceptor that has accepted a state, and whose disk then refuses writes", t, func() {
+func TestAcceptorWithFailingWritesStoresNoVote(t *testing.T) {
+	convey.Convey("Given an acceptor that has accepted a state and whose disk then rejects writes", t, func() {
 		store := storage.NewMemory()
 		acceptor := readyAcceptor(store, func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"a"}} })
 		first := ProposalNumber{Counter: 1, Member: "a"}
-		accepted := state{}.next([]byte("held"), first)
+		accepted := state{}.next([]byte("accepted"), first)
 		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: first, State: accepted})
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(answer.Outcome, convey.ShouldEqual, granted)
 		before := store.Snapshot()
-		store.Fail(rpcerror.WrapNotExecuted(errors.New("no room"), time.Second))
+		store.Fail(rpcerror.WrapNotExecuted(errors.New("no space left on device"), time.Second))
 
 		second := ProposalNumber{Counter: 2, Member: "b"}
 		prepare := prepareRequest{ViewVersion: 1, ProposalNumber: second}
-		accept := acceptRequest{ViewVersion: 1, ProposalNumber: second, State: accepted.next([]byte("refused"), second)}
+		accept := acceptRequest{ViewVersion: 1, ProposalNumber: second, State: accepted.next([]byte("rejected"), second)}
 		checkRefused := func(err error) {
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(rpcerror.RetryAfter(err), convey.ShouldEqual, time.Second)
 			convey.So(store.Snapshot(), convey.ShouldResemble, before)
 		}
-		convey.Convey("it promises nothing, and promises once writes succeed again", func() {
+		convey.Convey("a prepare request stores no promise and succeeds once writes succeed again", func() {
 			_, err := acceptor.prepare(context.Background(), prepare)
 			checkRefused(err)
 			store.Fail(nil)
@@ -42,14 +42,14 @@
 			convey.So(answer.Outcome, convey.ShouldEqual, granted)
 			convey.So(answer.State, convey.ShouldResemble, accepted)
 		})
-		convey.Convey("it accepts nothing, and still answers reads", func() {
+		convey.Convey("an accept request stores nothing, and reads still succeed", func() {
 			_, err := acceptor.accept(context.Background(), accept)
 			checkRefused(err)
 			answer, err := acceptor.read(context.Background(), readRequest{ViewVersion: 1})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.State, convey.ShouldResemble, accepted)
 		})
-		convey.Convey("its failure may have been executed when the store has failed for good", func() {
+		convey.Convey("an accept request may have been executed if the store has failed permanently", func() {
 			store.Fail(errors.New("broken"))
 			_, err := acceptor.accept(context.Background(), accept)
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
--- a/internal/controlplane/register/acceptorstate.go
+++ b/internal/controlplane/register/acceptorstate.go
@@ -8,29 +8,29 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// Keys of a register's table.
+// Keys in the table of a register.
 const (
 	promisedKey = "promised"
 	acceptedKey = "accepted"
 )
 
-// acceptorState is what an acceptor must remember: the content of a register's table. Its methods are the acceptor's part
-// of the protocol without input and output; an Acceptor stores the state that they return before it answers.
+// acceptorState is the durable state of an acceptor, which is stored in the table of the register. Its methods implement the
+// rules of the acceptor and do no input or output. An Acceptor stores the state that they return before it replies.
 type acceptorState struct {
-	promised ProposalNumber // the highest that was promised
+	promised ProposalNumber // highest promised proposal number
 	accepted acceptedState
 }
 
-// acceptedState is a state with the proposal number under which it was accepted.
+// acceptedState is an accepted state and its proposal number.
 type acceptedState struct {
 	ProposalNumber ProposalNumber `msgpack:"b"`
 	State          state          `msgpack:"s"`
-	// Manifest is set where the state's value is large: it is stored in chunks then, and left out here.
+	// Manifest is set if the value is large. The value is then stored in chunks and omitted from State.
 	Manifest *chunks.Manifest `msgpack:"m,omitempty"`
 }
 
-// prepare returns the state after the promise of a proposal number, and false where it was not above the promised one. A
-// proposal number is promised once only, so that two proposers never share one.
+// prepare returns the state after a promise of the proposal number n. It returns ok=false if n is not higher than the promised
+// number. A proposal number is promised only once, so that a restarted proposer cannot use the same number again.
 func (s acceptorState) prepare(n ProposalNumber) (promised acceptorState, ok bool) {
 	if !s.promised.Less(n) {
 		return s, false
@@ -39,8 +39,8 @@
 	return s, true
 }
 
-// accept returns the state after a proposal was accepted, and false where a higher proposal number was promised. Acceptance
-// implies a promise: the proposer may have had its promises from a majority without this acceptor.
+// accept returns the state after the proposal n was accepted. It returns ok=false if a higher number was promised. Accepting n
+// also promises n, because the proposer may have received its promises from a majority without this acceptor.
 func (s acceptorState) accept(n ProposalNumber, value state) (accepted acceptorState, ok bool) {
 	if n.Less(s.promised) {
 		return s, false
@@ -48,7 +48,7 @@
 	return acceptorState{promised: n, accepted: acceptedState{ProposalNumber: n, State: value}}, true
 }
 
-// decodeAcceptorState reads a register's table. A large value is still missing in the result, which has its manifest.
+// decodeAcceptorState decodes the table of a register. For a large value, the result contains the manifest and not the value.
 func decodeAcceptorState(table map[string][]byte) (acceptorState, error) {
 	var decoded acceptorState
 	if encoded, found := table[promisedKey]; found {
--- a/internal/controlplane/register/acceptorstorage.go
+++ b/internal/controlplane/register/acceptorstorage.go
@@ -11,40 +11,42 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// chunksSuffix ends the name of the table that holds the chunks of a register's large value, by their checksums in hex. So
-// a change of such a value writes the chunks that differ, in the same atomic write as the vote.
+// chunksSuffix is the suffix of the name of the table that stores the chunks of a large value. The keys are the checksums of
+// the chunks in hexadecimal. A change of a large value writes only the chunks that differ, atomically with the vote.
 const chunksSuffix = "/parts"
 
-// isChunksTable tells whether a table of the prefix TablePrefix holds chunks, and no acceptorState.
+// isChunksTable reports whether a table with the prefix TablePrefix stores chunks. Otherwise it stores an acceptorState.
 func isChunksTable(name string) bool { return strings.HasSuffix(name, chunksSuffix) }
 
+// chunkKey returns the key of a chunk in its table.
 func chunkKey(sum chunks.Sum) string { return hex.EncodeToString(sum[:]) }
 
-// loadedValue is the large value that was loaded or stored last, so that it need not be assembled for each round.
+// loadedValue caches the large value that was loaded or stored last, so that it is not assembled again for each round.
 type loadedValue struct {
 	mutex  sync.Mutex
 	table  string
-	record []byte // encoding of the accepted state, without the value
+	record []byte // encoded accepted state, without the value
 	value  []byte
 }
 
-// find returns the value of a record, if that is the one that was loaded last.
+// find returns the cached value if it belongs to the record.
 func (l *loadedValue) find(table string, record []byte) (value []byte, found bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.value, l.table == table && bytes.Equal(l.record, record)
 }
 
+// set caches the value of a record.
 func (l *loadedValue) set(table string, record, value []byte) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.table, l.record, l.value = table, record, value
 }
 
-// load reads what is stored for a round in a view. A vote that is stored meanwhile may remove chunks of the state before it;
-// then the newer one is read.
+// load returns the stored state for a view. A concurrent vote may remove chunks of the state that is being read. In that case,
+// load reads the newer state.
 func (a *Acceptor) load(viewVersion uint64) (acceptorState, error) {
-	name := a.table(viewVersion)
+	name := a.tableName(viewVersion)
 	for {
 		table := a.config.Store.Table(name)
 		stored, err := decodeAcceptorState(table)
@@ -82,23 +84,24 @@
 	return value, nil
 }
 
-// encodeAccepted returns the changes that store an accepted state, which is the last of them: a small value beside its
-// proposal number, a large one by the chunks that are not stored yet. Chunks of earlier values are removed.
+// encodeAccepted returns the changes that store an accepted state. The last change stores the proposal number and either a
+// small value or the manifest of a large one. The other changes store the missing chunks of a large value and remove the
+// chunks of earlier values.
 func (a *Acceptor) encodeAccepted(viewVersion uint64, accepted acceptedState, chunking *chunks.Chunking) ([]storage.Change, error) {
-	chunksTable := a.table(viewVersion) + chunksSuffix
+	chunksTable := a.tableName(viewVersion) + chunksSuffix
 	if chunking != nil {
 		manifest := chunking.Manifest()
 		accepted.State.Value, accepted.Manifest = nil, &manifest
 	}
-	change, err := a.encode(viewVersion, acceptedKey, accepted)
+	change, err := a.encodeChange(viewVersion, acceptedKey, accepted)
 	if err != nil {
 		return nil, err
 	}
 	return append(chunkChanges(chunksTable, a.config.Store.Table(chunksTable), chunking), change), nil
 }
 
-// chunkChanges returns the changes after which a table of chunks, of which the stored ones are given, has those of a value
-// and no others; nil stands for a value that has none.
+// chunkChanges returns the changes that turn the stored chunks of a table into exactly the chunks of a value. A nil chunking
+// means that the value is small and has no chunks.
 func chunkChanges(table string, stored map[string][]byte, chunking *chunks.Chunking) []storage.Change {
 	needed := make(map[string]struct{})
 	var changes []storage.Change
--- a/internal/controlplane/register/acceptortransfer.go
+++ b/internal/controlplane/register/acceptortransfer.go
@@ -9,32 +9,33 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// inlineValueBytes is the length up to which a value is sent and stored inline, not in chunks.
+// inlineValueBytes is the maximum length in bytes of a value that is sent and stored inline. Longer values use chunks.
 const inlineValueBytes = 4 << 10
 
-// errNoContent is the refusal of a chunked accept request that names no value.
-var errNoContent = errors.New("the request names no value")
+// errNoChunkedValue reports a chunked accept request without a chunked value.
+var errNoChunkedValue = errors.New("accept request has no chunked value")
 
-// servePrepare answers another process. A large value is named by its manifest, and not sent.
+// servePrepare handles a prepare request from another process. The reply contains the manifest instead of a large value if the
+// proposer accepts manifests.
 func (a *Acceptor) servePrepare(ctx context.Context, request prepareRequest) (reply, error) {
 	answer, err := a.prepare(ctx, request)
-	answer.TakesChunks = true
-	if err != nil || !request.ByChunks {
+	answer.SupportsChunks = true
+	if err != nil || !request.AcceptsManifest {
 		return answer, err
 	}
 	return a.replaceValueByManifest(answer, request.ViewVersion), nil
 }
 
-// serveRead answers another process as servePrepare does.
+// serveRead handles a read request from another process. It replaces large values in the same way as servePrepare.
 func (a *Acceptor) serveRead(ctx context.Context, request readRequest) (reply, error) {
 	answer, err := a.read(ctx, request)
-	if err != nil || !request.ByChunks {
+	if err != nil || !request.AcceptsManifest {
 		return answer, err
 	}
 	return a.replaceValueByManifest(answer, request.ViewVersion), nil
 }
 
-// replaceValueByManifest puts a manifest in the place of a large value.
+// replaceValueByManifest replaces a large value in a reply by its manifest.
 func (a *Acceptor) replaceValueByManifest(answer reply, view uint64) reply {
 	if len(answer.State.Value) <= inlineValueBytes {
 		return answer
@@ -45,16 +46,16 @@
 	return answer
 }
 
-// serveAccept assembles a value that is sent in chunks, and accepts it. If chunks are missing, the answer names them, and
-// nothing was done.
+// serveAccept assembles a value that was sent in chunks and accepts it. If chunks are missing, it accepts nothing, and the
+// reply lists the checksums of the missing chunks.
 func (a *Acceptor) serveAccept(ctx context.Context, request acceptRequest) (reply, error) {
-	if request.Content == nil {
-		return reply{}, rpcerror.WrapNotExecuted(errNoContent, 0)
+	if request.ChunkedValue == nil {
+		return reply{}, rpcerror.WrapNotExecuted(errNoChunkedValue, 0)
 	}
-	if err := a.chunks.addPacked(request.Content.Chunks); err != nil {
+	if err := a.chunks.addPacked(request.ChunkedValue.Chunks); err != nil {
 		return reply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
-	assembler, err := chunks.NewAssembler(request.Content.Manifest, a.chunks.chunk)
+	assembler, err := chunks.NewAssembler(request.ChunkedValue.Manifest, a.chunks.chunk)
 	if err != nil {
 		return reply{}, rpcerror.WrapNotExecuted(err, 0)
 	}
@@ -67,7 +68,7 @@
 	return a.accept(ctx, request)
 }
 
-// chunkLarge chunks a large value; nil stands for a small one, which is sent and stored inline.
+// chunkLarge splits a large value into chunks. It returns nil for a small value, which is sent and stored inline.
 func (a *Acceptor) chunkLarge(value []byte) *chunks.Chunking {
 	if len(value) <= inlineValueBytes {
 		return nil
@@ -75,10 +76,10 @@
 	return chunks.NewChunking(value, a.chunks.newest())
 }
 
-// servePush takes chunks of a value that is going to be proposed.
+// servePush caches chunks of a value that a proposer is about to propose.
 func (a *Acceptor) servePush(_ context.Context, request pushRequest) (pushReply, error) {
 	if !a.config.Ready() {
-		return pushReply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetry)
+		return pushReply{}, rpcerror.WrapNotExecuted(ErrNotReady, notReadyRetryDelay)
 	}
 	if err := a.chunks.addPacked(request.Chunks); err != nil {
 		return pushReply{}, rpcerror.WrapNotExecuted(err, 0)
@@ -86,7 +87,7 @@
 	return pushReply{}, nil
 }
 
-// serveFetch returns chunks of the value that was accepted last.
+// serveFetch returns chunks of the value that was accepted last, or no chunks if the value is small.
 func (a *Acceptor) serveFetch(_ context.Context, request fetchRequest) (fetchReply, error) {
 	chunking := a.chunks.newest()
 	if chunking == nil {
--- a/internal/controlplane/register/brokenprotocol_test.go
+++ b/internal/controlplane/register/brokenprotocol_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// promiseLosingStore loses promises.
+// promiseLosingStore does not store promises.
 type promiseLosingStore struct{ *storage.Memory }
 
 // Write implements storage.Store.
@@ -25,32 +25,33 @@
 	return s.Memory.Write(remaining...)
 }
 
-// acceptIgnoringPromise serves accept as an acceptor does that does not look at its promise.
+// acceptIgnoringPromise returns an accept handler that deletes the stored promise before it handles a request.
 func acceptIgnoringPromise(acceptor *Acceptor) func(context.Context, acceptRequest) (reply, error) {
 	return func(ctx context.Context, request acceptRequest) (reply, error) {
 		if acceptor.config.Ready() {
-			acceptor.config.Store.Write(storage.Change{Table: acceptor.table(request.ViewVersion), Key: promisedKey})
+			acceptor.config.Store.Write(storage.Change{Table: acceptor.tableName(request.ViewVersion), Key: promisedKey})
 		}
 		return acceptor.accept(ctx, request)
 	}
 }
 
-// alwaysCommitted takes what the first majority reports for committed.
+// alwaysCommitted treats the latest state of the first majority as committed, even if the replies differ.
 func alwaysCommitted(r *round) (reply, bool) {
 	latest, _ := r.latest()
 	return latest, true
 }
 
 var brokenRulesInSimulation = []brokenRule{
-	{name: "the acceptor forgets its promises", acceptor: func(disk *storage.Memory) storage.SnapshotStore { return promiseLosingStore{disk} }},
-	{name: "the acceptor accepts below its promise", accept: acceptIgnoringPromise},
-	{name: "a majority that disagrees is not made to agree before a read or a refusal", register: func(r *Register) { r.committed = alwaysCommitted }},
-	{name: "a member that lost its disk votes at once", noRebuild: true},
-	{name: "a proposer applies the function again without asking whether it took effect", register: func(r *Register) { r.forgetsProposals = true }},
+	{name: "the acceptor forgets its promises", wrapStore: func(disk *storage.Memory) storage.SnapshotStore { return promiseLosingStore{disk} }},
+	{name: "the acceptor accepts below its promise", acceptHandler: acceptIgnoringPromise},
+	{name: "a read or a refused change does not commit the state when the majority differs", modifyRegister: func(r *Register) { r.committedAnswer = alwaysCommitted }},
+	{name: "a member that lost its disk votes before it is rebuilt", skipRebuild: true},
+	{name: "a proposer applies the function again without checking whether it took effect", modifyRegister: func(r *Register) { r.skipProposalCheck = true }},
 }
 
-// Each rule of the protocol is needed: without it, the simulation finds a history that is not linearizable.
-func TestRegisterIsNotLinearizableWithoutEachRule(t *testing.T) {
+// Each rule of the protocol is necessary. If a test breaks one of them, the simulation must find a history that is not
+// linearizable.
+func TestSimulationDetectsEachBrokenRule(t *testing.T) {
 	const maxSeeds = 300
 	for _, broken := range brokenRulesInSimulation {
 		found := uint64(0)
@@ -59,7 +60,7 @@
 				found = seed
 			}
 		}
-		convey.Convey("Shown to be needed: "+broken.name, t, func() {
+		convey.Convey("The simulation finds a violation when "+broken.name, t, func() {
 			convey.So(found, convey.ShouldBeGreaterThan, 0)
 		})
 		t.Logf("%s: found with seed %d", broken.name, found)
--- a/internal/controlplane/register/cachedstate_test.go
+++ b/internal/controlplane/register/cachedstate_test.go
@@ -62,7 +62,7 @@
 		writer := New(Config{Name: testRegister, Self: "outside", View: current, Caller: d})
 		r := New(Config{Name: testRegister, Self: "reader", View: current, Caller: d})
 		set := func(value string) string {
-			_, err := writer.Change(context.Background(), replaceBy(value))
+			_, err := writer.Change(context.Background(), replaceWith(value))
 			So(err, ShouldBeNil)
 			for range view.Members {
 				<-d.accepted
--- a/internal/controlplane/register/cancelledchange_test.go
+++ b/internal/controlplane/register/cancelledchange_test.go
@@ -16,7 +16,7 @@
 // failingCaller fails every call.
 type failingCaller struct{ calls atomic.Int64 }
 
-var errUnreachable = errors.New("nobody is there")
+var errUnreachable = errors.New("member is unreachable")
 
 // Call implements transport.Caller.
 func (c *failingCaller) Call(context.Context, string, transport.Route, any, any) error {
@@ -25,20 +25,20 @@
 }
 
 func TestCancelledChangeSendsNothing(t *testing.T) {
-	const attempts = 64 // of two that are ready, a choice at random takes either
+	const attempts = 64 // select chooses randomly between two ready cases, so one attempt could pass by chance
 	view := replicaset.View{Version: 1, Members: []string{"a", "b", "c"}}
 	caller := &failingCaller{}
 	register := New(Config{Name: "test", Self: "elsewhere", Caller: caller, View: func() replicaset.View { return view }})
-	ended, cancel := context.WithCancel(context.Background())
+	cancelledContext, cancel := context.WithCancel(context.Background())
 	cancel()
-	ran := false
-	convey.Convey("A change whose context is over before its turn proposes nothing", t, func() {
+	functionCalled := false
+	convey.Convey("A change whose context has ended before it starts proposes nothing", t, func() {
 		for range attempts {
-			_, err := register.Change(ended, func(current []byte) ([]byte, error) { ran = true; return current, nil })
+			_, err := register.Change(cancelledContext, func(current []byte) ([]byte, error) { functionCalled = true; return current, nil })
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(errors.Is(err, context.Canceled), convey.ShouldBeTrue)
 		}
 		convey.So(caller.calls.Load(), convey.ShouldEqual, 0)
-		convey.So(ran, convey.ShouldBeFalse)
+		convey.So(functionCalled, convey.ShouldBeFalse)
 	})
 }
--- a/internal/controlplane/register/cluster_test.go
+++ b/internal/controlplane/register/cluster_test.go
@@ -18,31 +18,31 @@
 
 const (
 	testRegister = "test"
-	testLimit    = 2 * time.Minute // of simulated time
+	testTimeout  = 2 * time.Minute // in simulated time
 )
 
-// brokenRule breaks one rule of the protocol in a test; nil breaks none.
+// brokenRule describes how a test breaks one rule of the protocol.
 type brokenRule struct {
-	name      string
-	acceptor  func(*storage.Memory) storage.SnapshotStore                         // replaces the acceptors' store
-	accept    func(*Acceptor) func(context.Context, acceptRequest) (reply, error) // replaces what serves accept
-	register  func(*Register)                                                     // changes proposers
-	noRebuild bool                                                                // a member that lost its disk votes at once
+	name           string
+	wrapStore      func(*storage.Memory) storage.SnapshotStore                         // replaces the acceptors' store
+	acceptHandler  func(*Acceptor) func(context.Context, acceptRequest) (reply, error) // replaces the handler of accept requests
+	modifyRegister func(*Register)                                                     // modifies the proposers
+	skipRebuild    bool                                                                // a member that lost its disk votes before it is rebuilt
 }
 
-// cluster is a set of members on a network in memory, to be run in simulated time.
+// cluster is a set of members on an in-memory network. It runs in simulated time.
 type cluster struct {
-	network *networktest.Network
-	view    replicaset.View
-	broken  *brokenRule
-	ctx     context.Context // ends a test that hangs
-	cancel  context.CancelFunc
+	network    *networktest.Network
+	view       replicaset.View
+	brokenRule *brokenRule
+	ctx        context.Context // ends a hanging test
+	cancel     context.CancelFunc
 
 	mutex   sync.Mutex // guards members
 	members map[string]*process
 }
 
-// process is one incarnation of a member.
+// process is one run of a member, from a start to the next kill.
 type process struct {
 	disk      *storage.Memory
 	store     *registertest.ProcessStore
@@ -52,7 +52,8 @@
 	kill      context.CancelFunc
 }
 
-// The methods of rebuild.Views, with a fixed view whose members never stop.
+// The following methods implement rebuild.Views for a fixed view whose members never depart.
+
 func (c *cluster) View() replicaset.View       { return c.view }
 func (c *cluster) Changed() <-chan struct{}    { return nil }
 func (c *cluster) Learn(replicaset.View) error { return nil }
@@ -61,17 +62,18 @@
 func (c *cluster) KnowsJoiningMember() bool    { return false }
 func (c *cluster) OthersDepart() bool          { return false }
 
+// newCluster starts a cluster with the given number of members. A nil brokenRule breaks no rule.
 func newCluster(seed uint64, size int, broken *brokenRule) *cluster {
 	c := &cluster{
-		network: networktest.New(seed),
-		view:    replicaset.View{Version: 1},
-		broken:  broken,
-		members: make(map[string]*process),
+		network:    networktest.New(seed),
+		view:       replicaset.View{Version: 1},
+		brokenRule: broken,
+		members:    make(map[string]*process),
 	}
-	if c.broken == nil {
-		c.broken = &brokenRule{}
+	if c.brokenRule == nil {
+		c.brokenRule = &brokenRule{}
 	}
-	c.ctx, c.cancel = context.WithTimeout(context.Background(), testLimit)
+	c.ctx, c.cancel = context.WithTimeout(context.Background(), testTimeout)
 	for i := range size {
 		c.view.Members = append(c.view.Members, fmt.Sprintf("member-%d", i))
 	}
@@ -81,13 +83,13 @@
 	return c
 }
 
-// start starts a process on a disk.
+// start starts a process of a member with the given disk.
 func (c *cluster) start(address string, disk *storage.Memory, firstStart bool) {
 	p := &process{disk: disk, store: registertest.NewProcessStore(disk)}
 	p.ctx, p.kill = context.WithCancel(context.Background())
 	p.rebuilder, _ = rebuild.New(rebuild.Config{
 		Self:       address,
-		FirstStart: firstStart || c.broken.noRebuild,
+		FirstStart: firstStart || c.brokenRule.skipRebuild,
 		Views:      c,
 		Store:      p.store,
 		Caller:     c.network.Caller(address),
@@ -108,8 +110,8 @@
 
 func (c *cluster) acceptor(p *process) *Acceptor {
 	var store storage.Store = p.store
-	if c.broken.acceptor != nil {
-		p.store.SnapshotStore = c.broken.acceptor(p.disk)
+	if c.brokenRule.wrapStore != nil {
+		p.store.SnapshotStore = c.brokenRule.wrapStore(p.disk)
 	}
 	return NewAcceptor(AcceptorConfig{
 		Name:  testRegister,
@@ -119,17 +121,18 @@
 	})
 }
 
+// serve registers the handlers of an acceptor. A broken accept handler replaces the regular one.
 func (c *cluster) serve(mux *transport.Mux, acceptor *Acceptor) {
-	if c.broken.accept == nil {
+	if c.brokenRule.acceptHandler == nil {
 		acceptor.Serve(mux)
 		return
 	}
 	transport.Handle(mux, prepareCall(testRegister), acceptor.prepare)
-	transport.Handle(mux, acceptCall(testRegister), c.broken.accept(acceptor))
+	transport.Handle(mux, acceptCall(testRegister), c.brokenRule.acceptHandler(acceptor))
 	transport.Handle(mux, readCall(testRegister), acceptor.read)
 }
 
-// proposer makes a register at an address; without an acceptor it is that of a process that is no member.
+// proposer returns a register at an address. The acceptor is nil for a process that is not a member.
 func (c *cluster) proposer(address string, acceptor *Acceptor) *Register {
 	register := New(Config{
 		Name:     testRegister,
@@ -138,8 +141,8 @@
 		View:     c.View,
 		Caller:   c.network.Caller(address),
 	})
-	if c.broken.register != nil {
-		c.broken.register(register)
+	if c.brokenRule.modifyRegister != nil {
+		c.brokenRule.modifyRegister(register)
 	}
 	return register
 }
@@ -150,8 +153,8 @@
 	return c.members[address]
 }
 
-// stop kills a member and returns its disk.
-func (c *cluster) stop(address string) *storage.Memory {
+// kill stops a member immediately and returns its disk.
+func (c *cluster) kill(address string) *storage.Memory {
 	p := c.process(address)
 	c.network.Serve(address, nil)
 	p.store.Kill()
@@ -159,13 +162,13 @@
 	return p.disk
 }
 
-// restart kills a member and starts it again after a time, with its disk or an empty one.
-func (c *cluster) restart(address string, after time.Duration, loseDisk bool) {
-	disk := c.stop(address)
+// restart kills a member and starts it again after the downtime, with its disk or with an empty one.
+func (c *cluster) restart(address string, downtime time.Duration, loseDisk bool) {
+	disk := c.kill(address)
 	if loseDisk {
 		disk = storage.NewMemory()
 	}
-	<-time.After(after)
+	<-time.After(downtime)
 	c.start(address, disk, false)
 }
 
@@ -180,13 +183,13 @@
 	return lost <= len(c.view.Members)-c.view.Quorum()
 }
 
-// drainTime is how long messages may still be in flight at the end of a test, in simulated time.
+// drainTime is the simulated time after which no message of a test is in flight any more.
 const drainTime = 30 * time.Second
 
-// end kills all members and lets all messages arrive.
-func (c *cluster) end() {
+// shutdown kills all members and waits until all messages have been delivered.
+func (c *cluster) shutdown() {
 	for _, address := range c.view.Members {
-		c.stop(address)
+		c.kill(address)
 	}
 	<-time.After(drainTime)
 	c.cancel()
--- a/internal/controlplane/register/decision.go
+++ b/internal/controlplane/register/decision.go
@@ -8,33 +8,33 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// errUnknownOutcome is the failure of a change of which nobody can tell any more whether it took effect.
-var errUnknownOutcome = errors.New("others have changed the register since; whether this change took effect is not known")
+// errUnknownOutcome reports that the history of the register is too short to show whether a change took effect.
+var errUnknownOutcome = errors.New("the register has changed too often since; it is unknown whether this change took effect")
 
-// proposal is a result of the change's function that was sent to acceptors.
+// proposal is a result of the change function and the proposal number under which it is sent to the acceptors.
 type proposal struct {
 	proposalNumber ProposalNumber
 	state          state
 }
 
-// functionError is an error of the change's function, which ends the change.
+// functionError is an error that the change function returned. It ends the change.
 type functionError struct{ cause error }
 
 func (e *functionError) Error() string { return e.cause.Error() }
 func (e *functionError) Unwrap() error { return e.cause }
 
-// decision is what an attempt is to commit, and what then is the outcome of the change.
+// decision is the state that an attempt has to commit and the result of the change after that.
 type decision struct {
 	state      state
-	isProposal bool   // whether the state is a result of the function; else it is the current one, to be confirmed
-	value      []byte // the result of the change
-	refusal    error  // the error of the function, as a functionError
+	isProposal bool   // whether the state is a new result of the function; otherwise it is the current state
+	value      []byte // value that the change returns
+	refusal    error  // error of the change function, as a functionError
 }
 
-// afterPrepare decides what to commit after a prepare round, and whether that is committed already: then it rests on a
-// committed state, and none of this change's proposals is open.
-func (p *proposer) afterPrepare(preparing *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
-	latest, committed := p.register.committed(preparing)
+// afterPrepare decides what to commit after a prepare round. It also reports whether the accept round can be skipped. This is
+// the case if the decision keeps a state that is already committed and this change has sent no proposals.
+func (p *proposer) afterPrepare(prepareRound *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
+	latest, committed := p.register.committedAnswer(prepareRound)
 	decided, err = p.decide(latest.State, proposalNumber)
 	if err != nil {
 		return decision{}, false, err
@@ -46,10 +46,11 @@
 	return decided, committed && len(p.proposals) == 0, nil
 }
 
-// decide applies the function to the current state, unless an earlier proposal of this change is part of it.
+// decide applies the change function to the current state, unless the state already contains an earlier proposal of this
+// change. It returns errUnknownOutcome if the history does not show whether the state contains the proposal.
 func (p *proposer) decide(current state, proposalNumber ProposalNumber) (decision, error) {
 	for _, earlier := range p.proposals {
-		if p.register.forgetsProposals {
+		if p.register.skipProposalCheck {
 			break
 		}
 		contained, known := current.contains(earlier.proposalNumber, earlier.state.Sequence)
@@ -63,20 +64,20 @@
 	next, err := p.change(current.Value)
 	switch {
 	case err != nil:
-		return decision{state: current, refusal: &functionError{err}}, nil //nolint:nilerr // returned once the current state is committed
+		return decision{state: current, refusal: &functionError{err}}, nil //nolint:nilerr // the error is returned after the current state is committed
 	case unchanged(current.Value, next):
 		return decision{state: current, value: current.Value}, nil
 	}
-	made := current.next(next, proposalNumber)
-	return decision{state: made, isProposal: true, value: next}, nil
+	proposed := current.next(next, proposalNumber)
+	return decision{state: proposed, isProposal: true, value: next}, nil
 }
 
-// unchanged tells whether a function left a value as it was.
+// unchanged reports whether the new value equals the current one. A nil value differs from an empty one.
 func unchanged(current, next []byte) bool {
 	return (current == nil) == (next == nil) && bytes.Equal(current, next)
 }
 
-// changeError adds to the error that ended the change whether the change may have been executed.
+// changeError wraps the error that ended the change and marks whether the change may have been executed.
 func (p *proposer) changeError(err error) error {
 	err = fmt.Errorf("change register %s: %w", p.register.config.Name, err)
 	if len(p.proposals) > 0 && !p.proposalsSuperseded {
--- a/internal/controlplane/register/diskloss_test.go
+++ b/internal/controlplane/register/diskloss_test.go
@@ -16,22 +16,22 @@
 
 var errMemberDown = errors.New("the member is down")
 
-// fileMembers are acceptors on real files.
-type fileMembers struct {
-	view   replicaset.View
-	stores map[string]*storage.FileStore
-	caller memberCaller
-	folder string
+// fileCluster is a set of acceptors that store their votes in files on disk.
+type fileCluster struct {
+	view      replicaset.View
+	stores    map[string]*storage.FileStore
+	caller    memberCaller
+	directory string
 }
 
-// memberCaller calls acceptors in this process. Those that are down answer with an error.
+// memberCaller calls acceptors in this process. Calls to members that are down fail.
 type memberCaller struct {
 	acceptors map[string]*Acceptor
 	down      map[string]bool
 }
 
-func newFileMembers(folder string, size int) *fileMembers {
-	m := &fileMembers{view: replicaset.View{Version: 1}, folder: folder}
+func newFileCluster(folder string, size int) *fileCluster {
+	m := &fileCluster{view: replicaset.View{Version: 1}, directory: folder}
 	for i := range size {
 		m.view.Members = append(m.view.Members, fmt.Sprintf("member-%d", i))
 	}
@@ -39,14 +39,15 @@
 	return m
 }
 
-// start opens the files of all members; those of the lost disks, by member, are in another, empty folder.
-func (m *fileMembers) start(lost map[string]string) {
+// start opens the files of all members. The map lost contains the members that lost their disk and the name of the empty
+// directory that each of them uses instead.
+func (m *fileCluster) start(lost map[string]string) {
 	m.caller = memberCaller{acceptors: make(map[string]*Acceptor), down: make(map[string]bool)}
 	m.stores = make(map[string]*storage.FileStore)
 	for _, member := range m.view.Members {
-		folder := filepath.Join(m.folder, member)
-		if other, isLost := lost[member]; isLost {
-			folder = filepath.Join(m.folder, other)
+		folder := filepath.Join(m.directory, member)
+		if replacement, isLost := lost[member]; isLost {
+			folder = filepath.Join(m.directory, replacement)
 		}
 		store, _, err := storage.Open(unsyncedFileSystem{}, folder, storage.Options{})
 		So(err, ShouldBeNil)
@@ -55,8 +56,9 @@
 	}
 }
 
-// rebuild gives a member that lost its disk the merged tables of so many others that every majority has one of them.
-func (m *fileMembers) rebuild(member string, lost map[string]string) {
+// rebuild writes merged tables of other members to a member that lost its disk. It merges as many members as are needed to
+// share a member with every majority.
+func (m *fileCluster) rebuild(member string, lost map[string]string) {
 	var copies []storage.Tables
 	for _, other := range m.view.Members {
 		if _, isLost := lost[other]; !isLost && len(copies) < len(m.view.Members)-m.view.Quorum()+1 {
@@ -76,27 +78,27 @@
 	return serveRequest(ctx, c.acceptors[address], request, answer)
 }
 
-func (m *fileMembers) register() *Register {
+func (m *fileCluster) register() *Register {
 	return New(Config{Name: testRegister, Self: "operator", View: func() replicaset.View { return m.view }, Caller: m.caller})
 }
 
-// Two disks are lost at the moment of an acknowledgement that rests on the smallest majority, both of them among it, and all
-// processes are killed at that moment.
+// The smallest possible majority acknowledges a change. Immediately afterwards, all processes are killed and two members of
+// this majority lose their disks. The acknowledged value must survive.
 func TestAcknowledgedValueSurvivesTwoLostDisksAndPowerLoss(t *testing.T) {
 	text := randomText(3*inlineValueBytes, 1)
 	for _, size := range []int{5, 9} {
-		for second := 1; second < (size+1)/2; second++ {
-			Convey(fmt.Sprintf("What %d members have acknowledged is read without disks 0 and %d and with nothing in memory", size, second), t, func() {
-				members := newFileMembers(t.TempDir(), size)
+		for secondLost := 1; secondLost < (size+1)/2; secondLost++ {
+			Convey(fmt.Sprintf("A value acknowledged by a majority of %d members is read after a restart without disks 0 and %d", size, secondLost), t, func() {
+				members := newFileCluster(t.TempDir(), size)
 				for _, member := range members.view.Members[(size+1)/2:] {
 					members.caller.down[member] = true
 				}
-				_, err := members.register().Change(context.Background(), replaceBy(text))
+				_, err := members.register().Change(context.Background(), replaceWith(text))
 				So(err, ShouldBeNil)
 				for _, store := range members.stores {
 					So(store.Close(), ShouldBeNil)
 				}
-				lost := map[string]string{"member-0": "empty-0", fmt.Sprintf("member-%d", second): "empty-1"}
+				lost := map[string]string{"member-0": "empty-0", fmt.Sprintf("member-%d", secondLost): "empty-1"}
 				members.start(lost)
 				for member := range lost {
 					members.rebuild(member, lost)
--- a/internal/controlplane/register/founding.go
+++ b/internal/controlplane/register/founding.go
@@ -11,11 +11,11 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// foundingName is the register of the first view.
+// foundingName is the name of the register that stores the first view.
 const foundingName = "replicaset/founding"
 
-// Founding commits the first view of the replicas in a write-once register on the founders, so that two of them cannot commit
-// different ones. It implements replicaset.Founding.
+// Founding commits the first view of the replica set. It uses a write-once register on the founders, which are the initial
+// members. Therefore two founders cannot commit different views. Founding implements replicaset.Founding.
 type Founding struct {
 	self     string
 	caller   transport.Caller
@@ -23,16 +23,16 @@
 	founders func() []string
 }
 
-// FoundingConfig is what a Founding needs.
+// FoundingConfig configures a Founding.
 type FoundingConfig struct {
-	Self     string // this process's internal address
+	Self     string // internal address of this process
 	Store    storage.Store
-	Ready    func() bool     // whether this member may vote
-	Founders func() []string // internal addresses; empty while not known
+	Ready    func() bool     // reports whether this member may vote
+	Founders func() []string // internal addresses of the founders; empty while they are unknown
 	Caller   transport.Caller
 }
 
-// NewFounding makes the acceptor and the proposer of the first view.
+// NewFounding returns a Founding with the local acceptor of the first view.
 func NewFounding(config FoundingConfig) *Founding {
 	f := &Founding{self: config.Self, caller: config.Caller, founders: config.Founders}
 	f.acceptor = NewAcceptor(AcceptorConfig{
@@ -44,11 +44,11 @@
 	return f
 }
 
-// Serve registers the internal calls.
+// Serve registers the handlers of the acceptor's internal calls.
 func (f *Founding) Serve(mux *transport.Mux) { f.acceptor.Serve(mux) }
 
-// Commit proposes the first view and returns the one that was committed, by this or an earlier proposal. Errors of a quorum
-// round carry an rpcerror.Error.
+// Commit proposes the first view and returns the view that was committed. That may be the view of an earlier proposal. Errors
+// of a quorum round wrap an rpcerror.Error.
 func (f *Founding) Commit(ctx context.Context, view replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(view)
 	if err != nil {
@@ -57,7 +57,7 @@
 	register := New(Config{Name: foundingName, Self: f.self, Acceptor: f.acceptor, View: f.view, Caller: f.caller})
 	value, err := register.Change(ctx, writeOnce(proposed))
 	if err != nil {
-		return replicaset.View{}, fmt.Errorf("settle first view: %w", err)
+		return replicaset.View{}, fmt.Errorf("commit first view: %w", err)
 	}
 	var first replicaset.View
 	if err := msgpack.Unmarshal(value, &first); err != nil {
@@ -66,7 +66,7 @@
 	return first, nil
 }
 
-// view is the fixed set of the founders.
+// view returns the founders as a view, or an empty view while they are unknown.
 func (f *Founding) view() replicaset.View {
 	founders := f.founders()
 	if len(founders) == 0 {
--- a/internal/controlplane/register/founding_test.go
+++ b/internal/controlplane/register/founding_test.go
@@ -35,15 +35,15 @@
 			founding.Serve(mux)
 			network.Serve(self, mux)
 			running.Go(func() {
-				<-time.After(time.Millisecond) // all are served
-				proposed := replicaset.View{Version: 1, Members: append([]string{"of " + self}, founders...)}
+				<-time.After(time.Millisecond) // all founders serve requests by then
+				proposed := replicaset.View{Version: 1, Members: append([]string{"proposed by " + self}, founders...)}
 				committed[i], errs[i] = founding.Commit(context.Background(), proposed)
 			})
 		}
 		running.Wait()
 		<-time.After(drainTime)
 	})
-	convey.Convey("Founders that propose different views at once learn the same one", t, func() {
+	convey.Convey("Founders that propose different views concurrently get the same committed view", t, func() {
 		convey.So(errs, convey.ShouldResemble, make([]error, len(founders)))
 		convey.So(committed[0].Members, convey.ShouldHaveLength, 4)
 		convey.So(committed[1], convey.ShouldResemble, committed[0])
--- a/internal/controlplane/register/helpers_test.go
+++ b/internal/controlplane/register/helpers_test.go
@@ -11,12 +11,12 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// replaceBy is a change that sets the value, whatever it was.
-func replaceBy(value string) func([]byte) ([]byte, error) {
+// replaceWith returns a change function that sets the value regardless of the current one.
+func replaceWith(value string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) { return []byte(value), nil }
 }
 
-// randomText is a text of hex digits, so that it hardly compresses below half of its length.
+// randomText returns a text of random hexadecimal digits. It compresses to about half of its length and not much further.
 func randomText(length int, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 0))
 	text := make([]byte, length)
@@ -26,27 +26,29 @@
 	return string(text)
 }
 
-// largeText is a length above what an accept request carries by itself.
-const largeText = 300 << 10
+// largeTextBytes is the length of a text that is too large for the chunks in a single accept request.
+const largeTextBytes = 300 << 10
 
-// edited is a text with a small change in its middle.
-func edited(text, change string) string { return text[:len(text)/2] + change + text[len(text)/2:] }
+// withInsertion returns the text with another text inserted in its middle.
+func withInsertion(text, change string) string {
+	return text[:len(text)/2] + change + text[len(text)/2:]
+}
 
-// noView is the view of a process that knows no members.
+// noView returns the view of a process that does not know the members.
 func noView() replicaset.View { return replicaset.View{} }
 
-// readyAcceptor makes an acceptor of the test register that may vote.
+// readyAcceptor returns an acceptor of the test register that may vote.
 func readyAcceptor(store storage.Store, view func() replicaset.View) *Acceptor {
 	return NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return true }, View: view})
 }
 
-// serveRequest lets an acceptor in this process serve a request as it serves those from the network.
+// serveRequest handles a request with an acceptor in this process in the same way as a request from the network.
 func serveRequest(ctx context.Context, acceptor *Acceptor, request, answer any) (err error) {
 	switch typed := request.(type) {
 	case prepareRequest:
 		*answer.(*reply), err = acceptor.servePrepare(ctx, typed)
 	case acceptRequest:
-		if typed.Content == nil {
+		if typed.ChunkedValue == nil {
 			*answer.(*reply), err = acceptor.accept(ctx, typed)
 		} else {
 			*answer.(*reply), err = acceptor.serveAccept(ctx, typed)
@@ -58,12 +60,12 @@
 	case fetchRequest:
 		*answer.(*fetchReply), err = acceptor.serveFetch(ctx, typed)
 	default:
-		panic(fmt.Sprintf("no acceptor serves a %T", request))
+		panic(fmt.Sprintf("acceptors do not handle %T", request))
 	}
 	return err
 }
 
-// writeTables writes tables, such as those of Merge, to a store.
+// writeTables writes tables, for example the result of Merge, to a store.
 func writeTables(store storage.Store, tables storage.Tables) {
 	for table, content := range tables {
 		for key, value := range content {
--- a/internal/controlplane/register/history_test.go
+++ b/internal/controlplane/register/history_test.go
@@ -15,47 +15,48 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// operationKind is what a client of the simulation does.
+// operationKind is the kind of an operation of a simulated client.
 type operationKind uint8
 
 const (
-	appendToken    operationKind = iota // appends a token to the value
-	appendUnlessAt                      // the same, but refused where the number of tokens is a multiple of three
+	appendToken         operationKind = iota // appends a token to the value
+	appendUnlessRefused                      // appends a token, but the change function refuses if mustRefuse
 	readValue
-	operationKinds
+	operationKindCount
 )
 
-// clientInput is an operation.
+// clientInput is the input of an operation.
 type clientInput struct {
 	kind  operationKind
 	token string
 }
 
-// clientOutput is the result that the client received.
+// clientOutput is the result of an operation as seen by the client.
 type clientOutput struct {
-	unknown bool // whether the operation ran
-	refused bool
-	value   string
+	outcomeUnknown bool // the operation may or may not have taken effect
+	refused        bool
+	value          string
 }
 
 var errMultipleOfThree = errors.New("the number of tokens is a multiple of three")
 
-func refusesAt(value string) bool { return strings.Count(value, ".")%3 == 0 }
+// mustRefuse reports whether appendUnlessRefused refuses to change the value.
+func mustRefuse(value string) bool { return strings.Count(value, ".")%3 == 0 }
 
-// linearizableRegister is the register as porcupine checks it: the state is the value.
+// linearizableRegister is the sequential specification of the register for porcupine. The state is the value.
 var linearizableRegister = porcupine.Model{
 	Init: func() any { return "" },
-	Step: func(stateNow, in, out any) (bool, any) {
-		value, do, heard := stateNow.(string), in.(clientInput), out.(clientOutput)
+	Step: func(current, in, out any) (bool, any) {
+		value, input, output := current.(string), in.(clientInput), out.(clientOutput)
 		next := value
 		switch {
-		case do.kind == readValue:
-			return heard.unknown || heard.value == value, value
-		case do.kind == appendUnlessAt && refusesAt(value):
-			return heard.unknown || heard.refused, value
+		case input.kind == readValue:
+			return output.outcomeUnknown || output.value == value, value
+		case input.kind == appendUnlessRefused && mustRefuse(value):
+			return output.outcomeUnknown || output.refused, value
 		}
-		next += do.token + "."
-		return heard.unknown || !heard.refused && heard.value == next, next
+		next += input.token + "."
+		return output.outcomeUnknown || !output.refused && output.value == next, next
 	},
 	Equal: func(a, b any) bool { return a.(string) == b.(string) },
 	DescribeOperation: func(in, out any) string {
@@ -63,16 +64,16 @@
 	},
 }
 
-// history records operations.
+// history records the operations of all clients.
 type history struct {
 	clock      atomic.Int64
 	mutex      sync.Mutex
 	operations []porcupine.Operation
 	succeeded  int
-	padding    string // begins each value, so that it is large
+	padding    string // prefix of each value; makes the values large
 }
 
-// run carries out one operation by a register and records it.
+// run executes one operation and records it.
 func (h *history) run(ctx context.Context, client int, register *Register, operation clientInput) {
 	call := h.clock.Add(1)
 	value, err := h.perform(ctx, register, operation)
@@ -81,12 +82,12 @@
 	switch {
 	case err == nil:
 	case rpcerror.ExecutionOf(err) != rpcerror.NotExecuted:
-		result.unknown = true
+		result.outcomeUnknown = true
 		returned = math.MaxInt64
 	case errors.Is(err, errMultipleOfThree):
 		result.refused = true
 	default:
-		return // did not run
+		return // the operation did not take effect, so it is not recorded
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -96,12 +97,13 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: operation, Output: result, Call: call, Return: returned})
 }
 
+// perform executes one operation on a register.
 func (h *history) perform(ctx context.Context, register *Register, operation clientInput) ([]byte, error) {
 	if operation.kind == readValue {
 		return register.Read(ctx)
 	}
 	return register.Change(ctx, func(current []byte) ([]byte, error) {
-		if operation.kind == appendUnlessAt && refusesAt(string(current)) {
+		if operation.kind == appendUnlessRefused && mustRefuse(string(current)) {
 			return nil, errMultipleOfThree
 		}
 		if len(current) == 0 {
--- a/internal/controlplane/register/merge.go
+++ b/internal/controlplane/register/merge.go
@@ -7,10 +7,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// Merge makes the tables of all registers for a member that lost its disk, from those of a majority of the others: of each
-// register the highest promise, and the state that was accepted under the highest proposal number. Chunks of large values are
-// taken from all replicas; the next vote removes those that do not belong to it. The tables' names begin with TablePrefix. The
-// error is about a table that cannot be decoded.
+// Merge returns the tables of all registers for a member that lost its disk. The replicas are the tables of a majority of the
+// other members. The names of all tables start with TablePrefix. For each register, the result contains the highest promise and
+// the accepted state with the highest proposal number. It contains the chunks of large values from all replicas. The next vote
+// removes the chunks that its value does not need. Merge returns an error if a table cannot be decoded.
 func Merge(replicas []storage.Tables) (storage.Tables, error) {
 	highest := make(map[string]*acceptorState)
 	merged := make(storage.Tables)
@@ -27,13 +27,13 @@
 			if highest[name] == nil {
 				highest[name], merged[name] = &acceptorState{}, make(map[string][]byte)
 			}
-			highest[name].raise(decoded, table, merged[name])
+			highest[name].mergeHighest(decoded, table, merged[name])
 		}
 	}
 	return merged, nil
 }
 
-// mergeChunks adds a table of chunks to the one of that name.
+// mergeChunks adds the chunks of a table to the merged table with the same name.
 func mergeChunks(merged storage.Tables, name string, table map[string][]byte) {
 	if merged[name] == nil {
 		merged[name] = make(map[string][]byte)
@@ -41,9 +41,9 @@
 	maps.Copy(merged[name], table)
 }
 
-// raise takes the higher promise and the higher accepted state of two replicas. Their encodings go to merged as they are, so
-// that fields of a newer build are kept.
-func (s *acceptorState) raise(other acceptorState, encoded, merged map[string][]byte) {
+// mergeHighest replaces the promise and the accepted state if those of another replica are higher. It copies their encoded form
+// to merged without decoding and encoding them again, so that fields of newer builds are kept.
+func (s *acceptorState) mergeHighest(other acceptorState, encoded, merged map[string][]byte) {
 	if s.promised.Less(other.promised) {
 		s.promised = other.promised
 		merged[promisedKey] = encoded[promisedKey]
--- a/internal/controlplane/register/messages.go
+++ b/internal/controlplane/register/messages.go
@@ -6,22 +6,22 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// outcome is an acceptor's decision on a request.
+// outcome is the result of a prepare, accept or read request at an acceptor.
 type outcome uint8
 
 const (
-	granted       outcome = iota + 1 // done, and durable
-	conflict                         // a higher proposal number was promised to another proposer
-	viewMismatch                     // the proposer works with another view
-	chunksMissing                    // nothing was done, as chunks of the value are missing here
+	granted       outcome = iota + 1 // the request was executed, and any vote is durable
+	conflict                         // an earlier promise of the acceptor forbids the request
+	viewMismatch                     // the proposer uses another view than the acceptor
+	chunksMissing                    // the acceptor lacks chunks of the value and changed nothing
 )
 
-// prepareRequest asks an acceptor to promise to refuse lower proposal numbers.
+// prepareRequest asks an acceptor to promise that it will refuse lower proposal numbers.
 type prepareRequest struct {
-	ViewVersion    uint64         `msgpack:"w"`
-	ProposalNumber ProposalNumber `msgpack:"b"`
-	Known          ProposalNumber `msgpack:"k"`           // as in readRequest
-	ByChunks       bool           `msgpack:"y,omitempty"` // as in readRequest
+	ViewVersion          uint64         `msgpack:"w"`
+	ProposalNumber       ProposalNumber `msgpack:"b"`
+	CachedProposalNumber ProposalNumber `msgpack:"k"`           // as in readRequest
+	AcceptsManifest      bool           `msgpack:"y,omitempty"` // as in readRequest
 }
 
 // acceptRequest asks an acceptor to store a state.
@@ -29,68 +29,72 @@
 	ViewVersion    uint64         `msgpack:"w"`
 	ProposalNumber ProposalNumber `msgpack:"b"`
 	State          state          `msgpack:"s"`
-	Content        *content       `msgpack:"c,omitempty"` // the state's value, where it is sent in chunks
+	ChunkedValue   *chunkedValue  `msgpack:"c,omitempty"` // set instead of the state's value if the value is sent in chunks
 }
 
-// content names a large value and brings some of its chunks.
-type content struct {
+// chunkedValue contains the manifest of a large value and some of its chunks.
+type chunkedValue struct {
 	Manifest chunks.Manifest `msgpack:"m"`
 	Chunks   [][]byte        `msgpack:"p,omitempty"` // packed
 }
 
-// pushRequest brings an acceptor chunks of a value that it is going to be asked to accept. They change nothing by themselves.
+// pushRequest sends an acceptor chunks of a value that a proposer is about to propose. The acceptor caches the chunks. Its
+// accepted state does not change.
 type pushRequest struct {
 	Chunks [][]byte `msgpack:"p"` // packed
 }
 
-// pushReply says that the chunks were taken.
+// pushReply confirms that the acceptor cached the chunks.
 type pushReply struct{}
 
-// fetchRequest asks an acceptor for chunks of the value that it has accepted.
+// fetchRequest requests chunks of the value that an acceptor accepted last.
 type fetchRequest struct {
-	Sums     []byte `msgpack:"s"` // checksums, one after the other
-	MaxBytes int    `msgpack:"r"` // about how many bytes the answer may have; one chunk is sent in any case
+	Sums     []byte `msgpack:"s"` // concatenated checksums
+	MaxBytes int    `msgpack:"r"` // approximate limit for the reply, which has at least one chunk if the acceptor has any of them
 }
 
-// fetchReply brings chunks.
+// fetchReply contains the requested chunks.
 type fetchReply struct {
-	Chunks [][]byte `msgpack:"p"` // packed, those that the acceptor has
+	Chunks [][]byte `msgpack:"p"` // packed; without the chunks that the acceptor lacks
 }
 
-// readRequest asks an acceptor for its state, without a promise. A state is left out of the answer where the proposer has it
-// cached: a proposal number stands for one state within a view.
+// readRequest requests the state of an acceptor without a promise. The reply omits the state if the proposer has it cached.
+// The proposal number is enough to detect this, because it identifies one state within a view.
 type readRequest struct {
-	ViewVersion uint64         `msgpack:"w"`
-	Known       ProposalNumber `msgpack:"k"` // under which the newest state that the proposer has cached was accepted
-	// ByChunks asks for the manifest of a large value in its place. Proposers of older builds leave it out.
-	ByChunks bool `msgpack:"y,omitempty"`
+	ViewVersion          uint64         `msgpack:"w"`
+	CachedProposalNumber ProposalNumber `msgpack:"k"` // of the newest state in the proposer's cache
+	// AcceptsManifest makes the reply contain the manifest of a large value instead of the value. Proposers of older builds do
+	// not send this field.
+	AcceptsManifest bool `msgpack:"y,omitempty"`
 }
 
-// reply is an acceptor's answer to prepare, accept and read requests.
+// reply is the reply of an acceptor to a prepare, accept or read request.
 type reply struct {
-	member   string           // that gave it; set by the receiver
+	member   string           // address of the acceptor; set by the receiver
 	Outcome  outcome          `msgpack:"o"`
-	View     replicaset.View  `msgpack:"w"` // the acceptor's; without the members where the versions match
+	View     replicaset.View  `msgpack:"w"` // view of the acceptor; without its members if the versions match
 	Promised ProposalNumber   `msgpack:"p"`
 	Accepted ProposalNumber   `msgpack:"a"`
-	State    state            `msgpack:"s"`           // not in answers to accept requests, nor where the proposer has it
-	Manifest *chunks.Manifest `msgpack:"m,omitempty"` // of the state's value, which is left out then
-	Missing  []byte           `msgpack:"x,omitempty"` // checksums of missing chunks, one after the other
-	// TakesChunks tells that the acceptor serves acceptChunksCall. One of an older build would take a request without a value
-	// for one to accept an empty value, so that it gets values inline, by acceptCall.
-	TakesChunks bool `msgpack:"t,omitempty"`
+	State    state            `msgpack:"s"`           // not in replies to accept requests, nor if the proposer has it cached
+	Manifest *chunks.Manifest `msgpack:"m,omitempty"` // set instead of the state's value if that is large
+	Missing  []byte           `msgpack:"x,omitempty"` // concatenated checksums of the missing chunks
+	// SupportsChunks reports whether the acceptor serves acceptChunksCall. An acceptor of an older build ignores the chunked
+	// value and would accept an empty value. Therefore proposers send it the value inline with acceptCall.
+	SupportsChunks bool `msgpack:"t,omitempty"`
 }
 
-// Internal calls of the register of a name. Votes under one proposal number are alike whenever and however often they are given.
+// prepareCall is the prepare request of the register with the given name. The calls in this file are declared idempotent
+// because a repeated request with the same proposal number does not change the outcome of the protocol.
 func prepareCall(name string) transport.Idempotent[prepareRequest, reply] {
 	return transport.NewIdempotent[prepareRequest, reply]("/register/" + name + "/prepare")
 }
 
+// acceptCall is an accept request whose value is sent inline.
 func acceptCall(name string) transport.Idempotent[acceptRequest, reply] {
 	return transport.NewIdempotent[acceptRequest, reply]("/register/" + name + "/accept")
 }
 
-// acceptChunksCall is an accept request whose value is sent in chunks.
+// acceptChunksCall is an accept request whose value is sent in chunks. Older builds do not serve it.
 func acceptChunksCall(name string) transport.Idempotent[acceptRequest, reply] {
 	return transport.NewIdempotent[acceptRequest, reply]("/register/" + name + "/accept-parts")
 }
--- a/internal/controlplane/register/modelproposer_test.go
+++ b/internal/controlplane/register/modelproposer_test.go
@@ -119,14 +119,14 @@
 func (x *transitions) answered(w *modelState, p, m int, out voteOutput) string {
 	state := &w.proposers[p]
 	view := modelViews[state.view]
-	counted := &round{view: view, granted: make([]reply, state.granted), conflicts: int(state.conflicts), newer: modelViews[state.newer]}
-	next := answer{reply: reply{Outcome: out.outcome, View: modelViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
+	counted := &round{view: view, granted: make([]reply, state.granted), conflicts: int(state.conflicts), newerView: modelViews[state.newer]}
+	next := callResult{reply: reply{Outcome: out.outcome, View: modelViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
 	if out.failed {
-		next = answer{err: errNoAnswer}
+		next = callResult{err: errNoAnswer}
 	}
-	counted.count(next)
+	counted.addResult(next)
 	state.answered = state.answered.with(m)
-	state.conflicts, state.newer = uint8(counted.conflicts), uint8(counted.newer.Version)
+	state.conflicts, state.newer = uint8(counted.conflicts), uint8(counted.newerView.Version)
 	state.counter = max(state.counter, uint8(counted.highestPromised.Counter))
 	if len(counted.granted) > int(state.granted) {
 		state.grants[state.granted] = out.accepted
@@ -137,7 +137,7 @@
 	case len(counted.granted) >= view.Quorum():
 		return x.majority(w, p)
 	case len(counted.granted)+open < view.Quorum():
-		return x.nextAttempt(w, p, counted.failure())
+		return x.nextAttempt(w, p, counted.failureReason())
 	}
 	return ""
 }
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -202,9 +202,9 @@
 		return out
 	}
 	register := New(Config{Name: modelRegister, Self: proposerName(int(in.proposer))})
-	register.forgetsProposals = r.omitted.reappliesUnclearChange
+	register.skipProposalCheck = r.omitted.reappliesUnclearChange
 	if r.omitted.anyIsCommitted {
-		register.committed = alwaysCommitted
+		register.committedAnswer = alwaysCommitted
 	}
 	p := &proposer{register: register, change: operationOf(int(in.proposer), int(in.operation), r.writeOnce)}
 	for _, sent := range in.sent[:in.sents] {
@@ -214,7 +214,7 @@
 	majority := &round{view: modelViews[in.view]}
 	for _, grant := range in.grants[:in.granted] {
 		grantedState := r.accepted(grant)
-		majority.count(answer{reply: reply{Outcome: granted, Accepted: grantedState.ProposalNumber, State: grantedState.State}})
+		majority.addResult(callResult{reply: reply{Outcome: granted, Accepted: grantedState.ProposalNumber, State: grantedState.State}})
 	}
 	proposalNumber := ProposalNumber{Counter: uint64(in.proposalNumber), Member: proposerName(int(in.proposer))}
 	made, committed, err := p.afterPrepare(majority, proposalNumber)
--- a/internal/controlplane/register/proposer.go
+++ b/internal/controlplane/register/proposer.go
@@ -6,15 +6,15 @@
 	"fmt"
 )
 
-// proposer carries out one change, in as many attempts as it takes. What it decides between rounds is in decision.go.
+// proposer runs one change in one or more attempts. The decisions between the rounds are in decision.go.
 type proposer struct {
 	register            *Register
 	change              func(current []byte) (next []byte, err error)
-	proposals           []proposal // that were sent
-	proposalsSuperseded bool       // whether none of those took or can take effect
+	proposals           []proposal // proposals that may have been sent
+	proposalsSuperseded bool       // whether none of the proposals took effect or can still take effect
 }
 
-// run repeats attempts until one succeeds, the function refuses, or the context ends.
+// run repeats attempts until one succeeds, an error is not retryable, or the context ends.
 func (p *proposer) run(ctx context.Context) ([]byte, error) {
 	for attempt := 0; ; attempt++ {
 		value, err := p.attempt(ctx)
@@ -28,39 +28,40 @@
 	}
 }
 
-// retryable tells whether another attempt may succeed.
+// retryable reports whether another attempt may succeed.
 func retryable(err error) bool {
 	var refusal *functionError
 	return !errors.As(err, &refusal) && !errors.Is(err, errUnknownOutcome) && !errors.Is(err, ErrNoView)
 }
 
-// attempt makes one prepare round and, unless the outcome rests on a committed state already, one accept round.
+// attempt runs one prepare round. It then runs one accept round, unless the result is based on a state that is already
+// committed.
 func (p *proposer) attempt(ctx context.Context) ([]byte, error) {
 	view := p.register.config.View()
 	if view.Version == 0 {
 		return nil, ErrNoView
 	}
-	preparing := &round{view: view, limit: p.register.roundLimit}
+	prepareRound := &round{view: view, limit: p.register.roundLimit}
 	proposalNumber := p.register.nextProposalNumber()
 	cached := p.register.newestAvailable(view.Version)
-	request := prepareRequest{ViewVersion: view.Version, ProposalNumber: proposalNumber, Known: cached.proposalNumber, ByChunks: true}
-	err := preparing.run(ctx, func(ctx context.Context, member string) (reply, error) {
+	request := prepareRequest{ViewVersion: view.Version, ProposalNumber: proposalNumber, CachedProposalNumber: cached.proposalNumber, AcceptsManifest: true}
+	err := prepareRound.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return p.register.prepare(ctx, member, request)
 	})
-	p.register.observe(preparing.highestPromised)
+	p.register.raiseCounter(prepareRound.highestPromised)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.register.completeValue(ctx, preparing, cached); err != nil {
+	if err := p.register.completeValue(ctx, prepareRound, cached); err != nil {
 		return nil, err
 	}
-	decision, committed, err := p.afterPrepare(preparing, proposalNumber)
+	decision, committed, err := p.afterPrepare(prepareRound, proposalNumber)
 	if err != nil {
 		return nil, err
 	}
 	if !committed {
 		request := acceptRequest{ViewVersion: view.Version, ProposalNumber: proposalNumber, State: decision.state}
-		if err := p.accept(ctx, request, preparing); err != nil {
+		if err := p.accept(ctx, request, prepareRound); err != nil {
 			return nil, err
 		}
 		p.proposalsSuperseded = !decision.isProposal
@@ -68,19 +69,19 @@
 	return decision.value, decision.refusal
 }
 
-// accept makes the accept round that follows a prepare round.
-func (p *proposer) accept(ctx context.Context, request acceptRequest, prepared *round) error {
-	view := prepared.view
-	accepting := &round{view: view, limit: p.register.roundLimit}
+// accept runs the accept round that follows a prepare round.
+func (p *proposer) accept(ctx context.Context, request acceptRequest, prepareRound *round) error {
+	view := prepareRound.view
+	acceptRound := &round{view: view, limit: p.register.roundLimit}
 	proposed := p.register.stateToCache(view.Version, request)
 	send := p.register.accept
 	if proposed.chunking != nil {
-		send = p.register.chunkedAccept(proposed, prepared.withoutChunkSupport())
+		send = p.register.chunkedAccept(proposed, prepareRound.membersWithoutChunkSupport())
 	}
-	err := accepting.run(ctx, func(ctx context.Context, member string) (reply, error) {
+	err := acceptRound.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return send(ctx, member, request)
 	})
-	p.register.observe(accepting.highestPromised)
+	p.register.raiseCounter(acceptRound.highestPromised)
 	if err == nil {
 		p.register.cache(proposed)
 	}
--- a/internal/controlplane/register/quorum.go
+++ b/internal/controlplane/register/quorum.go
@@ -10,112 +10,114 @@
 )
 
 var (
-	// ErrNoQuorum is the failure of a round that too few members answered in time.
-	ErrNoQuorum = errors.New("too few members answered")
-	// ErrNoView is the failure of a proposer that knows no members.
-	ErrNoView = errors.New("the replicas are not known")
-	// errConflict is the failure of a round that lost against a higher proposal number.
+	// ErrNoQuorum reports that no majority of the members granted the request of a round in time.
+	ErrNoQuorum = errors.New("no majority of the members granted the request")
+	// ErrNoView reports that the proposer has no view to use for the change or read.
+	ErrNoView = errors.New("the members of the replica set are unknown")
+	// errConflict reports that members have promised a higher proposal number.
 	errConflict = errors.New("a higher proposal number was promised")
 )
 
-// viewError is the failure of a round at members with another view.
+// viewError reports that members use another view than the proposer.
 type viewError struct{ view replicaset.View }
 
 func (e *viewError) Error() string {
-	return fmt.Sprintf("members work with view %d of the replicas", e.view.Version)
+	return fmt.Sprintf("members use view %d of the replica set", e.view.Version)
 }
 
-// answer is what one member replied, or why it did not.
-type answer struct {
+// callResult is the reply of one member or the error of the call.
+type callResult struct {
 	reply reply
 	err   error
 }
 
-// round counts the answers to one request that went to all members of a view. What is in this file does no input or output;
-// run sends the request.
+// round counts the replies to one request that was sent to all members of a view. The methods in this file do no input or
+// output. The method run sends the request.
 type round struct {
 	view            replicaset.View
-	limit           time.Duration // from the start of the round; later answers do not count
+	limit           time.Duration // time since the start of the round after which replies do not count
 	granted         []reply
 	conflicts       int
 	failures        []error
-	highestPromised ProposalNumber  // to any proposer, as far as answers show
-	newer           replicaset.View // newest view of members that answered with viewMismatch
-	start           time.Time       // set by run, as are the next two
-	answers         <-chan answer   // of members that have not been counted
-	open            int             // how many they are
+	highestPromised ProposalNumber    // highest proposal number that a reply reported as promised
+	newerView       replicaset.View   // newest view that a reply with viewMismatch reported
+	startTime       time.Time         // set by run, as are results and outstanding
+	results         <-chan callResult // results that have not been counted yet
+	outstanding     int               // number of results that have not been counted yet
 }
 
-// count takes an answer.
-func (r *round) count(next answer) {
-	if next.err != nil {
-		r.failures = append(r.failures, next.err)
+// addResult counts the result of one call.
+func (r *round) addResult(result callResult) {
+	if result.err != nil {
+		r.failures = append(r.failures, result.err)
 		return
 	}
-	if r.highestPromised.Less(next.reply.Promised) {
-		r.highestPromised = next.reply.Promised
+	if r.highestPromised.Less(result.reply.Promised) {
+		r.highestPromised = result.reply.Promised
 	}
-	switch next.reply.Outcome {
+	switch result.reply.Outcome {
 	case granted:
-		r.granted = append(r.granted, next.reply)
+		r.granted = append(r.granted, result.reply)
 	case conflict:
 		r.conflicts++
 	case viewMismatch:
-		if next.reply.View.Version > r.newer.Version {
-			r.newer = next.reply.View
+		if result.reply.View.Version > r.newerView.Version {
+			r.newerView = result.reply.View
 		}
-		r.failures = append(r.failures, &viewError{next.reply.View})
+		r.failures = append(r.failures, &viewError{result.reply.View})
 	}
 }
 
-// failure says why there is no majority.
-func (r *round) failure() error {
+// failureReason returns the error that explains why there is no majority.
+func (r *round) failureReason() error {
 	switch {
-	case r.newer.Version > r.view.Version:
-		return &viewError{r.newer}
+	case r.newerView.Version > r.view.Version:
+		return &viewError{r.newerView}
 	case r.conflicts > 0:
 		return errConflict
 	}
-	return r.noQuorum()
+	return r.noQuorumError()
 }
 
-// noQuorum is the failure of a round with too few answers, with the reasons that are known.
-func (r *round) noQuorum() error {
+// noQuorumError returns ErrNoQuorum with the number of granted replies and the errors of the failed calls.
+func (r *round) noQuorumError() error {
 	err := fmt.Errorf("%w: %d of %d within %v", ErrNoQuorum, len(r.granted), len(r.view.Members), r.limit)
 	return errors.Join(append([]error{err}, r.failures...)...)
 }
 
-// latest returns the answer with the highest accepted proposal number, and whether all have that one: then it is committed,
-// as a majority has accepted it.
+// latest returns the reply with the highest accepted proposal number. It also reports whether all replies have this number.
+// In that case, a majority has accepted the state, so that it is committed.
 func (r *round) latest() (reply, bool) {
 	latest := r.granted[0]
-	same := true
+	allEqual := true
 	for _, next := range r.granted[1:] {
 		if next.Accepted != latest.Accepted {
-			same = false
+			allEqual = false
 		}
 		if latest.Accepted.Less(next.Accepted) {
 			latest = next
 		}
 	}
-	return latest, same
+	return latest, allEqual
 }
 
-// agreed returns the answer that a majority has in common, if there is one. Its proposal was committed, and no higher one was when the
-// round began: each majority that had accepted a higher one would have a member among these, which has not. So a read may return it
-// although other members have accepted more, which may or may not be committed later.
-func (r *round) agreed() (reply, bool) {
-	count := make(map[ProposalNumber]int)
+// majorityAnswer returns a reply whose accepted proposal number a majority reported, if there is one. This proposal is
+// committed. No higher proposal was committed when the round began, because any majority that had accepted a higher one would
+// share a member with this majority. Therefore a read may return this state even if other members have accepted a higher
+// proposal, which may or may not be committed later.
+func (r *round) majorityAnswer() (reply, bool) {
+	acceptCounts := make(map[ProposalNumber]int)
 	for _, answer := range r.granted {
-		count[answer.Accepted]++
-		if count[answer.Accepted] == r.view.Quorum() {
+		acceptCounts[answer.Accepted]++
+		if acceptCounts[answer.Accepted] == r.view.Quorum() {
 			return answer, true
 		}
 	}
 	return reply{}, false
 }
 
-// chunkHolders are the members that may have what was accepted under a proposal number: first those that reported it.
+// chunkHolders returns all members in the order in which to fetch the chunks of the value accepted under a proposal number.
+// Members that reported this number come first. The other members may have accepted it since.
 func (r *round) chunkHolders(proposalNumber ProposalNumber) []string {
 	var members []string
 	for _, answer := range r.granted {
@@ -131,11 +133,12 @@
 	return members
 }
 
-// withoutChunkSupport are the members whose answers to a prepare request show that they serve no chunked accept requests.
-func (r *round) withoutChunkSupport() map[string]bool {
+// membersWithoutChunkSupport returns the members whose replies to a prepare request show that they do not serve chunked accept
+// requests.
+func (r *round) membersWithoutChunkSupport() map[string]bool {
 	members := make(map[string]bool)
 	for _, answer := range r.granted {
-		if !answer.TakesChunks {
+		if !answer.SupportsChunks {
 			members[answer.member] = true
 		}
 	}
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -14,65 +14,66 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Bounds of the backoff between attempts; each is drawn between half of the bound and the bound, which doubles.
+// The backoff between attempts is a random duration between half of a bound and the bound. The bound starts at minBackoff and
+// doubles with each attempt up to maxBackoff.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// Config is what a Register needs.
+// Config configures a Register.
 type Config struct {
-	Name        string                 // the same at all members
-	Self        string                 // this process's internal address
-	Acceptor    *Acceptor              // this member's own, which is called directly; nil where there is none
+	Name        string                 // name of the register; the same on all members
+	Self        string                 // internal address of this process
+	Acceptor    *Acceptor              // local acceptor, which is called directly; nil if this process is not a member
 	View        func() replicaset.View // the current view
-	OnNewerView func(replicaset.View)  // called with a newer view that a member works with; may be nil
+	OnNewerView func(replicaset.View)  // called when a member reports a newer view; may be nil
 	Caller      transport.Caller
-	// RandomBelow returns a random duration below a bound; nil draws from the process's source. A simulation gives its own, so
-	// that its seed replays it.
+	// RandomBelow returns a random duration below a bound. If it is nil, the global random source is used. A simulation sets
+	// it, so that the same seed produces the same run.
 	RandomBelow func(bound time.Duration) time.Duration
 }
 
-// Register is a proposer: it reads and changes the register's value. Its methods may be called from any goroutine; its changes
-// are made one after the other, so that they do not compete.
+// Register is a proposer. It reads and changes the value of the register. Its methods are safe for concurrent use. It runs one
+// change at a time, so that its own changes do not conflict with each other.
 type Register struct {
-	config   Config
-	changing chan struct{} // holds a token while nobody changes the register here
-
-	mutex   sync.Mutex        // guards what follows
-	counter uint64            // highest that was seen or used in a proposal number
-	cached  cachedState       // newest that was read or accepted
-	partial *chunks.Assembler // of a value that is not complete yet
-
-	// Rules of the protocol; tests replace them to show that each is needed.
-	roundLimit       time.Duration
-	committed        func(*round) (reply, bool)
-	forgetsProposals bool
+	config      Config
+	changeToken chan struct{} // holds one token while no change of this proposer is running
+
+	mutex          sync.Mutex        // guards highestCounter, cached and partial
+	highestCounter uint64            // highest counter seen or used in a proposal number
+	cached         cachedState       // newest state that was read or accepted
+	partial        *chunks.Assembler // chunks of a value that is still incomplete; kept for the next attempt
+
+	// The following fields are rules of the protocol. Tests replace them to show that each rule is necessary.
+	roundLimit        time.Duration
+	committedAnswer   func(*round) (reply, bool)
+	skipProposalCheck bool
 }
 
-// New makes a proposer.
+// New returns a proposer.
 func New(config Config) *Register {
 	r := &Register{
-		config:     config,
-		changing:   make(chan struct{}, 1),
-		roundLimit: RoundLimit,
-		committed:  (*round).latest,
+		config:          config,
+		changeToken:     make(chan struct{}, 1),
+		roundLimit:      RoundLimit,
+		committedAnswer: (*round).latest,
 	}
-	r.changing <- struct{}{}
+	r.changeToken <- struct{}{}
 	return r
 }
 
-// Change applies a function to the current value, which is nil before the first change, and returns the value that it
-// made. The function may be called several times, but at most one result takes effect; it must not modify its argument.
-// Where it returns the value unchanged, or an error, that rests on a committed value.
+// Change applies a function to the current value and returns the new value. The current value is nil before the first change.
+// The function may be called several times, but at most one of its results takes effect. It must not modify its argument. If
+// the function returns the value unchanged or returns an error, Change commits the current value before it returns.
 //
-// Errors carry an rpcerror.Error; the function's own error is in their chain. NotExecuted means that no result of
-// the function was or will be the register's value.
+// Errors wrap an rpcerror.Error and the error of the function. NotExecuted means that no result of the function has been or
+// will become the value of the register.
 func (r *Register) Change(ctx context.Context, change func(current []byte) (next []byte, err error)) ([]byte, error) {
-	if err := r.waitTurn(ctx); err != nil {
+	if err := r.acquireChangeToken(ctx); err != nil {
 		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("change register %s: %w", r.config.Name, err), 0)
 	}
-	defer func() { r.changing <- struct{}{} }()
+	defer func() { r.changeToken <- struct{}{} }()
 	p := &proposer{register: r, change: change}
 	value, err := p.run(ctx)
 	if err != nil {
@@ -81,12 +82,12 @@
 	return value, nil
 }
 
-// waitTurn waits until no other change of this proposer is under way. A change whose context has ended gets no turn: its
-// proposals would only compete with those of others.
-func (r *Register) waitTurn(ctx context.Context) error {
+// acquireChangeToken waits until no other change of this proposer is running. It fails if the context has ended, even if the
+// token is available. The proposals of a cancelled change would only conflict with those of other proposers.
+func (r *Register) acquireChangeToken(ctx context.Context) error {
 	if ctx.Err() == nil {
 		select {
-		case <-r.changing:
+		case <-r.changeToken:
 			return nil
 		case <-ctx.Done():
 		}
@@ -94,62 +95,63 @@
 	return context.Cause(ctx)
 }
 
-// agreementWait is how long a read waits for the answers of further members where those of the first majority differ. A change is
-// then under way, or was left half done; to complete it takes a majority that can write.
-const agreementWait = 100 * time.Millisecond
+// agreementTimeout is how long a read waits for further replies if the replies of the first majority differ. They differ while
+// a change is running or after a change was abandoned. Completing that change would need a majority that can write to disk.
+const agreementTimeout = 100 * time.Millisecond
 
-// Read returns the current value; nil before the first change. It takes one round where a majority agrees, and then needs no disk.
+// Read returns the current value, which is nil before the first change. If a majority has accepted the same state, Read needs
+// a single round and no disk writes.
 func (r *Register) Read(ctx context.Context) ([]byte, error) {
 	view := r.config.View()
 	if view.Version == 0 {
 		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("read register %s: %w", r.config.Name, ErrNoView), 0)
 	}
-	reading := round{view: view, limit: r.roundLimit}
+	readRound := round{view: view, limit: r.roundLimit}
 	cached := r.newestAvailable(view.Version)
-	request := readRequest{ViewVersion: view.Version, Known: cached.proposalNumber, ByChunks: true}
-	err := reading.run(ctx, func(ctx context.Context, member string) (reply, error) {
+	request := readRequest{ViewVersion: view.Version, CachedProposalNumber: cached.proposalNumber, AcceptsManifest: true}
+	err := readRound.run(ctx, func(ctx context.Context, member string) (reply, error) {
 		return r.read(ctx, member, request)
 	})
 	if err == nil {
-		if latest, committed := r.committed(&reading); committed {
-			return r.resolveValue(ctx, &reading, latest, cached)
+		if latest, committed := r.committedAnswer(&readRound); committed {
+			return r.resolveValue(ctx, &readRound, latest, cached)
 		}
-		if common, agreed := reading.awaitAgreement(ctx, agreementWait); agreed {
-			return r.resolveValue(ctx, &reading, common, cached)
+		if majority, agreed := readRound.awaitAgreement(ctx, agreementTimeout); agreed {
+			return r.resolveValue(ctx, &readRound, majority, cached)
 		}
 	}
 	r.reportNewerView(err)
 	return r.Change(ctx, func(current []byte) ([]byte, error) { return current, nil })
 }
 
-// resolveValue returns the value of an answer on which a majority agrees.
-func (r *Register) resolveValue(ctx context.Context, reading *round, latest reply, cached cachedState) ([]byte, error) {
+// resolveValue returns the value of the state that a majority has accepted.
+func (r *Register) resolveValue(ctx context.Context, readRound *round, latest reply, cached cachedState) ([]byte, error) {
 	if latest.Accepted == (ProposalNumber{}) {
 		return latest.State.Value, nil
 	}
-	state, err := r.stateAccepted(ctx, reading, latest.Accepted, cached)
+	state, err := r.stateAccepted(ctx, readRound, latest.Accepted, cached)
 	if err != nil {
 		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errIncomplete, err), 0)
 	}
 	return state.Value, nil
 }
 
-// nextProposalNumber returns a proposal number above all that this proposer has seen.
+// nextProposalNumber returns a proposal number above all numbers that this proposer has seen or used.
 func (r *Register) nextProposalNumber() ProposalNumber {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.counter++
-	return ProposalNumber{Counter: r.counter, Member: r.config.Self}
+	r.highestCounter++
+	return ProposalNumber{Counter: r.highestCounter, Member: r.config.Self}
 }
 
-// observe makes later proposal numbers higher than one that was promised to anyone.
-func (r *Register) observe(proposalNumber ProposalNumber) {
+// raiseCounter makes later proposal numbers of this proposer higher than the given one.
+func (r *Register) raiseCounter(proposalNumber ProposalNumber) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.counter = max(r.counter, proposalNumber.Counter)
+	r.highestCounter = max(r.highestCounter, proposalNumber.Counter)
 }
 
-// reportNewerView passes on a newer view that made a round fail.
+// reportNewerView calls OnNewerView if a round failed because members use a newer view.
 func (r *Register) reportNewerView(err error) {
 	var mismatch *viewError
 	if errors.As(err, &mismatch) && mismatch.view.Version > r.config.View().Version && r.config.OnNewerView != nil {
@@ -157,21 +159,21 @@
 	}
 }
 
-// isLocal tells whether a member's acceptor is in this process.
+// isLocal reports whether the acceptor of a member runs in this process.
 func (r *Register) isLocal(member string) bool {
 	return member == r.config.Self && r.config.Acceptor != nil
 }
 
-// prepare, accept and read send a request to a member. The local acceptor is called without the network, and its answers have
-// the value inline in any case.
+// prepare sends a prepare request to a member. The local acceptor is called directly and returns its value inline.
 func (r *Register) prepare(ctx context.Context, member string, request prepareRequest) (reply, error) {
 	if r.isLocal(member) {
-		request.Known = ProposalNumber{}
+		request.CachedProposalNumber = ProposalNumber{}
 		return r.config.Acceptor.prepare(ctx, request)
 	}
 	return prepareCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
 }
 
+// accept sends an accept request with an inline value to a member.
 func (r *Register) accept(ctx context.Context, member string, request acceptRequest) (reply, error) {
 	if r.isLocal(member) {
 		return r.config.Acceptor.accept(ctx, request)
@@ -179,6 +181,7 @@
 	return acceptCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
 }
 
+// read sends a read request to a member. The local acceptor is called directly and returns its value inline.
 func (r *Register) read(ctx context.Context, member string, request readRequest) (reply, error) {
 	if r.isLocal(member) {
 		return r.config.Acceptor.read(ctx, readRequest{ViewVersion: request.ViewVersion})
@@ -186,14 +189,14 @@
 	return readCall(r.config.Name).Call(ctx, r.config.Caller, member, request)
 }
 
-// backOff waits a random time before the next attempt.
+// backOff waits for a random duration before the next attempt.
 func (r *Register) backOff(ctx context.Context, attempt int) error {
-	draw := r.config.RandomBelow
-	if draw == nil {
-		draw = rand.N[time.Duration]
+	randomBelow := r.config.RandomBelow
+	if randomBelow == nil {
+		randomBelow = rand.N[time.Duration]
 	}
 	bound := min(minBackoff<<min(attempt, 10), maxBackoff)
-	timer := time.NewTimer(bound/2 + draw(bound/2))
+	timer := time.NewTimer(bound/2 + randomBelow(bound/2))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -19,12 +19,12 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// runInCluster runs a test in simulated time at three members.
+// runInCluster runs a test with a cluster of three members in simulated time.
 func runInCluster(t *testing.T, test func(*cluster)) {
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
 		test(c)
-		c.end()
+		c.shutdown()
 	})
 }
 
@@ -40,21 +40,21 @@
 	return c.Caller.Call(ctx, address, route, request, reply)
 }
 
-func TestErrorsSayWhetherTheChangeMayHaveBeenExecuted(t *testing.T) {
+func TestChangeErrorReportsWhetherItMayHaveExecuted(t *testing.T) {
 	var beforeAccept, afterAccept, refused, refusedLater error
 	refusal := errors.New("refused")
 	runInCluster(t, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 		defer cancel()
 		c.network.AddRule(networktest.Rule{From: "preparing", Lose: true})
-		_, beforeAccept = c.proposer("preparing", nil).Change(ctx, replaceBy("a"))
+		_, beforeAccept = c.proposer("preparing", nil).Change(ctx, replaceWith("a"))
 		_, refused = c.proposer("refusing", nil).Change(c.ctx, func([]byte) ([]byte, error) { return nil, refusal })
 	})
 	runInCluster(t, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 		defer cancel()
 		c.network.AddRule(networktest.Rule{From: "accepting", Path: "/accept", Lose: true})
-		_, afterAccept = c.proposer("accepting", nil).Change(ctx, replaceBy("a"))
+		_, afterAccept = c.proposer("accepting", nil).Change(ctx, replaceWith("a"))
 	})
 	runInCluster(t, func(c *cluster) {
 		c.network.AddRule(networktest.Rule{From: "later", Path: "/accept", Lose: true, Times: 3})
@@ -74,18 +74,19 @@
 		convey.So(afterAccept, convey.ShouldNotBeNil)
 		convey.So(rpcerror.ExecutionOf(afterAccept), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 	})
-	convey.Convey("A change that its function refuses was not executed", t, func() {
+	convey.Convey("A change whose function returns an error was not executed", t, func() {
 		convey.So(refused, convey.ShouldWrap, refusal)
 		convey.So(rpcerror.ExecutionOf(refused), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
-	convey.Convey("Nor was one that is refused at a later attempt, as the earlier proposal is superseded then", t, func() {
+	convey.Convey("A change whose function returns an error in a later attempt was not executed, because its earlier proposal is superseded", t, func() {
 		convey.So(refusedLater, convey.ShouldWrap, refusal)
 		convey.So(rpcerror.ExecutionOf(refusedLater), convey.ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
-// A change whose accept round reached a single member takes effect once, though the function is not idempotent.
-func TestUnclearAttemptIsNotReapplied(t *testing.T) {
+// The accept requests of the first attempt reach only one member. The change must still take effect exactly once, although its
+// function is not idempotent.
+func TestChangeWithUnknownOutcomeIsAppliedOnce(t *testing.T) {
 	var value []byte
 	var err error
 	calls := 0
@@ -93,36 +94,37 @@
 		for _, member := range []string{"member-1", "member-2"} {
 			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Lose: true, Times: 1})
 		}
-		c.network.AddRule(networktest.Rule{From: "member-0", To: "member-2", Path: "/prepare", Lose: true}) // so the majority includes member 0
+		c.network.AddRule(networktest.Rule{From: "member-0", To: "member-2", Path: "/prepare", Lose: true}) // the majority must include member 0
 		value, err = c.process("member-0").register.Change(c.ctx, func(current []byte) ([]byte, error) {
 			calls++
 			return append(append([]byte{}, current...), 'x'), nil
 		})
 	})
-	convey.Convey("The second attempt finds the first one's state and confirms it", t, func() {
+	convey.Convey("The second attempt finds the state of the first attempt and commits it", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(value), convey.ShouldEqual, "x")
 		convey.So(calls, convey.ShouldEqual, 1)
 	})
 }
 
-// While an accept round is lost, the others change the register more often than its history reaches back.
-func TestUnknownOutcomeIsUnclear(t *testing.T) {
+// All accept requests of a change are lost. Meanwhile, another proposer makes more changes than the history contains. The
+// proposer of the first change can then no longer determine its outcome.
+func TestChangeOlderThanHistoryMayHaveExecuted(t *testing.T) {
 	var err error
 	runInCluster(t, func(c *cluster) {
-		c.network.AddRule(networktest.Rule{From: outsider, Path: "/accept", Lose: true, Times: 3})
-		ended := make(chan error, 1)
+		c.network.AddRule(networktest.Rule{From: nonMember, Path: "/accept", Lose: true, Times: 3})
+		result := make(chan error, 1)
 		go func() {
-			_, err := c.proposer(outsider, nil).Change(c.ctx, replaceBy("a"))
-			ended <- err
+			_, err := c.proposer(nonMember, nil).Change(c.ctx, replaceWith("a"))
+			result <- err
 		}()
-		synctest.Wait() // the accept round is open
+		synctest.Wait() // the accept round is running
 		for i := range historyLength + 2 {
-			if _, err := c.process("member-0").register.Change(c.ctx, replaceBy(fmt.Sprint(i))); err != nil {
+			if _, err := c.process("member-0").register.Change(c.ctx, replaceWith(fmt.Sprint(i))); err != nil {
 				t.Error(err)
 			}
 		}
-		err = <-ended
+		err = <-result
 	})
 	convey.Convey("The change may have been executed", t, func() {
 		convey.So(err, convey.ShouldWrap, errUnknownOutcome)
@@ -130,20 +132,20 @@
 	})
 }
 
-func TestRefusalRestsOnACommittedValue(t *testing.T) {
+func TestRefusedChangeCommitsTheCurrentValue(t *testing.T) {
 	var refusedAt string
 	var value []byte
 	runInCluster(t, func(c *cluster) {
-		// Only member 0 accepts "half"; its proposer is killed before it can repeat the round.
+		// Only member 0 accepts "uncommitted". The context of the change ends before its proposer can commit the value.
 		for _, member := range []string{"member-1", "member-2"} {
 			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Lose: true, Times: 1})
 		}
 		p := c.process("member-0")
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 		defer cancel()
-		p.register.Change(ctx, replaceBy("half"))
+		p.register.Change(ctx, replaceWith("uncommitted"))
 		c.network.Partition("member-2", true)
-		c.proposer(outsider, nil).Change(c.ctx, func(current []byte) ([]byte, error) {
+		c.proposer(nonMember, nil).Change(c.ctx, func(current []byte) ([]byte, error) {
 			refusedAt = string(current)
 			return nil, errors.New("refused")
 		})
@@ -151,18 +153,18 @@
 		c.network.Partition("member-0", true)
 		value, _ = c.process("member-1").register.Read(c.ctx)
 	})
-	convey.Convey("What a change was refused at is the value, though only one member had accepted it before", t, func() {
-		convey.So(refusedAt, convey.ShouldEqual, "half")
-		convey.So(string(value), convey.ShouldEqual, "half")
+	convey.Convey("The value at which the function refused the change is committed, although only one member had accepted it before", t, func() {
+		convey.So(refusedAt, convey.ShouldEqual, "uncommitted")
+		convey.So(string(value), convey.ShouldEqual, "uncommitted")
 	})
 }
 
-func TestReadTakesOneRoundWhereAMajorityAgrees(t *testing.T) {
+func TestReadTakesOneRoundWhenAMajorityAgrees(t *testing.T) {
 	var calls []int32
 	var values []string
 	runInCluster(t, func(c *cluster) {
-		counting := &countingCaller{Caller: c.network.Caller(outsider)}
-		reader := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: counting})
+		counting := &countingCaller{Caller: c.network.Caller(nonMember)}
+		reader := New(Config{Name: testRegister, Self: nonMember, View: c.View, Caller: counting})
 		read := func() {
 			before := counting.calls.Load()
 			value, err := reader.Read(c.ctx)
@@ -170,25 +172,25 @@
 				t.Error(err)
 			}
 			values = append(values, string(value))
-			synctest.Wait() // the calls to all members have begun
+			synctest.Wait() // all calls have been started
 			calls = append(calls, counting.calls.Load()-before)
 		}
 		read()
 		c.network.Partition("member-2", true)
-		c.process("member-0").register.Change(c.ctx, replaceBy("a"))
+		c.process("member-0").register.Change(c.ctx, replaceWith("a"))
 		read()
 		c.network.Partition("member-2", false)
 		c.network.Partition("member-0", true)
-		read() // members 1 and 2 disagree
+		read() // members 1 and 2 have accepted different states
 		read()
 	})
-	convey.Convey("A read takes one round where a majority agrees, and else makes it agree", t, func() {
+	convey.Convey("A read takes one round if a majority agrees; otherwise it commits the current state", t, func() {
 		convey.So(values, convey.ShouldResemble, []string{"", "a", "a", "a"})
 		convey.So(calls, convey.ShouldResemble, []int32{3, 3, 9, 3})
 	})
 }
 
-func TestProposerOfAnotherViewIsRefused(t *testing.T) {
+func TestProposerWithAnotherViewIsRefused(t *testing.T) {
 	var learned replicaset.View
 	var newerErr, olderErr, noneErr error
 	runInCluster(t, func(c *cluster) {
@@ -196,11 +198,11 @@
 		defer cancel()
 		change := func(view replicaset.View) error {
 			proposer := New(Config{
-				Name: testRegister, Self: outsider, Caller: c.network.Caller(outsider),
+				Name: testRegister, Self: nonMember, Caller: c.network.Caller(nonMember),
 				View:        func() replicaset.View { return view },
 				OnNewerView: func(view replicaset.View) { learned = view },
 			})
-			_, err := proposer.Change(ctx, replaceBy("a"))
+			_, err := proposer.Change(ctx, replaceWith("a"))
 			return err
 		}
 		noneErr = change(replicaset.View{})
@@ -210,12 +212,12 @@
 		defer cancel()
 		newerErr = change(replicaset.View{Version: 3, Members: c.view.Members})
 	})
-	convey.Convey("A proposer with an older view is refused and receives the newer one", t, func() {
+	convey.Convey("A proposer with an older view is refused and learns the newer view", t, func() {
 		convey.So(rpcerror.ExecutionOf(olderErr), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(learned.Version, convey.ShouldEqual, 2)
 		convey.So(learned.Members, convey.ShouldHaveLength, 3)
 	})
-	convey.Convey("A proposer with a newer view, or none, is refused too", t, func() {
+	convey.Convey("A proposer with a newer view or without a view is refused", t, func() {
 		convey.So(rpcerror.ExecutionOf(newerErr), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(noneErr, convey.ShouldWrap, ErrNoView)
 	})
@@ -226,7 +228,7 @@
 		view := func() replicaset.View { return replicaset.View{Version: 1, Members: []string{"self"}} }
 		acceptor := readyAcceptor(storage.NewMemory(), view)
 		register := New(Config{Name: testRegister, Self: "self", Acceptor: acceptor, View: view})
-		_, err := register.Change(context.Background(), replaceBy("a"))
+		_, err := register.Change(context.Background(), replaceWith("a"))
 		convey.So(err, convey.ShouldBeNil)
 		value, err := register.Read(context.Background())
 		convey.So(err, convey.ShouldBeNil)
@@ -234,18 +236,18 @@
 	})
 }
 
-func TestStateHistoryTellsWhichProposalsItContains(t *testing.T) {
-	convey.Convey("A state after more changes than its history keeps", t, func() {
+func TestStateReportsProposalsWithinItsHistory(t *testing.T) {
+	convey.Convey("A state after more changes than its history contains", t, func() {
 		proposal := func(i int) ProposalNumber { return ProposalNumber{Counter: uint64(i), Member: "m"} }
 		var current state
 		for i := 1; i <= historyLength+3; i++ {
 			current = current.next([]byte{byte(i)}, proposal(i))
 		}
 		convey.So(current.History, convey.ShouldHaveLength, historyLength)
-		check := func(proposal ProposalNumber, sequence int, expectContained, expectKnown bool) {
-			contained, cached := current.contains(proposal, uint64(sequence))
+		check := func(proposal ProposalNumber, sequence int, expectContained, expectInHistory bool) {
+			contained, inHistory := current.contains(proposal, uint64(sequence))
 			convey.So(contained, convey.ShouldEqual, expectContained)
-			convey.So(cached, convey.ShouldEqual, expectKnown)
+			convey.So(inHistory, convey.ShouldEqual, expectInHistory)
 		}
 		check(proposal(historyLength+3), historyLength+3, true, true)
 		check(proposal(4), 4, true, true)
@@ -256,7 +258,7 @@
 }
 
 func TestMergeTakesHighestPromiseAndAcceptedState(t *testing.T) {
-	convey.Convey("Merged replicas have the highest promise and the state of the highest accepted proposal number", t, func() {
+	convey.Convey("The merged tables contain the highest promise and the state with the highest accepted proposal number", t, func() {
 		replicaOf := func(promised, accepted uint64, value string) storage.Tables {
 			store := storage.NewMemory()
 			acceptor := readyAcceptor(store, noView)
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	appliedBytes   = 45      // of an order that is remembered
-	appliedMax     = 2000    // orders that are remembered
-	bodyBytes      = 8 << 10 // of the configuration itself
-	maxFileBytes   = 8 << 20 // of the file after any number of changes: the usual 4 MB, and what is written meanwhile
-	maxRestartTime = 4 * time.Second
+	commandBytes          = 45      // bytes per remembered command
+	maxRememberedCommands = 2000    // maximum number of remembered commands
+	configurationBytes    = 8 << 10 // size of the configuration in bytes
+	maxFileBytes          = 8 << 20 // size of the store's file: usually 4 MB, plus what is written during a compaction
+	maxRestartTime        = 4 * time.Second
 )
 
-// unsyncedFileSystem is the machine's files without the wait for the disk; the process here only ends, and the power stays.
+// unsyncedFileSystem is the file system of the machine without syncs. The tests that use it simulate no power loss of the
+// machine, so that the operating system keeps the written data.
 type unsyncedFileSystem struct{ storage.OperatingSystem }
 
+// unsyncedFile is a file whose Sync does nothing.
 type unsyncedFile struct{ storage.File }
 
 // Sync implements storage.File.
@@ -39,20 +41,21 @@
 // SyncDirectory implements storage.FileSystem.
 func (unsyncedFileSystem) SyncDirectory(string) error { return nil }
 
-// appliedHistory is what the orders of all changes amount to, one after the other.
-var appliedHistory = randomText(bodyBytes+appliedBytes*(20_000+appliedMax), 7)
+// commandText is the text from which stateAfter takes the configuration and the remembered commands.
+var commandText = randomText(configurationBytes+commandBytes*(20_000+maxRememberedCommands), 7)
 
-// stateAfter is as long as the configuration's state after a number of changes, and differs from the one before as that
-// does: a new body, and one more order behind the others, of which the oldest goes.
+// stateAfter returns a state with the size of the configuration's state after a number of changes. Each change replaces the
+// configuration and appends a command. From maxRememberedCommands on, it also removes the oldest command.
 func stateAfter(changes int) state {
-	body := appliedHistory[changes : changes+bodyBytes]
-	newest := appliedBytes * changes
-	oldest := appliedBytes * max(0, changes-appliedMax)
-	return state{Value: []byte(body + appliedHistory[oldest:newest]), Sequence: uint64(changes)}
+	body := commandText[changes : changes+configurationBytes]
+	newest := commandBytes * changes
+	oldest := commandBytes * max(0, changes-maxRememberedCommands)
+	return state{Value: []byte(body + commandText[oldest:newest]), Sequence: uint64(changes)}
 }
 
-// A member starts again as fast after 20,000 changes of the configuration as after 2,000: its file is rewritten all the time.
-func TestRestartTimeAfterManyChanges(t *testing.T) {
+// The store compacts its file repeatedly. Therefore a member must restart as fast after 20,000 changes of the configuration as
+// after 2,000.
+func TestRestartTimeStaysBoundedAfterManyChanges(t *testing.T) {
 	for _, changes := range []int{200, 2_000, 20_000} {
 		if changes > 2_000 && (raceflag.On || testing.Short()) {
 			continue
@@ -64,10 +67,10 @@
 			acceptor := func(store storage.Store) *Acceptor {
 				return readyAcceptor(store, func() replicaset.View { return replicaset.View{Version: 1} })
 			}
-			before := acceptor(store)
+			original := acceptor(store)
 			for number := 1; number <= changes; number++ {
 				proposalNumber := ProposalNumber{Counter: uint64(number), Member: "a"}
-				answer, err := before.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: proposalNumber, State: stateAfter(number)})
+				answer, err := original.accept(context.Background(), acceptRequest{ViewVersion: 1, ProposalNumber: proposalNumber, State: stateAfter(number)})
 				if err != nil || answer.Outcome != granted {
 					t.Fatal(answer, err)
 				}
@@ -86,7 +89,7 @@
 			So(err, ShouldBeNil)
 			So(answer.State.Sequence, ShouldEqual, changes)
 			So(took, ShouldBeLessThan, maxRestartTime)
-			t.Logf("%d changes: a file of %d KB, open after %v", changes, file.Size()>>10, took)
+			t.Logf("%d changes: file of %d KB opened in %v", changes, file.Size()>>10, took)
 		})
 	}
 }
--- a/internal/controlplane/register/round.go
+++ b/internal/controlplane/register/round.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// RoundLimit bounds every quorum round in the system: an answer counts only if it arrived within this time of the round's
-// start, by the proposer's monotonic clock. A member that lost its disk waits longer than that after its start before it
-// requests copies from the others; so no round that counted its former answers is then still open.
+// RoundLimit is the maximum duration of every quorum round in the system. A reply counts only if the proposer processes it
+// within this time after the start of the round, measured with the proposer's monotonic clock. A member that lost its disk
+// waits longer than this after its start before it requests copies from the other members. By then, every round that counted a
+// reply from before the disk loss is over.
 const RoundLimit = 1500 * time.Millisecond
 
-// sender sends the round's request to one member.
-type sender func(ctx context.Context, member string) (reply, error)
+// sendFunc sends the request of a round to one member.
+type sendFunc func(ctx context.Context, member string) (reply, error)
 
-// run sends a request to all members at once and returns at the first majority, or once there can be none. Requests that are
-// then in flight go on until the limit, so that a slow member does not fall behind. The error is a *viewError, errConflict or
-// ErrNoQuorum.
-func (r *round) run(ctx context.Context, send sender) error {
-	r.start = time.Now()
-	limit := time.NewTimer(r.limit)
-	defer limit.Stop()
-	r.answers, r.open = r.sendAll(ctx, send), len(r.view.Members)
+// run sends a request to all members at once. It returns as soon as a majority has granted the request or a majority has become
+// impossible. Calls that are still running continue until the round limit, so that slow members also receive the request. The
+// error is a *viewError, errConflict or ErrNoQuorum.
+func (r *round) run(ctx context.Context, send sendFunc) error {
+	r.startTime = time.Now()
+	timer := time.NewTimer(r.limit)
+	defer timer.Stop()
+	r.results, r.outstanding = r.sendAll(ctx, send), len(r.view.Members)
 	for len(r.granted) < r.view.Quorum() {
-		if len(r.granted)+r.open < r.view.Quorum() {
-			return r.failure()
+		if len(r.granted)+r.outstanding < r.view.Quorum() {
+			return r.failureReason()
 		}
 		select {
-		case next := <-r.answers:
-			r.open--
-			if time.Since(r.start) > r.limit {
-				return r.noQuorum()
+		case next := <-r.results:
+			r.outstanding--
+			if time.Since(r.startTime) > r.limit {
+				return r.noQuorumError()
 			}
-			r.count(next)
-		case <-limit.C:
-			return r.noQuorum()
+			r.addResult(next)
+		case <-timer.C:
+			return r.noQuorumError()
 		case <-ctx.Done():
 			return fmt.Errorf("%w: %w", ErrNoQuorum, context.Cause(ctx))
 		}
@@ -42,23 +43,23 @@
 	return nil
 }
 
-// awaitAgreement counts further answers after run, for a while and within the limit, until a majority agrees. It tells whether one
-// does.
+// awaitAgreement counts further replies after run until a majority has accepted the same state. It stops after the given wait
+// or at the round limit. It returns a reply with that state and reports whether there is such a majority.
 func (r *round) awaitAgreement(ctx context.Context, wait time.Duration) (reply, bool) {
-	limit := time.NewTimer(min(wait, r.limit-time.Since(r.start)))
-	defer limit.Stop()
+	timer := time.NewTimer(min(wait, r.limit-time.Since(r.startTime)))
+	defer timer.Stop()
 	for {
-		if common, agreed := r.agreed(); agreed || r.open == 0 {
-			return common, agreed
+		if majority, agreed := r.majorityAnswer(); agreed || r.outstanding == 0 {
+			return majority, agreed
 		}
 		select {
-		case next := <-r.answers:
-			r.open--
-			if time.Since(r.start) > r.limit {
+		case next := <-r.results:
+			r.outstanding--
+			if time.Since(r.startTime) > r.limit {
 				return reply{}, false
 			}
-			r.count(next)
-		case <-limit.C:
+			r.addResult(next)
+		case <-timer.C:
 			return reply{}, false
 		case <-ctx.Done():
 			return reply{}, false
@@ -66,17 +67,17 @@
 	}
 }
 
-// sendAll starts one call for each member.
-func (r *round) sendAll(ctx context.Context, send sender) <-chan answer {
-	lasting := context.WithoutCancel(ctx)
-	answers := make(chan answer, len(r.view.Members))
+// sendAll starts one call to each member. The calls continue after the end of ctx, until the round limit.
+func (r *round) sendAll(ctx context.Context, send sendFunc) <-chan callResult {
+	detached := context.WithoutCancel(ctx)
+	answers := make(chan callResult, len(r.view.Members))
 	for _, member := range r.view.Members {
 		go func() {
-			limited, cancel := context.WithTimeout(lasting, r.limit)
+			callContext, cancel := context.WithTimeout(detached, r.limit)
 			defer cancel()
-			reply, err := send(limited, member)
+			reply, err := send(callContext, member)
 			reply.member = member
-			answers <- answer{reply, err}
+			answers <- callResult{reply, err}
 		}()
 	}
 	return answers
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -16,77 +16,77 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-const outsider = "outsider"
+const nonMember = "non-member"
 
-// loseDiskDuringRound lets a proposer have its state accepted by member 2 at once and by member 0 very late. In between,
-// member 2 loses its disk and is rebuilt. It reports whether the change was acknowledged, and whether the value is
-// still read when member 0 is partitioned off.
-func loseDiskDuringRound(t *testing.T, limit time.Duration) (acknowledged, stillThere bool) {
+// loseDiskDuringRound runs a change whose accept request reaches member 2 at once and member 0 after 5 seconds. In between,
+// member 2 loses its disk and is rebuilt. The result reports whether the change was acknowledged and whether its value is still
+// readable when member 0 is partitioned.
+func loseDiskDuringRound(t *testing.T, limit time.Duration) (acknowledged, readable bool) {
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
-		c.network.AddRule(networktest.Rule{From: outsider, To: "member-1", Path: acceptCall(testRegister).Path(), Lose: true, Times: 1})
-		c.network.AddRule(networktest.Rule{From: outsider, To: "member-0", Path: acceptCall(testRegister).Path(), Delay: 5 * time.Second, Times: 1})
-		proposer := c.proposer(outsider, nil)
+		c.network.AddRule(networktest.Rule{From: nonMember, To: "member-1", Path: acceptCall(testRegister).Path(), Lose: true, Times: 1})
+		c.network.AddRule(networktest.Rule{From: nonMember, To: "member-0", Path: acceptCall(testRegister).Path(), Delay: 5 * time.Second, Times: 1})
+		proposer := c.proposer(nonMember, nil)
 		proposer.roundLimit = limit
 		changed := make(chan error, 1)
 		go func() {
-			_, err := proposer.Change(c.ctx, replaceBy("value"))
+			_, err := proposer.Change(c.ctx, replaceWith("value"))
 			changed <- err
 		}()
-		synctest.Wait() // the accept round is open, and member 2 has answered
+		synctest.Wait() // the accept round is running, and member 2 has replied
 		c.restart("member-2", 0, true)
 		acknowledged = <-changed == nil
 		<-c.process("member-2").rebuilder.Complete()
 		c.network.Partition("member-0", true)
 		value, err := c.process("member-1").register.Read(c.ctx)
-		stillThere = err == nil && string(value) == "value"
-		c.end()
+		readable = err == nil && string(value) == "value"
+		c.shutdown()
 	})
-	return acknowledged, stillThere
+	return acknowledged, readable
 }
 
-func TestDiskLossDuringARound(t *testing.T) {
-	acknowledged, stillThere := loseDiskDuringRound(t, RoundLimit)
-	longAcknowledged, longStillThere := loseDiskDuringRound(t, 10*time.Second)
-	convey.Convey("A disk is lost in the middle of an accept round that counted its answer", t, func() {
-		convey.Convey("the round limit keeps the change from being acknowledged and then lost", func() {
+func TestRoundLimitPreventsLossOfAcknowledgedValue(t *testing.T) {
+	acknowledged, readable := loseDiskDuringRound(t, RoundLimit)
+	longAcknowledged, longReadable := loseDiskDuringRound(t, 10*time.Second)
+	convey.Convey("A member loses its disk during an accept round that counted its reply", t, func() {
+		convey.Convey("with the round limit, the acknowledged value is still readable", func() {
 			convey.So(acknowledged, convey.ShouldBeTrue)
-			convey.So(stillThere, convey.ShouldBeTrue)
+			convey.So(readable, convey.ShouldBeTrue)
 		})
-		convey.Convey("without the limit it is acknowledged and lost", func() {
+		convey.Convey("with a limit of 10 seconds, the acknowledged value is lost", func() {
 			convey.So(longAcknowledged, convey.ShouldBeTrue)
-			convey.So(longStillThere, convey.ShouldBeFalse)
+			convey.So(longReadable, convey.ShouldBeFalse)
 		})
 	})
 }
 
-// A change reaches a minority, and then disks are full, so that it can be neither completed nor replaced. What was committed before
-// stays readable.
-func TestReadBesideAHalfDoneChange(t *testing.T) {
+// A minority accepts a change. Then all disks reject writes, so that no proposer can complete or replace the change. The value
+// that was committed before must stay readable.
+func TestReadSucceedsDuringIncompleteChangeWithFullDisks(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		var value []byte
 		var took time.Duration
 		var readErr, changeErr error
 		virtualtime.Test(t, func(*testing.T) {
 			c := newCluster(1, size, nil)
-			proposer := c.proposer(outsider, nil)
-			if _, err := proposer.Change(c.ctx, replaceBy("committed")); err != nil {
+			proposer := c.proposer(nonMember, nil)
+			if _, err := proposer.Change(c.ctx, replaceWith("committed")); err != nil {
 				t.Error(err)
 			}
-			changing := c.view.Members[size-1]
-			c.network.AddRule(networktest.Rule{From: changing, Path: acceptCall(testRegister).Path(), Lose: true})
-			limited, cancel := context.WithTimeout(c.ctx, time.Second)
+			changingMember := c.view.Members[size-1]
+			c.network.AddRule(networktest.Rule{From: changingMember, Path: acceptCall(testRegister).Path(), Lose: true})
+			changeContext, cancel := context.WithTimeout(c.ctx, time.Second)
 			defer cancel()
-			_, changeErr = c.process(changing).register.Change(limited, replaceBy("half done"))
+			_, changeErr = c.process(changingMember).register.Change(changeContext, replaceWith("incomplete"))
 			for _, member := range c.view.Members {
-				c.process(member).disk.Fail(rpcerror.WrapNotExecuted(errors.New("no room"), 0))
+				c.process(member).disk.Fail(rpcerror.WrapNotExecuted(errors.New("no space left on device"), 0))
 			}
 			began := time.Now()
 			value, readErr = proposer.Read(c.ctx)
 			took = time.Since(began)
-			c.end()
+			c.shutdown()
 		})
-		convey.Convey("A read returns what a majority has, without a write, while most disks are full", t, func() {
+		convey.Convey("A read returns the state of a majority without a write while all disks are full", t, func() {
 			convey.So(changeErr, convey.ShouldNotBeNil)
 			convey.So(readErr, convey.ShouldBeNil)
 			convey.So(string(value), convey.ShouldEqual, "committed")
@@ -95,8 +95,9 @@
 	}
 }
 
-// What a majority has in common was committed; what fewer have accepted may be neither.
-func TestAgreedAnswer(t *testing.T) {
+// A state that a majority has accepted is committed. A state that fewer members have accepted may be uncommitted, so that a read
+// must not return it.
+func TestMajorityAnswerNeedsAQuorumOfEqualProposalNumbers(t *testing.T) {
 	number := func(counter uint64) ProposalNumber { return ProposalNumber{Counter: counter, Member: "a"} }
 	cases := []struct {
 		accepted []uint64
@@ -109,42 +110,42 @@
 		{[]uint64{3, 2, 1, 1}, 0},
 		{[]uint64{3, 2, 1, 1, 1}, 1},
 	}
-	convey.Convey("Of five members", t, func() {
+	convey.Convey("Only a proposal number reported by three of five members is returned", t, func() {
 		for _, testCase := range cases {
 			answers := round{view: replicaset.View{Version: 1, Members: []string{"a", "b", "c", "d", "e"}}}
 			for _, counter := range testCase.accepted {
-				answers.count(answer{reply: reply{Outcome: granted, Accepted: number(counter)}})
+				answers.addResult(callResult{reply: reply{Outcome: granted, Accepted: number(counter)}})
 			}
-			common, agreed := answers.agreed()
+			majority, agreed := answers.majorityAnswer()
 			convey.So(agreed, convey.ShouldEqual, testCase.agreed > 0)
 			if agreed {
-				convey.So(common.Accepted, convey.ShouldResemble, number(testCase.agreed))
+				convey.So(majority.Accepted, convey.ShouldResemble, number(testCase.agreed))
 			}
 		}
 	})
 }
 
-func TestLateAnswerDoesNotCount(t *testing.T) {
+func TestAnswerAfterRoundLimitIsIgnored(t *testing.T) {
 	var err error
 	var took time.Duration
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
 		c.network.SetFaults(networktest.Faults{})
-		c.network.AddRule(networktest.Rule{From: outsider, Path: "/prepare", Delay: RoundLimit + time.Millisecond})
+		c.network.AddRule(networktest.Rule{From: nonMember, Path: "/prepare", Delay: RoundLimit + time.Millisecond})
 		ctx, cancel := context.WithTimeout(c.ctx, 20*time.Second)
 		defer cancel()
 		start := time.Now()
-		_, err = c.proposer(outsider, nil).Change(ctx, replaceBy("value"))
+		_, err = c.proposer(nonMember, nil).Change(ctx, replaceWith("value"))
 		took = time.Since(start)
-		c.end()
+		c.shutdown()
 	})
-	convey.Convey("Answers after the limit make no majority", t, func() {
+	convey.Convey("Replies after the round limit do not count towards a majority", t, func() {
 		convey.So(err, convey.ShouldNotBeNil)
 		convey.So(took, convey.ShouldEqual, 20*time.Second)
 	})
 }
 
-// frozenContext freezes its user whenever it is about to wait.
+// frozenContext simulates a frozen process. Done, which select evaluates before it waits, returns after the round limit.
 type frozenContext struct{ context.Context }
 
 // Done implements context.Context.
@@ -153,14 +154,15 @@
 	return nil
 }
 
-// A proposer that was frozen finds the end of the round and answers at the same time, and may see the answers first.
-func TestAnswerReadAfterTheLimitDoesNotCount(t *testing.T) {
+// A process is frozen until after the round limit. It then finds both the expired timer and the replies ready, and select may
+// choose the replies first. They must not count.
+func TestAnswerReadAfterRoundLimitIsIgnored(t *testing.T) {
 	const rounds = 30
 	failed := 0
 	virtualtime.Test(t, func(*testing.T) {
 		for range rounds {
-			late := round{view: replicaset.View{Version: 1, Members: []string{"a"}}, limit: RoundLimit}
-			err := late.run(frozenContext{context.Background()}, func(context.Context, string) (reply, error) {
+			lateRound := round{view: replicaset.View{Version: 1, Members: []string{"a"}}, limit: RoundLimit}
+			err := lateRound.run(frozenContext{context.Background()}, func(context.Context, string) (reply, error) {
 				return reply{Outcome: granted}, nil
 			})
 			if errors.Is(err, ErrNoQuorum) {
@@ -168,7 +170,7 @@
 			}
 		}
 	})
-	convey.Convey("A round whose time is over has no majority, whatever has arrived", t, func() {
+	convey.Convey("A round has no majority after the round limit, even if enough replies have arrived", t, func() {
 		convey.So(failed, convey.ShouldEqual, rounds)
 	})
 }
@@ -180,11 +182,11 @@
 		c := newCluster(1, 3, nil)
 		c.network.Partition("member-2", true)
 		start := time.Now()
-		_, err = c.process("member-0").register.Change(c.ctx, replaceBy("value"))
+		_, err = c.process("member-0").register.Change(c.ctx, replaceWith("value"))
 		took = time.Since(start)
-		c.end()
+		c.shutdown()
 	})
-	convey.Convey("A change needs no more than a majority", t, func() {
+	convey.Convey("A change succeeds without delay while one of three members is partitioned", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(took, convey.ShouldEqual, 0)
 	})
@@ -195,19 +197,19 @@
 	var err error
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
-		c.process("member-0").register.Change(c.ctx, replaceBy("value"))
+		c.process("member-0").register.Change(c.ctx, replaceWith("value"))
 		c.restartAll(time.Second)
 		value, err = c.process("member-1").register.Read(c.ctx)
-		c.end()
+		c.shutdown()
 	})
-	convey.Convey("The value is read after all members have lost power at once", t, func() {
+	convey.Convey("The value is read after all members lost power at the same time", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(value), convey.ShouldEqual, "value")
 	})
 }
 
-func TestAcceptorThatIsNotReadyRefusesAll(t *testing.T) {
-	convey.Convey("An acceptor that is not ready refuses everything and stores nothing", t, func() {
+func TestAcceptorThatIsNotReadyRefusesAllRequests(t *testing.T) {
+	convey.Convey("An acceptor that is not ready refuses all requests and stores nothing", t, func() {
 		store := storage.NewMemory()
 		acceptor := NewAcceptor(AcceptorConfig{Name: testRegister, Store: store, Ready: func() bool { return false }, View: noView})
 		_, prepareErr := acceptor.prepare(context.Background(), prepareRequest{ProposalNumber: ProposalNumber{Counter: 1}})
--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -17,7 +17,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// Extent of a simulation, in simulated time.
+// Size of a simulation. All durations are in simulated time.
 const (
 	simulatedClients     = 3
 	simulationTime       = 12 * time.Second
@@ -36,14 +36,14 @@
 	LateBy:    2500 * time.Millisecond,
 }
 
-// simulate runs clients at all members while messages are lost, duplicated and delayed, members are killed, all of them lose
-// power at once, and single disks are lost.
+// simulate runs clients on the first members and records their operations. Meanwhile, messages are lost, duplicated and
+// delayed. Single members are restarted with or without their disk, and all members lose power at the same time.
 func simulate(t *testing.T, seed uint64, size int, broken *brokenRule) *history {
-	return simulatePadded(t, seed, size, broken, "")
+	return simulateWithPadding(t, seed, size, broken, "")
 }
 
-// simulatePadded does as simulate, with values that begin with a padding.
-func simulatePadded(t *testing.T, seed uint64, size int, broken *brokenRule, padding string) *history {
+// simulateWithPadding is simulate with values that start with a padding.
+func simulateWithPadding(t *testing.T, seed uint64, size int, broken *brokenRule, padding string) *history {
 	recorded := &history{padding: padding}
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(seed, size, broken)
@@ -56,75 +56,79 @@
 		}
 		running.Go(func() { c.injectFaults(ctx, rand.New(rand.NewPCG(seed, 1))) })
 		running.Wait()
-		c.end()
+		c.shutdown()
 	})
 	return recorded
 }
 
-// waitBelow waits a random time. It draws from the process's source, as backoff does: a seed decides which operations and
-// faults a simulation has, and does not replay their interleaving.
-func waitBelow(bound time.Duration) { <-time.After(rand.N(bound)) }
+// sleepRandomly waits for a random duration below a bound. Like the backoff, it uses the global random source. Therefore a seed
+// determines the operations and faults of a simulation, but not their interleaving.
+func sleepRandomly(bound time.Duration) { <-time.After(rand.N(bound)) }
 
+// runClient runs random operations on the register of one member until the context ends.
 func (c *cluster) runClient(ctx context.Context, recorded *history, client int, address string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, uint64(client)+2))
 	for i := 0; ctx.Err() == nil; i++ {
 		p := c.process(address)
-		limited, cancel := context.WithTimeout(p.ctx, operationLimit)
-		kind := operationKind(random.IntN(int(operationKinds)))
-		recorded.run(limited, client, p.register, clientInput{kind, fmt.Sprintf("%d-%d", client, i)})
+		operationContext, cancel := context.WithTimeout(p.ctx, operationLimit)
+		kind := operationKind(random.IntN(int(operationKindCount)))
+		recorded.run(operationContext, client, p.register, clientInput{kind, fmt.Sprintf("%d-%d", client, i)})
 		cancel()
-		waitBelow(maxOperationInterval)
+		sleepRandomly(maxOperationInterval)
 	}
 }
 
+// injectFaults restarts members at random until the context ends.
 func (c *cluster) injectFaults(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		waitBelow(maxFaultInterval)
+		sleepRandomly(maxFaultInterval)
 		address := c.view.Members[random.IntN(len(c.view.Members))]
-		down := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
+		downtime := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
 		switch random.IntN(4) {
 		case 0:
-			c.restart(address, down, false)
+			c.restart(address, downtime, false)
 		case 1:
-			c.restartAll(down)
+			c.restartAll(downtime)
 		default:
 			if c.mayLoseDisk(address) {
-				c.restart(address, down, true)
+				c.restart(address, downtime, true)
 			}
 		}
 	}
 }
 
-// restartAll makes all members lose power at once; their disks are kept.
-func (c *cluster) restartAll(down time.Duration) {
+// restartAll kills all members at the same time and starts them again with their disks after the downtime.
+func (c *cluster) restartAll(downtime time.Duration) {
 	disks := make(map[string]*storage.Memory)
 	for _, address := range c.view.Members {
-		disks[address] = c.stop(address)
+		disks[address] = c.kill(address)
 	}
-	<-time.After(down)
+	<-time.After(downtime)
 	for address, disk := range disks {
 		c.start(address, disk, false)
 	}
 }
 
-func TestRegisterIsLinearizable(t *testing.T) { checkSchedules(t, "") }
+func TestRegisterIsLinearizable(t *testing.T) { checkLinearizability(t, "") }
 
-// Large values are transferred in chunks.
+// Large values are transferred in chunks, which is a separate code path of the protocol.
 func TestRegisterOfLargeValuesIsLinearizable(t *testing.T) {
-	checkSchedules(t, randomText(5*inlineValueBytes, 1))
+	checkLinearizability(t, randomText(5*inlineValueBytes, 1))
 }
 
-func checkSchedules(t *testing.T, padding string) {
+// checkLinearizability runs one simulation for each seed and cluster size. It checks that the history is linearizable and that
+// most operations succeed.
+func checkLinearizability(t *testing.T, padding string) {
 	for _, size := range []int{3, 5} {
 		succeeded := 0
 		for seed := range uint64(*schedules) {
-			recorded := simulatePadded(t, seed, size, nil, padding)
+			recorded := simulateWithPadding(t, seed, size, nil, padding)
 			if result := recorded.check(); result != porcupine.Ok {
-				t.Fatalf("%d members, seed %d: %d operations are %v", size, seed, len(recorded.operations), result)
+				t.Fatalf("%d members, seed %d: history of %d operations is %v", size, seed, len(recorded.operations), result)
 			}
 			succeeded += recorded.succeeded
 		}
-		convey.Convey(fmt.Sprintf("Most operations at %d members succeed in spite of the faults", size), t, func() {
+		convey.Convey(fmt.Sprintf("Enough operations with %d members succeed despite the faults", size), t, func() {
 			convey.So(succeeded, convey.ShouldBeGreaterThan, 20**schedules)
 		})
 		t.Logf("%d members: %d operations succeeded", size, succeeded)
--- a/internal/controlplane/register/state.go
+++ b/internal/controlplane/register/state.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// historyLength is how many changes back a state names the proposals that made it. A proposer whose change is older cannot
-// tell any more whether it took effect (errUnknownOutcome).
+// historyLength is the number of recent changes whose proposal numbers a state lists. A proposer cannot determine whether an
+// older change took effect (errUnknownOutcome).
 const historyLength = 16
 
-// state is what a register has: a value, and the proposals by which it came about. The history lets a proposer whose accept
-// round had no clear outcome find out whether its change is part of the current value.
+// state is the replicated state of a register: the value and the proposals that produced it. If the outcome of an accept round
+// is unknown, the proposer uses the history to find out whether the current value contains its change.
 type state struct {
 	Value    []byte           `msgpack:"v"`
-	Sequence uint64           `msgpack:"s"` // number of changes that made the value
-	History  []ProposalNumber `msgpack:"h"` // proposals of the last changes, newest first
+	Sequence uint64           `msgpack:"s"` // number of changes since the register was created
+	History  []ProposalNumber `msgpack:"h"` // proposal numbers of the last changes, newest first
 }
 
-// next is the state after a change by a proposal.
+// next returns the state after a change by a proposal.
 func (s state) next(value []byte, proposal ProposalNumber) state {
 	history := s.History[:min(len(s.History), historyLength-1)]
 	return state{
@@ -24,8 +24,8 @@
 	}
 }
 
-// contains tells whether the proposal is among those that made the state, and whether its history reaches back to the
-// proposal's position in the sequence (cached): without that nobody can tell whether it is contained.
+// contains reports whether the proposal is one of those that produced the state. The sequence is the number that the state had
+// right after the proposal. If inHistory is false, the history does not reach back that far, and the result is unknown.
 func (s state) contains(proposal ProposalNumber, sequence uint64) (contained, inHistory bool) {
 	if slices.Contains(s.History, proposal) {
 		return true, true
--- a/internal/controlplane/register/succession.go
+++ b/internal/controlplane/register/succession.go
@@ -15,38 +15,40 @@
 )
 
 const (
-	successionName  = "replicaset/next" // in the paths of the calls
+	successionName  = "replicaset/next" // part of the paths of the calls
 	successionTable = TablePrefix + "replicaset/"
 )
 
-// errExcludesSelf is the refusal of a view without the member that is asked to accept it.
-var errExcludesSelf = errors.New("a member that is not about to stop accepts no view without itself")
+// errExcludesSelf reports a proposed view that does not contain the member that has to accept it.
+var errExcludesSelf = errors.New("the proposed view excludes this member, which is not about to stop")
 
-// Succession commits which view follows the current one, in a write-once register for each version. Its acceptors are the
-// members of the current view, so that two of them cannot commit different ones. None of them accepts a view without itself,
-// unless it is about to stop and stays to give the joining member its copy. So a quorum of members that may vote is there to
-// give copies in the next view, and joining members can be rebuilt from it. It implements replicaset.Succession.
+// Succession commits the view that follows the current one. It uses one write-once register for each version of the view. The
+// acceptors are the members of the current view. Therefore two members cannot commit different views.
+//
+// A member does not accept a view without itself, unless it is about to stop. In that case, it keeps running until the joining
+// member has copied its tables. Therefore a quorum of members that may vote is available to the next view, and the joining
+// members can be rebuilt from it. Succession implements replicaset.Succession.
 type Succession struct {
 	config   SuccessionConfig
 	acceptor *Acceptor
 }
 
-// SuccessionConfig is what a Succession needs.
+// SuccessionConfig configures a Succession.
 type SuccessionConfig struct {
-	Self   string // this process's internal address
+	Self   string // internal address of this process
 	Store  storage.Store
-	Ready  func() bool            // whether this member may vote
+	Ready  func() bool            // reports whether this member may vote
 	View   func() replicaset.View // the current view
 	Caller transport.Caller
-	// Departing tells whether this process is about to stop and waits to be replaced; nil where it never does.
+	// Departing reports whether this process is about to stop and waits for its replacement. Nil means that it never does.
 	Departing   func() bool
-	RandomBelow func(bound time.Duration) time.Duration // as in Config; may be nil
+	RandomBelow func(bound time.Duration) time.Duration // see Config; may be nil
 }
 
-// NewSuccession makes the acceptor and the proposer of the next view.
+// NewSuccession returns a Succession with the local acceptor of the next view.
 func NewSuccession(config SuccessionConfig) *Succession {
 	acceptor := NewAcceptor(AcceptorConfig{Name: successionName, Store: config.Store, Ready: config.Ready, View: config.View})
-	acceptor.table = func(viewVersion uint64) string {
+	acceptor.tableName = func(viewVersion uint64) string {
 		return successionTable + strconv.FormatUint(viewVersion+1, 10)
 	}
 	s := &Succession{config: config, acceptor: acceptor}
@@ -54,7 +56,7 @@
 	return s
 }
 
-// validateNextView refuses a view without this member, unless it is departing.
+// validateNextView returns an error for a view without this member, unless this member is departing.
 func (s *Succession) validateNextView(value []byte) error {
 	if value == nil {
 		return nil
@@ -69,12 +71,13 @@
 	return nil
 }
 
+// departing reports whether this member is about to stop.
 func (s *Succession) departing() bool { return s.config.Departing != nil && s.config.Departing() }
 
-// Pending returns the view after current that this member has accepted, if there is one; whether it is committed is not
-// known.
+// Pending returns the view after current that this member has accepted, if there is one. This view is not necessarily
+// committed.
 func (s *Succession) Pending(current replicaset.View) (next replicaset.View, found bool, err error) {
-	stored, err := decodeAcceptorState(s.config.Store.Table(s.acceptor.table(current.Version)))
+	stored, err := decodeAcceptorState(s.config.Store.Table(s.acceptor.tableName(current.Version)))
 	if err != nil || stored.accepted.State.Value == nil {
 		return replicaset.View{}, false, err
 	}
@@ -84,11 +87,12 @@
 	return next, true, nil
 }
 
-// Serve registers the internal calls.
+// Serve registers the handlers of the acceptor's internal calls.
 func (s *Succession) Serve(mux *transport.Mux) { s.acceptor.Serve(mux) }
 
-// Commit proposes the view that follows current and returns the one that was committed, by this or an earlier proposal. It
-// fails with ErrNoView once this process knows a newer view than current.
+// Commit proposes the view that follows current and returns the view that was committed. That may be the view of an earlier
+// proposal. If a member reports a newer view than current, Commit returns that view. Commit fails with ErrNoView if this process
+// already uses another view than current.
 func (s *Succession) Commit(ctx context.Context, current, next replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(next)
 	if err != nil {
@@ -110,7 +114,7 @@
 		return newer, nil
 	}
 	if err != nil {
-		return replicaset.View{}, fmt.Errorf("settle view %d: %w", next.Version, err)
+		return replicaset.View{}, fmt.Errorf("commit view %d: %w", next.Version, err)
 	}
 	var committed replicaset.View
 	if err := msgpack.Unmarshal(value, &committed); err != nil {
@@ -119,7 +123,8 @@
 	return committed, nil
 }
 
-// writeOnce is the change of a write-once register: it proposes a value where there is none, and leaves one that is there.
+// writeOnce returns the change function of a write-once register. It sets the value if there is none and otherwise keeps the
+// current value.
 func writeOnce(proposed []byte) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		if current != nil {
--- a/internal/controlplane/register/valuesend.go
+++ b/internal/controlplane/register/valuesend.go
@@ -30,7 +30,7 @@
 	if cached := r.cachedFor(proposed.view); cached.chunking != nil {
 		memberHas = cached.chunking.Chunk
 	}
-	initial := content{
+	initial := chunkedValue{
 		Manifest: proposed.chunking.Manifest(),
 		Chunks:   proposed.chunking.Packed(chunks.MissingFrom(proposed.chunking.Sums(), memberHas), maxInlineChunkBytes),
 	}
@@ -39,7 +39,7 @@
 			return r.accept(ctx, member, request)
 		}
 		request.State.Value = nil
-		request.Content = &initial
+		request.ChunkedValue = &initial
 		return r.sendChunkedAccept(ctx, member, request, proposed.chunking)
 	}
 }
@@ -54,7 +54,7 @@
 		if err := r.push(ctx, member, chunking, chunks.ParseSums(answer.Missing)); err != nil {
 			return reply{}, err
 		}
-		request.Content = &content{Manifest: chunking.Manifest()}
+		request.ChunkedValue = &chunkedValue{Manifest: chunking.Manifest()}
 	}
 	return reply{}, rpcerror.WrapNotExecuted(fmt.Errorf("%s: %w", member, errIncomplete), 0)
 }
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -44,66 +44,66 @@
 func TestLargeValueIsTransferredInChunks(t *testing.T) {
 	var first, second, third, most int64
 	var read string
-	text := randomText(largeText, 1)
+	text := randomText(largeTextBytes, 1)
 	runInCluster(t, func(c *cluster) {
-		weighing := &byteCountingCaller{Caller: c.network.Caller(outsider)}
-		register := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: weighing})
+		weighing := &byteCountingCaller{Caller: c.network.Caller(nonMember)}
+		register := New(Config{Name: testRegister, Self: nonMember, View: c.View, Caller: weighing})
 		change := func(value string) int64 {
-			if _, err := register.Change(c.ctx, replaceBy(value)); err != nil {
+			if _, err := register.Change(c.ctx, replaceWith(value)); err != nil {
 				t.Error(err)
 			}
 			synctest.Wait()
 			return weighing.take()
 		}
 		first = change(text)
-		second = change(edited(text, "second"))
-		third = change(edited(text, "third"))
+		second = change(withInsertion(text, "second"))
+		third = change(withInsertion(text, "third"))
 		most = weighing.largest.Load()
 		value, _ := c.process("member-1").register.Read(c.ctx)
 		read = string(value)
 	})
 	convey.Convey("The first change sends it once to each member, in messages of a bounded size", t, func() {
-		convey.So(first, convey.ShouldBeBetween, 3*largeText/2, 3*largeText*3/4)
+		convey.So(first, convey.ShouldBeBetween, 3*largeTextBytes/2, 3*largeTextBytes*3/4)
 		convey.So(most, convey.ShouldBeLessThan, maxInlineChunkBytes+maxInlineChunkBytes/2)
 	})
 	convey.Convey("Later changes send the chunks that differ", t, func() {
-		convey.So(second, convey.ShouldBeLessThan, 3*largeText/10)
-		convey.So(third, convey.ShouldBeLessThan, 3*largeText/10)
-		convey.So(read == edited(text, "third"), convey.ShouldBeTrue)
+		convey.So(second, convey.ShouldBeLessThan, 3*largeTextBytes/10)
+		convey.So(third, convey.ShouldBeLessThan, 3*largeTextBytes/10)
+		convey.So(read == withInsertion(text, "third"), convey.ShouldBeTrue)
 	})
 }
 
 func TestMemberIsSentMissingChunksWithinTheRound(t *testing.T) {
-	text := randomText(largeText, 1)
+	text := randomText(largeTextBytes, 1)
 	var value []byte
 	var err error
 	runInCluster(t, func(c *cluster) {
 		proposer := c.process("member-0").register
 		c.network.Partition("member-2", true)
-		proposer.Change(c.ctx, replaceBy(text))
+		proposer.Change(c.ctx, replaceWith(text))
 		synctest.Wait()
 		c.network.Partition("member-2", false)
 		c.network.Partition("member-1", true)
-		_, err = proposer.Change(c.ctx, replaceBy(edited(text, "more")))
+		_, err = proposer.Change(c.ctx, replaceWith(withInsertion(text, "more")))
 		value, _ = c.process("member-2").register.Read(c.ctx)
 	})
 	convey.Convey("A member that missed a change is sent the missing chunks within the same round", t, func() {
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(string(value) == edited(text, "more"), convey.ShouldBeTrue)
+		convey.So(string(value) == withInsertion(text, "more"), convey.ShouldBeTrue)
 	})
 }
 
 func TestPartialTransferIsResumed(t *testing.T) {
-	text := randomText(largeText, 1)
+	text := randomText(largeTextBytes, 1)
 	var errs []error
 	var value []byte
 	var bytes int64
 	runInCluster(t, func(c *cluster) {
-		c.process("member-0").register.Change(c.ctx, replaceBy(text))
-		weighing := &byteCountingCaller{Caller: c.network.Caller(outsider)}
-		reader := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: weighing})
+		c.process("member-0").register.Change(c.ctx, replaceWith(text))
+		weighing := &byteCountingCaller{Caller: c.network.Caller(nonMember)}
+		reader := New(Config{Name: testRegister, Self: nonMember, View: c.View, Caller: weighing})
 		// Each call takes most of the time that a read has.
-		c.network.AddRule(networktest.Rule{From: outsider, Path: fetchCall(testRegister).Path(), Delay: 700 * time.Millisecond})
+		c.network.AddRule(networktest.Rule{From: nonMember, Path: fetchCall(testRegister).Path(), Delay: 700 * time.Millisecond})
 		for range 20 {
 			ctx, cancel := context.WithTimeout(c.ctx, 1500*time.Millisecond)
 			read, err := reader.Read(ctx)
@@ -119,21 +119,21 @@
 		convey.So(rpcerror.ExecutionOf(errs[0]), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(errs[len(errs)-1], convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
-		convey.So(bytes, convey.ShouldBeLessThan, largeText)
+		convey.So(bytes, convey.ShouldBeLessThan, largeTextBytes)
 	})
 }
 
 func TestReaderFetchesFromAnotherMember(t *testing.T) {
-	text := randomText(largeText, 1)
+	text := randomText(largeTextBytes, 1)
 	var value []byte
 	var err error
 	runInCluster(t, func(c *cluster) {
-		c.process("member-0").register.Change(c.ctx, replaceBy(text))
+		c.process("member-0").register.Change(c.ctx, replaceWith(text))
 		synctest.Wait()
 		for _, member := range []string{"member-0", "member-1"} {
-			c.network.AddRule(networktest.Rule{From: outsider, To: member, Path: fetchCall(testRegister).Path(), Lose: true})
+			c.network.AddRule(networktest.Rule{From: nonMember, To: member, Path: fetchCall(testRegister).Path(), Lose: true})
 		}
-		value, err = c.proposer(outsider, nil).Read(c.ctx)
+		value, err = c.proposer(nonMember, nil).Read(c.ctx)
 	})
 	convey.Convey("Members that serve no chunks delay a read only until the fetch times out", t, func() {
 		convey.So(err, convey.ShouldBeNil)
@@ -153,8 +153,8 @@
 	convey.Convey("Given an acceptor", t, func() {
 		store := storage.NewMemory()
 		acceptor := readyAcceptor(store, noView)
-		accept := func(sent content) (reply, error) {
-			return acceptor.serveAccept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Sequence: 1}, Content: &sent})
+		accept := func(sent chunkedValue) (reply, error) {
+			return acceptor.serveAccept(context.Background(), acceptRequest{ProposalNumber: ProposalNumber{Counter: 1}, State: state{Sequence: 1}, ChunkedValue: &sent})
 		}
 		storedValue := func() string {
 			replica, err := acceptor.load(1)
@@ -162,7 +162,7 @@
 			return string(replica.accepted.State.Value)
 		}
 		convey.Convey("a value whose chunks are missing is not stored, and the answer names the missing ones", func() {
-			answer, err := accept(content{Manifest: manifest, Chunks: packed[1:]})
+			answer, err := accept(chunkedValue{Manifest: manifest, Chunks: packed[1:]})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.Outcome, convey.ShouldEqual, chunksMissing)
 			convey.So(answer.Missing, convey.ShouldResemble, manifest.Chunks[:chunks.SumBytes])
@@ -170,23 +170,23 @@
 			convey.Convey("and is stored once they were pushed", func() {
 				_, err := acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
 				convey.So(err, convey.ShouldBeNil)
-				answer, err := accept(content{Manifest: manifest})
+				answer, err := accept(chunkedValue{Manifest: manifest})
 				convey.So(err, convey.ShouldBeNil)
 				convey.So(answer.Outcome, convey.ShouldEqual, granted)
 				convey.So(storedValue() == text, convey.ShouldBeTrue)
 			})
 		})
 		convey.Convey("a value that is not what its manifest names is refused as not executed", func() {
-			_, err := accept(content{Manifest: spoilt, Chunks: packed})
+			_, err := accept(chunkedValue{Manifest: spoilt, Chunks: packed})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(storedValue(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("so is what is no packed chunk, and what is no manifest", func() {
-			_, err := accept(content{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
+			_, err := accept(chunkedValue{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			_, err = acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{{1, 2, 3}}})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
-			_, err = accept(content{Manifest: chunks.Manifest{Bytes: -1}})
+			_, err = accept(chunkedValue{Manifest: chunks.Manifest{Bytes: -1}})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		})
 		convey.Convey("the bytes of pushed chunks of values that nobody proposes are bounded", func() {
@@ -204,14 +204,14 @@
 
 // A member of an older build serves no chunked accept requests, and would take one without a value for an empty value.
 func TestMembersOfOlderBuildsGetInlineValues(t *testing.T) {
-	text := randomText(largeText, 1)
+	text := randomText(largeTextBytes, 1)
 	var read []byte
 	var err error
 	runInCluster(t, func(c *cluster) {
 		for _, member := range []string{"member-0", "member-1"} {
 			c.serveAsOlderBuild(member)
 		}
-		_, err = c.process("member-2").register.Change(c.ctx, replaceBy(text))
+		_, err = c.process("member-2").register.Change(c.ctx, replaceWith(text))
 		c.network.Partition("member-2", true)
 		read, _ = c.process("member-1").register.Read(c.ctx)
 	})
@@ -233,7 +233,7 @@
 
 // All members propose changes of one large value at once.
 func TestConcurrentChangesOfLargeValues(t *testing.T) {
-	text := randomText(largeText, 1)
+	text := randomText(largeTextBytes, 1)
 	succeeded := 0
 	runInCluster(t, func(c *cluster) {
 		var running sync.WaitGroup
@@ -241,7 +241,7 @@
 		for _, member := range c.view.Members {
 			running.Go(func() {
 				for i := range 6 {
-					_, err := c.process(member).register.Change(c.ctx, replaceBy(edited(text, randomText(20, uint64(i)))))
+					_, err := c.process(member).register.Change(c.ctx, replaceWith(withInsertion(text, randomText(20, uint64(i)))))
 					mutex.Lock()
 					if err == nil {
 						succeeded++
@@ -264,7 +264,7 @@
 	t.Helper()
 	runInCluster(t, func(c *cluster) {
 		changing := c.process("member-0").register
-		if _, err := changing.Change(c.ctx, replaceBy(randomText(largeText, 1))); err != nil {
+		if _, err := changing.Change(c.ctx, replaceWith(randomText(largeTextBytes, 1))); err != nil {
 			t.Error(err)
 		}
 		synctest.Wait()
@@ -273,7 +273,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
 			defer cancel()
-			_, err := changing.Change(ctx, replaceBy(randomText(largeText, 2)))
+			_, err := changing.Change(ctx, replaceWith(randomText(largeTextBytes, 2)))
 			changed <- err
 		}()
 		<-time.After(after)
@@ -295,7 +295,7 @@
 
 // A peer stands still, or is cut off, in the middle of a transfer: at its first message, between its rounds, and in the last one.
 func TestFaultsInTheMiddleOfATransfer(t *testing.T) {
-	before, after := randomText(largeText, 1), randomText(largeText, 2)
+	before, after := randomText(largeTextBytes, 1), randomText(largeTextBytes, 2)
 	for _, at := range []time.Duration{transferDelay / 2, 3 * transferDelay / 2, 5 * transferDelay / 2} {
 		frozen, frozenErr := changeUnderFault(t, at,
 			func(c *cluster) { c.network.Delay("member-1", 4*time.Second) },
--- a/internal/controlplane/register/wire_test.go
+++ b/internal/controlplane/register/wire_test.go
@@ -13,7 +13,7 @@
 		goldentest.Form{Name: "ballot", Value: new(ProposalNumber)},
 		goldentest.Form{Name: "prepare request", Value: new(prepareRequest)},
 		goldentest.Form{Name: "accept request", Value: new(acceptRequest)},
-		goldentest.Form{Name: "content", Value: new(content)},
+		goldentest.Form{Name: "content", Value: new(chunkedValue)},
 		goldentest.Form{Name: "push request", Value: new(pushRequest)},
 		goldentest.Form{Name: "fetch request", Value: new(fetchRequest)},
 		goldentest.Form{Name: "fetch reply", Value: new(fetchReply)},
